--- a/admit/admit.go
+++ b/admission/admit.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 // How it is called: New(terms, seed) makes one backend's instance, and Decide is
 // given everything that happens to it, first Opened, and appends to out what is
--- a/admit/admit_test.go
+++ b/admission/admit_test.go
@@ -1,11 +1,11 @@
-package admit
+package admission
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
 )
 
 // trace prints what happens to one backend and what it does about it.
@@ -41,13 +41,13 @@
 	var acts []string
 	for _, a := range tr.b.Decide(tr.now, ev, nil) {
 		if _, wake := a.(Wake); !wake {
-			acts = append(acts, strings.TrimPrefix(fmt.Sprintf("%T%+v", a, a), "admit."))
+			acts = append(acts, strings.TrimPrefix(fmt.Sprintf("%T%+v", a, a), "admission."))
 		}
 	}
 	if _, reading := ev.(Reading); reading && len(acts) == 0 {
 		return
 	}
-	name := strings.TrimPrefix(fmt.Sprintf("%T", ev), "admit.")
+	name := strings.TrimPrefix(fmt.Sprintf("%T", ev), "admission.")
 	switch e := ev.(type) {
 	case Arrived:
 		name += fmt.Sprintf(" %s rank %.2f retry %v", e.ID, e.Rank, e.Retry)
@@ -87,7 +87,7 @@
 // check compares the trace with the one kept under the test's name.
 func (tr *trace) check() {
 	tr.t.Helper()
-	standin.Compare(tr.t, tr.text.String())
+	fakes.Compare(tr.t, tr.text.String())
 }
 
 func TestWordsOnBothSidesOfTheCut(t *testing.T) {
--- a/admit/bench_test.go
+++ b/admission/bench_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"fmt"
--- a/admit/types.go
+++ b/admission/types.go
@@ -1,6 +1,6 @@
-// Package admit decides, for one backend, which invocations it takes, runs,
+// Package admission decides, for one backend, which invocations it takes, runs,
 // throttles or fails. This file is its interface; admit.go decides.
-package admit
+package admission
 
 // Micros is a point or a span of time in whole microseconds.
 type Micros int64
--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -15,13 +15,13 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/agent"
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/limit"
-	"milletbarrow/manage/join"
-	"milletbarrow/proc"
-	"milletbarrow/record"
+	"milletbarrow/internal/agent"
+	agentstore "milletbarrow/internal/agent/store"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/cluster/node"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 func fleetFlag() cli.Flag {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, unusable(err)
 	}
-	s, err := fleet.ReadSpec(file, raw, limit.ForControl())
+	s, err := fleet.ReadSpec(file, raw, limits.ForControl())
 	if err != nil {
 		return nil, unusable(err)
 	}
@@ -88,34 +88,34 @@
 	}
 	runtime.GOMAXPROCS(2)
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error like a full disk, and no end
-	b := limit.ForControl()
-	store, err := record.Open(dir, b.History)
-	if errors.Is(err, record.ErrDamaged) && c.Bool("record-anew") {
+	b := limits.ForControl()
+	store, err := agentstore.Open(dir, b.History)
+	if errors.Is(err, agentstore.ErrDamaged) && c.Bool("record-anew") {
 		var aside string
-		if aside, err = record.SetAside(dir, time.Now()); err == nil {
+		if aside, err = agentstore.SetAside(dir, time.Now()); err == nil {
 			slog.Warn("record", "set_aside", aside)
-			store, err = record.Open(dir, b.History)
+			store, err = agentstore.Open(dir, b.History)
 		}
 	}
 	if err != nil {
 		return unusable(err)
 	}
 	defer store.Close()
-	var joined *join.Joined
+	var joined *node.Joined
 	var shares agent.Shares
 	if spec.Budgets != nil {
-		joined, err = join.Open(join.Options{Spec: spec, Host: host.Name, Dir: dir, Trust: c.Bool("trust-directory"), Bounds: b})
+		joined, err = node.Open(node.Options{Spec: spec, Host: host.Name, Dir: dir, Trust: c.Bool("trust-directory"), Bounds: b})
 		if err != nil {
 			return unusable(err)
 		}
 		shares = joined
 	}
-	l, err := control.Listen(host.Agent)
+	l, err := agentapi.Listen(host.Agent)
 	if err != nil {
 		return unusable(err)
 	}
 	a, err := agent.New(agent.Options{
-		Spec: spec, Host: host.Name, Dir: dir, Self: []string{self}, Build: version(), Seed: uint64(proc.Now()),
+		Spec: spec, Host: host.Name, Dir: dir, Self: []string{self}, Build: version(), Seed: uint64(process.Now()),
 		Bounds: b, Store: store, Shares: shares,
 	})
 	if err != nil {
@@ -136,7 +136,7 @@
 		})
 	}
 	broken := make(chan error, 1)
-	go func() { broken <- control.Serve(ctx, l, a, b) }()
+	go func() { broken <- agentapi.Serve(ctx, l, a, b) }()
 	go func() {
 		for range hangup {
 			later, err := readFleet(c)
--- a/cmd/milletbarrow/check.go
+++ b/cmd/milletbarrow/check.go
@@ -7,7 +7,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/terms"
+	"milletbarrow/internal/config"
 )
 
 func checkCommand() *cli.Command {
@@ -25,7 +25,7 @@
 }
 
 // unused names what the deployment permits and this program leaves.
-func unused(b *terms.Backend) string {
+func unused(b *config.Backend) string {
 	if len(b.Sheet.Unused) == 0 {
 		return ""
 	}
--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -15,11 +15,11 @@
 	"github.com/urfave/cli/v3"
 	"golang.org/x/sync/errgroup"
 
-	"milletbarrow/demo"
-	"milletbarrow/limit"
-	"milletbarrow/load"
-	"milletbarrow/model"
-	"milletbarrow/plots"
+	"milletbarrow/internal/demo"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/loadgen"
+	"milletbarrow/internal/plot"
+	"milletbarrow/internal/simulation"
 )
 
 func demoCommand() *cli.Command {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	err = plots.Times(f, "demo (on sockets)", []string{"milletbarrow"}, []*model.Result{r.Result}, format)
+	err = plot.Times(f, "demo (on sockets)", []string{"milletbarrow"}, []*simulation.Result{r.Result}, format)
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 // onSockets lays a scenario's fleet out on this machine, sends its load, brings those of its troubles about that can be
 // brought about here (slow hosts, a release; bursts are the load's), and ends all that it began. twice counts the runs that were
 // launched twice.
-func onSockets(ctx context.Context, s *model.Scenario, seed uint64, say func(string, ...any)) (r *load.Report, twice int, err error) {
+func onSockets(ctx context.Context, s *simulation.Scenario, seed uint64, say func(string, ...any)) (r *loadgen.Report, twice int, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, 0, err
@@ -117,9 +117,9 @@
 	for _, t := range s.Troubles {
 		troubles.Go(func() error { return site.Bring(trouble, t, say, tool) })
 	}
-	r, err = load.Run(ctx, load.Options{
-		Scenario: s, Seed: seed, Backends: site.Backends, Bounds: limit.ForLoad(),
-		Told: func(p load.Snapshot) { say("%s  %d of %d listed", loadLine(p), site.Listed(), len(site.Backends)) },
+	r, err = loadgen.Run(ctx, loadgen.Options{
+		Scenario: s, Seed: seed, Backends: site.Backends, Bounds: limits.ForLoad(),
+		Told: func(p loadgen.Snapshot) { say("%s  %d of %d listed", loadLine(p), site.Listed(), len(site.Backends)) },
 	})
 	if err = errors.Join(err, troubles.Wait()); err != nil {
 		return nil, 0, err
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -14,11 +14,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/limit"
-	"milletbarrow/operate"
-	"milletbarrow/proc"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/fleetclient"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 func fleetCommand() *cli.Command {
@@ -53,7 +53,7 @@
 }
 
 // tool is what the sub-commands work with.
-func tool(c *cli.Command) (*operate.Tool, error) {
+func tool(c *cli.Command) (*fleetclient.Tool, error) {
 	spec, err := readFleet(c)
 	if err != nil {
 		return nil, err
@@ -63,17 +63,17 @@
 		by = u.Username
 	}
 	host, _ := os.Hostname()
-	t := &operate.Tool{
-		Spec: spec, Bounds: limit.ForControl(), By: fmt.Sprintf("%s@%s", by, host),
-		Caller: control.NewCaller(limit.ForControl(), uint64(proc.Now())),
+	t := &fleetclient.Tool{
+		Spec: spec, Bounds: limits.ForControl(), By: fmt.Sprintf("%s@%s", by, host),
+		Caller: agentapi.NewCaller(limits.ForControl(), uint64(process.Now())),
 	}
 	if !c.Bool("quiet") {
-		t.Say = func(host string, l control.Line) { sayLine(os.Stderr, host, l) }
+		t.Say = func(host string, l agentapi.Line) { sayLine(os.Stderr, host, l) }
 	}
 	return t, nil
 }
 
-func sayLine(to *os.File, host string, l control.Line) {
+func sayLine(to *os.File, host string, l agentapi.Line) {
 	switch {
 	case l.Gap > 0:
 		fmt.Fprintf(to, "%s: %d lines are no longer kept\n", host, l.Gap)
@@ -84,7 +84,7 @@
 }
 
 // selected are the instances that the command line names.
-func selected(c *cli.Command, t *operate.Tool) ([]*fleet.InstanceSpec, error) {
+func selected(c *cli.Command, t *fleetclient.Tool) ([]*fleet.InstanceSpec, error) {
 	all, err := t.Spec.Select(fleet.Selection{
 		All: c.Bool("all"), Names: c.Args().Slice(), Groups: c.StringSlice("group"), Labels: c.StringSlice("label"),
 		Hosts: c.StringSlice("host"),
@@ -114,13 +114,13 @@
 }
 
 // orderOf is the command that the flags ask for.
-func orderOf(c *cli.Command, t *operate.Tool, kind fleet.Kind) (control.Order, error) {
+func orderOf(c *cli.Command, t *fleetclient.Tool, kind fleet.Kind) (agentapi.Order, error) {
 	now := time.Now()
-	o := control.Order{
+	o := agentapi.Order{
 		ID: c.String("id"), Kind: kind, By: t.By, Asked: now.UnixMicro(), Within: c.Duration("within").Microseconds(),
 	}
 	if o.ID == "" {
-		o.ID = operate.NewID(kind, now)
+		o.ID = fleetclient.NewID(kind, now)
 	}
 	if err := fleet.CheckName(o.ID); err != nil {
 		return o, unusable(fmt.Errorf("id: %w", err))
@@ -132,7 +132,7 @@
 }
 
 // patience is for how long the tool stays with a command: agents end it by its own time.
-func patience(ctx context.Context, o control.Order) (context.Context, context.CancelFunc) {
+func patience(ctx context.Context, o agentapi.Order) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, time.Duration(o.Within)*time.Microsecond+10*time.Second)
 }
 
@@ -149,7 +149,7 @@
 }
 
 // finish prints a report and ends with the code that it stands for.
-func finish(c *cli.Command, r *operate.Report, waited bool) error {
+func finish(c *cli.Command, r *fleetclient.Report, waited bool) error {
 	if c.Bool("json") {
 		if err := printJSON(r); err != nil {
 			return err
@@ -176,15 +176,15 @@
 		}
 	}
 	verdict := r.Verdict()
-	if !waited && verdict == operate.LateVerdict { // nobody wanted to know
-		verdict = operate.AllAsAsked
+	if !waited && verdict == fleetclient.LateVerdict { // nobody wanted to know
+		verdict = fleetclient.AllAsAsked
 	}
 	switch verdict {
-	case operate.SomeOther:
+	case fleetclient.SomeOther:
 		return cli.Exit("", exitSome)
-	case operate.LateVerdict:
+	case fleetclient.LateVerdict:
 		return cli.Exit("", exitLate)
-	case operate.NotReached:
+	case fleetclient.NotReached:
 		return cli.Exit("", exitUnreachable)
 	}
 	return nil
--- a/cmd/milletbarrow/fleet_bench_test.go
+++ b/cmd/milletbarrow/fleet_bench_test.go
@@ -13,11 +13,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/limit"
-	"milletbarrow/proc"
-	"milletbarrow/standin"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 // The figures of many instances, on sockets and real processes:
@@ -25,11 +25,11 @@
 //	go test ./cmd/milletbarrow -run xxx -bench 'Notice|Adopt' -benchtime 5x
 //	go test ./cmd/milletbarrow -run xxx -bench Idle -benchtime 1x
 
-func (h *hosts) up(b *testing.B) *control.Client {
+func (h *hosts) up(b *testing.B) *agentapi.Client {
 	h.startAgent()
-	standin.Until(b, "the agent answers", func() bool { return h.status().Status != nil })
+	fakes.Until(b, "the agent answers", func() bool { return h.status().Status != nil })
 	h.must("start", "--all", "--quiet", "--within", "60s")
-	c := control.NewCaller(limit.ForControl(), 1).Client("unix:" + h.dir + "/agent.sock")
+	c := agentapi.NewCaller(limits.ForControl(), 1).Client("unix:" + h.dir + "/agent.sock")
 	b.Cleanup(c.Close)
 	return c
 }
@@ -61,7 +61,7 @@
 	for round := 0; b.Loop(); round++ {
 		began := time.Now()
 		id := "drain" + string(rune('a'+round%26)) + began.Format("150405")
-		_, err := c.Order(context.Background(), control.Order{ID: id, Kind: fleet.Drain, Names: h.names, By: "bench", Within: 60_000_000})
+		_, err := c.Order(context.Background(), agentapi.Order{ID: id, Kind: fleet.Drain, Names: h.names, By: "bench", Within: 60_000_000})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -89,9 +89,9 @@
 		b.StartTimer()
 		began := time.Now()
 		h.startAgent()
-		standin.Until(b, "all are adopted", func() bool {
+		fakes.Until(b, "all are adopted", func() bool {
 			s, err := c.Status(context.Background())
-			return err == nil && !slices.ContainsFunc(s.Instances, func(in control.Instance) bool { return in.Phase != fleet.Ready })
+			return err == nil && !slices.ContainsFunc(s.Instances, func(in agentapi.Instance) bool { return in.Phase != fleet.Ready })
 		})
 		h1.RecordValue(time.Since(began).Microseconds())
 	}
@@ -104,11 +104,11 @@
 	h := newHosts(b, 60, "(start-within 60s) (settle 0s)", "", "")
 	h.up(b)
 	const span = 10 * time.Second
-	agent, err := proc.Of(h.agent.Process.Pid)
+	agent, err := process.Of(h.agent.Process.Pid)
 	if err != nil {
 		b.Fatal(err)
 	}
-	var keepers []proc.Identity
+	var keepers []process.Identity
 	for _, n := range h.names {
 		l, err := h.life(n)
 		if err != nil {
--- a/cmd/milletbarrow/fleet_budgets.go
+++ b/cmd/milletbarrow/fleet_budgets.go
@@ -9,8 +9,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/control"
-	"milletbarrow/manage/budget"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/cluster/quota"
 )
 
 func fleetBudgetsCommand() *cli.Command {
@@ -50,13 +50,13 @@
 }
 
 func budgetsFailed(err error) error {
-	if r, ok := errors.AsType[*control.Refusal](err); ok && r.Status/100 == 4 {
+	if r, ok := errors.AsType[*agentapi.Refusal](err); ok && r.Status/100 == 4 {
 		return unusable(err)
 	}
 	return cli.Exit(err.Error(), exitUnreachable)
 }
 
-func printBudgets(b *control.Budgets) {
+func printBudgets(b *agentapi.Budgets) {
 	fmt.Printf("ledger: %s leads %v, term %d, terms of version %d\n", b.Leader, b.Members, b.Term, b.Version)
 	if b.Hold {
 		fmt.Println("nothing grows now: shares may be in force that this ledger was made to forget")
@@ -65,12 +65,12 @@
 	num := func(n int64) string { return strconv.FormatInt(n, 10) }
 	for _, u := range b.Budgets {
 		unit := "/s"
-		if u.Kind == budget.Count {
+		if u.Kind == quota.Count {
 			unit = ""
 		}
 		rows = append(rows, []string{u.Budget, fmt.Sprintf("%d of %d%s", u.InForce, u.Whole, unit), "", num(u.Floors), "", "", "", "", "", ""})
 		for _, h := range u.Holders {
-			if u.Kind == budget.Count {
+			if u.Kind == quota.Count {
 				rows = append(rows, []string{"", h.Name, h.Host, "", "1", "", "", "", "", h.Turn})
 				continue
 			}
--- a/cmd/milletbarrow/fleet_check.go
+++ b/cmd/milletbarrow/fleet_check.go
@@ -7,8 +7,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/agent"
-	"milletbarrow/fleet"
+	"milletbarrow/internal/agent"
+	"milletbarrow/internal/fleet"
 )
 
 func fleetCheckCommand() *cli.Command {
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -7,9 +7,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/operate"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/fleetclient"
 )
 
 func fleetHistoryCommand() *cli.Command {
@@ -31,7 +31,7 @@
 				return unusable(fmt.Errorf("most: %d is not from 1 to 100000", n))
 			}
 			name, command := c.String("name"), c.String("command")
-			all, missing := t.History(ctx, c.Int("most"), func(e operate.Entry) bool {
+			all, missing := t.History(ctx, c.Int("most"), func(e fleetclient.Entry) bool {
 				return (name == "" || e.Entry.Name == name) && (command == "" || e.Entry.Command == command)
 			})
 			if c.Bool("json") {
@@ -63,8 +63,8 @@
 				return err
 			}
 			id := c.Args().First()
-			r := &operate.Report{ID: id}
-			r.Hosts, _ = control.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (operate.HostReport, error) {
+			r := &fleetclient.Report{ID: id}
+			r.Hosts, _ = agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
 				return t.Watch(ctx, h.Name, id), nil
 			})
 			if id == "" {
--- a/cmd/milletbarrow/fleet_order.go
+++ b/cmd/milletbarrow/fleet_order.go
@@ -6,7 +6,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/fleet"
+	"milletbarrow/internal/fleet"
 )
 
 var orderUsage = map[fleet.Kind]string{
--- a/cmd/milletbarrow/fleet_rise.go
+++ b/cmd/milletbarrow/fleet_rise.go
@@ -10,11 +10,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/rise"
-	"milletbarrow/operate"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/fleetclient"
 )
 
 func riseCommand() *cli.Command {
@@ -45,7 +45,7 @@
 				return err
 			}
 			o.Budget = t.Spec.RiseBudget
-			r := budget.Rise{Budget: o.Budget, ID: o.ID, By: t.By, Verb: c.String("say")}
+			r := quota.Rise{Budget: o.Budget, ID: o.ID, By: t.By, Verb: c.String("say")}
 			if r.Verb != "" {
 				if err := t.Rise(ctx, r); err != nil {
 					return budgetsFailed(err)
@@ -55,7 +55,7 @@
 			}
 			r.Terms = t.Spec.Rise
 			for _, in := range all {
-				r.Members = append(r.Members, rise.Member{Name: in.Name, Group: in.Group, Host: in.Host})
+				r.Members = append(r.Members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
 			}
 			if c.Bool("dry-run") {
 				return previewRise(c, &r)
@@ -63,7 +63,7 @@
 			ctx, cancel := patience(ctx, o)
 			defer cancel()
 			if err := t.Rise(ctx, r); err != nil {
-				if no, ok := errors.AsType[*control.Refusal](err); ok && no.Status/100 == 4 {
+				if no, ok := errors.AsType[*agentapi.Refusal](err); ok && no.Status/100 == 4 {
 					return budgetsFailed(err)
 				}
 				fmt.Fprintf(os.Stderr, "the ledger can't be reached (%v): each host goes on by one start at a time\n", err)
@@ -83,8 +83,8 @@
 }
 
 // previewRise prints who would come first.
-func previewRise(c *cli.Command, r *budget.Rise) error {
-	s, err := rise.Begin(r.ID, *r.Terms, r.Members)
+func previewRise(c *cli.Command, r *quota.Rise) error {
+	s, err := coldstart.Begin(r.ID, *r.Terms, r.Members)
 	if err != nil {
 		return unusable(err)
 	}
@@ -105,7 +105,7 @@
 }
 
 // showRise tells how a rise stands whenever that changes.
-func showRise(ctx context.Context, c *cli.Command, t *operate.Tool, id string) {
+func showRise(ctx context.Context, c *cli.Command, t *fleetclient.Tool, id string) {
 	if c.Bool("quiet") || c.Bool("json") || !c.Bool("wait") {
 		return
 	}
@@ -132,8 +132,8 @@
 }
 
 // riseLine is one rise in a line.
-func riseLine(r *budget.Rising) string {
-	var sum rise.Tally
+func riseLine(r *quota.Rising) string {
+	var sum coldstart.Tally
 	for _, g := range r.Groups {
 		sum.Warm, sum.Under, sum.Failed, sum.Waiting = sum.Warm+g.Warm, sum.Under+g.Under, sum.Failed+g.Failed, sum.Waiting+g.Waiting
 	}
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -7,7 +7,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/operate"
+	"milletbarrow/internal/fleetclient"
 )
 
 func fleetStatusCommand() *cli.Command {
@@ -36,7 +36,7 @@
 	}
 }
 
-func printStatus(all []operate.HostStatus) {
+func printStatus(all []fleetclient.HostStatus) {
 	rows := [][]string{{"instance", "host", "group", "wanted", "seen", "for", "pid", "in hand", "level", "cause"}}
 	for _, h := range all {
 		if h.Status == nil {
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -19,10 +19,10 @@
 	"testing"
 	"time"
 
-	"milletbarrow/fleet"
-	"milletbarrow/operate"
-	"milletbarrow/proc"
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/fleetclient"
+	"milletbarrow/internal/process"
 )
 
 // hosts is a fleet on this machine: one agent, so many instances, a farm for each, one roster for all.
@@ -30,7 +30,7 @@
 	t     testing.TB
 	dir   string
 	file  string
-	crews map[string]*standin.Crew
+	crews map[string]*fakes.Crew
 	names []string
 	at    map[string]string // address of each
 	agent *exec.Cmd
@@ -42,9 +42,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hosts{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), crews: map[string]*standin.Crew{}, at: map[string]string{}}
+	h := &hosts{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), crews: map[string]*fakes.Crew{}, at: map[string]string{}}
 	t.Cleanup(h.clear)
-	roster, _ := standin.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	roster, _ := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	var taken []net.Listener
 	for n := range many {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,10 +53,10 @@
 		}
 		taken = append(taken, l)
 		name := fmt.Sprint("n", n+1)
-		crew := standin.NewCrew(t, 20*time.Millisecond, 2)
+		crew := fakes.NewCrew(t, 20*time.Millisecond, 2)
 		h.crews[name], h.at[name] = crew, l.Addr().String()
 		h.names = append(h.names, name)
-		raw, err := os.ReadFile(config(t, l.Addr().String(), crew.Address, roster, append(edit, `"drain_grace_ms":300`, `"drain_grace_ms":2000`,
+		raw, err := os.ReadFile(configFile(t, l.Addr().String(), crew.Address, roster, append(edit, `"drain_grace_ms":300`, `"drain_grace_ms":2000`,
 			`"stop_ms":1500`, `"stop_ms":3200`, `"name":"n3"`, `"name":"`+name+`"`)...))
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, name+".json"), raw, 0o600)
@@ -98,9 +98,9 @@
 }
 
 type lifeFile struct {
-	Run      string        `json:"run"`
-	Keeper   proc.Identity `json:"keeper"`
-	Instance proc.Identity `json:"instance"`
+	Run      string           `json:"run"`
+	Keeper   process.Identity `json:"keeper"`
+	Instance process.Identity `json:"instance"`
 }
 
 func (h *hosts) life(name string) (s lifeFile, err error) {
@@ -163,9 +163,9 @@
 	return strings.Join(lines[max(0, len(lines)-30):], "\n")
 }
 
-func (h *hosts) status() operate.HostStatus {
+func (h *hosts) status() fleetclient.HostStatus {
 	out, _ := h.fleet("status", "--json")
-	var all []operate.HostStatus
+	var all []fleetclient.HostStatus
 	if err := json.Unmarshal([]byte(out), &all); err != nil || len(all) != 1 {
 		h.t.Fatalf("%v: %s", err, out)
 	}
@@ -185,7 +185,7 @@
 
 func (h *hosts) untilAll(p fleet.Phase) {
 	h.t.Helper()
-	standin.Until(h.t, "all are "+string(p), func() bool {
+	fakes.Until(h.t, "all are "+string(p), func() bool {
 		all := h.phases()
 		return len(all) == len(h.names) && !slices.ContainsFunc(h.names, func(n string) bool { return all[n] != p })
 	})
@@ -249,13 +249,13 @@
 	}
 	h := newHosts(t, many, "(start-within 30s) (settle 300ms)", fmt.Sprintf("(width %d) (least-share 0.75) (stall 30s)", width), wrapper)
 	h.startAgent()
-	standin.Until(t, "the agent answers", func() bool { return h.status().Status != nil })
+	fakes.Until(t, "the agent answers", func() bool { return h.status().Status != nil })
 	h.must("start", "--all", "--quiet", "--within", "60s")
 	h.untilAll(fleet.Ready)
 
-	var loads []*standin.Load
+	var loads []*fakes.Load
 	for i, n := range h.names {
-		loads = append(loads, standin.NewLoad(h.at[n], i+1, 50*time.Millisecond, 3*time.Second, time.Duration(i%4)*150*time.Millisecond))
+		loads = append(loads, fakes.NewLoad(h.at[n], i+1, 50*time.Millisecond, 3*time.Second, time.Duration(i%4)*150*time.Millisecond))
 	}
 	tool := h.command("wave", "--all", "--id", "release", "--within", "150s", "--json", "--quiet")
 	var report bytes.Buffer
@@ -292,8 +292,8 @@
 			}
 		}
 	}
-	var sent []*standin.Sent
-	byInstance := map[string][]*standin.Sent{}
+	var sent []*fakes.Sent
+	byInstance := map[string][]*fakes.Sent{}
 	for i, l := range loads {
 		byInstance[h.names[i]] = l.Stop()
 		sent = append(sent, byInstance[h.names[i]]...)
@@ -305,7 +305,7 @@
 	}
 
 	lives := h.lives()
-	var r operate.Report
+	var r fleetclient.Report
 	if err := json.Unmarshal(report.Bytes(), &r); err != nil {
 		t.Fatalf("%v: %s", err, report.String())
 	}
@@ -317,7 +317,7 @@
 }
 
 // checkReport: what the tool says of each instance is what its keeper saw.
-func checkReport(t *testing.T, h *hosts, r *operate.Report, lives map[string][]*lived) {
+func checkReport(t *testing.T, h *hosts, r *fleetclient.Report, lives map[string][]*lived) {
 	results := r.Hosts[0].Command.Results
 	for _, n := range h.names {
 		all := lives[n]
@@ -350,11 +350,11 @@
 
 // checkAnswers: each invocation has exactly one final answer in time, but for those that the stopped instance held, and the few
 // of a life's last moments that, it is believed, a starved process had not read when it ended: from outside the two can't be told apart.
-func checkAnswers(t *testing.T, by map[string][]*standin.Sent, lives map[string][]*lived, stopped time.Time) {
+func checkAnswers(t *testing.T, by map[string][]*fakes.Sent, lives map[string][]*lived, stopped time.Time) {
 	const busy, lastMoments = 500 * time.Millisecond, 300 * time.Millisecond
 	killed := lives["n23"][0].ended
 	codes, lost, unread := map[byte]int{}, 0, 0
-	atTheEnd := func(n string, s *standin.Sent) bool {
+	atTheEnd := func(n string, s *fakes.Sent) bool {
 		return slices.ContainsFunc(lives[n], func(l *lived) bool { return s.At.After(l.ended.Add(-lastMoments)) && s.At.Before(l.ended) })
 	}
 	for n, sent := range by {
@@ -382,7 +382,7 @@
 }
 
 // checkLaunches: nothing that arrived after an instance's grace was ever launched, and nothing twice.
-func checkLaunches(t *testing.T, h *hosts, by map[string][]*standin.Sent, lives map[string][]*lived, grace time.Duration) {
+func checkLaunches(t *testing.T, h *hosts, by map[string][]*fakes.Sent, lives map[string][]*lived, grace time.Duration) {
 	const allowance = 50 * time.Millisecond // that the platform's rule gives
 	late, after := 0, 0
 	for n, sent := range by {
@@ -411,7 +411,7 @@
 // readyTimes reads from the history when each instance was seen ready.
 func (h *hosts) readyTimes() map[string][]time.Time {
 	out := h.must("history", "--json", "--most", "20000")
-	var all struct{ Entries []operate.Entry }
+	var all struct{ Entries []fleetclient.Entry }
 	if err := json.Unmarshal([]byte(out), &all); err != nil {
 		h.t.Fatal(err)
 	}
@@ -462,7 +462,7 @@
 // TestFleetCommands: two hosts with an agent each; what the tool prints and ends with when all is well, when a word
 // is wrong, when an agent is away, and when a wave goes from host to host or stops at one.
 func TestFleetCommands(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	h := newHosts(t, 4, "(settle 100ms)", "", "", `"drain_grace_ms":300`, `"drain_grace_ms":301`, `"stop_ms":1500`, `"stop_ms":901`)
 	text := fmt.Sprintf(`(fleet test (host h1 (agent "unix:%[1]s/agent.sock")) (host h2 (agent "unix:%[1]s/two/agent.sock"))
 		(group a (host h1) (config "%%n.json") (settle 100ms) (start-within 2s) (restart (most 1) (within 1m)) (instances n1 n2))
@@ -479,7 +479,7 @@
 	say("check", "--configs")
 	say("start", "--all", "--quiet", "--id", "early")
 	h.startAgent()
-	standin.Until(t, "the first agent answers", func() bool { _, err := os.Stat(filepath.Join(h.dir, "agent.sock")); return err == nil })
+	fakes.Until(t, "the first agent answers", func() bool { _, err := os.Stat(filepath.Join(h.dir, "agent.sock")); return err == nil })
 	two := exec.Command(program, "agent", "--fleet", h.file, "--host", "h2", "--dir", filepath.Join(h.dir, "two"))
 	say("start", "--all", "--quiet", "--id", "half", "--within", "10s")
 	if err := two.Start(); err != nil {
@@ -497,7 +497,7 @@
 			}
 		}
 	}()
-	standin.Until(t, "the second agent answers", func() bool { _, code := h.fleet("status"); return code == 0 })
+	fakes.Until(t, "the second agent answers", func() bool { _, code := h.fleet("status"); return code == 0 })
 	say("start", "--all", "--quiet", "--id", "half", "--within", "10s") // the same again: the first host has it done
 	say("wave", "--all", "--dry-run")
 	say("wave", "--all", "--dry-run", "--least-share", "1")
@@ -516,11 +516,11 @@
 		t.Fatal(err)
 	}
 	h.agent.Process.Signal(syscall.SIGHUP)
-	standin.Until(t, "the file is read", func() bool {
+	fakes.Until(t, "the file is read", func() bool {
 		out, _ := h.fleet("history")
 		return strings.Contains(out, "fleet's file read anew")
 	})
-	standin.Until(t, "all is seen again", func() bool { out, _ := h.fleet("status"); return !strings.Contains(out, "unknown") })
+	fakes.Until(t, "all is seen again", func() bool { out, _ := h.fleet("status"); return !strings.Contains(out, "unknown") })
 	say("wave", "--all", "--quiet", "--id", "broken", "--within", "30s")
 	say("cancel", "broken")
 	say("drain", "--all", "--quiet", "--id", "down", "--within", "10s")
--- a/cmd/milletbarrow/fleet_wave.go
+++ b/cmd/milletbarrow/fleet_wave.go
@@ -7,8 +7,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/fleet"
-	"milletbarrow/operate"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/fleetclient"
 )
 
 func waveCommand() *cli.Command {
@@ -93,7 +93,7 @@
 }
 
 // previewWave prints a wave step by step as it would go if all went well.
-func previewWave(c *cli.Command, t *operate.Tool, all []*fleet.InstanceSpec, terms fleet.WaveTerms) error {
+func previewWave(c *cli.Command, t *fleetclient.Tool, all []*fleet.InstanceSpec, terms fleet.WaveTerms) error {
 	hosts, names := t.ByHost(all)
 	plans := map[string][]fleet.PlanStep{}
 	rows := [][]string{{"host", "batch", "instance", "group", "ready meanwhile", "must stay"}}
--- a/cmd/milletbarrow/keeper.go
+++ b/cmd/milletbarrow/keeper.go
@@ -9,10 +9,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/agent"
-	"milletbarrow/fleet"
-	"milletbarrow/keeper"
-	"milletbarrow/limit"
+	"milletbarrow/internal/agent"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/supervisor"
 )
 
 // keeperCommand is started by the agent, one beside each instance; begin by the keeper.
@@ -49,15 +49,15 @@
 			for _, word := range c.StringSlice("draw") {
 				command = append(command, "--draw", word)
 			}
-			err = keeper.Run(ctx, keeper.Options{
+			err = supervisor.Run(ctx, supervisor.Options{
 				Dir: c.String("dir"), Name: c.String("name"), Run: c.String("run"), Adopt: c.Bool("adopt"),
 				Begin: []string{self, "begin", "--"}, Command: command,
 				Window: fleet.Window{
 					Grace: fleet.Micros(c.Duration("grace").Microseconds()), Stop: fleet.Micros(c.Duration("stop").Microseconds()),
 				},
-				Bounds: limit.ForControl(),
+				Bounds: limits.ForControl(),
 			})
-			if errors.Is(err, keeper.ErrHeld) {
+			if errors.Is(err, supervisor.ErrHeld) {
 				return cli.Exit(err.Error(), agent.KeeperHeld)
 			}
 			return err
@@ -68,6 +68,6 @@
 func beginCommand() *cli.Command {
 	return &cli.Command{
 		Name: "begin", Usage: "become an instance (started by the keeper)", Hidden: true,
-		Action: func(_ context.Context, c *cli.Command) error { return keeper.Begin(c.Args().Slice()) },
+		Action: func(_ context.Context, c *cli.Command) error { return supervisor.Begin(c.Args().Slice()) },
 	}
 }
--- a/cmd/milletbarrow/lab.go
+++ b/cmd/milletbarrow/lab.go
@@ -18,9 +18,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/lab"
-	"milletbarrow/model"
-	"milletbarrow/plots"
+	"milletbarrow/internal/experiment"
+	"milletbarrow/internal/plot"
+	"milletbarrow/internal/simulation"
 )
 
 func labCommand() *cli.Command {
@@ -34,12 +34,12 @@
 	}
 }
 
-func readExperiment(c *cli.Command) (*lab.Experiment, error) {
+func readExperiment(c *cli.Command) (*experiment.Experiment, error) {
 	file := c.Args().First()
 	if file == "" {
 		return nil, unusable(errors.New("no experiment is named"))
 	}
-	x, err := lab.Read(file)
+	x, err := experiment.Read(file)
 	if err != nil {
 		return nil, unusable(err)
 	}
@@ -87,7 +87,7 @@
 		Description: "Example:\n   milletbarrow lab policies",
 		Action: func(context.Context, *cli.Command) error {
 			w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-			for _, p := range model.Policies() {
+			for _, p := range simulation.Policies() {
 				fmt.Fprintf(w, "%s\t%s\t%s\n", p.Name, p.About, p.Source)
 			}
 			return w.Flush()
@@ -110,7 +110,7 @@
 			if err != nil {
 				return err
 			}
-			place, err := lab.Open(c.String("dir"), build())
+			place, err := experiment.Open(c.String("dir"), build())
 			if err != nil {
 				return unusable(err)
 			}
@@ -118,7 +118,7 @@
 			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			began := time.Now()
-			results, err := lab.Run(ctx, x, place, c.Int("cores"), func(p lab.Progress) {
+			results, err := experiment.Run(ctx, x, place, c.Int("cores"), func(p experiment.Progress) {
 				if !c.Bool("quiet") {
 					fmt.Fprintf(os.Stderr, "%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n", p.Done, p.All, p.Kept,
 						time.Since(began).Round(time.Second), p.Cell.Scenario.Name, p.Cell.Policy.Name, p.Cell.Seed, p.Result.Value())
@@ -132,9 +132,9 @@
 			}
 			cells, _ := x.Cells()
 			if c.Bool("json") {
-				return printJSON(lab.Summary(cells, results))
+				return printJSON(experiment.Summary(cells, results))
 			}
-			return printSummary(lab.Summary(cells, results))
+			return printSummary(experiment.Summary(cells, results))
 		},
 	}
 }
@@ -152,14 +152,14 @@
 	return fmt.Sprintf("%s, %016x", version(), xxhash.Sum64(raw))
 }
 
-func printSummary(rows []lab.Row) error {
+func printSummary(rows []experiment.Row) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "scenario\tat\tpolicy\tdays\tvalue\tinterval\ttries an ask\twasted ms an ask\trules broken")
 	broken := false
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%.4f\t%.4f to %.4f\t%.2f\t%.2f\t%s\n", r.Scenario, r.Value, r.Policy, r.Worth.N, r.Worth.Mean,
 			r.Worth.Low, r.Worth.High, r.Attempts, r.Wasted/1000, r.RuleWords())
-		broken = broken || r.Policy == model.Module && r.Broken() > 0
+		broken = broken || r.Policy == simulation.Module && r.Broken() > 0
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -171,7 +171,7 @@
 }
 
 // loadExperiment reads a file and what a place has of it.
-func loadExperiment(c *cli.Command) (*lab.Experiment, []lab.Cell, []*model.Result, error) {
+func loadExperiment(c *cli.Command) (*experiment.Experiment, []experiment.Cell, []*simulation.Result, error) {
 	x, err := readExperiment(c)
 	if err != nil {
 		return nil, nil, nil, err
@@ -180,7 +180,7 @@
 	if err != nil {
 		return nil, nil, nil, unusable(err)
 	}
-	results, missing, err := lab.Load(x, c.String("dir"))
+	results, missing, err := experiment.Load(x, c.String("dir"))
 	if err == nil && missing == len(cells) {
 		err = fmt.Errorf("%s has none of the %d results: run the experiment first", c.String("dir"), missing)
 	}
@@ -208,11 +208,11 @@
 			if err != nil {
 				return err
 			}
-			m, err := lab.MeasureNamed(c.String("measure"))
+			m, err := experiment.MeasureNamed(c.String("measure"))
 			if err != nil {
 				return unusable(err)
 			}
-			all := lab.Compare(cells, results, c.Args().Get(1), c.Args().Get(2), m)
+			all := experiment.Compare(cells, results, c.Args().Get(1), c.Args().Get(2), m)
 			if len(all) == 0 {
 				return unusable(fmt.Errorf("no day was played by both %q and %q", c.Args().Get(1), c.Args().Get(2)))
 			}
@@ -250,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	m, err := lab.MeasureNamed(c.String("measure"))
+	m, err := experiment.MeasureNamed(c.String("measure"))
 	if err != nil {
 		return unusable(err)
 	}
@@ -270,7 +270,7 @@
 		at = x.Values[0]
 	}
 	var names []string
-	var days []*model.Result
+	var days []*simulation.Result
 	for i, cell := range cells {
 		if results[i] != nil && cell.Scenario.Name == scenario && cell.Seed == seed && (x.Over == "" || cell.Value == at) &&
 			(c.String("policy") == "" || c.String("policy") == cell.Policy.Name) {
@@ -289,22 +289,22 @@
 	defer os.Remove(f.Name())
 	switch what {
 	case "sweep":
-		err = plots.Curves(f, title, x.Over, m.Name, lab.Curves(cells, results, scenario, m), format)
+		err = plot.Curves(f, title, x.Over, m.Name, experiment.Curves(cells, results, scenario, m), format)
 	case "time":
-		err = plots.Times(f, title, names, days, format)
+		err = plot.Times(f, title, names, days, format)
 	case "operations", "tenants":
-		err = plots.Parts(f, title, names, days, what == "tenants", format)
+		err = plot.Parts(f, title, names, days, what == "tenants", format)
 	case "latency":
-		var parts []*model.Part
+		var parts []*simulation.Part
 		var lines []string
 		for i, r := range days {
 			for k := range r.Operations {
 				parts, lines = append(parts, &r.Operations[k]), append(lines, names[i]+" "+r.Operations[k].Name)
 			}
 		}
-		err = plots.Latencies(f, title, lines, parts, format)
+		err = plot.Latencies(f, title, lines, parts, format)
 	case "heat":
-		err = plots.Heat(f, title+", "+names[0], days[0], format)
+		err = plot.Heat(f, title+", "+names[0], days[0], format)
 	default:
 		err = unusable(fmt.Errorf("--what: %q is none of sweep, time, operations, tenants, latency, heat", what))
 	}
@@ -335,7 +335,7 @@
 			if err != nil {
 				return unusable(err)
 			}
-			i := slices.IndexFunc(cells, func(l lab.Cell) bool {
+			i := slices.IndexFunc(cells, func(l experiment.Cell) bool {
 				return (c.String("scenario") == "" || c.String("scenario") == l.Scenario.Name) && (c.String("policy") == "" || c.String("policy") == l.Policy.Name) &&
 					(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) && (math.IsNaN(c.Float("at")) || c.Float("at") == l.Value)
 			})
@@ -345,9 +345,9 @@
 			if c.Uint64("invocation") == 0 && c.Int("host") < 0 {
 				return unusable(errors.New("name an --invocation or a --host"))
 			}
-			tr := &model.Trace{Invocation: c.Uint64("invocation"), Host: int32(c.Int("host")), Most: c.Int("most")}
+			tr := &simulation.Trace{Invocation: c.Uint64("invocation"), Host: int32(c.Int("host")), Most: c.Int("most")}
 			cell := &cells[i]
-			r, err := model.Play(&cell.Scenario, cell.Policy, cell.Seed, tr)
+			r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, tr)
 			if err != nil {
 				return unusable(err)
 			}
--- a/cmd/milletbarrow/lab_rise.go
+++ b/cmd/milletbarrow/lab_rise.go
@@ -7,7 +7,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/model/rising"
+	"milletbarrow/internal/simulation/coldstart"
 )
 
 func labRiseCommand() *cli.Command {
@@ -15,7 +15,7 @@
 		Name: "rise", Usage: "play how many backends come up together, by each way of starting and reporting",
 		Description: "Beside a register that refuses for ten seconds and a service below that falls over, in the model. Example:\n" +
 			"   milletbarrow lab rise --backends 330,1200,5000 --seeds 6",
-		Flags: []cli.Flag{jsonFlag(), &cli.IntSliceFlag{Name: "backends", Value: rising.Sizes()}, &cli.IntFlag{Name: "seeds", Value: 6}},
+		Flags: []cli.Flag{jsonFlag(), &cli.IntSliceFlag{Name: "backends", Value: coldstart.Sizes()}, &cli.IntFlag{Name: "seeds", Value: 6}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			for _, n := range c.IntSlice("backends") {
 				if n < 10 || n > 20_000 {
@@ -25,14 +25,14 @@
 			if n := c.Int("seeds"); n < 1 || n > 1000 {
 				return unusable(fmt.Errorf("seeds: %d is not from 1 to 1000", n))
 			}
-			rows, err := rising.Study(c.IntSlice("backends"), c.Int("seeds"), func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
+			rows, err := coldstart.Study(c.IntSlice("backends"), c.Int("seeds"), func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 			if err != nil {
 				return err
 			}
 			if c.Bool("json") {
 				return printJSON(rows)
 			}
-			rising.Print(os.Stdout, rows)
+			coldstart.Print(os.Stdout, rows)
 			return nil
 		},
 	}
--- a/cmd/milletbarrow/lab_speed.go
+++ b/cmd/milletbarrow/lab_speed.go
@@ -13,9 +13,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/lab"
-	"milletbarrow/model"
-	"milletbarrow/plots"
+	"milletbarrow/internal/experiment"
+	"milletbarrow/internal/plot"
+	"milletbarrow/internal/simulation"
 )
 
 // speed is one run's cost on this machine.
@@ -38,7 +38,7 @@
 			jsonFlag(), &cli.StringFlag{Name: "sizes", Value: "10,33,100,330"}, &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			x, err := lab.Read(c.Args().First())
+			x, err := experiment.Read(c.Args().First())
 			if err == nil {
 				err = x.Sweep("size=" + c.String("sizes"))
 			}
@@ -56,12 +56,12 @@
 			}
 			runtime.GOMAXPROCS(1)
 			var all []speed
-			curves := map[string]*lab.Curve{}
+			curves := map[string]*experiment.Curve{}
 			var order []string
 			for i := range cells {
 				cell := &cells[i]
 				began := time.Now()
-				r, err := model.Play(&cell.Scenario, cell.Policy, cell.Seed, nil)
+				r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, nil)
 				if err != nil {
 					return unusable(err)
 				}
@@ -75,29 +75,29 @@
 				all = append(all, s)
 				cv := curves[s.Policy]
 				if cv == nil {
-					cv = &lab.Curve{Policy: s.Policy}
+					cv = &experiment.Curve{Policy: s.Policy}
 					curves[s.Policy] = cv
 					order = append(order, s.Policy)
 				}
-				cv.X, cv.Y = append(cv.X, float64(s.Hosts)), append(cv.Y, lab.Bootstrap([]float64{s.Seconds}))
+				cv.X, cv.Y = append(cv.X, float64(s.Hosts)), append(cv.Y, experiment.Bootstrap([]float64{s.Seconds}))
 				fmt.Fprintf(os.Stderr, "%d of %d: %s, %d hosts, %.2f s\n", i+1, len(cells), s.Policy, s.Hosts, s.Seconds)
 			}
 			if to := c.String("plot"); to != "" {
-				var drawn []lab.Curve
+				var drawn []experiment.Curve
 				for _, name := range order {
 					drawn = append(drawn, *curves[name])
 				}
-				guide := lab.Curve{Policy: "n log n", X: drawn[0].X}
+				guide := experiment.Curve{Policy: "n log n", X: drawn[0].X}
 				first := drawn[0].Y[0].Mean / (guide.X[0] * math.Log(guide.X[0]+1))
 				for _, n := range guide.X {
-					guide.Y = append(guide.Y, lab.Bootstrap([]float64{first * n * math.Log(n+1)}))
+					guide.Y = append(guide.Y, experiment.Bootstrap([]float64{first * n * math.Log(n+1)}))
 				}
 				f, err := os.Create(to)
 				if err != nil {
 					return unusable(err)
 				}
 				defer f.Close()
-				if err := plots.Curves(f, "seconds on one core of this machine, "+x.Scenarios[0].Name, "hosts", "seconds", append(drawn, guide), format); err != nil {
+				if err := plot.Curves(f, "seconds on one core of this machine, "+x.Scenarios[0].Name, "hosts", "seconds", append(drawn, guide), format); err != nil {
 					return err
 				}
 			}
--- a/cmd/milletbarrow/lab_test.go
+++ b/cmd/milletbarrow/lab_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"milletbarrow/load"
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/loadgen"
 )
 
 // TestDemo: from nothing to a drawn day, with a burst and a release in it, and nothing is left behind.
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	var r load.Report
+	var r loadgen.Report
 	if err := json.Unmarshal(out, &r); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 
 // TestLab: an experiment is run, run again, compared, drawn and replayed by the command line.
 func TestLab(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "x.sx")
 	text := `(scenario day (for 2s) (hosts (count 3)) (nodes (count 2)) (load (at 1.3)))
--- a/cmd/milletbarrow/lab_twin.go
+++ b/cmd/milletbarrow/lab_twin.go
@@ -9,8 +9,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/lab"
-	"milletbarrow/model"
+	"milletbarrow/internal/experiment"
+	"milletbarrow/internal/simulation"
 )
 
 // twin is one day, modelled and on sockets.
@@ -35,11 +35,11 @@
 			"throttled share, or 20% of p99. Nothing else should run beside it.\nExample:\n   milletbarrow lab twin docs/studies/twins.sx",
 		Flags: []cli.Flag{jsonFlag(), &cli.BoolFlag{Name: "quiet"}, &cli.StringFlag{Name: "scenario"}, &cli.Uint64Flag{Name: "seed", Value: 1}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			x, err := lab.Read(c.Args().First())
+			x, err := experiment.Read(c.Args().First())
 			if err != nil {
 				return unusable(err)
 			}
-			p, err := model.PolicyNamed(model.Module)
+			p, err := simulation.PolicyNamed(simulation.Module)
 			if err != nil {
 				return err
 			}
@@ -49,7 +49,7 @@
 				if name := c.String("scenario"); name != "" && name != s.Name {
 					continue
 				}
-				m, err := model.Play(s, p, c.Uint64("seed"), nil)
+				m, err := simulation.Play(s, p, c.Uint64("seed"), nil)
 				if err != nil {
 					return unusable(err)
 				}
@@ -61,7 +61,7 @@
 					return cli.Exit(fmt.Sprintf("%s: %d answers or runs came twice", s.Name, n), exitSome)
 				}
 				w := twin{Scenario: s.Name}
-				for n, r := range []*model.Result{m, r.Result} {
+				for n, r := range []*simulation.Result{m, r.Result} {
 					w.Value[n] = r.Value()
 					w.Throttled[n], w.P99[n] = throttledAndP99(r)
 				}
@@ -93,12 +93,12 @@
 	}
 }
 
-func throttledAndP99(r *model.Result) (share, p99 float64) {
+func throttledAndP99(r *simulation.Result) (share, p99 float64) {
 	asks, weight := 0, 0.0
 	for i := range r.Operations {
 		p := &r.Operations[i]
 		asks += p.Asks
-		share += float64(p.Ends[model.Throttled])
+		share += float64(p.Ends[simulation.Throttled])
 		if h, err := p.Histogram(); err == nil && h != nil {
 			p99 += float64(h.ValueAtQuantile(99)) * float64(h.TotalCount())
 			weight += float64(h.TotalCount())
--- a/cmd/milletbarrow/levels.go
+++ b/cmd/milletbarrow/levels.go
@@ -11,11 +11,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/inspect"
-	"milletbarrow/levels"
-	"milletbarrow/limit"
-	"milletbarrow/plots"
-	"milletbarrow/terms"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/plot"
 )
 
 func levelsCommand() *cli.Command {
@@ -25,12 +25,12 @@
 	}
 }
 
-func readLadder(file string) (*levels.Ladder, error) {
+func readLadder(file string) (*degradation.Ladder, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, unusable(err)
 	}
-	l, err := levels.ReadLadder(file, raw)
+	l, err := degradation.ReadLadder(file, raw)
 	return l, unusable(err)
 }
 
@@ -45,9 +45,9 @@
 				return err
 			}
 			if file := c.String("config"); file != "" {
-				b, err := terms.Read(file)
+				b, err := config.Read(file)
 				if err == nil {
-					_, err = levels.NewDrawer(l, b.Sheet.Operations, b.Sheet.Tenants, 1)
+					_, err = degradation.NewDrawer(l, b.Sheet.Operations, b.Sheet.Tenants, 1)
 				}
 				if err != nil {
 					return unusable(err)
@@ -78,21 +78,21 @@
 				return unusable(err)
 			}
 			defer in.Close()
-			trace, err := levels.ReadTrace(c.Args().Get(1), in)
+			trace, err := degradation.ReadTrace(c.Args().Get(1), in)
 			if err == nil && len(trace) == 0 {
 				err = fmt.Errorf("%s: no reading", c.Args().Get(1))
 			}
 			if err != nil {
 				return unusable(err)
 			}
-			points, changes := levels.Replay(l, trace)
+			points, changes := degradation.Replay(l, trace)
 			if file := c.String("plot"); file != "" {
 				format := strings.TrimPrefix(filepath.Ext(file), ".")
 				if format != "svg" && format != "png" {
 					return unusable(fmt.Errorf("plot: %q ends neither in .svg nor in .png", file))
 				}
 				var b bytes.Buffer // so that a plot that fails leaves no half a file
-				if err := plots.Levels(&b, l, points, format); err != nil {
+				if err := plot.Levels(&b, l, points, format); err != nil {
 					return err
 				}
 				if err := os.WriteFile(file, b.Bytes(), 0o644); err != nil {
@@ -101,11 +101,11 @@
 			}
 			if c.Bool("json") {
 				type change struct {
-					At       levels.Micros `json:"at_us"`
-					From     string        `json:"from"`
-					To       string        `json:"to"`
-					Collapse bool          `json:"collapse"`
-					Cause    string        `json:"cause"`
+					At       degradation.Micros `json:"at_us"`
+					From     string             `json:"from"`
+					To       string             `json:"to"`
+					Collapse bool               `json:"collapse"`
+					Cause    string             `json:"cause"`
 				}
 				all := []change{}
 				for _, ch := range changes {
@@ -132,7 +132,7 @@
 			&cli.DurationFlag{Name: "every", Usage: "between two readings", Value: 100 * time.Millisecond},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			p := inspect.NewPeer(c.String("socket"), limit.ForControl())
+			p := admin.NewPeer(c.String("socket"), limits.ForControl())
 			defer p.Close()
 			every := c.Duration("every")
 			if every < time.Millisecond {
@@ -140,7 +140,7 @@
 			}
 			last := int64(0)
 			for end := time.Now().Add(c.Duration("for")); time.Now().Before(end); time.Sleep(every) {
-				ask, cancel := context.WithTimeout(ctx, limit.ForControl().Call)
+				ask, cancel := context.WithTimeout(ctx, limits.ForControl().Call)
 				s, err := p.State(ask)
 				cancel()
 				if err != nil {
@@ -175,11 +175,11 @@
 			if name := c.Args().First(); (name == "") != c.Bool("release") {
 				return unusable(fmt.Errorf("wanted a level, or --release"))
 			}
-			p := inspect.NewPeer(c.String("socket"), limit.ForControl())
+			p := admin.NewPeer(c.String("socket"), limits.ForControl())
 			defer p.Close()
-			ctx, cancel := context.WithTimeout(ctx, limit.ForControl().Call)
+			ctx, cancel := context.WithTimeout(ctx, limits.ForControl().Call)
 			defer cancel()
-			return p.Pin(ctx, inspect.Pin{
+			return p.Pin(ctx, admin.Pin{
 				Level: c.Args().First(), For: c.Duration("for").Microseconds(), By: "command line", Above: c.Bool("above"),
 			})
 		},
--- a/cmd/milletbarrow/levels_bench_test.go
+++ b/cmd/milletbarrow/levels_bench_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
 )
 
 // Levels on sockets, outside CI:
@@ -24,7 +24,7 @@
  {"name":"lookup","aim_ms":1000,"deadline_ms":3000,"repeat":"idempotent","late_value":0.1},
  {"name":"pay-post","aim_ms":1000,"deadline_ms":3000,"repeat":"at_most_once"}],`
 
-var lookClasses = standin.Settings[strings.Index(standin.Settings, `"classes"`):strings.Index(standin.Settings, `"projects"`)]
+var lookClasses = fakes.Settings[strings.Index(fakes.Settings, `"classes"`):strings.Index(fakes.Settings, `"projects"`)]
 
 var billValue = map[string]float64{"reprint": 1, "lookup": 3, "pay-post": 10}
 
@@ -51,8 +51,8 @@
 	ranked       bool // ranks follow value; else all are alike
 }
 
-func (w billed) mix() []standin.Part {
-	mix := []standin.Part{{Class: "reprint", Share: 0.35, Rank: 0.1}, {Class: "lookup", Share: 0.4, Rank: 0.4}, {Class: "pay-post", Share: 0.25, Rank: 0.9}}
+func (w billed) mix() []fakes.Part {
+	mix := []fakes.Part{{Class: "reprint", Share: 0.35, Rank: 0.1}, {Class: "lookup", Share: 0.4, Rank: 0.4}, {Class: "pay-post", Share: 0.25, Rank: 0.9}}
 	if !w.ranked {
 		for i := range mix {
 			mix[i].Rank = 0.5
@@ -62,9 +62,9 @@
 }
 
 // serveBills starts a backend with its crew.
-func (w billed) serve(t *testing.T) (*backend, *standin.Crew) {
+func (w billed) serve(t *testing.T) (*backend, *fakes.Crew) {
 	b := prepare(t, lookClasses, billClasses)
-	crew := standin.NewCrew(t, 20*time.Millisecond, 2)
+	crew := fakes.NewCrew(t, 20*time.Millisecond, 2)
 	raw, err := os.ReadFile(b.config)
 	if err == nil {
 		err = os.WriteFile(b.config, []byte(strings.Replace(string(raw), b.farm.Address, crew.Address, 1)), 0o600)
@@ -109,14 +109,14 @@
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
 			var backends []*backend
-			var crews []*standin.Crew
-			var loads []*standin.Load
+			var crews []*fakes.Crew
+			var loads []*fakes.Load
 			for range 8 {
 				b, c := w.serve(t)
 				backends, crews = append(backends, b), append(crews, c)
 			}
 			for i, b := range backends {
-				loads = append(loads, standin.Mixed(b.address, i+1, 10*time.Millisecond, 3*time.Second, w.mix()))
+				loads = append(loads, fakes.Mixed(b.address, i+1, 10*time.Millisecond, 3*time.Second, w.mix()))
 			}
 			time.Sleep(calm)
 			slowed := time.Now()
@@ -180,7 +180,7 @@
 		t.Run(fmt.Sprint(boundary), func(t *testing.T) {
 			t.Parallel()
 			b, crew := billed{ladder: swingLadder}.serve(t)
-			l := standin.Mixed(b.address, int(boundary*10), 25*time.Millisecond, 3*time.Second, billed{ranked: true}.mix())
+			l := fakes.Mixed(b.address, int(boundary*10), 25*time.Millisecond, 3*time.Second, billed{ranked: true}.mix())
 			// The farm's queue is what is swung: the load itself is light, so that only the levels are at work.
 			r := rand.New(rand.NewPCG(uint64(boundary*10), 0))
 			began := time.Now()
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -13,11 +13,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/lab"
-	"milletbarrow/limit"
-	"milletbarrow/load"
-	"milletbarrow/model"
-	"milletbarrow/yard"
+	"milletbarrow/internal/experiment"
+	"milletbarrow/internal/fakes/timedexecutor"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/loadgen"
+	"milletbarrow/internal/simulation"
 )
 
 func loadCommand() *cli.Command {
@@ -37,11 +37,11 @@
 			}
 			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			o := load.Options{Scenario: s, Seed: c.Uint64("seed"), Backends: c.StringSlice("to"), Bounds: limit.ForLoad()}
+			o := loadgen.Options{Scenario: s, Seed: c.Uint64("seed"), Backends: c.StringSlice("to"), Bounds: limits.ForLoad()}
 			if !c.Bool("quiet") {
-				o.Told = func(p load.Snapshot) { fmt.Fprintln(os.Stderr, loadLine(p)) }
+				o.Told = func(p loadgen.Snapshot) { fmt.Fprintln(os.Stderr, loadLine(p)) }
 			}
-			r, err := load.Run(ctx, o)
+			r, err := loadgen.Run(ctx, o)
 			if r == nil {
 				return unusable(err)
 			}
@@ -66,11 +66,11 @@
 }
 
 // scenarioOf finds a scenario in an experiment's file.
-func scenarioOf(file, name string) (*model.Scenario, error) {
+func scenarioOf(file, name string) (*simulation.Scenario, error) {
 	if file == "" {
 		return nil, unusable(errors.New("no file is named"))
 	}
-	x, err := lab.Read(file)
+	x, err := experiment.Read(file)
 	if err != nil {
 		return nil, unusable(err)
 	}
@@ -82,14 +82,14 @@
 	return nil, unusable(fmt.Errorf("scenario %q is none of %s", name, file))
 }
 
-func loadLine(p load.Snapshot) string {
+func loadLine(p loadgen.Snapshot) string {
 	return fmt.Sprintf("%4v  %7.0f/s  %6d open  last second billed %5.1f%%  throttled %5d  so far %5.1f%%", p.At, p.PerSecond, p.Open,
 		100*p.Last.Billed/max(p.Last.Offered, 1e-9), p.Last.Throttled, 100*p.Value)
 }
 
-func printLoad(r *load.Report) {
+func printLoad(r *loadgen.Report) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "operation\tasks\tbilled\tin time\tp50 ms\tp99 ms\t%s\n", strings.Join(model.Outcomes(), "\t"))
+	fmt.Fprintf(w, "operation\tasks\tbilled\tin time\tp50 ms\tp99 ms\t%s\n", strings.Join(simulation.Outcomes(), "\t"))
 	for i := range r.Operations {
 		p := &r.Operations[i]
 		p50, p99 := 0.0, 0.0
@@ -121,7 +121,7 @@
 				if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("cold-share") <= 0 {
 					return unusable(errors.New("cores and crowd are at least 1, cold-share above 0"))
 				}
-				y, err := yard.Start(c.String("listen"), yard.Terms{
+				y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Terms{
 					Cores: c.Int("cores"), Crowd: c.Float("crowd"), Takes: c.Duration("takes"), Cold: c.Duration("cold"), Share: c.Float("cold-share"), Most: 10_000,
 				})
 				if err != nil {
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -11,9 +11,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/limit"
-	"milletbarrow/logline"
-	"milletbarrow/terms"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/logging"
 )
 
 // Exit codes; docs/fleet.md explains them. Code 1 is any error that has no code of its own.
@@ -62,28 +62,28 @@
 }
 
 func logFlag() cli.Flag {
-	return &cli.StringFlag{Name: "log", Usage: "write log lines as `text` or json", Value: string(logline.Text)}
+	return &cli.StringFlag{Name: "log", Usage: "write log lines as `text` or json", Value: string(logging.Text)}
 }
 
 // startLog begins the log as the flag has it; end writes what waits.
 func startLog(c *cli.Command) (end func(), err error) {
-	format, err := logline.ParseFormat(c.String("log"))
+	format, err := logging.ParseFormat(c.String("log"))
 	if err != nil {
 		return nil, unusable(err)
 	}
-	return logline.Start(os.Stderr, format), nil
+	return logging.Start(os.Stderr, format), nil
 }
 
-func configuration(c *cli.Command) (*terms.Backend, error) {
+func configuration(c *cli.Command) (*config.Backend, error) {
 	file := c.String("config")
 	if file == "" {
 		return nil, errors.New("config: no file is named, by GW_CONFIG or --config")
 	}
-	return terms.Read(file)
+	return config.Read(file)
 }
 
-func bounds(b *terms.Backend) limit.Bounds {
-	return limit.For(b.Limits.Cores, b.Limits.MemoryMB, b.Limits.Sockets)
+func bounds(b *config.Backend) limits.Bounds {
+	return limits.For(b.Limits.Cores, b.Limits.MemoryMB, b.Limits.Sockets)
 }
 
 func version() string {
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"milletbarrow/inspect"
-	"milletbarrow/limit"
-	"milletbarrow/standin"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 var program string
@@ -69,7 +69,7 @@
 // backend is a started program with what is around it.
 type backend struct {
 	t       testing.TB
-	farm    *standin.Farm
+	farm    *fakes.Farm
 	reports chan string
 	address string
 	config  string
@@ -96,10 +96,10 @@
 }
 
 // config is a whole configuration; edit replaces text in it.
-func config(t testing.TB, listen, agent, roster string, edit ...string) string {
+func configFile(t testing.TB, listen, agent, roster string, edit ...string) string {
 	text := strings.NewReplacer(edit...).Replace(fmt.Sprintf(`{"name":"n3","listen":"%s","agent":"%s","roster":"%s",
 		"seed":"8c1f30d27a5be964","stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"more":{},
-		"settings":%s}`, listen, agent, roster, standin.Settings))
+		"settings":%s}`, listen, agent, roster, fakes.Settings))
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -113,10 +113,10 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	b := &backend{t: t, farm: standin.NewFarm(t), address: l.Addr().String()}
+	b := &backend{t: t, farm: fakes.NewFarm(t), address: l.Addr().String()}
 	var roster string
-	roster, b.reports = standin.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	b.config = config(t, b.address, b.farm.Address, roster, edit...)
+	roster, b.reports = fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	b.config = configFile(t, b.address, b.farm.Address, roster, edit...)
 	return b
 }
 
@@ -135,13 +135,13 @@
 
 // ready waits until a health check is answered with good.
 func (b *backend) ready() *backend {
-	standin.Until(b.t, "it is healthy", func() bool {
+	fakes.Until(b.t, "it is healthy", func() bool {
 		c, err := net.Dial("tcp", b.address)
 		if err != nil {
 			return false
 		}
 		defer c.Close()
-		f, err := standin.NewNode(b.t, c).Ask(standin.Raw(20, 1, "\x00"))
+		f, err := fakes.NewNode(b.t, c).Ask(fakes.Raw(20, 1, "\x00"))
 		return err == nil && f.Code == 1
 	})
 	return b
@@ -153,28 +153,28 @@
 }
 
 // exit waits for the program to end by itself. On a busy machine that may be seen some time after the stop.
-func (b *backend) exit(tr *standin.Trace, since time.Time) {
-	tr.Say("exit: %v, in time %t", standin.Take(b.t, "the exit", b.ended), time.Since(since) < 2500*time.Millisecond)
+func (b *backend) exit(tr *fakes.Trace, since time.Time) {
+	tr.Say("exit: %v, in time %t", fakes.Take(b.t, "the exit", b.ended), time.Since(since) < 2500*time.Millisecond)
 }
 
 func TestServeAndDrain(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	b := prepare(t).start().ready()
-	tr.Say("roster: %s", standin.Take(t, "a report", b.reports))
-	n := standin.Dial(t, b.address)
-	n.Send(standin.Invocation(1, 1), standin.Invocation(2, 2))
-	one, two := standin.Take(t, "a launch", b.farm.Launches), standin.Take(t, "a launch", b.farm.Launches)
+	tr.Say("roster: %s", fakes.Take(t, "a report", b.reports))
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Invocation(1, 1), fakes.Invocation(2, 2))
+	one, two := fakes.Take(t, "a launch", b.farm.Launches), fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.End(one.ID, "complete", "the result")
 	tr.Say("%+v: %v", one, n.Expect())
 	since := b.term()
 	b.term()
-	standin.Until(t, "the notice is heard", b.said("event=drain"))
-	n.Send(standin.Invocation(3, 3))
-	grace := standin.Take(t, "a launch within the grace", b.farm.Launches)
+	fakes.Until(t, "the notice is heard", b.said("event=drain"))
+	n.Send(fakes.Invocation(3, 3))
+	grace := fakes.Take(t, "a launch within the grace", b.farm.Launches)
 	b.farm.End(grace.ID, "complete", "within the grace")
 	tr.Say("%v", n.Expect())
 	tr.Say("once the grace is over: %v", n.Expect())
-	n.Send(standin.Invocation(4, 4))
+	n.Send(fakes.Invocation(4, 4))
 	tr.Say("after it: %v", n.Expect())
 	b.farm.End(two.ID, "complete", "it had time")
 	tr.Say("%v", n.Expect())
@@ -189,25 +189,25 @@
 
 // TestDrainOfWhatNeverEnds: all is answered before the stop, though the farm is full, silent or gone.
 func TestDrainOfWhatNeverEnds(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, farm := range []string{"silent", "full", "gone"} {
 		b := prepare(t).start().ready()
-		n := standin.Dial(t, b.address)
-		n.Send(standin.Invocation(1, 1))
-		standin.Take(t, "a launch", b.farm.Launches)
+		n := fakes.Dial(t, b.address)
+		n.Send(fakes.Invocation(1, 1))
+		fakes.Take(t, "a launch", b.farm.Launches)
 		if farm == "full" { // so that the others wait in line
 			asked := b.farm.Samples()
 			b.farm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" })
-			standin.Until(t, "full cores are seen", func() bool { return b.farm.Samples() >= asked+3 })
+			fakes.Until(t, "full cores are seen", func() bool { return b.farm.Samples() >= asked+3 })
 		}
-		n.Send(standin.Invocation(2, 2), standin.Invocation(3, 3))
+		n.Send(fakes.Invocation(2, 2), fakes.Invocation(3, 3))
 		if farm != "full" {
-			standin.Take(t, "a launch", b.farm.Launches)
+			fakes.Take(t, "a launch", b.farm.Launches)
 		}
 		if farm == "gone" {
 			b.farm.With(func(state, _ *string) { *state = "" })
 			b.farm.Cut()
-			standin.Until(t, "the link is lost", b.said("event=farm_lost"))
+			fakes.Until(t, "the link is lost", b.said("event=farm_lost"))
 		}
 		since := b.term()
 		var codes []byte
@@ -223,23 +223,23 @@
 
 // TestBeforeTheFarm: nothing is good before the first greeting, and leaving then is quick.
 func TestBeforeTheFarm(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	b := prepare(t)
 	b.farm.With(func(state, _ *string) { *state = "" })
 	b.start()
-	standin.Take(t, "a link", b.farm.Subscribes)
-	n := standin.Dial(t, b.address)
-	n.Send(standin.Raw(20, 1, "\x00"), standin.Invocation(2, 2))
+	fakes.Take(t, "a link", b.farm.Subscribes)
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Raw(20, 1, "\x00"), fakes.Invocation(2, 2))
 	tr.Say("%v, %v", n.Expect(), n.Expect())
 	b.farm.With(func(state, _ *string) { *state = "chilly 5" })
 	b.ready()
-	n.Send(standin.Invocation(3, 3))
-	standin.Take(t, "a launch", b.farm.Launches)
+	n.Send(fakes.Invocation(3, 3))
+	fakes.Take(t, "a launch", b.farm.Launches)
 
 	b = prepare(t)
 	b.farm.With(func(state, _ *string) { *state = "" })
 	b.start()
-	standin.Take(t, "a link", b.farm.Subscribes)
+	fakes.Take(t, "a link", b.farm.Subscribes)
 	b.exit(tr, b.term())
 }
 
@@ -254,11 +254,11 @@
 // TestReload: the new file's addresses are used from the notice on; runs, notice numbers and connections go on,
 // also in quick succession, while the link is broken, while draining, and with a farm that is not there yet.
 func TestReload(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	b := prepare(t)
 	b.farm.With(func(state, _ *string) { *state = "" })
 	b.start()
-	tr.Say("subscribe %d", standin.Take(t, "a link", b.farm.Subscribes))
+	tr.Say("subscribe %d", fakes.Take(t, "a link", b.farm.Subscribes))
 	raw, err := os.ReadFile(b.config)
 	if err != nil {
 		t.Fatal(err)
@@ -269,12 +269,12 @@
 		cut = b.farm.Move()
 		meanwhile()
 		var roster string
-		roster, b.reports = standin.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+		roster, b.reports = fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 		now = regexp.MustCompile(`"roster":"[^"]*"`).ReplaceAllString(strings.Replace(now, before, b.farm.Address, 1), `"roster":"`+roster+`"`)
 		b.configure(now)
-		tr.Say("%s: subscribe %d", what, standin.Take(t, "a new link", b.farm.Subscribes))
+		tr.Say("%s: subscribe %d", what, fakes.Take(t, "a new link", b.farm.Subscribes))
 		if !b.said("event=drain")() {
-			tr.Say("  %s", standin.Take(t, "a report to the new roster", b.reports))
+			tr.Say("  %s", fakes.Take(t, "a report to the new roster", b.reports))
 		}
 		for len(reports) > 0 {
 			<-reports
@@ -284,25 +284,25 @@
 	move("before the first greeting", func() {})
 	b.farm.With(func(state, _ *string) { *state = "hot 1" })
 	b.ready()
-	n := standin.Dial(t, b.address)
-	n.Send(standin.Invocation(1, 1))
-	one := standin.Take(t, "a launch", b.farm.Launches)
-	n.Send(standin.Invocation(2, 2))
-	two := standin.Take(t, "a launch", b.farm.Launches)
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Invocation(1, 1))
+	one := fakes.Take(t, "a launch", b.farm.Launches)
+	n.Send(fakes.Invocation(2, 2))
+	two := fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.End(one.ID, "complete", "before")
 	tr.Say("%v", n.Expect())
 	cut := move("with a run in hand", func() {})
 	b.farm.End(two.ID, "complete", "after")
 	tr.Say("%v", n.Expect())
 	cut()
-	n.Send(standin.Invocation(3, 3))
-	three := standin.Take(t, "a launch", b.farm.Launches)
+	n.Send(fakes.Invocation(3, 3))
+	three := fakes.Take(t, "a launch", b.farm.Launches)
 	tr.Say("good all along: %t", !b.said("event=farm_lost")())
 
 	b.configure(now + "}")
-	standin.Until(t, "the bad file is told of", b.said("event=reload used=false"))
+	fakes.Until(t, "the bad file is told of", b.said("event=reload used=false"))
 	b.configure(strings.Replace(now, `"stop_ms":1500`, `"stop_ms":900`, 1))
-	standin.Until(t, "the field is named", b.said(`left_as_they_are=stop_ms`))
+	fakes.Until(t, "the field is named", b.said(`left_as_they_are=stop_ms`))
 	for range 5 {
 		b.cmd.Process.Signal(syscall.SIGHUP)
 	}
@@ -313,18 +313,18 @@
 	tr.Say("%v", n.Expect())
 
 	asked := b.farm.Samples() // the second is asked for once the link is level
-	standin.Until(t, "the link is level", func() bool { return b.farm.Samples() >= asked+2 })
+	fakes.Until(t, "the link is level", func() bool { return b.farm.Samples() >= asked+2 })
 	b.farm.With(func(state, _ *string) { *state = "" })
-	n.Send(standin.Invocation(4, 4))
-	four := standin.Take(t, "a launch", b.farm.Launches)
+	n.Send(fakes.Invocation(4, 4))
+	four := fakes.Take(t, "a launch", b.farm.Launches)
 	move("to a farm that is not there yet", func() {})
-	n.Send(standin.Invocation(5, 5))
+	n.Send(fakes.Invocation(5, 5))
 	b.farm.With(func(state, _ *string) { *state = "hot 1" })
-	five := standin.Take(t, "the launch that waited for the link", b.farm.Launches)
+	five := fakes.Take(t, "the launch that waited for the link", b.farm.Launches)
 	since := b.term()
-	standin.Until(t, "the notice is heard", b.said("event=drain"))
+	fakes.Until(t, "the notice is heard", b.said("event=drain"))
 	move("while draining", func() {})
-	for _, l := range []standin.Launch{four, five} {
+	for _, l := range []fakes.Launch{four, five} {
 		b.farm.End(l.ID, "complete", "moved")
 		tr.Say("%v", n.Expect())
 	}
@@ -335,37 +335,37 @@
 
 // TestStartAgain: killed outright, it comes up at once under its name and address.
 func TestStartAgain(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	b := prepare(t)
 	taken, err := net.Listen("tcp", b.address) // by the one before, for a little longer
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.start()
-	standin.Until(t, "it finds the address taken", b.said("event=listen_taken"))
+	fakes.Until(t, "it finds the address taken", b.said("event=listen_taken"))
 	taken.Close()
 	b.ready()
-	n := standin.Dial(t, b.address)
-	n.Send(standin.Invocation(1, 1))
-	standin.Take(t, "a launch", b.farm.Launches)
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Invocation(1, 1))
+	fakes.Take(t, "a launch", b.farm.Launches)
 	b.cmd.Process.Kill()
-	standin.Take(t, "the end", b.ended)
+	fakes.Take(t, "the end", b.ended)
 	b.start().ready()
-	n = standin.Dial(t, b.address)
-	n.Send(standin.Invocation(1, 2))
-	l := standin.Take(t, "a launch", b.farm.Launches)
+	n = fakes.Dial(t, b.address)
+	n.Send(fakes.Invocation(1, 2))
+	l := fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.End(l.ID, "complete", "again")
 	tr.Say("%v", n.Expect())
 }
 
 // TestHeldUp: due times are kept by a process that was stopped for a while, once it goes on.
 func TestHeldUp(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	b := prepare(t).start().ready()
-	n := standin.Dial(t, b.address)
+	n := fakes.Dial(t, b.address)
 	began := time.Now()
-	n.Send(standin.Invocation(1, 1, "wait=250"))
-	standin.Take(t, "a launch", b.farm.Launches)
+	n.Send(fakes.Invocation(1, 1, "wait=250"))
+	fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.With(func(_, gauges *string) { *gauges = "" }) // and the farm is silent
 	b.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(120 * time.Millisecond) // it has to last, there is no condition to wait for
@@ -379,17 +379,17 @@
 // TestDescriptorsAtTheLimit: with none left what is open goes on, accepting does not spin, and there is room
 // again once some have gone.
 func TestDescriptorsAtTheLimit(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	b := prepare(t, `"sockets":1024`, `"sockets":64`).start().ready()
-	n := standin.Dial(t, b.address)
-	n.Send(standin.Raw(20, 1, "\x00"))
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Raw(20, 1, "\x00"))
 	n.Expect()
-	var all []*standin.Node
+	var all []*fakes.Node
 	for range 100 {
-		all = append(all, standin.Dial(t, b.address))
+		all = append(all, fakes.Dial(t, b.address))
 	}
-	n.Send(standin.Invocation(2, 2))
-	l := standin.Take(t, "a launch", b.farm.Launches)
+	n.Send(fakes.Invocation(2, 2))
+	l := fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.End(l.ID, "complete", "still here")
 	tr.Say("%v", n.Expect())
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", b.cmd.Process.Pid))
@@ -398,7 +398,7 @@
 		o.Close()
 	}
 	b.ready()
-	standin.Until(t, "descriptors are given back", func() bool {
+	fakes.Until(t, "descriptors are given back", func() bool {
 		fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", b.cmd.Process.Pid))
 		return len(fds) < 24
 	})
@@ -407,22 +407,22 @@
 // TestPressure: as many invocations as the process holds, with the largest bodies and results, and callers that
 // read nothing until the end. What it cannot hold is throttled, nothing is dropped, and nothing is left over.
 func TestPressure(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	b := prepare(t, `"n_cores":2`, `"n_cores":5000`, `"mem_limit_kb":90000`, `"mem_limit_kb":90000000`).start().ready()
 	b.farm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
-	var nodes []*standin.Node
+	var nodes []*fakes.Node
 	send := func(from, to int) {
 		for k := from; k < to; k++ {
-			n := standin.Dial(t, b.address)
+			n := fakes.Dial(t, b.address)
 			nodes = append(nodes, n)
 			for stream := range 32 {
 				number := k*32 + stream
-				n.Send(standin.Raw(10, uint32(stream+1), standin.Fields(standin.Usual(number, "wait=60000")...)+strings.Repeat("b", 2048)))
+				n.Send(fakes.Raw(10, uint32(stream+1), fakes.Fields(fakes.Usual(number, "wait=60000")...)+strings.Repeat("b", 2048)))
 			}
 		}
 	}
 	codes := map[byte]int{}
-	answers := func(nodes []*standin.Node) {
+	answers := func(nodes []*fakes.Node) {
 		for _, n := range nodes {
 			for range 32 {
 				codes[n.Expect().Code]++
@@ -433,7 +433,7 @@
 	const full = 3072 / 32
 	send(0, full)
 	for range 3072 {
-		standin.Take(t, "a launch", b.farm.Launches)
+		fakes.Take(t, "a launch", b.farm.Launches)
 	}
 	send(full, 110) // no place comes free before these are answered
 	answers(nodes[full:])
@@ -454,7 +454,7 @@
 }
 
 func TestCommands(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, edit := range []string{
 		"", `"n3"=>""`, `"8c1f30d27a5be964"=>7`, `8c1f30d27a5be964=>xyz`, `"listen":"127.0.0.1:1"=>"listen":"here"`,
 		`"agent":"127.0.0.1:2"=>"agent":"127.0.0.1"`, `"roster":"127.0.0.1:3"=>"roster":""`, `1500=>-1`, `"cores":1.0=>"cores":0`,
@@ -468,7 +468,7 @@
 		if from == "" {
 			from, to = "unchanged", "unchanged"
 		}
-		file := config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", from, to)
+		file := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", from, to)
 		out, err := exec.Command(program, "check", "--config", file).CombinedOutput()
 		tr.Say("check %s: %v, %s", edit, err, strings.TrimSpace(string(out)))
 		if err != nil { // serve says the same and opens nothing
@@ -490,7 +490,7 @@
 // TestLevels: a backend with a ladder: full cores bring the level, its operation is throttled on arrival while the
 // other is served, all of it is seen on the inspection socket, and a person can hold another level for a while.
 func TestLevels(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	dir, err := os.MkdirTemp("", "mb")
 	if err != nil {
 		t.Fatal(err)
@@ -507,9 +507,9 @@
 	b := prepare(t)
 	b.args = []string{"serve", "--levels", file, "--inspect", socket}
 	b.start().ready()
-	peer := inspect.NewPeer(socket, limit.ForControl())
+	peer := admin.NewPeer(socket, limits.ForControl())
 	defer peer.Close()
-	state := func() inspect.State {
+	state := func() admin.State {
 		s, err := peer.State(t.Context())
 		if err != nil {
 			t.Fatal(err)
@@ -518,36 +518,36 @@
 	}
 	tr.Say("%s %s", state().Ladder, state().Level)
 	b.farm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // a queue, though the cores are not busy: the gate is open
-	standin.Until(t, "the level is entered", func() bool { return state().Level == "no-look" })
+	fakes.Until(t, "the level is entered", func() bool { return state().Level == "no-look" })
 	tr.Say("logged: %t", b.said("event=level from=full to=no-look collapse=false cause=")())
 	b.farm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
-	n := standin.Dial(t, b.address)
-	n.Send(standin.Invocation(1, 1))
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Invocation(1, 1))
 	f := n.Expect()
 	tr.Say("look: %d, told when to come back %t", f.Code, strings.Contains(f.Fields, "after="))
-	n.Send(standin.Invocation(2, 2, "class=post"))
-	l := standin.Take(t, "a launch", b.farm.Launches)
+	n.Send(fakes.Invocation(2, 2, "class=post"))
+	l := fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.End(l.ID, "complete", "paid")
 	tr.Say("post: %v", n.Expect())
-	tr.Say("%v", peer.Pin(t.Context(), inspect.Pin{Level: "no-such", For: 1_000_000}))
-	tr.Say("%v", peer.Pin(t.Context(), inspect.Pin{Level: "full", For: 60_000_000, By: "test"}))
-	standin.Until(t, "it is held", func() bool { return state().Level == "full" })
-	n.Send(standin.Invocation(3, 3))
-	l = standin.Take(t, "a launch", b.farm.Launches)
+	tr.Say("%v", peer.Pin(t.Context(), admin.Pin{Level: "no-such", For: 1_000_000}))
+	tr.Say("%v", peer.Pin(t.Context(), admin.Pin{Level: "full", For: 60_000_000, By: "test"}))
+	fakes.Until(t, "it is held", func() bool { return state().Level == "full" })
+	n.Send(fakes.Invocation(3, 3))
+	l = fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.End(l.ID, "complete", "seen")
 	tr.Say("look: %v", n.Expect())
 	tr.Say("shed %d", state().Shed)
 	write("(ladder small")
 	b.cmd.Process.Signal(syscall.SIGHUP)
-	standin.Until(t, "the bad ladder is told of", b.said("event=reload_levels used=false"))
+	fakes.Until(t, "the bad ladder is told of", b.said("event=reload_levels used=false"))
 	write(strings.Replace(text, "small", "other", 1))
 	b.cmd.Process.Signal(syscall.SIGHUP)
-	standin.Until(t, "the new ladder is in force", func() bool { return state().Ladder == "other" })
+	fakes.Until(t, "the new ladder is in force", func() bool { return state().Ladder == "other" })
 }
 
 // TestLevelsCommands: what the sub-commands print and end with.
 func TestLevelsCommands(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		file := filepath.Join(dir, name)
@@ -567,7 +567,7 @@
 		fmt.Fprintf(&trace, "%d queue=%v\n", 1000+n*100_000, q)
 	}
 	signals, broken := write("signals.txt", trace.String()), write("broken.txt", "5 queue=1\n5 queue=1\n")
-	site := config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+	site := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	say := func(args ...string) {
 		out, err := exec.Command(program, append([]string{"levels"}, args...)...).CombinedOutput()
 		tr.Say("%s", strings.ReplaceAll(fmt.Sprintf("$ levels %s\n%s%v", strings.Join(args, " "), out, err), dir, "DIR"))
--- a/cmd/milletbarrow/moments_test.go
+++ b/cmd/milletbarrow/moments_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
 )
 
 // The rare moments of the built program: each of these tests makes one bad order happen every time.
@@ -22,22 +22,22 @@
 	b := prepare(t)
 	b.farm.With(func(state, _ *string) { *state = "" })
 	b.start()
-	standin.Take(t, "a link", b.farm.Subscribes)
-	n := standin.Dial(t, b.address)
-	n.Send(standin.Raw(20, 1, "\x00"))
+	fakes.Take(t, "a link", b.farm.Subscribes)
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Raw(20, 1, "\x00"))
 	n.Expect()
 	since := b.term()
 	if f := n.Expect(); f.Type != 30 || time.Since(since) < 250*time.Millisecond {
 		t.Fatalf("%v after %v: not the end of the grace", f, time.Since(since))
 	}
 	b.farm.With(func(state, _ *string) { *state = "hot 1" })
-	standin.Until(t, "the farm has greeted", b.said("event=farm_up"))
-	n.Send(standin.Invocation(3, 3))
+	fakes.Until(t, "the farm has greeted", b.said("event=farm_up"))
+	n.Send(fakes.Invocation(3, 3))
 	if f := n.Expect(); f.Type != 11 || f.Code != 2 || len(b.farm.Launches) > 0 {
 		t.Errorf("%v, launched %d", f, len(b.farm.Launches))
 	}
 	n.Close()
-	if err := standin.Take(t, "the exit", b.ended); err != nil {
+	if err := fakes.Take(t, "the exit", b.ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -51,9 +51,9 @@
 	}
 	defer taken.Close()
 	b.start()
-	standin.Until(t, "it finds the address taken", b.said("event=listen_taken"))
+	fakes.Until(t, "it finds the address taken", b.said("event=listen_taken"))
 	since := b.term()
-	if err := standin.Take(t, "the exit", b.ended); err != nil || time.Since(since) > 2*time.Second {
+	if err := fakes.Take(t, "the exit", b.ended); err != nil || time.Since(since) > 2*time.Second {
 		t.Errorf("%v after %v", err, time.Since(since))
 	}
 	if b.said("event=start")() || len(b.reports) > 0 {
@@ -75,29 +75,29 @@
 	b.farm.Move()
 	text := strings.Replace(string(raw), before, b.farm.Address, 1)
 	b.configure(text[:len(text)/2])
-	standin.Until(t, "half of it is read", b.said("event=reload used=false"))
+	fakes.Until(t, "half of it is read", b.said("event=reload used=false"))
 	if err := os.WriteFile(b.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	standin.Take(t, "a link to the new address", b.farm.Subscribes)
+	fakes.Take(t, "a link to the new address", b.farm.Subscribes)
 }
 
 // TestStoppedWithinAFrame: the process is stopped for longer than a frame may take, with half of one read. The rest comes
 // when it goes on, and is answered.
 func TestStoppedWithinAFrame(t *testing.T) {
 	b := prepare(t).start().ready()
-	n := standin.Dial(t, b.address)
-	whole := standin.Invocation(1, 1)
+	n := fakes.Dial(t, b.address)
+	whole := fakes.Invocation(1, 1)
 	n.Send(whole[:40])
-	other := standin.Dial(t, b.address)
-	other.Send(standin.Raw(20, 1, "\x00"))
+	other := fakes.Dial(t, b.address)
+	other.Send(fakes.Raw(20, 1, "\x00"))
 	other.Expect() // what was sent before it has been read
 	b.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(2500 * time.Millisecond) // it has to last
 	b.cmd.Process.Signal(syscall.SIGCONT)
 	time.Sleep(600 * time.Millisecond) // two looks at all connections, before the rest comes
 	n.Send(whole[40:])
-	l := standin.Take(t, "a launch", b.farm.Launches)
+	l := fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.End(l.ID, "complete", "r")
 	if f := n.Expect(); f.Code != 1 {
 		t.Error(f)
@@ -132,7 +132,7 @@
 				return
 			}
 			number++
-			io.WriteString(c, standin.Invocation(uint32(number), number, "wait=300"))
+			io.WriteString(c, fakes.Invocation(uint32(number), number, "wait=300"))
 			time.Sleep(time.Millisecond)
 		}
 	}()
@@ -155,10 +155,10 @@
 			close(noMore)
 		}
 	}
-	if n := standin.Take(t, "the last one sent", sent); err != io.EOF || answers != n {
+	if n := fakes.Take(t, "the last one sent", sent); err != io.EOF || answers != n {
 		t.Errorf("%d answers of %d, then %v", answers, n, err)
 	}
-	if err := standin.Take(t, "the exit", b.ended); err != nil {
+	if err := fakes.Take(t, "the exit", b.ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -168,23 +168,23 @@
 	b := prepare(t)
 	status := make(chan int, 1)
 	status <- http.StatusNoContent
-	roster, reports := standin.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) {
+	roster, reports := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) {
 		now := <-status
 		status <- now
 		w.WriteHeader(now)
 	})
-	b.config = config(t, b.address, b.farm.Address, roster)
+	b.config = configFile(t, b.address, b.farm.Address, roster)
 	b.start().ready()
-	standin.Take(t, "a report", reports)
-	n := standin.Dial(t, b.address) // so that it stays for the grace and longer
-	n.Send(standin.Raw(20, 1, "\x00"))
+	fakes.Take(t, "a report", reports)
+	n := fakes.Dial(t, b.address) // so that it stays for the grace and longer
+	n.Send(fakes.Raw(20, 1, "\x00"))
 	n.Expect()
 	<-status
 	status <- http.StatusServiceUnavailable
 	b.term()
 	off := func() {
 		for report := ""; !strings.Contains(report, "off"); {
-			report = standin.Take(t, "off", reports)
+			report = fakes.Take(t, "off", reports)
 		}
 	}
 	off()
@@ -193,7 +193,7 @@
 	status <- http.StatusNoContent
 	off()
 	n.Close()
-	standin.Take(t, "the exit", b.ended)
+	fakes.Take(t, "the exit", b.ended)
 	for len(reports) > 0 {
 		if report := <-reports; strings.Contains(report, "on") {
 			t.Error(fmt.Sprint("listed again: ", report))
@@ -206,19 +206,19 @@
 // errored, not throttled, and the process ends in order.
 func TestRepeatsDuringTheDrain(t *testing.T) {
 	b := prepare(t, `"at_most_once"`, `"deduplicated","window_ms":5000`, `"run_factor"`, `"key_kb":20,"run_factor"`).start().ready()
-	first, second := standin.Dial(t, b.address), standin.Dial(t, b.address)
-	second.Send(standin.Raw(20, 1, "\x00"))
+	first, second := fakes.Dial(t, b.address), fakes.Dial(t, b.address)
+	second.Send(fakes.Raw(20, 1, "\x00"))
 	second.Expect()
-	first.Send(standin.Try(1, 1, "x"))
-	l := standin.Take(t, "a launch", b.farm.Launches)
+	first.Send(fakes.Try(1, 1, "x"))
+	l := fakes.Take(t, "a launch", b.farm.Launches)
 	first.Conn.(*net.TCPConn).SetLinger(0)
 	first.Close()
 	b.term()
-	second.Send(standin.Try(2, 2, "x", "retry=1"))
+	second.Send(fakes.Try(2, 2, "x", "retry=1"))
 	if f := second.Expect(); f.Type != 30 {
 		t.Fatalf("%v: not the end of the grace", f)
 	}
-	second.Send(standin.Try(3, 3, "x", "retry=1"))
+	second.Send(fakes.Try(3, 3, "x", "retry=1"))
 	if f := second.Expect(); f.Stream != 3 || f.Code != 3 {
 		t.Errorf("after the grace: %v", f)
 	}
@@ -231,7 +231,7 @@
 		t.Errorf("launched again: %v", <-b.farm.Launches)
 	}
 	second.Close()
-	if err := standin.Take(t, "the exit", b.ended); err != nil {
+	if err := fakes.Take(t, "the exit", b.ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -17,16 +17,16 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/edge"
-	"milletbarrow/farm"
-	"milletbarrow/gate"
-	"milletbarrow/inspect"
-	"milletbarrow/levels"
-	"milletbarrow/limit"
-	"milletbarrow/odd"
-	"milletbarrow/proc"
-	"milletbarrow/roster"
-	"milletbarrow/terms"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/internal/backend/dispatch"
+	"milletbarrow/internal/backend/executor"
+	"milletbarrow/internal/backend/registration"
+	backendserver "milletbarrow/internal/backend/server"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
+	"milletbarrow/internal/ratelimitlog"
 )
 
 func serveCommand() *cli.Command {
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			var ladder *levels.Ladder
+			var ladder *degradation.Ladder
 			if file := c.String("levels"); file != "" {
 				if ladder, err = readLadder(file); err != nil {
 					return err
@@ -84,7 +84,7 @@
 
 // serve wires the parts together and waits for the notice to leave.
 func serve(
-	b *terms.Backend, ladder *levels.Ladder, sharing *gate.Sharing, file, socket, levelsFile string, reportsFixed bool,
+	b *config.Backend, ladder *degradation.Ladder, sharing *dispatch.Sharing, file, socket, levelsFile string, reportsFixed bool,
 	hangup, notice <-chan os.Signal,
 ) error {
 	lim := bounds(b)
@@ -92,7 +92,7 @@
 	debug.SetMemoryLimit(lim.Heap)
 	debug.SetGCPercent(lim.HeapGrowth)
 
-	g := gate.New(b.Sheet, uint64(b.Seed), lim)
+	g := dispatch.New(b.Sheet, uint64(b.Seed), lim)
 	if ladder != nil {
 		if err := g.Reduce(ladder); err != nil {
 			return unusable(err)
@@ -103,11 +103,11 @@
 			return unusable(err)
 		}
 	}
-	tally := odd.New(lim.Quiet)
+	tally := ratelimitlog.New(lim.Quiet)
 	g.Watch(b.Watch)
-	link := farm.New(b.Farm, lim, tally, g.Open)
-	server := edge.New(b.Sheet, lim, tally, g, link)
-	reports := roster.New(b.Roster, b.Name, lim, reportsFixed)
+	link := executor.New(b.Farm, lim, tally, g.Open)
+	server := backendserver.New(b.Sheet, lim, tally, g, link)
+	reports := registration.New(b.Roster, b.Name, lim, reportsFixed)
 	for tried, late := false, time.Now().Add(lim.Bind); ; {
 		select {
 		case <-notice: // nothing has been let in
@@ -142,13 +142,13 @@
 	}
 	broken := make(chan error, 1)
 	if socket != "" { // before the rest, so that the keeper sees the instance come up
-		began := proc.Now()
-		state := func() inspect.State { return stateOf(b, began, server, g, link, d) }
+		began := process.Now()
+		state := func() admin.State { return stateOf(b, began, server, g, link, d) }
 		go func() {
-			err := inspect.Serve(ctx, socket, limit.ForControl(), inspect.Instance{
+			err := admin.Serve(ctx, socket, limits.ForControl(), admin.Instance{
 				State: state,
 				Leave: func(ago time.Duration) { d.tell(g, ago, "inspection") },
-				Pin: func(p inspect.Pin) error {
+				Pin: func(p admin.Pin) error {
 					if p.Level == "" {
 						g.Unpin()
 						return nil
@@ -207,10 +207,10 @@
 }
 
 // tell takes a notice that was first given so long ago.
-func (d *departure) tell(g *gate.Gate, ago time.Duration, by string) {
+func (d *departure) tell(g *dispatch.Gate, ago time.Duration, by string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now, clock := time.Now(), proc.Now()
+	now, clock := time.Now(), process.Now()
 	stopAt, graceAt := now.Add(d.stop-ago), now.Add(d.grace-ago)
 	const noticeable = 5 * time.Millisecond
 	if d.heard && !stopAt.Before(d.stopAt.Add(-noticeable)) {
@@ -219,7 +219,7 @@
 	d.graceAt, d.stopAt = graceAt, stopAt
 	d.graceEnd, d.stopEnd = clock+(d.grace-ago).Microseconds(), clock+(d.stop-ago).Microseconds()
 	slog.Info("drain", "stop_ms", float64((d.stop-ago).Microseconds())/1000, "by", by, "ago_ms", ago.Milliseconds())
-	g.Drain(gate.Micros((d.stop - ago).Microseconds()), gate.Micros((d.grace - ago).Microseconds()))
+	g.Drain(dispatch.Micros((d.stop - ago).Microseconds()), dispatch.Micros((d.grace - ago).Microseconds()))
 	if !d.heard {
 		d.heard = true
 		d.told <- struct{}{}
@@ -236,8 +236,8 @@
 // reload reads the file anew whenever it is asked to, and hands the addresses in it down. What cannot be used
 // changes nothing.
 func reload(
-	ctx context.Context, b *terms.Backend, file, levelsFile string, hangup <-chan os.Signal, g *gate.Gate,
-	link *farm.Link, reports *roster.Reporter, lim limit.Bounds,
+	ctx context.Context, b *config.Backend, file, levelsFile string, hangup <-chan os.Signal, g *dispatch.Gate,
+	link *executor.Link, reports *registration.Reporter, lim limits.Bounds,
 ) {
 	watching := b.Watch
 	var again <-chan time.Time // while the file cannot be used: it may be half written
@@ -252,7 +252,7 @@
 			tries++
 		}
 		again = nil
-		later, err := terms.Read(file)
+		later, err := config.Read(file)
 		if err != nil {
 			if tries == 0 {
 				slog.Warn("reload", "used", false, "error", err.Error())
@@ -284,7 +284,7 @@
 
 // leave goes on until the grace is over, then takes nothing more, and returns once all is answered and the
 // callers have gone, or shortly before the stop.
-func leave(server *edge.Server, d *departure, lim limit.Bounds) {
+func leave(server *backendserver.Server, d *departure, lim limits.Bounds) {
 	latest := func() time.Time { _, stop := d.times(); return stop.Add(-lim.LastWords) }
 	last := func() time.Time { _, stop := d.times(); return stop.Add(-lim.LastChance) }
 	for grace, _ := d.times(); ; grace, _ = d.times() { // looked at again and again, as it may be brought forward
@@ -317,7 +317,7 @@
 }
 
 // tell logs the state now and then.
-func tell(ctx context.Context, server *edge.Server, g *gate.Gate, lim limit.Bounds) {
+func tell(ctx context.Context, server *backendserver.Server, g *dispatch.Gate, lim limits.Bounds) {
 	every := time.NewTicker(lim.Quiet)
 	defer every.Stop()
 	for {
@@ -330,7 +330,7 @@
 	}
 }
 
-func state(event string, server *edge.Server, g *gate.Gate) {
+func state(event string, server *backendserver.Server, g *dispatch.Gate) {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	conns, carried := server.Counts()
@@ -347,12 +347,12 @@
 
 // stateOf is what the inspection socket tells.
 func stateOf(
-	b *terms.Backend, began int64, server *edge.Server, g *gate.Gate, link *farm.Link, d *departure,
-) inspect.State {
+	b *config.Backend, began int64, server *backendserver.Server, g *dispatch.Gate, link *executor.Link, d *departure,
+) admin.State {
 	conns, carried := server.Counts()
 	n, inHand := g.Counts()
-	s := inspect.State{
-		Version: inspect.Version, Name: b.Name, PID: os.Getpid(), Build: version(), Config: b.Hash, Since: began,
+	s := admin.State{
+		Version: admin.Version, Name: b.Name, PID: os.Getpid(), Build: version(), Config: b.Hash, Since: began,
 		Ready: g.Good() && link.Up(), Connections: conns, Carried: carried, InHand: inHand, Picked: n.Picked,
 		Run: n.Run, Throttled: n.Throttled, Errored: n.Errored, Left: n.Left, Faults: n.Faults,
 	}
--- a/cmd/milletbarrow/serve_share.go
+++ b/cmd/milletbarrow/serve_share.go
@@ -11,24 +11,24 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/agent"
-	"milletbarrow/gate"
-	"milletbarrow/proc"
-	"milletbarrow/serve/share"
-	"milletbarrow/serve/stamps"
-	"milletbarrow/terms"
+	"milletbarrow/internal/agent"
+	"milletbarrow/internal/backend/dispatch"
+	"milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/backend/quotalog"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/process"
 )
 
 // sharingOf makes what a backend draws from of the command line; nil where it draws from no budget.
-func sharingOf(c *cli.Command, b *terms.Backend) (*gate.Sharing, error) {
+func sharingOf(c *cli.Command, b *config.Backend) (*dispatch.Sharing, error) {
 	words := c.StringSlice("draw")
 	if len(words) == 0 {
 		return nil, nil
 	}
-	if len(words) > share.MostBudgets {
-		return nil, unusable(fmt.Errorf("--draw: %d budgets, at most %d can be drawn from", len(words), share.MostBudgets))
+	if len(words) > quota.MostBudgets {
+		return nil, unusable(fmt.Errorf("--draw: %d budgets, at most %d can be drawn from", len(words), quota.MostBudgets))
 	}
-	s := &gate.Sharing{Tenants: map[string]string{}, Machine: proc.Now}
+	s := &dispatch.Sharing{Tenants: map[string]string{}, Machine: process.Now}
 	var budgets []string
 	for _, w := range words {
 		budget, tenant, ok := strings.Cut(w, "=")
@@ -39,27 +39,27 @@
 		budgets = append(budgets, budget)
 	}
 	ppm := c.Int("trial-clock")
-	s.Clock = func() share.Micros {
-		now := proc.Now()
-		return share.Micros(now + now/1000*int64(ppm)/1000)
+	s.Clock = func() quota.Micros {
+		now := process.Now()
+		return quota.Micros(now + now/1000*int64(ppm)/1000)
 	}
-	me, err := proc.Of(os.Getpid())
+	me, err := process.Of(os.Getpid())
 	if err != nil {
 		return nil, err
 	}
-	s.Holder = share.New(b.Name, agent.LifeOf(me), budgets)
+	s.Holder = quota.New(b.Name, agent.LifeOf(me), budgets)
 	if dir := c.String("stamps"); dir != "" {
 		f, err := os.OpenFile(filepath.Join(dir, b.Name+"."+strconv.Itoa(os.Getpid())), os.O_CREATE|os.O_WRONLY|os.O_EXCL, 0o600)
 		if err != nil {
 			return nil, unusable(err)
 		}
-		s.Stamps = stamps.New(f, proc.Now(), ppm)
+		s.Stamps = quotalog.New(f, process.Now(), ppm)
 	}
 	return s, nil
 }
 
 // stampDrawn writes down what is drawn, often enough for an audit of short spans.
-func stampDrawn(ctx context.Context, g *gate.Gate) {
+func stampDrawn(ctx context.Context, g *dispatch.Gate) {
 	every := time.NewTicker(20 * time.Millisecond)
 	defer every.Stop()
 	for {
--- a/cmd/milletbarrow/trial.go
+++ b/cmd/milletbarrow/trial.go
@@ -11,8 +11,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/trial/ground"
-	"milletbarrow/trial/timetable"
+	"milletbarrow/internal/faultinjection/harness"
+	"milletbarrow/internal/faultinjection/schedule"
 )
 
 func trialCommand() *cli.Command {
@@ -43,7 +43,7 @@
 					if err != nil {
 						return err
 					}
-					return playTrials(ctx, c, []*timetable.Table{t})
+					return playTrials(ctx, c, []*schedule.Table{t})
 				},
 			},
 			{
@@ -57,11 +57,11 @@
 				Description: "Takes some minutes; leave the machine alone meanwhile. Example:\n   milletbarrow trial measure --hosts 5 --backends 20",
 				Flags:       []cli.Flag{jsonFlag(), &cli.IntFlag{Name: "hosts", Value: 5}, &cli.IntFlag{Name: "backends", Value: 20}},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					o, err := trialOptions(c, &timetable.Table{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
+					o, err := trialOptions(c, &schedule.Table{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
 					if err != nil {
 						return err
 					}
-					m, err := ground.Measure(ctx, o)
+					m, err := harness.Measure(ctx, o)
 					if err != nil {
 						return err
 					}
@@ -81,17 +81,17 @@
 	}
 }
 
-func tableOf(file string) (*timetable.Table, error) {
+func tableOf(file string) (*schedule.Table, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, unusable(err)
 	}
-	t, err := timetable.Read(file, raw)
+	t, err := schedule.Read(file, raw)
 	return t, unusable(err)
 }
 
 func runTrials(ctx context.Context, c *cli.Command) error {
-	var all []*timetable.Table
+	var all []*schedule.Table
 	for _, file := range c.Args().Slice() {
 		t, err := tableOf(file)
 		if err != nil {
@@ -99,11 +99,11 @@
 		}
 		all = append(all, t)
 	}
-	if c.Int("hosts") < 1 || c.Int("hosts") > timetable.MostHosts || c.Int("backends") < 1 || c.Int("backends") > timetable.MostBackends {
-		return unusable(fmt.Errorf("trial: 1 to %d hosts, 1 to %d backends", timetable.MostHosts, timetable.MostBackends))
+	if c.Int("hosts") < 1 || c.Int("hosts") > schedule.MostHosts || c.Int("backends") < 1 || c.Int("backends") > schedule.MostBackends {
+		return unusable(fmt.Errorf("trial: 1 to %d hosts, 1 to %d backends", schedule.MostHosts, schedule.MostBackends))
 	}
 	for n := range c.Int("count") {
-		all = append(all, timetable.Draw(c.Uint64("seed")+uint64(n), c.Int("hosts"), c.Int("backends"), c.Int("faults"), c.Duration("span")))
+		all = append(all, schedule.Draw(c.Uint64("seed")+uint64(n), c.Int("hosts"), c.Int("backends"), c.Int("faults"), c.Duration("span")))
 	}
 	if len(all) == 0 {
 		return unusable(errors.New("trial: name a file, or --count"))
@@ -111,9 +111,9 @@
 	return playTrials(ctx, c, all)
 }
 
-func trialOptions(c *cli.Command, t *timetable.Table) (o ground.Options, err error) {
+func trialOptions(c *cli.Command, t *schedule.Table) (o harness.Options, err error) {
 	self, err := os.Executable()
-	o = ground.Options{Program: self, Table: t, Keep: c.String("keep"), Plant: c.String("plant")}
+	o = harness.Options{Program: self, Table: t, Keep: c.String("keep"), Plant: c.String("plant")}
 	if !c.Bool("quiet") {
 		o.Say = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	}
@@ -121,7 +121,7 @@
 }
 
 // playTrials plays one after the other, and tells of each.
-func playTrials(ctx context.Context, c *cli.Command, all []*timetable.Table) error {
+func playTrials(ctx context.Context, c *cli.Command, all []*schedule.Table) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	failed := 0
@@ -130,19 +130,19 @@
 		if err != nil {
 			return err
 		}
-		v, err := ground.Run(ctx, o)
+		v, err := harness.Run(ctx, o)
 		if err != nil {
 			return err
 		}
 		if file := c.String("out"); file != "" {
-			if err := ground.Append(file, v); err != nil {
+			if err := harness.Append(file, v); err != nil {
 				return err
 			}
 		}
 		if c.Bool("json") {
 			err = printJSON(v)
 		} else {
-			ground.Print(os.Stdout, v)
+			harness.Print(os.Stdout, v)
 		}
 		if !v.OK {
 			failed++
@@ -167,7 +167,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("within"))
 	defer cancel()
-	small, err := ground.Shrink(ctx, t, c.Int("tries"), func(t *timetable.Table) (ground.Options, error) { return trialOptions(c, t) })
+	small, err := harness.Shrink(ctx, t, c.Int("tries"), func(t *schedule.Table) (harness.Options, error) { return trialOptions(c, t) })
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 }
 
 func reportTrials(_ context.Context, c *cli.Command) error {
-	r, err := ground.ReadReport(c.Args().First())
+	r, err := harness.ReadReport(c.Args().First())
 	if err != nil {
 		return unusable(err)
 	}
--- a/cmd/milletbarrow/trial_bench_test.go
+++ b/cmd/milletbarrow/trial_bench_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"milletbarrow/trial/ground"
-	"milletbarrow/trial/timetable"
+	"milletbarrow/internal/faultinjection/harness"
+	"milletbarrow/internal/faultinjection/schedule"
 )
 
 // BenchmarkSharing is what an agent of 60 backends at rest takes where it renews their shares, in a group of one and of
@@ -13,8 +13,8 @@
 func BenchmarkSharing(b *testing.B) {
 	for name, hosts := range map[string]int{"alone": 1, "three": 3} {
 		b.Run(name, func(b *testing.B) {
-			g, err := ground.Open(ground.Options{
-				Program: program, Table: &timetable.Table{Name: name, Hosts: hosts, Backends: 60 * hosts, Span: time.Second}, Lease: 3 * time.Second, Margin: 150 * time.Millisecond,
+			g, err := harness.Open(harness.Options{
+				Program: program, Table: &schedule.Table{Name: name, Hosts: hosts, Backends: 60 * hosts, Span: time.Second}, Lease: 3 * time.Second, Margin: 150 * time.Millisecond,
 			})
 			if err != nil {
 				b.Fatal(err)
--- a/cmd/milletbarrow/trial_test.go
+++ b/cmd/milletbarrow/trial_test.go
@@ -10,29 +10,29 @@
 	"testing"
 	"time"
 
-	"milletbarrow/proc"
-	"milletbarrow/trial/ground"
-	"milletbarrow/trial/timetable"
+	"milletbarrow/internal/faultinjection/harness"
+	"milletbarrow/internal/faultinjection/schedule"
+	"milletbarrow/internal/process"
 )
 
 // played plays a timetable with real processes of a built program.
-func played(t *testing.T, program, plant string, table *timetable.Table) *ground.Verdict {
+func played(t *testing.T, program, plant string, table *schedule.Table) *harness.Verdict {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
-	v, err := ground.Run(ctx, ground.Options{Program: program, Table: table, Plant: plant, Say: t.Logf})
+	v, err := harness.Run(ctx, harness.Options{Program: program, Table: table, Plant: plant, Say: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	ground.Print(&b, v)
+	harness.Print(&b, v)
 	t.Log(b.String())
 	return v
 }
 
-func kept(t *testing.T, name string) *timetable.Table {
+func kept(t *testing.T, name string) *schedule.Table {
 	t.Helper()
-	table, err := tableOf(filepath.Join("../../trial/testdata", name))
+	table, err := tableOf(filepath.Join("../../internal/faultinjection/testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,18 +42,18 @@
 // TestTrial is the bounded part of the proving ground: five agents, twenty backends under load, at least one fault of each
 // kind.
 func TestTrial(t *testing.T) {
-	v := played(t, program, "", timetable.Draw(27, 5, 20, len(timetable.Kinds()), 32*time.Second))
+	v := played(t, program, "", schedule.Draw(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
 	if !v.OK {
 		t.Errorf("did not hold: %v", v.Why)
 	}
 	missing := 0
-	for _, k := range timetable.Kinds() {
+	for _, k := range schedule.Kinds() {
 		if v.Faults[string(k)] == 0 {
 			missing++
 		}
 	}
 	if missing > 2 { // what was to be killed may be dead already
-		t.Errorf("%d kinds of %d were not brought about: %v", missing, len(timetable.Kinds()), v.Faults)
+		t.Errorf("%d kinds of %d were not brought about: %v", missing, len(schedule.Kinds()), v.Faults)
 	}
 }
 
@@ -95,7 +95,7 @@
 // TestTrialCatches has the auditor judge a program with a fault, and the same program without it.
 func TestTrialCatches(t *testing.T) {
 	bad := planted(t)
-	table := &timetable.Table{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
+	table := &schedule.Table{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
 	if v := played(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Why, " "), "shares in force") {
 		t.Errorf("floors counted twice were not found: %v", v.Why)
 	}
@@ -108,8 +108,8 @@
 	// At a point between what is written and what is replicated, and between that and the answer, an agent dies.
 	table.Name, table.Span = "points", 14*time.Second
 	for i, word := range []string{"stored", "replicated", "stored"} {
-		table.Faults = append(table.Faults, timetable.Fault{
-			Kind: timetable.Point, A: fmt.Sprint("h", i+1), Word: word, At: time.Duration(1+4*i) * time.Second, For: 3 * time.Second,
+		table.Faults = append(table.Faults, schedule.Fault{
+			Kind: schedule.Point, A: fmt.Sprint("h", i+1), Word: word, At: time.Duration(1+4*i) * time.Second, For: 3 * time.Second,
 		})
 	}
 	v := played(t, bad, "", table)
@@ -120,7 +120,7 @@
 
 // TestTrialLeavesNothing: what a trial began ends with it, also where it is broken off.
 func TestTrialLeavesNothing(t *testing.T) {
-	g, err := ground.Open(ground.Options{Program: program, Table: &timetable.Table{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
+	g, err := harness.Open(harness.Options{Program: program, Table: &schedule.Table{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		t.Error(err)
 	}
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		alive := []proc.Identity{}
+		alive := []process.Identity{}
 		for _, id := range pids {
 			if id.Alive() {
 				alive = append(alive, id)
--- a/cmd/milletbarrow/watch_test.go
+++ b/cmd/milletbarrow/watch_test.go
@@ -8,16 +8,16 @@
 	"syscall"
 	"testing"
 
-	"milletbarrow/inspect"
-	"milletbarrow/limit"
-	"milletbarrow/standin"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 // TestMigration walks the steps of docs/migration.md and back, as an operator would: what callers and the farm see is
 // the same whatever is watched, what differs is counted, and what cannot be used changes nothing.
 func TestMigration(t *testing.T) {
-	tr := standin.NewTrace(t)
-	old := standin.Settings
+	tr := fakes.NewTrace(t)
+	old := fakes.Settings
 	other := strings.NewReplacer(`"over_share_worth"`, `"clients":{"marks_retry":false},"worth_by":"request","over_share_worth"`,
 		`"name":"look"`, `"name":"look","worth":1`, `"name":"post"`, `"name":"post","worth":10`).Replace(old)
 	tiny := strings.Replace(other, `"mem_limit_kb":90000`, `"mem_limit_kb":20`, 1) // less than one invocation
@@ -40,26 +40,26 @@
 		b.log.Reset()
 		b.mu.Unlock()
 		b.cmd.Process.Signal(syscall.SIGHUP)
-		standin.Until(t, until, b.said(until))
+		fakes.Until(t, until, b.said(until))
 	}
 	socket, number := filepath.Join(t.TempDir(), "s"), 0
 	b.args = []string{"serve", "--inspect", socket}
 	serve := func(step string) {
-		n, seen := standin.Dial(t, b.address), ""
+		n, seen := fakes.Dial(t, b.address), ""
 		defer n.Close()
 		for i, class := range []string{"look", "post", "look"} {
 			number++
-			n.Send(standin.Invocation(uint32(i+1), number, "class="+class))
-			l := standin.Take(t, "a launch", b.farm.Launches)
+			n.Send(fakes.Invocation(uint32(i+1), number, "class="+class))
+			l := fakes.Take(t, "a launch", b.farm.Launches)
 			if i == 2 {
-				n.Send(standin.Raw(12, 3, "")) // its caller leaves while it runs
+				n.Send(fakes.Raw(12, 3, "")) // its caller leaves while it runs
 				b.farm.End(l.ID, "cancelled", "")
 				break
 			}
 			b.farm.End(l.ID, "complete", "done")
 			seen += " " + n.Expect().String()
 		}
-		peer := inspect.NewPeer(socket, limit.ForControl())
+		peer := admin.NewPeer(socket, limits.ForControl())
 		defer peer.Close()
 		s, err := peer.State(t.Context())
 		if err != nil {
@@ -92,7 +92,7 @@
 // TestWatchChecked: what could not be watched, or contradicts itself, is refused before anything starts, by field; and
 // what can be watched but not done is refused as settings.
 func TestWatchChecked(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, edit := range []string{
 		`"n_cores":2=>"n_cores":2`, `"repeat":"at_most_once"=>"repeat":"deduplicated"`,
 		`"repeat":"at_most_once"=>"repeat":"deduplicated","window_ms":5000`, `"repeat":"at_most_once"=>"repeat":"twice"`,
@@ -103,10 +103,10 @@
 		`"over_share_worth"=>"clients":{"marks_retry":"no"},"over_share_worth"`,
 	} {
 		from, to, _ := strings.Cut(edit, "=>")
-		edited := strings.Replace(standin.Settings, from, to, 1)
+		edited := strings.Replace(fakes.Settings, from, to, 1)
 		for _, file := range []string{
-			config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", `"more":{}`, `"watch":`+edited),
-			config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", standin.Settings, edited),
+			configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", `"more":{}`, `"watch":`+edited),
+			configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fakes.Settings, edited),
 		} {
 			out, err := exec.Command(program, "check", "--config", file).CombinedOutput()
 			tr.Say("%s: %v, %s", to, err, strings.TrimSpace(string(out)))
--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts instances of the decision module on the simulator's wire.
+// Command simadapter hosts instances of the decision module on the simulator's wire.
 package main
 
 import (
@@ -9,25 +9,25 @@
 	"io"
 	"os"
 
-	"milletbarrow/admit"
-	"milletbarrow/wire"
+	"milletbarrow/admission"
+	"milletbarrow/internal/simwire"
 )
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 type instance struct {
-	backend *admit.Backend
+	backend *admission.Backend
 	gauges  []string
 }
 
 type host struct {
 	open  map[int]*instance
-	acts  []admit.Action
+	acts  []admission.Action
 	reply bytes.Buffer
 }
 
@@ -35,7 +35,7 @@
 func serve(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<20)
 	h := &host{open: map[int]*instance{}}
-	var clock wire.Message
+	var clock simwire.Message
 	inBatch := false
 	for number := 1; ; number++ {
 		line, err := lines.ReadBytes('\n')
@@ -51,7 +51,7 @@
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		msg, err := wire.Read(line)
+		msg, err := simwire.Read(line)
 		switch {
 		case err != nil:
 		case (msg.Name == "Sync") == inBatch:
@@ -61,7 +61,7 @@
 			h.reply.Reset()
 		case msg.Name == "Commit":
 			inBatch = false
-			if err = wire.WriteYield(&h.reply, clock.Round); err == nil {
+			if err = simwire.WriteYield(&h.reply, clock.Round); err == nil {
 				_, err = out.Write(h.reply.Bytes())
 			}
 		default:
@@ -73,37 +73,37 @@
 	}
 }
 
-func (h *host) event(now admit.Micros, msg wire.Message) error {
+func (h *host) event(now admission.Micros, msg simwire.Message) error {
 	inst := h.open[msg.Instance]
 	if inst == nil {
-		if _, opens := msg.Event.(wire.Open); !opens {
+		if _, opens := msg.Event.(simwire.Open); !opens {
 			return fmt.Errorf("%s: instance %d is not open", msg.Name, msg.Instance)
 		}
 	}
-	var ev admit.Event = msg.Event
+	var ev admission.Event = msg.Event
 	switch e := msg.Event.(type) {
-	case wire.Open:
-		inst = &instance{backend: admit.New(e.Terms, e.Seed), gauges: e.Gauges}
+	case simwire.Open:
+		inst = &instance{backend: admission.New(e.Terms, e.Seed), gauges: e.Gauges}
 		h.open[msg.Instance] = inst
-		ev = admit.Opened{}
-	case wire.Gone:
+		ev = admission.Opened{}
+	case simwire.Gone:
 		delete(h.open, msg.Instance)
 		return nil
-	case wire.Gauge:
+	case simwire.Gauge:
 		ev = e.Reading(inst.gauges)
 	}
 	if err := h.decide(inst, now, ev); err != nil {
-		return wire.WriteFault(&h.reply, msg.Instance, err.Error())
+		return simwire.WriteFault(&h.reply, msg.Instance, err.Error())
 	}
 	for _, a := range h.acts {
-		if err := wire.WriteAction(&h.reply, msg.Instance, a); err != nil {
+		if err := simwire.WriteAction(&h.reply, msg.Instance, a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *host) decide(inst *instance, now admit.Micros, ev admit.Event) (err error) {
+func (h *host) decide(inst *instance, now admission.Micros, ev admission.Event) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = errors.New(fmt.Sprint(r))
--- a/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,13 +16,13 @@
 	"sync"
 	"time"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/keeper"
-	"milletbarrow/limit"
-	"milletbarrow/proc"
-	"milletbarrow/record"
-	"milletbarrow/terms"
+	"milletbarrow/internal/agent/store"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
+	"milletbarrow/internal/supervisor"
 )
 
 // Options are what an agent is started with.
@@ -33,8 +33,8 @@
 	Self   []string // starts this program
 	Build  string
 	Seed   uint64 // of the jitter
-	Bounds limit.Control
-	Store  record.Store
+	Bounds limits.Control
+	Store  store.Store
 	Shares Shares // nil: nothing is shared with the agents of other hosts
 }
 
@@ -45,12 +45,12 @@
 
 	work chan func(now fleet.Micros) // runs in the loop, which alone touches what follows
 	m    *fleet.Machine
-	ill  error         // the record can't be written
-	owed record.Change // what is not written yet
-	next uint64        // serial of the next entry
+	ill  error        // the record can't be written
+	owed store.Change // what is not written yet
+	next uint64       // serial of the next entry
 
 	steps []fleet.Step    // decided on since the last flush
-	fresh []record.Entry  // said since then
+	fresh []store.Entry   // said since then
 	told  []chan struct{} // who asked since then
 
 	done     chan struct{} // the loop has ended
@@ -58,8 +58,8 @@
 	watchers map[string]*watcher
 
 	mu      sync.Mutex
-	entries []record.Entry // the latest, for those who watch
-	more    chan struct{}  // closed at the next entry
+	entries []store.Entry // the latest, for those who watch
+	more    chan struct{} // closed at the next entry
 }
 
 // recent is how many entries are kept in memory for those who watch.
@@ -67,7 +67,7 @@
 
 // Window reads what an instance has from the notice on out of its configuration.
 func Window(file string) (fleet.Window, error) {
-	b, err := terms.Read(file)
+	b, err := config.Read(file)
 	if err != nil {
 		return fleet.Window{Grace: 2_000_000, Stop: 3_000_000}, err
 	}
@@ -81,12 +81,12 @@
 		return nil, err
 	}
 	for _, in := range o.Spec.Of(o.Host) {
-		if err := keeper.PathsOf(o.Dir, in.Name).Check(); err != nil {
+		if err := supervisor.PathsOf(o.Dir, in.Name).Check(); err != nil {
 			return nil, err
 		}
 	}
 	a := &Agent{
-		o: o, began: proc.Now(), work: make(chan func(fleet.Micros), 256), next: 1,
+		o: o, began: process.Now(), work: make(chan func(fleet.Micros), 256), next: 1,
 		launches: make(chan struct{}, o.Bounds.Parallel), watchers: map[string]*watcher{}, more: make(chan struct{}),
 		done: make(chan struct{}),
 	}
@@ -94,13 +94,13 @@
 		a.next = saved.History[n-1].Serial + 1
 		a.entries = slices.Clone(saved.History[max(0, n-recent):])
 	}
-	fresh := saved.Boot != "" && saved.Boot != proc.Boot()
-	if saved.Boot != proc.Boot() {
-		a.owed.Boot = proc.Boot()
+	fresh := saved.Boot != "" && saved.Boot != process.Boot()
+	if saved.Boot != process.Boot() {
+		a.owed.Boot = process.Boot()
 	}
 	a.adoptUnrecorded(&saved)
 	a.m = a.machine(o.Spec)
-	now := fleet.Micros(proc.Now())
+	now := fleet.Micros(process.Now())
 	if forgotten := a.m.Restore(now, saved.Record, fresh); len(forgotten) > 0 {
 		return nil, fmt.Errorf("%s runs here and the fleet's file does not name it any more: drain it first", forgotten[0].Name)
 	}
@@ -124,13 +124,13 @@
 
 // adoptUnrecorded takes instances that run although the record does not know them for wanted: the record was lost,
 // their keepers' files were not.
-func (a *Agent) adoptUnrecorded(saved *record.Saved) {
+func (a *Agent) adoptUnrecorded(saved *store.Saved) {
 	known := map[string]bool{}
 	for _, in := range saved.Instances {
 		known[in.Name] = true
 	}
 	for _, in := range a.o.Spec.Of(a.o.Host) {
-		s, err := keeper.ReadState(keeper.PathsOf(a.o.Dir, in.Name).State)
+		s, err := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, in.Name).State)
 		if known[in.Name] || err != nil || s.Ended {
 			continue
 		}
@@ -169,7 +169,7 @@
 			a.write()
 			return
 		case f := <-a.work:
-			now := fleet.Micros(proc.Now())
+			now := fleet.Micros(process.Now())
 			f(now)
 			for more := true; more; { // what has gathered is written down together
 				select {
@@ -185,10 +185,10 @@
 			}
 			a.flush()
 		case <-beat.C:
-			a.decide(fleet.Micros(proc.Now()), fleet.Tick{})
+			a.decide(fleet.Micros(process.Now()), fleet.Tick{})
 			a.flush()
 			pause := a.o.Bounds.Beat
-			if a.m.Idle(fleet.Micros(proc.Now())) && a.ill == nil {
+			if a.m.Idle(fleet.Micros(process.Now())) && a.ill == nil {
 				pause *= 10
 			}
 			beat.Reset(pause)
@@ -224,7 +224,7 @@
 
 // note gives a line of history its serial and the time of the wall.
 func (a *Agent) note(n fleet.Note) {
-	e := record.Entry{Serial: a.next, Wall: time.Now().UnixMicro(), Note: n}
+	e := store.Entry{Serial: a.next, Wall: time.Now().UnixMicro(), Note: n}
 	a.next++
 	a.owed.Entries = append(a.owed.Entries, e)
 	if over := len(a.owed.Entries) - a.o.Bounds.History; over > 0 { // a record that can't be written for long
@@ -255,7 +255,7 @@
 
 func (a *Agent) write() {
 	r, dropped := a.m.Changes()
-	merge(&a.owed, record.Change{Record: r, Dropped: dropped})
+	merge(&a.owed, store.Change{Record: r, Dropped: dropped})
 	if a.owed.Empty() {
 		return
 	}
@@ -268,12 +268,12 @@
 		}
 	}
 	if a.ill = err; err == nil {
-		a.owed = record.Change{}
+		a.owed = store.Change{}
 	}
 }
 
 // merge lays a later change over one that is still to be written.
-func merge(to *record.Change, c record.Change) {
+func merge(to *store.Change, c store.Change) {
 	for _, in := range c.Instances {
 		if i := slices.IndexFunc(to.Instances, func(o fleet.Instance) bool { return o.Name == in.Name }); i >= 0 {
 			to.Instances[i] = in
@@ -322,7 +322,7 @@
 	case <-a.done:
 		return errEnded
 	case <-late.C:
-		return &control.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent is busy"}
+		return &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent is busy"}
 	}
 	select {
 	case <-done:
@@ -330,20 +330,20 @@
 	case <-a.done:
 		return errEnded
 	case <-late.C:
-		return &control.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent is busy; ask again what became of it"}
+		return &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent is busy; ask again what became of it"}
 	}
 }
 
-var errEnded = &control.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent ends"}
+var errEnded = &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent ends"}
 
 // Order takes a command once it is written down.
-func (a *Agent) Order(o control.Order) (c *fleet.Command, err error) {
+func (a *Agent) Order(o agentapi.Order) (c *fleet.Command, err error) {
 	const longest = int64(24 * time.Hour / time.Microsecond)
 	if o.Within <= 0 || o.Within > longest {
-		return nil, &control.Refusal{Status: http.StatusBadRequest, Text: fmt.Sprintf("within_us: %d is not above 0 and at most a day", o.Within)}
+		return nil, &agentapi.Refusal{Status: http.StatusBadRequest, Text: fmt.Sprintf("within_us: %d is not above 0 and at most a day", o.Within)}
 	}
 	if len(o.By) > 100 {
-		return nil, &control.Refusal{Status: http.StatusBadRequest, Text: "by: over 100 bytes"}
+		return nil, &agentapi.Refusal{Status: http.StatusBadRequest, Text: "by: over 100 bytes"}
 	}
 	failed := a.ask(func(now fleet.Micros) {
 		if c = a.m.Command(o.ID); c == nil { // sent again it needs no second intent
@@ -363,7 +363,7 @@
 	return c, nil
 }
 
-func commandOf(now fleet.Micros, o control.Order) *fleet.Command {
+func commandOf(now fleet.Micros, o agentapi.Order) *fleet.Command {
 	return &fleet.Command{
 		ID: o.ID, Kind: o.Kind, Names: o.Names, By: o.By, Asked: o.Asked, Due: now + fleet.Micros(o.Within),
 		Now: o.Now, Terms: o.Terms, Budget: o.Budget,
@@ -371,16 +371,16 @@
 }
 
 // intend makes a command durable before anything is decided; what can't be is not taken.
-func (a *Agent) intend(now fleet.Micros, o control.Order) error {
+func (a *Agent) intend(now fleet.Micros, o agentapi.Order) error {
 	if a.ill == nil {
-		err := a.o.Store.Save(record.Change{Intent: commandOf(now, o)})
+		err := a.o.Store.Save(store.Change{Intent: commandOf(now, o)})
 		if err == nil {
 			return nil
 		}
 		a.ill = err
 		slog.Error("record", "written", false, "error", err.Error())
 	}
-	return &control.Refusal{
+	return &agentapi.Refusal{
 		Status: http.StatusServiceUnavailable,
 		Text:   fmt.Sprintf("nothing new is taken: the record can't be written: %v", a.ill),
 	}
@@ -413,33 +413,33 @@
 }
 
 // Entries after a serial.
-func (a *Agent) Entries(after uint64) (entries []record.Entry, lost uint64, more <-chan struct{}) {
+func (a *Agent) Entries(after uint64) (entries []store.Entry, lost uint64, more <-chan struct{}) {
 	const most = 256
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.entries) > 0 && a.entries[0].Serial > after+1 {
 		lost = a.entries[0].Serial - after - 1
 	}
-	i, _ := slices.BinarySearchFunc(a.entries, after+1, func(e record.Entry, s uint64) int { return int(int64(e.Serial) - int64(s)) })
+	i, _ := slices.BinarySearchFunc(a.entries, after+1, func(e store.Entry, s uint64) int { return int(int64(e.Serial) - int64(s)) })
 	entries = slices.Clone(a.entries[i:min(len(a.entries), i+most)])
 	return entries, lost, a.more
 }
 
 // History reads older entries from the record, the latest of those after a serial.
-func (a *Agent) History(after uint64, most int) ([]record.Entry, error) {
+func (a *Agent) History(after uint64, most int) ([]store.Entry, error) {
 	saved, err := a.o.Store.Load()
 	if err != nil {
 		return nil, err
 	}
-	h := slices.DeleteFunc(saved.History, func(e record.Entry) bool { return e.Serial <= after })
+	h := slices.DeleteFunc(saved.History, func(e store.Entry) bool { return e.Serial <= after })
 	return h[max(0, len(h)-most):], nil
 }
 
 // Status tells how all stands.
-func (a *Agent) Status() (s control.Status) {
-	s = control.Status{
-		Version: control.Version, Host: a.o.Host, Build: a.o.Build, PID: os.Getpid(),
-		Clock: proc.Now(), Up: proc.Now() - a.began,
+func (a *Agent) Status() (s agentapi.Status) {
+	s = agentapi.Status{
+		Version: agentapi.Version, Host: a.o.Host, Build: a.o.Build, PID: os.Getpid(),
+		Clock: process.Now(), Up: process.Now() - a.began,
 	}
 	err := a.ask(func(now fleet.Micros) {
 		if a.ill != nil {
@@ -448,14 +448,14 @@
 		s.Fleet, s.Serial = a.o.Spec.Name, a.next-1
 		for _, name := range a.m.Names() {
 			in, _ := a.m.Instance(name)
-			one := control.Instance{
+			one := agentapi.Instance{
 				Name: name, Group: in.Group, Spare: in.Spare, Up: in.Up, Phase: in.Phase, For: int64(now - in.Since),
 				Cause: in.Cause, Task: in.Task, Launches: len(in.Budget.Spent), Settled: in.Settled(now),
 			}
 			if in.Deadline != 0 {
 				one.Left = int64(in.Deadline - now)
 			}
-			if r, ok := in.Detail.(*keeper.Report); ok && !in.Phase.Down() {
+			if r, ok := in.Detail.(*supervisor.Report); ok && !in.Phase.Down() {
 				one.PID, one.Keeper, one.State = r.Life.Instance.PID, r.Life.Keeper.PID, r.State
 			}
 			s.Instances = append(s.Instances, one)
--- a/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -19,16 +19,16 @@
 	"testing"
 	"time"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/inspect"
-	"milletbarrow/keeper"
-	"milletbarrow/limit"
-	"milletbarrow/logline"
-	"milletbarrow/proc"
-	"milletbarrow/record"
-	"milletbarrow/standin"
-	"milletbarrow/talk"
+	agentstore "milletbarrow/internal/agent/store"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/jsonhttp"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/logging"
+	"milletbarrow/internal/process"
+	"milletbarrow/internal/supervisor"
 )
 
 // TestMain: this program is also the keepers and the instances of its tests.
@@ -38,7 +38,7 @@
 		case "keeper":
 			keeperMain()
 		case "begin":
-			fmt.Fprintln(os.Stderr, keeper.Begin(os.Args[3:]))
+			fmt.Fprintln(os.Stderr, supervisor.Begin(os.Args[3:]))
 			os.Exit(1)
 		case "serve":
 			instanceMain(os.Args[3], os.Args[5])
@@ -48,7 +48,7 @@
 	if os.Getenv("AGENT_TEST_LOG") != "" {
 		to = os.Stderr
 	}
-	end := logline.Start(to, logline.Text)
+	end := logging.Start(to, logging.Text)
 	defer end()
 	m.Run()
 }
@@ -65,13 +65,13 @@
 func keeperMain() {
 	grace, _ := time.ParseDuration(flagOf("grace"))
 	stop, _ := time.ParseDuration(flagOf("stop"))
-	err := keeper.Run(context.Background(), keeper.Options{
+	err := supervisor.Run(context.Background(), supervisor.Options{
 		Dir: flagOf("dir"), Name: flagOf("name"), Run: flagOf("run"), Adopt: slices.Contains(os.Args, "--adopt"),
 		Begin: []string{os.Args[0], "begin", "--"}, Command: []string{os.Args[0], "serve", "--config", flagOf("config")},
 		Window: fleet.Window{Grace: fleet.Micros(grace.Microseconds()), Stop: fleet.Micros(stop.Microseconds())},
-		Bounds: limit.ForControl(),
+		Bounds: limits.ForControl(),
 	})
-	if errors.Is(err, keeper.ErrHeld) {
+	if errors.Is(err, supervisor.ErrHeld) {
 		os.Exit(KeeperHeld)
 	}
 	if err != nil {
@@ -101,7 +101,7 @@
 		if is("deaf") {
 			return
 		}
-		heard.CompareAndSwap(0, proc.Now()-ago.Microseconds())
+		heard.CompareAndSwap(0, process.Now()-ago.Microseconds())
 	}
 	term := make(chan os.Signal, 4)
 	signal.Notify(term, syscall.SIGTERM)
@@ -110,19 +110,19 @@
 			leave(0)
 		}
 	}()
-	go inspect.Serve(context.Background(), socket, limit.ForControl(), inspect.Instance{State: func() inspect.State {
-		s := inspect.State{Ready: !is("never"), PID: os.Getpid()}
+	go admin.Serve(context.Background(), socket, limits.ForControl(), admin.Instance{State: func() admin.State {
+		s := admin.State{Ready: !is("never"), PID: os.Getpid()}
 		if at := heard.Load(); at != 0 {
 			s.Ready, s.Draining, s.GraceEnds = false, true, at+grace.Microseconds()
 		}
 		return s
-	}, Leave: leave, Pin: func(inspect.Pin) error { return nil }})
+	}, Leave: leave, Pin: func(admin.Pin) error { return nil }})
 	for {
 		if at := heard.Load(); at != 0 {
 			if is("dies") {
 				os.Exit(7)
 			}
-			if proc.Now()-at > (stop - 200*time.Millisecond).Microseconds() {
+			if process.Now()-at > (stop - 200*time.Millisecond).Microseconds() {
 				os.Exit(0)
 			}
 		}
@@ -139,7 +139,7 @@
 	agent  *Agent
 	cancel context.CancelFunc
 	ended  chan struct{}
-	store  record.Store
+	store  agentstore.Store
 	file   string
 }
 
@@ -153,7 +153,7 @@
 	for i, n := range names {
 		text := strings.NewReplacer(`"drain_grace_ms":300`, `"drain_grace_ms":300`).Replace(fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:%d",
 			"agent":"127.0.0.1:2","roster":"127.0.0.1:3","seed":"8c1f","stop_ms":600,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-			"settings":%s}`, n, 20_000+i, standin.Settings))
+			"settings":%s}`, n, 20_000+i, fakes.Settings))
 		if err := os.WriteFile(filepath.Join(dir, n+".json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -165,7 +165,7 @@
 func (h *house) read(names ...string) *fleet.Spec {
 	text := fmt.Sprintf(`(fleet f (host h1 (agent "unix:%s/a.sock")) (group g (config "%%n.json") (start-within 1s) (settle 50ms)
 		(restart (most 2) (within 30s)) (instances %s)) (wave (width 1) (least-share 0)))`, h.dir, strings.Join(names, " "))
-	s, err := fleet.ReadSpec(h.file, []byte(text), limit.ForControl())
+	s, err := fleet.ReadSpec(h.file, []byte(text), limits.ForControl())
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 	h.leave()
 	for range 2 {
 		for _, n := range h.names {
-			if s, err := keeper.ReadState(keeper.PathsOf(h.dir, n).State); err == nil {
+			if s, err := supervisor.ReadState(supervisor.PathsOf(h.dir, n).State); err == nil {
 				s.Instance.KillGroup()
 				s.Keeper.Signal(syscall.SIGKILL)
 			}
@@ -188,11 +188,11 @@
 }
 
 // enter starts an agent; wrap may put something between it and its store.
-func (h *house) enter(wrap func(record.Store) record.Store) {
+func (h *house) enter(wrap func(agentstore.Store) agentstore.Store) {
 	h.t.Helper()
-	b := limit.ForControl()
+	b := limits.ForControl()
 	var err error
-	if h.store, err = record.Open(h.dir, b.History); err != nil {
+	if h.store, err = agentstore.Open(h.dir, b.History); err != nil {
 		h.t.Fatal(err)
 	}
 	store := h.store
@@ -226,7 +226,7 @@
 	if len(names) == 0 {
 		names = h.names
 	}
-	o := control.Order{ID: id, Kind: kind, Names: names, By: "test", Within: 30_000_000}
+	o := agentapi.Order{ID: id, Kind: kind, Names: names, By: "test", Within: 30_000_000}
 	if kind == fleet.Wave {
 		o.Terms = &h.spec.Wave
 	}
@@ -237,14 +237,14 @@
 func (h *house) result(id string) *fleet.Command {
 	h.t.Helper()
 	var c *fleet.Command
-	standin.Until(h.t, "the end of "+id, func() bool {
+	fakes.Until(h.t, "the end of "+id, func() bool {
 		c = h.agent.Command(id)
 		return c != nil && c.State == fleet.Done
 	})
 	return c
 }
 
-func (h *house) outcomes(tr *standin.Trace, id string) {
+func (h *house) outcomes(tr *fakes.Trace, id string) {
 	c := h.result(id)
 	for _, n := range c.Names {
 		r := c.Results[n]
@@ -254,7 +254,7 @@
 
 // TestTroubles: what becomes of instances that are ill in each way, as real processes.
 func TestTroubles(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	h := newHouse(t, "well", "deaf", "dies", "never", "crashes", "talks")
 	h.enter(nil)
 	if _, err := h.order("up", fleet.Start); err != nil {
@@ -266,8 +266,8 @@
 	}
 	h.outcomes(tr, "down")
 	for _, n := range []string{"talks", "talks.1"} {
-		path := keeper.PathsOf(h.dir, strings.TrimSuffix(n, ".1")).Log + strings.TrimPrefix(n, "talks")
-		if info, err := os.Stat(path); err == nil && info.Size() > 3*limit.ForControl().LogBytes {
+		path := supervisor.PathsOf(h.dir, strings.TrimSuffix(n, ".1")).Log + strings.TrimPrefix(n, "talks")
+		if info, err := os.Stat(path); err == nil && info.Size() > 3*limits.ForControl().LogBytes {
 			t.Errorf("%s has %d bytes", path, info.Size())
 		}
 	}
@@ -282,11 +282,11 @@
 				t.Parallel()
 				h := newHouse(t, "a", "b")
 				died := make(chan struct{})
-				h.enter(func(s record.Store) record.Store {
+				h.enter(func(s agentstore.Store) agentstore.Store {
 					return &dying{Store: s, left: n, after: after, died: died}
 				})
 				ask := func(id string, kind fleet.Kind) { // like a tool that sends again until it is taken
-					standin.Until(t, id+" is taken", func() bool {
+					fakes.Until(t, id+" is taken", func() bool {
 						select {
 						case <-died:
 							h.leave()
@@ -297,7 +297,7 @@
 						_, err := h.order(id, kind)
 						return err == nil
 					})
-					standin.Until(t, id+" has ended", func() bool {
+					fakes.Until(t, id+" has ended", func() bool {
 						select {
 						case <-died:
 							h.leave()
@@ -323,7 +323,7 @@
 					}
 				}
 				for _, n := range h.names {
-					raw, _ := os.ReadFile(keeper.PathsOf(h.dir, n).Log + ".keeper")
+					raw, _ := os.ReadFile(supervisor.PathsOf(h.dir, n).Log + ".keeper")
 					if lives := strings.Count(string(raw), " launched "); lives != 2 {
 						t.Errorf("%s had %d lives, want 2:\n%s", n, lives, raw)
 					}
@@ -335,13 +335,13 @@
 
 // dying is a store at whose n-th write the agent dies, before it or after it.
 type dying struct {
-	record.Store
+	agentstore.Store
 	left  int
 	after bool
 	died  chan struct{}
 }
 
-func (d *dying) Save(c record.Change) error {
+func (d *dying) Save(c agentstore.Change) error {
 	if d.left--; d.left != 0 {
 		return d.Store.Save(c)
 	}
@@ -355,11 +355,11 @@
 
 // full is a store that can't write while it is told so.
 type full struct {
-	record.Store
+	agentstore.Store
 	fails atomic.Bool
 }
 
-func (f *full) Save(c record.Change) error {
+func (f *full) Save(c agentstore.Change) error {
 	if f.fails.Load() {
 		return syscall.ENOSPC
 	}
@@ -370,13 +370,13 @@
 func TestDiskFull(t *testing.T) {
 	h := newHouse(t, "a", "b")
 	disk := &full{}
-	h.enter(func(s record.Store) record.Store { disk.Store = s; return disk })
+	h.enter(func(s agentstore.Store) agentstore.Store { disk.Store = s; return disk })
 	h.order("up", fleet.Start)
 	h.result("up")
 	h.order("down", fleet.Drain, "a")
 	disk.fails.Store(true)
 	_, err := h.order("more", fleet.Drain, "b")
-	var refused *control.Refusal
+	var refused *agentapi.Refusal
 	if !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable || !strings.Contains(err.Error(), "no space left") {
 		t.Errorf("%v", err)
 	}
@@ -387,7 +387,7 @@
 		t.Errorf("ill %q, command %v", s.Ill, h.agent.Command("more"))
 	}
 	disk.fails.Store(false)
-	standin.Until(t, "it is well again", func() bool { return h.agent.Status().Ill == "" })
+	fakes.Until(t, "it is well again", func() bool { return h.agent.Status().Ill == "" })
 	if _, err := h.order("more", fleet.Drain, "b"); err != nil {
 		t.Error(err)
 	}
@@ -406,8 +406,8 @@
 	h.enter(nil)
 	h.order("up", fleet.Start)
 	h.result("up")
-	state := func(n string) keeper.State {
-		s, err := keeper.ReadState(keeper.PathsOf(h.dir, n).State)
+	state := func(n string) supervisor.State {
+		s, err := supervisor.ReadState(supervisor.PathsOf(h.dir, n).State)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -415,13 +415,13 @@
 	}
 	before := state("a")
 	before.Keeper.Signal(syscall.SIGKILL)
-	standin.Until(t, "another keeper is there", func() bool { s := state("a"); return s.Keeper != before.Keeper && s.Keeper.Alive() })
-	standin.Until(t, "it is seen ready", func() bool { return h.agent.Status().Instances[0].Phase == fleet.Ready })
+	fakes.Until(t, "another keeper is there", func() bool { s := state("a"); return s.Keeper != before.Keeper && s.Keeper.Alive() })
+	fakes.Until(t, "it is seen ready", func() bool { return h.agent.Status().Instances[0].Phase == fleet.Ready })
 	if s := state("a"); s.Instance != before.Instance || s.Told != "" {
 		t.Fatalf("%+v became %+v", before, s)
 	}
 	h.order("down", fleet.Drain)
-	standin.Until(t, "the notice is written down", func() bool { return state("deaf").Told != "" && state("a").Told != "" })
+	fakes.Until(t, "the notice is written down", func() bool { return state("deaf").Told != "" && state("a").Told != "" })
 	state("deaf").Keeper.Signal(syscall.SIGKILL)
 	state("a").Keeper.Signal(syscall.SIGKILL)
 	c := h.result("down")
@@ -440,15 +440,15 @@
 	h.order("up", fleet.Start)
 	h.result("up")
 	h.order("down", fleet.Drain)
-	standin.Until(t, "the notices are out", func() bool {
-		a, _ := keeper.ReadState(keeper.PathsOf(h.dir, "a").State)
-		d, _ := keeper.ReadState(keeper.PathsOf(h.dir, "deaf").State)
+	fakes.Until(t, "the notices are out", func() bool {
+		a, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
+		d, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "deaf").State)
 		return a.Told != "" && d.Told != ""
 	})
 	h.leave()
 	for _, n := range h.names {
-		standin.Until(t, n+" has ended", func() bool {
-			s, _ := keeper.ReadState(keeper.PathsOf(h.dir, n).State)
+		fakes.Until(t, n+" has ended", func() bool {
+			s, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, n).State)
 			return s.Ended && s.End.After < 900_000
 		})
 	}
@@ -461,21 +461,21 @@
 // TestTools: two tools with the same command, a stream that is left and joined again, one that reads nothing, an
 // order that can't be, all over the agent's socket.
 func TestTools(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	h := newHouse(t, "a", "b")
 	h.enter(nil)
-	b := limit.ForControl()
-	l, err := control.Listen("unix:" + h.dir + "/a.sock")
+	b := limits.ForControl()
+	l, err := agentapi.Listen("unix:" + h.dir + "/a.sock")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go control.Serve(ctx, l, h.agent, b)
-	caller := control.NewCaller(b, 1)
+	go agentapi.Serve(ctx, l, h.agent, b)
+	caller := agentapi.NewCaller(b, 1)
 	client := caller.Client("unix:" + h.dir + "/a.sock")
 	defer client.Close()
-	o := control.Order{ID: "same", Kind: fleet.Start, Names: h.names, By: "one", Within: 30_000_000}
+	o := agentapi.Order{ID: "same", Kind: fleet.Start, Names: h.names, By: "one", Within: 30_000_000}
 	var both sync.WaitGroup
 	for _, by := range []string{"one", "two"} {
 		both.Go(func() {
@@ -494,7 +494,7 @@
 	after := uint64(0)
 	var last *fleet.Command
 	for last == nil {
-		err := client.Follow(ctx, "same", after, func(l control.Line) bool {
+		err := client.Follow(ctx, "same", after, func(l agentapi.Line) bool {
 			if l.Entry != nil {
 				serials, after = append(serials, l.Serial), l.Serial
 				return false
@@ -510,7 +510,7 @@
 		t.Errorf("lines came out of order or twice: %v", serials)
 	}
 	tr.Say("%s: %d commands, results %s %s", last.State, len(h.agent.Commands()), last.Results["a"].Outcome, last.Results["b"].Outcome)
-	for _, bad := range []control.Order{
+	for _, bad := range []agentapi.Order{
 		{ID: "same", Kind: fleet.Drain, Names: h.names, Within: 1_000_000},
 		{ID: "x", Kind: "dance", Names: h.names, Within: 1_000_000}, {ID: "x", Kind: fleet.Drain, Names: []string{"z"}, Within: 1_000_000},
 		{ID: "x", Kind: fleet.Drain, Names: h.names}, {ID: "../x", Kind: fleet.Drain, Names: h.names, Within: 1_000_000},
@@ -525,17 +525,17 @@
 	tr.Say("%v", err)
 	away := caller.Client("unix:" + h.dir + "/nobody.sock")
 	_, err = away.Status(ctx)
-	var unreachable *control.Unreachable
+	var unreachable *agentapi.Unreachable
 	tr.Say("nobody there: %t", errors.As(err, &unreachable))
-	raw := talk.Client("unix:"+h.dir+"/a.sock", b)
+	raw := jsonhttp.Client("unix:"+h.dir+"/a.sock", b)
 	for path, body := range map[string]any{"/v2/commands": nil, "/v1/commands": map[string]any{"id": "x", "weight": 3}} {
-		err := talk.Call(ctx, raw, http.MethodPost, path, body, nil, 0)
-		var no *talk.Status
+		err := jsonhttp.Call(ctx, raw, http.MethodPost, path, body, nil, 0)
+		var no *jsonhttp.Status
 		if !errors.As(err, &no) || no.Code != map[string]int{"/v2/commands": 404, "/v1/commands": 400}[path] {
 			t.Errorf("%s: %v", path, err)
 		}
 	}
-	if _, err := control.Listen("unix:" + h.dir + "/a.sock"); err == nil {
+	if _, err := agentapi.Listen("unix:" + h.dir + "/a.sock"); err == nil {
 		t.Error("a second agent listens")
 	}
 }
@@ -546,25 +546,25 @@
 	h.enter(nil)
 	h.order("up", fleet.Start)
 	h.result("up")
-	was, _ := keeper.ReadState(keeper.PathsOf(h.dir, "a").State)
+	was, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
 	h.leave()
-	if err := os.Truncate(record.Path(h.dir), 9000); err != nil {
+	if err := os.Truncate(agentstore.Path(h.dir), 9000); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := record.Open(h.dir, 10); !errors.Is(err, record.ErrDamaged) {
+	if _, err := agentstore.Open(h.dir, 10); !errors.Is(err, agentstore.ErrDamaged) {
 		t.Fatalf("%v", err)
 	}
-	if _, err := record.SetAside(h.dir, time.Now()); err != nil {
+	if _, err := agentstore.SetAside(h.dir, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	h.enter(nil)
-	standin.Until(t, "both are seen", func() bool {
+	fakes.Until(t, "both are seen", func() bool {
 		s := h.agent.Status()
 		return s.Instances[0].Phase == fleet.Ready && s.Instances[1].Phase == fleet.Ready && s.Instances[0].Up
 	})
 	h.order("again", fleet.Restart, "a")
 	h.result("again")
-	if s, _ := keeper.ReadState(keeper.PathsOf(h.dir, "a").State); s.Run == was.Run || s.Instance == was.Instance {
+	if s, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State); s.Run == was.Run || s.Instance == was.Instance {
 		t.Errorf("%+v after %+v", s, was)
 	}
 }
--- a/agent/shares.go
+++ b/internal/agent/shares.go
@@ -11,31 +11,31 @@
 	"sync"
 	"time"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/inspect"
-	"milletbarrow/keeper"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/member"
-	"milletbarrow/proc"
-	"milletbarrow/serve/share"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/backend/admin"
+	backendquota "milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/cluster/membership"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/process"
+	"milletbarrow/internal/supervisor"
 )
 
 // Shares are what the agents of a fleet keep together; manage/join makes one.
 type Shares interface {
-	Do(context.Context, budget.Command) (budget.Result, error)
-	View(context.Context) (budget.View, error)
-	Use(*budget.Terms, []string)
+	Do(context.Context, quota.Command) (quota.Result, error)
+	View(context.Context) (quota.View, error)
+	Use(*quota.Terms, []string)
 	Stage() string
-	Members() []member.Seen
-	Notes() <-chan budget.Note // what is to stand in the history
+	Members() []membership.Seen
+	Notes() <-chan quota.Note // what is to stand in the history
 }
 
 // sharePause is between two renewals: a part of the shortest lease, so that one or two that are lost cost nothing.
-func sharePause(t *budget.Terms) time.Duration {
-	lease := budget.Micros(4_000_000)
+func sharePause(t *quota.Terms) time.Duration {
+	lease := quota.Micros(4_000_000)
 	for _, b := range t.Budgets {
-		if b.Kind == budget.Rate {
+		if b.Kind == quota.Rate {
 			lease = min(lease, b.Lease)
 		}
 	}
@@ -44,7 +44,7 @@
 
 // share renews what this host's instances hold, until ctx ends.
 func (a *Agent) share(ctx context.Context) {
-	peers := map[string]*inspect.Peer{}
+	peers := map[string]*admin.Peer{}
 	defer func() {
 		for _, p := range peers {
 			p.Close()
@@ -54,7 +54,7 @@
 	gone := map[string]bool{}
 	for {
 		var names []string
-		var terms *budget.Terms
+		var terms *quota.Terms
 		if a.ask(func(fleet.Micros) {
 			terms = a.o.Spec.Budgets
 			for _, name := range a.m.Names() {
@@ -63,7 +63,7 @@
 				}
 			}
 		}) != nil || terms == nil {
-			names, terms = nil, &budget.Terms{}
+			names, terms = nil, &quota.Terms{}
 		}
 		pause := sharePause(terms)
 		round, cancel := context.WithTimeout(ctx, 2*pause)
@@ -83,15 +83,15 @@
 }
 
 // renew asks the ledger once for all that draw here, and hands the answers on.
-func (a *Agent) renew(ctx context.Context, names []string, peers map[string]*inspect.Peer, gone map[string]bool) (why string) {
-	asks := make([]share.Ask, len(names))
-	each := func(do func(i int, p *inspect.Peer)) {
+func (a *Agent) renew(ctx context.Context, names []string, peers map[string]*admin.Peer, gone map[string]bool) (why string) {
+	asks := make([]backendquota.Ask, len(names))
+	each := func(do func(i int, p *admin.Peer)) {
 		var all sync.WaitGroup
 		room := make(chan struct{}, a.o.Bounds.FanOut)
 		for i, name := range names {
 			p := peers[name]
 			if p == nil {
-				p = inspect.NewPeer(keeper.PathsOf(a.o.Dir, name).Inspect, a.o.Bounds)
+				p = admin.NewPeer(supervisor.PathsOf(a.o.Dir, name).Inspect, a.o.Bounds)
 				peers[name] = p
 			}
 			all.Go(func() {
@@ -103,26 +103,26 @@
 		all.Wait()
 	}
 	short := a.o.Bounds.Call / 8 // one that is stopped must not hold up the others
-	each(func(i int, p *inspect.Peer) {
+	each(func(i int, p *admin.Peer) {
 		call, cancel := context.WithTimeout(ctx, short)
 		defer cancel()
 		if q, err := p.Ask(call); err == nil && q.Name == names[i] {
 			asks[i] = q
 		}
 	})
-	c := &budget.Renew{Host: a.o.Host}
+	c := &quota.Renew{Host: a.o.Host}
 	for _, q := range asks {
 		if q.Number > 0 {
 			c.Asks = append(c.Asks, q)
 		}
 	}
-	res, err := a.o.Shares.Do(ctx, budget.Command{Renew: c})
+	res, err := a.o.Shares.Do(ctx, quota.Command{Renew: c})
 	if err != nil {
 		return err.Error()
 	}
 	var refused []string
-	each(func(i int, p *inspect.Peer) {
-		at := slices.IndexFunc(res.Answers, func(r share.Answer) bool { return r.Name == names[i] && r.Life == asks[i].Life })
+	each(func(i int, p *admin.Peer) {
+		at := slices.IndexFunc(res.Answers, func(r backendquota.Answer) bool { return r.Name == names[i] && r.Life == asks[i].Life })
 		if at < 0 || res.Answers[at].No != "" {
 			return
 		}
@@ -142,7 +142,7 @@
 
 // bury tells the ledger which lives of this host have ended: their processes are looked for here.
 func (a *Agent) bury(ctx context.Context, lives []string, told map[string]bool) {
-	c := &budget.Gone{Host: a.o.Host}
+	c := &quota.Gone{Host: a.o.Host}
 	for _, key := range lives {
 		if _, life, _ := strings.Cut(key, " "); !lifeAlive(life) && !told[key] {
 			c.Lives = append(c.Lives, key)
@@ -151,7 +151,7 @@
 	if len(c.Lives) == 0 {
 		return
 	}
-	if _, err := a.o.Shares.Do(ctx, budget.Command{Gone: c}); err == nil && len(told) < 10_000 {
+	if _, err := a.o.Shares.Do(ctx, quota.Command{Gone: c}); err == nil && len(told) < 10_000 {
 		for _, key := range c.Lives {
 			told[key] = true
 		}
@@ -159,20 +159,20 @@
 }
 
 // LifeOf names this process for the ledger: the run of the machine, the pid and when it started.
-func LifeOf(id proc.Identity) string { return fmt.Sprintf("%s/%s", proc.Boot(), id) }
+func LifeOf(id process.Identity) string { return fmt.Sprintf("%s/%s", process.Boot(), id) }
 
 // lifeAlive tells whether a life goes on, on this machine. One that can't be read is taken to.
 func lifeAlive(life string) bool {
 	boot, name, ok := strings.Cut(life, "/")
-	var id proc.Identity
+	var id process.Identity
 	if n, err := fmt.Sscanf(name, "%d@%d", &id.PID, &id.Start); !ok || err != nil || n != 2 {
 		return true
 	}
-	return boot == proc.Boot() && id.Alive()
+	return boot == process.Boot() && id.Alive()
 }
 
 // unitsHeld brings what the ledger has this host hold into the loop.
-func (a *Agent) unitsHeld(out []budget.Out) {
+func (a *Agent) unitsHeld(out []quota.Out) {
 	var held []fleet.HeldUnit
 	for _, o := range out {
 		held = append(held, fleet.HeldUnit{Name: o.Name, Budget: o.Budget, Turn: o.Turn})
@@ -198,15 +198,15 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*a.o.Bounds.Call)
 	defer cancel()
-	turn := &budget.Take{Budget: s.Unit.Budget, Name: s.Name, Host: a.o.Host, Turn: s.ID}
+	turn := &quota.Take{Budget: s.Unit.Budget, Name: s.Name, Host: a.o.Host, Turn: s.ID}
 	if s.What == fleet.GiveUnit {
 		turn.End = &s.End
-		if _, err := a.o.Shares.Do(ctx, budget.Command{Give: turn}); err == nil {
+		if _, err := a.o.Shares.Do(ctx, quota.Command{Give: turn}); err == nil {
 			a.bring(fleet.UnitGiven{Name: s.Name, Turn: s.ID})
 		}
 		return
 	}
-	if res, err := a.o.Shares.Do(ctx, budget.Command{Take: turn}); err == nil {
+	if res, err := a.o.Shares.Do(ctx, quota.Command{Take: turn}); err == nil {
 		held := fleet.HeldUnit{Name: s.Name, Budget: s.Unit.Budget, Turn: s.ID}
 		a.bring(fleet.UnitTaken{HeldUnit: held, Held: res.No == "", Why: res.No})
 	}
@@ -228,10 +228,10 @@
 	}
 }
 
-var errNothingShared = &control.Refusal{Status: http.StatusUnprocessableEntity, Text: "this fleet's file has no budgets"}
+var errNothingShared = &agentapi.Refusal{Status: http.StatusUnprocessableEntity, Text: "this fleet's file has no budgets"}
 
 // Budgets asks the leader how all stands.
-func (a *Agent) Budgets(ctx context.Context) (b control.Budgets, err error) {
+func (a *Agent) Budgets(ctx context.Context) (b agentapi.Budgets, err error) {
 	if a.o.Shares == nil {
 		return b, errNothingShared
 	}
@@ -239,7 +239,7 @@
 	defer cancel()
 	b.Host, b.Stage = a.o.Host, a.o.Shares.Stage()
 	if b.View, err = a.o.Shares.View(ctx); err != nil {
-		err = &control.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
+		err = &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
 	}
 	return b, err
 }
@@ -251,10 +251,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.o.Bounds.Call)
 	defer cancel()
-	res, err := a.o.Shares.Do(ctx, budget.Command{Off: &budget.Off{Name: name, By: by}})
+	res, err := a.o.Shares.Do(ctx, quota.Command{Off: &quota.Off{Name: name, By: by}})
 	switch {
 	case err != nil:
-		return &control.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
+		return &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
 	case res.No != "":
 		return errors.New(res.No)
 	}
@@ -262,24 +262,24 @@
 }
 
 // Rise begins a rise at the ledger, or says a word about one.
-func (a *Agent) Rise(ctx context.Context, r budget.Rise) error {
+func (a *Agent) Rise(ctx context.Context, r quota.Rise) error {
 	if a.o.Shares == nil {
 		return errNothingShared
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.o.Bounds.Call)
 	defer cancel()
-	res, err := a.o.Shares.Do(ctx, budget.Command{Rise: &r})
+	res, err := a.o.Shares.Do(ctx, quota.Command{Rise: &r})
 	switch {
 	case err != nil:
-		return &control.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
+		return &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
 	case res.No != "":
-		return &control.Refusal{Status: http.StatusConflict, Text: res.No}
+		return &agentapi.Refusal{Status: http.StatusConflict, Text: res.No}
 	}
 	return nil
 }
 
 // Members are the agents that this one thinks are there.
-func (a *Agent) Members() []member.Seen {
+func (a *Agent) Members() []membership.Seen {
 	if a.o.Shares == nil {
 		return nil
 	}
--- a/record/record.go
+++ b/internal/agent/store/record.go
@@ -1,6 +1,6 @@
-// Package record is what an agent writes down: intents before they are acted on, results after, and the history.
+// Package store is what an agent writes down: intents before they are acted on, results after, and the history.
 // It owns the file and its format; what stands in it is decided elsewhere.
-package record
+package store
 
 import (
 	"encoding/binary"
@@ -16,7 +16,7 @@
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"milletbarrow/fleet"
+	"milletbarrow/internal/fleet"
 )
 
 // Entry is a line of history.
--- a/record/record_test.go
+++ b/internal/agent/store/record_test.go
@@ -1,4 +1,4 @@
-package record
+package store
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 	"go.etcd.io/bbolt"
 
-	"milletbarrow/fleet"
+	"milletbarrow/internal/fleet"
 )
 
 func text(s Saved) []string {
--- a/agent/watch.go
+++ b/internal/agent/watch.go
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"milletbarrow/fleet"
-	"milletbarrow/keeper"
-	"milletbarrow/levels"
-	"milletbarrow/proc"
-	"milletbarrow/terms"
+	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/process"
+	"milletbarrow/internal/supervisor"
 )
 
 // watcher looks at one instance.
@@ -48,7 +48,7 @@
 
 // watch waits for what an instance's keeper has to say, and hands it to the loop.
 func (a *Agent) watch(ctx context.Context, w *watcher) {
-	client := keeper.NewClient(a.o.Dir, w.name, a.o.Bounds)
+	client := supervisor.NewClient(a.o.Dir, w.name, a.o.Bounds)
 	defer client.Close()
 	for ctx.Err() == nil {
 		run, news := w.now()
@@ -119,14 +119,14 @@
 // processes. No phase means that it is too early to say; trace is false where no keeper of that life ever wrote.
 func (a *Agent) look(name, run string, misses int) (s fleet.Sight, trace bool) {
 	s.Run = run
-	st, err := keeper.ReadState(keeper.PathsOf(a.o.Dir, name).State)
+	st, err := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, name).State)
 	switch {
 	case err == nil && st.Run == run && st.Ended:
 		s.Phase, s.End, s.Told = fleet.Gone, st.End, st.Told
 		return s, true
 	case misses < patientMisses:
 		return s, true
-	case err != nil && !errors.Is(err, keeper.ErrNoState):
+	case err != nil && !errors.Is(err, supervisor.ErrNoState):
 		s.Phase, s.Cause = fleet.Unknown, err.Error()
 		return s, true
 	case err != nil || st.Run != run:
@@ -181,13 +181,13 @@
 // order hands a notice or a kill to the keeper. Where the keeper does not take it, the instance gets it from here:
 // a keeper that is stopped must not keep its instance from hearing.
 func (a *Agent) order(s fleet.Step) {
-	client := keeper.NewClient(a.o.Dir, s.Name, a.o.Bounds)
+	client := supervisor.NewClient(a.o.Dir, s.Name, a.o.Bounds)
 	defer client.Close()
-	err := client.Order(context.Background(), keeper.Order{Step: s.ID, Run: s.Run, What: s.What, Cause: s.Cause})
+	err := client.Order(context.Background(), supervisor.Order{Step: s.ID, Run: s.Run, What: s.What, Cause: s.Cause})
 	if err == nil {
 		return
 	}
-	st, errState := keeper.ReadState(keeper.PathsOf(a.o.Dir, s.Name).State)
+	st, errState := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, s.Name).State)
 	if errState != nil || st.Run != s.Run || st.Ended {
 		return // it is over, which the watcher tells
 	}
@@ -197,7 +197,7 @@
 	} else {
 		err = st.Instance.Signal(syscall.SIGTERM)
 	}
-	if err != nil && !errors.Is(err, proc.ErrGone) {
+	if err != nil && !errors.Is(err, process.ErrGone) {
 		slog.Error("signal", "name", s.Name, "step", s.ID, "error", err.Error())
 	}
 }
@@ -207,8 +207,8 @@
 
 // launch starts a keeper, unless one has this life already. An error means that trying again would not help.
 func (a *Agent) launch(all *fleet.Spec, s fleet.Step) error {
-	paths := keeper.PathsOf(a.o.Dir, s.Name)
-	if st, err := keeper.ReadState(paths.State); err == nil && st.Run == s.Run && (st.Ended || st.Keeper.Alive()) {
+	paths := supervisor.PathsOf(a.o.Dir, s.Name)
+	if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Run && (st.Ended || st.Keeper.Alive()) {
 		return nil // the same step came twice
 	}
 	spec := all.Find(s.Name)
@@ -253,7 +253,7 @@
 		if code == 0 || code == KeeperHeld {
 			return
 		}
-		if st, err := keeper.ReadState(paths.State); err == nil && st.Run == s.Run {
+		if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Run {
 			return // it began, and what became of it stands there
 		}
 		a.failed(s, fmt.Errorf("the keeper ended with code %s: %s", strconv.Itoa(code), lastLine(logPath)), false)
@@ -269,7 +269,7 @@
 }
 
 // checkLadder tells whether an instance can use its ladder.
-func checkLadder(file string, b *terms.Backend) error {
+func checkLadder(file string, b *config.Backend) error {
 	if file == "" {
 		return nil
 	}
@@ -277,9 +277,9 @@
 	if err != nil {
 		return err
 	}
-	l, err := levels.ReadLadder(file, raw)
+	l, err := degradation.ReadLadder(file, raw)
 	if err == nil {
-		_, err = levels.NewDrawer(l, b.Sheet.Operations, b.Sheet.Tenants, 1)
+		_, err = degradation.NewDrawer(l, b.Sheet.Operations, b.Sheet.Tenants, 1)
 	}
 	return err
 }
@@ -289,7 +289,7 @@
 	var errs []error
 	listens := map[string]string{}
 	for _, in := range s.Of(host) {
-		b, err := terms.Read(in.ConfigFile)
+		b, err := config.Read(in.ConfigFile)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %s: %w", in.Name, in.ConfigFile, err))
 			continue
--- a/control/api.go
+++ b/internal/agentapi/api.go
@@ -1,15 +1,15 @@
-// Package control is how an agent is spoken to: HTTP and JSON with a version in it, over a Unix socket or loopback
+// Package agentapi is how an agent is spoken to: HTTP and JSON with a version in it, over a Unix socket or loopback
 // TCP, and the client that speaks to many agents at once. It carries words; what they do is decided in fleet.
-package control
+package agentapi
 
 import (
 	"context"
 
-	"milletbarrow/fleet"
-	"milletbarrow/inspect"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/member"
-	"milletbarrow/record"
+	"milletbarrow/internal/agent/store"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/cluster/membership"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/fleet"
 )
 
 // Version of the interface; it is the first part of every path. A client of another version is told so by the
@@ -47,25 +47,25 @@
 
 // Instance is one of them.
 type Instance struct {
-	Name     string         `json:"name"`
-	Group    string         `json:"group"`
-	Spare    bool           `json:"spare,omitempty"`
-	Up       bool           `json:"up"` // wanted
-	Phase    fleet.Phase    `json:"phase"`
-	For      int64          `json:"for_us"` // in this phase
-	Cause    string         `json:"cause,omitempty"`
-	Left     int64          `json:"left_us,omitempty"` // until the phase's time limit
-	Settled  bool           `json:"settled"`
-	Task     string         `json:"task,omitempty"`
-	Launches int            `json:"launches"` // by itself, of late
-	PID      int            `json:"pid,omitempty"`
-	Keeper   int            `json:"keeper,omitempty"`
-	State    *inspect.State `json:"state,omitempty"` // its own words, the latest
+	Name     string       `json:"name"`
+	Group    string       `json:"group"`
+	Spare    bool         `json:"spare,omitempty"`
+	Up       bool         `json:"up"` // wanted
+	Phase    fleet.Phase  `json:"phase"`
+	For      int64        `json:"for_us"` // in this phase
+	Cause    string       `json:"cause,omitempty"`
+	Left     int64        `json:"left_us,omitempty"` // until the phase's time limit
+	Settled  bool         `json:"settled"`
+	Task     string       `json:"task,omitempty"`
+	Launches int          `json:"launches"` // by itself, of late
+	PID      int          `json:"pid,omitempty"`
+	Keeper   int          `json:"keeper,omitempty"`
+	State    *admin.State `json:"state,omitempty"` // its own words, the latest
 }
 
 // Line is one of a stream: an entry of history, the command as it stands, or a gap.
 type Line struct {
-	Entry   *record.Entry  `json:"entry,omitempty"`
+	Entry   *store.Entry   `json:"entry,omitempty"`
 	Command *fleet.Command `json:"command,omitempty"` // the last line of a command's stream has it ended
 	Gap     uint64         `json:"gap,omitempty"`     // so many entries are no longer kept
 	Serial  uint64         `json:"serial,omitempty"`  // to join again after; a line with nothing else is a sign of life
@@ -80,20 +80,20 @@
 	Commands() []*fleet.Command
 	// Entries after a serial, at most some hundred, how many before them are lost, and a channel that is
 	// closed once there are more.
-	Entries(after uint64) (entries []record.Entry, lost uint64, more <-chan struct{})
-	History(after uint64, most int) ([]record.Entry, error)
+	Entries(after uint64) (entries []store.Entry, lost uint64, more <-chan struct{})
+	History(after uint64, most int) ([]store.Entry, error)
 	// Budgets asks the ledger's leader, whichever agent that is.
 	Budgets(ctx context.Context) (Budgets, error)
 	// WriteOff is an operator's word that what a name has of budgets is in force no more.
 	WriteOff(ctx context.Context, name, by string) error
 	// Rise begins a rise at the ledger, or says a word about one.
-	Rise(ctx context.Context, r budget.Rise) error
-	Members() []member.Seen
+	Rise(ctx context.Context, r quota.Rise) error
+	Members() []membership.Seen
 }
 
 // Budgets are how the fleet's budgets stand, and how this agent takes part in keeping them.
 type Budgets struct {
-	budget.View
+	quota.View
 	Host  string `json:"host"`
 	Stage string `json:"stage"`
 }
--- a/control/client.go
+++ b/internal/agentapi/client.go
@@ -1,4 +1,4 @@
-package control
+package agentapi
 
 import (
 	"bufio"
@@ -16,12 +16,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"milletbarrow/fleet"
-	"milletbarrow/limit"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/member"
-	"milletbarrow/record"
-	"milletbarrow/talk"
+	"milletbarrow/internal/agent/store"
+	"milletbarrow/internal/cluster/membership"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/jsonhttp"
+	"milletbarrow/internal/limits"
 )
 
 // Unreachable is an agent that gave no answer; that says nothing about its instances.
@@ -35,7 +35,7 @@
 
 // Caller makes calls to agents. Further tries are made here and nowhere else, within one budget for all agents.
 type Caller struct {
-	bounds limit.Control
+	bounds limits.Control
 
 	mu    sync.Mutex
 	share fleet.RetryShare
@@ -43,7 +43,7 @@
 }
 
 // NewCaller makes one; the seed is of the jitter.
-func NewCaller(b limit.Control, seed uint64) *Caller {
+func NewCaller(b limits.Control, seed uint64) *Caller {
 	return &Caller{bounds: b, draw: rand.New(rand.NewPCG(seed, 2))}
 }
 
@@ -56,7 +56,7 @@
 
 // Client for the agent at an address, as CheckAddress has it.
 func (c *Caller) Client(address string) *Client {
-	return &Client{caller: c, address: address, http: talk.Client(address, c.bounds)}
+	return &Client{caller: c, address: address, http: jsonhttp.Client(address, c.bounds)}
 }
 
 // pause before try n, or false if there is none.
@@ -99,8 +99,8 @@
 func (c *Client) once(ctx context.Context, method, path string, body, into any) (again bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*c.caller.bounds.Call)
 	defer cancel()
-	err = talk.Call(ctx, c.http, method, path, body, into, 64*int64(c.caller.bounds.Message))
-	if no, ok := errors.AsType[*talk.Status](err); ok {
+	err = jsonhttp.Call(ctx, c.http, method, path, body, into, 64*int64(c.caller.bounds.Message))
+	if no, ok := errors.AsType[*jsonhttp.Status](err); ok {
 		return no.Code == http.StatusServiceUnavailable, refusal(no.Code, []byte(no.Text))
 	}
 	return err != nil, err
@@ -148,7 +148,7 @@
 }
 
 // History asks for the latest entries after a serial.
-func (c *Client) History(ctx context.Context, after uint64, most int) (all []record.Entry, err error) {
+func (c *Client) History(ctx context.Context, after uint64, most int) (all []store.Entry, err error) {
 	return all, c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/history?after=%d&most=%d", after, most), nil, &all)
 }
 
@@ -219,7 +219,7 @@
 }
 
 // Members asks which agents this one thinks are there.
-func (c *Client) Members(ctx context.Context) (all []member.Seen, err error) {
+func (c *Client) Members(ctx context.Context) (all []membership.Seen, err error) {
 	return all, c.call(ctx, http.MethodGet, "/v1/members", nil, &all)
 }
 
@@ -229,7 +229,7 @@
 }
 
 // Rise begins a rise at the ledger, or says a word about one.
-func (c *Client) Rise(ctx context.Context, r budget.Rise) error {
+func (c *Client) Rise(ctx context.Context, r quota.Rise) error {
 	return c.call(ctx, http.MethodPost, "/v1/rise", r, nil)
 }
 
@@ -237,7 +237,7 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Fan does one thing for each of many agents, some at once, and gathers what came of it, in their order.
-func Fan[K, V any](ctx context.Context, b limit.Control, all []K, do func(context.Context, K) (V, error)) ([]V, []error) {
+func Fan[K, V any](ctx context.Context, b limits.Control, all []K, do func(context.Context, K) (V, error)) ([]V, []error) {
 	values, errs := make([]V, len(all)), make([]error, len(all))
 	var group errgroup.Group
 	group.SetLimit(b.FanOut)
--- a/control/server.go
+++ b/internal/agentapi/server.go
@@ -1,4 +1,4 @@
-package control
+package agentapi
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
-	"milletbarrow/fleet"
-	"milletbarrow/inspect"
-	"milletbarrow/limit"
-	"milletbarrow/manage/budget"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
 )
 
 // Listen opens an agent's address: unix:PATH or a loopback address with a port.
@@ -24,13 +24,13 @@
 		return nil, err
 	}
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
-		return inspect.Listen(path)
+		return admin.Listen(path)
 	}
 	return net.Listen("tcp", address)
 }
 
 // Serve answers on the listener until ctx ends.
-func Serve(ctx context.Context, l net.Listener, m Manager, b limit.Control) error {
+func Serve(ctx context.Context, l net.Listener, m Manager, b limits.Control) error {
 	s := &server{m: m, b: b, streams: make(chan struct{}, b.Streams), over: ctx.Done()}
 	server := &http.Server{
 		Handler: s.handler(), ReadHeaderTimeout: b.Call, ReadTimeout: 2 * b.Call, IdleTimeout: b.Idle,
@@ -38,7 +38,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	if err := server.Serve(limit.Conns(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(limits.Conns(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -46,7 +46,7 @@
 
 type server struct {
 	m       Manager
-	b       limit.Control
+	b       limits.Control
 	streams chan struct{}
 	over    <-chan struct{}
 }
@@ -92,7 +92,7 @@
 		return struct{}{}, s.m.WriteOff(r.Context(), r.PathValue("name"), r.URL.Query().Get("by"))
 	})
 	at("POST /v1/rise", func(r *http.Request) (any, error) {
-		var o budget.Rise
+		var o quota.Rise
 		in := json.NewDecoder(io.LimitReader(r.Body, 4*int64(s.b.Message)))
 		in.DisallowUnknownFields()
 		if err := in.Decode(&o); err != nil {
--- a/inspect/inspect.go
+++ b/internal/backend/admin/inspect.go
@@ -1,6 +1,6 @@
-// Package inspect is the socket on which one instance tells its state and hears a second notice to leave, for the
+// Package admin is the socket on which one instance tells its state and hears a second notice to leave, for the
 // keeper beside it. It is off unless asked for, is a Unix socket, and never touches an invocation.
-package inspect
+package admin
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"os"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/serve/share"
-	"milletbarrow/talk"
+	"milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/jsonhttp"
+	"milletbarrow/internal/limits"
 )
 
 // Version of the interface; it is the first part of every path.
@@ -53,7 +53,7 @@
 
 	Watched map[string]int `json:"watched,omitempty"` // by kind, where watched settings would have decided otherwise
 
-	Shares []share.View `json:"shares,omitempty"` // of fleet-wide budgets
+	Shares []quota.View `json:"shares,omitempty"` // of fleet-wide budgets
 }
 
 // Pin holds a level of reduced service; an empty level lets the signals decide again.
@@ -76,12 +76,12 @@
 	State  func() State
 	Leave  func(ago time.Duration) // each notice
 	Pin    func(Pin) error
-	Ask    func() (share.Ask, bool) // what the instance would have of the fleet's budgets; false without any
-	Answer func(share.Answer) error
+	Ask    func() (quota.Ask, bool) // what the instance would have of the fleet's budgets; false without any
+	Answer func(quota.Answer) error
 }
 
 // Serve answers on the socket at path until ctx ends.
-func Serve(ctx context.Context, path string, b limit.Control, in Instance) error {
+func Serve(ctx context.Context, path string, b limits.Control, in Instance) error {
 	l, err := Listen(path)
 	if err != nil {
 		return err
@@ -120,14 +120,14 @@
 		<-ctx.Done()
 		server.Close()
 	}()
-	if err := server.Serve(limit.Conns(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(limits.Conns(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
 // takes hands what comes at a path on, and answers with what was wrong with it.
-func takes[T any](mux *http.ServeMux, at string, b limit.Control, take func(T) error) {
+func takes[T any](mux *http.ServeMux, at string, b limits.Control, take func(T) error) {
 	mux.HandleFunc(at, func(w http.ResponseWriter, r *http.Request) {
 		var v T
 		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.Message))).Decode(&v)
@@ -166,35 +166,35 @@
 // Peer speaks to an instance's socket.
 type Peer struct {
 	client *http.Client
-	bounds limit.Control
+	bounds limits.Control
 }
 
 // NewPeer is one for the socket at path.
-func NewPeer(path string, b limit.Control) *Peer { return &Peer{talk.Client("unix:"+path, b), b} }
+func NewPeer(path string, b limits.Control) *Peer { return &Peer{jsonhttp.Client("unix:"+path, b), b} }
 
 // State asks for the state.
 func (p *Peer) State(ctx context.Context) (s State, err error) {
-	return s, talk.Call(ctx, p.client, http.MethodGet, "/v1/state", nil, &s, int64(p.bounds.Message))
+	return s, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/state", nil, &s, int64(p.bounds.Message))
 }
 
 // Leave tells the instance to leave, as it was first told so long ago.
 func (p *Peer) Leave(ctx context.Context, ago time.Duration) error {
-	return talk.Call(ctx, p.client, http.MethodPost, "/v1/leave", Notice{Ago: ago.Microseconds()}, nil, 0)
+	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/leave", Notice{Ago: ago.Microseconds()}, nil, 0)
 }
 
 // Pin holds a level.
 func (p *Peer) Pin(ctx context.Context, pin Pin) error {
-	return talk.Call(ctx, p.client, http.MethodPost, "/v1/level", pin, nil, 0)
+	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/level", pin, nil, 0)
 }
 
 // Ask has the instance say what it would have of the fleet's budgets. A lease counts from the moment it says so.
-func (p *Peer) Ask(ctx context.Context) (a share.Ask, err error) {
-	return a, talk.Call(ctx, p.client, http.MethodGet, "/v1/share", nil, &a, int64(p.bounds.Message))
+func (p *Peer) Ask(ctx context.Context) (a quota.Ask, err error) {
+	return a, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/share", nil, &a, int64(p.bounds.Message))
 }
 
 // Answer tells the instance what it has.
-func (p *Peer) Answer(ctx context.Context, a share.Answer) error {
-	return talk.Call(ctx, p.client, http.MethodPost, "/v1/share", a, nil, 0)
+func (p *Peer) Answer(ctx context.Context, a quota.Answer) error {
+	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/share", a, nil, 0)
 }
 
 // Close lets go of kept connections.
--- a/levels/ladder.go
+++ b/internal/backend/degradation/ladder.go
@@ -1,7 +1,7 @@
-// Package levels decides by which named step service is reduced: from measured signals to a level, and from a level
+// Package degradation decides by which named step service is reduced: from measured signals to a level, and from a level
 // to whether one invocation is shed. It does no I/O and holds no clock. Operations and tenants are data of the
 // ladder; nothing here acts on a name of its own.
-package levels
+package degradation
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"milletbarrow/sexp"
+	"milletbarrow/internal/sexpr"
 )
 
 // Micros is a point of time, or a span, in whole microseconds.
@@ -61,7 +61,7 @@
 	Enter, Exit Condition
 	Stay        Micros // at least so long
 	Shed        []Rule
-	place       sexp.Place
+	place       sexpr.Place
 }
 
 // Condition is a list of terms of which all must hold, or any.
@@ -97,14 +97,14 @@
 
 // ReadLadder reads and checks a ladder; file is its name in errors. The error joins all that is wrong.
 func ReadLadder(file string, src []byte) (*Ladder, error) {
-	nodes, err := sexp.Parse(file, src)
+	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
 		return nil, err
 	}
-	errs := &sexp.Errors{File: file}
-	forms := sexp.Forms(nodes, errs)
+	errs := &sexpr.Errors{File: file}
+	forms := sexpr.Forms(nodes, errs)
 	if len(forms) != 1 || forms[0].Name != "ladder" {
-		errs.Add(sexp.Place{Line: 1, Column: 1}, "", "wanted one list that begins with ladder")
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted one list that begins with ladder")
 		return nil, errs.Err()
 	}
 	f := forms[0]
@@ -135,7 +135,7 @@
 	return l, errs.Err()
 }
 
-func readLevel(f *sexp.Form) Level {
+func readLevel(f *sexpr.Form) Level {
 	v := Level{Name: f.Arg(), place: f.Place, Stay: Micros(f.Span("stay", time.Second, hour, time.Minute).Microseconds())}
 	v.Enter, v.Exit = readCondition(f, "enter"), readCondition(f, "exit")
 	for _, s := range f.All("shed") {
@@ -153,7 +153,7 @@
 }
 
 // readCondition reads (enter (any (queue 1.8 2s) (late 0.1 2s))), or with all, or with one term alone.
-func readCondition(f *sexp.Form, name string) (c Condition) {
+func readCondition(f *sexpr.Form, name string) (c Condition) {
 	cf := f.Field(name)
 	if cf == nil {
 		f.Fail("", "%s: missing", name)
@@ -204,7 +204,7 @@
 }
 
 // check tells of a ladder that can't work.
-func (l *Ladder) check(f *sexp.Form, errs *sexp.Errors) {
+func (l *Ladder) check(f *sexpr.Form, errs *sexpr.Errors) {
 	seen := map[string]bool{"full": true}
 	for i, v := range l.Levels {
 		fail := func(what string, args ...any) { errs.Add(v.place, "ladder.level "+v.Name, what, args...) }
--- a/levels/levels_test.go
+++ b/internal/backend/degradation/levels_test.go
@@ -1,4 +1,4 @@
-package levels
+package degradation
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
 )
 
 const second Micros = 1_000_000
@@ -36,7 +36,7 @@
 
 // TestLadders: what a ladder says in words, and what is refused with which words.
 func TestLadders(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	tr.Say("%s", ladder(t, bills).Explain())
 	for _, text := range []string{
 		"(ladder x)", "(steps x)", "(ladder x (level a))",
@@ -56,7 +56,7 @@
 
 // TestMoves: what a mover does in each kind of trouble.
 func TestMoves(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	story := func(what string, run func(step func(until Micros, s Signals), m **Mover)) {
 		tr.Say("%s", what)
 		m, now := NewMover(ladder(t, bills)), Micros(0)
--- a/levels/mover.go
+++ b/internal/backend/degradation/mover.go
@@ -1,4 +1,4 @@
-package levels
+package degradation
 
 import (
 	"fmt"
--- a/gate/beat.go
+++ b/internal/backend/dispatch/beat.go
@@ -1,4 +1,4 @@
-package gate
+package dispatch
 
 import "time"
 
--- a/gate/gate.go
+++ b/internal/backend/dispatch/gate.go
@@ -1,6 +1,6 @@
-// Package gate is the blocking face of the decision module: pick, report, tick. It holds the one lock, the
+// Package dispatch is the blocking face of the decision module: pick, report, tick. It holds the one lock, the
 // one clock and all that is known of the invocations in hand; it decides nothing and does no I/O.
-package gate
+package dispatch
 
 import (
 	"fmt"
@@ -9,16 +9,16 @@
 	"sync"
 	"time"
 
-	"milletbarrow/admit"
-	"milletbarrow/kept"
-	"milletbarrow/levels"
-	"milletbarrow/limit"
-	"milletbarrow/proc"
-	"milletbarrow/terms"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/internal/backend/idempotency"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 // Micros is a point of Unix time, or a span, in whole microseconds.
-type Micros = admit.Micros
+type Micros = admission.Micros
 
 // Now is the one clock.
 func Now() Micros { return base + Micros(time.Since(began).Microseconds()) }
@@ -80,21 +80,21 @@
 	CallerLeft
 )
 
-var outcomes = [...]admit.Outcome{
-	RunSucceeded: admit.OK, RunErrored: admit.Errored, RunCancelled: admit.Canceled, NeverRan: admit.Void,
-	Unrunnable: admit.Unrunnable,
+var outcomes = [...]admission.Outcome{
+	RunSucceeded: admission.OK, RunErrored: admission.Errored, RunCancelled: admission.Canceled, NeverRan: admission.Void,
+	Unrunnable: admission.Unrunnable,
 }
 
 // Ticket stands for an invocation that Pick lets run.
 type Ticket struct {
 	id       string
 	due      Micros
-	want     Micros    // past it an answer is late
-	words    chan Word // at most Run and one final word
-	shed     Micros    // a level sheds it
-	drew     int       // the budget that a unit was drawn of for it, or -1
-	key      kept.Key  // by which its repeats are known; without a token there are none
-	earlier  string    // the one that it repeats
+	want     Micros          // past it an answer is late
+	words    chan Word       // at most Run and one final word
+	shed     Micros          // a level sheds it
+	drew     int             // the budget that a unit was drawn of for it, or -1
+	key      idempotency.Key // by which its repeats are known; without a token there are none
+	earlier  string          // the one that it repeats
 	running  bool
 	answered bool // the final word is out, or none is owed
 }
@@ -104,14 +104,14 @@
 
 // Gate serves one backend. Its methods may be called from any goroutine.
 type Gate struct {
-	sheet  *terms.Sheet
+	sheet  *config.Sheet
 	seed   uint64
-	bounds limit.Bounds
+	bounds limits.Bounds
 
 	mu      sync.Mutex
-	backend *admit.Backend // nil until Open
+	backend *admission.Backend // nil until Open
 	hand    map[string]*Ticket
-	acts    []admit.Action
+	acts    []admission.Action
 	wake    Micros
 	token   int64
 	good    bool   // as health checks are to be answered
@@ -125,14 +125,14 @@
 	ticked  Micros        // the last tick, or the opening
 	tick    chan struct{} // closed at the next tick; nil while nobody waits for it
 	counts  Counts
-	reduced *reduction  // nil without a ladder
-	shares  *shares     // nil without fleet-wide budgets
-	watched *watched    // nil without settings to be watched
-	kept    *kept.Table // nil where no operation is tokened
-	ripe    []string    // repeats of what has ended, to be answered
-	ripens  bool        // somebody does so
-	cold    bool        // the farm was, at the opening
-	opened  Micros      // as the module has it
+	reduced *reduction         // nil without a ladder
+	shares  *shares            // nil without fleet-wide budgets
+	watched *watched           // nil without settings to be watched
+	kept    *idempotency.Table // nil where no operation is tokened
+	ripe    []string           // repeats of what has ended, to be answered
+	ripens  bool               // somebody does so
+	cold    bool               // the farm was, at the opening
+	opened  Micros             // as the module has it
 }
 
 // Counts are what has passed since the start.
@@ -152,11 +152,11 @@
 }
 
 // New makes a gate that throttles everything until Open.
-func New(sheet *terms.Sheet, seed uint64, bounds limit.Bounds) *Gate {
+func New(sheet *config.Sheet, seed uint64, bounds limits.Bounds) *Gate {
 	g := &Gate{sheet: sheet, seed: seed, bounds: bounds, hand: map[string]*Ticket{}}
 	for _, op := range sheet.Terms.Operations {
-		if op.Repeat == admit.Tokened && g.kept == nil {
-			g.kept = kept.New(bounds.Kept, bounds.Result)
+		if op.Repeat == admission.Tokened && g.kept == nil {
+			g.kept = idempotency.New(bounds.Kept, bounds.Result)
 		}
 	}
 	return g
@@ -173,16 +173,16 @@
 	}
 	g.cold = cold
 	t := g.terms(g.sheet)
-	g.backend = admit.New(t, g.seed)
+	g.backend = admission.New(t, g.seed)
 	g.ticked = Now()
 	if !cold {
 		ago = 0
 	} else if g.reduced != nil {
-		g.reduced.meter.Warms(levels.Micros(proc.Now()) + levels.Micros(max(0, t.ColdFor-ago)))
+		g.reduced.meter.Warms(degradation.Micros(process.Now()) + degradation.Micros(max(0, t.ColdFor-ago)))
 	}
 	g.opened = Now() - min(ago, t.ColdFor)
 	g.openWatch()
-	g.decide(g.opened, admit.Opened{})
+	g.decide(g.opened, admission.Opened{})
 	if g.drained { // the farm came up during the drain
 		g.notice(Now())
 	}
@@ -190,7 +190,7 @@
 
 // terms are settings as the module is told them: as cold as the farm was, and with a grace that is shorter, as a
 // notice may be heard late.
-func (g *Gate) terms(sheet *terms.Sheet) admit.Terms {
+func (g *Gate) terms(sheet *config.Sheet) admission.Terms {
 	t := sheet.Terms
 	t.JustStarted = g.cold
 	t.KeyKB = 0 // what is remembered lies in this process's memory, where its table is bounded; the settings' is the farm's
@@ -276,7 +276,7 @@
 		g.counts.UsedUp++
 	}
 	t.shed = g.shedFor(&inv, t)
-	fault := g.decide(now, admit.Arrived{
+	fault := g.decide(now, admission.Arrived{
 		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Rank: inv.Rank, Retry: inv.Retry,
 		Hint: inv.Work, Waited: max(0, now-inv.At),
 		Budget: max(1, t.due-now), // a wait that is used up is due at once; 0 would mean that none was told
@@ -296,14 +296,14 @@
 	if end == CallerLeft {
 		if !t.answered {
 			g.answer(t, Word{Verdict: Left})
-			g.decide(Now(), admit.CallerGone{ID: t.id})
+			g.decide(Now(), admission.CallerGone{ID: t.id})
 		}
 		return false
 	}
 	if owed = !t.answered; owed && end == RunSucceeded {
-		g.reduced.count(levels.Answers)
+		g.reduced.count(degradation.Answers)
 		if Now() > t.want {
-			g.reduced.count(levels.Tardy)
+			g.reduced.count(degradation.Tardy)
 		}
 	}
 	t.answered = true
@@ -312,7 +312,7 @@
 	}
 	delete(g.hand, t.id)
 	g.ended(t, end, result)
-	g.decide(Now(), admit.Finished{ID: t.id, Outcome: outcomes[end]})
+	g.decide(Now(), admission.Finished{ID: t.id, Outcome: outcomes[end]})
 	return owed
 }
 
@@ -360,7 +360,7 @@
 		if !t.answered && now > t.due+g.sheet.Terms.AnswerSlack*2/3 {
 			slog.Error("overdue", "id", t.id, "late_us", now-t.due, "running", t.running)
 			g.answer(t, Word{Verdict: Errored})
-			g.decide(now, admit.CallerGone{ID: t.id})
+			g.decide(now, admission.CallerGone{ID: t.id})
 		}
 	}
 }
@@ -386,7 +386,7 @@
 // notice tells the module, which counts its grace from now on.
 func (g *Gate) notice(now Micros) {
 	g.module = now + g.terms(g.sheet).DrainGrace
-	g.decide(now, admit.DrainNotice{Left: g.stops - now})
+	g.decide(now, admission.DrainNotice{Left: g.stops - now})
 }
 
 // Good tells how health checks are to be answered.
@@ -423,7 +423,7 @@
 	case Throttled:
 		g.counts.Throttled++
 		if t.shed == 0 {
-			g.reduced.count(levels.TurnedAway)
+			g.reduced.count(degradation.TurnedAway)
 		}
 	case Errored:
 		g.counts.Errored++
@@ -431,9 +431,9 @@
 		g.counts.Left++
 	case Repeated:
 		g.counts.Repeated++
-		g.reduced.count(levels.Answers)
+		g.reduced.count(degradation.Answers)
 		if Now() > t.want {
-			g.reduced.count(levels.Tardy)
+			g.reduced.count(degradation.Tardy)
 		}
 	}
 	if !t.running {
@@ -443,7 +443,7 @@
 
 // decide hands the module what happened and carries out what it wants. A panic in it is logged and returned;
 // whatever was in hand stays there and is answered when it falls due.
-func (g *Gate) decide(now Micros, ev admit.Event) (err error) {
+func (g *Gate) decide(now Micros, ev admission.Event) (err error) {
 	if g.backend == nil {
 		return nil
 	}
@@ -463,39 +463,39 @@
 	return nil
 }
 
-func (g *Gate) carryOut(act admit.Action) {
+func (g *Gate) carryOut(act admission.Action) {
 	switch a := act.(type) {
-	case admit.Start:
+	case admission.Start:
 		if t := g.hand[a.ID]; t != nil && !t.running && !t.answered {
 			t.running = true
 			g.counts.Run++
 			t.words <- Word{Verdict: Run}
 		}
-	case admit.Throttle:
+	case admission.Throttle:
 		if t := g.hand[a.ID]; t != nil {
 			g.answer(t, Word{Verdict: Throttled, Away: a.RetryIn, DontRetry: a.DontRetry})
 		}
-	case admit.Fail:
+	case admission.Fail:
 		if t := g.hand[a.ID]; t != nil {
 			g.answer(t, Word{Verdict: Errored})
 		}
-	case admit.Remember:
+	case admission.Remember:
 		g.remember(a)
-	case admit.Forget:
+	case admission.Forget:
 		g.ripe = append(g.ripe, g.kept.Forget(a.ID)...)
-	case admit.Reuse:
+	case admission.Reuse:
 		g.reuse(a.ID)
-	case admit.SetHealth:
+	case admission.SetHealth:
 		if g.good != a.Good {
 			g.good = a.Good
 			slog.Info("health", "good", a.Good)
 		}
-	case admit.CloseIdle:
+	case admission.CloseIdle:
 		g.idle = a.After
 		slog.Info("idle", "after_us", a.After)
-	case admit.Wake:
+	case admission.Wake:
 		g.wake, g.token = a.At, a.Token
-	case admit.Log:
+	case admission.Log:
 		slog.Info("module", "text", a.Text)
 	default: // nothing here can do it; terms refuses the deployments that would need it
 		slog.Error("fault", "in", fmt.Sprintf("%T", act), "text", "no way to carry it out")
--- a/gate/gate_test.go
+++ b/internal/backend/dispatch/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package dispatch
 
 import (
 	"encoding/json"
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/standin"
-	"milletbarrow/terms"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 func open(t *testing.T) *Gate {
-	var sheet terms.Sheet
-	if err := json.Unmarshal([]byte(standin.Settings), &sheet); err != nil {
+	var sheet config.Sheet
+	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
 		t.Fatal(err)
 	}
-	g := New(&sheet, 1, limit.For(1, 192, 1024))
+	g := New(&sheet, 1, limits.For(1, 192, 1024))
 	g.Open(false, 0)
 	return g
 }
@@ -32,14 +32,14 @@
 	return Invocation{ID: id, Rank: 0.5, KB: 20, Work: 20_000, At: Now(), Wait: 4_000_000}
 }
 
-func say(tr *standin.Trace, what string, w Word, ticket *Ticket, g *Gate) {
+func say(tr *fakes.Trace, what string, w Word, ticket *Ticket, g *Gate) {
 	tr.Say("%s: verdict %d away %t don't retry %t ticket %t, in hand %d", what, w.Verdict, w.Away > 0, w.DontRetry,
 		ticket != nil, inHand(g))
 }
 
 // TestVerdicts walks through what can become of one invocation.
 func TestVerdicts(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	g := open(t)
 	w, ticket := g.Pick(usual("a"))
 	say(tr, "idle cores", w, ticket, g)
@@ -71,7 +71,7 @@
 	g.Report(ticket, RunErrored, nil)
 
 	n := 0
-	standin.Until(t, "the queue is beyond the threshold", func() bool {
+	fakes.Until(t, "the queue is beyond the threshold", func() bool {
 		g.Tick([]float64{1, 20, 0.1, 1})
 		n++
 		inv := usual(fmt.Sprint("f", n))
@@ -88,7 +88,7 @@
 
 // TestGraceBroughtForward: a notice heard late, or a second one, ends the grace when it was to end by the first.
 func TestGraceBroughtForward(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	g := open(t)
 	g.Drain(5_000_000, 300_000)
 	w, ticket := g.Pick(usual("within the grace"))
@@ -97,7 +97,7 @@
 	g.Drain(4_000_000, 0)
 	w, ticket = g.Pick(usual("after it"))
 	say(tr, "brought forward", w, ticket, g)
-	standin.Until(t, "the module's own grace is over", func() bool { return Now() > g.module })
+	fakes.Until(t, "the module's own grace is over", func() bool { return Now() > g.module })
 	inv := usual("read late")
 	inv.At = g.module - 20_000 // it arrived when that was not over
 	w, ticket = g.Pick(inv)
@@ -127,29 +127,29 @@
 
 // TestNoticeBeforeTheFarm: a farm that comes up during the drain does not open the gate to what comes after the grace.
 func TestNoticeBeforeTheFarm(t *testing.T) {
-	tr := standin.NewTrace(t)
-	var sheet terms.Sheet
-	if err := json.Unmarshal([]byte(standin.Settings), &sheet); err != nil {
+	tr := fakes.NewTrace(t)
+	var sheet config.Sheet
+	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
 		t.Fatal(err)
 	}
-	g := New(&sheet, 1, limit.For(1, 192, 1024))
+	g := New(&sheet, 1, limits.For(1, 192, 1024))
 	g.Drain(600_000, 100_000)
 	begun := Now()
 	g.Open(false, 0)
 	w, ticket := g.Pick(usual("a"))
 	say(tr, "within the grace", w, ticket, g)
 	g.Report(ticket, RunSucceeded, nil)
-	standin.Until(t, "the grace is over", func() bool { return Now() > begun+100_000 })
+	fakes.Until(t, "the grace is over", func() bool { return Now() > begun+100_000 })
 	w, ticket = g.Pick(usual("b"))
 	say(tr, "after it", w, ticket, g)
-	standin.Until(t, "the module's own grace is over", func() bool { return Now() > begun+400_000 })
+	fakes.Until(t, "the module's own grace is over", func() bool { return Now() > begun+400_000 })
 	w, ticket = g.Pick(usual("c"))
 	say(tr, "after that", w, ticket, g)
 }
 
 // TestUsedUpAndLeft: nothing is kept for callers that have gone or never waited.
 func TestUsedUpAndLeft(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	g := open(t)
 	g.Tick([]float64{1, 2.4, 0.1, 1}) // no room for a start; the queue is not yet long
 	inv := usual("a")
@@ -179,8 +179,8 @@
 
 // TestShut: before the farm is there nothing can run, and the backend is not good.
 func TestShut(t *testing.T) {
-	tr := standin.NewTrace(t)
-	shut := New(&terms.Sheet{}, 1, limit.For(1, 192, 1024))
+	tr := fakes.NewTrace(t)
+	shut := New(&config.Sheet{}, 1, limits.For(1, 192, 1024))
 	w, ticket := shut.Pick(usual("a"))
 	say(tr, "not open", w, ticket, shut)
 	tr.Say("good %t, next tick %t", shut.Good(), shut.Tick(nil) > 0)
@@ -194,7 +194,7 @@
 
 // TestBeatWithoutSamples: the timer never hangs on the farm; what is due is answered though no sample comes.
 func TestBeatWithoutSamples(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	g := open(t)
 	done, over := make(chan struct{}), make(chan struct{})
 	asked := 0
@@ -202,16 +202,16 @@
 	inv := usual("a")
 	inv.Wait = 300_000
 	_, ticket := g.Pick(inv)
-	w := standin.Take(t, "the final word", ticket.Final())
+	w := fakes.Take(t, "the final word", ticket.Final())
 	tr.Say("verdict %d, in time %t", w.Verdict, Now() < inv.At+inv.Wait+g.sheet.Terms.AnswerSlack)
 	close(done)
-	standin.Take(t, "the end of the beat", over)
+	fakes.Take(t, "the end of the beat", over)
 	tr.Say("asked %t", asked > 0)
 }
 
 // TestCatchUp: after a hold-up, arrivals are decided by the gauges of the next tick, or without if none comes.
 func TestCatchUp(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	g := open(t)
 	waits := func() bool {
 		g.mu.Lock()
@@ -224,14 +224,14 @@
 		g.mu.Unlock()
 		words := make(chan Word, 1)
 		go func() { w, _ := g.Pick(usual(id)); words <- w }()
-		standin.Until(t, "the arrival waits", waits)
+		fakes.Until(t, "the arrival waits", waits)
 		return words
 	}
 	words := heldUp("a")
 	tr.Say("in hand before the tick %d", inHand(g))
 	g.Tick([]float64{0.1, 0, 0, 0})
-	tr.Say("after it: verdict %d, in hand %d", standin.Take(t, "a word", words).Verdict, inHand(g))
-	tr.Say("no tick comes: verdict %d", standin.Take(t, "a word", heldUp("b")).Verdict)
+	tr.Say("after it: verdict %d, in hand %d", fakes.Take(t, "a word", words).Verdict, inHand(g))
+	tr.Say("no tick comes: verdict %d", fakes.Take(t, "a word", heldUp("b")).Verdict)
 }
 
 // TestClock: the gate's time goes by the machine's own clock. One that is set would hold the ticks, or make all that is in
--- a/gate/reduce.go
+++ b/internal/backend/dispatch/reduce.go
@@ -1,39 +1,39 @@
-package gate
+package dispatch
 
 import (
 	"fmt"
 	"log/slog"
 	"time"
 
-	"milletbarrow/admit"
-	"milletbarrow/levels"
-	"milletbarrow/proc"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/internal/process"
 )
 
 // reduction is what levels of reduced service add to a gate; nil without a ladder. The gate's lock guards it.
 type reduction struct {
-	ladder *levels.Ladder
-	mover  *levels.Mover
-	drawer *levels.Drawer
-	meter  *levels.Meter
-	last   []levels.Change // the latest, oldest first
-	shed   int             // invocations, since the start
-	at     levels.Micros   // of the latest signals
-	raw    levels.Signals
+	ladder *degradation.Ladder
+	mover  *degradation.Mover
+	drawer *degradation.Drawer
+	meter  *degradation.Meter
+	last   []degradation.Change // the latest, oldest first
+	shed   int                  // invocations, since the start
+	at     degradation.Micros   // of the latest signals
+	raw    degradation.Signals
 }
 
 // mostChanges are kept for who inspects.
 const mostChanges = 16
 
 // Reduce has the gate follow a ladder from now on. An error names what of it this deployment does not have.
-func (g *Gate) Reduce(l *levels.Ladder) error {
-	drawer, err := levels.NewDrawer(l, g.sheet.Operations, g.sheet.Tenants, g.seed)
+func (g *Gate) Reduce(l *degradation.Ladder) error {
+	drawer, err := degradation.NewDrawer(l, g.sheet.Operations, g.sheet.Tenants, g.seed)
 	if err != nil {
 		return err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := &reduction{ladder: l, mover: levels.NewMover(l), drawer: drawer, meter: levels.NewMeter(g.sheet.Terms.Cores)}
+	r := &reduction{ladder: l, mover: degradation.NewMover(l), drawer: drawer, meter: degradation.NewMeter(g.sheet.Terms.Cores)}
 	if g.reduced != nil { // another ladder: the level in force goes on
 		r.mover, r.meter, r.last, r.shed = g.reduced.mover.Reload(l), g.reduced.meter, g.reduced.last, g.reduced.shed
 	}
@@ -42,17 +42,17 @@
 }
 
 // shedFor is above 0 if a level sheds an invocation that comes now: what advice is to be at the least, as admit has it.
-func (g *Gate) shedFor(inv *Invocation, t *Ticket) admit.Micros {
+func (g *Gate) shedFor(inv *Invocation, t *Ticket) admission.Micros {
 	r := g.reduced
 	if r == nil {
 		return 0
 	}
-	now := levels.Micros(proc.Now())
+	now := degradation.Micros(process.Now())
 	level := r.mover.Level()
-	if t.earlier != "" || !r.drawer.Sheds(level, r.mover.Depth(now), inv.Operation, inv.Tenant, inv.Rank, levels.Micros(inv.Work)) {
-		r.meter.Add(now, levels.Arrivals)
+	if t.earlier != "" || !r.drawer.Sheds(level, r.mover.Depth(now), inv.Operation, inv.Tenant, inv.Rank, degradation.Micros(inv.Work)) {
+		r.meter.Add(now, degradation.Arrivals)
 		if inv.Retry {
-			r.meter.Add(now, levels.Marked)
+			r.meter.Add(now, degradation.Marked)
 		}
 		return 0
 	}
@@ -61,19 +61,19 @@
 }
 
 // count has the meter count something of an invocation that was not shed.
-func (r *reduction) count(c levels.Count) {
+func (r *reduction) count(c degradation.Count) {
 	if r != nil {
-		r.meter.Add(levels.Micros(proc.Now()), c)
+		r.meter.Add(degradation.Micros(process.Now()), c)
 	}
 }
 
 // step moves along the ladder with each tick.
-func (g *Gate) step(reading admit.Reading) {
+func (g *Gate) step(reading admission.Reading) {
 	r := g.reduced
 	if r == nil {
 		return
 	}
-	now := levels.Micros(proc.Now()) // setting the wall clock must not move a level
+	now := degradation.Micros(process.Now()) // setting the wall clock must not move a level
 	if g.drained {
 		r.meter.Drains()
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-func (g *Gate) changed(c levels.Change) {
+func (g *Gate) changed(c degradation.Change) {
 	r := g.reduced
 	if r.last = append(r.last, c); len(r.last) > mostChanges {
 		r.last = r.last[1:]
@@ -109,8 +109,8 @@
 	Depth   float64
 	Shed    int
 	Changes []string // the latest, oldest first
-	At      levels.Micros
-	Signals levels.Signals // as they were measured
+	At      degradation.Micros
+	Signals degradation.Signals // as they were measured
 }
 
 // Reduction tells how service is reduced; ok is false without a ladder.
@@ -123,7 +123,7 @@
 	}
 	n := r.mover.Level()
 	d = Reduction{
-		Ladder: r.ladder.Name, Level: r.ladder.LevelName(n), Number: n, Depth: r.mover.Depth(levels.Micros(proc.Now())), Shed: r.shed, At: r.at, Signals: r.raw,
+		Ladder: r.ladder.Name, Level: r.ladder.LevelName(n), Number: n, Depth: r.mover.Depth(degradation.Micros(process.Now())), Shed: r.shed, At: r.at, Signals: r.raw,
 	}
 	for _, c := range r.last {
 		d.Changes = append(d.Changes, fmt.Sprintf("%d: %v", c.At, c))
@@ -141,8 +141,8 @@
 	}
 	for n := range len(r.ladder.Levels) + 1 {
 		if r.ladder.LevelName(n) == name {
-			now := levels.Micros(proc.Now())
-			return r.mover.Pin(now, n, now+levels.Micros(span.Microseconds()), by, above)
+			now := degradation.Micros(process.Now())
+			return r.mover.Pin(now, n, now+degradation.Micros(span.Microseconds()), by, above)
 		}
 	}
 	return fmt.Errorf("level: %q is none of ladder %s", name, r.ladder.Name)
--- a/gate/reduce_test.go
+++ b/internal/backend/dispatch/reduce_test.go
@@ -1,16 +1,16 @@
-package gate
+package dispatch
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"milletbarrow/levels"
-	"milletbarrow/standin"
+	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/internal/fakes"
 )
 
-func ladder(t *testing.T, text string) *levels.Ladder {
-	l, err := levels.ReadLadder("l", []byte(text))
+func ladder(t *testing.T, text string) *degradation.Ladder {
+	l, err := degradation.ReadLadder("l", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,7 +20,7 @@
 // TestReduced: a level sheds what its rules name, on arrival and with advice, and nothing else; a person may hold it,
 // and what a deployment does not have is refused.
 func TestReduced(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	g := open(t)
 	tr.Say("%v", g.Reduce(ladder(t, `(ladder l (level a (shed (operations nothing)) (enter (queue 5)) (exit (queue 4))))`)))
 	_, ok := g.Reduction()
@@ -46,7 +46,7 @@
 	tr.Say("level %s, %d changes", r.Level, len(r.Changes))
 	g.Tick(quiet) // the gate itself is open again; the level stays
 	g.Tick(quiet)
-	standin.Until(t, "the gate's queue has drained", func() bool {
+	fakes.Until(t, "the gate's queue has drained", func() bool {
 		g.Tick(quiet)
 		inv := usual(fmt.Sprint("p", Now()))
 		inv.Operation, inv.Left = 1, gone
--- a/gate/repeat.go
+++ b/internal/backend/dispatch/repeat.go
@@ -1,17 +1,17 @@
-package gate
+package dispatch
 
 import (
-	"milletbarrow/admit"
-	"milletbarrow/kept"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/idempotency"
 )
 
 // name notes by what the repeats of a tokened invocation are known, and which one it repeats itself. The gate's lock is held.
 func (g *Gate) name(inv Invocation, t *Ticket) (tokened bool) {
 	ops := g.sheet.Terms.Operations
-	if inv.Operation >= len(ops) || ops[inv.Operation].Repeat != admit.Tokened {
+	if inv.Operation >= len(ops) || ops[inv.Operation].Repeat != admission.Tokened {
 		return false
 	}
-	t.key = kept.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.Token}
+	t.key = idempotency.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.Token}
 	t.earlier = g.kept.Find(t.key, min(inv.At, Now())) // later, if the wall clock was set back
 	return true
 }
@@ -33,7 +33,7 @@
 }
 
 // remember keeps an invocation for as long as the module asks, and a little longer: whoever judges may read another clock.
-func (g *Gate) remember(a admit.Remember) {
+func (g *Gate) remember(a admission.Remember) {
 	if t := g.hand[a.ID]; t != nil {
 		g.kept.Remember(a.ID, t.key, Now()+a.For+g.sheet.Terms.AnswerSlack)
 	}
@@ -71,15 +71,15 @@
 		if t == nil || t.answered {
 			continue
 		}
-		word, outcome := Word{Verdict: Errored}, admit.Errored
+		word, outcome := Word{Verdict: Errored}, admission.Errored
 		switch result, ok, ran := g.kept.Result(t.earlier); {
 		case ok:
-			word, outcome = Word{Verdict: Repeated, Result: result}, admit.OK
+			word, outcome = Word{Verdict: Repeated, Result: result}, admission.OK
 		case !ran:
 			word = Word{Verdict: Throttled, Away: Micros(g.bounds.ComeBack.Microseconds())}
 		}
 		g.answer(t, word)
-		g.decide(Now(), admit.Finished{ID: t.id, Outcome: outcome})
+		g.decide(Now(), admission.Finished{ID: t.id, Outcome: outcome})
 	}
 	g.ripe = nil
 }
