--- a/gate/repeat_test.go
+++ b/internal/backend/dispatch/repeat_test.go
@@ -1,23 +1,23 @@
-package gate
+package dispatch
 
 import (
 	"encoding/json"
 	"strings"
 	"testing"
 
-	"milletbarrow/limit"
-	"milletbarrow/standin"
-	"milletbarrow/terms"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 // openTokened has the second operation known by its tokens, for as long as window.
-func openTokened(t *testing.T, window string, bounds func(*limit.Bounds)) *Gate {
-	var sheet terms.Sheet
-	text := strings.NewReplacer(`"at_most_once"`, `"deduplicated","window_ms":`+window, `"run_factor"`, `"key_kb":20,"run_factor"`).Replace(standin.Settings)
+func openTokened(t *testing.T, window string, bounds func(*limits.Bounds)) *Gate {
+	var sheet config.Sheet
+	text := strings.NewReplacer(`"at_most_once"`, `"deduplicated","window_ms":`+window, `"run_factor"`, `"key_kb":20,"run_factor"`).Replace(fakes.Settings)
 	if err := json.Unmarshal([]byte(text), &sheet); err != nil {
 		t.Fatal(err)
 	}
-	b := limit.For(1, 192, 1024)
+	b := limits.For(1, 192, 1024)
 	if bounds != nil {
 		bounds(&b)
 	}
@@ -36,13 +36,13 @@
 func repeat(t *testing.T, g *Gate, inv Invocation) <-chan Word {
 	word, n := make(chan Word, 1), inHand(g)
 	go func() { w, _ := g.Pick(inv); word <- w }()
-	standin.Until(t, "it waits", func() bool { return inHand(g) == n+1 || len(word) > 0 })
+	fakes.Until(t, "it waits", func() bool { return inHand(g) == n+1 || len(word) > 0 })
 	return word
 }
 
 // TestRepeats walks through what can become of the repeats of one piece of work.
 func TestRepeats(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	g := openTokened(t, "5000", nil)
 	told := func(what string, w Word, ticket *Ticket) {
 		tr.Say("%s: verdict %d, result %q, ticket %t, in hand %d", what, w.Verdict, w.Result, ticket != nil, inHand(g))
@@ -60,7 +60,7 @@
 	g.Report(stranger, RunSucceeded, []byte("the stranger's"))
 	g.Report(first, CallerLeft, nil)
 	tr.Say("its run ends, its caller has left: owed %t", g.Report(first, RunSucceeded, []byte("r")))
-	told("the repeat that waited", standin.Take(t, "its word", waits), nil)
+	told("the repeat that waited", fakes.Take(t, "its word", waits), nil)
 	w, none := g.Pick(tokened("e", "x"))
 	told("a repeat after the end", w, none)
 	w, none = g.Pick(tokened("f", "y"))
@@ -76,7 +76,7 @@
 	_, first = g.Pick(tokened("i", "v"))
 	waits = repeat(t, g, tokened("j", "v"))
 	g.Report(first, NeverRan, nil)
-	told("a repeat of what never ran", standin.Take(t, "its word", waits), nil)
+	told("a repeat of what never ran", fakes.Take(t, "its word", waits), nil)
 	w, first = g.Pick(tokened("k", "v"))
 	told("and the next", w, first)
 	g.Report(first, RunSucceeded, []byte("v"))
@@ -85,7 +85,7 @@
 	soon := tokened("m", "u")
 	soon.At -= 3_800_000 // due in 200 ms
 	waits = repeat(t, g, soon)
-	standin.Until(t, "it is due", func() bool { g.Tick([]float64{0.5, 1, 0, 0}); return len(waits) > 0 })
+	fakes.Until(t, "it is due", func() bool { g.Tick([]float64{0.5, 1, 0, 0}); return len(waits) > 0 })
 	told("a repeat that is due before the end", <-waits, nil)
 	g.Report(first, RunSucceeded, []byte("u"))
 	c, _ := g.Counts()
@@ -97,7 +97,7 @@
 	g := openTokened(t, "5000", nil)
 	reads := func(gauges ...float64) { // the module reads them now and then
 		since := Now()
-		standin.Until(t, "it reads them", func() bool { g.Tick(gauges); return Now() > since+50_000 })
+		fakes.Until(t, "it reads them", func() bool { g.Tick(gauges); return Now() > since+50_000 })
 	}
 	reads(0.5, 3, 0.1, 1) // no core is free
 	left := make(chan struct{})
@@ -109,10 +109,10 @@
 		t.Fatal("they do not wait")
 	}
 	close(left)
-	if w := standin.Take(t, "the first's word", first); w.Verdict != Left {
+	if w := fakes.Take(t, "the first's word", first); w.Verdict != Left {
 		t.Errorf("the first: %+v", w)
 	}
-	if w := standin.Take(t, "the repeat's word", waits); w.Verdict != Throttled || w.Away <= 0 {
+	if w := fakes.Take(t, "the repeat's word", waits); w.Verdict != Throttled || w.Away <= 0 {
 		t.Errorf("the repeat: %+v", w)
 	}
 	reads(0.1, 0, 0.1, 1)
@@ -127,7 +127,7 @@
 	_, first := g.Pick(tokened("a", "x"))
 	g.Report(first, RunSucceeded, []byte("r"))
 	at := Now()
-	standin.Until(t, "the window is over", func() bool { return Now() > at+120_000 })
+	fakes.Until(t, "the window is over", func() bool { return Now() > at+120_000 })
 	g.Tick([]float64{0, 0, 0, 0})
 	read := tokened("b", "x")
 	read.At = at
@@ -145,21 +145,21 @@
 	if w, _ := g.Pick(ahead); w.Verdict != Repeated || string(w.Result) != "q" {
 		t.Errorf("its repeat: %+v", w)
 	}
-	standin.Until(t, "the window is over again", func() bool { return Now() > at+240_000 })
+	fakes.Until(t, "the window is over again", func() bool { return Now() > at+240_000 })
 	w, again = g.Pick(tokened("c", "x"))
 	if again == nil {
 		t.Fatalf("after the window: %+v", w)
 	}
 	waits := repeat(t, g, tokened("d", "x"))
 	g.Report(again, RunSucceeded, []byte("s"))
-	if w := standin.Take(t, "the repeat's word", waits); w.Verdict != Repeated || string(w.Result) != "s" {
+	if w := fakes.Take(t, "the repeat's word", waits); w.Verdict != Repeated || string(w.Result) != "s" {
 		t.Errorf("beside it: %+v", w)
 	}
 }
 
 // TestRepeatsFull: what cannot be remembered is not run, with when to come back; what is remembered is answered all the same.
 func TestRepeatsFull(t *testing.T) {
-	g := openTokened(t, "5000", func(b *limit.Bounds) { b.Kept = 3 << 10; b.Result = 1 << 10 })
+	g := openTokened(t, "5000", func(b *limits.Bounds) { b.Kept = 3 << 10; b.Result = 1 << 10 })
 	_, first := g.Pick(tokened("a", "x"))
 	w, none := g.Pick(tokened("b", "y"))
 	if w.Verdict != Throttled || w.Away <= 0 || none != nil {
--- a/gate/share.go
+++ b/internal/backend/dispatch/share.go
@@ -1,29 +1,29 @@
-package gate
+package dispatch
 
 import (
 	"fmt"
 
-	"milletbarrow/admit"
-	"milletbarrow/serve/share"
-	"milletbarrow/serve/stamps"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/backend/quotalog"
 )
 
 // shares are what fleet-wide budgets add to a gate; nil where there are none. The gate's lock guards them.
 type shares struct {
-	holder  *share.Holder
-	clock   func() share.Micros // the holder's own
+	holder  *quota.Holder
+	clock   func() quota.Micros // the holder's own
 	machine func() int64        // the machine's, for stamps
 	tenants []int               // by tenant: the budget that it draws from, or -1
-	stamps  *stamps.Stamps      // nil where nobody audits
+	stamps  *quotalog.Stamps    // nil where nobody audits
 }
 
 // Sharing is what a gate draws from.
 type Sharing struct {
-	Holder  *share.Holder
+	Holder  *quota.Holder
 	Tenants map[string]string   // by tenant: its budget
-	Clock   func() share.Micros // the machine's own, sleep counted; leases are judged by it
+	Clock   func() quota.Micros // the machine's own, sleep counted; leases are judged by it
 	Machine func() int64
-	Stamps  *stamps.Stamps // for an auditor; may be nil
+	Stamps  *quotalog.Stamps // for an auditor; may be nil
 }
 
 // Share has the gate draw tenants' work from budgets, from now on. An error names a tenant that this deployment lacks.
@@ -47,16 +47,16 @@
 }
 
 // draw takes a unit of the tenant's budget for work that comes now. What a level sheds takes none, nor does a repeat.
-func (g *Gate) draw(inv *Invocation, t *Ticket) admit.Share {
+func (g *Gate) draw(inv *Invocation, t *Ticket) admission.Share {
 	s := g.shares
 	if s == nil || t.shed > 0 || t.earlier != "" || inv.Tenant < 0 || inv.Tenant >= len(s.tenants) || s.tenants[inv.Tenant] < 0 {
-		return admit.NotTold
+		return admission.NotTold
 	}
 	if s.holder.Draw(s.clock(), s.tenants[inv.Tenant]) {
 		t.drew = s.tenants[inv.Tenant]
-		return admit.Within
+		return admission.Within
 	}
-	return admit.Beyond
+	return admission.Beyond
 }
 
 // giveBack lets others of its tenant have the unit that was drawn for work that never ran.
@@ -68,7 +68,7 @@
 }
 
 // AskShare makes a question for the ledger; ok is false where there are no budgets.
-func (g *Gate) AskShare() (a share.Ask, ok bool) {
+func (g *Gate) AskShare() (a quota.Ask, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.shares == nil {
@@ -78,7 +78,7 @@
 }
 
 // AnswerShare takes in what the ledger grants.
-func (g *Gate) AnswerShare(a share.Answer) error {
+func (g *Gate) AnswerShare(a quota.Answer) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.shares
@@ -94,7 +94,7 @@
 }
 
 // have stamps what is held, if anybody reads that.
-func (s *shares) have(at int64, now share.Micros) error {
+func (s *shares) have(at int64, now quota.Micros) error {
 	if s.stamps == nil {
 		return nil
 	}
@@ -115,7 +115,7 @@
 }
 
 // Shares are the budgets as they are held; nil where there are none.
-func (g *Gate) Shares() []share.View {
+func (g *Gate) Shares() []quota.View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.shares == nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *shares) stampDrawn(now share.Micros) {
+func (s *shares) stampDrawn(now quota.Micros) {
 	if s.stamps != nil {
 		s.stamps.Drew(s.machine(), s.holder.Views(now))
 	}
--- a/gate/share_test.go
+++ b/internal/backend/dispatch/share_test.go
@@ -1,23 +1,23 @@
-package gate
+package dispatch
 
 import (
 	"fmt"
 	"testing"
 
-	"milletbarrow/serve/share"
-	"milletbarrow/standin"
+	"milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/fakes"
 )
 
 // drawing is a gate whose first tenant has four units, and no more: its clock stands.
 func drawing(t *testing.T, g *Gate) *Gate {
-	h := share.New("n", "1", []string{"b"})
-	now := share.Micros(1)
+	h := quota.New("n", "1", []string{"b"})
+	now := quota.Micros(1)
 	a := h.Ask(now)
-	if err := h.Answer(now, share.Answer{Name: "n", Life: "1", Number: a.Number, Parts: []share.Part{{Budget: "b", Epoch: 1, Floor: 4, Lease: 1}}}); err != nil {
+	if err := h.Answer(now, quota.Answer{Name: "n", Life: "1", Number: a.Number, Parts: []quota.Part{{Budget: "b", Epoch: 1, Floor: 4, Lease: 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	now += 2_000_000
-	if err := g.Share(Sharing{Holder: h, Tenants: map[string]string{g.sheet.Tenants[0]: "b"}, Clock: func() share.Micros { return now }}); err != nil {
+	if err := g.Share(Sharing{Holder: h, Tenants: map[string]string{g.sheet.Tenants[0]: "b"}, Clock: func() quota.Micros { return now }}); err != nil {
 		t.Fatal(err)
 	}
 	return g
@@ -56,5 +56,5 @@
 		t.Errorf("a repeat that waits: %d drawn", v.Drawn)
 	}
 	g.Report(first, RunSucceeded, nil)
-	standin.Take(t, "its word", waits)
+	fakes.Take(t, "its word", waits)
 }
--- a/gate/watch.go
+++ b/internal/backend/dispatch/watch.go
@@ -1,20 +1,20 @@
-package gate
+package dispatch
 
 import (
-	"milletbarrow/admit"
-	"milletbarrow/terms"
-	"milletbarrow/watch"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/shadow"
+	"milletbarrow/internal/config"
 )
 
 // watched is what settings that are not acted on add to a gate. The gate's lock guards it.
 type watched struct {
-	sheet   *terms.Sheet
-	watcher *watch.Watcher // nil until the gate is open
+	sheet   *config.Sheet
+	watcher *shadow.Watcher // nil until the gate is open
 }
 
 // Watch counts from now on where other settings would have decided otherwise; nil ends it. Nothing that they decide
 // leaves the gate. What is in hand now is not compared.
-func (g *Gate) Watch(sheet *terms.Sheet) {
+func (g *Gate) Watch(sheet *config.Sheet) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.watched = nil
@@ -30,19 +30,19 @@
 // openWatch opens the second instance as the first was opened: one that is still cold is so for both.
 func (g *Gate) openWatch() {
 	if w := g.watched; w != nil {
-		w.watcher = watch.New(g.terms(w.sheet), g.seed, g.opened)
+		w.watcher = shadow.New(g.terms(w.sheet), g.seed, g.opened)
 	}
 }
 
 // saw tells the second instance of what the first has just decided.
-func (g *Gate) saw(now Micros, ev admit.Event) {
+func (g *Gate) saw(now Micros, ev admission.Event) {
 	if g.watched != nil && g.watched.watcher != nil {
 		g.watched.watcher.Saw(now, ev, g.acts)
 	}
 }
 
 // Watched has the counts of what is watched; ok is false where nothing is.
-func (g *Gate) Watched() (c watch.Counts, ok bool) {
+func (g *Gate) Watched() (c shadow.Counts, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.watched == nil || g.watched.watcher == nil {
--- a/farm/farm_test.go
+++ b/internal/backend/executor/farm_test.go
@@ -1,4 +1,4 @@
-package farm
+package executor
 
 import (
 	"context"
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"milletbarrow/gate"
-	"milletbarrow/limit"
-	"milletbarrow/odd"
-	"milletbarrow/standin"
+	"milletbarrow/internal/backend/dispatch"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/ratelimitlog"
 )
 
 func TestLines(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, line := range []string{
 		"greeting chilly 120", "greeting hot 3600000", "greeting warm 1", "greeting hot", "greeting hot -1", "greeting hot 1 2",
 		"outcome 7 9b1f03aa5c7e2d41 complete 18.5 4096", "outcome 8 9b1f03aa5c7e2d41 error 3 0",
@@ -43,31 +43,31 @@
 }
 
 // keep holds a link to the farm until the test ends.
-func keep(t *testing.T, a *standin.Farm) *Link {
+func keep(t *testing.T, a *fakes.Farm) *Link {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := New(a.Address, limit.For(1, 192, 1024), odd.New(time.Hour), func(bool, gate.Micros) {})
+	l := New(a.Address, limits.For(1, 192, 1024), ratelimitlog.New(time.Hour), func(bool, dispatch.Micros) {})
 	over := make(chan struct{})
 	go func() { l.Keep(ctx); close(over) }()
-	t.Cleanup(func() { cancel(); standin.Take(t, "the link's end", over) })
+	t.Cleanup(func() { cancel(); fakes.Take(t, "the link's end", over) })
 	return l
 }
 
 // story runs what the farm does with one run and prints how it ended.
-func story(tr *standin.Trace, l *Link, a *standin.Farm, id, what string, do func()) {
+func story(tr *fakes.Trace, l *Link, a *fakes.Farm, id, what string, do func()) {
 	run := l.Launch(id, "look", []byte("body"))
-	standin.Take(tr, "a launch", a.Launches)
+	fakes.Take(tr, "a launch", a.Launches)
 	do()
-	end := standin.Take(tr, "the end of "+what, run.Done())
+	end := fakes.Take(tr, "the end of "+what, run.Done())
 	tr.Say("%s: end %d, %d bytes %.12q, runs left %d", what, end.End, len(end.Result), end.Result, l.count())
 }
 
 func TestRuns(t *testing.T) {
-	tr := standin.NewTrace(t)
-	a := standin.NewFarm(t)
+	tr := fakes.NewTrace(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
 	id := func(n int) string { return fmt.Sprintf("%016x", n) }
-	standin.Take(t, "the first link", a.Subscribes)
-	standin.Until(t, "the link is up", l.Up)
+	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Until(t, "the link is up", l.Up)
 	story(tr, l, a, id(1), "complete", func() { a.End(id(1), "complete", "result\r\n") })
 	story(tr, l, a, id(2), "empty result", func() { a.End(id(2), "complete", "") })
 	story(tr, l, a, id(3), "largest result", func() { a.End(id(3), "complete", strings.Repeat("r", 4096)) })
@@ -91,40 +91,40 @@
 // TestLinkLost: what the farm ended while there was no link is heard on the next one, once, and what it
 // never heard of is started there.
 func TestLinkLost(t *testing.T) {
-	tr := standin.NewTrace(t)
-	a := standin.NewFarm(t)
+	tr := fakes.NewTrace(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	tr.Say("subscribe %d", standin.Take(t, "the first link", a.Subscribes))
-	standin.Until(t, "the link is up", l.Up)
+	tr.Say("subscribe %d", fakes.Take(t, "the first link", a.Subscribes))
+	fakes.Until(t, "the link is up", l.Up)
 	one, two := l.Launch("00000000000000a1", "look", nil), l.Launch("00000000000000a2", "look", nil)
-	standin.Take(t, "a launch", a.Launches)
-	standin.Take(t, "a launch", a.Launches)
+	fakes.Take(t, "a launch", a.Launches)
+	fakes.Take(t, "a launch", a.Launches)
 	a.End("00000000000000a1", "complete", "first")
-	tr.Say("%q", standin.Take(t, "the first end", one.Done()).Result)
+	tr.Say("%q", fakes.Take(t, "the first end", one.Done()).Result)
 	a.Cut()
 	a.End("00000000000000a2", "complete", "second")
-	tr.Say("%q", standin.Take(t, "the second end", two.Done()).Result)
-	tr.Say("subscribe %d", standin.Take(t, "the second link", a.Subscribes))
+	tr.Say("%q", fakes.Take(t, "the second end", two.Done()).Result)
+	tr.Say("subscribe %d", fakes.Take(t, "the second link", a.Subscribes))
 
 	a.With(func(state, _ *string) { *state = "" })
 	a.Cut()
 	tr.Say("up while the cut is short: %t", l.Up())
-	standin.Until(t, "the loss is long", func() bool { return !l.Up() })
+	fakes.Until(t, "the loss is long", func() bool { return !l.Up() })
 	three := l.Launch("00000000000000a3", "look", nil)
-	tr.Say("subscribe %d, the farm is not up", standin.Take(t, "the third link", a.Subscribes))
+	tr.Say("subscribe %d, the farm is not up", fakes.Take(t, "the third link", a.Subscribes))
 	a.With(func(state, _ *string) { *state = "hot 1" })
-	tr.Say("launched once it is: %+v", standin.Take(t, "the launch kept for the link", a.Launches))
+	tr.Say("launched once it is: %+v", fakes.Take(t, "the launch kept for the link", a.Launches))
 	a.End("00000000000000a3", "complete", "third")
-	tr.Say("%q, runs left %d", standin.Take(t, "the third end", three.Done()).Result, l.count())
+	tr.Say("%q, runs left %d", fakes.Take(t, "the third end", three.Done()).Result, l.count())
 }
 
 // TestGarble: links broken within a notice or a result, with commands unread, or before the greeting; notices that
 // come twice under one number, with remarks in between. Each run ends once, with its own result.
 func TestGarble(t *testing.T) {
-	tr := standin.NewTrace(t)
-	a := standin.NewFarm(t)
+	tr := fakes.NewTrace(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	standin.Until(t, "the link is up", l.Up)
+	fakes.Until(t, "the link is up", l.Up)
 	id := func(n int) string { return fmt.Sprintf("00000000000000c%d", n) }
 	story(tr, l, a, id(1), "cut within its notice", func() {
 		a.Send("outcome 1 " + id(1) + " comp")
@@ -137,7 +137,7 @@
 		a.End(id(2), "complete", "second")
 	})
 	other := l.Launch(id(9), "look", nil)
-	standin.Take(t, "a launch", a.Launches)
+	fakes.Take(t, "a launch", a.Launches)
 	story(tr, l, a, id(3), "twice, with remarks", func() {
 		a.End(id(3), "complete", "third")
 		a.Notice("aside %d between\r\n")
@@ -146,7 +146,7 @@
 	story(tr, l, a, id(4), "its launch unread", func() {
 		a.Forget(id(4))
 		a.Cut()
-		tr.Say("launched again: %v", standin.Take(t, "a launch", a.Launches))
+		tr.Say("launched again: %v", fakes.Take(t, "a launch", a.Launches))
 		a.End(id(4), "complete", "fourth")
 	})
 	story(tr, l, a, id(5), "cut again before the greeting", func() {
@@ -156,56 +156,56 @@
 		a.With(func(state, _ *string) { *state = "" })
 		for range 3 {
 			a.Cut()
-			tr.Say("subscribe %d", standin.Take(t, "a link", a.Subscribes))
+			tr.Say("subscribe %d", fakes.Take(t, "a link", a.Subscribes))
 		}
 		a.End(id(5), "complete", "fifth")
 		a.With(func(state, _ *string) { *state = "hot 1" })
 	})
 	a.End(id(9), "complete", "its own")
-	tr.Say("the other: %q, launches left %d", standin.Take(t, "its end", other.Done()).Result, len(a.Launches))
+	tr.Say("the other: %q, launches left %d", fakes.Take(t, "its end", other.Done()).Result, len(a.Launches))
 }
 
 // TestUnreadable: what cannot be read costs the link, and the run that it would have ended, no other; it must
 // not come again with each new link.
 func TestUnreadable(t *testing.T) {
-	tr := standin.NewTrace(t)
-	a := standin.NewFarm(t)
+	tr := fakes.NewTrace(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	standin.Take(t, "the first link", a.Subscribes)
-	standin.Until(t, "the link is up", l.Up)
+	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Until(t, "the link is up", l.Up)
 	other := l.Launch("00000000000000b0", "look", nil)
-	standin.Take(t, "a launch", a.Launches)
+	fakes.Take(t, "a launch", a.Launches)
 	for n, text := range []string{
 		"garbage\r\n", "outcome %d 00000000000000b%x melted 3 0\r\n\r\n", "outcome %d 00000000000000b%x complete 3 2\r\nabXX",
 		strings.Repeat("x", 3000), "sampled t1 x\r\n", "greeting hot 1\n",
 	} {
 		id := fmt.Sprintf("00000000000000b%x", n+1)
 		run := l.Launch(id, "look", nil)
-		standin.Take(t, "a launch", a.Launches)
+		fakes.Take(t, "a launch", a.Launches)
 		if strings.HasPrefix(text, "outcome") {
 			a.Notice(strings.Replace(text, "%x", fmt.Sprintf("%x", n+1), 1))
 		} else {
 			a.Send(text)
 		}
-		tr.Say("%.50q: subscribe %d", text, standin.Take(t, "a new link", a.Subscribes))
-		standin.Until(t, "the link is up", l.Up)
+		tr.Say("%.50q: subscribe %d", text, fakes.Take(t, "a new link", a.Subscribes))
+		fakes.Until(t, "the link is up", l.Up)
 		if !strings.HasPrefix(text, "outcome") {
 			a.End(id, "complete", "")
 		}
-		tr.Say("  end %d", standin.Take(t, "the run's end", run.Done()).End)
+		tr.Say("  end %d", fakes.Take(t, "the run's end", run.Done()).End)
 	}
 	a.End("00000000000000b0", "complete", "unharmed")
-	tr.Say("the other: %q, runs left %d", standin.Take(t, "its end", other.Done()).Result, l.count())
+	tr.Say("the other: %q, runs left %d", fakes.Take(t, "its end", other.Done()).Result, l.count())
 }
 
 // TestSamples: a sample that does not come is asked for again after a while, and one that comes later still is
 // not taken for the newer; asking never blocks.
 func TestSamples(t *testing.T) {
-	tr := standin.NewTrace(t)
-	a := standin.NewFarm(t)
+	tr := fakes.NewTrace(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	standin.Until(t, "the link is up", l.Up)
-	standin.Take(t, "the first sample", l.Sampled())
+	fakes.Until(t, "the link is up", l.Up)
+	fakes.Take(t, "the first sample", l.Sampled())
 	a.With(func(_, gauges *string) { *gauges = "" })
 	asked := 0
 	for range 1000 {
@@ -214,39 +214,39 @@
 		}
 	}
 	tr.Say("asked %d times while the answer is to come", asked)
-	standin.Until(t, "it asks again", l.Sample)
-	standin.Until(t, "both have been read", func() bool { return a.Samples() == 3 })
+	fakes.Until(t, "it asks again", l.Sample)
+	fakes.Until(t, "both have been read", func() bool { return a.Samples() == 3 })
 	a.Send("sampled t2 0.1 1 0 0\r\nsampled t3 0.1 2 0 0\r\n")
-	tr.Say("%v", standin.Take(t, "a sample", l.Sampled()))
+	tr.Say("%v", fakes.Take(t, "a sample", l.Sampled()))
 	a.With(func(_, gauges *string) { *gauges = "0.5 7 0.1 1" })
 	a.Cut()
-	tr.Say("of the next link: %v", standin.Take(t, "a sample", l.Sampled()))
+	tr.Say("of the next link: %v", fakes.Take(t, "a sample", l.Sampled()))
 }
 
 // TestMoveWithoutGreeting: while the farm at the new address has not greeted, the link in use takes launches; where that
 // ends first the new one stands in for it, and a move back and forth leaves one link.
 func TestMoveWithoutGreeting(t *testing.T) {
-	tr := standin.NewTrace(t)
-	a := standin.NewFarm(t)
+	tr := fakes.NewTrace(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	standin.Take(t, "the first link", a.Subscribes)
-	standin.Until(t, "the link is up", l.Up)
-	standin.Take(t, "a sample", l.Sampled())
+	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Until(t, "the link is up", l.Up)
+	fakes.Take(t, "a sample", l.Sampled())
 	move := func() (cut func()) {
 		cut = a.Move()
 		l.Move(a.Address)
-		standin.Take(t, "a new link", a.Subscribes)
+		fakes.Take(t, "a new link", a.Subscribes)
 		return cut
 	}
 	greet := func(state string) { a.With(func(now, _ *string) { *now = state }) }
 	greet("")
 	move()
 	one := l.Launch("00000000000000d1", "look", nil)
-	tr.Say("before the greeting: %v", standin.Take(t, "a launch on the link in use", a.Launches))
+	tr.Say("before the greeting: %v", fakes.Take(t, "a launch on the link in use", a.Launches))
 	greet("hot 1")
-	standin.Take(t, "the new link is level", l.Sampled())
+	fakes.Take(t, "the new link is level", l.Sampled())
 	a.End("00000000000000d1", "complete", "first")
-	tr.Say("%q, launched again %d times", standin.Take(t, "its end", one.Done()).Result, len(a.Launches))
+	tr.Say("%q, launched again %d times", fakes.Take(t, "its end", one.Done()).Result, len(a.Launches))
 
 	greet("")
 	move()
@@ -254,36 +254,36 @@
 	cut()
 	two := l.Launch("00000000000000d2", "look", nil)
 	greet("hot 1")
-	tr.Say("two moves: %v", standin.Take(t, "a launch", a.Launches))
+	tr.Say("two moves: %v", fakes.Take(t, "a launch", a.Launches))
 	a.End("00000000000000d2", "complete", "second")
-	tr.Say("%q", standin.Take(t, "its end", two.Done()).Result)
-	standin.Take(t, "a sample", l.Sampled())
+	tr.Say("%q", fakes.Take(t, "its end", two.Done()).Result)
+	fakes.Take(t, "a sample", l.Sampled())
 
 	greet("")
 	cut = move()
 	cut() // the link in use, before the new one is greeted
 	three := l.Launch("00000000000000d3", "look", nil)
 	greet("hot 1")
-	tr.Say("the link in use ends first: %v", standin.Take(t, "a launch", a.Launches))
+	tr.Say("the link in use ends first: %v", fakes.Take(t, "a launch", a.Launches))
 	a.End("00000000000000d3", "complete", "third")
-	tr.Say("%q, runs left %d", standin.Take(t, "its end", three.Done()).Result, l.count())
+	tr.Say("%q, runs left %d", fakes.Take(t, "its end", three.Done()).Result, l.count())
 }
 
 // TestSilentLink: a level link that stays open and brings nothing is tried anew; runs go on.
 func TestSilentLink(t *testing.T) {
-	a := standin.NewFarm(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	standin.Take(t, "the first link", a.Subscribes)
-	standin.Until(t, "the link is up", l.Up)
-	standin.Take(t, "a sample", l.Sampled())
+	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Until(t, "the link is up", l.Up)
+	fakes.Take(t, "a sample", l.Sampled())
 	run := l.Launch("00000000000000e1", "look", nil)
-	standin.Take(t, "a launch", a.Launches)
+	fakes.Take(t, "a launch", a.Launches)
 	a.With(func(state, gauges *string) { *gauges = "" })
-	standin.Until(t, "a link beside it", func() bool { l.Sample(); return len(a.Subscribes) == 1 })
+	fakes.Until(t, "a link beside it", func() bool { l.Sample(); return len(a.Subscribes) == 1 })
 	a.With(func(_, gauges *string) { *gauges = "0.1 0 0 0" })
-	standin.Until(t, "the new one is level", func() bool { l.Sample(); return len(l.Sampled()) > 0 })
+	fakes.Until(t, "the new one is level", func() bool { l.Sample(); return len(l.Sampled()) > 0 })
 	a.End("00000000000000e1", "complete", "r")
-	if end := standin.Take(t, "its end", run.Done()); string(end.Result) != "r" || len(a.Launches) != 0 {
+	if end := fakes.Take(t, "its end", run.Done()); string(end.Result) != "r" || len(a.Launches) != 0 {
 		t.Errorf("%+v, launched again %d times", end, len(a.Launches))
 	}
 }
@@ -294,10 +294,10 @@
 	for what, beside := range map[string]bool{"beside": true, "alone": false} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			a := standin.NewFarm(t)
+			a := fakes.NewFarm(t)
 			l := keep(t, a)
-			standin.Take(t, "the first link", a.Subscribes)
-			standin.Take(t, "a sample", l.Sampled())
+			fakes.Take(t, "the first link", a.Subscribes)
+			fakes.Take(t, "a sample", l.Sampled())
 			a.With(func(state, _ *string) { *state = "" })
 			if beside {
 				a.Move()
@@ -305,14 +305,14 @@
 			} else {
 				a.Cut()
 			}
-			standin.Take(t, "a link that is not greeted", a.Subscribes)
+			fakes.Take(t, "a link that is not greeted", a.Subscribes)
 			run := l.Launch("00000000000000e2", "look", nil)
-			standin.Until(t, "another", func() bool { l.Sample(); return len(a.Subscribes) > 0 })
+			fakes.Until(t, "another", func() bool { l.Sample(); return len(a.Subscribes) > 0 })
 			<-a.Subscribes
 			a.With(func(state, _ *string) { *state = "hot 1" })
-			standin.Take(t, "a launch", a.Launches)
+			fakes.Take(t, "a launch", a.Launches)
 			a.End("00000000000000e2", "complete", "r")
-			if end := standin.Take(t, "its end", run.Done()); string(end.Result) != "r" || len(a.Launches) != 0 {
+			if end := fakes.Take(t, "its end", run.Done()); string(end.Result) != "r" || len(a.Launches) != 0 {
 				t.Errorf("%+v, launched again %d times", end, len(a.Launches))
 			}
 		})
@@ -321,10 +321,10 @@
 
 // TestLateSamples: a farm that answers each sample too late to count is slow, not silent: its link stays.
 func TestLateSamples(t *testing.T) {
-	a := standin.NewFarm(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	standin.Take(t, "the first link", a.Subscribes)
-	standin.Take(t, "a sample", l.Sampled())
+	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Take(t, "a sample", l.Sampled())
 	a.With(func(_, gauges *string) { *gauges = "" })
 	for began := time.Now(); time.Since(began) < l.bounds.LinkSilent*3/2; time.Sleep(20 * time.Millisecond) {
 		l.Sample()
@@ -337,22 +337,22 @@
 
 // TestMoveToNobody: nobody listens at the new address. Runs go on over the link in use, and a move back leaves one link.
 func TestMoveToNobody(t *testing.T) {
-	a := standin.NewFarm(t)
+	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	standin.Take(t, "the first link", a.Subscribes)
-	standin.Take(t, "a sample", l.Sampled())
+	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Take(t, "a sample", l.Sampled())
 	l.Move("127.0.0.1:1")
 	for k, id := range []string{"00000000000000f1", "00000000000000f2"} {
 		run := l.Launch(id, "look", nil)
-		standin.Take(t, "a launch", a.Launches)
+		fakes.Take(t, "a launch", a.Launches)
 		a.End(id, "complete", id)
-		if end := standin.Take(t, "its end", run.Done()); string(end.Result) != id || !l.Up() {
+		if end := fakes.Take(t, "its end", run.Done()); string(end.Result) != id || !l.Up() {
 			t.Errorf("%+v, up %t", end, l.Up())
 		}
 		if k == 0 {
 			l.Move(a.Address)
-			standin.Take(t, "a link beside it", a.Subscribes)
-			standin.Take(t, "a sample of it", l.Sampled())
+			fakes.Take(t, "a link beside it", a.Subscribes)
+			fakes.Take(t, "a sample of it", l.Sampled())
 		}
 	}
 }
--- a/farm/lines.go
+++ b/internal/backend/executor/lines.go
@@ -1,4 +1,4 @@
-package farm
+package executor
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"math"
 	"strconv"
 
-	"milletbarrow/gate"
+	"milletbarrow/internal/backend/dispatch"
 )
 
 // kind is the first word of a line from the farm.
@@ -28,16 +28,16 @@
 	id      []byte // of an outcome or a refusal
 	command []byte // of a refusal
 	cold    bool   // of a greeting
-	micros  gate.Micros
-	end     gate.End
+	micros  dispatch.Micros
+	end     dispatch.End
 	length  int // of the result that follows an outcome
 	tag     []byte
 	gauges  []float64
 }
 
-var ends = map[string]gate.End{
-	"complete": gate.RunSucceeded, "error": gate.RunErrored,
-	"cancelled": gate.RunCancelled, "unknown": gate.NeverRan,
+var ends = map[string]dispatch.End{
+	"complete": dispatch.RunSucceeded, "error": dispatch.RunErrored,
+	"cancelled": dispatch.RunCancelled, "unknown": dispatch.NeverRan,
 }
 
 var errWords = errors.New("too few words, or too many")
@@ -123,12 +123,12 @@
 	return word, rest
 }
 
-func micros(word []byte) (gate.Micros, error) {
+func micros(word []byte) (dispatch.Micros, error) {
 	ms, err := strconv.ParseFloat(string(word), 64)
 	if err != nil || !(ms >= 0 && ms < 1e12) {
 		return 0, fmt.Errorf("not a time: %.20q", word)
 	}
-	return gate.Micros(math.Round(ms * 1000)), nil
+	return dispatch.Micros(math.Round(ms * 1000)), nil
 }
 
 func appendSubscribe(to []byte, last uint64) []byte {
--- a/farm/link.go
+++ b/internal/backend/executor/link.go
@@ -1,6 +1,6 @@
-// Package farm is the link to the farm: its lines (lines.go) and the one connection that
+// Package executor is the link to the farm: its lines (lines.go) and the one connection that
 // carries them, made anew whenever it is lost, with the runs in hand kept by id.
-package farm
+package executor
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"milletbarrow/gate"
-	"milletbarrow/limit"
-	"milletbarrow/odd"
+	"milletbarrow/internal/backend/dispatch"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/ratelimitlog"
 )
 
 // Run is one run on the farm.
@@ -26,7 +26,7 @@
 
 // Outcome is how a run ended, with its result.
 type Outcome struct {
-	End    gate.End
+	End    dispatch.End
 	Result []byte
 }
 
@@ -35,9 +35,9 @@
 
 // Link is the one link to the farm. Its methods never block.
 type Link struct {
-	bounds  limit.Bounds
-	odd     *odd.Tally
-	greeted func(cold bool, ago gate.Micros)
+	bounds  limits.Bounds
+	odd     *ratelimitlog.Tally
+	greeted func(cold bool, ago dispatch.Micros)
 	sampled chan []float64
 	moved   chan struct{} // the address is another one
 
@@ -62,7 +62,7 @@
 
 // New makes a link; greeted is called at each greeting.
 func New(
-	address string, bounds limit.Bounds, tally *odd.Tally, greeted func(cold bool, ago gate.Micros),
+	address string, bounds limits.Bounds, tally *ratelimitlog.Tally, greeted func(cold bool, ago dispatch.Micros),
 ) *Link {
 	l := &Link{
 		address: address, bounds: bounds, odd: tally, greeted: greeted,
@@ -372,7 +372,7 @@
 		case refusal:
 			l.odd.Note("farm_refusal", fmt.Errorf("%.20q %.20q", n.command, id))
 			if string(n.command) == "launch" {
-				l.over(id, Outcome{End: gate.Unrunnable})
+				l.over(id, Outcome{End: dispatch.Unrunnable})
 			}
 		case aside:
 			l.mu.Lock()
@@ -390,7 +390,7 @@
 				from += n.length
 			} else { // more than an answer may hold: it cannot be passed on unchanged
 				l.odd.Note("farm_result", fmt.Errorf("%.20q: %d bytes", id, n.length))
-				end.End = gate.RunErrored
+				end.End = dispatch.RunErrored
 				rest := n.length - (to - from)
 				if from = min(from+n.length, to); rest > 0 {
 					if _, err := io.CopyN(io.Discard, conn, int64(rest)); err != nil {
@@ -458,7 +458,7 @@
 	l.last = max(l.last, n.number)
 	l.mu.Unlock()
 	if news {
-		l.over(string(n.id), Outcome{End: gate.RunErrored})
+		l.over(string(n.id), Outcome{End: dispatch.RunErrored})
 	}
 }
 
--- a/frame/client.go
+++ b/internal/backend/frame/client.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strconv"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // This file is the caller's side, for load over sockets: what an edge node writes, and reads.
@@ -14,9 +14,9 @@
 type Ask struct {
 	Operation, ID, Tenant string
 	At                    int64 // Unix time, milliseconds
-	Wait                  admit.Micros
+	Wait                  admission.Micros
 	Retry                 bool
-	Work                  admit.Micros
+	Work                  admission.Micros
 	KB, Rank              float64
 	Body                  []byte
 }
@@ -31,7 +31,7 @@
 		to[count]++
 	}
 	var digits [32]byte
-	millis := func(us admit.Micros) []byte { return strconv.AppendFloat(digits[:0], float64(us)/1000, 'f', 3, 64) }
+	millis := func(us admission.Micros) []byte { return strconv.AppendFloat(digits[:0], float64(us)/1000, 'f', 3, 64) }
 	field("class", []byte(a.Operation))
 	field("id", []byte(a.ID))
 	field("at", strconv.AppendInt(digits[:0], a.At, 10))
@@ -53,9 +53,9 @@
 // Answer is what a backend wrote of one invocation.
 type Answer struct {
 	Code  Code
-	After admit.Micros // stay away from this backend for so long
-	Last  bool         // try no other either
-	Body  []byte       // a slice of what was read
+	After admission.Micros // stay away from this backend for so long
+	Last  bool             // try no other either
+	Body  []byte           // a slice of what was read
 }
 
 // ReadAnswer reads the payload of an answer's frame.
@@ -71,7 +71,7 @@
 			if err != nil || ms < 0 {
 				return fmt.Errorf("after %q", value)
 			}
-			a.After = admit.Micros(ms) * 1000
+			a.After = admission.Micros(ms) * 1000
 		case "last":
 			a.Last = true
 		}
--- a/frame/client_test.go
+++ b/internal/backend/frame/client_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // TestBothSides: what a caller writes is what a backend reads, and the other way round, however the bytes are cut.
@@ -15,8 +15,8 @@
 		a := Ask{
 			Operation: rapid.StringMatching(`[a-z-]{1,20}`).Draw(t, "operation"), ID: rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "id"),
 			Tenant: rapid.StringMatching(`[a-z]{0,9}`).Draw(t, "tenant"), At: rapid.Int64Range(0, 3e13).Draw(t, "at"),
-			Wait: admit.Micros(rapid.Int64Range(0, 1e9).Draw(t, "wait")), Retry: rapid.Bool().Draw(t, "retry"),
-			Work: admit.Micros(rapid.Int64Range(0, 1e9).Draw(t, "work")), KB: 20, Rank: 0.25, Body: rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "body"),
+			Wait: admission.Micros(rapid.Int64Range(0, 1e9).Draw(t, "wait")), Retry: rapid.Bool().Draw(t, "retry"),
+			Work: admission.Micros(rapid.Int64Range(0, 1e9).Draw(t, "work")), KB: 20, Rank: 0.25, Body: rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "body"),
 		}
 		text := AppendInvocation(nil, 7, &a)
 		for cut := range len(text) {
@@ -32,11 +32,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if string(in.Operation) != a.Operation || string(in.ID) != a.ID || string(in.Tenant) != a.Tenant || in.At != admit.Micros(a.At)*1000 ||
+		if string(in.Operation) != a.Operation || string(in.ID) != a.ID || string(in.Tenant) != a.Tenant || in.At != admission.Micros(a.At)*1000 ||
 			in.Wait != a.Wait || in.Retry != a.Retry || in.Work != a.Work || in.Rank != a.Rank || !bytes.Equal(in.Body, a.Body) {
 			t.Fatalf("wrote %+v, read %+v", a, in)
 		}
-		after := admit.Micros(rapid.Int64Range(0, 1e6).Draw(t, "after")) * 1000
+		after := admission.Micros(rapid.Int64Range(0, 1e6).Draw(t, "after")) * 1000
 		last := rapid.Bool().Draw(t, "last")
 		_, p, _, err = Next(AppendAnswer(nil, 7, Throttled, after, last, a.Body), 262_144)
 		if err != nil {
--- a/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -9,7 +9,7 @@
 	"math"
 	"strconv"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // Kind is the type of a frame.
@@ -76,11 +76,11 @@
 // Invocation is the content of an invocation's frame, in slices of that frame.
 type Invocation struct {
 	Operation, ID, Tenant []byte
-	Once                  []byte       // the same in all tries of one piece of work; empty: not told
-	At                    admit.Micros // when it reached the machine, Unix time
-	Wait                  admit.Micros // its caller waits so long from then, if Told
+	Once                  []byte           // the same in all tries of one piece of work; empty: not told
+	At                    admission.Micros // when it reached the machine, Unix time
+	Wait                  admission.Micros // its caller waits so long from then, if Told
 	Told, Retry, Keyed    bool
-	Work                  admit.Micros // expected, on one core; 0 if not told
+	Work                  admission.Micros // expected, on one core; 0 if not told
 	KB, Rank              float64
 	Body                  []byte
 }
@@ -229,14 +229,14 @@
 }
 
 // millis reads a time in milliseconds; longer ones than a million years are cut to that.
-func millis(b []byte) (admit.Micros, error) {
+func millis(b []byte) (admission.Micros, error) {
 	x, err := number(b, math.Inf(1))
-	return admit.Micros(math.Round(min(x*1000, 1<<55))), err
+	return admission.Micros(math.Round(min(x*1000, 1<<55))), err
 }
 
 // AppendAnswer writes an answer. After tells the edge node to keep away for so long, last to try no other
 // backend; zero values are left out. Times go out in whole milliseconds, rounded up.
-func AppendAnswer(to []byte, stream uint32, code Code, after admit.Micros, last bool, body []byte) []byte {
+func AppendAnswer(to []byte, stream uint32, code Code, after admission.Micros, last bool, body []byte) []byte {
 	to, start := begin(to, KindAnswer, stream)
 	to = append(to, byte(code), 0)
 	count := len(to) - 1
--- a/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
 )
 
 const bodyMost = 2048
@@ -22,11 +22,11 @@
 }
 
 func usual(edits ...string) []string {
-	return standin.Usual(0xa1, append([]string{"at=1764576000123"}, edits...)...)
+	return fakes.Usual(0xa1, append([]string{"at=1764576000123"}, edits...)...)
 }
 
 func TestInvocations(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
 		what  string
 		edits []string
@@ -42,11 +42,11 @@
 		{"no memory", []string{"kb=0"}}, {"too much memory", []string{"kb=2000"}}, {"from is no number", []string{"from=x"}},
 		{"cost is no number", []string{"cost=1e3"}},
 	} {
-		tr.Say("%s: %s", c.what, show(ReadInvocation([]byte(standin.Fields(usual(c.edits...)...)+"the body"), bodyMost)))
+		tr.Say("%s: %s", c.what, show(ReadInvocation([]byte(fakes.Fields(usual(c.edits...)...)+"the body"), bodyMost)))
 	}
-	twice := standin.Fields(append(usual(), "wait=9")...)
+	twice := fakes.Fields(append(usual(), "wait=9")...)
 	tr.Say("a field twice: %s", show(ReadInvocation([]byte(twice), bodyMost)))
-	whole := standin.Fields(usual()...)
+	whole := fakes.Fields(usual()...)
 	for _, size := range []int{0, bodyMost, bodyMost + 1} {
 		tr.Say("body of %d: %.60s", size, show(ReadInvocation([]byte(whole+strings.Repeat("x", size)), bodyMost)))
 	}
@@ -59,7 +59,7 @@
 }
 
 func TestBordersAndAnswers(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, n := range []uint32{0, 4, 5, 262_144, 262_145, 1<<32 - 1} {
 		size, err := Length(binary.BigEndian.AppendUint32(nil, n), 262_144)
 		tr.Say("length %d: %d %v", n, size, err)
@@ -71,13 +71,13 @@
 	tr.Say("%x", AppendCheckAnswer(nil, 3, false))
 	tr.Say("%x", AppendNoMore(nil))
 	tr.Say("%x", AppendError([]byte("before"), "odd"))
-	tr.Say("%+v", ReadHead([]byte(standin.Raw(12, 9, "ab"))))
-	tr.Say("fields alone: %v, cut short: %v", ReadFields([]byte(standin.Fields("a=b"))), ReadFields([]byte{1, 1, 'a', 0}))
+	tr.Say("%+v", ReadHead([]byte(fakes.Raw(12, 9, "ab"))))
+	tr.Say("fields alone: %v, cut short: %v", ReadFields([]byte(fakes.Fields("a=b"))), ReadFields([]byte{1, 1, 'a', 0}))
 }
 
 // FuzzReadInvocation: whatever comes, what is accepted keeps within what was given and within the protocol.
 func FuzzReadInvocation(f *testing.F) {
-	whole := standin.Fields(usual("retry=1", "key=k")...)
+	whole := fakes.Fields(usual("retry=1", "key=k")...)
 	f.Add([]byte(whole + "body"))
 	f.Add([]byte(whole[:40]))
 	f.Add([]byte{255, 0, 0, 0})
--- a/kept/kept.go
+++ b/internal/backend/idempotency/kept.go
@@ -1,15 +1,15 @@
-// Package kept has the invocations of tokened operations that are remembered, by the token that names their repeats, and
+// Package idempotency has the invocations of tokened operations that are remembered, by the token that names their repeats, and
 // what became of them, so that a repeat can be answered with it. It decides nothing and has no clock and no lock.
-package kept
+package idempotency
 
 import (
 	"slices"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // Micros is a point or a span of time, by the clock of whoever calls.
-type Micros = admit.Micros
+type Micros = admission.Micros
 
 // Key is what two tries of one piece of work have in common. The tenant is part of it: no tenant may be answered with
 // another's result, whatever token it sends.
--- a/kept/kept_test.go
+++ b/internal/backend/idempotency/kept_test.go
@@ -1,4 +1,4 @@
-package kept
+package idempotency
 
 import (
 	"fmt"
--- a/serve/share/plant_on.go
+++ b/internal/backend/quota/plant_on.go
@@ -1,6 +1,6 @@
 //go:build plant
 
-package share
+package quota
 
 import "os"
 
--- a/serve/share/share.go
+++ b/internal/backend/quota/share.go
@@ -1,8 +1,8 @@
-// Package share is the holder's side of fleet-wide budgets: what part of each whole this process may draw, until
+// Package quota is the holder's side of fleet-wide budgets: what part of each whole this process may draw, until
 // when, and whether one more unit may be drawn now. It knows of no agent and no ledger, does no I/O and holds no clock:
 // times come in, on the machine's own clock with sleep counted. Not safe for use by several goroutines; the gate's lock
 // guards it.
-package share
+package quota
 
 import (
 	"fmt"
--- a/serve/share/share_test.go
+++ b/internal/backend/quota/share_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"testing"
--- a/serve/stamps/stamps.go
+++ b/internal/backend/quotalog/stamps.go
@@ -1,13 +1,13 @@
-// Package stamps writes down what a holder of shares has and draws, a line each, for an auditor to read. It is off
+// Package quotalog writes down what a holder of shares has and draws, a line each, for an auditor to read. It is off
 // unless asked for. Times are of the machine's clock as it is, also where the holder's own was made to run apart.
-package stamps
+package quotalog
 
 import (
 	"bufio"
 	"fmt"
 	"io"
 
-	"milletbarrow/serve/share"
+	"milletbarrow/internal/backend/quota"
 )
 
 // Stamps is what a process writes. Not safe for use by several goroutines.
@@ -28,7 +28,7 @@
 
 // Have writes down what is held now: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT", LEFT being how long the extra lasts on
 // the holder's own clock.
-func (s *Stamps) Have(at int64, now share.Micros, all []share.View) error {
+func (s *Stamps) Have(at int64, now quota.Micros, all []quota.View) error {
 	for _, v := range all {
 		fmt.Fprintf(s.to, "have %d %s %d %d %d %d\n", at, v.Budget, v.Epoch, v.Floor, v.Extra, max(0, v.Until-now))
 	}
@@ -36,7 +36,7 @@
 }
 
 // Drew writes down what was drawn since the last time: "drew FROM TO BUDGET UNITS"; without any, "here TIME".
-func (s *Stamps) Drew(at int64, all []share.View) error {
+func (s *Stamps) Drew(at int64, all []quota.View) error {
 	if len(s.drawn) < len(all) {
 		s.drawn = append(s.drawn, make([]int64, len(all)-len(s.drawn))...)
 	}
--- a/roster/pace/pace.go
+++ b/internal/backend/registration/reportpacing/pace.go
@@ -1,7 +1,7 @@
-// Package pace decides when a backend tells the register that it is there: by chance from the first time on, in growing
+// Package reportpacing decides when a backend tells the register that it is there: by chance from the first time on, in growing
 // pauses while the register does not take it, and never so late that one miss costs the entry. It does no I/O and holds
 // no clock. Not safe for use by several goroutines.
-package pace
+package reportpacing
 
 import (
 	"math/rand/v2"
--- a/roster/pace/pace_test.go
+++ b/internal/backend/registration/reportpacing/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package reportpacing
 
 import (
 	"testing"
--- a/roster/roster.go
+++ b/internal/backend/registration/roster.go
@@ -1,5 +1,5 @@
-// Package roster keeps a backend on the list that edge nodes go by.
-package roster
+// Package registration keeps a backend on the list that edge nodes go by.
+package registration
 
 import (
 	"bytes"
@@ -19,17 +19,17 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"milletbarrow/limit"
-	"milletbarrow/roster/pace"
+	"milletbarrow/internal/backend/registration/reportpacing"
+	"milletbarrow/internal/limits"
 )
 
 // Reporter reports as its pace has it; nothing waits for it. A report does not wait for the one before: a roster
 // that takes longer than the pause to answer must not cost the entry.
 type Reporter struct {
 	path   string
-	bounds limit.Bounds
+	bounds limits.Bounds
 	client *http.Client
-	pace   *pace.Pace // Keep's
+	pace   *reportpacing.Pace // Keep's
 	began  time.Time
 	off    chan struct{}
 	once   sync.Once
@@ -43,14 +43,14 @@
 
 // report is one that has ended.
 type report struct {
-	begun  pace.Micros
+	begun  reportpacing.Micros
 	err    error
 	advice time.Duration
 }
 
 // New makes a reporter for the backend of that name. fixed: in step with the clock, as baselines are.
-func New(address, name string, bounds limit.Bounds, fixed bool) *Reporter {
-	t := pace.Terms{
+func New(address, name string, bounds limits.Bounds, fixed bool) *Reporter {
+	t := reportpacing.Terms{
 		Usual: micros(bounds.Report), Lapse: micros(bounds.Lapse), Least: micros(bounds.ReportLeast), Closed: micros(bounds.ReportClosed),
 		First: micros(bounds.ReportFirst), Most: micros(bounds.ReportMost), Advice: micros(bounds.ReportAdvice), OnWay: bounds.Reports, Fixed: fixed,
 	}
@@ -60,7 +60,7 @@
 	return &Reporter{
 		path: "/roster/" + url.PathEscape(name), address: address, bounds: bounds, off: make(chan struct{}),
 		// Chance of the process's own: backends that start at one instant may have one seed in their configurations.
-		pace: pace.New(t, rand.Uint64()^xxhash.Sum64String(name)), began: time.Now(),
+		pace: reportpacing.New(t, rand.Uint64()^xxhash.Sum64String(name)), began: time.Now(),
 		ended: make(chan report, t.OnWay), moved: make(chan struct{}, 1),
 		client: &http.Client{
 			Timeout:       bounds.Call,
@@ -73,9 +73,9 @@
 	}
 }
 
-func micros(d time.Duration) pace.Micros { return pace.Micros(d.Microseconds()) }
+func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 
-func (r *Reporter) now() pace.Micros { return micros(time.Since(r.began)) }
+func (r *Reporter) now() reportpacing.Micros { return micros(time.Since(r.began)) }
 
 // Off has off reported at once, until it is taken, and nothing else after it: the entry lapses then.
 func (r *Reporter) Off() { r.once.Do(func() { close(r.off) }) }
@@ -145,15 +145,15 @@
 // errStatus: the roster has answered, and not counted it.
 var errStatus = errors.New("status")
 
-func missed(err error) pace.Miss {
+func missed(err error) reportpacing.Miss {
 	var slow net.Error
 	switch {
 	case errors.As(err, &slow) && slow.Timeout():
-		return pace.Silent
+		return reportpacing.Silent
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return pace.Closed
+		return reportpacing.Closed
 	}
-	return pace.NotTaken
+	return reportpacing.NotTaken
 }
 
 // leave says off until the roster has taken it, wherever it is moved to, in growing pauses. A report on its way may be
--- a/roster/roster_test.go
+++ b/internal/backend/registration/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package registration
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/roster/pace"
-	"milletbarrow/standin"
+	"milletbarrow/internal/backend/registration/reportpacing"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 // none tells whether nothing more is heard for a while.
@@ -28,7 +28,7 @@
 
 // TestReports: reports go on whatever becomes of one, and the last says off.
 func TestReports(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
 		how  string
 		does http.HandlerFunc
@@ -43,9 +43,9 @@
 		{"cut off", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
 		{"too slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
 	} {
-		b := limit.For(1, 192, 1024)
+		b := limits.For(1, 192, 1024)
 		b.Report, b.Call, b.ReportFirst, b.ReportMost = 10*time.Millisecond, 200*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
-		address, reports := standin.NewRoster(t, c.does)
+		address, reports := fakes.NewRoster(t, c.does)
 		r := New(address, "n3", b, false)
 		over := make(chan struct{})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -55,7 +55,7 @@
 			n = b.Reports
 		}
 		for range n {
-			tr.Say("%s: %s", c.how, standin.Take(t, "a report", reports))
+			tr.Say("%s: %s", c.how, fakes.Take(t, "a report", reports))
 		}
 		if c.how == "too slow" { // none has ended
 			tr.Say("  on their way: as many as may be, and no further within 100 ms %t", none(reports))
@@ -65,13 +65,13 @@
 		off, last := 0, ""
 		if c.how != "as it should" && c.how != "closing after each call" { // it goes on saying so
 			for off < 3 {
-				if last = standin.Take(t, "a report", reports); strings.Contains(last, "off") {
+				if last = fakes.Take(t, "a report", reports); strings.Contains(last, "off") {
 					off++
 				}
 			}
 			cancel()
 		}
-		standin.Take(t, "the end", over)
+		fakes.Take(t, "the end", over)
 		cancel()
 		for len(reports) > 0 {
 			last = <-reports
@@ -82,9 +82,9 @@
 
 // TestTwoNeverAnswered: two reports in a row are accepted and never answered. The next comes while the entry still stands.
 func TestTwoNeverAnswered(t *testing.T) {
-	b, held := limit.For(1, 192, 1024), make(chan struct{})
+	b, held := limits.For(1, 192, 1024), make(chan struct{})
 	var seen atomic.Int32
-	address, reports := standin.NewRoster(t, func(w http.ResponseWriter, r *http.Request) {
+	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, r *http.Request) {
 		if n := seen.Add(1); n == 2 || n == 3 { // reports are begun one after the other
 			<-held
 		}
@@ -94,35 +94,35 @@
 	over := make(chan struct{})
 	r := New(address, "n3", b, false)
 	go func() { r.Keep(ctx); close(over) }()
-	standin.Take(t, "the report that counts", reports)
+	fakes.Take(t, "the report that counts", reports)
 	counted := time.Now()
-	standin.Take(t, "the first that is never answered", reports)
-	standin.Take(t, "the second", reports)
-	standin.Take(t, "the next", reports)
+	fakes.Take(t, "the first that is never answered", reports)
+	fakes.Take(t, "the second", reports)
+	fakes.Take(t, "the next", reports)
 	if late := time.Since(counted); late > b.Lapse {
 		t.Errorf("the next came after %v, the entry had lapsed", late)
 	}
 	close(held)
 	cancel()
-	standin.Take(t, "the end", over)
+	fakes.Take(t, "the end", over)
 }
 
 // TestBack: a roster that was away hears of us soon after it is back, not only when the next report is due.
 func TestBack(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	b := limit.For(1, 192, 1024)
+	b := limits.For(1, 192, 1024)
 	b.Report, b.ReportClosed = time.Hour, 10*time.Millisecond
 	r := New(l.Addr().String(), "n3", b, false)
-	r.pace = pace.New(pace.Terms{First: 10_000, Most: 10_000, Closed: 10_000, OnWay: 2}, 1) // not up to an hour before the first
+	r.pace = reportpacing.New(reportpacing.Terms{First: 10_000, Most: 10_000, Closed: 10_000, OnWay: 2}, 1) // not up to an hour before the first
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { r.Keep(ctx); close(over) }()
-	standin.Until(t, "a report was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ill })
+	fakes.Until(t, "a report was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ill })
 	l, err = net.Listen("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -134,9 +134,9 @@
 	})}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
-	tr.Say("%s", standin.Take(t, "a report", reports))
+	tr.Say("%s", fakes.Take(t, "a report", reports))
 	cancel()
-	standin.Take(t, "the end", over)
+	fakes.Take(t, "the end", over)
 }
 
 // TestOvertaken: a report that is slow on its way arrives after the first off; the last word is off all the same.
@@ -157,12 +157,12 @@
 	}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
-	r := New(l.Addr().String(), "n3", limit.For(1, 192, 1024), false)
+	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
 	over := make(chan struct{})
 	go func() { r.Keep(context.Background()); close(over) }()
-	standin.Take(t, "a report", heard)
+	fakes.Take(t, "a report", heard)
 	r.Off()
-	standin.Take(t, "the end", over)
+	fakes.Take(t, "the end", over)
 	var all []string
 	for len(said) > 0 {
 		all = append(all, <-said)
@@ -179,34 +179,34 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	r := New(l.Addr().String(), "n3", limit.For(1, 192, 1024), false)
+	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
 	over := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { r.Keep(ctx); close(over) }()
 	r.Off()
-	standin.Until(t, "off was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ill })
+	fakes.Until(t, "off was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ill })
 	cancel() // the process ends
-	standin.Take(t, "the end", over)
+	fakes.Take(t, "the end", over)
 }
 
 // TestLeavesUntilTaken: off is said until the roster takes it, also where that comes back or is moved meanwhile; then
 // nothing more.
 func TestLeavesUntilTaken(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	status, said := http.StatusServiceUnavailable, make(chan int, 100)
-	address, reports := standin.NewRoster(t, func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(<-said) })
-	elsewhere, later := standin.NewRoster(t, func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	b := limit.For(1, 192, 1024)
+	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(<-said) })
+	elsewhere, later := fakes.NewRoster(t, func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	b := limits.For(1, 192, 1024)
 	b.Report = 10 * time.Millisecond
 	r := New(address, "n3", b, false)
 	over := make(chan struct{})
 	go func() { r.Keep(context.Background()); close(over) }()
 	said <- http.StatusNoContent
-	tr.Say("%s", standin.Take(t, "a report", reports))
+	tr.Say("%s", fakes.Take(t, "a report", reports))
 	r.Off()
 	for n := 0; n < 2; {
 		said <- status
-		if report := standin.Take(t, "off again", reports); strings.Contains(report, "off") {
+		if report := fakes.Take(t, "off again", reports); strings.Contains(report, "off") {
 			n++
 		}
 	}
@@ -214,8 +214,8 @@
 	for range 10 {
 		said <- status // whatever was on its way there
 	}
-	tr.Say("moved: %s", standin.Take(t, "off elsewhere", later))
-	standin.Take(t, "the end", over)
+	tr.Say("moved: %s", fakes.Take(t, "off elsewhere", later))
+	fakes.Take(t, "the end", over)
 	tr.Say("nothing more: %t", none(later))
 }
 
@@ -230,23 +230,23 @@
 			t.Errorf("%q: %v, want %v", word, got, want)
 		}
 	}
-	address, reports := standin.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) {
+	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "later", http.StatusServiceUnavailable)
 	})
-	b := limit.For(1, 192, 1024)
+	b := limits.For(1, 192, 1024)
 	b.Report, b.ReportFirst, b.ReportMost = 10*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
 	r := New(address, "n3", b, false)
 	over := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { r.Keep(ctx); close(over) }()
-	standin.Take(t, "a report", reports)
+	fakes.Take(t, "a report", reports)
 	began := time.Now()
-	standin.Take(t, "the next", reports)
+	fakes.Take(t, "the next", reports)
 	if after := time.Since(began); after < 900*time.Millisecond {
 		t.Errorf("it came again after %v, it was asked to wait a second", after)
 	}
 	r.Off()
 	cancel()
-	standin.Take(t, "the end", over)
+	fakes.Take(t, "the end", over)
 }
--- a/edge/conn.go
+++ b/internal/backend/server/conn.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"crypto/sha256"
@@ -10,9 +10,9 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"milletbarrow/admit"
-	"milletbarrow/frame"
-	"milletbarrow/gate"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/dispatch"
+	"milletbarrow/internal/backend/frame"
 )
 
 // conn is one connection of an edge node. What comes on it is taken in on netpoll's poller itself: input is
@@ -210,7 +210,7 @@
 		err = errTenant
 	case !in.Told && !s.sheet.Untold:
 		err = errWait
-	case s.sheet.Terms.Operations[op-1].Repeat == admit.Tokened && (len(in.Once) == 0 || len(in.Once) > s.bounds.Token):
+	case s.sheet.Terms.Operations[op-1].Repeat == admission.Tokened && (len(in.Once) == 0 || len(in.Once) > s.bounds.Token):
 		err = errToken
 	}
 	if err != nil {
@@ -218,14 +218,14 @@
 		c.fail(h.Stream)
 		return
 	}
-	inv := gate.Invocation{
+	inv := dispatch.Invocation{
 		ID: string(in.ID), Operation: op - 1, Tenant: max(tenant-1, 0), Rank: in.Rank, KB: in.KB, Retry: in.Retry,
-		Work: in.Work, At: gate.FromWall(in.At), Wait: in.Wait,
+		Work: in.Work, At: dispatch.FromWall(in.At), Wait: in.Wait,
 	}
 	if !in.Told {
 		inv.Wait = s.sheet.Terms.Operations[op-1].ClientTimeout
 	}
-	if s.sheet.Terms.Operations[op-1].Repeat == admit.Tokened {
+	if s.sheet.Terms.Operations[op-1].Repeat == admission.Tokened {
 		inv.Token = token(in.Once, in.Body)
 	}
 	st := &stream{number: h.Stream, left: make(chan struct{})}
@@ -276,7 +276,7 @@
 }
 
 // answer gives a stream its one answer, unless its caller has left or it had one.
-func (c *conn) answer(st *stream, code frame.Code, away gate.Micros, last bool, body []byte) {
+func (c *conn) answer(st *stream, code frame.Code, away dispatch.Micros, last bool, body []byte) {
 	c.mu.Lock()
 	if c.open[st.number] != st {
 		c.mu.Unlock()
--- a/edge/door.go
+++ b/internal/backend/server/door.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"errors"
--- a/edge/edge_test.go
+++ b/internal/backend/server/edge_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"context"
@@ -10,34 +10,34 @@
 	"testing"
 	"time"
 
-	"milletbarrow/farm"
-	"milletbarrow/gate"
-	"milletbarrow/limit"
-	"milletbarrow/odd"
-	"milletbarrow/standin"
-	"milletbarrow/terms"
+	"milletbarrow/internal/backend/dispatch"
+	"milletbarrow/internal/backend/executor"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/ratelimitlog"
 )
 
 // site is a server with all that is around it.
 type site struct {
 	*Server
-	theFarm *standin.Farm
+	theFarm *fakes.Farm
 	address string
 }
 
-func open(t *testing.T, edit func(*limit.Bounds, *terms.Sheet)) *site {
-	var sheet terms.Sheet
-	if err := json.Unmarshal([]byte(standin.Settings), &sheet); err != nil {
+func open(t *testing.T, edit func(*limits.Bounds, *config.Sheet)) *site {
+	var sheet config.Sheet
+	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
 		t.Fatal(err)
 	}
-	b := limit.For(1, 192, 1024)
+	b := limits.For(1, 192, 1024)
 	if edit != nil {
 		edit(&b, &sheet)
 	}
-	theFarm := standin.NewFarm(t)
-	g := gate.New(&sheet, 1, b)
-	tally := odd.New(b.Quiet)
-	link := farm.New(theFarm.Address, b, tally, g.Open)
+	theFarm := fakes.NewFarm(t)
+	g := dispatch.New(&sheet, 1, b)
+	tally := ratelimitlog.New(b.Quiet)
+	link := executor.New(theFarm.Address, b, tally, g.Open)
 	s := New(&sheet, b, tally, g, link)
 	address, err := s.Listen("127.0.0.1:0")
 	if err != nil {
@@ -54,7 +54,7 @@
 			c.cut()
 		}
 	})
-	standin.Until(t, "work can be taken", s.good)
+	fakes.Until(t, "work can be taken", s.good)
 	return &site{s, theFarm, address.String()}
 }
 
@@ -64,8 +64,8 @@
 }
 
 // run ends the next run that the farm is told of.
-func (s *site) run(t testing.TB, word, result string) standin.Launch {
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
+func (s *site) run(t testing.TB, word, result string) fakes.Launch {
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
 	s.theFarm.End(l.ID, word, result)
 	return l
 }
@@ -73,7 +73,7 @@
 // rests ends all runs and waits until nothing is left over of what a test did.
 func (s *site) rests(t testing.TB, conns int) {
 	t.Helper()
-	standin.Until(t, "nothing is left over", func() bool {
+	fakes.Until(t, "nothing is left over", func() bool {
 		for len(s.theFarm.Launches) > 0 {
 			s.run(t, "complete", "nobody waits")
 		}
@@ -83,40 +83,40 @@
 }
 
 func TestAnswers(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := open(t, nil)
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Raw(20, 1, standin.Fields()), standin.Raw(20, 2, standin.Fields("a=b")))
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Raw(20, 1, fakes.Fields()), fakes.Raw(20, 2, fakes.Fields("a=b")))
 	tr.Say("checks: %v, %v", n.Expect(), n.Expect())
 	for stream, end := range []string{"complete", "error", "cancelled", "unknown"} {
-		n.Send(standin.Invocation(uint32(stream+1), stream+1))
+		n.Send(fakes.Invocation(uint32(stream+1), stream+1))
 		tr.Say("%s: %+v", end, s.run(t, end, ""))
 		tr.Say("  %v", n.Expect())
 	}
 	big := strings.Repeat("b", s.bounds.Body)
-	n.Send(standin.Raw(10, 9, standin.Fields(standin.Usual(9)...)+big))
+	n.Send(fakes.Raw(10, 9, fakes.Fields(fakes.Usual(9)...)+big))
 	l := s.run(t, "complete", strings.Repeat("r", s.bounds.Result))
 	tr.Say("largest body unchanged %t, largest result %d", l.Body == big, len(n.Expect().Body))
-	n.Send(standin.Invocation(10, 10, "wait=0"), standin.Invocation(11, 11, "at=1"))
+	n.Send(fakes.Invocation(10, 10, "wait=0"), fakes.Invocation(11, 11, "at=1"))
 	tr.Say("used up: %d %d", n.Expect().Code, n.Expect().Code)
 	s.rests(t, 1)
 }
 
 // TestFramesInPieces sends the same frames split at every byte, and all in one.
 func TestFramesInPieces(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := open(t, nil)
-	n := standin.Dial(t, s.address)
-	for _, c := range []byte(standin.Raw(20, 1, standin.Fields("a=b")) + standin.Invocation(2, 2) + standin.Raw(20, 3, "\x00")) {
+	n := fakes.Dial(t, s.address)
+	for _, c := range []byte(fakes.Raw(20, 1, fakes.Fields("a=b")) + fakes.Invocation(2, 2) + fakes.Raw(20, 3, "\x00")) {
 		n.Send(string([]byte{c}))
 	}
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
 	tr.Say("byte by byte: %v, %v, %+v", n.Expect(), n.Expect(), l)
 	s.theFarm.End(l.ID, "complete", "r")
 	tr.Say("  %v", n.Expect())
 	var many []string
 	for stream := range 20 {
-		many = append(many, standin.Raw(20, uint32(stream), "\x00"))
+		many = append(many, fakes.Raw(20, uint32(stream), "\x00"))
 	}
 	n.Send(many...)
 	for stream := range 20 {
@@ -129,44 +129,44 @@
 
 // TestOddFrames: what is wrong within sound borders costs its stream, no other.
 func TestOddFrames(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := open(t, nil)
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Invocation(1, 1))
-	sound := standin.Take(t, "a launch", s.theFarm.Launches)
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Invocation(1, 1))
+	sound := fakes.Take(t, "a launch", s.theFarm.Launches)
 	for _, c := range []struct{ what, frame string }{
-		{"unknown operation", standin.Invocation(2, 2, "class=nothing")},
-		{"unknown tenant", standin.Invocation(3, 3, "tenant=nobody")},
-		{"no tenant", standin.Invocation(4, 4, "tenant=")},
-		{"no fields", standin.Raw(10, 5, "")},
-		{"fields cut short", standin.Raw(10, 6, "\x09\x05class")},
-		{"body too long", standin.Raw(10, 7, standin.Fields(standin.Usual(7)...)+strings.Repeat("x", s.bounds.Body+1))},
-		{"longest frame", standin.Raw(10, 8, strings.Repeat("x", 262_144-5))},
-		{"stream 0", standin.Invocation(0, 9)},
-		{"unknown type", standin.Raw(77, 1, "payload")},
-		{"an answer", standin.Raw(11, 1, "\x01\x00")},
-		{"a check cut short", standin.Raw(20, 9, "\x01")},
-		{"gone: unknown stream", standin.Raw(12, 99, "") + standin.Raw(20, 10, "\x00")},
-		{"an id that is in hand", standin.Invocation(11, 1)},
-		{"a stream that is open", standin.Invocation(1, 12)},
+		{"unknown operation", fakes.Invocation(2, 2, "class=nothing")},
+		{"unknown tenant", fakes.Invocation(3, 3, "tenant=nobody")},
+		{"no tenant", fakes.Invocation(4, 4, "tenant=")},
+		{"no fields", fakes.Raw(10, 5, "")},
+		{"fields cut short", fakes.Raw(10, 6, "\x09\x05class")},
+		{"body too long", fakes.Raw(10, 7, fakes.Fields(fakes.Usual(7)...)+strings.Repeat("x", s.bounds.Body+1))},
+		{"longest frame", fakes.Raw(10, 8, strings.Repeat("x", 262_144-5))},
+		{"stream 0", fakes.Invocation(0, 9)},
+		{"unknown type", fakes.Raw(77, 1, "payload")},
+		{"an answer", fakes.Raw(11, 1, "\x01\x00")},
+		{"a check cut short", fakes.Raw(20, 9, "\x01")},
+		{"gone: unknown stream", fakes.Raw(12, 99, "") + fakes.Raw(20, 10, "\x00")},
+		{"an id that is in hand", fakes.Invocation(11, 1)},
+		{"a stream that is open", fakes.Invocation(1, 12)},
 	} {
 		n.Send(c.frame)
 		tr.Say("%s: %v", c.what, n.Expect())
 	}
 	s.theFarm.End(sound.ID, "complete", "nobody can tell whose")
-	n.Send(standin.Raw(20, 13, "\x00"))
+	n.Send(fakes.Raw(20, 13, "\x00"))
 	tr.Say("and still: %v", n.Expect())
 	s.rests(t, 1)
 }
 
 // TestLostBorders: nothing more is read, what was read whole is answered, then the connection closes.
 func TestLostBorders(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := open(t, nil)
-	other := standin.Dial(t, s.address)
+	other := fakes.Dial(t, s.address)
 	for k, length := range []string{"\x00\x00\x00\x04", "\x00\x04\x00\x01", "\xff\xff\xff\xff"} {
-		n := standin.Dial(t, s.address)
-		n.Send(standin.Invocation(1, 2*k+1), length, "whatever", standin.Invocation(2, 2*k+2))
+		n := fakes.Dial(t, s.address)
+		n.Send(fakes.Invocation(1, 2*k+1), length, "whatever", fakes.Invocation(2, 2*k+2))
 		tr.Say("length %x: %v", length, n.Expect())
 		s.run(t, "complete", "still answered")
 		tr.Say("  %v", n.Expect())
@@ -174,33 +174,33 @@
 		tr.Say("  then %v", err)
 		s.rests(t, 1)
 	}
-	other.Send(standin.Raw(20, 1, "\x00"))
+	other.Send(fakes.Raw(20, 1, "\x00"))
 	tr.Say("the other connection: %v", other.Expect())
 }
 
 // TestGone: whoever left gets no answer, and what was only held for it does not run.
 func TestGone(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := open(t, nil)
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Invocation(1, 1))
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
-	n.Send(standin.Raw(12, 1, ""), standin.Raw(20, 2, "\x00"))
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Invocation(1, 1))
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	n.Send(fakes.Raw(12, 1, ""), fakes.Raw(20, 2, "\x00"))
 	tr.Say("gone while it runs: %v", n.Expect())
 	s.theFarm.End(l.ID, "complete", "too late")
 	s.rests(t, 1)
-	n.Send(standin.Raw(12, 1, ""), standin.Raw(20, 3, "\x00"))
+	n.Send(fakes.Raw(12, 1, ""), fakes.Raw(20, 3, "\x00"))
 	tr.Say("gone once answered: %v", n.Expect())
 
 	s.theFarm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no room for a start
 	asked := s.theFarm.Samples()                                        // each is asked for after the tick of the one before
-	standin.Until(t, "full cores are seen", func() bool { return s.theFarm.Samples() >= asked+3 })
-	n.Send(standin.Invocation(4, 4))
-	standin.Until(t, "it is held", func() bool { return s.inGate() == 1 })
-	n.Send(standin.Raw(12, 4, ""))
+	fakes.Until(t, "full cores are seen", func() bool { return s.theFarm.Samples() >= asked+3 })
+	n.Send(fakes.Invocation(4, 4))
+	fakes.Until(t, "it is held", func() bool { return s.inGate() == 1 })
+	n.Send(fakes.Raw(12, 4, ""))
 	s.rests(t, 1)
-	n.Send(standin.Invocation(5, 5), standin.Invocation(6, 6)[:40])
-	standin.Until(t, "it is held", func() bool { return s.inGate() == 1 })
+	n.Send(fakes.Invocation(5, 5), fakes.Invocation(6, 6)[:40])
+	fakes.Until(t, "it is held", func() bool { return s.inGate() == 1 })
 	n.Close()
 	s.rests(t, 0)
 	tr.Say("launches of what was only held: %d", len(s.theFarm.Launches))
@@ -208,15 +208,15 @@
 
 // TestTooMany: more than the protocol allows on a connection, or than this process can hold, is throttled.
 func TestTooMany(t *testing.T) {
-	tr := standin.NewTrace(t)
-	s := open(t, func(b *limit.Bounds, sheet *terms.Sheet) { b.Invocations, sheet.Terms.Cores = 40, 64 })
-	one, two := standin.Dial(t, s.address), standin.Dial(t, s.address)
+	tr := fakes.NewTrace(t)
+	s := open(t, func(b *limits.Bounds, sheet *config.Sheet) { b.Invocations, sheet.Terms.Cores = 40, 64 })
+	one, two := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	for k := range 33 {
-		one.Send(standin.Invocation(uint32(k+1), k+1))
+		one.Send(fakes.Invocation(uint32(k+1), k+1))
 	}
 	tr.Say("the 33rd: %v", one.Expect())
 	for k := range 9 {
-		two.Send(standin.Invocation(uint32(k+1), 100+k))
+		two.Send(fakes.Invocation(uint32(k+1), 100+k))
 	}
 	tr.Say("the 41st of all: %v", two.Expect())
 	one.Close()
@@ -226,17 +226,17 @@
 
 // TestSlowPeer: a caller that reads nothing stalls nobody and is cut off when it goes on sending.
 func TestSlowPeer(t *testing.T) {
-	s := open(t, func(b *limit.Bounds, _ *terms.Sheet) { b.Unsent = 1 << 20 })
-	slow, other := standin.Dial(t, s.address), standin.Dial(t, s.address)
-	checks := strings.Repeat(standin.Raw(20, 1, "\x00"), 4000)
+	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Unsent = 1 << 20 })
+	slow, other := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
+	checks := strings.Repeat(fakes.Raw(20, 1, "\x00"), 4000)
 	slow.SetWriteDeadline(time.Now().Add(10 * time.Second))
 	for range 2000 {
 		if _, err := slow.Write([]byte(checks)); err != nil {
 			break
 		}
 	}
-	standin.Until(t, "the slow one is cut off", func() bool { n, _ := s.Counts(); return n == 1 })
-	other.Send(standin.Raw(20, 1, "\x00"))
+	fakes.Until(t, "the slow one is cut off", func() bool { n, _ := s.Counts(); return n == 1 })
+	other.Send(fakes.Raw(20, 1, "\x00"))
 	if f := other.Expect(); f.Code != 1 {
 		t.Errorf("the other connection: %v", f)
 	}
@@ -248,52 +248,52 @@
 	s := open(t, nil)
 	before := runtime.NumGoroutine()
 	for k := range 2000 {
-		n := standin.Dial(t, s.address)
+		n := fakes.Dial(t, s.address)
 		n.Conn.(*net.TCPConn).SetLinger(0) // a reset, not an end
-		n.Send(standin.Invocation(1, 10_000+k), standin.Invocation(2, 50_000+k)[:9+k%30])
+		n.Send(fakes.Invocation(1, 10_000+k), fakes.Invocation(2, 50_000+k)[:9+k%30])
 		n.Close()
 	}
 	s.rests(t, 0)
-	standin.Until(t, "no goroutine is left over", func() bool { return runtime.NumGoroutine() <= before+4 })
+	fakes.Until(t, "no goroutine is left over", func() bool { return runtime.NumGoroutine() <= before+4 })
 }
 
 // TestFull: beyond the bound those that said nothing sound are given up, then those that rest; never those with an
 // invocation. Where all have work, a few newcomers are answered and asked for no more, the rest ends. Idle ones are asked away by type 30.
 func TestFull(t *testing.T) {
-	tr := standin.NewTrace(t)
-	s := open(t, func(b *limit.Bounds, _ *terms.Sheet) { b.Connections, b.Leaving = 2, 1 })
-	one, silent := standin.Dial(t, s.address), standin.Dial(t, s.address)
-	one.Send(standin.Invocation(1, 1))
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
-	standin.Until(t, "two are open", func() bool { n, _ := s.Counts(); return n == 2 })
-	check := standin.Raw(20, 1, "\x00")
-	three := standin.Dial(t, s.address)
+	tr := fakes.NewTrace(t)
+	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Connections, b.Leaving = 2, 1 })
+	one, silent := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
+	one.Send(fakes.Invocation(1, 1))
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	fakes.Until(t, "two are open", func() bool { n, _ := s.Counts(); return n == 2 })
+	check := fakes.Raw(20, 1, "\x00")
+	three := fakes.Dial(t, s.address)
 	three.Send(check)
 	tr.Say("the third: %v", three.Expect())
 	_, err := silent.Next()
 	tr.Say("the silent one ends: %t", err != nil)
-	two := standin.Dial(t, s.address)
+	two := fakes.Dial(t, s.address)
 	two.Send(check)
 	tr.Say("the fourth: %v", two.Expect())
 	_, err = three.Next()
 	tr.Say("the one that rests ends: %t", err != nil)
-	two.Send(standin.Invocation(2, 2))
-	l2 := standin.Take(t, "a launch", s.theFarm.Launches)
-	five := standin.Dial(t, s.address) // both others have work: it may have written before it could be closed
-	five.Send(standin.Invocation(5, 5))
+	two.Send(fakes.Invocation(2, 2))
+	l2 := fakes.Take(t, "a launch", s.theFarm.Launches)
+	five := fakes.Dial(t, s.address) // both others have work: it may have written before it could be closed
+	five.Send(fakes.Invocation(5, 5))
 	tr.Say("the fifth, both others have work: %v", five.Expect())
-	l5 := standin.Take(t, "a launch", s.theFarm.Launches)
-	_, err = standin.Dial(t, s.address).Next()
+	l5 := fakes.Take(t, "a launch", s.theFarm.Launches)
+	_, err = fakes.Dial(t, s.address).Next()
 	tr.Say("the sixth ends, all others have work: %t", err != nil)
 	s.theFarm.End(l5.ID, "complete", "r")
 	tr.Say("the fifth: %v", five.Expect())
 	five.Close()
-	standin.Until(t, "the fifth has left", func() bool { n, _ := s.Counts(); return n == 2 })
+	fakes.Until(t, "the fifth has left", func() bool { n, _ := s.Counts(); return n == 2 })
 	s.theFarm.End(l.ID, "complete", "r")
 	s.theFarm.End(l2.ID, "complete", "r")
 	tr.Say("they go on: %v, %v", one.Expect(), two.Expect())
-	one.Send(standin.Invocation(2, 3))
-	l = standin.Take(t, "a launch", s.theFarm.Launches)
+	one.Send(fakes.Invocation(2, 3))
+	l = fakes.Take(t, "a launch", s.theFarm.Launches)
 	s.sweep(time.Nanosecond)
 	s.theFarm.End(l.ID, "complete", "r")
 	tr.Say("swept while it waits: %v", one.Expect())
@@ -302,27 +302,27 @@
 	s.sweep(time.Nanosecond)
 	tr.Say("swept while it rests: %v", one.Expect())
 	one.Close()
-	standin.Until(t, "one has left", func() bool { n, _ := s.Counts(); return n == 1 })
-	late := standin.Dial(t, s.address)
-	late.Send(standin.Raw(20, 1, "\x00"))
+	fakes.Until(t, "one has left", func() bool { n, _ := s.Counts(); return n == 1 })
+	late := fakes.Dial(t, s.address)
+	late.Send(fakes.Raw(20, 1, "\x00"))
 	tr.Say("room again: %v", late.Expect())
 }
 
 // TestBadCallers: whoever sends what cannot be read or run, floods or says nothing is answered or closed in time,
 // holds a bounded part of our memory, and no edge node notices.
 func TestBadCallers(t *testing.T) {
-	tr := standin.NewTrace(t)
-	s := open(t, func(b *limit.Bounds, _ *terms.Sheet) { b.Hello, b.Sweep = 150*time.Millisecond, 20*time.Millisecond })
+	tr := fakes.NewTrace(t)
+	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Hello, b.Sweep = 150*time.Millisecond, 20*time.Millisecond })
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go s.Sweep(done)
-	good := standin.Dial(t, s.address)
-	good.Send(standin.Raw(20, 1, "\x00"))
+	good := fakes.Dial(t, s.address)
+	good.Send(fakes.Raw(20, 1, "\x00"))
 	good.Expect()
 	number := 1000
 	alike := func(many int, edits ...string) (text string) {
 		for k := range many {
-			text += standin.Invocation(uint32(k+1), number+k, edits...)
+			text += fakes.Invocation(uint32(k+1), number+k, edits...)
 		}
 		number += many
 		return text
@@ -342,11 +342,11 @@
 		{"unknown tenant", alike(1, "tenant=x")},
 		{"ids unknown to the farm", alike(1)},
 		{"two under one number", alike(1) + alike(1)},
-		{"taken back at once", strings.Repeat(alike(1)+standin.Raw(12, 1, ""), 300) + alike(1, "class=x")},
+		{"taken back at once", strings.Repeat(alike(1)+fakes.Raw(12, 1, ""), 300) + alike(1, "class=x")},
 		{"hundreds at once", alike(300)},
 		{"nothing but what cannot be used", strings.Repeat(alike(1, "class=x"), 300)},
 	} {
-		n := standin.Dial(t, s.address)
+		n := fakes.Dial(t, s.address)
 		began := time.Now()
 		go n.Conn.Write([]byte(c.sends))
 		var codes [4]int
@@ -376,10 +376,10 @@
 			l := <-s.theFarm.Launches
 			s.theFarm.Refuse(l.ID)
 		}
-		good.Send(standin.Invocation(uint32(number), number))
+		good.Send(fakes.Invocation(uint32(number), number))
 		id := fmt.Sprintf("%016x", number)
 		number++
-		for l := standin.Take(t, "a launch", s.theFarm.Launches); l.ID != id; l = standin.Take(t, "a launch", s.theFarm.Launches) {
+		for l := fakes.Take(t, "a launch", s.theFarm.Launches); l.ID != id; l = fakes.Take(t, "a launch", s.theFarm.Launches) {
 			s.theFarm.Refuse(l.ID)
 		}
 		s.theFarm.End(id, "complete", "r")
@@ -387,7 +387,7 @@
 			t.Errorf("%s: beside it %v", c.what, f)
 		}
 		n.Close()
-		standin.Until(t, "it is gone", func() bool { conns, _ := s.Counts(); return conns == 1 })
+		fakes.Until(t, "it is gone", func() bool { conns, _ := s.Counts(); return conns == 1 })
 	}
 	s.rests(t, 1)
 }
@@ -395,36 +395,36 @@
 // TestFilling: while the table fills those that rest longest are asked away; when it is full they are closed,
 // several at once where it is large.
 func TestFilling(t *testing.T) {
-	tr := standin.NewTrace(t)
-	s := open(t, func(b *limit.Bounds, _ *terms.Sheet) { b.Connections, b.Roomy, b.Rests = 64, 62, 0 })
-	var all []*standin.Node
+	tr := fakes.NewTrace(t)
+	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Connections, b.Roomy, b.Rests = 64, 62, 0 })
+	var all []*fakes.Node
 	for range 64 {
-		all = append(all, standin.Dial(t, s.address))
-		all[len(all)-1].Send(standin.Raw(20, 1, "\x00"))
+		all = append(all, fakes.Dial(t, s.address))
+		all[len(all)-1].Send(fakes.Raw(20, 1, "\x00"))
 		all[len(all)-1].Expect()
 	}
 	s.sweep(0)
 	tr.Say("the two that rest longest: %v, %v", all[0].Expect(), all[1].Expect())
-	all[2].Send(standin.Raw(20, 2, "\x00"))
+	all[2].Send(fakes.Raw(20, 2, "\x00"))
 	tr.Say("the third: %v", all[2].Expect())
-	late := standin.Dial(t, s.address)
-	late.Send(standin.Raw(20, 1, "\x00"))
+	late := fakes.Dial(t, s.address)
+	late.Send(fakes.Raw(20, 1, "\x00"))
 	tr.Say("one more: %v", late.Expect())
-	standin.Until(t, "three were given up", func() bool { n, _ := s.Counts(); return n == 62 })
+	fakes.Until(t, "three were given up", func() bool { n, _ := s.Counts(); return n == 62 })
 	_, err := all[1].Next()
 	tr.Say("the second: %v", err)
 }
 
 // TestHeldForGood: who holds a connection for longer than the deployment's callers do loses it once it rests.
 func TestHeldForGood(t *testing.T) {
-	tr := standin.NewTrace(t)
-	s := open(t, func(b *limit.Bounds, sheet *terms.Sheet) { b.Hello, sheet.Terms.IdleFor = 0, 50_000 })
-	held, busy := standin.Dial(t, s.address), standin.Dial(t, s.address)
-	held.Send(standin.Raw(20, 1, "\x00"))
+	tr := fakes.NewTrace(t)
+	s := open(t, func(b *limits.Bounds, sheet *config.Sheet) { b.Hello, sheet.Terms.IdleFor = 0, 50_000 })
+	held, busy := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
+	held.Send(fakes.Raw(20, 1, "\x00"))
 	tr.Say("%v", held.Expect())
-	busy.Send(standin.Invocation(1, 1))
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
-	standin.Until(t, "it is closed", func() bool { s.sweep(0); n, _ := s.Counts(); return n == 1 })
+	busy.Send(fakes.Invocation(1, 1))
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	fakes.Until(t, "it is closed", func() bool { s.sweep(0); n, _ := s.Counts(); return n == 1 })
 	_, err := held.Next()
 	tr.Say("the one that rests: %v", err)
 	s.theFarm.End(l.ID, "complete", "r")
@@ -438,7 +438,7 @@
 	close(st.left)
 	for n := range 300 {
 		s.enter()
-		s.carry(nil, st, gate.Invocation{ID: fmt.Sprint(n), At: gate.Now(), Wait: 4_000_000, KB: 1, Left: st.left}, "look", nil)
+		s.carry(nil, st, dispatch.Invocation{ID: fmt.Sprint(n), At: dispatch.Now(), Wait: 4_000_000, KB: 1, Left: st.left}, "look", nil)
 	}
 	if counts, _ := s.gate.Counts(); counts.Picked != 0 || len(s.theFarm.Launches) != 0 {
 		t.Errorf("%+v, %d launches", counts, len(s.theFarm.Launches))
@@ -448,22 +448,22 @@
 
 // TestTurnAway: type 30 on every connection; what crosses it is still answered; nothing new connects.
 func TestTurnAway(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := open(t, nil)
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Invocation(1, 1))
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Invocation(1, 1))
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
 	s.TurnAway()
 	tr.Say("%v", n.Expect())
-	n.Send(standin.Invocation(2, 2))
-	crossing := standin.Take(t, "a launch", s.theFarm.Launches)
+	n.Send(fakes.Invocation(2, 2))
+	crossing := fakes.Take(t, "a launch", s.theFarm.Launches)
 	s.theFarm.End(crossing.ID, "complete", "crossing")
 	tr.Say("%v", n.Expect())
 	tr.Say("quiet %t", s.Quiet())
 	s.theFarm.End(l.ID, "complete", "r")
 	tr.Say("%v", n.Expect())
-	standin.Until(t, "all is quiet", s.Quiet)
-	standin.Until(t, "nobody can connect", func() bool {
+	fakes.Until(t, "all is quiet", s.Quiet)
+	fakes.Until(t, "nobody can connect", func() bool {
 		c, err := net.Dial("tcp", s.address)
 		if err == nil {
 			c.Close()
@@ -477,25 +477,25 @@
 // though the run does not end; elsewhere such a frame is errored.
 func TestWaitUntold(t *testing.T) {
 	s := open(t, nil)
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Invocation(1, 1, "wait="))
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Invocation(1, 1, "wait="))
 	if f := n.Expect(); f.Code != 3 || len(s.theFarm.Launches) > 0 {
 		t.Errorf("where they tell: %v", f)
 	}
-	s = open(t, func(_ *limit.Bounds, sheet *terms.Sheet) {
+	s = open(t, func(_ *limits.Bounds, sheet *config.Sheet) {
 		sheet.Untold = true
 		sheet.Terms.Operations[0].ClientTimeout = 300_000
 		sheet.Terms.Operations[0].Objective = 200_000
 	})
-	n = standin.Dial(t, s.address)
-	n.Send(standin.Invocation(1, 1, "wait="))
+	n = fakes.Dial(t, s.address)
+	n.Send(fakes.Invocation(1, 1, "wait="))
 	s.run(t, "complete", "r")
 	if f := n.Expect(); f.Code != 1 {
 		t.Errorf("the first: %v", f)
 	}
 	since := time.Now()
-	n.Send(standin.Invocation(2, 2, "wait="))
-	standin.Take(t, "a launch", s.theFarm.Launches)
+	n.Send(fakes.Invocation(2, 2, "wait="))
+	fakes.Take(t, "a launch", s.theFarm.Launches)
 	if f, took := n.Expect(), time.Since(since); f.Code != 3 || took < 200*time.Millisecond || took > 380*time.Millisecond {
 		t.Errorf("whose run does not end: %v after %v", f, took)
 	}
--- a/edge/moments_test.go
+++ b/internal/backend/server/moments_test.go
@@ -1,4 +1,4 @@
-package edge
+package server
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/standin"
-	"milletbarrow/terms"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 // The rare moments: each of these tests makes one bad order happen every time.
@@ -31,7 +31,7 @@
 
 // only is the one connection that is open.
 func (s *site) only(t testing.TB) *conn {
-	standin.Until(t, "one is open", func() bool { n, _ := s.Counts(); return n == 1 })
+	fakes.Until(t, "one is open", func() bool { n, _ := s.Counts(); return n == 1 })
 	return s.all()[0]
 }
 
@@ -40,16 +40,16 @@
 func TestAcceptQueue(t *testing.T) {
 	s := open(t, nil)
 	release := s.holdPoller(t)
-	var nodes []*standin.Node
+	var nodes []*fakes.Node
 	for k := range 5 {
-		n := standin.Dial(t, s.address)
-		n.Send(standin.Invocation(1, k+1))
+		n := fakes.Dial(t, s.address)
+		n.Send(fakes.Invocation(1, k+1))
 		nodes = append(nodes, n)
 	}
 	over := make(chan struct{})
 	go func() { s.TurnAway(); close(over) }()
 	release()
-	standin.Take(t, "the door's closing", over)
+	fakes.Take(t, "the door's closing", over)
 	for range nodes {
 		s.run(t, "complete", "r")
 	}
@@ -68,7 +68,7 @@
 // TestUnreadOnResting: timers have run out on connections whose invocations stand unread, as the process was held up.
 // None is closed over them: not by what ends the silent, those within a frame and the resting, nor to make room.
 func TestUnreadOnResting(t *testing.T) {
-	short := func(b *limit.Bounds, sheet *terms.Sheet) {
+	short := func(b *limits.Bounds, sheet *config.Sheet) {
 		b.Hello, b.Rests, b.Sweep = time.Millisecond, 0, time.Hour
 		sheet.Terms.IdleFor = 1000
 	}
@@ -77,23 +77,23 @@
 		after        string // what is unread
 		closes       func(*site)
 	}{
-		{"silent", "", standin.Invocation(1, 1), func(s *site) { s.sweep(0) }},
-		{"within a frame", standin.Invocation(1, 2)[:30], standin.Invocation(1, 2)[30:], func(s *site) { s.sweep(0) }},
-		{"resting", standin.Raw(20, 9, "\x00"), standin.Invocation(1, 3), func(s *site) { s.sweep(0) }},
-		{"full", standin.Raw(20, 9, "\x00"), standin.Invocation(1, 4), func(s *site) { s.giveUp(time.Now()) }},
+		{"silent", "", fakes.Invocation(1, 1), func(s *site) { s.sweep(0) }},
+		{"within a frame", fakes.Invocation(1, 2)[:30], fakes.Invocation(1, 2)[30:], func(s *site) { s.sweep(0) }},
+		{"resting", fakes.Raw(20, 9, "\x00"), fakes.Invocation(1, 3), func(s *site) { s.sweep(0) }},
+		{"full", fakes.Raw(20, 9, "\x00"), fakes.Invocation(1, 4), func(s *site) { s.giveUp(time.Now()) }},
 	} {
 		s := open(t, short)
-		n := standin.Dial(t, s.address)
+		n := fakes.Dial(t, s.address)
 		n.Send(c.before)
 		one := s.only(t)
-		if strings.HasPrefix(c.before, standin.Raw(20, 9, "\x00")) {
+		if strings.HasPrefix(c.before, fakes.Raw(20, 9, "\x00")) {
 			n.Expect()
 		} else if c.before != "" {
-			standin.Until(t, "the frame has begun", func() bool { one.mu.Lock(); defer one.mu.Unlock(); return !one.begun.IsZero() })
+			fakes.Until(t, "the frame has begun", func() bool { one.mu.Lock(); defer one.mu.Unlock(); return !one.begun.IsZero() })
 		}
 		release := s.holdPoller(t)
 		n.Send(c.after)
-		standin.Until(t, "it stands unread", func() bool { return unread(one.fd) })
+		fakes.Until(t, "it stands unread", func() bool { return unread(one.fd) })
 		time.Sleep(10 * time.Millisecond) // all timers are over
 		c.closes(s)
 		release()
@@ -111,11 +111,11 @@
 // TestHeldUpWithinAFrame: the process was held up for longer than a frame may take; that time is not its peer's.
 func TestHeldUpWithinAFrame(t *testing.T) {
 	s := open(t, nil)
-	n := standin.Dial(t, s.address)
-	whole := standin.Invocation(1, 1)
+	n := fakes.Dial(t, s.address)
+	whole := fakes.Invocation(1, 1)
 	n.Send(whole[:30])
 	c := s.only(t)
-	standin.Until(t, "the frame has begun", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.begun.IsZero() })
+	fakes.Until(t, "the frame has begun", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.begun.IsZero() })
 	s.sweep(0)
 	held := s.bounds.Hello + time.Second
 	c.excuse(-held) // as if it had come so long ago,
@@ -131,18 +131,18 @@
 // TestSoundAfterUnfit: a connection has sent too much that cannot be used and ends once all is answered; a sound
 // invocation that comes meanwhile never ran, and is told so.
 func TestSoundAfterUnfit(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := open(t, nil)
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Invocation(1, 1))
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Invocation(1, 1))
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
 	for k := range s.bounds.Unfit {
-		n.Send(standin.Invocation(uint32(k+2), k+2, "class=x"))
+		n.Send(fakes.Invocation(uint32(k+2), k+2, "class=x"))
 		if f := n.Expect(); f.Code != 3 {
 			t.Error(f)
 		}
 	}
-	n.Send(standin.Invocation(99, 99))
+	n.Send(fakes.Invocation(99, 99))
 	tr.Say("a sound one: %v", n.Expect())
 	s.theFarm.End(l.ID, "complete", "r")
 	tr.Say("the first: %v", n.Expect())
@@ -154,7 +154,7 @@
 // TestLastAnswersBeforeUnreadInput: a connection ends while its peer, which reads nothing yet, goes on sending. All
 // answers reach it all the same: closed outright, the system would reset the connection and drop what is on its way.
 func TestLastAnswersBeforeUnreadInput(t *testing.T) {
-	s := open(t, func(b *limit.Bounds, _ *terms.Sheet) { b.Linger = 5 * time.Second })
+	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Linger = 5 * time.Second })
 	s.theFarm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -164,15 +164,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { plain.Close() })
-	n := standin.NewNode(t, plain)
+	n := fakes.NewNode(t, plain)
 	const many = 16
 	for k := range many {
-		n.Send(standin.Invocation(uint32(k+1), k+1, "wait=60000"))
+		n.Send(fakes.Invocation(uint32(k+1), k+1, "wait=60000"))
 		s.run(t, "complete", strings.Repeat("r", 4096))
 	}
 	c := s.only(t)
 	n.Send("\x00\x00\x00\x01xxxx")
-	standin.Until(t, "all is written", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.closed })
+	fakes.Until(t, "all is written", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.closed })
 	for range 20 {
 		plain.Write(make([]byte, 100))
 		time.Sleep(time.Millisecond)
@@ -196,7 +196,7 @@
 // stream. Nobody can be answered: nothing is opened, carried or run.
 func TestClosedBeforeItsStreamOpens(t *testing.T) {
 	s := open(t, nil)
-	standin.Dial(t, s.address)
+	fakes.Dial(t, s.address)
 	c := s.only(t)
 	c.cut()
 	if again, room, gone := c.use(&stream{number: 1, left: make(chan struct{})}); again || room || !gone {
@@ -210,15 +210,15 @@
 func TestDueBeforeItsLaunch(t *testing.T) {
 	s := open(t, nil)
 	stop := func() {
-		standin.Until(t, "it is errored", func() bool { c, _ := s.gate.Counts(); return c.Errored == 1 })
+		fakes.Until(t, "it is errored", func() bool { c, _ := s.gate.Counts(); return c.Errored == 1 })
 	}
 	s.seam.Store(&stop)
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Invocation(1, 1, "wait=150"))
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Invocation(1, 1, "wait=150"))
 	if f := n.Expect(); f.Code != 3 {
 		t.Error(f)
 	}
-	standin.Until(t, "it is over", func() bool { _, carried := s.Counts(); return carried == 0 })
+	fakes.Until(t, "it is over", func() bool { _, carried := s.Counts(); return carried == 0 })
 	if len(s.theFarm.Launches) > 0 {
 		t.Error("it was launched")
 	}
@@ -229,17 +229,17 @@
 // Nothing is left over, and another connection is answered.
 func TestResetBeforeItsAnswer(t *testing.T) {
 	s := open(t, nil)
-	other := standin.Dial(t, s.address)
+	other := fakes.Dial(t, s.address)
 	for k, stage := range []string{"within a frame", "running", "answered and not read"} {
-		n := standin.Dial(t, s.address)
+		n := fakes.Dial(t, s.address)
 		n.Conn.(*net.TCPConn).SetLinger(0)
-		frame := standin.Invocation(1, 10+k)
+		frame := fakes.Invocation(1, 10+k)
 		if stage == "within a frame" {
 			frame = frame[:40]
 		}
 		n.Send(frame)
 		if stage != "within a frame" {
-			l := standin.Take(t, "a launch", s.theFarm.Launches)
+			l := fakes.Take(t, "a launch", s.theFarm.Launches)
 			if stage == "running" {
 				defer s.theFarm.End(l.ID, "complete", "nobody waits")
 			} else {
@@ -247,24 +247,24 @@
 			}
 		}
 		n.Close()
-		other.Send(standin.Invocation(uint32(k+1), 20+k))
+		other.Send(fakes.Invocation(uint32(k+1), 20+k))
 		s.run(t, "complete", "r")
 		if f := other.Expect(); f.Code != 1 {
 			t.Errorf("%s: beside it %v", stage, f)
 		}
 	}
-	standin.Until(t, "they are gone", func() bool { n, _ := s.Counts(); return n == 1 })
+	fakes.Until(t, "they are gone", func() bool { n, _ := s.Counts(); return n == 1 })
 }
 
 // TestRoomOnItsWay: a table is full of what has been closed and waits for the poller, which is busy with newcomers. None of
 // those that stay is closed for them.
 func TestRoomOnItsWay(t *testing.T) {
-	s := open(t, func(b *limit.Bounds, _ *terms.Sheet) { b.Connections = 2 })
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Raw(20, 1, "\x00"))
+	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Connections = 2 })
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Raw(20, 1, "\x00"))
 	n.Expect()
-	standin.Dial(t, s.address)
-	standin.Until(t, "both are open", func() bool { n, _ := s.Counts(); return n == 2 })
+	fakes.Dial(t, s.address)
+	fakes.Until(t, "both are open", func() bool { n, _ := s.Counts(); return n == 2 })
 	release := s.holdPoller(t)
 	for range 5 {
 		if !s.giveUp(time.Now()) {
@@ -272,7 +272,7 @@
 		}
 	}
 	release()
-	n.Send(standin.Invocation(2, 2))
+	n.Send(fakes.Invocation(2, 2))
 	s.run(t, "complete", "r")
 	f := n.Expect()
 	for f.Type == 30 {
--- a/edge/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -1,35 +1,35 @@
-package edge
+package server
 
 import (
 	"net"
 	"strings"
 	"testing"
 
-	"milletbarrow/admit"
-	"milletbarrow/limit"
-	"milletbarrow/standin"
-	"milletbarrow/terms"
+	"milletbarrow/admission"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 // tokened has the operation post known by its tokens.
-func tokened(b *limit.Bounds, sheet *terms.Sheet) {
+func tokened(b *limits.Bounds, sheet *config.Sheet) {
 	sheet.Terms.KeyKB = 20
 	op := &sheet.Terms.Operations[1]
-	op.Repeat, op.Window = admit.Tokened, 5_000_000
+	op.Repeat, op.Window = admission.Tokened, 5_000_000
 }
 
 // TestRepeatsOfOneRun: one run brings the answer to a repeat that comes while it runs, though its own caller has reset the
 // connection, and to one that comes after it. The farm's link breaks between the two.
 func TestRepeatsOfOneRun(t *testing.T) {
 	s := open(t, tokened)
-	first, second := standin.Dial(t, s.address), standin.Dial(t, s.address)
-	first.Send(standin.Try(1, 1, "x"))
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
-	second.Send(standin.Try(1, 2, "x", "retry=1"))
-	standin.Until(t, "the repeat waits", func() bool { return s.inGate() == 2 })
+	first, second := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
+	first.Send(fakes.Try(1, 1, "x"))
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	second.Send(fakes.Try(1, 2, "x", "retry=1"))
+	fakes.Until(t, "the repeat waits", func() bool { return s.inGate() == 2 })
 	first.Conn.(*net.TCPConn).SetLinger(0)
 	first.Close()
-	standin.Until(t, "its caller has left", func() bool { c, _ := s.gate.Counts(); return c.Left == 1 })
+	fakes.Until(t, "its caller has left", func() bool { c, _ := s.gate.Counts(); return c.Left == 1 })
 	for len(s.theFarm.Subscribes) > 0 {
 		<-s.theFarm.Subscribes
 	}
@@ -38,14 +38,14 @@
 	if f := second.Expect(); f.Code != 1 || f.Body != "the one result" {
 		t.Errorf("the repeat beside it: %v", f)
 	}
-	second.Send(standin.Try(1, 3, "x", "retry=1")) // the stream number too comes again
+	second.Send(fakes.Try(1, 3, "x", "retry=1")) // the stream number too comes again
 	if f := second.Expect(); f.Code != 1 || f.Body != "the one result" {
 		t.Errorf("the repeat after it: %v", f)
 	}
 	if len(s.theFarm.Launches) > 0 {
 		t.Errorf("launched again: %v", <-s.theFarm.Launches)
 	}
-	standin.Until(t, "nothing is carried", func() bool { _, carried := s.Counts(); return carried == 0 && s.inGate() == 0 })
+	fakes.Until(t, "nothing is carried", func() bool { _, carried := s.Counts(); return carried == 0 && s.inGate() == 0 })
 }
 
 // TestRepeatBeforeItsFirstIsLaunched: the first's caller takes it back between the word that it may run and its launch, with
@@ -55,20 +55,20 @@
 	stopped, goOn := make(chan struct{}), make(chan struct{})
 	seam := func() { stopped <- struct{}{}; <-goOn }
 	s.seam.Store(&seam)
-	n := standin.Dial(t, s.address)
-	n.Send(standin.Try(1, 1, "x"))
-	standin.Take(t, "the word that it may run", stopped)
+	n := fakes.Dial(t, s.address)
+	n.Send(fakes.Try(1, 1, "x"))
+	fakes.Take(t, "the word that it may run", stopped)
 	s.seam.Store(nil)
-	n.Send(standin.Try(2, 2, "x", "retry=1"))
-	standin.Until(t, "the repeat waits", func() bool { return s.inGate() == 2 })
-	n.Send(standin.Raw(12, 1, ""))
-	n.Send(standin.Raw(20, 3, "\x00"))
+	n.Send(fakes.Try(2, 2, "x", "retry=1"))
+	fakes.Until(t, "the repeat waits", func() bool { return s.inGate() == 2 })
+	n.Send(fakes.Raw(12, 1, ""))
+	n.Send(fakes.Raw(20, 3, "\x00"))
 	n.Expect() // type 12 has been read
 	close(goOn)
 	if f := n.Expect(); f.Stream != 2 || f.Code != 2 || f.Fields != "after=50" {
 		t.Errorf("the repeat: %v", f)
 	}
-	n.Send(standin.Try(4, 4, "x", "retry=1"))
+	n.Send(fakes.Try(4, 4, "x", "retry=1"))
 	if l := s.run(t, "complete", "r"); l.ID != "0000000000000004" {
 		t.Errorf("launched %v", l)
 	}
@@ -80,20 +80,20 @@
 // TestTokensOnFrames: one without a token is errored and not run, as is one whose token is beyond all bounds. Where no more
 // may be open, a repeat is errored, as another backend would run it again, and new work is throttled.
 func TestTokensOnFrames(t *testing.T) {
-	tr := standin.NewTrace(t)
-	s := open(t, func(b *limit.Bounds, sheet *terms.Sheet) {
+	tr := fakes.NewTrace(t)
+	s := open(t, func(b *limits.Bounds, sheet *config.Sheet) {
 		tokened(b, sheet)
 		b.Streams = 1
 	})
-	n := standin.Dial(t, s.address)
+	n := fakes.Dial(t, s.address)
 	ask := func(what string, stream uint32, token string, edits ...string) {
-		n.Send(standin.Try(stream, int(stream), token, edits...))
+		n.Send(fakes.Try(stream, int(stream), token, edits...))
 		tr.Say("%s: %v", what, n.Expect())
 	}
 	ask("no token", 1, "")
 	ask("a long one", 3, strings.Repeat("0123456789", 7))
-	n.Send(standin.Try(5, 5, "x"))
-	l := standin.Take(t, "a launch", s.theFarm.Launches)
+	n.Send(fakes.Try(5, 5, "x"))
+	l := fakes.Take(t, "a launch", s.theFarm.Launches)
 	ask("a repeat where no more may be open", 6, "x", "retry=1")
 	ask("new work there", 7, "y")
 	s.theFarm.End(l.ID, "error", "")
@@ -106,13 +106,13 @@
 // one's result, the farm refuses it, and the other is run and its repeat answered as if it had not come.
 func TestMarkOfAnothersWork(t *testing.T) {
 	s := open(t, tokened)
-	n, bad := standin.Dial(t, s.address), standin.Dial(t, s.address)
+	n, bad := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	copied := func(stream uint32, number int) {
-		fields := standin.Fields(standin.Usual(number, "class=post", "once=x")...)
-		bad.Send(standin.Raw(10, stream, fields+"what it would like"))
+		fields := fakes.Fields(fakes.Usual(number, "class=post", "once=x")...)
+		bad.Send(fakes.Raw(10, stream, fields+"what it would like"))
 	}
 	refused := func() {
-		l := standin.Take(t, "the copy's launch", s.theFarm.Launches)
+		l := fakes.Take(t, "the copy's launch", s.theFarm.Launches)
 		if l.Body != "what it would like" {
 			t.Fatalf("launched %v", l)
 		}
@@ -122,9 +122,9 @@
 		}
 	}
 	copied(1, 1)
-	l := standin.Take(t, "the launch of the copy that came first", s.theFarm.Launches)
-	n.Send(standin.Try(1, 2, "x"))
-	own := standin.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "the launch of the copy that came first", s.theFarm.Launches)
+	n.Send(fakes.Try(1, 2, "x"))
+	own := fakes.Take(t, "a launch", s.theFarm.Launches)
 	s.theFarm.Refuse(l.ID)
 	bad.Expect()
 	copied(2, 3)
@@ -139,7 +139,7 @@
 	if f := bad.Expect(); f.Stream != 4 || f.Code != 3 || f.Body != "" {
 		t.Errorf("a copy with the id of the work: %v", f)
 	}
-	n.Send(standin.Try(2, 5, "x", "retry=1"))
+	n.Send(fakes.Try(2, 5, "x", "retry=1"))
 	if f := n.Expect(); f.Code != 1 || f.Body != "r" {
 		t.Errorf("its repeat: %v", f)
 	}
--- a/edge/server.go
+++ b/internal/backend/server/server.go
@@ -1,5 +1,5 @@
-// Package edge serves edge nodes: the listener, their connections, the streams on them and health checks.
-package edge
+// Package server serves edge nodes: the listener, their connections, the streams on them and health checks.
+package server
 
 import (
 	"bytes"
@@ -18,12 +18,12 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"milletbarrow/farm"
-	"milletbarrow/frame"
-	"milletbarrow/gate"
-	"milletbarrow/limit"
-	"milletbarrow/odd"
-	"milletbarrow/terms"
+	"milletbarrow/internal/backend/dispatch"
+	"milletbarrow/internal/backend/executor"
+	"milletbarrow/internal/backend/frame"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/ratelimitlog"
 )
 
 var (
@@ -36,11 +36,11 @@
 
 // Server is all that faces the edge nodes.
 type Server struct {
-	sheet      *terms.Sheet
-	bounds     limit.Bounds
-	odd        *odd.Tally
-	gate       *gate.Gate
-	farm       *farm.Link
+	sheet      *config.Sheet
+	bounds     limits.Bounds
+	odd        *ratelimitlog.Tally
+	gate       *dispatch.Gate
+	farm       *executor.Link
 	operations map[string]int // number of each name, from 1
 	tenants    map[string]int
 	door       *door
@@ -59,7 +59,7 @@
 type connKey struct{}
 
 // New makes a server for the terms of the sheet.
-func New(sheet *terms.Sheet, bounds limit.Bounds, tally *odd.Tally, g *gate.Gate, f *farm.Link) *Server {
+func New(sheet *config.Sheet, bounds limits.Bounds, tally *ratelimitlog.Tally, g *dispatch.Gate, f *executor.Link) *Server {
 	s := &Server{
 		sheet: sheet, bounds: bounds, gate: g, farm: f, operations: map[string]int{}, tenants: map[string]int{},
 		conns: map[*conn]struct{}{}, odd: tally,
@@ -200,7 +200,7 @@
 }
 
 // carry takes one invocation from its reading to its answer, and its run to its end.
-func (s *Server) carry(c *conn, st *stream, inv gate.Invocation, operation string, body []byte) {
+func (s *Server) carry(c *conn, st *stream, inv dispatch.Invocation, operation string, body []byte) {
 	defer s.inHand.Add(-1)
 	defer func() {
 		if r := recover(); r != nil {
@@ -214,7 +214,7 @@
 	default:
 	}
 	word, ticket := s.gate.Pick(inv)
-	if word.Verdict != gate.Run {
+	if word.Verdict != dispatch.Run {
 		s.say(c, st, word)
 		return
 	}
@@ -223,14 +223,14 @@
 	}
 	select {
 	case <-st.left: // before it went out
-		s.gate.Report(ticket, gate.Unrunnable, nil)
+		s.gate.Report(ticket, dispatch.Unrunnable, nil)
 		return
 	default:
 	}
 	select {
 	case word := <-ticket.Final(): // likewise, and the answer is out: nothing is run for nobody
 		s.say(c, st, word)
-		s.gate.Report(ticket, gate.NeverRan, nil)
+		s.gate.Report(ticket, dispatch.NeverRan, nil)
 		return
 	default:
 	}
@@ -239,11 +239,11 @@
 	for {
 		select {
 		case end := <-run.Done():
-			if end.End == gate.Unrunnable {
+			if end.End == dispatch.Unrunnable {
 				c.odd("unrunnable", nil)
 			}
 			switch owed := s.gate.Report(ticket, end.End, end.Result); {
-			case owed && end.End == gate.RunSucceeded:
+			case owed && end.End == dispatch.RunSucceeded:
 				c.answer(st, frame.Succeeded, 0, false, end.Result)
 			case owed:
 				c.answer(st, frame.Errored, 0, false, nil)
@@ -259,19 +259,19 @@
 			s.say(c, st, word)
 		case <-left:
 			left = nil
-			s.gate.Report(ticket, gate.CallerLeft, nil)
+			s.gate.Report(ticket, dispatch.CallerLeft, nil)
 		}
 	}
 }
 
 // say passes a final word on.
-func (s *Server) say(c *conn, st *stream, w gate.Word) {
+func (s *Server) say(c *conn, st *stream, w dispatch.Word) {
 	switch w.Verdict {
-	case gate.Throttled:
+	case dispatch.Throttled:
 		c.answer(st, frame.Throttled, w.Away, w.DontRetry, nil)
-	case gate.Errored:
+	case dispatch.Errored:
 		c.answer(st, frame.Errored, 0, false, nil)
-	case gate.Repeated:
+	case dispatch.Repeated:
 		c.answer(st, frame.Succeeded, 0, false, w.Result)
 	}
 }
--- a/watch/watch.go
+++ b/internal/backend/shadow/watch.go
@@ -1,13 +1,13 @@
-// Package watch counts where other settings would have decided otherwise: a second instance of the module is
+// Package shadow counts where other settings would have decided otherwise: a second instance of the module is
 // told all that happens to the first and what the first decided. It does no I/O, has no clock, owns the second
 // instance and its counts, and hands on nothing that it decides.
-package watch
+package shadow
 
 import (
 	"fmt"
 	"slices"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // Kind is a way in which a decision differs.
@@ -57,22 +57,22 @@
 
 // Watcher is the second instance. It is for one goroutine at a time.
 type Watcher struct {
-	shadow *admit.Backend
-	acts   []admit.Action
+	shadow *admission.Backend
+	acts   []admission.Action
 	hand   map[string]bool // what the first has in hand and not answered: the second has not either; bounded as the first is
 	counts Counts
-	good   [2]bool         // health as last sent by the first and the second
-	idle   [2]admit.Micros // connections as well
-	token  int64           // of the second's timer
+	good   [2]bool             // health as last sent by the first and the second
+	idle   [2]admission.Micros // connections as well
+	token  int64               // of the second's timer
 }
 
 // New begins with the settings to be watched; now is the first instance's opening or, where it has been open for
 // long, any later time: what it had in hand before is not compared.
-func New(t admit.Terms, seed uint64, now admit.Micros) *Watcher {
+func New(t admission.Terms, seed uint64, now admission.Micros) *Watcher {
 	t.Follows = true
-	w := &Watcher{shadow: admit.New(t, seed), hand: map[string]bool{}, good: [2]bool{true, true}}
-	w.idle = [2]admit.Micros{t.IdleFor, t.IdleFor}
-	w.decide(now, admit.Opened{})
+	w := &Watcher{shadow: admission.New(t, seed), hand: map[string]bool{}, good: [2]bool{true, true}}
+	w.idle = [2]admission.Micros{t.IdleFor, t.IdleFor}
+	w.decide(now, admission.Opened{})
 	return w
 }
 
@@ -80,8 +80,8 @@
 func (w *Watcher) Counts() Counts { return w.counts }
 
 // Saw tells of an event and of what the first instance decided at it.
-func (w *Watcher) Saw(now admit.Micros, ev admit.Event, real []admit.Action) {
-	if _, opens := ev.(admit.Opened); opens || w.counts.Faults > 0 {
+func (w *Watcher) Saw(now admission.Micros, ev admission.Event, real []admission.Action) {
+	if _, opens := ev.(admission.Opened); opens || w.counts.Faults > 0 {
 		return
 	}
 	defer func() {
@@ -92,48 +92,48 @@
 	}()
 	id := ""
 	switch e := ev.(type) {
-	case admit.Arrived:
+	case admission.Arrived:
 		id = e.ID
 		w.hand[id] = true
 		w.counts.Arrivals++
-	case admit.Reading:
+	case admission.Reading:
 		e.Token = w.token
 		ev = e
 	}
 	w.decide(now, ev)
-	w.compare(id, [2][]admit.Action{real, w.acts})
+	w.compare(id, [2][]admission.Action{real, w.acts})
 	// What really happened: what was started runs for the second instance too, and whoever has its final answer
 	// is over for both.
 	for _, act := range real {
-		if a, starts := act.(admit.Start); starts {
-			w.decide(now, admit.Launched{ID: a.ID})
+		if a, starts := act.(admission.Start); starts {
+			w.decide(now, admission.Launched{ID: a.ID})
 		}
 		if id, final := answered(act); final {
 			if w.hand[id] {
-				w.decide(now, admit.CallerGone{ID: id})
+				w.decide(now, admission.CallerGone{ID: id})
 			}
 			delete(w.hand, id)
 		}
 	}
 	switch e := ev.(type) {
-	case admit.Finished:
+	case admission.Finished:
 		delete(w.hand, e.ID)
-	case admit.CallerGone:
+	case admission.CallerGone:
 		delete(w.hand, e.ID)
 	}
 }
 
-func (w *Watcher) decide(now admit.Micros, ev admit.Event) {
+func (w *Watcher) decide(now admission.Micros, ev admission.Event) {
 	w.acts = w.shadow.Decide(now, ev, w.acts[:0])
 	for _, act := range w.acts {
-		if a, ok := act.(admit.Wake); ok {
+		if a, ok := act.(admission.Wake); ok {
 			w.token = a.Token
 		}
 	}
 }
 
 // compare counts by kind; arrived is the invocation that has just come, if one has.
-func (w *Watcher) compare(arrived string, acts [2][]admit.Action) {
+func (w *Watcher) compare(arrived string, acts [2][]admission.Action) {
 	count := func(k Kind) { w.counts.By[k]++ }
 	if a, b := first(acts[0]), first(acts[1]); a != "" && b != "" && a != b {
 		count(Order)
@@ -142,19 +142,19 @@
 		for _, act := range acts[side] {
 			same := slices.Contains(acts[1-side], act)
 			switch a := act.(type) {
-			case admit.SetHealth:
+			case admission.SetHealth:
 				w.good[side] = a.Good
-			case admit.CloseIdle:
+			case admission.CloseIdle:
 				w.idle[side] = a.After
-			case admit.Advertise:
+			case admission.Advertise:
 				if !same {
 					count(Value)
 				}
-			case admit.Stop:
+			case admission.Stop:
 				if !same {
 					count(Paused)
 				}
-			case admit.Reuse:
+			case admission.Reuse:
 				if !same {
 					count(Repeated)
 				}
@@ -177,7 +177,7 @@
 
 // differs tells how the answer of one side differs from the other's, which is nil where there is none. Two answers are
 // compared once, from the second's side.
-func differs(act, other admit.Action, side int, onArrival bool) (k Kind, yes bool) {
+func differs(act, other admission.Action, side int, onArrival bool) (k Kind, yes bool) {
 	if other == nil {
 		alone := [2][2]Kind{{KeptOn, GivenUp}, {LetIn, TurnedAway}}
 		n := 0
@@ -186,8 +186,8 @@
 		}
 		return alone[n][side], true
 	}
-	a, throttles := act.(admit.Throttle)
-	b, both := other.(admit.Throttle)
+	a, throttles := act.(admission.Throttle)
+	b, both := other.(admission.Throttle)
 	switch {
 	case side == 0 || !throttles || !both:
 		return 0, false
@@ -210,9 +210,9 @@
 }
 
 // first is the invocation that is started first.
-func first(acts []admit.Action) string {
+func first(acts []admission.Action) string {
 	for _, act := range acts {
-		if a, ok := act.(admit.Start); ok {
+		if a, ok := act.(admission.Start); ok {
 			return a.ID
 		}
 	}
@@ -220,7 +220,7 @@
 }
 
 // answerTo is the final answer to an invocation among what was decided, or nil.
-func answerTo(id string, acts []admit.Action) admit.Action {
+func answerTo(id string, acts []admission.Action) admission.Action {
 	for _, act := range acts {
 		if to, final := answered(act); final && to == id {
 			return act
@@ -230,11 +230,11 @@
 }
 
 // answered tells whose final answer an action is.
-func answered(act admit.Action) (id string, final bool) {
+func answered(act admission.Action) (id string, final bool) {
 	switch a := act.(type) {
-	case admit.Throttle:
+	case admission.Throttle:
 		return a.ID, true
-	case admit.Fail:
+	case admission.Fail:
 		return a.ID, true
 	}
 	return "", false
--- a/watch/watch_test.go
+++ b/internal/backend/shadow/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package shadow
 
 import (
 	"fmt"
@@ -7,16 +7,16 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/admit"
-	"milletbarrow/standin"
+	"milletbarrow/admission"
+	"milletbarrow/internal/fakes"
 )
 
 // terms are a small deployment; shape changes it.
-func terms(shape func(*admit.Terms)) admit.Terms {
-	t := admit.Terms{
-		Operations: []admit.Operation{
+func terms(shape func(*admission.Terms)) admission.Terms {
+	t := admission.Terms{
+		Operations: []admission.Operation{
 			{Objective: 1_800_000, ClientTimeout: 4_500_000, Value: 1},
-			{Objective: 1_800_000, ClientTimeout: 4_500_000, Value: 10, Repeat: admit.Tokened, Window: 20_000_000},
+			{Objective: 1_800_000, ClientTimeout: 4_500_000, Value: 10, Repeat: admission.Tokened, Window: 20_000_000},
 		},
 		Fleet: 3, Callers: 200, Cores: 2, MemoryKB: 20_000, RunFactor: 4, KeyKB: 50, AnswerSlack: 60_000,
 		DrainGrace: 2_000_000, ColdShare: 0.3, ColdFor: 9_000_000, FallMultiple: 6, FallOver: 3_000_000,
@@ -28,38 +28,38 @@
 
 // pair is an instance that decides and one that watches, on one made-up clock.
 type pair struct {
-	real    *admit.Backend
+	real    *admission.Backend
 	watcher *Watcher
-	now     admit.Micros
+	now     admission.Micros
 	running []string
 	record  bool // what runs
 }
 
-func newPair(first, second admit.Terms) *pair {
-	p := &pair{real: admit.New(first, 7), now: 1_000_000, record: true}
+func newPair(first, second admission.Terms) *pair {
+	p := &pair{real: admission.New(first, 7), now: 1_000_000, record: true}
 	p.watcher = New(second, 7, p.now)
-	p.tell(admit.Opened{})
+	p.tell(admission.Opened{})
 	return p
 }
 
-func (p *pair) tell(ev admit.Event) {
+func (p *pair) tell(ev admission.Event) {
 	acts := p.real.Decide(p.now, ev, nil)
 	for _, act := range acts {
-		if a, ok := act.(admit.Start); ok && p.record {
+		if a, ok := act.(admission.Start); ok && p.record {
 			p.running = append(p.running, a.ID)
 		}
 	}
 	p.watcher.Saw(p.now, ev, acts)
 }
 
-func (p *pair) end(id string, how admit.Outcome) {
+func (p *pair) end(id string, how admission.Outcome) {
 	p.running = slices.DeleteFunc(p.running, func(other string) bool { return other == id })
-	p.tell(admit.Finished{ID: id, Outcome: how, Took: 1})
+	p.tell(admission.Finished{ID: id, Outcome: how, Took: 1})
 }
 
 func (p *pair) tick(onCores float64) {
 	p.now += 20_000
-	p.tell(admit.Reading{Token: 1, CoreUse: min(1, onCores/2), OnCores: onCores, MemoryShare: 0.1, Connections: 5})
+	p.tell(admission.Reading{Token: 1, CoreUse: min(1, onCores/2), OnCores: onCores, MemoryShare: 0.1, Connections: 5})
 }
 
 // course draws a course of events and tells both of them.
@@ -67,15 +67,15 @@
 	arrived := 0
 	p.now += 10_000
 	for range rapid.IntRange(20, 200).Draw(t, "events") {
-		p.now += admit.Micros(rapid.IntRange(0, 30_000).Draw(t, "later"))
+		p.now += admission.Micros(rapid.IntRange(0, 30_000).Draw(t, "later"))
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0, 1, 2, 3, 4, 5:
 			arrived++
-			a := admit.Arrived{
+			a := admission.Arrived{
 				ID: fmt.Sprint("i", arrived), Operation: rapid.IntRange(0, 1).Draw(t, "operation"), KB: 30,
 				Rank: rapid.Float64Range(0, 0.99).Draw(t, "rank"), Retry: rapid.Bool().Draw(t, "retry"),
-				Waited: admit.Micros(rapid.IntRange(0, 1_200_000).Draw(t, "waited")),
-				Budget: admit.Micros(rapid.IntRange(1, 4_000_000).Draw(t, "budget")),
+				Waited: admission.Micros(rapid.IntRange(0, 1_200_000).Draw(t, "waited")),
+				Budget: admission.Micros(rapid.IntRange(1, 4_000_000).Draw(t, "budget")),
 			}
 			if arrived > 3 && a.Operation == 1 && rapid.IntRange(0, 3).Draw(t, "repeat") == 0 {
 				a.Earlier = fmt.Sprint("i", rapid.IntRange(1, arrived-1).Draw(t, "of"))
@@ -83,28 +83,28 @@
 			p.tell(a)
 		case 6:
 			if len(p.running) > 0 {
-				how := []admit.Outcome{admit.OK, admit.Errored, admit.Unrunnable}
+				how := []admission.Outcome{admission.OK, admission.Errored, admission.Unrunnable}
 				p.end(rapid.SampledFrom(p.running).Draw(t, "which"), rapid.SampledFrom(how).Draw(t, "how"))
 			}
 		case 7:
-			p.tell(admit.CallerGone{ID: fmt.Sprint("i", rapid.IntRange(1, arrived+1).Draw(t, "gone"))})
+			p.tell(admission.CallerGone{ID: fmt.Sprint("i", rapid.IntRange(1, arrived+1).Draw(t, "gone"))})
 		default:
 			p.tick(float64(rapid.IntRange(0, 12).Draw(t, "on cores")))
 		}
 	}
 	if rapid.Bool().Draw(t, "drains") {
-		p.tell(admit.DrainNotice{Left: 3_000_000})
+		p.tell(admission.DrainNotice{Left: 3_000_000})
 		for range 160 {
 			p.tick(3)
 		}
 	}
 	for len(p.running) > 0 {
-		p.end(p.running[0], admit.OK)
+		p.end(p.running[0], admission.OK)
 	}
 	for range 400 { // all is due by then
 		p.tick(0)
 		for len(p.running) > 0 {
-			p.end(p.running[0], admit.OK)
+			p.end(p.running[0], admission.OK)
 		}
 	}
 }
@@ -113,17 +113,17 @@
 // nothing stays in hand once all is over and the second instance does not fail.
 func TestAnySettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first := terms(func(s *admit.Terms) {
+		first := terms(func(s *admission.Terms) {
 			s.Unmarked = rapid.Bool().Draw(t, "unmarked")
-			s.FreeValue = rapid.SampledFrom([]admit.FreeValue{admit.NoValue, admit.TrafficWeight}).Draw(t, "value")
-			s.Preemption = rapid.SampledFrom([]admit.Preemption{admit.CannotStop, admit.StopPauses}).Draw(t, "preemption")
+			s.FreeValue = rapid.SampledFrom([]admission.FreeValue{admission.NoValue, admission.TrafficWeight}).Draw(t, "value")
+			s.Preemption = rapid.SampledFrom([]admission.Preemption{admission.CannotStop, admission.StopPauses}).Draw(t, "preemption")
 		})
 		second, same := first, rapid.Bool().Draw(t, "the same")
 		if !same {
-			second = terms(func(s *admit.Terms) {
-				s.Unmarked, s.FreeValue, s.Preemption = true, admit.TrafficWeight, admit.StopPauses
-				s.Operations[0].Objective /= admit.Micros(rapid.IntRange(1, 9).Draw(t, "objective"))
-				s.Operations[1].Repeat = admit.Idempotent
+			second = terms(func(s *admission.Terms) {
+				s.Unmarked, s.FreeValue, s.Preemption = true, admission.TrafficWeight, admission.StopPauses
+				s.Operations[0].Objective /= admission.Micros(rapid.IntRange(1, 9).Draw(t, "objective"))
+				s.Operations[1].Repeat = admission.Idempotent
 				s.MemoryKB /= float64(rapid.IntRange(1, 100).Draw(t, "memory"))
 			})
 		}
@@ -138,9 +138,9 @@
 
 // TestFault: a panic of the second instance is counted, and it decides nothing more.
 func TestFault(t *testing.T) {
-	p := newPair(terms(func(*admit.Terms) {}), terms(func(s *admit.Terms) { s.Operations = s.Operations[:1] }))
+	p := newPair(terms(func(*admission.Terms) {}), terms(func(s *admission.Terms) { s.Operations = s.Operations[:1] }))
 	for n := range 3 {
-		p.tell(admit.Arrived{ID: fmt.Sprint("i", n), Operation: 1, KB: 30, Budget: 4_000_000})
+		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: 1, KB: 30, Budget: 4_000_000})
 	}
 	if c := p.watcher.Counts(); c.Faults != 1 || c.Arrivals != 1 || len(p.running) != 2 {
 		t.Errorf("%v, %d run", c, len(p.running))
@@ -149,10 +149,10 @@
 
 // TestKinds: each kind is counted where one setting makes the difference.
 func TestKinds(t *testing.T) {
-	tr := standin.NewTrace(t)
-	arrive := func(p *pair, n, operation int, budget admit.Micros) {
+	tr := fakes.NewTrace(t)
+	arrive := func(p *pair, n, operation int, budget admission.Micros) {
 		p.now += 1000
-		p.tell(admit.Arrived{ID: fmt.Sprint("i", n), Operation: operation, KB: 30, Budget: budget, Rank: 0.1})
+		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: operation, KB: 30, Budget: budget, Rank: 0.1})
 	}
 	crowd := func(p *pair) { // cores that are full, with a line
 		p.tick(2)
@@ -162,44 +162,44 @@
 		p.tick(8)
 		p.tick(8)
 	}
-	none := func(*admit.Terms) {}
-	small := func(s *admit.Terms) { s.MemoryKB = 200 }
-	brief := func(s *admit.Terms) { s.Operations[0].Objective = 400_000 }
+	none := func(*admission.Terms) {}
+	small := func(s *admission.Terms) { s.MemoryKB = 200 }
+	brief := func(s *admission.Terms) { s.Operations[0].Objective = 400_000 }
 	for _, c := range []struct {
 		name          string
-		first, second func(*admit.Terms)
+		first, second func(*admission.Terms)
 		how           func(*pair)
 	}{
 		{"the same", none, none, crowd},
-		{"no mark: unusual waits", none, func(s *admit.Terms) { s.Unmarked = true }, func(p *pair) {
+		{"no mark: unusual waits", none, func(s *admission.Terms) { s.Unmarked = true }, func(p *pair) {
 			for n := range 300 {
 				p.tick(9)
-				arrive(p, n, 0, []admit.Micros{2_250_000, 4_500_000 - admit.Micros(n*7919%2_000_000)}[n%2])
+				arrive(p, n, 0, []admission.Micros{2_250_000, 4_500_000 - admission.Micros(n*7919%2_000_000)}[n%2])
 			}
 		}},
 		{"a smaller memory", none, small, crowd},
 		{"a larger memory", small, none, crowd},
-		{"other billed values", none, func(s *admit.Terms) { s.Operations[0].Value = 100 }, func(p *pair) {
+		{"other billed values", none, func(s *admission.Terms) { s.Operations[0].Value = 100 }, func(p *pair) {
 			for n := range 5 { // two run, one of each waits, and one more
 				arrive(p, n, n%2, 4_000_000)
 			}
 			p.tick(2)
-			p.end("i0", admit.OK)
+			p.end("i0", admission.OK)
 		}},
 		{"a shorter objective", none, brief, crowd},
 		{"a longer objective", brief, none, crowd},
-		{"repeats known by key", func(s *admit.Terms) { s.Operations[1].Repeat = admit.Idempotent }, none, func(p *pair) {
+		{"repeats known by key", func(s *admission.Terms) { s.Operations[1].Repeat = admission.Idempotent }, none, func(p *pair) {
 			arrive(p, 1, 1, 4_000_000)
-			p.tell(admit.Arrived{ID: "i2", Operation: 1, KB: 30, Budget: 4_000_000, Earlier: "i1"})
+			p.tell(admission.Arrived{ID: "i2", Operation: 1, KB: 30, Budget: 4_000_000, Earlier: "i1"})
 		}},
-		{"runs can be paused", none, func(s *admit.Terms) { s.Preemption = admit.StopPauses }, func(p *pair) {
+		{"runs can be paused", none, func(s *admission.Terms) { s.Preemption = admission.StopPauses }, func(p *pair) {
 			arrive(p, 1, 0, 100_000)
 			for range 10 {
 				p.tick(2)
 			}
 		}},
-		{"a free value", none, func(s *admit.Terms) { s.FreeValue = admit.TrafficWeight }, crowd},
-		{"callers by the hundred", func(s *admit.Terms) { s.Callers = 3 }, none, func(p *pair) {
+		{"a free value", none, func(s *admission.Terms) { s.FreeValue = admission.TrafficWeight }, crowd},
+		{"callers by the hundred", func(s *admission.Terms) { s.Callers = 3 }, none, func(p *pair) {
 			for range 100 {
 				p.tick(1)
 			}
@@ -215,14 +215,14 @@
 func BenchmarkSaw(b *testing.B) {
 	for _, watched := range []bool{false, true} {
 		b.Run(fmt.Sprint("watched=", watched), func(b *testing.B) {
-			p := newPair(terms(func(*admit.Terms) {}), terms(func(*admit.Terms) {}))
+			p := newPair(terms(func(*admission.Terms) {}), terms(func(*admission.Terms) {}))
 			if p.record = false; !watched {
 				p.watcher.counts.Faults = 1
 			}
 			for n := 0; b.Loop(); n++ {
 				p.now += 10_000
-				p.tell(admit.Finished{ID: fmt.Sprint("i", n-10), Outcome: admit.OK, Took: 1})
-				p.tell(admit.Arrived{ID: fmt.Sprint("i", n), KB: 30, Hint: 20_000, Budget: 4_000_000, Rank: 0.5})
+				p.tell(admission.Finished{ID: fmt.Sprint("i", n-10), Outcome: admission.OK, Took: 1})
+				p.tell(admission.Arrived{ID: fmt.Sprint("i", n), KB: 30, Hint: 20_000, Budget: 4_000_000, Rank: 0.5})
 			}
 		})
 	}
--- a/manage/rise/rise.go
+++ b/internal/cluster/coldstart/rise.go
@@ -1,8 +1,8 @@
-// Package rise decides who starts when, as many backends of many hosts come up together: first the least of each group
+// Package coldstart decides who starts when, as many backends of many hosts come up together: first the least of each group
 // that serves, then in growing steps, at the pace that what comes back allows. It does no I/O and holds no clock: a rise is
 // part of the ledger's state, so that it outlives any agent, and everything that decides comes in as a fact. The same facts
 // in the same order make the same rise everywhere.
-package rise
+package coldstart
 
 import (
 	"cmp"
@@ -13,11 +13,11 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"milletbarrow/serve/share"
+	"milletbarrow/internal/backend/quota"
 )
 
 // Micros is a span in whole microseconds.
-type Micros = share.Micros
+type Micros = quota.Micros
 
 // Terms of a rise.
 type Terms struct {
--- a/manage/rise/rise_test.go
+++ b/internal/cluster/coldstart/rise_test.go
@@ -1,4 +1,4 @@
-package rise
+package coldstart
 
 import (
 	"encoding/json"
--- a/manage/member/member.go
+++ b/internal/cluster/membership/member.go
@@ -1,7 +1,7 @@
-// Package member knows which agents are there: the member list library judges each by its own probes and by those of
+// Package membership knows which agents are there: the member list library judges each by its own probes and by those of
 // others on its behalf, so that one bad link condemns nobody. It owns the conversations that this takes. What it says is a
 // judgement and never a promise: no share and no unit is given anew because of it.
-package member
+package membership
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"milletbarrow/limit"
-	"milletbarrow/manage/peer"
+	"milletbarrow/internal/cluster/transport"
+	"milletbarrow/internal/limits"
 )
 
 // State of an agent, as this one judges it.
@@ -46,8 +46,8 @@
 	Host        string
 	Incarnation uint64
 	Hosts       []string // all, in an order that every agent has
-	Net         *peer.Net
-	Bounds      limit.Control
+	Net         *transport.Net
+	Bounds      limits.Control
 	Clock       func() int64
 	Changed     func(Seen) // must not block
 }
@@ -177,8 +177,8 @@
 		o: o, packets: make(chan *memberlist.Packet, 64), streams: make(chan net.Conn), over: make(chan struct{}),
 		out: map[string]chan []byte{},
 	}
-	go w.accept(peer.Packet, w.read)
-	go w.accept(peer.Stream, func(c net.Conn) {
+	go w.accept(transport.Packet, w.read)
+	go w.accept(transport.Stream, func(c net.Conn) {
 		select {
 		case w.streams <- c:
 		case <-w.over:
@@ -188,7 +188,7 @@
 	return w
 }
 
-func (w *wire) accept(kind peer.Kind, take func(net.Conn)) {
+func (w *wire) accept(kind transport.Kind, take func(net.Conn)) {
 	l := w.o.Net.Listener(kind)
 	for {
 		c, err := l.Accept()
@@ -213,7 +213,7 @@
 	from := c.RemoteAddr().String()
 	in := bufio.NewReader(c)
 	for {
-		b, err := peer.ReadMessage(in, mostPacket)
+		b, err := transport.ReadMessage(in, mostPacket)
 		if err != nil {
 			return
 		}
@@ -289,7 +289,7 @@
 		if c == nil && time.Since(tried) > 200*time.Millisecond {
 			tried = time.Now()
 			ctx, cancel := context.WithTimeout(context.Background(), w.o.Bounds.Call/4)
-			if fresh, err := w.o.Net.Dial(ctx, peer.Packet, host); err == nil {
+			if fresh, err := w.o.Net.Dial(ctx, transport.Packet, host); err == nil {
 				c = fresh
 			}
 			cancel()
@@ -298,7 +298,7 @@
 			continue
 		}
 		c.SetWriteDeadline(time.Now().Add(w.o.Bounds.Call / 4))
-		if peer.WriteMessage(c, b) != nil {
+		if transport.WriteMessage(c, b) != nil {
 			c.Close()
 			c = nil
 		}
@@ -316,7 +316,7 @@
 	host := w.host(to)
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	return w.o.Net.Dial(ctx, peer.Stream, host)
+	return w.o.Net.Dial(ctx, transport.Stream, host)
 }
 
 func (w *wire) Shutdown() error {
--- a/manage/member/member_test.go
+++ b/internal/cluster/membership/member_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"context"
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/manage/peer"
-	"milletbarrow/proc"
-	"milletbarrow/trial/link"
+	"milletbarrow/internal/cluster/transport"
+	"milletbarrow/internal/faultinjection/proxy"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 // hosts are some agents' lists in this process, with links between them.
 type hosts struct {
-	*link.Mesh
+	*proxy.Mesh
 	t     *testing.T
 	at    []string
 	lists map[string]*List
@@ -39,7 +39,7 @@
 		h.heard[names[i]] = map[State]int{}
 	}
 	var err error
-	if h.Mesh, err = link.NewMesh(names, h.at); err != nil {
+	if h.Mesh, err = proxy.NewMesh(names, h.at); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.Mesh.Close)
@@ -49,12 +49,12 @@
 func (h *hosts) start(i int, incarnation uint64) {
 	h.t.Helper()
 	name := h.Names[i]
-	n, err := peer.Listen(name, h.at[i], h.To(name), limit.ForControl())
+	n, err := transport.Listen(name, h.at[i], h.To(name), limits.ForControl())
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	l, err := Start(Options{
-		Host: name, Incarnation: incarnation, Hosts: h.Names, Net: n, Bounds: limit.ForControl(), Clock: proc.Now,
+		Host: name, Incarnation: incarnation, Hosts: h.Names, Net: n, Bounds: limits.ForControl(), Clock: process.Now,
 		Changed: func(s Seen) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
--- a/manage/join/join.go
+++ b/internal/cluster/node/join.go
@@ -1,6 +1,6 @@
-// Package join is one agent's part in what the agents of a fleet keep together: it opens the listener, the ledger and the
+// Package node is one agent's part in what the agents of a fleet keep together: it opens the listener, the ledger and the
 // list of members, and ends them together. It decides nothing.
-package join
+package node
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
-	"milletbarrow/fleet"
-	"milletbarrow/limit"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/ledger"
-	"milletbarrow/manage/member"
-	"milletbarrow/manage/peer"
-	"milletbarrow/proc"
+	"milletbarrow/internal/cluster/membership"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/cluster/quotastore"
+	"milletbarrow/internal/cluster/transport"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 // Options are what it is opened with.
@@ -24,16 +24,16 @@
 	Host   string
 	Dir    string // the agent's own
 	Trust  bool   // an operator says that the directory is no older copy
-	Bounds limit.Control
+	Bounds limits.Control
 }
 
 // Joined is an agent's part.
 type Joined struct {
-	*ledger.Node
+	*quotastore.Node
 	o     Options
-	net   *peer.Net
-	list  *member.List
-	notes chan budget.Note
+	net   *transport.Net
+	list  *membership.List
+	notes chan quota.Note
 
 	mu    sync.Mutex
 	quiet map[string]time.Time // by budget and event: when one was last told
@@ -53,27 +53,27 @@
 
 // Open opens the listener and the files.
 func Open(o Options) (*Joined, error) {
-	j := &Joined{o: o, notes: make(chan budget.Note, 256), quiet: map[string]time.Time{}}
+	j := &Joined{o: o, notes: make(chan quota.Note, 256), quiet: map[string]time.Time{}}
 	to, hosts := addresses(o.Spec)
 	listen := o.Spec.Host(o.Host).Peer
 	if listen == "" {
 		listen = "127.0.0.1:0" // alone: nobody speaks to it
 	}
 	var err error
-	if j.net, err = peer.Listen(o.Host, listen, to, o.Bounds); err != nil {
+	if j.net, err = transport.Listen(o.Host, listen, to, o.Bounds); err != nil {
 		return nil, err
 	}
-	j.Node, err = ledger.Open(ledger.Options{
+	j.Node, err = quotastore.Open(quotastore.Options{
 		Host: o.Host, Members: o.Spec.Ledger, Dir: filepath.Join(o.Dir, "ledger"), Trust: o.Trust, Net: j.net, Bounds: o.Bounds,
-		Clock: func() budget.Micros { return budget.Micros(proc.Now()) }, Note: j.note,
+		Clock: func() quota.Micros { return quota.Micros(process.Now()) }, Note: j.note,
 	})
 	if err != nil {
 		return nil, err
 	}
 	j.Node.Use(o.Spec.Budgets, o.Spec.Ledger)
-	j.list, err = member.Start(member.Options{
-		Host: o.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Net: j.net, Bounds: o.Bounds, Clock: proc.Now,
-		Changed: func(s member.Seen) { j.note(budget.Note{Name: s.Host, Event: "agent " + string(s.State)}) },
+	j.list, err = membership.Start(membership.Options{
+		Host: o.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Net: j.net, Bounds: o.Bounds, Clock: process.Now,
+		Changed: func(s membership.Seen) { j.note(quota.Note{Name: s.Host, Event: "agent " + string(s.State)}) },
 	})
 	return j, err
 }
@@ -92,7 +92,7 @@
 	defer all.Wait()
 	all.Go(func() { j.net.Run(ctx) })
 	all.Go(func() { j.list.Run(ctx) })
-	all.Go(func() { server.Serve(j.net.Listener(peer.Call)) })
+	all.Go(func() { server.Serve(j.net.Listener(transport.Call)) })
 	return j.Node.Run(ctx)
 }
 
@@ -103,12 +103,12 @@
 }
 
 // Members as this agent judges them.
-func (j *Joined) Members() []member.Seen { return j.list.View() }
+func (j *Joined) Members() []membership.Seen { return j.list.View() }
 
 // Notes for the history.
-func (j *Joined) Notes() <-chan budget.Note { return j.notes }
+func (j *Joined) Notes() <-chan quota.Note { return j.notes }
 
-func (j *Joined) note(n budget.Note) {
+func (j *Joined) note(n quota.Note) {
 	j.mu.Lock()
 	key := n.Budget + " " + n.Name + " " + n.Event
 	now := time.Now()
--- a/manage/budget/budget_test.go
+++ b/internal/cluster/quota/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/serve/share"
+	"milletbarrow/internal/backend/quota"
 )
 
 func rate(whole int64, names int, floor int64, divide Divide) Terms {
@@ -30,14 +30,14 @@
 	clerk   *Clerk
 	clock   int64 // the leader's runs faster by so many in a thousand
 	holders []*holder
-	asks    []flying[share.Ask]
-	answers []flying[share.Answer]
+	asks    []flying[quota.Ask]
+	answers []flying[quota.Answer]
 	wholes  []int64 // by true time from which it holds
 	from    []int64
 }
 
 type holder struct {
-	*share.Holder
+	*quota.Holder
 	name, host string
 	life       int
 	ppm        int64
@@ -50,9 +50,9 @@
 	msg  T
 }
 
-func (h *holder) clock(now int64) share.Micros { return share.Micros(now + now/1000*h.ppm/1000) }
+func (h *holder) clock(now int64) quota.Micros { return quota.Micros(now + now/1000*h.ppm/1000) }
 
-func (f *fleet) leader() share.Micros { return share.Micros(f.now + f.now/1000*f.clock) }
+func (f *fleet) leader() quota.Micros { return quota.Micros(f.now + f.now/1000*f.clock) }
 
 func (f *fleet) apply(c Command) Result {
 	c.Hold = f.clerk.Hold(f.leader())
@@ -103,7 +103,7 @@
 		f.clerk.Elected(f.leader(), f.ledger, false)
 		start := func(i int) *holder {
 			h := &holder{name: fmt.Sprint("n", i), host: fmt.Sprint("h", i%3), life: len(f.holders), ppm: int64(rapid.IntRange(-4000, 4000).Draw(t, "ppm"))}
-			h.Holder = share.New(h.name, fmt.Sprint(h.life), []string{"b"})
+			h.Holder = quota.New(h.name, fmt.Sprint(h.life), []string{"b"})
 			f.holders = append(f.holders, h)
 			return h
 		}
@@ -117,21 +117,21 @@
 			if !twice {
 				f.asks = slices.Delete(f.asks, i, i+1)
 			}
-			r := f.apply(Command{Renew: &Renew{Host: q.host, Asks: []share.Ask{q.msg}}})
+			r := f.apply(Command{Renew: &Renew{Host: q.host, Asks: []quota.Ask{q.msg}}})
 			for _, a := range r.Answers {
-				f.answers = append(f.answers, flying[share.Answer]{msg: a})
+				f.answers = append(f.answers, flying[quota.Answer]{msg: a})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				if h := one(); !h.gone && len(f.asks) < 8 {
-					f.asks = append(f.asks, flying[share.Ask]{host: h.host, msg: h.Ask(h.clock(f.now))})
+					f.asks = append(f.asks, flying[quota.Ask]{host: h.host, msg: h.Ask(h.clock(f.now))})
 				}
 			},
 			"round": func(t *rapid.T) { // all of one host ask and are answered at once
 				for _, h := range f.holders {
 					if !h.gone {
-						f.asks = append(f.asks, flying[share.Ask]{host: h.host, msg: h.Ask(h.clock(f.now))})
+						f.asks = append(f.asks, flying[quota.Ask]{host: h.host, msg: h.Ask(h.clock(f.now))})
 						deliver(len(f.asks)-1, false)
 						h.Answer(h.clock(f.now), f.answers[len(f.answers)-1].msg)
 					}
@@ -211,7 +211,7 @@
 					f.apply(Command{Gone: &Gone{Host: h.host, Lives: []string{Key(h.name, fmt.Sprint(h.life))}}})
 					continue
 				}
-				r := f.apply(Command{Renew: &Renew{Host: h.host, Asks: []share.Ask{h.Ask(h.clock(f.now))}}})
+				r := f.apply(Command{Renew: &Renew{Host: h.host, Asks: []quota.Ask{h.Ask(h.clock(f.now))}}})
 				if err := h.Answer(h.clock(f.now), r.Answers[0]); err != nil {
 					t.Fatalf("%s: %v: %s", h.name, err, r.Answers[0].No)
 				}
@@ -288,17 +288,17 @@
 	if n := len(l.Counts["out"]); n != 1 {
 		t.Fatalf("a give of an earlier turn ended a later one: %d held", n)
 	}
-	ask := share.Ask{Name: "n0", Life: "a", Number: 2, Clock: 5, Known: []share.Known{{Budget: "b"}}}
-	l.Apply(Command{Renew: &Renew{Host: "h", Asks: []share.Ask{ask}}})
-	if a := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []share.Ask{ask}}}).Answers[0]; a.No == "" || a.Parts != nil {
+	ask := quota.Ask{Name: "n0", Life: "a", Number: 2, Clock: 5, Known: []quota.Known{{Budget: "b"}}}
+	l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{ask}}})
+	if a := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{ask}}}).Answers[0]; a.No == "" || a.Parts != nil {
 		t.Fatalf("the same ask was answered twice: %+v", a)
 	}
-	other := share.Ask{Name: "n0", Life: "b", Number: 1, Known: []share.Known{{Budget: "b"}}}
-	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []share.Ask{other}}}).Answers[0]; a.No == "" {
+	other := quota.Ask{Name: "n0", Life: "b", Number: 1, Known: []quota.Known{{Budget: "b"}}}
+	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []quota.Ask{other}}}).Answers[0]; a.No == "" {
 		t.Fatalf("two processes have the floor of one name: %+v", a)
 	}
 	l.Apply(Command{Off: &Off{Name: "n0", By: "test"}})
-	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []share.Ask{other}}}).Answers[0]; a.No != "" {
+	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []quota.Ask{other}}}).Answers[0]; a.No != "" {
 		t.Fatalf("written off and still not given: %s", a.No)
 	}
 }
@@ -310,7 +310,7 @@
 	l.Apply(Command{Terms: &terms})
 	c.Elected(1, l, false)
 	c.Due(2, l)
-	r := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []share.Ask{{Name: "n0", Life: "a", Number: 9, Known: []share.Known{{Budget: "b", Epoch: 900}}}}}})
+	r := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{{Name: "n0", Life: "a", Number: 9, Known: []quota.Known{{Budget: "b", Epoch: 900}}}}}})
 	if r.Answers[0].No == "" || l.Serial <= 900 {
 		t.Fatalf("%+v, serial %d", r.Answers[0], l.Serial)
 	}
@@ -327,7 +327,7 @@
 			terms := rate(int64(n)*10, n, 1, Demand)
 			l.Apply(Command{Terms: &terms})
 			for i := range n {
-				l.Apply(Command{Renew: &Renew{Host: "h", Asks: []share.Ask{{Name: fmt.Sprint("n", i), Life: "a", Number: 1, Known: []share.Known{{Budget: "b", Drawn: int64(i)}}}}}})
+				l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{{Name: fmt.Sprint("n", i), Life: "a", Number: 1, Known: []quota.Known{{Budget: "b", Drawn: int64(i)}}}}}})
 			}
 			for b.Loop() {
 				l.Apply(Command{Divide: true})
@@ -341,12 +341,12 @@
 	l       *Ledger
 	c       Clerk
 	now     Micros
-	holders map[string]*share.Holder
+	holders map[string]*quota.Holder
 	draws   func(name string) int // in a tenth of a second
 }
 
 func newSmall(terms Terms) *small {
-	s := &small{l: NewLedger(), now: 1_000_000, holders: map[string]*share.Holder{}}
+	s := &small{l: NewLedger(), now: 1_000_000, holders: map[string]*quota.Holder{}}
 	s.l.Apply(Command{Terms: &terms})
 	s.c.Elected(s.now, s.l, false)
 	return s
@@ -354,7 +354,7 @@
 
 func (s *small) join(names ...string) {
 	for _, n := range names {
-		s.holders[n] = share.New(n, "1", []string{"b"})
+		s.holders[n] = quota.New(n, "1", []string{"b"})
 	}
 }
 
@@ -369,7 +369,7 @@
 			for range s.draws(n) {
 				h.Draw(s.now, 0)
 			}
-			r := s.l.Apply(Command{Renew: &Renew{Host: "h", Asks: []share.Ask{h.Ask(s.now)}}})
+			r := s.l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{h.Ask(s.now)}}})
 			h.Answer(s.now, r.Answers[0])
 		}
 	}
@@ -477,7 +477,7 @@
 
 // TestNoClock: setting the wall clock can't move what knows of none. What decides here may not import one.
 func TestNoClock(t *testing.T) {
-	for _, dir := range []string{".", "../quorum", "../../serve/share"} {
+	for _, dir := range []string{".", "../quorum", "../../backend/quota"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatal(dir, err)
--- a/manage/budget/divide.go
+++ b/internal/cluster/quota/divide.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 import (
 	"cmp"
--- a/manage/budget/ledger.go
+++ b/internal/cluster/quota/ledger.go
@@ -1,11 +1,11 @@
-package budget
+package quota
 
 import (
 	"fmt"
 	"slices"
 
-	"milletbarrow/manage/rise"
-	"milletbarrow/serve/share"
+	"milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/cluster/coldstart"
 )
 
 // Bounds of a ledger, whatever it is told.
@@ -72,13 +72,13 @@
 
 // Ledger is the one truth about the division. Its fields are for what writes it down; only Apply changes them.
 type Ledger struct {
-	Serial uint64                    `json:"serial"` // epochs are its values
-	Terms  Terms                     `json:"terms"`
-	Lives  map[string]*Life          `json:"lives"` // by name and life
-	Counts map[string]map[string]Out `json:"counts"`
-	Ended  map[string][]string       `json:"ended"`           // by budget and name, the latest turns
-	Rises  map[string]*rise.State    `json:"rises,omitempty"` // by count: who of a rise may hold a unit of it
-	Forgot uint64                    `json:"forgot"`          // how often a holder knew of an epoch that this ledger does not
+	Serial uint64                      `json:"serial"` // epochs are its values
+	Terms  Terms                       `json:"terms"`
+	Lives  map[string]*Life            `json:"lives"` // by name and life
+	Counts map[string]map[string]Out   `json:"counts"`
+	Ended  map[string][]string         `json:"ended"`           // by budget and name, the latest turns
+	Rises  map[string]*coldstart.State `json:"rises,omitempty"` // by count: who of a rise may hold a unit of it
+	Forgot uint64                      `json:"forgot"`          // how often a holder knew of an epoch that this ledger does not
 
 	sums map[string]*sum            // by rate; made anew from the rest
 	of   map[string][]string        // keys of lives, by name
@@ -96,7 +96,7 @@
 
 // NewLedger is an empty one.
 func NewLedger() *Ledger {
-	l := &Ledger{Lives: map[string]*Life{}, Counts: map[string]map[string]Out{}, Ended: map[string][]string{}, Rises: map[string]*rise.State{}}
+	l := &Ledger{Lives: map[string]*Life{}, Counts: map[string]map[string]Out{}, Ended: map[string][]string{}, Rises: map[string]*coldstart.State{}}
 	l.Restored()
 	return l
 }
@@ -206,7 +206,7 @@
 // Renew brings the asks of one host's backends.
 type Renew struct {
 	Host string      `json:"host"`
-	Asks []share.Ask `json:"asks"`
+	Asks []quota.Ask `json:"asks"`
 }
 
 // Lapse ends grants of a life whose lease is surely over, up to an epoch.
@@ -229,7 +229,7 @@
 	Host   string `json:"host"`
 	Turn   string `json:"turn"`
 
-	End *rise.End `json:"end,omitempty"` // of a unit given back: how a start came out
+	End *coldstart.End `json:"end,omitempty"` // of a unit given back: how a start came out
 }
 
 // Give gives a unit back.
@@ -252,7 +252,7 @@
 // Result is what came of a command.
 type Result struct {
 	Serial  uint64         `json:"serial"`
-	Answers []share.Answer `json:"answers,omitempty"`
+	Answers []quota.Answer `json:"answers,omitempty"`
 	No      string         `json:"no,omitempty"` // why it was not taken
 	Notes   []Note         `json:"notes,omitempty"`
 	Lives   []string       `json:"lives,omitempty"` // of a renewal: the keys of all that this host has
@@ -415,8 +415,8 @@
 }
 
 // answer grants one ask what the division leaves it, as far as that is free.
-func (l *Ledger) answer(host string, q *share.Ask, hold bool, r *Result) share.Answer {
-	a := share.Answer{Name: q.Name, Life: q.Life, Number: q.Number}
+func (l *Ledger) answer(host string, q *quota.Ask, hold bool, r *Result) quota.Answer {
+	a := quota.Answer{Name: q.Name, Life: q.Life, Number: q.Number}
 	key := Key(q.Name, q.Life)
 	life := l.Lives[key]
 	if life != nil && q.Number <= life.Number {
@@ -501,7 +501,7 @@
 
 // grant gives a life its part. What is in force never grows past the whole: a lower whole, or a floor that was raised,
 // is reached as others confirm that they have less.
-func (l *Ledger) grant(b *Budget, life *Life, h *Held, hold bool) share.Part {
+func (l *Ledger) grant(b *Budget, life *Life, h *Held, hold bool) quota.Part {
 	s := l.sums[b.Name]
 	now := h.extra()
 	extra := min(h.Target, max(now, l.free(b, h)))
@@ -525,7 +525,7 @@
 		grants = grants[1:]
 	}
 	l.change(b.Name, life, h, grants)
-	return share.Part{Budget: b.Name, Epoch: g.Epoch, Floor: g.Floor, Extra: g.Extra, Lease: b.Lease}
+	return quota.Part{Budget: b.Name, Epoch: g.Epoch, Floor: g.Floor, Extra: g.Extra, Lease: b.Lease}
 }
 
 // lapse ends the extras of grants up to an epoch. Floors have no lease.
--- a/manage/budget/plant_off.go
+++ b/internal/cluster/quota/plant_off.go
@@ -1,6 +1,6 @@
 //go:build !plant
 
-package budget
+package quota
 
 // plants are faults for the proving ground to catch; a program that is built without the tag has none.
 var plants struct{ margin, early, forget, floors bool }
--- a/manage/budget/plant_on.go
+++ b/internal/cluster/quota/plant_on.go
@@ -1,6 +1,6 @@
 //go:build plant
 
-package budget
+package quota
 
 import "os"
 
--- a/manage/budget/rising.go
+++ b/internal/cluster/quota/rising.go
@@ -1,20 +1,20 @@
-package budget
+package quota
 
 import (
 	"fmt"
 
-	"milletbarrow/manage/rise"
+	"milletbarrow/internal/cluster/coldstart"
 )
 
 // Rise begins a rise under a count, or says a word about the one that is there. Begun again by the same id it changes
 // nothing.
 type Rise struct {
-	Budget  string        `json:"budget"`
-	ID      string        `json:"id"`
-	Terms   *rise.Terms   `json:"terms,omitempty"`
-	Members []rise.Member `json:"members,omitempty"`
-	Verb    string        `json:"verb,omitempty"` // "go-on" or "end"; empty: begin
-	By      string        `json:"by"`
+	Budget  string             `json:"budget"`
+	ID      string             `json:"id"`
+	Terms   *coldstart.Terms   `json:"terms,omitempty"`
+	Members []coldstart.Member `json:"members,omitempty"`
+	Verb    string             `json:"verb,omitempty"` // "go-on" or "end"; empty: begin
+	By      string             `json:"by"`
 }
 
 func (l *Ledger) rise(c *Rise, r *Result) {
@@ -34,7 +34,7 @@
 		t := *c.Terms
 		t.Most = min(t.Most, b.Whole-b.Aside)
 		t.First = min(t.First, t.Most)
-		s, err := rise.Begin(c.ID, t, c.Members)
+		s, err := coldstart.Begin(c.ID, t, c.Members)
 		if err != nil {
 			r.No = err.Error()
 			return
@@ -92,15 +92,15 @@
 
 // Rising is how a rise stands.
 type Rising struct {
-	Budget string       `json:"budget"`
-	ID     string       `json:"id"`
-	Pace   int64        `json:"pace"` // how many may be under way
-	Most   int64        `json:"most"`
-	Cause  string       `json:"cause"`
-	Halted string       `json:"halted,omitempty"`
-	Over   bool         `json:"over"`
-	Starts uint64       `json:"starts"`
-	Groups []rise.Tally `json:"groups"`
+	Budget string            `json:"budget"`
+	ID     string            `json:"id"`
+	Pace   int64             `json:"pace"` // how many may be under way
+	Most   int64             `json:"most"`
+	Cause  string            `json:"cause"`
+	Halted string            `json:"halted,omitempty"`
+	Over   bool              `json:"over"`
+	Starts uint64            `json:"starts"`
+	Groups []coldstart.Tally `json:"groups"`
 }
 
 // Risings are all rises that are known, by budget.
--- a/manage/budget/rising_test.go
+++ b/internal/cluster/quota/rising_test.go
@@ -1,10 +1,10 @@
-package budget
+package quota
 
 import (
 	"strings"
 	"testing"
 
-	"milletbarrow/manage/rise"
+	"milletbarrow/internal/cluster/coldstart"
 )
 
 // TestRiseWords: one rise at a time under a count; the same one asked for again changes nothing; a word about another is
@@ -12,8 +12,8 @@
 func TestRiseWords(t *testing.T) {
 	l := NewLedger()
 	l.Apply(Command{Terms: &Terms{Version: 1, Budgets: []Budget{{Name: "s", Kind: Count, Whole: 4, Aside: 1}}}})
-	terms := &rise.Terms{Most: 9, First: 9, Least: 0, Failures: 9, Slow: 3, Refused: 0.1}
-	members := []rise.Member{{Name: "a", Group: "g", Host: "h"}, {Name: "b", Group: "g", Host: "h"}, {Name: "c", Group: "g", Host: "h"}, {Name: "d", Group: "g", Host: "h"}}
+	terms := &coldstart.Terms{Most: 9, First: 9, Least: 0, Failures: 9, Slow: 3, Refused: 0.1}
+	members := []coldstart.Member{{Name: "a", Group: "g", Host: "h"}, {Name: "b", Group: "g", Host: "h"}, {Name: "c", Group: "g", Host: "h"}, {Name: "d", Group: "g", Host: "h"}}
 	for _, c := range []struct {
 		r    Rise
 		want string
@@ -40,7 +40,7 @@
 			t.Fatal(no)
 		}
 		back := turn("a", n)
-		back.End = &rise.End{Cause: "x"}
+		back.End = &coldstart.End{Cause: "x"}
 		l.Apply(Command{Give: back})
 	}
 	if no := l.Apply(Command{Take: turn("b", "1")}).No; !strings.Contains(no, "nothing starts") {
--- a/manage/budget/terms.go
+++ b/internal/cluster/quota/terms.go
@@ -1,7 +1,7 @@
-// Package budget divides what a whole fleet may use among its backends: terms, the ledger that says who may use how much,
+// Package quota divides what a whole fleet may use among its backends: terms, the ledger that says who may use how much,
 // the division, and the clerk that says when a lease is surely over. It does no I/O and holds no clock. The ledger is the
 // state that a consensus library replicates: the same commands in the same order make the same ledger everywhere.
-package budget
+package quota
 
 import (
 	"cmp"
@@ -9,11 +9,11 @@
 	"maps"
 	"slices"
 
-	"milletbarrow/serve/share"
+	"milletbarrow/internal/backend/quota"
 )
 
 // Micros is a point on some process's own clock, or a span, in whole microseconds.
-type Micros = share.Micros
+type Micros = quota.Micros
 
 // Kind says what a budget counts.
 type Kind string
@@ -81,16 +81,16 @@
 func (b *Budget) Check() (field string, err error) {
 	floors := int64(0)
 	for _, f := range b.Floors {
-		if f < 0 || f > share.Most {
-			return "floor", fmt.Errorf("%d is not from 0 to %d", f, int64(share.Most))
+		if f < 0 || f > quota.Most {
+			return "floor", fmt.Errorf("%d is not from 0 to %d", f, int64(quota.Most))
 		}
 		floors += f
 	}
 	switch {
 	case b.Kind != Rate && b.Kind != Count:
 		return "", fmt.Errorf("wanted (rate UNITS-A-SECOND) or (count UNITS)")
-	case b.Whole < 1 || b.Whole > share.Most:
-		return string(b.Kind), fmt.Errorf("%d is not from 1 to %d", b.Whole, int64(share.Most))
+	case b.Whole < 1 || b.Whole > quota.Most:
+		return string(b.Kind), fmt.Errorf("%d is not from 1 to %d", b.Whole, int64(quota.Most))
 	case b.Kind == Count && (b.Aside < 0 || b.Aside >= b.Whole):
 		return string(b.Kind), fmt.Errorf("%d leaves nothing to ask for: one each is set aside for %d hosts", b.Whole, b.Aside)
 	case b.Kind == Count:
--- a/manage/ledger/bench_test.go
+++ b/internal/cluster/quotastore/bench_test.go
@@ -1,4 +1,4 @@
-package ledger
+package quotastore
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"milletbarrow/manage/budget"
-	"milletbarrow/serve/share"
+	backendquota "milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/cluster/quota"
 )
 
 // BenchmarkRenew is how many renewals a second a group bears, asked through any of its members, each of one host with ten
@@ -23,8 +23,8 @@
 			for i := range 5000 {
 				floors[fmt.Sprint("n", i)] = 1
 			}
-			g.terms = &budget.Terms{Version: 1, Budgets: []budget.Budget{{
-				Name: "b", Kind: budget.Rate, Whole: 100_000, Floors: floors, Divide: budget.Demand, Step: 1, Lease: 3_000_000, Margin: 150_000, Tenant: "t",
+			g.terms = &quota.Terms{Version: 1, Budgets: []quota.Budget{{
+				Name: "b", Kind: quota.Rate, Whole: 100_000, Floors: floors, Divide: quota.Demand, Step: 1, Lease: 3_000_000, Margin: 150_000, Tenant: "t",
 			}}}
 			for _, name := range g.names {
 				g.start(name)
@@ -39,14 +39,14 @@
 				node := g.node(g.names[me%n])
 				name := fmt.Sprint("h", me)
 				for number := uint64(1); pb.Next(); number++ {
-					c := &budget.Renew{Host: name}
+					c := &quota.Renew{Host: name}
 					for i := range 10 {
-						c.Asks = append(c.Asks, share.Ask{
-							Name: fmt.Sprint("n", me*10+i), Life: "1", Number: number, Clock: share.Micros(number * 1000), Known: []share.Known{{Budget: "b"}},
+						c.Asks = append(c.Asks, backendquota.Ask{
+							Name: fmt.Sprint("n", me*10+i), Life: "1", Number: number, Clock: backendquota.Micros(number * 1000), Known: []backendquota.Known{{Budget: "b"}},
 						})
 					}
 					ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-					if res, err := node.Do(ctx, budget.Command{Renew: c}); err != nil || len(res.Answers) != 10 {
+					if res, err := node.Do(ctx, quota.Command{Renew: c}); err != nil || len(res.Answers) != 10 {
 						b.Error(err, res.No)
 					}
 					cancel()
--- a/manage/ledger/ledger.go
+++ b/internal/cluster/quotastore/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger keeps the one truth about budgets: manage/budget's ledger, replicated between the agents of a group by
+// Package quotastore keeps the one truth about budgets: manage/budget's ledger, replicated between the agents of a group by
 // the consensus library, on disk before anything is answered. Any agent can be asked; it hands on to the leader. It owns
 // the files, the conversations of the group and the leader's clock; what is granted and when is decided in manage/budget,
 // who may take part in manage/quorum.
-package ledger
+package quotastore
 
 import (
 	"bytes"
@@ -22,11 +22,11 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"milletbarrow/limit"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/peer"
-	"milletbarrow/manage/quorum"
-	"milletbarrow/talk"
+	"milletbarrow/internal/cluster/quorum"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/cluster/transport"
+	"milletbarrow/internal/jsonhttp"
+	"milletbarrow/internal/limits"
 )
 
 // Times of the group, each once. A leader that hears of no half for leaderLease gives up; elections take one to two of
@@ -46,10 +46,10 @@
 	Members []string // of the group as the fleet's file names them
 	Dir     string   // of this node alone
 	Trust   bool     // the directory is known to be no older copy: an operator says so
-	Net     *peer.Net
-	Bounds  limit.Control
-	Clock   func() budget.Micros
-	Note    func(budget.Note) // of the leader's history; must not block
+	Net     *transport.Net
+	Bounds  limits.Control
+	Clock   func() quota.Micros
+	Note    func(quota.Note) // of the leader's history; must not block
 }
 
 // Node is one agent's side of the ledger.
@@ -60,10 +60,10 @@
 
 	mu      sync.Mutex // guards what follows
 	raft    *raft.Raft
-	truth   *budget.Ledger
-	clerk   budget.Clerk
+	truth   *quota.Ledger
+	clerk   quota.Clerk
 	ready   bool // this is the leader, and the clerk has begun
-	terms   *budget.Terms
+	terms   *quota.Terms
 	asked   []string // members wanted, by the version of the file that this agent has
 	version uint64
 	leader  string // last known
@@ -76,7 +76,7 @@
 
 // Open opens this host's side; a host outside the group keeps nothing and asks.
 func Open(o Options) (*Node, error) {
-	n := &Node{o: o, truth: budget.NewLedger(), asked: o.Members, stage: "outside the group"}
+	n := &Node{o: o, truth: quota.NewLedger(), asked: o.Members, stage: "outside the group"}
 	if !slices.Contains(o.Members, o.Host) {
 		return n, nil
 	}
@@ -170,7 +170,7 @@
 			slog.Info("ledger_standing", "term", own.Term, "index", own.Index, "heard", len(heard), "behind", f.Behind,
 				"group_term", f.Term, "group_index", f.Log.Index, "first", f.Bootstrap)
 			if f.Behind {
-				n.note(budget.Note{Name: n.o.Host, Event: "ledger behind", Cause: fmt.Sprintf("has entry %d, the group %d: it votes for none that has less, until it has that", own.Index, f.Log.Index)})
+				n.note(quota.Note{Name: n.o.Host, Event: "ledger behind", Cause: fmt.Sprintf("has entry %d, the group %d: it votes for none that has less, until it has that", own.Index, f.Log.Index)})
 			}
 			return f, nil
 		}
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	trans := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: layer{n.o.Net.Listener(peer.Raft), n.o.Net}, MaxPool: 3, Timeout: n.o.Bounds.Call, Logger: quiet,
+		Stream: layer{n.o.Net.Listener(transport.Raft), n.o.Net}, MaxPool: 3, Timeout: n.o.Bounds.Call, Logger: quiet,
 		// No pipeline: where its reader gives up while its writer waits for room, the library (v1.8.0) waits for ever, and
 		// with it the end of that node. Entries are sent in batches anyway.
 		MaxRPCsInFlight: 1,
@@ -271,11 +271,11 @@
 			n.ready = r.CurrentTerm() == term
 			n.mu.Unlock()
 			led = term
-			n.note(budget.Note{Name: n.o.Host, Event: "leader", Cause: fmt.Sprintf("term %d", term)})
+			n.note(quota.Note{Name: n.o.Host, Event: "leader", Cause: fmt.Sprintf("term %d", term)})
 		}
 		n.mu.Lock()
 		over, divide := n.clerk.Due(n.o.Clock(), n.truth)
-		var c budget.Command
+		var c quota.Command
 		c.Rested = n.clerk.Rested(n.o.Clock(), n.truth)
 		c.Lapse, c.Divide = over, divide && n.truth.Terms.Version > 0
 		if n.terms != nil && n.terms.Version > n.truth.Terms.Version {
@@ -311,33 +311,33 @@
 	switch {
 	case step.Add != "":
 		if err := r.AddVoter(raft.ServerID(step.Add), raft.ServerAddress(step.Add), f.Index(), apply).Error(); err == nil {
-			n.note(budget.Note{Name: step.Add, Event: "group", Cause: "added to it"})
+			n.note(quota.Note{Name: step.Add, Event: "group", Cause: "added to it"})
 		}
 	case step.Remove != "":
 		if err := r.RemoveServer(raft.ServerID(step.Remove), f.Index(), apply).Error(); err == nil {
-			n.note(budget.Note{Name: step.Remove, Event: "group", Cause: "taken out of it"})
+			n.note(quota.Note{Name: step.Remove, Event: "group", Cause: "taken out of it"})
 		}
 	}
 }
 
-func (n *Node) note(l budget.Note) {
+func (n *Node) note(l quota.Note) {
 	if n.o.Note != nil {
 		n.o.Note(l)
 	}
 }
 
 // Use takes in what the fleet's file says now. Only a leader acts on it, and only on a version above the one in force.
-func (n *Node) Use(t *budget.Terms, members []string) {
+func (n *Node) Use(t *quota.Terms, members []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.terms, n.asked, n.o.Members, n.version = t, members, members, t.Version
 }
 
 // apply takes in an entry that is committed.
-func (n *Node) apply(raw []byte) budget.Result {
-	var c budget.Command
+func (n *Node) apply(raw []byte) quota.Result {
+	var c quota.Command
 	if err := json.Unmarshal(raw, &c); err != nil {
-		return budget.Result{No: "not a command: " + err.Error()}
+		return quota.Result{No: "not a command: " + err.Error()}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -351,7 +351,7 @@
 }
 
 func (n *Node) load(from io.Reader) error {
-	l := budget.NewLedger()
+	l := quota.NewLedger()
 	if err := json.NewDecoder(from).Decode(l); err != nil {
 		return err
 	}
@@ -363,7 +363,7 @@
 }
 
 // propose has a command replicated, and waits until it is applied here.
-func (n *Node) propose(r *raft.Raft, c budget.Command) (res budget.Result, err error) {
+func (n *Node) propose(r *raft.Raft, c quota.Command) (res quota.Result, err error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return res, err
@@ -375,7 +375,7 @@
 	if err := f.Error(); err != nil {
 		return res, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
-	res, ok := f.Response().(budget.Result)
+	res, ok := f.Response().(quota.Result)
 	if !ok {
 		return res, fmt.Errorf("ledger: %v", f.Response())
 	}
@@ -387,7 +387,7 @@
 }
 
 // unproven is the planted fault: it answers from a copy.
-func (n *Node) unproven(r *raft.Raft, raw []byte) (res budget.Result, err error) {
+func (n *Node) unproven(r *raft.Raft, raw []byte) (res quota.Result, err error) {
 	was, err := n.dump()
 	if err != nil {
 		return res, err
@@ -406,7 +406,7 @@
 }
 
 // local does a command if this node leads; ok is false if it does not.
-func (n *Node) local(c budget.Command) (res budget.Result, leader string, ok bool, err error) {
+func (n *Node) local(c quota.Command) (res quota.Result, leader string, ok bool, err error) {
 	n.mu.Lock()
 	r, ready := n.raft, n.ready
 	if ready {
@@ -425,7 +425,7 @@
 }
 
 // Do has a command done, by whichever agent leads. An error does not say that it was not done.
-func (n *Node) Do(ctx context.Context, c budget.Command) (res budget.Result, err error) {
+func (n *Node) Do(ctx context.Context, c quota.Command) (res quota.Result, err error) {
 	res, leader, ok, err := n.local(c)
 	if ok {
 		return res, err
@@ -464,7 +464,7 @@
 		}
 		last = fmt.Errorf("%s: %w", next, err)
 		var other notHere
-		if no, ok := errors.AsType[*talk.Status](err); ok && no.Code == http.StatusMisdirectedRequest {
+		if no, ok := errors.AsType[*jsonhttp.Status](err); ok && no.Code == http.StatusMisdirectedRequest {
 			json.Unmarshal([]byte(no.Text), &other)
 		}
 		next = other.Leader
@@ -473,7 +473,7 @@
 }
 
 // View asks the leader, which makes sure that it still is one.
-func (n *Node) View(ctx context.Context) (v budget.View, err error) {
+func (n *Node) View(ctx context.Context) (v quota.View, err error) {
 	v, leader, ok, err := n.localView()
 	if ok {
 		return v, err
@@ -482,7 +482,7 @@
 	return v, err
 }
 
-func (n *Node) localView() (v budget.View, leader string, ok bool, err error) {
+func (n *Node) localView() (v quota.View, leader string, ok bool, err error) {
 	n.mu.Lock()
 	r, ready := n.raft, n.ready
 	n.mu.Unlock()
@@ -531,7 +531,7 @@
 		json.NewEncoder(w).Encode(s)
 	})
 	mux.HandleFunc("POST /ledger/do", func(w http.ResponseWriter, r *http.Request) {
-		var c budget.Command
+		var c quota.Command
 		if err := json.NewDecoder(io.LimitReader(r.Body, 16*int64(n.o.Bounds.Message))).Decode(&c); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
--- a/manage/ledger/ledger_test.go
+++ b/internal/cluster/quotastore/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package quotastore
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"milletbarrow/limit"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/peer"
-	"milletbarrow/proc"
-	"milletbarrow/trial/link"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/cluster/transport"
+	"milletbarrow/internal/faultinjection/proxy"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 // group is some nodes in this process, with links between them.
@@ -30,8 +30,8 @@
 	dir   string
 	names []string
 	at    map[string]string
-	*link.Mesh
-	terms *budget.Terms
+	*proxy.Mesh
+	terms *quota.Terms
 	asked []string
 
 	mu    sync.Mutex
@@ -41,7 +41,7 @@
 
 func newGroup(t testing.TB, n int) *group {
 	g := &group{t: t, dir: t.TempDir(), at: map[string]string{}, nodes: map[string]*Node{}, ends: map[string]func(){}}
-	g.terms = &budget.Terms{Version: 1, Budgets: []budget.Budget{{Name: "out", Kind: budget.Count, Whole: 2}}}
+	g.terms = &quota.Terms{Version: 1, Budgets: []quota.Budget{{Name: "out", Kind: quota.Count, Whole: 2}}}
 	var at []string
 	for i := range n {
 		name := fmt.Sprint("h", i+1)
@@ -53,7 +53,7 @@
 		g.names, g.at[name], at = append(g.names, name), l.Addr().String(), append(at, l.Addr().String())
 	}
 	var err error
-	if g.Mesh, err = link.NewMesh(g.names, at); err != nil {
+	if g.Mesh, err = proxy.NewMesh(g.names, at); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(g.Mesh.Close)
@@ -62,10 +62,10 @@
 }
 
 func (g *group) start(name string) {
-	var n *peer.Net
+	var n *transport.Net
 	var err error
 	for range 50 { // its address may take a moment to be free again
-		if n, err = peer.Listen(name, g.at[name], g.To(name), limit.ForControl()); err == nil {
+		if n, err = transport.Listen(name, g.at[name], g.To(name), limits.ForControl()); err == nil {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -75,8 +75,8 @@
 		return
 	}
 	node, err := Open(Options{
-		Host: name, Members: g.asked, Dir: filepath.Join(g.dir, name), Net: n, Bounds: limit.ForControl(),
-		Clock: func() budget.Micros { return budget.Micros(proc.Now()) },
+		Host: name, Members: g.asked, Dir: filepath.Join(g.dir, name), Net: n, Bounds: limits.ForControl(),
+		Clock: func() quota.Micros { return quota.Micros(process.Now()) },
 	})
 	if err != nil {
 		g.t.Error(err)
@@ -89,7 +89,7 @@
 	server := &http.Server{Handler: mux}
 	var all sync.WaitGroup
 	all.Go(func() { n.Run(ctx) })
-	all.Go(func() { server.Serve(n.Listener(peer.Call)) })
+	all.Go(func() { server.Serve(n.Listener(transport.Call)) })
 	all.Go(func() { node.Run(ctx) })
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +124,7 @@
 	return g.nodes[name]
 }
 
-func (g *group) view(within time.Duration, ok func(budget.View) bool) (v budget.View) {
+func (g *group) view(within time.Duration, ok func(quota.View) bool) (v quota.View) {
 	g.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, name := range g.names {
@@ -142,7 +142,7 @@
 	return v
 }
 
-func anyLeader(v budget.View) bool { return v.Leader != "" && v.Version > 0 }
+func anyLeader(v quota.View) bool { return v.Leader != "" && v.Version > 0 }
 
 // asked is one call, as its client saw it.
 type asked struct {
@@ -206,10 +206,10 @@
 					}
 					op := porcupine.Operation{ClientId: c, Input: in, Call: int64(time.Since(began))}
 					ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-					turn := &budget.Take{Budget: "out", Name: in.name, Host: "h", Turn: in.turn}
-					cmd := budget.Command{Take: turn}
+					turn := &quota.Take{Budget: "out", Name: in.name, Host: "h", Turn: in.turn}
+					cmd := quota.Command{Take: turn}
 					if in.give {
-						cmd = budget.Command{Give: turn}
+						cmd = quota.Command{Give: turn}
 					}
 					res, err := n.Do(ctx, cmd)
 					cancel()
@@ -299,7 +299,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		for {
-			if res, err := n.Do(ctx, budget.Command{Take: &budget.Take{Budget: "out", Name: "n" + turn, Host: "h", Turn: turn}}); err == nil {
+			if res, err := n.Do(ctx, quota.Command{Take: &quota.Take{Budget: "out", Name: "n" + turn, Host: "h", Turn: turn}}); err == nil {
 				if res.No != "" {
 					t.Fatal(res.No)
 				}
@@ -318,7 +318,7 @@
 	}
 	// h3 comes back and h2 goes: what is taken now is agreed on by h1 and h3.
 	g.start("h3")
-	g.view(15*time.Second, func(v budget.View) bool { return anyLeader(v) && g.node("h3").Stage() != "starting" })
+	g.view(15*time.Second, func(v quota.View) bool { return anyLeader(v) && g.node("h3").Stage() != "starting" })
 	time.Sleep(2 * time.Second)
 	g.stop("h2")
 	g.view(15*time.Second, anyLeader)
@@ -355,7 +355,7 @@
 		g.start(n)
 	}
 	defer g.stopAll()
-	first := g.view(20*time.Second, func(v budget.View) bool { return anyLeader(v) && len(v.Members) == 3 })
+	first := g.view(20*time.Second, func(v quota.View) bool { return anyLeader(v) && len(v.Members) == 3 })
 	to := func(version uint64, members ...string) {
 		terms := *g.terms
 		terms.Version = version
@@ -374,9 +374,9 @@
 	to(2, g.names...)
 	time.Sleep(3 * time.Second)
 	g.Alone(other, true, true, false)
-	g.view(30*time.Second, func(v budget.View) bool { return v.Version == 2 && len(v.Members) == 5 })
+	g.view(30*time.Second, func(v quota.View) bool { return v.Version == 2 && len(v.Members) == 5 })
 	to(3, "h3", "h4", "h5")
-	v := g.view(30*time.Second, func(v budget.View) bool { return v.Version == 3 && len(v.Members) == 3 })
+	v := g.view(30*time.Second, func(v quota.View) bool { return v.Version == 3 && len(v.Members) == 3 })
 	if slices.Sort(v.Members); !slices.Equal(v.Members, []string{"h3", "h4", "h5"}) {
 		t.Fatalf("members %v", v.Members)
 	}
--- a/manage/ledger/point_off.go
+++ b/internal/cluster/quotastore/point_off.go
@@ -1,6 +1,6 @@
 //go:build !plant
 
-package ledger
+package quotastore
 
 // point is where a trial's program can be made to die; this one can't.
 func point(string) {}
--- a/manage/ledger/point_on.go
+++ b/internal/cluster/quotastore/point_on.go
@@ -1,6 +1,6 @@
 //go:build plant
 
-package ledger
+package quotastore
 
 import (
 	"os"
--- a/manage/ledger/store.go
+++ b/internal/cluster/quotastore/store.go
@@ -1,4 +1,4 @@
-package ledger
+package quotastore
 
 import (
 	"bytes"
--- a/manage/ledger/transport.go
+++ b/internal/cluster/quotastore/transport.go
@@ -1,4 +1,4 @@
-package ledger
+package quotastore
 
 import (
 	"context"
@@ -10,20 +10,20 @@
 
 	"github.com/hashicorp/raft"
 
-	"milletbarrow/manage/peer"
-	"milletbarrow/manage/quorum"
+	"milletbarrow/internal/cluster/quorum"
+	"milletbarrow/internal/cluster/transport"
 )
 
 // layer has the consensus library speak over the agents' own conversations. Addresses are names of hosts.
 type layer struct {
 	net.Listener
-	net *peer.Net
+	net *transport.Net
 }
 
 func (l layer) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	return l.net.Dial(ctx, peer.Raft, string(to))
+	return l.net.Dial(ctx, transport.Raft, string(to))
 }
 
 // careful holds a member whose log is not as far as it has to be from standing for election, and from voting for others
--- a/manage/peer/peer.go
+++ b/internal/cluster/transport/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries what agents say to each other: one listener an agent, one address for each other agent, and
+// Package transport carries what agents say to each other: one listener an agent, one address for each other agent, and
 // several kinds of conversation over it, told apart by a first line. It knows nothing of what is said.
-package peer
+package transport
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/talk"
+	"milletbarrow/internal/jsonhttp"
+	"milletbarrow/internal/limits"
 )
 
 // Kind of a conversation.
@@ -35,7 +35,7 @@
 // Net is one agent's side.
 type Net struct {
 	Self   string
-	bounds limit.Control
+	bounds limits.Control
 
 	l     net.Listener
 	kinds map[Kind]*queue
@@ -46,7 +46,7 @@
 }
 
 // Listen opens this agent's address. to names the others.
-func Listen(self, address string, to map[string]string, b limit.Control) (*Net, error) {
+func Listen(self, address string, to map[string]string, b limits.Control) (*Net, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 			q.Close()
 		}
 	}()
-	l := limit.Conns(n.l, 4*n.bounds.Clients)
+	l := limits.Conns(n.l, 4*n.bounds.Clients)
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -155,7 +155,7 @@
 		n.http[to] = c
 	}
 	n.mu.Unlock()
-	return talk.Call(ctx, c, http.MethodPost, path, body, into, 16*int64(n.bounds.Message))
+	return jsonhttp.Call(ctx, c, http.MethodPost, path, body, into, 16*int64(n.bounds.Message))
 }
 
 // name is a peer's address where one is asked for.
--- a/terms/backend.go
+++ b/internal/config/backend.go
@@ -1,4 +1,4 @@
-package terms
+package config
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // Backend is the configuration of one program.
@@ -152,11 +152,11 @@
 	}
 	if s.words.say != "" && s.words.say != "off" {
 		s.Unused = append(s.Unused, "family_info.say")
-		t.FreeValue = admit.NoValue
+		t.FreeValue = admission.NoValue
 	}
-	if t.Preemption != admit.CannotStop {
+	if t.Preemption != admission.CannotStop {
 		s.Unused = append(s.Unused, "family_info.preemption")
-		t.Preemption = admit.CannotStop
+		t.Preemption = admission.CannotStop
 	}
 	return nil
 }
@@ -204,9 +204,9 @@
 			return unsound(field+".deadline_ms", "not above 0")
 		case !has(repeats, words.repeats[n]):
 			return unsound(field+".repeat", "%q is none of idempotent, deduplicated and at_most_once", words.repeats[n])
-		case op.Repeat == admit.Tokened && op.Window <= 0:
+		case op.Repeat == admission.Tokened && op.Window <= 0:
 			return unsound(field+".window_ms", "not above 0, and repeats are to be known")
-		case op.Repeat == admit.Tokened && !(t.KeyKB > 0):
+		case op.Repeat == admission.Tokened && !(t.KeyKB > 0):
 			return unsound("family_info.key_kb", "not above 0, and %s keeps keys", s.Operations[n])
 		case !(op.Value >= 0) || math.IsInf(op.Value, 0):
 			return unsound(field+".worth", "%v", op.Value)
--- a/terms/terms.go
+++ b/internal/config/terms.go
@@ -1,17 +1,17 @@
-// Package terms decodes what a deployment tells one backend: the settings object, which the simulator
+// Package config decodes what a deployment tells one backend: the settings object, which the simulator
 // hands to an instance at its start and the configuration file to a program, and that file itself.
-package terms
+package config
 
 import (
 	"encoding/json"
 	"math"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // Sheet is a decoded settings object.
 type Sheet struct {
-	Terms      admit.Terms
+	Terms      admission.Terms
 	Operations []string // names, by number
 	Tenants    []string
 	Gauges     []string
@@ -86,23 +86,23 @@
 }
 
 var (
-	repeats = map[string]admit.Repeat{
-		"idempotent": admit.Idempotent, "deduplicated": admit.Tokened, "at_most_once": admit.NonIdempotent,
+	repeats = map[string]admission.Repeat{
+		"idempotent": admission.Idempotent, "deduplicated": admission.Tokened, "at_most_once": admission.NonIdempotent,
 	}
-	preemptions = map[string]admit.Preemption{
-		"off": admit.CannotStop, "discard": admit.StopDiscards, "freeze": admit.StopPauses,
+	preemptions = map[string]admission.Preemption{
+		"off": admission.CannotStop, "discard": admission.StopDiscards, "freeze": admission.StopPauses,
 	}
-	freeValues = map[string]admit.FreeValue{
-		"off":       admit.NoValue,
-		"floor":     admit.NoValue, // no decision here makes one
-		"allowance": admit.CallerAllowance, "weight": admit.TrafficWeight,
+	freeValues = map[string]admission.FreeValue{
+		"off":       admission.NoValue,
+		"floor":     admission.NoValue, // no decision here makes one
+		"allowance": admission.CallerAllowance, "weight": admission.TrafficWeight,
 	}
 )
 
 // Micros converts milliseconds, with room to add two of them safely.
-func Micros(ms float64) admit.Micros {
+func Micros(ms float64) admission.Micros {
 	const most = 1e15
-	return admit.Micros(math.Round(math.Max(-most, math.Min(most, ms*1000))))
+	return admission.Micros(math.Round(math.Max(-most, math.Min(most, ms*1000))))
 }
 
 // UnmarshalJSON decodes a settings object; keys that it does not know are skipped.
@@ -112,7 +112,7 @@
 		return err
 	}
 	f, r := &o.Family, &o.Rules
-	t := admit.Terms{
+	t := admission.Terms{
 		OverShareValue: o.OverShareWorth, Fleet: o.FleetSize, Callers: f.Callers, Cores: f.Cores,
 		MemoryKB: f.MemLimitKB, RunFactor: f.RunFactor, KeyKB: f.KeyKB,
 		JustStarted: f.JustStarted, Preemption: preemptions[f.Preemption], FreeValue: freeValues[f.Say],
@@ -131,7 +131,7 @@
 		s.Tenants = append(s.Tenants, p.Name)
 	}
 	for n, c := range o.Classes {
-		op := admit.Operation{
+		op := admission.Operation{
 			Repeat: repeats[c.Repeat], Value: c.Worth, Objective: Micros(c.AimMs), Stretch: c.AimStretch,
 			ClientTimeout: Micros(c.DeadlineMs), Window: Micros(c.WindowMs), LateValue: c.LateValue,
 		}
@@ -150,13 +150,13 @@
 }
 
 // Reading names raw gauge values; what is not among them is -1.
-func (s *Sheet) Reading(values []float64) admit.Reading {
+func (s *Sheet) Reading(values []float64) admission.Reading {
 	return Reading(s.Gauges, values)
 }
 
 // Reading names raw gauge values by the names given; what is not among them is -1.
-func Reading(names []string, values []float64) admit.Reading {
-	r := admit.Reading{CoreUse: -1, OnCores: -1, MemoryShare: -1, Connections: -1}
+func Reading(names []string, values []float64) admission.Reading {
+	r := admission.Reading{CoreUse: -1, OnCores: -1, MemoryShare: -1, Connections: -1}
 	byName := map[string]*float64{
 		"core_use": &r.CoreUse, "on_cores": &r.OnCores, "heap_share": &r.MemoryShare, "links": &r.Connections,
 	}
--- a/terms/terms_test.go
+++ b/internal/config/terms_test.go
@@ -1,17 +1,17 @@
-package terms
+package config
 
 import (
 	"encoding/json"
 	"strings"
 	"testing"
 
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
 )
 
 // FuzzParse: whatever a configuration holds, it is refused or can be used as it stands.
 func FuzzParse(f *testing.F) {
 	whole := `{"name":"n3","listen":"127.0.0.1:1","agent":"127.0.0.1:2","roster":"127.0.0.1:3","seed":"8c1f30d27a5be964",
-		"stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":` + standin.Settings + `}`
+		"stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":` + fakes.Settings + `}`
 	if _, err := Parse([]byte(whole)); err != nil {
 		f.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 func TestWaitUntold(t *testing.T) {
 	for add, want := range map[string]bool{"": false, `"passes_deadline":true,`: false, `"passes_deadline":false,`: true} {
 		var s Sheet
-		if err := json.Unmarshal([]byte(strings.Replace(standin.Settings, `"callers"`, add+`"callers"`, 1)), &s); err != nil || s.Untold != want {
+		if err := json.Unmarshal([]byte(strings.Replace(fakes.Settings, `"callers"`, add+`"callers"`, 1)), &s); err != nil || s.Untold != want {
 			t.Errorf("%s: %t %v", add, s.Untold, err)
 		}
 	}
--- a/demo/demo.go
+++ b/internal/demo/demo.go
@@ -19,30 +19,30 @@
 	"sync/atomic"
 	"time"
 
-	"milletbarrow/admit"
-	"milletbarrow/model"
-	"milletbarrow/yard"
+	"milletbarrow/admission"
+	"milletbarrow/internal/fakes/timedexecutor"
+	"milletbarrow/internal/simulation"
 )
 
 // Scenario is the demo's day for so many backends: a load near what they can take, with a burst and a release in it.
-func Scenario(backends int, span time.Duration) model.Scenario {
-	s := model.Default()
-	s.Name, s.For = "demo", model.Micros(span.Microseconds())
+func Scenario(backends int, span time.Duration) simulation.Scenario {
+	s := simulation.Default()
+	s.Name, s.For = "demo", simulation.Micros(span.Microseconds())
 	s.Hosts.Count, s.Hosts.Cores, s.Hosts.Spread, s.Hosts.Read, s.Hosts.Handshake = backends, 2, 0, 0, 0
-	s.Hosts.ColdFor, s.Hosts.ColdShare = 2*model.Second, 0.5
+	s.Hosts.ColdFor, s.Hosts.ColdShare = 2*simulation.Second, 0.5
 	s.Nodes.Count, s.Nodes.Subset = 4, 0
 	s.Load.At = 0.75
-	s.Troubles = []model.Trouble{
-		{Kind: model.Burst, At: s.For / 4, For: s.For / 5, Factor: 2}, {Kind: model.Release, At: s.For * 11 / 20, Width: 1 / float64(backends)},
+	s.Troubles = []simulation.Trouble{
+		{Kind: simulation.Burst, At: s.For / 4, For: s.For / 5, Factor: 2}, {Kind: simulation.Release, At: s.For * 11 / 20, Width: 1 / float64(backends)},
 	}
 	return s
 }
 
 // Settings is the object that a platform hands a backend, made of a scenario.
-func Settings(s *model.Scenario) map[string]any {
-	repeats := map[admit.Repeat]string{admit.Idempotent: "idempotent", admit.NonIdempotent: "at_most_once"}
+func Settings(s *simulation.Scenario) map[string]any {
+	repeats := map[admission.Repeat]string{admission.Idempotent: "idempotent", admission.NonIdempotent: "at_most_once"}
 	var classes, projects []map[string]any
-	ms := func(m model.Micros) float64 { return float64(m) / 1000 }
+	ms := func(m simulation.Micros) float64 { return float64(m) / 1000 }
 	for _, op := range s.Operations {
 		classes = append(classes, map[string]any{
 			"name": op.Name, "aim_ms": ms(op.Objective), "deadline_ms": ms(op.Timeout), "repeat": repeats[op.Repeat], "late_value": op.LateValue,
@@ -72,7 +72,7 @@
 	Fleet    string // its file
 	Backends []string
 	Names    []string
-	Yards    []*yard.Yard
+	Yards    []*timedexecutor.Yard
 	Loopback string // an address of this machine where nobody's calls begin: a port that is free stays free until it is used
 
 	register *http.Server
@@ -81,10 +81,10 @@
 }
 
 // Lay writes all files and starts the stand-ins. program is the milletbarrow that is to run; empty: the one that runs now.
-func Lay(s *model.Scenario, program string) (*Site, error) { return LayAt(s, program, "") }
+func Lay(s *simulation.Scenario, program string) (*Site, error) { return LayAt(s, program, "") }
 
 // LayAt does it with a register of somebody else's at that address.
-func LayAt(s *model.Scenario, program, register string) (site *Site, err error) {
+func LayAt(s *simulation.Scenario, program, register string) (site *Site, err error) {
 	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 			return site, err
 		}
 		held = append(held, free)
-		y, err := yard.Start("127.0.0.1:0", yard.Terms{
+		y, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Terms{
 			Cores: s.Hosts.Cores, Crowd: s.Hosts.Crowd, Takes: 20 * time.Millisecond, Cold: time.Duration(s.Hosts.ColdFor) * time.Microsecond,
 			Share: s.Hosts.ColdShare, Most: 10_000,
 		})
@@ -155,8 +155,8 @@
 
 // Bring brings a trouble about at its time, if it can be brought about here, and takes it back. tool runs a sub-command of fleet
 // for all instances.
-func (s *Site) Bring(ctx context.Context, t model.Trouble, say func(string, ...any), tool func(context.Context, ...string) error) error {
-	wait := func(m model.Micros) bool {
+func (s *Site) Bring(ctx context.Context, t simulation.Trouble, say func(string, ...any), tool func(context.Context, ...string) error) error {
+	wait := func(m simulation.Micros) bool {
 		select {
 		case <-time.After(time.Duration(m) * time.Microsecond):
 			return true
@@ -164,10 +164,10 @@
 			return false
 		}
 	}
-	if t.Kind != model.Slow && t.Kind != model.Release || !wait(t.At) {
+	if t.Kind != simulation.Slow && t.Kind != simulation.Release || !wait(t.At) {
 		return nil
 	}
-	if t.Kind == model.Release {
+	if t.Kind == simulation.Release {
 		say("      a release begins: each backend leaves and comes up again, a few at a time")
 		return tool(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(t.Width*float64(len(s.Names))))))
 	}
--- a/lab/bench.go
+++ b/internal/experiment/bench.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"milletbarrow/model"
+	"milletbarrow/internal/simulation"
 )
 
 // Progress is told after each run.
@@ -15,24 +15,24 @@
 	Done, All int
 	Kept      int // of them, found in the place
 	Cell      *Cell
-	Result    *model.Result
+	Result    *simulation.Result
 }
 
 // Run plays all of an experiment's cells on so many cores, keeps each result as it comes, and skips what the place has.
 // Who is interrupted goes on later with the same call. The results come in the order of the cells, whatever the cores.
 // place may be nil: nothing is kept. told is called by one goroutine at a time; it may be nil.
-func Run(ctx context.Context, x *Experiment, place *Place, cores int, told func(Progress)) ([]*model.Result, error) {
+func Run(ctx context.Context, x *Experiment, place *Place, cores int, told func(Progress)) ([]*simulation.Result, error) {
 	cells, err := x.Cells()
 	if err != nil {
 		return nil, err
 	}
-	results := make([]*model.Result, len(cells))
+	results := make([]*simulation.Result, len(cells))
 	whole := ctx
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, cores))
 	var mu sync.Mutex
 	state := Progress{All: len(cells)}
-	finished := func(i int, r *model.Result, kept bool) {
+	finished := func(i int, r *simulation.Result, kept bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		results[i] = r
@@ -60,7 +60,7 @@
 					return nil
 				}
 			}
-			r, err := model.Play(&c.Scenario, c.Policy, c.Seed, nil)
+			r, err := simulation.Play(&c.Scenario, c.Policy, c.Seed, nil)
 			if err != nil {
 				return err
 			}
@@ -80,7 +80,7 @@
 }
 
 // Load reads the results of an experiment from a place; what is missing is counted.
-func Load(x *Experiment, dir string) (results []*model.Result, missing int, err error) {
+func Load(x *Experiment, dir string) (results []*simulation.Result, missing int, err error) {
 	cells, err := x.Cells()
 	if err != nil {
 		return nil, 0, err
--- a/lab/compare.go
+++ b/internal/experiment/compare.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,52 +7,52 @@
 	"slices"
 	"strings"
 
-	"milletbarrow/model"
+	"milletbarrow/internal/simulation"
 )
 
 // Measure is a figure of a result.
 type Measure struct {
 	Name string
-	Of   func(r *model.Result) float64
+	Of   func(r *simulation.Result) float64
 	Less bool // less is better
 }
 
 // MeasureNamed finds a figure by its name: value, broken, attempts, wasted, or one of an operation: OPERATION.value,
 // OPERATION.in-time, OPERATION.p50, .p99, .throttled, .lost. NaN where a result does not have it.
 func MeasureNamed(name string) (m Measure, err error) {
-	per := func(r *model.Result, x float64) float64 { return x / math.Max(1, float64(r.Asks)) }
+	per := func(r *simulation.Result, x float64) float64 { return x / math.Max(1, float64(r.Asks)) }
 	m.Name = name
 	switch name {
 	case "value":
-		m.Of = (*model.Result).Value
+		m.Of = (*simulation.Result).Value
 	case "broken":
-		m.Of, m.Less = func(r *model.Result) float64 { return float64(r.Broken()) }, true
+		m.Of, m.Less = func(r *simulation.Result) float64 { return float64(r.Broken()) }, true
 	case "priced":
-		m.Of = func(r *model.Result) float64 { return r.Priced / math.Max(r.Offered, 1e-9) }
+		m.Of = func(r *simulation.Result) float64 { return r.Priced / math.Max(r.Offered, 1e-9) }
 	case "attempts":
-		m.Of, m.Less = func(r *model.Result) float64 { return per(r, float64(r.Attempts)) }, true
+		m.Of, m.Less = func(r *simulation.Result) float64 { return per(r, float64(r.Attempts)) }, true
 	case "wasted":
-		m.Of, m.Less = func(r *model.Result) float64 { return per(r, r.Wasted) }, true
+		m.Of, m.Less = func(r *simulation.Result) float64 { return per(r, r.Wasted) }, true
 	case "changes":
-		m.Of, m.Less = func(r *model.Result) float64 { return float64(r.Changes) }, true
+		m.Of, m.Less = func(r *simulation.Result) float64 { return float64(r.Changes) }, true
 	default:
 		op, what, ok := strings.Cut(name, ".")
-		ends := model.Outcomes()
-		of, known := map[string]func(p *model.Part) float64{
-			"value":   func(p *model.Part) float64 { return p.Billed / math.Max(p.Offered, 1e-9) },
-			"in-time": func(p *model.Part) float64 { return float64(p.InTime) / math.Max(1, float64(p.Asks)) },
-			"p50":     func(p *model.Part) float64 { return quantile(p, 50) },
-			"p99":     func(p *model.Part) float64 { return quantile(p, 99) },
+		ends := simulation.Outcomes()
+		of, known := map[string]func(p *simulation.Part) float64{
+			"value":   func(p *simulation.Part) float64 { return p.Billed / math.Max(p.Offered, 1e-9) },
+			"in-time": func(p *simulation.Part) float64 { return float64(p.InTime) / math.Max(1, float64(p.Asks)) },
+			"p50":     func(p *simulation.Part) float64 { return quantile(p, 50) },
+			"p99":     func(p *simulation.Part) float64 { return quantile(p, 99) },
 		}[what]
 		if n := slices.Index(ends, what); n >= 0 {
-			of, known = func(p *model.Part) float64 { return p.Share(n) }, true
+			of, known = func(p *simulation.Part) float64 { return p.Share(n) }, true
 		}
 		if !ok || !known {
 			return m, fmt.Errorf("no figure %q: value, priced, broken, attempts, wasted, changes, or OPERATION with .value, .in-time, .p50, .p99 or .%s", name, strings.Join(ends, ", ."))
 		}
 		m.Less = what != "value" && what != "in-time" && what != "succeeded"
-		m.Of = func(r *model.Result) float64 {
-			for _, parts := range [][]model.Part{r.Operations, r.Tenants} {
+		m.Of = func(r *simulation.Result) float64 {
+			for _, parts := range [][]simulation.Part{r.Operations, r.Tenants} {
 				for i := range parts {
 					if parts[i].Name == op {
 						return of(&parts[i])
@@ -65,7 +65,7 @@
 	return m, nil
 }
 
-func quantile(p *model.Part, q float64) float64 {
+func quantile(p *simulation.Part, q float64) float64 {
 	h, err := p.Histogram()
 	if err != nil || h == nil {
 		return math.NaN()
@@ -130,7 +130,7 @@
 
 // Compare takes the days that both policies have played, pairs them by seed, and says of each scenario and value whether a
 // difference is shown.
-func Compare(cells []Cell, results []*model.Result, a, b string, m Measure) (all []Difference) {
+func Compare(cells []Cell, results []*simulation.Result, a, b string, m Measure) (all []Difference) {
 	type at struct {
 		scenario string
 		value    float64
@@ -191,7 +191,7 @@
 }
 
 // Curves are the figures of one scenario, a curve a policy.
-func Curves(cells []Cell, results []*model.Result, scenario string, m Measure) (all []Curve) {
+func Curves(cells []Cell, results []*simulation.Result, scenario string, m Measure) (all []Curve) {
 	var order []string
 	points := map[string]map[float64][]float64{}
 	for i, c := range cells {
--- a/lab/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package lab decides what an experiment runs and what its results say: scenarios by policies by values by seeds, paired
+// Package experiment decides what an experiment runs and what its results say: scenarios by policies by values by seeds, paired
 // differences with their intervals. How runs are spread over cores and kept on disk is in bench.go and keep.go. It
 // knows nothing of what a policy does.
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -13,16 +13,16 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"milletbarrow/levels"
-	"milletbarrow/model"
-	"milletbarrow/sexp"
+	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/internal/sexpr"
+	"milletbarrow/internal/simulation"
 )
 
 // Experiment is a file that has been read: what is to be run.
 type Experiment struct {
 	Name      string
-	Scenarios []model.Scenario
-	Policies  []model.Policy
+	Scenarios []simulation.Scenario
+	Policies  []simulation.Policy
 	Seeds     []uint64
 	Over      string    // what is swept; empty: nothing
 	Values    []float64 // its values
@@ -37,8 +37,8 @@
 
 // Cell is one run of an experiment.
 type Cell struct {
-	Scenario model.Scenario
-	Policy   *model.Policy
+	Scenario simulation.Scenario
+	Policy   *simulation.Policy
 	Seed     uint64
 	Value    float64 // of what is swept
 	Key      string  // the same for the same run, whatever else the file holds
@@ -56,20 +56,20 @@
 
 // Parse reads an experiment from memory.
 func Parse(file string, src []byte) (*Experiment, error) {
-	nodes, err := sexp.Parse(file, src)
+	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
 		return nil, err
 	}
-	errs := &sexp.Errors{File: file}
+	errs := &sexpr.Errors{File: file}
 	x := &Experiment{}
-	scenarios, policies := map[string]model.Scenario{}, map[string]*model.Policy{}
+	scenarios, policies := map[string]simulation.Scenario{}, map[string]*simulation.Policy{}
 	var order []string
-	var main *sexp.Form
-	for _, f := range sexp.Forms(nodes, errs) {
+	var main *sexpr.Form
+	for _, f := range sexpr.Forms(nodes, errs) {
 		switch f.Name {
 		case "scenario":
 			recorded := f.Text("recorded", "")
-			s := model.ReadScenario(f)
+			s := simulation.ReadScenario(f)
 			if recorded != "" {
 				readRecorded(f, file, recorded, &s)
 			}
@@ -91,7 +91,7 @@
 		}
 	}
 	if main == nil {
-		errs.Add(sexp.Place{Line: 1, Column: 1}, "experiment", "there is none in this file")
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "experiment", "there is none in this file")
 		return nil, errs.Err()
 	}
 	x.Name = main.Arg()
@@ -109,12 +109,12 @@
 	}
 	names := main.Words("policies")
 	if len(names) == 0 {
-		names = []string{model.Module}
+		names = []string{simulation.Module}
 	}
 	for _, n := range names {
 		p := policies[n]
 		if p == nil {
-			if p, err = model.PolicyNamed(n); err != nil {
+			if p, err = simulation.PolicyNamed(n); err != nil {
 				main.Fail("policies", "%v", err)
 				continue
 			}
@@ -146,49 +146,49 @@
 	return x, errs.Err()
 }
 
-func readRecorded(f *sexp.Form, file, name string, s *model.Scenario) {
+func readRecorded(f *sexpr.Form, file, name string, s *simulation.Scenario) {
 	in, err := os.Open(filepath.Join(filepath.Dir(file), name))
 	if err != nil {
 		f.Fail("recorded", "%v", err)
 		return
 	}
 	defer in.Close()
-	if s.Load.Recorded, err = model.ReadRecorded(name, in, s); err != nil {
+	if s.Load.Recorded, err = simulation.ReadRecorded(name, in, s); err != nil {
 		f.Fail("recorded", "%v", err)
 		return
 	}
-	s.Load.Shape = model.Replay
+	s.Load.Shape = simulation.Replay
 }
 
 // readPolicy reads (policy NAME (base milletbarrow) (ladder "FILE") (balance two-choices)).
-func readPolicy(f *sexp.Form, file string) *model.Policy {
+func readPolicy(f *sexpr.Form, file string) *simulation.Policy {
 	name := f.Arg()
-	p, err := model.PolicyNamed(f.Text("base", model.Module))
+	p, err := simulation.PolicyNamed(f.Text("base", simulation.Module))
 	if err != nil {
 		f.Fail("base", "%v", err)
-		p = &model.Policy{}
+		p = &simulation.Policy{}
 	}
 	p.Name = name
 	if ladder := f.Text("ladder", ""); ladder != "" {
 		raw, err := os.ReadFile(filepath.Join(filepath.Dir(file), ladder))
 		if err == nil {
-			p.Ladder, err = levels.ReadLadder(ladder, raw)
+			p.Ladder, err = degradation.ReadLadder(ladder, raw)
 		}
 		if err != nil {
 			f.Fail("ladder", "%v", err)
 		}
 	}
 	if b := f.OneOf("balance", "as-scenario", "round-robin", "random", "two-choices", "least-load"); b != "as-scenario" {
-		way := model.Balance(slices.Index([]string{"round-robin", "random", "two-choices", "least-load"}, b))
+		way := simulation.Balance(slices.Index([]string{"round-robin", "random", "two-choices", "least-load"}, b))
 		p.Balance = &way
 	}
-	p.Shares = model.SharesNamed(f.OneOf("shares", model.SharesNames()...))
+	p.Shares = simulation.SharesNamed(f.OneOf("shares", simulation.SharesNames()...))
 	f.Done()
 	return p
 }
 
 // seeds reads (seeds 1 2 7) or (seeds 1..20).
-func seeds(f *sexp.Form) (all []uint64) {
+func seeds(f *sexpr.Form) (all []uint64) {
 	words := f.Words("seeds")
 	if len(words) == 0 {
 		return []uint64{1}
@@ -215,7 +215,7 @@
 }
 
 // set gives a scenario one value of what is swept.
-func set(s *model.Scenario, over string, v float64) error {
+func set(s *simulation.Scenario, over string, v float64) error {
 	whole := int(v)
 	switch over {
 	case "":
@@ -242,7 +242,7 @@
 	case "nodes.behind":
 		s.Nodes.Behind = v
 	case "register.lag":
-		s.Register.Lag = model.Micros(v * 1e6)
+		s.Register.Lag = simulation.Micros(v * 1e6)
 	case "trouble.factor":
 		s.Troubles = slices.Clone(s.Troubles)
 		for i := range s.Troubles {
@@ -290,7 +290,7 @@
 // key names a run by all that decides its result, so that what has been run is known again, and nothing else is.
 func key(c *Cell) string {
 	h := xxhash.New()
-	fmt.Fprintf(h, "%d %+v|%s|%d|%v", model.Version, c.Scenario, c.Policy.Name+"|"+c.Policy.About, c.Seed, c.Value)
+	fmt.Fprintf(h, "%d %+v|%s|%d|%v", simulation.Version, c.Scenario, c.Policy.Name+"|"+c.Policy.About, c.Seed, c.Value)
 	if p := c.Policy; p.Ladder != nil {
 		fmt.Fprintf(h, "|%+v", *p.Ladder)
 	}
--- a/lab/keep.go
+++ b/internal/experiment/keep.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"github.com/klauspost/compress/zstd"
 
-	"milletbarrow/model"
+	"milletbarrow/internal/simulation"
 )
 
 // Place is the directory of an experiment's results: a file a run, written whole or not at all, so that a run that was
@@ -69,7 +69,7 @@
 func (p *Place) file(key string) string { return filepath.Join(p.Dir, key+".run") }
 
 // Write keeps a result under its key, whole or not at all.
-func (p *Place) Write(key string, r *model.Result) error {
+func (p *Place) Write(key string, r *simulation.Result) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 const MostResult = 1 << 30
 
 // ReadResult reads one file of a place. A file that was cut short or altered is an error that says so.
-func ReadResult(file string) (*model.Result, error) {
+func ReadResult(file string) (*simulation.Result, error) {
 	in, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -105,18 +105,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: cut short or altered: %w", file, err)
 	}
-	r := &model.Result{}
+	r := &simulation.Result{}
 	if err := json.Unmarshal(raw, r); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if r.Version > model.Version {
-		return nil, fmt.Errorf("%s: version %d, this build reads up to %d", file, r.Version, model.Version)
+	if r.Version > simulation.Version {
+		return nil, fmt.Errorf("%s: version %d, this build reads up to %d", file, r.Version, simulation.Version)
 	}
 	return r, nil
 }
 
 // Done tells whether a key's result is there and can be read.
-func (p *Place) Done(key string) (*model.Result, bool) {
+func (p *Place) Done(key string) (*simulation.Result, bool) {
 	r, err := ReadResult(p.file(key))
 	return r, err == nil
 }
--- a/lab/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"milletbarrow/model"
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/simulation"
 )
 
 const small = `(scenario day (for 1s) (hosts (count 3)) (nodes (count 2)) (load (at 1.2)))
@@ -29,7 +29,7 @@
 
 // TestErrors: what is wrong with a file is told with its place and field.
 func TestErrors(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, text := range []string{
 		`(experiment)`, `(scenario a)`, `(experiment x (policies wrong))`, `(experiment x (scenarios b)) (scenario a)`,
 		"(scenario a (hosts (count 0)\n (crowd x)) (nodes (deaf 2)))\n(experiment x)",
@@ -136,7 +136,7 @@
 
 // TestWords: a difference is shown where there is one, and none where there is none.
 func TestWords(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	x := parse(t, `(scenario day (for 1s) (hosts (count 3)) (nodes (count 2)) (load (at 1.4)))
 (policy again (base pool)) (experiment small (policies milletbarrow pool again two-choices) (seeds 1..8))`)
 	cells, err := x.Cells()
@@ -189,7 +189,7 @@
 		t.Fatal(err)
 	}
 	defer place.Close()
-	if err := place.Write("k", &model.Result{Version: model.Version + 1}); err != nil {
+	if err := place.Write("k", &simulation.Result{Version: simulation.Version + 1}); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := place.Done("k"); ok {
--- a/lab/words.go
+++ b/internal/experiment/words.go
@@ -1,11 +1,11 @@
-package lab
+package experiment
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"milletbarrow/model"
+	"milletbarrow/internal/simulation"
 )
 
 // Sweep has an experiment go over other values than its file says: NAME=VALUE,VALUE...
@@ -111,7 +111,7 @@
 }
 
 // Summary is the table of an experiment, in the order of its cells.
-func Summary(cells []Cell, results []*model.Result) (rows []Row) {
+func Summary(cells []Cell, results []*simulation.Result) (rows []Row) {
 	type at struct {
 		scenario, policy string
 		value            float64
