--- a/standin/standin.go
+++ b/internal/fakes/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds what the tests share: traces kept in testdata, and stand-ins for the systems around a
+// Package fakes holds what the tests share: traces kept in testdata, and stand-ins for the systems around a
 // backend, written from their protocol alone: an edge node, the farm, the roster.
-package standin
+package fakes
 
 import (
 	"bufio"
--- a/yard/yard.go
+++ b/internal/fakes/timedexecutor/yard.go
@@ -1,7 +1,7 @@
-// Package yard is a stand-in for the render farm that really takes time: runs share its cores evenly, and past a crowd all
+// Package timedexecutor is a stand-in for the render farm that really takes time: runs share its cores evenly, and past a crowd all
 // slow down, as the model has it. For load, demos and tests on this machine; it serves nobody. It owns runs and the
 // links that backends open to it; it never decides which run begins.
-package yard
+package timedexecutor
 
 import (
 	"bufio"
--- a/trial/audit/audit.go
+++ b/internal/faultinjection/checker/audit.go
@@ -1,7 +1,7 @@
-// Package audit judges a trial from the stamps that each process wrote itself: one machine, one clock. It works out what
+// Package checker judges a trial from the stamps that each process wrote itself: one machine, one clock. It works out what
 // was in force at every instant and what was drawn, and says where that was more than the whole. It shares no code with
 // what it judges and believes nothing but the stamps.
-package audit
+package checker
 
 import (
 	"bufio"
--- a/trial/audit/births.go
+++ b/internal/faultinjection/checker/births.go
@@ -1,4 +1,4 @@
-package audit
+package checker
 
 import (
 	"cmp"
--- a/trial/cold/cold.go
+++ b/internal/faultinjection/coldstart/cold.go
@@ -1,7 +1,7 @@
-// Package cold judges a cold start by the calls that reached a register: how many came while it took nothing, how they
+// Package coldstart judges a cold start by the calls that reached a register: how many came while it took nothing, how they
 // stood together once it did, and how long it took until the backends were listed. It does no I/O and holds no clock, and
 // knows nothing of how backends decide.
-package cold
+package coldstart
 
 import (
 	"cmp"
--- a/trial/cold/cold_test.go
+++ b/internal/faultinjection/coldstart/cold_test.go
@@ -1,4 +1,4 @@
-package cold
+package coldstart
 
 import (
 	"fmt"
--- a/trial/ground/bring.go
+++ b/internal/faultinjection/harness/bring.go
@@ -1,4 +1,4 @@
-package ground
+package harness
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"milletbarrow/proc"
-	"milletbarrow/trial/audit"
-	"milletbarrow/trial/timetable"
+	"milletbarrow/internal/faultinjection/checker"
+	"milletbarrow/internal/faultinjection/schedule"
+	"milletbarrow/internal/process"
 )
 
 // index of a host by its name, of a backend by its own.
@@ -29,21 +29,21 @@
 }
 
 // bring brings one fault about and takes it back.
-func (g *Ground) bring(ctx context.Context, f timetable.Fault) error {
+func (g *Ground) bring(ctx context.Context, f schedule.Fault) error {
 	switch f.Kind {
-	case timetable.Cut, timetable.CutBoth, timetable.Delay, timetable.Stall, timetable.Slow, timetable.Reset, timetable.Twice:
+	case schedule.Cut, schedule.CutBoth, schedule.Delay, schedule.Stall, schedule.Slow, schedule.Reset, schedule.Twice:
 		g.between(ctx, f)
 		return nil
-	case timetable.Minority:
+	case schedule.Minority:
 		g.minority(ctx, f)
 		return nil
-	case timetable.Freeze, timetable.Death, timetable.Orphan, timetable.BadStart:
+	case schedule.Freeze, schedule.Death, schedule.Orphan, schedule.BadStart:
 		return g.backend(ctx, f)
-	case timetable.Whole:
+	case schedule.Whole:
 		return g.whole(ctx, f.Word, f.Number)
-	case timetable.Blackout:
+	case schedule.Blackout:
 		return g.blackout(ctx, f.For)
-	case timetable.Leader:
+	case schedule.Leader:
 		s := g.budgets(ctx)
 		if s == nil {
 			return errors.New("nobody leads")
@@ -54,11 +54,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch f.Kind {
-	case timetable.Stop:
+	case schedule.Stop:
 		h.cmd.Process.Signal(syscall.SIGSTOP)
 		wait(ctx, f.For)
 		return h.cmd.Process.Signal(syscall.SIGCONT)
-	case timetable.Full:
+	case schedule.Full:
 		if err := full(h.cmd.Process.Pid, true); err != nil {
 			return err
 		}
@@ -69,7 +69,7 @@
 		default:
 			return full(h.cmd.Process.Pid, false)
 		}
-	case timetable.Point:
+	case schedule.Point:
 		at := filepath.Join(g.site.Dir, "points", h.name)
 		if err := errors.Join(os.MkdirAll(at, 0o700), os.WriteFile(filepath.Join(at, f.Word), nil, 0o600)); err != nil {
 			return err
@@ -82,7 +82,7 @@
 			return fmt.Errorf("%s did not come to %q", h.name, f.Word)
 		}
 		return g.startAgent(h)
-	case timetable.Old:
+	case schedule.Old:
 		return g.old(ctx, h, f.For)
 	}
 	h.killAgent()
@@ -91,36 +91,36 @@
 }
 
 // between brings a fault between two hosts.
-func (g *Ground) between(ctx context.Context, f timetable.Fault) {
+func (g *Ground) between(ctx context.Context, f schedule.Fault) {
 	there, back := g.mesh.Way(f.A, f.B), g.mesh.Way(f.B, f.A)
 	switch f.Kind {
-	case timetable.Cut:
+	case schedule.Cut:
 		there.Hold(true)
 		wait(ctx, f.For)
 		g.mesh.Reset(f.A, f.B) // what was lost meanwhile is not brought by a connection that was given up
 		there.Hold(false)
-	case timetable.CutBoth:
+	case schedule.CutBoth:
 		there.Hold(true)
 		back.Hold(true)
 		wait(ctx, f.For)
 		g.mesh.Reset(f.A, f.B)
 		there.Hold(false)
 		back.Hold(false)
-	case timetable.Stall:
+	case schedule.Stall:
 		there.Hold(true)
 		wait(ctx, f.For)
 		there.Hold(false)
-	case timetable.Delay:
+	case schedule.Delay:
 		there.Delay(f.By)
 		wait(ctx, f.For)
 		there.Delay(0)
-	case timetable.Slow:
+	case schedule.Slow:
 		there.Slow(f.Number)
 		wait(ctx, f.For)
 		there.Slow(0)
-	case timetable.Reset:
+	case schedule.Reset:
 		g.mesh.Reset(f.A, f.B)
-	case timetable.Twice:
+	case schedule.Twice:
 		g.mesh.Link(f.A, f.B).Twice(f.By)
 		wait(ctx, f.For)
 		g.mesh.Link(f.A, f.B).Twice(0)
@@ -129,7 +129,7 @@
 }
 
 // minority cuts a host and the next off from all others.
-func (g *Ground) minority(ctx context.Context, f timetable.Fault) {
+func (g *Ground) minority(ctx context.Context, f schedule.Fault) {
 	a := index(f.A)
 	few := map[int]bool{a: true, (a + 1) % len(g.hosts): len(g.hosts) > 3}
 	each := func(do func(a, b string)) {
@@ -169,7 +169,7 @@
 
 // old kills an agent, and starts it on a copy of its ledger that was made some seconds before.
 func (g *Ground) old(ctx context.Context, h *host, after time.Duration) error {
-	at, copied := filepath.Join(h.dir, "ledger"), filepath.Join(g.site.Dir, "copies", fmt.Sprint(h.name, "-", proc.Now()))
+	at, copied := filepath.Join(h.dir, "ledger"), filepath.Join(g.site.Dir, "copies", fmt.Sprint(h.name, "-", process.Now()))
 	// The copy is taken of a process that is stopped, so that it is one that a disk could hold.
 	h.cmd.Process.Signal(syscall.SIGSTOP)
 	err := os.CopyFS(copied, os.DirFS(at))
@@ -186,25 +186,25 @@
 }
 
 // backend brings a fault to one backend's processes, by what its keeper wrote down.
-func (g *Ground) backend(ctx context.Context, f timetable.Fault) error {
+func (g *Ground) backend(ctx context.Context, f schedule.Fault) error {
 	n := index(f.A)
 	h := g.hosts[n%len(g.hosts)]
 	l := g.life(h, f.A)
 	config := filepath.Join(g.site.Dir, f.A+".json")
 	switch f.Kind {
-	case timetable.Freeze:
+	case schedule.Freeze:
 		if err := l.Instance.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
 		wait(ctx, f.For)
-		if err := l.Instance.Signal(syscall.SIGCONT); !errors.Is(err, proc.ErrGone) {
+		if err := l.Instance.Signal(syscall.SIGCONT); !errors.Is(err, process.ErrGone) {
 			return err
 		}
-	case timetable.Death:
+	case schedule.Death:
 		return l.Instance.Signal(syscall.SIGKILL)
-	case timetable.Orphan:
+	case schedule.Orphan:
 		return l.Keeper.Signal(syscall.SIGKILL)
-	case timetable.BadStart:
+	case schedule.BadStart:
 		if err := os.Rename(config, config+".away"); err != nil {
 			return err
 		}
@@ -241,7 +241,7 @@
 	g.version++
 	version := g.version
 	last := g.limits[name][len(g.limits[name])-1].Units
-	g.limits[name] = append(g.limits[name], audit.Whole{From: proc.Now(), Units: max(last, int64(units))})
+	g.limits[name] = append(g.limits[name], checker.Whole{From: process.Now(), Units: max(last, int64(units))})
 	err := g.writeFiles()
 	g.mu.Unlock()
 	if err != nil {
@@ -256,11 +256,11 @@
 		}) != nil {
 			return
 		}
-		at := proc.Now() + (g.o.Lease + g.o.Margin + time.Second).Microseconds()
+		at := process.Now() + (g.o.Lease + g.o.Margin + time.Second).Microseconds()
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.version == version { // else another whole has come since
-			g.limits[name] = append(g.limits[name], audit.Whole{From: at, Units: int64(units)})
+			g.limits[name] = append(g.limits[name], checker.Whole{From: at, Units: int64(units)})
 		}
 	})
 	return nil
--- a/trial/ground/cold.go
+++ b/internal/faultinjection/harness/cold.go
@@ -1,12 +1,12 @@
-package ground
+package harness
 
 import (
 	"context"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/trial/audit"
-	"milletbarrow/trial/cold"
+	"milletbarrow/internal/faultinjection/checker"
+	"milletbarrow/internal/faultinjection/coldstart"
+	"milletbarrow/internal/limits"
 )
 
 // settled is how long a backend is ready, by the trial's file, before it counts as warm.
@@ -30,21 +30,21 @@
 func (g *Ground) endCold() {
 	g.ended = time.Now()
 	calls, conns, falls := g.register.Heard()
-	g.heard = func() ([]cold.Call, int, int) { return calls, conns, falls }
+	g.heard = func() ([]coldstart.Call, int, int) { return calls, conns, falls }
 }
 
 // judgeCold works out what the register saw up to now, and from the stamps how many were starting at once.
-func (g *Ground) judgeCold(v *Verdict, all []*audit.Process) {
+func (g *Ground) judgeCold(v *Verdict, all []*checker.Process) {
 	calls, conns, falls := g.heard()
 	c := g.o.Table.Cold
-	f := cold.Of(calls, &c.Register, len(g.site.Names), limit.For(1, 192, 1024).Report, g.ended.Sub(g.asked))
+	f := coldstart.Of(calls, &c.Register, len(g.site.Names), limits.For(1, 192, 1024).Report, g.ended.Sub(g.asked))
 	f.Conns, f.Falls = conns, falls
 	v.Cold = &f
 	for _, why := range f.Breaks(c.Bounds) {
 		v.fail("register: %s", why)
 	}
 	// One holds its unit from before its process begins until it has been ready for a while.
-	f.Starting = audit.Births(all, settled.Microseconds())
+	f.Starting = checker.Births(all, settled.Microseconds())
 	if c.Rise > 0 && f.Starting > c.Rise {
 		v.fail("%d backends were starting at once, %d may be", f.Starting, c.Rise)
 	}
--- a/trial/ground/ground.go
+++ b/internal/faultinjection/harness/ground.go
@@ -1,7 +1,7 @@
-// Package ground is the proving ground: it starts real processes of the built program (agents, keepers, backends, tools)
+// Package harness is the proving ground: it starts real processes of the built program (agents, keepers, backends, tools)
 // with our stand-ins for farms, register and callers, lays links between the agents, brings the faults of a timetable
 // about, and has the auditor judge the stamps. It owns the processes and the directory and ends both.
-package ground
+package harness
 
 import (
 	"bytes"
@@ -22,29 +22,29 @@
 
 	"golang.org/x/sys/unix"
 
-	"milletbarrow/demo"
-	"milletbarrow/limit"
-	"milletbarrow/load"
-	"milletbarrow/model"
-	"milletbarrow/proc"
-	"milletbarrow/trial/audit"
-	"milletbarrow/trial/cold"
-	"milletbarrow/trial/link"
-	"milletbarrow/trial/register"
-	"milletbarrow/trial/timetable"
+	"milletbarrow/internal/demo"
+	"milletbarrow/internal/faultinjection/checker"
+	"milletbarrow/internal/faultinjection/coldstart"
+	"milletbarrow/internal/faultinjection/proxy"
+	"milletbarrow/internal/faultinjection/registry"
+	"milletbarrow/internal/faultinjection/schedule"
+	limitspkg "milletbarrow/internal/limits"
+	"milletbarrow/internal/loadgen"
+	"milletbarrow/internal/process"
+	"milletbarrow/internal/simulation"
 )
 
 // Options of one trial.
 type Options struct {
 	Program string // the built one
-	Table   *timetable.Table
+	Table   *schedule.Table
 	Keep    string // a directory to copy stamps and logs to; empty: they are removed
 	Plant   string // a fault of the program itself, where it was built with them
 	Say     func(string, ...any)
 	Budgets []Budget // empty: Standard
 	Lease   time.Duration
 	Margin  time.Duration
-	Moves   func(*model.Scenario) // changes the load; may be nil
+	Moves   func(*simulation.Scenario) // changes the load; may be nil
 }
 
 // Budget is one of the trial's.
@@ -69,24 +69,24 @@
 
 // Verdict is what a trial came to.
 type Verdict struct {
-	Name     string           `json:"name"`
-	OK       bool             `json:"ok"`
-	Why      []string         `json:"why,omitempty"`
-	Reports  []audit.Report   `json:"reports"`
-	Out      int              `json:"out"` // backends without a process at once during the wave
-	Faults   map[string]int   `json:"faults"`
-	Took     float64          `json:"took_s"`
-	Again    float64          `json:"again_s"` // from the last fault's end until the shares were whole again
-	Asks     int              `json:"asks"`
-	Billed   float64          `json:"billed"`
-	Doubles  int              `json:"doubles"` // answers that came twice, and runs that were launched twice
-	Leaders  int              `json:"leaders"` // terms of the ledger
-	WaveTook float64          `json:"wave_s,omitempty"`
-	Cold     *cold.Figures    `json:"cold,omitempty"`
-	Limits   audit.Limits     `json:"-"`
-	From     int64            `json:"from_us"`
-	To       int64            `json:"to_us"`
-	Marks    map[string]int64 `json:"marks,omitempty"`
+	Name     string             `json:"name"`
+	OK       bool               `json:"ok"`
+	Why      []string           `json:"why,omitempty"`
+	Reports  []checker.Report   `json:"reports"`
+	Out      int                `json:"out"` // backends without a process at once during the wave
+	Faults   map[string]int     `json:"faults"`
+	Took     float64            `json:"took_s"`
+	Again    float64            `json:"again_s"` // from the last fault's end until the shares were whole again
+	Asks     int                `json:"asks"`
+	Billed   float64            `json:"billed"`
+	Doubles  int                `json:"doubles"` // answers that came twice, and runs that were launched twice
+	Leaders  int                `json:"leaders"` // terms of the ledger
+	WaveTook float64            `json:"wave_s,omitempty"`
+	Cold     *coldstart.Figures `json:"cold,omitempty"`
+	Limits   checker.Limits     `json:"-"`
+	From     int64              `json:"from_us"`
+	To       int64              `json:"to_us"`
+	Marks    map[string]int64   `json:"marks,omitempty"`
 }
 
 func (v *Verdict) fail(format string, args ...any) {
@@ -98,16 +98,16 @@
 type Ground struct {
 	o        Options
 	site     *demo.Site
-	register *register.Register // of a cold start
-	scenario model.Scenario
+	register *registry.Register // of a cold start
+	scenario simulation.Scenario
 	hosts    []*host
-	mesh     *link.Mesh
+	mesh     *proxy.Mesh
 	version  int
-	asked    time.Time                      // when its backends were
-	ended    time.Time                      // when its course was over
-	heard    func() ([]cold.Call, int, int) // what the register had heard by then
+	asked    time.Time                           // when its backends were
+	ended    time.Time                           // when its course was over
+	heard    func() ([]coldstart.Call, int, int) // what the register had heard by then
 	wholes   map[string]int
-	limits   audit.Limits
+	limits   checker.Limits
 
 	mu     sync.Mutex
 	faults map[string]int
@@ -134,7 +134,7 @@
 	if o.Lease == 0 {
 		o.Lease, o.Margin = 2*time.Second, 100*time.Millisecond
 	}
-	g = &Ground{o: o, wholes: map[string]int{}, limits: audit.Limits{}, faults: map[string]int{}, version: 1}
+	g = &Ground{o: o, wholes: map[string]int{}, limits: checker.Limits{}, faults: map[string]int{}, version: 1}
 	s := demo.Scenario(o.Table.Backends, o.Table.Span)
 	s.Troubles, s.Load.At = nil, o.Table.Load
 	quota := 0.0
@@ -142,7 +142,7 @@
 		quota += float64(b.Whole)
 	}
 	for _, b := range o.Budgets {
-		s.Tenants = append(s.Tenants, model.Tenant{Name: b.Tenant, Share: float64(b.Whole) / quota, Quota: float64(b.Whole)})
+		s.Tenants = append(s.Tenants, simulation.Tenant{Name: b.Tenant, Share: float64(b.Whole) / quota, Quota: float64(b.Whole)})
 		g.wholes[b.Name] = b.Whole
 	}
 	if o.Moves != nil {
@@ -151,7 +151,7 @@
 	g.scenario = s
 	at := ""
 	if o.Table.Cold != nil {
-		if g.register, err = register.Start(demo.Loopback()+":0", o.Table.Cold.Register); err != nil {
+		if g.register, err = registry.Start(demo.Loopback()+":0", o.Table.Cold.Register); err != nil {
 			return nil, err
 		}
 		at = g.register.Address
@@ -195,7 +195,7 @@
 	for _, h := range g.hosts {
 		names, peers = append(names, h.name), append(peers, h.peer)
 	}
-	if g.mesh, err = link.NewMesh(names, peers); err != nil {
+	if g.mesh, err = proxy.NewMesh(names, peers); err != nil {
 		return nil, err
 	}
 	return g, g.writeFiles()
@@ -317,9 +317,9 @@
 	if err := g.until(ctx, 30*time.Second, "a leader of the ledger", func() bool { return g.budgets(ctx) != nil }); err != nil {
 		return err
 	}
-	now := proc.Now()
+	now := process.Now()
 	for _, b := range g.o.Budgets {
-		g.limits[b.Name] = []audit.Whole{{From: now - 60_000_000, Units: int64(b.Whole)}}
+		g.limits[b.Name] = []checker.Whole{{From: now - 60_000_000, Units: int64(b.Whole)}}
 	}
 	if g.register != nil { // play has them started
 		return nil
@@ -398,7 +398,7 @@
 		return v, g.keep(v)
 	}
 	g.o.Say("%d agents with %d backends stand ready after %v", len(g.hosts), len(g.site.Names), time.Since(began).Round(time.Millisecond))
-	v.From = proc.Now()
+	v.From = process.Now()
 	if g.register != nil {
 		g.startCold(ctx, v)
 	}
@@ -406,7 +406,7 @@
 	if g.register != nil {
 		g.endCold()
 	}
-	v.To = proc.Now()
+	v.To = process.Now()
 	v.Limits, v.Faults = g.limits, g.faults
 	if s := g.budgets(ctx); s != nil {
 		v.Leaders = int(s.Term)
@@ -428,7 +428,7 @@
 	if g.o.Table.Load > 0 {
 		go func() {
 			defer close(loaded)
-			r, err := load.Run(loadCtx, load.Options{Scenario: &g.scenario, Seed: g.o.Table.Seed, Backends: g.site.Backends, Bounds: limit.ForLoad()})
+			r, err := loadgen.Run(loadCtx, loadgen.Options{Scenario: &g.scenario, Seed: g.o.Table.Seed, Backends: g.site.Backends, Bounds: limitspkg.ForLoad()})
 			if err != nil && loadCtx.Err() == nil {
 				v.fail("load: %v", err)
 			}
@@ -493,7 +493,7 @@
 	case <-ctx.Done():
 		return
 	}
-	v.Marks["wave"] = proc.Now()
+	v.Marks["wave"] = process.Now()
 	began := time.Now()
 	first, kill := context.WithCancel(ctx)
 	go func() { // killed by SIGKILL, as exec does when its context ends
@@ -524,7 +524,7 @@
 		v.fail("%v", err)
 	}
 	v.WaveTook = time.Since(began).Seconds()
-	v.Marks["wave over"] = proc.Now()
+	v.Marks["wave over"] = process.Now()
 }
 
 func (g *Ground) count(kind string) {
@@ -535,7 +535,7 @@
 
 // judge has the stamps audited.
 func (g *Ground) judge(v *Verdict) {
-	all, err := audit.ReadAll(filepath.Join(g.site.Dir, "stamps"))
+	all, err := checker.ReadAll(filepath.Join(g.site.Dir, "stamps"))
 	if err != nil {
 		v.fail("stamps: %v", err)
 		return
@@ -547,7 +547,7 @@
 		g.judgeCold(v, all)
 	}
 	for _, b := range g.o.Budgets {
-		r := audit.Shares(all, b.Name, v.Limits, v.From, v.To)
+		r := checker.Shares(all, b.Name, v.Limits, v.From, v.To)
 		// A holder may draw three tenths of a second of its share at once, and four units at the least; each may be stopped
 		// once in a draw.
 		most := int64(0)
@@ -571,7 +571,7 @@
 		v.fail("%d answers or runs came twice", v.Doubles)
 	}
 	if at, ok := v.Marks["wave"]; ok {
-		v.Out = audit.Out(all, at, v.Marks["wave over"])
+		v.Out = checker.Out(all, at, v.Marks["wave over"])
 		if v.Out > OutMost {
 			v.fail("%d backends were out at once, %d may be", v.Out, OutMost)
 		}
@@ -634,8 +634,8 @@
 
 // life is who a backend's processes are, by its keeper's file.
 type life struct {
-	Keeper   proc.Identity `json:"keeper"`
-	Instance proc.Identity `json:"instance"`
+	Keeper   process.Identity `json:"keeper"`
+	Instance process.Identity `json:"instance"`
 }
 
 func (g *Ground) life(h *host, name string) (l life) {
@@ -658,16 +658,16 @@
 }
 
 // Processes are all that run now: agents, keepers and backends.
-func (g *Ground) Processes() (all []proc.Identity) {
+func (g *Ground) Processes() (all []process.Identity) {
 	for _, h := range g.hosts {
 		if h.cmd != nil {
-			if id, err := proc.Of(h.cmd.Process.Pid); err == nil {
+			if id, err := process.Of(h.cmd.Process.Pid); err == nil {
 				all = append(all, id)
 			}
 		}
 		for _, name := range h.names {
 			l := g.life(h, name)
-			for _, id := range []proc.Identity{l.Keeper, l.Instance} {
+			for _, id := range []process.Identity{l.Keeper, l.Instance} {
 				if id.Alive() {
 					all = append(all, id)
 				}
--- a/trial/ground/measure.go
+++ b/internal/faultinjection/harness/measure.go
@@ -1,4 +1,4 @@
-package ground
+package harness
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"syscall"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/load"
-	"milletbarrow/proc"
-	"milletbarrow/trial/audit"
+	"milletbarrow/internal/faultinjection/checker"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/loadgen"
+	"milletbarrow/internal/process"
 )
 
 // Measures are how well shares are used, with real processes: one budget that is divided by demand, and beside it one of the
@@ -56,12 +56,12 @@
 		ctx, cancel := context.WithTimeout(ctx, d)
 		defer cancel()
 		s := g.scenario
-		load.Run(ctx, load.Options{Scenario: &s, Seed: 1, Backends: backends, Bounds: limit.ForLoad()})
+		loadgen.Run(ctx, loadgen.Options{Scenario: &s, Seed: 1, Backends: backends, Bounds: limits.ForLoad()})
 	}
 	const phase = 9 * time.Second
 	half := [2][]string{g.site.Backends[:n/2], g.site.Backends[n/2:]}
 	for i := range 5 { // demand moves from one half of the backends to the other
-		marks = append(marks, proc.Now())
+		marks = append(marks, process.Now())
 		send(phase, half[i%2])
 	}
 	o.Say("demand moved %d times", len(marks)-1)
@@ -74,7 +74,7 @@
 	for _, h := range g.hosts {
 		h.mu.Lock()
 		h.cmd.Process.Kill()
-		at := proc.Now()
+		at := process.Now()
 		for _, name := range h.names {
 			l := g.life(h, name)
 			l.Keeper.Signal(syscall.SIGKILL)
@@ -106,7 +106,7 @@
 	loading.Go(func() {
 		for stop.Err() == nil {
 			s := g.scenario
-			load.Run(stop, load.Options{Scenario: &s, Seed: 2, Backends: g.site.Backends, Bounds: limit.ForLoad()})
+			loadgen.Run(stop, loadgen.Options{Scenario: &s, Seed: 2, Backends: g.site.Backends, Bounds: limits.ForLoad()})
 		}
 	})
 	for dead := 0; dead <= len(g.hosts); dead++ {
@@ -114,18 +114,18 @@
 			g.hosts[dead-1].killAgent()
 		}
 		time.Sleep(2*(g.o.Lease+g.o.Margin) + 2*time.Second)
-		from := proc.Now()
+		from := process.Now()
 		time.Sleep(3 * time.Second)
-		spans = append(spans, span{dead, from, proc.Now()})
+		spans = append(spans, span{dead, from, process.Now()})
 	}
 	cancel()
 	loading.Wait()
-	all, err := audit.ReadAll(filepath.Join(g.site.Dir, "stamps"))
+	all, err := checker.ReadAll(filepath.Join(g.site.Dir, "stamps"))
 	if err != nil {
 		return nil, err
 	}
 	rate := func(budget string, from, to int64) float64 {
-		return audit.Drawn(all, budget, from, to) * 1e6 / float64(to-from) / float64(whole)
+		return checker.Drawn(all, budget, from, to) * 1e6 / float64(to-from) / float64(whole)
 	}
 	for _, b := range []string{"demand", "even"} {
 		for i, at := range marks {
@@ -150,7 +150,7 @@
 			without[name] = true
 		}
 		floors := int64(len(l.host.names)) // they stay set aside
-		if at, ok := audit.HeldSince(all, "demand", without, int64(whole)-floors, l.at, l.at+30_000_000); ok {
+		if at, ok := checker.HeldSince(all, "demand", without, int64(whole)-floors, l.at, l.at+30_000_000); ok {
 			m.Lost = append(m.Lost, float64(at-l.at)/1e6)
 		} else {
 			m.Lost = append(m.Lost, -1)
--- a/trial/ground/report.go
+++ b/internal/faultinjection/harness/report.go
@@ -1,4 +1,4 @@
-package ground
+package harness
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"slices"
 	"strings"
 
-	"milletbarrow/trial/timetable"
+	"milletbarrow/internal/faultinjection/schedule"
 )
 
 // Append adds a verdict to a file, as a line.
@@ -122,8 +122,8 @@
 }
 
 // Shrink takes faults out of a timetable that does not hold, as long as what is left does not.
-func Shrink(ctx context.Context, t *timetable.Table, tries int, options func(*timetable.Table) (Options, error)) (*timetable.Table, error) {
-	fails := func(t *timetable.Table) (bool, error) {
+func Shrink(ctx context.Context, t *schedule.Table, tries int, options func(*schedule.Table) (Options, error)) (*schedule.Table, error) {
+	fails := func(t *schedule.Table) (bool, error) {
 		for range tries {
 			o, err := options(t)
 			if err != nil {
@@ -140,7 +140,7 @@
 		return t, errors.Join(err, fmt.Errorf("%s holds in %d tries: there is nothing to make smaller", t.Name, tries))
 	}
 	for {
-		smaller := (*timetable.Table)(nil)
+		smaller := (*schedule.Table)(nil)
 		for _, less := range t.Smaller() {
 			if ctx.Err() != nil {
 				return t, nil
--- a/trial/link/link.go
+++ b/internal/faultinjection/proxy/link.go
@@ -1,7 +1,7 @@
-// Package link is what lies between two processes in a trial: a way for bytes that can be cut in one direction or both,
+// Package proxy is what lies between two processes in a trial: a way for bytes that can be cut in one direction or both,
 // delayed, stalled, slowed, reset in the middle of a message, and made to bring a call twice. It owns the connections it
 // carries and knows nothing of what they say, but for where a call begins.
-package link
+package proxy
 
 import (
 	"bytes"
--- a/trial/link/mesh.go
+++ b/internal/faultinjection/proxy/mesh.go
@@ -1,4 +1,4 @@
-package link
+package proxy
 
 // Mesh is a link from each of some hosts to each other, by name.
 type Mesh struct {
--- a/trial/register/register.go
+++ b/internal/faultinjection/registry/register.go
@@ -1,7 +1,7 @@
-// Package register is a stand-in for the platform's register of backends that can be down, slow, refusing, silent, or fall
+// Package registry is a stand-in for the platform's register of backends that can be down, slow, refusing, silent, or fall
 // over when too much comes at once. It writes down every call. It owns its listener; it decides nothing but what its
 // phases say.
-package register
+package registry
 
 import (
 	"fmt"
@@ -14,17 +14,17 @@
 	"sync"
 	"time"
 
-	"milletbarrow/trial/cold"
+	"milletbarrow/internal/faultinjection/coldstart"
 )
 
 // Register is a running one.
 type Register struct {
 	Address string
-	terms   cold.Register
+	terms   coldstart.Register
 
 	mu     sync.Mutex
 	began  time.Time // of the phases; zero: it takes all at once
-	calls  []cold.Call
+	calls  []coldstart.Call
 	within int // calls that are open
 	conns  int
 	most   int // connections that were open at once
@@ -40,7 +40,7 @@
 const mostCalls = 1_000_000
 
 // Start makes one listen at this address.
-func Start(address string, t cold.Register) (*Register, error) {
+func Start(address string, t coldstart.Register) (*Register, error) {
 	r := &Register{Address: address, terms: t, over: make(chan struct{}), draw: rand.New(rand.NewPCG(1, 2))}
 	if err := r.open(); err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 	began := r.began
 	r.mu.Unlock()
 	for _, p := range r.terms.Phases {
-		if p.Mode != cold.Down {
+		if p.Mode != coldstart.Down {
 			continue
 		}
 		time.AfterFunc(time.Until(began.Add(p.From)), func() { r.shut() })
@@ -124,9 +124,9 @@
 		began = now
 	}
 	p := r.terms.At(now.Sub(began))
-	c := cold.Call{Name: filepath.Base(q.URL.Path), At: now.Sub(began)}
-	refuses := p.Mode == cold.Refuses || p.Mode == cold.Half && r.draw.IntN(2) == 0
-	silent := p.Mode == cold.Silent
+	c := coldstart.Call{Name: filepath.Base(q.URL.Path), At: now.Sub(began)}
+	refuses := p.Mode == coldstart.Refuses || p.Mode == coldstart.Half && r.draw.IntN(2) == 0
+	silent := p.Mode == coldstart.Silent
 	broken := now.Before(r.fallen)
 	if r.within++; r.terms.Crowd > 0 && r.within > r.terms.Crowd && !broken {
 		r.falls++
@@ -168,7 +168,7 @@
 }
 
 // Heard is what came since Begin: calls by their time, the most connections at once, and how often it fell over.
-func (r *Register) Heard() (calls []cold.Call, conns, falls int) {
+func (r *Register) Heard() (calls []coldstart.Call, conns, falls int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append(calls, r.calls...), r.most, r.falls
--- a/trial/timetable/cold.go
+++ b/internal/faultinjection/schedule/cold.go
@@ -1,30 +1,30 @@
-package timetable
+package schedule
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"milletbarrow/sexp"
-	"milletbarrow/trial/cold"
+	"milletbarrow/internal/faultinjection/coldstart"
+	"milletbarrow/internal/sexpr"
 )
 
 // Cold is the beginning of a trial in which all backends are started at once.
 type Cold struct {
-	cold.Register
-	cold.Bounds
+	coldstart.Register
+	coldstart.Bounds
 	Fixed bool // backends report without chance or growing pauses, as a baseline
 	Rise  int  // so many may start at once over all hosts, by a rise; 0: all are asked for at once
 }
 
-func readCold(f *sexp.Form) *Cold {
-	c := &Cold{Register: cold.Register{Crowd: f.Int("crowd", 0, 100_000, 0), Needs: f.Span("needs", 0, longest, 5*time.Second)}}
+func readCold(f *sexpr.Form) *Cold {
+	c := &Cold{Register: coldstart.Register{Crowd: f.Int("crowd", 0, 100_000, 0), Needs: f.Span("needs", 0, longest, 5*time.Second)}}
 	c.Rise = f.Int("rise", 0, 100_000, 0)
 	c.Fixed = f.OneOf("reports", "paced", "fixed") == "fixed"
 	last := time.Duration(-1)
 	for _, sub := range f.All("phase") {
-		p := cold.Phase{From: sub.Span("from", 0, longest, 0), Takes: sub.Span("takes", 0, time.Minute, 0), Advice: sub.Span("advice", 0, longest, 0)}
-		p.Mode = cold.Mode(sub.OneOf("is", cold.Modes()...))
+		p := coldstart.Phase{From: sub.Span("from", 0, longest, 0), Takes: sub.Span("takes", 0, time.Minute, 0), Advice: sub.Span("advice", 0, longest, 0)}
+		p.Mode = coldstart.Mode(sub.OneOf("is", coldstart.Modes()...))
 		if p.From <= last {
 			sub.Fail("from", "%v is not after the phase before", p.From)
 		}
@@ -33,7 +33,7 @@
 		c.Phases = append(c.Phases, p)
 	}
 	if sub := f.Field("bounds"); sub != nil {
-		c.Bounds = cold.Bounds{
+		c.Bounds = coldstart.Bounds{
 			Refusing: sub.Share("refusing", 0, 100, 0), First: sub.Share("first", 0, 100, 0), Peak: sub.Share("peak", 0, 100, 0),
 			Conns: sub.Int("connections", 0, 1000, 0), Most: sub.Span("listed", 0, longest, 0).Seconds(),
 		}
--- a/trial/timetable/timetable.go
+++ b/internal/faultinjection/schedule/timetable.go
@@ -1,6 +1,6 @@
-// Package timetable says which faults happen when in a trial: read from a file, drawn from a seed, written, and made
+// Package schedule says which faults happen when in a trial: read from a file, drawn from a seed, written, and made
 // smaller. It does no I/O and holds no clock.
-package timetable
+package schedule
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"milletbarrow/sexp"
+	"milletbarrow/internal/sexpr"
 )
 
 // Kind of a fault.
@@ -118,14 +118,14 @@
 
 // Read reads a table's file. The error joins all that is wrong, each with its place.
 func Read(file string, src []byte) (*Table, error) {
-	nodes, err := sexp.Parse(file, src)
+	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
 		return nil, err
 	}
-	errs := &sexp.Errors{File: file}
-	forms := sexp.Forms(nodes, errs)
+	errs := &sexpr.Errors{File: file}
+	forms := sexpr.Forms(nodes, errs)
 	if len(forms) != 1 || forms[0].Name != "trial" {
-		errs.Add(sexp.Place{Line: 1, Column: 1}, "", "wanted one list that begins with trial")
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted one list that begins with trial")
 		return nil, errs.Err()
 	}
 	f := forms[0]
--- a/trial/timetable/timetable_test.go
+++ b/internal/faultinjection/schedule/timetable_test.go
@@ -1,4 +1,4 @@
-package timetable
+package schedule
 
 import (
 	"reflect"
--- a/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -5,16 +5,16 @@
 	"strconv"
 	"time"
 
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/quorum"
-	"milletbarrow/manage/rise"
-	"milletbarrow/serve/share"
-	"milletbarrow/sexp"
+	backendquota "milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/internal/cluster/quorum"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/sexpr"
 )
 
 // readBudgets reads what the fleet shares, and which agents keep the ledger of it.
-func (s *Spec) readBudgets(f *sexp.Form) {
-	s.Budgets = &budget.Terms{Version: uint64(f.Int("version", 1, 1<<40, 1))}
+func (s *Spec) readBudgets(f *sexpr.Form) {
+	s.Budgets = &quota.Terms{Version: uint64(f.Int("version", 1, 1<<40, 1))}
 	s.Ledger = f.Words("ledger")
 	if len(s.Ledger) == 0 && len(s.Hosts) == 1 {
 		s.Ledger = []string{s.Hosts[0].Name}
@@ -40,24 +40,24 @@
 	for _, b := range f.All("budget") {
 		s.readBudget(b)
 	}
-	if n := len(s.Budgets.Budgets); n == 0 || n > share.MostBudgets {
-		f.Fail("", "%d budgets, there can be 1 to %d", n, share.MostBudgets)
+	if n := len(s.Budgets.Budgets); n == 0 || n > backendquota.MostBudgets {
+		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MostBudgets)
 	}
 	f.Done()
 }
 
-func (s *Spec) readBudget(f *sexp.Form) {
-	b := budget.Budget{Name: name(f)}
+func (s *Spec) readBudget(f *sexpr.Form) {
+	b := quota.Budget{Name: name(f)}
 	if s.Budgets.Find(b.Name) != nil {
 		f.Fail("", "budget %q stands twice", b.Name)
 	}
-	rate, count := f.Int("rate", 0, share.Most, 0), f.Int("count", 0, share.Most, 0)
+	rate, count := f.Int("rate", 0, backendquota.Most, 0), f.Int("count", 0, backendquota.Most, 0)
 	switch {
 	case rate > 0 && count == 0:
-		b.Kind, b.Whole = budget.Rate, int64(rate)
+		b.Kind, b.Whole = quota.Rate, int64(rate)
 		s.readRate(f, &b)
 	case count > 0 && rate == 0:
-		b.Kind, b.Whole = budget.Count, int64(count)
+		b.Kind, b.Whole = quota.Count, int64(count)
 		if f.OneOf("alone", "no", "yes") == "yes" {
 			b.Aside = int64(len(s.Hosts))
 		}
@@ -73,17 +73,17 @@
 	s.Budgets.Budgets = append(s.Budgets.Budgets, b)
 }
 
-func (s *Spec) readRate(f *sexp.Form, b *budget.Budget) {
+func (s *Spec) readRate(f *sexpr.Form, b *quota.Budget) {
 	b.Tenant = f.Text("tenant", "")
-	b.Divide = budget.Divide(f.OneOf("divide", string(budget.Demand), string(budget.Even), string(budget.Capacity)))
-	b.Step = int64(f.Int("step", 1, share.Most, 1))
-	b.Lease = budget.Micros(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second).Microseconds())
-	margin := max(b.Lease/20, budget.LeastMargin(b.Lease))
-	b.Margin = budget.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
+	b.Divide = quota.Divide(f.OneOf("divide", string(quota.Demand), string(quota.Even), string(quota.Capacity)))
+	b.Step = int64(f.Int("step", 1, backendquota.Most, 1))
+	b.Lease = quota.Micros(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second).Microseconds())
+	margin := max(b.Lease/20, quota.LeastMargin(b.Lease))
+	b.Margin = quota.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
 	if b.Tenant == "" {
 		f.Fail("tenant", "missing: whose work draws from it")
 	}
-	floor := int64(f.Int("floor", 0, share.Most, 0))
+	floor := int64(f.Int("floor", 0, backendquota.Most, 0))
 	groups := f.Words("groups")
 	b.Floors, b.Weight = map[string]int64{}, map[string]int64{}
 	for _, g := range groups {
@@ -104,8 +104,8 @@
 		for name := range b.Floors {
 			for _, one := range sub.All(name) {
 				word := one.Arg()
-				if n, err := strconv.ParseInt(word, 10, 64); err != nil || n < least || n > share.Most {
-					one.Fail("", "found %q, wanted a whole number from %d to %d", word, least, int64(share.Most))
+				if n, err := strconv.ParseInt(word, 10, 64); err != nil || n < least || n > backendquota.Most {
+					one.Fail("", "found %q, wanted a whole number from %d to %d", word, least, int64(backendquota.Most))
 				} else {
 					to[name] = n
 				}
@@ -119,9 +119,9 @@
 }
 
 // readRise reads how a whole fleet comes up.
-func (s *Spec) readRise(f *sexp.Form) {
+func (s *Spec) readRise(f *sexpr.Form) {
 	s.RiseBudget = f.Text("budget", "")
-	t := &rise.Terms{
+	t := &coldstart.Terms{
 		Least: f.Share("least", 0, 1, 0.1), Failures: int64(f.Int("failures", 1, 100_000, 8)), Slow: f.Share("slow", 1, 1000, 3),
 		Refused: f.Share("refused", 0, 1, 0.1), First: int64(f.Int("first", 0, 100_000, 0)),
 	}
@@ -149,5 +149,5 @@
 		return false
 	}
 	b := s.Budgets.Find(name)
-	return b != nil && b.Kind == budget.Count
+	return b != nil && b.Kind == quota.Count
 }
--- a/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,12 +9,12 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/limit"
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 // told prints how a command stands.
-func told(tr *standin.Trace, w *world, id string) {
+func told(tr *fakes.Trace, w *world, id string) {
 	c := w.m.Command(id)
 	if c == nil {
 		tr.Say("  %s: not known", id)
@@ -33,7 +33,7 @@
 
 // TestStories: what commands do in each kind of trouble, one after the other.
 func TestStories(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	story := func(what string) *world {
 		tr.Say("%s", what)
 		return newWorld(t, spec(t, two))
@@ -206,14 +206,14 @@
 
 // TestSpecErrors: a fleet's file that can't be used says where, and all of it at once.
 func TestSpecErrors(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, text := range []string{
 		"(wave)", "(fleet f)", `(fleet f (host h (agent "unix:/a")) (host h (agent 10.0.0.1:80)))`,
 		`(fleet f (host h1 (agent "unix:/a")) (group g (config c) (instances a b)) (group g (host z) (config "%n") (instances a ../x)))`,
 		`(fleet f (host h1 (agent "127.0.0.1:70000")) (group g (config "%n") (range n 5 2) (settle 2h30) (colour red)))`,
 		`(fleet f (host h1 (agent "unix:/a")) (group g (config "%n") (instances a)) (wave (width 0) (least-share 2) (order up) (stall 0s)))`,
 	} {
-		_, err := ReadSpec("fleet.sx", []byte(text), limit.ForControl())
+		_, err := ReadSpec("fleet.sx", []byte(text), limits.ForControl())
 		tr.Say("%s\n%v", text, err)
 	}
 	s := spec(t, groupsOf(2, 2, 1, ""))
@@ -235,7 +235,7 @@
 
 // TestTour: what goes wrong on one host does not go on to the next, and the fleet's budget holds over all.
 func TestTour(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	tour := &Tour{Hosts: []string{"a", "b", "c"}, Terms: WaveTerms{LeastShare: 0.8, Stall: 10}, Abreast: 2}
 	fact := func(s State) HostFact { return HostFact{Reached: true, State: s, Ready: 10, Up: 10, Takes: 3} }
 	for _, f := range []map[string]HostFact{
@@ -436,7 +436,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{60, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			bounds := limit.ForControl()
+			bounds := limits.ForControl()
 			bounds.Names = n
 			s, err := ReadSpec("f", []byte(groupsOf(4, n/4, 0, "(width 8) (least-share 0.5)")), bounds)
 			if err != nil {
--- a/fleet/life.go
+++ b/internal/fleet/life.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strconv"
 
-	"milletbarrow/manage/rise"
+	"milletbarrow/internal/cluster/coldstart"
 )
 
 // Phase is where an instance is in its life, as far as it is seen.
@@ -139,7 +139,7 @@
 	Told  Micros `json:"told,omitempty"` // Tell: when it was first told; its window runs from there
 	Cause string `json:"cause,omitempty"`
 	Unit  Unit   // of a step about one
-	End   rise.End
+	End   coldstart.End
 }
 
 // Note is a line of history.
--- a/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"milletbarrow/limit"
+	"milletbarrow/internal/limits"
 )
 
 // Terms are the machine's own times and pauses.
@@ -21,7 +21,7 @@
 }
 
 // DefaultTerms are the terms of an agent.
-func DefaultTerms(b limit.Control, seed uint64) Terms {
+func DefaultTerms(b limits.Control, seed uint64) Terms {
 	return Terms{
 		Slack: micros(500_000_000), Commands: b.Commands, Open: b.Open, Seed: seed,
 		Again:    Backoff{micros(b.Again), micros(b.AgainMax)},
--- a/fleet/rise.go
+++ b/internal/fleet/rise.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"milletbarrow/manage/rise"
+	"milletbarrow/internal/cluster/coldstart"
 )
 
 // Bounds of a host's part in a rise.
@@ -53,10 +53,10 @@
 }
 
 // risen is how a start came out that held a unit.
-func (in *Instance) risen(now Micros) rise.End {
-	e := rise.End{Warm: in.usable(now), Cause: in.Cause}
+func (in *Instance) risen(now Micros) coldstart.End {
+	e := coldstart.End{Warm: in.usable(now), Cause: in.Cause}
 	if e.Warm && in.Unit.Began > 0 {
-		e.Took = rise.Micros(max(0, in.Steady-in.Unit.Began))
+		e.Took = coldstart.Micros(max(0, in.Steady-in.Unit.Began))
 	}
 	return e
 }
--- a/fleet/rise_test.go
+++ b/internal/fleet/rise_test.go
@@ -6,16 +6,16 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/rise"
+	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/internal/cluster/quota"
 )
 
 // site is some hosts' machines and one ledger, as it is in installations, that they can or can't reach.
 type site struct {
 	t      tester
 	spec   *Spec
-	ledger *budget.Ledger
-	clerk  budget.Clerk
+	ledger *quota.Ledger
+	clerk  quota.Clerk
 	hosts  []*world
 	cut    map[*world]bool
 	later  map[*world][]Event // what the ledger answered
@@ -37,8 +37,8 @@
 		names = " h1"
 	}
 	text += fmt.Sprintf(" (budgets (ledger%s) (budget starts (count %d) (alone yes))) (rise (budget starts) (failures 100)))", names, whole)
-	s := &site{t: t, spec: spec(t, text), ledger: budget.NewLedger(), cut: map[*world]bool{}, later: map[*world][]Event{}, begun: map[string]bool{}}
-	s.ledger.Apply(budget.Command{Terms: s.spec.Budgets})
+	s := &site{t: t, spec: spec(t, text), ledger: quota.NewLedger(), cut: map[*world]bool{}, later: map[*world][]Event{}, begun: map[string]bool{}}
+	s.ledger.Apply(quota.Command{Terms: s.spec.Budgets})
 	for h := range hosts {
 		w := newWorldAt(t, s.spec, fmt.Sprint("h", h+1))
 		w.lose = func(step Step) bool { return s.unit(w, step) }
@@ -49,17 +49,17 @@
 
 // unit takes a step about units to the ledger, as an agent would.
 func (s *site) unit(w *world, step Step) bool {
-	turn := &budget.Take{Budget: step.Unit.Budget, Name: step.Name, Host: w.host, Turn: step.ID}
+	turn := &quota.Take{Budget: step.Unit.Budget, Name: step.Name, Host: w.host, Turn: step.ID}
 	switch {
 	case step.What != TakeUnit && step.What != GiveUnit:
 		return false
 	case s.cut[w]:
 	case step.What == GiveUnit:
 		turn.End = &step.End
-		s.ledger.Apply(budget.Command{Give: turn})
+		s.ledger.Apply(quota.Command{Give: turn})
 		s.later[w] = append(s.later[w], UnitGiven{step.Name, step.ID})
 	default:
-		r := s.ledger.Apply(budget.Command{Take: turn})
+		r := s.ledger.Apply(quota.Command{Take: turn})
 		s.later[w] = append(s.later[w], UnitTaken{HeldUnit{step.Name, step.Unit.Budget, step.ID}, r.No == "", r.No})
 	}
 	return true
@@ -75,8 +75,8 @@
 			}
 			s.later[w] = nil
 		}
-		if over := s.clerk.Rested(budget.Micros(s.hosts[0].now), s.ledger); len(over) > 0 {
-			s.ledger.Apply(budget.Command{Rested: over})
+		if over := s.clerk.Rested(quota.Micros(s.hosts[0].now), s.ledger); len(over) > 0 {
+			s.ledger.Apply(quota.Command{Rested: over})
 		}
 		starting := 0
 		for _, w := range s.hosts {
@@ -91,11 +91,11 @@
 }
 
 func (s *site) rise(id string) {
-	var members []rise.Member
+	var members []coldstart.Member
 	for _, in := range s.spec.Of("") {
-		members = append(members, rise.Member{Name: in.Name, Group: in.Group, Host: in.Host})
+		members = append(members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
 	}
-	s.ledger.Apply(budget.Command{Rise: &budget.Rise{Budget: "starts", ID: id, Terms: s.spec.Rise, Members: members, By: "test"}})
+	s.ledger.Apply(quota.Command{Rise: &quota.Rise{Budget: "starts", ID: id, Terms: s.spec.Rise, Members: members, By: "test"}})
 	for _, w := range s.hosts {
 		for _, n := range w.m.Names() {
 			s.begun[n] = s.begun[n] || !w.lives[n].alive
@@ -230,7 +230,7 @@
 			l.neverReady = false
 		}
 	}
-	s.ledger.Apply(budget.Command{Rise: &budget.Rise{Budget: "starts", ID: "r", Verb: "go-on", By: "test"}})
+	s.ledger.Apply(quota.Command{Rise: &quota.Rise{Budget: "starts", ID: "r", Verb: "go-on", By: "test"}})
 	s.pass(120 * second)
 	if n := s.up(); n < 20 {
 		t.Errorf("%d are up after the cause was mended: %+v", n, s.ledger.Risings())
--- a/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -15,10 +15,10 @@
 	"strings"
 	"time"
 
-	"milletbarrow/limit"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/rise"
-	"milletbarrow/sexp"
+	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/sexpr"
 )
 
 // Micros is a point on the machine's own clock, or a span, in whole microseconds. Setting the wall clock does
@@ -33,12 +33,12 @@
 	Program    []string // starts an instance; serve and its flags are appended. Empty: this program
 	Hosts      []HostSpec
 	Groups     []GroupSpec
-	Wave       WaveTerms     // what a wave has if its command does not say
-	WaveBudget string        // the count of which each instance that a wave has out holds a unit; empty: none
-	Rise       *rise.Terms   // nil: none can be asked for
-	RiseBudget string        // the count of which each that starts in a rise holds a unit until it is warm
-	Budgets    *budget.Terms // nil: nothing is shared
-	Ledger     []string      // hosts whose agents keep it
+	Wave       WaveTerms        // what a wave has if its command does not say
+	WaveBudget string           // the count of which each instance that a wave has out holds a unit; empty: none
+	Rise       *coldstart.Terms // nil: none can be asked for
+	RiseBudget string           // the count of which each that starts in a rise holds a unit until it is warm
+	Budgets    *quota.Terms     // nil: nothing is shared
+	Ledger     []string         // hosts whose agents keep it
 	instances  map[string]*InstanceSpec
 }
 
@@ -157,15 +157,15 @@
 
 // ReadSpec reads a fleet's file; file is its name in errors and its directory that of relative configurations.
 // The error joins all that is wrong, each with its place.
-func ReadSpec(file string, src []byte, b limit.Control) (*Spec, error) {
-	nodes, err := sexp.Parse(file, src)
+func ReadSpec(file string, src []byte, b limits.Control) (*Spec, error) {
+	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
 		return nil, err
 	}
-	errs := &sexp.Errors{File: file}
-	forms := sexp.Forms(nodes, errs)
+	errs := &sexpr.Errors{File: file}
+	forms := sexpr.Forms(nodes, errs)
 	if len(forms) != 1 || forms[0].Name != "fleet" {
-		errs.Add(sexp.Place{Line: 1, Column: 1}, "", "wanted one list that begins with fleet")
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted one list that begins with fleet")
 		return nil, errs.Err()
 	}
 	f := forms[0]
@@ -215,7 +215,7 @@
 }
 
 // name is a form's only word, which stands in file names, paths and lines of words.
-func name(f *sexp.Form) string {
+func name(f *sexpr.Form) string {
 	word := f.Arg()
 	if err := CheckName(word); err != nil {
 		f.Fail("", "%v", err)
@@ -251,7 +251,7 @@
 	return nil
 }
 
-func (s *Spec) readGroup(f *sexp.Form, dir string) {
+func (s *Spec) readGroup(f *sexpr.Form, dir string) {
 	g := GroupSpec{
 		Name: name(f), Host: f.Text("host", ""), Labels: f.Words("labels"),
 		StartWithin: micros(f.Span("start-within", leastSpan, mostSpan, 30*time.Second)),
@@ -325,7 +325,7 @@
 	s.Groups = append(s.Groups, g)
 }
 
-func readWave(f *sexp.Form, w WaveTerms) WaveTerms {
+func readWave(f *sexpr.Form, w WaveTerms) WaveTerms {
 	const many = 10_000
 	span := func(name string, or Micros) Micros {
 		return micros(f.Span(name, 0, mostSpan, time.Duration(or)*time.Microsecond))
--- a/fleet/world_test.go
+++ b/internal/fleet/world_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"milletbarrow/limit"
+	"milletbarrow/internal/limits"
 )
 
 const second = Micros(1_000_000)
@@ -44,7 +44,7 @@
 }
 
 func spec(t tester, text string) *Spec {
-	s, err := ReadSpec("fleet.sx", []byte(text), limit.ForControl())
+	s, err := ReadSpec("fleet.sx", []byte(text), limits.ForControl())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 func window(*InstanceSpec) Window { return Window{2 * second, 3200_000} }
 
 func testTerms() Terms {
-	return DefaultTerms(limit.ForControl(), 7)
+	return DefaultTerms(limits.ForControl(), 7)
 }
 
 func newWorld(t tester, s *Spec) *world {
--- a/operate/operate.go
+++ b/internal/fleetclient/operate.go
@@ -1,6 +1,6 @@
-// Package operate does with many agents what one command line asks for: it sends commands, follows them, takes
+// Package fleetclient does with many agents what one command line asks for: it sends commands, follows them, takes
 // waves from host to host, and sums up who did what. It decides by fleet and speaks by control.
-package operate
+package fleetclient
 
 import (
 	"cmp"
@@ -13,19 +13,19 @@
 	"sync"
 	"time"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/limit"
-	"milletbarrow/proc"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 // Tool speaks to the agents of a fleet.
 type Tool struct {
 	Spec   *fleet.Spec
-	Caller *control.Caller
-	Bounds limit.Control
+	Caller *agentapi.Caller
+	Bounds limits.Control
 	By     string
-	Say    func(host string, l control.Line) // progress; may be nil. Called by one goroutine at a time
+	Say    func(host string, l agentapi.Line) // progress; may be nil. Called by one goroutine at a time
 
 	saying sync.Mutex
 }
@@ -113,16 +113,16 @@
 	return hosts, names
 }
 
-func (t *Tool) client(host string) *control.Client {
+func (t *Tool) client(host string) *agentapi.Client {
 	return t.Caller.Client(t.Spec.Host(host).Agent)
 }
 
 // Do sends a command to every host that has some of the instances and, if wait is set, follows it to its end
 // everywhere. ctx bounds it all.
-func (t *Tool) Do(ctx context.Context, o control.Order, all []*fleet.InstanceSpec, wait bool) *Report {
+func (t *Tool) Do(ctx context.Context, o agentapi.Order, all []*fleet.InstanceSpec, wait bool) *Report {
 	hosts, names := t.ByHost(all)
 	r := &Report{ID: o.ID, Kind: o.Kind}
-	r.Hosts, _ = control.Fan(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (HostReport, error) {
+	r.Hosts, _ = agentapi.Fan(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (HostReport, error) {
 		o := o
 		o.Names = names[host]
 		return t.one(ctx, host, o, wait), nil
@@ -132,7 +132,7 @@
 }
 
 // one sends a command to one host and follows it.
-func (t *Tool) one(ctx context.Context, host string, o control.Order, wait bool) HostReport {
+func (t *Tool) one(ctx context.Context, host string, o agentapi.Order, wait bool) HostReport {
 	c := t.client(host)
 	defer c.Close()
 	serial := uint64(0)
@@ -152,15 +152,15 @@
 
 func failed(host string, err error) HostReport {
 	h := HostReport{Host: host, Error: err.Error()}
-	_, refused := errors.AsType[*control.Refusal](err)
+	_, refused := errors.AsType[*agentapi.Refusal](err)
 	refused = refused || errors.Is(err, fleet.ErrUnknown)
 	h.Reached, h.Refused = refused, refused
 	return h
 }
 
 // follow stays with a command until it ends, or stops for want of a person, and notes how it stands.
-func (t *Tool) follow(ctx context.Context, c *control.Client, h *HostReport, id string, after uint64) {
-	err := c.Follow(ctx, id, after, func(l control.Line) bool {
+func (t *Tool) follow(ctx context.Context, c *agentapi.Client, h *HostReport, id string, after uint64) {
+	err := c.Follow(ctx, id, after, func(l agentapi.Line) bool {
 		t.say(h.Host, l)
 		if l.Command != nil {
 			h.Command = l.Command
@@ -180,7 +180,7 @@
 	}
 }
 
-func (t *Tool) say(host string, l control.Line) {
+func (t *Tool) say(host string, l agentapi.Line) {
 	if t.Say != nil {
 		t.saying.Lock()
 		defer t.saying.Unlock()
@@ -216,7 +216,7 @@
 	if err != nil {
 		return failed(host, err)
 	}
-	c.Follow(ctx, "", s.Serial, func(l control.Line) bool { t.say(host, l); return true })
+	c.Follow(ctx, "", s.Serial, func(l agentapi.Line) bool { t.say(host, l); return true })
 	return h
 }
 
@@ -232,7 +232,7 @@
 
 // Wave takes a wave over the hosts, as many abreast as it is told. Its command has the same id everywhere, so that
 // a tool that is started again with it goes on where the one before was.
-func (t *Tool) Wave(ctx context.Context, o control.Order, all []*fleet.InstanceSpec, abreast int) *Report {
+func (t *Tool) Wave(ctx context.Context, o agentapi.Order, all []*fleet.InstanceSpec, abreast int) *Report {
 	hosts, names := t.ByHost(all)
 	r := &Report{ID: o.ID, Kind: o.Kind}
 	if len(hosts) == 1 || o.Budget != "" { // by a budget the agents keep the order among themselves, with or without this tool
@@ -245,7 +245,7 @@
 	defer following.Wait()
 	for {
 		facts := map[string]fleet.HostFact{}
-		seen, _ := control.Fan(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (fleet.HostFact, error) {
+		seen, _ := agentapi.Fan(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (fleet.HostFact, error) {
 			f, cmd := t.fact(ctx, host, o, len(names[host]))
 			if cmd != nil {
 				mu.Lock()
@@ -257,7 +257,7 @@
 		for i, h := range hosts {
 			facts[h] = seen[i]
 		}
-		step := tour.Next(fleet.Micros(proc.Now()), facts)
+		step := tour.Next(fleet.Micros(process.Now()), facts)
 		for _, host := range step.Begin {
 			o := o
 			o.Names = names[host]
@@ -272,7 +272,7 @@
 			c := t.client(host)
 			following.Go(func() { // for its lines alone; how it stands is asked for above
 				defer c.Close()
-				c.Follow(ctx, o.ID, 0, func(l control.Line) bool {
+				c.Follow(ctx, o.ID, 0, func(l agentapi.Line) bool {
 					t.say(host, l)
 					return l.Entry == nil || l.Entry.Event != "pause"
 				})
@@ -303,7 +303,7 @@
 }
 
 // fact asks one host how it stands.
-func (t *Tool) fact(ctx context.Context, host string, o control.Order, names int) (f fleet.HostFact, cmd *fleet.Command) {
+func (t *Tool) fact(ctx context.Context, host string, o agentapi.Order, names int) (f fleet.HostFact, cmd *fleet.Command) {
 	c := t.client(host)
 	defer c.Close()
 	f.Takes = min(o.Terms.Width, names)
@@ -335,14 +335,14 @@
 
 // HostStatus is an agent's state, or why there is none.
 type HostStatus struct {
-	Host   string          `json:"host"`
-	Error  string          `json:"error,omitempty"`
-	Status *control.Status `json:"status,omitempty"`
+	Host   string           `json:"host"`
+	Error  string           `json:"error,omitempty"`
+	Status *agentapi.Status `json:"status,omitempty"`
 }
 
 // Status asks all hosts; one that gives no answer is in the list with its error.
 func (t *Tool) Status(ctx context.Context) []HostStatus {
-	all, _ := control.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostStatus, error) {
+	all, _ := agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostStatus, error) {
 		c := t.client(h.Name)
 		defer c.Close()
 		s, err := c.Status(ctx)
@@ -357,20 +357,20 @@
 // Entry is a line of history with its host.
 type Entry struct {
 	Host string `json:"host"`
-	control.Line
+	agentapi.Line
 }
 
 // History gathers the hosts' history in the order of their wall clocks, which may be askew between hosts. Hosts
 // that gave no answer are named: their lines are missing.
 func (t *Tool) History(ctx context.Context, most int, keep func(Entry) bool) (all []Entry, missing map[string]string) {
 	missing = map[string]string{}
-	parts, errs := control.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) ([]Entry, error) {
+	parts, errs := agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) ([]Entry, error) {
 		c := t.client(h.Name)
 		defer c.Close()
 		lines, err := c.History(ctx, 0, most)
 		var part []Entry
 		for _, e := range lines {
-			if entry := (Entry{h.Name, control.Line{Entry: &e, Serial: e.Serial}}); keep(entry) {
+			if entry := (Entry{h.Name, agentapi.Line{Entry: &e, Serial: e.Serial}}); keep(entry) {
 				part = append(part, entry)
 			}
 		}
--- a/operate/shared.go
+++ b/internal/fleetclient/shared.go
@@ -1,24 +1,24 @@
-package operate
+package fleetclient
 
 import (
 	"context"
 	"errors"
 	"fmt"
 
-	"milletbarrow/control"
-	"milletbarrow/fleet"
-	"milletbarrow/manage/budget"
-	"milletbarrow/manage/member"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/cluster/membership"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/fleet"
 )
 
 // any asks one agent after the other until one answers; they all hand on to the same leader.
-func (t *Tool) any(ctx context.Context, ask func(*control.Client) error) error {
+func (t *Tool) any(ctx context.Context, ask func(*agentapi.Client) error) error {
 	var errs []error
 	for _, h := range t.Spec.Hosts {
 		c := t.client(h.Name)
 		err := ask(c)
 		c.Close()
-		if r, no := errors.AsType[*control.Refusal](err); err == nil || no && r.Status/100 == 4 {
+		if r, no := errors.AsType[*agentapi.Refusal](err); err == nil || no && r.Status/100 == 4 {
 			return err
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", h.Name, err))
@@ -27,30 +27,30 @@
 }
 
 // Budgets asks how the fleet's budgets stand.
-func (t *Tool) Budgets(ctx context.Context) (b control.Budgets, err error) {
-	return b, t.any(ctx, func(c *control.Client) (err error) { b, err = c.Budgets(ctx); return err })
+func (t *Tool) Budgets(ctx context.Context) (b agentapi.Budgets, err error) {
+	return b, t.any(ctx, func(c *agentapi.Client) (err error) { b, err = c.Budgets(ctx); return err })
 }
 
 // WriteOff says that what a name has of budgets is in force no more.
 func (t *Tool) WriteOff(ctx context.Context, name string) error {
-	return t.any(ctx, func(c *control.Client) error { return c.WriteOff(ctx, name, t.By) })
+	return t.any(ctx, func(c *agentapi.Client) error { return c.WriteOff(ctx, name, t.By) })
 }
 
 // Rise begins a rise at the ledger, or says a word about one.
-func (t *Tool) Rise(ctx context.Context, r budget.Rise) error {
-	return t.any(ctx, func(c *control.Client) error { return c.Rise(ctx, r) })
+func (t *Tool) Rise(ctx context.Context, r quota.Rise) error {
+	return t.any(ctx, func(c *agentapi.Client) error { return c.Rise(ctx, r) })
 }
 
 // HostMembers is one agent's judgement of all, or why there is none.
 type HostMembers struct {
-	Host  string        `json:"host"`
-	Error string        `json:"error,omitempty"`
-	Seen  []member.Seen `json:"seen,omitempty"`
+	Host  string            `json:"host"`
+	Error string            `json:"error,omitempty"`
+	Seen  []membership.Seen `json:"seen,omitempty"`
 }
 
 // Members asks every agent whom it thinks to be there.
 func (t *Tool) Members(ctx context.Context) []HostMembers {
-	all, _ := control.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostMembers, error) {
+	all, _ := agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostMembers, error) {
 		c := t.client(h.Name)
 		defer c.Close()
 		seen, err := c.Members(ctx)
--- a/talk/talk.go
+++ b/internal/jsonhttp/talk.go
@@ -1,6 +1,6 @@
-// Package talk makes calls with JSON over HTTP to programs of this machine, for all that do so here. It holds no
+// Package jsonhttp makes calls with JSON over HTTP to programs of this machine, for all that do so here. It holds no
 // words of its own and makes no call twice.
-package talk
+package jsonhttp
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"net/http"
 	"strings"
 
-	"milletbarrow/limit"
+	"milletbarrow/internal/limits"
 )
 
 // Status is an answer that says no.
@@ -25,7 +25,7 @@
 
 // Client speaks to one address: unix:PATH, or a host and a port. It sets no time limit of its own: calls have
 // that of their context.
-func Client(address string, b limit.Control) *http.Client {
+func Client(address string, b limits.Control) *http.Client {
 	network, to := "tcp", address
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		network, to = "unix", path
--- a/limit/control.go
+++ b/internal/limits/control.go
@@ -1,4 +1,4 @@
-package limit
+package limits
 
 import (
 	"net"
--- a/limit/limit.go
+++ b/internal/limits/limit.go
@@ -1,6 +1,6 @@
-// Package limit holds every size, count and time that bounds the program. The figures follow from what the
+// Package limits holds every size, count and time that bounds the program. The figures follow from what the
 // machine and the protocol allow; they are worked out once, at the start, and handed down.
-package limit
+package limits
 
 import (
 	"math"
--- a/limit/limit_test.go
+++ b/internal/limits/limit_test.go
@@ -1,14 +1,14 @@
-package limit
+package limits
 
 import (
 	"testing"
 
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
 )
 
 // TestBounds: whatever the limits are, there is room for something, and what is bounded fits within them.
 func TestBounds(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
 		cores, memoryMB float64
 		sockets         int
--- a/load/attempts.go
+++ b/internal/loadgen/attempts.go
@@ -1,22 +1,22 @@
-// Package load sends a modelled day over sockets: open loop, to real backends on this machine, with the tries, pauses and
+// Package loadgen sends a modelled day over sockets: open loop, to real backends on this machine, with the tries, pauses and
 // heeding of the model's edge nodes, and keeps the same books. What a node does next is decided in this file, which
 // does no I/O and holds no clock; sender.go has the connections.
-package load
+package loadgen
 
 import (
 	"math"
 	"math/rand/v2"
 
-	"milletbarrow/admit"
-	"milletbarrow/model"
+	"milletbarrow/admission"
+	"milletbarrow/internal/simulation"
 )
 
 // Micros is a time of the day that is sent, in whole microseconds.
-type Micros = model.Micros
+type Micros = simulation.Micros
 
 // Ask is one invocation as its caller sees it, from its time in the day to its one end.
 type Ask struct {
-	model.Arrival
+	simulation.Arrival
 	Number int
 	Due    Micros
 	Tries  int
@@ -51,30 +51,30 @@
 // Heed takes in what a backend said, or that it could not be reached: it is left alone for as long. A deaf node heeds no advice.
 func (b *Backends) Heed(now Micros, backend int, h Heard, deaf bool) {
 	switch h.Outcome {
-	case model.Throttled:
+	case simulation.Throttled:
 		if !deaf {
 			b.Avoid[backend] = max(b.Avoid[backend], now+h.RetryIn)
 		}
-	case model.Unreachable, model.Reset:
+	case simulation.Unreachable, simulation.Reset:
 		b.Avoid[backend] = now + gone
 	}
 }
 
 // gone is how long a backend that could not be reached is left alone.
-const gone = model.Second / 4
+const gone = simulation.Second / 4
 
 // Heard is what came of a try.
 type Heard struct {
-	Outcome model.Outcome
+	Outcome simulation.Outcome
 	RetryIn Micros
 	Dont    bool
 }
 
 // Next is what follows a try that was no success: the pause before another, or the end of the ask. deaf: the node heeds nothing.
-func Next(s *model.Scenario, now Micros, a *Ask, h Heard, deaf bool, chance *rand.Rand) (pause Micros, again bool) {
+func Next(s *simulation.Scenario, now Micros, a *Ask, h Heard, deaf bool, chance *rand.Rand) (pause Micros, again bool) {
 	op := &s.Operations[a.Operation]
-	ran := h.Outcome != model.Throttled && h.Outcome != model.Unreachable
-	if ran && op.Repeat == admit.NonIdempotent || h.Dont && !deaf || s.Nodes.Tries > 0 && a.Tries >= s.Nodes.Tries {
+	ran := h.Outcome != simulation.Throttled && h.Outcome != simulation.Unreachable
+	if ran && op.Repeat == admission.NonIdempotent || h.Dont && !deaf || s.Nodes.Tries > 0 && a.Tries >= s.Nodes.Tries {
 		return 0, false
 	}
 	wait := float64(s.Nodes.Pause)
@@ -86,7 +86,7 @@
 }
 
 // Worth is what an answer that took so long is billed.
-func Worth(op *model.Operation, took Micros) float64 {
+func Worth(op *simulation.Operation, took Micros) float64 {
 	if took > op.Objective {
 		return op.Value * op.LateValue
 	}
--- a/load/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -10,38 +10,38 @@
 	"testing"
 	"time"
 
-	"milletbarrow/admit"
-	"milletbarrow/frame"
-	"milletbarrow/limit"
-	"milletbarrow/model"
-	"milletbarrow/standin"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/frame"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/simulation"
 )
 
-func day(span model.Micros) *model.Scenario {
-	s := model.Default()
+func day(span simulation.Micros) *simulation.Scenario {
+	s := simulation.Default()
 	s.For, s.Hosts.Count, s.Nodes.Count, s.Load.At = span, 1, 2, 0.5
 	return &s
 }
 
 // TestNext: what follows each kind of end, for nodes that heed and such that do not.
 func TestNext(t *testing.T) {
-	tr := standin.NewTrace(t)
-	s := day(model.Second)
+	tr := fakes.NewTrace(t)
+	s := day(simulation.Second)
 	for _, op := range []int{0, 2} {
-		for _, out := range []model.Outcome{model.Throttled, model.Errored, model.Unreachable, model.Reset} {
+		for _, out := range []simulation.Outcome{simulation.Throttled, simulation.Errored, simulation.Unreachable, simulation.Reset} {
 			for _, tries := range []int{1, 3} {
 				for _, h := range []Heard{{Outcome: out}, {Outcome: out, Dont: true}} {
 					for _, deaf := range []bool{false, true} {
-						a := &Ask{Arrival: model.Arrival{Operation: op}, Due: model.Second, Tries: tries}
+						a := &Ask{Arrival: simulation.Arrival{Operation: op}, Due: simulation.Second, Tries: tries}
 						pause, again := Next(s, 0, a, h, deaf, rand.New(rand.NewPCG(1, 1)))
-						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, model.Outcomes()[out], tries, h.Dont, deaf, again, pause)
+						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, simulation.Outcomes()[out], tries, h.Dont, deaf, again, pause)
 					}
 				}
 			}
 		}
 	}
 	a := &Ask{Due: 1500, Tries: 1}
-	if _, again := Next(s, 1000, a, Heard{Outcome: model.Throttled}, false, rand.New(rand.NewPCG(1, 1))); again {
+	if _, again := Next(s, 1000, a, Heard{Outcome: simulation.Throttled}, false, rand.New(rand.NewPCG(1, 1))); again {
 		t.Error("a try that comes after the caller's time")
 	}
 }
@@ -71,11 +71,11 @@
 // TestHeed: advice lengthens what stands, deaf nodes pass it over, and one that is gone is left alone by all.
 func TestHeed(t *testing.T) {
 	b := Backends{Avoid: make([]Micros, 4)}
-	b.Heed(100, 0, Heard{Outcome: model.Throttled, RetryIn: 50}, false)
-	b.Heed(100, 0, Heard{Outcome: model.Throttled, RetryIn: 20}, false)
-	b.Heed(100, 1, Heard{Outcome: model.Throttled, RetryIn: 50}, true)
-	b.Heed(100, 2, Heard{Outcome: model.Reset}, true)
-	b.Heed(100, 3, Heard{Outcome: model.Errored}, false)
+	b.Heed(100, 0, Heard{Outcome: simulation.Throttled, RetryIn: 50}, false)
+	b.Heed(100, 0, Heard{Outcome: simulation.Throttled, RetryIn: 20}, false)
+	b.Heed(100, 1, Heard{Outcome: simulation.Throttled, RetryIn: 50}, true)
+	b.Heed(100, 2, Heard{Outcome: simulation.Reset}, true)
+	b.Heed(100, 3, Heard{Outcome: simulation.Errored}, false)
 	if text := fmt.Sprint(b.Avoid); text != "[150 0 250100 0]" {
 		t.Error(text)
 	}
@@ -160,7 +160,7 @@
 		}},
 		{"never", func(int, string, uint32) []byte { return []byte{} }, func(r *Report) string {
 			for _, p := range r.Operations {
-				if p.Ends[model.Lost] != p.Asks {
+				if p.Ends[simulation.Lost] != p.Asks {
 					return "lost"
 				}
 			}
@@ -172,18 +172,18 @@
 			}
 			return good(id, stream)
 		}, func(r *Report) string {
-			if r.Operations[2].Ends[model.Reset] == 0 || r.Attempts <= r.Asks {
+			if r.Operations[2].Ends[simulation.Reset] == 0 || r.Attempts <= r.Asks {
 				return "resets: a non-idempotent invocation is not tried again, others are"
 			}
 			return ""
 		}},
 	} {
-		s := day(model.Second)
+		s := day(simulation.Second)
 		s.Load.At = 2
 		for i := range s.Operations {
-			s.Operations[i].Timeout, s.Operations[i].Objective = model.Second, model.Second/2
+			s.Operations[i].Timeout, s.Operations[i].Objective = simulation.Second, simulation.Second/2
 		}
-		r, err := Run(context.Background(), Options{Scenario: s, Seed: 1, Backends: []string{backend(t, c.answer)}, Bounds: limit.ForLoad()})
+		r, err := Run(context.Background(), Options{Scenario: s, Seed: 1, Backends: []string{backend(t, c.answer)}, Bounds: limits.ForLoad()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -208,10 +208,10 @@
 		}
 		return good(id, stream)
 	})
-	s := day(model.Second / 2)
+	s := day(simulation.Second / 2)
 	s.Operations = s.Operations[:1]
-	s.Operations[0].Repeat = admit.NonIdempotent
-	r, err := Run(context.Background(), Options{Scenario: s, Seed: 1, Backends: []string{address}, Bounds: limit.ForLoad()})
+	s.Operations[0].Repeat = admission.NonIdempotent
+	r, err := Run(context.Background(), Options{Scenario: s, Seed: 1, Backends: []string{address}, Bounds: limits.ForLoad()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 // TestElsewhere: load goes to this machine alone.
 func TestElsewhere(t *testing.T) {
 	for _, to := range []string{"10.0.0.1:80", "example.org:80", "127.0.0.1", ""} {
-		if _, err := Run(context.Background(), Options{Scenario: day(model.Second), Backends: []string{to}}); err == nil || !strings.Contains(err.Error(), "loopback") {
+		if _, err := Run(context.Background(), Options{Scenario: day(simulation.Second), Backends: []string{to}}); err == nil || !strings.Contains(err.Error(), "loopback") {
 			t.Errorf("%q: %v", to, err)
 		}
 	}
--- a/load/sender.go
+++ b/internal/loadgen/sender.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bytes"
@@ -11,18 +11,18 @@
 	"sync"
 	"time"
 
-	"milletbarrow/admit"
-	"milletbarrow/frame"
-	"milletbarrow/limit"
-	"milletbarrow/model"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/frame"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/simulation"
 )
 
 // Options of one load.
 type Options struct {
-	Scenario *model.Scenario
+	Scenario *simulation.Scenario
 	Seed     uint64
 	Backends []string // addresses on this machine
-	Bounds   limit.Load
+	Bounds   limits.Load
 	Told     func(Snapshot) // every second; may be nil
 }
 
@@ -32,7 +32,7 @@
 	Asks      int
 	Open      int
 	Value     float64 // billed by offered, so far
-	Last      model.Moment
+	Last      simulation.Moment
 	Links     int
 	Behind    time.Duration // the sender itself is so late
 	PerSecond float64
@@ -40,7 +40,7 @@
 
 // Report is what a load brought.
 type Report struct {
-	*model.Result
+	*simulation.Result
 	Doubles int           `json:"doubles"` // answers to what was answered before
 	Strange int           `json:"strange"` // succeeded with what no run of it made
 	Unsent  int           `json:"unsent"`  // asks beyond the bound of what may be open
@@ -49,7 +49,7 @@
 
 type sender struct {
 	o       Options
-	s       *model.Scenario
+	s       *simulation.Scenario
 	began   time.Time
 	mu      sync.Mutex
 	r       *Report
@@ -80,7 +80,7 @@
 		}
 	}
 	s := &sender{
-		o: o, s: o.Scenario, r: &Report{Result: model.NewResult(o.Scenario, "sockets", o.Seed)}, chance: rand.New(rand.NewPCG(o.Seed, 3)),
+		o: o, s: o.Scenario, r: &Report{Result: simulation.NewResult(o.Scenario, "sockets", o.Seed)}, chance: rand.New(rand.NewPCG(o.Seed, 3)),
 		links: map[[2]int]*link{}, over: make(chan struct{}), salt: uint64(time.Now().UnixNano()) << 24, began: time.Now(),
 	}
 	for n := range o.Scenario.Nodes.Count {
@@ -91,7 +91,7 @@
 	ticks := make(chan struct{})
 	go s.tell(ticks)
 	defer close(ticks)
-	stream := model.NewStream(s.s, o.Seed)
+	stream := simulation.NewStream(s.s, o.Seed)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for n := 1; ; n++ {
@@ -139,7 +139,7 @@
 	}
 }
 
-func (s *sender) begin(arrival model.Arrival, number int) {
+func (s *sender) begin(arrival simulation.Arrival, number int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -147,7 +147,7 @@
 	s.r.Offer(s.s, arrival.At, arrival.Operation, arrival.Tenant)
 	if s.open >= s.o.Bounds.Open {
 		s.r.Unsent++
-		s.r.End(s.s, now, arrival.Operation, arrival.Tenant, model.Local, 0, 0)
+		s.r.End(s.s, now, arrival.Operation, arrival.Tenant, simulation.Local, 0, 0)
 		return
 	}
 	s.open++
@@ -156,7 +156,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !a.Over {
-			s.end(a, model.Lost)
+			s.end(a, simulation.Lost)
 		}
 	})
 	s.try(a)
@@ -167,7 +167,7 @@
 	now := s.now()
 	b := s.nodes[a.Node].Choose(now, a)
 	if b < 0 {
-		s.failed(a, Heard{Outcome: model.Unreachable})
+		s.failed(a, Heard{Outcome: simulation.Unreachable})
 		return
 	}
 	retry := a.Tries > 0
@@ -198,10 +198,10 @@
 		return
 	}
 	now := s.now()
-	if h.Outcome == model.Succeeded {
+	if h.Outcome == simulation.Succeeded {
 		took := now - a.At
 		a.Over = true
-		s.r.End(s.s, now, a.Operation, a.Tenant, model.Succeeded, took, Worth(&s.s.Operations[a.Operation], took))
+		s.r.End(s.s, now, a.Operation, a.Tenant, simulation.Succeeded, took, Worth(&s.s.Operations[a.Operation], took))
 		s.open--
 		s.done()
 		return
@@ -225,7 +225,7 @@
 	})
 }
 
-func (s *sender) end(a *Ask, out model.Outcome) {
+func (s *sender) end(a *Ask, out simulation.Outcome) {
 	a.Over = true
 	s.r.End(s.s, s.now(), a.Operation, a.Tenant, out, s.now()-a.At, 0)
 	s.open--
@@ -289,7 +289,7 @@
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	l.s.mu.Lock()
 	if err != nil || l.over {
-		l.end(model.Unreachable)
+		l.end(simulation.Unreachable)
 		l.s.mu.Unlock()
 		if c != nil {
 			c.Close()
@@ -362,7 +362,7 @@
 			buffer = append(buffer, make([]byte, len(buffer))...)
 		}
 		if err != nil || l.noMore && l.idle() {
-			l.end(model.Reset)
+			l.end(simulation.Reset)
 			l.s.mu.Unlock()
 			return
 		}
@@ -401,15 +401,15 @@
 		}
 		delete(l.open, h.Stream)
 		x.a.Open--
-		heard := Heard{Outcome: model.Errored, RetryIn: admit.Micros(ans.After), Dont: ans.Last}
+		heard := Heard{Outcome: simulation.Errored, RetryIn: admission.Micros(ans.After), Dont: ans.Last}
 		switch ans.Code {
 		case frame.Succeeded:
-			heard.Outcome = model.Succeeded
+			heard.Outcome = simulation.Succeeded
 			if !bytes.Equal(ans.Body, []byte("result of "+x.id)) {
 				l.s.r.Strange++
 			}
 		case frame.Throttled:
-			heard.Outcome = model.Throttled
+			heard.Outcome = simulation.Throttled
 		}
 		l.s.heard(x.a, l.node, l.backend, heard)
 	}
@@ -417,7 +417,7 @@
 }
 
 // end is the end of the connection; what is open on it has had none. s.mu is held.
-func (l *link) end(out model.Outcome) {
+func (l *link) end(out simulation.Outcome) {
 	if l.over {
 		return
 	}
--- a/logline/logline.go
+++ b/internal/logging/logline.go
@@ -1,6 +1,6 @@
-// Package logline is the log of all programs: one line an event, key=value text or JSON, that never holds up who
+// Package logging is the log of all programs: one line an event, key=value text or JSON, that never holds up who
 // writes it. It owns the queue between those who log and whoever reads; it never decides what is worth a line.
-package logline
+package logging
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"milletbarrow/limit"
+	"milletbarrow/internal/limits"
 )
 
 // Format is how lines are written.
@@ -61,14 +61,14 @@
 // are dropped, counted, and told of by event=log_dropped once there is room. end writes what waits, for
 // limit.LogEnd at most; call it once, last, as later lines go nowhere.
 func Start(w io.Writer, f Format) (end func()) {
-	q := &queue{lines: make(chan []byte, limit.LogLines), over: make(chan struct{}), gone: make(chan struct{}), format: f}
+	q := &queue{lines: make(chan []byte, limits.LogLines), over: make(chan struct{}), gone: make(chan struct{}), format: f}
 	slog.SetDefault(slog.New(Handler(q, f)))
 	go q.carry(w)
 	return func() {
 		close(q.over)
 		select {
 		case <-q.gone:
-		case <-time.After(limit.LogEnd):
+		case <-time.After(limits.LogEnd):
 		}
 	}
 }
--- a/logline/logline_test.go
+++ b/internal/logging/logline_test.go
@@ -1,4 +1,4 @@
-package logline
+package logging
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"sync"
 	"testing"
 
-	"milletbarrow/limit"
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 // stuck is a pipe that nobody reads until it is let go.
@@ -32,7 +32,7 @@
 func TestNobodyReads(t *testing.T) {
 	s := &stuck{gate: make(chan struct{})}
 	end := Start(s, Text)
-	const written = 3 * limit.LogLines
+	const written = 3 * limits.LogLines
 	for i := range written {
 		slog.Info("one", "i", i) // returns, though nobody reads
 	}
@@ -47,14 +47,14 @@
 			lost += n
 		}
 	}
-	if came < limit.LogLines || lost == 0 || came+lost != written {
+	if came < limits.LogLines || lost == 0 || came+lost != written {
 		t.Fatalf("%d came, %d are told of as lost, %d were written", came, lost, written)
 	}
 }
 
 // TestFormats: the same event in both forms.
 func TestFormats(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, f := range []Format{Text, JSON} {
 		var b bytes.Buffer
 		slog.New(Handler(&b, f)).Warn("level", "level", "no-look", "text", "two words", "n", 3)
--- a/plots/lab.go
+++ b/internal/plot/lab.go
@@ -1,4 +1,4 @@
-package plots
+package plot
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"milletbarrow/lab"
-	"milletbarrow/model"
+	"milletbarrow/internal/experiment"
+	"milletbarrow/internal/simulation"
 )
 
 // write ends a plot in the format, svg or png.
@@ -52,7 +52,7 @@
 
 // Curves draws a figure over what is swept, a line a policy, with bars for the intervals. An axis is logarithmic
 // where what it spans is more than a factor of 20, or 50.
-func Curves(to io.Writer, title, over, measure string, curves []lab.Curve, format string) error {
+func Curves(to io.Writer, title, over, measure string, curves []experiment.Curve, format string) error {
 	p := blank(title, over, measure)
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, c := range curves {
@@ -110,7 +110,7 @@
 }
 
 // Times draws what part of the value offered in each second was billed, a line a result.
-func Times(to io.Writer, title string, names []string, results []*model.Result, format string) error {
+func Times(to io.Writer, title string, names []string, results []*simulation.Result, format string) error {
 	p := blank(title, "seconds", "billed by offered, over 2 s")
 	p.Y.Min, p.Y.Max = 0, 1.1
 	for n, r := range results {
@@ -135,7 +135,7 @@
 }
 
 // Latencies draws the latency at each percentile, a line a result and operation: how long is the wait of the unluckiest.
-func Latencies(to io.Writer, title string, names []string, parts []*model.Part, format string) error {
+func Latencies(to io.Writer, title string, names []string, parts []*simulation.Part, format string) error {
 	p := blank(title, "percentile (of 1 in so many slower ones)", "milliseconds")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -172,7 +172,7 @@
 }
 
 // Parts draws, for each operation or tenant, the part of its value that was billed: a group of bars a name, a bar a result.
-func Parts(to io.Writer, title string, names []string, results []*model.Result, tenants bool, format string) error {
+func Parts(to io.Writer, title string, names []string, results []*simulation.Result, tenants bool, format string) error {
 	p := blank(title, "", "billed by offered")
 	p.Y.Min, p.Y.Max = 0, 1.15
 	wide := vg.Points(max(3, 180/float64(max(1, len(results)*4))))
@@ -217,7 +217,7 @@
 func (h heat) Z(c, r int) float64 {
 	sum, n := 0.0, 0.0
 	for k := r * h.by; k < min((r+1)*h.by, len(h.rows[c])); k++ {
-		if v := h.rows[c][k]; v != model.Down {
+		if v := h.rows[c][k]; v != simulation.Down {
 			sum, n = sum+float64(v), n+1
 		}
 	}
@@ -231,7 +231,7 @@
 const mostRows = 200
 
 // Heat draws the cores' use of each host, second by second; a host without a process is left white.
-func Heat(to io.Writer, title string, r *model.Result, format string) error {
+func Heat(to io.Writer, title string, r *simulation.Result, format string) error {
 	if len(r.Heat) < 2 || len(r.Heat[0]) == 0 {
 		return fmt.Errorf("nothing to draw: no state of the hosts was kept (a fleet of %d is too large for it)", r.Hosts)
 	}
--- a/plots/levels.go
+++ b/internal/plot/levels.go
@@ -1,5 +1,5 @@
-// Package plots draws. It decides nothing, and writes to where it is told.
-package plots
+// Package plot draws. It decides nothing, and writes to where it is told.
+package plot
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"milletbarrow/levels"
+	"milletbarrow/internal/backend/degradation"
 )
 
 // mostPoints of one line; a longer trace is thinned evenly.
@@ -24,13 +24,13 @@
 
 // Levels draws a replay: the level as steps, and the smoothed signals that the ladder speaks of, over seconds.
 // Format is svg or png.
-func Levels(to io.Writer, l *levels.Ladder, points []levels.Point, format string) error {
+func Levels(to io.Writer, l *degradation.Ladder, points []degradation.Point, format string) error {
 	p := plot.New()
 	p.Title.Text = "ladder " + l.Name
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "level, signals"
 	p.Legend.Top = true
 	stride := max(1, len(points)/mostPoints)
-	seconds := func(at levels.Micros) float64 { return float64(at-points[0].At) / 1e6 }
+	seconds := func(at degradation.Micros) float64 { return float64(at-points[0].At) / 1e6 }
 	var level plotter.XYs
 	for i := 0; i < len(points); i += stride {
 		level = append(level, plotter.XY{X: seconds(points[i].At), Y: float64(points[i].Level)})
--- a/proc/proc.go
+++ b/internal/process/proc.go
@@ -1,7 +1,7 @@
-// Package proc says which process is meant, and signals no other: an identity is a pid with the time its
+// Package process says which process is meant, and signals no other: an identity is a pid with the time its
 // process started, so that a pid that was given away again is never signalled. It also has the clock that
 // processes of one machine share across their restarts. It decides nothing.
-package proc
+package process
 
 import (
 	"bytes"
--- a/proc/proc_test.go
+++ b/internal/process/proc_test.go
@@ -1,4 +1,4 @@
-package proc
+package process
 
 import (
 	"errors"
--- a/odd/odd.go
+++ b/internal/ratelimitlog/odd.go
@@ -1,5 +1,5 @@
-// Package odd logs what peers should not have sent, without letting them fill the log.
-package odd
+// Package ratelimitlog logs what peers should not have sent, without letting them fill the log.
+package ratelimitlog
 
 import (
 	"fmt"
--- a/odd/odd_test.go
+++ b/internal/ratelimitlog/odd_test.go
@@ -1,4 +1,4 @@
-package odd
+package ratelimitlog
 
 import (
 	"bytes"
@@ -8,16 +8,16 @@
 	"testing"
 	"time"
 
-	"milletbarrow/logline"
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/logging"
 )
 
 // TestNote: a peer that errs a thousand times gets one line, and the next line tells how often it was.
 func TestNote(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	var text bytes.Buffer
 	defer slog.SetDefault(slog.Default())
-	slog.SetDefault(slog.New(logline.Handler(&text, logline.Text)))
+	slog.SetDefault(slog.New(logging.Handler(&text, logging.Text)))
 	tally := New(time.Hour)
 	for range 1000 {
 		tally.Note("borders", errors.New("frame length 4"))
--- a/sexp/form.go
+++ b/internal/sexpr/form.go
@@ -1,4 +1,4 @@
-package sexp
+package sexpr
 
 import (
 	"math"
--- a/sexp/sexp.go
+++ b/internal/sexpr/sexp.go
@@ -1,4 +1,4 @@
-// Package sexp reads the files that people write: S-expressions with the place of every word, so that an error
+// Package sexpr reads the files that people write: S-expressions with the place of every word, so that an error
 // can say where, what was found and what was wanted. It does no I/O and knows no file's meaning.
 //
 //	; a comment runs to the end of its line
@@ -6,7 +6,7 @@
 //
 // A word is a run of characters other than space, brackets, quotes and semicolons. Text stands in double quotes,
 // where \" \\ \n and \t are escapes.
-package sexp
+package sexpr
 
 import (
 	"errors"
--- a/sexp/sexp_test.go
+++ b/internal/sexpr/sexp_test.go
@@ -1,4 +1,4 @@
-package sexp
+package sexpr
 
 import (
 	"errors"
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"milletbarrow/standin"
+	"milletbarrow/internal/fakes"
 )
 
 // TestErrors: each says where it is, what was found and what was wanted.
 func TestErrors(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, src := range []string{
 		"", "(a", "a)", `(a "b`, "(a \"b\n\")", `(a "\q")`, "(a \x01)", "(a \xff)", strings.Repeat("(", 40), "x", "()",
 		"(a (count x))", "(a (count 11))", "(a (count 1 2))", "(a (count))", "(a (span 2))", "(a (span 3h))", "(a (share 2))",
--- a/model/audit.go
+++ b/internal/simulation/audit.go
@@ -1,9 +1,9 @@
-package model
+package simulation
 
 import (
 	"fmt"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // Audit judges the four rules from what happened, never from what a policy says of itself.
@@ -85,14 +85,14 @@
 func (d *Audit) ran(w *world, h *host, t *attempt) {
 	a := &w.asks[t.ask]
 	op := &w.s.Operations[a.op]
-	if op.Repeat == admit.Idempotent {
+	if op.Repeat == admission.Idempotent {
 		return
 	}
 	if d.effects == nil {
 		d.effects = map[uint64]effect{}
 	}
 	was, had := d.effects[a.number]
-	if had && (op.Repeat == admit.NonIdempotent || was.host == h.number && was.life == h.life) {
+	if had && (op.Repeat == admission.NonIdempotent || was.host == h.number && was.life == h.life) {
 		d.broken(w, 2, h, t, "a second effect")
 	}
 	d.effects[a.number] = effect{h.number, h.life}
--- a/model/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -1,10 +1,10 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // sized is the operators' day at a size, 60 s long: nodes are two thirds of the hosts.
@@ -52,12 +52,12 @@
 // idler decides nothing: what is left is the model's own time.
 type idler struct{}
 
-func (idler) Decide(now admit.Micros, ev admit.Event, out []admit.Action) []admit.Action {
+func (idler) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	switch e := ev.(type) {
-	case admit.Opened, admit.Reading:
-		return append(out, admit.Wake{At: now + 20*Millisecond, Token: 1})
-	case admit.Arrived:
-		return append(out, admit.Start{ID: e.ID})
+	case admission.Opened, admission.Reading:
+		return append(out, admission.Wake{At: now + 20*Millisecond, Token: 1})
+	case admission.Arrived:
+		return append(out, admission.Start{ID: e.ID})
 	}
 	return out
 }
@@ -66,7 +66,7 @@
 func BenchmarkBare(b *testing.B) {
 	s := sized(330)
 	s.Load.At, s.Troubles = 0.5, nil
-	p := &Policy{Name: "idler", New: func(admit.Terms, uint64) Decider { return idler{} }}
+	p := &Policy{Name: "idler", New: func(admission.Terms, uint64) Decider { return idler{} }}
 	events := 0.0
 	for b.Loop() {
 		r, err := Play(&s, p, 1, nil)
--- a/model/rising/rising.go
+++ b/internal/simulation/coldstart/rising.go
@@ -1,7 +1,7 @@
-// Package rising plays how hundreds or thousands of backends come up together, with the code that decides it in
+// Package coldstart plays how hundreds or thousands of backends come up together, with the code that decides it in
 // installations (roster/pace for reports, manage/rise for starts, fleet's pauses between launches) unchanged: beside a
 // register, and a service below that each start has to call, both of which can be crowded and fall over. One seed, one course.
-package rising
+package coldstart
 
 import (
 	"container/heap"
@@ -9,10 +9,10 @@
 	"math/rand/v2"
 	"time"
 
-	"milletbarrow/fleet"
-	"milletbarrow/manage/rise"
-	"milletbarrow/roster/pace"
-	"milletbarrow/trial/cold"
+	"milletbarrow/internal/backend/registration/reportpacing"
+	"milletbarrow/internal/cluster/coldstart"
+	faultinjectioncoldstart "milletbarrow/internal/faultinjection/coldstart"
+	"milletbarrow/internal/fleet"
 )
 
 // Policy is how backends start and report.
@@ -27,10 +27,10 @@
 	Backends, Hosts int
 	Starts          time.Duration // a start on a host that has nothing else to do; so many more at once and each takes longer
 	Cores           int           // starts of a host that do not slow each other down
-	Register        cold.Register
+	Register        faultinjectioncoldstart.Register
 	Below           Below
 	For             time.Duration
-	Reports         pace.Terms
+	Reports         reportpacing.Terms
 	Relaunch        fleet.Backoff
 }
 
@@ -44,7 +44,7 @@
 
 // Course is what came of it.
 type Course struct {
-	cold.Figures
+	faultinjectioncoldstart.Figures
 	HalfWarm, MostWarm float64 // seconds until a half, and 95 in a hundred, are warm; -1: never
 	Warm               int     // at the end
 	BelowFell          int
@@ -90,7 +90,7 @@
 type backend struct {
 	name   string
 	host   int
-	pace   *pace.Pace
+	pace   *reportpacing.Pace
 	began  time.Duration
 	tries  int
 	starts bool
@@ -111,12 +111,12 @@
 	all      []backend
 	hosts    []int // starts under way, by host
 	starting int
-	rise     *rise.State
+	rise     *coldstart.State
 	place    map[string]int
 
 	within      int // calls at the register
 	fallenUntil time.Duration
-	calls       []cold.Call
+	calls       []faultinjectioncoldstart.Call
 	falls       int
 
 	below     int           // calls in hand
@@ -128,19 +128,19 @@
 // Run plays one course.
 func Run(t Terms, p Policy, seed uint64) (*Course, error) {
 	w := &play{t: t, p: p, draw: rand.New(rand.NewPCG(seed, 28)), hosts: make([]int, t.Hosts), place: map[string]int{}}
-	var members []rise.Member
+	var members []coldstart.Member
 	reports := t.Reports
 	reports.Fixed = p.Steady
 	for n := range t.Backends {
 		name := fmt.Sprintf("n%05d", n)
-		w.all = append(w.all, backend{name: name, host: n % t.Hosts, pace: pace.New(reports, w.draw.Uint64())})
+		w.all = append(w.all, backend{name: name, host: n % t.Hosts, pace: reportpacing.New(reports, w.draw.Uint64())})
 		w.place[name] = n
-		members = append(members, rise.Member{Name: name, Group: fmt.Sprint("g", n%3), Host: fmt.Sprint("h", n%t.Hosts)})
+		members = append(members, coldstart.Member{Name: name, Group: fmt.Sprint("g", n%3), Host: fmt.Sprint("h", n%t.Hosts)})
 	}
 	if p.AtOnce < 0 {
 		var err error
-		terms := rise.Terms{Most: int64(-p.AtOnce), First: min(2, int64(-p.AtOnce)), Least: 0.1, Failures: 8, Slow: 3, Refused: 0.1}
-		if w.rise, err = rise.Begin("r", terms, members); err != nil {
+		terms := coldstart.Terms{Most: int64(-p.AtOnce), First: min(2, int64(-p.AtOnce)), Least: 0.1, Failures: 8, Slow: 3, Refused: 0.1}
+		if w.rise, err = coldstart.Begin("r", terms, members); err != nil {
 			return nil, err
 		}
 	}
@@ -155,7 +155,7 @@
 		w.now = e.at
 		w.step(e)
 	}
-	w.c.Figures = cold.Of(w.calls, &t.Register, t.Backends, time.Duration(t.Reports.Usual)*time.Microsecond, t.For)
+	w.c.Figures = faultinjectioncoldstart.Of(w.calls, &t.Register, t.Backends, time.Duration(t.Reports.Usual)*time.Microsecond, t.For)
 	w.c.Falls, w.c.Warm = w.falls, len(w.warmTimes)
 	w.c.HalfWarm, w.c.MostWarm = w.nth(0.5), w.nth(0.95)
 	return &w.c, nil
@@ -174,7 +174,7 @@
 	heap.Push(&w.q, event{at: w.now + after, kind: kind, who: who, gen: gen, n: w.n})
 }
 
-func micros(d time.Duration) pace.Micros { return pace.Micros(d.Microseconds()) }
+func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 
 func (w *play) step(e event) {
 	b := &w.all[e.who]
@@ -265,7 +265,7 @@
 	w.hosts[b.host]--
 	if w.rise != nil {
 		no := w.rise.RestNo
-		w.rise.Ended(b.name, rise.End{Warm: well, Took: rise.Micros((w.now - b.began).Microseconds()), Cause: "the service below"})
+		w.rise.Ended(b.name, coldstart.End{Warm: well, Took: coldstart.Micros((w.now - b.began).Microseconds()), Cause: "the service below"})
 		if w.rise.RestNo != no {
 			w.later(time.Duration(w.rise.Rest)*time.Microsecond, rested, who, int(w.rise.RestNo))
 		}
@@ -297,7 +297,7 @@
 	w.schedule(who)
 	r := &w.t.Register
 	p := r.At(w.now)
-	w.calls = append(w.calls, cold.Call{Name: b.name, At: w.now})
+	w.calls = append(w.calls, faultinjectioncoldstart.Call{Name: b.name, At: w.now})
 	call := len(w.calls) - 1
 	w.within++
 	if r.Crowd > 0 && w.within > r.Crowd && w.now >= w.fallenUntil {
@@ -305,7 +305,7 @@
 		w.fallenUntil = w.now + r.Needs
 	}
 	takes := p.Takes + time.Duration(w.draw.Int64N(int64(time.Millisecond)))
-	w.calls[call].Counted = p.Mode == cold.Takes && w.now >= w.fallenUntil || p.Mode == cold.Half && w.draw.IntN(2) == 0
+	w.calls[call].Counted = p.Mode == faultinjectioncoldstart.Takes && w.now >= w.fallenUntil || p.Mode == faultinjectioncoldstart.Half && w.draw.IntN(2) == 0
 	w.later(takes, answered, who, call)
 }
 
@@ -316,7 +316,7 @@
 	if c.Counted {
 		b.pace.Counted(micros(w.now), micros(c.At))
 	} else {
-		b.pace.Missed(micros(w.now), pace.NotTaken, micros(w.t.Register.At(c.At).Advice))
+		b.pace.Missed(micros(w.now), reportpacing.NotTaken, micros(w.t.Register.At(c.At).Advice))
 	}
 	w.schedule(who)
 }
--- a/model/rising/rising_test.go
+++ b/internal/simulation/coldstart/rising_test.go
@@ -1,4 +1,4 @@
-package rising
+package coldstart
 
 import (
 	"reflect"
--- a/model/rising/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -1,4 +1,4 @@
-package rising
+package coldstart
 
 import (
 	"fmt"
@@ -10,26 +10,26 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"milletbarrow/fleet"
-	"milletbarrow/limit"
-	"milletbarrow/roster/pace"
-	"milletbarrow/trial/cold"
+	"milletbarrow/internal/backend/registration/reportpacing"
+	"milletbarrow/internal/faultinjection/coldstart"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
 )
 
 // Default are terms as installations have them: a register that refuses for ten seconds, and a service below that falls
 // over when a tenth of all call it at once, and only gets well if it is left alone for five seconds.
 func Default(backends int) Terms {
-	b := limit.For(1, 192, 1024)
-	of := func(d time.Duration) pace.Micros { return pace.Micros(d.Microseconds()) }
+	b := limits.For(1, 192, 1024)
+	of := func(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 	return Terms{
 		Backends: backends, Hosts: max(1, backends/30), Starts: time.Second, Cores: 6, For: 120 * time.Second,
-		Register: cold.Register{Phases: []cold.Phase{{Mode: cold.Refuses, Takes: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: cold.Takes, Takes: 10 * time.Millisecond}}},
+		Register: coldstart.Register{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, Takes: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, Takes: 10 * time.Millisecond}}},
 		Below:    Below{Takes: 200 * time.Millisecond, Crowd: max(2, backends/30), Bound: max(4, backends/10), Needs: 5 * time.Second},
-		Reports: pace.Terms{
+		Reports: reportpacing.Terms{
 			Usual: of(b.Report), Lapse: of(b.Lapse), Least: of(b.ReportLeast), Closed: of(b.ReportClosed), First: of(b.ReportFirst),
 			Most: of(b.ReportMost), Advice: of(b.ReportAdvice), OnWay: b.Reports,
 		},
-		Relaunch: fleet.DefaultTerms(limit.ForControl(), 1).Relaunch,
+		Relaunch: fleet.DefaultTerms(limits.ForControl(), 1).Relaunch,
 	}
 }
 
--- a/model/crew.go
+++ b/internal/simulation/crew.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"slices"
 
-	"milletbarrow/fleet"
-	"milletbarrow/limit"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
 )
 
 // crew is an agent with the real fleet's machine: it releases its hosts in a wave and starts them again. It sees them as an
@@ -34,11 +34,11 @@
 		c := &crew{first: first}
 		n := min(crewHosts, len(w.hosts)-first)
 		text := fmt.Sprintf("(fleet model (host a (agent \"unix:/a\")) (group g (host a) (config \"%%n\") (range h 1 %d) (settle 500ms) (start-within 60s) (restart (most 100) (within 1m))))", n)
-		spec, err := fleet.ReadSpec("model", []byte(text), limit.ForControl())
+		spec, err := fleet.ReadSpec("model", []byte(text), limits.ForControl())
 		if err != nil {
 			return err
 		}
-		c.m = fleet.New(spec, "a", fleet.DefaultTerms(limit.ForControl(), w.policy), func(*fleet.InstanceSpec) fleet.Window {
+		c.m = fleet.New(spec, "a", fleet.DefaultTerms(limits.ForControl(), w.policy), func(*fleet.InstanceSpec) fleet.Window {
 			return fleet.Window{Grace: fleet.Micros(w.s.Hosts.Grace), Stop: fleet.Micros(w.s.Hosts.Stop)}
 		})
 		for k := range n {
--- a/model/host.go
+++ b/internal/simulation/host.go
@@ -1,16 +1,16 @@
-package model
+package simulation
 
 import (
 	"math"
 
-	"milletbarrow/admit"
-	"milletbarrow/levels"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/degradation"
 )
 
 // Decider decides for one life of one host: admit.Backend, unchanged, or a baseline that speaks the same events and
 // actions.
 type Decider interface {
-	Decide(now admit.Micros, ev admit.Event, out []admit.Action) []admit.Action
+	Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action
 }
 
 // host is one backend machine and the process on it.
@@ -63,9 +63,9 @@
 
 // reduced is a ladder of levels on one host.
 type reduced struct {
-	mover  *levels.Mover
-	drawer *levels.Drawer
-	meter  *levels.Meter
+	mover  *degradation.Mover
+	drawer *degradation.Drawer
+	meter  *degradation.Meter
 }
 
 // begin starts a process on a host.
@@ -83,21 +83,21 @@
 	seed := w.policy ^ uint64(h.number)<<20 ^ uint64(h.life)
 	h.policy = w.p.New(w.s.Terms(cold), seed)
 	if l := w.p.Ladder; l != nil {
-		drawer, err := levels.NewDrawer(l, w.s.operationNames(), w.s.tenantNames(), seed)
+		drawer, err := degradation.NewDrawer(l, w.s.operationNames(), w.s.tenantNames(), seed)
 		if err != nil {
 			return err
 		}
-		h.reduced = &reduced{mover: levels.NewMover(l), drawer: drawer, meter: levels.NewMeter(w.s.Hosts.Cores)}
+		h.reduced = &reduced{mover: degradation.NewMover(l), drawer: drawer, meter: degradation.NewMeter(w.s.Hosts.Cores)}
 	}
 	if cold && w.s.Hosts.ColdFor > 0 {
 		h.warmth = w.s.Hosts.ColdShare
 		if h.reduced != nil {
-			h.reduced.meter.Warms(levels.Micros(w.now + w.s.Hosts.ColdFor))
+			h.reduced.meter.Warms(degradation.Micros(w.now + w.s.Hosts.ColdFor))
 		}
 		w.q.push(event{at: w.now + w.s.Hosts.ColdFor/20 + 1, kind: evCold, a: h.number, gen: h.life})
 	}
 	w.beginShares(h)
-	w.decide(h, admit.Opened{})
+	w.decide(h, admission.Opened{})
 	w.q.push(event{at: w.now + w.s.Register.Lag, kind: evListed, a: h.number, b: 1})
 	return nil
 }
@@ -258,30 +258,30 @@
 	if w.p.SeesWork {
 		hint = Micros(a.work)
 	}
-	ev := admit.Arrived{
+	ev := admission.Arrived{
 		ID: t.id, Operation: int(a.op), Tenant: int(a.tenant), Rank: op.Rank, Retry: t.retry,
 		Hint: hint, Waited: w.now - t.reached, Budget: max(1, t.due-w.now), KB: w.s.Hosts.HeldKB,
 	}
-	if op.Repeat == admit.Tokened {
+	if op.Repeat == admission.Tokened {
 		if id := h.byKey[a.number]; id != "" && h.kept[id] != nil && h.kept[id].until > w.now {
 			ev.Earlier = id
 		}
 	}
 	if r := h.reduced; r != nil {
-		now := levels.Micros(w.now)
-		if r.drawer.Sheds(r.mover.Level(), r.mover.Depth(now), int(a.op), int(a.tenant), op.Rank, levels.Micros(a.hint)) {
+		now := degradation.Micros(w.now)
+		if r.drawer.Sheds(r.mover.Level(), r.mover.Depth(now), int(a.op), int(a.tenant), op.Rank, degradation.Micros(a.hint)) {
 			ev.Shed, t.shed = 1, true
 			w.res.Shed++
 		} else {
-			r.meter.Add(now, levels.Arrivals)
+			r.meter.Add(now, degradation.Arrivals)
 			if t.retry {
-				r.meter.Add(now, levels.Marked)
+				r.meter.Add(now, degradation.Marked)
 			}
 		}
 	}
 	if ev.Shed == 0 && len(w.s.Tenants) > 0 {
 		ev.Share = w.drawShare(h, int(a.tenant))
-		t.drew = ev.Share == admit.Within
+		t.drew = ev.Share == admission.Within
 	}
 	w.decide(h, ev)
 	if h.memory+h.keyKB > w.s.Hosts.MemoryKB {
@@ -291,9 +291,9 @@
 }
 
 // decide hands one event to a host's policy and does what it says.
-func (w *world) decide(h *host, ev admit.Event) {
+func (w *world) decide(h *host, ev admission.Event) {
 	w.res.Decisions++
-	var acts [4]admit.Action
+	var acts [4]admission.Action
 	for _, act := range h.policy.Decide(w.now+h.skew, ev, acts[:0]) {
 		if h.up {
 			w.act(h, act)
@@ -301,45 +301,45 @@
 	}
 }
 
-func (w *world) act(h *host, act admit.Action) {
+func (w *world) act(h *host, act admission.Action) {
 	switch a := act.(type) {
-	case admit.Start:
+	case admission.Start:
 		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == held {
 			w.start(h, j)
 		}
-	case admit.Throttle:
+	case admission.Throttle:
 		if j := w.mine(h, a.ID); j != none {
 			t := &w.atts[j]
 			t.retryIn, t.dont = min(a.RetryIn, w.s.Hosts.RetryAfter), a.DontRetry
 			if r := h.reduced; r != nil && t.answers == 0 && !t.shed { // what a level sheds must not keep it
-				r.meter.Add(levels.Micros(w.now), levels.TurnedAway)
+				r.meter.Add(degradation.Micros(w.now), degradation.TurnedAway)
 			}
 			w.answer(h, j, Throttled)
 			w.unreused(h, j)
 		} else {
 			w.audit.broken(w, 1, h, nil, "an answer for "+a.ID+", which is not in hand")
 		}
-	case admit.Fail:
+	case admission.Fail:
 		if j := w.mine(h, a.ID); j != none {
 			w.answer(h, j, Errored)
 			w.unreused(h, j)
 		} else {
 			w.audit.broken(w, 1, h, nil, "an answer for "+a.ID+", which is not in hand")
 		}
-	case admit.Stop:
+	case admission.Stop:
 		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == runs {
 			w.takeOff(h, j)
 		}
-	case admit.Call:
+	case admission.Call:
 		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == waitsBelow {
 			w.call(h, j, a.Within)
 		}
-	case admit.SkipCall:
+	case admission.SkipCall:
 		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == waitsBelow {
 			w.atts[j].skipped = true
 			w.resume(h, j)
 		}
-	case admit.Remember:
+	case admission.Remember:
 		if j := w.byID(a.ID); j != none {
 			if h.kept == nil {
 				h.kept, h.byKey = map[string]*kept{}, map[uint64]string{}
@@ -352,16 +352,16 @@
 				h.keyKB += 0.2
 			}
 		}
-	case admit.Forget:
+	case admission.Forget:
 		if h.kept[a.ID] != nil {
 			delete(h.kept, a.ID)
 			h.keyKB -= 0.2
 		}
-	case admit.Reuse:
+	case admission.Reuse:
 		if j := w.mine(h, a.ID); j != none {
 			w.reuse(h, j)
 		}
-	case admit.SetHealth:
+	case admission.SetHealth:
 		if a.Good != h.healthy {
 			h.healthy = a.Good
 			b := int32(0)
@@ -370,9 +370,9 @@
 			}
 			w.q.push(event{at: w.now + w.s.Register.Lag, kind: evListed, a: h.number, b: b})
 		}
-	case admit.CloseIdle:
+	case admission.CloseIdle:
 		h.idleFor = max(a.After, Second/10)
-	case admit.Wake:
+	case admission.Wake:
 		w.q.later(laneTick, event{at: max(a.At-h.skew, w.now+1), kind: evWake, a: h.number, b: int32(a.Token), gen: h.life})
 	}
 }
@@ -418,7 +418,7 @@
 	if w.s.Operations[a.op].Calls && !t.called {
 		t.called, t.phase = true, waitsBelow
 		w.after(h)
-		w.decide(h, admit.NeedsCall{ID: t.id})
+		w.decide(h, admission.NeedsCall{ID: t.id})
 		return
 	}
 	w.after(h)
@@ -428,9 +428,9 @@
 		k.ended, k.ok = true, true
 	}
 	if r := h.reduced; r != nil && t.answers == 0 {
-		r.meter.Add(levels.Micros(w.now), levels.Answers)
+		r.meter.Add(degradation.Micros(w.now), degradation.Answers)
 		if w.now-t.reached > w.s.Operations[a.op].Objective {
-			r.meter.Add(levels.Micros(w.now), levels.Tardy)
+			r.meter.Add(degradation.Micros(w.now), degradation.Tardy)
 		}
 	}
 	if t.answers > 0 {
@@ -438,16 +438,16 @@
 	} else {
 		w.answer(h, j, Succeeded)
 	}
-	w.finish(h, j, admit.OK)
+	w.finish(h, j, admission.OK)
 }
 
 // finish tells the policy that a run is over and lets go of it.
-func (w *world) finish(h *host, j int32, out admit.Outcome) {
+func (w *world) finish(h *host, j int32, out admission.Outcome) {
 	t := &w.atts[j]
 	id, took := t.id, w.now-t.read
 	h.memory -= w.s.Hosts.HeldKB * (w.s.Hosts.RunFactor - 1)
 	t.phase, t.ending = reuses, true // off the cores; still in hand while the policy hears of it
-	w.decide(h, admit.Finished{ID: id, Outcome: out, Took: took})
+	w.decide(h, admission.Finished{ID: id, Outcome: out, Took: took})
 	if h.up && w.atts[j].atHost && w.atts[j].id == id {
 		w.leaveHost(h, j)
 	}
@@ -468,7 +468,7 @@
 	h.running--
 	t.phase = reuses
 	w.after(h)
-	w.finish(h, j, admit.Canceled)
+	w.finish(h, j, admission.Canceled)
 }
 
 // reuse answers a repeat with what an earlier invocation brought, at once or when it ends.
@@ -491,7 +491,7 @@
 	}
 	id := t.id
 	t.ending = true
-	w.decide(h, admit.Finished{ID: id, Outcome: admit.OK, Took: 1})
+	w.decide(h, admission.Finished{ID: id, Outcome: admission.OK, Took: 1})
 	if h.up && w.atts[j].atHost && w.atts[j].id == id {
 		w.leaveHost(h, j)
 	}
@@ -575,7 +575,7 @@
 		w.audit.broken(w, 1, h, t, "its caller's time is over and it has no answer")
 	}
 	was := t.phase
-	w.decide(h, admit.CallerGone{ID: t.id})
+	w.decide(h, admission.CallerGone{ID: t.id})
 	if h.up && w.atts[j].atHost && (was == held || was == reuses) {
 		w.leaveHost(h, j)
 	}
@@ -613,13 +613,13 @@
 		j := b.pop()
 		b.live--
 		if t := &w.atts[j.who]; t.gen == j.gen && t.phase == calls && uint8(t.callGen) == j.sub {
-			w.callOver(j.who, admit.OK)
+			w.callOver(j.who, admission.OK)
 		}
 	}
 	w.afterBelow()
 }
 
-func (w *world) callOver(j int32, out admit.Outcome) {
+func (w *world) callOver(j int32, out admission.Outcome) {
 	t := &w.atts[j]
 	h := &w.hosts[t.host]
 	if !h.up || h.life != t.life {
@@ -629,15 +629,15 @@
 	t.callGen++
 	t.phase = waitsBelow
 	id := t.id
-	w.decide(h, admit.CallReturned{ID: id, Outcome: out, Took: 1 + w.s.Below.Work})
+	w.decide(h, admission.CallReturned{ID: id, Outcome: out, Took: 1 + w.s.Below.Work})
 	if !h.up {
 		return
 	}
 	t = &w.atts[j]
-	if out == admit.OK && t.phase == waitsBelow {
+	if out == admission.OK && t.phase == waitsBelow {
 		w.resume(h, j)
 	} else if t.answers > 0 && t.phase == waitsBelow { // given up: nothing of it goes on
-		w.finish(h, j, admit.Errored)
+		w.finish(h, j, admission.Errored)
 	}
 }
 
@@ -656,11 +656,11 @@
 	on := float64(h.cores.live)
 	memory := (h.memory + h.keyKB) / w.s.Hosts.MemoryKB
 	w.res.Readings++
-	w.decide(h, admit.Reading{
+	w.decide(h, admission.Reading{
 		Token: token, CoreUse: use, OnCores: on, MemoryShare: memory, Connections: float64(h.conns) / float64(w.s.Hosts.Connections),
 	})
 	if r := h.reduced; r != nil && h.up {
-		now := levels.Micros(w.now)
+		now := degradation.Micros(w.now)
 		if h.draining {
 			r.meter.Drains()
 		}
--- a/model/load.go
+++ b/internal/simulation/load.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"math"
--- a/model/model_test.go
+++ b/internal/simulation/model_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/admit"
-	"milletbarrow/standin"
+	"milletbarrow/admission"
+	"milletbarrow/internal/fakes"
 )
 
 func play(t testing.TB, s *Scenario, p *Policy, seed uint64) *Result {
@@ -42,7 +42,7 @@
 
 // TestDays keeps what each policy does on one day, to the last digit: the model may not change unseen.
 func TestDays(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := short()
 	s.Load.At = 1.1
 	s.Troubles = []Trouble{{Kind: Slow, At: 2 * Second, For: Second, Share: 0.25, Factor: 4}, {Kind: Release, At: 3 * Second, Width: 0.3}}
@@ -100,7 +100,7 @@
 		for seed := range uint64(3) {
 			s := short()
 			s.Load.At = 1.2
-			s.Operations[1].Calls, s.Operations[0].Repeat = true, admit.Tokened
+			s.Operations[1].Calls, s.Operations[0].Repeat = true, admission.Tokened
 			s.Nodes.Behind, s.Nodes.Tries = 0.3, 0
 			s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 200}, {Name: "b", Share: 0.5, Quota: 200}}
 			first.At = Second
@@ -141,11 +141,11 @@
 
 // faulty plants a fault in the module's decisions.
 type faulty struct {
-	*admit.Backend
-	alter func(now Micros, ev admit.Event, out []admit.Action) (admit.Event, []admit.Action)
+	*admission.Backend
+	alter func(now Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
 }
 
-func (f faulty) Decide(now admit.Micros, ev admit.Event, out []admit.Action) []admit.Action {
+func (f faulty) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	ev, more := f.alter(now, ev, out)
 	if ev == nil {
 		return more
@@ -161,40 +161,40 @@
 	faults := []struct {
 		name  string
 		rule  int
-		alter func(now Micros, ev admit.Event, out []admit.Action) (admit.Event, []admit.Action)
+		alter func(now Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
 	}{
-		{"a second answer", 1, func(_ Micros, ev admit.Event, out []admit.Action) (admit.Event, []admit.Action) {
+		{"a second answer", 1, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			for _, act := range out {
-				if a, ok := act.(admit.Throttle); ok && ev == nil {
+				if a, ok := act.(admission.Throttle); ok && ev == nil {
 					return ev, append(out, a)
 				}
 			}
 			return ev, out
 		}},
-		{"a lost answer", 1, func(_ Micros, ev admit.Event, out []admit.Action) (admit.Event, []admit.Action) {
+		{"a lost answer", 1, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			if ev != nil {
 				return ev, out
 			}
-			return ev, slices.DeleteFunc(out, func(act admit.Action) bool { _, throttles := act.(admit.Throttle); return throttles })
+			return ev, slices.DeleteFunc(out, func(act admission.Action) bool { _, throttles := act.(admission.Throttle); return throttles })
 		}},
-		{"a run that came after the grace", 3, func(_ Micros, ev admit.Event, out []admit.Action) (admit.Event, []admit.Action) {
-			if _, notice := ev.(admit.DrainNotice); notice {
+		{"a run that came after the grace", 3, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+			if _, notice := ev.(admission.DrainNotice); notice {
 				return nil, out
 			}
 			return ev, out
 		}},
-		{"a throttle for what runs", 2, func(_ Micros, ev admit.Event, out []admit.Action) (admit.Event, []admit.Action) {
+		{"a throttle for what runs", 2, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			for _, act := range out {
-				if a, ok := act.(admit.Start); ok && ev == nil && !runs[a.ID] {
+				if a, ok := act.(admission.Start); ok && ev == nil && !runs[a.ID] {
 					runs[a.ID] = true
-					return ev, append(out, admit.Throttle{ID: a.ID})
+					return ev, append(out, admission.Throttle{ID: a.ID})
 				}
 			}
 			return ev, out
 		}},
-		{"all that comes is started", 4, func(_ Micros, ev admit.Event, out []admit.Action) (admit.Event, []admit.Action) {
-			if a, ok := ev.(admit.Arrived); ok {
-				return nil, append(out, admit.Start{ID: a.ID})
+		{"all that comes is started", 4, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+			if a, ok := ev.(admission.Arrived); ok {
+				return nil, append(out, admission.Start{ID: a.ID})
 			}
 			return ev, out
 		}},
@@ -204,7 +204,7 @@
 		s.Load.At = 1.5
 		s.Hosts.FallOver = Second
 		s.Troubles = []Trouble{{Kind: Release, At: Second, Width: 0.5}}
-		p := &Policy{Name: f.name, New: func(t admit.Terms, seed uint64) Decider { return faulty{admit.New(t, seed), f.alter} }}
+		p := &Policy{Name: f.name, New: func(t admission.Terms, seed uint64) Decider { return faulty{admission.New(t, seed), f.alter} }}
 		if r := play(t, &s, p, 1); r.Rules[f.rule] == 0 {
 			t.Errorf("%s: rule %d was to be seen broken: %v %v", f.name, f.rule, r.Rules, r.Breaches)
 		}
@@ -241,7 +241,7 @@
 
 // TestOdd: days at the edge of what a scenario can be.
 func TestOdd(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := short()
 	s.Load.At = 0
 	r := play(t, &s, module(t), 1)
@@ -360,7 +360,7 @@
 
 // TestReplayed: one invocation's course can be told.
 func TestReplayed(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	s := short()
 	s.Load.At = 1.5
 	course := &Trace{Invocation: 900, Host: -1, Most: 20}
--- a/model/node.go
+++ b/internal/simulation/node.go
@@ -1,9 +1,9 @@
-package model
+package simulation
 
 import (
 	"math"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // node is an edge node: it knows some hosts, opens connections to them and tries.
@@ -195,7 +195,7 @@
 	}
 	k := w.choose(a, n)
 	op := &w.s.Operations[a.op]
-	if op.Repeat == admit.Tokened && a.unsure { // only the one that may have run it knows of it
+	if op.Repeat == admission.Tokened && a.unsure { // only the one that may have run it knows of it
 		k = a.last
 		if !w.listed[n.slots[k].host] {
 			k = none
@@ -210,7 +210,7 @@
 	a.last = k
 	sl := &n.slots[k]
 	h := &w.hosts[sl.host]
-	j := w.newAttempt(op.Repeat == admit.Tokened)
+	j := w.newAttempt(op.Repeat == admission.Tokened)
 	t := &w.atts[j]
 	t.ask, t.host, t.slot, t.life, t.retry, t.atNode, t.prev, t.next = i, sl.host, k, h.life, retry, true, none, none
 	if a.open[0] == none {
@@ -328,7 +328,7 @@
 	if a.open[0] != none || a.open[1] != none {
 		return // a copy is still open
 	}
-	safe := out == Throttled || out == Unreachable || out == Local || op.Repeat != admit.NonIdempotent
+	safe := out == Throttled || out == Unreachable || out == Local || op.Repeat != admission.NonIdempotent
 	if !safe || a.unheeded && !n.deaf || s.Tries > 0 && int(a.tries) >= s.Tries || out == Local {
 		w.end(i, out)
 		return
@@ -366,7 +366,7 @@
 	a := &w.asks[i]
 	w.res.End(w.s, w.now, int(a.op), int(a.tenant), out, w.now-a.born, 0)
 	op := &w.s.Operations[a.op]
-	if a.anew < 3 && w.chance.Float64() < w.s.Nodes.Behind && (op.Repeat != admit.NonIdempotent || out == Throttled || out == Local) {
+	if a.anew < 3 && w.chance.Float64() < w.s.Nodes.Behind && (op.Repeat != admission.NonIdempotent || out == Throttled || out == Local) {
 		a.anew++
 		w.tell(a)
 		a.over, a.later = true, true
--- a/model/policy.go
+++ b/internal/simulation/policy.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -6,19 +6,19 @@
 	"slices"
 	"strings"
 
-	"milletbarrow/admit"
-	"milletbarrow/levels"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/degradation"
 )
 
 // Policy is what is measured: what a host decides with, and how nodes choose where that is part of it.
 type Policy struct {
 	Name      string
-	New       func(t admit.Terms, seed uint64) Decider
-	Ladder    *levels.Ladder // levels of reduced service before the module; nil: none
-	Balance   *Balance       // instead of the scenario's
-	Throttles bool           // nodes throttle by themselves
-	Shares    Shares         // where hosts have their part of the tenants' quotas from
-	SeesWork  bool           // hints are the true work: an oracle's
+	New       func(t admission.Terms, seed uint64) Decider
+	Ladder    *degradation.Ladder // levels of reduced service before the module; nil: none
+	Balance   *Balance            // instead of the scenario's
+	Throttles bool                // nodes throttle by themselves
+	Shares    Shares              // where hosts have their part of the tenants' quotas from
+	SeesWork  bool                // hints are the true work: an oracle's
 	About     string
 	Source    string
 }
@@ -38,8 +38,8 @@
 // Policies are all there are: the module first, then the baselines, which serve nobody, and the oracle.
 func Policies() []Policy {
 	two, least, oracle := TwoChoices, LeastLoad, Oracle
-	pooled := func(shape func(*pool)) func(admit.Terms, uint64) Decider {
-		return func(t admit.Terms, _ uint64) Decider {
+	pooled := func(shape func(*pool)) func(admission.Terms, uint64) Decider {
+		return func(t admission.Terms, _ uint64) Decider {
 			p := &pool{t: t, by: map[string]*job0{}, drainAt: never, stopAt: never}
 			p.tick = max(min(20*Millisecond, t.AnswerSlack/3), Millisecond)
 			p.limit, p.line = t.Cores, 4*t.Cores
@@ -51,7 +51,7 @@
 	return []Policy{
 		{
 			Name: Module, About: "the module, unchanged",
-			New:    func(t admit.Terms, seed uint64) Decider { return admit.New(t, seed) },
+			New:    func(t admission.Terms, seed uint64) Decider { return admission.New(t, seed) },
 			Source: "docs/design.md",
 		},
 		{Name: "pool", New: short, About: "a run a core, and a line of four a core, in turn", Source: "the ordinary thread pool"},
@@ -116,7 +116,7 @@
 // pool is the frame of the baselines. It keeps the four rules as the module must: else a comparison would be with
 // something that nobody may run.
 type pool struct {
-	t               admit.Terms
+	t               admission.Terms
 	limit, line     int // runs at once, and how many wait
 	adapt           func(p *pool, now Micros, took Micros, late bool)
 	delay           Micros // of controlled delay; 0: in turn
@@ -142,40 +142,40 @@
 	runs, answered      bool
 }
 
-func (p *pool) Decide(now admit.Micros, ev admit.Event, out []admit.Action) []admit.Action {
+func (p *pool) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	switch e := ev.(type) {
-	case admit.Opened:
+	case admission.Opened:
 		p.emptyAt = now
-		return append(out, admit.Wake{At: now + p.tick, Token: 1})
-	case admit.Reading:
-		return append(p.fill(now, p.sweep(now, out)), admit.Wake{At: now + p.tick, Token: 1})
-	case admit.DrainNotice:
+		return append(out, admission.Wake{At: now + p.tick, Token: 1})
+	case admission.Reading:
+		return append(p.fill(now, p.sweep(now, out)), admission.Wake{At: now + p.tick, Token: 1})
+	case admission.DrainNotice:
 		p.drainAt, p.stopAt = now, now+e.Left
-		return p.sweep(now, append(out, admit.SetHealth{}))
-	case admit.Arrived:
+		return p.sweep(now, append(out, admission.SetHealth{}))
+	case admission.Arrived:
 		out = p.arrive(now, e, out)
-	case admit.Finished:
+	case admission.Finished:
 		if j := p.by[e.ID]; j != nil {
 			p.drop(j)
-			if p.adapt != nil && e.Outcome == admit.OK {
+			if p.adapt != nil && e.Outcome == admission.OK {
 				p.adapt(p, now, now-j.begun, now > j.want)
 			}
 		}
-	case admit.CallerGone:
+	case admission.CallerGone:
 		if j := p.by[e.ID]; j != nil {
 			j.answered = true
 			if !j.runs {
 				p.drop(j)
 			}
 		}
-	case admit.NeedsCall:
+	case admission.NeedsCall:
 		if j := p.by[e.ID]; j != nil && !j.answered {
-			return append(out, admit.Call{ID: e.ID, Within: max(1000, min(j.due, p.last())-now)})
+			return append(out, admission.Call{ID: e.ID, Within: max(1000, min(j.due, p.last())-now)})
 		}
-	case admit.CallReturned:
-		if j := p.by[e.ID]; j != nil && e.Outcome != admit.OK && !j.answered {
+	case admission.CallReturned:
+		if j := p.by[e.ID]; j != nil && e.Outcome != admission.OK && !j.answered {
 			j.answered = true
-			return append(out, admit.Fail{ID: e.ID})
+			return append(out, admission.Fail{ID: e.ID})
 		}
 	}
 	return p.fill(now, out)
@@ -183,13 +183,13 @@
 
 func (p *pool) last() Micros { return p.stopAt - 3*p.tick }
 
-func (p *pool) arrive(now Micros, a admit.Arrived, out []admit.Action) []admit.Action {
+func (p *pool) arrive(now Micros, a admission.Arrived, out []admission.Action) []admission.Action {
 	op := &p.t.Operations[a.Operation]
 	if now-a.Waited > p.drainAt+p.t.DrainGrace || now >= p.last() || a.Shed > 0 {
-		return append(out, admit.Throttle{ID: a.ID})
+		return append(out, admission.Throttle{ID: a.ID})
 	}
 	if p.running >= p.limit && len(p.waits) >= p.line && !p.dear {
-		return append(out, admit.Throttle{ID: a.ID})
+		return append(out, admission.Throttle{ID: a.ID})
 	}
 	j := &job0{id: a.ID, arrived: now - a.Waited, due: now + a.Budget, work: a.Hint}
 	j.want = min(j.due, j.arrived+op.Objective)
@@ -212,7 +212,7 @@
 }
 
 // fill starts what may run: in turn, the newest first under delay, or the dearest for its work.
-func (p *pool) fill(now Micros, out []admit.Action) []admit.Action {
+func (p *pool) fill(now Micros, out []admission.Action) []admission.Action {
 	for p.running < p.limit && len(p.waits) > 0 {
 		k := 0
 		switch {
@@ -228,13 +228,13 @@
 		j := p.waits[k]
 		if p.dear && now+j.work > j.want || now+p.tick >= j.due {
 			p.drop(j)
-			out = append(out, admit.Throttle{ID: j.id})
+			out = append(out, admission.Throttle{ID: j.id})
 			continue
 		}
 		p.waits = slices.Delete(p.waits, k, k+1)
 		j.runs, j.begun = true, now
 		p.running++
-		out = append(out, admit.Start{ID: j.id})
+		out = append(out, admission.Start{ID: j.id})
 	}
 	if len(p.waits) == 0 {
 		p.emptyAt = now
@@ -244,7 +244,7 @@
 
 // sweep answers what can wait no longer; under delay, what has waited longer than allowed: 5 ms while the line does not
 // empty, else 100.
-func (p *pool) sweep(now Micros, out []admit.Action) []admit.Action {
+func (p *pool) sweep(now Micros, out []admission.Action) []admission.Action {
 	for _, j := range slices.Clone(p.all) {
 		allowed := p.delay
 		if now-p.emptyAt > p.delay {
@@ -255,10 +255,10 @@
 		case j.answered:
 		case j.runs && due:
 			j.answered = true
-			out = append(out, admit.Fail{ID: j.id})
+			out = append(out, admission.Fail{ID: j.id})
 		case !j.runs && (due || p.delay > 0 && now-j.arrived > allowed || p.dear && now+j.work > j.want):
 			p.drop(j)
-			out = append(out, admit.Throttle{ID: j.id})
+			out = append(out, admission.Throttle{ID: j.id})
 		}
 	}
 	return out
--- a/model/queue.go
+++ b/internal/simulation/queue.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 // kind of an event. What happens at one time happens in the order in which it was scheduled.
 type kind uint8
--- a/model/read.go
+++ b/internal/simulation/read.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"milletbarrow/admit"
-	"milletbarrow/sexp"
+	"milletbarrow/admission"
+	"milletbarrow/internal/sexpr"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // ReadScenario reads the form (scenario NAME (hosts ...) (nodes ...) ...). What it leaves out stands as in Default; what is
 // wrong goes to the form's errors.
-func ReadScenario(f *sexp.Form) Scenario {
+func ReadScenario(f *sexpr.Form) Scenario {
 	s := Default()
 	s.Name = f.Arg()
 	s.For = micros(f.Span("for", time.Millisecond, day, span(s.For)))
@@ -73,7 +73,7 @@
 	return s
 }
 
-func readHosts(f *sexp.Form, h *HostTerms) {
+func readHosts(f *sexpr.Form, h *HostTerms) {
 	const mb = 1024
 	h.Count = f.Int("count", 1, MostHosts, h.Count)
 	h.Told = f.Int("told", 0, MostHosts, h.Told)
@@ -98,7 +98,7 @@
 	f.Done()
 }
 
-func readNodes(f *sexp.Form, n *NodeTerms) {
+func readNodes(f *sexpr.Form, n *NodeTerms) {
 	n.Count = f.Int("count", 1, MostNodes, n.Count)
 	n.Subset = f.Int("subset", 0, MostHosts, n.Subset)
 	n.Balance = Balance(index(balanceNames, f.OneOf("balance", balanceNames[:Oracle]...)))
@@ -115,7 +115,7 @@
 	f.Done()
 }
 
-func readOperation(f *sexp.Form) Operation {
+func readOperation(f *sexpr.Form) Operation {
 	o := Operation{
 		Name: f.Arg(), Value: f.Share("value", 0, 1e9, 1), Rank: f.Share("rank", 0, 1, 0.5), Share: f.Share("share", 0, 1, 1),
 		Work: micros(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)), Tail: f.Share("tail", 0, 3, 0.5),
@@ -124,12 +124,12 @@
 		Hint: f.Share("hint", 0, 1000, 0), HintSpread: f.Share("hint-spread", 0, 3, 0), SkippedValue: f.Share("skipped-value", 0, 1, 0),
 		Calls: f.OneOf("calls", "no", "yes") == "yes",
 	}
-	o.Repeat = admit.Repeat(index([]string{"idempotent", "tokened", "non-idempotent"}, f.OneOf("repeat", "idempotent", "tokened", "non-idempotent")))
+	o.Repeat = admission.Repeat(index([]string{"idempotent", "tokened", "non-idempotent"}, f.OneOf("repeat", "idempotent", "tokened", "non-idempotent")))
 	f.Done()
 	return o
 }
 
-func readTrouble(f *sexp.Form, s *Scenario) Trouble {
+func readTrouble(f *sexpr.Form, s *Scenario) Trouble {
 	t := Trouble{
 		At: micros(f.Span("at", noTime, day, noTime)), For: micros(f.Span("for", noTime, day, 10*time.Second)), Share: f.Share("share", 0, 1, 0.25),
 		Factor: f.Share("factor", 0, 1e6, 2), Width: f.Share("width", 0, 1, 0.1), Lost: f.Share("lost", 0, 1, 0),
--- a/model/result.go
+++ b/internal/simulation/result.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"milletbarrow/levels"
+	"milletbarrow/internal/backend/degradation"
 )
 
 // Version of a result's form; a reader refuses a newer one.
@@ -209,7 +209,7 @@
 	}
 }
 
-func (r *Result) changed(w *world, h *host, c levels.Change) {
+func (r *Result) changed(w *world, h *host, c degradation.Change) {
 	r.Changes++
 	if len(r.Levels) < mostMoves {
 		r.Levels = append(r.Levels, Move{At: w.now, Host: h.number, From: c.From, To: c.To, Collapse: c.Collapse, Cause: c.Cause})
--- a/model/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,18 +1,18 @@
-// Package model is our own emulator of what milletbarrow balances: hosts, edge nodes that nobody can change, callers
+// Package simulation is our own emulator of what milletbarrow balances: hosts, edge nodes that nobody can change, callers
 // behind them, a register that lags, and troubles. One Run plays one scenario with one policy on one seed, event by
 // event, on one goroutine, and is the same to the byte wherever it runs. It does no I/O and holds no clock of the
 // machine. Whether the four rules hold is judged here, from what happened, never by the policy.
-package model
+package simulation
 
 import (
 	"fmt"
 	"math"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // Micros is a point of modelled time, or a span, in whole microseconds.
-type Micros = admit.Micros
+type Micros = admission.Micros
 
 // Second and millisecond in modelled time.
 const (
@@ -114,7 +114,7 @@
 	Objective    Micros
 	Timeout      Micros
 	LateValue    float64
-	Repeat       admit.Repeat
+	Repeat       admission.Repeat
 	Hint         float64 // the hint given is the work times this; 0: none is given
 	HintSpread   float64 // sigma of a further lognormal factor
 	Calls        bool
@@ -217,7 +217,7 @@
 		Operations: []Operation{
 			{Name: "reprint", Value: 1, Rank: 0.1, Share: 0.35, Work: 25 * Millisecond, Tail: 0.8, Objective: Second, Timeout: 3 * Second, LateValue: 0.1},
 			{Name: "lookup", Value: 3, Rank: 0.4, Share: 0.4, Work: 15 * Millisecond, Tail: 0.6, Objective: 500 * Millisecond, Timeout: 2 * Second, LateValue: 0.1},
-			{Name: "pay-post", Value: 10, Rank: 0.9, Share: 0.25, Work: 20 * Millisecond, Tail: 0.5, Objective: Second, Timeout: 4 * Second, Repeat: admit.NonIdempotent},
+			{Name: "pay-post", Value: 10, Rank: 0.9, Share: 0.25, Work: 20 * Millisecond, Tail: 0.5, Objective: Second, Timeout: 4 * Second, Repeat: admission.NonIdempotent},
 		},
 		Load: Load{At: 0.8, To: 1.2, Period: 5 * Second, Swing: 0.5},
 	}
@@ -299,19 +299,19 @@
 const overShare = 0.3
 
 // Terms are what a host's policy is told of the deployment, cold for one that replaces another.
-func (s *Scenario) Terms(cold bool) admit.Terms {
+func (s *Scenario) Terms(cold bool) admission.Terms {
 	h := &s.Hosts
-	t := admit.Terms{
+	t := admission.Terms{
 		OverShareValue: overShare, Fleet: h.told(), Callers: s.Nodes.Count, Cores: h.Cores, MemoryKB: h.MemoryKB, RunFactor: h.RunFactor,
 		KeyKB: 0.2, JustStarted: cold, AnswerSlack: h.Slack, DrainGrace: h.Grace, ColdShare: h.ColdShare, ColdFor: max(h.ColdFor, 1),
 		FallMultiple: h.Crowd, FallOver: h.FallOver, SharedBelow: true, CallShare: float64(s.Below.Slots) / float64(h.Count),
 		CallsOver: Second, Linger: s.Below.Work, MaxRetryAfter: h.RetryAfter, IdleFor: h.IdleFor,
 	}
 	if h.Stoppable {
-		t.Preemption = admit.StopDiscards
+		t.Preemption = admission.StopDiscards
 	}
 	for _, op := range s.Operations {
-		t.Operations = append(t.Operations, admit.Operation{
+		t.Operations = append(t.Operations, admission.Operation{
 			Repeat: op.Repeat, Objective: op.Objective, ClientTimeout: op.Timeout, Window: 2 * op.Timeout,
 			LateValue: op.LateValue, Calls: op.Calls, SkippedValue: op.SkippedValue,
 		})
--- a/model/shares.go
+++ b/internal/simulation/shares.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 
-	"milletbarrow/admit"
-	"milletbarrow/manage/budget"
-	"milletbarrow/serve/share"
+	"milletbarrow/admission"
+	backendquota "milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/cluster/quota"
 )
 
 // Shares says where a host's part of the tenants' quotas comes from.
@@ -39,11 +39,11 @@
 type sharing struct {
 	mode    Shares
 	budgets []string // by tenant; empty where it has no quota
-	ledger  *budget.Ledger
-	clerk   budget.Clerk
-	holders []*share.Holder // by host
-	whole   *share.Holder   // the oracle's
-	index   []int           // by tenant: its budget in a holder, or -1
+	ledger  *quota.Ledger
+	clerk   quota.Clerk
+	holders []*backendquota.Holder // by host
+	whole   *backendquota.Holder   // the oracle's
+	index   []int                  // by tenant: its budget in a holder, or -1
 	names   []string
 }
 
@@ -54,17 +54,17 @@
 	if w.p.Shares == Guess || len(w.s.Tenants) == 0 {
 		return
 	}
-	sh := &sharing{mode: w.p.Shares, holders: make([]*share.Holder, len(w.hosts))}
-	terms := budget.Terms{Version: 1}
+	sh := &sharing{mode: w.p.Shares, holders: make([]*backendquota.Holder, len(w.hosts))}
+	terms := quota.Terms{Version: 1}
 	for i, t := range w.s.Tenants {
 		sh.index = append(sh.index, -1)
 		if t.Quota < 1 {
 			continue
 		}
 		sh.index[i] = len(sh.names)
-		b := budget.Budget{
-			Name: "t" + fmt.Sprint(i), Kind: budget.Rate, Whole: int64(t.Quota), Divide: budget.Demand, Step: 1, Lease: budget.Micros(shareLease),
-			Margin: budget.Micros(shareMargin), Tenant: t.Name, Floors: map[string]int64{},
+		b := quota.Budget{
+			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Whole: int64(t.Quota), Divide: quota.Demand, Step: 1, Lease: quota.Micros(shareLease),
+			Margin: quota.Micros(shareMargin), Tenant: t.Name, Floors: map[string]int64{},
 		}
 		floor := int64(floorPart * t.Quota / float64(len(w.hosts)))
 		for n := range w.hosts {
@@ -76,9 +76,9 @@
 	w.shares = sh
 	switch sh.mode {
 	case Divided:
-		sh.ledger = budget.NewLedger()
-		sh.ledger.Apply(budget.Command{Terms: &terms})
-		sh.clerk.Elected(budget.Micros(w.now), sh.ledger, false)
+		sh.ledger = quota.NewLedger()
+		sh.ledger.Apply(quota.Command{Terms: &terms})
+		sh.clerk.Elected(quota.Micros(w.now), sh.ledger, false)
 		w.q.push(event{at: w.now + 1, kind: evClerk})
 	case Whole:
 		sh.whole = fixedHolder("all", "1", terms.Budgets, 1)
@@ -86,15 +86,15 @@
 }
 
 // fixedHolder draws from a part of each budget, for good.
-func fixedHolder(name, life string, all []budget.Budget, parts int64) *share.Holder {
+func fixedHolder(name, life string, all []quota.Budget, parts int64) *backendquota.Holder {
 	var names []string
 	for _, b := range all {
 		names = append(names, b.Name)
 	}
-	h := share.New(name, life, names)
-	a := share.Answer{Name: name, Life: life, Number: h.Ask(0).Number}
+	h := backendquota.New(name, life, names)
+	a := backendquota.Answer{Name: name, Life: life, Number: h.Ask(0).Number}
 	for _, b := range all {
-		a.Parts = append(a.Parts, share.Part{Budget: b.Name, Epoch: 1, Floor: b.Whole / parts})
+		a.Parts = append(a.Parts, backendquota.Part{Budget: b.Name, Epoch: 1, Floor: b.Whole / parts})
 	}
 	if err := h.Answer(0, a); err != nil {
 		panic(err) // the terms were checked
@@ -109,13 +109,13 @@
 		return 1
 	}
 	if w.quotas == nil {
-		var all []budget.Budget
+		var all []quota.Budget
 		for i, t := range w.s.Tenants {
-			all = append(all, budget.Budget{Name: fmt.Sprint(i), Whole: int64(t.Quota)})
+			all = append(all, quota.Budget{Name: fmt.Sprint(i), Whole: int64(t.Quota)})
 		}
 		w.quotas = fixedHolder("all", "price", all, 1)
 	}
-	if w.quotas.Draw(share.Micros(w.now), tenant) {
+	if w.quotas.Draw(backendquota.Micros(w.now), tenant) {
 		return 1
 	}
 	return overShare
@@ -129,16 +129,16 @@
 	}
 	name, life := hostName(h.number), fmt.Sprint(h.life)
 	if sh.mode == EvenCut {
-		var all []budget.Budget
+		var all []quota.Budget
 		for i, t := range w.s.Tenants {
 			if sh.index[i] >= 0 {
-				all = append(all, budget.Budget{Name: sh.names[sh.index[i]], Whole: int64(t.Quota)})
+				all = append(all, quota.Budget{Name: sh.names[sh.index[i]], Whole: int64(t.Quota)})
 			}
 		}
 		sh.holders[h.number] = fixedHolder(name, life, all, int64(w.s.Hosts.told()))
 		return
 	}
-	sh.holders[h.number] = share.New(name, life, sh.names)
+	sh.holders[h.number] = backendquota.New(name, life, sh.names)
 	// Hosts ask spread over the pause, as agents that were started at their own times do.
 	w.q.push(event{at: w.now + 1 + Micros(h.number)*sharePause/Micros(len(w.hosts)), kind: evShare, a: h.number, gen: h.life})
 }
@@ -156,8 +156,8 @@
 func (w *world) askShares(h *host) {
 	sh := w.shares
 	if !w.ledgerCut || h.number >= w.cutHosts {
-		holder, now := sh.holders[h.number], share.Micros(w.now)
-		r := sh.ledger.Apply(budget.Command{Renew: &budget.Renew{Host: hostName(h.number), Asks: []share.Ask{holder.Ask(now)}}})
+		holder, now := sh.holders[h.number], backendquota.Micros(w.now)
+		r := sh.ledger.Apply(quota.Command{Renew: &quota.Renew{Host: hostName(h.number), Asks: []backendquota.Ask{holder.Ask(now)}}})
 		if len(r.Answers) > 0 && r.Answers[0].No == "" {
 			holder.Answer(now, r.Answers[0])
 		}
@@ -168,8 +168,8 @@
 // clerkLooks has the ledger's clerk look for what is over.
 func (w *world) clerkLooks() {
 	sh := w.shares
-	if over, divide := sh.clerk.Due(budget.Micros(w.now), sh.ledger); divide || len(over) > 0 {
-		sh.ledger.Apply(budget.Command{Lapse: over, Divide: divide})
+	if over, divide := sh.clerk.Due(quota.Micros(w.now), sh.ledger); divide || len(over) > 0 {
+		sh.ledger.Apply(quota.Command{Lapse: over, Divide: divide})
 	}
 	if w.now < w.s.For {
 		w.q.push(event{at: w.now + sharePause/4, kind: evClerk})
@@ -180,22 +180,22 @@
 func (w *world) goneShares(h *host) {
 	if sh := w.shares; sh != nil && sh.mode == Divided && (!w.ledgerCut || h.number >= w.cutHosts) {
 		name := hostName(h.number)
-		sh.ledger.Apply(budget.Command{Gone: &budget.Gone{Host: name, Lives: []string{budget.Key(name, fmt.Sprint(h.life))}}})
+		sh.ledger.Apply(quota.Command{Gone: &quota.Gone{Host: name, Lives: []string{quota.Key(name, fmt.Sprint(h.life))}}})
 	}
 }
 
 // drawShare takes a unit for what a host has just read.
-func (w *world) drawShare(h *host, tenant int) admit.Share {
+func (w *world) drawShare(h *host, tenant int) admission.Share {
 	holder, i := w.holderFor(h, tenant)
 	if holder == nil {
-		return admit.NotTold
+		return admission.NotTold
 	}
-	if holder.Draw(share.Micros(w.now), i) {
+	if holder.Draw(backendquota.Micros(w.now), i) {
 		w.res.Within++
-		return admit.Within
+		return admission.Within
 	}
 	w.res.Beyond++
-	return admit.Beyond
+	return admission.Beyond
 }
 
 // giveBack lets others have the unit that was drawn for what never ran.
@@ -205,12 +205,12 @@
 	}
 	t.drew = false
 	if holder, i := w.holderFor(h, int(w.asks[t.ask].tenant)); holder != nil {
-		holder.Back(share.Micros(w.now), i)
+		holder.Back(backendquota.Micros(w.now), i)
 	}
 }
 
 // holderFor is what a host draws a tenant's units from, and the budget there; nil where nothing tells it.
-func (w *world) holderFor(h *host, tenant int) (*share.Holder, int) {
+func (w *world) holderFor(h *host, tenant int) (*backendquota.Holder, int) {
 	sh := w.shares
 	if sh == nil || sh.index[tenant] < 0 {
 		return nil, 0
--- a/model/trouble.go
+++ b/internal/simulation/trouble.go
@@ -1,9 +1,9 @@
-package model
+package simulation
 
 import (
 	"math"
 
-	"milletbarrow/admit"
+	"milletbarrow/admission"
 )
 
 // some draws a share of the hosts, at least one where the share is above 0.
@@ -123,7 +123,7 @@
 		return
 	}
 	h.draining = true
-	w.decide(h, admit.DrainNotice{Left: w.s.Hosts.Stop})
+	w.decide(h, admission.DrainNotice{Left: w.s.Hosts.Stop})
 	if h.healthy { // a policy that says nothing of its health leaves the list all the same
 		h.healthy = false
 		w.q.push(event{at: w.now + w.s.Register.Lag, kind: evListed, a: h.number, b: 0})
--- a/model/world.go
+++ b/internal/simulation/world.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 
-	"milletbarrow/admit"
-	"milletbarrow/serve/share"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/quota"
 )
 
 // ask is what one caller wants: it may take several attempts, and, where the caller asks anew, several lives.
@@ -112,7 +112,7 @@
 	cutNodes  map[int32]bool
 	cutHosts  int32         // hosts below this one are cut off from those nodes
 	ledgerCut bool          // and from the ledger
-	quotas    *share.Holder // what succeeds is priced by
+	quotas    *quota.Holder // what succeeds is priced by
 	shares    *sharing      // nil where hosts guess
 	grayBy    Micros
 	grayHost  map[int32]bool
@@ -124,7 +124,7 @@
 	audit  Audit
 	res    *Result
 	policy uint64 // seed
-	out    []admit.Action
+	out    []admission.Action
 	trace  *Trace
 	tick   uint64
 	busyA  int // attempts and asks under way
@@ -252,7 +252,7 @@
 		}
 	case evCall:
 		if t := &w.atts[e.a]; t.gen == e.gen && t.phase == calls && t.callGen == uint32(e.b) {
-			w.callOver(e.a, admit.TimedOut)
+			w.callOver(e.a, admission.TimedOut)
 		}
 	case evRefresh:
 		w.refresh(e.a)
@@ -324,7 +324,7 @@
 	w.res.Offer(s, w.now, c.Operation, c.Tenant)
 	w.q.later(laneDue+int(a.op), event{at: a.due, kind: evDue, a: i, gen: a.gen})
 	w.try(i, false)
-	if h := s.Nodes.Hedge; h > 0 && op.Repeat == admit.Idempotent {
+	if h := s.Nodes.Hedge; h > 0 && op.Repeat == admission.Idempotent {
 		w.q.push(event{at: w.now + h, kind: evHedge, a: i, gen: a.gen})
 	}
 }
--- a/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire turns the lines of the willow-5ce1 dialect into admit's events
+// Package simwire turns the lines of the willow-5ce1 dialect into admit's events
 // and admit's actions into lines. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -9,14 +9,14 @@
 	"fmt"
 	"io"
 
-	"milletbarrow/admit"
-	"milletbarrow/terms"
+	"milletbarrow/admission"
+	"milletbarrow/internal/config"
 )
 
 // Open starts a life of an instance.
 type Open struct {
 	Seed   uint64
-	Terms  admit.Terms
+	Terms  admission.Terms
 	Gauges []string
 }
 
@@ -32,32 +32,32 @@
 // Message is one line of input: the clock line, an event, or the end of a batch.
 type Message struct {
 	Name     string
-	At       admit.Micros // Sync
-	Round    int64        // Sync
+	At       admission.Micros // Sync
+	Round    int64            // Sync
 	Instance int
 	Event    any // admit.Event, Open, Gone or Gauge
 }
 
 type fields struct {
-	I          *int         `json:"i"`
-	At         *float64     `json:"at_time_ms"`
-	Round      *int64       `json:"round"`
-	Seed       *uint64      `json:"init_seed"`
-	Settings   *terms.Sheet `json:"settings"`
-	Req        string       `json:"req"`
-	HintMs     float64      `json:"hint_ms"`
-	Prio       float64      `json:"prio"`
-	WaitedMs   float64      `json:"waited_ms"`
-	Project    int          `json:"project"`
-	KB         float64      `json:"kb"`
-	IsRetry    bool         `json:"is_retry"`
-	Service    *int         `json:"service"`
-	BudgetMs   float64      `json:"time_budget_ms"`
-	Earlier    text         `json:"earlier"`
-	StateCode  string       `json:"state_code"`
-	DurationMs float64      `json:"duration_ms"`
-	Token      *int64       `json:"token"`
-	Feedback   *[]float64   `json:"feedback"`
+	I          *int          `json:"i"`
+	At         *float64      `json:"at_time_ms"`
+	Round      *int64        `json:"round"`
+	Seed       *uint64       `json:"init_seed"`
+	Settings   *config.Sheet `json:"settings"`
+	Req        string        `json:"req"`
+	HintMs     float64       `json:"hint_ms"`
+	Prio       float64       `json:"prio"`
+	WaitedMs   float64       `json:"waited_ms"`
+	Project    int           `json:"project"`
+	KB         float64       `json:"kb"`
+	IsRetry    bool          `json:"is_retry"`
+	Service    *int          `json:"service"`
+	BudgetMs   float64       `json:"time_budget_ms"`
+	Earlier    text          `json:"earlier"`
+	StateCode  string        `json:"state_code"`
+	DurationMs float64       `json:"duration_ms"`
+	Token      *int64        `json:"token"`
+	Feedback   *[]float64    `json:"feedback"`
 }
 
 // text is a string that may also come as null or as the number 0, meaning none.
@@ -71,13 +71,13 @@
 }
 
 // codes maps the wire's outcome words.
-var codes = map[string]admit.Outcome{
-	"Ok": admit.OK, "Failed": admit.Errored, "QueueFull": admit.Full, "TimedOut": admit.TimedOut,
-	"ConnectError": admit.Unreachable, "ResetByPeer": admit.Reset, "Canceled": admit.Canceled,
-	"Ignored": admit.Void,
+var codes = map[string]admission.Outcome{
+	"Ok": admission.OK, "Failed": admission.Errored, "QueueFull": admission.Full, "TimedOut": admission.TimedOut,
+	"ConnectError": admission.Unreachable, "ResetByPeer": admission.Reset, "Canceled": admission.Canceled,
+	"Ignored": admission.Void,
 }
 
-func millis(t admit.Micros) float64 { return float64(t) / 1000 }
+func millis(t admission.Micros) float64 { return float64(t) / 1000 }
 
 // Read decodes one line.
 func Read(line []byte) (Message, error) {
@@ -113,7 +113,7 @@
 		if f.At == nil || f.Round == nil {
 			return errors.New("at_time_ms or round is missing")
 		}
-		msg.At, msg.Round = terms.Micros(*f.At), *f.Round
+		msg.At, msg.Round = config.Micros(*f.At), *f.Round
 		return nil
 	case "Commit":
 		return nil
@@ -134,7 +134,7 @@
 		msg.Event = Gone{}
 		return nil
 	case "Sigterm":
-		msg.Event = admit.DrainNotice{Left: terms.Micros(f.BudgetMs)}
+		msg.Event = admission.DrainNotice{Left: config.Micros(f.BudgetMs)}
 		return nil
 	case "Alarm":
 		if f.Token == nil || f.Feedback == nil {
@@ -146,19 +146,19 @@
 		if f.Service == nil {
 			return errors.New("service is missing")
 		}
-		msg.Event = admit.Arrived{
+		msg.Event = admission.Arrived{
 			ID: f.Req, Operation: *f.Service, Tenant: f.Project, Rank: f.Prio, Retry: f.IsRetry,
-			Hint: terms.Micros(f.HintMs), Waited: terms.Micros(f.WaitedMs),
-			Budget: terms.Micros(f.BudgetMs), KB: f.KB, Earlier: string(f.Earlier),
+			Hint: config.Micros(f.HintMs), Waited: config.Micros(f.WaitedMs),
+			Budget: config.Micros(f.BudgetMs), KB: f.KB, Earlier: string(f.Earlier),
 		}
 	case "Done":
-		msg.Event = admit.Finished{ID: f.Req, Outcome: code, Took: terms.Micros(f.DurationMs)}
+		msg.Event = admission.Finished{ID: f.Req, Outcome: code, Took: config.Micros(f.DurationMs)}
 	case "TimedOutClient":
-		msg.Event = admit.CallerGone{ID: f.Req}
+		msg.Event = admission.CallerGone{ID: f.Req}
 	case "WantsCall":
-		msg.Event = admit.NeedsCall{ID: f.Req}
+		msg.Event = admission.NeedsCall{ID: f.Req}
 	case "Returned":
-		msg.Event = admit.CallReturned{ID: f.Req, Outcome: code, Took: terms.Micros(f.DurationMs)}
+		msg.Event = admission.CallReturned{ID: f.Req, Outcome: code, Took: config.Micros(f.DurationMs)}
 	default:
 		return errors.New("unknown message")
 	}
@@ -172,8 +172,8 @@
 }
 
 // Reading names the raw gauges of an Alarm; what is not among them is -1.
-func (g Gauge) Reading(names []string) admit.Reading {
-	r := terms.Reading(names, g.Values)
+func (g Gauge) Reading(names []string) admission.Reading {
+	r := config.Reading(names, g.Values)
 	r.Token = g.Token
 	return r
 }
@@ -198,36 +198,36 @@
 }
 
 // WriteAction encodes one action of an instance.
-func WriteAction(w io.Writer, i int, action admit.Action) error {
+func WriteAction(w io.Writer, i int, action admission.Action) error {
 	switch a := action.(type) {
-	case admit.Start:
+	case admission.Start:
 		return writeLine(w, "Launch", steer{I: i, Req: a.ID})
-	case admit.Stop:
+	case admission.Stop:
 		return writeLine(w, "Halt", steer{I: i, Req: a.ID})
-	case admit.Throttle:
+	case admission.Throttle:
 		return writeLine(w, "Decline", steer{I: i, Req: a.ID, RetryIn: millis(a.RetryIn), GiveUp: a.DontRetry})
-	case admit.Fail:
+	case admission.Fail:
 		return writeLine(w, "EndFailed", steer{I: i, Req: a.ID})
-	case admit.Call:
+	case admission.Call:
 		return writeLine(w, "CallDep", steer{I: i, Req: a.ID, Within: millis(a.Within)})
-	case admit.SkipCall:
+	case admission.SkipCall:
 		return writeLine(w, "Bypass", steer{I: i, Req: a.ID})
-	case admit.Remember:
+	case admission.Remember:
 		return writeLine(w, "Keep", steer{I: i, Req: a.ID, HoldFor: millis(a.For)})
-	case admit.Forget:
+	case admission.Forget:
 		return writeLine(w, "Forget", steer{I: i, Req: a.ID})
-	case admit.Reuse:
+	case admission.Reuse:
 		return writeLine(w, "Share", steer{I: i, Req: a.ID})
-	case admit.SetHealth:
+	case admission.SetHealth:
 		return writeLine(w, "Health", steer{I: i, Want: &a.Good, Stored: a.FromStore})
-	case admit.Advertise:
+	case admission.Advertise:
 		return writeLine(w, "Stamp", steer{I: i, X: &a.Value})
-	case admit.CloseIdle:
+	case admission.CloseIdle:
 		return writeLine(w, "Idle", steer{I: i, HoldFor: millis(a.After)})
-	case admit.Wake:
+	case admission.Wake:
 		at := millis(a.At)
 		return writeLine(w, "After", steer{I: i, When: &at, Token: &a.Token})
-	case admit.Log:
+	case admission.Log:
 		return writeLine(w, "WriteLog", steer{I: i, Message: a.Text})
 	}
 	return fmt.Errorf("no line for action %T", action)
--- a/keeper/guard.go
+++ b/internal/supervisor/guard.go
@@ -1,11 +1,11 @@
-// Package keeper is the small process beside each instance that outlives the agent: it starts the instance, tells
+// Package supervisor is the small process beside each instance that outlives the agent: it starts the instance, tells
 // it to leave, sees to it that it leaves within its window, and remembers what happened. What it decides stands in
 // Guard, which does no I/O and holds no clock.
-package keeper
+package supervisor
 
 import (
-	"milletbarrow/fleet"
-	"milletbarrow/inspect"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/fleet"
 )
 
 // Micros as in fleet.
@@ -32,7 +32,7 @@
 )
 
 // Look is one look at the instance; State is nil if it did not answer.
-type Look struct{ State *inspect.State }
+type Look struct{ State *admin.State }
 
 // Guard decides about one life of one instance.
 type Guard struct {
@@ -46,7 +46,7 @@
 	termed   bool
 	answered bool // it has answered once
 	wasReady bool
-	last     *inspect.State
+	last     *admin.State
 	lastAt   Micros
 	leaving  Micros // it leaves untold, since then; 0: it does not
 }
--- a/keeper/guard_test.go
+++ b/internal/supervisor/guard_test.go
@@ -1,13 +1,13 @@
-package keeper
+package supervisor
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/fleet"
-	"milletbarrow/inspect"
-	"milletbarrow/standin"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/fleet"
 )
 
 const second Micros = 1_000_000
@@ -58,7 +58,7 @@
 	if f.graceEnds != 0 && !f.stays && now >= f.graceEnds-usual.Grace+usual.Stop-30_000 {
 		f.gone, f.end = true, now
 	}
-	s := inspect.State{Ready: now >= f.ready && f.graceEnds == 0}
+	s := admin.State{Ready: now >= f.ready && f.graceEnds == 0}
 	if f.graceEnds != 0 {
 		s.Draining, s.GraceEnds = true, int64(f.graceEnds)
 	}
@@ -74,7 +74,7 @@
 
 // TestGuard: what becomes of an instance in each kind of trouble.
 func TestGuard(t *testing.T) {
-	tr := standin.NewTrace(t)
+	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
 		what string
 		f    fake
--- a/keeper/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"context"
@@ -19,11 +19,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"milletbarrow/fleet"
-	"milletbarrow/inspect"
-	"milletbarrow/limit"
-	"milletbarrow/proc"
-	"milletbarrow/talk"
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/jsonhttp"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
 )
 
 // Options are what a keeper is started with.
@@ -36,20 +36,20 @@
 	Command []string // starts the instance; --inspect SOCKET is appended
 	Env     []string // besides that of the keeper
 	Window  fleet.Window
-	Bounds  limit.Control
+	Bounds  limits.Control
 }
 
 // Keeper is a running one.
 type Keeper struct {
 	o     Options
 	paths Paths
-	peer  *inspect.Peer
+	peer  *admin.Peer
 	child *exec.Cmd // nil where it was adopted
 
 	mu      sync.Mutex
 	state   State
 	guard   Guard
-	look    *inspect.State
+	look    *admin.State
 	serial  int           // of what is to be seen
 	news    chan struct{} // closed at each change
 	fetched bool          // somebody has fetched the end
@@ -80,9 +80,9 @@
 	if k.state.Ended {
 		return nil // this life has come and gone: the same step came twice
 	}
-	k.peer = inspect.NewPeer(k.paths.Inspect, o.Bounds)
+	k.peer = admin.NewPeer(k.paths.Inspect, o.Bounds)
 	defer k.peer.Close()
-	l, err := inspect.Listen(k.paths.Socket)
+	l, err := admin.Listen(k.paths.Socket)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 		Handler: k.handler(), ReadHeaderTimeout: o.Bounds.Call, ReadTimeout: 2 * longPoll, WriteTimeout: 2 * longPoll,
 		IdleTimeout: o.Bounds.Idle, MaxHeaderBytes: o.Bounds.Message,
 	}
-	go server.Serve(limit.Conns(l, o.Bounds.Clients))
+	go server.Serve(limits.Conns(l, o.Bounds.Clients))
 	defer server.Close()
 
 	over := make(chan fleet.End, 1)
@@ -112,7 +112,7 @@
 // begin reads what another keeper left, and writes down that this one is here.
 func (k *Keeper) begin() error {
 	was, err := ReadState(k.paths.State)
-	me, errMe := proc.Of(os.Getpid())
+	me, errMe := process.Of(os.Getpid())
 	if errMe != nil {
 		return errMe
 	}
@@ -130,7 +130,7 @@
 	case err == nil && !was.Ended && was.Instance.Alive():
 		return fmt.Errorf("run %s still goes on as %v", was.Run, was.Instance)
 	default:
-		k.state = State{Name: k.o.Name, Run: k.o.Run, Began: Micros(proc.Now())}
+		k.state = State{Name: k.o.Name, Run: k.o.Run, Began: Micros(process.Now())}
 		k.guard.Began = k.state.Began
 	}
 	if k.state.Ended {
@@ -163,9 +163,9 @@
 		return err
 	}
 	k.child = cmd
-	id, err := proc.Of(cmd.Process.Pid)
+	id, err := process.Of(cmd.Process.Pid)
 	if err != nil { // it has ended already; its exit code tells
-		id = proc.Identity{PID: cmd.Process.Pid}
+		id = process.Identity{PID: cmd.Process.Pid}
 	}
 	k.mu.Lock()
 	k.state.Instance = id
@@ -243,7 +243,7 @@
 		case l := <-looks:
 			asking = false
 			k.mu.Lock()
-			k.guard.Look(Micros(proc.Now()), l)
+			k.guard.Look(Micros(process.Now()), l)
 			if l.State != nil {
 				k.look = l.State
 			}
@@ -256,7 +256,7 @@
 		case <-k.wake:
 		case <-timer.C:
 		}
-		now := Micros(proc.Now())
+		now := Micros(process.Now())
 		k.mu.Lock()
 		acts := k.guard.Next(now)
 		killed, toldAt, id := k.guard.Killed, k.guard.ToldAt, k.state.Instance
@@ -291,7 +291,7 @@
 	}
 }
 
-func (k *Keeper) act(a Act, id proc.Identity, killed string, ago Micros) {
+func (k *Keeper) act(a Act, id process.Identity, killed string, ago Micros) {
 	var err error
 	switch a {
 	case Term:
@@ -306,7 +306,7 @@
 		err = id.KillGroup()
 		slog.Warn("killed", "name", k.o.Name, "run", k.o.Run, "cause", killed, "after_ms", ago/1000)
 	}
-	if err != nil && !errors.Is(err, proc.ErrGone) {
+	if err != nil && !errors.Is(err, process.ErrGone) {
 		slog.Error("signal", "name", k.o.Name, "error", err.Error())
 	}
 }
@@ -315,7 +315,7 @@
 func (k *Keeper) tell(step string) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.guard.Tell(Micros(proc.Now()), step) {
+	if !k.guard.Tell(Micros(process.Now()), step) {
 		return nil
 	}
 	k.state.Told, k.state.ToldAt = step, k.guard.ToldAt
@@ -334,7 +334,7 @@
 func (k *Keeper) finish(end fleet.End) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	now := Micros(proc.Now())
+	now := Micros(process.Now())
 	if end.Killed = k.guard.Killed; end.Killed != "" {
 		end.Code, end.Unseen = -1, false
 	}
@@ -391,11 +391,11 @@
 
 // Report is what a keeper tells of its instance.
 type Report struct {
-	Version int            `json:"version"`
-	Serial  int            `json:"serial"` // grows with each change
-	Sight   fleet.Sight    `json:"sight"`
-	State   *inspect.State `json:"state,omitempty"` // the instance's own words, the latest
-	Life    State          `json:"life"`
+	Version int          `json:"version"`
+	Serial  int          `json:"serial"` // grows with each change
+	Sight   fleet.Sight  `json:"sight"`
+	State   *admin.State `json:"state,omitempty"` // the instance's own words, the latest
+	Life    State        `json:"life"`
 }
 
 // changed lets who waits know of a change that matters; k.mu is held.
@@ -420,7 +420,7 @@
 func (k *Keeper) report() (Report, chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	phase, cause := k.guard.Phase(Micros(proc.Now()))
+	phase, cause := k.guard.Phase(Micros(process.Now()))
 	s := fleet.Sight{Run: k.state.Run, Phase: phase, Cause: cause, Told: k.state.Told}
 	if k.look != nil {
 		s.Picked, s.Turned = k.look.Picked, k.look.Throttled+k.look.Errored
@@ -504,26 +504,26 @@
 // Client speaks to a keeper.
 type Client struct {
 	http   *http.Client
-	bounds limit.Control
+	bounds limits.Control
 }
 
 // NewClient is one for the keeper of that name.
-func NewClient(dir, name string, b limit.Control) *Client {
-	return &Client{talk.Client("unix:"+PathsOf(dir, name).Socket, b), b}
+func NewClient(dir, name string, b limits.Control) *Client {
+	return &Client{jsonhttp.Client("unix:"+PathsOf(dir, name).Socket, b), b}
 }
 
 // Report waits until there is more than after, or for some seconds.
 func (c *Client) Report(ctx context.Context, after int) (r Report, err error) {
 	ctx, cancel := context.WithTimeout(ctx, longPoll+c.bounds.Call)
 	defer cancel()
-	return r, talk.Call(ctx, c.http, http.MethodGet, "/v1/report?after="+strconv.Itoa(after), nil, &r, int64(c.bounds.Message))
+	return r, jsonhttp.Call(ctx, c.http, http.MethodGet, "/v1/report?after="+strconv.Itoa(after), nil, &r, int64(c.bounds.Message))
 }
 
 // Order hands a step over, within Call.
 func (c *Client) Order(ctx context.Context, o Order) error {
 	ctx, cancel := context.WithTimeout(ctx, c.bounds.Call)
 	defer cancel()
-	return talk.Call(ctx, c.http, http.MethodPost, "/v1/order", o, nil, 0)
+	return jsonhttp.Call(ctx, c.http, http.MethodPost, "/v1/order", o, nil, 0)
 }
 
 // Close lets go of kept connections.
--- a/keeper/state.go
+++ b/internal/supervisor/state.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"syscall"
 
-	"milletbarrow/fleet"
-	"milletbarrow/proc"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/process"
 )
 
 // Paths are the files of one instance's keeper.
@@ -35,17 +35,17 @@
 // State is what a keeper writes down, so that another can take over and the agent can tell what became of a life
 // whose keeper is gone.
 type State struct {
-	Version  int           `json:"version"`
-	Name     string        `json:"name"`
-	Run      string        `json:"run"`
-	Boot     string        `json:"boot"` // the run of the machine that identities and times are of
-	Keeper   proc.Identity `json:"keeper"`
-	Instance proc.Identity `json:"instance"` // zero before it was started
-	Began    Micros        `json:"began"`
-	Told     string        `json:"told,omitempty"` // the notice taken
-	ToldAt   Micros        `json:"told_at,omitempty"`
-	Ended    bool          `json:"ended,omitempty"`
-	End      fleet.End     `json:"end"`
+	Version  int              `json:"version"`
+	Name     string           `json:"name"`
+	Run      string           `json:"run"`
+	Boot     string           `json:"boot"` // the run of the machine that identities and times are of
+	Keeper   process.Identity `json:"keeper"`
+	Instance process.Identity `json:"instance"` // zero before it was started
+	Began    Micros           `json:"began"`
+	Told     string           `json:"told,omitempty"` // the notice taken
+	ToldAt   Micros           `json:"told_at,omitempty"`
+	Ended    bool             `json:"ended,omitempty"`
+	End      fleet.End        `json:"end"`
 }
 
 // stateVersion is that of the file; a newer one is not touched.
@@ -69,8 +69,8 @@
 	if s.Version > stateVersion {
 		return s, fmt.Errorf("%s: version %d, and this build knows %d", path, s.Version, stateVersion)
 	}
-	if s.Boot != proc.Boot() {
-		s.Ended, s.End, s.Instance, s.Keeper = true, fleet.End{Unseen: true}, proc.Identity{}, proc.Identity{}
+	if s.Boot != process.Boot() {
+		s.Ended, s.End, s.Instance, s.Keeper = true, fleet.End{Unseen: true}, process.Identity{}, process.Identity{}
 	}
 	return s, nil
 }
@@ -78,7 +78,7 @@
 // write replaces the file whole: whoever reads it sees the state before or after. It is not synced, as it has to
 // outlive processes and not the machine, which ends them all.
 func (s State) write(path string) error {
-	s.Version, s.Boot = stateVersion, proc.Boot()
+	s.Version, s.Boot = stateVersion, process.Boot()
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
