--- a/cmd/milletbarrow/keeper.go
+++ b/cmd/milletbarrow/keeper.go
@@ -51,13 +51,13 @@
 			}
 			err = supervisor.Run(ctx, supervisor.Options{
 				Dir: c.String("dir"), Name: c.String("name"), Run: c.String("run"), Adopt: c.Bool("adopt"),
-				Begin: []string{self, "begin", "--"}, Command: command,
+				Launcher: []string{self, "begin", "--"}, Command: command,
 				Window: fleet.Window{
 					Grace: fleet.Micros(c.Duration("grace").Microseconds()), Stop: fleet.Micros(c.Duration("stop").Microseconds()),
 				},
 				Bounds: limits.ForControl(),
 			})
-			if errors.Is(err, supervisor.ErrHeld) {
+			if errors.Is(err, supervisor.ErrLocked) {
 				return cli.Exit(err.Error(), agent.KeeperHeld)
 			}
 			return err
@@ -68,6 +68,6 @@
 func beginCommand() *cli.Command {
 	return &cli.Command{
 		Name: "begin", Usage: "become an instance (started by the keeper)", Hidden: true,
-		Action: func(_ context.Context, c *cli.Command) error { return supervisor.Begin(c.Args().Slice()) },
+		Action: func(_ context.Context, c *cli.Command) error { return supervisor.WaitAndExec(c.Args().Slice()) },
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -136,8 +136,8 @@
 		}
 		slog.Warn("adopt", "name", in.Name, "run", s.Run, "why", "the record does not know it")
 		saved.Instances = append(saved.Instances, fleet.Instance{
-			Name: in.Name, Up: s.Told == "", Run: s.Run, Serial: serialOf(s.Run), Told: s.Told, ToldAt: s.ToldAt,
-			Deadline: s.ToldAt, Phase: fleet.Unknown,
+			Name: in.Name, Up: s.NotifiedStep == "", Run: s.Run, Serial: serialOf(s.Run), Told: s.NotifiedStep, ToldAt: s.NotifiedAt,
+			Deadline: s.NotifiedAt, Phase: fleet.Unknown,
 		})
 	}
 }
@@ -456,7 +456,7 @@
 				one.Left = int64(in.Deadline - now)
 			}
 			if r, ok := in.Detail.(*supervisor.Report); ok && !in.Phase.Down() {
-				one.PID, one.Keeper, one.State = r.Life.Instance.PID, r.Life.Keeper.PID, r.State
+				one.PID, one.Keeper, one.State = r.Record.Instance.PID, r.Record.Supervisor.PID, r.State
 			}
 			s.Instances = append(s.Instances, one)
 		}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -38,7 +38,7 @@
 		case "keeper":
 			keeperMain()
 		case "begin":
-			fmt.Fprintln(os.Stderr, supervisor.Begin(os.Args[3:]))
+			fmt.Fprintln(os.Stderr, supervisor.WaitAndExec(os.Args[3:]))
 			os.Exit(1)
 		case "serve":
 			instanceMain(os.Args[3], os.Args[5])
@@ -67,11 +67,11 @@
 	stop, _ := time.ParseDuration(flagOf("stop"))
 	err := supervisor.Run(context.Background(), supervisor.Options{
 		Dir: flagOf("dir"), Name: flagOf("name"), Run: flagOf("run"), Adopt: slices.Contains(os.Args, "--adopt"),
-		Begin: []string{os.Args[0], "begin", "--"}, Command: []string{os.Args[0], "serve", "--config", flagOf("config")},
+		Launcher: []string{os.Args[0], "begin", "--"}, Command: []string{os.Args[0], "serve", "--config", flagOf("config")},
 		Window: fleet.Window{Grace: fleet.Micros(grace.Microseconds()), Stop: fleet.Micros(stop.Microseconds())},
 		Bounds: limits.ForControl(),
 	})
-	if errors.Is(err, supervisor.ErrHeld) {
+	if errors.Is(err, supervisor.ErrLocked) {
 		os.Exit(KeeperHeld)
 	}
 	if err != nil {
@@ -179,7 +179,7 @@
 		for _, n := range h.names {
 			if s, err := supervisor.ReadState(supervisor.PathsOf(h.dir, n).State); err == nil {
 				s.Instance.KillGroup()
-				s.Keeper.Signal(syscall.SIGKILL)
+				s.Supervisor.Signal(syscall.SIGKILL)
 			}
 		}
 		time.Sleep(30 * time.Millisecond)
@@ -414,16 +414,16 @@
 		return s
 	}
 	before := state("a")
-	before.Keeper.Signal(syscall.SIGKILL)
-	fakes.Until(t, "another keeper is there", func() bool { s := state("a"); return s.Keeper != before.Keeper && s.Keeper.Alive() })
+	before.Supervisor.Signal(syscall.SIGKILL)
+	fakes.Until(t, "another keeper is there", func() bool { s := state("a"); return s.Supervisor != before.Supervisor && s.Supervisor.Alive() })
 	fakes.Until(t, "it is seen ready", func() bool { return h.agent.Status().Instances[0].Phase == fleet.Ready })
-	if s := state("a"); s.Instance != before.Instance || s.Told != "" {
+	if s := state("a"); s.Instance != before.Instance || s.NotifiedStep != "" {
 		t.Fatalf("%+v became %+v", before, s)
 	}
 	h.order("down", fleet.Drain)
-	fakes.Until(t, "the notice is written down", func() bool { return state("deaf").Told != "" && state("a").Told != "" })
-	state("deaf").Keeper.Signal(syscall.SIGKILL)
-	state("a").Keeper.Signal(syscall.SIGKILL)
+	fakes.Until(t, "the notice is written down", func() bool { return state("deaf").NotifiedStep != "" && state("a").NotifiedStep != "" })
+	state("deaf").Supervisor.Signal(syscall.SIGKILL)
+	state("a").Supervisor.Signal(syscall.SIGKILL)
 	c := h.result("down")
 	if c.Results["a"].Outcome != fleet.Succeeded || c.Results["deaf"].Outcome != fleet.Killed {
 		t.Errorf("%+v", c.Results)
@@ -443,7 +443,7 @@
 	fakes.Until(t, "the notices are out", func() bool {
 		a, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
 		d, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "deaf").State)
-		return a.Told != "" && d.Told != ""
+		return a.NotifiedStep != "" && d.NotifiedStep != ""
 	})
 	h.leave()
 	for _, n := range h.names {
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -91,7 +91,7 @@
 		for i, name := range names {
 			p := peers[name]
 			if p == nil {
-				p = admin.NewPeer(supervisor.PathsOf(a.o.Dir, name).Inspect, a.o.Bounds)
+				p = admin.NewPeer(supervisor.PathsOf(a.o.Dir, name).Admin, a.o.Bounds)
 				peers[name] = p
 			}
 			all.Go(func() {
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -65,11 +65,11 @@
 		misses := 0
 		for after := -1; !over && round.Err() == nil; {
 			r, err := client.Report(round, after)
-			if err == nil && r.Sight.Run == run {
+			if err == nil && r.Observation.Run == run {
 				misses, after = 0, r.Serial
-				r.Sight.Detail = &r
-				over = r.Sight.Phase == fleet.Gone
-				a.sighted(round, w.name, r.Sight, false)
+				r.Observation.Detail = &r
+				over = r.Observation.Phase == fleet.Gone
+				a.sighted(round, w.name, r.Observation, false)
 				continue
 			}
 			if round.Err() != nil {
@@ -122,7 +122,7 @@
 	st, err := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, name).State)
 	switch {
 	case err == nil && st.Run == run && st.Ended:
-		s.Phase, s.End, s.Told = fleet.Gone, st.End, st.Told
+		s.Phase, s.End, s.Told = fleet.Gone, st.End, st.NotifiedStep
 		return s, true
 	case misses < patientMisses:
 		return s, true
@@ -132,14 +132,14 @@
 	case err != nil || st.Run != run:
 		s.Phase, s.End = fleet.Gone, fleet.End{Unseen: true}
 		return s, false
-	case st.Keeper.Alive():
+	case st.Supervisor.Alive():
 		s.Phase, s.Cause = fleet.Unknown, "its keeper does not answer"
 	case st.Instance.Alive():
 		s.Phase, s.Cause, s.Orphan = fleet.Unknown, "its keeper is gone", true
 	default:
 		s.Phase, s.End = fleet.Gone, fleet.End{Unseen: true}
 	}
-	s.Told = st.Told
+	s.Told = st.NotifiedStep
 	return s, true
 }
 
@@ -183,7 +183,7 @@
 func (a *Agent) order(s fleet.Step) {
 	client := supervisor.NewClient(a.o.Dir, s.Name, a.o.Bounds)
 	defer client.Close()
-	err := client.Order(context.Background(), supervisor.Order{Step: s.ID, Run: s.Run, What: s.What, Cause: s.Cause})
+	err := client.Request(context.Background(), supervisor.StepRequest{Step: s.ID, Run: s.Run, What: s.What, Cause: s.Cause})
 	if err == nil {
 		return
 	}
@@ -208,7 +208,7 @@
 // launch starts a keeper, unless one has this life already. An error means that trying again would not help.
 func (a *Agent) launch(all *fleet.Spec, s fleet.Step) error {
 	paths := supervisor.PathsOf(a.o.Dir, s.Name)
-	if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Run && (st.Ended || st.Keeper.Alive()) {
+	if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Run && (st.Ended || st.Supervisor.Alive()) {
 		return nil // the same step came twice
 	}
 	spec := all.Find(s.Name)
--- a/internal/supervisor/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -28,15 +28,15 @@
 
 // Options are what a keeper is started with.
 type Options struct {
-	Dir     string // of the agent
-	Name    string
-	Run     string   // the life to begin, or to take over
-	Adopt   bool     // take over: start nothing
-	Begin   []string // runs what is appended once descriptor 3 brings a byte; see Begin
-	Command []string // starts the instance; --inspect SOCKET is appended
-	Env     []string // besides that of the keeper
-	Window  fleet.Window
-	Bounds  limits.Control
+	Dir      string // of the agent
+	Name     string
+	Run      string   // the life to begin, or to take over
+	Adopt    bool     // take over: start nothing
+	Launcher []string // runs what is appended once descriptor 3 brings a byte; see Begin
+	Command  []string // starts the instance; --inspect SOCKET is appended
+	Env      []string // besides that of the keeper
+	Window   fleet.Window
+	Bounds   limits.Control
 }
 
 // Keeper is a running one.
@@ -80,7 +80,7 @@
 	if k.state.Ended {
 		return nil // this life has come and gone: the same step came twice
 	}
-	k.peer = admin.NewPeer(k.paths.Inspect, o.Bounds)
+	k.peer = admin.NewPeer(k.paths.Admin, o.Bounds)
 	defer k.peer.Close()
 	l, err := admin.Listen(k.paths.Socket)
 	if err != nil {
@@ -124,19 +124,19 @@
 			return fmt.Errorf("run %s goes on as %v without a keeper; it has to be adopted", was.Run, was.Instance)
 		}
 		k.state = was
-		k.guard.Step, k.guard.ToldAt, k.guard.Began = was.Told, was.ToldAt, was.Began
+		k.guard.Step, k.guard.ToldAt, k.guard.Began = was.NotifiedStep, was.NotifiedAt, was.StartedAt
 	case k.o.Adopt:
 		return fmt.Errorf("run %s: there is nothing to take over", k.o.Run)
 	case err == nil && !was.Ended && was.Instance.Alive():
 		return fmt.Errorf("run %s still goes on as %v", was.Run, was.Instance)
 	default:
-		k.state = State{Name: k.o.Name, Run: k.o.Run, Began: Micros(process.Now())}
-		k.guard.Began = k.state.Began
+		k.state = State{Name: k.o.Name, Run: k.o.Run, StartedAt: Micros(process.Now())}
+		k.guard.Began = k.state.StartedAt
 	}
 	if k.state.Ended {
 		return nil
 	}
-	k.state.Keeper = me
+	k.state.Supervisor = me
 	return k.state.write(k.paths.State)
 }
 
@@ -153,8 +153,8 @@
 	}
 	defer read.Close()
 	defer write.Close()
-	args := slices.Concat(k.o.Begin[1:], k.o.Command, []string{"--inspect", k.paths.Inspect})
-	cmd := exec.Command(k.o.Begin[0], args...)
+	args := slices.Concat(k.o.Launcher[1:], k.o.Command, []string{"--inspect", k.paths.Admin})
+	cmd := exec.Command(k.o.Launcher[0], args...)
 	cmd.ExtraFiles = []*os.File{read}
 	cmd.Env = append(os.Environ(), k.o.Env...)
 	cmd.Stdout, cmd.Stderr = log, log // a file, not a pipe: it needs no reader, and outlives this process
@@ -194,9 +194,9 @@
 	return nil
 }
 
-// Begin becomes the instance once its keeper has written down which process it is, and ends if the keeper dies
+// WaitAndExec becomes the instance once its keeper has written down which process it is, and ends if the keeper dies
 // before that: no instance runs of which nobody knows.
-func Begin(command []string) error {
+func WaitAndExec(command []string) error {
 	if len(command) == 0 {
 		return errors.New("nothing to begin")
 	}
@@ -318,7 +318,7 @@
 	if !k.guard.Tell(Micros(process.Now()), step) {
 		return nil
 	}
-	k.state.Told, k.state.ToldAt = step, k.guard.ToldAt
+	k.state.NotifiedStep, k.state.NotifiedAt = step, k.guard.ToldAt
 	slog.Info("told", "name", k.o.Name, "run", k.o.Run, "step", step)
 	err := k.state.write(k.paths.State) // on a full disk the instance is told all the same
 	if err != nil {
@@ -338,9 +338,9 @@
 	if end.Killed = k.guard.Killed; end.Killed != "" {
 		end.Code, end.Unseen = -1, false
 	}
-	end.Lived = now - k.state.Began
-	if k.state.Told != "" {
-		end.After = now - k.state.ToldAt
+	end.Lived = now - k.state.StartedAt
+	if k.state.NotifiedStep != "" {
+		end.After = now - k.state.NotifiedAt
 	}
 	k.state.Ended, k.state.End = true, end
 	if err := k.state.write(k.paths.State); err != nil {
@@ -391,11 +391,11 @@
 
 // Report is what a keeper tells of its instance.
 type Report struct {
-	Version int          `json:"version"`
-	Serial  int          `json:"serial"` // grows with each change
-	Sight   fleet.Sight  `json:"sight"`
-	State   *admin.State `json:"state,omitempty"` // the instance's own words, the latest
-	Life    State        `json:"life"`
+	Version     int          `json:"version"`
+	Serial      int          `json:"serial"` // grows with each change
+	Observation fleet.Sight  `json:"sight"`
+	State       *admin.State `json:"state,omitempty"` // the instance's own words, the latest
+	Record      State        `json:"life"`
 }
 
 // changed lets who waits know of a change that matters; k.mu is held.
@@ -407,9 +407,9 @@
 		picked, level = k.look.Picked, k.look.Level
 	}
 	shown := &k.shown
-	if shown.phase != phase || shown.cause != cause || shown.told != k.state.Told || shown.level != level ||
+	if shown.phase != phase || shown.cause != cause || shown.told != k.state.NotifiedStep || shown.level != level ||
 		shown.picked != picked && now-shown.at >= countsEvery {
-		shown.phase, shown.cause, shown.told, shown.level = phase, cause, k.state.Told, level
+		shown.phase, shown.cause, shown.told, shown.level = phase, cause, k.state.NotifiedStep, level
 		shown.picked, shown.at = picked, now
 		k.serial++
 		close(k.news)
@@ -421,7 +421,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	phase, cause := k.guard.Phase(Micros(process.Now()))
-	s := fleet.Sight{Run: k.state.Run, Phase: phase, Cause: cause, Told: k.state.Told}
+	s := fleet.Sight{Run: k.state.Run, Phase: phase, Cause: cause, Told: k.state.NotifiedStep}
 	if k.look != nil {
 		s.Picked, s.Turned = k.look.Picked, k.look.Throttled+k.look.Errored
 		s.Level = k.look.Level
@@ -432,11 +432,11 @@
 	if k.state.Ended {
 		s.Phase, s.Cause, s.End = fleet.Gone, "", k.state.End
 	}
-	return Report{Version: stateVersion, Serial: k.serial, Sight: s, State: k.look, Life: k.state}, k.news
+	return Report{Version: stateVersion, Serial: k.serial, Observation: s, State: k.look, Record: k.state}, k.news
 }
 
-// Order is a step for a keeper.
-type Order struct {
+// StepRequest is a step for a keeper.
+type StepRequest struct {
 	Step  string     `json:"step"`
 	Run   string     `json:"run"`
 	What  fleet.What `json:"what"` // Tell or Kill
@@ -464,7 +464,7 @@
 			}
 		}
 		w.Header().Set("Content-Type", "application/json")
-		if json.NewEncoder(w).Encode(report) == nil && report.Sight.Phase == fleet.Gone {
+		if json.NewEncoder(w).Encode(report) == nil && report.Observation.Phase == fleet.Gone {
 			http.NewResponseController(w).Flush()
 			k.mu.Lock()
 			k.fetched = true
@@ -472,7 +472,7 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/order", func(w http.ResponseWriter, r *http.Request) {
-		var o Order
+		var o StepRequest
 		if err := json.NewDecoder(io.LimitReader(r.Body, int64(k.o.Bounds.Message))).Decode(&o); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -519,8 +519,8 @@
 	return r, jsonhttp.Call(ctx, c.http, http.MethodGet, "/v1/report?after="+strconv.Itoa(after), nil, &r, int64(c.bounds.Message))
 }
 
-// Order hands a step over, within Call.
-func (c *Client) Order(ctx context.Context, o Order) error {
+// Request hands a step over, within Call.
+func (c *Client) Request(ctx context.Context, o StepRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, c.bounds.Call)
 	defer cancel()
 	return jsonhttp.Call(ctx, c.http, http.MethodPost, "/v1/order", o, nil, 0)
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -13,7 +13,7 @@
 )
 
 // Paths are the files of one instance's keeper.
-type Paths struct{ State, Socket, Inspect, Log, Lock string }
+type Paths struct{ State, Socket, Admin, Log, Lock string }
 
 // mostPath is what the system allows a Unix socket's path, less the zero at its end.
 const mostPath = 107
@@ -26,8 +26,8 @@
 
 // Check tells of a directory whose sockets can't be opened.
 func (p Paths) Check() error {
-	if n := len(p.Inspect); n > mostPath {
-		return fmt.Errorf("%s: %d bytes, and a socket's path can have %d: take a shorter directory", p.Inspect, n, mostPath)
+	if n := len(p.Admin); n > mostPath {
+		return fmt.Errorf("%s: %d bytes, and a socket's path can have %d: take a shorter directory", p.Admin, n, mostPath)
 	}
 	return nil
 }
@@ -35,17 +35,17 @@
 // State is what a keeper writes down, so that another can take over and the agent can tell what became of a life
 // whose keeper is gone.
 type State struct {
-	Version  int              `json:"version"`
-	Name     string           `json:"name"`
-	Run      string           `json:"run"`
-	Boot     string           `json:"boot"` // the run of the machine that identities and times are of
-	Keeper   process.Identity `json:"keeper"`
-	Instance process.Identity `json:"instance"` // zero before it was started
-	Began    Micros           `json:"began"`
-	Told     string           `json:"told,omitempty"` // the notice taken
-	ToldAt   Micros           `json:"told_at,omitempty"`
-	Ended    bool             `json:"ended,omitempty"`
-	End      fleet.End        `json:"end"`
+	Version      int              `json:"version"`
+	Name         string           `json:"name"`
+	Run          string           `json:"run"`
+	Boot         string           `json:"boot"` // the run of the machine that identities and times are of
+	Supervisor   process.Identity `json:"keeper"`
+	Instance     process.Identity `json:"instance"` // zero before it was started
+	StartedAt    Micros           `json:"began"`
+	NotifiedStep string           `json:"told,omitempty"` // the notice taken
+	NotifiedAt   Micros           `json:"told_at,omitempty"`
+	Ended        bool             `json:"ended,omitempty"`
+	End          fleet.End        `json:"end"`
 }
 
 // stateVersion is that of the file; a newer one is not touched.
@@ -70,7 +70,7 @@
 		return s, fmt.Errorf("%s: version %d, and this build knows %d", path, s.Version, stateVersion)
 	}
 	if s.Boot != process.Boot() {
-		s.Ended, s.End, s.Instance, s.Keeper = true, fleet.End{Unseen: true}, process.Identity{}, process.Identity{}
+		s.Ended, s.End, s.Instance, s.Supervisor = true, fleet.End{Unseen: true}, process.Identity{}, process.Identity{}
 	}
 	return s, nil
 }
@@ -90,8 +90,8 @@
 	return os.Rename(next, path)
 }
 
-// ErrHeld: another keeper has the instance.
-var ErrHeld = errors.New("another keeper holds the instance")
+// ErrLocked: another keeper has the instance.
+var ErrLocked = errors.New("another keeper holds the instance")
 
 // lock takes the instance for this process; the system lets go of it with the process.
 func lock(path string) (*os.File, error) {
@@ -102,7 +102,7 @@
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, ErrHeld
+			return nil, ErrLocked
 		}
 		return nil, err
 	}
