--- a/admission/admit.go
+++ b/admission/admit.go
@@ -112,7 +112,7 @@
 
 // Backend decides for one instance.
 type Backend struct {
-	t       Terms
+	t       Config
 	chance  uint64
 	hand    []*invocation // everything read and not over, in order of arrival
 	seen    []*invocation // of the hand, while it is gone through
@@ -210,7 +210,7 @@
 // unusual stands in for the retry mark where none is given: callers wait the same for each first try, and
 // for a later one what is left.
 func (b *Backend) unusual(now Micros, a Arrived, op *Operation) bool {
-	part, least := float64(a.Waited+a.Budget)/float64(op.ClientTimeout), &b.waits[0]
+	part, least := float64(a.QueueTime+a.TimeLeft)/float64(op.ClientTimeout), &b.waits[0]
 	for n := range b.waits {
 		w := &b.waits[n]
 		w.seen.read(now)
@@ -227,7 +227,7 @@
 		*least = wait{part, over(paceOver)}
 	}
 	least.seen.add(now, 1)
-	return a.Budget > 0 && least.seen.sum < usualWait*b.usual.read(now)
+	return a.TimeLeft > 0 && least.seen.sum < usualWait*b.usual.read(now)
 }
 
 // become changes a phase, and what is counted by it.
@@ -250,7 +250,7 @@
 }
 
 // New makes an instance; its first event is Opened.
-func New(t Terms, seed uint64) *Backend {
+func New(t Config, seed uint64) *Backend {
 	b := &Backend{
 		t: t, chance: seed, byID: map[string]*invocation{}, kept: map[string]*entry{},
 		paces: make([]pace, len(t.Operations)), before: make([]float64, len(t.Operations)),
@@ -260,14 +260,14 @@
 		firstCalls: over(callRetryOver), retryCalls: over(callRetryOver),
 		callTook: over(callUsualOver), callsEnded: over(callUsualOver),
 		callSpent: over(lately), callsLate: over(lately),
-		callMean: over(max(t.CallsOver/5, 1)),
+		callMean: over(max(t.CallQuotaWindow/5, 1)),
 		spent:    over(lately), earned: over(lately), ended: over(lately),
 	}
-	b.t.Cores, b.t.Fleet, b.t.Callers = max(t.Cores, 1), max(t.Fleet, 1), max(t.Callers, 1)
-	b.tick = max(min(tickMost, t.AnswerSlack/3), t.Round, 1000)
+	b.t.Cores, b.t.FleetSize, b.t.Callers = max(t.Cores, 1), max(t.FleetSize, 1), max(t.Callers, 1)
+	b.tick = max(min(tickMost, t.AnswerSlack/3), t.BatchInterval, 1000)
 	b.t.Operations = slices.Clone(t.Operations)
 	for n := range b.paces {
-		if op := &b.t.Operations[n]; op.Value <= 0 || t.ByWork {
+		if op := &b.t.Operations[n]; op.Value <= 0 || t.ValuePerWork {
 			op.Value = 1 // not told, or all are alike for their length
 		}
 		b.paces[n] = pace{spent: over(paceOver), units: over(paceOver)}
@@ -331,13 +331,13 @@
 // arrive is the ordinary path of an invocation, from the count of its mark to its line.
 func (b *Backend) arrive(now Micros, a Arrived, out []Action) []Action {
 	op := &b.t.Operations[a.Operation]
-	a.Retry = a.Retry || b.t.Unmarked && b.unusual(now, a, op)
+	a.Retry = a.Retry || b.t.RetriesUnmarked && b.unusual(now, a, op)
 	b.reads.add(now, 1)
 	b.usual.add(now, 1)
 	if a.Retry {
 		b.retries.add(now, 1)
 	}
-	if a.Waited < op.Objective/2 {
+	if a.QueueTime < op.Objective/2 {
 		b.moved = now
 	} else {
 		b.lateAt = now
@@ -348,20 +348,20 @@
 	}
 	b.seq++
 	*inv = invocation{
-		id: a.ID, seq: b.seq, op: op, pace: &b.paces[a.Operation], rank: a.Rank, kb: a.KB, unit: 1,
-		unread: max(a.Waited, a.Shed), arrived: now - a.Waited, due: now + a.Budget, retry: a.Retry,
+		id: a.ID, seq: b.seq, op: op, pace: &b.paces[a.Operation], rank: a.Priority, kb: a.MemoryKB, unit: 1,
+		unread: max(a.QueueTime, a.ShedFor), arrived: now - a.QueueTime, due: now + a.TimeLeft, retry: a.Retry,
 		of: a.Operation, tenant: a.Tenant,
 	}
-	if a.Budget <= 0 {
+	if a.TimeLeft <= 0 {
 		inv.due = max(now, inv.arrived+op.ClientTimeout)
 	}
-	if a.Hint > 0 {
-		inv.unit = float64(a.Hint)
+	if a.ExpectedWork > 0 {
+		inv.unit = float64(a.ExpectedWork)
 	}
-	inv.wantBy = min(inv.due, inv.arrived+op.Objective+Micros(op.Stretch*float64(a.Hint)))
+	inv.wantBy = min(inv.due, inv.arrived+op.Objective+Micros(op.ObjectiveStretch*float64(a.ExpectedWork)))
 	if inv.pace.units.sum == 0 { // a first guess, soon outweighed
 		inv.pace.units.add(now, inv.unit)
-		inv.pace.spent.add(now, max(float64(a.Hint), float64(op.Objective)/8))
+		inv.pace.spent.add(now, max(float64(a.ExpectedWork), float64(op.Objective)/8))
 	}
 	b.hand = append(b.hand, inv)
 	b.byID[a.ID] = inv
@@ -376,14 +376,14 @@
 
 	// Guards: a repeat never runs again; nothing is taken after the grace, beyond memory, or against a level.
 	late := inv.arrived > b.drainAt+b.t.DrainGrace || now >= b.lastCall()
-	if a.Earlier != "" && op.Repeat == Tokened {
+	if a.RepeatOf != "" && op.RetrySafety == IdempotencyKeyed {
 		if late || inv.due <= now {
 			return b.leave(now, inv, append(out, Fail{inv.id}))
 		}
 		b.become(inv, reusing)
 		return append(out, Reuse{a.ID})
 	}
-	if late || a.Shed > 0 || b.memory() > holdMemory*b.t.MemoryKB {
+	if late || a.ShedFor > 0 || b.memory() > holdMemory*b.t.MemoryKB {
 		return b.throttle(now, inv, out, false)
 	}
 
@@ -395,14 +395,14 @@
 			total, quotas = total+b.tenants[n].read(now), quotas+b.t.QuotaPerSecond[n]
 		}
 		quota := b.t.QuotaPerSecond[a.Tenant]
-		even := quota / float64(b.t.Fleet) * lately / 1e6
+		even := quota / float64(b.t.FleetSize) * lately / 1e6
 		even += tenantSlack * math.Sqrt(even) // of one invocation a second two may come, of ten hardly twenty
 		over := b.tenants[a.Tenant].read(now) >= max(even, total*quota/quotas)
-		if a.Share != NotTold { // the fleet's division knows more than the fleet's size tells
-			over = a.Share == Beyond
+		if a.Quota != QuotaUnknown { // the fleet's division knows more than the fleet's size tells
+			over = a.Quota == OverQuota
 		}
 		if over {
-			inv.rank *= shareRank * b.t.OverShareValue
+			inv.rank *= shareRank * b.t.OverQuotaValue
 		} else {
 			inv.rank = shareRank + (1-shareRank)*inv.rank
 		}
@@ -417,12 +417,12 @@
 	}
 
 	// Taken: from here on it is remembered, and waits in the short or the long line.
-	if op.Repeat == Tokened {
-		if b.memory()+b.t.KeyKB > holdMemory*b.t.MemoryKB {
+	if op.RetrySafety == IdempotencyKeyed {
+		if b.memory()+b.t.IdempotencyKeyKB > holdMemory*b.t.MemoryKB {
 			return b.throttle(now, inv, out, false)
 		}
-		b.kept[inv.id] = &entry{until: now + op.Window}
-		out = append(out, Remember{inv.id, op.Window})
+		b.kept[inv.id] = &entry{until: now + op.RepeatWindow}
+		out = append(out, Remember{inv.id, op.RepeatWindow})
 	}
 	if a.Tenant < len(b.tenants) {
 		b.tenants[a.Tenant].add(now, 1)
@@ -453,10 +453,10 @@
 // crowd is how many runs may be on the cores: a part of what is survived, less while cold.
 func (b *Backend) crowd(now Micros) float64 {
 	speed := 1.0
-	if b.t.JustStarted && now < b.opened+b.t.ColdFor {
-		speed = b.t.ColdShare + (1-b.t.ColdShare)*float64(now-b.opened)/float64(b.t.ColdFor)
+	if b.t.JustStarted && now < b.opened+b.t.WarmUp {
+		speed = b.t.ColdSpeed + (1-b.t.ColdSpeed)*float64(now-b.opened)/float64(b.t.WarmUp)
 	}
-	return max(1, crowdSafety*float64(b.t.Cores)*(1+(b.t.FallMultiple-1)*speed))
+	return max(1, crowdSafety*float64(b.t.Cores)*(1+(b.t.CollapseMultiple-1)*speed))
 }
 
 // drag is how many times more core time runs take of late than they did. Runs that have
@@ -520,7 +520,7 @@
 			break
 		}
 		out = append(out, Start{inv.id})
-		if b.t.Follows {
+		if b.t.ConfirmStarts {
 			break
 		}
 		b.start(inv)
@@ -564,19 +564,19 @@
 func (b *Backend) count(p phase) float64 { return float64(b.in[p]) }
 
 // memory is what held, running and remembered invocations take.
-func (b *Backend) memory() float64 { return float64(len(b.kept))*b.t.KeyKB + b.kb }
+func (b *Backend) memory() float64 { return float64(len(b.kept))*b.t.IdempotencyKeyKB + b.kb }
 
 // throttle turns away what never ran, in words chosen from the recent retry share. What waits too long below
 // is everyone's trouble: no try elsewhere, and this backend has room for other work.
 func (b *Backend) throttle(now Micros, inv *invocation, out []Action, below bool) []Action {
 	cut := retryCut + (retryCutTop-retryCut)*inv.rank
-	if b.t.Unmarked {
+	if b.t.RetriesUnmarked {
 		cut *= unusualFound
 	}
 	marked := b.retries.read(now) > cut*b.reads.read(now)
-	told := Throttle{ID: inv.id, RetryIn: b.stayAway(now, inv), DontRetry: marked}
+	told := Throttle{ID: inv.id, RetryAfter: b.stayAway(now, inv), DontRetry: marked}
 	if below {
-		told.RetryIn, told.DontRetry = 0, true
+		told.RetryAfter, told.DontRetry = 0, true
 	}
 	return b.drop(inv, append(out, told))
 }
@@ -626,7 +626,7 @@
 // stop takes work that nobody waits for off the cores. Effects that must not happen
 // twice are left to finish, so that their repeats find a result.
 func (b *Backend) stop(now Micros, inv *invocation, out []Action) []Action {
-	if b.t.Preemption == CannotStop || inv.phase != running || inv.op.Repeat != Idempotent ||
+	if b.t.Preemption == NoPreemption || inv.phase != running || inv.op.RetrySafety != Idempotent ||
 		now < inv.stopped+10*b.tick {
 		return out
 	}
@@ -637,8 +637,8 @@
 // worthless: it runs past its objective, a late answer has no value, and its cores can be
 // freed. It guards against runs that crawl for whatever reason.
 func (b *Backend) worthless(now Micros, inv *invocation) bool {
-	return inv.phase == running && inv.op.Repeat == Idempotent && inv.op.LateValue == 0 &&
-		b.t.Preemption != CannotStop && now > inv.wantBy && b.crowded()
+	return inv.phase == running && inv.op.RetrySafety == Idempotent && inv.op.LateValue == 0 &&
+		b.t.Preemption != NoPreemption && now > inv.wantBy && b.crowded()
 }
 
 func (b *Backend) finished(now Micros, e Finished, out []Action) []Action {
@@ -661,7 +661,7 @@
 		return b.drop(inv, out)
 	}
 	if inv.phase == calling {
-		b.lingering = append(b.lingering, now+b.t.Linger)
+		b.lingering = append(b.lingering, now+b.t.AbandonedCallLinger)
 	}
 	if inv.phase != reusing && inv.phase != held {
 		b.begun--
@@ -699,12 +699,12 @@
 // holds, abandoned calls too, is what slows it. Where calls differ much in length by
 // themselves, some room is given away.
 func (b *Backend) room(now Micros) float64 {
-	return b.t.CallShare * min(1, callSlowFrom*b.usualCall(now)/b.lateCall(now))
+	return b.t.CallQuota * min(1, callSlowFrom*b.usualCall(now)/b.lateCall(now))
 }
 
 // callTime is how long an invocation would be at its call, with those that wait before it.
 func (b *Backend) callTime(now Micros, op *Operation) float64 {
-	if !op.Calls || op.SkippedValue > 0 {
+	if !op.MakesCalls || op.ValueWithoutCall > 0 {
 		return 0
 	}
 	return b.lateCall(now) * (1 + b.count(atCall)/max(1, math.Floor(b.room(now))))
@@ -725,7 +725,7 @@
 			continue
 		}
 		full := below >= max(1, math.Floor(room)) || b.callMean.read(now) > 0.9*room*b.callMean.over
-		if b.t.SharedBelow && full {
+		if b.t.SharedDependency && full {
 			break
 		}
 		if inv.attempts == 0 {
@@ -740,7 +740,7 @@
 		if b.callsEnded.read(now) > 0 {
 			within = min(within, Micros(8*b.usualCall(now))+inv.op.Objective/8)
 		}
-		out = append(out, Call{ID: inv.id, Within: max(within, 1000)})
+		out = append(out, Call{ID: inv.id, Timeout: max(within, 1000)})
 	}
 	return out
 }
@@ -758,13 +758,13 @@
 		return out
 	}
 	if e.Outcome == TimedOut {
-		b.lingering = append(b.lingering, now+b.t.Linger)
+		b.lingering = append(b.lingering, now+b.t.AbandonedCallLinger)
 	}
 	b.become(inv, atCall)
 	if inv.answered {
 		return out
 	}
-	if inv.op.Repeat == Idempotent && inv.attempts < callAttempts &&
+	if inv.op.RetrySafety == Idempotent && inv.attempts < callAttempts &&
 		b.retryCalls.read(now)+1 <= callRetryPart*b.firstCalls.read(now) {
 		inv.notUntil = now + b.tick<<inv.attempts
 		return out
@@ -782,11 +782,11 @@
 
 // leaveCall gives up on a call: skipped where allowed, else don't retry or an error.
 func (b *Backend) leaveCall(now Micros, inv *invocation, out []Action) []Action {
-	if inv.op.SkippedValue > 0 {
+	if inv.op.ValueWithoutCall > 0 {
 		b.resume(inv)
 		return append(out, SkipCall{inv.id})
 	}
-	if inv.op.Repeat == Idempotent {
+	if inv.op.RetrySafety == Idempotent {
 		return b.leave(now, inv, append(out, Throttle{ID: inv.id, DontRetry: true}))
 	}
 	return b.leave(now, inv, append(out, Fail{inv.id}))
@@ -881,8 +881,8 @@
 func (b *Backend) advertise(now Micros, out []Action) []Action {
 	value, cores := 1.0, float64(b.t.Cores)
 	load := b.pressure() / cores
-	switch b.t.FreeValue {
-	case NoValue:
+	switch b.t.AdvertisedValue {
+	case NothingAdvertised:
 		return out
 	case CallerAllowance:
 		value = cores * topPerCore / float64(b.t.Callers) * min(1, lowPerCore/max(load, 0.1)) / b.drag(now)
@@ -906,7 +906,7 @@
 func (b *Backend) connections(now Micros, out []Action) []Action {
 	age := float64(now - b.opened)
 	rate := max(1, b.reads.read(now)) / (retryWindow * (1 - math.Exp(-age/retryWindow)))
-	gap, limit, after := float64(b.t.Callers)/rate, restMost, b.t.IdleFor
+	gap, limit, after := float64(b.t.Callers)/rate, restMost, b.t.IdleTimeout
 	if b.sparse {
 		limit /= 2
 	}
@@ -914,7 +914,7 @@
 		b.stormTill = now + stormFor
 	}
 	sparse := gap > limit && now >= b.stormTill
-	if age < paceSoon || b.t.IdleFor <= restLeast || b.t.Callers <= fewCallers*b.t.Cores || b.sparse == sparse {
+	if age < paceSoon || b.t.IdleTimeout <= restLeast || b.t.Callers <= fewCallers*b.t.Cores || b.sparse == sparse {
 		return out
 	}
 	if b.sparse = !b.sparse; b.sparse {
--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -16,17 +16,17 @@
 	text strings.Builder
 }
 
-func newTrace(t *testing.T, edit func(*Terms)) *trace {
-	terms := Terms{
+func newTrace(t *testing.T, edit func(*Config)) *trace {
+	terms := Config{
 		Operations: []Operation{
-			{Objective: 2_000_000, ClientTimeout: 5_000_000, Calls: true},
-			{Objective: 2_000_000, ClientTimeout: 5_000_000, Repeat: Tokened, Window: 4_000_000, Calls: true},
-			{Objective: 2_000_000, ClientTimeout: 5_000_000, Repeat: NonIdempotent, Calls: true},
+			{Objective: 2_000_000, ClientTimeout: 5_000_000, MakesCalls: true},
+			{Objective: 2_000_000, ClientTimeout: 5_000_000, RetrySafety: IdempotencyKeyed, RepeatWindow: 4_000_000, MakesCalls: true},
+			{Objective: 2_000_000, ClientTimeout: 5_000_000, RetrySafety: NonIdempotent, MakesCalls: true},
 		},
-		Fleet: 4, Callers: 2, Cores: 2, MemoryKB: 100_000, RunFactor: 8, KeyKB: 10,
-		AnswerSlack: 60_000, DrainGrace: 1_000_000, ColdShare: 0.2, ColdFor: 10_000_000,
-		FallMultiple: 6, FallOver: 2_000_000, MaxRetryAfter: 1_000_000, Round: 5000,
-		CallsOver: 5_000_000, Linger: 200_000,
+		FleetSize: 4, Callers: 2, Cores: 2, MemoryKB: 100_000, RunFactor: 8, IdempotencyKeyKB: 10,
+		AnswerSlack: 60_000, DrainGrace: 1_000_000, ColdSpeed: 0.2, WarmUp: 10_000_000,
+		CollapseMultiple: 6, CollapseAfter: 2_000_000, MaxRetryAfter: 1_000_000, BatchInterval: 5000,
+		CallQuotaWindow: 5_000_000, AbandonedCallLinger: 200_000,
 	}
 	if edit != nil {
 		edit(&terms)
@@ -36,12 +36,15 @@
 	return tr
 }
 
+// traceNames turns Go's names into those that the traces of testdata have had from the first.
+var traceNames = strings.NewReplacer("admission.", "", " RetryAfter:", " RetryIn:", " Timeout:", " Within:")
+
 // do decides one event and prints it; what every reading repeats is left out.
 func (tr *trace) do(ev Event) {
 	var acts []string
 	for _, a := range tr.b.Decide(tr.now, ev, nil) {
 		if _, wake := a.(Wake); !wake {
-			acts = append(acts, strings.TrimPrefix(fmt.Sprintf("%T%+v", a, a), "admission."))
+			acts = append(acts, traceNames.Replace(fmt.Sprintf("%T%+v", a, a)))
 		}
 	}
 	if _, reading := ev.(Reading); reading && len(acts) == 0 {
@@ -50,7 +53,7 @@
 	name := strings.TrimPrefix(fmt.Sprintf("%T", ev), "admission.")
 	switch e := ev.(type) {
 	case Arrived:
-		name += fmt.Sprintf(" %s rank %.2f retry %v", e.ID, e.Rank, e.Retry)
+		name += fmt.Sprintf(" %s rank %.2f retry %v", e.ID, e.Priority, e.Retry)
 	case Opened, Reading:
 	default:
 		name += fmt.Sprintf(" %+v", e)
@@ -65,7 +68,7 @@
 
 // arrive is an invocation of 100 ms of work.
 func (tr *trace) arrive(id string, op int, rank float64, edit ...func(*Arrived)) {
-	a := Arrived{ID: id, Operation: op, Rank: rank, Hint: 100_000, Budget: 5_000_000, KB: 20}
+	a := Arrived{ID: id, Operation: op, Priority: rank, ExpectedWork: 100_000, TimeLeft: 5_000_000, MemoryKB: 20}
 	for _, e := range edit {
 		e(&a)
 	}
@@ -123,15 +126,15 @@
 }
 
 func TestEveryInvocationIsAnsweredInTime(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) { t.Preemption = StopDiscards })
-	brief := func(a *Arrived) { a.Budget = 300_000 }
+	tr := newTrace(t, func(t *Config) { t.Preemption = PreemptionDiscards })
+	brief := func(a *Arrived) { a.TimeLeft = 300_000 }
 	tr.note("running work is failed and stopped, held work throttled, a gone caller's stopped")
 	tr.arrive("runs", 0, 0.9, brief)
 	tr.arrive("gone", 0, 0.9)
 	tr.do(CallerGone{"gone"})
 	tr.pass(100, 0.5, 9)
 	tr.arrive("waits", 0, 0.9, brief)
-	tr.arrive("untold", 0, 0.9, func(a *Arrived) { a.Budget, a.Waited = 0, 4_900_000 })
+	tr.arrive("untold", 0, 0.9, func(a *Arrived) { a.TimeLeft, a.QueueTime = 0, 4_900_000 })
 	tr.pass(400, 0.5, 9)
 	tr.done("gone", Canceled)
 	tr.done("runs", Canceled)
@@ -140,7 +143,7 @@
 
 func TestNoEffectTwice(t *testing.T) {
 	tr := newTrace(t, nil)
-	again := func(a *Arrived) { a.Earlier = "tok" }
+	again := func(a *Arrived) { a.RepeatOf = "tok" }
 	tr.note("a repeat reuses the running or the finished try")
 	tr.arrive("tok", 1, 0.5)
 	tr.arrive("tok2", 1, 0.5, again)
@@ -161,19 +164,19 @@
 	tr.done("once", Canceled)
 	tr.note("a repeat of one that waits waits for it; when that one is given up the repeat errs, and the next is new work")
 	tr.pass(400, 0.5, 3)
-	brief := func(a *Arrived) { a.Budget = 300_000 }
+	brief := func(a *Arrived) { a.TimeLeft = 300_000 }
 	tr.arrive("waits", 1, 0.9, brief)
-	tr.arrive("its repeat", 1, 0.9, func(a *Arrived) { a.Earlier = "waits" })
+	tr.arrive("its repeat", 1, 0.9, func(a *Arrived) { a.RepeatOf = "waits" })
 	tr.pass(300, 0.5, 3)
 	tr.done("its repeat", Errored)
 	tr.pass(400, 0.5, 0)
 	tr.arrive("new work", 1, 0.9)
 	tr.note("a repeat that has no time left is errored, not throttled")
-	tr.arrive("too late", 1, 0.9, func(a *Arrived) { a.Earlier, a.Budget, a.Waited = "new work", 0, 5_000_000 })
+	tr.arrive("too late", 1, 0.9, func(a *Arrived) { a.RepeatOf, a.TimeLeft, a.QueueTime = "new work", 0, 5_000_000 })
 	tr.done("new work", OK)
 	tr.note("where the table has no room, a tokened invocation does not run")
 	tr.b.t.MemoryKB = 200
-	tr.arrive("no room", 1, 0.9, func(a *Arrived) { a.KB = 175 })
+	tr.arrive("no room", 1, 0.9, func(a *Arrived) { a.MemoryKB = 175 })
 	tr.check()
 }
 
@@ -186,24 +189,24 @@
 	tr.pass(200, 0.5, 2)
 	tr.arrive("after", 0, 0.5)
 	tr.done("within", OK)
-	tr.arrive("unread before", 0, 0.5, func(a *Arrived) { a.Waited = 200_000 })
+	tr.arrive("unread before", 0, 0.5, func(a *Arrived) { a.QueueTime = 200_000 })
 	tr.pass(1900, 0.5, 2)
 	tr.check()
 }
 
 func TestMemory(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) { t.MemoryKB = 500 })
+	tr := newTrace(t, func(t *Config) { t.MemoryKB = 500 })
 	tr.note("two runs of 160 fit, a third does not and waits; past the held limit: throttled")
 	for n := range 3 {
 		tr.arrive(fmt.Sprint("inv", n), 0, 0.9)
 	}
-	tr.arrive("large", 0, 0.9, func(a *Arrived) { a.KB = 200 })
+	tr.arrive("large", 0, 0.9, func(a *Arrived) { a.MemoryKB = 200 })
 	tr.done("inv0", OK)
 	tr.check()
 }
 
 func TestCrowdWarmAndCold(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) { t.JustStarted, t.FallMultiple, t.ColdFor = true, 2, 3_000_000 })
+	tr := newTrace(t, func(t *Config) { t.JustStarted, t.CollapseMultiple, t.WarmUp = true, 2, 3_000_000 })
 	tr.note("runs that left the gauge for a disk still count; cold, two cores bear two")
 	for n := range 4 {
 		tr.arrive(fmt.Sprint("inv", n), 0, 0.9)
@@ -215,7 +218,7 @@
 }
 
 func TestCallsBelow(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) { t.SharedBelow, t.CallShare = true, 1 })
+	tr := newTrace(t, func(t *Config) { t.SharedDependency, t.CallQuota = true, 1 })
 	tr.note("one call in hand at most; an abandoned one lingers")
 	tr.arrive("a", 0, 0.9)
 	tr.arrive("b", 0, 0.9)
@@ -231,12 +234,12 @@
 	tr.arrive("c", 0, 0.9)
 	tr.do(NeedsCall{"c"})
 	for range 3 {
-		tr.do(CallReturned{"c", Full, 1000})
+		tr.do(CallReturned{"c", QueueFull, 1000})
 		tr.pass(200, 0.2, 1)
 	}
 	tr.done("c", Canceled)
 	tr.note("skipped where that is allowed")
-	tr.b.t.Operations[0].SkippedValue = 0.5
+	tr.b.t.Operations[0].ValueWithoutCall = 0.5
 	tr.b.firstCalls.sum = 0
 	tr.arrive("d", 0, 0.9)
 	tr.do(NeedsCall{"d"})
@@ -262,14 +265,14 @@
 	tr := newTrace(t, nil)
 	tr.pass(400, 1, 5)
 	tr.arrive("read at once", 0, 0.5)
-	tr.arrive("unread", 0, 0.5, func(a *Arrived) { a.Waited = 700_000 })
+	tr.arrive("unread", 0, 0.5, func(a *Arrived) { a.QueueTime = 700_000 })
 	tr.check()
 }
 
 // A dependency that stops answering must not take the runs, nor be crowded further.
 func TestSlowDependency(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) {
-		t.SharedBelow, t.CallShare, t.Cores = true, 2, 4
+	tr := newTrace(t, func(t *Config) {
+		t.SharedDependency, t.CallQuota, t.Cores = true, 2, 4
 		t.Operations[2] = Operation{Objective: 2_000_000, ClientTimeout: 5_000_000}
 	})
 	for n := range 3 {
@@ -289,13 +292,13 @@
 	tr.note("what calls is not taken now, what does not is; a returned call makes no room for the third")
 	tr.arrive("calls", 0, 0.9)
 	tr.arrive("does not call", 2, 0.9)
-	tr.do(CallReturned{"stuck0", Full, 300_000})
+	tr.do(CallReturned{"stuck0", QueueFull, 300_000})
 	tr.check()
 }
 
 // What a tenant sends beyond its part of the quota gives way to anyone's work within it.
 func TestTenantBeyondItsShare(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) { t.QuotaPerSecond, t.OverShareValue = []float64{8, 8}, 0.05 })
+	tr := newTrace(t, func(t *Config) { t.QuotaPerSecond, t.OverQuotaValue = []float64{8, 8}, 0.05 })
 	for n := range 9 {
 		id := fmt.Sprint("first", n)
 		tr.arrive(id, 0, 0.5)
@@ -322,7 +325,7 @@
 	tr.done("inv1", OK)
 	tr.arrive("inv2", 0, 0.9)
 	tr.pass(2100, 1, 2)
-	tr.arrive("late", 0, 0.9, func(a *Arrived) { a.Waited = 1_200_000 })
+	tr.arrive("late", 0, 0.9, func(a *Arrived) { a.QueueTime = 1_200_000 })
 	tr.note("two seconds without a move on full cores, and what is read has waited too long: an overload")
 	tr.b.reads.add(tr.now, 50)
 	tr.pass(100, 1, 2)
@@ -340,7 +343,7 @@
 
 // Runs that crawl past their objective must not hold the cores where they can be stopped.
 func TestWorthlessRunsAreStopped(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) { t.Preemption = StopDiscards })
+	tr := newTrace(t, func(t *Config) { t.Preemption = PreemptionDiscards })
 	for n := range 2 {
 		tr.arrive(fmt.Sprint("crawls", n), n*2, 0.9)
 	}
@@ -363,12 +366,12 @@
 
 // Callers who come rarely must not fill the table of connections; those who come often keep theirs.
 func TestIdleConnectionsOfSparseCallers(t *testing.T) {
-	few := newTrace(t, func(t *Terms) { t.Callers, t.Fleet, t.IdleFor = 32, 300, 30_000_000 })
+	few := newTrace(t, func(t *Config) { t.Callers, t.FleetSize, t.IdleTimeout = 32, 300, 30_000_000 })
 	few.pass(6000, 0.5, 1)
 	if text := few.text.String(); strings.Contains(text, "CloseIdle") {
 		t.Errorf("sixteen callers a core, which any table holds:\n%s", text)
 	}
-	tr := newTrace(t, func(t *Terms) { t.Callers, t.Fleet, t.IdleFor = 40, 300, 30_000_000 })
+	tr := newTrace(t, func(t *Config) { t.Callers, t.FleetSize, t.IdleTimeout = 40, 300, 30_000_000 })
 	for _, every := range []Micros{500, 60, 500} {
 		tr.note(fmt.Sprintf("40 callers, one read every %d ms", every))
 		for end := tr.now + 12_000_000; tr.now < end; {
@@ -381,7 +384,7 @@
 
 // While reading and connecting fill the cores, tables may fill: what finds no room costs nothing.
 func TestAStormLeavesConnectionsOpen(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) { t.Callers, t.Fleet, t.IdleFor = 400, 300, 30_000_000 })
+	tr := newTrace(t, func(t *Config) { t.Callers, t.FleetSize, t.IdleTimeout = 400, 300, 30_000_000 })
 	tr.note("callers come rarely")
 	tr.pass(3000, 1, 4)
 	tr.note("ten read or connect on two cores, then one")
@@ -392,7 +395,7 @@
 
 // TestUnrunnable: what the farm knows nothing of moves no measure, whatever marks it bears.
 func TestUnrunnable(t *testing.T) {
-	tr := newTrace(t, func(t *Terms) { t.QuotaPerSecond = []float64{10, 10} })
+	tr := newTrace(t, func(t *Config) { t.QuotaPerSecond = []float64{10, 10} })
 	for k := range 2 {
 		tr.arrive(fmt.Sprint("work", k), 0, 0.5)
 	}
@@ -405,7 +408,7 @@
 	before := measures()
 	for k := range 500 {
 		id := fmt.Sprint("none", k)
-		tr.b.Decide(tr.now, Arrived{ID: id, Rank: 0.9, Retry: k%2 == 0, Tenant: 1, Hint: 1000, Budget: 5_000_000, KB: 1}, nil)
+		tr.b.Decide(tr.now, Arrived{ID: id, Priority: 0.9, Retry: k%2 == 0, Tenant: 1, ExpectedWork: 1000, TimeLeft: 5_000_000, MemoryKB: 1}, nil)
 		tr.b.Decide(tr.now, Finished{ID: id, Outcome: Unrunnable}, nil)
 	}
 	if after := measures(); after != before {
@@ -417,10 +420,10 @@
 // it is 0.46 of marks.
 func TestUnusualWaitsStandForMarks(t *testing.T) {
 	for _, unmarked := range []bool{false, true} {
-		tr := newTrace(t, func(t *Terms) { t.Unmarked = unmarked })
-		first := func(a *Arrived) { a.Budget = 2_500_000 }
+		tr := newTrace(t, func(t *Config) { t.RetriesUnmarked = unmarked })
+		first := func(a *Arrived) { a.TimeLeft = 2_500_000 }
 		for n := range 60 {
-			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("first", n), Budget: 2_500_000 - Micros(n*300), KB: 1}, nil)
+			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("first", n), TimeLeft: 2_500_000 - Micros(n*300), MemoryKB: 1}, nil)
 			tr.b.Decide(tr.now, Finished{ID: fmt.Sprint("first", n), Outcome: OK}, nil)
 			tr.now += 20_000
 		}
@@ -428,7 +431,7 @@
 		tr.pass(400, 1, 9)
 		tr.arrive("before", 0, 0.9, first)
 		for n := range 40 { // what is left of five seconds differs from one to the next
-			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("later", n), Budget: 4_900_000 - Micros(n*73_000), KB: 1}, nil)
+			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("later", n), TimeLeft: 4_900_000 - Micros(n*73_000), MemoryKB: 1}, nil)
 		}
 		tr.arrive("after", 0, 0.9, first)
 		words := strings.Count(tr.text.String(), "DontRetry:true")
@@ -442,8 +445,8 @@
 // Where value is billed by invocation, what is worth more goes first and is not given up for what is worth less.
 func TestDearerFirst(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
-		tr := newTrace(t, func(t *Terms) {
-			t.ByWork = byWork
+		tr := newTrace(t, func(t *Config) {
+			t.ValuePerWork = byWork
 			t.Operations[0].Value, t.Operations[2].Value = 1, 10
 		})
 		for n := range 2 {
@@ -467,7 +470,7 @@
 // A third run on two cores slows all three; on six cores a seventh has the core between an end and what follows it.
 func TestRunsWantedOnFewCoresAndMany(t *testing.T) {
 	for cores, want := range map[int]float64{1: 1, 2: 2, 4: 4, 6: 7} {
-		tr := newTrace(t, func(terms *Terms) { terms.Cores = cores })
+		tr := newTrace(t, func(terms *Config) { terms.Cores = cores })
 		for n := range 12 {
 			tr.arrive(fmt.Sprint("a", n), 0, 0.9)
 		}
@@ -499,7 +502,7 @@
 // Runs that have not had what they were expected to cost must not make the next look hopeless, unless a line waits.
 func TestLongRunsAreNoTroubleWithoutALine(t *testing.T) {
 	tr := newTrace(t, nil)
-	long := func(a *Arrived) { a.Hint = 1_500_000 }
+	long := func(a *Arrived) { a.ExpectedWork = 1_500_000 }
 	tr.arrive("long0", 0, 0.9, long)
 	tr.arrive("long1", 0, 0.9, long)
 	tr.pass(1200, 1, 2)
@@ -507,7 +510,7 @@
 		t.Errorf("drag %.2f of runs within their expected cost", drag)
 	}
 	for n := range 2 {
-		tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("waits", n), Hint: 10_000, Budget: 5_000_000, KB: 1, Rank: 0.9}, nil)
+		tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("waits", n), ExpectedWork: 10_000, TimeLeft: 5_000_000, MemoryKB: 1, Priority: 0.9}, nil)
 	}
 	if drag := tr.b.drag(tr.now); drag < 2 {
 		t.Errorf("drag %.2f with a line of %.0f", drag, tr.b.count(held))
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -13,9 +13,9 @@
 		for _, hints := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d/hints=%t", inHand, hints), func(b *testing.B) {
 				const cores = 2
-				terms := Terms{
-					Operations: []Operation{{Objective: 60_000_000, ClientTimeout: 90_000_000}, {Objective: 60_000_000, ClientTimeout: 90_000_000, Repeat: NonIdempotent}},
-					Fleet:      4, Callers: 8, Cores: cores, MemoryKB: 1e6, RunFactor: 4, AnswerSlack: 60_000, DrainGrace: 1_000_000, FallMultiple: 1000, FallOver: 2_000_000, MaxRetryAfter: 1_000_000,
+				terms := Config{
+					Operations: []Operation{{Objective: 60_000_000, ClientTimeout: 90_000_000}, {Objective: 60_000_000, ClientTimeout: 90_000_000, RetrySafety: NonIdempotent}},
+					FleetSize:  4, Callers: 8, Cores: cores, MemoryKB: 1e6, RunFactor: 4, AnswerSlack: 60_000, DrainGrace: 1_000_000, CollapseMultiple: 1000, CollapseAfter: 2_000_000, MaxRetryAfter: 1_000_000,
 				}
 				m, now, out := New(terms, 1), Micros(1), make([]Action, 0, 64)
 				out = m.Decide(now, Opened{}, out)
@@ -41,9 +41,9 @@
 						note()
 					}
 					if arrives {
-						a := Arrived{ID: ids[next%len(ids)], Operation: next % 2, Rank: 0.5, KB: 20, Budget: 80_000_000}
+						a := Arrived{ID: ids[next%len(ids)], Operation: next % 2, Priority: 0.5, MemoryKB: 20, TimeLeft: 80_000_000}
 						if hints {
-							a.Hint = Micros(500 + next*7919%2000)
+							a.ExpectedWork = Micros(500 + next*7919%2000)
 						}
 						next++
 						out = m.Decide(now, a, out)
--- a/admission/types.go
+++ b/admission/types.go
@@ -1,137 +1,140 @@
-// Package admission decides, for one backend, which invocations it takes, runs,
-// throttles or fails. This file is its interface; admit.go decides.
+// Package admission is the decision module of one backend: admission control, scheduling, load shedding and
+// graceful shutdown. Decide takes an event and appends the actions that follow from it. The package knows of no
+// wire, no other instance and no clock of its own, and does no I/O: the same events give the same actions.
+//
+// This file is the interface and holds no decision. Backend (backend.go) and the files beside it decide.
 package admission
 
 // Micros is a point or a span of time in whole microseconds.
 type Micros int64
 
-// Repeat says what may happen to a second try of an operation.
-type Repeat int
+// RetrySafety tells whether a second attempt of an operation may have a second effect.
+type RetrySafety int
 
 // The three kinds of operation.
 const (
-	Idempotent Repeat = iota
-	Tokened
-	NonIdempotent
+	Idempotent       RetrySafety = iota // safe to repeat
+	IdempotencyKeyed                    // safe to repeat as long as its key is remembered; see Remember
+	NonIdempotent                       // at most one attempt may run
 )
 
-// Preemption says what stopping a run does.
+// Preemption says whether a run can be taken off the cores, and what becomes of its progress.
 type Preemption int
 
 // How running work can be stopped.
 const (
-	CannotStop Preemption = iota
-	StopDiscards
-	StopPauses
+	NoPreemption       Preemption = iota
+	PreemptionDiscards            // the run is over
+	PreemptionPauses              // Start resumes it
 )
 
-// FreeValue is the meaning callers give to the value of Advertise.
-type FreeValue int
+// AdvertisedValue is the meaning that callers give to the value of Advertise.
+type AdvertisedValue int
 
-// The meanings a deployment can give to the free value.
+// The meanings that a deployment can give to the advertised value.
 const (
-	NoValue FreeValue = iota
-	CallerAllowance
-	TrafficWeight
+	NothingAdvertised AdvertisedValue = iota
+	CallerAllowance                   // requests in flight that each caller may have here
+	TrafficWeight                     // weight in the callers' load balancing, up to 1
 )
 
-// Outcome is how a run or a call below ended.
+// Outcome is how a run or a call to a dependency ended.
 type Outcome int
 
-// Outcomes of runs and calls. Full, Unreachable, Void and Unrunnable prove that nothing ran.
+// Outcomes of runs and calls. QueueFull, Unreachable, NeverRan and Unrunnable prove that nothing ran.
 const (
 	OK Outcome = iota
 	Errored
-	Full
+	QueueFull
 	TimedOut
 	Unreachable
 	Reset
 	Canceled
-	Void
-	Unrunnable // nobody's work: the invocation was none
+	NeverRan
+	Unrunnable // the executor knows no such invocation: it was no caller's work
 )
 
-// Operation is what the deployment says of one kind of invocation.
+// Operation is the configuration of one kind of invocation.
 type Operation struct {
-	Repeat        Repeat
-	Value         float64 // billed value, for each unit of work where Terms.ByWork; 0: not told
-	Objective     Micros  // latency objective: answer wanted by
-	Stretch       float64 // the objective grows by this multiple of the invocation's own work
-	ClientTimeout Micros
-	Window        Micros  // how long after arrival a tokened invocation can recur
-	LateValue     float64 // share of the billed value left after the objective
-	Calls         bool    // may call below
-	SkippedValue  float64 // share of the billed value left when a call is skipped; 0: skipping not allowed
+	RetrySafety      RetrySafety
+	Value            float64 // billed value, for each unit of work if Config.ValuePerWork; 0: unknown
+	Objective        Micros  // latency objective, from arrival to answer
+	ObjectiveStretch float64 // the objective grows by this multiple of the expected work
+	ClientTimeout    Micros
+	RepeatWindow     Micros  // how long after its arrival a keyed invocation can be repeated
+	LateValue        float64 // share of the billed value left after the objective
+	MakesCalls       bool    // its runs may call a dependency
+	ValueWithoutCall float64 // share of the billed value left if the call is skipped; 0: it may not be
 }
 
-// Terms are the deployment's terms for one backend.
-type Terms struct {
-	Operations     []Operation
-	QuotaPerSecond []float64 // by tenant, over the whole fleet
-	OverShareValue float64   // what an invocation beyond its tenant's share is worth
-	Fleet          int
-	Callers        int
-	Cores          int
-	MemoryKB       float64
-	RunFactor      float64 // running memory over held memory
-	KeyKB          float64
-	JustStarted    bool
-	Preemption     Preemption
-	FreeValue      FreeValue
-	AnswerSlack    Micros
-	DrainGrace     Micros
-	ColdShare      float64
-	ColdFor        Micros
-	FallMultiple   float64
-	FallOver       Micros
-	SharedBelow    bool    // one dependency serves every backend
-	CallShare      float64 // mean calls in hand that are ours
-	CallsOver      Micros
-	Linger         Micros // an abandoned call may stay below this long
-	MaxRetryAfter  Micros // 0: the advice to stay away is not passed on
-	Round          Micros // least time between two batches
-	ByWork         bool   // values are billed for each unit of work
-	Follows        bool   // starts are proposed, one at a time, and happen with Launched
-	Unmarked       bool   // further tries bear no mark
-	IdleFor        Micros // callers close connections idle for so long
+// Config is what a deployment configures for one backend.
+type Config struct {
+	Operations          []Operation
+	QuotaPerSecond      []float64 // invocations by tenant, over the whole fleet; 0: no quota
+	OverQuotaValue      float64   // value of an invocation beyond its tenant's quota, as a part of one within it
+	FleetSize           int
+	Callers             int
+	Cores               int
+	MemoryKB            float64
+	RunFactor           float64 // memory of a running invocation over that of a waiting one
+	IdempotencyKeyKB    float64
+	JustStarted         bool
+	Preemption          Preemption
+	AdvertisedValue     AdvertisedValue
+	AnswerSlack         Micros
+	DrainGrace          Micros
+	ColdSpeed           float64
+	WarmUp              Micros
+	CollapseMultiple    float64
+	CollapseAfter       Micros
+	SharedDependency    bool    // one dependency serves every backend of the fleet
+	CallQuota           float64 // mean calls in flight that this backend may have
+	CallQuotaWindow     Micros
+	AbandonedCallLinger Micros // an abandoned call may stay at the dependency for so long
+	MaxRetryAfter       Micros // 0: Retry-After is not passed on to callers
+	BatchInterval       Micros // least time between two batches of events
+	ValuePerWork        bool   // values are billed for each unit of work, not for each invocation
+	ConfirmStarts       bool   // Start is a proposal, one at a time, and Launched confirms it
+	RetriesUnmarked     bool   // callers do not mark retries
+	IdleTimeout         Micros // callers close connections that have been idle for so long
 }
 
 // Event is what happened: one of the types below.
 type Event any
 
-// Opened is the first event of a life.
+// Opened is the first event of an instance.
 type Opened struct{}
 
-// Arrived: an invocation has been read and is held.
+// Arrived: an invocation has been read and waits for a decision or a start.
 type Arrived struct {
-	ID        string
-	Operation int
-	Tenant    int
-	Rank      float64
-	Retry     bool
-	Hint      Micros // expected work on a standard core; 0: none given
-	Waited    Micros // since it reached the machine
-	Budget    Micros // how long its caller still waits; 0: not told
-	KB        float64
-	Earlier   string // the remembered invocation that this one repeats, where its operation is tokened
-	Shed      Micros // a level of reduced service sheds it, and may do so for so long; 0: it does not
-	Share     Share  // how it stands to its tenant's share of the fleet's budget, where there is one
+	ID           string
+	Operation    int
+	Tenant       int
+	Priority     float64
+	Retry        bool
+	ExpectedWork Micros // on a standard core; 0: unknown
+	QueueTime    Micros // since it reached the host, before it was read
+	TimeLeft     Micros // until its caller's deadline; 0: unknown
+	MemoryKB     float64
+	RepeatOf     string        // ID of the remembered invocation with the same idempotency key; "": none
+	ShedFor      Micros        // graceful degradation sheds it, for at most so long; 0: it does not
+	Quota        QuotaStanding // how it stands to its tenant's lease of a fleet-wide quota
 }
 
-// Share is how an invocation stands to what its tenant may have of this backend.
-type Share int8
+// QuotaStanding is how an invocation stands to what its tenant may use of this backend.
+type QuotaStanding int8
 
-// A share that is not told is guessed from the quota and the fleet's size.
+// QuotaUnknown has the module estimate it from Config.QuotaPerSecond and FleetSize.
 const (
-	NotTold Share = iota
-	Within
-	Beyond
+	QuotaUnknown QuotaStanding = iota
+	WithinQuota
+	OverQuota
 )
 
-// Launched: another has started what this instance holds; see Terms.Follows.
+// Launched confirms the start of a waiting invocation; see Config.ConfirmStarts.
 type Launched struct{ ID string }
 
-// Finished: a run, or a reuse, has ended.
+// Finished: a run, or the answer of a Reuse, has ended.
 type Finished struct {
 	ID      string
 	Outcome Outcome
@@ -141,10 +144,10 @@
 // CallerGone: nobody waits for this invocation any more.
 type CallerGone struct{ ID string }
 
-// NeedsCall: a run waits for a call below.
+// NeedsCall: a run waits for a call to a dependency.
 type NeedsCall struct{ ID string }
 
-// CallReturned: how a call below ended.
+// CallReturned: a call to a dependency has ended.
 type CallReturned struct {
 	ID      string
 	Outcome Outcome
@@ -154,29 +157,29 @@
 // DrainNotice: the process is stopped after Left.
 type DrainNotice struct{ Left Micros }
 
-// Reading carries the gauges with a timer; a gauge the deployment lacks is -1.
+// Reading is the timer of Wake with the gauges of that moment; a gauge that the deployment lacks is -1.
 type Reading struct {
 	Token       int64
-	CoreUse     float64
-	OnCores     float64
-	MemoryShare float64
+	CoreUse     float64 // share of the cores in use, 0 to 1
+	OnCores     float64 // tasks that run or wait for a core
+	MemoryShare float64 // share of the memory limit in use, 0 to 1
 	Connections float64
 }
 
 // Action is what is to be done: one of the types below.
 type Action any
 
-// Start runs a held invocation or resumes a paused one.
+// Start runs a waiting invocation or resumes a paused one.
 type Start struct{ ID string }
 
 // Stop takes running work off the cores.
 type Stop struct{ ID string }
 
-// Throttle turns an invocation away.
+// Throttle rejects an invocation that has had no effect.
 type Throttle struct {
-	ID        string
-	RetryIn   Micros // stay away from this backend for so long
-	DontRetry bool   // do not try another backend either
+	ID         string
+	RetryAfter Micros // send nothing to this backend for so long
+	DontRetry  bool   // do not retry at another backend either
 }
 
 // Fail answers with an error.
@@ -184,29 +187,29 @@
 
 // Call makes the call that a run waits for.
 type Call struct {
-	ID     string
-	Within Micros
+	ID      string
+	Timeout Micros
 }
 
 // SkipCall goes on without the call.
 type SkipCall struct{ ID string }
 
-// Remember keeps an invocation in the table of repeats.
+// Remember puts an invocation into the table of idempotency keys.
 type Remember struct {
 	ID  string
 	For Micros
 }
 
-// Forget drops its entry from that table.
+// Forget removes an invocation from that table.
 type Forget struct{ ID string }
 
-// Reuse answers a repeat with the result of the invocation it repeats.
+// Reuse answers a repeat with the result of the invocation that it repeats.
 type Reuse struct{ ID string }
 
 // SetHealth answers health checks from now on.
 type SetHealth struct{ Good, FromStore bool }
 
-// Advertise sets the free value.
+// Advertise sends callers the value of Config.AdvertisedValue.
 type Advertise struct{ Value float64 }
 
 // CloseIdle closes, from now on, connections that have carried nothing for so long.
--- a/cmd/milletbarrow/check.go
+++ b/cmd/milletbarrow/check.go
@@ -26,10 +26,10 @@
 
 // unused names what the deployment permits and this program leaves.
 func unused(b *config.Backend) string {
-	if len(b.Sheet.Unused) == 0 {
+	if len(b.Settings.IgnoredFields) == 0 {
 		return ""
 	}
-	return "; left unused: settings." + strings.Join(b.Sheet.Unused, ", settings.")
+	return "; left unused: settings." + strings.Join(b.Settings.IgnoredFields, ", settings.")
 }
 
 func limitsCommand() *cli.Command {
--- a/cmd/milletbarrow/levels.go
+++ b/cmd/milletbarrow/levels.go
@@ -47,7 +47,7 @@
 			if file := c.String("config"); file != "" {
 				b, err := config.Read(file)
 				if err == nil {
-					_, err = degradation.NewDrawer(l, b.Sheet.Operations, b.Sheet.Tenants, 1)
+					_, err = degradation.NewDrawer(l, b.Settings.Operations, b.Settings.Tenants, 1)
 				}
 				if err != nil {
 					return unusable(err)
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -92,7 +92,7 @@
 	debug.SetMemoryLimit(lim.Heap)
 	debug.SetGCPercent(lim.HeapGrowth)
 
-	g := dispatch.New(b.Sheet, uint64(b.Seed), lim)
+	g := dispatch.New(b.Settings, uint64(b.Seed), lim)
 	if ladder != nil {
 		if err := g.Reduce(ladder); err != nil {
 			return unusable(err)
@@ -104,10 +104,10 @@
 		}
 	}
 	tally := ratelimitlog.New(lim.Quiet)
-	g.Watch(b.Watch)
-	link := executor.New(b.Farm, lim, tally, g.Open)
-	server := backendserver.New(b.Sheet, lim, tally, g, link)
-	reports := registration.New(b.Roster, b.Name, lim, reportsFixed)
+	g.Watch(b.Shadow)
+	link := executor.New(b.Executor, lim, tally, g.Open)
+	server := backendserver.New(b.Settings, lim, tally, g, link)
+	reports := registration.New(b.Registry, b.Name, lim, reportsFixed)
 	for tried, late := false, time.Now().Add(lim.Bind); ; {
 		select {
 		case <-notice: // nothing has been let in
@@ -130,15 +130,15 @@
 	}
 	slog.Info("start", "name", b.Name, "listen", b.Listen, "processors", lim.Processors,
 		"connections", lim.Connections, "invocations", lim.Invocations)
-	if len(b.Sheet.Unused) > 0 {
-		slog.Warn("unused", "settings", strings.Join(b.Sheet.Unused, " "))
+	if len(b.Settings.IgnoredFields) > 0 {
+		slog.Warn("unused", "settings", strings.Join(b.Settings.IgnoredFields, " "))
 	}
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := &departure{
 		stop: time.Duration(b.StopMs * float64(time.Millisecond)), told: make(chan struct{}, 1),
-		grace: time.Duration(b.Sheet.Terms.DrainGrace) * time.Microsecond,
+		grace: time.Duration(b.Settings.Admission.DrainGrace) * time.Microsecond,
 	}
 	broken := make(chan error, 1)
 	if socket != "" { // before the rest, so that the keeper sees the instance come up
@@ -239,7 +239,7 @@
 	ctx context.Context, b *config.Backend, file, levelsFile string, hangup <-chan os.Signal, g *dispatch.Gate,
 	link *executor.Link, reports *registration.Reporter, lim limits.Bounds,
 ) {
-	watching := b.Watch
+	watching := b.Shadow
 	var again <-chan time.Time // while the file cannot be used: it may be half written
 	tries := 0
 	for {
@@ -262,12 +262,12 @@
 			}
 			continue
 		}
-		slog.Info("reload", "used", true, "farm", later.Farm, "roster", later.Roster,
-			"left_as_they_are", strings.Join(b.Fixed(later), " "))
-		link.Move(later.Farm)
-		reports.Move(later.Roster)
-		if !reflect.DeepEqual(watching, later.Watch) { // else its counts go on
-			watching = later.Watch
+		slog.Info("reload", "used", true, "farm", later.Executor, "roster", later.Registry,
+			"left_as_they_are", strings.Join(b.ImmutableChanges(later), " "))
+		link.Move(later.Executor)
+		reports.Move(later.Registry)
+		if !reflect.DeepEqual(watching, later.Shadow) { // else its counts go on
+			watching = later.Shadow
 			g.Watch(watching)
 			slog.Info("watch", "on", watching != nil)
 		}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -76,20 +76,20 @@
 func (h *host) event(now admission.Micros, msg simwire.Message) error {
 	inst := h.open[msg.Instance]
 	if inst == nil {
-		if _, opens := msg.Event.(simwire.Open); !opens {
+		if _, opens := msg.Event.(simwire.InstanceOpened); !opens {
 			return fmt.Errorf("%s: instance %d is not open", msg.Name, msg.Instance)
 		}
 	}
 	var ev admission.Event = msg.Event
 	switch e := msg.Event.(type) {
-	case simwire.Open:
+	case simwire.InstanceOpened:
 		inst = &instance{backend: admission.New(e.Terms, e.Seed), gauges: e.Gauges}
 		h.open[msg.Instance] = inst
 		ev = admission.Opened{}
-	case simwire.Gone:
+	case simwire.InstanceDetached:
 		delete(h.open, msg.Instance)
 		return nil
-	case simwire.Gauge:
+	case simwire.GaugeReading:
 		ev = e.Reading(inst.gauges)
 	}
 	if err := h.decide(inst, now, ev); err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return fleet.Window{Grace: 2_000_000, Stop: 3_000_000}, err
 	}
-	return fleet.Window{Grace: fleet.Micros(b.Sheet.Terms.DrainGrace), Stop: fleet.Micros(b.StopMs * 1000)}, nil
+	return fleet.Window{Grace: fleet.Micros(b.Settings.Admission.DrainGrace), Stop: fleet.Micros(b.StopMs * 1000)}, nil
 }
 
 // New takes back what was written down and adopts what runs. An error means that nothing was changed.
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -279,7 +279,7 @@
 	}
 	l, err := degradation.ReadLadder(file, raw)
 	if err == nil {
-		_, err = degradation.NewDrawer(l, b.Sheet.Operations, b.Sheet.Tenants, 1)
+		_, err = degradation.NewDrawer(l, b.Settings.Operations, b.Settings.Tenants, 1)
 	}
 	return err
 }
--- a/internal/backend/dispatch/gate.go
+++ b/internal/backend/dispatch/gate.go
@@ -81,7 +81,7 @@
 )
 
 var outcomes = [...]admission.Outcome{
-	RunSucceeded: admission.OK, RunErrored: admission.Errored, RunCancelled: admission.Canceled, NeverRan: admission.Void,
+	RunSucceeded: admission.OK, RunErrored: admission.Errored, RunCancelled: admission.Canceled, NeverRan: admission.NeverRan,
 	Unrunnable: admission.Unrunnable,
 }
 
@@ -104,7 +104,7 @@
 
 // Gate serves one backend. Its methods may be called from any goroutine.
 type Gate struct {
-	sheet  *config.Sheet
+	sheet  *config.Settings
 	seed   uint64
 	bounds limits.Bounds
 
@@ -152,10 +152,10 @@
 }
 
 // New makes a gate that throttles everything until Open.
-func New(sheet *config.Sheet, seed uint64, bounds limits.Bounds) *Gate {
+func New(sheet *config.Settings, seed uint64, bounds limits.Bounds) *Gate {
 	g := &Gate{sheet: sheet, seed: seed, bounds: bounds, hand: map[string]*Ticket{}}
-	for _, op := range sheet.Terms.Operations {
-		if op.Repeat == admission.Tokened && g.kept == nil {
+	for _, op := range sheet.Admission.Operations {
+		if op.RetrySafety == admission.IdempotencyKeyed && g.kept == nil {
 			g.kept = idempotency.New(bounds.Kept, bounds.Result)
 		}
 	}
@@ -178,9 +178,9 @@
 	if !cold {
 		ago = 0
 	} else if g.reduced != nil {
-		g.reduced.meter.Warms(degradation.Micros(process.Now()) + degradation.Micros(max(0, t.ColdFor-ago)))
+		g.reduced.meter.Warms(degradation.Micros(process.Now()) + degradation.Micros(max(0, t.WarmUp-ago)))
 	}
-	g.opened = Now() - min(ago, t.ColdFor)
+	g.opened = Now() - min(ago, t.WarmUp)
 	g.openWatch()
 	g.decide(g.opened, admission.Opened{})
 	if g.drained { // the farm came up during the drain
@@ -190,10 +190,10 @@
 
 // terms are settings as the module is told them: as cold as the farm was, and with a grace that is shorter, as a
 // notice may be heard late.
-func (g *Gate) terms(sheet *config.Sheet) admission.Terms {
-	t := sheet.Terms
+func (g *Gate) terms(sheet *config.Settings) admission.Config {
+	t := sheet.Admission
 	t.JustStarted = g.cold
-	t.KeyKB = 0 // what is remembered lies in this process's memory, where its table is bounded; the settings' is the farm's
+	t.IdempotencyKeyKB = 0 // what is remembered lies in this process's memory, where its table is bounded; the settings' is the farm's
 	t.DrainGrace = max(0, t.DrainGrace-Micros(g.bounds.NoticeLate.Microseconds()))
 	return t
 }
@@ -243,8 +243,8 @@
 	defer g.mu.Unlock()
 	now := Now()
 	t := &Ticket{id: inv.ID, drew: -1, due: inv.At + inv.Wait, words: make(chan Word, 2)}
-	if inv.Operation < len(g.sheet.Terms.Operations) {
-		t.want = inv.At + g.sheet.Terms.Operations[inv.Operation].Objective
+	if inv.Operation < len(g.sheet.Admission.Operations) {
+		t.want = inv.At + g.sheet.Admission.Operations[inv.Operation].Objective
 	}
 	never := func(w Word) *Ticket { // it is in nobody's hand: its caller's leaving must not end another of its id
 		t.answered = true
@@ -252,12 +252,12 @@
 		return t
 	}
 	tokened := g.name(inv, t)
-	away := Word{Verdict: Throttled, Away: g.sheet.Terms.MaxRetryAfter}
+	away := Word{Verdict: Throttled, Away: g.sheet.Admission.MaxRetryAfter}
 	if t.earlier != "" { // that has run, or may yet: others must not be invited to run it too
 		away = Word{Verdict: Errored}
 	}
 	switch {
-	case g.hand[inv.ID] != nil || g.kept != nil && g.kept.Has(inv.ID):
+	case g.hand[inv.ID] != nil || g.kept != nil && g.kept.Contains(inv.ID):
 		// Ids are new with every try; this one is not, and must not end the other, nor have it forgotten.
 		return never(Word{Verdict: Errored})
 	case g.backend == nil:
@@ -266,7 +266,7 @@
 		return never(away)
 	case tokened && (inv.Token == "" || now-inv.At > g.readLate()): // what it repeats cannot be known, or may be forgotten
 		return never(Word{Verdict: Errored})
-	case tokened && t.earlier == "" && !g.kept.Room(): // its repeats would run again
+	case tokened && t.earlier == "" && !g.kept.HasCapacity(): // its repeats would run again
 		g.counts.Unkept++
 		return never(away)
 	}
@@ -277,10 +277,10 @@
 	}
 	t.shed = g.shedFor(&inv, t)
 	fault := g.decide(now, admission.Arrived{
-		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Rank: inv.Rank, Retry: inv.Retry,
-		Hint: inv.Work, Waited: max(0, now-inv.At),
-		Budget: max(1, t.due-now), // a wait that is used up is due at once; 0 would mean that none was told
-		KB:     inv.KB, Earlier: t.earlier, Shed: t.shed, Share: g.draw(&inv, t),
+		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Priority: inv.Rank, Retry: inv.Retry,
+		ExpectedWork: inv.Work, QueueTime: max(0, now-inv.At),
+		TimeLeft: max(1, t.due-now), // a wait that is used up is due at once; 0 would mean that none was told
+		MemoryKB: inv.KB, RepeatOf: t.earlier, ShedFor: t.shed, Quota: g.draw(&inv, t),
 	})
 	if fault != nil {
 		g.answer(t, Word{Verdict: Errored})
@@ -322,11 +322,11 @@
 	defer g.mu.Unlock()
 	now := Now()
 	if g.backend == nil {
-		return now + g.sheet.Terms.AnswerSlack/3
+		return now + g.sheet.Admission.AnswerSlack/3
 	}
 	g.ticked = now
 	if g.kept != nil {
-		g.kept.Sweep(now, g.readLate(), Micros(g.bounds.Sweep.Microseconds()))
+		g.kept.EvictExpired(now, g.readLate(), Micros(g.bounds.Sweep.Microseconds()))
 	}
 	if g.tick != nil {
 		defer close(g.tick)
@@ -348,7 +348,7 @@
 	g.decide(now, r)
 	g.overdue(now)
 	if g.wake <= now {
-		g.wake = now + g.sheet.Terms.AnswerSlack/3
+		g.wake = now + g.sheet.Admission.AnswerSlack/3
 	}
 	return g.wake
 }
@@ -357,7 +357,7 @@
 // been lost sight of.
 func (g *Gate) overdue(now Micros) {
 	for _, t := range g.hand {
-		if !t.answered && now > t.due+g.sheet.Terms.AnswerSlack*2/3 {
+		if !t.answered && now > t.due+g.sheet.Admission.AnswerSlack*2/3 {
 			slog.Error("overdue", "id", t.id, "late_us", now-t.due, "running", t.running)
 			g.answer(t, Word{Verdict: Errored})
 			g.decide(now, admission.CallerGone{ID: t.id})
@@ -400,7 +400,7 @@
 func (g *Gate) IdleFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.idle >= g.sheet.Terms.IdleFor {
+	if g.idle >= g.sheet.Admission.IdleTimeout {
 		return 0
 	}
 	return time.Duration(g.idle) * time.Microsecond
@@ -417,7 +417,7 @@
 		g.giveBack(t)
 	}
 	if t.earlier != "" {
-		g.kept.Unwait(t.earlier, t.id)
+		g.kept.RemoveWaiter(t.earlier, t.id)
 	}
 	switch w.Verdict {
 	case Throttled:
@@ -473,7 +473,7 @@
 		}
 	case admission.Throttle:
 		if t := g.hand[a.ID]; t != nil {
-			g.answer(t, Word{Verdict: Throttled, Away: a.RetryIn, DontRetry: a.DontRetry})
+			g.answer(t, Word{Verdict: Throttled, Away: a.RetryAfter, DontRetry: a.DontRetry})
 		}
 	case admission.Fail:
 		if t := g.hand[a.ID]; t != nil {
--- a/internal/backend/dispatch/gate_test.go
+++ b/internal/backend/dispatch/gate_test.go
@@ -12,7 +12,7 @@
 )
 
 func open(t *testing.T) *Gate {
-	var sheet config.Sheet
+	var sheet config.Settings
 	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		g.Tick([]float64{0.5, 1, 0, 0})
 	}
 	late := Now() - (early.At + early.Wait)
-	tr.Say("due while it runs: final word %+v, too late %t", <-ticket.Final(), late > g.sheet.Terms.AnswerSlack)
+	tr.Say("due while it runs: final word %+v, too late %t", <-ticket.Final(), late > g.sheet.Admission.AnswerSlack)
 	tr.Say("its run succeeds after all: owed %t, in hand %d", g.Report(ticket, RunSucceeded, nil), inHand(g))
 
 	fault := usual("d")
@@ -128,7 +128,7 @@
 // TestNoticeBeforeTheFarm: a farm that comes up during the drain does not open the gate to what comes after the grace.
 func TestNoticeBeforeTheFarm(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	var sheet config.Sheet
+	var sheet config.Settings
 	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 // TestShut: before the farm is there nothing can run, and the backend is not good.
 func TestShut(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	shut := New(&config.Sheet{}, 1, limits.For(1, 192, 1024))
+	shut := New(&config.Settings{}, 1, limits.For(1, 192, 1024))
 	w, ticket := shut.Pick(usual("a"))
 	say(tr, "not open", w, ticket, shut)
 	tr.Say("good %t, next tick %t", shut.Good(), shut.Tick(nil) > 0)
@@ -203,7 +203,7 @@
 	inv.Wait = 300_000
 	_, ticket := g.Pick(inv)
 	w := fakes.Take(t, "the final word", ticket.Final())
-	tr.Say("verdict %d, in time %t", w.Verdict, Now() < inv.At+inv.Wait+g.sheet.Terms.AnswerSlack)
+	tr.Say("verdict %d, in time %t", w.Verdict, Now() < inv.At+inv.Wait+g.sheet.Admission.AnswerSlack)
 	close(done)
 	fakes.Take(t, "the end of the beat", over)
 	tr.Say("asked %t", asked > 0)
--- a/internal/backend/dispatch/reduce.go
+++ b/internal/backend/dispatch/reduce.go
@@ -33,7 +33,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := &reduction{ladder: l, mover: degradation.NewMover(l), drawer: drawer, meter: degradation.NewMeter(g.sheet.Terms.Cores)}
+	r := &reduction{ladder: l, mover: degradation.NewMover(l), drawer: drawer, meter: degradation.NewMeter(g.sheet.Admission.Cores)}
 	if g.reduced != nil { // another ladder: the level in force goes on
 		r.mover, r.meter, r.last, r.shed = g.reduced.mover.Reload(l), g.reduced.meter, g.reduced.last, g.reduced.shed
 	}
--- a/internal/backend/dispatch/repeat.go
+++ b/internal/backend/dispatch/repeat.go
@@ -7,8 +7,8 @@
 
 // name notes by what the repeats of a tokened invocation are known, and which one it repeats itself. The gate's lock is held.
 func (g *Gate) name(inv Invocation, t *Ticket) (tokened bool) {
-	ops := g.sheet.Terms.Operations
-	if inv.Operation >= len(ops) || ops[inv.Operation].Repeat != admission.Tokened {
+	ops := g.sheet.Admission.Operations
+	if inv.Operation >= len(ops) || ops[inv.Operation].RetrySafety != admission.IdempotencyKeyed {
 		return false
 	}
 	t.key = idempotency.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.Token}
@@ -26,22 +26,22 @@
 
 // readLate is how long ago what is read now can have reached the machine at most; what is older has no caller any more.
 func (g *Gate) readLate() (most Micros) {
-	for _, op := range g.sheet.Terms.Operations {
+	for _, op := range g.sheet.Admission.Operations {
 		most = max(most, op.ClientTimeout)
 	}
-	return most + g.sheet.Terms.AnswerSlack
+	return most + g.sheet.Admission.AnswerSlack
 }
 
 // remember keeps an invocation for as long as the module asks, and a little longer: whoever judges may read another clock.
 func (g *Gate) remember(a admission.Remember) {
 	if t := g.hand[a.ID]; t != nil {
-		g.kept.Remember(a.ID, t.key, Now()+a.For+g.sheet.Terms.AnswerSlack)
+		g.kept.Remember(a.ID, t.key, Now()+a.For+g.sheet.Admission.AnswerSlack)
 	}
 }
 
 // reuse has a repeat wait for what it repeats, or answers it once the module's actions have been carried out.
 func (g *Gate) reuse(id string) {
-	if t := g.hand[id]; t != nil && !t.answered && g.kept.Wait(t.earlier, id) {
+	if t := g.hand[id]; t != nil && !t.answered && g.kept.AddWaiter(t.earlier, id) {
 		g.ripe = append(g.ripe, id)
 	}
 }
@@ -53,7 +53,7 @@
 	case end == NeverRan || end == Unrunnable:
 		g.ripe = append(g.ripe, g.kept.Forget(t.id)...)
 	default:
-		g.ripe = append(g.ripe, g.kept.Ended(t.id, end == RunSucceeded, result)...)
+		g.ripe = append(g.ripe, g.kept.Complete(t.id, end == RunSucceeded, result)...)
 	}
 }
 
--- a/internal/backend/dispatch/repeat_test.go
+++ b/internal/backend/dispatch/repeat_test.go
@@ -12,7 +12,7 @@
 
 // openTokened has the second operation known by its tokens, for as long as window.
 func openTokened(t *testing.T, window string, bounds func(*limits.Bounds)) *Gate {
-	var sheet config.Sheet
+	var sheet config.Settings
 	text := strings.NewReplacer(`"at_most_once"`, `"deduplicated","window_ms":`+window, `"run_factor"`, `"key_kb":20,"run_factor"`).Replace(fakes.Settings)
 	if err := json.Unmarshal([]byte(text), &sheet); err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 // would fill it.
 func TestRepeatsTakeNoneOfTheFarm(t *testing.T) {
 	g := openTokened(t, "5000", nil)
-	g.sheet.Terms.KeyKB = g.sheet.Terms.MemoryKB / 3
+	g.sheet.Admission.IdempotencyKeyKB = g.sheet.Admission.MemoryKB / 3
 	g = New(g.sheet, 1, g.bounds)
 	g.Open(false, 0)
 	for n := range 6 {
--- a/internal/backend/dispatch/share.go
+++ b/internal/backend/dispatch/share.go
@@ -47,16 +47,16 @@
 }
 
 // draw takes a unit of the tenant's budget for work that comes now. What a level sheds takes none, nor does a repeat.
-func (g *Gate) draw(inv *Invocation, t *Ticket) admission.Share {
+func (g *Gate) draw(inv *Invocation, t *Ticket) admission.QuotaStanding {
 	s := g.shares
 	if s == nil || t.shed > 0 || t.earlier != "" || inv.Tenant < 0 || inv.Tenant >= len(s.tenants) || s.tenants[inv.Tenant] < 0 {
-		return admission.NotTold
+		return admission.QuotaUnknown
 	}
 	if s.holder.Draw(s.clock(), s.tenants[inv.Tenant]) {
 		t.drew = s.tenants[inv.Tenant]
-		return admission.Within
+		return admission.WithinQuota
 	}
-	return admission.Beyond
+	return admission.OverQuota
 }
 
 // giveBack lets others of its tenant have the unit that was drawn for work that never ran.
--- a/internal/backend/dispatch/watch.go
+++ b/internal/backend/dispatch/watch.go
@@ -8,13 +8,13 @@
 
 // watched is what settings that are not acted on add to a gate. The gate's lock guards it.
 type watched struct {
-	sheet   *config.Sheet
+	sheet   *config.Settings
 	watcher *shadow.Watcher // nil until the gate is open
 }
 
 // Watch counts from now on where other settings would have decided otherwise; nil ends it. Nothing that they decide
 // leaves the gate. What is in hand now is not compared.
-func (g *Gate) Watch(sheet *config.Sheet) {
+func (g *Gate) Watch(sheet *config.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.watched = nil
--- a/internal/backend/idempotency/kept.go
+++ b/internal/backend/idempotency/kept.go
@@ -21,7 +21,7 @@
 // overhead is about what an entry takes besides its result: two places in maps, its texts, and those of who waits.
 const overhead = 1 << 10
 
-// Table holds at most so many bytes; whoever would go beyond them has to ask Room first.
+// Table holds at most so many bytes; whoever would go beyond them has to ask HasCapacity first.
 type Table struct {
 	room, result int // bytes in all, and of the longest result
 	used         int
@@ -47,11 +47,11 @@
 	return &Table{room: room, result: result, byKey: map[Key]*entry{}, byID: map[string]*entry{}}
 }
 
-// Room tells whether one more can be remembered.
-func (t *Table) Room() bool { return t.used+overhead+t.result <= t.room }
+// HasCapacity tells whether one more can be remembered.
+func (t *Table) HasCapacity() bool { return t.used+overhead+t.result <= t.room }
 
-// Has tells whether the invocation of that id is remembered.
-func (t *Table) Has(id string) bool { return t.byID[id] != nil }
+// Contains tells whether the invocation of that id is remembered.
+func (t *Table) Contains(id string) bool { return t.byID[id] != nil }
 
 // Len is how many are remembered.
 func (t *Table) Len() int { return len(t.byID) }
@@ -96,8 +96,8 @@
 	}
 }
 
-// Ended notes how the run ended and returns who waited for it. The result is kept as it is, not copied.
-func (t *Table) Ended(id string, ok bool, result []byte) (waiting []string) {
+// Complete notes how the run ended and returns who waited for it. The result is kept as it is, not copied.
+func (t *Table) Complete(id string, ok bool, result []byte) (waiting []string) {
 	e := t.byID[id]
 	if e == nil || e.ended {
 		return nil
@@ -112,8 +112,8 @@
 	return waiting
 }
 
-// Wait has a repeat wait for the end of the one that it repeats; ended is true if there is nothing to wait for.
-func (t *Table) Wait(id, repeat string) (ended bool) {
+// AddWaiter has a repeat wait for the end of the one that it repeats; ended is true if there is nothing to wait for.
+func (t *Table) AddWaiter(id, repeat string) (ended bool) {
 	e := t.byID[id]
 	if e == nil || e.ended {
 		return true
@@ -122,8 +122,8 @@
 	return false
 }
 
-// Unwait: that repeat has had its answer.
-func (t *Table) Unwait(id, repeat string) {
+// RemoveWaiter: that repeat has had its answer.
+func (t *Table) RemoveWaiter(id, repeat string) {
 	if e := t.byID[id]; e != nil {
 		e.waiting = slices.DeleteFunc(e.waiting, func(r string) bool { return r == repeat })
 	}
@@ -138,9 +138,9 @@
 	return e.result, e.ended && e.ok, true
 }
 
-// Sweep forgets what no repeat can ask for any more: one that is read now reached the machine at most so long ago. One
+// EvictExpired forgets what no repeat can ask for any more: one that is read now reached the machine at most so long ago. One
 // whose run has not ended goes too, its time is over all the same. It looks at most every so often.
-func (t *Table) Sweep(now, late, every Micros) {
+func (t *Table) EvictExpired(now, late, every Micros) {
 	if now < t.swept+every {
 		return
 	}
--- a/internal/backend/idempotency/kept_test.go
+++ b/internal/backend/idempotency/kept_test.go
@@ -44,7 +44,7 @@
 			now += Micros(rapid.IntRange(0, 20).Draw(t, "later"))
 			known := ids()
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
-			case what == 0 && table.Room():
+			case what == 0 && table.HasCapacity():
 				k := Key{rapid.IntRange(0, 1).Draw(t, "operation"), rapid.IntRange(0, 1).Draw(t, "tenant"), "x"}
 				if found := table.Find(k, now); found != "" {
 					if s := all[found]; s == nil || s.key != k || now > s.until {
@@ -68,7 +68,7 @@
 				id := rapid.SampledFrom(known).Draw(t, "ended")
 				s, ok := all[id], rapid.Bool().Draw(t, "ok")
 				first := !s.ended
-				waiting := table.Ended(id, ok, make([]byte, rapid.IntRange(0, overhead).Draw(t, "bytes")))
+				waiting := table.Complete(id, ok, make([]byte, rapid.IntRange(0, overhead).Draw(t, "bytes")))
 				named("ended", s, waiting)
 				s.ended, s.waits = true, map[string]bool{}
 				if _, has, ran := table.Result(id); first && has != ok || !ran {
@@ -81,7 +81,7 @@
 			case what == 3 && len(known) > 0:
 				id, repeat := rapid.SampledFrom(known).Draw(t, "repeated"), fmt.Sprint("r", number)
 				number++
-				if ended := table.Wait(id, repeat); ended != all[id].ended {
+				if ended := table.AddWaiter(id, repeat); ended != all[id].ended {
 					t.Fatalf("waits %t for one that ended %t", !ended, all[id].ended)
 				} else if !ended {
 					all[id].waits[repeat] = true
@@ -89,12 +89,12 @@
 			case what == 4 && len(known) > 0:
 				id := rapid.SampledFrom(known).Draw(t, "of")
 				for w := range all[id].waits {
-					table.Unwait(id, w)
+					table.RemoveWaiter(id, w)
 					delete(all[id].waits, w)
 					break
 				}
 			case what == 5:
-				table.Sweep(now, late, 0)
+				table.EvictExpired(now, late, 0)
 				for id, s := range all {
 					if now > s.until+late {
 						delete(all, id)
@@ -105,7 +105,7 @@
 				t.Fatalf("%d bytes, %d remembered, wanted %d", table.used, table.Len(), len(all))
 			}
 		}
-		table.Sweep(now+1000, 0, 0)
+		table.EvictExpired(now+1000, 0, 0)
 		if table.used != 0 || table.Len() != 0 || len(table.byKey) != 0 {
 			t.Fatalf("left over: %d bytes, %d remembered, %d keys", table.used, table.Len(), len(table.byKey))
 		}
@@ -117,11 +117,11 @@
 func TestLateRepeat(t *testing.T) {
 	table, k := New(1<<20, 100), Key{Token: "x"}
 	table.Remember("a", k, 100)
-	table.Sweep(140, 50, 0)
+	table.EvictExpired(140, 50, 0)
 	if table.Find(k, 100) != "a" || table.Find(k, 101) != "" {
 		t.Error("the time is counted from the arrival")
 	}
-	if table.Sweep(151, 50, 0); table.Len() != 0 {
+	if table.EvictExpired(151, 50, 0); table.Len() != 0 {
 		t.Error("nothing can ask for it")
 	}
 }
--- a/internal/backend/server/conn.go
+++ b/internal/backend/server/conn.go
@@ -208,9 +208,9 @@
 		err = errOperation
 	case tenant == 0 && len(s.tenants) > 0:
 		err = errTenant
-	case !in.Told && !s.sheet.Untold:
+	case !in.Told && !s.sheet.DeadlineOptional:
 		err = errWait
-	case s.sheet.Terms.Operations[op-1].Repeat == admission.Tokened && (len(in.Once) == 0 || len(in.Once) > s.bounds.Token):
+	case s.sheet.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed && (len(in.Once) == 0 || len(in.Once) > s.bounds.Token):
 		err = errToken
 	}
 	if err != nil {
@@ -223,9 +223,9 @@
 		Work: in.Work, At: dispatch.FromWall(in.At), Wait: in.Wait,
 	}
 	if !in.Told {
-		inv.Wait = s.sheet.Terms.Operations[op-1].ClientTimeout
+		inv.Wait = s.sheet.Admission.Operations[op-1].ClientTimeout
 	}
-	if s.sheet.Terms.Operations[op-1].Repeat == admission.Tokened {
+	if s.sheet.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed {
 		inv.Token = token(in.Once, in.Body)
 	}
 	st := &stream{number: h.Stream, left: make(chan struct{})}
--- a/internal/backend/server/edge_test.go
+++ b/internal/backend/server/edge_test.go
@@ -25,8 +25,8 @@
 	address string
 }
 
-func open(t *testing.T, edit func(*limits.Bounds, *config.Sheet)) *site {
-	var sheet config.Sheet
+func open(t *testing.T, edit func(*limits.Bounds, *config.Settings)) *site {
+	var sheet config.Settings
 	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 // TestTooMany: more than the protocol allows on a connection, or than this process can hold, is throttled.
 func TestTooMany(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, sheet *config.Sheet) { b.Invocations, sheet.Terms.Cores = 40, 64 })
+	s := open(t, func(b *limits.Bounds, sheet *config.Settings) { b.Invocations, sheet.Admission.Cores = 40, 64 })
 	one, two := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	for k := range 33 {
 		one.Send(fakes.Invocation(uint32(k+1), k+1))
@@ -226,7 +226,7 @@
 
 // TestSlowPeer: a caller that reads nothing stalls nobody and is cut off when it goes on sending.
 func TestSlowPeer(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Unsent = 1 << 20 })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Unsent = 1 << 20 })
 	slow, other := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	checks := strings.Repeat(fakes.Raw(20, 1, "\x00"), 4000)
 	slow.SetWriteDeadline(time.Now().Add(10 * time.Second))
@@ -261,7 +261,7 @@
 // invocation. Where all have work, a few newcomers are answered and asked for no more, the rest ends. Idle ones are asked away by type 30.
 func TestFull(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Connections, b.Leaving = 2, 1 })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.Leaving = 2, 1 })
 	one, silent := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	one.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.theFarm.Launches)
@@ -312,7 +312,9 @@
 // holds a bounded part of our memory, and no edge node notices.
 func TestBadCallers(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Hello, b.Sweep = 150*time.Millisecond, 20*time.Millisecond })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) {
+		b.Hello, b.Sweep = 150*time.Millisecond, 20*time.Millisecond
+	})
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go s.Sweep(done)
@@ -396,7 +398,7 @@
 // several at once where it is large.
 func TestFilling(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Connections, b.Roomy, b.Rests = 64, 62, 0 })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.Roomy, b.Rests = 64, 62, 0 })
 	var all []*fakes.Node
 	for range 64 {
 		all = append(all, fakes.Dial(t, s.address))
@@ -418,7 +420,7 @@
 // TestHeldForGood: who holds a connection for longer than the deployment's callers do loses it once it rests.
 func TestHeldForGood(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, sheet *config.Sheet) { b.Hello, sheet.Terms.IdleFor = 0, 50_000 })
+	s := open(t, func(b *limits.Bounds, sheet *config.Settings) { b.Hello, sheet.Admission.IdleTimeout = 0, 50_000 })
 	held, busy := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	held.Send(fakes.Raw(20, 1, "\x00"))
 	tr.Say("%v", held.Expect())
@@ -482,10 +484,10 @@
 	if f := n.Expect(); f.Code != 3 || len(s.theFarm.Launches) > 0 {
 		t.Errorf("where they tell: %v", f)
 	}
-	s = open(t, func(_ *limits.Bounds, sheet *config.Sheet) {
-		sheet.Untold = true
-		sheet.Terms.Operations[0].ClientTimeout = 300_000
-		sheet.Terms.Operations[0].Objective = 200_000
+	s = open(t, func(_ *limits.Bounds, sheet *config.Settings) {
+		sheet.DeadlineOptional = true
+		sheet.Admission.Operations[0].ClientTimeout = 300_000
+		sheet.Admission.Operations[0].Objective = 200_000
 	})
 	n = fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1, "wait="))
--- a/internal/backend/server/moments_test.go
+++ b/internal/backend/server/moments_test.go
@@ -68,9 +68,9 @@
 // TestUnreadOnResting: timers have run out on connections whose invocations stand unread, as the process was held up.
 // None is closed over them: not by what ends the silent, those within a frame and the resting, nor to make room.
 func TestUnreadOnResting(t *testing.T) {
-	short := func(b *limits.Bounds, sheet *config.Sheet) {
+	short := func(b *limits.Bounds, sheet *config.Settings) {
 		b.Hello, b.Rests, b.Sweep = time.Millisecond, 0, time.Hour
-		sheet.Terms.IdleFor = 1000
+		sheet.Admission.IdleTimeout = 1000
 	}
 	for _, c := range []struct {
 		what, before string
@@ -154,7 +154,7 @@
 // TestLastAnswersBeforeUnreadInput: a connection ends while its peer, which reads nothing yet, goes on sending. All
 // answers reach it all the same: closed outright, the system would reset the connection and drop what is on its way.
 func TestLastAnswersBeforeUnreadInput(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Linger = 5 * time.Second })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Linger = 5 * time.Second })
 	s.theFarm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -259,7 +259,7 @@
 // TestRoomOnItsWay: a table is full of what has been closed and waits for the poller, which is busy with newcomers. None of
 // those that stay is closed for them.
 func TestRoomOnItsWay(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Sheet) { b.Connections = 2 })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections = 2 })
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Raw(20, 1, "\x00"))
 	n.Expect()
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -12,10 +12,10 @@
 )
 
 // tokened has the operation post known by its tokens.
-func tokened(b *limits.Bounds, sheet *config.Sheet) {
-	sheet.Terms.KeyKB = 20
-	op := &sheet.Terms.Operations[1]
-	op.Repeat, op.Window = admission.Tokened, 5_000_000
+func tokened(b *limits.Bounds, sheet *config.Settings) {
+	sheet.Admission.IdempotencyKeyKB = 20
+	op := &sheet.Admission.Operations[1]
+	op.RetrySafety, op.RepeatWindow = admission.IdempotencyKeyed, 5_000_000
 }
 
 // TestRepeatsOfOneRun: one run brings the answer to a repeat that comes while it runs, though its own caller has reset the
@@ -81,7 +81,7 @@
 // may be open, a repeat is errored, as another backend would run it again, and new work is throttled.
 func TestTokensOnFrames(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, sheet *config.Sheet) {
+	s := open(t, func(b *limits.Bounds, sheet *config.Settings) {
 		tokened(b, sheet)
 		b.Streams = 1
 	})
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -36,7 +36,7 @@
 
 // Server is all that faces the edge nodes.
 type Server struct {
-	sheet      *config.Sheet
+	sheet      *config.Settings
 	bounds     limits.Bounds
 	odd        *ratelimitlog.Tally
 	gate       *dispatch.Gate
@@ -59,7 +59,7 @@
 type connKey struct{}
 
 // New makes a server for the terms of the sheet.
-func New(sheet *config.Sheet, bounds limits.Bounds, tally *ratelimitlog.Tally, g *dispatch.Gate, f *executor.Link) *Server {
+func New(sheet *config.Settings, bounds limits.Bounds, tally *ratelimitlog.Tally, g *dispatch.Gate, f *executor.Link) *Server {
 	s := &Server{
 		sheet: sheet, bounds: bounds, gate: g, farm: f, operations: map[string]int{}, tenants: map[string]int{},
 		conns: map[*conn]struct{}{}, odd: tally,
@@ -311,8 +311,8 @@
 		}
 	}
 	s.swept = now
-	rest := time.Duration(s.sheet.Terms.IdleFor) * time.Microsecond
-	if rest += s.bounds.Hello; s.sheet.Terms.IdleFor <= 0 {
+	rest := time.Duration(s.sheet.Admission.IdleTimeout) * time.Microsecond
+	if rest += s.bounds.Hello; s.sheet.Admission.IdleTimeout <= 0 {
 		rest = math.MaxInt64
 	}
 	for _, c := range s.all() {
--- a/internal/backend/shadow/watch.go
+++ b/internal/backend/shadow/watch.go
@@ -68,10 +68,10 @@
 
 // New begins with the settings to be watched; now is the first instance's opening or, where it has been open for
 // long, any later time: what it had in hand before is not compared.
-func New(t admission.Terms, seed uint64, now admission.Micros) *Watcher {
-	t.Follows = true
+func New(t admission.Config, seed uint64, now admission.Micros) *Watcher {
+	t.ConfirmStarts = true
 	w := &Watcher{shadow: admission.New(t, seed), hand: map[string]bool{}, good: [2]bool{true, true}}
-	w.idle = [2]admission.Micros{t.IdleFor, t.IdleFor}
+	w.idle = [2]admission.Micros{t.IdleTimeout, t.IdleTimeout}
 	w.decide(now, admission.Opened{})
 	return w
 }
@@ -194,7 +194,7 @@
 	case a.DontRetry != b.DontRetry:
 		return Words, true
 	}
-	return Advice, a.RetryIn > b.RetryIn*3/2 || b.RetryIn > a.RetryIn*3/2
+	return Advice, a.RetryAfter > b.RetryAfter*3/2 || b.RetryAfter > a.RetryAfter*3/2
 }
 
 // sides counts what is no invocation's, once until both agree again.
--- a/internal/backend/shadow/watch_test.go
+++ b/internal/backend/shadow/watch_test.go
@@ -12,15 +12,15 @@
 )
 
 // terms are a small deployment; shape changes it.
-func terms(shape func(*admission.Terms)) admission.Terms {
-	t := admission.Terms{
+func terms(shape func(*admission.Config)) admission.Config {
+	t := admission.Config{
 		Operations: []admission.Operation{
 			{Objective: 1_800_000, ClientTimeout: 4_500_000, Value: 1},
-			{Objective: 1_800_000, ClientTimeout: 4_500_000, Value: 10, Repeat: admission.Tokened, Window: 20_000_000},
+			{Objective: 1_800_000, ClientTimeout: 4_500_000, Value: 10, RetrySafety: admission.IdempotencyKeyed, RepeatWindow: 20_000_000},
 		},
-		Fleet: 3, Callers: 200, Cores: 2, MemoryKB: 20_000, RunFactor: 4, KeyKB: 50, AnswerSlack: 60_000,
-		DrainGrace: 2_000_000, ColdShare: 0.3, ColdFor: 9_000_000, FallMultiple: 6, FallOver: 3_000_000,
-		MaxRetryAfter: 1_000_000, Round: 5_000, IdleFor: 30_000_000,
+		FleetSize: 3, Callers: 200, Cores: 2, MemoryKB: 20_000, RunFactor: 4, IdempotencyKeyKB: 50, AnswerSlack: 60_000,
+		DrainGrace: 2_000_000, ColdSpeed: 0.3, WarmUp: 9_000_000, CollapseMultiple: 6, CollapseAfter: 3_000_000,
+		MaxRetryAfter: 1_000_000, BatchInterval: 5_000, IdleTimeout: 30_000_000,
 	}
 	shape(&t)
 	return t
@@ -35,7 +35,7 @@
 	record  bool // what runs
 }
 
-func newPair(first, second admission.Terms) *pair {
+func newPair(first, second admission.Config) *pair {
 	p := &pair{real: admission.New(first, 7), now: 1_000_000, record: true}
 	p.watcher = New(second, 7, p.now)
 	p.tell(admission.Opened{})
@@ -72,13 +72,13 @@
 		case 0, 1, 2, 3, 4, 5:
 			arrived++
 			a := admission.Arrived{
-				ID: fmt.Sprint("i", arrived), Operation: rapid.IntRange(0, 1).Draw(t, "operation"), KB: 30,
-				Rank: rapid.Float64Range(0, 0.99).Draw(t, "rank"), Retry: rapid.Bool().Draw(t, "retry"),
-				Waited: admission.Micros(rapid.IntRange(0, 1_200_000).Draw(t, "waited")),
-				Budget: admission.Micros(rapid.IntRange(1, 4_000_000).Draw(t, "budget")),
+				ID: fmt.Sprint("i", arrived), Operation: rapid.IntRange(0, 1).Draw(t, "operation"), MemoryKB: 30,
+				Priority: rapid.Float64Range(0, 0.99).Draw(t, "rank"), Retry: rapid.Bool().Draw(t, "retry"),
+				QueueTime: admission.Micros(rapid.IntRange(0, 1_200_000).Draw(t, "waited")),
+				TimeLeft:  admission.Micros(rapid.IntRange(1, 4_000_000).Draw(t, "budget")),
 			}
 			if arrived > 3 && a.Operation == 1 && rapid.IntRange(0, 3).Draw(t, "repeat") == 0 {
-				a.Earlier = fmt.Sprint("i", rapid.IntRange(1, arrived-1).Draw(t, "of"))
+				a.RepeatOf = fmt.Sprint("i", rapid.IntRange(1, arrived-1).Draw(t, "of"))
 			}
 			p.tell(a)
 		case 6:
@@ -113,17 +113,17 @@
 // nothing stays in hand once all is over and the second instance does not fail.
 func TestAnySettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first := terms(func(s *admission.Terms) {
-			s.Unmarked = rapid.Bool().Draw(t, "unmarked")
-			s.FreeValue = rapid.SampledFrom([]admission.FreeValue{admission.NoValue, admission.TrafficWeight}).Draw(t, "value")
-			s.Preemption = rapid.SampledFrom([]admission.Preemption{admission.CannotStop, admission.StopPauses}).Draw(t, "preemption")
+		first := terms(func(s *admission.Config) {
+			s.RetriesUnmarked = rapid.Bool().Draw(t, "unmarked")
+			s.AdvertisedValue = rapid.SampledFrom([]admission.AdvertisedValue{admission.NothingAdvertised, admission.TrafficWeight}).Draw(t, "value")
+			s.Preemption = rapid.SampledFrom([]admission.Preemption{admission.NoPreemption, admission.PreemptionPauses}).Draw(t, "preemption")
 		})
 		second, same := first, rapid.Bool().Draw(t, "the same")
 		if !same {
-			second = terms(func(s *admission.Terms) {
-				s.Unmarked, s.FreeValue, s.Preemption = true, admission.TrafficWeight, admission.StopPauses
+			second = terms(func(s *admission.Config) {
+				s.RetriesUnmarked, s.AdvertisedValue, s.Preemption = true, admission.TrafficWeight, admission.PreemptionPauses
 				s.Operations[0].Objective /= admission.Micros(rapid.IntRange(1, 9).Draw(t, "objective"))
-				s.Operations[1].Repeat = admission.Idempotent
+				s.Operations[1].RetrySafety = admission.Idempotent
 				s.MemoryKB /= float64(rapid.IntRange(1, 100).Draw(t, "memory"))
 			})
 		}
@@ -138,9 +138,9 @@
 
 // TestFault: a panic of the second instance is counted, and it decides nothing more.
 func TestFault(t *testing.T) {
-	p := newPair(terms(func(*admission.Terms) {}), terms(func(s *admission.Terms) { s.Operations = s.Operations[:1] }))
+	p := newPair(terms(func(*admission.Config) {}), terms(func(s *admission.Config) { s.Operations = s.Operations[:1] }))
 	for n := range 3 {
-		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: 1, KB: 30, Budget: 4_000_000})
+		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000})
 	}
 	if c := p.watcher.Counts(); c.Faults != 1 || c.Arrivals != 1 || len(p.running) != 2 {
 		t.Errorf("%v, %d run", c, len(p.running))
@@ -152,7 +152,7 @@
 	tr := fakes.NewTrace(t)
 	arrive := func(p *pair, n, operation int, budget admission.Micros) {
 		p.now += 1000
-		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: operation, KB: 30, Budget: budget, Rank: 0.1})
+		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: operation, MemoryKB: 30, TimeLeft: budget, Priority: 0.1})
 	}
 	crowd := func(p *pair) { // cores that are full, with a line
 		p.tick(2)
@@ -162,16 +162,16 @@
 		p.tick(8)
 		p.tick(8)
 	}
-	none := func(*admission.Terms) {}
-	small := func(s *admission.Terms) { s.MemoryKB = 200 }
-	brief := func(s *admission.Terms) { s.Operations[0].Objective = 400_000 }
+	none := func(*admission.Config) {}
+	small := func(s *admission.Config) { s.MemoryKB = 200 }
+	brief := func(s *admission.Config) { s.Operations[0].Objective = 400_000 }
 	for _, c := range []struct {
 		name          string
-		first, second func(*admission.Terms)
+		first, second func(*admission.Config)
 		how           func(*pair)
 	}{
 		{"the same", none, none, crowd},
-		{"no mark: unusual waits", none, func(s *admission.Terms) { s.Unmarked = true }, func(p *pair) {
+		{"no mark: unusual waits", none, func(s *admission.Config) { s.RetriesUnmarked = true }, func(p *pair) {
 			for n := range 300 {
 				p.tick(9)
 				arrive(p, n, 0, []admission.Micros{2_250_000, 4_500_000 - admission.Micros(n*7919%2_000_000)}[n%2])
@@ -179,7 +179,7 @@
 		}},
 		{"a smaller memory", none, small, crowd},
 		{"a larger memory", small, none, crowd},
-		{"other billed values", none, func(s *admission.Terms) { s.Operations[0].Value = 100 }, func(p *pair) {
+		{"other billed values", none, func(s *admission.Config) { s.Operations[0].Value = 100 }, func(p *pair) {
 			for n := range 5 { // two run, one of each waits, and one more
 				arrive(p, n, n%2, 4_000_000)
 			}
@@ -188,18 +188,18 @@
 		}},
 		{"a shorter objective", none, brief, crowd},
 		{"a longer objective", brief, none, crowd},
-		{"repeats known by key", func(s *admission.Terms) { s.Operations[1].Repeat = admission.Idempotent }, none, func(p *pair) {
+		{"repeats known by key", func(s *admission.Config) { s.Operations[1].RetrySafety = admission.Idempotent }, none, func(p *pair) {
 			arrive(p, 1, 1, 4_000_000)
-			p.tell(admission.Arrived{ID: "i2", Operation: 1, KB: 30, Budget: 4_000_000, Earlier: "i1"})
+			p.tell(admission.Arrived{ID: "i2", Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000, RepeatOf: "i1"})
 		}},
-		{"runs can be paused", none, func(s *admission.Terms) { s.Preemption = admission.StopPauses }, func(p *pair) {
+		{"runs can be paused", none, func(s *admission.Config) { s.Preemption = admission.PreemptionPauses }, func(p *pair) {
 			arrive(p, 1, 0, 100_000)
 			for range 10 {
 				p.tick(2)
 			}
 		}},
-		{"a free value", none, func(s *admission.Terms) { s.FreeValue = admission.TrafficWeight }, crowd},
-		{"callers by the hundred", func(s *admission.Terms) { s.Callers = 3 }, none, func(p *pair) {
+		{"a free value", none, func(s *admission.Config) { s.AdvertisedValue = admission.TrafficWeight }, crowd},
+		{"callers by the hundred", func(s *admission.Config) { s.Callers = 3 }, none, func(p *pair) {
 			for range 100 {
 				p.tick(1)
 			}
@@ -215,14 +215,14 @@
 func BenchmarkSaw(b *testing.B) {
 	for _, watched := range []bool{false, true} {
 		b.Run(fmt.Sprint("watched=", watched), func(b *testing.B) {
-			p := newPair(terms(func(*admission.Terms) {}), terms(func(*admission.Terms) {}))
+			p := newPair(terms(func(*admission.Config) {}), terms(func(*admission.Config) {}))
 			if p.record = false; !watched {
 				p.watcher.counts.Faults = 1
 			}
 			for n := 0; b.Loop(); n++ {
 				p.now += 10_000
 				p.tell(admission.Finished{ID: fmt.Sprint("i", n-10), Outcome: admission.OK, Took: 1})
-				p.tell(admission.Arrived{ID: fmt.Sprint("i", n), KB: 30, Hint: 20_000, Budget: 4_000_000, Rank: 0.5})
+				p.tell(admission.Arrived{ID: fmt.Sprint("i", n), MemoryKB: 30, ExpectedWork: 20_000, TimeLeft: 4_000_000, Priority: 0.5})
 			}
 		})
 	}
--- a/internal/config/backend.go
+++ b/internal/config/backend.go
@@ -18,20 +18,20 @@
 
 // Backend is the configuration of one program.
 type Backend struct {
-	Name   string  `json:"name"`
-	Listen string  `json:"listen"`
-	Farm   string  `json:"agent"`
-	Roster string  `json:"roster"`
-	Seed   Seed    `json:"seed"`
-	StopMs float64 `json:"stop_ms"`
-	Limits struct {
+	Name     string  `json:"name"`
+	Listen   string  `json:"listen"`
+	Executor string  `json:"agent"`
+	Registry string  `json:"roster"`
+	Seed     Seed    `json:"seed"`
+	StopMs   float64 `json:"stop_ms"`
+	Limits   struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Sheet *Sheet `json:"settings"`
-	Watch *Sheet `json:"watch"` // settings that are watched and not acted on; nil: none
-	Hash  string `json:"-"`     // of the file as it was read, 16 hex digits
+	Settings *Settings `json:"settings"`
+	Shadow   *Settings `json:"watch"` // settings that are watched and not acted on; nil: none
+	Hash     string    `json:"-"`     // of the file as it was read, 16 hex digits
 }
 
 // Seed starts the random numbers; in the file it is text of hex digits.
@@ -60,16 +60,16 @@
 	return Parse(raw)
 }
 
-// Fixed names the fields that a later configuration gives anew though they cannot change while the program
+// ImmutableChanges names the fields that a later configuration gives anew though they cannot change while the program
 // runs; the addresses of farm (the platform calls it agent) and roster can.
-func (b *Backend) Fixed(later *Backend) (fields []string) {
+func (b *Backend) ImmutableChanges(later *Backend) (fields []string) {
 	for _, f := range []struct {
 		name string
 		same bool
 	}{
 		{"name", b.Name == later.Name}, {"listen", b.Listen == later.Listen}, {"seed", b.Seed == later.Seed},
 		{"stop_ms", b.StopMs == later.StopMs}, {"limits", b.Limits == later.Limits},
-		{"settings", reflect.DeepEqual(b.Sheet, later.Sheet)},
+		{"settings", reflect.DeepEqual(b.Settings, later.Settings)},
 	} {
 		if !f.same {
 			fields = append(fields, f.name)
@@ -93,7 +93,7 @@
 		return fmt.Errorf("name: %q is not a word", b.Name)
 	}
 	for _, a := range []struct{ field, address string }{
-		{"listen", b.Listen}, {"agent", b.Farm}, {"roster", b.Roster},
+		{"listen", b.Listen}, {"agent", b.Executor}, {"roster", b.Registry},
 	} {
 		if to, err := netip.ParseAddrPort(a.address); err != nil || to.Port() == 0 && a.field != "listen" {
 			return fmt.Errorf("%s: %q is not an address and a port", a.field, a.address)
@@ -110,22 +110,22 @@
 			return fmt.Errorf("%s: %v is not above 0 and at most %v", n.field, n.value, n.most)
 		}
 	}
-	if b.Sheet == nil {
+	if b.Settings == nil {
 		return errors.New("settings: missing")
 	}
-	if err := b.Sheet.check(); err != nil || b.Watch == nil {
+	if err := b.Settings.check(); err != nil || b.Shadow == nil {
 		return err
 	}
-	if err := b.Watch.sound("watch"); err != nil {
+	if err := b.Shadow.sound("watch"); err != nil {
 		return err
 	}
-	switch w := b.Watch; {
-	case !slices.Equal(w.Operations, b.Sheet.Operations):
-		return fmt.Errorf("watch.classes: %q, and settings.classes has %q", w.Operations, b.Sheet.Operations)
-	case !slices.Equal(w.Tenants, b.Sheet.Tenants):
-		return fmt.Errorf("watch.projects: %q, and settings.projects has %q", w.Tenants, b.Sheet.Tenants)
-	case w.Terms.Cores != b.Sheet.Terms.Cores:
-		return fmt.Errorf("watch.family_info.n_cores: %d, and this machine has %d", w.Terms.Cores, b.Sheet.Terms.Cores)
+	switch w := b.Shadow; {
+	case !slices.Equal(w.Operations, b.Settings.Operations):
+		return fmt.Errorf("watch.classes: %q, and settings.classes has %q", w.Operations, b.Settings.Operations)
+	case !slices.Equal(w.Tenants, b.Settings.Tenants):
+		return fmt.Errorf("watch.projects: %q, and settings.projects has %q", w.Tenants, b.Settings.Tenants)
+	case w.Admission.Cores != b.Settings.Admission.Cores:
+		return fmt.Errorf("watch.family_info.n_cores: %d, and this machine has %d", w.Admission.Cores, b.Settings.Admission.Cores)
 	}
 	return nil
 }
@@ -138,32 +138,32 @@
 // check tells what no backend could use, and what this program cannot do though the deployment asks for it. What the
 // deployment only permits, and the frames and the farm's lines have no way for, is left unused: serving without it breaks
 // nothing, while refusing to start serves nobody.
-func (s *Sheet) check() error {
+func (s *Settings) check() error {
 	if err := s.sound("settings"); err != nil {
 		return err
 	}
-	t := &s.Terms
+	t := &s.Admission
 	switch {
 	case s.words.below != "off" && s.words.below != "":
 		return fmt.Errorf("settings.family_info.below: %q, and calls below have no line here", s.words.below)
 	}
 	if s.words.freshMs > 0 {
-		s.Unused = append(s.Unused, "family_info.fresh_ms")
+		s.IgnoredFields = append(s.IgnoredFields, "family_info.fresh_ms")
 	}
 	if s.words.say != "" && s.words.say != "off" {
-		s.Unused = append(s.Unused, "family_info.say")
-		t.FreeValue = admission.NoValue
+		s.IgnoredFields = append(s.IgnoredFields, "family_info.say")
+		t.AdvertisedValue = admission.NothingAdvertised
 	}
-	if t.Preemption != admission.CannotStop {
-		s.Unused = append(s.Unused, "family_info.preemption")
-		t.Preemption = admission.CannotStop
+	if t.Preemption != admission.NoPreemption {
+		s.IgnoredFields = append(s.IgnoredFields, "family_info.preemption")
+		t.Preemption = admission.NoPreemption
 	}
 	return nil
 }
 
 // sound tells what no backend could use, or what contradicts itself; under is where the object stands.
-func (s *Sheet) sound(under string) error {
-	t, words := &s.Terms, &s.words
+func (s *Settings) sound(under string) error {
+	t, words := &s.Admission, &s.words
 	unsound := func(field, format string, args ...any) error {
 		return fmt.Errorf("%s.%s: %s", under, field, fmt.Sprintf(format, args...))
 	}
@@ -178,8 +178,8 @@
 		return unsound("family_info.run_factor", "%v", t.RunFactor)
 	case t.AnswerSlack <= 0:
 		return unsound("invariants.answer_slack_ms", "not above 0")
-	case !(t.FallMultiple >= 1):
-		return unsound("invariants.fall_multiple", "%v", t.FallMultiple)
+	case !(t.CollapseMultiple >= 1):
+		return unsound("invariants.fall_multiple", "%v", t.CollapseMultiple)
 	case words.worthBy != "" && words.worthBy != "request" && words.worthBy != "work":
 		return unsound("worth_by", "%q is neither request nor work", words.worthBy)
 	case words.preemption != "" && !has(preemptions, words.preemption):
@@ -188,8 +188,8 @@
 		return unsound("family_info.say", "%q is none of off, floor, allowance and weight", words.say)
 	case !slices.Contains([]string{"", "off", "one_for_all", "tier"}, words.below):
 		return unsound("family_info.below", "%q is none of off, one_for_all and tier", words.below)
-	case t.SharedBelow && !(t.CallShare > 0 && t.CallsOver > 0):
-		return unsound("family_info.calls_out", "%v over %v us, and one dependency serves all", t.CallShare, t.CallsOver)
+	case t.SharedDependency && !(t.CallQuota > 0 && t.CallQuotaWindow > 0):
+		return unsound("family_info.calls_out", "%v over %v us, and one dependency serves all", t.CallQuota, t.CallQuotaWindow)
 	}
 	for n, op := range t.Operations {
 		field := fmt.Sprintf("classes[%d]", n)
@@ -204,17 +204,17 @@
 			return unsound(field+".deadline_ms", "not above 0")
 		case !has(repeats, words.repeats[n]):
 			return unsound(field+".repeat", "%q is none of idempotent, deduplicated and at_most_once", words.repeats[n])
-		case op.Repeat == admission.Tokened && op.Window <= 0:
+		case op.RetrySafety == admission.IdempotencyKeyed && op.RepeatWindow <= 0:
 			return unsound(field+".window_ms", "not above 0, and repeats are to be known")
-		case op.Repeat == admission.Tokened && !(t.KeyKB > 0):
+		case op.RetrySafety == admission.IdempotencyKeyed && !(t.IdempotencyKeyKB > 0):
 			return unsound("family_info.key_kb", "not above 0, and %s keeps keys", s.Operations[n])
 		case !(op.Value >= 0) || math.IsInf(op.Value, 0):
 			return unsound(field+".worth", "%v", op.Value)
 		case !(op.LateValue >= 0 && op.LateValue <= 1):
 			return unsound(field+".late_value", "%v is no part", op.LateValue)
-		case !(op.SkippedValue >= 0 && op.SkippedValue <= 1):
-			return unsound(fmt.Sprintf("family_info.degraded_worth[%d]", n), "%v is no part", op.SkippedValue)
-		case op.Calls && words.below == "off":
+		case !(op.ValueWithoutCall >= 0 && op.ValueWithoutCall <= 1):
+			return unsound(fmt.Sprintf("family_info.degraded_worth[%d]", n), "%v is no part", op.ValueWithoutCall)
+		case op.MakesCalls && words.below == "off":
 			return unsound(fmt.Sprintf("family_info.class_calls[%d]", n), "true, and nothing lies below")
 		}
 	}
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -9,15 +9,15 @@
 	"milletbarrow/admission"
 )
 
-// Sheet is a decoded settings object.
-type Sheet struct {
-	Terms      admission.Terms
-	Operations []string // names, by number
-	Tenants    []string
-	Gauges     []string
-	Untold     bool     // frames need not tell how long callers wait: it is the client timeout then
-	Unused     []string // fields that permit what this program has no way to do, and leaves
-	words      words
+// Settings is a decoded settings object.
+type Settings struct {
+	Admission        admission.Config
+	Operations       []string // names, by number
+	Tenants          []string
+	Gauges           []string
+	DeadlineOptional bool     // frames need not tell how long callers wait: it is the client timeout then
+	IgnoredFields    []string // fields that permit what this program has no way to do, and leaves
+	words            words
 }
 
 // words are the choices that the object spells out.
@@ -28,7 +28,7 @@
 	freshMs                float64
 }
 
-// object is the part of the settings that a Sheet is made of.
+// object is the part of the settings that Settings is made of.
 type object struct {
 	Classes []struct {
 		Name       string  `json:"name"`
@@ -86,15 +86,15 @@
 }
 
 var (
-	repeats = map[string]admission.Repeat{
-		"idempotent": admission.Idempotent, "deduplicated": admission.Tokened, "at_most_once": admission.NonIdempotent,
+	repeats = map[string]admission.RetrySafety{
+		"idempotent": admission.Idempotent, "deduplicated": admission.IdempotencyKeyed, "at_most_once": admission.NonIdempotent,
 	}
 	preemptions = map[string]admission.Preemption{
-		"off": admission.CannotStop, "discard": admission.StopDiscards, "freeze": admission.StopPauses,
+		"off": admission.NoPreemption, "discard": admission.PreemptionDiscards, "freeze": admission.PreemptionPauses,
 	}
-	freeValues = map[string]admission.FreeValue{
-		"off":       admission.NoValue,
-		"floor":     admission.NoValue, // no decision here makes one
+	freeValues = map[string]admission.AdvertisedValue{
+		"off":       admission.NothingAdvertised,
+		"floor":     admission.NothingAdvertised, // no decision here makes one
 		"allowance": admission.CallerAllowance, "weight": admission.TrafficWeight,
 	}
 )
@@ -106,51 +106,51 @@
 }
 
 // UnmarshalJSON decodes a settings object; keys that it does not know are skipped.
-func (s *Sheet) UnmarshalJSON(raw []byte) error {
+func (s *Settings) UnmarshalJSON(raw []byte) error {
 	var o object
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return err
 	}
 	f, r := &o.Family, &o.Rules
-	t := admission.Terms{
-		OverShareValue: o.OverShareWorth, Fleet: o.FleetSize, Callers: f.Callers, Cores: f.Cores,
-		MemoryKB: f.MemLimitKB, RunFactor: f.RunFactor, KeyKB: f.KeyKB,
-		JustStarted: f.JustStarted, Preemption: preemptions[f.Preemption], FreeValue: freeValues[f.Say],
+	t := admission.Config{
+		OverQuotaValue: o.OverShareWorth, FleetSize: o.FleetSize, Callers: f.Callers, Cores: f.Cores,
+		MemoryKB: f.MemLimitKB, RunFactor: f.RunFactor, IdempotencyKeyKB: f.KeyKB,
+		JustStarted: f.JustStarted, Preemption: preemptions[f.Preemption], AdvertisedValue: freeValues[f.Say],
 		AnswerSlack: Micros(r.AnswerSlackMs), DrainGrace: Micros(r.DrainGraceMs),
-		ColdShare: r.ColdShare, ColdFor: Micros(r.ColdMs), FallMultiple: r.FallMultiple, FallOver: Micros(r.FallMs),
-		SharedBelow: f.Below == "one_for_all", CallShare: f.CallsOut, CallsOver: Micros(f.CallsOverMs),
-		Linger: Micros(f.LingerMs), Round: Micros(o.RoundMs), ByWork: o.WorthBy == "work", IdleFor: Micros(f.IdleMs),
+		ColdSpeed: r.ColdShare, WarmUp: Micros(r.ColdMs), CollapseMultiple: r.FallMultiple, CollapseAfter: Micros(r.FallMs),
+		SharedDependency: f.Below == "one_for_all", CallQuota: f.CallsOut, CallQuotaWindow: Micros(f.CallsOverMs),
+		AbandonedCallLinger: Micros(f.LingerMs), BatchInterval: Micros(o.RoundMs), ValuePerWork: o.WorthBy == "work", IdleTimeout: Micros(f.IdleMs),
 	}
-	t.Unmarked = o.Clients.MarksRetry != nil && !*o.Clients.MarksRetry
+	t.RetriesUnmarked = o.Clients.MarksRetry != nil && !*o.Clients.MarksRetry
 	if o.Limits.RetryAfter {
 		t.MaxRetryAfter = Micros(o.Limits.MaxRetryAfterMs)
 	}
-	*s = Sheet{Gauges: f.Gauges, Untold: f.Passes != nil && !*f.Passes, words: words{below: f.Below, preemption: f.Preemption, say: f.Say, worthBy: o.WorthBy, freshMs: f.FreshMs}}
+	*s = Settings{Gauges: f.Gauges, DeadlineOptional: f.Passes != nil && !*f.Passes, words: words{below: f.Below, preemption: f.Preemption, say: f.Say, worthBy: o.WorthBy, freshMs: f.FreshMs}}
 	for _, p := range o.Projects {
 		t.QuotaPerSecond = append(t.QuotaPerSecond, p.QuotaPerS)
 		s.Tenants = append(s.Tenants, p.Name)
 	}
 	for n, c := range o.Classes {
 		op := admission.Operation{
-			Repeat: repeats[c.Repeat], Value: c.Worth, Objective: Micros(c.AimMs), Stretch: c.AimStretch,
-			ClientTimeout: Micros(c.DeadlineMs), Window: Micros(c.WindowMs), LateValue: c.LateValue,
+			RetrySafety: repeats[c.Repeat], Value: c.Worth, Objective: Micros(c.AimMs), ObjectiveStretch: c.AimStretch,
+			ClientTimeout: Micros(c.DeadlineMs), RepeatWindow: Micros(c.WindowMs), LateValue: c.LateValue,
 		}
 		if n < len(f.ClassCalls) {
-			op.Calls = f.ClassCalls[n]
+			op.MakesCalls = f.ClassCalls[n]
 		}
 		if n < len(f.DegradedWorth) {
-			op.SkippedValue = f.DegradedWorth[n]
+			op.ValueWithoutCall = f.DegradedWorth[n]
 		}
 		t.Operations = append(t.Operations, op)
 		s.Operations = append(s.Operations, c.Name)
 		s.words.repeats = append(s.words.repeats, c.Repeat)
 	}
-	s.Terms = t
+	s.Admission = t
 	return nil
 }
 
 // Reading names raw gauge values; what is not among them is -1.
-func (s *Sheet) Reading(values []float64) admission.Reading {
+func (s *Settings) Reading(values []float64) admission.Reading {
 	return Reading(s.Gauges, values)
 }
 
--- a/internal/config/terms_test.go
+++ b/internal/config/terms_test.go
@@ -24,12 +24,12 @@
 		if err != nil {
 			return
 		}
-		for n, op := range b.Sheet.Terms.Operations {
-			if op.Objective <= 0 || op.ClientTimeout <= 0 || strings.ContainsAny(b.Sheet.Operations[n], " \r\n") {
+		for n, op := range b.Settings.Admission.Operations {
+			if op.Objective <= 0 || op.ClientTimeout <= 0 || strings.ContainsAny(b.Settings.Operations[n], " \r\n") {
 				t.Fatalf("operation %d accepted: %+v", n, op)
 			}
 		}
-		if len(b.Sheet.Tenants) != len(b.Sheet.Terms.QuotaPerSecond) || !(b.StopMs > 0) || !(b.Limits.MemoryMB > 0) {
+		if len(b.Settings.Tenants) != len(b.Settings.Admission.QuotaPerSecond) || !(b.StopMs > 0) || !(b.Limits.MemoryMB > 0) {
 			t.Fatalf("accepted: %+v", b)
 		}
 	})
@@ -38,9 +38,9 @@
 // TestWaitUntold: frames need not tell how long callers wait where the settings say so, and only there.
 func TestWaitUntold(t *testing.T) {
 	for add, want := range map[string]bool{"": false, `"passes_deadline":true,`: false, `"passes_deadline":false,`: true} {
-		var s Sheet
-		if err := json.Unmarshal([]byte(strings.Replace(fakes.Settings, `"callers"`, add+`"callers"`, 1)), &s); err != nil || s.Untold != want {
-			t.Errorf("%s: %t %v", add, s.Untold, err)
+		var s Settings
+		if err := json.Unmarshal([]byte(strings.Replace(fakes.Settings, `"callers"`, add+`"callers"`, 1)), &s); err != nil || s.DeadlineOptional != want {
+			t.Errorf("%s: %t %v", add, s.DeadlineOptional, err)
 		}
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -40,7 +40,7 @@
 
 // Settings is the object that a platform hands a backend, made of a scenario.
 func Settings(s *simulation.Scenario) map[string]any {
-	repeats := map[admission.Repeat]string{admission.Idempotent: "idempotent", admission.NonIdempotent: "at_most_once"}
+	repeats := map[admission.RetrySafety]string{admission.Idempotent: "idempotent", admission.NonIdempotent: "at_most_once"}
 	var classes, projects []map[string]any
 	ms := func(m simulation.Micros) float64 { return float64(m) / 1000 }
 	for _, op := range s.Operations {
--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -66,7 +66,7 @@
 func BenchmarkBare(b *testing.B) {
 	s := sized(330)
 	s.Load.At, s.Troubles = 0.5, nil
-	p := &Policy{Name: "idler", New: func(admission.Terms, uint64) Decider { return idler{} }}
+	p := &Policy{Name: "idler", New: func(admission.Config, uint64) Decider { return idler{} }}
 	events := 0.0
 	for b.Loop() {
 		r, err := Play(&s, p, 1, nil)
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -259,18 +259,18 @@
 		hint = Micros(a.work)
 	}
 	ev := admission.Arrived{
-		ID: t.id, Operation: int(a.op), Tenant: int(a.tenant), Rank: op.Rank, Retry: t.retry,
-		Hint: hint, Waited: w.now - t.reached, Budget: max(1, t.due-w.now), KB: w.s.Hosts.HeldKB,
+		ID: t.id, Operation: int(a.op), Tenant: int(a.tenant), Priority: op.Rank, Retry: t.retry,
+		ExpectedWork: hint, QueueTime: w.now - t.reached, TimeLeft: max(1, t.due-w.now), MemoryKB: w.s.Hosts.HeldKB,
 	}
-	if op.Repeat == admission.Tokened {
+	if op.Repeat == admission.IdempotencyKeyed {
 		if id := h.byKey[a.number]; id != "" && h.kept[id] != nil && h.kept[id].until > w.now {
-			ev.Earlier = id
+			ev.RepeatOf = id
 		}
 	}
 	if r := h.reduced; r != nil {
 		now := degradation.Micros(w.now)
 		if r.drawer.Sheds(r.mover.Level(), r.mover.Depth(now), int(a.op), int(a.tenant), op.Rank, degradation.Micros(a.hint)) {
-			ev.Shed, t.shed = 1, true
+			ev.ShedFor, t.shed = 1, true
 			w.res.Shed++
 		} else {
 			r.meter.Add(now, degradation.Arrivals)
@@ -279,9 +279,9 @@
 			}
 		}
 	}
-	if ev.Shed == 0 && len(w.s.Tenants) > 0 {
-		ev.Share = w.drawShare(h, int(a.tenant))
-		t.drew = ev.Share == admission.Within
+	if ev.ShedFor == 0 && len(w.s.Tenants) > 0 {
+		ev.Quota = w.drawShare(h, int(a.tenant))
+		t.drew = ev.Quota == admission.WithinQuota
 	}
 	w.decide(h, ev)
 	if h.memory+h.keyKB > w.s.Hosts.MemoryKB {
@@ -310,7 +310,7 @@
 	case admission.Throttle:
 		if j := w.mine(h, a.ID); j != none {
 			t := &w.atts[j]
-			t.retryIn, t.dont = min(a.RetryIn, w.s.Hosts.RetryAfter), a.DontRetry
+			t.retryIn, t.dont = min(a.RetryAfter, w.s.Hosts.RetryAfter), a.DontRetry
 			if r := h.reduced; r != nil && t.answers == 0 && !t.shed { // what a level sheds must not keep it
 				r.meter.Add(degradation.Micros(w.now), degradation.TurnedAway)
 			}
@@ -332,7 +332,7 @@
 		}
 	case admission.Call:
 		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == waitsBelow {
-			w.call(h, j, a.Within)
+			w.call(h, j, a.Timeout)
 		}
 	case admission.SkipCall:
 		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == waitsBelow {
--- a/internal/simulation/model_test.go
+++ b/internal/simulation/model_test.go
@@ -100,7 +100,7 @@
 		for seed := range uint64(3) {
 			s := short()
 			s.Load.At = 1.2
-			s.Operations[1].Calls, s.Operations[0].Repeat = true, admission.Tokened
+			s.Operations[1].Calls, s.Operations[0].Repeat = true, admission.IdempotencyKeyed
 			s.Nodes.Behind, s.Nodes.Tries = 0.3, 0
 			s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 200}, {Name: "b", Share: 0.5, Quota: 200}}
 			first.At = Second
@@ -204,7 +204,7 @@
 		s.Load.At = 1.5
 		s.Hosts.FallOver = Second
 		s.Troubles = []Trouble{{Kind: Release, At: Second, Width: 0.5}}
-		p := &Policy{Name: f.name, New: func(t admission.Terms, seed uint64) Decider { return faulty{admission.New(t, seed), f.alter} }}
+		p := &Policy{Name: f.name, New: func(t admission.Config, seed uint64) Decider { return faulty{admission.New(t, seed), f.alter} }}
 		if r := play(t, &s, p, 1); r.Rules[f.rule] == 0 {
 			t.Errorf("%s: rule %d was to be seen broken: %v %v", f.name, f.rule, r.Rules, r.Breaches)
 		}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -195,7 +195,7 @@
 	}
 	k := w.choose(a, n)
 	op := &w.s.Operations[a.op]
-	if op.Repeat == admission.Tokened && a.unsure { // only the one that may have run it knows of it
+	if op.Repeat == admission.IdempotencyKeyed && a.unsure { // only the one that may have run it knows of it
 		k = a.last
 		if !w.listed[n.slots[k].host] {
 			k = none
@@ -210,7 +210,7 @@
 	a.last = k
 	sl := &n.slots[k]
 	h := &w.hosts[sl.host]
-	j := w.newAttempt(op.Repeat == admission.Tokened)
+	j := w.newAttempt(op.Repeat == admission.IdempotencyKeyed)
 	t := &w.atts[j]
 	t.ask, t.host, t.slot, t.life, t.retry, t.atNode, t.prev, t.next = i, sl.host, k, h.life, retry, true, none, none
 	if a.open[0] == none {
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -13,7 +13,7 @@
 // Policy is what is measured: what a host decides with, and how nodes choose where that is part of it.
 type Policy struct {
 	Name      string
-	New       func(t admission.Terms, seed uint64) Decider
+	New       func(t admission.Config, seed uint64) Decider
 	Ladder    *degradation.Ladder // levels of reduced service before the module; nil: none
 	Balance   *Balance            // instead of the scenario's
 	Throttles bool                // nodes throttle by themselves
@@ -38,8 +38,8 @@
 // Policies are all there are: the module first, then the baselines, which serve nobody, and the oracle.
 func Policies() []Policy {
 	two, least, oracle := TwoChoices, LeastLoad, Oracle
-	pooled := func(shape func(*pool)) func(admission.Terms, uint64) Decider {
-		return func(t admission.Terms, _ uint64) Decider {
+	pooled := func(shape func(*pool)) func(admission.Config, uint64) Decider {
+		return func(t admission.Config, _ uint64) Decider {
 			p := &pool{t: t, by: map[string]*job0{}, drainAt: never, stopAt: never}
 			p.tick = max(min(20*Millisecond, t.AnswerSlack/3), Millisecond)
 			p.limit, p.line = t.Cores, 4*t.Cores
@@ -51,7 +51,7 @@
 	return []Policy{
 		{
 			Name: Module, About: "the module, unchanged",
-			New:    func(t admission.Terms, seed uint64) Decider { return admission.New(t, seed) },
+			New:    func(t admission.Config, seed uint64) Decider { return admission.New(t, seed) },
 			Source: "docs/design.md",
 		},
 		{Name: "pool", New: short, About: "a run a core, and a line of four a core, in turn", Source: "the ordinary thread pool"},
@@ -116,7 +116,7 @@
 // pool is the frame of the baselines. It keeps the four rules as the module must: else a comparison would be with
 // something that nobody may run.
 type pool struct {
-	t               admission.Terms
+	t               admission.Config
 	limit, line     int // runs at once, and how many wait
 	adapt           func(p *pool, now Micros, took Micros, late bool)
 	delay           Micros // of controlled delay; 0: in turn
@@ -170,7 +170,7 @@
 		}
 	case admission.NeedsCall:
 		if j := p.by[e.ID]; j != nil && !j.answered {
-			return append(out, admission.Call{ID: e.ID, Within: max(1000, min(j.due, p.last())-now)})
+			return append(out, admission.Call{ID: e.ID, Timeout: max(1000, min(j.due, p.last())-now)})
 		}
 	case admission.CallReturned:
 		if j := p.by[e.ID]; j != nil && e.Outcome != admission.OK && !j.answered {
@@ -185,15 +185,15 @@
 
 func (p *pool) arrive(now Micros, a admission.Arrived, out []admission.Action) []admission.Action {
 	op := &p.t.Operations[a.Operation]
-	if now-a.Waited > p.drainAt+p.t.DrainGrace || now >= p.last() || a.Shed > 0 {
+	if now-a.QueueTime > p.drainAt+p.t.DrainGrace || now >= p.last() || a.ShedFor > 0 {
 		return append(out, admission.Throttle{ID: a.ID})
 	}
 	if p.running >= p.limit && len(p.waits) >= p.line && !p.dear {
 		return append(out, admission.Throttle{ID: a.ID})
 	}
-	j := &job0{id: a.ID, arrived: now - a.Waited, due: now + a.Budget, work: a.Hint}
+	j := &job0{id: a.ID, arrived: now - a.QueueTime, due: now + a.TimeLeft, work: a.ExpectedWork}
 	j.want = min(j.due, j.arrived+op.Objective)
-	j.worth = (a.Rank + 0.01) / float64(max(a.Hint, 1000))
+	j.worth = (a.Priority + 0.01) / float64(max(a.ExpectedWork, 1000))
 	p.by[a.ID] = j
 	p.all = append(p.all, j)
 	p.waits = append(p.waits, j)
@@ -265,7 +265,7 @@
 }
 
 // bears is what a host is set up to bear at the most: nobody lets a limit grow past that.
-func (p *pool) bears() float64 { return 0.8 * p.t.FallMultiple * float64(p.t.Cores) }
+func (p *pool) bears() float64 { return 0.8 * p.t.CollapseMultiple * float64(p.t.Cores) }
 
 func aimd(p *pool, _, _ Micros, late bool) {
 	if late {
--- a/internal/simulation/read.go
+++ b/internal/simulation/read.go
@@ -124,7 +124,7 @@
 		Hint: f.Share("hint", 0, 1000, 0), HintSpread: f.Share("hint-spread", 0, 3, 0), SkippedValue: f.Share("skipped-value", 0, 1, 0),
 		Calls: f.OneOf("calls", "no", "yes") == "yes",
 	}
-	o.Repeat = admission.Repeat(index([]string{"idempotent", "tokened", "non-idempotent"}, f.OneOf("repeat", "idempotent", "tokened", "non-idempotent")))
+	o.Repeat = admission.RetrySafety(index([]string{"idempotent", "tokened", "non-idempotent"}, f.OneOf("repeat", "idempotent", "tokened", "non-idempotent")))
 	f.Done()
 	return o
 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -114,7 +114,7 @@
 	Objective    Micros
 	Timeout      Micros
 	LateValue    float64
-	Repeat       admission.Repeat
+	Repeat       admission.RetrySafety
 	Hint         float64 // the hint given is the work times this; 0: none is given
 	HintSpread   float64 // sigma of a further lognormal factor
 	Calls        bool
@@ -299,21 +299,21 @@
 const overShare = 0.3
 
 // Terms are what a host's policy is told of the deployment, cold for one that replaces another.
-func (s *Scenario) Terms(cold bool) admission.Terms {
+func (s *Scenario) Terms(cold bool) admission.Config {
 	h := &s.Hosts
-	t := admission.Terms{
-		OverShareValue: overShare, Fleet: h.told(), Callers: s.Nodes.Count, Cores: h.Cores, MemoryKB: h.MemoryKB, RunFactor: h.RunFactor,
-		KeyKB: 0.2, JustStarted: cold, AnswerSlack: h.Slack, DrainGrace: h.Grace, ColdShare: h.ColdShare, ColdFor: max(h.ColdFor, 1),
-		FallMultiple: h.Crowd, FallOver: h.FallOver, SharedBelow: true, CallShare: float64(s.Below.Slots) / float64(h.Count),
-		CallsOver: Second, Linger: s.Below.Work, MaxRetryAfter: h.RetryAfter, IdleFor: h.IdleFor,
+	t := admission.Config{
+		OverQuotaValue: overShare, FleetSize: h.told(), Callers: s.Nodes.Count, Cores: h.Cores, MemoryKB: h.MemoryKB, RunFactor: h.RunFactor,
+		IdempotencyKeyKB: 0.2, JustStarted: cold, AnswerSlack: h.Slack, DrainGrace: h.Grace, ColdSpeed: h.ColdShare, WarmUp: max(h.ColdFor, 1),
+		CollapseMultiple: h.Crowd, CollapseAfter: h.FallOver, SharedDependency: true, CallQuota: float64(s.Below.Slots) / float64(h.Count),
+		CallQuotaWindow: Second, AbandonedCallLinger: s.Below.Work, MaxRetryAfter: h.RetryAfter, IdleTimeout: h.IdleFor,
 	}
 	if h.Stoppable {
-		t.Preemption = admission.StopDiscards
+		t.Preemption = admission.PreemptionDiscards
 	}
 	for _, op := range s.Operations {
 		t.Operations = append(t.Operations, admission.Operation{
-			Repeat: op.Repeat, Objective: op.Objective, ClientTimeout: op.Timeout, Window: 2 * op.Timeout,
-			LateValue: op.LateValue, Calls: op.Calls, SkippedValue: op.SkippedValue,
+			RetrySafety: op.Repeat, Objective: op.Objective, ClientTimeout: op.Timeout, RepeatWindow: 2 * op.Timeout,
+			LateValue: op.LateValue, MakesCalls: op.Calls, ValueWithoutCall: op.SkippedValue,
 		})
 	}
 	for _, tn := range s.Tenants {
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -185,17 +185,17 @@
 }
 
 // drawShare takes a unit for what a host has just read.
-func (w *world) drawShare(h *host, tenant int) admission.Share {
+func (w *world) drawShare(h *host, tenant int) admission.QuotaStanding {
 	holder, i := w.holderFor(h, tenant)
 	if holder == nil {
-		return admission.NotTold
+		return admission.QuotaUnknown
 	}
 	if holder.Draw(backendquota.Micros(w.now), i) {
 		w.res.Within++
-		return admission.Within
+		return admission.WithinQuota
 	}
 	w.res.Beyond++
-	return admission.Beyond
+	return admission.OverQuota
 }
 
 // giveBack lets others have the unit that was drawn for what never ran.
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package simwire turns the lines of the willow-5ce1 dialect into admit's events
-// and admit's actions into lines. It decides nothing.
+// Package simwire turns the lines of the willow-5ce1 dialect into admission's events
+// and its actions into lines. It decides nothing.
 package simwire
 
 import (
@@ -13,18 +13,18 @@
 	"milletbarrow/internal/config"
 )
 
-// Open starts a life of an instance.
-type Open struct {
+// InstanceOpened starts a life of an instance.
+type InstanceOpened struct {
 	Seed   uint64
-	Terms  admission.Terms
+	Terms  admission.Config
 	Gauges []string
 }
 
-// Gone ends a life without warning.
-type Gone struct{}
+// InstanceDetached ends a life without warning.
+type InstanceDetached struct{}
 
-// Gauge carries raw gauge values; Name them with Open.Gauges.
-type Gauge struct {
+// GaugeReading carries raw gauge values; name them with InstanceOpened.Gauges.
+type GaugeReading struct {
 	Token  int64
 	Values []float64
 }
@@ -35,29 +35,29 @@
 	At       admission.Micros // Sync
 	Round    int64            // Sync
 	Instance int
-	Event    any // admit.Event, Open, Gone or Gauge
+	Event    any // admission.Event, InstanceOpened, InstanceDetached or GaugeReading
 }
 
 type fields struct {
-	I          *int          `json:"i"`
-	At         *float64      `json:"at_time_ms"`
-	Round      *int64        `json:"round"`
-	Seed       *uint64       `json:"init_seed"`
-	Settings   *config.Sheet `json:"settings"`
-	Req        string        `json:"req"`
-	HintMs     float64       `json:"hint_ms"`
-	Prio       float64       `json:"prio"`
-	WaitedMs   float64       `json:"waited_ms"`
-	Project    int           `json:"project"`
-	KB         float64       `json:"kb"`
-	IsRetry    bool          `json:"is_retry"`
-	Service    *int          `json:"service"`
-	BudgetMs   float64       `json:"time_budget_ms"`
-	Earlier    text          `json:"earlier"`
-	StateCode  string        `json:"state_code"`
-	DurationMs float64       `json:"duration_ms"`
-	Token      *int64        `json:"token"`
-	Feedback   *[]float64    `json:"feedback"`
+	I          *int             `json:"i"`
+	At         *float64         `json:"at_time_ms"`
+	Round      *int64           `json:"round"`
+	Seed       *uint64          `json:"init_seed"`
+	Settings   *config.Settings `json:"settings"`
+	Req        string           `json:"req"`
+	HintMs     float64          `json:"hint_ms"`
+	Prio       float64          `json:"prio"`
+	WaitedMs   float64          `json:"waited_ms"`
+	Project    int              `json:"project"`
+	KB         float64          `json:"kb"`
+	IsRetry    bool             `json:"is_retry"`
+	Service    *int             `json:"service"`
+	BudgetMs   float64          `json:"time_budget_ms"`
+	Earlier    text             `json:"earlier"`
+	StateCode  string           `json:"state_code"`
+	DurationMs float64          `json:"duration_ms"`
+	Token      *int64           `json:"token"`
+	Feedback   *[]float64       `json:"feedback"`
 }
 
 // text is a string that may also come as null or as the number 0, meaning none.
@@ -72,9 +72,9 @@
 
 // codes maps the wire's outcome words.
 var codes = map[string]admission.Outcome{
-	"Ok": admission.OK, "Failed": admission.Errored, "QueueFull": admission.Full, "TimedOut": admission.TimedOut,
+	"Ok": admission.OK, "Failed": admission.Errored, "QueueFull": admission.QueueFull, "TimedOut": admission.TimedOut,
 	"ConnectError": admission.Unreachable, "ResetByPeer": admission.Reset, "Canceled": admission.Canceled,
-	"Ignored": admission.Void,
+	"Ignored": admission.NeverRan,
 }
 
 func millis(t admission.Micros) float64 { return float64(t) / 1000 }
@@ -128,10 +128,10 @@
 		if f.Seed == nil || f.Settings == nil {
 			return errors.New("init_seed or settings is missing")
 		}
-		msg.Event = Open{Seed: *f.Seed, Terms: f.Settings.Terms, Gauges: f.Settings.Gauges}
+		msg.Event = InstanceOpened{Seed: *f.Seed, Terms: f.Settings.Admission, Gauges: f.Settings.Gauges}
 		return nil
 	case "Detach":
-		msg.Event = Gone{}
+		msg.Event = InstanceDetached{}
 		return nil
 	case "Sigterm":
 		msg.Event = admission.DrainNotice{Left: config.Micros(f.BudgetMs)}
@@ -140,16 +140,16 @@
 		if f.Token == nil || f.Feedback == nil {
 			return errors.New("token or feedback is missing")
 		}
-		msg.Event = Gauge{Token: *f.Token, Values: *f.Feedback}
+		msg.Event = GaugeReading{Token: *f.Token, Values: *f.Feedback}
 		return nil
 	case "Req":
 		if f.Service == nil {
 			return errors.New("service is missing")
 		}
 		msg.Event = admission.Arrived{
-			ID: f.Req, Operation: *f.Service, Tenant: f.Project, Rank: f.Prio, Retry: f.IsRetry,
-			Hint: config.Micros(f.HintMs), Waited: config.Micros(f.WaitedMs),
-			Budget: config.Micros(f.BudgetMs), KB: f.KB, Earlier: string(f.Earlier),
+			ID: f.Req, Operation: *f.Service, Tenant: f.Project, Priority: f.Prio, Retry: f.IsRetry,
+			ExpectedWork: config.Micros(f.HintMs), QueueTime: config.Micros(f.WaitedMs),
+			TimeLeft: config.Micros(f.BudgetMs), MemoryKB: f.KB, RepeatOf: string(f.Earlier),
 		}
 	case "Done":
 		msg.Event = admission.Finished{ID: f.Req, Outcome: code, Took: config.Micros(f.DurationMs)}
@@ -172,7 +172,7 @@
 }
 
 // Reading names the raw gauges of an Alarm; what is not among them is -1.
-func (g Gauge) Reading(names []string) admission.Reading {
+func (g GaugeReading) Reading(names []string) admission.Reading {
 	r := config.Reading(names, g.Values)
 	r.Token = g.Token
 	return r
@@ -205,11 +205,11 @@
 	case admission.Stop:
 		return writeLine(w, "Halt", steer{I: i, Req: a.ID})
 	case admission.Throttle:
-		return writeLine(w, "Decline", steer{I: i, Req: a.ID, RetryIn: millis(a.RetryIn), GiveUp: a.DontRetry})
+		return writeLine(w, "Decline", steer{I: i, Req: a.ID, RetryIn: millis(a.RetryAfter), GiveUp: a.DontRetry})
 	case admission.Fail:
 		return writeLine(w, "EndFailed", steer{I: i, Req: a.ID})
 	case admission.Call:
-		return writeLine(w, "CallDep", steer{I: i, Req: a.ID, Within: millis(a.Within)})
+		return writeLine(w, "CallDep", steer{I: i, Req: a.ID, Within: millis(a.Timeout)})
 	case admission.SkipCall:
 		return writeLine(w, "Bypass", steer{I: i, Req: a.ID})
 	case admission.Remember:
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -26,7 +26,7 @@
 			if e.ID == "" {
 				t.Fatalf("%q has no id", line)
 			}
-		case Open:
+		case InstanceOpened:
 			if len(e.Terms.Operations) != 0 && e.Terms.Operations[0].Objective > 1e15 {
 				t.Fatalf("%q has a time that overflows", line)
 			}
