--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -16,7 +16,7 @@
 	"github.com/urfave/cli/v3"
 
 	"milletbarrow/internal/agent"
-	agentstore "milletbarrow/internal/agent/store"
+	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/cluster/node"
 	"milletbarrow/internal/fleet"
@@ -90,7 +90,7 @@
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error like a full disk, and no end
 	b := limits.ForControl()
 	store, err := agentstore.Open(dir, b.History)
-	if errors.Is(err, agentstore.ErrDamaged) && c.Bool("record-anew") {
+	if errors.Is(err, agentstore.ErrCorrupt) && c.Bool("record-anew") {
 		var aside string
 		if aside, err = agentstore.SetAside(dir, time.Now()); err == nil {
 			slog.Warn("record", "set_aside", aside)
@@ -102,7 +102,7 @@
 	}
 	defer store.Close()
 	var joined *node.Joined
-	var shares agent.Shares
+	var shares agent.Cluster
 	if spec.Budgets != nil {
 		joined, err = node.Open(node.Options{Spec: spec, Host: host.Name, Dir: dir, Trust: c.Bool("trust-directory"), Bounds: b})
 		if err != nil {
@@ -115,8 +115,8 @@
 		return unusable(err)
 	}
 	a, err := agent.New(agent.Options{
-		Spec: spec, Host: host.Name, Dir: dir, Self: []string{self}, Build: version(), Seed: uint64(process.Now()),
-		Bounds: b, Store: store, Shares: shares,
+		Spec: spec, Host: host.Name, Dir: dir, Executable: []string{self}, Build: version(), Seed: uint64(process.Now()),
+		Bounds: b, Store: store, Cluster: shares,
 	})
 	if err != nil {
 		l.Close()
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -65,21 +65,21 @@
 	host, _ := os.Hostname()
 	t := &fleetclient.Tool{
 		Spec: spec, Bounds: limits.ForControl(), By: fmt.Sprintf("%s@%s", by, host),
-		Caller: agentapi.NewCaller(limits.ForControl(), uint64(process.Now())),
+		Caller: agentapi.NewClientFactory(limits.ForControl(), uint64(process.Now())),
 	}
 	if !c.Bool("quiet") {
-		t.Say = func(host string, l agentapi.Line) { sayLine(os.Stderr, host, l) }
+		t.Say = func(host string, l agentapi.StreamEvent) { sayLine(os.Stderr, host, l) }
 	}
 	return t, nil
 }
 
-func sayLine(to *os.File, host string, l agentapi.Line) {
+func sayLine(to *os.File, host string, l agentapi.StreamEvent) {
 	switch {
-	case l.Gap > 0:
-		fmt.Fprintf(to, "%s: %d lines are no longer kept\n", host, l.Gap)
+	case l.LostEntries > 0:
+		fmt.Fprintf(to, "%s: %d lines are no longer kept\n", host, l.LostEntries)
 	case l.Entry != nil:
 		e := l.Entry
-		fmt.Fprintf(to, "%s %-8s %-10s %-16s %s\n", time.UnixMicro(e.Wall).UTC().Format("15:04:05.000"), host, e.Name, e.Event, e.Cause)
+		fmt.Fprintf(to, "%s %-8s %-10s %-16s %s\n", time.UnixMicro(e.UnixMicros).UTC().Format("15:04:05.000"), host, e.Name, e.Event, e.Cause)
 	}
 }
 
@@ -114,10 +114,10 @@
 }
 
 // orderOf is the command that the flags ask for.
-func orderOf(c *cli.Command, t *fleetclient.Tool, kind fleet.Kind) (agentapi.Order, error) {
+func orderOf(c *cli.Command, t *fleetclient.Tool, kind fleet.Kind) (agentapi.CommandRequest, error) {
 	now := time.Now()
-	o := agentapi.Order{
-		ID: c.String("id"), Kind: kind, By: t.By, Asked: now.UnixMicro(), Within: c.Duration("within").Microseconds(),
+	o := agentapi.CommandRequest{
+		ID: c.String("id"), Kind: kind, RequestedBy: t.By, RequestedUnixMicros: now.UnixMicro(), TimeoutMicros: c.Duration("within").Microseconds(),
 	}
 	if o.ID == "" {
 		o.ID = fleetclient.NewID(kind, now)
@@ -125,15 +125,15 @@
 	if err := fleet.CheckName(o.ID); err != nil {
 		return o, unusable(fmt.Errorf("id: %w", err))
 	}
-	if o.Within <= 0 {
+	if o.TimeoutMicros <= 0 {
 		return o, unusable(fmt.Errorf("within: %v is not above 0", c.Duration("within")))
 	}
 	return o, nil
 }
 
 // patience is for how long the tool stays with a command: agents end it by its own time.
-func patience(ctx context.Context, o agentapi.Order) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, time.Duration(o.Within)*time.Microsecond+10*time.Second)
+func patience(ctx context.Context, o agentapi.CommandRequest) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, time.Duration(o.TimeoutMicros)*time.Microsecond+10*time.Second)
 }
 
 // counted puts counts into words, in order.
--- a/cmd/milletbarrow/fleet_bench_test.go
+++ b/cmd/milletbarrow/fleet_bench_test.go
@@ -29,7 +29,7 @@
 	h.startAgent()
 	fakes.Until(b, "the agent answers", func() bool { return h.status().Status != nil })
 	h.must("start", "--all", "--quiet", "--within", "60s")
-	c := agentapi.NewCaller(limits.ForControl(), 1).Client("unix:" + h.dir + "/agent.sock")
+	c := agentapi.NewClientFactory(limits.ForControl(), 1).Client("unix:" + h.dir + "/agent.sock")
 	b.Cleanup(c.Close)
 	return c
 }
@@ -61,7 +61,7 @@
 	for round := 0; b.Loop(); round++ {
 		began := time.Now()
 		id := "drain" + string(rune('a'+round%26)) + began.Format("150405")
-		_, err := c.Order(context.Background(), agentapi.Order{ID: id, Kind: fleet.Drain, Names: h.names, By: "bench", Within: 60_000_000})
+		_, err := c.Submit(context.Background(), agentapi.CommandRequest{ID: id, Kind: fleet.Drain, Instances: h.names, RequestedBy: "bench", TimeoutMicros: 60_000_000})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/cmd/milletbarrow/fleet_budgets.go
+++ b/cmd/milletbarrow/fleet_budgets.go
@@ -50,7 +50,7 @@
 }
 
 func budgetsFailed(err error) error {
-	if r, ok := errors.AsType[*agentapi.Refusal](err); ok && r.Status/100 == 4 {
+	if r, ok := errors.AsType[*agentapi.StatusError](err); ok && r.Status/100 == 4 {
 		return unusable(err)
 	}
 	return cli.Exit(err.Error(), exitUnreachable)
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -38,7 +38,7 @@
 				err = printJSON(map[string]any{"entries": all, "missing": missing})
 			} else {
 				for _, e := range all {
-					sayLine(os.Stdout, e.Host, e.Line)
+					sayLine(os.Stdout, e.Host, e.StreamEvent)
 				}
 				for host, why := range missing {
 					fmt.Printf("missing: all of host %s: %s\n", host, why)
@@ -64,7 +64,7 @@
 			}
 			id := c.Args().First()
 			r := &fleetclient.Report{ID: id}
-			r.Hosts, _ = agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
+			r.Hosts, _ = agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
 				return t.Watch(ctx, h.Name, id), nil
 			})
 			if id == "" {
--- a/cmd/milletbarrow/fleet_order.go
+++ b/cmd/milletbarrow/fleet_order.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			o.Now = kind == fleet.Stop && c.Bool("now")
+			o.Immediate = kind == fleet.Stop && c.Bool("now")
 			if c.Bool("dry-run") {
 				return dryRun(c, kind, all)
 			}
--- a/cmd/milletbarrow/fleet_rise.go
+++ b/cmd/milletbarrow/fleet_rise.go
@@ -63,7 +63,7 @@
 			ctx, cancel := patience(ctx, o)
 			defer cancel()
 			if err := t.Rise(ctx, r); err != nil {
-				if no, ok := errors.AsType[*agentapi.Refusal](err); ok && no.Status/100 == 4 {
+				if no, ok := errors.AsType[*agentapi.StatusError](err); ok && no.Status/100 == 4 {
 					return budgetsFailed(err)
 				}
 				fmt.Fprintf(os.Stderr, "the ledger can't be reached (%v): each host goes on by one start at a time\n", err)
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -45,7 +45,7 @@
 		}
 		for _, in := range h.Status.Instances {
 			wanted, pid, hand, level := "down", "-", "-", "-"
-			if in.Up {
+			if in.DesiredUp {
 				wanted = "up"
 			}
 			if in.PID != 0 {
@@ -57,7 +57,7 @@
 					level = in.State.Level
 				}
 			}
-			span := (time.Duration(in.For) * time.Microsecond).Round(100 * time.Millisecond)
+			span := (time.Duration(in.PhaseAgeMicros) * time.Microsecond).Round(100 * time.Millisecond)
 			rows = append(rows, []string{in.Name, h.Host, in.Group, wanted, string(in.Phase), span.String(), pid, hand, level, in.Cause})
 		}
 	}
@@ -66,10 +66,10 @@
 		if h.Status == nil {
 			continue
 		}
-		if h.Status.Ill != "" {
-			fmt.Printf("host %s takes nothing new: %s\n", h.Host, h.Status.Ill)
+		if h.Status.StoreError != "" {
+			fmt.Printf("host %s takes nothing new: %s\n", h.Host, h.Status.StoreError)
 		}
-		for _, cmd := range h.Status.Open {
+		for _, cmd := range h.Status.OpenCommands {
 			fmt.Printf("host %s: %s %s, %d of %d done %s\n", h.Host, cmd.ID, cmd.State, len(cmd.Results), len(cmd.Names)+len(cmd.Spares), cmd.Cause)
 		}
 	}
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -37,7 +37,7 @@
 				Error   string         `json:"error,omitempty"`
 			}
 			known, refused, away := 0, 0, 0
-			answers, errs := agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
+			answers, errs := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
 				client := t.Caller.Client(h.Agent)
 				defer client.Close()
 				cmd, err := client.Steer(ctx, id, verb, t.By)
@@ -49,7 +49,7 @@
 			rows := [][]string{{"host", "state"}}
 			for i, a := range answers {
 				state := a.Error
-				_, lost := errors.AsType[*agentapi.Unreachable](errs[i])
+				_, lost := errors.AsType[*agentapi.UnreachableError](errs[i])
 				switch {
 				case a.Command != nil:
 					state = string(a.Command.State)
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -418,7 +418,7 @@
 	ready := map[string][]time.Time{}
 	for _, e := range all.Entries {
 		if e.Entry.Event == "ready" {
-			ready[e.Entry.Name] = append(ready[e.Entry.Name], time.UnixMicro(e.Entry.Wall))
+			ready[e.Entry.Name] = append(ready[e.Entry.Name], time.UnixMicro(e.Entry.UnixMicros))
 		}
 	}
 	return ready
--- a/cmd/milletbarrow/fleet_wave.go
+++ b/cmd/milletbarrow/fleet_wave.go
@@ -50,7 +50,7 @@
 			if err := terms.Check(); err != nil {
 				return unusable(err)
 			}
-			o.Terms, o.Budget = &terms, t.Spec.WaveBudget
+			o.RollingUpdate, o.Budget = &terms, t.Spec.WaveBudget
 			if c.IsSet("budget") {
 				o.Budget = c.String("budget")
 			}
--- a/cmd/milletbarrow/keeper.go
+++ b/cmd/milletbarrow/keeper.go
@@ -58,7 +58,7 @@
 				Bounds: limits.ForControl(),
 			})
 			if errors.Is(err, supervisor.ErrLocked) {
-				return cli.Exit(err.Error(), agent.KeeperHeld)
+				return cli.Exit(err.Error(), agent.ExitSupervisorRunning)
 			}
 			return err
 		},
--- a/cmd/milletbarrow/serve_share.go
+++ b/cmd/milletbarrow/serve_share.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Holder = quota.New(b.Name, agent.LifeOf(me), budgets)
+	s.Holder = quota.New(b.Name, agent.IncarnationID(me), budgets)
 	if dir := c.String("stamps"); dir != "" {
 		f, err := os.OpenFile(filepath.Join(dir, b.Name+"."+strconv.Itoa(os.Getpid())), os.O_CREATE|os.O_WRONLY|os.O_EXCL, 0o600)
 		if err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"milletbarrow/internal/agent/store"
+	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/fleet"
@@ -27,15 +27,15 @@
 
 // Options are what an agent is started with.
 type Options struct {
-	Spec   *fleet.Spec
-	Host   string
-	Dir    string   // its own; one agent at a time
-	Self   []string // starts this program
-	Build  string
-	Seed   uint64 // of the jitter
-	Bounds limits.Control
-	Store  store.Store
-	Shares Shares // nil: nothing is shared with the agents of other hosts
+	Spec       *fleet.Spec
+	Host       string
+	Dir        string   // its own; one agent at a time
+	Executable []string // starts this program
+	Build      string
+	Seed       uint64 // of the jitter
+	Bounds     limits.Control
+	Store      agentstore.Store
+	Cluster    Cluster // nil: nothing is shared with the agents of other hosts
 }
 
 // Agent is a running one.
@@ -45,28 +45,28 @@
 
 	work chan func(now fleet.Micros) // runs in the loop, which alone touches what follows
 	m    *fleet.Machine
-	ill  error        // the record can't be written
-	owed store.Change // what is not written yet
-	next uint64       // serial of the next entry
+	ill  error             // the record can't be written
+	owed agentstore.Change // what is not written yet
+	next uint64            // serial of the next entry
 
-	steps []fleet.Step    // decided on since the last flush
-	fresh []store.Entry   // said since then
-	told  []chan struct{} // who asked since then
+	steps []fleet.Step       // decided on since the last flush
+	fresh []agentstore.Entry // said since then
+	told  []chan struct{}    // who asked since then
 
 	done     chan struct{} // the loop has ended
 	launches chan struct{} // a place for each keeper being started
 	watchers map[string]*watcher
 
 	mu      sync.Mutex
-	entries []store.Entry // the latest, for those who watch
-	more    chan struct{} // closed at the next entry
+	entries []agentstore.Entry // the latest, for those who watch
+	more    chan struct{}      // closed at the next entry
 }
 
 // recent is how many entries are kept in memory for those who watch.
 const recent = 4096
 
 // Window reads what an instance has from the notice on out of its configuration.
-func Window(file string) (fleet.Window, error) {
+func ReadShutdownWindow(file string) (fleet.Window, error) {
 	b, err := config.Read(file)
 	if err != nil {
 		return fleet.Window{Grace: 2_000_000, Stop: 3_000_000}, err
@@ -94,9 +94,9 @@
 		a.next = saved.History[n-1].Serial + 1
 		a.entries = slices.Clone(saved.History[max(0, n-recent):])
 	}
-	fresh := saved.Boot != "" && saved.Boot != process.Boot()
-	if saved.Boot != process.Boot() {
-		a.owed.Boot = process.Boot()
+	fresh := saved.BootID != "" && saved.BootID != process.Boot()
+	if saved.BootID != process.Boot() {
+		a.owed.BootID = process.Boot()
 	}
 	a.adoptUnrecorded(&saved)
 	a.m = a.machine(o.Spec)
@@ -107,14 +107,14 @@
 	a.note(fleet.Note{At: now, Event: "agent started", Cause: o.Build})
 	for _, c := range saved.Intents { // taken by an agent that died before it could decide
 		a.decide(now, fleet.Ordered{Command: c})
-		a.owed.Decided = append(a.owed.Decided, c.ID)
+		a.owed.CompletedIntents = append(a.owed.CompletedIntents, c.ID)
 	}
 	return a, nil
 }
 
 func (a *Agent) machine(s *fleet.Spec) *fleet.Machine {
 	return fleet.New(s, a.o.Host, fleet.DefaultTerms(a.o.Bounds, a.o.Seed), func(in *fleet.InstanceSpec) fleet.Window {
-		w, err := Window(in.ConfigFile)
+		w, err := ReadShutdownWindow(in.ConfigFile)
 		if err != nil {
 			slog.Warn("config", "name", in.Name, "error", err.Error())
 		}
@@ -124,7 +124,7 @@
 
 // adoptUnrecorded takes instances that run although the record does not know them for wanted: the record was lost,
 // their keepers' files were not.
-func (a *Agent) adoptUnrecorded(saved *store.Saved) {
+func (a *Agent) adoptUnrecorded(saved *agentstore.State) {
 	known := map[string]bool{}
 	for _, in := range saved.Instances {
 		known[in.Name] = true
@@ -157,7 +157,7 @@
 	defer watching.Wait()
 	defer close(a.done) // before the watchers are waited for
 	a.lookAtAll(ctx, &watching, a.m)
-	if a.o.Shares != nil {
+	if a.o.Cluster != nil {
 		watching.Go(func() { a.share(ctx) })
 	}
 	seen := a.m
@@ -224,11 +224,11 @@
 
 // note gives a line of history its serial and the time of the wall.
 func (a *Agent) note(n fleet.Note) {
-	e := store.Entry{Serial: a.next, Wall: time.Now().UnixMicro(), Note: n}
+	e := agentstore.Entry{Serial: a.next, UnixMicros: time.Now().UnixMicro(), Note: n}
 	a.next++
-	a.owed.Entries = append(a.owed.Entries, e)
-	if over := len(a.owed.Entries) - a.o.Bounds.History; over > 0 { // a record that can't be written for long
-		a.owed.Entries = a.owed.Entries[over:]
+	a.owed.History = append(a.owed.History, e)
+	if over := len(a.owed.History) - a.o.Bounds.History; over > 0 { // a record that can't be written for long
+		a.owed.History = a.owed.History[over:]
 	}
 	slog.Info("fleet", "what", n.Event, "name", n.Name, "command", n.Command, "cause", n.Cause)
 	a.fresh = append(a.fresh, e)
@@ -255,7 +255,7 @@
 
 func (a *Agent) write() {
 	r, dropped := a.m.Changes()
-	merge(&a.owed, store.Change{Record: r, Dropped: dropped})
+	merge(&a.owed, agentstore.Change{Record: r, DeletedCommands: dropped})
 	if a.owed.Empty() {
 		return
 	}
@@ -268,12 +268,12 @@
 		}
 	}
 	if a.ill = err; err == nil {
-		a.owed = store.Change{}
+		a.owed = agentstore.Change{}
 	}
 }
 
 // merge lays a later change over one that is still to be written.
-func merge(to *store.Change, c store.Change) {
+func merge(to *agentstore.Change, c agentstore.Change) {
 	for _, in := range c.Instances {
 		if i := slices.IndexFunc(to.Instances, func(o fleet.Instance) bool { return o.Name == in.Name }); i >= 0 {
 			to.Instances[i] = in
@@ -288,8 +288,8 @@
 			to.Commands = append(to.Commands, cmd)
 		}
 	}
-	to.Dropped = append(to.Dropped, c.Dropped...)
-	to.Commands = slices.DeleteFunc(to.Commands, func(o *fleet.Command) bool { return slices.Contains(c.Dropped, o.ID) })
+	to.DeletedCommands = append(to.DeletedCommands, c.DeletedCommands...)
+	to.Commands = slices.DeleteFunc(to.Commands, func(o *fleet.Command) bool { return slices.Contains(c.DeletedCommands, o.ID) })
 }
 
 // publish shows the new entries to those who watch; they have been written down, if anything can be.
@@ -322,7 +322,7 @@
 	case <-a.done:
 		return errEnded
 	case <-late.C:
-		return &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent is busy"}
+		return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: "the agent is busy"}
 	}
 	select {
 	case <-done:
@@ -330,20 +330,20 @@
 	case <-a.done:
 		return errEnded
 	case <-late.C:
-		return &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent is busy; ask again what became of it"}
+		return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: "the agent is busy; ask again what became of it"}
 	}
 }
 
-var errEnded = &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: "the agent ends"}
+var errEnded = &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: "the agent ends"}
 
 // Order takes a command once it is written down.
-func (a *Agent) Order(o agentapi.Order) (c *fleet.Command, err error) {
+func (a *Agent) Submit(o agentapi.CommandRequest) (c *fleet.Command, err error) {
 	const longest = int64(24 * time.Hour / time.Microsecond)
-	if o.Within <= 0 || o.Within > longest {
-		return nil, &agentapi.Refusal{Status: http.StatusBadRequest, Text: fmt.Sprintf("within_us: %d is not above 0 and at most a day", o.Within)}
+	if o.TimeoutMicros <= 0 || o.TimeoutMicros > longest {
+		return nil, &agentapi.StatusError{Status: http.StatusBadRequest, Text: fmt.Sprintf("within_us: %d is not above 0 and at most a day", o.TimeoutMicros)}
 	}
-	if len(o.By) > 100 {
-		return nil, &agentapi.Refusal{Status: http.StatusBadRequest, Text: "by: over 100 bytes"}
+	if len(o.RequestedBy) > 100 {
+		return nil, &agentapi.StatusError{Status: http.StatusBadRequest, Text: "by: over 100 bytes"}
 	}
 	failed := a.ask(func(now fleet.Micros) {
 		if c = a.m.Command(o.ID); c == nil { // sent again it needs no second intent
@@ -355,7 +355,7 @@
 		if err = a.decide(now, fleet.Ordered{Command: cmd}); err == nil {
 			c = a.m.Command(o.ID)
 		}
-		a.owed.Decided = append(a.owed.Decided, o.ID)
+		a.owed.CompletedIntents = append(a.owed.CompletedIntents, o.ID)
 	})
 	if err = errors.Join(failed, err); err != nil {
 		return nil, err
@@ -363,24 +363,24 @@
 	return c, nil
 }
 
-func commandOf(now fleet.Micros, o agentapi.Order) *fleet.Command {
+func commandOf(now fleet.Micros, o agentapi.CommandRequest) *fleet.Command {
 	return &fleet.Command{
-		ID: o.ID, Kind: o.Kind, Names: o.Names, By: o.By, Asked: o.Asked, Due: now + fleet.Micros(o.Within),
-		Now: o.Now, Terms: o.Terms, Budget: o.Budget,
+		ID: o.ID, Kind: o.Kind, Names: o.Instances, By: o.RequestedBy, Asked: o.RequestedUnixMicros, Due: now + fleet.Micros(o.TimeoutMicros),
+		Now: o.Immediate, Terms: o.RollingUpdate, Budget: o.Budget,
 	}
 }
 
 // intend makes a command durable before anything is decided; what can't be is not taken.
-func (a *Agent) intend(now fleet.Micros, o agentapi.Order) error {
+func (a *Agent) intend(now fleet.Micros, o agentapi.CommandRequest) error {
 	if a.ill == nil {
-		err := a.o.Store.Save(store.Change{Intent: commandOf(now, o)})
+		err := a.o.Store.Save(agentstore.Change{Intent: commandOf(now, o)})
 		if err == nil {
 			return nil
 		}
 		a.ill = err
 		slog.Error("record", "written", false, "error", err.Error())
 	}
-	return &agentapi.Refusal{
+	return &agentapi.StatusError{
 		Status: http.StatusServiceUnavailable,
 		Text:   fmt.Sprintf("nothing new is taken: the record can't be written: %v", a.ill),
 	}
@@ -413,25 +413,25 @@
 }
 
 // Entries after a serial.
-func (a *Agent) Entries(after uint64) (entries []store.Entry, lost uint64, more <-chan struct{}) {
+func (a *Agent) Entries(after uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{}) {
 	const most = 256
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.entries) > 0 && a.entries[0].Serial > after+1 {
 		lost = a.entries[0].Serial - after - 1
 	}
-	i, _ := slices.BinarySearchFunc(a.entries, after+1, func(e store.Entry, s uint64) int { return int(int64(e.Serial) - int64(s)) })
+	i, _ := slices.BinarySearchFunc(a.entries, after+1, func(e agentstore.Entry, s uint64) int { return int(int64(e.Serial) - int64(s)) })
 	entries = slices.Clone(a.entries[i:min(len(a.entries), i+most)])
 	return entries, lost, a.more
 }
 
 // History reads older entries from the record, the latest of those after a serial.
-func (a *Agent) History(after uint64, most int) ([]store.Entry, error) {
+func (a *Agent) History(after uint64, most int) ([]agentstore.Entry, error) {
 	saved, err := a.o.Store.Load()
 	if err != nil {
 		return nil, err
 	}
-	h := slices.DeleteFunc(saved.History, func(e store.Entry) bool { return e.Serial <= after })
+	h := slices.DeleteFunc(saved.History, func(e agentstore.Entry) bool { return e.Serial <= after })
 	return h[max(0, len(h)-most):], nil
 }
 
@@ -439,35 +439,35 @@
 func (a *Agent) Status() (s agentapi.Status) {
 	s = agentapi.Status{
 		Version: agentapi.Version, Host: a.o.Host, Build: a.o.Build, PID: os.Getpid(),
-		Clock: process.Now(), Up: process.Now() - a.began,
+		MonotonicMicros: process.Now(), UptimeMicros: process.Now() - a.began,
 	}
 	err := a.ask(func(now fleet.Micros) {
 		if a.ill != nil {
-			s.Ill = a.ill.Error()
+			s.StoreError = a.ill.Error()
 		}
-		s.Fleet, s.Serial = a.o.Spec.Name, a.next-1
+		s.Fleet, s.LastSerial = a.o.Spec.Name, a.next-1
 		for _, name := range a.m.Names() {
 			in, _ := a.m.Instance(name)
 			one := agentapi.Instance{
-				Name: name, Group: in.Group, Spare: in.Spare, Up: in.Up, Phase: in.Phase, For: int64(now - in.Since),
-				Cause: in.Cause, Task: in.Task, Launches: len(in.Budget.Spent), Settled: in.Settled(now),
+				Name: name, Group: in.Group, Spare: in.Spare, DesiredUp: in.Up, Phase: in.Phase, PhaseAgeMicros: int64(now - in.Since),
+				Cause: in.Cause, Task: in.Task, RecentRestarts: len(in.Budget.Spent), Settled: in.Settled(now),
 			}
 			if in.Deadline != 0 {
-				one.Left = int64(in.Deadline - now)
+				one.TimeLeftMicros = int64(in.Deadline - now)
 			}
 			if r, ok := in.Detail.(*supervisor.Report); ok && !in.Phase.Down() {
-				one.PID, one.Keeper, one.State = r.Record.Instance.PID, r.Record.Supervisor.PID, r.State
+				one.PID, one.SupervisorPID, one.State = r.Record.Instance.PID, r.Record.Supervisor.PID, r.State
 			}
 			s.Instances = append(s.Instances, one)
 		}
 		for _, c := range a.m.Commands() {
 			if c.State != fleet.Done {
-				s.Open = append(s.Open, c)
+				s.OpenCommands = append(s.OpenCommands, c)
 			}
 		}
 	})
 	if err != nil {
-		s.Ill = err.Error()
+		s.StoreError = err.Error()
 	}
 	return s
 }
@@ -486,8 +486,8 @@
 		all := a.m.All()
 		m.Restore(now, all, false)
 		a.m, a.o.Spec = m, s
-		if a.o.Shares != nil && s.Budgets != nil {
-			a.o.Shares.Use(s.Budgets, s.Ledger)
+		if a.o.Cluster != nil && s.Budgets != nil {
+			a.o.Cluster.Use(s.Budgets, s.Ledger)
 		}
 		a.note(fleet.Note{At: now, Event: "fleet's file read anew"})
 	})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	agentstore "milletbarrow/internal/agent/store"
+	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/backend/admin"
 	"milletbarrow/internal/fakes"
@@ -72,7 +72,7 @@
 		Bounds: limits.ForControl(),
 	})
 	if errors.Is(err, supervisor.ErrLocked) {
-		os.Exit(KeeperHeld)
+		os.Exit(ExitSupervisorRunning)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -199,7 +199,7 @@
 	if wrap != nil {
 		store = wrap(store)
 	}
-	h.agent, err = New(Options{Spec: h.spec, Host: "h1", Dir: h.dir, Self: []string{os.Args[0]}, Build: "test", Bounds: b, Store: store})
+	h.agent, err = New(Options{Spec: h.spec, Host: "h1", Dir: h.dir, Executable: []string{os.Args[0]}, Build: "test", Bounds: b, Store: store})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -226,11 +226,11 @@
 	if len(names) == 0 {
 		names = h.names
 	}
-	o := agentapi.Order{ID: id, Kind: kind, Names: names, By: "test", Within: 30_000_000}
+	o := agentapi.CommandRequest{ID: id, Kind: kind, Instances: names, RequestedBy: "test", TimeoutMicros: 30_000_000}
 	if kind == fleet.Wave {
-		o.Terms = &h.spec.Wave
+		o.RollingUpdate = &h.spec.Wave
 	}
-	return h.agent.Order(o)
+	return h.agent.Submit(o)
 }
 
 // result waits for a command's end.
@@ -376,18 +376,18 @@
 	h.order("down", fleet.Drain, "a")
 	disk.fails.Store(true)
 	_, err := h.order("more", fleet.Drain, "b")
-	var refused *agentapi.Refusal
+	var refused *agentapi.StatusError
 	if !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable || !strings.Contains(err.Error(), "no space left") {
 		t.Errorf("%v", err)
 	}
 	if c := h.result("down"); c.Results["a"].Outcome != fleet.Succeeded {
 		t.Errorf("%+v", c.Results)
 	}
-	if s := h.agent.Status(); s.Ill == "" || h.agent.Command("more") != nil {
-		t.Errorf("ill %q, command %v", s.Ill, h.agent.Command("more"))
+	if s := h.agent.Status(); s.StoreError == "" || h.agent.Command("more") != nil {
+		t.Errorf("ill %q, command %v", s.StoreError, h.agent.Command("more"))
 	}
 	disk.fails.Store(false)
-	fakes.Until(t, "it is well again", func() bool { return h.agent.Status().Ill == "" })
+	fakes.Until(t, "it is well again", func() bool { return h.agent.Status().StoreError == "" })
 	if _, err := h.order("more", fleet.Drain, "b"); err != nil {
 		t.Error(err)
 	}
@@ -472,18 +472,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go agentapi.Serve(ctx, l, h.agent, b)
-	caller := agentapi.NewCaller(b, 1)
+	caller := agentapi.NewClientFactory(b, 1)
 	client := caller.Client("unix:" + h.dir + "/a.sock")
 	defer client.Close()
-	o := agentapi.Order{ID: "same", Kind: fleet.Start, Names: h.names, By: "one", Within: 30_000_000}
+	o := agentapi.CommandRequest{ID: "same", Kind: fleet.Start, Instances: h.names, RequestedBy: "one", TimeoutMicros: 30_000_000}
 	var both sync.WaitGroup
 	for _, by := range []string{"one", "two"} {
 		both.Go(func() {
 			o := o
-			if o.By = by; by == "two" {
-				o.Asked = time.Now().Add(-time.Hour).UnixMicro() // its wall clock was set back
+			if o.RequestedBy = by; by == "two" {
+				o.RequestedUnixMicros = time.Now().Add(-time.Hour).UnixMicro() // its wall clock was set back
 			}
-			if _, err := client.Order(ctx, o); err != nil {
+			if _, err := client.Submit(ctx, o); err != nil {
 				t.Errorf("%s: %v", by, err)
 			}
 		})
@@ -494,7 +494,7 @@
 	after := uint64(0)
 	var last *fleet.Command
 	for last == nil {
-		err := client.Follow(ctx, "same", after, func(l agentapi.Line) bool {
+		err := client.Follow(ctx, "same", after, func(l agentapi.StreamEvent) bool {
 			if l.Entry != nil {
 				serials, after = append(serials, l.Serial), l.Serial
 				return false
@@ -510,13 +510,13 @@
 		t.Errorf("lines came out of order or twice: %v", serials)
 	}
 	tr.Say("%s: %d commands, results %s %s", last.State, len(h.agent.Commands()), last.Results["a"].Outcome, last.Results["b"].Outcome)
-	for _, bad := range []agentapi.Order{
-		{ID: "same", Kind: fleet.Drain, Names: h.names, Within: 1_000_000},
-		{ID: "x", Kind: "dance", Names: h.names, Within: 1_000_000}, {ID: "x", Kind: fleet.Drain, Names: []string{"z"}, Within: 1_000_000},
-		{ID: "x", Kind: fleet.Drain, Names: h.names}, {ID: "../x", Kind: fleet.Drain, Names: h.names, Within: 1_000_000},
-		{ID: "x", Kind: fleet.Wave, Names: h.names, Within: 1_000_000},
+	for _, bad := range []agentapi.CommandRequest{
+		{ID: "same", Kind: fleet.Drain, Instances: h.names, TimeoutMicros: 1_000_000},
+		{ID: "x", Kind: "dance", Instances: h.names, TimeoutMicros: 1_000_000}, {ID: "x", Kind: fleet.Drain, Instances: []string{"z"}, TimeoutMicros: 1_000_000},
+		{ID: "x", Kind: fleet.Drain, Instances: h.names}, {ID: "../x", Kind: fleet.Drain, Instances: h.names, TimeoutMicros: 1_000_000},
+		{ID: "x", Kind: fleet.Wave, Instances: h.names, TimeoutMicros: 1_000_000},
 	} {
-		_, err := client.Order(ctx, bad)
+		_, err := client.Submit(ctx, bad)
 		tr.Say("%v", err)
 	}
 	_, err = client.Command(ctx, "nothing")
@@ -525,7 +525,7 @@
 	tr.Say("%v", err)
 	away := caller.Client("unix:" + h.dir + "/nobody.sock")
 	_, err = away.Status(ctx)
-	var unreachable *agentapi.Unreachable
+	var unreachable *agentapi.UnreachableError
 	tr.Say("nobody there: %t", errors.As(err, &unreachable))
 	raw := jsonhttp.Client("unix:"+h.dir+"/a.sock", b)
 	for path, body := range map[string]any{"/v2/commands": nil, "/v1/commands": map[string]any{"id": "x", "weight": 3}} {
@@ -551,7 +551,7 @@
 	if err := os.Truncate(agentstore.Path(h.dir), 9000); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := agentstore.Open(h.dir, 10); !errors.Is(err, agentstore.ErrDamaged) {
+	if _, err := agentstore.Open(h.dir, 10); !errors.Is(err, agentstore.ErrCorrupt) {
 		t.Fatalf("%v", err)
 	}
 	if _, err := agentstore.SetAside(h.dir, time.Now()); err != nil {
@@ -560,7 +560,7 @@
 	h.enter(nil)
 	fakes.Until(t, "both are seen", func() bool {
 		s := h.agent.Status()
-		return s.Instances[0].Phase == fleet.Ready && s.Instances[1].Phase == fleet.Ready && s.Instances[0].Up
+		return s.Instances[0].Phase == fleet.Ready && s.Instances[1].Phase == fleet.Ready && s.Instances[0].DesiredUp
 	})
 	h.order("again", fleet.Restart, "a")
 	h.result("again")
--- a/internal/agent/store/record.go
+++ b/internal/agent/agentstore/store.go
@@ -1,6 +1,6 @@
-// Package store is what an agent writes down: intents before they are acted on, results after, and the history.
+// Package agentstore is what an agent writes down: intents before they are acted on, results after, and the history.
 // It owns the file and its format; what stands in it is decided elsewhere.
-package store
+package agentstore
 
 import (
 	"encoding/binary"
@@ -21,15 +21,15 @@
 
 // Entry is a line of history.
 type Entry struct {
-	Serial uint64 `json:"serial"` // from 1, without gaps but for what was forgotten
-	Wall   int64  `json:"unix_us"`
+	Serial     uint64 `json:"serial"` // from 1, without gaps but for what was forgotten
+	UnixMicros int64  `json:"unix_us"`
 	fleet.Note
 }
 
-// Saved is all that was written down.
-type Saved struct {
+// State is everything that the store holds.
+type State struct {
 	fleet.Record
-	Boot    string           // the run of the machine that its times are of; empty: nothing was written yet
+	BootID  string           // the run of the machine that its times are of; empty: nothing was written yet
 	Intents []*fleet.Command // taken from a client and not yet decided on
 	History []Entry          // oldest first
 }
@@ -37,30 +37,30 @@
 // Change is written whole or not at all.
 type Change struct {
 	fleet.Record
-	Dropped []string       // commands to forget
-	Intent  *fleet.Command // to be written before it is decided on
-	Decided []string       // intents that have been
-	Entries []Entry
-	Boot    string // if it is another
+	DeletedCommands  []string       // commands to forget
+	Intent           *fleet.Command // to be written before it is decided on
+	CompletedIntents []string       // intents that have been
+	History          []Entry
+	BootID           string // if it is another
 }
 
 // Empty tells whether there is nothing to write.
 func (c *Change) Empty() bool {
-	return len(c.Instances)+len(c.Commands)+len(c.Dropped)+len(c.Decided)+len(c.Entries) == 0 && c.Intent == nil && c.Boot == ""
+	return len(c.Instances)+len(c.Commands)+len(c.DeletedCommands)+len(c.CompletedIntents)+len(c.History) == 0 && c.Intent == nil && c.BootID == ""
 }
 
 // Store keeps the record. After an error nothing of that change may be there; another may be tried.
 type Store interface {
-	Load() (Saved, error)
+	Load() (State, error)
 	Save(Change) error
 	Close() error
 }
 
 // Errors of Open that a person has to deal with.
 var (
-	ErrHeld    = errors.New("another agent has this directory")
-	ErrDamaged = errors.New("the record is damaged")
-	ErrNewer   = errors.New("the record was written by a newer build")
+	ErrLocked      = errors.New("another agent has this directory")
+	ErrCorrupt     = errors.New("the record is damaged")
+	ErrNewerFormat = errors.New("the record was written by a newer build")
 )
 
 // version of the format. Records of older ones are read: fields that they lack are zero.
@@ -95,18 +95,18 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			s, err = nil, fmt.Errorf("%w: %s: %v", ErrDamaged, path, r)
+			s, err = nil, fmt.Errorf("%w: %s: %v", ErrCorrupt, path, r)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 500 * time.Millisecond})
 	switch {
 	case errors.Is(err, bolterrors.ErrTimeout):
-		return nil, fmt.Errorf("%w: %s", ErrHeld, dir)
+		return nil, fmt.Errorf("%w: %s", ErrLocked, dir)
 	case err != nil:
 		if sys, ok := errors.AsType[syscall.Errno](err); ok {
 			return nil, fmt.Errorf("%s: %w", path, sys)
 		}
-		return nil, fmt.Errorf("%w: %s: %v", ErrDamaged, path, err)
+		return nil, fmt.Errorf("%w: %s: %v", ErrCorrupt, path, err)
 	}
 	f := &file{db: db, most: history}
 	if _, err := f.Load(); err != nil {
@@ -137,11 +137,11 @@
 func (f *file) Close() error { return f.db.Close() }
 
 // Load reads all.
-func (f *file) Load() (s Saved, err error) {
+func (f *file) Load() (s State, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%w: %v", ErrDamaged, r)
+			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
 		}
 	}()
 	err = f.db.View(func(tx *bbolt.Tx) error {
@@ -150,11 +150,11 @@
 			return nil // a new file
 		}
 		if v := meta.Get(versionKey); len(v) != 4 {
-			return fmt.Errorf("%w: no version", ErrDamaged)
+			return fmt.Errorf("%w: no version", ErrCorrupt)
 		} else if n := binary.BigEndian.Uint32(v); n > version {
-			return fmt.Errorf("%w: version %d, this one knows %d", ErrNewer, n, version)
+			return fmt.Errorf("%w: version %d, this one knows %d", ErrNewerFormat, n, version)
 		}
-		s.Boot = string(meta.Get(bootKey))
+		s.BootID = string(meta.Get(bootKey))
 		return errors.Join(
 			each(tx, instancesBucket, func(_ []byte, in fleet.Instance) { s.Instances = append(s.Instances, in) }),
 			each(tx, commandsBucket, func(_ []byte, c *fleet.Command) { s.Commands = append(s.Commands, c) }),
@@ -173,7 +173,7 @@
 	return b.ForEach(func(k, raw []byte) error {
 		var v V
 		if err := json.Unmarshal(raw, &v); err != nil {
-			return fmt.Errorf("%w: %s %q: %v", ErrDamaged, bucket, k, err)
+			return fmt.Errorf("%w: %s %q: %v", ErrCorrupt, bucket, k, err)
 		}
 		take(k, v)
 		return nil
@@ -191,8 +191,8 @@
 			return tx.Bucket(bucket).Put([]byte(key), raw)
 		}
 		var errs []error
-		if c.Boot != "" {
-			errs = append(errs, tx.Bucket(metaBucket).Put(bootKey, []byte(c.Boot)))
+		if c.BootID != "" {
+			errs = append(errs, tx.Bucket(metaBucket).Put(bootKey, []byte(c.BootID)))
 		}
 		for _, in := range c.Instances {
 			errs = append(errs, put(instancesBucket, in.Name, in))
@@ -200,22 +200,22 @@
 		for _, cmd := range c.Commands {
 			errs = append(errs, put(commandsBucket, cmd.ID, cmd))
 		}
-		for _, id := range c.Dropped {
+		for _, id := range c.DeletedCommands {
 			errs = append(errs, tx.Bucket(commandsBucket).Delete([]byte(id)))
 		}
 		if c.Intent != nil {
 			errs = append(errs, put(intentsBucket, c.Intent.ID, c.Intent))
 		}
-		for _, id := range c.Decided {
+		for _, id := range c.CompletedIntents {
 			errs = append(errs, tx.Bucket(intentsBucket).Delete([]byte(id)))
 		}
 		history := tx.Bucket(historyBucket)
-		for _, e := range c.Entries {
+		for _, e := range c.History {
 			raw, err := json.Marshal(e)
 			errs = append(errs, err, history.Put(binary.BigEndian.AppendUint64(nil, e.Serial), raw))
 		}
-		if n := len(c.Entries); n > 0 && c.Entries[n-1].Serial > uint64(f.most) {
-			until := c.Entries[n-1].Serial - uint64(f.most)
+		if n := len(c.History); n > 0 && c.History[n-1].Serial > uint64(f.most) {
+			until := c.History[n-1].Serial - uint64(f.most)
 			cursor := history.Cursor()
 			for k, _ := cursor.First(); k != nil && binary.BigEndian.Uint64(k) <= until; k, _ = cursor.First() {
 				errs = append(errs, cursor.Delete())
--- a/internal/agent/store/record_test.go
+++ b/internal/agent/agentstore/store_test.go
@@ -1,4 +1,4 @@
-package store
+package agentstore
 
 import (
 	"encoding/binary"
@@ -15,7 +15,7 @@
 	"milletbarrow/internal/fleet"
 )
 
-func text(s Saved) []string {
+func text(s State) []string {
 	raw, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
 		panic(err)
@@ -23,22 +23,22 @@
 	return strings.Split(string(raw), "\n")
 }
 
-func fill(t *testing.T, dir string, many int) Saved {
+func fill(t *testing.T, dir string, many int) State {
 	s, err := Open(dir, 50)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	for n := range many {
-		c := Change{Entries: []Entry{{Serial: uint64(n + 1), Note: fleet.Note{Event: "taken", Cause: strings.Repeat("x", 100)}}}}
+		c := Change{History: []Entry{{Serial: uint64(n + 1), Note: fleet.Note{Event: "taken", Cause: strings.Repeat("x", 100)}}}}
 		c.Instances = []fleet.Instance{{Name: fmt.Sprint("n", n%20), Up: true, Run: fmt.Sprint("r", n)}}
 		c.Commands = []*fleet.Command{{ID: fmt.Sprint("c", n%30), Results: map[string]fleet.Result{"a": {Outcome: fleet.Succeeded}}}}
-		c.Intent, c.Boot = &fleet.Command{ID: "i"}, "b1"
+		c.Intent, c.BootID = &fleet.Command{ID: "i"}, "b1"
 		if n%2 == 0 {
-			c.Decided = []string{"i"}
+			c.CompletedIntents = []string{"i"}
 		}
 		if n%7 == 0 {
-			c.Dropped = []string{"c3"}
+			c.DeletedCommands = []string{"c3"}
 		}
 		if err := s.Save(c); err != nil {
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 func TestKept(t *testing.T) {
 	dir := t.TempDir()
 	want := fill(t, dir, 100)
-	if len(want.History) != 50 || want.History[0].Serial != 51 || len(want.Instances) != 20 || want.Boot != "b1" {
+	if len(want.History) != 50 || want.History[0].Serial != 51 || len(want.Instances) != 20 || want.BootID != "b1" {
 		t.Fatalf("%d lines of history, %d instances", len(want.History), len(want.Instances))
 	}
 	s, err := Open(dir, 50)
@@ -66,7 +66,7 @@
 	if diff := cmp.Diff(text(want), text(got)); err != nil || diff != "" {
 		t.Fatal(err, diff)
 	}
-	if _, err := Open(dir, 50); !errors.Is(err, ErrHeld) {
+	if _, err := Open(dir, 50); !errors.Is(err, ErrLocked) {
 		t.Fatalf("a second agent: %v", err)
 	}
 	s.Close()
@@ -101,7 +101,7 @@
 		return tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, version+1))
 	})
 	before, _ := os.ReadFile(Path(dir))
-	if _, err := Open(dir, 50); !errors.Is(err, ErrNewer) {
+	if _, err := Open(dir, 50); !errors.Is(err, ErrNewerFormat) {
 		t.Fatal(err)
 	}
 	if after, _ := os.ReadFile(Path(dir)); string(after) != string(before) {
@@ -133,7 +133,7 @@
 			s.Close()
 			continue
 		}
-		if !errors.Is(err, ErrDamaged) {
+		if !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", at, err)
 		}
 		damaged++
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -22,7 +22,7 @@
 )
 
 // Shares are what the agents of a fleet keep together; manage/join makes one.
-type Shares interface {
+type Cluster interface {
 	Do(context.Context, quota.Command) (quota.Result, error)
 	View(context.Context) (quota.View, error)
 	Use(*quota.Terms, []string)
@@ -116,7 +116,7 @@
 			c.Asks = append(c.Asks, q)
 		}
 	}
-	res, err := a.o.Shares.Do(ctx, quota.Command{Renew: c})
+	res, err := a.o.Cluster.Do(ctx, quota.Command{Renew: c})
 	if err != nil {
 		return err.Error()
 	}
@@ -151,15 +151,15 @@
 	if len(c.Lives) == 0 {
 		return
 	}
-	if _, err := a.o.Shares.Do(ctx, quota.Command{Gone: c}); err == nil && len(told) < 10_000 {
+	if _, err := a.o.Cluster.Do(ctx, quota.Command{Gone: c}); err == nil && len(told) < 10_000 {
 		for _, key := range c.Lives {
 			told[key] = true
 		}
 	}
 }
 
-// LifeOf names this process for the ledger: the run of the machine, the pid and when it started.
-func LifeOf(id process.Identity) string { return fmt.Sprintf("%s/%s", process.Boot(), id) }
+// IncarnationID identifies a process to the quota store: the boot id, the pid and the start time.
+func IncarnationID(id process.Identity) string { return fmt.Sprintf("%s/%s", process.Boot(), id) }
 
 // lifeAlive tells whether a life goes on, on this machine. One that can't be read is taken to.
 func lifeAlive(life string) bool {
@@ -192,7 +192,7 @@
 
 // unit takes a unit of a count, or gives it back. Without an answer nothing is known: the same turn is asked for again.
 func (a *Agent) unit(s fleet.Step) {
-	if a.o.Shares == nil {
+	if a.o.Cluster == nil {
 		a.bring(fleet.UnitTaken{HeldUnit: fleet.HeldUnit{Name: s.Name, Budget: s.Unit.Budget, Turn: s.ID}, Why: "this fleet's file has no budgets"})
 		return
 	}
@@ -201,12 +201,12 @@
 	turn := &quota.Take{Budget: s.Unit.Budget, Name: s.Name, Host: a.o.Host, Turn: s.ID}
 	if s.What == fleet.GiveUnit {
 		turn.End = &s.End
-		if _, err := a.o.Shares.Do(ctx, quota.Command{Give: turn}); err == nil {
+		if _, err := a.o.Cluster.Do(ctx, quota.Command{Give: turn}); err == nil {
 			a.bring(fleet.UnitGiven{Name: s.Name, Turn: s.ID})
 		}
 		return
 	}
-	if res, err := a.o.Shares.Do(ctx, quota.Command{Take: turn}); err == nil {
+	if res, err := a.o.Cluster.Do(ctx, quota.Command{Take: turn}); err == nil {
 		held := fleet.HeldUnit{Name: s.Name, Budget: s.Unit.Budget, Turn: s.ID}
 		a.bring(fleet.UnitTaken{HeldUnit: held, Held: res.No == "", Why: res.No})
 	}
@@ -216,7 +216,7 @@
 func (a *Agent) tell() {
 	for {
 		select {
-		case n := <-a.o.Shares.Notes():
+		case n := <-a.o.Cluster.Notes():
 			if a.ask(func(now fleet.Micros) {
 				a.note(fleet.Note{At: now, Name: n.Name, Event: strings.TrimSpace(n.Budget + " " + n.Event), Cause: n.Cause})
 			}) != nil {
@@ -228,33 +228,33 @@
 	}
 }
 
-var errNothingShared = &agentapi.Refusal{Status: http.StatusUnprocessableEntity, Text: "this fleet's file has no budgets"}
+var errNothingShared = &agentapi.StatusError{Status: http.StatusUnprocessableEntity, Text: "this fleet's file has no budgets"}
 
 // Budgets asks the leader how all stands.
 func (a *Agent) Budgets(ctx context.Context) (b agentapi.Budgets, err error) {
-	if a.o.Shares == nil {
+	if a.o.Cluster == nil {
 		return b, errNothingShared
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.o.Bounds.Call)
 	defer cancel()
-	b.Host, b.Stage = a.o.Host, a.o.Shares.Stage()
-	if b.View, err = a.o.Shares.View(ctx); err != nil {
-		err = &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
+	b.Host, b.Stage = a.o.Host, a.o.Cluster.Stage()
+	if b.View, err = a.o.Cluster.View(ctx); err != nil {
+		err = &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: err.Error()}
 	}
 	return b, err
 }
 
 // WriteOff tells the ledger that what a name has is in force no more.
 func (a *Agent) WriteOff(ctx context.Context, name, by string) error {
-	if a.o.Shares == nil {
+	if a.o.Cluster == nil {
 		return errNothingShared
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.o.Bounds.Call)
 	defer cancel()
-	res, err := a.o.Shares.Do(ctx, quota.Command{Off: &quota.Off{Name: name, By: by}})
+	res, err := a.o.Cluster.Do(ctx, quota.Command{Off: &quota.Off{Name: name, By: by}})
 	switch {
 	case err != nil:
-		return &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
+		return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: err.Error()}
 	case res.No != "":
 		return errors.New(res.No)
 	}
@@ -263,25 +263,25 @@
 
 // Rise begins a rise at the ledger, or says a word about one.
 func (a *Agent) Rise(ctx context.Context, r quota.Rise) error {
-	if a.o.Shares == nil {
+	if a.o.Cluster == nil {
 		return errNothingShared
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.o.Bounds.Call)
 	defer cancel()
-	res, err := a.o.Shares.Do(ctx, quota.Command{Rise: &r})
+	res, err := a.o.Cluster.Do(ctx, quota.Command{Rise: &r})
 	switch {
 	case err != nil:
-		return &agentapi.Refusal{Status: http.StatusServiceUnavailable, Text: err.Error()}
+		return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: err.Error()}
 	case res.No != "":
-		return &agentapi.Refusal{Status: http.StatusConflict, Text: res.No}
+		return &agentapi.StatusError{Status: http.StatusConflict, Text: res.No}
 	}
 	return nil
 }
 
 // Members are the agents that this one thinks are there.
 func (a *Agent) Members() []membership.Seen {
-	if a.o.Shares == nil {
+	if a.o.Cluster == nil {
 		return nil
 	}
-	return a.o.Shares.Members()
+	return a.o.Cluster.Members()
 }
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// KeeperHeld is the exit code of a keeper that found another one there.
-const KeeperHeld = 6
+// ExitSupervisorRunning is the exit code of a supervisor that found another one running.
+const ExitSupervisorRunning = 6
 
 // launch starts a keeper, unless one has this life already. An error means that trying again would not help.
 func (a *Agent) launch(all *fleet.Spec, s fleet.Step) error {
@@ -212,11 +212,11 @@
 		return nil // the same step came twice
 	}
 	spec := all.Find(s.Name)
-	window, err := Window(spec.ConfigFile)
+	window, err := ReadShutdownWindow(spec.ConfigFile)
 	if err != nil {
 		return fmt.Errorf("%s: %w", spec.ConfigFile, err)
 	}
-	args := append(a.o.Self[1:len(a.o.Self):len(a.o.Self)], "keeper", "--dir", a.o.Dir, "--name", s.Name, "--run", s.Run,
+	args := append(a.o.Executable[1:len(a.o.Executable):len(a.o.Executable)], "keeper", "--dir", a.o.Dir, "--name", s.Name, "--run", s.Run,
 		"--grace", time.Duration(window.Grace*1000).String(), "--stop", time.Duration(window.Stop*1000).String(),
 		"--config", spec.ConfigFile)
 	if spec.Levels != "" {
@@ -241,7 +241,7 @@
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(a.o.Self[0], args...)
+	cmd := exec.Command(a.o.Executable[0], args...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // what ends the agent does not end it
 	if err := cmd.Start(); err != nil {
@@ -250,7 +250,7 @@
 	go func() {
 		cmd.Wait()
 		code := cmd.ProcessState.ExitCode()
-		if code == 0 || code == KeeperHeld {
+		if code == 0 || code == ExitSupervisorRunning {
 			return
 		}
 		if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Run {
--- a/internal/agentapi/api.go
+++ b/internal/agentapi/api.go
@@ -5,7 +5,7 @@
 import (
 	"context"
 
-	"milletbarrow/internal/agent/store"
+	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/backend/admin"
 	"milletbarrow/internal/cluster/membership"
 	"milletbarrow/internal/cluster/quota"
@@ -18,70 +18,70 @@
 
 // Order asks for something to be done. Sent again with the same ID and content it changes nothing, so that it can
 // be sent again whenever its answer is lost.
-type Order struct {
-	ID     string           `json:"id"`
-	Kind   fleet.Kind       `json:"kind"`
-	Names  []string         `json:"names"`
-	By     string           `json:"by"`
-	Asked  int64            `json:"asked_unix_us"`
-	Within int64            `json:"within_us"` // from its arrival; the agent's own clock counts it
-	Now    bool             `json:"now,omitempty"`
-	Terms  *fleet.WaveTerms `json:"terms,omitempty"`
-	Budget string           `json:"budget,omitempty"` // of a wave: a count of which each that is out holds a unit
+type CommandRequest struct {
+	ID                  string           `json:"id"`
+	Kind                fleet.Kind       `json:"kind"`
+	Instances           []string         `json:"names"`
+	RequestedBy         string           `json:"by"`
+	RequestedUnixMicros int64            `json:"asked_unix_us"`
+	TimeoutMicros       int64            `json:"within_us"` // from its arrival; the agent's own clock counts it
+	Immediate           bool             `json:"now,omitempty"`
+	RollingUpdate       *fleet.WaveTerms `json:"terms,omitempty"`
+	Budget              string           `json:"budget,omitempty"` // of a wave: a count of which each that is out holds a unit
 }
 
 // Status is an agent's state.
 type Status struct {
-	Version   int              `json:"version"`
-	Fleet     string           `json:"fleet"`
-	Host      string           `json:"host"`
-	Build     string           `json:"build"`
-	PID       int              `json:"pid"`
-	Up        int64            `json:"up_us"`         // since its start
-	Clock     int64            `json:"clock_us"`      // the machine's own clock; times below are of it
-	Ill       string           `json:"ill,omitempty"` // why nothing new is taken
-	Serial    uint64           `json:"serial"`        // of the last line of history
-	Instances []Instance       `json:"instances"`
-	Open      []*fleet.Command `json:"open"`
+	Version         int              `json:"version"`
+	Fleet           string           `json:"fleet"`
+	Host            string           `json:"host"`
+	Build           string           `json:"build"`
+	PID             int              `json:"pid"`
+	UptimeMicros    int64            `json:"up_us"`         // since its start
+	MonotonicMicros int64            `json:"clock_us"`      // the machine's own clock; times below are of it
+	StoreError      string           `json:"ill,omitempty"` // why nothing new is taken
+	LastSerial      uint64           `json:"serial"`        // of the last line of history
+	Instances       []Instance       `json:"instances"`
+	OpenCommands    []*fleet.Command `json:"open"`
 }
 
 // Instance is one of them.
 type Instance struct {
-	Name     string       `json:"name"`
-	Group    string       `json:"group"`
-	Spare    bool         `json:"spare,omitempty"`
-	Up       bool         `json:"up"` // wanted
-	Phase    fleet.Phase  `json:"phase"`
-	For      int64        `json:"for_us"` // in this phase
-	Cause    string       `json:"cause,omitempty"`
-	Left     int64        `json:"left_us,omitempty"` // until the phase's time limit
-	Settled  bool         `json:"settled"`
-	Task     string       `json:"task,omitempty"`
-	Launches int          `json:"launches"` // by itself, of late
-	PID      int          `json:"pid,omitempty"`
-	Keeper   int          `json:"keeper,omitempty"`
-	State    *admin.State `json:"state,omitempty"` // its own words, the latest
+	Name           string       `json:"name"`
+	Group          string       `json:"group"`
+	Spare          bool         `json:"spare,omitempty"`
+	DesiredUp      bool         `json:"up"` // wanted
+	Phase          fleet.Phase  `json:"phase"`
+	PhaseAgeMicros int64        `json:"for_us"` // in this phase
+	Cause          string       `json:"cause,omitempty"`
+	TimeLeftMicros int64        `json:"left_us,omitempty"` // until the phase's time limit
+	Settled        bool         `json:"settled"`
+	Task           string       `json:"task,omitempty"`
+	RecentRestarts int          `json:"launches"` // by itself, of late
+	PID            int          `json:"pid,omitempty"`
+	SupervisorPID  int          `json:"keeper,omitempty"`
+	State          *admin.State `json:"state,omitempty"` // its own words, the latest
 }
 
-// Line is one of a stream: an entry of history, the command as it stands, or a gap.
-type Line struct {
-	Entry   *store.Entry   `json:"entry,omitempty"`
-	Command *fleet.Command `json:"command,omitempty"` // the last line of a command's stream has it ended
-	Gap     uint64         `json:"gap,omitempty"`     // so many entries are no longer kept
-	Serial  uint64         `json:"serial,omitempty"`  // to join again after; a line with nothing else is a sign of life
+// StreamEvent is one line of a stream: a history entry, the state of a command, or a gap.
+type StreamEvent struct {
+	Entry       *agentstore.Entry `json:"entry,omitempty"`
+	Command     *fleet.Command    `json:"command,omitempty"` // the last line of a command's stream has it ended
+	LostEntries uint64            `json:"gap,omitempty"`     // so many entries are no longer kept
+	Serial      uint64            `json:"serial,omitempty"`  // to join again after; a line with nothing else is a sign of life
 }
 
 // Manager is what the interface stands for; an agent is one. Its methods may be called from any goroutine.
 type Manager interface {
 	Status() Status
-	Order(Order) (*fleet.Command, error)
+	Submit(CommandRequest) (*fleet.Command, error)
 	Steer(id, verb, by string) (*fleet.Command, error)
 	Command(id string) *fleet.Command
 	Commands() []*fleet.Command
 	// Entries after a serial, at most some hundred, how many before them are lost, and a channel that is
 	// closed once there are more.
-	Entries(after uint64) (entries []store.Entry, lost uint64, more <-chan struct{})
-	History(after uint64, most int) ([]store.Entry, error)
+	Entries(after uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{})
+	History(after uint64, most int) ([]agentstore.Entry, error)
 	// Budgets asks the ledger's leader, whichever agent that is.
 	Budgets(ctx context.Context) (Budgets, error)
 	// WriteOff is an operator's word that what a name has of budgets is in force no more.
@@ -98,10 +98,10 @@
 	Stage string `json:"stage"`
 }
 
-// Refusal is an error with the status that says what kind it is.
-type Refusal struct {
+// StatusError is a rejected request: the HTTP status and the reason.
+type StatusError struct {
 	Status int
 	Text   string
 }
 
-func (r *Refusal) Error() string { return r.Text }
+func (r *StatusError) Error() string { return r.Text }
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"milletbarrow/internal/agent/store"
+	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/cluster/membership"
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/fleet"
@@ -24,17 +24,17 @@
 	"milletbarrow/internal/limits"
 )
 
-// Unreachable is an agent that gave no answer; that says nothing about its instances.
-type Unreachable struct {
+// UnreachableError reports an agent that did not answer. It says nothing about the agent's instances.
+type UnreachableError struct {
 	Address string
 	Err     error
 }
 
-func (u *Unreachable) Error() string { return fmt.Sprintf("agent at %s: %v", u.Address, u.Err) }
-func (u *Unreachable) Unwrap() error { return u.Err }
+func (u *UnreachableError) Error() string { return fmt.Sprintf("agent at %s: %v", u.Address, u.Err) }
+func (u *UnreachableError) Unwrap() error { return u.Err }
 
-// Caller makes calls to agents. Further tries are made here and nowhere else, within one budget for all agents.
-type Caller struct {
+// ClientFactory makes clients that share one retry budget. Requests are retried here and nowhere else.
+type ClientFactory struct {
 	bounds limits.Control
 
 	mu    sync.Mutex
@@ -42,25 +42,25 @@
 	draw  *rand.Rand
 }
 
-// NewCaller makes one; the seed is of the jitter.
-func NewCaller(b limits.Control, seed uint64) *Caller {
-	return &Caller{bounds: b, draw: rand.New(rand.NewPCG(seed, 2))}
+// NewClientFactory makes a factory; the seed is of the backoff's jitter.
+func NewClientFactory(b limits.Control, seed uint64) *ClientFactory {
+	return &ClientFactory{bounds: b, draw: rand.New(rand.NewPCG(seed, 2))}
 }
 
 // Client speaks to one agent.
 type Client struct {
-	caller  *Caller
+	caller  *ClientFactory
 	address string
 	http    *http.Client
 }
 
 // Client for the agent at an address, as CheckAddress has it.
-func (c *Caller) Client(address string) *Client {
+func (c *ClientFactory) Client(address string) *Client {
 	return &Client{caller: c, address: address, http: jsonhttp.Client(address, c.bounds)}
 }
 
 // pause before try n, or false if there is none.
-func (c *Caller) pause(n int) (time.Duration, bool) {
+func (c *ClientFactory) pause(n int) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n == 1 {
@@ -80,12 +80,12 @@
 	for n := 1; ; n++ {
 		pause, ok := c.caller.pause(n)
 		if !ok {
-			return &Unreachable{c.address, last}
+			return &UnreachableError{c.address, last}
 		}
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
-			return &Unreachable{c.address, errors.Join(ctx.Err(), last)}
+			return &UnreachableError{c.address, errors.Join(ctx.Err(), last)}
 		}
 		again, err := c.once(ctx, method, path, body, into)
 		if err == nil || !again {
@@ -111,7 +111,7 @@
 	if json.Unmarshal(raw, &why) != nil || why.Error == "" {
 		why.Error = fmt.Sprintf("status %d", status)
 	}
-	return &Refusal{status, why.Error}
+	return &StatusError{status, why.Error}
 }
 
 // Status asks how all stands.
@@ -120,7 +120,7 @@
 }
 
 // Order sends a command; it may be sent again.
-func (c *Client) Order(ctx context.Context, o Order) (cmd *fleet.Command, err error) {
+func (c *Client) Submit(ctx context.Context, o CommandRequest) (cmd *fleet.Command, err error) {
 	cmd = &fleet.Command{}
 	return cmd, c.call(ctx, http.MethodPost, "/v1/commands", o, cmd)
 }
@@ -129,7 +129,7 @@
 func (c *Client) Command(ctx context.Context, id string) (cmd *fleet.Command, err error) {
 	cmd = &fleet.Command{}
 	err = c.call(ctx, http.MethodGet, "/v1/commands/"+url.PathEscape(id), nil, cmd)
-	if r, ok := errors.AsType[*Refusal](err); ok && r.Status == http.StatusNotFound {
+	if r, ok := errors.AsType[*StatusError](err); ok && r.Status == http.StatusNotFound {
 		return nil, fleet.ErrUnknown
 	}
 	return cmd, err
@@ -148,17 +148,17 @@
 }
 
 // History asks for the latest entries after a serial.
-func (c *Client) History(ctx context.Context, after uint64, most int) (all []store.Entry, err error) {
+func (c *Client) History(ctx context.Context, after uint64, most int) (all []agentstore.Entry, err error) {
 	return all, c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/history?after=%d&most=%d", after, most), nil, &all)
 }
 
 // Follow hands on the lines of a command's stream, or of all history if id is empty, from after a serial, until
 // the command has ended, take wants no more, or ctx ends. Where the stream breaks it is joined again where it was
 // left, for as long as ctx lasts: an agent that is away for a while is no reason to give up.
-func (c *Client) Follow(ctx context.Context, id string, after uint64, take func(Line) bool) error {
+func (c *Client) Follow(ctx context.Context, id string, after uint64, take func(StreamEvent) bool) error {
 	again := fleet.Backoff{Least: 50_000, Most: 500_000}
 	for n := 1; ; n++ {
-		over, err := c.join(ctx, id, &after, func(l Line) bool { n = 1; return take(l) })
+		over, err := c.join(ctx, id, &after, func(l StreamEvent) bool { n = 1; return take(l) })
 		if over {
 			return err
 		}
@@ -168,13 +168,13 @@
 		select {
 		case <-time.After(time.Duration(pause) * time.Microsecond):
 		case <-ctx.Done():
-			return &Unreachable{c.address, errors.Join(ctx.Err(), err)}
+			return &UnreachableError{c.address, errors.Join(ctx.Err(), err)}
 		}
 	}
 }
 
 // join reads one stream to its end; over tells that there is nothing to join again for.
-func (c *Client) join(ctx context.Context, id string, after *uint64, take func(Line) bool) (over bool, err error) {
+func (c *Client) join(ctx context.Context, id string, after *uint64, take func(StreamEvent) bool) (over bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	path := "/v1/stream?after=" + strconv.FormatUint(*after, 10) + "&command=" + url.QueryEscape(id)
@@ -198,7 +198,7 @@
 	lines.Buffer(nil, 64*c.caller.bounds.Message)
 	for lines.Scan() {
 		silent.Reset(4 * c.caller.bounds.Call)
-		var l Line
+		var l StreamEvent
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return false, err
 		}
@@ -236,8 +236,8 @@
 // Close lets go of kept connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Fan does one thing for each of many agents, some at once, and gathers what came of it, in their order.
-func Fan[K, V any](ctx context.Context, b limits.Control, all []K, do func(context.Context, K) (V, error)) ([]V, []error) {
+// FanOut calls do for each key, at most b.FanOut at a time, and returns the results in the order of the keys.
+func FanOut[K, V any](ctx context.Context, b limits.Control, all []K, do func(context.Context, K) (V, error)) ([]V, []error) {
 	values, errs := make([]V, len(all)), make([]error, len(all))
 	var group errgroup.Group
 	group.SetLimit(b.FanOut)
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -62,13 +62,13 @@
 	at("GET /v1/status", func(*http.Request) (any, error) { return s.m.Status(), nil })
 	at("GET /v1/commands", func(*http.Request) (any, error) { return s.m.Commands(), nil })
 	at("POST /v1/commands", func(r *http.Request) (any, error) {
-		var o Order
+		var o CommandRequest
 		in := json.NewDecoder(io.LimitReader(r.Body, int64(s.b.Message)))
 		in.DisallowUnknownFields() // what this agent does not know it must not pass over
 		if err := in.Decode(&o); err != nil {
-			return nil, &Refusal{http.StatusBadRequest, "not an order: " + err.Error()}
+			return nil, &StatusError{http.StatusBadRequest, "not an order: " + err.Error()}
 		}
-		return s.m.Order(o)
+		return s.m.Submit(o)
 	})
 	at("GET /v1/commands/{id}", func(r *http.Request) (any, error) {
 		if c := s.m.Command(r.PathValue("id")); c != nil {
@@ -96,13 +96,13 @@
 		in := json.NewDecoder(io.LimitReader(r.Body, 4*int64(s.b.Message)))
 		in.DisallowUnknownFields()
 		if err := in.Decode(&o); err != nil {
-			return nil, &Refusal{http.StatusBadRequest, "not a rise: " + err.Error()}
+			return nil, &StatusError{http.StatusBadRequest, "not a rise: " + err.Error()}
 		}
 		return struct{}{}, s.m.Rise(r.Context(), o)
 	})
 	mux.HandleFunc("GET /v1/stream", s.stream)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		s.answer(w, nil, &Refusal{http.StatusNotFound, fmt.Sprintf("%s %s: nothing here; this agent speaks version %d", r.Method, r.URL.Path, Version)})
+		s.answer(w, nil, &StatusError{http.StatusNotFound, fmt.Sprintf("%s %s: nothing here; this agent speaks version %d", r.Method, r.URL.Path, Version)})
 	})
 	return mux
 }
@@ -111,13 +111,13 @@
 	q := r.URL.Query()
 	if text := q.Get("after"); text != "" {
 		if after, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return 0, 0, &Refusal{http.StatusBadRequest, fmt.Sprintf("after: %q is no number", text)}
+			return 0, 0, &StatusError{http.StatusBadRequest, fmt.Sprintf("after: %q is no number", text)}
 		}
 	}
 	most = 1000
 	if text := q.Get("most"); text != "" {
 		if most, err = strconv.Atoi(text); err != nil || most < 1 || most > 100_000 {
-			return 0, 0, &Refusal{http.StatusBadRequest, fmt.Sprintf("most: %q is no number from 1 to 100000", text)}
+			return 0, 0, &StatusError{http.StatusBadRequest, fmt.Sprintf("most: %q is no number from 1 to 100000", text)}
 		}
 	}
 	return after, most, nil
@@ -132,7 +132,7 @@
 		return
 	}
 	status := http.StatusUnprocessableEntity
-	switch refusal, ok := errors.AsType[*Refusal](err); {
+	switch refusal, ok := errors.AsType[*StatusError](err); {
 	case ok:
 		status = refusal.Status
 	case errors.Is(err, fleet.ErrUnknown):
@@ -153,7 +153,7 @@
 	case s.streams <- struct{}{}:
 		defer func() { <-s.streams }()
 	default:
-		s.answer(w, nil, &Refusal{http.StatusTooManyRequests, "too many watch already"})
+		s.answer(w, nil, &StatusError{http.StatusTooManyRequests, "too many watch already"})
 		return
 	}
 	after, _, err := numbers(r)
@@ -167,7 +167,7 @@
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	out, control := json.NewEncoder(w), http.NewResponseController(w)
-	say := func(l Line) bool { // one that reads nothing is let go; it can join again
+	say := func(l StreamEvent) bool { // one that reads nothing is let go; it can join again
 		control.SetWriteDeadline(time.Now().Add(s.b.Call))
 		return out.Encode(l) == nil && control.Flush() == nil
 	}
@@ -181,16 +181,16 @@
 			}
 		}
 		entries, lost, more := s.m.Entries(after)
-		if lost > 0 && !say(Line{Gap: lost}) {
+		if lost > 0 && !say(StreamEvent{LostEntries: lost}) {
 			return
 		}
 		for _, e := range entries {
-			if after = e.Serial; (id == "" || e.Command == id) && !say(Line{Entry: &e, Serial: after}) {
+			if after = e.Serial; (id == "" || e.Command == id) && !say(StreamEvent{Entry: &e, Serial: after}) {
 				return
 			}
 		}
 		if c != nil && c.State == fleet.Done {
-			say(Line{Command: c, Serial: after})
+			say(StreamEvent{Command: c, Serial: after})
 			return
 		}
 		if len(entries) > 0 {
@@ -199,7 +199,7 @@
 		select {
 		case <-more:
 		case <-alive.C:
-			if !say(Line{Serial: after}) {
+			if !say(StreamEvent{Serial: after}) {
 				return
 			}
 		case <-r.Context().Done():
--- a/internal/fleetclient/operate.go
+++ b/internal/fleetclient/operate.go
@@ -22,10 +22,10 @@
 // Tool speaks to the agents of a fleet.
 type Tool struct {
 	Spec   *fleet.Spec
-	Caller *agentapi.Caller
+	Caller *agentapi.ClientFactory
 	Bounds limits.Control
 	By     string
-	Say    func(host string, l agentapi.Line) // progress; may be nil. Called by one goroutine at a time
+	Say    func(host string, l agentapi.StreamEvent) // progress; may be nil. Called by one goroutine at a time
 
 	saying sync.Mutex
 }
@@ -119,12 +119,12 @@
 
 // Do sends a command to every host that has some of the instances and, if wait is set, follows it to its end
 // everywhere. ctx bounds it all.
-func (t *Tool) Do(ctx context.Context, o agentapi.Order, all []*fleet.InstanceSpec, wait bool) *Report {
+func (t *Tool) Do(ctx context.Context, o agentapi.CommandRequest, all []*fleet.InstanceSpec, wait bool) *Report {
 	hosts, names := t.ByHost(all)
 	r := &Report{ID: o.ID, Kind: o.Kind}
-	r.Hosts, _ = agentapi.Fan(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (HostReport, error) {
+	r.Hosts, _ = agentapi.FanOut(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (HostReport, error) {
 		o := o
-		o.Names = names[host]
+		o.Instances = names[host]
 		return t.one(ctx, host, o, wait), nil
 	})
 	r.sum()
@@ -132,14 +132,14 @@
 }
 
 // one sends a command to one host and follows it.
-func (t *Tool) one(ctx context.Context, host string, o agentapi.Order, wait bool) HostReport {
+func (t *Tool) one(ctx context.Context, host string, o agentapi.CommandRequest, wait bool) HostReport {
 	c := t.client(host)
 	defer c.Close()
 	serial := uint64(0)
 	if s, err := c.Status(ctx); err == nil { // so that the stream begins where the command does
-		serial = s.Serial
+		serial = s.LastSerial
 	}
-	cmd, err := c.Order(ctx, o)
+	cmd, err := c.Submit(ctx, o)
 	if err != nil {
 		return failed(host, err)
 	}
@@ -152,7 +152,7 @@
 
 func failed(host string, err error) HostReport {
 	h := HostReport{Host: host, Error: err.Error()}
-	_, refused := errors.AsType[*agentapi.Refusal](err)
+	_, refused := errors.AsType[*agentapi.StatusError](err)
 	refused = refused || errors.Is(err, fleet.ErrUnknown)
 	h.Reached, h.Refused = refused, refused
 	return h
@@ -160,7 +160,7 @@
 
 // follow stays with a command until it ends, or stops for want of a person, and notes how it stands.
 func (t *Tool) follow(ctx context.Context, c *agentapi.Client, h *HostReport, id string, after uint64) {
-	err := c.Follow(ctx, id, after, func(l agentapi.Line) bool {
+	err := c.Follow(ctx, id, after, func(l agentapi.StreamEvent) bool {
 		t.say(h.Host, l)
 		if l.Command != nil {
 			h.Command = l.Command
@@ -180,7 +180,7 @@
 	}
 }
 
-func (t *Tool) say(host string, l agentapi.Line) {
+func (t *Tool) say(host string, l agentapi.StreamEvent) {
 	if t.Say != nil {
 		t.saying.Lock()
 		defer t.saying.Unlock()
@@ -216,7 +216,7 @@
 	if err != nil {
 		return failed(host, err)
 	}
-	c.Follow(ctx, "", s.Serial, func(l agentapi.Line) bool { t.say(host, l); return true })
+	c.Follow(ctx, "", s.LastSerial, func(l agentapi.StreamEvent) bool { t.say(host, l); return true })
 	return h
 }
 
@@ -232,20 +232,20 @@
 
 // Wave takes a wave over the hosts, as many abreast as it is told. Its command has the same id everywhere, so that
 // a tool that is started again with it goes on where the one before was.
-func (t *Tool) Wave(ctx context.Context, o agentapi.Order, all []*fleet.InstanceSpec, abreast int) *Report {
+func (t *Tool) Wave(ctx context.Context, o agentapi.CommandRequest, all []*fleet.InstanceSpec, abreast int) *Report {
 	hosts, names := t.ByHost(all)
 	r := &Report{ID: o.ID, Kind: o.Kind}
 	if len(hosts) == 1 || o.Budget != "" { // by a budget the agents keep the order among themselves, with or without this tool
 		return t.Do(ctx, o, all, true)
 	}
-	tour := &fleet.Tour{Hosts: hosts, Terms: *o.Terms, Abreast: abreast}
+	tour := &fleet.Tour{Hosts: hosts, Terms: *o.RollingUpdate, Abreast: abreast}
 	reports := map[string]*HostReport{}
 	var mu sync.Mutex
 	var following sync.WaitGroup
 	defer following.Wait()
 	for {
 		facts := map[string]fleet.HostFact{}
-		seen, _ := agentapi.Fan(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (fleet.HostFact, error) {
+		seen, _ := agentapi.FanOut(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (fleet.HostFact, error) {
 			f, cmd := t.fact(ctx, host, o, len(names[host]))
 			if cmd != nil {
 				mu.Lock()
@@ -260,7 +260,7 @@
 		step := tour.Next(fleet.Micros(process.Now()), facts)
 		for _, host := range step.Begin {
 			o := o
-			o.Names = names[host]
+			o.Instances = names[host]
 			h := t.one(ctx, host, o, false)
 			mu.Lock()
 			reports[host] = &h
@@ -272,7 +272,7 @@
 			c := t.client(host)
 			following.Go(func() { // for its lines alone; how it stands is asked for above
 				defer c.Close()
-				c.Follow(ctx, o.ID, 0, func(l agentapi.Line) bool {
+				c.Follow(ctx, o.ID, 0, func(l agentapi.StreamEvent) bool {
 					t.say(host, l)
 					return l.Entry == nil || l.Entry.Event != "pause"
 				})
@@ -303,10 +303,10 @@
 }
 
 // fact asks one host how it stands.
-func (t *Tool) fact(ctx context.Context, host string, o agentapi.Order, names int) (f fleet.HostFact, cmd *fleet.Command) {
+func (t *Tool) fact(ctx context.Context, host string, o agentapi.CommandRequest, names int) (f fleet.HostFact, cmd *fleet.Command) {
 	c := t.client(host)
 	defer c.Close()
-	f.Takes = min(o.Terms.Width, names)
+	f.Takes = min(o.RollingUpdate.Width, names)
 	s, err := c.Status(ctx)
 	if err != nil {
 		f.Cause = err.Error()
@@ -314,10 +314,10 @@
 	}
 	f.Reached = true
 	for _, in := range s.Instances {
-		if in.Up && !in.Spare {
+		if in.DesiredUp && !in.Spare {
 			f.Up++
 		}
-		if in.Up && in.Settled {
+		if in.DesiredUp && in.Settled {
 			f.Ready++
 		}
 	}
@@ -342,7 +342,7 @@
 
 // Status asks all hosts; one that gives no answer is in the list with its error.
 func (t *Tool) Status(ctx context.Context) []HostStatus {
-	all, _ := agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostStatus, error) {
+	all, _ := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostStatus, error) {
 		c := t.client(h.Name)
 		defer c.Close()
 		s, err := c.Status(ctx)
@@ -357,20 +357,20 @@
 // Entry is a line of history with its host.
 type Entry struct {
 	Host string `json:"host"`
-	agentapi.Line
+	agentapi.StreamEvent
 }
 
 // History gathers the hosts' history in the order of their wall clocks, which may be askew between hosts. Hosts
 // that gave no answer are named: their lines are missing.
 func (t *Tool) History(ctx context.Context, most int, keep func(Entry) bool) (all []Entry, missing map[string]string) {
 	missing = map[string]string{}
-	parts, errs := agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) ([]Entry, error) {
+	parts, errs := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) ([]Entry, error) {
 		c := t.client(h.Name)
 		defer c.Close()
 		lines, err := c.History(ctx, 0, most)
 		var part []Entry
 		for _, e := range lines {
-			if entry := (Entry{h.Name, agentapi.Line{Entry: &e, Serial: e.Serial}}); keep(entry) {
+			if entry := (Entry{h.Name, agentapi.StreamEvent{Entry: &e, Serial: e.Serial}}); keep(entry) {
 				part = append(part, entry)
 			}
 		}
@@ -382,6 +382,6 @@
 		}
 		all = append(all, parts[i]...)
 	}
-	slices.SortStableFunc(all, func(a, b Entry) int { return cmp.Compare(a.Entry.Wall, b.Entry.Wall) })
+	slices.SortStableFunc(all, func(a, b Entry) int { return cmp.Compare(a.Entry.UnixMicros, b.Entry.UnixMicros) })
 	return all[max(0, len(all)-most):], missing
 }
--- a/internal/fleetclient/shared.go
+++ b/internal/fleetclient/shared.go
@@ -18,7 +18,7 @@
 		c := t.client(h.Name)
 		err := ask(c)
 		c.Close()
-		if r, no := errors.AsType[*agentapi.Refusal](err); err == nil || no && r.Status/100 == 4 {
+		if r, no := errors.AsType[*agentapi.StatusError](err); err == nil || no && r.Status/100 == 4 {
 			return err
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", h.Name, err))
@@ -50,7 +50,7 @@
 
 // Members asks every agent whom it thinks to be there.
 func (t *Tool) Members(ctx context.Context) []HostMembers {
-	all, _ := agentapi.Fan(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostMembers, error) {
+	all, _ := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostMembers, error) {
 		c := t.client(h.Name)
 		defer c.Close()
 		seen, err := c.Members(ctx)
