--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -53,7 +53,7 @@
 }
 
 // tool is what the sub-commands work with.
-func tool(c *cli.Command) (*fleetclient.Tool, error) {
+func tool(c *cli.Command) (*fleetclient.Client, error) {
 	spec, err := readFleet(c)
 	if err != nil {
 		return nil, err
@@ -63,12 +63,12 @@
 		by = u.Username
 	}
 	host, _ := os.Hostname()
-	t := &fleetclient.Tool{
-		Spec: spec, Bounds: limits.ForControl(), By: fmt.Sprintf("%s@%s", by, host),
+	t := &fleetclient.Client{
+		Spec: spec, Bounds: limits.ForControl(), Operator: fmt.Sprintf("%s@%s", by, host),
 		Caller: agentapi.NewClientFactory(limits.ForControl(), uint64(process.Now())),
 	}
 	if !c.Bool("quiet") {
-		t.Say = func(host string, l agentapi.StreamEvent) { sayLine(os.Stderr, host, l) }
+		t.OnProgress = func(host string, l agentapi.StreamEvent) { sayLine(os.Stderr, host, l) }
 	}
 	return t, nil
 }
@@ -84,7 +84,7 @@
 }
 
 // selected are the instances that the command line names.
-func selected(c *cli.Command, t *fleetclient.Tool) ([]*fleet.InstanceSpec, error) {
+func selected(c *cli.Command, t *fleetclient.Client) ([]*fleet.InstanceSpec, error) {
 	all, err := t.Spec.Select(fleet.Selection{
 		All: c.Bool("all"), Names: c.Args().Slice(), Groups: c.StringSlice("group"), Labels: c.StringSlice("label"),
 		Hosts: c.StringSlice("host"),
@@ -114,10 +114,10 @@
 }
 
 // orderOf is the command that the flags ask for.
-func orderOf(c *cli.Command, t *fleetclient.Tool, kind fleet.Kind) (agentapi.CommandRequest, error) {
+func orderOf(c *cli.Command, t *fleetclient.Client, kind fleet.Kind) (agentapi.CommandRequest, error) {
 	now := time.Now()
 	o := agentapi.CommandRequest{
-		ID: c.String("id"), Kind: kind, RequestedBy: t.By, RequestedUnixMicros: now.UnixMicro(), TimeoutMicros: c.Duration("within").Microseconds(),
+		ID: c.String("id"), Kind: kind, RequestedBy: t.Operator, RequestedUnixMicros: now.UnixMicro(), TimeoutMicros: c.Duration("within").Microseconds(),
 	}
 	if o.ID == "" {
 		o.ID = fleetclient.NewID(kind, now)
@@ -171,20 +171,20 @@
 		}
 		table(rows)
 		fmt.Printf("command %s: %s\n", r.ID, counted(r.Counts))
-		if r.Why != "" {
-			fmt.Println("stopped:", r.Why)
+		if r.Reason != "" {
+			fmt.Println("stopped:", r.Reason)
 		}
 	}
 	verdict := r.Verdict()
-	if !waited && verdict == fleetclient.LateVerdict { // nobody wanted to know
-		verdict = fleetclient.AllAsAsked
+	if !waited && verdict == fleetclient.VerdictTimedOut { // nobody wanted to know
+		verdict = fleetclient.VerdictSucceeded
 	}
 	switch verdict {
-	case fleetclient.SomeOther:
+	case fleetclient.VerdictPartial:
 		return cli.Exit("", exitSome)
-	case fleetclient.LateVerdict:
+	case fleetclient.VerdictTimedOut:
 		return cli.Exit("", exitLate)
-	case fleetclient.NotReached:
+	case fleetclient.VerdictUnreachable:
 		return cli.Exit("", exitUnreachable)
 	}
 	return nil
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -70,7 +70,7 @@
 			if id == "" {
 				return nil
 			}
-			return finish(c, r.Known(), true)
+			return finish(c, r.OnlyKnown(), true)
 		},
 	}
 }
--- a/cmd/milletbarrow/fleet_order.go
+++ b/cmd/milletbarrow/fleet_order.go
@@ -45,7 +45,7 @@
 			}
 			ctx, cancel := patience(ctx, o)
 			defer cancel()
-			return finish(c, t.Do(ctx, o, all, c.Bool("wait")), c.Bool("wait"))
+			return finish(c, t.Execute(ctx, o, all, c.Bool("wait")), c.Bool("wait"))
 		},
 	}
 }
--- a/cmd/milletbarrow/fleet_rise.go
+++ b/cmd/milletbarrow/fleet_rise.go
@@ -45,9 +45,9 @@
 				return err
 			}
 			o.Budget = t.Spec.RiseBudget
-			r := quota.Rise{Budget: o.Budget, ID: o.ID, By: t.By, Verb: c.String("say")}
+			r := quota.Rise{Budget: o.Budget, ID: o.ID, By: t.Operator, Verb: c.String("say")}
 			if r.Verb != "" {
-				if err := t.Rise(ctx, r); err != nil {
+				if err := t.ColdStart(ctx, r); err != nil {
 					return budgetsFailed(err)
 				}
 				fmt.Printf("%s: %s\n", o.ID, r.Verb)
@@ -62,7 +62,7 @@
 			}
 			ctx, cancel := patience(ctx, o)
 			defer cancel()
-			if err := t.Rise(ctx, r); err != nil {
+			if err := t.ColdStart(ctx, r); err != nil {
 				if no, ok := errors.AsType[*agentapi.StatusError](err); ok && no.Status/100 == 4 {
 					return budgetsFailed(err)
 				}
@@ -74,7 +74,7 @@
 				defer close(shown)
 				showRise(showing, c, t, o.ID)
 			}()
-			report := t.Do(ctx, o, all, c.Bool("wait"))
+			report := t.Execute(ctx, o, all, c.Bool("wait"))
 			stop()
 			<-shown
 			return finish(c, report, c.Bool("wait"))
@@ -105,7 +105,7 @@
 }
 
 // showRise tells how a rise stands whenever that changes.
-func showRise(ctx context.Context, c *cli.Command, t *fleetclient.Tool, id string) {
+func showRise(ctx context.Context, c *cli.Command, t *fleetclient.Client, id string) {
 	if c.Bool("quiet") || c.Bool("json") || !c.Bool("wait") {
 		return
 	}
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -40,7 +40,7 @@
 			answers, errs := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
 				client := t.Caller.Client(h.Agent)
 				defer client.Close()
-				cmd, err := client.Steer(ctx, id, verb, t.By)
+				cmd, err := client.Steer(ctx, id, verb, t.Operator)
 				if err != nil {
 					return answer{Host: h.Name, Error: err.Error()}, err
 				}
--- a/cmd/milletbarrow/fleet_wave.go
+++ b/cmd/milletbarrow/fleet_wave.go
@@ -63,9 +63,9 @@
 				if hosts, _ := t.ByHost(all); len(hosts) > 1 && o.Budget == "" {
 					return unusable(fmt.Errorf("wait: a wave over %d hosts is taken from host to host by this command, which has to stay", len(hosts)))
 				}
-				return finish(c, t.Do(ctx, o, all, false), false)
+				return finish(c, t.Execute(ctx, o, all, false), false)
 			}
-			return finish(c, t.Wave(ctx, o, all, c.Int("abreast")), true)
+			return finish(c, t.RollingUpdate(ctx, o, all, c.Int("abreast")), true)
 		},
 	}
 }
@@ -93,7 +93,7 @@
 }
 
 // previewWave prints a wave step by step as it would go if all went well.
-func previewWave(c *cli.Command, t *fleetclient.Tool, all []*fleet.InstanceSpec, terms fleet.WaveTerms) error {
+func previewWave(c *cli.Command, t *fleetclient.Client, all []*fleet.InstanceSpec, terms fleet.WaveTerms) error {
 	hosts, names := t.ByHost(all)
 	plans := map[string][]fleet.PlanStep{}
 	rows := [][]string{{"host", "batch", "instance", "group", "ready meanwhile", "must stay"}}
--- a/internal/fleetclient/operate.go
+++ b/internal/fleetclient/operate.go
@@ -19,24 +19,24 @@
 	"milletbarrow/internal/process"
 )
 
-// Tool speaks to the agents of a fleet.
-type Tool struct {
-	Spec   *fleet.Spec
-	Caller *agentapi.ClientFactory
-	Bounds limits.Control
-	By     string
-	Say    func(host string, l agentapi.StreamEvent) // progress; may be nil. Called by one goroutine at a time
+// Client speaks to the agents of a fleet.
+type Client struct {
+	Spec       *fleet.Spec
+	Caller     *agentapi.ClientFactory
+	Bounds     limits.Control
+	Operator   string
+	OnProgress func(host string, l agentapi.StreamEvent) // progress; may be nil. Called by one goroutine at a time
 
 	saying sync.Mutex
 }
 
 // HostReport is what came of a command at one agent.
 type HostReport struct {
-	Host    string         `json:"host"`
-	Command *fleet.Command `json:"command,omitempty"`
-	Error   string         `json:"error,omitempty"`
-	Reached bool           `json:"reached"`
-	Refused bool           `json:"refused,omitempty"` // the agent did not take it
+	Host     string         `json:"host"`
+	Command  *fleet.Command `json:"command,omitempty"`
+	Error    string         `json:"error,omitempty"`
+	Reached  bool           `json:"reached"`
+	Rejected bool           `json:"refused,omitempty"` // the agent did not take it
 }
 
 // Report is what came of a command.
@@ -46,7 +46,7 @@
 	Hosts  []HostReport          `json:"hosts"`
 	Counts map[fleet.Outcome]int `json:"counts"`
 	Open   int                   `json:"open"` // instances without a result
-	Why    string                `json:"why,omitempty"`
+	Reason string                `json:"why,omitempty"`
 }
 
 // Verdict is how a report is to be read, worst first.
@@ -54,40 +54,40 @@
 
 // The verdicts; docs/fleet.md gives the exit code of each.
 const (
-	AllAsAsked  Verdict = iota
-	SomeOther           // some came out other than asked for, or a host did not take the command
-	LateVerdict         // the time ran out
-	NotReached          // an agent could not be reached: what became of its instances is not known
+	VerdictSucceeded   Verdict = iota
+	VerdictPartial             // some came out other than asked for, or a host did not take the command
+	VerdictTimedOut            // the time ran out
+	VerdictUnreachable         // an agent could not be reached: what became of its instances is not known
 )
 
 // Verdict sums the report up.
 func (r *Report) Verdict() Verdict {
-	v := AllAsAsked
+	v := VerdictSucceeded
 	for _, h := range r.Hosts {
 		switch {
 		case !h.Reached:
-			return NotReached
-		case h.Refused:
-			v = max(v, SomeOther)
+			return VerdictUnreachable
+		case h.Rejected:
+			v = max(v, VerdictPartial)
 		case h.Command != nil:
 			for _, res := range h.Command.Results {
 				if res.Outcome == fleet.Late {
-					v = max(v, LateVerdict)
+					v = max(v, VerdictTimedOut)
 				} else if !res.Outcome.AsAsked() && res.Outcome != fleet.Skipped {
-					v = max(v, SomeOther)
+					v = max(v, VerdictPartial)
 				}
 			}
 		}
 	}
-	waits := r.Why != "" // for a person: no time has run out
+	waits := r.Reason != "" // for a person: no time has run out
 	for _, h := range r.Hosts {
 		waits = waits || h.Command != nil && h.Command.State == fleet.Paused
 	}
 	switch {
 	case waits:
-		v = max(v, SomeOther)
+		v = max(v, VerdictPartial)
 	case r.Open > 0:
-		v = max(v, LateVerdict)
+		v = max(v, VerdictTimedOut)
 	}
 	return v
 }
@@ -100,7 +100,7 @@
 }
 
 // ByHost sorts instances to their hosts, hosts in the file's order.
-func (t *Tool) ByHost(all []*fleet.InstanceSpec) (hosts []string, names map[string][]string) {
+func (t *Client) ByHost(all []*fleet.InstanceSpec) (hosts []string, names map[string][]string) {
 	names = map[string][]string{}
 	for _, in := range all {
 		names[in.Host] = append(names[in.Host], in.Name)
@@ -113,13 +113,13 @@
 	return hosts, names
 }
 
-func (t *Tool) client(host string) *agentapi.Client {
+func (t *Client) client(host string) *agentapi.Client {
 	return t.Caller.Client(t.Spec.Host(host).Agent)
 }
 
-// Do sends a command to every host that has some of the instances and, if wait is set, follows it to its end
+// Execute sends a command to every host that has some of the instances and, if wait is set, follows it to its end
 // everywhere. ctx bounds it all.
-func (t *Tool) Do(ctx context.Context, o agentapi.CommandRequest, all []*fleet.InstanceSpec, wait bool) *Report {
+func (t *Client) Execute(ctx context.Context, o agentapi.CommandRequest, all []*fleet.InstanceSpec, wait bool) *Report {
 	hosts, names := t.ByHost(all)
 	r := &Report{ID: o.ID, Kind: o.Kind}
 	r.Hosts, _ = agentapi.FanOut(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (HostReport, error) {
@@ -132,7 +132,7 @@
 }
 
 // one sends a command to one host and follows it.
-func (t *Tool) one(ctx context.Context, host string, o agentapi.CommandRequest, wait bool) HostReport {
+func (t *Client) one(ctx context.Context, host string, o agentapi.CommandRequest, wait bool) HostReport {
 	c := t.client(host)
 	defer c.Close()
 	serial := uint64(0)
@@ -154,12 +154,12 @@
 	h := HostReport{Host: host, Error: err.Error()}
 	_, refused := errors.AsType[*agentapi.StatusError](err)
 	refused = refused || errors.Is(err, fleet.ErrUnknown)
-	h.Reached, h.Refused = refused, refused
+	h.Reached, h.Rejected = refused, refused
 	return h
 }
 
 // follow stays with a command until it ends, or stops for want of a person, and notes how it stands.
-func (t *Tool) follow(ctx context.Context, c *agentapi.Client, h *HostReport, id string, after uint64) {
+func (t *Client) follow(ctx context.Context, c *agentapi.Client, h *HostReport, id string, after uint64) {
 	err := c.Follow(ctx, id, after, func(l agentapi.StreamEvent) bool {
 		t.say(h.Host, l)
 		if l.Command != nil {
@@ -180,11 +180,11 @@
 	}
 }
 
-func (t *Tool) say(host string, l agentapi.StreamEvent) {
-	if t.Say != nil {
+func (t *Client) say(host string, l agentapi.StreamEvent) {
+	if t.OnProgress != nil {
 		t.saying.Lock()
 		defer t.saying.Unlock()
-		t.Say(host, l)
+		t.OnProgress(host, l)
 	}
 }
 
@@ -199,7 +199,7 @@
 }
 
 // Watch follows one command at one host, or all that happens there if id is empty, from now on.
-func (t *Tool) Watch(ctx context.Context, host, id string) HostReport {
+func (t *Client) Watch(ctx context.Context, host, id string) HostReport {
 	c := t.client(host)
 	defer c.Close()
 	h := HostReport{Host: host, Reached: true}
@@ -220,23 +220,23 @@
 	return h
 }
 
-// Known leaves out the hosts that never had the command.
-func (r *Report) Known() *Report {
+// OnlyKnown leaves out the hosts that never had the command.
+func (r *Report) OnlyKnown() *Report {
 	r.Hosts = slices.DeleteFunc(r.Hosts, func(h HostReport) bool { return h.Error == fleet.ErrUnknown.Error() })
 	if len(r.Hosts) == 0 {
-		r.Why = "no agent knows this command"
+		r.Reason = "no agent knows this command"
 	}
 	r.sum()
 	return r
 }
 
-// Wave takes a wave over the hosts, as many abreast as it is told. Its command has the same id everywhere, so that
+// RollingUpdate takes a wave over the hosts, as many abreast as it is told. Its command has the same id everywhere, so that
 // a tool that is started again with it goes on where the one before was.
-func (t *Tool) Wave(ctx context.Context, o agentapi.CommandRequest, all []*fleet.InstanceSpec, abreast int) *Report {
+func (t *Client) RollingUpdate(ctx context.Context, o agentapi.CommandRequest, all []*fleet.InstanceSpec, abreast int) *Report {
 	hosts, names := t.ByHost(all)
 	r := &Report{ID: o.ID, Kind: o.Kind}
 	if len(hosts) == 1 || o.Budget != "" { // by a budget the agents keep the order among themselves, with or without this tool
-		return t.Do(ctx, o, all, true)
+		return t.Execute(ctx, o, all, true)
 	}
 	tour := &fleet.Tour{Hosts: hosts, Terms: *o.RollingUpdate, Abreast: abreast}
 	reports := map[string]*HostReport{}
@@ -279,9 +279,9 @@
 			})
 		}
 		if step.Over || step.Why != "" || ctx.Err() != nil {
-			r.Why = step.Why
-			if r.Why == "" && ctx.Err() != nil {
-				r.Why = "the time ran out"
+			r.Reason = step.Why
+			if r.Reason == "" && ctx.Err() != nil {
+				r.Reason = "the time ran out"
 			}
 			break
 		}
@@ -294,8 +294,8 @@
 		switch rep := reports[h]; {
 		case rep != nil:
 			r.Hosts = append(r.Hosts, *rep)
-		case r.Why != "":
-			r.Hosts = append(r.Hosts, HostReport{Host: h, Reached: true, Refused: true, Error: "its wave was not begun"})
+		case r.Reason != "":
+			r.Hosts = append(r.Hosts, HostReport{Host: h, Reached: true, Rejected: true, Error: "its wave was not begun"})
 		}
 	}
 	r.sum()
@@ -303,7 +303,7 @@
 }
 
 // fact asks one host how it stands.
-func (t *Tool) fact(ctx context.Context, host string, o agentapi.CommandRequest, names int) (f fleet.HostFact, cmd *fleet.Command) {
+func (t *Client) fact(ctx context.Context, host string, o agentapi.CommandRequest, names int) (f fleet.HostFact, cmd *fleet.Command) {
 	c := t.client(host)
 	defer c.Close()
 	f.Takes = min(o.RollingUpdate.Width, names)
@@ -341,7 +341,7 @@
 }
 
 // Status asks all hosts; one that gives no answer is in the list with its error.
-func (t *Tool) Status(ctx context.Context) []HostStatus {
+func (t *Client) Status(ctx context.Context) []HostStatus {
 	all, _ := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostStatus, error) {
 		c := t.client(h.Name)
 		defer c.Close()
@@ -362,7 +362,7 @@
 
 // History gathers the hosts' history in the order of their wall clocks, which may be askew between hosts. Hosts
 // that gave no answer are named: their lines are missing.
-func (t *Tool) History(ctx context.Context, most int, keep func(Entry) bool) (all []Entry, missing map[string]string) {
+func (t *Client) History(ctx context.Context, most int, keep func(Entry) bool) (all []Entry, missing map[string]string) {
 	missing = map[string]string{}
 	parts, errs := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) ([]Entry, error) {
 		c := t.client(h.Name)
--- a/internal/fleetclient/shared.go
+++ b/internal/fleetclient/shared.go
@@ -12,7 +12,7 @@
 )
 
 // any asks one agent after the other until one answers; they all hand on to the same leader.
-func (t *Tool) any(ctx context.Context, ask func(*agentapi.Client) error) error {
+func (t *Client) any(ctx context.Context, ask func(*agentapi.Client) error) error {
 	var errs []error
 	for _, h := range t.Spec.Hosts {
 		c := t.client(h.Name)
@@ -27,17 +27,17 @@
 }
 
 // Budgets asks how the fleet's budgets stand.
-func (t *Tool) Budgets(ctx context.Context) (b agentapi.Budgets, err error) {
+func (t *Client) Budgets(ctx context.Context) (b agentapi.Budgets, err error) {
 	return b, t.any(ctx, func(c *agentapi.Client) (err error) { b, err = c.Budgets(ctx); return err })
 }
 
 // WriteOff says that what a name has of budgets is in force no more.
-func (t *Tool) WriteOff(ctx context.Context, name string) error {
-	return t.any(ctx, func(c *agentapi.Client) error { return c.WriteOff(ctx, name, t.By) })
+func (t *Client) WriteOff(ctx context.Context, name string) error {
+	return t.any(ctx, func(c *agentapi.Client) error { return c.WriteOff(ctx, name, t.Operator) })
 }
 
-// Rise begins a rise at the ledger, or says a word about one.
-func (t *Tool) Rise(ctx context.Context, r quota.Rise) error {
+// ColdStart begins a rise at the ledger, or says a word about one.
+func (t *Client) ColdStart(ctx context.Context, r quota.Rise) error {
 	return t.any(ctx, func(c *agentapi.Client) error { return c.Rise(ctx, r) })
 }
 
@@ -49,7 +49,7 @@
 }
 
 // Members asks every agent whom it thinks to be there.
-func (t *Tool) Members(ctx context.Context) []HostMembers {
+func (t *Client) Members(ctx context.Context) []HostMembers {
 	all, _ := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostMembers, error) {
 		c := t.client(h.Name)
 		defer c.Close()
