--- a/cmd/milletbarrow/levels.go
+++ b/cmd/milletbarrow/levels.go
@@ -25,12 +25,12 @@
 	}
 }
 
-func readLadder(file string) (*degradation.Ladder, error) {
+func readLadder(file string) (*degradation.Policy, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, unusable(err)
 	}
-	l, err := degradation.ReadLadder(file, raw)
+	l, err := degradation.ParsePolicy(file, raw)
 	return l, unusable(err)
 }
 
@@ -47,7 +47,7 @@
 			if file := c.String("config"); file != "" {
 				b, err := config.Read(file)
 				if err == nil {
-					_, err = degradation.NewDrawer(l, b.Settings.Operations, b.Settings.Tenants, 1)
+					_, err = degradation.NewShedder(l, b.Settings.Operations, b.Settings.Tenants, 1)
 				}
 				if err != nil {
 					return unusable(err)
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			var ladder *degradation.Ladder
+			var ladder *degradation.Policy
 			if file := c.String("levels"); file != "" {
 				if ladder, err = readLadder(file); err != nil {
 					return err
@@ -84,7 +84,7 @@
 
 // serve wires the parts together and waits for the notice to leave.
 func serve(
-	b *config.Backend, ladder *degradation.Ladder, sharing *dispatch.Sharing, file, socket, levelsFile string, reportsFixed bool,
+	b *config.Backend, ladder *degradation.Policy, sharing *dispatch.QuotaConfig, file, socket, levelsFile string, reportsFixed bool,
 	hangup, notice <-chan os.Signal,
 ) error {
 	lim := bounds(b)
@@ -94,17 +94,17 @@
 
 	g := dispatch.New(b.Settings, uint64(b.Seed), lim)
 	if ladder != nil {
-		if err := g.Reduce(ladder); err != nil {
+		if err := g.SetDegradationPolicy(ladder); err != nil {
 			return unusable(err)
 		}
 	}
 	if sharing != nil {
-		if err := g.Share(*sharing); err != nil {
+		if err := g.SetQuotas(*sharing); err != nil {
 			return unusable(err)
 		}
 	}
 	tally := ratelimitlog.New(lim.Quiet)
-	g.Watch(b.Shadow)
+	g.SetShadow(b.Shadow)
 	link := executor.New(b.Executor, lim, tally, g.Open)
 	server := backendserver.New(b.Settings, lim, tally, g, link)
 	reports := registration.New(b.Registry, b.Name, lim, reportsFixed)
@@ -150,12 +150,12 @@
 				Leave: func(ago time.Duration) { d.tell(g, ago, "inspection") },
 				Pin: func(p admin.Pin) error {
 					if p.Level == "" {
-						g.Unpin()
+						g.ClearOverride()
 						return nil
 					}
-					return g.Pin(p.Level, time.Duration(p.For)*time.Microsecond, p.By, p.Above)
+					return g.OverrideLevel(p.Level, time.Duration(p.For)*time.Microsecond, p.By, p.Above)
 				},
-				Ask: g.AskShare, Answer: g.AnswerShare,
+				Ask: g.QuotaRequest, Answer: g.ApplyQuotaResponse,
 			})
 			if err != nil {
 				broken <- fmt.Errorf("inspect: %w", err)
@@ -164,10 +164,10 @@
 	}
 	go link.Keep(ctx)
 	go reports.Keep(ctx)
-	go g.Beat(ctx.Done(), link.Sample, link.Sampled())
+	go g.RunTicks(ctx.Done(), link.Sample, link.Sampled())
 	go server.Sweep(ctx.Done())
 	go tell(ctx, server, g, lim)
-	if sharing != nil && sharing.Stamps != nil {
+	if sharing != nil && sharing.Log != nil {
 		go stampDrawn(ctx, g)
 	}
 	go reload(ctx, b, file, levelsFile, hangup, g, link, reports, lim)
@@ -187,7 +187,7 @@
 	}
 	reports.Off()
 	leave(server, d, lim)
-	g.DropShares()
+	g.ReleaseQuotas()
 	state("stop", server, g)
 	return nil
 }
@@ -207,7 +207,7 @@
 }
 
 // tell takes a notice that was first given so long ago.
-func (d *departure) tell(g *dispatch.Gate, ago time.Duration, by string) {
+func (d *departure) tell(g *dispatch.Dispatcher, ago time.Duration, by string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, clock := time.Now(), process.Now()
@@ -236,7 +236,7 @@
 // reload reads the file anew whenever it is asked to, and hands the addresses in it down. What cannot be used
 // changes nothing.
 func reload(
-	ctx context.Context, b *config.Backend, file, levelsFile string, hangup <-chan os.Signal, g *dispatch.Gate,
+	ctx context.Context, b *config.Backend, file, levelsFile string, hangup <-chan os.Signal, g *dispatch.Dispatcher,
 	link *executor.Link, reports *registration.Reporter, lim limits.Bounds,
 ) {
 	watching := b.Shadow
@@ -268,7 +268,7 @@
 		reports.Move(later.Registry)
 		if !reflect.DeepEqual(watching, later.Shadow) { // else its counts go on
 			watching = later.Shadow
-			g.Watch(watching)
+			g.SetShadow(watching)
 			slog.Info("watch", "on", watching != nil)
 		}
 		if levelsFile == "" {
@@ -276,7 +276,7 @@
 		}
 		ladder, err := readLadder(levelsFile)
 		if err == nil {
-			err = g.Reduce(ladder)
+			err = g.SetDegradationPolicy(ladder)
 		}
 		slog.Info("reload_levels", "used", err == nil, "error", fmt.Sprint(err))
 	}
@@ -317,7 +317,7 @@
 }
 
 // tell logs the state now and then.
-func tell(ctx context.Context, server *backendserver.Server, g *dispatch.Gate, lim limits.Bounds) {
+func tell(ctx context.Context, server *backendserver.Server, g *dispatch.Dispatcher, lim limits.Bounds) {
 	every := time.NewTicker(lim.Quiet)
 	defer every.Stop()
 	for {
@@ -330,40 +330,40 @@
 	}
 }
 
-func state(event string, server *backendserver.Server, g *dispatch.Gate) {
+func state(event string, server *backendserver.Server, g *dispatch.Dispatcher) {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	conns, carried := server.Counts()
 	n, inHand := g.Counts()
 	slog.Info(event, "connections", conns, "carried", carried, "in_hand", inHand,
 		"goroutines", runtime.NumGoroutine(), "heap_kb", m.HeapAlloc>>10, "system_kb", m.Sys>>10,
-		"collections", m.NumGC, "picked", n.Picked, "used_up", n.UsedUp, "run", n.Run, "throttled", n.Throttled,
-		"errored", n.Errored, "left", n.Left, "ticks", n.Ticks, "unsampled", n.Unsampled, "faults", n.Faults,
-		"repeated", n.Repeated, "unkept", n.Unkept)
-	if c, on := g.Watched(); on {
+		"collections", m.NumGC, "picked", n.Arrived, "used_up", n.Expired, "run", n.Started, "throttled", n.Throttled,
+		"errored", n.Errored, "left", n.Abandoned, "ticks", n.Ticks, "unsampled", n.Unsampled, "faults", n.Panics,
+		"repeated", n.Replayed, "unkept", n.CacheFull)
+	if c, on := g.ShadowCounts(); on {
 		slog.Info("watched", "otherwise", c.String())
 	}
 }
 
 // stateOf is what the inspection socket tells.
 func stateOf(
-	b *config.Backend, began int64, server *backendserver.Server, g *dispatch.Gate, link *executor.Link, d *departure,
+	b *config.Backend, began int64, server *backendserver.Server, g *dispatch.Dispatcher, link *executor.Link, d *departure,
 ) admin.State {
 	conns, carried := server.Counts()
 	n, inHand := g.Counts()
 	s := admin.State{
 		Version: admin.Version, Name: b.Name, PID: os.Getpid(), Build: version(), Config: b.Hash, Since: began,
-		Ready: g.Good() && link.Up(), Connections: conns, Carried: carried, InHand: inHand, Picked: n.Picked,
-		Run: n.Run, Throttled: n.Throttled, Errored: n.Errored, Left: n.Left, Faults: n.Faults,
+		Ready: g.Healthy() && link.Up(), Connections: conns, Carried: carried, InHand: inHand, Picked: n.Arrived,
+		Run: n.Started, Throttled: n.Throttled, Errored: n.Errored, Left: n.Abandoned, Faults: n.Panics,
 	}
-	if r, ok := g.Reduction(); ok {
-		s.Ladder, s.Level, s.Depth, s.Shed, s.Changes = r.Ladder, r.Level, r.Depth, r.Shed, r.Changes
+	if r, ok := g.DegradationStatus(); ok {
+		s.Ladder, s.Level, s.Depth, s.Shed, s.Changes = r.Policy, r.Level, r.Depth, r.Shed, r.Changes
 		s.Clock, s.Signals = int64(r.At), r.Signals.String()
 	}
-	if c, on := g.Watched(); on {
+	if c, on := g.ShadowCounts(); on {
 		s.Watched = c.Map()
 	}
-	s.Shares = g.Shares()
+	s.Shares = g.QuotaStatus()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.heard {
--- a/cmd/milletbarrow/serve_share.go
+++ b/cmd/milletbarrow/serve_share.go
@@ -20,15 +20,15 @@
 )
 
 // sharingOf makes what a backend draws from of the command line; nil where it draws from no budget.
-func sharingOf(c *cli.Command, b *config.Backend) (*dispatch.Sharing, error) {
+func sharingOf(c *cli.Command, b *config.Backend) (*dispatch.QuotaConfig, error) {
 	words := c.StringSlice("draw")
 	if len(words) == 0 {
 		return nil, nil
 	}
-	if len(words) > quota.MostBudgets {
-		return nil, unusable(fmt.Errorf("--draw: %d budgets, at most %d can be drawn from", len(words), quota.MostBudgets))
+	if len(words) > quota.MaxBudgets {
+		return nil, unusable(fmt.Errorf("--draw: %d budgets, at most %d can be drawn from", len(words), quota.MaxBudgets))
 	}
-	s := &dispatch.Sharing{Tenants: map[string]string{}, Machine: process.Now}
+	s := &dispatch.QuotaConfig{Tenants: map[string]string{}, MachineClock: process.Now}
 	var budgets []string
 	for _, w := range words {
 		budget, tenant, ok := strings.Cut(w, "=")
@@ -53,19 +53,19 @@
 		if err != nil {
 			return nil, unusable(err)
 		}
-		s.Stamps = quotalog.New(f, process.Now(), ppm)
+		s.Log = quotalog.New(f, process.Now(), ppm)
 	}
 	return s, nil
 }
 
 // stampDrawn writes down what is drawn, often enough for an audit of short spans.
-func stampDrawn(ctx context.Context, g *dispatch.Gate) {
+func stampDrawn(ctx context.Context, g *dispatch.Dispatcher) {
 	every := time.NewTicker(20 * time.Millisecond)
 	defer every.Stop()
 	for {
 		select {
 		case <-every.C:
-			g.StampDrawn()
+			g.LogQuotaUse()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -84,7 +84,7 @@
 
 // renew asks the ledger once for all that draw here, and hands the answers on.
 func (a *Agent) renew(ctx context.Context, names []string, peers map[string]*admin.Peer, gone map[string]bool) (why string) {
-	asks := make([]backendquota.Ask, len(names))
+	asks := make([]backendquota.LeaseRequest, len(names))
 	each := func(do func(i int, p *admin.Peer)) {
 		var all sync.WaitGroup
 		room := make(chan struct{}, a.o.Bounds.FanOut)
@@ -122,8 +122,10 @@
 	}
 	var refused []string
 	each(func(i int, p *admin.Peer) {
-		at := slices.IndexFunc(res.Answers, func(r backendquota.Answer) bool { return r.Name == names[i] && r.Life == asks[i].Life })
-		if at < 0 || res.Answers[at].No != "" {
+		at := slices.IndexFunc(res.Answers, func(r backendquota.LeaseResponse) bool {
+			return r.Name == names[i] && r.Incarnation == asks[i].Incarnation
+		})
+		if at < 0 || res.Answers[at].Refusal != "" {
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, short)
@@ -131,8 +133,8 @@
 		p.Answer(call, res.Answers[at])
 	})
 	for _, r := range res.Answers {
-		if r.No != "" {
-			refused = append(refused, r.Name+": "+r.No)
+		if r.Refusal != "" {
+			refused = append(refused, r.Name+": "+r.Refusal)
 		}
 	}
 	a.unitsHeld(res.Out)
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -277,9 +277,9 @@
 	if err != nil {
 		return err
 	}
-	l, err := degradation.ReadLadder(file, raw)
+	l, err := degradation.ParsePolicy(file, raw)
 	if err == nil {
-		_, err = degradation.NewDrawer(l, b.Settings.Operations, b.Settings.Tenants, 1)
+		_, err = degradation.NewShedder(l, b.Settings.Operations, b.Settings.Tenants, 1)
 	}
 	return err
 }
--- a/internal/backend/admin/inspect.go
+++ b/internal/backend/admin/inspect.go
@@ -53,7 +53,7 @@
 
 	Watched map[string]int `json:"watched,omitempty"` // by kind, where watched settings would have decided otherwise
 
-	Shares []quota.View `json:"shares,omitempty"` // of fleet-wide budgets
+	Shares []quota.Status `json:"shares,omitempty"` // of fleet-wide budgets
 }
 
 // Pin holds a level of reduced service; an empty level lets the signals decide again.
@@ -76,8 +76,8 @@
 	State  func() State
 	Leave  func(ago time.Duration) // each notice
 	Pin    func(Pin) error
-	Ask    func() (quota.Ask, bool) // what the instance would have of the fleet's budgets; false without any
-	Answer func(quota.Answer) error
+	Ask    func() (quota.LeaseRequest, bool) // what the instance would have of the fleet's budgets; false without any
+	Answer func(quota.LeaseResponse) error
 }
 
 // Serve answers on the socket at path until ctx ends.
@@ -188,12 +188,12 @@
 }
 
 // Ask has the instance say what it would have of the fleet's budgets. A lease counts from the moment it says so.
-func (p *Peer) Ask(ctx context.Context) (a quota.Ask, err error) {
+func (p *Peer) Ask(ctx context.Context) (a quota.LeaseRequest, err error) {
 	return a, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/share", nil, &a, int64(p.bounds.Message))
 }
 
 // Answer tells the instance what it has.
-func (p *Peer) Answer(ctx context.Context, a quota.Answer) error {
+func (p *Peer) Answer(ctx context.Context, a quota.LeaseResponse) error {
 	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/share", a, nil, 0)
 }
 
--- a/internal/backend/degradation/mover.go
+++ b/internal/backend/degradation/controller.go
@@ -15,9 +15,9 @@
 	Signals  Signals
 }
 
-// Mover moves along a ladder. It is not for use by several goroutines at once.
-type Mover struct {
-	l         *Ladder
+// Controller moves along a ladder. It is not for use by several goroutines at once.
+type Controller struct {
+	l         *Policy
 	smooth    Signals
 	at        Micros // of the last step; 0: none
 	level     int
@@ -39,10 +39,10 @@
 	above bool // the automatic level may go above it
 }
 
-// NewMover begins at full service. A cold host, or one that has just come back, knows nothing of the others: it
+// NewController begins at full service. A cold host, or one that has just come back, knows nothing of the others: it
 // begins there, its signals are missing until they are measured, and its own gate keeps it from harm meanwhile.
-func NewMover(l *Ladder) *Mover {
-	m := &Mover{l: l, changed: make([]Micros, len(l.Levels)+1), entered: make([]Micros, len(l.Levels)+1)}
+func NewController(l *Policy) *Controller {
+	m := &Controller{l: l, changed: make([]Micros, len(l.Levels)+1), entered: make([]Micros, len(l.Levels)+1)}
 	for s := range m.smooth {
 		m.smooth[s] = Missing
 	}
@@ -54,10 +54,10 @@
 }
 
 // Level is the one in force, 0 for full service.
-func (m *Mover) Level() int { return m.level }
+func (m *Controller) Level() int { return m.level }
 
 // Name of a level.
-func (l *Ladder) LevelName(n int) string {
+func (l *Policy) LevelName(n int) string {
 	if n == 0 {
 		return "full"
 	}
@@ -65,22 +65,22 @@
 }
 
 // Smoothed are the signals as conditions see them.
-func (m *Mover) Smoothed() Signals { return m.smooth }
+func (m *Controller) Smoothed() Signals { return m.smooth }
 
 // Depth is how much of the present level's sheds is in force, 0 to 1; milder levels are in force whole.
-func (m *Mover) Depth(now Micros) float64 {
-	if m.probe == 0 || m.l.Ramp == 0 {
+func (m *Controller) Depth(now Micros) float64 {
+	if m.probe == 0 || m.l.RecoveryRamp == 0 {
 		return 1
 	}
-	return min(1, max(0, 1-float64(now-m.probe)/float64(m.l.Ramp)))
+	return min(1, max(0, 1-float64(now-m.probe)/float64(m.l.RecoveryRamp)))
 }
 
 // frozen: signals that do not come for so long are missing. A clock that jumps ahead looks the same, and one that
 // goes back stops everything until it is where it was.
 const frozen Micros = 2_000_000
 
-// Step takes a reading in and tells whether the level changes.
-func (m *Mover) Step(now Micros, s Signals) (c Change, changes bool) {
+// Update takes a reading in and tells whether the level changes.
+func (m *Controller) Update(now Micros, s Signals) (c Change, changes bool) {
 	if m.at != 0 && now <= m.at {
 		return c, false
 	}
@@ -109,10 +109,10 @@
 }
 
 // take smooths the signals. What was missing begins with what comes; what does not come is missing at once.
-func (m *Mover) take(now Micros, s Signals) {
+func (m *Controller) take(now Micros, s Signals) {
 	gap := now - m.at
 	for i := range s {
-		over := float64(m.l.Smooth[i])
+		over := float64(m.l.Smoothing[i])
 		switch {
 		case math.IsNaN(s[i]):
 			m.smooth[i] = Missing
@@ -133,7 +133,7 @@
 
 // watch notes since when each term holds. A missing signal breaks the span of an exit, and keeps that of an entry
 // from beginning.
-func (m *Mover) watch(now Micros) {
+func (m *Controller) watch(now Micros) {
 	for n, v := range m.l.Levels {
 		for i, t := range v.Enter.Terms {
 			mark(&m.met[n][i], now, m.smooth[t.Signal] >= t.Value)
@@ -153,7 +153,7 @@
 }
 
 // holds tells whether a condition is met, and by which of its terms.
-func (m *Mover) holds(c Condition, since []Micros) (string, bool) {
+func (m *Controller) holds(c Condition, since []Micros) (string, bool) {
 	var by []string
 	for i, t := range c.Terms {
 		if since[i] != 0 && m.at-since[i] >= t.For {
@@ -167,7 +167,7 @@
 }
 
 // worse is the highest level whose entry is met.
-func (m *Mover) worse() (to int, cause string) {
+func (m *Controller) worse() (to int, cause string) {
 	for n := len(m.l.Levels) - 1; n >= m.level; n-- {
 		if by, ok := m.holds(m.l.Levels[n].Enter, m.met[n]); ok {
 			return n + 1, by
@@ -178,7 +178,7 @@
 
 // collapsed: the next level's entry is met by half as much again as it asks for. Then the budget of changes does
 // not hold a step back that is needed now.
-func (m *Mover) collapsed() bool {
+func (m *Controller) collapsed() bool {
 	if m.level == len(m.l.Levels) {
 		return false
 	}
@@ -193,17 +193,17 @@
 // free tells whether the budget allows a change between the present level and another: none of the levels that it
 // enters or leaves has changed within Every, and the present one has been in force for its stay. Time under a stronger
 // level counts: after a recovery the steps follow each other as fast as their exits and ramps allow.
-func (m *Mover) free(now Micros, to int) bool {
+func (m *Controller) free(now Micros, to int) bool {
 	for n := min(m.level, to) + 1; n <= max(m.level, to); n++ {
-		if at := m.changed[n]; at != 0 && now-at < m.l.Every {
+		if at := m.changed[n]; at != 0 && now-at < m.l.ChangeInterval {
 			return false
 		}
 	}
-	return to > m.level || now-m.entered[m.level] >= m.l.Levels[m.level-1].Stay
+	return to > m.level || now-m.entered[m.level] >= m.l.Levels[m.level-1].MinDuration
 }
 
 // better leaves the level bit by bit once its exit is met, and takes that back at once where it hurts.
-func (m *Mover) better(now Micros) (c Change, changes bool) {
+func (m *Controller) better(now Micros) (c Change, changes bool) {
 	if m.level == 0 || m.pin.until != 0 && m.level <= m.pin.level {
 		m.probe = 0
 		return c, false
@@ -215,14 +215,14 @@
 			m.wait(now)
 			return c, false
 		}
-		if now-m.probe >= m.l.Ramp {
+		if now-m.probe >= m.l.RecoveryRamp {
 			return m.change(now, m.level-1, "recovered: "+m.exitWords(v), false), true
 		}
 		return c, false
 	}
 	if _, ok := m.holds(v.Exit, m.unmet[m.level-1]); ok && now >= m.rest && m.free(now, m.level-1) {
 		m.probe = now
-		if m.l.Ramp == 0 {
+		if m.l.RecoveryRamp == 0 {
 			return m.change(now, m.level-1, "recovered: "+m.exitWords(v), false), true
 		}
 	}
@@ -230,14 +230,14 @@
 }
 
 // wait puts the next probe off, each time for twice as long, up to eight budgets of changes.
-func (m *Mover) wait(now Micros) {
-	m.pause = min(max(2*m.pause, m.l.Every), 8*m.l.Every)
+func (m *Controller) wait(now Micros) {
+	m.pause = min(max(2*m.pause, m.l.ChangeInterval), 8*m.l.ChangeInterval)
 	m.rest = now + m.pause
 }
 
 // hurts: while the level is being left, a signal by which it is entered has risen half way back to its entry, or is
 // not known any more.
-func (m *Mover) hurts(v Level) bool {
+func (m *Controller) hurts(v Level) bool {
 	for _, t := range v.Exit.Terms {
 		in, both := v.Enter.value(t.Signal)
 		if both && !(m.smooth[t.Signal] < (in+t.Value)/2) {
@@ -247,7 +247,7 @@
 	return false
 }
 
-func (m *Mover) exitWords(v Level) string {
+func (m *Controller) exitWords(v Level) string {
 	var by []string
 	for _, t := range v.Exit.Terms {
 		by = append(by, fmt.Sprintf("%s %.3g", t.Signal, m.smooth[t.Signal]))
@@ -255,7 +255,7 @@
 	return strings.Join(by, ", ")
 }
 
-func (m *Mover) change(now Micros, to int, cause string, collapse bool) Change {
+func (m *Controller) change(now Micros, to int, cause string, collapse bool) Change {
 	c := Change{At: now, From: m.level, To: to, Cause: cause, Collapse: collapse, Signals: m.smooth}
 	for n := min(m.level, to) + 1; n <= max(m.level, to); n++ {
 		m.changed[n] = now
@@ -263,7 +263,7 @@
 	for n := m.level + 1; n <= to; n++ {
 		m.entered[n] = now
 	}
-	relapse := to > m.level && m.recovered != 0 && now-m.recovered < 2*m.l.Every
+	relapse := to > m.level && m.recovered != 0 && now-m.recovered < 2*m.l.ChangeInterval
 	if to < m.level {
 		m.recovered = now
 	} else if !relapse {
@@ -276,26 +276,26 @@
 	return c
 }
 
-// Pin holds a level until then, at most Pins from now. above lets the automatic one go above it. A pin ends by
+// Override holds a level until then, at most Pins from now. above lets the automatic one go above it. A pin ends by
 // itself, is not written down, and a new one replaces the old.
-func (m *Mover) Pin(now Micros, level int, until Micros, by string, above bool) error {
+func (m *Controller) Override(now Micros, level int, until Micros, by string, above bool) error {
 	switch {
 	case level < 0 || level > len(m.l.Levels):
 		return fmt.Errorf("level: %d is not from 0 to %d", level, len(m.l.Levels))
-	case until <= now || until-now > m.l.Pins:
-		return fmt.Errorf("until: not within the next %d s", m.l.Pins/1_000_000)
+	case until <= now || until-now > m.l.MaxOverride:
+		return fmt.Errorf("until: not within the next %d s", m.l.MaxOverride/1_000_000)
 	}
 	m.pin = pin{level: level, until: until, by: by, above: above}
 	return nil
 }
 
-// Unpin lets the signals decide again.
-func (m *Mover) Unpin() { m.pin = pin{} }
+// ClearOverride lets the signals decide again.
+func (m *Controller) ClearOverride() { m.pin = pin{} }
 
-// Reload takes another ladder in while a level is in force: the level of the same name goes on with its time and
+// WithPolicy takes another ladder in while a level is in force: the level of the same name goes on with its time and
 // budget; where there is none, the one that is nearest from below.
-func (m *Mover) Reload(l *Ladder) *Mover {
-	n := NewMover(l)
+func (m *Controller) WithPolicy(l *Policy) *Controller {
+	n := NewController(l)
 	n.smooth, n.at, n.rest, n.pause = m.smooth, m.at, m.rest, m.pause
 	for old := m.level; old > 0 && n.level == 0; old-- {
 		for i, v := range l.Levels {
--- a/internal/backend/degradation/levels_test.go
+++ b/internal/backend/degradation/degradation_test.go
@@ -18,8 +18,8 @@
 	(level half-lookups (shed (operations lookup) (share 0.5)) (enter (queue 2 2s)) (exit (queue 1.4 10s)) (stay 60s))
 	(level payments-only (shed (operations lookup)) (shed (rank-below 0.5)) (enter (queue 3 2s)) (exit (queue 1.8 10s)) (stay 60s)))`
 
-func ladder(t interface{ Fatal(...any) }, text string) *Ladder {
-	l, err := ReadLadder("ladder.sx", []byte(text))
+func ladder(t interface{ Fatal(...any) }, text string) *Policy {
+	l, err := ParsePolicy("ladder.sx", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,40 +47,40 @@
 		"(ladder x (level a (shed) (enter (queue 2)) (exit (queue 1))) (level b (shed) (enter (queue 1.5)) (exit (queue 1))))",
 		"(ladder x (level a (shed) (enter (cold 1)) (exit (cold 0.5))))",
 	} {
-		_, err := ReadLadder("l", []byte(text))
+		_, err := ParsePolicy("l", []byte(text))
 		tr.Say("%s\n%v", text, err)
 	}
-	_, err := NewDrawer(ladder(t, bills), []string{"reprint"}, nil, 1)
+	_, err := NewShedder(ladder(t, bills), []string{"reprint"}, nil, 1)
 	tr.Say("%v", err)
 }
 
 // TestMoves: what a mover does in each kind of trouble.
 func TestMoves(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	story := func(what string, run func(step func(until Micros, s Signals), m **Mover)) {
+	story := func(what string, run func(step func(until Micros, s Signals), m **Controller)) {
 		tr.Say("%s", what)
-		m, now := NewMover(ladder(t, bills)), Micros(0)
+		m, now := NewController(ladder(t, bills)), Micros(0)
 		run(func(until Micros, s Signals) {
 			for ; now < until; now += 100_000 {
-				if c, changed := m.Step(now, s); changed {
+				if c, changed := m.Update(now, s); changed {
 					tr.Say("  %5.1f s: %v", float64(now)/1e6, c)
 				}
 			}
 			tr.Say("  %5.1f s: level %d, depth %.2f", float64(now)/1e6, m.Level(), m.Depth(now))
 		}, &m)
 	}
-	story("a slow rise to each level, and back bit by bit", func(step func(Micros, Signals), m **Mover) {
+	story("a slow rise to each level, and back bit by bit", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(1))
 		step(100*second, queued(1.7))
 		step(200*second, queued(2.2))
 		step(400*second, queued(0.5))
 	})
-	story("a collapse takes several steps at once", func(step func(Micros, Signals), m **Mover) {
+	story("a collapse takes several steps at once", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(1))
 		step(20*second, queued(8))
 		step(300*second, queued(8))
 	})
-	story("a probe that hurts is taken back at once, and the next one waits longer", func(step func(Micros, Signals), m **Mover) {
+	story("a probe that hurts is taken back at once, and the next one waits longer", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(1.7))
 		step(70*second, queued(1))
 		step(75*second, queued(1.45))
@@ -90,7 +90,7 @@
 		step(250*second, queued(1))
 		step(300*second, queued(1))
 	})
-	story("relapse after relapse by collapse: each time it waits longer before it leaves", func(step func(Micros, Signals), m **Mover) {
+	story("relapse after relapse by collapse: each time it waits longer before it leaves", func(step func(Micros, Signals), m **Controller) {
 		for n := range Micros(4) {
 			step((n*400+100)*second, queued(1.7))
 			step((n*400+220)*second, queued(0.5))
@@ -98,35 +98,35 @@
 			step((n*400+400)*second, queued(0.5))
 		}
 	})
-	story("a signal that is missing neither enters nor leaves", func(step func(Micros, Signals), m **Mover) {
+	story("a signal that is missing neither enters nor leaves", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(1.7))
 		none := queued(0)
 		none[Queue] = Missing
 		step(200*second, none)
 		step(400*second, queued(0.5))
 	})
-	story("a frozen signal: nothing comes for minutes, then load is high", func(step func(Micros, Signals), m **Mover) {
+	story("a frozen signal: nothing comes for minutes, then load is high", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(0.5))
 		mover := *m
-		if c, changed := mover.Step(300*second, queued(9)); changed {
+		if c, changed := mover.Update(300*second, queued(9)); changed {
 			tr.Say("  at once: %v", c)
 		}
 		tr.Say("  level %d after one reading", mover.Level())
-		if _, changed := mover.Step(20*second, queued(9)); changed {
+		if _, changed := mover.Update(20*second, queued(9)); changed {
 			tr.Say("  moved by a clock that went back")
 		}
 	})
-	story("held by a person, above, below, and until it ends by itself", func(step func(Micros, Signals), m **Mover) {
+	story("held by a person, above, below, and until it ends by itself", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(1))
-		tr.Say("  %v, %v", (*m).Pin(10*second, 9, 20*second, "a person", false), (*m).Pin(10*second, 1, 20*60*second, "a person", false))
-		tr.Say("  %v", (*m).Pin(10*second, 2, 200*second, "a person", true))
+		tr.Say("  %v, %v", (*m).Override(10*second, 9, 20*second, "a person", false), (*m).Override(10*second, 1, 20*60*second, "a person", false))
+		tr.Say("  %v", (*m).Override(10*second, 2, 200*second, "a person", true))
 		step(100*second, queued(1))
 		step(150*second, queued(4))
-		tr.Say("  %v", (*m).Pin(150*second, 0, 160*second, "another", false))
+		tr.Say("  %v", (*m).Override(150*second, 0, 160*second, "another", false))
 		step(159*second, queued(4))
 		step(240*second, queued(4))
 	})
-	story("two signals that pull apart: either enters, both must be well to leave", func(step func(Micros, Signals), m **Mover) {
+	story("two signals that pull apart: either enters, both must be well to leave", func(step func(Micros, Signals), m **Controller) {
 		apart := queued(0.5)
 		apart[Late] = 0.2
 		step(10*second, apart)
@@ -135,17 +135,17 @@
 		step(200*second, apart)
 		step(300*second, queued(1))
 	})
-	story("a host that comes back in the middle of a step knows nothing, and is there within the entry's span", func(step func(Micros, Signals), m **Mover) {
+	story("a host that comes back in the middle of a step knows nothing, and is there within the entry's span", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(2.5))
-		*m = NewMover(ladder(t, bills))
+		*m = NewController(ladder(t, bills))
 		cold := queued(2.5)
-		cold[Cold] = 1
+		cold[WarmingUp] = 1
 		step(11*second, cold)
 		step(14*second, cold)
 	})
-	story("another ladder while a level is in force", func(step func(Micros, Signals), m **Mover) {
+	story("another ladder while a level is in force", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(2.5))
-		*m = (*m).Reload(ladder(t, strings.Replace(bills, "half-lookups", "most-lookups", 1)))
+		*m = (*m).WithPolicy(ladder(t, strings.Replace(bills, "half-lookups", "most-lookups", 1)))
 		step(11*second, queued(2.5))
 		step(12*second, queued(2.5))
 	})
@@ -153,15 +153,15 @@
 
 // oscillate plays ten minutes of load about a boundary: a swell of so long, noise upon it, and retries that follow
 // each change for some seconds.
-func oscillate(l *Ladder, at, swell float64, seed uint64) (changes []Change) {
-	m, r := NewMover(l), rand.New(rand.NewPCG(seed, 0))
+func oscillate(l *Policy, at, swell float64, seed uint64) (changes []Change) {
+	m, r := NewController(l), rand.New(rand.NewPCG(seed, 0))
 	back := 0.0
 	for now := Micros(0); now < 600*second; now += 20_000 {
 		sec := float64(now) / 1e6
 		back *= 0.999
 		load := at * (1 + 0.25*math.Sin(2*math.Pi*sec/swell) + 0.2*r.NormFloat64() + back)
 		load *= 1 - 0.1*float64(m.Level()) // what is shed is not load any more
-		if c, changed := m.Step(now, queued(max(0, load))); changed {
+		if c, changed := m.Update(now, queued(max(0, load))); changed {
 			changes = append(changes, c)
 			if c.To < c.From {
 				back += 0.3 // what comes back brings its retries
@@ -201,14 +201,14 @@
 }
 
 // once: no level changes twice within Every, but by a collapse that says so.
-func once(t interface{ Fatalf(string, ...any) }, l *Ladder, changes []Change) {
+func once(t interface{ Fatalf(string, ...any) }, l *Policy, changes []Change) {
 	last := map[int]Micros{}
 	for _, c := range changes {
 		if c.Cause == "" {
 			t.Fatalf("a change without a cause: %v", c)
 		}
 		for n := min(c.From, c.To) + 1; n <= max(c.From, c.To); n++ {
-			if at, had := last[n]; had && c.At-at < l.Every && !c.Collapse {
+			if at, had := last[n]; had && c.At-at < l.ChangeInterval && !c.Collapse {
 				t.Fatalf("level %d changes again after %d us: %v", n, c.At-at, changes)
 			}
 			last[n] = c.At
@@ -224,7 +224,7 @@
 func TestMoverAlways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := ladder(t, bills)
-		m, now := NewMover(l), Micros(0)
+		m, now := NewController(l), Micros(0)
 		var changes []Change
 		entered := map[int]Micros{}
 		for range rapid.IntRange(1, 60).Draw(t, "stretches") {
@@ -236,11 +236,11 @@
 			gap := Micros(rapid.SampledFrom([]int{20_000, 100_000, 1_000_000, 3_000_000}).Draw(t, "gap"))
 			for range rapid.IntRange(1, 300).Draw(t, "readings") {
 				now += gap
-				c, changed := m.Step(now, s)
+				c, changed := m.Update(now, s)
 				if !changed {
 					continue
 				}
-				if c.To < c.From && now-entered[c.From] < l.Levels[c.From-1].Stay {
+				if c.To < c.From && now-entered[c.From] < l.Levels[c.From-1].MinDuration {
 					t.Fatalf("left after %d us", now-entered[c.From])
 				}
 				for n := c.From + 1; n <= c.To; n++ {
@@ -260,13 +260,13 @@
 // TestDraw: a share is kept closely at any time, chance says which, and what no rule names goes free.
 func TestDraw(t *testing.T) {
 	l := ladder(t, bills)
-	d, err := NewDrawer(l, []string{"reprint", "lookup", "pay"}, []string{"acme"}, 7)
+	d, err := NewShedder(l, []string{"reprint", "lookup", "pay"}, []string{"acme"}, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	shed, runs, last := 0, 0, false
 	for n := 1; n <= 100_000; n++ {
-		now := d.Sheds(2, 1, 1, 0, 0.9, 0)
+		now := d.ShouldShed(2, 1, 1, 0, 0.9, 0)
 		if now {
 			shed++
 		}
@@ -287,11 +287,11 @@
 		rank      float64
 		want      float64
 	}{{0, 0, 1, 0, 0}, {1, 0, 1, 0.9, 1}, {1, 1, 1, 0, 0}, {2, 0, 1, 0.9, 1}, {3, 2, 1, 0.4, 1}, {3, 2, 1, 0.6, 0}, {3, 1, 0.2, 0.9, 0.5}, {3, 2, 0.3, 0.1, 0.3}} {
-		if got := d.Share(c.level, c.depth, c.op, 0, c.rank, 0); math.Abs(got-c.want) > 1e-9 {
+		if got := d.ShedFraction(c.level, c.depth, c.op, 0, c.rank, 0); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
-	if n := testing.AllocsPerRun(1000, func() { d.Sheds(3, 0.5, 1, 0, 0.7, 0) }); n != 0 {
+	if n := testing.AllocsPerRun(1000, func() { d.ShouldShed(3, 0.5, 1, 0, 0.7, 0) }); n != 0 {
 		t.Errorf("%v allocations a draw", n)
 	}
 }
@@ -299,14 +299,14 @@
 // TestTenantBurst: a rule that names a tenant leaves the others as they were.
 func TestTenantBurst(t *testing.T) {
 	l := ladder(t, `(ladder b (level no-excess (shed (tenants loud) (share 0.8)) (enter (queue 2)) (exit (queue 1))))`)
-	d, err := NewDrawer(l, []string{"look"}, []string{"calm", "loud"}, 3)
+	d, err := NewShedder(l, []string{"look"}, []string{"calm", "loud"}, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	shed := [2]int{}
 	for range 1000 {
 		for tenant := range shed {
-			if d.Sheds(1, 1, 0, tenant, 0.5, 0) {
+			if d.ShouldShed(1, 1, 0, tenant, 0.5, 0) {
 				shed[tenant]++
 			}
 		}
@@ -343,17 +343,17 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	m := NewMover(ladder(b, bills))
+	m := NewController(ladder(b, bills))
 	b.ReportAllocs()
 	for now := Micros(1); b.Loop(); now += 20_000 {
-		m.Step(now, queued(1.3))
+		m.Update(now, queued(1.3))
 	}
 }
 
 func BenchmarkDraw(b *testing.B) {
-	d, _ := NewDrawer(ladder(b, bills), []string{"reprint", "lookup", "pay"}, nil, 7)
+	d, _ := NewShedder(ladder(b, bills), []string{"reprint", "lookup", "pay"}, nil, 7)
 	b.ReportAllocs()
 	for b.Loop() {
-		d.Sheds(3, 0.5, 1, 0, 0.7, 0)
+		d.ShouldShed(3, 0.5, 1, 0, 0.7, 0)
 	}
 }
--- a/internal/backend/degradation/ladder.go
+++ b/internal/backend/degradation/policy.go
@@ -21,16 +21,16 @@
 
 // The signals; each grows with trouble. Their units are in Signals.
 const (
-	Queue    Signal = iota // wanting a core, by core
-	Cores                  // part of the cores in use, 0 to 1
-	Turned                 // part of the arrivals throttled, sheds of a level left out
-	Hopeless               // part of the arrivals given up because they could not end in time
-	Late                   // part of the answers past their latency objective
-	Retries                // part of the arrivals that are retries
-	Memory                 // part of the memory held
-	Unknown                // 1 while the gauges are not known
-	Cold                   // 1 while the farm warms up
-	Draining               // 1 once the notice has come
+	Queue      Signal = iota // wanting a core, by core
+	Cores                    // part of the cores in use, 0 to 1
+	Rejected                 // part of the arrivals throttled, sheds of a level left out
+	Infeasible               // part of the arrivals given up because they could not end in time
+	Late                     // part of the answers past their latency objective
+	Retries                  // part of the arrivals that are retries
+	Memory                   // part of the memory held
+	Unknown                  // 1 while the gauges are not known
+	WarmingUp                // 1 while the farm warms up
+	Draining                 // 1 once the notice has come
 	signals
 )
 
@@ -45,21 +45,21 @@
 // Signals are one reading of all.
 type Signals [signals]float64
 
-// Ladder is a list of levels, the mildest first.
-type Ladder struct {
-	Name   string
-	Levels []Level
-	Smooth [signals]Micros // time constant of each signal
-	Every  Micros          // at most one change of a level in so long, a collapse excepted
-	Ramp   Micros          // leaving a level takes so long: what was shed comes back bit by bit
-	Pins   Micros          // the longest that a person may hold a level
+// Policy is a list of levels, the mildest first.
+type Policy struct {
+	Name           string
+	Levels         []Level
+	Smoothing      [signals]Micros // time constant of each signal
+	ChangeInterval Micros          // at most one change of a level in so long, a collapse excepted
+	RecoveryRamp   Micros          // leaving a level takes so long: what was shed comes back bit by bit
+	MaxOverride    Micros          // the longest that a person may hold a level
 }
 
 // Level is one step of reduced service. What milder levels shed is shed too.
 type Level struct {
 	Name        string
 	Enter, Exit Condition
-	Stay        Micros // at least so long
+	MinDuration Micros // at least so long
 	Shed        []Rule
 	place       sexpr.Place
 }
@@ -88,15 +88,15 @@
 
 // Bounds of a ladder's file; beyond them it is refused.
 const (
-	MostLevels = 8
-	MostRules  = 16
-	MostTerms  = 8
+	MaxLevels = 8
+	MaxRules  = 16
+	MaxTerms  = 8
 )
 
 const hour = time.Hour
 
-// ReadLadder reads and checks a ladder; file is its name in errors. The error joins all that is wrong.
-func ReadLadder(file string, src []byte) (*Ladder, error) {
+// ParsePolicy reads and checks a ladder; file is its name in errors. The error joins all that is wrong.
+func ParsePolicy(file string, src []byte) (*Policy, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
 		return nil, err
@@ -109,18 +109,18 @@
 	}
 	f := forms[0]
 	micros := func(d time.Duration) Micros { return Micros(d.Microseconds()) }
-	l := &Ladder{
-		Name:  f.Arg(),
-		Every: micros(f.Span("every", time.Second, hour, time.Minute)),
-		Ramp:  micros(f.Span("ramp", 0, hour, 20*time.Second)),
-		Pins:  micros(f.Span("pins", time.Second, 24*hour, hour)),
+	l := &Policy{
+		Name:           f.Arg(),
+		ChangeInterval: micros(f.Span("every", time.Second, hour, time.Minute)),
+		RecoveryRamp:   micros(f.Span("ramp", 0, hour, 20*time.Second)),
+		MaxOverride:    micros(f.Span("pins", time.Second, 24*hour, hour)),
 	}
-	for s := range l.Smooth {
-		l.Smooth[s] = micros(time.Second)
+	for s := range l.Smoothing {
+		l.Smoothing[s] = micros(time.Second)
 	}
 	if sm := f.Field("smooth"); sm != nil {
 		for s, name := range signalNames {
-			l.Smooth[s] = micros(sm.Span(name, 0, hour, time.Second))
+			l.Smoothing[s] = micros(sm.Span(name, 0, hour, time.Second))
 		}
 		sm.Done()
 	}
@@ -128,15 +128,15 @@
 		l.Levels = append(l.Levels, readLevel(lf))
 	}
 	f.Done()
-	if n := len(l.Levels); n == 0 || n > MostLevels {
-		f.Fail("", "found %d levels, wanted 1 to %d", n, MostLevels)
+	if n := len(l.Levels); n == 0 || n > MaxLevels {
+		f.Fail("", "found %d levels, wanted 1 to %d", n, MaxLevels)
 	}
 	l.check(f, errs)
 	return l, errs.Err()
 }
 
 func readLevel(f *sexpr.Form) Level {
-	v := Level{Name: f.Arg(), place: f.Place, Stay: Micros(f.Span("stay", time.Second, hour, time.Minute).Microseconds())}
+	v := Level{Name: f.Arg(), place: f.Place, MinDuration: Micros(f.Span("stay", time.Second, hour, time.Minute).Microseconds())}
 	v.Enter, v.Exit = readCondition(f, "enter"), readCondition(f, "exit")
 	for _, s := range f.All("shed") {
 		v.Shed = append(v.Shed, Rule{
@@ -145,8 +145,8 @@
 		})
 		s.Done()
 	}
-	if n := len(v.Shed); n == 0 || n > MostRules {
-		f.Fail("", "sheds by %d rules, wanted 1 to %d", n, MostRules)
+	if n := len(v.Shed); n == 0 || n > MaxRules {
+		f.Fail("", "sheds by %d rules, wanted 1 to %d", n, MaxRules)
 	}
 	f.Done()
 	return v
@@ -187,8 +187,8 @@
 		terms.Done()
 	}
 	cf.Done()
-	if n := len(c.Terms); n == 0 || n > MostTerms {
-		cf.Fail("", "found %d terms, wanted 1 to %d", n, MostTerms)
+	if n := len(c.Terms); n == 0 || n > MaxTerms {
+		cf.Fail("", "found %d terms, wanted 1 to %d", n, MaxTerms)
 	}
 	return c
 }
@@ -204,7 +204,7 @@
 }
 
 // check tells of a ladder that can't work.
-func (l *Ladder) check(f *sexpr.Form, errs *sexpr.Errors) {
+func (l *Policy) check(f *sexpr.Form, errs *sexpr.Errors) {
 	seen := map[string]bool{"full": true}
 	for i, v := range l.Levels {
 		fail := func(what string, args ...any) { errs.Add(v.place, "ladder.level "+v.Name, what, args...) }
@@ -226,7 +226,7 @@
 		if !shared && len(v.Enter.Terms) > 0 && len(v.Exit.Terms) > 0 {
 			fail("exit: speaks of no signal by which the level is entered: it would be left and entered again at once")
 		}
-		if !v.Enter.Any && !slices.ContainsFunc(v.Enter.Terms, func(t Term) bool { return t.Signal != Cold && t.Signal != Draining }) {
+		if !v.Enter.Any && !slices.ContainsFunc(v.Enter.Terms, func(t Term) bool { return t.Signal != WarmingUp && t.Signal != Draining }) {
 			fail("enter: is met by every start or stop")
 		}
 		if i == 0 {
@@ -242,14 +242,14 @@
 }
 
 // Explain says in words what the ladder does.
-func (l *Ladder) Explain() string {
+func (l *Policy) Explain() string {
 	var b strings.Builder
 	span := func(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 	fmt.Fprintf(&b, "ladder %s: %d levels; at most one change of a level in %v, a collapse excepted; a level is left over %v\n",
-		l.Name, len(l.Levels), span(l.Every), span(l.Ramp))
+		l.Name, len(l.Levels), span(l.ChangeInterval), span(l.RecoveryRamp))
 	for i, v := range l.Levels {
 		fmt.Fprintf(&b, "%d. %s\n   entered when %s\n   left when %s, after %v at least\n", i+1, v.Name,
-			v.Enter.words("at or above"), v.Exit.words("below"), span(v.Stay))
+			v.Enter.words("at or above"), v.Exit.words("below"), span(v.MinDuration))
 		for _, r := range v.Shed {
 			fmt.Fprintf(&b, "   sheds %s\n", r.words())
 		}
@@ -292,8 +292,8 @@
 	return strings.Join(parts, " ")
 }
 
-// Speaks lists the signals that its conditions name, each once.
-func (l *Ladder) Speaks() (all []Signal) {
+// SignalsUsed lists the signals that its conditions name, each once.
+func (l *Policy) SignalsUsed() (all []Signal) {
 	for s := range signals {
 		for _, v := range l.Levels {
 			_, in := v.Enter.value(s)
--- a/internal/backend/degradation/drawer.go
+++ b/internal/backend/degradation/shedder.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Drawer says of single invocations whether a level sheds them. A share is drawn so that the part that is shed
+// Shedder says of single invocations whether a level sheds them. A share is drawn so that the part that is shed
 // follows it closely at any time, while chance says which: no caller is hit each time, and none goes free.
-type Drawer struct {
+type Shedder struct {
 	rules      [][]rule  // of each level
 	owed       []float64 // for each operation: what it is behind its share, above -1 and below 1
 	pcg        rand.PCG
@@ -22,10 +22,10 @@
 	share               float64
 }
 
-// NewDrawer fits a ladder to a deployment; a name that the deployment does not have is an error, as a rule that can
+// NewShedder fits a ladder to a deployment; a name that the deployment does not have is an error, as a rule that can
 // never match is a mistake.
-func NewDrawer(l *Ladder, operations, tenants []string, seed uint64) (*Drawer, error) {
-	d := &Drawer{owed: make([]float64, len(operations)), pcg: *rand.NewPCG(seed, 3), operations: len(operations)}
+func NewShedder(l *Policy, operations, tenants []string, seed uint64) (*Shedder, error) {
+	d := &Shedder{owed: make([]float64, len(operations)), pcg: *rand.NewPCG(seed, 3), operations: len(operations)}
 	mark := func(what string, names, all []string) ([]bool, error) {
 		if len(names) == 0 {
 			return nil, nil
@@ -58,10 +58,10 @@
 	return d, nil
 }
 
-// Share of what is like this invocation that the level sheds; depth is of the level itself, see Mover. Numbers of
+// ShedFraction of what is like this invocation that the level sheds; depth is of the level itself, see Mover. Numbers of
 // operations and tenants are those of the names given to NewDrawer; a tenant beyond them matches no rule that
 // names tenants.
-func (d *Drawer) Share(level int, depth float64, operation, tenant int, rank float64, cost Micros) float64 {
+func (d *Shedder) ShedFraction(level int, depth float64, operation, tenant int, rank float64, cost Micros) float64 {
 	share := 0.0
 	for n := range min(level, len(d.rules)) {
 		part := 1.0
@@ -79,12 +79,12 @@
 	return share
 }
 
-// Sheds draws for one invocation.
-func (d *Drawer) Sheds(level int, depth float64, operation, tenant int, rank float64, cost Micros) bool {
+// ShouldShed draws for one invocation.
+func (d *Shedder) ShouldShed(level int, depth float64, operation, tenant int, rank float64, cost Micros) bool {
 	if level == 0 {
 		return false
 	}
-	share := d.Share(level, depth, operation, tenant, rank, cost)
+	share := d.ShedFraction(level, depth, operation, tenant, rank, cost)
 	if share <= 0 || share >= 1 {
 		return share > 0
 	}
--- a/internal/backend/degradation/trace.go
+++ b/internal/backend/degradation/trace.go
@@ -14,8 +14,8 @@
 	Signals Signals
 }
 
-// MostReadings of one trace; a longer one is refused.
-const MostReadings = 2_000_000
+// MaxTraceReadings of one trace; a longer one is refused.
+const MaxTraceReadings = 2_000_000
 
 // WriteReading appends one line: the time in microseconds, then the signals that are known as name=value.
 func WriteReading(w io.Writer, r Reading) error {
@@ -59,8 +59,8 @@
 			}
 			r.Signals[s] = v
 		}
-		if all = append(all, r); len(all) > MostReadings {
-			return nil, fail("more than %d readings", MostReadings)
+		if all = append(all, r); len(all) > MaxTraceReadings {
+			return nil, fail("more than %d readings", MaxTraceReadings)
 		}
 	}
 	return all, lines.Err()
@@ -75,8 +75,8 @@
 	return -1
 }
 
-// Point is what a replay shows at one reading.
-type Point struct {
+// ReplayPoint is what a replay shows at one reading.
+type ReplayPoint struct {
 	At       Micros
 	Level    int
 	Depth    float64
@@ -84,13 +84,13 @@
 }
 
 // Replay plays a trace through a ladder.
-func Replay(l *Ladder, trace []Reading) (points []Point, changes []Change) {
-	m := NewMover(l)
+func Replay(l *Policy, trace []Reading) (points []ReplayPoint, changes []Change) {
+	m := NewController(l)
 	for _, r := range trace {
-		if c, changed := m.Step(r.At, r.Signals); changed {
+		if c, changed := m.Update(r.At, r.Signals); changed {
 			changes = append(changes, c)
 		}
-		points = append(points, Point{r.At, m.Level(), m.Depth(r.At), m.Smoothed()})
+		points = append(points, ReplayPoint{r.At, m.Level(), m.Depth(r.At), m.Smoothed()})
 	}
 	return points, changes
 }
--- a/internal/backend/dispatch/reduce.go
+++ b/internal/backend/dispatch/degradation.go
@@ -12,10 +12,10 @@
 
 // reduction is what levels of reduced service add to a gate; nil without a ladder. The gate's lock guards it.
 type reduction struct {
-	ladder *degradation.Ladder
-	mover  *degradation.Mover
-	drawer *degradation.Drawer
-	meter  *degradation.Meter
+	ladder *degradation.Policy
+	mover  *degradation.Controller
+	drawer *degradation.Shedder
+	meter  *degradation.SignalMeter
 	last   []degradation.Change // the latest, oldest first
 	shed   int                  // invocations, since the start
 	at     degradation.Micros   // of the latest signals
@@ -25,34 +25,34 @@
 // mostChanges are kept for who inspects.
 const mostChanges = 16
 
-// Reduce has the gate follow a ladder from now on. An error names what of it this deployment does not have.
-func (g *Gate) Reduce(l *degradation.Ladder) error {
-	drawer, err := degradation.NewDrawer(l, g.sheet.Operations, g.sheet.Tenants, g.seed)
+// SetDegradationPolicy has the gate follow a ladder from now on. An error names what of it this deployment does not have.
+func (g *Dispatcher) SetDegradationPolicy(l *degradation.Policy) error {
+	drawer, err := degradation.NewShedder(l, g.sheet.Operations, g.sheet.Tenants, g.seed)
 	if err != nil {
 		return err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := &reduction{ladder: l, mover: degradation.NewMover(l), drawer: drawer, meter: degradation.NewMeter(g.sheet.Admission.Cores)}
+	r := &reduction{ladder: l, mover: degradation.NewController(l), drawer: drawer, meter: degradation.NewSignalMeter(g.sheet.Admission.Cores)}
 	if g.reduced != nil { // another ladder: the level in force goes on
-		r.mover, r.meter, r.last, r.shed = g.reduced.mover.Reload(l), g.reduced.meter, g.reduced.last, g.reduced.shed
+		r.mover, r.meter, r.last, r.shed = g.reduced.mover.WithPolicy(l), g.reduced.meter, g.reduced.last, g.reduced.shed
 	}
 	g.reduced = r
 	return nil
 }
 
 // shedFor is above 0 if a level sheds an invocation that comes now: what advice is to be at the least, as admit has it.
-func (g *Gate) shedFor(inv *Invocation, t *Ticket) admission.Micros {
+func (g *Dispatcher) shedFor(inv *Invocation, t *Request) admission.Micros {
 	r := g.reduced
 	if r == nil {
 		return 0
 	}
 	now := degradation.Micros(process.Now())
 	level := r.mover.Level()
-	if t.earlier != "" || !r.drawer.Sheds(level, r.mover.Depth(now), inv.Operation, inv.Tenant, inv.Rank, degradation.Micros(inv.Work)) {
-		r.meter.Add(now, degradation.Arrivals)
+	if t.earlier != "" || !r.drawer.ShouldShed(level, r.mover.Depth(now), inv.Operation, inv.Tenant, inv.Rank, degradation.Micros(inv.ExpectedWork)) {
+		r.meter.Count(now, degradation.Arrivals)
 		if inv.Retry {
-			r.meter.Add(now, degradation.Marked)
+			r.meter.Count(now, degradation.RetriedArrivals)
 		}
 		return 0
 	}
@@ -61,21 +61,21 @@
 }
 
 // count has the meter count something of an invocation that was not shed.
-func (r *reduction) count(c degradation.Count) {
+func (r *reduction) count(c degradation.Counter) {
 	if r != nil {
-		r.meter.Add(degradation.Micros(process.Now()), c)
+		r.meter.Count(degradation.Micros(process.Now()), c)
 	}
 }
 
 // step moves along the ladder with each tick.
-func (g *Gate) step(reading admission.Reading) {
+func (g *Dispatcher) step(reading admission.Reading) {
 	r := g.reduced
 	if r == nil {
 		return
 	}
 	now := degradation.Micros(process.Now()) // setting the wall clock must not move a level
 	if g.drained {
-		r.meter.Drains()
+		r.meter.SetDraining()
 	}
 	wanting := reading.OnCores
 	if wanting >= 0 { // the farm knows of the runs alone; what is held here wants a core too
@@ -85,14 +85,14 @@
 			}
 		}
 	}
-	s := r.meter.Read(now, wanting, reading.CoreUse, reading.MemoryShare, len(g.gauges) > 0)
+	s := r.meter.Signals(now, wanting, reading.CoreUse, reading.MemoryShare, len(g.gauges) > 0)
 	r.at, r.raw = now, s
-	if c, changed := r.mover.Step(now, s); changed {
+	if c, changed := r.mover.Update(now, s); changed {
 		g.changed(c)
 	}
 }
 
-func (g *Gate) changed(c degradation.Change) {
+func (g *Dispatcher) changed(c degradation.Change) {
 	r := g.reduced
 	if r.last = append(r.last, c); len(r.last) > mostChanges {
 		r.last = r.last[1:]
@@ -101,9 +101,9 @@
 		"cause", c.Cause, "signals", c.Signals.String())
 }
 
-// Reduction tells how service is reduced.
-type Reduction struct {
-	Ladder  string
+// DegradationStatus tells how service is reduced.
+type DegradationStatus struct {
+	Policy  string
 	Level   string
 	Number  int
 	Depth   float64
@@ -113,8 +113,8 @@
 	Signals degradation.Signals // as they were measured
 }
 
-// Reduction tells how service is reduced; ok is false without a ladder.
-func (g *Gate) Reduction() (d Reduction, ok bool) {
+// DegradationStatus tells how service is reduced; ok is false without a ladder.
+func (g *Dispatcher) DegradationStatus() (d DegradationStatus, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.reduced
@@ -122,8 +122,8 @@
 		return d, false
 	}
 	n := r.mover.Level()
-	d = Reduction{
-		Ladder: r.ladder.Name, Level: r.ladder.LevelName(n), Number: n, Depth: r.mover.Depth(degradation.Micros(process.Now())), Shed: r.shed, At: r.at, Signals: r.raw,
+	d = DegradationStatus{
+		Policy: r.ladder.Name, Level: r.ladder.LevelName(n), Number: n, Depth: r.mover.Depth(degradation.Micros(process.Now())), Shed: r.shed, At: r.at, Signals: r.raw,
 	}
 	for _, c := range r.last {
 		d.Changes = append(d.Changes, fmt.Sprintf("%d: %v", c.At, c))
@@ -131,8 +131,8 @@
 	return d, true
 }
 
-// Pin holds a level by its name for a while; see levels.Mover.
-func (g *Gate) Pin(name string, span time.Duration, by string, above bool) error {
+// OverrideLevel holds a level by its name for a while; see levels.Mover.
+func (g *Dispatcher) OverrideLevel(name string, span time.Duration, by string, above bool) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.reduced
@@ -142,17 +142,17 @@
 	for n := range len(r.ladder.Levels) + 1 {
 		if r.ladder.LevelName(n) == name {
 			now := degradation.Micros(process.Now())
-			return r.mover.Pin(now, n, now+degradation.Micros(span.Microseconds()), by, above)
+			return r.mover.Override(now, n, now+degradation.Micros(span.Microseconds()), by, above)
 		}
 	}
 	return fmt.Errorf("level: %q is none of ladder %s", name, r.ladder.Name)
 }
 
-// Unpin lets the signals decide again.
-func (g *Gate) Unpin() {
+// ClearOverride lets the signals decide again.
+func (g *Dispatcher) ClearOverride() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.reduced != nil {
-		g.reduced.mover.Unpin()
+		g.reduced.mover.ClearOverride()
 	}
 }
--- a/internal/backend/dispatch/gate.go
+++ b/internal/backend/dispatch/dispatcher.go
@@ -30,21 +30,21 @@
 	base  = Micros(began.UnixMicro())
 )
 
-// FromWall is the gate's time of a point that the wall clock has just told of: however that clock stands, the two of now are
+// FromWallClock is the gate's time of a point that the wall clock has just told of: however that clock stands, the two of now are
 // the same moment.
-func FromWall(at Micros) Micros { return Now() - (Micros(time.Now().UnixMicro()) - at) }
+func FromWallClock(at Micros) Micros { return Now() - (Micros(time.Now().UnixMicro()) - at) }
 
 // Invocation is what a front has read of one.
 type Invocation struct {
 	ID                string
 	Operation, Tenant int
-	Rank, KB          float64
+	Rank, MemoryKB    float64
 	Retry             bool
-	Work              Micros          // expected; 0 if not told
-	At                Micros          // when it reached the machine
-	Wait              Micros          // its caller waits so long from then
-	Left              <-chan struct{} // closed once its caller is known to have gone
-	Token             string          // of a tokened operation: by which its repeats are known
+	ExpectedWork      Micros          // expected; 0 if not told
+	ArrivedAt         Micros          // when it reached the machine
+	CallerTimeout     Micros          // its caller waits so long from then
+	CallerLeft        <-chan struct{} // closed once its caller is known to have gone
+	IdempotencyKey    string          // of a tokened operation: by which its repeats are known
 }
 
 // Verdict is what becomes of an invocation.
@@ -52,32 +52,31 @@
 
 // The verdicts. Run is the only one that is not final; after Left no answer is owed.
 const (
-	Run Verdict = iota
+	Admitted Verdict = iota
 	Throttled
 	Errored
-	Left
-	Repeated // succeeded as one that it repeats did, without a run of its own
+	Abandoned
+	Replayed // succeeded as one that it repeats did, without a run of its own
 )
 
-// Word is a verdict with what the caller is told.
-type Word struct {
-	Verdict   Verdict
-	Away      Micros // stay away from this backend for so long
-	DontRetry bool   // do not try another either
-	Result    []byte // of the run that it repeats
+// Response is a verdict with what the caller is told.
+type Response struct {
+	Verdict    Verdict
+	RetryAfter Micros // stay away from this backend for so long
+	DontRetry  bool   // do not try another either
+	Result     []byte // of the run that it repeats
 }
 
-// End is how a run ended, or why it no longer matters.
-type End int
+// Outcome is how a run ended, or why it no longer matters.
+type Outcome int
 
-// The ends of a run; CallerLeft is none, the run goes on.
+// The outcomes of a run.
 const (
-	RunSucceeded End = iota
+	RunSucceeded Outcome = iota
 	RunErrored
 	RunCancelled
 	NeverRan
 	Unrunnable // the farm knows of no such work: no caller's invocation
-	CallerLeft
 )
 
 var outcomes = [...]admission.Outcome{
@@ -85,12 +84,12 @@
 	Unrunnable: admission.Unrunnable,
 }
 
-// Ticket stands for an invocation that Pick lets run.
-type Ticket struct {
+// Request stands for an invocation that Pick lets run.
+type Request struct {
 	id       string
 	due      Micros
 	want     Micros          // past it an answer is late
-	words    chan Word       // at most Run and one final word
+	words    chan Response   // at most Run and one final word
 	shed     Micros          // a level sheds it
 	drew     int             // the budget that a unit was drawn of for it, or -1
 	key      idempotency.Key // by which its repeats are known; without a token there are none
@@ -99,18 +98,18 @@
 	answered bool // the final word is out, or none is owed
 }
 
-// Final brings the final word, if it comes before the run ends.
-func (t *Ticket) Final() <-chan Word { return t.words }
+// FinalResponse brings the final word, if it comes before the run ends.
+func (t *Request) FinalResponse() <-chan Response { return t.words }
 
-// Gate serves one backend. Its methods may be called from any goroutine.
-type Gate struct {
+// Dispatcher serves one backend. Its methods may be called from any goroutine.
+type Dispatcher struct {
 	sheet  *config.Settings
 	seed   uint64
 	bounds limits.Bounds
 
 	mu      sync.Mutex
 	backend *admission.Backend // nil until Open
-	hand    map[string]*Ticket
+	hand    map[string]*Request
 	acts    []admission.Action
 	wake    Micros
 	token   int64
@@ -137,23 +136,23 @@
 
 // Counts are what has passed since the start.
 type Counts struct {
-	Picked, UsedUp           int // invocations, and those whose caller had stopped waiting when they were read
-	Run, Throttled, Errored  int
-	Left                     int // callers known to have gone
-	Repeated, Unkept         int // answered with an earlier result, and throttled as no more could be remembered
-	Ticks, Unsampled, Faults int // ticks, those that had no fresh sample, panics of the module
+	Arrived, Expired            int // invocations, and those whose caller had stopped waiting when they were read
+	Started, Throttled, Errored int
+	Abandoned                   int // callers known to have gone
+	Replayed, CacheFull         int // answered with an earlier result, and throttled as no more could be remembered
+	Ticks, Unsampled, Panics    int // ticks, those that had no fresh sample, panics of the module
 }
 
 // Counts tells what has passed, and how many invocations are held or on the farm.
-func (g *Gate) Counts() (Counts, int) {
+func (g *Dispatcher) Counts() (Counts, int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.counts, len(g.hand)
 }
 
 // New makes a gate that throttles everything until Open.
-func New(sheet *config.Settings, seed uint64, bounds limits.Bounds) *Gate {
-	g := &Gate{sheet: sheet, seed: seed, bounds: bounds, hand: map[string]*Ticket{}}
+func New(sheet *config.Settings, seed uint64, bounds limits.Bounds) *Dispatcher {
+	g := &Dispatcher{sheet: sheet, seed: seed, bounds: bounds, hand: map[string]*Request{}}
 	for _, op := range sheet.Admission.Operations {
 		if op.RetrySafety == admission.IdempotencyKeyed && g.kept == nil {
 			g.kept = idempotency.New(bounds.Kept, bounds.Result)
@@ -165,7 +164,7 @@
 // Open starts deciding: the farm is there and came up so long ago, cold or warm. Later calls change nothing.
 // Only a cold farm's past matters: its warming has gone on for so long. One that has been warm for an hour
 // must not make the module believe that it has seen no caller for an hour.
-func (g *Gate) Open(cold bool, ago Micros) {
+func (g *Dispatcher) Open(cold bool, ago Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.backend != nil {
@@ -178,7 +177,7 @@
 	if !cold {
 		ago = 0
 	} else if g.reduced != nil {
-		g.reduced.meter.Warms(degradation.Micros(process.Now()) + degradation.Micros(max(0, t.WarmUp-ago)))
+		g.reduced.meter.SetWarmingUntil(degradation.Micros(process.Now()) + degradation.Micros(max(0, t.WarmUp-ago)))
 	}
 	g.opened = Now() - min(ago, t.WarmUp)
 	g.openWatch()
@@ -190,7 +189,7 @@
 
 // terms are settings as the module is told them: as cold as the farm was, and with a grace that is shorter, as a
 // notice may be heard late.
-func (g *Gate) terms(sheet *config.Settings) admission.Config {
+func (g *Dispatcher) terms(sheet *config.Settings) admission.Config {
 	t := sheet.Admission
 	t.JustStarted = g.cold
 	t.IdempotencyKeyKB = 0 // what is remembered lies in this process's memory, where its table is bounded; the settings' is the farm's
@@ -198,19 +197,19 @@
 	return t
 }
 
-// Pick takes an invocation in and blocks until it is to run, or is throttled or errored, or its caller has
+// Admit takes an invocation in and blocks until it is to run, or is throttled or errored, or its caller has
 // left. The ticket is nil unless the verdict is Run; then Report must follow once the run has ended.
-func (g *Gate) Pick(inv Invocation) (Word, *Ticket) {
+func (g *Dispatcher) Admit(inv Invocation) (Response, *Request) {
 	g.catchUp()
 	t := g.enter(inv)
-	var word Word
+	var word Response
 	select {
 	case word = <-t.words:
-	case <-inv.Left:
-		g.Report(t, CallerLeft, nil)
+	case <-inv.CallerLeft:
+		g.Abandon(t)
 		word = <-t.words
 	}
-	if word.Verdict != Run {
+	if word.Verdict != Admitted {
 		return word, nil
 	}
 	return word, t
@@ -219,7 +218,7 @@
 // catchUp waits a little for the next tick if the last is long past. It guards against what a process finds
 // that was held up: a crowd of arrivals, to be decided by gauges from before, while the ends of runs and the
 // gauges of now stand unread on the link. The next sample follows those ends.
-func (g *Gate) catchUp() {
+func (g *Dispatcher) catchUp() {
 	g.mu.Lock()
 	if g.backend == nil || Now()-g.ticked <= Micros(g.bounds.HeldUp.Microseconds()) {
 		g.mu.Unlock()
@@ -238,72 +237,75 @@
 	}
 }
 
-func (g *Gate) enter(inv Invocation) *Ticket {
+func (g *Dispatcher) enter(inv Invocation) *Request {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := Now()
-	t := &Ticket{id: inv.ID, drew: -1, due: inv.At + inv.Wait, words: make(chan Word, 2)}
+	t := &Request{id: inv.ID, drew: -1, due: inv.ArrivedAt + inv.CallerTimeout, words: make(chan Response, 2)}
 	if inv.Operation < len(g.sheet.Admission.Operations) {
-		t.want = inv.At + g.sheet.Admission.Operations[inv.Operation].Objective
+		t.want = inv.ArrivedAt + g.sheet.Admission.Operations[inv.Operation].Objective
 	}
-	never := func(w Word) *Ticket { // it is in nobody's hand: its caller's leaving must not end another of its id
+	never := func(w Response) *Request { // it is in nobody's hand: its caller's leaving must not end another of its id
 		t.answered = true
 		t.words <- w
 		return t
 	}
 	tokened := g.name(inv, t)
-	away := Word{Verdict: Throttled, Away: g.sheet.Admission.MaxRetryAfter}
+	away := Response{Verdict: Throttled, RetryAfter: g.sheet.Admission.MaxRetryAfter}
 	if t.earlier != "" { // that has run, or may yet: others must not be invited to run it too
-		away = Word{Verdict: Errored}
+		away = Response{Verdict: Errored}
 	}
 	switch {
 	case g.hand[inv.ID] != nil || g.kept != nil && g.kept.Contains(inv.ID):
 		// Ids are new with every try; this one is not, and must not end the other, nor have it forgotten.
-		return never(Word{Verdict: Errored})
+		return never(Response{Verdict: Errored})
 	case g.backend == nil:
-		return never(Word{Verdict: Throttled})
-	case g.closes != 0 && g.closes <= min(now, inv.At) && min(now, inv.At) <= g.module: // see Drain
+		return never(Response{Verdict: Throttled})
+	case g.closes != 0 && g.closes <= min(now, inv.ArrivedAt) && min(now, inv.ArrivedAt) <= g.module: // see Drain
 		return never(away)
-	case tokened && (inv.Token == "" || now-inv.At > g.readLate()): // what it repeats cannot be known, or may be forgotten
-		return never(Word{Verdict: Errored})
+	case tokened && (inv.IdempotencyKey == "" || now-inv.ArrivedAt > g.readLate()): // what it repeats cannot be known, or may be forgotten
+		return never(Response{Verdict: Errored})
 	case tokened && t.earlier == "" && !g.kept.HasCapacity(): // its repeats would run again
-		g.counts.Unkept++
+		g.counts.CacheFull++
 		return never(away)
 	}
 	g.hand[inv.ID] = t
-	g.counts.Picked++
+	g.counts.Arrived++
 	if t.due <= now {
-		g.counts.UsedUp++
+		g.counts.Expired++
 	}
 	t.shed = g.shedFor(&inv, t)
 	fault := g.decide(now, admission.Arrived{
 		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Priority: inv.Rank, Retry: inv.Retry,
-		ExpectedWork: inv.Work, QueueTime: max(0, now-inv.At),
+		ExpectedWork: inv.ExpectedWork, QueueTime: max(0, now-inv.ArrivedAt),
 		TimeLeft: max(1, t.due-now), // a wait that is used up is due at once; 0 would mean that none was told
-		MemoryKB: inv.KB, RepeatOf: t.earlier, ShedFor: t.shed, Quota: g.draw(&inv, t),
+		MemoryKB: inv.MemoryKB, RepeatOf: t.earlier, ShedFor: t.shed, Quota: g.draw(&inv, t),
 	})
 	if fault != nil {
-		g.answer(t, Word{Verdict: Errored})
+		g.answer(t, Response{Verdict: Errored})
 	}
 	return t
 }
 
-// Report tells how a run ended and what it brought, or that the caller left. It returns whether the answer is still
-// owed: if not, it was the final word's or nobody waits for one. The result may be kept.
-func (g *Gate) Report(t *Ticket, end End, result []byte) (owed bool) {
+// Abandon tells that the caller left; its run goes on.
+func (g *Dispatcher) Abandon(t *Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if end == CallerLeft {
-		if !t.answered {
-			g.answer(t, Word{Verdict: Left})
-			g.decide(Now(), admission.CallerGone{ID: t.id})
-		}
-		return false
+	if !t.answered {
+		g.answer(t, Response{Verdict: Abandoned})
+		g.decide(Now(), admission.CallerGone{ID: t.id})
 	}
+}
+
+// Complete tells how a run ended and what it brought. It returns whether the answer is still owed: if not, it was the
+// final response's or nobody waits for one. The result may be kept.
+func (g *Dispatcher) Complete(t *Request, end Outcome, result []byte) (owed bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if owed = !t.answered; owed && end == RunSucceeded {
-		g.reduced.count(degradation.Answers)
+		g.reduced.count(degradation.Successes)
 		if Now() > t.want {
-			g.reduced.count(degradation.Tardy)
+			g.reduced.count(degradation.LateSuccesses)
 		}
 	}
 	t.answered = true
@@ -317,7 +319,7 @@
 }
 
 // Tick brings the gauges, or nil if they are not known, and names the time of the next tick.
-func (g *Gate) Tick(gauges []float64) Micros {
+func (g *Dispatcher) Tick(gauges []float64) Micros {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := Now()
@@ -355,11 +357,11 @@
 
 // overdue guards the one answer against a fault of our own: what is still in hand well after it was due has
 // been lost sight of.
-func (g *Gate) overdue(now Micros) {
+func (g *Dispatcher) overdue(now Micros) {
 	for _, t := range g.hand {
 		if !t.answered && now > t.due+g.sheet.Admission.AnswerSlack*2/3 {
 			slog.Error("overdue", "id", t.id, "late_us", now-t.due, "running", t.running)
-			g.answer(t, Word{Verdict: Errored})
+			g.answer(t, Response{Verdict: Errored})
 			g.decide(now, admission.CallerGone{ID: t.id})
 		}
 	}
@@ -369,7 +371,7 @@
 // counts the deployment's grace from the notice on. Where the notice came late, or a second one brings the end
 // forward, the gate itself throttles what arrives after it; else the module has ended its grace before. Both go by
 // when an invocation reached the machine, not by when it was read: one that is read late would else fall between.
-func (g *Gate) Drain(left, grace Micros) {
+func (g *Dispatcher) Drain(left, grace Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.drained = true
@@ -384,20 +386,20 @@
 }
 
 // notice tells the module, which counts its grace from now on.
-func (g *Gate) notice(now Micros) {
+func (g *Dispatcher) notice(now Micros) {
 	g.module = now + g.terms(g.sheet).DrainGrace
 	g.decide(now, admission.DrainNotice{Left: g.stops - now})
 }
 
-// Good tells how health checks are to be answered.
-func (g *Gate) Good() bool {
+// Healthy tells how health checks are to be answered.
+func (g *Dispatcher) Healthy() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.backend != nil && g.good && !g.drained
 }
 
-// IdleFor is how long connections may carry nothing; 0 leaves it to the callers.
-func (g *Gate) IdleFor() time.Duration {
+// IdleTimeout is how long connections may carry nothing; 0 leaves it to the callers.
+func (g *Dispatcher) IdleTimeout() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.idle >= g.sheet.Admission.IdleTimeout {
@@ -407,7 +409,7 @@
 }
 
 // answer gives t its final word, once.
-func (g *Gate) answer(t *Ticket, w Word) {
+func (g *Dispatcher) answer(t *Request, w Response) {
 	if t.answered {
 		return
 	}
@@ -423,17 +425,17 @@
 	case Throttled:
 		g.counts.Throttled++
 		if t.shed == 0 {
-			g.reduced.count(degradation.TurnedAway)
+			g.reduced.count(degradation.Rejections)
 		}
 	case Errored:
 		g.counts.Errored++
-	case Left:
-		g.counts.Left++
-	case Repeated:
-		g.counts.Repeated++
-		g.reduced.count(degradation.Answers)
+	case Abandoned:
+		g.counts.Abandoned++
+	case Replayed:
+		g.counts.Replayed++
+		g.reduced.count(degradation.Successes)
 		if Now() > t.want {
-			g.reduced.count(degradation.Tardy)
+			g.reduced.count(degradation.LateSuccesses)
 		}
 	}
 	if !t.running {
@@ -443,13 +445,13 @@
 
 // decide hands the module what happened and carries out what it wants. A panic in it is logged and returned;
 // whatever was in hand stays there and is answered when it falls due.
-func (g *Gate) decide(now Micros, ev admission.Event) (err error) {
+func (g *Dispatcher) decide(now Micros, ev admission.Event) (err error) {
 	if g.backend == nil {
 		return nil
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			g.counts.Faults++
+			g.counts.Panics++
 			err = fmt.Errorf("%v", r)
 			slog.Error("fault", "in", fmt.Sprintf("%T", ev), "text", err, "stack", string(debug.Stack()))
 		}
@@ -463,21 +465,21 @@
 	return nil
 }
 
-func (g *Gate) carryOut(act admission.Action) {
+func (g *Dispatcher) carryOut(act admission.Action) {
 	switch a := act.(type) {
 	case admission.Start:
 		if t := g.hand[a.ID]; t != nil && !t.running && !t.answered {
 			t.running = true
-			g.counts.Run++
-			t.words <- Word{Verdict: Run}
+			g.counts.Started++
+			t.words <- Response{Verdict: Admitted}
 		}
 	case admission.Throttle:
 		if t := g.hand[a.ID]; t != nil {
-			g.answer(t, Word{Verdict: Throttled, Away: a.RetryAfter, DontRetry: a.DontRetry})
+			g.answer(t, Response{Verdict: Throttled, RetryAfter: a.RetryAfter, DontRetry: a.DontRetry})
 		}
 	case admission.Fail:
 		if t := g.hand[a.ID]; t != nil {
-			g.answer(t, Word{Verdict: Errored})
+			g.answer(t, Response{Verdict: Errored})
 		}
 	case admission.Remember:
 		g.remember(a)
--- a/internal/backend/dispatch/share.go
+++ b/internal/backend/dispatch/quota.go
@@ -14,21 +14,21 @@
 	clock   func() quota.Micros // the holder's own
 	machine func() int64        // the machine's, for stamps
 	tenants []int               // by tenant: the budget that it draws from, or -1
-	stamps  *quotalog.Stamps    // nil where nobody audits
+	stamps  *quotalog.Log       // nil where nobody audits
 }
 
-// Sharing is what a gate draws from.
-type Sharing struct {
-	Holder  *quota.Holder
-	Tenants map[string]string   // by tenant: its budget
-	Clock   func() quota.Micros // the machine's own, sleep counted; leases are judged by it
-	Machine func() int64
-	Stamps  *quotalog.Stamps // for an auditor; may be nil
+// QuotaConfig is what a gate draws from.
+type QuotaConfig struct {
+	Holder       *quota.Holder
+	Tenants      map[string]string   // by tenant: its budget
+	Clock        func() quota.Micros // the machine's own, sleep counted; leases are judged by it
+	MachineClock func() int64
+	Log          *quotalog.Log // for an auditor; may be nil
 }
 
-// Share has the gate draw tenants' work from budgets, from now on. An error names a tenant that this deployment lacks.
-func (g *Gate) Share(s Sharing) error {
-	all := &shares{holder: s.Holder, clock: s.Clock, machine: s.Machine, tenants: make([]int, len(g.sheet.Tenants)), stamps: s.Stamps}
+// SetQuotas has the gate draw tenants' work from budgets, from now on. An error names a tenant that this deployment lacks.
+func (g *Dispatcher) SetQuotas(s QuotaConfig) error {
+	all := &shares{holder: s.Holder, clock: s.Clock, machine: s.MachineClock, tenants: make([]int, len(g.sheet.Tenants)), stamps: s.Log}
 	found := 0
 	for i, name := range g.sheet.Tenants {
 		all.tenants[i] = -1
@@ -47,12 +47,12 @@
 }
 
 // draw takes a unit of the tenant's budget for work that comes now. What a level sheds takes none, nor does a repeat.
-func (g *Gate) draw(inv *Invocation, t *Ticket) admission.QuotaStanding {
+func (g *Dispatcher) draw(inv *Invocation, t *Request) admission.QuotaStanding {
 	s := g.shares
 	if s == nil || t.shed > 0 || t.earlier != "" || inv.Tenant < 0 || inv.Tenant >= len(s.tenants) || s.tenants[inv.Tenant] < 0 {
 		return admission.QuotaUnknown
 	}
-	if s.holder.Draw(s.clock(), s.tenants[inv.Tenant]) {
+	if s.holder.TryAcquire(s.clock(), s.tenants[inv.Tenant]) {
 		t.drew = s.tenants[inv.Tenant]
 		return admission.WithinQuota
 	}
@@ -60,25 +60,25 @@
 }
 
 // giveBack lets others of its tenant have the unit that was drawn for work that never ran.
-func (g *Gate) giveBack(t *Ticket) {
+func (g *Dispatcher) giveBack(t *Request) {
 	if t.drew >= 0 {
-		g.shares.holder.Back(g.shares.clock(), t.drew)
+		g.shares.holder.Refund(g.shares.clock(), t.drew)
 		t.drew = -1
 	}
 }
 
-// AskShare makes a question for the ledger; ok is false where there are no budgets.
-func (g *Gate) AskShare() (a quota.Ask, ok bool) {
+// QuotaRequest makes a question for the ledger; ok is false where there are no budgets.
+func (g *Dispatcher) QuotaRequest() (a quota.LeaseRequest, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.shares == nil {
 		return a, false
 	}
-	return g.shares.holder.Ask(g.shares.clock()), true
+	return g.shares.holder.NewRequest(g.shares.clock()), true
 }
 
-// AnswerShare takes in what the ledger grants.
-func (g *Gate) AnswerShare(a quota.Answer) error {
+// ApplyQuotaResponse takes in what the ledger grants.
+func (g *Dispatcher) ApplyQuotaResponse(a quota.LeaseResponse) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.shares
@@ -87,7 +87,7 @@
 	}
 	at := s.machine() // before the holder's clock is read: a stamp must not let a lease seem to last longer
 	now := s.clock()
-	if err := s.holder.Answer(now, a); err != nil {
+	if err := s.holder.Apply(now, a); err != nil {
 		return err
 	}
 	return s.have(at, now)
@@ -98,34 +98,34 @@
 	if s.stamps == nil {
 		return nil
 	}
-	return s.stamps.Have(at, now, s.holder.Views(now))
+	return s.stamps.RecordHeld(at, now, s.holder.Status(now))
 }
 
-// DropShares gives all back; it is the last that this process draws.
-func (g *Gate) DropShares() {
+// ReleaseQuotas gives all back; it is the last that this process draws.
+func (g *Dispatcher) ReleaseQuotas() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if s := g.shares; s != nil {
 		s.stampDrawn(s.clock())
 		at := s.machine()
 		now := s.clock()
-		s.holder.Drop(now)
+		s.holder.Release(now)
 		s.have(at, now)
 	}
 }
 
-// Shares are the budgets as they are held; nil where there are none.
-func (g *Gate) Shares() []quota.View {
+// QuotaStatus are the budgets as they are held; nil where there are none.
+func (g *Dispatcher) QuotaStatus() []quota.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.shares == nil {
 		return nil
 	}
-	return g.shares.holder.Views(g.shares.clock())
+	return g.shares.holder.Status(g.shares.clock())
 }
 
-// StampDrawn writes down what was drawn since the last time, where somebody audits.
-func (g *Gate) StampDrawn() {
+// LogQuotaUse writes down what was drawn since the last time, where somebody audits.
+func (g *Dispatcher) LogQuotaUse() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.shares != nil {
@@ -135,6 +135,6 @@
 
 func (s *shares) stampDrawn(now quota.Micros) {
 	if s.stamps != nil {
-		s.stamps.Drew(s.machine(), s.holder.Views(now))
+		s.stamps.RecordDrawn(s.machine(), s.holder.Status(now))
 	}
 }
--- a/internal/backend/dispatch/repeat.go
+++ b/internal/backend/dispatch/replay.go
@@ -6,26 +6,26 @@
 )
 
 // name notes by what the repeats of a tokened invocation are known, and which one it repeats itself. The gate's lock is held.
-func (g *Gate) name(inv Invocation, t *Ticket) (tokened bool) {
+func (g *Dispatcher) name(inv Invocation, t *Request) (tokened bool) {
 	ops := g.sheet.Admission.Operations
 	if inv.Operation >= len(ops) || ops[inv.Operation].RetrySafety != admission.IdempotencyKeyed {
 		return false
 	}
-	t.key = idempotency.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.Token}
-	t.earlier = g.kept.Find(t.key, min(inv.At, Now())) // later, if the wall clock was set back
+	t.key = idempotency.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.IdempotencyKey}
+	t.earlier = g.kept.Find(t.key, min(inv.ArrivedAt, Now())) // later, if the wall clock was set back
 	return true
 }
 
-// Repeats tells whether an invocation repeats one that is remembered here.
-func (g *Gate) Repeats(inv Invocation) bool {
+// IsRepeat tells whether an invocation repeats one that is remembered here.
+func (g *Dispatcher) IsRepeat(inv Invocation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var t Ticket
+	var t Request
 	return g.name(inv, &t) && t.earlier != ""
 }
 
 // readLate is how long ago what is read now can have reached the machine at most; what is older has no caller any more.
-func (g *Gate) readLate() (most Micros) {
+func (g *Dispatcher) readLate() (most Micros) {
 	for _, op := range g.sheet.Admission.Operations {
 		most = max(most, op.ClientTimeout)
 	}
@@ -33,21 +33,21 @@
 }
 
 // remember keeps an invocation for as long as the module asks, and a little longer: whoever judges may read another clock.
-func (g *Gate) remember(a admission.Remember) {
+func (g *Dispatcher) remember(a admission.Remember) {
 	if t := g.hand[a.ID]; t != nil {
 		g.kept.Remember(a.ID, t.key, Now()+a.For+g.sheet.Admission.AnswerSlack)
 	}
 }
 
 // reuse has a repeat wait for what it repeats, or answers it once the module's actions have been carried out.
-func (g *Gate) reuse(id string) {
+func (g *Dispatcher) reuse(id string) {
 	if t := g.hand[id]; t != nil && !t.answered && g.kept.AddWaiter(t.earlier, id) {
 		g.ripe = append(g.ripe, id)
 	}
 }
 
 // ended keeps how a run ended, for its repeats. One that never ran is forgotten: its repeat is the first.
-func (g *Gate) ended(t *Ticket, end End, result []byte) {
+func (g *Dispatcher) ended(t *Request, end Outcome, result []byte) {
 	switch {
 	case t.key.Token == "":
 	case end == NeverRan || end == Unrunnable:
@@ -59,7 +59,7 @@
 
 // ripen answers repeats of what has ended: with its result, else as errored, since what they ask for may have happened.
 // Where nothing ran they may come again, and soon: what kept the first from running is over or was its caller's leaving.
-func (g *Gate) ripen() {
+func (g *Dispatcher) ripen() {
 	if g.ripens {
 		return
 	}
@@ -71,12 +71,12 @@
 		if t == nil || t.answered {
 			continue
 		}
-		word, outcome := Word{Verdict: Errored}, admission.Errored
+		word, outcome := Response{Verdict: Errored}, admission.Errored
 		switch result, ok, ran := g.kept.Result(t.earlier); {
 		case ok:
-			word, outcome = Word{Verdict: Repeated, Result: result}, admission.OK
+			word, outcome = Response{Verdict: Replayed, Result: result}, admission.OK
 		case !ran:
-			word = Word{Verdict: Throttled, Away: Micros(g.bounds.ComeBack.Microseconds())}
+			word = Response{Verdict: Throttled, RetryAfter: Micros(g.bounds.ComeBack.Microseconds())}
 		}
 		g.answer(t, word)
 		g.decide(Now(), admission.Finished{ID: t.id, Outcome: outcome})
--- a/internal/backend/dispatch/repeat_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -11,7 +11,7 @@
 )
 
 // openTokened has the second operation known by its tokens, for as long as window.
-func openTokened(t *testing.T, window string, bounds func(*limits.Bounds)) *Gate {
+func openTokened(t *testing.T, window string, bounds func(*limits.Bounds)) *Dispatcher {
 	var sheet config.Settings
 	text := strings.NewReplacer(`"at_most_once"`, `"deduplicated","window_ms":`+window, `"run_factor"`, `"key_kb":20,"run_factor"`).Replace(fakes.Settings)
 	if err := json.Unmarshal([]byte(text), &sheet); err != nil {
@@ -28,14 +28,14 @@
 
 func tokened(id, token string) Invocation {
 	inv := usual(id)
-	inv.Operation, inv.Token = 1, token
+	inv.Operation, inv.IdempotencyKey = 1, token
 	return inv
 }
 
 // repeat picks one that waits, and returns where its word will come once it does wait.
-func repeat(t *testing.T, g *Gate, inv Invocation) <-chan Word {
-	word, n := make(chan Word, 1), inHand(g)
-	go func() { w, _ := g.Pick(inv); word <- w }()
+func repeat(t *testing.T, g *Dispatcher, inv Invocation) <-chan Response {
+	word, n := make(chan Response, 1), inHand(g)
+	go func() { w, _ := g.Admit(inv); word <- w }()
 	fakes.Until(t, "it waits", func() bool { return inHand(g) == n+1 || len(word) > 0 })
 	return word
 }
@@ -44,52 +44,52 @@
 func TestRepeats(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	g := openTokened(t, "5000", nil)
-	told := func(what string, w Word, ticket *Ticket) {
+	told := func(what string, w Response, ticket *Request) {
 		tr.Say("%s: verdict %d, result %q, ticket %t, in hand %d", what, w.Verdict, w.Result, ticket != nil, inHand(g))
 	}
-	w, first := g.Pick(tokened("a", "x"))
+	w, first := g.Admit(tokened("a", "x"))
 	told("the first", w, first)
 	waits := repeat(t, g, tokened("b", "x"))
-	w, other := g.Pick(tokened("c", "y"))
+	w, other := g.Admit(tokened("c", "y"))
 	told("another piece of work", w, other)
-	g.Report(other, RunErrored, nil)
+	g.Complete(other, RunErrored, nil)
 	inv := tokened("d", "x")
 	inv.Tenant = 1
-	w, stranger := g.Pick(inv)
+	w, stranger := g.Admit(inv)
 	told("another tenant's of the same token", w, stranger)
-	g.Report(stranger, RunSucceeded, []byte("the stranger's"))
-	g.Report(first, CallerLeft, nil)
-	tr.Say("its run ends, its caller has left: owed %t", g.Report(first, RunSucceeded, []byte("r")))
+	g.Complete(stranger, RunSucceeded, []byte("the stranger's"))
+	g.Abandon(first)
+	tr.Say("its run ends, its caller has left: owed %t", g.Complete(first, RunSucceeded, []byte("r")))
 	told("the repeat that waited", fakes.Take(t, "its word", waits), nil)
-	w, none := g.Pick(tokened("e", "x"))
+	w, none := g.Admit(tokened("e", "x"))
 	told("a repeat after the end", w, none)
-	w, none = g.Pick(tokened("f", "y"))
+	w, none = g.Admit(tokened("f", "y"))
 	told("a repeat of one that was errored", w, none)
-	w, none = g.Pick(tokened("g", ""))
+	w, none = g.Admit(tokened("g", ""))
 	told("no token", w, none)
 	old := tokened("h", "z")
-	old.At -= g.readLate() + 1000
-	old.Wait += g.readLate() + 1000
-	w, none = g.Pick(old)
+	old.ArrivedAt -= g.readLate() + 1000
+	old.CallerTimeout += g.readLate() + 1000
+	w, none = g.Admit(old)
 	told("so old that its first try may be forgotten", w, none)
 
-	_, first = g.Pick(tokened("i", "v"))
+	_, first = g.Admit(tokened("i", "v"))
 	waits = repeat(t, g, tokened("j", "v"))
-	g.Report(first, NeverRan, nil)
+	g.Complete(first, NeverRan, nil)
 	told("a repeat of what never ran", fakes.Take(t, "its word", waits), nil)
-	w, first = g.Pick(tokened("k", "v"))
+	w, first = g.Admit(tokened("k", "v"))
 	told("and the next", w, first)
-	g.Report(first, RunSucceeded, []byte("v"))
+	g.Complete(first, RunSucceeded, []byte("v"))
 
-	_, first = g.Pick(tokened("l", "u"))
+	_, first = g.Admit(tokened("l", "u"))
 	soon := tokened("m", "u")
-	soon.At -= 3_800_000 // due in 200 ms
+	soon.ArrivedAt -= 3_800_000 // due in 200 ms
 	waits = repeat(t, g, soon)
 	fakes.Until(t, "it is due", func() bool { g.Tick([]float64{0.5, 1, 0, 0}); return len(waits) > 0 })
 	told("a repeat that is due before the end", <-waits, nil)
-	g.Report(first, RunSucceeded, []byte("u"))
+	g.Complete(first, RunSucceeded, []byte("u"))
 	c, _ := g.Counts()
-	tr.Say("run %d, repeated %d, errored %d, kept %d", c.Run, c.Repeated, c.Errored, g.kept.Len())
+	tr.Say("run %d, repeated %d, errored %d, kept %d", c.Started, c.Replayed, c.Errored, g.kept.Len())
 }
 
 // TestRepeatOfWhatIsHeld: the first waits in line and its caller leaves. It never ran, so the next runs.
@@ -102,21 +102,21 @@
 	reads(0.5, 3, 0.1, 1) // no core is free
 	left := make(chan struct{})
 	inv := tokened("a", "x")
-	inv.Left = left
+	inv.CallerLeft = left
 	first := repeat(t, g, inv)
 	waits := repeat(t, g, tokened("b", "x"))
 	if len(first) > 0 || len(waits) > 0 {
 		t.Fatal("they do not wait")
 	}
 	close(left)
-	if w := fakes.Take(t, "the first's word", first); w.Verdict != Left {
+	if w := fakes.Take(t, "the first's word", first); w.Verdict != Abandoned {
 		t.Errorf("the first: %+v", w)
 	}
-	if w := fakes.Take(t, "the repeat's word", waits); w.Verdict != Throttled || w.Away <= 0 {
+	if w := fakes.Take(t, "the repeat's word", waits); w.Verdict != Throttled || w.RetryAfter <= 0 {
 		t.Errorf("the repeat: %+v", w)
 	}
 	reads(0.1, 0, 0.1, 1)
-	if w, ticket := g.Pick(tokened("c", "x")); ticket == nil {
+	if w, ticket := g.Admit(tokened("c", "x")); ticket == nil {
 		t.Errorf("the next: %+v", w)
 	}
 }
@@ -124,35 +124,35 @@
 // TestRepeatWindow: after the window it is new work; a repeat that arrived within it and is read later is none.
 func TestRepeatWindow(t *testing.T) {
 	g := openTokened(t, "20", nil)
-	_, first := g.Pick(tokened("a", "x"))
-	g.Report(first, RunSucceeded, []byte("r"))
+	_, first := g.Admit(tokened("a", "x"))
+	g.Complete(first, RunSucceeded, []byte("r"))
 	at := Now()
 	fakes.Until(t, "the window is over", func() bool { return Now() > at+120_000 })
 	g.Tick([]float64{0, 0, 0, 0})
 	read := tokened("b", "x")
-	read.At = at
-	if w, _ := g.Pick(read); w.Verdict != Repeated || string(w.Result) != "r" {
+	read.ArrivedAt = at
+	if w, _ := g.Admit(read); w.Verdict != Replayed || string(w.Result) != "r" {
 		t.Errorf("read late: %+v", w)
 	}
 	ahead := tokened("b2", "x") // the wall clock was set back: it seems to come later than now
-	ahead.At = Now() + 60_000_000
-	w, again := g.Pick(ahead)
+	ahead.ArrivedAt = Now() + 60_000_000
+	w, again := g.Admit(ahead)
 	if again == nil {
 		t.Fatalf("after the window, ahead of the clock: %+v", w)
 	}
-	g.Report(again, RunSucceeded, []byte("q"))
+	g.Complete(again, RunSucceeded, []byte("q"))
 	ahead.ID = "b3"
-	if w, _ := g.Pick(ahead); w.Verdict != Repeated || string(w.Result) != "q" {
+	if w, _ := g.Admit(ahead); w.Verdict != Replayed || string(w.Result) != "q" {
 		t.Errorf("its repeat: %+v", w)
 	}
 	fakes.Until(t, "the window is over again", func() bool { return Now() > at+240_000 })
-	w, again = g.Pick(tokened("c", "x"))
+	w, again = g.Admit(tokened("c", "x"))
 	if again == nil {
 		t.Fatalf("after the window: %+v", w)
 	}
 	waits := repeat(t, g, tokened("d", "x"))
-	g.Report(again, RunSucceeded, []byte("s"))
-	if w := fakes.Take(t, "the repeat's word", waits); w.Verdict != Repeated || string(w.Result) != "s" {
+	g.Complete(again, RunSucceeded, []byte("s"))
+	if w := fakes.Take(t, "the repeat's word", waits); w.Verdict != Replayed || string(w.Result) != "s" {
 		t.Errorf("beside it: %+v", w)
 	}
 }
@@ -160,24 +160,24 @@
 // TestRepeatsFull: what cannot be remembered is not run, with when to come back; what is remembered is answered all the same.
 func TestRepeatsFull(t *testing.T) {
 	g := openTokened(t, "5000", func(b *limits.Bounds) { b.Kept = 3 << 10; b.Result = 1 << 10 })
-	_, first := g.Pick(tokened("a", "x"))
-	w, none := g.Pick(tokened("b", "y"))
-	if w.Verdict != Throttled || w.Away <= 0 || none != nil {
+	_, first := g.Admit(tokened("a", "x"))
+	w, none := g.Admit(tokened("b", "y"))
+	if w.Verdict != Throttled || w.RetryAfter <= 0 || none != nil {
 		t.Errorf("no room: %+v", w)
 	}
-	if w, ticket := g.Pick(usual("c")); ticket == nil {
+	if w, ticket := g.Admit(usual("c")); ticket == nil {
 		t.Errorf("one that needs none: %+v", w)
 	}
-	g.Report(first, RunSucceeded, []byte("r"))
-	if w, _ := g.Pick(tokened("d", "x")); w.Verdict != Repeated {
+	g.Complete(first, RunSucceeded, []byte("r"))
+	if w, _ := g.Admit(tokened("d", "x")); w.Verdict != Replayed {
 		t.Errorf("a repeat: %+v", w)
 	}
 	c, _ := g.Counts()
-	if c.Unkept != 1 || g.kept.Len() != 1 {
+	if c.CacheFull != 1 || g.kept.Len() != 1 {
 		t.Errorf("%+v, kept %d", c, g.kept.Len())
 	}
 	g.Drain(4_000_000, -100_000)
-	if w, _ := g.Pick(tokened("e", "x")); w.Verdict != Errored {
+	if w, _ := g.Admit(tokened("e", "x")); w.Verdict != Errored {
 		t.Errorf("a repeat after the grace, which another would run: %+v", w)
 	}
 }
@@ -190,10 +190,10 @@
 	g = New(g.sheet, 1, g.bounds)
 	g.Open(false, 0)
 	for n := range 6 {
-		w, ticket := g.Pick(tokened(string(rune('a'+n)), string(rune('s'+n))))
+		w, ticket := g.Admit(tokened(string(rune('a'+n)), string(rune('s'+n))))
 		if ticket == nil {
 			t.Fatalf("number %d: %+v", n, w)
 		}
-		g.Report(ticket, RunSucceeded, nil)
+		g.Complete(ticket, RunSucceeded, nil)
 	}
 }
--- a/internal/backend/dispatch/watch.go
+++ b/internal/backend/dispatch/shadow.go
@@ -9,12 +9,12 @@
 // watched is what settings that are not acted on add to a gate. The gate's lock guards it.
 type watched struct {
 	sheet   *config.Settings
-	watcher *shadow.Watcher // nil until the gate is open
+	watcher *shadow.Evaluator // nil until the gate is open
 }
 
-// Watch counts from now on where other settings would have decided otherwise; nil ends it. Nothing that they decide
+// SetShadow counts from now on where other settings would have decided otherwise; nil ends it. Nothing that they decide
 // leaves the gate. What is in hand now is not compared.
-func (g *Gate) Watch(sheet *config.Settings) {
+func (g *Dispatcher) SetShadow(sheet *config.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.watched = nil
@@ -28,21 +28,21 @@
 }
 
 // openWatch opens the second instance as the first was opened: one that is still cold is so for both.
-func (g *Gate) openWatch() {
+func (g *Dispatcher) openWatch() {
 	if w := g.watched; w != nil {
 		w.watcher = shadow.New(g.terms(w.sheet), g.seed, g.opened)
 	}
 }
 
 // saw tells the second instance of what the first has just decided.
-func (g *Gate) saw(now Micros, ev admission.Event) {
+func (g *Dispatcher) saw(now Micros, ev admission.Event) {
 	if g.watched != nil && g.watched.watcher != nil {
-		g.watched.watcher.Saw(now, ev, g.acts)
+		g.watched.watcher.Observe(now, ev, g.acts)
 	}
 }
 
-// Watched has the counts of what is watched; ok is false where nothing is.
-func (g *Gate) Watched() (c shadow.Counts, ok bool) {
+// ShadowCounts has the counts of what is watched; ok is false where nothing is.
+func (g *Dispatcher) ShadowCounts() (c shadow.Counts, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.watched == nil || g.watched.watcher == nil {
--- a/internal/backend/dispatch/beat.go
+++ b/internal/backend/dispatch/ticker.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Beat ticks until done is closed. Before each tick it asks for a sample of the gauges and waits for it a
+// RunTicks ticks until done is closed. Before each tick it asks for a sample of the gauges and waits for it a
 // little while; a sample that is late still makes a tick, with the gauges known before. Ask tells whether a
 // sample is on its way; one that was late already is not waited for again, so that a silent farm does not
 // stretch the time between two ticks.
-func (g *Gate) Beat(done <-chan struct{}, ask func() bool, sampled <-chan []float64) {
+func (g *Dispatcher) RunTicks(done <-chan struct{}, ask func() bool, sampled <-chan []float64) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	sleep := func(span time.Duration, wake <-chan []float64) (gauges []float64, over bool) {
--- a/internal/backend/executor/lines.go
+++ b/internal/backend/executor/lines.go
@@ -29,13 +29,13 @@
 	command []byte // of a refusal
 	cold    bool   // of a greeting
 	micros  dispatch.Micros
-	end     dispatch.End
+	end     dispatch.Outcome
 	length  int // of the result that follows an outcome
 	tag     []byte
 	gauges  []float64
 }
 
-var ends = map[string]dispatch.End{
+var ends = map[string]dispatch.Outcome{
 	"complete": dispatch.RunSucceeded, "error": dispatch.RunErrored,
 	"cancelled": dispatch.RunCancelled, "unknown": dispatch.NeverRan,
 }
--- a/internal/backend/executor/link.go
+++ b/internal/backend/executor/link.go
@@ -26,7 +26,7 @@
 
 // Outcome is how a run ended, with its result.
 type Outcome struct {
-	End    dispatch.End
+	End    dispatch.Outcome
 	Result []byte
 }
 
--- a/internal/backend/quota/share.go
+++ b/internal/backend/quota/holder.go
@@ -19,14 +19,14 @@
 	fewest   = 4       // and so many units at the least: callers come by chance, see docs/budget-design.md
 	million  = 1_000_000
 
-	// Most is the largest whole, floor or extra, in units a second: a year of it still counts exactly.
-	Most = 100_000_000
-	// MostBudgets is how many budgets one holder may draw from.
-	MostBudgets = 64
+	// MaxRate is the largest whole, floor or extra, in units a second: a year of it still counts exactly.
+	MaxRate = 100_000_000
+	// MaxBudgets is how many budgets one holder may draw from.
+	MaxBudgets = 64
 )
 
-// Part is what the ledger grants of one budget.
-type Part struct {
+// Grant is what the ledger grants of one budget.
+type Grant struct {
 	Budget string `json:"budget"`
 	Epoch  uint64 `json:"epoch"`    // fence: whatever is told by an older one is refused
 	Floor  int64  `json:"floor"`    // units a second, for good
@@ -34,34 +34,34 @@
 	Lease  Micros `json:"lease_us"` // counted from when it was asked for
 }
 
-// Known is what a holder says of one budget as it asks: what it was told last, and what was drawn since it started.
-type Known struct {
+// Usage is what a holder says of one budget as it asks: what it was told last, and what was drawn since it started.
+type Usage struct {
 	Budget string `json:"budget"`
 	Epoch  uint64 `json:"epoch"`
 	Drawn  int64  `json:"drawn"` // without what was given back
 	Denied int64  `json:"denied"`
 }
 
-// Ask is a holder's question. Its number grows with each; a later one makes all earlier ones old.
-type Ask struct {
-	Name   string  `json:"name"`
-	Life   string  `json:"life"` // of the process: another process is another holder
-	Number uint64  `json:"number"`
-	Clock  Micros  `json:"clock_us"` // the holder's own, for rates; nobody else compares it with theirs
-	Known  []Known `json:"known,omitempty"`
+// LeaseRequest is a holder's question. Its number grows with each; a later one makes all earlier ones old.
+type LeaseRequest struct {
+	Name        string  `json:"name"`
+	Incarnation string  `json:"life"` // of the process: another process is another holder
+	Number      uint64  `json:"number"`
+	Clock       Micros  `json:"clock_us"` // the holder's own, for rates; nobody else compares it with theirs
+	Usage       []Usage `json:"known,omitempty"`
 }
 
-// Answer grants what an ask asked for.
-type Answer struct {
-	Name   string `json:"name"`
-	Life   string `json:"life"`
-	Number uint64 `json:"number"` // of the ask that it answers
-	Parts  []Part `json:"parts,omitempty"`
-	No     string `json:"no,omitempty"` // why nothing is granted
+// LeaseResponse grants what an ask asked for.
+type LeaseResponse struct {
+	Name        string  `json:"name"`
+	Incarnation string  `json:"life"`
+	Number      uint64  `json:"number"` // of the ask that it answers
+	Grants      []Grant `json:"parts,omitempty"`
+	Refusal     string  `json:"no,omitempty"` // why nothing is granted
 }
 
-// View is one budget as its holder has it.
-type View struct {
+// Status is one budget as its holder has it.
+type Status struct {
 	Budget string `json:"budget"`
 	Epoch  uint64 `json:"epoch"`
 	Floor  int64  `json:"floor"`
@@ -72,7 +72,7 @@
 }
 
 type held struct {
-	Part
+	Grant
 	until  Micros
 	tokens int64  // micro-units
 	filled Micros // when tokens were last counted up
@@ -98,7 +98,7 @@
 func New(name, life string, budgets []string) *Holder {
 	h := &Holder{name: name, life: life}
 	for _, b := range budgets {
-		h.budgets = append(h.budgets, held{Part: Part{Budget: b}})
+		h.budgets = append(h.budgets, held{Grant: Grant{Budget: b}})
 	}
 	return h
 }
@@ -108,9 +108,9 @@
 	return slices.IndexFunc(h.budgets, func(b held) bool { return b.Budget == budget })
 }
 
-// Draw takes one unit of a budget, or says that the share does not have it now. One check of the lease and one of the
+// TryAcquire takes one unit of a budget, or says that the share does not have it now. One check of the lease and one of the
 // tokens: a process that is stopped between the two and its act draws that one unit too late, and no more.
-func (h *Holder) Draw(now Micros, i int) bool {
+func (h *Holder) TryAcquire(now Micros, i int) bool {
 	b := &h.budgets[i]
 	b.fill(now)
 	if b.tokens < million {
@@ -126,9 +126,9 @@
 	return true
 }
 
-// Back gives one unit back that was drawn for work that never ran. What is drawn and kept stays within what the shares
+// Refund gives one unit back that was drawn for work that never ran. What is drawn and kept stays within what the shares
 // allow, and Drawn only grows: units given back are drawn again before new ones are counted.
-func (h *Holder) Back(now Micros, i int) {
+func (h *Holder) Refund(now Micros, i int) {
 	b := &h.budgets[i]
 	b.fill(now)
 	if b.back < b.drawn {
@@ -172,11 +172,11 @@
 	return max(fewest*million, rate*burst)
 }
 
-// Ahead is how many units a share of this rate may draw over what its rate allows in any span: a full bucket.
-func Ahead(rate int64) int64 { return (room(rate) + million - 1) / million }
+// BurstUnits is how many units a share of this rate may draw over what its rate allows in any span: a full bucket.
+func BurstUnits(rate int64) int64 { return (room(rate) + million - 1) / million }
 
-// Ask makes a question. The lease of its answer counts from now on.
-func (h *Holder) Ask(now Micros) Ask {
+// NewRequest makes a question. The lease of its answer counts from now on.
+func (h *Holder) NewRequest(now Micros) LeaseRequest {
 	n := uint64(1)
 	if len(h.asks) > 0 {
 		n = h.asks[len(h.asks)-1].number + 1
@@ -184,19 +184,19 @@
 	if h.asks = append(h.asks, asked{n, now}); len(h.asks) > keptAsks {
 		h.asks = slices.Delete(h.asks, 0, 1)
 	}
-	a := Ask{Name: h.name, Life: h.life, Number: n, Clock: now}
+	a := LeaseRequest{Name: h.name, Incarnation: h.life, Number: n, Clock: now}
 	for i := range h.budgets {
 		b := &h.budgets[i]
-		a.Known = append(a.Known, Known{b.Budget, b.Epoch, b.drawn, b.denied})
+		a.Usage = append(a.Usage, Usage{b.Budget, b.Epoch, b.drawn, b.denied})
 	}
 	return a
 }
 
-// Answer takes in what was granted. An error means that nothing was changed: an answer to another process, to an ask
+// Apply takes in what was granted. An error means that nothing was changed: an answer to another process, to an ask
 // that is forgotten, or by an epoch that is no newer than what is known.
-func (h *Holder) Answer(now Micros, a Answer) error {
-	if a.Name != h.name || a.Life != h.life {
-		return fmt.Errorf("life: the answer is for %s %s, this is %s %s", a.Name, a.Life, h.name, h.life)
+func (h *Holder) Apply(now Micros, a LeaseResponse) error {
+	if a.Name != h.name || a.Incarnation != h.life {
+		return fmt.Errorf("life: the answer is for %s %s, this is %s %s", a.Name, a.Incarnation, h.name, h.life)
 	}
 	began := now
 	at := slices.IndexFunc(h.asks, func(q asked) bool { return q.number == a.Number })
@@ -207,32 +207,32 @@
 	default:
 		began = h.asks[at].at
 	}
-	for _, p := range a.Parts {
+	for _, p := range a.Grants {
 		i := h.Index(p.Budget)
 		switch {
 		case i < 0:
 			return fmt.Errorf("budget: %q is not drawn from here", p.Budget)
 		case !plants.epoch && p.Epoch <= h.budgets[i].Epoch:
 			return fmt.Errorf("epoch: %d of %s is not newer than %d", p.Epoch, p.Budget, h.budgets[i].Epoch)
-		case p.Floor < 0 || p.Floor > Most || p.Extra < 0 || p.Extra > Most || p.Lease < 0:
+		case p.Floor < 0 || p.Floor > MaxRate || p.Extra < 0 || p.Extra > MaxRate || p.Lease < 0:
 			return fmt.Errorf("budget %s: floor %d, extra %d or lease %d is out of bounds", p.Budget, p.Floor, p.Extra, p.Lease)
 		}
 	}
-	for _, p := range a.Parts {
+	for _, p := range a.Grants {
 		b := &h.budgets[h.Index(p.Budget)]
 		b.fill(now)
 		if b.until = began + p.Lease; b.until <= now {
 			p.Extra = 0 // it came after its end
 		}
-		b.Part = p
+		b.Grant = p
 		b.filled = now
 		b.tokens = min(b.tokens, room(p.Floor+p.Extra))
 	}
 	return nil
 }
 
-// Drop gives everything back, floors too: nothing is drawn any more. It is told to the ledger after this, not before.
-func (h *Holder) Drop(now Micros) {
+// Release gives everything back, floors too: nothing is drawn any more. It is told to the ledger after this, not before.
+func (h *Holder) Release(now Micros) {
 	for i := range h.budgets {
 		b := &h.budgets[i]
 		b.fill(now)
@@ -240,13 +240,13 @@
 	}
 }
 
-// Views are all budgets as they are now.
-func (h *Holder) Views(now Micros) []View {
-	all := make([]View, len(h.budgets))
+// Status are all budgets as they are now.
+func (h *Holder) Status(now Micros) []Status {
+	all := make([]Status, len(h.budgets))
 	for i := range h.budgets {
 		b := &h.budgets[i]
 		b.fill(now)
-		all[i] = View{b.Budget, b.Epoch, b.Floor, b.Extra, b.until, b.drawn, b.denied}
+		all[i] = Status{b.Budget, b.Epoch, b.Floor, b.Extra, b.until, b.drawn, b.denied}
 	}
 	return all
 }
--- a/internal/backend/quotalog/stamps.go
+++ b/internal/backend/quotalog/log.go
@@ -10,8 +10,8 @@
 	"milletbarrow/internal/backend/quota"
 )
 
-// Stamps is what a process writes. Not safe for use by several goroutines.
-type Stamps struct {
+// Log is what a process writes. Not safe for use by several goroutines.
+type Log struct {
 	to    *bufio.Writer
 	since int64
 	drawn []int64 // by budget, when it was last written down
@@ -19,24 +19,24 @@
 
 // New writes to w; every call ends with a whole line there. The first line is "clock TIME PPM": how much faster the
 // holder's own clock was made to run.
-func New(w io.Writer, at int64, ppm int) *Stamps {
-	s := &Stamps{to: bufio.NewWriter(w), since: at}
+func New(w io.Writer, at int64, ppm int) *Log {
+	s := &Log{to: bufio.NewWriter(w), since: at}
 	fmt.Fprintf(s.to, "clock %d %d\n", at, ppm)
 	s.to.Flush()
 	return s
 }
 
-// Have writes down what is held now: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT", LEFT being how long the extra lasts on
+// RecordHeld writes down what is held now: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT", LEFT being how long the extra lasts on
 // the holder's own clock.
-func (s *Stamps) Have(at int64, now quota.Micros, all []quota.View) error {
+func (s *Log) RecordHeld(at int64, now quota.Micros, all []quota.Status) error {
 	for _, v := range all {
 		fmt.Fprintf(s.to, "have %d %s %d %d %d %d\n", at, v.Budget, v.Epoch, v.Floor, v.Extra, max(0, v.Until-now))
 	}
 	return s.to.Flush()
 }
 
-// Drew writes down what was drawn since the last time: "drew FROM TO BUDGET UNITS"; without any, "here TIME".
-func (s *Stamps) Drew(at int64, all []quota.View) error {
+// RecordDrawn writes down what was drawn since the last time: "drew FROM TO BUDGET UNITS"; without any, "here TIME".
+func (s *Log) RecordDrawn(at int64, all []quota.Status) error {
 	if len(s.drawn) < len(all) {
 		s.drawn = append(s.drawn, make([]int64, len(all)-len(s.drawn))...)
 	}
--- a/internal/backend/server/conn.go
+++ b/internal/backend/server/conn.go
@@ -219,17 +219,17 @@
 		return
 	}
 	inv := dispatch.Invocation{
-		ID: string(in.ID), Operation: op - 1, Tenant: max(tenant-1, 0), Rank: in.Rank, KB: in.KB, Retry: in.Retry,
-		Work: in.Work, At: dispatch.FromWall(in.At), Wait: in.Wait,
+		ID: string(in.ID), Operation: op - 1, Tenant: max(tenant-1, 0), Rank: in.Rank, MemoryKB: in.KB, Retry: in.Retry,
+		ExpectedWork: in.Work, ArrivedAt: dispatch.FromWallClock(in.At), CallerTimeout: in.Wait,
 	}
 	if !in.Told {
-		inv.Wait = s.sheet.Admission.Operations[op-1].ClientTimeout
+		inv.CallerTimeout = s.sheet.Admission.Operations[op-1].ClientTimeout
 	}
 	if s.sheet.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed {
-		inv.Token = token(in.Once, in.Body)
+		inv.IdempotencyKey = token(in.Once, in.Body)
 	}
 	st := &stream{number: h.Stream, left: make(chan struct{})}
-	inv.Left = st.left
+	inv.CallerLeft = st.left
 	again, room, gone := c.use(st)
 	switch {
 	case gone: // nobody can be answered any more
@@ -240,7 +240,7 @@
 		// More than may be open here, or than this process can hold: it never ran, another may have room. Not for a
 		// repeat of what ran here: the other would run it again.
 		code := frame.Throttled
-		if s.gate.Repeats(inv) {
+		if s.gate.IsRepeat(inv) {
 			code = frame.Errored
 		}
 		c.put(func(to []byte) []byte { return frame.AppendAnswer(to, h.Stream, code, 0, false, nil) })
--- a/internal/backend/server/edge_test.go
+++ b/internal/backend/server/edge_test.go
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go link.Keep(ctx)
-	go g.Beat(ctx.Done(), link.Sample, link.Sampled())
+	go g.RunTicks(ctx.Done(), link.Sample, link.Sampled())
 	go s.Serve()
 	t.Cleanup(func() {
 		cancel()
@@ -440,9 +440,9 @@
 	close(st.left)
 	for n := range 300 {
 		s.enter()
-		s.carry(nil, st, dispatch.Invocation{ID: fmt.Sprint(n), At: dispatch.Now(), Wait: 4_000_000, KB: 1, Left: st.left}, "look", nil)
+		s.carry(nil, st, dispatch.Invocation{ID: fmt.Sprint(n), ArrivedAt: dispatch.Now(), CallerTimeout: 4_000_000, MemoryKB: 1, CallerLeft: st.left}, "look", nil)
 	}
-	if counts, _ := s.gate.Counts(); counts.Picked != 0 || len(s.theFarm.Launches) != 0 {
+	if counts, _ := s.gate.Counts(); counts.Arrived != 0 || len(s.theFarm.Launches) != 0 {
 		t.Errorf("%+v, %d launches", counts, len(s.theFarm.Launches))
 	}
 	s.rests(t, 0)
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -29,7 +29,7 @@
 	fakes.Until(t, "the repeat waits", func() bool { return s.inGate() == 2 })
 	first.Conn.(*net.TCPConn).SetLinger(0)
 	first.Close()
-	fakes.Until(t, "its caller has left", func() bool { c, _ := s.gate.Counts(); return c.Left == 1 })
+	fakes.Until(t, "its caller has left", func() bool { c, _ := s.gate.Counts(); return c.Abandoned == 1 })
 	for len(s.theFarm.Subscribes) > 0 {
 		<-s.theFarm.Subscribes
 	}
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -39,7 +39,7 @@
 	sheet      *config.Settings
 	bounds     limits.Bounds
 	odd        *ratelimitlog.Tally
-	gate       *dispatch.Gate
+	gate       *dispatch.Dispatcher
 	farm       *executor.Link
 	operations map[string]int // number of each name, from 1
 	tenants    map[string]int
@@ -59,7 +59,7 @@
 type connKey struct{}
 
 // New makes a server for the terms of the sheet.
-func New(sheet *config.Settings, bounds limits.Bounds, tally *ratelimitlog.Tally, g *dispatch.Gate, f *executor.Link) *Server {
+func New(sheet *config.Settings, bounds limits.Bounds, tally *ratelimitlog.Tally, g *dispatch.Dispatcher, f *executor.Link) *Server {
 	s := &Server{
 		sheet: sheet, bounds: bounds, gate: g, farm: f, operations: map[string]int{}, tenants: map[string]int{},
 		conns: map[*conn]struct{}{}, odd: tally,
@@ -213,8 +213,8 @@
 		return
 	default:
 	}
-	word, ticket := s.gate.Pick(inv)
-	if word.Verdict != dispatch.Run {
+	word, ticket := s.gate.Admit(inv)
+	if word.Verdict != dispatch.Admitted {
 		s.say(c, st, word)
 		return
 	}
@@ -223,14 +223,14 @@
 	}
 	select {
 	case <-st.left: // before it went out
-		s.gate.Report(ticket, dispatch.Unrunnable, nil)
+		s.gate.Complete(ticket, dispatch.Unrunnable, nil)
 		return
 	default:
 	}
 	select {
-	case word := <-ticket.Final(): // likewise, and the answer is out: nothing is run for nobody
+	case word := <-ticket.FinalResponse(): // likewise, and the answer is out: nothing is run for nobody
 		s.say(c, st, word)
-		s.gate.Report(ticket, dispatch.NeverRan, nil)
+		s.gate.Complete(ticket, dispatch.NeverRan, nil)
 		return
 	default:
 	}
@@ -242,41 +242,41 @@
 			if end.End == dispatch.Unrunnable {
 				c.odd("unrunnable", nil)
 			}
-			switch owed := s.gate.Report(ticket, end.End, end.Result); {
+			switch owed := s.gate.Complete(ticket, end.End, end.Result); {
 			case owed && end.End == dispatch.RunSucceeded:
 				c.answer(st, frame.Succeeded, 0, false, end.Result)
 			case owed:
 				c.answer(st, frame.Errored, 0, false, nil)
 			default: // the final word is out already, perhaps just now
 				select {
-				case word := <-ticket.Final():
+				case word := <-ticket.FinalResponse():
 					s.say(c, st, word)
 				default:
 				}
 			}
 			return
-		case word := <-ticket.Final(): // the run goes on without anybody waiting for it
+		case word := <-ticket.FinalResponse(): // the run goes on without anybody waiting for it
 			s.say(c, st, word)
 		case <-left:
 			left = nil
-			s.gate.Report(ticket, dispatch.CallerLeft, nil)
+			s.gate.Abandon(ticket)
 		}
 	}
 }
 
 // say passes a final word on.
-func (s *Server) say(c *conn, st *stream, w dispatch.Word) {
+func (s *Server) say(c *conn, st *stream, w dispatch.Response) {
 	switch w.Verdict {
 	case dispatch.Throttled:
-		c.answer(st, frame.Throttled, w.Away, w.DontRetry, nil)
+		c.answer(st, frame.Throttled, w.RetryAfter, w.DontRetry, nil)
 	case dispatch.Errored:
 		c.answer(st, frame.Errored, 0, false, nil)
-	case dispatch.Repeated:
+	case dispatch.Replayed:
 		c.answer(st, frame.Succeeded, 0, false, w.Result)
 	}
 }
 
-func (s *Server) good() bool { return s.gate.Good() && s.farm.Up() }
+func (s *Server) good() bool { return s.gate.Healthy() && s.farm.Up() }
 
 // remarks takes netpoll's own log in: it writes a line for each connection that is reset.
 type remarks struct{ server *Server }
@@ -298,7 +298,7 @@
 			return
 		case <-tick.C:
 		}
-		s.sweep(s.gate.IdleFor())
+		s.sweep(s.gate.IdleTimeout())
 	}
 }
 
--- a/internal/backend/shadow/watch.go
+++ b/internal/backend/shadow/evaluator.go
@@ -10,23 +10,23 @@
 	"milletbarrow/admission"
 )
 
-// Kind is a way in which a decision differs.
-type Kind int
+// Difference is a way in which a decision differs.
+type Difference int
 
 // The kinds. Each is counted once an invocation and event, but Health, Connections and Value, once a change.
 const (
-	LetIn       Kind = iota // taken, where it was throttled or errored on arrival
-	TurnedAway              // throttled or errored on arrival, where it was taken
-	Words                   // throttled by both, but with the other word on trying elsewhere
-	Advice                  // with advice to stay away that differs by more than half
-	Order                   // another invocation started first
-	GivenUp                 // given up later on, where it was kept
-	KeptOn                  // kept on, where it was given up later on
-	Paused                  // taken off the cores, where it went on, or the other way
-	Repeated                // answered as a repeat from a kept key, where it was new work, or the other way
-	Health                  // health checks answered otherwise
-	Connections             // connections rest for another time
-	Value                   // another free value is sent, or one where none was, or the other way
+	OnlyShadowAdmits  Difference = iota // taken, where it was throttled or errored on arrival
+	OnlyShadowRejects                   // throttled or errored on arrival, where it was taken
+	RetryElsewhere                      // throttled by both, but with the other word on trying elsewhere
+	RetryAfter                          // with advice to stay away that differs by more than half
+	StartOrder                          // another invocation started first
+	OnlyShadowGivesUp                   // given up later on, where it was kept
+	OnlyShadowKeeps                     // kept on, where it was given up later on
+	Preemption                          // taken off the cores, where it went on, or the other way
+	Replay                              // answered as a repeat from a kept key, where it was new work, or the other way
+	Health                              // health checks answered otherwise
+	IdleTimeout                         // connections rest for another time
+	AdvertisedValue                     // another free value is sent, or one where none was, or the other way
 	kinds
 )
 
@@ -35,28 +35,28 @@
 	"connections", "value",
 }
 
-func (k Kind) String() string { return names[k] }
+func (k Difference) String() string { return names[k] }
 
 // Counts are what has passed.
 type Counts struct {
-	By       [kinds]int
-	Arrivals int // invocations that both were told of
-	Faults   int // panics of the second instance; after the first it decides nothing more
+	ByDifference [kinds]int
+	Arrivals     int // invocations that both were told of
+	Panics       int // panics of the second instance; after the first it decides nothing more
 }
 
 // Map has the counts that are not 0 by name, with arrivals and faults.
 func (c Counts) Map() map[string]int {
-	m := map[string]int{"arrivals": c.Arrivals, "faults": c.Faults}
-	for k, n := range c.By {
+	m := map[string]int{"arrivals": c.Arrivals, "faults": c.Panics}
+	for k, n := range c.ByDifference {
 		if n > 0 {
-			m[Kind(k).String()] = n
+			m[Difference(k).String()] = n
 		}
 	}
 	return m
 }
 
-// Watcher is the second instance. It is for one goroutine at a time.
-type Watcher struct {
+// Evaluator is the second instance. It is for one goroutine at a time.
+type Evaluator struct {
 	shadow *admission.Backend
 	acts   []admission.Action
 	hand   map[string]bool // what the first has in hand and not answered: the second has not either; bounded as the first is
@@ -68,25 +68,25 @@
 
 // New begins with the settings to be watched; now is the first instance's opening or, where it has been open for
 // long, any later time: what it had in hand before is not compared.
-func New(t admission.Config, seed uint64, now admission.Micros) *Watcher {
+func New(t admission.Config, seed uint64, now admission.Micros) *Evaluator {
 	t.ConfirmStarts = true
-	w := &Watcher{shadow: admission.New(t, seed), hand: map[string]bool{}, good: [2]bool{true, true}}
+	w := &Evaluator{shadow: admission.New(t, seed), hand: map[string]bool{}, good: [2]bool{true, true}}
 	w.idle = [2]admission.Micros{t.IdleTimeout, t.IdleTimeout}
 	w.decide(now, admission.Opened{})
 	return w
 }
 
 // Counts tells what has passed.
-func (w *Watcher) Counts() Counts { return w.counts }
+func (w *Evaluator) Counts() Counts { return w.counts }
 
-// Saw tells of an event and of what the first instance decided at it.
-func (w *Watcher) Saw(now admission.Micros, ev admission.Event, real []admission.Action) {
-	if _, opens := ev.(admission.Opened); opens || w.counts.Faults > 0 {
+// Observe tells of an event and of what the first instance decided at it.
+func (w *Evaluator) Observe(now admission.Micros, ev admission.Event, real []admission.Action) {
+	if _, opens := ev.(admission.Opened); opens || w.counts.Panics > 0 {
 		return
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			w.counts.Faults++
+			w.counts.Panics++
 			w.hand, w.shadow = nil, nil
 		}
 	}()
@@ -123,7 +123,7 @@
 	}
 }
 
-func (w *Watcher) decide(now admission.Micros, ev admission.Event) {
+func (w *Evaluator) decide(now admission.Micros, ev admission.Event) {
 	w.acts = w.shadow.Decide(now, ev, w.acts[:0])
 	for _, act := range w.acts {
 		if a, ok := act.(admission.Wake); ok {
@@ -133,10 +133,10 @@
 }
 
 // compare counts by kind; arrived is the invocation that has just come, if one has.
-func (w *Watcher) compare(arrived string, acts [2][]admission.Action) {
-	count := func(k Kind) { w.counts.By[k]++ }
+func (w *Evaluator) compare(arrived string, acts [2][]admission.Action) {
+	count := func(k Difference) { w.counts.ByDifference[k]++ }
 	if a, b := first(acts[0]), first(acts[1]); a != "" && b != "" && a != b {
-		count(Order)
+		count(StartOrder)
 	}
 	for side := range acts {
 		for _, act := range acts[side] {
@@ -148,15 +148,15 @@
 				w.idle[side] = a.After
 			case admission.Advertise:
 				if !same {
-					count(Value)
+					count(AdvertisedValue)
 				}
 			case admission.Stop:
 				if !same {
-					count(Paused)
+					count(Preemption)
 				}
 			case admission.Reuse:
 				if !same {
-					count(Repeated)
+					count(Replay)
 				}
 			}
 			id, final := answered(act)
@@ -177,9 +177,9 @@
 
 // differs tells how the answer of one side differs from the other's, which is nil where there is none. Two answers are
 // compared once, from the second's side.
-func differs(act, other admission.Action, side int, onArrival bool) (k Kind, yes bool) {
+func differs(act, other admission.Action, side int, onArrival bool) (k Difference, yes bool) {
 	if other == nil {
-		alone := [2][2]Kind{{KeptOn, GivenUp}, {LetIn, TurnedAway}}
+		alone := [2][2]Difference{{OnlyShadowKeeps, OnlyShadowGivesUp}, {OnlyShadowAdmits, OnlyShadowRejects}}
 		n := 0
 		if onArrival {
 			n = 1
@@ -192,19 +192,19 @@
 	case side == 0 || !throttles || !both:
 		return 0, false
 	case a.DontRetry != b.DontRetry:
-		return Words, true
+		return RetryElsewhere, true
 	}
-	return Advice, a.RetryAfter > b.RetryAfter*3/2 || b.RetryAfter > a.RetryAfter*3/2
+	return RetryAfter, a.RetryAfter > b.RetryAfter*3/2 || b.RetryAfter > a.RetryAfter*3/2
 }
 
 // sides counts what is no invocation's, once until both agree again.
-func (w *Watcher) sides() {
+func (w *Evaluator) sides() {
 	if w.good[0] != w.good[1] {
-		w.counts.By[Health]++
+		w.counts.ByDifference[Health]++
 		w.good[1] = w.good[0]
 	}
 	if w.idle[0] != w.idle[1] {
-		w.counts.By[Connections]++
+		w.counts.ByDifference[IdleTimeout]++
 		w.idle[1] = w.idle[0]
 	}
 }
@@ -243,13 +243,13 @@
 // String is the counts in a fixed order, for logs.
 func (c Counts) String() string {
 	s := fmt.Sprintf("arrivals=%d", c.Arrivals)
-	for k, n := range c.By {
+	for k, n := range c.ByDifference {
 		if n > 0 {
-			s += fmt.Sprintf(" %v=%d", Kind(k), n)
+			s += fmt.Sprintf(" %v=%d", Difference(k), n)
 		}
 	}
-	if c.Faults > 0 {
-		s += fmt.Sprintf(" faults=%d", c.Faults)
+	if c.Panics > 0 {
+		s += fmt.Sprintf(" faults=%d", c.Panics)
 	}
 	return s
 }
--- a/internal/backend/shadow/watch_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -29,7 +29,7 @@
 // pair is an instance that decides and one that watches, on one made-up clock.
 type pair struct {
 	real    *admission.Backend
-	watcher *Watcher
+	watcher *Evaluator
 	now     admission.Micros
 	running []string
 	record  bool // what runs
@@ -49,7 +49,7 @@
 			p.running = append(p.running, a.ID)
 		}
 	}
-	p.watcher.Saw(p.now, ev, acts)
+	p.watcher.Observe(p.now, ev, acts)
 }
 
 func (p *pair) end(id string, how admission.Outcome) {
@@ -130,7 +130,7 @@
 		p := newPair(first, second)
 		course(t, p)
 		c := p.watcher.Counts()
-		if same && len(c.Map()) > 2 || c.Faults > 0 || len(p.watcher.hand) > 0 {
+		if same && len(c.Map()) > 2 || c.Panics > 0 || len(p.watcher.hand) > 0 {
 			t.Errorf("the same %t: %v, %d in hand", same, c, len(p.watcher.hand))
 		}
 	})
@@ -142,7 +142,7 @@
 	for n := range 3 {
 		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000})
 	}
-	if c := p.watcher.Counts(); c.Faults != 1 || c.Arrivals != 1 || len(p.running) != 2 {
+	if c := p.watcher.Counts(); c.Panics != 1 || c.Arrivals != 1 || len(p.running) != 2 {
 		t.Errorf("%v, %d run", c, len(p.running))
 	}
 }
@@ -217,7 +217,7 @@
 		b.Run(fmt.Sprint("watched=", watched), func(b *testing.B) {
 			p := newPair(terms(func(*admission.Config) {}), terms(func(*admission.Config) {}))
 			if p.record = false; !watched {
-				p.watcher.counts.Faults = 1
+				p.watcher.counts.Panics = 1
 			}
 			for n := 0; b.Loop(); n++ {
 				p.now += 10_000
--- a/internal/cluster/quota/budget_test.go
+++ b/internal/cluster/quota/budget_test.go
@@ -30,8 +30,8 @@
 	clerk   *Clerk
 	clock   int64 // the leader's runs faster by so many in a thousand
 	holders []*holder
-	asks    []flying[quota.Ask]
-	answers []flying[quota.Answer]
+	asks    []flying[quota.LeaseRequest]
+	answers []flying[quota.LeaseResponse]
 	wholes  []int64 // by true time from which it holds
 	from    []int64
 }
@@ -68,7 +68,7 @@
 		if h.gone {
 			continue
 		}
-		for _, v := range h.Views(h.clock(f.now)) {
+		for _, v := range h.Status(h.clock(f.now)) {
 			sum += v.Extra
 			floors[h.name] += v.Floor
 		}
@@ -117,23 +117,23 @@
 			if !twice {
 				f.asks = slices.Delete(f.asks, i, i+1)
 			}
-			r := f.apply(Command{Renew: &Renew{Host: q.host, Asks: []quota.Ask{q.msg}}})
+			r := f.apply(Command{Renew: &Renew{Host: q.host, Asks: []quota.LeaseRequest{q.msg}}})
 			for _, a := range r.Answers {
-				f.answers = append(f.answers, flying[quota.Answer]{msg: a})
+				f.answers = append(f.answers, flying[quota.LeaseResponse]{msg: a})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				if h := one(); !h.gone && len(f.asks) < 8 {
-					f.asks = append(f.asks, flying[quota.Ask]{host: h.host, msg: h.Ask(h.clock(f.now))})
+					f.asks = append(f.asks, flying[quota.LeaseRequest]{host: h.host, msg: h.NewRequest(h.clock(f.now))})
 				}
 			},
 			"round": func(t *rapid.T) { // all of one host ask and are answered at once
 				for _, h := range f.holders {
 					if !h.gone {
-						f.asks = append(f.asks, flying[quota.Ask]{host: h.host, msg: h.Ask(h.clock(f.now))})
+						f.asks = append(f.asks, flying[quota.LeaseRequest]{host: h.host, msg: h.NewRequest(h.clock(f.now))})
 						deliver(len(f.asks)-1, false)
-						h.Answer(h.clock(f.now), f.answers[len(f.answers)-1].msg)
+						h.Apply(h.clock(f.now), f.answers[len(f.answers)-1].msg)
 					}
 				}
 			},
@@ -147,7 +147,7 @@
 					a := f.answers[rapid.IntRange(max(0, n-12), n-1).Draw(t, "answer")].msg
 					for _, h := range f.holders {
 						if !h.gone {
-							h.Answer(h.clock(f.now), a)
+							h.Apply(h.clock(f.now), a)
 						}
 					}
 				}
@@ -156,7 +156,7 @@
 			"draw": func(t *rapid.T) {
 				if h := one(); !h.gone {
 					for range rapid.IntRange(1, 50).Draw(t, "draws") {
-						h.Draw(h.clock(f.now), 0)
+						h.TryAcquire(h.clock(f.now), 0)
 					}
 				}
 			},
@@ -211,9 +211,9 @@
 					f.apply(Command{Gone: &Gone{Host: h.host, Lives: []string{Key(h.name, fmt.Sprint(h.life))}}})
 					continue
 				}
-				r := f.apply(Command{Renew: &Renew{Host: h.host, Asks: []quota.Ask{h.Ask(h.clock(f.now))}}})
-				if err := h.Answer(h.clock(f.now), r.Answers[0]); err != nil {
-					t.Fatalf("%s: %v: %s", h.name, err, r.Answers[0].No)
+				r := f.apply(Command{Renew: &Renew{Host: h.host, Asks: []quota.LeaseRequest{h.NewRequest(h.clock(f.now))}}})
+				if err := h.Apply(h.clock(f.now), r.Answers[0]); err != nil {
+					t.Fatalf("%s: %v: %s", h.name, err, r.Answers[0].Refusal)
 				}
 			}
 			f.check()
@@ -221,7 +221,7 @@
 		sum := int64(0)
 		for _, h := range f.holders {
 			if !h.gone {
-				v := h.Views(h.clock(f.now))[0]
+				v := h.Status(h.clock(f.now))[0]
 				sum += v.Floor + v.Extra
 			}
 		}
@@ -288,18 +288,18 @@
 	if n := len(l.Counts["out"]); n != 1 {
 		t.Fatalf("a give of an earlier turn ended a later one: %d held", n)
 	}
-	ask := quota.Ask{Name: "n0", Life: "a", Number: 2, Clock: 5, Known: []quota.Known{{Budget: "b"}}}
-	l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{ask}}})
-	if a := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{ask}}}).Answers[0]; a.No == "" || a.Parts != nil {
+	ask := quota.LeaseRequest{Name: "n0", Incarnation: "a", Number: 2, Clock: 5, Usage: []quota.Usage{{Budget: "b"}}}
+	l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{ask}}})
+	if a := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{ask}}}).Answers[0]; a.Refusal == "" || a.Grants != nil {
 		t.Fatalf("the same ask was answered twice: %+v", a)
 	}
-	other := quota.Ask{Name: "n0", Life: "b", Number: 1, Known: []quota.Known{{Budget: "b"}}}
-	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []quota.Ask{other}}}).Answers[0]; a.No == "" {
+	other := quota.LeaseRequest{Name: "n0", Incarnation: "b", Number: 1, Usage: []quota.Usage{{Budget: "b"}}}
+	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []quota.LeaseRequest{other}}}).Answers[0]; a.Refusal == "" {
 		t.Fatalf("two processes have the floor of one name: %+v", a)
 	}
 	l.Apply(Command{Off: &Off{Name: "n0", By: "test"}})
-	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []quota.Ask{other}}}).Answers[0]; a.No != "" {
-		t.Fatalf("written off and still not given: %s", a.No)
+	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []quota.LeaseRequest{other}}}).Answers[0]; a.Refusal != "" {
+		t.Fatalf("written off and still not given: %s", a.Refusal)
 	}
 }
 
@@ -310,8 +310,8 @@
 	l.Apply(Command{Terms: &terms})
 	c.Elected(1, l, false)
 	c.Due(2, l)
-	r := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{{Name: "n0", Life: "a", Number: 9, Known: []quota.Known{{Budget: "b", Epoch: 900}}}}}})
-	if r.Answers[0].No == "" || l.Serial <= 900 {
+	r := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{{Name: "n0", Incarnation: "a", Number: 9, Usage: []quota.Usage{{Budget: "b", Epoch: 900}}}}}})
+	if r.Answers[0].Refusal == "" || l.Serial <= 900 {
 		t.Fatalf("%+v, serial %d", r.Answers[0], l.Serial)
 	}
 	c.Due(3, l)
@@ -327,7 +327,7 @@
 			terms := rate(int64(n)*10, n, 1, Demand)
 			l.Apply(Command{Terms: &terms})
 			for i := range n {
-				l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{{Name: fmt.Sprint("n", i), Life: "a", Number: 1, Known: []quota.Known{{Budget: "b", Drawn: int64(i)}}}}}})
+				l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{{Name: fmt.Sprint("n", i), Incarnation: "a", Number: 1, Usage: []quota.Usage{{Budget: "b", Drawn: int64(i)}}}}}})
 			}
 			for b.Loop() {
 				l.Apply(Command{Divide: true})
@@ -367,10 +367,10 @@
 		for _, n := range sortedKeys(s.holders) {
 			h := s.holders[n]
 			for range s.draws(n) {
-				h.Draw(s.now, 0)
+				h.TryAcquire(s.now, 0)
 			}
-			r := s.l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.Ask{h.Ask(s.now)}}})
-			h.Answer(s.now, r.Answers[0])
+			r := s.l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{h.NewRequest(s.now)}}})
+			h.Apply(s.now, r.Answers[0])
 		}
 	}
 }
@@ -378,7 +378,7 @@
 func (s *small) held() (sum int64, by map[string]int64) {
 	by = map[string]int64{}
 	for n, h := range s.holders {
-		v := h.Views(s.now)[0]
+		v := h.Status(s.now)[0]
 		by[n] = v.Floor + v.Extra
 		sum += by[n]
 	}
--- a/internal/cluster/quota/ledger.go
+++ b/internal/cluster/quota/ledger.go
@@ -205,8 +205,8 @@
 
 // Renew brings the asks of one host's backends.
 type Renew struct {
-	Host string      `json:"host"`
-	Asks []quota.Ask `json:"asks"`
+	Host string               `json:"host"`
+	Asks []quota.LeaseRequest `json:"asks"`
 }
 
 // Lapse ends grants of a life whose lease is surely over, up to an epoch.
@@ -251,12 +251,12 @@
 
 // Result is what came of a command.
 type Result struct {
-	Serial  uint64         `json:"serial"`
-	Answers []quota.Answer `json:"answers,omitempty"`
-	No      string         `json:"no,omitempty"` // why it was not taken
-	Notes   []Note         `json:"notes,omitempty"`
-	Lives   []string       `json:"lives,omitempty"` // of a renewal: the keys of all that this host has
-	Out     []Out          `json:"out,omitempty"`   // and the units that it holds, with their budgets
+	Serial  uint64                `json:"serial"`
+	Answers []quota.LeaseResponse `json:"answers,omitempty"`
+	No      string                `json:"no,omitempty"` // why it was not taken
+	Notes   []Note                `json:"notes,omitempty"`
+	Lives   []string              `json:"lives,omitempty"` // of a renewal: the keys of all that this host has
+	Out     []Out                 `json:"out,omitempty"`   // and the units that it holds, with their budgets
 }
 
 // Key names a life.
@@ -415,36 +415,36 @@
 }
 
 // answer grants one ask what the division leaves it, as far as that is free.
-func (l *Ledger) answer(host string, q *quota.Ask, hold bool, r *Result) quota.Answer {
-	a := quota.Answer{Name: q.Name, Life: q.Life, Number: q.Number}
-	key := Key(q.Name, q.Life)
+func (l *Ledger) answer(host string, q *quota.LeaseRequest, hold bool, r *Result) quota.LeaseResponse {
+	a := quota.LeaseResponse{Name: q.Name, Incarnation: q.Incarnation, Number: q.Number}
+	key := Key(q.Name, q.Incarnation)
 	life := l.Lives[key]
 	if life != nil && q.Number <= life.Number {
-		a.No = fmt.Sprintf("ask %d is old: %d was heard", q.Number, life.Number)
+		a.Refusal = fmt.Sprintf("ask %d is old: %d was heard", q.Number, life.Number)
 		return a
 	}
 	for _, k := range l.of[q.Name] { // a floor is one process's; of extras too each is counted until it is over
 		if other := l.Lives[k]; k != key && l.anyFloor(other) {
-			a.No = fmt.Sprintf("%s has its floor as %s at %s: that one has to end there, or be written off", q.Name, other.Life, other.Host)
+			a.Refusal = fmt.Sprintf("%s has its floor as %s at %s: that one has to end there, or be written off", q.Name, other.Life, other.Host)
 			return a
 		}
 	}
-	for _, k := range q.Known {
+	for _, k := range q.Usage {
 		if k.Epoch > l.Serial { // this ledger granted it and does not know: it was set back
 			r.Notes = append(r.Notes, Note{Budget: k.Budget, Name: q.Name, Event: "ledger is older than its grants",
 				Cause: fmt.Sprintf("epoch %d is held, %d is the latest here", k.Epoch, l.Serial)})
 			l.Serial = k.Epoch + 1
 			l.Forgot++
-			a.No = "the ledger was set back and waits until all is over that it may have granted"
+			a.Refusal = "the ledger was set back and waits until all is over that it may have granted"
 			return a
 		}
 	}
 	if life == nil {
 		if len(l.Lives) >= mostLives {
-			a.No = fmt.Sprintf("%d lives are known already", mostLives)
+			a.Refusal = fmt.Sprintf("%d lives are known already", mostLives)
 			return a
 		}
-		life = &Life{Name: q.Name, Life: q.Life, Host: host, Held: map[string]*Held{}}
+		life = &Life{Name: q.Name, Life: q.Incarnation, Host: host, Held: map[string]*Held{}}
 		l.Lives[key] = life
 		l.of[q.Name] = append(l.of[q.Name], key)
 	}
@@ -452,7 +452,7 @@
 	first := life.Number == 0
 	l.move(key, life, host)
 	life.Number, life.Clock, life.Asked = q.Number, q.Clock, l.Serial
-	for _, k := range q.Known {
+	for _, k := range q.Usage {
 		b := l.Terms.Find(k.Budget)
 		if b == nil || b.Kind != Rate {
 			continue
@@ -475,7 +475,7 @@
 		if first { // until the next division
 			h.Target = max(h.Target, min(b.Step, l.free(b, h)))
 		}
-		a.Parts = append(a.Parts, l.grant(b, life, h, hold))
+		a.Grants = append(a.Grants, l.grant(b, life, h, hold))
 	}
 	return a
 }
@@ -501,7 +501,7 @@
 
 // grant gives a life its part. What is in force never grows past the whole: a lower whole, or a floor that was raised,
 // is reached as others confirm that they have less.
-func (l *Ledger) grant(b *Budget, life *Life, h *Held, hold bool) quota.Part {
+func (l *Ledger) grant(b *Budget, life *Life, h *Held, hold bool) quota.Grant {
 	s := l.sums[b.Name]
 	now := h.extra()
 	extra := min(h.Target, max(now, l.free(b, h)))
@@ -525,7 +525,7 @@
 		grants = grants[1:]
 	}
 	l.change(b.Name, life, h, grants)
-	return quota.Part{Budget: b.Name, Epoch: g.Epoch, Floor: g.Floor, Extra: g.Extra, Lease: b.Lease}
+	return quota.Grant{Budget: b.Name, Epoch: g.Epoch, Floor: g.Floor, Extra: g.Extra, Lease: b.Lease}
 }
 
 // lapse ends the extras of grants up to an epoch. Floors have no lease.
--- a/internal/cluster/quota/terms.go
+++ b/internal/cluster/quota/terms.go
@@ -81,16 +81,16 @@
 func (b *Budget) Check() (field string, err error) {
 	floors := int64(0)
 	for _, f := range b.Floors {
-		if f < 0 || f > quota.Most {
-			return "floor", fmt.Errorf("%d is not from 0 to %d", f, int64(quota.Most))
+		if f < 0 || f > quota.MaxRate {
+			return "floor", fmt.Errorf("%d is not from 0 to %d", f, int64(quota.MaxRate))
 		}
 		floors += f
 	}
 	switch {
 	case b.Kind != Rate && b.Kind != Count:
 		return "", fmt.Errorf("wanted (rate UNITS-A-SECOND) or (count UNITS)")
-	case b.Whole < 1 || b.Whole > quota.Most:
-		return string(b.Kind), fmt.Errorf("%d is not from 1 to %d", b.Whole, int64(quota.Most))
+	case b.Whole < 1 || b.Whole > quota.MaxRate:
+		return string(b.Kind), fmt.Errorf("%d is not from 1 to %d", b.Whole, int64(quota.MaxRate))
 	case b.Kind == Count && (b.Aside < 0 || b.Aside >= b.Whole):
 		return string(b.Kind), fmt.Errorf("%d leaves nothing to ask for: one each is set aside for %d hosts", b.Whole, b.Aside)
 	case b.Kind == Count:
--- a/internal/cluster/quotastore/bench_test.go
+++ b/internal/cluster/quotastore/bench_test.go
@@ -41,8 +41,8 @@
 				for number := uint64(1); pb.Next(); number++ {
 					c := &quota.Renew{Host: name}
 					for i := range 10 {
-						c.Asks = append(c.Asks, backendquota.Ask{
-							Name: fmt.Sprint("n", me*10+i), Life: "1", Number: number, Clock: backendquota.Micros(number * 1000), Known: []backendquota.Known{{Budget: "b"}},
+						c.Asks = append(c.Asks, backendquota.LeaseRequest{
+							Name: fmt.Sprint("n", me*10+i), Incarnation: "1", Number: number, Clock: backendquota.Micros(number * 1000), Usage: []backendquota.Usage{{Budget: "b"}},
 						})
 					}
 					ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -172,7 +172,7 @@
 	if ladder := f.Text("ladder", ""); ladder != "" {
 		raw, err := os.ReadFile(filepath.Join(filepath.Dir(file), ladder))
 		if err == nil {
-			p.Ladder, err = degradation.ReadLadder(ladder, raw)
+			p.Ladder, err = degradation.ParsePolicy(ladder, raw)
 		}
 		if err != nil {
 			f.Fail("ladder", "%v", err)
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -40,8 +40,8 @@
 	for _, b := range f.All("budget") {
 		s.readBudget(b)
 	}
-	if n := len(s.Budgets.Budgets); n == 0 || n > backendquota.MostBudgets {
-		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MostBudgets)
+	if n := len(s.Budgets.Budgets); n == 0 || n > backendquota.MaxBudgets {
+		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
 	}
 	f.Done()
 }
@@ -51,7 +51,7 @@
 	if s.Budgets.Find(b.Name) != nil {
 		f.Fail("", "budget %q stands twice", b.Name)
 	}
-	rate, count := f.Int("rate", 0, backendquota.Most, 0), f.Int("count", 0, backendquota.Most, 0)
+	rate, count := f.Int("rate", 0, backendquota.MaxRate, 0), f.Int("count", 0, backendquota.MaxRate, 0)
 	switch {
 	case rate > 0 && count == 0:
 		b.Kind, b.Whole = quota.Rate, int64(rate)
@@ -76,14 +76,14 @@
 func (s *Spec) readRate(f *sexpr.Form, b *quota.Budget) {
 	b.Tenant = f.Text("tenant", "")
 	b.Divide = quota.Divide(f.OneOf("divide", string(quota.Demand), string(quota.Even), string(quota.Capacity)))
-	b.Step = int64(f.Int("step", 1, backendquota.Most, 1))
+	b.Step = int64(f.Int("step", 1, backendquota.MaxRate, 1))
 	b.Lease = quota.Micros(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second).Microseconds())
 	margin := max(b.Lease/20, quota.LeastMargin(b.Lease))
 	b.Margin = quota.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
 	if b.Tenant == "" {
 		f.Fail("tenant", "missing: whose work draws from it")
 	}
-	floor := int64(f.Int("floor", 0, backendquota.Most, 0))
+	floor := int64(f.Int("floor", 0, backendquota.MaxRate, 0))
 	groups := f.Words("groups")
 	b.Floors, b.Weight = map[string]int64{}, map[string]int64{}
 	for _, g := range groups {
@@ -104,8 +104,8 @@
 		for name := range b.Floors {
 			for _, one := range sub.All(name) {
 				word := one.Arg()
-				if n, err := strconv.ParseInt(word, 10, 64); err != nil || n < least || n > backendquota.Most {
-					one.Fail("", "found %q, wanted a whole number from %d to %d", word, least, int64(backendquota.Most))
+				if n, err := strconv.ParseInt(word, 10, 64); err != nil || n < least || n > backendquota.MaxRate {
+					one.Fail("", "found %q, wanted a whole number from %d to %d", word, least, int64(backendquota.MaxRate))
 				} else {
 					to[name] = n
 				}
--- a/internal/plot/levels.go
+++ b/internal/plot/levels.go
@@ -24,7 +24,7 @@
 
 // Levels draws a replay: the level as steps, and the smoothed signals that the ladder speaks of, over seconds.
 // Format is svg or png.
-func Levels(to io.Writer, l *degradation.Ladder, points []degradation.Point, format string) error {
+func Levels(to io.Writer, l *degradation.Policy, points []degradation.ReplayPoint, format string) error {
 	p := plot.New()
 	p.Title.Text = "ladder " + l.Name
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "level, signals"
@@ -42,7 +42,7 @@
 	line.StepStyle, line.Width = plotter.PreStep, vg.Points(2)
 	p.Add(plotter.NewGrid(), line)
 	p.Legend.Add("level", line)
-	for n, s := range l.Speaks() {
+	for n, s := range l.SignalsUsed() {
 		// A signal that is missing leaves a gap: each stretch that is known is a line of its own.
 		var stretch plotter.XYs
 		named := false
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -63,9 +63,9 @@
 
 // reduced is a ladder of levels on one host.
 type reduced struct {
-	mover  *degradation.Mover
-	drawer *degradation.Drawer
-	meter  *degradation.Meter
+	mover  *degradation.Controller
+	drawer *degradation.Shedder
+	meter  *degradation.SignalMeter
 }
 
 // begin starts a process on a host.
@@ -83,16 +83,16 @@
 	seed := w.policy ^ uint64(h.number)<<20 ^ uint64(h.life)
 	h.policy = w.p.New(w.s.Terms(cold), seed)
 	if l := w.p.Ladder; l != nil {
-		drawer, err := degradation.NewDrawer(l, w.s.operationNames(), w.s.tenantNames(), seed)
+		drawer, err := degradation.NewShedder(l, w.s.operationNames(), w.s.tenantNames(), seed)
 		if err != nil {
 			return err
 		}
-		h.reduced = &reduced{mover: degradation.NewMover(l), drawer: drawer, meter: degradation.NewMeter(w.s.Hosts.Cores)}
+		h.reduced = &reduced{mover: degradation.NewController(l), drawer: drawer, meter: degradation.NewSignalMeter(w.s.Hosts.Cores)}
 	}
 	if cold && w.s.Hosts.ColdFor > 0 {
 		h.warmth = w.s.Hosts.ColdShare
 		if h.reduced != nil {
-			h.reduced.meter.Warms(degradation.Micros(w.now + w.s.Hosts.ColdFor))
+			h.reduced.meter.SetWarmingUntil(degradation.Micros(w.now + w.s.Hosts.ColdFor))
 		}
 		w.q.push(event{at: w.now + w.s.Hosts.ColdFor/20 + 1, kind: evCold, a: h.number, gen: h.life})
 	}
@@ -269,13 +269,13 @@
 	}
 	if r := h.reduced; r != nil {
 		now := degradation.Micros(w.now)
-		if r.drawer.Sheds(r.mover.Level(), r.mover.Depth(now), int(a.op), int(a.tenant), op.Rank, degradation.Micros(a.hint)) {
+		if r.drawer.ShouldShed(r.mover.Level(), r.mover.Depth(now), int(a.op), int(a.tenant), op.Rank, degradation.Micros(a.hint)) {
 			ev.ShedFor, t.shed = 1, true
 			w.res.Shed++
 		} else {
-			r.meter.Add(now, degradation.Arrivals)
+			r.meter.Count(now, degradation.Arrivals)
 			if t.retry {
-				r.meter.Add(now, degradation.Marked)
+				r.meter.Count(now, degradation.RetriedArrivals)
 			}
 		}
 	}
@@ -312,7 +312,7 @@
 			t := &w.atts[j]
 			t.retryIn, t.dont = min(a.RetryAfter, w.s.Hosts.RetryAfter), a.DontRetry
 			if r := h.reduced; r != nil && t.answers == 0 && !t.shed { // what a level sheds must not keep it
-				r.meter.Add(degradation.Micros(w.now), degradation.TurnedAway)
+				r.meter.Count(degradation.Micros(w.now), degradation.Rejections)
 			}
 			w.answer(h, j, Throttled)
 			w.unreused(h, j)
@@ -428,9 +428,9 @@
 		k.ended, k.ok = true, true
 	}
 	if r := h.reduced; r != nil && t.answers == 0 {
-		r.meter.Add(degradation.Micros(w.now), degradation.Answers)
+		r.meter.Count(degradation.Micros(w.now), degradation.Successes)
 		if w.now-t.reached > w.s.Operations[a.op].Objective {
-			r.meter.Add(degradation.Micros(w.now), degradation.Tardy)
+			r.meter.Count(degradation.Micros(w.now), degradation.LateSuccesses)
 		}
 	}
 	if t.answers > 0 {
@@ -662,9 +662,9 @@
 	if r := h.reduced; r != nil && h.up {
 		now := degradation.Micros(w.now)
 		if h.draining {
-			r.meter.Drains()
+			r.meter.SetDraining()
 		}
-		if c, changed := r.mover.Step(now, r.meter.Read(now, on+float64(h.held), use, memory, true)); changed {
+		if c, changed := r.mover.Update(now, r.meter.Signals(now, on+float64(h.held), use, memory, true)); changed {
 			w.res.changed(w, h, c)
 		}
 	}
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -14,7 +14,7 @@
 type Policy struct {
 	Name      string
 	New       func(t admission.Config, seed uint64) Decider
-	Ladder    *degradation.Ladder // levels of reduced service before the module; nil: none
+	Ladder    *degradation.Policy // levels of reduced service before the module; nil: none
 	Balance   *Balance            // instead of the scenario's
 	Throttles bool                // nodes throttle by themselves
 	Shares    Shares              // where hosts have their part of the tenants' quotas from
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -92,11 +92,11 @@
 		names = append(names, b.Name)
 	}
 	h := backendquota.New(name, life, names)
-	a := backendquota.Answer{Name: name, Life: life, Number: h.Ask(0).Number}
+	a := backendquota.LeaseResponse{Name: name, Incarnation: life, Number: h.NewRequest(0).Number}
 	for _, b := range all {
-		a.Parts = append(a.Parts, backendquota.Part{Budget: b.Name, Epoch: 1, Floor: b.Whole / parts})
+		a.Grants = append(a.Grants, backendquota.Grant{Budget: b.Name, Epoch: 1, Floor: b.Whole / parts})
 	}
-	if err := h.Answer(0, a); err != nil {
+	if err := h.Apply(0, a); err != nil {
 		panic(err) // the terms were checked
 	}
 	return h
@@ -115,7 +115,7 @@
 		}
 		w.quotas = fixedHolder("all", "price", all, 1)
 	}
-	if w.quotas.Draw(backendquota.Micros(w.now), tenant) {
+	if w.quotas.TryAcquire(backendquota.Micros(w.now), tenant) {
 		return 1
 	}
 	return overShare
@@ -157,9 +157,9 @@
 	sh := w.shares
 	if !w.ledgerCut || h.number >= w.cutHosts {
 		holder, now := sh.holders[h.number], backendquota.Micros(w.now)
-		r := sh.ledger.Apply(quota.Command{Renew: &quota.Renew{Host: hostName(h.number), Asks: []backendquota.Ask{holder.Ask(now)}}})
-		if len(r.Answers) > 0 && r.Answers[0].No == "" {
-			holder.Answer(now, r.Answers[0])
+		r := sh.ledger.Apply(quota.Command{Renew: &quota.Renew{Host: hostName(h.number), Asks: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
+		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
+			holder.Apply(now, r.Answers[0])
 		}
 	}
 	w.q.push(event{at: w.now + sharePause, kind: evShare, a: h.number, gen: h.life})
@@ -190,7 +190,7 @@
 	if holder == nil {
 		return admission.QuotaUnknown
 	}
-	if holder.Draw(backendquota.Micros(w.now), i) {
+	if holder.TryAcquire(backendquota.Micros(w.now), i) {
 		w.res.Within++
 		return admission.WithinQuota
 	}
@@ -205,7 +205,7 @@
 	}
 	t.drew = false
 	if holder, i := w.holderFor(h, int(w.asks[t.ask].tenant)); holder != nil {
-		holder.Back(backendquota.Micros(w.now), i)
+		holder.Refund(backendquota.Micros(w.now), i)
 	}
 }
 
