--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -77,11 +77,11 @@
 			}
 			misses++
 			after = -1 // another keeper may answer next, and it counts from the beginning
-			s, trace := a.look(w.name, run, misses)
-			if s.Phase != "" {
-				a.sighted(round, w.name, s, !trace)
-				over = s.Phase == fleet.Gone && trace
+			verdict := a.interpretSilence(w.name, run, misses)
+			if verdict.Decided {
+				a.sighted(round, w.name, verdict.Observation, !verdict.Recorded)
 			}
+			over = verdict.Ended()
 			pause := min(a.o.Bounds.Poll*time.Duration(misses), a.o.Bounds.PollRest)
 			select {
 			case <-time.After(pause):
@@ -112,35 +112,25 @@
 	}
 }
 
-// patient misses: a keeper that is just starting, or ending, is given some looks before its silence counts.
-const patientMisses = 8
+// interpretSilence finds out what became of an incarnation whose supervisor does not answer, from the supervisor's
+// record and from the processes that it names.
+func (a *Agent) interpretSilence(name, run string, missedPolls int) fleet.SilenceVerdict {
+	return fleet.SupervisorSilence{Run: run, MissedPolls: missedPolls, Record: a.supervisorRecord(name)}.Interpret()
+}
 
-// look finds out what became of a life whose keeper does not answer, from what the keeper wrote down and from the
-// processes. No phase means that it is too early to say; trace is false where no keeper of that life ever wrote.
-func (a *Agent) look(name, run string, misses int) (s fleet.Sight, trace bool) {
-	s.Run = run
-	st, err := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, name).State)
+// supervisorRecord reads what the supervisor of an instance wrote down, and looks for its processes.
+func (a *Agent) supervisorRecord(name string) fleet.SupervisorRecord {
+	state, err := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, name).State)
 	switch {
-	case err == nil && st.Run == run && st.Ended:
-		s.Phase, s.End, s.Told = fleet.Gone, st.End, st.NotifiedStep
-		return s, true
-	case misses < patientMisses:
-		return s, true
-	case err != nil && !errors.Is(err, supervisor.ErrNoState):
-		s.Phase, s.Cause = fleet.Unknown, err.Error()
-		return s, true
-	case err != nil || st.Run != run:
-		s.Phase, s.End = fleet.Gone, fleet.End{Unseen: true}
-		return s, false
-	case st.Supervisor.Alive():
-		s.Phase, s.Cause = fleet.Unknown, "its keeper does not answer"
-	case st.Instance.Alive():
-		s.Phase, s.Cause, s.Orphan = fleet.Unknown, "its keeper is gone", true
-	default:
-		s.Phase, s.End = fleet.Gone, fleet.End{Unseen: true}
+	case errors.Is(err, supervisor.ErrNoState):
+		return fleet.SupervisorRecord{State: fleet.RecordMissing}
+	case err != nil:
+		return fleet.SupervisorRecord{State: fleet.RecordUnreadable, Cause: err.Error()}
+	}
+	return fleet.SupervisorRecord{
+		State: fleet.RecordRead, Run: state.Run, Ended: state.Ended, End: state.End, NotifiedStep: state.NotifiedStep,
+		SupervisorAlive: state.Supervisor.Alive(), InstanceAlive: state.Instance.Alive(),
 	}
-	s.Told = st.NotifiedStep
-	return s, true
 }
 
 // take carries a step out, without keeping the loop.
