--- a/cmd/milletbarrow/moments_test.go
+++ b/cmd/milletbarrow/moments_test.go
@@ -235,3 +235,98 @@
 		t.Error(err)
 	}
 }
+
+// TestHalfAFrameAtTheShutdown: SIGTERM finds connections within a frame. Where the rest comes before the grace is over it is
+// run, where it comes after it there is one final answer, and where it never comes nothing waits for it. A connection that
+// is made during the drain is served, and asked for no more when the grace is over.
+func TestHalfAFrameAtTheShutdown(t *testing.T) {
+	b := prepare(t, `"drain_grace_ms":300`, `"drain_grace_ms":1500`, `"stop_ms":1500`, `"stop_ms":3500`).start().ready()
+	half := func(number int) (n *fakes.Node, rest string) {
+		n = fakes.Dial(t, b.address)
+		whole := fakes.Invocation(1, number, "wait=10000")
+		n.Send(whole[:40])
+		return n, whole[40:]
+	}
+	in, restIn := half(1)
+	after, restAfter := half(2)
+	never, _ := half(3)
+	check := fakes.Dial(t, b.address)
+	check.Send(fakes.Raw(20, 1, "\x00"))
+	check.Expect() // what was sent before it has been read
+	b.term()
+	fakes.Until(t, "the notice is heard", b.said("event=drain"))
+	in.Send(restIn)
+	l := fakes.Take(t, "a launch", b.farm.Launches)
+	b.farm.End(l.ID, "complete", "r")
+	if f := in.Expect(); f.Type != 11 || f.Code != 1 {
+		t.Errorf("the rest within the grace: %v", f)
+	}
+	late := fakes.Dial(t, b.address)
+	late.Send(fakes.Invocation(1, 4))
+	l = fakes.Take(t, "a launch", b.farm.Launches)
+	b.farm.End(l.ID, "complete", "r")
+	if f := late.Expect(); f.Type != 11 || f.Code != 1 {
+		t.Errorf("made during the drain: %v", f)
+	}
+	for _, n := range []*fakes.Node{in, late, after, never, check} {
+		if f := n.Expect(); f.Type != 30 {
+			t.Errorf("%v: not the end of the grace", f)
+		}
+	}
+	after.Send(restAfter)
+	go func() {
+		for l := range b.farm.Launches {
+			b.farm.End(l.ID, "complete", "r")
+		}
+	}()
+	if f := after.Expect(); f.Type != 11 || f.Stream != 1 {
+		t.Errorf("the rest after the grace: %v", f)
+	}
+	for _, n := range []*fakes.Node{in, late, after, check} {
+		n.Close()
+	}
+	if f, err := never.Next(); err != io.EOF {
+		t.Errorf("the rest never: %v %v", f, err)
+	}
+	if err := fakes.Take(t, "the exit", b.ended); err != nil {
+		t.Error(err)
+	}
+}
+
+// TestRestartBeforeTheExecutor: killed and started again at once, while the executor comes up late. Health is bad and work is
+// throttled until the executor has greeted, and then the new process takes work.
+func TestRestartBeforeTheExecutor(t *testing.T) {
+	b := prepare(t).start().ready()
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Invocation(1, 1))
+	fakes.Take(t, "a launch", b.farm.Launches)
+	for len(b.farm.Subscribes) > 0 {
+		<-b.farm.Subscribes
+	}
+	b.farm.With(func(state, _ *string) { *state = "" })
+	b.cmd.Process.Kill()
+	fakes.Take(t, "the end", b.ended)
+	b.farm.Cut()
+	b.start()
+	fakes.Take(t, "a link", b.farm.Subscribes)
+	fakes.Until(t, "it listens", func() bool {
+		c, err := net.Dial("tcp", b.address)
+		if err == nil {
+			c.Close()
+		}
+		return err == nil
+	})
+	n = fakes.Dial(t, b.address)
+	n.Send(fakes.Raw(20, 1, "\x00"), fakes.Invocation(2, 2))
+	if health, answer := n.Expect(), n.Expect(); health.Code == 1 || answer.Code != 2 {
+		t.Errorf("before the greeting: health %v, answer %v", health, answer)
+	}
+	b.farm.With(func(state, _ *string) { *state = "chilly 5" })
+	b.ready()
+	n.Send(fakes.Invocation(3, 3))
+	l := fakes.Take(t, "a launch", b.farm.Launches)
+	b.farm.End(l.ID, "complete", "r")
+	if f := n.Expect(); l.ID != "0000000000000003" || f.Stream != 3 || f.Code != 1 {
+		t.Errorf("after it: launched %v, answer %v", l, f)
+	}
+}
--- /dev/null
+++ b/internal/backend/server/close_test.go
@@ -0,0 +1,126 @@
+package server
+
+import (
+	"errors"
+	"io"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
+)
+
+// TestRequestAfterClose: requests are read on connections that have just been closed for writing: one that rested, one
+// within a frame. None is forwarded to the executor, none opens a stream, and the caller reads the end, not a reset.
+func TestRequestAfterClose(t *testing.T) {
+	whole := fakes.Invocation(1, 1)
+	for _, c := range []struct{ what, before, after string }{
+		{"rested", fakes.Raw(20, 9, "\x00"), whole + fakes.Invocation(2, 2)},
+		{"within a frame", whole[:40], whole[40:] + fakes.Invocation(2, 2)},
+	} {
+		s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Linger = time.Minute })
+		n := fakes.Dial(t, s.address)
+		n.Send(c.before)
+		one := s.only(t)
+		fakes.Until(t, "it is read", func() bool {
+			one.mu.Lock()
+			defer one.mu.Unlock()
+			return (one.sound || !one.begun.IsZero()) && one.rests()
+		})
+		s.Part()
+		if !s.Parted() {
+			t.Fatalf("%s: not closed", c.what)
+		}
+		release := s.holdPoller(t)
+		n.Send(c.after)
+		fakes.Until(t, "it stands unread", func() bool { return unread(one.fd) })
+		release()
+		fakes.Until(t, "it is read too", func() bool { return !unread(one.fd) })
+		if c.what == "rested" {
+			n.Expect() // the health check, before the close
+		}
+		if f, err := n.Next(); err != io.EOF {
+			t.Errorf("%s: %v %v after the close", c.what, f, err)
+		}
+		// The poller has taken it in before it serves another connection.
+		other := fakes.Dial(t, s.address)
+		other.Send(fakes.Raw(20, 1, "\x00"))
+		other.Expect()
+		if _, carried := s.Counts(); carried != 0 || s.inGate() != 0 || len(s.theFarm.Launches) != 0 {
+			t.Errorf("%s: %d in flight, %d launched", c.what, carried, len(s.theFarm.Launches))
+		}
+	}
+}
+
+// TestSmallAnswersBeforeClose: many small answers go out one by one, each in a write of its own, and the connection is closed
+// over input that is not read. The system holds none of them back: TCP_NODELAY is set on what is accepted, and all arrive.
+func TestSmallAnswersBeforeClose(t *testing.T) {
+	s := open(t, func(b *limits.Bounds, sheet *config.Settings) { b.Linger, sheet.Admission.Cores = time.Minute, 64 })
+	n := fakes.Dial(t, s.address)
+	c := s.only(t)
+	if on, err := unix.GetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY); err != nil || on == 0 {
+		t.Errorf("TCP_NODELAY is %d, %v", on, err)
+	}
+	const many = 20
+	for k := range many {
+		n.Send(fakes.Invocation(uint32(k+1), k+1))
+	}
+	for range many {
+		s.run(t, "complete", "r")
+	}
+	n.Send("\x00\x00\x00\x01xxxx") // closes once all is answered
+	fakes.Until(t, "it is closed", func() bool { return s.Parted() })
+	if _, err := n.Write(make([]byte, 1000)); err != nil && !errors.Is(err, syscall.EPIPE) {
+		t.Error(err)
+	}
+	answers := 0
+	f, err := n.Next()
+	for ; err == nil; f, err = n.Next() {
+		if f.Type == 11 && f.Stream > 0 && f.Code == 1 {
+			answers++
+		}
+	}
+	if err != io.EOF || answers != many {
+		t.Errorf("%d answers of %d, then %v", answers, many, err)
+	}
+}
+
+// TestResultCutOnItsWay: the executor's link breaks within a notice, within a result, and brings a result whose end cannot be
+// read. The caller gets one answer: whole and unchanged once the next link brings it, errored where the notice was spoilt.
+func TestResultCutOnItsWay(t *testing.T) {
+	s := open(t, nil)
+	n := fakes.Dial(t, s.address)
+	for k, c := range []struct {
+		what   string
+		spoils func(id string)
+		code   byte
+		body   string
+	}{
+		{"cut within its notice", func(id string) { s.theFarm.Send("outcome 1 " + id + " comp"); s.theFarm.Cut() }, 1, "the whole"},
+		{"cut within its result", func(id string) {
+			s.theFarm.Send("outcome 2 " + id + " complete 3 9\r\nthe w")
+			s.theFarm.Cut()
+		}, 1, "the whole"},
+		{"without its end", func(id string) { s.theFarm.Notice("outcome %d " + id + " complete 3 9\r\nthe wholeXX") }, 3, ""},
+	} {
+		n.Send(fakes.Invocation(uint32(k+1), k+1))
+		l := fakes.Take(t, "a launch", s.theFarm.Launches)
+		c.spoils(l.ID)
+		if c.code == 1 {
+			s.theFarm.End(l.ID, "complete", "the whole")
+		}
+		if f := n.Expect(); f.Stream != uint32(k+1) || f.Code != c.code || f.Body != c.body {
+			t.Errorf("%s: %v", c.what, f)
+		}
+		fakes.Until(t, "the link is up", s.good)
+	}
+	n.Send(fakes.Raw(20, 9, "\x00"))
+	if f := n.Expect(); f.Stream != 9 {
+		t.Errorf("a second answer: %v", f)
+	}
+	s.rests(t, 1)
+}
--- a/internal/backend/server/edge_test.go
+++ b/internal/backend/server/edge_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"net"
 	"runtime"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -127,6 +128,54 @@
 	s.rests(t, 1)
 }
 
+// TestFormsInPieces: every form of an invocation that the protocol allows is run, sent whole, byte by byte, and cut in the
+// middle of its length, of a name, of a value and of its body.
+func TestFormsInPieces(t *testing.T) {
+	s := open(t, nil)
+	n := fakes.Dial(t, s.address)
+	backwards := func(pairs []string) []string { slices.Reverse(pairs); return pairs }
+	number := 0
+	for what, form := range map[string]func(number int) string{
+		"usual":               func(k int) string { return fakes.Fields(fakes.Usual(k)...) + "body" },
+		"fields in any order": func(k int) string { return fakes.Fields(backwards(fakes.Usual(k))...) + "body" },
+		"unknown fields": func(k int) string {
+			return fakes.Fields(append(fakes.Usual(k), "colour=green", "x=", "="+strings.Repeat("v", 300))...) + "body"
+		},
+		"only what is needed": func(k int) string { return fakes.Fields(fakes.Usual(k, "from=", "cost=", "retry=")...) + "body" },
+		"all that is known": func(k int) string {
+			return fakes.Fields(append(fakes.Usual(k), "retry=0", "key=k", "once=o")...) + "body"
+		},
+		"numbers in any form": func(k int) string {
+			return fakes.Fields(fakes.Usual(k, "kb=.5", "rank=0", "cost=20.", "wait=04000")...)
+		},
+		"an empty body":       func(k int) string { return fakes.Fields(fakes.Usual(k)...) },
+		"a body of any bytes": func(k int) string { return fakes.Fields(fakes.Usual(k)...) + "\x00\r\n\xff" },
+	} {
+		for _, cuts := range [][]int{nil, {2}, {9, 14}, {30, 31}, {-1}, {1, 2, 3, 4, 5, 6, 7, 8, 9}, {0}} {
+			number++
+			frame := fakes.Raw(10, uint32(number), form(number))
+			if len(cuts) == 1 && cuts[0] == 0 {
+				for _, b := range []byte(frame) {
+					n.Send(string([]byte{b}))
+				}
+			} else {
+				from := 0
+				for _, cut := range cuts {
+					cut = (cut + len(frame)) % len(frame)
+					n.Send(frame[from:cut])
+					from = cut
+				}
+				n.Send(frame[from:])
+			}
+			l := s.run(t, "complete", "r")
+			if f := n.Expect(); f.Stream != uint32(number) || f.Code != 1 || f.Body != "r" || l.ID != fmt.Sprintf("%016x", number) {
+				t.Errorf("%s cut at %v: %v, launched %v", what, cuts, f, l)
+			}
+		}
+	}
+	s.rests(t, 1)
+}
+
 // TestOddFrames: what is wrong within sound borders costs its stream, no other.
 func TestOddFrames(t *testing.T) {
 	tr := fakes.NewTrace(t)
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -1,9 +1,11 @@
 package server
 
 import (
+	"fmt"
 	"net"
 	"strings"
 	"testing"
+	"time"
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/config"
@@ -144,3 +146,35 @@
 		t.Errorf("its repeat: %v", f)
 	}
 }
+
+// TestRepeatAtTheWindowsEdge: with a window of 100 ms, a repeat that arrived in the window's last moment is answered with the
+// first's result and not run, though it is read after the window; one that arrived just after the entry has run out is new
+// work and runs. Both say themselves when they arrived, so the outcome does not depend on how fast the test goes.
+func TestRepeatAtTheWindowsEdge(t *testing.T) {
+	const window = 100 * time.Millisecond
+	var slack time.Duration
+	s := open(t, func(b *limits.Bounds, sheet *config.Settings) {
+		tokened(b, sheet)
+		sheet.Admission.Operations[1].RepeatWindow = admission.Micros(window.Microseconds())
+		slack = time.Duration(sheet.Admission.AnswerSlack) * time.Microsecond
+	})
+	n := fakes.Dial(t, s.address)
+	at := func(when time.Time) string { return fmt.Sprint("at=", when.UnixMilli()) }
+	arrived := time.Now()
+	n.Send(fakes.Try(1, 1, "x", at(arrived)))
+	s.run(t, "complete", "first")
+	n.Expect()
+	inside, outside := arrived.Add(window), time.Now().Add(window+slack+2*time.Millisecond)
+	fakes.Until(t, "the window is over", func() bool { return time.Now().After(outside) })
+	n.Send(fakes.Try(2, 2, "x", "retry=1", at(inside)))
+	if f := n.Expect(); f.Stream != 2 || f.Code != 1 || f.Body != "first" || len(s.theFarm.Launches) != 0 {
+		t.Errorf("just inside: %v, %d launched", f, len(s.theFarm.Launches))
+	}
+	n.Send(fakes.Try(3, 3, "x", "retry=1", at(outside)))
+	if l := s.run(t, "complete", "second"); l.ID != "0000000000000003" {
+		t.Errorf("just outside: launched %v", l)
+	}
+	if f := n.Expect(); f.Stream != 3 || f.Code != 1 || f.Body != "second" {
+		t.Errorf("just outside: %v", f)
+	}
+}
