--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -41,7 +41,8 @@
 // Settings is the object that a platform hands a backend, made of a scenario.
 func Settings(s *simulation.Scenario) map[string]any {
 	repeats := map[admission.RetrySafety]string{admission.Idempotent: "idempotent", admission.NonIdempotent: "at_most_once"}
-	var classes, projects []map[string]any
+	classes := make([]map[string]any, 0, len(s.Operations))
+	var projects []map[string]any
 	ms := func(m simulation.Micros) float64 { return float64(m) / 1000 }
 	for _, op := range s.Operations {
 		classes = append(classes, map[string]any{
@@ -92,7 +93,7 @@
 	site = &Site{Dir: dir, Fleet: filepath.Join(dir, "fleet.sx"), listed: map[string]time.Time{}, Loopback: Loopback()}
 	defer func() {
 		if err != nil {
-			site.Clear()
+			_ = site.Clear()
 		}
 	}()
 	if register == "" {
@@ -101,13 +102,13 @@
 			return site, err
 		}
 		site.register = &http.Server{Handler: http.HandlerFunc(site.list), ReadTimeout: 5 * time.Second}
-		go site.register.Serve(l)
+		go func() { _ = site.register.Serve(l) }()
 		register = l.Addr().String()
 	}
 	var held []net.Listener // so that no address is given twice
 	defer func() {
 		for _, h := range held {
-			h.Close()
+			_ = h.Close()
 		}
 	}()
 	for n := range s.Hosts.Count {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -152,7 +152,7 @@
 		f.Fail("recorded", "%v", err)
 		return
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	if s.Load.Recorded, err = simulation.ReadRecorded(name, in, s); err != nil {
 		f.Fail("recorded", "%v", err)
 		return
--- a/internal/experiment/keep.go
+++ b/internal/experiment/keep.go
@@ -22,10 +22,10 @@
 	enc  *zstd.Encoder
 }
 
-// ErrTaken: another process writes there.
+// ErrTaken says that another process writes to the directory.
 var ErrTaken = errors.New("another run writes to this place")
 
-// ErrBuild: the results there are of another build.
+// ErrBuild says that the results in the directory are of another build.
 var ErrBuild = errors.New("the results there are of another build: name another place, or remove it")
 
 // Open takes a place for writing, and makes it if it is not there. Build names what runs: results of one build are not gone
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, fmt.Errorf("%s: %w", dir, ErrTaken)
 	}
 	p := &Place{Dir: dir, lock: lock}
@@ -54,7 +54,7 @@
 		p.enc, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	}
 	if err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, err
 	}
 	return p, nil
@@ -62,8 +62,7 @@
 
 // Close lets others have the place.
 func (p *Place) Close() error {
-	p.enc.Close()
-	return p.lock.Close()
+	return errors.Join(p.enc.Close(), p.lock.Close())
 }
 
 func (p *Place) file(key string) string { return filepath.Join(p.Dir, key+".run") }
@@ -78,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
+	defer func() { _ = os.Remove(f.Name()) }()
 	_, err = f.Write(p.enc.EncodeAll(raw, nil))
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
@@ -95,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	d, err := zstd.NewReader(in, zstd.WithDecoderMaxMemory(MostResult), zstd.WithDecoderConcurrency(1))
 	if err != nil {
 		return nil, err
--- a/internal/fakes/crew.go
+++ b/internal/fakes/crew.go
@@ -42,7 +42,7 @@
 		Address: l.Addr().String(), Takes: takes, Cores: cores, started: map[string]time.Time{},
 		life: map[string]bool{}, listener: l,
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -81,7 +81,7 @@
 }
 
 func (c *Crew) serve(conn net.Conn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
@@ -99,7 +99,7 @@
 			c.link = conn
 			fmt.Fprintf(conn, "greeting hot 3600000\r\n")
 			for _, n := range c.kept[min(after, len(c.kept)):] {
-				io.WriteString(conn, n)
+				_, _ = io.WriteString(conn, n)
 			}
 		case "sample":
 			queue := float64(c.busy + len(c.waiting))
@@ -109,7 +109,7 @@
 			fmt.Fprintf(conn, "sampled %s %.3f %.3f 0.05 3\r\n", words[1], min(1, float64(c.busy)/float64(c.Cores)), queue)
 		case "launch":
 			size, _ := strconv.Atoi(words[3])
-			io.CopyN(io.Discard, in, int64(size+2))
+			_, _ = io.CopyN(io.Discard, in, int64(size+2))
 			c.launch(words[1])
 		}
 		c.mu.Unlock()
@@ -148,7 +148,7 @@
 			notice := fmt.Sprintf("outcome %d %s complete %d %d\r\n%s\r\n", len(c.kept)+1, id, takes.Milliseconds(), len(result), result)
 			c.kept = append(c.kept, notice)
 			if c.link != nil {
-				io.WriteString(c.link, notice)
+				_, _ = io.WriteString(c.link, notice)
 			}
 		}
 		if len(c.waiting) > 0 && c.busy < c.Cores {
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -131,7 +131,7 @@
 			}
 		}
 	}()
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	chance := rand.New(rand.NewPCG(uint64(l.from), uint64(l.next)))
 	stream, refused := uint32(0), false
 	var enough <-chan time.Time
@@ -178,7 +178,7 @@
 			waits = l.owes(open)
 		}
 	}
-	c.Close()
+	_ = c.Close()
 	<-ended
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fakes/standin.go
+++ b/internal/fakes/standin.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	return NewNode(t, c)
 }
 
@@ -193,7 +193,7 @@
 
 // Next reads a frame; an error means that the connection is over.
 func (n *Node) Next() (f Frame, err error) {
-	n.SetReadDeadline(time.Now().Add(patience))
+	_ = n.SetReadDeadline(time.Now().Add(patience))
 	var head [9]byte
 	if _, err := io.ReadFull(n.in, head[:]); err != nil {
 		return f, err
@@ -258,7 +258,7 @@
 		Address: l.Addr().String(), Launches: make(chan Launch, 10_000), Subscribes: make(chan int, 1000), t: t,
 		listener: l, state: "hot 3600000", gauges: "0.10 0 0.05 3", known: map[string]bool{},
 	}
-	t.Cleanup(func() { l.Close(); f.Cut() })
+	t.Cleanup(func() { _ = l.Close(); f.Cut() })
 	go f.accept(l)
 	return f
 }
@@ -283,16 +283,16 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { l.Close() })
+	f.t.Cleanup(func() { _ = l.Close() })
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.listener.Close()
+	_ = f.listener.Close()
 	f.listener, f.Address = l, l.Addr().String()
 	go f.accept(l)
 	old := f.link
 	return func() {
 		if old != nil {
-			old.Close()
+			_ = old.Close()
 		}
 	}
 }
@@ -303,7 +303,7 @@
 		line, err := in.ReadString('\n')
 		words := strings.Fields(line)
 		if err != nil || len(words) < 2 {
-			c.Close()
+			_ = c.Close()
 			return
 		}
 		f.mu.Lock()
@@ -322,7 +322,7 @@
 		case "launch":
 			size, _ := strconv.Atoi(words[3])
 			body := make([]byte, size+2)
-			io.ReadFull(in, body)
+			_, _ = io.ReadFull(in, body)
 			if !f.known[words[1]] { // for one that runs already nothing happens
 				f.known[words[1]] = true
 				f.Launches <- Launch{words[1], words[2], string(body[:size])}
@@ -335,7 +335,7 @@
 func (f *Farm) greet(after int) {
 	fmt.Fprintf(f.link, "greeting %s\r\n", f.state)
 	for _, notice := range f.kept[min(after, len(f.kept)):] {
-		io.WriteString(f.link, notice)
+		_, _ = io.WriteString(f.link, notice)
 	}
 }
 
@@ -379,7 +379,7 @@
 
 func (f *Farm) send(text string) {
 	if f.link != nil {
-		io.WriteString(f.link, text)
+		_, _ = io.WriteString(f.link, text)
 	}
 }
 
@@ -403,7 +403,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.link != nil {
-		f.link.Close()
+		_ = f.link.Close()
 		f.link = nil
 	}
 }
--- a/internal/fakes/timedexecutor/yard.go
+++ b/internal/fakes/timedexecutor/yard.go
@@ -110,10 +110,10 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.closed = true
-	y.l.Close()
+	_ = y.l.Close()
 	y.timer.Stop()
 	for c := range y.links {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -198,7 +198,7 @@
 
 func (y *Yard) serve(c net.Conn) {
 	defer func() {
-		c.Close()
+		_ = c.Close()
 		y.mu.Lock()
 		delete(y.links, c)
 		if y.link == c {
--- a/internal/faultinjection/checker/audit.go
+++ b/internal/faultinjection/checker/audit.go
@@ -113,7 +113,7 @@
 		}
 		name, _, _ := strings.Cut(e.Name(), ".")
 		p, err := Read(name, f)
-		f.Close()
+		_ = f.Close()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/faultinjection/checker/audit_test.go
+++ b/internal/faultinjection/checker/audit_test.go
@@ -40,7 +40,7 @@
 			"clock 1 0\nhave 8000000 b 1 7 0 0\nhere 9900000\n"}, 1, 7.0 / 6},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var all []*Process
+			all := make([]*Process, 0, len(c.stamps))
 			for _, s := range c.stamps {
 				all = append(all, process(t, "n1", s))
 			}
@@ -91,7 +91,7 @@
 }
 
 func TestOut(t *testing.T) {
-	var all []*Process
+	all := make([]*Process, 0, 6)
 	for i, s := range []string{"clock 1 0\nhere 100\n", "clock 1 0\nhere 200\n", "clock 1 0\nhere 250\n"} {
 		all = append(all, process(t, "n"+itoa(i), s), process(t, "n"+itoa(i), "clock 300 0\nhere 900\n"))
 	}
--- a/internal/faultinjection/checker/births.go
+++ b/internal/faultinjection/checker/births.go
@@ -12,7 +12,7 @@
 		at int64
 		by int
 	}
-	var edges []edge
+	edges := make([]edge, 0, 2*len(all))
 	for _, p := range all {
 		end := p.First + span
 		if p.Last < end { // it died on the way, or has stamped nothing since: no longer than it was there
--- a/internal/faultinjection/harness/bring.go
+++ b/internal/faultinjection/harness/bring.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"strconv"
 	"syscall"
 	"time"
 
@@ -16,8 +17,7 @@
 
 // index of a host by its name, of a backend by its own.
 func index(name string) int {
-	n := 0
-	fmt.Sscanf(name[1:], "%d", &n)
+	n, _ := strconv.Atoi(name[1:])
 	return n - 1
 }
 
@@ -55,7 +55,7 @@
 	defer h.mu.Unlock()
 	switch f.Kind {
 	case schedule.Stop:
-		h.cmd.Process.Signal(syscall.SIGSTOP)
+		_ = h.cmd.Process.Signal(syscall.SIGSTOP)
 		wait(ctx, f.For)
 		return h.cmd.Process.Signal(syscall.SIGCONT)
 	case schedule.Full:
@@ -78,7 +78,7 @@
 		case <-h.ended:
 			g.o.Say("%s died at %q", h.name, f.Word)
 		case <-time.After(max(f.For, 5*time.Second)):
-			os.Remove(filepath.Join(at, f.Word))
+			_ = os.Remove(filepath.Join(at, f.Word))
 			return fmt.Errorf("%s did not come to %q", h.name, f.Word)
 		}
 		return g.startAgent(h)
@@ -154,13 +154,13 @@
 		defer h.mu.Unlock()
 	}
 	for _, h := range g.hosts {
-		h.cmd.Process.Kill()
+		_ = h.cmd.Process.Kill()
 	}
 	for _, h := range g.hosts {
 		<-h.ended
 	}
 	wait(ctx, gone)
-	var errs []error
+	errs := make([]error, 0, len(g.hosts))
 	for _, h := range g.hosts {
 		errs = append(errs, g.startAgent(h))
 	}
@@ -171,9 +171,9 @@
 func (g *Ground) old(ctx context.Context, h *host, after time.Duration) error {
 	at, copied := filepath.Join(h.dir, "ledger"), filepath.Join(g.site.Dir, "copies", fmt.Sprint(h.name, "-", process.Now()))
 	// The copy is taken of a process that is stopped, so that it is one that a disk could hold.
-	h.cmd.Process.Signal(syscall.SIGSTOP)
+	_ = h.cmd.Process.Signal(syscall.SIGSTOP)
 	err := os.CopyFS(copied, os.DirFS(at))
-	h.cmd.Process.Signal(syscall.SIGCONT)
+	_ = h.cmd.Process.Signal(syscall.SIGCONT)
 	if err != nil {
 		return err
 	}
@@ -270,7 +270,7 @@
 func (g *Ground) reload() {
 	for _, h := range g.hosts {
 		if h.mu.TryLock() { // else a fault has it in hand, after which it reads the file anyway
-			h.cmd.Process.Signal(syscall.SIGHUP)
+			_ = h.cmd.Process.Signal(syscall.SIGHUP)
 			h.mu.Unlock()
 		}
 	}
--- a/internal/faultinjection/harness/ground.go
+++ b/internal/faultinjection/harness/ground.go
@@ -161,7 +161,7 @@
 	}
 	defer func() {
 		if err != nil {
-			g.Close()
+			_ = g.Close()
 		}
 	}()
 	for _, d := range []string{"stamps", "points", "copies"} {
@@ -189,7 +189,7 @@
 		g.hosts = append(g.hosts, h)
 	}
 	for _, l := range held {
-		l.Close()
+		_ = l.Close()
 	}
 	var names, peers []string
 	for _, h := range g.hosts {
@@ -265,7 +265,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
@@ -274,7 +274,7 @@
 	ended := make(chan struct{})
 	h.cmd, h.ended = cmd, ended
 	go func() {
-		cmd.Wait()
+		_ = cmd.Wait()
 		close(ended)
 	}()
 	return nil
@@ -290,7 +290,7 @@
 
 func (h *host) killAgent() {
 	if h.cmd != nil {
-		h.cmd.Process.Kill()
+		_ = h.cmd.Process.Kill()
 		<-h.ended
 	}
 }
@@ -500,7 +500,7 @@
 		time.Sleep(2 * time.Second)
 		kill()
 	}()
-	g.Tool(first, "wave", "--all", "--quiet", "--id", "w", "--within", "10m")
+	_, _ = g.Tool(first, "wave", "--all", "--quiet", "--id", "w", "--within", "10m")
 	kill()
 	done := func() bool {
 		out, err := g.Tool(ctx, "status", "--json")
@@ -587,13 +587,15 @@
 		return nil
 	}
 	to := filepath.Join(g.o.Keep, v.Name)
-	os.RemoveAll(to)
+	_ = os.RemoveAll(to)
 	if err := os.CopyFS(filepath.Join(to, "stamps"), os.DirFS(filepath.Join(g.site.Dir, "stamps"))); err != nil {
 		return err
 	}
 	for _, h := range g.hosts {
 		if raw, err := os.ReadFile(filepath.Join(g.site.Dir, h.name+".log")); err == nil {
-			os.WriteFile(filepath.Join(to, h.name+".log"), raw, 0o600)
+			if err := os.WriteFile(filepath.Join(to, h.name+".log"), raw, 0o600); err != nil {
+				return err
+			}
 		}
 	}
 	raw, _ := json.MarshalIndent(v, "", " ")
@@ -606,7 +608,7 @@
 	for _, h := range g.hosts {
 		h.mu.Lock()
 		if h.cmd != nil {
-			h.cmd.Process.Signal(syscall.SIGCONT)
+			_ = h.cmd.Process.Signal(syscall.SIGCONT)
 			h.killAgent()
 		}
 		h.mu.Unlock()
@@ -616,7 +618,7 @@
 		g.mesh.Close()
 	}
 	if g.register != nil {
-		g.register.Close()
+		_ = g.register.Close()
 	}
 	return g.site.Clear()
 }
@@ -626,8 +628,8 @@
 	for _, h := range g.hosts {
 		for _, name := range h.names {
 			id := g.life(h, name)
-			id.Keeper.Signal(syscall.SIGKILL)
-			id.Instance.KillGroup()
+			_ = id.Keeper.Signal(syscall.SIGKILL)
+			_ = id.Instance.KillGroup()
 		}
 	}
 }
@@ -643,8 +645,8 @@
 	if err != nil {
 		return l
 	}
-	defer f.Close()
-	json.NewDecoder(io.LimitReader(f, 1<<16)).Decode(&l)
+	defer func() { _ = f.Close() }()
+	_ = json.NewDecoder(io.LimitReader(f, 1<<16)).Decode(&l) // what is not written yet names no process
 	return l
 }
 
--- a/internal/faultinjection/harness/measure.go
+++ b/internal/faultinjection/harness/measure.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer g.Close()
+	defer func() { _ = g.Close() }()
 	m = &Measures{Hosts: len(g.hosts), Backends: n, Lease: g.o.Lease, Margin: g.o.Margin, Whole: whole, Moved: map[string][]float64{}, Before: map[string]float64{}}
 	if err := g.Start(ctx); err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 		ctx, cancel := context.WithTimeout(ctx, d)
 		defer cancel()
 		s := g.scenario
-		loadgen.Run(ctx, loadgen.Options{Scenario: &s, Seed: 1, Backends: backends, Bounds: limits.ForLoad()})
+		_, _ = loadgen.Run(ctx, loadgen.Options{Scenario: &s, Seed: 1, Backends: backends, Bounds: limits.ForLoad()})
 	}
 	const phase = 9 * time.Second
 	half := [2][]string{g.site.Backends[:n/2], g.site.Backends[n/2:]}
@@ -73,12 +73,12 @@
 	var lost []loss
 	for _, h := range g.hosts {
 		h.mu.Lock()
-		h.cmd.Process.Kill()
+		_ = h.cmd.Process.Kill()
 		at := process.Now()
 		for _, name := range h.names {
 			l := g.life(h, name)
-			l.Keeper.Signal(syscall.SIGKILL)
-			l.Instance.KillGroup()
+			_ = l.Keeper.Signal(syscall.SIGKILL)
+			_ = l.Instance.KillGroup()
 		}
 		<-h.ended
 		h.mu.Unlock()
@@ -88,7 +88,7 @@
 			return nil, err
 		}
 		if err := g.until(ctx, 45*time.Second, "return of "+h.name, func() bool {
-			g.Tool(ctx, "start", "--host", h.name, "--quiet", "--wait=false", "--within", "30s")
+			_, _ = g.Tool(ctx, "start", "--host", h.name, "--quiet", "--wait=false", "--within", "30s")
 			return g.wholeNow(ctx) && g.ready(ctx) == n
 		}); err != nil {
 			return nil, err
@@ -106,7 +106,7 @@
 	loading.Go(func() {
 		for stop.Err() == nil {
 			s := g.scenario
-			loadgen.Run(stop, loadgen.Options{Scenario: &s, Seed: 2, Backends: g.site.Backends, Bounds: limits.ForLoad()})
+			_, _ = loadgen.Run(stop, loadgen.Options{Scenario: &s, Seed: 2, Backends: g.site.Backends, Bounds: limits.ForLoad()})
 		}
 	})
 	for dead := 0; dead <= len(g.hosts); dead++ {
--- a/internal/faultinjection/harness/report.go
+++ b/internal/faultinjection/harness/report.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	r := &Report{Faults: map[string]int{}}
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 16<<20)
--- a/internal/faultinjection/proxy/link.go
+++ b/internal/faultinjection/proxy/link.go
@@ -88,7 +88,7 @@
 
 // Close ends the link and all it carries.
 func (k *Link) Close() {
-	k.l.Close()
+	_ = k.l.Close()
 	close(k.over)
 	k.Reset()
 	k.after.Wait()
@@ -118,10 +118,10 @@
 func (c *carried) breakOff() {
 	for _, one := range []net.Conn{c.near, c.far} {
 		if t, ok := one.(*net.TCPConn); ok {
-			t.SetLinger(0)
+			_ = t.SetLinger(0)
 		}
 		if one != nil {
-			one.Close()
+			_ = one.Close()
 		}
 	}
 }
@@ -141,9 +141,9 @@
 	far, err := net.DialTimeout("tcp", k.to, time.Second)
 	if err != nil {
 		if t, ok := near.(*net.TCPConn); ok {
-			t.SetLinger(0)
+			_ = t.SetLinger(0)
 		}
-		near.Close()
+		_ = near.Close()
 		return
 	}
 	c := &carried{near, far}
@@ -179,9 +179,9 @@
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(2 * time.Second))
-	c.Write(what)
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
+	_, _ = c.Write(what)
 	for b := make([]byte, 4096); ; { // answered, and heard by nobody
 		if _, err := c.Read(b); err != nil {
 			return
@@ -232,7 +232,7 @@
 			case <-news:
 			case <-due:
 			case <-k.over:
-				to.Close()
+				_ = to.Close()
 				return
 			}
 		}
@@ -245,7 +245,7 @@
 		}
 	}
 	if t, ok := to.(*net.TCPConn); ok {
-		t.CloseWrite()
+		_ = t.CloseWrite()
 	}
 	for range pieces { // what is read must not block its reader
 	}
--- a/internal/faultinjection/registry/register.go
+++ b/internal/faultinjection/registry/register.go
@@ -31,7 +31,6 @@
 	falls  int
 	fallen time.Time // it takes nothing before
 	server *http.Server
-	gen    int
 	over   chan struct{}
 	draw   *rand.Rand
 }
@@ -57,7 +56,7 @@
 	defer r.mu.Unlock()
 	r.Address = l.Addr().String()
 	r.server = &http.Server{Handler: http.HandlerFunc(r.take), ReadTimeout: 5 * time.Second, ConnState: r.state}
-	go r.server.Serve(l)
+	go func() { _ = r.server.Serve(l) }()
 	return nil
 }
 
@@ -111,7 +110,7 @@
 	r.mu.Lock()
 	s := r.server
 	r.mu.Unlock()
-	s.Close()
+	_ = s.Close()
 }
 
 // take answers one report as the phase has it.
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -50,7 +50,7 @@
 func TestChoose(t *testing.T) {
 	b := Backends{Avoid: make([]Micros, 3)}
 	a := &Ask{Last: -1}
-	var got []int
+	got := make([]int, 0, 9)
 	for range 4 {
 		got = append(got, b.Choose(0, a))
 	}
@@ -119,7 +119,7 @@
 						if out == nil {
 							return
 						}
-						c.Write(out)
+						_, _ = c.Write(out)
 					}
 				}
 			}()
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -11,7 +11,6 @@
 	"sync"
 	"time"
 
-	"milletbarrow/admission"
 	"milletbarrow/internal/backend/frame"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/simulation"
@@ -292,7 +291,7 @@
 		l.end(simulation.Unreachable)
 		l.s.mu.Unlock()
 		if c != nil {
-			c.Close()
+			_ = c.Close()
 		}
 		return
 	}
@@ -329,14 +328,14 @@
 			}
 			l.s.mu.Unlock()
 			if _, err := c.Write(out); err != nil {
-				c.Close() // the reader finds the end
+				_ = c.Close() // the reader finds the end
 			}
 		}
 	}()
 }
 
 func (l *link) read(c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	const most = 262_144
 	buffer, have := make([]byte, 16<<10), 0
 	for {
@@ -401,7 +400,7 @@
 		}
 		delete(l.open, h.Stream)
 		x.a.Open--
-		heard := Heard{Outcome: simulation.Errored, RetryIn: admission.Micros(ans.After), Dont: ans.Last}
+		heard := Heard{Outcome: simulation.Errored, RetryIn: ans.After, Dont: ans.Last}
 		switch ans.Code {
 		case frame.Succeeded:
 			heard.Outcome = simulation.Succeeded
@@ -435,6 +434,6 @@
 func (l *link) close() {
 	l.over = true
 	if l.c != nil {
-		l.c.Close()
+		_ = l.c.Close()
 	}
 }
--- a/internal/simulation/coldstart/rising.go
+++ b/internal/simulation/coldstart/rising.go
@@ -95,8 +95,7 @@
 	tries  int
 	starts bool
 	warm   bool
-	gen    int // of its timer
-	onWay  int
+	gen    int  // of its timer
 	below  bool // its call below is in hand
 	fetch  int  // of them, by number
 }
@@ -128,7 +127,7 @@
 // Run plays one course.
 func Run(t Terms, p Policy, seed uint64) (*Course, error) {
 	w := &play{t: t, p: p, draw: rand.New(rand.NewPCG(seed, 28)), hosts: make([]int, t.Hosts), place: map[string]int{}}
-	var members []coldstart.Member
+	members := make([]coldstart.Member, 0, t.Backends)
 	reports := t.Reports
 	reports.Fixed = p.Steady
 	for n := range t.Backends {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -103,7 +103,7 @@
 	}
 	usable := func(k int32) bool {
 		sl := &n.slots[k]
-		return sl.avoid <= w.now && !(k == a.last && len(n.view) > 1)
+		return sl.avoid <= w.now && (k != a.last || len(n.view) == 1)
 	}
 	v := n.view
 	switch w.p.balance(w.s) {
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -38,7 +38,6 @@
 // sharing is what hosts draw from on a day with shares.
 type sharing struct {
 	mode    Shares
-	budgets []string // by tenant; empty where it has no quota
 	ledger  *quota.Ledger
 	clerk   quota.Clerk
 	holders []*backendquota.Holder // by host
@@ -87,7 +86,7 @@
 
 // fixedHolder draws from a part of each budget, for good.
 func fixedHolder(name, life string, all []quota.Budget, parts int64) *backendquota.Holder {
-	var names []string
+	names := make([]string, 0, len(all))
 	for _, b := range all {
 		names = append(names, b.Name)
 	}
@@ -159,7 +158,7 @@
 		holder, now := sh.holders[h.number], backendquota.Micros(w.now)
 		r := sh.ledger.Apply(quota.Command{Renew: &quota.Renew{Host: hostName(h.number), Asks: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
 		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
-			holder.Apply(now, r.Answers[0])
+			_ = holder.Apply(now, r.Answers[0]) // a refused answer leaves the shares as they are
 		}
 	}
 	w.q.push(event{at: w.now + sharePause, kind: evShare, a: h.number, gen: h.life})
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -73,6 +73,7 @@
 // Outcome is how an attempt or an ask ended, as the node sees it.
 type Outcome uint8
 
+// The outcomes.
 const (
 	Succeeded Outcome = iota
 	Throttled
@@ -124,7 +125,6 @@
 	audit  Audit
 	res    *Result
 	policy uint64 // seed
-	out    []admission.Action
 	trace  *Trace
 	tick   uint64
 	busyA  int // attempts and asks under way
@@ -199,8 +199,8 @@
 		last = max(last, w.s.For+w.s.Hosts.Stop+4*(op.Timeout+w.s.Nodes.BehindIn*2)+60*Second)
 	}
 	for {
-		e, any := w.q.next()
-		if !any || e.at > last || e.at > w.s.For && w.busyA == 0 {
+		e, found := w.q.next()
+		if !found || e.at > last || e.at > w.s.For && w.busyA == 0 {
 			break
 		}
 		w.now = e.at
