--- a/internal/backend/degradation/degradation_test.go
+++ b/internal/backend/degradation/degradation_test.go
@@ -34,8 +34,8 @@
 	return s
 }
 
-// TestLadders: what a ladder says in words, and what is refused with which words.
-func TestLadders(t *testing.T) {
+// TestPolicies: what a ladder says in words, and what is refused with which words.
+func TestPolicies(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	tr.Say("%s", ladder(t, bills).Explain())
 	for _, text := range []string{
@@ -54,8 +54,8 @@
 	tr.Say("%v", err)
 }
 
-// TestMoves: what a mover does in each kind of trouble.
-func TestMoves(t *testing.T) {
+// TestControllerCourses: what a mover does in each kind of trouble.
+func TestControllerCourses(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	story := func(what string, run func(step func(until Micros, s Signals), m **Controller)) {
 		tr.Say("%s", what)
@@ -171,9 +171,9 @@
 	return changes
 }
 
-// TestNoSwinging: ten minutes of load about each boundary, with many swells and seeds: no level changes more than
+// TestNoOscillation: ten minutes of load about each boundary, with many swells and seeds: no level changes more than
 // once a minute, and each change has its cause.
-func TestNoSwinging(t *testing.T) {
+func TestNoOscillation(t *testing.T) {
 	l := ladder(t, bills)
 	most, total, collapses := 0, 0, 0
 	for _, at := range []float64{1.1, 1.5, 2, 3} {
@@ -219,9 +219,9 @@
 	}
 }
 
-// TestMoverAlways: whatever the signals do, missing ones and jumps of the clock among it, changes keep to their
+// TestControllerInvariants: whatever the signals do, missing ones and jumps of the clock among it, changes keep to their
 // budget, a level is not left before its stay, and steps up are single.
-func TestMoverAlways(t *testing.T) {
+func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := ladder(t, bills)
 		m, now := NewController(l), Micros(0)
@@ -231,7 +231,7 @@
 			s := queued(rapid.Float64Range(0, 5).Draw(t, "queue"))
 			s[Late] = rapid.Float64Range(0, 0.3).Draw(t, "late")
 			if rapid.IntRange(0, 5).Draw(t, "missing") == 0 {
-				s[rapid.IntRange(0, int(signals)-1).Draw(t, "which")] = Missing
+				s[rapid.IntRange(0, int(signalCount)-1).Draw(t, "which")] = Missing
 			}
 			gap := Micros(rapid.SampledFrom([]int{20_000, 100_000, 1_000_000, 3_000_000}).Draw(t, "gap"))
 			for range rapid.IntRange(1, 300).Draw(t, "readings") {
@@ -257,8 +257,8 @@
 	})
 }
 
-// TestDraw: a share is kept closely at any time, chance says which, and what no rule names goes free.
-func TestDraw(t *testing.T) {
+// TestShedFraction: a share is kept closely at any time, chance says which, and what no rule names goes free.
+func TestShedFraction(t *testing.T) {
 	l := ladder(t, bills)
 	d, err := NewShedder(l, []string{"reprint", "lookup", "pay"}, []string{"acme"}, 7)
 	if err != nil {
@@ -342,7 +342,7 @@
 	})
 }
 
-func BenchmarkStep(b *testing.B) {
+func BenchmarkUpdate(b *testing.B) {
 	m := NewController(ladder(b, bills))
 	b.ReportAllocs()
 	for now := Micros(1); b.Loop(); now += 20_000 {
@@ -350,7 +350,7 @@
 	}
 }
 
-func BenchmarkDraw(b *testing.B) {
+func BenchmarkShouldShed(b *testing.B) {
 	d, _ := NewShedder(ladder(b, bills), []string{"reprint", "lookup", "pay"}, nil, 7)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/backend/degradation/policy.go
+++ b/internal/backend/degradation/policy.go
@@ -31,10 +31,10 @@
 	Unknown                  // 1 while the gauges are not known
 	WarmingUp                // 1 while the farm warms up
 	Draining                 // 1 once the notice has come
-	signals
+	signalCount
 )
 
-var signalNames = [signals]string{"queue", "cores", "turned", "hopeless", "late", "retries", "memory", "unknown", "cold", "draining"}
+var signalNames = [signalCount]string{"queue", "cores", "turned", "hopeless", "late", "retries", "memory", "unknown", "cold", "draining"}
 
 func (s Signal) String() string { return signalNames[s] }
 
@@ -43,16 +43,16 @@
 var Missing = math.NaN()
 
 // Signals are one reading of all.
-type Signals [signals]float64
+type Signals [signalCount]float64
 
 // Policy is a list of levels, the mildest first.
 type Policy struct {
 	Name           string
 	Levels         []Level
-	Smoothing      [signals]Micros // time constant of each signal
-	ChangeInterval Micros          // at most one change of a level in so long, a collapse excepted
-	RecoveryRamp   Micros          // leaving a level takes so long: what was shed comes back bit by bit
-	MaxOverride    Micros          // the longest that a person may hold a level
+	Smoothing      [signalCount]Micros // time constant of each signal
+	ChangeInterval Micros              // at most one change of a level in so long, a collapse excepted
+	RecoveryRamp   Micros              // leaving a level takes so long: what was shed comes back bit by bit
+	MaxOverride    Micros              // the longest that a person may hold a level
 }
 
 // Level is one step of reduced service. What milder levels shed is shed too.
@@ -131,7 +131,7 @@
 	if n := len(l.Levels); n == 0 || n > MaxLevels {
 		f.Fail("", "found %d levels, wanted 1 to %d", n, MaxLevels)
 	}
-	l.check(f, errs)
+	l.validate(f, errs)
 	return l, errs.Err()
 }
 
@@ -193,8 +193,8 @@
 	return c
 }
 
-// value of a signal in a condition, if it speaks of it.
-func (c Condition) value(s Signal) (float64, bool) {
+// threshold of a signal in a condition, if it speaks of it.
+func (c Condition) threshold(s Signal) (float64, bool) {
 	for _, t := range c.Terms {
 		if t.Signal == s {
 			return t.Value, true
@@ -203,8 +203,8 @@
 	return 0, false
 }
 
-// check tells of a ladder that can't work.
-func (l *Policy) check(f *sexpr.Form, errs *sexpr.Errors) {
+// validate tells of a ladder that can't work.
+func (l *Policy) validate(f *sexpr.Form, errs *sexpr.Errors) {
 	seen := map[string]bool{"full": true}
 	for i, v := range l.Levels {
 		fail := func(what string, args ...any) { errs.Add(v.place, "ladder.level "+v.Name, what, args...) }
@@ -214,7 +214,7 @@
 		seen[v.Name] = true
 		shared := false
 		for _, out := range v.Exit.Terms {
-			in, both := v.Enter.value(out.Signal)
+			in, both := v.Enter.threshold(out.Signal)
 			shared = shared || both
 			switch {
 			case both && out.Value >= in:
@@ -234,7 +234,7 @@
 		}
 		milder := l.Levels[i-1]
 		for _, t := range v.Enter.Terms {
-			if m, both := milder.Enter.value(t.Signal); both && t.Value < m {
+			if m, both := milder.Enter.threshold(t.Signal); both && t.Value < m {
 				fail("enter: %s at %v lies below that of %s at %v: the milder level could not be reached", t.Signal, t.Value, milder.Name, m)
 			}
 		}
@@ -249,15 +249,15 @@
 		l.Name, len(l.Levels), span(l.ChangeInterval), span(l.RecoveryRamp))
 	for i, v := range l.Levels {
 		fmt.Fprintf(&b, "%d. %s\n   entered when %s\n   left when %s, after %v at least\n", i+1, v.Name,
-			v.Enter.words("at or above"), v.Exit.words("below"), span(v.MinDuration))
+			v.Enter.describe("at or above"), v.Exit.describe("below"), span(v.MinDuration))
 		for _, r := range v.Shed {
-			fmt.Fprintf(&b, "   sheds %s\n", r.words())
+			fmt.Fprintf(&b, "   sheds %s\n", r.describe())
 		}
 	}
 	return b.String()
 }
 
-func (c Condition) words(how string) string {
+func (c Condition) describe(how string) string {
 	var parts []string
 	for _, t := range c.Terms {
 		text := fmt.Sprintf("%s is %s %v", t.Signal, how, t.Value)
@@ -272,7 +272,7 @@
 	return strings.Join(parts, ", and ")
 }
 
-func (r Rule) words() string {
+func (r Rule) describe() string {
 	parts := []string{"everything"}
 	if r.Share < 1 {
 		parts[0] = fmt.Sprintf("%.0f%% of everything", 100*r.Share)
@@ -294,10 +294,10 @@
 
 // SignalsUsed lists the signals that its conditions name, each once.
 func (l *Policy) SignalsUsed() (all []Signal) {
-	for s := range signals {
+	for s := range signalCount {
 		for _, v := range l.Levels {
-			_, in := v.Enter.value(s)
-			_, out := v.Exit.value(s)
+			_, in := v.Enter.threshold(s)
+			_, out := v.Exit.threshold(s)
 			if (in || out) && !slices.Contains(all, s) {
 				all = append(all, s)
 			}
--- a/internal/backend/degradation/shedder.go
+++ b/internal/backend/degradation/shedder.go
@@ -10,7 +10,7 @@
 // follows it closely at any time, while chance says which: no caller is hit each time, and none goes free.
 type Shedder struct {
 	rules      [][]rule  // of each level
-	owed       []float64 // for each operation: what it is behind its share, above -1 and below 1
+	debt       []float64 // for each operation: what it is behind its share, above -1 and below 1
 	pcg        rand.PCG
 	operations int
 }
@@ -25,7 +25,7 @@
 // NewShedder fits a ladder to a deployment; a name that the deployment does not have is an error, as a rule that can
 // never match is a mistake.
 func NewShedder(l *Policy, operations, tenants []string, seed uint64) (*Shedder, error) {
-	d := &Shedder{owed: make([]float64, len(operations)), pcg: *rand.NewPCG(seed, 3), operations: len(operations)}
+	d := &Shedder{debt: make([]float64, len(operations)), pcg: *rand.NewPCG(seed, 3), operations: len(operations)}
 	mark := func(what string, names, all []string) ([]bool, error) {
 		if len(names) == 0 {
 			return nil, nil
@@ -88,7 +88,7 @@
 	if share <= 0 || share >= 1 {
 		return share > 0
 	}
-	owed := &d.owed[operation]
+	owed := &d.debt[operation]
 	*owed += share
 	if *owed > float64(d.pcg.Uint64()>>11)/(1<<53) {
 		*owed--
--- a/internal/backend/degradation/trace.go
+++ b/internal/backend/degradation/trace.go
@@ -53,7 +53,7 @@
 		for _, w := range words[1:] {
 			name, text, _ := strings.Cut(w, "=")
 			v, err := strconv.ParseFloat(text, 64)
-			s := index(name)
+			s := signalByName(name)
 			if s < 0 || err != nil || !(v >= 0 && v <= 1e9) {
 				return nil, fail("%q is no signal with a value from 0 up; there are %s", w, strings.Join(signalNames[:], ", "))
 			}
@@ -66,7 +66,7 @@
 	return all, lines.Err()
 }
 
-func index(name string) int {
+func signalByName(name string) int {
 	for s, n := range signalNames {
 		if n == name {
 			return s
--- a/internal/backend/dispatch/dispatcher.go
+++ b/internal/backend/dispatch/dispatcher.go
@@ -21,13 +21,13 @@
 type Micros = admission.Micros
 
 // Now is the one clock.
-func Now() Micros { return base + Micros(time.Since(began).Microseconds()) }
+func Now() Micros { return clockBase + Micros(time.Since(clockStart).Microseconds()) }
 
-// began carries the machine's own clock: setting the wall clock an hour back must not hold the ticks for an hour, nor an
+// clockStart carries the machine's own clock: setting the wall clock an hour back must not hold the ticks for an hour, nor an
 // hour ahead make all that is in hand due.
 var (
-	began = time.Now()
-	base  = Micros(began.UnixMicro())
+	clockStart = time.Now()
+	clockBase  = Micros(clockStart.UnixMicro())
 )
 
 // FromWallClock is the gate's time of a point that the wall clock has just told of: however that clock stands, the two of now are
@@ -79,27 +79,27 @@
 	Unrunnable // the farm knows of no such work: no caller's invocation
 )
 
-var outcomes = [...]admission.Outcome{
+var moduleOutcomes = [...]admission.Outcome{
 	RunSucceeded: admission.OK, RunErrored: admission.Errored, RunCancelled: admission.Canceled, NeverRan: admission.NeverRan,
 	Unrunnable: admission.Unrunnable,
 }
 
 // Request stands for an invocation that Pick lets run.
 type Request struct {
-	id       string
-	due      Micros
-	want     Micros          // past it an answer is late
-	words    chan Response   // at most Run and one final word
-	shed     Micros          // a level sheds it
-	drew     int             // the budget that a unit was drawn of for it, or -1
-	key      idempotency.Key // by which its repeats are known; without a token there are none
-	earlier  string          // the one that it repeats
-	running  bool
-	answered bool // the final word is out, or none is owed
+	id          string
+	deadline    Micros
+	objectiveAt Micros          // past it an answer is late
+	responses   chan Response   // at most Run and one final word
+	shedAdvice  Micros          // a level sheds it
+	drawnBudget int             // the budget that a unit was drawn of for it, or -1
+	key         idempotency.Key // by which its repeats are known; without a token there are none
+	original    string          // the one that it repeats
+	running     bool
+	answered    bool // the final word is out, or none is owed
 }
 
 // FinalResponse brings the final word, if it comes before the run ends.
-func (t *Request) FinalResponse() <-chan Response { return t.words }
+func (t *Request) FinalResponse() <-chan Response { return t.responses }
 
 // Dispatcher serves one backend. Its methods may be called from any goroutine.
 type Dispatcher struct {
@@ -107,31 +107,31 @@
 	seed   uint64
 	bounds limits.Bounds
 
-	mu      sync.Mutex
-	backend *admission.Backend // nil until Open
-	hand    map[string]*Request
-	acts    []admission.Action
-	wake    Micros
-	token   int64
-	good    bool   // as health checks are to be answered
-	idle    Micros // connections may be idle for so long; 0: as long as the callers like
-	drained bool   // the notice has come
-	stops   Micros // and the process is stopped then
-	closes  Micros // what arrives later does not run; 0: no notice has come
-	module  Micros // the end of the grace as the module has it
-	gauges  []float64
-	asOf    Micros
-	ticked  Micros        // the last tick, or the opening
-	tick    chan struct{} // closed at the next tick; nil while nobody waits for it
-	counts  Counts
-	reduced *reduction         // nil without a ladder
-	shares  *shares            // nil without fleet-wide budgets
-	watched *watched           // nil without settings to be watched
-	kept    *idempotency.Table // nil where no operation is tokened
-	ripe    []string           // repeats of what has ended, to be answered
-	ripens  bool               // somebody does so
-	cold    bool               // the farm was, at the opening
-	opened  Micros             // as the module has it
+	mu               sync.Mutex
+	backend          *admission.Backend // nil until Open
+	inFlight         map[string]*Request
+	actions          []admission.Action
+	nextTick         Micros
+	timerToken       int64
+	healthy          bool   // as health checks are to be answered
+	idleTimeout      Micros // connections may be idle for so long; 0: as long as the callers like
+	draining         bool   // the notice has come
+	stopAt           Micros // and the process is stopped then
+	graceEnd         Micros // what arrives later does not run; 0: no notice has come
+	moduleGraceEnd   Micros // the end of the grace as the module has it
+	gauges           []float64
+	gaugesAt         Micros
+	lastTick         Micros        // the last tick, or the opening
+	tickDone         chan struct{} // closed at the next tick; nil while nobody waits for it
+	counts           Counts
+	degradation      *degradationState  // nil without a ladder
+	quotas           *quotaState        // nil without fleet-wide budgets
+	shadow           *shadowState       // nil without settings to be watched
+	results          *idempotency.Table // nil where no operation is tokened
+	readyRepeats     []string           // repeats of what has ended, to be answered
+	answeringRepeats bool               // somebody does so
+	startedCold      bool               // the farm was, at the opening
+	openedAt         Micros             // as the module has it
 }
 
 // Counts are what has passed since the start.
@@ -144,70 +144,70 @@
 }
 
 // Counts tells what has passed, and how many invocations are held or on the farm.
-func (g *Dispatcher) Counts() (Counts, int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.counts, len(g.hand)
+func (d *Dispatcher) Counts() (Counts, int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.counts, len(d.inFlight)
 }
 
 // New makes a gate that throttles everything until Open.
 func New(sheet *config.Settings, seed uint64, bounds limits.Bounds) *Dispatcher {
-	g := &Dispatcher{sheet: sheet, seed: seed, bounds: bounds, hand: map[string]*Request{}}
+	d := &Dispatcher{sheet: sheet, seed: seed, bounds: bounds, inFlight: map[string]*Request{}}
 	for _, op := range sheet.Admission.Operations {
-		if op.RetrySafety == admission.IdempotencyKeyed && g.kept == nil {
-			g.kept = idempotency.New(bounds.Kept, bounds.Result)
+		if op.RetrySafety == admission.IdempotencyKeyed && d.results == nil {
+			d.results = idempotency.New(bounds.Kept, bounds.Result)
 		}
 	}
-	return g
+	return d
 }
 
 // Open starts deciding: the farm is there and came up so long ago, cold or warm. Later calls change nothing.
 // Only a cold farm's past matters: its warming has gone on for so long. One that has been warm for an hour
 // must not make the module believe that it has seen no caller for an hour.
-func (g *Dispatcher) Open(cold bool, ago Micros) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.backend != nil {
+func (d *Dispatcher) Open(cold bool, ago Micros) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.backend != nil {
 		return
 	}
-	g.cold = cold
-	t := g.terms(g.sheet)
-	g.backend = admission.New(t, g.seed)
-	g.ticked = Now()
+	d.startedCold = cold
+	t := d.moduleTerms(d.sheet)
+	d.backend = admission.New(t, d.seed)
+	d.lastTick = Now()
 	if !cold {
 		ago = 0
-	} else if g.reduced != nil {
-		g.reduced.meter.SetWarmingUntil(degradation.Micros(process.Now()) + degradation.Micros(max(0, t.WarmUp-ago)))
+	} else if d.degradation != nil {
+		d.degradation.meter.SetWarmingUntil(degradation.Micros(process.Now()) + degradation.Micros(max(0, t.WarmUp-ago)))
 	}
-	g.opened = Now() - min(ago, t.WarmUp)
-	g.openWatch()
-	g.decide(g.opened, admission.Opened{})
-	if g.drained { // the farm came up during the drain
-		g.notice(Now())
+	d.openedAt = Now() - min(ago, t.WarmUp)
+	d.startShadow()
+	d.decide(d.openedAt, admission.Opened{})
+	if d.draining { // the farm came up during the drain
+		d.notifyModule(Now())
 	}
 }
 
-// terms are settings as the module is told them: as cold as the farm was, and with a grace that is shorter, as a
+// moduleTerms are settings as the module is told them: as cold as the farm was, and with a grace that is shorter, as a
 // notice may be heard late.
-func (g *Dispatcher) terms(sheet *config.Settings) admission.Config {
+func (d *Dispatcher) moduleTerms(sheet *config.Settings) admission.Config {
 	t := sheet.Admission
-	t.JustStarted = g.cold
+	t.JustStarted = d.startedCold
 	t.IdempotencyKeyKB = 0 // what is remembered lies in this process's memory, where its table is bounded; the settings' is the farm's
-	t.DrainGrace = max(0, t.DrainGrace-Micros(g.bounds.NoticeLate.Microseconds()))
+	t.DrainGrace = max(0, t.DrainGrace-Micros(d.bounds.NoticeLate.Microseconds()))
 	return t
 }
 
 // Admit takes an invocation in and blocks until it is to run, or is throttled or errored, or its caller has
 // left. The ticket is nil unless the verdict is Run; then Report must follow once the run has ended.
-func (g *Dispatcher) Admit(inv Invocation) (Response, *Request) {
-	g.catchUp()
-	t := g.enter(inv)
+func (d *Dispatcher) Admit(inv Invocation) (Response, *Request) {
+	d.awaitFreshTick()
+	t := d.register(inv)
 	var word Response
 	select {
-	case word = <-t.words:
+	case word = <-t.responses:
 	case <-inv.CallerLeft:
-		g.Abandon(t)
-		word = <-t.words
+		d.Abandon(t)
+		word = <-t.responses
 	}
 	if word.Verdict != Admitted {
 		return word, nil
@@ -215,21 +215,21 @@
 	return word, t
 }
 
-// catchUp waits a little for the next tick if the last is long past. It guards against what a process finds
+// awaitFreshTick waits a little for the next tick if the last is long past. It guards against what a process finds
 // that was held up: a crowd of arrivals, to be decided by gauges from before, while the ends of runs and the
 // gauges of now stand unread on the link. The next sample follows those ends.
-func (g *Dispatcher) catchUp() {
-	g.mu.Lock()
-	if g.backend == nil || Now()-g.ticked <= Micros(g.bounds.HeldUp.Microseconds()) {
-		g.mu.Unlock()
+func (d *Dispatcher) awaitFreshTick() {
+	d.mu.Lock()
+	if d.backend == nil || Now()-d.lastTick <= Micros(d.bounds.HeldUp.Microseconds()) {
+		d.mu.Unlock()
 		return
 	}
-	if g.tick == nil {
-		g.tick = make(chan struct{})
+	if d.tickDone == nil {
+		d.tickDone = make(chan struct{})
 	}
-	tick := g.tick
-	g.mu.Unlock()
-	late := time.NewTimer(2 * g.bounds.SampleWait)
+	tick := d.tickDone
+	d.mu.Unlock()
+	late := time.NewTimer(2 * d.bounds.SampleWait)
 	defer late.Stop()
 	select {
 	case <-tick:
@@ -237,132 +237,132 @@
 	}
 }
 
-func (g *Dispatcher) enter(inv Invocation) *Request {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (d *Dispatcher) register(inv Invocation) *Request {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := Now()
-	t := &Request{id: inv.ID, drew: -1, due: inv.ArrivedAt + inv.CallerTimeout, words: make(chan Response, 2)}
-	if inv.Operation < len(g.sheet.Admission.Operations) {
-		t.want = inv.ArrivedAt + g.sheet.Admission.Operations[inv.Operation].Objective
+	t := &Request{id: inv.ID, drawnBudget: -1, deadline: inv.ArrivedAt + inv.CallerTimeout, responses: make(chan Response, 2)}
+	if inv.Operation < len(d.sheet.Admission.Operations) {
+		t.objectiveAt = inv.ArrivedAt + d.sheet.Admission.Operations[inv.Operation].Objective
 	}
 	never := func(w Response) *Request { // it is in nobody's hand: its caller's leaving must not end another of its id
 		t.answered = true
-		t.words <- w
+		t.responses <- w
 		return t
 	}
-	tokened := g.name(inv, t)
-	away := Response{Verdict: Throttled, RetryAfter: g.sheet.Admission.MaxRetryAfter}
-	if t.earlier != "" { // that has run, or may yet: others must not be invited to run it too
+	tokened := d.identify(inv, t)
+	away := Response{Verdict: Throttled, RetryAfter: d.sheet.Admission.MaxRetryAfter}
+	if t.original != "" { // that has run, or may yet: others must not be invited to run it too
 		away = Response{Verdict: Errored}
 	}
 	switch {
-	case g.hand[inv.ID] != nil || g.kept != nil && g.kept.Contains(inv.ID):
+	case d.inFlight[inv.ID] != nil || d.results != nil && d.results.Contains(inv.ID):
 		// Ids are new with every try; this one is not, and must not end the other, nor have it forgotten.
 		return never(Response{Verdict: Errored})
-	case g.backend == nil:
+	case d.backend == nil:
 		return never(Response{Verdict: Throttled})
-	case g.closes != 0 && g.closes <= min(now, inv.ArrivedAt) && min(now, inv.ArrivedAt) <= g.module: // see Drain
+	case d.graceEnd != 0 && d.graceEnd <= min(now, inv.ArrivedAt) && min(now, inv.ArrivedAt) <= d.moduleGraceEnd: // see Drain
 		return never(away)
-	case tokened && (inv.IdempotencyKey == "" || now-inv.ArrivedAt > g.readLate()): // what it repeats cannot be known, or may be forgotten
+	case tokened && (inv.IdempotencyKey == "" || now-inv.ArrivedAt > d.maxReadDelay()): // what it repeats cannot be known, or may be forgotten
 		return never(Response{Verdict: Errored})
-	case tokened && t.earlier == "" && !g.kept.HasCapacity(): // its repeats would run again
-		g.counts.CacheFull++
+	case tokened && t.original == "" && !d.results.HasCapacity(): // its repeats would run again
+		d.counts.CacheFull++
 		return never(away)
 	}
-	g.hand[inv.ID] = t
-	g.counts.Arrived++
-	if t.due <= now {
-		g.counts.Expired++
+	d.inFlight[inv.ID] = t
+	d.counts.Arrived++
+	if t.deadline <= now {
+		d.counts.Expired++
 	}
-	t.shed = g.shedFor(&inv, t)
-	fault := g.decide(now, admission.Arrived{
+	t.shedAdvice = d.shedAdvice(&inv, t)
+	fault := d.decide(now, admission.Arrived{
 		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Priority: inv.Rank, Retry: inv.Retry,
 		ExpectedWork: inv.ExpectedWork, QueueTime: max(0, now-inv.ArrivedAt),
-		TimeLeft: max(1, t.due-now), // a wait that is used up is due at once; 0 would mean that none was told
-		MemoryKB: inv.MemoryKB, RepeatOf: t.earlier, ShedFor: t.shed, Quota: g.draw(&inv, t),
+		TimeLeft: max(1, t.deadline-now), // a wait that is used up is due at once; 0 would mean that none was told
+		MemoryKB: inv.MemoryKB, RepeatOf: t.original, ShedFor: t.shedAdvice, Quota: d.acquireUnit(&inv, t),
 	})
 	if fault != nil {
-		g.answer(t, Response{Verdict: Errored})
+		d.respond(t, Response{Verdict: Errored})
 	}
 	return t
 }
 
 // Abandon tells that the caller left; its run goes on.
-func (g *Dispatcher) Abandon(t *Request) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (d *Dispatcher) Abandon(t *Request) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if !t.answered {
-		g.answer(t, Response{Verdict: Abandoned})
-		g.decide(Now(), admission.CallerGone{ID: t.id})
+		d.respond(t, Response{Verdict: Abandoned})
+		d.decide(Now(), admission.CallerGone{ID: t.id})
 	}
 }
 
 // Complete tells how a run ended and what it brought. It returns whether the answer is still owed: if not, it was the
 // final response's or nobody waits for one. The result may be kept.
-func (g *Dispatcher) Complete(t *Request, end Outcome, result []byte) (owed bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (d *Dispatcher) Complete(t *Request, end Outcome, result []byte) (owed bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if owed = !t.answered; owed && end == RunSucceeded {
-		g.reduced.count(degradation.Successes)
-		if Now() > t.want {
-			g.reduced.count(degradation.LateSuccesses)
+		d.degradation.count(degradation.Successes)
+		if Now() > t.objectiveAt {
+			d.degradation.count(degradation.LateSuccesses)
 		}
 	}
 	t.answered = true
 	if end == NeverRan || end == Unrunnable {
-		g.giveBack(t)
+		d.refundUnit(t)
 	}
-	delete(g.hand, t.id)
-	g.ended(t, end, result)
-	g.decide(Now(), admission.Finished{ID: t.id, Outcome: outcomes[end]})
+	delete(d.inFlight, t.id)
+	d.recordResult(t, end, result)
+	d.decide(Now(), admission.Finished{ID: t.id, Outcome: moduleOutcomes[end]})
 	return owed
 }
 
 // Tick brings the gauges, or nil if they are not known, and names the time of the next tick.
-func (g *Dispatcher) Tick(gauges []float64) Micros {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (d *Dispatcher) Tick(gauges []float64) Micros {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := Now()
-	if g.backend == nil {
-		return now + g.sheet.Admission.AnswerSlack/3
+	if d.backend == nil {
+		return now + d.sheet.Admission.AnswerSlack/3
 	}
-	g.ticked = now
-	if g.kept != nil {
-		g.kept.EvictExpired(now, g.readLate(), Micros(g.bounds.Sweep.Microseconds()))
+	d.lastTick = now
+	if d.results != nil {
+		d.results.EvictExpired(now, d.maxReadDelay(), Micros(d.bounds.Sweep.Microseconds()))
 	}
-	if g.tick != nil {
-		defer close(g.tick)
-		g.tick = nil
+	if d.tickDone != nil {
+		defer close(d.tickDone)
+		d.tickDone = nil
 	}
-	g.counts.Ticks++
+	d.counts.Ticks++
 	if gauges == nil {
-		g.counts.Unsampled++
+		d.counts.Unsampled++
 	}
 	if gauges != nil {
-		g.gauges, g.asOf = append(g.gauges[:0], gauges...), now
-	} else if now-g.asOf > Micros(g.bounds.SampleOld.Microseconds()) {
-		g.gauges = g.gauges[:0]
-	}
-	r := g.sheet.Reading(g.gauges)
-	r.Token = g.token
-	g.step(r)
-	g.wake = 0
-	g.decide(now, r)
-	g.overdue(now)
-	if g.wake <= now {
-		g.wake = now + g.sheet.Admission.AnswerSlack/3
-	}
-	return g.wake
+		d.gauges, d.gaugesAt = append(d.gauges[:0], gauges...), now
+	} else if now-d.gaugesAt > Micros(d.bounds.SampleOld.Microseconds()) {
+		d.gauges = d.gauges[:0]
+	}
+	r := d.sheet.Reading(d.gauges)
+	r.Token = d.timerToken
+	d.updateLevel(r)
+	d.nextTick = 0
+	d.decide(now, r)
+	d.answerOverdue(now)
+	if d.nextTick <= now {
+		d.nextTick = now + d.sheet.Admission.AnswerSlack/3
+	}
+	return d.nextTick
 }
 
-// overdue guards the one answer against a fault of our own: what is still in hand well after it was due has
+// answerOverdue guards the one answer against a fault of our own: what is still in hand well after it was due has
 // been lost sight of.
-func (g *Dispatcher) overdue(now Micros) {
-	for _, t := range g.hand {
-		if !t.answered && now > t.due+g.sheet.Admission.AnswerSlack*2/3 {
-			slog.Error("overdue", "id", t.id, "late_us", now-t.due, "running", t.running)
-			g.answer(t, Response{Verdict: Errored})
-			g.decide(now, admission.CallerGone{ID: t.id})
+func (d *Dispatcher) answerOverdue(now Micros) {
+	for _, t := range d.inFlight {
+		if !t.answered && now > t.deadline+d.sheet.Admission.AnswerSlack*2/3 {
+			slog.Error("overdue", "id", t.id, "late_us", now-t.deadline, "running", t.running)
+			d.respond(t, Response{Verdict: Errored})
+			d.decide(now, admission.CallerGone{ID: t.id})
 		}
 	}
 }
@@ -371,132 +371,132 @@
 // counts the deployment's grace from the notice on. Where the notice came late, or a second one brings the end
 // forward, the gate itself throttles what arrives after it; else the module has ended its grace before. Both go by
 // when an invocation reached the machine, not by when it was read: one that is read late would else fall between.
-func (g *Dispatcher) Drain(left, grace Micros) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.drained = true
+func (d *Dispatcher) Drain(left, grace Micros) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.draining = true
 	now := Now()
-	if end := max(1, now+grace); g.closes == 0 || end < g.closes {
-		g.closes = end
+	if end := max(1, now+grace); d.graceEnd == 0 || end < d.graceEnd {
+		d.graceEnd = end
 	}
-	g.stops = now + left
-	if g.backend != nil {
-		g.notice(now)
+	d.stopAt = now + left
+	if d.backend != nil {
+		d.notifyModule(now)
 	}
 }
 
-// notice tells the module, which counts its grace from now on.
-func (g *Dispatcher) notice(now Micros) {
-	g.module = now + g.terms(g.sheet).DrainGrace
-	g.decide(now, admission.DrainNotice{Left: g.stops - now})
+// notifyModule tells the module, which counts its grace from now on.
+func (d *Dispatcher) notifyModule(now Micros) {
+	d.moduleGraceEnd = now + d.moduleTerms(d.sheet).DrainGrace
+	d.decide(now, admission.DrainNotice{Left: d.stopAt - now})
 }
 
 // Healthy tells how health checks are to be answered.
-func (g *Dispatcher) Healthy() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.backend != nil && g.good && !g.drained
+func (d *Dispatcher) Healthy() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.backend != nil && d.healthy && !d.draining
 }
 
 // IdleTimeout is how long connections may carry nothing; 0 leaves it to the callers.
-func (g *Dispatcher) IdleTimeout() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.idle >= g.sheet.Admission.IdleTimeout {
+func (d *Dispatcher) IdleTimeout() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.idleTimeout >= d.sheet.Admission.IdleTimeout {
 		return 0
 	}
-	return time.Duration(g.idle) * time.Microsecond
+	return time.Duration(d.idleTimeout) * time.Microsecond
 }
 
-// answer gives t its final word, once.
-func (g *Dispatcher) answer(t *Request, w Response) {
+// respond gives t its final word, once.
+func (d *Dispatcher) respond(t *Request, w Response) {
 	if t.answered {
 		return
 	}
 	t.answered = true
-	t.words <- w
+	t.responses <- w
 	if !t.running {
-		g.giveBack(t)
+		d.refundUnit(t)
 	}
-	if t.earlier != "" {
-		g.kept.RemoveWaiter(t.earlier, t.id)
+	if t.original != "" {
+		d.results.RemoveWaiter(t.original, t.id)
 	}
 	switch w.Verdict {
 	case Throttled:
-		g.counts.Throttled++
-		if t.shed == 0 {
-			g.reduced.count(degradation.Rejections)
+		d.counts.Throttled++
+		if t.shedAdvice == 0 {
+			d.degradation.count(degradation.Rejections)
 		}
 	case Errored:
-		g.counts.Errored++
+		d.counts.Errored++
 	case Abandoned:
-		g.counts.Abandoned++
+		d.counts.Abandoned++
 	case Replayed:
-		g.counts.Replayed++
-		g.reduced.count(degradation.Successes)
-		if Now() > t.want {
-			g.reduced.count(degradation.LateSuccesses)
+		d.counts.Replayed++
+		d.degradation.count(degradation.Successes)
+		if Now() > t.objectiveAt {
+			d.degradation.count(degradation.LateSuccesses)
 		}
 	}
 	if !t.running {
-		delete(g.hand, t.id)
+		delete(d.inFlight, t.id)
 	}
 }
 
 // decide hands the module what happened and carries out what it wants. A panic in it is logged and returned;
 // whatever was in hand stays there and is answered when it falls due.
-func (g *Dispatcher) decide(now Micros, ev admission.Event) (err error) {
-	if g.backend == nil {
+func (d *Dispatcher) decide(now Micros, ev admission.Event) (err error) {
+	if d.backend == nil {
 		return nil
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			g.counts.Panics++
+			d.counts.Panics++
 			err = fmt.Errorf("%v", r)
 			slog.Error("fault", "in", fmt.Sprintf("%T", ev), "text", err, "stack", string(debug.Stack()))
 		}
 	}()
-	g.acts = g.backend.Decide(now, ev, g.acts[:0])
-	for _, act := range g.acts {
-		g.carryOut(act)
+	d.actions = d.backend.Decide(now, ev, d.actions[:0])
+	for _, act := range d.actions {
+		d.perform(act)
 	}
-	g.saw(now, ev)
-	g.ripen()
+	d.observeShadow(now, ev)
+	d.answerRepeats()
 	return nil
 }
 
-func (g *Dispatcher) carryOut(act admission.Action) {
+func (d *Dispatcher) perform(act admission.Action) {
 	switch a := act.(type) {
 	case admission.Start:
-		if t := g.hand[a.ID]; t != nil && !t.running && !t.answered {
+		if t := d.inFlight[a.ID]; t != nil && !t.running && !t.answered {
 			t.running = true
-			g.counts.Started++
-			t.words <- Response{Verdict: Admitted}
+			d.counts.Started++
+			t.responses <- Response{Verdict: Admitted}
 		}
 	case admission.Throttle:
-		if t := g.hand[a.ID]; t != nil {
-			g.answer(t, Response{Verdict: Throttled, RetryAfter: a.RetryAfter, DontRetry: a.DontRetry})
+		if t := d.inFlight[a.ID]; t != nil {
+			d.respond(t, Response{Verdict: Throttled, RetryAfter: a.RetryAfter, DontRetry: a.DontRetry})
 		}
 	case admission.Fail:
-		if t := g.hand[a.ID]; t != nil {
-			g.answer(t, Response{Verdict: Errored})
+		if t := d.inFlight[a.ID]; t != nil {
+			d.respond(t, Response{Verdict: Errored})
 		}
 	case admission.Remember:
-		g.remember(a)
+		d.remember(a)
 	case admission.Forget:
-		g.ripe = append(g.ripe, g.kept.Forget(a.ID)...)
+		d.readyRepeats = append(d.readyRepeats, d.results.Forget(a.ID)...)
 	case admission.Reuse:
-		g.reuse(a.ID)
+		d.awaitOriginal(a.ID)
 	case admission.SetHealth:
-		if g.good != a.Good {
-			g.good = a.Good
+		if d.healthy != a.Good {
+			d.healthy = a.Good
 			slog.Info("health", "good", a.Good)
 		}
 	case admission.CloseIdle:
-		g.idle = a.After
+		d.idleTimeout = a.After
 		slog.Info("idle", "after_us", a.After)
 	case admission.Wake:
-		g.wake, g.token = a.At, a.Token
+		d.nextTick, d.timerToken = a.At, a.Token
 	case admission.Log:
 		slog.Info("module", "text", a.Text)
 	default: // nothing here can do it; terms refuses the deployments that would need it
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -9,7 +9,7 @@
 )
 
 // drawing is a gate whose first tenant has four units, and no more: its clock stands.
-func drawing(t *testing.T, g *Dispatcher) *Dispatcher {
+func drawing(t *testing.T, d *Dispatcher) *Dispatcher {
 	h := quota.New("n", "1", []string{"b"})
 	now := quota.Micros(1)
 	a := h.NewRequest(now)
@@ -17,44 +17,44 @@
 		t.Fatal(err)
 	}
 	now += 2_000_000
-	if err := g.SetQuotas(QuotaConfig{Holder: h, Tenants: map[string]string{g.sheet.Tenants[0]: "b"}, Clock: func() quota.Micros { return now }}); err != nil {
+	if err := d.SetQuotas(QuotaConfig{Holder: h, Tenants: map[string]string{d.sheet.Tenants[0]: "b"}, Clock: func() quota.Micros { return now }}); err != nil {
 		t.Fatal(err)
 	}
-	return g
+	return d
 }
 
-// TestUnitsBack: work that is throttled, that the farm never ran or does not know, or whose caller left before its launch, gives its unit back; what ran keeps it.
-func TestUnitsBack(t *testing.T) {
-	g := drawing(t, open(t))
+// TestQuotaUnitsRefunded: work that is throttled, that the farm never ran or does not know, or whose caller left before its launch, gives its unit back; what ran keeps it.
+func TestQuotaUnitsRefunded(t *testing.T) {
+	d := drawing(t, open(t))
 	for n := range 8 { // more than there are units
 		big := usual(fmt.Sprint("big", n))
 		big.MemoryKB = 1 << 40 // nothing can hold it
-		if w, _ := g.Admit(big); w.Verdict != Throttled {
+		if w, _ := d.Admit(big); w.Verdict != Throttled {
 			t.Fatalf("%s: verdict %d", big.ID, w.Verdict)
 		}
 	}
-	if v := g.QuotaStatus()[0]; v.Drawn != 1 || v.Denied != 0 {
+	if v := d.QuotaStatus()[0]; v.Drawn != 1 || v.Denied != 0 {
 		t.Fatalf("one unit went round eight times: %d drawn, %d denied", v.Drawn, v.Denied)
 	}
 
-	g = drawing(t, open(t))
+	d = drawing(t, open(t))
 	for n, end := range []Outcome{RunSucceeded, NeverRan, Unrunnable, RunErrored, NeverRan} {
-		w, ticket := g.Admit(usual(fmt.Sprint("run", n)))
+		w, ticket := d.Admit(usual(fmt.Sprint("run", n)))
 		if w.Verdict != Admitted {
 			t.Fatalf("run %d: verdict %d", n, w.Verdict)
 		}
-		g.Complete(ticket, end, nil)
+		d.Complete(ticket, end, nil)
 	}
-	if v := g.QuotaStatus()[0]; v.Drawn != 3 || v.Denied != 0 {
+	if v := d.QuotaStatus()[0]; v.Drawn != 3 || v.Denied != 0 {
 		t.Fatalf("two ran and the third unit came back: %d drawn, %d denied", v.Drawn, v.Denied)
 	}
 
-	g = drawing(t, openTokened(t, "5000", nil))
-	_, first := g.Admit(tokened("a", "x"))
-	waits := repeat(t, g, tokened("b", "x"))
-	if v := g.QuotaStatus()[0]; v.Drawn != 1 {
+	d = drawing(t, openTokened(t, "5000", nil))
+	_, first := d.Admit(tokened("a", "x"))
+	waits := repeat(t, d, tokened("b", "x"))
+	if v := d.QuotaStatus()[0]; v.Drawn != 1 {
 		t.Errorf("a repeat that waits: %d drawn", v.Drawn)
 	}
-	g.Complete(first, RunSucceeded, nil)
+	d.Complete(first, RunSucceeded, nil)
 	fakes.Take(t, "its word", waits)
 }
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -21,9 +21,9 @@
 	if bounds != nil {
 		bounds(&b)
 	}
-	g := New(&sheet, 1, b)
-	g.Open(false, 0)
-	return g
+	d := New(&sheet, 1, b)
+	d.Open(false, 0)
+	return d
 }
 
 func tokened(id, token string) Invocation {
@@ -33,78 +33,78 @@
 }
 
 // repeat picks one that waits, and returns where its word will come once it does wait.
-func repeat(t *testing.T, g *Dispatcher, inv Invocation) <-chan Response {
-	word, n := make(chan Response, 1), inHand(g)
-	go func() { w, _ := g.Admit(inv); word <- w }()
-	fakes.Until(t, "it waits", func() bool { return inHand(g) == n+1 || len(word) > 0 })
+func repeat(t *testing.T, d *Dispatcher, inv Invocation) <-chan Response {
+	word, n := make(chan Response, 1), inHand(d)
+	go func() { w, _ := d.Admit(inv); word <- w }()
+	fakes.Until(t, "it waits", func() bool { return inHand(d) == n+1 || len(word) > 0 })
 	return word
 }
 
 // TestRepeats walks through what can become of the repeats of one piece of work.
 func TestRepeats(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	g := openTokened(t, "5000", nil)
+	d := openTokened(t, "5000", nil)
 	told := func(what string, w Response, ticket *Request) {
-		tr.Say("%s: verdict %d, result %q, ticket %t, in hand %d", what, w.Verdict, w.Result, ticket != nil, inHand(g))
+		tr.Say("%s: verdict %d, result %q, ticket %t, in hand %d", what, w.Verdict, w.Result, ticket != nil, inHand(d))
 	}
-	w, first := g.Admit(tokened("a", "x"))
+	w, first := d.Admit(tokened("a", "x"))
 	told("the first", w, first)
-	waits := repeat(t, g, tokened("b", "x"))
-	w, other := g.Admit(tokened("c", "y"))
+	waits := repeat(t, d, tokened("b", "x"))
+	w, other := d.Admit(tokened("c", "y"))
 	told("another piece of work", w, other)
-	g.Complete(other, RunErrored, nil)
+	d.Complete(other, RunErrored, nil)
 	inv := tokened("d", "x")
 	inv.Tenant = 1
-	w, stranger := g.Admit(inv)
+	w, stranger := d.Admit(inv)
 	told("another tenant's of the same token", w, stranger)
-	g.Complete(stranger, RunSucceeded, []byte("the stranger's"))
-	g.Abandon(first)
-	tr.Say("its run ends, its caller has left: owed %t", g.Complete(first, RunSucceeded, []byte("r")))
+	d.Complete(stranger, RunSucceeded, []byte("the stranger's"))
+	d.Abandon(first)
+	tr.Say("its run ends, its caller has left: owed %t", d.Complete(first, RunSucceeded, []byte("r")))
 	told("the repeat that waited", fakes.Take(t, "its word", waits), nil)
-	w, none := g.Admit(tokened("e", "x"))
+	w, none := d.Admit(tokened("e", "x"))
 	told("a repeat after the end", w, none)
-	w, none = g.Admit(tokened("f", "y"))
+	w, none = d.Admit(tokened("f", "y"))
 	told("a repeat of one that was errored", w, none)
-	w, none = g.Admit(tokened("g", ""))
+	w, none = d.Admit(tokened("d", ""))
 	told("no token", w, none)
 	old := tokened("h", "z")
-	old.ArrivedAt -= g.readLate() + 1000
-	old.CallerTimeout += g.readLate() + 1000
-	w, none = g.Admit(old)
+	old.ArrivedAt -= d.maxReadDelay() + 1000
+	old.CallerTimeout += d.maxReadDelay() + 1000
+	w, none = d.Admit(old)
 	told("so old that its first try may be forgotten", w, none)
 
-	_, first = g.Admit(tokened("i", "v"))
-	waits = repeat(t, g, tokened("j", "v"))
-	g.Complete(first, NeverRan, nil)
+	_, first = d.Admit(tokened("i", "v"))
+	waits = repeat(t, d, tokened("j", "v"))
+	d.Complete(first, NeverRan, nil)
 	told("a repeat of what never ran", fakes.Take(t, "its word", waits), nil)
-	w, first = g.Admit(tokened("k", "v"))
+	w, first = d.Admit(tokened("k", "v"))
 	told("and the next", w, first)
-	g.Complete(first, RunSucceeded, []byte("v"))
+	d.Complete(first, RunSucceeded, []byte("v"))
 
-	_, first = g.Admit(tokened("l", "u"))
+	_, first = d.Admit(tokened("l", "u"))
 	soon := tokened("m", "u")
 	soon.ArrivedAt -= 3_800_000 // due in 200 ms
-	waits = repeat(t, g, soon)
-	fakes.Until(t, "it is due", func() bool { g.Tick([]float64{0.5, 1, 0, 0}); return len(waits) > 0 })
+	waits = repeat(t, d, soon)
+	fakes.Until(t, "it is due", func() bool { d.Tick([]float64{0.5, 1, 0, 0}); return len(waits) > 0 })
 	told("a repeat that is due before the end", <-waits, nil)
-	g.Complete(first, RunSucceeded, []byte("u"))
-	c, _ := g.Counts()
-	tr.Say("run %d, repeated %d, errored %d, kept %d", c.Started, c.Replayed, c.Errored, g.kept.Len())
+	d.Complete(first, RunSucceeded, []byte("u"))
+	c, _ := d.Counts()
+	tr.Say("run %d, repeated %d, errored %d, kept %d", c.Started, c.Replayed, c.Errored, d.results.Len())
 }
 
-// TestRepeatOfWhatIsHeld: the first waits in line and its caller leaves. It never ran, so the next runs.
-func TestRepeatOfWhatIsHeld(t *testing.T) {
-	g := openTokened(t, "5000", nil)
+// TestRepeatOfQueuedRequest: the first waits in line and its caller leaves. It never ran, so the next runs.
+func TestRepeatOfQueuedRequest(t *testing.T) {
+	d := openTokened(t, "5000", nil)
 	reads := func(gauges ...float64) { // the module reads them now and then
 		since := Now()
-		fakes.Until(t, "it reads them", func() bool { g.Tick(gauges); return Now() > since+50_000 })
+		fakes.Until(t, "it reads them", func() bool { d.Tick(gauges); return Now() > since+50_000 })
 	}
 	reads(0.5, 3, 0.1, 1) // no core is free
 	left := make(chan struct{})
 	inv := tokened("a", "x")
 	inv.CallerLeft = left
-	first := repeat(t, g, inv)
-	waits := repeat(t, g, tokened("b", "x"))
+	first := repeat(t, d, inv)
+	waits := repeat(t, d, tokened("b", "x"))
 	if len(first) > 0 || len(waits) > 0 {
 		t.Fatal("they do not wait")
 	}
@@ -116,84 +116,84 @@
 		t.Errorf("the repeat: %+v", w)
 	}
 	reads(0.1, 0, 0.1, 1)
-	if w, ticket := g.Admit(tokened("c", "x")); ticket == nil {
+	if w, ticket := d.Admit(tokened("c", "x")); ticket == nil {
 		t.Errorf("the next: %+v", w)
 	}
 }
 
 // TestRepeatWindow: after the window it is new work; a repeat that arrived within it and is read later is none.
 func TestRepeatWindow(t *testing.T) {
-	g := openTokened(t, "20", nil)
-	_, first := g.Admit(tokened("a", "x"))
-	g.Complete(first, RunSucceeded, []byte("r"))
+	d := openTokened(t, "20", nil)
+	_, first := d.Admit(tokened("a", "x"))
+	d.Complete(first, RunSucceeded, []byte("r"))
 	at := Now()
 	fakes.Until(t, "the window is over", func() bool { return Now() > at+120_000 })
-	g.Tick([]float64{0, 0, 0, 0})
+	d.Tick([]float64{0, 0, 0, 0})
 	read := tokened("b", "x")
 	read.ArrivedAt = at
-	if w, _ := g.Admit(read); w.Verdict != Replayed || string(w.Result) != "r" {
+	if w, _ := d.Admit(read); w.Verdict != Replayed || string(w.Result) != "r" {
 		t.Errorf("read late: %+v", w)
 	}
 	ahead := tokened("b2", "x") // the wall clock was set back: it seems to come later than now
 	ahead.ArrivedAt = Now() + 60_000_000
-	w, again := g.Admit(ahead)
+	w, again := d.Admit(ahead)
 	if again == nil {
 		t.Fatalf("after the window, ahead of the clock: %+v", w)
 	}
-	g.Complete(again, RunSucceeded, []byte("q"))
+	d.Complete(again, RunSucceeded, []byte("q"))
 	ahead.ID = "b3"
-	if w, _ := g.Admit(ahead); w.Verdict != Replayed || string(w.Result) != "q" {
+	if w, _ := d.Admit(ahead); w.Verdict != Replayed || string(w.Result) != "q" {
 		t.Errorf("its repeat: %+v", w)
 	}
 	fakes.Until(t, "the window is over again", func() bool { return Now() > at+240_000 })
-	w, again = g.Admit(tokened("c", "x"))
+	w, again = d.Admit(tokened("c", "x"))
 	if again == nil {
 		t.Fatalf("after the window: %+v", w)
 	}
-	waits := repeat(t, g, tokened("d", "x"))
-	g.Complete(again, RunSucceeded, []byte("s"))
+	waits := repeat(t, d, tokened("d", "x"))
+	d.Complete(again, RunSucceeded, []byte("s"))
 	if w := fakes.Take(t, "the repeat's word", waits); w.Verdict != Replayed || string(w.Result) != "s" {
 		t.Errorf("beside it: %+v", w)
 	}
 }
 
-// TestRepeatsFull: what cannot be remembered is not run, with when to come back; what is remembered is answered all the same.
-func TestRepeatsFull(t *testing.T) {
-	g := openTokened(t, "5000", func(b *limits.Bounds) { b.Kept = 3 << 10; b.Result = 1 << 10 })
-	_, first := g.Admit(tokened("a", "x"))
-	w, none := g.Admit(tokened("b", "y"))
+// TestResultCacheFull: what cannot be remembered is not run, with when to come back; what is remembered is answered all the same.
+func TestResultCacheFull(t *testing.T) {
+	d := openTokened(t, "5000", func(b *limits.Bounds) { b.Kept = 3 << 10; b.Result = 1 << 10 })
+	_, first := d.Admit(tokened("a", "x"))
+	w, none := d.Admit(tokened("b", "y"))
 	if w.Verdict != Throttled || w.RetryAfter <= 0 || none != nil {
 		t.Errorf("no room: %+v", w)
 	}
-	if w, ticket := g.Admit(usual("c")); ticket == nil {
+	if w, ticket := d.Admit(usual("c")); ticket == nil {
 		t.Errorf("one that needs none: %+v", w)
 	}
-	g.Complete(first, RunSucceeded, []byte("r"))
-	if w, _ := g.Admit(tokened("d", "x")); w.Verdict != Replayed {
+	d.Complete(first, RunSucceeded, []byte("r"))
+	if w, _ := d.Admit(tokened("d", "x")); w.Verdict != Replayed {
 		t.Errorf("a repeat: %+v", w)
 	}
-	c, _ := g.Counts()
-	if c.CacheFull != 1 || g.kept.Len() != 1 {
-		t.Errorf("%+v, kept %d", c, g.kept.Len())
+	c, _ := d.Counts()
+	if c.CacheFull != 1 || d.results.Len() != 1 {
+		t.Errorf("%+v, kept %d", c, d.results.Len())
 	}
-	g.Drain(4_000_000, -100_000)
-	if w, _ := g.Admit(tokened("e", "x")); w.Verdict != Errored {
+	d.Drain(4_000_000, -100_000)
+	if w, _ := d.Admit(tokened("e", "x")); w.Verdict != Errored {
 		t.Errorf("a repeat after the grace, which another would run: %+v", w)
 	}
 }
 
-// TestRepeatsTakeNoneOfTheFarm: what is remembered takes nothing of the farm's memory, though the settings name a size that
+// TestCachedResultsTakeNoExecutorMemory: what is remembered takes nothing of the farm's memory, though the settings name a size that
 // would fill it.
-func TestRepeatsTakeNoneOfTheFarm(t *testing.T) {
-	g := openTokened(t, "5000", nil)
-	g.sheet.Admission.IdempotencyKeyKB = g.sheet.Admission.MemoryKB / 3
-	g = New(g.sheet, 1, g.bounds)
-	g.Open(false, 0)
+func TestCachedResultsTakeNoExecutorMemory(t *testing.T) {
+	d := openTokened(t, "5000", nil)
+	d.sheet.Admission.IdempotencyKeyKB = d.sheet.Admission.MemoryKB / 3
+	d = New(d.sheet, 1, d.bounds)
+	d.Open(false, 0)
 	for n := range 6 {
-		w, ticket := g.Admit(tokened(string(rune('a'+n)), string(rune('s'+n))))
+		w, ticket := d.Admit(tokened(string(rune('a'+n)), string(rune('s'+n))))
 		if ticket == nil {
 			t.Fatalf("number %d: %+v", n, w)
 		}
-		g.Complete(ticket, RunSucceeded, nil)
+		d.Complete(ticket, RunSucceeded, nil)
 	}
 }
--- a/internal/backend/dispatch/shadow.go
+++ b/internal/backend/dispatch/shadow.go
@@ -6,47 +6,47 @@
 	"milletbarrow/internal/config"
 )
 
-// watched is what settings that are not acted on add to a gate. The gate's lock guards it.
-type watched struct {
-	sheet   *config.Settings
-	watcher *shadow.Evaluator // nil until the gate is open
+// shadowState is what settings that are not acted on add to a gate. The gate's lock guards it.
+type shadowState struct {
+	sheet     *config.Settings
+	evaluator *shadow.Evaluator // nil until the gate is open
 }
 
 // SetShadow counts from now on where other settings would have decided otherwise; nil ends it. Nothing that they decide
 // leaves the gate. What is in hand now is not compared.
-func (g *Dispatcher) SetShadow(sheet *config.Settings) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.watched = nil
+func (d *Dispatcher) SetShadow(sheet *config.Settings) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.shadow = nil
 	if sheet == nil {
 		return
 	}
-	g.watched = &watched{sheet: sheet}
-	if g.backend != nil && !g.drained { // a process on its way out watches nothing new
-		g.openWatch()
+	d.shadow = &shadowState{sheet: sheet}
+	if d.backend != nil && !d.draining { // a process on its way out watches nothing new
+		d.startShadow()
 	}
 }
 
-// openWatch opens the second instance as the first was opened: one that is still cold is so for both.
-func (g *Dispatcher) openWatch() {
-	if w := g.watched; w != nil {
-		w.watcher = shadow.New(g.terms(w.sheet), g.seed, g.opened)
+// startShadow opens the second instance as the first was opened: one that is still cold is so for both.
+func (d *Dispatcher) startShadow() {
+	if w := d.shadow; w != nil {
+		w.evaluator = shadow.New(d.moduleTerms(w.sheet), d.seed, d.openedAt)
 	}
 }
 
-// saw tells the second instance of what the first has just decided.
-func (g *Dispatcher) saw(now Micros, ev admission.Event) {
-	if g.watched != nil && g.watched.watcher != nil {
-		g.watched.watcher.Observe(now, ev, g.acts)
+// observeShadow tells the second instance of what the first has just decided.
+func (d *Dispatcher) observeShadow(now Micros, ev admission.Event) {
+	if d.shadow != nil && d.shadow.evaluator != nil {
+		d.shadow.evaluator.Observe(now, ev, d.actions)
 	}
 }
 
 // ShadowCounts has the counts of what is watched; ok is false where nothing is.
-func (g *Dispatcher) ShadowCounts() (c shadow.Counts, ok bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.watched == nil || g.watched.watcher == nil {
-		return c, g.watched != nil
+func (d *Dispatcher) ShadowCounts() (c shadow.Counts, ok bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.shadow == nil || d.shadow.evaluator == nil {
+		return c, d.shadow != nil
 	}
-	return g.watched.watcher.Counts(), true
+	return d.shadow.evaluator.Counts(), true
 }
--- a/internal/backend/dispatch/ticker.go
+++ b/internal/backend/dispatch/ticker.go
@@ -6,7 +6,7 @@
 // little while; a sample that is late still makes a tick, with the gauges known before. Ask tells whether a
 // sample is on its way; one that was late already is not waited for again, so that a silent farm does not
 // stretch the time between two ticks.
-func (g *Dispatcher) RunTicks(done <-chan struct{}, ask func() bool, sampled <-chan []float64) {
+func (d *Dispatcher) RunTicks(done <-chan struct{}, ask func() bool, sampled <-chan []float64) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	sleep := func(span time.Duration, wake <-chan []float64) (gauges []float64, over bool) {
@@ -30,11 +30,11 @@
 		default:
 		}
 		for asked := Now(); ask(); asked = Now() {
-			newer, over := sleep(g.bounds.SampleWait, sampled)
+			newer, over := sleep(d.bounds.SampleWait, sampled)
 			if over {
 				return
 			}
-			if Now()-asked > Micros(g.bounds.HeldUp.Microseconds()) {
+			if Now()-asked > Micros(d.bounds.HeldUp.Microseconds()) {
 				continue // the process was held up meanwhile, and this is from before
 			}
 			if newer != nil {
@@ -42,6 +42,6 @@
 			}
 			break
 		}
-		next = g.Tick(gauges)
+		next = d.Tick(gauges)
 	}
 }
--- a/internal/backend/quota/holder_test.go
+++ b/internal/backend/quota/holder_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestDraw(t *testing.T) {
+func TestAcquireWithinGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floor, extra := int64(rapid.IntRange(0, 500).Draw(t, "floor")), int64(rapid.IntRange(0, 500).Draw(t, "extra"))
 		lease := Micros(rapid.IntRange(1, 3_000_000).Draw(t, "lease"))
@@ -39,7 +39,7 @@
 				t.Fatalf("%d counted as drawn, %d are kept", told, drawn)
 			}
 			leased := max(0, min(now, asked+lease)-began)
-			most := (int64(now-began)*floor+int64(leased)*extra)/million + BurstUnits(floor+extra) + 1
+			most := (int64(now-began)*floor+int64(leased)*extra)/microUnits + BurstUnits(floor+extra) + 1
 			if drawn > most {
 				t.Fatalf("drew %d, at most %d are allowed", drawn, most)
 			}
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestRefusals(t *testing.T) {
+func TestRefusedResponses(t *testing.T) {
 	h := New("n", "1", []string{"b"})
 	first := h.NewRequest(10)
 	part := func(epoch uint64, extra int64) []Grant { return []Grant{{"b", epoch, 1, extra, 1000}} }
@@ -73,7 +73,7 @@
 	if v := h.Status(30)[0]; v.Extra != 5 || v.Epoch != 7 {
 		t.Fatalf("changed by what was refused: %+v", v)
 	}
-	for range keptAsks + 1 {
+	for range maxPending + 1 {
 		h.NewRequest(40)
 	}
 	if err := h.Apply(50, LeaseResponse{"n", "1", first.Number, part(8, 9), ""}); err == nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-func BenchmarkDraw(b *testing.B) {
+func BenchmarkTryAcquire(b *testing.B) {
 	h := New("n", "1", []string{"b"})
 	a := h.NewRequest(1)
 	h.Apply(2, LeaseResponse{"n", "1", a.Number, []Grant{{"b", 1, 1000, 1000, 1 << 40}}, ""})
--- a/internal/backend/quotalog/log.go
+++ b/internal/backend/quotalog/log.go
@@ -12,17 +12,17 @@
 
 // Log is what a process writes. Not safe for use by several goroutines.
 type Log struct {
-	to    *bufio.Writer
-	since int64
-	drawn []int64 // by budget, when it was last written down
+	out    *bufio.Writer
+	since  int64
+	logged []int64 // by budget, when it was last written down
 }
 
 // New writes to w; every call ends with a whole line there. The first line is "clock TIME PPM": how much faster the
 // holder's own clock was made to run.
 func New(w io.Writer, at int64, ppm int) *Log {
-	s := &Log{to: bufio.NewWriter(w), since: at}
-	fmt.Fprintf(s.to, "clock %d %d\n", at, ppm)
-	s.to.Flush()
+	s := &Log{out: bufio.NewWriter(w), since: at}
+	fmt.Fprintf(s.out, "clock %d %d\n", at, ppm)
+	s.out.Flush()
 	return s
 }
 
@@ -30,26 +30,26 @@
 // the holder's own clock.
 func (s *Log) RecordHeld(at int64, now quota.Micros, all []quota.Status) error {
 	for _, v := range all {
-		fmt.Fprintf(s.to, "have %d %s %d %d %d %d\n", at, v.Budget, v.Epoch, v.Floor, v.Extra, max(0, v.Until-now))
+		fmt.Fprintf(s.out, "have %d %s %d %d %d %d\n", at, v.Budget, v.Epoch, v.Floor, v.Extra, max(0, v.Until-now))
 	}
-	return s.to.Flush()
+	return s.out.Flush()
 }
 
 // RecordDrawn writes down what was drawn since the last time: "drew FROM TO BUDGET UNITS"; without any, "here TIME".
 func (s *Log) RecordDrawn(at int64, all []quota.Status) error {
-	if len(s.drawn) < len(all) {
-		s.drawn = append(s.drawn, make([]int64, len(all)-len(s.drawn))...)
+	if len(s.logged) < len(all) {
+		s.logged = append(s.logged, make([]int64, len(all)-len(s.logged))...)
 	}
 	any := false
 	for i, v := range all {
-		if n := v.Drawn - s.drawn[i]; n > 0 {
-			fmt.Fprintf(s.to, "drew %d %d %s %d\n", s.since, at, v.Budget, n)
-			s.drawn[i], any = v.Drawn, true
+		if n := v.Drawn - s.logged[i]; n > 0 {
+			fmt.Fprintf(s.out, "drew %d %d %s %d\n", s.since, at, v.Budget, n)
+			s.logged[i], any = v.Drawn, true
 		}
 	}
 	if !any {
-		fmt.Fprintf(s.to, "here %d\n", at)
+		fmt.Fprintf(s.out, "here %d\n", at)
 	}
 	s.since = at
-	return s.to.Flush()
+	return s.out.Flush()
 }
--- a/internal/backend/shadow/evaluator.go
+++ b/internal/backend/shadow/evaluator.go
@@ -27,19 +27,19 @@
 	Health                              // health checks answered otherwise
 	IdleTimeout                         // connections rest for another time
 	AdvertisedValue                     // another free value is sent, or one where none was, or the other way
-	kinds
+	differenceCount
 )
 
-var names = [kinds]string{
+var differenceNames = [differenceCount]string{
 	"let_in", "turned_away", "words", "advice", "order", "given_up", "kept_on", "paused", "repeated", "health",
 	"connections", "value",
 }
 
-func (k Difference) String() string { return names[k] }
+func (k Difference) String() string { return differenceNames[k] }
 
 // Counts are what has passed.
 type Counts struct {
-	ByDifference [kinds]int
+	ByDifference [differenceCount]int
 	Arrivals     int // invocations that both were told of
 	Panics       int // panics of the second instance; after the first it decides nothing more
 }
@@ -57,21 +57,21 @@
 
 // Evaluator is the second instance. It is for one goroutine at a time.
 type Evaluator struct {
-	shadow *admission.Backend
-	acts   []admission.Action
-	hand   map[string]bool // what the first has in hand and not answered: the second has not either; bounded as the first is
-	counts Counts
-	good   [2]bool             // health as last sent by the first and the second
-	idle   [2]admission.Micros // connections as well
-	token  int64               // of the second's timer
+	shadow      *admission.Backend
+	actions     []admission.Action
+	unanswered  map[string]bool // what the first has in hand and not answered: the second has not either; bounded as the first is
+	counts      Counts
+	healthy     [2]bool             // health as last sent by the first and the second
+	idleTimeout [2]admission.Micros // connections as well
+	timerToken  int64               // of the second's timer
 }
 
 // New begins with the settings to be watched; now is the first instance's opening or, where it has been open for
 // long, any later time: what it had in hand before is not compared.
 func New(t admission.Config, seed uint64, now admission.Micros) *Evaluator {
 	t.ConfirmStarts = true
-	w := &Evaluator{shadow: admission.New(t, seed), hand: map[string]bool{}, good: [2]bool{true, true}}
-	w.idle = [2]admission.Micros{t.IdleTimeout, t.IdleTimeout}
+	w := &Evaluator{shadow: admission.New(t, seed), unanswered: map[string]bool{}, healthy: [2]bool{true, true}}
+	w.idleTimeout = [2]admission.Micros{t.IdleTimeout, t.IdleTimeout}
 	w.decide(now, admission.Opened{})
 	return w
 }
@@ -87,47 +87,47 @@
 	defer func() {
 		if r := recover(); r != nil {
 			w.counts.Panics++
-			w.hand, w.shadow = nil, nil
+			w.unanswered, w.shadow = nil, nil
 		}
 	}()
 	id := ""
 	switch e := ev.(type) {
 	case admission.Arrived:
 		id = e.ID
-		w.hand[id] = true
+		w.unanswered[id] = true
 		w.counts.Arrivals++
 	case admission.Reading:
-		e.Token = w.token
+		e.Token = w.timerToken
 		ev = e
 	}
 	w.decide(now, ev)
-	w.compare(id, [2][]admission.Action{real, w.acts})
+	w.compare(id, [2][]admission.Action{real, w.actions})
 	// What really happened: what was started runs for the second instance too, and whoever has its final answer
 	// is over for both.
 	for _, act := range real {
 		if a, starts := act.(admission.Start); starts {
 			w.decide(now, admission.Launched{ID: a.ID})
 		}
-		if id, final := answered(act); final {
-			if w.hand[id] {
+		if id, final := finalAnswer(act); final {
+			if w.unanswered[id] {
 				w.decide(now, admission.CallerGone{ID: id})
 			}
-			delete(w.hand, id)
+			delete(w.unanswered, id)
 		}
 	}
 	switch e := ev.(type) {
 	case admission.Finished:
-		delete(w.hand, e.ID)
+		delete(w.unanswered, e.ID)
 	case admission.CallerGone:
-		delete(w.hand, e.ID)
+		delete(w.unanswered, e.ID)
 	}
 }
 
 func (w *Evaluator) decide(now admission.Micros, ev admission.Event) {
-	w.acts = w.shadow.Decide(now, ev, w.acts[:0])
-	for _, act := range w.acts {
+	w.actions = w.shadow.Decide(now, ev, w.actions[:0])
+	for _, act := range w.actions {
 		if a, ok := act.(admission.Wake); ok {
-			w.token = a.Token
+			w.timerToken = a.Token
 		}
 	}
 }
@@ -135,7 +135,7 @@
 // compare counts by kind; arrived is the invocation that has just come, if one has.
 func (w *Evaluator) compare(arrived string, acts [2][]admission.Action) {
 	count := func(k Difference) { w.counts.ByDifference[k]++ }
-	if a, b := first(acts[0]), first(acts[1]); a != "" && b != "" && a != b {
+	if a, b := firstStarted(acts[0]), firstStarted(acts[1]); a != "" && b != "" && a != b {
 		count(StartOrder)
 	}
 	for side := range acts {
@@ -143,9 +143,9 @@
 			same := slices.Contains(acts[1-side], act)
 			switch a := act.(type) {
 			case admission.SetHealth:
-				w.good[side] = a.Good
+				w.healthy[side] = a.Good
 			case admission.CloseIdle:
-				w.idle[side] = a.After
+				w.idleTimeout[side] = a.After
 			case admission.Advertise:
 				if !same {
 					count(AdvertisedValue)
@@ -159,25 +159,25 @@
 					count(Replay)
 				}
 			}
-			id, final := answered(act)
-			if !final || !w.hand[id] {
+			id, final := finalAnswer(act)
+			if !final || !w.unanswered[id] {
 				continue
 			}
-			other := answerTo(id, acts[1-side])
+			other := finalAnswerTo(id, acts[1-side])
 			if side == 1 {
-				w.hand[id] = false // the second has answered it
+				w.unanswered[id] = false // the second has answered it
 			}
-			if kind, yes := differs(act, other, side, id == arrived); yes {
+			if kind, yes := compareAnswers(act, other, side, id == arrived); yes {
 				count(kind)
 			}
 		}
 	}
-	w.sides()
+	w.compareState()
 }
 
-// differs tells how the answer of one side differs from the other's, which is nil where there is none. Two answers are
+// compareAnswers tells how the answer of one side differs from the other's, which is nil where there is none. Two answers are
 // compared once, from the second's side.
-func differs(act, other admission.Action, side int, onArrival bool) (k Difference, yes bool) {
+func compareAnswers(act, other admission.Action, side int, onArrival bool) (k Difference, yes bool) {
 	if other == nil {
 		alone := [2][2]Difference{{OnlyShadowKeeps, OnlyShadowGivesUp}, {OnlyShadowAdmits, OnlyShadowRejects}}
 		n := 0
@@ -197,20 +197,20 @@
 	return RetryAfter, a.RetryAfter > b.RetryAfter*3/2 || b.RetryAfter > a.RetryAfter*3/2
 }
 
-// sides counts what is no invocation's, once until both agree again.
-func (w *Evaluator) sides() {
-	if w.good[0] != w.good[1] {
+// compareState counts what is no invocation's, once until both agree again.
+func (w *Evaluator) compareState() {
+	if w.healthy[0] != w.healthy[1] {
 		w.counts.ByDifference[Health]++
-		w.good[1] = w.good[0]
+		w.healthy[1] = w.healthy[0]
 	}
-	if w.idle[0] != w.idle[1] {
+	if w.idleTimeout[0] != w.idleTimeout[1] {
 		w.counts.ByDifference[IdleTimeout]++
-		w.idle[1] = w.idle[0]
+		w.idleTimeout[1] = w.idleTimeout[0]
 	}
 }
 
-// first is the invocation that is started first.
-func first(acts []admission.Action) string {
+// firstStarted is the invocation that is started first.
+func firstStarted(acts []admission.Action) string {
 	for _, act := range acts {
 		if a, ok := act.(admission.Start); ok {
 			return a.ID
@@ -219,18 +219,18 @@
 	return ""
 }
 
-// answerTo is the final answer to an invocation among what was decided, or nil.
-func answerTo(id string, acts []admission.Action) admission.Action {
+// finalAnswerTo is the final answer to an invocation among what was decided, or nil.
+func finalAnswerTo(id string, acts []admission.Action) admission.Action {
 	for _, act := range acts {
-		if to, final := answered(act); final && to == id {
+		if to, final := finalAnswer(act); final && to == id {
 			return act
 		}
 	}
 	return nil
 }
 
-// answered tells whose final answer an action is.
-func answered(act admission.Action) (id string, final bool) {
+// finalAnswer tells whose final answer an action is.
+func finalAnswer(act admission.Action) (id string, final bool) {
 	switch a := act.(type) {
 	case admission.Throttle:
 		return a.ID, true
--- a/internal/backend/shadow/evaluator_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestAnySettings: whatever happens, settings that are those in force decide nothing otherwise, and under any others
+// TestAnyConfiguration: whatever happens, settings that are those in force decide nothing otherwise, and under any others
 // nothing stays in hand once all is over and the second instance does not fail.
-func TestAnySettings(t *testing.T) {
+func TestAnyConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := terms(func(s *admission.Config) {
 			s.RetriesUnmarked = rapid.Bool().Draw(t, "unmarked")
@@ -130,14 +130,14 @@
 		p := newPair(first, second)
 		course(t, p)
 		c := p.watcher.Counts()
-		if same && len(c.Map()) > 2 || c.Panics > 0 || len(p.watcher.hand) > 0 {
-			t.Errorf("the same %t: %v, %d in hand", same, c, len(p.watcher.hand))
+		if same && len(c.Map()) > 2 || c.Panics > 0 || len(p.watcher.unanswered) > 0 {
+			t.Errorf("the same %t: %v, %d in hand", same, c, len(p.watcher.unanswered))
 		}
 	})
 }
 
-// TestFault: a panic of the second instance is counted, and it decides nothing more.
-func TestFault(t *testing.T) {
+// TestShadowPanic: a panic of the second instance is counted, and it decides nothing more.
+func TestShadowPanic(t *testing.T) {
 	p := newPair(terms(func(*admission.Config) {}), terms(func(s *admission.Config) { s.Operations = s.Operations[:1] }))
 	for n := range 3 {
 		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000})
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestKinds: each kind is counted where one setting makes the difference.
-func TestKinds(t *testing.T) {
+// TestDifferences: each kind is counted where one setting makes the difference.
+func TestDifferences(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	arrive := func(p *pair, n, operation int, budget admission.Micros) {
 		p.now += 1000
