--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -103,14 +103,14 @@
 	defer store.Close()
 	var joined *node.Joined
 	var shares agent.Cluster
-	if spec.Budgets != nil {
+	if spec.Quotas != nil {
 		joined, err = node.Open(node.Options{Spec: spec, Host: host.Name, Dir: dir, Trust: c.Bool("trust-directory"), Bounds: b})
 		if err != nil {
 			return unusable(err)
 		}
 		shares = joined
 	}
-	l, err := agentapi.Listen(host.Agent)
+	l, err := agentapi.Listen(host.AgentAddress)
 	if err != nil {
 		return unusable(err)
 	}
@@ -124,7 +124,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	slog.Info("agent", "fleet", spec.Name, "host", host.Name, "listen", host.Agent, "instances", len(spec.Of(host.Name)))
+	slog.Info("agent", "fleet", spec.Name, "host", host.Name, "listen", host.AgentAddress, "instances", len(spec.InstancesOn(host.Name)))
 	var sharing sync.WaitGroup
 	defer sharing.Wait()
 	defer cancel()
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -27,8 +27,8 @@
 		Description: "Exit codes: 0 all as asked, 1 an error, 2 a file or word can't be used and nothing was changed,\n" +
 			"3 some instances came out other than asked for, 4 the time ran out, 5 an agent could not be reached.",
 		Commands: []*cli.Command{
-			fleetCheckCommand(), orderCommand(fleet.Start), orderCommand(fleet.Drain), orderCommand(fleet.Stop),
-			orderCommand(fleet.Restart), waveCommand(), steerCommand("pause"), steerCommand("resume"),
+			fleetCheckCommand(), orderCommand(fleet.KindStart), orderCommand(fleet.KindDrain), orderCommand(fleet.KindStop),
+			orderCommand(fleet.KindRestart), waveCommand(), steerCommand("pause"), steerCommand("resume"),
 			steerCommand("cancel"), fleetStatusCommand(), fleetWatchCommand(), fleetHistoryCommand(), fleetBudgetsCommand(), riseCommand(),
 			fleetMembersCommand(),
 		},
@@ -114,7 +114,7 @@
 }
 
 // orderOf is the command that the flags ask for.
-func orderOf(c *cli.Command, t *fleetclient.Client, kind fleet.Kind) (agentapi.CommandRequest, error) {
+func orderOf(c *cli.Command, t *fleetclient.Client, kind fleet.CommandKind) (agentapi.CommandRequest, error) {
 	now := time.Now()
 	o := agentapi.CommandRequest{
 		ID: c.String("id"), Kind: kind, RequestedBy: t.Operator, RequestedUnixMicros: now.UnixMicro(), TimeoutMicros: c.Duration("within").Microseconds(),
--- a/cmd/milletbarrow/fleet_bench_test.go
+++ b/cmd/milletbarrow/fleet_bench_test.go
@@ -61,12 +61,12 @@
 	for round := 0; b.Loop(); round++ {
 		began := time.Now()
 		id := "drain" + string(rune('a'+round%26)) + began.Format("150405")
-		_, err := c.Submit(context.Background(), agentapi.CommandRequest{ID: id, Kind: fleet.Drain, Instances: h.names, RequestedBy: "bench", TimeoutMicros: 60_000_000})
+		_, err := c.Submit(context.Background(), agentapi.CommandRequest{ID: id, Kind: fleet.KindDrain, Instances: h.names, RequestedBy: "bench", TimeoutMicros: 60_000_000})
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.StopTimer()
-		h.untilAll(fleet.Gone)
+		h.untilAll(fleet.PhaseExited)
 		for _, at := range h.heard(b) {
 			h1.RecordValue(at.Sub(began).Microseconds())
 		}
@@ -91,7 +91,7 @@
 		h.startAgent()
 		fakes.Until(b, "all are adopted", func() bool {
 			s, err := c.Status(context.Background())
-			return err == nil && !slices.ContainsFunc(s.Instances, func(in agentapi.Instance) bool { return in.Phase != fleet.Ready })
+			return err == nil && !slices.ContainsFunc(s.Instances, func(in agentapi.Instance) bool { return in.Phase != fleet.PhaseReady })
 		})
 		h1.RecordValue(time.Since(began).Microseconds())
 	}
--- a/cmd/milletbarrow/fleet_budgets.go
+++ b/cmd/milletbarrow/fleet_budgets.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			if t.Spec.Budgets == nil {
+			if t.Spec.Quotas == nil {
 				return unusable(fmt.Errorf("%s: has no budgets", c.String("fleet")))
 			}
 			if name := c.String("write-off"); name != "" {
--- a/cmd/milletbarrow/fleet_check.go
+++ b/cmd/milletbarrow/fleet_check.go
@@ -34,9 +34,9 @@
 				return printJSON(struct {
 					*fleet.Spec
 					Instances []*fleet.InstanceSpec
-				}{s, s.Of("")})
+				}{s, s.InstancesOn("")})
 			}
-			fmt.Printf("%s: can be used: %d hosts, %d groups, %d instances\n", s.Name, len(s.Hosts), len(s.Groups), len(s.Of("")))
+			fmt.Printf("%s: can be used: %d hosts, %d groups, %d instances\n", s.Name, len(s.Hosts), len(s.Groups), len(s.InstancesOn("")))
 			return nil
 		},
 	}
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -32,7 +32,7 @@
 			}
 			name, command := c.String("name"), c.String("command")
 			all, missing := t.History(ctx, c.Int("most"), func(e fleetclient.Entry) bool {
-				return (name == "" || e.Entry.Name == name) && (command == "" || e.Entry.Command == command)
+				return (name == "" || e.Entry.Name == name) && (command == "" || e.Entry.CommandID == command)
 			})
 			if c.Bool("json") {
 				err = printJSON(map[string]any{"entries": all, "missing": missing})
--- a/cmd/milletbarrow/fleet_order.go
+++ b/cmd/milletbarrow/fleet_order.go
@@ -9,16 +9,16 @@
 	"milletbarrow/internal/fleet"
 )
 
-var orderUsage = map[fleet.Kind]string{
-	fleet.Start:   "have instances run, and wait until they are ready",
-	fleet.Drain:   "have instances leave in their window, and stay down",
-	fleet.Stop:    "the same; with --now they are killed, and their callers get no answer",
-	fleet.Restart: "have instances leave and come up again, all at once",
+var orderUsage = map[fleet.CommandKind]string{
+	fleet.KindStart:   "have instances run, and wait until they are ready",
+	fleet.KindDrain:   "have instances leave in their window, and stay down",
+	fleet.KindStop:    "the same; with --now they are killed, and their callers get no answer",
+	fleet.KindRestart: "have instances leave and come up again, all at once",
 }
 
-func orderCommand(kind fleet.Kind) *cli.Command {
+func orderCommand(kind fleet.CommandKind) *cli.Command {
 	flags := selectionFlags()
-	if kind == fleet.Stop {
+	if kind == fleet.KindStop {
 		flags = append(flags, &cli.BoolFlag{Name: "now", Usage: "kill at once: what they hold is lost"})
 	}
 	return &cli.Command{
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			o.Immediate = kind == fleet.Stop && c.Bool("now")
+			o.Immediate = kind == fleet.KindStop && c.Bool("now")
 			if c.Bool("dry-run") {
 				return dryRun(c, kind, all)
 			}
@@ -51,7 +51,7 @@
 }
 
 // dryRun lists what a command would do to which instance.
-func dryRun(c *cli.Command, kind fleet.Kind, all []*fleet.InstanceSpec) error {
+func dryRun(c *cli.Command, kind fleet.CommandKind, all []*fleet.InstanceSpec) error {
 	if c.Bool("json") {
 		return printJSON(all)
 	}
--- a/cmd/milletbarrow/fleet_rise.go
+++ b/cmd/milletbarrow/fleet_rise.go
@@ -33,18 +33,18 @@
 			if err != nil {
 				return err
 			}
-			if t.Spec.Rise == nil {
+			if t.Spec.ColdStart == nil {
 				return unusable(fmt.Errorf("%s: has no (rise (budget COUNT))", c.String("fleet")))
 			}
 			all, err := selected(c, t)
 			if err != nil {
 				return err
 			}
-			o, err := orderOf(c, t, fleet.Rise)
+			o, err := orderOf(c, t, fleet.KindColdStart)
 			if err != nil {
 				return err
 			}
-			o.Budget = t.Spec.RiseBudget
+			o.Budget = t.Spec.ColdStartQuota
 			r := quota.Rise{Budget: o.Budget, ID: o.ID, By: t.Operator, Verb: c.String("say")}
 			if r.Verb != "" {
 				if err := t.ColdStart(ctx, r); err != nil {
@@ -53,7 +53,7 @@
 				fmt.Printf("%s: %s\n", o.ID, r.Verb)
 				return nil
 			}
-			r.Terms = t.Spec.Rise
+			r.Terms = t.Spec.ColdStart
 			for _, in := range all {
 				r.Members = append(r.Members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
 			}
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -38,7 +38,7 @@
 			}
 			known, refused, away := 0, 0, 0
 			answers, errs := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
-				client := t.Caller.Client(h.Agent)
+				client := t.Caller.Client(h.AgentAddress)
 				defer client.Close()
 				cmd, err := client.Steer(ctx, id, verb, t.Operator)
 				if err != nil {
@@ -56,7 +56,7 @@
 					known++
 				case lost:
 					away++
-				case a.Error != fleet.ErrUnknown.Error():
+				case a.Error != fleet.ErrUnknownCommand.Error():
 					refused++
 				}
 				rows = append(rows, []string{a.Host, state})
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -251,7 +251,7 @@
 	h.startAgent()
 	fakes.Until(t, "the agent answers", func() bool { return h.status().Status != nil })
 	h.must("start", "--all", "--quiet", "--within", "60s")
-	h.untilAll(fleet.Ready)
+	h.untilAll(fleet.PhaseReady)
 
 	var loads []*fakes.Load
 	for i, n := range h.names {
@@ -298,7 +298,7 @@
 		byInstance[h.names[i]] = l.Stop()
 		sent = append(sent, byInstance[h.names[i]]...)
 	}
-	h.untilAll(fleet.Ready)
+	h.untilAll(fleet.PhaseReady)
 	t.Logf("the agent was killed %d times; %d invocations", deaths, len(sent))
 	if deaths < 5 {
 		t.Errorf("the agent was killed %d times only", deaths)
@@ -325,11 +325,11 @@
 			t.Errorf("%s had %d lives, want 2: a notice or a launch was lost or came twice", n, len(all))
 			continue
 		}
-		want := fleet.Succeeded
+		want := fleet.OutcomeSucceeded
 		if strings.HasPrefix(all[0].how, "killed") {
-			want = fleet.Killed
+			want = fleet.OutcomeKilled
 		}
-		if got := results[n]; got.Outcome != want || want == fleet.Killed != (n == "n23") {
+		if got := results[n]; got.Outcome != want || want == fleet.OutcomeKilled != (n == "n23") {
 			t.Errorf("%s: the report says %+v, its keeper %q", n, got, all[0].how)
 		}
 	}
--- a/cmd/milletbarrow/fleet_wave.go
+++ b/cmd/milletbarrow/fleet_wave.go
@@ -42,15 +42,15 @@
 			if err != nil {
 				return err
 			}
-			o, err := orderOf(c, t, fleet.Wave)
+			o, err := orderOf(c, t, fleet.KindRollingUpdate)
 			if err != nil {
 				return err
 			}
-			terms := waveTerms(c, t.Spec.Wave)
+			terms := waveTerms(c, t.Spec.RollingUpdate)
 			if err := terms.Check(); err != nil {
 				return unusable(err)
 			}
-			o.RollingUpdate, o.Budget = &terms, t.Spec.WaveBudget
+			o.RollingUpdate, o.Budget = &terms, t.Spec.RollingUpdateQuota
 			if c.IsSet("budget") {
 				o.Budget = c.String("budget")
 			}
@@ -70,18 +70,18 @@
 	}
 }
 
-func waveTerms(c *cli.Command, w fleet.WaveTerms) fleet.WaveTerms {
-	for name, to := range map[string]*int{"width": &w.Width, "least-count": &w.LeastCount, "surge": &w.Surge, "failures": &w.Failures} {
+func waveTerms(c *cli.Command, w fleet.RollingUpdateConfig) fleet.RollingUpdateConfig {
+	for name, to := range map[string]*int{"width": &w.MaxInProgress, "least-count": &w.MinReady, "surge": &w.Surge, "failures": &w.MaxFailures} {
 		if c.IsSet(name) {
 			*to = c.Int(name)
 		}
 	}
-	for name, to := range map[string]*float64{"least-share": &w.LeastShare, "turned-away": &w.TurnedAway} {
+	for name, to := range map[string]*float64{"least-share": &w.MinReadyShare, "turned-away": &w.MaxRejectedShare} {
 		if c.IsSet(name) {
 			*to = c.Float(name)
 		}
 	}
-	for name, to := range map[string]*fleet.Micros{"ready-within": &w.ReadyWithin, "stall": &w.Stall, "turned-for": &w.TurnedFor} {
+	for name, to := range map[string]*fleet.Micros{"ready-within": &w.ReadyWithin, "stall": &w.StallTimeout, "turned-for": &w.RejectionTolerance} {
 		if c.IsSet(name) {
 			*to = fleet.Micros(c.Duration(name).Microseconds())
 		}
@@ -93,7 +93,7 @@
 }
 
 // previewWave prints a wave step by step as it would go if all went well.
-func previewWave(c *cli.Command, t *fleetclient.Client, all []*fleet.InstanceSpec, terms fleet.WaveTerms) error {
+func previewWave(c *cli.Command, t *fleetclient.Client, all []*fleet.InstanceSpec, terms fleet.RollingUpdateConfig) error {
 	hosts, names := t.ByHost(all)
 	plans := map[string][]fleet.PlanStep{}
 	rows := [][]string{{"host", "batch", "instance", "group", "ready meanwhile", "must stay"}}
@@ -104,7 +104,7 @@
 		}
 		plans[h] = steps
 		for _, s := range steps {
-			rows = append(rows, []string{h, strconv.Itoa(s.Batch), s.Name, s.Group, strconv.Itoa(s.Ready), strconv.Itoa(s.Least)})
+			rows = append(rows, []string{h, strconv.Itoa(s.Batch), s.Name, s.Group, strconv.Itoa(s.Ready), strconv.Itoa(s.MinReady)})
 		}
 	}
 	if c.Bool("json") {
--- a/cmd/milletbarrow/keeper.go
+++ b/cmd/milletbarrow/keeper.go
@@ -52,8 +52,8 @@
 			err = supervisor.Run(ctx, supervisor.Options{
 				Dir: c.String("dir"), Name: c.String("name"), Run: c.String("run"), Adopt: c.Bool("adopt"),
 				Launcher: []string{self, "begin", "--"}, Command: command,
-				Window: fleet.Window{
-					Grace: fleet.Micros(c.Duration("grace").Microseconds()), Stop: fleet.Micros(c.Duration("stop").Microseconds()),
+				Window: fleet.ShutdownWindow{
+					Grace: fleet.Micros(c.Duration("grace").Microseconds()), ExitTimeout: fleet.Micros(c.Duration("stop").Microseconds()),
 				},
 				Bounds: limits.ForControl(),
 			})
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -49,7 +49,7 @@
 	owed agentstore.Change // what is not written yet
 	next uint64            // serial of the next entry
 
-	steps []fleet.Step       // decided on since the last flush
+	steps []fleet.Action     // decided on since the last flush
 	fresh []agentstore.Entry // said since then
 	told  []chan struct{}    // who asked since then
 
@@ -66,12 +66,12 @@
 const recent = 4096
 
 // Window reads what an instance has from the notice on out of its configuration.
-func ReadShutdownWindow(file string) (fleet.Window, error) {
+func ReadShutdownWindow(file string) (fleet.ShutdownWindow, error) {
 	b, err := config.Read(file)
 	if err != nil {
-		return fleet.Window{Grace: 2_000_000, Stop: 3_000_000}, err
+		return fleet.ShutdownWindow{Grace: 2_000_000, ExitTimeout: 3_000_000}, err
 	}
-	return fleet.Window{Grace: fleet.Micros(b.Settings.Admission.DrainGrace), Stop: fleet.Micros(b.StopMs * 1000)}, nil
+	return fleet.ShutdownWindow{Grace: fleet.Micros(b.Settings.Admission.DrainGrace), ExitTimeout: fleet.Micros(b.StopMs * 1000)}, nil
 }
 
 // New takes back what was written down and adopts what runs. An error means that nothing was changed.
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, in := range o.Spec.Of(o.Host) {
+	for _, in := range o.Spec.InstancesOn(o.Host) {
 		if err := supervisor.PathsOf(o.Dir, in.Name).Check(); err != nil {
 			return nil, err
 		}
@@ -101,19 +101,19 @@
 	a.adoptUnrecorded(&saved)
 	a.m = a.machine(o.Spec)
 	now := fleet.Micros(process.Now())
-	if forgotten := a.m.Restore(now, saved.Record, fresh); len(forgotten) > 0 {
+	if forgotten := a.m.Restore(now, saved.Snapshot, fresh); len(forgotten) > 0 {
 		return nil, fmt.Errorf("%s runs here and the fleet's file does not name it any more: drain it first", forgotten[0].Name)
 	}
-	a.note(fleet.Note{At: now, Event: "agent started", Cause: o.Build})
+	a.note(fleet.HistoryEvent{At: now, Event: "agent started", Cause: o.Build})
 	for _, c := range saved.Intents { // taken by an agent that died before it could decide
-		a.decide(now, fleet.Ordered{Command: c})
+		a.decide(now, fleet.CommandReceived{Command: c})
 		a.owed.CompletedIntents = append(a.owed.CompletedIntents, c.ID)
 	}
 	return a, nil
 }
 
 func (a *Agent) machine(s *fleet.Spec) *fleet.Machine {
-	return fleet.New(s, a.o.Host, fleet.DefaultTerms(a.o.Bounds, a.o.Seed), func(in *fleet.InstanceSpec) fleet.Window {
+	return fleet.New(s, a.o.Host, fleet.DefaultConfig(a.o.Bounds, a.o.Seed), func(in *fleet.InstanceSpec) fleet.ShutdownWindow {
 		w, err := ReadShutdownWindow(in.ConfigFile)
 		if err != nil {
 			slog.Warn("config", "name", in.Name, "error", err.Error())
@@ -129,15 +129,15 @@
 	for _, in := range saved.Instances {
 		known[in.Name] = true
 	}
-	for _, in := range a.o.Spec.Of(a.o.Host) {
+	for _, in := range a.o.Spec.InstancesOn(a.o.Host) {
 		s, err := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, in.Name).State)
 		if known[in.Name] || err != nil || s.Ended {
 			continue
 		}
 		slog.Warn("adopt", "name", in.Name, "run", s.Run, "why", "the record does not know it")
 		saved.Instances = append(saved.Instances, fleet.Instance{
-			Name: in.Name, Up: s.NotifiedStep == "", Run: s.Run, Serial: serialOf(s.Run), Told: s.NotifiedStep, ToldAt: s.NotifiedAt,
-			Deadline: s.NotifiedAt, Phase: fleet.Unknown,
+			Name: in.Name, DesiredUp: s.NotifiedStep == "", Incarnation: s.Run, ActionCount: serialOf(s.Run), NoticeID: s.NotifiedStep, NotifiedAt: s.NotifiedAt,
+			PhaseDeadline: s.NotifiedAt, Phase: fleet.PhaseUnknown,
 		})
 	}
 }
@@ -205,7 +205,7 @@
 			w = &watcher{name: name}
 			a.watchers[name] = w
 		}
-		w.begin(in.Run)
+		w.begin(in.Incarnation)
 		if !known {
 			watching.Go(func() { a.watch(ctx, w) })
 		}
@@ -223,14 +223,14 @@
 }
 
 // note gives a line of history its serial and the time of the wall.
-func (a *Agent) note(n fleet.Note) {
-	e := agentstore.Entry{Serial: a.next, UnixMicros: time.Now().UnixMicro(), Note: n}
+func (a *Agent) note(n fleet.HistoryEvent) {
+	e := agentstore.Entry{Serial: a.next, UnixMicros: time.Now().UnixMicro(), HistoryEvent: n}
 	a.next++
 	a.owed.History = append(a.owed.History, e)
 	if over := len(a.owed.History) - a.o.Bounds.History; over > 0 { // a record that can't be written for long
 		a.owed.History = a.owed.History[over:]
 	}
-	slog.Info("fleet", "what", n.Event, "name", n.Name, "command", n.Command, "cause", n.Cause)
+	slog.Info("fleet", "what", n.Event, "name", n.Name, "command", n.CommandID, "cause", n.Cause)
 	a.fresh = append(a.fresh, e)
 }
 
@@ -245,7 +245,7 @@
 	steps := a.steps
 	a.steps = nil
 	for _, s := range steps {
-		if a.ill != nil && (s.What == fleet.Launch && !s.Adopt || s.What == fleet.TakeUnit) {
+		if a.ill != nil && (s.Kind == fleet.ActionLaunch && !s.Adopt || s.Kind == fleet.ActionAcquireUnit) {
 			continue // it stays pending, and comes again
 		}
 		a.take(s)
@@ -255,7 +255,7 @@
 
 func (a *Agent) write() {
 	r, dropped := a.m.Changes()
-	merge(&a.owed, agentstore.Change{Record: r, DeletedCommands: dropped})
+	merge(&a.owed, agentstore.Change{Snapshot: r, DeletedCommands: dropped})
 	if a.owed.Empty() {
 		return
 	}
@@ -352,7 +352,7 @@
 			}
 		}
 		cmd := commandOf(now, o)
-		if err = a.decide(now, fleet.Ordered{Command: cmd}); err == nil {
+		if err = a.decide(now, fleet.CommandReceived{Command: cmd}); err == nil {
 			c = a.m.Command(o.ID)
 		}
 		a.owed.CompletedIntents = append(a.owed.CompletedIntents, o.ID)
@@ -365,8 +365,8 @@
 
 func commandOf(now fleet.Micros, o agentapi.CommandRequest) *fleet.Command {
 	return &fleet.Command{
-		ID: o.ID, Kind: o.Kind, Names: o.Instances, By: o.RequestedBy, Asked: o.RequestedUnixMicros, Due: now + fleet.Micros(o.TimeoutMicros),
-		Now: o.Immediate, Terms: o.RollingUpdate, Budget: o.Budget,
+		ID: o.ID, Kind: o.Kind, Names: o.Instances, RequestedBy: o.RequestedBy, RequestedAt: o.RequestedUnixMicros, Deadline: now + fleet.Micros(o.TimeoutMicros),
+		Immediate: o.Immediate, Rollout: o.RollingUpdate, Quota: o.Budget,
 	}
 }
 
@@ -389,7 +389,7 @@
 // Steer pauses, resumes or cancels.
 func (a *Agent) Steer(id, verb, by string) (c *fleet.Command, err error) {
 	failed := a.ask(func(now fleet.Micros) {
-		if err = a.decide(now, fleet.Steer{ID: id, Verb: verb, By: by}); err == nil {
+		if err = a.decide(now, fleet.CommandControl{CommandID: id, Verb: verb, RequestedBy: by}); err == nil {
 			c = a.m.Command(id)
 		}
 	})
@@ -449,11 +449,11 @@
 		for _, name := range a.m.Names() {
 			in, _ := a.m.Instance(name)
 			one := agentapi.Instance{
-				Name: name, Group: in.Group, Spare: in.Spare, DesiredUp: in.Up, Phase: in.Phase, PhaseAgeMicros: int64(now - in.Since),
-				Cause: in.Cause, Task: in.Task, RecentRestarts: len(in.Budget.Spent), Settled: in.Settled(now),
+				Name: name, Group: in.Group, Spare: in.Spare, DesiredUp: in.DesiredUp, Phase: in.Phase, PhaseAgeMicros: int64(now - in.PhaseSince),
+				Cause: in.Cause, Task: in.CommandID, RecentRestarts: len(in.LaunchBudget.Attempts), Settled: in.Settled(now),
 			}
-			if in.Deadline != 0 {
-				one.TimeLeftMicros = int64(in.Deadline - now)
+			if in.PhaseDeadline != 0 {
+				one.TimeLeftMicros = int64(in.PhaseDeadline - now)
 			}
 			if r, ok := in.Detail.(*supervisor.Report); ok && !in.Phase.Down() {
 				one.PID, one.SupervisorPID, one.State = r.Record.Instance.PID, r.Record.Supervisor.PID, r.State
@@ -461,7 +461,7 @@
 			s.Instances = append(s.Instances, one)
 		}
 		for _, c := range a.m.Commands() {
-			if c.State != fleet.Done {
+			if c.State != fleet.CommandDone {
 				s.OpenCommands = append(s.OpenCommands, c)
 			}
 		}
@@ -477,19 +477,19 @@
 	failed := a.ask(func(now fleet.Micros) {
 		for _, name := range a.m.Names() {
 			in, _ := a.m.Instance(name)
-			if spec := s.Find(name); in.Run != "" && (spec == nil || spec.Host != a.o.Host) {
+			if spec := s.Instance(name); in.Incarnation != "" && (spec == nil || spec.Host != a.o.Host) {
 				err = fmt.Errorf("%s runs and is not named any more: drain it first", name)
 				return
 			}
 		}
 		m := a.machine(s)
-		all := a.m.All()
+		all := a.m.Snapshot()
 		m.Restore(now, all, false)
 		a.m, a.o.Spec = m, s
-		if a.o.Cluster != nil && s.Budgets != nil {
-			a.o.Cluster.Use(s.Budgets, s.Ledger)
+		if a.o.Cluster != nil && s.Quotas != nil {
+			a.o.Cluster.Use(s.Quotas, s.QuotaHosts)
 		}
-		a.note(fleet.Note{At: now, Event: "fleet's file read anew"})
+		a.note(fleet.HistoryEvent{At: now, Event: "fleet's file read anew"})
 	})
 	return errors.Join(failed, err)
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -68,7 +68,7 @@
 	err := supervisor.Run(context.Background(), supervisor.Options{
 		Dir: flagOf("dir"), Name: flagOf("name"), Run: flagOf("run"), Adopt: slices.Contains(os.Args, "--adopt"),
 		Launcher: []string{os.Args[0], "begin", "--"}, Command: []string{os.Args[0], "serve", "--config", flagOf("config")},
-		Window: fleet.Window{Grace: fleet.Micros(grace.Microseconds()), Stop: fleet.Micros(stop.Microseconds())},
+		Window: fleet.ShutdownWindow{Grace: fleet.Micros(grace.Microseconds()), ExitTimeout: fleet.Micros(stop.Microseconds())},
 		Bounds: limits.ForControl(),
 	})
 	if errors.Is(err, supervisor.ErrLocked) {
@@ -222,13 +222,13 @@
 	}
 }
 
-func (h *house) order(id string, kind fleet.Kind, names ...string) (*fleet.Command, error) {
+func (h *house) order(id string, kind fleet.CommandKind, names ...string) (*fleet.Command, error) {
 	if len(names) == 0 {
 		names = h.names
 	}
 	o := agentapi.CommandRequest{ID: id, Kind: kind, Instances: names, RequestedBy: "test", TimeoutMicros: 30_000_000}
-	if kind == fleet.Wave {
-		o.RollingUpdate = &h.spec.Wave
+	if kind == fleet.KindRollingUpdate {
+		o.RollingUpdate = &h.spec.RollingUpdate
 	}
 	return h.agent.Submit(o)
 }
@@ -239,7 +239,7 @@
 	var c *fleet.Command
 	fakes.Until(h.t, "the end of "+id, func() bool {
 		c = h.agent.Command(id)
-		return c != nil && c.State == fleet.Done
+		return c != nil && c.State == fleet.CommandDone
 	})
 	return c
 }
@@ -257,11 +257,11 @@
 	tr := fakes.NewTrace(t)
 	h := newHouse(t, "well", "deaf", "dies", "never", "crashes", "talks")
 	h.enter(nil)
-	if _, err := h.order("up", fleet.Start); err != nil {
+	if _, err := h.order("up", fleet.KindStart); err != nil {
 		t.Fatal(err)
 	}
 	h.outcomes(tr, "up")
-	if _, err := h.order("down", fleet.Drain); err != nil {
+	if _, err := h.order("down", fleet.KindDrain); err != nil {
 		t.Fatal(err)
 	}
 	h.outcomes(tr, "down")
@@ -285,7 +285,7 @@
 				h.enter(func(s agentstore.Store) agentstore.Store {
 					return &dying{Store: s, left: n, after: after, died: died}
 				})
-				ask := func(id string, kind fleet.Kind) { // like a tool that sends again until it is taken
+				ask := func(id string, kind fleet.CommandKind) { // like a tool that sends again until it is taken
 					fakes.Until(t, id+" is taken", func() bool {
 						select {
 						case <-died:
@@ -306,18 +306,18 @@
 						default:
 						}
 						c := h.agent.Command(id)
-						return c != nil && c.State == fleet.Done
+						return c != nil && c.State == fleet.CommandDone
 					})
 				}
-				ask("up", fleet.Start)
-				ask("wave", fleet.Wave)
-				ask("down", fleet.Drain)
+				ask("up", fleet.KindStart)
+				ask("wave", fleet.KindRollingUpdate)
+				ask("down", fleet.KindDrain)
 				if died != nil {
 					t.Errorf("the agent never died: there is no write %d", n)
 				}
 				for _, id := range []string{"up", "wave", "down"} {
 					for n, r := range h.agent.Command(id).Results {
-						if r.Outcome != fleet.Succeeded {
+						if r.Outcome != fleet.OutcomeSucceeded {
 							t.Errorf("%s %s: %+v", id, n, r)
 						}
 					}
@@ -371,16 +371,16 @@
 	h := newHouse(t, "a", "b")
 	disk := &full{}
 	h.enter(func(s agentstore.Store) agentstore.Store { disk.Store = s; return disk })
-	h.order("up", fleet.Start)
+	h.order("up", fleet.KindStart)
 	h.result("up")
-	h.order("down", fleet.Drain, "a")
+	h.order("down", fleet.KindDrain, "a")
 	disk.fails.Store(true)
-	_, err := h.order("more", fleet.Drain, "b")
+	_, err := h.order("more", fleet.KindDrain, "b")
 	var refused *agentapi.StatusError
 	if !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable || !strings.Contains(err.Error(), "no space left") {
 		t.Errorf("%v", err)
 	}
-	if c := h.result("down"); c.Results["a"].Outcome != fleet.Succeeded {
+	if c := h.result("down"); c.Results["a"].Outcome != fleet.OutcomeSucceeded {
 		t.Errorf("%+v", c.Results)
 	}
 	if s := h.agent.Status(); s.StoreError == "" || h.agent.Command("more") != nil {
@@ -388,13 +388,13 @@
 	}
 	disk.fails.Store(false)
 	fakes.Until(t, "it is well again", func() bool { return h.agent.Status().StoreError == "" })
-	if _, err := h.order("more", fleet.Drain, "b"); err != nil {
+	if _, err := h.order("more", fleet.KindDrain, "b"); err != nil {
 		t.Error(err)
 	}
 	h.result("more")
 	h.leave()
 	h.enter(nil) // what could not be written then has been written since
-	if c := h.agent.Command("down"); c == nil || c.State != fleet.Done {
+	if c := h.agent.Command("down"); c == nil || c.State != fleet.CommandDone {
 		t.Errorf("%+v", c)
 	}
 }
@@ -404,7 +404,7 @@
 func TestKeeperDies(t *testing.T) {
 	h := newHouse(t, "a", "deaf")
 	h.enter(nil)
-	h.order("up", fleet.Start)
+	h.order("up", fleet.KindStart)
 	h.result("up")
 	state := func(n string) supervisor.State {
 		s, err := supervisor.ReadState(supervisor.PathsOf(h.dir, n).State)
@@ -416,16 +416,16 @@
 	before := state("a")
 	before.Supervisor.Signal(syscall.SIGKILL)
 	fakes.Until(t, "another keeper is there", func() bool { s := state("a"); return s.Supervisor != before.Supervisor && s.Supervisor.Alive() })
-	fakes.Until(t, "it is seen ready", func() bool { return h.agent.Status().Instances[0].Phase == fleet.Ready })
+	fakes.Until(t, "it is seen ready", func() bool { return h.agent.Status().Instances[0].Phase == fleet.PhaseReady })
 	if s := state("a"); s.Instance != before.Instance || s.NotifiedStep != "" {
 		t.Fatalf("%+v became %+v", before, s)
 	}
-	h.order("down", fleet.Drain)
+	h.order("down", fleet.KindDrain)
 	fakes.Until(t, "the notice is written down", func() bool { return state("deaf").NotifiedStep != "" && state("a").NotifiedStep != "" })
 	state("deaf").Supervisor.Signal(syscall.SIGKILL)
 	state("a").Supervisor.Signal(syscall.SIGKILL)
 	c := h.result("down")
-	if c.Results["a"].Outcome != fleet.Succeeded || c.Results["deaf"].Outcome != fleet.Killed {
+	if c.Results["a"].Outcome != fleet.OutcomeSucceeded || c.Results["deaf"].Outcome != fleet.OutcomeKilled {
 		t.Errorf("%+v", c.Results)
 	}
 	if state("deaf").Instance.Alive() {
@@ -437,9 +437,9 @@
 func TestAgentAway(t *testing.T) {
 	h := newHouse(t, "a", "deaf")
 	h.enter(nil)
-	h.order("up", fleet.Start)
+	h.order("up", fleet.KindStart)
 	h.result("up")
-	h.order("down", fleet.Drain)
+	h.order("down", fleet.KindDrain)
 	fakes.Until(t, "the notices are out", func() bool {
 		a, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
 		d, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "deaf").State)
@@ -449,11 +449,11 @@
 	for _, n := range h.names {
 		fakes.Until(t, n+" has ended", func() bool {
 			s, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, n).State)
-			return s.Ended && s.End.After < 900_000
+			return s.Ended && s.End.DrainTime < 900_000
 		})
 	}
 	h.enter(nil)
-	if c := h.result("down"); c.Results["a"].Outcome != fleet.Succeeded || c.Results["deaf"].Outcome != fleet.Killed {
+	if c := h.result("down"); c.Results["a"].Outcome != fleet.OutcomeSucceeded || c.Results["deaf"].Outcome != fleet.OutcomeKilled {
 		t.Errorf("%+v", c.Results)
 	}
 }
@@ -475,7 +475,7 @@
 	caller := agentapi.NewClientFactory(b, 1)
 	client := caller.Client("unix:" + h.dir + "/a.sock")
 	defer client.Close()
-	o := agentapi.CommandRequest{ID: "same", Kind: fleet.Start, Instances: h.names, RequestedBy: "one", TimeoutMicros: 30_000_000}
+	o := agentapi.CommandRequest{ID: "same", Kind: fleet.KindStart, Instances: h.names, RequestedBy: "one", TimeoutMicros: 30_000_000}
 	var both sync.WaitGroup
 	for _, by := range []string{"one", "two"} {
 		both.Go(func() {
@@ -511,10 +511,10 @@
 	}
 	tr.Say("%s: %d commands, results %s %s", last.State, len(h.agent.Commands()), last.Results["a"].Outcome, last.Results["b"].Outcome)
 	for _, bad := range []agentapi.CommandRequest{
-		{ID: "same", Kind: fleet.Drain, Instances: h.names, TimeoutMicros: 1_000_000},
-		{ID: "x", Kind: "dance", Instances: h.names, TimeoutMicros: 1_000_000}, {ID: "x", Kind: fleet.Drain, Instances: []string{"z"}, TimeoutMicros: 1_000_000},
-		{ID: "x", Kind: fleet.Drain, Instances: h.names}, {ID: "../x", Kind: fleet.Drain, Instances: h.names, TimeoutMicros: 1_000_000},
-		{ID: "x", Kind: fleet.Wave, Instances: h.names, TimeoutMicros: 1_000_000},
+		{ID: "same", Kind: fleet.KindDrain, Instances: h.names, TimeoutMicros: 1_000_000},
+		{ID: "x", Kind: "dance", Instances: h.names, TimeoutMicros: 1_000_000}, {ID: "x", Kind: fleet.KindDrain, Instances: []string{"z"}, TimeoutMicros: 1_000_000},
+		{ID: "x", Kind: fleet.KindDrain, Instances: h.names}, {ID: "../x", Kind: fleet.KindDrain, Instances: h.names, TimeoutMicros: 1_000_000},
+		{ID: "x", Kind: fleet.KindRollingUpdate, Instances: h.names, TimeoutMicros: 1_000_000},
 	} {
 		_, err := client.Submit(ctx, bad)
 		tr.Say("%v", err)
@@ -544,7 +544,7 @@
 func TestRecordLost(t *testing.T) {
 	h := newHouse(t, "a", "b")
 	h.enter(nil)
-	h.order("up", fleet.Start)
+	h.order("up", fleet.KindStart)
 	h.result("up")
 	was, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
 	h.leave()
@@ -560,9 +560,9 @@
 	h.enter(nil)
 	fakes.Until(t, "both are seen", func() bool {
 		s := h.agent.Status()
-		return s.Instances[0].Phase == fleet.Ready && s.Instances[1].Phase == fleet.Ready && s.Instances[0].DesiredUp
+		return s.Instances[0].Phase == fleet.PhaseReady && s.Instances[1].Phase == fleet.PhaseReady && s.Instances[0].DesiredUp
 	})
-	h.order("again", fleet.Restart, "a")
+	h.order("again", fleet.KindRestart, "a")
 	h.result("again")
 	if s, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State); s.Run == was.Run || s.Instance == was.Instance {
 		t.Errorf("%+v after %+v", s, was)
@@ -574,7 +574,7 @@
 	h := newHouse(t, "a", "b", "c")
 	h.spec = h.read("a", "b")
 	h.enter(nil)
-	h.order("up", fleet.Start, "a", "b")
+	h.order("up", fleet.KindStart, "a", "b")
 	h.result("up")
 	if err := h.agent.Reload(h.read("a", "c")); err == nil || !strings.Contains(err.Error(), "b runs") {
 		t.Fatalf("%v", err)
@@ -582,9 +582,9 @@
 	if err := h.agent.Reload(h.read("a", "b", "c")); err != nil {
 		t.Fatal(err)
 	}
-	h.order("more", fleet.Start, "a", "b", "c")
+	h.order("more", fleet.KindStart, "a", "b", "c")
 	c := h.result("more")
-	if c.Results["c"].Outcome != fleet.Succeeded || c.Results["a"].Outcome == fleet.Failing {
+	if c.Results["c"].Outcome != fleet.OutcomeSucceeded || c.Results["a"].Outcome == fleet.OutcomeFailed {
 		raw, _ := json.Marshal(c)
 		t.Errorf("%s", raw)
 	}
--- a/internal/agent/agentstore/store.go
+++ b/internal/agent/agentstore/store.go
@@ -23,12 +23,12 @@
 type Entry struct {
 	Serial     uint64 `json:"serial"` // from 1, without gaps but for what was forgotten
 	UnixMicros int64  `json:"unix_us"`
-	fleet.Note
+	fleet.HistoryEvent
 }
 
 // State is everything that the store holds.
 type State struct {
-	fleet.Record
+	fleet.Snapshot
 	BootID  string           // the run of the machine that its times are of; empty: nothing was written yet
 	Intents []*fleet.Command // taken from a client and not yet decided on
 	History []Entry          // oldest first
@@ -36,7 +36,7 @@
 
 // Change is written whole or not at all.
 type Change struct {
-	fleet.Record
+	fleet.Snapshot
 	DeletedCommands  []string       // commands to forget
 	Intent           *fleet.Command // to be written before it is decided on
 	CompletedIntents []string       // intents that have been
--- a/internal/agent/agentstore/store_test.go
+++ b/internal/agent/agentstore/store_test.go
@@ -30,9 +30,9 @@
 	}
 	defer s.Close()
 	for n := range many {
-		c := Change{History: []Entry{{Serial: uint64(n + 1), Note: fleet.Note{Event: "taken", Cause: strings.Repeat("x", 100)}}}}
-		c.Instances = []fleet.Instance{{Name: fmt.Sprint("n", n%20), Up: true, Run: fmt.Sprint("r", n)}}
-		c.Commands = []*fleet.Command{{ID: fmt.Sprint("c", n%30), Results: map[string]fleet.Result{"a": {Outcome: fleet.Succeeded}}}}
+		c := Change{History: []Entry{{Serial: uint64(n + 1), HistoryEvent: fleet.HistoryEvent{Event: "taken", Cause: strings.Repeat("x", 100)}}}}
+		c.Instances = []fleet.Instance{{Name: fmt.Sprint("n", n%20), DesiredUp: true, Incarnation: fmt.Sprint("r", n)}}
+		c.Commands = []*fleet.Command{{ID: fmt.Sprint("c", n%30), Results: map[string]fleet.Result{"a": {Outcome: fleet.OutcomeSucceeded}}}}
 		c.Intent, c.BootID = &fleet.Command{ID: "i"}, "b1"
 		if n%2 == 0 {
 			c.CompletedIntents = []string{"i"}
@@ -94,7 +94,7 @@
 	}
 	all, err := s.Load()
 	s.Close()
-	if err != nil || len(all.Instances) != 4 || !all.Instances[3].Up {
+	if err != nil || len(all.Instances) != 4 || !all.Instances[3].DesiredUp {
 		t.Fatalf("%v: %+v", err, all.Instances)
 	}
 	edit(func(tx *bbolt.Tx) error {
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -56,9 +56,9 @@
 		var names []string
 		var terms *quota.Terms
 		if a.ask(func(fleet.Micros) {
-			terms = a.o.Spec.Budgets
+			terms = a.o.Spec.Quotas
 			for _, name := range a.m.Names() {
-				if in, _ := a.m.Instance(name); in.Run != "" {
+				if in, _ := a.m.Instance(name); in.Incarnation != "" {
 					names = append(names, name)
 				}
 			}
@@ -177,10 +177,10 @@
 func (a *Agent) unitsHeld(out []quota.Out) {
 	var held []fleet.HeldUnit
 	for _, o := range out {
-		held = append(held, fleet.HeldUnit{Name: o.Name, Budget: o.Budget, Turn: o.Turn})
+		held = append(held, fleet.HeldUnit{Name: o.Name, Quota: o.Budget, RequestID: o.Turn})
 	}
 	if len(held) > 0 {
-		a.bring(fleet.UnitsHeld{Held: held})
+		a.bring(fleet.UnitsListed{Units: held})
 	}
 }
 
@@ -193,24 +193,24 @@
 }
 
 // unit takes a unit of a count, or gives it back. Without an answer nothing is known: the same turn is asked for again.
-func (a *Agent) unit(s fleet.Step) {
+func (a *Agent) unit(s fleet.Action) {
 	if a.o.Cluster == nil {
-		a.bring(fleet.UnitTaken{HeldUnit: fleet.HeldUnit{Name: s.Name, Budget: s.Unit.Budget, Turn: s.ID}, Why: "this fleet's file has no budgets"})
+		a.bring(fleet.UnitAcquired{HeldUnit: fleet.HeldUnit{Name: s.Name, Quota: s.Unit.Quota, RequestID: s.ID}, Cause: "this fleet's file has no budgets"})
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*a.o.Bounds.Call)
 	defer cancel()
-	turn := &quota.Take{Budget: s.Unit.Budget, Name: s.Name, Host: a.o.Host, Turn: s.ID}
-	if s.What == fleet.GiveUnit {
-		turn.End = &s.End
+	turn := &quota.Take{Budget: s.Unit.Quota, Name: s.Name, Host: a.o.Host, Turn: s.ID}
+	if s.Kind == fleet.ActionReleaseUnit {
+		turn.End = &s.StartResult
 		if _, err := a.o.Cluster.Do(ctx, quota.Command{Give: turn}); err == nil {
-			a.bring(fleet.UnitGiven{Name: s.Name, Turn: s.ID})
+			a.bring(fleet.UnitReleased{Name: s.Name, RequestID: s.ID})
 		}
 		return
 	}
 	if res, err := a.o.Cluster.Do(ctx, quota.Command{Take: turn}); err == nil {
-		held := fleet.HeldUnit{Name: s.Name, Budget: s.Unit.Budget, Turn: s.ID}
-		a.bring(fleet.UnitTaken{HeldUnit: held, Held: res.No == "", Why: res.No})
+		held := fleet.HeldUnit{Name: s.Name, Quota: s.Unit.Quota, RequestID: s.ID}
+		a.bring(fleet.UnitAcquired{HeldUnit: held, Granted: res.No == "", Cause: res.No})
 	}
 }
 
@@ -220,7 +220,7 @@
 		select {
 		case n := <-a.o.Cluster.Notes():
 			if a.ask(func(now fleet.Micros) {
-				a.note(fleet.Note{At: now, Name: n.Name, Event: strings.TrimSpace(n.Budget + " " + n.Event), Cause: n.Cause})
+				a.note(fleet.HistoryEvent{At: now, Name: n.Name, Event: strings.TrimSpace(n.Budget + " " + n.Event), Cause: n.Cause})
 			}) != nil {
 				return
 			}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -65,10 +65,10 @@
 		misses := 0
 		for after := -1; !over && round.Err() == nil; {
 			r, err := client.Report(round, after)
-			if err == nil && r.Observation.Run == run {
+			if err == nil && r.Observation.Incarnation == run {
 				misses, after = 0, r.Serial
 				r.Observation.Detail = &r
-				over = r.Observation.Phase == fleet.Gone
+				over = r.Observation.Phase == fleet.PhaseExited
 				a.sighted(round, w.name, r.Observation, false)
 				continue
 			}
@@ -100,14 +100,14 @@
 }
 
 // sighted brings a sight into the loop. One without a trace of the life says nothing while its launch is under way.
-func (a *Agent) sighted(ctx context.Context, name string, s fleet.Sight, noTrace bool) {
+func (a *Agent) sighted(ctx context.Context, name string, s fleet.Observation, noTrace bool) {
 	select {
 	case <-ctx.Done():
 	case a.work <- func(now fleet.Micros) {
-		if in, _ := a.m.Instance(name); noTrace && in.Pending && in.Doing == fleet.Launch {
+		if in, _ := a.m.Instance(name); noTrace && in.ActionPending && in.LastAction == fleet.ActionLaunch {
 			return
 		}
-		a.decide(now, fleet.Sighted{Name: name, Sight: s})
+		a.decide(now, fleet.InstanceObserved{Name: name, Observation: s})
 	}:
 	}
 }
@@ -134,15 +134,15 @@
 }
 
 // take carries a step out, without keeping the loop.
-func (a *Agent) take(s fleet.Step) {
-	if s.What == fleet.TakeUnit || s.What == fleet.GiveUnit {
+func (a *Agent) take(s fleet.Action) {
+	if s.Kind == fleet.ActionAcquireUnit || s.Kind == fleet.ActionReleaseUnit {
 		go a.unit(s)
 		return
 	}
-	if s.What == fleet.Launch {
+	if s.Kind == fleet.ActionLaunch {
 		if w := a.watchers[s.Name]; w != nil {
-			if run, _ := w.now(); run != s.Run {
-				w.begin(s.Run)
+			if run, _ := w.now(); run != s.Incarnation {
+				w.begin(s.Incarnation)
 			}
 		}
 		spec := a.o.Spec
@@ -159,30 +159,30 @@
 	go a.order(s)
 }
 
-func (a *Agent) failed(s fleet.Step, err error, final bool) {
+func (a *Agent) failed(s fleet.Action, err error, final bool) {
 	select {
 	case <-a.done:
 	case a.work <- func(now fleet.Micros) {
-		a.decide(now, fleet.StepFailed{Name: s.Name, Step: s.ID, Cause: err.Error(), Final: final})
+		a.decide(now, fleet.ActionFailed{Name: s.Name, ActionID: s.ID, Cause: err.Error(), Final: final})
 	}:
 	}
 }
 
 // order hands a notice or a kill to the keeper. Where the keeper does not take it, the instance gets it from here:
 // a keeper that is stopped must not keep its instance from hearing.
-func (a *Agent) order(s fleet.Step) {
+func (a *Agent) order(s fleet.Action) {
 	client := supervisor.NewClient(a.o.Dir, s.Name, a.o.Bounds)
 	defer client.Close()
-	err := client.Request(context.Background(), supervisor.StepRequest{Step: s.ID, Run: s.Run, What: s.What, Cause: s.Cause})
+	err := client.Request(context.Background(), supervisor.StepRequest{Step: s.ID, Run: s.Incarnation, What: s.Kind, Cause: s.Cause})
 	if err == nil {
 		return
 	}
 	st, errState := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, s.Name).State)
-	if errState != nil || st.Run != s.Run || st.Ended {
+	if errState != nil || st.Run != s.Incarnation || st.Ended {
 		return // it is over, which the watcher tells
 	}
 	slog.Warn("keeper", "name", s.Name, "step", s.ID, "error", err.Error())
-	if s.What == fleet.Kill {
+	if s.Kind == fleet.ActionKill {
 		err = st.Instance.KillGroup()
 	} else {
 		err = st.Instance.Signal(syscall.SIGTERM)
@@ -196,27 +196,27 @@
 const ExitSupervisorRunning = 6
 
 // launch starts a keeper, unless one has this life already. An error means that trying again would not help.
-func (a *Agent) launch(all *fleet.Spec, s fleet.Step) error {
+func (a *Agent) launch(all *fleet.Spec, s fleet.Action) error {
 	paths := supervisor.PathsOf(a.o.Dir, s.Name)
-	if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Run && (st.Ended || st.Supervisor.Alive()) {
+	if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Incarnation && (st.Ended || st.Supervisor.Alive()) {
 		return nil // the same step came twice
 	}
-	spec := all.Find(s.Name)
+	spec := all.Instance(s.Name)
 	window, err := ReadShutdownWindow(spec.ConfigFile)
 	if err != nil {
 		return fmt.Errorf("%s: %w", spec.ConfigFile, err)
 	}
-	args := append(a.o.Executable[1:len(a.o.Executable):len(a.o.Executable)], "keeper", "--dir", a.o.Dir, "--name", s.Name, "--run", s.Run,
-		"--grace", time.Duration(window.Grace*1000).String(), "--stop", time.Duration(window.Stop*1000).String(),
+	args := append(a.o.Executable[1:len(a.o.Executable):len(a.o.Executable)], "keeper", "--dir", a.o.Dir, "--name", s.Name, "--run", s.Incarnation,
+		"--grace", time.Duration(window.Grace*1000).String(), "--stop", time.Duration(window.ExitTimeout*1000).String(),
 		"--config", spec.ConfigFile)
-	if spec.Levels != "" {
-		args = append(args, "--levels", spec.Levels)
+	if spec.DegradationFile != "" {
+		args = append(args, "--levels", spec.DegradationFile)
 	}
 	if s.Adopt {
 		args = append(args, "--adopt")
 	}
-	if all.Budgets != nil {
-		for _, word := range all.Budgets.Drawn(s.Name) {
+	if all.Quotas != nil {
+		for _, word := range all.Quotas.Drawn(s.Name) {
 			args = append(args, "--draw", word)
 		}
 	}
@@ -243,7 +243,7 @@
 		if code == 0 || code == ExitSupervisorRunning {
 			return
 		}
-		if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Run {
+		if st, err := supervisor.ReadState(paths.State); err == nil && st.Run == s.Incarnation {
 			return // it began, and what became of it stands there
 		}
 		a.failed(s, fmt.Errorf("the keeper ended with code %s: %s", strconv.Itoa(code), lastLine(logPath)), false)
@@ -278,13 +278,13 @@
 func CheckConfigs(s *fleet.Spec, host string) error {
 	var errs []error
 	listens := map[string]string{}
-	for _, in := range s.Of(host) {
+	for _, in := range s.InstancesOn(host) {
 		b, err := config.Read(in.ConfigFile)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %s: %w", in.Name, in.ConfigFile, err))
 			continue
 		}
-		if err := checkLadder(in.Levels, b); err != nil {
+		if err := checkLadder(in.DegradationFile, b); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", in.Name, err))
 		}
 		if other := listens[in.Host+" "+b.Listen]; other != "" {
--- a/internal/agentapi/api.go
+++ b/internal/agentapi/api.go
@@ -19,15 +19,15 @@
 // Order asks for something to be done. Sent again with the same ID and content it changes nothing, so that it can
 // be sent again whenever its answer is lost.
 type CommandRequest struct {
-	ID                  string           `json:"id"`
-	Kind                fleet.Kind       `json:"kind"`
-	Instances           []string         `json:"names"`
-	RequestedBy         string           `json:"by"`
-	RequestedUnixMicros int64            `json:"asked_unix_us"`
-	TimeoutMicros       int64            `json:"within_us"` // from its arrival; the agent's own clock counts it
-	Immediate           bool             `json:"now,omitempty"`
-	RollingUpdate       *fleet.WaveTerms `json:"terms,omitempty"`
-	Budget              string           `json:"budget,omitempty"` // of a wave: a count of which each that is out holds a unit
+	ID                  string                     `json:"id"`
+	Kind                fleet.CommandKind          `json:"kind"`
+	Instances           []string                   `json:"names"`
+	RequestedBy         string                     `json:"by"`
+	RequestedUnixMicros int64                      `json:"asked_unix_us"`
+	TimeoutMicros       int64                      `json:"within_us"` // from its arrival; the agent's own clock counts it
+	Immediate           bool                       `json:"now,omitempty"`
+	RollingUpdate       *fleet.RollingUpdateConfig `json:"terms,omitempty"`
+	Budget              string                     `json:"budget,omitempty"` // of a wave: a count of which each that is out holds a unit
 }
 
 // Status is an agent's state.
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -38,7 +38,7 @@
 	bounds limits.Control
 
 	mu    sync.Mutex
-	share fleet.RetryShare
+	share fleet.RetryBudget
 	draw  *rand.Rand
 }
 
@@ -64,13 +64,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n == 1 {
-		c.share.First()
+		c.share.RecordAttempt()
 		return 0, true
 	}
-	if n > c.bounds.Tries || !c.share.Again() {
+	if n > c.bounds.Tries || !c.share.AllowRetry() {
 		return 0, false
 	}
-	b := fleet.Backoff{Least: fleet.Micros(c.bounds.Again.Microseconds()), Most: fleet.Micros(c.bounds.AgainMax.Microseconds())}
+	b := fleet.Backoff{Min: fleet.Micros(c.bounds.Again.Microseconds()), Max: fleet.Micros(c.bounds.AgainMax.Microseconds())}
 	return time.Duration(b.Pause(n, c.draw)) * time.Microsecond, true
 }
 
@@ -130,7 +130,7 @@
 	cmd = &fleet.Command{}
 	err = c.call(ctx, http.MethodGet, "/v1/commands/"+url.PathEscape(id), nil, cmd)
 	if r, ok := errors.AsType[*StatusError](err); ok && r.Status == http.StatusNotFound {
-		return nil, fleet.ErrUnknown
+		return nil, fleet.ErrUnknownCommand
 	}
 	return cmd, err
 }
@@ -156,7 +156,7 @@
 // the command has ended, take wants no more, or ctx ends. Where the stream breaks it is joined again where it was
 // left, for as long as ctx lasts: an agent that is away for a while is no reason to give up.
 func (c *Client) Follow(ctx context.Context, id string, after uint64, take func(StreamEvent) bool) error {
-	again := fleet.Backoff{Least: 50_000, Most: 500_000}
+	again := fleet.Backoff{Min: 50_000, Max: 500_000}
 	for n := 1; ; n++ {
 		over, err := c.join(ctx, id, &after, func(l StreamEvent) bool { n = 1; return take(l) })
 		if over {
@@ -206,7 +206,7 @@
 		if !take(l) {
 			return true, nil
 		}
-		if l.Command != nil && l.Command.State == fleet.Done {
+		if l.Command != nil && l.Command.State == fleet.CommandDone {
 			return true, nil
 		}
 	}
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -74,7 +74,7 @@
 		if c := s.m.Command(r.PathValue("id")); c != nil {
 			return c, nil
 		}
-		return nil, fleet.ErrUnknown
+		return nil, fleet.ErrUnknownCommand
 	})
 	at("POST /v1/commands/{id}/{verb}", func(r *http.Request) (any, error) {
 		return s.m.Steer(r.PathValue("id"), r.PathValue("verb"), r.URL.Query().Get("by"))
@@ -135,11 +135,11 @@
 	switch refusal, ok := errors.AsType[*StatusError](err); {
 	case ok:
 		status = refusal.Status
-	case errors.Is(err, fleet.ErrUnknown):
+	case errors.Is(err, fleet.ErrUnknownCommand):
 		status = http.StatusNotFound
-	case errors.Is(err, fleet.ErrOther), errors.Is(err, fleet.ErrWave):
+	case errors.Is(err, fleet.ErrIDConflict), errors.Is(err, fleet.ErrUpdateInProgress):
 		status = http.StatusConflict
-	case errors.Is(err, fleet.ErrFull):
+	case errors.Is(err, fleet.ErrTooManyCommands):
 		status = http.StatusTooManyRequests
 	}
 	w.WriteHeader(status)
@@ -159,7 +159,7 @@
 	after, _, err := numbers(r)
 	id := r.URL.Query().Get("command")
 	if err == nil && id != "" && s.m.Command(id) == nil {
-		err = fleet.ErrUnknown
+		err = fleet.ErrUnknownCommand
 	}
 	if err != nil {
 		s.answer(w, nil, err)
@@ -185,11 +185,11 @@
 			return
 		}
 		for _, e := range entries {
-			if after = e.Serial; (id == "" || e.Command == id) && !say(StreamEvent{Entry: &e, Serial: after}) {
+			if after = e.Serial; (id == "" || e.CommandID == id) && !say(StreamEvent{Entry: &e, Serial: after}) {
 				return
 			}
 		}
-		if c != nil && c.State == fleet.Done {
+		if c != nil && c.State == fleet.CommandDone {
 			say(StreamEvent{Command: c, Serial: after})
 			return
 		}
--- a/internal/cluster/node/join.go
+++ b/internal/cluster/node/join.go
@@ -45,7 +45,7 @@
 func addresses(s *fleet.Spec) (to map[string]string, hosts []string) {
 	to = map[string]string{}
 	for _, h := range s.Hosts {
-		to[h.Name] = h.Peer
+		to[h.Name] = h.PeerAddress
 		hosts = append(hosts, h.Name)
 	}
 	return to, hosts
@@ -55,7 +55,7 @@
 func Open(o Options) (*Joined, error) {
 	j := &Joined{o: o, notes: make(chan quota.Note, 256), quiet: map[string]time.Time{}}
 	to, hosts := addresses(o.Spec)
-	listen := o.Spec.Host(o.Host).Peer
+	listen := o.Spec.Host(o.Host).PeerAddress
 	if listen == "" {
 		listen = "127.0.0.1:0" // alone: nobody speaks to it
 	}
@@ -64,13 +64,13 @@
 		return nil, err
 	}
 	j.Node, err = quotastore.Open(quotastore.Options{
-		Host: o.Host, Members: o.Spec.Ledger, Dir: filepath.Join(o.Dir, "ledger"), Trust: o.Trust, Net: j.net, Bounds: o.Bounds,
+		Host: o.Host, Members: o.Spec.QuotaHosts, Dir: filepath.Join(o.Dir, "ledger"), Trust: o.Trust, Net: j.net, Bounds: o.Bounds,
 		Clock: func() quota.Micros { return quota.Micros(process.Now()) }, Note: j.note,
 	})
 	if err != nil {
 		return nil, err
 	}
-	j.Node.Use(o.Spec.Budgets, o.Spec.Ledger)
+	j.Node.Use(o.Spec.Quotas, o.Spec.QuotaHosts)
 	j.list, err = membership.Start(membership.Options{
 		Host: o.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Net: j.net, Bounds: o.Bounds, Clock: process.Now,
 		Changed: func(s membership.Seen) { j.note(quota.Note{Name: s.Host, Event: "agent " + string(s.State)}) },
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -14,25 +14,25 @@
 
 // readBudgets reads what the fleet shares, and which agents keep the ledger of it.
 func (s *Spec) readBudgets(f *sexpr.Form) {
-	s.Budgets = &quota.Terms{Version: uint64(f.Int("version", 1, 1<<40, 1))}
-	s.Ledger = f.Words("ledger")
-	if len(s.Ledger) == 0 && len(s.Hosts) == 1 {
-		s.Ledger = []string{s.Hosts[0].Name}
+	s.Quotas = &quota.Terms{Version: uint64(f.Int("version", 1, 1<<40, 1))}
+	s.QuotaHosts = f.Words("ledger")
+	if len(s.QuotaHosts) == 0 && len(s.Hosts) == 1 {
+		s.QuotaHosts = []string{s.Hosts[0].Name}
 	}
-	if err := quorum.Set(s.Ledger); err != nil {
+	if err := quorum.Set(s.QuotaHosts); err != nil {
 		f.Fail("ledger", "%v", err)
 	}
-	if len(s.Ledger) == 0 {
+	if len(s.QuotaHosts) == 0 {
 		f.Fail("ledger", "missing: the hosts whose agents keep the ledger")
 	}
-	for _, m := range s.Ledger {
+	for _, m := range s.QuotaHosts {
 		if s.Host(m) == nil {
 			f.Fail("ledger", "%q is no host of this file", m)
 		}
 	}
 	if len(s.Hosts) > 1 {
 		for _, h := range s.Hosts {
-			if h.Peer == "" {
+			if h.PeerAddress == "" {
 				f.Fail("", "host %q has no (peer ADDRESS), and budgets are shared with it", h.Name)
 			}
 		}
@@ -40,7 +40,7 @@
 	for _, b := range f.All("budget") {
 		s.readBudget(b)
 	}
-	if n := len(s.Budgets.Budgets); n == 0 || n > backendquota.MaxBudgets {
+	if n := len(s.Quotas.Budgets); n == 0 || n > backendquota.MaxBudgets {
 		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
 	}
 	f.Done()
@@ -48,7 +48,7 @@
 
 func (s *Spec) readBudget(f *sexpr.Form) {
 	b := quota.Budget{Name: name(f)}
-	if s.Budgets.Find(b.Name) != nil {
+	if s.Quotas.Find(b.Name) != nil {
 		f.Fail("", "budget %q stands twice", b.Name)
 	}
 	rate, count := f.Int("rate", 0, backendquota.MaxRate, 0), f.Int("count", 0, backendquota.MaxRate, 0)
@@ -70,7 +70,7 @@
 			f.Fail(field, "%v", err)
 		}
 	}
-	s.Budgets.Budgets = append(s.Budgets.Budgets, b)
+	s.Quotas.Budgets = append(s.Quotas.Budgets, b)
 }
 
 func (s *Spec) readRate(f *sexpr.Form, b *quota.Budget) {
@@ -91,7 +91,7 @@
 			f.Fail("groups", "%q is no group of this file", g)
 		}
 	}
-	for _, in := range s.Of("") {
+	for _, in := range s.InstancesOn("") {
 		if len(groups) == 0 || slices.Contains(groups, in.Group) {
 			b.Floors[in.Name] = floor
 		}
@@ -120,19 +120,19 @@
 
 // readRise reads how a whole fleet comes up.
 func (s *Spec) readRise(f *sexpr.Form) {
-	s.RiseBudget = f.Text("budget", "")
+	s.ColdStartQuota = f.Text("budget", "")
 	t := &coldstart.Terms{
 		Least: f.Share("least", 0, 1, 0.1), Failures: int64(f.Int("failures", 1, 100_000, 8)), Slow: f.Share("slow", 1, 1000, 3),
 		Refused: f.Share("refused", 0, 1, 0.1), First: int64(f.Int("first", 0, 100_000, 0)),
 	}
 	f.Done()
-	if !s.counts(s.RiseBudget) {
-		f.Fail("budget", "%q is no count of this file", s.RiseBudget)
+	if !s.counts(s.ColdStartQuota) {
+		f.Fail("budget", "%q is no count of this file", s.ColdStartQuota)
 		return
 	}
-	b := s.Budgets.Find(s.RiseBudget)
+	b := s.Quotas.Find(s.ColdStartQuota)
 	if b.Aside == 0 {
-		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good", s.RiseBudget)
+		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good", s.ColdStartQuota)
 	}
 	if t.Most = b.Whole - b.Aside; t.First == 0 {
 		t.First = min(2, t.Most)
@@ -140,14 +140,14 @@
 	if field, err := t.Check(); err != nil {
 		f.Fail(field, "%v", err)
 	}
-	s.Rise = t
+	s.ColdStart = t
 }
 
 // counts tells whether a budget of that name is a count.
 func (s *Spec) counts(name string) bool {
-	if s.Budgets == nil {
+	if s.Quotas == nil {
 		return false
 	}
-	b := s.Budgets.Find(name)
+	b := s.Quotas.Find(name)
 	return b != nil && b.Kind == quota.Count
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -11,27 +11,27 @@
 )
 
 // Terms are the machine's own times and pauses.
-type Terms struct {
-	Slack    Micros  // beyond an instance's stop before the agent itself kills it; also between two such kills
-	Again    Backoff // of a step that was not taken
-	Relaunch Backoff // after a life that ended by itself
-	Commands int     // ended ones that are kept
-	Open     int     // that may be open
-	Seed     uint64  // of the jitter
+type Config struct {
+	KillDelay           Micros  // beyond an instance's stop before the agent itself kills it; also between two such kills
+	ResendBackoff       Backoff // of a step that was not taken
+	RelaunchBackoff     Backoff // after a life that ended by itself
+	MaxFinishedCommands int     // ended ones that are kept
+	MaxOpenCommands     int     // that may be open
+	JitterSeed          uint64  // of the jitter
 }
 
 // DefaultTerms are the terms of an agent.
-func DefaultTerms(b limits.Control, seed uint64) Terms {
-	return Terms{
-		Slack: micros(500_000_000), Commands: b.Commands, Open: b.Open, Seed: seed,
-		Again:    Backoff{micros(b.Again), micros(b.AgainMax)},
-		Relaunch: Backoff{micros(2 * b.Again), micros(10 * b.AgainMax)},
+func DefaultConfig(b limits.Control, seed uint64) Config {
+	return Config{
+		KillDelay: micros(500_000_000), MaxFinishedCommands: b.Commands, MaxOpenCommands: b.Open, JitterSeed: seed,
+		ResendBackoff:   Backoff{micros(b.Again), micros(b.AgainMax)},
+		RelaunchBackoff: Backoff{micros(2 * b.Again), micros(10 * b.AgainMax)},
 	}
 }
 
 // Machine decides for all instances of one agent. It is not for use by several goroutines at once.
 type Machine struct {
-	terms     Terms
+	terms     Config
 	draw      *rand.Rand
 	names     []string // in the file's order
 	instances map[string]*Instance
@@ -44,32 +44,32 @@
 	unheard   Micros // since when asks for units have no answer; 0: the latest had one
 	askedAt   Micros // the latest such ask
 
-	steps   []Step
-	notes   []Note
+	steps   []Action
+	notes   []HistoryEvent
 	touched map[string]bool // instances and commands to be written down
 	told    map[string]bool
 }
 
 // New makes a machine for a host's instances; window tells what each has after the notice.
-func New(s *Spec, host string, terms Terms, window func(*InstanceSpec) Window) *Machine {
+func New(s *Spec, host string, terms Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
 	m := &Machine{
-		terms: terms, draw: rand.New(rand.NewPCG(terms.Seed, 0)), instances: map[string]*Instance{},
+		terms: terms, draw: rand.New(rand.NewPCG(terms.JitterSeed, 0)), instances: map[string]*Instance{},
 		groups: map[string]*GroupSpec{}, commands: map[string]*Command{}, touched: map[string]bool{},
 		told: map[string]bool{},
 	}
-	for i, spec := range s.Of(host) {
+	for i, spec := range s.InstancesOn(host) {
 		g := s.Group(spec.Group)
 		m.groups[g.Name] = g
 		m.names = append(m.names, spec.Name)
 		m.instances[spec.Name] = &Instance{
-			Name: spec.Name, Group: g.Name, Spare: spec.Spare, Phase: Absent, spec: g, window: window(spec), place: i,
+			Name: spec.Name, Group: g.Name, Spare: spec.Spare, Phase: PhaseAbsent, spec: g, window: window(spec), place: i,
 		}
 	}
 	return m
 }
 
 // Record is what the machine must be told again after a restart.
-type Record struct {
+type Snapshot struct {
 	Instances []Instance `json:"instances"`
 	Commands  []*Command `json:"commands"`
 }
@@ -77,11 +77,11 @@
 // Restore takes back what was written down. fresh: the machine was started anew since, so that no process of
 // then is left. Instances that the file no longer names are kept out of it: forgotten lists those that may still
 // run.
-func (m *Machine) Restore(now Micros, r Record, fresh bool) (forgotten []Instance) {
+func (m *Machine) Restore(now Micros, r Snapshot, fresh bool) (forgotten []Instance) {
 	for _, was := range r.Instances {
 		in := m.instances[was.Name]
 		if in == nil {
-			if was.Run != "" && !fresh {
+			if was.Incarnation != "" && !fresh {
 				forgotten = append(forgotten, was)
 			}
 			continue
@@ -89,33 +89,33 @@
 		keep := *in
 		*in = was
 		in.Group, in.Spare, in.spec, in.window, in.place = keep.Group, keep.Spare, keep.spec, keep.window, keep.place
-		in.Steady, in.Detail, in.Picked = 0, nil, unknownCount
+		in.ReadySince, in.Detail, in.Invocations = 0, nil, unknownCount
 		switch {
 		case fresh:
-			in.Run, in.Told, in.ToldAt, in.Deadline, in.Pending, in.Kills, in.GaveUp = "", "", 0, 0, false, 0, ""
-			in.Recycle, in.Spent, in.Free, in.Next, in.Tries, in.Budget = false, false, true, 0, 0, Budget{}
-			in.enter(now, Absent, "the machine was started anew")
-		case in.Run != "":
-			in.Phase, in.Since, in.Cause = Unknown, now, "the agent was started"
-			in.Next = now                                              // what is pending goes out again at once
-			if in.Pending && in.Doing == Launch && in.Run == in.Step { // it may not have begun
-				in.Deadline = now + m.startWithin(in)
+			in.Incarnation, in.NoticeID, in.NotifiedAt, in.PhaseDeadline, in.ActionPending, in.KillAttempts, in.GiveUpReason = "", "", 0, 0, false, 0, ""
+			in.RestartPending, in.LaunchesExhausted, in.LaunchRequested, in.NextAttemptAt, in.Attempts, in.LaunchBudget = false, false, true, 0, 0, LaunchBudget{}
+			in.enter(now, PhaseAbsent, "the machine was started anew")
+		case in.Incarnation != "":
+			in.Phase, in.PhaseSince, in.Cause = PhaseUnknown, now, "the agent was started"
+			in.NextAttemptAt = now                                                                  // what is pending goes out again at once
+			if in.ActionPending && in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // it may not have begun
+				in.PhaseDeadline = now + m.startWithin(in)
 				m.touch(in)
 			}
-			if in.Pending && in.Doing == Tell { // its window runs from when it hears
-				in.ToldAt, in.Deadline = now, now+in.window.Stop+m.terms.Slack
+			if in.ActionPending && in.LastAction == ActionNotify { // its window runs from when it hears
+				in.NotifiedAt, in.PhaseDeadline = now, now+in.window.ExitTimeout+m.terms.KillDelay
 				m.touch(in)
 			}
 		}
 	}
-	slices.SortFunc(r.Commands, func(a, b *Command) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(r.Commands, func(a, b *Command) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	for _, c := range r.Commands {
 		if c = c.clone(); c.Results == nil {
 			c.Results = map[string]Result{}
 		}
 		m.commands[c.ID] = c
-		m.number = max(m.number, c.Number)
-		if c.State == Done {
+		m.number = max(m.number, c.Sequence)
+		if c.State == CommandDone {
 			m.past = append(m.past, c.ID)
 			continue
 		}
@@ -123,9 +123,9 @@
 		for _, n := range c.open() {
 			switch {
 			case m.instances[n] == nil:
-				m.result(now, c, n, Failing, "the fleet's file no longer names it")
+				m.result(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
 			case fresh:
-				m.result(now, c, n, Failing, "the machine was started anew")
+				m.result(now, c, n, OutcomeFailed, "the machine was started anew")
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 
 // Changes are the instances and commands to be written down before the steps are taken, as they are now. Asking
 // again gives what changed since.
-func (m *Machine) Changes() (r Record, dropped []string) {
+func (m *Machine) Changes() (r Snapshot, dropped []string) {
 	for _, name := range sortedKeys(m.touched) {
 		r.Instances = append(r.Instances, *m.instances[name])
 	}
@@ -158,7 +158,7 @@
 func (m *Machine) Names() []string { return slices.Clone(m.names) }
 
 // All is everything that Restore takes, as it is now.
-func (m *Machine) All() (r Record) {
+func (m *Machine) Snapshot() (r Snapshot) {
 	for _, name := range m.names {
 		r.Instances = append(r.Instances, *m.instances[name])
 	}
@@ -175,7 +175,7 @@
 		return false
 	}
 	for _, name := range m.names {
-		if in := m.instances[name]; in.Pending || in.Deadline != 0 || in.Unit.Turn != "" || in.Up && !in.Spent && in.Phase.Down() {
+		if in := m.instances[name]; in.ActionPending || in.PhaseDeadline != 0 || in.Unit.RequestID != "" || in.DesiredUp && !in.LaunchesExhausted && in.Phase.Down() {
 			return false
 		}
 	}
@@ -204,7 +204,7 @@
 	for _, c := range m.commands {
 		all = append(all, c.clone())
 	}
-	slices.SortFunc(all, func(a, b *Command) int { return cmp.Compare(b.Number, a.Number) })
+	slices.SortFunc(all, func(a, b *Command) int { return cmp.Compare(b.Sequence, a.Sequence) })
 	return all
 }
 
@@ -214,64 +214,64 @@
 // The events.
 type (
 	// Ordered brings a command; a command with a known id and the same content changes nothing.
-	Ordered struct{ Command *Command }
+	CommandReceived struct{ Command *Command }
 	// Sighted brings what was seen of one.
-	Sighted struct {
-		Name  string
-		Sight Sight
+	InstanceObserved struct {
+		Name        string
+		Observation Observation
 	}
 	// StepFailed: the step can't be taken, now or ever.
-	StepFailed struct {
-		Name, Step, Cause string
-		Final             bool // trying again would not help
+	ActionFailed struct {
+		Name, ActionID, Cause string
+		Final                 bool // trying again would not help
 	}
 	// Steer pauses, resumes or cancels a command.
-	Steer struct{ ID, Verb, By string }
+	CommandControl struct{ CommandID, Verb, RequestedBy string }
 	// Tick: time has passed.
 	Tick struct{}
 )
 
-func (Ordered) event()    {}
-func (Sighted) event()    {}
-func (StepFailed) event() {}
-func (Steer) event()      {}
-func (Tick) event()       {}
+func (CommandReceived) event()  {}
+func (InstanceObserved) event() {}
+func (ActionFailed) event()     {}
+func (CommandControl) event()   {}
+func (Tick) event()             {}
 
 // Decide takes in what happened and returns the steps to take, in order, and the lines for the history. Both are
 // valid until the next call. An error means that nothing was changed.
-func (m *Machine) Decide(now Micros, ev Event) (steps []Step, notes []Note, err error) {
+func (m *Machine) Decide(now Micros, ev Event) (steps []Action, notes []HistoryEvent, err error) {
 	m.steps, m.notes = m.steps[:0], m.notes[:0]
 	switch e := ev.(type) {
-	case Ordered:
+	case CommandReceived:
 		if err = m.take(now, e.Command); err == nil {
 			m.sweep(now)
 		}
-	case Steer:
+	case CommandControl:
 		if err = m.steer(now, e); err == nil {
 			m.sweep(now)
 		}
-	case Sighted:
+	case InstanceObserved:
 		if in := m.instances[e.Name]; in != nil {
-			m.seen(now, in, e.Sight)
+			m.seen(now, in, e.Observation)
 			m.advance(now, in)
 		}
-	case StepFailed:
-		if in := m.instances[e.Name]; in != nil && in.Step == e.Step && in.Pending {
+	case ActionFailed:
+		if in := m.instances[e.Name]; in != nil && in.ActionID == e.ActionID && in.ActionPending {
 			m.refused(now, in, e)
 			m.advance(now, in)
 		}
-	case UnitTaken:
+	case UnitAcquired:
 		if in := m.instances[e.Name]; in != nil {
 			m.unitTaken(now, in, e)
 		}
-	case UnitGiven:
+	case UnitReleased:
 		m.unheard = 0
-		if in := m.instances[e.Name]; in != nil && in.Unit.Turn == e.Turn {
+		if in := m.instances[e.Name]; in != nil && in.Unit.RequestID == e.RequestID {
 			in.Unit = Unit{}
 			m.note(now, in, "unit given back", "")
 			m.touch(in)
 		}
-	case UnitsHeld:
+	case UnitsListed:
 		m.unheard = 0
 		m.unitsHeld(now, e)
 	case Tick:
@@ -279,9 +279,9 @@
 	}
 	for _, c := range m.open {
 		switch c.Kind {
-		case Wave:
+		case KindRollingUpdate:
 			m.roll(now, c)
-		case Rise:
+		case KindColdStart:
 			m.lift(now, c)
 		}
 	}
@@ -291,7 +291,7 @@
 
 func (m *Machine) sweep(now Micros) {
 	for _, c := range slices.Clone(m.open) {
-		if now >= c.Due {
+		if now >= c.Deadline {
 			m.expire(now, c)
 		}
 	}
@@ -309,17 +309,17 @@
 }
 
 // refused: a step could not be taken.
-func (m *Machine) refused(now Micros, in *Instance, e StepFailed) {
-	m.note(now, in, string(in.Doing)+" not taken", e.Cause)
-	if in.Doing == Launch && in.Run == in.Step { // no process came of it
-		in.Run, in.Pending, in.Deadline = "", false, 0
-		in.enter(now, Failed, e.Cause)
-		in.Tries++
-		in.Next = now + m.terms.Relaunch.Pause(in.Tries+1, m.draw)
+func (m *Machine) refused(now Micros, in *Instance, e ActionFailed) {
+	m.note(now, in, string(in.LastAction)+" not taken", e.Cause)
+	if in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // no process came of it
+		in.Incarnation, in.ActionPending, in.PhaseDeadline = "", false, 0
+		in.enter(now, PhaseFailed, e.Cause)
+		in.Attempts++
+		in.NextAttemptAt = now + m.terms.RelaunchBackoff.Pause(in.Attempts+1, m.draw)
 		if e.Final {
-			in.Spent = true
+			in.LaunchesExhausted = true
 		}
-		in.Recycle = false
+		in.RestartPending = false
 		m.touch(in)
 	}
 }
@@ -331,7 +331,7 @@
 	}
 	if was := m.commands[c.ID]; was != nil {
 		if !was.same(c) {
-			return ErrOther
+			return ErrIDConflict
 		}
 		return nil
 	}
@@ -342,31 +342,31 @@
 			return fmt.Errorf("names: %q is no instance of this agent", n)
 		case seen[n]:
 			return fmt.Errorf("names: %q stands twice", n)
-		case c.Kind == Wave && in.Spare:
+		case c.Kind == KindRollingUpdate && in.Spare:
 			return fmt.Errorf("names: %q is a spare; a wave takes those by surge", n)
 		}
 		seen[n] = true
 	}
-	if c.Due <= now {
+	if c.Deadline <= now {
 		return fmt.Errorf("due: it has passed")
 	}
-	if len(m.open) >= m.terms.Open {
-		return ErrFull
+	if len(m.open) >= m.terms.MaxOpenCommands {
+		return ErrTooManyCommands
 	}
 	c = c.clone()
-	c.State, c.Cause, c.Begun, c.Finished = Open, "", now, 0
-	c.Results, c.Out, c.Failed, c.Stuck, c.Turned, c.Spares, c.Stage = map[string]Result{}, map[string]bool{}, 0, 0, 0, nil, ""
-	if c.Kind == Wave {
+	c.State, c.Cause, c.StartedAt, c.FinishedAt = CommandOpen, "", now, 0
+	c.Results, c.InProgress, c.Failures, c.BlockedSince, c.RejectingSince, c.Spares, c.Stage = map[string]Result{}, map[string]bool{}, 0, 0, 0, nil, ""
+	if c.Kind == KindRollingUpdate {
 		if err := m.plan(now, c); err != nil {
 			return err
 		}
 	}
 	m.number++
-	c.Number = m.number
+	c.Sequence = m.number
 	m.commands[c.ID] = c
 	m.open = append(m.open, c)
 	m.changed(c)
-	m.notes = append(m.notes, Note{At: now, Command: c.ID, Event: "taken", Cause: fmt.Sprintf("%s of %d, asked by %s", c.Kind, len(c.Names), c.By)})
+	m.notes = append(m.notes, HistoryEvent{At: now, CommandID: c.ID, Event: "taken", Cause: fmt.Sprintf("%s of %d, asked by %s", c.Kind, len(c.Names), c.RequestedBy)})
 	for _, n := range c.Names {
 		m.assign(now, c, m.instances[n])
 	}
@@ -377,44 +377,44 @@
 // the one that came later holds, and the earlier one ends there as superseded. What was told to leave leaves all
 // the same; if it is wanted up it comes up again after.
 func (m *Machine) assign(now Micros, c *Command, in *Instance) {
-	if c.Kind == Wave && !in.Up {
-		m.result(now, c, in.Name, Skipped, "it is not wanted up")
+	if c.Kind == KindRollingUpdate && !in.DesiredUp {
+		m.result(now, c, in.Name, OutcomeSkipped, "it is not wanted up")
 		return
 	}
-	if old := m.commands[in.Task]; old != nil && old != c {
-		delete(old.Out, in.Name)
-		m.result(now, old, in.Name, Superseded, "by "+c.ID)
+	if old := m.commands[in.CommandID]; old != nil && old != c {
+		delete(old.InProgress, in.Name)
+		m.result(now, old, in.Name, OutcomeSuperseded, "by "+c.ID)
 	}
-	in.Task = c.ID
+	in.CommandID = c.ID
 	m.touch(in)
 	switch c.Kind {
-	case Start:
-		if in.Up && in.Phase == Ready && !in.Recycle && in.Told == "" {
-			m.result(now, c, in.Name, Already, "")
+	case KindStart:
+		if in.DesiredUp && in.Phase == PhaseReady && !in.RestartPending && in.NoticeID == "" {
+			m.result(now, c, in.Name, OutcomeUnchanged, "")
 			return
 		}
-		in.Up, in.Spent, in.Free, in.Tries, in.Budget = true, false, true, 0, Budget{}
+		in.DesiredUp, in.LaunchesExhausted, in.LaunchRequested, in.Attempts, in.LaunchBudget = true, false, true, 0, LaunchBudget{}
 		if in.Phase.Down() {
-			in.Next = now
+			in.NextAttemptAt = now
 		}
-	case Drain, Stop:
+	case KindDrain, KindStop:
 		if in.Phase.Down() {
-			in.Up, in.Recycle = false, false
-			m.result(now, c, in.Name, Already, in.Cause)
+			in.DesiredUp, in.RestartPending = false, false
+			m.result(now, c, in.Name, OutcomeUnchanged, in.Cause)
 			return
 		}
-		in.Up, in.Recycle = false, false
-		if c.Now && in.Kills == 0 {
-			m.give(now, in, Kill, "asked for")
-			if in.Told == "" {
-				in.Told, in.ToldAt = in.Step, now
+		in.DesiredUp, in.RestartPending = false, false
+		if c.Immediate && in.KillAttempts == 0 {
+			m.give(now, in, ActionKill, "asked for")
+			if in.NoticeID == "" {
+				in.NoticeID, in.NotifiedAt = in.ActionID, now
 			}
 		}
-	case Restart:
+	case KindRestart:
 		m.recycle(now, in)
-	case Rise:
-		if in.Up && in.Phase == Ready && !in.Recycle && in.Told == "" {
-			m.result(now, c, in.Name, Already, "")
+	case KindColdStart:
+		if in.DesiredUp && in.Phase == PhaseReady && !in.RestartPending && in.NoticeID == "" {
+			m.result(now, c, in.Name, OutcomeUnchanged, "")
 			in.tellRise(c)
 		}
 	}
@@ -422,69 +422,69 @@
 
 // recycle has an instance leave and come up again.
 func (m *Machine) recycle(now Micros, in *Instance) {
-	in.Up, in.Spent, in.Free, in.Tries, in.Budget = true, false, true, 0, Budget{}
+	in.DesiredUp, in.LaunchesExhausted, in.LaunchRequested, in.Attempts, in.LaunchBudget = true, false, true, 0, LaunchBudget{}
 	if in.Phase.Down() {
-		in.Next = now
+		in.NextAttemptAt = now
 	} else {
-		in.Recycle = true
+		in.RestartPending = true
 	}
-	in.Last = End{}
+	in.LastExit = Exit{}
 	m.touch(in)
 }
 
 // settle gives the command that waits for an instance its result, once there is one.
 func (m *Machine) settle(now Micros, in *Instance) {
-	c := m.commands[in.Task]
+	c := m.commands[in.CommandID]
 	if c == nil {
 		return
 	}
 	if _, over := c.Results[in.Name]; over {
-		in.Task = ""
+		in.CommandID = ""
 		m.touch(in)
 		return
 	}
-	lost := in.Phase == Failed && in.Spent
+	lost := in.Phase == PhaseFailed && in.LaunchesExhausted
 	switch c.Kind {
-	case Start, Rise:
+	case KindStart, KindColdStart:
 		switch {
-		case c.Kind == Rise && !in.Up: // it has not been its turn
-		case in.Phase == Ready && !in.Recycle && in.Told == "" && (c.Kind == Start || in.Settled(now)):
-			m.result(now, c, in.Name, Succeeded, "")
+		case c.Kind == KindColdStart && !in.DesiredUp: // it has not been its turn
+		case in.Phase == PhaseReady && !in.RestartPending && in.NoticeID == "" && (c.Kind == KindStart || in.Settled(now)):
+			m.result(now, c, in.Name, OutcomeSucceeded, "")
 			in.tellRise(c)
 		case lost:
-			m.result(now, c, in.Name, Failing, in.Cause)
+			m.result(now, c, in.Name, OutcomeFailed, in.Cause)
 		}
-	case Drain, Stop:
-		switch end := in.Last; {
+	case KindDrain, KindStop:
+		switch end := in.LastExit; {
 		case !in.Phase.Down():
-		case end.Killed != "":
-			m.result(now, c, in.Name, Killed, end.String())
-		case in.Phase == Gone && end.Signal == "" && end.Code == 0:
-			m.result(now, c, in.Name, Succeeded, "")
+		case end.KillReason != "":
+			m.result(now, c, in.Name, OutcomeKilled, end.String())
+		case in.Phase == PhaseExited && end.Signal == "" && end.Code == 0:
+			m.result(now, c, in.Name, OutcomeSucceeded, "")
 		default:
-			m.result(now, c, in.Name, Failing, "it is down: "+in.Cause)
+			m.result(now, c, in.Name, OutcomeFailed, "it is down: "+in.Cause)
 		}
-	case Restart, Wave:
-		if c.Kind == Wave && !c.Out[in.Name] && !in.Spare {
+	case KindRestart, KindRollingUpdate:
+		if c.Kind == KindRollingUpdate && !c.InProgress[in.Name] && !in.Spare {
 			return // it has not been its turn
 		}
-		if in.Spare && c.Stage == SparesDown {
+		if in.Spare && c.Stage == StageStopSpares {
 			if in.Phase.Down() {
-				m.result(now, c, in.Name, Succeeded, "")
+				m.result(now, c, in.Name, OutcomeSucceeded, "")
 			}
 			return
 		}
 		switch {
 		case lost:
-			m.result(now, c, in.Name, Failing, in.Cause)
-		case in.Recycle || in.Told != "" || in.Phase != Ready || in.Spare:
-		case c.Kind == Wave && !in.Settled(now):
-		case in.Last.Killed != "":
-			m.result(now, c, in.Name, Killed, "up again; before, "+in.Last.String())
-		case in.Last.Code != 0:
-			m.result(now, c, in.Name, Succeeded, "up again; before, "+in.Last.String())
+			m.result(now, c, in.Name, OutcomeFailed, in.Cause)
+		case in.RestartPending || in.NoticeID != "" || in.Phase != PhaseReady || in.Spare:
+		case c.Kind == KindRollingUpdate && !in.Settled(now):
+		case in.LastExit.KillReason != "":
+			m.result(now, c, in.Name, OutcomeKilled, "up again; before, "+in.LastExit.String())
+		case in.LastExit.Code != 0:
+			m.result(now, c, in.Name, OutcomeSucceeded, "up again; before, "+in.LastExit.String())
 		default:
-			m.result(now, c, in.Name, Succeeded, "")
+			m.result(now, c, in.Name, OutcomeSucceeded, "")
 		}
 	}
 }
@@ -495,22 +495,22 @@
 		return
 	}
 	c.Results[name] = Result{Outcome: o, Cause: cause, At: now}
-	if o == Failing {
-		c.Failed++
+	if o == OutcomeFailed {
+		c.Failures++
 	}
-	delete(c.Out, name)
-	if in := m.instances[name]; in != nil && in.Task == c.ID {
-		in.Task = ""
+	delete(c.InProgress, name)
+	if in := m.instances[name]; in != nil && in.CommandID == c.ID {
+		in.CommandID = ""
 		m.touch(in)
 	}
 	m.changed(c)
-	m.notes = append(m.notes, Note{At: now, Name: name, Command: c.ID, Event: "result " + string(o), Cause: cause})
+	m.notes = append(m.notes, HistoryEvent{At: now, Name: name, CommandID: c.ID, Event: "result " + string(o), Cause: cause})
 }
 
 // expire ends a command whose time is over. What it began goes on.
 func (m *Machine) expire(now Micros, c *Command) {
 	for _, n := range c.open() {
-		m.result(now, c, n, Late, "the command's time is over")
+		m.result(now, c, n, OutcomeTimedOut, "the command's time is over")
 	}
 	for _, n := range c.Spares {
 		m.retire(m.instances[n])
@@ -518,44 +518,44 @@
 }
 
 func (m *Machine) retire(in *Instance) {
-	if in != nil && in.Spare && in.Up {
-		in.Up = false
+	if in != nil && in.Spare && in.DesiredUp {
+		in.DesiredUp = false
 		m.touch(in)
 	}
 }
 
-func (m *Machine) steer(now Micros, e Steer) error {
-	c := m.commands[e.ID]
+func (m *Machine) steer(now Micros, e CommandControl) error {
+	c := m.commands[e.CommandID]
 	if c == nil {
-		return ErrUnknown
+		return ErrUnknownCommand
 	}
 	switch {
-	case c.State == Done:
+	case c.State == CommandDone:
 		return fmt.Errorf("%s: the command has ended", e.Verb)
 	case e.Verb == "cancel":
-		if c.State == Cancelled {
+		if c.State == CommandCancelled {
 			return nil
 		}
-		c.State, c.Cause = Cancelled, "by "+e.By
+		c.State, c.Cause = CommandCancelled, "by "+e.RequestedBy
 		for _, n := range c.open() {
-			if in := m.instances[n]; c.Kind == Wave && (c.Out[n] || in != nil && in.Spare) {
+			if in := m.instances[n]; c.Kind == KindRollingUpdate && (c.InProgress[n] || in != nil && in.Spare) {
 				continue // it comes back
 			}
-			m.result(now, c, n, Withdrawn, "by "+e.By)
+			m.result(now, c, n, OutcomeCancelled, "by "+e.RequestedBy)
 		}
-	case c.Kind != Wave:
+	case c.Kind != KindRollingUpdate:
 		return fmt.Errorf("%s: only a wave can be held", e.Verb)
-	case e.Verb == "pause" && c.State == Open:
-		c.State, c.Cause = Paused, "by "+e.By
-	case e.Verb == "resume" && c.State == Paused:
-		c.State, c.Cause, c.Failed, c.Stuck, c.Turned = Open, "", 0, 0, 0
+	case e.Verb == "pause" && c.State == CommandOpen:
+		c.State, c.Cause = CommandPaused, "by "+e.RequestedBy
+	case e.Verb == "resume" && c.State == CommandPaused:
+		c.State, c.Cause, c.Failures, c.BlockedSince, c.RejectingSince = CommandOpen, "", 0, 0, 0
 	case e.Verb == "pause", e.Verb == "resume":
 		return nil // as it is
 	default:
 		return fmt.Errorf("%q is none of pause, resume, cancel", e.Verb)
 	}
 	m.changed(c)
-	m.notes = append(m.notes, Note{At: now, Command: c.ID, Event: e.Verb, Cause: "by " + e.By})
+	m.notes = append(m.notes, HistoryEvent{At: now, CommandID: c.ID, Event: e.Verb, Cause: "by " + e.RequestedBy})
 	return nil
 }
 
@@ -565,16 +565,16 @@
 		if len(c.Results) < len(c.Names)+len(c.Spares) {
 			return false
 		}
-		if c.State != Cancelled {
+		if c.State != CommandCancelled {
 			c.Cause = ""
 		}
-		c.State, c.Finished = Done, now
+		c.State, c.FinishedAt = CommandDone, now
 		m.past = append(m.past, c.ID)
 		m.changed(c)
-		m.notes = append(m.notes, Note{At: now, Command: c.ID, Event: "ended"})
+		m.notes = append(m.notes, HistoryEvent{At: now, CommandID: c.ID, Event: "ended"})
 		return true
 	})
-	for len(m.past) > m.terms.Commands {
+	for len(m.past) > m.terms.MaxFinishedCommands {
 		delete(m.commands, m.past[0])
 		m.told[m.past[0]] = true
 		m.past = m.past[1:]
@@ -582,7 +582,7 @@
 }
 
 func (m *Machine) note(now Micros, in *Instance, event, cause string) {
-	m.notes = append(m.notes, Note{At: now, Name: in.Name, Command: in.Task, Event: event, Cause: cause})
+	m.notes = append(m.notes, HistoryEvent{At: now, Name: in.Name, CommandID: in.CommandID, Event: event, Cause: cause})
 }
 
 // service is the share of invocations that were turned away of late, over all instances.
--- a/internal/fleet/rise.go
+++ b/internal/fleet/rise.go
@@ -18,7 +18,7 @@
 	asked, alone := 0, false
 	for _, n := range m.names {
 		in := m.instances[n]
-		alone = alone || in.Unit.Alone && !in.back(now) && !in.Spent // warm it needs none, whoever has yet to hear of it
+		alone = alone || in.Unit.Standalone && !in.back(now) && !in.LaunchesExhausted // warm it needs none, whoever has yet to hear of it
 	}
 	for _, n := range c.Names {
 		if _, over := c.Results[n]; over {
@@ -27,16 +27,16 @@
 		in := m.instances[n]
 		switch {
 		case in == nil:
-			m.result(now, c, n, Failing, "the fleet's file no longer names it")
+			m.result(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
 			continue
-		case c.Out[n] || in.Up: // under way, by this or by somebody else's word
+		case c.InProgress[n] || in.DesiredUp: // under way, by this or by somebody else's word
 			m.settle(now, in)
 			continue
-		case c.State != Open || !in.Phase.Down():
+		case c.State != CommandOpen || !in.Phase.Down():
 			continue
 		case m.unitFor(now, c, in), plants.ignore:
 		case !alone && m.unheard != 0 && now-m.unheard >= aloneAfter:
-			alone, in.Unit.Alone = true, true
+			alone, in.Unit.Standalone = true, true
 			m.note(now, in, "starts without the ledger", fmt.Sprintf("it has not answered for %d ms", (now-m.unheard)/1000))
 		default:
 			if asked++; asked >= asksOfRise {
@@ -44,9 +44,9 @@
 			}
 			continue
 		}
-		c.Out[n] = true
+		c.InProgress[n] = true
 		m.recycle(now, in)
-		in.Unit.Began = now
+		in.Unit.StartedAt = now
 		m.changed(c)
 		m.advance(now, in)
 	}
@@ -55,15 +55,15 @@
 // risen is how a start came out that held a unit.
 func (in *Instance) risen(now Micros) coldstart.End {
 	e := coldstart.End{Warm: in.usable(now), Cause: in.Cause}
-	if e.Warm && in.Unit.Began > 0 {
-		e.Took = coldstart.Micros(max(0, in.Steady-in.Unit.Began))
+	if e.Warm && in.Unit.StartedAt > 0 {
+		e.Took = coldstart.Micros(max(0, in.ReadySince-in.Unit.StartedAt))
 	}
 	return e
 }
 
 // tellRise has the ledger hear that one is up that never asked for a unit: as if it gave one back.
 func (in *Instance) tellRise(c *Command) {
-	if c.Kind == Rise && in.Unit.Turn == "" {
-		in.Unit = Unit{Budget: c.Budget, Turn: c.ID + "." + in.Name + ".0", For: c.ID, Held: true}
+	if c.Kind == KindColdStart && in.Unit.RequestID == "" {
+		in.Unit = Unit{Quota: c.Quota, RequestID: c.ID + "." + in.Name + ".0", CommandID: c.ID, Held: true}
 	}
 }
--- a/internal/fleet/rise_test.go
+++ b/internal/fleet/rise_test.go
@@ -38,29 +38,29 @@
 	}
 	text += fmt.Sprintf(" (budgets (ledger%s) (budget starts (count %d) (alone yes))) (rise (budget starts) (failures 100)))", names, whole)
 	s := &site{t: t, spec: spec(t, text), ledger: quota.NewLedger(), cut: map[*world]bool{}, later: map[*world][]Event{}, begun: map[string]bool{}}
-	s.ledger.Apply(quota.Command{Terms: s.spec.Budgets})
+	s.ledger.Apply(quota.Command{Terms: s.spec.Quotas})
 	for h := range hosts {
 		w := newWorldAt(t, s.spec, fmt.Sprint("h", h+1))
-		w.lose = func(step Step) bool { return s.unit(w, step) }
+		w.lose = func(step Action) bool { return s.unit(w, step) }
 		s.hosts = append(s.hosts, w)
 	}
 	return s
 }
 
 // unit takes a step about units to the ledger, as an agent would.
-func (s *site) unit(w *world, step Step) bool {
-	turn := &quota.Take{Budget: step.Unit.Budget, Name: step.Name, Host: w.host, Turn: step.ID}
+func (s *site) unit(w *world, step Action) bool {
+	turn := &quota.Take{Budget: step.Unit.Quota, Name: step.Name, Host: w.host, Turn: step.ID}
 	switch {
-	case step.What != TakeUnit && step.What != GiveUnit:
+	case step.Kind != ActionAcquireUnit && step.Kind != ActionReleaseUnit:
 		return false
 	case s.cut[w]:
-	case step.What == GiveUnit:
-		turn.End = &step.End
+	case step.Kind == ActionReleaseUnit:
+		turn.End = &step.StartResult
 		s.ledger.Apply(quota.Command{Give: turn})
-		s.later[w] = append(s.later[w], UnitGiven{step.Name, step.ID})
+		s.later[w] = append(s.later[w], UnitReleased{step.Name, step.ID})
 	default:
 		r := s.ledger.Apply(quota.Command{Take: turn})
-		s.later[w] = append(s.later[w], UnitTaken{HeldUnit{step.Name, step.Unit.Budget, step.ID}, r.No == "", r.No})
+		s.later[w] = append(s.later[w], UnitAcquired{HeldUnit{step.Name, step.Unit.Quota, step.ID}, r.No == "", r.No})
 	}
 	return true
 }
@@ -81,7 +81,7 @@
 		starting := 0
 		for _, w := range s.hosts {
 			for n, l := range w.lives {
-				if in, _ := w.m.Instance(n); l.alive && s.begun[n] && w.now-l.since < w.cold+second && in.Phase != Absent {
+				if in, _ := w.m.Instance(n); l.alive && s.begun[n] && w.now-l.since < w.cold+second && in.Phase != PhaseAbsent {
 					starting++
 				}
 			}
@@ -92,15 +92,15 @@
 
 func (s *site) rise(id string) {
 	var members []coldstart.Member
-	for _, in := range s.spec.Of("") {
+	for _, in := range s.spec.InstancesOn("") {
 		members = append(members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
 	}
-	s.ledger.Apply(quota.Command{Rise: &quota.Rise{Budget: "starts", ID: id, Terms: s.spec.Rise, Members: members, By: "test"}})
+	s.ledger.Apply(quota.Command{Rise: &quota.Rise{Budget: "starts", ID: id, Terms: s.spec.ColdStart, Members: members, By: "test"}})
 	for _, w := range s.hosts {
 		for _, n := range w.m.Names() {
 			s.begun[n] = s.begun[n] || !w.lives[n].alive
 		}
-		w.order(id, Rise, 600*second, w.m.Names()...)
+		w.order(id, KindColdStart, 600*second, w.m.Names()...)
 	}
 }
 
@@ -123,7 +123,7 @@
 		whole := hosts + rapid.IntRange(1, 6).Draw(t, "more")
 		s := newSite(t, hosts, each, whole)
 		if rapid.Bool().Draw(t, "some serve") {
-			s.hosts[0].order("up", Start, 60*second, s.hosts[0].m.Names()[0])
+			s.hosts[0].order("up", KindStart, 60*second, s.hosts[0].m.Names()[0])
 			s.pass(3 * second)
 		}
 		launched := s.hosts[0].launch[s.hosts[0].m.Names()[0]]
@@ -140,7 +140,7 @@
 				s.cut[w] = !s.cut[w]
 			case 3:
 				if n := rapid.SampledFrom(w.m.Names()).Draw(t, "name"); w.lives[n].alive && !w.lives[n].ready && !died[n] {
-					w.lives[n].die(End{Code: 1})
+					w.lives[n].die(Exit{Code: 1})
 					died[n] = true
 				}
 			}
@@ -194,7 +194,7 @@
 	s.cut[w] = true
 	s.rise("before")
 	s.pass(second)
-	w.do(Steer{"before", "cancel", "test"})
+	w.do(CommandControl{"before", "cancel", "test"})
 	s.pass(3600 * second)
 	s.rise("now")
 	s.pass(2 * second)
@@ -209,7 +209,7 @@
 // TestRiseStops: a release of which each start fails stops after its failures, says so, and goes on at an operator's word.
 func TestRiseStops(t *testing.T) {
 	s := newSite(t, 3, 10, 12)
-	s.spec.Rise.Failures = 4
+	s.spec.ColdStart.Failures = 4
 	for _, w := range s.hosts {
 		for _, l := range w.lives {
 			l.neverReady = true
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -20,7 +20,7 @@
 	Cause           string // RecordUnreadable: why
 	Run             string // the incarnation that it is about
 	Ended           bool   // the incarnation is over
-	End             End    // Ended: how
+	End             Exit   // Ended: how
 	NotifiedStep    string // the shutdown notice that the supervisor has taken; empty: none
 	SupervisorAlive bool   // the process that wrote it runs
 	InstanceAlive   bool   // the process of the instance runs
@@ -35,8 +35,8 @@
 
 // SilenceVerdict is what a supervisor's silence means.
 type SilenceVerdict struct {
-	Decided     bool  // false: it is too early to say, Observation holds nothing
-	Observation Sight // of the incarnation that was asked about
+	Decided     bool        // false: it is too early to say, Observation holds nothing
+	Observation Observation // of the incarnation that was asked about
 	// Recorded is false where no supervisor ever wrote about the incarnation. That proves no end while the launch
 	// of the incarnation is still under way.
 	Recorded bool
@@ -44,7 +44,7 @@
 
 // Ended reports whether the verdict is final: the incarnation was there and is over.
 func (v SilenceVerdict) Ended() bool {
-	return v.Decided && v.Recorded && v.Observation.Phase == Gone
+	return v.Decided && v.Recorded && v.Observation.Phase == PhaseExited
 }
 
 // Interpret says what a supervisor's silence means. It is a pure function of what the agent found. A recorded end
@@ -53,29 +53,29 @@
 func (s SupervisorSilence) Interpret() SilenceVerdict {
 	recorded := s.Record.State == RecordRead && s.Record.Run == s.Run
 	if recorded && s.Record.Ended {
-		return SilenceVerdict{Decided: true, Recorded: true, Observation: Sight{
-			Run: s.Run, Phase: Gone, End: s.Record.End, Told: s.Record.NotifiedStep,
+		return SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+			Incarnation: s.Run, Phase: PhaseExited, Exit: s.Record.End, NoticeID: s.Record.NotifiedStep,
 		}}
 	}
 	if s.MissedPolls < silencePatience {
 		return SilenceVerdict{Recorded: true}
 	}
 	if s.Record.State == RecordUnreadable {
-		return SilenceVerdict{Decided: true, Recorded: true, Observation: Sight{
-			Run: s.Run, Phase: Unknown, Cause: s.Record.Cause,
+		return SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+			Incarnation: s.Run, Phase: PhaseUnknown, Cause: s.Record.Cause,
 		}}
 	}
 	if !recorded {
-		return SilenceVerdict{Decided: true, Observation: Sight{Run: s.Run, Phase: Gone, End: End{Unseen: true}}}
+		return SilenceVerdict{Decided: true, Observation: Observation{Incarnation: s.Run, Phase: PhaseExited, Exit: Exit{Unobserved: true}}}
 	}
-	observation := Sight{Run: s.Run, Told: s.Record.NotifiedStep}
+	observation := Observation{Incarnation: s.Run, NoticeID: s.Record.NotifiedStep}
 	switch {
 	case s.Record.SupervisorAlive:
-		observation.Phase, observation.Cause = Unknown, "its keeper does not answer"
+		observation.Phase, observation.Cause = PhaseUnknown, "its keeper does not answer"
 	case s.Record.InstanceAlive:
-		observation.Phase, observation.Cause, observation.Orphan = Unknown, "its keeper is gone", true
+		observation.Phase, observation.Cause, observation.Orphaned = PhaseUnknown, "its keeper is gone", true
 	default:
-		observation.Phase, observation.End = Gone, End{Unseen: true}
+		observation.Phase, observation.Exit = PhaseExited, Exit{Unobserved: true}
 	}
 	return SilenceVerdict{Decided: true, Recorded: true, Observation: observation}
 }
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestSupervisorSilence(t *testing.T) {
-	end := End{Code: 3, Lived: 7}
+	end := Exit{Code: 3, Uptime: 7}
 	record := func(change func(*SupervisorRecord)) SupervisorRecord {
 		r := SupervisorRecord{State: RecordRead, Run: "a.1", NotifiedStep: "a.2"}
 		change(&r)
 		return r
 	}
-	unseen := Sight{Run: "a.1", Phase: Gone, End: End{Unseen: true}}
+	unseen := Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}}
 	for _, c := range []struct {
 		name   string
 		missed int
@@ -23,10 +23,10 @@
 	}{
 		{"a recorded end counts at the first miss", 1,
 			record(func(r *SupervisorRecord) { r.Ended, r.End = true, end }),
-			SilenceVerdict{Decided: true, Recorded: true, Observation: Sight{Run: "a.1", Phase: Gone, End: end, Told: "a.2"}}},
+			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: end, NoticeID: "a.2"}}},
 		{"a recorded end counts although the processes run", 9,
 			record(func(r *SupervisorRecord) { r.Ended, r.End, r.SupervisorAlive, r.InstanceAlive = true, end, true, true }),
-			SilenceVerdict{Decided: true, Recorded: true, Observation: Sight{Run: "a.1", Phase: Gone, End: end, Told: "a.2"}}},
+			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: end, NoticeID: "a.2"}}},
 		{"the end of an earlier incarnation is none of this one", silencePatience - 1,
 			record(func(r *SupervisorRecord) { r.Run, r.Ended = "a.0", true }),
 			SilenceVerdict{Recorded: true}},
@@ -39,18 +39,18 @@
 			SilenceVerdict{Decided: true, Observation: unseen}},
 		{"an unreadable record proves nothing", silencePatience,
 			SupervisorRecord{State: RecordUnreadable, Cause: "permission denied"},
-			SilenceVerdict{Decided: true, Recorded: true, Observation: Sight{Run: "a.1", Phase: Unknown, Cause: "permission denied"}}},
+			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "permission denied"}}},
 		{"a supervisor that hangs", silencePatience,
 			record(func(r *SupervisorRecord) { r.SupervisorAlive, r.InstanceAlive = true, true }),
 			SilenceVerdict{Decided: true, Recorded: true,
-				Observation: Sight{Run: "a.1", Phase: Unknown, Cause: "its keeper does not answer", Told: "a.2"}}},
+				Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper does not answer", NoticeID: "a.2"}}},
 		{"a supervisor that died", silencePatience,
 			record(func(r *SupervisorRecord) { r.InstanceAlive = true }),
 			SilenceVerdict{Decided: true, Recorded: true,
-				Observation: Sight{Run: "a.1", Phase: Unknown, Cause: "its keeper is gone", Orphan: true, Told: "a.2"}}},
+				Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper is gone", Orphaned: true, NoticeID: "a.2"}}},
 		{"both died", silencePatience, record(func(*SupervisorRecord) {}),
 			SilenceVerdict{Decided: true, Recorded: true,
-				Observation: Sight{Run: "a.1", Phase: Gone, End: End{Unseen: true}, Told: "a.2"}}},
+				Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}, NoticeID: "a.2"}}},
 	} {
 		got := SupervisorSilence{Run: "a.1", MissedPolls: c.missed, Record: c.record}.Interpret()
 		if diff := cmp.Diff(c.want, got); diff != "" {
@@ -78,7 +78,7 @@
 		if v.Ended() && (!recorded || alive && !s.Record.Ended) {
 			t.Fatalf("%+v ends by %+v", s, v)
 		}
-		if v.Decided != (v.Observation.Run == s.Run) {
+		if v.Decided != (v.Observation.Incarnation == s.Run) {
 			t.Fatalf("%+v: %+v", s, v)
 		}
 		if !v.Decided && s.MissedPolls >= silencePatience {
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -29,94 +29,96 @@
 
 // Spec is a fleet as its file describes it.
 type Spec struct {
-	Name       string
-	Program    []string // starts an instance; serve and its flags are appended. Empty: this program
-	Hosts      []HostSpec
-	Groups     []GroupSpec
-	Wave       WaveTerms        // what a wave has if its command does not say
-	WaveBudget string           // the count of which each instance that a wave has out holds a unit; empty: none
-	Rise       *coldstart.Terms // nil: none can be asked for
-	RiseBudget string           // the count of which each that starts in a rise holds a unit until it is warm
-	Budgets    *quota.Terms     // nil: nothing is shared
-	Ledger     []string         // hosts whose agents keep it
-	instances  map[string]*InstanceSpec
+	Name               string
+	Program            []string // starts an instance; serve and its flags are appended. Empty: this program
+	Hosts              []HostSpec
+	Groups             []GroupSpec
+	RollingUpdate      RollingUpdateConfig // what a wave has if its command does not say
+	RollingUpdateQuota string              // the count of which each instance that a wave has out holds a unit; empty: none
+	ColdStart          *coldstart.Terms    // nil: none can be asked for
+	ColdStartQuota     string              // the count of which each that starts in a rise holds a unit until it is warm
+	Quotas             *quota.Terms        // nil: nothing is shared
+	QuotaHosts         []string            // hosts whose agents keep it
+	instances          map[string]*InstanceSpec
 }
 
 // HostSpec is a machine with an agent.
 type HostSpec struct {
-	Name  string
-	Agent string // unix:PATH or loopback ADDRESS:PORT
-	Peer  string // loopback ADDRESS:PORT for the agents of other hosts; empty: it talks to none
+	Name         string
+	AgentAddress string // unix:PATH or loopback ADDRESS:PORT
+	PeerAddress  string // loopback ADDRESS:PORT for the agents of other hosts; empty: it talks to none
 }
 
 // GroupSpec is a set of instances that serve the same, on one host.
 type GroupSpec struct {
-	Name, Host  string
-	StartWithin Micros // from its start to ready
-	Settle      Micros // ready for so long before the next leaves: caches warm, lists follow
-	Launches    int    // at most so many by itself within the span below, then it stays failed
-	Within      Micros
-	Labels      []string
-	Levels      string   // the ladder's file; empty: none
-	Instances   []string // in the file's order, spares last
+	Name, Host      string
+	StartWithin     Micros // from its start to ready
+	Settle          Micros // ready for so long before the next leaves: caches warm, lists follow
+	MaxLaunches     int    // at most so many by itself within the span below, then it stays failed
+	LaunchWindow    Micros
+	Labels          []string
+	DegradationFile string   // the ladder's file; empty: none
+	Instances       []string // in the file's order, spares last
 }
 
 // InstanceSpec is one instance.
 type InstanceSpec struct {
 	Name, Host, Group, ConfigFile string
-	Levels                        string
+	DegradationFile               string
 	Spare                         bool // runs only while a wave with surge needs it
 	Labels                        []string
 }
 
 // WaveTerms say how a wave goes.
-type WaveTerms struct {
-	Width       int     `json:"width"`        // instances out at once, 1 or more
-	LeastCount  int     `json:"least_count"`  // ready in each group, at all times
-	LeastShare  float64 `json:"least_share"`  // and of those that are to be up, 0 to 1
-	Order       string  `json:"order"`        // file, name, or spread (over groups in turn)
-	Surge       int     `json:"surge"`        // spares of each group that are ready before the first leaves
-	Failures    int     `json:"failures"`     // more than so many pause the wave
-	ReadyWithin Micros  `json:"ready_within"` // 0: the group's
-	Stall       Micros  `json:"stall"`        // unable to go on for so long, it pauses and says why
-	TurnedAway  float64 `json:"turned_away"`  // share throttled or errored that pauses it; 1: never
-	TurnedFor   Micros  `json:"turned_for"`   // if it lasts so long
+type RollingUpdateConfig struct {
+	MaxInProgress      int     `json:"width"`        // instances out at once, 1 or more
+	MinReady           int     `json:"least_count"`  // ready in each group, at all times
+	MinReadyShare      float64 `json:"least_share"`  // and of those that are to be up, 0 to 1
+	Order              string  `json:"order"`        // file, name, or spread (over groups in turn)
+	Surge              int     `json:"surge"`        // spares of each group that are ready before the first leaves
+	MaxFailures        int     `json:"failures"`     // more than so many pause the wave
+	ReadyWithin        Micros  `json:"ready_within"` // 0: the group's
+	StallTimeout       Micros  `json:"stall"`        // unable to go on for so long, it pauses and says why
+	MaxRejectedShare   float64 `json:"turned_away"`  // share throttled or errored that pauses it; 1: never
+	RejectionTolerance Micros  `json:"turned_for"`   // if it lasts so long
 }
 
 // DefaultWave is a careful wave: one at a time, three quarters ready, no failure.
-func DefaultWave() WaveTerms {
-	return WaveTerms{
-		Width: 1, LeastShare: 0.75, Order: "file", Stall: micros(time.Minute), TurnedAway: 1,
-		TurnedFor: micros(5 * time.Second),
+func DefaultRollingUpdate() RollingUpdateConfig {
+	return RollingUpdateConfig{
+		MaxInProgress: 1, MinReadyShare: 0.75, Order: "file", StallTimeout: micros(time.Minute), MaxRejectedShare: 1,
+		RejectionTolerance: micros(5 * time.Second),
 	}
 }
 
 // Check tells of terms that no wave could go by.
-func (w WaveTerms) Check() error {
+func (w RollingUpdateConfig) Check() error {
 	switch {
-	case w.Width < 1 || w.Width > 10_000:
-		return fmt.Errorf("width: %d is not from 1 to 10000", w.Width)
-	case w.LeastCount < 0:
-		return fmt.Errorf("least_count: %d is below 0", w.LeastCount)
-	case !(w.LeastShare >= 0 && w.LeastShare <= 1):
-		return fmt.Errorf("least_share: %v is not from 0 to 1", w.LeastShare)
+	case w.MaxInProgress < 1 || w.MaxInProgress > 10_000:
+		return fmt.Errorf("width: %d is not from 1 to 10000", w.MaxInProgress)
+	case w.MinReady < 0:
+		return fmt.Errorf("least_count: %d is below 0", w.MinReady)
+	case !(w.MinReadyShare >= 0 && w.MinReadyShare <= 1):
+		return fmt.Errorf("least_share: %v is not from 0 to 1", w.MinReadyShare)
 	case !slices.Contains([]string{"file", "name", "spread"}, w.Order):
 		return fmt.Errorf("order: %q is none of file, name, spread", w.Order)
-	case w.Surge < 0 || w.Failures < 0 || w.ReadyWithin < 0 || w.Stall <= 0 || w.TurnedFor < 0:
-		return fmt.Errorf("surge, failures and times: %+v holds one below 0, or no stall", w)
-	case !(w.TurnedAway > 0 && w.TurnedAway <= 1):
-		return fmt.Errorf("turned_away: %v is not above 0 and at most 1", w.TurnedAway)
+	case w.Surge < 0 || w.MaxFailures < 0 || w.ReadyWithin < 0 || w.StallTimeout <= 0 || w.RejectionTolerance < 0:
+		return fmt.Errorf("surge, failures and times: {Width:%d LeastCount:%d LeastShare:%v Order:%s Surge:%d Failures:%d ReadyWithin:%d "+
+			"Stall:%d TurnedAway:%v TurnedFor:%d} holds one below 0, or no stall",
+			w.MaxInProgress, w.MinReady, w.MinReadyShare, w.Order, w.Surge, w.MaxFailures, w.ReadyWithin, w.StallTimeout, w.MaxRejectedShare, w.RejectionTolerance)
+	case !(w.MaxRejectedShare > 0 && w.MaxRejectedShare <= 1):
+		return fmt.Errorf("turned_away: %v is not above 0 and at most 1", w.MaxRejectedShare)
 	}
 	return nil
 }
 
 // least is how many of a group must stay ready if so many are to be up.
-func (w WaveTerms) least(up int) int {
-	return max(w.LeastCount, int(math.Ceil(w.LeastShare*float64(up)-1e-9)))
+func (w RollingUpdateConfig) least(up int) int {
+	return max(w.MinReady, int(math.Ceil(w.MinReadyShare*float64(up)-1e-9)))
 }
 
 // Find is the instance of that name, or nil.
-func (s *Spec) Find(name string) *InstanceSpec { return s.instances[name] }
+func (s *Spec) Instance(name string) *InstanceSpec { return s.instances[name] }
 
 // Group is the group of that name, or nil.
 func (s *Spec) Group(name string) *GroupSpec {
@@ -139,7 +141,7 @@
 }
 
 // Of lists a host's instances in the file's order; of all hosts if host is empty.
-func (s *Spec) Of(host string) (all []*InstanceSpec) {
+func (s *Spec) InstancesOn(host string) (all []*InstanceSpec) {
 	for _, g := range s.Groups {
 		for _, name := range g.Instances {
 			if host == "" || g.Host == host {
@@ -169,17 +171,17 @@
 		return nil, errs.Err()
 	}
 	f := forms[0]
-	s := &Spec{Name: f.Arg(), Program: f.Words("program"), instances: map[string]*InstanceSpec{}, Wave: DefaultWave()}
+	s := &Spec{Name: f.Arg(), Program: f.Words("program"), instances: map[string]*InstanceSpec{}, RollingUpdate: DefaultRollingUpdate()}
 	for _, h := range f.All("host") {
-		host := HostSpec{Name: name(h), Agent: h.Text("agent", ""), Peer: h.Text("peer", "")}
+		host := HostSpec{Name: name(h), AgentAddress: h.Text("agent", ""), PeerAddress: h.Text("peer", "")}
 		if h.Done(); s.Host(host.Name) != nil {
 			h.Fail("", "host %q stands twice", host.Name)
 		}
-		if err := CheckAddress(host.Agent); err != nil {
+		if err := CheckAddress(host.AgentAddress); err != nil {
 			h.Fail("agent", "%v", err)
 		}
-		if host.Peer != "" && (strings.HasPrefix(host.Peer, "unix:") || CheckAddress(host.Peer) != nil) {
-			h.Fail("peer", "%q is not 127.x.x.x:PORT", host.Peer)
+		if host.PeerAddress != "" && (strings.HasPrefix(host.PeerAddress, "unix:") || CheckAddress(host.PeerAddress) != nil) {
+			h.Fail("peer", "%q is not 127.x.x.x:PORT", host.PeerAddress)
 		}
 		s.Hosts = append(s.Hosts, host)
 	}
@@ -193,13 +195,13 @@
 		f.Fail("", "no instance")
 	}
 	for _, h := range s.Hosts {
-		if n := len(s.Of(h.Name)); n > b.Names {
+		if n := len(s.InstancesOn(h.Name)); n > b.Names {
 			f.Fail("", "host %q has %d instances, at most %d can be managed by one agent", h.Name, n, b.Names)
 		}
 	}
 	if w := f.Field("wave"); w != nil {
-		s.WaveBudget = w.Text("budget", "")
-		s.Wave = readWave(w, s.Wave)
+		s.RollingUpdateQuota = w.Text("budget", "")
+		s.RollingUpdate = readWave(w, s.RollingUpdate)
 	}
 	if b := f.Field("budgets"); b != nil {
 		s.readBudgets(b)
@@ -207,8 +209,8 @@
 	if r := f.Field("rise"); r != nil {
 		s.readRise(r)
 	}
-	if s.WaveBudget != "" && !s.counts(s.WaveBudget) {
-		f.Fail("wave", "budget %q is no count of this file", s.WaveBudget)
+	if s.RollingUpdateQuota != "" && !s.counts(s.RollingUpdateQuota) {
+		f.Fail("wave", "budget %q is no count of this file", s.RollingUpdateQuota)
 	}
 	f.Done()
 	return s, errs.Err()
@@ -256,11 +258,11 @@
 		Name: name(f), Host: f.Text("host", ""), Labels: f.Words("labels"),
 		StartWithin: micros(f.Span("start-within", leastSpan, mostSpan, 30*time.Second)),
 		Settle:      micros(f.Span("settle", 0, mostSpan, time.Second)),
-		Launches:    3, Within: micros(time.Minute),
+		MaxLaunches: 3, LaunchWindow: micros(time.Minute),
 	}
 	if r := f.Field("restart"); r != nil {
-		g.Launches = r.Int("most", 0, 1000, g.Launches)
-		g.Within = micros(r.Span("within", leastSpan, mostSpan, time.Minute))
+		g.MaxLaunches = r.Int("most", 0, 1000, g.MaxLaunches)
+		g.LaunchWindow = micros(r.Span("within", leastSpan, mostSpan, time.Minute))
 		r.Done()
 	}
 	if g.Host == "" && len(s.Hosts) == 1 {
@@ -278,8 +280,8 @@
 	} else if !filepath.IsAbs(config) {
 		config = filepath.Join(dir, config)
 	}
-	if g.Levels = f.Text("levels", ""); g.Levels != "" && !filepath.IsAbs(g.Levels) {
-		g.Levels = filepath.Join(dir, g.Levels)
+	if g.DegradationFile = f.Text("levels", ""); g.DegradationFile != "" && !filepath.IsAbs(g.DegradationFile) {
+		g.DegradationFile = filepath.Join(dir, g.DegradationFile)
 	}
 	add := func(sub string, names []string, spare bool) {
 		for _, name := range names {
@@ -293,7 +295,7 @@
 			}
 			s.instances[name] = &InstanceSpec{
 				Name: name, Host: g.Host, Group: g.Name, ConfigFile: strings.ReplaceAll(config, "%n", name), Spare: spare,
-				Labels: g.Labels, Levels: g.Levels,
+				Labels: g.Labels, DegradationFile: g.DegradationFile,
 			}
 			g.Instances = append(g.Instances, name)
 		}
@@ -325,19 +327,19 @@
 	s.Groups = append(s.Groups, g)
 }
 
-func readWave(f *sexpr.Form, w WaveTerms) WaveTerms {
+func readWave(f *sexpr.Form, w RollingUpdateConfig) RollingUpdateConfig {
 	const many = 10_000
 	span := func(name string, or Micros) Micros {
 		return micros(f.Span(name, 0, mostSpan, time.Duration(or)*time.Microsecond))
 	}
-	w.Width = f.Int("width", 1, many, w.Width)
-	w.LeastCount = f.Int("least-count", 0, many, w.LeastCount)
-	w.LeastShare = f.Share("least-share", 0, 1, w.LeastShare)
+	w.MaxInProgress = f.Int("width", 1, many, w.MaxInProgress)
+	w.MinReady = f.Int("least-count", 0, many, w.MinReady)
+	w.MinReadyShare = f.Share("least-share", 0, 1, w.MinReadyShare)
 	w.Order = f.OneOf("order", "file", "name", "spread")
 	w.Surge = f.Int("surge", 0, many, w.Surge)
-	w.Failures = f.Int("failures", 0, many, w.Failures)
-	w.ReadyWithin, w.Stall, w.TurnedFor = span("ready-within", 0), span("stall", w.Stall), span("turned-for", w.TurnedFor)
-	w.TurnedAway = f.Share("turned-away", 0, 1, w.TurnedAway)
+	w.MaxFailures = f.Int("failures", 0, many, w.MaxFailures)
+	w.ReadyWithin, w.StallTimeout, w.RejectionTolerance = span("ready-within", 0), span("stall", w.StallTimeout), span("turned-for", w.RejectionTolerance)
+	w.MaxRejectedShare = f.Share("turned-away", 0, 1, w.MaxRejectedShare)
 	f.Done()
 	if err := w.Check(); err != nil {
 		f.Fail("", "%v", err)
@@ -367,7 +369,7 @@
 	}
 	met := map[string]bool{}
 	var found []*InstanceSpec
-	for _, in := range s.Of("") {
+	for _, in := range s.InstancesOn("") {
 		match := q.All && !in.Spare
 		hit := func(kind string, wanted []string, has ...string) {
 			for _, h := range has {
--- a/internal/fleet/tour.go
+++ b/internal/fleet/tour.go
@@ -8,84 +8,84 @@
 // Tour decides in which order the agents of many hosts roll their waves: each agent keeps the budget of its own
 // instances, the tour that of the fleet. It forgets nothing by dying: commands have the same id at every agent,
 // so a tool that asks again finds out how far the one before had come.
-type Tour struct {
-	Hosts   []string // in the file's order
-	Terms   WaveTerms
-	Abreast int // hosts that roll at once, 1 or more
-	stuck   Micros
+type RolloutCoordinator struct {
+	Hosts              []string // in the file's order
+	Config             RollingUpdateConfig
+	MaxConcurrentHosts int // hosts that roll at once, 1 or more
+	stuck              Micros
 }
 
 // HostFact is what is known of a host's part of a tour.
-type HostFact struct {
-	Reached bool
-	State   State // of its command; empty: it has none yet
-	Failed  bool  // some instance came out other than asked for
-	Cause   string
-	Ready   int // instances ready now
-	Up      int // instances wanted up
-	Takes   int // that its wave takes out at once at the most
+type HostProgress struct {
+	Reachable      bool
+	State          CommandState // of its command; empty: it has none yet
+	Failed         bool         // some instance came out other than asked for
+	Cause          string
+	Ready          int // instances ready now
+	DesiredUp      int // instances wanted up
+	MaxUnavailable int // that its wave takes out at once at the most
 }
 
 // TourStep is what to do next.
-type TourStep struct {
-	Begin []string // hosts whose waves begin now
-	Over  bool     // nothing is left to begin or to wait for
-	Why   string   // it stops here though hosts are left
+type RolloutStep struct {
+	Begin      []string // hosts whose waves begin now
+	Finished   bool     // nothing is left to begin or to wait for
+	StopReason string   // it stops here though hosts are left
 }
 
 // Next says which waves begin. A host that is not reached, or whose wave is paused or went wrong, stops the
 // tour: what goes wrong on one host must not go on to the next. Where the fleet's budget stands in the way for
 // longer than the terms' stall it stops too; until then what has just come up may settle.
-func (t *Tour) Next(now Micros, facts map[string]HostFact) TourStep {
+func (t *RolloutCoordinator) Next(now Micros, facts map[string]HostProgress) RolloutStep {
 	rolling, left := 0, []string{}
 	ready, up := 0, 0
 	for _, h := range t.Hosts {
 		f := facts[h]
-		ready, up = ready+f.Ready, up+f.Up
+		ready, up = ready+f.Ready, up+f.DesiredUp
 		switch {
 		case f.State == "":
 			left = append(left, h)
-		case f.State == Done && f.Failed, f.State == Paused, f.State == Cancelled:
-			return TourStep{Over: f.State == Done, Why: fmt.Sprintf("host %s: %s %s", h, f.State, f.Cause)}
-		case f.State != Done:
+		case f.State == CommandDone && f.Failed, f.State == CommandPaused, f.State == CommandCancelled:
+			return RolloutStep{Finished: f.State == CommandDone, StopReason: fmt.Sprintf("host %s: %s %s", h, f.State, f.Cause)}
+		case f.State != CommandDone:
 			rolling++
-			ready -= max(0, f.Takes-(f.Up-f.Ready)) // as if all that it may take were out already
+			ready -= max(0, f.MaxUnavailable-(f.DesiredUp-f.Ready)) // as if all that it may take were out already
 		}
 	}
-	step := TourStep{Over: rolling == 0 && len(left) == 0}
+	step := RolloutStep{Finished: rolling == 0 && len(left) == 0}
 	for _, h := range left {
 		f := facts[h]
 		switch {
-		case rolling >= max(1, t.Abreast):
+		case rolling >= max(1, t.MaxConcurrentHosts):
 			return step
-		case !f.Reached:
+		case !f.Reachable:
 			if rolling == 0 {
-				step.Over, step.Why = true, fmt.Sprintf("host %s can't be reached", h)
+				step.Finished, step.StopReason = true, fmt.Sprintf("host %s can't be reached", h)
 			}
 			return step
-		case ready-f.Takes < t.Terms.least(up):
+		case ready-f.MaxUnavailable < t.Config.least(up):
 			if rolling > 0 {
 				return step
 			}
 			if t.stuck == 0 {
 				t.stuck = now
 			}
-			if now-t.stuck >= t.Terms.Stall {
-				step.Why = fmt.Sprintf("host %s would take %d out, with %d ready of %d in the fleet and %d to stay",
-					h, f.Takes, ready, up, t.Terms.least(up))
+			if now-t.stuck >= t.Config.StallTimeout {
+				step.StopReason = fmt.Sprintf("host %s would take %d out, with %d ready of %d in the fleet and %d to stay",
+					h, f.MaxUnavailable, ready, up, t.Config.least(up))
 			}
 			return step
 		}
 		t.stuck = 0
 		step.Begin = append(step.Begin, h)
-		ready -= f.Takes
+		ready -= f.MaxUnavailable
 		rolling++
 	}
 	return step
 }
 
 // Tally sums a command's results over hosts: how many instances came out how.
-func Tally(commands ...*Command) (counts map[Outcome]int, open int) {
+func CountOutcomes(commands ...*Command) (counts map[Outcome]int, open int) {
 	counts = map[Outcome]int{}
 	for _, c := range commands {
 		if c == nil {
@@ -100,9 +100,9 @@
 }
 
 // Bad lists the instances that are not as asked, in order.
-func (c *Command) Bad() (names []string) {
+func (c *Command) Unsatisfied() (names []string) {
 	for n, r := range c.Results {
-		if !r.Outcome.AsAsked() && r.Outcome != Skipped {
+		if !r.Outcome.Satisfied() && r.Outcome != OutcomeSkipped {
 			names = append(names, n)
 		}
 	}
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -9,47 +9,47 @@
 // the instance is seen ready, not when the wave has a result for it: what does not come back counts as out until an
 // operator writes it off.
 type Unit struct {
-	Budget string `json:"budget,omitempty"`
-	Turn   string `json:"turn,omitempty"` // empty: none is asked for
-	For    string `json:"for,omitempty"`  // the wave
-	Held   bool   `json:"held,omitempty"` // else it is asked for
-	Next   Micros `json:"next,omitempty"` // no call before
-	Why    string `json:"why,omitempty"`  // it was not given
-
-	Alone bool   `json:"alone,omitempty"` // the one that is set aside for this host, as nobody could be asked
-	Began Micros `json:"began,omitempty"` // Rise: the start that holds it
+	Quota         string `json:"budget,omitempty"`
+	RequestID     string `json:"turn,omitempty"` // empty: none is asked for
+	CommandID     string `json:"for,omitempty"`  // the wave
+	Held          bool   `json:"held,omitempty"` // else it is asked for
+	NextRequestAt Micros `json:"next,omitempty"` // no call before
+	DenialCause   string `json:"why,omitempty"`  // it was not given
+
+	Standalone bool   `json:"alone,omitempty"` // the one that is set aside for this host, as nobody could be asked
+	StartedAt  Micros `json:"began,omitempty"` // Rise: the start that holds it
 }
 
 // The steps about units. They go to the ledger, not to a keeper, and may be taken twice.
 const (
-	TakeUnit What = "take a unit"
-	GiveUnit What = "give a unit back"
+	ActionAcquireUnit ActionKind = "take a unit"
+	ActionReleaseUnit ActionKind = "give a unit back"
 )
 
 // The events about units.
 type (
 	// UnitTaken: the ledger gave it, or said why not. A call without an answer brings none.
-	UnitTaken struct {
+	UnitAcquired struct {
 		HeldUnit
-		Held bool
-		Why  string
+		Granted bool
+		Cause   string
 	}
 	// UnitGiven: the ledger has it back.
-	UnitGiven struct{ Name, Turn string }
+	UnitReleased struct{ Name, RequestID string }
 	// UnitsHeld are all that the ledger has this host's instances hold.
-	UnitsHeld struct{ Held []HeldUnit }
+	UnitsListed struct{ Units []HeldUnit }
 )
 
 // HeldUnit is one that an instance holds.
 type HeldUnit struct {
-	Name   string `json:"name"`
-	Budget string `json:"budget"`
-	Turn   string `json:"turn"`
+	Name      string `json:"name"`
+	Quota     string `json:"budget"`
+	RequestID string `json:"turn"`
 }
 
-func (UnitTaken) event() {}
-func (UnitGiven) event() {}
-func (UnitsHeld) event() {}
+func (UnitAcquired) event() {}
+func (UnitReleased) event() {}
+func (UnitsListed) event()  {}
 
 // unitAgain is between two calls about one unit: of a count that is all held the next is given back in seconds.
 const unitAgain = 300_000
@@ -59,72 +59,72 @@
 
 // unitFor tells whether an instance holds a unit for a wave; else one is asked for.
 func (m *Machine) unitFor(now Micros, c *Command, in *Instance) bool {
-	if c.Budget == "" || in.Unit.Held && in.Unit.For == c.ID {
+	if c.Quota == "" || in.Unit.Held && in.Unit.CommandID == c.ID {
 		return true
 	}
-	if in.Unit.Turn == "" {
-		in.Turns++
-		in.Unit = Unit{Budget: c.Budget, Turn: fmt.Sprintf("%s.%s.%d", c.ID, in.Name, in.Turns), For: c.ID, Why: in.Unit.Why}
+	if in.Unit.RequestID == "" {
+		in.UnitRequests++
+		in.Unit = Unit{Quota: c.Quota, RequestID: fmt.Sprintf("%s.%s.%d", c.ID, in.Name, in.UnitRequests), CommandID: c.ID, DenialCause: in.Unit.DenialCause}
 		m.touch(in)
 	}
-	if !in.Unit.Held && in.Unit.For == c.ID && now >= in.Unit.Next {
-		in.Unit.Next = now + unitAgain + Micros(m.draw.Int64N(unitAgain/2))
+	if !in.Unit.Held && in.Unit.CommandID == c.ID && now >= in.Unit.NextRequestAt {
+		in.Unit.NextRequestAt = now + unitAgain + Micros(m.draw.Int64N(unitAgain/2))
 		if m.unheard == 0 || now-m.askedAt > askedOf { // a silence of before, when nobody asked, says nothing
 			m.unheard = now
 		}
 		m.askedAt = now
-		m.steps = append(m.steps, Step{Name: in.Name, ID: in.Unit.Turn, What: TakeUnit, Unit: in.Unit})
+		m.steps = append(m.steps, Action{Name: in.Name, ID: in.Unit.RequestID, Kind: ActionAcquireUnit, Unit: in.Unit})
 	}
 	return false
 }
 
 // needs tells whether a wave still has use for the unit that it asked for.
 func (m *Machine) needs(in *Instance) bool {
-	c := m.commands[in.Unit.For]
-	if c == nil || c.Kind != Wave && c.Kind != Rise || !slices.Contains(c.Names, in.Name) {
+	c := m.commands[in.Unit.CommandID]
+	if c == nil || c.Kind != KindRollingUpdate && c.Kind != KindColdStart || !slices.Contains(c.Names, in.Name) {
 		return false
 	}
 	_, over := c.Results[in.Name]
-	return !over && (c.State == Open || c.Out[in.Name])
+	return !over && (c.State == CommandOpen || c.InProgress[in.Name])
 }
 
 // back tells whether an instance is out no more: it serves, or nobody wants it to.
 func (in *Instance) back(now Micros) bool {
-	return in.usable(now) || !in.Up && in.Phase.Down()
+	return in.usable(now) || !in.DesiredUp && in.Phase.Down()
 }
 
 // settleUnit gives back a unit that is of no more use.
 func (m *Machine) settleUnit(now Micros, in *Instance) {
 	u := &in.Unit
 	switch {
-	case u.Turn == "" || m.needs(in):
-	case !u.Held && !u.Alone: // if it is given all the same, the ledger's list tells
+	case u.RequestID == "" || m.needs(in):
+	case !u.Held && !u.Standalone: // if it is given all the same, the ledger's list tells
 		*u = Unit{}
 		m.touch(in)
-	case (in.back(now) || u.Began > 0 && in.Spent) && now >= u.Next:
-		u.Next = now + unitAgain
-		m.steps = append(m.steps, Step{Name: in.Name, ID: u.Turn, What: GiveUnit, Unit: *u, End: in.risen(now)})
+	case (in.back(now) || u.StartedAt > 0 && in.LaunchesExhausted) && now >= u.NextRequestAt:
+		u.NextRequestAt = now + unitAgain
+		m.steps = append(m.steps, Action{Name: in.Name, ID: u.RequestID, Kind: ActionReleaseUnit, Unit: *u, StartResult: in.risen(now)})
 	}
 }
 
-func (m *Machine) unitTaken(now Micros, in *Instance, e UnitTaken) {
+func (m *Machine) unitTaken(now Micros, in *Instance, e UnitAcquired) {
 	u := &in.Unit
 	m.unheard = 0
 	switch {
-	case u.Turn != e.Turn:
-		if e.Held {
+	case u.RequestID != e.RequestID:
+		if e.Granted {
 			m.strayUnit(now, in, e.HeldUnit)
 		}
-	case u.Alone: // it began meanwhile
-		u.Held = e.Held
-	case e.Held:
-		u.Held, u.Next, u.Why = true, now, ""
-		m.note(now, in, "unit taken", u.Budget)
+	case u.Standalone: // it began meanwhile
+		u.Held = e.Granted
+	case e.Granted:
+		u.Held, u.NextRequestAt, u.DenialCause = true, now, ""
+		m.note(now, in, "unit taken", u.Quota)
 	default: // another turn for another try: this one may be in a call that is yet to come
-		if u.Why != e.Why {
-			m.note(now, in, "waits for a unit", u.Budget+": "+e.Why)
+		if u.DenialCause != e.Cause {
+			m.note(now, in, "waits for a unit", u.Quota+": "+e.Cause)
 		}
-		*u = Unit{Next: u.Next, Why: e.Why}
+		*u = Unit{NextRequestAt: u.NextRequestAt, DenialCause: e.Cause}
 	}
 	m.touch(in)
 }
@@ -132,13 +132,13 @@
 // strayUnit gives back what is held for a turn that nobody remembers, once the instance is there.
 func (m *Machine) strayUnit(now Micros, in *Instance, h HeldUnit) {
 	if in.back(now) {
-		m.steps = append(m.steps, Step{Name: in.Name, ID: h.Turn, What: GiveUnit, Unit: Unit{Budget: h.Budget, Turn: h.Turn, Held: true}, End: in.risen(now)})
+		m.steps = append(m.steps, Action{Name: in.Name, ID: h.RequestID, Kind: ActionReleaseUnit, Unit: Unit{Quota: h.Quota, RequestID: h.RequestID, Held: true}, StartResult: in.risen(now)})
 	}
 }
 
-func (m *Machine) unitsHeld(now Micros, e UnitsHeld) {
-	for _, h := range e.Held {
-		if in := m.instances[h.Name]; in != nil && in.Unit.Turn != h.Turn {
+func (m *Machine) unitsHeld(now Micros, e UnitsListed) {
+	for _, h := range e.Units {
+		if in := m.instances[h.Name]; in != nil && in.Unit.RequestID != h.RequestID {
 			m.strayUnit(now, in, h)
 		}
 	}
--- a/internal/fleet/wave.go
+++ b/internal/fleet/wave.go
@@ -19,7 +19,7 @@
 	for _, name := range m.names {
 		in := m.instances[name]
 		g := all[in.Group]
-		if in.Up && !in.Spare {
+		if in.DesiredUp && !in.Spare {
 			g.up++
 		}
 		if in.usable(now) {
@@ -32,11 +32,11 @@
 // plan prepares a wave, or says why none can go on by these terms.
 func (m *Machine) plan(now Micros, c *Command) error {
 	for _, o := range m.open {
-		if o.Kind == Wave && o.State != Done {
-			return fmt.Errorf("%w: %s", ErrWave, o.ID)
+		if o.Kind == KindRollingUpdate && o.State != CommandDone {
+			return fmt.Errorf("%w: %s", ErrUpdateInProgress, o.ID)
 		}
 	}
-	c.Names = ordered(c.Terms.Order, c.Names,
+	c.Names = ordered(c.Rollout.Order, c.Names,
 		func(n string) int { return m.instances[n].place }, func(n string) string { return m.instances[n].Group })
 	groups := map[string]bool{}
 	for _, n := range c.Names {
@@ -46,45 +46,45 @@
 	for _, name := range sortedKeys(groups) {
 		spares := 0
 		for _, n := range m.groups[name].Instances {
-			if in := m.instances[n]; in != nil && in.Spare && !in.Up && spares < c.Terms.Surge {
+			if in := m.instances[n]; in != nil && in.Spare && !in.DesiredUp && spares < c.Rollout.Surge {
 				c.Spares = append(c.Spares, n)
 				spares++
 			}
 		}
-		if spares < c.Terms.Surge {
-			return fmt.Errorf("surge: group %q has %d spares that are down, %d are wanted", name, spares, c.Terms.Surge)
+		if spares < c.Rollout.Surge {
+			return fmt.Errorf("surge: group %q has %d spares that are down, %d are wanted", name, spares, c.Rollout.Surge)
 		}
 		up := tallies[name].up
-		if least := c.Terms.least(up); up > 0 && up+spares-1 < least {
+		if least := c.Rollout.least(up); up > 0 && up+spares-1 < least {
 			return fmt.Errorf("least: with %d of group %q up and %d spares, none can leave while %d must stay ready",
 				up, name, spares, least)
 		}
 	}
-	c.Stage = Rolling
+	c.Stage = StageRolling
 	if len(c.Spares) > 0 {
-		c.Stage = SparesUp
+		c.Stage = StageStartSpares
 	}
 	return nil
 }
 
 // roll brings a wave forward: it releases what may leave now, and stops where it can't go on within its budget.
 func (m *Machine) roll(now Micros, c *Command) {
-	if c.Stage == SparesUp && !m.raise(now, c) {
+	if c.Stage == StageStartSpares && !m.raise(now, c) {
 		return
 	}
-	if c.Stage == Rolling {
+	if c.Stage == StageRolling {
 		m.release(now, c)
-		if len(c.Out) > 0 || slices.ContainsFunc(c.Names, func(n string) bool { _, over := c.Results[n]; return !over }) {
+		if len(c.InProgress) > 0 || slices.ContainsFunc(c.Names, func(n string) bool { _, over := c.Results[n]; return !over }) {
 			return
 		}
-		c.Stage = SparesDown
+		c.Stage = StageStopSpares
 		m.changed(c)
 	}
-	if c.Stage == SparesDown {
+	if c.Stage == StageStopSpares {
 		for _, n := range c.Spares {
 			in := m.instances[n]
 			if in == nil {
-				m.result(now, c, n, Failing, "the fleet's file no longer names it")
+				m.result(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
 				continue
 			}
 			m.retire(in)
@@ -101,25 +101,25 @@
 		if _, over := c.Results[n]; over || in == nil {
 			continue
 		}
-		if c.State == Cancelled {
+		if c.State == CommandCancelled {
 			continue
 		}
-		if !in.Up && in.Task != c.ID {
-			in.Task = c.ID
+		if !in.DesiredUp && in.CommandID != c.ID {
+			in.CommandID = c.ID
 			m.recycle(now, in)
-			in.Up = true
+			in.DesiredUp = true
 			m.advance(now, in)
 		}
 		ready = ready && in.Settled(now)
 	}
-	if m.hold(now, c) || c.State == Paused {
+	if m.hold(now, c) || c.State == CommandPaused {
 		return false
 	}
 	if !ready {
 		return false
 	}
-	if c.Stage = Rolling; c.State == Cancelled {
-		c.Stage = SparesDown
+	if c.Stage = StageRolling; c.State == CommandCancelled {
+		c.Stage = StageStopSpares
 	}
 	m.changed(c)
 	return true
@@ -127,24 +127,24 @@
 
 // hold pauses a wave that should not go on, and tells whether it did.
 func (m *Machine) hold(now Micros, c *Command) bool {
-	if c.State != Open {
+	if c.State != CommandOpen {
 		return false
 	}
 	why := ""
-	if c.Failed > c.Terms.Failures {
-		why = fmt.Sprintf("%d failed, at most %d may: %s", c.Failed, c.Terms.Failures, lastFailure(c))
+	if c.Failures > c.Rollout.MaxFailures {
+		why = fmt.Sprintf("%d failed, at most %d may: %s", c.Failures, c.Rollout.MaxFailures, lastFailure(c))
 	}
 	share, known := m.service.turnedAway(now)
-	switch bad := known && share > c.Terms.TurnedAway; {
+	switch bad := known && share > c.Rollout.MaxRejectedShare; {
 	case !bad:
-		c.Turned = 0
-	case c.Turned == 0:
-		c.Turned = now
+		c.RejectingSince = 0
+	case c.RejectingSince == 0:
+		c.RejectingSince = now
 	}
-	if c.Turned != 0 && now-c.Turned >= c.Terms.TurnedFor && why == "" {
-		why = fmt.Sprintf("service falls: %.0f%% are turned away, for %d ms", 100*share, (now-c.Turned)/1000)
+	if c.RejectingSince != 0 && now-c.RejectingSince >= c.Rollout.RejectionTolerance && why == "" {
+		why = fmt.Sprintf("service falls: %.0f%% are turned away, for %d ms", 100*share, (now-c.RejectingSince)/1000)
 	}
-	if why == "" && c.Stuck != 0 && now-c.Stuck >= c.Terms.Stall {
+	if why == "" && c.BlockedSince != 0 && now-c.BlockedSince >= c.Rollout.StallTimeout {
 		why = m.stuckAt(now, c)
 	}
 	if why == "" {
@@ -155,15 +155,15 @@
 }
 
 func (m *Machine) pause(now Micros, c *Command, why string) {
-	c.State, c.Cause = Paused, why
+	c.State, c.Cause = CommandPaused, why
 	m.changed(c)
-	m.notes = append(m.notes, Note{At: now, Command: c.ID, Event: "pause", Cause: why})
+	m.notes = append(m.notes, HistoryEvent{At: now, CommandID: c.ID, Event: "pause", Cause: why})
 }
 
 func lastFailure(c *Command) string {
 	name, at := "", Micros(-1)
 	for _, n := range c.all() {
-		if r, over := c.Results[n]; over && r.Outcome == Failing && r.At > at {
+		if r, over := c.Results[n]; over && r.Outcome == OutcomeFailed && r.At > at {
 			name, at = n, r.At
 		}
 	}
@@ -173,26 +173,26 @@
 // release lets as many leave as width and budget allow.
 func (m *Machine) release(now Micros, c *Command) {
 	for _, n := range c.Names {
-		if in := m.instances[n]; c.Out[n] && in != nil {
+		if in := m.instances[n]; c.InProgress[n] && in != nil {
 			m.settle(now, in)
 		}
 	}
-	if m.hold(now, c) || c.State != Open {
+	if m.hold(now, c) || c.State != CommandOpen {
 		return
 	}
 	var tallies map[string]*tally
 	blocked, asked := false, 0
 	for _, n := range c.Names {
-		if len(c.Out)+asked >= c.Terms.Width {
+		if len(c.InProgress)+asked >= c.Rollout.MaxInProgress {
 			blocked = false
 			break
 		}
-		if _, over := c.Results[n]; over || c.Out[n] {
+		if _, over := c.Results[n]; over || c.InProgress[n] {
 			continue
 		}
 		in := m.instances[n]
-		if in == nil || !in.Up {
-			m.result(now, c, n, Skipped, "it is not wanted up")
+		if in == nil || !in.DesiredUp {
+			m.result(now, c, n, OutcomeSkipped, "it is not wanted up")
 			continue
 		}
 		if tallies == nil {
@@ -203,11 +203,11 @@
 		if in.usable(now) {
 			cost = 1
 		}
-		if g.usable-cost < c.Terms.least(g.up) {
+		if g.usable-cost < c.Rollout.least(g.up) {
 			blocked = true
 			continue
 		}
-		if in.Phase == Unknown { // what can't be seen may be ready: taking it out costs one that can't be counted
+		if in.Phase == PhaseUnknown { // what can't be seen may be ready: taking it out costs one that can't be counted
 			blocked = true
 			continue
 		}
@@ -217,18 +217,18 @@
 			continue
 		}
 		g.usable -= cost
-		c.Out[n] = true
+		c.InProgress[n] = true
 		m.recycle(now, in)
 		m.changed(c)
 		m.advance(now, in)
 	}
 	switch {
-	case !blocked || len(c.Out)+asked > 0:
-		if c.Stuck != 0 {
-			c.Stuck = 0
+	case !blocked || len(c.InProgress)+asked > 0:
+		if c.BlockedSince != 0 {
+			c.BlockedSince = 0
 		}
-	case c.Stuck == 0:
-		c.Stuck = now
+	case c.BlockedSince == 0:
+		c.BlockedSince = now
 	}
 }
 
@@ -240,12 +240,12 @@
 		if _, over := c.Results[n]; over || in == nil {
 			continue
 		}
-		if in.Phase == Unknown {
+		if in.Phase == PhaseUnknown {
 			return fmt.Sprintf("can't go on: %s can't be seen (%s)", n, in.Cause)
 		}
 		g := tallies[in.Group]
 		return fmt.Sprintf("can't go on: group %s has %d ready of %d, and %d must stay ready; next would be %s",
-			in.Group, g.usable, g.up, c.Terms.least(g.up), n)
+			in.Group, g.usable, g.up, c.Rollout.least(g.up), n)
 	}
 	return "can't go on"
 }
@@ -253,49 +253,49 @@
 // Plan is what a wave would do, for --dry-run: the order in which instances would leave if all went well, with
 // how many of their group are ready meanwhile, and why it could not be taken.
 type PlanStep struct {
-	Name  string `json:"name"`
-	Group string `json:"group"`
-	Batch int    `json:"batch"`
-	Ready int    `json:"ready"` // of its group, with this batch out
-	Least int    `json:"least"`
+	Name     string `json:"name"`
+	Group    string `json:"group"`
+	Batch    int    `json:"batch"`
+	Ready    int    `json:"ready"` // of its group, with this batch out
+	MinReady int    `json:"least"`
 }
 
 // Preview plays a wave on facts alone: every instance of the names taken to be up and ready, and each batch to
 // come back whole.
-func Preview(s *Spec, host string, names []string, w WaveTerms) ([]PlanStep, error) {
-	m := New(s, host, Terms{Open: 1, Commands: 1}, func(*InstanceSpec) Window { return Window{1, 1} })
+func Preview(s *Spec, host string, names []string, w RollingUpdateConfig) ([]PlanStep, error) {
+	m := New(s, host, Config{MaxOpenCommands: 1, MaxFinishedCommands: 1}, func(*InstanceSpec) ShutdownWindow { return ShutdownWindow{1, 1} })
 	for _, in := range m.instances {
 		if !in.Spare {
-			in.Up, in.Phase, in.Run = true, Ready, "preview"
+			in.DesiredUp, in.Phase, in.Incarnation = true, PhaseReady, "preview"
 		}
 	}
 	const long = 1 << 60
-	c := &Command{ID: "preview", Kind: Wave, Names: names, Due: long, Terms: &w}
-	if _, _, err := m.Decide(long/2, Ordered{c}); err != nil {
+	c := &Command{ID: "preview", Kind: KindRollingUpdate, Names: names, Deadline: long, Rollout: &w}
+	if _, _, err := m.Decide(long/2, CommandReceived{c}); err != nil {
 		return nil, err
 	}
 	var steps []PlanStep
 	now := Micros(long / 2)
 	for batch := 1; batch <= 2*len(names)+4*len(m.names)+4; batch++ {
 		c := m.Command("preview")
-		if c.State == Done {
+		if c.State == CommandDone {
 			return steps, nil
 		}
 		tallies := m.tallies(now)
 		for _, n := range c.Names {
-			if in := m.instances[n]; c.Out[n] {
+			if in := m.instances[n]; c.InProgress[n] {
 				g := tallies[in.Group]
-				steps = append(steps, PlanStep{n, in.Group, batch, g.usable, c.Terms.least(g.up)})
+				steps = append(steps, PlanStep{n, in.Group, batch, g.usable, c.Rollout.least(g.up)})
 			}
 		}
 		now += 1 << 40
 		for _, n := range m.names { // all that left is gone, and what is wanted up is ready
 			in := m.instances[n]
-			if in.Run != "" && in.Told != "" {
-				m.Decide(now, Sighted{n, Sight{Run: in.Run, Phase: Gone}})
+			if in.Incarnation != "" && in.NoticeID != "" {
+				m.Decide(now, InstanceObserved{n, Observation{Incarnation: in.Incarnation, Phase: PhaseExited}})
 			}
-			if in.Run != "" && in.Told == "" {
-				m.Decide(now, Sighted{n, Sight{Run: in.Run, Phase: Ready}})
+			if in.Incarnation != "" && in.NoticeID == "" {
+				m.Decide(now, InstanceObserved{n, Observation{Incarnation: in.Incarnation, Phase: PhaseReady}})
 			}
 		}
 		now += 1 << 40
--- a/internal/fleet/world_test.go
+++ b/internal/fleet/world_test.go
@@ -14,7 +14,7 @@
 	alive, keeper, ready, deaf bool
 	run, told                  string
 	since, toldAt              Micros
-	end                        End
+	end                        Exit
 	neverReady                 bool
 }
 
@@ -33,14 +33,14 @@
 	now     Micros
 	lives   map[string]*life
 	taken   map[string]bool
-	saved   Record // what was written down
+	saved   Snapshot // what was written down
 	launch  map[string]int
-	lose    func(Step) bool // the step does not reach its keeper
-	check   func([]Step)
+	lose    func(Action) bool // the step does not reach its keeper
+	check   func([]Action)
 	cold    Micros
 	dieNext bool // the agent dies between writing down and acting
 	host    string
-	old     []Sighted // what was seen before, some of it of lives that are over
+	old     []InstanceObserved // what was seen before, some of it of lives that are over
 }
 
 func spec(t tester, text string) *Spec {
@@ -51,10 +51,10 @@
 	return s
 }
 
-func window(*InstanceSpec) Window { return Window{2 * second, 3200_000} }
+func window(*InstanceSpec) ShutdownWindow { return ShutdownWindow{2 * second, 3200_000} }
 
-func testTerms() Terms {
-	return DefaultTerms(limits.ForControl(), 7)
+func testTerms() Config {
+	return DefaultConfig(limits.ForControl(), 7)
 }
 
 func newWorld(t tester, s *Spec) *world {
@@ -76,7 +76,7 @@
 // do hands the machine an event, writes down what it must, and takes the steps.
 func (w *world) do(ev Event) error {
 	steps, _, err := w.m.Decide(w.now, ev)
-	steps = append([]Step(nil), steps...)
+	steps = append([]Action(nil), steps...)
 	w.save()
 	if w.check != nil {
 		w.check(steps)
@@ -125,19 +125,19 @@
 // restart is the agent's death and return: what was not written down is lost.
 func (w *world) restart() {
 	w.m = New(w.spec, w.host, testTerms(), window)
-	w.m.Restore(w.now, Record{w.saved.Instances, w.saved.Commands}, false)
+	w.m.Restore(w.now, Snapshot{w.saved.Instances, w.saved.Commands}, false)
 }
 
-func (w *world) take(s Step) {
+func (w *world) take(s Action) {
 	l := w.lives[s.Name]
 	if w.taken[s.ID] {
 		return
 	}
-	switch s.What {
-	case Launch:
+	switch s.Kind {
+	case ActionLaunch:
 		w.taken[s.ID] = true
 		if s.Adopt {
-			if l.alive && l.run == s.Run {
+			if l.alive && l.run == s.Incarnation {
 				l.keeper = true
 			}
 			return
@@ -146,9 +146,9 @@
 			w.t.Fatalf("%s is launched by %s while its life %s goes on", s.Name, s.ID, l.run)
 		}
 		w.launch[s.Name]++
-		*l = life{alive: true, keeper: true, run: s.Run, since: w.now, deaf: l.deaf, neverReady: l.neverReady}
-	case Tell:
-		if l.run != s.Run || !l.alive || !l.keeper {
+		*l = life{alive: true, keeper: true, run: s.Incarnation, since: w.now, deaf: l.deaf, neverReady: l.neverReady}
+	case ActionNotify:
+		if l.run != s.Incarnation || !l.alive || !l.keeper {
 			return // nobody to take it; it comes again
 		}
 		w.taken[s.ID] = true
@@ -156,15 +156,15 @@
 			w.t.Fatalf("%s was told by %s and again by %s in one life", s.Name, l.told, s.ID)
 		}
 		l.told, l.toldAt = s.ID, w.now
-	case Kill:
-		if l.run == s.Run && l.alive {
+	case ActionKill:
+		if l.run == s.Incarnation && l.alive {
 			w.taken[s.ID] = true
-			l.die(End{Code: -1, Killed: s.Cause})
+			l.die(Exit{Code: -1, KillReason: s.Cause})
 		}
 	}
 }
 
-func (l *life) die(e End) {
+func (l *life) die(e Exit) {
 	l.alive, l.ready, l.end = false, false, e
 }
 
@@ -178,7 +178,7 @@
 			if l.run == "" || blind != nil && blind(n) {
 				continue
 			}
-			s := Sighted{n, l.sight(w.now)}
+			s := InstanceObserved{n, l.sight(w.now)}
 			if len(w.old) < 200 {
 				w.old = append(w.old, s)
 			}
@@ -198,44 +198,44 @@
 	}
 	switch after := now - l.toldAt; {
 	case l.deaf && l.keeper && after >= 2*second:
-		l.die(End{Code: -1, Killed: "deaf", After: after})
+		l.die(Exit{Code: -1, KillReason: "deaf", DrainTime: after})
 	case !l.deaf && after >= 2500_000:
-		l.die(End{After: after})
+		l.die(Exit{DrainTime: after})
 	}
 }
 
-func (l *life) sight(now Micros) Sight {
-	s := Sight{Run: l.run, Told: l.told}
+func (l *life) sight(now Micros) Observation {
+	s := Observation{Incarnation: l.run, NoticeID: l.told}
 	switch {
 	case !l.alive:
-		s.Phase, s.End = Gone, l.end
+		s.Phase, s.Exit = PhaseExited, l.end
 	case !l.keeper:
-		s.Phase, s.Orphan, s.Cause = Unknown, true, "its keeper is gone"
-		s.Told = ""
+		s.Phase, s.Orphaned, s.Cause = PhaseUnknown, true, "its keeper is gone"
+		s.NoticeID = ""
 	case l.told != "" && l.deaf:
-		s.Phase = Deaf
+		s.Phase = PhaseUnresponsive
 	case l.told != "" && now-l.toldAt < 2*second:
-		s.Phase = Draining
+		s.Phase = PhaseDraining
 	case l.told != "":
-		s.Phase = Stopping
+		s.Phase = PhaseStopping
 	case l.ready:
-		s.Phase = Ready
+		s.Phase = PhaseReady
 	default:
-		s.Phase = Starting
+		s.Phase = PhaseStarting
 	}
 	return s
 }
 
-func (w *world) order(id string, kind Kind, within Micros, names ...string) error {
-	c := &Command{ID: id, Kind: kind, Names: names, By: "test", Due: w.now + within}
+func (w *world) order(id string, kind CommandKind, within Micros, names ...string) error {
+	c := &Command{ID: id, Kind: kind, Names: names, RequestedBy: "test", Deadline: w.now + within}
 	switch kind {
-	case Wave:
-		terms := w.spec.Wave
-		c.Terms = &terms
-	case Rise:
-		c.Budget = w.spec.RiseBudget
+	case KindRollingUpdate:
+		terms := w.spec.RollingUpdate
+		c.Rollout = &terms
+	case KindColdStart:
+		c.Quota = w.spec.ColdStartQuota
 	}
-	return w.do(Ordered{c})
+	return w.do(CommandReceived{c})
 }
 
 // groupsOf writes a fleet of some groups of so many instances on one host.
@@ -256,7 +256,7 @@
 }
 
 func up(w *world) {
-	w.order("up", Start, 60*second, w.nonSpares()...)
+	w.order("up", KindStart, 60*second, w.nonSpares()...)
 	w.pass(3*second, nil)
 }
 
--- a/internal/fleetclient/operate.go
+++ b/internal/fleetclient/operate.go
@@ -42,7 +42,7 @@
 // Report is what came of a command.
 type Report struct {
 	ID     string                `json:"id"`
-	Kind   fleet.Kind            `json:"kind"`
+	Kind   fleet.CommandKind     `json:"kind"`
 	Hosts  []HostReport          `json:"hosts"`
 	Counts map[fleet.Outcome]int `json:"counts"`
 	Open   int                   `json:"open"` // instances without a result
@@ -71,9 +71,9 @@
 			v = max(v, VerdictPartial)
 		case h.Command != nil:
 			for _, res := range h.Command.Results {
-				if res.Outcome == fleet.Late {
+				if res.Outcome == fleet.OutcomeTimedOut {
 					v = max(v, VerdictTimedOut)
-				} else if !res.Outcome.AsAsked() && res.Outcome != fleet.Skipped {
+				} else if !res.Outcome.Satisfied() && res.Outcome != fleet.OutcomeSkipped {
 					v = max(v, VerdictPartial)
 				}
 			}
@@ -81,7 +81,7 @@
 	}
 	waits := r.Reason != "" // for a person: no time has run out
 	for _, h := range r.Hosts {
-		waits = waits || h.Command != nil && h.Command.State == fleet.Paused
+		waits = waits || h.Command != nil && h.Command.State == fleet.CommandPaused
 	}
 	switch {
 	case waits:
@@ -93,7 +93,7 @@
 }
 
 // NewID is an id for a command: its kind, the time, and enough chance that two tools do not meet.
-func NewID(kind fleet.Kind, now time.Time) string {
+func NewID(kind fleet.CommandKind, now time.Time) string {
 	var chance [4]byte
 	rand.Read(chance[:])
 	return fmt.Sprintf("%s-%s-%s", kind, now.UTC().Format("20060102T150405"), hex.EncodeToString(chance[:]))
@@ -114,7 +114,7 @@
 }
 
 func (t *Client) client(host string) *agentapi.Client {
-	return t.Caller.Client(t.Spec.Host(host).Agent)
+	return t.Caller.Client(t.Spec.Host(host).AgentAddress)
 }
 
 // Execute sends a command to every host that has some of the instances and, if wait is set, follows it to its end
@@ -144,7 +144,7 @@
 		return failed(host, err)
 	}
 	h := HostReport{Host: host, Command: cmd, Reached: true}
-	if wait && cmd.State != fleet.Done {
+	if wait && cmd.State != fleet.CommandDone {
 		t.follow(ctx, c, &h, o.ID, serial)
 	}
 	return h
@@ -153,7 +153,7 @@
 func failed(host string, err error) HostReport {
 	h := HostReport{Host: host, Error: err.Error()}
 	_, refused := errors.AsType[*agentapi.StatusError](err)
-	refused = refused || errors.Is(err, fleet.ErrUnknown)
+	refused = refused || errors.Is(err, fleet.ErrUnknownCommand)
 	h.Reached, h.Rejected = refused, refused
 	return h
 }
@@ -168,7 +168,7 @@
 		// A wave that pauses by itself waits for a person: nobody should wait with it unseen.
 		return l.Entry == nil || l.Entry.Event != "pause"
 	})
-	if h.Command == nil || h.Command.State != fleet.Done { // the stream ended first: ask how it stands
+	if h.Command == nil || h.Command.State != fleet.CommandDone { // the stream ended first: ask how it stands
 		ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*t.Bounds.Call)
 		defer cancel()
 		cmd, errNow := c.Command(ask, id)
@@ -195,7 +195,7 @@
 			all = append(all, h.Command)
 		}
 	}
-	r.Counts, r.Open = fleet.Tally(all...)
+	r.Counts, r.Open = fleet.CountOutcomes(all...)
 }
 
 // Watch follows one command at one host, or all that happens there if id is empty, from now on.
@@ -222,7 +222,7 @@
 
 // OnlyKnown leaves out the hosts that never had the command.
 func (r *Report) OnlyKnown() *Report {
-	r.Hosts = slices.DeleteFunc(r.Hosts, func(h HostReport) bool { return h.Error == fleet.ErrUnknown.Error() })
+	r.Hosts = slices.DeleteFunc(r.Hosts, func(h HostReport) bool { return h.Error == fleet.ErrUnknownCommand.Error() })
 	if len(r.Hosts) == 0 {
 		r.Reason = "no agent knows this command"
 	}
@@ -238,14 +238,14 @@
 	if len(hosts) == 1 || o.Budget != "" { // by a budget the agents keep the order among themselves, with or without this tool
 		return t.Execute(ctx, o, all, true)
 	}
-	tour := &fleet.Tour{Hosts: hosts, Terms: *o.RollingUpdate, Abreast: abreast}
+	tour := &fleet.RolloutCoordinator{Hosts: hosts, Config: *o.RollingUpdate, MaxConcurrentHosts: abreast}
 	reports := map[string]*HostReport{}
 	var mu sync.Mutex
 	var following sync.WaitGroup
 	defer following.Wait()
 	for {
-		facts := map[string]fleet.HostFact{}
-		seen, _ := agentapi.FanOut(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (fleet.HostFact, error) {
+		facts := map[string]fleet.HostProgress{}
+		seen, _ := agentapi.FanOut(ctx, t.Bounds, hosts, func(ctx context.Context, host string) (fleet.HostProgress, error) {
 			f, cmd := t.fact(ctx, host, o, len(names[host]))
 			if cmd != nil {
 				mu.Lock()
@@ -266,7 +266,7 @@
 			reports[host] = &h
 			mu.Unlock()
 			if h.Command == nil {
-				step.Why = fmt.Sprintf("host %s: %s", host, h.Error)
+				step.StopReason = fmt.Sprintf("host %s: %s", host, h.Error)
 				break
 			}
 			c := t.client(host)
@@ -278,8 +278,8 @@
 				})
 			})
 		}
-		if step.Over || step.Why != "" || ctx.Err() != nil {
-			r.Reason = step.Why
+		if step.Finished || step.StopReason != "" || ctx.Err() != nil {
+			r.Reason = step.StopReason
 			if r.Reason == "" && ctx.Err() != nil {
 				r.Reason = "the time ran out"
 			}
@@ -303,19 +303,19 @@
 }
 
 // fact asks one host how it stands.
-func (t *Client) fact(ctx context.Context, host string, o agentapi.CommandRequest, names int) (f fleet.HostFact, cmd *fleet.Command) {
+func (t *Client) fact(ctx context.Context, host string, o agentapi.CommandRequest, names int) (f fleet.HostProgress, cmd *fleet.Command) {
 	c := t.client(host)
 	defer c.Close()
-	f.Takes = min(o.RollingUpdate.Width, names)
+	f.MaxUnavailable = min(o.RollingUpdate.MaxInProgress, names)
 	s, err := c.Status(ctx)
 	if err != nil {
 		f.Cause = err.Error()
 		return f, nil
 	}
-	f.Reached = true
+	f.Reachable = true
 	for _, in := range s.Instances {
 		if in.DesiredUp && !in.Spare {
-			f.Up++
+			f.DesiredUp++
 		}
 		if in.DesiredUp && in.Settled {
 			f.Ready++
@@ -323,11 +323,11 @@
 	}
 	cmd, err = c.Command(ctx, o.ID)
 	if err != nil {
-		f.Reached = errors.Is(err, fleet.ErrUnknown)
+		f.Reachable = errors.Is(err, fleet.ErrUnknownCommand)
 		return f, nil
 	}
 	f.State, f.Cause = cmd.State, cmd.Cause
-	if bad := cmd.Bad(); cmd.State == fleet.Done && len(bad) > 0 {
+	if bad := cmd.Unsatisfied(); cmd.State == fleet.CommandDone && len(bad) > 0 {
 		f.Failed, f.Cause = true, fmt.Sprintf("%v", bad)
 	}
 	return f, cmd
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -29,7 +29,7 @@
 			Usual: of(b.Report), Lapse: of(b.Lapse), Least: of(b.ReportLeast), Closed: of(b.ReportClosed), First: of(b.ReportFirst),
 			Most: of(b.ReportMost), Advice: of(b.ReportAdvice), OnWay: b.Reports,
 		},
-		Relaunch: fleet.DefaultTerms(limits.ForControl(), 1).Relaunch,
+		Relaunch: fleet.DefaultConfig(limits.ForControl(), 1).RelaunchBackoff,
 	}
 }
 
--- a/internal/simulation/crew.go
+++ b/internal/simulation/crew.go
@@ -15,7 +15,7 @@
 	first int // of its hosts
 	runs  []string
 	tolds []string
-	seen  []fleet.Sight
+	seen  []fleet.Observation
 	names []string
 	lost  float64 // part of its notices
 }
@@ -38,15 +38,15 @@
 		if err != nil {
 			return err
 		}
-		c.m = fleet.New(spec, "a", fleet.DefaultTerms(limits.ForControl(), w.policy), func(*fleet.InstanceSpec) fleet.Window {
-			return fleet.Window{Grace: fleet.Micros(w.s.Hosts.Grace), Stop: fleet.Micros(w.s.Hosts.Stop)}
+		c.m = fleet.New(spec, "a", fleet.DefaultConfig(limits.ForControl(), w.policy), func(*fleet.InstanceSpec) fleet.ShutdownWindow {
+			return fleet.ShutdownWindow{Grace: fleet.Micros(w.s.Hosts.Grace), ExitTimeout: fleet.Micros(w.s.Hosts.Stop)}
 		})
 		for k := range n {
 			c.names = append(c.names, crewName(k))
 			w.hosts[first+k].crewed = true
 		}
-		c.runs, c.tolds, c.seen = make([]string, n), make([]string, n), make([]fleet.Sight, n)
-		if err := w.order(c, &fleet.Command{ID: "start", Kind: fleet.Start, Names: c.names, By: "model", Due: 60_000_000}); err != nil {
+		c.runs, c.tolds, c.seen = make([]string, n), make([]string, n), make([]fleet.Observation, n)
+		if err := w.order(c, &fleet.Command{ID: "start", Kind: fleet.KindStart, Names: c.names, RequestedBy: "model", Deadline: 60_000_000}); err != nil {
 			return err
 		}
 		w.crews = append(w.crews, c)
@@ -57,7 +57,7 @@
 
 // order gives a crew's machine a command.
 func (w *world) order(c *crew, command *fleet.Command) error {
-	steps, _, err := c.m.Decide(fleet.Micros(w.now), fleet.Ordered{Command: command})
+	steps, _, err := c.m.Decide(fleet.Micros(w.now), fleet.CommandReceived{Command: command})
 	w.steps(c, slices.Clone(steps))
 	return err
 }
@@ -66,12 +66,12 @@
 func (w *world) rollOut(i int) {
 	t := &w.s.Troubles[i]
 	for _, c := range w.crews {
-		terms := fleet.DefaultWave()
-		terms.Width = max(1, int(t.Width*float64(len(c.names))))
-		terms.LeastShare = max(0, 1-2*t.Width)
-		terms.Failures = len(c.names)
+		terms := fleet.DefaultRollingUpdate()
+		terms.MaxInProgress = max(1, int(t.Width*float64(len(c.names))))
+		terms.MinReadyShare = max(0, 1-2*t.Width)
+		terms.MaxFailures = len(c.names)
 		c.lost = t.Lost
-		if err := w.order(c, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.Wave, Names: c.names, By: "model", Due: fleet.Micros(w.now + 3600*Second), Terms: &terms}); err != nil {
+		if err := w.order(c, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.KindRollingUpdate, Names: c.names, RequestedBy: "model", Deadline: fleet.Micros(w.now + 3600*Second), Rollout: &terms}); err != nil {
 			w.res.Refused++
 		}
 	}
@@ -89,20 +89,20 @@
 	now := fleet.Micros(w.now)
 	for k := range c.names {
 		h := &w.hosts[c.first+k]
-		s := fleet.Sight{Phase: fleet.Ready, Run: c.runs[k], Told: c.tolds[k]}
+		s := fleet.Observation{Phase: fleet.PhaseReady, Incarnation: c.runs[k], NoticeID: c.tolds[k]}
 		switch {
 		case !h.up:
-			s.Phase = fleet.Gone
+			s.Phase = fleet.PhaseExited
 		case c.tolds[k] != "":
-			s.Phase = fleet.Draining
+			s.Phase = fleet.PhaseDraining
 		case !h.healthy:
-			s.Phase = fleet.Unready
+			s.Phase = fleet.PhaseUnready
 		}
-		if s == c.seen[k] || s.Run == "" {
+		if s == c.seen[k] || s.Incarnation == "" {
 			continue
 		}
 		c.seen[k] = s
-		steps, _, _ := c.m.Decide(now, fleet.Sighted{Name: c.names[k], Sight: s})
+		steps, _, _ := c.m.Decide(now, fleet.InstanceObserved{Name: c.names[k], Observation: s})
 		w.steps(c, slices.Clone(steps))
 	}
 	steps, _, _ := c.m.Decide(now, fleet.Tick{})
@@ -110,22 +110,22 @@
 }
 
 // steps does what a crew's machine says.
-func (w *world) steps(c *crew, steps []fleet.Step) {
+func (w *world) steps(c *crew, steps []fleet.Action) {
 	for _, s := range steps {
 		k := slices.Index(c.names, s.Name)
 		h := &w.hosts[c.first+k]
-		switch s.What {
-		case fleet.Launch:
-			if !s.Adopt && c.runs[k] != s.Run {
-				c.runs[k], c.tolds[k] = s.Run, ""
+		switch s.Kind {
+		case fleet.ActionLaunch:
+			if !s.Adopt && c.runs[k] != s.Incarnation {
+				c.runs[k], c.tolds[k] = s.Incarnation, ""
 				w.back(h)
 			}
-		case fleet.Tell:
+		case fleet.ActionNotify:
 			if c.tolds[k] != s.ID && h.up {
 				c.tolds[k] = s.ID
 				w.notice(h, w.fate.Float64() < c.lost)
 			}
-		case fleet.Kill:
+		case fleet.ActionKill:
 			if h.up {
 				w.goDown(h, Reset)
 			}
--- a/internal/supervisor/guard.go
+++ b/internal/supervisor/guard.go
@@ -36,7 +36,7 @@
 
 // Guard decides about one life of one instance.
 type Guard struct {
-	Window fleet.Window
+	Window fleet.ShutdownWindow
 	Began  Micros
 	Step   string // the notice taken; empty: none
 	ToldAt Micros
@@ -108,7 +108,7 @@
 		// wait for it any more is worse.
 		g.Killed = "deaf to the notice"
 		return append(acts, Finish)
-	case after >= g.Window.Stop+stopSlack:
+	case after >= g.Window.ExitTimeout+stopSlack:
 		g.Killed = "not ended by its stop"
 		return append(acts, Finish)
 	case !heard && after >= hearBy && (g.said == 0 || now-g.said >= sayEvery):
@@ -127,21 +127,21 @@
 	silent := !g.answered || now-g.lastAt > silentFor
 	switch {
 	case g.Killed != "":
-		return fleet.Deaf, g.Killed
+		return fleet.PhaseUnresponsive, g.Killed
 	case g.Step != "" && !g.heard() && now-since >= hearBy:
-		return fleet.Deaf, "it shows no sign of having heard the notice"
+		return fleet.PhaseUnresponsive, "it shows no sign of having heard the notice"
 	case since != 0 && now-since >= g.Window.Grace:
-		return fleet.Stopping, ""
+		return fleet.PhaseStopping, ""
 	case since != 0:
-		return fleet.Draining, ""
+		return fleet.PhaseDraining, ""
 	case !g.wasReady && silent:
-		return fleet.Starting, "its socket does not answer"
+		return fleet.PhaseStarting, "its socket does not answer"
 	case !g.wasReady:
-		return fleet.Starting, "it is not ready"
+		return fleet.PhaseStarting, "it is not ready"
 	case silent:
-		return fleet.Unready, "its socket does not answer"
+		return fleet.PhaseUnready, "its socket does not answer"
 	case !g.last.Ready:
-		return fleet.Unready, "health checks are answered with bad"
+		return fleet.PhaseUnready, "health checks are answered with bad"
 	}
-	return fleet.Ready, ""
+	return fleet.PhaseReady, ""
 }
--- a/internal/supervisor/guard_test.go
+++ b/internal/supervisor/guard_test.go
@@ -12,7 +12,7 @@
 
 const second Micros = 1_000_000
 
-var usual = fleet.Window{Grace: 2 * second, Stop: 3200_000}
+var usual = fleet.ShutdownWindow{Grace: 2 * second, ExitTimeout: 3200_000}
 
 // fake is an instance as a guard may meet it: it may be deaf to the signal, to its socket, or to both, may be
 // stopped for a while, and may stay beyond its stop.
@@ -55,7 +55,7 @@
 	if f.stopped(now) {
 		return Look{}
 	}
-	if f.graceEnds != 0 && !f.stays && now >= f.graceEnds-usual.Grace+usual.Stop-30_000 {
+	if f.graceEnds != 0 && !f.stays && now >= f.graceEnds-usual.Grace+usual.ExitTimeout-30_000 {
 		f.gone, f.end = true, now
 	}
 	s := admin.State{Ready: now >= f.ready && f.graceEnds == 0}
@@ -136,7 +136,7 @@
 				t.Fatalf("takes work in %d us after the notice: %+v, %+v", now-g.ToldAt, f, g)
 			}
 		}
-		if !f.gone || f.end > g.ToldAt+usual.Stop+stopSlack+50_000 {
+		if !f.gone || f.end > g.ToldAt+usual.ExitTimeout+stopSlack+50_000 {
 			t.Fatalf("not gone in time: %+v, %+v", f, g)
 		}
 		meek := !f.stays && till <= from && !f.deafSignal
--- a/internal/supervisor/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -35,7 +35,7 @@
 	Launcher []string // runs what is appended once descriptor 3 brings a byte; see Begin
 	Command  []string // starts the instance; --inspect SOCKET is appended
 	Env      []string // besides that of the keeper
-	Window   fleet.Window
+	Window   fleet.ShutdownWindow
 	Bounds   limits.Control
 }
 
@@ -93,7 +93,7 @@
 	go server.Serve(limits.Conns(l, o.Bounds.Clients))
 	defer server.Close()
 
-	over := make(chan fleet.End, 1)
+	over := make(chan fleet.Exit, 1)
 	if o.Adopt {
 		go k.await(over)
 	} else if err := k.start(over); err != nil {
@@ -141,7 +141,7 @@
 }
 
 // start runs the instance as the leader of a group of its own: the notice goes to it alone, a kill to all of them.
-func (k *Keeper) start(over chan<- fleet.End) error {
+func (k *Keeper) start(over chan<- fleet.Exit) error {
 	log, err := os.OpenFile(k.paths.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 		unix.Waitid(unix.P_PID, id.PID, nil, unix.WEXITED|unix.WNOWAIT, nil)
 		syscall.Kill(-id.PID, syscall.SIGKILL)
 		cmd.Wait()
-		end := fleet.End{Code: cmd.ProcessState.ExitCode()}
+		end := fleet.Exit{Code: cmd.ProcessState.ExitCode()}
 		if ws, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && ws.Signaled() {
 			end.Signal = ws.Signal().String()
 		}
@@ -213,7 +213,7 @@
 }
 
 // await sees the end of an instance that is not this process's child; its exit code nobody sees.
-func (k *Keeper) await(over chan<- fleet.End) {
+func (k *Keeper) await(over chan<- fleet.Exit) {
 	id := k.state.Instance
 	for id.Alive() {
 		fd, err := unix.PidfdOpen(id.PID, 0)
@@ -224,11 +224,11 @@
 		unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, int(k.o.Bounds.PollRest.Milliseconds()))
 		unix.Close(fd)
 	}
-	over <- fleet.End{Unseen: true}
+	over <- fleet.Exit{Unobserved: true}
 }
 
 // keep is the keeper's life: it looks, asks the guard, and acts, until the instance has ended.
-func (k *Keeper) keep(ctx context.Context, notice <-chan os.Signal, over <-chan fleet.End) {
+func (k *Keeper) keep(ctx context.Context, notice <-chan os.Signal, over <-chan fleet.Exit) {
 	looks := make(chan Look, 1)
 	asking := false
 	timer := time.NewTimer(0)
@@ -267,7 +267,7 @@
 			k.act(a, id, killed, now-toldAt)
 		}
 		pause := k.o.Bounds.Poll
-		if phase == fleet.Ready || phase == fleet.Unready {
+		if phase == fleet.PhaseReady || phase == fleet.PhaseUnready {
 			pause = k.o.Bounds.PollRest
 		}
 		if !asking && time.Since(asked) >= pause { // one look at a time, each in its own time: a deaf one answers none
@@ -331,22 +331,22 @@
 	return err
 }
 
-func (k *Keeper) finish(end fleet.End) {
+func (k *Keeper) finish(end fleet.Exit) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := Micros(process.Now())
-	if end.Killed = k.guard.Killed; end.Killed != "" {
-		end.Code, end.Unseen = -1, false
+	if end.KillReason = k.guard.Killed; end.KillReason != "" {
+		end.Code, end.Unobserved = -1, false
 	}
-	end.Lived = now - k.state.StartedAt
+	end.Uptime = now - k.state.StartedAt
 	if k.state.NotifiedStep != "" {
-		end.After = now - k.state.NotifiedAt
+		end.DrainTime = now - k.state.NotifiedAt
 	}
 	k.state.Ended, k.state.End = true, end
 	if err := k.state.write(k.paths.State); err != nil {
 		slog.Error("state", "name", k.o.Name, "error", err.Error())
 	}
-	slog.Info("ended", "name", k.o.Name, "run", k.o.Run, "how", end.String(), "after_ms", end.After/1000)
+	slog.Info("ended", "name", k.o.Name, "run", k.o.Run, "how", end.String(), "after_ms", end.DrainTime/1000)
 	k.serial++
 	close(k.news)
 	k.news = make(chan struct{})
@@ -391,11 +391,11 @@
 
 // Report is what a keeper tells of its instance.
 type Report struct {
-	Version     int          `json:"version"`
-	Serial      int          `json:"serial"` // grows with each change
-	Observation fleet.Sight  `json:"sight"`
-	State       *admin.State `json:"state,omitempty"` // the instance's own words, the latest
-	Record      State        `json:"life"`
+	Version     int               `json:"version"`
+	Serial      int               `json:"serial"` // grows with each change
+	Observation fleet.Observation `json:"sight"`
+	State       *admin.State      `json:"state,omitempty"` // the instance's own words, the latest
+	Record      State             `json:"life"`
 }
 
 // changed lets who waits know of a change that matters; k.mu is held.
@@ -421,26 +421,26 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	phase, cause := k.guard.Phase(Micros(process.Now()))
-	s := fleet.Sight{Run: k.state.Run, Phase: phase, Cause: cause, Told: k.state.NotifiedStep}
+	s := fleet.Observation{Incarnation: k.state.Run, Phase: phase, Cause: cause, NoticeID: k.state.NotifiedStep}
 	if k.look != nil {
-		s.Picked, s.Turned = k.look.Picked, k.look.Throttled+k.look.Errored
+		s.Invocations, s.Rejected = k.look.Picked, k.look.Throttled+k.look.Errored
 		s.Level = k.look.Level
 		if n := len(k.look.Changes); n > 0 {
-			s.Why = k.look.Changes[n-1]
+			s.LevelCause = k.look.Changes[n-1]
 		}
 	}
 	if k.state.Ended {
-		s.Phase, s.Cause, s.End = fleet.Gone, "", k.state.End
+		s.Phase, s.Cause, s.Exit = fleet.PhaseExited, "", k.state.End
 	}
 	return Report{Version: stateVersion, Serial: k.serial, Observation: s, State: k.look, Record: k.state}, k.news
 }
 
 // StepRequest is a step for a keeper.
 type StepRequest struct {
-	Step  string     `json:"step"`
-	Run   string     `json:"run"`
-	What  fleet.What `json:"what"` // Tell or Kill
-	Cause string     `json:"cause"`
+	Step  string           `json:"step"`
+	Run   string           `json:"run"`
+	What  fleet.ActionKind `json:"what"` // Tell or Kill
+	Cause string           `json:"cause"`
 }
 
 func (k *Keeper) handler() http.Handler {
@@ -464,7 +464,7 @@
 			}
 		}
 		w.Header().Set("Content-Type", "application/json")
-		if json.NewEncoder(w).Encode(report) == nil && report.Observation.Phase == fleet.Gone {
+		if json.NewEncoder(w).Encode(report) == nil && report.Observation.Phase == fleet.PhaseExited {
 			http.NewResponseController(w).Flush()
 			k.mu.Lock()
 			k.fetched = true
@@ -482,9 +482,9 @@
 			return
 		}
 		switch o.What {
-		case fleet.Tell:
+		case fleet.ActionNotify:
 			k.tell(o.Step)
-		case fleet.Kill:
+		case fleet.ActionKill:
 			k.mu.Lock()
 			acts := k.guard.Take(o.Cause)
 			id, cause := k.state.Instance, k.guard.Killed
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -45,7 +45,7 @@
 	NotifiedStep string           `json:"told,omitempty"` // the notice taken
 	NotifiedAt   Micros           `json:"told_at,omitempty"`
 	Ended        bool             `json:"ended,omitempty"`
-	End          fleet.End        `json:"end"`
+	End          fleet.Exit       `json:"end"`
 }
 
 // stateVersion is that of the file; a newer one is not touched.
@@ -70,7 +70,7 @@
 		return s, fmt.Errorf("%s: version %d, and this build knows %d", path, s.Version, stateVersion)
 	}
 	if s.Boot != process.Boot() {
-		s.Ended, s.End, s.Instance, s.Supervisor = true, fleet.End{Unseen: true}, process.Identity{}, process.Identity{}
+		s.Ended, s.End, s.Instance, s.Supervisor = true, fleet.Exit{Unobserved: true}, process.Identity{}, process.Identity{}
 	}
 	return s, nil
 }
