--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -101,10 +101,10 @@
 		return unusable(err)
 	}
 	defer store.Close()
-	var joined *node.Joined
+	var joined *node.Node
 	var shares agent.Cluster
 	if spec.Quotas != nil {
-		joined, err = node.Open(node.Options{Spec: spec, Host: host.Name, Dir: dir, Trust: c.Bool("trust-directory"), Bounds: b})
+		joined, err = node.Open(node.Config{Spec: spec, Host: host.Name, Dir: dir, TrustDir: c.Bool("trust-directory"), Bounds: b})
 		if err != nil {
 			return unusable(err)
 		}
@@ -144,7 +144,7 @@
 				err = a.Reload(later)
 			}
 			if err == nil && joined != nil {
-				joined.Move(later)
+				joined.UpdateAddresses(later)
 			}
 			slog.Info("reload", "used", err == nil, "error", fmt.Sprint(err))
 		}
--- a/cmd/milletbarrow/fleet_budgets.go
+++ b/cmd/milletbarrow/fleet_budgets.go
@@ -58,31 +58,31 @@
 
 func printBudgets(b *agentapi.Budgets) {
 	fmt.Printf("ledger: %s leads %v, term %d, terms of version %d\n", b.Leader, b.Members, b.Term, b.Version)
-	if b.Hold {
+	if b.GrowthFrozen {
 		fmt.Println("nothing grows now: shares may be in force that this ledger was made to forget")
 	}
 	rows := [][]string{{"budget", "holder", "host", "floor", "extra", "until", "wants", "drawn", "denied", "for"}}
 	num := func(n int64) string { return strconv.FormatInt(n, 10) }
-	for _, u := range b.Budgets {
+	for _, u := range b.Limits {
 		unit := "/s"
-		if u.Kind == quota.Count {
+		if u.Kind == quota.Concurrency {
 			unit = ""
 		}
-		rows = append(rows, []string{u.Budget, fmt.Sprintf("%d of %d%s", u.InForce, u.Whole, unit), "", num(u.Floors), "", "", "", "", "", ""})
+		rows = append(rows, []string{u.Limit, fmt.Sprintf("%d of %d%s", u.InForce, u.Total, unit), "", num(u.ReservedFloors), "", "", "", "", "", ""})
 		for _, h := range u.Holders {
-			if u.Kind == quota.Count {
-				rows = append(rows, []string{"", h.Name, h.Host, "", "1", "", "", "", "", h.Turn})
+			if u.Kind == quota.Concurrency {
+				rows = append(rows, []string{"", h.Name, h.Host, "", "1", "", "", "", "", h.AcquireID})
 				continue
 			}
 			until := "-"
-			if h.Left > 0 {
-				until = (time.Duration(h.Left) * time.Microsecond).Round(100 * time.Millisecond).String()
+			if h.Remaining > 0 {
+				until = (time.Duration(h.Remaining) * time.Microsecond).Round(100 * time.Millisecond).String()
 			}
-			rows = append(rows, []string{"", h.Name, h.Host, num(h.Floor), num(h.Extra), until, num(h.Want), num(h.Drawn), num(h.Denied), ""})
+			rows = append(rows, []string{"", h.Name, h.Host, num(h.Floor), num(h.Extra), until, num(h.Demand), num(h.Drawn), num(h.Denied), ""})
 		}
 	}
 	table(rows)
-	for _, r := range b.Rises {
+	for _, r := range b.ColdStarts {
 		fmt.Println(riseLine(&r))
 	}
 }
--- a/cmd/milletbarrow/fleet_rise.go
+++ b/cmd/milletbarrow/fleet_rise.go
@@ -45,15 +45,15 @@
 				return err
 			}
 			o.Budget = t.Spec.ColdStartQuota
-			r := quota.Rise{Budget: o.Budget, ID: o.ID, By: t.Operator, Verb: c.String("say")}
-			if r.Verb != "" {
+			r := quota.ColdStartCommand{Limit: o.Budget, ID: o.ID, By: t.Operator, Action: c.String("say")}
+			if r.Action != "" {
 				if err := t.ColdStart(ctx, r); err != nil {
 					return budgetsFailed(err)
 				}
-				fmt.Printf("%s: %s\n", o.ID, r.Verb)
+				fmt.Printf("%s: %s\n", o.ID, r.Action)
 				return nil
 			}
-			r.Terms = t.Spec.ColdStart
+			r.Config = t.Spec.ColdStart
 			for _, in := range all {
 				r.Members = append(r.Members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
 			}
@@ -83,8 +83,8 @@
 }
 
 // previewRise prints who would come first.
-func previewRise(c *cli.Command, r *quota.Rise) error {
-	s, err := coldstart.Begin(r.ID, *r.Terms, r.Members)
+func previewRise(c *cli.Command, r *quota.ColdStartCommand) error {
+	s, err := coldstart.New(r.ID, *r.Config, r.Members)
 	if err != nil {
 		return unusable(err)
 	}
@@ -92,15 +92,15 @@
 		return printJSON(s)
 	}
 	rows := [][]string{{"place", "instance", "host", "group", ""}}
-	for i, m := range s.Order {
+	for i, m := range s.Members {
 		word := ""
-		if i < s.First {
+		if i < s.Essential {
 			word = "the least of its group"
 		}
 		rows = append(rows, []string{strconv.Itoa(i + 1), m.Name, m.Host, m.Group, word})
 	}
 	table(rows)
-	fmt.Printf("%d at once to begin with, %d at the most; those that are up stay so\nnothing was done\n", r.Terms.First, r.Terms.Most)
+	fmt.Printf("%d at once to begin with, %d at the most; those that are up stay so\nnothing was done\n", r.Config.InitialConcurrent, r.Config.MaxConcurrent)
 	return nil
 }
 
@@ -119,7 +119,7 @@
 		if err != nil {
 			continue
 		}
-		for _, r := range b.Rises {
+		for _, r := range b.ColdStarts {
 			if r.ID != id {
 				continue
 			}
@@ -132,14 +132,14 @@
 }
 
 // riseLine is one rise in a line.
-func riseLine(r *quota.Rising) string {
-	var sum coldstart.Tally
+func riseLine(r *quota.ColdStartStatus) string {
+	var sum coldstart.GroupStatus
 	for _, g := range r.Groups {
-		sum.Warm, sum.Under, sum.Failed, sum.Waiting = sum.Warm+g.Warm, sum.Under+g.Under, sum.Failed+g.Failed, sum.Waiting+g.Waiting
+		sum.Ready, sum.Starting, sum.Failed, sum.Waiting = sum.Ready+g.Ready, sum.Starting+g.Starting, sum.Failed+g.Failed, sum.Waiting+g.Waiting
 	}
-	line := fmt.Sprintf("rise %s: %d warm, %d starting, %d waiting, %d failing; %d of %d at once (%s)", r.ID, sum.Warm, sum.Under, sum.Waiting, sum.Failed, r.Pace, r.Most, r.Cause)
-	if r.Halted != "" {
-		line += "; stopped: " + r.Halted
+	line := fmt.Sprintf("rise %s: %d warm, %d starting, %d waiting, %d failing; %d of %d at once (%s)", r.ID, sum.Ready, sum.Starting, sum.Waiting, sum.Failed, r.Concurrency, r.MaxConcurrent, r.Reason)
+	if r.HaltReason != "" {
+		line += "; stopped: " + r.HaltReason
 	}
 	return line
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -487,7 +487,7 @@
 		m.Restore(now, all, false)
 		a.m, a.o.Spec = m, s
 		if a.o.Cluster != nil && s.Quotas != nil {
-			a.o.Cluster.Use(s.Quotas, s.QuotaHosts)
+			a.o.Cluster.SetConfig(s.Quotas, s.QuotaHosts)
 		}
 		a.note(fleet.HistoryEvent{At: now, Event: "fleet's file read anew"})
 	})
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -24,17 +24,17 @@
 // Shares are what the agents of a fleet keep together; manage/join makes one.
 type Cluster interface {
 	Do(context.Context, quota.Command) (quota.Result, error)
-	View(context.Context) (quota.View, error)
-	Use(*quota.Terms, []string)
+	Status(context.Context) (quota.Status, error)
+	SetConfig(*quota.Config, []string)
 	Stage() string
-	Members() []membership.Seen
-	Notes() <-chan quota.Note // what is to stand in the history
+	Members() []membership.Member
+	Events() <-chan quota.Event // what is to stand in the history
 }
 
 // sharePause is between two renewals: a part of the shortest lease, so that one or two that are lost cost nothing.
-func sharePause(t *quota.Terms) time.Duration {
+func sharePause(t *quota.Config) time.Duration {
 	lease := quota.Micros(4_000_000)
-	for _, b := range t.Budgets {
+	for _, b := range t.Limits {
 		if b.Kind == quota.Rate {
 			lease = min(lease, b.Lease)
 		}
@@ -54,7 +54,7 @@
 	gone := map[string]bool{}
 	for {
 		var names []string
-		var terms *quota.Terms
+		var terms *quota.Config
 		if a.ask(func(fleet.Micros) {
 			terms = a.o.Spec.Quotas
 			for _, name := range a.m.Names() {
@@ -63,7 +63,7 @@
 				}
 			}
 		}) != nil || terms == nil {
-			names, terms = nil, &quota.Terms{}
+			names, terms = nil, &quota.Config{}
 		}
 		pause := sharePause(terms)
 		round, cancel := context.WithTimeout(ctx, 2*pause)
@@ -110,10 +110,10 @@
 			asks[i] = q
 		}
 	})
-	c := &quota.Renew{Host: a.o.Host}
+	c := &quota.RenewCommand{Host: a.o.Host}
 	for _, q := range asks {
 		if q.Number > 0 {
-			c.Asks = append(c.Asks, q)
+			c.Requests = append(c.Requests, q)
 		}
 	}
 	res, err := a.o.Cluster.Do(ctx, quota.Command{Renew: c})
@@ -137,24 +137,24 @@
 			refused = append(refused, r.Name+": "+r.Refusal)
 		}
 	}
-	a.unitsHeld(res.Out)
-	a.bury(ctx, res.Lives, gone)
+	a.unitsHeld(res.Permits)
+	a.bury(ctx, res.ClientKeys, gone)
 	return strings.Join(refused[:min(len(refused), 3)], "; ")
 }
 
 // bury tells the ledger which lives of this host have ended: their processes are looked for here.
 func (a *Agent) bury(ctx context.Context, lives []string, told map[string]bool) {
-	c := &quota.Gone{Host: a.o.Host}
+	c := &quota.ExitCommand{Host: a.o.Host}
 	for _, key := range lives {
 		if _, life, _ := strings.Cut(key, " "); !lifeAlive(life) && !told[key] {
-			c.Lives = append(c.Lives, key)
+			c.ClientKeys = append(c.ClientKeys, key)
 		}
 	}
-	if len(c.Lives) == 0 {
+	if len(c.ClientKeys) == 0 {
 		return
 	}
-	if _, err := a.o.Cluster.Do(ctx, quota.Command{Gone: c}); err == nil && len(told) < 10_000 {
-		for _, key := range c.Lives {
+	if _, err := a.o.Cluster.Do(ctx, quota.Command{Exited: c}); err == nil && len(told) < 10_000 {
+		for _, key := range c.ClientKeys {
 			told[key] = true
 		}
 	}
@@ -174,10 +174,10 @@
 }
 
 // unitsHeld brings what the ledger has this host hold into the loop.
-func (a *Agent) unitsHeld(out []quota.Out) {
+func (a *Agent) unitsHeld(out []quota.Permit) {
 	var held []fleet.HeldUnit
 	for _, o := range out {
-		held = append(held, fleet.HeldUnit{Name: o.Name, Quota: o.Budget, RequestID: o.Turn})
+		held = append(held, fleet.HeldUnit{Name: o.Name, Quota: o.Limit, RequestID: o.AcquireID})
 	}
 	if len(held) > 0 {
 		a.bring(fleet.UnitsListed{Units: held})
@@ -200,17 +200,17 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*a.o.Bounds.Call)
 	defer cancel()
-	turn := &quota.Take{Budget: s.Unit.Quota, Name: s.Name, Host: a.o.Host, Turn: s.ID}
+	turn := &quota.PermitCommand{Limit: s.Unit.Quota, Name: s.Name, Host: a.o.Host, AcquireID: s.ID}
 	if s.Kind == fleet.ActionReleaseUnit {
-		turn.End = &s.StartResult
-		if _, err := a.o.Cluster.Do(ctx, quota.Command{Give: turn}); err == nil {
+		turn.Outcome = &s.StartResult
+		if _, err := a.o.Cluster.Do(ctx, quota.Command{Release: turn}); err == nil {
 			a.bring(fleet.UnitReleased{Name: s.Name, RequestID: s.ID})
 		}
 		return
 	}
-	if res, err := a.o.Cluster.Do(ctx, quota.Command{Take: turn}); err == nil {
+	if res, err := a.o.Cluster.Do(ctx, quota.Command{Acquire: turn}); err == nil {
 		held := fleet.HeldUnit{Name: s.Name, Quota: s.Unit.Quota, RequestID: s.ID}
-		a.bring(fleet.UnitAcquired{HeldUnit: held, Granted: res.No == "", Cause: res.No})
+		a.bring(fleet.UnitAcquired{HeldUnit: held, Granted: res.Rejection == "", Cause: res.Rejection})
 	}
 }
 
@@ -218,9 +218,9 @@
 func (a *Agent) tell() {
 	for {
 		select {
-		case n := <-a.o.Cluster.Notes():
+		case n := <-a.o.Cluster.Events():
 			if a.ask(func(now fleet.Micros) {
-				a.note(fleet.HistoryEvent{At: now, Name: n.Name, Event: strings.TrimSpace(n.Budget + " " + n.Event), Cause: n.Cause})
+				a.note(fleet.HistoryEvent{At: now, Name: n.Name, Event: strings.TrimSpace(n.Limit + " " + n.Kind), Cause: n.Cause})
 			}) != nil {
 				return
 			}
@@ -240,7 +240,7 @@
 	ctx, cancel := context.WithTimeout(ctx, a.o.Bounds.Call)
 	defer cancel()
 	b.Host, b.Stage = a.o.Host, a.o.Cluster.Stage()
-	if b.View, err = a.o.Cluster.View(ctx); err != nil {
+	if b.Status, err = a.o.Cluster.Status(ctx); err != nil {
 		err = &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: err.Error()}
 	}
 	return b, err
@@ -253,35 +253,35 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.o.Bounds.Call)
 	defer cancel()
-	res, err := a.o.Cluster.Do(ctx, quota.Command{Off: &quota.Off{Name: name, By: by}})
+	res, err := a.o.Cluster.Do(ctx, quota.Command{WriteOff: &quota.WriteOffCommand{Name: name, By: by}})
 	switch {
 	case err != nil:
 		return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: err.Error()}
-	case res.No != "":
-		return errors.New(res.No)
+	case res.Rejection != "":
+		return errors.New(res.Rejection)
 	}
 	return nil
 }
 
 // Rise begins a rise at the ledger, or says a word about one.
-func (a *Agent) Rise(ctx context.Context, r quota.Rise) error {
+func (a *Agent) Rise(ctx context.Context, r quota.ColdStartCommand) error {
 	if a.o.Cluster == nil {
 		return errNothingShared
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.o.Bounds.Call)
 	defer cancel()
-	res, err := a.o.Cluster.Do(ctx, quota.Command{Rise: &r})
+	res, err := a.o.Cluster.Do(ctx, quota.Command{ColdStart: &r})
 	switch {
 	case err != nil:
 		return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: err.Error()}
-	case res.No != "":
-		return &agentapi.StatusError{Status: http.StatusConflict, Text: res.No}
+	case res.Rejection != "":
+		return &agentapi.StatusError{Status: http.StatusConflict, Text: res.Rejection}
 	}
 	return nil
 }
 
 // Members are the agents that this one thinks are there.
-func (a *Agent) Members() []membership.Seen {
+func (a *Agent) Members() []membership.Member {
 	if a.o.Cluster == nil {
 		return nil
 	}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -216,7 +216,7 @@
 		args = append(args, "--adopt")
 	}
 	if all.Quotas != nil {
-		for _, word := range all.Quotas.Drawn(s.Name) {
+		for _, word := range all.Quotas.DrawSpecs(s.Name) {
 			args = append(args, "--draw", word)
 		}
 	}
--- a/internal/agentapi/api.go
+++ b/internal/agentapi/api.go
@@ -87,13 +87,13 @@
 	// WriteOff is an operator's word that what a name has of budgets is in force no more.
 	WriteOff(ctx context.Context, name, by string) error
 	// Rise begins a rise at the ledger, or says a word about one.
-	Rise(ctx context.Context, r quota.Rise) error
-	Members() []membership.Seen
+	Rise(ctx context.Context, r quota.ColdStartCommand) error
+	Members() []membership.Member
 }
 
 // Budgets are how the fleet's budgets stand, and how this agent takes part in keeping them.
 type Budgets struct {
-	quota.View
+	quota.Status
 	Host  string `json:"host"`
 	Stage string `json:"stage"`
 }
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -219,7 +219,7 @@
 }
 
 // Members asks which agents this one thinks are there.
-func (c *Client) Members(ctx context.Context) (all []membership.Seen, err error) {
+func (c *Client) Members(ctx context.Context) (all []membership.Member, err error) {
 	return all, c.call(ctx, http.MethodGet, "/v1/members", nil, &all)
 }
 
@@ -229,7 +229,7 @@
 }
 
 // Rise begins a rise at the ledger, or says a word about one.
-func (c *Client) Rise(ctx context.Context, r quota.Rise) error {
+func (c *Client) Rise(ctx context.Context, r quota.ColdStartCommand) error {
 	return c.call(ctx, http.MethodPost, "/v1/rise", r, nil)
 }
 
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -92,7 +92,7 @@
 		return struct{}{}, s.m.WriteOff(r.Context(), r.PathValue("name"), r.URL.Query().Get("by"))
 	})
 	at("POST /v1/rise", func(r *http.Request) (any, error) {
-		var o quota.Rise
+		var o quota.ColdStartCommand
 		in := json.NewDecoder(io.LimitReader(r.Body, 4*int64(s.b.Message)))
 		in.DisallowUnknownFields()
 		if err := in.Decode(&o); err != nil {
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -27,14 +27,14 @@
 
 // The states. Unheard was never heard of since this agent started.
 const (
-	Alive     State = "alive"
-	Suspected State = "suspected"
-	Gone      State = "gone"
-	Unheard   State = "unheard"
+	Alive   State = "alive"
+	Suspect State = "suspected"
+	Dead    State = "gone"
+	Unknown State = "unheard"
 )
 
 // Seen is one agent.
-type Seen struct {
+type Member struct {
 	Host        string `json:"host"`
 	State       State  `json:"state"`
 	Incarnation uint64 `json:"incarnation,omitempty"` // another one is another start of that agent
@@ -42,34 +42,34 @@
 }
 
 // Options are what a list is started with.
-type Options struct {
+type Config struct {
 	Host        string
 	Incarnation uint64
 	Hosts       []string // all, in an order that every agent has
-	Net         *transport.Net
+	Transport   *transport.Transport
 	Bounds      limits.Control
 	Clock       func() int64
-	Changed     func(Seen) // must not block
+	OnChange    func(Member) // must not block
 }
 
 // List is one agent's judgement of all.
 type List struct {
-	o    Options
-	list *memberlist.Memberlist
-	wire *wire
+	config    Config
+	list      *memberlist.Memberlist
+	transport *meshTransport
 
-	mu   sync.Mutex
-	seen map[string]Seen
+	mu      sync.Mutex
+	members map[string]Member
 }
 
 // Start begins to probe. It goes on until Stop.
-func Start(o Options) (*List, error) {
-	l := &List{o: o, seen: map[string]Seen{}, wire: newWire(o)}
+func Start(o Config) (*List, error) {
+	l := &List{config: o, members: map[string]Member{}, transport: newMeshTransport(o)}
 	for _, h := range o.Hosts {
-		l.seen[h] = Seen{Host: h, State: Unheard, For: o.Clock()}
+		l.members[h] = Member{Host: h, State: Unknown, For: o.Clock()}
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Delegate, c.Events = o.Host, l.wire, l, l
+	c.Name, c.Transport, c.Delegate, c.Events = o.Host, l.transport, l, l
 	c.ProbeInterval, c.ProbeTimeout, c.IndirectChecks, c.SuspicionMult = 500*time.Millisecond, 200*time.Millisecond, 3, 4
 	c.GossipInterval, c.PushPullInterval, c.TCPTimeout = 100*time.Millisecond, 5*time.Second, time.Second
 	c.DisableTcpPings = true // its datagrams go over streams here, so that a ping of that kind would prove nothing more
@@ -88,10 +88,10 @@
 	every := time.NewTicker(time.Second)
 	defer every.Stop()
 	for {
-		l.judge()
-		for _, s := range l.View() {
-			if s.Host != l.o.Host && (s.State == Gone || s.State == Unheard) {
-				l.list.Join([]string{s.Host + "/" + l.wire.address(s.Host)})
+		l.refresh()
+		for _, s := range l.Members() {
+			if s.Host != l.config.Host && (s.State == Dead || s.State == Unknown) {
+				l.list.Join([]string{s.Host + "/" + l.transport.syntheticAddress(s.Host)})
 			}
 		}
 		select {
@@ -104,40 +104,40 @@
 }
 
 // judge takes over what the library thinks of each.
-func (l *List) judge() {
+func (l *List) refresh() {
 	for _, n := range l.list.Members() {
 		state := Alive
 		if n.State == memberlist.StateSuspect {
-			state = Suspected
+			state = Suspect
 		}
-		l.take(n, state)
+		l.update(n, state)
 	}
 }
 
-func (l *List) take(n *memberlist.Node, state State) {
-	s := Seen{Host: n.Name, State: state, For: l.o.Clock()}
+func (l *List) update(n *memberlist.Node, state State) {
+	s := Member{Host: n.Name, State: state, For: l.config.Clock()}
 	if len(n.Meta) == 8 {
 		s.Incarnation = binary.BigEndian.Uint64(n.Meta)
 	}
 	l.mu.Lock()
-	was, known := l.seen[n.Name]
+	was, known := l.members[n.Name]
 	same := was.State == s.State && was.Incarnation == s.Incarnation
 	if known && !same {
-		l.seen[n.Name] = s
+		l.members[n.Name] = s
 	}
 	l.mu.Unlock()
-	if known && !same && l.o.Changed != nil {
-		l.o.Changed(s)
+	if known && !same && l.config.OnChange != nil {
+		l.config.OnChange(s)
 	}
 }
 
 // View is how all are judged, in order; For is the span until now.
-func (l *List) View() (all []Seen) {
+func (l *List) Members() (all []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, h := range l.o.Hosts {
-		s := l.seen[h]
-		s.For = l.o.Clock() - s.For
+	for _, h := range l.config.Hosts {
+		s := l.members[h]
+		s.For = l.config.Clock() - s.For
 		all = append(all, s)
 	}
 	return all
@@ -145,10 +145,10 @@
 
 // What the library tells and asks. Meta is the incarnation.
 
-func (l *List) NotifyJoin(n *memberlist.Node)   { l.take(n, Alive) }
-func (l *List) NotifyUpdate(n *memberlist.Node) { l.take(n, Alive) }
-func (l *List) NotifyLeave(n *memberlist.Node)  { l.take(n, Gone) }
-func (l *List) NodeMeta(int) []byte             { return binary.BigEndian.AppendUint64(nil, l.o.Incarnation) }
+func (l *List) NotifyJoin(n *memberlist.Node)   { l.update(n, Alive) }
+func (l *List) NotifyUpdate(n *memberlist.Node) { l.update(n, Alive) }
+func (l *List) NotifyLeave(n *memberlist.Node)  { l.update(n, Dead) }
+func (l *List) NodeMeta(int) []byte             { return binary.BigEndian.AppendUint64(nil, l.config.Incarnation) }
 func (l *List) NotifyMsg([]byte)                {}
 func (l *List) GetBroadcasts(int, int) [][]byte { return nil }
 func (l *List) LocalState(bool) []byte          { return nil }
@@ -156,40 +156,40 @@
 
 // wire carries the library's datagrams and streams over the agents' conversations. The library knows members by addresses;
 // here they are made of a host's place in the file, as each agent may reach another by an address of its own.
-type wire struct {
-	o       Options
+type meshTransport struct {
+	config  Config
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	over    chan struct{}
+	closed  chan struct{}
 	once    sync.Once
 
-	mu  sync.Mutex
-	out map[string]chan []byte
+	mu     sync.Mutex
+	queues map[string]chan []byte
 }
 
 const (
-	mostPacket = 64 << 10
-	mostWaits  = 64 // datagrams for one peer; further ones are lost, as datagrams are
+	maxPacket = 64 << 10
+	maxQueued = 64 // datagrams for one peer; further ones are lost, as datagrams are
 )
 
-func newWire(o Options) *wire {
-	w := &wire{
-		o: o, packets: make(chan *memberlist.Packet, 64), streams: make(chan net.Conn), over: make(chan struct{}),
-		out: map[string]chan []byte{},
+func newMeshTransport(o Config) *meshTransport {
+	w := &meshTransport{
+		config: o, packets: make(chan *memberlist.Packet, 64), streams: make(chan net.Conn), closed: make(chan struct{}),
+		queues: map[string]chan []byte{},
 	}
-	go w.accept(transport.Packet, w.read)
-	go w.accept(transport.Stream, func(c net.Conn) {
+	go w.accept(transport.KindPacket, w.readPackets)
+	go w.accept(transport.KindStream, func(c net.Conn) {
 		select {
 		case w.streams <- c:
-		case <-w.over:
+		case <-w.closed:
 			c.Close()
 		}
 	})
 	return w
 }
 
-func (w *wire) accept(kind transport.Kind, take func(net.Conn)) {
-	l := w.o.Net.Listener(kind)
+func (w *meshTransport) accept(kind transport.Kind, take func(net.Conn)) {
+	l := w.config.Transport.Listener(kind)
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -199,13 +199,13 @@
 	}
 }
 
-func (w *wire) read(c net.Conn) {
+func (w *meshTransport) readPackets(c net.Conn) {
 	defer c.Close()
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
 		select {
-		case <-w.over:
+		case <-w.closed:
 			c.Close()
 		case <-stop:
 		}
@@ -213,56 +213,56 @@
 	from := c.RemoteAddr().String()
 	in := bufio.NewReader(c)
 	for {
-		b, err := transport.ReadMessage(in, mostPacket)
+		b, err := transport.ReadFrame(in, maxPacket)
 		if err != nil {
 			return
 		}
 		select {
-		case w.packets <- &memberlist.Packet{Buf: b, From: w.addr(from), Timestamp: time.Now()}:
-		case <-w.over:
+		case w.packets <- &memberlist.Packet{Buf: b, From: w.syntheticAddr(from), Timestamp: time.Now()}:
+		case <-w.closed:
 			return
 		}
 	}
 }
 
-func (w *wire) addr(host string) *net.UDPAddr {
-	return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1 + slices.Index(w.o.Hosts, host)}
+func (w *meshTransport) syntheticAddr(host string) *net.UDPAddr {
+	return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1 + slices.Index(w.config.Hosts, host)}
 }
 
-func (w *wire) address(host string) string { return w.addr(host).String() }
+func (w *meshTransport) syntheticAddress(host string) string { return w.syntheticAddr(host).String() }
 
 // host that an address was made of; empty for none.
-func (w *wire) host(a memberlist.Address) string {
-	if slices.Contains(w.o.Hosts, a.Name) {
+func (w *meshTransport) hostOf(a memberlist.Address) string {
+	if slices.Contains(w.config.Hosts, a.Name) {
 		return a.Name
 	}
 	_, port, _ := net.SplitHostPort(a.Addr)
-	if i, err := strconv.Atoi(port); err == nil && i >= 1 && i <= len(w.o.Hosts) {
-		return w.o.Hosts[i-1]
+	if i, err := strconv.Atoi(port); err == nil && i >= 1 && i <= len(w.config.Hosts) {
+		return w.config.Hosts[i-1]
 	}
 	return ""
 }
 
-func (w *wire) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	a := w.addr(w.o.Host)
+func (w *meshTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	a := w.syntheticAddr(w.config.Host)
 	return a.IP, a.Port, nil
 }
 
-func (w *wire) WriteTo(b []byte, addr string) (time.Time, error) {
+func (w *meshTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return w.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (w *wire) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
-	host := w.host(to)
+func (w *meshTransport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+	host := w.hostOf(to)
 	if host == "" {
 		return time.Time{}, fmt.Errorf("members: %v is nobody", to)
 	}
 	w.mu.Lock()
-	q := w.out[host]
+	q := w.queues[host]
 	if q == nil {
-		q = make(chan []byte, mostWaits)
-		w.out[host] = q
-		go w.send(host, q)
+		q = make(chan []byte, maxQueued)
+		w.queues[host] = q
+		go w.sendPackets(host, q)
 	}
 	w.mu.Unlock()
 	select {
@@ -273,14 +273,14 @@
 }
 
 // send writes datagrams on one conversation, which is begun anew where it breaks.
-func (w *wire) send(host string, q chan []byte) {
+func (w *meshTransport) sendPackets(host string, q chan []byte) {
 	var c net.Conn
 	tried := time.Time{}
 	for {
 		var b []byte
 		select {
 		case b = <-q:
-		case <-w.over:
+		case <-w.closed:
 			if c != nil {
 				c.Close()
 			}
@@ -288,8 +288,8 @@
 		}
 		if c == nil && time.Since(tried) > 200*time.Millisecond {
 			tried = time.Now()
-			ctx, cancel := context.WithTimeout(context.Background(), w.o.Bounds.Call/4)
-			if fresh, err := w.o.Net.Dial(ctx, transport.Packet, host); err == nil {
+			ctx, cancel := context.WithTimeout(context.Background(), w.config.Bounds.Call/4)
+			if fresh, err := w.config.Transport.Dial(ctx, transport.KindPacket, host); err == nil {
 				c = fresh
 			}
 			cancel()
@@ -297,29 +297,29 @@
 		if c == nil {
 			continue
 		}
-		c.SetWriteDeadline(time.Now().Add(w.o.Bounds.Call / 4))
-		if transport.WriteMessage(c, b) != nil {
+		c.SetWriteDeadline(time.Now().Add(w.config.Bounds.Call / 4))
+		if transport.WriteFrame(c, b) != nil {
 			c.Close()
 			c = nil
 		}
 	}
 }
 
-func (w *wire) PacketCh() <-chan *memberlist.Packet { return w.packets }
-func (w *wire) StreamCh() <-chan net.Conn           { return w.streams }
+func (w *meshTransport) PacketCh() <-chan *memberlist.Packet { return w.packets }
+func (w *meshTransport) StreamCh() <-chan net.Conn           { return w.streams }
 
-func (w *wire) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
+func (w *meshTransport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
 	return w.DialAddressTimeout(memberlist.Address{Addr: addr}, within)
 }
 
-func (w *wire) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
-	host := w.host(to)
+func (w *meshTransport) DialAddressTimeout(to memberlist.Address, within time.Duration) (net.Conn, error) {
+	host := w.hostOf(to)
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	return w.o.Net.Dial(ctx, transport.Stream, host)
+	return w.config.Transport.Dial(ctx, transport.KindStream, host)
 }
 
-func (w *wire) Shutdown() error {
-	w.once.Do(func() { close(w.over) })
+func (w *meshTransport) Shutdown() error {
+	w.once.Do(func() { close(w.closed) })
 	return nil
 }
--- a/internal/cluster/membership/member_test.go
+++ b/internal/cluster/membership/member_test.go
@@ -53,9 +53,9 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	l, err := Start(Options{
-		Host: name, Incarnation: incarnation, Hosts: h.Names, Net: n, Bounds: limits.ForControl(), Clock: process.Now,
-		Changed: func(s Seen) {
+	l, err := Start(Config{
+		Host: name, Incarnation: incarnation, Hosts: h.Names, Transport: n, Bounds: limits.ForControl(), Clock: process.Now,
+		OnChange: func(s Member) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.heard[s.Host][s.State]++
@@ -87,7 +87,7 @@
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		n := 0
 		for by, l := range h.lists {
-			for _, s := range l.View() {
+			for _, s := range l.Members() {
 				if by != name && s.Host == name && s.State == state {
 					n++
 				}
@@ -116,7 +116,7 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		for _, states := range h.heard {
-			n += states[Gone]
+			n += states[Dead]
 		}
 		return n
 	}
@@ -133,11 +133,11 @@
 	h.Way("h1", "h2").Hold(false)
 	h.Way("h2", "h1").Hold(false)
 	h.Alone("h3", true, true, true)
-	t.Logf("cut off from all: gone after %v", h.judged("h3", Gone, 30*time.Second).Round(10*time.Millisecond))
+	t.Logf("cut off from all: gone after %v", h.judged("h3", Dead, 30*time.Second).Round(10*time.Millisecond))
 	h.Alone("h3", true, true, false)
 	t.Logf("let back: alive after %v", h.judged("h3", Alive, 30*time.Second).Round(10*time.Millisecond))
 	h.Alone("h4", true, false, true)
-	t.Logf("heard by nobody, hearing all: gone after %v", h.judged("h4", Gone, 30*time.Second).Round(10*time.Millisecond))
+	t.Logf("heard by nobody, hearing all: gone after %v", h.judged("h4", Dead, 30*time.Second).Round(10*time.Millisecond))
 	h.Alone("h4", true, false, false)
 	h.judged("h4", Alive, 30*time.Second)
 
@@ -150,7 +150,7 @@
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		n := 0
 		for by, l := range h.lists {
-			for _, s := range l.View() {
+			for _, s := range l.Members() {
 				if by != "h5" && s.Host == "h5" && s.Incarnation == 55 && s.State == Alive {
 					n++
 				}
--- a/internal/cluster/node/join.go
+++ b/internal/cluster/node/join.go
@@ -19,28 +19,28 @@
 )
 
 // Options are what it is opened with.
-type Options struct {
-	Spec   *fleet.Spec // with budgets
-	Host   string
-	Dir    string // the agent's own
-	Trust  bool   // an operator says that the directory is no older copy
-	Bounds limits.Control
+type Config struct {
+	Spec     *fleet.Spec // with budgets
+	Host     string
+	Dir      string // the agent's own
+	TrustDir bool   // an operator says that the directory is no older copy
+	Bounds   limits.Control
 }
 
 // Joined is an agent's part.
-type Joined struct {
-	*quotastore.Node
-	o     Options
-	net   *transport.Net
-	list  *membership.List
-	notes chan quota.Note
+type Node struct {
+	*quotastore.Store
+	config    Config
+	transport *transport.Transport
+	members   *membership.List
+	events    chan quota.Event
 
-	mu    sync.Mutex
-	quiet map[string]time.Time // by budget and event: when one was last told
+	mu          sync.Mutex
+	lastEmitted map[string]time.Time // by budget and event: when one was last told
 }
 
 // quietFor is between two notes of the same kind: a division moves with every count of demand.
-const quietFor = 2 * time.Second
+const minEventInterval = 2 * time.Second
 
 func addresses(s *fleet.Spec) (to map[string]string, hosts []string) {
 	to = map[string]string{}
@@ -52,79 +52,79 @@
 }
 
 // Open opens the listener and the files.
-func Open(o Options) (*Joined, error) {
-	j := &Joined{o: o, notes: make(chan quota.Note, 256), quiet: map[string]time.Time{}}
+func Open(o Config) (*Node, error) {
+	j := &Node{config: o, events: make(chan quota.Event, 256), lastEmitted: map[string]time.Time{}}
 	to, hosts := addresses(o.Spec)
 	listen := o.Spec.Host(o.Host).PeerAddress
 	if listen == "" {
 		listen = "127.0.0.1:0" // alone: nobody speaks to it
 	}
 	var err error
-	if j.net, err = transport.Listen(o.Host, listen, to, o.Bounds); err != nil {
+	if j.transport, err = transport.Listen(o.Host, listen, to, o.Bounds); err != nil {
 		return nil, err
 	}
-	j.Node, err = quotastore.Open(quotastore.Options{
-		Host: o.Host, Members: o.Spec.QuotaHosts, Dir: filepath.Join(o.Dir, "ledger"), Trust: o.Trust, Net: j.net, Bounds: o.Bounds,
-		Clock: func() quota.Micros { return quota.Micros(process.Now()) }, Note: j.note,
+	j.Store, err = quotastore.Open(quotastore.Config{
+		Host: o.Host, Members: o.Spec.QuotaHosts, Dir: filepath.Join(o.Dir, "ledger"), TrustDir: o.TrustDir, Transport: j.transport, Bounds: o.Bounds,
+		Clock: func() quota.Micros { return quota.Micros(process.Now()) }, OnEvent: j.emit,
 	})
 	if err != nil {
 		return nil, err
 	}
-	j.Node.Use(o.Spec.Quotas, o.Spec.QuotaHosts)
-	j.list, err = membership.Start(membership.Options{
-		Host: o.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Net: j.net, Bounds: o.Bounds, Clock: process.Now,
-		Changed: func(s membership.Seen) { j.note(quota.Note{Name: s.Host, Event: "agent " + string(s.State)}) },
+	j.Store.SetConfig(o.Spec.Quotas, o.Spec.QuotaHosts)
+	j.members, err = membership.Start(membership.Config{
+		Host: o.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Transport: j.transport, Bounds: o.Bounds, Clock: process.Now,
+		OnChange: func(s membership.Member) { j.emit(quota.Event{Name: s.Host, Kind: "agent " + string(s.State)}) },
 	})
 	return j, err
 }
 
 // Run takes part until ctx ends.
-func (j *Joined) Run(ctx context.Context) error {
+func (j *Node) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
-	j.Node.Handle(mux)
+	j.Store.RegisterHandlers(mux)
 	server := &http.Server{
-		Handler: mux, ReadHeaderTimeout: j.o.Bounds.Call, ReadTimeout: 2 * j.o.Bounds.Call, WriteTimeout: 4 * j.o.Bounds.Call,
-		IdleTimeout: j.o.Bounds.Idle, MaxHeaderBytes: j.o.Bounds.Message,
+		Handler: mux, ReadHeaderTimeout: j.config.Bounds.Call, ReadTimeout: 2 * j.config.Bounds.Call, WriteTimeout: 4 * j.config.Bounds.Call,
+		IdleTimeout: j.config.Bounds.Idle, MaxHeaderBytes: j.config.Bounds.Message,
 	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	all.Go(func() { j.net.Run(ctx) })
-	all.Go(func() { j.list.Run(ctx) })
-	all.Go(func() { server.Serve(j.net.Listener(transport.Call)) })
-	return j.Node.Run(ctx)
+	all.Go(func() { j.transport.Run(ctx) })
+	all.Go(func() { j.members.Run(ctx) })
+	all.Go(func() { server.Serve(j.transport.Listener(transport.KindCall)) })
+	return j.Store.Run(ctx)
 }
 
 // Move takes the addresses of another file.
-func (j *Joined) Move(s *fleet.Spec) {
+func (j *Node) UpdateAddresses(s *fleet.Spec) {
 	to, _ := addresses(s)
-	j.net.Move(to)
+	j.transport.SetAddresses(to)
 }
 
 // Members as this agent judges them.
-func (j *Joined) Members() []membership.Seen { return j.list.View() }
+func (j *Node) Members() []membership.Member { return j.members.Members() }
 
 // Notes for the history.
-func (j *Joined) Notes() <-chan quota.Note { return j.notes }
+func (j *Node) Events() <-chan quota.Event { return j.events }
 
-func (j *Joined) note(n quota.Note) {
+func (j *Node) emit(n quota.Event) {
 	j.mu.Lock()
-	key := n.Budget + " " + n.Name + " " + n.Event
+	key := n.Limit + " " + n.Name + " " + n.Kind
 	now := time.Now()
-	if len(j.quiet) > 10_000 {
-		clear(j.quiet)
+	if len(j.lastEmitted) > 10_000 {
+		clear(j.lastEmitted)
 	}
-	told := now.Sub(j.quiet[key]) < quietFor
+	told := now.Sub(j.lastEmitted[key]) < minEventInterval
 	if !told {
-		j.quiet[key] = now
+		j.lastEmitted[key] = now
 	}
 	j.mu.Unlock()
 	if told {
 		return
 	}
 	select {
-	case j.notes <- n:
+	case j.events <- n:
 	default: // a history that is not read holds up nobody
 	}
 }
--- a/internal/cluster/quorum/quorum.go
+++ b/internal/cluster/quorum/quorum.go
@@ -14,56 +14,56 @@
 )
 
 // Standing is what a member has written down.
-type Standing struct {
+type LogPosition struct {
 	Term    uint64 `json:"term"`
 	Index   uint64 `json:"index"`    // of the last entry of its log
 	LogTerm uint64 `json:"log_term"` // of that entry
 }
 
 // Empty tells whether it was never part of a group.
-func (s Standing) Empty() bool { return s.Term == 0 && s.Index == 0 }
+func (s LogPosition) Empty() bool { return s.Term == 0 && s.Index == 0 }
 
 // behind tells whether a log lacks something that another has.
-func behind(term, index uint64, of Standing) bool {
+func isBehind(term, index uint64, of LogPosition) bool {
 	return term < of.LogTerm || term == of.LogTerm && index < of.Index
 }
 
 // needed is how many of the others in a group of n a member has to hear from: one of them was in every half that it was in itself.
-func needed(n int) int { return (n + 1) / 2 }
+func requiredResponses(n int) int { return (n + 1) / 2 }
 
 // Heard is enough to judge from.
-func Heard(n, others int) bool { return n == 1 || others >= needed(n) }
+func EnoughResponses(n, others int) bool { return n == 1 || others >= requiredResponses(n) }
 
 // Fit is what a member may do.
-type Fit struct {
-	Bootstrap bool   // nobody has a log: this is the beginning
-	Term      uint64 // to be taken for its own, with its vote used up; 0: its own will do
-	Log       Standing
-	Behind    bool // its log does not reach Log yet
+type Eligibility struct {
+	Bootstrap   bool   // nobody has a log: this is the beginning
+	AdoptTerm   uint64 // to be taken for its own, with its vote used up; 0: its own will do
+	RequiredLog LogPosition
+	Behind      bool // its log does not reach Log yet
 }
 
 // Judge says what a member may do, from what it has itself and what enough others told.
-func Judge(own Standing, others []Standing) (f Fit) {
+func Assess(own LogPosition, others []LogPosition) (f Eligibility) {
 	f.Bootstrap = own.Empty()
 	for _, o := range others {
 		f.Bootstrap = f.Bootstrap && o.Empty()
 		if o.Term > own.Term {
-			f.Term = max(f.Term, o.Term)
+			f.AdoptTerm = max(f.AdoptTerm, o.Term)
 		}
-		if behind(f.Log.LogTerm, f.Log.Index, o) {
-			f.Log = o
+		if isBehind(f.RequiredLog.LogTerm, f.RequiredLog.Index, o) {
+			f.RequiredLog = o
 		}
 	}
-	f.Behind = behind(own.LogTerm, own.Index, f.Log)
+	f.Behind = isBehind(own.LogTerm, own.Index, f.RequiredLog)
 	return f
 }
 
 // Reached tells whether a log is as far as it has to be.
-func (f Fit) Reached(term, index uint64) bool { return !behind(term, index, f.Log) }
+func (f Eligibility) Satisfied(term, index uint64) bool { return !isBehind(term, index, f.RequiredLog) }
 
 // Set tells whether a group's members can be used: one, or three and more. Of two, each alone could do nothing, and
 // both together no more than one.
-func Set(members []string) error {
+func ValidateMembers(members []string) error {
 	if len(members) == 2 {
 		return fmt.Errorf("a group of two stands still when either is gone: name one, or three")
 	}
@@ -80,7 +80,7 @@
 
 // Next is the next step from the members that a group has to those wanted, one at a time: first what is new, so that the
 // group is not smaller in between than it was, and the leader itself last.
-func Next(has, wanted []string, leader string) Change {
+func NextChange(has, wanted []string, leader string) Change {
 	if len(wanted) == 0 {
 		return Change{}
 	}
--- a/internal/cluster/quorum/quorum_test.go
+++ b/internal/cluster/quorum/quorum_test.go
@@ -12,15 +12,15 @@
 func TestForgotten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 7).Draw(t, "members")
-		logs := make([]Standing, n)
-		me, copied := 0, Standing{}
-		committed := Standing{}
+		logs := make([]LogPosition, n)
+		me, copied := 0, LogPosition{}
+		committed := LogPosition{}
 		term := uint64(1)
 		for step := range rapid.IntRange(1, 20).Draw(t, "steps") {
 			if rapid.IntRange(0, 3).Draw(t, "election") == 0 {
 				term++
 			}
-			entry := Standing{term, uint64(step + 1), term}
+			entry := LogPosition{term, uint64(step + 1), term}
 			half := rapid.Permutation(seq(n)).Draw(t, "half")[:n/2+1]
 			for _, m := range half {
 				logs[m] = entry
@@ -33,22 +33,22 @@
 		logs[me] = copied
 		others := rapid.Permutation(seq(n)[1:]).Draw(t, "heard")
 		heard := rapid.IntRange(0, n-1).Draw(t, "answers")
-		if !Heard(n, heard) {
+		if !EnoughResponses(n, heard) {
 			return
 		}
-		var told []Standing
+		var told []LogPosition
 		for _, m := range others[:heard] {
 			told = append(told, logs[m])
 		}
-		f := Judge(logs[me], told)
-		if behind(copied.LogTerm, copied.Index, committed) && !f.Behind {
+		f := Assess(logs[me], told)
+		if isBehind(copied.LogTerm, copied.Index, committed) && !f.Behind {
 			t.Fatalf("has %+v, %+v was committed, and thinks itself fit: %+v", copied, committed, f)
 		}
 		if f.Bootstrap && committed.Index > 0 {
 			t.Fatal("begins a group anew that has committed")
 		}
-		if f.Term < committed.Term && copied.Term < committed.Term {
-			t.Fatalf("term %d was reached, may vote in %d", committed.Term, f.Term)
+		if f.AdoptTerm < committed.Term && copied.Term < committed.Term {
+			t.Fatalf("term %d was reached, may vote in %d", committed.Term, f.AdoptTerm)
 		}
 	})
 }
@@ -64,7 +64,7 @@
 	has, wanted := []string{"a", "b", "c"}, []string{"c", "d", "e"}
 	var steps []Change
 	for range 9 {
-		c := Next(has, wanted, "a")
+		c := NextChange(has, wanted, "a")
 		if c == (Change{}) {
 			break
 		}
@@ -78,7 +78,7 @@
 	if !slices.Equal(steps, want) {
 		t.Fatalf("steps %v, wanted %v", steps, want)
 	}
-	if Set([]string{"a", "b"}) == nil || Set([]string{"a", "b", "a"}) == nil || Set([]string{"a"}) != nil {
+	if ValidateMembers([]string{"a", "b"}) == nil || ValidateMembers([]string{"a", "b", "a"}) == nil || ValidateMembers([]string{"a"}) != nil {
 		t.Fatal("groups are judged wrongly")
 	}
 }
--- a/internal/cluster/quota/budget_test.go
+++ b/internal/cluster/quota/budget_test.go
@@ -14,20 +14,20 @@
 	"milletbarrow/internal/backend/quota"
 )
 
-func rate(whole int64, names int, floor int64, divide Divide) Terms {
-	b := Budget{Name: "b", Kind: Rate, Whole: whole, Floors: map[string]int64{}, Divide: divide, Step: 1, Lease: 1_000_000, Margin: 50_000, Tenant: "t"}
+func rate(whole int64, names int, floor int64, divide Division) Config {
+	b := Limit{Name: "b", Kind: Rate, Total: whole, Floors: map[string]int64{}, Division: divide, Step: 1, Lease: 1_000_000, ClockMargin: 50_000, Tenant: "t"}
 	for i := range names {
 		b.Floors[fmt.Sprint("n", i)] = floor
 	}
-	return Terms{Version: 1, Budgets: []Budget{b}}
+	return Config{Version: 1, Limits: []Limit{b}}
 }
 
 // fleet is a small world: holders with clocks of their own, a ledger with a leader's clerk, and messages on their way.
 type fleet struct {
 	t       *rapid.T
 	now     int64 // true time
-	ledger  *Ledger
-	clerk   *Clerk
+	ledger  *State
+	clerk   *LeaseTracker
 	clock   int64 // the leader's runs faster by so many in a thousand
 	holders []*holder
 	asks    []flying[quota.LeaseRequest]
@@ -55,7 +55,7 @@
 func (f *fleet) leader() quota.Micros { return quota.Micros(f.now + f.now/1000*f.clock) }
 
 func (f *fleet) apply(c Command) Result {
-	c.Hold = f.clerk.Hold(f.leader())
+	c.FreezeGrowth = f.clerk.GrowthFrozen(f.leader())
 	r := f.ledger.Apply(c)
 	return r
 }
@@ -84,9 +84,9 @@
 		f.t.Fatalf("at %d shares in force add up to %d, the whole is %d", f.now, sum, limit)
 	}
 	// The ledger's own counts must be those of its grants.
-	was := *f.ledger.sums["b"]
-	f.ledger.count("b")
-	if now := *f.ledger.sums["b"]; now.inForce != was.inForce || now.floors != was.floors || now.extras != was.extras {
+	was := *f.ledger.totals["b"]
+	f.ledger.recount("b")
+	if now := *f.ledger.totals["b"]; now.inForce != was.inForce || now.reservedFloors != was.reservedFloors || now.extras != was.extras {
 		f.t.Fatalf("sums went astray: %+v, counted anew %+v", was, now)
 	}
 }
@@ -96,11 +96,11 @@
 		names := rapid.IntRange(1, 6).Draw(t, "names")
 		floor := int64(rapid.IntRange(0, 4).Draw(t, "floor"))
 		whole := max(1, floor*int64(names)) + int64(rapid.IntRange(0, 60).Draw(t, "pool"))
-		divide := rapid.SampledFrom([]Divide{Even, Capacity, Demand}).Draw(t, "divide")
+		divide := rapid.SampledFrom([]Division{DivideEvenly, DivideByCapacity, DivideByDemand}).Draw(t, "divide")
 		terms := rate(whole, names, floor, divide)
-		f := &fleet{t: t, now: 1_000_000_000, ledger: NewLedger(), clerk: &Clerk{}, clock: int64(rapid.IntRange(0, 4).Draw(t, "leader clock")), wholes: []int64{whole}, from: []int64{0}}
-		f.ledger.Apply(Command{Terms: &terms})
-		f.clerk.Elected(f.leader(), f.ledger, false)
+		f := &fleet{t: t, now: 1_000_000_000, ledger: NewState(), clerk: &LeaseTracker{}, clock: int64(rapid.IntRange(0, 4).Draw(t, "leader clock")), wholes: []int64{whole}, from: []int64{0}}
+		f.ledger.Apply(Command{Config: &terms})
+		f.clerk.BecomeLeader(f.leader(), f.ledger, false)
 		start := func(i int) *holder {
 			h := &holder{name: fmt.Sprint("n", i), host: fmt.Sprint("h", i%3), life: len(f.holders), ppm: int64(rapid.IntRange(-4000, 4000).Draw(t, "ppm"))}
 			h.Holder = quota.New(h.name, fmt.Sprint(h.life), []string{"b"})
@@ -117,7 +117,7 @@
 			if !twice {
 				f.asks = slices.Delete(f.asks, i, i+1)
 			}
-			r := f.apply(Command{Renew: &Renew{Host: q.host, Asks: []quota.LeaseRequest{q.msg}}})
+			r := f.apply(Command{Renew: &RenewCommand{Host: q.host, Requests: []quota.LeaseRequest{q.msg}}})
 			for _, a := range r.Answers {
 				f.answers = append(f.answers, flying[quota.LeaseResponse]{msg: a})
 			}
@@ -162,16 +162,16 @@
 			},
 			"time":    func(t *rapid.T) { f.now += int64(rapid.IntRange(1, 400_000).Draw(t, "us")) },
 			"a lease": func(t *rapid.T) { f.now += 1_000_000 },
-			"elected": func(t *rapid.T) { f.clerk.Elected(f.leader(), f.ledger, false) },
+			"elected": func(t *rapid.T) { f.clerk.BecomeLeader(f.leader(), f.ledger, false) },
 			"look": func(t *rapid.T) {
-				over, divide := f.clerk.Due(f.leader(), f.ledger)
-				f.apply(Command{Lapse: over, Divide: divide})
+				over, divide := f.clerk.Tick(f.leader(), f.ledger)
+				f.apply(Command{Expire: over, Rebalance: divide})
 			},
 			"dies": func(t *rapid.T) {
 				if h := one(); !h.gone && len(f.holders) < 20 {
 					h.gone = true
 					if rapid.Bool().Draw(t, "seen") {
-						f.apply(Command{Gone: &Gone{Host: h.host, Lives: []string{Key(h.name, fmt.Sprint(h.life))}}})
+						f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.life))}}})
 					}
 					n := 0
 					fmt.Sscanf(h.name, "n%d", &n)
@@ -180,7 +180,7 @@
 			},
 			"gone where it never was": func(t *rapid.T) {
 				h := one()
-				f.apply(Command{Gone: &Gone{Host: h.host + "x", Lives: []string{Key(h.name, fmt.Sprint(h.life))}}})
+				f.apply(Command{Exited: &ExitCommand{Host: h.host + "x", ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.life))}}})
 			},
 			"another whole": func(t *rapid.T) {
 				if len(f.wholes) > 3 {
@@ -188,15 +188,15 @@
 				}
 				next := terms
 				next.Version = uint64(len(f.wholes) + 1)
-				next.Budgets = slices.Clone(terms.Budgets)
-				next.Budgets[0].Whole = max(1, floor*int64(names)) + int64(rapid.IntRange(0, 60).Draw(t, "pool"))
-				f.ledger.Apply(Command{Terms: &next})
-				f.wholes, f.from = append(f.wholes, next.Budgets[0].Whole), append(f.from, f.now)
+				next.Limits = slices.Clone(terms.Limits)
+				next.Limits[0].Total = max(1, floor*int64(names)) + int64(rapid.IntRange(0, 60).Draw(t, "pool"))
+				f.ledger.Apply(Command{Config: &next})
+				f.wholes, f.from = append(f.wholes, next.Limits[0].Total), append(f.from, f.now)
 				// What is told by the old whole ends with its leases only while the clerk looks.
 				for range 40 {
 					f.now += 100_000
-					over, divide := f.clerk.Due(f.leader(), f.ledger)
-					f.apply(Command{Lapse: over, Divide: divide})
+					over, divide := f.clerk.Tick(f.leader(), f.ledger)
+					f.apply(Command{Expire: over, Rebalance: divide})
 				}
 			},
 			"": func(t *rapid.T) { f.check() },
@@ -204,14 +204,14 @@
 		// Faults end: everything that is wanted can be drawn again.
 		for range 60 {
 			f.now += 100_000
-			over, divide := f.clerk.Due(f.leader(), f.ledger)
-			f.apply(Command{Lapse: over, Divide: divide})
+			over, divide := f.clerk.Tick(f.leader(), f.ledger)
+			f.apply(Command{Expire: over, Rebalance: divide})
 			for _, h := range f.holders {
 				if h.gone {
-					f.apply(Command{Gone: &Gone{Host: h.host, Lives: []string{Key(h.name, fmt.Sprint(h.life))}}})
+					f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.life))}}})
 					continue
 				}
-				r := f.apply(Command{Renew: &Renew{Host: h.host, Asks: []quota.LeaseRequest{h.NewRequest(h.clock(f.now))}}})
+				r := f.apply(Command{Renew: &RenewCommand{Host: h.host, Requests: []quota.LeaseRequest{h.NewRequest(h.clock(f.now))}}})
 				if err := h.Apply(h.clock(f.now), r.Answers[0]); err != nil {
 					t.Fatalf("%s: %v: %s", h.name, err, r.Answers[0].Refusal)
 				}
@@ -235,15 +235,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		pool, step := int64(rapid.IntRange(0, 10_000).Draw(t, "pool")), int64(rapid.IntRange(1, 9).Draw(t, "step"))
 		claims := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Claim {
-			return Claim{Want: int64(rapid.IntRange(-1, 3000).Draw(t, "want")), Weight: int64(rapid.IntRange(1, 5).Draw(t, "weight"))}
+			return Claim{Demand: int64(rapid.IntRange(-1, 3000).Draw(t, "want")), Weight: int64(rapid.IntRange(1, 5).Draw(t, "weight"))}
 		}), 1, 12).Draw(t, "claims")
-		parts := Fair(pool, step, claims)
+		parts := MaxMinFair(pool, step, claims)
 		sum, wanted := int64(0), int64(0)
 		for i, p := range parts {
 			if sum += p; p < 0 || p%step != 0 {
 				t.Fatalf("part %d of step %d", p, step)
 			}
-			w := claims[i].Want
+			w := claims[i].Demand
 			if w < 0 {
 				w = pool
 			}
@@ -256,7 +256,7 @@
 		if wanted > pool {
 			for i, a := range claims {
 				for j, b := range claims {
-					lacks := a.Want < 0 || parts[i] < a.Want
+					lacks := a.Demand < 0 || parts[i] < a.Demand
 					if lacks && (parts[i]+step)*b.Weight < (parts[j]-step)*a.Weight {
 						t.Fatalf("%+v has %d and lacks, %+v has %d", a, parts[i], b, parts[j])
 					}
@@ -268,54 +268,54 @@
 
 // TestLateCalls has calls come twice, the second much later.
 func TestLateCalls(t *testing.T) {
-	l := NewLedger()
-	terms := rate(10, 2, 1, Even)
-	terms.Budgets = append(terms.Budgets, Budget{Name: "out", Kind: Count, Whole: 1})
-	l.Apply(Command{Terms: &terms})
-	take := Command{Take: &Take{Budget: "out", Name: "n0", Host: "h", Turn: "w1"}}
-	if r := l.Apply(take); r.No != "" {
-		t.Fatal(r.No)
-	}
-	if r := l.Apply(Command{Take: &Take{Budget: "out", Name: "n1", Host: "h", Turn: "w1"}}); r.No == "" {
+	l := NewState()
+	terms := rate(10, 2, 1, DivideEvenly)
+	terms.Limits = append(terms.Limits, Limit{Name: "out", Kind: Concurrency, Total: 1})
+	l.Apply(Command{Config: &terms})
+	take := Command{Acquire: &PermitCommand{Limit: "out", Name: "n0", Host: "h", AcquireID: "w1"}}
+	if r := l.Apply(take); r.Rejection != "" {
+		t.Fatal(r.Rejection)
+	}
+	if r := l.Apply(Command{Acquire: &PermitCommand{Limit: "out", Name: "n1", Host: "h", AcquireID: "w1"}}); r.Rejection == "" {
 		t.Fatal("two hold one unit")
 	}
-	l.Apply(Command{Give: &Give{Budget: "out", Name: "n0", Host: "h", Turn: "w1"}})
-	if r := l.Apply(take); r.No == "" {
+	l.Apply(Command{Release: &PermitCommand{Limit: "out", Name: "n0", Host: "h", AcquireID: "w1"}})
+	if r := l.Apply(take); r.Rejection == "" {
 		t.Fatal("a take that came twice holds again what was given back")
 	}
-	l.Apply(Command{Take: &Take{Budget: "out", Name: "n0", Host: "h", Turn: "w2"}})
-	l.Apply(Command{Give: &Give{Budget: "out", Name: "n0", Host: "h", Turn: "w1"}})
-	if n := len(l.Counts["out"]); n != 1 {
+	l.Apply(Command{Acquire: &PermitCommand{Limit: "out", Name: "n0", Host: "h", AcquireID: "w2"}})
+	l.Apply(Command{Release: &PermitCommand{Limit: "out", Name: "n0", Host: "h", AcquireID: "w1"}})
+	if n := len(l.Permits["out"]); n != 1 {
 		t.Fatalf("a give of an earlier turn ended a later one: %d held", n)
 	}
 	ask := quota.LeaseRequest{Name: "n0", Incarnation: "a", Number: 2, Clock: 5, Usage: []quota.Usage{{Budget: "b"}}}
-	l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{ask}}})
-	if a := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{ask}}}).Answers[0]; a.Refusal == "" || a.Grants != nil {
+	l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{ask}}})
+	if a := l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{ask}}}).Answers[0]; a.Refusal == "" || a.Grants != nil {
 		t.Fatalf("the same ask was answered twice: %+v", a)
 	}
 	other := quota.LeaseRequest{Name: "n0", Incarnation: "b", Number: 1, Usage: []quota.Usage{{Budget: "b"}}}
-	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []quota.LeaseRequest{other}}}).Answers[0]; a.Refusal == "" {
+	if a := l.Apply(Command{Renew: &RenewCommand{Host: "h2", Requests: []quota.LeaseRequest{other}}}).Answers[0]; a.Refusal == "" {
 		t.Fatalf("two processes have the floor of one name: %+v", a)
 	}
-	l.Apply(Command{Off: &Off{Name: "n0", By: "test"}})
-	if a := l.Apply(Command{Renew: &Renew{Host: "h2", Asks: []quota.LeaseRequest{other}}}).Answers[0]; a.Refusal != "" {
+	l.Apply(Command{WriteOff: &WriteOffCommand{Name: "n0", By: "test"}})
+	if a := l.Apply(Command{Renew: &RenewCommand{Host: "h2", Requests: []quota.LeaseRequest{other}}}).Answers[0]; a.Refusal != "" {
 		t.Fatalf("written off and still not given: %s", a.Refusal)
 	}
 }
 
 // TestSetBack has a holder know more than the ledger.
 func TestSetBack(t *testing.T) {
-	l, c := NewLedger(), &Clerk{}
-	terms := rate(10, 2, 0, Even)
-	l.Apply(Command{Terms: &terms})
-	c.Elected(1, l, false)
-	c.Due(2, l)
-	r := l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{{Name: "n0", Incarnation: "a", Number: 9, Usage: []quota.Usage{{Budget: "b", Epoch: 900}}}}}})
+	l, c := NewState(), &LeaseTracker{}
+	terms := rate(10, 2, 0, DivideEvenly)
+	l.Apply(Command{Config: &terms})
+	c.BecomeLeader(1, l, false)
+	c.Tick(2, l)
+	r := l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{{Name: "n0", Incarnation: "a", Number: 9, Usage: []quota.Usage{{Budget: "b", Epoch: 900}}}}}})
 	if r.Answers[0].Refusal == "" || l.Serial <= 900 {
 		t.Fatalf("%+v, serial %d", r.Answers[0], l.Serial)
 	}
-	c.Due(3, l)
-	if !c.Hold(4) || !c.Hold(1_000_000) || c.Hold(1_050_004) {
+	c.Tick(3, l)
+	if !c.GrowthFrozen(4) || !c.GrowthFrozen(1_000_000) || c.GrowthFrozen(1_050_004) {
 		t.Fatal("a ledger that was set back must wait out what it may have granted")
 	}
 }
@@ -323,14 +323,14 @@
 func BenchmarkDivide(b *testing.B) {
 	for _, n := range []int{60, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := NewLedger()
-			terms := rate(int64(n)*10, n, 1, Demand)
-			l.Apply(Command{Terms: &terms})
+			l := NewState()
+			terms := rate(int64(n)*10, n, 1, DivideByDemand)
+			l.Apply(Command{Config: &terms})
 			for i := range n {
-				l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{{Name: fmt.Sprint("n", i), Incarnation: "a", Number: 1, Usage: []quota.Usage{{Budget: "b", Drawn: int64(i)}}}}}})
+				l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{{Name: fmt.Sprint("n", i), Incarnation: "a", Number: 1, Usage: []quota.Usage{{Budget: "b", Drawn: int64(i)}}}}}})
 			}
 			for b.Loop() {
-				l.Apply(Command{Divide: true})
+				l.Apply(Command{Rebalance: true})
 			}
 		})
 	}
@@ -338,17 +338,17 @@
 
 // small is a ledger with a leader's clerk and holders that answer at once, for cases that need no chance.
 type small struct {
-	l       *Ledger
-	c       Clerk
+	l       *State
+	c       LeaseTracker
 	now     Micros
 	holders map[string]*quota.Holder
 	draws   func(name string) int // in a tenth of a second
 }
 
-func newSmall(terms Terms) *small {
-	s := &small{l: NewLedger(), now: 1_000_000, holders: map[string]*quota.Holder{}}
-	s.l.Apply(Command{Terms: &terms})
-	s.c.Elected(s.now, s.l, false)
+func newSmall(terms Config) *small {
+	s := &small{l: NewState(), now: 1_000_000, holders: map[string]*quota.Holder{}}
+	s.l.Apply(Command{Config: &terms})
+	s.c.BecomeLeader(s.now, s.l, false)
 	return s
 }
 
@@ -362,14 +362,14 @@
 func (s *small) pass(tenths int) {
 	for range tenths {
 		s.now += 100_000
-		over, divide := s.c.Due(s.now, s.l)
-		s.l.Apply(Command{Lapse: over, Divide: divide})
+		over, divide := s.c.Tick(s.now, s.l)
+		s.l.Apply(Command{Expire: over, Rebalance: divide})
 		for _, n := range sortedKeys(s.holders) {
 			h := s.holders[n]
 			for range s.draws(n) {
 				h.TryAcquire(s.now, 0)
 			}
-			r := s.l.Apply(Command{Renew: &Renew{Host: "h", Asks: []quota.LeaseRequest{h.NewRequest(s.now)}}})
+			r := s.l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{h.NewRequest(s.now)}}})
 			h.Apply(s.now, r.Answers[0])
 		}
 	}
@@ -387,7 +387,7 @@
 
 // TestLiar has one holder ask for all that there is, and the others for what they need.
 func TestLiar(t *testing.T) {
-	s := newSmall(rate(100, 5, 1, Demand))
+	s := newSmall(rate(100, 5, 1, DivideByDemand))
 	s.join("n0", "n1", "n2", "n3", "n4")
 	s.draws = func(name string) int {
 		if name == "n0" {
@@ -409,7 +409,7 @@
 
 // TestDemandMoves: what one no longer needs is drawn by another soon, and the parts come to rest.
 func TestDemandMoves(t *testing.T) {
-	s := newSmall(rate(200, 2, 1, Demand))
+	s := newSmall(rate(200, 2, 1, DivideByDemand))
 	s.join("n0", "n1")
 	busy := "n0"
 	s.draws = func(name string) int {
@@ -442,7 +442,7 @@
 
 // TestManyJoin has 200 join and half of them die at once.
 func TestManyJoin(t *testing.T) {
-	s := newSmall(rate(1000, 220, 1, Demand))
+	s := newSmall(rate(1000, 220, 1, DivideByDemand))
 	s.draws = func(string) int { return 1 }
 	s.join("n0", "n1", "n2")
 	s.pass(20)
@@ -464,7 +464,7 @@
 		t.Errorf("%d of 883 are held after half died", sum)
 	}
 	// A whole smaller than the number of backends: some have a unit, the others none.
-	few := newSmall(rate(5, 20, 0, Even))
+	few := newSmall(rate(5, 20, 0, DivideEvenly))
 	few.draws = func(string) int { return 1 }
 	for i := range 20 {
 		few.join(fmt.Sprint("n", i))
--- a/internal/cluster/quota/divide.go
+++ b/internal/cluster/quota/divide.go
@@ -7,15 +7,15 @@
 
 // Claim is what one backend would have above its floor.
 type Claim struct {
-	Want   int64 // units; below 0: as much as there is
-	Weight int64 // 1 or more
-	Held   int64 // what it was last given
+	Demand  int64 // units; below 0: as much as there is
+	Weight  int64 // 1 or more
+	Current int64 // what it was last given
 }
 
 // Fair divides a pool among claims in whole steps, max-min fair by weight: nobody gets more than it wants while another
 // lacks, and what nobody wants is spread by weight too, so that a burst finds something. The parts never add up to more
 // than the pool. It sorts once: n log n.
-func Fair(pool, step int64, claims []Claim) []int64 {
+func MaxMinFair(pool, step int64, claims []Claim) []int64 {
 	parts := make([]int64, len(claims))
 	left := max(0, pool) / step // in steps from here on
 	if left == 0 || len(claims) == 0 {
@@ -28,7 +28,7 @@
 		weights += claims[i].Weight
 	}
 	wants := func(i int) int64 { // steps
-		if w := claims[i].Want; w >= 0 && w < pool {
+		if w := claims[i].Demand; w >= 0 && w < pool {
 			return (w + step - 1) / step
 		}
 		return pool/step + 1
@@ -80,11 +80,11 @@
 
 // Steady keeps the parts that would hardly move, so that a division does not swing with every count of demand; where
 // that would add up to more than the pool, all move.
-func Steady(pool, step int64, claims []Claim, parts []int64) []int64 {
+func Stabilize(pool, step int64, claims []Claim, parts []int64) []int64 {
 	kept := slices.Clone(parts)
 	sum := int64(0)
 	for i, p := range parts {
-		if held := claims[i].Held; held > 0 && max(p-held, held-p) <= max(step, held/16) {
+		if held := claims[i].Current; held > 0 && max(p-held, held-p) <= max(step, held/16) {
 			kept[i] = held
 		}
 		sum += kept[i]
@@ -104,7 +104,7 @@
 
 // learn is a claim after a span in which so much was drawn and denied: it moves by half of the way. What is claimed grows
 // at the most by twice the share and an eighth of the whole from one ask to the next, whatever a holder says.
-func learn(want, share, whole, drawn, denied int64, span Micros) int64 {
+func estimateDemand(want, share, whole, drawn, denied int64, span Micros) int64 {
 	if span <= 0 || drawn < 0 || denied < 0 {
 		return want
 	}
--- a/internal/cluster/quota/rising_test.go
+++ b/internal/cluster/quota/rising_test.go
@@ -10,53 +10,55 @@
 // TestRiseWords: one rise at a time under a count; the same one asked for again changes nothing; a word about another is
 // refused; and a rest ends by a leader's own count, of a new leader counted anew.
 func TestRiseWords(t *testing.T) {
-	l := NewLedger()
-	l.Apply(Command{Terms: &Terms{Version: 1, Budgets: []Budget{{Name: "s", Kind: Count, Whole: 4, Aside: 1}}}})
-	terms := &coldstart.Terms{Most: 9, First: 9, Least: 0, Failures: 9, Slow: 3, Refused: 0.1}
+	l := NewState()
+	l.Apply(Command{Config: &Config{Version: 1, Limits: []Limit{{Name: "s", Kind: Concurrency, Total: 4, Reserved: 1}}}})
+	terms := &coldstart.Config{MaxConcurrent: 9, InitialConcurrent: 9, MinServing: 0, MaxFailures: 9, SlowFactor: 3, MaxRejected: 0.1}
 	members := []coldstart.Member{{Name: "a", Group: "g", Host: "h"}, {Name: "b", Group: "g", Host: "h"}, {Name: "c", Group: "g", Host: "h"}, {Name: "d", Group: "g", Host: "h"}}
 	for _, c := range []struct {
-		r    Rise
+		r    ColdStartCommand
 		want string
 	}{
-		{Rise{Budget: "x", ID: "1", Terms: terms, Members: members}, "no count"},
-		{Rise{Budget: "s", ID: "1", Members: members}, "terms"},
-		{Rise{Budget: "s", ID: "1", Terms: terms}, "0 members"},
-		{Rise{Budget: "s", ID: "1", Terms: terms, Members: members}, ""},
-		{Rise{Budget: "s", ID: "1", Terms: terms, Members: members}, ""},
-		{Rise{Budget: "s", ID: "2", Terms: terms, Members: members}, "rise 1 is open"},
-		{Rise{Budget: "s", ID: "2", Verb: "go-on"}, "no rise that is known"},
-		{Rise{Budget: "s", ID: "1", Verb: "dance"}, "none of go-on, end"},
+		{ColdStartCommand{Limit: "x", ID: "1", Config: terms, Members: members}, "no count"},
+		{ColdStartCommand{Limit: "s", ID: "1", Members: members}, "terms"},
+		{ColdStartCommand{Limit: "s", ID: "1", Config: terms}, "0 members"},
+		{ColdStartCommand{Limit: "s", ID: "1", Config: terms, Members: members}, ""},
+		{ColdStartCommand{Limit: "s", ID: "1", Config: terms, Members: members}, ""},
+		{ColdStartCommand{Limit: "s", ID: "2", Config: terms, Members: members}, "rise 1 is open"},
+		{ColdStartCommand{Limit: "s", ID: "2", Action: "go-on"}, "no rise that is known"},
+		{ColdStartCommand{Limit: "s", ID: "1", Action: "dance"}, "none of go-on, end"},
 	} {
-		if no := l.Apply(Command{Rise: &c.r}).No; (c.want == "") != (no == "") || !strings.Contains(no, c.want) {
+		if no := l.Apply(Command{ColdStart: &c.r}).Rejection; (c.want == "") != (no == "") || !strings.Contains(no, c.want) {
 			t.Errorf("%+v: %q, want %q", c.r, no, c.want)
 		}
 	}
-	if m := l.Risings()[0].Most; m != 3 {
+	if m := l.ColdStartStatuses()[0].MaxConcurrent; m != 3 {
 		t.Errorf("%d may be under way, of 4 with one set aside", m)
 	}
-	turn := func(name, n string) *Take { return &Take{Budget: "s", Name: name, Host: "h", Turn: n} }
+	turn := func(name, n string) *PermitCommand {
+		return &PermitCommand{Limit: "s", Name: name, Host: "h", AcquireID: n}
+	}
 	for _, n := range []string{"1", "2"} { // two falls in a row
-		if no := l.Apply(Command{Take: turn("a", n)}).No; no != "" {
+		if no := l.Apply(Command{Acquire: turn("a", n)}).Rejection; no != "" {
 			t.Fatal(no)
 		}
 		back := turn("a", n)
-		back.End = &coldstart.End{Cause: "x"}
-		l.Apply(Command{Give: back})
+		back.Outcome = &coldstart.Outcome{Cause: "x"}
+		l.Apply(Command{Release: back})
 	}
-	if no := l.Apply(Command{Take: turn("b", "1")}).No; !strings.Contains(no, "nothing starts") {
+	if no := l.Apply(Command{Acquire: turn("b", "1")}).Rejection; !strings.Contains(no, "nothing starts") {
 		t.Fatalf("after two falls: %q", no)
 	}
-	old, later := &Clerk{}, &Clerk{}
-	old.Elected(0, l, false)
-	rest := l.Rises["s"].Rest
-	old.Rested(1000, l)
-	later.Elected(500_000_000, l, false) // another's clock, and nothing is known of before
-	if len(later.Rested(500_000_000, l)) != 0 || len(old.Rested(1000+rest-1, l)) != 0 || len(later.Rested(500_000_000+rest-1, l)) != 0 {
+	old, later := &LeaseTracker{}, &LeaseTracker{}
+	old.BecomeLeader(0, l, false)
+	rest := l.ColdStarts["s"].Pause
+	old.ElapsedPauses(1000, l)
+	later.BecomeLeader(500_000_000, l, false) // another's clock, and nothing is known of before
+	if len(later.ElapsedPauses(500_000_000, l)) != 0 || len(old.ElapsedPauses(1000+rest-1, l)) != 0 || len(later.ElapsedPauses(500_000_000+rest-1, l)) != 0 {
 		t.Error("a rest ended before it was counted")
 	}
-	if over := later.Rested(500_000_000+rest, l); len(over) != 1 {
+	if over := later.ElapsedPauses(500_000_000+rest, l); len(over) != 1 {
 		t.Errorf("a rest that was counted: %v", over)
-	} else if l.Apply(Command{Rested: over}); l.Apply(Command{Take: turn("b", "2")}).No != "" {
+	} else if l.Apply(Command{ElapsedPauses: over}); l.Apply(Command{Acquire: turn("b", "2")}).Rejection != "" {
 		t.Error("nothing starts after the rest")
 	}
 }
--- a/internal/cluster/quotastore/bench_test.go
+++ b/internal/cluster/quotastore/bench_test.go
@@ -23,8 +23,8 @@
 			for i := range 5000 {
 				floors[fmt.Sprint("n", i)] = 1
 			}
-			g.terms = &quota.Terms{Version: 1, Budgets: []quota.Budget{{
-				Name: "b", Kind: quota.Rate, Whole: 100_000, Floors: floors, Divide: quota.Demand, Step: 1, Lease: 3_000_000, Margin: 150_000, Tenant: "t",
+			g.terms = &quota.Config{Version: 1, Limits: []quota.Limit{{
+				Name: "b", Kind: quota.Rate, Total: 100_000, Floors: floors, Division: quota.DivideByDemand, Step: 1, Lease: 3_000_000, ClockMargin: 150_000, Tenant: "t",
 			}}}
 			for _, name := range g.names {
 				g.start(name)
@@ -39,15 +39,15 @@
 				node := g.node(g.names[me%n])
 				name := fmt.Sprint("h", me)
 				for number := uint64(1); pb.Next(); number++ {
-					c := &quota.Renew{Host: name}
+					c := &quota.RenewCommand{Host: name}
 					for i := range 10 {
-						c.Asks = append(c.Asks, backendquota.LeaseRequest{
+						c.Requests = append(c.Requests, backendquota.LeaseRequest{
 							Name: fmt.Sprint("n", me*10+i), Incarnation: "1", Number: number, Clock: backendquota.Micros(number * 1000), Usage: []backendquota.Usage{{Budget: "b"}},
 						})
 					}
 					ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 					if res, err := node.Do(ctx, quota.Command{Renew: c}); err != nil || len(res.Answers) != 10 {
-						b.Error(err, res.No)
+						b.Error(err, res.Rejection)
 					}
 					cancel()
 				}
--- a/internal/cluster/quotastore/ledger_test.go
+++ b/internal/cluster/quotastore/ledger_test.go
@@ -25,23 +25,23 @@
 )
 
 // group is some nodes in this process, with links between them.
-type group struct {
+type testGroup struct {
 	t     testing.TB
 	dir   string
 	names []string
 	at    map[string]string
 	*proxy.Mesh
-	terms *quota.Terms
+	terms *quota.Config
 	asked []string
 
 	mu    sync.Mutex
-	nodes map[string]*Node
+	nodes map[string]*Store
 	ends  map[string]func()
 }
 
-func newGroup(t testing.TB, n int) *group {
-	g := &group{t: t, dir: t.TempDir(), at: map[string]string{}, nodes: map[string]*Node{}, ends: map[string]func(){}}
-	g.terms = &quota.Terms{Version: 1, Budgets: []quota.Budget{{Name: "out", Kind: quota.Count, Whole: 2}}}
+func newGroup(t testing.TB, n int) *testGroup {
+	g := &testGroup{t: t, dir: t.TempDir(), at: map[string]string{}, nodes: map[string]*Store{}, ends: map[string]func(){}}
+	g.terms = &quota.Config{Version: 1, Limits: []quota.Limit{{Name: "out", Kind: quota.Concurrency, Total: 2}}}
 	var at []string
 	for i := range n {
 		name := fmt.Sprint("h", i+1)
@@ -61,8 +61,8 @@
 	return g
 }
 
-func (g *group) start(name string) {
-	var n *transport.Net
+func (g *testGroup) start(name string) {
+	var n *transport.Transport
 	var err error
 	for range 50 { // its address may take a moment to be free again
 		if n, err = transport.Listen(name, g.at[name], g.To(name), limits.ForControl()); err == nil {
@@ -74,22 +74,22 @@
 		g.t.Error(err)
 		return
 	}
-	node, err := Open(Options{
-		Host: name, Members: g.asked, Dir: filepath.Join(g.dir, name), Net: n, Bounds: limits.ForControl(),
+	node, err := Open(Config{
+		Host: name, Members: g.asked, Dir: filepath.Join(g.dir, name), Transport: n, Bounds: limits.ForControl(),
 		Clock: func() quota.Micros { return quota.Micros(process.Now()) },
 	})
 	if err != nil {
 		g.t.Error(err)
 		return
 	}
-	node.Use(g.terms, g.asked)
+	node.SetConfig(g.terms, g.asked)
 	ctx, cancel := context.WithCancel(context.Background())
 	mux := http.NewServeMux()
-	node.Handle(mux)
+	node.RegisterHandlers(mux)
 	server := &http.Server{Handler: mux}
 	var all sync.WaitGroup
 	all.Go(func() { n.Run(ctx) })
-	all.Go(func() { server.Serve(n.Listener(transport.Call)) })
+	all.Go(func() { server.Serve(n.Listener(transport.KindCall)) })
 	all.Go(func() { node.Run(ctx) })
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-func (g *group) stop(name string) {
+func (g *testGroup) stop(name string) {
 	g.mu.Lock()
 	end := g.ends[name]
 	delete(g.ends, name)
@@ -112,25 +112,25 @@
 	}
 }
 
-func (g *group) stopAll() {
+func (g *testGroup) stopAll() {
 	for _, n := range slices.Sorted(maps.Keys(g.at)) {
 		g.stop(n)
 	}
 }
 
-func (g *group) node(name string) *Node {
+func (g *testGroup) node(name string) *Store {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.nodes[name]
 }
 
-func (g *group) view(within time.Duration, ok func(quota.View) bool) (v quota.View) {
+func (g *testGroup) view(within time.Duration, ok func(quota.Status) bool) (v quota.Status) {
 	g.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, name := range g.names {
 			if n := g.node(name); n != nil {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-				seen, err := n.View(ctx)
+				seen, err := n.Status(ctx)
 				cancel()
 				if err == nil && ok(seen) {
 					return seen
@@ -142,7 +142,7 @@
 	return v
 }
 
-func anyLeader(v quota.View) bool { return v.Leader != "" && v.Version > 0 }
+func anyLeader(v quota.Status) bool { return v.Leader != "" && v.Version > 0 }
 
 // asked is one call, as its client saw it.
 type asked struct {
@@ -206,15 +206,15 @@
 					}
 					op := porcupine.Operation{ClientId: c, Input: in, Call: int64(time.Since(began))}
 					ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-					turn := &quota.Take{Budget: "out", Name: in.name, Host: "h", Turn: in.turn}
-					cmd := quota.Command{Take: turn}
+					turn := &quota.PermitCommand{Limit: "out", Name: in.name, Host: "h", AcquireID: in.turn}
+					cmd := quota.Command{Acquire: turn}
 					if in.give {
-						cmd = quota.Command{Give: turn}
+						cmd = quota.Command{Release: turn}
 					}
 					res, err := n.Do(ctx, cmd)
 					cancel()
-					op.Output, op.Return = came{held: res.No == "" && !in.give}, int64(time.Since(began))
-					done := err == nil && (in.give || res.No == "")
+					op.Output, op.Return = came{held: res.Rejection == "" && !in.give}, int64(time.Since(began))
+					done := err == nil && (in.give || res.Rejection == "")
 					switch {
 					case err != nil && first < 0:
 						first = op.Call
@@ -294,14 +294,14 @@
 	}
 	defer g.stopAll()
 	g.view(20*time.Second, anyLeader)
-	take := func(n *Node, turn string) {
+	take := func(n *Store, turn string) {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		for {
-			if res, err := n.Do(ctx, quota.Command{Take: &quota.Take{Budget: "out", Name: "n" + turn, Host: "h", Turn: turn}}); err == nil {
-				if res.No != "" {
-					t.Fatal(res.No)
+			if res, err := n.Do(ctx, quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: "n" + turn, Host: "h", AcquireID: turn}}); err == nil {
+				if res.Rejection != "" {
+					t.Fatal(res.Rejection)
 				}
 				return
 			}
@@ -318,7 +318,7 @@
 	}
 	// h3 comes back and h2 goes: what is taken now is agreed on by h1 and h3.
 	g.start("h3")
-	g.view(15*time.Second, func(v quota.View) bool { return anyLeader(v) && g.node("h3").Stage() != "starting" })
+	g.view(15*time.Second, func(v quota.Status) bool { return anyLeader(v) && g.node("h3").Stage() != "starting" })
 	time.Sleep(2 * time.Second)
 	g.stop("h2")
 	g.view(15*time.Second, anyLeader)
@@ -336,13 +336,13 @@
 	g.start("h3")
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, n := range []string{"h2", "h3"} {
-			if v, _, ok, err := g.node(n).localView(); ok && err == nil && len(v.Budgets) > 0 && v.Budgets[0].InForce == 0 {
+			if v, _, ok, err := g.node(n).localStatus(); ok && err == nil && len(v.Limits) > 0 && v.Limits[0].InForce == 0 {
 				t.Fatalf("%s leads a ledger that has forgotten a unit", n)
 			}
 		}
 	}
 	g.start("h1") // who knows comes back, and all go on by themselves
-	if v := g.view(20*time.Second, anyLeader); v.Budgets[0].InForce != 1 {
+	if v := g.view(20*time.Second, anyLeader); v.Limits[0].InForce != 1 {
 		t.Fatalf("the unit is lost: %+v", v)
 	}
 }
@@ -355,15 +355,15 @@
 		g.start(n)
 	}
 	defer g.stopAll()
-	first := g.view(20*time.Second, func(v quota.View) bool { return anyLeader(v) && len(v.Members) == 3 })
+	first := g.view(20*time.Second, func(v quota.Status) bool { return anyLeader(v) && len(v.Members) == 3 })
 	to := func(version uint64, members ...string) {
 		terms := *g.terms
 		terms.Version = version
 		g.terms, g.asked = &terms, members
 		for _, n := range g.names {
 			node := g.node(n)
-			node.Use(g.terms, members)
-			if slices.Contains(members, n) && node.store == nil { // it had no part, and an agent that is to have one is started anew
+			node.SetConfig(g.terms, members)
+			if slices.Contains(members, n) && node.log == nil { // it had no part, and an agent that is to have one is started anew
 				g.stop(n)
 				g.start(n)
 			}
@@ -374,9 +374,9 @@
 	to(2, g.names...)
 	time.Sleep(3 * time.Second)
 	g.Alone(other, true, true, false)
-	g.view(30*time.Second, func(v quota.View) bool { return v.Version == 2 && len(v.Members) == 5 })
+	g.view(30*time.Second, func(v quota.Status) bool { return v.Version == 2 && len(v.Members) == 5 })
 	to(3, "h3", "h4", "h5")
-	v := g.view(30*time.Second, func(v quota.View) bool { return v.Version == 3 && len(v.Members) == 3 })
+	v := g.view(30*time.Second, func(v quota.Status) bool { return v.Version == 3 && len(v.Members) == 3 })
 	if slices.Sort(v.Members); !slices.Equal(v.Members, []string{"h3", "h4", "h5"}) {
 		t.Fatalf("members %v", v.Members)
 	}
--- a/internal/cluster/quotastore/transport.go
+++ b/internal/cluster/quotastore/transport.go
@@ -15,36 +15,36 @@
 )
 
 // layer has the consensus library speak over the agents' own conversations. Addresses are names of hosts.
-type layer struct {
+type streamLayer struct {
 	net.Listener
-	net *transport.Net
+	net *transport.Transport
 }
 
-func (l layer) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
+func (l streamLayer) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	return l.net.Dial(ctx, transport.Raft, string(to))
+	return l.net.Dial(ctx, transport.KindRaft, string(to))
 }
 
 // careful holds a member whose log is not as far as it has to be from standing for election, and from voting for others
 // whose log is not either; see package quorum.
-type careful struct {
+type eligibilityTransport struct {
 	*raft.NetworkTransport
-	fit   quorum.Fit
-	fits  atomic.Bool
-	calls chan raft.RPC
-	log   func() (term, index uint64)
+	eligibility quorum.Eligibility
+	eligible    atomic.Bool
+	calls       chan raft.RPC
+	lastLog     func() (term, index uint64)
 }
 
-var errUnfit = errors.New("this member's log is not as far as it has to be to take part")
+var errIneligible = errors.New("this member's log is not as far as it has to be to take part")
 
-func newCareful(t *raft.NetworkTransport, fit quorum.Fit, log func() (term, index uint64)) *careful {
-	c := &careful{NetworkTransport: t, fit: fit, calls: make(chan raft.RPC), log: log}
-	c.fits.Store(!fit.Behind)
+func newEligibilityTransport(t *raft.NetworkTransport, fit quorum.Eligibility, log func() (term, index uint64)) *eligibilityTransport {
+	c := &eligibilityTransport{NetworkTransport: t, eligibility: fit, calls: make(chan raft.RPC), lastLog: log}
+	c.eligible.Store(!fit.Behind)
 	go func() {
 		for call := range t.Consumer() {
-			if !c.reached() && !c.mayHear(call.Command) {
-				call.Respond(nil, errUnfit)
+			if !c.satisfied() && !c.mayHandle(call.Command) {
+				call.Respond(nil, errIneligible)
 				continue
 			}
 			c.calls <- call
@@ -54,68 +54,68 @@
 }
 
 // reached tells whether the log is far enough by now.
-func (c *careful) reached() bool {
-	if c.fits.Load() {
+func (c *eligibilityTransport) satisfied() bool {
+	if c.eligible.Load() {
 		return true
 	}
-	if c.fit.Reached(c.log()) {
-		c.fits.Store(true)
+	if c.eligibility.Satisfied(c.lastLog()) {
+		c.eligible.Store(true)
 		return true
 	}
 	return false
 }
 
-func (c *careful) mayHear(command any) bool {
+func (c *eligibilityTransport) mayHandle(command any) bool {
 	switch q := command.(type) {
 	case *raft.RequestVoteRequest:
-		return c.fit.Reached(q.LastLogTerm, q.LastLogIndex)
+		return c.eligibility.Satisfied(q.LastLogTerm, q.LastLogIndex)
 	case *raft.RequestPreVoteRequest:
-		return c.fit.Reached(q.LastLogTerm, q.LastLogIndex)
+		return c.eligibility.Satisfied(q.LastLogTerm, q.LastLogIndex)
 	case *raft.TimeoutNowRequest:
 		return false
 	}
 	return true
 }
 
-func (c *careful) Consumer() <-chan raft.RPC { return c.calls }
+func (c *eligibilityTransport) Consumer() <-chan raft.RPC { return c.calls }
 
-func (c *careful) RequestVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestVoteRequest, a *raft.RequestVoteResponse) error {
-	if !c.reached() {
-		return errUnfit
+func (c *eligibilityTransport) RequestVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestVoteRequest, a *raft.RequestVoteResponse) error {
+	if !c.satisfied() {
+		return errIneligible
 	}
 	return c.NetworkTransport.RequestVote(id, to, q, a)
 }
 
-func (c *careful) RequestPreVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestPreVoteRequest, a *raft.RequestPreVoteResponse) error {
-	if !c.reached() {
-		return errUnfit
+func (c *eligibilityTransport) RequestPreVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestPreVoteRequest, a *raft.RequestPreVoteResponse) error {
+	if !c.satisfied() {
+		return errIneligible
 	}
 	return c.NetworkTransport.RequestPreVote(id, to, q, a)
 }
 
 // machine is the ledger as the library drives it.
-type machine struct{ n *Node }
+type stateMachine struct{ store *Store }
 
-func (m machine) Apply(l *raft.Log) any { return m.n.apply(l.Data) }
+func (m stateMachine) Apply(l *raft.Log) any { return m.store.apply(l.Data) }
 
-func (m machine) Snapshot() (raft.FSMSnapshot, error) {
-	raw, err := m.n.dump()
-	return saved(raw), err
+func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	raw, err := m.store.snapshot()
+	return encodedState(raw), err
 }
 
-func (m machine) Restore(from io.ReadCloser) error {
+func (m stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	return m.n.load(from)
+	return m.store.restore(from)
 }
 
 // saved is a ledger written out.
-type saved []byte
+type encodedState []byte
 
-func (s saved) Persist(to raft.SnapshotSink) error {
+func (s encodedState) Persist(to raft.SnapshotSink) error {
 	if _, err := to.Write(s); err != nil {
 		return errors.Join(err, to.Cancel())
 	}
 	return to.Close()
 }
 
-func (saved) Release() {}
+func (encodedState) Release() {}
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -14,12 +14,12 @@
 
 // readBudgets reads what the fleet shares, and which agents keep the ledger of it.
 func (s *Spec) readBudgets(f *sexpr.Form) {
-	s.Quotas = &quota.Terms{Version: uint64(f.Int("version", 1, 1<<40, 1))}
+	s.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, 1<<40, 1))}
 	s.QuotaHosts = f.Words("ledger")
 	if len(s.QuotaHosts) == 0 && len(s.Hosts) == 1 {
 		s.QuotaHosts = []string{s.Hosts[0].Name}
 	}
-	if err := quorum.Set(s.QuotaHosts); err != nil {
+	if err := quorum.ValidateMembers(s.QuotaHosts); err != nil {
 		f.Fail("ledger", "%v", err)
 	}
 	if len(s.QuotaHosts) == 0 {
@@ -40,52 +40,52 @@
 	for _, b := range f.All("budget") {
 		s.readBudget(b)
 	}
-	if n := len(s.Quotas.Budgets); n == 0 || n > backendquota.MaxBudgets {
+	if n := len(s.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
 		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
 	}
 	f.Done()
 }
 
 func (s *Spec) readBudget(f *sexpr.Form) {
-	b := quota.Budget{Name: name(f)}
-	if s.Quotas.Find(b.Name) != nil {
+	b := quota.Limit{Name: name(f)}
+	if s.Quotas.Lookup(b.Name) != nil {
 		f.Fail("", "budget %q stands twice", b.Name)
 	}
 	rate, count := f.Int("rate", 0, backendquota.MaxRate, 0), f.Int("count", 0, backendquota.MaxRate, 0)
 	switch {
 	case rate > 0 && count == 0:
-		b.Kind, b.Whole = quota.Rate, int64(rate)
+		b.Kind, b.Total = quota.Rate, int64(rate)
 		s.readRate(f, &b)
 	case count > 0 && rate == 0:
-		b.Kind, b.Whole = quota.Count, int64(count)
+		b.Kind, b.Total = quota.Concurrency, int64(count)
 		if f.OneOf("alone", "no", "yes") == "yes" {
-			b.Aside = int64(len(s.Hosts))
+			b.Reserved = int64(len(s.Hosts))
 		}
 	default:
 		f.Fail("", "wanted either (rate UNITS-A-SECOND) or (count UNITS)")
 	}
 	f.Done()
 	if b.Kind != "" {
-		if field, err := b.Check(); err != nil {
+		if field, err := b.Validate(); err != nil {
 			f.Fail(field, "%v", err)
 		}
 	}
-	s.Quotas.Budgets = append(s.Quotas.Budgets, b)
+	s.Quotas.Limits = append(s.Quotas.Limits, b)
 }
 
-func (s *Spec) readRate(f *sexpr.Form, b *quota.Budget) {
+func (s *Spec) readRate(f *sexpr.Form, b *quota.Limit) {
 	b.Tenant = f.Text("tenant", "")
-	b.Divide = quota.Divide(f.OneOf("divide", string(quota.Demand), string(quota.Even), string(quota.Capacity)))
+	b.Division = quota.Division(f.OneOf("divide", string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
 	b.Step = int64(f.Int("step", 1, backendquota.MaxRate, 1))
 	b.Lease = quota.Micros(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second).Microseconds())
-	margin := max(b.Lease/20, quota.LeastMargin(b.Lease))
-	b.Margin = quota.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
+	margin := max(b.Lease/20, quota.MinClockMargin(b.Lease))
+	b.ClockMargin = quota.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
 	if b.Tenant == "" {
 		f.Fail("tenant", "missing: whose work draws from it")
 	}
 	floor := int64(f.Int("floor", 0, backendquota.MaxRate, 0))
 	groups := f.Words("groups")
-	b.Floors, b.Weight = map[string]int64{}, map[string]int64{}
+	b.Floors, b.Weights = map[string]int64{}, map[string]int64{}
 	for _, g := range groups {
 		if s.Group(g) == nil {
 			f.Fail("groups", "%q is no group of this file", g)
@@ -115,29 +115,29 @@
 		sub.Done()
 	}
 	own("floors", 0, b.Floors)
-	own("weights", 1, b.Weight)
+	own("weights", 1, b.Weights)
 }
 
 // readRise reads how a whole fleet comes up.
 func (s *Spec) readRise(f *sexpr.Form) {
 	s.ColdStartQuota = f.Text("budget", "")
-	t := &coldstart.Terms{
-		Least: f.Share("least", 0, 1, 0.1), Failures: int64(f.Int("failures", 1, 100_000, 8)), Slow: f.Share("slow", 1, 1000, 3),
-		Refused: f.Share("refused", 0, 1, 0.1), First: int64(f.Int("first", 0, 100_000, 0)),
+	t := &coldstart.Config{
+		MinServing: f.Share("least", 0, 1, 0.1), MaxFailures: int64(f.Int("failures", 1, 100_000, 8)), SlowFactor: f.Share("slow", 1, 1000, 3),
+		MaxRejected: f.Share("refused", 0, 1, 0.1), InitialConcurrent: int64(f.Int("first", 0, 100_000, 0)),
 	}
 	f.Done()
 	if !s.counts(s.ColdStartQuota) {
 		f.Fail("budget", "%q is no count of this file", s.ColdStartQuota)
 		return
 	}
-	b := s.Quotas.Find(s.ColdStartQuota)
-	if b.Aside == 0 {
+	b := s.Quotas.Lookup(s.ColdStartQuota)
+	if b.Reserved == 0 {
 		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good", s.ColdStartQuota)
 	}
-	if t.Most = b.Whole - b.Aside; t.First == 0 {
-		t.First = min(2, t.Most)
+	if t.MaxConcurrent = b.Total - b.Reserved; t.InitialConcurrent == 0 {
+		t.InitialConcurrent = min(2, t.MaxConcurrent)
 	}
-	if field, err := t.Check(); err != nil {
+	if field, err := t.Validate(); err != nil {
 		f.Fail(field, "%v", err)
 	}
 	s.ColdStart = t
@@ -148,6 +148,6 @@
 	if s.Quotas == nil {
 		return false
 	}
-	b := s.Quotas.Find(name)
-	return b != nil && b.Kind == quota.Count
+	b := s.Quotas.Lookup(name)
+	return b != nil && b.Kind == quota.Concurrency
 }
--- a/internal/fleet/life.go
+++ b/internal/fleet/life.go
@@ -141,7 +141,7 @@
 	NotifiedAt  Micros     `json:"told,omitempty"` // Tell: when it was first told; its window runs from there
 	Cause       string     `json:"cause,omitempty"`
 	Unit        Unit       // of a step about one
-	StartResult coldstart.End
+	StartResult coldstart.Outcome
 }
 
 // Note is a line of history.
--- a/internal/fleet/rise.go
+++ b/internal/fleet/rise.go
@@ -53,9 +53,9 @@
 }
 
 // risen is how a start came out that held a unit.
-func (in *Instance) risen(now Micros) coldstart.End {
-	e := coldstart.End{Warm: in.usable(now), Cause: in.Cause}
-	if e.Warm && in.Unit.StartedAt > 0 {
+func (in *Instance) risen(now Micros) coldstart.Outcome {
+	e := coldstart.Outcome{Ready: in.usable(now), Cause: in.Cause}
+	if e.Ready && in.Unit.StartedAt > 0 {
 		e.Took = coldstart.Micros(max(0, in.ReadySince-in.Unit.StartedAt))
 	}
 	return e
--- a/internal/fleet/rise_test.go
+++ b/internal/fleet/rise_test.go
@@ -14,8 +14,8 @@
 type site struct {
 	t      tester
 	spec   *Spec
-	ledger *quota.Ledger
-	clerk  quota.Clerk
+	ledger *quota.State
+	clerk  quota.LeaseTracker
 	hosts  []*world
 	cut    map[*world]bool
 	later  map[*world][]Event // what the ledger answered
@@ -37,8 +37,8 @@
 		names = " h1"
 	}
 	text += fmt.Sprintf(" (budgets (ledger%s) (budget starts (count %d) (alone yes))) (rise (budget starts) (failures 100)))", names, whole)
-	s := &site{t: t, spec: spec(t, text), ledger: quota.NewLedger(), cut: map[*world]bool{}, later: map[*world][]Event{}, begun: map[string]bool{}}
-	s.ledger.Apply(quota.Command{Terms: s.spec.Quotas})
+	s := &site{t: t, spec: spec(t, text), ledger: quota.NewState(), cut: map[*world]bool{}, later: map[*world][]Event{}, begun: map[string]bool{}}
+	s.ledger.Apply(quota.Command{Config: s.spec.Quotas})
 	for h := range hosts {
 		w := newWorldAt(t, s.spec, fmt.Sprint("h", h+1))
 		w.lose = func(step Action) bool { return s.unit(w, step) }
@@ -49,18 +49,18 @@
 
 // unit takes a step about units to the ledger, as an agent would.
 func (s *site) unit(w *world, step Action) bool {
-	turn := &quota.Take{Budget: step.Unit.Quota, Name: step.Name, Host: w.host, Turn: step.ID}
+	turn := &quota.PermitCommand{Limit: step.Unit.Quota, Name: step.Name, Host: w.host, AcquireID: step.ID}
 	switch {
 	case step.Kind != ActionAcquireUnit && step.Kind != ActionReleaseUnit:
 		return false
 	case s.cut[w]:
 	case step.Kind == ActionReleaseUnit:
-		turn.End = &step.StartResult
-		s.ledger.Apply(quota.Command{Give: turn})
+		turn.Outcome = &step.StartResult
+		s.ledger.Apply(quota.Command{Release: turn})
 		s.later[w] = append(s.later[w], UnitReleased{step.Name, step.ID})
 	default:
-		r := s.ledger.Apply(quota.Command{Take: turn})
-		s.later[w] = append(s.later[w], UnitAcquired{HeldUnit{step.Name, step.Unit.Quota, step.ID}, r.No == "", r.No})
+		r := s.ledger.Apply(quota.Command{Acquire: turn})
+		s.later[w] = append(s.later[w], UnitAcquired{HeldUnit{step.Name, step.Unit.Quota, step.ID}, r.Rejection == "", r.Rejection})
 	}
 	return true
 }
@@ -75,8 +75,8 @@
 			}
 			s.later[w] = nil
 		}
-		if over := s.clerk.Rested(quota.Micros(s.hosts[0].now), s.ledger); len(over) > 0 {
-			s.ledger.Apply(quota.Command{Rested: over})
+		if over := s.clerk.ElapsedPauses(quota.Micros(s.hosts[0].now), s.ledger); len(over) > 0 {
+			s.ledger.Apply(quota.Command{ElapsedPauses: over})
 		}
 		starting := 0
 		for _, w := range s.hosts {
@@ -95,7 +95,7 @@
 	for _, in := range s.spec.InstancesOn("") {
 		members = append(members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
 	}
-	s.ledger.Apply(quota.Command{Rise: &quota.Rise{Budget: "starts", ID: id, Terms: s.spec.ColdStart, Members: members, By: "test"}})
+	s.ledger.Apply(quota.Command{ColdStart: &quota.ColdStartCommand{Limit: "starts", ID: id, Config: s.spec.ColdStart, Members: members, By: "test"}})
 	for _, w := range s.hosts {
 		for _, n := range w.m.Names() {
 			s.begun[n] = s.begun[n] || !w.lives[n].alive
@@ -154,15 +154,15 @@
 			t.Fatalf("%d started at once, %d may", s.most, whole)
 		}
 		if n := s.up(); n != hosts*each {
-			t.Fatalf("%d of %d are up: %+v", n, hosts*each, s.ledger.Risings())
+			t.Fatalf("%d of %d are up: %+v", n, hosts*each, s.ledger.ColdStartStatuses())
 		}
-		for _, r := range s.ledger.Risings() {
-			if !r.Over {
+		for _, r := range s.ledger.ColdStartStatuses() {
+			if !r.Done {
 				t.Fatalf("the rise is not over: %+v", r)
 			}
 		}
-		if held := len(s.ledger.Counts["starts"]); held > 0 {
-			t.Fatalf("%d units are held: %+v", held, s.ledger.Counts)
+		if held := len(s.ledger.Permits["starts"]); held > 0 {
+			t.Fatalf("%d units are held: %+v", held, s.ledger.Permits)
 		}
 		if n := s.hosts[0].launch[s.hosts[0].m.Names()[0]]; launched > 0 && n != launched {
 			t.Fatalf("one that served was launched again")
@@ -209,7 +209,7 @@
 // TestRiseStops: a release of which each start fails stops after its failures, says so, and goes on at an operator's word.
 func TestRiseStops(t *testing.T) {
 	s := newSite(t, 3, 10, 12)
-	s.spec.ColdStart.Failures = 4
+	s.spec.ColdStart.MaxFailures = 4
 	for _, w := range s.hosts {
 		for _, l := range w.lives {
 			l.neverReady = true
@@ -221,18 +221,18 @@
 	for _, w := range s.hosts {
 		began += len(w.launch)
 	}
-	r := s.ledger.Risings()[0]
-	if r.Halted == "" || began > 12 {
-		t.Errorf("halted %q, %d of 30 were tried", r.Halted, began)
+	r := s.ledger.ColdStartStatuses()[0]
+	if r.HaltReason == "" || began > 12 {
+		t.Errorf("halted %q, %d of 30 were tried", r.HaltReason, began)
 	}
 	for _, w := range s.hosts {
 		for _, l := range w.lives {
 			l.neverReady = false
 		}
 	}
-	s.ledger.Apply(quota.Command{Rise: &quota.Rise{Budget: "starts", ID: "r", Verb: "go-on", By: "test"}})
+	s.ledger.Apply(quota.Command{ColdStart: &quota.ColdStartCommand{Limit: "starts", ID: "r", Action: "go-on", By: "test"}})
 	s.pass(120 * second)
 	if n := s.up(); n < 20 {
-		t.Errorf("%d are up after the cause was mended: %+v", n, s.ledger.Risings())
+		t.Errorf("%d are up after the cause was mended: %+v", n, s.ledger.ColdStartStatuses())
 	}
 }
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -35,9 +35,9 @@
 	Groups             []GroupSpec
 	RollingUpdate      RollingUpdateConfig // what a wave has if its command does not say
 	RollingUpdateQuota string              // the count of which each instance that a wave has out holds a unit; empty: none
-	ColdStart          *coldstart.Terms    // nil: none can be asked for
+	ColdStart          *coldstart.Config   // nil: none can be asked for
 	ColdStartQuota     string              // the count of which each that starts in a rise holds a unit until it is warm
-	Quotas             *quota.Terms        // nil: nothing is shared
+	Quotas             *quota.Config       // nil: nothing is shared
 	QuotaHosts         []string            // hosts whose agents keep it
 	instances          map[string]*InstanceSpec
 }
--- a/internal/fleetclient/shared.go
+++ b/internal/fleetclient/shared.go
@@ -37,15 +37,15 @@
 }
 
 // ColdStart begins a rise at the ledger, or says a word about one.
-func (t *Client) ColdStart(ctx context.Context, r quota.Rise) error {
+func (t *Client) ColdStart(ctx context.Context, r quota.ColdStartCommand) error {
 	return t.any(ctx, func(c *agentapi.Client) error { return c.Rise(ctx, r) })
 }
 
 // HostMembers is one agent's judgement of all, or why there is none.
 type HostMembers struct {
-	Host  string            `json:"host"`
-	Error string            `json:"error,omitempty"`
-	Seen  []membership.Seen `json:"seen,omitempty"`
+	Host  string              `json:"host"`
+	Error string              `json:"error,omitempty"`
+	Seen  []membership.Member `json:"seen,omitempty"`
 }
 
 // Members asks every agent whom it thinks to be there.
--- a/internal/simulation/coldstart/rising.go
+++ b/internal/simulation/coldstart/rising.go
@@ -138,8 +138,8 @@
 	}
 	if p.AtOnce < 0 {
 		var err error
-		terms := coldstart.Terms{Most: int64(-p.AtOnce), First: min(2, int64(-p.AtOnce)), Least: 0.1, Failures: 8, Slow: 3, Refused: 0.1}
-		if w.rise, err = coldstart.Begin("r", terms, members); err != nil {
+		terms := coldstart.Config{MaxConcurrent: int64(-p.AtOnce), InitialConcurrent: min(2, int64(-p.AtOnce)), MinServing: 0.1, MaxFailures: 8, SlowFactor: 3, MaxRejected: 0.1}
+		if w.rise, err = coldstart.New("r", terms, members); err != nil {
 			return nil, err
 		}
 	}
@@ -196,7 +196,7 @@
 			w.report(e.who)
 		}
 	case rested:
-		w.rise.Rested(uint64(e.gen))
+		w.rise.EndPause(uint64(e.gen))
 	case answered:
 		w.answer(e.who, e.gen)
 	}
@@ -210,7 +210,7 @@
 	case w.p.AtOnce > 0:
 		may = w.starting < w.p.AtOnce
 	case w.rise != nil:
-		may, _ = w.rise.Ask(b.name)
+		may, _ = w.rise.RequestStart(b.name)
 	}
 	if !may {
 		w.later(300*time.Millisecond+time.Duration(w.draw.Int64N(int64(150*time.Millisecond))), begin, who, 0)
@@ -263,10 +263,10 @@
 	w.starting--
 	w.hosts[b.host]--
 	if w.rise != nil {
-		no := w.rise.RestNo
-		w.rise.Ended(b.name, coldstart.End{Warm: well, Took: coldstart.Micros((w.now - b.began).Microseconds()), Cause: "the service below"})
-		if w.rise.RestNo != no {
-			w.later(time.Duration(w.rise.Rest)*time.Microsecond, rested, who, int(w.rise.RestNo))
+		no := w.rise.PauseNumber
+		w.rise.Report(b.name, coldstart.Outcome{Ready: well, Took: coldstart.Micros((w.now - b.began).Microseconds()), Cause: "the service below"})
+		if w.rise.PauseNumber != no {
+			w.later(time.Duration(w.rise.Pause)*time.Microsecond, rested, who, int(w.rise.PauseNumber))
 		}
 	}
 	if !well {
--- a/internal/simulation/shares.go
+++ b/internal/simulation/shares.go
@@ -38,8 +38,8 @@
 // sharing is what hosts draw from on a day with shares.
 type sharing struct {
 	mode    Shares
-	ledger  *quota.Ledger
-	clerk   quota.Clerk
+	ledger  *quota.State
+	clerk   quota.LeaseTracker
 	holders []*backendquota.Holder // by host
 	whole   *backendquota.Holder   // the oracle's
 	index   []int                  // by tenant: its budget in a holder, or -1
@@ -54,38 +54,38 @@
 		return
 	}
 	sh := &sharing{mode: w.p.Shares, holders: make([]*backendquota.Holder, len(w.hosts))}
-	terms := quota.Terms{Version: 1}
+	terms := quota.Config{Version: 1}
 	for i, t := range w.s.Tenants {
 		sh.index = append(sh.index, -1)
 		if t.Quota < 1 {
 			continue
 		}
 		sh.index[i] = len(sh.names)
-		b := quota.Budget{
-			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Whole: int64(t.Quota), Divide: quota.Demand, Step: 1, Lease: quota.Micros(shareLease),
-			Margin: quota.Micros(shareMargin), Tenant: t.Name, Floors: map[string]int64{},
+		b := quota.Limit{
+			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: quota.Micros(shareLease),
+			ClockMargin: quota.Micros(shareMargin), Tenant: t.Name, Floors: map[string]int64{},
 		}
 		floor := int64(floorPart * t.Quota / float64(len(w.hosts)))
 		for n := range w.hosts {
 			b.Floors[hostName(int32(n))] = floor
 		}
 		sh.names = append(sh.names, b.Name)
-		terms.Budgets = append(terms.Budgets, b)
+		terms.Limits = append(terms.Limits, b)
 	}
 	w.shares = sh
 	switch sh.mode {
 	case Divided:
-		sh.ledger = quota.NewLedger()
-		sh.ledger.Apply(quota.Command{Terms: &terms})
-		sh.clerk.Elected(quota.Micros(w.now), sh.ledger, false)
+		sh.ledger = quota.NewState()
+		sh.ledger.Apply(quota.Command{Config: &terms})
+		sh.clerk.BecomeLeader(quota.Micros(w.now), sh.ledger, false)
 		w.q.push(event{at: w.now + 1, kind: evClerk})
 	case Whole:
-		sh.whole = fixedHolder("all", "1", terms.Budgets, 1)
+		sh.whole = fixedHolder("all", "1", terms.Limits, 1)
 	}
 }
 
 // fixedHolder draws from a part of each budget, for good.
-func fixedHolder(name, life string, all []quota.Budget, parts int64) *backendquota.Holder {
+func fixedHolder(name, life string, all []quota.Limit, parts int64) *backendquota.Holder {
 	names := make([]string, 0, len(all))
 	for _, b := range all {
 		names = append(names, b.Name)
@@ -93,7 +93,7 @@
 	h := backendquota.New(name, life, names)
 	a := backendquota.LeaseResponse{Name: name, Incarnation: life, Number: h.NewRequest(0).Number}
 	for _, b := range all {
-		a.Grants = append(a.Grants, backendquota.Grant{Budget: b.Name, Epoch: 1, Floor: b.Whole / parts})
+		a.Grants = append(a.Grants, backendquota.Grant{Budget: b.Name, Epoch: 1, Floor: b.Total / parts})
 	}
 	if err := h.Apply(0, a); err != nil {
 		panic(err) // the terms were checked
@@ -108,9 +108,9 @@
 		return 1
 	}
 	if w.quotas == nil {
-		var all []quota.Budget
+		var all []quota.Limit
 		for i, t := range w.s.Tenants {
-			all = append(all, quota.Budget{Name: fmt.Sprint(i), Whole: int64(t.Quota)})
+			all = append(all, quota.Limit{Name: fmt.Sprint(i), Total: int64(t.Quota)})
 		}
 		w.quotas = fixedHolder("all", "price", all, 1)
 	}
@@ -128,10 +128,10 @@
 	}
 	name, life := hostName(h.number), fmt.Sprint(h.life)
 	if sh.mode == EvenCut {
-		var all []quota.Budget
+		var all []quota.Limit
 		for i, t := range w.s.Tenants {
 			if sh.index[i] >= 0 {
-				all = append(all, quota.Budget{Name: sh.names[sh.index[i]], Whole: int64(t.Quota)})
+				all = append(all, quota.Limit{Name: sh.names[sh.index[i]], Total: int64(t.Quota)})
 			}
 		}
 		sh.holders[h.number] = fixedHolder(name, life, all, int64(w.s.Hosts.told()))
@@ -156,7 +156,7 @@
 	sh := w.shares
 	if !w.ledgerCut || h.number >= w.cutHosts {
 		holder, now := sh.holders[h.number], backendquota.Micros(w.now)
-		r := sh.ledger.Apply(quota.Command{Renew: &quota.Renew{Host: hostName(h.number), Asks: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
+		r := sh.ledger.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
 		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
 			_ = holder.Apply(now, r.Answers[0]) // a refused answer leaves the shares as they are
 		}
@@ -167,8 +167,8 @@
 // clerkLooks has the ledger's clerk look for what is over.
 func (w *world) clerkLooks() {
 	sh := w.shares
-	if over, divide := sh.clerk.Due(quota.Micros(w.now), sh.ledger); divide || len(over) > 0 {
-		sh.ledger.Apply(quota.Command{Lapse: over, Divide: divide})
+	if over, divide := sh.clerk.Tick(quota.Micros(w.now), sh.ledger); divide || len(over) > 0 {
+		sh.ledger.Apply(quota.Command{Expire: over, Rebalance: divide})
 	}
 	if w.now < w.s.For {
 		w.q.push(event{at: w.now + sharePause/4, kind: evClerk})
@@ -179,7 +179,7 @@
 func (w *world) goneShares(h *host) {
 	if sh := w.shares; sh != nil && sh.mode == Divided && (!w.ledgerCut || h.number >= w.cutHosts) {
 		name := hostName(h.number)
-		sh.ledger.Apply(quota.Command{Gone: &quota.Gone{Host: name, Lives: []string{quota.Key(name, fmt.Sprint(h.life))}}})
+		sh.ledger.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []string{quota.ClientKey(name, fmt.Sprint(h.life))}}})
 	}
 }
 
