--- a/admission/admit_test.go
+++ b/admission/backend_test.go
@@ -81,7 +81,7 @@
 func (tr *trace) pass(ms Micros, coreUse, onCores float64) {
 	for end := tr.now + ms*1000; tr.now < end; {
 		tr.now = min(end, tr.now+tr.b.tick)
-		tr.do(Reading{Token: token, CoreUse: coreUse, OnCores: onCores})
+		tr.do(Reading{Token: timerToken, CoreUse: coreUse, OnCores: onCores})
 	}
 }
 
@@ -175,7 +175,7 @@
 	tr.arrive("too late", 1, 0.9, func(a *Arrived) { a.RepeatOf, a.TimeLeft, a.QueueTime = "new work", 0, 5_000_000 })
 	tr.done("new work", OK)
 	tr.note("where the table has no room, a tokened invocation does not run")
-	tr.b.t.MemoryKB = 200
+	tr.b.config.MemoryKB = 200
 	tr.arrive("no room", 1, 0.9, func(a *Arrived) { a.MemoryKB = 175 })
 	tr.check()
 }
@@ -230,7 +230,7 @@
 	tr.do(CallReturned{"b", OK, 10_000})
 	tr.done("b", OK)
 	tr.note("with enough first calls made, a safe call is tried three times in all")
-	tr.b.firstCalls.add(tr.now, 100)
+	tr.b.calls.first.add(tr.now, 100)
 	tr.arrive("c", 0, 0.9)
 	tr.do(NeedsCall{"c"})
 	for range 3 {
@@ -239,8 +239,8 @@
 	}
 	tr.done("c", Canceled)
 	tr.note("skipped where that is allowed")
-	tr.b.t.Operations[0].ValueWithoutCall = 0.5
-	tr.b.firstCalls.sum = 0
+	tr.b.config.Operations[0].ValueWithoutCall = 0.5
+	tr.b.calls.first.sum = 0
 	tr.arrive("d", 0, 0.9)
 	tr.do(NeedsCall{"d"})
 	tr.do(CallReturned{"d", Unreachable, 1000})
@@ -319,7 +319,7 @@
 	for n := range 2 {
 		tr.arrive(fmt.Sprint("inv", n), 0, 0.9)
 	}
-	tr.b.usual.add(tr.now, 100) // five a second
+	tr.b.arrivals.usual.add(tr.now, 100) // five a second
 	tr.pass(2500, 1, 2)
 	tr.note("nor on full cores with long runs, while less comes than usual, or nothing")
 	tr.done("inv1", OK)
@@ -327,10 +327,10 @@
 	tr.pass(2100, 1, 2)
 	tr.arrive("late", 0, 0.9, func(a *Arrived) { a.QueueTime = 1_200_000 })
 	tr.note("two seconds without a move on full cores, and what is read has waited too long: an overload")
-	tr.b.reads.add(tr.now, 50)
+	tr.b.arrivals.recent.add(tr.now, 50)
 	tr.pass(100, 1, 2)
 	tr.note("and the same where it reads less than half of the usual")
-	tr.b.reads.take(tr.now, 50)
+	tr.b.arrivals.recent.subtract(tr.now, 50)
 	tr.pass(500, 1, 2)
 	tr.note("it moves again, and is healthy some time after; a draining one never is")
 	tr.done("inv0", OK)
@@ -375,7 +375,7 @@
 	for _, every := range []Micros{500, 60, 500} {
 		tr.note(fmt.Sprintf("40 callers, one read every %d ms", every))
 		for end := tr.now + 12_000_000; tr.now < end; {
-			tr.b.reads.add(tr.now, 1)
+			tr.b.arrivals.recent.add(tr.now, 1)
 			tr.pass(every, 0.5, 1)
 		}
 	}
@@ -402,8 +402,8 @@
 	tr.pass(20, 0.9, 2)
 	measures := func() string {
 		b := tr.b
-		return fmt.Sprintf("reads %.2f retries %.2f tenant %.2f ended %.2f pressure %.2f drag %.2f", b.reads.read(tr.now),
-			b.retries.read(tr.now), b.tenants[1].read(tr.now), b.ended.read(tr.now), b.pressure(), b.drag(tr.now))
+		return fmt.Sprintf("reads %.2f retries %.2f tenant %.2f ended %.2f pressure %.2f drag %.2f", b.arrivals.recent.read(tr.now),
+			b.arrivals.retries.read(tr.now), b.admitted[1].read(tr.now), b.runs.ended.read(tr.now), b.runQueue(), b.slowdown(tr.now))
 	}
 	before := measures()
 	for k := range 500 {
@@ -427,7 +427,7 @@
 			tr.b.Decide(tr.now, Finished{ID: fmt.Sprint("first", n), Outcome: OK}, nil)
 			tr.now += 20_000
 		}
-		usual := tr.b.retries.read(tr.now)
+		usual := tr.b.arrivals.retries.read(tr.now)
 		tr.pass(400, 1, 9)
 		tr.arrive("before", 0, 0.9, first)
 		for n := range 40 { // what is left of five seconds differs from one to the next
@@ -435,7 +435,7 @@
 		}
 		tr.arrive("after", 0, 0.9, first)
 		words := strings.Count(tr.text.String(), "DontRetry:true")
-		share := tr.b.retries.read(tr.now) / tr.b.reads.read(tr.now)
+		share := tr.b.arrivals.retries.read(tr.now) / tr.b.arrivals.recent.read(tr.now)
 		if !unmarked && (usual != 0 || words != 0) || unmarked && (usual != 0 || words != 1 || share < 0.3 || share > 0.46) {
 			t.Errorf("unmarked %t: %.2f among first tries, then %.2f, don't retry %d times\n%s", unmarked, usual, share, words, &tr.text)
 		}
@@ -506,17 +506,17 @@
 	tr.arrive("long0", 0, 0.9, long)
 	tr.arrive("long1", 0, 0.9, long)
 	tr.pass(1200, 1, 2)
-	if drag := tr.b.drag(tr.now); drag > 1.05 {
+	if drag := tr.b.slowdown(tr.now); drag > 1.05 {
 		t.Errorf("drag %.2f of runs within their expected cost", drag)
 	}
 	for n := range 2 {
 		tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("waits", n), ExpectedWork: 10_000, TimeLeft: 5_000_000, MemoryKB: 1, Priority: 0.9}, nil)
 	}
-	if drag := tr.b.drag(tr.now); drag < 2 {
-		t.Errorf("drag %.2f with a line of %.0f", drag, tr.b.count(held))
+	if drag := tr.b.slowdown(tr.now); drag < 2 {
+		t.Errorf("drag %.2f with a line of %.0f", drag, tr.b.count(waiting))
 	}
 	tr.pass(1500, 1, 2)
-	if drag := tr.b.drag(tr.now); drag < 1.3 {
+	if drag := tr.b.slowdown(tr.now); drag < 1.3 {
 		t.Errorf("drag %.2f of runs that have had twice their expected cost", drag)
 	}
 }
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkStream is one arrival with its end and its share of readings, all cores busy and so many in hand:
 //
-//	go test ./admit -run xxx -bench Stream
+//	go test ./admission -run xxx -bench Stream
 func BenchmarkStream(b *testing.B) {
 	for _, inHand := range []int{6, 64, 512} {
 		for _, hints := range []bool{false, true} {
@@ -37,7 +37,7 @@
 					now += 500
 					if now >= at {
 						at = now + 20_000
-						out = m.Decide(now, Reading{Token: token, CoreUse: 0.8, OnCores: cores, MemoryShare: -1, Connections: -1}, out)
+						out = m.Decide(now, Reading{Token: timerToken, CoreUse: 0.8, OnCores: cores, MemoryShare: -1, Connections: -1}, out)
 						note()
 					}
 					if arrives {
@@ -59,12 +59,12 @@
 				for range 4000 { // until it has learnt what a run takes
 					step(true, true)
 				}
-				for len(m.hand) < inHand {
+				for len(m.inFlight.all) < inHand {
 					step(true, false)
 				}
 				b.ReportAllocs()
 				for b.Loop() { // one ends, then one comes; a step in which nothing runs yet brings a reading nearer
-					for len(m.hand) >= inHand {
+					for len(m.inFlight.all) >= inHand {
 						step(false, true)
 					}
 					step(true, false)
--- a/admission/types.go
+++ b/admission/types.go
@@ -1,8 +1,14 @@
 // Package admission is the decision module of one backend: admission control, scheduling, load shedding and
-// graceful shutdown. Decide takes an event and appends the actions that follow from it. The package knows of no
-// wire, no other instance and no clock of its own, and does no I/O: the same events give the same actions.
+// graceful shutdown. Backend.Decide takes an event and appends the actions that follow from it. The package
+// knows of no wire, no other instance and no clock of its own, and does no I/O: the same events give the same
+// actions.
 //
-// This file is the interface and holds no decision. Backend (backend.go) and the files beside it decide.
+// This file is the interface and holds no decision; the files beside it decide. Beside the threshold for
+// arrivals and the four rules (see Backend), five mechanisms stand: work that misses its latency objective is
+// given up at once (deadlines.go); waiting work runs by response ratio and value (schedule.go); work beyond a
+// tenant's quota loses priority (tenants.go); callers hear how loaded the backend is by Retry-After, by the
+// advertised value, health and idle timeout (feedback.go); the slower calls to the dependency are, the fewer
+// are in flight (calls.go).
 package admission
 
 // Micros is a point or a span of time in whole microseconds.
@@ -105,7 +111,7 @@
 // Opened is the first event of an instance.
 type Opened struct{}
 
-// Arrived: an invocation has been read and waits for a decision or a start.
+// Arrived says that an invocation has been read and waits for a decision or a start.
 type Arrived struct {
 	ID           string
 	Operation    int
@@ -134,27 +140,27 @@
 // Launched confirms the start of a waiting invocation; see Config.ConfirmStarts.
 type Launched struct{ ID string }
 
-// Finished: a run, or the answer of a Reuse, has ended.
+// Finished says that a run, or the answer of a Reuse, has ended.
 type Finished struct {
 	ID      string
 	Outcome Outcome
 	Took    Micros
 }
 
-// CallerGone: nobody waits for this invocation any more.
+// CallerGone says that nobody waits for this invocation any more.
 type CallerGone struct{ ID string }
 
-// NeedsCall: a run waits for a call to a dependency.
+// NeedsCall says that a run waits for a call to a dependency.
 type NeedsCall struct{ ID string }
 
-// CallReturned: a call to a dependency has ended.
+// CallReturned says how a call to a dependency ended.
 type CallReturned struct {
 	ID      string
 	Outcome Outcome
 	Took    Micros
 }
 
-// DrainNotice: the process is stopped after Left.
+// DrainNotice begins a graceful shutdown: the process is stopped after Left.
 type DrainNotice struct{ Left Micros }
 
 // Reading is the timer of Wake with the gauges of that moment; a gauge that the deployment lacks is -1.
