--- /dev/null
+++ b/internal/backend/dispatch/admit.go
@@ -0,0 +1,180 @@
+package dispatch
+
+import (
+	"time"
+
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/degradation"
+)
+
+// Admit passes a request to the module and blocks until it is to run, is answered without a run, or its caller has left.
+// The request returned is nil unless the verdict is Admitted; then Complete must follow once the run has ended.
+func (d *Dispatcher) Admit(inv Invocation) (Response, *Request) {
+	d.awaitFreshTick()
+	req := d.register(inv)
+	var resp Response
+	select {
+	case resp = <-req.responses:
+	case <-inv.CallerLeft:
+		d.Abandon(req)
+		resp = <-req.responses
+	}
+	if resp.Verdict != Admitted {
+		return resp, nil
+	}
+	return resp, req
+}
+
+// Abandon reports that the caller has left. A run goes on, and Complete must still follow.
+func (d *Dispatcher) Abandon(req *Request) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !req.answered {
+		d.respond(req, Response{Verdict: Abandoned})
+		_ = d.decide(Now(), admission.CallerGone{ID: req.id})
+	}
+}
+
+// Complete reports how a run ended and its result, which may be cached. It returns whether the caller is still to be
+// answered: not if the final response has been given already, or the caller has left.
+func (d *Dispatcher) Complete(req *Request, outcome Outcome, result []byte) (owed bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	owed = !req.answered
+	if owed && outcome == RunSucceeded {
+		d.countSuccess(req)
+	}
+	req.answered = true
+	if outcome == NeverRan || outcome == Unrunnable {
+		d.refundUnit(req)
+	}
+	delete(d.inFlight, req.id)
+	d.recordResult(req, outcome, result)
+	_ = d.decide(Now(), admission.Finished{ID: req.id, Outcome: moduleOutcomes[outcome]})
+	return owed
+}
+
+// awaitFreshTick waits a little for the next tick if the last one is long past. A process that was suspended finds a crowd
+// of arrivals, which would be decided by old gauges while the ends of runs and the new gauges are still unread on the
+// executor's connection. The next sample follows those ends.
+func (d *Dispatcher) awaitFreshTick() {
+	d.mu.Lock()
+	if d.backend == nil || Now()-d.lastTick <= Micros(d.bounds.HeldUp.Microseconds()) {
+		d.mu.Unlock()
+		return
+	}
+	if d.tickDone == nil {
+		d.tickDone = make(chan struct{})
+	}
+	tickDone := d.tickDone
+	d.mu.Unlock()
+	timeout := time.NewTimer(2 * d.bounds.SampleWait)
+	defer timeout.Stop()
+	select {
+	case <-tickDone:
+	case <-timeout.C:
+	}
+}
+
+// register adds a request to those in flight and has the module decide on it, or rejects it before that.
+func (d *Dispatcher) register(inv Invocation) *Request {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := Now()
+	req := d.newRequest(&inv)
+	keyed := d.identify(inv, req)
+	if resp, rejected := d.rejectEarly(now, &inv, req, keyed); rejected {
+		// It is not in flight: its caller's leaving must not end another request of the same id.
+		req.answered = true
+		req.responses <- resp
+		return req
+	}
+	d.inFlight[inv.ID] = req
+	d.counts.Arrived++
+	if req.deadline <= now {
+		d.counts.Expired++
+	}
+	req.shedAdvice = d.shedAdvice(&inv, req)
+	panicked := d.decide(now, admission.Arrived{
+		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Priority: inv.Rank, Retry: inv.Retry,
+		ExpectedWork: inv.ExpectedWork, QueueTime: max(0, now-inv.ArrivedAt),
+		TimeLeft: max(1, req.deadline-now), // a deadline that has passed is due at once; 0 would mean that there is none
+		MemoryKB: inv.MemoryKB, RepeatOf: req.original, ShedFor: req.shedAdvice, Quota: d.acquireUnit(&inv, req),
+	})
+	if panicked != nil {
+		d.respond(req, Response{Verdict: Errored})
+	}
+	return req
+}
+
+func (d *Dispatcher) newRequest(inv *Invocation) *Request {
+	req := &Request{
+		id: inv.ID, deadline: inv.ArrivedAt + inv.CallerTimeout, drawnBudget: noBudget,
+		responses: make(chan Response, maxResponses),
+	}
+	if operations := d.sheet.Admission.Operations; inv.Operation < len(operations) {
+		req.objectiveAt = inv.ArrivedAt + operations[inv.Operation].Objective
+	}
+	return req
+}
+
+// rejectEarly returns the response to a request that the module never hears of.
+func (d *Dispatcher) rejectEarly(now Micros, inv *Invocation, req *Request, keyed bool) (resp Response, rejected bool) {
+	goElsewhere := Response{Verdict: Throttled, RetryAfter: d.sheet.Admission.MaxRetryAfter}
+	if req.original != "" { // the original has run, or may yet: other backends must not be invited to run it too
+		goElsewhere = Response{Verdict: Errored}
+	}
+	arrived := min(now, inv.ArrivedAt)
+	switch {
+	case d.inFlight[inv.ID] != nil || d.results != nil && d.results.Contains(inv.ID):
+		// Ids are new for each attempt. This one is not, and must not end the other, nor evict its cached result.
+		return Response{Verdict: Errored}, true
+	case d.backend == nil:
+		return Response{Verdict: Throttled}, true
+	case d.graceEnd != 0 && d.graceEnd <= arrived && arrived <= d.moduleGraceEnd: // see Drain
+		return goElsewhere, true
+	case keyed && (inv.IdempotencyKey == "" || now-inv.ArrivedAt > d.maxReadDelay()):
+		// Its original cannot be known, or may have been evicted.
+		return Response{Verdict: Errored}, true
+	case keyed && req.original == "" && !d.results.HasCapacity(): // its repeats would run again
+		d.counts.CacheFull++
+		return goElsewhere, true
+	}
+	return Response{}, false
+}
+
+// respond gives a request its final response, once.
+func (d *Dispatcher) respond(req *Request, resp Response) {
+	if req.answered {
+		return
+	}
+	req.answered = true
+	req.responses <- resp
+	if !req.running {
+		d.refundUnit(req)
+	}
+	if req.original != "" {
+		d.results.RemoveWaiter(req.original, req.id)
+	}
+	d.countResponse(req, resp.Verdict)
+	if !req.running {
+		delete(d.inFlight, req.id)
+	}
+}
+
+func (d *Dispatcher) countResponse(req *Request, verdict Verdict) {
+	switch verdict {
+	case Throttled:
+		d.counts.Throttled++
+		if req.shedAdvice == 0 {
+			d.degradation.count(degradation.Rejections)
+		}
+	case Errored:
+		d.counts.Errored++
+	case Abandoned:
+		d.counts.Abandoned++
+	case Replayed:
+		d.counts.Replayed++
+		d.countSuccess(req)
+	}
+}
--- /dev/null
+++ b/internal/backend/dispatch/clock.go
@@ -0,0 +1,24 @@
+package dispatch
+
+import (
+	"time"
+
+	"milletbarrow/admission"
+)
+
+// Micros is a point of Unix time, or a span, in whole microseconds.
+type Micros = admission.Micros
+
+// The dispatcher's clock is the Unix time at the start of the process, carried on by the monotonic clock: setting the wall
+// clock an hour back must not stop the ticks for an hour, nor an hour ahead make every request in flight overdue.
+var (
+	clockStart = time.Now()
+	clockBase  = Micros(clockStart.UnixMicro())
+)
+
+// Now is the time of the dispatcher's clock, the only clock of decisions.
+func Now() Micros { return clockBase + Micros(time.Since(clockStart).Microseconds()) }
+
+// FromWallClock converts a wall-clock time to the dispatcher's clock, however far the wall clock has been set since the
+// start of the process.
+func FromWallClock(at Micros) Micros { return Now() - (Micros(time.Now().UnixMicro()) - at) }
--- a/internal/backend/dispatch/degradation.go
+++ b/internal/backend/dispatch/degradation.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"time"
@@ -10,145 +11,175 @@
 	"milletbarrow/internal/process"
 )
 
-// degradationState is what levels of reduced service add to a gate; nil without a ladder. The gate's lock guards it.
+// degradationState is what a degradation policy adds to a dispatcher, guarded by its lock.
 type degradationState struct {
 	policy        *degradation.Policy
 	controller    *degradation.Controller
 	shedder       *degradation.Shedder
 	meter         *degradation.SignalMeter
-	recentChanges []degradation.Change // the latest, oldest first
-	shedCount     int                  // invocations, since the start
-	signalsAt     degradation.Micros   // of the latest signals
-	signals       degradation.Signals
+	recentChanges []degradation.Change // oldest first
+	shedCount     int                  // requests, since the start
+	signalsAt     degradation.Micros
+	signals       degradation.Signals // the latest
 }
 
-// maxRecentChanges are kept for who inspects.
+// maxRecentChanges is how many changes of the level are kept for inspection.
 const maxRecentChanges = 16
 
-// SetDegradationPolicy has the gate follow a ladder from now on. An error names what of it this deployment does not have.
-func (d *Dispatcher) SetDegradationPolicy(l *degradation.Policy) error {
-	drawer, err := degradation.NewShedder(l, d.sheet.Operations, d.sheet.Tenants, d.seed)
+// minShedAdvice is the Retry-After of a request that a level sheds. Advice is about this backend, not about the operation:
+// a longer one would keep away requests that are not shed.
+const minShedAdvice admission.Micros = 1
+
+// degradationNow is the clock of the degradation controller. Setting the wall clock must not change a level.
+func degradationNow() degradation.Micros { return degradation.Micros(process.Now()) }
+
+// SetDegradationPolicy puts a policy in force, or replaces the present one; the level in force goes on. An error names
+// what in the policy this deployment does not have.
+func (d *Dispatcher) SetDegradationPolicy(policy *degradation.Policy) error {
+	shedder, err := degradation.NewShedder(policy, d.sheet.Operations, d.sheet.Tenants, d.seed)
 	if err != nil {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := &degradationState{policy: l, controller: degradation.NewController(l), shedder: drawer, meter: degradation.NewSignalMeter(d.sheet.Admission.Cores)}
-	if d.degradation != nil { // another ladder: the level in force goes on
-		r.controller, r.meter, r.recentChanges, r.shedCount = d.degradation.controller.WithPolicy(l), d.degradation.meter, d.degradation.recentChanges, d.degradation.shedCount
-	}
-	d.degradation = r
+	state := &degradationState{policy: policy, shedder: shedder}
+	if old := d.degradation; old != nil {
+		state.controller, state.meter = old.controller.WithPolicy(policy), old.meter
+		state.recentChanges, state.shedCount = old.recentChanges, old.shedCount
+	} else {
+		state.controller = degradation.NewController(policy)
+		state.meter = degradation.NewSignalMeter(d.sheet.Admission.Cores)
+	}
+	d.degradation = state
 	return nil
 }
 
-// shedAdvice is above 0 if a level sheds an invocation that comes now: what advice is to be at the least, as admit has it.
-func (d *Dispatcher) shedAdvice(inv *Invocation, t *Request) admission.Micros {
-	r := d.degradation
-	if r == nil {
+// shedAdvice returns the least Retry-After of a request that the level in force sheds, or 0 if it does not shed it.
+func (d *Dispatcher) shedAdvice(inv *Invocation, req *Request) admission.Micros {
+	state := d.degradation
+	if state == nil {
 		return 0
 	}
-	now := degradation.Micros(process.Now())
-	level := r.controller.Level()
-	if t.original != "" || !r.shedder.ShouldShed(level, r.controller.Depth(now), inv.Operation, inv.Tenant, inv.Rank, degradation.Micros(inv.ExpectedWork)) {
-		r.meter.Count(now, degradation.Arrivals)
+	now := degradationNow()
+	level, depth := state.controller.Level(), state.controller.Depth(now)
+	if req.original != "" || !state.shedder.ShouldShed(level, depth, inv.Operation, inv.Tenant, inv.Rank, degradation.Micros(inv.ExpectedWork)) {
+		state.meter.Count(now, degradation.Arrivals)
 		if inv.Retry {
-			r.meter.Count(now, degradation.RetriedArrivals)
+			state.meter.Count(now, degradation.RetriedArrivals)
 		}
 		return 0
 	}
-	r.shedCount++
-	return 1 // advice is about this backend, not about the operation: a longer one would keep away what is not shed
+	state.shedCount++
+	return minShedAdvice
 }
 
-// count has the meter count something of an invocation that was not shed.
-func (r *degradationState) count(c degradation.Counter) {
-	if r != nil {
-		r.meter.Count(degradation.Micros(process.Now()), c)
+// countSuccess counts a successful answer, and whether it missed the latency objective.
+func (d *Dispatcher) countSuccess(req *Request) {
+	d.degradation.count(degradation.Successes)
+	if Now() > req.objectiveAt {
+		d.degradation.count(degradation.LateSuccesses)
 	}
 }
 
-// updateLevel moves along the ladder with each tick.
+// count counts an event of a request that no level sheds; nil counts nothing.
+func (state *degradationState) count(counter degradation.Counter) {
+	if state != nil {
+		state.meter.Count(degradationNow(), counter)
+	}
+}
+
+// updateLevel measures the signals and has the controller change the level.
 func (d *Dispatcher) updateLevel(reading admission.Reading) {
-	r := d.degradation
-	if r == nil {
+	state := d.degradation
+	if state == nil {
 		return
 	}
-	now := degradation.Micros(process.Now()) // setting the wall clock must not move a level
+	now := degradationNow()
 	if d.draining {
-		r.meter.SetDraining()
-	}
-	wanting := reading.OnCores
-	if wanting >= 0 { // the farm knows of the runs alone; what is held here wants a core too
-		for _, t := range d.inFlight {
-			if !t.running && !t.answered {
-				wanting++
-			}
-		}
+		state.meter.SetDraining()
 	}
-	s := r.meter.Signals(now, wanting, reading.CoreUse, reading.MemoryShare, len(d.gauges) > 0)
-	r.signalsAt, r.signals = now, s
-	if c, changed := r.controller.Update(now, s); changed {
-		d.recordLevelChange(c)
+	demand := reading.OnCores
+	if demand >= 0 { // the executor knows of the runs alone; queued requests want a core too
+		demand += float64(d.queued())
 	}
+	state.signals = state.meter.Signals(now, demand, reading.CoreUse, reading.MemoryShare, len(d.gauges) > 0)
+	state.signalsAt = now
+	if change, changed := state.controller.Update(now, state.signals); changed {
+		state.recordChange(change)
+	}
+}
+
+// queued is how many requests wait for a start.
+func (d *Dispatcher) queued() (n int) {
+	for _, req := range d.inFlight {
+		if !req.running && !req.answered {
+			n++
+		}
+	}
+	return n
 }
 
-func (d *Dispatcher) recordLevelChange(c degradation.Change) {
-	r := d.degradation
-	if r.recentChanges = append(r.recentChanges, c); len(r.recentChanges) > maxRecentChanges {
-		r.recentChanges = r.recentChanges[1:]
+func (state *degradationState) recordChange(change degradation.Change) {
+	state.recentChanges = append(state.recentChanges, change)
+	if len(state.recentChanges) > maxRecentChanges {
+		state.recentChanges = state.recentChanges[1:]
 	}
-	slog.Warn("level", "from", r.policy.LevelName(c.From), "to", r.policy.LevelName(c.To), "collapse", c.Collapse,
-		"cause", c.Cause, "signals", c.Signals.String())
+	slog.Warn("level", "from", state.policy.LevelName(change.From), "to", state.policy.LevelName(change.To),
+		"collapse", change.Collapse, "cause", change.Cause, "signals", change.Signals.String())
 }
 
-// DegradationStatus tells how service is reduced.
+// DegradationStatus is the state of graceful degradation.
 type DegradationStatus struct {
-	Policy  string
-	Level   string
-	Number  int
-	Depth   float64
-	Shed    int
+	Policy  string   // its name
+	Level   string   // the name of the level in force
+	Number  int      // of the level, 0 for full service
+	Depth   float64  // how much of the level's rules is in force, 0 to 1
+	Shed    int      // requests, since the start
 	Changes []string // the latest, oldest first
 	At      degradation.Micros
-	Signals degradation.Signals // as they were measured
+	Signals degradation.Signals // at that time, unsmoothed
 }
 
-// DegradationStatus tells how service is reduced; ok is false without a ladder.
+// DegradationStatus returns the state of graceful degradation; ok is false without a policy.
 func (d *Dispatcher) DegradationStatus() (status DegradationStatus, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := d.degradation
-	if r == nil {
+	state := d.degradation
+	if state == nil {
 		return status, false
 	}
-	n := r.controller.Level()
+	level := state.controller.Level()
 	status = DegradationStatus{
-		Policy: r.policy.Name, Level: r.policy.LevelName(n), Number: n, Depth: r.controller.Depth(degradation.Micros(process.Now())), Shed: r.shedCount, At: r.signalsAt, Signals: r.signals,
+		Policy: state.policy.Name, Level: state.policy.LevelName(level), Number: level,
+		Depth: state.controller.Depth(degradationNow()), Shed: state.shedCount, At: state.signalsAt, Signals: state.signals,
 	}
-	for _, c := range r.recentChanges {
-		status.Changes = append(status.Changes, fmt.Sprintf("%d: %v", c.At, c))
+	for _, change := range state.recentChanges {
+		status.Changes = append(status.Changes, fmt.Sprintf("%d: %v", change.At, change))
 	}
 	return status, true
 }
 
-// OverrideLevel holds a level by its name for a while; see levels.Mover.
-func (d *Dispatcher) OverrideLevel(name string, span time.Duration, by string, above bool) error {
+// ErrNoPolicy is the error of an override while no degradation policy is in force.
+var ErrNoPolicy = errors.New("no ladder is in force")
+
+// OverrideLevel holds the level of that name for a while, on behalf of by; see degradation.Controller.Override.
+func (d *Dispatcher) OverrideLevel(name string, span time.Duration, by string, allowAbove bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := d.degradation
-	if r == nil {
-		return fmt.Errorf("no ladder is in force")
-	}
-	for n := range len(r.policy.Levels) + 1 {
-		if r.policy.LevelName(n) == name {
-			now := degradation.Micros(process.Now())
-			return r.controller.Override(now, n, now+degradation.Micros(span.Microseconds()), by, above)
+	state := d.degradation
+	if state == nil {
+		return ErrNoPolicy
+	}
+	for level := range len(state.policy.Levels) + 1 {
+		if state.policy.LevelName(level) == name {
+			now := degradationNow()
+			return state.controller.Override(now, level, now+degradation.Micros(span.Microseconds()), by, allowAbove)
 		}
 	}
-	return fmt.Errorf("level: %q is none of ladder %s", name, r.policy.Name)
+	return fmt.Errorf("level: %q is none of ladder %s", name, state.policy.Name)
 }
 
-// ClearOverride lets the signals decide again.
+// ClearOverride ends an override: the signals decide again.
 func (d *Dispatcher) ClearOverride() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- /dev/null
+++ b/internal/backend/dispatch/module.go
@@ -0,0 +1,76 @@
+package dispatch
+
+import (
+	"fmt"
+	"log/slog"
+	"runtime/debug"
+
+	"milletbarrow/admission"
+)
+
+// decide passes an event to the module and carries out the actions that it returns. A panic in the module is logged and
+// returned as an error; requests in flight stay so and are answered when they are overdue.
+func (d *Dispatcher) decide(now Micros, event admission.Event) (err error) {
+	if d.backend == nil {
+		return nil
+	}
+	defer func() {
+		if r := recover(); r != nil {
+			d.counts.Panics++
+			err = fmt.Errorf("%v", r)
+			slog.Error("fault", "in", fmt.Sprintf("%T", event), "text", err, "stack", string(debug.Stack()))
+		}
+	}()
+	d.actions = d.backend.Decide(now, event, d.actions[:0])
+	for _, action := range d.actions {
+		d.perform(action)
+	}
+	d.observeShadow(now, event)
+	d.answerRepeats()
+	return nil
+}
+
+// perform carries out one action of the module.
+func (d *Dispatcher) perform(action admission.Action) {
+	switch a := action.(type) {
+	case admission.Start:
+		d.start(a.ID)
+	case admission.Throttle:
+		if req := d.inFlight[a.ID]; req != nil {
+			d.respond(req, Response{Verdict: Throttled, RetryAfter: a.RetryAfter, DontRetry: a.DontRetry})
+		}
+	case admission.Fail:
+		if req := d.inFlight[a.ID]; req != nil {
+			d.respond(req, Response{Verdict: Errored})
+		}
+	case admission.Remember:
+		d.remember(a)
+	case admission.Forget:
+		d.readyRepeats = append(d.readyRepeats, d.results.Forget(a.ID)...)
+	case admission.Reuse:
+		d.awaitOriginal(a.ID)
+	case admission.SetHealth:
+		if d.healthy != a.Good {
+			d.healthy = a.Good
+			slog.Info("health", "good", a.Good)
+		}
+	case admission.CloseIdle:
+		d.idleTimeout = a.After
+		slog.Info("idle", "after_us", a.After)
+	case admission.Wake:
+		d.nextTick, d.timerToken = a.At, a.Token
+	case admission.Log:
+		slog.Info("module", "text", a.Text)
+	default: // no action for this front end; the configuration refuses deployments that would need it
+		slog.Error("fault", "in", fmt.Sprintf("%T", action), "text", "no way to carry it out")
+	}
+}
+
+// start lets a request run that waits for that.
+func (d *Dispatcher) start(id string) {
+	if req := d.inFlight[id]; req != nil && !req.running && !req.answered {
+		req.running = true
+		d.counts.Started++
+		req.responses <- Response{Verdict: Admitted}
+	}
+}
--- a/internal/backend/dispatch/quota.go
+++ b/internal/backend/dispatch/quota.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"errors"
 	"fmt"
 
 	"milletbarrow/admission"
@@ -8,113 +9,124 @@
 	"milletbarrow/internal/backend/quotalog"
 )
 
-// quotaState are what fleet-wide budgets add to a gate; nil where there are none. The gate's lock guards them.
+// quotaState is what fleet-wide budgets add to a dispatcher, guarded by its lock.
 type quotaState struct {
 	holder         *quota.Holder
-	clock          func() quota.Micros // the holder's own
-	machineClock   func() int64        // the machine's, for stamps
-	budgetOfTenant []int               // by tenant: the budget that it draws from, or -1
-	log            *quotalog.Log       // nil where nobody audits
+	clock          func() quota.Micros
+	machineClock   func() int64
+	budgetOfTenant []int // index of the holder's budget, or noBudget
+	log            *quotalog.Log
 }
 
-// QuotaConfig is what a gate draws from.
+// QuotaConfig names the budgets that tenants draw from.
 type QuotaConfig struct {
 	Holder       *quota.Holder
-	Tenants      map[string]string   // by tenant: its budget
-	Clock        func() quota.Micros // the machine's own, sleep counted; leases are judged by it
-	MachineClock func() int64
-	Log          *quotalog.Log // for an auditor; may be nil
+	Tenants      map[string]string   // budget by tenant
+	Clock        func() quota.Micros // of leases; includes time that the machine is suspended
+	MachineClock func() int64        // of the log, in microseconds
+	Log          *quotalog.Log       // for an auditor; may be nil
 }
 
-// SetQuotas has the gate draw tenants' work from budgets, from now on. An error names a tenant that this deployment lacks.
-func (d *Dispatcher) SetQuotas(s QuotaConfig) error {
-	all := &quotaState{holder: s.Holder, clock: s.Clock, machineClock: s.MachineClock, budgetOfTenant: make([]int, len(d.sheet.Tenants)), log: s.Log}
+// ErrNoQuotas is the error of a lease response where no budget is drawn from.
+var ErrNoQuotas = errors.New("no budget is drawn from here")
+
+// SetQuotas has requests draw units from their tenants' budgets from now on. An error names a tenant that this deployment
+// does not have.
+func (d *Dispatcher) SetQuotas(cfg QuotaConfig) error {
+	state := &quotaState{
+		holder: cfg.Holder, clock: cfg.Clock, machineClock: cfg.MachineClock,
+		budgetOfTenant: make([]int, len(d.sheet.Tenants)), log: cfg.Log,
+	}
 	found := 0
-	for i, name := range d.sheet.Tenants {
-		all.budgetOfTenant[i] = -1
-		if b, ok := s.Tenants[name]; ok {
-			all.budgetOfTenant[i] = s.Holder.Index(b)
+	for i, tenant := range d.sheet.Tenants {
+		state.budgetOfTenant[i] = noBudget
+		if budget, ok := cfg.Tenants[tenant]; ok {
+			state.budgetOfTenant[i] = cfg.Holder.Index(budget)
 			found++
 		}
 	}
-	if found < len(s.Tenants) {
-		return fmt.Errorf("draw: some tenant of %v is none of this deployment's %v", s.Tenants, d.sheet.Tenants)
+	if found < len(cfg.Tenants) {
+		return fmt.Errorf("draw: some tenant of %v is none of this deployment's %v", cfg.Tenants, d.sheet.Tenants)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.quotas = all
+	d.quotas = state
 	return nil
 }
 
-// acquireUnit takes a unit of the tenant's budget for work that comes now. What a level sheds takes none, nor does a repeat.
-func (d *Dispatcher) acquireUnit(inv *Invocation, t *Request) admission.QuotaStanding {
-	s := d.quotas
-	if s == nil || t.shedAdvice > 0 || t.original != "" || inv.Tenant < 0 || inv.Tenant >= len(s.budgetOfTenant) || s.budgetOfTenant[inv.Tenant] < 0 {
+// acquireUnit takes a unit of the tenant's budget for a request. One that a level sheds takes none, nor does a repeat.
+func (d *Dispatcher) acquireUnit(inv *Invocation, req *Request) admission.QuotaStanding {
+	state := d.quotas
+	if state == nil || req.shedAdvice > 0 || req.original != "" || inv.Tenant < 0 || inv.Tenant >= len(state.budgetOfTenant) {
 		return admission.QuotaUnknown
 	}
-	if s.holder.TryAcquire(s.clock(), s.budgetOfTenant[inv.Tenant]) {
-		t.drawnBudget = s.budgetOfTenant[inv.Tenant]
-		return admission.WithinQuota
+	budget := state.budgetOfTenant[inv.Tenant]
+	switch {
+	case budget < 0:
+		return admission.QuotaUnknown
+	case !state.holder.TryAcquire(state.clock(), budget):
+		return admission.OverQuota
 	}
-	return admission.OverQuota
+	req.drawnBudget = budget
+	return admission.WithinQuota
 }
 
-// refundUnit lets others of its tenant have the unit that was drawn for work that never ran.
-func (d *Dispatcher) refundUnit(t *Request) {
-	if t.drawnBudget >= 0 {
-		d.quotas.holder.Refund(d.quotas.clock(), t.drawnBudget)
-		t.drawnBudget = -1
+// refundUnit returns the unit of a request that never ran to its tenant's budget.
+func (d *Dispatcher) refundUnit(req *Request) {
+	if req.drawnBudget >= 0 {
+		d.quotas.holder.Refund(d.quotas.clock(), req.drawnBudget)
+		req.drawnBudget = noBudget
 	}
 }
 
-// QuotaRequest makes a question for the ledger; ok is false where there are no budgets.
-func (d *Dispatcher) QuotaRequest() (a quota.LeaseRequest, ok bool) {
+// QuotaRequest returns a request to renew the leases; ok is false without budgets.
+func (d *Dispatcher) QuotaRequest() (request quota.LeaseRequest, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.quotas == nil {
-		return a, false
+		return request, false
 	}
 	return d.quotas.holder.NewRequest(d.quotas.clock()), true
 }
 
-// ApplyQuotaResponse takes in what the ledger grants.
-func (d *Dispatcher) ApplyQuotaResponse(a quota.LeaseResponse) error {
+// ApplyQuotaResponse takes in what was granted. An error means that nothing was changed, or that the log failed.
+func (d *Dispatcher) ApplyQuotaResponse(response quota.LeaseResponse) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.quotas
-	if s == nil {
-		return fmt.Errorf("no budget is drawn from here")
+	state := d.quotas
+	if state == nil {
+		return ErrNoQuotas
 	}
-	at := s.machineClock() // before the holder's clock is read: a stamp must not let a lease seem to last longer
-	now := s.clock()
-	if err := s.holder.Apply(now, a); err != nil {
+	at := state.machineClock() // read before the holder's clock: the log must not show a lease that lasts longer
+	now := state.clock()
+	if err := state.holder.Apply(now, response); err != nil {
 		return err
 	}
-	return s.recordHeld(at, now)
+	return state.recordHeld(at, now)
 }
 
-// recordHeld stamps what is held, if anybody reads that.
-func (s *quotaState) recordHeld(at int64, now quota.Micros) error {
-	if s.log == nil {
+// recordHeld logs what is held.
+func (state *quotaState) recordHeld(at int64, now quota.Micros) error {
+	if state.log == nil {
 		return nil
 	}
-	return s.log.RecordHeld(at, now, s.holder.Status(now))
+	return state.log.RecordHeld(at, now, state.holder.Status(now))
 }
 
-// ReleaseQuotas gives all back; it is the last that this process draws.
+// ReleaseQuotas gives up all that is held: this process acquires no unit any more.
 func (d *Dispatcher) ReleaseQuotas() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s := d.quotas; s != nil {
-		s.recordUse(s.clock())
-		at := s.machineClock()
-		now := s.clock()
-		s.holder.Release(now)
-		s.recordHeld(at, now)
+	if state := d.quotas; state != nil {
+		state.recordUse(state.clock())
+		at := state.machineClock()
+		now := state.clock()
+		state.holder.Release(now)
+		_ = state.recordHeld(at, now) // the process ends; the auditor sees that the log stops
 	}
 }
 
-// QuotaStatus are the budgets as they are held; nil where there are none.
+// QuotaStatus returns the budgets as they are held; nil without budgets.
 func (d *Dispatcher) QuotaStatus() []quota.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,7 +136,7 @@
 	return d.quotas.holder.Status(d.quotas.clock())
 }
 
-// LogQuotaUse writes down what was drawn since the last time, where somebody audits.
+// LogQuotaUse logs the units acquired since the last time, if there is a log.
 func (d *Dispatcher) LogQuotaUse() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,8 +145,8 @@
 	}
 }
 
-func (s *quotaState) recordUse(now quota.Micros) {
-	if s.log != nil {
-		s.log.RecordDrawn(s.machineClock(), s.holder.Status(now))
+func (state *quotaState) recordUse(now quota.Micros) {
+	if state.log != nil {
+		_ = state.log.RecordDrawn(state.machineClock(), state.holder.Status(now)) // serving goes on without an auditor
 	}
 }
--- a/internal/backend/dispatch/replay.go
+++ b/internal/backend/dispatch/replay.go
@@ -5,60 +5,61 @@
 	"milletbarrow/internal/backend/idempotency"
 )
 
-// identify notes by what the repeats of a tokened invocation are known, and which one it repeats itself. The gate's lock is held.
-func (d *Dispatcher) identify(inv Invocation, t *Request) (tokened bool) {
-	ops := d.sheet.Admission.Operations
-	if inv.Operation >= len(ops) || ops[inv.Operation].RetrySafety != admission.IdempotencyKeyed {
+// identify sets the idempotency key of a request and finds the original that it repeats. It returns false if the operation
+// is not keyed. The lock is held.
+func (d *Dispatcher) identify(inv Invocation, req *Request) (keyed bool) {
+	operations := d.sheet.Admission.Operations
+	if inv.Operation >= len(operations) || operations[inv.Operation].RetrySafety != admission.IdempotencyKeyed {
 		return false
 	}
-	t.key = idempotency.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.IdempotencyKey}
-	t.original = d.results.Find(t.key, min(inv.ArrivedAt, Now())) // later, if the wall clock was set back
+	req.key = idempotency.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.IdempotencyKey}
+	req.original = d.results.Find(req.key, min(inv.ArrivedAt, Now())) // it seems to arrive later than now if the wall clock was set back
 	return true
 }
 
-// IsRepeat tells whether an invocation repeats one that is remembered here.
+// IsRepeat reports whether a request repeats one that is cached here.
 func (d *Dispatcher) IsRepeat(inv Invocation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var t Request
-	return d.identify(inv, &t) && t.original != ""
+	var req Request
+	return d.identify(inv, &req) && req.original != ""
 }
 
-// maxReadDelay is how long ago what is read now can have reached the machine at most; what is older has no caller any more.
-func (d *Dispatcher) maxReadDelay() (most Micros) {
+// maxReadDelay is the longest time between a request's arrival and its being read; the caller of an older one has given up.
+func (d *Dispatcher) maxReadDelay() (longest Micros) {
 	for _, op := range d.sheet.Admission.Operations {
-		most = max(most, op.ClientTimeout)
+		longest = max(longest, op.ClientTimeout)
 	}
-	return most + d.sheet.Admission.AnswerSlack
+	return longest + d.sheet.Admission.AnswerSlack
 }
 
-// remember keeps an invocation for as long as the module asks, and a little longer: whoever judges may read another clock.
+// remember caches a request for as long as the module wants, and a little longer, as the caller's clock may differ.
 func (d *Dispatcher) remember(a admission.Remember) {
-	if t := d.inFlight[a.ID]; t != nil {
-		d.results.Remember(a.ID, t.key, Now()+a.For+d.sheet.Admission.AnswerSlack)
+	if req := d.inFlight[a.ID]; req != nil {
+		d.results.Remember(a.ID, req.key, Now()+a.For+d.sheet.Admission.AnswerSlack)
 	}
 }
 
-// awaitOriginal has a repeat wait for what it repeats, or answers it once the module's actions have been carried out.
+// awaitOriginal has a repeat wait for its original, or has answerRepeats answer it if that has ended.
 func (d *Dispatcher) awaitOriginal(id string) {
-	if t := d.inFlight[id]; t != nil && !t.answered && d.results.AddWaiter(t.original, id) {
+	if req := d.inFlight[id]; req != nil && !req.answered && d.results.AddWaiter(req.original, id) {
 		d.readyRepeats = append(d.readyRepeats, id)
 	}
 }
 
-// recordResult keeps how a run ended, for its repeats. One that never ran is forgotten: its repeat is the first.
-func (d *Dispatcher) recordResult(t *Request, end Outcome, result []byte) {
+// recordResult caches how a run ended, for its repeats. One that never ran is evicted: its next repeat runs.
+func (d *Dispatcher) recordResult(req *Request, outcome Outcome, result []byte) {
 	switch {
-	case t.key.Token == "":
-	case end == NeverRan || end == Unrunnable:
-		d.readyRepeats = append(d.readyRepeats, d.results.Forget(t.id)...)
+	case req.key.Token == "":
+	case outcome == NeverRan || outcome == Unrunnable:
+		d.readyRepeats = append(d.readyRepeats, d.results.Forget(req.id)...)
 	default:
-		d.readyRepeats = append(d.readyRepeats, d.results.Complete(t.id, end == RunSucceeded, result)...)
+		d.readyRepeats = append(d.readyRepeats, d.results.Complete(req.id, outcome == RunSucceeded, result)...)
 	}
 }
 
-// answerRepeats answers repeats of what has ended: with its result, else as errored, since what they ask for may have happened.
-// Where nothing ran they may come again, and soon: what kept the first from running is over or was its caller's leaving.
+// answerRepeats answers repeats whose original has ended. It waits until the module's actions have been carried out, and
+// its own events may make further repeats ready.
 func (d *Dispatcher) answerRepeats() {
 	if d.answeringRepeats {
 		return
@@ -66,20 +67,25 @@
 	d.answeringRepeats = true
 	defer func() { d.answeringRepeats = false }()
 	for len(d.readyRepeats) > 0 {
-		t := d.inFlight[d.readyRepeats[0]]
+		req := d.inFlight[d.readyRepeats[0]]
 		d.readyRepeats = d.readyRepeats[1:]
-		if t == nil || t.answered {
-			continue
+		if req != nil && !req.answered {
+			d.answerRepeat(req)
 		}
-		word, outcome := Response{Verdict: Errored}, admission.Errored
-		switch result, ok, ran := d.results.Result(t.original); {
-		case ok:
-			word, outcome = Response{Verdict: Replayed, Result: result}, admission.OK
-		case !ran:
-			word = Response{Verdict: Throttled, RetryAfter: Micros(d.bounds.ComeBack.Microseconds())}
-		}
-		d.respond(t, word)
-		d.decide(Now(), admission.Finished{ID: t.id, Outcome: outcome})
 	}
 	d.readyRepeats = nil
 }
+
+// answerRepeat answers with the original's result. Without one the repeat fails, since its effect may have happened. If
+// nothing ran the caller may soon retry: the original was not started for a cause that has passed, or its caller left.
+func (d *Dispatcher) answerRepeat(req *Request) {
+	resp, outcome := Response{Verdict: Errored}, admission.Errored
+	switch result, ok, ran := d.results.Result(req.original); {
+	case ok:
+		resp, outcome = Response{Verdict: Replayed, Result: result}, admission.OK
+	case !ran:
+		resp = Response{Verdict: Throttled, RetryAfter: Micros(d.bounds.ComeBack.Microseconds())}
+	}
+	d.respond(req, resp)
+	_ = d.decide(Now(), admission.Finished{ID: req.id, Outcome: outcome})
+}
--- a/internal/backend/dispatch/shadow.go
+++ b/internal/backend/dispatch/shadow.go
@@ -6,14 +6,14 @@
 	"milletbarrow/internal/config"
 )
 
-// shadowState is what settings that are not acted on add to a gate. The gate's lock guards it.
+// shadowState is what a shadow configuration adds to a dispatcher, guarded by its lock.
 type shadowState struct {
 	sheet     *config.Settings
-	evaluator *shadow.Evaluator // nil until the gate is open
+	evaluator *shadow.Evaluator // nil until Open
 }
 
-// SetShadow counts from now on where other settings would have decided otherwise; nil ends it. Nothing that they decide
-// leaves the gate. What is in hand now is not compared.
+// SetShadow counts from now on where another configuration would have decided otherwise; nil ends it. No action of the
+// shadow's is carried out. Requests that are in flight now are not compared.
 func (d *Dispatcher) SetShadow(sheet *config.Settings) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -22,31 +22,31 @@
 		return
 	}
 	d.shadow = &shadowState{sheet: sheet}
-	if d.backend != nil && !d.draining { // a process on its way out watches nothing new
+	if d.backend != nil && !d.draining { // a process that shuts down evaluates nothing new
 		d.startShadow()
 	}
 }
 
-// startShadow opens the second instance as the first was opened: one that is still cold is so for both.
+// startShadow opens the shadow module as the first was opened: an executor that warms up does so for both.
 func (d *Dispatcher) startShadow() {
-	if w := d.shadow; w != nil {
-		w.evaluator = shadow.New(d.moduleTerms(w.sheet), d.seed, d.openedAt)
+	if state := d.shadow; state != nil {
+		state.evaluator = shadow.New(d.moduleTerms(state.sheet), d.seed, d.openedAt)
 	}
 }
 
-// observeShadow tells the second instance of what the first has just decided.
-func (d *Dispatcher) observeShadow(now Micros, ev admission.Event) {
+// observeShadow passes an event and the actions decided on it to the shadow.
+func (d *Dispatcher) observeShadow(now Micros, event admission.Event) {
 	if d.shadow != nil && d.shadow.evaluator != nil {
-		d.shadow.evaluator.Observe(now, ev, d.actions)
+		d.shadow.evaluator.Observe(now, event, d.actions)
 	}
 }
 
-// ShadowCounts has the counts of what is watched; ok is false where nothing is.
-func (d *Dispatcher) ShadowCounts() (c shadow.Counts, ok bool) {
+// ShadowCounts returns the differences counted; ok is false without a shadow configuration.
+func (d *Dispatcher) ShadowCounts() (counts shadow.Counts, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.shadow == nil || d.shadow.evaluator == nil {
-		return c, d.shadow != nil
+		return counts, d.shadow != nil
 	}
 	return d.shadow.evaluator.Counts(), true
 }
