--- a/cmd/milletbarrow/levels.go
+++ b/cmd/milletbarrow/levels.go
@@ -132,7 +132,7 @@
 			&cli.DurationFlag{Name: "every", Usage: "between two readings", Value: 100 * time.Millisecond},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			p := admin.NewPeer(c.String("socket"), limits.ForControl())
+			p := admin.NewClient(c.String("socket"), limits.ForControl())
 			defer p.Close()
 			every := c.Duration("every")
 			if every < time.Millisecond {
@@ -175,7 +175,7 @@
 			if name := c.Args().First(); (name == "") != c.Bool("release") {
 				return unusable(fmt.Errorf("wanted a level, or --release"))
 			}
-			p := admin.NewPeer(c.String("socket"), limits.ForControl())
+			p := admin.NewClient(c.String("socket"), limits.ForControl())
 			defer p.Close()
 			ctx, cancel := context.WithTimeout(ctx, limits.ForControl().Call)
 			defer cancel()
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -507,7 +507,7 @@
 	b := prepare(t)
 	b.args = []string{"serve", "--levels", file, "--inspect", socket}
 	b.start().ready()
-	peer := admin.NewPeer(socket, limits.ForControl())
+	peer := admin.NewClient(socket, limits.ForControl())
 	defer peer.Close()
 	state := func() admin.State {
 		s, err := peer.State(t.Context())
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -162,9 +162,9 @@
 			}
 		}()
 	}
-	go link.Keep(ctx)
-	go reports.Keep(ctx)
-	go g.RunTicks(ctx.Done(), link.Sample, link.Sampled())
+	go link.Run(ctx)
+	go reports.Run(ctx)
+	go g.RunTicks(ctx.Done(), link.RequestSample, link.Samples())
 	go server.Sweep(ctx.Done())
 	go tell(ctx, server, g, lim)
 	if sharing != nil && sharing.Log != nil {
@@ -185,7 +185,7 @@
 	case err := <-broken:
 		return err
 	}
-	reports.Off()
+	reports.Deregister()
 	leave(server, d, lim)
 	g.ReleaseQuotas()
 	state("stop", server, g)
@@ -237,7 +237,7 @@
 // changes nothing.
 func reload(
 	ctx context.Context, b *config.Backend, file, levelsFile string, hangup <-chan os.Signal, g *dispatch.Dispatcher,
-	link *executor.Link, reports *registration.Reporter, lim limits.Bounds,
+	link *executor.Client, reports *registration.Reporter, lim limits.Bounds,
 ) {
 	watching := b.Shadow
 	var again <-chan time.Time // while the file cannot be used: it may be half written
@@ -264,8 +264,8 @@
 		}
 		slog.Info("reload", "used", true, "farm", later.Executor, "roster", later.Registry,
 			"left_as_they_are", strings.Join(b.ImmutableChanges(later), " "))
-		link.Move(later.Executor)
-		reports.Move(later.Registry)
+		link.SetAddress(later.Executor)
+		reports.SetAddress(later.Registry)
 		if !reflect.DeepEqual(watching, later.Shadow) { // else its counts go on
 			watching = later.Shadow
 			g.SetShadow(watching)
@@ -297,14 +297,14 @@
 		}
 		time.Sleep(min(left, lim.Rebind))
 	}
-	server.TurnAway()
+	server.StopAccepting()
 	quiet := 0
-	for now := time.Now(); now.Before(latest()) || now.Before(last()) && !(server.Parted() && server.Answered()); now = time.Now() {
+	for now := time.Now(); now.Before(latest()) || now.Before(last()) && !(server.AllClosed() && server.AllAnswered()); now = time.Now() {
 		if !now.Before(latest()) { // whoever has not gone by now is told that nothing more comes
-			server.Part()
+			server.CloseAnswered()
 		}
 		conns, _ := server.Counts()
-		if conns == 0 && server.Quiet() {
+		if conns == 0 && server.Idle() {
 			quiet++
 		} else {
 			quiet = 0
@@ -347,13 +347,13 @@
 
 // stateOf is what the inspection socket tells.
 func stateOf(
-	b *config.Backend, began int64, server *backendserver.Server, g *dispatch.Dispatcher, link *executor.Link, d *departure,
+	b *config.Backend, began int64, server *backendserver.Server, g *dispatch.Dispatcher, link *executor.Client, d *departure,
 ) admin.State {
 	conns, carried := server.Counts()
 	n, inHand := g.Counts()
 	s := admin.State{
 		Version: admin.Version, Name: b.Name, PID: os.Getpid(), Build: version(), Config: b.Hash, Since: began,
-		Ready: g.Healthy() && link.Up(), Connections: conns, Carried: carried, InHand: inHand, Picked: n.Arrived,
+		Ready: g.Healthy() && link.Available(), Connections: conns, Carried: carried, InHand: inHand, Picked: n.Arrived,
 		Run: n.Started, Throttled: n.Throttled, Errored: n.Errored, Left: n.Abandoned, Faults: n.Panics,
 	}
 	if r, ok := g.DegradationStatus(); ok {
--- a/cmd/milletbarrow/watch_test.go
+++ b/cmd/milletbarrow/watch_test.go
@@ -59,7 +59,7 @@
 			b.farm.End(l.ID, "complete", "done")
 			seen += " " + n.Expect().String()
 		}
-		peer := admin.NewPeer(socket, limits.ForControl())
+		peer := admin.NewClient(socket, limits.ForControl())
 		defer peer.Close()
 		s, err := peer.State(t.Context())
 		if err != nil {
--- a/internal/agent/shares.go
+++ b/internal/agent/shares.go
@@ -44,7 +44,7 @@
 
 // share renews what this host's instances hold, until ctx ends.
 func (a *Agent) share(ctx context.Context) {
-	peers := map[string]*admin.Peer{}
+	peers := map[string]*admin.Client{}
 	defer func() {
 		for _, p := range peers {
 			p.Close()
@@ -83,15 +83,15 @@
 }
 
 // renew asks the ledger once for all that draw here, and hands the answers on.
-func (a *Agent) renew(ctx context.Context, names []string, peers map[string]*admin.Peer, gone map[string]bool) (why string) {
+func (a *Agent) renew(ctx context.Context, names []string, peers map[string]*admin.Client, gone map[string]bool) (why string) {
 	asks := make([]backendquota.LeaseRequest, len(names))
-	each := func(do func(i int, p *admin.Peer)) {
+	each := func(do func(i int, p *admin.Client)) {
 		var all sync.WaitGroup
 		room := make(chan struct{}, a.o.Bounds.FanOut)
 		for i, name := range names {
 			p := peers[name]
 			if p == nil {
-				p = admin.NewPeer(supervisor.PathsOf(a.o.Dir, name).Admin, a.o.Bounds)
+				p = admin.NewClient(supervisor.PathsOf(a.o.Dir, name).Admin, a.o.Bounds)
 				peers[name] = p
 			}
 			all.Go(func() {
@@ -103,7 +103,7 @@
 		all.Wait()
 	}
 	short := a.o.Bounds.Call / 8 // one that is stopped must not hold up the others
-	each(func(i int, p *admin.Peer) {
+	each(func(i int, p *admin.Client) {
 		call, cancel := context.WithTimeout(ctx, short)
 		defer cancel()
 		if q, err := p.Ask(call); err == nil && q.Name == names[i] {
@@ -121,7 +121,7 @@
 		return err.Error()
 	}
 	var refused []string
-	each(func(i int, p *admin.Peer) {
+	each(func(i int, p *admin.Client) {
 		at := slices.IndexFunc(res.Answers, func(r backendquota.LeaseResponse) bool {
 			return r.Name == names[i] && r.Incarnation == asks[i].Incarnation
 		})
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -38,7 +38,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	if err := server.Serve(limits.Conns(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(limits.LimitListener(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- a/internal/backend/admin/inspect.go
+++ b/internal/backend/admin/admin.go
@@ -120,7 +120,7 @@
 		<-ctx.Done()
 		server.Close()
 	}()
-	if err := server.Serve(limits.Conns(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(limits.LimitListener(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -163,39 +163,41 @@
 	return l, nil
 }
 
-// Peer speaks to an instance's socket.
-type Peer struct {
+// Client speaks to an instance's socket.
+type Client struct {
 	client *http.Client
 	bounds limits.Control
 }
 
-// NewPeer is one for the socket at path.
-func NewPeer(path string, b limits.Control) *Peer { return &Peer{jsonhttp.Client("unix:"+path, b), b} }
+// NewClient is one for the socket at path.
+func NewClient(path string, b limits.Control) *Client {
+	return &Client{jsonhttp.Client("unix:"+path, b), b}
+}
 
 // State asks for the state.
-func (p *Peer) State(ctx context.Context) (s State, err error) {
+func (p *Client) State(ctx context.Context) (s State, err error) {
 	return s, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/state", nil, &s, int64(p.bounds.Message))
 }
 
 // Leave tells the instance to leave, as it was first told so long ago.
-func (p *Peer) Leave(ctx context.Context, ago time.Duration) error {
+func (p *Client) Leave(ctx context.Context, ago time.Duration) error {
 	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/leave", Notice{Ago: ago.Microseconds()}, nil, 0)
 }
 
 // Pin holds a level.
-func (p *Peer) Pin(ctx context.Context, pin Pin) error {
+func (p *Client) Pin(ctx context.Context, pin Pin) error {
 	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/level", pin, nil, 0)
 }
 
 // Ask has the instance say what it would have of the fleet's budgets. A lease counts from the moment it says so.
-func (p *Peer) Ask(ctx context.Context) (a quota.LeaseRequest, err error) {
+func (p *Client) Ask(ctx context.Context) (a quota.LeaseRequest, err error) {
 	return a, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/share", nil, &a, int64(p.bounds.Message))
 }
 
 // Answer tells the instance what it has.
-func (p *Peer) Answer(ctx context.Context, a quota.LeaseResponse) error {
+func (p *Client) Answer(ctx context.Context, a quota.LeaseResponse) error {
 	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/share", a, nil, 0)
 }
 
 // Close lets go of kept connections.
-func (p *Peer) Close() { p.client.CloseIdleConnections() }
+func (p *Client) Close() { p.client.CloseIdleConnections() }
--- a/internal/backend/executor/link.go
+++ b/internal/backend/executor/client.go
@@ -33,10 +33,10 @@
 // Done brings the outcome, once.
 func (r *Run) Done() <-chan Outcome { return r.done }
 
-// Link is the one link to the farm. Its methods never block.
-type Link struct {
+// Client is the one link to the farm. Its methods never block.
+type Client struct {
 	bounds  limits.Bounds
-	odd     *ratelimitlog.Tally
+	odd     *ratelimitlog.Logger
 	greeted func(cold bool, ago dispatch.Micros)
 	sampled chan []float64
 	moved   chan struct{} // the address is another one
@@ -62,9 +62,9 @@
 
 // New makes a link; greeted is called at each greeting.
 func New(
-	address string, bounds limits.Bounds, tally *ratelimitlog.Tally, greeted func(cold bool, ago dispatch.Micros),
-) *Link {
-	l := &Link{
+	address string, bounds limits.Bounds, tally *ratelimitlog.Logger, greeted func(cold bool, ago dispatch.Micros),
+) *Client {
+	l := &Client{
 		address: address, bounds: bounds, odd: tally, greeted: greeted,
 		runs: map[string]*Run{}, sampled: make(chan []float64, 1), moved: make(chan struct{}, 1),
 	}
@@ -73,7 +73,7 @@
 }
 
 // Launch starts a run. While there is no link it is kept and goes out with the next one.
-func (l *Link) Launch(id, operation string, body []byte) *Run {
+func (l *Client) Launch(id, operation string, body []byte) *Run {
 	r := &Run{id: id, operation: operation, body: body, done: make(chan Outcome, 1)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,14 +84,14 @@
 	return r
 }
 
-func (l *Link) send(r *Run) {
+func (l *Client) send(r *Run) {
 	l.out = appendLaunch(l.out, r.id, r.operation, r.body)
 	l.wake.Signal()
 }
 
-// Sample asks for the gauges and tells whether it did: not without a link, nor while an answer is to come,
+// RequestSample asks for the gauges and tells whether it did: not without a link, nor while an answer is to come,
 // unless that is so late that it may never come.
-func (l *Link) Sample() bool {
+func (l *Client) RequestSample() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.synced || l.asked && time.Since(l.since) < l.bounds.SampleOld {
@@ -101,26 +101,26 @@
 	return true
 }
 
-func (l *Link) ask() {
+func (l *Client) ask() {
 	l.tag++
 	l.asked, l.since = true, time.Now()
 	l.out = appendSample(l.out, l.tag)
 	l.wake.Signal()
 }
 
-// Sampled brings gauges; only the newest are kept for who comes late.
-func (l *Link) Sampled() <-chan []float64 { return l.sampled }
+// Samples brings gauges; only the newest are kept for who comes late.
+func (l *Client) Samples() <-chan []float64 { return l.sampled }
 
-// Up tells whether runs can be started now, or will be as soon as a link that was just lost is back: a cut of
+// Available tells whether runs can be started now, or will be as soon as a link that was just lost is back: a cut of
 // a moment costs no run, and callers that hear of bad health act on it for seconds.
-func (l *Link) Up() bool {
+func (l *Client) Available() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.synced || time.Since(l.heard) < l.bounds.LinkMissed
 }
 
-// Move names another address of the same farm, to which a new link is made while the old one goes on.
-func (l *Link) Move(address string) {
+// SetAddress names another address of the same farm, to which a new link is made while the old one goes on.
+func (l *Client) SetAddress(address string) {
 	l.mu.Lock()
 	same := l.address == address
 	l.address = address
@@ -133,8 +133,8 @@
 	}
 }
 
-// Keep holds the link up until the context ends.
-func (l *Link) Keep(ctx context.Context) {
+// Run holds the link up until the context ends.
+func (l *Client) Run(ctx context.Context) {
 	dialer := net.Dialer{Timeout: l.bounds.Dial}
 	pause := l.bounds.RedialLeast
 	look := time.NewTicker(l.bounds.LinkSilent / 2)
@@ -184,7 +184,7 @@
 	}
 }
 
-func (l *Link) count() int {
+func (l *Client) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.runs)
@@ -198,7 +198,7 @@
 
 // silent: the link in use has brought nothing for long though it was asked, or has not been greeted for long, and if another
 // is on its way, nor has that. Before the first greeting of all nothing is to be done about it: a farm may come up late.
-func (l *Link) silent() bool {
+func (l *Client) silent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	long := l.bounds.LinkSilent
@@ -208,7 +208,7 @@
 // subscribe brings a new connection in, subscribed from the last notice read. While the link in use is level, it goes on
 // taking launches until the new one is greeted: a greeting may be late, or never come. It returns what is to be written
 // to the new one first.
-func (l *Link) subscribe(conn net.Conn) (first []byte) {
+func (l *Client) subscribe(conn net.Conn) (first []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first = appendSubscribe(nil, l.last)
@@ -226,7 +226,7 @@
 // takeOver makes conn the link in use. The one before is still read, until this one is greeted: its notices count by
 // their numbers, whichever link brings them first. What was written to it and not read by the farm is sent again once
 // the new link is level. l.mu is held.
-func (l *Link) takeOver(conn net.Conn) {
+func (l *Client) takeOver(conn net.Conn) {
 	if l.before != nil {
 		l.before.Close()
 	}
@@ -236,7 +236,7 @@
 }
 
 // unlink lets conn, which may be nil, stand in for a link that is level; l.mu is held.
-func (l *Link) unlink(conn net.Conn) {
+func (l *Client) unlink(conn net.Conn) {
 	if l.synced {
 		l.heard = time.Now()
 	}
@@ -248,7 +248,7 @@
 }
 
 // hold works one connection until it is over.
-func (l *Link) hold(ctx context.Context, conn net.Conn, first []byte) (end ending) {
+func (l *Client) hold(ctx context.Context, conn net.Conn, first []byte) (end ending) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	var writer sync.WaitGroup
@@ -272,7 +272,7 @@
 }
 
 // write sends what gathers, until the link is over.
-func (l *Link) write(conn net.Conn, first []byte) {
+func (l *Client) write(conn net.Conn, first []byte) {
 	if _, err := conn.Write(first); err != nil {
 		conn.Close() // its reader sees the end
 		return
@@ -299,7 +299,7 @@
 }
 
 // read takes lines in until the link is over.
-func (l *Link) read(conn net.Conn) (greeted bool, err error) {
+func (l *Client) read(conn net.Conn) (greeted bool, err error) {
 	// Lines are slices of this buffer; it holds the longest line and the longest result.
 	buf := make([]byte, l.bounds.Line+l.bounds.Result+4)
 	var gauges []float64
@@ -370,7 +370,7 @@
 			gauges = n.gauges
 			l.gauge(conn, n)
 		case refusal:
-			l.odd.Note("farm_refusal", fmt.Errorf("%.20q %.20q", n.command, id))
+			l.odd.Warn("farm_refusal", fmt.Errorf("%.20q %.20q", n.command, id))
 			if string(n.command) == "launch" {
 				l.over(id, Outcome{End: dispatch.Unrunnable})
 			}
@@ -389,7 +389,7 @@
 				end.Result = buf[from : from+n.length]
 				from += n.length
 			} else { // more than an answer may hold: it cannot be passed on unchanged
-				l.odd.Note("farm_result", fmt.Errorf("%.20q: %d bytes", id, n.length))
+				l.odd.Warn("farm_result", fmt.Errorf("%.20q: %d bytes", id, n.length))
 				end.End = dispatch.RunErrored
 				rest := n.length - (to - from)
 				if from = min(from+n.length, to); rest > 0 {
@@ -423,7 +423,7 @@
 
 // gauge takes the sample last asked for; the first of a link tells that what came before it has been read.
 // One from before, which came after another was asked for or another link took over, is passed over.
-func (l *Link) gauge(conn net.Conn, n notice) {
+func (l *Client) gauge(conn net.Conn, n notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != conn {
@@ -449,7 +449,7 @@
 
 // spoilt is a notice that cannot be read though its number can: it must not come again with every link, and
 // the run that it ended has no result.
-func (l *Link) spoilt(n notice) {
+func (l *Client) spoilt(n notice) {
 	if n.kind != outcome || n.number == 0 {
 		return
 	}
@@ -463,7 +463,7 @@
 }
 
 // over ends a run; ends of runs that are not in hand are void.
-func (l *Link) over(id string, end Outcome) {
+func (l *Client) over(id string, end Outcome) {
 	l.mu.Lock()
 	r := l.runs[id]
 	delete(l.runs, id)
--- a/internal/backend/executor/farm_test.go
+++ b/internal/backend/executor/client_test.go
@@ -43,17 +43,17 @@
 }
 
 // keep holds a link to the farm until the test ends.
-func keep(t *testing.T, a *fakes.Farm) *Link {
+func keep(t *testing.T, a *fakes.Farm) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := New(a.Address, limits.For(1, 192, 1024), ratelimitlog.New(time.Hour), func(bool, dispatch.Micros) {})
 	over := make(chan struct{})
-	go func() { l.Keep(ctx); close(over) }()
+	go func() { l.Run(ctx); close(over) }()
 	t.Cleanup(func() { cancel(); fakes.Take(t, "the link's end", over) })
 	return l
 }
 
 // story runs what the farm does with one run and prints how it ended.
-func story(tr *fakes.Trace, l *Link, a *fakes.Farm, id, what string, do func()) {
+func story(tr *fakes.Trace, l *Client, a *fakes.Farm, id, what string, do func()) {
 	run := l.Launch(id, "look", []byte("body"))
 	fakes.Take(tr, "a launch", a.Launches)
 	do()
@@ -67,7 +67,7 @@
 	l := keep(t, a)
 	id := func(n int) string { return fmt.Sprintf("%016x", n) }
 	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Until(t, "the link is up", l.Up)
+	fakes.Until(t, "the link is up", l.Available)
 	story(tr, l, a, id(1), "complete", func() { a.End(id(1), "complete", "result\r\n") })
 	story(tr, l, a, id(2), "empty result", func() { a.End(id(2), "complete", "") })
 	story(tr, l, a, id(3), "largest result", func() { a.End(id(3), "complete", strings.Repeat("r", 4096)) })
@@ -95,7 +95,7 @@
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
 	tr.Say("subscribe %d", fakes.Take(t, "the first link", a.Subscribes))
-	fakes.Until(t, "the link is up", l.Up)
+	fakes.Until(t, "the link is up", l.Available)
 	one, two := l.Launch("00000000000000a1", "look", nil), l.Launch("00000000000000a2", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
 	fakes.Take(t, "a launch", a.Launches)
@@ -108,8 +108,8 @@
 
 	a.With(func(state, _ *string) { *state = "" })
 	a.Cut()
-	tr.Say("up while the cut is short: %t", l.Up())
-	fakes.Until(t, "the loss is long", func() bool { return !l.Up() })
+	tr.Say("up while the cut is short: %t", l.Available())
+	fakes.Until(t, "the loss is long", func() bool { return !l.Available() })
 	three := l.Launch("00000000000000a3", "look", nil)
 	tr.Say("subscribe %d, the farm is not up", fakes.Take(t, "the third link", a.Subscribes))
 	a.With(func(state, _ *string) { *state = "hot 1" })
@@ -124,7 +124,7 @@
 	tr := fakes.NewTrace(t)
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	fakes.Until(t, "the link is up", l.Up)
+	fakes.Until(t, "the link is up", l.Available)
 	id := func(n int) string { return fmt.Sprintf("00000000000000c%d", n) }
 	story(tr, l, a, id(1), "cut within its notice", func() {
 		a.Send("outcome 1 " + id(1) + " comp")
@@ -172,7 +172,7 @@
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Until(t, "the link is up", l.Up)
+	fakes.Until(t, "the link is up", l.Available)
 	other := l.Launch("00000000000000b0", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
 	for n, text := range []string{
@@ -188,7 +188,7 @@
 			a.Send(text)
 		}
 		tr.Say("%.50q: subscribe %d", text, fakes.Take(t, "a new link", a.Subscribes))
-		fakes.Until(t, "the link is up", l.Up)
+		fakes.Until(t, "the link is up", l.Available)
 		if !strings.HasPrefix(text, "outcome") {
 			a.End(id, "complete", "")
 		}
@@ -204,23 +204,23 @@
 	tr := fakes.NewTrace(t)
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
-	fakes.Until(t, "the link is up", l.Up)
-	fakes.Take(t, "the first sample", l.Sampled())
+	fakes.Until(t, "the link is up", l.Available)
+	fakes.Take(t, "the first sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
 	asked := 0
 	for range 1000 {
-		if l.Sample() {
+		if l.RequestSample() {
 			asked++
 		}
 	}
 	tr.Say("asked %d times while the answer is to come", asked)
-	fakes.Until(t, "it asks again", l.Sample)
+	fakes.Until(t, "it asks again", l.RequestSample)
 	fakes.Until(t, "both have been read", func() bool { return a.Samples() == 3 })
 	a.Send("sampled t2 0.1 1 0 0\r\nsampled t3 0.1 2 0 0\r\n")
-	tr.Say("%v", fakes.Take(t, "a sample", l.Sampled()))
+	tr.Say("%v", fakes.Take(t, "a sample", l.Samples()))
 	a.With(func(_, gauges *string) { *gauges = "0.5 7 0.1 1" })
 	a.Cut()
-	tr.Say("of the next link: %v", fakes.Take(t, "a sample", l.Sampled()))
+	tr.Say("of the next link: %v", fakes.Take(t, "a sample", l.Samples()))
 }
 
 // TestMoveWithoutGreeting: while the farm at the new address has not greeted, the link in use takes launches; where that
@@ -230,11 +230,11 @@
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Until(t, "the link is up", l.Up)
-	fakes.Take(t, "a sample", l.Sampled())
+	fakes.Until(t, "the link is up", l.Available)
+	fakes.Take(t, "a sample", l.Samples())
 	move := func() (cut func()) {
 		cut = a.Move()
-		l.Move(a.Address)
+		l.SetAddress(a.Address)
 		fakes.Take(t, "a new link", a.Subscribes)
 		return cut
 	}
@@ -244,7 +244,7 @@
 	one := l.Launch("00000000000000d1", "look", nil)
 	tr.Say("before the greeting: %v", fakes.Take(t, "a launch on the link in use", a.Launches))
 	greet("hot 1")
-	fakes.Take(t, "the new link is level", l.Sampled())
+	fakes.Take(t, "the new link is level", l.Samples())
 	a.End("00000000000000d1", "complete", "first")
 	tr.Say("%q, launched again %d times", fakes.Take(t, "its end", one.Done()).Result, len(a.Launches))
 
@@ -257,7 +257,7 @@
 	tr.Say("two moves: %v", fakes.Take(t, "a launch", a.Launches))
 	a.End("00000000000000d2", "complete", "second")
 	tr.Say("%q", fakes.Take(t, "its end", two.Done()).Result)
-	fakes.Take(t, "a sample", l.Sampled())
+	fakes.Take(t, "a sample", l.Samples())
 
 	greet("")
 	cut = move()
@@ -274,14 +274,14 @@
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Until(t, "the link is up", l.Up)
-	fakes.Take(t, "a sample", l.Sampled())
+	fakes.Until(t, "the link is up", l.Available)
+	fakes.Take(t, "a sample", l.Samples())
 	run := l.Launch("00000000000000e1", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
 	a.With(func(state, gauges *string) { *gauges = "" })
-	fakes.Until(t, "a link beside it", func() bool { l.Sample(); return len(a.Subscribes) == 1 })
+	fakes.Until(t, "a link beside it", func() bool { l.RequestSample(); return len(a.Subscribes) == 1 })
 	a.With(func(_, gauges *string) { *gauges = "0.1 0 0 0" })
-	fakes.Until(t, "the new one is level", func() bool { l.Sample(); return len(l.Sampled()) > 0 })
+	fakes.Until(t, "the new one is level", func() bool { l.RequestSample(); return len(l.Samples()) > 0 })
 	a.End("00000000000000e1", "complete", "r")
 	if end := fakes.Take(t, "its end", run.Done()); string(end.Result) != "r" || len(a.Launches) != 0 {
 		t.Errorf("%+v, launched again %d times", end, len(a.Launches))
@@ -297,17 +297,17 @@
 			a := fakes.NewFarm(t)
 			l := keep(t, a)
 			fakes.Take(t, "the first link", a.Subscribes)
-			fakes.Take(t, "a sample", l.Sampled())
+			fakes.Take(t, "a sample", l.Samples())
 			a.With(func(state, _ *string) { *state = "" })
 			if beside {
 				a.Move()
-				l.Move(a.Address)
+				l.SetAddress(a.Address)
 			} else {
 				a.Cut()
 			}
 			fakes.Take(t, "a link that is not greeted", a.Subscribes)
 			run := l.Launch("00000000000000e2", "look", nil)
-			fakes.Until(t, "another", func() bool { l.Sample(); return len(a.Subscribes) > 0 })
+			fakes.Until(t, "another", func() bool { l.RequestSample(); return len(a.Subscribes) > 0 })
 			<-a.Subscribes
 			a.With(func(state, _ *string) { *state = "hot 1" })
 			fakes.Take(t, "a launch", a.Launches)
@@ -324,10 +324,10 @@
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Take(t, "a sample", l.Sampled())
+	fakes.Take(t, "a sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
 	for began := time.Now(); time.Since(began) < l.bounds.LinkSilent*3/2; time.Sleep(20 * time.Millisecond) {
-		l.Sample()
+		l.RequestSample()
 		a.Send("sampled t1 0.1 1 0 0\r\n")
 	}
 	if len(a.Subscribes) > 0 {
@@ -340,19 +340,19 @@
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Take(t, "a sample", l.Sampled())
-	l.Move("127.0.0.1:1")
+	fakes.Take(t, "a sample", l.Samples())
+	l.SetAddress("127.0.0.1:1")
 	for k, id := range []string{"00000000000000f1", "00000000000000f2"} {
 		run := l.Launch(id, "look", nil)
 		fakes.Take(t, "a launch", a.Launches)
 		a.End(id, "complete", id)
-		if end := fakes.Take(t, "its end", run.Done()); string(end.Result) != id || !l.Up() {
-			t.Errorf("%+v, up %t", end, l.Up())
+		if end := fakes.Take(t, "its end", run.Done()); string(end.Result) != id || !l.Available() {
+			t.Errorf("%+v, up %t", end, l.Available())
 		}
 		if k == 0 {
-			l.Move(a.Address)
+			l.SetAddress(a.Address)
 			fakes.Take(t, "a link beside it", a.Subscribes)
-			fakes.Take(t, "a sample of it", l.Sampled())
+			fakes.Take(t, "a sample of it", l.Samples())
 		}
 	}
 }
--- a/internal/backend/frame/client.go
+++ b/internal/backend/frame/client.go
@@ -10,8 +10,8 @@
 
 // This file is the caller's side, for load over sockets: what an edge node writes, and reads.
 
-// Ask is what a caller writes of one invocation. Zero values of Work, Tenant and Retry are left out.
-type Ask struct {
+// OutgoingInvocation is what a caller writes of one invocation. Zero values of Work, Tenant and Retry are left out.
+type OutgoingInvocation struct {
 	Operation, ID, Tenant string
 	At                    int64 // Unix time, milliseconds
 	Wait                  admission.Micros
@@ -22,7 +22,7 @@
 }
 
 // AppendInvocation writes an invocation's frame.
-func AppendInvocation(to []byte, stream uint32, a *Ask) []byte {
+func AppendInvocation(to []byte, stream uint32, a *OutgoingInvocation) []byte {
 	to, start := begin(to, KindInvocation, stream)
 	to = append(to, 0)
 	count := len(to) - 1
@@ -80,20 +80,20 @@
 	return a, err
 }
 
-// Next finds the first whole frame of what was read: its head and payload, and how much it took; 0 if more must come.
-func Next(b []byte, most int) (h Head, payload []byte, took int, err error) {
-	if len(b) < HeadSize {
+// SplitFrame finds the first whole frame of what was read: its head and payload, and how much it took; 0 if more must come.
+func SplitFrame(b []byte, most int) (h Header, payload []byte, took int, err error) {
+	if len(b) < HeaderSize {
 		return h, nil, 0, nil
 	}
 	n, err := Length(b, most)
 	if err != nil {
 		return h, nil, 0, err
 	}
-	if n < HeadSize-LengthSize {
+	if n < HeaderSize-LengthSize {
 		return h, nil, 0, errors.New("a frame without a head")
 	}
 	if len(b) < LengthSize+n {
 		return h, nil, 0, nil
 	}
-	return ReadHead(b), b[HeadSize : LengthSize+n], LengthSize + n, nil
+	return ReadHeader(b), b[HeaderSize : LengthSize+n], LengthSize + n, nil
 }
--- a/internal/backend/frame/client_test.go
+++ b/internal/backend/frame/client_test.go
@@ -12,7 +12,7 @@
 // TestBothSides: what a caller writes is what a backend reads, and the other way round, however the bytes are cut.
 func TestBothSides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := Ask{
+		a := OutgoingInvocation{
 			Operation: rapid.StringMatching(`[a-z-]{1,20}`).Draw(t, "operation"), ID: rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "id"),
 			Tenant: rapid.StringMatching(`[a-z]{0,9}`).Draw(t, "tenant"), At: rapid.Int64Range(0, 3e13).Draw(t, "at"),
 			Wait: admission.Micros(rapid.Int64Range(0, 1e9).Draw(t, "wait")), Retry: rapid.Bool().Draw(t, "retry"),
@@ -20,11 +20,11 @@
 		}
 		text := AppendInvocation(nil, 7, &a)
 		for cut := range len(text) {
-			if _, _, took, err := Next(text[:cut], 262_144); took != 0 || err != nil {
+			if _, _, took, err := SplitFrame(text[:cut], 262_144); took != 0 || err != nil {
 				t.Fatalf("cut at %d: took %d, %v", cut, took, err)
 			}
 		}
-		h, p, took, err := Next(append(text, "more"...), 262_144)
+		h, p, took, err := SplitFrame(append(text, "more"...), 262_144)
 		if err != nil || took != len(text) || h.Kind != KindInvocation || h.Stream != 7 {
 			t.Fatalf("%+v, took %d of %d, %v", h, took, len(text), err)
 		}
@@ -38,7 +38,7 @@
 		}
 		after := admission.Micros(rapid.Int64Range(0, 1e6).Draw(t, "after")) * 1000
 		last := rapid.Bool().Draw(t, "last")
-		_, p, _, err = Next(AppendAnswer(nil, 7, Throttled, after, last, a.Body), 262_144)
+		_, p, _, err = SplitFrame(AppendAnswer(nil, 7, Throttled, after, last, a.Body), 262_144)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/backend/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -17,12 +17,12 @@
 
 // The types that exist.
 const (
-	KindInvocation  Kind = 10
-	KindAnswer      Kind = 11
-	KindGone        Kind = 12
-	KindCheck       Kind = 20
-	KindCheckAnswer Kind = 21
-	KindNoMore      Kind = 30
+	KindInvocation   Kind = 10
+	KindAnswer       Kind = 11
+	KindCancel       Kind = 12
+	KindHealthCheck  Kind = 20
+	KindHealthAnswer Kind = 21
+	KindGoAway       Kind = 30
 )
 
 // Code is how an answer puts it.
@@ -37,23 +37,23 @@
 
 const (
 	lengthSize = 4
-	headSize   = lengthSize + 1 + 4
-	lengthMin  = headSize - lengthSize
+	headerSize = lengthSize + 1 + 4
+	lengthMin  = headerSize - lengthSize
 	kbMost     = 2000
 	idSize     = 16
 )
 
-// Head is how a frame begins.
-type Head struct {
+// Header is how a frame begins.
+type Header struct {
 	Kind    Kind
 	Stream  uint32
 	Payload int // bytes that follow the head
 }
 
-// LengthSize and HeadSize are the bytes that Length and ReadHead need.
+// LengthSize and HeaderSize are the bytes that Length and ReadHeader need.
 const (
 	LengthSize = lengthSize
-	HeadSize   = headSize
+	HeaderSize = headerSize
 )
 
 // Length reads the border of a frame: how many bytes follow the length itself.
@@ -65,9 +65,9 @@
 	return int(n), nil
 }
 
-// ReadHead reads a head whose length has been found sound.
-func ReadHead(b []byte) Head {
-	return Head{
+// ReadHeader reads a head whose length has been found sound.
+func ReadHeader(b []byte) Header {
+	return Header{
 		Kind: Kind(b[lengthSize]), Stream: binary.BigEndian.Uint32(b[lengthSize+1:]),
 		Payload: int(binary.BigEndian.Uint32(b)) - lengthMin,
 	}
@@ -75,14 +75,14 @@
 
 // Invocation is the content of an invocation's frame, in slices of that frame.
 type Invocation struct {
-	Operation, ID, Tenant []byte
-	Once                  []byte           // the same in all tries of one piece of work; empty: not told
-	At                    admission.Micros // when it reached the machine, Unix time
-	Wait                  admission.Micros // its caller waits so long from then, if Told
-	Told, Retry, Keyed    bool
-	Work                  admission.Micros // expected, on one core; 0 if not told
-	KB, Rank              float64
-	Body                  []byte
+	Operation, ID, Tenant  []byte
+	IdempotencyKey         []byte           // the same in all tries of one piece of work; empty: not told
+	At                     admission.Micros // when it reached the machine, Unix time
+	Wait                   admission.Micros // its caller waits so long from then, if HasWait
+	HasWait, Retry, HasKey bool
+	Work                   admission.Micros // expected, on one core; 0 if not told
+	KB, Rank               float64
+	Body                   []byte
 }
 
 // fieldBit marks the fields seen, to find those that are missing or stand twice.
@@ -128,7 +128,7 @@
 		case "tenant":
 			bit, inv.Tenant = hasTenant, value
 		case "wait":
-			bit, inv.Told = hasWait, true
+			bit, inv.HasWait = hasWait, true
 			inv.Wait, err = millis(value)
 		case "retry":
 			bit = hasRetry
@@ -147,9 +147,9 @@
 				err = errors.New("out of range")
 			}
 		case "key":
-			bit, inv.Keyed = hasKey, true
+			bit, inv.HasKey = hasKey, true
 		case "once":
-			bit, inv.Once = hasOnce, value
+			bit, inv.IdempotencyKey = hasOnce, value
 		}
 		if err == nil && seen&bit != 0 {
 			err = errors.New("stands twice")
@@ -257,19 +257,19 @@
 	return AppendAnswer(to, 0, Errored, 0, false, []byte(text))
 }
 
-// AppendCheckAnswer answers a health check.
-func AppendCheckAnswer(to []byte, stream uint32, good bool) []byte {
+// AppendHealthAnswer answers a health check.
+func AppendHealthAnswer(to []byte, stream uint32, good bool) []byte {
 	code := Errored
 	if good {
 		code = Succeeded
 	}
-	to, start := begin(to, KindCheckAnswer, stream)
+	to, start := begin(to, KindHealthAnswer, stream)
 	return end(append(to, byte(code), 0), start)
 }
 
-// AppendNoMore asks for no further invocation on a connection.
-func AppendNoMore(to []byte) []byte {
-	to, start := begin(to, KindNoMore, 0)
+// AppendGoAway asks for no further invocation on a connection.
+func AppendGoAway(to []byte) []byte {
+	to, start := begin(to, KindGoAway, 0)
 	return end(to, start)
 }
 
--- a/internal/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -18,7 +18,7 @@
 		return "error: " + err.Error()
 	}
 	return fmt.Sprintf("%s %s %s at %d wait %d retry %t keyed %t work %d kb %g rank %g body %.20q", inv.Operation, inv.ID,
-		inv.Tenant, inv.At, inv.Wait, inv.Retry, inv.Keyed, inv.Work, inv.KB, inv.Rank, inv.Body)
+		inv.Tenant, inv.At, inv.Wait, inv.Retry, inv.HasKey, inv.Work, inv.KB, inv.Rank, inv.Body)
 }
 
 func usual(edits ...string) []string {
@@ -67,11 +67,11 @@
 	tr.Say("%x", AppendAnswer(nil, 7, Succeeded, 0, false, []byte("result")))
 	tr.Say("%x", AppendAnswer(nil, 7, Throttled, 250_001, true, nil))
 	tr.Say("%x", AppendAnswer(nil, 8, Errored, 0, false, nil))
-	tr.Say("%x", AppendCheckAnswer(nil, 3, true))
-	tr.Say("%x", AppendCheckAnswer(nil, 3, false))
-	tr.Say("%x", AppendNoMore(nil))
+	tr.Say("%x", AppendHealthAnswer(nil, 3, true))
+	tr.Say("%x", AppendHealthAnswer(nil, 3, false))
+	tr.Say("%x", AppendGoAway(nil))
 	tr.Say("%x", AppendError([]byte("before"), "odd"))
-	tr.Say("%+v", ReadHead([]byte(fakes.Raw(12, 9, "ab"))))
+	tr.Say("%+v", ReadHeader([]byte(fakes.Raw(12, 9, "ab"))))
 	tr.Say("fields alone: %v, cut short: %v", ReadFields([]byte(fakes.Fields("a=b"))), ReadFields([]byte{1, 1, 'a', 0}))
 }
 
--- a/internal/backend/registration/roster.go
+++ b/internal/backend/registration/reporter.go
@@ -29,7 +29,7 @@
 	path   string
 	bounds limits.Bounds
 	client *http.Client
-	pace   *reportpacing.Pace // Keep's
+	pace   *reportpacing.Pacer // Keep's
 	began  time.Time
 	off    chan struct{}
 	once   sync.Once
@@ -50,7 +50,7 @@
 
 // New makes a reporter for the backend of that name. fixed: in step with the clock, as baselines are.
 func New(address, name string, bounds limits.Bounds, fixed bool) *Reporter {
-	t := reportpacing.Terms{
+	t := reportpacing.Config{
 		Usual: micros(bounds.Report), Lapse: micros(bounds.Lapse), Least: micros(bounds.ReportLeast), Closed: micros(bounds.ReportClosed),
 		First: micros(bounds.ReportFirst), Most: micros(bounds.ReportMost), Advice: micros(bounds.ReportAdvice), OnWay: bounds.Reports, Fixed: fixed,
 	}
@@ -77,11 +77,11 @@
 
 func (r *Reporter) now() reportpacing.Micros { return micros(time.Since(r.began)) }
 
-// Off has off reported at once, until it is taken, and nothing else after it: the entry lapses then.
-func (r *Reporter) Off() { r.once.Do(func() { close(r.off) }) }
+// Deregister has off reported at once, until it is taken, and nothing else after it: the entry lapses then.
+func (r *Reporter) Deregister() { r.once.Do(func() { close(r.off) }) }
 
-// Move names another address of the roster; the next report, sent at once, goes there.
-func (r *Reporter) Move(address string) {
+// SetAddress names another address of the roster; the next report, sent at once, goes there.
+func (r *Reporter) SetAddress(address string) {
 	r.mu.Lock()
 	same := r.address == address
 	r.address = address
@@ -96,15 +96,15 @@
 	}
 }
 
-// Keep reports until Off, or until the context ends, and then waits for what is on its way.
-func (r *Reporter) Keep(ctx context.Context) {
+// Run reports until Deregister, or until the context ends, and then waits for what is on its way.
+func (r *Reporter) Run(ctx context.Context) {
 	defer r.client.CloseIdleConnections()
 	var going sync.WaitGroup
 	defer going.Wait()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	opened, onWay := r.now(), 0
-	r.pace.Open(opened)
+	r.pace.Start(opened)
 	for {
 		var due <-chan time.Time
 		if at, room := r.pace.Due(); room {
@@ -114,7 +114,7 @@
 		select {
 		case <-due:
 			now := r.now()
-			r.pace.Begun(now)
+			r.pace.Started(now)
 			onWay++
 			going.Go(func() {
 				advice, err := r.tell(ctx, "on")
@@ -124,15 +124,15 @@
 			onWay--
 			switch now := r.now(); {
 			case e.begun < opened:
-				r.pace.Strayed()
+				r.pace.Abandoned()
 			case e.err == nil:
-				r.pace.Counted(now, e.begun)
+				r.pace.Succeeded(now, e.begun)
 			default:
-				r.pace.Missed(now, missed(e.err), micros(e.advice))
+				r.pace.Failed(now, missed(e.err), micros(e.advice))
 			}
 		case <-r.moved:
 			opened = r.now()
-			r.pace.Open(opened)
+			r.pace.Start(opened)
 		case <-r.off:
 			r.leave(ctx, &going, onWay)
 			return
@@ -145,15 +145,15 @@
 // errStatus: the roster has answered, and not counted it.
 var errStatus = errors.New("status")
 
-func missed(err error) reportpacing.Miss {
+func missed(err error) reportpacing.Failure {
 	var slow net.Error
 	switch {
 	case errors.As(err, &slow) && slow.Timeout():
-		return reportpacing.Silent
+		return reportpacing.TimedOut
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return reportpacing.Closed
+		return reportpacing.Refused
 	}
-	return reportpacing.NotTaken
+	return reportpacing.Rejected
 }
 
 // leave says off until the roster has taken it, wherever it is moved to, in growing pauses. A report on its way may be
--- a/internal/backend/registration/roster_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -49,7 +49,7 @@
 		r := New(address, "n3", b, false)
 		over := make(chan struct{})
 		ctx, cancel := context.WithCancel(context.Background())
-		go func() { r.Keep(ctx); close(over) }()
+		go func() { r.Run(ctx); close(over) }()
 		n := 3
 		if c.how == "too slow" {
 			n = b.Reports
@@ -60,8 +60,8 @@
 		if c.how == "too slow" { // none has ended
 			tr.Say("  on their way: as many as may be, and no further within 100 ms %t", none(reports))
 		}
-		r.Off()
-		r.Off()
+		r.Deregister()
+		r.Deregister()
 		off, last := 0, ""
 		if c.how != "as it should" && c.how != "closing after each call" { // it goes on saying so
 			for off < 3 {
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	r := New(address, "n3", b, false)
-	go func() { r.Keep(ctx); close(over) }()
+	go func() { r.Run(ctx); close(over) }()
 	fakes.Take(t, "the report that counts", reports)
 	counted := time.Now()
 	fakes.Take(t, "the first that is never answered", reports)
@@ -118,10 +118,10 @@
 	b := limits.For(1, 192, 1024)
 	b.Report, b.ReportClosed = time.Hour, 10*time.Millisecond
 	r := New(l.Addr().String(), "n3", b, false)
-	r.pace = reportpacing.New(reportpacing.Terms{First: 10_000, Most: 10_000, Closed: 10_000, OnWay: 2}, 1) // not up to an hour before the first
+	r.pace = reportpacing.New(reportpacing.Config{First: 10_000, Most: 10_000, Closed: 10_000, OnWay: 2}, 1) // not up to an hour before the first
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
-	go func() { r.Keep(ctx); close(over) }()
+	go func() { r.Run(ctx); close(over) }()
 	fakes.Until(t, "a report was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ill })
 	l, err = net.Listen("tcp", l.Addr().String())
 	if err != nil {
@@ -159,9 +159,9 @@
 	t.Cleanup(func() { s.Close() })
 	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
 	over := make(chan struct{})
-	go func() { r.Keep(context.Background()); close(over) }()
+	go func() { r.Run(context.Background()); close(over) }()
 	fakes.Take(t, "a report", heard)
-	r.Off()
+	r.Deregister()
 	fakes.Take(t, "the end", over)
 	var all []string
 	for len(said) > 0 {
@@ -182,8 +182,8 @@
 	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
 	over := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { r.Keep(ctx); close(over) }()
-	r.Off()
+	go func() { r.Run(ctx); close(over) }()
+	r.Deregister()
 	fakes.Until(t, "off was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ill })
 	cancel() // the process ends
 	fakes.Take(t, "the end", over)
@@ -200,17 +200,17 @@
 	b.Report = 10 * time.Millisecond
 	r := New(address, "n3", b, false)
 	over := make(chan struct{})
-	go func() { r.Keep(context.Background()); close(over) }()
+	go func() { r.Run(context.Background()); close(over) }()
 	said <- http.StatusNoContent
 	tr.Say("%s", fakes.Take(t, "a report", reports))
-	r.Off()
+	r.Deregister()
 	for n := 0; n < 2; {
 		said <- status
 		if report := fakes.Take(t, "off again", reports); strings.Contains(report, "off") {
 			n++
 		}
 	}
-	r.Move(elsewhere)
+	r.SetAddress(elsewhere)
 	for range 10 {
 		said <- status // whatever was on its way there
 	}
@@ -239,14 +239,14 @@
 	r := New(address, "n3", b, false)
 	over := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { r.Keep(ctx); close(over) }()
+	go func() { r.Run(ctx); close(over) }()
 	fakes.Take(t, "a report", reports)
 	began := time.Now()
 	fakes.Take(t, "the next", reports)
 	if after := time.Since(began); after < 900*time.Millisecond {
 		t.Errorf("it came again after %v, it was asked to wait a second", after)
 	}
-	r.Off()
+	r.Deregister()
 	cancel()
 	fakes.Take(t, "the end", over)
 }
--- a/internal/backend/registration/reportpacing/pace.go
+++ b/internal/backend/registration/reportpacing/pacer.go
@@ -13,8 +13,8 @@
 // Micros is a point on some clock that only goes on, or a span, in whole microseconds.
 type Micros int64
 
-// Terms of one backend's reports.
-type Terms struct {
+// Config of one backend's reports.
+type Config struct {
 	Usual  Micros // between two reports, in the mean
 	Lapse  Micros // the register drops an entry so long after its last report
 	Least  Micros // of a pause after a miss
@@ -26,19 +26,19 @@
 	Fixed  bool   // no chance and no growing pauses, as it was before: for comparison
 }
 
-// Miss is how a report came to nothing.
-type Miss int
+// Failure is how a report came to nothing.
+type Failure int
 
 // The misses.
 const (
-	Closed   Miss = iota // nobody listens there
-	NotTaken             // another answer than the one that counts, or a connection that broke
-	Silent               // no answer in time
+	Refused  Failure = iota // nobody listens there
+	Rejected                // another answer than the one that counts, or a connection that broke
+	TimedOut                // no answer in time
 )
 
-// Pace is one backend's.
-type Pace struct {
-	t     Terms
+// Pacer is one backend's.
+type Pacer struct {
+	t     Config
 	draw  *rand.Rand
 	grow  *backoff.ExponentialBackOff // by the library; chance comes from draw, so that a day can be played again
 	onWay int
@@ -49,8 +49,8 @@
 }
 
 // New makes one. The seed has to differ from process to process: backends that start at one instant must not stay in step.
-func New(t Terms, seed uint64) *Pace {
-	return &Pace{
+func New(t Config, seed uint64) *Pacer {
+	return &Pacer{
 		t: t, draw: rand.New(rand.NewPCG(seed, 0)),
 		grow: &backoff.ExponentialBackOff{InitialInterval: span(t.First), Multiplier: 1.5, MaxInterval: span(t.Most)},
 	}
@@ -59,19 +59,19 @@
 func span(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // upTo draws evenly from 0 to most.
-func (p *Pace) upTo(most Micros) Micros { return Micros(p.draw.Int64N(int64(max(0, most)) + 1)) }
+func (p *Pacer) upTo(most Micros) Micros { return Micros(p.draw.Int64N(int64(max(0, most)) + 1)) }
 
 // usual is a pause between two reports that count: five to nine sevenths of the mean. Three fit into a lapse, so that one
 // that is lost costs nothing.
-func (p *Pace) usual() Micros {
+func (p *Pacer) usual() Micros {
 	if p.t.Fixed {
 		return p.t.Usual
 	}
 	return p.t.Usual*5/7 + p.upTo(p.t.Usual*4/7)
 }
 
-// Open says that the first report, or the first at another address, may go out from now on.
-func (p *Pace) Open(now Micros) {
+// Start says that the first report, or the first at another address, may go out from now on.
+func (p *Pacer) Start(now Micros) {
 	p.grow.Reset()
 	p.held, p.due = false, now
 	if !p.t.Fixed {
@@ -80,21 +80,21 @@
 }
 
 // Due is when to report; ok is false while as many are on their way as may be.
-func (p *Pace) Due() (at Micros, ok bool) { return p.due, p.onWay < p.t.OnWay }
+func (p *Pacer) Due() (at Micros, ok bool) { return p.due, p.onWay < p.t.OnWay }
 
-// Begun says that a report has gone out. Where the one before is still on its way, the register is slow, and the next
+// Started says that a report has gone out. Where the one before is still on its way, the register is slow, and the next
 // waits as after a miss.
-func (p *Pace) Begun(now Micros) {
+func (p *Pacer) Started(now Micros) {
 	p.quiet = p.onWay > 0
 	p.onWay++
 	p.due = now + p.usual()
 	if p.quiet && !p.t.Fixed {
-		p.due = max(p.due, now+p.pause(now, Silent))
+		p.due = max(p.due, now+p.pause(now, TimedOut))
 	}
 }
 
-// Counted says that one that was begun then has counted.
-func (p *Pace) Counted(now, begun Micros) {
+// Succeeded says that one that was begun then has counted.
+func (p *Pacer) Succeeded(now, begun Micros) {
 	p.onWay--
 	p.good, p.held = max(p.good, begun), true
 	p.grow.Reset()
@@ -103,11 +103,11 @@
 	}
 }
 
-// Missed says that one came to nothing. advice is how long the register asks to stay away, 0 if it does not.
-func (p *Pace) Missed(now Micros, how Miss, advice Micros) {
+// Failed says that one came to nothing. advice is how long the register asks to stay away, 0 if it does not.
+func (p *Pacer) Failed(now Micros, how Failure, advice Micros) {
 	p.onWay--
 	if p.t.Fixed {
-		if how != Silent {
+		if how != TimedOut {
 			p.due = now + p.t.Least
 		}
 		return
@@ -119,17 +119,17 @@
 	p.due = now + wait
 }
 
-// Strayed says that one that was begun before the latest Open has ended.
-func (p *Pace) Strayed() { p.onWay-- }
+// Abandoned says that one that was begun before the latest Open has ended.
+func (p *Pacer) Abandoned() { p.onWay-- }
 
 // guard is how long before the lapse a report is to be there.
 const guard = 300_000
 
 // pause is drawn evenly below a bound that grows: full jitter. While the entry still stands, the try is made in time to
 // keep it, unless it is too late for that.
-func (p *Pace) pause(now Micros, how Miss) Micros {
+func (p *Pacer) pause(now Micros, how Failure) Micros {
 	most := Micros(p.grow.NextBackOff().Microseconds())
-	if how == Closed {
+	if how == Refused {
 		most = min(most, p.t.Closed)
 	}
 	if left := p.good + p.t.Lapse - guard - now; p.held && left > guard {
--- a/internal/backend/registration/reportpacing/pace_test.go
+++ b/internal/backend/registration/reportpacing/pacer_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-func terms() Terms {
-	return Terms{
+func terms() Config {
+	return Config{
 		Usual: 700_000, Lapse: 3_000_000, Least: 20_000, Closed: 1_400_000, First: 2_800_000, Most: 4_200_000, Advice: 30_000_000, OnWay: 3,
 	}
 }
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(terms(), rapid.Uint64().Draw(t, "seed"))
 		now := Micros(rapid.Int64Range(0, 1<<40).Draw(t, "now"))
-		p.Open(now)
+		p.Start(now)
 		if at, _ := p.Due(); at < now || at > now+terms().Usual {
 			t.Fatalf("the first is due after %d us", at-now)
 		}
@@ -35,20 +35,20 @@
 			if last > 0 && away == 0 && now > last+terms().Lapse {
 				t.Fatalf("the entry lapsed %d us before the report", now-last-terms().Lapse)
 			}
-			p.Begun(now)
+			p.Started(now)
 			begun := now
 			now += Micros(rapid.IntRange(1, 200_000).Draw(t, "takes"))
 			away = 0
 			if !missed && rapid.Bool().Draw(t, "is missed") {
 				advice := Micros(rapid.SampledFrom([]int{0, 0, 5_000_000}).Draw(t, "advice"))
-				p.Missed(now, Miss(rapid.IntRange(0, 1).Draw(t, "how")), advice)
+				p.Failed(now, Failure(rapid.IntRange(0, 1).Draw(t, "how")), advice)
 				if missed = true; advice > 0 {
 					away = now + advice
 				}
 				continue
 			}
 			missed, last = false, begun
-			p.Counted(now, begun)
+			p.Succeeded(now, begun)
 		}
 	})
 }
@@ -57,17 +57,17 @@
 func TestTwoNeverAnswered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(terms(), rapid.Uint64().Draw(t, "seed"))
-		p.Open(0)
+		p.Start(0)
 		now, _ := p.Due()
-		p.Begun(now)
-		p.Counted(now+1000, now)
+		p.Started(now)
+		p.Succeeded(now+1000, now)
 		lapses := now + 1000 + terms().Lapse
 		for hung := range 3 {
 			at, ok := p.Due()
 			if now = at; !ok || now+1000 > lapses {
 				t.Fatalf("due %d us before the entry lapses, room %t, with %d on their way", lapses-now, ok, hung)
 			}
-			p.Begun(now)
+			p.Started(now)
 		}
 	})
 }
@@ -79,7 +79,7 @@
 	var calls [seconds]int
 	for n := range backends {
 		p := New(terms(), uint64(n))
-		p.Open(0)
+		p.Start(0)
 		for last := Micros(0); ; {
 			at, _ := p.Due()
 			if at >= seconds*1_000_000 {
@@ -90,8 +90,8 @@
 			}
 			last = at
 			calls[at/1_000_000]++
-			p.Begun(at)
-			p.Missed(at+1000, NotTaken, 0)
+			p.Started(at)
+			p.Failed(at+1000, Rejected, 0)
 		}
 	}
 	ordinary := backends * 1_000_000 / int(terms().Usual)
@@ -105,16 +105,16 @@
 // TestSilent: a register that answers nothing has so many calls of one backend open, and no more.
 func TestSilent(t *testing.T) {
 	p := New(terms(), 7)
-	p.Open(0)
+	p.Start(0)
 	open := []Micros{}
 	for now := Micros(0); now < 30_000_000; now += 1000 {
 		for len(open) > 0 && now-open[0] >= 2_800_000 {
 			open = open[1:]
-			p.Missed(now, Silent, 0)
+			p.Failed(now, TimedOut, 0)
 		}
 		if at, ok := p.Due(); ok && at <= now {
 			open = append(open, now)
-			p.Begun(now)
+			p.Started(now)
 		}
 		if len(open) > terms().OnWay {
 			t.Fatalf("%d on their way", len(open))
--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -31,8 +31,8 @@
 			defer one.mu.Unlock()
 			return (one.sound || !one.begun.IsZero()) && one.rests()
 		})
-		s.Part()
-		if !s.Parted() {
+		s.CloseAnswered()
+		if !s.AllClosed() {
 			t.Fatalf("%s: not closed", c.what)
 		}
 		release := s.holdPoller(t)
@@ -73,7 +73,7 @@
 		s.run(t, "complete", "r")
 	}
 	n.Send("\x00\x00\x00\x01xxxx") // closes once all is answered
-	fakes.Until(t, "it is closed", func() bool { return s.Parted() })
+	fakes.Until(t, "it is closed", func() bool { return s.AllClosed() })
 	if _, err := n.Write(make([]byte, 1000)); err != nil && !errors.Is(err, syscall.EPIPE) {
 		t.Error(err)
 	}
--- a/internal/backend/server/conn.go
+++ b/internal/backend/server/conn.go
@@ -97,7 +97,7 @@
 				c.lostBorders(err)
 				return
 			}
-			whole = min(frame.LengthSize+size, frame.HeadSize+c.server.bounds.Content)
+			whole = min(frame.LengthSize+size, frame.HeaderSize+c.server.bounds.Content)
 			if len(c.part) > 0 {
 				b = c.gather(b, whole)
 				head = c.part
@@ -136,7 +136,7 @@
 
 // lostBorders: nothing can be read any more; what was read whole is answered, then the connection closes.
 func (c *conn) lostBorders(err error) {
-	c.server.odd.Note("borders", err)
+	c.server.odd.Warn("borders", err)
 	c.deaf, c.part = true, nil
 	c.put(func(to []byte) []byte { return frame.AppendError(to, err.Error()) })
 	c.end()
@@ -145,13 +145,13 @@
 // odd notes a frame that cannot be used, or an invocation of which the farm does not know. It guards against
 // floods of them: a caller that sends nothing else costs a bounded share of our time, then it is left alone.
 func (c *conn) odd(kind string, err error) {
-	c.server.odd.Note(kind, err)
+	c.server.odd.Warn(kind, err)
 	c.mu.Lock()
 	c.unfit++
 	unfit, most := c.unfit, c.server.bounds.Unfit
 	c.mu.Unlock()
 	if unfit == most {
-		c.server.odd.Note("unfit", nil)
+		c.server.odd.Warn("unfit", nil)
 		c.end()
 	}
 }
@@ -159,14 +159,14 @@
 // take handles one frame; b holds all of it, or the beginning of one that is too long. An error of our own
 // in it is logged, and its stream is answered.
 func (c *conn) take(b []byte) {
-	h := frame.ReadHead(b)
+	h := frame.ReadHeader(b)
 	defer func() {
 		if r := recover(); r != nil {
 			slog.Error("fault", "in", "frame", "text", r, "stack", string(debug.Stack()))
 			c.fail(h.Stream)
 		}
 	}()
-	payload := b[frame.HeadSize:]
+	payload := b[frame.HeaderSize:]
 	if c.heedless() {
 		c.deaf = true
 		return
@@ -174,9 +174,9 @@
 	switch h.Kind {
 	case frame.KindInvocation:
 		c.invocation(h, payload)
-	case frame.KindGone:
+	case frame.KindCancel:
 		c.gone(h.Stream)
-	case frame.KindCheck:
+	case frame.KindHealthCheck:
 		good := c.server.good()
 		if err := frame.ReadFields(payload); err != nil || h.Payload > len(payload) {
 			c.odd("check", err)
@@ -184,14 +184,14 @@
 		} else {
 			c.use(nil)
 		}
-		c.put(func(to []byte) []byte { return frame.AppendCheckAnswer(to, h.Stream, good) })
+		c.put(func(to []byte) []byte { return frame.AppendHealthAnswer(to, h.Stream, good) })
 	default: // what is meant by its stream is unknown, so none is touched
 		c.odd("kind", nil)
 		c.put(func(to []byte) []byte { return frame.AppendError(to, "unknown type") })
 	}
 }
 
-func (c *conn) invocation(h frame.Head, payload []byte) {
+func (c *conn) invocation(h frame.Header, payload []byte) {
 	s := c.server
 	if h.Stream == 0 {
 		c.odd("stream_0", nil)
@@ -208,9 +208,9 @@
 		err = errOperation
 	case tenant == 0 && len(s.tenants) > 0:
 		err = errTenant
-	case !in.Told && !s.sheet.DeadlineOptional:
+	case !in.HasWait && !s.sheet.DeadlineOptional:
 		err = errWait
-	case s.sheet.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed && (len(in.Once) == 0 || len(in.Once) > s.bounds.Token):
+	case s.sheet.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed && (len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.Token):
 		err = errToken
 	}
 	if err != nil {
@@ -222,11 +222,11 @@
 		ID: string(in.ID), Operation: op - 1, Tenant: max(tenant-1, 0), Rank: in.Rank, MemoryKB: in.KB, Retry: in.Retry,
 		ExpectedWork: in.Work, ArrivedAt: dispatch.FromWallClock(in.At), CallerTimeout: in.Wait,
 	}
-	if !in.Told {
+	if !in.HasWait {
 		inv.CallerTimeout = s.sheet.Admission.Operations[op-1].ClientTimeout
 	}
 	if s.sheet.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed {
-		inv.IdempotencyKey = token(in.Once, in.Body)
+		inv.IdempotencyKey = token(in.IdempotencyKey, in.Body)
 	}
 	st := &stream{number: h.Stream, left: make(chan struct{})}
 	inv.CallerLeft = st.left
@@ -347,7 +347,7 @@
 	}
 	if c.writing {
 		if len(c.out) > b.Unsent || c.server.unsent.Load() > b.UnsentAll {
-			c.server.odd.Note("unread", nil)
+			c.server.odd.Warn("unread", nil)
 			c.shut()
 		}
 		return
@@ -487,7 +487,7 @@
 	c.noMore = true
 	c.mu.Unlock()
 	if !asked {
-		c.put(frame.AppendNoMore)
+		c.put(frame.AppendGoAway)
 	}
 }
 
@@ -541,11 +541,11 @@
 	switch {
 	case c.closed || c.ending:
 	case !c.sound && now.Sub(c.born) > b.Hello && !c.unread(): // else the poller is behind
-		c.server.odd.Note("silent", nil)
+		c.server.odd.Warn("silent", nil)
 		c.ending = true
 		c.finish()
 	case !c.begun.IsZero() && now.Sub(c.begun) > b.Hello && !c.unread():
-		c.server.odd.Note("unended", nil)
+		c.server.odd.Warn("unended", nil)
 		c.ending = true
 		c.finish()
 	case resting && now.Sub(c.used) > rest && !c.unread():
--- a/internal/backend/server/moments_test.go
+++ b/internal/backend/server/moments_test.go
@@ -47,7 +47,7 @@
 		nodes = append(nodes, n)
 	}
 	over := make(chan struct{})
-	go func() { s.TurnAway(); close(over) }()
+	go func() { s.StopAccepting(); close(over) }()
 	release()
 	fakes.Take(t, "the door's closing", over)
 	for range nodes {
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -38,9 +38,9 @@
 type Server struct {
 	sheet      *config.Settings
 	bounds     limits.Bounds
-	odd        *ratelimitlog.Tally
+	odd        *ratelimitlog.Logger
 	gate       *dispatch.Dispatcher
-	farm       *executor.Link
+	farm       *executor.Client
 	operations map[string]int // number of each name, from 1
 	tenants    map[string]int
 	door       *door
@@ -59,7 +59,7 @@
 type connKey struct{}
 
 // New makes a server for the terms of the sheet.
-func New(sheet *config.Settings, bounds limits.Bounds, tally *ratelimitlog.Tally, g *dispatch.Dispatcher, f *executor.Link) *Server {
+func New(sheet *config.Settings, bounds limits.Bounds, tally *ratelimitlog.Logger, g *dispatch.Dispatcher, f *executor.Client) *Server {
 	s := &Server{
 		sheet: sheet, bounds: bounds, gate: g, farm: f, operations: map[string]int{}, tenants: map[string]int{},
 		conns: map[*conn]struct{}{}, odd: tally,
@@ -118,7 +118,7 @@
 	ctx := context.WithValue(context.Background(), connKey{}, c)
 	crowded := false
 	if s.full(0) {
-		s.odd.Note("connections", nil)
+		s.odd.Warn("connections", nil)
 		if crowded = !s.giveUp(now); s.full(s.bounds.Leaving) {
 			np.Close()
 			return ctx
@@ -193,7 +193,7 @@
 func (s *Server) enter() bool {
 	if s.inHand.Add(1) > int64(s.bounds.Invocations) {
 		s.inHand.Add(-1)
-		s.odd.Note("invocations", nil)
+		s.odd.Warn("invocations", nil)
 		return false
 	}
 	return true
@@ -276,13 +276,13 @@
 	}
 }
 
-func (s *Server) good() bool { return s.gate.Healthy() && s.farm.Up() }
+func (s *Server) good() bool { return s.gate.Healthy() && s.farm.Available() }
 
 // remarks takes netpoll's own log in: it writes a line for each connection that is reset.
 type remarks struct{ server *Server }
 
 func (r remarks) Write(line []byte) (int, error) {
-	r.server.odd.Note("netpoll", errors.New(string(bytes.TrimSpace(line))))
+	r.server.odd.Warn("netpoll", errors.New(string(bytes.TrimSpace(line))))
 	return len(line), nil
 }
 
@@ -350,9 +350,9 @@
 	return len(s.conns), int(s.inHand.Load())
 }
 
-// TurnAway closes the listener, once all that the machine has accepted is taken in, and asks for no more on every
+// StopAccepting closes the listener, once all that the machine has accepted is taken in, and asks for no more on every
 // connection.
-func (s *Server) TurnAway() {
+func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
@@ -360,19 +360,19 @@
 		c.askNoMore()
 	}
 	if err := s.door.close(s.bounds.Queued); err != nil {
-		s.odd.Note("listener", err)
+		s.odd.Warn("listener", err)
 	}
 }
 
-// Part closes, for writing, every connection on which all that came is answered.
-func (s *Server) Part() {
+// CloseAnswered closes, for writing, every connection on which all that came is answered.
+func (s *Server) CloseAnswered() {
 	for _, c := range s.all() {
 		c.endIfAnswered()
 	}
 }
 
-// Parted tells whether every connection has been closed, for writing at least.
-func (s *Server) Parted() bool {
+// AllClosed tells whether every connection has been closed, for writing at least.
+func (s *Server) AllClosed() bool {
 	for _, c := range s.all() {
 		if !c.heedless() {
 			return false
@@ -381,8 +381,8 @@
 	return true
 }
 
-// Answered tells whether all that was read has been answered, the answers written, and nothing stands unread.
-func (s *Server) Answered() bool {
+// AllAnswered tells whether all that was read has been answered, the answers written, and nothing stands unread.
+func (s *Server) AllAnswered() bool {
 	for _, c := range s.all() {
 		if !c.answered() {
 			return false
@@ -391,5 +391,5 @@
 	return true
 }
 
-// Quiet tells whether besides nothing is carried any more.
-func (s *Server) Quiet() bool { return s.Answered() && s.inHand.Load() == 0 }
+// Idle tells whether besides nothing is carried any more.
+func (s *Server) Idle() bool { return s.AllAnswered() && s.inHand.Load() == 0 }
--- a/internal/backend/server/edge_test.go
+++ b/internal/backend/server/server_test.go
@@ -45,12 +45,12 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go link.Keep(ctx)
-	go g.RunTicks(ctx.Done(), link.Sample, link.Sampled())
+	go link.Run(ctx)
+	go g.RunTicks(ctx.Done(), link.RequestSample, link.Samples())
 	go s.Serve()
 	t.Cleanup(func() {
 		cancel()
-		s.TurnAway()
+		s.StopAccepting()
 		for _, c := range s.all() {
 			c.cut()
 		}
@@ -79,7 +79,7 @@
 			s.run(t, "complete", "nobody waits")
 		}
 		n, carried := s.Counts()
-		return n == conns && carried == 0 && s.inGate() == 0 && s.unsent.Load() == 0 && s.Quiet()
+		return n == conns && carried == 0 && s.inGate() == 0 && s.unsent.Load() == 0 && s.Idle()
 	})
 }
 
@@ -504,16 +504,16 @@
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.theFarm.Launches)
-	s.TurnAway()
+	s.StopAccepting()
 	tr.Say("%v", n.Expect())
 	n.Send(fakes.Invocation(2, 2))
 	crossing := fakes.Take(t, "a launch", s.theFarm.Launches)
 	s.theFarm.End(crossing.ID, "complete", "crossing")
 	tr.Say("%v", n.Expect())
-	tr.Say("quiet %t", s.Quiet())
+	tr.Say("quiet %t", s.Idle())
 	s.theFarm.End(l.ID, "complete", "r")
 	tr.Say("%v", n.Expect())
-	fakes.Until(t, "all is quiet", s.Quiet)
+	fakes.Until(t, "all is quiet", s.Idle)
 	fakes.Until(t, "nobody can connect", func() bool {
 		c, err := net.Dial("tcp", s.address)
 		if err == nil {
--- a/internal/cluster/transport/peer.go
+++ b/internal/cluster/transport/peer.go
@@ -75,7 +75,7 @@
 			q.Close()
 		}
 	}()
-	l := limits.Conns(n.listener, 4*n.limits.Clients)
+	l := limits.LimitListener(n.listener, 4*n.limits.Clients)
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/limits/control.go
+++ b/internal/limits/control.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Conns lets at most so many connections of a listener be open; Accept waits for one to be closed.
-func Conns(l net.Listener, most int) net.Listener {
+// LimitListener lets at most so many connections of a listener be open; Accept waits for one to be closed.
+func LimitListener(l net.Listener, most int) net.Listener {
 	return &counted{Listener: l, room: make(chan struct{}, most), over: make(chan struct{})}
 }
 
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -106,7 +106,7 @@
 					}
 					have += k
 					for {
-						h, p, took, _ := frame.Next(buffer[:have], 262_144)
+						h, p, took, _ := frame.SplitFrame(buffer[:have], 262_144)
 						if took == 0 {
 							break
 						}
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -175,7 +175,7 @@
 	s.r.Attempts++
 	s.tries++
 	op := &s.s.Operations[a.Operation]
-	ask := &frame.Ask{
+	ask := &frame.OutgoingInvocation{
 		Operation: op.Name, ID: fmt.Sprintf("%016x", s.salt+s.tries), At: time.Now().UnixMilli(), Wait: max(1000, a.Due-now), Retry: retry, Work: a.Hint,
 		KB: max(0.1, min(s.s.Hosts.HeldKB, 1999)), Rank: min(op.Rank, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(a.Work), 10),
 	}
@@ -302,7 +302,7 @@
 }
 
 // send appends a frame; s.mu is held.
-func (l *link) send(a *Ask, ask *frame.Ask) {
+func (l *link) send(a *Ask, ask *frame.OutgoingInvocation) {
 	l.next++
 	l.open[l.next] = &sent{a: a, id: ask.ID}
 	a.Open++
@@ -344,7 +344,7 @@
 		l.s.mu.Lock()
 		used := 0
 		for {
-			h, payload, took, bad := frame.Next(buffer[used:have], most)
+			h, payload, took, bad := frame.SplitFrame(buffer[used:have], most)
 			if bad != nil {
 				err = bad
 			}
@@ -379,9 +379,9 @@
 }
 
 // frame takes one in; s.mu is held.
-func (l *link) frame(h frame.Head, payload []byte) error {
+func (l *link) frame(h frame.Header, payload []byte) error {
 	switch h.Kind {
-	case frame.KindNoMore:
+	case frame.KindGoAway:
 		l.noMore = true
 		if l.s.links[[2]int{l.node, l.backend}] == l { // what comes next opens another connection
 			delete(l.s.links, [2]int{l.node, l.backend})
--- a/internal/ratelimitlog/odd.go
+++ b/internal/ratelimitlog/logger.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Tally counts odd input by kind and logs one line of a kind in a while, with how many there were since.
-type Tally struct {
+// Logger counts odd input by kind and logs one line of a kind in a while, with how many there were since.
+type Logger struct {
 	quiet time.Duration
 	mu    sync.Mutex
 	kinds map[string]*entry
@@ -21,13 +21,13 @@
 }
 
 // New makes a tally that is quiet for so long between two lines of a kind.
-func New(quiet time.Duration) *Tally {
-	return &Tally{quiet: quiet, kinds: map[string]*entry{}}
+func New(quiet time.Duration) *Logger {
+	return &Logger{quiet: quiet, kinds: map[string]*entry{}}
 }
 
-// Note counts one; the error, which may be nil, is logged with the line if there is one. Kinds are few and of
+// Warn counts one; the error, which may be nil, is logged with the line if there is one. Kinds are few and of
 // this program's choice: they are kept for ever.
-func (t *Tally) Note(kind string, err error) {
+func (t *Logger) Warn(kind string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.kinds[kind]
--- a/internal/simulation/coldstart/rising.go
+++ b/internal/simulation/coldstart/rising.go
@@ -30,7 +30,7 @@
 	Register        faultinjectioncoldstart.Register
 	Below           Below
 	For             time.Duration
-	Reports         reportpacing.Terms
+	Reports         reportpacing.Config
 	Relaunch        fleet.Backoff
 }
 
@@ -90,7 +90,7 @@
 type backend struct {
 	name   string
 	host   int
-	pace   *reportpacing.Pace
+	pace   *reportpacing.Pacer
 	began  time.Duration
 	tries  int
 	starts bool
@@ -276,7 +276,7 @@
 	}
 	b.warm = true
 	w.warmTimes = append(w.warmTimes, w.now)
-	b.pace.Open(micros(w.now))
+	b.pace.Start(micros(w.now))
 	w.schedule(who)
 }
 
@@ -292,7 +292,7 @@
 // report calls the register.
 func (w *play) report(who int) {
 	b := &w.all[who]
-	b.pace.Begun(micros(w.now))
+	b.pace.Started(micros(w.now))
 	w.schedule(who)
 	r := &w.t.Register
 	p := r.At(w.now)
@@ -313,9 +313,9 @@
 	w.within--
 	c := &w.calls[call]
 	if c.Counted {
-		b.pace.Counted(micros(w.now), micros(c.At))
+		b.pace.Succeeded(micros(w.now), micros(c.At))
 	} else {
-		b.pace.Missed(micros(w.now), reportpacing.NotTaken, micros(w.t.Register.At(c.At).Advice))
+		b.pace.Failed(micros(w.now), reportpacing.Rejected, micros(w.t.Register.At(c.At).Advice))
 	}
 	w.schedule(who)
 }
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -25,7 +25,7 @@
 		Backends: backends, Hosts: max(1, backends/30), Starts: time.Second, Cores: 6, For: 120 * time.Second,
 		Register: coldstart.Register{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, Takes: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, Takes: 10 * time.Millisecond}}},
 		Below:    Below{Takes: 200 * time.Millisecond, Crowd: max(2, backends/30), Bound: max(4, backends/10), Needs: 5 * time.Second},
-		Reports: reportpacing.Terms{
+		Reports: reportpacing.Config{
 			Usual: of(b.Report), Lapse: of(b.Lapse), Least: of(b.ReportLeast), Closed: of(b.ReportClosed), First: of(b.ReportFirst),
 			Most: of(b.ReportMost), Advice: of(b.ReportAdvice), OnWay: b.Reports,
 		},
--- a/internal/supervisor/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -43,7 +43,7 @@
 type Keeper struct {
 	o     Options
 	paths Paths
-	peer  *admin.Peer
+	peer  *admin.Client
 	child *exec.Cmd // nil where it was adopted
 
 	mu      sync.Mutex
@@ -80,7 +80,7 @@
 	if k.state.Ended {
 		return nil // this life has come and gone: the same step came twice
 	}
-	k.peer = admin.NewPeer(k.paths.Admin, o.Bounds)
+	k.peer = admin.NewClient(k.paths.Admin, o.Bounds)
 	defer k.peer.Close()
 	l, err := admin.Listen(k.paths.Socket)
 	if err != nil {
@@ -90,7 +90,7 @@
 		Handler: k.handler(), ReadHeaderTimeout: o.Bounds.Call, ReadTimeout: 2 * longPoll, WriteTimeout: 2 * longPoll,
 		IdleTimeout: o.Bounds.Idle, MaxHeaderBytes: o.Bounds.Message,
 	}
-	go server.Serve(limits.Conns(l, o.Bounds.Clients))
+	go server.Serve(limits.LimitListener(l, o.Bounds.Clients))
 	defer server.Close()
 
 	over := make(chan fleet.Exit, 1)
