--- a/admission/backend_test.go
+++ b/admission/backend_test.go
@@ -93,7 +93,7 @@
 	fakes.Compare(tr.t, tr.text.String())
 }
 
-func TestWordsOnBothSidesOfTheCut(t *testing.T) {
+func TestDontRetryFollowsRetryShare(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.pass(400, 1, 8)
 	tr.note("no retries seen: try elsewhere")
@@ -106,7 +106,7 @@
 	tr.check()
 }
 
-func TestGateByRank(t *testing.T) {
+func TestThresholdByPriority(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.note("a crowded queue on idle cores throttles nobody")
 	tr.pass(400, 0.5, 1.9)
@@ -205,7 +205,7 @@
 	tr.check()
 }
 
-func TestCrowdWarmAndCold(t *testing.T) {
+func TestMaxRunsWarmAndCold(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.JustStarted, t.CollapseMultiple, t.WarmUp = true, 2, 3_000_000 })
 	tr.note("runs that left the gauge for a disk still count; cold, two cores bear two")
 	for n := range 4 {
@@ -217,7 +217,7 @@
 	tr.check()
 }
 
-func TestCallsBelow(t *testing.T) {
+func TestCallsToDependency(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.SharedDependency, t.CallQuota = true, 1 })
 	tr.note("one call in hand at most; an abandoned one lingers")
 	tr.arrive("a", 0, 0.9)
@@ -260,8 +260,8 @@
 	tr.check()
 }
 
-// The advice covers what stands unread, which no gauge shows.
-func TestUnreadTimeIsInTheAdvice(t *testing.T) {
+// Retry-After covers what stands unread, which no gauge shows.
+func TestQueueTimeIsInRetryAfter(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.pass(400, 1, 5)
 	tr.arrive("read at once", 0, 0.5)
@@ -296,8 +296,8 @@
 	tr.check()
 }
 
-// What a tenant sends beyond its part of the quota gives way to anyone's work within it.
-func TestTenantBeyondItsShare(t *testing.T) {
+// What a tenant sends beyond its part of the quota yields to anyone's work within it.
+func TestTenantBeyondItsQuota(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.QuotaPerSecond, t.OverQuotaValue = []float64{8, 8}, 0.05 })
 	for n := range 9 {
 		id := fmt.Sprint("first", n)
@@ -311,7 +311,7 @@
 	tr.check()
 }
 
-// A machine that reads and ends nothing on full cores must tell who checks its health.
+// A machine that reads and ends nothing on full cores must fail its health checks.
 func TestStuckBackendIsNotHealthy(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.note("idle, it is healthy however long nothing happens")
@@ -342,7 +342,7 @@
 }
 
 // Runs that crawl past their objective must not hold the cores where they can be stopped.
-func TestWorthlessRunsAreStopped(t *testing.T) {
+func TestLateRunsAreStopped(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.Preemption = PreemptionDiscards })
 	for n := range 2 {
 		tr.arrive(fmt.Sprint("crawls", n), n*2, 0.9)
@@ -393,7 +393,7 @@
 	tr.check()
 }
 
-// TestUnrunnable: what the farm knows nothing of moves no measure, whatever marks it bears.
+// TestUnrunnable: what the executor knows nothing of moves no measure, whatever marks it bears.
 func TestUnrunnable(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.QuotaPerSecond = []float64{10, 10} })
 	for k := range 2 {
@@ -416,9 +416,9 @@
 	}
 }
 
-// Where no mark tells a later try, the time that its caller has left does; so few show that the cut is halved: at rank 0.9
-// it is 0.46 of marks.
-func TestUnusualWaitsStandForMarks(t *testing.T) {
+// Where no mark tells a retry, the time until its deadline does; so few show that the limit is halved: at priority 0.9 it is
+// a share of retries of 0.46.
+func TestUnusualDeadlinesStandForRetryMarks(t *testing.T) {
 	for _, unmarked := range []bool{false, true} {
 		tr := newTrace(t, func(t *Config) { t.RetriesUnmarked = unmarked })
 		first := func(a *Arrived) { a.TimeLeft = 2_500_000 }
@@ -442,8 +442,8 @@
 	}
 }
 
-// Where value is billed by invocation, what is worth more goes first and is not given up for what is worth less.
-func TestDearerFirst(t *testing.T) {
+// Where value is billed by invocation, a higher value goes first and is not given up for a lower one.
+func TestHigherValueFirst(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
 		tr := newTrace(t, func(t *Config) {
 			t.ValuePerWork = byWork
@@ -499,8 +499,8 @@
 	tr.check()
 }
 
-// Runs that have not had what they were expected to cost must not make the next look hopeless, unless a line waits.
-func TestLongRunsAreNoTroubleWithoutALine(t *testing.T) {
+// Runs that have not had what they were expected to cost must not make the next look late, unless a queue waits.
+func TestLongRunsAreNoSlowdownWithoutAQueue(t *testing.T) {
 	tr := newTrace(t, nil)
 	long := func(a *Arrived) { a.ExpectedWork = 1_500_000 }
 	tr.arrive("long0", 0, 0.9, long)
