--- a/internal/backend/quota/holder_test.go
+++ b/internal/backend/quota/holder_test.go
@@ -65,6 +65,10 @@
 		"another budget":   {"n", "1", first.Number, []Grant{{"c", 8, 1, 9, 1000}}, ""},
 		"below nothing":    {"n", "1", first.Number, []Grant{{"b", 8, 1, -9, 1000}}, ""},
 		"more than counts": {"n", "1", first.Number, []Grant{{"b", 8, MaxRate + 1, 9, 1000}}, ""},
+		"another name":     {"m", "1", first.Number, part(8, 9), ""},
+		"a floor below 0":  {"n", "1", first.Number, []Grant{{"b", 8, -1, 9, 1000}}, ""},
+		"too large extra":  {"n", "1", first.Number, []Grant{{"b", 8, 1, MaxRate + 1, 1000}}, ""},
+		"a lease below 0":  {"n", "1", first.Number, []Grant{{"b", 8, 1, 9, -1}}, ""},
 	} {
 		if err := h.Apply(30, a); err == nil {
 			t.Errorf("%s was taken", name)
@@ -87,7 +91,9 @@
 func BenchmarkTryAcquire(b *testing.B) {
 	h := New("n", "1", []string{"b"})
 	a := h.NewRequest(1)
-	h.Apply(2, LeaseResponse{"n", "1", a.Number, []Grant{{"b", 1, 1000, 1000, 1 << 40}}, ""})
+	if err := h.Apply(2, LeaseResponse{"n", "1", a.Number, []Grant{{"b", 1, 1000, 1000, 1 << 40}}, ""}); err != nil {
+		b.Fatal(err)
+	}
 	now := Micros(3)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/backend/quotalog/log.go
+++ b/internal/backend/quotalog/log.go
@@ -1,5 +1,5 @@
-// Package quotalog writes down what a holder of shares has and draws, a line each, for an auditor to read. It is off
-// unless asked for. Times are of the machine's clock as it is, also where the holder's own was made to run apart.
+// Package quotalog records what a holder of quotas has and uses, a line each, for an auditor to read. It is off unless asked
+// for. Times are of the machine's clock, in microseconds, even if the holder's own clock is made to run faster.
 package quotalog
 
 import (
@@ -10,46 +10,46 @@
 	"milletbarrow/internal/backend/quota"
 )
 
-// Log is what a process writes. Not safe for use by several goroutines.
+// Log writes the records of one process. Not safe for concurrent use.
 type Log struct {
 	out    *bufio.Writer
 	since  int64
-	logged []int64 // by budget, when it was last written down
+	logged []int64 // by budget: the units drawn that are recorded
 }
 
-// New writes to w; every call ends with a whole line there. The first line is "clock TIME PPM": how much faster the
-// holder's own clock was made to run.
+// New writes to w; every call ends with a complete line there. The first line is "clock TIME PPM": how much faster the
+// holder's own clock runs. If it can't be written, the next record returns the error.
 func New(w io.Writer, at int64, ppm int) *Log {
-	s := &Log{out: bufio.NewWriter(w), since: at}
-	fmt.Fprintf(s.out, "clock %d %d\n", at, ppm)
-	s.out.Flush()
-	return s
+	l := &Log{out: bufio.NewWriter(w), since: at}
+	fmt.Fprintf(l.out, "clock %d %d\n", at, ppm)
+	_ = l.out.Flush() // a bufio.Writer keeps its error
+	return l
 }
 
-// RecordHeld writes down what is held now: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT", LEFT being how long the extra lasts on
-// the holder's own clock.
-func (s *Log) RecordHeld(at int64, now quota.Micros, all []quota.Status) error {
-	for _, v := range all {
-		fmt.Fprintf(s.out, "have %d %s %d %d %d %d\n", at, v.Budget, v.Epoch, v.Floor, v.Extra, max(0, v.Until-now))
+// RecordHeld records the grants in force: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT", LEFT being how long the extra lasts
+// on the holder's own clock, now.
+func (l *Log) RecordHeld(at int64, now quota.Micros, budgets []quota.Status) error {
+	for _, b := range budgets {
+		fmt.Fprintf(l.out, "have %d %s %d %d %d %d\n", at, b.Budget, b.Epoch, b.Floor, b.Extra, max(0, b.Until-now))
 	}
-	return s.out.Flush()
+	return l.out.Flush()
 }
 
-// RecordDrawn writes down what was drawn since the last time: "drew FROM TO BUDGET UNITS"; without any, "here TIME".
-func (s *Log) RecordDrawn(at int64, all []quota.Status) error {
-	if len(s.logged) < len(all) {
-		s.logged = append(s.logged, make([]int64, len(all)-len(s.logged))...)
+// RecordDrawn records the units acquired since the last time: "drew FROM TO BUDGET UNITS"; if there are none, "here TIME".
+func (l *Log) RecordDrawn(at int64, budgets []quota.Status) error {
+	if len(l.logged) < len(budgets) {
+		l.logged = append(l.logged, make([]int64, len(budgets)-len(l.logged))...)
 	}
-	any := false
-	for i, v := range all {
-		if n := v.Drawn - s.logged[i]; n > 0 {
-			fmt.Fprintf(s.out, "drew %d %d %s %d\n", s.since, at, v.Budget, n)
-			s.logged[i], any = v.Drawn, true
+	drawn := false
+	for i, b := range budgets {
+		if n := b.Drawn - l.logged[i]; n > 0 {
+			fmt.Fprintf(l.out, "drew %d %d %s %d\n", l.since, at, b.Budget, n)
+			l.logged[i], drawn = b.Drawn, true
 		}
 	}
-	if !any {
-		fmt.Fprintf(s.out, "here %d\n", at)
+	if !drawn {
+		fmt.Fprintf(l.out, "here %d\n", at)
 	}
-	s.since = at
-	return s.out.Flush()
+	l.since = at
+	return l.out.Flush()
 }
