--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -198,7 +198,7 @@
 	how                   string
 }
 
-var keeperLine = regexp.MustCompile(`time=(\S+) event=(launched|told|ended) name=(\S+) run=(\S+)(?:.* how=("[^"]*"|\S+))?`)
+var keeperLine = regexp.MustCompile(`time=(\S+) event=(launched|notified|ended) name=(\S+) run=(\S+)(?:.* how=("[^"]*"|\S+))?`)
 
 // lives reads the keepers' logs.
 func (h *hosts) lives() map[string][]*lived {
@@ -224,7 +224,7 @@
 			switch m[2] {
 			case "launched":
 				l.launched = at
-			case "told":
+			case "notified":
 				l.told = at
 			case "ended":
 				l.ended, l.how = at, strings.Trim(m[5], `"`)
--- /dev/null
+++ b/internal/supervisor/client.go
@@ -0,0 +1,39 @@
+package supervisor
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+
+	"milletbarrow/internal/jsonhttp"
+	"milletbarrow/internal/limits"
+)
+
+// Client calls the supervisor of one instance. It may be used by several goroutines.
+type Client struct {
+	http   *http.Client
+	bounds limits.Control
+}
+
+// NewClient returns a client for the supervisor of the named instance, under the agent's directory.
+func NewClient(dir, name string, b limits.Control) *Client {
+	return &Client{jsonhttp.Client("unix:"+PathsOf(dir, name).Socket, b), b}
+}
+
+// Report waits for a report whose serial is above after, or for longPollTimeout.
+func (c *Client) Report(ctx context.Context, after int) (r Report, err error) {
+	ctx, cancel := context.WithTimeout(ctx, longPollTimeout+c.bounds.Call)
+	defer cancel()
+	path := "/v1/report?after=" + strconv.Itoa(after)
+	return r, jsonhttp.Call(ctx, c.http, http.MethodGet, path, nil, &r, int64(c.bounds.Message))
+}
+
+// Request hands a step over, within limits.Control.Call.
+func (c *Client) Request(ctx context.Context, r StepRequest) error {
+	ctx, cancel := context.WithTimeout(ctx, c.bounds.Call)
+	defer cancel()
+	return jsonhttp.Call(ctx, c.http, http.MethodPost, "/v1/order", r, nil, 0)
+}
+
+// Close closes idle connections.
+func (c *Client) Close() { c.http.CloseIdleConnections() }
--- /dev/null
+++ b/internal/supervisor/logfile.go
@@ -0,0 +1,41 @@
+package supervisor
+
+import (
+	"io"
+	"log/slog"
+	"os"
+)
+
+// rotateLog bounds the instance's log file: once it is longer than LogBytes it is copied to LOG.1 and truncated. It
+// is copied, not renamed, as the instance keeps its descriptor.
+func (s *supervisor) rotateLog() {
+	info, err := os.Stat(s.paths.Log)
+	if err != nil || info.Size() < s.options.Bounds.LogBytes {
+		return
+	}
+	if err := copyFile(s.paths.Log, s.paths.Log+".1", info.Size()); err != nil {
+		slog.Error("log", "name", s.options.Name, "error", err.Error())
+		return
+	}
+	if err := os.Truncate(s.paths.Log, 0); err != nil { // it is opened to append: the next line stands at the new end
+		slog.Error("log", "name", s.options.Name, "error", err.Error())
+	}
+}
+
+// copyFile copies the first size bytes of a file.
+func copyFile(from, to string, size int64) error {
+	source, err := os.Open(from)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = source.Close() }() // only read from
+	target, err := os.Create(to)
+	if err != nil {
+		return err
+	}
+	if _, err := io.CopyN(target, source, size); err != nil {
+		_ = target.Close() // the copy's error tells more
+		return err
+	}
+	return target.Close()
+}
--- a/internal/supervisor/guard_test.go
+++ b/internal/supervisor/monitor_test.go
@@ -14,7 +14,7 @@
 
 var usual = fleet.ShutdownWindow{Grace: 2 * second, ExitTimeout: 3200_000}
 
-// fake is an instance as a guard may meet it: it may be deaf to the signal, to its socket, or to both, may be
+// fake is an instance as a monitor may meet it: it may be deaf to the signal, to its socket, or to both, may be
 // stopped for a while, and may stay beyond its stop.
 type fake struct {
 	deafSignal, deafSocket, stays bool
@@ -24,7 +24,7 @@
 	graceEnds                     Micros // 0: it has heard nothing
 	gone                          bool
 	end                           Micros
-	said                          []Micros
+	notices                       []Micros
 }
 
 func (f *fake) leave(now, ago Micros) {
@@ -33,27 +33,27 @@
 	}
 }
 
-func (f *fake) act(now Micros, g *Guard, a Act) {
+func (f *fake) act(now Micros, m *Monitor, a Action) {
 	switch a {
-	case Term:
+	case SignalShutdown:
 		f.signal = true
-	case Say:
-		f.said = append(f.said, now)
+	case NotifySocket:
+		f.notices = append(f.notices, now)
 		if !f.deafSocket && !f.stopped(now) {
-			f.leave(now, now-g.ToldAt)
+			f.leave(now, now-m.NotifiedAt)
 		}
-	case Finish:
+	case KillGroup:
 		f.gone, f.end = true, now
 	}
 }
 
-func (f *fake) look(now Micros) Look {
+func (f *fake) check(now Micros) Observation {
 	if f.signal && !f.deafSignal && !f.stopped(now) {
 		f.signal = false
 		f.leave(now, 0)
 	}
 	if f.stopped(now) {
-		return Look{}
+		return Observation{}
 	}
 	if f.graceEnds != 0 && !f.stays && now >= f.graceEnds-usual.Grace+usual.ExitTimeout-30_000 {
 		f.gone, f.end = true, now
@@ -62,7 +62,7 @@
 	if f.graceEnds != 0 {
 		s.Draining, s.GraceEnds = true, int64(f.graceEnds)
 	}
-	return Look{&s}
+	return Observation{&s}
 }
 
 // takesIn tells whether it would let work run that arrives now.
@@ -72,8 +72,8 @@
 
 func never(Micros) bool { return false }
 
-// TestGuard: what becomes of an instance in each kind of trouble.
-func TestGuard(t *testing.T) {
+// TestMonitor: what becomes of an instance in each kind of trouble.
+func TestMonitor(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
 		what string
@@ -87,32 +87,32 @@
 		{"hears, and stays beyond its stop", fake{stays: true, stopped: never}},
 	} {
 		f := c.f
-		g := &Guard{Window: usual, Began: 0}
+		m := &Monitor{Window: usual}
 		tr.Say("%s", c.what)
 		was := fleet.Phase("")
 		for now := Micros(0); now < 20*second && !f.gone; now += 25_000 {
 			if now == 10*second {
-				tr.Say("  told: %t, again: %t", g.Tell(now, "s1"), g.Tell(now, "s2"))
+				tr.Say("  told: %t, again: %t", m.Notify(now, "s1"), m.Notify(now, "s2"))
 			}
-			g.Look(now, f.look(now))
+			m.Observe(now, f.check(now))
 			if f.gone {
 				break
 			}
-			for _, a := range g.Next(now) {
-				f.act(now, g, a)
+			for _, a := range m.NextActions(now) {
+				f.act(now, m, a)
 			}
-			if p, cause := g.Phase(now); p != was {
+			if p, cause := m.Phase(now); p != was {
 				tr.Say("  %7.3f s %s %s", float64(now-10*second)/1e6, p, cause)
 				was = p
 			}
 		}
-		tr.Say("  gone %t after %.3f s, said %d times, killed %q", f.gone, float64(f.end-10*second)/1e6, len(f.said), g.Killed)
+		tr.Say("  gone %t after %.3f s, said %d times, killed %q", f.gone, float64(f.end-10*second)/1e6, len(f.notices), m.KillCause)
 	}
 }
 
-// TestGuardAlways: whatever an instance does, it takes in nothing that arrives after its grace (but for the little
+// TestMonitorAlways: whatever an instance does, it takes in nothing that arrives after its grace (but for the little
 // by which it may hear late), is gone shortly after its stop, and is killed only where it left no choice.
-func TestGuardAlways(t *testing.T) {
+func TestMonitorAlways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := Micros(rapid.IntRange(0, 40).Draw(t, "stopped from")) * 100_000
 		till := from + Micros(rapid.IntRange(0, 50).Draw(t, "for"))*100_000
@@ -120,28 +120,28 @@
 			deafSignal: rapid.Bool().Draw(t, "deaf to the signal"), deafSocket: rapid.Bool().Draw(t, "to its socket"),
 			stays: rapid.Bool().Draw(t, "stays"), stopped: func(now Micros) bool { return now >= from && now < till },
 		}
-		g := &Guard{Window: usual}
+		m := &Monitor{Window: usual}
 		told := Micros(rapid.IntRange(1, 40).Draw(t, "told")) * 100_000
 		for now := Micros(0); now < 12*second && !f.gone; now += Micros(rapid.IntRange(1000, 40_000).Draw(t, "step")) {
 			if now >= told {
-				g.Tell(now, "s")
+				m.Notify(now, "s")
 			}
-			g.Look(now, f.look(now))
+			m.Observe(now, f.check(now))
 			if !f.gone {
-				for _, a := range g.Next(now) {
-					f.act(now, g, a)
+				for _, a := range m.NextActions(now) {
+					f.act(now, m, a)
 				}
 			}
-			if g.Step != "" && now > g.ToldAt+usual.Grace+heardLate && f.takesIn(now) {
-				t.Fatalf("takes work in %d us after the notice: %+v, %+v", now-g.ToldAt, f, g)
+			if m.NotifiedStep != "" && now > m.NotifiedAt+usual.Grace+lateNoticeAllowance && f.takesIn(now) {
+				t.Fatalf("takes work in %d us after the notice: %+v, %+v", now-m.NotifiedAt, f, m)
 			}
 		}
-		if !f.gone || f.end > g.ToldAt+usual.ExitTimeout+stopSlack+50_000 {
-			t.Fatalf("not gone in time: %+v, %+v", f, g)
+		if !f.gone || f.end > m.NotifiedAt+usual.ExitTimeout+stopMargin+50_000 {
+			t.Fatalf("not gone in time: %+v, %+v", f, m)
 		}
 		meek := !f.stays && till <= from && !f.deafSignal
-		if meek && g.Killed != "" {
-			t.Fatalf("killed without need: %s", g.Killed)
+		if meek && m.KillCause != "" {
+			t.Fatalf("killed without need: %s", m.KillCause)
 		}
 	})
 }
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -12,49 +12,58 @@
 	"milletbarrow/internal/process"
 )
 
-// Paths are the files of one instance's keeper.
-type Paths struct{ State, Socket, Admin, Log, Lock string }
+// Paths are the files of one instance's supervisor.
+type Paths struct {
+	State  string // what the supervisor writes down
+	Socket string // the supervisor's own
+	Admin  string // the instance's admin socket
+	Log    string // what the instance prints
+	Lock   string // held by the supervisor in charge
+}
 
-// mostPath is what the system allows a Unix socket's path, less the zero at its end.
-const mostPath = 107
+// maxSocketPath is how many bytes the system allows a Unix socket's path, less the zero at its end.
+const maxSocketPath = 107
 
 // PathsOf names the files of an instance under the agent's directory.
 func PathsOf(dir, name string) Paths {
-	at := func(end string) string { return filepath.Join(dir, "keepers", name+end) }
-	return Paths{at(".json"), at(".sock"), at(".inspect"), at(".log"), at(".lock")}
+	file := func(suffix string) string { return filepath.Join(dir, "keepers", name+suffix) }
+	return Paths{
+		State: file(".json"), Socket: file(".sock"), Admin: file(".inspect"), Log: file(".log"), Lock: file(".lock"),
+	}
 }
 
-// Check tells of a directory whose sockets can't be opened.
+// Check returns an error for a directory whose sockets can't be opened, as their paths are too long.
 func (p Paths) Check() error {
-	if n := len(p.Admin); n > mostPath {
-		return fmt.Errorf("%s: %d bytes, and a socket's path can have %d: take a shorter directory", p.Admin, n, mostPath)
+	if n := len(p.Admin); n > maxSocketPath {
+		return fmt.Errorf("%s: %d bytes, and a socket's path can have %d: take a shorter directory", p.Admin, n, maxSocketPath)
 	}
 	return nil
 }
 
-// State is what a keeper writes down, so that another can take over and the agent can tell what became of a life
-// whose keeper is gone.
+// State is the record that a supervisor writes down, so that another can take over and the agent can tell what became
+// of an incarnation whose supervisor is gone. The file is read by other versions: its fields keep their names.
 type State struct {
 	Version      int              `json:"version"`
 	Name         string           `json:"name"`
 	Run          string           `json:"run"`
-	Boot         string           `json:"boot"` // the run of the machine that identities and times are of
+	Boot         string           `json:"boot"` // the boot of the machine that identities and times are of
 	Supervisor   process.Identity `json:"keeper"`
 	Instance     process.Identity `json:"instance"` // zero before it was started
 	StartedAt    Micros           `json:"began"`
-	NotifiedStep string           `json:"told,omitempty"` // the notice taken
+	NotifiedStep string           `json:"told,omitempty"` // the step whose shutdown notice was taken
 	NotifiedAt   Micros           `json:"told_at,omitempty"`
 	Ended        bool             `json:"ended,omitempty"`
 	End          fleet.Exit       `json:"end"`
 }
 
-// stateVersion is that of the file; a newer one is not touched.
+// stateVersion is the version of the file and of the reports; a file of a newer one is not touched.
 const stateVersion = 1
 
-// ErrNoState: nothing was ever written, or not to its end: no instance was started.
-var ErrNoState = errors.New("no keeper has written its state")
+// ErrNoState means that no state was ever written: no instance was started.
+var ErrNoState = errors.New("no supervisor has written its state")
 
-// ReadState reads a keeper's state. A file from another run of the machine counts as ended.
+// ReadState reads a supervisor's state file, or returns ErrNoState. A file from before a reboot of the machine counts
+// as ended, and names no processes.
 func ReadState(path string) (s State, err error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -75,8 +84,8 @@
 	return s, nil
 }
 
-// write replaces the file whole: whoever reads it sees the state before or after. It is not synced, as it has to
-// outlive processes and not the machine, which ends them all.
+// write replaces the file atomically. It is not synced, as it has to outlive processes and not the machine, which ends
+// them all.
 func (s State) write(path string) error {
 	s.Version, s.Boot = stateVersion, process.Boot()
 	raw, err := json.Marshal(s)
@@ -90,17 +99,28 @@
 	return os.Rename(next, path)
 }
 
-// ErrLocked: another keeper has the instance.
-var ErrLocked = errors.New("another keeper holds the instance")
+// ErrLocked means that another supervisor is in charge of the instance.
+var ErrLocked = errors.New("another supervisor holds the instance")
+
+// StateConflictError means that the state file does not allow a supervisor to start or adopt an incarnation.
+type StateConflictError struct {
+	Name   string // the instance
+	Run    string // the incarnation that was to be started or adopted
+	Reason string
+}
+
+func (e *StateConflictError) Error() string {
+	return fmt.Sprintf("instance %s, run %s: %s", e.Name, e.Run, e.Reason)
+}
 
-// lock takes the instance for this process; the system lets go of it with the process.
+// lock takes charge of the instance for this process; the system releases the lock when the process ends.
 func lock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close() // nothing was written
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, ErrLocked
 		}
