--- a/internal/supervisor/monitor_test.go
+++ b/internal/supervisor/monitor_test.go
@@ -12,12 +12,16 @@
 
 const second Micros = 1_000_000
 
+// endLead is how long before its stop the fake instance ends by itself.
+const endLead Micros = 30_000
+
 var usual = fleet.ShutdownWindow{Grace: 2 * second, ExitTimeout: 3200_000}
 
 // fake is an instance as a monitor may meet it: it may be deaf to the signal, to its socket, or to both, may be
 // stopped for a while, and may stay beyond its stop.
 type fake struct {
 	deafSignal, deafSocket, stays bool
+	hearsAtOnce                   bool // the signal; else at its next check
 	stopped                       func(Micros) bool
 	signal                        bool // stands before it
 	ready                         Micros
@@ -37,6 +41,9 @@
 	switch a {
 	case SignalShutdown:
 		f.signal = true
+		if f.hearsAtOnce {
+			f.hear(now)
+		}
 	case NotifySocket:
 		f.notices = append(f.notices, now)
 		if !f.deafSocket && !f.stopped(now) {
@@ -47,15 +54,20 @@
 	}
 }
 
-func (f *fake) check(now Micros) Observation {
+// hear takes a signal that stands before it, unless it is deaf or stopped.
+func (f *fake) hear(now Micros) {
 	if f.signal && !f.deafSignal && !f.stopped(now) {
 		f.signal = false
 		f.leave(now, 0)
 	}
+}
+
+func (f *fake) check(now Micros) Observation {
+	f.hear(now)
 	if f.stopped(now) {
 		return Observation{}
 	}
-	if f.graceEnds != 0 && !f.stays && now >= f.graceEnds-usual.Grace+usual.ExitTimeout-30_000 {
+	if f.graceEnds != 0 && !f.stays && now >= f.graceEnds-usual.Grace+usual.ExitTimeout-endLead {
 		f.gone, f.end = true, now
 	}
 	s := admin.State{Ready: now >= f.ready && f.graceEnds == 0}
@@ -118,7 +130,7 @@
 		till := from + Micros(rapid.IntRange(0, 50).Draw(t, "for"))*100_000
 		f := fake{
 			deafSignal: rapid.Bool().Draw(t, "deaf to the signal"), deafSocket: rapid.Bool().Draw(t, "to its socket"),
-			stays: rapid.Bool().Draw(t, "stays"), stopped: func(now Micros) bool { return now >= from && now < till },
+			stays: rapid.Bool().Draw(t, "stays"), hearsAtOnce: rapid.Bool().Draw(t, "hears at once"), stopped: func(now Micros) bool { return now >= from && now < till },
 		}
 		m := &Monitor{Window: usual}
 		told := Micros(rapid.IntRange(1, 40).Draw(t, "told")) * 100_000
@@ -139,7 +151,9 @@
 		if !f.gone || f.end > m.NotifiedAt+usual.ExitTimeout+stopMargin+50_000 {
 			t.Fatalf("not gone in time: %+v, %+v", f, m)
 		}
-		meek := !f.stays && till <= from && !f.deafSignal
+		// It counts its stop from when it heard: one that hears later than it ends early is past its stop by then.
+		heardInTime := f.graceEnds != 0 && f.graceEnds-usual.Grace-m.NotifiedAt < endLead
+		meek := !f.stays && till <= from && !f.deafSignal && (f.hearsAtOnce || heardInTime)
 		if meek && m.KillCause != "" {
 			t.Fatalf("killed without need: %s", m.KillCause)
 		}
