--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -218,75 +218,46 @@
 	}
 }
 
+// act carries out one action of a host's policy.
 func (w *world) act(h *host, act admission.Action) {
 	switch a := act.(type) {
-	case admission.Start:
-		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == held {
-			w.start(h, j)
-		}
 	case admission.Throttle:
-		if j := w.mine(h, a.ID); j != none {
-			t := &w.atts[j]
-			t.retryIn, t.dont = min(a.RetryAfter, w.s.Hosts.RetryAfter), a.DontRetry
-			if r := h.reduced; r != nil && t.answers == 0 && !t.shed { // what a level sheds must not keep it
-				r.meter.Count(degradation.Micros(w.now), degradation.Rejections)
-			}
-			w.answer(h, j, Throttled)
-			w.unreused(h, j)
-		} else {
-			w.audit.broken(w, 1, h, nil, "an answer for "+a.ID+", which is not in hand")
-		}
+		w.throttle(h, a)
 	case admission.Fail:
-		if j := w.mine(h, a.ID); j != none {
+		if j := w.answerable(h, a.ID); j != none {
 			w.answer(h, j, Errored)
 			w.unreused(h, j)
-		} else {
-			w.audit.broken(w, 1, h, nil, "an answer for "+a.ID+", which is not in hand")
+		}
+	case admission.Start:
+		if j := w.inPhase(h, a.ID, held); j != none {
+			w.start(h, j)
 		}
 	case admission.Stop:
-		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == runs {
+		if j := w.inPhase(h, a.ID, runs); j != none {
 			w.takeOff(h, j)
 		}
 	case admission.Call:
-		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == waitsBelow {
+		if j := w.inPhase(h, a.ID, waitsBelow); j != none {
 			w.call(h, j, a.Timeout)
 		}
 	case admission.SkipCall:
-		if j := w.mine(h, a.ID); j != none && w.atts[j].phase == waitsBelow {
+		if j := w.inPhase(h, a.ID, waitsBelow); j != none {
 			w.atts[j].skipped = true
 			w.resume(h, j)
 		}
 	case admission.Remember:
-		if j := w.byID(a.ID); j != none {
-			if h.kept == nil {
-				h.kept, h.byKey = map[string]*kept{}, map[uint64]string{}
-			}
-			if k := h.kept[a.ID]; k != nil {
-				k.until = w.now + a.For
-			} else {
-				h.kept[a.ID] = &kept{until: w.now + a.For, at: j}
-				h.byKey[w.asks[w.atts[j].ask].number] = a.ID
-				h.keyKB += 0.2
-			}
-		}
+		w.remember(h, a)
 	case admission.Forget:
 		if h.kept[a.ID] != nil {
 			delete(h.kept, a.ID)
-			h.keyKB -= 0.2
+			h.keyKB -= keyKB
 		}
 	case admission.Reuse:
 		if j := w.mine(h, a.ID); j != none {
 			w.reuse(h, j)
 		}
 	case admission.SetHealth:
-		if a.Good != h.healthy {
-			h.healthy = a.Good
-			b := int32(0)
-			if a.Good {
-				b = 1
-			}
-			w.q.push(event{at: w.now + w.s.Register.Lag, kind: evListed, a: h.number, b: b})
-		}
+		w.setHealth(h, a.Good)
 	case admission.CloseIdle:
 		h.idleFor = max(a.After, Second/10)
 	case admission.Wake:
@@ -294,6 +265,70 @@
 	}
 }
 
+// inPhase is the attempt of that id where it is on the host and in that phase, else none.
+func (w *world) inPhase(h *host, id string, p phase) int32 {
+	if j := w.mine(h, id); j != none && w.atts[j].phase == p {
+		return j
+	}
+	return none
+}
+
+// answerable is the attempt of that id; an answer for one that is not in flight breaks rule 1.
+func (w *world) answerable(h *host, id string) int32 {
+	j := w.mine(h, id)
+	if j == none {
+		w.audit.broken(w, 1, h, nil, "an answer for "+id+", which is not in hand")
+	}
+	return j
+}
+
+func (w *world) throttle(h *host, a admission.Throttle) {
+	j := w.answerable(h, a.ID)
+	if j == none {
+		return
+	}
+	t := &w.atts[j]
+	t.retryIn, t.dont = min(a.RetryAfter, w.s.Hosts.RetryAfter), a.DontRetry
+	if r := h.reduced; r != nil && t.answers == 0 && !t.shed { // what a level sheds must not keep it
+		r.meter.Count(degradation.Micros(w.now), degradation.Rejections)
+	}
+	w.answer(h, j, Throttled)
+	w.unreused(h, j)
+}
+
+// keyKB is what an idempotency key takes of a host's memory.
+const keyKB = 0.2
+
+func (w *world) remember(h *host, a admission.Remember) {
+	j := w.byID(a.ID)
+	if j == none {
+		return
+	}
+	if h.kept == nil {
+		h.kept, h.byKey = map[string]*kept{}, map[uint64]string{}
+	}
+	if k := h.kept[a.ID]; k != nil {
+		k.until = w.now + a.For
+		return
+	}
+	h.kept[a.ID] = &kept{until: w.now + a.For, at: j}
+	h.byKey[w.asks[w.atts[j].ask].number] = a.ID
+	h.keyKB += keyKB
+}
+
+// setHealth has the registry learn of a change after its lag.
+func (w *world) setHealth(h *host, good bool) {
+	if good == h.healthy {
+		return
+	}
+	h.healthy = good
+	listed := int32(0)
+	if good {
+		listed = 1
+	}
+	w.q.push(event{at: w.now + w.s.Register.Lag, kind: evListed, a: h.number, b: listed})
+}
+
 // mine is the attempt of that id that this life of a host has in hand.
 func (w *world) mine(h *host, id string) int32 {
 	j := w.byID(id)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -98,13 +98,31 @@
 
 // choose is the slot for a try; none where the list is empty or all of it is to be left alone for now.
 func (w *world) choose(a *ask, n *node) int32 {
-	if len(n.view) == 0 {
+	v := n.view
+	if len(v) == 0 {
 		return none
 	}
 	usable := func(k int32) bool {
-		sl := &n.slots[k]
-		return sl.avoid <= w.now && (k != a.last || len(n.view) == 1)
+		return n.slots[k].avoid <= w.now && (k != a.last || len(v) == 1)
+	}
+	if k := w.balanced(n, usable); k != none {
+		return k
+	}
+	for range v { // in turn, also where the balancing policy found nothing
+		n.turn++
+		if k := v[n.turn%len(v)]; usable(k) {
+			return k
+		}
+	}
+	if a.tries == 0 { // a first attempt goes to somebody, even one that asked to be left alone
+		n.turn++
+		return v[n.turn%len(v)]
 	}
+	return none
+}
+
+// balanced is the choice of the node's balancing policy, or none.
+func (w *world) balanced(n *node, usable func(int32) bool) int32 {
 	v := n.view
 	switch w.p.balance(w.s) {
 	case Random:
@@ -122,34 +140,25 @@
 			return x
 		}
 	case LeastLoad:
-		best, least := none, 0.0
-		from := w.chance.IntN(len(v))
-		for i := range v {
-			k := v[(from+i)%len(v)]
-			if load := float64(n.slots[k].open+1) * n.slots[k].takes; usable(k) && (best == none || load < least) {
-				best, least = k, load
-			}
-		}
-		if best != none {
-			return best
-		}
+		return w.leastLoad(n, usable)
+	case Oracle:
+		return w.truest(n)
 	}
-	if w.p.balance(w.s) == Oracle {
-		if k := w.truest(n); k != none {
-			return k
-		}
-	}
-	for range v { // in turn, also where the ways above found nothing
-		n.turn++
-		if k := v[n.turn%len(v)]; usable(k) {
-			return k
+	return none
+}
+
+// leastLoad is the usable host with the least expected wait; ties go to the first from a random place on.
+func (w *world) leastLoad(n *node, usable func(int32) bool) int32 {
+	v := n.view
+	best, least := none, 0.0
+	from := w.chance.IntN(len(v))
+	for i := range v {
+		k := v[(from+i)%len(v)]
+		if load := float64(n.slots[k].open+1) * n.slots[k].takes; usable(k) && (best == none || load < least) {
+			best, least = k, load
 		}
 	}
-	if a.tries == 0 { // a first try goes to somebody, even one that asked to be left alone
-		n.turn++
-		return v[n.turn%len(v)]
-	}
-	return none
+	return best
 }
 
 // truest is what an oracle would choose: the host whose cores have the least work in hand by their speed, as it was 0.1 s
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -225,55 +225,85 @@
 
 // Check tells the first thing that can't be: a scenario that nobody could play.
 func (s *Scenario) Check() error {
-	h, n := &s.Hosts, &s.Nodes
-	bad := func(field, format string, args ...any) error {
-		return fmt.Errorf("scenario %s: %s: %s", s.Name, field, fmt.Sprintf(format, args...))
+	for _, check := range []func() error{s.checkHosts, s.checkAround, s.checkOperations, s.checkRecorded, s.checkTroubles} {
+		if err := check(); err != nil {
+			return err
+		}
 	}
+	return nil
+}
+
+func (s *Scenario) checkHosts() error {
+	h, n := &s.Hosts, &s.Nodes
 	switch {
 	case s.For <= 0 || s.For > 24*3600*Second:
-		return bad("for", "%d us, wanted above 0 to a day", s.For)
+		return s.bad("for", "%d us, wanted above 0 to a day", s.For)
 	case h.Count < 1 || h.Count > MostHosts:
-		return bad("hosts.count", "%d, wanted 1 to %d", h.Count, MostHosts)
+		return s.bad("hosts.count", "%d, wanted 1 to %d", h.Count, MostHosts)
 	case n.Count < 1 || n.Count > MostNodes:
-		return bad("nodes.count", "%d, wanted 1 to %d", n.Count, MostNodes)
+		return s.bad("nodes.count", "%d, wanted 1 to %d", n.Count, MostNodes)
 	case h.Cores < 1 || h.Spread < 0 || h.Spread >= 1 || h.Crowd < 1:
-		return bad("hosts", "cores %d, spread %g, crowd %g", h.Cores, h.Spread, h.Crowd)
+		return s.bad("hosts", "cores %d, spread %g, crowd %g", h.Cores, h.Spread, h.Crowd)
 	case h.Grace >= h.Stop:
-		return bad("hosts.grace", "%d us does not lie before the stop, %d us", h.Grace, h.Stop)
+		return s.bad("hosts.grace", "%d us does not lie before the stop, %d us", h.Grace, h.Stop)
 	case h.MemoryKB < h.HeldKB*h.RunFactor:
-		return bad("hosts.memory", "%g KB hold no single run of %g KB", h.MemoryKB, h.HeldKB*h.RunFactor)
+		return s.bad("hosts.memory", "%g KB hold no single run of %g KB", h.MemoryKB, h.HeldKB*h.RunFactor)
+	}
+	return nil
+}
+
+// checkAround looks at what surrounds the hosts: names, edge nodes, load and the tier below.
+func (s *Scenario) checkAround() error {
+	switch {
 	case len(s.Operations) == 0 || len(s.Operations) > MostNames || len(s.Tenants) > MostNames:
-		return bad("operation", "%d operations and %d tenants, wanted 1 to %d, and %d at the most", len(s.Operations), len(s.Tenants), MostNames, MostNames)
-	case n.Refresh <= 0 || h.ColdFor < 0 || n.Net < 0:
-		return bad("nodes.refresh", "a span that must lie above 0 does not")
+		return s.bad("operation", "%d operations and %d tenants, wanted 1 to %d, and %d at the most", len(s.Operations), len(s.Tenants), MostNames, MostNames)
+	case s.Nodes.Refresh <= 0 || s.Hosts.ColdFor < 0 || s.Nodes.Net < 0:
+		return s.bad("nodes.refresh", "a span that must lie above 0 does not")
 	case s.Load.At < 0 || s.Load.At > 100 || math.IsNaN(s.Load.At):
-		return bad("load.at", "%g of capacity", s.Load.At)
+		return s.bad("load.at", "%g of capacity", s.Load.At)
 	case (s.Load.Shape == Wave || s.Load.Shape == Bursty) && s.Load.Period <= 0:
-		return bad("load.period", "a wave needs one")
+		return s.bad("load.period", "a wave needs one")
 	case s.Below.Slots < 1 || s.Below.Work < 0:
-		return bad("below", "%d slots of %d us", s.Below.Slots, s.Below.Work)
+		return s.bad("below", "%d slots of %d us", s.Below.Slots, s.Below.Work)
 	}
+	return nil
+}
+
+// bad names the field that cannot be used.
+func (s *Scenario) bad(field, format string, args ...any) error {
+	return fmt.Errorf("scenario %s: %s: %s", s.Name, field, fmt.Sprintf(format, args...))
+}
+
+func (s *Scenario) checkOperations() error {
 	total := 0.0
 	for _, op := range s.Operations {
 		total += op.Share
 		if op.Work <= 0 || op.Objective <= 0 || op.Timeout < op.Objective || op.Share < 0 {
-			return bad("operation "+op.Name, "work %d us, objective %d us, timeout %d us, share %g: work above 0, the objective within the timeout", op.Work, op.Objective, op.Timeout, op.Share)
+			return s.bad("operation "+op.Name, "work %d us, objective %d us, timeout %d us, share %g: work above 0, the objective within the timeout", op.Work, op.Objective, op.Timeout, op.Share)
 		}
 	}
 	if total <= 0 {
-		return bad("operation", "no operation has a share")
+		return s.bad("operation", "no operation has a share")
 	}
+	return nil
+}
+
+func (s *Scenario) checkRecorded() error {
 	for i, r := range s.Load.Recorded {
 		if r.Operation >= len(s.Operations) || r.Operation < 0 || r.Work <= 0 || i > 0 && r.At < s.Load.Recorded[i-1].At {
-			return bad("load.recorded", "line %d: operation %d, work %d us, at %d us", i+1, r.Operation, r.Work, r.At)
+			return s.bad("load.recorded", "line %d: operation %d, work %d us, at %d us", i+1, r.Operation, r.Work, r.At)
 		}
 	}
+	return nil
+}
+
+func (s *Scenario) checkTroubles() error {
 	for _, t := range s.Troubles {
 		if t.At < 0 || t.At > s.For || t.Share < 0 || t.Share > 1 || t.Factor < 0 {
-			return bad("trouble "+t.Kind.String(), "at %d us, share %g, factor %g", t.At, t.Share, t.Factor)
+			return s.bad("trouble "+t.Kind.String(), "at %d us, share %g, factor %g", t.At, t.Share, t.Factor)
 		}
 		if t.Kind == TenantBurst && (t.Tenant < 0 || t.Tenant >= len(s.Tenants)) {
-			return bad("trouble "+t.Kind.String(), "tenant %d of %d", t.Tenant, len(s.Tenants))
+			return s.bad("trouble "+t.Kind.String(), "tenant %d of %d", t.Tenant, len(s.Tenants))
 		}
 	}
 	return nil
--- a/internal/simulation/trouble.go
+++ b/internal/simulation/trouble.go
@@ -23,13 +23,7 @@
 	over := func() { w.q.push(event{at: w.now + max(t.For, 1), kind: evOver, a: int32(i)}) }
 	switch t.Kind {
 	case Death:
-		for _, n := range w.some(t.Share) {
-			if h := &w.hosts[n]; h.up {
-				w.res.Deaths++
-				w.goDown(h, Reset)
-				w.q.push(event{at: w.now + max(t.For, 1), kind: evBack, a: n})
-			}
-		}
+		w.killSome(t)
 	case Slow:
 		for _, n := range w.some(t.Share) {
 			w.speed(&w.hosts[n], max(t.Factor, 1))
@@ -50,11 +44,7 @@
 		}
 		over()
 	case Cut:
-		n := int(math.Ceil(t.Share * float64(len(w.nodes))))
-		for _, k := range w.fate.Perm(len(w.nodes))[:n] {
-			w.cutNodes[int32(k)] = true
-		}
-		w.cutHosts, w.ledgerCut = int32(len(w.hosts)+1)/2, true
+		w.cutSome(t)
 		over()
 	case AgentGone:
 		w.agentOff = true
@@ -71,6 +61,26 @@
 	}
 }
 
+// killSome kills a share of the hosts; each comes back when the fault is over.
+func (w *world) killSome(t *Trouble) {
+	for _, n := range w.some(t.Share) {
+		if h := &w.hosts[n]; h.up {
+			w.res.Deaths++
+			w.goDown(h, Reset)
+			w.q.push(event{at: w.now + max(t.For, 1), kind: evBack, a: n})
+		}
+	}
+}
+
+// cutSome cuts a share of the edge nodes from half of the hosts, and those hosts from the quota store.
+func (w *world) cutSome(t *Trouble) {
+	n := int(math.Ceil(t.Share * float64(len(w.nodes))))
+	for _, k := range w.fate.Perm(len(w.nodes))[:n] {
+		w.cutNodes[int32(k)] = true
+	}
+	w.cutHosts, w.ledgerCut = int32(len(w.hosts)+1)/2, true
+}
+
 func (w *world) speed(h *host, slower float64) {
 	w.before(h)
 	h.slow = slower
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -210,50 +210,18 @@
 	w.res.close(w)
 }
 
+// happen carries one event out. Each group of events has a function of its own; an event belongs to one of them.
 func (w *world) happen(e *event) {
+	if w.hostEvent(e) || w.attemptEvent(e) {
+		return
+	}
 	switch e.kind {
 	case evLoad:
 		w.arrive()
-	case evReach:
-		if w.sameT(e) {
-			w.reach(e.a)
-		}
-	case evCores:
-		if h := &w.hosts[e.a]; h.cores.gen == e.gen {
-			w.coresDue(h)
-		}
-	case evWake:
-		if h := &w.hosts[e.a]; h.life == e.gen && h.up {
-			w.wake(h, int64(e.b))
-		}
-	case evAnswer:
-		if w.sameT(e) {
-			w.heard(e.a)
-		}
-	case evDue:
-		if a := &w.asks[e.a]; a.gen == e.gen && !a.over {
-			w.end(e.a, Lost)
-		}
-	case evRetry:
-		if a := &w.asks[e.a]; a.gen == e.gen && !a.over {
-			w.try(e.a, true)
-		}
-	case evHedge:
-		if a := &w.asks[e.a]; a.gen == e.gen && !a.over && a.open[1] == none && a.open[0] != none {
-			w.try(e.a, true)
-		}
-	case evGone:
-		if w.sameT(e) {
-			w.left(e.a)
-		}
 	case evBelow:
 		if w.below.gen == e.gen {
 			w.belowDue()
 		}
-	case evCall:
-		if t := &w.atts[e.a]; t.gen == e.gen && t.phase == calls && t.callGen == uint32(e.b) {
-			w.callOver(e.a, admission.TimedOut)
-		}
 	case evRefresh:
 		w.refresh(e.a)
 	case evListed:
@@ -263,41 +231,101 @@
 		}
 	case evIdle:
 		w.idle(e.a, e.b)
-	case evCold:
-		if h := &w.hosts[e.a]; h.life == e.gen && h.up {
-			w.warm(h)
-		}
-	case evCrowd:
-		if h := &w.hosts[e.a]; h.life == e.gen && h.up {
-			w.crowded(h)
-		}
 	case evTrouble:
 		w.trouble(int(e.a))
 	case evOver:
 		w.relief(int(e.a))
-	case evStop:
-		if h := &w.hosts[e.a]; h.life == e.gen && h.up {
-			w.stop(h)
-		}
-	case evBack:
-		w.back(&w.hosts[e.a])
 	case evSecond:
 		w.res.second(w)
 		if w.now < w.s.For || w.busyA > 0 {
 			w.q.push(event{at: w.now + Second, kind: evSecond})
 		}
-	case evShare:
-		if h := &w.hosts[e.a]; h.life == e.gen && h.up && w.now < w.s.For {
-			w.askShares(h)
-		}
 	case evClerk:
 		w.clerkLooks()
 	case evCrew:
 		w.crewLooks(e.a)
-	case evBehind:
-		if a := &w.asks[e.a]; a.gen == e.gen {
-			w.askAnew(e.a)
+	}
+}
+
+// hostEvent carries out what concerns one host, unless that host's process ended since the event was scheduled.
+func (w *world) hostEvent(e *event) bool {
+	var do func(h *host)
+	switch e.kind {
+	case evCores:
+		if h := &w.hosts[e.a]; h.cores.gen == e.gen {
+			w.coresDue(h)
+		}
+		return true
+	case evBack:
+		w.back(&w.hosts[e.a])
+		return true
+	case evWake:
+		do = func(h *host) { w.wake(h, int64(e.b)) }
+	case evCold:
+		do = w.warm
+	case evCrowd:
+		do = w.crowded
+	case evStop:
+		do = w.stop
+	case evShare:
+		do = func(h *host) {
+			if w.now < w.s.For {
+				w.askShares(h)
+			}
+		}
+	default:
+		return false
+	}
+	if h := &w.hosts[e.a]; h.life == e.gen && h.up {
+		do(h)
+	}
+	return true
+}
+
+// attemptEvent carries out what concerns one request or one attempt, unless its place was reused since.
+func (w *world) attemptEvent(e *event) bool {
+	switch e.kind {
+	case evReach, evAnswer, evGone, evCall:
+		if w.sameT(e) {
+			w.onAttempt(e)
 		}
+	case evDue, evRetry, evHedge, evBehind:
+		if w.asks[e.a].gen == e.gen {
+			w.onRequest(e)
+		}
+	default:
+		return false
+	}
+	return true
+}
+
+func (w *world) onAttempt(e *event) {
+	switch e.kind {
+	case evReach:
+		w.reach(e.a)
+	case evAnswer:
+		w.heard(e.a)
+	case evGone:
+		w.left(e.a)
+	case evCall:
+		if t := &w.atts[e.a]; t.phase == calls && t.callGen == uint32(e.b) {
+			w.callOver(e.a, admission.TimedOut)
+		}
+	}
+}
+
+func (w *world) onRequest(e *event) {
+	a := &w.asks[e.a]
+	switch {
+	case e.kind == evBehind:
+		w.askAnew(e.a)
+	case a.over:
+	case e.kind == evDue:
+		w.end(e.a, Lost)
+	case e.kind == evRetry:
+		w.try(e.a, true)
+	case e.kind == evHedge && a.open[1] == none && a.open[0] != none:
+		w.try(e.a, true)
 	}
 }
 
