--- a/internal/fleet/backoff.go
+++ b/internal/fleet/backoff.go
@@ -45,18 +45,18 @@
 // RetryShare is the budget of further tries towards agents: a tenth of the first tries on top of a few, so that a
 // tool that manages many does not multiply its calls when many are away. It is kept in the one place that calls.
 type RetryBudget struct {
-	first, again int
+	attempts, retries int
 }
 
 // First counts a first try.
-func (r *RetryBudget) RecordAttempt() { r.first++ }
+func (r *RetryBudget) RecordAttempt() { r.attempts++ }
 
 // Again takes a further try if the budget allows one.
 func (r *RetryBudget) AllowRetry() bool {
 	const few, share = 20, 10
-	if r.again >= few+r.first/share {
+	if r.retries >= few+r.attempts/share {
 		return false
 	}
-	r.again++
+	r.retries++
 	return true
 }
--- /dev/null
+++ b/internal/fleet/cold_start_test.go
@@ -0,0 +1,238 @@
+package fleet
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/internal/cluster/quota"
+)
+
+// site is some hosts' machines and one ledger, as it is in installations, that they can or can't reach.
+type simulatedFleet struct {
+	t           tester
+	spec        *Spec
+	quotas      *quota.State
+	leaseKeeper quota.LeaseTracker
+	hosts       []*simulatedHost
+	partitioned map[*simulatedHost]bool
+	replies     map[*simulatedHost][]Event // what the ledger answered
+	maxStarting int                        // starting or warming at once, ever
+	coldStarted map[string]bool
+}
+
+func newSimulatedFleet(t tester, hosts, each, whole int) *simulatedFleet {
+	text := "(fleet f"
+	names := ""
+	for h := range hosts {
+		text += fmt.Sprintf(` (host h%d (agent "unix:/tmp/h%d") (peer "127.0.0.1:%d"))`, h+1, h+1, 7000+h)
+		names += fmt.Sprintf(" h%d", h+1)
+	}
+	for h := range hosts {
+		text += fmt.Sprintf(` (group g%d (host h%d) (config "%%n.json") (start-within 5s) (settle 1s) (range g%d-n 1 %d) (restart (most 3) (within 1m)))`, h, h+1, h, each)
+	}
+	if hosts == 2 { // a group of two is none
+		names = " h1"
+	}
+	text += fmt.Sprintf(" (budgets (ledger%s) (budget starts (count %d) (alone yes))) (rise (budget starts) (failures 100)))", names, whole)
+	s := &simulatedFleet{t: t, spec: readTestSpec(t, text), quotas: quota.NewState(), partitioned: map[*simulatedHost]bool{}, replies: map[*simulatedHost][]Event{}, coldStarted: map[string]bool{}}
+	s.quotas.Apply(quota.Command{Config: s.spec.Quotas})
+	for h := range hosts {
+		w := newNamedHost(t, s.spec, fmt.Sprint("h", h+1))
+		w.dropAction = func(step Action) bool { return s.handleUnit(w, step) }
+		s.hosts = append(s.hosts, w)
+	}
+	return s
+}
+
+// unit takes a step about units to the ledger, as an agent would.
+func (s *simulatedFleet) handleUnit(w *simulatedHost, step Action) bool {
+	turn := &quota.PermitCommand{Limit: step.Unit.Quota, Name: step.Name, Host: w.host, AcquireID: step.ID}
+	switch {
+	case step.Kind != ActionAcquireUnit && step.Kind != ActionReleaseUnit:
+		return false
+	case s.partitioned[w]:
+	case step.Kind == ActionReleaseUnit:
+		turn.Outcome = &step.StartResult
+		s.quotas.Apply(quota.Command{Release: turn})
+		s.replies[w] = append(s.replies[w], UnitReleased{step.Name, step.ID})
+	default:
+		r := s.quotas.Apply(quota.Command{Acquire: turn})
+		s.replies[w] = append(s.replies[w], UnitAcquired{HeldUnit{step.Name, step.Unit.Quota, step.ID}, r.Rejection == "", r.Rejection})
+	}
+	return true
+}
+
+// pass lets time go by everywhere.
+func (s *simulatedFleet) advance(span Micros) {
+	for end := s.hosts[0].now + span; s.hosts[0].now < end; {
+		for _, w := range s.hosts {
+			w.advance(100_000, nil)
+			for _, ev := range s.replies[w] {
+				w.apply(ev)
+			}
+			s.replies[w] = nil
+		}
+		if over := s.leaseKeeper.ElapsedPauses(quota.Micros(s.hosts[0].now), s.quotas); len(over) > 0 {
+			s.quotas.Apply(quota.Command{ElapsedPauses: over})
+		}
+		starting := 0
+		for _, w := range s.hosts {
+			for n, l := range w.fakes {
+				if in, _ := w.m.Instance(n); l.alive && s.coldStarted[n] && w.now-l.since < w.startupTime+second && in.Phase != PhaseAbsent {
+					starting++
+				}
+			}
+		}
+		s.maxStarting = max(s.maxStarting, starting)
+	}
+}
+
+func (s *simulatedFleet) coldStart(id string) {
+	var members []coldstart.Member
+	for _, in := range s.spec.InstancesOn("") {
+		members = append(members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
+	}
+	s.quotas.Apply(quota.Command{ColdStart: &quota.ColdStartCommand{Limit: "starts", ID: id, Config: s.spec.ColdStart, Members: members, By: "test"}})
+	for _, w := range s.hosts {
+		for _, n := range w.m.Names() {
+			s.coldStarted[n] = s.coldStarted[n] || !w.fakes[n].alive
+		}
+		w.command(id, KindColdStart, 600*second, w.m.Names()...)
+	}
+}
+
+func (s *simulatedFleet) readyCount() (n int) {
+	for _, w := range s.hosts {
+		for _, l := range w.fakes {
+			if l.ready {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// TestRise: whichever agents die and whoever can't reach the ledger, no more start at once over all hosts than may, and once
+// that is over all are up, the rise is over, and nobody holds a unit.
+func TestColdStart(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		hosts, each := rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "hosts"), rapid.IntRange(1, 6).Draw(t, "each")
+		whole := hosts + rapid.IntRange(1, 6).Draw(t, "more")
+		s := newSimulatedFleet(t, hosts, each, whole)
+		if rapid.Bool().Draw(t, "some serve") {
+			s.hosts[0].command("up", KindStart, 60*second, s.hosts[0].m.Names()[0])
+			s.advance(3 * second)
+		}
+		launched := s.hosts[0].launches[s.hosts[0].m.Names()[0]]
+		s.coldStart("r")
+		died := map[string]bool{}
+		for range rapid.IntRange(0, 12).Draw(t, "faults") {
+			w := rapid.SampledFrom(s.hosts).Draw(t, "host")
+			switch rapid.IntRange(0, 3).Draw(t, "fault") {
+			case 0:
+				w.restart()
+			case 1:
+				w.crashNext = true
+			case 2:
+				s.partitioned[w] = !s.partitioned[w]
+			case 3:
+				if n := rapid.SampledFrom(w.m.Names()).Draw(t, "name"); w.fakes[n].alive && !w.fakes[n].ready && !died[n] {
+					w.fakes[n].exit(Exit{Code: 1})
+					died[n] = true
+				}
+			}
+			s.advance(Micros(rapid.IntRange(1, 60).Draw(t, "span")) * 100_000)
+		}
+		for _, w := range s.hosts {
+			s.partitioned[w], w.crashNext = false, false
+		}
+		s.advance(180 * second)
+		if s.maxStarting > whole {
+			t.Fatalf("%d started at once, %d may", s.maxStarting, whole)
+		}
+		if n := s.readyCount(); n != hosts*each {
+			t.Fatalf("%d of %d are up: %+v", n, hosts*each, s.quotas.ColdStartStatuses())
+		}
+		for _, r := range s.quotas.ColdStartStatuses() {
+			if !r.Done {
+				t.Fatalf("the rise is not over: %+v", r)
+			}
+		}
+		if held := len(s.quotas.Permits["starts"]); held > 0 {
+			t.Fatalf("%d units are held: %+v", held, s.quotas.Permits)
+		}
+		if n := s.hosts[0].launches[s.hosts[0].m.Names()[0]]; launched > 0 && n != launched {
+			t.Fatalf("one that served was launched again")
+		}
+	})
+}
+
+// TestRiseAlone: with the ledger out of reach for good each host brings its own up, one at a time.
+func TestColdStartWithoutQuotaStore(t *testing.T) {
+	s := newSimulatedFleet(t, 3, 4, 9)
+	for _, w := range s.hosts {
+		s.partitioned[w] = true
+	}
+	s.coldStart("r")
+	s.advance(4 * second)
+	if n := s.readyCount(); n != 0 {
+		t.Errorf("%d started before anybody could know that the ledger is away", n)
+	}
+	s.advance(40 * second)
+	if n := s.readyCount(); n != 12 || s.maxStarting > 3 {
+		t.Errorf("%d of 12 are up, %d started at once, one a host may", n, s.maxStarting)
+	}
+}
+
+// TestOldSilence: that the ledger could not be reached an hour ago lets nobody start alone now.
+func TestOldQuotaSilenceIsIgnored(t *testing.T) {
+	s := newSimulatedFleet(t, 1, 2, 3)
+	w := s.hosts[0]
+	s.partitioned[w] = true
+	s.coldStart("before")
+	s.advance(second)
+	w.apply(CommandControl{"before", "cancel", "test"})
+	s.advance(3600 * second)
+	s.coldStart("now")
+	s.advance(2 * second)
+	if n := s.readyCount(); n != 0 {
+		t.Errorf("%d started alone after two seconds", n)
+	}
+	if s.advance(30 * second); s.readyCount() != 2 {
+		t.Errorf("%d of 2 are up after half a minute", s.readyCount())
+	}
+}
+
+// TestRiseStops: a release of which each start fails stops after its failures, says so, and goes on at an operator's word.
+func TestColdStartHaltsAfterFailures(t *testing.T) {
+	s := newSimulatedFleet(t, 3, 10, 12)
+	s.spec.ColdStart.MaxFailures = 4
+	for _, w := range s.hosts {
+		for _, l := range w.fakes {
+			l.neverReady = true
+		}
+	}
+	s.coldStart("r")
+	s.advance(120 * second)
+	began := 0
+	for _, w := range s.hosts {
+		began += len(w.launches)
+	}
+	r := s.quotas.ColdStartStatuses()[0]
+	if r.HaltReason == "" || began > 12 {
+		t.Errorf("halted %q, %d of 30 were tried", r.HaltReason, began)
+	}
+	for _, w := range s.hosts {
+		for _, l := range w.fakes {
+			l.neverReady = false
+		}
+	}
+	s.quotas.Apply(quota.Command{ColdStart: &quota.ColdStartCommand{Limit: "starts", ID: "r", Action: "go-on", By: "test"}})
+	s.advance(120 * second)
+	if n := s.readyCount(); n < 20 {
+		t.Errorf("%d are up after the cause was mended: %+v", n, s.quotas.ColdStartStatuses())
+	}
+}
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -108,7 +108,7 @@
 )
 
 // check tells whether the command can be taken at all.
-func (c *Command) check() error {
+func (c *Command) validate() error {
 	if err := CheckName(c.ID); err != nil {
 		return fmt.Errorf("id: %w", err)
 	}
@@ -137,7 +137,7 @@
 }
 
 // same tells whether two commands ask for the same; who asked and when does not matter.
-func (c *Command) same(o *Command) bool {
+func (c *Command) equivalent(o *Command) bool {
 	terms := c.Rollout == o.Rollout || c.Rollout != nil && o.Rollout != nil && *c.Rollout == *o.Rollout
 	return c.Kind == o.Kind && c.Immediate == o.Immediate && c.Quota == o.Quota && terms && slices.Equal(c.Names, o.Names)
 }
@@ -159,11 +159,11 @@
 }
 
 // all lists the command's instances, spares too.
-func (c *Command) all() []string { return append(slices.Clone(c.Names), c.Spares...) }
+func (c *Command) instanceNames() []string { return append(slices.Clone(c.Names), c.Spares...) }
 
 // open lists those that have no result yet.
-func (c *Command) open() (names []string) {
-	for _, n := range c.all() {
+func (c *Command) unresolved() (names []string) {
+	for _, n := range c.instanceNames() {
 		if _, over := c.Results[n]; !over {
 			names = append(names, n)
 		}
--- a/internal/fleet/tour.go
+++ b/internal/fleet/coordinator.go
@@ -12,7 +12,7 @@
 	Hosts              []string // in the file's order
 	Config             RollingUpdateConfig
 	MaxConcurrentHosts int // hosts that roll at once, 1 or more
-	stuck              Micros
+	blockedSince       Micros
 }
 
 // HostFact is what is known of a host's part of a tour.
@@ -63,20 +63,20 @@
 				step.Finished, step.StopReason = true, fmt.Sprintf("host %s can't be reached", h)
 			}
 			return step
-		case ready-f.MaxUnavailable < t.Config.least(up):
+		case ready-f.MaxUnavailable < t.Config.minReady(up):
 			if rolling > 0 {
 				return step
 			}
-			if t.stuck == 0 {
-				t.stuck = now
+			if t.blockedSince == 0 {
+				t.blockedSince = now
 			}
-			if now-t.stuck >= t.Config.StallTimeout {
+			if now-t.blockedSince >= t.Config.StallTimeout {
 				step.StopReason = fmt.Sprintf("host %s would take %d out, with %d ready of %d in the fleet and %d to stay",
-					h, f.MaxUnavailable, ready, up, t.Config.least(up))
+					h, f.MaxUnavailable, ready, up, t.Config.minReady(up))
 			}
 			return step
 		}
-		t.stuck = 0
+		t.blockedSince = 0
 		step.Begin = append(step.Begin, h)
 		ready -= f.MaxUnavailable
 		rolling++
@@ -94,7 +94,7 @@
 		for _, r := range c.Results {
 			counts[r.Outcome]++
 		}
-		open += len(c.open())
+		open += len(c.unresolved())
 	}
 	return counts, open
 }
--- a/internal/fleet/life.go
+++ b/internal/fleet/instance.go
@@ -25,7 +25,7 @@
 )
 
 // leaves tells whether it is on its way out.
-func (p Phase) leaves() bool {
+func (p Phase) leaving() bool {
 	return p == PhaseDraining || p == PhaseStopping || p == PhaseUnresponsive
 }
 
@@ -70,7 +70,7 @@
 }
 
 // unknownCount stands for a count from before a restart of the agent.
-const unknownCount = -1
+const unknownInvocations = -1
 
 // Instance is all that is known of one. Fields that a restart needs are written down with it.
 type Instance struct {
@@ -110,9 +110,9 @@
 	Level       string `json:"level,omitempty"` // of reduced service, as it was last seen
 	Detail      any    `json:"-"`
 
-	spec   *GroupSpec
-	window ShutdownWindow
-	place  int
+	group     *GroupSpec
+	shutdown  ShutdownWindow
+	fileOrder int
 }
 
 // Window is what an instance has from the notice on, by its configuration.
@@ -153,7 +153,7 @@
 	Cause     string `json:"cause,omitempty"`
 }
 
-func (in *Instance) enter(now Micros, p Phase, cause string) {
+func (in *Instance) setPhase(now Micros, p Phase, cause string) {
 	if in.Phase != p {
 		in.Phase, in.PhaseSince = p, now
 	}
@@ -167,45 +167,45 @@
 
 // Settled tells whether it has been ready for long enough to be counted on.
 func (in *Instance) Settled(now Micros) bool {
-	return in.Phase == PhaseReady && now-in.ReadySince >= in.spec.Settle
+	return in.Phase == PhaseReady && now-in.ReadySince >= in.group.Settle
 }
 
 // usable tells whether a wave may count on it.
-func (in *Instance) usable(now Micros) bool {
+func (in *Instance) available(now Micros) bool {
 	return in.DesiredUp && !in.RestartPending && in.NoticeID == "" && in.Settled(now)
 }
 
 // seen takes in a sight and tells whether the life has ended with it. Those of other lives say nothing.
-func (m *Machine) seen(now Micros, in *Instance, s Observation) {
+func (m *Machine) handleObservation(now Micros, in *Instance, s Observation) {
 	if in.Incarnation == "" || s.Incarnation != in.Incarnation {
 		return
 	}
 	if s.Phase == PhaseExited {
-		m.ended(now, in, s.Exit)
+		m.handleExit(now, in, s.Exit)
 		return
 	}
 	in.Detail = s.Detail
-	if in.Invocations != unknownCount && s.Invocations >= in.Invocations && s.Rejected >= in.Rejected && s.Phase != PhaseUnknown {
-		m.service.add(now, s.Invocations-in.Invocations, s.Rejected-in.Rejected)
+	if in.Invocations != unknownInvocations && s.Invocations >= in.Invocations && s.Rejected >= in.Rejected && s.Phase != PhaseUnknown {
+		m.rejections.add(now, s.Invocations-in.Invocations, s.Rejected-in.Rejected)
 	}
 	if s.Phase != PhaseUnknown {
 		in.Invocations, in.Rejected = s.Invocations, s.Rejected
 	}
 	if s.Level != "" && s.Level != in.Level { // so that the history has it after the instance's own death
 		if in.Level != "" || s.Level != "full" {
-			m.note(now, in, "level "+s.Level, s.LevelCause)
+			m.recordEvent(now, in, "level "+s.Level, s.LevelCause)
 		}
 		in.Level = s.Level
-		m.touch(in)
+		m.markInstanceChanged(in)
 	}
 	if s.Phase != PhaseUnknown { // then its keeper is there, and says which steps it has taken
 		if in.ActionPending && (in.LastAction == ActionLaunch || in.LastAction == ActionNotify && s.NoticeID == in.NoticeID) {
 			in.ActionPending, in.Attempts = false, 0
-			m.touch(in)
+			m.markInstanceChanged(in)
 		}
 		if in.NoticeID != "" && s.NoticeID != in.NoticeID && in.KillAttempts == 0 && !in.ActionPending { // a new keeper that has not heard of it
 			in.ActionID, in.LastAction, in.ActionPending, in.NextAttemptAt = in.NoticeID, ActionNotify, true, now
-			m.touch(in)
+			m.markInstanceChanged(in)
 		}
 	}
 	before := in.Phase
@@ -214,34 +214,34 @@
 		if in.NoticeID != "" { // the notice is on its way, or the instance has not taken it up
 			break
 		}
-		in.enter(now, s.Phase, s.Cause)
+		in.setPhase(now, s.Phase, s.Cause)
 		switch {
 		case s.Phase != PhaseStarting:
 			in.PhaseDeadline = 0
 		case in.PhaseDeadline == 0:
-			in.PhaseDeadline = now + m.startWithin(in)
+			in.PhaseDeadline = now + m.readinessTimeout(in)
 		}
 	case PhaseUnknown:
-		in.enter(now, PhaseUnknown, s.Cause)
+		in.setPhase(now, PhaseUnknown, s.Cause)
 		if s.Orphaned && !(in.ActionPending && in.LastAction == ActionLaunch) { // its keeper died: another takes over
-			m.give(now, in, ActionLaunch, "its keeper is gone")
+			m.issueAction(now, in, ActionLaunch, "its keeper is gone")
 		}
 	default: // it leaves; whoever told it to, it has a time limit from here on
-		in.enter(now, s.Phase, s.Cause)
-		if in.PhaseDeadline == 0 || in.NoticeID == "" && !before.leaves() {
-			in.PhaseDeadline = now + in.window.ExitTimeout + m.terms.KillDelay
+		in.setPhase(now, s.Phase, s.Cause)
+		if in.PhaseDeadline == 0 || in.NoticeID == "" && !before.leaving() {
+			in.PhaseDeadline = now + in.shutdown.ExitTimeout + m.config.KillDelay
 		}
 	}
 	if before != in.Phase {
-		m.note(now, in, string(in.Phase), s.Cause)
+		m.recordEvent(now, in, string(in.Phase), s.Cause)
 	}
-	if t := in.Phase; t == PhaseReady && in.Attempts > 0 && now-in.ReadySince >= in.spec.LaunchWindow {
+	if t := in.Phase; t == PhaseReady && in.Attempts > 0 && now-in.ReadySince >= in.group.LaunchWindow {
 		in.Attempts = 0
 	}
 }
 
 // ended closes a life.
-func (m *Machine) ended(now Micros, in *Instance, end Exit) {
+func (m *Machine) handleExit(now Micros, in *Instance, end Exit) {
 	told, gaveUp := in.NoticeID != "" || in.KillAttempts > 0, in.GiveUpReason
 	in.LastExit = end
 	in.Incarnation, in.NoticeID, in.NotifiedAt, in.PhaseDeadline, in.ActionPending, in.KillAttempts, in.GiveUpReason = "", "", 0, 0, false, 0, ""
@@ -250,83 +250,83 @@
 	in.RestartPending = false
 	switch {
 	case gaveUp != "":
-		in.enter(now, PhaseFailed, gaveUp)
+		in.setPhase(now, PhaseFailed, gaveUp)
 		in.LaunchesExhausted = true
 	case told:
-		in.enter(now, PhaseExited, end.String())
+		in.setPhase(now, PhaseExited, end.String())
 		if again {
 			in.LaunchRequested, in.NextAttemptAt, in.Attempts = true, now, 0
 		}
 	default:
-		in.enter(now, PhaseFailed, end.String()+", and nobody had told it to leave")
+		in.setPhase(now, PhaseFailed, end.String()+", and nobody had told it to leave")
 		in.Attempts++
-		in.NextAttemptAt = now + m.terms.RelaunchBackoff.Pause(in.Attempts+1, m.draw)
+		in.NextAttemptAt = now + m.config.RelaunchBackoff.Pause(in.Attempts+1, m.random)
 	}
-	m.note(now, in, string(in.Phase), in.Cause)
-	m.touch(in)
+	m.recordEvent(now, in, string(in.Phase), in.Cause)
+	m.markInstanceChanged(in)
 }
 
 // give hands out a step; a new life begins with each launch that adopts none.
-func (m *Machine) give(now Micros, in *Instance, what ActionKind, cause string) {
+func (m *Machine) issueAction(now Micros, in *Instance, what ActionKind, cause string) {
 	in.ActionCount++
 	in.ActionID, in.LastAction = fmt.Sprintf("%s.%d", in.Name, in.ActionCount), what
 	in.ActionPending = true
-	in.NextAttemptAt = now + m.terms.ResendBackoff.Pause(2, m.draw)
+	in.NextAttemptAt = now + m.config.ResendBackoff.Pause(2, m.random)
 	switch what {
 	case ActionLaunch:
 		if in.Incarnation == "" {
 			in.Incarnation = in.ActionID
 			in.Invocations, in.Rejected = 0, 0
-			in.PhaseDeadline = now + m.startWithin(in)
-			in.enter(now, PhaseStarting, cause)
+			in.PhaseDeadline = now + m.readinessTimeout(in)
+			in.setPhase(now, PhaseStarting, cause)
 		}
 	case ActionNotify:
 		in.NoticeID, in.NotifiedAt = in.ActionID, now
-		in.PhaseDeadline = now + in.window.ExitTimeout + m.terms.KillDelay
-		in.enter(now, PhaseDraining, cause)
+		in.PhaseDeadline = now + in.shutdown.ExitTimeout + m.config.KillDelay
+		in.setPhase(now, PhaseDraining, cause)
 	case ActionKill:
 		in.KillAttempts++
-		in.PhaseDeadline = now + m.terms.KillDelay*Micros(min(in.KillAttempts, 20))
+		in.PhaseDeadline = now + m.config.KillDelay*Micros(min(in.KillAttempts, 20))
 	}
-	m.touch(in)
-	m.emit(in, cause)
-	m.note(now, in, string(what), cause)
+	m.markInstanceChanged(in)
+	m.emitAction(in, cause)
+	m.recordEvent(now, in, string(what), cause)
 }
 
 // emit writes the step that is in hand, for the first time or again.
-func (m *Machine) emit(in *Instance, cause string) {
-	m.steps = append(m.steps, Action{
+func (m *Machine) emitAction(in *Instance, cause string) {
+	m.actions = append(m.actions, Action{
 		Kind: in.LastAction, ID: in.ActionID, Name: in.Name, Incarnation: in.Incarnation, NotifiedAt: in.NotifiedAt, Cause: cause,
 		Adopt: in.LastAction == ActionLaunch && in.Incarnation != in.ActionID,
 	})
 }
 
 // startWithin is how long it may take to be ready: the wave's word where one has it started, else its group's.
-func (m *Machine) startWithin(in *Instance) Micros {
+func (m *Machine) readinessTimeout(in *Instance) Micros {
 	if c := m.commands[in.CommandID]; c != nil && c.Kind == KindRollingUpdate && c.Rollout.ReadyWithin > 0 {
 		return c.Rollout.ReadyWithin
 	}
-	return in.spec.StartWithin
+	return in.group.StartWithin
 }
 
 // reconcile takes the next step from what is seen to what is wanted, if it is time for one.
 func (m *Machine) reconcile(now Micros, in *Instance) {
 	if in.ActionPending && now >= in.NextAttemptAt { // it was lost on the way, or the agent died with it in hand
 		in.Attempts++
-		in.NextAttemptAt = now + m.terms.ResendBackoff.Pause(in.Attempts+2, m.draw)
-		m.emit(in, "again")
+		in.NextAttemptAt = now + m.config.ResendBackoff.Pause(in.Attempts+2, m.random)
+		m.emitAction(in, "again")
 	}
 	switch in.Phase {
 	case PhaseAbsent, PhaseExited, PhaseFailed:
 		if !in.DesiredUp || in.LaunchesExhausted || now < in.NextAttemptAt || in.Incarnation != "" {
 			return
 		}
-		if in.LaunchBudget.MaxAttempts, in.LaunchBudget.Window = in.spec.MaxLaunches, in.spec.LaunchWindow; !in.LaunchRequested && !in.LaunchBudget.Take(now) {
+		if in.LaunchBudget.MaxAttempts, in.LaunchBudget.Window = in.group.MaxLaunches, in.group.LaunchWindow; !in.LaunchRequested && !in.LaunchBudget.Take(now) {
 			in.LaunchesExhausted = true
-			in.enter(now, PhaseFailed, fmt.Sprintf("%s; launched %d times within %d s and stays down until asked for",
+			in.setPhase(now, PhaseFailed, fmt.Sprintf("%s; launched %d times within %d s and stays down until asked for",
 				in.Cause, in.LaunchBudget.MaxAttempts, in.LaunchBudget.Window/1_000_000))
-			m.note(now, in, "given up", in.Cause)
-			m.touch(in)
+			m.recordEvent(now, in, "given up", in.Cause)
+			m.markInstanceChanged(in)
 			return
 		}
 		cause := "asked for"
@@ -334,29 +334,29 @@
 			cause = in.Cause
 		}
 		in.LaunchRequested = false
-		m.give(now, in, ActionLaunch, cause)
+		m.issueAction(now, in, ActionLaunch, cause)
 	case PhaseStarting, PhaseReady, PhaseUnready:
 		switch {
 		case in.NoticeID != "":
 		case !in.DesiredUp:
-			m.give(now, in, ActionNotify, "asked for")
+			m.issueAction(now, in, ActionNotify, "asked for")
 		case in.RestartPending:
-			m.give(now, in, ActionNotify, "to come up again")
+			m.issueAction(now, in, ActionNotify, "to come up again")
 		case in.Phase == PhaseStarting && in.PhaseDeadline != 0 && now >= in.PhaseDeadline:
-			in.GiveUpReason = fmt.Sprintf("not ready within %d ms", m.startWithin(in)/1000)
-			m.give(now, in, ActionNotify, in.GiveUpReason)
+			in.GiveUpReason = fmt.Sprintf("not ready within %d ms", m.readinessTimeout(in)/1000)
+			m.issueAction(now, in, ActionNotify, in.GiveUpReason)
 		}
 	case PhaseDraining, PhaseStopping, PhaseUnresponsive:
 		if in.NoticeID == "" && (!in.DesiredUp || in.RestartPending) {
-			m.give(now, in, ActionNotify, "asked for while it leaves by itself")
+			m.issueAction(now, in, ActionNotify, "asked for while it leaves by itself")
 		}
 	case PhaseUnknown:
 		if in.NoticeID == "" && (!in.DesiredUp || in.RestartPending) { // the notice does not wait until it can be seen
-			m.give(now, in, ActionNotify, "asked for while it can't be seen")
-			in.enter(now, PhaseUnknown, in.Cause)
+			m.issueAction(now, in, ActionNotify, "asked for while it can't be seen")
+			in.setPhase(now, PhaseUnknown, in.Cause)
 		}
 	}
-	if (in.NoticeID != "" || in.Phase.leaves()) && in.PhaseDeadline != 0 && now >= in.PhaseDeadline {
-		m.give(now, in, ActionKill, "not gone by the end of its window")
+	if (in.NoticeID != "" || in.Phase.leaving()) && in.PhaseDeadline != 0 && now >= in.PhaseDeadline {
+		m.issueAction(now, in, ActionKill, "not gone by the end of its window")
 	}
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -31,38 +31,38 @@
 
 // Machine decides for all instances of one agent. It is not for use by several goroutines at once.
 type Machine struct {
-	terms     Config
-	draw      *rand.Rand
-	names     []string // in the file's order
-	instances map[string]*Instance
-	groups    map[string]*GroupSpec
-	commands  map[string]*Command
-	open      []*Command // by Number
-	past      []string   // ids of the ended, oldest first
-	number    int
-	service   service
-	unheard   Micros // since when asks for units have no answer; 0: the latest had one
-	askedAt   Micros // the latest such ask
-
-	steps   []Action
-	notes   []HistoryEvent
-	touched map[string]bool // instances and commands to be written down
-	told    map[string]bool
+	config            Config
+	random            *rand.Rand
+	instanceNames     []string // in the file's order
+	instances         map[string]*Instance
+	groups            map[string]*GroupSpec
+	commands          map[string]*Command
+	openCommands      []*Command // by Number
+	finishedCommands  []string   // ids of the ended, oldest first
+	lastSequence      int
+	rejections        rejectionRate
+	quotaSilentSince  Micros // since when asks for units have no answer; 0: the latest had one
+	lastUnitRequestAt Micros // the latest such ask
+
+	actions          []Action
+	history          []HistoryEvent
+	changedInstances map[string]bool // instances and commands to be written down
+	changedCommands  map[string]bool
 }
 
 // New makes a machine for a host's instances; window tells what each has after the notice.
 func New(s *Spec, host string, terms Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
 	m := &Machine{
-		terms: terms, draw: rand.New(rand.NewPCG(terms.JitterSeed, 0)), instances: map[string]*Instance{},
-		groups: map[string]*GroupSpec{}, commands: map[string]*Command{}, touched: map[string]bool{},
-		told: map[string]bool{},
+		config: terms, random: rand.New(rand.NewPCG(terms.JitterSeed, 0)), instances: map[string]*Instance{},
+		groups: map[string]*GroupSpec{}, commands: map[string]*Command{}, changedInstances: map[string]bool{},
+		changedCommands: map[string]bool{},
 	}
 	for i, spec := range s.InstancesOn(host) {
 		g := s.Group(spec.Group)
 		m.groups[g.Name] = g
-		m.names = append(m.names, spec.Name)
+		m.instanceNames = append(m.instanceNames, spec.Name)
 		m.instances[spec.Name] = &Instance{
-			Name: spec.Name, Group: g.Name, Spare: spec.Spare, Phase: PhaseAbsent, spec: g, window: window(spec), place: i,
+			Name: spec.Name, Group: g.Name, Spare: spec.Spare, Phase: PhaseAbsent, group: g, shutdown: window(spec), fileOrder: i,
 		}
 	}
 	return m
@@ -88,23 +88,23 @@
 		}
 		keep := *in
 		*in = was
-		in.Group, in.Spare, in.spec, in.window, in.place = keep.Group, keep.Spare, keep.spec, keep.window, keep.place
-		in.ReadySince, in.Detail, in.Invocations = 0, nil, unknownCount
+		in.Group, in.Spare, in.group, in.shutdown, in.fileOrder = keep.Group, keep.Spare, keep.group, keep.shutdown, keep.fileOrder
+		in.ReadySince, in.Detail, in.Invocations = 0, nil, unknownInvocations
 		switch {
 		case fresh:
 			in.Incarnation, in.NoticeID, in.NotifiedAt, in.PhaseDeadline, in.ActionPending, in.KillAttempts, in.GiveUpReason = "", "", 0, 0, false, 0, ""
 			in.RestartPending, in.LaunchesExhausted, in.LaunchRequested, in.NextAttemptAt, in.Attempts, in.LaunchBudget = false, false, true, 0, 0, LaunchBudget{}
-			in.enter(now, PhaseAbsent, "the machine was started anew")
+			in.setPhase(now, PhaseAbsent, "the machine was started anew")
 		case in.Incarnation != "":
 			in.Phase, in.PhaseSince, in.Cause = PhaseUnknown, now, "the agent was started"
 			in.NextAttemptAt = now                                                                  // what is pending goes out again at once
 			if in.ActionPending && in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // it may not have begun
-				in.PhaseDeadline = now + m.startWithin(in)
-				m.touch(in)
+				in.PhaseDeadline = now + m.readinessTimeout(in)
+				m.markInstanceChanged(in)
 			}
 			if in.ActionPending && in.LastAction == ActionNotify { // its window runs from when it hears
-				in.NotifiedAt, in.PhaseDeadline = now, now+in.window.ExitTimeout+m.terms.KillDelay
-				m.touch(in)
+				in.NotifiedAt, in.PhaseDeadline = now, now+in.shutdown.ExitTimeout+m.config.KillDelay
+				m.markInstanceChanged(in)
 			}
 		}
 	}
@@ -114,52 +114,52 @@
 			c.Results = map[string]Result{}
 		}
 		m.commands[c.ID] = c
-		m.number = max(m.number, c.Sequence)
+		m.lastSequence = max(m.lastSequence, c.Sequence)
 		if c.State == CommandDone {
-			m.past = append(m.past, c.ID)
+			m.finishedCommands = append(m.finishedCommands, c.ID)
 			continue
 		}
-		m.open = append(m.open, c)
-		for _, n := range c.open() {
+		m.openCommands = append(m.openCommands, c)
+		for _, n := range c.unresolved() {
 			switch {
 			case m.instances[n] == nil:
-				m.result(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
+				m.recordResult(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
 			case fresh:
-				m.result(now, c, n, OutcomeFailed, "the machine was started anew")
+				m.recordResult(now, c, n, OutcomeFailed, "the machine was started anew")
 			}
 		}
 	}
-	m.close(now)
+	m.closeFinishedCommands(now)
 	return forgotten
 }
 
 // Changes are the instances and commands to be written down before the steps are taken, as they are now. Asking
 // again gives what changed since.
 func (m *Machine) Changes() (r Snapshot, dropped []string) {
-	for _, name := range sortedKeys(m.touched) {
+	for _, name := range sortedKeys(m.changedInstances) {
 		r.Instances = append(r.Instances, *m.instances[name])
 	}
-	for _, id := range sortedKeys(m.told) {
+	for _, id := range sortedKeys(m.changedCommands) {
 		if c := m.commands[id]; c != nil {
 			r.Commands = append(r.Commands, c.clone())
 		} else {
 			dropped = append(dropped, id)
 		}
 	}
-	clear(m.touched)
-	clear(m.told)
+	clear(m.changedInstances)
+	clear(m.changedCommands)
 	return r, dropped
 }
 
-func (m *Machine) touch(in *Instance) { m.touched[in.Name] = true }
-func (m *Machine) changed(c *Command) { m.told[c.ID] = true }
+func (m *Machine) markInstanceChanged(in *Instance) { m.changedInstances[in.Name] = true }
+func (m *Machine) markCommandChanged(c *Command)    { m.changedCommands[c.ID] = true }
 
 // Names lists the instances in the file's order.
-func (m *Machine) Names() []string { return slices.Clone(m.names) }
+func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
 
 // All is everything that Restore takes, as it is now.
 func (m *Machine) Snapshot() (r Snapshot) {
-	for _, name := range m.names {
+	for _, name := range m.instanceNames {
 		r.Instances = append(r.Instances, *m.instances[name])
 	}
 	for _, c := range m.commands {
@@ -171,10 +171,10 @@
 // Idle tells whether nothing is to be expected soon: no command is open, and no instance waits for a time limit,
 // a step or another launch.
 func (m *Machine) Idle(now Micros) bool {
-	if len(m.open) > 0 {
+	if len(m.openCommands) > 0 {
 		return false
 	}
-	for _, name := range m.names {
+	for _, name := range m.instanceNames {
 		if in := m.instances[name]; in.ActionPending || in.PhaseDeadline != 0 || in.Unit.RequestID != "" || in.DesiredUp && !in.LaunchesExhausted && in.Phase.Down() {
 			return false
 		}
@@ -240,97 +240,97 @@
 // Decide takes in what happened and returns the steps to take, in order, and the lines for the history. Both are
 // valid until the next call. An error means that nothing was changed.
 func (m *Machine) Decide(now Micros, ev Event) (steps []Action, notes []HistoryEvent, err error) {
-	m.steps, m.notes = m.steps[:0], m.notes[:0]
+	m.actions, m.history = m.actions[:0], m.history[:0]
 	switch e := ev.(type) {
 	case CommandReceived:
-		if err = m.take(now, e.Command); err == nil {
-			m.sweep(now)
+		if err = m.acceptCommand(now, e.Command); err == nil {
+			m.advanceAll(now)
 		}
 	case CommandControl:
-		if err = m.steer(now, e); err == nil {
-			m.sweep(now)
+		if err = m.controlCommand(now, e); err == nil {
+			m.advanceAll(now)
 		}
 	case InstanceObserved:
 		if in := m.instances[e.Name]; in != nil {
-			m.seen(now, in, e.Observation)
+			m.handleObservation(now, in, e.Observation)
 			m.advance(now, in)
 		}
 	case ActionFailed:
 		if in := m.instances[e.Name]; in != nil && in.ActionID == e.ActionID && in.ActionPending {
-			m.refused(now, in, e)
+			m.handleActionFailed(now, in, e)
 			m.advance(now, in)
 		}
 	case UnitAcquired:
 		if in := m.instances[e.Name]; in != nil {
-			m.unitTaken(now, in, e)
+			m.handleUnitAcquired(now, in, e)
 		}
 	case UnitReleased:
-		m.unheard = 0
+		m.quotaSilentSince = 0
 		if in := m.instances[e.Name]; in != nil && in.Unit.RequestID == e.RequestID {
 			in.Unit = Unit{}
-			m.note(now, in, "unit given back", "")
-			m.touch(in)
+			m.recordEvent(now, in, "unit given back", "")
+			m.markInstanceChanged(in)
 		}
 	case UnitsListed:
-		m.unheard = 0
-		m.unitsHeld(now, e)
+		m.quotaSilentSince = 0
+		m.handleUnitsListed(now, e)
 	case Tick:
-		m.sweep(now)
+		m.advanceAll(now)
 	}
-	for _, c := range m.open {
+	for _, c := range m.openCommands {
 		switch c.Kind {
 		case KindRollingUpdate:
-			m.roll(now, c)
+			m.advanceRollingUpdate(now, c)
 		case KindColdStart:
-			m.lift(now, c)
+			m.advanceColdStart(now, c)
 		}
 	}
-	m.close(now)
-	return m.steps, m.notes, err
+	m.closeFinishedCommands(now)
+	return m.actions, m.history, err
 }
 
-func (m *Machine) sweep(now Micros) {
-	for _, c := range slices.Clone(m.open) {
+func (m *Machine) advanceAll(now Micros) {
+	for _, c := range slices.Clone(m.openCommands) {
 		if now >= c.Deadline {
-			m.expire(now, c)
+			m.expireCommand(now, c)
 		}
 	}
-	for _, name := range m.names {
+	for _, name := range m.instanceNames {
 		m.advance(now, m.instances[name])
 	}
 }
 
 // advance brings one instance forward, and the command that waits for it.
 func (m *Machine) advance(now Micros, in *Instance) {
-	m.settle(now, in)
+	m.resolveCommand(now, in)
 	m.reconcile(now, in)
-	m.settle(now, in)
-	m.settleUnit(now, in)
+	m.resolveCommand(now, in)
+	m.returnUnit(now, in)
 }
 
 // refused: a step could not be taken.
-func (m *Machine) refused(now Micros, in *Instance, e ActionFailed) {
-	m.note(now, in, string(in.LastAction)+" not taken", e.Cause)
+func (m *Machine) handleActionFailed(now Micros, in *Instance, e ActionFailed) {
+	m.recordEvent(now, in, string(in.LastAction)+" not taken", e.Cause)
 	if in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // no process came of it
 		in.Incarnation, in.ActionPending, in.PhaseDeadline = "", false, 0
-		in.enter(now, PhaseFailed, e.Cause)
+		in.setPhase(now, PhaseFailed, e.Cause)
 		in.Attempts++
-		in.NextAttemptAt = now + m.terms.RelaunchBackoff.Pause(in.Attempts+1, m.draw)
+		in.NextAttemptAt = now + m.config.RelaunchBackoff.Pause(in.Attempts+1, m.random)
 		if e.Final {
 			in.LaunchesExhausted = true
 		}
 		in.RestartPending = false
-		m.touch(in)
+		m.markInstanceChanged(in)
 	}
 }
 
 // take accepts a command.
-func (m *Machine) take(now Micros, c *Command) error {
-	if err := c.check(); err != nil {
+func (m *Machine) acceptCommand(now Micros, c *Command) error {
+	if err := c.validate(); err != nil {
 		return err
 	}
 	if was := m.commands[c.ID]; was != nil {
-		if !was.same(c) {
+		if !was.equivalent(c) {
 			return ErrIDConflict
 		}
 		return nil
@@ -350,25 +350,25 @@
 	if c.Deadline <= now {
 		return fmt.Errorf("due: it has passed")
 	}
-	if len(m.open) >= m.terms.MaxOpenCommands {
+	if len(m.openCommands) >= m.config.MaxOpenCommands {
 		return ErrTooManyCommands
 	}
 	c = c.clone()
 	c.State, c.Cause, c.StartedAt, c.FinishedAt = CommandOpen, "", now, 0
 	c.Results, c.InProgress, c.Failures, c.BlockedSince, c.RejectingSince, c.Spares, c.Stage = map[string]Result{}, map[string]bool{}, 0, 0, 0, nil, ""
 	if c.Kind == KindRollingUpdate {
-		if err := m.plan(now, c); err != nil {
+		if err := m.planRollingUpdate(now, c); err != nil {
 			return err
 		}
 	}
-	m.number++
-	c.Sequence = m.number
+	m.lastSequence++
+	c.Sequence = m.lastSequence
 	m.commands[c.ID] = c
-	m.open = append(m.open, c)
-	m.changed(c)
-	m.notes = append(m.notes, HistoryEvent{At: now, CommandID: c.ID, Event: "taken", Cause: fmt.Sprintf("%s of %d, asked by %s", c.Kind, len(c.Names), c.RequestedBy)})
+	m.openCommands = append(m.openCommands, c)
+	m.markCommandChanged(c)
+	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: "taken", Cause: fmt.Sprintf("%s of %d, asked by %s", c.Kind, len(c.Names), c.RequestedBy)})
 	for _, n := range c.Names {
-		m.assign(now, c, m.instances[n])
+		m.assignInstance(now, c, m.instances[n])
 	}
 	return nil
 }
@@ -376,21 +376,21 @@
 // assign makes a command the one that waits for the instance. The rule for two that ask for the same instance:
 // the one that came later holds, and the earlier one ends there as superseded. What was told to leave leaves all
 // the same; if it is wanted up it comes up again after.
-func (m *Machine) assign(now Micros, c *Command, in *Instance) {
+func (m *Machine) assignInstance(now Micros, c *Command, in *Instance) {
 	if c.Kind == KindRollingUpdate && !in.DesiredUp {
-		m.result(now, c, in.Name, OutcomeSkipped, "it is not wanted up")
+		m.recordResult(now, c, in.Name, OutcomeSkipped, "it is not wanted up")
 		return
 	}
 	if old := m.commands[in.CommandID]; old != nil && old != c {
 		delete(old.InProgress, in.Name)
-		m.result(now, old, in.Name, OutcomeSuperseded, "by "+c.ID)
+		m.recordResult(now, old, in.Name, OutcomeSuperseded, "by "+c.ID)
 	}
 	in.CommandID = c.ID
-	m.touch(in)
+	m.markInstanceChanged(in)
 	switch c.Kind {
 	case KindStart:
 		if in.DesiredUp && in.Phase == PhaseReady && !in.RestartPending && in.NoticeID == "" {
-			m.result(now, c, in.Name, OutcomeUnchanged, "")
+			m.recordResult(now, c, in.Name, OutcomeUnchanged, "")
 			return
 		}
 		in.DesiredUp, in.LaunchesExhausted, in.LaunchRequested, in.Attempts, in.LaunchBudget = true, false, true, 0, LaunchBudget{}
@@ -400,28 +400,28 @@
 	case KindDrain, KindStop:
 		if in.Phase.Down() {
 			in.DesiredUp, in.RestartPending = false, false
-			m.result(now, c, in.Name, OutcomeUnchanged, in.Cause)
+			m.recordResult(now, c, in.Name, OutcomeUnchanged, in.Cause)
 			return
 		}
 		in.DesiredUp, in.RestartPending = false, false
 		if c.Immediate && in.KillAttempts == 0 {
-			m.give(now, in, ActionKill, "asked for")
+			m.issueAction(now, in, ActionKill, "asked for")
 			if in.NoticeID == "" {
 				in.NoticeID, in.NotifiedAt = in.ActionID, now
 			}
 		}
 	case KindRestart:
-		m.recycle(now, in)
+		m.restartInstance(now, in)
 	case KindColdStart:
 		if in.DesiredUp && in.Phase == PhaseReady && !in.RestartPending && in.NoticeID == "" {
-			m.result(now, c, in.Name, OutcomeUnchanged, "")
-			in.tellRise(c)
+			m.recordResult(now, c, in.Name, OutcomeUnchanged, "")
+			in.reportAlreadyRunning(c)
 		}
 	}
 }
 
 // recycle has an instance leave and come up again.
-func (m *Machine) recycle(now Micros, in *Instance) {
+func (m *Machine) restartInstance(now Micros, in *Instance) {
 	in.DesiredUp, in.LaunchesExhausted, in.LaunchRequested, in.Attempts, in.LaunchBudget = true, false, true, 0, LaunchBudget{}
 	if in.Phase.Down() {
 		in.NextAttemptAt = now
@@ -429,18 +429,18 @@
 		in.RestartPending = true
 	}
 	in.LastExit = Exit{}
-	m.touch(in)
+	m.markInstanceChanged(in)
 }
 
 // settle gives the command that waits for an instance its result, once there is one.
-func (m *Machine) settle(now Micros, in *Instance) {
+func (m *Machine) resolveCommand(now Micros, in *Instance) {
 	c := m.commands[in.CommandID]
 	if c == nil {
 		return
 	}
 	if _, over := c.Results[in.Name]; over {
 		in.CommandID = ""
-		m.touch(in)
+		m.markInstanceChanged(in)
 		return
 	}
 	lost := in.Phase == PhaseFailed && in.LaunchesExhausted
@@ -449,20 +449,20 @@
 		switch {
 		case c.Kind == KindColdStart && !in.DesiredUp: // it has not been its turn
 		case in.Phase == PhaseReady && !in.RestartPending && in.NoticeID == "" && (c.Kind == KindStart || in.Settled(now)):
-			m.result(now, c, in.Name, OutcomeSucceeded, "")
-			in.tellRise(c)
+			m.recordResult(now, c, in.Name, OutcomeSucceeded, "")
+			in.reportAlreadyRunning(c)
 		case lost:
-			m.result(now, c, in.Name, OutcomeFailed, in.Cause)
+			m.recordResult(now, c, in.Name, OutcomeFailed, in.Cause)
 		}
 	case KindDrain, KindStop:
 		switch end := in.LastExit; {
 		case !in.Phase.Down():
 		case end.KillReason != "":
-			m.result(now, c, in.Name, OutcomeKilled, end.String())
+			m.recordResult(now, c, in.Name, OutcomeKilled, end.String())
 		case in.Phase == PhaseExited && end.Signal == "" && end.Code == 0:
-			m.result(now, c, in.Name, OutcomeSucceeded, "")
+			m.recordResult(now, c, in.Name, OutcomeSucceeded, "")
 		default:
-			m.result(now, c, in.Name, OutcomeFailed, "it is down: "+in.Cause)
+			m.recordResult(now, c, in.Name, OutcomeFailed, "it is down: "+in.Cause)
 		}
 	case KindRestart, KindRollingUpdate:
 		if c.Kind == KindRollingUpdate && !c.InProgress[in.Name] && !in.Spare {
@@ -470,27 +470,27 @@
 		}
 		if in.Spare && c.Stage == StageStopSpares {
 			if in.Phase.Down() {
-				m.result(now, c, in.Name, OutcomeSucceeded, "")
+				m.recordResult(now, c, in.Name, OutcomeSucceeded, "")
 			}
 			return
 		}
 		switch {
 		case lost:
-			m.result(now, c, in.Name, OutcomeFailed, in.Cause)
+			m.recordResult(now, c, in.Name, OutcomeFailed, in.Cause)
 		case in.RestartPending || in.NoticeID != "" || in.Phase != PhaseReady || in.Spare:
 		case c.Kind == KindRollingUpdate && !in.Settled(now):
 		case in.LastExit.KillReason != "":
-			m.result(now, c, in.Name, OutcomeKilled, "up again; before, "+in.LastExit.String())
+			m.recordResult(now, c, in.Name, OutcomeKilled, "up again; before, "+in.LastExit.String())
 		case in.LastExit.Code != 0:
-			m.result(now, c, in.Name, OutcomeSucceeded, "up again; before, "+in.LastExit.String())
+			m.recordResult(now, c, in.Name, OutcomeSucceeded, "up again; before, "+in.LastExit.String())
 		default:
-			m.result(now, c, in.Name, OutcomeSucceeded, "")
+			m.recordResult(now, c, in.Name, OutcomeSucceeded, "")
 		}
 	}
 }
 
 // result is given once; what comes after it changes nothing.
-func (m *Machine) result(now Micros, c *Command, name string, o Outcome, cause string) {
+func (m *Machine) recordResult(now Micros, c *Command, name string, o Outcome, cause string) {
 	if _, over := c.Results[name]; over {
 		return
 	}
@@ -501,30 +501,30 @@
 	delete(c.InProgress, name)
 	if in := m.instances[name]; in != nil && in.CommandID == c.ID {
 		in.CommandID = ""
-		m.touch(in)
+		m.markInstanceChanged(in)
 	}
-	m.changed(c)
-	m.notes = append(m.notes, HistoryEvent{At: now, Name: name, CommandID: c.ID, Event: "result " + string(o), Cause: cause})
+	m.markCommandChanged(c)
+	m.history = append(m.history, HistoryEvent{At: now, Name: name, CommandID: c.ID, Event: "result " + string(o), Cause: cause})
 }
 
 // expire ends a command whose time is over. What it began goes on.
-func (m *Machine) expire(now Micros, c *Command) {
-	for _, n := range c.open() {
-		m.result(now, c, n, OutcomeTimedOut, "the command's time is over")
+func (m *Machine) expireCommand(now Micros, c *Command) {
+	for _, n := range c.unresolved() {
+		m.recordResult(now, c, n, OutcomeTimedOut, "the command's time is over")
 	}
 	for _, n := range c.Spares {
-		m.retire(m.instances[n])
+		m.stopSpare(m.instances[n])
 	}
 }
 
-func (m *Machine) retire(in *Instance) {
+func (m *Machine) stopSpare(in *Instance) {
 	if in != nil && in.Spare && in.DesiredUp {
 		in.DesiredUp = false
-		m.touch(in)
+		m.markInstanceChanged(in)
 	}
 }
 
-func (m *Machine) steer(now Micros, e CommandControl) error {
+func (m *Machine) controlCommand(now Micros, e CommandControl) error {
 	c := m.commands[e.CommandID]
 	if c == nil {
 		return ErrUnknownCommand
@@ -537,11 +537,11 @@
 			return nil
 		}
 		c.State, c.Cause = CommandCancelled, "by "+e.RequestedBy
-		for _, n := range c.open() {
+		for _, n := range c.unresolved() {
 			if in := m.instances[n]; c.Kind == KindRollingUpdate && (c.InProgress[n] || in != nil && in.Spare) {
 				continue // it comes back
 			}
-			m.result(now, c, n, OutcomeCancelled, "by "+e.RequestedBy)
+			m.recordResult(now, c, n, OutcomeCancelled, "by "+e.RequestedBy)
 		}
 	case c.Kind != KindRollingUpdate:
 		return fmt.Errorf("%s: only a wave can be held", e.Verb)
@@ -554,14 +554,14 @@
 	default:
 		return fmt.Errorf("%q is none of pause, resume, cancel", e.Verb)
 	}
-	m.changed(c)
-	m.notes = append(m.notes, HistoryEvent{At: now, CommandID: c.ID, Event: e.Verb, Cause: "by " + e.RequestedBy})
+	m.markCommandChanged(c)
+	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: e.Verb, Cause: "by " + e.RequestedBy})
 	return nil
 }
 
 // close ends the commands that have all their results, and forgets the oldest beyond the bound.
-func (m *Machine) close(now Micros) {
-	m.open = slices.DeleteFunc(m.open, func(c *Command) bool {
+func (m *Machine) closeFinishedCommands(now Micros) {
+	m.openCommands = slices.DeleteFunc(m.openCommands, func(c *Command) bool {
 		if len(c.Results) < len(c.Names)+len(c.Spares) {
 			return false
 		}
@@ -569,50 +569,50 @@
 			c.Cause = ""
 		}
 		c.State, c.FinishedAt = CommandDone, now
-		m.past = append(m.past, c.ID)
-		m.changed(c)
-		m.notes = append(m.notes, HistoryEvent{At: now, CommandID: c.ID, Event: "ended"})
+		m.finishedCommands = append(m.finishedCommands, c.ID)
+		m.markCommandChanged(c)
+		m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: "ended"})
 		return true
 	})
-	for len(m.past) > m.terms.MaxFinishedCommands {
-		delete(m.commands, m.past[0])
-		m.told[m.past[0]] = true
-		m.past = m.past[1:]
+	for len(m.finishedCommands) > m.config.MaxFinishedCommands {
+		delete(m.commands, m.finishedCommands[0])
+		m.changedCommands[m.finishedCommands[0]] = true
+		m.finishedCommands = m.finishedCommands[1:]
 	}
 }
 
-func (m *Machine) note(now Micros, in *Instance, event, cause string) {
-	m.notes = append(m.notes, HistoryEvent{At: now, Name: in.Name, CommandID: in.CommandID, Event: event, Cause: cause})
+func (m *Machine) recordEvent(now Micros, in *Instance, event, cause string) {
+	m.history = append(m.history, HistoryEvent{At: now, Name: in.Name, CommandID: in.CommandID, Event: event, Cause: cause})
 }
 
 // service is the share of invocations that were turned away of late, over all instances.
-type service struct {
-	at             Micros
-	picked, turned float64
+type rejectionRate struct {
+	at                    Micros
+	invocations, rejected float64
 }
 
 const (
-	serviceSpan  = 2_000_000 // microseconds in which what was counted loses weight by e
-	serviceLeast = 20        // invocations; fewer say nothing
+	rejectionDecay = 2_000_000 // microseconds in which what was counted loses weight by e
+	minInvocations = 20        // invocations; fewer say nothing
 )
 
-func (s *service) fade(now Micros) {
+func (s *rejectionRate) decay(now Micros) {
 	if now > s.at {
-		keep := math.Exp(-float64(now-s.at) / serviceSpan)
-		s.picked, s.turned, s.at = s.picked*keep, s.turned*keep, now
+		keep := math.Exp(-float64(now-s.at) / rejectionDecay)
+		s.invocations, s.rejected, s.at = s.invocations*keep, s.rejected*keep, now
 	}
 }
 
-func (s *service) add(now Micros, picked, turned int) {
-	s.fade(now)
-	s.picked += float64(picked)
-	s.turned += float64(turned)
+func (s *rejectionRate) add(now Micros, picked, turned int) {
+	s.decay(now)
+	s.invocations += float64(picked)
+	s.rejected += float64(turned)
 }
 
 // turnedAway is the share; ok is false while too little was counted to say.
-func (s *service) turnedAway(now Micros) (share float64, ok bool) {
-	if s.fade(now); s.picked < serviceLeast {
+func (s *rejectionRate) share(now Micros) (share float64, ok bool) {
+	if s.decay(now); s.invocations < minInvocations {
 		return 0, false
 	}
-	return min(1, s.turned/s.picked), true
+	return min(1, s.rejected/s.invocations), true
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/machine_test.go
@@ -14,180 +14,180 @@
 )
 
 // told prints how a command stands.
-func told(tr *fakes.Trace, w *world, id string) {
+func reportCommand(tr *fakes.Trace, w *simulatedHost, id string) {
 	c := w.m.Command(id)
 	if c == nil {
 		tr.Say("  %s: not known", id)
 		return
 	}
 	tr.Say("  %s: %s %s", id, c.State, c.Cause)
-	for _, n := range c.all() {
+	for _, n := range c.instanceNames() {
 		in, _ := w.m.Instance(n)
 		r, over := c.Results[n]
-		tr.Say("    %s %s launched %d: %t %s %s", n, in.Phase, w.launch[n], over, r.Outcome, r.Cause)
+		tr.Say("    %s %s launched %d: %t %s %s", n, in.Phase, w.launches[n], over, r.Outcome, r.Cause)
 	}
 }
 
-const two = `(fleet f (host h1 (agent "unix:/tmp/h1")) (group g (config "%n.json") (start-within 5s) (settle 1s)
+const twoInstances = `(fleet f (host h1 (agent "unix:/tmp/h1")) (group g (config "%n.json") (start-within 5s) (settle 1s)
 	(restart (most 2) (within 20s)) (instances a b) (spares x)) (wave (least-share 0.5) (stall 10s)))`
 
 // TestStories: what commands do in each kind of trouble, one after the other.
-func TestStories(t *testing.T) {
+func TestCommandScenarios(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	story := func(what string) *world {
+	story := func(what string) *simulatedHost {
 		tr.Say("%s", what)
-		return newWorld(t, spec(t, two))
+		return newHost(t, readTestSpec(t, twoInstances))
 	}
 	w := story("started, started again, drained")
-	up(w)
-	told(tr, w, "up")
-	w.order("up2", KindStart, second, "a", "b")
-	told(tr, w, "up2")
-	w.order("down", KindDrain, 10*second, "a", "b")
-	w.pass(4*second, nil)
-	told(tr, w, "down")
-	w.order("down2", KindStop, 10*second, "a")
-	told(tr, w, "down2")
+	startAll(w)
+	reportCommand(tr, w, "up")
+	w.command("up2", KindStart, second, "a", "b")
+	reportCommand(tr, w, "up2")
+	w.command("down", KindDrain, 10*second, "a", "b")
+	w.advance(4*second, nil)
+	reportCommand(tr, w, "down")
+	w.command("down2", KindStop, 10*second, "a")
+	reportCommand(tr, w, "down2")
 
 	w = story("the same command twice, and another with its id")
-	up(w)
-	tr.Say("  %v", w.order("r", KindRestart, 20*second, "a"))
-	tr.Say("  %v", w.order("r", KindRestart, 20*second, "a"))
-	tr.Say("  %v", w.order("r", KindDrain, 20*second, "a"))
-	w.pass(8*second, nil)
-	tr.Say("  %v", w.order("r", KindRestart, 20*second, "a"))
-	w.pass(8*second, nil)
-	told(tr, w, "r")
+	startAll(w)
+	tr.Say("  %v", w.command("r", KindRestart, 20*second, "a"))
+	tr.Say("  %v", w.command("r", KindRestart, 20*second, "a"))
+	tr.Say("  %v", w.command("r", KindDrain, 20*second, "a"))
+	w.advance(8*second, nil)
+	tr.Say("  %v", w.command("r", KindRestart, 20*second, "a"))
+	w.advance(8*second, nil)
+	reportCommand(tr, w, "r")
 
 	w = story("a later command supersedes an earlier one; what was told to leave leaves all the same")
-	up(w)
-	w.order("d", KindDrain, 10*second, "a", "b")
-	w.pass(second/2, nil)
-	w.order("s", KindStart, 10*second, "a")
-	w.pass(6*second, nil)
-	told(tr, w, "d")
-	told(tr, w, "s")
+	startAll(w)
+	w.command("d", KindDrain, 10*second, "a", "b")
+	w.advance(second/2, nil)
+	w.command("s", KindStart, 10*second, "a")
+	w.advance(6*second, nil)
+	reportCommand(tr, w, "d")
+	reportCommand(tr, w, "s")
 
 	w = story("deaf to the notice")
-	up(w)
-	w.lives["a"].deaf = true
-	w.order("d", KindRestart, 20*second, "a")
-	w.pass(6*second, nil)
-	told(tr, w, "d")
+	startAll(w)
+	w.fakes["a"].unresponsive = true
+	w.command("d", KindRestart, 20*second, "a")
+	w.advance(6*second, nil)
+	reportCommand(tr, w, "d")
 
 	w = story("dies by itself while draining")
-	up(w)
-	w.order("d", KindDrain, 10*second, "a")
-	w.pass(second, nil)
-	w.lives["a"].die(Exit{Code: -1, Signal: "killed", DrainTime: second})
-	w.pass(second, nil)
-	told(tr, w, "d")
+	startAll(w)
+	w.command("d", KindDrain, 10*second, "a")
+	w.advance(second, nil)
+	w.fakes["a"].exit(Exit{Code: -1, Signal: "killed", DrainTime: second})
+	w.advance(second, nil)
+	reportCommand(tr, w, "d")
 
 	w = story("dies by itself again and again, until its launches are spent; asked for, it is tried anew")
-	up(w)
+	startAll(w)
 	for range 6 {
-		w.lives["a"].die(Exit{Code: 3})
-		w.pass(3*second, nil)
+		w.fakes["a"].exit(Exit{Code: 3})
+		w.advance(3*second, nil)
 	}
-	told(tr, w, "up")
-	w.order("again", KindStart, 10*second, "a")
-	w.pass(2*second, nil)
-	told(tr, w, "again")
+	reportCommand(tr, w, "up")
+	w.command("again", KindStart, 10*second, "a")
+	w.advance(2*second, nil)
+	reportCommand(tr, w, "again")
 
 	w = story("never ready")
-	w.lives["a"].neverReady = true
-	w.order("up", KindStart, 30*second, "a", "b")
-	w.pass(12*second, nil)
-	told(tr, w, "up")
+	w.fakes["a"].neverReady = true
+	w.command("up", KindStart, 30*second, "a", "b")
+	w.advance(12*second, nil)
+	reportCommand(tr, w, "up")
 
 	w = story("can't be launched")
-	w.lose = func(s Action) bool { return s.Kind == ActionLaunch }
-	w.order("up", KindStart, 30*second, "a")
+	w.dropAction = func(s Action) bool { return s.Kind == ActionLaunch }
+	w.command("up", KindStart, 30*second, "a")
 	in, _ := w.m.Instance("a")
-	w.do(ActionFailed{"a", in.ActionID, "no such program", true})
-	told(tr, w, "up")
+	w.apply(ActionFailed{"a", in.ActionID, "no such program", true})
+	reportCommand(tr, w, "up")
 
 	w = story("killed at once")
-	up(w)
-	w.do(CommandReceived{&Command{ID: "k", Kind: KindStop, Names: []string{"a"}, RequestedBy: "test", Deadline: w.now + 9*second, Immediate: true}})
-	w.pass(second, nil)
-	told(tr, w, "k")
+	startAll(w)
+	w.apply(CommandReceived{&Command{ID: "k", Kind: KindStop, Names: []string{"a"}, RequestedBy: "test", Deadline: w.now + 9*second, Immediate: true}})
+	w.advance(second, nil)
+	reportCommand(tr, w, "k")
 
 	w = story("its keeper dies, with the notice given and lost; another takes over")
-	up(w)
-	w.lives["a"].keeper = false
-	w.order("d", KindDrain, 20*second, "a")
-	w.pass(second, nil)
-	tr.Say("  keeper %t, told %t", w.lives["a"].keeper, w.lives["a"].told != "")
-	w.pass(4*second, nil)
-	told(tr, w, "d")
+	startAll(w)
+	w.fakes["a"].supervised = false
+	w.command("d", KindDrain, 20*second, "a")
+	w.advance(second, nil)
+	tr.Say("  keeper %t, told %t", w.fakes["a"].supervised, w.fakes["a"].noticeID != "")
+	w.advance(4*second, nil)
+	reportCommand(tr, w, "d")
 
 	w = story("no sign of it for the whole window: the agent kills it itself")
-	up(w)
-	w.lose = func(s Action) bool { return s.Kind == ActionNotify }
-	w.order("d", KindDrain, 20*second, "a")
-	w.pass(6*second, nil)
-	told(tr, w, "d")
+	startAll(w)
+	w.dropAction = func(s Action) bool { return s.Kind == ActionNotify }
+	w.command("d", KindDrain, 20*second, "a")
+	w.advance(6*second, nil)
+	reportCommand(tr, w, "d")
 
 	w = story("time is over before it can be seen; it leaves all the same")
-	up(w)
-	w.order("d", KindDrain, second, "a")
-	w.pass(4*second, func(n string) bool { return n == "a" })
-	told(tr, w, "d")
-	tr.Say("  alive %t", w.lives["a"].alive)
+	startAll(w)
+	w.command("d", KindDrain, second, "a")
+	w.advance(4*second, func(n string) bool { return n == "a" })
+	reportCommand(tr, w, "d")
+	tr.Say("  alive %t", w.fakes["a"].alive)
 
 	w = story("a wave over the wrong names, or with terms that none can go by")
-	up(w)
-	tr.Say("  %v", w.order("w", KindRollingUpdate, 60*second, "a", "x"))
-	tr.Say("  %v", w.order("w", KindRollingUpdate, 60*second, "a", "a"))
-	tr.Say("  %v", w.order("w", KindRollingUpdate, 60*second, "c"))
-	tr.Say("  %v", w.order("w", KindRollingUpdate, 0, "a"))
-	tr.Say("  %v", w.order("-w", KindRollingUpdate, second, "a"))
+	startAll(w)
+	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "a", "x"))
+	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "a", "a"))
+	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "c"))
+	tr.Say("  %v", w.command("w", KindRollingUpdate, 0, "a"))
+	tr.Say("  %v", w.command("-w", KindRollingUpdate, second, "a"))
 	w.spec.RollingUpdate.MinReady = 2
-	tr.Say("  %v", w.order("w", KindRollingUpdate, 60*second, "a"))
+	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "a"))
 	w.spec.RollingUpdate.Surge = 1
-	tr.Say("  %v", w.order("w", KindRollingUpdate, 60*second, "a", "b"))
-	tr.Say("  %v", w.order("w2", KindRollingUpdate, 60*second, "a", "b"))
-	w.pass(20*second, nil)
-	told(tr, w, "w")
+	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "a", "b"))
+	tr.Say("  %v", w.command("w2", KindRollingUpdate, 60*second, "a", "b"))
+	w.advance(20*second, nil)
+	reportCommand(tr, w, "w")
 
 	w = story("a wave meets an instance that does not become ready, pauses, and goes on when told")
-	up(w)
-	w.lives["a"].neverReady = true
-	w.order("w", KindRollingUpdate, 120*second, "a", "b")
-	w.pass(15*second, nil)
-	told(tr, w, "w")
-	w.lives["a"].neverReady = false
-	w.do(CommandControl{"w", "resume", "test"})
-	w.pass(15*second, nil)
-	told(tr, w, "w") // b may not leave: a is down, and half of two must stay ready
-	w.order("a-up", KindStart, 20*second, "a")
-	w.pass(4*second, nil)
-	w.do(CommandControl{"w", "resume", "test"})
-	w.pass(15*second, nil)
-	told(tr, w, "w")
+	startAll(w)
+	w.fakes["a"].neverReady = true
+	w.command("w", KindRollingUpdate, 120*second, "a", "b")
+	w.advance(15*second, nil)
+	reportCommand(tr, w, "w")
+	w.fakes["a"].neverReady = false
+	w.apply(CommandControl{"w", "resume", "test"})
+	w.advance(15*second, nil)
+	reportCommand(tr, w, "w") // b may not leave: a is down, and half of two must stay ready
+	w.command("a-up", KindStart, 20*second, "a")
+	w.advance(4*second, nil)
+	w.apply(CommandControl{"w", "resume", "test"})
+	w.advance(15*second, nil)
+	reportCommand(tr, w, "w")
 
 	w = story("a wave is cancelled: what is out comes back, the rest stays")
-	up(w)
-	w.order("w", KindRollingUpdate, 120*second, "a", "b")
-	w.pass(second, nil)
-	tr.Say("  %v, %v, %v", w.do(CommandControl{"w", "cancel", "test"}), w.do(CommandControl{"v", "cancel", "test"}), w.do(CommandControl{"up", "cancel", "test"}))
-	w.pass(6*second, nil)
-	told(tr, w, "w")
+	startAll(w)
+	w.command("w", KindRollingUpdate, 120*second, "a", "b")
+	w.advance(second, nil)
+	tr.Say("  %v, %v, %v", w.apply(CommandControl{"w", "cancel", "test"}), w.apply(CommandControl{"v", "cancel", "test"}), w.apply(CommandControl{"up", "cancel", "test"}))
+	w.advance(6*second, nil)
+	reportCommand(tr, w, "w")
 
 	w = story("an instance that is drained by hand leaves the wave, which waits for its budget")
-	up(w)
-	w.order("w", KindRollingUpdate, 120*second, "a", "b")
-	w.pass(second, nil)
-	w.order("d", KindDrain, 20*second, "b")
-	w.pass(9*second, nil)
-	told(tr, w, "w")
-	told(tr, w, "d")
+	startAll(w)
+	w.command("w", KindRollingUpdate, 120*second, "a", "b")
+	w.advance(second, nil)
+	w.command("d", KindDrain, 20*second, "b")
+	w.advance(9*second, nil)
+	reportCommand(tr, w, "w")
+	reportCommand(tr, w, "d")
 
 	w = story("an instance tells of its level of reduced service; the history has it, once a change")
-	up(w)
+	startAll(w)
 	for _, level := range []string{"full", "full", "no-reprints", "no-reprints", "full"} {
-		_, notes, _ := w.m.Decide(w.now, InstanceObserved{"a", Observation{Incarnation: w.lives["a"].run, Phase: PhaseReady, Level: level, LevelCause: "queue 2"}})
+		_, notes, _ := w.m.Decide(w.now, InstanceObserved{"a", Observation{Incarnation: w.fakes["a"].incarnation, Phase: PhaseReady, Level: level, LevelCause: "queue 2"}})
 		for _, n := range notes {
 			tr.Say("  %s %s, %s", n.Name, n.Event, n.Cause)
 		}
@@ -195,13 +195,13 @@
 
 	w = story("service falls while a wave rolls")
 	w.spec.RollingUpdate.MaxRejectedShare = 0.5
-	up(w)
-	w.order("w", KindRollingUpdate, 120*second, "a", "b")
+	startAll(w)
+	w.command("w", KindRollingUpdate, 120*second, "a", "b")
 	for n := range 80 {
-		w.pass(second/10, func(n string) bool { return n == "b" })
-		w.do(InstanceObserved{"b", Observation{Incarnation: w.lives["b"].run, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n}})
+		w.advance(second/10, func(n string) bool { return n == "b" })
+		w.apply(InstanceObserved{"b", Observation{Incarnation: w.fakes["b"].incarnation, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n}})
 	}
-	told(tr, w, "w")
+	reportCommand(tr, w, "w")
 }
 
 // TestSpecErrors: a fleet's file that can't be used says where, and all of it at once.
@@ -216,7 +216,7 @@
 		_, err := ReadSpec("fleet.sx", []byte(text), limits.ForControl())
 		tr.Say("%s\n%v", text, err)
 	}
-	s := spec(t, groupsOf(2, 2, 1, ""))
+	s := readTestSpec(t, groupsOf(2, 2, 1, ""))
 	for _, q := range []Selection{
 		{}, {All: true}, {Groups: []string{"g1"}}, {Names: []string{"g0-s1", "g1-n2"}}, {Names: []string{"nobody"}}, {Hosts: []string{"h1"}},
 	} {
@@ -234,7 +234,7 @@
 }
 
 // TestTour: what goes wrong on one host does not go on to the next, and the fleet's budget holds over all.
-func TestTour(t *testing.T) {
+func TestRolloutCoordinator(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	tour := &RolloutCoordinator{Hosts: []string{"a", "b", "c"}, Config: RollingUpdateConfig{MinReadyShare: 0.8, StallTimeout: 10}, MaxConcurrentHosts: 2}
 	fact := func(s CommandState) HostProgress {
@@ -270,12 +270,12 @@
 }
 
 // TestBudgets: pauses grow, have jitter and an end; tries are bounded.
-func TestBudgets(t *testing.T) {
+func TestBackoffAndBudgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Backoff{Micros(rapid.IntRange(2, 1000).Draw(t, "least")), 0}
 		b.Max = b.Min * Micros(rapid.IntRange(1, 100).Draw(t, "most"))
 		n := rapid.IntRange(0, 80).Draw(t, "n")
-		p := b.Pause(n, drawn(rapid.Uint64().Draw(t, "seed")))
+		p := b.Pause(n, newRandom(rapid.Uint64().Draw(t, "seed")))
 		if n <= 1 && p != 0 || n > 1 && (p < b.Min/2 || p > b.Max) {
 			t.Fatalf("pause %d before try %d of %+v", p, n, b)
 		}
@@ -314,14 +314,14 @@
 		wave := fmt.Sprintf("(width %d) (least-share %v) (surge %d) (failures %d) (stall 8s) (order %s)",
 			rapid.IntRange(1, 3).Draw(t, "width"), rapid.SampledFrom([]float64{0, 0.5, 0.75, 1}).Draw(t, "least"),
 			spares, rapid.IntRange(0, 2).Draw(t, "failures"), rapid.SampledFrom([]string{"file", "name", "spread"}).Draw(t, "order"))
-		w := newWorld(t, spec(t, groupsOf(groups, each, spares, wave)))
-		rnd := drawn(rapid.Uint64().Draw(t, "seed"))
+		w := newHost(t, readTestSpec(t, groupsOf(groups, each, spares, wave)))
+		rnd := newRandom(rapid.Uint64().Draw(t, "seed"))
 		first := map[string]map[string]Result{}
 		out := map[string]bool{}
 		w.check = func(steps []Action) { invariants(t, w, steps, first, out) }
-		w.lose = func(Action) bool { return rnd.IntN(10) == 0 }
+		w.dropAction = func(Action) bool { return rnd.IntN(10) == 0 }
 		blind := func(string) bool { return rnd.IntN(5) == 0 }
-		up(w)
+		startAll(w)
 		orders := 0
 		names := w.m.Names()
 		t.Repeat(map[string]func(*rapid.T){
@@ -329,56 +329,56 @@
 				kind := rapid.SampledFrom([]CommandKind{KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindRollingUpdate}).Draw(t, "kind")
 				some := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, -1, rapid.ID).Draw(t, "names")
 				orders++
-				w.order(fmt.Sprint("c", orders), kind, Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
+				w.command(fmt.Sprint("c", orders), kind, Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
 			},
 			"steer": func(t *rapid.T) {
 				verb := rapid.SampledFrom([]string{"pause", "resume", "cancel"}).Draw(t, "verb")
-				w.do(CommandControl{fmt.Sprint("c", rapid.IntRange(1, orders+1).Draw(t, "id")), verb, "test"})
+				w.apply(CommandControl{fmt.Sprint("c", rapid.IntRange(1, orders+1).Draw(t, "id")), verb, "test"})
 			},
 			"die": func(t *rapid.T) {
-				l := w.lives[rapid.SampledFrom(names).Draw(t, "name")]
+				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
 				if l.alive {
-					l.die(Exit{Code: 1})
+					l.exit(Exit{Code: 1})
 				}
 			},
-			"keeper dies": func(t *rapid.T) { w.lives[rapid.SampledFrom(names).Draw(t, "name")].keeper = false },
+			"keeper dies": func(t *rapid.T) { w.fakes[rapid.SampledFrom(names).Draw(t, "name")].supervised = false },
 			"deaf": func(t *rapid.T) {
-				l := w.lives[rapid.SampledFrom(names).Draw(t, "name")]
-				l.deaf = !l.deaf
+				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
+				l.unresponsive = !l.unresponsive
 			},
 			"ill": func(t *rapid.T) {
-				l := w.lives[rapid.SampledFrom(names).Draw(t, "name")]
+				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
 				l.neverReady = !l.neverReady
 			},
 			"late word": func(t *rapid.T) { // of a life that is over, or that has no more to say
-				for _, s := range w.old {
-					if l := w.lives[s.Name]; s.Observation.Incarnation != l.run && rnd.IntN(3) == 0 {
-						w.do(s)
+				for _, s := range w.pastObservations {
+					if l := w.fakes[s.Name]; s.Observation.Incarnation != l.incarnation && rnd.IntN(3) == 0 {
+						w.apply(s)
 					}
 				}
-				w.old = nil
+				w.pastObservations = nil
 			},
 			"agent dies":      func(t *rapid.T) { w.restart() },
-			"agent dies next": func(t *rapid.T) { w.dieNext = true },
+			"agent dies next": func(t *rapid.T) { w.crashNext = true },
 			"clock jumps":     func(t *rapid.T) { w.now += Micros(rapid.IntRange(0, 30).Draw(t, "jump")) * second },
-			"time":            func(t *rapid.T) { w.pass(Micros(rapid.IntRange(1, 40).Draw(t, "span"))*100_000, blind) },
+			"time":            func(t *rapid.T) { w.advance(Micros(rapid.IntRange(1, 40).Draw(t, "span"))*100_000, blind) },
 		})
-		w.lose, w.dieNext = nil, false
-		w.pass(90*second, nil)
+		w.dropAction, w.crashNext = nil, false
+		w.advance(90*second, nil)
 		for _, c := range w.m.Commands() {
 			if c.State != CommandDone || len(c.Results) != len(c.Names)+len(c.Spares) {
 				t.Fatalf("%s has not ended: %+v", c.ID, c)
 			}
 		}
 		for _, n := range names {
-			if in, _ := w.m.Instance(n); !in.DesiredUp && w.lives[n].alive {
+			if in, _ := w.m.Instance(n); !in.DesiredUp && w.fakes[n].alive {
 				t.Fatalf("%s is not wanted and lives: %+v", n, in)
 			}
 		}
 	})
 }
 
-func invariants(t *rapid.T, w *world, steps []Action, first map[string]map[string]Result, out map[string]bool) {
+func invariants(t *rapid.T, w *simulatedHost, steps []Action, first map[string]map[string]Result, out map[string]bool) {
 	for _, n := range w.m.Names() {
 		in, _ := w.m.Instance(n)
 		if in.NoticeID != "" && in.PhaseDeadline == 0 {
@@ -427,20 +427,20 @@
 				}
 			}
 		}
-		if before := w.lives[s.Name]; before.ready && ready < c.Rollout.least(wanted) {
+		if before := w.fakes[s.Name]; before.ready && ready < c.Rollout.minReady(wanted) {
 			t.Fatalf("%s takes %s out, and %d of %d stay ready: %+v", c.ID, s.Name, ready, wanted, c.Rollout)
 		}
 	}
 }
 
 // TestRefusals: what can't be taken changes nothing.
-func TestRefusals(t *testing.T) {
-	w := newWorld(t, spec(t, two))
-	w.m.terms.MaxOpenCommands = 1
-	if err := w.order("one", KindStart, 90*second, "a"); err != nil {
+func TestRejectedCommandChangesNothing(t *testing.T) {
+	w := newHost(t, readTestSpec(t, twoInstances))
+	w.m.config.MaxOpenCommands = 1
+	if err := w.command("one", KindStart, 90*second, "a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.order("two", KindStart, 90*second, "b"); !errors.Is(err, ErrTooManyCommands) {
+	if err := w.command("two", KindStart, 90*second, "b"); !errors.Is(err, ErrTooManyCommands) {
 		t.Fatal(err)
 	}
 	if in, _ := w.m.Instance("b"); in.DesiredUp || in.CommandID != "" {
@@ -466,7 +466,7 @@
 			if _, _, err := m.Decide(1<<40, CommandReceived{c}); err != nil {
 				b.Fatal(err)
 			}
-			c = m.open[0]
+			c = m.openCommands[0]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				name := c.Names[i%len(c.Names)] // as if it were back, so that the next may leave
@@ -474,8 +474,8 @@
 				in := m.instances[name]
 				in.RestartPending, in.NoticeID, in.Phase, in.ReadySince = false, "", PhaseReady, 1
 				delete(c.Results, name)
-				m.roll(1<<41, c)
-				m.steps, m.notes = m.steps[:0], m.notes[:0]
+				m.advanceRollingUpdate(1<<41, c)
+				m.actions, m.history = m.actions[:0], m.history[:0]
 			}
 		})
 	}
--- a/internal/fleet/wave.go
+++ b/internal/fleet/rolling_update.go
@@ -6,43 +6,43 @@
 )
 
 // tally is what a group has, for the budget of a wave.
-type tally struct {
-	up     int // wanted up, spares apart
-	usable int // that may be counted on, spares too
+type groupCount struct {
+	desiredUp int // wanted up, spares apart
+	available int // that may be counted on, spares too
 }
 
-func (m *Machine) tallies(now Micros) map[string]*tally {
-	all := make(map[string]*tally, len(m.groups))
+func (m *Machine) groupCounts(now Micros) map[string]*groupCount {
+	all := make(map[string]*groupCount, len(m.groups))
 	for name := range m.groups {
-		all[name] = &tally{}
+		all[name] = &groupCount{}
 	}
-	for _, name := range m.names {
+	for _, name := range m.instanceNames {
 		in := m.instances[name]
 		g := all[in.Group]
 		if in.DesiredUp && !in.Spare {
-			g.up++
+			g.desiredUp++
 		}
-		if in.usable(now) {
-			g.usable++
+		if in.available(now) {
+			g.available++
 		}
 	}
 	return all
 }
 
 // plan prepares a wave, or says why none can go on by these terms.
-func (m *Machine) plan(now Micros, c *Command) error {
-	for _, o := range m.open {
+func (m *Machine) planRollingUpdate(now Micros, c *Command) error {
+	for _, o := range m.openCommands {
 		if o.Kind == KindRollingUpdate && o.State != CommandDone {
 			return fmt.Errorf("%w: %s", ErrUpdateInProgress, o.ID)
 		}
 	}
-	c.Names = ordered(c.Rollout.Order, c.Names,
-		func(n string) int { return m.instances[n].place }, func(n string) string { return m.instances[n].Group })
+	c.Names = rolloutOrder(c.Rollout.Order, c.Names,
+		func(n string) int { return m.instances[n].fileOrder }, func(n string) string { return m.instances[n].Group })
 	groups := map[string]bool{}
 	for _, n := range c.Names {
 		groups[m.instances[n].Group] = true
 	}
-	tallies := m.tallies(now)
+	tallies := m.groupCounts(now)
 	for _, name := range sortedKeys(groups) {
 		spares := 0
 		for _, n := range m.groups[name].Instances {
@@ -54,8 +54,8 @@
 		if spares < c.Rollout.Surge {
 			return fmt.Errorf("surge: group %q has %d spares that are down, %d are wanted", name, spares, c.Rollout.Surge)
 		}
-		up := tallies[name].up
-		if least := c.Rollout.least(up); up > 0 && up+spares-1 < least {
+		up := tallies[name].desiredUp
+		if least := c.Rollout.minReady(up); up > 0 && up+spares-1 < least {
 			return fmt.Errorf("least: with %d of group %q up and %d spares, none can leave while %d must stay ready",
 				up, name, spares, least)
 		}
@@ -68,33 +68,33 @@
 }
 
 // roll brings a wave forward: it releases what may leave now, and stops where it can't go on within its budget.
-func (m *Machine) roll(now Micros, c *Command) {
-	if c.Stage == StageStartSpares && !m.raise(now, c) {
+func (m *Machine) advanceRollingUpdate(now Micros, c *Command) {
+	if c.Stage == StageStartSpares && !m.startSpares(now, c) {
 		return
 	}
 	if c.Stage == StageRolling {
-		m.release(now, c)
+		m.releaseInstances(now, c)
 		if len(c.InProgress) > 0 || slices.ContainsFunc(c.Names, func(n string) bool { _, over := c.Results[n]; return !over }) {
 			return
 		}
 		c.Stage = StageStopSpares
-		m.changed(c)
+		m.markCommandChanged(c)
 	}
 	if c.Stage == StageStopSpares {
 		for _, n := range c.Spares {
 			in := m.instances[n]
 			if in == nil {
-				m.result(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
+				m.recordResult(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
 				continue
 			}
-			m.retire(in)
+			m.stopSpare(in)
 			m.advance(now, in)
 		}
 	}
 }
 
 // raise brings the spares up and tells whether the wave may roll: all are ready and settled, or it was cancelled.
-func (m *Machine) raise(now Micros, c *Command) bool {
+func (m *Machine) startSpares(now Micros, c *Command) bool {
 	ready := true
 	for _, n := range c.Spares {
 		in := m.instances[n]
@@ -106,13 +106,13 @@
 		}
 		if !in.DesiredUp && in.CommandID != c.ID {
 			in.CommandID = c.ID
-			m.recycle(now, in)
+			m.restartInstance(now, in)
 			in.DesiredUp = true
 			m.advance(now, in)
 		}
 		ready = ready && in.Settled(now)
 	}
-	if m.hold(now, c) || c.State == CommandPaused {
+	if m.pauseIfNeeded(now, c) || c.State == CommandPaused {
 		return false
 	}
 	if !ready {
@@ -121,12 +121,12 @@
 	if c.Stage = StageRolling; c.State == CommandCancelled {
 		c.Stage = StageStopSpares
 	}
-	m.changed(c)
+	m.markCommandChanged(c)
 	return true
 }
 
 // hold pauses a wave that should not go on, and tells whether it did.
-func (m *Machine) hold(now Micros, c *Command) bool {
+func (m *Machine) pauseIfNeeded(now Micros, c *Command) bool {
 	if c.State != CommandOpen {
 		return false
 	}
@@ -134,7 +134,7 @@
 	if c.Failures > c.Rollout.MaxFailures {
 		why = fmt.Sprintf("%d failed, at most %d may: %s", c.Failures, c.Rollout.MaxFailures, lastFailure(c))
 	}
-	share, known := m.service.turnedAway(now)
+	share, known := m.rejections.share(now)
 	switch bad := known && share > c.Rollout.MaxRejectedShare; {
 	case !bad:
 		c.RejectingSince = 0
@@ -145,7 +145,7 @@
 		why = fmt.Sprintf("service falls: %.0f%% are turned away, for %d ms", 100*share, (now-c.RejectingSince)/1000)
 	}
 	if why == "" && c.BlockedSince != 0 && now-c.BlockedSince >= c.Rollout.StallTimeout {
-		why = m.stuckAt(now, c)
+		why = m.blockedReason(now, c)
 	}
 	if why == "" {
 		return false
@@ -156,13 +156,13 @@
 
 func (m *Machine) pause(now Micros, c *Command, why string) {
 	c.State, c.Cause = CommandPaused, why
-	m.changed(c)
-	m.notes = append(m.notes, HistoryEvent{At: now, CommandID: c.ID, Event: "pause", Cause: why})
+	m.markCommandChanged(c)
+	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: "pause", Cause: why})
 }
 
 func lastFailure(c *Command) string {
 	name, at := "", Micros(-1)
-	for _, n := range c.all() {
+	for _, n := range c.instanceNames() {
 		if r, over := c.Results[n]; over && r.Outcome == OutcomeFailed && r.At > at {
 			name, at = n, r.At
 		}
@@ -171,16 +171,16 @@
 }
 
 // release lets as many leave as width and budget allow.
-func (m *Machine) release(now Micros, c *Command) {
+func (m *Machine) releaseInstances(now Micros, c *Command) {
 	for _, n := range c.Names {
 		if in := m.instances[n]; c.InProgress[n] && in != nil {
-			m.settle(now, in)
+			m.resolveCommand(now, in)
 		}
 	}
-	if m.hold(now, c) || c.State != CommandOpen {
+	if m.pauseIfNeeded(now, c) || c.State != CommandOpen {
 		return
 	}
-	var tallies map[string]*tally
+	var tallies map[string]*groupCount
 	blocked, asked := false, 0
 	for _, n := range c.Names {
 		if len(c.InProgress)+asked >= c.Rollout.MaxInProgress {
@@ -192,18 +192,18 @@
 		}
 		in := m.instances[n]
 		if in == nil || !in.DesiredUp {
-			m.result(now, c, n, OutcomeSkipped, "it is not wanted up")
+			m.recordResult(now, c, n, OutcomeSkipped, "it is not wanted up")
 			continue
 		}
 		if tallies == nil {
-			tallies = m.tallies(now)
+			tallies = m.groupCounts(now)
 		}
 		g := tallies[in.Group]
 		cost := 0
-		if in.usable(now) {
+		if in.available(now) {
 			cost = 1
 		}
-		if g.usable-cost < c.Rollout.least(g.up) {
+		if g.available-cost < c.Rollout.minReady(g.desiredUp) {
 			blocked = true
 			continue
 		}
@@ -211,15 +211,15 @@
 			blocked = true
 			continue
 		}
-		if !m.unitFor(now, c, in) { // others of the fleet may have them all
-			g.usable -= cost
+		if !m.holdsUnit(now, c, in) { // others of the fleet may have them all
+			g.available -= cost
 			asked++
 			continue
 		}
-		g.usable -= cost
+		g.available -= cost
 		c.InProgress[n] = true
-		m.recycle(now, in)
-		m.changed(c)
+		m.restartInstance(now, in)
+		m.markCommandChanged(c)
 		m.advance(now, in)
 	}
 	switch {
@@ -233,8 +233,8 @@
 }
 
 // stuckAt says which group holds the wave up.
-func (m *Machine) stuckAt(now Micros, c *Command) string {
-	tallies := m.tallies(now)
+func (m *Machine) blockedReason(now Micros, c *Command) string {
+	tallies := m.groupCounts(now)
 	for _, n := range c.Names {
 		in := m.instances[n]
 		if _, over := c.Results[n]; over || in == nil {
@@ -245,7 +245,7 @@
 		}
 		g := tallies[in.Group]
 		return fmt.Sprintf("can't go on: group %s has %d ready of %d, and %d must stay ready; next would be %s",
-			in.Group, g.usable, g.up, c.Rollout.least(g.up), n)
+			in.Group, g.available, g.desiredUp, c.Rollout.minReady(g.desiredUp), n)
 	}
 	return "can't go on"
 }
@@ -276,20 +276,20 @@
 	}
 	var steps []PlanStep
 	now := Micros(long / 2)
-	for batch := 1; batch <= 2*len(names)+4*len(m.names)+4; batch++ {
+	for batch := 1; batch <= 2*len(names)+4*len(m.instanceNames)+4; batch++ {
 		c := m.Command("preview")
 		if c.State == CommandDone {
 			return steps, nil
 		}
-		tallies := m.tallies(now)
+		tallies := m.groupCounts(now)
 		for _, n := range c.Names {
 			if in := m.instances[n]; c.InProgress[n] {
 				g := tallies[in.Group]
-				steps = append(steps, PlanStep{n, in.Group, batch, g.usable, c.Rollout.least(g.up)})
+				steps = append(steps, PlanStep{n, in.Group, batch, g.available, c.Rollout.minReady(g.desiredUp)})
 			}
 		}
 		now += 1 << 40
-		for _, n := range m.names { // all that left is gone, and what is wanted up is ready
+		for _, n := range m.instanceNames { // all that left is gone, and what is wanted up is ready
 			in := m.instances[n]
 			if in.Incarnation != "" && in.NoticeID != "" {
 				m.Decide(now, InstanceObserved{n, Observation{Incarnation: in.Incarnation, Phase: PhaseExited}})
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -113,7 +113,7 @@
 }
 
 // least is how many of a group must stay ready if so many are to be up.
-func (w RollingUpdateConfig) least(up int) int {
+func (w RollingUpdateConfig) minReady(up int) int {
 	return max(w.MinReady, int(math.Ceil(w.MinReadyShare*float64(up)-1e-9)))
 }
 
@@ -153,8 +153,8 @@
 }
 
 const (
-	leastSpan = time.Millisecond
-	mostSpan  = 24 * time.Hour
+	minSpan = time.Millisecond
+	maxSpan = 24 * time.Hour
 )
 
 // ReadSpec reads a fleet's file; file is its name in errors and its directory that of relative configurations.
@@ -173,7 +173,7 @@
 	f := forms[0]
 	s := &Spec{Name: f.Arg(), Program: f.Words("program"), instances: map[string]*InstanceSpec{}, RollingUpdate: DefaultRollingUpdate()}
 	for _, h := range f.All("host") {
-		host := HostSpec{Name: name(h), AgentAddress: h.Text("agent", ""), PeerAddress: h.Text("peer", "")}
+		host := HostSpec{Name: parseName(h), AgentAddress: h.Text("agent", ""), PeerAddress: h.Text("peer", "")}
 		if h.Done(); s.Host(host.Name) != nil {
 			h.Fail("", "host %q stands twice", host.Name)
 		}
@@ -201,15 +201,15 @@
 	}
 	if w := f.Field("wave"); w != nil {
 		s.RollingUpdateQuota = w.Text("budget", "")
-		s.RollingUpdate = readWave(w, s.RollingUpdate)
+		s.RollingUpdate = readRollingUpdate(w, s.RollingUpdate)
 	}
 	if b := f.Field("budgets"); b != nil {
-		s.readBudgets(b)
+		s.readQuotas(b)
 	}
 	if r := f.Field("rise"); r != nil {
-		s.readRise(r)
+		s.readColdStart(r)
 	}
-	if s.RollingUpdateQuota != "" && !s.counts(s.RollingUpdateQuota) {
+	if s.RollingUpdateQuota != "" && !s.hasCountQuota(s.RollingUpdateQuota) {
 		f.Fail("wave", "budget %q is no count of this file", s.RollingUpdateQuota)
 	}
 	f.Done()
@@ -217,7 +217,7 @@
 }
 
 // name is a form's only word, which stands in file names, paths and lines of words.
-func name(f *sexpr.Form) string {
+func parseName(f *sexpr.Form) string {
 	word := f.Arg()
 	if err := CheckName(word); err != nil {
 		f.Fail("", "%v", err)
@@ -255,14 +255,14 @@
 
 func (s *Spec) readGroup(f *sexpr.Form, dir string) {
 	g := GroupSpec{
-		Name: name(f), Host: f.Text("host", ""), Labels: f.Words("labels"),
-		StartWithin: micros(f.Span("start-within", leastSpan, mostSpan, 30*time.Second)),
-		Settle:      micros(f.Span("settle", 0, mostSpan, time.Second)),
+		Name: parseName(f), Host: f.Text("host", ""), Labels: f.Words("labels"),
+		StartWithin: micros(f.Span("start-within", minSpan, maxSpan, 30*time.Second)),
+		Settle:      micros(f.Span("settle", 0, maxSpan, time.Second)),
 		MaxLaunches: 3, LaunchWindow: micros(time.Minute),
 	}
 	if r := f.Field("restart"); r != nil {
 		g.MaxLaunches = r.Int("most", 0, 1000, g.MaxLaunches)
-		g.LaunchWindow = micros(r.Span("within", leastSpan, mostSpan, time.Minute))
+		g.LaunchWindow = micros(r.Span("within", minSpan, maxSpan, time.Minute))
 		r.Done()
 	}
 	if g.Host == "" && len(s.Hosts) == 1 {
@@ -327,10 +327,10 @@
 	s.Groups = append(s.Groups, g)
 }
 
-func readWave(f *sexpr.Form, w RollingUpdateConfig) RollingUpdateConfig {
+func readRollingUpdate(f *sexpr.Form, w RollingUpdateConfig) RollingUpdateConfig {
 	const many = 10_000
 	span := func(name string, or Micros) Micros {
-		return micros(f.Span(name, 0, mostSpan, time.Duration(or)*time.Microsecond))
+		return micros(f.Span(name, 0, maxSpan, time.Duration(or)*time.Microsecond))
 	}
 	w.MaxInProgress = f.Int("width", 1, many, w.MaxInProgress)
 	w.MinReady = f.Int("least-count", 0, many, w.MinReady)
@@ -398,7 +398,7 @@
 }
 
 // ordered puts names in the order of a wave; place is each one's place in the file.
-func ordered(order string, names []string, place func(string) int, group func(string) string) []string {
+func rolloutOrder(order string, names []string, place func(string) int, group func(string) string) []string {
 	byFile := func(a, b string) int { return cmp.Compare(place(a), place(b)) }
 	out := slices.Clone(names)
 	switch order {
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/spec_quotas.go
@@ -13,7 +13,7 @@
 )
 
 // readBudgets reads what the fleet shares, and which agents keep the ledger of it.
-func (s *Spec) readBudgets(f *sexpr.Form) {
+func (s *Spec) readQuotas(f *sexpr.Form) {
 	s.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, 1<<40, 1))}
 	s.QuotaHosts = f.Words("ledger")
 	if len(s.QuotaHosts) == 0 && len(s.Hosts) == 1 {
@@ -38,7 +38,7 @@
 		}
 	}
 	for _, b := range f.All("budget") {
-		s.readBudget(b)
+		s.readQuota(b)
 	}
 	if n := len(s.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
 		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
@@ -46,8 +46,8 @@
 	f.Done()
 }
 
-func (s *Spec) readBudget(f *sexpr.Form) {
-	b := quota.Limit{Name: name(f)}
+func (s *Spec) readQuota(f *sexpr.Form) {
+	b := quota.Limit{Name: parseName(f)}
 	if s.Quotas.Lookup(b.Name) != nil {
 		f.Fail("", "budget %q stands twice", b.Name)
 	}
@@ -119,14 +119,14 @@
 }
 
 // readRise reads how a whole fleet comes up.
-func (s *Spec) readRise(f *sexpr.Form) {
+func (s *Spec) readColdStart(f *sexpr.Form) {
 	s.ColdStartQuota = f.Text("budget", "")
 	t := &coldstart.Config{
 		MinServing: f.Share("least", 0, 1, 0.1), MaxFailures: int64(f.Int("failures", 1, 100_000, 8)), SlowFactor: f.Share("slow", 1, 1000, 3),
 		MaxRejected: f.Share("refused", 0, 1, 0.1), InitialConcurrent: int64(f.Int("first", 0, 100_000, 0)),
 	}
 	f.Done()
-	if !s.counts(s.ColdStartQuota) {
+	if !s.hasCountQuota(s.ColdStartQuota) {
 		f.Fail("budget", "%q is no count of this file", s.ColdStartQuota)
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 // counts tells whether a budget of that name is a count.
-func (s *Spec) counts(name string) bool {
+func (s *Spec) hasCountQuota(name string) bool {
 	if s.Quotas == nil {
 		return false
 	}
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -52,34 +52,34 @@
 func (UnitsListed) event()  {}
 
 // unitAgain is between two calls about one unit: of a count that is all held the next is given back in seconds.
-const unitAgain = 300_000
+const unitRetryDelay = 300_000
 
 // askedOf is how old the latest ask may be for its silence to go on with the next.
-const askedOf = 10 * unitAgain
+const maxRequestGap = 10 * unitRetryDelay
 
 // unitFor tells whether an instance holds a unit for a wave; else one is asked for.
-func (m *Machine) unitFor(now Micros, c *Command, in *Instance) bool {
+func (m *Machine) holdsUnit(now Micros, c *Command, in *Instance) bool {
 	if c.Quota == "" || in.Unit.Held && in.Unit.CommandID == c.ID {
 		return true
 	}
 	if in.Unit.RequestID == "" {
 		in.UnitRequests++
 		in.Unit = Unit{Quota: c.Quota, RequestID: fmt.Sprintf("%s.%s.%d", c.ID, in.Name, in.UnitRequests), CommandID: c.ID, DenialCause: in.Unit.DenialCause}
-		m.touch(in)
+		m.markInstanceChanged(in)
 	}
 	if !in.Unit.Held && in.Unit.CommandID == c.ID && now >= in.Unit.NextRequestAt {
-		in.Unit.NextRequestAt = now + unitAgain + Micros(m.draw.Int64N(unitAgain/2))
-		if m.unheard == 0 || now-m.askedAt > askedOf { // a silence of before, when nobody asked, says nothing
-			m.unheard = now
+		in.Unit.NextRequestAt = now + unitRetryDelay + Micros(m.random.Int64N(unitRetryDelay/2))
+		if m.quotaSilentSince == 0 || now-m.lastUnitRequestAt > maxRequestGap { // a silence of before, when nobody asked, says nothing
+			m.quotaSilentSince = now
 		}
-		m.askedAt = now
-		m.steps = append(m.steps, Action{Name: in.Name, ID: in.Unit.RequestID, Kind: ActionAcquireUnit, Unit: in.Unit})
+		m.lastUnitRequestAt = now
+		m.actions = append(m.actions, Action{Name: in.Name, ID: in.Unit.RequestID, Kind: ActionAcquireUnit, Unit: in.Unit})
 	}
 	return false
 }
 
 // needs tells whether a wave still has use for the unit that it asked for.
-func (m *Machine) needs(in *Instance) bool {
+func (m *Machine) unitNeeded(in *Instance) bool {
 	c := m.commands[in.Unit.CommandID]
 	if c == nil || c.Kind != KindRollingUpdate && c.Kind != KindColdStart || !slices.Contains(c.Names, in.Name) {
 		return false
@@ -89,57 +89,57 @@
 }
 
 // back tells whether an instance is out no more: it serves, or nobody wants it to.
-func (in *Instance) back(now Micros) bool {
-	return in.usable(now) || !in.DesiredUp && in.Phase.Down()
+func (in *Instance) backInService(now Micros) bool {
+	return in.available(now) || !in.DesiredUp && in.Phase.Down()
 }
 
 // settleUnit gives back a unit that is of no more use.
-func (m *Machine) settleUnit(now Micros, in *Instance) {
+func (m *Machine) returnUnit(now Micros, in *Instance) {
 	u := &in.Unit
 	switch {
-	case u.RequestID == "" || m.needs(in):
+	case u.RequestID == "" || m.unitNeeded(in):
 	case !u.Held && !u.Standalone: // if it is given all the same, the ledger's list tells
 		*u = Unit{}
-		m.touch(in)
-	case (in.back(now) || u.StartedAt > 0 && in.LaunchesExhausted) && now >= u.NextRequestAt:
-		u.NextRequestAt = now + unitAgain
-		m.steps = append(m.steps, Action{Name: in.Name, ID: u.RequestID, Kind: ActionReleaseUnit, Unit: *u, StartResult: in.risen(now)})
+		m.markInstanceChanged(in)
+	case (in.backInService(now) || u.StartedAt > 0 && in.LaunchesExhausted) && now >= u.NextRequestAt:
+		u.NextRequestAt = now + unitRetryDelay
+		m.actions = append(m.actions, Action{Name: in.Name, ID: u.RequestID, Kind: ActionReleaseUnit, Unit: *u, StartResult: in.startResult(now)})
 	}
 }
 
-func (m *Machine) unitTaken(now Micros, in *Instance, e UnitAcquired) {
+func (m *Machine) handleUnitAcquired(now Micros, in *Instance, e UnitAcquired) {
 	u := &in.Unit
-	m.unheard = 0
+	m.quotaSilentSince = 0
 	switch {
 	case u.RequestID != e.RequestID:
 		if e.Granted {
-			m.strayUnit(now, in, e.HeldUnit)
+			m.returnStrayUnit(now, in, e.HeldUnit)
 		}
 	case u.Standalone: // it began meanwhile
 		u.Held = e.Granted
 	case e.Granted:
 		u.Held, u.NextRequestAt, u.DenialCause = true, now, ""
-		m.note(now, in, "unit taken", u.Quota)
+		m.recordEvent(now, in, "unit taken", u.Quota)
 	default: // another turn for another try: this one may be in a call that is yet to come
 		if u.DenialCause != e.Cause {
-			m.note(now, in, "waits for a unit", u.Quota+": "+e.Cause)
+			m.recordEvent(now, in, "waits for a unit", u.Quota+": "+e.Cause)
 		}
 		*u = Unit{NextRequestAt: u.NextRequestAt, DenialCause: e.Cause}
 	}
-	m.touch(in)
+	m.markInstanceChanged(in)
 }
 
 // strayUnit gives back what is held for a turn that nobody remembers, once the instance is there.
-func (m *Machine) strayUnit(now Micros, in *Instance, h HeldUnit) {
-	if in.back(now) {
-		m.steps = append(m.steps, Action{Name: in.Name, ID: h.RequestID, Kind: ActionReleaseUnit, Unit: Unit{Quota: h.Quota, RequestID: h.RequestID, Held: true}, StartResult: in.risen(now)})
+func (m *Machine) returnStrayUnit(now Micros, in *Instance, h HeldUnit) {
+	if in.backInService(now) {
+		m.actions = append(m.actions, Action{Name: in.Name, ID: h.RequestID, Kind: ActionReleaseUnit, Unit: Unit{Quota: h.Quota, RequestID: h.RequestID, Held: true}, StartResult: in.startResult(now)})
 	}
 }
 
-func (m *Machine) unitsHeld(now Micros, e UnitsListed) {
+func (m *Machine) handleUnitsListed(now Micros, e UnitsListed) {
 	for _, h := range e.Units {
 		if in := m.instances[h.Name]; in != nil && in.Unit.RequestID != h.RequestID {
-			m.strayUnit(now, in, h)
+			m.returnStrayUnit(now, in, h)
 		}
 	}
 }
