--- /dev/null
+++ b/internal/agent/agentstore/compat_test.go
@@ -0,0 +1,37 @@
+package agentstore
+
+import (
+	"os"
+	"testing"
+
+	"milletbarrow/internal/compattest"
+)
+
+// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+func TestEarlierFormats(t *testing.T) {
+	compattest.RoundTrip[Entry](t, "Entry.json")
+}
+
+// TestEarlierRecord: the record of an agent of an earlier release, with instances that run, commands and history, is
+// read whole. record.json is what that release itself read out of the same file.
+func TestEarlierRecord(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.WriteFile(Path(dir), compattest.Read(t, "record.db"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	store, err := Open(dir, 10_000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer store.Close()
+	saved, err := store.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(saved.Instances) != 2 || len(saved.Commands) == 0 || len(saved.History) == 0 {
+		t.Errorf("read %d instances, %d commands and %d lines of history", len(saved.Instances), len(saved.Commands), len(saved.History))
+	}
+	compattest.SameJSON(t, "record.db", compattest.Read(t, "record.json"), map[string]any{
+		"boot": saved.Boot, "instances": saved.Instances, "commands": saved.Commands, "intents": saved.Intents, "history": saved.History,
+	})
+}
--- /dev/null
+++ b/internal/backend/degradation/compat_test.go
@@ -0,0 +1,53 @@
+package degradation
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"milletbarrow/internal/compattest"
+)
+
+// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+func TestEarlierFormats(t *testing.T) {
+	compattest.RoundTrip[Ladder](t, "Ladder.json")
+}
+
+// TestEarlierTrace: a trace recorded by an earlier release is read, written back the same to the byte, and replays
+// through that release's policy to the same levels at the same times.
+func TestEarlierTrace(t *testing.T) {
+	policy, err := ReadLadder("ladder.sx", compattest.Read(t, "ladder.sx"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	compattest.SameJSON(t, "levels-check.json", compattest.Read(t, "levels-check.json"), policy)
+	recorded := compattest.Read(t, "signals.txt")
+	trace, err := ReadTrace("signals.txt", bytes.NewReader(recorded))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var written bytes.Buffer
+	for _, reading := range trace {
+		if err := WriteReading(&written, reading); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if !bytes.Equal(written.Bytes(), recorded) {
+		t.Error("the trace is written otherwise than it was")
+	}
+	var replayed strings.Builder
+	points, changes := Replay(policy, trace)
+	for _, point := range points {
+		fmt.Fprintf(&replayed, "%d level=%d depth=%.6f %s\n", point.At, point.Level, point.Depth, point.Smoothed)
+	}
+	for _, change := range changes {
+		fmt.Fprintf(&replayed, "%d %s\n", change.At, change)
+	}
+	want := strings.Split(string(compattest.Read(t, "replay.txt")), "\n")
+	if diff := cmp.Diff(want, strings.Split(replayed.String(), "\n")); diff != "" {
+		t.Errorf("replayed by the earlier release (-), and now (+):\n%s", diff)
+	}
+}
--- /dev/null
+++ b/internal/backend/quota/compat_test.go
@@ -0,0 +1,14 @@
+package quota
+
+import (
+	"testing"
+
+	"milletbarrow/internal/compattest"
+)
+
+// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+func TestEarlierFormats(t *testing.T) {
+	compattest.RoundTrip[Ask](t, "Ask.json")
+	compattest.RoundTrip[Answer](t, "Answer.json")
+	compattest.RoundTrip[View](t, "View.json")
+}
--- /dev/null
+++ b/internal/cluster/coldstart/compat_test.go
@@ -0,0 +1,12 @@
+package coldstart
+
+import (
+	"testing"
+
+	"milletbarrow/internal/compattest"
+)
+
+// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+func TestEarlierFormats(t *testing.T) {
+	compattest.RoundTrip[State](t, "State.json")
+}
--- /dev/null
+++ b/internal/compattest/compattest.go
@@ -0,0 +1,66 @@
+// Package compattest helps tests to show that data written by an earlier release is still read, and that what is
+// written now has the same keys, types and values. The data stands in testdata/68176ef of the package that reads it;
+// the directory is named after the commit whose program wrote it. Such files are never written anew.
+package compattest
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// Release is the commit whose program wrote the test data.
+const Release = "68176ef"
+
+// File is the path of a file of the earlier release, below the calling package's testdata.
+func File(name string) string { return filepath.Join("testdata", Release, name) }
+
+// Read returns the content of a file of the earlier release.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(File(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// RoundTrip decodes the JSON of the earlier release into a T, encodes that again, and fails where the two differ in a
+// key, a type or a value. A field whose tag was changed, or whose name was changed without a tag, is lost on the way.
+func RoundTrip[T any](t testing.TB, name string) T {
+	t.Helper()
+	content := Read(t, name)
+	var value T
+	if err := json.Unmarshal(content, &value); err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	SameJSON(t, name, content, value)
+	return value
+}
+
+// SameJSON fails unless value, once encoded, has the keys, types and values of the JSON in want.
+func SameJSON(t testing.TB, name string, want []byte, value any) {
+	t.Helper()
+	got, err := json.Marshal(value)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	if diff := cmp.Diff(decode(t, want), decode(t, got)); diff != "" {
+		t.Errorf("%s: the earlier release wrote (-), this one writes (+):\n%s", name, diff)
+	}
+}
+
+// decode keeps numbers as they are written, so that large ones compare exactly.
+func decode(t testing.TB, text []byte) (value any) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if err := decoder.Decode(&value); err != nil {
+		t.Fatal(err)
+	}
+	return value
+}
--- /dev/null
+++ b/internal/experiment/compat_test.go
@@ -0,0 +1,68 @@
+package experiment
+
+import (
+	"context"
+	"encoding/json"
+	"testing"
+
+	"milletbarrow/internal/compattest"
+)
+
+// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+func TestEarlierFormats(t *testing.T) {
+	compattest.RoundTrip[Facts](t, "Facts.json")
+	compattest.RoundTrip[Row](t, "Row.json")
+	compattest.RoundTrip[Difference](t, "Difference.json")
+}
+
+// TestEarlierResults: the results that an earlier release left are found under the same file names, read, and
+// summed up and compared to the same figures.
+func TestEarlierResults(t *testing.T) {
+	x, err := Read(compattest.File("experiment.sx"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	cells, err := x.Cells()
+	if err != nil {
+		t.Fatal(err)
+	}
+	results, missing, err := Load(x, compattest.File("results"))
+	if err != nil || missing > 0 {
+		t.Fatalf("%d of %d results are not found: the names of their files follow from the printed form of scenario, policy and ladder: %v",
+			missing, len(cells), err)
+	}
+	compattest.SameJSON(t, "lab-check.json", compattest.Read(t, "lab-check.json"), x.Facts())
+	compattest.SameJSON(t, "lab-run.json", compattest.Read(t, "lab-run.json"), Summary(cells, results))
+	value, err := MeasureNamed("value")
+	if err != nil {
+		t.Fatal(err)
+	}
+	compattest.SameJSON(t, "lab-compare.json", compattest.Read(t, "lab-compare.json"), Compare(cells, results, "pool", "milletbarrow", value))
+}
+
+// TestEarlierResultsAgain: played again, each run gives the result that the earlier release wrote.
+func TestEarlierResultsAgain(t *testing.T) {
+	x, err := Read(compattest.File("experiment.sx"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	earlier, _, err := Load(x, compattest.File("results"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := Run(context.Background(), x, nil, 2, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range earlier {
+		if earlier[i] == nil {
+			t.Errorf("result %d of the earlier release is not found", i)
+			continue
+		}
+		text, err := json.Marshal(earlier[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		compattest.SameJSON(t, again[i].Scenario+" "+again[i].Policy, text, again[i])
+	}
+}
--- /dev/null
+++ b/internal/faultinjection/checker/compat_test.go
@@ -0,0 +1,42 @@
+package checker
+
+import (
+	"encoding/json"
+	"testing"
+
+	"milletbarrow/internal/compattest"
+)
+
+// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+func TestEarlierFormats(t *testing.T) {
+	compattest.RoundTrip[Report](t, "Report.json")
+}
+
+// TestEarlierDrawLogs: draw logs that processes of an earlier release wrote are read, and judged as that release
+// judged them: within the limits that were in force, and beyond tighter ones.
+func TestEarlierDrawLogs(t *testing.T) {
+	all, err := ReadAll(compattest.File("stamps"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var span struct {
+		From int64 `json:"from"`
+		To   int64 `json:"to"`
+	}
+	want := compattest.Read(t, "reports.json")
+	if err := json.Unmarshal(want, &span); err != nil {
+		t.Fatal(err)
+	}
+	limits := func(acme int64) Limits {
+		return Limits{"acme": {{From: span.From, Units: acme}}, "zeta": {{From: span.From, Units: 12}}}
+	}
+	reports := make([]Report, 0, 4)
+	for _, limit := range []Limits{limits(32), limits(20)} {
+		for _, budget := range []string{"acme", "zeta"} {
+			report := Shares(all, budget, limit, span.From, span.To)
+			report.Draws(all, limit, 20, 500_000, 2_000_000, 10_000_000)
+			reports = append(reports, report)
+		}
+	}
+	compattest.SameJSON(t, "reports.json", want, map[string]any{"from": span.From, "to": span.To, "reports": reports})
+}
