--- a/internal/agent/agentstore/compat_test.go
+++ b/internal/agent/agentstore/compat_test.go
@@ -32,6 +32,6 @@
 		t.Errorf("read %d instances, %d commands and %d lines of history", len(saved.Instances), len(saved.Commands), len(saved.History))
 	}
 	compattest.SameJSON(t, "record.db", compattest.Read(t, "record.json"), map[string]any{
-		"boot": saved.Boot, "instances": saved.Instances, "commands": saved.Commands, "intents": saved.Intents, "history": saved.History,
+		"boot": saved.BootID, "instances": saved.Instances, "commands": saved.Commands, "intents": saved.Intents, "history": saved.History,
 	})
 }
--- a/internal/backend/degradation/compat_test.go
+++ b/internal/backend/degradation/compat_test.go
@@ -13,13 +13,13 @@
 
 // TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
-	compattest.RoundTrip[Ladder](t, "Ladder.json")
+	compattest.RoundTrip[Policy](t, "Ladder.json")
 }
 
 // TestEarlierTrace: a trace recorded by an earlier release is read, written back the same to the byte, and replays
 // through that release's policy to the same levels at the same times.
 func TestEarlierTrace(t *testing.T) {
-	policy, err := ReadLadder("ladder.sx", compattest.Read(t, "ladder.sx"))
+	policy, err := ParsePolicy("ladder.sx", compattest.Read(t, "ladder.sx"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/degradation/policy.go
+++ b/internal/backend/degradation/policy.go
@@ -45,21 +45,22 @@
 // Signals are one reading of all.
 type Signals [signalCount]float64
 
-// Policy is a list of levels, the mildest first.
+// Policy is a list of levels, the mildest first. Its tags are the names by which it has always been printed and by which
+// stored results of experiments are found.
 type Policy struct {
 	Name           string
 	Levels         []Level
-	Smoothing      [signalCount]Micros // time constant of each signal
-	ChangeInterval Micros              // at most one change of a level in so long, a collapse excepted
-	RecoveryRamp   Micros              // leaving a level takes so long: what was shed comes back bit by bit
-	MaxOverride    Micros              // the longest that a person may hold a level
+	Smoothing      [signalCount]Micros `json:"Smooth"` // time constant of each signal
+	ChangeInterval Micros              `json:"Every"`  // at most one change of a level in so long, a collapse excepted
+	RecoveryRamp   Micros              `json:"Ramp"`   // leaving a level takes so long: what was shed comes back bit by bit
+	MaxOverride    Micros              `json:"Pins"`   // the longest that a person may hold a level
 }
 
 // Level is one step of reduced service. What milder levels shed is shed too.
 type Level struct {
 	Name        string
 	Enter, Exit Condition
-	MinDuration Micros // at least so long
+	MinDuration Micros `json:"Stay"` // at least so long
 	Shed        []Rule
 	place       sexpr.Place
 }
--- a/internal/backend/quota/compat_test.go
+++ b/internal/backend/quota/compat_test.go
@@ -8,7 +8,7 @@
 
 // TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
-	compattest.RoundTrip[Ask](t, "Ask.json")
-	compattest.RoundTrip[Answer](t, "Answer.json")
-	compattest.RoundTrip[View](t, "View.json")
+	compattest.RoundTrip[LeaseRequest](t, "Ask.json")
+	compattest.RoundTrip[LeaseResponse](t, "Answer.json")
+	compattest.RoundTrip[Status](t, "View.json")
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -11,8 +11,6 @@
 	"strconv"
 	"strings"
 
-	"github.com/cespare/xxhash/v2"
-
 	"milletbarrow/internal/backend/degradation"
 	"milletbarrow/internal/sexpr"
 	"milletbarrow/internal/simulation"
@@ -286,16 +284,3 @@
 	}
 	return cells, nil
 }
-
-// key names a run by all that decides its result, so that what has been run is known again, and nothing else is.
-func key(c *Cell) string {
-	h := xxhash.New()
-	fmt.Fprintf(h, "%d %+v|%s|%d|%v", simulation.Version, c.Scenario, c.Policy.Name+"|"+c.Policy.About, c.Seed, c.Value)
-	if p := c.Policy; p.Ladder != nil {
-		fmt.Fprintf(h, "|%+v", *p.Ladder)
-	}
-	if p := c.Policy; p.Balance != nil {
-		fmt.Fprintf(h, "|%v", *p.Balance)
-	}
-	return fmt.Sprintf("%016x", h.Sum64())
-}
--- /dev/null
+++ b/internal/experiment/resultkey.go
@@ -0,0 +1,77 @@
+package experiment
+
+import (
+	"fmt"
+	"io"
+	"reflect"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"milletbarrow/internal/simulation"
+)
+
+// key names a run by all that decides its result, so that what has been run is known again, and nothing else is. It is
+// the name of the file that keeps the result, and must not change when a Go field is renamed.
+func key(c *Cell) string {
+	h := xxhash.New()
+	_, _ = fmt.Fprintf(h, "%d ", simulation.Version) // a hash takes all that is written
+	printStable(h, reflect.ValueOf(c.Scenario))
+	_, _ = fmt.Fprintf(h, "|%s|%d|%v", c.Policy.Name+"|"+c.Policy.About, c.Seed, c.Value)
+	if p := c.Policy; p.Ladder != nil {
+		_, _ = io.WriteString(h, "|")
+		printStable(h, reflect.ValueOf(*p.Ladder))
+	}
+	if p := c.Policy; p.Balance != nil {
+		_, _ = fmt.Fprintf(h, "|%v", *p.Balance)
+	}
+	return fmt.Sprintf("%016x", h.Sum64())
+}
+
+// printStable prints a value as the verb %+v does, save that a field with a JSON tag goes by the name in its tag. A
+// field that is renamed gets its former name as a tag, and the printed form stays.
+func printStable(w io.Writer, v reflect.Value) {
+	if v.CanInterface() {
+		switch v.Interface().(type) {
+		case fmt.Stringer, error:
+			_, _ = fmt.Fprintf(w, "%+v", v)
+			return
+		}
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		printStruct(w, v)
+	case reflect.Slice, reflect.Array:
+		printList(w, v)
+	default:
+		_, _ = fmt.Fprintf(w, "%+v", v)
+	}
+}
+
+func printStruct(w io.Writer, v reflect.Value) {
+	separator := "{"
+	for i := range v.NumField() {
+		_, _ = io.WriteString(w, separator+printedName(v.Type().Field(i))+":")
+		printStable(w, v.Field(i))
+		separator = " "
+	}
+	_, _ = io.WriteString(w, "}")
+}
+
+func printList(w io.Writer, v reflect.Value) {
+	_, _ = io.WriteString(w, "[")
+	for i := range v.Len() {
+		if i > 0 {
+			_, _ = io.WriteString(w, " ")
+		}
+		printStable(w, v.Index(i))
+	}
+	_, _ = io.WriteString(w, "]")
+}
+
+func printedName(f reflect.StructField) string {
+	if name, _, _ := strings.Cut(f.Tag.Get("json"), ","); name != "" {
+		return name
+	}
+	return f.Name
+}
