--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -8,10 +8,10 @@
 
 // TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
-	compattest.RoundTrip[Sight](t, "Sight.json")
+	compattest.RoundTrip[Observation](t, "Sight.json")
 	compattest.RoundTrip[Instance](t, "Instance.json")
-	compattest.RoundTrip[Step](t, "Step.json")
-	compattest.RoundTrip[Note](t, "Note.json")
+	compattest.RoundTrip[Action](t, "Step.json")
+	compattest.RoundTrip[HistoryEvent](t, "Note.json")
 	compattest.RoundTrip[Command](t, "Command.json")
 	compattest.RoundTrip[PlanStep](t, "PlanStep.json")
 	compattest.RoundTrip[Spec](t, "Spec.json")
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -133,15 +133,15 @@
 
 // Step is to be taken by the agent once it is written down. The same ID may come again: it is one step.
 type Action struct {
-	Kind        ActionKind `json:"what"`
-	ID          string     `json:"id"`
-	Name        string     `json:"name"`
-	Incarnation string     `json:"run"`
-	Adopt       bool       `json:"adopt,omitempty"`
-	NotifiedAt  Micros     `json:"told,omitempty"` // Tell: when it was first told; its window runs from there
-	Cause       string     `json:"cause,omitempty"`
-	Unit        Unit       // of a step about one
-	StartResult coldstart.Outcome
+	Kind        ActionKind        `json:"what"`
+	ID          string            `json:"id"`
+	Name        string            `json:"name"`
+	Incarnation string            `json:"run"`
+	Adopt       bool              `json:"adopt,omitempty"`
+	NotifiedAt  Micros            `json:"told,omitempty"` // Tell: when it was first told; its window runs from there
+	Cause       string            `json:"cause,omitempty"`
+	Unit        Unit              // of a step about one
+	StartResult coldstart.Outcome `json:"End"`
 }
 
 // Note is a line of history.
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -27,26 +27,26 @@
 
 func micros(d time.Duration) Micros { return Micros(d.Microseconds()) }
 
-// Spec is a fleet as its file describes it.
+// Spec is a fleet as its file describes it. Its tags are the names that fleet check --json prints.
 type Spec struct {
 	Name               string
 	Program            []string // starts an instance; serve and its flags are appended. Empty: this program
 	Hosts              []HostSpec
 	Groups             []GroupSpec
-	RollingUpdate      RollingUpdateConfig // what a wave has if its command does not say
-	RollingUpdateQuota string              // the count of which each instance that a wave has out holds a unit; empty: none
-	ColdStart          *coldstart.Config   // nil: none can be asked for
-	ColdStartQuota     string              // the count of which each that starts in a rise holds a unit until it is warm
-	Quotas             *quota.Config       // nil: nothing is shared
-	QuotaHosts         []string            // hosts whose agents keep it
+	RollingUpdate      RollingUpdateConfig `json:"Wave"`       // what a wave has if its command does not say
+	RollingUpdateQuota string              `json:"WaveBudget"` // the count of which each instance that a wave has out holds a unit; empty: none
+	ColdStart          *coldstart.Config   `json:"Rise"`       // nil: none can be asked for
+	ColdStartQuota     string              `json:"RiseBudget"` // the count of which each that starts in a rise holds a unit until it is warm
+	Quotas             *quota.Config       `json:"Budgets"`    // nil: nothing is shared
+	QuotaHosts         []string            `json:"Ledger"`     // hosts whose agents keep it
 	instances          map[string]*InstanceSpec
 }
 
 // HostSpec is a machine with an agent.
 type HostSpec struct {
 	Name         string
-	AgentAddress string // unix:PATH or loopback ADDRESS:PORT
-	PeerAddress  string // loopback ADDRESS:PORT for the agents of other hosts; empty: it talks to none
+	AgentAddress string `json:"Agent"` // unix:PATH or loopback ADDRESS:PORT
+	PeerAddress  string `json:"Peer"`  // loopback ADDRESS:PORT for the agents of other hosts; empty: it talks to none
 }
 
 // GroupSpec is a set of instances that serve the same, on one host.
@@ -54,18 +54,18 @@
 	Name, Host      string
 	StartWithin     Micros // from its start to ready
 	Settle          Micros // ready for so long before the next leaves: caches warm, lists follow
-	MaxLaunches     int    // at most so many by itself within the span below, then it stays failed
-	LaunchWindow    Micros
+	MaxLaunches     int    `json:"Launches"` // at most so many by itself within the span below, then it stays failed
+	LaunchWindow    Micros `json:"Within"`
 	Labels          []string
-	DegradationFile string   // the ladder's file; empty: none
+	DegradationFile string   `json:"Levels"` // the ladder's file; empty: none
 	Instances       []string // in the file's order, spares last
 }
 
 // InstanceSpec is one instance.
 type InstanceSpec struct {
 	Name, Host, Group, ConfigFile string
-	DegradationFile               string
-	Spare                         bool // runs only while a wave with surge needs it
+	DegradationFile               string `json:"Levels"`
+	Spare                         bool   // runs only while a wave with surge needs it
 	Labels                        []string
 }
 
--- a/internal/supervisor/compat_test.go
+++ b/internal/supervisor/compat_test.go
@@ -51,7 +51,7 @@
 	if state, err = ReadState(file); err != nil {
 		t.Fatal(err)
 	}
-	if !state.Ended || !state.End.Unseen || state.Instance.PID != 0 {
+	if !state.Ended || !state.End.Unobserved || state.Instance.PID != 0 {
 		t.Errorf("written before the machine's last start, read as %+v", state)
 	}
 }
