--- a/internal/backend/dispatch/dispatcher_test.go
+++ b/internal/backend/dispatch/dispatcher_test.go
@@ -242,7 +242,7 @@
 // TestClock: the gate's time goes by the machine's own clock. One that is set would hold the ticks, or make all that is in
 // hand due at once.
 func TestClock(t *testing.T) {
-	if clockStart == clockStart.Round(0) {
+	if clockStart == clockStart.Round(0) { //nolint:staticcheck // Equal would not see the monotonic reading
 		t.Error("the beginning carries no reading of the machine's clock: setting the wall clock would move the gate's time")
 	}
 	if wall := Micros(time.Now().UnixMicro()); Now() < wall-3_600_000_000 || Now() > wall+3_600_000_000 {
--- /dev/null
+++ b/internal/backend/dispatch/invariants_test.go
@@ -0,0 +1,316 @@
+package dispatch
+
+import (
+	"bytes"
+	"fmt"
+	"log"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/internal/backend/quotalog"
+	"milletbarrow/internal/fakes"
+)
+
+// fullCores are gauges with no core free and a short queue.
+var fullCores = []float64{0.5, 3, 0.1, 1}
+
+// TestCachedIDRefused: a request with the id of one whose result is cached is refused, and the result stays.
+func TestCachedIDRefused(t *testing.T) {
+	d := openTokened(t, "5000", nil)
+	_, first := d.Admit(tokened("a", "x"))
+	d.Complete(first, RunSucceeded, []byte("r"))
+	if w, req := d.Admit(tokened("a", "y")); w.Verdict != Errored || req != nil {
+		t.Errorf("the same id, another key: %+v", w)
+	}
+	if w, _ := d.Admit(tokened("b", "x")); w.Verdict != Replayed || string(w.Result) != "r" {
+		t.Errorf("a repeat of the first: %+v", w)
+	}
+}
+
+// TestOpenOnce: a second greeting of the executor leaves the module and what it knows as they are.
+func TestOpenOnce(t *testing.T) {
+	d := open(t)
+	module, openedAt := d.backend, d.openedAt
+	d.Open(true, 1_000_000)
+	if d.backend != module || d.startedCold || d.openedAt != openedAt {
+		t.Error("the second opening changed the dispatcher")
+	}
+}
+
+// TestOpenLongAgo: the module never believes that its opening lies further back than the warm-up.
+func TestOpenLongAgo(t *testing.T) {
+	d := open(t)
+	d.backend = nil
+	d.Open(true, 3_600_000_000)
+	if ago := Now() - d.openedAt; ago > d.sheet.Admission.WarmUp+5_000_000 {
+		t.Errorf("opened %d us ago, the warm-up takes %d", ago, d.sheet.Admission.WarmUp)
+	}
+}
+
+// TestOldGaugesDropped: without samples the gauges hold for a while, and then are unknown.
+func TestOldGaugesDropped(t *testing.T) {
+	d := open(t)
+	d.Tick(fullCores)
+	d.gaugesAt = Now()
+	if d.updateGauges(d.gaugesAt+1, nil); len(d.gauges) == 0 {
+		t.Error("the gauges of the latest sample are dropped")
+	}
+	old := d.gaugesAt + Micros(d.bounds.SampleOld.Microseconds()) + 1
+	if d.updateGauges(old, nil); len(d.gauges) != 0 {
+		t.Errorf("old gauges are passed on: %v", d.gauges)
+	}
+}
+
+// silence replaces the module by one that answers nothing and asks for no timer.
+func silence(d *Dispatcher) { d.backend = &admission.Backend{} }
+
+// TestNextTick: the next tick lies in the future though the module asks for no timer.
+func TestNextTick(t *testing.T) {
+	d := open(t)
+	silence(d)
+	began := Now()
+	if next := d.Tick(fullCores); next <= began {
+		t.Errorf("next tick %d us after this one", next-began)
+	}
+}
+
+// TestOverdueAnswered: a request that the module has lost is answered once its deadline is well past, and one that has
+// been answered is left alone.
+func TestOverdueAnswered(t *testing.T) {
+	d := open(t)
+	_, lost := d.Admit(usual("lost"))
+	_, abandoned := d.Admit(usual("abandoned"))
+	d.Abandon(abandoned)
+	silence(d)
+	var logged bytes.Buffer
+	defer log.SetOutput(log.Writer())
+	defer slog.SetDefault(slog.Default())
+	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
+	overdue := max(lost.deadline, abandoned.deadline) + d.sheet.Admission.AnswerSlack
+	d.answerOverdue(lost.deadline - 1)
+	if len(lost.responses) != 0 {
+		t.Error("answered before its deadline")
+	}
+	d.answerOverdue(overdue)
+	if w := fakes.Take(t, "the final response", lost.responses); w.Verdict != Errored {
+		t.Errorf("the lost one: %+v", w)
+	}
+	if n := strings.Count(logged.String(), "msg=overdue"); n != 1 || d.counts.Errored != 1 {
+		t.Errorf("%d answered, %d logged, wanted one each:\n%s", d.counts.Errored, n, logged.String())
+	}
+}
+
+// TestRespondOnce: a request gets one final response and starts once.
+func TestRespondOnce(t *testing.T) {
+	d := open(t)
+	_, req := d.Admit(usual("a"))
+	d.perform(admission.Start{ID: "a"})
+	if d.counts.Started != 1 || len(req.responses) != 0 {
+		t.Errorf("started %d times", d.counts.Started)
+	}
+	d.respond(req, Response{Verdict: Abandoned})
+	d.respond(req, Response{Verdict: Errored})
+	if len(req.responses) != 1 || d.counts.Errored != 0 || d.counts.Abandoned != 1 {
+		t.Errorf("%d final responses, %+v", len(req.responses), d.counts)
+	}
+}
+
+// TestLaterNotice: a second notice never extends the grace, and a draining backend is unhealthy whatever the module wants.
+func TestLaterNotice(t *testing.T) {
+	d := open(t)
+	d.Drain(5_000_000, 100_000)
+	end := d.graceEnd
+	d.Drain(10_000_000, 5_000_000)
+	if d.graceEnd != end {
+		t.Errorf("the grace was extended by %d us", d.graceEnd-end)
+	}
+	d.healthy = true
+	if d.Healthy() {
+		t.Error("healthy while draining")
+	}
+}
+
+// TestIdleTimeout: the server closes idle connections only if the module wants that sooner than the callers do it.
+func TestIdleTimeout(t *testing.T) {
+	d := open(t)
+	configured := d.sheet.Admission.IdleTimeout
+	for after, want := range map[Micros]time.Duration{
+		configured: 0, configured + 1: 0, configured / 2: time.Duration(configured/2) * time.Microsecond,
+	} {
+		d.perform(admission.CloseIdle{After: after})
+		if got := d.IdleTimeout(); got != want {
+			t.Errorf("after %d us: %v, wanted %v", after, got, want)
+		}
+	}
+}
+
+// runTicks runs the ticks until the first sampled one is over, and returns its gauges.
+func runTicks(t *testing.T, d *Dispatcher, requestSample func() bool, sampled chan []float64) float64 {
+	done, over := make(chan struct{}), make(chan struct{})
+	go func() { d.RunTicks(done, requestSample, sampled); close(over) }()
+	fakes.Until(t, "a sampled tick", func() bool {
+		c, _ := d.Counts()
+		return c.Ticks > c.Unsampled
+	})
+	close(done)
+	fakes.Take(t, "the end of the ticks", over)
+	return d.gauges[1]
+}
+
+// TestLateSampleUsed: a sample that came after its tick serves the next, if no newer one comes.
+func TestLateSampleUsed(t *testing.T) {
+	sampled := make(chan []float64, 1)
+	sampled <- []float64{0.5, 7, 0.1, 1}
+	if got := runTicks(t, open(t), func() bool { return true }, sampled); got != 7 {
+		t.Errorf("gauge %v", got)
+	}
+}
+
+// TestSampleOfBeforeSuspension: a sample that was waited for while the process was suspended is requested again.
+func TestSampleOfBeforeSuspension(t *testing.T) {
+	d := open(t)
+	d.bounds.SampleWait = 10 * time.Second
+	sampled := make(chan []float64, 1)
+	requests := 0
+	got := runTicks(t, d, func() bool {
+		if requests++; requests == 1 {
+			time.Sleep(d.bounds.HeldUp + 20*time.Millisecond)
+			sampled <- []float64{0.5, 7, 0.1, 1}
+		} else {
+			d.bounds.HeldUp = time.Minute // whatever the machine does to this test now
+			select {
+			case sampled <- []float64{0.5, 8, 0.1, 1}:
+			default:
+			}
+		}
+		return true
+	}, sampled)
+	if got != 8 || requests < 2 {
+		t.Errorf("gauge %v after %d requests", got, requests)
+	}
+}
+
+// shedding puts a policy in force that sheds every request of the second operation.
+func shedding(t *testing.T, d *Dispatcher) {
+	t.Helper()
+	policy := ladder(t, `(ladder l (level no-post (shed (operations post)) (enter (queue 900)) (exit (queue 800))))`)
+	if err := d.SetDegradationPolicy(policy); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.OverrideLevel("no-post", time.Minute, "test", false); err != nil {
+		t.Fatal(err)
+	}
+	d.Tick([]float64{0.1, 0, 0.1, 1})
+}
+
+// TestRepeatNotShed: a level that sheds an operation leaves the repeats of what has run to their results.
+func TestRepeatNotShed(t *testing.T) {
+	d := openTokened(t, "5000", nil)
+	_, first := d.Admit(tokened("a", "x"))
+	d.Complete(first, RunSucceeded, []byte("r"))
+	shedding(t, d)
+	if w, _ := d.Admit(tokened("b", "y")); w.Verdict != Throttled {
+		t.Fatalf("new work is not shed: %+v", w)
+	}
+	w, _ := d.Admit(tokened("c", "x"))
+	if status, _ := d.DegradationStatus(); w.Verdict != Replayed || status.Shed != 1 {
+		t.Errorf("the repeat: %+v, %d shed", w, status.Shed)
+	}
+}
+
+// TestShedDrawsNoUnit: what a level sheds takes no unit of its tenant's budget.
+func TestShedDrawsNoUnit(t *testing.T) {
+	d := drawing(t, open(t))
+	shedding(t, d)
+	inv := usual("a")
+	inv.Operation = 1
+	d.Admit(inv)
+	if s := d.QuotaStatus()[0]; s.Drawn != 0 || s.Denied != 0 {
+		t.Errorf("%d drawn, %d denied", s.Drawn, s.Denied)
+	}
+	inv = usual("b")
+	inv.Tenant = 1 << 20 // beyond the deployment's tenants
+	if standing := d.acquireUnit(&inv, &Request{}); standing != admission.QuotaUnknown {
+		t.Errorf("an unknown tenant's standing is %v", standing)
+	}
+	inv.Tenant = -1
+	if standing := d.acquireUnit(&inv, &Request{}); standing != admission.QuotaUnknown {
+		t.Errorf("no tenant's standing is %v", standing)
+	}
+}
+
+// TestUnknownTenantOfBudget: a budget of a tenant that the deployment lacks is refused.
+func TestUnknownTenantOfBudget(t *testing.T) {
+	d := drawing(t, open(t))
+	if err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, Tenants: map[string]string{"nobody": "b"}}); err == nil {
+		t.Error("it was taken")
+	}
+}
+
+// TestQueuedWantCores: the queue signal counts the requests that wait here with those on the executor's cores.
+func TestQueuedWantCores(t *testing.T) {
+	d := open(t)
+	since := Now()
+	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
+	shedding(t, d)
+	left := make(chan struct{})
+	inv := usual("a")
+	inv.CallerLeft = left
+	response := repeat(t, d, inv)
+	d.mu.Lock()
+	queued := d.queued()
+	d.updateLevel(admission.Reading{OnCores: 3, CoreUse: 0.5, MemoryShare: 0.1})
+	d.mu.Unlock()
+	close(left)
+	fakes.Take(t, "the response", response)
+	want := float64(3+queued) / float64(d.sheet.Admission.Cores)
+	if status, _ := d.DegradationStatus(); queued != 1 || status.Signals[degradation.Queue] != want {
+		t.Errorf("%d queued, the signal is %v, wanted %v", queued, status.Signals[degradation.Queue], want)
+	}
+}
+
+// TestPolicyReplaced: another policy leaves the level in force, and what was counted, as they are.
+func TestPolicyReplaced(t *testing.T) {
+	d := open(t)
+	shedding(t, d)
+	d.degradation.shedCount = 3
+	policy := d.degradation.policy
+	if err := d.SetDegradationPolicy(policy); err != nil {
+		t.Fatal(err)
+	}
+	if status, _ := d.DegradationStatus(); status.Level != "no-post" || status.Shed != 3 || len(status.Changes) != 1 {
+		t.Errorf("%+v", status)
+	}
+}
+
+// TestChangesBounded: the latest changes of the level are kept, and no more than a bound.
+func TestChangesBounded(t *testing.T) {
+	d := open(t)
+	shedding(t, d)
+	for n := range 3 * maxRecentChanges {
+		d.degradation.recordChange(degradation.Change{At: degradation.Micros(n)})
+	}
+	status, _ := d.DegradationStatus()
+	latest := fmt.Sprintf("%d: %v", 3*maxRecentChanges-1, degradation.Change{})
+	if n := len(status.Changes); n != maxRecentChanges || status.Changes[n-1] != latest {
+		t.Errorf("%d changes, the latest %q", n, status.Changes[n-1])
+	}
+}
+
+// TestUseLoggedBeforeRelease: what was acquired until the release is recorded before it.
+func TestUseLoggedBeforeRelease(t *testing.T) {
+	d := drawing(t, open(t))
+	var records strings.Builder
+	d.quotas.machineClock = func() int64 { return 7 }
+	d.quotas.log = quotalog.New(&records, 5, 0)
+	_, req := d.Admit(usual("a"))
+	d.Complete(req, RunSucceeded, nil)
+	d.ReleaseQuotas()
+	if want := "clock 5 0\ndrew 5 7 b 1\nhave 7 b 1 0 0 0\n"; records.String() != want {
+		t.Errorf("got\n%swanted\n%s", records.String(), want)
+	}
+}
