--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -25,7 +25,8 @@
 	ctx, cancel := context.WithTimeout(ctx, longPollTimeout+c.bounds.Call)
 	defer cancel()
 	path := "/v1/report?after=" + strconv.Itoa(after)
-	return r, jsonhttp.Call(ctx, c.http, http.MethodGet, path, nil, &r, int64(c.bounds.Message))
+	err = jsonhttp.Call(ctx, c.http, http.MethodGet, path, nil, &r, int64(c.bounds.Message))
+	return r, err
 }
 
 // Request hands a step over, within limits.Control.Call.
