--- a/cmd/milletbarrow/trial.go
+++ b/cmd/milletbarrow/trial.go
@@ -17,7 +17,7 @@
 
 func trialCommand() *cli.Command {
 	keep := &cli.StringFlag{Name: "keep", Usage: "keep what a failing trial left, in this `DIRECTORY`", Value: "trials"}
-	plant := &cli.StringFlag{Name: "plant", Usage: "a `FAULT` of the program itself, where it was built with -tags plant", Hidden: true}
+	failpoint := &cli.StringFlag{Name: "failpoint", Aliases: []string{"plant"}, Usage: "a `FAULT` of the program itself, where it was built with -tags failpoint", Hidden: true}
 	return &cli.Command{
 		Name: "trial", Usage: "have agents, keepers and backends of this program work while parts of them fail, and audit it",
 		Description: "Real processes on this machine, links between them, a timetable of faults. docs/trial.md says how to read it. Exit codes:\n" +
@@ -27,7 +27,7 @@
 				Name: "run", Usage: "play timetables from files, or drawn from seeds", ArgsUsage: "[FILE ...]",
 				Description: "Examples:\n   milletbarrow trial run trial/testdata/all.sx\n   milletbarrow trial run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
 				Flags: []cli.Flag{
-					keep, plant, jsonFlag(), &cli.BoolFlag{Name: "quiet", Usage: "no progress"},
+					keep, failpoint, jsonFlag(), &cli.BoolFlag{Name: "quiet", Usage: "no progress"},
 					&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the first one drawn"}, &cli.IntFlag{Name: "count", Usage: "so many are drawn"},
 					&cli.IntFlag{Name: "hosts", Value: 5}, &cli.IntFlag{Name: "backends", Value: 20}, &cli.IntFlag{Name: "faults", Value: 24},
 					&cli.DurationFlag{Name: "span", Value: 40 * time.Second}, &cli.StringFlag{Name: "out", Usage: "add each verdict to this `FILE`, a line each"},
@@ -36,7 +36,7 @@
 				Action: runTrials,
 			},
 			{
-				Name: "replay", Usage: "play one timetable again, as it was kept", ArgsUsage: "FILE", Flags: []cli.Flag{keep, plant, jsonFlag()},
+				Name: "replay", Usage: "play one timetable again, as it was kept", ArgsUsage: "FILE", Flags: []cli.Flag{keep, failpoint, jsonFlag()},
 				Description: "Example:\n   milletbarrow trial replay trials/drawn-17/trial.sx",
 				Action: func(ctx context.Context, c *cli.Command) error {
 					t, err := tableOf(c.Args().First())
@@ -49,7 +49,7 @@
 			{
 				Name: "shrink", Usage: "make a timetable that does not hold smaller, as long as it does not", ArgsUsage: "FILE",
 				Description: "Example:\n   milletbarrow trial shrink trials/drawn-17/trial.sx --within 30m > small.sx",
-				Flags:       []cli.Flag{keep, plant, &cli.DurationFlag{Name: "within", Value: time.Hour}, &cli.IntFlag{Name: "tries", Value: 2, Usage: "of each, as chance has a part in it"}},
+				Flags:       []cli.Flag{keep, failpoint, &cli.DurationFlag{Name: "within", Value: time.Hour}, &cli.IntFlag{Name: "tries", Value: 2, Usage: "of each, as chance has a part in it"}},
 				Action:      shrinkTrial,
 			},
 			{
@@ -113,7 +113,7 @@
 
 func trialOptions(c *cli.Command, t *schedule.Table) (o harness.Options, err error) {
 	self, err := os.Executable()
-	o = harness.Options{Program: self, Table: t, Keep: c.String("keep"), Plant: c.String("plant")}
+	o = harness.Options{Program: self, Table: t, Keep: c.String("keep"), Failpoint: c.String("failpoint")}
 	if !c.Bool("quiet") {
 		o.Say = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	}
--- a/cmd/milletbarrow/trial_test.go
+++ b/cmd/milletbarrow/trial_test.go
@@ -16,11 +16,11 @@
 )
 
 // played plays a timetable with real processes of a built program.
-func played(t *testing.T, program, plant string, table *schedule.Table) *harness.Verdict {
+func played(t *testing.T, program, failpoint string, table *schedule.Table) *harness.Verdict {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
-	v, err := harness.Run(ctx, harness.Options{Program: program, Table: table, Plant: plant, Say: t.Logf})
+	v, err := harness.Run(ctx, harness.Options{Program: program, Table: table, Failpoint: failpoint, Say: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,11 +81,11 @@
 	}
 }
 
-// planted builds the program with the faults that a trial must catch.
-func planted(t *testing.T) string {
+// buildWithFailpoints builds the program with the faults that a trial must find.
+func buildWithFailpoints(t *testing.T) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), "milletbarrow")
-	build := exec.Command("go", "build", "-tags", "plant", "-o", to, ".")
+	build := exec.Command("go", "build", "-tags", "failpoint", "-o", to, ".")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
@@ -94,7 +94,7 @@
 
 // TestTrialCatches has the auditor judge a program with a fault, and the same program without it.
 func TestTrialCatches(t *testing.T) {
-	bad := planted(t)
+	bad := buildWithFailpoints(t)
 	table := &schedule.Table{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
 	if v := played(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Why, " "), "shares in force") {
 		t.Errorf("floors counted twice were not found: %v", v.Why)
--- a/internal/backend/quota/holder.go
+++ b/internal/backend/quota/holder.go
@@ -6,6 +6,8 @@
 import (
 	"fmt"
 	"slices"
+
+	"milletbarrow/internal/failpoint"
 )
 
 // Micros is a point on the holder's own clock, or a span, in whole microseconds.
@@ -104,7 +106,7 @@
 	began := now
 	at := slices.IndexFunc(h.pending, func(q pendingRequest) bool { return q.number == a.Number })
 	switch {
-	case plants.epoch: // taken as if it had been asked for just now
+	case failpoint.Enabled(failpoint.IgnoreEpoch): // taken as if it had been asked for just now
 	case at < 0:
 		return fmt.Errorf("number: %d is none of the latest asks", a.Number)
 	default:
@@ -115,7 +117,7 @@
 		switch {
 		case i < 0:
 			return fmt.Errorf("budget: %q is not drawn from here", p.Budget)
-		case !plants.epoch && p.Epoch <= h.allotments[i].Epoch:
+		case !failpoint.Enabled(failpoint.IgnoreEpoch) && p.Epoch <= h.allotments[i].Epoch:
 			return fmt.Errorf("epoch: %d of %s is not newer than %d", p.Epoch, p.Budget, h.allotments[i].Epoch)
 		case p.Floor < 0 || p.Floor > MaxRate || p.Extra < 0 || p.Extra > MaxRate || p.Lease < 0:
 			return fmt.Errorf("budget %s: floor %d, extra %d or lease %d is out of bounds", p.Budget, p.Floor, p.Extra, p.Lease)
--- a/internal/cluster/quota/budget_test.go
+++ b/internal/cluster/quota/budget_test.go
@@ -491,7 +491,7 @@
 				t.Fatal(err)
 			}
 			for _, i := range f.Imports {
-				if p := i.Path.Value; p == `"time"` || p == `"net"` || p == `"os"` && !strings.HasSuffix(file, "plant_on.go") {
+				if p := i.Path.Value; p == `"time"` || p == `"net"` || p == `"os"` {
 					t.Errorf("%s imports %s", file, p)
 				}
 			}
--- a/internal/cluster/quota/clerk.go
+++ b/internal/cluster/quota/clerk.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"milletbarrow/internal/failpoint"
 )
 
 // Clerk is the leader's side of time: it says when a lease is surely over, by the leader's own clock, and when to divide
@@ -64,7 +66,7 @@
 					at = now
 					c.firstSeen[r] = at
 				}
-				if now-at >= honouredFor(g) || plants.forget && !c.scanned {
+				if now-at >= honouredFor(g) || failpoint.Enabled(failpoint.ForgetGrants) && !c.scanned {
 					over = append(over, Expiry{name, key, g.Epoch})
 				}
 			}
@@ -90,9 +92,9 @@
 // span is how long a grant is honoured.
 func honouredFor(g Grant) Micros {
 	switch {
-	case plants.margin:
+	case failpoint.Enabled(failpoint.NoClockMargin):
 		return g.Lease
-	case plants.early:
+	case failpoint.Enabled(failpoint.EarlyExpiry):
 		return g.Lease / 2
 	}
 	return g.Lease + g.ClockMargin
--- a/internal/cluster/quota/ledger.go
+++ b/internal/cluster/quota/ledger.go
@@ -6,6 +6,7 @@
 
 	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/internal/failpoint"
 )
 
 // Bounds of a ledger, whatever it is told.
@@ -374,7 +375,7 @@
 			}
 		}
 		pool := b.Total - l.totals[b.Name].reservedFloors
-		if plants.floors {
+		if failpoint.Enabled(failpoint.FloorsCountedTwice) {
 			pool = b.Total
 		}
 		parts := MaxMinFair(pool, b.Step, claims)
@@ -488,7 +489,7 @@
 func (l *State) available(b *Limit, h *Allocation) int64 {
 	s := l.totals[b.Name]
 	floors := s.reservedFloors
-	if plants.floors {
+	if failpoint.Enabled(failpoint.FloorsCountedTwice) {
 		floors = 0
 	}
 	return max(0, b.Total-floors-(s.extras-h.maxExtra()))
--- a/internal/cluster/quotastore/ledger.go
+++ b/internal/cluster/quotastore/ledger.go
@@ -25,6 +25,7 @@
 	"milletbarrow/internal/cluster/quorum"
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/cluster/transport"
+	"milletbarrow/internal/failpoint"
 	"milletbarrow/internal/jsonhttp"
 	"milletbarrow/internal/limits"
 )
@@ -368,7 +369,7 @@
 	if err != nil {
 		return res, err
 	}
-	if plantEarlyAnswer && c.Renew != nil {
+	if failpoint.Enabled(failpoint.AnswerEarly) && c.Renew != nil {
 		return n.answerBeforeCommit(r, raw)
 	}
 	f := r.Apply(raw, applyTimeout)
@@ -379,14 +380,14 @@
 	if !ok {
 		return res, fmt.Errorf("ledger: %v", f.Response())
 	}
-	point("replicated")
+	failpoint.CrashAt(failpoint.AfterReplicated)
 	for _, l := range res.Events {
 		n.emit(l)
 	}
 	return res, nil
 }
 
-// unproven is the planted fault: it answers from a copy.
+// unproven is what failpoint.AnswerEarly does: it answers from a copy.
 func (n *Store) answerBeforeCommit(r *raft.Raft, raw []byte) (res quota.Result, err error) {
 	was, err := n.snapshot()
 	if err != nil {
--- a/internal/cluster/quotastore/store.go
+++ b/internal/cluster/quotastore/store.go
@@ -12,6 +12,8 @@
 
 	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
+
+	"milletbarrow/internal/failpoint"
 )
 
 // store is the consensus library's log and its few words, on bbolt: every write is durable before it returns.
@@ -101,7 +103,7 @@
 		return nil
 	})
 	if err == nil {
-		point("stored")
+		failpoint.CrashAt(failpoint.AfterStored)
 	}
 	return err
 }
--- a/internal/faultinjection/harness/ground.go
+++ b/internal/faultinjection/harness/ground.go
@@ -27,15 +27,15 @@
 
 // Options of one trial.
 type Options struct {
-	Program string // the built one
-	Table   *schedule.Table
-	Keep    string // a directory to copy stamps and logs to; empty: they are removed
-	Plant   string // a fault of the program itself, where it was built with them
-	Say     func(string, ...any)
-	Budgets []Budget // empty: Standard
-	Lease   time.Duration
-	Margin  time.Duration
-	Moves   func(*simulation.Scenario) // changes the load; may be nil
+	Program   string // the built one
+	Table     *schedule.Table
+	Keep      string // a directory to copy stamps and logs to; empty: they are removed
+	Failpoint string // a fault of the program itself, where it was built with them
+	Say       func(string, ...any)
+	Budgets   []Budget // empty: Standard
+	Lease     time.Duration
+	Margin    time.Duration
+	Moves     func(*simulation.Scenario) // changes the load; may be nil
 }
 
 // Budget is one of the trial's.
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -16,6 +16,7 @@
 	"golang.org/x/sys/unix"
 
 	"milletbarrow/internal/demo"
+	"milletbarrow/internal/failpoint"
 	"milletbarrow/internal/faultinjection/checker"
 	"milletbarrow/internal/faultinjection/proxy"
 	"milletbarrow/internal/faultinjection/registry"
@@ -156,8 +157,8 @@
 			}
 		}
 	}
-	cmd.Env = append(os.Environ(), "MILLETBARROW_STAMPS="+filepath.Join(g.site.Dir, "stamps"), "MILLETBARROW_PLANT="+plantAt(g.o.Plant, h.name),
-		"MILLETBARROW_POINTS="+filepath.Join(g.site.Dir, "points", h.name), "MILLETBARROW_TRIAL_CLOCK="+strconv.Itoa(skew))
+	cmd.Env = append(os.Environ(), "MILLETBARROW_STAMPS="+filepath.Join(g.site.Dir, "stamps"), failpoint.FaultVariable+"="+failpointAt(g.o.Failpoint, h.name),
+		failpoint.CrashDirVariable+"="+filepath.Join(g.site.Dir, "points", h.name), "MILLETBARROW_TRIAL_CLOCK="+strconv.Itoa(skew))
 	if c := g.o.Table.Cold; c != nil && c.Fixed {
 		cmd.Env = append(cmd.Env, "MILLETBARROW_REPORTS_FIXED=true")
 	}
@@ -180,9 +181,9 @@
 	return nil
 }
 
-// plantAt is the fault that is planted at a host: PLANT everywhere, PLANT@HOST at one.
-func plantAt(plant, host string) string {
-	if name, at, one := strings.Cut(plant, "@"); !one || at == host {
+// failpointAt is the fault that a host's agent is started with: NAME everywhere, NAME@HOST at one host alone.
+func failpointAt(fault, host string) string {
+	if name, at, one := strings.Cut(fault, "@"); !one || at == host {
 		return name
 	}
 	return ""
--- a/internal/fleet/cold_start.go
+++ b/internal/fleet/cold_start.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/internal/failpoint"
 )
 
 // Bounds of a host's part in a rise.
@@ -34,7 +35,7 @@
 			continue
 		case c.State != CommandOpen || !in.Phase.Down():
 			continue
-		case m.holdsUnit(now, c, in), plants.ignore:
+		case m.holdsUnit(now, c, in), failpoint.Enabled(failpoint.IgnoreStartPermit):
 		case !alone && m.quotaSilentSince != 0 && now-m.quotaSilentSince >= standaloneAfter:
 			alone, in.Unit.Standalone = true, true
 			m.recordEvent(now, in, "starts without the ledger", fmt.Sprintf("it has not answered for %d ms", (now-m.quotaSilentSince)/1000))
