--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -59,11 +59,37 @@
 		return nil, err
 	}
 	errs := &sexpr.Errors{File: file}
-	x := &Experiment{}
-	scenarios, policies := map[string]simulation.Scenario{}, map[string]*simulation.Policy{}
-	var order []string
-	var main *sexpr.Form
-	for _, f := range sexpr.Forms(nodes, errs) {
+	d := readDefinitions(file, sexpr.Forms(nodes, errs))
+	if d.experiment == nil {
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "experiment", "there is none in this file")
+		return nil, errs.Err()
+	}
+	x := &Experiment{Name: d.experiment.Arg()}
+	x.Scenarios = d.namedScenarios()
+	x.Policies = d.namedPolicies()
+	x.Seeds = seeds(d.experiment)
+	x.readOver(d.experiment)
+	d.experiment.Done()
+	if err := errs.Err(); err != nil {
+		return nil, err
+	}
+	if _, err := x.Cells(); err != nil {
+		d.experiment.Fail("over", "%v", err)
+	}
+	return x, errs.Err()
+}
+
+// definitions are the forms of one file: what the experiment may name, and the experiment itself.
+type definitions struct {
+	scenarios  map[string]simulation.Scenario
+	order      []string // of the scenarios, as they stand in the file
+	policies   map[string]*simulation.Policy
+	experiment *sexpr.Form
+}
+
+func readDefinitions(file string, forms []*sexpr.Form) *definitions {
+	d := &definitions{scenarios: map[string]simulation.Scenario{}, policies: map[string]*simulation.Policy{}}
+	for _, f := range forms {
 		switch f.Name {
 		case "scenario":
 			recorded := f.Text("recorded", "")
@@ -71,77 +97,80 @@
 			if recorded != "" {
 				readRecorded(f, file, recorded, &s)
 			}
-			if _, twice := scenarios[s.Name]; twice {
+			if _, twice := d.scenarios[s.Name]; twice {
 				f.Fail("", "scenario %s stands twice", s.Name)
 			}
-			scenarios[s.Name] = s
-			order = append(order, s.Name)
+			d.scenarios[s.Name] = s
+			d.order = append(d.order, s.Name)
 		case "policy":
 			p := readPolicy(f, file)
-			policies[p.Name] = p
+			d.policies[p.Name] = p
 		case "experiment":
-			if main != nil {
+			if d.experiment != nil {
 				f.Fail("", "a file holds one experiment")
 			}
-			main = f
+			d.experiment = f
 		default:
 			f.Fail("", "wanted scenario, policy or experiment")
 		}
 	}
-	if main == nil {
-		errs.Add(sexpr.Place{Line: 1, Column: 1}, "experiment", "there is none in this file")
-		return nil, errs.Err()
-	}
-	x.Name = main.Arg()
-	named := main.Words("scenarios")
-	if len(named) == 0 {
-		named = order
+	return d
+}
+
+// namedScenarios are those that the experiment names, else all of the file.
+func (d *definitions) namedScenarios() (all []simulation.Scenario) {
+	names := d.experiment.Words("scenarios")
+	if len(names) == 0 {
+		names = d.order
 	}
-	for _, n := range named {
-		s, ok := scenarios[n]
-		if !ok {
-			main.Fail("scenarios", "%s is none of this file's", n)
-			continue
+	for _, n := range names {
+		if s, ok := d.scenarios[n]; ok {
+			all = append(all, s)
+		} else {
+			d.experiment.Fail("scenarios", "%s is none of this file's", n)
 		}
-		x.Scenarios = append(x.Scenarios, s)
 	}
-	names := main.Words("policies")
+	return all
+}
+
+// namedPolicies are those that the experiment names, the file's own before the built-in ones; without names the decision module alone.
+func (d *definitions) namedPolicies() (all []simulation.Policy) {
+	names := d.experiment.Words("policies")
 	if len(names) == 0 {
 		names = []string{simulation.Module}
 	}
 	for _, n := range names {
-		p := policies[n]
+		p := d.policies[n]
 		if p == nil {
+			var err error
 			if p, err = simulation.PolicyNamed(n); err != nil {
-				main.Fail("policies", "%v", err)
+				d.experiment.Fail("policies", "%v", err)
 				continue
 			}
 		}
-		x.Policies = append(x.Policies, *p)
+		all = append(all, *p)
 	}
-	x.Seeds = seeds(main)
-	if over := main.Field("over"); over != nil {
-		x.Over = over.Arg()
-		for _, w := range over.Words("values") {
-			v, err := strconv.ParseFloat(w, 64)
-			if err != nil {
-				over.Fail("values", "found %q, wanted a number", w)
-			}
-			x.Values = append(x.Values, v)
-		}
-		over.Done()
-		if len(x.Values) == 0 || len(x.Values) > MostValues {
-			over.Fail("values", "found %d, wanted 1 to %d", len(x.Values), MostValues)
-		}
+	return all
+}
+
+// readOver reads the field that is varied and its values.
+func (x *Experiment) readOver(f *sexpr.Form) {
+	over := f.Field("over")
+	if over == nil {
+		return
 	}
-	main.Done()
-	if err := errs.Err(); err != nil {
-		return nil, err
+	x.Over = over.Arg()
+	for _, w := range over.Words("values") {
+		v, err := strconv.ParseFloat(w, 64)
+		if err != nil {
+			over.Fail("values", "found %q, wanted a number", w)
+		}
+		x.Values = append(x.Values, v)
 	}
-	if _, err := x.Cells(); err != nil {
-		main.Fail("over", "%v", err)
+	over.Done()
+	if len(x.Values) == 0 || len(x.Values) > MostValues {
+		over.Fail("values", "found %d, wanted 1 to %d", len(x.Values), MostValues)
 	}
-	return x, errs.Err()
 }
 
 func readRecorded(f *sexpr.Form, file, name string, s *simulation.Scenario) {
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -100,92 +100,133 @@
 
 // converse uses one connection for as long as the backend lets it; over tells that the load has been stopped.
 func (l *Load) converse(c net.Conn, tick <-chan time.Time) (over bool) {
-	n := NewNode(nil, c)
-	open := map[uint32]*Sent{}
-	asks, ended := make(chan struct{}), make(chan struct{})
-	noMore := asks
-	var endedAt time.Time
-	go func() {
-		defer close(ended)
-		defer func() { endedAt = time.Now() }()
-		asked := false
-		for {
-			f, err := n.Next()
-			if err != nil {
-				return
+	t := &talk{load: l, conn: c, open: map[uint32]*Sent{}, noMore: make(chan struct{}), ended: make(chan struct{})}
+	go t.read()
+	defer func() { _ = c.Close() }()
+	over = t.send(tick)
+	t.awaitAnswers()
+	_ = c.Close()
+	<-t.ended
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, s := range t.open {
+		s.Broken = s.Answers == 0 && !s.Unborn && t.endedAt.Before(s.Due)
+	}
+	return over
+}
+
+// talk is one connection of a Load: a reader, and a writer that follows the ticks.
+type talk struct {
+	load    *Load
+	conn    net.Conn
+	open    map[uint32]*Sent // by stream, under the load's lock
+	noMore  chan struct{}    // closed when the backend asks for no more
+	ended   chan struct{}    // closed when nothing more can be read
+	endedAt time.Time        // set before ended is closed
+}
+
+// Frames that the backend sends, by the protocol page.
+const (
+	frameAnswer = 11
+	frameGoAway = 30
+	succeeded   = 1 // the code of an answer
+)
+
+// read notes answers until the connection ends.
+func (t *talk) read() {
+	defer close(t.ended)
+	defer func() { t.endedAt = time.Now() }()
+	n := NewNode(nil, t.conn)
+	asked := false
+	for {
+		f, err := n.Next()
+		if err != nil {
+			return
+		}
+		switch f.Type {
+		case frameGoAway:
+			if !asked {
+				asked = true
+				close(t.noMore)
 			}
-			switch f.Type {
-			case 30:
-				if !asked {
-					asked = true
-					close(asks)
-				}
-			case 11:
-				l.mu.Lock()
-				if s := open[f.Stream]; s != nil {
-					s.Answers++
-					s.Code, s.Answered = f.Code, time.Now()
-					s.Wrong = f.Code == 1 && f.Body != "result of "+s.ID
-				}
-				l.mu.Unlock()
+		case frameAnswer:
+			t.load.mu.Lock()
+			if s := t.open[f.Stream]; s != nil {
+				s.Answers++
+				s.Code, s.Answered = f.Code, time.Now()
+				s.Wrong = f.Code == succeeded && f.Body != "result of "+s.ID
 			}
+			t.load.mu.Unlock()
 		}
-	}()
-	defer func() { _ = c.Close() }()
+	}
+}
+
+// send sends a request a tick until the load is stopped (then over is true), the connection ends, or the backend asked for no more
+// and the time for which the caller ignores that has passed.
+func (t *talk) send(tick <-chan time.Time) (over bool) {
+	l := t.load
 	chance := rand.New(rand.NewPCG(uint64(l.from), uint64(l.next)))
-	stream, refused := uint32(0), false
+	noMore := t.noMore
 	var enough <-chan time.Time
-	for leaving := false; !leaving; {
+	for stream := uint32(1); ; {
 		select {
 		case <-l.stop:
-			over, leaving = true, true
+			return true
 		case <-noMore:
-			noMore, leaving = nil, l.deaf == 0
+			noMore = nil
+			if l.deaf == 0 {
+				return false
+			}
 			enough = time.After(l.deaf)
 		case <-enough:
-			leaving = true
-		case <-ended:
-			leaving = true
+			return false
+		case <-t.ended:
+			return false
 		case <-tick:
-			stream++
-			l.mu.Lock()
-			l.next++
-			number := l.from<<24 + l.next
-			part := l.draw(chance)
-			s := &Sent{ID: fmt.Sprintf("%016x", number), Class: part.Class, At: time.Now()}
-			s.Due = s.At.Add(l.wait)
-			open[stream] = s
-			l.all = append(l.all, s)
-			l.mu.Unlock()
-			text := Invocation(stream, number, fmt.Sprint("wait=", l.wait.Milliseconds()), fmt.Sprint("from=", l.from),
-				"class="+part.Class, fmt.Sprintf("rank=%.4f", part.Rank))
-			if _, err := c.Write([]byte(text)); err != nil {
-				l.mu.Lock()
-				s.Unborn = true
-				l.mu.Unlock()
-				refused = true
+			if !t.sendOne(stream, chance) {
+				return false
 			}
-			leaving = refused
+			stream++
 		}
 	}
-	// What is open is owed an answer until it is due; an answer may come twice, so that the end is waited for.
-	until := time.Now().Add(l.wait + 200*time.Millisecond)
-	for waits := true; waits && time.Now().Before(until); {
+}
+
+// sendOne writes one request; false where the connection did not take all of it.
+func (t *talk) sendOne(stream uint32, chance *rand.Rand) bool {
+	l := t.load
+	l.mu.Lock()
+	l.next++
+	number := l.from<<24 + l.next
+	part := l.draw(chance)
+	s := &Sent{ID: fmt.Sprintf("%016x", number), Class: part.Class, At: time.Now()}
+	s.Due = s.At.Add(l.wait)
+	t.open[stream] = s
+	l.all = append(l.all, s)
+	l.mu.Unlock()
+	text := Invocation(stream, number, fmt.Sprint("wait=", l.wait.Milliseconds()), fmt.Sprint("from=", l.from),
+		"class="+part.Class, fmt.Sprintf("rank=%.4f", part.Rank))
+	if _, err := t.conn.Write([]byte(text)); err != nil {
+		l.mu.Lock()
+		s.Unborn = true
+		l.mu.Unlock()
+		return false
+	}
+	return true
+}
+
+// awaitAnswers waits while an answer is owed: until it is due, and a little longer, as an answer may come twice.
+func (t *talk) awaitAnswers() {
+	until := time.Now().Add(t.load.wait + 200*time.Millisecond)
+	for time.Now().Before(until) {
 		select {
-		case <-ended:
-			waits = false
+		case <-t.ended:
+			return
 		case <-time.After(5 * time.Millisecond):
-			waits = l.owes(open)
+			if !t.load.owes(t.open) {
+				return
+			}
 		}
 	}
-	_ = c.Close()
-	<-ended
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, s := range open {
-		s.Broken = s.Answers == 0 && !s.Unborn && endedAt.Before(s.Due)
-	}
-	return over
 }
 
 func (l *Load) owes(open map[uint32]*Sent) bool {
--- a/internal/faultinjection/checker/audit.go
+++ b/internal/faultinjection/checker/audit.go
@@ -194,6 +194,46 @@
 // Shares judges one budget between two times: at no instant may what is in force be more than the whole.
 func Shares(all []*Process, budget string, limits Limits, from, to int64) Report {
 	r := Report{Budget: budget}
+	edges := r.edges(all, budget, limits)
+	sum, area, span := int64(0), 0.0, int64(0)
+	inForce := map[int]*Share{}
+	for i, e := range edges {
+		sum += e.floor + e.more
+		if e.who >= 0 {
+			changeShare(inForce, all, e)
+		}
+		next := to
+		if i+1 < len(edges) {
+			next = edges[i+1].at
+			if next == e.at {
+				continue
+			}
+		}
+		whole := limits.at(budget, e.at)
+		if whole == 0 {
+			continue
+		}
+		part := float64(sum) / float64(whole)
+		if lasts := min(next, to) - max(e.at, from); lasts > 0 {
+			area += part * float64(lasts)
+			span += lasts
+			r.Last = part
+		}
+		r.Most = max(r.Most, part)
+		if sum > whole {
+			r.breach(Breach{
+				Budget: budget, What: "shares in force", At: e.at, For: next - e.at, Found: sum, Most: whole, Who: holders(inForce),
+			})
+		}
+	}
+	if span > 0 {
+		r.Mean = area / float64(span)
+	}
+	return r
+}
+
+// edges are the instants at which what is in force changes, in order; at one instant what ends goes first.
+func (r *Report) edges(all []*Process, budget string, limits Limits) []edge {
 	var edges []edge
 	for i, p := range all {
 		hs := p.have[budget]
@@ -217,57 +257,35 @@
 	for _, w := range limits[budget] {
 		edges = append(edges, edge{at: w.From, who: -1})
 	}
-	slices.SortStableFunc(edges, func(a, b edge) int { // at one instant what ends goes first
+	slices.SortStableFunc(edges, func(a, b edge) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.floor+a.more, b.floor+b.more))
 	})
-	sum, area, span := int64(0), 0.0, int64(0)
-	inForce := map[int]*Share{}
-	for i, e := range edges {
-		sum += e.floor + e.more
-		if e.who >= 0 {
-			s := inForce[e.who]
-			if s == nil {
-				s = &Share{Name: all[e.who].Name}
-				inForce[e.who] = s
-			}
-			s.Floor += e.floor
-			s.Extra += e.more
-			if e.on {
-				s.Epoch = e.h.epoch
-			}
-		}
-		if i+1 < len(edges) && edges[i+1].at == e.at {
-			continue
-		}
-		next := to
-		if i+1 < len(edges) {
-			next = edges[i+1].at
-		}
-		whole := limits.at(budget, e.at)
-		if whole == 0 {
-			continue
-		}
-		if lasts := min(next, to) - max(e.at, from); lasts > 0 {
-			area += float64(sum) / float64(whole) * float64(lasts)
-			span += lasts
-			r.Last = float64(sum) / float64(whole)
-		}
-		r.Most = max(r.Most, float64(sum)/float64(whole))
-		if sum > whole {
-			b := Breach{Budget: budget, What: "shares in force", At: e.at, For: next - e.at, Found: sum, Most: whole}
-			for _, s := range inForce {
-				if s.Floor+s.Extra > 0 {
-					b.Who = append(b.Who, *s)
-				}
-			}
-			slices.SortFunc(b.Who, func(a, b Share) int { return cmp.Compare(a.Name, b.Name) })
-			r.breach(b)
-		}
+	return edges
+}
+
+// changeShare takes one edge into what its process has in force.
+func changeShare(inForce map[int]*Share, all []*Process, e edge) {
+	s := inForce[e.who]
+	if s == nil {
+		s = &Share{Name: all[e.who].Name}
+		inForce[e.who] = s
 	}
-	if span > 0 {
-		r.Mean = area / float64(span)
+	s.Floor += e.floor
+	s.Extra += e.more
+	if e.on {
+		s.Epoch = e.h.epoch
 	}
-	return r
+}
+
+// holders are those that have anything in force, by name.
+func holders(inForce map[int]*Share) (who []Share) {
+	for _, s := range inForce {
+		if s.Floor+s.Extra > 0 {
+			who = append(who, *s)
+		}
+	}
+	slices.SortFunc(who, func(a, b Share) int { return cmp.Compare(a.Name, b.Name) })
+	return who
 }
 
 func (r *Report) breach(b Breach) {
--- a/internal/faultinjection/proxy/link.go
+++ b/internal/faultinjection/proxy/link.go
@@ -197,44 +197,11 @@
 // pump carries one direction of one connection.
 func (k *Link) pump(from, to net.Conn, way *Way, kept *bytes.Buffer) {
 	pieces := make(chan piece, 64) // beyond, who writes waits
-	go func() {
-		defer close(pieces)
-		for {
-			b := make([]byte, 16<<10)
-			n, err := from.Read(b)
-			if n > 0 {
-				select {
-				case pieces <- piece{b[:n], time.Now()}:
-				case <-k.over:
-					return
-				}
-			}
-			if err != nil {
-				return
-			}
-		}
-	}()
+	go k.readPieces(from, pieces)
 	for p := range pieces {
-		for {
-			held, delay, rate, news := way.now()
-			wait := time.Until(p.at.Add(delay))
-			if !held && wait <= 0 {
-				if rate > 0 {
-					time.Sleep(time.Duration(len(p.b)) * time.Second / time.Duration(rate))
-				}
-				break
-			}
-			var due <-chan time.Time
-			if !held {
-				due = time.After(wait)
-			}
-			select {
-			case <-news:
-			case <-due:
-			case <-k.over:
-				_ = to.Close()
-				return
-			}
+		if !k.await(p, way) {
+			_ = to.Close()
+			return
 		}
 		if kept != nil && kept.Len() < mostCall {
 			kept.Write(p.b)
@@ -250,3 +217,46 @@
 	for range pieces { // what is read must not block its reader
 	}
 }
+
+// readPieces reads until the connection or the link ends, and closes the channel.
+func (k *Link) readPieces(from net.Conn, pieces chan<- piece) {
+	defer close(pieces)
+	for {
+		b := make([]byte, 16<<10)
+		n, err := from.Read(b)
+		if n > 0 {
+			select {
+			case pieces <- piece{b[:n], time.Now()}:
+			case <-k.over:
+				return
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// await returns once the faults of the way let a piece pass; false where the link was closed meanwhile.
+func (k *Link) await(p piece, way *Way) bool {
+	for {
+		held, delay, rate, news := way.now()
+		wait := time.Until(p.at.Add(delay))
+		if !held && wait <= 0 {
+			if rate > 0 {
+				time.Sleep(time.Duration(len(p.b)) * time.Second / time.Duration(rate))
+			}
+			return true
+		}
+		var due <-chan time.Time
+		if !held {
+			due = time.After(wait)
+		}
+		select {
+		case <-news:
+		case <-due:
+		case <-k.over:
+			return false
+		}
+	}
+}
--- a/internal/faultinjection/schedule/timetable.go
+++ b/internal/faultinjection/schedule/timetable.go
@@ -204,60 +204,70 @@
 	t := &Table{
 		Name: fmt.Sprint("drawn-", seed), Seed: seed, Hosts: hosts, Backends: backends, Span: span, Load: 0.3, Skew: 30_000,
 	}
-	ms := func(from, to int) time.Duration { return time.Duration(from+r.IntN(to-from+1)) * time.Millisecond }
 	kinds := Kinds()
 	for len(kinds) < faults {
 		kinds = append(kinds, Kinds()[r.IntN(len(Kinds()))])
 	}
 	blackouts := 0
 	for i, k := range kinds {
-		f := Fault{Kind: k, At: ms(2000, max(2001, int(span.Milliseconds())-4000))}
+		at := drawBetween(r, 2000, max(2001, int(span.Milliseconds())-4000))
 		if k == Blackout || k == Old {
 			if blackouts++; blackouts > 3 && i >= len(Kinds()) {
 				k = Freeze
-				f.Kind = k
 			}
 		}
-		a := r.IntN(hosts)
-		b := (a + 1 + r.IntN(max(1, hosts-1))) % hosts
-		host := func(i int) string { return fmt.Sprint("h", i+1) }
-		backend := fmt.Sprint("n", r.IntN(backends)+1)
-		switch k {
-		case Cut, CutBoth, Stall:
-			f.A, f.B, f.For = host(a), host(b), ms(500, 6000)
-		case Delay:
-			f.A, f.B, f.For, f.By = host(a), host(b), ms(1000, 5000), ms(20, 900)
-		case Slow:
-			f.A, f.B, f.For, f.Number = host(a), host(b), ms(1000, 5000), 500+r.IntN(5000)
-		case Reset:
-			f.A, f.B = host(a), host(b)
-		case Twice:
-			f.A, f.B, f.For, f.By = host(a), host(b), ms(1000, 4000), ms(2000, 10_000)
-		case Kill, Old:
-			f.A, f.For = host(a), ms(100, 4000)
-		case Stop:
-			f.A, f.For = host(a), ms(300, 6000)
-		case Full:
-			f.A, f.For = host(a), ms(1000, 4000)
-		case Minority:
-			f.A, f.For = host(a), ms(2000, 7000)
-		case Leader, Blackout:
-			f.For = ms(100, 3000)
-		case Freeze:
-			f.A, f.For = backend, ms(200, 5000)
-		case Death, Orphan:
-			f.A = backend
-		case BadStart:
-			f.A, f.For = backend, ms(500, 2500)
-		case Whole:
-			f.Word, f.Number = "acme", 60+r.IntN(200)
-		}
-		t.Faults = append(t.Faults, f)
+		t.Faults = append(t.Faults, drawFault(r, k, at, hosts, backends))
 	}
 	slices.SortStableFunc(t.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return t
 }
 
+// drawBetween draws a span of whole milliseconds, both ends included.
+func drawBetween(r *rand.Rand, from, to int) time.Duration {
+	return time.Duration(from+r.IntN(to-from+1)) * time.Millisecond
+}
+
+// drawFault draws where one fault happens and how long it lasts.
+func drawFault(r *rand.Rand, k Kind, at time.Duration, hosts, backends int) Fault {
+	f := Fault{Kind: k, At: at}
+	ms := func(from, to int) time.Duration { return drawBetween(r, from, to) }
+	first := r.IntN(hosts)
+	second := (first + 1 + r.IntN(max(1, hosts-1))) % hosts
+	a, b := fmt.Sprint("h", first+1), fmt.Sprint("h", second+1)
+	backend := fmt.Sprint("n", r.IntN(backends)+1)
+	switch k {
+	case Cut, CutBoth, Stall:
+		f.A, f.B, f.For = a, b, ms(500, 6000)
+	case Delay:
+		f.A, f.B, f.For, f.By = a, b, ms(1000, 5000), ms(20, 900)
+	case Slow:
+		f.A, f.B, f.For, f.Number = a, b, ms(1000, 5000), 500+r.IntN(5000)
+	case Reset:
+		f.A, f.B = a, b
+	case Twice:
+		f.A, f.B, f.For, f.By = a, b, ms(1000, 4000), ms(2000, 10_000)
+	case Kill, Old:
+		f.A, f.For = a, ms(100, 4000)
+	case Stop:
+		f.A, f.For = a, ms(300, 6000)
+	case Full:
+		f.A, f.For = a, ms(1000, 4000)
+	case Minority:
+		f.A, f.For = a, ms(2000, 7000)
+	case Leader, Blackout:
+		f.For = ms(100, 3000)
+	case Freeze:
+		f.A, f.For = backend, ms(200, 5000)
+	case Death, Orphan:
+		f.A = backend
+	case BadStart:
+		f.A, f.For = backend, ms(500, 2500)
+	case Whole:
+		f.Word, f.Number = "acme", 60+r.IntN(200)
+	}
+	return f
+}
+
 // Smaller lists tables with less in them, largest cuts first: halves, quarters, and each fault alone taken out.
 func (t *Table) Smaller() (all []*Table) {
 	n := len(t.Faults)
--- a/internal/plot/levels.go
+++ b/internal/plot/levels.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"image/color"
 	"io"
+	"math"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -30,10 +31,31 @@
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "level, signals"
 	p.Legend.Top = true
 	stride := max(1, len(points)/mostPoints)
-	seconds := func(at degradation.Micros) float64 { return float64(at-points[0].At) / 1e6 }
-	var level plotter.XYs
+	var shown []degradation.ReplayPoint
 	for i := 0; i < len(points); i += stride {
-		level = append(level, plotter.XY{X: seconds(points[i].At), Y: float64(points[i].Level)})
+		shown = append(shown, points[i])
+	}
+	if err := addLevel(p, shown); err != nil {
+		return err
+	}
+	for n, s := range l.SignalsUsed() {
+		if err := addSignal(p, shown, s, palette[n%len(palette)]); err != nil {
+			return err
+		}
+	}
+	w, err := p.WriterTo(24*vg.Centimeter, 12*vg.Centimeter, format)
+	if err != nil {
+		return err
+	}
+	_, err = w.WriteTo(to)
+	return err
+}
+
+// addLevel draws the level as steps, over a grid.
+func addLevel(p *plot.Plot, points []degradation.ReplayPoint) error {
+	level := make(plotter.XYs, 0, len(points))
+	for _, point := range points {
+		level = append(level, plotter.XY{X: secondsAfter(points, point.At), Y: float64(point.Level)})
 	}
 	line, err := plotter.NewLine(level)
 	if err != nil {
@@ -42,43 +64,41 @@
 	line.StepStyle, line.Width = plotter.PreStep, vg.Points(2)
 	p.Add(plotter.NewGrid(), line)
 	p.Legend.Add("level", line)
-	for n, s := range l.SignalsUsed() {
-		// A signal that is missing leaves a gap: each stretch that is known is a line of its own.
-		var stretch plotter.XYs
-		named := false
-		flush := func() error {
-			if len(stretch) < 2 {
-				stretch = nil
-				return nil
-			}
-			line, err := plotter.NewLine(stretch)
-			if err != nil {
-				return err
-			}
-			line.Color = palette[n%len(palette)]
-			p.Add(line)
-			if !named {
-				p.Legend.Add(s.String(), line)
-				named = true
-			}
-			stretch = nil
+	return nil
+}
+
+// addSignal draws one signal. Where it is missing (NaN) it leaves a gap: each stretch that is known is a line of its own.
+func addSignal(p *plot.Plot, points []degradation.ReplayPoint, s degradation.Signal, c color.Color) error {
+	var stretch plotter.XYs
+	named := false
+	flush := func() error {
+		known := stretch
+		stretch = nil
+		if len(known) < 2 {
 			return nil
 		}
-		for i := 0; i < len(points); i += stride {
-			if v := points[i].Smoothed[s]; v == v {
-				stretch = append(stretch, plotter.XY{X: seconds(points[i].At), Y: v})
-			} else if err := flush(); err != nil {
-				return err
-			}
-		}
-		if err := flush(); err != nil {
+		line, err := plotter.NewLine(known)
+		if err != nil {
 			return err
 		}
+		line.Color = c
+		p.Add(line)
+		if !named {
+			p.Legend.Add(s.String(), line)
+			named = true
+		}
+		return nil
 	}
-	w, err := p.WriterTo(24*vg.Centimeter, 12*vg.Centimeter, format)
-	if err != nil {
-		return err
+	for _, point := range points {
+		if v := point.Smoothed[s]; !math.IsNaN(v) {
+			stretch = append(stretch, plotter.XY{X: secondsAfter(points, point.At), Y: v})
+		} else if err := flush(); err != nil {
+			return err
+		}
 	}
-	_, err = w.WriteTo(to)
-	return err
+	return flush()
+}
+
+func secondsAfter(points []degradation.ReplayPoint, at degradation.Micros) float64 {
+	return float64(at-points[0].At) / 1e6
 }
