--- a/internal/config/terms.go
+++ b/internal/config/settings.go
@@ -1,5 +1,6 @@
-// Package config decodes what a deployment tells one backend: the settings object, which the simulator
-// hands to an instance at its start and the configuration file to a program, and that file itself.
+// Package config decodes and validates the platform's JSON for one backend: the settings object, which the simulator
+// hands to an instance at its start and the configuration file to a process, and that file itself (Backend). Keys of the
+// JSON are the platform's; keys that are not known are skipped.
 package config
 
 import (
@@ -13,22 +14,22 @@
 type Settings struct {
 	Admission        admission.Config
 	Operations       []string // names, by number
-	Tenants          []string
-	Gauges           []string
-	DeadlineOptional bool     // frames need not tell how long callers wait: it is the client timeout then
-	IgnoredFields    []string // fields that permit what this program has no way to do, and leaves
-	words            words
+	Tenants          []string // names, by number
+	Gauges           []string // names, in the order of their values
+	DeadlineOptional bool     // frames may lack the time that their caller still waits: it is the client timeout then
+	IgnoredFields    []string // what the settings permit and this program has no way to do
+	choices          choices
 }
 
-// words are the choices that the object spells out.
-type words struct {
+// choices are the fields that validation needs in their own words.
+type choices struct {
 	repeats                []string
 	below, preemption, say string
 	worthBy                string
 	freshMs                float64
 }
 
-// object is the part of the settings that Settings is made of.
+// object is the JSON form of Settings.
 type object struct {
 	Classes []struct {
 		Name       string  `json:"name"`
@@ -86,23 +87,23 @@
 }
 
 var (
-	repeats = map[string]admission.RetrySafety{
+	retrySafeties = map[string]admission.RetrySafety{
 		"idempotent": admission.Idempotent, "deduplicated": admission.IdempotencyKeyed, "at_most_once": admission.NonIdempotent,
 	}
 	preemptions = map[string]admission.Preemption{
 		"off": admission.NoPreemption, "discard": admission.PreemptionDiscards, "freeze": admission.PreemptionPauses,
 	}
-	freeValues = map[string]admission.AdvertisedValue{
+	advertisedValues = map[string]admission.AdvertisedValue{
 		"off":       admission.NothingAdvertised,
 		"floor":     admission.NothingAdvertised, // no decision here makes one
 		"allowance": admission.CallerAllowance, "weight": admission.TrafficWeight,
 	}
 )
 
-// Micros converts milliseconds, with room to add two of them safely.
+// Micros converts milliseconds. Beyond 1e12 ms either way it is cut off, so that two of them can be added safely.
 func Micros(ms float64) admission.Micros {
-	const most = 1e15
-	return admission.Micros(math.Round(math.Max(-most, math.Min(most, ms*1000))))
+	const limit = 1e15
+	return admission.Micros(math.Round(math.Max(-limit, math.Min(limit, ms*1000))))
 }
 
 // UnmarshalJSON decodes a settings object; keys that it does not know are skipped.
@@ -111,50 +112,89 @@
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return err
 	}
-	f, r := &o.Family, &o.Rules
-	t := admission.Config{
-		OverQuotaValue: o.OverShareWorth, FleetSize: o.FleetSize, Callers: f.Callers, Cores: f.Cores,
-		MemoryKB: f.MemLimitKB, RunFactor: f.RunFactor, IdempotencyKeyKB: f.KeyKB,
-		JustStarted: f.JustStarted, Preemption: preemptions[f.Preemption], AdvertisedValue: freeValues[f.Say],
-		AnswerSlack: Micros(r.AnswerSlackMs), DrainGrace: Micros(r.DrainGraceMs),
-		ColdSpeed: r.ColdShare, WarmUp: Micros(r.ColdMs), CollapseMultiple: r.FallMultiple, CollapseAfter: Micros(r.FallMs),
-		SharedDependency: f.Below == "one_for_all", CallQuota: f.CallsOut, CallQuotaWindow: Micros(f.CallsOverMs),
-		AbandonedCallLinger: Micros(f.LingerMs), BatchInterval: Micros(o.RoundMs), ValuePerWork: o.WorthBy == "work", IdleTimeout: Micros(f.IdleMs),
-	}
-	t.RetriesUnmarked = o.Clients.MarksRetry != nil && !*o.Clients.MarksRetry
-	if o.Limits.RetryAfter {
-		t.MaxRetryAfter = Micros(o.Limits.MaxRetryAfterMs)
+	f := &o.Family
+	*s = Settings{
+		Admission:        o.deployment(),
+		Gauges:           f.Gauges,
+		DeadlineOptional: f.Passes != nil && !*f.Passes,
+		choices: choices{
+			below: f.Below, preemption: f.Preemption, say: f.Say, worthBy: o.WorthBy, freshMs: f.FreshMs,
+		},
 	}
-	*s = Settings{Gauges: f.Gauges, DeadlineOptional: f.Passes != nil && !*f.Passes, words: words{below: f.Below, preemption: f.Preemption, say: f.Say, worthBy: o.WorthBy, freshMs: f.FreshMs}}
 	for _, p := range o.Projects {
-		t.QuotaPerSecond = append(t.QuotaPerSecond, p.QuotaPerS)
+		s.Admission.QuotaPerSecond = append(s.Admission.QuotaPerSecond, p.QuotaPerS)
 		s.Tenants = append(s.Tenants, p.Name)
 	}
 	for n, c := range o.Classes {
-		op := admission.Operation{
-			RetrySafety: repeats[c.Repeat], Value: c.Worth, Objective: Micros(c.AimMs), ObjectiveStretch: c.AimStretch,
-			ClientTimeout: Micros(c.DeadlineMs), RepeatWindow: Micros(c.WindowMs), LateValue: c.LateValue,
-		}
-		if n < len(f.ClassCalls) {
-			op.MakesCalls = f.ClassCalls[n]
-		}
-		if n < len(f.DegradedWorth) {
-			op.ValueWithoutCall = f.DegradedWorth[n]
-		}
-		t.Operations = append(t.Operations, op)
+		s.Admission.Operations = append(s.Admission.Operations, o.operation(n))
 		s.Operations = append(s.Operations, c.Name)
-		s.words.repeats = append(s.words.repeats, c.Repeat)
+		s.choices.repeats = append(s.choices.repeats, c.Repeat)
 	}
-	s.Admission = t
 	return nil
 }
 
-// Reading names raw gauge values; what is not among them is -1.
+// deployment is what the object says of the backend as a whole, without operations and quotas.
+func (o *object) deployment() admission.Config {
+	f, r := &o.Family, &o.Rules
+	c := admission.Config{
+		OverQuotaValue:      o.OverShareWorth,
+		FleetSize:           o.FleetSize,
+		Callers:             f.Callers,
+		Cores:               f.Cores,
+		MemoryKB:            f.MemLimitKB,
+		RunFactor:           f.RunFactor,
+		IdempotencyKeyKB:    f.KeyKB,
+		JustStarted:         f.JustStarted,
+		Preemption:          preemptions[f.Preemption],
+		AdvertisedValue:     advertisedValues[f.Say],
+		AnswerSlack:         Micros(r.AnswerSlackMs),
+		DrainGrace:          Micros(r.DrainGraceMs),
+		ColdSpeed:           r.ColdShare,
+		WarmUp:              Micros(r.ColdMs),
+		CollapseMultiple:    r.FallMultiple,
+		CollapseAfter:       Micros(r.FallMs),
+		SharedDependency:    f.Below == "one_for_all",
+		CallQuota:           f.CallsOut,
+		CallQuotaWindow:     Micros(f.CallsOverMs),
+		AbandonedCallLinger: Micros(f.LingerMs),
+		BatchInterval:       Micros(o.RoundMs),
+		ValuePerWork:        o.WorthBy == "work",
+		RetriesUnmarked:     o.Clients.MarksRetry != nil && !*o.Clients.MarksRetry,
+		IdleTimeout:         Micros(f.IdleMs),
+	}
+	if o.Limits.RetryAfter {
+		c.MaxRetryAfter = Micros(o.Limits.MaxRetryAfterMs)
+	}
+	return c
+}
+
+// operation is the class of that number; lists by class may be shorter than the classes.
+func (o *object) operation(n int) admission.Operation {
+	c := &o.Classes[n]
+	op := admission.Operation{
+		RetrySafety:      retrySafeties[c.Repeat],
+		Value:            c.Worth,
+		Objective:        Micros(c.AimMs),
+		ObjectiveStretch: c.AimStretch,
+		ClientTimeout:    Micros(c.DeadlineMs),
+		RepeatWindow:     Micros(c.WindowMs),
+		LateValue:        c.LateValue,
+	}
+	if n < len(o.Family.ClassCalls) {
+		op.MakesCalls = o.Family.ClassCalls[n]
+	}
+	if n < len(o.Family.DegradedWorth) {
+		op.ValueWithoutCall = o.Family.DegradedWorth[n]
+	}
+	return op
+}
+
+// Reading makes a reading of raw values in the order of Gauges; a gauge that is not among them is -1.
 func (s *Settings) Reading(values []float64) admission.Reading {
 	return Reading(s.Gauges, values)
 }
 
-// Reading names raw gauge values by the names given; what is not among them is -1.
+// Reading makes a reading of raw values in the order of names; a gauge that is not among them is -1.
 func Reading(names []string, values []float64) admission.Reading {
 	r := admission.Reading{CoreUse: -1, OnCores: -1, MemoryShare: -1, Connections: -1}
 	byName := map[string]*float64{
