--- a/internal/backend/idempotency/kept_test.go
+++ b/internal/backend/idempotency/table_test.go
@@ -7,19 +7,19 @@
 	"pgregory.net/rapid"
 )
 
-// TestTable: whatever comes, in any order, the table stays within its bytes and lets go of all of them, finds what is
-// remembered and nothing else, and names each who waits once, for as long as it waits.
+// TestTable: whatever comes, in any order, the table stays within its bytes and releases all of them, finds what is
+// remembered and nothing else, and names each waiter once, for as long as it waits.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type shadow struct {
+		type expected struct {
 			key   Key
 			until Micros
 			ended bool
 			waits map[string]bool
 		}
 		const late = 50
-		table := New(10*overhead, overhead)
-		all := map[string]*shadow{}
+		table := New(10*entryBytes, entryBytes)
+		all := map[string]*expected{}
 		now, number := Micros(0), 0
 		ids := func() []string {
 			var list []string
@@ -30,7 +30,7 @@
 			}
 			return list
 		}
-		named := func(what string, s *shadow, waiting []string) {
+		named := func(what string, s *expected, waiting []string) {
 			if len(waiting) != len(s.waits) {
 				t.Fatalf("%s: %v wait, wanted %v", what, waiting, s.waits)
 			}
@@ -62,13 +62,13 @@
 				}
 				id := fmt.Sprint(number)
 				number++
-				all[id] = &shadow{key: k, until: now + 100, waits: map[string]bool{}}
+				all[id] = &expected{key: k, until: now + 100, waits: map[string]bool{}}
 				table.Remember(id, k, now+100)
 			case what == 1 && len(known) > 0:
 				id := rapid.SampledFrom(known).Draw(t, "ended")
 				s, ok := all[id], rapid.Bool().Draw(t, "ok")
 				first := !s.ended
-				waiting := table.Complete(id, ok, make([]byte, rapid.IntRange(0, overhead).Draw(t, "bytes")))
+				waiting := table.Complete(id, ok, make([]byte, rapid.IntRange(0, entryBytes).Draw(t, "bytes")))
 				named("ended", s, waiting)
 				s.ended, s.waits = true, map[string]bool{}
 				if _, has, ran := table.Result(id); first && has != ok || !ran {
@@ -101,13 +101,13 @@
 					}
 				}
 			}
-			if table.used > 10*overhead || table.used < 0 || table.Len() != len(all) {
-				t.Fatalf("%d bytes, %d remembered, wanted %d", table.used, table.Len(), len(all))
+			if table.usedBytes > 10*entryBytes || table.usedBytes < 0 || table.Len() != len(all) {
+				t.Fatalf("%d bytes, %d remembered, wanted %d", table.usedBytes, table.Len(), len(all))
 			}
 		}
 		table.EvictExpired(now+1000, 0, 0)
-		if table.used != 0 || table.Len() != 0 || len(table.byKey) != 0 {
-			t.Fatalf("left over: %d bytes, %d remembered, %d keys", table.used, table.Len(), len(table.byKey))
+		if table.usedBytes != 0 || table.Len() != 0 || len(table.byKey) != 0 {
+			t.Fatalf("left over: %d bytes, %d remembered, %d keys", table.usedBytes, table.Len(), len(table.byKey))
 		}
 	})
 }
@@ -125,3 +125,42 @@
 		t.Error("nothing can ask for it")
 	}
 }
+
+// TestCapacity: an entry needs its own bytes and those of the longest result; an end returns what its result does not take.
+func TestCapacity(t *testing.T) {
+	const longest = 100
+	for _, c := range []struct {
+		maxBytes int
+		want     int
+	}{{2*(entryBytes+longest) - 1, 1}, {2 * (entryBytes + longest), 2}} {
+		table, n := New(c.maxBytes, longest), 0
+		for ; table.HasCapacity(); n++ {
+			table.Remember(fmt.Sprint(n), Key{Token: fmt.Sprint(n)}, 0)
+		}
+		if n != c.want {
+			t.Errorf("%d entries in %d bytes, want %d", n, c.maxBytes, c.want)
+		}
+	}
+	for succeeded, want := range map[bool]int{true: entryBytes + longest/2, false: entryBytes} {
+		table := New(1<<20, longest)
+		table.Remember("a", Key{}, 0)
+		table.Complete("a", succeeded, make([]byte, longest/2))
+		result, ok, remembered := table.Result("a")
+		if table.usedBytes != want || ok != succeeded || (result != nil) != succeeded || !remembered {
+			t.Errorf("succeeded %t: %d bytes, want %d; result %v %t %t", succeeded, table.usedBytes, want, result, ok, remembered)
+		}
+	}
+}
+
+// TestEvictionInterval: entries are looked through at most once an interval.
+func TestEvictionInterval(t *testing.T) {
+	table := New(1<<20, 100)
+	table.EvictExpired(1000, 0, 100)
+	table.Remember("a", Key{}, 1000)
+	if table.EvictExpired(1099, 0, 100); table.Len() != 1 {
+		t.Error("evicted within the interval")
+	}
+	if table.EvictExpired(1100, 0, 100); table.Len() != 0 {
+		t.Error("not evicted after the interval")
+	}
+}
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -11,12 +11,12 @@
 )
 
 // edited is text with one piece replaced by another; a piece that is not there once fails the test.
-func edited(t *testing.T, text, old, new string) string {
+func edited(t *testing.T, text, old, replacement string) string {
 	t.Helper()
 	if strings.Count(text, old) != 1 {
 		t.Fatalf("%q stands %d times in %s", old, strings.Count(text, old), text)
 	}
-	return strings.Replace(text, old, new, 1)
+	return strings.Replace(text, old, replacement, 1)
 }
 
 // TestInvalidConfigurations: what no backend could use is refused, with the field and what is wrong with it.
