--- a/internal/agent/agentstore/store_test.go
+++ b/internal/agent/agentstore/store_test.go
@@ -6,11 +6,15 @@
 	"errors"
 	"fmt"
 	"os"
+	"path/filepath"
 	"strings"
+	"syscall"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 
 	"milletbarrow/internal/fleet"
 )
@@ -51,8 +55,8 @@
 	return all
 }
 
-// TestKept: what was saved is there after a restart, history within its bound; a second agent is kept out.
-func TestKept(t *testing.T) {
+// TestSavedStateSurvivesRestart: what was saved is there after a restart, history within its limit; a second agent can't open it.
+func TestSavedStateSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	want := fill(t, dir, 100)
 	if len(want.History) != 50 || want.History[0].Serial != 51 || len(want.Instances) != 20 || want.BootID != "b1" {
@@ -72,8 +76,8 @@
 	s.Close()
 }
 
-// TestVersions: a record of an older build, which lacks fields, is read; one of a newer build is left alone.
-func TestVersions(t *testing.T) {
+// TestFormatVersions: a record of an older build, which lacks fields, is read; one of a newer build is left alone.
+func TestFormatVersions(t *testing.T) {
 	dir := t.TempDir()
 	fill(t, dir, 3)
 	edit := func(change func(*bbolt.Tx) error) {
@@ -98,7 +102,7 @@
 		t.Fatalf("%v: %+v", err, all.Instances)
 	}
 	edit(func(tx *bbolt.Tx) error {
-		return tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, version+1))
+		return tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, formatVersion+1))
 	})
 	before, _ := os.ReadFile(Path(dir))
 	if _, err := Open(dir, 50); !errors.Is(err, ErrNewerFormat) {
@@ -109,18 +113,19 @@
 	}
 }
 
-// TestCutShort: a file cut anywhere is read whole or named as damaged; it ends no process, and invents nothing.
-func TestCutShort(t *testing.T) {
+// TestTruncatedFile: a file truncated anywhere is read completely or reported as damaged; it ends no process, and nothing
+// is invented.
+func TestTruncatedFile(t *testing.T) {
 	dir := t.TempDir()
 	want := fill(t, dir, 60)
-	whole, err := os.ReadFile(Path(dir))
+	complete, err := os.ReadFile(Path(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
 	read, damaged := 0, 0
-	for at := 1; at < len(whole); at += 997 { // odd, so that cuts fall anywhere in a page
+	for at := 1; at < len(complete); at += 997 { // odd, so that cuts fall anywhere in a page
 		cut := t.TempDir()
-		if err := os.WriteFile(Path(cut), whole[:at], 0o600); err != nil {
+		if err := os.WriteFile(Path(cut), complete[:at], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, err := Open(cut, 50)
@@ -141,5 +146,178 @@
 	if damaged == 0 {
 		t.Error("no cut did any damage")
 	}
-	t.Logf("%d bytes: %d cuts read, %d damaged", len(whole), read, damaged)
+	t.Logf("%d bytes: %d cuts read, %d damaged", len(complete), read, damaged)
+}
+
+func open(t *testing.T, dir string) Store {
+	t.Helper()
+	s, err := Open(dir, 50)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = s.Close() })
+	return s
+}
+
+func save(t *testing.T, s Store, c Change) State {
+	t.Helper()
+	if err := s.Save(c); err != nil {
+		t.Fatal(err)
+	}
+	state, err := s.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return state
+}
+
+// corrupt changes a store's file behind the store's back.
+func corrupt(t *testing.T, dir string, change func(*bbolt.Tx) error) {
+	t.Helper()
+	db, err := bbolt.Open(Path(dir), 0o600, nil)
+	if err == nil {
+		err = errors.Join(db.Update(change), db.Close())
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestDamagedContent: a file whose pages are sound and whose content is not is reported as damaged.
+func TestDamagedContent(t *testing.T) {
+	for name, change := range map[string]func(*bbolt.Tx) error{
+		"no version":    func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Delete(versionKey) },
+		"short version": func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(versionKey, []byte{1}) },
+		"instance":      func(tx *bbolt.Tx) error { return tx.Bucket(instancesBucket).Put([]byte("x"), []byte("{")) },
+		"command":       func(tx *bbolt.Tx) error { return tx.Bucket(commandsBucket).Put([]byte("x"), []byte("7")) },
+		"intent":        func(tx *bbolt.Tx) error { return tx.Bucket(intentsBucket).Put([]byte("x"), []byte(`{"id":7}`)) },
+		"history":       func(tx *bbolt.Tx) error { return tx.Bucket(historyBucket).Put([]byte("x"), nil) },
+	} {
+		dir := t.TempDir()
+		fill(t, dir, 3)
+		corrupt(t, dir, change)
+		if _, err := Open(dir, 50); !errors.Is(err, ErrCorrupt) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// TestFaultWhileReading: a file that is truncated to its meta pages under an open store faults; Load returns an error and the process
+// goes on.
+func TestFaultWhileReading(t *testing.T) {
+	dir := t.TempDir()
+	fill(t, dir, 60)
+	s, err := Open(dir, 50)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Truncate(Path(dir), int64(2*os.Getpagesize())); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("%v", err)
+	}
+	s.(*boltStore).closeUnusable()
+}
+
+// TestSystemErrorIsNoDamage: an error of the file system does not lead an operator to set a sound store aside.
+func TestSystemErrorIsNoDamage(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.Mkdir(Path(dir), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	_, err := Open(dir, 50)
+	if !errors.Is(err, syscall.EISDIR) || errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), Path(dir)) {
+		t.Errorf("%v", err)
+	}
+}
+
+// TestPrivateFiles: others on the host read neither the store nor what supervisors write beside it.
+func TestPrivateFiles(t *testing.T) {
+	dir := t.TempDir()
+	open(t, dir)
+	for _, path := range []string{Path(dir), filepath.Join(dir, "keepers")} {
+		info, err := os.Stat(path)
+		if err != nil || info.Mode().Perm()&0o077 != 0 {
+			t.Errorf("%s: %v %v", path, info.Mode(), err)
+		}
+	}
+}
+
+// TestDeletions: deleted commands and completed intents go, everything else stays.
+func TestDeletions(t *testing.T) {
+	s := open(t, t.TempDir())
+	save(t, s, Change{Record: fleet.Record{Commands: []*fleet.Command{{ID: "c1"}, {ID: "c2"}}}, Intent: &fleet.Command{ID: "i1"}})
+	save(t, s, Change{Intent: &fleet.Command{ID: "i2"}})
+	state := save(t, s, Change{DeletedCommands: []string{"c1"}, CompletedIntents: []string{"i1"}})
+	if len(state.Commands) != 1 || state.Commands[0].ID != "c2" || len(state.Intents) != 1 || state.Intents[0].ID != "i2" {
+		t.Errorf("commands %v, intents %v", state.Commands, state.Intents)
+	}
+}
+
+// TestBootIDStays: a change that names no boot leaves the one that was written.
+func TestBootIDStays(t *testing.T) {
+	s := open(t, t.TempDir())
+	save(t, s, Change{BootID: "b1"})
+	if state := save(t, s, Change{Intent: &fleet.Command{ID: "i"}}); state.BootID != "b1" {
+		t.Errorf("boot %q", state.BootID)
+	}
+}
+
+// TestFailedSaveWritesNothing: a change of which one part can't be written leaves everything as it was.
+func TestFailedSaveWritesNothing(t *testing.T) {
+	s := open(t, t.TempDir())
+	before := save(t, s, Change{Record: fleet.Record{Commands: []*fleet.Command{{ID: "c1"}}}, BootID: "b1"})
+	for name, bad := range map[string]Change{
+		"instance": {Record: fleet.Record{Instances: []fleet.Instance{{Name: ""}}}},
+		"command":  {Record: fleet.Record{Commands: []*fleet.Command{{ID: ""}}}},
+		"intent":   {Intent: &fleet.Command{ID: ""}},
+	} {
+		bad.BootID, bad.DeletedCommands = "b2", []string{"c1"}
+		bad.History = []Entry{{Serial: 1}}
+		if err := s.Save(bad); !errors.Is(err, bolterrors.ErrKeyRequired) {
+			t.Errorf("%s: %v", name, err)
+		}
+		after, err := s.Load()
+		if diff := cmp.Diff(text(before), text(after)); err != nil || diff != "" {
+			t.Errorf("%s: %v %s", name, err, diff)
+		}
+	}
+}
+
+// TestEmptyChange: a change is empty only if no part of it would write anything.
+func TestEmptyChange(t *testing.T) {
+	if c := (Change{}); !c.Empty() {
+		t.Error("nothing to write, and not empty")
+	}
+	for name, c := range map[string]Change{
+		"instance": {Record: fleet.Record{Instances: []fleet.Instance{{}}}}, "command": {Record: fleet.Record{Commands: []*fleet.Command{{}}}},
+		"deleted": {DeletedCommands: []string{"c"}}, "intent": {Intent: &fleet.Command{}}, "completed": {CompletedIntents: []string{"i"}},
+		"history": {History: []Entry{{}}}, "boot": {BootID: "b"},
+	} {
+		if c.Empty() {
+			t.Errorf("%s: taken for empty", name)
+		}
+	}
+}
+
+// TestSetAside: a store that was set aside is found under the time it was, and a new one can begin.
+func TestSetAside(t *testing.T) {
+	dir := t.TempDir()
+	fill(t, dir, 3)
+	before, err := os.ReadFile(Path(dir))
+	if err != nil {
+		t.Fatal(err)
+	}
+	aside, err := SetAside(dir, time.Date(2026, 12, 2, 5, 6, 7, 0, time.FixedZone("", 3600)))
+	if err != nil || aside != Path(dir)+".20261202T040607.damaged" {
+		t.Fatalf("%s: %v", aside, err)
+	}
+	if after, err := os.ReadFile(aside); err != nil || string(after) != string(before) {
+		t.Errorf("the file that was set aside changed: %v", err)
+	}
+	state, err := open(t, dir).Load()
+	if err != nil || len(state.Instances)+len(state.History) != 0 {
+		t.Errorf("%v %+v", err, state)
+	}
 }
