--- a/internal/agent/agentstore/store_test.go
+++ b/internal/agent/agentstore/store_test.go
@@ -247,7 +247,7 @@
 // TestDeletions: deleted commands and completed intents go, everything else stays.
 func TestDeletions(t *testing.T) {
 	s := open(t, t.TempDir())
-	save(t, s, Change{Record: fleet.Record{Commands: []*fleet.Command{{ID: "c1"}, {ID: "c2"}}}, Intent: &fleet.Command{ID: "i1"}})
+	save(t, s, Change{Snapshot: fleet.Snapshot{Commands: []*fleet.Command{{ID: "c1"}, {ID: "c2"}}}, Intent: &fleet.Command{ID: "i1"}})
 	save(t, s, Change{Intent: &fleet.Command{ID: "i2"}})
 	state := save(t, s, Change{DeletedCommands: []string{"c1"}, CompletedIntents: []string{"i1"}})
 	if len(state.Commands) != 1 || state.Commands[0].ID != "c2" || len(state.Intents) != 1 || state.Intents[0].ID != "i2" {
@@ -267,10 +267,10 @@
 // TestFailedSaveWritesNothing: a change of which one part can't be written leaves everything as it was.
 func TestFailedSaveWritesNothing(t *testing.T) {
 	s := open(t, t.TempDir())
-	before := save(t, s, Change{Record: fleet.Record{Commands: []*fleet.Command{{ID: "c1"}}}, BootID: "b1"})
+	before := save(t, s, Change{Snapshot: fleet.Snapshot{Commands: []*fleet.Command{{ID: "c1"}}}, BootID: "b1"})
 	for name, bad := range map[string]Change{
-		"instance": {Record: fleet.Record{Instances: []fleet.Instance{{Name: ""}}}},
-		"command":  {Record: fleet.Record{Commands: []*fleet.Command{{ID: ""}}}},
+		"instance": {Snapshot: fleet.Snapshot{Instances: []fleet.Instance{{Name: ""}}}},
+		"command":  {Snapshot: fleet.Snapshot{Commands: []*fleet.Command{{ID: ""}}}},
 		"intent":   {Intent: &fleet.Command{ID: ""}},
 	} {
 		bad.BootID, bad.DeletedCommands = "b2", []string{"c1"}
@@ -291,7 +291,7 @@
 		t.Error("nothing to write, and not empty")
 	}
 	for name, c := range map[string]Change{
-		"instance": {Record: fleet.Record{Instances: []fleet.Instance{{}}}}, "command": {Record: fleet.Record{Commands: []*fleet.Command{{}}}},
+		"instance": {Snapshot: fleet.Snapshot{Instances: []fleet.Instance{{}}}}, "command": {Snapshot: fleet.Snapshot{Commands: []*fleet.Command{{}}}},
 		"deleted": {DeletedCommands: []string{"c"}}, "intent": {Intent: &fleet.Command{}}, "completed": {CompletedIntents: []string{"i"}},
 		"history": {History: []Entry{{}}}, "boot": {BootID: "b"},
 	} {
