--- a/internal/backend/degradation/degradation_test.go
+++ b/internal/backend/degradation/degradation_test.go
@@ -69,18 +69,18 @@
 			tr.Say("  %5.1f s: level %d, depth %.2f", float64(now)/1e6, m.Level(), m.Depth(now))
 		}, &m)
 	}
-	story("a slow rise to each level, and back bit by bit", func(step func(Micros, Signals), m **Controller) {
+	story("a slow rise to each level, and back bit by bit", func(step func(Micros, Signals), _ **Controller) {
 		step(10*second, queued(1))
 		step(100*second, queued(1.7))
 		step(200*second, queued(2.2))
 		step(400*second, queued(0.5))
 	})
-	story("a collapse takes several steps at once", func(step func(Micros, Signals), m **Controller) {
+	story("a collapse takes several steps at once", func(step func(Micros, Signals), _ **Controller) {
 		step(10*second, queued(1))
 		step(20*second, queued(8))
 		step(300*second, queued(8))
 	})
-	story("a probe that hurts is taken back at once, and the next one waits longer", func(step func(Micros, Signals), m **Controller) {
+	story("a probe that hurts is taken back at once, and the next one waits longer", func(step func(Micros, Signals), _ **Controller) {
 		step(10*second, queued(1.7))
 		step(70*second, queued(1))
 		step(75*second, queued(1.45))
@@ -90,7 +90,7 @@
 		step(250*second, queued(1))
 		step(300*second, queued(1))
 	})
-	story("relapse after relapse by collapse: each time it waits longer before it leaves", func(step func(Micros, Signals), m **Controller) {
+	story("relapse after relapse by collapse: each time it waits longer before it leaves", func(step func(Micros, Signals), _ **Controller) {
 		for n := range Micros(4) {
 			step((n*400+100)*second, queued(1.7))
 			step((n*400+220)*second, queued(0.5))
@@ -98,7 +98,7 @@
 			step((n*400+400)*second, queued(0.5))
 		}
 	})
-	story("a signal that is missing neither enters nor leaves", func(step func(Micros, Signals), m **Controller) {
+	story("a signal that is missing neither enters nor leaves", func(step func(Micros, Signals), _ **Controller) {
 		step(10*second, queued(1.7))
 		none := queued(0)
 		none[Queue] = Missing
@@ -126,7 +126,7 @@
 		step(159*second, queued(4))
 		step(240*second, queued(4))
 	})
-	story("two signals that pull apart: either enters, both must be well to leave", func(step func(Micros, Signals), m **Controller) {
+	story("two signals that pull apart: either enters, both must be well to leave", func(step func(Micros, Signals), _ **Controller) {
 		apart := queued(0.5)
 		apart[Late] = 0.2
 		step(10*second, apart)
@@ -326,7 +326,9 @@
 		}
 		var b strings.Builder
 		for _, r := range all {
-			WriteReading(&b, r)
+			if err := WriteReading(&b, r); err != nil {
+				t.Fatal(err)
+			}
 		}
 		again, err := ReadTrace("t", strings.NewReader(b.String()))
 		if err != nil || len(again) != len(all) {
@@ -334,7 +336,9 @@
 		}
 		var c strings.Builder
 		for _, r := range again {
-			WriteReading(&c, r)
+			if err := WriteReading(&c, r); err != nil {
+				t.Fatal(err)
+			}
 		}
 		if b.String() != c.String() {
 			t.Fatalf("%q became %q", b.String(), c.String())
--- /dev/null
+++ b/internal/backend/degradation/parse.go
@@ -0,0 +1,110 @@
+package degradation
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"milletbarrow/internal/sexpr"
+)
+
+const hour = time.Hour
+
+// ParsePolicy parses and validates a policy, the S-expression (ladder ...); file is its name in errors. The error joins
+// all faults that were found.
+func ParsePolicy(file string, src []byte) (*Policy, error) {
+	nodes, err := sexpr.Parse(file, src)
+	if err != nil {
+		return nil, err
+	}
+	errs := &sexpr.Errors{File: file}
+	forms := sexpr.Forms(nodes, errs)
+	if len(forms) != 1 || forms[0].Name != "ladder" {
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted one list that begins with ladder")
+		return nil, errs.Err()
+	}
+	f := forms[0]
+	micros := func(d time.Duration) Micros { return Micros(d.Microseconds()) }
+	p := &Policy{
+		Name:           f.Arg(),
+		ChangeInterval: micros(f.Span("every", time.Second, hour, time.Minute)),
+		RecoveryRamp:   micros(f.Span("ramp", 0, hour, 20*time.Second)),
+		MaxOverride:    micros(f.Span("pins", time.Second, 24*hour, hour)),
+	}
+	for s := range p.Smoothing {
+		p.Smoothing[s] = micros(time.Second)
+	}
+	if sm := f.Field("smooth"); sm != nil {
+		for s, name := range signalNames {
+			p.Smoothing[s] = micros(sm.Span(name, 0, hour, time.Second))
+		}
+		sm.Done()
+	}
+	for _, lf := range f.All("level") {
+		p.Levels = append(p.Levels, readLevel(lf))
+	}
+	f.Done()
+	if n := len(p.Levels); n == 0 || n > MaxLevels {
+		f.Fail("", "found %d levels, wanted 1 to %d", n, MaxLevels)
+	}
+	p.validate(errs)
+	return p, errs.Err()
+}
+
+func readLevel(f *sexpr.Form) Level {
+	v := Level{Name: f.Arg(), place: f.Place, MinDuration: Micros(f.Span("stay", time.Second, hour, time.Minute).Microseconds())}
+	v.Enter, v.Exit = readCondition(f, "enter"), readCondition(f, "exit")
+	for _, s := range f.All("shed") {
+		v.Shed = append(v.Shed, Rule{
+			Operations: s.Words("operations"), Tenants: s.Words("tenants"), RankBelow: s.Share("rank-below", 0, 1, 1),
+			CostAbove: Micros(s.Span("cost-above", 0, hour, 0).Microseconds()), Share: s.Share("share", 0.01, 1, 1),
+		})
+		s.Done()
+	}
+	if n := len(v.Shed); n == 0 || n > MaxRules {
+		f.Fail("", "sheds by %d rules, wanted 1 to %d", n, MaxRules)
+	}
+	f.Done()
+	return v
+}
+
+// readCondition reads (enter (any (queue 1.8 2s) (late 0.1 2s))), or with all, or with one term alone.
+func readCondition(f *sexpr.Form, name string) (c Condition) {
+	cf := f.Field(name)
+	if cf == nil {
+		f.Fail("", "%s: missing", name)
+		return c
+	}
+	terms := cf
+	for _, word := range []string{"any", "all"} {
+		if sub := cf.Field(word); sub != nil {
+			terms, c.Any = sub, word == "any"
+		}
+	}
+	for s, word := range signalNames {
+		for _, t := range terms.All(word) {
+			words := t.Args(1, 2)
+			term := Term{Signal: Signal(s)}
+			if _, err := fmt.Sscanf(strings.Join(words[:min(1, len(words))], ""), "%g", &term.Value); err != nil || !(term.Value >= 0 && term.Value <= 1000) {
+				t.Fail("", "found %q, wanted a value from 0 to 1000 and perhaps a time", strings.Join(words, " "))
+			}
+			if len(words) == 2 {
+				d, err := time.ParseDuration(words[1])
+				if err != nil || d < 0 || d > hour {
+					t.Fail("", "found %q, wanted a time up to %v", words[1], hour)
+				}
+				term.For = Micros(d.Microseconds())
+			}
+			t.Done()
+			c.Terms = append(c.Terms, term)
+		}
+	}
+	if terms != cf {
+		terms.Done()
+	}
+	cf.Done()
+	if n := len(c.Terms); n == 0 || n > MaxTerms {
+		cf.Fail("", "found %d terms, wanted 1 to %d", n, MaxTerms)
+	}
+	return c
+}
--- a/internal/backend/degradation/shedder.go
+++ b/internal/backend/degradation/shedder.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Shedder says of single invocations whether a level sheds them. A share is drawn so that the part that is shed
-// follows it closely at any time, while chance says which: no caller is hit each time, and none goes free.
+// Shedder decides which requests a level sheds. The number shed follows the fraction closely at any time, while chance
+// decides which: no caller is shed each time, and none is always spared. Not safe for concurrent use.
 type Shedder struct {
-	rules      [][]rule  // of each level
-	debt       []float64 // for each operation: what it is behind its share, above -1 and below 1
+	rules      [][]rule  // by level
+	debt       []float64 // by operation: how many requests fewer than its fraction were shed, above -1 and below 1
 	pcg        rand.PCG
 	operations int
 }
@@ -22,9 +22,9 @@
 	share               float64
 }
 
-// NewShedder fits a ladder to a deployment; a name that the deployment does not have is an error, as a rule that can
-// never match is a mistake.
-func NewShedder(l *Policy, operations, tenants []string, seed uint64) (*Shedder, error) {
+// NewShedder returns a shedder for the operations and tenants of a deployment. A name in the policy that is none of them is
+// an error, since its rule could never match.
+func NewShedder(policy *Policy, operations, tenants []string, seed uint64) (*Shedder, error) {
 	d := &Shedder{debt: make([]float64, len(operations)), pcg: *rand.NewPCG(seed, 3), operations: len(operations)}
 	mark := func(what string, names, all []string) ([]bool, error) {
 		if len(names) == 0 {
@@ -40,7 +40,7 @@
 		}
 		return set, nil
 	}
-	for _, v := range l.Levels {
+	for _, v := range policy.Levels {
 		var rules []rule
 		for _, r := range v.Shed {
 			ops, err := mark("operation", r.Operations, operations)
@@ -58,9 +58,9 @@
 	return d, nil
 }
 
-// ShedFraction of what is like this invocation that the level sheds; depth is of the level itself, see Mover. Numbers of
-// operations and tenants are those of the names given to NewDrawer; a tenant beyond them matches no rule that
-// names tenants.
+// ShedFraction is the fraction of requests like this one that a level sheds; depth is that of the level, see
+// Controller.Depth. Operations and tenants are indices of the names given to NewShedder; a tenant beyond them matches no
+// rule that names tenants.
 func (d *Shedder) ShedFraction(level int, depth float64, operation, tenant int, rank float64, cost Micros) float64 {
 	share := 0.0
 	for n := range min(level, len(d.rules)) {
@@ -79,7 +79,7 @@
 	return share
 }
 
-// ShouldShed draws for one invocation.
+// ShouldShed decides on one request.
 func (d *Shedder) ShouldShed(level int, depth float64, operation, tenant int, rank float64, cost Micros) bool {
 	if level == 0 {
 		return false
--- a/internal/backend/degradation/signals.go
+++ b/internal/backend/degradation/signals.go
@@ -2,37 +2,38 @@
 
 import "math"
 
-// Counter is something that a meter counts.
+// Counter names an event that a SignalMeter counts.
 type Counter int
 
-// The counts.
+// The counters.
 const (
-	Arrivals        Counter = iota // those that a level sheds left out
+	Arrivals        Counter = iota // without those that a level sheds
 	RetriedArrivals                // of them, retries
-	Rejections                     // of them, throttled by the module
+	Rejections                     // of them, throttled by the admission control
 	Successes                      // succeeded
 	LateSuccesses                  // of them, past their latency objective
 	counterCount
 )
 
-// SignalMeter makes signals of what a front counts and of the farm's gauges. What is counted loses weight by e in a
-// second, so that a share is of late; a share of too little is missing.
+// SignalMeter measures the signals from counted events and the executor's gauges. Counts decay by a factor of e each
+// second; a fraction of too small a count is missing. Not safe for concurrent use.
 type SignalMeter struct {
 	sums         [counterCount]float64
 	decayedAt    Micros
 	cores        float64
-	warmingUntil Micros // until then
+	warmingUntil Micros // the executor warms up until then
 	draining     bool
 }
 
 const (
-	decayTime      = 1_000_000 // microseconds in which a count loses weight by e
-	minDenominator = 4.0       // of a share's whole; of less nothing is said
+	decayTime      = 1_000_000 // microseconds
+	minDenominator = 4.0       // the smallest count that a fraction is taken of
 )
 
-// NewSignalMeter is one for so many cores, at least 1.
+// NewSignalMeter returns a meter for an executor of that many cores, at least 1.
 func NewSignalMeter(cores int) *SignalMeter { return &SignalMeter{cores: float64(max(1, cores))} }
 
+// decay reduces the counts by the time since the last event.
 func (m *SignalMeter) decay(now Micros) {
 	if now <= m.decayedAt {
 		return
@@ -44,19 +45,20 @@
 	m.decayedAt = now
 }
 
-// Count counts one.
-func (m *SignalMeter) Count(now Micros, c Counter) {
+// Count counts an event.
+func (m *SignalMeter) Count(now Micros, counter Counter) {
 	m.decay(now)
-	m.sums[c]++
+	m.sums[counter]++
 }
 
-// SetWarmingUntil tells that the farm is cold until then.
+// SetWarmingUntil sets until when the executor warms up.
 func (m *SignalMeter) SetWarmingUntil(until Micros) { m.warmingUntil = until }
 
-// SetDraining tells that the notice has come.
+// SetDraining sets that a graceful shutdown has begun.
 func (m *SignalMeter) SetDraining() { m.draining = true }
 
-// Signals makes the signals of now. Gauges that are not known, or below 0, are missing.
+// Signals returns the signals of now. Gauges that are not known, or below 0, are missing; onCores counts requests, coreUse
+// and memory are fractions.
 func (m *SignalMeter) Signals(now Micros, onCores, coreUse, memory float64, known bool) (s Signals) {
 	m.decay(now)
 	gauge := func(v, by float64) float64 {
--- a/internal/backend/degradation/trace.go
+++ b/internal/backend/degradation/trace.go
@@ -4,25 +4,26 @@
 	"bufio"
 	"fmt"
 	"io"
+	"math"
 	"strconv"
 	"strings"
 )
 
-// Reading is one line of recorded signals.
+// Reading is one line of a trace of signals.
 type Reading struct {
 	At      Micros
 	Signals Signals
 }
 
-// MaxTraceReadings of one trace; a longer one is refused.
+// MaxTraceReadings is the length of the longest trace that ReadTrace accepts.
 const MaxTraceReadings = 2_000_000
 
-// WriteReading appends one line: the time in microseconds, then the signals that are known as name=value.
+// WriteReading writes one line: the time in microseconds, then each known signal as name=value.
 func WriteReading(w io.Writer, r Reading) error {
 	var b strings.Builder
 	b.WriteString(strconv.FormatInt(int64(r.At), 10))
 	for s, v := range r.Signals {
-		if v == v { // not missing
+		if !math.IsNaN(v) {
 			fmt.Fprintf(&b, " %s=%s", Signal(s), strconv.FormatFloat(v, 'g', 6, 64))
 		}
 	}
@@ -31,7 +32,7 @@
 	return err
 }
 
-// ReadTrace reads such lines; times must rise. Signals that a line leaves out are missing there.
+// ReadTrace reads a trace; file is its name in errors. Times must increase. Signals that a line leaves out are missing.
 func ReadTrace(file string, in io.Reader) (all []Reading, err error) {
 	lines := bufio.NewScanner(in)
 	for n := 1; lines.Scan(); n++ {
@@ -66,6 +67,7 @@
 	return all, lines.Err()
 }
 
+// signalByName returns the index of a signal, or -1.
 func signalByName(name string) int {
 	for s, n := range signalNames {
 		if n == name {
@@ -75,7 +77,7 @@
 	return -1
 }
 
-// ReplayPoint is what a replay shows at one reading.
+// ReplayPoint is the controller's state after one reading.
 type ReplayPoint struct {
 	At       Micros
 	Level    int
@@ -83,30 +85,30 @@
 	Smoothed Signals
 }
 
-// Replay plays a trace through a ladder.
-func Replay(l *Policy, trace []Reading) (points []ReplayPoint, changes []Change) {
-	m := NewController(l)
+// Replay runs a trace through a controller.
+func Replay(policy *Policy, trace []Reading) (points []ReplayPoint, changes []Change) {
+	controller := NewController(policy)
 	for _, r := range trace {
-		if c, changed := m.Update(r.At, r.Signals); changed {
+		if c, changed := controller.Update(r.At, r.Signals); changed {
 			changes = append(changes, c)
 		}
-		points = append(points, ReplayPoint{r.At, m.Level(), m.Depth(r.At), m.Smoothed()})
+		points = append(points, ReplayPoint{r.At, controller.Level(), controller.Depth(r.At), controller.Smoothed()})
 	}
 	return points, changes
 }
 
-// String names the signals that are known.
+// String prints the known signals.
 func (s Signals) String() string {
 	var known []string
 	for n, v := range s {
-		if v == v {
+		if !math.IsNaN(v) {
 			known = append(known, fmt.Sprintf("%s=%.3g", Signal(n), v))
 		}
 	}
 	return strings.Join(known, " ")
 }
 
-// String writes a change as its log line has it.
+// String prints a change as operators see it.
 func (c Change) String() string {
 	return fmt.Sprintf("%d to %d, collapse %t, %s; %v", c.From, c.To, c.Collapse, c.Cause, c.Signals)
 }
