--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -29,7 +29,7 @@
 		fakes.Until(t, "it is read", func() bool {
 			one.mu.Lock()
 			defer one.mu.Unlock()
-			return (one.sound || !one.begun.IsZero()) && one.rests()
+			return (one.sentValid || !one.frameStart.IsZero()) && one.idle()
 		})
 		s.CloseAnswered()
 		if !s.AllClosed() {
@@ -50,8 +50,8 @@
 		other := fakes.Dial(t, s.address)
 		other.Send(fakes.Raw(20, 1, "\x00"))
 		other.Expect()
-		if _, carried := s.Counts(); carried != 0 || s.inGate() != 0 || len(s.theFarm.Launches) != 0 {
-			t.Errorf("%s: %d in flight, %d launched", c.what, carried, len(s.theFarm.Launches))
+		if _, carried := s.Counts(); carried != 0 || s.inDispatch() != 0 || len(s.fakeExecutor.Launches) != 0 {
+			t.Errorf("%s: %d in flight, %d launched", c.what, carried, len(s.fakeExecutor.Launches))
 		}
 	}
 }
@@ -100,23 +100,23 @@
 		code   byte
 		body   string
 	}{
-		{"cut within its notice", func(id string) { s.theFarm.Send("outcome 1 " + id + " comp"); s.theFarm.Cut() }, 1, "the whole"},
+		{"cut within its notice", func(id string) { s.fakeExecutor.Send("outcome 1 " + id + " comp"); s.fakeExecutor.Cut() }, 1, "the whole"},
 		{"cut within its result", func(id string) {
-			s.theFarm.Send("outcome 2 " + id + " complete 3 9\r\nthe w")
-			s.theFarm.Cut()
+			s.fakeExecutor.Send("outcome 2 " + id + " complete 3 9\r\nthe w")
+			s.fakeExecutor.Cut()
 		}, 1, "the whole"},
-		{"without its end", func(id string) { s.theFarm.Notice("outcome %d " + id + " complete 3 9\r\nthe wholeXX") }, 3, ""},
+		{"without its end", func(id string) { s.fakeExecutor.Notice("outcome %d " + id + " complete 3 9\r\nthe wholeXX") }, 3, ""},
 	} {
 		n.Send(fakes.Invocation(uint32(k+1), k+1))
-		l := fakes.Take(t, "a launch", s.theFarm.Launches)
+		l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 		c.spoils(l.ID)
 		if c.code == 1 {
-			s.theFarm.End(l.ID, "complete", "the whole")
+			s.fakeExecutor.End(l.ID, "complete", "the whole")
 		}
 		if f := n.Expect(); f.Stream != uint32(k+1) || f.Code != c.code || f.Body != c.body {
 			t.Errorf("%s: %v", c.what, f)
 		}
-		fakes.Until(t, "the link is up", s.good)
+		fakes.Until(t, "the link is up", s.healthy)
 	}
 	n.Send(fakes.Raw(20, 9, "\x00"))
 	if f := n.Expect(); f.Stream != 9 {
--- a/internal/backend/server/conn.go
+++ b/internal/backend/server/conn.go
@@ -20,35 +20,35 @@
 // before it. So nothing that the poller calls may wait. Answers gather in out and go straight to the socket;
 // only what it does not take at once is left to a goroutine that waits.
 type conn struct {
-	server *Server
-	np     netpoll.Connection
-	fd     int
-	born   time.Time
+	server    *Server
+	transport netpoll.Connection
+	fd        int
+	openedAt  time.Time
 
 	// The poller's.
-	part []byte // a frame whose rest has not come
-	skip int    // bytes of a frame too long to be an invocation, still to be passed over
-	deaf bool   // borders are lost, or too much could not be used: nothing more is taken in
-
-	mu      sync.Mutex
-	open    map[uint32]*stream
-	out     []byte // answers not yet written
-	writing bool   // a goroutine waits for the socket to take some
-	noMore  bool   // type 30 is out
-	ending  bool   // closes once all is answered and written
-	closed  bool   // and has been, for writing at least: what comes is read and dropped
-	over    bool   // for reading too
-	freed   bool   // netpoll has let go of it; its descriptor may be another's
-	sound   bool   // it has said something that can be used
-	unfit   int    // frames that could not be used, or named work that the farm does not know
-	used    time.Time
-	begun   time.Time // when the frame began of which the rest has not come; zero: there is none
+	partial     []byte // a frame whose rest has not come
+	skip        int    // bytes of a frame too long to be an invocation, still to be passed over
+	ignoreInput bool   // borders are lost, or too much could not be used: nothing more is taken in
+
+	mu          sync.Mutex
+	streams     map[uint32]*stream
+	pending     []byte // answers not yet written
+	writing     bool   // a goroutine waits for the socket to take some
+	goAwaySent  bool   // type 30 is out
+	closing     bool   // closes once all is answered and written
+	writeClosed bool   // and has been, for writing at least: what comes is read and dropped
+	readClosed  bool   // for reading too
+	released    bool   // netpoll has let go of it; its descriptor may be another's
+	sentValid   bool   // it has said something that can be used
+	invalid     int    // frames that could not be used, or named work that the farm does not know
+	lastUsed    time.Time
+	frameStart  time.Time // when the frame began of which the rest has not come; zero: there is none
 }
 
 // stream is an invocation that is to be answered.
 type stream struct {
-	number uint32
-	left   chan struct{} // closed once its caller is known to have gone
+	number   uint32
+	canceled chan struct{} // closed once its caller is known to have gone
 }
 
 // read takes in all that has come. Netpoll calls it on the poller, and would call again and again for what is
@@ -57,10 +57,10 @@
 	defer func() {
 		if r := recover(); r != nil {
 			slog.Error("fault", "in", "read", "text", r, "stack", string(debug.Stack()))
-			c.cut()
+			c.abort()
 		}
 	}()
-	r := c.np.Reader()
+	r := c.transport.Reader()
 	for n := r.Len(); n > 0; n = r.Len() {
 		b, err := r.Next(n)
 		if err == nil {
@@ -68,7 +68,7 @@
 			err = r.Release()
 		}
 		if err != nil {
-			c.cut()
+			c.abort()
 			return
 		}
 	}
@@ -78,7 +78,7 @@
 // far as it can be an invocation.
 func (c *conn) feed(b []byte) {
 	taken := false
-	for len(b) > 0 && !c.deaf {
+	for len(b) > 0 && !c.ignoreInput {
 		if c.skip > 0 {
 			n := min(c.skip, len(b))
 			c.skip -= n
@@ -87,41 +87,41 @@
 		}
 		whole := frame.LengthSize
 		head := b
-		if len(c.part) > 0 {
+		if len(c.partial) > 0 {
 			b = c.gather(b, whole)
-			head = c.part
+			head = c.partial
 		}
 		if len(head) >= whole {
 			size, err := frame.Length(head, c.server.bounds.Frame)
 			if err != nil {
-				c.lostBorders(err)
+				c.framingLost(err)
 				return
 			}
 			whole = min(frame.LengthSize+size, frame.HeaderSize+c.server.bounds.Content)
-			if len(c.part) > 0 {
+			if len(c.partial) > 0 {
 				b = c.gather(b, whole)
-				head = c.part
+				head = c.partial
 			}
 			if len(head) >= whole {
 				c.skip = frame.LengthSize + size - whole
-				c.take(head[:whole])
+				c.handleFrame(head[:whole])
 				taken = true
-				if len(c.part) == 0 {
+				if len(c.partial) == 0 {
 					b = b[whole:]
-				} else if c.part = c.part[:0]; cap(c.part) > c.server.bounds.Part {
-					c.part = nil
+				} else if c.partial = c.partial[:0]; cap(c.partial) > c.server.bounds.Part {
+					c.partial = nil
 				}
 				continue
 			}
 		}
-		if len(c.part) == 0 {
+		if len(c.partial) == 0 {
 			b = c.gather(b, len(b))
 		}
 	}
-	if within := len(c.part) > 0 || c.skip > 0; within != !c.begun.IsZero() || within && taken {
+	if within := len(c.partial) > 0 || c.skip > 0; within != !c.frameStart.IsZero() || within && taken {
 		c.mu.Lock()
-		if c.begun = (time.Time{}); within {
-			c.begun = time.Now()
+		if c.frameStart = (time.Time{}); within {
+			c.frameStart = time.Now()
 		}
 		c.mu.Unlock()
 	}
@@ -129,36 +129,36 @@
 
 // gather moves bytes to part until it holds so many, and returns the rest.
 func (c *conn) gather(b []byte, whole int) []byte {
-	n := min(max(0, whole-len(c.part)), len(b))
-	c.part = append(c.part, b[:n]...)
+	n := min(max(0, whole-len(c.partial)), len(b))
+	c.partial = append(c.partial, b[:n]...)
 	return b[n:]
 }
 
-// lostBorders: nothing can be read any more; what was read whole is answered, then the connection closes.
-func (c *conn) lostBorders(err error) {
-	c.server.odd.Warn("borders", err)
-	c.deaf, c.part = true, nil
-	c.put(func(to []byte) []byte { return frame.AppendError(to, err.Error()) })
-	c.end()
+// framingLost: nothing can be read any more; what was read whole is answered, then the connection closes.
+func (c *conn) framingLost(err error) {
+	c.server.violations.Warn("borders", err)
+	c.ignoreInput, c.partial = true, nil
+	c.send(func(to []byte) []byte { return frame.AppendError(to, err.Error()) })
+	c.closeWhenAnswered()
 }
 
-// odd notes a frame that cannot be used, or an invocation of which the farm does not know. It guards against
+// reject notes a frame that cannot be used, or an invocation of which the farm does not know. It guards against
 // floods of them: a caller that sends nothing else costs a bounded share of our time, then it is left alone.
-func (c *conn) odd(kind string, err error) {
-	c.server.odd.Warn(kind, err)
+func (c *conn) reject(kind string, err error) {
+	c.server.violations.Warn(kind, err)
 	c.mu.Lock()
-	c.unfit++
-	unfit, most := c.unfit, c.server.bounds.Unfit
+	c.invalid++
+	unfit, most := c.invalid, c.server.bounds.Unfit
 	c.mu.Unlock()
 	if unfit == most {
-		c.server.odd.Warn("unfit", nil)
-		c.end()
+		c.server.violations.Warn("unfit", nil)
+		c.closeWhenAnswered()
 	}
 }
 
-// take handles one frame; b holds all of it, or the beginning of one that is too long. An error of our own
+// handleFrame handles one frame; b holds all of it, or the beginning of one that is too long. An error of our own
 // in it is logged, and its stream is answered.
-func (c *conn) take(b []byte) {
+func (c *conn) handleFrame(b []byte) {
 	h := frame.ReadHeader(b)
 	defer func() {
 		if r := recover(); r != nil {
@@ -167,35 +167,35 @@
 		}
 	}()
 	payload := b[frame.HeaderSize:]
-	if c.heedless() {
-		c.deaf = true
+	if c.ignoresInput() {
+		c.ignoreInput = true
 		return
 	}
 	switch h.Kind {
 	case frame.KindInvocation:
-		c.invocation(h, payload)
+		c.handleInvocation(h, payload)
 	case frame.KindCancel:
-		c.gone(h.Stream)
+		c.cancel(h.Stream)
 	case frame.KindHealthCheck:
-		good := c.server.good()
+		good := c.server.healthy()
 		if err := frame.ReadFields(payload); err != nil || h.Payload > len(payload) {
-			c.odd("check", err)
+			c.reject("check", err)
 			good = false
 		} else {
-			c.use(nil)
+			c.openStream(nil)
 		}
-		c.put(func(to []byte) []byte { return frame.AppendHealthAnswer(to, h.Stream, good) })
+		c.send(func(to []byte) []byte { return frame.AppendHealthAnswer(to, h.Stream, good) })
 	default: // what is meant by its stream is unknown, so none is touched
-		c.odd("kind", nil)
-		c.put(func(to []byte) []byte { return frame.AppendError(to, "unknown type") })
+		c.reject("kind", nil)
+		c.send(func(to []byte) []byte { return frame.AppendError(to, "unknown type") })
 	}
 }
 
-func (c *conn) invocation(h frame.Header, payload []byte) {
+func (c *conn) handleInvocation(h frame.Header, payload []byte) {
 	s := c.server
 	if h.Stream == 0 {
-		c.odd("stream_0", nil)
-		c.put(func(to []byte) []byte { return frame.AppendError(to, "an invocation on stream 0") })
+		c.reject("stream_0", nil)
+		c.send(func(to []byte) []byte { return frame.AppendError(to, "an invocation on stream 0") })
 		return
 	}
 	in, err := frame.ReadInvocation(payload, s.bounds.Body)
@@ -208,13 +208,13 @@
 		err = errOperation
 	case tenant == 0 && len(s.tenants) > 0:
 		err = errTenant
-	case !in.HasWait && !s.sheet.DeadlineOptional:
+	case !in.HasWait && !s.settings.DeadlineOptional:
 		err = errWait
-	case s.sheet.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed && (len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.Token):
+	case s.settings.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed && (len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.Token):
 		err = errToken
 	}
 	if err != nil {
-		c.odd("invocation", err)
+		c.reject("invocation", err)
 		c.fail(h.Stream)
 		return
 	}
@@ -223,30 +223,30 @@
 		ExpectedWork: in.Work, ArrivedAt: dispatch.FromWallClock(in.At), CallerTimeout: in.Wait,
 	}
 	if !in.HasWait {
-		inv.CallerTimeout = s.sheet.Admission.Operations[op-1].ClientTimeout
+		inv.CallerTimeout = s.settings.Admission.Operations[op-1].ClientTimeout
 	}
-	if s.sheet.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed {
+	if s.settings.Admission.Operations[op-1].RetrySafety == admission.IdempotencyKeyed {
 		inv.IdempotencyKey = token(in.IdempotencyKey, in.Body)
 	}
-	st := &stream{number: h.Stream, left: make(chan struct{})}
-	inv.CallerLeft = st.left
-	again, room, gone := c.use(st)
+	st := &stream{number: h.Stream, canceled: make(chan struct{})}
+	inv.CallerLeft = st.canceled
+	again, room, gone := c.openStream(st)
 	switch {
 	case gone: // nobody can be answered any more
 	case again:
-		c.odd("stream_again", nil)
+		c.reject("stream_again", nil)
 		c.fail(h.Stream)
-	case !room || !s.enter():
+	case !room || !s.reserve():
 		// More than may be open here, or than this process can hold: it never ran, another may have room. Not for a
 		// repeat of what ran here: the other would run it again.
 		code := frame.Throttled
-		if s.gate.IsRepeat(inv) {
+		if s.dispatcher.IsRepeat(inv) {
 			code = frame.Errored
 		}
-		c.put(func(to []byte) []byte { return frame.AppendAnswer(to, h.Stream, code, 0, false, nil) })
-		c.forget(st)
+		c.send(func(to []byte) []byte { return frame.AppendAnswer(to, h.Stream, code, 0, false, nil) })
+		c.closeStream(st)
 	default: // the body outlives the buffer that it was read into
-		go s.carry(c, st, inv, s.sheet.Operations[op-1], append([]byte(nil), in.Body...))
+		go s.handle(c, st, inv, s.settings.Operations[op-1], append([]byte(nil), in.Body...))
 	}
 }
 
@@ -258,19 +258,19 @@
 	return string(mark) + string(sum[:])
 }
 
-// use notes that something sound was said, and opens the stream of an invocation. On a connection that ends there is
+// openStream notes that something sound was said, and opens the stream of an invocation. On a connection that ends there is
 // room for no more, but what comes is still answered.
-func (c *conn) use(st *stream) (again, room, gone bool) {
+func (c *conn) openStream(st *stream) (again, room, gone bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sound, c.used = true, time.Now()
-	if st == nil || c.closed {
-		return false, false, c.closed
+	c.sentValid, c.lastUsed = true, time.Now()
+	if st == nil || c.writeClosed {
+		return false, false, c.writeClosed
 	}
-	again = c.open[st.number] != nil
-	room = !again && !c.ending && len(c.open) < c.server.bounds.Streams
+	again = c.streams[st.number] != nil
+	room = !again && !c.closing && len(c.streams) < c.server.bounds.Streams
 	if room {
-		c.open[st.number] = st
+		c.streams[st.number] = st
 	}
 	return again, room, false
 }
@@ -278,13 +278,13 @@
 // answer gives a stream its one answer, unless its caller has left or it had one.
 func (c *conn) answer(st *stream, code frame.Code, away dispatch.Micros, last bool, body []byte) {
 	c.mu.Lock()
-	if c.open[st.number] != st {
+	if c.streams[st.number] != st {
 		c.mu.Unlock()
 		return
 	}
 	defer c.mu.Unlock()
-	delete(c.open, st.number)
-	c.used = time.Now()
+	delete(c.streams, st.number)
+	c.lastUsed = time.Now()
 	c.append(func(to []byte) []byte { return frame.AppendAnswer(to, st.number, code, away, last, body) })
 	c.flush()
 }
@@ -293,35 +293,35 @@
 // one's caller cannot tell the answers apart: this is the answer to both, and the first is let go.
 func (c *conn) fail(number uint32) {
 	c.mu.Lock()
-	if st := c.open[number]; st != nil {
-		delete(c.open, number)
-		close(st.left)
+	if st := c.streams[number]; st != nil {
+		delete(c.streams, number)
+		close(st.canceled)
 	}
 	c.mu.Unlock()
-	c.put(func(to []byte) []byte { return frame.AppendAnswer(to, number, frame.Errored, 0, false, nil) })
+	c.send(func(to []byte) []byte { return frame.AppendAnswer(to, number, frame.Errored, 0, false, nil) })
 }
 
-// gone: nobody waits for this stream any more. Unknown and answered ones are no longer open.
-func (c *conn) gone(number uint32) {
+// cancel: nobody waits for this stream any more. Unknown and answered ones are no longer open.
+func (c *conn) cancel(number uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if st := c.open[number]; st != nil {
-		delete(c.open, number)
-		close(st.left)
+	if st := c.streams[number]; st != nil {
+		delete(c.streams, number)
+		close(st.canceled)
 	}
 }
 
-// forget takes a stream off that was answered without a run.
-func (c *conn) forget(st *stream) {
+// closeStream takes a stream off that was answered without a run.
+func (c *conn) closeStream(st *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open[st.number] == st {
-		delete(c.open, st.number)
+	if c.streams[st.number] == st {
+		delete(c.streams, st.number)
 	}
 }
 
-// put writes a frame.
-func (c *conn) put(write func(to []byte) []byte) {
+// send writes a frame.
+func (c *conn) send(write func(to []byte) []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.append(write)
@@ -330,240 +330,240 @@
 
 // append adds a frame to what is to be written; c.mu is held.
 func (c *conn) append(write func(to []byte) []byte) {
-	if c.closed {
+	if c.writeClosed {
 		return
 	}
-	before := len(c.out)
-	c.out = write(c.out)
-	c.server.unsent.Add(int64(len(c.out) - before))
+	before := len(c.pending)
+	c.pending = write(c.pending)
+	c.server.unsent.Add(int64(len(c.pending) - before))
 }
 
 // flush writes what has gathered as far as the socket takes it, and leaves the rest to a goroutine that waits.
 // A peer that takes nothing while it sends is cut off. c.mu is held.
 func (c *conn) flush() {
 	b := &c.server.bounds
-	if c.closed || len(c.out) == 0 {
+	if c.writeClosed || len(c.pending) == 0 {
 		return
 	}
 	if c.writing {
-		if len(c.out) > b.Unsent || c.server.unsent.Load() > b.UnsentAll {
-			c.server.odd.Warn("unread", nil)
-			c.shut()
+		if len(c.pending) > b.Unsent || c.server.unsent.Load() > b.UnsentAll {
+			c.server.violations.Warn("unread", nil)
+			c.shutdown()
 		}
 		return
 	}
-	n, err := syscall.Write(c.fd, c.out)
+	n, err := syscall.Write(c.fd, c.pending)
 	switch n = max(n, 0); {
 	case err != nil && err != syscall.EAGAIN && err != syscall.EINTR:
-		c.shut()
+		c.shutdown()
 		return
-	case n < len(c.out):
+	case n < len(c.pending):
 		c.server.unsent.Add(-int64(n))
-		c.out = c.out[:copy(c.out, c.out[n:])]
+		c.pending = c.pending[:copy(c.pending, c.pending[n:])]
 		c.writing = true
-		go c.wait()
+		go c.drainPending()
 		return
 	}
-	c.written(c.out)
-	c.finish()
+	c.recycle(c.pending)
+	c.closeWriteIfDone()
 }
 
-// written keeps a buffer for the next answers; c.mu is held.
-func (c *conn) written(b []byte) {
+// recycle keeps a buffer for the next answers; c.mu is held.
+func (c *conn) recycle(b []byte) {
 	c.server.unsent.Add(-int64(len(b)))
-	if c.out = nil; cap(b) <= c.server.bounds.Spare {
-		c.out = b[:0]
+	if c.pending = nil; cap(b) <= c.server.bounds.Spare {
+		c.pending = b[:0]
 	}
 }
 
-// wait writes what the socket does not take at once.
-func (c *conn) wait() {
+// drainPending writes what the socket does not take at once.
+func (c *conn) drainPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.out) > 0 && !c.closed {
-		b := c.out
-		c.out = nil
+	for len(c.pending) > 0 && !c.writeClosed {
+		b := c.pending
+		c.pending = nil
 		c.mu.Unlock()
-		_, err := c.np.Write(b)
+		_, err := c.transport.Write(b)
 		c.mu.Lock()
 		c.server.unsent.Add(-int64(len(b)))
 		if err != nil {
-			c.shut()
+			c.shutdown()
 		}
 	}
 	c.writing = false
-	c.finish()
+	c.closeWriteIfDone()
 }
 
-// finish closes a connection that ends once all is answered and written; c.mu is held. For writing first: were it closed
+// closeWriteIfDone closes a connection that ends once all is answered and written; c.mu is held. For writing first: were it closed
 // with input unread, the system would reset it, and the last answer could be lost on its way.
-func (c *conn) finish() {
-	if c.ending && !c.closed && len(c.open) == 0 && len(c.out) == 0 && !c.writing {
-		if !c.freed {
+func (c *conn) closeWriteIfDone() {
+	if c.closing && !c.writeClosed && len(c.streams) == 0 && len(c.pending) == 0 && !c.writing {
+		if !c.released {
 			syscall.Shutdown(c.fd, syscall.SHUT_WR)
-			time.AfterFunc(c.server.bounds.Linger, c.cut)
+			time.AfterFunc(c.server.bounds.Linger, c.abort)
 		}
-		c.closed = true
+		c.writeClosed = true
 	}
 }
 
-// shut closes the connection; c.mu is held. The poller then finds its end, and netpoll calls lost. Netpoll's own
+// shutdown closes the connection; c.mu is held. The poller then finds its end, and netpoll calls release. Netpoll's own
 // Close would wait, called on the poller, for the poller.
-func (c *conn) shut() {
-	if !c.over && !c.freed {
+func (c *conn) shutdown() {
+	if !c.readClosed && !c.released {
 		syscall.Shutdown(c.fd, syscall.SHUT_RDWR)
 	}
-	c.closed, c.over = true, true
+	c.writeClosed, c.readClosed = true, true
 }
 
-// cut closes the connection whatever is open on it.
-func (c *conn) cut() {
+// abort closes the connection whatever is open on it.
+func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shut()
+	c.shutdown()
 }
 
-// end closes the connection once what is open on it has been answered and written.
-func (c *conn) end() {
+// closeWhenAnswered closes the connection once what is open on it has been answered and written.
+func (c *conn) closeWhenAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
-	c.finish()
+	c.closing = true
+	c.closeWriteIfDone()
 }
 
-// endIfAnswered does so if nothing is open on it now, and nothing that came stands unread.
-func (c *conn) endIfAnswered() {
+// closeIfAnswered does so if nothing is open on it now, and nothing that came stands unread.
+func (c *conn) closeIfAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.rests() && !c.unread() {
-		c.ending = true
-		c.finish()
+	if c.idle() && !c.unread() {
+		c.closing = true
+		c.closeWriteIfDone()
 	}
 }
 
-// cutUnlessSent closes a connection that is to make room, if nothing that came stands unread.
-func (c *conn) cutUnlessSent() bool {
+// evictUnlessUnread closes a connection that is to make room, if nothing that came stands unread.
+func (c *conn) evictUnlessUnread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.unread() {
 		return false
 	}
-	c.shut()
+	c.shutdown()
 	return true
 }
 
 // unread: the peer has sent what has not been taken in, and may be an invocation. What is bound to close says nothing
 // that matters. c.mu is held.
-func (c *conn) unread() bool { return !c.closed && !c.freed && unread(c.fd) }
+func (c *conn) unread() bool { return !c.writeClosed && !c.released && unread(c.fd) }
 
-// answered: all that has come, the last byte too, and the answers are written.
-func (c *conn) answered() bool {
+// allAnswered: all that has come, the last byte too, and the answers are written.
+func (c *conn) allAnswered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rests() && !c.unread()
+	return c.idle() && !c.unread()
 }
 
-// excuse takes a span out of what the peer has let pass: the process was held up.
-func (c *conn) excuse(span time.Duration) {
+// extendDeadlines takes a span out of what the peer has let pass: the process was held up.
+func (c *conn) extendDeadlines(span time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.born, c.used = c.born.Add(span), c.used.Add(span)
-	if !c.begun.IsZero() {
-		c.begun = c.begun.Add(span)
+	c.openedAt, c.lastUsed = c.openedAt.Add(span), c.lastUsed.Add(span)
+	if !c.frameStart.IsZero() {
+		c.frameStart = c.frameStart.Add(span)
 	}
 }
 
-// heedless: nothing on it can be answered any more, or so much could not be used that nothing more is looked at.
-func (c *conn) heedless() bool {
+// ignoresInput: nothing on it can be answered any more, or so much could not be used that nothing more is looked at.
+func (c *conn) ignoresInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed || c.unfit >= 2*c.server.bounds.Unfit
+	return c.writeClosed || c.invalid >= 2*c.server.bounds.Unfit
 }
 
-// askNoMore sends type 30, once.
-func (c *conn) askNoMore() {
+// sendGoAway sends type 30, once.
+func (c *conn) sendGoAway() {
 	c.mu.Lock()
-	asked := c.noMore
-	c.noMore = true
+	asked := c.goAwaySent
+	c.goAwaySent = true
 	c.mu.Unlock()
 	if !asked {
-		c.put(frame.AppendGoAway)
+		c.send(frame.AppendGoAway)
 	}
 }
 
-// restsSince tells since when nothing has been open on it; open ones have no such time.
-func (c *conn) restsSince() (time.Time, bool) {
+// idleSince returns since when nothing has been open on it; open ones have no such time.
+func (c *conn) idleSince() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.used, c.rests()
+	return c.lastUsed, c.idle()
 }
 
-func (c *conn) rests() bool { return len(c.open) == 0 && len(c.out) == 0 && !c.writing }
+func (c *conn) idle() bool { return len(c.streams) == 0 && len(c.pending) == 0 && !c.writing }
 
-// Worth of connections to this process, least first: see Server.giveUp. One that was just opened or just used is
+// Worth of connections to this process, least first: see Server.evict. One that was just opened or just used is
 // not yet known to say nothing, or to rest.
 const (
-	neverSound = iota
+	neverValid = iota
 	resting
 	justOpened
 	justUsed
-	atWork
-	going // closed, and only waits for the poller
+	busy
+	leaving // closed, and only waits for the poller
 )
 
-// worth tells what a connection is worth, and since when.
-func (c *conn) worth(now time.Time) (int, time.Time) {
+// retention classifies a connection, and since when.
+func (c *conn) retention(now time.Time) (int, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.over:
-		return going, now
-	case c.closed: // and waits for its peer's end
-		return neverSound, c.born
-	case !c.sound && now.Sub(c.born) > c.server.bounds.Fresh:
-		return neverSound, c.born
-	case !c.sound:
-		return justOpened, c.born
-	case c.rests() && now.Sub(c.used) > c.server.bounds.Rests:
-		return resting, c.used
-	case c.rests():
-		return justUsed, c.used
-	}
-	return atWork, now
-}
-
-// tidy closes what has said nothing sound for too long or does not end a frame, and what rests for longer than
+	case c.readClosed:
+		return leaving, now
+	case c.writeClosed: // and waits for its peer's end
+		return neverValid, c.openedAt
+	case !c.sentValid && now.Sub(c.openedAt) > c.server.bounds.Fresh:
+		return neverValid, c.openedAt
+	case !c.sentValid:
+		return justOpened, c.openedAt
+	case c.idle() && now.Sub(c.lastUsed) > c.server.bounds.Rests:
+		return resting, c.lastUsed
+	case c.idle():
+		return justUsed, c.lastUsed
+	}
+	return busy, now
+}
+
+// expire closes what has said nothing sound for too long or does not end a frame, and what rests for longer than
 // callers do; it lets go of buffers that are not in use.
-func (c *conn) tidy(now time.Time, rest time.Duration) {
+func (c *conn) expire(now time.Time, rest time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b, resting := &c.server.bounds, c.rests()
+	b, resting := &c.server.bounds, c.idle()
 	switch {
-	case c.closed || c.ending:
-	case !c.sound && now.Sub(c.born) > b.Hello && !c.unread(): // else the poller is behind
-		c.server.odd.Warn("silent", nil)
-		c.ending = true
-		c.finish()
-	case !c.begun.IsZero() && now.Sub(c.begun) > b.Hello && !c.unread():
-		c.server.odd.Warn("unended", nil)
-		c.ending = true
-		c.finish()
-	case resting && now.Sub(c.used) > rest && !c.unread():
-		c.shut()
-	case resting && now.Sub(c.used) > b.Sweep:
-		c.out = nil
-	}
-}
-
-// lost: the connection is over, and with it the callers of all that was open.
-func (c *conn) lost() {
+	case c.writeClosed || c.closing:
+	case !c.sentValid && now.Sub(c.openedAt) > b.Hello && !c.unread(): // else the poller is behind
+		c.server.violations.Warn("silent", nil)
+		c.closing = true
+		c.closeWriteIfDone()
+	case !c.frameStart.IsZero() && now.Sub(c.frameStart) > b.Hello && !c.unread():
+		c.server.violations.Warn("unended", nil)
+		c.closing = true
+		c.closeWriteIfDone()
+	case resting && now.Sub(c.lastUsed) > rest && !c.unread():
+		c.shutdown()
+	case resting && now.Sub(c.lastUsed) > b.Sweep:
+		c.pending = nil
+	}
+}
+
+// release: the connection is over, and with it the callers of all that was open.
+func (c *conn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed, c.freed = true, true
-	for number, st := range c.open {
-		delete(c.open, number)
-		close(st.left)
+	c.writeClosed, c.released = true, true
+	for number, st := range c.streams {
+		delete(c.streams, number)
+		close(st.canceled)
 	}
-	c.server.unsent.Add(-int64(len(c.out)))
-	c.out = nil
+	c.server.unsent.Add(-int64(len(c.pending)))
+	c.pending = nil
 }
--- a/internal/backend/server/moments_test.go
+++ b/internal/backend/server/moments_test.go
@@ -19,14 +19,14 @@
 // holdPoller stops the poller until release is called: what comes meanwhile stands unread in the sockets, as where the
 // process was held up. A connection that only knocks brings the poller to the door, which is locked.
 func (s *site) holdPoller(t testing.TB) (release func()) {
-	s.door.mu.Lock()
+	s.listener.mu.Lock()
 	knock, err := net.Dial("tcp", s.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { knock.Close() })
 	// The poller stands at the door once it no longer takes in what another connection sends.
-	return s.door.mu.Unlock
+	return s.listener.mu.Unlock
 }
 
 // only is the one connection that is open.
@@ -80,7 +80,7 @@
 		{"silent", "", fakes.Invocation(1, 1), func(s *site) { s.sweep(0) }},
 		{"within a frame", fakes.Invocation(1, 2)[:30], fakes.Invocation(1, 2)[30:], func(s *site) { s.sweep(0) }},
 		{"resting", fakes.Raw(20, 9, "\x00"), fakes.Invocation(1, 3), func(s *site) { s.sweep(0) }},
-		{"full", fakes.Raw(20, 9, "\x00"), fakes.Invocation(1, 4), func(s *site) { s.giveUp(time.Now()) }},
+		{"full", fakes.Raw(20, 9, "\x00"), fakes.Invocation(1, 4), func(s *site) { s.evict(time.Now()) }},
 	} {
 		s := open(t, short)
 		n := fakes.Dial(t, s.address)
@@ -89,7 +89,7 @@
 		if strings.HasPrefix(c.before, fakes.Raw(20, 9, "\x00")) {
 			n.Expect()
 		} else if c.before != "" {
-			fakes.Until(t, "the frame has begun", func() bool { one.mu.Lock(); defer one.mu.Unlock(); return !one.begun.IsZero() })
+			fakes.Until(t, "the frame has begun", func() bool { one.mu.Lock(); defer one.mu.Unlock(); return !one.frameStart.IsZero() })
 		}
 		release := s.holdPoller(t)
 		n.Send(c.after)
@@ -115,11 +115,11 @@
 	whole := fakes.Invocation(1, 1)
 	n.Send(whole[:30])
 	c := s.only(t)
-	fakes.Until(t, "the frame has begun", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.begun.IsZero() })
+	fakes.Until(t, "the frame has begun", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.frameStart.IsZero() })
 	s.sweep(0)
 	held := s.bounds.Hello + time.Second
-	c.excuse(-held) // as if it had come so long ago,
-	s.swept = s.swept.Add(-held)
+	c.extendDeadlines(-held) // as if it had come so long ago,
+	s.lastSweep = s.lastSweep.Add(-held)
 	s.sweep(0) // and nothing was looked at since
 	n.Send(whole[30:])
 	s.run(t, "complete", "r")
@@ -135,7 +135,7 @@
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	for k := range s.bounds.Unfit {
 		n.Send(fakes.Invocation(uint32(k+2), k+2, "class=x"))
 		if f := n.Expect(); f.Code != 3 {
@@ -144,18 +144,18 @@
 	}
 	n.Send(fakes.Invocation(99, 99))
 	tr.Say("a sound one: %v", n.Expect())
-	s.theFarm.End(l.ID, "complete", "r")
+	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("the first: %v", n.Expect())
 	_, err := n.Next()
 	tr.Say("then %v", err)
-	tr.Say("launches left %d", len(s.theFarm.Launches))
+	tr.Say("launches left %d", len(s.fakeExecutor.Launches))
 }
 
 // TestLastAnswersBeforeUnreadInput: a connection ends while its peer, which reads nothing yet, goes on sending. All
 // answers reach it all the same: closed outright, the system would reset the connection and drop what is on its way.
 func TestLastAnswersBeforeUnreadInput(t *testing.T) {
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Linger = 5 * time.Second })
-	s.theFarm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
+	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}}
@@ -172,7 +172,7 @@
 	}
 	c := s.only(t)
 	n.Send("\x00\x00\x00\x01xxxx")
-	fakes.Until(t, "all is written", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.closed })
+	fakes.Until(t, "all is written", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.writeClosed })
 	for range 20 {
 		plain.Write(make([]byte, 100))
 		time.Sleep(time.Millisecond)
@@ -198,8 +198,8 @@
 	s := open(t, nil)
 	fakes.Dial(t, s.address)
 	c := s.only(t)
-	c.cut()
-	if again, room, gone := c.use(&stream{number: 1, left: make(chan struct{})}); again || room || !gone {
+	c.abort()
+	if again, room, gone := c.openStream(&stream{number: 1, canceled: make(chan struct{})}); again || room || !gone {
 		t.Errorf("again %t, room %t, gone %t", again, room, gone)
 	}
 	s.rests(t, 0)
@@ -210,16 +210,16 @@
 func TestDueBeforeItsLaunch(t *testing.T) {
 	s := open(t, nil)
 	stop := func() {
-		fakes.Until(t, "it is errored", func() bool { c, _ := s.gate.Counts(); return c.Errored == 1 })
+		fakes.Until(t, "it is errored", func() bool { c, _ := s.dispatcher.Counts(); return c.Errored == 1 })
 	}
-	s.seam.Store(&stop)
+	s.beforeLaunch.Store(&stop)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1, "wait=150"))
 	if f := n.Expect(); f.Code != 3 {
 		t.Error(f)
 	}
 	fakes.Until(t, "it is over", func() bool { _, carried := s.Counts(); return carried == 0 })
-	if len(s.theFarm.Launches) > 0 {
+	if len(s.fakeExecutor.Launches) > 0 {
 		t.Error("it was launched")
 	}
 	s.rests(t, 1)
@@ -239,11 +239,11 @@
 		}
 		n.Send(frame)
 		if stage != "within a frame" {
-			l := fakes.Take(t, "a launch", s.theFarm.Launches)
+			l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 			if stage == "running" {
-				defer s.theFarm.End(l.ID, "complete", "nobody waits")
+				defer s.fakeExecutor.End(l.ID, "complete", "nobody waits")
 			} else {
-				s.theFarm.End(l.ID, "complete", strings.Repeat("r", 4096))
+				s.fakeExecutor.End(l.ID, "complete", strings.Repeat("r", 4096))
 			}
 		}
 		n.Close()
@@ -267,7 +267,7 @@
 	fakes.Until(t, "both are open", func() bool { n, _ := s.Counts(); return n == 2 })
 	release := s.holdPoller(t)
 	for range 5 {
-		if !s.giveUp(time.Now()) {
+		if !s.evict(time.Now()) {
 			t.Error("no room is made")
 		}
 	}
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -26,17 +26,17 @@
 	s := open(t, tokened)
 	first, second := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	first.Send(fakes.Try(1, 1, "x"))
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	second.Send(fakes.Try(1, 2, "x", "retry=1"))
-	fakes.Until(t, "the repeat waits", func() bool { return s.inGate() == 2 })
+	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
 	first.Conn.(*net.TCPConn).SetLinger(0)
 	first.Close()
-	fakes.Until(t, "its caller has left", func() bool { c, _ := s.gate.Counts(); return c.Abandoned == 1 })
-	for len(s.theFarm.Subscribes) > 0 {
-		<-s.theFarm.Subscribes
+	fakes.Until(t, "its caller has left", func() bool { c, _ := s.dispatcher.Counts(); return c.Abandoned == 1 })
+	for len(s.fakeExecutor.Subscribes) > 0 {
+		<-s.fakeExecutor.Subscribes
 	}
-	s.theFarm.Cut()
-	s.theFarm.End(l.ID, "complete", "the one result") // while there is no link
+	s.fakeExecutor.Cut()
+	s.fakeExecutor.End(l.ID, "complete", "the one result") // while there is no link
 	if f := second.Expect(); f.Code != 1 || f.Body != "the one result" {
 		t.Errorf("the repeat beside it: %v", f)
 	}
@@ -44,10 +44,10 @@
 	if f := second.Expect(); f.Code != 1 || f.Body != "the one result" {
 		t.Errorf("the repeat after it: %v", f)
 	}
-	if len(s.theFarm.Launches) > 0 {
-		t.Errorf("launched again: %v", <-s.theFarm.Launches)
+	if len(s.fakeExecutor.Launches) > 0 {
+		t.Errorf("launched again: %v", <-s.fakeExecutor.Launches)
 	}
-	fakes.Until(t, "nothing is carried", func() bool { _, carried := s.Counts(); return carried == 0 && s.inGate() == 0 })
+	fakes.Until(t, "nothing is carried", func() bool { _, carried := s.Counts(); return carried == 0 && s.inDispatch() == 0 })
 }
 
 // TestRepeatBeforeItsFirstIsLaunched: the first's caller takes it back between the word that it may run and its launch, with
@@ -56,13 +56,13 @@
 	s := open(t, tokened)
 	stopped, goOn := make(chan struct{}), make(chan struct{})
 	seam := func() { stopped <- struct{}{}; <-goOn }
-	s.seam.Store(&seam)
+	s.beforeLaunch.Store(&seam)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Try(1, 1, "x"))
 	fakes.Take(t, "the word that it may run", stopped)
-	s.seam.Store(nil)
+	s.beforeLaunch.Store(nil)
 	n.Send(fakes.Try(2, 2, "x", "retry=1"))
-	fakes.Until(t, "the repeat waits", func() bool { return s.inGate() == 2 })
+	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
 	n.Send(fakes.Raw(12, 1, ""))
 	n.Send(fakes.Raw(20, 3, "\x00"))
 	n.Expect() // type 12 has been read
@@ -95,13 +95,13 @@
 	ask("no token", 1, "")
 	ask("a long one", 3, strings.Repeat("0123456789", 7))
 	n.Send(fakes.Try(5, 5, "x"))
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	ask("a repeat where no more may be open", 6, "x", "retry=1")
 	ask("new work there", 7, "y")
-	s.theFarm.End(l.ID, "error", "")
+	s.fakeExecutor.End(l.ID, "error", "")
 	tr.Say("its run is errored: %v", n.Expect())
 	ask("its repeat", 8, "x", "retry=1")
-	tr.Say("launched besides: %d", len(s.theFarm.Launches))
+	tr.Say("launched besides: %d", len(s.fakeExecutor.Launches))
 }
 
 // TestMarkOfAnothersWork: a bad client copies the mark of another's work, beside it and before it. It gets nothing of that
@@ -114,24 +114,24 @@
 		bad.Send(fakes.Raw(10, stream, fields+"what it would like"))
 	}
 	refused := func() {
-		l := fakes.Take(t, "the copy's launch", s.theFarm.Launches)
+		l := fakes.Take(t, "the copy's launch", s.fakeExecutor.Launches)
 		if l.Body != "what it would like" {
 			t.Fatalf("launched %v", l)
 		}
-		s.theFarm.Refuse(l.ID)
+		s.fakeExecutor.Refuse(l.ID)
 		if f := bad.Expect(); f.Code != 3 || f.Body != "" {
 			t.Errorf("the copy: %v", f)
 		}
 	}
 	copied(1, 1)
-	l := fakes.Take(t, "the launch of the copy that came first", s.theFarm.Launches)
+	l := fakes.Take(t, "the launch of the copy that came first", s.fakeExecutor.Launches)
 	n.Send(fakes.Try(1, 2, "x"))
-	own := fakes.Take(t, "a launch", s.theFarm.Launches)
-	s.theFarm.Refuse(l.ID)
+	own := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
+	s.fakeExecutor.Refuse(l.ID)
 	bad.Expect()
 	copied(2, 3)
 	refused()
-	s.theFarm.End(own.ID, "complete", "r")
+	s.fakeExecutor.End(own.ID, "complete", "r")
 	if f := n.Expect(); f.Code != 1 || f.Body != "r" {
 		t.Errorf("the work: %v", f)
 	}
@@ -167,8 +167,8 @@
 	inside, outside := arrived.Add(window), time.Now().Add(window+slack+2*time.Millisecond)
 	fakes.Until(t, "the window is over", func() bool { return time.Now().After(outside) })
 	n.Send(fakes.Try(2, 2, "x", "retry=1", at(inside)))
-	if f := n.Expect(); f.Stream != 2 || f.Code != 1 || f.Body != "first" || len(s.theFarm.Launches) != 0 {
-		t.Errorf("just inside: %v, %d launched", f, len(s.theFarm.Launches))
+	if f := n.Expect(); f.Stream != 2 || f.Code != 1 || f.Body != "first" || len(s.fakeExecutor.Launches) != 0 {
+		t.Errorf("just inside: %v, %d launched", f, len(s.fakeExecutor.Launches))
 	}
 	n.Send(fakes.Try(3, 3, "x", "retry=1", at(outside)))
 	if l := s.run(t, "complete", "second"); l.ID != "0000000000000003" {
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -36,38 +36,38 @@
 
 // Server is all that faces the edge nodes.
 type Server struct {
-	sheet      *config.Settings
+	settings   *config.Settings
 	bounds     limits.Bounds
-	odd        *ratelimitlog.Logger
-	gate       *dispatch.Dispatcher
-	farm       *executor.Client
+	violations *ratelimitlog.Logger
+	dispatcher *dispatch.Dispatcher
+	executor   *executor.Client
 	operations map[string]int // number of each name, from 1
 	tenants    map[string]int
-	door       *door
+	listener   *listener
 	loop       netpoll.EventLoop
-	inHand     atomic.Int64 // goroutines that carry an invocation
+	inFlight   atomic.Int64 // goroutines that carry an invocation
 	unsent     atomic.Int64 // bytes of answers not yet taken by peers, on all connections
 
-	mu       sync.Mutex
-	conns    map[*conn]struct{}
-	draining bool
-	swept    time.Time // Sweep's
+	mu        sync.Mutex
+	conns     map[*conn]struct{}
+	draining  bool
+	lastSweep time.Time // Sweep's
 
-	seam atomic.Pointer[func()] // tests stop carry there; nil outside them
+	beforeLaunch atomic.Pointer[func()] // tests stop carry there; nil outside them
 }
 
 type connKey struct{}
 
-// New makes a server for the terms of the sheet.
-func New(sheet *config.Settings, bounds limits.Bounds, tally *ratelimitlog.Logger, g *dispatch.Dispatcher, f *executor.Client) *Server {
+// New makes a server for the settings.
+func New(settings *config.Settings, bounds limits.Bounds, violations *ratelimitlog.Logger, d *dispatch.Dispatcher, e *executor.Client) *Server {
 	s := &Server{
-		sheet: sheet, bounds: bounds, gate: g, farm: f, operations: map[string]int{}, tenants: map[string]int{},
-		conns: map[*conn]struct{}{}, odd: tally,
+		settings: settings, bounds: bounds, dispatcher: d, executor: e, operations: map[string]int{}, tenants: map[string]int{},
+		conns: map[*conn]struct{}{}, violations: violations,
 	}
-	for n, name := range sheet.Operations {
+	for n, name := range settings.Operations {
 		s.operations[name] = n + 1
 	}
-	for n, name := range sheet.Tenants {
+	for n, name := range settings.Tenants {
 		s.tenants[name] = n + 1
 	}
 	return s
@@ -80,7 +80,7 @@
 func (s *Server) Listen(address string) (net.Addr, error) {
 	configured.Do(func() {
 		netpoll.Configure(netpoll.Config{
-			PollerNum: 1, BufferSize: s.bounds.Input, LoggerOutput: remarks{s},
+			PollerNum: 1, BufferSize: s.bounds.Input, LoggerOutput: netpollLog{s},
 			Runner: func(_ context.Context, f func()) { f() }, // on the poller, see conn
 		})
 	})
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.door, err = newDoor(l.(*net.TCPListener)); err != nil {
+	if s.listener, err = newListener(l.(*net.TCPListener)); err != nil {
 		return nil, err
 	}
 	s.loop, err = netpoll.NewEventLoop(
@@ -110,17 +110,17 @@
 }
 
 // Serve accepts until the listener is closed.
-func (s *Server) Serve() error { return s.loop.Serve(s.door) }
+func (s *Server) Serve() error { return s.loop.Serve(s.listener) }
 
-func (s *Server) accept(np netpoll.Connection) context.Context {
+func (s *Server) accept(transport netpoll.Connection) context.Context {
 	now := time.Now()
-	c := &conn{server: s, np: np, fd: np.(netpoll.Conn).Fd(), open: map[uint32]*stream{}, born: now, used: now}
+	c := &conn{server: s, transport: transport, fd: transport.(netpoll.Conn).Fd(), streams: map[uint32]*stream{}, openedAt: now, lastUsed: now}
 	ctx := context.WithValue(context.Background(), connKey{}, c)
 	crowded := false
 	if s.full(0) {
-		s.odd.Warn("connections", nil)
-		if crowded = !s.giveUp(now); s.full(s.bounds.Leaving) {
-			np.Close()
+		s.violations.Warn("connections", nil)
+		if crowded = !s.evict(now); s.full(s.bounds.Leaving) {
+			transport.Close()
 			return ctx
 		}
 	}
@@ -128,15 +128,15 @@
 	s.conns[c] = struct{}{}
 	draining := s.draining
 	s.mu.Unlock()
-	np.AddCloseCallback(func(netpoll.Connection) error {
+	transport.AddCloseCallback(func(netpoll.Connection) error {
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
-		c.lost()
+		c.release()
 		return nil
 	})
 	if draining || crowded { // what it has sent already is answered
-		c.askNoMore()
+		c.sendGoAway()
 	}
 	return ctx
 }
@@ -151,57 +151,57 @@
 // candidate is a connection with what it is worth, since when.
 type candidate struct {
 	*conn
-	worth int
-	since time.Time
+	priority int
+	since    time.Time
 }
 
-// byWorth lists all connections, what is worth least to this process first.
-func (s *Server) byWorth(now time.Time) []candidate {
+// byRetention lists all connections, what is worth least to this process first.
+func (s *Server) byRetention(now time.Time) []candidate {
 	var list []candidate
 	for _, c := range s.all() {
-		worth, since := c.worth(now)
-		list = append(list, candidate{c, worth, since})
+		priority, since := c.retention(now)
+		list = append(list, candidate{c, priority, since})
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.worth, b.worth), a.since.Compare(b.since))
+		return cmp.Or(cmp.Compare(a.priority, b.priority), a.since.Compare(b.since))
 	})
 	return list
 }
 
-// giveUp closes connections to make room: those that never said anything sound, then those that have rested
+// evict closes connections to make room: those that never said anything sound, then those that have rested
 // longest, several at once, as looking for them costs time; else one that was just opened, else one just used;
 // never one with work, nor one with input that has not been taken in. It guards against clients that connect by the hundred and say nothing, and callers that
 // keep for good what they used once: neither may shut others out.
-func (s *Server) giveUp(now time.Time) bool {
-	n, list := 0, s.byWorth(now)
-	stay := slices.IndexFunc(list, func(c candidate) bool { return c.worth == going })
+func (s *Server) evict(now time.Time) bool {
+	n, list := 0, s.byRetention(now)
+	stay := slices.IndexFunc(list, func(c candidate) bool { return c.priority == leaving })
 	if stay >= 0 && stay < s.bounds.Connections { // room is on its way: a burst must not cost one after the other for it
 		return true
 	}
 	for _, c := range list {
-		if c.worth >= atWork || n > 0 && c.worth > resting || n > s.bounds.Connections/32 {
+		if c.priority >= busy || n > 0 && c.priority > resting || n > s.bounds.Connections/32 {
 			break
 		}
-		if c.cutUnlessSent() {
+		if c.evictUnlessUnread() {
 			n++
 		}
 	}
 	return n > 0
 }
 
-// enter counts an invocation in, if there is room for it.
-func (s *Server) enter() bool {
-	if s.inHand.Add(1) > int64(s.bounds.Invocations) {
-		s.inHand.Add(-1)
-		s.odd.Warn("invocations", nil)
+// reserve counts an invocation in, if there is room for it.
+func (s *Server) reserve() bool {
+	if s.inFlight.Add(1) > int64(s.bounds.Invocations) {
+		s.inFlight.Add(-1)
+		s.violations.Warn("invocations", nil)
 		return false
 	}
 	return true
 }
 
-// carry takes one invocation from its reading to its answer, and its run to its end.
-func (s *Server) carry(c *conn, st *stream, inv dispatch.Invocation, operation string, body []byte) {
-	defer s.inHand.Add(-1)
+// handle takes one invocation from its reading to its answer, and its run to its end.
+func (s *Server) handle(c *conn, st *stream, inv dispatch.Invocation, operation string, body []byte) {
+	defer s.inFlight.Add(-1)
 	defer func() {
 		if r := recover(); r != nil {
 			slog.Error("fault", "in", "carry", "id", inv.ID, "text", r, "stack", string(debug.Stack()))
@@ -209,40 +209,40 @@
 		}
 	}()
 	select {
-	case <-st.left: // taken back as soon as it came; hundreds of these must not pass for load or for first tries
+	case <-st.canceled: // taken back as soon as it came; hundreds of these must not pass for load or for first tries
 		return
 	default:
 	}
-	word, ticket := s.gate.Admit(inv)
+	word, ticket := s.dispatcher.Admit(inv)
 	if word.Verdict != dispatch.Admitted {
-		s.say(c, st, word)
+		s.respond(c, st, word)
 		return
 	}
-	if stop := s.seam.Load(); stop != nil {
+	if stop := s.beforeLaunch.Load(); stop != nil {
 		(*stop)()
 	}
 	select {
-	case <-st.left: // before it went out
-		s.gate.Complete(ticket, dispatch.Unrunnable, nil)
+	case <-st.canceled: // before it went out
+		s.dispatcher.Complete(ticket, dispatch.Unrunnable, nil)
 		return
 	default:
 	}
 	select {
 	case word := <-ticket.FinalResponse(): // likewise, and the answer is out: nothing is run for nobody
-		s.say(c, st, word)
-		s.gate.Complete(ticket, dispatch.NeverRan, nil)
+		s.respond(c, st, word)
+		s.dispatcher.Complete(ticket, dispatch.NeverRan, nil)
 		return
 	default:
 	}
-	run := s.farm.Launch(inv.ID, operation, body)
-	left := st.left
+	run := s.executor.Launch(inv.ID, operation, body)
+	left := st.canceled
 	for {
 		select {
 		case end := <-run.Done():
 			if end.End == dispatch.Unrunnable {
-				c.odd("unrunnable", nil)
+				c.reject("unrunnable", nil)
 			}
-			switch owed := s.gate.Complete(ticket, end.End, end.Result); {
+			switch owed := s.dispatcher.Complete(ticket, end.End, end.Result); {
 			case owed && end.End == dispatch.RunSucceeded:
 				c.answer(st, frame.Succeeded, 0, false, end.Result)
 			case owed:
@@ -250,22 +250,22 @@
 			default: // the final word is out already, perhaps just now
 				select {
 				case word := <-ticket.FinalResponse():
-					s.say(c, st, word)
+					s.respond(c, st, word)
 				default:
 				}
 			}
 			return
 		case word := <-ticket.FinalResponse(): // the run goes on without anybody waiting for it
-			s.say(c, st, word)
+			s.respond(c, st, word)
 		case <-left:
 			left = nil
-			s.gate.Abandon(ticket)
+			s.dispatcher.Abandon(ticket)
 		}
 	}
 }
 
-// say passes a final word on.
-func (s *Server) say(c *conn, st *stream, w dispatch.Response) {
+// respond passes a final word on.
+func (s *Server) respond(c *conn, st *stream, w dispatch.Response) {
 	switch w.Verdict {
 	case dispatch.Throttled:
 		c.answer(st, frame.Throttled, w.RetryAfter, w.DontRetry, nil)
@@ -276,20 +276,20 @@
 	}
 }
 
-func (s *Server) good() bool { return s.gate.Healthy() && s.farm.Available() }
+func (s *Server) healthy() bool { return s.dispatcher.Healthy() && s.executor.Available() }
 
-// remarks takes netpoll's own log in: it writes a line for each connection that is reset.
-type remarks struct{ server *Server }
+// netpollLog takes netpoll's own log in: it writes a line for each connection that is reset.
+type netpollLog struct{ server *Server }
 
-func (r remarks) Write(line []byte) (int, error) {
-	r.server.odd.Warn("netpoll", errors.New(string(bytes.TrimSpace(line))))
+func (r netpollLog) Write(line []byte) (int, error) {
+	r.server.violations.Warn("netpoll", errors.New(string(bytes.TrimSpace(line))))
 	return len(line), nil
 }
 
 // Sweep looks at all connections now and then, until done: it asks callers off those that rest for longer than
 // the gate wants, and ends those that have had their time.
 func (s *Server) Sweep(done <-chan struct{}) {
-	s.swept = time.Now() // it may be stopped before the first look too
+	s.lastSweep = time.Now() // it may be stopped before the first look too
 	tick := time.NewTicker(s.bounds.Sweep)
 	defer tick.Stop()
 	for {
@@ -298,35 +298,35 @@
 			return
 		case <-tick.C:
 		}
-		s.sweep(s.gate.IdleTimeout())
+		s.sweep(s.dispatcher.IdleTimeout())
 	}
 }
 
 // sweep does it once; most is how long the gate lets connections rest, 0 for as long as callers like.
 func (s *Server) sweep(most time.Duration) {
 	now := time.Now()
-	if late := now.Sub(s.swept) - s.bounds.Sweep; !s.swept.IsZero() && late > s.bounds.Sweep {
+	if late := now.Sub(s.lastSweep) - s.bounds.Sweep; !s.lastSweep.IsZero() && late > s.bounds.Sweep {
 		for _, c := range s.all() { // this process had no time: neither had its peers
-			c.excuse(late)
+			c.extendDeadlines(late)
 		}
 	}
-	s.swept = now
-	rest := time.Duration(s.sheet.Admission.IdleTimeout) * time.Microsecond
-	if rest += s.bounds.Hello; s.sheet.Admission.IdleTimeout <= 0 {
+	s.lastSweep = now
+	rest := time.Duration(s.settings.Admission.IdleTimeout) * time.Microsecond
+	if rest += s.bounds.Hello; s.settings.Admission.IdleTimeout <= 0 {
 		rest = math.MaxInt64
 	}
 	for _, c := range s.all() {
-		if since, rests := c.restsSince(); rests && most > 0 && now.Sub(since) > most {
-			c.askNoMore()
+		if since, rests := c.idleSince(); rests && most > 0 && now.Sub(since) > most {
+			c.sendGoAway()
 		}
-		c.tidy(now, rest)
+		c.expire(now, rest)
 	}
 	// Where the table fills, those that rest longest are asked away before one has to be closed: callers that
 	// listen then send nothing that crosses the close.
 	if many, _ := s.Counts(); many > s.bounds.Roomy {
-		for _, c := range s.byWorth(now) {
-			if c.worth == resting && many > s.bounds.Roomy {
-				c.askNoMore()
+		for _, c := range s.byRetention(now) {
+			if c.priority == resting && many > s.bounds.Roomy {
+				c.sendGoAway()
 			}
 			many--
 		}
@@ -347,7 +347,7 @@
 func (s *Server) Counts() (conns, carried int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns), int(s.inHand.Load())
+	return len(s.conns), int(s.inFlight.Load())
 }
 
 // StopAccepting closes the listener, once all that the machine has accepted is taken in, and asks for no more on every
@@ -357,24 +357,24 @@
 	s.draining = true
 	s.mu.Unlock()
 	for _, c := range s.all() {
-		c.askNoMore()
+		c.sendGoAway()
 	}
-	if err := s.door.close(s.bounds.Queued); err != nil {
-		s.odd.Warn("listener", err)
+	if err := s.listener.closeWhenEmpty(s.bounds.Queued); err != nil {
+		s.violations.Warn("listener", err)
 	}
 }
 
 // CloseAnswered closes, for writing, every connection on which all that came is answered.
 func (s *Server) CloseAnswered() {
 	for _, c := range s.all() {
-		c.endIfAnswered()
+		c.closeIfAnswered()
 	}
 }
 
 // AllClosed tells whether every connection has been closed, for writing at least.
 func (s *Server) AllClosed() bool {
 	for _, c := range s.all() {
-		if !c.heedless() {
+		if !c.ignoresInput() {
 			return false
 		}
 	}
@@ -384,7 +384,7 @@
 // AllAnswered tells whether all that was read has been answered, the answers written, and nothing stands unread.
 func (s *Server) AllAnswered() bool {
 	for _, c := range s.all() {
-		if !c.answered() {
+		if !c.allAnswered() {
 			return false
 		}
 	}
@@ -392,4 +392,4 @@
 }
 
 // Idle tells whether besides nothing is carried any more.
-func (s *Server) Idle() bool { return s.AllAnswered() && s.inHand.Load() == 0 }
+func (s *Server) Idle() bool { return s.AllAnswered() && s.inFlight.Load() == 0 }
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -22,8 +22,8 @@
 // site is a server with all that is around it.
 type site struct {
 	*Server
-	theFarm *fakes.Farm
-	address string
+	fakeExecutor *fakes.Farm
+	address      string
 }
 
 func open(t *testing.T, edit func(*limits.Bounds, *config.Settings)) *site {
@@ -35,10 +35,10 @@
 	if edit != nil {
 		edit(&b, &sheet)
 	}
-	theFarm := fakes.NewFarm(t)
+	fakeExecutor := fakes.NewFarm(t)
 	g := dispatch.New(&sheet, 1, b)
 	tally := ratelimitlog.New(b.Quiet)
-	link := executor.New(theFarm.Address, b, tally, g.Open)
+	link := executor.New(fakeExecutor.Address, b, tally, g.Open)
 	s := New(&sheet, b, tally, g, link)
 	address, err := s.Listen("127.0.0.1:0")
 	if err != nil {
@@ -52,22 +52,22 @@
 		cancel()
 		s.StopAccepting()
 		for _, c := range s.all() {
-			c.cut()
+			c.abort()
 		}
 	})
-	fakes.Until(t, "work can be taken", s.good)
-	return &site{s, theFarm, address.String()}
+	fakes.Until(t, "work can be taken", s.healthy)
+	return &site{s, fakeExecutor, address.String()}
 }
 
-func (s *site) inGate() int {
-	_, n := s.gate.Counts()
+func (s *site) inDispatch() int {
+	_, n := s.dispatcher.Counts()
 	return n
 }
 
 // run ends the next run that the farm is told of.
 func (s *site) run(t testing.TB, word, result string) fakes.Launch {
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
-	s.theFarm.End(l.ID, word, result)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
+	s.fakeExecutor.End(l.ID, word, result)
 	return l
 }
 
@@ -75,11 +75,11 @@
 func (s *site) rests(t testing.TB, conns int) {
 	t.Helper()
 	fakes.Until(t, "nothing is left over", func() bool {
-		for len(s.theFarm.Launches) > 0 {
+		for len(s.fakeExecutor.Launches) > 0 {
 			s.run(t, "complete", "nobody waits")
 		}
 		n, carried := s.Counts()
-		return n == conns && carried == 0 && s.inGate() == 0 && s.unsent.Load() == 0 && s.Idle()
+		return n == conns && carried == 0 && s.inDispatch() == 0 && s.unsent.Load() == 0 && s.Idle()
 	})
 }
 
@@ -111,9 +111,9 @@
 	for _, c := range []byte(fakes.Raw(20, 1, fakes.Fields("a=b")) + fakes.Invocation(2, 2) + fakes.Raw(20, 3, "\x00")) {
 		n.Send(string([]byte{c}))
 	}
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	tr.Say("byte by byte: %v, %v, %+v", n.Expect(), n.Expect(), l)
-	s.theFarm.End(l.ID, "complete", "r")
+	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("  %v", n.Expect())
 	var many []string
 	for stream := range 20 {
@@ -182,7 +182,7 @@
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
-	sound := fakes.Take(t, "a launch", s.theFarm.Launches)
+	sound := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	for _, c := range []struct{ what, frame string }{
 		{"unknown operation", fakes.Invocation(2, 2, "class=nothing")},
 		{"unknown tenant", fakes.Invocation(3, 3, "tenant=nobody")},
@@ -202,7 +202,7 @@
 		n.Send(c.frame)
 		tr.Say("%s: %v", c.what, n.Expect())
 	}
-	s.theFarm.End(sound.ID, "complete", "nobody can tell whose")
+	s.fakeExecutor.End(sound.ID, "complete", "nobody can tell whose")
 	n.Send(fakes.Raw(20, 13, "\x00"))
 	tr.Say("and still: %v", n.Expect())
 	s.rests(t, 1)
@@ -233,26 +233,26 @@
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	n.Send(fakes.Raw(12, 1, ""), fakes.Raw(20, 2, "\x00"))
 	tr.Say("gone while it runs: %v", n.Expect())
-	s.theFarm.End(l.ID, "complete", "too late")
+	s.fakeExecutor.End(l.ID, "complete", "too late")
 	s.rests(t, 1)
 	n.Send(fakes.Raw(12, 1, ""), fakes.Raw(20, 3, "\x00"))
 	tr.Say("gone once answered: %v", n.Expect())
 
-	s.theFarm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no room for a start
-	asked := s.theFarm.Samples()                                        // each is asked for after the tick of the one before
-	fakes.Until(t, "full cores are seen", func() bool { return s.theFarm.Samples() >= asked+3 })
+	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no room for a start
+	asked := s.fakeExecutor.Samples()                                        // each is asked for after the tick of the one before
+	fakes.Until(t, "full cores are seen", func() bool { return s.fakeExecutor.Samples() >= asked+3 })
 	n.Send(fakes.Invocation(4, 4))
-	fakes.Until(t, "it is held", func() bool { return s.inGate() == 1 })
+	fakes.Until(t, "it is held", func() bool { return s.inDispatch() == 1 })
 	n.Send(fakes.Raw(12, 4, ""))
 	s.rests(t, 1)
 	n.Send(fakes.Invocation(5, 5), fakes.Invocation(6, 6)[:40])
-	fakes.Until(t, "it is held", func() bool { return s.inGate() == 1 })
+	fakes.Until(t, "it is held", func() bool { return s.inDispatch() == 1 })
 	n.Close()
 	s.rests(t, 0)
-	tr.Say("launches of what was only held: %d", len(s.theFarm.Launches))
+	tr.Say("launches of what was only held: %d", len(s.fakeExecutor.Launches))
 }
 
 // TestTooMany: more than the protocol allows on a connection, or than this process can hold, is throttled.
@@ -313,7 +313,7 @@
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.Leaving = 2, 1 })
 	one, silent := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	one.Send(fakes.Invocation(1, 1))
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	fakes.Until(t, "two are open", func() bool { n, _ := s.Counts(); return n == 2 })
 	check := fakes.Raw(20, 1, "\x00")
 	three := fakes.Dial(t, s.address)
@@ -327,24 +327,24 @@
 	_, err = three.Next()
 	tr.Say("the one that rests ends: %t", err != nil)
 	two.Send(fakes.Invocation(2, 2))
-	l2 := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l2 := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	five := fakes.Dial(t, s.address) // both others have work: it may have written before it could be closed
 	five.Send(fakes.Invocation(5, 5))
 	tr.Say("the fifth, both others have work: %v", five.Expect())
-	l5 := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l5 := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	_, err = fakes.Dial(t, s.address).Next()
 	tr.Say("the sixth ends, all others have work: %t", err != nil)
-	s.theFarm.End(l5.ID, "complete", "r")
+	s.fakeExecutor.End(l5.ID, "complete", "r")
 	tr.Say("the fifth: %v", five.Expect())
 	five.Close()
 	fakes.Until(t, "the fifth has left", func() bool { n, _ := s.Counts(); return n == 2 })
-	s.theFarm.End(l.ID, "complete", "r")
-	s.theFarm.End(l2.ID, "complete", "r")
+	s.fakeExecutor.End(l.ID, "complete", "r")
+	s.fakeExecutor.End(l2.ID, "complete", "r")
 	tr.Say("they go on: %v, %v", one.Expect(), two.Expect())
 	one.Send(fakes.Invocation(2, 3))
-	l = fakes.Take(t, "a launch", s.theFarm.Launches)
+	l = fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	s.sweep(time.Nanosecond)
-	s.theFarm.End(l.ID, "complete", "r")
+	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("swept while it waits: %v", one.Expect())
 	s.rests(t, 2)
 	s.sweep(time.Nanosecond)
@@ -413,8 +413,8 @@
 		answered := false
 		for !answered {
 			select {
-			case l := <-s.theFarm.Launches:
-				s.theFarm.Refuse(l.ID)
+			case l := <-s.fakeExecutor.Launches:
+				s.fakeExecutor.Refuse(l.ID)
 			case code := <-got:
 				codes[code]++
 				answered = true
@@ -423,17 +423,17 @@
 			}
 		}
 		tr.Say("%s: in time %t, succeeded %d", c.what, time.Since(began) < 3*time.Second, codes[1])
-		for len(s.theFarm.Launches) > 0 {
-			l := <-s.theFarm.Launches
-			s.theFarm.Refuse(l.ID)
+		for len(s.fakeExecutor.Launches) > 0 {
+			l := <-s.fakeExecutor.Launches
+			s.fakeExecutor.Refuse(l.ID)
 		}
 		good.Send(fakes.Invocation(uint32(number), number))
 		id := fmt.Sprintf("%016x", number)
 		number++
-		for l := fakes.Take(t, "a launch", s.theFarm.Launches); l.ID != id; l = fakes.Take(t, "a launch", s.theFarm.Launches) {
-			s.theFarm.Refuse(l.ID)
+		for l := fakes.Take(t, "a launch", s.fakeExecutor.Launches); l.ID != id; l = fakes.Take(t, "a launch", s.fakeExecutor.Launches) {
+			s.fakeExecutor.Refuse(l.ID)
 		}
-		s.theFarm.End(id, "complete", "r")
+		s.fakeExecutor.End(id, "complete", "r")
 		if f := good.Expect(); f.Code != 1 {
 			t.Errorf("%s: beside it %v", c.what, f)
 		}
@@ -474,25 +474,25 @@
 	held.Send(fakes.Raw(20, 1, "\x00"))
 	tr.Say("%v", held.Expect())
 	busy.Send(fakes.Invocation(1, 1))
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	fakes.Until(t, "it is closed", func() bool { s.sweep(0); n, _ := s.Counts(); return n == 1 })
 	_, err := held.Next()
 	tr.Say("the one that rests: %v", err)
-	s.theFarm.End(l.ID, "complete", "r")
+	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("the one with work: %v", busy.Expect())
 }
 
 // TestTakenBack: what was taken back before it was decided does not come to the gate, nor to the farm.
 func TestTakenBack(t *testing.T) {
 	s := open(t, nil)
-	st := &stream{number: 1, left: make(chan struct{})}
-	close(st.left)
+	st := &stream{number: 1, canceled: make(chan struct{})}
+	close(st.canceled)
 	for n := range 300 {
-		s.enter()
-		s.carry(nil, st, dispatch.Invocation{ID: fmt.Sprint(n), ArrivedAt: dispatch.Now(), CallerTimeout: 4_000_000, MemoryKB: 1, CallerLeft: st.left}, "look", nil)
+		s.reserve()
+		s.handle(nil, st, dispatch.Invocation{ID: fmt.Sprint(n), ArrivedAt: dispatch.Now(), CallerTimeout: 4_000_000, MemoryKB: 1, CallerLeft: st.canceled}, "look", nil)
 	}
-	if counts, _ := s.gate.Counts(); counts.Arrived != 0 || len(s.theFarm.Launches) != 0 {
-		t.Errorf("%+v, %d launches", counts, len(s.theFarm.Launches))
+	if counts, _ := s.dispatcher.Counts(); counts.Arrived != 0 || len(s.fakeExecutor.Launches) != 0 {
+		t.Errorf("%+v, %d launches", counts, len(s.fakeExecutor.Launches))
 	}
 	s.rests(t, 0)
 }
@@ -503,15 +503,15 @@
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
-	l := fakes.Take(t, "a launch", s.theFarm.Launches)
+	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	s.StopAccepting()
 	tr.Say("%v", n.Expect())
 	n.Send(fakes.Invocation(2, 2))
-	crossing := fakes.Take(t, "a launch", s.theFarm.Launches)
-	s.theFarm.End(crossing.ID, "complete", "crossing")
+	crossing := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
+	s.fakeExecutor.End(crossing.ID, "complete", "crossing")
 	tr.Say("%v", n.Expect())
 	tr.Say("quiet %t", s.Idle())
-	s.theFarm.End(l.ID, "complete", "r")
+	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("%v", n.Expect())
 	fakes.Until(t, "all is quiet", s.Idle)
 	fakes.Until(t, "nobody can connect", func() bool {
@@ -530,7 +530,7 @@
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1, "wait="))
-	if f := n.Expect(); f.Code != 3 || len(s.theFarm.Launches) > 0 {
+	if f := n.Expect(); f.Code != 3 || len(s.fakeExecutor.Launches) > 0 {
 		t.Errorf("where they tell: %v", f)
 	}
 	s = open(t, func(_ *limits.Bounds, sheet *config.Settings) {
@@ -546,7 +546,7 @@
 	}
 	since := time.Now()
 	n.Send(fakes.Invocation(2, 2, "wait="))
-	fakes.Take(t, "a launch", s.theFarm.Launches)
+	fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	if f, took := n.Expect(), time.Since(since); f.Code != 3 || took < 200*time.Millisecond || took > 380*time.Millisecond {
 		t.Errorf("whose run does not end: %v after %v", f, took)
 	}
