--- /dev/null
+++ b/internal/backend/server/close.go
@@ -0,0 +1,87 @@
+package server
+
+import (
+	"syscall"
+	"time"
+)
+
+// closeWriteIfDone closes a connection that is to close once all is answered and written; c.mu is held. For writing first: were it
+// closed with input unread, the kernel would reset it, and the last answer could be lost on its way.
+func (c *conn) closeWriteIfDone() {
+	if c.closing && !c.writeClosed && len(c.streams) == 0 && len(c.pending) == 0 && !c.writing {
+		if !c.released {
+			_ = syscall.Shutdown(c.fd, syscall.SHUT_WR)
+			time.AfterFunc(c.server.bounds.Linger, c.abort)
+		}
+		c.writeClosed = true
+	}
+}
+
+// shutdown closes the connection in both directions; c.mu is held. The poller then finds its end, and netpoll calls release.
+// Netpoll's own Close, called on the poller, would wait for the poller.
+func (c *conn) shutdown() {
+	if !c.readClosed && !c.released {
+		_ = syscall.Shutdown(c.fd, syscall.SHUT_RDWR)
+	}
+	c.writeClosed, c.readClosed = true, true
+}
+
+// abort closes the connection whatever is open on it.
+func (c *conn) abort() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.shutdown()
+}
+
+// closeWhenAnswered closes the connection once its open streams have been answered and the answers are written.
+func (c *conn) closeWhenAnswered() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closing = true
+	c.closeWriteIfDone()
+}
+
+// closeIfAnswered closes the connection if it is idle and has no unread input.
+func (c *conn) closeIfAnswered() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.idle() && !c.unread() {
+		c.closing = true
+		c.closeWriteIfDone()
+	}
+}
+
+// evictUnlessUnread closes a connection to make room, unless it has unread input.
+func (c *conn) evictUnlessUnread() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.unread() {
+		return false
+	}
+	c.shutdown()
+	return true
+}
+
+// unread: the peer has sent what has not been read, and may be an invocation. Input on a connection that is closed for writing
+// does not count. c.mu is held.
+func (c *conn) unread() bool { return !c.writeClosed && !c.released && unread(c.fd) }
+
+// allAnswered: all input has been read and answered, to the last byte, and the answers are written.
+func (c *conn) allAnswered() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.idle() && !c.unread()
+}
+
+// release: the connection is gone, and with it the callers of all that was open.
+func (c *conn) release() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.writeClosed, c.released = true, true
+	for number, st := range c.streams {
+		delete(c.streams, number)
+		close(st.canceled)
+	}
+	c.server.unsent.Add(-int64(len(c.pending)))
+	c.pending = nil
+}
--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -17,10 +17,10 @@
 // TestRequestAfterClose: requests are read on connections that have just been closed for writing: one that rested, one
 // within a frame. None is forwarded to the executor, none opens a stream, and the caller reads the end, not a reset.
 func TestRequestAfterClose(t *testing.T) {
-	whole := fakes.Invocation(1, 1)
+	complete := fakes.Invocation(1, 1)
 	for _, c := range []struct{ what, before, after string }{
-		{"rested", fakes.Raw(20, 9, "\x00"), whole + fakes.Invocation(2, 2)},
-		{"within a frame", whole[:40], whole[40:] + fakes.Invocation(2, 2)},
+		{"rested", fakes.Raw(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
+		{"within a frame", complete[:40], complete[40:] + fakes.Invocation(2, 2)},
 	} {
 		s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Linger = time.Minute })
 		n := fakes.Dial(t, s.address)
@@ -43,7 +43,7 @@
 		if c.what == "rested" {
 			n.Expect() // the health check, before the close
 		}
-		if f, err := n.Next(); err != io.EOF {
+		if f, err := n.Next(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: %v %v after the close", c.what, f, err)
 		}
 		// The poller has taken it in before it serves another connection.
@@ -59,7 +59,9 @@
 // TestSmallAnswersBeforeClose: many small answers go out one by one, each in a write of its own, and the connection is closed
 // over input that is not read. The system holds none of them back: TCP_NODELAY is set on what is accepted, and all arrive.
 func TestSmallAnswersBeforeClose(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, sheet *config.Settings) { b.Linger, sheet.Admission.Cores = time.Minute, 64 })
+	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
+		b.Linger, settings.Admission.Cores = time.Minute, 64
+	})
 	n := fakes.Dial(t, s.address)
 	c := s.only(t)
 	if on, err := unix.GetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY); err != nil || on == 0 {
@@ -84,13 +86,13 @@
 			answers++
 		}
 	}
-	if err != io.EOF || answers != many {
+	if !errors.Is(err, io.EOF) || answers != many {
 		t.Errorf("%d answers of %d, then %v", answers, many, err)
 	}
 }
 
 // TestResultCutOnItsWay: the executor's link breaks within a notice, within a result, and brings a result whose end cannot be
-// read. The caller gets one answer: whole and unchanged once the next link brings it, errored where the notice was spoilt.
+// read. The caller gets one answer: complete and unchanged once the next link brings it, errored where the notice was spoilt.
 func TestResultCutOnItsWay(t *testing.T) {
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
--- /dev/null
+++ b/internal/backend/server/drain.go
@@ -0,0 +1,45 @@
+package server
+
+// StopAccepting asks for no more invocations on every connection, and closes the listener once all connections in its accept
+// queue have been accepted.
+func (s *Server) StopAccepting() {
+	s.mu.Lock()
+	s.draining = true
+	s.mu.Unlock()
+	for _, c := range s.all() {
+		c.sendGoAway()
+	}
+	if err := s.listener.closeWhenEmpty(s.bounds.Queued); err != nil {
+		s.violations.Warn("listener", err)
+	}
+}
+
+// CloseAnswered closes, for writing, every connection on which all input is answered.
+func (s *Server) CloseAnswered() {
+	for _, c := range s.all() {
+		c.closeIfAnswered()
+	}
+}
+
+// AllClosed reports whether every connection has been closed, for writing at least.
+func (s *Server) AllClosed() bool {
+	for _, c := range s.all() {
+		if !c.ignoresInput() {
+			return false
+		}
+	}
+	return true
+}
+
+// AllAnswered reports whether all input has been read and answered, and the answers are written.
+func (s *Server) AllAnswered() bool {
+	for _, c := range s.all() {
+		if !c.allAnswered() {
+			return false
+		}
+	}
+	return true
+}
+
+// Idle reports whether, besides, no invocation is in flight.
+func (s *Server) Idle() bool { return s.AllAnswered() && s.inFlight.Load() == 0 }
--- a/internal/backend/server/moments_test.go
+++ b/internal/backend/server/races_test.go
@@ -14,10 +14,10 @@
 	"milletbarrow/internal/limits"
 )
 
-// The rare moments: each of these tests makes one bad order happen every time.
+// Races: each of these tests makes one bad order of events happen every time.
 
 // holdPoller stops the poller until release is called: what comes meanwhile stands unread in the sockets, as where the
-// process was held up. A connection that only knocks brings the poller to the door, which is locked.
+// process was held up. A connection that only knocks brings the poller to the listener, which is locked.
 func (s *site) holdPoller(t testing.TB) (release func()) {
 	s.listener.mu.Lock()
 	knock, err := net.Dial("tcp", s.address)
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { knock.Close() })
-	// The poller stands at the door once it no longer takes in what another connection sends.
+	// The poller waits for the listener once it no longer takes in what another connection sends.
 	return s.listener.mu.Unlock
 }
 
@@ -35,12 +35,12 @@
 	return s.all()[0]
 }
 
-// TestAcceptQueue: the listener closes while whole connections, invocations written, stand in the accept queue. Each is
-// answered, and who comes later finds the door closed.
+// TestAcceptQueue: the listener closes while connections, invocations written, stand in the accept queue. Each is
+// answered, and who comes later finds the listener closed.
 func TestAcceptQueue(t *testing.T) {
 	s := open(t, nil)
 	release := s.holdPoller(t)
-	var nodes []*fakes.Node
+	nodes := make([]*fakes.Node, 0, 5)
 	for k := range 5 {
 		n := fakes.Dial(t, s.address)
 		n.Send(fakes.Invocation(1, k+1))
@@ -49,7 +49,7 @@
 	over := make(chan struct{})
 	go func() { s.StopAccepting(); close(over) }()
 	release()
-	fakes.Take(t, "the door's closing", over)
+	fakes.Take(t, "the listener's closing", over)
 	for range nodes {
 		s.run(t, "complete", "r")
 	}
@@ -61,16 +61,16 @@
 		}
 	}
 	if c, err := net.Dial("tcp", s.address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("let in after the door is closed: %v %v", c, err)
+		t.Errorf("let in after the listener is closed: %v %v", c, err)
 	}
 }
 
-// TestUnreadOnResting: timers have run out on connections whose invocations stand unread, as the process was held up.
+// TestUnreadOnIdle: timers have run out on connections whose invocations stand unread, as the process was held up.
 // None is closed over them: not by what ends the silent, those within a frame and the resting, nor to make room.
-func TestUnreadOnResting(t *testing.T) {
-	short := func(b *limits.Bounds, sheet *config.Settings) {
+func TestUnreadOnIdle(t *testing.T) {
+	short := func(b *limits.Bounds, settings *config.Settings) {
 		b.Hello, b.Rests, b.Sweep = time.Millisecond, 0, time.Hour
-		sheet.Admission.IdleTimeout = 1000
+		settings.Admission.IdleTimeout = 1000
 	}
 	for _, c := range []struct {
 		what, before string
@@ -112,8 +112,8 @@
 func TestHeldUpWithinAFrame(t *testing.T) {
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
-	whole := fakes.Invocation(1, 1)
-	n.Send(whole[:30])
+	complete := fakes.Invocation(1, 1)
+	n.Send(complete[:30])
 	c := s.only(t)
 	fakes.Until(t, "the frame has begun", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.frameStart.IsZero() })
 	s.sweep(0)
@@ -121,16 +121,16 @@
 	c.extendDeadlines(-held) // as if it had come so long ago,
 	s.lastSweep = s.lastSweep.Add(-held)
 	s.sweep(0) // and nothing was looked at since
-	n.Send(whole[30:])
+	n.Send(complete[30:])
 	s.run(t, "complete", "r")
 	if f := n.Expect(); f.Code != 1 {
 		t.Error(f)
 	}
 }
 
-// TestSoundAfterUnfit: a connection has sent too much that cannot be used and ends once all is answered; a sound
-// invocation that comes meanwhile never ran, and is told so.
-func TestSoundAfterUnfit(t *testing.T) {
+// TestValidAfterInvalid: a connection has sent too much that cannot be used and ends once all is answered; a sound
+// invocation that comes meanwhile never ran, and its answer says so.
+func TestValidAfterInvalid(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
@@ -157,7 +157,7 @@
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Linger = 5 * time.Second })
 	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}}
 	plain, err := d.Dial("tcp", s.address)
 	if err != nil {
@@ -174,14 +174,14 @@
 	n.Send("\x00\x00\x00\x01xxxx")
 	fakes.Until(t, "all is written", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.writeClosed })
 	for range 20 {
-		plain.Write(make([]byte, 100))
+		_, _ = plain.Write(make([]byte, 100))
 		time.Sleep(time.Millisecond)
 	}
 	answers := 0
 	for {
 		f, err := n.Next()
 		if err != nil {
-			if err != io.EOF || answers != many {
+			if !errors.Is(err, io.EOF) || answers != many {
 				t.Errorf("%d answers of %d, then %v", answers, many, err)
 			}
 			break
@@ -256,9 +256,9 @@
 	fakes.Until(t, "they are gone", func() bool { n, _ := s.Counts(); return n == 1 })
 }
 
-// TestRoomOnItsWay: a table is full of what has been closed and waits for the poller, which is busy with newcomers. None of
+// TestEvictionCountsClosing: a table is full of what has been closed and waits for the poller, which is busy with newcomers. None of
 // those that stay is closed for them.
-func TestRoomOnItsWay(t *testing.T) {
+func TestEvictionCountsClosing(t *testing.T) {
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections = 2 })
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Raw(20, 1, "\x00"))
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -14,14 +14,14 @@
 )
 
 // tokened has the operation post known by its tokens.
-func tokened(b *limits.Bounds, sheet *config.Settings) {
-	sheet.Admission.IdempotencyKeyKB = 20
-	op := &sheet.Admission.Operations[1]
+func tokened(_ *limits.Bounds, settings *config.Settings) {
+	settings.Admission.IdempotencyKeyKB = 20
+	op := &settings.Admission.Operations[1]
 	op.RetrySafety, op.RepeatWindow = admission.IdempotencyKeyed, 5_000_000
 }
 
 // TestRepeatsOfOneRun: one run brings the answer to a repeat that comes while it runs, though its own caller has reset the
-// connection, and to one that comes after it. The farm's link breaks between the two.
+// connection, and to one that comes after it. The executor's link breaks between the two.
 func TestRepeatsOfOneRun(t *testing.T) {
 	s := open(t, tokened)
 	first, second := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
@@ -55,8 +55,8 @@
 func TestRepeatBeforeItsFirstIsLaunched(t *testing.T) {
 	s := open(t, tokened)
 	stopped, goOn := make(chan struct{}), make(chan struct{})
-	seam := func() { stopped <- struct{}{}; <-goOn }
-	s.beforeLaunch.Store(&seam)
+	hook := func() { stopped <- struct{}{}; <-goOn }
+	s.beforeLaunch.Store(&hook)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Try(1, 1, "x"))
 	fakes.Take(t, "the word that it may run", stopped)
@@ -79,12 +79,12 @@
 	}
 }
 
-// TestTokensOnFrames: one without a token is errored and not run, as is one whose token is beyond all bounds. Where no more
+// TestKeysOnFrames: one without a token is errored and not run, as is one whose token is beyond all bounds. Where no more
 // may be open, a repeat is errored, as another backend would run it again, and new work is throttled.
-func TestTokensOnFrames(t *testing.T) {
+func TestKeysOnFrames(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, sheet *config.Settings) {
-		tokened(b, sheet)
+	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
+		tokened(b, settings)
 		b.Streams = 1
 	})
 	n := fakes.Dial(t, s.address)
@@ -104,9 +104,9 @@
 	tr.Say("launched besides: %d", len(s.fakeExecutor.Launches))
 }
 
-// TestMarkOfAnothersWork: a bad client copies the mark of another's work, beside it and before it. It gets nothing of that
-// one's result, the farm refuses it, and the other is run and its repeat answered as if it had not come.
-func TestMarkOfAnothersWork(t *testing.T) {
+// TestCopiedIdempotencyKey: a bad client copies the mark of another's work, beside it and before it. It gets nothing of that
+// one's result, the executor refuses it, and the other is run and its repeat answered as if it had not come.
+func TestCopiedIdempotencyKey(t *testing.T) {
 	s := open(t, tokened)
 	n, bad := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	copied := func(stream uint32, number int) {
@@ -153,10 +153,10 @@
 func TestRepeatAtTheWindowsEdge(t *testing.T) {
 	const window = 100 * time.Millisecond
 	var slack time.Duration
-	s := open(t, func(b *limits.Bounds, sheet *config.Settings) {
-		tokened(b, sheet)
-		sheet.Admission.Operations[1].RepeatWindow = admission.Micros(window.Microseconds())
-		slack = time.Duration(sheet.Admission.AnswerSlack) * time.Microsecond
+	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
+		tokened(b, settings)
+		settings.Admission.Operations[1].RepeatWindow = admission.Micros(window.Microseconds())
+		slack = time.Duration(settings.Admission.AnswerSlack) * time.Microsecond
 	})
 	n := fakes.Dial(t, s.address)
 	at := func(when time.Time) string { return fmt.Sprint("at=", when.UnixMilli()) }
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -19,7 +19,7 @@
 	"milletbarrow/internal/ratelimitlog"
 )
 
-// site is a server with all that is around it.
+// site is a server with a fake executor and all that stands between them.
 type site struct {
 	*Server
 	fakeExecutor *fakes.Farm
@@ -27,19 +27,19 @@
 }
 
 func open(t *testing.T, edit func(*limits.Bounds, *config.Settings)) *site {
-	var sheet config.Settings
-	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
+	var settings config.Settings
+	if err := json.Unmarshal([]byte(fakes.Settings), &settings); err != nil {
 		t.Fatal(err)
 	}
 	b := limits.For(1, 192, 1024)
 	if edit != nil {
-		edit(&b, &sheet)
+		edit(&b, &settings)
 	}
 	fakeExecutor := fakes.NewFarm(t)
-	g := dispatch.New(&sheet, 1, b)
+	g := dispatch.New(&settings, 1, b)
 	tally := ratelimitlog.New(b.Quiet)
 	link := executor.New(fakeExecutor.Address, b, tally, g.Open)
-	s := New(&sheet, b, tally, g, link)
+	s := New(&settings, b, tally, g, link)
 	address, err := s.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go link.Run(ctx)
 	go g.RunTicks(ctx.Done(), link.RequestSample, link.Samples())
-	go s.Serve()
+	go func() { _ = s.Serve() }()
 	t.Cleanup(func() {
 		cancel()
 		s.StopAccepting()
@@ -64,7 +64,7 @@
 	return n
 }
 
-// run ends the next run that the farm is told of.
+// run ends the next run that the executor is asked for.
 func (s *site) run(t testing.TB, word, result string) fakes.Launch {
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	s.fakeExecutor.End(l.ID, word, result)
@@ -115,7 +115,7 @@
 	tr.Say("byte by byte: %v, %v, %+v", n.Expect(), n.Expect(), l)
 	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("  %v", n.Expect())
-	var many []string
+	many := make([]string, 0, 20)
 	for stream := range 20 {
 		many = append(many, fakes.Raw(20, uint32(stream), "\x00"))
 	}
@@ -128,7 +128,7 @@
 	s.rests(t, 1)
 }
 
-// TestFormsInPieces: every form of an invocation that the protocol allows is run, sent whole, byte by byte, and cut in the
+// TestFormsInPieces: every form of an invocation that the protocol allows is run, sent at once, byte by byte, and cut in the
 // middle of its length, of a name, of a value and of its body.
 func TestFormsInPieces(t *testing.T) {
 	s := open(t, nil)
@@ -176,8 +176,8 @@
 	s.rests(t, 1)
 }
 
-// TestOddFrames: what is wrong within sound borders costs its stream, no other.
-func TestOddFrames(t *testing.T) {
+// TestInvalidFrames: what is wrong within sound borders costs its stream, no other.
+func TestInvalidFrames(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
@@ -208,8 +208,8 @@
 	s.rests(t, 1)
 }
 
-// TestLostBorders: nothing more is read, what was read whole is answered, then the connection closes.
-func TestLostBorders(t *testing.T) {
+// TestFramingLost: nothing more is read, what was read before is answered, then the connection closes.
+func TestFramingLost(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := open(t, nil)
 	other := fakes.Dial(t, s.address)
@@ -227,8 +227,8 @@
 	tr.Say("the other connection: %v", other.Expect())
 }
 
-// TestGone: whoever left gets no answer, and what was only held for it does not run.
-func TestGone(t *testing.T) {
+// TestCancel: whoever left gets no answer, and what was only held for it does not run.
+func TestCancel(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
@@ -258,7 +258,7 @@
 // TestTooMany: more than the protocol allows on a connection, or than this process can hold, is throttled.
 func TestTooMany(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, sheet *config.Settings) { b.Invocations, sheet.Admission.Cores = 40, 64 })
+	s := open(t, func(b *limits.Bounds, settings *config.Settings) { b.Invocations, settings.Admission.Cores = 40, 64 })
 	one, two := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	for k := range 33 {
 		one.Send(fakes.Invocation(uint32(k+1), k+1))
@@ -292,8 +292,8 @@
 	s.rests(t, 1)
 }
 
-// TestStorm: after thousands of connections, many cut within a frame or with runs on the farm, nothing is left.
-func TestStorm(t *testing.T) {
+// TestConnectionChurn: after thousands of connections, many cut within a frame or with runs on the executor, nothing is left.
+func TestConnectionChurn(t *testing.T) {
 	s := open(t, nil)
 	before := runtime.NumGoroutine()
 	for k := range 2000 {
@@ -399,16 +399,16 @@
 	} {
 		n := fakes.Dial(t, s.address)
 		began := time.Now()
-		go n.Conn.Write([]byte(c.sends))
+		go func() { _, _ = n.Write([]byte(c.sends)) }()
 		var codes [4]int
-		over := make(chan error, 1)
+		over := make(chan struct{})
 		got := make(chan byte, 10_000)
 		go func() {
 			f, err := n.Next()
 			for ; err == nil; f, err = n.Next() {
 				got <- f.Code
 			}
-			over <- err
+			close(over)
 		}()
 		answered := false
 		for !answered {
@@ -443,12 +443,12 @@
 	s.rests(t, 1)
 }
 
-// TestFilling: while the table fills those that rest longest are asked away; when it is full they are closed,
+// TestIdleAskedToLeave: while the table fills those that rest longest are asked away; when it is full they are closed,
 // several at once where it is large.
-func TestFilling(t *testing.T) {
+func TestIdleAskedToLeave(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.Roomy, b.Rests = 64, 62, 0 })
-	var all []*fakes.Node
+	all := make([]*fakes.Node, 0, 64)
 	for range 64 {
 		all = append(all, fakes.Dial(t, s.address))
 		all[len(all)-1].Send(fakes.Raw(20, 1, "\x00"))
@@ -466,10 +466,10 @@
 	tr.Say("the second: %v", err)
 }
 
-// TestHeldForGood: who holds a connection for longer than the deployment's callers do loses it once it rests.
-func TestHeldForGood(t *testing.T) {
+// TestIdleTooLong: who holds a connection for longer than the deployment's callers do loses it once it rests.
+func TestIdleTooLong(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, sheet *config.Settings) { b.Hello, sheet.Admission.IdleTimeout = 0, 50_000 })
+	s := open(t, func(b *limits.Bounds, settings *config.Settings) { b.Hello, settings.Admission.IdleTimeout = 0, 50_000 })
 	held, busy := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	held.Send(fakes.Raw(20, 1, "\x00"))
 	tr.Say("%v", held.Expect())
@@ -482,8 +482,8 @@
 	tr.Say("the one with work: %v", busy.Expect())
 }
 
-// TestTakenBack: what was taken back before it was decided does not come to the gate, nor to the farm.
-func TestTakenBack(t *testing.T) {
+// TestCanceledBeforeAdmission: what was canceled before it was decided does not come to the dispatcher, nor to the executor.
+func TestCanceledBeforeAdmission(t *testing.T) {
 	s := open(t, nil)
 	st := &stream{number: 1, canceled: make(chan struct{})}
 	close(st.canceled)
@@ -497,8 +497,8 @@
 	s.rests(t, 0)
 }
 
-// TestTurnAway: type 30 on every connection; what crosses it is still answered; nothing new connects.
-func TestTurnAway(t *testing.T) {
+// TestStopAccepting: type 30 on every connection; what crosses it is still answered; nothing new connects.
+func TestStopAccepting(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
@@ -524,19 +524,19 @@
 	tr.Say("%s", fmt.Sprint("connections left: ", len(s.all())))
 }
 
-// TestWaitUntold: where the settings say that callers do not tell how long they wait, it is the client timeout, on time
+// TestNoDeadline: where the settings say that callers do not tell how long they wait, it is the client timeout, on time
 // though the run does not end; elsewhere such a frame is errored.
-func TestWaitUntold(t *testing.T) {
+func TestNoDeadline(t *testing.T) {
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1, "wait="))
 	if f := n.Expect(); f.Code != 3 || len(s.fakeExecutor.Launches) > 0 {
 		t.Errorf("where they tell: %v", f)
 	}
-	s = open(t, func(_ *limits.Bounds, sheet *config.Settings) {
-		sheet.DeadlineOptional = true
-		sheet.Admission.Operations[0].ClientTimeout = 300_000
-		sheet.Admission.Operations[0].Objective = 200_000
+	s = open(t, func(_ *limits.Bounds, settings *config.Settings) {
+		settings.DeadlineOptional = true
+		settings.Admission.Operations[0].ClientTimeout = 300_000
+		settings.Admission.Operations[0].Objective = 200_000
 	})
 	n = fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1, "wait="))
