--- a/internal/experiment/compat_test.go
+++ b/internal/experiment/compat_test.go
@@ -2,9 +2,14 @@
 
 import (
 	"context"
+	"crypto/sha256"
 	"encoding/json"
+	"fmt"
+	"strings"
 	"testing"
 
+	"github.com/google/go-cmp/cmp"
+
 	"milletbarrow/internal/compattest"
 )
 
@@ -66,3 +71,32 @@
 		compattest.SameJSON(t, again[i].Scenario+" "+again[i].Policy, text, again[i])
 	}
 }
+
+// TestEarlierSimulations: twelve simulated days under four policies, two seeds each, end with the results of the
+// earlier release to the byte. dozen.sha256 holds the SHA-256 of each result's JSON as that release wrote it.
+func TestEarlierSimulations(t *testing.T) {
+	x, err := Read(compattest.File("dozen.sx"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	cells, err := x.Cells()
+	if err != nil {
+		t.Fatal(err)
+	}
+	results, err := Run(context.Background(), x, nil, 2, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := make([]string, 0, len(cells))
+	for i, cell := range cells {
+		text, err := json.Marshal(results[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, fmt.Sprintf("%s %s %d %x", cell.Scenario.Name, cell.Policy.Name, cell.Seed, sha256.Sum256(text)))
+	}
+	want := strings.Split(strings.TrimSpace(string(compattest.Read(t, "dozen.sha256"))), "\n")
+	if diff := cmp.Diff(want, lines); diff != "" {
+		t.Errorf("scenario, policy, seed and hash of the earlier release (-), and now (+):\n%s", diff)
+	}
+}
