--- a/internal/fleetclient/quotas.go
+++ b/internal/fleetclient/quotas.go
@@ -13,7 +13,7 @@
 
 // askAny asks one agent after the other until one answers; they all forward to the same leader. An answer of a 4xx
 // status is one; else all errors are joined.
-func (c *Client) askAny(ctx context.Context, ask func(*agentapi.Client) error) error {
+func (c *Client) askAny(ask func(*agentapi.Client) error) error {
 	var errs []error
 	for _, h := range c.Spec.Hosts {
 		agent := c.agent(h.Name)
@@ -29,7 +29,7 @@
 
 // Budgets returns how the fleet's quotas stand.
 func (c *Client) Budgets(ctx context.Context) (b agentapi.Budgets, err error) {
-	err = c.askAny(ctx, func(agent *agentapi.Client) error {
+	err = c.askAny(func(agent *agentapi.Client) error {
 		var err error
 		b, err = agent.Budgets(ctx)
 		return err
@@ -39,12 +39,12 @@
 
 // WriteOff declares that what a holder has of the quotas is in force no more.
 func (c *Client) WriteOff(ctx context.Context, name string) error {
-	return c.askAny(ctx, func(agent *agentapi.Client) error { return agent.WriteOff(ctx, name, c.Operator) })
+	return c.askAny(func(agent *agentapi.Client) error { return agent.WriteOff(ctx, name, c.Operator) })
 }
 
 // ColdStart begins a cold start at the quota leader, or resumes or ends one.
 func (c *Client) ColdStart(ctx context.Context, r quota.ColdStartCommand) error {
-	return c.askAny(ctx, func(agent *agentapi.Client) error { return agent.Rise(ctx, r) })
+	return c.askAny(func(agent *agentapi.Client) error { return agent.Rise(ctx, r) })
 }
 
 // HostMembers is one agent's view of the members, or why there is none.
