--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -18,10 +18,10 @@
 	"milletbarrow/internal/plot"
 )
 
-func levelsCommand() *cli.Command {
+func degradationCommand() *cli.Command {
 	return &cli.Command{
-		Name: "levels", Usage: "check, replay and hold levels of reduced service",
-		Commands: []*cli.Command{levelsCheckCommand(), levelsRecordCommand(), levelsReplayCommand(), levelsPinCommand()},
+		Name: "degradation", Usage: "check, replay and pin levels of reduced service",
+		Commands: []*cli.Command{degradationCheckCommand(), degradationRecordCommand(), degradationReplayCommand(), degradationPinCommand()},
 	}
 }
 
@@ -34,10 +34,10 @@
 	return l, unusable(err)
 }
 
-func levelsCheckCommand() *cli.Command {
+func degradationCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name: "check", Usage: "explain a ladder in words, and refuse one that can't work", ArgsUsage: "FILE",
-		Description: "Example:\n   milletbarrow levels check ladder.sx --config n3.json",
+		Description: "Example:\n   milletbarrow degradation check ladder.sx --config n3.json",
 		Flags:       []cli.Flag{configFlag(), jsonFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			l, err := readLadder(c.Args().First())
@@ -62,11 +62,11 @@
 	}
 }
 
-func levelsReplayCommand() *cli.Command {
+func degradationReplayCommand() *cli.Command {
 	return &cli.Command{
 		Name: "replay", Usage: "play recorded signals through a ladder, and draw level against signals", ArgsUsage: "FILE TRACE",
 		Description: "A trace has a line for each reading: microseconds, then the signals that are known, as queue=1.5.\n" +
-			"Example:\n   milletbarrow levels replay ladder.sx signals.txt --plot levels.svg",
+			"Example:\n   milletbarrow degradation replay ladder.sx signals.txt --plot levels.svg",
 		Flags: []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			l, err := readLadder(c.Args().Get(0))
@@ -122,12 +122,12 @@
 	}
 }
 
-func levelsRecordCommand() *cli.Command {
+func degradationRecordCommand() *cli.Command {
 	return &cli.Command{
 		Name: "record", Usage: "print an instance's signals as a trace for replay",
-		Description: "Example:\n   milletbarrow levels record --socket n3.inspect --for 10m > signals.txt",
+		Description: "Example:\n   milletbarrow degradation record --socket n3.inspect --for 10m > signals.txt",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "socket", Usage: "the instance's inspection `SOCKET`", Required: true},
+			&cli.StringFlag{Name: "socket", Usage: "the instance's admin `SOCKET`", Required: true},
 			&cli.DurationFlag{Name: "for", Usage: "so long", Value: time.Minute},
 			&cli.DurationFlag{Name: "every", Usage: "between two readings", Value: 100 * time.Millisecond},
 		},
@@ -159,14 +159,14 @@
 	}
 }
 
-func levelsPinCommand() *cli.Command {
+func degradationPinCommand() *cli.Command {
 	return &cli.Command{
-		Name: "pin", Usage: "hold one instance at a level for a while, by its inspection socket", ArgsUsage: "LEVEL",
+		Name: "pin", Usage: "hold one instance at a level for a while, by its admin socket", ArgsUsage: "LEVEL",
 		Description: "full is the level at which nothing is shed. The pin ends by itself.\n" +
-			"Examples:\n   milletbarrow levels pin --socket n3.inspect --for 10m --above no-reprints\n" +
-			"   milletbarrow levels pin --socket n3.inspect --release",
+			"Examples:\n   milletbarrow degradation pin --socket n3.inspect --for 10m --above no-reprints\n" +
+			"   milletbarrow degradation pin --socket n3.inspect --release",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "socket", Usage: "the instance's inspection `SOCKET`", Required: true},
+			&cli.StringFlag{Name: "socket", Usage: "the instance's admin `SOCKET`", Required: true},
 			&cli.DurationFlag{Name: "for", Usage: "so long", Value: 10 * time.Minute},
 			&cli.BoolFlag{Name: "above", Usage: "let the signals go above it"},
 			&cli.BoolFlag{Name: "release", Usage: "let the signals decide again"},
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -23,13 +23,13 @@
 	"milletbarrow/internal/simulation"
 )
 
-func labCommand() *cli.Command {
+func experimentCommand() *cli.Command {
 	return &cli.Command{
-		Name: "lab", Usage: "try designs on modelled fleets: run, compare and plot experiments",
-		Description: "Example:\n   milletbarrow lab run docs/studies/wording.sx --dir /tmp/wording\n" +
-			"   milletbarrow lab compare docs/studies/wording.sx --dir /tmp/wording pool milletbarrow",
+		Name: "experiment", Usage: "try designs on modelled fleets: run, compare and plot experiments",
+		Description: "Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording\n" +
+			"   milletbarrow experiment compare docs/studies/wording.sx --dir /tmp/wording pool milletbarrow",
 		Commands: []*cli.Command{
-			labCheckCommand(), labRunCommand(), labCompareCommand(), labPlotCommand(), labReplayCommand(), labPoliciesCommand(), labTwinCommand(), labSpeedCommand(), labRiseCommand(),
+			experimentCheckCommand(), experimentRunCommand(), experimentCompareCommand(), experimentPlotCommand(), experimentReplayCommand(), experimentPoliciesCommand(), experimentValidateCommand(), experimentBenchmarkCommand(), experimentColdStartCommand(),
 		},
 	}
 }
@@ -59,10 +59,10 @@
 	return &cli.StringFlag{Name: "over", Usage: "sweep `NAME=VALUE,VALUE...` instead of what the file sweeps"}
 }
 
-func labCheckCommand() *cli.Command {
+func experimentCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name: "check", Usage: "read an experiment and tell what it would run", ArgsUsage: "FILE",
-		Description: "Example:\n   milletbarrow lab check docs/studies/wording.sx", Flags: []cli.Flag{jsonFlag(), overFlag()},
+		Description: "Example:\n   milletbarrow experiment check docs/studies/wording.sx", Flags: []cli.Flag{jsonFlag(), overFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			x, err := readExperiment(c)
 			if err != nil {
@@ -81,10 +81,10 @@
 	}
 }
 
-func labPoliciesCommand() *cli.Command {
+func experimentPoliciesCommand() *cli.Command {
 	return &cli.Command{
 		Name: "policies", Usage: "list the policies and where they come from",
-		Description: "Example:\n   milletbarrow lab policies",
+		Description: "Example:\n   milletbarrow experiment policies",
 		Action: func(context.Context, *cli.Command) error {
 			w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 			for _, p := range simulation.Policies() {
@@ -95,11 +95,11 @@
 	}
 }
 
-func labRunCommand() *cli.Command {
+func experimentRunCommand() *cli.Command {
 	return &cli.Command{
 		Name: "run", Aliases: []string{"sweep"}, Usage: "play an experiment; what was interrupted goes on with the same call", ArgsUsage: "FILE",
 		Description: "Each run is kept in the place as soon as it ends. Ends with 3 where a rule was broken by the module.\n" +
-			"Example:\n   milletbarrow lab run docs/studies/wording.sx --dir /tmp/wording --over nodes.deaf=0,0.5,1",
+			"Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording --over nodes.deaf=0,0.5,1",
 		Flags: []cli.Flag{
 			dirFlag(), overFlag(), jsonFlag(),
 			&cli.IntFlag{Name: "cores", Usage: "runs at once", Value: runtime.NumCPU()},
@@ -197,11 +197,11 @@
 	return &cli.StringFlag{Name: "measure", Usage: "the `FIGURE`: value, broken, attempts, wasted, changes, OPERATION.p99 ...", Value: "value"}
 }
 
-func labCompareCommand() *cli.Command {
+func experimentCompareCommand() *cli.Command {
 	return &cli.Command{
 		Name: "compare", Usage: "the paired difference of two policies, with its interval", ArgsUsage: "FILE A B",
 		Description: "Days are paired by seed; the interval holds with a confidence of 0.95.\n" +
-			"Example:\n   milletbarrow lab compare docs/studies/wording.sx --dir /tmp/wording --measure pay-post.value pool milletbarrow",
+			"Example:\n   milletbarrow experiment compare docs/studies/wording.sx --dir /tmp/wording --measure pay-post.value pool milletbarrow",
 		Flags: []cli.Flag{dirFlag(), overFlag(), measureFlag(), jsonFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			_, cells, results, err := loadExperiment(c)
@@ -230,22 +230,22 @@
 	}
 }
 
-func labPlotCommand() *cli.Command {
+func experimentPlotCommand() *cli.Command {
 	return &cli.Command{
 		Name: "plot", Usage: "draw an experiment's results", ArgsUsage: "FILE",
 		Description: "What: sweep (the figure over what is swept), time, operations, tenants, latency, heat (of one policy).\n" +
-			"Example:\n   milletbarrow lab plot docs/studies/wording.sx --dir /tmp/wording --what sweep --to wording.svg",
+			"Example:\n   milletbarrow experiment plot docs/studies/wording.sx --dir /tmp/wording --what sweep --to wording.svg",
 		Flags: []cli.Flag{
 			dirFlag(), overFlag(), measureFlag(),
 			&cli.StringFlag{Name: "what", Value: "sweep"}, &cli.StringFlag{Name: "to", Usage: "a `FILE` that ends in .svg or .png", Required: true},
 			&cli.StringFlag{Name: "scenario", Usage: "the first one, if none is named"}, &cli.StringFlag{Name: "policy", Usage: "of a heat map"},
 			&cli.Uint64Flag{Name: "seed", Usage: "the first one, if none is named"}, &cli.FloatFlag{Name: "at", Usage: "the value of what is swept", Value: math.NaN()},
 		},
-		Action: labPlot,
+		Action: plotExperiment,
 	}
 }
 
-func labPlot(_ context.Context, c *cli.Command) error {
+func plotExperiment(_ context.Context, c *cli.Command) error {
 	x, cells, results, err := loadExperiment(c)
 	if err != nil {
 		return err
@@ -317,10 +317,10 @@
 	return os.Rename(f.Name(), c.String("to"))
 }
 
-func labReplayCommand() *cli.Command {
+func experimentReplayCommand() *cli.Command {
 	return &cli.Command{
 		Name: "replay", Usage: "play one day again and tell one invocation's or one host's course", ArgsUsage: "FILE",
-		Description: "Example:\n   milletbarrow lab replay docs/studies/wording.sx --policy milletbarrow --seed 3 --invocation 1200",
+		Description: "Example:\n   milletbarrow experiment replay docs/studies/wording.sx --policy milletbarrow --seed 3 --invocation 1200",
 		Flags: []cli.Flag{
 			overFlag(), &cli.StringFlag{Name: "scenario"}, &cli.StringFlag{Name: "policy"}, &cli.Uint64Flag{Name: "seed"},
 			&cli.Uint64Flag{Name: "invocation", Usage: "its `NUMBER` in the day, from 1"}, &cli.IntFlag{Name: "host", Value: -1},
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -29,11 +29,11 @@
 	PerEvent float64 `json:"ns_by_event"`
 }
 
-func labSpeedCommand() *cli.Command {
+func experimentBenchmarkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "speed", Usage: "measure what a modelled day costs on one core as the fleet grows, and draw it", ArgsUsage: "FILE",
+		Name: "benchmark", Usage: "measure what a modelled day costs on one core as the fleet grows, and draw it", ArgsUsage: "FILE",
 		Description: "Of the file's first scenario, with all its policies. The dashed line grows as n log n from the first size on.\n" +
-			"Example:\n   milletbarrow lab speed docs/studies/size.sx --sizes 10,33,100,330,1000 --plot speed.svg",
+			"Example:\n   milletbarrow experiment benchmark docs/studies/size.sx --sizes 10,33,100,330,1000 --plot speed.svg",
 		Flags: []cli.Flag{
 			jsonFlag(), &cli.StringFlag{Name: "sizes", Value: "10,33,100,330"}, &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"},
 		},
--- a/cmd/milletbarrow/experiment_cold_start.go
+++ b/cmd/milletbarrow/experiment_cold_start.go
@@ -10,11 +10,11 @@
 	"milletbarrow/internal/simulation/coldstart"
 )
 
-func labRiseCommand() *cli.Command {
+func experimentColdStartCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rise", Usage: "play how many backends come up together, by each way of starting and reporting",
+		Name: "cold-start", Usage: "play how many backends come up together, by each way of starting and reporting",
 		Description: "Beside a register that refuses for ten seconds and a service below that falls over, in the model. Example:\n" +
-			"   milletbarrow lab rise --backends 330,1200,5000 --seeds 6",
+			"   milletbarrow experiment cold-start --backends 330,1200,5000 --seeds 6",
 		Flags: []cli.Flag{jsonFlag(), &cli.IntSliceFlag{Name: "backends", Value: coldstart.Sizes()}, &cli.IntFlag{Name: "seeds", Value: 6}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			for _, n := range c.IntSlice("backends") {
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -28,11 +28,11 @@
 	twinP99   = 0.20
 )
 
-func labTwinCommand() *cli.Command {
+func experimentValidateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "twin", Usage: "play scenarios in the model and over sockets on this machine, side by side", ArgsUsage: "FILE",
+		Name: "validate", Usage: "play scenarios in the model and over sockets on this machine, side by side", ArgsUsage: "FILE",
 		Description: "Slow hosts, bursts and releases are brought about on both. Ends with 3 where they lie apart by more than 0.05 of value or of the\n" +
-			"throttled share, or 20% of p99. Nothing else should run beside it.\nExample:\n   milletbarrow lab twin docs/studies/twins.sx",
+			"throttled share, or 20% of p99. Nothing else should run beside it.\nExample:\n   milletbarrow experiment validate docs/studies/twins.sx",
 		Flags: []cli.Flag{jsonFlag(), &cli.BoolFlag{Name: "quiet"}, &cli.StringFlag{Name: "scenario"}, &cli.Uint64Flag{Name: "seed", Value: 1}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			x, err := experiment.Read(c.Args().First())
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -15,17 +15,17 @@
 	"milletbarrow/internal/faultinjection/schedule"
 )
 
-func trialCommand() *cli.Command {
+func faultsCommand() *cli.Command {
 	keep := &cli.StringFlag{Name: "keep", Usage: "keep what a failing trial left, in this `DIRECTORY`", Value: "trials"}
 	failpoint := &cli.StringFlag{Name: "failpoint", Aliases: []string{"plant"}, Usage: "a `FAULT` of the program itself, where it was built with -tags failpoint", Hidden: true}
 	return &cli.Command{
-		Name: "trial", Usage: "have agents, keepers and backends of this program work while parts of them fail, and audit it",
+		Name: "faults", Usage: "run agents, supervisors and backends of this program while parts of them fail, and check the outcome",
 		Description: "Real processes on this machine, links between them, a timetable of faults. docs/trial.md says how to read it. Exit codes:\n" +
 			"0 all held, 1 an error, 2 a file or word can't be used, 3 something did not hold.",
 		Commands: []*cli.Command{
 			{
 				Name: "run", Usage: "play timetables from files, or drawn from seeds", ArgsUsage: "[FILE ...]",
-				Description: "Examples:\n   milletbarrow trial run trial/testdata/all.sx\n   milletbarrow trial run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
+				Description: "Examples:\n   milletbarrow faults run trial/testdata/all.sx\n   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
 				Flags: []cli.Flag{
 					keep, failpoint, jsonFlag(), &cli.BoolFlag{Name: "quiet", Usage: "no progress"},
 					&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the first one drawn"}, &cli.IntFlag{Name: "count", Usage: "so many are drawn"},
@@ -37,7 +37,7 @@
 			},
 			{
 				Name: "replay", Usage: "play one timetable again, as it was kept", ArgsUsage: "FILE", Flags: []cli.Flag{keep, failpoint, jsonFlag()},
-				Description: "Example:\n   milletbarrow trial replay trials/drawn-17/trial.sx",
+				Description: "Example:\n   milletbarrow faults replay trials/drawn-17/trial.sx",
 				Action: func(ctx context.Context, c *cli.Command) error {
 					t, err := tableOf(c.Args().First())
 					if err != nil {
@@ -48,13 +48,13 @@
 			},
 			{
 				Name: "shrink", Usage: "make a timetable that does not hold smaller, as long as it does not", ArgsUsage: "FILE",
-				Description: "Example:\n   milletbarrow trial shrink trials/drawn-17/trial.sx --within 30m > small.sx",
+				Description: "Example:\n   milletbarrow faults shrink trials/drawn-17/trial.sx --within 30m > small.sx",
 				Flags:       []cli.Flag{keep, failpoint, &cli.DurationFlag{Name: "within", Value: time.Hour}, &cli.IntFlag{Name: "tries", Value: 2, Usage: "of each, as chance has a part in it"}},
 				Action:      shrinkTrial,
 			},
 			{
 				Name: "measure", Usage: "measure how shares are used as demand moves, hosts are lost and agents die",
-				Description: "Takes some minutes; leave the machine alone meanwhile. Example:\n   milletbarrow trial measure --hosts 5 --backends 20",
+				Description: "Takes some minutes; leave the machine alone meanwhile. Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
 				Flags:       []cli.Flag{jsonFlag(), &cli.IntFlag{Name: "hosts", Value: 5}, &cli.IntFlag{Name: "backends", Value: 20}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					o, err := trialOptions(c, &schedule.Table{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
@@ -74,7 +74,7 @@
 			},
 			{
 				Name: "report", Usage: "sum up verdicts that were kept by --out", ArgsUsage: "FILE",
-				Description: "Example:\n   milletbarrow trial report trials.jsonl", Flags: []cli.Flag{jsonFlag()},
+				Description: "Example:\n   milletbarrow faults report trials.jsonl", Flags: []cli.Flag{jsonFlag()},
 				Action: reportTrials,
 			},
 		},
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -28,8 +28,8 @@
 			"3 some instances came out other than asked for, 4 the time ran out, 5 an agent could not be reached.",
 		Commands: []*cli.Command{
 			fleetCheckCommand(), orderCommand(fleet.KindStart), orderCommand(fleet.KindDrain), orderCommand(fleet.KindStop),
-			orderCommand(fleet.KindRestart), waveCommand(), steerCommand("pause"), steerCommand("resume"),
-			steerCommand("cancel"), fleetStatusCommand(), fleetWatchCommand(), fleetHistoryCommand(), fleetBudgetsCommand(), riseCommand(),
+			orderCommand(fleet.KindRestart), rollingUpdateCommand(), steerCommand("pause"), steerCommand("resume"),
+			steerCommand("cancel"), fleetStatusCommand(), fleetWatchCommand(), fleetHistoryCommand(), fleetBudgetsCommand(), coldStartCommand(),
 			fleetMembersCommand(),
 		},
 	}
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -17,17 +17,17 @@
 	"milletbarrow/internal/fleetclient"
 )
 
-func riseCommand() *cli.Command {
+func coldStartCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rise", Usage: "bring a site up again: what is down starts at the pace that what comes back allows",
+		Name: "cold-start", Usage: "bring a site up again: what is down starts at the pace that what comes back allows",
 		ArgsUsage: "[instance ...]",
 		Description: "What serves stays as it is. The least of each group comes first; terms are those of (rise ...) in the file. Given again with the\n" +
 			"same --id it joins what goes on, whichever tool began it.\n\nExamples:\n" +
-			"   milletbarrow fleet rise --fleet fleet.sx --all --dry-run\n" +
-			"   milletbarrow fleet rise --fleet fleet.sx --all\n" +
-			"   milletbarrow fleet rise --fleet fleet.sx --all --id ID --say go-on     (after it stopped, once its cause is mended)\n" +
-			"   milletbarrow fleet rise --fleet fleet.sx --all --id ID --say end       (nobody is held back any more; fleet cancel ID ends the starts)",
-		Flags: append(selectionFlags(), &cli.StringFlag{Name: "say", Usage: "a `WORD` about the rise of --id: go-on or end"}),
+			"   milletbarrow fleet cold-start --fleet fleet.sx --all --dry-run\n" +
+			"   milletbarrow fleet cold-start --fleet fleet.sx --all\n" +
+			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision go-on     (after it stopped, once its cause is mended)\n" +
+			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision end       (nobody is held back any more; fleet cancel ID ends the starts)",
+		Flags: append(selectionFlags(), &cli.StringFlag{Name: "decision", Usage: "a `WORD` about the rise of --id: go-on or end"}),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			t, err := tool(c)
 			if err != nil {
@@ -45,7 +45,7 @@
 				return err
 			}
 			o.Budget = t.Spec.ColdStartQuota
-			r := quota.ColdStartCommand{Limit: o.Budget, ID: o.ID, By: t.Operator, Action: c.String("say")}
+			r := quota.ColdStartCommand{Limit: o.Budget, ID: o.ID, By: t.Operator, Action: c.String("decision")}
 			if r.Action != "" {
 				if err := t.ColdStart(ctx, r); err != nil {
 					return budgetsFailed(err)
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -11,26 +11,26 @@
 	"milletbarrow/internal/fleetclient"
 )
 
-func waveCommand() *cli.Command {
+func rollingUpdateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "wave", Usage: "have instances leave and come up again a few at a time, within a budget",
+		Name: "rolling-update", Usage: "have instances leave and come up again a few at a time, within a budget",
 		ArgsUsage: "[instance ...]",
 		Description: "The terms are those of the file; flags replace them one by one.\n\nExamples:\n" +
-			"   milletbarrow fleet wave --fleet fleet.sx --all --dry-run\n" +
-			"   milletbarrow fleet wave --fleet fleet.sx --group counter --width 4 --least-share 0.8 --surge 1\n" +
+			"   milletbarrow fleet rolling-update --fleet fleet.sx --all --dry-run\n" +
+			"   milletbarrow fleet rolling-update --fleet fleet.sx --group counter --max-unavailable 4 --min-ready-share 0.8 --surge 1\n" +
 			"   milletbarrow fleet resume --fleet fleet.sx ID",
 		Flags: append(selectionFlags(),
-			&cli.IntFlag{Name: "width", Usage: "instances out at once"},
-			&cli.IntFlag{Name: "least-count", Usage: "so many of each group stay ready"},
-			&cli.FloatFlag{Name: "least-share", Usage: "and this share of each group"},
+			&cli.IntFlag{Name: "max-unavailable", Usage: "instances out at once"},
+			&cli.IntFlag{Name: "min-ready", Usage: "so many of each group stay ready"},
+			&cli.FloatFlag{Name: "min-ready-share", Usage: "and this share of each group"},
 			&cli.StringFlag{Name: "order", Usage: "file, name or spread (over groups in turn)"},
 			&cli.IntFlag{Name: "surge", Usage: "spares of each group that are ready before the first leaves"},
-			&cli.IntFlag{Name: "failures", Usage: "more than so many pause the wave"},
+			&cli.IntFlag{Name: "max-failures", Usage: "more than so many pause the wave"},
 			&cli.DurationFlag{Name: "ready-within", Usage: "from a start to ready"},
 			&cli.DurationFlag{Name: "stall", Usage: "unable to go on for so long, it pauses"},
-			&cli.FloatFlag{Name: "turned-away", Usage: "share of invocations throttled or errored that pauses it"},
-			&cli.DurationFlag{Name: "turned-for", Usage: "if it lasts so long"},
-			&cli.IntFlag{Name: "abreast", Usage: "hosts that roll at once, where no budget says how many instances may be out", Value: 1},
+			&cli.FloatFlag{Name: "rejected-share", Usage: "share of invocations throttled or errored that pauses it"},
+			&cli.DurationFlag{Name: "rejected-for", Usage: "if it lasts so long"},
+			&cli.IntFlag{Name: "max-hosts", Usage: "hosts that roll at once, where no budget says how many instances may be out", Value: 1},
 			&cli.StringFlag{Name: "budget", Usage: "a count of the fleet's file: each that is out holds a unit, over all hosts"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -65,23 +65,23 @@
 				}
 				return finish(c, t.Execute(ctx, o, all, false), false)
 			}
-			return finish(c, t.RollingUpdate(ctx, o, all, c.Int("abreast")), true)
+			return finish(c, t.RollingUpdate(ctx, o, all, c.Int("max-hosts")), true)
 		},
 	}
 }
 
 func waveTerms(c *cli.Command, w fleet.RollingUpdateConfig) fleet.RollingUpdateConfig {
-	for name, to := range map[string]*int{"width": &w.MaxInProgress, "least-count": &w.MinReady, "surge": &w.Surge, "failures": &w.MaxFailures} {
+	for name, to := range map[string]*int{"max-unavailable": &w.MaxInProgress, "min-ready": &w.MinReady, "surge": &w.Surge, "max-failures": &w.MaxFailures} {
 		if c.IsSet(name) {
 			*to = c.Int(name)
 		}
 	}
-	for name, to := range map[string]*float64{"least-share": &w.MinReadyShare, "turned-away": &w.MaxRejectedShare} {
+	for name, to := range map[string]*float64{"min-ready-share": &w.MinReadyShare, "rejected-share": &w.MaxRejectedShare} {
 		if c.IsSet(name) {
 			*to = c.Float(name)
 		}
 	}
-	for name, to := range map[string]*fleet.Micros{"ready-within": &w.ReadyWithin, "stall": &w.StallTimeout, "turned-for": &w.RejectionTolerance} {
+	for name, to := range map[string]*fleet.Micros{"ready-within": &w.ReadyWithin, "stall": &w.StallTimeout, "rejected-for": &w.RejectionTolerance} {
 		if c.IsSet(name) {
 			*to = fleet.Micros(c.Duration(name).Microseconds())
 		}
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -107,22 +107,22 @@
 		r.Strange, r.Unsent, r.Late.Round(time.Millisecond/10))
 }
 
-func standinCommand() *cli.Command {
+func fakeCommand() *cli.Command {
 	return &cli.Command{
-		Name: "standin", Usage: "play a system that backends need, on this machine",
+		Name: "fake", Usage: "play a system that backends need, on this machine",
 		Commands: []*cli.Command{{
-			Name: "farm", Usage: "a farm that really takes time", Description: "Example:\n   milletbarrow standin farm --listen 127.0.0.1:4400 --cores 2 --takes 20ms",
+			Name: "executor", Usage: "an executor that really takes time", Description: "Example:\n   milletbarrow fake executor --listen 127.0.0.1:4400 --cores 2 --service-time 20ms",
 			Flags: []cli.Flag{
 				&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0"}, &cli.IntFlag{Name: "cores", Value: 2}, &cli.FloatFlag{Name: "crowd", Value: 8},
-				&cli.DurationFlag{Name: "takes", Value: 20 * time.Millisecond, Usage: "core time of a run whose body does not say work=MICROSECONDS"},
-				&cli.DurationFlag{Name: "cold", Usage: "a backend started anew finds its cores slow for so long"}, &cli.FloatFlag{Name: "cold-share", Value: 0.3},
+				&cli.DurationFlag{Name: "service-time", Value: 20 * time.Millisecond, Usage: "core time of a run whose body does not say work=MICROSECONDS"},
+				&cli.DurationFlag{Name: "warm-up", Usage: "a backend started anew finds its cores slow for so long"}, &cli.FloatFlag{Name: "warm-up-share", Value: 0.3},
 			},
 			Action: func(ctx context.Context, c *cli.Command) error {
-				if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("cold-share") <= 0 {
-					return unusable(errors.New("cores and crowd are at least 1, cold-share above 0"))
+				if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("warm-up-share") <= 0 {
+					return unusable(errors.New("cores and crowd are at least 1, warm-up-share above 0"))
 				}
 				y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Terms{
-					Cores: c.Int("cores"), Crowd: c.Float("crowd"), Takes: c.Duration("takes"), Cold: c.Duration("cold"), Share: c.Float("cold-share"), Most: 10_000,
+					Cores: c.Int("cores"), Crowd: c.Float("crowd"), Takes: c.Duration("service-time"), Cold: c.Duration("warm-up"), Share: c.Float("warm-up-share"), Most: 10_000,
 				})
 				if err != nil {
 					return unusable(err)
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -25,17 +25,7 @@
 )
 
 func main() {
-	app := &cli.Command{
-		Name:           "milletbarrow",
-		Usage:          "admission and scheduling for backends behind other people's balancers",
-		DefaultCommand: "serve",
-		Commands: []*cli.Command{
-			serveCommand(), checkCommand(), limitsCommand(), versionCommand(),
-			agentCommand(), keeperCommand(), beginCommand(), fleetCommand(), levelsCommand(), labCommand(), loadCommand(), standinCommand(), trialCommand(), demoCommand(),
-		},
-		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // main ends the process
-	}
-	err := app.Run(context.Background(), os.Args)
+	err := newApp().Run(context.Background(), currentNames(os.Args))
 	if err == nil {
 		return
 	}
@@ -49,6 +39,21 @@
 	os.Exit(code)
 }
 
+// newApp wires the sub-commands together.
+func newApp() *cli.Command {
+	return &cli.Command{
+		Name:           "milletbarrow",
+		Usage:          "admission and scheduling for backends behind other people's balancers",
+		DefaultCommand: "serve",
+		Commands: []*cli.Command{
+			serveCommand(), checkCommand(), limitsCommand(), versionCommand(),
+			agentCommand(), keeperCommand(), beginCommand(), fleetCommand(), degradationCommand(), experimentCommand(), loadCommand(),
+			fakeCommand(), faultsCommand(), demoCommand(),
+		},
+		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // main ends the process
+	}
+}
+
 // unusable marks an error of what the caller gave.
 func unusable(err error) error {
 	if err == nil {
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -33,13 +33,13 @@
 	return &cli.Command{
 		Name: "serve", Usage: "run a backend until it is told to leave",
 		Description: "Examples:\n   GW_CONFIG=config.json milletbarrow\n" +
-			"   milletbarrow serve --config config.json --log json --inspect /run/n3.sock",
+			"   milletbarrow serve --config config.json --log json --admin /run/n3.sock",
 		Flags: []cli.Flag{configFlag(), logFlag(), &cli.StringFlag{
-			Name: "inspect", Usage: "tell the state on a Unix `SOCKET`; off by default",
+			Name: "admin", Usage: "serve the state on a Unix `SOCKET`; off by default",
 		}, &cli.StringFlag{
-			Name: "levels", Usage: "reduce service by the ladder in this `FILE`; off by default",
+			Name: "degradation", Usage: "reduce service by the policy in this `FILE`; off by default",
 		}, &cli.StringSliceFlag{
-			Name: "draw", Usage: "draw a tenant's work from a fleet-wide budget, as `BUDGET=TENANT`; off by default",
+			Name: "quota", Usage: "draw a tenant's work from a fleet-wide quota, as `BUDGET=TENANT`; off by default",
 		}, &cli.StringFlag{
 			Name: "stamps", Usage: "write down in this `DIRECTORY` what is held and drawn of budgets, for an audit",
 			Sources: cli.EnvVars("MILLETBARROW_STAMPS"), Hidden: true,
@@ -68,7 +68,7 @@
 				return err
 			}
 			var ladder *degradation.Policy
-			if file := c.String("levels"); file != "" {
+			if file := c.String("degradation"); file != "" {
 				if ladder, err = readLadder(file); err != nil {
 					return err
 				}
@@ -77,7 +77,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(b, ladder, sharing, c.String("config"), c.String("inspect"), c.String("levels"), c.Bool("reports-fixed"), hangup, notice)
+			return serve(b, ladder, sharing, c.String("config"), c.String("admin"), c.String("degradation"), c.Bool("reports-fixed"), hangup, notice)
 		},
 	}
 }
--- a/cmd/milletbarrow/serve_share.go
+++ b/cmd/milletbarrow/serve_share.go
@@ -21,19 +21,19 @@
 
 // sharingOf makes what a backend draws from of the command line; nil where it draws from no budget.
 func sharingOf(c *cli.Command, b *config.Backend) (*dispatch.QuotaConfig, error) {
-	words := c.StringSlice("draw")
+	words := c.StringSlice("quota")
 	if len(words) == 0 {
 		return nil, nil
 	}
 	if len(words) > quota.MaxBudgets {
-		return nil, unusable(fmt.Errorf("--draw: %d budgets, at most %d can be drawn from", len(words), quota.MaxBudgets))
+		return nil, unusable(fmt.Errorf("--quota: %d budgets, at most %d can be drawn from", len(words), quota.MaxBudgets))
 	}
 	s := &dispatch.QuotaConfig{Tenants: map[string]string{}, MachineClock: process.Now}
 	var budgets []string
 	for _, w := range words {
 		budget, tenant, ok := strings.Cut(w, "=")
 		if _, twice := s.Tenants[tenant]; !ok || budget == "" || twice {
-			return nil, unusable(fmt.Errorf("--draw: found %q, wanted BUDGET=TENANT, each tenant once", w))
+			return nil, unusable(fmt.Errorf("--quota: found %q, wanted BUDGET=TENANT, each tenant once", w))
 		}
 		s.Tenants[tenant] = budget
 		budgets = append(budgets, budget)
