--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter hosts instances of the decision module on the simulator's wire.
+// Command simadapter runs instances of the decision module for the simulator, on standard input and output. It exits
+// with 1 and a message on standard error at the first line that it cannot use.
 package main
 
 import (
@@ -20,95 +21,107 @@
 	}
 }
 
+// instance is one open instance of the decision module.
 type instance struct {
 	backend *admission.Backend
 	gauges  []string
 }
 
-type host struct {
-	open  map[int]*instance
-	acts  []admission.Action
-	reply bytes.Buffer
+// adapter has the open instances and the reply to the present batch.
+type adapter struct {
+	instances map[int]*instance
+	actions   []admission.Action
+	reply     bytes.Buffer
+	clock     simwire.Message // the Sync of the present or the last batch
+	inBatch   bool
 }
 
-// serve answers batches until the input ends. A reply is written whole or not at all.
+// serve answers batches until the input ends. A reply is written as a whole or not at all.
 func serve(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<20)
-	h := &host{open: map[int]*instance{}}
-	var clock simwire.Message
-	inBatch := false
+	a := &adapter{instances: map[int]*instance{}}
 	for number := 1; ; number++ {
 		line, err := lines.ReadBytes('\n')
-		if err == io.EOF && len(bytes.TrimSpace(line)) == 0 {
-			if inBatch {
-				return fmt.Errorf("line %d: the input ends within batch %d", number, clock.Round)
+		line = bytes.TrimSpace(line)
+		if errors.Is(err, io.EOF) && len(line) == 0 {
+			if a.inBatch {
+				return fmt.Errorf("line %d: the input ends within batch %d", number, a.clock.Round)
 			}
 			return nil
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if len(bytes.TrimSpace(line)) == 0 {
+		if len(line) == 0 {
 			continue
 		}
-		msg, err := simwire.Read(line)
-		switch {
-		case err != nil:
-		case (msg.Name == "Sync") == inBatch:
-			err = fmt.Errorf("%s out of place", msg.Name)
-		case msg.Name == "Sync":
-			clock, inBatch = msg, true
-			h.reply.Reset()
-		case msg.Name == "Commit":
-			inBatch = false
-			if err = simwire.WriteYield(&h.reply, clock.Round); err == nil {
-				_, err = out.Write(h.reply.Bytes())
-			}
-		default:
-			err = h.event(clock.At, msg)
-		}
-		if err != nil {
+		if err := a.handle(line, out); err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 	}
 }
 
-func (h *host) event(now admission.Micros, msg simwire.Message) error {
-	inst := h.open[msg.Instance]
+// handle takes one line of input; the last of a batch has the reply written.
+func (a *adapter) handle(line []byte, out io.Writer) error {
+	msg, err := simwire.Read(line)
+	switch {
+	case err != nil:
+		return err
+	case (msg.Name == "Sync") == a.inBatch:
+		return fmt.Errorf("%s out of place", msg.Name)
+	case msg.Name == "Sync":
+		a.clock, a.inBatch = msg, true
+		a.reply.Reset()
+		return nil
+	case msg.Name == "Commit":
+		a.inBatch = false
+		if err := simwire.WriteYield(&a.reply, a.clock.Round); err != nil {
+			return err
+		}
+		_, err := out.Write(a.reply.Bytes())
+		return err
+	}
+	return a.event(a.clock.At, msg)
+}
+
+// event gives an event to its instance and adds what that decides to the reply.
+func (a *adapter) event(now admission.Micros, msg simwire.Message) error {
+	inst := a.instances[msg.Instance]
 	if inst == nil {
 		if _, opens := msg.Event.(simwire.InstanceOpened); !opens {
 			return fmt.Errorf("%s: instance %d is not open", msg.Name, msg.Instance)
 		}
 	}
-	var ev admission.Event = msg.Event
+	var event admission.Event = msg.Event
 	switch e := msg.Event.(type) {
 	case simwire.InstanceOpened:
-		inst = &instance{backend: admission.New(e.Terms, e.Seed), gauges: e.Gauges}
-		h.open[msg.Instance] = inst
-		ev = admission.Opened{}
+		inst = &instance{backend: admission.New(e.Config, e.Seed), gauges: e.Gauges}
+		a.instances[msg.Instance] = inst
+		event = admission.Opened{}
 	case simwire.InstanceDetached:
-		delete(h.open, msg.Instance)
+		delete(a.instances, msg.Instance)
 		return nil
 	case simwire.GaugeReading:
-		ev = e.Reading(inst.gauges)
+		event = e.Reading(inst.gauges)
 	}
-	if err := h.decide(inst, now, ev); err != nil {
-		return simwire.WriteFault(&h.reply, msg.Instance, err.Error())
+	if err := a.decide(inst, now, event); err != nil {
+		return simwire.WriteFault(&a.reply, msg.Instance, err.Error())
 	}
-	for _, a := range h.acts {
-		if err := simwire.WriteAction(&h.reply, msg.Instance, a); err != nil {
+	for _, action := range a.actions {
+		if err := simwire.WriteAction(&a.reply, msg.Instance, action); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *host) decide(inst *instance, now admission.Micros, ev admission.Event) (err error) {
+// decide stores the actions that follow from an event; a panic of the module becomes an error.
+func (a *adapter) decide(inst *instance, now admission.Micros, event admission.Event) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = errors.New(fmt.Sprint(r))
 		}
 	}()
-	h.acts = inst.backend.Decide(now, ev, h.acts[:0])
+	a.actions = inst.backend.Decide(now, event, a.actions[:0])
 	return nil
 }
--- /dev/null
+++ b/internal/simwire/action.go
@@ -0,0 +1,77 @@
+package simwire
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"milletbarrow/admission"
+)
+
+// command has the fields of all commands; each has some of them.
+type command struct {
+	Instance     int      `json:"i"`
+	ID           string   `json:"req,omitempty"`
+	RetryAfterMs float64  `json:"retry_in_ms,omitempty"`
+	DontRetry    bool     `json:"give_up,omitempty"`
+	TimeoutMs    float64  `json:"within_ms,omitempty"`
+	ForMs        float64  `json:"hold_for_ms,omitempty"`
+	Healthy      *bool    `json:"want,omitempty"`
+	FromStore    bool     `json:"stored,omitempty"`
+	Value        *float64 `json:"x,omitempty"`
+	AtMs         *float64 `json:"when_ms,omitempty"`
+	Token        *int64   `json:"token,omitempty"`
+	Message      string   `json:"message,omitempty"`
+}
+
+func millis(t admission.Micros) float64 { return float64(t) / 1000 }
+
+func writeLine(w io.Writer, name string, body any) error {
+	return json.NewEncoder(w).Encode(map[string]any{name: body})
+}
+
+// WriteAction encodes one action of an instance as a line.
+func WriteAction(w io.Writer, instance int, action admission.Action) error {
+	switch a := action.(type) {
+	case admission.Start:
+		return writeLine(w, "Launch", command{Instance: instance, ID: a.ID})
+	case admission.Stop:
+		return writeLine(w, "Halt", command{Instance: instance, ID: a.ID})
+	case admission.Throttle:
+		return writeLine(w, "Decline", command{Instance: instance, ID: a.ID, RetryAfterMs: millis(a.RetryAfter), DontRetry: a.DontRetry})
+	case admission.Fail:
+		return writeLine(w, "EndFailed", command{Instance: instance, ID: a.ID})
+	case admission.Call:
+		return writeLine(w, "CallDep", command{Instance: instance, ID: a.ID, TimeoutMs: millis(a.Timeout)})
+	case admission.SkipCall:
+		return writeLine(w, "Bypass", command{Instance: instance, ID: a.ID})
+	case admission.Remember:
+		return writeLine(w, "Keep", command{Instance: instance, ID: a.ID, ForMs: millis(a.For)})
+	case admission.Forget:
+		return writeLine(w, "Forget", command{Instance: instance, ID: a.ID})
+	case admission.Reuse:
+		return writeLine(w, "Share", command{Instance: instance, ID: a.ID})
+	case admission.SetHealth:
+		return writeLine(w, "Health", command{Instance: instance, Healthy: &a.Good, FromStore: a.FromStore})
+	case admission.Advertise:
+		return writeLine(w, "Stamp", command{Instance: instance, Value: &a.Value})
+	case admission.CloseIdle:
+		return writeLine(w, "Idle", command{Instance: instance, ForMs: millis(a.After)})
+	case admission.Wake:
+		at := millis(a.At)
+		return writeLine(w, "After", command{Instance: instance, AtMs: &at, Token: &a.Token})
+	case admission.Log:
+		return writeLine(w, "WriteLog", command{Instance: instance, Message: a.Text})
+	}
+	return fmt.Errorf("no line for action %T", action)
+}
+
+// WriteFault encodes that the decision code of an instance has panicked.
+func WriteFault(w io.Writer, instance int, message string) error {
+	return writeLine(w, "BailOut", command{Instance: instance, Message: message})
+}
+
+// WriteYield encodes the end of the reply to a batch.
+func WriteYield(w io.Writer, round int64) error {
+	return writeLine(w, "Yield", map[string]int64{"round": round})
+}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/message_test.go
@@ -27,7 +27,7 @@
 				t.Fatalf("%q has no id", line)
 			}
 		case InstanceOpened:
-			if len(e.Terms.Operations) != 0 && e.Terms.Operations[0].Objective > 1e15 {
+			if len(e.Config.Operations) != 0 && e.Config.Operations[0].Objective > 1e15 {
 				t.Fatalf("%q has a time that overflows", line)
 			}
 		}
