--- /dev/null
+++ b/internal/fleet/event.go
@@ -0,0 +1,63 @@
+package fleet
+
+// Event is a fact that Machine.Decide takes in.
+type Event interface{ event() }
+
+// CommandReceived brings a command. One with a known ID and the same content changes nothing.
+type CommandReceived struct{ Command *Command }
+
+// InstanceObserved brings what was observed of an instance.
+type InstanceObserved struct {
+	Name        string
+	Observation Observation
+}
+
+// ActionFailed tells that an action can't be carried out.
+type ActionFailed struct {
+	Name     string // of the instance
+	ActionID string
+	Cause    string
+	Final    bool // another attempt would not help
+}
+
+// CommandControl pauses, resumes or cancels a command.
+type CommandControl struct {
+	CommandID   string
+	Verb        string // VerbPause, VerbResume or VerbCancel
+	RequestedBy string
+}
+
+// The verbs of CommandControl.
+const (
+	VerbPause  = "pause"
+	VerbResume = "resume"
+	VerbCancel = "cancel"
+)
+
+// Tick tells that time has passed.
+type Tick struct{}
+
+// UnitAcquired is the quota store's answer to ActionAcquireUnit. A call without an answer brings none.
+type UnitAcquired struct {
+	HeldUnit
+	Granted bool
+	Cause   string // why it was not granted
+}
+
+// UnitReleased tells that the quota store has a unit back.
+type UnitReleased struct {
+	Name      string // of the instance
+	RequestID string
+}
+
+// UnitsListed brings all units that the quota store has this host's instances hold.
+type UnitsListed struct{ Units []HeldUnit }
+
+func (CommandReceived) event()  {}
+func (InstanceObserved) event() {}
+func (ActionFailed) event()     {}
+func (CommandControl) event()   {}
+func (Tick) event()             {}
+func (UnitAcquired) event()     {}
+func (UnitReleased) event()     {}
+func (UnitsListed) event()      {}
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -26,20 +26,6 @@
 	ActionReleaseUnit ActionKind = "give a unit back"
 )
 
-// The events about units.
-type (
-	// UnitTaken: the ledger gave it, or said why not. A call without an answer brings none.
-	UnitAcquired struct {
-		HeldUnit
-		Granted bool
-		Cause   string
-	}
-	// UnitGiven: the ledger has it back.
-	UnitReleased struct{ Name, RequestID string }
-	// UnitsHeld are all that the ledger has this host's instances hold.
-	UnitsListed struct{ Units []HeldUnit }
-)
-
 // HeldUnit is one that an instance holds.
 type HeldUnit struct {
 	Name      string `json:"name"`
@@ -47,10 +33,6 @@
 	RequestID string `json:"turn"`
 }
 
-func (UnitAcquired) event() {}
-func (UnitReleased) event() {}
-func (UnitsListed) event()  {}
-
 // unitAgain is between two calls about one unit: of a count that is all held the next is given back in seconds.
 const unitRetryDelay = 300_000
 
