--- a/internal/fleet/backoff.go
+++ b/internal/fleet/backoff.go
@@ -24,15 +24,15 @@
 	return span/2 + Micros(draw.Int64N(int64(span/2)+1))
 }
 
-// Budget allows so many attempts within a span that moves along. It guards against a thing that fails at once,
-// for ever, being tried for ever; and against a crowd of such things taking the machine from the others.
+// LaunchBudget allows a number of attempts within a sliding window. It keeps an instance that fails at once from being
+// launched for ever, and a crowd of such instances from taking the host from the others.
 type LaunchBudget struct {
 	MaxAttempts int      `json:"Most"`
 	Window      Micros   `json:"Within"`
 	Attempts    []Micros `json:"Spent"` // when; at most Most of them
 }
 
-// Take spends one attempt if there is one left.
+// Take uses one attempt up, if there is one left.
 func (b *LaunchBudget) Take(now Micros) bool {
 	b.Attempts = slices.DeleteFunc(b.Attempts, func(at Micros) bool { return now-at >= b.Window })
 	if len(b.Attempts) >= b.MaxAttempts {
@@ -42,16 +42,16 @@
 	return true
 }
 
-// RetryShare is the budget of further tries towards agents: a tenth of the first tries on top of a few, so that a
-// tool that manages many does not multiply its calls when many are away. It is kept in the one place that calls.
+// RetryBudget bounds retries towards agents: a tenth of the first attempts on top of a few, so that a client of many
+// agents does not multiply its calls when many are away. It is not for use by several goroutines at once.
 type RetryBudget struct {
 	attempts, retries int
 }
 
-// First counts a first try.
+// RecordAttempt counts a first attempt.
 func (r *RetryBudget) RecordAttempt() { r.attempts++ }
 
-// Again takes a further try if the budget allows one.
+// AllowRetry uses one retry up, if the budget allows one.
 func (r *RetryBudget) AllowRetry() bool {
 	const few, share = 20, 10
 	if r.retries >= few+r.attempts/share {
--- a/internal/fleet/cold_start.go
+++ b/internal/fleet/cold_start.go
@@ -7,19 +7,19 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// Bounds of a host's part in a rise.
+// Bounds of a host's part in a cold start.
 const (
-	maxPendingUnitRequests = 2         // instances that ask for a unit at once
-	standaloneAfter        = 5_000_000 // microseconds without an answer until a host goes on by the one unit that is set aside for it
+	maxPendingUnitRequests = 2         // instances that request a unit at once
+	standaloneAfter        = 5_000_000 // microseconds without an answer until a host goes on with the one unit that is reserved for it
 )
 
-// lift brings a rise forward on this host: what is down asks for a unit, starts once it holds one, and keeps it until it is
-// warm or given up. Whose turn it is over all hosts the ledger decides.
+// advanceColdStart starts what is down on this host: each instance requests a unit, starts once it holds one, and keeps it
+// until it is settled or given up. The quota store decides which hosts get units first.
 func (m *Machine) advanceColdStart(now Micros, c *Command) {
 	asked, alone := 0, false
 	for _, n := range m.instanceNames {
 		in := m.instances[n]
-		alone = alone || in.Unit.Standalone && !in.backInService(now) && !in.LaunchesExhausted // warm it needs none, whoever has yet to hear of it
+		alone = alone || in.Unit.Standalone && !in.backInService(now) && !in.LaunchesExhausted
 	}
 	for _, n := range c.Names {
 		if _, over := c.Results[n]; over {
@@ -28,9 +28,9 @@
 		in := m.instances[n]
 		switch {
 		case in == nil:
-			m.recordResult(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
+			m.recordResult(now, c, n, OutcomeFailed, notInSpec)
 			continue
-		case c.InProgress[n] || in.DesiredUp: // under way, by this or by somebody else's word
+		case c.InProgress[n] || in.DesiredUp: // in progress, by this command or by another
 			m.resolveCommand(now, in)
 			continue
 		case c.State != CommandOpen || !in.Phase.Down():
@@ -53,7 +53,7 @@
 	}
 }
 
-// risen is how a start came out that held a unit.
+// startResult is how a start that held a unit came out.
 func (in *Instance) startResult(now Micros) coldstart.Outcome {
 	e := coldstart.Outcome{Ready: in.available(now), Cause: in.Cause}
 	if e.Ready && in.Unit.StartedAt > 0 {
@@ -62,7 +62,8 @@
 	return e
 }
 
-// tellRise has the ledger hear that one is up that never asked for a unit: as if it gave one back.
+// reportAlreadyRunning has the quota store learn of an instance that serves and never requested a unit, as if it
+// released one.
 func (in *Instance) reportAlreadyRunning(c *Command) {
 	if c.Kind == KindColdStart && in.Unit.RequestID == "" {
 		in.Unit = Unit{Quota: c.Quota, RequestID: c.ID + "." + in.Name + ".0", CommandID: c.ID, Held: true}
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -6,54 +6,55 @@
 	"slices"
 )
 
-// Kind is what a command asks for.
+// CommandKind is what a command asks for.
 type CommandKind string
 
-// The kinds. A restart and a wave end with the instance up again; Stop is Drain that may be told not to wait.
+// The kinds. A restart and a rolling update end with the instance up again; KindStop is KindDrain that may be
+// Immediate.
 const (
 	KindStart         CommandKind = "start"
 	KindDrain         CommandKind = "drain"
 	KindStop          CommandKind = "stop"
 	KindRestart       CommandKind = "restart"
 	KindRollingUpdate CommandKind = "wave"
-	KindColdStart     CommandKind = "rise" // what is down starts as the whole fleet's rise lets it; what serves stays
+	KindColdStart     CommandKind = "rise" // what is down starts as the cold start of the whole fleet lets it; what serves stays
 )
 
-// Kinds lists them.
+// CommandKinds lists all kinds.
 func CommandKinds() []CommandKind {
 	return []CommandKind{KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindColdStart}
 }
 
-// Command is what somebody asked for. All but Results and what is below it stays as it came.
+// Command is a request for a set of instances. From State on it holds its progress; what is above stays as it came.
 type Command struct {
 	ID          string               `json:"id"`
 	Kind        CommandKind          `json:"kind"`
 	Names       []string             `json:"names"`
 	RequestedBy string               `json:"by"`               // who asked
 	RequestedAt int64                `json:"asked_unix_us"`    // wall clock, for people
-	Deadline    Micros               `json:"due"`              // what has no result by then is late
-	Immediate   bool                 `json:"now,omitempty"`    // Stop: killed at once, its callers get no answer
-	Rollout     *RollingUpdateConfig `json:"terms,omitempty"`  // Wave
-	Quota       string               `json:"budget,omitempty"` // Wave: a count of the fleet, of which each that is out holds a unit
+	Deadline    Micros               `json:"due"`              // an instance without a result by then gets OutcomeTimedOut
+	Immediate   bool                 `json:"now,omitempty"`    // KindStop: killed at once, its callers get no answer
+	Rollout     *RollingUpdateConfig `json:"terms,omitempty"`  // KindRollingUpdate
+	Quota       string               `json:"budget,omitempty"` // name of the concurrency quota of which each instance in progress holds a unit
 	Sequence    int                  `json:"number"`           // order of arrival at this agent
 	State       CommandState         `json:"state"`
-	Cause       string               `json:"cause,omitempty"` // of a pause or a cancel
+	Cause       string               `json:"cause,omitempty"` // of a pause or a cancellation
 	StartedAt   Micros               `json:"begun"`
 	FinishedAt  Micros               `json:"finished,omitempty"`
 
-	Results        map[string]Result `json:"results"`          // exactly one an instance, never changed
+	Results        map[string]Result `json:"results"`          // exactly one for each instance, never changed
 	Failures       int               `json:"failed,omitempty"` // since the last resume
-	Spares         []string          `json:"spares,omitempty"` // of a wave with surge
-	Stage          Stage             `json:"stage,omitempty"`  // of a wave
-	InProgress     map[string]bool   `json:"out,omitempty"`    // released by the wave and not back
-	BlockedSince   Micros            `json:"stuck,omitempty"`  // since when the wave could not go on; 0: it can
-	RejectingSince Micros            `json:"turned,omitempty"` // since when too many were turned away; 0: they are not
+	Spares         []string          `json:"spares,omitempty"` // of a rolling update with surge
+	Stage          Stage             `json:"stage,omitempty"`  // of a rolling update
+	InProgress     map[string]bool   `json:"out,omitempty"`    // taken out and not back yet
+	BlockedSince   Micros            `json:"stuck,omitempty"`  // since when no instance could be taken out; 0: one can
+	RejectingSince Micros            `json:"turned,omitempty"` // since when too many invocations are rejected; 0: they are not
 }
 
-// State of a command.
+// CommandState is how far a command has come.
 type CommandState string
 
-// The states. A paused wave releases nothing, what is out comes back.
+// The states. A paused rolling update takes nothing out; what is in progress comes back.
 const (
 	CommandOpen      CommandState = "open"
 	CommandPaused    CommandState = "paused"
@@ -61,10 +62,10 @@
 	CommandDone      CommandState = "done"
 )
 
-// Stage of a wave.
+// Stage of a rolling update.
 type Stage string
 
-// The stages of a wave with surge; one without has the second only.
+// The stages of a rolling update with surge; one without surge has StageRolling only.
 const (
 	StageStartSpares Stage = "spares up"
 	StageRolling     Stage = "rolling"
@@ -74,8 +75,8 @@
 // Outcome of a command for one instance.
 type Outcome string
 
-// The outcomes. Succeeded, Already and Killed mean that it is as asked; Killed that its callers may have lost
-// answers on the way.
+// The outcomes. Succeeded, unchanged and killed mean that the instance is as the command wanted it; after a kill its
+// callers may have lost answers.
 const (
 	OutcomeSucceeded  Outcome = "done"
 	OutcomeUnchanged  Outcome = "already"
@@ -87,19 +88,19 @@
 	OutcomeSkipped    Outcome = "skipped"
 )
 
-// AsAsked tells whether the instance is as the command wanted it.
+// Satisfied tells whether the instance is as the command wanted it.
 func (o Outcome) Satisfied() bool {
 	return o == OutcomeSucceeded || o == OutcomeUnchanged || o == OutcomeKilled
 }
 
-// Result is a command's end for one instance.
+// Result is how a command ended for one instance.
 type Result struct {
 	Outcome Outcome `json:"outcome"`
 	Cause   string  `json:"cause,omitempty"`
 	At      Micros  `json:"at"`
 }
 
-// Why a command is not taken.
+// Why a command is not accepted; Decide returns them inside a CommandError.
 var (
 	ErrIDConflict       = errors.New("a command with this id and other content was taken before")
 	ErrUnknownCommand   = errors.New("no such command")
@@ -107,7 +108,33 @@
 	ErrUpdateInProgress = errors.New("a wave is open; cancel it, or wait for its end")
 )
 
-// check tells whether the command can be taken at all.
+// CommandError tells which operation on which command was refused, and why. Its text is that of Err alone.
+type CommandError struct {
+	Operation string // OperationAccept or the verb of CommandControl
+	CommandID string
+	Instance  string // empty: the refusal is not about a single instance
+	Err       error
+}
+
+// OperationAccept is the operation of a CommandError about a new command.
+const OperationAccept = "accept"
+
+func (e *CommandError) Error() string { return e.Err.Error() }
+
+// Unwrap gives the cause.
+func (e *CommandError) Unwrap() error { return e.Err }
+
+// commandError completes a refusal by the operation and the command.
+func commandError(operation, id string, err error) error {
+	refusal, ok := errors.AsType[*CommandError](err)
+	if !ok {
+		refusal = &CommandError{Err: err}
+	}
+	refusal.Operation, refusal.CommandID = operation, id
+	return refusal
+}
+
+// validate tells what makes a command unusable, whatever the state of the instances.
 func (c *Command) validate() error {
 	if err := CheckName(c.ID); err != nil {
 		return fmt.Errorf("id: %w", err)
@@ -136,7 +163,7 @@
 	return nil
 }
 
-// same tells whether two commands ask for the same; who asked and when does not matter.
+// equivalent tells whether two commands ask for the same; who asked and when does not matter.
 func (c *Command) equivalent(o *Command) bool {
 	terms := c.Rollout == o.Rollout || c.Rollout != nil && o.Rollout != nil && *c.Rollout == *o.Rollout
 	return c.Kind == o.Kind && c.Immediate == o.Immediate && c.Quota == o.Quota && terms && slices.Equal(c.Names, o.Names)
@@ -158,10 +185,10 @@
 	return out
 }
 
-// all lists the command's instances, spares too.
+// instanceNames lists the command's instances, spares too.
 func (c *Command) instanceNames() []string { return append(slices.Clone(c.Names), c.Spares...) }
 
-// open lists those that have no result yet.
+// unresolved lists the instances that have no result yet.
 func (c *Command) unresolved() (names []string) {
 	for _, n := range c.instanceNames() {
 		if _, over := c.Results[n]; !over {
--- a/internal/fleet/command_lifecycle.go
+++ b/internal/fleet/command_lifecycle.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// take accepts a command.
+// acceptCommand takes a new command in; one that is known with the same content changes nothing.
 func (m *Machine) acceptCommand(now Micros, c *Command) error {
 	if err := c.validate(); err != nil {
 		return err
@@ -20,11 +20,11 @@
 	for _, n := range c.Names {
 		switch in := m.instances[n]; {
 		case in == nil:
-			return fmt.Errorf("names: %q is no instance of this agent", n)
+			return &CommandError{Instance: n, Err: fmt.Errorf("names: %q is no instance of this agent", n)}
 		case seen[n]:
-			return fmt.Errorf("names: %q stands twice", n)
+			return &CommandError{Instance: n, Err: fmt.Errorf("names: %q stands twice", n)}
 		case c.Kind == KindRollingUpdate && in.Spare:
-			return fmt.Errorf("names: %q is a spare; a wave takes those by surge", n)
+			return &CommandError{Instance: n, Err: fmt.Errorf("names: %q is a spare; a wave takes those by surge", n)}
 		}
 		seen[n] = true
 	}
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// assign makes a command the one that waits for the instance. The rule for two that ask for the same instance:
-// the one that came later holds, and the earlier one ends there as superseded. What was told to leave leaves all
-// the same; if it is wanted up it comes up again after.
+// assignInstance makes a command the one that waits for the instance. Of two commands for the same instance the later
+// holds, and the earlier one ends there as superseded. An instance that was notified exits all the same; if it is
+// desired up it is launched again afterwards.
 func (m *Machine) assignInstance(now Micros, c *Command, in *Instance) {
 	if c.Kind == KindRollingUpdate && !in.DesiredUp {
 		m.recordResult(now, c, in.Name, OutcomeSkipped, "it is not wanted up")
@@ -101,7 +101,7 @@
 	}
 }
 
-// recycle has an instance leave and come up again.
+// restartInstance has an instance exit and launched again.
 func (m *Machine) restartInstance(now Micros, in *Instance) {
 	in.DesiredUp, in.LaunchesExhausted, in.LaunchRequested, in.Attempts, in.LaunchBudget = true, false, true, 0, LaunchBudget{}
 	if in.Phase.Down() {
@@ -210,7 +210,7 @@
 	m.history = append(m.history, HistoryEvent{At: now, Name: name, CommandID: c.ID, Event: "result " + string(o), Cause: cause})
 }
 
-// expire ends a command whose time is over. What it began goes on.
+// expireCommand ends a command whose time is over. What it began goes on.
 func (m *Machine) expireCommand(now Micros, c *Command) {
 	for _, n := range c.unresolved() {
 		m.recordResult(now, c, n, OutcomeTimedOut, "the command's time is over")
@@ -220,6 +220,7 @@
 	}
 }
 
+// stopSpare has a spare shut down, if it is one.
 func (m *Machine) stopSpare(in *Instance) {
 	if in != nil && in.Spare && in.DesiredUp {
 		in.DesiredUp = false
@@ -227,6 +228,7 @@
 	}
 }
 
+// controlCommand pauses, resumes or cancels a command.
 func (m *Machine) controlCommand(now Micros, e CommandControl) error {
 	c := m.commands[e.CommandID]
 	if c == nil {
@@ -262,7 +264,7 @@
 	return nil
 }
 
-// close ends the commands that have all their results, and forgets the oldest beyond the bound.
+// closeFinishedCommands ends the commands that have all their results, and forgets the oldest beyond the bound.
 func (m *Machine) closeFinishedCommands(now Micros) {
 	m.openCommands = slices.DeleteFunc(m.openCommands, func(c *Command) bool {
 		if len(c.Results) < len(c.Names)+len(c.Spares) {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -2,17 +2,17 @@
 
 import "milletbarrow/internal/limits"
 
-// Terms are the machine's own times and pauses.
+// Config holds the machine's own limits and pauses.
 type Config struct {
-	KillDelay           Micros  // beyond an instance's stop before the agent itself kills it; also between two such kills
-	ResendBackoff       Backoff // of a step that was not taken
-	RelaunchBackoff     Backoff // after a life that ended by itself
-	MaxFinishedCommands int     // ended ones that are kept
-	MaxOpenCommands     int     // that may be open
-	JitterSeed          uint64  // of the jitter
+	KillDelay           Micros  // after ExitTimeout until the agent itself kills an instance; also the unit of the pause between kills
+	ResendBackoff       Backoff // of an action that was not taken
+	RelaunchBackoff     Backoff // after an incarnation that ended by itself
+	MaxFinishedCommands int     // finished commands that are remembered
+	MaxOpenCommands     int     // commands that may be open at once
+	JitterSeed          uint64  // seeds the jitter of all pauses
 }
 
-// DefaultTerms are the terms of an agent.
+// DefaultConfig is the configuration of an agent under bounds b.
 func DefaultConfig(b limits.Control, seed uint64) Config {
 	return Config{
 		KillDelay: micros(500_000_000), MaxFinishedCommands: b.Commands, MaxOpenCommands: b.Open, JitterSeed: seed,
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// Tour decides in which order the agents of many hosts roll their waves: each agent keeps the budget of its own
-// instances, the tour that of the fleet. It forgets nothing by dying: commands have the same id at every agent,
-// so a tool that asks again finds out how far the one before had come.
+// RolloutCoordinator decides in which order the agents of many hosts begin their rolling updates: each agent keeps the
+// minimum of its own groups, the coordinator that of the fleet. It needs no storage: commands have the same ID at every
+// agent, so a tool that is started again learns from the agents how far the one before had come.
 type RolloutCoordinator struct {
 	Hosts              []string // in the file's order
 	Config             RollingUpdateConfig
-	MaxConcurrentHosts int // hosts that roll at once, 1 or more
+	MaxConcurrentHosts int // hosts that update at once, 1 or more
 	blockedSince       Micros
 }
 
-// HostFact is what is known of a host's part of a tour.
+// HostProgress is what is known of a host's part of a rollout.
 type HostProgress struct {
 	Reachable      bool
 	State          CommandState // of its command; empty: it has none yet
-	Failed         bool         // some instance came out other than asked for
+	Failed         bool         // some instance is not as the command wanted it
 	Cause          string
 	Ready          int // instances ready now
-	DesiredUp      int // instances wanted up
-	MaxUnavailable int // that its wave takes out at once at the most
+	DesiredUp      int // instances desired up
+	MaxUnavailable int // that its update takes out at once at the most
 }
 
-// TourStep is what to do next.
+// RolloutStep is what to do next.
 type RolloutStep struct {
-	Begin      []string // hosts whose waves begin now
+	Begin      []string // hosts whose updates begin now
 	Finished   bool     // nothing is left to begin or to wait for
-	StopReason string   // it stops here though hosts are left
+	StopReason string   // why it stops though hosts are left; empty: it goes on
 }
 
-// Next says which waves begin. A host that is not reached, or whose wave is paused or went wrong, stops the
-// tour: what goes wrong on one host must not go on to the next. Where the fleet's budget stands in the way for
-// longer than the terms' stall it stops too; until then what has just come up may settle.
-func (t *RolloutCoordinator) Next(now Micros, facts map[string]HostProgress) RolloutStep {
+// Next says which updates begin. A host that is not reachable, or whose update is paused or failed, stops the rollout:
+// what fails on one host must not go on to the next. If the fleet's minimum is in the way for longer than
+// Config.StallTimeout it stops too; until then what has just come up may settle.
+func (r *RolloutCoordinator) Next(now Micros, facts map[string]HostProgress) RolloutStep {
 	rolling, left := 0, []string{}
 	ready, up := 0, 0
-	for _, h := range t.Hosts {
+	for _, h := range r.Hosts {
 		f := facts[h]
 		ready, up = ready+f.Ready, up+f.DesiredUp
 		switch {
@@ -49,34 +49,34 @@
 			return RolloutStep{Finished: f.State == CommandDone, StopReason: fmt.Sprintf("host %s: %s %s", h, f.State, f.Cause)}
 		case f.State != CommandDone:
 			rolling++
-			ready -= max(0, f.MaxUnavailable-(f.DesiredUp-f.Ready)) // as if all that it may take were out already
+			ready -= max(0, f.MaxUnavailable-(f.DesiredUp-f.Ready)) // as if all that it may take out were out already
 		}
 	}
 	step := RolloutStep{Finished: rolling == 0 && len(left) == 0}
 	for _, h := range left {
 		f := facts[h]
 		switch {
-		case rolling >= max(1, t.MaxConcurrentHosts):
+		case rolling >= max(1, r.MaxConcurrentHosts):
 			return step
 		case !f.Reachable:
 			if rolling == 0 {
 				step.Finished, step.StopReason = true, fmt.Sprintf("host %s can't be reached", h)
 			}
 			return step
-		case ready-f.MaxUnavailable < t.Config.minReady(up):
+		case ready-f.MaxUnavailable < r.Config.minReady(up):
 			if rolling > 0 {
 				return step
 			}
-			if t.blockedSince == 0 {
-				t.blockedSince = now
+			if r.blockedSince == 0 {
+				r.blockedSince = now
 			}
-			if now-t.blockedSince >= t.Config.StallTimeout {
+			if now-r.blockedSince >= r.Config.StallTimeout {
 				step.StopReason = fmt.Sprintf("host %s would take %d out, with %d ready of %d in the fleet and %d to stay",
-					h, f.MaxUnavailable, ready, up, t.Config.minReady(up))
+					h, f.MaxUnavailable, ready, up, r.Config.minReady(up))
 			}
 			return step
 		}
-		t.blockedSince = 0
+		r.blockedSince = 0
 		step.Begin = append(step.Begin, h)
 		ready -= f.MaxUnavailable
 		rolling++
@@ -84,22 +84,22 @@
 	return step
 }
 
-// Tally sums a command's results over hosts: how many instances came out how.
+// CountOutcomes sums the results of commands over hosts, and the instances that have none yet.
 func CountOutcomes(commands ...*Command) (counts map[Outcome]int, open int) {
 	counts = map[Outcome]int{}
 	for _, c := range commands {
 		if c == nil {
 			continue
 		}
-		for _, r := range c.Results {
-			counts[r.Outcome]++
+		for _, result := range c.Results {
+			counts[result.Outcome]++
 		}
 		open += len(c.unresolved())
 	}
 	return counts, open
 }
 
-// Bad lists the instances that are not as asked, in order.
+// Unsatisfied lists the instances that are not as the command wanted them, in order.
 func (c *Command) Unsatisfied() (names []string) {
 	for n, r := range c.Results {
 		if !r.Outcome.Satisfied() && r.Outcome != OutcomeSkipped {
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -6,54 +6,54 @@
 	"milletbarrow/internal/cluster/coldstart"
 )
 
-// Phase is where an instance is in its life, as far as it is seen.
+// Phase is where an instance is between its launch and its end, as far as it is observed.
 type Phase string
 
-// The phases. What is wanted stands apart, in Instance.Up.
+// The phases. The desired state stands apart, in Instance.DesiredUp.
 const (
 	PhaseAbsent       Phase = "absent"   // never started
 	PhaseStarting     Phase = "starting" // launched, not ready yet
 	PhaseReady        Phase = "ready"    // answers health checks with good
-	PhaseUnready      Phase = "unready"  // was ready, and is not while nobody told it to leave
-	PhaseDraining     Phase = "draining" // told to leave, within its grace
-	PhaseStopping     Phase = "stopping" // its grace is over, what it holds is answered
-	PhaseUnresponsive Phase = "deaf"     // told to leave and shows no sign of it; killed before its grace ends
-	PhaseExited       Phase = "gone"     // ended after it was told to
+	PhaseUnready      Phase = "unready"  // was ready, and is not though nobody notified it
+	PhaseDraining     Phase = "draining" // notified, within its grace period
+	PhaseStopping     Phase = "stopping" // its grace period is over, what is in flight is answered
+	PhaseUnresponsive Phase = "deaf"     // notified and shows no sign of it; killed before its grace period ends
+	PhaseExited       Phase = "gone"     // ended after it was notified
 	PhaseFailed       Phase = "failed"   // ended by itself, could not be launched, or did not become ready
-	PhaseUnknown      Phase = "unknown"  // it can't be seen; that is not gone
+	PhaseUnknown      Phase = "unknown"  // it can't be observed; that does not mean that it has ended
 )
 
-// leaves tells whether it is on its way out.
+// leaving tells whether the instance is shutting down.
 func (p Phase) leaving() bool {
 	return p == PhaseDraining || p == PhaseStopping || p == PhaseUnresponsive
 }
 
-// Down tells whether no process of it is left.
+// Down tells whether no process of the instance is left.
 func (p Phase) Down() bool { return p == PhaseAbsent || p == PhaseExited || p == PhaseFailed }
 
-// Sight is what the keeper of an instance, or the look for one, has shown.
+// Observation is what the supervisor of an instance reported, or what the agent found in its place.
 type Observation struct {
-	Incarnation string `json:"run"`   // the life it is about
-	Phase       Phase  `json:"phase"` // Starting, Ready, Unready, Draining, Stopping, Deaf, Gone, Unknown
-	NoticeID    string `json:"told"`  // the notice that its keeper has taken; empty: none
+	Incarnation string `json:"run"`   // the incarnation it is about
+	Phase       Phase  `json:"phase"` // any but PhaseAbsent and PhaseFailed
+	NoticeID    string `json:"told"`  // the shutdown notice that its supervisor has taken; empty: none
 	Cause       string `json:"cause,omitempty"`
-	Orphaned    bool   `json:"orphan,omitempty"` // Unknown: it lives and its keeper does not
-	Exit        Exit   `json:"end"`              // Gone
+	Orphaned    bool   `json:"orphan,omitempty"` // PhaseUnknown: it runs and its supervisor does not
+	Exit        Exit   `json:"end"`              // PhaseExited
 	Invocations int    `json:"picked"`           // invocations since its start
-	Rejected    int    `json:"turned"`           // of them throttled or errored
-	Level       string `json:"level,omitempty"`  // of reduced service
-	LevelCause  string `json:"why,omitempty"`    // its latest change
-	Detail      any    `json:"detail,omitempty"` // for people
+	Rejected    int    `json:"turned"`           // of them, throttled or answered with an error
+	Level       string `json:"level,omitempty"`  // of degradation
+	LevelCause  string `json:"why,omitempty"`    // cause of the latest change of Level
+	Detail      any    `json:"detail,omitempty"` // what the observer adds for people; the machine hands it on unread
 }
 
-// End is how a life ended.
+// Exit is how an incarnation ended.
 type Exit struct {
 	Code       int    `json:"code"`             // exit code; -1 if a signal ended it
-	Signal     string `json:"signal,omitempty"` // that ended it
-	KillReason string `json:"killed,omitempty"` // why it was killed, if we did it
-	Unobserved bool   `json:"unseen,omitempty"` // nobody was there to see the exit code
+	Signal     string `json:"signal,omitempty"` // the signal that ended it
+	KillReason string `json:"killed,omitempty"` // why the supervisor or the agent killed it; empty: it did not
+	Unobserved bool   `json:"unseen,omitempty"` // nobody was there to read the exit code
 	Uptime     Micros `json:"lived,omitempty"`
-	DrainTime  Micros `json:"after,omitempty"` // from the notice to the end; 0: no notice
+	DrainTime  Micros `json:"after,omitempty"` // from the notice to the exit; 0: no notice
 }
 
 func (e Exit) String() string {
@@ -74,42 +74,42 @@
 // unknownInvocations stands for a count from before a restart of the agent.
 const unknownInvocations = -1
 
-// Instance is all that is known of one. Fields that a restart needs are written down with it.
+// Instance is the desired and the observed state of an instance. All that has a JSON name is stored by the agent.
 type Instance struct {
 	Name  string `json:"name"`
 	Group string `json:"group"`
 	Spare bool   `json:"spare,omitempty"`
 
-	DesiredUp      bool       `json:"up"`                // wanted
-	RestartPending bool       `json:"recycle,omitempty"` // it is to leave, and to come up again
-	CommandID      string     `json:"task,omitempty"`    // the command that waits for it
-	ActionCount    int        `json:"serial"`            // of the steps given for it
+	DesiredUp      bool       `json:"up"`                // the desired state
+	RestartPending bool       `json:"recycle,omitempty"` // it is to exit and to be launched again
+	CommandID      string     `json:"task,omitempty"`    // the command that waits for it; empty: none
+	ActionCount    int        `json:"serial"`            // actions issued for it so far
 	ActionID       string     `json:"step,omitempty"`    // the last of them
-	LastAction     ActionKind `json:"doing,omitempty"`   // and what it was
-	ActionPending  bool       `json:"pending,omitempty"` // it is not known to have been taken
+	LastAction     ActionKind `json:"doing,omitempty"`   // the kind of ActionID
+	ActionPending  bool       `json:"pending,omitempty"` // ActionID is not known to have been taken
 
-	Incarnation       string       `json:"run,omitempty"` // the life it is in: the step that launched it
+	Incarnation       string       `json:"run,omitempty"` // the ID of the action that launched it; empty: no process
 	NoticeID          string       `json:"told,omitempty"`
 	NotifiedAt        Micros       `json:"told_at,omitempty"`
-	PhaseDeadline     Micros       `json:"deadline,omitempty"` // of the phase; 0: none. Never 0 once it was told to leave
-	GiveUpReason      string       `json:"gave_up,omitempty"`  // why it was told to leave though it is wanted
-	LaunchesExhausted bool         `json:"spent,omitempty"`    // no further launch until somebody asks for one
-	LaunchRequested   bool         `json:"free,omitempty"`     // the next launch was asked for, and costs no attempt
-	KillAttempts      int          `json:"kills,omitempty"`    // in this life
-	LastExit          Exit         `json:"last"`               // of the life before
-	LaunchBudget      LaunchBudget `json:"budget"`             // launches by itself
-	Unit              Unit         `json:"unit,omitzero"`      // of the fleet's count of what is out
-	UnitRequests      int          `json:"turns,omitempty"`    // of asking for one
-	Attempts          int          `json:"tries,omitempty"`    // of the step, or of launches in a row
-	NextAttemptAt     Micros       `json:"next,omitempty"`     // no try before
+	PhaseDeadline     Micros       `json:"deadline,omitempty"` // 0: none. Never 0 once it was notified
+	GiveUpReason      string       `json:"gave_up,omitempty"`  // why it was notified though it is desired up
+	LaunchesExhausted bool         `json:"spent,omitempty"`    // no further launch until a command asks for one
+	LaunchRequested   bool         `json:"free,omitempty"`     // the next launch was asked for and is not counted by LaunchBudget
+	KillAttempts      int          `json:"kills,omitempty"`    // in this incarnation
+	LastExit          Exit         `json:"last"`               // of the incarnation before
+	LaunchBudget      LaunchBudget `json:"budget"`             // of launches that no command asked for
+	Unit              Unit         `json:"unit,omitzero"`      // of a concurrency quota of the fleet
+	UnitRequests      int          `json:"turns,omitempty"`    // unit requests so far
+	Attempts          int          `json:"tries,omitempty"`    // of the pending action, or of launches in a row
+	NextAttemptAt     Micros       `json:"next,omitempty"`     // no attempt before
 
 	Phase       Phase  `json:"phase"`
 	PhaseSince  Micros `json:"since"`
 	Cause       string `json:"cause,omitempty"`
-	ReadySince  Micros `json:"steady,omitempty"` // ready since; 0: not ready
+	ReadySince  Micros `json:"steady,omitempty"` // 0: not ready
 	Invocations int    `json:"picked,omitempty"`
 	Rejected    int    `json:"turned,omitempty"`
-	Level       string `json:"level,omitempty"` // of reduced service, as it was last seen
+	Level       string `json:"level,omitempty"` // of degradation, as it was last observed
 	Detail      any    `json:"-"`
 
 	group     *GroupSpec
@@ -117,36 +117,37 @@
 	fileOrder int
 }
 
-// Window is what an instance has from the notice on, by its configuration.
+// ShutdownWindow is the time that an instance has from the shutdown notice on, by its configuration.
 type ShutdownWindow struct {
-	Grace       Micros // what arrives later does not run
-	ExitTimeout Micros // it has ended by then
+	Grace       Micros // work that arrives later is not run
+	ExitTimeout Micros // the instance has exited by then
 }
 
-// What is a step.
+// ActionKind is what an action does.
 type ActionKind string
 
-// The steps.
+// The actions on an instance.
 const (
-	ActionLaunch ActionKind = "launch" // start a keeper with the instance, or a keeper alone where Adopt is set
-	ActionNotify ActionKind = "tell"   // the notice to leave
-	ActionKill   ActionKind = "kill"   // end it at once
+	ActionLaunch ActionKind = "launch" // start a supervisor with the instance, or a supervisor alone if Adopt is set
+	ActionNotify ActionKind = "tell"   // hand over the shutdown notice
+	ActionKill   ActionKind = "kill"   // end the instance at once
 )
 
-// Step is to be taken by the agent once it is written down. The same ID may come again: it is one step.
+// Action is for the agent to carry out once the change that it belongs to is stored. The same ID may come again: it
+// stands for one action.
 type Action struct {
 	Kind        ActionKind        `json:"what"`
 	ID          string            `json:"id"`
 	Name        string            `json:"name"`
 	Incarnation string            `json:"run"`
 	Adopt       bool              `json:"adopt,omitempty"`
-	NotifiedAt  Micros            `json:"told,omitempty"` // Tell: when it was first told; its window runs from there
+	NotifiedAt  Micros            `json:"told,omitempty"` // ActionNotify: when it was first issued; the shutdown window runs from there
 	Cause       string            `json:"cause,omitempty"`
-	Unit        Unit              // of a step about one
+	Unit        Unit              // ActionAcquireUnit, ActionReleaseUnit
 	StartResult coldstart.Outcome `json:"End"`
 }
 
-// Note is a line of history.
+// HistoryEvent is an entry of the history that is kept for people.
 type HistoryEvent struct {
 	At        Micros `json:"at"`
 	Name      string `json:"name,omitempty"`
@@ -155,6 +156,7 @@
 	Cause     string `json:"cause,omitempty"`
 }
 
+// setPhase enters a phase, or updates the cause of the present one.
 func (in *Instance) setPhase(now Micros, p Phase, cause string) {
 	if in.Phase != p {
 		in.Phase, in.PhaseSince = p, now
@@ -167,12 +169,12 @@
 	}
 }
 
-// Settled tells whether it has been ready for long enough to be counted on.
+// Settled tells whether the instance has been ready for as long as its group wants.
 func (in *Instance) Settled(now Micros) bool {
 	return in.Phase == PhaseReady && now-in.ReadySince >= in.group.Settle
 }
 
-// usable tells whether a wave may count on it.
+// available tells whether a rolling update may count the instance as serving.
 func (in *Instance) available(now Micros) bool {
 	return in.DesiredUp && !in.RestartPending && in.NoticeID == "" && in.Settled(now)
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Machine decides for all instances of one agent. It is not for use by several goroutines at once.
+// Machine decides for all instances of one host. It is not for use by several goroutines at once.
 type Machine struct {
 	config            Config
 	random            *rand.Rand
@@ -14,20 +14,20 @@
 	instances         map[string]*Instance
 	groups            map[string]*GroupSpec
 	commands          map[string]*Command
-	openCommands      []*Command // by Number
-	finishedCommands  []string   // ids of the ended, oldest first
+	openCommands      []*Command // by Sequence
+	finishedCommands  []string   // IDs, oldest first
 	lastSequence      int
 	rejections        rejectionRate
-	quotaSilentSince  Micros // since when asks for units have no answer; 0: the latest had one
-	lastUnitRequestAt Micros // the latest such ask
+	quotaSilentSince  Micros // since when unit requests have no answer; 0: the latest had one
+	lastUnitRequestAt Micros // the latest unit request
 
-	actions          []Action
+	actions          []Action // of the present call of Decide
 	history          []HistoryEvent
-	changedInstances map[string]bool // instances and commands to be written down
+	changedInstances map[string]bool // to be stored
 	changedCommands  map[string]bool
 }
 
-// New makes a machine for a host's instances; window tells what each has after the notice.
+// New makes a machine for the instances of a host; window gives the shutdown window of each.
 func New(s *Spec, host string, terms Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
 	m := &Machine{
 		config: terms, random: rand.New(rand.NewPCG(terms.JitterSeed, 0)), instances: map[string]*Instance{},
@@ -51,9 +51,9 @@
 // Names lists the instances in the file's order.
 func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
 
-// Idle tells whether nothing is to be expected soon: no command is open, and no instance waits for a time limit,
-// a step or another launch.
-func (m *Machine) Idle(now Micros) bool {
+// Idle tells whether nothing is to be expected soon: no command is open, and no instance waits for a deadline, an
+// action or another launch. It does not depend on the time.
+func (m *Machine) Idle(_ Micros) bool {
 	if len(m.openCommands) > 0 {
 		return false
 	}
@@ -65,16 +65,16 @@
 	return true
 }
 
-// Instance is a copy of what is known of one.
-func (m *Machine) Instance(name string) (Instance, bool) {
-	in := m.instances[name]
-	if in == nil {
+// Instance is a copy of the state of an instance; ok is false if the host has none of that name.
+func (m *Machine) Instance(name string) (in Instance, ok bool) {
+	known := m.instances[name]
+	if known == nil {
 		return Instance{}, false
 	}
-	return *in, true
+	return *known, true
 }
 
-// Command is a copy of one, nil if it is not known (any more).
+// Command is a copy of a command, nil if it is not known (any more).
 func (m *Machine) Command(id string) *Command {
 	if c := m.commands[id]; c != nil {
 		return c.clone()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Commands lists copies of all that are known, newest first.
+// Commands lists copies of all known commands, newest first.
 func (m *Machine) Commands() (all []*Command) {
 	for _, c := range m.commands {
 		all = append(all, c.clone())
@@ -91,19 +91,41 @@
 	return all
 }
 
-// Decide takes in what happened and returns the steps to take, in order, and the lines for the history. Both are
-// valid until the next call. An error means that nothing was changed.
-func (m *Machine) Decide(now Micros, ev Event) (steps []Action, notes []HistoryEvent, err error) {
+// Decide takes in an event and returns the actions to carry out, in order, and the entries for the history. Both are
+// valid until the next call. An error, always a *CommandError, means that the event changed nothing.
+func (m *Machine) Decide(now Micros, ev Event) (actions []Action, history []HistoryEvent, err error) {
 	m.actions, m.history = m.actions[:0], m.history[:0]
+	err = m.handleEvent(now, ev)
+	for _, c := range m.openCommands {
+		switch c.Kind {
+		case KindRollingUpdate:
+			m.advanceRollingUpdate(now, c)
+		case KindColdStart:
+			m.advanceColdStart(now, c)
+		}
+	}
+	m.closeFinishedCommands(now)
+	return m.actions, m.history, err
+}
+
+// handleEvent changes the state of what the event is about.
+func (m *Machine) handleEvent(now Micros, ev Event) error {
 	switch e := ev.(type) {
 	case CommandReceived:
-		if err = m.acceptCommand(now, e.Command); err == nil {
-			m.advanceAll(now)
+		if err := m.acceptCommand(now, e.Command); err != nil {
+			return commandError(OperationAccept, e.Command.ID, err)
 		}
+		m.advanceAll(now)
 	case CommandControl:
-		if err = m.controlCommand(now, e); err == nil {
-			m.advanceAll(now)
+		if err := m.controlCommand(now, e); err != nil {
+			return commandError(e.Verb, e.CommandID, err)
 		}
+		m.advanceAll(now)
+	case UnitsListed:
+		m.quotaSilentSince = 0
+		m.handleUnitsListed(now, e)
+	case Tick:
+		m.advanceAll(now)
 	case InstanceObserved:
 		if in := m.instances[e.Name]; in != nil {
 			m.handleObservation(now, in, e.Observation)
@@ -119,30 +141,12 @@
 			m.handleUnitAcquired(now, in, e)
 		}
 	case UnitReleased:
-		m.quotaSilentSince = 0
-		if in := m.instances[e.Name]; in != nil && in.Unit.RequestID == e.RequestID {
-			in.Unit = Unit{}
-			m.recordEvent(now, in, "unit given back", "")
-			m.markInstanceChanged(in)
-		}
-	case UnitsListed:
-		m.quotaSilentSince = 0
-		m.handleUnitsListed(now, e)
-	case Tick:
-		m.advanceAll(now)
-	}
-	for _, c := range m.openCommands {
-		switch c.Kind {
-		case KindRollingUpdate:
-			m.advanceRollingUpdate(now, c)
-		case KindColdStart:
-			m.advanceColdStart(now, c)
-		}
+		m.handleUnitReleased(now, e)
 	}
-	m.closeFinishedCommands(now)
-	return m.actions, m.history, err
+	return nil
 }
 
+// advanceAll ends the commands whose deadline has passed and brings all instances forward.
 func (m *Machine) advanceAll(now Micros) {
 	for _, c := range slices.Clone(m.openCommands) {
 		if now >= c.Deadline {
@@ -162,7 +166,7 @@
 	m.returnUnit(now, in)
 }
 
-// refused: a step could not be taken.
+// handleActionFailed takes in that the pending action could not be carried out.
 func (m *Machine) handleActionFailed(now Micros, in *Instance, e ActionFailed) {
 	m.recordEvent(now, in, string(in.LastAction)+" not taken", e.Cause)
 	if in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // no process came of it
@@ -177,6 +181,7 @@
 	}
 }
 
+// recordEvent adds an entry about an instance to the history.
 func (m *Machine) recordEvent(now Micros, in *Instance, event, cause string) {
 	m.history = append(m.history, HistoryEvent{At: now, Name: in.Name, CommandID: in.CommandID, Event: event, Cause: cause})
 }
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -350,7 +350,7 @@
 				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
 				l.neverReady = !l.neverReady
 			},
-			"late word": func(t *rapid.T) { // of a life that is over, or that has no more to say
+			"late word": func(*rapid.T) { // of a life that is over, or that has no more to say
 				for _, s := range w.pastObservations {
 					if l := w.fakes[s.Name]; s.Observation.Incarnation != l.incarnation && rnd.IntN(3) == 0 {
 						w.apply(s)
@@ -358,8 +358,8 @@
 				}
 				w.pastObservations = nil
 			},
-			"agent dies":      func(t *rapid.T) { w.restart() },
-			"agent dies next": func(t *rapid.T) { w.crashNext = true },
+			"agent dies":      func(*rapid.T) { w.restart() },
+			"agent dies next": func(*rapid.T) { w.crashNext = true },
 			"clock jumps":     func(t *rapid.T) { w.now += Micros(rapid.IntRange(0, 30).Draw(t, "jump")) * second },
 			"time":            func(t *rapid.T) { w.advance(Micros(rapid.IntRange(1, 40).Draw(t, "span"))*100_000, blind) },
 		})
--- a/internal/fleet/rejection_rate.go
+++ b/internal/fleet/rejection_rate.go
@@ -2,34 +2,37 @@
 
 import "math"
 
-// service is the share of invocations that were turned away of late, over all instances.
+// rejectionRate is the share of invocations that were rejected of late, over all instancer. Older counts lose weight
+// exponentially.
 type rejectionRate struct {
 	at                    Micros
 	invocations, rejected float64
 }
 
 const (
-	rejectionDecay = 2_000_000 // microseconds in which what was counted loses weight by e
-	minInvocations = 20        // invocations; fewer say nothing
+	rejectionDecay = 2_000_000 // microseconds in which a count loses weight by a factor of e
+	minInvocations = 20        // fewer give no share
 )
 
-func (s *rejectionRate) decay(now Micros) {
-	if now > s.at {
-		keep := math.Exp(-float64(now-s.at) / rejectionDecay)
-		s.invocations, s.rejected, s.at = s.invocations*keep, s.rejected*keep, now
+// decay ages the counts to now.
+func (r *rejectionRate) decay(now Micros) {
+	if now > r.at {
+		keep := math.Exp(-float64(now-r.at) / rejectionDecay)
+		r.invocations, r.rejected, r.at = r.invocations*keep, r.rejected*keep, now
 	}
 }
 
-func (s *rejectionRate) add(now Micros, picked, turned int) {
-	s.decay(now)
-	s.invocations += float64(picked)
-	s.rejected += float64(turned)
+// add counts invocations and those of them that were rejected.
+func (r *rejectionRate) add(now Micros, invocations, rejected int) {
+	r.decay(now)
+	r.invocations += float64(invocations)
+	r.rejected += float64(rejected)
 }
 
-// turnedAway is the share; ok is false while too little was counted to say.
-func (s *rejectionRate) share(now Micros) (share float64, ok bool) {
-	if s.decay(now); s.invocations < minInvocations {
+// share is the share of rejections, 0 to 1; ok is false while too little was counted to tell.
+func (r *rejectionRate) share(now Micros) (share float64, ok bool) {
+	if r.decay(now); r.invocations < minInvocations {
 		return 0, false
 	}
-	return min(1, s.rejected/s.invocations), true
+	return min(1, r.rejected/r.invocations), true
 }
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -84,7 +84,7 @@
 		for _, n := range c.Spares {
 			in := m.instances[n]
 			if in == nil {
-				m.recordResult(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
+				m.recordResult(now, c, n, OutcomeFailed, notInSpec)
 				continue
 			}
 			m.stopSpare(in)
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -5,73 +5,91 @@
 	"slices"
 )
 
-// Record is what the machine must be told again after a restart.
+// notInSpec is the cause of a failure for an instance that a command names and the spec no longer does.
+const notInSpec = "the fleet's file no longer names it"
+
+// Snapshot is the state that the machine needs back after a restart of the agent.
 type Snapshot struct {
 	Instances []Instance `json:"instances"`
 	Commands  []*Command `json:"commands"`
 }
 
-// Restore takes back what was written down. fresh: the machine was started anew since, so that no process of
-// then is left. Instances that the file no longer names are kept out of it: forgotten lists those that may still
-// run.
-func (m *Machine) Restore(now Micros, r Snapshot, fresh bool) (forgotten []Instance) {
-	for _, was := range r.Instances {
-		in := m.instances[was.Name]
-		if in == nil {
-			if was.Incarnation != "" && !fresh {
-				forgotten = append(forgotten, was)
-			}
-			continue
-		}
-		keep := *in
-		*in = was
-		in.Group, in.Spare, in.group, in.shutdown, in.fileOrder = keep.Group, keep.Spare, keep.group, keep.shutdown, keep.fileOrder
-		in.ReadySince, in.Detail, in.Invocations = 0, nil, unknownInvocations
+// Restore takes back a snapshot. rebooted tells that the host was started anew since, so that no process of then is
+// left. Instances that the spec no longer names are left out; forgotten lists those of them that may still run.
+func (m *Machine) Restore(now Micros, s Snapshot, rebooted bool) (forgotten []Instance) {
+	for _, stored := range s.Instances {
+		in := m.instances[stored.Name]
 		switch {
-		case fresh:
-			in.clearIncarnation()
-			in.RestartPending, in.LaunchesExhausted, in.LaunchRequested, in.NextAttemptAt, in.Attempts, in.LaunchBudget = false, false, true, 0, 0, LaunchBudget{}
-			in.setPhase(now, PhaseAbsent, "the machine was started anew")
-		case in.Incarnation != "":
-			in.Phase, in.PhaseSince, in.Cause = PhaseUnknown, now, "the agent was started"
-			in.NextAttemptAt = now                                                                  // what is pending goes out again at once
-			if in.ActionPending && in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // it may not have begun
-				in.PhaseDeadline = now + m.readinessTimeout(in)
-				m.markInstanceChanged(in)
-			}
-			if in.ActionPending && in.LastAction == ActionNotify { // its window runs from when it hears
-				in.NotifiedAt, in.PhaseDeadline = now, now+in.shutdown.ExitTimeout+m.config.KillDelay
-				m.markInstanceChanged(in)
-			}
+		case in != nil:
+			m.restoreInstance(now, in, stored, rebooted)
+		case stored.Incarnation != "" && !rebooted:
+			forgotten = append(forgotten, stored)
 		}
 	}
-	slices.SortFunc(r.Commands, func(a, b *Command) int { return cmp.Compare(a.Sequence, b.Sequence) })
-	for _, c := range r.Commands {
-		if c = c.clone(); c.Results == nil {
-			c.Results = map[string]Result{}
-		}
-		m.commands[c.ID] = c
-		m.lastSequence = max(m.lastSequence, c.Sequence)
-		if c.State == CommandDone {
-			m.finishedCommands = append(m.finishedCommands, c.ID)
-			continue
-		}
-		m.openCommands = append(m.openCommands, c)
-		for _, n := range c.unresolved() {
-			switch {
-			case m.instances[n] == nil:
-				m.recordResult(now, c, n, OutcomeFailed, "the fleet's file no longer names it")
-			case fresh:
-				m.recordResult(now, c, n, OutcomeFailed, "the machine was started anew")
-			}
-		}
+	slices.SortFunc(s.Commands, func(a, b *Command) int { return cmp.Compare(a.Sequence, b.Sequence) })
+	for _, c := range s.Commands {
+		m.restoreCommand(now, c.clone(), rebooted)
 	}
 	m.closeFinishedCommands(now)
 	return forgotten
 }
 
-// Changes are the instances and commands to be written down before the steps are taken, as they are now. Asking
-// again gives what changed since.
+// restoreInstance takes back the state of an instance. What its spec says is not taken from the store.
+func (m *Machine) restoreInstance(now Micros, in *Instance, stored Instance, rebooted bool) {
+	fromSpec := *in
+	*in = stored
+	in.Group, in.Spare = fromSpec.Group, fromSpec.Spare
+	in.group, in.shutdown, in.fileOrder = fromSpec.group, fromSpec.shutdown, fromSpec.fileOrder
+	in.ReadySince, in.Detail, in.Invocations = 0, nil, unknownInvocations
+	switch {
+	case rebooted:
+		in.clearIncarnation()
+		in.RestartPending, in.LaunchesExhausted, in.LaunchRequested = false, false, true
+		in.NextAttemptAt, in.Attempts, in.LaunchBudget = 0, 0, LaunchBudget{}
+		in.setPhase(now, PhaseAbsent, "the machine was started anew")
+	case in.Incarnation != "":
+		in.Phase, in.PhaseSince, in.Cause = PhaseUnknown, now, "the agent was started"
+		in.NextAttemptAt = now // what is pending goes out again at once
+		m.renewPendingDeadline(now, in)
+	}
+}
+
+// renewPendingDeadline counts the deadline of a launch or a notice that may not have arrived from now on.
+func (m *Machine) renewPendingDeadline(now Micros, in *Instance) {
+	if in.ActionPending && in.LastAction == ActionLaunch && in.Incarnation == in.ActionID {
+		in.PhaseDeadline = now + m.readinessTimeout(in)
+		m.markInstanceChanged(in)
+	}
+	if in.ActionPending && in.LastAction == ActionNotify {
+		in.NotifiedAt, in.PhaseDeadline = now, now+in.shutdown.ExitTimeout+m.config.KillDelay
+		m.markInstanceChanged(in)
+	}
+}
+
+// restoreCommand takes back a command and ends it for instances that it can't reach any more.
+func (m *Machine) restoreCommand(now Micros, c *Command, rebooted bool) {
+	if c.Results == nil {
+		c.Results = map[string]Result{}
+	}
+	m.commands[c.ID] = c
+	m.lastSequence = max(m.lastSequence, c.Sequence)
+	if c.State == CommandDone {
+		m.finishedCommands = append(m.finishedCommands, c.ID)
+		return
+	}
+	m.openCommands = append(m.openCommands, c)
+	for _, n := range c.unresolved() {
+		switch {
+		case m.instances[n] == nil:
+			m.recordResult(now, c, n, OutcomeFailed, notInSpec)
+		case rebooted:
+			m.recordResult(now, c, n, OutcomeFailed, "the machine was started anew")
+		}
+	}
+}
+
+// Changes are the instances and commands to be stored before the actions are carried out, as they are now, and the IDs of
+// commands to be forgotten. The next call gives what changed since.
 func (m *Machine) Changes() (r Snapshot, dropped []string) {
 	for _, name := range sortedKeys(m.changedInstances) {
 		r.Instances = append(r.Instances, *m.instances[name])
@@ -88,7 +106,7 @@
 	return r, dropped
 }
 
-// All is everything that Restore takes, as it is now.
+// Snapshot is all that Restore takes, as it is now.
 func (m *Machine) Snapshot() (r Snapshot) {
 	for _, name := range m.instanceNames {
 		r.Instances = append(r.Instances, *m.instances[name])
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// Unit is one of a count that the whole fleet shares, held by an instance while a wave has it out. It is given back once
-// the instance is seen ready, not when the wave has a result for it: what does not come back counts as out until an
-// operator writes it off.
+// Unit is one unit of a concurrency quota that the whole fleet shares, held by an instance while a rolling update or a
+// cold start has it in progress. It is released once the instance is observed ready, not when the command has a result
+// for it: what does not come back counts until an operator writes it off.
 type Unit struct {
 	Quota         string `json:"budget,omitempty"`
-	RequestID     string `json:"turn,omitempty"` // empty: none is asked for
-	CommandID     string `json:"for,omitempty"`  // the wave
-	Held          bool   `json:"held,omitempty"` // else it is asked for
-	NextRequestAt Micros `json:"next,omitempty"` // no call before
-	DenialCause   string `json:"why,omitempty"`  // it was not given
+	RequestID     string `json:"turn,omitempty"` // empty: none is requested
+	CommandID     string `json:"for,omitempty"`  // the command that it is for
+	Held          bool   `json:"held,omitempty"` // else it is requested
+	NextRequestAt Micros `json:"next,omitempty"` // no call to the quota store before
+	DenialCause   string `json:"why,omitempty"`  // why the latest request was denied
 
-	Standalone bool   `json:"alone,omitempty"` // the one that is set aside for this host, as nobody could be asked
-	StartedAt  Micros `json:"began,omitempty"` // Rise: the start that holds it
+	Standalone bool   `json:"alone,omitempty"` // the unit reserved for this host is used, as the quota store does not answer
+	StartedAt  Micros `json:"began,omitempty"` // KindColdStart: when the start began that holds it
 }
 
-// The steps about units. They go to the ledger, not to a keeper, and may be taken twice.
+// The actions on units. They go to the quota store, not to a supervisor, and may be carried out twice.
 const (
 	ActionAcquireUnit ActionKind = "take a unit"
 	ActionReleaseUnit ActionKind = "give a unit back"
 )
 
-// HeldUnit is one that an instance holds.
+// HeldUnit is a unit that an instance holds.
 type HeldUnit struct {
 	Name      string `json:"name"`
 	Quota     string `json:"budget"`
 	RequestID string `json:"turn"`
 }
 
-// unitAgain is between two calls about one unit: of a count that is all held the next is given back in seconds.
+// unitRetryDelay is the time between two calls about one unit, in microseconds: where all units of a quota are held the
+// next is released within seconds.
 const unitRetryDelay = 300_000
 
-// askedOf is how old the latest ask may be for its silence to go on with the next.
+// maxRequestGap is how far two unit requests may be apart for the silence after the first to count with the second.
 const maxRequestGap = 10 * unitRetryDelay
 
-// unitFor tells whether an instance holds a unit for a wave; else one is asked for.
+// holdsUnit tells whether an instance holds a unit for a command; else one is requested.
 func (m *Machine) holdsUnit(now Micros, c *Command, in *Instance) bool {
 	if c.Quota == "" || in.Unit.Held && in.Unit.CommandID == c.ID {
 		return true
@@ -51,7 +52,7 @@
 	}
 	if !in.Unit.Held && in.Unit.CommandID == c.ID && now >= in.Unit.NextRequestAt {
 		in.Unit.NextRequestAt = now + unitRetryDelay + Micros(m.random.Int64N(unitRetryDelay/2))
-		if m.quotaSilentSince == 0 || now-m.lastUnitRequestAt > maxRequestGap { // a silence of before, when nobody asked, says nothing
+		if m.quotaSilentSince == 0 || now-m.lastUnitRequestAt > maxRequestGap { // a silence while nothing was requested says nothing
 			m.quotaSilentSince = now
 		}
 		m.lastUnitRequestAt = now
@@ -60,7 +61,7 @@
 	return false
 }
 
-// needs tells whether a wave still has use for the unit that it asked for.
+// unitNeeded tells whether the command still has use for the unit of the instance.
 func (m *Machine) unitNeeded(in *Instance) bool {
 	c := m.commands[in.Unit.CommandID]
 	if c == nil || c.Kind != KindRollingUpdate && c.Kind != KindColdStart || !slices.Contains(c.Names, in.Name) {
@@ -70,17 +71,17 @@
 	return !over && (c.State == CommandOpen || c.InProgress[in.Name])
 }
 
-// back tells whether an instance is out no more: it serves, or nobody wants it to.
+// backInService tells whether an instance serves again, or is down as desired.
 func (in *Instance) backInService(now Micros) bool {
 	return in.available(now) || !in.DesiredUp && in.Phase.Down()
 }
 
-// settleUnit gives back a unit that is of no more use.
+// returnUnit releases a unit that is of no more use.
 func (m *Machine) returnUnit(now Micros, in *Instance) {
 	u := &in.Unit
 	switch {
 	case u.RequestID == "" || m.unitNeeded(in):
-	case !u.Held && !u.Standalone: // if it is given all the same, the ledger's list tells
+	case !u.Held && !u.Standalone: // if it is granted all the same, the store's list shows it
 		*u = Unit{}
 		m.markInstanceChanged(in)
 	case (in.backInService(now) || u.StartedAt > 0 && in.LaunchesExhausted) && now >= u.NextRequestAt:
@@ -89,6 +90,7 @@
 	}
 }
 
+// handleUnitAcquired takes in the answer to a unit request.
 func (m *Machine) handleUnitAcquired(now Micros, in *Instance, e UnitAcquired) {
 	u := &in.Unit
 	m.quotaSilentSince = 0
@@ -97,12 +99,12 @@
 		if e.Granted {
 			m.returnStrayUnit(now, in, e.HeldUnit)
 		}
-	case u.Standalone: // it began meanwhile
+	case u.Standalone: // the start began meanwhile
 		u.Held = e.Granted
 	case e.Granted:
 		u.Held, u.NextRequestAt, u.DenialCause = true, now, ""
 		m.recordEvent(now, in, "unit taken", u.Quota)
-	default: // another turn for another try: this one may be in a call that is yet to come
+	default: // the next attempt gets an ID of its own: this one may be in a call that has yet to arrive
 		if u.DenialCause != e.Cause {
 			m.recordEvent(now, in, "waits for a unit", u.Quota+": "+e.Cause)
 		}
@@ -111,13 +113,24 @@
 	m.markInstanceChanged(in)
 }
 
-// strayUnit gives back what is held for a turn that nobody remembers, once the instance is there.
+// returnStrayUnit releases a unit held for a request that nobody remembers, once the instance is back in service.
 func (m *Machine) returnStrayUnit(now Micros, in *Instance, h HeldUnit) {
 	if in.backInService(now) {
 		m.actions = append(m.actions, Action{Name: in.Name, ID: h.RequestID, Kind: ActionReleaseUnit, Unit: Unit{Quota: h.Quota, RequestID: h.RequestID, Held: true}, StartResult: in.startResult(now)})
 	}
 }
 
+// handleUnitReleased takes in that a unit is back at the quota store. Another request may have begun meanwhile.
+func (m *Machine) handleUnitReleased(now Micros, e UnitReleased) {
+	m.quotaSilentSince = 0
+	if in := m.instances[e.Name]; in != nil && in.Unit.RequestID == e.RequestID {
+		in.Unit = Unit{}
+		m.recordEvent(now, in, "unit given back", "")
+		m.markInstanceChanged(in)
+	}
+}
+
+// handleUnitsListed releases the units that the quota store lists and no instance remembers.
 func (m *Machine) handleUnitsListed(now Micros, e UnitsListed) {
 	for _, h := range e.Units {
 		if in := m.instances[h.Name]; in != nil && in.Unit.RequestID != h.RequestID {
