--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// tally is what a group has, for the budget of a wave.
+// groupCount counts the instances of a group, for the minimum of a rolling update.
 type groupCount struct {
-	desiredUp int // wanted up, spares apart
-	available int // that may be counted on, spares too
+	desiredUp int // spares apart
+	available int // spares too
 }
 
+// groupCounts counts the instances of each group.
 func (m *Machine) groupCounts(now Micros) map[string]*groupCount {
 	all := make(map[string]*groupCount, len(m.groups))
 	for name := range m.groups {
@@ -29,7 +30,7 @@
 	return all
 }
 
-// plan prepares a wave, or says why none can go on by these terms.
+// planRollingUpdate prepares a rolling update, or says why none is possible by its configuration.
 func (m *Machine) planRollingUpdate(now Micros, c *Command) error {
 	for _, o := range m.openCommands {
 		if o.Kind == KindRollingUpdate && o.State != CommandDone {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// roll brings a wave forward: it releases what may leave now, and stops where it can't go on within its budget.
+// advanceRollingUpdate brings an update forward: spares start, instances are released as they may, spares stop.
 func (m *Machine) advanceRollingUpdate(now Micros, c *Command) {
 	if c.Stage == StageStartSpares && !m.startSpares(now, c) {
 		return
@@ -93,7 +94,7 @@
 	}
 }
 
-// raise brings the spares up and tells whether the wave may roll: all are ready and settled, or it was cancelled.
+// startSpares starts the spares and tells whether the update may go on: all are settled, or it was cancelled.
 func (m *Machine) startSpares(now Micros, c *Command) bool {
 	ready := true
 	for _, n := range c.Spares {
@@ -125,7 +126,7 @@
 	return true
 }
 
-// hold pauses a wave that should not go on, and tells whether it did.
+// pauseIfNeeded pauses an update that should not go on, and tells whether it did.
 func (m *Machine) pauseIfNeeded(now Micros, c *Command) bool {
 	if c.State != CommandOpen {
 		return false
@@ -154,12 +155,14 @@
 	return true
 }
 
+// pause pauses an update and records why.
 func (m *Machine) pause(now Micros, c *Command, why string) {
 	c.State, c.Cause = CommandPaused, why
 	m.markCommandChanged(c)
 	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: "pause", Cause: why})
 }
 
+// lastFailure names the instance that failed last, with the cause.
 func lastFailure(c *Command) string {
 	name, at := "", Micros(-1)
 	for _, n := range c.instanceNames() {
@@ -170,7 +173,7 @@
 	return name + " " + c.Results[name].Cause
 }
 
-// release lets as many leave as width and budget allow.
+// releaseInstances restarts as many instances as width, group minimum and quota allow.
 func (m *Machine) releaseInstances(now Micros, c *Command) {
 	for _, n := range c.Names {
 		if in := m.instances[n]; c.InProgress[n] && in != nil {
@@ -180,10 +183,10 @@
 	if m.pauseIfNeeded(now, c) || c.State != CommandOpen {
 		return
 	}
-	var tallies map[string]*groupCount
-	blocked, asked := false, 0
+	blocked, requested := false, 0
+	var counts map[string]*groupCount // counted once it is needed
 	for _, n := range c.Names {
-		if len(c.InProgress)+asked >= c.Rollout.MaxInProgress {
+		if len(c.InProgress)+requested >= c.Rollout.MaxInProgress {
 			blocked = false
 			break
 		}
@@ -195,44 +198,63 @@
 			m.recordResult(now, c, n, OutcomeSkipped, "it is not wanted up")
 			continue
 		}
-		if tallies == nil {
-			tallies = m.groupCounts(now)
+		if counts == nil {
+			counts = m.groupCounts(now)
 		}
-		g := tallies[in.Group]
-		cost := 0
-		if in.available(now) {
-			cost = 1
-		}
-		if g.available-cost < c.Rollout.minReady(g.desiredUp) {
-			blocked = true
-			continue
-		}
-		if in.Phase == PhaseUnknown { // what can't be seen may be ready: taking it out costs one that can't be counted
+		switch m.tryRelease(now, c, in, counts[in.Group]) {
+		case releaseBlocked:
 			blocked = true
-			continue
+		case releaseAwaitsUnit:
+			requested++
 		}
-		if !m.holdsUnit(now, c, in) { // others of the fleet may have them all
-			g.available -= cost
-			asked++
-			continue
-		}
-		g.available -= cost
-		c.InProgress[n] = true
-		m.restartInstance(now, in)
-		m.markCommandChanged(c)
-		m.advance(now, in)
 	}
+	c.noteBlocked(now, blocked && len(c.InProgress)+requested == 0)
+}
+
+// noteBlocked keeps since when the update is blocked.
+func (c *Command) noteBlocked(now Micros, blocked bool) {
 	switch {
-	case !blocked || len(c.InProgress)+asked > 0:
-		if c.BlockedSince != 0 {
-			c.BlockedSince = 0
-		}
+	case !blocked:
+		c.BlockedSince = 0
 	case c.BlockedSince == 0:
 		c.BlockedSince = now
 	}
 }
 
-// stuckAt says which group holds the wave up.
+// releaseDecision is what tryRelease came to.
+type releaseDecision int
+
+const (
+	released          releaseDecision = iota
+	releaseBlocked                    // by the group's minimum, or because the instance can't be observed
+	releaseAwaitsUnit                 // a unit of the quota is requested; others of the fleet may hold them all
+)
+
+// tryRelease restarts an instance if its group's minimum and the quota allow it. g counts it out already while its
+// unit is awaited.
+func (m *Machine) tryRelease(now Micros, c *Command, in *Instance, g *groupCount) releaseDecision {
+	cost := 0
+	if in.available(now) {
+		cost = 1
+	}
+	if g.available-cost < c.Rollout.minReady(g.desiredUp) {
+		return releaseBlocked
+	}
+	if in.Phase == PhaseUnknown { // it may be ready all the same: its restart would take out one that is not counted
+		return releaseBlocked
+	}
+	g.available -= cost
+	if !m.holdsUnit(now, c, in) {
+		return releaseAwaitsUnit
+	}
+	c.InProgress[in.Name] = true
+	m.restartInstance(now, in)
+	m.markCommandChanged(c)
+	m.advance(now, in)
+	return released
+}
+
+// blockedReason says which instance or group blocks the update.
 func (m *Machine) blockedReason(now Micros, c *Command) string {
 	tallies := m.groupCounts(now)
 	for _, n := range c.Names {
@@ -249,57 +271,3 @@
 	}
 	return "can't go on"
 }
-
-// Plan is what a wave would do, for --dry-run: the order in which instances would leave if all went well, with
-// how many of their group are ready meanwhile, and why it could not be taken.
-type PlanStep struct {
-	Name     string `json:"name"`
-	Group    string `json:"group"`
-	Batch    int    `json:"batch"`
-	Ready    int    `json:"ready"` // of its group, with this batch out
-	MinReady int    `json:"least"`
-}
-
-// Preview plays a wave on facts alone: every instance of the names taken to be up and ready, and each batch to
-// come back whole.
-func Preview(s *Spec, host string, names []string, w RollingUpdateConfig) ([]PlanStep, error) {
-	m := New(s, host, Config{MaxOpenCommands: 1, MaxFinishedCommands: 1}, func(*InstanceSpec) ShutdownWindow { return ShutdownWindow{1, 1} })
-	for _, in := range m.instances {
-		if !in.Spare {
-			in.DesiredUp, in.Phase, in.Incarnation = true, PhaseReady, "preview"
-		}
-	}
-	const long = 1 << 60
-	c := &Command{ID: "preview", Kind: KindRollingUpdate, Names: names, Deadline: long, Rollout: &w}
-	if _, _, err := m.Decide(long/2, CommandReceived{c}); err != nil {
-		return nil, err
-	}
-	var steps []PlanStep
-	now := Micros(long / 2)
-	for batch := 1; batch <= 2*len(names)+4*len(m.instanceNames)+4; batch++ {
-		c := m.Command("preview")
-		if c.State == CommandDone {
-			return steps, nil
-		}
-		tallies := m.groupCounts(now)
-		for _, n := range c.Names {
-			if in := m.instances[n]; c.InProgress[n] {
-				g := tallies[in.Group]
-				steps = append(steps, PlanStep{n, in.Group, batch, g.available, c.Rollout.minReady(g.desiredUp)})
-			}
-		}
-		now += 1 << 40
-		for _, n := range m.instanceNames { // all that left is gone, and what is wanted up is ready
-			in := m.instances[n]
-			if in.Incarnation != "" && in.NoticeID != "" {
-				m.Decide(now, InstanceObserved{n, Observation{Incarnation: in.Incarnation, Phase: PhaseExited}})
-			}
-			if in.Incarnation != "" && in.NoticeID == "" {
-				m.Decide(now, InstanceObserved{n, Observation{Incarnation: in.Incarnation, Phase: PhaseReady}})
-			}
-		}
-		now += 1 << 40
-		m.Decide(now, Tick{})
-	}
-	return steps, fmt.Errorf("the wave does not come to its end by these terms")
-}
--- /dev/null
+++ b/internal/fleet/selection.go
@@ -0,0 +1,56 @@
+package fleet
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Selection names instances: those that match any of the lists. All stands for all but spares.
+type Selection struct {
+	All    bool     `json:"all,omitempty"`
+	Names  []string `json:"names,omitempty"`
+	Groups []string `json:"groups,omitempty"`
+	Labels []string `json:"labels,omitempty"`
+	Hosts  []string `json:"hosts,omitempty"`
+}
+
+// Empty tells whether it asks for nothing.
+func (q Selection) Empty() bool {
+	return !q.All && len(q.Names)+len(q.Groups)+len(q.Labels)+len(q.Hosts) == 0
+}
+
+// Select lists what the selection names, in the file's order, each once. A word that matches nothing is an
+// error: a misspelt name must not pass for done.
+func (s *Spec) Select(q Selection) ([]*InstanceSpec, error) {
+	if q.Empty() {
+		return nil, fmt.Errorf("no instance is selected: give names, --group, --label, --host or --all")
+	}
+	met := map[string]bool{}
+	var found []*InstanceSpec
+	for _, in := range s.InstancesOn("") {
+		match := q.All && !in.Spare
+		hit := func(kind string, wanted []string, has ...string) {
+			for _, h := range has {
+				if slices.Contains(wanted, h) {
+					met[kind+h] = true
+					match = match || !in.Spare || kind == "instance "
+				}
+			}
+		}
+		hit("instance ", q.Names, in.Name)
+		hit("group ", q.Groups, in.Group)
+		hit("label ", q.Labels, in.Labels...)
+		hit("host ", q.Hosts, in.Host)
+		if match {
+			found = append(found, in)
+		}
+	}
+	for kind, words := range map[string][]string{"instance ": q.Names, "group ": q.Groups, "label ": q.Labels, "host ": q.Hosts} {
+		for _, w := range words {
+			if !met[kind+w] {
+				return nil, fmt.Errorf("%s%q matches nothing in fleet %s", kind, w, s.Name)
+			}
+		}
+	}
+	return found, nil
+}
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -12,7 +12,7 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// readBudgets reads what the fleet shares, and which agents keep the ledger of it.
+// readQuotas reads the (budgets ...) form: the quotas that the fleet shares, and the hosts that keep their store.
 func (s *Spec) readQuotas(f *sexpr.Form) {
 	s.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, 1<<40, 1))}
 	s.QuotaHosts = f.Words("ledger")
@@ -46,6 +46,7 @@
 	f.Done()
 }
 
+// readQuota reads a (budget ...) form.
 func (s *Spec) readQuota(f *sexpr.Form) {
 	b := quota.Limit{Name: parseName(f)}
 	if s.Quotas.Lookup(b.Name) != nil {
@@ -73,6 +74,7 @@
 	s.Quotas.Limits = append(s.Quotas.Limits, b)
 }
 
+// readRate reads the fields of a rate quota.
 func (s *Spec) readRate(f *sexpr.Form, b *quota.Limit) {
 	b.Tenant = f.Text("tenant", "")
 	b.Division = quota.Division(f.OneOf("divide", string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
@@ -118,7 +120,7 @@
 	own("weights", 1, b.Weights)
 }
 
-// readRise reads how a whole fleet comes up.
+// readColdStart reads the (rise ...) form.
 func (s *Spec) readColdStart(f *sexpr.Form) {
 	s.ColdStartQuota = f.Text("budget", "")
 	t := &coldstart.Config{
@@ -143,7 +145,7 @@
 	s.ColdStart = t
 }
 
-// counts tells whether a budget of that name is a count.
+// hasCountQuota tells whether there is a concurrency quota of that name.
 func (s *Spec) hasCountQuota(name string) bool {
 	if s.Quotas == nil {
 		return false
--- /dev/null
+++ b/internal/fleet/spec_reader.go
@@ -0,0 +1,181 @@
+package fleet
+
+import (
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/sexpr"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	minSpan = time.Millisecond
+	maxSpan = 24 * time.Hour
+)
+
+// ReadSpec reads a fleet's file; file is its name in errors, and its directory that of relative paths in it.
+// The error joins all that is wrong, each with its place.
+func ReadSpec(file string, src []byte, b limits.Control) (*Spec, error) {
+	nodes, err := sexpr.Parse(file, src)
+	if err != nil {
+		return nil, err
+	}
+	errs := &sexpr.Errors{File: file}
+	forms := sexpr.Forms(nodes, errs)
+	if len(forms) != 1 || forms[0].Name != "fleet" {
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted one list that begins with fleet")
+		return nil, errs.Err()
+	}
+	f := forms[0]
+	s := &Spec{Name: f.Arg(), Program: f.Words("program"), instances: map[string]*InstanceSpec{}, RollingUpdate: DefaultRollingUpdate()}
+	s.readHosts(f)
+	for _, g := range f.All("group") {
+		s.readGroup(g, filepath.Dir(file))
+	}
+	s.checkInstanceCounts(f, b.Names)
+	if w := f.Field("wave"); w != nil {
+		s.RollingUpdateQuota = w.Text("budget", "")
+		s.RollingUpdate = readRollingUpdate(w, s.RollingUpdate)
+	}
+	if b := f.Field("budgets"); b != nil {
+		s.readQuotas(b)
+	}
+	if r := f.Field("rise"); r != nil {
+		s.readColdStart(r)
+	}
+	if s.RollingUpdateQuota != "" && !s.hasCountQuota(s.RollingUpdateQuota) {
+		f.Fail("wave", "budget %q is no count of this file", s.RollingUpdateQuota)
+	}
+	f.Done()
+	return s, errs.Err()
+}
+
+// readHosts reads the (host ...) forms.
+func (s *Spec) readHosts(f *sexpr.Form) {
+	for _, h := range f.All("host") {
+		host := HostSpec{Name: parseName(h), AgentAddress: h.Text("agent", ""), PeerAddress: h.Text("peer", "")}
+		if h.Done(); s.Host(host.Name) != nil {
+			h.Fail("", "host %q stands twice", host.Name)
+		}
+		if err := CheckAddress(host.AgentAddress); err != nil {
+			h.Fail("agent", "%v", err)
+		}
+		if host.PeerAddress != "" && (strings.HasPrefix(host.PeerAddress, "unix:") || CheckAddress(host.PeerAddress) != nil) {
+			h.Fail("peer", "%q is not 127.x.x.x:PORT", host.PeerAddress)
+		}
+		s.Hosts = append(s.Hosts, host)
+	}
+	if len(s.Hosts) == 0 {
+		f.Fail("", "no host")
+	}
+}
+
+// checkInstanceCounts tells of a fleet without instances, and of hosts with more than one agent can manage.
+func (s *Spec) checkInstanceCounts(f *sexpr.Form, most int) {
+	if len(s.instances) == 0 {
+		f.Fail("", "no instance")
+	}
+	for _, h := range s.Hosts {
+		if n := len(s.InstancesOn(h.Name)); n > most {
+			f.Fail("", "host %q has %d instances, at most %d can be managed by one agent", h.Name, n, most)
+		}
+	}
+}
+
+// readGroup reads a (group ...) form; dir is the directory of relative paths.
+func (s *Spec) readGroup(f *sexpr.Form, dir string) {
+	g := GroupSpec{
+		Name: parseName(f), Host: f.Text("host", ""), Labels: f.Words("labels"),
+		StartWithin: micros(f.Span("start-within", minSpan, maxSpan, 30*time.Second)),
+		Settle:      micros(f.Span("settle", 0, maxSpan, time.Second)),
+		MaxLaunches: 3, LaunchWindow: micros(time.Minute),
+	}
+	if r := f.Field("restart"); r != nil {
+		g.MaxLaunches = r.Int("most", 0, 1000, g.MaxLaunches)
+		g.LaunchWindow = micros(r.Span("within", minSpan, maxSpan, time.Minute))
+		r.Done()
+	}
+	if g.Host == "" && len(s.Hosts) == 1 {
+		g.Host = s.Hosts[0].Name
+	}
+	if s.Host(g.Host) == nil {
+		f.Fail("host", "%q is no host of this file", g.Host)
+	}
+	if s.Group(g.Name) != nil {
+		f.Fail("", "group %q stands twice", g.Name)
+	}
+	config := f.Text("config", "")
+	if config == "" {
+		f.Fail("config", "missing: the configuration's path, with %%n for the instance's name")
+	} else if !filepath.IsAbs(config) {
+		config = filepath.Join(dir, config)
+	}
+	if g.DegradationFile = f.Text("levels", ""); g.DegradationFile != "" && !filepath.IsAbs(g.DegradationFile) {
+		g.DegradationFile = filepath.Join(dir, g.DegradationFile)
+	}
+	names := append(f.Words("instances"), readRange(f)...)
+	if len(names) > 1 && config != "" && !strings.Contains(config, "%n") {
+		f.Fail("config", "found %q for %d instances, wanted %%n in it", config, len(names))
+	}
+	s.addInstances(f, &g, config, "instances", names)
+	s.addInstances(f, &g, config, "spares", f.Words("spares"))
+	if len(g.Instances) == 0 {
+		f.Fail("", "no instance")
+	}
+	f.Done()
+	s.Groups = append(s.Groups, g)
+}
+
+// addInstances adds the instances that a field of a group names.
+func (s *Spec) addInstances(f *sexpr.Form, g *GroupSpec, config, field string, names []string) {
+	for _, name := range names {
+		if err := CheckName(name); err != nil {
+			f.Fail(field, "%v", err)
+			continue
+		}
+		if s.instances[name] != nil {
+			f.Fail(field, "instance %q stands twice", name)
+			continue
+		}
+		s.instances[name] = &InstanceSpec{
+			Name: name, Host: g.Host, Group: g.Name, ConfigFile: strings.ReplaceAll(config, "%n", name), Spare: field == "spares",
+			Labels: g.Labels, DegradationFile: g.DegradationFile,
+		}
+		g.Instances = append(g.Instances, name)
+	}
+}
+
+// maxRange bounds the instances of one range.
+const maxRange = 10_000
+
+// readRange reads the names of a range: (range n 1 40) is n1 to n40.
+func readRange(f *sexpr.Form) (names []string) {
+	r := f.Field("range")
+	if r == nil {
+		return nil
+	}
+	words := r.Args(3, 3)
+	if r.Done(); len(words) != 3 {
+		return nil
+	}
+	from, errFrom := strconv.Atoi(words[1])
+	to, errTo := strconv.Atoi(words[2])
+	if errFrom != nil || errTo != nil || from < 0 || to < from || to-from >= maxRange {
+		f.Fail("range", "found %q, wanted a name and the first and last number", strings.Join(words, " "))
+		return nil
+	}
+	for n := from; n <= to; n++ {
+		names = append(names, words[0]+strconv.Itoa(n))
+	}
+	return names
+}
+
+// parseName reads a form's only word, which stands in file names, paths and lines of words.
+func parseName(f *sexpr.Form) string {
+	word := f.Arg()
+	if err := CheckName(word); err != nil {
+		f.Fail("", "%v", err)
+	}
+	return word
+}
