--- a/internal/fleet/cold_start_test.go
+++ b/internal/fleet/cold_start_test.go
@@ -71,7 +71,7 @@
 		for _, w := range s.hosts {
 			w.advance(100_000, nil)
 			for _, ev := range s.replies[w] {
-				w.apply(ev)
+				w.mustApply(ev)
 			}
 			s.replies[w] = nil
 		}
@@ -91,8 +91,9 @@
 }
 
 func (s *simulatedFleet) coldStart(id string) {
-	var members []coldstart.Member
-	for _, in := range s.spec.InstancesOn("") {
+	instances := s.spec.InstancesOn("")
+	members := make([]coldstart.Member, 0, len(instances))
+	for _, in := range instances {
 		members = append(members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
 	}
 	s.quotas.Apply(quota.Command{ColdStart: &quota.ColdStartCommand{Limit: "starts", ID: id, Config: s.spec.ColdStart, Members: members, By: "test"}})
@@ -100,7 +101,7 @@
 		for _, n := range w.m.Names() {
 			s.coldStarted[n] = s.coldStarted[n] || !w.fakes[n].alive
 		}
-		w.command(id, KindColdStart, 600*second, w.m.Names()...)
+		w.mustCommand(id, KindColdStart, 600*second, w.m.Names()...)
 	}
 }
 
@@ -123,7 +124,7 @@
 		whole := hosts + rapid.IntRange(1, 6).Draw(t, "more")
 		s := newSimulatedFleet(t, hosts, each, whole)
 		if rapid.Bool().Draw(t, "some serve") {
-			s.hosts[0].command("up", KindStart, 60*second, s.hosts[0].m.Names()[0])
+			s.hosts[0].mustCommand("up", KindStart, 60*second, s.hosts[0].m.Names()[0])
 			s.advance(3 * second)
 		}
 		launched := s.hosts[0].launches[s.hosts[0].m.Names()[0]]
@@ -194,7 +195,7 @@
 	s.partitioned[w] = true
 	s.coldStart("before")
 	s.advance(second)
-	w.apply(CommandControl{"before", "cancel", "test"})
+	w.mustApply(CommandControl{"before", "cancel", "test"})
 	s.advance(3600 * second)
 	s.coldStart("now")
 	s.advance(2 * second)
--- a/internal/fleet/invariants_test.go
+++ b/internal/fleet/invariants_test.go
@@ -130,8 +130,9 @@
 			t.Fatal(err)
 		}
 	}
-	var ids []string
-	for _, c := range h.m.Commands() {
+	commands := h.m.Commands()
+	ids := make([]string, 0, len(commands))
+	for _, c := range commands {
 		ids = append(ids, c.ID)
 	}
 	if want := []string{"again3", "again2"}; !slices.Equal(ids, want) || len(h.saved.Commands) != 2 {
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -41,12 +41,12 @@
 	w := story("started, started again, drained")
 	startAll(w)
 	reportCommand(tr, w, "up")
-	w.command("up2", KindStart, second, "a", "b")
+	w.mustCommand("up2", KindStart, second, "a", "b")
 	reportCommand(tr, w, "up2")
-	w.command("down", KindDrain, 10*second, "a", "b")
+	w.mustCommand("down", KindDrain, 10*second, "a", "b")
 	w.advance(4*second, nil)
 	reportCommand(tr, w, "down")
-	w.command("down2", KindStop, 10*second, "a")
+	w.mustCommand("down2", KindStop, 10*second, "a")
 	reportCommand(tr, w, "down2")
 
 	w = story("the same command twice, and another with its id")
@@ -61,9 +61,9 @@
 
 	w = story("a later command supersedes an earlier one; what was told to leave leaves all the same")
 	startAll(w)
-	w.command("d", KindDrain, 10*second, "a", "b")
+	w.mustCommand("d", KindDrain, 10*second, "a", "b")
 	w.advance(second/2, nil)
-	w.command("s", KindStart, 10*second, "a")
+	w.mustCommand("s", KindStart, 10*second, "a")
 	w.advance(6*second, nil)
 	reportCommand(tr, w, "d")
 	reportCommand(tr, w, "s")
@@ -71,13 +71,13 @@
 	w = story("deaf to the notice")
 	startAll(w)
 	w.fakes["a"].unresponsive = true
-	w.command("d", KindRestart, 20*second, "a")
+	w.mustCommand("d", KindRestart, 20*second, "a")
 	w.advance(6*second, nil)
 	reportCommand(tr, w, "d")
 
 	w = story("dies by itself while draining")
 	startAll(w)
-	w.command("d", KindDrain, 10*second, "a")
+	w.mustCommand("d", KindDrain, 10*second, "a")
 	w.advance(second, nil)
 	w.fakes["a"].exit(Exit{Code: -1, Signal: "killed", DrainTime: second})
 	w.advance(second, nil)
@@ -90,33 +90,33 @@
 		w.advance(3*second, nil)
 	}
 	reportCommand(tr, w, "up")
-	w.command("again", KindStart, 10*second, "a")
+	w.mustCommand("again", KindStart, 10*second, "a")
 	w.advance(2*second, nil)
 	reportCommand(tr, w, "again")
 
 	w = story("never ready")
 	w.fakes["a"].neverReady = true
-	w.command("up", KindStart, 30*second, "a", "b")
+	w.mustCommand("up", KindStart, 30*second, "a", "b")
 	w.advance(12*second, nil)
 	reportCommand(tr, w, "up")
 
 	w = story("can't be launched")
 	w.dropAction = func(s Action) bool { return s.Kind == ActionLaunch }
-	w.command("up", KindStart, 30*second, "a")
+	w.mustCommand("up", KindStart, 30*second, "a")
 	in, _ := w.m.Instance("a")
-	w.apply(ActionFailed{"a", in.ActionID, "no such program", true})
+	w.mustApply(ActionFailed{"a", in.ActionID, "no such program", true})
 	reportCommand(tr, w, "up")
 
 	w = story("killed at once")
 	startAll(w)
-	w.apply(CommandReceived{&Command{ID: "k", Kind: KindStop, Names: []string{"a"}, RequestedBy: "test", Deadline: w.now + 9*second, Immediate: true}})
+	w.mustApply(CommandReceived{&Command{ID: "k", Kind: KindStop, Names: []string{"a"}, RequestedBy: "test", Deadline: w.now + 9*second, Immediate: true}})
 	w.advance(second, nil)
 	reportCommand(tr, w, "k")
 
 	w = story("its keeper dies, with the notice given and lost; another takes over")
 	startAll(w)
 	w.fakes["a"].supervised = false
-	w.command("d", KindDrain, 20*second, "a")
+	w.mustCommand("d", KindDrain, 20*second, "a")
 	w.advance(second, nil)
 	tr.Say("  keeper %t, told %t", w.fakes["a"].supervised, w.fakes["a"].noticeID != "")
 	w.advance(4*second, nil)
@@ -125,13 +125,13 @@
 	w = story("no sign of it for the whole window: the agent kills it itself")
 	startAll(w)
 	w.dropAction = func(s Action) bool { return s.Kind == ActionNotify }
-	w.command("d", KindDrain, 20*second, "a")
+	w.mustCommand("d", KindDrain, 20*second, "a")
 	w.advance(6*second, nil)
 	reportCommand(tr, w, "d")
 
 	w = story("time is over before it can be seen; it leaves all the same")
 	startAll(w)
-	w.command("d", KindDrain, second, "a")
+	w.mustCommand("d", KindDrain, second, "a")
 	w.advance(4*second, func(n string) bool { return n == "a" })
 	reportCommand(tr, w, "d")
 	tr.Say("  alive %t", w.fakes["a"].alive)
@@ -154,22 +154,22 @@
 	w = story("a wave meets an instance that does not become ready, pauses, and goes on when told")
 	startAll(w)
 	w.fakes["a"].neverReady = true
-	w.command("w", KindRollingUpdate, 120*second, "a", "b")
+	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
 	w.advance(15*second, nil)
 	reportCommand(tr, w, "w")
 	w.fakes["a"].neverReady = false
-	w.apply(CommandControl{"w", "resume", "test"})
+	w.mustApply(CommandControl{"w", "resume", "test"})
 	w.advance(15*second, nil)
 	reportCommand(tr, w, "w") // b may not leave: a is down, and half of two must stay ready
-	w.command("a-up", KindStart, 20*second, "a")
+	w.mustCommand("a-up", KindStart, 20*second, "a")
 	w.advance(4*second, nil)
-	w.apply(CommandControl{"w", "resume", "test"})
+	w.mustApply(CommandControl{"w", "resume", "test"})
 	w.advance(15*second, nil)
 	reportCommand(tr, w, "w")
 
 	w = story("a wave is cancelled: what is out comes back, the rest stays")
 	startAll(w)
-	w.command("w", KindRollingUpdate, 120*second, "a", "b")
+	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
 	w.advance(second, nil)
 	tr.Say("  %v, %v, %v", w.apply(CommandControl{"w", "cancel", "test"}), w.apply(CommandControl{"v", "cancel", "test"}), w.apply(CommandControl{"up", "cancel", "test"}))
 	w.advance(6*second, nil)
@@ -177,9 +177,9 @@
 
 	w = story("an instance that is drained by hand leaves the wave, which waits for its budget")
 	startAll(w)
-	w.command("w", KindRollingUpdate, 120*second, "a", "b")
+	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
 	w.advance(second, nil)
-	w.command("d", KindDrain, 20*second, "b")
+	w.mustCommand("d", KindDrain, 20*second, "b")
 	w.advance(9*second, nil)
 	reportCommand(tr, w, "w")
 	reportCommand(tr, w, "d")
@@ -196,10 +196,10 @@
 	w = story("service falls while a wave rolls")
 	w.spec.RollingUpdate.MaxRejectedShare = 0.5
 	startAll(w)
-	w.command("w", KindRollingUpdate, 120*second, "a", "b")
+	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
 	for n := range 80 {
 		w.advance(second/10, func(n string) bool { return n == "b" })
-		w.apply(InstanceObserved{"b", Observation{Incarnation: w.fakes["b"].incarnation, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n}})
+		w.mustApply(InstanceObserved{"b", Observation{Incarnation: w.fakes["b"].incarnation, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n}})
 	}
 	reportCommand(tr, w, "w")
 }
@@ -221,7 +221,7 @@
 		{}, {All: true}, {Groups: []string{"g1"}}, {Names: []string{"g0-s1", "g1-n2"}}, {Names: []string{"nobody"}}, {Hosts: []string{"h1"}},
 	} {
 		all, err := s.Select(q)
-		var names []string
+		names := make([]string, 0, len(all))
 		for _, in := range all {
 			names = append(names, in.Name)
 		}
@@ -329,11 +329,11 @@
 				kind := rapid.SampledFrom([]CommandKind{KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindRollingUpdate}).Draw(t, "kind")
 				some := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, -1, rapid.ID).Draw(t, "names")
 				orders++
-				w.command(fmt.Sprint("c", orders), kind, Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
+				_ = w.command(fmt.Sprint("c", orders), kind, Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
 			},
 			"steer": func(t *rapid.T) {
 				verb := rapid.SampledFrom([]string{"pause", "resume", "cancel"}).Draw(t, "verb")
-				w.apply(CommandControl{fmt.Sprint("c", rapid.IntRange(1, orders+1).Draw(t, "id")), verb, "test"})
+				_ = w.apply(CommandControl{fmt.Sprint("c", rapid.IntRange(1, orders+1).Draw(t, "id")), verb, "test"})
 			},
 			"die": func(t *rapid.T) {
 				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
@@ -353,7 +353,7 @@
 			"late word": func(*rapid.T) { // of a life that is over, or that has no more to say
 				for _, s := range w.pastObservations {
 					if l := w.fakes[s.Name]; s.Observation.Incarnation != l.incarnation && rnd.IntN(3) == 0 {
-						w.apply(s)
+						_ = w.apply(s)
 					}
 				}
 				w.pastObservations = nil
--- a/internal/fleet/simulated_host_test.go
+++ b/internal/fleet/simulated_host_test.go
@@ -182,9 +182,9 @@
 			if len(w.pastObservations) < 200 {
 				w.pastObservations = append(w.pastObservations, s)
 			}
-			w.apply(s)
+			w.mustApply(s)
 		}
-		w.apply(Tick{})
+		w.mustApply(Tick{})
 	}
 }
 
@@ -238,6 +238,22 @@
 	return w.apply(CommandReceived{c})
 }
 
+// mustCommand issues a command that has to be accepted.
+func (w *simulatedHost) mustCommand(id string, kind CommandKind, within Micros, names ...string) {
+	w.t.Helper()
+	if err := w.command(id, kind, within, names...); err != nil {
+		w.t.Fatalf("%s: %v", id, err)
+	}
+}
+
+// mustApply hands the machine an event that can't be refused.
+func (w *simulatedHost) mustApply(ev Event) {
+	w.t.Helper()
+	if err := w.apply(ev); err != nil {
+		w.t.Fatalf("%+v: %v", ev, err)
+	}
+}
+
 // groupsOf writes a fleet of some groups of so many instances on one host.
 func groupsOf(groups, each, spares int, wave string) string {
 	text := `(fleet f (host h1 (agent "unix:/tmp/h1"))`
@@ -256,7 +272,7 @@
 }
 
 func startAll(w *simulatedHost) {
-	w.command("up", KindStart, 60*second, w.nonSpares()...)
+	w.mustCommand("up", KindStart, 60*second, w.nonSpares()...)
 	w.advance(3*second, nil)
 }
 
