--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -314,3 +314,57 @@
 		t.Errorf("got\n%swanted\n%s", records.String(), want)
 	}
 }
+
+// TestWarmExecutorsPast: the module opens now for an executor that has been warm for long.
+func TestWarmExecutorsPast(t *testing.T) {
+	d := open(t)
+	d.backend = nil
+	began := Now()
+	if d.Open(false, 3_000_000); d.openedAt < began {
+		t.Errorf("opened %d us before now", began-d.openedAt)
+	}
+}
+
+// TestModuleGrace: the module's grace is shorter by the delay that a notice may have, and never negative.
+func TestModuleGrace(t *testing.T) {
+	d := open(t)
+	late := Micros(d.bounds.NoticeLate.Microseconds())
+	settings := *d.sheet
+	for grace, want := range map[Micros]Micros{0: 0, late / 2: 0, late: 0, late + 5: 5} {
+		settings.Admission.DrainGrace = grace
+		if got := d.moduleTerms(&settings).DrainGrace; got != want {
+			t.Errorf("grace %d: the module's is %d, wanted %d", grace, got, want)
+		}
+	}
+}
+
+// TestQueuedSurvivesDuplicateID: a request in the queue still runs after others of its id came and their callers left.
+func TestQueuedSurvivesDuplicateID(t *testing.T) {
+	d := open(t)
+	since := Now()
+	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
+	response := repeat(t, d, usual("a"))
+	for range 50 { // the answer and the caller's leaving are there at once: either may be seen first
+		again := usual("a")
+		again.CallerLeft = gone
+		if w, _ := d.Admit(again); w.Verdict != Errored {
+			t.Fatalf("%+v", w)
+		}
+	}
+	fakes.Until(t, "the first is answered", func() bool { d.Tick([]float64{0.1, 0, 0.1, 1}); return len(response) > 0 })
+	if w := <-response; w.Verdict != Admitted {
+		t.Errorf("the first: %+v", w)
+	}
+}
+
+// TestTickAnswersOverdue: each tick answers what is overdue.
+func TestTickAnswersOverdue(t *testing.T) {
+	d := open(t)
+	_, lost := d.Admit(usual("lost"))
+	silence(d)
+	lost.deadline -= 10_000_000
+	d.Tick(fullCores)
+	if len(lost.responses) != 1 {
+		t.Error("it is not answered")
+	}
+}
