--- /dev/null
+++ b/internal/cluster/quota/command.go
@@ -0,0 +1,175 @@
+package quota
+
+import (
+	"fmt"
+
+	"milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/cluster/coldstart"
+)
+
+// Command is one entry of the replicated log. The parts that are set are applied in the order of Apply.
+type Command struct {
+	Config        *Config           `json:"terms,omitempty"`
+	Renew         *RenewCommand     `json:"renew,omitempty"`
+	Expire        []Expiry          `json:"lapse,omitempty"`
+	Exited        *ExitCommand      `json:"gone,omitempty"`
+	Acquire       *PermitCommand    `json:"take,omitempty"`
+	Release       *PermitCommand    `json:"give,omitempty"`
+	WriteOff      *WriteOffCommand  `json:"write_off,omitempty"`
+	ColdStart     *ColdStartCommand `json:"rise,omitempty"`
+	ElapsedPauses []ElapsedPause    `json:"rested,omitempty"` // of cold starts, as timed by the leader
+	Rebalance     bool              `json:"divide,omitempty"` // the leader's clock says that it is time to divide anew
+	FreezeGrowth  bool              `json:"hold,omitempty"`   // grants that this state never knew may be in force: none may grow
+}
+
+// RenewCommand brings the lease requests of one host's backends.
+type RenewCommand struct {
+	Host     string               `json:"host"`
+	Requests []quota.LeaseRequest `json:"asks"`
+}
+
+// Expiry ends the extras of a client's grants up to an epoch, whose leases are surely over.
+type Expiry struct {
+	Limit     string `json:"budget"`
+	ClientKey string `json:"key"`
+	Epoch     uint64 `json:"epoch"`
+}
+
+// ExitCommand says that processes have ended. Only the host that they ran on can say so.
+type ExitCommand struct {
+	Host       string   `json:"host"`
+	ClientKeys []string `json:"lives"`
+}
+
+// PermitCommand acquires a unit of a concurrency limit, or releases it. Repeated with the same AcquireID it changes
+// nothing.
+type PermitCommand struct {
+	Limit     string `json:"budget"`
+	Name      string `json:"name"`
+	Host      string `json:"host"`
+	AcquireID string `json:"turn"`
+
+	Outcome *coldstart.Outcome `json:"end,omitempty"` // of a release: how the start came out that the permit was for
+}
+
+// WriteOffCommand is an operator's word that what a backend has is in force no more: its host is lost for good.
+type WriteOffCommand struct {
+	Name string `json:"name"`
+	By   string `json:"by"`
+}
+
+// Event is a line for the history.
+type Event struct {
+	Limit string `json:"budget"`
+	Name  string `json:"name,omitempty"`
+	Kind  string `json:"event"`
+	Cause string `json:"cause,omitempty"`
+}
+
+// Result is what came of a command.
+type Result struct {
+	Serial     uint64                `json:"serial"`
+	Answers    []quota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
+	Rejection  string                `json:"no,omitempty"`      // why the command changed nothing; empty: it was applied
+	Events     []Event               `json:"notes,omitempty"`
+	ClientKeys []string              `json:"lives,omitempty"` // of a renewal: all clients of its host
+	Permits    []Permit              `json:"out,omitempty"`   // of a renewal: all permits of its host
+}
+
+// Apply applies a command. Nothing but the command and the state decides, so that every replica comes to the same.
+func (s *State) Apply(c Command) (r Result) {
+	s.Serial++
+	r.Serial = s.Serial
+	if c.Config != nil {
+		s.applyConfig(c.Config, &r)
+	}
+	for _, e := range c.Expire {
+		s.expire(e, &r)
+	}
+	if c.Rebalance { // after the expiries: what is over can be granted at once
+		s.rebalance(&r)
+	}
+	if c.Exited != nil {
+		s.removeExited(c.Exited, &r)
+	}
+	if c.Renew != nil {
+		s.renew(c.Renew, c.FreezeGrowth, &r)
+	}
+	if c.Acquire != nil {
+		s.acquire(c.Acquire, &r)
+	}
+	if c.Release != nil {
+		s.release(c.Release, &r)
+	}
+	if c.WriteOff != nil {
+		s.writeOff(c.WriteOff, &r)
+	}
+	if c.ColdStart != nil {
+		s.coldStart(c.ColdStart, &r)
+	}
+	for _, p := range c.ElapsedPauses {
+		if start := s.ColdStarts[p.Limit]; start != nil && start.ID == p.ID {
+			start.EndPause(p.Number)
+		}
+	}
+	return r
+}
+
+// applyConfig takes over a configuration of a higher version.
+func (s *State) applyConfig(c *Config, r *Result) {
+	switch {
+	case c.Version < s.Config.Version:
+		r.Rejection = fmt.Sprintf("version: %d is older than %d, which is in force", c.Version, s.Config.Version)
+		return
+	case c.Version == s.Config.Version && !c.Equal(&s.Config):
+		r.Rejection = fmt.Sprintf("version: %d is in force with other content; give the new one a higher number", c.Version)
+		return
+	case c.Version == s.Config.Version:
+		return
+	}
+	for i := range c.Limits {
+		l := &c.Limits[i]
+		if field, err := l.Validate(); err != nil {
+			r.Rejection = fmt.Sprintf("budget %s: %s: %v", l.Name, field, err)
+			return
+		}
+	}
+	for i := range c.Limits {
+		l, previous := &c.Limits[i], s.Config.Lookup(c.Limits[i].Name)
+		switch {
+		case previous == nil:
+			r.Events = append(r.Events, Event{Limit: l.Name, Kind: "budget", Cause: fmt.Sprintf("new, %s of %d", l.Kind, l.Total)})
+		case previous.Total != l.Total:
+			r.Events = append(r.Events, Event{Limit: l.Name, Kind: "budget", Cause: fmt.Sprintf("whole from %d to %d", previous.Total, l.Total)})
+		}
+	}
+	s.Config = *c
+	s.RebuildIndexes()
+	s.rebalance(r)
+}
+
+// writeOff takes everything from a backend, whichever host it is on.
+func (s *State) writeOff(c *WriteOffCommand, r *Result) {
+	known := false
+	keys := append([]string(nil), s.byName[c.Name]...) // revokeAll changes the index
+	for _, key := range keys {
+		known = true
+		s.revokeAll(key, "written off by "+c.By, r)
+	}
+	for _, limit := range sortedKeys(s.Permits) {
+		permit, has := s.Permits[limit][c.Name]
+		if !has {
+			continue
+		}
+		known = true
+		if start := s.ColdStarts[limit]; start != nil {
+			start.WriteOff(c.Name)
+		}
+		delete(s.Permits[limit], c.Name)
+		s.recordReleased(limit, c.Name, permit.AcquireID)
+		r.Events = append(r.Events, Event{Limit: limit, Name: c.Name, Kind: "unit over", Cause: "written off by " + c.By})
+	}
+	if !known {
+		r.Rejection = fmt.Sprintf("name: %q has nothing", c.Name)
+	}
+}
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -4,7 +4,6 @@
 package quota
 
 import (
-	"cmp"
 	"fmt"
 	"maps"
 	"slices"
@@ -12,9 +11,6 @@
 	"milletbarrow/internal/backend/quota"
 )
 
-// Micros is a point on some process's own clock, or a span, in whole microseconds.
-type Micros = quota.Micros
-
 // Kind says what a budget counts.
 type Kind string
 
@@ -118,6 +114,3 @@
 			a.Lease == b.Lease && a.ClockMargin == b.ClockMargin && a.Tenant == b.Tenant && a.Reserved == b.Reserved
 	})
 }
-
-// sortedKeys lists a map's keys in order: the same ledger does the same everywhere.
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/internal/cluster/quota/state.go
@@ -0,0 +1,230 @@
+package quota
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"milletbarrow/internal/backend/quota"
+	"milletbarrow/internal/cluster/coldstart"
+)
+
+// Micros is a point on some process's own clock, or a duration, in whole microseconds.
+type Micros = quota.Micros
+
+// Bounds of a State, whatever it is told.
+const (
+	maxGrants      = 6      // unconfirmed, of one client and limit; older ones are folded into the next
+	maxReleasedIDs = 8      // remembered for one name, so that a late duplicate does not acquire again
+	maxClients     = 50_000 // a further one is granted nothing
+	maxPermits     = 50_000 // of one limit
+)
+
+// Grant is a lease that its holder may still act on.
+type Grant struct {
+	Epoch       uint64 `json:"epoch"` // fencing token
+	Floor       int64  `json:"floor"` // units a second, without a lease
+	Extra       int64  `json:"extra"` // units a second above the floor, for the lease
+	Lease       Micros `json:"lease_us"`
+	ClockMargin Micros `json:"margin_us"`
+}
+
+// Allocation is what one client has of one rate.
+type Allocation struct {
+	Grants []Grant `json:"grants,omitempty"` // oldest first; the holder is known to have none older than the first
+	Drawn  int64   `json:"drawn"`            // units since the client's start, as it reported
+	Denied int64   `json:"denied"`           // units since the client's start, as it reported
+	Demand int64   `json:"want"`             // units a second above the floor, smoothed
+	Target int64   `json:"target"`           // units a second above the floor, of the latest division
+	Idle   bool    `json:"quiet,omitempty"`  // its lease has expired: no division counts on it
+}
+
+// maxFloor is the highest floor that the holder may act on now.
+func (a *Allocation) maxFloor() (most int64) {
+	for _, g := range a.Grants {
+		most = max(most, g.Floor)
+	}
+	return most
+}
+
+// maxExtra is the most above its floor that the holder may act on now.
+func (a *Allocation) maxExtra() (most int64) {
+	for _, g := range a.Grants {
+		most = max(most, g.Extra)
+	}
+	return most
+}
+
+// Client is one process that draws.
+type Client struct {
+	Name        string                 `json:"name"` // of the backend
+	Incarnation string                 `json:"life"` // of its process
+	Host        string                 `json:"host"`
+	LastRequest uint64                 `json:"number"`   // number of its latest lease request
+	Clock       Micros                 `json:"clock_us"` // its own, at that request
+	LastSerial  uint64                 `json:"asked"`    // the state's serial at that request
+	Allocations map[string]*Allocation `json:"held"`     // by limit
+}
+
+// Permit is one unit of a concurrency limit, held by a name.
+type Permit struct {
+	Limit     string `json:"budget"`
+	Name      string `json:"name"`
+	Host      string `json:"host"`
+	AcquireID string `json:"turn"` // idempotency key of the acquisition
+	Epoch     uint64 `json:"epoch"`
+}
+
+// State is the replicated state of all limits. Its exported fields are there to be encoded; only Apply changes them. It
+// is not safe for concurrent use.
+type State struct {
+	Serial      uint64                       `json:"serial"` // number of commands applied; epochs are its values
+	Config      Config                       `json:"terms"`
+	Clients     map[string]*Client           `json:"lives"`           // by ClientKey
+	Permits     map[string]map[string]Permit `json:"counts"`          // by limit and name
+	ReleasedIDs map[string][]string          `json:"ended"`           // by limit and name, the latest acquisitions that have ended
+	ColdStarts  map[string]*coldstart.State  `json:"rises,omitempty"` // by concurrency limit
+	Regressions uint64                       `json:"forgot"`          // how often a client knew of an epoch that this state does not
+
+	// Indexes, made anew from the rest by RebuildIndexes.
+	totals map[string]*rateTotals     // by rate
+	byName map[string][]string        // keys of clients
+	byHost map[string]map[string]bool // keys of clients
+}
+
+// rateTotals are the sums over all clients of one rate, in units a second.
+type rateTotals struct {
+	floorInForce   map[string]int64 // by backend: the floor that some process of it may act on
+	reservedFloors int64            // floors in force or to be granted
+	inForce        int64            // floors in force and extras
+	extras         int64
+	eligible       []string // backends that may draw, in order
+}
+
+// NewState returns an empty state.
+func NewState() *State {
+	s := &State{
+		Clients: map[string]*Client{}, Permits: map[string]map[string]Permit{}, ReleasedIDs: map[string][]string{},
+		ColdStarts: map[string]*coldstart.State{},
+	}
+	s.RebuildIndexes()
+	return s
+}
+
+// ClientKey identifies a process: a backend's name and an incarnation.
+func ClientKey(name, incarnation string) string { return name + " " + incarnation }
+
+// RebuildIndexes has to be called on a state that was decoded, before anything else.
+func (s *State) RebuildIndexes() {
+	s.totals, s.byName, s.byHost = map[string]*rateTotals{}, map[string][]string{}, map[string]map[string]bool{}
+	for _, c := range s.ColdStarts {
+		c.RebuildIndex()
+	}
+	for _, key := range sortedKeys(s.Clients) {
+		client := s.Clients[key]
+		s.byName[client.Name] = append(s.byName[client.Name], key)
+		s.setHost(key, client, client.Host)
+	}
+	isRate := map[string]bool{}
+	for i := range s.Config.Limits {
+		isRate[s.Config.Limits[i].Name] = s.Config.Limits[i].Kind == Rate
+	}
+	for _, client := range s.Clients {
+		for limit := range client.Allocations { // also of a limit that is configured no longer
+			isRate[limit] = true
+		}
+	}
+	for limit, rate := range isRate {
+		if rate {
+			s.recount(limit)
+		}
+	}
+}
+
+// recount makes the totals of one rate anew.
+func (s *State) recount(limit string) {
+	t := &rateTotals{floorInForce: map[string]int64{}}
+	for _, client := range s.Clients {
+		if a := client.Allocations[limit]; a != nil {
+			t.floorInForce[client.Name] = max(t.floorInForce[client.Name], a.maxFloor())
+			t.extras += a.maxExtra()
+		}
+	}
+	t.inForce = t.extras
+	for _, floor := range t.floorInForce {
+		t.inForce += floor
+		t.reservedFloors += floor
+	}
+	if l := s.Config.Lookup(limit); l != nil {
+		t.eligible = sortedKeys(l.Floors)
+		for name, floor := range l.Floors {
+			t.reservedFloors += max(floor, t.floorInForce[name]) - t.floorInForce[name]
+		}
+	}
+	s.totals[limit] = t
+}
+
+// setHost records on which host a client runs.
+func (s *State) setHost(key string, client *Client, host string) {
+	delete(s.byHost[client.Host], key)
+	if s.byHost[host] == nil {
+		s.byHost[host] = map[string]bool{}
+	}
+	s.byHost[host][key] = true
+	client.Host = host
+}
+
+// setGrants replaces a client's grants of a limit and keeps the totals.
+func (s *State) setGrants(limit string, client *Client, a *Allocation, grants []Grant) {
+	t := s.totals[limit]
+	extraBefore, configured := a.maxExtra(), int64(0)
+	if l := s.Config.Lookup(limit); l != nil {
+		configured = l.Floors[client.Name]
+	}
+	floorBefore := t.floorInForce[client.Name]
+	a.Grants = grants
+	floorAfter := int64(0)
+	for _, key := range s.byName[client.Name] {
+		if other := s.Clients[key].Allocations[limit]; other != nil {
+			floorAfter = max(floorAfter, other.maxFloor())
+		}
+	}
+	if floorAfter == 0 {
+		delete(t.floorInForce, client.Name)
+	} else {
+		t.floorInForce[client.Name] = floorAfter
+	}
+	t.reservedFloors += max(configured, floorAfter) - max(configured, floorBefore)
+	t.extras += a.maxExtra() - extraBefore
+	t.inForce += a.maxExtra() - extraBefore + floorAfter - floorBefore
+}
+
+// latestClient is the key of the process of a backend that asked last; older ones are granted nothing more.
+func (s *State) latestClient(name string) (key string) {
+	if keys := s.byName[name]; len(keys) == 1 {
+		return keys[0]
+	}
+	latest := uint64(0)
+	for _, k := range s.byName[name] {
+		if client := s.Clients[k]; client.LastSerial >= latest {
+			key, latest = k, client.LastSerial
+		}
+	}
+	return key
+}
+
+// remove deletes a client that has nothing in force.
+func (s *State) remove(key string) {
+	client := s.Clients[key]
+	delete(s.byHost[client.Host], key)
+	delete(s.Clients, key)
+	rest := slices.DeleteFunc(s.byName[client.Name], func(k string) bool { return k == key })
+	if len(rest) == 0 {
+		delete(s.byName, client.Name)
+		return
+	}
+	s.byName[client.Name] = rest
+}
+
+// sortedKeys lists a map's keys in order, so that every replica does the same in the same order.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
