--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,15 +1,11 @@
-// Package agent manages the instances of one host: it hands what happens to fleet's machine, writes its intents
-// down before it acts on them, and carries its steps out through keepers, which outlive it. It decides nothing
-// about instances; it owns the record, the processes of keepers and the history.
+// Package agent manages the instances of one host: it feeds what happens to the state machine of package fleet, saves
+// the machine's decisions before it acts on them, and carries its actions out through supervisors, which outlive it.
+// It decides nothing about instances; it owns the store, the starting of supervisors and the history.
 package agent
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"log/slog"
-	"net/http"
-	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -17,64 +13,58 @@
 	"time"
 
 	"milletbarrow/internal/agent/agentstore"
-	"milletbarrow/internal/agentapi"
-	"milletbarrow/internal/config"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/process"
 	"milletbarrow/internal/supervisor"
 )
 
-// Options are what an agent is started with.
+// Options configure an agent.
 type Options struct {
 	Spec       *fleet.Spec
-	Host       string
-	Dir        string   // its own; one agent at a time
-	Executable []string // starts this program
-	Build      string
-	Seed       uint64 // of the jitter
-	Bounds     limits.Control
-	Store      agentstore.Store
-	Cluster    Cluster // nil: nothing is shared with the agents of other hosts
+	Host       string           // its name in Spec
+	Dir        string           // of this agent alone
+	Executable []string         // the command line that starts this program, without a sub-command
+	Build      string           // version, for people
+	Seed       uint64           // of the jitter of backoffs
+	Bounds     limits.Control   // of time, memory and parallelism
+	Store      agentstore.Store // durable state; the caller closes it after Run
+	Cluster    Cluster          // nil: nothing is shared with the agents of other hosts
 }
 
-// Agent is a running one.
+// Agent manages the instances of one host. Its methods may be called from any goroutine.
 type Agent struct {
-	o     Options
-	began int64
+	options   Options
+	startedAt int64 // microseconds of the machine's clock
 
-	work chan func(now fleet.Micros) // runs in the loop, which alone touches what follows
-	m    *fleet.Machine
-	ill  error             // the record can't be written
-	owed agentstore.Change // what is not written yet
-	next uint64            // serial of the next entry
+	calls       chan func(now fleet.Micros) // run by the loop
+	stopped     chan struct{}               // closed when the loop has ended
+	launchSlots chan struct{}               // one for each supervisor that is being started
+	tasks       sync.WaitGroup              // goroutines that Run starts and waits for
 
-	steps []fleet.Action     // decided on since the last flush
-	fresh []agentstore.Entry // said since then
-	told  []chan struct{}    // who asked since then
-
-	done     chan struct{} // the loop has ended
-	launches chan struct{} // a place for each keeper being started
-	watchers map[string]*watcher
-
-	mu      sync.Mutex
-	entries []agentstore.Entry // the latest, for those who watch
-	more    chan struct{}      // closed at the next entry
+	loop loopState
+	feed historyFeed
 }
 
-// recent is how many entries are kept in memory for those who watch.
-const recent = 4096
+// loopState belongs to the goroutine of Run (to New before it); others reach it through Agent.calls.
+type loopState struct {
+	spec     *fleet.Spec
+	machine  *fleet.Machine
+	watchers map[string]*watcher // by instance
 
-// Window reads what an instance has from the notice on out of its configuration.
-func ReadShutdownWindow(file string) (fleet.ShutdownWindow, error) {
-	b, err := config.Read(file)
-	if err != nil {
-		return fleet.ShutdownWindow{Grace: 2_000_000, ExitTimeout: 3_000_000}, err
-	}
-	return fleet.ShutdownWindow{Grace: fleet.Micros(b.Settings.Admission.DrainGrace), ExitTimeout: fleet.Micros(b.StopMs * 1000)}, nil
+	storeErr   error             // why the store can't be written; nil: it can
+	unsaved    agentstore.Change // decided and not written yet
+	nextSerial uint64            // of the next history entry
+
+	actions     []fleet.Action     // decided since the last flush
+	unpublished []agentstore.Entry // history since the last flush
+	waiters     []chan struct{}    // callers whose answer waits for the next flush
 }
 
-// New takes back what was written down and adopts what runs. An error means that nothing was changed.
+// callBacklog is how many calls may wait for the loop.
+const callBacklog = 256
+
+// New restores the saved state and adopts the instances that run. After an error nothing has changed on the host.
 func New(o Options) (*Agent, error) {
 	saved, err := o.Store.Load()
 	if err != nil {
@@ -86,410 +76,251 @@
 		}
 	}
 	a := &Agent{
-		o: o, began: process.Now(), work: make(chan func(fleet.Micros), 256), next: 1,
-		launches: make(chan struct{}, o.Bounds.Parallel), watchers: map[string]*watcher{}, more: make(chan struct{}),
-		done: make(chan struct{}),
+		options: o, startedAt: process.Now(),
+		calls: make(chan func(fleet.Micros), callBacklog), stopped: make(chan struct{}),
+		launchSlots: make(chan struct{}, o.Bounds.Parallel),
+		loop:        loopState{spec: o.Spec, nextSerial: 1, watchers: map[string]*watcher{}},
+		feed:        newHistoryFeed(saved.History),
 	}
 	if n := len(saved.History); n > 0 {
-		a.next = saved.History[n-1].Serial + 1
-		a.entries = slices.Clone(saved.History[max(0, n-recent):])
+		a.loop.nextSerial = saved.History[n-1].Serial + 1
 	}
-	fresh := saved.BootID != "" && saved.BootID != process.Boot()
+	if err := a.restore(&saved); err != nil {
+		return nil, err
+	}
+	return a, nil
+}
+
+// restore brings the saved state into a new machine and decides on intents that an earlier agent left.
+func (a *Agent) restore(saved *agentstore.State) error {
+	rebooted := saved.BootID != "" && saved.BootID != process.Boot()
 	if saved.BootID != process.Boot() {
-		a.owed.BootID = process.Boot()
+		a.loop.unsaved.BootID = process.Boot()
 	}
-	a.adoptUnrecorded(&saved)
-	a.m = a.machine(o.Spec)
+	a.adoptUnrecorded(saved)
+	a.loop.machine = a.newMachine(a.loop.spec)
 	now := fleet.Micros(process.Now())
-	if forgotten := a.m.Restore(now, saved.Snapshot, fresh); len(forgotten) > 0 {
-		return nil, fmt.Errorf("%s runs here and the fleet's file does not name it any more: drain it first", forgotten[0].Name)
+	if unnamed := a.loop.machine.Restore(now, saved.Snapshot, rebooted); len(unnamed) > 0 {
+		return &UnnamedInstanceError{Instance: unnamed[0].Name}
 	}
-	a.note(fleet.HistoryEvent{At: now, Event: "agent started", Cause: o.Build})
-	for _, c := range saved.Intents { // taken by an agent that died before it could decide
-		a.decide(now, fleet.CommandReceived{Command: c})
-		a.owed.CompletedIntents = append(a.owed.CompletedIntents, c.ID)
+	a.addHistory(fleet.HistoryEvent{At: now, Event: "agent started", Cause: a.options.Build})
+	for _, c := range saved.Intents {
+		a.handle(now, fleet.CommandReceived{Command: c})
+		a.loop.unsaved.CompletedIntents = append(a.loop.unsaved.CompletedIntents, c.ID)
 	}
-	return a, nil
+	return nil
 }
 
-func (a *Agent) machine(s *fleet.Spec) *fleet.Machine {
-	return fleet.New(s, a.o.Host, fleet.DefaultConfig(a.o.Bounds, a.o.Seed), func(in *fleet.InstanceSpec) fleet.ShutdownWindow {
-		w, err := ReadShutdownWindow(in.ConfigFile)
+func (a *Agent) newMachine(s *fleet.Spec) *fleet.Machine {
+	config := fleet.DefaultConfig(a.options.Bounds, a.options.Seed)
+	return fleet.New(s, a.options.Host, config, func(in *fleet.InstanceSpec) fleet.ShutdownWindow {
+		window, err := ReadShutdownWindow(in.ConfigFile)
 		if err != nil {
 			slog.Warn("config", "name", in.Name, "error", err.Error())
 		}
-		return w
+		return window
 	})
 }
 
-// adoptUnrecorded takes instances that run although the record does not know them for wanted: the record was lost,
-// their keepers' files were not.
+// adoptUnrecorded adds instances that run although the store does not know them, as desired: the store was lost, the
+// files of their supervisors were not.
 func (a *Agent) adoptUnrecorded(saved *agentstore.State) {
-	known := map[string]bool{}
+	recorded := map[string]bool{}
 	for _, in := range saved.Instances {
-		known[in.Name] = true
+		recorded[in.Name] = true
 	}
-	for _, in := range a.o.Spec.InstancesOn(a.o.Host) {
-		s, err := supervisor.ReadState(supervisor.PathsOf(a.o.Dir, in.Name).State)
-		if known[in.Name] || err != nil || s.Ended {
+	for _, in := range a.loop.spec.InstancesOn(a.options.Host) {
+		state, err := supervisor.ReadState(supervisor.PathsOf(a.options.Dir, in.Name).State)
+		if recorded[in.Name] || err != nil || state.Ended {
 			continue
 		}
-		slog.Warn("adopt", "name", in.Name, "run", s.Run, "why", "the record does not know it")
+		slog.Warn("adopt", "name", in.Name, "run", state.Run, "why", "the record does not know it")
 		saved.Instances = append(saved.Instances, fleet.Instance{
-			Name: in.Name, DesiredUp: s.NotifiedStep == "", Incarnation: s.Run, ActionCount: serialOf(s.Run), NoticeID: s.NotifiedStep, NotifiedAt: s.NotifiedAt,
-			PhaseDeadline: s.NotifiedAt, Phase: fleet.PhaseUnknown,
+			Name: in.Name, DesiredUp: state.NotifiedStep == "", Incarnation: state.Run,
+			ActionCount: adoptedActionCount(state.Run), NoticeID: state.NotifiedStep, NotifiedAt: state.NotifiedAt,
+			PhaseDeadline: state.NotifiedAt, Phase: fleet.PhaseUnknown,
 		})
 	}
 }
 
-// serialOf keeps the steps of an adopted instance from having the ids of earlier ones.
-func serialOf(run string) int {
-	n, err := strconv.Atoi(run[strings.LastIndexByte(run, '.')+1:])
+// Margins that keep the ids of an adopted instance's actions above those of the actions that were lost with the store.
+const (
+	adoptedCountMargin  = 1 << 10
+	adoptedCountUnknown = 1 << 20 // where the incarnation's id does not tell its count
+)
+
+// adoptedActionCount continues the count of actions after the one that launched an incarnation.
+func adoptedActionCount(incarnation string) int {
+	n, err := strconv.Atoi(incarnation[strings.LastIndexByte(incarnation, '.')+1:])
 	if err != nil {
-		return 1 << 20
+		return adoptedCountUnknown
 	}
-	return n + 1<<10
+	return n + adoptedCountMargin
 }
 
-// Run works until ctx ends. Instances and their keepers go on after it.
+// idleFactor stretches the pause between ticks while nothing is under way.
+const idleFactor = 10
+
+// Run manages the instances until ctx ends, and returns when its goroutines have ended. Instances and their
+// supervisors go on.
 func (a *Agent) Run(ctx context.Context) {
-	var watching sync.WaitGroup
-	defer watching.Wait()
-	defer close(a.done) // before the watchers are waited for
-	a.lookAtAll(ctx, &watching, a.m)
-	if a.o.Cluster != nil {
-		watching.Go(func() { a.share(ctx) })
-	}
-	seen := a.m
-	beat := time.NewTimer(0)
-	defer beat.Stop()
+	defer a.tasks.Wait()
+	defer close(a.stopped) // first: tasks that wait for the loop end by it
+	a.watchInstances(ctx)
+	if a.options.Cluster != nil {
+		a.tasks.Go(func() { a.renewLeases(ctx) })
+	}
+	watched := a.loop.machine
+	ticks := time.NewTimer(0)
+	defer ticks.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			a.write()
+			a.save()
 			return
-		case f := <-a.work:
-			now := fleet.Micros(process.Now())
-			f(now)
-			for more := true; more; { // what has gathered is written down together
-				select {
-				case f := <-a.work:
-					f(now)
-				default:
-					more = false
-				}
-			}
-			if a.m != seen {
-				a.lookAtAll(ctx, &watching, a.m)
-				seen = a.m
-			}
-			a.flush()
-		case <-beat.C:
-			a.decide(fleet.Micros(process.Now()), fleet.Tick{})
-			a.flush()
-			pause := a.o.Bounds.Beat
-			if a.m.Idle(fleet.Micros(process.Now())) && a.ill == nil {
-				pause *= 10
+		case call := <-a.calls:
+			a.runCalls(call)
+			if a.loop.machine != watched { // reloaded
+				a.watchInstances(ctx)
+				watched = a.loop.machine
 			}
-			beat.Reset(pause)
-		}
-	}
-}
-
-// lookAtAll has each instance of the machine watched, from the beginning.
-func (a *Agent) lookAtAll(ctx context.Context, watching *sync.WaitGroup, m *fleet.Machine) {
-	for _, name := range m.Names() {
-		in, _ := m.Instance(name)
-		w, known := a.watchers[name]
-		if !known {
-			w = &watcher{name: name}
-			a.watchers[name] = w
-		}
-		w.begin(in.Incarnation)
-		if !known {
-			watching.Go(func() { a.watch(ctx, w) })
+			a.flush(ctx)
+		case <-ticks.C:
+			a.handle(fleet.Micros(process.Now()), fleet.Tick{})
+			a.flush(ctx)
+			ticks.Reset(a.tickPause())
 		}
 	}
 }
 
-// decide hands the machine an event; what comes of it waits for flush.
-func (a *Agent) decide(now fleet.Micros, ev fleet.Event) error {
-	steps, notes, err := a.m.Decide(now, ev)
-	a.steps = append(a.steps, steps...)
-	for _, n := range notes {
-		a.note(n)
-	}
-	return err
-}
-
-// note gives a line of history its serial and the time of the wall.
-func (a *Agent) note(n fleet.HistoryEvent) {
-	e := agentstore.Entry{Serial: a.next, UnixMicros: time.Now().UnixMicro(), HistoryEvent: n}
-	a.next++
-	a.owed.History = append(a.owed.History, e)
-	if over := len(a.owed.History) - a.o.Bounds.History; over > 0 { // a record that can't be written for long
-		a.owed.History = a.owed.History[over:]
-	}
-	slog.Info("fleet", "what", n.Event, "name", n.Name, "command", n.CommandID, "cause", n.Cause)
-	a.fresh = append(a.fresh, e)
-}
-
-// flush writes down what was decided, then takes the steps. While the record can't be written nothing new is begun
-// but what is on its way out goes on: a notice or a kill that was decided on must not wait for a disk.
-func (a *Agent) flush() {
-	a.write()
-	for _, done := range a.told {
-		close(done)
-	}
-	a.told = nil
-	steps := a.steps
-	a.steps = nil
-	for _, s := range steps {
-		if a.ill != nil && (s.Kind == fleet.ActionLaunch && !s.Adopt || s.Kind == fleet.ActionAcquireUnit) {
-			continue // it stays pending, and comes again
+// runCalls runs a call and all that have gathered behind it, so that one write saves what they decide.
+func (a *Agent) runCalls(call func(fleet.Micros)) {
+	now := fleet.Micros(process.Now())
+	call(now)
+	for {
+		select {
+		case next := <-a.calls:
+			next(now)
+		default:
+			return
 		}
-		a.take(s)
 	}
-	a.publish()
 }
 
-func (a *Agent) write() {
-	r, dropped := a.m.Changes()
-	merge(&a.owed, agentstore.Change{Snapshot: r, DeletedCommands: dropped})
-	if a.owed.Empty() {
-		return
-	}
-	err := a.o.Store.Save(a.owed)
-	if (err == nil) != (a.ill == nil) {
-		if err != nil {
-			slog.Error("record", "written", false, "error", err.Error())
-		} else {
-			slog.Info("record", "written", true)
-		}
-	}
-	if a.ill = err; err == nil {
-		a.owed = agentstore.Change{}
+func (a *Agent) tickPause() time.Duration {
+	if a.loop.machine.Idle(fleet.Micros(process.Now())) && a.loop.storeErr == nil {
+		return idleFactor * a.options.Bounds.Beat
 	}
+	return a.options.Bounds.Beat
 }
 
-// merge lays a later change over one that is still to be written.
-func merge(to *agentstore.Change, c agentstore.Change) {
-	for _, in := range c.Instances {
-		if i := slices.IndexFunc(to.Instances, func(o fleet.Instance) bool { return o.Name == in.Name }); i >= 0 {
-			to.Instances[i] = in
-		} else {
-			to.Instances = append(to.Instances, in)
-		}
-	}
-	for _, cmd := range c.Commands {
-		if i := slices.IndexFunc(to.Commands, func(o *fleet.Command) bool { return o.ID == cmd.ID }); i >= 0 {
-			to.Commands[i] = cmd
-		} else {
-			to.Commands = append(to.Commands, cmd)
-		}
+// decide feeds the machine an event. Its actions and history wait for flush.
+func (a *Agent) decide(now fleet.Micros, ev fleet.Event) error {
+	actions, events, err := a.loop.machine.Decide(now, ev)
+	a.loop.actions = append(a.loop.actions, actions...)
+	for _, event := range events {
+		a.addHistory(event)
 	}
-	to.DeletedCommands = append(to.DeletedCommands, c.DeletedCommands...)
-	to.Commands = slices.DeleteFunc(to.Commands, func(o *fleet.Command) bool { return slices.Contains(c.DeletedCommands, o.ID) })
+	return err
 }
 
-// publish shows the new entries to those who watch; they have been written down, if anything can be.
-func (a *Agent) publish() {
-	if len(a.fresh) == 0 {
-		return
-	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.entries = append(a.entries, a.fresh...)
-	if over := len(a.entries) - recent; over > 0 {
-		a.entries = slices.Clone(a.entries[over:])
-	}
-	a.fresh = nil
-	close(a.more)
-	a.more = make(chan struct{})
-}
+// handle is decide for an event that nobody waits for: an error would say why a command was rejected.
+func (a *Agent) handle(now fleet.Micros, ev fleet.Event) { _ = a.decide(now, ev) }
 
-// ask runs f in the loop and waits until what it saw or changed has been written down: nobody may be told of a
-// result that the next agent would not know.
-func (a *Agent) ask(f func(now fleet.Micros)) error {
-	done := make(chan struct{})
-	late := time.NewTimer(a.o.Bounds.Call)
-	defer late.Stop()
+// post gives the loop an event, unless it has ended.
+func (a *Agent) post(ev fleet.Event) {
 	select {
-	case a.work <- func(now fleet.Micros) {
-		f(now)
-		a.told = append(a.told, done)
-	}:
-	case <-a.done:
-		return errEnded
-	case <-late.C:
-		return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: "the agent is busy"}
-	}
-	select {
-	case <-done:
-		return nil
-	case <-a.done:
-		return errEnded
-	case <-late.C:
-		return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: "the agent is busy; ask again what became of it"}
+	case <-a.stopped:
+	case a.calls <- func(now fleet.Micros) { a.handle(now, ev) }:
 	}
 }
 
-var errEnded = &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: "the agent ends"}
-
-// Order takes a command once it is written down.
-func (a *Agent) Submit(o agentapi.CommandRequest) (c *fleet.Command, err error) {
-	const longest = int64(24 * time.Hour / time.Microsecond)
-	if o.TimeoutMicros <= 0 || o.TimeoutMicros > longest {
-		return nil, &agentapi.StatusError{Status: http.StatusBadRequest, Text: fmt.Sprintf("within_us: %d is not above 0 and at most a day", o.TimeoutMicros)}
-	}
-	if len(o.RequestedBy) > 100 {
-		return nil, &agentapi.StatusError{Status: http.StatusBadRequest, Text: "by: over 100 bytes"}
-	}
-	failed := a.ask(func(now fleet.Micros) {
-		if c = a.m.Command(o.ID); c == nil { // sent again it needs no second intent
-			if err = a.intend(now, o); err != nil {
-				return
-			}
-		}
-		cmd := commandOf(now, o)
-		if err = a.decide(now, fleet.CommandReceived{Command: cmd}); err == nil {
-			c = a.m.Command(o.ID)
+// flush saves what was decided, then starts the actions. While the store can't be written nothing new is begun, but
+// what is under way goes on: a shutdown notice or a kill that was decided on must not wait for a disk.
+func (a *Agent) flush(ctx context.Context) {
+	a.save()
+	for _, waiter := range a.loop.waiters {
+		close(waiter)
+	}
+	a.loop.waiters = nil
+	actions := a.loop.actions
+	a.loop.actions = nil
+	for _, action := range actions {
+		begins := action.Kind == fleet.ActionLaunch && !action.Adopt || action.Kind == fleet.ActionAcquireUnit
+		if a.loop.storeErr != nil && begins {
+			continue // it stays pending, and the machine gives it out again
 		}
-		a.owed.CompletedIntents = append(a.owed.CompletedIntents, o.ID)
-	})
-	if err = errors.Join(failed, err); err != nil {
-		return nil, err
+		a.start(ctx, action)
 	}
-	return c, nil
+	a.feed.publish(a.loop.unpublished)
+	a.loop.unpublished = nil
 }
 
-func commandOf(now fleet.Micros, o agentapi.CommandRequest) *fleet.Command {
-	return &fleet.Command{
-		ID: o.ID, Kind: o.Kind, Names: o.Instances, RequestedBy: o.RequestedBy, RequestedAt: o.RequestedUnixMicros, Deadline: now + fleet.Micros(o.TimeoutMicros),
-		Immediate: o.Immediate, Rollout: o.RollingUpdate, Quota: o.Budget,
+// save writes what is not written yet. After an error it is kept, and written with what follows.
+func (a *Agent) save() {
+	snapshot, deleted := a.loop.machine.Changes()
+	mergeChange(&a.loop.unsaved, agentstore.Change{Snapshot: snapshot, DeletedCommands: deleted})
+	if a.loop.unsaved.Empty() {
+		return
 	}
-}
-
-// intend makes a command durable before anything is decided; what can't be is not taken.
-func (a *Agent) intend(now fleet.Micros, o agentapi.CommandRequest) error {
-	if a.ill == nil {
-		err := a.o.Store.Save(agentstore.Change{Intent: commandOf(now, o)})
-		if err == nil {
-			return nil
-		}
-		a.ill = err
+	err := a.options.Store.Save(a.loop.unsaved)
+	switch {
+	case err != nil && a.loop.storeErr == nil:
 		slog.Error("record", "written", false, "error", err.Error())
+	case err == nil && a.loop.storeErr != nil:
+		slog.Info("record", "written", true)
 	}
-	return &agentapi.StatusError{
-		Status: http.StatusServiceUnavailable,
-		Text:   fmt.Sprintf("nothing new is taken: the record can't be written: %v", a.ill),
-	}
-}
-
-// Steer pauses, resumes or cancels.
-func (a *Agent) Steer(id, verb, by string) (c *fleet.Command, err error) {
-	failed := a.ask(func(now fleet.Micros) {
-		if err = a.decide(now, fleet.CommandControl{CommandID: id, Verb: verb, RequestedBy: by}); err == nil {
-			c = a.m.Command(id)
-		}
-	})
-	return c, errors.Join(failed, err)
-}
-
-// Command is a copy of one, nil if it is not known.
-func (a *Agent) Command(id string) (c *fleet.Command) {
-	if a.ask(func(fleet.Micros) { c = a.m.Command(id) }) != nil {
-		return nil // what was seen may not have been written down
+	a.loop.storeErr = err
+	if err == nil {
+		a.loop.unsaved = agentstore.Change{}
 	}
-	return c
 }
 
-// Commands lists copies, newest first.
-func (a *Agent) Commands() (all []*fleet.Command) {
-	if a.ask(func(fleet.Micros) { all = a.m.Commands() }) != nil {
-		return nil
+// mergeChange adds a later change to one that is still to be written: the later state of an instance or a command
+// replaces the earlier, and a deleted command is not written.
+func mergeChange(to *agentstore.Change, later agentstore.Change) {
+	for _, in := range later.Instances {
+		to.Instances = replaceOrAppend(to.Instances, in, func(o fleet.Instance) bool { return o.Name == in.Name })
 	}
-	return all
-}
-
-// Entries after a serial.
-func (a *Agent) Entries(after uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{}) {
-	const most = 256
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if len(a.entries) > 0 && a.entries[0].Serial > after+1 {
-		lost = a.entries[0].Serial - after - 1
+	for _, c := range later.Commands {
+		to.Commands = replaceOrAppend(to.Commands, c, func(o *fleet.Command) bool { return o.ID == c.ID })
 	}
-	i, _ := slices.BinarySearchFunc(a.entries, after+1, func(e agentstore.Entry, s uint64) int { return int(int64(e.Serial) - int64(s)) })
-	entries = slices.Clone(a.entries[i:min(len(a.entries), i+most)])
-	return entries, lost, a.more
+	to.DeletedCommands = append(to.DeletedCommands, later.DeletedCommands...)
+	to.Commands = slices.DeleteFunc(to.Commands, func(c *fleet.Command) bool {
+		return slices.Contains(later.DeletedCommands, c.ID)
+	})
 }
 
-// History reads older entries from the record, the latest of those after a serial.
-func (a *Agent) History(after uint64, most int) ([]agentstore.Entry, error) {
-	saved, err := a.o.Store.Load()
-	if err != nil {
-		return nil, err
+func replaceOrAppend[T any](list []T, item T, same func(T) bool) []T {
+	if i := slices.IndexFunc(list, same); i >= 0 {
+		list[i] = item
+		return list
 	}
-	h := slices.DeleteFunc(saved.History, func(e agentstore.Entry) bool { return e.Serial <= after })
-	return h[max(0, len(h)-most):], nil
+	return append(list, item)
 }
 
-// Status tells how all stands.
-func (a *Agent) Status() (s agentapi.Status) {
-	s = agentapi.Status{
-		Version: agentapi.Version, Host: a.o.Host, Build: a.o.Build, PID: os.Getpid(),
-		MonotonicMicros: process.Now(), UptimeMicros: process.Now() - a.began,
-	}
-	err := a.ask(func(now fleet.Micros) {
-		if a.ill != nil {
-			s.StoreError = a.ill.Error()
-		}
-		s.Fleet, s.LastSerial = a.o.Spec.Name, a.next-1
-		for _, name := range a.m.Names() {
-			in, _ := a.m.Instance(name)
-			one := agentapi.Instance{
-				Name: name, Group: in.Group, Spare: in.Spare, DesiredUp: in.DesiredUp, Phase: in.Phase, PhaseAgeMicros: int64(now - in.PhaseSince),
-				Cause: in.Cause, Task: in.CommandID, RecentRestarts: len(in.LaunchBudget.Attempts), Settled: in.Settled(now),
-			}
-			if in.PhaseDeadline != 0 {
-				one.TimeLeftMicros = int64(in.PhaseDeadline - now)
-			}
-			if r, ok := in.Detail.(*supervisor.Report); ok && !in.Phase.Down() {
-				one.PID, one.SupervisorPID, one.State = r.Record.Instance.PID, r.Record.Supervisor.PID, r.State
+// Reload uses a changed fleet file from now on. It fails, and changes nothing, if an instance runs here that the file
+// does not name any more.
+func (a *Agent) Reload(s *fleet.Spec) error {
+	var rejected error
+	err := a.call(func(now fleet.Micros) {
+		for _, name := range a.loop.machine.Names() {
+			in, _ := a.loop.machine.Instance(name)
+			if spec := s.Instance(name); in.Incarnation != "" && (spec == nil || spec.Host != a.options.Host) {
+				rejected = &UnnamedInstanceError{Instance: name}
+				return
 			}
-			s.Instances = append(s.Instances, one)
 		}
-		for _, c := range a.m.Commands() {
-			if c.State != fleet.CommandDone {
-				s.OpenCommands = append(s.OpenCommands, c)
-			}
+		machine := a.newMachine(s)
+		machine.Restore(now, a.loop.machine.Snapshot(), false)
+		a.loop.machine, a.loop.spec = machine, s
+		if a.options.Cluster != nil && s.Quotas != nil {
+			a.options.Cluster.SetConfig(s.Quotas, s.QuotaHosts)
 		}
+		a.addHistory(fleet.HistoryEvent{At: now, Event: "fleet's file read anew"})
 	})
 	if err != nil {
-		s.StoreError = err.Error()
+		return err
 	}
-	return s
-}
-
-// Reload takes a changed description of the fleet in; one that no longer names what runs is not used.
-func (a *Agent) Reload(s *fleet.Spec) (err error) {
-	failed := a.ask(func(now fleet.Micros) {
-		for _, name := range a.m.Names() {
-			in, _ := a.m.Instance(name)
-			if spec := s.Instance(name); in.Incarnation != "" && (spec == nil || spec.Host != a.o.Host) {
-				err = fmt.Errorf("%s runs and is not named any more: drain it first", name)
-				return
-			}
-		}
-		m := a.machine(s)
-		all := a.m.Snapshot()
-		m.Restore(now, all, false)
-		a.m, a.o.Spec = m, s
-		if a.o.Cluster != nil && s.Quotas != nil {
-			a.o.Cluster.SetConfig(s.Quotas, s.QuotaHosts)
-		}
-		a.note(fleet.HistoryEvent{At: now, Event: "fleet's file read anew"})
-	})
-	return errors.Join(failed, err)
+	return rejected
 }
--- /dev/null
+++ b/internal/agent/commands.go
@@ -0,0 +1,145 @@
+package agent
+
+import (
+	"fmt"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"milletbarrow/internal/agent/agentstore"
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/fleet"
+)
+
+// Limits of a request.
+const (
+	maxTimeout           = 24 * time.Hour
+	maxRequestedByLength = 100 // bytes
+)
+
+// call runs f in the loop and waits until what it read or changed has been saved: nobody may be given a result that
+// the next agent would not know. Errors are *agentapi.StatusError; after one f may still run.
+func (a *Agent) call(f func(now fleet.Micros)) error {
+	saved := make(chan struct{})
+	timeout := time.NewTimer(a.options.Bounds.Call)
+	defer timeout.Stop()
+	select {
+	case a.calls <- func(now fleet.Micros) {
+		f(now)
+		a.loop.waiters = append(a.loop.waiters, saved)
+	}:
+	case <-a.stopped:
+		return errStopped
+	case <-timeout.C:
+		return unavailable("the agent is busy")
+	}
+	select {
+	case <-saved:
+		return nil
+	case <-a.stopped:
+		return errStopped
+	case <-timeout.C:
+		return unavailable("the agent is busy; ask again what became of it")
+	}
+}
+
+// Submit accepts a command once it is saved. The same request may come again: it is one command.
+func (a *Agent) Submit(r agentapi.CommandRequest) (*fleet.Command, error) {
+	if err := checkRequest(&r); err != nil {
+		return nil, err
+	}
+	var command *fleet.Command
+	var rejected error
+	err := a.call(func(now fleet.Micros) {
+		command, rejected = a.accept(now, r)
+	})
+	if err != nil {
+		return nil, err
+	}
+	if rejected != nil {
+		return nil, rejected
+	}
+	return command, nil
+}
+
+func checkRequest(r *agentapi.CommandRequest) error {
+	if r.TimeoutMicros <= 0 || r.TimeoutMicros > maxTimeout.Microseconds() {
+		return &agentapi.StatusError{
+			Status: http.StatusBadRequest,
+			Text:   fmt.Sprintf("within_us: %d is not above 0 and at most a day", r.TimeoutMicros),
+		}
+	}
+	if len(r.RequestedBy) > maxRequestedByLength {
+		return &agentapi.StatusError{Status: http.StatusBadRequest, Text: "by: over 100 bytes"}
+	}
+	return nil
+}
+
+// accept runs in the loop. A request that was accepted before needs no second intent.
+func (a *Agent) accept(now fleet.Micros, r agentapi.CommandRequest) (*fleet.Command, error) {
+	if a.loop.machine.Command(r.ID) == nil {
+		if err := a.saveIntent(now, r); err != nil {
+			return nil, err
+		}
+	}
+	err := a.decide(now, fleet.CommandReceived{Command: newCommand(now, r)})
+	a.loop.unsaved.CompletedIntents = append(a.loop.unsaved.CompletedIntents, r.ID)
+	if err != nil {
+		return nil, err
+	}
+	return a.loop.machine.Command(r.ID), nil
+}
+
+func newCommand(now fleet.Micros, r agentapi.CommandRequest) *fleet.Command {
+	return &fleet.Command{
+		ID: r.ID, Kind: r.Kind, Names: r.Instances, RequestedBy: r.RequestedBy, RequestedAt: r.RequestedUnixMicros,
+		Deadline: now + fleet.Micros(r.TimeoutMicros), Immediate: r.Immediate, Rollout: r.RollingUpdate, Quota: r.Budget,
+	}
+}
+
+// saveIntent makes a command durable before anything is decided. What can't be saved is not accepted.
+func (a *Agent) saveIntent(now fleet.Micros, r agentapi.CommandRequest) error {
+	if a.loop.storeErr == nil {
+		err := a.options.Store.Save(agentstore.Change{Intent: newCommand(now, r)})
+		if err == nil {
+			return nil
+		}
+		a.loop.storeErr = err
+		slog.Error("record", "written", false, "error", err.Error())
+	}
+	return unavailable(fmt.Sprintf("nothing new is taken: the record can't be written: %v", a.loop.storeErr))
+}
+
+// Steer pauses, resumes or cancels a command.
+func (a *Agent) Steer(id, verb, by string) (*fleet.Command, error) {
+	var command *fleet.Command
+	var rejected error
+	err := a.call(func(now fleet.Micros) {
+		rejected = a.decide(now, fleet.CommandControl{CommandID: id, Verb: verb, RequestedBy: by})
+		if rejected == nil {
+			command = a.loop.machine.Command(id)
+		}
+	})
+	if err != nil {
+		return nil, err
+	}
+	return command, rejected
+}
+
+// Command returns a copy of a command, nil if it is not known or the agent does not answer in time.
+func (a *Agent) Command(id string) *fleet.Command {
+	var command *fleet.Command
+	if a.call(func(fleet.Micros) { command = a.loop.machine.Command(id) }) != nil {
+		return nil // what was read may not have been saved
+	}
+	return command
+}
+
+// Commands returns copies, newest first; nil if the agent does not answer in time.
+func (a *Agent) Commands() []*fleet.Command {
+	var all []*fleet.Command
+	if a.call(func(fleet.Micros) { all = a.loop.machine.Commands() }) != nil {
+		return nil
+	}
+	return all
+}
--- /dev/null
+++ b/internal/agent/incarnation.go
@@ -0,0 +1,23 @@
+package agent
+
+import (
+	"fmt"
+	"strings"
+
+	"milletbarrow/internal/process"
+)
+
+// IncarnationID identifies a process to the quota store: the boot id, the pid and the start time.
+func IncarnationID(id process.Identity) string { return fmt.Sprintf("%s/%s", process.Boot(), id) }
+
+// incarnationAlive reports whether a process of this machine runs. An id that can't be read counts as alive: leases of
+// a live process must not be ended.
+func incarnationAlive(incarnationID string) bool {
+	boot, identity, found := strings.Cut(incarnationID, "/")
+	var id process.Identity
+	n, err := fmt.Sscanf(identity, "%d@%d", &id.PID, &id.Start)
+	if !found || err != nil || n != 2 {
+		return true
+	}
+	return boot == process.Boot() && id.Alive()
+}
--- /dev/null
+++ b/internal/agent/status.go
@@ -0,0 +1,59 @@
+package agent
+
+import (
+	"os"
+
+	"milletbarrow/internal/agentapi"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/process"
+	"milletbarrow/internal/supervisor"
+)
+
+// Status returns the state of the agent and its instances. If the loop does not answer in time, StoreError says so.
+func (a *Agent) Status() agentapi.Status {
+	s := agentapi.Status{
+		Version: agentapi.Version, Host: a.options.Host, Build: a.options.Build, PID: os.Getpid(),
+		MonotonicMicros: process.Now(), UptimeMicros: process.Now() - a.startedAt,
+	}
+	var loop agentapi.Status
+	if err := a.call(func(now fleet.Micros) { loop = a.loop.status(now) }); err != nil {
+		s.StoreError = err.Error()
+		return s
+	}
+	s.Fleet, s.LastSerial, s.StoreError = loop.Fleet, loop.LastSerial, loop.StoreError
+	s.Instances, s.OpenCommands = loop.Instances, loop.OpenCommands
+	return s
+}
+
+// status fills in what the loop owns.
+func (l *loopState) status(now fleet.Micros) agentapi.Status {
+	s := agentapi.Status{Fleet: l.spec.Name, LastSerial: l.nextSerial - 1}
+	if l.storeErr != nil {
+		s.StoreError = l.storeErr.Error()
+	}
+	for _, name := range l.machine.Names() {
+		in, _ := l.machine.Instance(name)
+		s.Instances = append(s.Instances, instanceStatus(now, name, in))
+	}
+	for _, c := range l.machine.Commands() {
+		if c.State != fleet.CommandDone {
+			s.OpenCommands = append(s.OpenCommands, c)
+		}
+	}
+	return s
+}
+
+func instanceStatus(now fleet.Micros, name string, in fleet.Instance) agentapi.Instance {
+	s := agentapi.Instance{
+		Name: name, Group: in.Group, Spare: in.Spare, DesiredUp: in.DesiredUp, Phase: in.Phase,
+		PhaseAgeMicros: int64(now - in.PhaseSince), Cause: in.Cause, Task: in.CommandID,
+		RecentRestarts: len(in.LaunchBudget.Attempts), Settled: in.Settled(now),
+	}
+	if in.PhaseDeadline != 0 {
+		s.TimeLeftMicros = int64(in.PhaseDeadline - now)
+	}
+	if report, ok := in.Detail.(*supervisor.Report); ok && !in.Phase.Down() {
+		s.PID, s.SupervisorPID, s.State = report.Record.Instance.PID, report.Record.Supervisor.PID, report.State
+	}
+	return s
+}
