--- a/internal/backend/executor/client_test.go
+++ b/internal/backend/executor/client_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// keep holds a link to the farm until the test ends.
+// keep holds a link to the executor until the test ends.
 func keep(t *testing.T, a *fakes.Farm) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := New(a.Address, limits.For(1, 192, 1024), ratelimitlog.New(time.Hour), func(bool, dispatch.Micros) {})
@@ -52,7 +52,7 @@
 	return l
 }
 
-// story runs what the farm does with one run and prints how it ended.
+// story runs what the executor does with one run and prints how it ended.
 func story(tr *fakes.Trace, l *Client, a *fakes.Farm, id, what string, do func()) {
 	run := l.Launch(id, "look", []byte("body"))
 	fakes.Take(tr, "a launch", a.Launches)
@@ -88,7 +88,7 @@
 	})
 }
 
-// TestLinkLost: what the farm ended while there was no link is heard on the next one, once, and what it
+// TestLinkLost: what the executor ended while there was no link is heard on the next one, once, and what it
 // never heard of is started there.
 func TestLinkLost(t *testing.T) {
 	tr := fakes.NewTrace(t)
@@ -223,7 +223,7 @@
 	tr.Say("of the next link: %v", fakes.Take(t, "a sample", l.Samples()))
 }
 
-// TestMoveWithoutGreeting: while the farm at the new address has not greeted, the link in use takes launches; where that
+// TestMoveWithoutGreeting: while the executor at the new address has not greeted, the link in use takes launches; where that
 // ends first the new one stands in for it, and a move back and forth leaves one link.
 func TestMoveWithoutGreeting(t *testing.T) {
 	tr := fakes.NewTrace(t)
@@ -244,7 +244,7 @@
 	one := l.Launch("00000000000000d1", "look", nil)
 	tr.Say("before the greeting: %v", fakes.Take(t, "a launch on the link in use", a.Launches))
 	greet("hot 1")
-	fakes.Take(t, "the new link is level", l.Samples())
+	fakes.Take(t, "the new link is synced", l.Samples())
 	a.End("00000000000000d1", "complete", "first")
 	tr.Say("%q, launched again %d times", fakes.Take(t, "its end", one.Done()).Result, len(a.Launches))
 
@@ -269,7 +269,7 @@
 	tr.Say("%q, runs left %d", fakes.Take(t, "its end", three.Done()).Result, l.count())
 }
 
-// TestSilentLink: a level link that stays open and brings nothing is tried anew; runs go on.
+// TestSilentLink: a synced link that stays open and brings nothing is tried anew; runs go on.
 func TestSilentLink(t *testing.T) {
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
@@ -278,17 +278,17 @@
 	fakes.Take(t, "a sample", l.Samples())
 	run := l.Launch("00000000000000e1", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
-	a.With(func(state, gauges *string) { *gauges = "" })
+	a.With(func(_, gauges *string) { *gauges = "" })
 	fakes.Until(t, "a link beside it", func() bool { l.RequestSample(); return len(a.Subscribes) == 1 })
 	a.With(func(_, gauges *string) { *gauges = "0.1 0 0 0" })
-	fakes.Until(t, "the new one is level", func() bool { l.RequestSample(); return len(l.Samples()) > 0 })
+	fakes.Until(t, "the new one is synced", func() bool { l.RequestSample(); return len(l.Samples()) > 0 })
 	a.End("00000000000000e1", "complete", "r")
 	if end := fakes.Take(t, "its end", run.Done()); string(end.Result) != "r" || len(a.Launches) != 0 {
 		t.Errorf("%+v, launched again %d times", end, len(a.Launches))
 	}
 }
 
-// TestSilentBeforeItsGreeting: a link that was made anew is accepted and never greeted, though the farm had greeted before.
+// TestSilentBeforeItsGreeting: a link that was made anew is accepted and never greeted, though the executor had greeted before.
 // It is tried anew, as is one beside a silent link. What was launched meanwhile goes out once.
 func TestSilentBeforeItsGreeting(t *testing.T) {
 	for what, beside := range map[string]bool{"beside": true, "alone": false} {
@@ -319,7 +319,7 @@
 	}
 }
 
-// TestLateSamples: a farm that answers each sample too late to count is slow, not silent: its link stays.
+// TestLateSamples: a executor that answers each sample too late to count is slow, not silent: its link stays.
 func TestLateSamples(t *testing.T) {
 	a := fakes.NewFarm(t)
 	l := keep(t, a)
--- a/internal/backend/executor/protocol.go
+++ b/internal/backend/executor/protocol.go
@@ -10,7 +10,7 @@
 	"milletbarrow/internal/backend/dispatch"
 )
 
-// kind is the first word of a line from the farm.
+// kind is the first word of a line from the executor.
 type kind int
 
 const (
@@ -21,7 +21,7 @@
 	refusal
 )
 
-// notice is a line from the farm; its text is in slices of the line.
+// notice is a line from the executor; its text is in slices of the line.
 type notice struct {
 	kind    kind
 	number  uint64 // of an outcome or an aside
@@ -40,89 +40,109 @@
 	"cancelled": dispatch.RunCancelled, "unknown": dispatch.NeverRan,
 }
 
-var errWords = errors.New("too few words, or too many")
+var (
+	errWordCount        = errors.New("too few words, or too many")
+	errControlCharacter = errors.New("a control character within the line")
+)
+
+// words are the words of a line that have not been taken.
+type words struct{ rest []byte }
+
+// next takes the first word off; it is empty where none is left.
+func (w *words) next() (word []byte) {
+	word, w.rest, _ = bytes.Cut(w.rest, []byte{' '})
+	return word
+}
 
 // parse reads a line without its end. Where an outcome cannot be read but its number and id can, they are
 // filled in beside the error. Gauges are appended to room.
 func parse(line []byte, room []float64) (n notice, err error) {
 	if bytes.ContainsAny(line, "\r\n\x00") {
-		return n, errors.New("a control character within the line")
+		return n, errControlCharacter
 	}
-	var word []byte
-	word, rest := cut(line)
-	next := func() []byte {
-		var w []byte
-		w, rest = cut(rest)
-		return w
-	}
-	switch string(word) {
+	w := words{line}
+	switch word := w.next(); string(word) {
 	case "greeting":
-		n.kind = greeting
-		switch state := next(); string(state) {
-		case "chilly":
-			n.cold = true
-		case "hot":
-		default:
-			return n, fmt.Errorf("greeting: state %.20q", state)
-		}
-		n.micros, err = micros(next())
+		err = parseGreeting(&w, &n)
 	case "outcome":
-		n.kind = outcome
-		if n.number, err = strconv.ParseUint(string(next()), 10, 64); err != nil || n.number == 0 {
-			n.number = 0
-			return n, errors.New("outcome: no number")
-		}
-		if n.id = next(); len(n.id) == 0 {
-			return n, errWords
-		}
-		word := next()
-		end, known := ends[string(word)]
-		if n.end = end; !known {
-			return n, fmt.Errorf("outcome: end %.20q", word)
-		}
-		if n.micros, err = micros(next()); err == nil {
-			n.length, err = strconv.Atoi(string(next()))
-			if err != nil || n.length < 0 {
-				n.length, err = 0, errors.New("outcome: no length")
-			}
-		}
+		err = parseOutcome(&w, &n)
 	case "sampled":
-		n.kind, n.gauges = sampled, room
-		n.tag = next()
-		for len(rest) > 0 {
-			x, bad := strconv.ParseFloat(string(next()), 64)
-			if bad != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-				return n, errors.New("sampled: not a number")
-			}
-			n.gauges = append(n.gauges, x)
-		}
-		if len(n.tag) == 0 {
-			err = errWords
-		}
+		err = parseSampled(&w, &n, room)
 	case "refusal":
 		n.kind = refusal
-		if n.command, n.id = next(), next(); len(n.id) == 0 {
-			err = errWords
+		if n.command, n.id = w.next(), w.next(); len(n.id) == 0 {
+			err = errWordCount
 		}
-	case "aside":
-		n.kind = aside // numbered like an outcome; a remark without a number is as good
-		n.number, _ = strconv.ParseUint(string(next()), 10, 64)
+	case "aside": // numbered like an outcome; a remark without a number is as good
+		n.kind = aside
+		n.number, _ = strconv.ParseUint(string(w.next()), 10, 64)
 		return n, nil
 	default:
 		return n, fmt.Errorf("unknown word %.20q", word)
 	}
-	if err == nil && len(rest) > 0 {
-		err = errWords
+	if err == nil && len(w.rest) > 0 {
+		err = errWordCount
 	}
 	return n, err
 }
 
-// cut takes the first word off.
-func cut(line []byte) (word, rest []byte) {
-	word, rest, _ = bytes.Cut(line, []byte{' '})
-	return word, rest
+// parseGreeting reads whether the executor is warming up, and for how long it has been up.
+func parseGreeting(w *words, n *notice) (err error) {
+	n.kind = greeting
+	switch state := w.next(); string(state) {
+	case "chilly":
+		n.cold = true
+	case "hot":
+	default:
+		return fmt.Errorf("greeting: state %.20q", state)
+	}
+	n.micros, err = micros(w.next())
+	return err
+}
+
+// parseOutcome reads how a run ended, and the length of the result that follows.
+func parseOutcome(w *words, n *notice) (err error) {
+	n.kind = outcome
+	if n.number, err = strconv.ParseUint(string(w.next()), 10, 64); err != nil || n.number == 0 {
+		n.number = 0
+		return errors.New("outcome: no number")
+	}
+	if n.id = w.next(); len(n.id) == 0 {
+		return errWordCount
+	}
+	word := w.next()
+	end, known := ends[string(word)]
+	if n.end = end; !known {
+		return fmt.Errorf("outcome: end %.20q", word)
+	}
+	if n.micros, err = micros(w.next()); err != nil {
+		return err
+	}
+	if n.length, err = strconv.Atoi(string(w.next())); err != nil || n.length < 0 {
+		n.length = 0
+		return errors.New("outcome: no length")
+	}
+	return nil
+}
+
+// parseSampled reads gauges, which are appended to room.
+func parseSampled(w *words, n *notice, room []float64) error {
+	n.kind, n.gauges = sampled, room
+	n.tag = w.next()
+	for len(w.rest) > 0 {
+		x, err := strconv.ParseFloat(string(w.next()), 64)
+		if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
+			return errors.New("sampled: not a number")
+		}
+		n.gauges = append(n.gauges, x)
+	}
+	if len(n.tag) == 0 {
+		return errWordCount
+	}
+	return nil
 }
 
+// micros reads a time in milliseconds.
 func micros(word []byte) (dispatch.Micros, error) {
 	ms, err := strconv.ParseFloat(string(word), 64)
 	if err != nil || !(ms >= 0 && ms < 1e12) {
--- /dev/null
+++ b/internal/backend/executor/read.go
@@ -0,0 +1,255 @@
+package executor
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"time"
+
+	"milletbarrow/internal/backend/dispatch"
+)
+
+var (
+	errLineTooLong = errors.New("a line without an end")
+	errNoCRLF      = errors.New("no CR LF at the end")
+)
+
+// reader reads lines and results from a connection. What it returns are slices of its buffer, valid until the next call.
+type reader struct {
+	conn     net.Conn
+	buf      []byte // holds the longest line and the longest result
+	from, to int    // what has been read and not yet taken
+	lineMost int    // bytes of a line, without its end
+}
+
+// fill reads until so many bytes stand ready.
+func (r *reader) fill(least int) error {
+	if r.from+least > len(r.buf) {
+		r.to, r.from = copy(r.buf, r.buf[r.from:r.to]), 0
+	}
+	for r.to-r.from < least {
+		n, err := r.conn.Read(r.buf[r.to:])
+		r.to += n
+		if err != nil && r.to-r.from < least {
+			return err
+		}
+	}
+	return nil
+}
+
+// line reads a line and returns it without its CR LF.
+func (r *reader) line() ([]byte, error) {
+	end := -1
+	for seen := 0; end < 0; {
+		for ; seen < r.to-r.from && end < 0; seen++ {
+			if r.buf[r.from+seen] == '\n' {
+				end = seen
+			}
+		}
+		if end >= 0 {
+			break
+		}
+		if r.to-r.from > r.lineMost {
+			return nil, errLineTooLong
+		}
+		if err := r.fill(r.to - r.from + 1); err != nil {
+			return nil, err
+		}
+	}
+	text := r.buf[r.from : r.from+end]
+	if end == 0 || text[end-1] != '\r' {
+		return nil, fmt.Errorf("line %.40q: %w", text, errNoCRLF)
+	}
+	r.from += end + 1
+	return text[:end-1], nil
+}
+
+// bytes reads so many bytes.
+func (r *reader) bytes(length int) ([]byte, error) {
+	if err := r.fill(length + len("\r\n")); err != nil {
+		return nil, err
+	}
+	b := r.buf[r.from : r.from+length]
+	r.from += length
+	return b, nil
+}
+
+// discard skips so many bytes, which may be more than the buffer holds.
+func (r *reader) discard(length int) error {
+	rest := length - (r.to - r.from)
+	r.from = min(r.from+length, r.to)
+	if rest > 0 {
+		if _, err := io.CopyN(io.Discard, r.conn, int64(rest)); err != nil {
+			return err
+		}
+	}
+	return r.fill(len("\r\n"))
+}
+
+// crlf takes the end of a result, which stands ready.
+func (r *reader) crlf() bool {
+	ok := r.buf[r.from] == '\r' && r.buf[r.from+1] == '\n'
+	if ok {
+		r.from += len("\r\n")
+	}
+	return ok
+}
+
+// read handles notices until the connection is over or brings what cannot be read.
+func (l *Client) read(conn net.Conn) (greeted bool, err error) {
+	r := &reader{conn: conn, buf: make([]byte, l.bounds.Line+l.bounds.Result+4), lineMost: l.bounds.Line}
+	var gauges []float64 // used again for each sample
+	for {
+		text, err := r.line()
+		if err != nil {
+			return greeted, err
+		}
+		n, err := parse(text, gauges[:0])
+		if err != nil {
+			l.failUnreadable(n)
+			return greeted, fmt.Errorf("cannot read %.60q: %w", text, err)
+		}
+		switch n.kind {
+		case greeting:
+			greeted = true
+			l.takeGreeting(conn, n)
+		case sampled:
+			gauges = n.gauges
+			l.takeSample(conn, n)
+		case refusal:
+			l.takeRefusal(n)
+		case aside:
+			l.takeAside(n)
+		case outcome:
+			if err := l.takeOutcome(r, n); err != nil {
+				return greeted, err
+			}
+		}
+	}
+}
+
+// takeGreeting makes the connection the one in use, and closes the one that it takes over from.
+func (l *Client) takeGreeting(conn net.Conn, n notice) {
+	slog.Info("farm_up", "cold", n.cold, "ago_us", n.micros)
+	l.onGreeting(n.cold, n.micros)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.everGreeted = true
+	if l.next == conn {
+		l.takeOver(conn)
+	}
+	if l.conn != conn {
+		return
+	}
+	if l.previous != nil {
+		_ = l.previous.Close()
+	}
+	l.sendSample() // its answer follows the notices that were held for us
+}
+
+// takeRefusal ends the run whose launch was refused.
+func (l *Client) takeRefusal(n notice) {
+	id := string(n.id)
+	l.violations.Warn("farm_refusal", fmt.Errorf("%.20q %.20q", n.command, id))
+	if string(n.command) == "launch" {
+		l.finish(id, Outcome{End: dispatch.Unrunnable})
+	}
+}
+
+// takeAside counts a numbered remark, where it is the next notice.
+func (l *Client) takeAside(n notice) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if n.number == l.lastNotice+1 {
+		l.lastNotice++
+	}
+}
+
+// takeOutcome reads the result that follows an outcome, and ends its run unless the notice was read before.
+func (l *Client) takeOutcome(r *reader, n notice) error {
+	id := string(n.id) // the line's slices are valid until the result is read
+	end := Outcome{End: n.end}
+	var err error
+	if n.length <= l.bounds.Result {
+		end.Result, err = r.bytes(n.length)
+	} else { // more than an answer may hold: it cannot be passed on unchanged
+		l.violations.Warn("farm_result", fmt.Errorf("%.20q: %d bytes", id, n.length))
+		end.End = dispatch.RunErrored
+		err = r.discard(n.length)
+	}
+	if err != nil {
+		return err
+	}
+	if !r.crlf() {
+		l.failUnreadable(n)
+		return fmt.Errorf("result of %d bytes: %w", n.length, errNoCRLF)
+	}
+	if l.countNotice(r.conn, n.number) {
+		end.Result = append([]byte(nil), end.Result...)
+		l.finish(id, end)
+	}
+	return nil
+}
+
+// countNotice notes the number of a notice, and reports whether it is new. Each is held by the executor until the next
+// subscription, and may come over two connections.
+func (l *Client) countNotice(conn net.Conn, number uint64) (isNew bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	isNew = number > l.lastNotice
+	l.lastNotice = max(l.lastNotice, number)
+	if conn != nil && l.conn == conn {
+		l.lastInput = time.Now()
+	}
+	return isNew
+}
+
+// takeSample takes the sample last asked for; the first of a link tells that what came before it has been read.
+// One from before, which came after another was asked for or another link took over, is passed over.
+func (l *Client) takeSample(conn net.Conn, n notice) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.conn != conn {
+		return
+	}
+	l.lastInput = time.Now()
+	if string(n.tag) != sampleTag(l.sampleTag) {
+		return
+	}
+	l.samplePending = false
+	if !l.synced {
+		l.synced = true
+		for _, r := range l.runs { // it is not known which of them the executor has read; known ones do no harm
+			l.sendLaunch(r)
+		}
+	}
+	select {
+	case <-l.samples:
+	default:
+	}
+	l.samples <- append([]float64(nil), n.gauges...)
+}
+
+// failUnreadable ends the run of a notice that cannot be read though its number can: it must not come again with every link, and
+// the run that it ended has no result.
+func (l *Client) failUnreadable(n notice) {
+	if n.kind != outcome || n.number == 0 {
+		return
+	}
+	if l.countNotice(nil, n.number) {
+		l.finish(string(n.id), Outcome{End: dispatch.RunErrored})
+	}
+}
+
+// finish ends a run; ends of runs that are not in flight are void.
+func (l *Client) finish(id string, end Outcome) {
+	l.mu.Lock()
+	r := l.runs[id]
+	delete(l.runs, id)
+	l.mu.Unlock()
+	if r != nil {
+		r.done <- end
+	}
+}
