--- a/internal/backend/degradation/degradation_test.go
+++ b/internal/backend/degradation/degradation_test.go
@@ -18,7 +18,7 @@
 	(level half-lookups (shed (operations lookup) (share 0.5)) (enter (queue 2 2s)) (exit (queue 1.4 10s)) (stay 60s))
 	(level payments-only (shed (operations lookup)) (shed (rank-below 0.5)) (enter (queue 3 2s)) (exit (queue 1.8 10s)) (stay 60s)))`
 
-func ladder(t interface{ Fatal(...any) }, text string) *Policy {
+func policyOf(t interface{ Fatal(...any) }, text string) *Policy {
 	l, err := ParsePolicy("ladder.sx", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -34,10 +34,10 @@
 	return s
 }
 
-// TestPolicies: what a ladder says in words, and what is refused with which words.
+// TestPolicies: how a policy is explained, and what is refused with which words.
 func TestPolicies(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	tr.Say("%s", ladder(t, bills).Explain())
+	tr.Say("%s", policyOf(t, bills).Explain())
 	for _, text := range []string{
 		"(ladder x)", "(steps x)", "(ladder x (level a))",
 		"(ladder x (level a (shed) (enter (queue 1 1s)) (exit (queue 1 1s))))",
@@ -50,16 +50,16 @@
 		_, err := ParsePolicy("l", []byte(text))
 		tr.Say("%s\n%v", text, err)
 	}
-	_, err := NewShedder(ladder(t, bills), []string{"reprint"}, nil, 1)
+	_, err := NewShedder(policyOf(t, bills), []string{"reprint"}, nil, 1)
 	tr.Say("%v", err)
 }
 
-// TestControllerCourses: what a mover does in each kind of trouble.
+// TestControllerCourses: what a controller does under each kind of load.
 func TestControllerCourses(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	story := func(what string, run func(step func(until Micros, s Signals), m **Controller)) {
 		tr.Say("%s", what)
-		m, now := NewController(ladder(t, bills)), Micros(0)
+		m, now := NewController(policyOf(t, bills)), Micros(0)
 		run(func(until Micros, s Signals) {
 			for ; now < until; now += 100_000 {
 				if c, changed := m.Update(now, s); changed {
@@ -107,12 +107,12 @@
 	})
 	story("a frozen signal: nothing comes for minutes, then load is high", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(0.5))
-		mover := *m
-		if c, changed := mover.Update(300*second, queued(9)); changed {
+		controller := *m
+		if c, changed := controller.Update(300*second, queued(9)); changed {
 			tr.Say("  at once: %v", c)
 		}
-		tr.Say("  level %d after one reading", mover.Level())
-		if _, changed := mover.Update(20*second, queued(9)); changed {
+		tr.Say("  level %d after one reading", controller.Level())
+		if _, changed := controller.Update(20*second, queued(9)); changed {
 			tr.Say("  moved by a clock that went back")
 		}
 	})
@@ -137,7 +137,7 @@
 	})
 	story("a host that comes back in the middle of a step knows nothing, and is there within the entry's span", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(2.5))
-		*m = NewController(ladder(t, bills))
+		*m = NewController(policyOf(t, bills))
 		cold := queued(2.5)
 		cold[WarmingUp] = 1
 		step(11*second, cold)
@@ -145,7 +145,7 @@
 	})
 	story("another ladder while a level is in force", func(step func(Micros, Signals), m **Controller) {
 		step(10*second, queued(2.5))
-		*m = (*m).WithPolicy(ladder(t, strings.Replace(bills, "half-lookups", "most-lookups", 1)))
+		*m = (*m).WithPolicy(policyOf(t, strings.Replace(bills, "half-lookups", "most-lookups", 1)))
 		step(11*second, queued(2.5))
 		step(12*second, queued(2.5))
 	})
@@ -174,7 +174,7 @@
 // TestNoOscillation: ten minutes of load about each boundary, with many swells and seeds: no level changes more than
 // once a minute, and each change has its cause.
 func TestNoOscillation(t *testing.T) {
-	l := ladder(t, bills)
+	l := policyOf(t, bills)
 	most, total, collapses := 0, 0, 0
 	for _, at := range []float64{1.1, 1.5, 2, 3} {
 		for _, swell := range []float64{0.5, 3, 10, 30, 59, 120} {
@@ -223,7 +223,7 @@
 // budget, a level is not left before its stay, and steps up are single.
 func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := ladder(t, bills)
+		l := policyOf(t, bills)
 		m, now := NewController(l), Micros(0)
 		var changes []Change
 		entered := map[int]Micros{}
@@ -257,9 +257,9 @@
 	})
 }
 
-// TestShedFraction: a share is kept closely at any time, chance says which, and what no rule names goes free.
+// TestShedFraction: the fraction is followed closely at any time, chance decides which, and what no rule names is not shed.
 func TestShedFraction(t *testing.T) {
-	l := ladder(t, bills)
+	l := policyOf(t, bills)
 	d, err := NewShedder(l, []string{"reprint", "lookup", "pay"}, []string{"acme"}, 7)
 	if err != nil {
 		t.Fatal(err)
@@ -298,7 +298,7 @@
 
 // TestTenantBurst: a rule that names a tenant leaves the others as they were.
 func TestTenantBurst(t *testing.T) {
-	l := ladder(t, `(ladder b (level no-excess (shed (tenants loud) (share 0.8)) (enter (queue 2)) (exit (queue 1))))`)
+	l := policyOf(t, `(ladder b (level no-excess (shed (tenants loud) (share 0.8)) (enter (queue 2)) (exit (queue 1))))`)
 	d, err := NewShedder(l, []string{"look"}, []string{"calm", "loud"}, 3)
 	if err != nil {
 		t.Fatal(err)
@@ -347,7 +347,7 @@
 }
 
 func BenchmarkUpdate(b *testing.B) {
-	m := NewController(ladder(b, bills))
+	m := NewController(policyOf(b, bills))
 	b.ReportAllocs()
 	for now := Micros(1); b.Loop(); now += 20_000 {
 		m.Update(now, queued(1.3))
@@ -355,7 +355,7 @@
 }
 
 func BenchmarkShouldShed(b *testing.B) {
-	d, _ := NewShedder(ladder(b, bills), []string{"reprint", "lookup", "pay"}, nil, 7)
+	d, _ := NewShedder(policyOf(b, bills), []string{"reprint", "lookup", "pay"}, nil, 7)
 	b.ReportAllocs()
 	for b.Loop() {
 		d.ShouldShed(3, 0.5, 1, 0, 0.7, 0)
--- a/internal/backend/degradation/invariants_test.go
+++ b/internal/backend/degradation/invariants_test.go
@@ -14,7 +14,7 @@
 // recentlyChanged is a controller at the first level whose higher levels were left a moment ago, and the time of that.
 func recentlyChanged(t *testing.T) (*Controller, Micros) {
 	t.Helper()
-	c := NewController(ladder(t, steep))
+	c := NewController(policyOf(t, steep))
 	for at, level := range []int{3, 1} {
 		now := Micros(at+1) * second
 		if err := c.Override(now, level, now+100*second, "test", false); err != nil {
@@ -49,7 +49,7 @@
 
 // TestControllerClockBack: a reading that is no later than the last one changes nothing.
 func TestControllerClockBack(t *testing.T) {
-	c := NewController(ladder(t, bills))
+	c := NewController(policyOf(t, bills))
 	c.Update(10*second, queued(1))
 	for _, at := range []Micros{10 * second, 9 * second, 1} {
 		if c.Update(at, queued(9)); c.Smoothed()[Queue] != 1 || c.lastUpdate != 10*second {
@@ -60,7 +60,7 @@
 
 // TestGap: after a gap in the readings smoothing starts anew, and so do the times for which terms have held.
 func TestGap(t *testing.T) {
-	c := NewController(ladder(t, bills))
+	c := NewController(policyOf(t, bills))
 	c.Update(second, queued(1.6))
 	if change, changed := c.Update(10*second, queued(9)); changed || c.Smoothed()[Queue] != 9 {
 		t.Errorf("after the gap: queue %v, %v", c.Smoothed()[Queue], change)
@@ -72,7 +72,7 @@
 
 // TestMinDuration: a level is in force for its least time though its exit is met and changes are allowed more often.
 func TestMinDuration(t *testing.T) {
-	c := NewController(ladder(t, `(ladder l (every 1s) (ramp 0s) (smooth (queue 0s))
+	c := NewController(policyOf(t, `(ladder l (every 1s) (ramp 0s) (smooth (queue 0s))
 		(level a (shed) (enter (queue 2)) (exit (queue 1)) (stay 60s)))`))
 	c.Update(second, queued(2))
 	for now := 2 * second; now < 61*second; now += second {
@@ -87,7 +87,7 @@
 
 // TestRecoveryAborted: a level is not left any more once a signal of its exit is missing.
 func TestRecoveryAborted(t *testing.T) {
-	c := NewController(ladder(t, `(ladder l (every 1s) (ramp 20s) (smooth (queue 0s))
+	c := NewController(policyOf(t, `(ladder l (every 1s) (ramp 20s) (smooth (queue 0s))
 		(level a (shed) (enter (queue 2)) (exit (queue 1)) (stay 1s)))`))
 	c.Update(second, queued(2))
 	now := 2 * second
@@ -106,7 +106,7 @@
 
 // TestOverrideBounds: an override names a level of the policy and ends in the future, within MaxOverride.
 func TestOverrideBounds(t *testing.T) {
-	c := NewController(ladder(t, bills))
+	c := NewController(policyOf(t, bills))
 	now := 100 * second
 	for _, row := range []struct {
 		level int
@@ -124,7 +124,7 @@
 
 // TestRuleBounds: where each condition of a rule begins to match.
 func TestRuleBounds(t *testing.T) {
-	shedder, err := NewShedder(ladder(t, `(ladder l (level a (shed (tenants loud) (rank-below 0.5) (cost-above 50ms) (share 0.8))
+	shedder, err := NewShedder(policyOf(t, `(ladder l (level a (shed (tenants loud) (rank-below 0.5) (cost-above 50ms) (share 0.8))
 		(enter (queue 2)) (exit (queue 1))))`), []string{"look"}, []string{"calm", "loud"}, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/backend/dispatch/degradation_test.go
+++ b/internal/backend/dispatch/degradation_test.go
@@ -9,7 +9,7 @@
 	"milletbarrow/internal/fakes"
 )
 
-func ladder(t *testing.T, text string) *degradation.Policy {
+func policyOf(t *testing.T, text string) *degradation.Policy {
 	l, err := degradation.ParsePolicy("l", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -22,10 +22,10 @@
 func TestDegradationLevels(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
-	tr.Say("%v", d.SetDegradationPolicy(ladder(t, `(ladder l (level a (shed (operations nothing)) (enter (queue 5)) (exit (queue 4))))`)))
+	tr.Say("%v", d.SetDegradationPolicy(policyOf(t, `(ladder l (level a (shed (operations nothing)) (enter (queue 5)) (exit (queue 4))))`)))
 	_, ok := d.DegradationStatus()
 	tr.Say("without a ladder: %t, pin: %v", ok, d.OverrideLevel("full", time.Second, "test", false))
-	if err := d.SetDegradationPolicy(ladder(t, `(ladder l (smooth (queue 0s)) (level no-look (shed (operations look)) (enter (queue 5)) (exit (queue 4)))
+	if err := d.SetDegradationPolicy(policyOf(t, `(ladder l (smooth (queue 0s)) (level no-look (shed (operations look)) (enter (queue 5)) (exit (queue 4)))
 		(level half (shed (operations post) (share 0.5)) (enter (queue 50)) (exit (queue 40))))`)); err != nil {
 		t.Fatal(err)
 	}
@@ -44,9 +44,9 @@
 	d.Tick([]float64{1, 30, 0.1, 1}) // 15 a core
 	r, _ := d.DegradationStatus()
 	tr.Say("level %s, %d changes", r.Level, len(r.Changes))
-	d.Tick(quiet) // the gate itself is open again; the level stays
+	d.Tick(quiet) // the module admits again; the level stays
 	d.Tick(quiet)
-	fakes.Until(t, "the gate's queue has drained", func() bool {
+	fakes.Until(t, "the queue has drained", func() bool {
 		d.Tick(quiet)
 		inv := usual(fmt.Sprint("p", Now()))
 		inv.Operation, inv.CallerLeft = 1, gone
--- a/internal/backend/dispatch/dispatcher_test.go
+++ b/internal/backend/dispatch/dispatcher_test.go
@@ -58,7 +58,7 @@
 	tr.Say("its run succeeds: owed %t, in hand %d", d.Complete(ticket, RunSucceeded, nil), inHand(d))
 
 	early := usual("c")
-	early.ArrivedAt -= 3_900_000 // due in 100 ms, of which the run on the farm knows nothing
+	early.ArrivedAt -= 3_900_000 // due in 100 ms, of which the run knows nothing
 	_, ticket = d.Admit(early)
 	for len(ticket.FinalResponse()) == 0 {
 		d.Tick([]float64{0.5, 1, 0, 0})
@@ -113,7 +113,7 @@
 	say(tr, "heard after its grace", w, ticket, late)
 }
 
-// TestDuplicateIDAbandoned: one whose id is in hand already, and whose caller leaves, does not end the other. The answer and the
+// TestDuplicateIDAbandoned: a request whose id is in flight already, and whose caller leaves, does not end the other. The answer and the
 // leaving are there at once, so that either may be seen first: fifty times, to see both.
 func TestDuplicateIDAbandoned(t *testing.T) {
 	d := open(t)
@@ -122,15 +122,15 @@
 		again := usual("a")
 		again.CallerLeft = gone
 		if w, ticket := d.Admit(again); w.Verdict != Errored || ticket != nil || inHand(d) != 1 {
-			t.Fatalf("verdict %d, in hand %d", w.Verdict, inHand(d))
+			t.Fatalf("verdict %d, in flight %d", w.Verdict, inHand(d))
 		}
 	}
 	if !d.Complete(first, RunSucceeded, nil) || inHand(d) != 0 {
-		t.Errorf("the first is owed no answer, or is still in hand: %d", inHand(d))
+		t.Errorf("the first is owed no answer, or is still in flight: %d", inHand(d))
 	}
 }
 
-// TestDrainBeforeExecutorReady: a farm that comes up during the drain does not open the gate to what comes after the grace.
+// TestDrainBeforeExecutorReady: an executor that comes up during a graceful shutdown lets nothing in after the grace.
 func TestDrainBeforeExecutorReady(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	var sheet config.Settings
@@ -152,7 +152,7 @@
 	say(tr, "after that", w, ticket, d)
 }
 
-// TestExpiredAndAbandoned: nothing is kept for callers that have gone or never waited.
+// TestExpiredAndAbandoned: nothing stays in flight for callers that have left or never waited.
 func TestExpiredAndAbandoned(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
@@ -182,7 +182,7 @@
 	tr.Say("in hand %d", inHand(d))
 }
 
-// TestBeforeOpen: before the farm is there nothing can run, and the backend is not good.
+// TestBeforeOpen: before the executor is there nothing can run, and the backend is unhealthy.
 func TestBeforeOpen(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	shut := New(&config.Settings{}, 1, limits.For(1, 192, 1024))
@@ -197,7 +197,7 @@
 	tr.Say("greeted again: owed %t, good %t", d.Complete(ticket, RunSucceeded, nil), d.Healthy())
 }
 
-// TestTicksWithoutSamples: the timer never hangs on the farm; what is due is answered though no sample comes.
+// TestTicksWithoutSamples: ticks never wait for the executor; what is due is answered though no sample comes.
 func TestTicksWithoutSamples(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
@@ -239,24 +239,24 @@
 	tr.Say("no tick comes: verdict %d", fakes.Take(t, "a word", heldUp("b")).Verdict)
 }
 
-// TestClock: the gate's time goes by the machine's own clock. One that is set would hold the ticks, or make all that is in
-// hand due at once.
+// TestClock: the dispatcher's time goes by the monotonic clock. One that is set would stop the ticks, or make all that is in
+// flight due at once.
 func TestClock(t *testing.T) {
 	if clockStart == clockStart.Round(0) { //nolint:staticcheck // Equal would not see the monotonic reading
-		t.Error("the beginning carries no reading of the machine's clock: setting the wall clock would move the gate's time")
+		t.Error("the beginning carries no reading of the machine's clock: setting the wall clock would move the dispatcher's time")
 	}
 	if wall := Micros(time.Now().UnixMicro()); Now() < wall-3_600_000_000 || Now() > wall+3_600_000_000 {
-		t.Errorf("the gate's time is %d, the wall's %d", Now(), wall)
+		t.Errorf("the time is %d, the wall's %d", Now(), wall)
 	}
 	// An hour after the wall clock was set back by one, what reached the machine 5 ms ago has still waited 5 ms.
-	clockBase += 3_600_000_000 // the gate's time is an hour ahead of the wall's from here on
+	clockBase += 3_600_000_000 // the time is an hour ahead of the wall's from here on
 	defer func() { clockBase -= 3_600_000_000 }()
 	if waited := Now() - FromWallClock(Micros(time.Now().UnixMicro())-5000); waited < 4900 || waited > 500_000 {
 		t.Errorf("it has waited %d us, wanted some 5,000", waited)
 	}
 }
 
-// TestShadowStartsAsOpened: settings watched later are as cold as the farm still is; a process on its way out watches nothing new.
+// TestShadowStartsAsOpened: a shadow set later is as cold as the executor still is; a process that shuts down starts none.
 func TestShadowStartsAsOpened(t *testing.T) {
 	d := open(t)
 	d.backend = nil // open it anew, cold for 3 s
--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -197,7 +197,7 @@
 // shedding puts a policy in force that sheds every request of the second operation.
 func shedding(t *testing.T, d *Dispatcher) {
 	t.Helper()
-	policy := ladder(t, `(ladder l (level no-post (shed (operations post)) (enter (queue 900)) (exit (queue 800))))`)
+	policy := policyOf(t, `(ladder l (level no-post (shed (operations post)) (enter (queue 900)) (exit (queue 800))))`)
 	if err := d.SetDegradationPolicy(policy); err != nil {
 		t.Fatal(err)
 	}
@@ -287,7 +287,7 @@
 	}
 }
 
-// TestChangesBounded: the latest changes of the level are kept, and no more than a bound.
+// TestChangesBounded: only a bounded number of the latest changes is stored.
 func TestChangesBounded(t *testing.T) {
 	d := open(t)
 	shedding(t, d)
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -8,7 +8,7 @@
 	"milletbarrow/internal/fakes"
 )
 
-// drawing is a gate whose first tenant has four units, and no more: its clock stands.
+// drawing is a dispatcher whose first tenant has four units, and no more: its clock stands.
 func drawing(t *testing.T, d *Dispatcher) *Dispatcher {
 	h := quota.New("n", "1", []string{"b"})
 	now := quota.Micros(1)
@@ -23,7 +23,8 @@
 	return d
 }
 
-// TestQuotaUnitsRefunded: work that is throttled, that the farm never ran or does not know, or whose caller left before its launch, gives its unit back; what ran keeps it.
+// TestQuotaUnitsRefunded: work that is throttled, that the executor never ran or does not know, or whose caller left
+// before its start, gets its unit refunded; what ran does not.
 func TestQuotaUnitsRefunded(t *testing.T) {
 	d := drawing(t, open(t))
 	for n := range 8 { // more than there are units
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -44,41 +44,41 @@
 func TestRepeats(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := openTokened(t, "5000", nil)
-	told := func(what string, w Response, ticket *Request) {
+	sayVerdict := func(what string, w Response, ticket *Request) {
 		tr.Say("%s: verdict %d, result %q, ticket %t, in hand %d", what, w.Verdict, w.Result, ticket != nil, inHand(d))
 	}
 	w, first := d.Admit(tokened("a", "x"))
-	told("the first", w, first)
+	sayVerdict("the first", w, first)
 	waits := repeat(t, d, tokened("b", "x"))
 	w, other := d.Admit(tokened("c", "y"))
-	told("another piece of work", w, other)
+	sayVerdict("another piece of work", w, other)
 	d.Complete(other, RunErrored, nil)
 	inv := tokened("d", "x")
 	inv.Tenant = 1
 	w, stranger := d.Admit(inv)
-	told("another tenant's of the same token", w, stranger)
+	sayVerdict("another tenant's of the same token", w, stranger)
 	d.Complete(stranger, RunSucceeded, []byte("the stranger's"))
 	d.Abandon(first)
 	tr.Say("its run ends, its caller has left: owed %t", d.Complete(first, RunSucceeded, []byte("r")))
-	told("the repeat that waited", fakes.Take(t, "its word", waits), nil)
+	sayVerdict("the repeat that waited", fakes.Take(t, "its word", waits), nil)
 	w, none := d.Admit(tokened("e", "x"))
-	told("a repeat after the end", w, none)
+	sayVerdict("a repeat after the end", w, none)
 	w, none = d.Admit(tokened("f", "y"))
-	told("a repeat of one that was errored", w, none)
+	sayVerdict("a repeat of one that was errored", w, none)
 	w, none = d.Admit(tokened("d", ""))
-	told("no token", w, none)
+	sayVerdict("no token", w, none)
 	old := tokened("h", "z")
 	old.ArrivedAt -= d.maxReadDelay() + 1000
 	old.CallerTimeout += d.maxReadDelay() + 1000
 	w, none = d.Admit(old)
-	told("so old that its first try may be forgotten", w, none)
+	sayVerdict("so old that its first try may be forgotten", w, none)
 
 	_, first = d.Admit(tokened("i", "v"))
 	waits = repeat(t, d, tokened("j", "v"))
 	d.Complete(first, NeverRan, nil)
-	told("a repeat of what never ran", fakes.Take(t, "its word", waits), nil)
+	sayVerdict("a repeat of what never ran", fakes.Take(t, "its word", waits), nil)
 	w, first = d.Admit(tokened("k", "v"))
-	told("and the next", w, first)
+	sayVerdict("and the next", w, first)
 	d.Complete(first, RunSucceeded, []byte("v"))
 
 	_, first = d.Admit(tokened("l", "u"))
@@ -86,7 +86,7 @@
 	soon.ArrivedAt -= 3_800_000 // due in 200 ms
 	waits = repeat(t, d, soon)
 	fakes.Until(t, "it is due", func() bool { d.Tick([]float64{0.5, 1, 0, 0}); return len(waits) > 0 })
-	told("a repeat that is due before the end", <-waits, nil)
+	sayVerdict("a repeat that is due before the end", <-waits, nil)
 	d.Complete(first, RunSucceeded, []byte("u"))
 	c, _ := d.Counts()
 	tr.Say("run %d, repeated %d, errored %d, kept %d", c.Started, c.Replayed, c.Errored, d.results.Len())
@@ -174,7 +174,7 @@
 	}
 	c, _ := d.Counts()
 	if c.CacheFull != 1 || d.results.Len() != 1 {
-		t.Errorf("%+v, kept %d", c, d.results.Len())
+		t.Errorf("%+v, cached %d", c, d.results.Len())
 	}
 	d.Drain(4_000_000, -100_000)
 	if w, _ := d.Admit(tokened("e", "x")); w.Verdict != Errored {
@@ -182,7 +182,7 @@
 	}
 }
 
-// TestCachedResultsTakeNoExecutorMemory: what is remembered takes nothing of the farm's memory, though the settings name a size that
+// TestCachedResultsTakeNoExecutorMemory: what is remembered takes nothing of the executor's memory, though the settings name a size that
 // would fill it.
 func TestCachedResultsTakeNoExecutorMemory(t *testing.T) {
 	d := openTokened(t, "5000", nil)
--- a/internal/backend/quota/holder_test.go
+++ b/internal/backend/quota/holder_test.go
@@ -35,8 +35,8 @@
 				h.Refund(now, 0)
 				drawn--
 			}
-			if told := h.Status(now)[0].Drawn; told < drawn {
-				t.Fatalf("%d counted as drawn, %d are kept", told, drawn)
+			if counted := h.Status(now)[0].Drawn; counted < drawn {
+				t.Fatalf("%d counted as drawn, %d were", counted, drawn)
 			}
 			leased := max(0, min(now, asked+lease)-began)
 			most := (int64(now-began)*floor+int64(leased)*extra)/microUnits + BurstUnits(floor+extra) + 1
@@ -58,17 +58,17 @@
 		t.Fatal(err)
 	}
 	for name, a := range map[string]LeaseResponse{
-		"another life":     {"n", "2", first.Number, part(8, 9), ""},
-		"an older epoch":   {"n", "1", first.Number, part(6, 9), ""},
-		"the same epoch":   {"n", "1", first.Number, part(7, 9), ""},
-		"never asked":      {"n", "1", 99, part(8, 9), ""},
-		"another budget":   {"n", "1", first.Number, []Grant{{"c", 8, 1, 9, 1000}}, ""},
-		"below nothing":    {"n", "1", first.Number, []Grant{{"b", 8, 1, -9, 1000}}, ""},
-		"more than counts": {"n", "1", first.Number, []Grant{{"b", 8, MaxRate + 1, 9, 1000}}, ""},
-		"another name":     {"m", "1", first.Number, part(8, 9), ""},
-		"a floor below 0":  {"n", "1", first.Number, []Grant{{"b", 8, -1, 9, 1000}}, ""},
-		"too large extra":  {"n", "1", first.Number, []Grant{{"b", 8, 1, MaxRate + 1, 1000}}, ""},
-		"a lease below 0":  {"n", "1", first.Number, []Grant{{"b", 8, 1, 9, -1}}, ""},
+		"another incarnation": {"n", "2", first.Number, part(8, 9), ""},
+		"an older epoch":      {"n", "1", first.Number, part(6, 9), ""},
+		"the same epoch":      {"n", "1", first.Number, part(7, 9), ""},
+		"never asked":         {"n", "1", 99, part(8, 9), ""},
+		"another budget":      {"n", "1", first.Number, []Grant{{"c", 8, 1, 9, 1000}}, ""},
+		"below nothing":       {"n", "1", first.Number, []Grant{{"b", 8, 1, -9, 1000}}, ""},
+		"more than counts":    {"n", "1", first.Number, []Grant{{"b", 8, MaxRate + 1, 9, 1000}}, ""},
+		"another name":        {"m", "1", first.Number, part(8, 9), ""},
+		"a floor below 0":     {"n", "1", first.Number, []Grant{{"b", 8, -1, 9, 1000}}, ""},
+		"too large extra":     {"n", "1", first.Number, []Grant{{"b", 8, 1, MaxRate + 1, 1000}}, ""},
+		"a lease below 0":     {"n", "1", first.Number, []Grant{{"b", 8, 1, 9, -1}}, ""},
 	} {
 		if err := h.Apply(30, a); err == nil {
 			t.Errorf("%s was taken", name)
--- a/internal/backend/shadow/evaluator_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -28,16 +28,16 @@
 
 // pair is an instance that decides and one that watches, on one made-up clock.
 type pair struct {
-	real    *admission.Backend
-	watcher *Evaluator
-	now     admission.Micros
-	running []string
-	record  bool // what runs
+	real      *admission.Backend
+	evaluator *Evaluator
+	now       admission.Micros
+	running   []string
+	record    bool // what runs
 }
 
 func newPair(first, second admission.Config) *pair {
 	p := &pair{real: admission.New(first, 7), now: 1_000_000, record: true}
-	p.watcher = New(second, 7, p.now)
+	p.evaluator = New(second, 7, p.now)
 	p.tell(admission.Opened{})
 	return p
 }
@@ -49,7 +49,7 @@
 			p.running = append(p.running, a.ID)
 		}
 	}
-	p.watcher.Observe(p.now, ev, acts)
+	p.evaluator.Observe(p.now, ev, acts)
 }
 
 func (p *pair) end(id string, how admission.Outcome) {
@@ -110,7 +110,7 @@
 }
 
 // TestAnyConfiguration: whatever happens, settings that are those in force decide nothing otherwise, and under any others
-// nothing stays in hand once all is over and the second instance does not fail.
+// no request stays unanswered once all is over and the second instance does not fail.
 func TestAnyConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := terms(func(s *admission.Config) {
@@ -129,9 +129,9 @@
 		}
 		p := newPair(first, second)
 		course(t, p)
-		c := p.watcher.Counts()
-		if same && len(c.Map()) > 2 || c.Panics > 0 || len(p.watcher.unanswered) > 0 {
-			t.Errorf("the same %t: %v, %d in hand", same, c, len(p.watcher.unanswered))
+		c := p.evaluator.Counts()
+		if same && len(c.Map()) > 2 || c.Panics > 0 || len(p.evaluator.unanswered) > 0 {
+			t.Errorf("the same %t: %v, %d unanswered", same, c, len(p.evaluator.unanswered))
 		}
 	})
 }
@@ -142,7 +142,7 @@
 	for n := range 3 {
 		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000})
 	}
-	if c := p.watcher.Counts(); c.Panics != 1 || c.Arrivals != 1 || len(p.running) != 2 {
+	if c := p.evaluator.Counts(); c.Panics != 1 || c.Arrivals != 1 || len(p.running) != 2 {
 		t.Errorf("%v, %d run", c, len(p.running))
 	}
 }
@@ -207,17 +207,17 @@
 	} {
 		p := newPair(terms(c.first), terms(c.second))
 		c.how(p)
-		tr.Say("%s: %v", c.name, p.watcher.Counts())
+		tr.Say("%s: %v", c.name, p.evaluator.Counts())
 	}
 }
 
-// BenchmarkSaw is what watching adds to two events, with some ten in hand.
-func BenchmarkSaw(b *testing.B) {
+// BenchmarkObserve is what a shadow adds to two events, with some ten requests in flight.
+func BenchmarkObserve(b *testing.B) {
 	for _, watched := range []bool{false, true} {
 		b.Run(fmt.Sprint("watched=", watched), func(b *testing.B) {
 			p := newPair(terms(func(*admission.Config) {}), terms(func(*admission.Config) {}))
 			if p.record = false; !watched {
-				p.watcher.counts.Panics = 1
+				p.evaluator.counts.Panics = 1
 			}
 			for n := 0; b.Loop(); n++ {
 				p.now += 10_000
