--- a/internal/cluster/quota/coldstart.go
+++ b/internal/cluster/quota/coldstart.go
@@ -6,8 +6,15 @@
 	"milletbarrow/internal/cluster/coldstart"
 )
 
-// Rise begins a rise under a count, or says a word about the one that is there. Begun again by the same id it changes
-// nothing.
+// Actions on a cold start, as they stand in commands.
+const (
+	actionBegin  = ""
+	actionResume = "go-on"
+	actionEnd    = "end"
+)
+
+// ColdStartCommand begins a cold start under a concurrency limit, or resumes or ends the one that is there. Begun again by
+// the same ID it changes nothing.
 type ColdStartCommand struct {
 	Limit   string             `json:"budget"`
 	ID      string             `json:"id"`
@@ -17,131 +24,142 @@
 	By      string             `json:"by"`
 }
 
-func (l *State) coldStart(c *ColdStartCommand, r *Result) {
-	b, s := l.Config.Lookup(c.Limit), l.ColdStarts[c.Limit]
-	note := func(event, cause string) {
-		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: event, Cause: cause})
-	}
+// coldStart applies a command about the cold start of one limit.
+func (s *State) coldStart(c *ColdStartCommand, r *Result) {
+	l, current := s.Config.Lookup(c.Limit), s.ColdStarts[c.Limit]
 	switch {
-	case b == nil || b.Kind != Concurrency:
-		r.Rejection = fmt.Sprintf("budget: %q is no count of version %d", c.Limit, l.Config.Version)
-	case c.Action == "" && s != nil && s.ID == c.ID:
-	case c.Action == "" && s != nil && !s.Done():
-		r.Rejection = fmt.Sprintf("rise %s is open: %d of %d are up; end it, or wait", s.ID, len(s.Ready), len(s.Members))
-	case c.Action == "" && c.Config == nil:
-		r.Rejection = "terms: missing"
-	case c.Action == "":
-		t := *c.Config
-		t.MaxConcurrent = min(t.MaxConcurrent, b.Total-b.Reserved)
-		t.InitialConcurrent = min(t.InitialConcurrent, t.MaxConcurrent)
-		s, err := coldstart.New(c.ID, t, c.Members)
-		if err != nil {
-			r.Rejection = err.Error()
-			return
-		}
-		for name := range l.Permits[c.Limit] { // under way already, for whatever reason
-			s.AddStarting(name)
-		}
-		l.ColdStarts[c.Limit] = s
-		note("rise begins", fmt.Sprintf("%s of %d, asked by %s", c.ID, len(c.Members), c.By))
-	case s == nil || s.ID != c.ID:
+	case l == nil || l.Kind != Concurrency:
+		r.Rejection = fmt.Sprintf("budget: %q is no count of version %d", c.Limit, s.Config.Version)
+	case c.Action == actionBegin:
+		s.beginColdStart(c, l, current, r)
+	case current == nil || current.ID != c.ID:
 		r.Rejection = fmt.Sprintf("id: %q is no rise that is known", c.ID)
-	case c.Action == "go-on":
-		s.Resume()
-		note("rise goes on", "by "+c.By)
-	case c.Action == "end": // units that are held are given back as ever
-		delete(l.ColdStarts, c.Limit)
-		note("rise ended", "by "+c.By)
+	case c.Action == actionResume:
+		current.Resume()
+		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise goes on", Cause: "by " + c.By})
+	case c.Action == actionEnd: // permits that are held are released as ever
+		delete(s.ColdStarts, c.Limit)
+		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise ended", Cause: "by " + c.By})
 	default:
 		r.Rejection = fmt.Sprintf("verb: %q is none of go-on, end", c.Action)
 	}
 }
 
-// mayRise asks the rise that a name is part of, if there is one.
-func (l *State) mayStart(c *PermitCommand, r *Result) bool {
-	s := l.ColdStarts[c.Limit]
-	if s == nil || !s.Pending(c.Name) {
+func (s *State) beginColdStart(c *ColdStartCommand, l *Limit, current *coldstart.State, r *Result) {
+	switch {
+	case current != nil && current.ID == c.ID:
+		return
+	case current != nil && !current.Done():
+		r.Rejection = fmt.Sprintf("rise %s is open: %d of %d are up; end it, or wait", current.ID, len(current.Ready), len(current.Members))
+		return
+	case c.Config == nil:
+		r.Rejection = "terms: missing"
+		return
+	}
+	config := *c.Config
+	config.MaxConcurrent = min(config.MaxConcurrent, l.Total-l.Reserved)
+	config.InitialConcurrent = min(config.InitialConcurrent, config.MaxConcurrent)
+	start, err := coldstart.New(c.ID, config, c.Members)
+	if err != nil {
+		r.Rejection = err.Error()
+		return
+	}
+	for name := range s.Permits[c.Limit] { // starting already, for whatever reason
+		start.AddStarting(name)
+	}
+	s.ColdStarts[c.Limit] = start
+	r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise begins", Cause: fmt.Sprintf("%s of %d, asked by %s", c.ID, len(c.Members), c.By)})
+}
+
+// mayStart asks the cold start that a name is part of, if there is one.
+func (s *State) mayStart(c *PermitCommand, r *Result) bool {
+	start := s.ColdStarts[c.Limit]
+	if start == nil || !start.Pending(c.Name) {
 		return true
 	}
-	ok, why := s.RequestStart(c.Name)
+	ok, why := start.RequestStart(c.Name)
 	r.Rejection = why
 	return ok
 }
 
-// roseOrNot tells the rise how a start came out.
-func (l *State) reportStart(c *PermitCommand, r *Result) {
-	s := l.ColdStarts[c.Limit]
-	if s == nil || !s.Pending(c.Name) {
+// reportStart tells the cold start how the start came out that a released permit was for.
+func (s *State) reportStart(c *PermitCommand, r *Result) {
+	start := s.ColdStarts[c.Limit]
+	if start == nil || !start.Pending(c.Name) {
 		return
 	}
 	if c.Outcome == nil {
-		s.WriteOff(c.Name)
+		start.WriteOff(c.Name)
 		return
 	}
-	halted := s.HaltReason
-	if changed := s.Report(c.Name, *c.Outcome); changed != "" {
+	haltedBefore := start.HaltReason
+	if changed := start.Report(c.Name, *c.Outcome); changed != "" {
 		r.Events = append(r.Events, Event{Limit: c.Limit, Name: c.Name, Kind: "pace", Cause: changed})
 	}
-	if s.HaltReason != halted {
-		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise stopped", Cause: s.HaltReason})
+	if start.HaltReason != haltedBefore {
+		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise stopped", Cause: start.HaltReason})
 	}
-	if s.Done() {
-		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise over", Cause: fmt.Sprintf("%d of %d are up", len(s.Ready), len(s.Members))})
+	if start.Done() {
+		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise over", Cause: fmt.Sprintf("%d of %d are up", len(start.Ready), len(start.Members))})
 	}
 }
 
-// Rising is how a rise stands.
+// ColdStartStatus is how a cold start stands.
 type ColdStartStatus struct {
 	Limit         string                  `json:"budget"`
 	ID            string                  `json:"id"`
-	Concurrency   int64                   `json:"pace"` // how many may be under way
+	Concurrency   int64                   `json:"pace"` // how many may be starting at once now
 	MaxConcurrent int64                   `json:"most"`
-	Reason        string                  `json:"cause"`
+	Reason        string                  `json:"cause"` // of the present concurrency
 	HaltReason    string                  `json:"halted,omitempty"`
 	Done          bool                    `json:"over"`
 	Starts        uint64                  `json:"starts"`
 	Groups        []coldstart.GroupStatus `json:"groups"`
 }
 
-// Risings are all rises that are known, by budget.
-func (l *State) ColdStartStatuses() (all []ColdStartStatus) {
-	for _, b := range sortedKeys(l.ColdStarts) {
-		s := l.ColdStarts[b]
-		all = append(all, ColdStartStatus{b, s.ID, s.Limit(), s.Config.MaxConcurrent, s.Reason, s.HaltReason, s.Done(), s.Starts, s.Groups()})
+// ColdStartStatuses lists all cold starts that are known, by limit.
+func (s *State) ColdStartStatuses() (all []ColdStartStatus) {
+	for _, limit := range sortedKeys(s.ColdStarts) {
+		start := s.ColdStarts[limit]
+		all = append(all, ColdStartStatus{
+			Limit: limit, ID: start.ID, Concurrency: start.Limit(), MaxConcurrent: start.Config.MaxConcurrent, Reason: start.Reason,
+			HaltReason: start.HaltReason, Done: start.Done(), Starts: start.Starts, Groups: start.Groups(),
+		})
 	}
 	return all
 }
 
-// Rested is a rest of a rise that is over.
+// ElapsedPause names a pause of a cold start that has lasted as long as it was to.
 type ElapsedPause struct {
 	Limit  string `json:"budget"`
 	ID     string `json:"id"`
 	Number uint64 `json:"number"`
 }
 
-// Rested lists the rests that have lasted as long as they are to, by the leader's own clock: from when it first looked at
-// them, so that a new leader counts anew.
-func (c *LeaseTracker) ElapsedPauses(now Micros, l *State) (over []ElapsedPause) {
-	for _, b := range sortedKeys(l.ColdStarts) {
-		s := l.ColdStarts[b]
-		if s.Pause == 0 {
-			delete(c.pauses, b)
+// runningPause is a pause, and when this leader first saw it.
+type runningPause struct {
+	ElapsedPause
+	since Micros
+}
+
+// ElapsedPauses lists the pauses of cold starts that have lasted as long as they are to, by the leader's own clock: from
+// when this leader first saw them, so that a new leader counts anew.
+func (t *LeaseTracker) ElapsedPauses(now Micros, s *State) (elapsed []ElapsedPause) {
+	for _, limit := range sortedKeys(s.ColdStarts) {
+		start := s.ColdStarts[limit]
+		if start.Pause == 0 {
+			delete(t.pauses, limit)
 			continue
 		}
-		w := ElapsedPause{b, s.ID, s.PauseNumber}
-		if seen, known := c.pauses[b]; !known || seen.ElapsedPause != w {
-			if c.pauses == nil {
-				c.pauses = map[string]runningPause{}
+		pause := ElapsedPause{Limit: limit, ID: start.ID, Number: start.PauseNumber}
+		if seen, known := t.pauses[limit]; !known || seen.ElapsedPause != pause {
+			if t.pauses == nil {
+				t.pauses = map[string]runningPause{}
 			}
-			c.pauses[b] = runningPause{w, now}
-		} else if now-seen.since >= s.Pause {
-			over = append(over, w)
+			t.pauses[limit] = runningPause{pause, now}
+		} else if now-seen.since >= start.Pause {
+			elapsed = append(elapsed, pause)
 		}
 	}
-	return over
-}
-
-type runningPause struct {
-	ElapsedPause
-	since Micros
+	return elapsed
 }
--- a/internal/cluster/quota/division.go
+++ b/internal/cluster/quota/division.go
@@ -12,7 +12,7 @@
 	Current int64 // what it was last given
 }
 
-// Fair divides a pool among claims in whole steps, max-min fair by weight: nobody gets more than it wants while another
+// MaxMinFair divides a pool among claims in whole steps, max-min fair by weight: nobody gets more than it wants while another
 // lacks, and what nobody wants is spread by weight too, so that a burst finds something. The parts never add up to more
 // than the pool. It sorts once: n log n.
 func MaxMinFair(pool, step int64, claims []Claim) []int64 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Steady keeps the parts that would hardly move, so that a division does not swing with every count of demand; where
+// Stabilize keeps the parts that would hardly move, so that a division does not swing with every count of demand; where
 // that would add up to more than the pool, all move.
 func Stabilize(pool, step int64, claims []Claim, parts []int64) []int64 {
 	kept := slices.Clone(parts)
@@ -102,7 +102,7 @@
 	return kept
 }
 
-// learn is a claim after a span in which so much was drawn and denied: it moves by half of the way. What is claimed grows
+// estimateDemand is a claim after a span in which so much was drawn and denied: it moves by half of the way. What is claimed grows
 // at the most by twice the share and an eighth of the whole from one ask to the next, whatever a holder says.
 func estimateDemand(want, share, whole, drawn, denied int64, span Micros) int64 {
 	if span <= 0 || drawn < 0 || denied < 0 {
--- a/internal/cluster/quota/lease_tracker.go
+++ b/internal/cluster/quota/lease_tracker.go
@@ -7,89 +7,100 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// Clerk is the leader's side of time: it says when a lease is surely over, by the leader's own clock, and when to divide
-// anew. It is never written down: a new leader's clerk knows of no time before its own election, and counts every grant
-// that it finds from then on.
+// rebalancesPerLease is how often at the most the rates are divided anew within the shortest lease.
+const rebalancesPerLease = 4
+
+// LeaseTracker is the leader's side of time: it says when a lease has surely expired, by the leader's own clock, and when
+// to divide anew. It is local to the leader and never replicated: a new leader knows of no time before its own election,
+// and counts every grant that it finds from then on. It is not safe for concurrent use.
 type LeaseTracker struct {
-	electedAt     Micros
-	firstSeen     map[grantRef]Micros // when a grant was first found here
+	firstSeen     map[grantRef]Micros // when a grant was first found by this leader
 	lastRebalance Micros
-	frozenUntil   Micros // nothing may grow before
-	regressions   uint64
-	pauses        map[string]runningPause // of rises, by budget
-	scanned       bool                    // grants from before the election were looked at
+	frozenUntil   Micros                  // nothing may grow before
+	regressions   uint64                  // of the state, as last seen
+	pauses        map[string]runningPause // of cold starts, by limit
+	scanned       bool                    // the grants from before the election were looked at
 }
 
+// grantRef identifies a grant.
 type grantRef struct {
 	limit, clientKey string
 	epoch            uint64
 }
 
-// Elected has the clerk begin. alone: this ledger has no other copy, so that grants may be in force of which it was
-// made to forget, by a directory that was set back; it waits them out.
-func (c *LeaseTracker) BecomeLeader(now Micros, l *State, alone bool) {
-	*c = LeaseTracker{electedAt: now, firstSeen: map[grantRef]Micros{}, regressions: l.Regressions}
-	if alone {
-		c.frozenUntil = now + longestLease(l)
+// BecomeLeader starts the tracker anew at an election. The only replica of a state may have been set back by an older copy
+// of its directory with nobody to tell it; as sole replica it freezes growth until every lease that it may have granted
+// and forgotten has expired.
+func (t *LeaseTracker) BecomeLeader(now Micros, s *State, soleReplica bool) {
+	*t = LeaseTracker{firstSeen: map[grantRef]Micros{}, regressions: s.Regressions}
+	if soleReplica {
+		t.frozenUntil = now + longestLease(s)
 	}
 }
 
-func longestLease(l *State) (most Micros) {
-	for i := range l.Config.Limits {
-		most = max(most, l.Config.Limits[i].Lease+l.Config.Limits[i].ClockMargin)
+// longestLease is the longest time for which a grant of the configuration in force is honoured.
+func longestLease(s *State) (longest Micros) {
+	for i := range s.Config.Limits {
+		longest = max(longest, s.Config.Limits[i].Lease+s.Config.Limits[i].ClockMargin)
 	}
-	return most
+	return longest
 }
 
-// Hold tells whether nothing may grow now.
-func (c *LeaseTracker) GrowthFrozen(now Micros) bool { return now < c.frozenUntil }
-
-// divideEvery is how often the division is made anew at the most, as a part of the shortest lease.
-const rebalancesPerLease = 4
+// GrowthFrozen tells whether no grant may grow now, because grants may be in force that the state has forgotten.
+func (t *LeaseTracker) GrowthFrozen(now Micros) bool { return now < t.frozenUntil }
 
-// Due says what is over and whether to divide. It is asked after each command and now and then; a grant's time runs from
-// the first look after it was applied. Its holder counts from before it asked, so that the holder's end comes first,
-// whenever the answer arrives.
-func (c *LeaseTracker) Tick(now Micros, l *State) (over []Expiry, divide bool) {
-	if l.Regressions != c.regressions {
-		c.regressions, c.frozenUntil = l.Regressions, now+longestLease(l)
+// Tick says which leases have expired and whether to rebalance. It has to be called after each command and at regular
+// intervals: a grant's time runs from the first Tick after it was applied. The holder counts from before it sent its
+// request, so that the lease ends there first, whenever the response arrives.
+func (t *LeaseTracker) Tick(now Micros, s *State) (expired []Expiry, rebalance bool) {
+	if s.Regressions != t.regressions {
+		t.regressions, t.frozenUntil = s.Regressions, now+longestLease(s)
 	}
-	for key, life := range l.Clients {
-		for name, h := range life.Allocations {
-			for i, g := range h.Grants {
-				if g.Extra == 0 && (h.Idle || i < len(h.Grants)-1) {
-					continue // nothing of it is over with its lease
-				}
-				r := grantRef{name, key, g.Epoch}
-				at, known := c.firstSeen[r]
-				if !known {
-					at = now
-					c.firstSeen[r] = at
+	for key, client := range s.Clients {
+		for limit, a := range client.Allocations {
+			for i, g := range a.Grants {
+				if g.Extra == 0 && (a.Idle || i < len(a.Grants)-1) {
+					continue // its expiry would change nothing
 				}
-				if now-at >= honouredFor(g) || failpoint.Enabled(failpoint.ForgetGrants) && !c.scanned {
-					over = append(over, Expiry{name, key, g.Epoch})
+				if t.expired(now, grantRef{limit, key, g.Epoch}, g) {
+					expired = append(expired, Expiry{Limit: limit, ClientKey: key, Epoch: g.Epoch})
 				}
 			}
 		}
 	}
-	slices.SortFunc(over, func(a, b Expiry) int {
+	slices.SortFunc(expired, func(a, b Expiry) int {
 		return cmp.Or(cmp.Compare(a.ClientKey, b.ClientKey), cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Epoch, b.Epoch))
 	})
-	c.scanned = true
-	every := Micros(0)
-	for i := range l.Config.Limits {
-		if b := &l.Config.Limits[i]; b.Kind == Rate && (every == 0 || b.Lease/rebalancesPerLease < every) {
-			every = b.Lease / rebalancesPerLease
-		}
+	t.scanned = true
+	if interval := rebalanceInterval(s); interval > 0 && (now-t.lastRebalance >= interval || len(expired) > 0) {
+		t.lastRebalance, rebalance = now, true
 	}
-	if every > 0 && (now-c.lastRebalance >= every || len(over) > 0) {
-		c.lastRebalance, divide = now, true
+	t.sweep(s)
+	return expired, rebalance
+}
+
+// expired tells whether a grant is honoured no longer, and begins its time where it is new.
+func (t *LeaseTracker) expired(now Micros, ref grantRef, g Grant) bool {
+	seen, known := t.firstSeen[ref]
+	if !known {
+		seen = now
+		t.firstSeen[ref] = seen
+	}
+	return now-seen >= honouredFor(g) || failpoint.Enabled(failpoint.ForgetGrants) && !t.scanned
+}
+
+// rebalanceInterval is the time between two divisions; 0 where no rate is configured.
+func rebalanceInterval(s *State) (interval Micros) {
+	for i := range s.Config.Limits {
+		l := &s.Config.Limits[i]
+		if l.Kind == Rate && (interval == 0 || l.Lease/rebalancesPerLease < interval) {
+			interval = l.Lease / rebalancesPerLease
+		}
 	}
-	c.sweep(l)
-	return over, divide
+	return interval
 }
 
-// span is how long a grant is honoured.
+// honouredFor is how long a grant counts as in force: its lease, and the margin for clocks that run apart.
 func honouredFor(g Grant) Micros {
 	switch {
 	case failpoint.Enabled(failpoint.NoClockMargin):
@@ -100,41 +111,43 @@
 	return g.Lease + g.ClockMargin
 }
 
-// sweep forgets grants that the ledger has no more, once they are many.
-func (c *LeaseTracker) sweep(l *State) {
-	live := 0
-	for _, life := range l.Clients {
-		live += len(life.Allocations) * maxGrants
+// sweep forgets grants that the state has no more, once they are many.
+func (t *LeaseTracker) sweep(s *State) {
+	const slack = 64
+	most := 0
+	for _, client := range s.Clients {
+		most += len(client.Allocations) * maxGrants
 	}
-	if len(c.firstSeen) <= 2*live+64 {
+	if len(t.firstSeen) <= 2*most+slack {
 		return
 	}
-	kept := map[grantRef]Micros{}
-	for key, life := range l.Clients {
-		for name, h := range life.Allocations {
-			for _, g := range h.Grants {
-				r := grantRef{name, key, g.Epoch}
-				if at, ok := c.firstSeen[r]; ok {
-					kept[r] = at
+	current := map[grantRef]Micros{}
+	for key, client := range s.Clients {
+		for limit, a := range client.Allocations {
+			for _, g := range a.Grants {
+				ref := grantRef{limit, key, g.Epoch}
+				if seen, ok := t.firstSeen[ref]; ok {
+					current[ref] = seen
 				}
 			}
 		}
 	}
-	c.firstSeen = kept
+	t.firstSeen = current
 }
 
-// Left fills in how long each holder's extra lasts yet.
-func (c *LeaseTracker) FillRemaining(now Micros, l *State, all []Usage) {
+// FillRemaining fills in how long each holder's extra lasts if it is not renewed.
+func (t *LeaseTracker) FillRemaining(now Micros, s *State, all []Usage) {
 	for i := range all {
 		for j := range all[i].Holders {
 			h := &all[i].Holders[j]
-			life := l.Clients[ClientKey(h.Name, h.Incarnation)]
-			if life == nil || life.Allocations[all[i].Limit] == nil {
+			key := ClientKey(h.Name, h.Incarnation)
+			client := s.Clients[key]
+			if client == nil || client.Allocations[all[i].Limit] == nil {
 				continue
 			}
-			for _, g := range life.Allocations[all[i].Limit].Grants {
-				if at, ok := c.firstSeen[grantRef{all[i].Limit, ClientKey(h.Name, h.Incarnation), g.Epoch}]; ok && g.Extra > 0 {
-					h.Remaining = max(h.Remaining, at+honouredFor(g)-now)
+			for _, g := range client.Allocations[all[i].Limit].Grants {
+				if seen, ok := t.firstSeen[grantRef{all[i].Limit, key, g.Epoch}]; ok && g.Extra > 0 {
+					h.Remaining = max(h.Remaining, seen+honouredFor(g)-now)
 				}
 			}
 		}
