--- a/internal/faultinjection/harness/bring.go
+++ b/internal/faultinjection/harness/bring.go
@@ -59,29 +59,9 @@
 		wait(ctx, f.For)
 		return h.cmd.Process.Signal(syscall.SIGCONT)
 	case schedule.Full:
-		if err := full(h.cmd.Process.Pid, true); err != nil {
-			return err
-		}
-		wait(ctx, f.For)
-		select {
-		case <-h.ended: // it may end itself; it is started again as an operator would
-			return g.startAgent(h)
-		default:
-			return full(h.cmd.Process.Pid, false)
-		}
+		return g.fullDisk(ctx, h, f.For)
 	case schedule.Point:
-		at := filepath.Join(g.site.Dir, "points", h.name)
-		if err := errors.Join(os.MkdirAll(at, 0o700), os.WriteFile(filepath.Join(at, f.Word), nil, 0o600)); err != nil {
-			return err
-		}
-		select {
-		case <-h.ended:
-			g.o.Say("%s died at %q", h.name, f.Word)
-		case <-time.After(max(f.For, 5*time.Second)):
-			_ = os.Remove(filepath.Join(at, f.Word))
-			return fmt.Errorf("%s did not come to %q", h.name, f.Word)
-		}
-		return g.startAgent(h)
+		return g.dieAt(h, f)
 	case schedule.Old:
 		return g.old(ctx, h, f.For)
 	}
@@ -90,6 +70,36 @@
 	return g.startAgent(h)
 }
 
+// fullDisk lets the host's agent write nothing for a while; one that ends itself is started again, as an operator would.
+func (g *Ground) fullDisk(ctx context.Context, h *host, span time.Duration) error {
+	if err := full(h.cmd.Process.Pid, true); err != nil {
+		return err
+	}
+	wait(ctx, span)
+	select {
+	case <-h.ended:
+		return g.startAgent(h)
+	default:
+		return full(h.cmd.Process.Pid, false)
+	}
+}
+
+// dieAt has the host's agent die at a named point of its code, and starts it again.
+func (g *Ground) dieAt(h *host, f schedule.Fault) error {
+	dir := filepath.Join(g.site.Dir, "points", h.name)
+	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(filepath.Join(dir, f.Word), nil, 0o600)); err != nil {
+		return err
+	}
+	select {
+	case <-h.ended:
+		g.o.Say("%s died at %q", h.name, f.Word)
+	case <-time.After(max(f.For, 5*time.Second)):
+		_ = os.Remove(filepath.Join(dir, f.Word))
+		return fmt.Errorf("%s did not come to %q", h.name, f.Word)
+	}
+	return g.startAgent(h)
+}
+
 // between brings a fault between two hosts.
 func (g *Ground) between(ctx context.Context, f schedule.Fault) {
 	there, back := g.mesh.Way(f.A, f.B), g.mesh.Way(f.B, f.A)
--- a/internal/faultinjection/harness/measure.go
+++ b/internal/faultinjection/harness/measure.go
@@ -51,62 +51,98 @@
 	if err := g.Start(ctx); err != nil {
 		return nil, err
 	}
-	var marks []int64
-	send := func(d time.Duration, backends []string) {
-		ctx, cancel := context.WithTimeout(ctx, d)
-		defer cancel()
-		s := g.scenario
-		_, _ = loadgen.Run(ctx, loadgen.Options{Scenario: &s, Seed: 1, Backends: backends, Bounds: limits.ForLoad()})
-	}
-	const phase = 9 * time.Second
-	half := [2][]string{g.site.Backends[:n/2], g.site.Backends[n/2:]}
-	for i := range 5 { // demand moves from one half of the backends to the other
-		marks = append(marks, process.Now())
-		send(phase, half[i%2])
+	moves := g.moveDemand(ctx)
+	g.o.Say("demand moved %d times", len(moves)-1)
+	losses, err := g.loseHosts(ctx)
+	if err != nil {
+		return nil, err
+	}
+	g.o.Say("%d hosts were lost", len(losses))
+	spans := g.killAgentsInTurn(ctx)
+	all, err := checker.ReadAll(filepath.Join(g.site.Dir, "stamps"))
+	if err != nil {
+		return nil, err
 	}
-	o.Say("demand moved %d times", len(marks)-1)
-	// A host is lost with its agent, its keepers and its backends, and comes back.
-	type loss struct {
-		at   int64
-		host *host
+	d := draws{all: all, whole: whole}
+	m.addMoves(d, moves)
+	m.addLosses(d, losses)
+	m.addDead(d, spans)
+	return m, nil
+}
+
+// demandPhase is how long demand stays at one half of the backends.
+const demandPhase = 9 * time.Second
+
+// moveDemand moves all demand from one half of the backends to the other, and tells when.
+func (g *Ground) moveDemand(ctx context.Context) (at []int64) {
+	n := len(g.site.Backends)
+	half := [2][]string{g.site.Backends[:n/2], g.site.Backends[n/2:]}
+	for i := range 5 {
+		at = append(at, process.Now())
+		phase, cancel := context.WithTimeout(ctx, demandPhase)
+		g.load(phase, 1, half[i%2])
+		cancel()
 	}
-	var lost []loss
+	return at
+}
+
+// load sends the scenario's requests until the context ends; what is measured is what the holders draw.
+func (g *Ground) load(ctx context.Context, seed uint64, backends []string) {
+	s := g.scenario
+	_, _ = loadgen.Run(ctx, loadgen.Options{Scenario: &s, Seed: seed, Backends: backends, Bounds: limits.ForLoad()})
+}
+
+// hostLoss is a host that died with its agent, its supervisors and its backends.
+type hostLoss struct {
+	at   int64 // microseconds of the machine's clock
+	host *host
+}
+
+// loseHosts kills one host after the other; each comes back before the next.
+func (g *Ground) loseHosts(ctx context.Context) (losses []hostLoss, err error) {
 	for _, h := range g.hosts {
-		h.mu.Lock()
-		_ = h.cmd.Process.Kill()
-		at := process.Now()
-		for _, name := range h.names {
-			l := g.life(h, name)
-			_ = l.Keeper.Signal(syscall.SIGKILL)
-			_ = l.Instance.KillGroup()
-		}
-		<-h.ended
-		h.mu.Unlock()
-		lost = append(lost, loss{at, h})
+		losses = append(losses, hostLoss{g.killHost(h), h})
 		time.Sleep(g.o.Lease + g.o.Margin + 4*time.Second)
 		if err := g.startAgent(h); err != nil {
 			return nil, err
 		}
 		if err := g.until(ctx, 45*time.Second, "return of "+h.name, func() bool {
 			_, _ = g.Tool(ctx, "start", "--host", h.name, "--quiet", "--wait=false", "--within", "30s")
-			return g.wholeNow(ctx) && g.ready(ctx) == n
+			return g.wholeNow(ctx) && g.ready(ctx) == g.o.Table.Backends
 		}); err != nil {
 			return nil, err
 		}
 	}
-	o.Say("%d hosts were lost", len(lost))
-	// Agents die, from none to all, under load.
-	type span struct {
-		agents   int
-		from, to int64
-	}
-	var spans []span
+	return losses, nil
+}
+
+func (g *Ground) killHost(h *host) (at int64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	_ = h.cmd.Process.Kill()
+	at = process.Now()
+	for _, name := range h.names {
+		l := g.life(h, name)
+		_ = l.Keeper.Signal(syscall.SIGKILL)
+		_ = l.Instance.KillGroup()
+	}
+	<-h.ended
+	return at
+}
+
+// deadSpan is a time in which so many agents were dead and no lease was left from before.
+type deadSpan struct {
+	agents   int
+	from, to int64 // microseconds of the machine's clock
+}
+
+// killAgentsInTurn kills agents under load, from none to all.
+func (g *Ground) killAgentsInTurn(ctx context.Context) (spans []deadSpan) {
 	var loading sync.WaitGroup
 	stop, cancel := context.WithCancel(ctx)
 	loading.Go(func() {
 		for stop.Err() == nil {
-			s := g.scenario
-			_, _ = loadgen.Run(stop, loadgen.Options{Scenario: &s, Seed: 2, Backends: g.site.Backends, Bounds: limits.ForLoad()})
+			g.load(stop, 2, g.site.Backends)
 		}
 	})
 	for dead := 0; dead <= len(g.hosts); dead++ {
@@ -116,27 +152,35 @@
 		time.Sleep(2*(g.o.Lease+g.o.Margin) + 2*time.Second)
 		from := process.Now()
 		time.Sleep(3 * time.Second)
-		spans = append(spans, span{dead, from, process.Now()})
+		spans = append(spans, deadSpan{dead, from, process.Now()})
 	}
 	cancel()
 	loading.Wait()
-	all, err := checker.ReadAll(filepath.Join(g.site.Dir, "stamps"))
-	if err != nil {
-		return nil, err
-	}
-	rate := func(budget string, from, to int64) float64 {
-		return checker.Drawn(all, budget, from, to) * 1e6 / float64(to-from) / float64(whole)
-	}
-	for _, b := range []string{"demand", "even"} {
-		for i, at := range marks {
-			end := at + phase.Microseconds()
-			if i == 0 {
-				continue
-			}
-			m.Before[b] += rate(b, end-2_000_000, end-200_000) / float64(len(marks)-1)
+	return spans
+}
+
+// draws are what all holders wrote down.
+type draws struct {
+	all   []*checker.Process
+	whole int // units a second
+}
+
+// rate is the part of the whole that was drawn in a span, in microseconds of the machine's clock.
+func (d draws) rate(budget string, from, to int64) float64 {
+	return checker.Drawn(d.all, budget, from, to) * 1e6 / float64(to-from) / float64(d.whole)
+}
+
+var divisions = []string{"demand", "even"}
+
+// addMoves measures how long it takes until nine tenths are drawn again after demand moved.
+func (m *Measures) addMoves(d draws, moves []int64) {
+	for _, b := range divisions {
+		for _, at := range moves[1:] {
+			end := at + demandPhase.Microseconds()
+			m.Before[b] += d.rate(b, end-2_000_000, end-200_000) / float64(len(moves)-1)
 			took := -1.0 // never
 			for t := at; t+500_000 < end; t += 20_000 {
-				if rate(b, t, t+500_000) >= 0.9 {
+				if d.rate(b, t, t+500_000) >= 0.9 {
 					took = float64(t+500_000-at) / 1e6
 					break
 				}
@@ -144,27 +188,34 @@
 			m.Moved[b] = append(m.Moved[b], took)
 		}
 	}
-	for _, l := range lost {
+}
+
+// addLosses measures when the other hosts held what a lost one had, but for the floors that stay set aside.
+func (m *Measures) addLosses(d draws, losses []hostLoss) {
+	for _, l := range losses {
 		without := map[string]bool{}
 		for _, name := range l.host.names {
 			without[name] = true
 		}
-		floors := int64(len(l.host.names)) // they stay set aside
-		if at, ok := checker.HeldSince(all, "demand", without, int64(whole)-floors, l.at, l.at+30_000_000); ok {
+		floors := int64(len(l.host.names))
+		if at, ok := checker.HeldSince(d.all, "demand", without, int64(d.whole)-floors, l.at, l.at+30_000_000); ok {
 			m.Lost = append(m.Lost, float64(at-l.at)/1e6)
 		} else {
 			m.Lost = append(m.Lost, -1)
 		}
 	}
 	slices.Sort(m.Lost)
+}
+
+// addDead measures what is still drawn by the number of dead agents.
+func (m *Measures) addDead(d draws, spans []deadSpan) {
 	for _, s := range spans {
-		d := Dead{Agents: s.agents, Drawn: map[string]float64{}}
-		for _, b := range []string{"demand", "even"} {
-			d.Drawn[b] = rate(b, s.from, s.to)
+		dead := Dead{Agents: s.agents, Drawn: map[string]float64{}}
+		for _, b := range divisions {
+			dead.Drawn[b] = d.rate(b, s.from, s.to)
 		}
-		m.Dead = append(m.Dead, d)
+		m.Dead = append(m.Dead, dead)
 	}
-	return m, nil
 }
 
 // ready counts the backends that are.
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -26,38 +26,18 @@
 
 // Open lays files and links; nothing runs yet.
 func Open(o Options) (g *Ground, err error) {
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
-	}
-	if len(o.Budgets) == 0 {
-		o.Budgets = Standard(o.Table.Backends)
-	}
-	if o.Lease == 0 {
-		o.Lease, o.Margin = 2*time.Second, 100*time.Millisecond
-	}
+	o.setDefaults()
 	g = &Ground{o: o, wholes: map[string]int{}, limits: checker.Limits{}, faults: map[string]int{}, version: 1}
-	s := demo.Scenario(o.Table.Backends, o.Table.Span)
-	s.Troubles, s.Load.At = nil, o.Table.Load
-	quota := 0.0
-	for _, b := range o.Budgets {
-		quota += float64(b.Whole)
-	}
-	for _, b := range o.Budgets {
-		s.Tenants = append(s.Tenants, simulation.Tenant{Name: b.Tenant, Share: float64(b.Whole) / quota, Quota: float64(b.Whole)})
-		g.wholes[b.Name] = b.Whole
-	}
-	if o.Moves != nil {
-		o.Moves(&s)
-	}
-	g.scenario = s
-	at := ""
+	g.scenario = g.makeScenario()
+	registryAddress := ""
 	if o.Table.Cold != nil {
 		if g.register, err = registry.Start(demo.Loopback()+":0", o.Table.Cold.Register); err != nil {
 			return nil, err
 		}
-		at = g.register.Address
+		registryAddress = g.register.Address
 	}
-	if g.site, err = demo.LayAt(&s, o.Program, at); err != nil {
+	s := g.scenario
+	if g.site, err = demo.LayAt(&s, o.Program, registryAddress); err != nil {
 		return nil, err
 	}
 	defer func() {
@@ -70,36 +50,76 @@
 			return nil, err
 		}
 	}
-	n := o.Table.Hosts
+	if err := g.layHosts(); err != nil {
+		return nil, err
+	}
+	var names, peers []string
+	for _, h := range g.hosts {
+		names, peers = append(names, h.name), append(peers, h.peer)
+	}
+	if g.mesh, err = proxy.NewMesh(names, peers); err != nil {
+		return nil, err
+	}
+	return g, g.writeFiles()
+}
+
+func (o *Options) setDefaults() {
+	if o.Say == nil {
+		o.Say = func(string, ...any) {}
+	}
+	if len(o.Budgets) == 0 {
+		o.Budgets = Standard(o.Table.Backends)
+	}
+	if o.Lease == 0 {
+		o.Lease, o.Margin = 2*time.Second, 100*time.Millisecond
+	}
+}
+
+// makeScenario makes the load of the demo with a tenant for each quota, and notes the quotas' sizes.
+func (g *Ground) makeScenario() simulation.Scenario {
+	s := demo.Scenario(g.o.Table.Backends, g.o.Table.Span)
+	s.Troubles, s.Load.At = nil, g.o.Table.Load
+	sum := 0.0
+	for _, b := range g.o.Budgets {
+		sum += float64(b.Whole)
+	}
+	for _, b := range g.o.Budgets {
+		s.Tenants = append(s.Tenants, simulation.Tenant{Name: b.Tenant, Share: float64(b.Whole) / sum, Quota: float64(b.Whole)})
+		g.wholes[b.Name] = b.Whole
+	}
+	if g.o.Moves != nil {
+		g.o.Moves(&s)
+	}
+	return s
+}
+
+// layHosts makes each host's directory and address; backends are dealt out in turn. The ports are held until all are drawn, so
+// that no two hosts get the same one.
+func (g *Ground) layHosts() error {
 	var held []net.Listener
-	for i := range n {
+	defer func() {
+		for _, l := range held {
+			_ = l.Close()
+		}
+	}()
+	for i := range g.o.Table.Hosts {
 		l, err := net.Listen("tcp", g.site.Loopback+":0")
 		if err != nil {
-			return nil, err
+			return err
 		}
 		held = append(held, l)
 		name := fmt.Sprint("h", i+1)
 		h := &host{name: name, dir: filepath.Join(g.site.Dir, name), peer: l.Addr().String(), file: filepath.Join(g.site.Dir, name+".sx")}
 		h.agent = "unix:" + filepath.Join(g.site.Dir, name+".sock")
 		if err := os.Mkdir(h.dir, 0o700); err != nil {
-			return nil, err
+			return err
 		}
-		for b := i; b < o.Table.Backends; b += n {
+		for b := i; b < g.o.Table.Backends; b += g.o.Table.Hosts {
 			h.names = append(h.names, g.site.Names[b])
 		}
 		g.hosts = append(g.hosts, h)
 	}
-	for _, l := range held {
-		_ = l.Close()
-	}
-	var names, peers []string
-	for _, h := range g.hosts {
-		names, peers = append(names, h.name), append(peers, h.peer)
-	}
-	if g.mesh, err = proxy.NewMesh(names, peers); err != nil {
-		return nil, err
-	}
-	return g, g.writeFiles()
+	return nil
 }
 
 // writeFiles writes each host's fleet's file: the same fleet, where others are reached by this host's own links.
