--- a/internal/backend/executor/read.go
+++ b/internal/backend/executor/read.go
@@ -108,7 +108,9 @@
 		}
 		n, err := parse(text, gauges[:0])
 		if err != nil {
-			l.failUnreadable(n)
+			if n.kind == outcome {
+				l.failUnreadable(n.number, string(n.id))
+			}
 			return greeted, fmt.Errorf("cannot read %.60q: %w", text, err)
 		}
 		switch n.kind {
@@ -169,7 +171,7 @@
 
 // takeOutcome reads the result that follows an outcome, and ends its run unless the notice was read before.
 func (l *Client) takeOutcome(r *reader, n notice) error {
-	id := string(n.id) // the line's slices are valid until the result is read
+	id := string(n.id) // reading the result moves the buffer that the line's slices are of
 	end := Outcome{End: n.end}
 	var err error
 	if n.length <= l.bounds.Result {
@@ -183,7 +185,7 @@
 		return err
 	}
 	if !r.crlf() {
-		l.failUnreadable(n)
+		l.failUnreadable(n.number, id)
 		return fmt.Errorf("result of %d bytes: %w", n.length, errNoCRLF)
 	}
 	if l.countNotice(r.conn, n.number) {
@@ -234,12 +236,9 @@
 
 // failUnreadable ends the run of a notice that cannot be read though its number can: it must not come again with every link, and
 // the run that it ended has no result.
-func (l *Client) failUnreadable(n notice) {
-	if n.kind != outcome || n.number == 0 {
-		return
-	}
-	if l.countNotice(nil, n.number) {
-		l.finish(string(n.id), Outcome{End: dispatch.RunErrored})
+func (l *Client) failUnreadable(number uint64, id string) {
+	if number != 0 && l.countNotice(nil, number) {
+		l.finish(id, Outcome{End: dispatch.RunErrored})
 	}
 }
 
