--- a/internal/backend/degradation/signals.go
+++ b/internal/backend/degradation/signals.go
@@ -67,11 +67,11 @@
 		}
 		return v / by
 	}
-	share := func(part, whole Counter) float64 {
-		if m.sums[whole] < minDenominator {
+	fraction := func(part, total Counter) float64 {
+		if m.sums[total] < minDenominator {
 			return Missing
 		}
-		return min(1, m.sums[part]/m.sums[whole])
+		return min(1, m.sums[part]/m.sums[total])
 	}
 	yes := func(b bool) float64 {
 		if b {
@@ -80,7 +80,7 @@
 		return 0
 	}
 	s[Queue], s[Cores], s[Memory] = gauge(onCores, m.cores), gauge(coreUse, 1), gauge(memory, 1)
-	s[Rejected], s[Late], s[Retries] = share(Rejections, Arrivals), share(LateSuccesses, Successes), share(RetriedArrivals, Arrivals)
+	s[Rejected], s[Late], s[Retries] = fraction(Rejections, Arrivals), fraction(LateSuccesses, Successes), fraction(RetriedArrivals, Arrivals)
 	s[Infeasible] = Missing // the module does not tell why it throttles
 	s[Unknown], s[WarmingUp], s[Draining] = yes(!known), yes(now < m.warmingUntil), yes(m.draining)
 	return s
