--- a/admission/backend_test.go
+++ b/admission/backend_test.go
@@ -4,95 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
-
-	"milletbarrow/internal/fakes"
 )
 
-// trace prints what happens to one backend and what it does about it.
-type trace struct {
-	t    *testing.T
-	b    *Backend
-	now  Micros
-	text strings.Builder
-}
-
-func newTrace(t *testing.T, edit func(*Config)) *trace {
-	terms := Config{
-		Operations: []Operation{
-			{Objective: 2_000_000, ClientTimeout: 5_000_000, MakesCalls: true},
-			{Objective: 2_000_000, ClientTimeout: 5_000_000, RetrySafety: IdempotencyKeyed, RepeatWindow: 4_000_000, MakesCalls: true},
-			{Objective: 2_000_000, ClientTimeout: 5_000_000, RetrySafety: NonIdempotent, MakesCalls: true},
-		},
-		FleetSize: 4, Callers: 2, Cores: 2, MemoryKB: 100_000, RunFactor: 8, IdempotencyKeyKB: 10,
-		AnswerSlack: 60_000, DrainGrace: 1_000_000, ColdSpeed: 0.2, WarmUp: 10_000_000,
-		CollapseMultiple: 6, CollapseAfter: 2_000_000, MaxRetryAfter: 1_000_000, BatchInterval: 5000,
-		CallQuotaWindow: 5_000_000, AbandonedCallLinger: 200_000,
-	}
-	if edit != nil {
-		edit(&terms)
-	}
-	tr := &trace{t: t, b: New(terms, 7), now: 1_000_000}
-	tr.do(Opened{})
-	return tr
-}
-
-// traceNames turns Go's names into those that the traces of testdata have had from the first.
-var traceNames = strings.NewReplacer("admission.", "", " RetryAfter:", " RetryIn:", " Timeout:", " Within:")
-
-// do decides one event and prints it; what every reading repeats is left out.
-func (tr *trace) do(ev Event) {
-	var acts []string
-	for _, a := range tr.b.Decide(tr.now, ev, nil) {
-		if _, wake := a.(Wake); !wake {
-			acts = append(acts, traceNames.Replace(fmt.Sprintf("%T%+v", a, a)))
-		}
-	}
-	if _, reading := ev.(Reading); reading && len(acts) == 0 {
-		return
-	}
-	name := strings.TrimPrefix(fmt.Sprintf("%T", ev), "admission.")
-	switch e := ev.(type) {
-	case Arrived:
-		name += fmt.Sprintf(" %s rank %.2f retry %v", e.ID, e.Priority, e.Retry)
-	case Opened, Reading:
-	default:
-		name += fmt.Sprintf(" %+v", e)
-	}
-	fmt.Fprintf(&tr.text, "%5dms %s\n", tr.now/1000, name)
-	for _, a := range acts {
-		fmt.Fprintf(&tr.text, "        %s\n", a)
-	}
-}
-
-func (tr *trace) note(text string) { fmt.Fprintf(&tr.text, "# %s\n", text) }
-
-// arrive is an invocation of 100 ms of work.
-func (tr *trace) arrive(id string, op int, rank float64, edit ...func(*Arrived)) {
-	a := Arrived{ID: id, Operation: op, Priority: rank, ExpectedWork: 100_000, TimeLeft: 5_000_000, MemoryKB: 20}
-	for _, e := range edit {
-		e(&a)
-	}
-	tr.do(a)
-}
-
-func retry(a *Arrived) { a.Retry = true }
-
-// pass lets time go by with the gauges as given.
-func (tr *trace) pass(ms Micros, coreUse, onCores float64) {
-	for end := tr.now + ms*1000; tr.now < end; {
-		tr.now = min(end, tr.now+tr.b.tick)
-		tr.do(Reading{Token: timerToken, CoreUse: coreUse, OnCores: onCores})
-	}
-}
-
-func (tr *trace) done(id string, how Outcome) { tr.do(Finished{ID: id, Outcome: how, Took: 100_000}) }
-
-// check compares the trace with the one kept under the test's name.
-func (tr *trace) check() {
-	tr.t.Helper()
-	fakes.Compare(tr.t, tr.text.String())
-}
-
 func TestDontRetryFollowsRetryShare(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.pass(400, 1, 8)
@@ -434,10 +347,10 @@
 			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("later", n), TimeLeft: 4_900_000 - Micros(n*73_000), MemoryKB: 1}, nil)
 		}
 		tr.arrive("after", 0, 0.9, first)
-		words := strings.Count(tr.text.String(), "DontRetry:true")
+		dontRetry := strings.Count(tr.text.String(), "DontRetry:true")
 		share := tr.b.arrivals.retries.read(tr.now) / tr.b.arrivals.recent.read(tr.now)
-		if !unmarked && (usual != 0 || words != 0) || unmarked && (usual != 0 || words != 1 || share < 0.3 || share > 0.46) {
-			t.Errorf("unmarked %t: %.2f among first tries, then %.2f, don't retry %d times\n%s", unmarked, usual, share, words, &tr.text)
+		if !unmarked && (usual != 0 || dontRetry != 0) || unmarked && (usual != 0 || dontRetry != 1 || share < 0.3 || share > 0.46) {
+			t.Errorf("unmarked %t: %.2f among first attempts, then %.2f, don't retry %d times\n%s", unmarked, usual, share, dontRetry, &tr.text)
 		}
 	}
 }
@@ -506,17 +419,17 @@
 	tr.arrive("long0", 0, 0.9, long)
 	tr.arrive("long1", 0, 0.9, long)
 	tr.pass(1200, 1, 2)
-	if drag := tr.b.slowdown(tr.now); drag > 1.05 {
-		t.Errorf("drag %.2f of runs within their expected cost", drag)
+	if slowdown := tr.b.slowdown(tr.now); slowdown > 1.05 {
+		t.Errorf("slowdown %.2f of runs within their expected cost", slowdown)
 	}
 	for n := range 2 {
 		tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("waits", n), ExpectedWork: 10_000, TimeLeft: 5_000_000, MemoryKB: 1, Priority: 0.9}, nil)
 	}
-	if drag := tr.b.slowdown(tr.now); drag < 2 {
-		t.Errorf("drag %.2f with a line of %.0f", drag, tr.b.count(waiting))
+	if slowdown := tr.b.slowdown(tr.now); slowdown < 2 {
+		t.Errorf("slowdown %.2f with a queue of %.0f", slowdown, tr.b.count(waiting))
 	}
 	tr.pass(1500, 1, 2)
-	if drag := tr.b.slowdown(tr.now); drag < 1.3 {
-		t.Errorf("drag %.2f of runs that have had twice their expected cost", drag)
+	if slowdown := tr.b.slowdown(tr.now); slowdown < 1.3 {
+		t.Errorf("slowdown %.2f of runs that have had twice their expected cost", slowdown)
 	}
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -11,7 +11,7 @@
 
 // TestConversations plays each input of testdata and compares what is written and said.
 func TestConversations(t *testing.T) {
-	for _, name := range []string{"day", "lives"} {
+	for _, name := range []string{"day", "incarnations"} {
 		in, err := os.ReadFile("testdata/" + name + ".in")
 		if err != nil {
 			t.Fatal(err)
@@ -25,7 +25,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(out.String(), "\n")); diff != "" {
-			t.Errorf("%s (-kept +now):\n%s", name, diff)
+			t.Errorf("%s (-want +got):\n%s", name, diff)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,68 +21,68 @@
 	choices          choices
 }
 
-// choices are the fields that validation needs in their own words.
+// choices are the fields that validation needs as they are spelled.
 type choices struct {
 	repeats                []string
 	below, preemption, say string
-	worthBy                string
+	valueBy                string
 	freshMs                float64
 }
 
 // object is the JSON form of Settings.
 type object struct {
-	Classes []struct {
-		Name       string  `json:"name"`
-		AimMs      float64 `json:"aim_ms"`
-		AimStretch float64 `json:"aim_stretch"`
-		DeadlineMs float64 `json:"deadline_ms"`
-		Repeat     string  `json:"repeat"`
-		WindowMs   float64 `json:"window_ms"`
-		LateValue  float64 `json:"late_value"`
-		Worth      float64 `json:"worth"`
+	Operations []struct {
+		Name             string  `json:"name"`
+		ObjectiveMs      float64 `json:"aim_ms"`
+		ObjectiveStretch float64 `json:"aim_stretch"`
+		ClientTimeoutMs  float64 `json:"deadline_ms"`
+		RetrySafety      string  `json:"repeat"`
+		RepeatWindowMs   float64 `json:"window_ms"`
+		LateValue        float64 `json:"late_value"`
+		Value            float64 `json:"worth"`
 	} `json:"classes"`
-	Projects []struct {
-		Name      string  `json:"name"`
-		QuotaPerS float64 `json:"quota_per_s"`
+	Tenants []struct {
+		Name           string  `json:"name"`
+		QuotaPerSecond float64 `json:"quota_per_s"`
 	} `json:"projects"`
 	Clients struct {
 		MarksRetry *bool `json:"marks_retry"` // absent: they are marked
 	} `json:"clients"`
-	OverShareWorth float64 `json:"over_share_worth"`
-	WorthBy        string  `json:"worth_by"`
-	FleetSize      int     `json:"fleet_size"`
-	RoundMs        float64 `json:"round_ms"`
-	Limits         struct {
+	OverQuotaValue  float64 `json:"over_share_worth"`
+	ValueBy         string  `json:"worth_by"`
+	FleetSize       int     `json:"fleet_size"`
+	BatchIntervalMs float64 `json:"round_ms"`
+	Limits          struct {
 		MaxRetryAfterMs float64 `json:"max_retry_after_ms"`
 		RetryAfter      bool    `json:"retry_after"`
 	} `json:"policy_limits"`
 	Rules struct {
-		AnswerSlackMs float64 `json:"answer_slack_ms"`
-		ColdMs        float64 `json:"cold_ms"`
-		ColdShare     float64 `json:"cold_share"`
-		DrainGraceMs  float64 `json:"drain_grace_ms"`
-		FallMs        float64 `json:"fall_ms"`
-		FallMultiple  float64 `json:"fall_multiple"`
+		AnswerSlackMs    float64 `json:"answer_slack_ms"`
+		WarmUpMs         float64 `json:"cold_ms"`
+		ColdSpeed        float64 `json:"cold_share"`
+		DrainGraceMs     float64 `json:"drain_grace_ms"`
+		CollapseAfterMs  float64 `json:"fall_ms"`
+		CollapseMultiple float64 `json:"fall_multiple"`
 	} `json:"invariants"`
 	Family struct {
-		Below         string    `json:"below"`
-		Callers       int       `json:"callers"`
-		CallsOut      float64   `json:"calls_out"`
-		CallsOverMs   float64   `json:"calls_over_ms"`
-		ClassCalls    []bool    `json:"class_calls"`
-		DegradedWorth []float64 `json:"degraded_worth"`
-		FreshMs       float64   `json:"fresh_ms"`
-		IdleMs        float64   `json:"idle_ms"`
-		JustStarted   bool      `json:"just_started"`
-		KeyKB         float64   `json:"key_kb"`
-		LingerMs      float64   `json:"linger_ms"`
-		MemLimitKB    float64   `json:"mem_limit_kb"`
-		Cores         int       `json:"n_cores"`
-		Gauges        []string  `json:"own_stats"`
-		Preemption    string    `json:"preemption"`
-		Passes        *bool     `json:"passes_deadline"` // absent: they tell
-		RunFactor     float64   `json:"run_factor"`
-		Say           string    `json:"say"`
+		Dependency            string    `json:"below"`
+		Callers               int       `json:"callers"`
+		CallQuota             float64   `json:"calls_out"`
+		CallQuotaWindowMs     float64   `json:"calls_over_ms"`
+		MakesCalls            []bool    `json:"class_calls"`
+		ValueWithoutCall      []float64 `json:"degraded_worth"`
+		FreshMs               float64   `json:"fresh_ms"`
+		IdleTimeoutMs         float64   `json:"idle_ms"`
+		JustStarted           bool      `json:"just_started"`
+		IdempotencyKeyKB      float64   `json:"key_kb"`
+		AbandonedCallLingerMs float64   `json:"linger_ms"`
+		MemLimitKB            float64   `json:"mem_limit_kb"`
+		Cores                 int       `json:"n_cores"`
+		Gauges                []string  `json:"own_stats"`
+		Preemption            string    `json:"preemption"`
+		TellsDeadline         *bool     `json:"passes_deadline"` // absent: they tell
+		RunFactor             float64   `json:"run_factor"`
+		AdvertisedValue       string    `json:"say"`
 	} `json:"family_info"`
 }
 
@@ -116,51 +116,51 @@
 	*s = Settings{
 		Admission:        o.deployment(),
 		Gauges:           f.Gauges,
-		DeadlineOptional: f.Passes != nil && !*f.Passes,
+		DeadlineOptional: f.TellsDeadline != nil && !*f.TellsDeadline,
 		choices: choices{
-			below: f.Below, preemption: f.Preemption, say: f.Say, worthBy: o.WorthBy, freshMs: f.FreshMs,
+			below: f.Dependency, preemption: f.Preemption, say: f.AdvertisedValue, valueBy: o.ValueBy, freshMs: f.FreshMs,
 		},
 	}
-	for _, p := range o.Projects {
-		s.Admission.QuotaPerSecond = append(s.Admission.QuotaPerSecond, p.QuotaPerS)
+	for _, p := range o.Tenants {
+		s.Admission.QuotaPerSecond = append(s.Admission.QuotaPerSecond, p.QuotaPerSecond)
 		s.Tenants = append(s.Tenants, p.Name)
 	}
-	for n, c := range o.Classes {
+	for n, c := range o.Operations {
 		s.Admission.Operations = append(s.Admission.Operations, o.operation(n))
 		s.Operations = append(s.Operations, c.Name)
-		s.choices.repeats = append(s.choices.repeats, c.Repeat)
+		s.choices.repeats = append(s.choices.repeats, c.RetrySafety)
 	}
 	return nil
 }
 
-// deployment is what the object says of the backend as a whole, without operations and quotas.
+// deployment is the configuration of the backend, without operations and quotas.
 func (o *object) deployment() admission.Config {
 	f, r := &o.Family, &o.Rules
 	c := admission.Config{
-		OverQuotaValue:      o.OverShareWorth,
+		OverQuotaValue:      o.OverQuotaValue,
 		FleetSize:           o.FleetSize,
 		Callers:             f.Callers,
 		Cores:               f.Cores,
 		MemoryKB:            f.MemLimitKB,
 		RunFactor:           f.RunFactor,
-		IdempotencyKeyKB:    f.KeyKB,
+		IdempotencyKeyKB:    f.IdempotencyKeyKB,
 		JustStarted:         f.JustStarted,
 		Preemption:          preemptions[f.Preemption],
-		AdvertisedValue:     advertisedValues[f.Say],
+		AdvertisedValue:     advertisedValues[f.AdvertisedValue],
 		AnswerSlack:         Micros(r.AnswerSlackMs),
 		DrainGrace:          Micros(r.DrainGraceMs),
-		ColdSpeed:           r.ColdShare,
-		WarmUp:              Micros(r.ColdMs),
-		CollapseMultiple:    r.FallMultiple,
-		CollapseAfter:       Micros(r.FallMs),
-		SharedDependency:    f.Below == "one_for_all",
-		CallQuota:           f.CallsOut,
-		CallQuotaWindow:     Micros(f.CallsOverMs),
-		AbandonedCallLinger: Micros(f.LingerMs),
-		BatchInterval:       Micros(o.RoundMs),
-		ValuePerWork:        o.WorthBy == "work",
+		ColdSpeed:           r.ColdSpeed,
+		WarmUp:              Micros(r.WarmUpMs),
+		CollapseMultiple:    r.CollapseMultiple,
+		CollapseAfter:       Micros(r.CollapseAfterMs),
+		SharedDependency:    f.Dependency == "one_for_all",
+		CallQuota:           f.CallQuota,
+		CallQuotaWindow:     Micros(f.CallQuotaWindowMs),
+		AbandonedCallLinger: Micros(f.AbandonedCallLingerMs),
+		BatchInterval:       Micros(o.BatchIntervalMs),
+		ValuePerWork:        o.ValueBy == "work",
 		RetriesUnmarked:     o.Clients.MarksRetry != nil && !*o.Clients.MarksRetry,
-		IdleTimeout:         Micros(f.IdleMs),
+		IdleTimeout:         Micros(f.IdleTimeoutMs),
 	}
 	if o.Limits.RetryAfter {
 		c.MaxRetryAfter = Micros(o.Limits.MaxRetryAfterMs)
@@ -170,21 +170,21 @@
 
 // operation is the class of that number; lists by class may be shorter than the classes.
 func (o *object) operation(n int) admission.Operation {
-	c := &o.Classes[n]
+	c := &o.Operations[n]
 	op := admission.Operation{
-		RetrySafety:      retrySafeties[c.Repeat],
-		Value:            c.Worth,
-		Objective:        Micros(c.AimMs),
-		ObjectiveStretch: c.AimStretch,
-		ClientTimeout:    Micros(c.DeadlineMs),
-		RepeatWindow:     Micros(c.WindowMs),
+		RetrySafety:      retrySafeties[c.RetrySafety],
+		Value:            c.Value,
+		Objective:        Micros(c.ObjectiveMs),
+		ObjectiveStretch: c.ObjectiveStretch,
+		ClientTimeout:    Micros(c.ClientTimeoutMs),
+		RepeatWindow:     Micros(c.RepeatWindowMs),
 		LateValue:        c.LateValue,
 	}
-	if n < len(o.Family.ClassCalls) {
-		op.MakesCalls = o.Family.ClassCalls[n]
+	if n < len(o.Family.MakesCalls) {
+		op.MakesCalls = o.Family.MakesCalls[n]
 	}
-	if n < len(o.Family.DegradedWorth) {
-		op.ValueWithoutCall = o.Family.DegradedWorth[n]
+	if n < len(o.Family.ValueWithoutCall) {
+		op.ValueWithoutCall = o.Family.ValueWithoutCall[n]
 	}
 	return op
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// isWord: s can stand in a line of words or in a path as it is.
+// isWord: s can be one of several names on a line, or a part of a path, without quotes.
 func isWord(s string) bool {
 	return !slices.ContainsFunc([]byte(s), func(c byte) bool { return c <= ' ' || c >= 0x7f || c == '/' })
 }
@@ -153,8 +153,8 @@
 func (s *Settings) validateChoices(object string) error {
 	a, c := &s.Admission, &s.choices
 	switch {
-	case c.worthBy != "" && c.worthBy != "request" && c.worthBy != "work":
-		return fieldError(object, "worth_by", "%q is neither request nor work", c.worthBy)
+	case c.valueBy != "" && c.valueBy != "request" && c.valueBy != "work":
+		return fieldError(object, "worth_by", "%q is neither request nor work", c.valueBy)
 	case c.preemption != "" && !has(preemptions, c.preemption):
 		return fieldError(object, "family_info.preemption", "%q is none of off, discard and freeze", c.preemption)
 	case c.say != "" && !has(advertisedValues, c.say):
@@ -198,7 +198,7 @@
 	return nil
 }
 
-func has[V any](words map[string]V, word string) bool {
-	_, known := words[word]
+func has[V any](choices map[string]V, choice string) bool {
+	_, known := choices[choice]
 	return known
 }
