--- a/cmd/milletbarrow/serve_share.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -19,8 +19,8 @@
 	"milletbarrow/internal/process"
 )
 
-// sharingOf makes what a backend draws from of the command line; nil where it draws from no budget.
-func sharingOf(c *cli.Command, b *config.Backend) (*dispatch.QuotaConfig, error) {
+// quotaConfig reads from the command line which tenants draw from which fleet-wide quotas; nil where none does.
+func quotaConfig(c *cli.Command, b *config.Backend) (*dispatch.QuotaConfig, error) {
 	words := c.StringSlice("quota")
 	if len(words) == 0 {
 		return nil, nil
@@ -58,14 +58,15 @@
 	return s, nil
 }
 
-// stampDrawn writes down what is drawn, often enough for an audit of short spans.
-func stampDrawn(ctx context.Context, g *dispatch.Dispatcher) {
-	every := time.NewTicker(20 * time.Millisecond)
-	defer every.Stop()
+// logQuotaUse writes down what is drawn, often enough for an audit of short spans, until ctx ends.
+func logQuotaUse(ctx context.Context, dispatcher *dispatch.Dispatcher) {
+	const interval = 20 * time.Millisecond
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-every.C:
-			g.LogQuotaUse()
+		case <-ticker.C:
+			dispatcher.LogQuotaUse()
 		case <-ctx.Done():
 			return
 		}
--- /dev/null
+++ b/cmd/milletbarrow/serve_reload.go
@@ -0,0 +1,64 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"reflect"
+	"strings"
+	"time"
+
+	"milletbarrow/internal/config"
+)
+
+// reload reads the configuration again at each SIGHUP, until ctx ends, and applies the parts that can change: addresses,
+// the shadow configuration and the degradation policy. A file that can't be used changes nothing; it is read again a few
+// times, as it may be half written.
+func (b *backendProcess) reload(ctx context.Context, hangup <-chan os.Signal) {
+	var retry <-chan time.Time
+	retries := 0
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-hangup:
+			retries = 0
+		case <-retry:
+			retries++
+		}
+		retry = nil
+		later, err := config.Read(b.files.config)
+		if err == nil {
+			b.apply(later)
+			continue
+		}
+		if retries == 0 {
+			slog.Warn("reload", "used", false, "error", err.Error())
+		}
+		if retries < b.bounds.Rereads {
+			retry = time.After(b.bounds.Reread)
+		}
+	}
+}
+
+// apply takes over what can change of a configuration.
+func (b *backendProcess) apply(later *config.Backend) {
+	slog.Info("reload", "used", true, "farm", later.Executor, "roster", later.Registry,
+		"left_as_they_are", strings.Join(b.config.ImmutableChanges(later), " "))
+	b.executor.SetAddress(later.Executor)
+	b.reporter.SetAddress(later.Registry)
+	if !reflect.DeepEqual(b.shadow, later.Shadow) { // else its counts go on
+		b.shadow = later.Shadow
+		b.dispatcher.SetShadow(b.shadow)
+		slog.Info("watch", "on", b.shadow != nil)
+	}
+	if b.files.degradation == "" {
+		return
+	}
+	policy, err := readLadder(b.files.degradation)
+	if err == nil {
+		err = b.dispatcher.SetDegradationPolicy(policy)
+	}
+	slog.Info("reload_levels", "used", err == nil, "error", fmt.Sprint(err))
+}
--- /dev/null
+++ b/cmd/milletbarrow/serve_state.go
@@ -0,0 +1,67 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"runtime"
+	"time"
+
+	"milletbarrow/internal/backend/admin"
+)
+
+// logStates logs the counts at intervals, until ctx ends.
+func (b *backendProcess) logStates(ctx context.Context) {
+	ticker := time.NewTicker(b.bounds.Quiet)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		b.logState("state")
+	}
+}
+
+// logState logs the counts under an event's name.
+func (b *backendProcess) logState(event string) {
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	connections, carried := b.server.Counts()
+	n, inFlight := b.dispatcher.Counts()
+	slog.Info(event, "connections", connections, "carried", carried, "in_hand", inFlight,
+		"goroutines", runtime.NumGoroutine(), "heap_kb", m.HeapAlloc>>10, "system_kb", m.Sys>>10,
+		"collections", m.NumGC, "picked", n.Arrived, "used_up", n.Expired, "run", n.Started, "throttled", n.Throttled,
+		"errored", n.Errored, "left", n.Abandoned, "ticks", n.Ticks, "unsampled", n.Unsampled, "faults", n.Panics,
+		"repeated", n.Replayed, "unkept", n.CacheFull)
+	if c, on := b.dispatcher.ShadowCounts(); on {
+		slog.Info("watched", "otherwise", c.String())
+	}
+}
+
+// state is what the admin socket serves.
+func (b *backendProcess) state() admin.State {
+	connections, carried := b.server.Counts()
+	n, inFlight := b.dispatcher.Counts()
+	s := admin.State{
+		Version: admin.Version, Name: b.config.Name, PID: os.Getpid(), Build: version(), Config: b.config.Hash, Since: b.startedAt,
+		Ready: b.dispatcher.Healthy() && b.executor.Available(), Connections: connections, Carried: carried, InHand: inFlight, Picked: n.Arrived,
+		Run: n.Started, Throttled: n.Throttled, Errored: n.Errored, Left: n.Abandoned, Faults: n.Panics,
+	}
+	if r, ok := b.dispatcher.DegradationStatus(); ok {
+		s.Ladder, s.Level, s.Depth, s.Shed, s.Changes = r.Policy, r.Level, r.Depth, r.Shed, r.Changes
+		s.Clock, s.Signals = int64(r.At), r.Signals.String()
+	}
+	if c, on := b.dispatcher.ShadowCounts(); on {
+		s.Watched = c.Map()
+	}
+	s.Shares = b.dispatcher.QuotaStatus()
+	d := b.shutdown
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.draining {
+		s.Ready, s.Draining, s.GraceEnds, s.StopBy = false, true, d.graceEndsClock, d.stopClock
+	}
+	return s
+}
