--- a/internal/backend/frame/client.go
+++ b/internal/backend/frame/client.go
@@ -80,7 +80,7 @@
 	return a, err
 }
 
-// SplitFrame finds the first whole frame of what was read: its head and payload, and how much it took; 0 if more must come.
+// SplitFrame finds the first complete frame of what was read: its head and payload, and how much it took; 0 if more must come.
 func SplitFrame(b []byte, most int) (h Header, payload []byte, took int, err error) {
 	if len(b) < HeaderSize {
 		return h, nil, 0, nil
--- a/internal/backend/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -25,7 +25,7 @@
 	KindGoAway       Kind = 30
 )
 
-// Code is how an answer puts it.
+// Code is the result code of an answer.
 type Code byte
 
 // The codes of answers; a health check is answered by Succeeded for good and Errored for bad.
@@ -43,14 +43,14 @@
 	idSize     = 16
 )
 
-// Header is how a frame begins.
+// Header is the fixed beginning of a frame.
 type Header struct {
 	Kind    Kind
 	Stream  uint32
 	Payload int // bytes that follow the head
 }
 
-// LengthSize and HeaderSize are the bytes that Length and ReadHeader need.
+// LengthSize and HeaderSize are how many bytes Length and ReadHeader need.
 const (
 	LengthSize = lengthSize
 	HeaderSize = headerSize
@@ -76,18 +76,20 @@
 // Invocation is the content of an invocation's frame, in slices of that frame.
 type Invocation struct {
 	Operation, ID, Tenant  []byte
-	IdempotencyKey         []byte           // the same in all tries of one piece of work; empty: not told
+	IdempotencyKey         []byte           // the same in all attempts at one piece of work; empty: not given
 	At                     admission.Micros // when it reached the machine, Unix time
 	Wait                   admission.Micros // its caller waits so long from then, if HasWait
 	HasWait, Retry, HasKey bool
-	Work                   admission.Micros // expected, on one core; 0 if not told
+	Work                   admission.Micros // expected, on one core; 0 if not given
 	KB, Rank               float64
 	Body                   []byte
 }
 
-// fieldBit marks the fields seen, to find those that are missing or stand twice.
+// fieldSet marks the fields seen, to find those that are missing or stand twice.
+type fieldSet uint16
+
 const (
-	hasClass = 1 << iota
+	hasClass fieldSet = 1 << iota
 	hasID
 	hasAt
 	hasFrom
@@ -104,53 +106,12 @@
 
 var errCut = errors.New("cut short")
 
-// ReadInvocation reads the payload of an invocation's frame. Fields that it does not know are skipped.
+// ReadInvocation reads the payload of an invocation's frame. Fields that it does not know are skipped. Its slices are of p.
 func ReadInvocation(p []byte, bodyMost int) (Invocation, error) {
 	var inv Invocation
-	seen := 0
+	seen := fieldSet(0)
 	rest, err := eachField(p, func(name, value []byte) error {
-		var bit int
-		var err error
-		switch string(name) {
-		case "class":
-			bit, inv.Operation = hasClass, value
-		case "id":
-			bit, inv.ID = hasID, value
-			if !isID(value) {
-				err = errors.New("not 16 hex digits")
-			}
-		case "at":
-			bit = hasAt
-			inv.At, err = millis(value)
-		case "from":
-			bit = hasFrom
-			_, err = number(value, math.MaxUint32)
-		case "tenant":
-			bit, inv.Tenant = hasTenant, value
-		case "wait":
-			bit, inv.HasWait = hasWait, true
-			inv.Wait, err = millis(value)
-		case "retry":
-			bit = hasRetry
-			inv.Retry = string(value) == "1"
-		case "cost":
-			bit = hasCost
-			inv.Work, err = millis(value)
-		case "kb":
-			bit = hasKB
-			if inv.KB, err = number(value, kbMost); err == nil && (inv.KB == 0 || inv.KB == kbMost) {
-				err = errors.New("out of range")
-			}
-		case "rank":
-			bit = hasRank
-			if inv.Rank, err = number(value, 1); err == nil && inv.Rank == 1 {
-				err = errors.New("out of range")
-			}
-		case "key":
-			bit, inv.HasKey = hasKey, true
-		case "once":
-			bit, inv.IdempotencyKey = hasOnce, value
-		}
+		bit, err := inv.setField(name, value)
 		if err == nil && seen&bit != 0 {
 			err = errors.New("stands twice")
 		}
@@ -169,6 +130,51 @@
 	return inv, nil
 }
 
+// setField reads one field and returns its bit; 0 for a field that is not known.
+func (inv *Invocation) setField(name, value []byte) (bit fieldSet, err error) {
+	switch string(name) {
+	case "class":
+		bit, inv.Operation = hasClass, value
+	case "id":
+		bit, inv.ID = hasID, value
+		if !isID(value) {
+			err = errors.New("not 16 hex digits")
+		}
+	case "at":
+		bit = hasAt
+		inv.At, err = millis(value)
+	case "from":
+		bit = hasFrom
+		_, err = number(value, math.MaxUint32)
+	case "tenant":
+		bit, inv.Tenant = hasTenant, value
+	case "wait":
+		bit, inv.HasWait = hasWait, true
+		inv.Wait, err = millis(value)
+	case "retry":
+		bit = hasRetry
+		inv.Retry = string(value) == "1"
+	case "cost":
+		bit = hasCost
+		inv.Work, err = millis(value)
+	case "kb":
+		bit = hasKB
+		if inv.KB, err = number(value, kbMost); err == nil && (inv.KB == 0 || inv.KB == kbMost) {
+			err = errors.New("out of range")
+		}
+	case "rank":
+		bit = hasRank
+		if inv.Rank, err = number(value, 1); err == nil && inv.Rank == 1 {
+			err = errors.New("out of range")
+		}
+	case "key":
+		bit, inv.HasKey = hasKey, true
+	case "once":
+		bit, inv.IdempotencyKey = hasOnce, value
+	}
+	return bit, err
+}
+
 // ReadFields checks the fields of a frame that has nothing else.
 func ReadFields(p []byte) error {
 	_, err := eachField(p, func(_, _ []byte) error { return nil })
--- a/internal/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -46,16 +46,16 @@
 	}
 	twice := fakes.Fields(append(usual(), "wait=9")...)
 	tr.Say("a field twice: %s", show(ReadInvocation([]byte(twice), bodyMost)))
-	whole := fakes.Fields(usual()...)
+	complete := fakes.Fields(usual()...)
 	for _, size := range []int{0, bodyMost, bodyMost + 1} {
-		tr.Say("body of %d: %.60s", size, show(ReadInvocation([]byte(whole+strings.Repeat("x", size)), bodyMost)))
+		tr.Say("body of %d: %.60s", size, show(ReadInvocation([]byte(complete+strings.Repeat("x", size)), bodyMost)))
 	}
 	cut := map[string]int{}
-	for n := range len(whole) {
-		_, err := ReadInvocation([]byte(whole[:n]), bodyMost)
+	for n := range len(complete) {
+		_, err := ReadInvocation([]byte(complete[:n]), bodyMost)
 		cut[fmt.Sprint(err)]++
 	}
-	tr.Say("cut at every byte of %d: %v", len(whole), cut)
+	tr.Say("cut at every byte of %d: %v", len(complete), cut)
 }
 
 func TestBordersAndAnswers(t *testing.T) {
@@ -77,9 +77,9 @@
 
 // FuzzReadInvocation: whatever comes, what is accepted keeps within what was given and within the protocol.
 func FuzzReadInvocation(f *testing.F) {
-	whole := fakes.Fields(usual("retry=1", "key=k")...)
-	f.Add([]byte(whole + "body"))
-	f.Add([]byte(whole[:40]))
+	complete := fakes.Fields(usual("retry=1", "key=k")...)
+	f.Add([]byte(complete + "body"))
+	f.Add([]byte(complete[:40]))
 	f.Add([]byte{255, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, p []byte) {
 		before := slices.Clone(p)
