--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -368,3 +368,18 @@
 		t.Error("it is not answered")
 	}
 }
+
+// TestOwnGrace: the dispatcher itself rejects only what arrives between the end of the true grace and that of the module's.
+func TestOwnGrace(t *testing.T) {
+	d := open(t)
+	d.Drain(5_000_000, 100_000)
+	now := Now()
+	d.graceEnd, d.moduleGraceEnd = now-1000, now+1000
+	for after, want := range map[Micros]bool{-1001: false, -1000: true, 0: true, 1000: true, 1001: false} {
+		inv := usual("a")
+		inv.ArrivedAt = now + after
+		if _, rejected := d.rejectEarly(now+5000, &inv, d.newRequest(&inv), false); rejected != want {
+			t.Errorf("arrived %d us after now: rejected %t", after, rejected)
+		}
+	}
+}
