--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -141,11 +141,12 @@
 		t.Fatalf("after the window, ahead of the clock: %+v", w)
 	}
 	d.Complete(again, RunSucceeded, []byte("q"))
+	ended := Now()
 	ahead.ID = "b3"
 	if w, _ := d.Admit(ahead); w.Verdict != Replayed || string(w.Result) != "q" {
 		t.Errorf("its repeat: %+v", w)
 	}
-	fakes.Until(t, "the window is over again", func() bool { return Now() > at+240_000 })
+	fakes.Until(t, "the window is over again", func() bool { return Now() > ended+120_000 })
 	w, again = d.Admit(tokened("c", "x"))
 	if again == nil {
 		t.Fatalf("after the window: %+v", w)
