--- a/internal/agentapi/api.go
+++ b/internal/agentapi/api.go
@@ -1,5 +1,5 @@
-// Package agentapi is how an agent is spoken to: HTTP and JSON with a version in it, over a Unix socket or loopback
-// TCP, and the client that speaks to many agents at once. It carries words; what they do is decided in fleet.
+// Package agentapi is the API of a host agent: HTTP and JSON with a version in each path, over a Unix socket or loopback
+// TCP, and the client that makes requests to many agents at once. It carries requests; package fleet decides on them.
 package agentapi
 
 import (
@@ -12,12 +12,12 @@
 	"milletbarrow/internal/fleet"
 )
 
-// Version of the interface; it is the first part of every path. A client of another version is told so by the
-// path it asks for.
+// Version is that of the API and the first part of every path. A client of another version gets 404 and a text that
+// says so.
 const Version = 1
 
-// Order asks for something to be done. Sent again with the same ID and content it changes nothing, so that it can
-// be sent again whenever its answer is lost.
+// CommandRequest asks for a command. Sent again with the same ID and content it changes nothing, so that it can be
+// retried whenever its response is lost.
 type CommandRequest struct {
 	ID                  string                     `json:"id"`
 	Kind                fleet.CommandKind          `json:"kind"`
@@ -30,7 +30,7 @@
 	Budget              string                     `json:"budget,omitempty"` // of a wave: a count of which each that is out holds a unit
 }
 
-// Status is an agent's state.
+// Status is the state of an agent and its instances.
 type Status struct {
 	Version         int              `json:"version"`
 	Fleet           string           `json:"fleet"`
@@ -39,13 +39,13 @@
 	PID             int              `json:"pid"`
 	UptimeMicros    int64            `json:"up_us"`         // since its start
 	MonotonicMicros int64            `json:"clock_us"`      // the machine's own clock; times below are of it
-	StoreError      string           `json:"ill,omitempty"` // why nothing new is taken
+	StoreError      string           `json:"ill,omitempty"` // why no command is accepted; empty: they are
 	LastSerial      uint64           `json:"serial"`        // of the last line of history
 	Instances       []Instance       `json:"instances"`
 	OpenCommands    []*fleet.Command `json:"open"`
 }
 
-// Instance is one of them.
+// Instance is the state of one instance.
 type Instance struct {
 	Name           string       `json:"name"`
 	Group          string       `json:"group"`
@@ -57,41 +57,41 @@
 	TimeLeftMicros int64        `json:"left_us,omitempty"` // until the phase's time limit
 	Settled        bool         `json:"settled"`
 	Task           string       `json:"task,omitempty"`
-	RecentRestarts int          `json:"launches"` // by itself, of late
+	RecentRestarts int          `json:"launches"` // without a command, within the launch budget's window
 	PID            int          `json:"pid,omitempty"`
 	SupervisorPID  int          `json:"keeper,omitempty"`
-	State          *admin.State `json:"state,omitempty"` // its own words, the latest
+	State          *admin.State `json:"state,omitempty"` // the latest that the instance reported
 }
 
 // StreamEvent is one line of a stream: a history entry, the state of a command, or a gap.
 type StreamEvent struct {
 	Entry       *agentstore.Entry `json:"entry,omitempty"`
 	Command     *fleet.Command    `json:"command,omitempty"` // the last line of a command's stream has it ended
-	LostEntries uint64            `json:"gap,omitempty"`     // so many entries are no longer kept
-	Serial      uint64            `json:"serial,omitempty"`  // to join again after; a line with nothing else is a sign of life
+	LostEntries uint64            `json:"gap,omitempty"`     // so many entries are no longer cached
+	Serial      uint64            `json:"serial,omitempty"`  // to join again after; a line with nothing else is a heartbeat
 }
 
-// Manager is what the interface stands for; an agent is one. Its methods may be called from any goroutine.
+// Manager does what the API offers; an agent implements it. Its methods may be called from any goroutine.
 type Manager interface {
 	Status() Status
 	Submit(CommandRequest) (*fleet.Command, error)
 	Steer(id, verb, by string) (*fleet.Command, error)
 	Command(id string) *fleet.Command
 	Commands() []*fleet.Command
-	// Entries after a serial, at most some hundred, how many before them are lost, and a channel that is
-	// closed once there are more.
+	// Entries returns some hundred entries after a serial at most, how many before them are lost, and a channel
+	// that is closed once there are more.
 	Entries(after uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{})
 	History(after uint64, most int) ([]agentstore.Entry, error)
-	// Budgets asks the ledger's leader, whichever agent that is.
+	// Budgets asks the leader of the quota store, whichever agent that is.
 	Budgets(ctx context.Context) (Budgets, error)
-	// WriteOff is an operator's word that what a name has of budgets is in force no more.
+	// WriteOff ends what a name holds of quotas, by an operator's word.
 	WriteOff(ctx context.Context, name, by string) error
-	// Rise begins a rise at the ledger, or says a word about one.
+	// Rise begins or changes a cold start of the whole fleet.
 	Rise(ctx context.Context, r quota.ColdStartCommand) error
 	Members() []membership.Member
 }
 
-// Budgets are how the fleet's budgets stand, and how this agent takes part in keeping them.
+// Budgets are the state of the fleet's quotas, and how this agent takes part in the quota store.
 type Budgets struct {
 	quota.Status
 	Host  string `json:"host"`
@@ -104,4 +104,4 @@
 	Text   string
 }
 
-func (r *StatusError) Error() string { return r.Text }
+func (e *StatusError) Error() string { return e.Text }
--- /dev/null
+++ b/internal/agentapi/fanout.go
@@ -0,0 +1,26 @@
+package agentapi
+
+import (
+	"context"
+
+	"golang.org/x/sync/errgroup"
+
+	"milletbarrow/internal/limits"
+)
+
+// FanOut calls do for each key, at most b.FanOut at a time, and returns the results in the order of the keys.
+func FanOut[K, V any](
+	ctx context.Context, b limits.Control, keys []K, do func(context.Context, K) (V, error),
+) ([]V, []error) {
+	values, errs := make([]V, len(keys)), make([]error, len(keys))
+	var group errgroup.Group
+	group.SetLimit(b.FanOut)
+	for i, key := range keys {
+		group.Go(func() error {
+			values[i], errs[i] = do(ctx, key)
+			return nil
+		})
+	}
+	_ = group.Wait() // errors are returned by key
+	return values, errs
+}
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -12,13 +12,24 @@
 	"strings"
 	"time"
 
+	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/cluster/membership"
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/limits"
 )
 
-// Listen opens an agent's address: unix:PATH or a loopback address with a port.
+// Bounds of a request for history.
+const (
+	defaultHistory = 1000
+	maxHistory     = 100_000
+)
+
+// coldStartFactor bounds the body of a cold start's request, in Bounds.Message: it may name each instance of the fleet.
+const coldStartFactor = 4
+
+// Listen listens on an agent's address: unix:PATH or a loopback address with a port.
 func Listen(address string) (net.Listener, error) {
 	if err := fleet.CheckAddress(address); err != nil {
 		return nil, err
@@ -29,14 +40,14 @@
 	return net.Listen("tcp", address)
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve answers requests on the listener until ctx ends, and closes it. An error means that the listener failed.
 func Serve(ctx context.Context, l net.Listener, m Manager, b limits.Control) error {
-	s := &server{m: m, b: b, streams: make(chan struct{}, b.Streams), over: ctx.Done()}
+	s := &server{manager: m, bounds: b, streams: make(chan struct{}, b.Streams), stopped: ctx.Done()}
 	server := &http.Server{
 		Handler: s.handler(), ReadHeaderTimeout: b.Call, ReadTimeout: 2 * b.Call, IdleTimeout: b.Idle,
 		MaxHeaderBytes: b.Message,
 	}
-	stop := context.AfterFunc(ctx, func() { server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(limits.LimitListener(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -45,167 +56,158 @@
 }
 
 type server struct {
-	m       Manager
-	b       limits.Control
-	streams chan struct{}
-	over    <-chan struct{}
+	manager Manager
+	bounds  limits.Control
+	streams chan struct{}   // one for each stream that is open
+	stopped <-chan struct{} // ends streams
 }
 
 func (s *server) handler() http.Handler {
 	mux := http.NewServeMux()
-	at := func(pattern string, f func(*http.Request) (any, error)) {
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			v, err := f(r)
-			s.answer(w, v, err)
-		})
-	}
-	at("GET /v1/status", func(*http.Request) (any, error) { return s.m.Status(), nil })
-	at("GET /v1/commands", func(*http.Request) (any, error) { return s.m.Commands(), nil })
-	at("POST /v1/commands", func(r *http.Request) (any, error) {
-		var o CommandRequest
-		in := json.NewDecoder(io.LimitReader(r.Body, int64(s.b.Message)))
-		in.DisallowUnknownFields() // what this agent does not know it must not pass over
-		if err := in.Decode(&o); err != nil {
-			return nil, &StatusError{http.StatusBadRequest, "not an order: " + err.Error()}
-		}
-		return s.m.Submit(o)
-	})
-	at("GET /v1/commands/{id}", func(r *http.Request) (any, error) {
-		if c := s.m.Command(r.PathValue("id")); c != nil {
-			return c, nil
-		}
-		return nil, fleet.ErrUnknownCommand
-	})
-	at("POST /v1/commands/{id}/{verb}", func(r *http.Request) (any, error) {
-		return s.m.Steer(r.PathValue("id"), r.PathValue("verb"), r.URL.Query().Get("by"))
-	})
-	at("GET /v1/history", func(r *http.Request) (any, error) {
-		after, most, err := numbers(r)
-		if err != nil {
-			return nil, err
-		}
-		return s.m.History(after, most)
-	})
-	at("GET /v1/budgets", func(r *http.Request) (any, error) { return s.m.Budgets(r.Context()) })
-	at("GET /v1/members", func(*http.Request) (any, error) { return s.m.Members(), nil })
-	at("POST /v1/write-off/{name}", func(r *http.Request) (any, error) {
-		return struct{}{}, s.m.WriteOff(r.Context(), r.PathValue("name"), r.URL.Query().Get("by"))
-	})
-	at("POST /v1/rise", func(r *http.Request) (any, error) {
-		var o quota.ColdStartCommand
-		in := json.NewDecoder(io.LimitReader(r.Body, 4*int64(s.b.Message)))
-		in.DisallowUnknownFields()
-		if err := in.Decode(&o); err != nil {
-			return nil, &StatusError{http.StatusBadRequest, "not a rise: " + err.Error()}
-		}
-		return struct{}{}, s.m.Rise(r.Context(), o)
-	})
+	mux.HandleFunc("GET /v1/status", respond(s, func(*http.Request) (Status, error) { return s.manager.Status(), nil }))
+	mux.HandleFunc("GET /v1/commands", respond(s, func(*http.Request) ([]*fleet.Command, error) {
+		return s.manager.Commands(), nil
+	}))
+	mux.HandleFunc("POST /v1/commands", respond(s, s.submit))
+	mux.HandleFunc("GET /v1/commands/{id}", respond(s, s.command))
+	mux.HandleFunc("POST /v1/commands/{id}/{verb}", respond(s, func(r *http.Request) (*fleet.Command, error) {
+		return s.manager.Steer(r.PathValue("id"), r.PathValue("verb"), r.URL.Query().Get("by"))
+	}))
+	mux.HandleFunc("GET /v1/history", respond(s, s.history))
+	mux.HandleFunc("GET /v1/budgets", respond(s, func(r *http.Request) (Budgets, error) {
+		return s.manager.Budgets(r.Context())
+	}))
+	mux.HandleFunc("GET /v1/members", respond(s, func(*http.Request) ([]membership.Member, error) {
+		return s.manager.Members(), nil
+	}))
+	mux.HandleFunc("POST /v1/write-off/{name}", respond(s, func(r *http.Request) (struct{}, error) {
+		return struct{}{}, s.manager.WriteOff(r.Context(), r.PathValue("name"), r.URL.Query().Get("by"))
+	}))
+	mux.HandleFunc("POST /v1/rise", respond(s, s.coldStart))
 	mux.HandleFunc("GET /v1/stream", s.stream)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		s.answer(w, nil, &StatusError{http.StatusNotFound, fmt.Sprintf("%s %s: nothing here; this agent speaks version %d", r.Method, r.URL.Path, Version)})
+		s.writeError(w, &StatusError{
+			Status: http.StatusNotFound,
+			Text:   fmt.Sprintf("%s %s: nothing here; this agent speaks version %d", r.Method, r.URL.Path, Version),
+		})
 	})
 	return mux
 }
 
-func numbers(r *http.Request) (after uint64, most int, err error) {
-	q := r.URL.Query()
-	if text := q.Get("after"); text != "" {
-		if after, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return 0, 0, &StatusError{http.StatusBadRequest, fmt.Sprintf("after: %q is no number", text)}
+// respond makes a handler that writes what get returns.
+func respond[T any](s *server, get func(*http.Request) (T, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		value, err := get(r)
+		if err != nil {
+			s.writeError(w, err)
+			return
 		}
+		s.writeJSON(w, http.StatusOK, value)
 	}
-	most = 1000
-	if text := q.Get("most"); text != "" {
-		if most, err = strconv.Atoi(text); err != nil || most < 1 || most > 100_000 {
-			return 0, 0, &StatusError{http.StatusBadRequest, fmt.Sprintf("most: %q is no number from 1 to 100000", text)}
-		}
+}
+
+// decodeBody reads a request's body. A field that this agent does not know is an error: it must not be passed over.
+func decodeBody(r *http.Request, what string, maxBytes int64, into any) error {
+	body := json.NewDecoder(io.LimitReader(r.Body, maxBytes))
+	body.DisallowUnknownFields()
+	if err := body.Decode(into); err != nil {
+		return &StatusError{Status: http.StatusBadRequest, Text: "not " + what + ": " + err.Error()}
 	}
-	return after, most, nil
+	return nil
 }
 
-// answer writes what was asked for, or why not.
-func (s *server) answer(w http.ResponseWriter, v any, err error) {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.b.Call))
-	w.Header().Set("Content-Type", "application/json")
-	if err == nil {
-		json.NewEncoder(w).Encode(v)
-		return
-	}
-	status := http.StatusUnprocessableEntity
-	switch refusal, ok := errors.AsType[*StatusError](err); {
-	case ok:
-		status = refusal.Status
-	case errors.Is(err, fleet.ErrUnknownCommand):
-		status = http.StatusNotFound
-	case errors.Is(err, fleet.ErrIDConflict), errors.Is(err, fleet.ErrUpdateInProgress):
-		status = http.StatusConflict
-	case errors.Is(err, fleet.ErrTooManyCommands):
-		status = http.StatusTooManyRequests
+func (s *server) submit(r *http.Request) (*fleet.Command, error) {
+	var request CommandRequest
+	if err := decodeBody(r, "an order", int64(s.bounds.Message), &request); err != nil {
+		return nil, err
 	}
-	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
+	return s.manager.Submit(request)
 }
 
-// stream sends entries of history as they come, all of them or those of one command, whose last line has its
-// results. It can be left at any time and joined again after the last serial that was read.
-func (s *server) stream(w http.ResponseWriter, r *http.Request) {
-	select {
-	case s.streams <- struct{}{}:
-		defer func() { <-s.streams }()
-	default:
-		s.answer(w, nil, &StatusError{http.StatusTooManyRequests, "too many watch already"})
-		return
+func (s *server) command(r *http.Request) (*fleet.Command, error) {
+	if c := s.manager.Command(r.PathValue("id")); c != nil {
+		return c, nil
 	}
-	after, _, err := numbers(r)
-	id := r.URL.Query().Get("command")
-	if err == nil && id != "" && s.m.Command(id) == nil {
-		err = fleet.ErrUnknownCommand
+	return nil, fleet.ErrUnknownCommand
+}
+
+func (s *server) history(r *http.Request) ([]agentstore.Entry, error) {
+	after, err := parseAfter(r)
+	if err != nil {
+		return nil, err
 	}
+	most, err := parseMost(r)
 	if err != nil {
-		s.answer(w, nil, err)
-		return
-	}
-	w.Header().Set("Content-Type", "application/x-ndjson")
-	out, control := json.NewEncoder(w), http.NewResponseController(w)
-	say := func(l StreamEvent) bool { // one that reads nothing is let go; it can join again
-		control.SetWriteDeadline(time.Now().Add(s.b.Call))
-		return out.Encode(l) == nil && control.Flush() == nil
-	}
-	alive := time.NewTicker(s.b.Call)
-	defer alive.Stop()
-	for {
-		c := (*fleet.Command)(nil)
-		if id != "" { // before the entries, so that none of them comes after the last line
-			if c = s.m.Command(id); c == nil {
-				return
-			}
-		}
-		entries, lost, more := s.m.Entries(after)
-		if lost > 0 && !say(StreamEvent{LostEntries: lost}) {
-			return
-		}
-		for _, e := range entries {
-			if after = e.Serial; (id == "" || e.CommandID == id) && !say(StreamEvent{Entry: &e, Serial: after}) {
-				return
-			}
-		}
-		if c != nil && c.State == fleet.CommandDone {
-			say(StreamEvent{Command: c, Serial: after})
-			return
-		}
-		if len(entries) > 0 {
-			continue
-		}
-		select {
-		case <-more:
-		case <-alive.C:
-			if !say(StreamEvent{Serial: after}) {
-				return
-			}
-		case <-r.Context().Done():
-			return
-		case <-s.over:
-			return
+		return nil, err
+	}
+	return s.manager.History(after, most)
+}
+
+func (s *server) coldStart(r *http.Request) (struct{}, error) {
+	var command quota.ColdStartCommand
+	if err := decodeBody(r, "a rise", coldStartFactor*int64(s.bounds.Message), &command); err != nil {
+		return struct{}{}, err
+	}
+	return struct{}{}, s.manager.Rise(r.Context(), command)
+}
+
+// parseAfter reads the serial after which entries are wanted; 0 without one.
+func parseAfter(r *http.Request) (uint64, error) {
+	text := r.URL.Query().Get("after")
+	if text == "" {
+		return 0, nil
+	}
+	after, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		return 0, &StatusError{Status: http.StatusBadRequest, Text: fmt.Sprintf("after: %q is no number", text)}
+	}
+	return after, nil
+}
+
+// parseMost reads how many entries are wanted.
+func parseMost(r *http.Request) (int, error) {
+	text := r.URL.Query().Get("most")
+	if text == "" {
+		return defaultHistory, nil
+	}
+	most, err := strconv.Atoi(text)
+	if err != nil || most < 1 || most > maxHistory {
+		return 0, &StatusError{
+			Status: http.StatusBadRequest, Text: fmt.Sprintf("most: %q is no number from 1 to %d", text, maxHistory),
 		}
 	}
+	return most, nil
+}
+
+// errorBody is the body of a response that rejects a request.
+type errorBody struct {
+	Error string `json:"error"`
+}
+
+// statusOf returns the HTTP status of an error; what the machine rejects for its content is unprocessable.
+func statusOf(err error) int {
+	if rejection, ok := errors.AsType[*StatusError](err); ok {
+		return rejection.Status
+	}
+	switch {
+	case errors.Is(err, fleet.ErrUnknownCommand):
+		return http.StatusNotFound
+	case errors.Is(err, fleet.ErrIDConflict), errors.Is(err, fleet.ErrUpdateInProgress):
+		return http.StatusConflict
+	case errors.Is(err, fleet.ErrTooManyCommands):
+		return http.StatusTooManyRequests
+	}
+	return http.StatusUnprocessableEntity
+}
+
+func (s *server) writeError(w http.ResponseWriter, err error) {
+	s.writeJSON(w, statusOf(err), errorBody{Error: err.Error()})
+}
+
+// writeJSON writes a response. A client that does not read it is gone, which is no error of the server.
+func (s *server) writeJSON(w http.ResponseWriter, status int, value any) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.bounds.Call))
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(value)
 }
--- /dev/null
+++ b/internal/agentapi/stream.go
@@ -0,0 +1,108 @@
+package agentapi
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"milletbarrow/internal/fleet"
+)
+
+var errTooManyStreams = &StatusError{Status: http.StatusTooManyRequests, Text: "too many watch already"}
+
+// stream sends history entries as they come, all of them or those of one command, whose last line has its results.
+// It can be left at any time and joined again after the last serial that was read.
+func (s *server) stream(w http.ResponseWriter, r *http.Request) {
+	select {
+	case s.streams <- struct{}{}:
+		defer func() { <-s.streams }()
+	default:
+		s.writeError(w, errTooManyStreams)
+		return
+	}
+	after, err := parseAfter(r)
+	if err != nil {
+		s.writeError(w, err)
+		return
+	}
+	if _, err := parseMost(r); err != nil { // it has no meaning here, and is checked all the same
+		s.writeError(w, err)
+		return
+	}
+	id := r.URL.Query().Get("command")
+	if id != "" && s.manager.Command(id) == nil {
+		s.writeError(w, fleet.ErrUnknownCommand)
+		return
+	}
+	w.Header().Set("Content-Type", "application/x-ndjson")
+	stream := &streamWriter{
+		manager: s.manager, commandID: id, after: after,
+		encoder: json.NewEncoder(w), control: http.NewResponseController(w), timeout: s.bounds.Call,
+	}
+	heartbeat := time.NewTicker(s.bounds.Call)
+	defer heartbeat.Stop()
+	for {
+		more, ok := stream.sendNew()
+		if !ok {
+			return
+		}
+		select {
+		case <-more:
+		case <-heartbeat.C:
+			if !stream.send(StreamEvent{Serial: stream.after}) {
+				return
+			}
+		case <-r.Context().Done():
+			return
+		case <-s.stopped:
+			return
+		}
+	}
+}
+
+// streamWriter sends one stream.
+type streamWriter struct {
+	manager   Manager
+	commandID string // empty: all history
+	after     uint64 // the last serial that was sent or passed over
+	encoder   *json.Encoder
+	control   *http.ResponseController
+	timeout   time.Duration // of sending one line
+}
+
+// send writes one line; false: the client does not read it, and can join again.
+func (s *streamWriter) send(event StreamEvent) bool {
+	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout)) // without one, writing fails with the connection
+	return s.encoder.Encode(event) == nil && s.control.Flush() == nil
+}
+
+// sendNew sends all entries that there are. It returns a channel that is closed once there are more, and false at the
+// end of the stream.
+func (s *streamWriter) sendNew() (more <-chan struct{}, ok bool) {
+	for {
+		var command *fleet.Command
+		if s.commandID != "" { // read before the entries, so that none of them comes after the last line
+			if command = s.manager.Command(s.commandID); command == nil {
+				return nil, false
+			}
+		}
+		entries, lost, more := s.manager.Entries(s.after)
+		if lost > 0 && !s.send(StreamEvent{LostEntries: lost}) {
+			return nil, false
+		}
+		for _, entry := range entries {
+			s.after = entry.Serial
+			wanted := s.commandID == "" || entry.CommandID == s.commandID
+			if wanted && !s.send(StreamEvent{Entry: &entry, Serial: s.after}) {
+				return nil, false
+			}
+		}
+		if command != nil && command.State == fleet.CommandDone {
+			s.send(StreamEvent{Command: command, Serial: s.after})
+			return nil, false
+		}
+		if len(entries) == 0 {
+			return more, true
+		}
+	}
+}
