--- a/internal/cluster/coldstart/invariants_test.go
+++ b/internal/cluster/coldstart/invariants_test.go
@@ -7,7 +7,7 @@
 
 func newTestStart(t *testing.T, config Config, names ...string) *State {
 	t.Helper()
-	var all []Member
+	all := make([]Member, 0, len(names))
 	for _, n := range names {
 		all = append(all, Member{Name: n, Group: "g", Host: "h"})
 	}
--- a/internal/cluster/coldstart/state.go
+++ b/internal/cluster/coldstart/state.go
@@ -1,7 +1,9 @@
-// Package coldstart decides who starts when, as many backends of many hosts come up together: first the least of each group
-// that serves, then in growing steps, at the pace that what comes back allows. It does no I/O and holds no clock: a rise is
-// part of the ledger's state, so that it outlives any agent, and everything that decides comes in as a fact. The same facts
-// in the same order make the same rise everywhere.
+// Package coldstart decides which instance starts when, as many backends of many hosts come up together: first the least
+// that each group needs to serve, then the rest, with a concurrency limit that is raised slowly and lowered at once by what
+// is reported back.
+//
+// It does no I/O and holds no clock. A cold start is part of the replicated state, so that it outlives any agent, and all
+// that decides comes in as a fact: the same facts in the same order make the same state everywhere.
 package coldstart
 
 import (
@@ -19,7 +21,7 @@
 // Micros is a span in whole microseconds.
 type Micros = quota.Micros
 
-// Terms of a rise.
+// Config sets the bounds of a cold start.
 type Config struct {
 	MaxConcurrent     int64   `json:"most"`     // starting or warming at once, over all hosts
 	InitialConcurrent int64   `json:"first"`    // at its beginning
@@ -29,7 +31,7 @@
 	MaxRejected       float64 `json:"refused"`  // and so does a share of calls below, or to the register, that is refused
 }
 
-// Check tells of terms that can't be kept; field names the word of the fleet's file.
+// Validate tells of a configuration that can't be kept; field is the word of the fleet's file that is at fault.
 func (t *Config) Validate() (field string, err error) {
 	switch {
 	case t.MaxConcurrent < 1 || t.MaxConcurrent > 100_000:
@@ -55,7 +57,7 @@
 	Host  string `json:"host"`
 }
 
-// Bounds of a rise, whatever it is told.
+// Bounds of a cold start, whatever it is told.
 const (
 	MaxMembers    = 20_000
 	requestWindow = 64 // numbers between an ask and now, after which whoever asked is not waited for: its agent may be dead
@@ -67,7 +69,7 @@
 	maxPauseSteps      = 1000 // beyond them the pause has long been the longest
 )
 
-// End is how a start came out, or what became of one that came up.
+// Outcome is how a start came out, or what became of an instance that came up.
 type Outcome struct {
 	Ready    bool    `json:"warm"`
 	Took     Micros  `json:"took_us,omitempty"`
@@ -75,12 +77,13 @@
 	Cause    string  `json:"cause,omitempty"`
 }
 
-// Start is one that is under way.
+// RunningStart is a start that has begun and not been reported on.
 type RunningStart struct {
 	Number uint64 `json:"number"` // of starts, in their order
 }
 
-// State is a rise. Its fields are for what writes it down; only its methods change them.
+// State is a cold start. Its exported fields are there to be encoded; only its methods change them. It is not safe for
+// concurrent use.
 type State struct {
 	ID                  string                  `json:"id"`
 	Config              Config                  `json:"terms"`
@@ -105,7 +108,8 @@
 	position map[string]int
 }
 
-// Begin plans a rise. Members that are up already are not among them.
+// New plans a cold start of members, none of which is up. It fails for an invalid configuration, for no members or more than MaxMembers, and
+// for a name that stands twice.
 func New(id string, t Config, members []Member) (*State, error) {
 	if field, err := t.Validate(); err != nil {
 		return nil, fmt.Errorf("rise: %s: %w", field, err)
@@ -125,7 +129,7 @@
 	return s, nil
 }
 
-// Restored has a state that was read back find its members.
+// RebuildIndex has to be called on a state that was decoded, before anything else.
 func (s *State) RebuildIndex() {
 	s.position = make(map[string]int, len(s.Members))
 	for i, m := range s.Members {
@@ -133,7 +137,7 @@
 	}
 }
 
-// plan orders members: the least of every group first, then the others, each part turn by turn over groups, and within a
+// orderMembers orders members: the least of every group first, then the others, each part turn by turn over groups, and within a
 // group over hosts, so that no host and no group is far ahead.
 func orderMembers(least float64, members []Member) (order []Member, first int) {
 	type turn struct {
@@ -178,19 +182,19 @@
 	return order, first
 }
 
-// Concerns tells whether a name is part of it and not up yet.
+// Pending tells whether a name is part of the cold start and not up yet.
 func (s *State) Pending(name string) bool {
 	_, in := s.position[name]
 	return in && !s.Ready[name]
 }
 
-// Over tells whether nothing is to come: each is up or given up, and nothing is under way.
+// Done tells whether nothing is to come: each member is up or has failed, and none is starting.
 func (s *State) Done() bool {
 	return len(s.Starting) == 0 && len(s.Ready)+len(s.Failed) >= len(s.Members)
 }
 
-// Ask says whether one may start now, and counts it as under way if so. Of those that asked of late the first in order go
-// first; one that never asks holds nobody up.
+// RequestStart says whether a member may start now, and counts it as starting if so; why tells what it waits for. Of those that asked
+// of late the first in order go first; a member that stopped asking holds up nobody for long.
 func (s *State) RequestStart(name string) (ok bool, why string) {
 	at, in := s.position[name]
 	switch {
@@ -235,18 +239,19 @@
 	return true, ""
 }
 
-// Now is how many may be under way.
+// Limit is how many may be starting at once now.
 func (s *State) Limit() int64 { return s.ScaledLimit / limitScale }
 
-// Found counts one that was under way as the rise began.
+// AddStarting counts a member that was starting already as the cold start began.
 func (s *State) AddStarting(name string) {
 	if _, in := s.position[name]; in {
 		s.Starting[name] = RunningStart{}
 	}
 }
 
-// Ended takes in how a start came out. Down at once, and once for all that was started before; up by one for each that came
-// up well while nothing has gone wrong yet, and by one for a whole round of them after that.
+// Report takes in how a start came out. The limit is halved at once, and once for all that was started before; it is raised by one for
+// each start that came up well while nothing has gone wrong yet, and by one for a whole round of them after that. changed
+// says how the limit changed, or is empty.
 func (s *State) Report(name string, e Outcome) (changed string) {
 	start, under := s.Starting[name]
 	if !under {
@@ -304,7 +309,7 @@
 	s.ConsecutiveFailures, s.Pause = 0, 0
 }
 
-// down halves the pace, unless the sign comes from before the last time.
+// decrease halves the limit, unless the report is of a start from before the last decrease.
 func (s *State) decrease(start RunningStart, cause string) bool {
 	if start.Number <= s.DecreasedAt {
 		return false
@@ -315,27 +320,27 @@
 	return true
 }
 
-// rest is how long nothing starts after so many falls more: what is below may only get well if it is left alone, and one
+// pauseDuration is how long nothing starts after so many falls more: what is below may only get well if it is left alone, and one
 // start at a time would keep it ill for ever.
 func pauseDuration(n int64) Micros {
 	growth := backoff.Exponential{Initial: minPause, Max: maxPause, Multiplier: 2}
 	return Micros(growth.Interval(int(min(n, maxPauseSteps)) + 1).Microseconds())
 }
 
-// Rested ends a rest, once the ledger's leader has counted it by its own clock.
+// EndPause ends the pause of that number, once the leader has timed it by its own clock.
 func (s *State) EndPause(no uint64) {
 	if no == s.PauseNumber {
 		s.Pause = 0
 	}
 }
 
-// GoOn takes a halt back, at an operator's word.
+// Resume takes a halt back, on an operator's word.
 func (s *State) Resume() {
 	s.HaltReason, s.ConsecutiveFailures, s.Pause = "", 0, 0
 	s.ScaledLimit, s.DecreasedAt, s.Reason = s.Config.InitialConcurrent*limitScale, s.Starts, "an operator had it go on"
 }
 
-// Lost has a start count no more whose end nobody will tell: an operator wrote it off.
+// WriteOff stops counting a start whose outcome nobody will report.
 func (s *State) WriteOff(name string) {
 	if _, under := s.Starting[name]; under {
 		delete(s.Starting, name)
@@ -343,7 +348,7 @@
 	}
 }
 
-// Tally is how a rise stands, by group.
+// GroupStatus is how many members of one group stand where.
 type GroupStatus struct {
 	Group    string `json:"group"`
 	Ready    int    `json:"warm"`
@@ -352,7 +357,7 @@
 	Waiting  int    `json:"waiting"`
 }
 
-// Tallies are all groups, by name.
+// Groups lists how all groups stand, by name.
 func (s *State) Groups() []GroupStatus {
 	all := map[string]*GroupStatus{}
 	for _, m := range s.Members {
@@ -374,7 +379,7 @@
 			t.Waiting++
 		}
 	}
-	var out []GroupStatus
+	out := make([]GroupStatus, 0, len(all))
 	for _, t := range all {
 		out = append(out, *t)
 	}
--- a/internal/cluster/coldstart/state_test.go
+++ b/internal/cluster/coldstart/state_test.go
@@ -57,7 +57,9 @@
 				t.Fatal(err)
 			} else if rapid.IntRange(0, 9).Draw(t, "read back") == 0 {
 				s = &State{}
-				json.Unmarshal(raw, s)
+				if err := json.Unmarshal(raw, s); err != nil {
+					t.Fatal(err)
+				}
 				s.RebuildIndex()
 			}
 		}
@@ -146,7 +148,7 @@
 			t.Fatalf("round %d: %d started, want %d", i, n, want)
 		}
 	}
-	if round(func(i int) Outcome { return Outcome{Ready: true, Took: 1_000_000, Rejected: 0.5} }); s.ScaledLimit != 16*limitScale {
+	if round(func(int) Outcome { return Outcome{Ready: true, Took: 1_000_000, Rejected: 0.5} }); s.ScaledLimit != 16*limitScale {
 		t.Fatalf("32 that found it crowded: pace %d, want 16000: one fall for all", s.ScaledLimit)
 	}
 	before := s.ScaledLimit
--- a/internal/cluster/quorum/quorum.go
+++ b/internal/cluster/quorum/quorum.go
@@ -13,7 +13,7 @@
 	"slices"
 )
 
-// Standing is what a member has written down.
+// LogPosition is what a member has written down: its term, and the end of its log.
 type LogPosition struct {
 	Term    uint64 `json:"term"`
 	Index   uint64 `json:"index"`    // of the last entry of its log
@@ -23,18 +23,18 @@
 // Empty tells whether it was never part of a group.
 func (s LogPosition) Empty() bool { return s.Term == 0 && s.Index == 0 }
 
-// behind tells whether a log lacks something that another has.
+// isBehind tells whether a log lacks something that another has.
 func isBehind(term, index uint64, of LogPosition) bool {
 	return term < of.LogTerm || term == of.LogTerm && index < of.Index
 }
 
-// needed is how many of the others in a group of n a member has to hear from: one of them was in every half that it was in itself.
+// requiredResponses is how many of the others in a group of n a member has to hear from: one of them was in every half that it was in itself.
 func requiredResponses(n int) int { return (n + 1) / 2 }
 
-// Heard is enough to judge from.
+// EnoughResponses tells whether a member of a group of n has heard from enough others to assess its own log.
 func EnoughResponses(n, others int) bool { return n == 1 || others >= requiredResponses(n) }
 
-// Fit is what a member may do.
+// Eligibility is what a member may do after a restart.
 type Eligibility struct {
 	Bootstrap   bool   // nobody has a log: this is the beginning
 	AdoptTerm   uint64 // to be taken for its own, with its vote used up; 0: its own will do
@@ -42,7 +42,7 @@
 	Behind      bool // its log does not reach Log yet
 }
 
-// Judge says what a member may do, from what it has itself and what enough others told.
+// Assess says what a member may do, from what it has itself and what enough others told.
 func Assess(own LogPosition, others []LogPosition) (f Eligibility) {
 	f.Bootstrap = own.Empty()
 	for _, o := range others {
@@ -58,10 +58,10 @@
 	return f
 }
 
-// Reached tells whether a log is as far as it has to be.
+// Satisfied tells whether a log is as far as it has to be.
 func (f Eligibility) Satisfied(term, index uint64) bool { return !isBehind(term, index, f.RequiredLog) }
 
-// Set tells whether a group's members can be used: one, or three and more. Of two, each alone could do nothing, and
+// ValidateMembers tells whether a group's members can be used: one, or three and more. Of two, each alone could do nothing, and
 // both together no more than one.
 func ValidateMembers(members []string) error {
 	if len(members) == 2 {
@@ -78,7 +78,7 @@
 // Change is one step from a group to another: Add or Remove is set, or neither where nothing is left to do.
 type Change struct{ Add, Remove string }
 
-// Next is the next step from the members that a group has to those wanted, one at a time: first what is new, so that the
+// NextChange is the next step from the members that a group has to those wanted, one at a time: first what is new, so that the
 // group is not smaller in between than it was, and the leader itself last.
 func NextChange(has, wanted []string, leader string) Change {
 	if len(wanted) == 0 {
--- a/internal/cluster/quota/permit.go
+++ b/internal/cluster/quota/permit.go
@@ -44,9 +44,8 @@
 // recordReleased remembers that an acquisition has ended, so that a late duplicate of it acquires nothing.
 func (s *State) recordReleased(limit, name, acquireID string) {
 	key := limit + " " + name
-	ids := append(s.ReleasedIDs[key], acquireID)
-	if len(ids) > maxReleasedIDs {
-		ids = ids[1:]
+	s.ReleasedIDs[key] = append(s.ReleasedIDs[key], acquireID)
+	if ids := s.ReleasedIDs[key]; len(ids) > maxReleasedIDs {
+		s.ReleasedIDs[key] = ids[1:]
 	}
-	s.ReleasedIDs[key] = ids
 }
--- a/internal/cluster/quota/state_test.go
+++ b/internal/cluster/quota/state_test.go
@@ -22,7 +22,7 @@
 	return Config{Version: 1, Limits: []Limit{b}}
 }
 
-// fleet is a small world: holders with clocks of their own, a ledger with a leader's clerk, and messages on their way.
+// fleet is a small world: holders with clocks of their own, a state with a leader's lease tracker, and messages in flight.
 type fleet struct {
 	t       *rapid.T
 	now     int64 // true time
@@ -45,7 +45,6 @@
 }
 
 type flying[T any] struct {
-	at   int64
 	host string
 	msg  T
 }
@@ -60,7 +59,7 @@
 	return r
 }
 
-// check is the judge: it asks the holders alone.
+// check compares what the holders may act on with the total; it asks the holders alone.
 func (f *fleet) check() {
 	sum := int64(0)
 	floors := map[string]int64{}
@@ -123,17 +122,17 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"ask": func(t *rapid.T) {
+			"ask": func(*rapid.T) {
 				if h := one(); !h.gone && len(f.asks) < 8 {
 					f.asks = append(f.asks, flying[quota.LeaseRequest]{host: h.host, msg: h.NewRequest(h.clock(f.now))})
 				}
 			},
-			"round": func(t *rapid.T) { // all of one host ask and are answered at once
+			"round": func(*rapid.T) { // all of one host ask and are answered at once
 				for _, h := range f.holders {
 					if !h.gone {
 						f.asks = append(f.asks, flying[quota.LeaseRequest]{host: h.host, msg: h.NewRequest(h.clock(f.now))})
 						deliver(len(f.asks)-1, false)
-						h.Apply(h.clock(f.now), f.answers[len(f.answers)-1].msg)
+						_ = h.Apply(h.clock(f.now), f.answers[len(f.answers)-1].msg)
 					}
 				}
 			},
@@ -147,12 +146,12 @@
 					a := f.answers[rapid.IntRange(max(0, n-12), n-1).Draw(t, "answer")].msg
 					for _, h := range f.holders {
 						if !h.gone {
-							h.Apply(h.clock(f.now), a)
+							_ = h.Apply(h.clock(f.now), a)
 						}
 					}
 				}
 			},
-			"lose": func(t *rapid.T) { f.asks = f.asks[:0] },
+			"lose": func(*rapid.T) { f.asks = f.asks[:0] },
 			"draw": func(t *rapid.T) {
 				if h := one(); !h.gone {
 					for range rapid.IntRange(1, 50).Draw(t, "draws") {
@@ -161,9 +160,9 @@
 				}
 			},
 			"time":    func(t *rapid.T) { f.now += int64(rapid.IntRange(1, 400_000).Draw(t, "us")) },
-			"a lease": func(t *rapid.T) { f.now += 1_000_000 },
-			"elected": func(t *rapid.T) { f.clerk.BecomeLeader(f.leader(), f.ledger, false) },
-			"look": func(t *rapid.T) {
+			"a lease": func(*rapid.T) { f.now += 1_000_000 },
+			"elected": func(*rapid.T) { f.clerk.BecomeLeader(f.leader(), f.ledger, false) },
+			"look": func(*rapid.T) {
 				over, divide := f.clerk.Tick(f.leader(), f.ledger)
 				f.apply(Command{Expire: over, Rebalance: divide})
 			},
@@ -174,11 +173,13 @@
 						f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.life))}}})
 					}
 					n := 0
-					fmt.Sscanf(h.name, "n%d", &n)
+					if _, err := fmt.Sscanf(h.name, "n%d", &n); err != nil {
+						t.Fatal(err)
+					}
 					start(n)
 				}
 			},
-			"gone where it never was": func(t *rapid.T) {
+			"gone where it never was": func(*rapid.T) {
 				h := one()
 				f.apply(Command{Exited: &ExitCommand{Host: h.host + "x", ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.life))}}})
 			},
@@ -199,7 +200,7 @@
 					f.apply(Command{Expire: over, Rebalance: divide})
 				}
 			},
-			"": func(t *rapid.T) { f.check() },
+			"": func(*rapid.T) { f.check() },
 		})
 		// Faults end: everything that is wanted can be drawn again.
 		for range 60 {
@@ -370,7 +371,7 @@
 				h.TryAcquire(s.now, 0)
 			}
 			r := s.l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{h.NewRequest(s.now)}}})
-			h.Apply(s.now, r.Answers[0])
+			_ = h.Apply(s.now, r.Answers[0])
 		}
 	}
 }
