--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -115,7 +115,7 @@
 	var command *fleet.Command
 	var rejected error
 	err := a.call(func(now fleet.Micros) {
-		rejected = a.decide(now, fleet.CommandControl{CommandID: id, Verb: verb, RequestedBy: by})
+		rejected = a.decide(now, fleet.CommandControl{CommandID: id, Verb: fleet.Verb(verb), RequestedBy: by})
 		if rejected == nil {
 			command = a.loop.machine.Command(id)
 		}
--- a/internal/fleet/cold_start_test.go
+++ b/internal/fleet/cold_start_test.go
@@ -10,7 +10,7 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// simulatedFleet is some hosts' machines and one ledger, as it is in installations, that they can or can't reach.
+// simulatedFleet is the machines of some hosts and one quota store that they can or can't reach.
 type simulatedFleet struct {
 	t           tester
 	spec        *Spec
@@ -18,12 +18,12 @@
 	leaseKeeper quota.LeaseTracker
 	hosts       []*simulatedHost
 	partitioned map[*simulatedHost]bool
-	replies     map[*simulatedHost][]Event // what the ledger answered
+	replies     map[*simulatedHost][]Event // of the quota store, not delivered yet
 	maxStarting int                        // starting or warming at once, ever
 	coldStarted map[string]bool
 }
 
-func newSimulatedFleet(t tester, hosts, each, whole int) *simulatedFleet {
+func newSimulatedFleet(t tester, hosts, each, limit int) *simulatedFleet {
 	text := "(fleet f"
 	names := ""
 	for h := range hosts {
@@ -36,31 +36,31 @@
 	if hosts == 2 { // a group of two is none
 		names = " h1"
 	}
-	text += fmt.Sprintf(" (budgets (ledger%s) (budget starts (count %d) (alone yes))) (rise (budget starts) (failures 100)))", names, whole)
+	text += fmt.Sprintf(" (budgets (ledger%s) (budget starts (count %d) (alone yes))) (rise (budget starts) (failures 100)))", names, limit)
 	s := &simulatedFleet{t: t, spec: readTestSpec(t, text), quotas: quota.NewState(), partitioned: map[*simulatedHost]bool{}, replies: map[*simulatedHost][]Event{}, coldStarted: map[string]bool{}}
 	s.quotas.Apply(quota.Command{Config: s.spec.Quotas})
 	for h := range hosts {
 		w := newNamedHost(t, s.spec, fmt.Sprint("h", h+1))
-		w.dropAction = func(step Action) bool { return s.handleUnit(w, step) }
+		w.dropAction = func(action Action) bool { return s.handleUnit(w, action) }
 		s.hosts = append(s.hosts, w)
 	}
 	return s
 }
 
 // handleUnit takes an action on a unit to the quota store, as an agent would.
-func (s *simulatedFleet) handleUnit(w *simulatedHost, step Action) bool {
-	turn := &quota.PermitCommand{Limit: step.Unit.Quota, Name: step.Name, Host: w.host, AcquireID: step.ID}
+func (s *simulatedFleet) handleUnit(w *simulatedHost, action Action) bool {
+	request := &quota.PermitCommand{Limit: action.Unit.Quota, Name: action.Name, Host: w.host, AcquireID: action.ID}
 	switch {
-	case step.Kind != ActionAcquireUnit && step.Kind != ActionReleaseUnit:
+	case action.Kind != ActionAcquireUnit && action.Kind != ActionReleaseUnit:
 		return false
 	case s.partitioned[w]:
-	case step.Kind == ActionReleaseUnit:
-		turn.Outcome = &step.StartResult
-		s.quotas.Apply(quota.Command{Release: turn})
-		s.replies[w] = append(s.replies[w], UnitReleased{step.Name, step.ID})
+	case action.Kind == ActionReleaseUnit:
+		request.Outcome = &action.StartResult
+		s.quotas.Apply(quota.Command{Release: request})
+		s.replies[w] = append(s.replies[w], UnitReleased{action.Name, action.ID})
 	default:
-		r := s.quotas.Apply(quota.Command{Acquire: turn})
-		s.replies[w] = append(s.replies[w], UnitAcquired{HeldUnit{step.Name, step.Unit.Quota, step.ID}, r.Rejection == "", r.Rejection})
+		r := s.quotas.Apply(quota.Command{Acquire: request})
+		s.replies[w] = append(s.replies[w], UnitAcquired{HeldUnit{action.Name, action.Unit.Quota, action.ID}, r.Rejection == "", r.Rejection})
 	}
 	return true
 }
@@ -117,12 +117,12 @@
 }
 
 // TestColdStart: whichever agents die and whoever can't reach the ledger, no more start at once over all hosts than may, and once
-// that is over all are up, the rise is over, and nobody holds a unit.
+// that is over all are up, the cold start is over, and nobody holds a unit.
 func TestColdStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts, each := rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "hosts"), rapid.IntRange(1, 6).Draw(t, "each")
-		whole := hosts + rapid.IntRange(1, 6).Draw(t, "more")
-		s := newSimulatedFleet(t, hosts, each, whole)
+		limit := hosts + rapid.IntRange(1, 6).Draw(t, "more")
+		s := newSimulatedFleet(t, hosts, each, limit)
 		if rapid.Bool().Draw(t, "some serve") {
 			s.hosts[0].mustCommand("up", KindStart, 60*second, s.hosts[0].m.Names()[0])
 			s.advance(3 * second)
@@ -151,15 +151,15 @@
 			s.partitioned[w], w.crashNext = false, false
 		}
 		s.advance(180 * second)
-		if s.maxStarting > whole {
-			t.Fatalf("%d started at once, %d may", s.maxStarting, whole)
+		if s.maxStarting > limit {
+			t.Fatalf("%d started at once, %d may", s.maxStarting, limit)
 		}
 		if n := s.readyCount(); n != hosts*each {
 			t.Fatalf("%d of %d are up: %+v", n, hosts*each, s.quotas.ColdStartStatuses())
 		}
 		for _, r := range s.quotas.ColdStartStatuses() {
 			if !r.Done {
-				t.Fatalf("the rise is not over: %+v", r)
+				t.Fatalf("the cold start is not over: %+v", r)
 			}
 		}
 		if held := len(s.quotas.Permits["starts"]); held > 0 {
@@ -171,7 +171,7 @@
 	})
 }
 
-// TestColdStartWithoutQuotaStore: with the ledger out of reach for good each host brings its own up, one at a time.
+// TestColdStartWithoutQuotaStore: with the quota store out of reach for good each host brings its own up, one at a time.
 func TestColdStartWithoutQuotaStore(t *testing.T) {
 	s := newSimulatedFleet(t, 3, 4, 9)
 	for _, w := range s.hosts {
@@ -180,7 +180,7 @@
 	s.coldStart("r")
 	s.advance(4 * second)
 	if n := s.readyCount(); n != 0 {
-		t.Errorf("%d started before anybody could know that the ledger is away", n)
+		t.Errorf("%d started before anybody could know that the quota store is away", n)
 	}
 	s.advance(40 * second)
 	if n := s.readyCount(); n != 12 || s.maxStarting > 3 {
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestOldQuotaSilenceIsIgnored: that the ledger could not be reached an hour ago lets nobody start alone now.
+// TestOldQuotaSilenceIsIgnored: that the quota store could not be reached an hour ago lets nobody start alone now.
 func TestOldQuotaSilenceIsIgnored(t *testing.T) {
 	s := newSimulatedFleet(t, 1, 2, 3)
 	w := s.hosts[0]
--- a/internal/fleet/command_lifecycle.go
+++ b/internal/fleet/command_lifecycle.go
@@ -260,7 +260,7 @@
 		return fmt.Errorf("%q is none of pause, resume, cancel", e.Verb)
 	}
 	m.markCommandChanged(c)
-	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: e.Verb, Cause: "by " + e.RequestedBy})
+	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: string(e.Verb), Cause: "by " + e.RequestedBy})
 	return nil
 }
 
--- a/internal/fleet/event.go
+++ b/internal/fleet/event.go
@@ -23,15 +23,18 @@
 // CommandControl pauses, resumes or cancels a command.
 type CommandControl struct {
 	CommandID   string
-	Verb        string // VerbPause, VerbResume or VerbCancel
+	Verb        Verb
 	RequestedBy string
 }
 
-// The verbs of CommandControl.
+// Verb is what CommandControl does to a command.
+type Verb string
+
+// The verbs.
 const (
-	VerbPause  = "pause"
-	VerbResume = "resume"
-	VerbCancel = "cancel"
+	VerbPause  Verb = "pause"
+	VerbResume Verb = "resume"
+	VerbCancel Verb = "cancel"
 )
 
 // Tick tells that time has passed.
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -118,7 +118,7 @@
 		m.advanceAll(now)
 	case CommandControl:
 		if err := m.controlCommand(now, e); err != nil {
-			return commandError(e.Verb, e.CommandID, err)
+			return commandError(string(e.Verb), e.CommandID, err)
 		}
 		m.advanceAll(now)
 	case UnitsListed:
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -250,13 +250,13 @@
 		{"a": {}, "b": fact(""), "c": fact("")},
 		{"a": {Reachable: true, Ready: 6, DesiredUp: 10, MaxUnavailable: 3}, "b": {Reachable: true, Ready: 8, DesiredUp: 10, MaxUnavailable: 3}, "c": fact("")},
 	} {
-		tr.Say("%s", stepText(coordinator.Next(100, f)))
+		tr.Say("%s", rolloutText(coordinator.Next(100, f)))
 	}
-	tr.Say("and after the stall: %s", stepText(coordinator.Next(110, map[string]HostProgress{"a": {Reachable: true, Ready: 6, DesiredUp: 10, MaxUnavailable: 3}, "b": fact(""), "c": fact("")})))
+	tr.Say("and after the stall: %s", rolloutText(coordinator.Next(110, map[string]HostProgress{"a": {Reachable: true, Ready: 6, DesiredUp: 10, MaxUnavailable: 3}, "b": fact(""), "c": fact("")})))
 }
 
-// stepText prints a step of a rollout as the kept trace has it.
-func stepText(s RolloutStep) string {
+// rolloutText prints a step of a rollout as the kept trace has it.
+func rolloutText(s RolloutStep) string {
 	return fmt.Sprintf("{Begin:%v Over:%t Why:%s}", s.Begin, s.Finished, s.StopReason)
 }
 
@@ -286,21 +286,21 @@
 	})
 }
 
-// TestInterleavings: whatever comes in whatever order, never more is out than the budget, no life is told twice
-// or begun beside another, none told to leave is without a time limit, results never change, and every command
+// TestInterleavings: whatever comes in whatever order, never more is in progress than allowed, no incarnation is notified
+// twice or launched beside another, none that was notified is without a deadline, results never change, and every command
 // ends with exactly one an instance.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		groups, each := rapid.IntRange(1, 2).Draw(t, "groups"), rapid.IntRange(1, 4).Draw(t, "each")
 		spares := rapid.IntRange(0, 1).Draw(t, "spares")
-		wave := fmt.Sprintf("(width %d) (least-share %v) (surge %d) (failures %d) (stall 8s) (order %s)",
+		update := fmt.Sprintf("(width %d) (least-share %v) (surge %d) (failures %d) (stall 8s) (order %s)",
 			rapid.IntRange(1, 3).Draw(t, "width"), rapid.SampledFrom([]float64{0, 0.5, 0.75, 1}).Draw(t, "least"),
 			spares, rapid.IntRange(0, 2).Draw(t, "failures"), rapid.SampledFrom([]string{"file", "name", "spread"}).Draw(t, "order"))
-		w := newHost(t, readTestSpec(t, groupsOf(groups, each, spares, wave)))
+		w := newHost(t, readTestSpec(t, groupsOf(groups, each, spares, update)))
 		rnd := newRandom(rapid.Uint64().Draw(t, "seed"))
 		first := map[string]map[string]Result{}
 		out := map[string]bool{}
-		w.check = func(steps []Action) { invariants(t, w, steps, first, out) }
+		w.check = func(actions []Action) { checkInvariants(t, w, actions, first, out) }
 		w.dropAction = func(Action) bool { return rnd.IntN(10) == 0 }
 		blind := func(string) bool { return rnd.IntN(5) == 0 }
 		startAll(w)
@@ -314,7 +314,7 @@
 				_ = w.command(fmt.Sprint("c", orders), kind, Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
 			},
 			"steer": func(t *rapid.T) {
-				verb := rapid.SampledFrom([]string{"pause", "resume", "cancel"}).Draw(t, "verb")
+				verb := rapid.SampledFrom([]Verb{VerbPause, VerbResume, VerbCancel}).Draw(t, "verb")
 				_ = w.apply(CommandControl{fmt.Sprint("c", rapid.IntRange(1, orders+1).Draw(t, "id")), verb, "test"})
 			},
 			"die": func(t *rapid.T) {
@@ -323,16 +323,16 @@
 					l.exit(Exit{Code: 1})
 				}
 			},
-			"keeper dies": func(t *rapid.T) { w.fakes[rapid.SampledFrom(names).Draw(t, "name")].supervised = false },
-			"deaf": func(t *rapid.T) {
+			"supervisor dies": func(t *rapid.T) { w.fakes[rapid.SampledFrom(names).Draw(t, "name")].supervised = false },
+			"unresponsive": func(t *rapid.T) {
 				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
 				l.unresponsive = !l.unresponsive
 			},
-			"ill": func(t *rapid.T) {
+			"never ready": func(t *rapid.T) {
 				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
 				l.neverReady = !l.neverReady
 			},
-			"late word": func(*rapid.T) { // of a life that is over, or that has no more to say
+			"late observation": func(*rapid.T) { // of an incarnation that is over
 				for _, s := range w.pastObservations {
 					if l := w.fakes[s.Name]; s.Observation.Incarnation != l.incarnation && rnd.IntN(3) == 0 {
 						_ = w.apply(s)
@@ -354,20 +354,21 @@
 		}
 		for _, n := range names {
 			if in, _ := w.m.Instance(n); !in.DesiredUp && w.fakes[n].alive {
-				t.Fatalf("%s is not wanted and lives: %+v", n, in)
+				t.Fatalf("%s is not desired up and runs: %+v", n, in)
 			}
 		}
 	})
 }
 
-func invariants(t *rapid.T, w *simulatedHost, steps []Action, first map[string]map[string]Result, out map[string]bool) {
+// checkInvariants holds the actions and the state after them against what must be true at all times.
+func checkInvariants(t *rapid.T, w *simulatedHost, actions []Action, first map[string]map[string]Result, out map[string]bool) {
 	for _, n := range w.m.Names() {
 		in, _ := w.m.Instance(n)
 		if in.NoticeID != "" && in.PhaseDeadline == 0 {
-			t.Fatalf("%s was told to leave and has no time limit: %+v", n, in)
+			t.Fatalf("%s was notified and has no deadline: %+v", n, in)
 		}
 		if in.Incarnation == "" && !in.Phase.Down() {
-			t.Fatalf("%s is %s without a life", n, in.Phase)
+			t.Fatalf("%s is %s without an incarnation", n, in.Phase)
 		}
 	}
 	for _, c := range w.m.Commands() {
@@ -382,7 +383,7 @@
 			delete(out, c.ID+" "+n)
 		}
 	}
-	for _, s := range steps {
+	for _, s := range actions {
 		in, _ := w.m.Instance(s.Name)
 		c := w.m.Command(in.CommandID)
 		if s.Kind != ActionNotify || c == nil || c.Kind != KindRollingUpdate || !in.DesiredUp || in.GiveUpReason != "" || s.Cause == "again" {
@@ -430,7 +431,7 @@
 	}
 }
 
-// BenchmarkPlan is one planning step of a wave over all instances of a host, with nothing else to do.
+// BenchmarkPlan is one planning step of a rolling update over all instances of a host, with nothing else to do.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{60, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/fleet/simulated_host_test.go
+++ b/internal/fleet/simulated_host_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 
 	"milletbarrow/internal/limits"
 )
@@ -40,7 +41,7 @@
 	startupTime      Micros
 	crashNext        bool // the agent dies between writing down and acting
 	host             string
-	pastObservations []InstanceObserved // what was seen before, some of it of lives that are over
+	pastObservations []InstanceObserved // earlier ones, some of incarnations that are over
 }
 
 func readTestSpec(t tester, text string) *Spec {
@@ -75,18 +76,18 @@
 
 // apply hands the machine an event, writes down what it must, and carries the actions out.
 func (w *simulatedHost) apply(ev Event) error {
-	steps, _, err := w.m.Decide(w.now, ev)
-	steps = append([]Action(nil), steps...)
+	actions, _, err := w.m.Decide(w.now, ev)
+	actions = slices.Clone(actions)
 	w.save()
 	if w.check != nil {
-		w.check(steps)
+		w.check(actions)
 	}
 	if w.crashNext {
 		w.crashNext = false
 		w.restart()
 		return err
 	}
-	for _, s := range steps {
+	for _, s := range actions {
 		if w.dropAction == nil || !w.dropAction(s) {
 			w.execute(s)
 		}
@@ -143,7 +144,7 @@
 			return
 		}
 		if l.alive {
-			w.t.Fatalf("%s is launched by %s while its life %s goes on", s.Name, s.ID, l.incarnation)
+			w.t.Fatalf("%s is launched by %s while its incarnation %s runs", s.Name, s.ID, l.incarnation)
 		}
 		w.launches[s.Name]++
 		*l = fakeInstance{alive: true, supervised: true, incarnation: s.Incarnation, since: w.now, unresponsive: l.unresponsive, neverReady: l.neverReady}
@@ -153,7 +154,7 @@
 		}
 		w.executed[s.ID] = true
 		if l.noticeID != "" && l.noticeID != s.ID {
-			w.t.Fatalf("%s was told by %s and again by %s in one life", s.Name, l.noticeID, s.ID)
+			w.t.Fatalf("%s was notified by %s and again by %s in one incarnation", s.Name, l.noticeID, s.ID)
 		}
 		l.noticeID, l.notifiedAt = s.ID, w.now
 	case ActionKill:
@@ -255,7 +256,7 @@
 }
 
 // groupsOf writes a fleet of some groups of so many instances on one host.
-func groupsOf(groups, each, spares int, wave string) string {
+func groupsOf(groups, each, spares int, update string) string {
 	text := `(fleet f (host h1 (agent "unix:/tmp/h1"))`
 	for g := range groups {
 		text += fmt.Sprintf(` (group g%d (config "%%n.json") (start-within 5s) (settle 1s) (range g%d-n 1 %d)`, g, g, each)
@@ -268,7 +269,7 @@
 		}
 		text += ")"
 	}
-	return text + " (wave " + wave + "))"
+	return text + " (wave " + update + "))"
 }
 
 func startAll(w *simulatedHost) {
