--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -126,3 +126,24 @@
 	}
 	s.rests(t, 1)
 }
+
+// TestCloseWithAWriterWaiting: a connection is to close while a goroutine waits for its socket to take answers, with nothing
+// else pending. It stays open for writing until they are written, and the peer reads them all.
+func TestCloseWithAWriterWaiting(t *testing.T) {
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) {
+		b.Unsent, b.UnsentAll, b.Linger = 64<<20, 64<<20, time.Minute
+	})
+	n := fakes.Dial(t, s.address)
+	c := s.only(t)
+	const length = 32 << 20 // more than the sockets of both sides hold
+	c.send(func(to []byte) []byte { return append(to, make([]byte, length)...) })
+	fakes.Until(t, "a writer waits with nothing else pending", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return c.writing && len(c.pending) == 0
+	})
+	c.closeWhenAnswered()
+	if read, err := io.Copy(io.Discard, n.Conn); err != nil || read != length {
+		t.Errorf("read %d of %d bytes, then %v", read, length, err)
+	}
+}
