--- a/internal/cluster/quotastore/eligibility.go
+++ b/internal/cluster/quotastore/eligibility.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"net"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -14,7 +15,7 @@
 	"milletbarrow/internal/cluster/transport"
 )
 
-// layer has the consensus library speak over the agents' own conversations. Addresses are names of hosts.
+// streamLayer has the consensus library speak over the streams between agents. Addresses are names of hosts.
 type streamLayer struct {
 	net.Listener
 	net *transport.Transport
@@ -26,34 +27,55 @@
 	return l.net.Dial(ctx, transport.KindRaft, string(to))
 }
 
-// careful holds a member whose log is not as far as it has to be from standing for election, and from voting for others
+// eligibilityTransport holds a member whose log is not as far as it has to be from standing for election, and from voting for others
 // whose log is not either; see package quorum.
 type eligibilityTransport struct {
 	*raft.NetworkTransport
 	eligibility quorum.Eligibility
 	eligible    atomic.Bool
 	calls       chan raft.RPC
+	done        chan struct{} // closed by Close
+	closing     sync.Once
 	lastLog     func() (term, index uint64)
 }
 
 var errIneligible = errors.New("this member's log is not as far as it has to be to take part")
 
 func newEligibilityTransport(t *raft.NetworkTransport, fit quorum.Eligibility, log func() (term, index uint64)) *eligibilityTransport {
-	c := &eligibilityTransport{NetworkTransport: t, eligibility: fit, calls: make(chan raft.RPC), lastLog: log}
+	c := &eligibilityTransport{NetworkTransport: t, eligibility: fit, calls: make(chan raft.RPC), done: make(chan struct{}), lastLog: log}
 	c.eligible.Store(!fit.Behind)
-	go func() {
-		for call := range t.Consumer() {
+	go c.filter()
+	return c
+}
+
+// filter hands on the calls that this member may handle. It ends with Close.
+func (c *eligibilityTransport) filter() {
+	for {
+		select {
+		case call := <-c.NetworkTransport.Consumer():
 			if !c.satisfied() && !c.mayHandle(call.Command) {
 				call.Respond(nil, errIneligible)
 				continue
 			}
-			c.calls <- call
+			select {
+			case c.calls <- call:
+			case <-c.done:
+				call.Respond(nil, raft.ErrTransportShutdown)
+				return
+			}
+		case <-c.done:
+			return
 		}
-	}()
-	return c
+	}
+}
+
+// Close ends the transport; the consensus library calls it as it shuts down.
+func (c *eligibilityTransport) Close() error {
+	c.closing.Do(func() { close(c.done) })
+	return c.NetworkTransport.Close()
 }
 
-// reached tells whether the log is far enough by now.
+// satisfied tells whether the log is far enough by now.
 func (c *eligibilityTransport) satisfied() bool {
 	if c.eligible.Load() {
 		return true
@@ -93,7 +115,7 @@
 	return c.NetworkTransport.RequestPreVote(id, to, q, a)
 }
 
-// machine is the ledger as the library drives it.
+// stateMachine is the state as the library drives it.
 type stateMachine struct{ store *Store }
 
 func (m stateMachine) Apply(l *raft.Log) any { return m.store.apply(l.Data) }
@@ -108,7 +130,7 @@
 	return m.store.restore(from)
 }
 
-// saved is a ledger written out.
+// encodedState is a snapshot.
 type encodedState []byte
 
 func (s encodedState) Persist(to raft.SnapshotSink) error {
