--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -61,15 +62,16 @@
 	}
 }
 
+// runAgent is the action of the agent sub-command. It returns after SIGTERM, SIGINT or a failure of the API.
 func runAgent(ctx context.Context, c *cli.Command) error {
 	end, err := startLog(c)
 	if err != nil {
 		return err
 	}
 	defer end()
-	hangup, notice := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	hangup, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
-	signal.Notify(notice, syscall.SIGTERM, os.Interrupt)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 	spec, err := readFleet(c)
 	if err != nil {
 		return err
@@ -82,82 +84,131 @@
 	if err != nil {
 		return unusable(err)
 	}
-	self, err := os.Executable()
+	runtime.GOMAXPROCS(maxAgentProcessors)
+	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error like a full disk, and no end
+	store, err := openAgentStore(dir, limits.ForControl().History, c.Bool("record-anew"))
+	if err != nil {
+		return unusable(err)
+	}
+	defer func() { _ = store.Close() }() // each change is on the disk already
+	p, err := newAgentProcess(spec, host, dir, store, c.Bool("trust-directory"))
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(2)
-	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error like a full disk, and no end
-	b := limits.ForControl()
-	store, err := agentstore.Open(dir, b.History)
-	if errors.Is(err, agentstore.ErrCorrupt) && c.Bool("record-anew") {
-		var aside string
-		if aside, err = agentstore.SetAside(dir, time.Now()); err == nil {
-			slog.Warn("record", "set_aside", aside)
-			store, err = agentstore.Open(dir, b.History)
-		}
+	slog.Info("agent", "fleet", spec.Name, "host", host.Name, "listen", host.AgentAddress, "instances", len(spec.InstancesOn(host.Name)))
+	p.run(ctx, terminate, hangup, func() (*fleet.Spec, error) { return readFleet(c) })
+	slog.Info("agent_end", "why", "told to; the instances go on")
+	return nil
+}
+
+// maxAgentProcessors leaves the host's processors to its instances.
+const maxAgentProcessors = 2
+
+// openAgentStore opens the durable state; setAside has a damaged one moved away and a new one begun.
+func openAgentStore(dir string, historyLimit int, setAside bool) (agentstore.Store, error) {
+	store, err := agentstore.Open(dir, historyLimit)
+	if !setAside || !errors.Is(err, agentstore.ErrCorrupt) {
+		return store, err
 	}
+	path, err := agentstore.SetAside(dir, time.Now())
 	if err != nil {
-		return unusable(err)
+		return nil, err
+	}
+	slog.Warn("record", "set_aside", path)
+	return agentstore.Open(dir, historyLimit)
+}
+
+// agentProcess is the agent of a host with what it runs beside its loop.
+type agentProcess struct {
+	agent    *agent.Agent
+	node     *node.Node // nil: the fleet has no quotas
+	listener net.Listener
+	bounds   limits.Control
+}
+
+func newAgentProcess(
+	spec *fleet.Spec, host *fleet.HostSpec, dir string, store agentstore.Store, trustDir bool,
+) (*agentProcess, error) {
+	p := &agentProcess{bounds: limits.ForControl()}
+	executable, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	options := agent.Options{
+		Spec: spec, Host: host.Name, Dir: dir, Executable: []string{executable}, Build: version(),
+		Seed: uint64(process.Now()), Bounds: p.bounds, Store: store,
 	}
-	defer store.Close()
-	var joined *node.Node
-	var shares agent.Cluster
 	if spec.Quotas != nil {
-		joined, err = node.Open(node.Config{Spec: spec, Host: host.Name, Dir: dir, TrustDir: c.Bool("trust-directory"), Bounds: b})
-		if err != nil {
-			return unusable(err)
+		config := node.Config{Spec: spec, Host: host.Name, Dir: dir, TrustDir: trustDir, Bounds: p.bounds}
+		if p.node, err = node.Open(config); err != nil {
+			return nil, unusable(err)
 		}
-		shares = joined
+		options.Cluster = p.node
 	}
-	l, err := agentapi.Listen(host.AgentAddress)
-	if err != nil {
-		return unusable(err)
+	if p.listener, err = agentapi.Listen(host.AgentAddress); err != nil {
+		return nil, unusable(err)
 	}
-	a, err := agent.New(agent.Options{
-		Spec: spec, Host: host.Name, Dir: dir, Executable: []string{self}, Build: version(), Seed: uint64(process.Now()),
-		Bounds: b, Store: store, Cluster: shares,
-	})
-	if err != nil {
-		l.Close()
-		return unusable(err)
+	if p.agent, err = agent.New(options); err != nil {
+		_ = p.listener.Close()
+		return nil, unusable(err)
 	}
+	return p, nil
+}
+
+// run manages the instances until terminate or a failure of the API, and returns when all that it started has ended.
+func (p *agentProcess) run(
+	ctx context.Context, terminate, hangup <-chan os.Signal, readSpec func() (*fleet.Spec, error),
+) {
 	ctx, cancel := context.WithCancel(ctx)
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
 	defer cancel()
-	slog.Info("agent", "fleet", spec.Name, "host", host.Name, "listen", host.AgentAddress, "instances", len(spec.InstancesOn(host.Name)))
-	var sharing sync.WaitGroup
-	defer sharing.Wait()
-	defer cancel()
-	if joined != nil {
-		sharing.Go(func() {
-			if err := joined.Run(ctx); err != nil { // the instances are managed all the same
+	if p.node != nil {
+		tasks.Go(func() {
+			if err := p.node.Run(ctx); err != nil { // the instances are managed all the same
 				slog.Error("ledger", "stage", "ended", "error", err.Error())
 			}
 		})
 	}
-	broken := make(chan error, 1)
-	go func() { broken <- agentapi.Serve(ctx, l, a, b) }()
-	go func() {
-		for range hangup {
-			later, err := readFleet(c)
-			if err == nil {
-				err = a.Reload(later)
-			}
-			if err == nil && joined != nil {
-				joined.UpdateAddresses(later)
-			}
-			slog.Info("reload", "used", err == nil, "error", fmt.Sprint(err))
-		}
-	}()
-	go func() {
-		select {
-		case <-notice:
-		case err := <-broken:
+	tasks.Go(func() {
+		err := agentapi.Serve(ctx, p.listener, p.agent, p.bounds)
+		if ctx.Err() == nil {
 			slog.Error("control", "error", fmt.Sprint(err))
 		}
 		cancel()
-	}()
-	a.Run(ctx)
-	slog.Info("agent_end", "why", "told to; the instances go on")
+	})
+	tasks.Go(func() {
+		select {
+		case <-terminate:
+			cancel()
+		case <-ctx.Done():
+		}
+	})
+	tasks.Go(func() {
+		for {
+			select {
+			case <-hangup:
+				err := p.reload(readSpec)
+				slog.Info("reload", "used", err == nil, "error", fmt.Sprint(err))
+			case <-ctx.Done():
+				return
+			}
+		}
+	})
+	p.agent.Run(ctx)
+}
+
+// reload uses the fleet file as it is now.
+func (p *agentProcess) reload(readSpec func() (*fleet.Spec, error)) error {
+	spec, err := readSpec()
+	if err != nil {
+		return err
+	}
+	if err := p.agent.Reload(spec); err != nil {
+		return err
+	}
+	if p.node != nil {
+		p.node.UpdateAddresses(spec)
+	}
 	return nil
 }
