--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -91,7 +91,7 @@
 	if is("talks") {
 		go func() {
 			for line := strings.Repeat("x", 1000) + "\n"; ; time.Sleep(50 * time.Microsecond) {
-				os.Stderr.WriteString(line)
+				_, _ = os.Stderr.WriteString(line)
 			}
 		}()
 	}
@@ -110,13 +110,15 @@
 			leave(0)
 		}
 	}()
-	go admin.Serve(context.Background(), socket, limits.ForControl(), admin.Instance{State: func() admin.State {
-		s := admin.State{Ready: !is("never"), PID: os.Getpid()}
-		if at := heard.Load(); at != 0 {
-			s.Ready, s.Draining, s.GraceEnds = false, true, at+grace.Microseconds()
-		}
-		return s
-	}, Leave: leave, Pin: func(admin.Pin) error { return nil }})
+	go func() {
+		_ = admin.Serve(context.Background(), socket, limits.ForControl(), admin.Instance{State: func() admin.State {
+			s := admin.State{Ready: !is("never"), PID: os.Getpid()}
+			if at := heard.Load(); at != 0 {
+				s.Ready, s.Draining, s.GraceEnds = false, true, at+grace.Microseconds()
+			}
+			return s
+		}, Leave: leave, Pin: func(admin.Pin) error { return nil }})
+	}()
 	for {
 		if at := heard.Load(); at != 0 {
 			if is("dies") {
@@ -130,8 +132,8 @@
 	}
 }
 
-// house is a directory with an agent in it, which may come and go.
-type house struct {
+// testHost is the directory of an agent, which may end and start again.
+type testHost struct {
 	t      testing.TB
 	dir    string
 	spec   *fleet.Spec
@@ -143,12 +145,12 @@
 	file   string
 }
 
-func newHouse(t testing.TB, names ...string) *house {
+func newTestHost(t testing.TB, names ...string) *testHost {
 	dir, err := os.MkdirTemp("", "mb")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &house{t: t, dir: dir, names: names, file: filepath.Join(dir, "f")}
+	h := &testHost{t: t, dir: dir, names: names, file: filepath.Join(dir, "f")}
 	t.Cleanup(h.clear)
 	for i, n := range names {
 		text := strings.NewReplacer(`"drain_grace_ms":300`, `"drain_grace_ms":300`).Replace(fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:%d",
@@ -162,7 +164,7 @@
 	return h
 }
 
-func (h *house) read(names ...string) *fleet.Spec {
+func (h *testHost) read(names ...string) *fleet.Spec {
 	text := fmt.Sprintf(`(fleet f (host h1 (agent "unix:%s/a.sock")) (group g (config "%%n.json") (start-within 1s) (settle 50ms)
 		(restart (most 2) (within 30s)) (instances %s)) (wave (width 1) (least-share 0)))`, h.dir, strings.Join(names, " "))
 	s, err := fleet.ReadSpec(h.file, []byte(text), limits.ForControl())
@@ -173,12 +175,12 @@
 }
 
 // clear ends what runs here, by the identities that keepers wrote down.
-func (h *house) clear() {
+func (h *testHost) clear() {
 	h.leave()
 	for range 2 {
 		for _, n := range h.names {
 			if s, err := supervisor.ReadState(supervisor.PathsOf(h.dir, n).State); err == nil {
-				s.Instance.KillGroup()
+				_ = s.Instance.KillGroup()
 				s.Supervisor.Signal(syscall.SIGKILL)
 			}
 		}
@@ -188,7 +190,7 @@
 }
 
 // enter starts an agent; wrap may put something between it and its store.
-func (h *house) enter(wrap func(agentstore.Store) agentstore.Store) {
+func (h *testHost) enter(wrap func(agentstore.Store) agentstore.Store) {
 	h.t.Helper()
 	b := limits.ForControl()
 	var err error
@@ -213,7 +215,7 @@
 }
 
 // leave ends the agent, if there is one; instances go on.
-func (h *house) leave() {
+func (h *testHost) leave() {
 	if h.cancel != nil {
 		h.cancel()
 		<-h.ended
@@ -222,7 +224,7 @@
 	}
 }
 
-func (h *house) order(id string, kind fleet.CommandKind, names ...string) (*fleet.Command, error) {
+func (h *testHost) order(id string, kind fleet.CommandKind, names ...string) (*fleet.Command, error) {
 	if len(names) == 0 {
 		names = h.names
 	}
@@ -233,8 +235,16 @@
 	return h.agent.Submit(o)
 }
 
+// mustOrder submits a command that has to be accepted.
+func (h *testHost) mustOrder(id string, kind fleet.CommandKind, names ...string) {
+	h.t.Helper()
+	if _, err := h.order(id, kind, names...); err != nil {
+		h.t.Fatalf("%s: %v", id, err)
+	}
+}
+
 // result waits for a command's end.
-func (h *house) result(id string) *fleet.Command {
+func (h *testHost) result(id string) *fleet.Command {
 	h.t.Helper()
 	var c *fleet.Command
 	fakes.Until(h.t, "the end of "+id, func() bool {
@@ -244,7 +254,7 @@
 	return c
 }
 
-func (h *house) outcomes(tr *fakes.Trace, id string) {
+func (h *testHost) outcomes(tr *fakes.Trace, id string) {
 	c := h.result(id)
 	for _, n := range c.Names {
 		r := c.Results[n]
@@ -255,7 +265,7 @@
 // TestTroubles: what becomes of instances that are ill in each way, as real processes.
 func TestTroubles(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	h := newHouse(t, "well", "deaf", "dies", "never", "crashes", "talks")
+	h := newTestHost(t, "well", "deaf", "dies", "never", "crashes", "talks")
 	h.enter(nil)
 	if _, err := h.order("up", fleet.KindStart); err != nil {
 		t.Fatal(err)
@@ -273,14 +283,14 @@
 	}
 }
 
-// TestBoundaries: the agent dies at every place between writing down and acting, before and after each write. The
+// TestCrashAtEveryWrite: the agent dies at every place between writing down and acting, before and after each write. The
 // next one finishes what was begun: every instance has the lives that the commands ask for, and no more.
-func TestBoundaries(t *testing.T) {
+func TestCrashAtEveryWrite(t *testing.T) {
 	for n := 1; n <= 14; n++ {
 		for _, after := range []bool{false, true} {
 			t.Run(fmt.Sprintf("write%d/done=%t", n, after), func(t *testing.T) {
 				t.Parallel()
-				h := newHouse(t, "a", "b")
+				h := newTestHost(t, "a", "b")
 				died := make(chan struct{})
 				h.enter(func(s agentstore.Store) agentstore.Store {
 					return &dying{Store: s, left: n, after: after, died: died}
@@ -346,7 +356,7 @@
 		return d.Store.Save(c)
 	}
 	if d.after {
-		d.Store.Save(c)
+		_ = d.Store.Save(c) // the agent dies before it learns of an error
 	}
 	close(d.died)
 	runtime.Goexit() // the loop ends here, with its steps in hand
@@ -366,14 +376,14 @@
 	return f.Store.Save(c)
 }
 
-// TestDiskFull: nothing new is taken, what leaves goes on leaving, the error is clear, and it heals.
-func TestDiskFull(t *testing.T) {
-	h := newHouse(t, "a", "b")
+// TestFullDisk: nothing new is taken, what leaves goes on leaving, the error is clear, and it heals.
+func TestFullDisk(t *testing.T) {
+	h := newTestHost(t, "a", "b")
 	disk := &full{}
 	h.enter(func(s agentstore.Store) agentstore.Store { disk.Store = s; return disk })
-	h.order("up", fleet.KindStart)
+	h.mustOrder("up", fleet.KindStart)
 	h.result("up")
-	h.order("down", fleet.KindDrain, "a")
+	h.mustOrder("down", fleet.KindDrain, "a")
 	disk.fails.Store(true)
 	_, err := h.order("more", fleet.KindDrain, "b")
 	var refused *agentapi.StatusError
@@ -399,12 +409,12 @@
 	}
 }
 
-// TestKeeperDies: with its instance serving, another takes over and nobody leaves; in the middle of a drain, the
+// TestSupervisorDies: with its instance serving, another takes over and nobody leaves; in the middle of a drain, the
 // next one knows of the notice; with the agent away, the instance still leaves.
-func TestKeeperDies(t *testing.T) {
-	h := newHouse(t, "a", "deaf")
+func TestSupervisorDies(t *testing.T) {
+	h := newTestHost(t, "a", "deaf")
 	h.enter(nil)
-	h.order("up", fleet.KindStart)
+	h.mustOrder("up", fleet.KindStart)
 	h.result("up")
 	state := func(n string) supervisor.State {
 		s, err := supervisor.ReadState(supervisor.PathsOf(h.dir, n).State)
@@ -420,7 +430,7 @@
 	if s := state("a"); s.Instance != before.Instance || s.NotifiedStep != "" {
 		t.Fatalf("%+v became %+v", before, s)
 	}
-	h.order("down", fleet.KindDrain)
+	h.mustOrder("down", fleet.KindDrain)
 	fakes.Until(t, "the notice is written down", func() bool { return state("deaf").NotifiedStep != "" && state("a").NotifiedStep != "" })
 	state("deaf").Supervisor.Signal(syscall.SIGKILL)
 	state("a").Supervisor.Signal(syscall.SIGKILL)
@@ -433,13 +443,13 @@
 	}
 }
 
-// TestAgentAway: an instance told to leave leaves in its window though the agent and all commands are gone.
-func TestAgentAway(t *testing.T) {
-	h := newHouse(t, "a", "deaf")
+// TestDrainWithoutAgent: an instance told to leave leaves in its window though the agent and all commands are gone.
+func TestDrainWithoutAgent(t *testing.T) {
+	h := newTestHost(t, "a", "deaf")
 	h.enter(nil)
-	h.order("up", fleet.KindStart)
+	h.mustOrder("up", fleet.KindStart)
 	h.result("up")
-	h.order("down", fleet.KindDrain)
+	h.mustOrder("down", fleet.KindDrain)
 	fakes.Until(t, "the notices are out", func() bool {
 		a, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
 		d, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "deaf").State)
@@ -462,7 +472,7 @@
 // order that can't be, all over the agent's socket.
 func TestTools(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	h := newHouse(t, "a", "b")
+	h := newTestHost(t, "a", "b")
 	h.enter(nil)
 	b := limits.ForControl()
 	l, err := agentapi.Listen("unix:" + h.dir + "/a.sock")
@@ -471,7 +481,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go agentapi.Serve(ctx, l, h.agent, b)
+	go func() { _ = agentapi.Serve(ctx, l, h.agent, b) }()
 	caller := agentapi.NewClientFactory(b, 1)
 	client := caller.Client("unix:" + h.dir + "/a.sock")
 	defer client.Close()
@@ -540,11 +550,11 @@
 	}
 }
 
-// TestRecordLost: a damaged record is refused by name; set aside, what runs is adopted as it is.
-func TestRecordLost(t *testing.T) {
-	h := newHouse(t, "a", "b")
+// TestDamagedStore: a damaged record is refused by name; set aside, what runs is adopted as it is.
+func TestDamagedStore(t *testing.T) {
+	h := newTestHost(t, "a", "b")
 	h.enter(nil)
-	h.order("up", fleet.KindStart)
+	h.mustOrder("up", fleet.KindStart)
 	h.result("up")
 	was, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
 	h.leave()
@@ -562,7 +572,7 @@
 		s := h.agent.Status()
 		return s.Instances[0].Phase == fleet.PhaseReady && s.Instances[1].Phase == fleet.PhaseReady && s.Instances[0].DesiredUp
 	})
-	h.order("again", fleet.KindRestart, "a")
+	h.mustOrder("again", fleet.KindRestart, "a")
 	h.result("again")
 	if s, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State); s.Run == was.Run || s.Instance == was.Instance {
 		t.Errorf("%+v after %+v", s, was)
@@ -571,10 +581,10 @@
 
 // TestReload: a changed file adds instances and is not used where it no longer names what runs.
 func TestReload(t *testing.T) {
-	h := newHouse(t, "a", "b", "c")
+	h := newTestHost(t, "a", "b", "c")
 	h.spec = h.read("a", "b")
 	h.enter(nil)
-	h.order("up", fleet.KindStart, "a", "b")
+	h.mustOrder("up", fleet.KindStart, "a", "b")
 	h.result("up")
 	if err := h.agent.Reload(h.read("a", "c")); err == nil || !strings.Contains(err.Error(), "b runs") {
 		t.Fatalf("%v", err)
@@ -582,7 +592,7 @@
 	if err := h.agent.Reload(h.read("a", "b", "c")); err != nil {
 		t.Fatal(err)
 	}
-	h.order("more", fleet.KindStart, "a", "b", "c")
+	h.mustOrder("more", fleet.KindStart, "a", "b", "c")
 	c := h.result("more")
 	if c.Results["c"].Outcome != fleet.OutcomeSucceeded || c.Results["a"].Outcome == fleet.OutcomeFailed {
 		raw, _ := json.Marshal(c)
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -38,7 +38,7 @@
 // newIdleAgent makes an agent of instances a and b whose loop does not run.
 func newIdleAgent(t *testing.T, store *memoryStore) (*Agent, error) {
 	t.Helper()
-	h := newHouse(t, "a", "b")
+	h := newTestHost(t, "a", "b")
 	return New(Options{
 		Spec: h.spec, Host: "h1", Dir: h.dir, Executable: []string{filepath.Join(h.dir, "no-such-program")},
 		Build: "test", Bounds: limits.ForControl(), Store: store,
