--- a/cmd/milletbarrow/check.go
+++ b/cmd/milletbarrow/check.go
@@ -14,7 +14,7 @@
 	return &cli.Command{
 		Name: "check", Usage: "tell whether a configuration can be used, without starting",
 		Flags: []cli.Flag{configFlag()},
-		Action: func(ctx context.Context, c *cli.Command) error {
+		Action: func(_ context.Context, c *cli.Command) error {
 			b, err := configuration(c)
 			if err == nil {
 				fmt.Printf("%s: can be used%s\n", b.Name, unused(b))
@@ -35,7 +35,7 @@
 func limitsCommand() *cli.Command {
 	return &cli.Command{
 		Name: "limits", Usage: "print the bounds that follow from a configuration", Flags: []cli.Flag{configFlag()},
-		Action: func(ctx context.Context, c *cli.Command) error {
+		Action: func(_ context.Context, c *cli.Command) error {
 			b, err := configuration(c)
 			if err == nil {
 				fmt.Printf("%+v\n", bounds(b))
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -77,7 +77,7 @@
 			if err != nil {
 				return unusable(err)
 			}
-			defer in.Close()
+			defer func() { _ = in.Close() }() // only read from
 			trace, err := degradation.ReadTrace(c.Args().Get(1), in)
 			if err == nil && len(trace) == 0 {
 				err = fmt.Errorf("%s: no reading", c.Args().Get(1))
--- a/cmd/milletbarrow/degradation_bench_test.go
+++ b/cmd/milletbarrow/degradation_bench_test.go
@@ -108,10 +108,10 @@
 	for _, w := range []billed{{"ladder", steadyLadder, true}, {"no hysteresis", nervousLadder, true}, {"rank alone", "", true}, {"neither", "", false}} {
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
-			var backends []*backend
-			var crews []*fakes.Crew
-			var loads []*fakes.Load
-			for range 8 {
+			const many = 8
+			backends, crews := make([]*backend, 0, many), make([]*fakes.Crew, 0, many)
+			loads := make([]*fakes.Load, 0, many)
+			for range many {
 				b, c := w.serve(t)
 				backends, crews = append(backends, b), append(crews, c)
 			}
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -114,7 +114,7 @@
 			if err != nil {
 				return unusable(err)
 			}
-			defer place.Close()
+			defer func() { _ = place.Close() }() // each result is written before the run goes on
 			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			began := time.Now()
@@ -286,7 +286,7 @@
 	if err != nil {
 		return unusable(err)
 	}
-	defer os.Remove(f.Name())
+	defer func() { _ = os.Remove(f.Name()) }() // where it became the plot it is gone
 	switch what {
 	case "sweep":
 		err = plot.Curves(f, title, x.Over, m.Name, experiment.Curves(cells, results, scenario, m), format)
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math"
 	"os"
@@ -96,8 +97,8 @@
 				if err != nil {
 					return unusable(err)
 				}
-				defer f.Close()
-				if err := plot.Curves(f, "seconds on one core of this machine, "+x.Scenarios[0].Name, "hosts", "seconds", append(drawn, guide), format); err != nil {
+				err = plot.Curves(f, "seconds on one core of this machine, "+x.Scenarios[0].Name, "hosts", "seconds", append(drawn, guide), format)
+				if err := errors.Join(err, f.Close()); err != nil {
 					return err
 				}
 			}
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -110,7 +110,7 @@
 		}
 		fmt.Fprintln(w)
 	}
-	w.Flush()
+	_ = w.Flush() // standard output: nowhere else to say so
 }
 
 // orderOf is the command that the flags ask for.
@@ -138,7 +138,7 @@
 
 // counted puts counts into words, in order.
 func counted(counts map[fleet.Outcome]int) string {
-	var words []string
+	words := make([]string, 0, len(counts))
 	for _, o := range slices.Sorted(maps.Keys(counts)) {
 		words = append(words, fmt.Sprintf("%s %d", o, counts[o]))
 	}
--- a/cmd/milletbarrow/fleet_bench_test.go
+++ b/cmd/milletbarrow/fleet_bench_test.go
@@ -68,7 +68,9 @@
 		b.StopTimer()
 		h.untilAll(fleet.PhaseExited)
 		for _, at := range h.heard(b) {
-			h1.RecordValue(at.Sub(began).Microseconds())
+			if err := h1.RecordValue(at.Sub(began).Microseconds()); err != nil {
+				b.Fatal(err)
+			}
 		}
 		h.must("start", "--all", "--quiet", "--within", "60s")
 		b.StartTimer()
@@ -93,7 +95,9 @@
 			s, err := c.Status(context.Background())
 			return err == nil && !slices.ContainsFunc(s.Instances, func(in agentapi.Instance) bool { return in.Phase != fleet.PhaseReady })
 		})
-		h1.RecordValue(time.Since(began).Microseconds())
+		if err := h1.RecordValue(time.Since(began).Microseconds()); err != nil {
+			b.Fatal(err)
+		}
 	}
 	b.ReportMetric(float64(h1.ValueAtQuantile(50))/1000, "ms-p50")
 	b.ReportMetric(float64(h1.Max())/1000, "ms-max")
@@ -108,7 +112,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var keepers []process.Identity
+	keepers := make([]process.Identity, 0, len(h.names))
 	for _, n := range h.names {
 		l, err := h.life(n)
 		if err != nil {
--- a/cmd/milletbarrow/fleet_check.go
+++ b/cmd/milletbarrow/fleet_check.go
@@ -16,7 +16,7 @@
 		Name: "check", Usage: "tell whether a fleet's file can be used, and with --configs those that it names",
 		Description: "Examples:\n   milletbarrow fleet check --fleet fleet.sx\n   milletbarrow fleet check --fleet fleet.sx --configs --json",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag(), &cli.BoolFlag{Name: "configs", Usage: "read the instances' configurations too"}},
-		Action: func(ctx context.Context, c *cli.Command) error {
+		Action: func(_ context.Context, c *cli.Command) error {
 			s, err := readFleet(c)
 			if err != nil {
 				return err
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -45,7 +45,7 @@
 	h := &hosts{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), crews: map[string]*fakes.Crew{}, at: map[string]string{}}
 	t.Cleanup(h.clear)
 	roster, _ := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	var taken []net.Listener
+	taken := make([]net.Listener, 0, many)
 	for n := range many {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -88,7 +88,7 @@
 	for range 2 { // a keeper that was just starting its instance writes it down before it begins
 		for _, n := range h.names {
 			if s, err := h.life(n); err == nil {
-				s.Instance.KillGroup()
+				_ = s.Instance.KillGroup() // mostly it is gone
 				s.Keeper.Signal(syscall.SIGKILL)
 			}
 		}
@@ -253,7 +253,7 @@
 	h.must("start", "--all", "--quiet", "--within", "60s")
 	h.untilAll(fleet.PhaseReady)
 
-	var loads []*fakes.Load
+	loads := make([]*fakes.Load, 0, len(h.names))
 	for i, n := range h.names {
 		loads = append(loads, fakes.NewLoad(h.at[n], i+1, 50*time.Millisecond, 3*time.Second, time.Duration(i%4)*150*time.Millisecond))
 	}
@@ -491,8 +491,11 @@
 		for _, n := range []string{"n3", "n4"} {
 			if raw, err := os.ReadFile(filepath.Join(h.dir, "two", "keepers", n+".json")); err == nil {
 				var s lifeFile
-				json.Unmarshal(raw, &s)
-				s.Instance.KillGroup()
+				if err := json.Unmarshal(raw, &s); err != nil {
+					t.Error(err)
+					continue
+				}
+				_ = s.Instance.KillGroup() // mostly it is gone
 				s.Keeper.Signal(syscall.SIGKILL)
 			}
 		}
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -102,7 +102,7 @@
 		}
 		fmt.Fprintln(w)
 	}
-	w.Flush()
+	_ = w.Flush() // standard output: nowhere else to say so
 	fmt.Printf("value %.4f, %d tries, %d answers came twice, %d of no run, %d not sent, the sender at most %v late\n", r.Value(), r.Attempts, r.Doubles,
 		r.Strange, r.Unsent, r.Late.Round(time.Millisecond/10))
 }
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -349,7 +349,7 @@
 	n.Send(fakes.Invocation(1, 1))
 	fakes.Take(t, "a launch", b.farm.Launches)
 	b.cmd.Process.Kill()
-	fakes.Take(t, "the end", b.ended)
+	_ = fakes.Take(t, "the end", b.ended) // it was killed
 	b.start().ready()
 	n = fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 2))
@@ -384,7 +384,7 @@
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Raw(20, 1, "\x00"))
 	n.Expect()
-	var all []*fakes.Node
+	all := make([]*fakes.Node, 0, 100)
 	for range 100 {
 		all = append(all, fakes.Dial(t, b.address))
 	}
@@ -445,7 +445,9 @@
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.cmd.Process.Pid))
 	var peak int
 	if m := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(status); m != nil {
-		fmt.Sscan(string(m[1]), &peak)
+		if _, err := fmt.Sscan(string(m[1]), &peak); err != nil {
+			t.Fatal(err)
+		}
 	}
 	t.Logf("most memory: %d kB", peak)
 	tr.Say("%v, memory within 192 MB %t", err, peak > 0 && peak < 192<<10)
--- a/cmd/milletbarrow/moments_test.go
+++ b/cmd/milletbarrow/moments_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -132,7 +133,7 @@
 				return
 			}
 			number++
-			io.WriteString(c, fakes.Invocation(uint32(number), number, "wait=300"))
+			_, _ = io.WriteString(c, fakes.Invocation(uint32(number), number, "wait=300")) // the reader judges what came of it
 			time.Sleep(time.Millisecond)
 		}
 	}()
@@ -155,7 +156,7 @@
 			close(noMore)
 		}
 	}
-	if n := fakes.Take(t, "the last one sent", sent); err != io.EOF || answers != n {
+	if n := fakes.Take(t, "the last one sent", sent); !errors.Is(err, io.EOF) || answers != n {
 		t.Errorf("%d answers of %d, then %v", answers, n, err)
 	}
 	if err := fakes.Take(t, "the exit", b.ended); err != nil {
@@ -193,7 +194,7 @@
 	status <- http.StatusNoContent
 	off()
 	n.Close()
-	fakes.Take(t, "the exit", b.ended)
+	_ = fakes.Take(t, "the exit", b.ended) // that it ends is all that counts here
 	for len(reports) > 0 {
 		if report := <-reports; strings.Contains(report, "on") {
 			t.Error(fmt.Sprint("listed again: ", report))
@@ -285,7 +286,7 @@
 	for _, n := range []*fakes.Node{in, late, after, check} {
 		n.Close()
 	}
-	if f, err := never.Next(); err != io.EOF {
+	if f, err := never.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("the rest never: %v %v", f, err)
 	}
 	if err := fakes.Take(t, "the exit", b.ended); err != nil {
@@ -305,7 +306,7 @@
 	}
 	b.farm.With(func(state, _ *string) { *state = "" })
 	b.cmd.Process.Kill()
-	fakes.Take(t, "the end", b.ended)
+	_ = fakes.Take(t, "the end", b.ended) // it was killed
 	b.farm.Cut()
 	b.start()
 	fakes.Take(t, "a link", b.farm.Subscribes)
--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -6,6 +6,7 @@
 	"os"
 	"runtime"
 	"runtime/debug"
+	"slices"
 
 	"github.com/urfave/cli/v3"
 
@@ -15,10 +16,11 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// keeperCommand is started by the agent, one beside each instance; begin by the keeper.
+// keeperCommand runs a supervisor, which the agent starts beside each instance. Its name and flags, and those that it passes
+// to the instance, are spoken between versions: an agent of an earlier one starts it by them.
 func keeperCommand() *cli.Command {
 	return &cli.Command{
-		Name: "keeper", Usage: "stand by one instance (started by the agent)", Hidden: true,
+		Name: "keeper", Usage: "supervise one instance (started by the agent)", Hidden: true,
 		Flags: []cli.Flag{
 			configFlag(), logFlag(),
 			&cli.StringFlag{Name: "dir", Required: true}, &cli.StringFlag{Name: "name", Required: true},
@@ -42,7 +44,7 @@
 			if len(program) == 0 {
 				program = []string{self}
 			}
-			command := append(program[:len(program):len(program)], "serve", "--config", c.String("config"))
+			command := slices.Concat(program, []string{"serve", "--config", c.String("config")})
 			if file := c.String("levels"); file != "" {
 				command = append(command, "--levels", file)
 			}
@@ -67,7 +69,7 @@
 
 func beginCommand() *cli.Command {
 	return &cli.Command{
-		Name: "begin", Usage: "become an instance (started by the keeper)", Hidden: true,
+		Name: "begin", Usage: "become an instance (started by the supervisor)", Hidden: true,
 		Action: func(_ context.Context, c *cli.Command) error { return supervisor.WaitAndExec(c.Args().Slice()) },
 	}
 }
--- a/internal/jsonhttp/talk.go
+++ b/internal/jsonhttp/talk.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }() // it was only read
 	if a.StatusCode/100 != 2 {
 		text, _ := io.ReadAll(io.LimitReader(a.Body, 4<<10))
 		return &Status{a.StatusCode, string(bytes.TrimSpace(text))}
--- a/internal/process/proc.go
+++ b/internal/process/proc.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrGone: the process has ended, or its pid is another's by now.
+// ErrGone means that the process has ended, or its pid is another's by now.
 var ErrGone = errors.New("the process is gone")
 
 // Identity names one process for as long as the machine is up.
@@ -88,7 +88,7 @@
 	if err != nil {
 		return ErrGone
 	}
-	defer unix.Close(fd)
+	defer func() { _ = unix.Close(fd) }()
 	if !id.Alive() {
 		return ErrGone
 	}
