--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -540,7 +540,7 @@
 	raw := jsonhttp.Client("unix:"+h.dir+"/a.sock", b)
 	for path, body := range map[string]any{"/v2/commands": nil, "/v1/commands": map[string]any{"id": "x", "weight": 3}} {
 		err := jsonhttp.Call(ctx, raw, http.MethodPost, path, body, nil, 0)
-		var no *jsonhttp.Status
+		var no *jsonhttp.StatusError
 		if !errors.As(err, &no) || no.Code != map[string]int{"/v2/commands": 404, "/v1/commands": 400}[path] {
 			t.Errorf("%s: %v", path, err)
 		}
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -101,7 +101,7 @@
 	defer cancel()
 	maxResponse := maxResponseFactor * int64(c.factory.bounds.Message)
 	err = jsonhttp.Call(ctx, c.http, method, path, body, into, maxResponse)
-	if rejection, ok := errors.AsType[*jsonhttp.Status](err); ok {
+	if rejection, ok := errors.AsType[*jsonhttp.StatusError](err); ok {
 		return rejection.Code == http.StatusServiceUnavailable, newStatusError(rejection.Code, []byte(rejection.Text))
 	}
 	return err != nil, err
--- a/internal/cluster/quotastore/api.go
+++ b/internal/cluster/quotastore/api.go
@@ -79,7 +79,7 @@
 		}
 		last = fmt.Errorf("%s: %w", next, err)
 		var other notLeader
-		if no, ok := errors.AsType[*jsonhttp.Status](err); ok && no.Code == http.StatusMisdirectedRequest {
+		if no, ok := errors.AsType[*jsonhttp.StatusError](err); ok && no.Code == http.StatusMisdirectedRequest {
 			json.Unmarshal([]byte(no.Text), &other)
 		}
 		next = other.Leader
--- a/internal/jsonhttp/talk.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -15,13 +15,13 @@
 	"milletbarrow/internal/limits"
 )
 
-// Status is an answer that says no.
-type Status struct {
+// StatusError is a response of a status other than 2xx.
+type StatusError struct {
 	Code int
 	Text string // at most 4 KB
 }
 
-func (s *Status) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Text) }
+func (s *StatusError) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Text) }
 
 // Client speaks to one address: unix:PATH, or a host and a port. It sets no time limit of its own: calls have
 // that of their context.
@@ -38,7 +38,7 @@
 	}}
 }
 
-// Call makes one call; body and into may be nil. An answer that says no is a *Status. Of an answer at most so many
+// Call makes one call; body and into may be nil. A response of another status than 2xx is a *StatusError. Of an answer at most so many
 // bytes are read.
 func Call(ctx context.Context, c *http.Client, method, path string, body, into any, most int64) error {
 	var raw []byte
@@ -59,7 +59,7 @@
 	defer func() { _ = a.Body.Close() }() // it was only read
 	if a.StatusCode/100 != 2 {
 		text, _ := io.ReadAll(io.LimitReader(a.Body, 4<<10))
-		return &Status{a.StatusCode, string(bytes.TrimSpace(text))}
+		return &StatusError{a.StatusCode, string(bytes.TrimSpace(text))}
 	}
 	if into == nil {
 		return nil
