--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -5,8 +5,6 @@
 	"context"
 	"fmt"
 	"os"
-	"path/filepath"
-	"strings"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -87,9 +85,9 @@
 			}
 			points, changes := degradation.Replay(l, trace)
 			if file := c.String("plot"); file != "" {
-				format := strings.TrimPrefix(filepath.Ext(file), ".")
-				if format != "svg" && format != "png" {
-					return unusable(fmt.Errorf("plot: %q ends neither in .svg nor in .png", file))
+				format, err := plotFormat("plot", file)
+				if err != nil {
+					return err
 				}
 				var b bytes.Buffer // so that a plot that fails leaves no half a file
 				if err := plot.Levels(&b, l, points, format); err != nil {
--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -7,8 +7,6 @@
 	"os"
 	"os/exec"
 	"os/signal"
-	"path/filepath"
-	"strings"
 	"syscall"
 	"time"
 
@@ -39,9 +37,9 @@
 	if n := c.Int("backends"); n < 1 || n > 40 || c.Duration("for") < 4*time.Second || c.Duration("for") > time.Hour {
 		return unusable(errors.New("demo: 1 to 40 backends, for 4s to 1h"))
 	}
-	format := strings.TrimPrefix(filepath.Ext(c.String("plot")), ".")
-	if format != "svg" && format != "png" {
-		return unusable(fmt.Errorf("--plot: %q ends neither in .svg nor in .png", c.String("plot")))
+	format, err := plotFormat("--plot", c.String("plot"))
+	if err != nil {
+		return err
 	}
 	s := demo.Scenario(c.Int("backends"), c.Duration("for"))
 	say := sayer(c)
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"math"
 	"os"
 	"os/signal"
@@ -254,9 +255,9 @@
 	if err != nil {
 		return unusable(err)
 	}
-	format := strings.TrimPrefix(filepath.Ext(c.String("to")), ".")
-	if format != "svg" && format != "png" {
-		return unusable(fmt.Errorf("--to: %q ends neither in .svg nor in .png", c.String("to")))
+	format, err := plotFormat("--to", c.String("to"))
+	if err != nil {
+		return err
 	}
 	scenario := c.String("scenario")
 	if scenario == "" {
@@ -269,31 +270,65 @@
 	if math.IsNaN(at) && len(x.Values) > 0 {
 		at = x.Values[0]
 	}
-	var names []string
-	var days []*simulation.Result
-	for i, cell := range cells {
-		if results[i] != nil && cell.Scenario.Name == scenario && cell.Seed == seed && (x.Over == "" || cell.Value == at) &&
-			(c.String("policy") == "" || c.String("policy") == cell.Policy.Name) {
-			names, days = append(names, cell.Policy.Name), append(days, results[i])
-		}
-	}
+	names, days := daysOf(x, cells, results, scenario, c.String("policy"), seed, at)
 	what := c.String("what")
 	if what != "sweep" && len(days) == 0 {
 		return unusable(fmt.Errorf("no result of scenario %s, seed %d, at %g", scenario, seed, at))
 	}
 	title := fmt.Sprintf("%s: %s (modelled)", x.Name, scenario)
-	f, err := os.CreateTemp(filepath.Dir(c.String("to")), ".plot-*")
+	return replaceFile(c.String("to"), func(f io.Writer) error {
+		if what == "sweep" {
+			return plot.Curves(f, title, x.Over, m.Name, experiment.Curves(cells, results, scenario, m), format)
+		}
+		return plotDays(f, what, title, names, days, format)
+	})
+}
+
+// plotFormat is the format that a plot's file name asks for: svg or png. The flag is named in the error.
+func plotFormat(flag, file string) (string, error) {
+	format := strings.TrimPrefix(filepath.Ext(file), ".")
+	if format != "svg" && format != "png" {
+		return "", unusable(fmt.Errorf("%s: %q ends neither in .svg nor in .png", flag, file))
+	}
+	return format, nil
+}
+
+// daysOf selects the results of one scenario, seed and swept value, with their policies' names; no policy: all.
+func daysOf(
+	x *experiment.Experiment, cells []experiment.Cell, results []*simulation.Result, scenario, policy string, seed uint64, at float64,
+) (names []string, days []*simulation.Result) {
+	for i, cell := range cells {
+		if results[i] != nil && cell.Scenario.Name == scenario && cell.Seed == seed && (x.Over == "" || cell.Value == at) &&
+			(policy == "" || policy == cell.Policy.Name) {
+			names, days = append(names, cell.Policy.Name), append(days, results[i])
+		}
+	}
+	return names, days
+}
+
+// replaceFile writes a file as a whole, or leaves it as it was.
+func replaceFile(to string, write func(io.Writer) error) error {
+	f, err := os.CreateTemp(filepath.Dir(to), ".plot-*")
 	if err != nil {
 		return unusable(err)
 	}
 	defer func() { _ = os.Remove(f.Name()) }() // where it became the plot it is gone
+	if err = errors.Join(write(f), f.Close()); err != nil {
+		return err
+	}
+	if err := os.Chmod(f.Name(), 0o644); err != nil {
+		return err
+	}
+	return os.Rename(f.Name(), to)
+}
+
+// plotDays draws one day for each policy.
+func plotDays(f io.Writer, what, title string, names []string, days []*simulation.Result, format string) error {
 	switch what {
-	case "sweep":
-		err = plot.Curves(f, title, x.Over, m.Name, experiment.Curves(cells, results, scenario, m), format)
 	case "time":
-		err = plot.Times(f, title, names, days, format)
+		return plot.Times(f, title, names, days, format)
 	case "operations", "tenants":
-		err = plot.Parts(f, title, names, days, what == "tenants", format)
+		return plot.Parts(f, title, names, days, what == "tenants", format)
 	case "latency":
 		var parts []*simulation.Part
 		var lines []string
@@ -302,19 +337,12 @@
 				parts, lines = append(parts, &r.Operations[k]), append(lines, names[i]+" "+r.Operations[k].Name)
 			}
 		}
-		err = plot.Latencies(f, title, lines, parts, format)
+		return plot.Latencies(f, title, lines, parts, format)
 	case "heat":
-		err = plot.Heat(f, title+", "+names[0], days[0], format)
+		return plot.Heat(f, title+", "+names[0], days[0], format)
 	default:
-		err = unusable(fmt.Errorf("--what: %q is none of sweep, time, operations, tenants, latency, heat", what))
-	}
-	if err = errors.Join(err, f.Close()); err != nil {
-		return err
-	}
-	if err := os.Chmod(f.Name(), 0o644); err != nil {
-		return err
+		return unusable(fmt.Errorf("--what: %q is none of sweep, time, operations, tenants, latency, heat", what))
 	}
-	return os.Rename(f.Name(), c.String("to"))
 }
 
 func experimentReplayCommand() *cli.Command {
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -6,9 +6,7 @@
 	"fmt"
 	"math"
 	"os"
-	"path/filepath"
 	"runtime"
-	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -38,79 +36,98 @@
 		Flags: []cli.Flag{
 			jsonFlag(), &cli.StringFlag{Name: "sizes", Value: "10,33,100,330"}, &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"},
 		},
-		Action: func(_ context.Context, c *cli.Command) error {
-			x, err := experiment.Read(c.Args().First())
-			if err == nil {
-				err = x.Sweep("size=" + c.String("sizes"))
-			}
-			if err != nil {
-				return unusable(err)
-			}
-			format := strings.TrimPrefix(filepath.Ext(c.String("plot")), ".")
-			if c.String("plot") != "" && format != "svg" && format != "png" {
-				return unusable(fmt.Errorf("--plot: %q ends neither in .svg nor in .png", c.String("plot")))
-			}
-			x.Seeds, x.Scenarios = x.Seeds[:1], x.Scenarios[:1]
-			cells, err := x.Cells()
-			if err != nil {
-				return unusable(err)
-			}
-			runtime.GOMAXPROCS(1)
-			var all []speed
-			curves := map[string]*experiment.Curve{}
-			var order []string
-			for i := range cells {
-				cell := &cells[i]
-				began := time.Now()
-				r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, nil)
-				if err != nil {
-					return unusable(err)
-				}
-				var m runtime.MemStats
-				runtime.ReadMemStats(&m)
-				s := speed{
-					Hosts: cell.Scenario.Hosts.Count, Policy: cell.Policy.Name, Seconds: time.Since(began).Seconds(), Events: r.Events, Asks: r.Asks,
-					HeapMB: float64(m.HeapSys) / (1 << 20),
-				}
-				s.PerEvent = s.Seconds * 1e9 / math.Max(1, float64(s.Events))
-				all = append(all, s)
-				cv := curves[s.Policy]
-				if cv == nil {
-					cv = &experiment.Curve{Policy: s.Policy}
-					curves[s.Policy] = cv
-					order = append(order, s.Policy)
-				}
-				cv.X, cv.Y = append(cv.X, float64(s.Hosts)), append(cv.Y, experiment.Bootstrap([]float64{s.Seconds}))
-				fmt.Fprintf(os.Stderr, "%d of %d: %s, %d hosts, %.2f s\n", i+1, len(cells), s.Policy, s.Hosts, s.Seconds)
-			}
-			if to := c.String("plot"); to != "" {
-				var drawn []experiment.Curve
-				for _, name := range order {
-					drawn = append(drawn, *curves[name])
-				}
-				guide := experiment.Curve{Policy: "n log n", X: drawn[0].X}
-				first := drawn[0].Y[0].Mean / (guide.X[0] * math.Log(guide.X[0]+1))
-				for _, n := range guide.X {
-					guide.Y = append(guide.Y, experiment.Bootstrap([]float64{first * n * math.Log(n+1)}))
-				}
-				f, err := os.Create(to)
-				if err != nil {
-					return unusable(err)
-				}
-				err = plot.Curves(f, "seconds on one core of this machine, "+x.Scenarios[0].Name, "hosts", "seconds", append(drawn, guide), format)
-				if err := errors.Join(err, f.Close()); err != nil {
-					return err
-				}
-			}
-			if c.Bool("json") {
-				return printJSON(all)
-			}
-			w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "hosts\tpolicy\tseconds\tinvocations\tevents\tns by event\tMB so far")
-			for _, s := range all {
-				fmt.Fprintf(w, "%d\t%s\t%.2f\t%d\t%d\t%.0f\t%.0f\n", s.Hosts, s.Policy, s.Seconds, s.Asks, s.Events, s.PerEvent, s.HeapMB)
-			}
-			return w.Flush()
-		},
+		Action: runBenchmark,
+	}
+}
+
+func runBenchmark(_ context.Context, c *cli.Command) error {
+	x, err := experiment.Read(c.Args().First())
+	if err == nil {
+		err = x.Sweep("size=" + c.String("sizes"))
+	}
+	if err != nil {
+		return unusable(err)
+	}
+	var format string
+	if to := c.String("plot"); to != "" {
+		if format, err = plotFormat("--plot", to); err != nil {
+			return err
+		}
+	}
+	x.Seeds, x.Scenarios = x.Seeds[:1], x.Scenarios[:1]
+	cells, err := x.Cells()
+	if err != nil {
+		return unusable(err)
+	}
+	runtime.GOMAXPROCS(1)
+	var all []speed
+	curves := map[string]*experiment.Curve{}
+	var order []string
+	for i := range cells {
+		cell := &cells[i]
+		began := time.Now()
+		r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, nil)
+		if err != nil {
+			return unusable(err)
+		}
+		s := speed{
+			Hosts: cell.Scenario.Hosts.Count, Policy: cell.Policy.Name, Seconds: time.Since(began).Seconds(), Events: r.Events, Asks: r.Asks,
+			HeapMB: heapMB(),
+		}
+		s.PerEvent = s.Seconds * 1e9 / math.Max(1, float64(s.Events))
+		all = append(all, s)
+		cv := curves[s.Policy]
+		if cv == nil {
+			cv = &experiment.Curve{Policy: s.Policy}
+			curves[s.Policy] = cv
+			order = append(order, s.Policy)
+		}
+		cv.X, cv.Y = append(cv.X, float64(s.Hosts)), append(cv.Y, experiment.Bootstrap([]float64{s.Seconds}))
+		fmt.Fprintf(os.Stderr, "%d of %d: %s, %d hosts, %.2f s\n", i+1, len(cells), s.Policy, s.Hosts, s.Seconds)
+	}
+	if to := c.String("plot"); to != "" {
+		title := "seconds on one core of this machine, " + x.Scenarios[0].Name
+		if err := plotBenchmark(to, format, title, order, curves); err != nil {
+			return err
+		}
+	}
+	if c.Bool("json") {
+		return printJSON(all)
 	}
+	return printBenchmark(all)
+}
+
+func printBenchmark(all []speed) error {
+	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(w, "hosts\tpolicy\tseconds\tinvocations\tevents\tns by event\tMB so far")
+	for _, s := range all {
+		fmt.Fprintf(w, "%d\t%s\t%.2f\t%d\t%d\t%.0f\t%.0f\n", s.Hosts, s.Policy, s.Seconds, s.Asks, s.Events, s.PerEvent, s.HeapMB)
+	}
+	return w.Flush()
+}
+
+// plotBenchmark draws the policies' curves in order, with a guide that grows as n log n from the first size on.
+func plotBenchmark(to, format, title string, order []string, curves map[string]*experiment.Curve) error {
+	drawn := make([]experiment.Curve, 0, len(order)+1)
+	for _, name := range order {
+		drawn = append(drawn, *curves[name])
+	}
+	guide := experiment.Curve{Policy: "n log n", X: drawn[0].X}
+	first := drawn[0].Y[0].Mean / (guide.X[0] * math.Log(guide.X[0]+1))
+	for _, n := range guide.X {
+		guide.Y = append(guide.Y, experiment.Bootstrap([]float64{first * n * math.Log(n+1)}))
+	}
+	f, err := os.Create(to)
+	if err != nil {
+		return unusable(err)
+	}
+	err = plot.Curves(f, title, "hosts", "seconds", append(drawn, guide), format)
+	return errors.Join(err, f.Close())
+}
+
+// heapMB is how much memory the heap has taken from the system so far, in MB.
+func heapMB() float64 {
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	return float64(m.HeapSys) / (1 << 20)
 }
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -33,66 +33,81 @@
 		Name: "validate", Usage: "play scenarios in the model and over sockets on this machine, side by side", ArgsUsage: "FILE",
 		Description: "Slow hosts, bursts and releases are brought about on both. Ends with 3 where they lie apart by more than 0.05 of value or of the\n" +
 			"throttled share, or 20% of p99. Nothing else should run beside it.\nExample:\n   milletbarrow experiment validate docs/studies/twins.sx",
-		Flags: []cli.Flag{jsonFlag(), &cli.BoolFlag{Name: "quiet"}, &cli.StringFlag{Name: "scenario"}, &cli.Uint64Flag{Name: "seed", Value: 1}},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			x, err := experiment.Read(c.Args().First())
-			if err != nil {
-				return unusable(err)
-			}
-			p, err := simulation.PolicyNamed(simulation.Module)
-			if err != nil {
-				return err
-			}
-			var all []twin
-			for i := range x.Scenarios {
-				s := &x.Scenarios[i]
-				if name := c.String("scenario"); name != "" && name != s.Name {
-					continue
-				}
-				m, err := simulation.Play(s, p, c.Uint64("seed"), nil)
-				if err != nil {
-					return unusable(err)
-				}
-				r, twice, err := onSockets(ctx, s, c.Uint64("seed"), sayer(c))
-				if err != nil {
-					return err
-				}
-				if n := twice + r.Doubles + r.Strange; n > 0 {
-					return cli.Exit(fmt.Sprintf("%s: %d answers or runs came twice", s.Name, n), exitSome)
-				}
-				w := twin{Scenario: s.Name}
-				for n, r := range []*simulation.Result{m, r.Result} {
-					w.Value[n] = r.Value()
-					w.Throttled[n], w.P99[n] = throttledAndP99(r)
-				}
-				w.Within = math.Abs(w.Value[0]-w.Value[1]) <= twinShare && math.Abs(w.Throttled[0]-w.Throttled[1]) <= twinShare &&
-					math.Abs(w.P99[0]-w.P99[1]) <= twinP99*w.P99[1]
-				all = append(all, w)
-			}
-			if c.Bool("json") {
-				return printJSON(all)
-			}
-			t := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-			fmt.Fprintln(t, "scenario\tvalue modelled\ton sockets\tthrottled modelled\ton sockets\tp99 ms modelled\ton sockets\twithin")
-			apart := 0
-			for _, w := range all {
-				fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%t\n", w.Scenario, w.Value[0], w.Value[1], w.Throttled[0], w.Throttled[1],
-					w.P99[0]/1000, w.P99[1]/1000, w.Within)
-				if !w.Within {
-					apart++
-				}
-			}
-			if err := t.Flush(); err != nil {
-				return err
-			}
-			if apart > 0 {
-				return cli.Exit(fmt.Sprintf("%d of %d days lie apart", apart, len(all)), exitSome)
-			}
-			return nil
-		},
+		Flags:  []cli.Flag{jsonFlag(), &cli.BoolFlag{Name: "quiet"}, &cli.StringFlag{Name: "scenario"}, &cli.Uint64Flag{Name: "seed", Value: 1}},
+		Action: runValidation,
 	}
 }
 
+func runValidation(ctx context.Context, c *cli.Command) error {
+	x, err := experiment.Read(c.Args().First())
+	if err != nil {
+		return unusable(err)
+	}
+	p, err := simulation.PolicyNamed(simulation.Module)
+	if err != nil {
+		return err
+	}
+	var all []twin
+	for i := range x.Scenarios {
+		s := &x.Scenarios[i]
+		if name := c.String("scenario"); name != "" && name != s.Name {
+			continue
+		}
+		w, err := validateScenario(ctx, c, s, p)
+		if err != nil {
+			return err
+		}
+		all = append(all, *w)
+	}
+	if c.Bool("json") {
+		return printJSON(all)
+	}
+	return printValidation(all)
+}
+
+func printValidation(all []twin) error {
+	t := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(t, "scenario\tvalue modelled\ton sockets\tthrottled modelled\ton sockets\tp99 ms modelled\ton sockets\twithin")
+	apart := 0
+	for _, w := range all {
+		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%t\n", w.Scenario, w.Value[0], w.Value[1], w.Throttled[0], w.Throttled[1],
+			w.P99[0]/1000, w.P99[1]/1000, w.Within)
+		if !w.Within {
+			apart++
+		}
+	}
+	if err := t.Flush(); err != nil {
+		return err
+	}
+	if apart > 0 {
+		return cli.Exit(fmt.Sprintf("%d of %d days lie apart", apart, len(all)), exitSome)
+	}
+	return nil
+}
+
+// validateScenario plays one day in the model and on sockets.
+func validateScenario(ctx context.Context, c *cli.Command, s *simulation.Scenario, p *simulation.Policy) (*twin, error) {
+	modelled, err := simulation.Play(s, p, c.Uint64("seed"), nil)
+	if err != nil {
+		return nil, unusable(err)
+	}
+	measured, twice, err := onSockets(ctx, s, c.Uint64("seed"), sayer(c))
+	if err != nil {
+		return nil, err
+	}
+	if n := twice + measured.Doubles + measured.Strange; n > 0 {
+		return nil, cli.Exit(fmt.Sprintf("%s: %d answers or runs came twice", s.Name, n), exitSome)
+	}
+	w := &twin{Scenario: s.Name}
+	for n, r := range []*simulation.Result{modelled, measured.Result} {
+		w.Value[n] = r.Value()
+		w.Throttled[n], w.P99[n] = throttledAndP99(r)
+	}
+	w.Within = math.Abs(w.Value[0]-w.Value[1]) <= twinShare && math.Abs(w.Throttled[0]-w.Throttled[1]) <= twinShare &&
+		math.Abs(w.P99[0]-w.P99[1]) <= twinP99*w.P99[1]
+	return w, nil
+}
+
 func throttledAndP99(r *simulation.Result) (share, p99 float64) {
 	asks, weight := 0, 0.0
 	for i := range r.Operations {
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -56,21 +56,7 @@
 				Name: "measure", Usage: "measure how shares are used as demand moves, hosts are lost and agents die",
 				Description: "Takes some minutes; leave the machine alone meanwhile. Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
 				Flags:       []cli.Flag{jsonFlag(), &cli.IntFlag{Name: "hosts", Value: 5}, &cli.IntFlag{Name: "backends", Value: 20}},
-				Action: func(ctx context.Context, c *cli.Command) error {
-					o, err := trialOptions(c, &schedule.Table{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
-					if err != nil {
-						return err
-					}
-					m, err := harness.Measure(ctx, o)
-					if err != nil {
-						return err
-					}
-					if c.Bool("json") {
-						return printJSON(m)
-					}
-					m.Print(os.Stdout)
-					return nil
-				},
+				Action:      measureFaults,
 			},
 			{
 				Name: "report", Usage: "sum up verdicts that were kept by --out", ArgsUsage: "FILE",
@@ -81,6 +67,22 @@
 	}
 }
 
+func measureFaults(ctx context.Context, c *cli.Command) error {
+	o, err := trialOptions(c, &schedule.Table{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
+	if err != nil {
+		return err
+	}
+	m, err := harness.Measure(ctx, o)
+	if err != nil {
+		return err
+	}
+	if c.Bool("json") {
+		return printJSON(m)
+	}
+	m.Print(os.Stdout)
+	return nil
+}
+
 func tableOf(file string) (*schedule.Table, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -27,59 +27,61 @@
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision go-on     (after it stopped, once its cause is mended)\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision end       (nobody is held back any more; fleet cancel ID ends the starts)",
-		Flags: append(selectionFlags(), &cli.StringFlag{Name: "decision", Usage: "a `WORD` about the rise of --id: go-on or end"}),
-		Action: func(ctx context.Context, c *cli.Command) error {
-			t, err := tool(c)
-			if err != nil {
-				return err
-			}
-			if t.Spec.ColdStart == nil {
-				return unusable(fmt.Errorf("%s: has no (rise (budget COUNT))", c.String("fleet")))
-			}
-			all, err := selected(c, t)
-			if err != nil {
-				return err
-			}
-			o, err := orderOf(c, t, fleet.KindColdStart)
-			if err != nil {
-				return err
-			}
-			o.Budget = t.Spec.ColdStartQuota
-			r := quota.ColdStartCommand{Limit: o.Budget, ID: o.ID, By: t.Operator, Action: c.String("decision")}
-			if r.Action != "" {
-				if err := t.ColdStart(ctx, r); err != nil {
-					return budgetsFailed(err)
-				}
-				fmt.Printf("%s: %s\n", o.ID, r.Action)
-				return nil
-			}
-			r.Config = t.Spec.ColdStart
-			for _, in := range all {
-				r.Members = append(r.Members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
-			}
-			if c.Bool("dry-run") {
-				return previewRise(c, &r)
-			}
-			ctx, cancel := patience(ctx, o)
-			defer cancel()
-			if err := t.ColdStart(ctx, r); err != nil {
-				if no, ok := errors.AsType[*agentapi.StatusError](err); ok && no.Status/100 == 4 {
-					return budgetsFailed(err)
-				}
-				fmt.Fprintf(os.Stderr, "the ledger can't be reached (%v): each host goes on by one start at a time\n", err)
-			}
-			shown := make(chan struct{})
-			showing, stop := context.WithCancel(ctx)
-			go func() {
-				defer close(shown)
-				showRise(showing, c, t, o.ID)
-			}()
-			report := t.Execute(ctx, o, all, c.Bool("wait"))
-			stop()
-			<-shown
-			return finish(c, report, c.Bool("wait"))
-		},
+		Flags:  append(selectionFlags(), &cli.StringFlag{Name: "decision", Usage: "a `WORD` about the rise of --id: go-on or end"}),
+		Action: runColdStart,
+	}
+}
+
+func runColdStart(ctx context.Context, c *cli.Command) error {
+	t, err := tool(c)
+	if err != nil {
+		return err
+	}
+	if t.Spec.ColdStart == nil {
+		return unusable(fmt.Errorf("%s: has no (rise (budget COUNT))", c.String("fleet")))
+	}
+	all, err := selected(c, t)
+	if err != nil {
+		return err
+	}
+	o, err := orderOf(c, t, fleet.KindColdStart)
+	if err != nil {
+		return err
+	}
+	o.Budget = t.Spec.ColdStartQuota
+	r := quota.ColdStartCommand{Limit: o.Budget, ID: o.ID, By: t.Operator, Action: c.String("decision")}
+	if r.Action != "" {
+		if err := t.ColdStart(ctx, r); err != nil {
+			return budgetsFailed(err)
+		}
+		fmt.Printf("%s: %s\n", o.ID, r.Action)
+		return nil
+	}
+	r.Config = t.Spec.ColdStart
+	for _, in := range all {
+		r.Members = append(r.Members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
+	}
+	if c.Bool("dry-run") {
+		return previewRise(c, &r)
+	}
+	ctx, cancel := patience(ctx, o)
+	defer cancel()
+	if err := t.ColdStart(ctx, r); err != nil {
+		if no, ok := errors.AsType[*agentapi.StatusError](err); ok && no.Status/100 == 4 {
+			return budgetsFailed(err)
+		}
+		fmt.Fprintf(os.Stderr, "the ledger can't be reached (%v): each host goes on by one start at a time\n", err)
 	}
+	shown := make(chan struct{})
+	showing, stop := context.WithCancel(ctx)
+	go func() {
+		defer close(shown)
+		showRise(showing, c, t, o.ID)
+	}()
+	report := t.Execute(ctx, o, all, c.Bool("wait"))
+	stop()
+	<-shown
+	return finish(c, report, c.Bool("wait"))
 }
 
 // previewRise prints who would come first.
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -22,61 +22,64 @@
 		Name: verb, Usage: steerUsage[verb], ArgsUsage: "ID",
 		Description: "Example:\n   milletbarrow fleet " + verb + " --fleet fleet.sx wave-20261201T160000-ab12cd34",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			t, err := tool(c)
-			if err != nil {
-				return err
-			}
-			id := c.Args().First()
-			if err := fleet.CheckName(id); err != nil || c.Args().Len() != 1 {
-				return unusable(fmt.Errorf("wanted the id of one command: %w", errors.Join(err)))
-			}
-			type answer struct {
-				Host    string         `json:"host"`
-				Command *fleet.Command `json:"command,omitempty"`
-				Error   string         `json:"error,omitempty"`
-			}
-			known, refused, away := 0, 0, 0
-			answers, errs := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
-				client := t.Caller.Client(h.AgentAddress)
-				defer client.Close()
-				cmd, err := client.Steer(ctx, id, verb, t.Operator)
-				if err != nil {
-					return answer{Host: h.Name, Error: err.Error()}, err
-				}
-				return answer{Host: h.Name, Command: cmd}, nil
-			})
-			rows := [][]string{{"host", "state"}}
-			for i, a := range answers {
-				state := a.Error
-				_, lost := errors.AsType[*agentapi.UnreachableError](errs[i])
-				switch {
-				case a.Command != nil:
-					state = string(a.Command.State)
-					known++
-				case lost:
-					away++
-				case a.Error != fleet.ErrUnknownCommand.Error():
-					refused++
-				}
-				rows = append(rows, []string{a.Host, state})
-			}
-			if c.Bool("json") {
-				err = printJSON(answers)
-			} else {
-				table(rows)
-			}
-			switch {
-			case err != nil:
-				return err
-			case away > 0:
-				return cli.Exit("", exitUnreachable)
-			case refused > 0:
-				return cli.Exit("", exitSome)
-			case known > 0:
-				return nil
-			}
-			return unusable(fmt.Errorf("no agent knows %s", id))
-		},
+		Action:      func(ctx context.Context, c *cli.Command) error { return steer(ctx, c, verb) },
 	}
 }
+
+// steer sends the verb to every agent; those that do not know the command are left out.
+func steer(ctx context.Context, c *cli.Command, verb string) error {
+	t, err := tool(c)
+	if err != nil {
+		return err
+	}
+	id := c.Args().First()
+	if err := fleet.CheckName(id); err != nil || c.Args().Len() != 1 {
+		return unusable(fmt.Errorf("wanted the id of one command: %w", errors.Join(err)))
+	}
+	type answer struct {
+		Host    string         `json:"host"`
+		Command *fleet.Command `json:"command,omitempty"`
+		Error   string         `json:"error,omitempty"`
+	}
+	known, refused, away := 0, 0, 0
+	answers, errs := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
+		client := t.Caller.Client(h.AgentAddress)
+		defer client.Close()
+		cmd, err := client.Steer(ctx, id, verb, t.Operator)
+		if err != nil {
+			return answer{Host: h.Name, Error: err.Error()}, err
+		}
+		return answer{Host: h.Name, Command: cmd}, nil
+	})
+	rows := [][]string{{"host", "state"}}
+	for i, a := range answers {
+		state := a.Error
+		_, lost := errors.AsType[*agentapi.UnreachableError](errs[i])
+		switch {
+		case a.Command != nil:
+			state = string(a.Command.State)
+			known++
+		case lost:
+			away++
+		case a.Error != fleet.ErrUnknownCommand.Error():
+			refused++
+		}
+		rows = append(rows, []string{a.Host, state})
+	}
+	if c.Bool("json") {
+		err = printJSON(answers)
+	} else {
+		table(rows)
+	}
+	switch {
+	case err != nil:
+		return err
+	case away > 0:
+		return cli.Exit("", exitUnreachable)
+	case refused > 0:
+		return cli.Exit("", exitSome)
+	case known > 0:
+		return nil
+	}
+	return unusable(fmt.Errorf("no agent knows %s", id))
+}
