--- a/internal/agent/agentstore/store_test.go
+++ b/internal/agent/agentstore/store_test.go
@@ -196,7 +196,8 @@
 		dir := t.TempDir()
 		fill(t, dir, 3)
 		corrupt(t, dir, change)
-		if _, err := Open(dir, 50); !errors.Is(err, ErrCorrupt) {
+		_, err := Open(dir, 50)
+		if !errors.Is(err, ErrCorrupt) || strings.Contains(err.Error(), "runtime error") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -82,6 +82,27 @@
 	}
 }
 
+// TestReboot: incarnations of another boot are over, also those of instances that the fleet file does not name; a store
+// that knows no boot is of this one.
+func TestReboot(t *testing.T) {
+	for boot, over := range map[string]bool{"another": true, "": false, process.Boot(): false} {
+		store := &memoryStore{}
+		store.state.BootID = boot
+		store.state.Instances = []fleet.Instance{{Name: "a", DesiredUp: true, Incarnation: "a.1", Phase: fleet.PhaseReady}}
+		a := mustNewIdleAgent(t, store)
+		if in, _ := a.loop.machine.Instance("a"); (in.Incarnation == "") != over {
+			t.Errorf("boot %q: %+v", boot, in)
+		}
+		if boot != process.Boot() && a.loop.unsaved.BootID != process.Boot() {
+			t.Errorf("boot %q: this boot is not written down", boot)
+		}
+		store.state.Instances[0].Name = "z"
+		if _, err := newIdleAgent(t, store); (err == nil) != over {
+			t.Errorf("boot %q: %v", boot, err)
+		}
+	}
+}
+
 // TestIntentsAreDecided: a command that an agent accepted and died with is decided on by the next one, once.
 func TestIntentsAreDecided(t *testing.T) {
 	store := &memoryStore{}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -131,7 +131,7 @@
 // record and from the processes that it names.
 func (a *Agent) interpretSilence(name, incarnation string, missedPolls int) fleet.SilenceVerdict {
 	return fleet.SupervisorSilence{
-		Run: incarnation, MissedPolls: missedPolls, Record: a.supervisorRecord(name),
+		Incarnation: incarnation, MissedPolls: missedPolls, Record: a.supervisorRecord(name),
 	}.Interpret()
 }
 
@@ -145,7 +145,7 @@
 		return fleet.SupervisorRecord{State: fleet.RecordUnreadable, Cause: err.Error()}
 	}
 	return fleet.SupervisorRecord{
-		State: fleet.RecordRead, Run: state.Run, Ended: state.Ended, End: state.End, NotifiedStep: state.NotifiedStep,
+		State: fleet.RecordRead, Incarnation: state.Run, Ended: state.Ended, Exit: state.End, NoticeID: state.NotifiedStep,
 		SupervisorAlive: state.Supervisor.Alive(), InstanceAlive: state.Instance.Alive(),
 	}
 }
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -18,17 +18,17 @@
 type SupervisorRecord struct {
 	State           RecordState
 	Cause           string // RecordUnreadable: why
-	Run             string // the incarnation that it is about
+	Incarnation     string // that it is about
 	Ended           bool   // the incarnation is over
-	End             Exit   // Ended: how
-	NotifiedStep    string // the shutdown notice that the supervisor has taken; empty: none
+	Exit            Exit   // Ended: how
+	NoticeID        string // the shutdown notice that the supervisor has taken; empty: none
 	SupervisorAlive bool   // the process that wrote it runs
 	InstanceAlive   bool   // the process of the instance runs
 }
 
 // SupervisorSilence is what is known about an incarnation whose supervisor does not answer.
 type SupervisorSilence struct {
-	Run         string // the incarnation that was asked about
+	Incarnation string // that was asked about
 	MissedPolls int    // in a row
 	Record      SupervisorRecord
 }
@@ -49,12 +49,12 @@
 
 // Interpret says what a supervisor's silence means. It is a pure function of what the agent found. A recorded end
 // counts at once; everything else has to be seen silencePatience times in a row. What can't be read or does not
-// answer is Unknown, which is not Gone.
+// answer is PhaseUnknown, which is not PhaseExited.
 func (s SupervisorSilence) Interpret() SilenceVerdict {
-	recorded := s.Record.State == RecordRead && s.Record.Run == s.Run
+	recorded := s.Record.State == RecordRead && s.Record.Incarnation == s.Incarnation
 	if recorded && s.Record.Ended {
 		return SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-			Incarnation: s.Run, Phase: PhaseExited, Exit: s.Record.End, NoticeID: s.Record.NotifiedStep,
+			Incarnation: s.Incarnation, Phase: PhaseExited, Exit: s.Record.Exit, NoticeID: s.Record.NoticeID,
 		}}
 	}
 	if s.MissedPolls < silencePatience {
@@ -62,13 +62,13 @@
 	}
 	if s.Record.State == RecordUnreadable {
 		return SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-			Incarnation: s.Run, Phase: PhaseUnknown, Cause: s.Record.Cause,
+			Incarnation: s.Incarnation, Phase: PhaseUnknown, Cause: s.Record.Cause,
 		}}
 	}
 	if !recorded {
-		return SilenceVerdict{Decided: true, Observation: Observation{Incarnation: s.Run, Phase: PhaseExited, Exit: Exit{Unobserved: true}}}
+		return SilenceVerdict{Decided: true, Observation: Observation{Incarnation: s.Incarnation, Phase: PhaseExited, Exit: Exit{Unobserved: true}}}
 	}
-	observation := Observation{Incarnation: s.Run, NoticeID: s.Record.NotifiedStep}
+	observation := Observation{Incarnation: s.Incarnation, NoticeID: s.Record.NoticeID}
 	switch {
 	case s.Record.SupervisorAlive:
 		observation.Phase, observation.Cause = PhaseUnknown, "its keeper does not answer"
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -10,7 +10,7 @@
 func TestSupervisorSilence(t *testing.T) {
 	end := Exit{Code: 3, Uptime: 7}
 	record := func(change func(*SupervisorRecord)) SupervisorRecord {
-		r := SupervisorRecord{State: RecordRead, Run: "a.1", NotifiedStep: "a.2"}
+		r := SupervisorRecord{State: RecordRead, Incarnation: "a.1", NoticeID: "a.2"}
 		change(&r)
 		return r
 	}
@@ -22,20 +22,20 @@
 		want   SilenceVerdict
 	}{
 		{"a recorded end counts at the first miss", 1,
-			record(func(r *SupervisorRecord) { r.Ended, r.End = true, end }),
+			record(func(r *SupervisorRecord) { r.Ended, r.Exit = true, end }),
 			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: end, NoticeID: "a.2"}}},
 		{"a recorded end counts although the processes run", 9,
-			record(func(r *SupervisorRecord) { r.Ended, r.End, r.SupervisorAlive, r.InstanceAlive = true, end, true, true }),
+			record(func(r *SupervisorRecord) { r.Ended, r.Exit, r.SupervisorAlive, r.InstanceAlive = true, end, true, true }),
 			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: end, NoticeID: "a.2"}}},
 		{"the end of an earlier incarnation is none of this one", silencePatience - 1,
-			record(func(r *SupervisorRecord) { r.Run, r.Ended = "a.0", true }),
+			record(func(r *SupervisorRecord) { r.Incarnation, r.Ended = "a.0", true }),
 			SilenceVerdict{Recorded: true}},
 		{"no record, too early", silencePatience - 1, SupervisorRecord{}, SilenceVerdict{Recorded: true}},
 		{"a dead supervisor, too early", silencePatience - 1,
 			record(func(r *SupervisorRecord) { r.InstanceAlive = true }), SilenceVerdict{Recorded: true}},
 		{"no record", silencePatience, SupervisorRecord{}, SilenceVerdict{Decided: true, Observation: unseen}},
 		{"the record of an earlier incarnation", silencePatience,
-			record(func(r *SupervisorRecord) { r.Run, r.Ended, r.SupervisorAlive = "a.0", true, true }),
+			record(func(r *SupervisorRecord) { r.Incarnation, r.Ended, r.SupervisorAlive = "a.0", true, true }),
 			SilenceVerdict{Decided: true, Observation: unseen}},
 		{"an unreadable record proves nothing", silencePatience,
 			SupervisorRecord{State: RecordUnreadable, Cause: "permission denied"},
@@ -52,7 +52,7 @@
 			SilenceVerdict{Decided: true, Recorded: true,
 				Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}, NoticeID: "a.2"}}},
 	} {
-		got := SupervisorSilence{Run: "a.1", MissedPolls: c.missed, Record: c.record}.Interpret()
+		got := SupervisorSilence{Incarnation: "a.1", MissedPolls: c.missed, Record: c.record}.Interpret()
 		if diff := cmp.Diff(c.want, got); diff != "" {
 			t.Errorf("%s: %s", c.name, diff)
 		}
@@ -65,20 +65,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		s := SupervisorSilence{
-			Run: "a.1", MissedPolls: rapid.IntRange(1, 3*silencePatience).Draw(t, "missed"),
+			Incarnation: "a.1", MissedPolls: rapid.IntRange(1, 3*silencePatience).Draw(t, "missed"),
 			Record: SupervisorRecord{
-				State: rapid.SampledFrom([]RecordState{RecordMissing, RecordUnreadable, RecordRead}).Draw(t, "state"),
-				Run:   rapid.SampledFrom([]string{"a.0", "a.1"}).Draw(t, "run"),
-				Ended: flag("ended"), SupervisorAlive: flag("supervisor"), InstanceAlive: flag("instance"),
+				State:       rapid.SampledFrom([]RecordState{RecordMissing, RecordUnreadable, RecordRead}).Draw(t, "state"),
+				Incarnation: rapid.SampledFrom([]string{"a.0", "a.1"}).Draw(t, "run"),
+				Ended:       flag("ended"), SupervisorAlive: flag("supervisor"), InstanceAlive: flag("instance"),
 			},
 		}
 		v := s.Interpret()
-		recorded := s.Record.State == RecordRead && s.Record.Run == s.Run
+		recorded := s.Record.State == RecordRead && s.Record.Incarnation == s.Incarnation
 		alive := recorded && (s.Record.SupervisorAlive || s.Record.InstanceAlive)
 		if v.Ended() && (!recorded || alive && !s.Record.Ended) {
 			t.Fatalf("%+v ends by %+v", s, v)
 		}
-		if v.Decided != (v.Observation.Incarnation == s.Run) {
+		if v.Decided != (v.Observation.Incarnation == s.Incarnation) {
 			t.Fatalf("%+v: %+v", s, v)
 		}
 		if !v.Decided && s.MissedPolls >= silencePatience {
