--- a/internal/backend/admin/admin.go
+++ b/internal/backend/admin/admin.go
@@ -89,7 +89,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(in.State())
+		_ = json.NewEncoder(w).Encode(in.State())
 	})
 	mux.HandleFunc("POST /v1/leave", func(w http.ResponseWriter, r *http.Request) {
 		var n Notice
@@ -108,7 +108,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(a)
+		_ = json.NewEncoder(w).Encode(a)
 	})
 	takes(mux, "POST /v1/share", b, in.Answer)
 	takes(mux, "POST /v1/level", b, in.Pin)
@@ -118,7 +118,7 @@
 	}
 	go func() {
 		<-ctx.Done()
-		server.Close()
+		_ = server.Close()
 	}()
 	if err := server.Serve(limits.LimitListener(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -145,19 +145,19 @@
 // Listen opens a Unix socket for this user alone, over what a process that was killed left there.
 func Listen(path string) (net.Listener, error) {
 	if c, err := net.Dial("unix", path); err == nil {
-		c.Close()
+		_ = c.Close()
 		return nil, fmt.Errorf("%s: somebody answers there already", path)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket == 0 {
 		return nil, fmt.Errorf("%s: is there and no socket", path)
 	}
-	os.Remove(path)
+	_ = os.Remove(path)
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, err
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		l.Close()
+		_ = l.Close()
 		return nil, err
 	}
 	return l, nil
--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -220,8 +220,8 @@
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	io.CopyN(io.Discard, answer.Body, int64(r.bounds.Line)) // so that the connection can be used again
+	defer func() { _ = answer.Body.Close() }()
+	_, _ = io.CopyN(io.Discard, answer.Body, int64(r.bounds.Line)) // so that the connection can be used again
 	if answer.StatusCode != http.StatusNoContent {
 		return advised(answer.Header.Get("Retry-After"), time.Now()), fmt.Errorf("%w %d", errStatus, answer.StatusCode)
 	}
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -84,7 +84,7 @@
 func TestTwoNeverAnswered(t *testing.T) {
 	b, held := limits.For(1, 192, 1024), make(chan struct{})
 	var seen atomic.Int32
-	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, r *http.Request) {
+	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) {
 		if n := seen.Add(1); n == 2 || n == 3 { // reports are begun one after the other
 			<-held
 		}
@@ -132,7 +132,7 @@
 		w.WriteHeader(http.StatusNoContent)
 		reports <- q.Method + " " + q.URL.Path
 	})}
-	go s.Serve(l)
+	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { s.Close() })
 	tr.Say("%s", fakes.Take(t, "a report", reports))
 	cancel()
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go s.Serve(l)
+	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { s.Close() })
 	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
 	over := make(chan struct{})
@@ -194,8 +194,8 @@
 func TestLeavesUntilTaken(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	status, said := http.StatusServiceUnavailable, make(chan int, 100)
-	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(<-said) })
-	elsewhere, later := fakes.NewRoster(t, func(w http.ResponseWriter, q *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-said) })
+	elsewhere, later := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	b := limits.For(1, 192, 1024)
 	b.Report = 10 * time.Millisecond
 	r := New(address, "n3", b, false)
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -321,11 +321,13 @@
 	tr.Say("the third: %v", three.Expect())
 	_, err := silent.Next()
 	tr.Say("the silent one ends: %t", err != nil)
+	fakes.Until(t, "it has gone", func() bool { n, _ := s.Counts(); return n == 2 })
 	two := fakes.Dial(t, s.address)
 	two.Send(check)
 	tr.Say("the fourth: %v", two.Expect())
 	_, err = three.Next()
 	tr.Say("the one that rests ends: %t", err != nil)
+	fakes.Until(t, "it has gone", func() bool { n, _ := s.Counts(); return n == 2 })
 	two.Send(fakes.Invocation(2, 2))
 	l2 := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	five := fakes.Dial(t, s.address) // both others have work: it may have written before it could be closed
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -42,7 +42,7 @@
 func Settings(s *simulation.Scenario) map[string]any {
 	repeats := map[admission.RetrySafety]string{admission.Idempotent: "idempotent", admission.NonIdempotent: "at_most_once"}
 	classes := make([]map[string]any, 0, len(s.Operations))
-	var projects []map[string]any
+	projects := make([]map[string]any, 0, len(s.Tenants))
 	ms := func(m simulation.Micros) float64 { return float64(m) / 1000 }
 	for _, op := range s.Operations {
 		classes = append(classes, map[string]any{
--- a/internal/limits/instance.go
+++ b/internal/limits/instance.go
@@ -85,20 +85,18 @@
 	LastChance time.Duration // or, with answers still to be written, so long before it
 }
 
-// For works the bounds out from a process's share of cores, its memory in MB and its descriptors.
-func For(cores, memoryMB float64, sockets int) Bounds {
-	const (
-		mb      = 1 << 20
-		spare   = 24       // descriptors of the farm, the roster, the pollers and the standard streams
-		leaving = 12       // and of connections that are being closed
-		perInv  = 16 << 10 // bytes: goroutine, body, result, and the answer until it is written
-		perConn = 20 << 10 // bytes: netpoll's buffer and ours, with a frame begun
-	)
-	b := Bounds{
-		// One more than the cores: the poller of edge connections sleeps inside a system call, and what
-		// becomes due meanwhile should not wait until the runtime has taken its processor back.
-		Processors: int(math.Ceil(cores)) + 1,
-		Heap:       int64(memoryMB * mb * 5 / 8),
+// What a process needs beside its connections and invocations.
+const (
+	mb                 = 1 << 20
+	spareDescriptors   = 24       // of the executor, the registry, the pollers and the standard streams
+	leavingConnections = 12       // connections that are being closed at once
+	bytesPerInvocation = 16 << 10 // goroutine, body, result, and the answer until it is written
+	bytesPerConnection = 20 << 10 // netpoll's buffer and ours, with a frame begun
+)
+
+// fixed are the bounds that do not depend on the size of a process.
+func fixed() Bounds {
+	return Bounds{
 		HeapGrowth: 100,
 
 		Streams:  32,
@@ -110,7 +108,7 @@
 		Input:    4 << 10,
 		Received: 64 << 10,
 		Unfit:    32,
-		Leaving:  leaving,
+		Leaving:  leavingConnections,
 		Token:    64,
 
 		SampleWait:   20 * time.Millisecond,
@@ -149,14 +147,23 @@
 		LastWords:    30 * time.Millisecond,
 		LastChance:   5 * time.Millisecond,
 	}
+}
+
+// For works the bounds out from a process's share of cores, its memory in MB and its descriptors.
+func For(cores, memoryMB float64, sockets int) Bounds {
+	b := fixed()
+	// One more than the cores: the poller of edge connections sleeps inside a system call, and what
+	// becomes due meanwhile should not wait until the runtime has taken its processor back.
+	b.Processors = int(math.Ceil(cores)) + 1
+	b.Heap = int64(memoryMB * mb * 5 / 8)
 	b.Content = b.Body + 8<<10
 	b.Unsent = 2 * b.Streams * (b.Result + 256)
 	b.UnsentAll = int64(memoryMB * mb / 8)
 	b.Kept = int(memoryMB * mb / 16)
 	b.Spare = 16 << 10
 	room := memoryMB * mb / 4 // for connections, and as much for invocations; the rest is for collections
-	b.Connections = max(1, min(sockets-spare-leaving, int(room/perConn)))
+	b.Connections = max(1, min(sockets-spareDescriptors-leavingConnections, int(room/bytesPerConnection)))
 	b.Roomy = b.Connections * 3 / 4
-	b.Invocations = max(1, min(b.Connections*b.Streams, int(room/perInv)))
+	b.Invocations = max(1, min(b.Connections*b.Streams, int(room/bytesPerInvocation)))
 	return b
 }
