--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -428,3 +428,20 @@
 		t.Errorf("%q, %q", first, second)
 	}
 }
+
+// TestAskedAgainWhenTheTimeRanOut: where following ends before the command does, the report has how it stands then.
+func TestAskedAgainWhenTheTimeRanOut(t *testing.T) {
+	c, agents := fakeFleet(t)
+	agents["a"].settle = func(command *fleet.Command) { command.State = fleet.CommandOpen }
+	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
+	defer cancel()
+	time.AfterFunc(200*time.Millisecond, func() {
+		agents["a"].mu.Lock()
+		defer agents["a"].mu.Unlock()
+		agents["a"].commands["u1"] = &fleet.Command{ID: "u1", State: fleet.CommandOpen, Cause: "changed since"}
+	})
+	r := c.Execute(ctx, request("u1", fleet.KindStart, c), allInstances(t, c)[:2], true)
+	if h := r.Hosts[0]; h.Command == nil || h.Command.Cause != "changed since" || !h.Reached {
+		t.Errorf("%+v", h)
+	}
+}
