--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -256,7 +256,7 @@
 	a.loop.unpublished = nil
 }
 
-// save writes what is not written yet. After an error it is kept, and written with what follows.
+// save writes what is not written yet. After an error it stays unsaved, and is written with what follows.
 func (a *Agent) save() {
 	snapshot, deleted := a.loop.machine.Changes()
 	mergeChange(&a.loop.unsaved, agentstore.Change{Snapshot: snapshot, DeletedCommands: deleted})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -31,12 +31,12 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// TestMain: this program is also the keepers and the instances of its tests.
+// TestMain: this program is also the supervisors and the instances of its tests.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 {
 		switch os.Args[1] {
 		case "keeper":
-			keeperMain()
+			supervisorMain()
 		case "begin":
 			fmt.Fprintln(os.Stderr, supervisor.WaitAndExec(os.Args[3:]))
 			os.Exit(1)
@@ -62,7 +62,7 @@
 	return os.Args[i+1]
 }
 
-func keeperMain() {
+func supervisorMain() {
 	grace, _ := time.ParseDuration(flagOf("grace"))
 	stop, _ := time.ParseDuration(flagOf("stop"))
 	err := supervisor.Run(context.Background(), supervisor.Options{
@@ -153,9 +153,9 @@
 	h := &testHost{t: t, dir: dir, names: names, file: filepath.Join(dir, "f")}
 	t.Cleanup(h.clear)
 	for i, n := range names {
-		text := strings.NewReplacer(`"drain_grace_ms":300`, `"drain_grace_ms":300`).Replace(fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:%d",
+		text := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:%d",
 			"agent":"127.0.0.1:2","roster":"127.0.0.1:3","seed":"8c1f","stop_ms":600,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-			"settings":%s}`, n, 20_000+i, fakes.Settings))
+			"settings":%s}`, n, 20_000+i, fakes.Settings)
 		if err := os.WriteFile(filepath.Join(dir, n+".json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -174,7 +174,7 @@
 	return s
 }
 
-// clear ends what runs here, by the identities that keepers wrote down.
+// clear ends what runs here, by the identities that supervisors wrote down.
 func (h *testHost) clear() {
 	h.leave()
 	for range 2 {
@@ -262,8 +262,8 @@
 	}
 }
 
-// TestTroubles: what becomes of instances that are ill in each way, as real processes.
-func TestTroubles(t *testing.T) {
+// TestFaultyInstances: what becomes of instances with each kind of fault, as real processes.
+func TestFaultyInstances(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	h := newTestHost(t, "well", "deaf", "dies", "never", "crashes", "talks")
 	h.enter(nil)
@@ -284,7 +284,7 @@
 }
 
 // TestCrashAtEveryWrite: the agent dies at every place between writing down and acting, before and after each write. The
-// next one finishes what was begun: every instance has the lives that the commands ask for, and no more.
+// next one finishes what was begun: every instance has the incarnations that the commands ask for, and no more.
 func TestCrashAtEveryWrite(t *testing.T) {
 	for n := 1; n <= 14; n++ {
 		for _, after := range []bool{false, true} {
@@ -334,8 +334,8 @@
 				}
 				for _, n := range h.names {
 					raw, _ := os.ReadFile(supervisor.PathsOf(h.dir, n).Log + ".keeper")
-					if lives := strings.Count(string(raw), " launched "); lives != 2 {
-						t.Errorf("%s had %d lives, want 2:\n%s", n, lives, raw)
+					if launches := strings.Count(string(raw), " launched "); launches != 2 {
+						t.Errorf("%s was launched %d times, want 2:\n%s", n, launches, raw)
 					}
 				}
 			})
@@ -359,11 +359,11 @@
 		_ = d.Store.Save(c) // the agent dies before it learns of an error
 	}
 	close(d.died)
-	runtime.Goexit() // the loop ends here, with its steps in hand
+	runtime.Goexit() // the loop ends here, with its actions not started
 	return nil
 }
 
-// full is a store that can't write while it is told so.
+// full is a store that can't write while fails is set.
 type full struct {
 	agentstore.Store
 	fails atomic.Bool
@@ -425,7 +425,7 @@
 	}
 	before := state("a")
 	before.Supervisor.Signal(syscall.SIGKILL)
-	fakes.Until(t, "another keeper is there", func() bool { s := state("a"); return s.Supervisor != before.Supervisor && s.Supervisor.Alive() })
+	fakes.Until(t, "another supervisor is there", func() bool { s := state("a"); return s.Supervisor != before.Supervisor && s.Supervisor.Alive() })
 	fakes.Until(t, "it is seen ready", func() bool { return h.agent.Status().Instances[0].Phase == fleet.PhaseReady })
 	if s := state("a"); s.Instance != before.Instance || s.NotifiedStep != "" {
 		t.Fatalf("%+v became %+v", before, s)
@@ -439,11 +439,11 @@
 		t.Errorf("%+v", c.Results)
 	}
 	if state("deaf").Instance.Alive() {
-		t.Error("the deaf one lives")
+		t.Error("the deaf one still runs")
 	}
 }
 
-// TestDrainWithoutAgent: an instance told to leave leaves in its window though the agent and all commands are gone.
+// TestDrainWithoutAgent: an instance with a shutdown notice exits in its window though no agent runs.
 func TestDrainWithoutAgent(t *testing.T) {
 	h := newTestHost(t, "a", "deaf")
 	h.enter(nil)
@@ -468,9 +468,9 @@
 	}
 }
 
-// TestTools: two tools with the same command, a stream that is left and joined again, one that reads nothing, an
+// TestConcurrentClients: two clients with the same command, a stream that is left and joined again, one that reads nothing, an
 // order that can't be, all over the agent's socket.
-func TestTools(t *testing.T) {
+func TestConcurrentClients(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	h := newTestHost(t, "a", "b")
 	h.enter(nil)
--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -50,7 +50,7 @@
 	return err
 }
 
-// Rise begins or changes a cold start of the whole fleet.
+// Rise begins or changes a cold start of the fleet.
 func (a *Agent) Rise(ctx context.Context, c quota.ColdStartCommand) error {
 	rejection, err := a.applyQuotaCommand(ctx, quota.Command{ColdStart: &c})
 	if err == nil && rejection != "" {
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -64,7 +64,7 @@
 	if err := cmd.Start(); err != nil {
 		return failed(err)
 	}
-	// This goroutine lives as long as the supervisor, which outlives the agent: Run does not wait for it.
+	// This goroutine runs as long as the supervisor, which outlives the agent: Run does not wait for it.
 	go a.reapSupervisor(cmd, action, paths.State, logPath)
 	return nil
 }
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -260,7 +260,7 @@
 	}
 }
 
-// TestHistoryFeed: who joins late is told how much is lost, and gets the rest in parts.
+// TestHistoryFeed: who joins late learns how much is lost, and gets the rest in parts.
 func TestHistoryFeed(t *testing.T) {
 	feed := newHistoryFeed(nil)
 	_, _, more := feed.after(0)
--- a/internal/agentapi/api.go
+++ b/internal/agentapi/api.go
@@ -86,7 +86,7 @@
 	Budgets(ctx context.Context) (Budgets, error)
 	// WriteOff ends what a name holds of quotas, by an operator's word.
 	WriteOff(ctx context.Context, name, by string) error
-	// Rise begins or changes a cold start of the whole fleet.
+	// Rise begins or changes a cold start of the fleet.
 	Rise(ctx context.Context, r quota.ColdStartCommand) error
 	Members() []membership.Member
 }
