--- a/internal/cluster/membership/list.go
+++ b/internal/cluster/membership/list.go
@@ -33,7 +33,7 @@
 	Unknown State = "unheard"
 )
 
-// Seen is one agent.
+// Member is one agent, as this one judges it.
 type Member struct {
 	Host        string `json:"host"`
 	State       State  `json:"state"`
@@ -41,7 +41,7 @@
 	For         int64  `json:"for_us"`                // in this state
 }
 
-// Options are what a list is started with.
+// Config is what a List is started with.
 type Config struct {
 	Host        string
 	Incarnation uint64
@@ -91,13 +91,13 @@
 		l.refresh()
 		for _, s := range l.Members() {
 			if s.Host != l.config.Host && (s.State == Dead || s.State == Unknown) {
-				l.list.Join([]string{s.Host + "/" + l.transport.syntheticAddress(s.Host)})
+				_, _ = l.list.Join([]string{s.Host + "/" + l.transport.syntheticAddress(s.Host)})
 			}
 		}
 		select {
 		case <-every.C:
 		case <-ctx.Done():
-			l.list.Shutdown()
+			_ = l.list.Shutdown()
 			return
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 }
 
-// View is how all are judged, in order; For is the span until now.
+// Members lists how all are judged, in order; For is the time until now.
 func (l *List) Members() (all []Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,14 +145,29 @@
 
 // What the library tells and asks. Meta is the incarnation.
 
-func (l *List) NotifyJoin(n *memberlist.Node)   { l.update(n, Alive) }
+// NotifyJoin implements the member list library's delegates.
+func (l *List) NotifyJoin(n *memberlist.Node) { l.update(n, Alive) }
+
+// NotifyUpdate implements the member list library's delegates.
 func (l *List) NotifyUpdate(n *memberlist.Node) { l.update(n, Alive) }
-func (l *List) NotifyLeave(n *memberlist.Node)  { l.update(n, Dead) }
-func (l *List) NodeMeta(int) []byte             { return binary.BigEndian.AppendUint64(nil, l.config.Incarnation) }
-func (l *List) NotifyMsg([]byte)                {}
+
+// NotifyLeave implements the member list library's delegates.
+func (l *List) NotifyLeave(n *memberlist.Node) { l.update(n, Dead) }
+
+// NodeMeta implements the member list library's delegates.
+func (l *List) NodeMeta(int) []byte { return binary.BigEndian.AppendUint64(nil, l.config.Incarnation) }
+
+// NotifyMsg implements the member list library's delegates.
+func (l *List) NotifyMsg([]byte) {}
+
+// GetBroadcasts implements the member list library's delegates.
 func (l *List) GetBroadcasts(int, int) [][]byte { return nil }
-func (l *List) LocalState(bool) []byte          { return nil }
-func (l *List) MergeRemoteState([]byte, bool)   {}
+
+// LocalState implements the member list library's delegates.
+func (l *List) LocalState(bool) []byte { return nil }
+
+// MergeRemoteState implements the member list library's delegates.
+func (l *List) MergeRemoteState([]byte, bool) {}
 
 // wire carries the library's datagrams and streams over the agents' conversations. The library knows members by addresses;
 // here they are made of a host's place in the file, as each agent may reach another by an address of its own.
@@ -182,7 +197,7 @@
 		select {
 		case w.streams <- c:
 		case <-w.closed:
-			c.Close()
+			_ = c.Close()
 		}
 	})
 	return w
@@ -200,13 +215,13 @@
 }
 
 func (w *meshTransport) readPackets(c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
 		select {
 		case <-w.closed:
-			c.Close()
+			_ = c.Close()
 		case <-stop:
 		}
 	}()
@@ -282,7 +297,7 @@
 		case b = <-q:
 		case <-w.closed:
 			if c != nil {
-				c.Close()
+				_ = c.Close()
 			}
 			return
 		}
@@ -297,9 +312,9 @@
 		if c == nil {
 			continue
 		}
-		c.SetWriteDeadline(time.Now().Add(w.config.Bounds.Call / 4))
+		_ = c.SetWriteDeadline(time.Now().Add(w.config.Bounds.Call / 4))
 		if transport.WriteFrame(c, b) != nil {
-			c.Close()
+			_ = c.Close()
 			c = nil
 		}
 	}
--- a/internal/cluster/membership/list_test.go
+++ b/internal/cluster/membership/list_test.go
@@ -28,7 +28,7 @@
 
 func newHosts(t *testing.T, n int) *hosts {
 	h := &hosts{t: t, lists: map[string]*List{}, ends: map[string]func(){}, heard: map[string]map[State]int{}}
-	var names []string
+	names := make([]string, 0, n)
 	for i := range n {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.28.%d:0", i+1))
 		if err != nil {
@@ -42,7 +42,7 @@
 	if h.Mesh, err = proxy.NewMesh(names, h.at); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(h.Mesh.Close)
+	t.Cleanup(h.Close)
 	return h
 }
 
@@ -66,7 +66,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	all.Go(func() { n.Run(ctx) })
+	all.Go(func() { _ = n.Run(ctx) })
 	all.Go(func() { l.Run(ctx) })
 	h.lists[name] = l
 	h.ends[name] = func() {
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -18,7 +18,7 @@
 	"milletbarrow/internal/process"
 )
 
-// Options are what it is opened with.
+// Config is what a Node is opened with.
 type Config struct {
 	Spec     *fleet.Spec // with budgets
 	Host     string
@@ -27,7 +27,7 @@
 	Bounds   limits.Control
 }
 
-// Joined is an agent's part.
+// Node is one agent's part in the cluster.
 type Node struct {
 	*quotastore.Store
 	config    Config
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	j.Store.SetConfig(o.Spec.Quotas, o.Spec.QuotaHosts)
+	j.SetConfig(o.Spec.Quotas, o.Spec.QuotaHosts)
 	j.members, err = membership.Start(membership.Config{
 		Host: o.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Transport: j.transport, Bounds: o.Bounds, Clock: process.Now,
 		OnChange: func(s membership.Member) { j.emit(quota.Event{Name: s.Host, Kind: "agent " + string(s.State)}) },
@@ -81,22 +81,22 @@
 // Run takes part until ctx ends.
 func (j *Node) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
-	j.Store.RegisterHandlers(mux)
+	j.RegisterHandlers(mux)
 	server := &http.Server{
 		Handler: mux, ReadHeaderTimeout: j.config.Bounds.Call, ReadTimeout: 2 * j.config.Bounds.Call, WriteTimeout: 4 * j.config.Bounds.Call,
 		IdleTimeout: j.config.Bounds.Idle, MaxHeaderBytes: j.config.Bounds.Message,
 	}
-	stop := context.AfterFunc(ctx, func() { server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	all.Go(func() { j.transport.Run(ctx) })
+	all.Go(func() { _ = j.transport.Run(ctx) })
 	all.Go(func() { j.members.Run(ctx) })
-	all.Go(func() { server.Serve(j.transport.Listener(transport.KindCall)) })
+	all.Go(func() { _ = server.Serve(j.transport.Listener(transport.KindCall)) })
 	return j.Store.Run(ctx)
 }
 
-// Move takes the addresses of another file.
+// UpdateAddresses takes the addresses of another configuration.
 func (j *Node) UpdateAddresses(s *fleet.Spec) {
 	to, _ := addresses(s)
 	j.transport.SetAddresses(to)
@@ -105,7 +105,7 @@
 // Members as this agent judges them.
 func (j *Node) Members() []membership.Member { return j.members.Members() }
 
-// Notes for the history.
+// Events are for the history.
 func (j *Node) Events() <-chan quota.Event { return j.events }
 
 func (j *Node) emit(n quota.Event) {
--- a/internal/cluster/quotastore/api.go
+++ b/internal/cluster/quotastore/api.go
@@ -80,7 +80,7 @@
 		last = fmt.Errorf("%s: %w", next, err)
 		var other notLeader
 		if no, ok := errors.AsType[*jsonhttp.StatusError](err); ok && no.Code == http.StatusMisdirectedRequest {
-			json.Unmarshal([]byte(no.Text), &other)
+			_ = json.Unmarshal([]byte(no.Text), &other)
 		}
 		next = other.Leader
 	}
@@ -133,7 +133,7 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		json.NewEncoder(w).Encode(s)
+		_ = json.NewEncoder(w).Encode(s)
 	})
 	mux.HandleFunc("POST /ledger/do", func(w http.ResponseWriter, r *http.Request) {
 		var c quota.Command
@@ -155,10 +155,10 @@
 	switch {
 	case !ok:
 		w.WriteHeader(http.StatusMisdirectedRequest)
-		json.NewEncoder(w).Encode(notLeader{leader})
+		_ = json.NewEncoder(w).Encode(notLeader{leader})
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		json.NewEncoder(w).Encode(v)
+		_ = json.NewEncoder(w).Encode(v)
 	}
 }
--- a/internal/cluster/quotastore/boltstore.go
+++ b/internal/cluster/quotastore/boltstore.go
@@ -39,7 +39,7 @@
 		return errors.Join(err1, err2)
 	})
 	if err != nil {
-		db.Close()
+		_ = db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &boltStore{db: db}, nil
--- a/internal/cluster/quotastore/eligibility.go
+++ b/internal/cluster/quotastore/eligibility.go
@@ -126,7 +126,7 @@
 }
 
 func (m stateMachine) Restore(from io.ReadCloser) error {
-	defer from.Close()
+	defer func() { _ = from.Close() }()
 	return m.store.restore(from)
 }
 
--- a/internal/cluster/quotastore/quotastore.go
+++ b/internal/cluster/quotastore/quotastore.go
@@ -68,7 +68,7 @@
 
 }
 
-// ErrNoLeader: no half of the group can be reached, or none has agreed on a leader yet.
+// ErrNoLeader says that no half of the group can be reached, or that none has agreed on a leader yet.
 var ErrNoLeader = errors.New("the ledger has no leader that can be reached")
 
 // Open opens this host's side; a host outside the group keeps nothing and asks.
@@ -94,7 +94,7 @@
 		<-ctx.Done()
 		return nil
 	}
-	defer n.log.Close()
+	defer func() { _ = n.log.Close() }()
 	fit, err := n.assessEligibility(ctx)
 	if err != nil || ctx.Err() != nil {
 		return err
@@ -104,7 +104,7 @@
 		n.setStage("", err.Error())
 		return err
 	}
-	defer func() { r.Shutdown().Error() }()
+	defer func() { _ = r.Shutdown().Error() }()
 	n.runLeader(ctx, r)
 	return nil
 }
@@ -194,7 +194,8 @@
 	if err := copied.restore(bytes.NewReader(was)); err != nil {
 		return res, err
 	}
-	go r.Apply(raw, applyTimeout).Error()
+	f := r.Apply(raw, applyTimeout)
+	go func() { _ = f.Error() }() // its outcome shows in the log alone; ends with applyTimeout
 	return copied.apply(raw), nil
 }
 
--- a/internal/cluster/quotastore/quotastore_test.go
+++ b/internal/cluster/quotastore/quotastore_test.go
@@ -42,7 +42,7 @@
 func newGroup(t testing.TB, n int) *testGroup {
 	g := &testGroup{t: t, dir: t.TempDir(), at: map[string]string{}, nodes: map[string]*Store{}, ends: map[string]func(){}}
 	g.terms = &quota.Config{Version: 1, Limits: []quota.Limit{{Name: "out", Kind: quota.Concurrency, Total: 2}}}
-	var at []string
+	at := make([]string, 0, n)
 	for i := range n {
 		name := fmt.Sprint("h", i+1)
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.27.%d:0", i+1)) // where no call begins, so that it stays free
@@ -56,7 +56,7 @@
 	if g.Mesh, err = proxy.NewMesh(g.names, at); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(g.Mesh.Close)
+	t.Cleanup(g.Close)
 	g.asked = g.names
 	return g
 }
@@ -88,9 +88,9 @@
 	node.RegisterHandlers(mux)
 	server := &http.Server{Handler: mux}
 	var all sync.WaitGroup
-	all.Go(func() { n.Run(ctx) })
-	all.Go(func() { server.Serve(n.Listener(transport.KindCall)) })
-	all.Go(func() { node.Run(ctx) })
+	all.Go(func() { _ = n.Run(ctx) })
+	all.Go(func() { _ = server.Serve(n.Listener(transport.KindCall)) })
+	all.Go(func() { _ = node.Run(ctx) })
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.nodes[name] = node
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -32,7 +32,7 @@
 // greeting is the first line: the version, the kind, whom it is for, who speaks.
 const protocolVersion = "milletbarrow/1"
 
-// Net is one agent's side.
+// Transport is one agent's side. It is safe for concurrent use.
 type Transport struct {
 	Self   string
 	limits limits.Control
@@ -58,7 +58,7 @@
 	return n, nil
 }
 
-// Move takes other addresses; conversations that are under way go on.
+// SetAddresses takes other addresses; connections that are open go on.
 func (n *Transport) SetAddresses(to map[string]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,11 +68,11 @@
 
 // Run accepts until ctx ends.
 func (n *Transport) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { n.listener.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() })
 	defer stop()
 	defer func() {
 		for _, q := range n.queues {
-			q.Close()
+			_ = q.Close()
 		}
 	}()
 	l := limits.LimitListener(n.listener, 4*n.limits.Clients)
@@ -91,11 +91,11 @@
 
 // greet reads the first line and hands the conversation to its kind; one that is meant for another agent is closed.
 func (n *Transport) accept(c net.Conn) {
-	c.SetReadDeadline(time.Now().Add(n.limits.Call))
+	_ = c.SetReadDeadline(time.Now().Add(n.limits.Call))
 	line := make([]byte, 0, 128)
 	for one := make([]byte, 1); len(line) < cap(line); { // no byte beyond the line may be taken
 		if _, err := io.ReadFull(c, one); err != nil {
-			c.Close()
+			_ = c.Close()
 			return
 		}
 		if one[0] == '\n' {
@@ -103,19 +103,19 @@
 		}
 		line = append(line, one[0])
 	}
-	c.SetReadDeadline(time.Time{})
+	_ = c.SetReadDeadline(time.Time{})
 	words := strings.Fields(string(line))
 	if len(words) != 4 || words[0] != protocolVersion || words[2] != n.Self || n.queues[Kind(words[1])] == nil {
-		c.Close()
+		_ = c.Close()
 		return
 	}
 	q := n.queues[Kind(words[1])]
 	select {
 	case q.conns <- &peerConn{c, peerAddr(words[3])}:
 	case <-q.closed:
-		c.Close()
+		_ = c.Close()
 	case <-time.After(n.limits.Call):
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -131,19 +131,19 @@
 	if err != nil {
 		return nil, err
 	}
-	c.SetWriteDeadline(time.Now().Add(n.limits.Call))
+	_ = c.SetWriteDeadline(time.Now().Add(n.limits.Call))
 	if _, err := fmt.Fprintf(c, "%s %s %s %s\n", protocolVersion, kind, to, n.Self); err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, err
 	}
-	c.SetWriteDeadline(time.Time{})
+	_ = c.SetWriteDeadline(time.Time{})
 	return &peerConn{c, peerAddr(to)}, nil
 }
 
 // Listener of one kind.
 func (n *Transport) Listener(kind Kind) net.Listener { return n.queues[kind] }
 
-// Ask makes a call of our own to another agent, once.
+// Call makes a call of our own to another agent, once.
 func (n *Transport) Call(ctx context.Context, to, path string, body, into any) error {
 	n.mu.Lock()
 	c := n.clients[to]
@@ -192,14 +192,14 @@
 func (q *listenerQueue) Close() error   { q.once.Do(func() { close(q.closed) }); return nil }
 func (q *listenerQueue) Addr() net.Addr { return q.addr }
 
-// WriteMessage and ReadMessage carry whole messages of at most so many bytes over a stream.
+// WriteFrame writes one message of less than 16 MiB to a stream.
 func WriteFrame(w io.Writer, b []byte) error {
 	head := []byte{byte(len(b) >> 16), byte(len(b) >> 8), byte(len(b))}
 	_, err := w.Write(append(head, b...))
 	return err
 }
 
-// ReadMessage reads one; an error means that the stream is of no more use.
+// ReadFrame reads one message of at most so many bytes; after an error the stream is of no more use.
 func ReadFrame(r *bufio.Reader, most int) ([]byte, error) {
 	var head [3]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
