--- a/cmd/milletbarrow/degradation_bench_test.go
+++ b/cmd/milletbarrow/degradation_bench_test.go
@@ -62,9 +62,9 @@
 }
 
 // serveBills starts a backend with its crew.
-func (w billed) serve(t *testing.T) (*backend, *fakes.Crew) {
+func (w billed) serve(t *testing.T) (*backend, *fakes.AutoExecutor) {
 	b := prepare(t, lookClasses, billClasses)
-	crew := fakes.NewCrew(t, 20*time.Millisecond, 2)
+	crew := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
 	raw, err := os.ReadFile(b.config)
 	if err == nil {
 		err = os.WriteFile(b.config, []byte(strings.Replace(string(raw), b.farm.Address, crew.Address, 1)), 0o600)
@@ -109,14 +109,14 @@
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
 			const many = 8
-			backends, crews := make([]*backend, 0, many), make([]*fakes.Crew, 0, many)
-			loads := make([]*fakes.Load, 0, many)
+			backends, crews := make([]*backend, 0, many), make([]*fakes.AutoExecutor, 0, many)
+			loads := make([]*fakes.Caller, 0, many)
 			for range many {
 				b, c := w.serve(t)
 				backends, crews = append(backends, b), append(crews, c)
 			}
 			for i, b := range backends {
-				loads = append(loads, fakes.Mixed(b.address, i+1, 10*time.Millisecond, 3*time.Second, w.mix()))
+				loads = append(loads, fakes.NewMixedCaller(b.address, i+1, 10*time.Millisecond, 3*time.Second, w.mix()))
 			}
 			time.Sleep(calm)
 			slowed := time.Now()
@@ -180,7 +180,7 @@
 		t.Run(fmt.Sprint(boundary), func(t *testing.T) {
 			t.Parallel()
 			b, crew := billed{ladder: swingLadder}.serve(t)
-			l := fakes.Mixed(b.address, int(boundary*10), 25*time.Millisecond, 3*time.Second, billed{ranked: true}.mix())
+			l := fakes.NewMixedCaller(b.address, int(boundary*10), 25*time.Millisecond, 3*time.Second, billed{ranked: true}.mix())
 			// The farm's queue is what is swung: the load itself is light, so that only the levels are at work.
 			r := rand.New(rand.NewPCG(uint64(boundary*10), 0))
 			began := time.Now()
--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -85,7 +85,7 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	site, err := demo.Lay(s, self)
+	site, err := demo.NewSite(s, self)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -43,7 +43,7 @@
 					if err != nil {
 						return err
 					}
-					return playTrials(ctx, c, []*schedule.Table{t})
+					return playTrials(ctx, c, []*schedule.Schedule{t})
 				},
 			},
 			{
@@ -68,7 +68,7 @@
 }
 
 func measureFaults(ctx context.Context, c *cli.Command) error {
-	o, err := trialOptions(c, &schedule.Table{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
+	o, err := trialOptions(c, &schedule.Schedule{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func tableOf(file string) (*schedule.Table, error) {
+func tableOf(file string) (*schedule.Schedule, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, unusable(err)
@@ -93,7 +93,7 @@
 }
 
 func runTrials(ctx context.Context, c *cli.Command) error {
-	var all []*schedule.Table
+	var all []*schedule.Schedule
 	for _, file := range c.Args().Slice() {
 		t, err := tableOf(file)
 		if err != nil {
@@ -105,7 +105,7 @@
 		return unusable(fmt.Errorf("trial: 1 to %d hosts, 1 to %d backends", schedule.MostHosts, schedule.MostBackends))
 	}
 	for n := range c.Int("count") {
-		all = append(all, schedule.Draw(c.Uint64("seed")+uint64(n), c.Int("hosts"), c.Int("backends"), c.Int("faults"), c.Duration("span")))
+		all = append(all, schedule.Random(c.Uint64("seed")+uint64(n), c.Int("hosts"), c.Int("backends"), c.Int("faults"), c.Duration("span")))
 	}
 	if len(all) == 0 {
 		return unusable(errors.New("trial: name a file, or --count"))
@@ -113,7 +113,7 @@
 	return playTrials(ctx, c, all)
 }
 
-func trialOptions(c *cli.Command, t *schedule.Table) (o harness.Options, err error) {
+func trialOptions(c *cli.Command, t *schedule.Schedule) (o harness.Options, err error) {
 	self, err := os.Executable()
 	o = harness.Options{Program: self, Table: t, Keep: c.String("keep"), Failpoint: c.String("failpoint")}
 	if !c.Bool("quiet") {
@@ -123,7 +123,7 @@
 }
 
 // playTrials plays one after the other, and tells of each.
-func playTrials(ctx context.Context, c *cli.Command, all []*schedule.Table) error {
+func playTrials(ctx context.Context, c *cli.Command, all []*schedule.Schedule) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	failed := 0
@@ -169,7 +169,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("within"))
 	defer cancel()
-	small, err := harness.Shrink(ctx, t, c.Int("tries"), func(t *schedule.Table) (harness.Options, error) { return trialOptions(c, t) })
+	small, err := harness.Shrink(ctx, t, c.Int("tries"), func(t *schedule.Schedule) (harness.Options, error) { return trialOptions(c, t) })
 	if err != nil {
 		return err
 	}
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -16,7 +16,7 @@
 )
 
 // played plays a timetable with real processes of a built program.
-func played(t *testing.T, program, failpoint string, table *schedule.Table) *harness.Verdict {
+func played(t *testing.T, program, failpoint string, table *schedule.Schedule) *harness.Verdict {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
@@ -30,7 +30,7 @@
 	return v
 }
 
-func kept(t *testing.T, name string) *schedule.Table {
+func kept(t *testing.T, name string) *schedule.Schedule {
 	t.Helper()
 	table, err := tableOf(filepath.Join("../../internal/faultinjection/testdata", name))
 	if err != nil {
@@ -42,7 +42,7 @@
 // TestTrial is the bounded part of the proving ground: five agents, twenty backends under load, at least one fault of each
 // kind.
 func TestTrial(t *testing.T) {
-	v := played(t, program, "", schedule.Draw(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
+	v := played(t, program, "", schedule.Random(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
 	if !v.OK {
 		t.Errorf("did not hold: %v", v.Why)
 	}
@@ -95,7 +95,7 @@
 // TestTrialCatches has the auditor judge a program with a fault, and the same program without it.
 func TestTrialCatches(t *testing.T) {
 	bad := buildWithFailpoints(t)
-	table := &schedule.Table{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
+	table := &schedule.Schedule{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
 	if v := played(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Why, " "), "shares in force") {
 		t.Errorf("floors counted twice were not found: %v", v.Why)
 	}
@@ -120,7 +120,7 @@
 
 // TestTrialLeavesNothing: what a trial began ends with it, also where it is broken off.
 func TestTrialLeavesNothing(t *testing.T) {
-	g, err := harness.Open(harness.Options{Program: program, Table: &schedule.Table{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
+	g, err := harness.Open(harness.Options{Program: program, Table: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -30,7 +30,7 @@
 	t     testing.TB
 	dir   string
 	file  string
-	crews map[string]*fakes.Crew
+	crews map[string]*fakes.AutoExecutor
 	names []string
 	at    map[string]string // address of each
 	agent *exec.Cmd
@@ -42,9 +42,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hosts{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), crews: map[string]*fakes.Crew{}, at: map[string]string{}}
+	h := &hosts{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), crews: map[string]*fakes.AutoExecutor{}, at: map[string]string{}}
 	t.Cleanup(h.clear)
-	roster, _ := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	roster, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	taken := make([]net.Listener, 0, many)
 	for n := range many {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,7 +53,7 @@
 		}
 		taken = append(taken, l)
 		name := fmt.Sprint("n", n+1)
-		crew := fakes.NewCrew(t, 20*time.Millisecond, 2)
+		crew := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
 		h.crews[name], h.at[name] = crew, l.Addr().String()
 		h.names = append(h.names, name)
 		raw, err := os.ReadFile(configFile(t, l.Addr().String(), crew.Address, roster, append(edit, `"drain_grace_ms":300`, `"drain_grace_ms":2000`,
@@ -253,9 +253,9 @@
 	h.must("start", "--all", "--quiet", "--within", "60s")
 	h.untilAll(fleet.PhaseReady)
 
-	loads := make([]*fakes.Load, 0, len(h.names))
+	loads := make([]*fakes.Caller, 0, len(h.names))
 	for i, n := range h.names {
-		loads = append(loads, fakes.NewLoad(h.at[n], i+1, 50*time.Millisecond, 3*time.Second, time.Duration(i%4)*150*time.Millisecond))
+		loads = append(loads, fakes.NewCaller(h.at[n], i+1, 50*time.Millisecond, 3*time.Second, time.Duration(i%4)*150*time.Millisecond))
 	}
 	tool := h.command("wave", "--all", "--id", "release", "--within", "150s", "--json", "--quiet")
 	var report bytes.Buffer
@@ -292,8 +292,8 @@
 			}
 		}
 	}
-	var sent []*fakes.Sent
-	byInstance := map[string][]*fakes.Sent{}
+	var sent []*fakes.SentRequest
+	byInstance := map[string][]*fakes.SentRequest{}
 	for i, l := range loads {
 		byInstance[h.names[i]] = l.Stop()
 		sent = append(sent, byInstance[h.names[i]]...)
@@ -350,22 +350,22 @@
 
 // checkAnswers: each invocation has exactly one final answer in time, but for those that the stopped instance held, and the few
 // of a life's last moments that, it is believed, a starved process had not read when it ended: from outside the two can't be told apart.
-func checkAnswers(t *testing.T, by map[string][]*fakes.Sent, lives map[string][]*lived, stopped time.Time) {
+func checkAnswers(t *testing.T, by map[string][]*fakes.SentRequest, lives map[string][]*lived, stopped time.Time) {
 	const busy, lastMoments = 500 * time.Millisecond, 300 * time.Millisecond
 	killed := lives["n23"][0].ended
 	codes, lost, unread := map[byte]int{}, 0, 0
-	atTheEnd := func(n string, s *fakes.Sent) bool {
+	atTheEnd := func(n string, s *fakes.SentRequest) bool {
 		return slices.ContainsFunc(lives[n], func(l *lived) bool { return s.At.After(l.ended.Add(-lastMoments)) && s.At.Before(l.ended) })
 	}
 	for n, sent := range by {
 		for _, s := range sent {
 			switch {
-			case s.Unborn:
+			case s.NeverSent:
 			case n == "n23" && s.Answers == 0 && s.At.After(stopped.Add(-3*time.Second)) && s.At.Before(killed):
 				lost++ // nobody can answer for a process that is stopped
 			case s.Broken && s.Answers == 0 && atTheEnd(n, s):
 				unread++
-			case s.Answers != 1 || s.Wrong || s.Answered.After(s.Due.Add(busy)):
+			case s.Answers != 1 || s.WrongResult || s.Answered.After(s.Due.Add(busy)):
 				t.Errorf("%s: %+v", n, *s)
 			default:
 				codes[s.Code]++
@@ -382,7 +382,7 @@
 }
 
 // checkLaunches: nothing that arrived after an instance's grace was ever launched, and nothing twice.
-func checkLaunches(t *testing.T, h *hosts, by map[string][]*fakes.Sent, lives map[string][]*lived, grace time.Duration) {
+func checkLaunches(t *testing.T, h *hosts, by map[string][]*fakes.SentRequest, lives map[string][]*lived, grace time.Duration) {
 	const allowance = 50 * time.Millisecond // that the platform's rule gives
 	late, after := 0, 0
 	for n, sent := range by {
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -121,7 +121,7 @@
 				if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("warm-up-share") <= 0 {
 					return unusable(errors.New("cores and crowd are at least 1, warm-up-share above 0"))
 				}
-				y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Terms{
+				y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
 					Cores: c.Int("cores"), Crowd: c.Float("crowd"), Takes: c.Duration("service-time"), Cold: c.Duration("warm-up"), Share: c.Float("warm-up-share"), Most: 10_000,
 				})
 				if err != nil {
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -69,7 +69,7 @@
 // backend is a started program with what is around it.
 type backend struct {
 	t       testing.TB
-	farm    *fakes.Farm
+	farm    *fakes.ScriptedExecutor
 	reports chan string
 	address string
 	config  string
@@ -113,9 +113,9 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	b := &backend{t: t, farm: fakes.NewFarm(t), address: l.Addr().String()}
+	b := &backend{t: t, farm: fakes.NewScriptedExecutor(t), address: l.Addr().String()}
 	var roster string
-	roster, b.reports = fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	roster, b.reports = fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	b.config = configFile(t, b.address, b.farm.Address, roster, edit...)
 	return b
 }
@@ -141,7 +141,7 @@
 			return false
 		}
 		defer c.Close()
-		f, err := fakes.NewNode(b.t, c).Ask(fakes.Raw(20, 1, "\x00"))
+		f, err := fakes.NewEdgeNode(b.t, c).Ask(fakes.Raw(20, 1, "\x00"))
 		return err == nil && f.Code == 1
 	})
 	return b
@@ -269,7 +269,7 @@
 		cut = b.farm.Move()
 		meanwhile()
 		var roster string
-		roster, b.reports = fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+		roster, b.reports = fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 		now = regexp.MustCompile(`"roster":"[^"]*"`).ReplaceAllString(strings.Replace(now, before, b.farm.Address, 1), `"roster":"`+roster+`"`)
 		b.configure(now)
 		tr.Say("%s: subscribe %d", what, fakes.Take(t, "a new link", b.farm.Subscribes))
@@ -384,7 +384,7 @@
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Raw(20, 1, "\x00"))
 	n.Expect()
-	all := make([]*fakes.Node, 0, 100)
+	all := make([]*fakes.EdgeNode, 0, 100)
 	for range 100 {
 		all = append(all, fakes.Dial(t, b.address))
 	}
@@ -410,19 +410,19 @@
 	tr := fakes.NewTrace(t)
 	b := prepare(t, `"n_cores":2`, `"n_cores":5000`, `"mem_limit_kb":90000`, `"mem_limit_kb":90000000`).start().ready()
 	b.farm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
-	var nodes []*fakes.Node
+	var nodes []*fakes.EdgeNode
 	send := func(from, to int) {
 		for k := from; k < to; k++ {
 			n := fakes.Dial(t, b.address)
 			nodes = append(nodes, n)
 			for stream := range 32 {
 				number := k*32 + stream
-				n.Send(fakes.Raw(10, uint32(stream+1), fakes.Fields(fakes.Usual(number, "wait=60000")...)+strings.Repeat("b", 2048)))
+				n.Send(fakes.Raw(10, uint32(stream+1), fakes.Fields(fakes.DefaultFields(number, "wait=60000")...)+strings.Repeat("b", 2048)))
 			}
 		}
 	}
 	codes := map[byte]int{}
-	answers := func(nodes []*fakes.Node) {
+	answers := func(nodes []*fakes.EdgeNode) {
 		for _, n := range nodes {
 			for range 32 {
 				codes[n.Expect().Code]++
--- a/cmd/milletbarrow/moments_test.go
+++ b/cmd/milletbarrow/moments_test.go
@@ -169,7 +169,7 @@
 	b := prepare(t)
 	status := make(chan int, 1)
 	status <- http.StatusNoContent
-	roster, reports := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) {
+	roster, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
 		now := <-status
 		status <- now
 		w.WriteHeader(now)
@@ -210,16 +210,16 @@
 	first, second := fakes.Dial(t, b.address), fakes.Dial(t, b.address)
 	second.Send(fakes.Raw(20, 1, "\x00"))
 	second.Expect()
-	first.Send(fakes.Try(1, 1, "x"))
+	first.Send(fakes.Attempt(1, 1, "x"))
 	l := fakes.Take(t, "a launch", b.farm.Launches)
 	first.Conn.(*net.TCPConn).SetLinger(0)
 	first.Close()
 	b.term()
-	second.Send(fakes.Try(2, 2, "x", "retry=1"))
+	second.Send(fakes.Attempt(2, 2, "x", "retry=1"))
 	if f := second.Expect(); f.Type != 30 {
 		t.Fatalf("%v: not the end of the grace", f)
 	}
-	second.Send(fakes.Try(3, 3, "x", "retry=1"))
+	second.Send(fakes.Attempt(3, 3, "x", "retry=1"))
 	if f := second.Expect(); f.Stream != 3 || f.Code != 3 {
 		t.Errorf("after the grace: %v", f)
 	}
@@ -242,7 +242,7 @@
 // is made during the drain is served, and asked for no more when the grace is over.
 func TestHalfAFrameAtTheShutdown(t *testing.T) {
 	b := prepare(t, `"drain_grace_ms":300`, `"drain_grace_ms":1500`, `"stop_ms":1500`, `"stop_ms":3500`).start().ready()
-	half := func(number int) (n *fakes.Node, rest string) {
+	half := func(number int) (n *fakes.EdgeNode, rest string) {
 		n = fakes.Dial(t, b.address)
 		whole := fakes.Invocation(1, number, "wait=10000")
 		n.Send(whole[:40])
@@ -269,7 +269,7 @@
 	if f := late.Expect(); f.Type != 11 || f.Code != 1 {
 		t.Errorf("made during the drain: %v", f)
 	}
-	for _, n := range []*fakes.Node{in, late, after, never, check} {
+	for _, n := range []*fakes.EdgeNode{in, late, after, never, check} {
 		if f := n.Expect(); f.Type != 30 {
 			t.Errorf("%v: not the end of the grace", f)
 		}
@@ -283,7 +283,7 @@
 	if f := after.Expect(); f.Type != 11 || f.Stream != 1 {
 		t.Errorf("the rest after the grace: %v", f)
 	}
-	for _, n := range []*fakes.Node{in, late, after, check} {
+	for _, n := range []*fakes.EdgeNode{in, late, after, check} {
 		n.Close()
 	}
 	if f, err := never.Next(); !errors.Is(err, io.EOF) {
--- a/internal/backend/executor/client_test.go
+++ b/internal/backend/executor/client_test.go
@@ -43,7 +43,7 @@
 }
 
 // keep holds a link to the executor until the test ends.
-func keep(t *testing.T, a *fakes.Farm) *Client {
+func keep(t *testing.T, a *fakes.ScriptedExecutor) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := New(a.Address, limits.For(1, 192, 1024), ratelimitlog.New(time.Hour), func(bool, dispatch.Micros) {})
 	over := make(chan struct{})
@@ -53,7 +53,7 @@
 }
 
 // story runs what the executor does with one run and prints how it ended.
-func story(tr *fakes.Trace, l *Client, a *fakes.Farm, id, what string, do func()) {
+func story(tr *fakes.Trace, l *Client, a *fakes.ScriptedExecutor, id, what string, do func()) {
 	run := l.Launch(id, "look", []byte("body"))
 	fakes.Take(tr, "a launch", a.Launches)
 	do()
@@ -63,7 +63,7 @@
 
 func TestRuns(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	id := func(n int) string { return fmt.Sprintf("%016x", n) }
 	fakes.Take(t, "the first link", a.Subscribes)
@@ -92,7 +92,7 @@
 // never heard of is started there.
 func TestLinkLost(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	tr.Say("subscribe %d", fakes.Take(t, "the first link", a.Subscribes))
 	fakes.Until(t, "the link is up", l.Available)
@@ -122,7 +122,7 @@
 // come twice under one number, with remarks in between. Each run ends once, with its own result.
 func TestGarble(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Until(t, "the link is up", l.Available)
 	id := func(n int) string { return fmt.Sprintf("00000000000000c%d", n) }
@@ -169,7 +169,7 @@
 // not come again with each new link.
 func TestUnreadable(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Until(t, "the link is up", l.Available)
@@ -202,7 +202,7 @@
 // not taken for the newer; asking never blocks.
 func TestSamples(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Until(t, "the link is up", l.Available)
 	fakes.Take(t, "the first sample", l.Samples())
@@ -227,7 +227,7 @@
 // ends first the new one stands in for it, and a move back and forth leaves one link.
 func TestMoveWithoutGreeting(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Until(t, "the link is up", l.Available)
@@ -271,7 +271,7 @@
 
 // TestSilentLink: a synced link that stays open and brings nothing is tried anew; runs go on.
 func TestSilentLink(t *testing.T) {
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Until(t, "the link is up", l.Available)
@@ -294,7 +294,7 @@
 	for what, beside := range map[string]bool{"beside": true, "alone": false} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			a := fakes.NewFarm(t)
+			a := fakes.NewScriptedExecutor(t)
 			l := keep(t, a)
 			fakes.Take(t, "the first link", a.Subscribes)
 			fakes.Take(t, "a sample", l.Samples())
@@ -321,7 +321,7 @@
 
 // TestLateSamples: a executor that answers each sample too late to count is slow, not silent: its link stays.
 func TestLateSamples(t *testing.T) {
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Take(t, "a sample", l.Samples())
@@ -337,7 +337,7 @@
 
 // TestMoveToNobody: nobody listens at the new address. Runs go on over the link in use, and a move back leaves one link.
 func TestMoveToNobody(t *testing.T) {
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Take(t, "a sample", l.Samples())
--- a/internal/backend/executor/notices_test.go
+++ b/internal/backend/executor/notices_test.go
@@ -12,7 +12,7 @@
 // TestUnreadableResultInAFullBuffer: a large result without its end follows another in one write, so that the buffer is moved
 // between the reading of the notice and of its result. The run that the notice names ends all the same.
 func TestUnreadableResultInAFullBuffer(t *testing.T) {
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Until(t, "the link is up", l.Available)
 	one, two := l.Launch("00000000000000a1", "look", nil), l.Launch("00000000000000a2", "look", nil)
@@ -30,7 +30,7 @@
 
 // TestSamplesOfOthers: a sample that was not the last asked for, or that the link before brings, is not taken for it.
 func TestSamplesOfOthers(t *testing.T) {
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Until(t, "the link is up", l.Available)
 	fakes.Take(t, "the first sample", l.Samples())
@@ -52,7 +52,7 @@
 
 // TestLaunchBeforeSynced: a launch waits until all notices from before the link have been read, and goes out then, once.
 func TestLaunchBeforeSynced(t *testing.T) {
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	a.With(func(state, _ *string) { *state = "" })
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
@@ -69,7 +69,7 @@
 
 // TestRemarkCounts: a numbered remark is a notice that has been read: the next link is subscribed after it.
 func TestRemarkCounts(t *testing.T) {
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Take(t, "the first sample", l.Samples())
@@ -84,7 +84,7 @@
 
 // TestSlowFirstGreeting: before the first greeting of all a silent link is left alone: the executor may come up late.
 func TestSlowFirstGreeting(t *testing.T) {
-	a := fakes.NewFarm(t)
+	a := fakes.NewScriptedExecutor(t)
 	a.With(func(state, _ *string) { *state = "" })
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
--- a/internal/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -22,7 +22,7 @@
 }
 
 func usual(edits ...string) []string {
-	return fakes.Usual(0xa1, append([]string{"at=1764576000123"}, edits...)...)
+	return fakes.DefaultFields(0xa1, append([]string{"at=1764576000123"}, edits...)...)
 }
 
 func TestInvocations(t *testing.T) {
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -45,7 +45,7 @@
 	} {
 		b := limits.For(1, 192, 1024)
 		b.Report, b.Call, b.ReportFirst, b.ReportMost = 10*time.Millisecond, 200*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
-		address, reports := fakes.NewRoster(t, c.does)
+		address, reports := fakes.NewRegistry(t, c.does)
 		r := New(address, "n3", b, false)
 		over := make(chan struct{})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -84,7 +84,7 @@
 func TestTwoNeverAnswered(t *testing.T) {
 	b, held := limits.For(1, 192, 1024), make(chan struct{})
 	var seen atomic.Int32
-	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) {
+	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
 		if n := seen.Add(1); n == 2 || n == 3 { // reports are begun one after the other
 			<-held
 		}
@@ -194,8 +194,8 @@
 func TestLeavesUntilTaken(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	status, said := http.StatusServiceUnavailable, make(chan int, 100)
-	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-said) })
-	elsewhere, later := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-said) })
+	elsewhere, later := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	b := limits.For(1, 192, 1024)
 	b.Report = 10 * time.Millisecond
 	r := New(address, "n3", b, false)
@@ -230,7 +230,7 @@
 			t.Errorf("%q: %v, want %v", word, got, want)
 		}
 	}
-	address, reports := fakes.NewRoster(t, func(w http.ResponseWriter, _ *http.Request) {
+	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "later", http.StatusServiceUnavailable)
 	})
--- a/internal/backend/server/races_test.go
+++ b/internal/backend/server/races_test.go
@@ -40,7 +40,7 @@
 func TestAcceptQueue(t *testing.T) {
 	s := open(t, nil)
 	release := s.holdPoller(t)
-	nodes := make([]*fakes.Node, 0, 5)
+	nodes := make([]*fakes.EdgeNode, 0, 5)
 	for k := range 5 {
 		n := fakes.Dial(t, s.address)
 		n.Send(fakes.Invocation(1, k+1))
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { plain.Close() })
-	n := fakes.NewNode(t, plain)
+	n := fakes.NewEdgeNode(t, plain)
 	const many = 16
 	for k := range many {
 		n.Send(fakes.Invocation(uint32(k+1), k+1, "wait=60000"))
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -25,9 +25,9 @@
 func TestRepeatsOfOneRun(t *testing.T) {
 	s := open(t, tokened)
 	first, second := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
-	first.Send(fakes.Try(1, 1, "x"))
+	first.Send(fakes.Attempt(1, 1, "x"))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
-	second.Send(fakes.Try(1, 2, "x", "retry=1"))
+	second.Send(fakes.Attempt(1, 2, "x", "retry=1"))
 	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
 	first.Conn.(*net.TCPConn).SetLinger(0)
 	first.Close()
@@ -40,7 +40,7 @@
 	if f := second.Expect(); f.Code != 1 || f.Body != "the one result" {
 		t.Errorf("the repeat beside it: %v", f)
 	}
-	second.Send(fakes.Try(1, 3, "x", "retry=1")) // the stream number too comes again
+	second.Send(fakes.Attempt(1, 3, "x", "retry=1")) // the stream number too comes again
 	if f := second.Expect(); f.Code != 1 || f.Body != "the one result" {
 		t.Errorf("the repeat after it: %v", f)
 	}
@@ -58,10 +58,10 @@
 	hook := func() { stopped <- struct{}{}; <-goOn }
 	s.beforeLaunch.Store(&hook)
 	n := fakes.Dial(t, s.address)
-	n.Send(fakes.Try(1, 1, "x"))
+	n.Send(fakes.Attempt(1, 1, "x"))
 	fakes.Take(t, "the word that it may run", stopped)
 	s.beforeLaunch.Store(nil)
-	n.Send(fakes.Try(2, 2, "x", "retry=1"))
+	n.Send(fakes.Attempt(2, 2, "x", "retry=1"))
 	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
 	n.Send(fakes.Raw(12, 1, ""))
 	n.Send(fakes.Raw(20, 3, "\x00"))
@@ -70,7 +70,7 @@
 	if f := n.Expect(); f.Stream != 2 || f.Code != 2 || f.Fields != "after=50" {
 		t.Errorf("the repeat: %v", f)
 	}
-	n.Send(fakes.Try(4, 4, "x", "retry=1"))
+	n.Send(fakes.Attempt(4, 4, "x", "retry=1"))
 	if l := s.run(t, "complete", "r"); l.ID != "0000000000000004" {
 		t.Errorf("launched %v", l)
 	}
@@ -89,12 +89,12 @@
 	})
 	n := fakes.Dial(t, s.address)
 	ask := func(what string, stream uint32, token string, edits ...string) {
-		n.Send(fakes.Try(stream, int(stream), token, edits...))
+		n.Send(fakes.Attempt(stream, int(stream), token, edits...))
 		tr.Say("%s: %v", what, n.Expect())
 	}
 	ask("no token", 1, "")
 	ask("a long one", 3, strings.Repeat("0123456789", 7))
-	n.Send(fakes.Try(5, 5, "x"))
+	n.Send(fakes.Attempt(5, 5, "x"))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	ask("a repeat where no more may be open", 6, "x", "retry=1")
 	ask("new work there", 7, "y")
@@ -110,7 +110,7 @@
 	s := open(t, tokened)
 	n, bad := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	copied := func(stream uint32, number int) {
-		fields := fakes.Fields(fakes.Usual(number, "class=post", "once=x")...)
+		fields := fakes.Fields(fakes.DefaultFields(number, "class=post", "once=x")...)
 		bad.Send(fakes.Raw(10, stream, fields+"what it would like"))
 	}
 	refused := func() {
@@ -125,7 +125,7 @@
 	}
 	copied(1, 1)
 	l := fakes.Take(t, "the launch of the copy that came first", s.fakeExecutor.Launches)
-	n.Send(fakes.Try(1, 2, "x"))
+	n.Send(fakes.Attempt(1, 2, "x"))
 	own := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	s.fakeExecutor.Refuse(l.ID)
 	bad.Expect()
@@ -141,7 +141,7 @@
 	if f := bad.Expect(); f.Stream != 4 || f.Code != 3 || f.Body != "" {
 		t.Errorf("a copy with the id of the work: %v", f)
 	}
-	n.Send(fakes.Try(2, 5, "x", "retry=1"))
+	n.Send(fakes.Attempt(2, 5, "x", "retry=1"))
 	if f := n.Expect(); f.Code != 1 || f.Body != "r" {
 		t.Errorf("its repeat: %v", f)
 	}
@@ -161,16 +161,16 @@
 	n := fakes.Dial(t, s.address)
 	at := func(when time.Time) string { return fmt.Sprint("at=", when.UnixMilli()) }
 	arrived := time.Now()
-	n.Send(fakes.Try(1, 1, "x", at(arrived)))
+	n.Send(fakes.Attempt(1, 1, "x", at(arrived)))
 	s.run(t, "complete", "first")
 	n.Expect()
 	inside, outside := arrived.Add(window), time.Now().Add(window+slack+2*time.Millisecond)
 	fakes.Until(t, "the window is over", func() bool { return time.Now().After(outside) })
-	n.Send(fakes.Try(2, 2, "x", "retry=1", at(inside)))
+	n.Send(fakes.Attempt(2, 2, "x", "retry=1", at(inside)))
 	if f := n.Expect(); f.Stream != 2 || f.Code != 1 || f.Body != "first" || len(s.fakeExecutor.Launches) != 0 {
 		t.Errorf("just inside: %v, %d launched", f, len(s.fakeExecutor.Launches))
 	}
-	n.Send(fakes.Try(3, 3, "x", "retry=1", at(outside)))
+	n.Send(fakes.Attempt(3, 3, "x", "retry=1", at(outside)))
 	if l := s.run(t, "complete", "second"); l.ID != "0000000000000003" {
 		t.Errorf("just outside: launched %v", l)
 	}
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -22,7 +22,7 @@
 // site is a server with a fake executor and all that stands between them.
 type site struct {
 	*Server
-	fakeExecutor *fakes.Farm
+	fakeExecutor *fakes.ScriptedExecutor
 	address      string
 }
 
@@ -35,7 +35,7 @@
 	if edit != nil {
 		edit(&b, &settings)
 	}
-	fakeExecutor := fakes.NewFarm(t)
+	fakeExecutor := fakes.NewScriptedExecutor(t)
 	g := dispatch.New(&settings, 1, b)
 	tally := ratelimitlog.New(b.Quiet)
 	link := executor.New(fakeExecutor.Address, b, tally, g.Open)
@@ -95,7 +95,7 @@
 		tr.Say("  %v", n.Expect())
 	}
 	big := strings.Repeat("b", s.bounds.Body)
-	n.Send(fakes.Raw(10, 9, fakes.Fields(fakes.Usual(9)...)+big))
+	n.Send(fakes.Raw(10, 9, fakes.Fields(fakes.DefaultFields(9)...)+big))
 	l := s.run(t, "complete", strings.Repeat("r", s.bounds.Result))
 	tr.Say("largest body unchanged %t, largest result %d", l.Body == big, len(n.Expect().Body))
 	n.Send(fakes.Invocation(10, 10, "wait=0"), fakes.Invocation(11, 11, "at=1"))
@@ -136,20 +136,22 @@
 	backwards := func(pairs []string) []string { slices.Reverse(pairs); return pairs }
 	number := 0
 	for what, form := range map[string]func(number int) string{
-		"usual":               func(k int) string { return fakes.Fields(fakes.Usual(k)...) + "body" },
-		"fields in any order": func(k int) string { return fakes.Fields(backwards(fakes.Usual(k))...) + "body" },
+		"usual":               func(k int) string { return fakes.Fields(fakes.DefaultFields(k)...) + "body" },
+		"fields in any order": func(k int) string { return fakes.Fields(backwards(fakes.DefaultFields(k))...) + "body" },
 		"unknown fields": func(k int) string {
-			return fakes.Fields(append(fakes.Usual(k), "colour=green", "x=", "="+strings.Repeat("v", 300))...) + "body"
+			return fakes.Fields(append(fakes.DefaultFields(k), "colour=green", "x=", "="+strings.Repeat("v", 300))...) + "body"
+		},
+		"only what is needed": func(k int) string {
+			return fakes.Fields(fakes.DefaultFields(k, "from=", "cost=", "retry=")...) + "body"
 		},
-		"only what is needed": func(k int) string { return fakes.Fields(fakes.Usual(k, "from=", "cost=", "retry=")...) + "body" },
 		"all that is known": func(k int) string {
-			return fakes.Fields(append(fakes.Usual(k), "retry=0", "key=k", "once=o")...) + "body"
+			return fakes.Fields(append(fakes.DefaultFields(k), "retry=0", "key=k", "once=o")...) + "body"
 		},
 		"numbers in any form": func(k int) string {
-			return fakes.Fields(fakes.Usual(k, "kb=.5", "rank=0", "cost=20.", "wait=04000")...)
+			return fakes.Fields(fakes.DefaultFields(k, "kb=.5", "rank=0", "cost=20.", "wait=04000")...)
 		},
-		"an empty body":       func(k int) string { return fakes.Fields(fakes.Usual(k)...) },
-		"a body of any bytes": func(k int) string { return fakes.Fields(fakes.Usual(k)...) + "\x00\r\n\xff" },
+		"an empty body":       func(k int) string { return fakes.Fields(fakes.DefaultFields(k)...) },
+		"a body of any bytes": func(k int) string { return fakes.Fields(fakes.DefaultFields(k)...) + "\x00\r\n\xff" },
 	} {
 		for _, cuts := range [][]int{nil, {2}, {9, 14}, {30, 31}, {-1}, {1, 2, 3, 4, 5, 6, 7, 8, 9}, {0}} {
 			number++
@@ -189,7 +191,7 @@
 		{"no tenant", fakes.Invocation(4, 4, "tenant=")},
 		{"no fields", fakes.Raw(10, 5, "")},
 		{"fields cut short", fakes.Raw(10, 6, "\x09\x05class")},
-		{"body too long", fakes.Raw(10, 7, fakes.Fields(fakes.Usual(7)...)+strings.Repeat("x", s.bounds.Body+1))},
+		{"body too long", fakes.Raw(10, 7, fakes.Fields(fakes.DefaultFields(7)...)+strings.Repeat("x", s.bounds.Body+1))},
 		{"longest frame", fakes.Raw(10, 8, strings.Repeat("x", 262_144-5))},
 		{"stream 0", fakes.Invocation(0, 9)},
 		{"unknown type", fakes.Raw(77, 1, "payload")},
@@ -450,7 +452,7 @@
 func TestIdleAskedToLeave(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.Roomy, b.Rests = 64, 62, 0 })
-	all := make([]*fakes.Node, 0, 64)
+	all := make([]*fakes.EdgeNode, 0, 64)
 	for range 64 {
 		all = append(all, fakes.Dial(t, s.address))
 		all[len(all)-1].Send(fakes.Raw(20, 1, "\x00"))
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo sets up all that a newcomer needs to see backends at work on one machine: stand-ins for farms and the
-// register, configurations, a fleet's file. It owns the directory and the stand-ins; what runs in it is started by the
+// Package demo sets up all that a newcomer needs to see backends at work on one machine: fakes for executors and the
+// register, configurations, a fleet's file. It owns the directory and the fakes; what runs in it is started by the
 // command line.
 package demo
 
@@ -73,7 +73,7 @@
 	Fleet    string // its file
 	Backends []string
 	Names    []string
-	Yards    []*timedexecutor.Yard
+	Yards    []*timedexecutor.Executor
 	Loopback string // an address of this machine where nobody's calls begin: a port that is free stays free until it is used
 
 	register *http.Server
@@ -81,11 +81,13 @@
 	listed   map[string]time.Time
 }
 
-// Lay writes all files and starts the stand-ins. program is the milletbarrow that is to run; empty: the one that runs now.
-func Lay(s *simulation.Scenario, program string) (*Site, error) { return LayAt(s, program, "") }
+// Lay writes all files and starts the fakes. program is the milletbarrow that is to run; empty: the one that runs now.
+func NewSite(s *simulation.Scenario, program string) (*Site, error) {
+	return NewSiteWithRegistry(s, program, "")
+}
 
 // LayAt does it with a register of somebody else's at that address.
-func LayAt(s *simulation.Scenario, program, register string) (site *Site, err error) {
+func NewSiteWithRegistry(s *simulation.Scenario, program, register string) (site *Site, err error) {
 	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
 	if err != nil {
 		return nil, err
@@ -118,7 +120,7 @@
 			return site, err
 		}
 		held = append(held, free)
-		y, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Terms{
+		y, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Config{
 			Cores: s.Hosts.Cores, Crowd: s.Hosts.Crowd, Takes: 20 * time.Millisecond, Cold: time.Duration(s.Hosts.ColdFor) * time.Microsecond,
 			Share: s.Hosts.ColdShare, Most: 10_000,
 		})
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// list takes reports as the register would.
+// list takes reports as the endpoint registry would.
 func (s *Site) list(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(io.LimitReader(r.Body, 1<<10))
 	s.mu.Lock()
@@ -210,7 +212,7 @@
 	return n
 }
 
-// Clear ends the stand-ins and removes the directory.
+// Clear ends the fakes and removes the directory.
 func (s *Site) Clear() error {
 	for _, y := range s.Yards {
 		y.Close()
--- a/internal/fakes/crew.go
+++ b/internal/fakes/auto_executor.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Crew is a farm that works by itself: each run takes so long, on so many cores. It remembers which runs were
+// Crew is an executor that works by itself: each run takes so long, on so many cores. It remembers which runs were
 // started and when, and survives its backend: a new one begins with a new numbering.
-type Crew struct {
+type AutoExecutor struct {
 	Address string
 	Takes   time.Duration
 	Cores   int
@@ -33,12 +33,12 @@
 }
 
 // NewCrew starts one on loopback.
-func NewCrew(t testing.TB, takes time.Duration, cores int) *Crew {
+func NewAutoExecutor(t testing.TB, takes time.Duration, cores int) *AutoExecutor {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Crew{
+	c := &AutoExecutor{
 		Address: l.Addr().String(), Takes: takes, Cores: cores, started: map[string]time.Time{},
 		life: map[string]bool{}, listener: l,
 	}
@@ -56,21 +56,21 @@
 }
 
 // Slow has runs that begin from now on take so many times longer.
-func (c *Crew) Slow(factor float64) {
+func (c *AutoExecutor) Slow(factor float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.slow = factor
 }
 
 // Claim has the gauges say that so many want a core, whatever is true.
-func (c *Crew) Claim(queue float64) {
+func (c *AutoExecutor) Claim(queue float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.claim = max(0.001, queue)
 }
 
 // Started tells when each run was started.
-func (c *Crew) Started() (at map[string]time.Time, twice int) {
+func (c *AutoExecutor) Started() (at map[string]time.Time, twice int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	at = make(map[string]time.Time, len(c.started))
@@ -80,7 +80,7 @@
 	return at, c.again
 }
 
-func (c *Crew) serve(conn net.Conn) {
+func (c *AutoExecutor) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
@@ -117,7 +117,7 @@
 }
 
 // launch starts a run, or keeps it until a core is free; c.mu is held.
-func (c *Crew) launch(id string) {
+func (c *AutoExecutor) launch(id string) {
 	if c.life[id] {
 		return
 	}
@@ -133,7 +133,7 @@
 	c.run(id)
 }
 
-func (c *Crew) run(id string) {
+func (c *AutoExecutor) run(id string) {
 	c.busy++
 	takes := c.Takes
 	if c.slow > 0 {
--- /dev/null
+++ b/internal/fakes/edge_node.go
@@ -0,0 +1,158 @@
+// Package fakes holds what the tests share: traces kept in testdata, and fakes for the systems around a
+// backend, written from their protocol alone: an edge node, the executor, the endpoint registry.
+package fakes
+
+import (
+	"bufio"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Frame is a frame as a caller sees it.
+type Frame struct {
+	Type   byte
+	Stream uint32
+	Code   byte
+	Fields string // name=value, as they came
+	Body   string
+}
+
+func (f Frame) String() string {
+	switch f.Type {
+	case 11, 21:
+		return strings.TrimSpace(fmt.Sprintf("%d stream %d code %d %s %.40q", f.Type, f.Stream, f.Code, f.Fields, f.Body))
+	}
+	return fmt.Sprintf("%d stream %d", f.Type, f.Stream)
+}
+
+// Raw makes a frame of any type.
+func Raw(kind byte, stream uint32, payload string) string {
+	b := binary.BigEndian.AppendUint32(nil, uint32(5+len(payload)))
+	return string(binary.BigEndian.AppendUint32(append(b, kind), stream)) + payload
+}
+
+// Fields encodes name=value pairs.
+func Fields(pairs ...string) string {
+	b := []byte{byte(len(pairs))}
+	for _, p := range pairs {
+		name, value, _ := strings.Cut(p, "=")
+		b = append(append(b, byte(len(name))), name...)
+		b = append(binary.BigEndian.AppendUint16(b, uint16(len(value))), value...)
+	}
+	return string(b)
+}
+
+// Usual are the fields of a request that has come now and may wait four seconds; edits replace or, with
+// an empty value, drop some.
+func DefaultFields(number int, edits ...string) []string {
+	pairs := []string{
+		"class=look", fmt.Sprintf("id=%016x", number), fmt.Sprint("at=", time.Now().UnixMilli()), "from=1",
+		"tenant=acme", "wait=4000", "cost=20.50", "kb=20.0", "rank=0.5000",
+	}
+	for _, e := range edits {
+		name, value, _ := strings.Cut(e, "=")
+		kept := pairs[:0]
+		for _, p := range pairs {
+			if !strings.HasPrefix(p, name+"=") {
+				kept = append(kept, p)
+			}
+		}
+		if pairs = kept; value != "" {
+			pairs = append(pairs, e)
+		}
+	}
+	return pairs
+}
+
+// Invocation makes the frame of a request whose id is that number.
+func Invocation(stream uint32, number int, edits ...string) string {
+	return Raw(10, stream, Fields(DefaultFields(number, edits...)...)+fmt.Sprint("body ", number))
+}
+
+// Try makes the frame of one try of the work that a token names, in the operation post; its content goes by the token.
+func Attempt(stream uint32, number int, token string, edits ...string) string {
+	fields := DefaultFields(number, append(edits, "class=post", "once="+token)...)
+	return Raw(10, stream, Fields(fields...)+"work "+token)
+}
+
+// Node is an edge node with one connection.
+type EdgeNode struct {
+	t testing.TB
+	net.Conn
+	in *bufio.Reader
+}
+
+// Dial connects an edge node.
+func Dial(t testing.TB, address string) *EdgeNode {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	return NewEdgeNode(t, c)
+}
+
+// NewNode makes an edge node of a connection.
+func NewEdgeNode(t testing.TB, c net.Conn) *EdgeNode {
+	return &EdgeNode{t: t, Conn: c, in: bufio.NewReader(c)}
+}
+
+// Ask sends bytes and reads the next frame; either may fail.
+func (n *EdgeNode) Ask(text string) (Frame, error) {
+	if _, err := io.WriteString(n.Conn, text); err != nil {
+		return Frame{}, err
+	}
+	return n.Next()
+}
+
+// Send writes bytes as they are.
+func (n *EdgeNode) Send(parts ...string) {
+	n.t.Helper()
+	if _, err := io.WriteString(n.Conn, strings.Join(parts, "")); err != nil {
+		n.t.Fatal(err)
+	}
+}
+
+// Next reads a frame; an error means that the connection is over.
+func (n *EdgeNode) Next() (f Frame, err error) {
+	_ = n.SetReadDeadline(time.Now().Add(waitLimit))
+	var head [9]byte
+	if _, err := io.ReadFull(n.in, head[:]); err != nil {
+		return f, err
+	}
+	f.Type, f.Stream = head[4], binary.BigEndian.Uint32(head[5:])
+	p := make([]byte, binary.BigEndian.Uint32(head[:])-5)
+	if _, err := io.ReadFull(n.in, p); err != nil {
+		return f, err
+	}
+	if f.Type == 11 || f.Type == 21 {
+		var fields []string
+		f.Code = p[0]
+		count := int(p[1])
+		for p = p[2:]; count > 0; count-- {
+			name := string(p[1 : 1+p[0]])
+			p = p[1+len(name):]
+			size := binary.BigEndian.Uint16(p)
+			fields = append(fields, name+"="+string(p[2:2+size]))
+			p = p[2+size:]
+		}
+		f.Fields, f.Body = strings.Join(fields, " "), string(p)
+	}
+	return f, nil
+}
+
+// Expect reads a frame that must come.
+func (n *EdgeNode) Expect() Frame {
+	n.t.Helper()
+	f, err := n.Next()
+	if err != nil {
+		n.t.Fatalf("no further frame: %v", err)
+	}
+	return f
+}
--- /dev/null
+++ b/internal/fakes/scripted_executor.go
@@ -0,0 +1,191 @@
+package fakes
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// Launch is a run that the executor was told to start.
+type Launch struct{ ID, Operation, Body string }
+
+// Farm stands in for the executor, which owns the cores. It starts nothing by itself: tests end runs.
+type ScriptedExecutor struct {
+	Address    string
+	Launches   chan Launch
+	Subscribes chan int
+	t          testing.TB
+	listener   net.Listener
+	mu         sync.Mutex
+	link       net.Conn
+	state      string // of the greeting; empty while the executor is not up
+	gauges     string // empty: samples are left unanswered
+	kept       []string
+	known      map[string]bool
+	samples    int
+}
+
+// NewFarm starts an executor that is up and answers samples.
+func NewScriptedExecutor(t testing.TB) *ScriptedExecutor {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &ScriptedExecutor{
+		Address: l.Addr().String(), Launches: make(chan Launch, 10_000), Subscribes: make(chan int, 1000), t: t,
+		listener: l, state: "hot 3600000", gauges: "0.10 0 0.05 3", known: map[string]bool{},
+	}
+	t.Cleanup(func() { _ = l.Close(); f.Cut() })
+	go f.accept(l)
+	return f
+}
+
+func (f *ScriptedExecutor) accept(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		f.mu.Lock()
+		f.link = c
+		f.mu.Unlock()
+		go f.serve(c)
+	}
+}
+
+// Move gives the executor another address; the old one takes nothing new, a link to it goes on until the test
+// calls cut.
+func (f *ScriptedExecutor) Move() (cut func()) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(func() { _ = l.Close() })
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	_ = f.listener.Close()
+	f.listener, f.Address = l, l.Addr().String()
+	go f.accept(l)
+	old := f.link
+	return func() {
+		if old != nil {
+			_ = old.Close()
+		}
+	}
+}
+
+func (f *ScriptedExecutor) serve(c net.Conn) {
+	in := bufio.NewReader(c)
+	for {
+		line, err := in.ReadString('\n')
+		words := strings.Fields(line)
+		if err != nil || len(words) < 2 {
+			_ = c.Close()
+			return
+		}
+		f.mu.Lock()
+		switch words[0] {
+		case "subscribe":
+			n, _ := strconv.Atoi(words[1])
+			if f.state != "" {
+				f.greet(n)
+			}
+			f.Subscribes <- n
+		case "sample":
+			f.samples++
+			if f.gauges != "" && f.state != "" {
+				fmt.Fprintf(c, "sampled %s %s\r\n", words[1], f.gauges)
+			}
+		case "launch":
+			size, _ := strconv.Atoi(words[3])
+			body := make([]byte, size+2)
+			_, _ = io.ReadFull(in, body)
+			if !f.known[words[1]] { // for one that runs already nothing happens
+				f.known[words[1]] = true
+				f.Launches <- Launch{words[1], words[2], string(body[:size])}
+			}
+		}
+		f.mu.Unlock()
+	}
+}
+
+func (f *ScriptedExecutor) greet(after int) {
+	fmt.Fprintf(f.link, "greeting %s\r\n", f.state)
+	for _, notice := range f.kept[min(after, len(f.kept)):] {
+		_, _ = io.WriteString(f.link, notice)
+	}
+}
+
+// With changes the executor's state under its lock.
+func (f *ScriptedExecutor) With(change func(state, gauges *string)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	before := f.state
+	change(&f.state, &f.gauges)
+	if before == "" && f.state != "" && f.link != nil {
+		f.greet(0)
+	}
+}
+
+// Samples counts the samples asked for.
+func (f *ScriptedExecutor) Samples() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.samples
+}
+
+// End ends a run: word is complete, error, cancelled or unknown.
+func (f *ScriptedExecutor) End(id, word, result string) {
+	f.Notice(fmt.Sprintf("outcome %%d %s %s 12.5 %d\r\n%s\r\n", id, word, len(result), result))
+}
+
+// Notice sends a numbered notice, and keeps it; %d stands for the number.
+func (f *ScriptedExecutor) Notice(format string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.kept = append(f.kept, strings.Replace(format, "%d", strconv.Itoa(len(f.kept)+1), 1))
+	f.send(f.kept[len(f.kept)-1])
+}
+
+// Send writes text to the link as it is, if there is one.
+func (f *ScriptedExecutor) Send(text string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.send(text)
+}
+
+func (f *ScriptedExecutor) send(text string) {
+	if f.link != nil {
+		_, _ = io.WriteString(f.link, text)
+	}
+}
+
+// Forget makes the executor one that never heard of a launch.
+func (f *ScriptedExecutor) Forget(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.known, id)
+}
+
+// Refuse says that a launch names nobody's work. A later one of that id is refused or taken anew.
+func (f *ScriptedExecutor) Refuse(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.known, id)
+	f.send("refusal launch " + id + "\r\n")
+}
+
+// Cut ends the link.
+func (f *ScriptedExecutor) Cut() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.link != nil {
+		_ = f.link.Close()
+		f.link = nil
+	}
+}
--- a/internal/fakes/timedexecutor/yard.go
+++ b/internal/fakes/timedexecutor/executor.go
@@ -1,5 +1,5 @@
-// Package timedexecutor is a stand-in for the render farm that really takes time: runs share its cores evenly, and past a crowd all
-// slow down, as the model has it. For load, demos and tests on this machine; it serves nobody. It owns runs and the
+// Package timedexecutor is a fake of the executor that really takes time: runs share its cores evenly, and past a crowd all
+// slow down, as the simulation has it. For load, demos and tests on this machine; it serves nobody. It owns runs and the
 // links that backends open to it; it never decides which run begins.
 package timedexecutor
 
@@ -16,20 +16,20 @@
 	"time"
 )
 
-// Terms of one yard.
-type Terms struct {
+// Terms of one executor.
+type Config struct {
 	Cores int
 	Crowd float64       // runs a core that it bears
 	Takes time.Duration // of a run whose body does not say "work=MICROSECONDS"
-	Cold  time.Duration // a new backend's yard is slower for so long, evenly less so; 0: it is not
+	Cold  time.Duration // a new backend's executor is slower for so long, evenly less so; 0: it is not
 	Share float64       // speed at the start of that
 	Most  int           // runs at once; what comes beyond is ended with an error
 }
 
-// Yard is one farm, on one address.
-type Yard struct {
+// Yard is one executor, on one address.
+type Executor struct {
 	Address string
-	t       Terms
+	t       Config
 
 	mu     sync.Mutex
 	l      net.Listener
@@ -79,13 +79,13 @@
 // mostKept notices are kept for a link that breaks.
 const mostKept = 100_000
 
-// Start opens a yard on an address; port 0 takes any.
-func Start(address string, t Terms) (*Yard, error) {
+// Start opens a executor on an address; port 0 takes any.
+func Start(address string, t Config) (*Executor, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	y := &Yard{
+	y := &Executor{
 		Address: l.Addr().String(), t: t, l: l, links: map[net.Conn]bool{}, lives: map[string]bool{}, ever: map[string]bool{},
 		at: time.Now(), seenAt: time.Now(), slow: 1,
 	}
@@ -106,7 +106,7 @@
 }
 
 // Close ends it with all its links.
-func (y *Yard) Close() {
+func (y *Executor) Close() {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.closed = true
@@ -118,7 +118,7 @@
 }
 
 // Slow makes the cores slower by a factor; 1 is their full speed.
-func (y *Yard) Slow(factor float64) {
+func (y *Executor) Slow(factor float64) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.move()
@@ -127,14 +127,14 @@
 }
 
 // Counts tells how many runs have ended, how many are on the cores, and how many launches came twice.
-func (y *Yard) Counts() (ran, on, twice int) {
+func (y *Executor) Counts() (ran, on, twice int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return y.Ran, len(y.runs), y.Twice
 }
 
 // rate is the progress of each run by microsecond.
-func (y *Yard) rate() float64 {
+func (y *Executor) rate() float64 {
 	n, cores := float64(len(y.runs)), float64(y.t.Cores)
 	r := 1 / y.slow
 	if warm := time.Since(y.born); y.t.Cold > 0 && warm < y.t.Cold {
@@ -150,7 +150,7 @@
 }
 
 // move brings the runs up to now; y.mu is held.
-func (y *Yard) move() {
+func (y *Executor) move() {
 	now := time.Now()
 	us := float64(now.Sub(y.at).Nanoseconds()) / 1000
 	y.given += us * y.rate()
@@ -158,8 +158,8 @@
 	y.at = now
 }
 
-// next sets the timer for the next end. A yard that warms up looks again soon, as its speed changes.
-func (y *Yard) next() {
+// next sets the timer for the next end. A executor that warms up looks again soon, as its speed changes.
+func (y *Executor) next() {
 	if len(y.runs) == 0 || y.closed {
 		return
 	}
@@ -170,7 +170,7 @@
 	y.timer.Reset(max(in, 0))
 }
 
-func (y *Yard) due() {
+func (y *Executor) due() {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.move()
@@ -186,7 +186,7 @@
 }
 
 // notice numbers and sends one.
-func (y *Yard) notice(text []byte) {
+func (y *Executor) notice(text []byte) {
 	if len(y.kept) >= mostKept {
 		return // the backend's run goes without a word; load counts it as lost
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-func (y *Yard) serve(c net.Conn) {
+func (y *Executor) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
 		y.mu.Lock()
@@ -239,7 +239,7 @@
 	}
 }
 
-func (y *Yard) subscribe(c net.Conn, after int) {
+func (y *Executor) subscribe(c net.Conn, after int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	state := "hot 3600000"
@@ -257,7 +257,7 @@
 	}
 }
 
-func (y *Yard) sample(c net.Conn, token string) {
+func (y *Executor) sample(c net.Conn, token string) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.move()
@@ -267,7 +267,7 @@
 	fmt.Fprintf(c, "sampled %s %.3f %d 0.05 3\r\n", token, use, len(y.runs))
 }
 
-func (y *Yard) launch(id string, body []byte) {
+func (y *Executor) launch(id string, body []byte) {
 	work := float64(y.t.Takes.Microseconds())
 	if rest, ok := bytes.CutPrefix(body, []byte("work=")); ok {
 		if us, err := strconv.ParseFloat(string(rest), 64); err == nil && us > 0 && us < 3.6e9 {
--- /dev/null
+++ b/internal/fakes/trace.go
@@ -0,0 +1,78 @@
+package fakes
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+var update = flag.Bool("update", false, "write the traces anew")
+
+// patience is how long a test waits for what must happen.
+const waitLimit = 10 * time.Second
+
+// Trace gathers what a test prints.
+type Trace struct {
+	testing.TB
+	text strings.Builder
+}
+
+// NewTrace begins a trace that is compared, at the end of the test, with the one kept under its name.
+func NewTrace(t testing.TB) *Trace {
+	tr := &Trace{TB: t}
+	t.Cleanup(func() {
+		if !t.Failed() {
+			Compare(t, tr.text.String())
+		}
+	})
+	return tr
+}
+
+// Say prints a line.
+func (tr *Trace) Say(format string, args ...any) { fmt.Fprintf(&tr.text, format+"\n", args...) }
+
+// Compare compares text with the one kept under the test's name.
+func Compare(t testing.TB, text string) {
+	t.Helper()
+	file := filepath.Join("testdata", t.Name()+".txt")
+	if *update {
+		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(text, "\n")); diff != "" {
+		t.Errorf("not as in %s (-kept +now):\n%s", file, diff)
+	}
+}
+
+// Until waits for a condition.
+func Until(t testing.TB, what string, met func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitLimit); !met(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain until %s", what)
+		}
+	}
+}
+
+// Take waits for a value.
+func Take[T any](t testing.TB, what string, from <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-from:
+		return v
+	case <-time.After(waitLimit):
+		t.Fatalf("waited in vain for %s", what)
+		panic("unreachable")
+	}
+}
--- a/internal/faultinjection/checker/audit.go
+++ b/internal/faultinjection/checker/checker.go
@@ -126,13 +126,13 @@
 
 // Whole is what a budget may add up to from a time on. A lower one is added with the time from which nobody can be left
 // that was told by the higher.
-type Whole struct {
+type Total struct {
 	From  int64
 	Units int64
 }
 
 // Limits are the wholes of each budget, by time.
-type Limits map[string][]Whole
+type Limits map[string][]Total
 
 func (l Limits) at(budget string, at int64) (units int64) {
 	for _, w := range l[budget] {
@@ -180,7 +180,7 @@
 }
 
 // edge is a change of what is in force.
-type edge struct {
+type change struct {
 	at          int64
 	floor, more int64
 	who         int
@@ -200,7 +200,7 @@
 	for i, e := range edges {
 		sum += e.floor + e.more
 		if e.who >= 0 {
-			changeShare(inForce, all, e)
+			applyChange(inForce, all, e)
 		}
 		next := to
 		if i+1 < len(edges) {
@@ -233,8 +233,8 @@
 }
 
 // edges are the instants at which what is in force changes, in order; at one instant what ends goes first.
-func (r *Report) edges(all []*Process, budget string, limits Limits) []edge {
-	var edges []edge
+func (r *Report) edges(all []*Process, budget string, limits Limits) []change {
+	var edges []change
 	for i, p := range all {
 		hs := p.have[budget]
 		r.Grants += len(hs)
@@ -246,25 +246,25 @@
 			if end <= h.at {
 				continue
 			}
-			edges = append(edges, edge{h.at, h.floor, 0, i, h, true}, edge{end, -h.floor, 0, i, h, false})
+			edges = append(edges, change{h.at, h.floor, 0, i, h, true}, change{end, -h.floor, 0, i, h, false})
 			// The lease runs on the holder's own clock, which was told to run faster or slower than the machine's.
 			over := min(end, h.at+h.left*1_000_000/(1_000_000+p.PPM))
 			if h.extra > 0 && over > h.at {
-				edges = append(edges, edge{h.at, 0, h.extra, i, h, true}, edge{over, 0, -h.extra, i, h, false})
+				edges = append(edges, change{h.at, 0, h.extra, i, h, true}, change{over, 0, -h.extra, i, h, false})
 			}
 		}
 	}
 	for _, w := range limits[budget] {
-		edges = append(edges, edge{at: w.From, who: -1})
+		edges = append(edges, change{at: w.From, who: -1})
 	}
-	slices.SortStableFunc(edges, func(a, b edge) int {
+	slices.SortStableFunc(edges, func(a, b change) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.floor+a.more, b.floor+b.more))
 	})
 	return edges
 }
 
 // changeShare takes one edge into what its process has in force.
-func changeShare(inForce map[int]*Share, all []*Process, e edge) {
+func applyChange(inForce map[int]*Share, all []*Process, e change) {
 	s := inForce[e.who]
 	if s == nil {
 		s = &Share{Name: all[e.who].Name}
@@ -345,7 +345,7 @@
 
 // Out tells how many backends had no process at once, at the most, between two times: from a process's last stamp to the
 // next one's first share.
-func Out(all []*Process, from, to int64) (most int) {
+func MaxUnavailable(all []*Process, from, to int64) (most int) {
 	byName := map[string][]*Process{}
 	for _, p := range all {
 		byName[p.Name] = append(byName[p.Name], p)
@@ -374,7 +374,7 @@
 }
 
 // Drawn is how many units were drawn between two times, of what was drawn between two stamps the part that lies there.
-func Drawn(all []*Process, budget string, from, to int64) (units float64) {
+func UnitsDrawn(all []*Process, budget string, from, to int64) (units float64) {
 	for _, p := range all {
 		for _, d := range p.drew[budget] {
 			if in := min(to, d.to) - max(from, d.from); in > 0 {
--- a/internal/faultinjection/checker/audit_test.go
+++ b/internal/faultinjection/checker/checker_test.go
@@ -95,7 +95,7 @@
 	for i, s := range []string{"clock 1 0\nhere 100\n", "clock 1 0\nhere 200\n", "clock 1 0\nhere 250\n"} {
 		all = append(all, process(t, "n"+itoa(i), s), process(t, "n"+itoa(i), "clock 300 0\nhere 900\n"))
 	}
-	if n := Out(all, 0, 1000); n != 3 {
+	if n := MaxUnavailable(all, 0, 1000); n != 3 {
 		t.Errorf("%d are out at once, wanted 3", n)
 	}
 }
--- a/internal/faultinjection/checker/births.go
+++ b/internal/faultinjection/checker/concurrent_starts.go
@@ -7,7 +7,7 @@
 
 // Births is how many processes at most had begun within a span of this length: each is known to have been starting for as
 // long. One that ended before the span's end counts until then.
-func Births(all []*Process, span int64) (most int) {
+func MaxConcurrentStarts(all []*Process, span int64) (most int) {
 	type edge struct {
 		at int64
 		by int
--- a/internal/faultinjection/coldstart/cold.go
+++ b/internal/faultinjection/coldstart/cold.go
@@ -36,7 +36,7 @@
 	Advice time.Duration // Retry-After with a refusal; 0: none
 }
 
-// Register is how a stand-in for one behaves.
+// Register is how a fake for one behaves.
 type Register struct {
 	Phases []Phase // by From; before the first it takes all at once
 	Crowd  int     // calls open at once beyond which it falls over; 0: it never does
@@ -73,7 +73,7 @@
 	return last.From, last.Mode == Takes
 }
 
-// Call is one that reached the register.
+// Call is one that reached the endpoint registry.
 type Call struct {
 	Name    string
 	At      time.Duration // since its phases began
--- a/internal/faultinjection/harness/cold.go
+++ b/internal/faultinjection/harness/cold_start.go
@@ -12,13 +12,13 @@
 // settled is how long a backend is ready, by the trial's file, before it counts as warm.
 const settled = 300 * time.Millisecond
 
-// startCold has the register begin its phases and asks for all backends at once, or for a rise, without waiting for them:
+// startCold has the endpoint registry begin its phases and asks for all backends at once, or for a rise, without waiting for them:
 // what keeps some from being ready is part of the trial.
-func (g *Ground) startCold(ctx context.Context, v *Verdict) {
+func (g *Harness) startCold(ctx context.Context, v *Verdict) {
 	g.register.Begin()
 	g.asked = time.Now()
 	how := "start"
-	if g.o.Table.Cold.Rise > 0 {
+	if g.options.Table.Cold.Rise > 0 {
 		how = "rise"
 	}
 	if _, err := g.Tool(ctx, how, "--all", "--quiet", "--wait=false", "--id", "cold", "--within", "10m"); err != nil {
@@ -26,17 +26,17 @@
 	}
 }
 
-// endCold takes down what the register heard, before all are stopped.
-func (g *Ground) endCold() {
+// endCold takes down what the endpoint registry heard, before all are stopped.
+func (g *Harness) endCold() {
 	g.ended = time.Now()
 	calls, conns, falls := g.register.Heard()
 	g.heard = func() ([]coldstart.Call, int, int) { return calls, conns, falls }
 }
 
-// judgeCold works out what the register saw up to now, and from the stamps how many were starting at once.
-func (g *Ground) judgeCold(v *Verdict, all []*checker.Process) {
+// judgeCold works out what the endpoint registry saw up to now, and from the stamps how many were starting at once.
+func (g *Harness) judgeCold(v *Verdict, all []*checker.Process) {
 	calls, conns, falls := g.heard()
-	c := g.o.Table.Cold
+	c := g.options.Table.Cold
 	f := coldstart.Of(calls, &c.Register, len(g.site.Names), limits.For(1, 192, 1024).Report, g.ended.Sub(g.asked))
 	f.Conns, f.Falls = conns, falls
 	v.Cold = &f
@@ -44,7 +44,7 @@
 		v.fail("register: %s", why)
 	}
 	// One holds its unit from before its process begins until it has been ready for a while.
-	f.Starting = checker.Births(all, settled.Microseconds())
+	f.Starting = checker.MaxConcurrentStarts(all, settled.Microseconds())
 	if c.Rise > 0 && f.Starting > c.Rise {
 		v.fail("%d backends were starting at once, %d may be", f.Starting, c.Rise)
 	}
--- a/internal/faultinjection/harness/ground.go
+++ b/internal/faultinjection/harness/harness.go
@@ -1,5 +1,5 @@
-// Package harness is the proving ground: it starts real processes of the built program (agents, keepers, backends, tools)
-// with our stand-ins for farms, register and callers, lays links between the agents, brings the faults of a timetable
+// Package harness is the fault-injection harness: it starts real processes of the built program (agents, supervisors, backends, tools)
+// with our fakes for executors, register and callers, lays links between the agents, brings the faults of a schedule
 // about, and has the auditor judge the stamps. It owns the processes and the directory and ends both.
 package harness
 
@@ -28,7 +28,7 @@
 // Options of one trial.
 type Options struct {
 	Program   string // the built one
-	Table     *schedule.Table
+	Table     *schedule.Schedule
 	Keep      string // a directory to copy stamps and logs to; empty: they are removed
 	Failpoint string // a fault of the program itself, where it was built with them
 	Say       func(string, ...any)
@@ -48,7 +48,7 @@
 }
 
 // Standard are two tenants' rates and the count of what may be out.
-func Standard(backends int) []Budget {
+func StandardQuotas(backends int) []Budget {
 	return []Budget{
 		{Name: "acme", Tenant: "acme", Whole: 8 * backends, Floor: 1, Divide: "demand"},
 		{Name: "zeta", Tenant: "zeta", Whole: 3 * backends, Floor: 1, Divide: "even"},
@@ -56,21 +56,21 @@
 }
 
 // OutMost is the count of backends that may be out at once.
-const OutMost = 3
+const MaxUnavailable = 3
 
 // Ground is a running one.
-type Ground struct {
-	o        Options
+type Harness struct {
+	options  Options
 	site     *demo.Site
-	register *registry.Register // of a cold start
+	register *registry.Registry // of a cold start
 	scenario simulation.Scenario
 	hosts    []*host
 	mesh     *proxy.Mesh
 	version  int
 	asked    time.Time                           // when its backends were
 	ended    time.Time                           // when its course was over
-	heard    func() ([]coldstart.Call, int, int) // what the register had heard by then
-	wholes   map[string]int
+	heard    func() ([]coldstart.Call, int, int) // what the endpoint registry had heard by then
+	totals   map[string]int
 	limits   checker.Limits
 
 	mu     sync.Mutex
@@ -88,8 +88,8 @@
 }
 
 // Tool runs a sub-command of fleet and returns what it prints.
-func (g *Ground) Tool(ctx context.Context, args ...string) ([]byte, error) {
-	cmd := exec.CommandContext(ctx, g.o.Program, append([]string{"fleet", args[0], "--fleet", g.hosts[0].file}, args[1:]...)...)
+func (g *Harness) Tool(ctx context.Context, args ...string) ([]byte, error) {
+	cmd := exec.CommandContext(ctx, g.options.Program, append([]string{"fleet", args[0], "--fleet", g.hosts[0].file}, args[1:]...)...)
 	var errs bytes.Buffer
 	cmd.Stderr = &errs
 	out, err := cmd.Output()
@@ -100,7 +100,7 @@
 }
 
 // Start starts agents and backends and waits until shares are held.
-func (g *Ground) Start(ctx context.Context) error {
+func (g *Harness) Start(ctx context.Context) error {
 	for _, h := range g.hosts {
 		if err := g.startAgent(h); err != nil {
 			return err
@@ -110,8 +110,8 @@
 		return err
 	}
 	now := process.Now()
-	for _, b := range g.o.Budgets {
-		g.limits[b.Name] = []checker.Whole{{From: now - 60_000_000, Units: int64(b.Whole)}}
+	for _, b := range g.options.Budgets {
+		g.limits[b.Name] = []checker.Total{{From: now - 60_000_000, Units: int64(b.Whole)}}
 	}
 	if g.register != nil { // play has them started
 		return nil
@@ -119,7 +119,7 @@
 	if _, err := g.Tool(ctx, "start", "--all", "--quiet", "--within", "60s"); err != nil {
 		return err
 	}
-	return g.until(ctx, 30*time.Second, "whole shares", func() bool { return g.wholeNow(ctx) })
+	return g.until(ctx, 30*time.Second, "whole shares", func() bool { return g.fullyGranted(ctx) })
 }
 
 // Run plays a whole trial.
@@ -133,9 +133,9 @@
 	v = &Verdict{Name: o.Table.Name, OK: true, Marks: map[string]int64{}}
 	if err := g.Start(ctx); err != nil {
 		v.fail("start: %v", err)
-		return v, g.keep(v)
+		return v, g.saveFailure(v)
 	}
-	g.o.Say("%d agents with %d backends stand ready after %v", len(g.hosts), len(g.site.Names), time.Since(began).Round(time.Millisecond))
+	g.options.Say("%d agents with %d backends stand ready after %v", len(g.hosts), len(g.site.Names), time.Since(began).Round(time.Millisecond))
 	v.From = process.Now()
 	if g.register != nil {
 		g.startCold(ctx, v)
@@ -154,19 +154,19 @@
 	}
 	g.judge(v)
 	v.Took = time.Since(began).Seconds()
-	return v, g.keep(v)
+	return v, g.saveFailure(v)
 }
 
 // play brings the faults about under load, and waits until all that came of them is over.
-func (g *Ground) play(ctx context.Context, v *Verdict) {
+func (g *Harness) play(ctx context.Context, v *Verdict) {
 	var all sync.WaitGroup
 	loaded := make(chan struct{})
 	loadCtx, endLoad := context.WithCancel(ctx)
 	defer endLoad()
-	if g.o.Table.Load > 0 {
+	if g.options.Table.Load > 0 {
 		go func() {
 			defer close(loaded)
-			r, err := loadgen.Run(loadCtx, loadgen.Options{Scenario: &g.scenario, Seed: g.o.Table.Seed, Backends: g.site.Backends, Bounds: limitspkg.ForLoad()})
+			r, err := loadgen.Run(loadCtx, loadgen.Options{Scenario: &g.scenario, Seed: g.options.Table.Seed, Backends: g.site.Backends, Bounds: limitspkg.ForLoad()})
 			if err != nil && loadCtx.Err() == nil {
 				v.fail("load: %v", err)
 			}
@@ -178,33 +178,33 @@
 		close(loaded)
 	}
 	start := time.Now()
-	for _, f := range g.o.Table.Faults {
+	for _, f := range g.options.Table.Faults {
 		all.Go(func() {
 			select {
 			case <-time.After(f.At - time.Since(start)):
 			case <-ctx.Done():
 				return
 			}
-			g.o.Say("%7.1f s  %v", time.Since(start).Seconds(), f)
-			if err := g.bring(ctx, f); err != nil {
-				g.o.Say("%v: %v", f, err)
-				g.count("not brought about: " + string(f.Kind))
+			g.options.Say("%7.1f s  %v", time.Since(start).Seconds(), f)
+			if err := g.inject(ctx, f); err != nil {
+				g.options.Say("%v: %v", f, err)
+				g.countFault("not brought about: " + string(f.Kind))
 				return
 			}
-			g.count(string(f.Kind))
+			g.countFault(string(f.Kind))
 		})
 	}
-	if g.o.Table.Wave > 0 {
+	if g.options.Table.Wave > 0 {
 		all.Go(func() { g.wave(ctx, v, start) })
 	}
 	all.Wait()
 	select {
-	case <-time.After(g.o.Table.Span - time.Since(start)):
+	case <-time.After(g.options.Table.Span - time.Since(start)):
 	case <-ctx.Done():
 	}
 	over := time.Now()
-	if err := g.until(ctx, 45*time.Second, "whole shares after the last fault", func() bool { return g.wholeNow(ctx) }); err != nil {
-		v.fail("%v: %s", err, g.asItStands(ctx))
+	if err := g.until(ctx, 45*time.Second, "whole shares after the last fault", func() bool { return g.fullyGranted(ctx) }); err != nil {
+		v.fail("%v: %s", err, g.describeState(ctx))
 	}
 	v.Again = time.Since(over).Seconds()
 	g.lowers.Wait()
@@ -217,9 +217,9 @@
 }
 
 // wave takes all backends through one, with a tool that is killed on the way, and joins it again.
-func (g *Ground) wave(ctx context.Context, v *Verdict, start time.Time) {
+func (g *Harness) wave(ctx context.Context, v *Verdict, start time.Time) {
 	select {
-	case <-time.After(g.o.Table.Wave - time.Since(start)):
+	case <-time.After(g.options.Table.Wave - time.Since(start)):
 	case <-ctx.Done():
 		return
 	}
--- a/internal/faultinjection/harness/bring.go
+++ b/internal/faultinjection/harness/inject.go
@@ -29,7 +29,7 @@
 }
 
 // bring brings one fault about and takes it back.
-func (g *Ground) bring(ctx context.Context, f schedule.Fault) error {
+func (g *Harness) inject(ctx context.Context, f schedule.Fault) error {
 	switch f.Kind {
 	case schedule.Cut, schedule.CutBoth, schedule.Delay, schedule.Stall, schedule.Slow, schedule.Reset, schedule.Twice:
 		g.between(ctx, f)
@@ -71,7 +71,7 @@
 }
 
 // fullDisk lets the host's agent write nothing for a while; one that ends itself is started again, as an operator would.
-func (g *Ground) fullDisk(ctx context.Context, h *host, span time.Duration) error {
+func (g *Harness) fullDisk(ctx context.Context, h *host, span time.Duration) error {
 	if err := full(h.cmd.Process.Pid, true); err != nil {
 		return err
 	}
@@ -85,14 +85,14 @@
 }
 
 // dieAt has the host's agent die at a named point of its code, and starts it again.
-func (g *Ground) dieAt(h *host, f schedule.Fault) error {
+func (g *Harness) dieAt(h *host, f schedule.Fault) error {
 	dir := filepath.Join(g.site.Dir, "points", h.name)
 	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(filepath.Join(dir, f.Word), nil, 0o600)); err != nil {
 		return err
 	}
 	select {
 	case <-h.ended:
-		g.o.Say("%s died at %q", h.name, f.Word)
+		g.options.Say("%s died at %q", h.name, f.Word)
 	case <-time.After(max(f.For, 5*time.Second)):
 		_ = os.Remove(filepath.Join(dir, f.Word))
 		return fmt.Errorf("%s did not come to %q", h.name, f.Word)
@@ -101,7 +101,7 @@
 }
 
 // between brings a fault between two hosts.
-func (g *Ground) between(ctx context.Context, f schedule.Fault) {
+func (g *Harness) between(ctx context.Context, f schedule.Fault) {
 	there, back := g.mesh.Way(f.A, f.B), g.mesh.Way(f.B, f.A)
 	switch f.Kind {
 	case schedule.Cut:
@@ -139,7 +139,7 @@
 }
 
 // minority cuts a host and the next off from all others.
-func (g *Ground) minority(ctx context.Context, f schedule.Fault) {
+func (g *Harness) minority(ctx context.Context, f schedule.Fault) {
 	a := index(f.A)
 	few := map[int]bool{a: true, (a + 1) % len(g.hosts): len(g.hosts) > 3}
 	each := func(do func(a, b string)) {
@@ -158,7 +158,7 @@
 }
 
 // blackout kills all agents at once.
-func (g *Ground) blackout(ctx context.Context, gone time.Duration) error {
+func (g *Harness) blackout(ctx context.Context, gone time.Duration) error {
 	for _, h := range g.hosts {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -177,8 +177,8 @@
 	return errors.Join(errs...)
 }
 
-// old kills an agent, and starts it on a copy of its ledger that was made some seconds before.
-func (g *Ground) old(ctx context.Context, h *host, after time.Duration) error {
+// old kills an agent, and starts it on a copy of its quota store that was made some seconds before.
+func (g *Harness) old(ctx context.Context, h *host, after time.Duration) error {
 	at, copied := filepath.Join(h.dir, "ledger"), filepath.Join(g.site.Dir, "copies", fmt.Sprint(h.name, "-", process.Now()))
 	// The copy is taken of a process that is stopped, so that it is one that a disk could hold.
 	_ = h.cmd.Process.Signal(syscall.SIGSTOP)
@@ -195,11 +195,11 @@
 	return g.startAgent(h)
 }
 
-// backend brings a fault to one backend's processes, by what its keeper wrote down.
-func (g *Ground) backend(ctx context.Context, f schedule.Fault) error {
+// backend brings a fault to one backend's processes, by what its supervisor wrote down.
+func (g *Harness) backend(ctx context.Context, f schedule.Fault) error {
 	n := index(f.A)
 	h := g.hosts[n%len(g.hosts)]
-	l := g.life(h, f.A)
+	l := g.incarnation(h, f.A)
 	config := filepath.Join(g.site.Dir, f.A+".json")
 	switch f.Kind {
 	case schedule.Freeze:
@@ -234,11 +234,11 @@
 }
 
 // whole gives a budget another whole, in every host's file.
-func (g *Ground) whole(ctx context.Context, name string, units int) error {
+func (g *Harness) whole(ctx context.Context, name string, units int) error {
 	g.mu.Lock()
-	_, known := g.wholes[name]
+	_, known := g.totals[name]
 	floors := 0
-	for _, b := range g.o.Budgets {
+	for _, b := range g.options.Budgets {
 		if b.Name == name {
 			floors = b.Floor * len(g.site.Names)
 		}
@@ -247,18 +247,18 @@
 		g.mu.Unlock()
 		return fmt.Errorf("no budget %q", name)
 	}
-	g.wholes[name] = units
+	g.totals[name] = units
 	g.version++
 	version := g.version
 	last := g.limits[name][len(g.limits[name])-1].Units
-	g.limits[name] = append(g.limits[name], checker.Whole{From: process.Now(), Units: max(last, int64(units))})
+	g.limits[name] = append(g.limits[name], checker.Total{From: process.Now(), Units: max(last, int64(units))})
 	err := g.writeFiles()
 	g.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	g.reload()
-	g.lowers.Go(func() { // once the ledger goes by it, what was told before ends with its leases
+	g.lowers.Go(func() { // once the quota store goes by it, what was told before ends with its leases
 		if g.until(ctx, 2*time.Minute, "other whole", func() bool {
 			g.reload() // one that was started or stopped meanwhile may have the file of before
 			s := g.budgets(ctx)
@@ -266,18 +266,18 @@
 		}) != nil {
 			return
 		}
-		at := process.Now() + (g.o.Lease + g.o.Margin + time.Second).Microseconds()
+		at := process.Now() + (g.options.Lease + g.options.Margin + time.Second).Microseconds()
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.version == version { // else another whole has come since
-			g.limits[name] = append(g.limits[name], checker.Whole{From: at, Units: int64(units)})
+			g.limits[name] = append(g.limits[name], checker.Total{From: at, Units: int64(units)})
 		}
 	})
 	return nil
 }
 
 // reload has the agents that run read their files.
-func (g *Ground) reload() {
+func (g *Harness) reload() {
 	for _, h := range g.hosts {
 		if h.mu.TryLock() { // else a fault has it in hand, after which it reads the file anyway
 			_ = h.cmd.Process.Signal(syscall.SIGHUP)
--- a/internal/faultinjection/harness/measure.go
+++ b/internal/faultinjection/harness/measure.go
@@ -47,17 +47,17 @@
 		return nil, err
 	}
 	defer func() { _ = g.Close() }()
-	m = &Measures{Hosts: len(g.hosts), Backends: n, Lease: g.o.Lease, Margin: g.o.Margin, Whole: whole, Moved: map[string][]float64{}, Before: map[string]float64{}}
+	m = &Measures{Hosts: len(g.hosts), Backends: n, Lease: g.options.Lease, Margin: g.options.Margin, Whole: whole, Moved: map[string][]float64{}, Before: map[string]float64{}}
 	if err := g.Start(ctx); err != nil {
 		return nil, err
 	}
 	moves := g.moveDemand(ctx)
-	g.o.Say("demand moved %d times", len(moves)-1)
+	g.options.Say("demand moved %d times", len(moves)-1)
 	losses, err := g.loseHosts(ctx)
 	if err != nil {
 		return nil, err
 	}
-	g.o.Say("%d hosts were lost", len(losses))
+	g.options.Say("%d hosts were lost", len(losses))
 	spans := g.killAgentsInTurn(ctx)
 	all, err := checker.ReadAll(filepath.Join(g.site.Dir, "stamps"))
 	if err != nil {
@@ -74,7 +74,7 @@
 const demandPhase = 9 * time.Second
 
 // moveDemand moves all demand from one half of the backends to the other, and tells when.
-func (g *Ground) moveDemand(ctx context.Context) (at []int64) {
+func (g *Harness) moveDemand(ctx context.Context) (at []int64) {
 	n := len(g.site.Backends)
 	half := [2][]string{g.site.Backends[:n/2], g.site.Backends[n/2:]}
 	for i := range 5 {
@@ -87,7 +87,7 @@
 }
 
 // load sends the scenario's requests until the context ends; what is measured is what the holders draw.
-func (g *Ground) load(ctx context.Context, seed uint64, backends []string) {
+func (g *Harness) load(ctx context.Context, seed uint64, backends []string) {
 	s := g.scenario
 	_, _ = loadgen.Run(ctx, loadgen.Options{Scenario: &s, Seed: seed, Backends: backends, Bounds: limits.ForLoad()})
 }
@@ -99,16 +99,16 @@
 }
 
 // loseHosts kills one host after the other; each comes back before the next.
-func (g *Ground) loseHosts(ctx context.Context) (losses []hostLoss, err error) {
+func (g *Harness) loseHosts(ctx context.Context) (losses []hostLoss, err error) {
 	for _, h := range g.hosts {
 		losses = append(losses, hostLoss{g.killHost(h), h})
-		time.Sleep(g.o.Lease + g.o.Margin + 4*time.Second)
+		time.Sleep(g.options.Lease + g.options.Margin + 4*time.Second)
 		if err := g.startAgent(h); err != nil {
 			return nil, err
 		}
 		if err := g.until(ctx, 45*time.Second, "return of "+h.name, func() bool {
 			_, _ = g.Tool(ctx, "start", "--host", h.name, "--quiet", "--wait=false", "--within", "30s")
-			return g.wholeNow(ctx) && g.ready(ctx) == g.o.Table.Backends
+			return g.fullyGranted(ctx) && g.ready(ctx) == g.options.Table.Backends
 		}); err != nil {
 			return nil, err
 		}
@@ -116,13 +116,13 @@
 	return losses, nil
 }
 
-func (g *Ground) killHost(h *host) (at int64) {
+func (g *Harness) killHost(h *host) (at int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.cmd.Process.Kill()
 	at = process.Now()
 	for _, name := range h.names {
-		l := g.life(h, name)
+		l := g.incarnation(h, name)
 		_ = l.Keeper.Signal(syscall.SIGKILL)
 		_ = l.Instance.KillGroup()
 	}
@@ -137,7 +137,7 @@
 }
 
 // killAgentsInTurn kills agents under load, from none to all.
-func (g *Ground) killAgentsInTurn(ctx context.Context) (spans []deadSpan) {
+func (g *Harness) killAgentsInTurn(ctx context.Context) (spans []deadSpan) {
 	var loading sync.WaitGroup
 	stop, cancel := context.WithCancel(ctx)
 	loading.Go(func() {
@@ -149,7 +149,7 @@
 		if dead > 0 {
 			g.hosts[dead-1].killAgent()
 		}
-		time.Sleep(2*(g.o.Lease+g.o.Margin) + 2*time.Second)
+		time.Sleep(2*(g.options.Lease+g.options.Margin) + 2*time.Second)
 		from := process.Now()
 		time.Sleep(3 * time.Second)
 		spans = append(spans, deadSpan{dead, from, process.Now()})
@@ -167,7 +167,7 @@
 
 // rate is the part of the whole that was drawn in a span, in microseconds of the machine's clock.
 func (d draws) rate(budget string, from, to int64) float64 {
-	return checker.Drawn(d.all, budget, from, to) * 1e6 / float64(to-from) / float64(d.whole)
+	return checker.UnitsDrawn(d.all, budget, from, to) * 1e6 / float64(to-from) / float64(d.whole)
 }
 
 var divisions = []string{"demand", "even"}
@@ -219,7 +219,7 @@
 }
 
 // ready counts the backends that are.
-func (g *Ground) ready(ctx context.Context) (n int) {
+func (g *Harness) ready(ctx context.Context) (n int) {
 	s := g.budgets(ctx)
 	if s == nil {
 		return 0
--- a/internal/faultinjection/harness/report.go
+++ b/internal/faultinjection/harness/report.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// Shrink takes faults out of a timetable that does not hold, as long as what is left does not.
-func Shrink(ctx context.Context, t *schedule.Table, tries int, options func(*schedule.Table) (Options, error)) (*schedule.Table, error) {
-	fails := func(t *schedule.Table) (bool, error) {
+// Shrink takes faults out of a schedule that does not hold, as long as what is left does not.
+func Shrink(ctx context.Context, t *schedule.Schedule, tries int, options func(*schedule.Schedule) (Options, error)) (*schedule.Schedule, error) {
+	fails := func(t *schedule.Schedule) (bool, error) {
 		for range tries {
 			o, err := options(t)
 			if err != nil {
@@ -140,7 +140,7 @@
 		return t, errors.Join(err, fmt.Errorf("%s holds in %d tries: there is nothing to make smaller", t.Name, tries))
 	}
 	for {
-		smaller := (*schedule.Table)(nil)
+		smaller := (*schedule.Schedule)(nil)
 		for _, less := range t.Smaller() {
 			if ctx.Err() != nil {
 				return t, nil
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -25,9 +25,9 @@
 )
 
 // Open lays files and links; nothing runs yet.
-func Open(o Options) (g *Ground, err error) {
+func Open(o Options) (g *Harness, err error) {
 	o.setDefaults()
-	g = &Ground{o: o, wholes: map[string]int{}, limits: checker.Limits{}, faults: map[string]int{}, version: 1}
+	g = &Harness{options: o, totals: map[string]int{}, limits: checker.Limits{}, faults: map[string]int{}, version: 1}
 	g.scenario = g.makeScenario()
 	registryAddress := ""
 	if o.Table.Cold != nil {
@@ -37,7 +37,7 @@
 		registryAddress = g.register.Address
 	}
 	s := g.scenario
-	if g.site, err = demo.LayAt(&s, o.Program, registryAddress); err != nil {
+	if g.site, err = demo.NewSiteWithRegistry(&s, o.Program, registryAddress); err != nil {
 		return nil, err
 	}
 	defer func() {
@@ -68,7 +68,7 @@
 		o.Say = func(string, ...any) {}
 	}
 	if len(o.Budgets) == 0 {
-		o.Budgets = Standard(o.Table.Backends)
+		o.Budgets = StandardQuotas(o.Table.Backends)
 	}
 	if o.Lease == 0 {
 		o.Lease, o.Margin = 2*time.Second, 100*time.Millisecond
@@ -76,33 +76,33 @@
 }
 
 // makeScenario makes the load of the demo with a tenant for each quota, and notes the quotas' sizes.
-func (g *Ground) makeScenario() simulation.Scenario {
-	s := demo.Scenario(g.o.Table.Backends, g.o.Table.Span)
-	s.Troubles, s.Load.At = nil, g.o.Table.Load
+func (g *Harness) makeScenario() simulation.Scenario {
+	s := demo.Scenario(g.options.Table.Backends, g.options.Table.Span)
+	s.Troubles, s.Load.At = nil, g.options.Table.Load
 	sum := 0.0
-	for _, b := range g.o.Budgets {
+	for _, b := range g.options.Budgets {
 		sum += float64(b.Whole)
 	}
-	for _, b := range g.o.Budgets {
+	for _, b := range g.options.Budgets {
 		s.Tenants = append(s.Tenants, simulation.Tenant{Name: b.Tenant, Share: float64(b.Whole) / sum, Quota: float64(b.Whole)})
-		g.wholes[b.Name] = b.Whole
+		g.totals[b.Name] = b.Whole
 	}
-	if g.o.Moves != nil {
-		g.o.Moves(&s)
+	if g.options.Moves != nil {
+		g.options.Moves(&s)
 	}
 	return s
 }
 
 // layHosts makes each host's directory and address; backends are dealt out in turn. The ports are held until all are drawn, so
 // that no two hosts get the same one.
-func (g *Ground) layHosts() error {
+func (g *Harness) layHosts() error {
 	var held []net.Listener
 	defer func() {
 		for _, l := range held {
 			_ = l.Close()
 		}
 	}()
-	for i := range g.o.Table.Hosts {
+	for i := range g.options.Table.Hosts {
 		l, err := net.Listen("tcp", g.site.Loopback+":0")
 		if err != nil {
 			return err
@@ -114,7 +114,7 @@
 		if err := os.Mkdir(h.dir, 0o700); err != nil {
 			return err
 		}
-		for b := i; b < g.o.Table.Backends; b += g.o.Table.Hosts {
+		for b := i; b < g.options.Table.Backends; b += g.options.Table.Hosts {
 			h.names = append(h.names, g.site.Names[b])
 		}
 		g.hosts = append(g.hosts, h)
@@ -123,10 +123,10 @@
 }
 
 // writeFiles writes each host's fleet's file: the same fleet, where others are reached by this host's own links.
-func (g *Ground) writeFiles() error {
+func (g *Harness) writeFiles() error {
 	for i, h := range g.hosts {
 		var b strings.Builder
-		fmt.Fprintf(&b, "(fleet trial (program %q)\n", g.o.Program)
+		fmt.Fprintf(&b, "(fleet trial (program %q)\n", g.options.Program)
 		for j, other := range g.hosts {
 			at := other.peer
 			if j != i {
@@ -145,12 +145,12 @@
 			fmt.Fprintf(&b, " %s", other.name)
 		}
 		b.WriteString(")\n")
-		for _, one := range g.o.Budgets {
+		for _, one := range g.options.Budgets {
 			fmt.Fprintf(&b, "  (budget %s (rate %d) (tenant %s) (floor %d) (divide %s) (lease %v) (margin %v))\n",
-				one.Name, g.wholes[one.Name], one.Tenant, one.Floor, one.Divide, g.o.Lease, g.o.Margin)
+				one.Name, g.totals[one.Name], one.Tenant, one.Floor, one.Divide, g.options.Lease, g.options.Margin)
 		}
-		fmt.Fprintf(&b, "  (budget out (count %d))", OutMost)
-		if c := g.o.Table.Cold; c != nil && c.Rise > 0 {
+		fmt.Fprintf(&b, "  (budget out (count %d))", MaxUnavailable)
+		if c := g.options.Table.Cold; c != nil && c.Rise > 0 {
 			fmt.Fprintf(&b, "\n  (budget starts (count %d) (alone yes)))\n (rise (budget starts) (first 2) (failures 8))", c.Rise)
 		} else {
 			b.WriteString(")")
@@ -167,19 +167,19 @@
 }
 
 // startAgent starts an agent that does not run.
-func (g *Ground) startAgent(h *host) error {
-	cmd := exec.Command(g.o.Program, "agent", "--fleet", h.file, "--host", h.name, "--dir", h.dir)
+func (g *Harness) startAgent(h *host) error {
+	cmd := exec.Command(g.options.Program, "agent", "--fleet", h.file, "--host", h.name, "--dir", h.dir)
 	skew := 0
-	if n := len(g.hosts); n > 1 && g.o.Table.Skew > 0 { // evenly from the slowest to the fastest
+	if n := len(g.hosts); n > 1 && g.options.Table.Skew > 0 { // evenly from the slowest to the fastest
 		for i, other := range g.hosts {
 			if other == h {
-				skew = -g.o.Table.Skew + 2*g.o.Table.Skew*i/(n-1)
+				skew = -g.options.Table.Skew + 2*g.options.Table.Skew*i/(n-1)
 			}
 		}
 	}
-	cmd.Env = append(os.Environ(), "MILLETBARROW_STAMPS="+filepath.Join(g.site.Dir, "stamps"), failpoint.FaultVariable+"="+failpointAt(g.o.Failpoint, h.name),
+	cmd.Env = append(os.Environ(), "MILLETBARROW_STAMPS="+filepath.Join(g.site.Dir, "stamps"), failpoint.FaultVariable+"="+failpointAt(g.options.Failpoint, h.name),
 		failpoint.CrashDirVariable+"="+filepath.Join(g.site.Dir, "points", h.name), "MILLETBARROW_TRIAL_CLOCK="+strconv.Itoa(skew))
-	if c := g.o.Table.Cold; c != nil && c.Fixed {
+	if c := g.options.Table.Cold; c != nil && c.Fixed {
 		cmd.Env = append(cmd.Env, "MILLETBARROW_REPORTS_FIXED=true")
 	}
 	log, err := os.OpenFile(filepath.Join(g.site.Dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -217,7 +217,7 @@
 }
 
 // Close ends every process that the trial began, and removes its directory.
-func (g *Ground) Close() error {
+func (g *Harness) Close() error {
 	for _, h := range g.hosts {
 		h.mu.Lock()
 		if h.cmd != nil {
@@ -236,19 +236,19 @@
 	return g.site.Clear()
 }
 
-// sweep ends keepers and backends by what keepers wrote down of them: both are known by pid and start.
-func (g *Ground) sweep() {
+// sweep ends supervisors and backends by what supervisors wrote down of them: both are known by pid and start.
+func (g *Harness) sweep() {
 	for _, h := range g.hosts {
 		for _, name := range h.names {
-			id := g.life(h, name)
+			id := g.incarnation(h, name)
 			_ = id.Keeper.Signal(syscall.SIGKILL)
 			_ = id.Instance.KillGroup()
 		}
 	}
 }
 
-// Processes are all that run now: agents, keepers and backends.
-func (g *Ground) Processes() (all []process.Identity) {
+// Processes are all that run now: agents, supervisors and backends.
+func (g *Harness) Processes() (all []process.Identity) {
 	for _, h := range g.hosts {
 		if h.cmd != nil {
 			if id, err := process.Of(h.cmd.Process.Pid); err == nil {
@@ -256,7 +256,7 @@
 			}
 		}
 		for _, name := range h.names {
-			l := g.life(h, name)
+			l := g.incarnation(h, name)
 			for _, id := range []process.Identity{l.Keeper, l.Instance} {
 				if id.Alive() {
 					all = append(all, id)
@@ -276,13 +276,13 @@
 	return unix.Prlimit(pid, unix.RLIMIT_FSIZE, &l, nil)
 }
 
-// life is who a backend's processes are, by its keeper's file.
-type life struct {
+// life is who a backend's processes are, by its supervisor's file.
+type incarnation struct {
 	Keeper   process.Identity `json:"keeper"`
 	Instance process.Identity `json:"instance"`
 }
 
-func (g *Ground) life(h *host, name string) (l life) {
+func (g *Harness) incarnation(h *host, name string) (l incarnation) {
 	f, err := os.Open(filepath.Join(h.dir, "keepers", name+".json"))
 	if err != nil {
 		return l
--- a/internal/faultinjection/harness/state.go
+++ b/internal/faultinjection/harness/state.go
@@ -25,7 +25,7 @@
 	} `json:"budgets"`
 }
 
-func (g *Ground) budgets(ctx context.Context) *State {
+func (g *Harness) budgets(ctx context.Context) *State {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	out, err := g.Tool(ctx, "budgets", "--json")
@@ -36,8 +36,8 @@
 	return &s
 }
 
-// wholeNow tells whether the ledger has all of each rate in force, and nothing of the count.
-func (g *Ground) wholeNow(ctx context.Context) bool {
+// wholeNow tells whether the quota store has all of each rate in force, and nothing of the count.
+func (g *Harness) fullyGranted(ctx context.Context) bool {
 	s := g.budgets(ctx)
 	if s == nil {
 		return false
@@ -51,7 +51,7 @@
 }
 
 // until waits for a condition.
-func (g *Ground) until(ctx context.Context, most time.Duration, what string, ok func() bool) error {
+func (g *Harness) until(ctx context.Context, most time.Duration, what string, ok func() bool) error {
 	for end := time.Now().Add(most); !ok(); {
 		if time.Now().After(end) || ctx.Err() != nil {
 			return fmt.Errorf("no %s within %v", what, most)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (g *Ground) asItStands(ctx context.Context) string {
+func (g *Harness) describeState(ctx context.Context) string {
 	if s := g.budgets(ctx); s != nil {
 		raw, _ := json.Marshal(s)
 		return string(raw[:min(len(raw), 1500)])
--- a/internal/faultinjection/harness/verdict.go
+++ b/internal/faultinjection/harness/verdict.go
@@ -24,7 +24,7 @@
 	Asks     int                `json:"asks"`
 	Billed   float64            `json:"billed"`
 	Doubles  int                `json:"doubles"` // answers that came twice, and runs that were launched twice
-	Leaders  int                `json:"leaders"` // terms of the ledger
+	Leaders  int                `json:"leaders"` // terms of the quota store
 	WaveTook float64            `json:"wave_s,omitempty"`
 	Cold     *coldstart.Figures `json:"cold,omitempty"`
 	Limits   checker.Limits     `json:"-"`
@@ -39,7 +39,7 @@
 }
 
 // judge has the stamps audited.
-func (g *Ground) judge(v *Verdict) {
+func (g *Harness) judge(v *Verdict) {
 	all, err := checker.ReadAll(filepath.Join(g.site.Dir, "stamps"))
 	if err != nil {
 		v.fail("stamps: %v", err)
@@ -51,7 +51,7 @@
 	if g.register != nil {
 		g.judgeCold(v, all)
 	}
-	for _, b := range g.o.Budgets {
+	for _, b := range g.options.Budgets {
 		r := checker.Shares(all, b.Name, v.Limits, v.From, v.To)
 		// A holder may draw three tenths of a second of its share at once, and four units at the least; each may be stopped
 		// once in a draw.
@@ -63,7 +63,7 @@
 		for _, one := range r.Breaches {
 			v.fail("%v", one)
 		}
-		if g.o.Table.Load > 0 && r.Drawn == 0 {
+		if g.options.Table.Load > 0 && r.Drawn == 0 {
 			v.fail("%s: nothing was drawn", b.Name)
 		}
 		v.Reports = append(v.Reports, r)
@@ -76,9 +76,9 @@
 		v.fail("%d answers or runs came twice", v.Doubles)
 	}
 	if at, ok := v.Marks["wave"]; ok {
-		v.Out = checker.Out(all, at, v.Marks["wave over"])
-		if v.Out > OutMost {
-			v.fail("%d backends were out at once, %d may be", v.Out, OutMost)
+		v.Out = checker.MaxUnavailable(all, at, v.Marks["wave over"])
+		if v.Out > MaxUnavailable {
+			v.fail("%d backends were out at once, %d may be", v.Out, MaxUnavailable)
 		}
 		if v.Out == 0 {
 			v.fail("the wave took nobody out")
@@ -87,11 +87,11 @@
 }
 
 // keep copies what a person needs to look at.
-func (g *Ground) keep(v *Verdict) error {
-	if g.o.Keep == "" || v.OK {
+func (g *Harness) saveFailure(v *Verdict) error {
+	if g.options.Keep == "" || v.OK {
 		return nil
 	}
-	to := filepath.Join(g.o.Keep, v.Name)
+	to := filepath.Join(g.options.Keep, v.Name)
 	_ = os.RemoveAll(to)
 	if err := os.CopyFS(filepath.Join(to, "stamps"), os.DirFS(filepath.Join(g.site.Dir, "stamps"))); err != nil {
 		return err
@@ -105,10 +105,10 @@
 	}
 	raw, _ := json.MarshalIndent(v, "", " ")
 	return errors.Join(os.WriteFile(filepath.Join(to, "verdict.json"), raw, 0o600),
-		os.WriteFile(filepath.Join(to, "trial.sx"), []byte(g.o.Table.String()), 0o600))
+		os.WriteFile(filepath.Join(to, "trial.sx"), []byte(g.options.Table.String()), 0o600))
 }
 
-func (g *Ground) count(kind string) {
+func (g *Harness) countFault(kind string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.faults[kind]++
--- a/internal/faultinjection/proxy/link.go
+++ b/internal/faultinjection/proxy/link.go
@@ -13,7 +13,7 @@
 )
 
 // Way is one direction between two hosts. All links between them share it.
-type Way struct {
+type Direction struct {
 	mu    sync.Mutex
 	held  bool
 	delay time.Duration
@@ -24,9 +24,9 @@
 }
 
 // NewWay is one without faults.
-func NewWay() *Way { return &Way{news: make(chan struct{})} }
+func NewDirection() *Direction { return &Direction{news: make(chan struct{})} }
 
-func (w *Way) change(f func()) {
+func (w *Direction) change(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
@@ -35,15 +35,15 @@
 }
 
 // Hold stops all bytes until it is taken back; they are kept, as a network's end keeps what it has not heard of.
-func (w *Way) Hold(on bool) { w.change(func() { w.held = on }) }
+func (w *Direction) Hold(on bool) { w.change(func() { w.held = on }) }
 
 // Delay lets each byte arrive so much later.
-func (w *Way) Delay(d time.Duration) { w.change(func() { w.delay = d }) }
+func (w *Direction) Delay(d time.Duration) { w.change(func() { w.delay = d }) }
 
 // Slow bounds bytes a second; 0 takes it back.
-func (w *Way) Slow(rate int) { w.change(func() { w.rate = rate }) }
+func (w *Direction) Slow(rate int) { w.change(func() { w.rate = rate }) }
 
-func (w *Way) now() (held bool, delay time.Duration, rate int, news <-chan struct{}) {
+func (w *Direction) now() (held bool, delay time.Duration, rate int, news <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.held, w.delay, w.rate, w.news
@@ -53,7 +53,7 @@
 type Link struct {
 	Address string // to be dialled instead of the other
 	to      string
-	out, in *Way // from who dials, and to them
+	out, in *Direction // from who dials, and to them
 	l       net.Listener
 
 	mu    sync.Mutex
@@ -64,7 +64,7 @@
 }
 
 // Open opens a link to an address.
-func Open(to string, out, in *Way) (*Link, error) {
+func Open(to string, out, in *Direction) (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -195,7 +195,7 @@
 }
 
 // pump carries one direction of one connection.
-func (k *Link) pump(from, to net.Conn, way *Way, kept *bytes.Buffer) {
+func (k *Link) pump(from, to net.Conn, way *Direction, kept *bytes.Buffer) {
 	pieces := make(chan piece, 64) // beyond, who writes waits
 	go k.readPieces(from, pieces)
 	for p := range pieces {
@@ -238,7 +238,7 @@
 }
 
 // await returns once the faults of the way let a piece pass; false where the link was closed meanwhile.
-func (k *Link) await(p piece, way *Way) bool {
+func (k *Link) await(p piece, way *Direction) bool {
 	for {
 		held, delay, rate, news := way.now()
 		wait := time.Until(p.at.Add(delay))
--- a/internal/faultinjection/proxy/mesh.go
+++ b/internal/faultinjection/proxy/mesh.go
@@ -3,16 +3,16 @@
 // Mesh is a link from each of some hosts to each other, by name.
 type Mesh struct {
 	Names []string
-	ways  map[[2]string]*Way
+	ways  map[[2]string]*Direction
 	links map[[2]string]*Link
 }
 
 // NewMesh opens all links; at are the hosts' own addresses, in the order of names.
 func NewMesh(names, at []string) (*Mesh, error) {
-	m := &Mesh{Names: names, ways: map[[2]string]*Way{}, links: map[[2]string]*Link{}}
+	m := &Mesh{Names: names, ways: map[[2]string]*Direction{}, links: map[[2]string]*Link{}}
 	for _, a := range names {
 		for _, b := range names {
-			m.ways[[2]string{a, b}] = NewWay()
+			m.ways[[2]string{a, b}] = NewDirection()
 		}
 	}
 	for _, a := range names {
@@ -32,7 +32,7 @@
 }
 
 // Way is the direction from one host to another; all links between them share it.
-func (m *Mesh) Way(from, to string) *Way { return m.ways[[2]string{from, to}] }
+func (m *Mesh) Way(from, to string) *Direction { return m.ways[[2]string{from, to}] }
 
 // Link is what a host dials to reach another; nil to itself.
 func (m *Mesh) Link(from, to string) *Link { return m.links[[2]string{from, to}] }
--- a/internal/faultinjection/registry/register.go
+++ b/internal/faultinjection/registry/registry.go
@@ -1,4 +1,4 @@
-// Package registry is a stand-in for the platform's register of backends that can be down, slow, refusing, silent, or fall
+// Package registry is a fake for the platform's register of backends that can be down, slow, refusing, silent, or fall
 // over when too much comes at once. It writes down every call. It owns its listener; it decides nothing but what its
 // phases say.
 package registry
@@ -18,7 +18,7 @@
 )
 
 // Register is a running one.
-type Register struct {
+type Registry struct {
 	Address string
 	terms   coldstart.Register
 
@@ -39,15 +39,15 @@
 const mostCalls = 1_000_000
 
 // Start makes one listen at this address.
-func Start(address string, t coldstart.Register) (*Register, error) {
-	r := &Register{Address: address, terms: t, over: make(chan struct{}), draw: rand.New(rand.NewPCG(1, 2))}
+func Start(address string, t coldstart.Register) (*Registry, error) {
+	r := &Registry{Address: address, terms: t, over: make(chan struct{}), draw: rand.New(rand.NewPCG(1, 2))}
 	if err := r.open(); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *Register) open() error {
+func (r *Registry) open() error {
 	l, err := net.Listen("tcp", r.Address)
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
@@ -61,7 +61,7 @@
 }
 
 // state counts connections.
-func (r *Register) state(_ net.Conn, s http.ConnState) {
+func (r *Registry) state(_ net.Conn, s http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch s {
@@ -74,7 +74,7 @@
 }
 
 // Begin has the phases run from now on, and forgets the calls of before.
-func (r *Register) Begin() {
+func (r *Registry) Begin() {
 	r.mu.Lock()
 	r.began, r.calls, r.most, r.falls = time.Now(), nil, r.conns, 0
 	began := r.began
@@ -96,7 +96,7 @@
 	}
 }
 
-func (r *Register) ended() bool {
+func (r *Registry) ended() bool {
 	select {
 	case <-r.over:
 		return true
@@ -106,7 +106,7 @@
 }
 
 // shut closes the door and all connections.
-func (r *Register) shut() {
+func (r *Registry) shut() {
 	r.mu.Lock()
 	s := r.server
 	r.mu.Unlock()
@@ -114,7 +114,7 @@
 }
 
 // take answers one report as the phase has it.
-func (r *Register) take(w http.ResponseWriter, q *http.Request) {
+func (r *Registry) take(w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(io.LimitReader(q.Body, 1<<10))
 	now := time.Now()
 	r.mu.Lock()
@@ -167,14 +167,14 @@
 }
 
 // Heard is what came since Begin: calls by their time, the most connections at once, and how often it fell over.
-func (r *Register) Heard() (calls []coldstart.Call, conns, falls int) {
+func (r *Registry) Heard() (calls []coldstart.Call, conns, falls int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append(calls, r.calls...), r.most, r.falls
 }
 
 // Close ends it.
-func (r *Register) Close() error {
+func (r *Registry) Close() error {
 	close(r.over)
 	r.mu.Lock()
 	s := r.server
--- a/internal/faultinjection/schedule/cold.go
+++ b/internal/faultinjection/schedule/cold_start.go
@@ -10,15 +10,15 @@
 )
 
 // Cold is the beginning of a trial in which all backends are started at once.
-type Cold struct {
+type ColdStart struct {
 	coldstart.Register
 	coldstart.Bounds
 	Fixed bool // backends report without chance or growing pauses, as a baseline
 	Rise  int  // so many may start at once over all hosts, by a rise; 0: all are asked for at once
 }
 
-func readCold(f *sexpr.Form) *Cold {
-	c := &Cold{Register: coldstart.Register{Crowd: f.Int("crowd", 0, 100_000, 0), Needs: f.Span("needs", 0, longest, 5*time.Second)}}
+func readCold(f *sexpr.Form) *ColdStart {
+	c := &ColdStart{Register: coldstart.Register{Crowd: f.Int("crowd", 0, 100_000, 0), Needs: f.Span("needs", 0, longest, 5*time.Second)}}
 	c.Rise = f.Int("rise", 0, 100_000, 0)
 	c.Fixed = f.OneOf("reports", "paced", "fixed") == "fixed"
 	last := time.Duration(-1)
@@ -43,7 +43,7 @@
 	return c
 }
 
-func (c *Cold) write(b *strings.Builder) {
+func (c *ColdStart) write(b *strings.Builder) {
 	reports := "paced"
 	if c.Fixed {
 		reports = "fixed"
--- a/internal/faultinjection/schedule/compat_test.go
+++ b/internal/faultinjection/schedule/compat_test.go
@@ -34,7 +34,7 @@
 func TestEarlierDraws(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		name := fmt.Sprintf("drawn-%d.sx", seed)
-		drawn := Draw(seed, 5, 20, 24, 40*time.Second)
+		drawn := Random(seed, 5, 20, 24, 40*time.Second)
 		if diff := cmp.Diff(string(compattest.Read(t, name)), drawn.String()); diff != "" {
 			t.Errorf("%s: drawn by the earlier release (-), and now (+):\n%s", name, diff)
 		}
--- a/internal/faultinjection/schedule/timetable.go
+++ b/internal/faultinjection/schedule/schedule.go
@@ -31,17 +31,17 @@
 	Leader   Kind = "leader"    // SIGKILL whichever agent leads, started again after a while
 	Blackout Kind = "blackout"  // SIGKILL all agents, started again after a while
 	Full     Kind = "full"      // an agent's disk takes nothing for a while
-	Old      Kind = "old"       // an agent is killed and comes back on a copy of its ledger from before
+	Old      Kind = "old"       // an agent is killed and comes back on a copy of its quota store from before
 	Freeze   Kind = "freeze"    // SIGSTOP a backend for a while
 	Death    Kind = "death"     // SIGKILL a backend
-	Orphan   Kind = "orphan"    // SIGKILL a backend's keeper
+	Orphan   Kind = "orphan"    // SIGKILL a backend's supervisor
 	BadStart Kind = "bad-start" // SIGKILL a backend whose configuration can't be read for a while
 	Whole    Kind = "whole"     // the whole of a budget becomes another, in the file of every host
 	Point    Kind = "point"     // an agent dies at a point of its program, where it was built for that
 	Minority Kind = "minority"  // a host and the next are cut off from all others
 )
 
-// Kinds are all, in the order in which a drawn timetable has them at least once.
+// Kinds are all, in the order in which a drawn schedule has them at least once.
 func Kinds() []Kind {
 	return []Kind{Cut, CutBoth, Delay, Stall, Slow, Reset, Twice, Kill, Stop, Leader, Blackout, Full, Old, Freeze, Death, Orphan,
 		BadStart, Whole, Minority}
@@ -81,7 +81,7 @@
 }
 
 // Table is a trial's course.
-type Table struct {
+type Schedule struct {
 	Name     string
 	Seed     uint64 // of the load
 	Hosts    int
@@ -91,10 +91,10 @@
 	Skew     int           // clocks of leases run apart by up to so many millionths, host by host
 	Wave     time.Duration // a wave over all hosts begins then; 0: none
 	Faults   []Fault
-	Cold     *Cold // all backends are started at its beginning, beside a register that may be ill; nil: they serve by then
+	Cold     *ColdStart // all backends are started at its beginning, beside a register that may be ill; nil: they serve by then
 }
 
-func (t *Table) String() string {
+func (t *Schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "(trial %s (seed %d) (hosts %d) (backends %d) (span %v) (load %v) (skew %d)", t.Name, t.Seed, t.Hosts, t.Backends, t.Span, t.Load, t.Skew)
 	if t.Wave > 0 {
@@ -117,7 +117,7 @@
 )
 
 // Read reads a table's file. The error joins all that is wrong, each with its place.
-func Read(file string, src []byte) (*Table, error) {
+func Read(file string, src []byte) (*Schedule, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 		return nil, errs.Err()
 	}
 	f := forms[0]
-	t := &Table{
+	t := &Schedule{
 		Name: f.Arg(), Seed: uint64(f.Int("seed", 0, 1<<62, 1)), Hosts: f.Int("hosts", 1, MostHosts, 5), Backends: f.Int("backends", 1, MostBackends, 20),
 		Span: f.Span("span", time.Second, longest, time.Minute), Load: f.Share("load", 0, 4, 0.3), Skew: f.Int("skew", 0, 45_000, 0),
 		Wave: f.Span("wave", 0, longest, 0),
@@ -158,7 +158,7 @@
 }
 
 // name takes whom a fault is about.
-func (f *Fault) name(t *Table, on []string) error {
+func (f *Fault) name(t *Schedule, on []string) error {
 	wanted := f.wants()
 	if len(on) != len(wanted) {
 		return fmt.Errorf("found %d of them, wanted %d: %s", len(on), len(wanted), strings.Join(wanted, ", "))
@@ -199,9 +199,9 @@
 }
 
 // Draw makes a table from a seed: each kind at least once, then more of any, until there are so many.
-func Draw(seed uint64, hosts, backends, faults int, span time.Duration) *Table {
+func Random(seed uint64, hosts, backends, faults int, span time.Duration) *Schedule {
 	r := rand.New(rand.NewPCG(seed, 27))
-	t := &Table{
+	t := &Schedule{
 		Name: fmt.Sprint("drawn-", seed), Seed: seed, Hosts: hosts, Backends: backends, Span: span, Load: 0.3, Skew: 30_000,
 	}
 	kinds := Kinds()
@@ -210,27 +210,27 @@
 	}
 	blackouts := 0
 	for i, k := range kinds {
-		at := drawBetween(r, 2000, max(2001, int(span.Milliseconds())-4000))
+		at := randomSpan(r, 2000, max(2001, int(span.Milliseconds())-4000))
 		if k == Blackout || k == Old {
 			if blackouts++; blackouts > 3 && i >= len(Kinds()) {
 				k = Freeze
 			}
 		}
-		t.Faults = append(t.Faults, drawFault(r, k, at, hosts, backends))
+		t.Faults = append(t.Faults, randomFault(r, k, at, hosts, backends))
 	}
 	slices.SortStableFunc(t.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return t
 }
 
 // drawBetween draws a span of whole milliseconds, both ends included.
-func drawBetween(r *rand.Rand, from, to int) time.Duration {
+func randomSpan(r *rand.Rand, from, to int) time.Duration {
 	return time.Duration(from+r.IntN(to-from+1)) * time.Millisecond
 }
 
 // drawFault draws where one fault happens and how long it lasts.
-func drawFault(r *rand.Rand, k Kind, at time.Duration, hosts, backends int) Fault {
+func randomFault(r *rand.Rand, k Kind, at time.Duration, hosts, backends int) Fault {
 	f := Fault{Kind: k, At: at}
-	ms := func(from, to int) time.Duration { return drawBetween(r, from, to) }
+	ms := func(from, to int) time.Duration { return randomSpan(r, from, to) }
 	first := r.IntN(hosts)
 	second := (first + 1 + r.IntN(max(1, hosts-1))) % hosts
 	a, b := fmt.Sprint("h", first+1), fmt.Sprint("h", second+1)
@@ -269,7 +269,7 @@
 }
 
 // Smaller lists tables with less in them, largest cuts first: halves, quarters, and each fault alone taken out.
-func (t *Table) Smaller() (all []*Table) {
+func (t *Schedule) Smaller() (all []*Schedule) {
 	n := len(t.Faults)
 	for part := max(1, n/2); ; part /= 2 {
 		for from := 0; from < n; from += part {
--- a/internal/faultinjection/schedule/timetable_test.go
+++ b/internal/faultinjection/schedule/schedule_test.go
@@ -9,7 +9,7 @@
 
 func TestDrawnIsReadAgain(t *testing.T) {
 	for seed := range uint64(50) {
-		drawn := Draw(seed, 5, 20, 24, 40*time.Second)
+		drawn := Random(seed, 5, 20, 24, 40*time.Second)
 		read, err := Read("t.sx", []byte(drawn.String()))
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%v", seed, err, drawn)
@@ -46,7 +46,7 @@
 }
 
 func TestSmaller(t *testing.T) {
-	table := Draw(1, 5, 20, 24, time.Minute)
+	table := Random(1, 5, 20, 24, time.Minute)
 	all := table.Smaller()
 	if n := len(all[0].Faults); n != 12 {
 		t.Errorf("the first has %d faults of 24", n)
@@ -54,7 +54,7 @@
 	if n := len(all[len(all)-1].Faults); n != 23 || len(all) < 24 {
 		t.Errorf("the last of %d has %d faults of 24", len(all), n)
 	}
-	if (&Table{Faults: table.Faults[:1]}).Smaller()[0].Faults == nil && len((&Table{Faults: table.Faults[:1]}).Smaller()) != 1 {
+	if (&Schedule{Faults: table.Faults[:1]}).Smaller()[0].Faults == nil && len((&Schedule{Faults: table.Faults[:1]}).Smaller()) != 1 {
 		t.Error("one fault alone can be taken out once")
 	}
 }
--- a/internal/loadgen/attempts.go
+++ b/internal/loadgen/attempts.go
@@ -1,4 +1,4 @@
-// Package loadgen sends a modelled day over sockets: open loop, to real backends on this machine, with the tries, pauses and
+// Package loadgen sends a modelled day over sockets: open loop, to real backends on this machine, with the attempts, pauses and
 // heeding of the model's edge nodes, and keeps the same books. What a node does next is decided in this file, which
 // does no I/O and holds no clock; sender.go has the connections.
 package loadgen
@@ -14,14 +14,14 @@
 // Micros is a time of the day that is sent, in whole microseconds.
 type Micros = simulation.Micros
 
-// Ask is one invocation as its caller sees it, from its time in the day to its one end.
-type Ask struct {
+// Ask is one request as its caller sees it, from its time in the day to its one end.
+type Request struct {
 	simulation.Arrival
 	Number int
 	Due    Micros
 	Tries  int
 	Last   int // the backend of the latest try
-	Open   int // tries without an answer
+	Open   int // attempts without an answer
 	Over   bool
 }
 
@@ -33,7 +33,7 @@
 
 // Choose is the backend of a try: in turn, none that asked to be left alone, and not the one of the try before while there are
 // others. A first try goes to somebody all the same. -1: nobody.
-func (b *Backends) Choose(now Micros, a *Ask) int {
+func (b *Backends) Choose(now Micros, a *Request) int {
 	n := len(b.Avoid)
 	for range n {
 		b.turn = (b.turn + 1) % n
@@ -49,7 +49,7 @@
 }
 
 // Heed takes in what a backend said, or that it could not be reached: it is left alone for as long. A deaf node heeds no advice.
-func (b *Backends) Heed(now Micros, backend int, h Heard, deaf bool) {
+func (b *Backends) Heed(now Micros, backend int, h Response, deaf bool) {
 	switch h.Outcome {
 	case simulation.Throttled:
 		if !deaf {
@@ -64,14 +64,14 @@
 const gone = simulation.Second / 4
 
 // Heard is what came of a try.
-type Heard struct {
+type Response struct {
 	Outcome simulation.Outcome
 	RetryIn Micros
 	Dont    bool
 }
 
 // Next is what follows a try that was no success: the pause before another, or the end of the ask. deaf: the node heeds nothing.
-func Next(s *simulation.Scenario, now Micros, a *Ask, h Heard, deaf bool, chance *rand.Rand) (pause Micros, again bool) {
+func Next(s *simulation.Scenario, now Micros, a *Request, h Response, deaf bool, chance *rand.Rand) (pause Micros, again bool) {
 	op := &s.Operations[a.Operation]
 	ran := h.Outcome != simulation.Throttled && h.Outcome != simulation.Unreachable
 	if ran && op.Repeat == admission.NonIdempotent || h.Dont && !deaf || s.Nodes.Tries > 0 && a.Tries >= s.Nodes.Tries {
@@ -86,7 +86,7 @@
 }
 
 // Worth is what an answer that took so long is billed.
-func Worth(op *simulation.Operation, took Micros) float64 {
+func EarnedValue(op *simulation.Operation, took Micros) float64 {
 	if took > op.Objective {
 		return op.Value * op.LateValue
 	}
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -30,9 +30,9 @@
 	for _, op := range []int{0, 2} {
 		for _, out := range []simulation.Outcome{simulation.Throttled, simulation.Errored, simulation.Unreachable, simulation.Reset} {
 			for _, tries := range []int{1, 3} {
-				for _, h := range []Heard{{Outcome: out}, {Outcome: out, Dont: true}} {
+				for _, h := range []Response{{Outcome: out}, {Outcome: out, Dont: true}} {
 					for _, deaf := range []bool{false, true} {
-						a := &Ask{Arrival: simulation.Arrival{Operation: op}, Due: simulation.Second, Tries: tries}
+						a := &Request{Arrival: simulation.Arrival{Operation: op}, Due: simulation.Second, Tries: tries}
 						pause, again := Next(s, 0, a, h, deaf, rand.New(rand.NewPCG(1, 1)))
 						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, simulation.Outcomes()[out], tries, h.Dont, deaf, again, pause)
 					}
@@ -40,8 +40,8 @@
 			}
 		}
 	}
-	a := &Ask{Due: 1500, Tries: 1}
-	if _, again := Next(s, 1000, a, Heard{Outcome: simulation.Throttled}, false, rand.New(rand.NewPCG(1, 1))); again {
+	a := &Request{Due: 1500, Tries: 1}
+	if _, again := Next(s, 1000, a, Response{Outcome: simulation.Throttled}, false, rand.New(rand.NewPCG(1, 1))); again {
 		t.Error("a try that comes after the caller's time")
 	}
 }
@@ -49,7 +49,7 @@
 // TestChoose: in turn; not who asked to be left alone, nor who was just tried; a first try goes out all the same.
 func TestChoose(t *testing.T) {
 	b := Backends{Avoid: make([]Micros, 3)}
-	a := &Ask{Last: -1}
+	a := &Request{Last: -1}
 	got := make([]int, 0, 9)
 	for range 4 {
 		got = append(got, b.Choose(0, a))
@@ -71,11 +71,11 @@
 // TestHeed: advice lengthens what stands, deaf nodes pass it over, and one that is gone is left alone by all.
 func TestHeed(t *testing.T) {
 	b := Backends{Avoid: make([]Micros, 4)}
-	b.Heed(100, 0, Heard{Outcome: simulation.Throttled, RetryIn: 50}, false)
-	b.Heed(100, 0, Heard{Outcome: simulation.Throttled, RetryIn: 20}, false)
-	b.Heed(100, 1, Heard{Outcome: simulation.Throttled, RetryIn: 50}, true)
-	b.Heed(100, 2, Heard{Outcome: simulation.Reset}, true)
-	b.Heed(100, 3, Heard{Outcome: simulation.Errored}, false)
+	b.Heed(100, 0, Response{Outcome: simulation.Throttled, RetryIn: 50}, false)
+	b.Heed(100, 0, Response{Outcome: simulation.Throttled, RetryIn: 20}, false)
+	b.Heed(100, 1, Response{Outcome: simulation.Throttled, RetryIn: 50}, true)
+	b.Heed(100, 2, Response{Outcome: simulation.Reset}, true)
+	b.Heed(100, 3, Response{Outcome: simulation.Errored}, false)
 	if text := fmt.Sprint(b.Avoid); text != "[150 0 250100 0]" {
 		t.Error(text)
 	}
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -63,7 +63,7 @@
 	tries   uint64
 }
 
-// Run sends the scenario's day. Latency counts from the time at which the day has the invocation, not from when it was sent:
+// Run sends the scenario's day. Latency counts from the time at which the day has the request, not from when it was sent:
 // a sender or a backend that stalls does not hide what waited meanwhile. Every address must be of this machine.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Scenario.Check(); err != nil {
@@ -150,7 +150,7 @@
 		return
 	}
 	s.open++
-	a := &Ask{Arrival: arrival, Number: number, Due: arrival.At + s.s.Operations[arrival.Operation].Timeout, Last: -1}
+	a := &Request{Arrival: arrival, Number: number, Due: arrival.At + s.s.Operations[arrival.Operation].Timeout, Last: -1}
 	time.AfterFunc(time.Duration(a.Due-now)*time.Microsecond, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -162,11 +162,11 @@
 }
 
 // try sends one attempt; s.mu is held.
-func (s *sender) try(a *Ask) {
+func (s *sender) try(a *Request) {
 	now := s.now()
 	b := s.nodes[a.Node].Choose(now, a)
 	if b < 0 {
-		s.failed(a, Heard{Outcome: simulation.Unreachable})
+		s.failed(a, Response{Outcome: simulation.Unreachable})
 		return
 	}
 	retry := a.Tries > 0
@@ -192,7 +192,7 @@
 }
 
 // heard is the end of a try; s.mu is held.
-func (s *sender) heard(a *Ask, node, backend int, h Heard) {
+func (s *sender) heard(a *Request, node, backend int, h Response) {
 	if a.Over {
 		return
 	}
@@ -200,7 +200,7 @@
 	if h.Outcome == simulation.Succeeded {
 		took := now - a.At
 		a.Over = true
-		s.r.End(s.s, now, a.Operation, a.Tenant, simulation.Succeeded, took, Worth(&s.s.Operations[a.Operation], took))
+		s.r.End(s.s, now, a.Operation, a.Tenant, simulation.Succeeded, took, EarnedValue(&s.s.Operations[a.Operation], took))
 		s.open--
 		s.done()
 		return
@@ -209,7 +209,7 @@
 	s.failed(a, h)
 }
 
-func (s *sender) failed(a *Ask, h Heard) {
+func (s *sender) failed(a *Request, h Response) {
 	pause, again := Next(s.s, s.now(), a, h, s.deaf[a.Node], s.chance)
 	if !again {
 		s.end(a, h.Outcome)
@@ -224,7 +224,7 @@
 	})
 }
 
-func (s *sender) end(a *Ask, out simulation.Outcome) {
+func (s *sender) end(a *Request, out simulation.Outcome) {
 	a.Over = true
 	s.r.End(s.s, s.now(), a.Operation, a.Tenant, out, s.now()-a.At, 0)
 	s.open--
@@ -279,7 +279,7 @@
 }
 
 type sent struct {
-	a  *Ask
+	a  *Request
 	id string
 }
 
@@ -302,7 +302,7 @@
 }
 
 // send appends a frame; s.mu is held.
-func (l *link) send(a *Ask, ask *frame.OutgoingInvocation) {
+func (l *link) send(a *Request, ask *frame.OutgoingInvocation) {
 	l.next++
 	l.open[l.next] = &sent{a: a, id: ask.ID}
 	a.Open++
@@ -400,7 +400,7 @@
 		}
 		delete(l.open, h.Stream)
 		x.a.Open--
-		heard := Heard{Outcome: simulation.Errored, RetryIn: ans.After, Dont: ans.Last}
+		heard := Response{Outcome: simulation.Errored, RetryIn: ans.After, Dont: ans.Last}
 		switch ans.Code {
 		case frame.Succeeded:
 			heard.Outcome = simulation.Succeeded
@@ -426,7 +426,7 @@
 	}
 	for _, x := range l.open {
 		x.a.Open--
-		l.s.heard(x.a, l.node, l.backend, Heard{Outcome: out})
+		l.s.heard(x.a, l.node, l.backend, Response{Outcome: out})
 	}
 	clear(l.open)
 }
--- a/internal/upgradetest/fleet_test.go
+++ b/internal/upgradetest/fleet_test.go
@@ -48,7 +48,7 @@
 	scenario := demo.Scenario(hosts, 15*time.Second)
 	scenario.Troubles, scenario.Load.At = nil, 0.3
 	scenario.Tenants = []simulation.Tenant{{Name: "acme", Share: 0.7, Quota: acmeQuota}, {Name: "zeta", Share: 0.3, Quota: zetaQuota}}
-	site, err := demo.LayAt(&scenario, "", "")
+	site, err := demo.NewSiteWithRegistry(&scenario, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
