--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -81,12 +81,12 @@
 	listed   map[string]time.Time
 }
 
-// Lay writes all files and starts the fakes. program is the milletbarrow that is to run; empty: the one that runs now.
+// NewSite writes all files and starts the fakes. program is the milletbarrow that is to run; empty: the one that runs now.
 func NewSite(s *simulation.Scenario, program string) (*Site, error) {
 	return NewSiteWithRegistry(s, program, "")
 }
 
-// LayAt does it with a register of somebody else's at that address.
+// NewSiteWithRegistry does it with a registry of somebody else's at that address.
 func NewSiteWithRegistry(s *simulation.Scenario, program, register string) (site *Site, err error) {
 	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
 	if err != nil {
--- a/internal/fakes/auto_executor.go
+++ b/internal/fakes/auto_executor.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Crew is an executor that works by itself: each run takes so long, on so many cores. It remembers which runs were
+// AutoExecutor is an executor that works by itself: each run takes so long, on so many cores. It remembers which runs were
 // started and when, and survives its backend: a new one begins with a new numbering.
 type AutoExecutor struct {
 	Address string
@@ -32,7 +32,7 @@
 	listener net.Listener
 }
 
-// NewCrew starts one on loopback.
+// NewAutoExecutor starts one on loopback.
 func NewAutoExecutor(t testing.TB, takes time.Duration, cores int) *AutoExecutor {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fakes/caller.go
+++ b/internal/fakes/caller.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Sent is what became of one request, as its caller saw it.
+// SentRequest is what became of one request, as its caller saw it.
 type SentRequest struct {
 	ID          string
 	Class       string
@@ -21,7 +21,7 @@
 	NeverSent   bool // it crossed the backend's own close of the connection, or never went out whole
 }
 
-// Load is an edge node that keeps requests coming to one backend, on a new connection whenever it has to, and
+// Caller is an edge node that keeps requests coming to one backend, on a new connection whenever it has to, and
 // remembers what became of each.
 type Caller struct {
 	address       string
@@ -45,7 +45,7 @@
 	Rank  float64
 }
 
-// Mixed begins a load of several operations, drawn by their shares in an order that is the same for the same from.
+// NewMixedCaller begins a load of several operations, drawn by their shares in an order that is the same for the same from.
 func NewMixedCaller(address string, from int, every, wait time.Duration, mix []Part) *Caller {
 	l := &Caller{address: address, from: from, every: every, wait: wait, mix: mix, stop: make(chan struct{}), done: make(chan struct{})}
 	go l.run()
@@ -63,7 +63,7 @@
 	return Part{Class: "look", Rank: 0.5}
 }
 
-// NewLoad begins; from tells its ids from those of others. One that is deaf goes on sending for so long after the
+// NewCaller begins; from tells its ids from those of others. One that is deaf goes on sending for so long after the
 // backend asked for no more.
 func NewCaller(address string, from int, every, wait, deaf time.Duration) *Caller {
 	l := &Caller{address: address, from: from, every: every, wait: wait, ignoresGoAway: deaf, stop: make(chan struct{}), done: make(chan struct{})}
--- a/internal/fakes/edge_node.go
+++ b/internal/fakes/edge_node.go
@@ -47,7 +47,7 @@
 	return string(b)
 }
 
-// Usual are the fields of a request that has come now and may wait four seconds; edits replace or, with
+// DefaultFields are the fields of a request that has come now and may wait four seconds; edits replace or, with
 // an empty value, drop some.
 func DefaultFields(number int, edits ...string) []string {
 	pairs := []string{
@@ -74,13 +74,13 @@
 	return Raw(10, stream, Fields(DefaultFields(number, edits...)...)+fmt.Sprint("body ", number))
 }
 
-// Try makes the frame of one try of the work that a token names, in the operation post; its content goes by the token.
+// Attempt makes the frame of one try of the work that a token names, in the operation post; its content goes by the token.
 func Attempt(stream uint32, number int, token string, edits ...string) string {
 	fields := DefaultFields(number, append(edits, "class=post", "once="+token)...)
 	return Raw(10, stream, Fields(fields...)+"work "+token)
 }
 
-// Node is an edge node with one connection.
+// EdgeNode is an edge node with one connection.
 type EdgeNode struct {
 	t testing.TB
 	net.Conn
@@ -98,7 +98,7 @@
 	return NewEdgeNode(t, c)
 }
 
-// NewNode makes an edge node of a connection.
+// NewEdgeNode makes an edge node of a connection.
 func NewEdgeNode(t testing.TB, c net.Conn) *EdgeNode {
 	return &EdgeNode{t: t, Conn: c, in: bufio.NewReader(c)}
 }
--- a/internal/fakes/scripted_executor.go
+++ b/internal/fakes/scripted_executor.go
@@ -14,7 +14,7 @@
 // Launch is a run that the executor was told to start.
 type Launch struct{ ID, Operation, Body string }
 
-// Farm stands in for the executor, which owns the cores. It starts nothing by itself: tests end runs.
+// ScriptedExecutor stands in for the executor, which owns the cores. It starts nothing by itself: tests end runs.
 type ScriptedExecutor struct {
 	Address    string
 	Launches   chan Launch
@@ -30,7 +30,7 @@
 	samples    int
 }
 
-// NewFarm starts an executor that is up and answers samples.
+// NewScriptedExecutor starts an executor that is up and answers samples.
 func NewScriptedExecutor(t testing.TB) *ScriptedExecutor {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fakes/timedexecutor/executor.go
+++ b/internal/fakes/timedexecutor/executor.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Terms of one executor.
+// Config of one executor.
 type Config struct {
 	Cores int
 	Crowd float64       // runs a core that it bears
@@ -26,7 +26,7 @@
 	Most  int           // runs at once; what comes beyond is ended with an error
 }
 
-// Yard is one executor, on one address.
+// Executor is one executor, on one address.
 type Executor struct {
 	Address string
 	t       Config
--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -124,7 +124,7 @@
 	return all, nil
 }
 
-// Whole is what a budget may add up to from a time on. A lower one is added with the time from which nobody can be left
+// Total is what a budget may add up to from a time on. A lower one is added with the time from which nobody can be left
 // that was told by the higher.
 type Total struct {
 	From  int64
@@ -343,7 +343,7 @@
 	return all
 }
 
-// Out tells how many backends had no process at once, at the most, between two times: from a process's last stamp to the
+// MaxUnavailable tells how many backends had no process at once, at the most, between two times: from a process's last stamp to the
 // next one's first share.
 func MaxUnavailable(all []*Process, from, to int64) (most int) {
 	byName := map[string][]*Process{}
@@ -373,7 +373,7 @@
 	return most
 }
 
-// Drawn is how many units were drawn between two times, of what was drawn between two stamps the part that lies there.
+// UnitsDrawn is how many units were drawn between two times, of what was drawn between two stamps the part that lies there.
 func UnitsDrawn(all []*Process, budget string, from, to int64) (units float64) {
 	for _, p := range all {
 		for _, d := range p.drew[budget] {
--- a/internal/faultinjection/checker/concurrent_starts.go
+++ b/internal/faultinjection/checker/concurrent_starts.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Births is how many processes at most had begun within a span of this length: each is known to have been starting for as
+// MaxConcurrentStarts is how many processes at most had begun within a span of this length: each is known to have been starting for as
 // long. One that ended before the span's end counts until then.
 func MaxConcurrentStarts(all []*Process, span int64) (most int) {
 	type edge struct {
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -47,7 +47,7 @@
 	Divide string
 }
 
-// Standard are two tenants' rates and the count of what may be out.
+// StandardQuotas are two tenants' rates and the count of what may be out.
 func StandardQuotas(backends int) []Budget {
 	return []Budget{
 		{Name: "acme", Tenant: "acme", Whole: 8 * backends, Floor: 1, Divide: "demand"},
@@ -55,10 +55,10 @@
 	}
 }
 
-// OutMost is the count of backends that may be out at once.
+// MaxUnavailable is the count of backends that may be out at once.
 const MaxUnavailable = 3
 
-// Ground is a running one.
+// Harness is a running one.
 type Harness struct {
 	options  Options
 	site     *demo.Site
--- a/internal/faultinjection/proxy/link.go
+++ b/internal/faultinjection/proxy/link.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Way is one direction between two hosts. All links between them share it.
+// Direction is one direction between two hosts. All links between them share it.
 type Direction struct {
 	mu    sync.Mutex
 	held  bool
@@ -23,7 +23,7 @@
 	Bytes atomic.Int64 // carried
 }
 
-// NewWay is one without faults.
+// NewDirection is one without faults.
 func NewDirection() *Direction { return &Direction{news: make(chan struct{})} }
 
 func (w *Direction) change(f func()) {
--- a/internal/faultinjection/registry/registry.go
+++ b/internal/faultinjection/registry/registry.go
@@ -17,7 +17,7 @@
 	"milletbarrow/internal/faultinjection/coldstart"
 )
 
-// Register is a running one.
+// Registry is a running one.
 type Registry struct {
 	Address string
 	terms   coldstart.Register
--- a/internal/faultinjection/schedule/cold_start.go
+++ b/internal/faultinjection/schedule/cold_start.go
@@ -9,7 +9,7 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// Cold is the beginning of a trial in which all backends are started at once.
+// ColdStart is the beginning of a trial in which all backends are started at once.
 type ColdStart struct {
 	coldstart.Register
 	coldstart.Bounds
--- a/internal/faultinjection/schedule/schedule.go
+++ b/internal/faultinjection/schedule/schedule.go
@@ -80,7 +80,7 @@
 	return b.String() + ")"
 }
 
-// Table is a trial's course.
+// Schedule is a trial's course.
 type Schedule struct {
 	Name     string
 	Seed     uint64 // of the load
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// Draw makes a table from a seed: each kind at least once, then more of any, until there are so many.
+// Random makes a table from a seed: each kind at least once, then more of any, until there are so many.
 func Random(seed uint64, hosts, backends, faults int, span time.Duration) *Schedule {
 	r := rand.New(rand.NewPCG(seed, 27))
 	t := &Schedule{
--- a/internal/loadgen/attempts.go
+++ b/internal/loadgen/attempts.go
@@ -14,7 +14,7 @@
 // Micros is a time of the day that is sent, in whole microseconds.
 type Micros = simulation.Micros
 
-// Ask is one request as its caller sees it, from its time in the day to its one end.
+// Request is one request as its caller sees it, from its time in the day to its one end.
 type Request struct {
 	simulation.Arrival
 	Number int
@@ -63,7 +63,7 @@
 // gone is how long a backend that could not be reached is left alone.
 const gone = simulation.Second / 4
 
-// Heard is what came of a try.
+// Response is what came of a try.
 type Response struct {
 	Outcome simulation.Outcome
 	RetryIn Micros
@@ -85,7 +85,7 @@
 	return pause, now+pause < a.Due
 }
 
-// Worth is what an answer that took so long is billed.
+// EarnedValue is what an answer that took so long is billed.
 func EarnedValue(op *simulation.Operation, took Micros) float64 {
 	if took > op.Objective {
 		return op.Value * op.LateValue
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -38,15 +38,6 @@
 // Policies are all there are: the module first, then the baselines, which serve nobody, and the oracle.
 func Policies() []Policy {
 	two, least, oracle := TwoChoices, LeastLoad, Oracle
-	pooled := func(shape func(*pool)) func(admission.Config, uint64) Decider {
-		return func(t admission.Config, _ uint64) Decider {
-			p := &pool{t: t, by: map[string]*job0{}, drainAt: never, stopAt: never}
-			p.tick = max(min(20*Millisecond, t.AnswerSlack/3), Millisecond)
-			p.limit, p.line = t.Cores, 4*t.Cores
-			shape(p)
-			return p
-		}
-	}
 	short := pooled(func(*pool) {})
 	return []Policy{
 		{
@@ -98,6 +89,17 @@
 	}
 }
 
+// pooled makes a baseline of a thread pool, a run a core and a queue of four a core unless shape sets it otherwise.
+func pooled(shape func(*pool)) func(admission.Config, uint64) Decider {
+	return func(t admission.Config, _ uint64) Decider {
+		p := &pool{t: t, by: map[string]*job0{}, drainAt: never, stopAt: never}
+		p.tick = max(min(20*Millisecond, t.AnswerSlack/3), Millisecond)
+		p.limit, p.line = t.Cores, 4*t.Cores
+		shape(p)
+		return p
+	}
+}
+
 // PolicyNamed finds a policy, or tells which there are.
 func PolicyNamed(name string) (*Policy, error) {
 	all := Policies()
