--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -38,7 +38,7 @@
 	if len(d.First) < mostBreaches {
 		b := Breach{At: w.now, Rule: rule, Host: h.number, What: what}
 		if t != nil {
-			b.Invocation = fmt.Sprintf("%d (attempt %s)", w.asks[t.ask].number, t.id)
+			b.Invocation = fmt.Sprintf("%d (attempt %s)", w.requests[t.request].number, t.id)
 		}
 		d.First = append(d.First, b)
 	}
@@ -65,8 +65,8 @@
 func (d *Audit) due(w *world) {
 	for i := range w.hosts {
 		h := &w.hosts[i]
-		for j := h.first; h.up && j != none; j = w.atts[j].next {
-			if t := &w.atts[j]; t.answers == 0 && !t.gone && t.phase != unread && w.now > t.due+w.s.Hosts.Slack && t.due > 0 {
+		for j := h.first; h.up && j != none; j = w.attempts[j].next {
+			if t := &w.attempts[j]; t.answers == 0 && !t.gone && t.phase != unread && w.now > t.due+w.s.Hosts.Slack && t.due > 0 {
 				d.broken(w, 1, h, t, "its time is over and it has no answer")
 				t.due = 0 // told of once
 			}
@@ -83,7 +83,7 @@
 
 // ran: an effect has happened. One that repeats on another host after a death is not the policy's: what it knew is gone.
 func (d *Audit) ran(w *world, h *host, t *attempt) {
-	a := &w.asks[t.ask]
+	a := &w.requests[t.request]
 	op := &w.s.Operations[a.op]
 	if op.Repeat == admission.Idempotent {
 		return
@@ -92,8 +92,8 @@
 		d.effects = map[uint64]effect{}
 	}
 	was, had := d.effects[a.number]
-	if had && (op.Repeat == admission.NonIdempotent || was.host == h.number && was.life == h.life) {
+	if had && (op.Repeat == admission.NonIdempotent || was.host == h.number && was.life == h.incarnation) {
 		d.broken(w, 2, h, t, "a second effect")
 	}
-	d.effects[a.number] = effect{h.number, h.life}
+	d.effects[a.number] = effect{h.number, h.incarnation}
 }
--- a/internal/simulation/coldstart/rising.go
+++ b/internal/simulation/coldstart/rising.go
@@ -1,5 +1,5 @@
 // Package coldstart plays how hundreds or thousands of backends come up together, with the code that decides it in
-// installations (roster/pace for reports, manage/rise for starts, fleet's pauses between launches) unchanged: beside a
+// installations (endpoint registry/pace for reports, manage/rise for starts, fleet's pauses between launches) unchanged: beside a
 // register, and a service below that each start has to call, both of which can be crowded and fall over. One seed, one course.
 package coldstart
 
@@ -113,7 +113,7 @@
 	rise     *coldstart.State
 	place    map[string]int
 
-	within      int // calls at the register
+	within      int // calls at the endpoint registry
 	fallenUntil time.Duration
 	calls       []faultinjectioncoldstart.Call
 	falls       int
@@ -289,7 +289,7 @@
 	}
 }
 
-// report calls the register.
+// report calls the endpoint registry.
 func (w *play) report(who int) {
 	b := &w.all[who]
 	b.pace.Started(micros(w.now))
--- a/internal/simulation/trouble.go
+++ b/internal/simulation/fault.go
@@ -7,7 +7,7 @@
 )
 
 // some draws a share of the hosts, at least one where the share is above 0.
-func (w *world) some(share float64) []int32 {
+func (w *world) randomHosts(share float64) []int32 {
 	n := int(math.Ceil(share * float64(len(w.hosts))))
 	all := w.fate.Perm(len(w.hosts))
 	some := make([]int32, 0, n)
@@ -18,25 +18,25 @@
 }
 
 // trouble begins one; bursts are the load's own. Who is concerned is drawn from a chance of its own, so that it is the same for all policies.
-func (w *world) trouble(i int) {
+func (w *world) beginFault(i int) {
 	t := &w.s.Troubles[i]
-	over := func() { w.q.push(event{at: w.now + max(t.For, 1), kind: evOver, a: int32(i)}) }
+	over := func() { w.q.push(event{at: w.now + max(t.For, 1), kind: evFaultOver, a: int32(i)}) }
 	switch t.Kind {
 	case Death:
-		w.killSome(t)
+		w.killShare(t)
 	case Slow:
-		for _, n := range w.some(t.Share) {
-			w.speed(&w.hosts[n], max(t.Factor, 1))
+		for _, n := range w.randomHosts(t.Share) {
+			w.setSpeed(&w.hosts[n], max(t.Factor, 1))
 		}
 		over()
 	case Gray:
 		w.grayBy = Micros(t.Factor * float64(w.s.Nodes.Net))
-		for _, n := range w.some(t.Share) {
+		for _, n := range w.randomHosts(t.Share) {
 			w.grayHost[n] = true
 		}
 		over()
 	case Neighbour:
-		for _, n := range w.some(t.Share) {
+		for _, n := range w.randomHosts(t.Share) {
 			h := &w.hosts[n]
 			w.before(h)
 			h.neighbour = 1 / max(t.Factor, 1)
@@ -44,26 +44,26 @@
 		}
 		over()
 	case Cut:
-		w.cutSome(t)
+		w.cutShare(t)
 		over()
 	case AgentGone:
 		w.agentOff = true
 		over()
 	case BelowSlow:
-		w.belowSpeed(max(t.Factor, 1e-3))
+		w.setDependencySpeed(max(t.Factor, 1e-3))
 		over()
 	case Release:
 		if t.Fleet {
 			w.rollOut(i)
 		} else {
-			w.wave(i)
+			w.rollingUpdate(i)
 		}
 	}
 }
 
 // killSome kills a share of the hosts; each comes back when the fault is over.
-func (w *world) killSome(t *Trouble) {
-	for _, n := range w.some(t.Share) {
+func (w *world) killShare(t *Trouble) {
+	for _, n := range w.randomHosts(t.Share) {
 		if h := &w.hosts[n]; h.up {
 			w.res.Deaths++
 			w.goDown(h, Reset)
@@ -73,7 +73,7 @@
 }
 
 // cutSome cuts a share of the edge nodes from half of the hosts, and those hosts from the quota store.
-func (w *world) cutSome(t *Trouble) {
+func (w *world) cutShare(t *Trouble) {
 	n := int(math.Ceil(t.Share * float64(len(w.nodes))))
 	for _, k := range w.fate.Perm(len(w.nodes))[:n] {
 		w.cutNodes[int32(k)] = true
@@ -81,24 +81,24 @@
 	w.cutHosts, w.ledgerCut = int32(len(w.hosts)+1)/2, true
 }
 
-func (w *world) speed(h *host, slower float64) {
+func (w *world) setSpeed(h *host, slower float64) {
 	w.before(h)
 	h.slow = slower
 	w.after(h)
 }
 
-func (w *world) belowSpeed(slower float64) {
+func (w *world) setDependencySpeed(slower float64) {
 	w.below.move(w.now)
 	w.belowX = slower
 	w.afterBelow()
 }
 
 // wave tells the next part of the hosts to leave; a release's own event comes again while some are left.
-func (w *world) wave(i int) {
+func (w *world) rollingUpdate(i int) {
 	t := &w.s.Troubles[i]
 	width := max(1, int(t.Width*float64(len(w.hosts))))
 	if w.agentOff { // nobody goes on with it; who was told leaves all the same
-		w.q.push(event{at: w.now + Second/4, kind: evTrouble, a: int32(i)})
+		w.q.push(event{at: w.now + Second/4, kind: evFault, a: int32(i)})
 		return
 	}
 	out, left := 0, 0
@@ -120,14 +120,14 @@
 		w.notice(h, w.fate.Float64() < t.Lost)
 	}
 	if left > 0 || out > 0 && w.now < w.s.For {
-		w.q.push(event{at: w.now + Second/4, kind: evTrouble, a: int32(i)})
+		w.q.push(event{at: w.now + Second/4, kind: evFault, a: int32(i)})
 	}
 }
 
 // notice tells a host to leave; lost: the process never hears of it, and is stopped all the same.
 func (w *world) notice(h *host, lost bool) {
 	h.told, h.stopAt = w.now, w.now+w.s.Hosts.Stop
-	w.q.push(event{at: h.stopAt, kind: evStop, a: h.number, gen: h.life})
+	w.q.push(event{at: h.stopAt, kind: evStop, a: h.number, gen: h.incarnation})
 	if lost {
 		w.res.LostNotices++
 		return
@@ -141,13 +141,13 @@
 }
 
 // relief ends a trouble.
-func (w *world) relief(i int) {
+func (w *world) endFault(i int) {
 	t := &w.s.Troubles[i]
 	switch t.Kind {
 	case Slow:
 		for k := range w.hosts {
 			if w.hosts[k].slow != 1 {
-				w.speed(&w.hosts[k], 1)
+				w.setSpeed(&w.hosts[k], 1)
 			}
 		}
 	case Gray:
@@ -167,6 +167,6 @@
 	case AgentGone:
 		w.agentOff = false
 	case BelowSlow:
-		w.belowSpeed(1)
+		w.setDependencySpeed(1)
 	}
 }
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -13,46 +13,46 @@
 
 // host is one backend machine and the process on it.
 type host struct {
-	number int32
-	life   uint32
-	up     bool
-	policy Decider
+	number      int32
+	incarnation uint32
+	up          bool
+	policy      Decider
 
-	cores     shared
-	base      float64 // speed of its own
-	slow      float64 // slower by so much
-	neighbour float64 // part of the cores that is left to it
-	warmth    float64 // speed of a cold one
-	born      Micros
-	first     int32 // attempts in hand, the latest first
-	inHand    int
-	held      int
-	running   int // on the cores
-	reading   int
-	atBelow   int
-	memory    float64
-	keyKB     float64
-	conns     int
-	idleFor   Micros
-	healthy   bool
-	draining  bool
-	told      Micros // of the notice
-	stopAt    Micros
-	overAt    Micros // beyond its crowd since; 0: it is not
-	busy      float64
-	busyAt    Micros
-	busyRead  float64 // at the last reading
-	readAt    Micros
-	busySec   float64 // at the last second
-	skew      Micros
-	crewed    bool // an agent with the real fleet starts and stops it
-	kept      map[string]*kept
-	byKey     map[uint64]string
-	reduced   *reduced
+	cores         shared
+	base          float64 // speed of its own
+	slow          float64 // slower by so much
+	neighbour     float64 // part of the cores that is left to it
+	warmth        float64 // speed of a cold one
+	born          Micros
+	first         int32 // attempts in hand, the latest first
+	inHand        int
+	held          int
+	running       int // on the cores
+	reading       int
+	atBelow       int
+	memory        float64
+	keyKB         float64
+	conns         int
+	idleFor       Micros
+	healthy       bool
+	draining      bool
+	told          Micros // of the notice
+	stopAt        Micros
+	overAt        Micros // beyond its crowd since; 0: it is not
+	busy          float64
+	busyAt        Micros
+	busyRead      float64 // at the last reading
+	readAt        Micros
+	busySec       float64 // at the last second
+	skew          Micros
+	crewed        bool // an agent with the real fleet starts and stops it
+	cachedResults map[string]*cachedResult
+	byKey         map[uint64]string
+	degradation   *degradationState
 }
 
-// kept is a remembered invocation.
-type kept struct {
+// kept is a remembered request.
+type cachedResult struct {
 	until Micros
 	ended bool
 	ok    bool
@@ -60,7 +60,7 @@
 }
 
 // reduced is a ladder of levels on one host.
-type reduced struct {
+type degradationState struct {
 	mover  *degradation.Controller
 	drawer *degradation.Shedder
 	meter  *degradation.SignalMeter
@@ -68,7 +68,7 @@
 
 // begin starts a process on a host.
 func (w *world) begin(h *host, cold bool) error {
-	h.life++
+	h.incarnation++
 	w.res.Lives++
 	h.up, h.healthy, h.draining = true, true, false
 	h.born, h.readAt, h.busyAt = w.now, w.now, w.now
@@ -77,24 +77,24 @@
 	h.held, h.running, h.reading, h.atBelow, h.inHand, h.conns, h.overAt = 0, 0, 0, 0, 0, 0, 0
 	h.memory, h.first = 0, none
 	h.cores = shared{at: w.now, jobs: h.cores.jobs[:0], gen: h.cores.gen + 1}
-	h.kept, h.byKey = nil, nil
-	seed := w.policy ^ uint64(h.number)<<20 ^ uint64(h.life)
+	h.cachedResults, h.byKey = nil, nil
+	seed := w.policy ^ uint64(h.number)<<20 ^ uint64(h.incarnation)
 	h.policy = w.p.New(w.s.Terms(cold), seed)
 	if l := w.p.Ladder; l != nil {
 		drawer, err := degradation.NewShedder(l, w.s.operationNames(), w.s.tenantNames(), seed)
 		if err != nil {
 			return err
 		}
-		h.reduced = &reduced{mover: degradation.NewController(l), drawer: drawer, meter: degradation.NewSignalMeter(w.s.Hosts.Cores)}
+		h.degradation = &degradationState{mover: degradation.NewController(l), drawer: drawer, meter: degradation.NewSignalMeter(w.s.Hosts.Cores)}
 	}
 	if cold && w.s.Hosts.ColdFor > 0 {
 		h.warmth = w.s.Hosts.ColdShare
-		if h.reduced != nil {
-			h.reduced.meter.SetWarmingUntil(degradation.Micros(w.now + w.s.Hosts.ColdFor))
+		if h.degradation != nil {
+			h.degradation.meter.SetWarmingUntil(degradation.Micros(w.now + w.s.Hosts.ColdFor))
 		}
-		w.q.push(event{at: w.now + w.s.Hosts.ColdFor/20 + 1, kind: evCold, a: h.number, gen: h.life})
+		w.q.push(event{at: w.now + w.s.Hosts.ColdFor/20 + 1, kind: evCold, a: h.number, gen: h.incarnation})
 	}
-	w.beginShares(h)
+	w.beginQuotas(h)
 	w.decide(h, admission.Opened{})
 	w.q.push(event{at: w.now + w.s.Register.Lag, kind: evListed, a: h.number, b: 1})
 	return nil
@@ -116,9 +116,9 @@
 
 // reach is an attempt at its host's door.
 func (w *world) reach(j int32) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	h := &w.hosts[t.host]
-	a := &w.asks[t.ask]
+	a := &w.requests[t.request]
 	back := w.s.Nodes.Net
 	if !h.up {
 		w.refuse(j, Unreachable, back)
@@ -129,11 +129,11 @@
 		w.refuse(j, Unreachable, back)
 		return
 	}
-	t.life = h.life
+	t.incarnation = h.incarnation
 	t.atHost, t.phase, t.reached, t.due = true, unread, w.now, a.due-back
 	t.prev, t.next = none, h.first
 	if h.first != none {
-		w.atts[h.first].prev = j
+		w.attempts[h.first].prev = j
 	}
 	h.first = j
 	h.inHand++
@@ -149,15 +149,15 @@
 
 // refuse is a word from the network, not from the process.
 func (w *world) refuse(j int32, out Outcome, after Micros) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	t.outcome = out
 	w.q.push(event{at: w.now + after, kind: evAnswer, a: j, gen: t.gen})
 }
 
-// wasRead hands an invocation to the policy.
+// wasRead hands a request to the policy.
 func (w *world) wasRead(h *host, j int32) {
-	t := &w.atts[j]
-	a := &w.asks[t.ask]
+	t := &w.attempts[j]
+	a := &w.requests[t.request]
 	op := &w.s.Operations[a.op]
 	h.reading--
 	if t.gone { // taken back before it was read
@@ -180,11 +180,11 @@
 		ExpectedWork: hint, QueueTime: w.now - t.reached, TimeLeft: max(1, t.due-w.now), MemoryKB: w.s.Hosts.HeldKB,
 	}
 	if op.Repeat == admission.IdempotencyKeyed {
-		if id := h.byKey[a.number]; id != "" && h.kept[id] != nil && h.kept[id].until > w.now {
+		if id := h.byKey[a.number]; id != "" && h.cachedResults[id] != nil && h.cachedResults[id].until > w.now {
 			ev.RepeatOf = id
 		}
 	}
-	if r := h.reduced; r != nil {
+	if r := h.degradation; r != nil {
 		now := degradation.Micros(w.now)
 		if r.drawer.ShouldShed(r.mover.Level(), r.mover.Depth(now), int(a.op), int(a.tenant), op.Rank, degradation.Micros(a.hint)) {
 			ev.ShedFor, t.shed = 1, true
@@ -197,7 +197,7 @@
 		}
 	}
 	if ev.ShedFor == 0 && len(w.s.Tenants) > 0 {
-		ev.Quota = w.drawShare(h, int(a.tenant))
+		ev.Quota = w.drawQuota(h, int(a.tenant))
 		t.drew = ev.Quota == admission.WithinQuota
 	}
 	w.decide(h, ev)
@@ -242,14 +242,14 @@
 		}
 	case admission.SkipCall:
 		if j := w.inPhase(h, a.ID, waitsBelow); j != none {
-			w.atts[j].skipped = true
+			w.attempts[j].skipped = true
 			w.resume(h, j)
 		}
 	case admission.Remember:
 		w.remember(h, a)
 	case admission.Forget:
-		if h.kept[a.ID] != nil {
-			delete(h.kept, a.ID)
+		if h.cachedResults[a.ID] != nil {
+			delete(h.cachedResults, a.ID)
 			h.keyKB -= keyKB
 		}
 	case admission.Reuse:
@@ -261,13 +261,13 @@
 	case admission.CloseIdle:
 		h.idleFor = max(a.After, Second/10)
 	case admission.Wake:
-		w.q.later(laneTick, event{at: max(a.At-h.skew, w.now+1), kind: evWake, a: h.number, b: int32(a.Token), gen: h.life})
+		w.q.later(laneTick, event{at: max(a.At-h.skew, w.now+1), kind: evWake, a: h.number, b: int32(a.Token), gen: h.incarnation})
 	}
 }
 
 // inPhase is the attempt of that id where it is on the host and in that phase, else none.
 func (w *world) inPhase(h *host, id string, p phase) int32 {
-	if j := w.mine(h, id); j != none && w.atts[j].phase == p {
+	if j := w.mine(h, id); j != none && w.attempts[j].phase == p {
 		return j
 	}
 	return none
@@ -287,9 +287,9 @@
 	if j == none {
 		return
 	}
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	t.retryIn, t.dont = min(a.RetryAfter, w.s.Hosts.RetryAfter), a.DontRetry
-	if r := h.reduced; r != nil && t.answers == 0 && !t.shed { // what a level sheds must not keep it
+	if r := h.degradation; r != nil && t.answers == 0 && !t.shed { // what a level sheds must not keep it
 		r.meter.Count(degradation.Micros(w.now), degradation.Rejections)
 	}
 	w.answer(h, j, Throttled)
@@ -304,15 +304,15 @@
 	if j == none {
 		return
 	}
-	if h.kept == nil {
-		h.kept, h.byKey = map[string]*kept{}, map[uint64]string{}
+	if h.cachedResults == nil {
+		h.cachedResults, h.byKey = map[string]*cachedResult{}, map[uint64]string{}
 	}
-	if k := h.kept[a.ID]; k != nil {
+	if k := h.cachedResults[a.ID]; k != nil {
 		k.until = w.now + a.For
 		return
 	}
-	h.kept[a.ID] = &kept{until: w.now + a.For, at: j}
-	h.byKey[w.asks[w.atts[j].ask].number] = a.ID
+	h.cachedResults[a.ID] = &cachedResult{until: w.now + a.For, at: j}
+	h.byKey[w.requests[w.attempts[j].request].number] = a.ID
 	h.keyKB += keyKB
 }
 
@@ -332,7 +332,7 @@
 // mine is the attempt of that id that this life of a host has in hand.
 func (w *world) mine(h *host, id string) int32 {
 	j := w.byID(id)
-	if j == none || w.atts[j].host != h.number || w.atts[j].life != h.life || !w.atts[j].atHost {
+	if j == none || w.attempts[j].host != h.number || w.attempts[j].incarnation != h.incarnation || !w.attempts[j].atHost {
 		return none
 	}
 	return j
--- a/internal/simulation/crew.go
+++ b/internal/simulation/host_agent.go
@@ -8,9 +8,9 @@
 	"milletbarrow/internal/limits"
 )
 
-// crew is an agent with the real fleet's machine: it releases its hosts in a wave and starts them again. It sees them as an
+// executor is an agent with the real fleet's machine: it releases its hosts in a wave and starts them again. It sees them as an
 // agent does, some time after they changed, and not at all while agents are gone.
-type crew struct {
+type hostAgent struct {
 	m     *fleet.Machine
 	first int // of its hosts
 	runs  []string
@@ -26,12 +26,12 @@
 	crewEvery = 25 * Millisecond
 )
 
-func crewName(k int) string { return fmt.Sprintf("h%d", k+1) }
+func agentName(k int) string { return fmt.Sprintf("h%d", k+1) }
 
 // crewsUp starts as many agents as the hosts need, for a release that the real fleet decides about.
-func (w *world) crewsUp() error {
+func (w *world) startAgents() error {
 	for first := 0; first < len(w.hosts); first += crewHosts {
-		c := &crew{first: first}
+		c := &hostAgent{first: first}
 		n := min(crewHosts, len(w.hosts)-first)
 		text := fmt.Sprintf("(fleet model (host a (agent \"unix:/a\")) (group g (host a) (config \"%%n\") (range h 1 %d) (settle 500ms) (start-within 60s) (restart (most 100) (within 1m))))", n)
 		spec, err := fleet.ReadSpec("model", []byte(text), limits.ForControl())
@@ -42,46 +42,46 @@
 			return fleet.ShutdownWindow{Grace: fleet.Micros(w.s.Hosts.Grace), ExitTimeout: fleet.Micros(w.s.Hosts.Stop)}
 		})
 		for k := range n {
-			c.names = append(c.names, crewName(k))
+			c.names = append(c.names, agentName(k))
 			w.hosts[first+k].crewed = true
 		}
 		c.runs, c.tolds, c.seen = make([]string, n), make([]string, n), make([]fleet.Observation, n)
-		if err := w.order(c, &fleet.Command{ID: "start", Kind: fleet.KindStart, Names: c.names, RequestedBy: "model", Deadline: 60_000_000}); err != nil {
+		if err := w.submit(c, &fleet.Command{ID: "start", Kind: fleet.KindStart, Names: c.names, RequestedBy: "model", Deadline: 60_000_000}); err != nil {
 			return err
 		}
-		w.crews = append(w.crews, c)
-		w.q.push(event{at: crewEvery, kind: evCrew, a: int32(len(w.crews) - 1)})
+		w.agents = append(w.agents, c)
+		w.q.push(event{at: crewEvery, kind: evAgent, a: int32(len(w.agents) - 1)})
 	}
 	return nil
 }
 
-// order gives a crew's machine a command.
-func (w *world) order(c *crew, command *fleet.Command) error {
+// order gives a executor's machine a command.
+func (w *world) submit(c *hostAgent, command *fleet.Command) error {
 	steps, _, err := c.m.Decide(fleet.Micros(w.now), fleet.CommandReceived{Command: command})
-	w.steps(c, slices.Clone(steps))
+	w.carryOut(c, slices.Clone(steps))
 	return err
 }
 
-// rollOut has all crews roll; a release's width is of each crew.
+// rollOut has all crews roll; a release's width is of each executor.
 func (w *world) rollOut(i int) {
 	t := &w.s.Troubles[i]
-	for _, c := range w.crews {
+	for _, c := range w.agents {
 		terms := fleet.DefaultRollingUpdate()
 		terms.MaxInProgress = max(1, int(t.Width*float64(len(c.names))))
 		terms.MinReadyShare = max(0, 1-2*t.Width)
 		terms.MaxFailures = len(c.names)
 		c.lost = t.Lost
-		if err := w.order(c, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.KindRollingUpdate, Names: c.names, RequestedBy: "model", Deadline: fleet.Micros(w.now + 3600*Second), Rollout: &terms}); err != nil {
+		if err := w.submit(c, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.KindRollingUpdate, Names: c.names, RequestedBy: "model", Deadline: fleet.Micros(w.now + 3600*Second), Rollout: &terms}); err != nil {
 			w.res.Refused++
 		}
 	}
 }
 
-// crewLooks tells a crew what it sees, and lets it go on.
-func (w *world) crewLooks(i int32) {
-	c := w.crews[i]
+// crewLooks tells a executor what it sees, and lets it go on.
+func (w *world) tickAgent(i int32) {
+	c := w.agents[i]
 	if w.now < w.s.For || w.busyA > 0 {
-		w.q.push(event{at: w.now + crewEvery, kind: evCrew, a: i})
+		w.q.push(event{at: w.now + crewEvery, kind: evAgent, a: i})
 	}
 	if w.agentOff {
 		return
@@ -103,14 +103,14 @@
 		}
 		c.seen[k] = s
 		steps, _, _ := c.m.Decide(now, fleet.InstanceObserved{Name: c.names[k], Observation: s})
-		w.steps(c, slices.Clone(steps))
+		w.carryOut(c, slices.Clone(steps))
 	}
 	steps, _, _ := c.m.Decide(now, fleet.Tick{})
-	w.steps(c, slices.Clone(steps))
+	w.carryOut(c, slices.Clone(steps))
 }
 
-// steps does what a crew's machine says.
-func (w *world) steps(c *crew, steps []fleet.Action) {
+// steps does what a executor's machine says.
+func (w *world) carryOut(c *hostAgent, steps []fleet.Action) {
 	for _, s := range steps {
 		k := slices.Index(c.names, s.Name)
 		h := &w.hosts[c.first+k]
--- a/internal/simulation/host_calls.go
+++ b/internal/simulation/host_calls.go
@@ -6,7 +6,7 @@
 
 // call takes a run to the dependency that all share.
 func (w *world) call(h *host, j int32, within Micros) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	t.phase = calls
 	t.callGen++
 	h.atBelow++
@@ -35,7 +35,7 @@
 	for len(b.jobs) > 0 && b.jobs[0].end <= b.given+nearly {
 		j := b.pop()
 		b.live--
-		if t := &w.atts[j.who]; t.gen == j.gen && t.phase == calls && uint8(t.callGen) == j.sub {
+		if t := &w.attempts[j.who]; t.gen == j.gen && t.phase == calls && uint8(t.callGen) == j.sub {
 			w.callOver(j.who, admission.OK)
 		}
 	}
@@ -43,9 +43,9 @@
 }
 
 func (w *world) callOver(j int32, out admission.Outcome) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	h := &w.hosts[t.host]
-	if !h.up || h.life != t.life {
+	if !h.up || h.incarnation != t.incarnation {
 		return
 	}
 	h.atBelow--
@@ -56,7 +56,7 @@
 	if !h.up {
 		return
 	}
-	t = &w.atts[j]
+	t = &w.attempts[j]
 	if out == admission.OK && t.phase == waitsBelow {
 		w.resume(h, j)
 	} else if t.answers > 0 && t.phase == waitsBelow { // given up: nothing of it goes on
@@ -65,6 +65,6 @@
 }
 
 func (w *world) resume(h *host, j int32) {
-	w.atts[j].phase = runs
+	w.attempts[j].phase = runs
 	w.onCores(h, j)
 }
--- a/internal/simulation/host_cores.go
+++ b/internal/simulation/host_cores.go
@@ -28,7 +28,7 @@
 		rate *= (bears / on) * (bears / on)
 		if h.overAt == 0 {
 			h.overAt = w.now
-			w.q.push(event{at: w.now + s.FallOver, kind: evCrowd, a: h.number, gen: h.life})
+			w.q.push(event{at: w.now + s.FallOver, kind: evOverload, a: h.number, gen: h.incarnation})
 		}
 	} else {
 		h.overAt = 0
@@ -44,7 +44,7 @@
 // due schedules the next end of shared work. One that is scheduled too early finds nothing and looks again; that is
 // cheaper than to schedule anew with each change.
 func (w *world) due(s *shared, k kind, who int32) {
-	for len(s.jobs) > 0 && s.jobs[0].who != none && w.atts[s.jobs[0].who].gen != s.jobs[0].gen {
+	for len(s.jobs) > 0 && s.jobs[0].who != none && w.attempts[s.jobs[0].who].gen != s.jobs[0].gen {
 		s.pop()
 	}
 	if len(s.jobs) == 0 {
@@ -68,10 +68,10 @@
 		return
 	}
 	w.before(h)
-	life := h.life
+	life := h.incarnation
 	for len(h.cores.jobs) > 0 && h.cores.jobs[0].end <= h.cores.given+nearly {
 		j := h.cores.pop()
-		t := &w.atts[j.who]
+		t := &w.attempts[j.who]
 		if t.gen != j.gen || t.phase != unread && t.phase != runs || (t.phase == unread) != (j.sub == 0) {
 			continue // taken off before
 		}
@@ -81,7 +81,7 @@
 		} else {
 			w.ran(h, j.who)
 		}
-		if !h.up || h.life != life {
+		if !h.up || h.incarnation != life {
 			return
 		}
 	}
@@ -90,8 +90,8 @@
 
 // onCores puts a run, or what is left of it after its call, on the cores.
 func (w *world) onCores(h *host, j int32) {
-	t := &w.atts[j]
-	a := &w.asks[t.ask]
+	t := &w.attempts[j]
+	a := &w.requests[t.request]
 	work := a.work
 	if w.s.Operations[a.op].Calls {
 		work /= 2
@@ -104,8 +104,8 @@
 
 // ran is a run that has had its work: of the half before its call, or of all.
 func (w *world) ran(h *host, j int32) {
-	t := &w.atts[j]
-	a := &w.asks[t.ask]
+	t := &w.attempts[j]
+	a := &w.requests[t.request]
 	h.running--
 	if w.s.Operations[a.op].Calls && !t.called {
 		t.called, t.phase = true, waitsBelow
@@ -116,10 +116,10 @@
 	w.after(h)
 	w.res.Runs++
 	w.audit.ran(w, h, t)
-	if k := h.kept[t.id]; k != nil {
+	if k := h.cachedResults[t.id]; k != nil {
 		k.ended, k.ok = true, true
 	}
-	if r := h.reduced; r != nil && t.answers == 0 {
+	if r := h.degradation; r != nil && t.answers == 0 {
 		r.meter.Count(degradation.Micros(w.now), degradation.Successes)
 		if w.now-t.reached > w.s.Operations[a.op].Objective {
 			r.meter.Count(degradation.Micros(w.now), degradation.LateSuccesses)
@@ -134,9 +134,9 @@
 }
 
 func (w *world) start(h *host, j int32) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	w.audit.started(w, h, t)
-	w.trace.note(w, w.asks[t.ask].number, t, "runs")
+	w.trace.note(w, w.requests[t.request].number, t, "runs")
 	t.phase = runs
 	h.held--
 	h.memory += w.s.Hosts.HeldKB * (w.s.Hosts.RunFactor - 1)
--- a/internal/simulation/host_lifecycle.go
+++ b/internal/simulation/host_lifecycle.go
@@ -18,7 +18,7 @@
 	w.decide(h, admission.Reading{
 		Token: token, CoreUse: use, OnCores: on, MemoryShare: memory, Connections: float64(h.conns) / float64(w.s.Hosts.Connections),
 	})
-	if r := h.reduced; r != nil && h.up {
+	if r := h.degradation; r != nil && h.up {
 		now := degradation.Micros(w.now)
 		if h.draining {
 			r.meter.SetDraining()
@@ -36,7 +36,7 @@
 	h.warmth = min(1, s.ColdShare+(1-s.ColdShare)*float64(w.now-h.born)/float64(s.ColdFor))
 	w.after(h)
 	if h.warmth < 1 {
-		w.q.push(event{at: w.now + s.ColdFor/20 + 1, kind: evCold, a: h.number, gen: h.life})
+		w.q.push(event{at: w.now + s.ColdFor/20 + 1, kind: evCold, a: h.number, gen: h.incarnation})
 	}
 }
 
@@ -48,7 +48,7 @@
 		w.audit.broken(w, 4, h, nil, "it fell over under its crowd")
 		w.kill(h, Reset)
 	default:
-		w.q.push(event{at: h.overAt + w.s.Hosts.FallOver, kind: evCrowd, a: h.number, gen: h.life})
+		w.q.push(event{at: h.overAt + w.s.Hosts.FallOver, kind: evOverload, a: h.number, gen: h.incarnation})
 	}
 }
 
@@ -60,13 +60,13 @@
 
 // goDown loses everything that a host has in hand.
 func (w *world) goDown(h *host, out Outcome) {
-	w.goneShares(h)
+	w.releaseQuotas(h)
 	w.before(h)
 	h.up = false
 	h.cores.gen++
 	h.cores.next = 0
 	for j := h.first; j != none; {
-		t := &w.atts[j]
+		t := &w.attempts[j]
 		next := t.next
 		if t.atNode && t.answers == 0 || t.atNode && t.gone {
 			t.outcome = out
@@ -86,8 +86,8 @@
 
 // stop is the end of a process that was told to leave.
 func (w *world) stop(h *host) {
-	for j := h.first; j != none; j = w.atts[j].next {
-		if t := &w.atts[j]; t.answers == 0 && !t.gone && t.phase != unread && !h.unheard() {
+	for j := h.first; j != none; j = w.attempts[j].next {
+		if t := &w.attempts[j]; t.answers == 0 && !t.gone && t.phase != unread && !h.unheard() {
 			w.audit.broken(w, 3, h, t, "it was in hand without an answer when the process was stopped")
 		}
 	}
@@ -97,7 +97,7 @@
 	}
 }
 
-// unheard: the notice to leave never came.
+// unheard: the shutdown notice never came.
 func (h *host) unheard() bool { return !h.draining }
 
 func (w *world) back(h *host) {
--- a/internal/simulation/host_results.go
+++ b/internal/simulation/host_results.go
@@ -6,18 +6,18 @@
 
 // finish tells the policy that a run is over and lets go of it.
 func (w *world) finish(h *host, j int32, out admission.Outcome) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	id, took := t.id, w.now-t.read
 	h.memory -= w.s.Hosts.HeldKB * (w.s.Hosts.RunFactor - 1)
 	t.phase, t.ending = reuses, true // off the cores; still in hand while the policy hears of it
 	w.decide(h, admission.Finished{ID: id, Outcome: out, Took: took})
-	if h.up && w.atts[j].atHost && w.atts[j].id == id {
+	if h.up && w.attempts[j].atHost && w.attempts[j].id == id {
 		w.leaveHost(h, j)
 	}
-	waits := w.atts[j].waits
-	w.atts[j].waits = nil
+	waits := w.attempts[j].waits
+	w.attempts[j].waits = nil
 	for _, k := range waits {
-		if h.up && w.atts[k].phase == reuses && w.atts[k].atHost && w.atts[k].host == h.number && w.atts[k].answers == 0 {
+		if h.up && w.attempts[k].phase == reuses && w.attempts[k].atHost && w.attempts[k].host == h.number && w.attempts[k].answers == 0 {
 			w.reuse(h, k)
 		}
 	}
@@ -25,7 +25,7 @@
 
 // takeOff ends a run before its end.
 func (w *world) takeOff(h *host, j int32) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	w.before(h)
 	h.cores.live--
 	h.running--
@@ -34,17 +34,17 @@
 	w.finish(h, j, admission.Canceled)
 }
 
-// reuse answers a repeat with what an earlier invocation brought, at once or when it ends.
+// reuse answers a repeat with what an earlier request brought, at once or when it ends.
 func (w *world) reuse(h *host, j int32) {
-	t := &w.atts[j]
-	a := &w.asks[t.ask]
-	k := h.kept[h.byKey[a.number]]
+	t := &w.attempts[j]
+	a := &w.requests[t.request]
+	k := h.cachedResults[h.byKey[a.number]]
 	if t.phase == held {
 		h.held--
 	}
 	t.phase = reuses
 	if k != nil && !k.ended {
-		w.atts[k.at].waits = append(w.atts[k.at].waits, j)
+		w.attempts[k.at].waits = append(w.attempts[k.at].waits, j)
 		return
 	}
 	if k == nil {
@@ -55,20 +55,20 @@
 	id := t.id
 	t.ending = true
 	w.decide(h, admission.Finished{ID: id, Outcome: admission.OK, Took: 1})
-	if h.up && w.atts[j].atHost && w.atts[j].id == id {
+	if h.up && w.attempts[j].atHost && w.attempts[j].id == id {
 		w.leaveHost(h, j)
 	}
 }
 
 // answer sends what a policy says. The one final answer is judged here.
 func (w *world) answer(h *host, j int32, out Outcome) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	w.audit.answered(w, h, t)
 	t.answers++
-	w.trace.note(w, w.asks[t.ask].number, t, outcomeNames[out])
+	w.trace.note(w, w.requests[t.request].number, t, outcomeNames[out])
 	if t.answers == 1 && !t.gone {
 		t.outcome = out
-		if d := w.way(w.asks[t.ask].node, h.number); d >= 0 {
+		if d := w.way(w.requests[t.request].node, h.number); d >= 0 {
 			w.q.later(laneNet, event{at: w.now + d, kind: evAnswer, a: j, gen: t.gen})
 		} else { // nobody hears it; the node counts it as open until its caller leaves
 			t.outcome = Reset
@@ -82,20 +82,20 @@
 
 // unreused lets go of a repeat that was answered before the result came for which it waits.
 func (w *world) unreused(h *host, j int32) {
-	if t := &w.atts[j]; t.phase == reuses && t.atHost && !t.ending {
+	if t := &w.attempts[j]; t.phase == reuses && t.atHost && !t.ending {
 		w.leaveHost(h, j)
 	}
 }
 
 // leaveHost takes an attempt out of its host's hand.
 func (w *world) leaveHost(h *host, j int32) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	if !t.atHost {
 		return
 	}
 	if t.phase == held { // it never ran
 		h.held--
-		w.giveBack(h, t)
+		w.refundQuota(h, t)
 	}
 	if t.phase != unread && t.read > 0 {
 		h.memory -= w.s.Hosts.HeldKB
@@ -109,12 +109,12 @@
 		w.q.push(event{at: w.now + w.s.Nodes.Net, kind: evAnswer, a: j, gen: t.gen})
 	}
 	if t.prev != none {
-		w.atts[t.prev].next = t.next
+		w.attempts[t.prev].next = t.next
 	} else {
 		h.first = t.next
 	}
 	if t.next != none {
-		w.atts[t.next].prev = t.prev
+		w.attempts[t.next].prev = t.prev
 	}
 	h.inHand--
 	w.free(j)
@@ -122,9 +122,9 @@
 
 // left is the word that a caller has gone.
 func (w *world) left(j int32) {
-	t := &w.atts[j]
+	t := &w.attempts[j]
 	h := &w.hosts[t.host]
-	if !t.atHost || t.gone || t.life != h.life || !h.up {
+	if !t.atHost || t.gone || t.incarnation != h.incarnation || !h.up {
 		return
 	}
 	if t.answers > 0 {
@@ -139,7 +139,7 @@
 	}
 	was := t.phase
 	w.decide(h, admission.CallerGone{ID: t.id})
-	if h.up && w.atts[j].atHost && (was == held || was == reuses) {
+	if h.up && w.attempts[j].atHost && (was == held || was == reuses) {
 		w.leaveHost(h, j)
 	}
 }
--- a/internal/simulation/load.go
+++ b/internal/simulation/load.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// Arrival is one invocation of a day, as its caller wants it.
+// Arrival is one request of a day, as its caller wants it.
 type Arrival struct {
 	At                      Micros
 	Node, Operation, Tenant int
@@ -13,13 +13,13 @@
 	Hint                    Micros  // 0: none is given
 }
 
-// Stream is the load of a day, one invocation after the other: open loop, the same for the same scenario and seed, whoever
+// Stream is the load of a day, one request after the other: open loop, the same for the same scenario and seed, whoever
 // answers. The model plays it, and load sends it over sockets.
 type Stream struct {
 	s       *Scenario
 	r       *rand.Rand
 	at      float64
-	most    float64   // invocations a microsecond, at the most
+	most    float64   // requests a microsecond, at the most
 	shares  []float64 // of operations, summed up
 	onUntil Micros    // of a bursty load
 	on      bool
@@ -122,7 +122,7 @@
 	return n - 1
 }
 
-// Next is the next invocation; false: the day is over. A Poisson stream of the highest rate is thinned to that of the moment.
+// Next is the next request; false: the day is over. A Poisson stream of the highest rate is thinned to that of the moment.
 func (st *Stream) Next() (a Arrival, more bool) {
 	s := st.s
 	if s.Load.Shape == Replay {
--- a/internal/simulation/model_test.go
+++ b/internal/simulation/model_test.go
@@ -358,7 +358,7 @@
 	})
 }
 
-// TestReplayed: one invocation's course can be told.
+// TestReplayed: one request's course can be told.
 func TestReplayed(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := short()
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -6,11 +6,11 @@
 	"milletbarrow/admission"
 )
 
-// node is an edge node: it knows some hosts, opens connections to them and tries.
+// node is an edge node: it knows some hosts, opens connections to them and attempts.
 type node struct {
 	slots    []slot
 	view     []int32 // slots that are on its list now
-	lists    uint32  // of the register, when it last looked
+	lists    uint32  // of the endpoint registry, when it last looked
 	turn     int
 	deaf     bool
 	asked    decays // for its own throttle
@@ -43,7 +43,7 @@
 }
 
 // placeNode gives a node its hosts: every so many along the ring, so that the hosts' parts are alike, and twice as many as it
-// uses, so that it has others when some leave the register.
+// uses, so that it has others when some leave the endpoint registry.
 func (w *world) placeNode(i int32) {
 	n, h := &w.nodes[i], w.s.Hosts.Count
 	size := w.s.Nodes.Subset
@@ -97,7 +97,7 @@
 }
 
 // choose is the slot for a try; none where the list is empty or all of it is to be left alone for now.
-func (w *world) choose(a *ask, n *node) int32 {
+func (w *world) choose(a *request, n *node) int32 {
 	v := n.view
 	if len(v) == 0 {
 		return none
@@ -189,8 +189,8 @@
 }
 
 // try sends one attempt. A further one carries the retry mark.
-func (w *world) try(i int32, retry bool) {
-	a := &w.asks[i]
+func (w *world) startAttempt(i int32, retry bool) {
+	a := &w.requests[i]
 	n := &w.nodes[a.node]
 	s := &w.s.Nodes
 	if w.p.throttles(w.s) {
@@ -198,7 +198,7 @@
 		n.accepted.add(w.now, s.Window, 0)
 		// Client-side throttling by the share accepted of late, "Handling Overload", Site Reliability Engineering, 2016: K = 2.
 		if w.chance.Float64() < (n.asked.sum-2*n.accepted.sum)/(n.asked.sum+1) {
-			w.again(i, Local)
+			w.retryOrEnd(i, Local)
 			return
 		}
 	}
@@ -211,7 +211,7 @@
 		}
 	}
 	if k == none {
-		w.again(i, Unreachable)
+		w.retryOrEnd(i, Unreachable)
 		return
 	}
 	a.tries++
@@ -220,8 +220,8 @@
 	sl := &n.slots[k]
 	h := &w.hosts[sl.host]
 	j := w.newAttempt(op.Repeat == admission.IdempotencyKeyed)
-	t := &w.atts[j]
-	t.ask, t.host, t.slot, t.life, t.retry, t.atNode, t.prev, t.next = i, sl.host, k, h.life, retry, true, none, none
+	t := &w.attempts[j]
+	t.request, t.host, t.slot, t.incarnation, t.retry, t.atNode, t.prev, t.next = i, sl.host, k, h.incarnation, retry, true, none, none
 	if a.open[0] == none {
 		a.open[0] = j
 	} else {
@@ -252,9 +252,9 @@
 
 // link opens the connection that an attempt needs, or uses the one that is there; false: the host has no room.
 func (w *world) link(t *attempt, h *host) (opened, ok bool) {
-	n := &w.nodes[w.asks[t.ask].node]
+	n := &w.nodes[w.requests[t.request].node]
 	sl := &n.slots[t.slot]
-	if sl.linked && sl.life == h.life {
+	if sl.linked && sl.life == h.incarnation {
 		sl.used = w.now
 		return false, true
 	}
@@ -262,20 +262,20 @@
 		return false, false
 	}
 	h.conns++
-	sl.linked, sl.life, sl.used = true, h.life, w.now
-	w.q.push(event{at: w.now + h.idleFor, kind: evIdle, a: w.asks[t.ask].node, b: t.slot, gen: h.life})
+	sl.linked, sl.life, sl.used = true, h.incarnation, w.now
+	w.q.push(event{at: w.now + h.idleFor, kind: evIdle, a: w.requests[t.request].node, b: t.slot, gen: h.incarnation})
 	return true, true
 }
 
 func (w *world) idle(node, k int32) {
 	sl := &w.nodes[node].slots[k]
 	h := &w.hosts[sl.host]
-	if !sl.linked || sl.life != h.life || !h.up {
+	if !sl.linked || sl.life != h.incarnation || !h.up {
 		return
 	}
 	if rests := w.now - sl.used; rests < h.idleFor || sl.open > 0 {
 		if w.now < w.s.For || w.busyA > 0 {
-			w.q.push(event{at: w.now + max(h.idleFor-rests, Second/4), kind: evIdle, a: node, b: k, gen: h.life})
+			w.q.push(event{at: w.now + max(h.idleFor-rests, Second/4), kind: evIdle, a: node, b: k, gen: h.incarnation})
 		}
 		return
 	}
@@ -284,10 +284,10 @@
 }
 
 // heard is a node's end of an attempt: an answer, or the word that there is none.
-func (w *world) heard(j int32) {
-	t := &w.atts[j]
-	i := t.ask
-	a := &w.asks[i]
+func (w *world) receiveAnswer(j int32) {
+	t := &w.attempts[j]
+	i := t.request
+	a := &w.requests[i]
 	n := &w.nodes[a.node]
 	sl := &n.slots[t.slot]
 	sl.open--
@@ -325,12 +325,12 @@
 			a.unheeded = dont
 		}
 	}
-	w.again(i, out)
+	w.retryOrEnd(i, out)
 }
 
-// again is the decision about a further try.
-func (w *world) again(i int32, out Outcome) {
-	a := &w.asks[i]
+// again is the decision about a retry.
+func (w *world) retryOrEnd(i int32, out Outcome) {
+	a := &w.requests[i]
 	n := &w.nodes[a.node]
 	op := &w.s.Operations[a.op]
 	s := &w.s.Nodes
@@ -355,7 +355,7 @@
 }
 
 func (w *world) succeed(i int32, skipped bool) {
-	a := &w.asks[i]
+	a := &w.requests[i]
 	op := &w.s.Operations[a.op]
 	took := w.now - a.born
 	value := op.Value
@@ -372,58 +372,58 @@
 
 // end gives an ask up. Its caller may ask anew.
 func (w *world) end(i int32, out Outcome) {
-	a := &w.asks[i]
+	a := &w.requests[i]
 	w.res.End(w.s, w.now, int(a.op), int(a.tenant), out, w.now-a.born, 0)
 	op := &w.s.Operations[a.op]
 	if a.anew < 3 && w.chance.Float64() < w.s.Nodes.Behind && (op.Repeat != admission.NonIdempotent || out == Throttled || out == Local) {
 		a.anew++
-		w.tell(a)
+		w.notifyCallers(a)
 		a.over, a.later = true, true
-		w.q.push(event{at: w.now + Micros(float64(w.s.Nodes.BehindIn)*(0.5+w.chance.Float64())), kind: evBehind, a: i, gen: a.gen})
+		w.q.push(event{at: w.now + Micros(float64(w.s.Nodes.BehindIn)*(0.5+w.chance.Float64())), kind: evClientRetry, a: i, gen: a.gen})
 		return
 	}
 	w.close(i)
 }
 
 // tell lets the hosts know, late, that nobody waits any more.
-func (w *world) tell(a *ask) {
+func (w *world) notifyCallers(a *request) {
 	for _, j := range a.open {
 		if j == none || w.s.Nodes.Word < 0 {
 			continue
 		}
-		if d := w.way(a.node, w.atts[j].host); d >= 0 {
-			w.q.push(event{at: w.now + d + w.s.Nodes.Word, kind: evGone, a: j, gen: w.atts[j].gen})
+		if d := w.way(a.node, w.attempts[j].host); d >= 0 {
+			w.q.push(event{at: w.now + d + w.s.Nodes.Word, kind: evGone, a: j, gen: w.attempts[j].gen})
 		}
 	}
 }
 
 func (w *world) close(i int32) {
-	a := &w.asks[i]
-	w.tell(a)
+	a := &w.requests[i]
+	w.notifyCallers(a)
 	a.over = true
 	w.release(i)
 }
 
 // release frees an ask once no attempt of it is open.
 func (w *world) release(i int32) {
-	if a := &w.asks[i]; a.over && !a.later && a.refs == 0 {
+	if a := &w.requests[i]; a.over && !a.later && a.refs == 0 {
 		a.over = false // once
-		w.freeAsk(i)
+		w.freeRequest(i)
 	}
 }
 
 // askAnew begins a caller's wish again, without a mark: for the node it is a first try.
-func (w *world) askAnew(i int32) {
-	old := w.asks[i]
-	k := w.newAsk()
-	a := &w.asks[k]
+func (w *world) repeatRequest(i int32) {
+	old := w.requests[i]
+	k := w.newRequest()
+	a := &w.requests[k]
 	gen := a.gen
 	*a = old
 	a.gen, a.refs, a.over, a.later, a.tries, a.unheeded, a.open = gen, 0, false, false, 0, false, [2]int32{none, none}
 	a.born, a.due = w.now, w.now+w.s.Operations[a.op].Timeout
-	w.asks[i].later = false
+	w.requests[i].later = false
 	w.release(i)
 	w.res.Anew++
 	w.q.later(laneDue+int(a.op), event{at: a.due, kind: evDue, a: k, gen: a.gen})
-	w.try(k, false)
+	w.startAttempt(k, false)
 }
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -92,7 +92,7 @@
 // pooled makes a baseline of a thread pool, a run a core and a queue of four a core unless shape sets it otherwise.
 func pooled(shape func(*pool)) func(admission.Config, uint64) Decider {
 	return func(t admission.Config, _ uint64) Decider {
-		p := &pool{t: t, by: map[string]*job0{}, drainAt: never, stopAt: never}
+		p := &pool{t: t, by: map[string]*poolJob{}, drainAt: never, stopAt: never}
 		p.tick = max(min(20*Millisecond, t.AnswerSlack/3), Millisecond)
 		p.limit, p.line = t.Cores, 4*t.Cores
 		shape(p)
@@ -123,9 +123,9 @@
 	adapt           func(p *pool, now Micros, took Micros, late bool)
 	delay           Micros // of controlled delay; 0: in turn
 	dear            bool   // by value for its work
-	by              map[string]*job0
-	waits           []*job0
-	all             []*job0
+	by              map[string]*poolJob
+	waits           []*poolJob
+	all             []*poolJob
 	running         int
 	tick            Micros
 	drainAt, stopAt Micros
@@ -135,7 +135,7 @@
 	round           int
 }
 
-type job0 struct {
+type poolJob struct {
 	id                  string
 	arrived, due, begun Micros
 	want                Micros
@@ -193,7 +193,7 @@
 	if p.running >= p.limit && len(p.waits) >= p.line && !p.dear {
 		return append(out, admission.Throttle{ID: a.ID})
 	}
-	j := &job0{id: a.ID, arrived: now - a.QueueTime, due: now + a.TimeLeft, work: a.ExpectedWork}
+	j := &poolJob{id: a.ID, arrived: now - a.QueueTime, due: now + a.TimeLeft, work: a.ExpectedWork}
 	j.want = min(j.due, j.arrived+op.Objective)
 	j.worth = (a.Priority + 0.01) / float64(max(a.ExpectedWork, 1000))
 	p.by[a.ID] = j
@@ -202,9 +202,9 @@
 	return out
 }
 
-func (p *pool) drop(j *job0) {
+func (p *pool) drop(j *poolJob) {
 	delete(p.by, j.id)
-	is := func(o *job0) bool { return o == j }
+	is := func(o *poolJob) bool { return o == j }
 	p.all = slices.DeleteFunc(p.all, is)
 	if j.runs {
 		p.running--
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -4,31 +4,31 @@
 type kind uint8
 
 const (
-	evLoad    kind = iota // the next invocation comes
-	evReach               // attempt a reaches its host
-	evCores               // the cores of host a end something, or may
-	evWake                // host a's policy asked for a reading
-	evAnswer              // attempt a's answer reaches its node
-	evDue                 // the caller of ask a waits no longer
-	evRetry               // ask a has its further try
-	evHedge               // ask a sends a copy, if it is still open
-	evGone                // attempt a's host hears that the caller has left
-	evBelow               // the dependency ends a call, or may
-	evCall                // the time of attempt a's call is over
-	evRefresh             // node a looks at the register
-	evListed              // the register takes host a in, or leaves it out (b)
-	evIdle                // node a's connection to its host b may have rested for too long
-	evCold                // host a is a little warmer
-	evCrowd               // host a has been beyond its crowd for long, or was
-	evTrouble             // trouble a begins
-	evOver                // trouble a ends
-	evStop                // the process of host a ends
-	evBack                // host a has a new process
-	evSecond              // the state of the hosts is written down
-	evShare               // a host renews what it holds of the fleet's budgets
-	evClerk               // the ledger's clerk looks
-	evBehind              // the caller of an ask asks anew
-	evCrew                // agent a looks at its hosts
+	evLoad         kind = iota // the next request comes
+	evReach                    // attempt a reaches its host
+	evCores                    // the cores of host a end something, or may
+	evWake                     // host a's policy asked for a reading
+	evAnswer                   // attempt a's answer reaches its node
+	evDue                      // the caller of ask a waits no longer
+	evRetry                    // ask a has its retry
+	evHedge                    // ask a sends a copy, if it is still open
+	evGone                     // attempt a's host hears that the caller has left
+	evBelow                    // the dependency ends a call, or may
+	evCall                     // the time of attempt a's call is over
+	evRefresh                  // node a looks at the endpoint registry
+	evListed                   // the endpoint registry takes host a in, or leaves it out (b)
+	evIdle                     // node a's connection to its host b may have rested for too long
+	evCold                     // host a is a little warmer
+	evOverload                 // host a has been beyond its crowd for long, or was
+	evFault                    // trouble a begins
+	evFaultOver                // trouble a ends
+	evStop                     // the process of host a ends
+	evBack                     // host a has a new process
+	evSampleSecond             // the state of the hosts is written down
+	evLease                    // a host renews what it holds of the fleet's budgets
+	evExpiry                   // the quota store's clerk looks
+	evClientRetry              // the caller of an ask asks anew
+	evAgent                    // agent a looks at its hosts
 )
 
 // event is 32 bytes on purpose: millions of them lie in the queue.
--- a/internal/simulation/shares.go
+++ b/internal/simulation/quotas.go
@@ -14,7 +14,7 @@
 // The ways. Guess is the module's own, by the fleet's size that it was told; the others tell it.
 const (
 	Guess   Shares = iota
-	Divided        // by manage/budget's ledger, unchanged, with leases that hosts hold
+	Divided        // by manage/budget's quota store, unchanged, with leases that hosts hold
 	EvenCut        // an even part of the quota by the size that was told, and not more, whoever is there
 	Whole          // an oracle's: one count for all hosts, seen at once
 )
@@ -27,7 +27,7 @@
 // SharesNames lists them.
 func SharesNames() []string { return sharesNames }
 
-// Terms of the modelled ledger: a lease as installations have it, and a floor that is a part of an even share.
+// Terms of the modelled quota store: a lease as installations have it, and a floor that is a part of an even share.
 const (
 	shareLease  = 3 * Second
 	shareMargin = shareLease / 20
@@ -36,10 +36,10 @@
 )
 
 // sharing is what hosts draw from on a day with shares.
-type sharing struct {
+type quotaSimulation struct {
 	mode    Shares
 	ledger  *quota.State
-	clerk   quota.LeaseTracker
+	tracker quota.LeaseTracker
 	holders []*backendquota.Holder // by host
 	whole   *backendquota.Holder   // the oracle's
 	index   []int                  // by tenant: its budget in a holder, or -1
@@ -49,11 +49,11 @@
 func hostName(n int32) string { return fmt.Sprint("n", n) }
 
 // openShares begins a day's division.
-func (w *world) openShares() {
+func (w *world) openQuotas() {
 	if w.p.Shares == Guess || len(w.s.Tenants) == 0 {
 		return
 	}
-	sh := &sharing{mode: w.p.Shares, holders: make([]*backendquota.Holder, len(w.hosts))}
+	sh := &quotaSimulation{mode: w.p.Shares, holders: make([]*backendquota.Holder, len(w.hosts))}
 	terms := quota.Config{Version: 1}
 	for i, t := range w.s.Tenants {
 		sh.index = append(sh.index, -1)
@@ -72,13 +72,13 @@
 		sh.names = append(sh.names, b.Name)
 		terms.Limits = append(terms.Limits, b)
 	}
-	w.shares = sh
+	w.quotaState = sh
 	switch sh.mode {
 	case Divided:
 		sh.ledger = quota.NewState()
 		sh.ledger.Apply(quota.Command{Config: &terms})
-		sh.clerk.BecomeLeader(quota.Micros(w.now), sh.ledger, false)
-		w.q.push(event{at: w.now + 1, kind: evClerk})
+		sh.tracker.BecomeLeader(quota.Micros(w.now), sh.ledger, false)
+		w.q.push(event{at: w.now + 1, kind: evExpiry})
 	case Whole:
 		sh.whole = fixedHolder("all", "1", terms.Limits, 1)
 	}
@@ -121,12 +121,12 @@
 }
 
 // beginShares gives a host's new process its side.
-func (w *world) beginShares(h *host) {
-	sh := w.shares
+func (w *world) beginQuotas(h *host) {
+	sh := w.quotaState
 	if sh == nil || sh.mode == Whole {
 		return
 	}
-	name, life := hostName(h.number), fmt.Sprint(h.life)
+	name, life := hostName(h.number), fmt.Sprint(h.incarnation)
 	if sh.mode == EvenCut {
 		var all []quota.Limit
 		for i, t := range w.s.Tenants {
@@ -139,7 +139,7 @@
 	}
 	sh.holders[h.number] = backendquota.New(name, life, sh.names)
 	// Hosts ask spread over the pause, as agents that were started at their own times do.
-	w.q.push(event{at: w.now + 1 + Micros(h.number)*sharePause/Micros(len(w.hosts)), kind: evShare, a: h.number, gen: h.life})
+	w.q.push(event{at: w.now + 1 + Micros(h.number)*sharePause/Micros(len(w.hosts)), kind: evLease, a: h.number, gen: h.incarnation})
 }
 
 // told is the fleet's size as hosts were told it.
@@ -150,10 +150,10 @@
 	return h.Count
 }
 
-// askShares renews what a host holds, where the ledger can be reached from it. A call takes a thousandth of a lease, which
+// askShares renews what a host holds, where the quota store can be reached from it. A call takes a thousandth of a lease, which
 // is left out.
-func (w *world) askShares(h *host) {
-	sh := w.shares
+func (w *world) renewLeases(h *host) {
+	sh := w.quotaState
 	if !w.ledgerCut || h.number >= w.cutHosts {
 		holder, now := sh.holders[h.number], backendquota.Micros(w.now)
 		r := sh.ledger.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
@@ -161,30 +161,30 @@
 			_ = holder.Apply(now, r.Answers[0]) // a refused answer leaves the shares as they are
 		}
 	}
-	w.q.push(event{at: w.now + sharePause, kind: evShare, a: h.number, gen: h.life})
+	w.q.push(event{at: w.now + sharePause, kind: evLease, a: h.number, gen: h.incarnation})
 }
 
-// clerkLooks has the ledger's clerk look for what is over.
-func (w *world) clerkLooks() {
-	sh := w.shares
-	if over, divide := sh.clerk.Tick(quota.Micros(w.now), sh.ledger); divide || len(over) > 0 {
+// clerkLooks has the quota store's clerk look for what is over.
+func (w *world) expireLeases() {
+	sh := w.quotaState
+	if over, divide := sh.tracker.Tick(quota.Micros(w.now), sh.ledger); divide || len(over) > 0 {
 		sh.ledger.Apply(quota.Command{Expire: over, Rebalance: divide})
 	}
 	if w.now < w.s.For {
-		w.q.push(event{at: w.now + sharePause/4, kind: evClerk})
+		w.q.push(event{at: w.now + sharePause/4, kind: evExpiry})
 	}
 }
 
-// goneShares tells the ledger that a process has ended, as the agent of its host would.
-func (w *world) goneShares(h *host) {
-	if sh := w.shares; sh != nil && sh.mode == Divided && (!w.ledgerCut || h.number >= w.cutHosts) {
+// goneShares tells the quota store that a process has ended, as the agent of its host would.
+func (w *world) releaseQuotas(h *host) {
+	if sh := w.quotaState; sh != nil && sh.mode == Divided && (!w.ledgerCut || h.number >= w.cutHosts) {
 		name := hostName(h.number)
-		sh.ledger.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []string{quota.ClientKey(name, fmt.Sprint(h.life))}}})
+		sh.ledger.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []string{quota.ClientKey(name, fmt.Sprint(h.incarnation))}}})
 	}
 }
 
 // drawShare takes a unit for what a host has just read.
-func (w *world) drawShare(h *host, tenant int) admission.QuotaStanding {
+func (w *world) drawQuota(h *host, tenant int) admission.QuotaStanding {
 	holder, i := w.holderFor(h, tenant)
 	if holder == nil {
 		return admission.QuotaUnknown
@@ -198,19 +198,19 @@
 }
 
 // giveBack lets others have the unit that was drawn for what never ran.
-func (w *world) giveBack(h *host, t *attempt) {
+func (w *world) refundQuota(h *host, t *attempt) {
 	if !t.drew {
 		return
 	}
 	t.drew = false
-	if holder, i := w.holderFor(h, int(w.asks[t.ask].tenant)); holder != nil {
+	if holder, i := w.holderFor(h, int(w.requests[t.request].tenant)); holder != nil {
 		holder.Refund(backendquota.Micros(w.now), i)
 	}
 }
 
 // holderFor is what a host draws a tenant's units from, and the budget there; nil where nothing tells it.
 func (w *world) holderFor(h *host, tenant int) (*backendquota.Holder, int) {
-	sh := w.shares
+	sh := w.quotaState
 	if sh == nil || sh.index[tenant] < 0 {
 		return nil, 0
 	}
--- a/internal/simulation/read.go
+++ b/internal/simulation/read.go
@@ -155,7 +155,7 @@
 // MostRecorded lines of a recorded load are taken.
 const MostRecorded = 20_000_000
 
-// ReadRecorded reads a recorded load: a line an invocation, in order of time, as "MICROSECONDS OPERATION TENANT WORK", the
+// ReadRecorded reads a recorded load: a line a request, in order of time, as "MICROSECONDS OPERATION TENANT WORK", the
 // tenant "-" where there is none and the work in microseconds. The names must be the scenario's.
 func ReadRecorded(file string, in io.Reader, s *Scenario) (all []Recorded, err error) {
 	ops, tenants := s.operationNames(), s.tenantNames()
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -52,7 +52,7 @@
 // Down stands in Heat for a host without a process.
 const Down = 255
 
-// Part is what became of an operation's invocations, or a tenant's.
+// Part is what became of an operation's requests, or a tenant's.
 type Part struct {
 	Name    string        `json:"name"`
 	Offered float64       `json:"offered"`
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -23,7 +23,7 @@
 // Scenario is one day: what there is, what is asked of it, and what breaks.
 type Scenario struct {
 	Name       string
-	For        Micros // invocations come for so long; afterwards what is under way may end
+	For        Micros // requests come for so long; afterwards what is under way may end
 	Hosts      HostTerms
 	Nodes      NodeTerms
 	Register   RegisterTerms
@@ -42,16 +42,16 @@
 	Spread      float64 // a host's speed lies within 1 more or less this part
 	Crowd       float64 // runs a core that it bears; beyond them all slow down
 	FallOver    Micros  // beyond the crowd for so long, it falls over
-	Read        Micros  // core time to read one invocation
+	Read        Micros  // core time to read one request
 	Handshake   Micros  // core time to open a connection
 	MemoryKB    float64 // held and running work; beyond it the host dies
-	HeldKB      float64 // of one invocation that waits
+	HeldKB      float64 // of one request that waits
 	RunFactor   float64 // a running one takes so many times as much
 	ColdShare   float64 // speed at the start of a life
 	ColdFor     Micros  // until full speed, evenly
 	Connections int     // open at once; a further one is turned away unread
 	IdleFor     Micros  // one that rests longer is closed
-	Grace       Micros  // after a notice to leave
+	Grace       Micros  // after a shutdown notice
 	Stop        Micros  // the end of the process, after the notice
 	Slack       Micros  // an answer may leave so much before the last moment
 	RetryAfter  Micros  // the longest advice to stay away that is passed on; 0: none is
@@ -63,15 +63,15 @@
 	Count     int
 	Subset    int     // hosts that one node knows; 0: all
 	Balance   Balance // how it chooses
-	Tries     int     // of one invocation; 0: until its time is over
-	Pause     Micros  // before a further try, with jitter; it doubles
+	Tries     int     // of one request; 0: until its time is over
+	Pause     Micros  // before a retry, with jitter; it doubles
 	Deaf      float64 // part of the nodes that heed neither "don't retry" nor when to come back
 	Hedge     Micros  // a copy goes to a second host after so long; 0: never. Idempotent operations alone
 	Word      Micros  // a caller's leaving is told to the host so late; negative: never
 	Net       Micros  // one way
 	Behind    float64 // part of the callers that ask anew, unmarked, after an answer that is no success
 	BehindIn  Micros  // so long after
-	Refresh   Micros  // between two looks at the register
+	Refresh   Micros  // between two looks at the endpoint registry
 	Throttles bool    // nodes throttle by themselves, from the share accepted of late (baseline)
 	Window    Micros  // what they remember for that
 }
@@ -103,12 +103,12 @@
 	Work  Micros // of one call with nobody else there
 }
 
-// Operation is one kind of invocation.
+// Operation is one kind of request.
 type Operation struct {
 	Name         string
 	Value        float64 // billed when it succeeds within its objective
 	Rank         float64
-	Share        float64 // of all invocations
+	Share        float64 // of all requests
 	Work         Micros  // mean core time
 	Tail         float64 // sigma of the lognormal spread; 0: all alike
 	Objective    Micros
@@ -124,12 +124,12 @@
 // Tenant is one part of the callers.
 type Tenant struct {
 	Name  string
-	Share float64 // of all invocations
+	Share float64 // of all requests
 	Quota float64 // a second, over all hosts; 0: none
 	Lies  float64 // its hints are multiplied by this; 0 stands for 1
 }
 
-// Load says how many invocations come, open loop.
+// Load says how many requests come, open loop.
 type Load struct {
 	At       float64 // of capacity: all cores at full speed, reading counted
 	Shape    Shape
@@ -155,7 +155,7 @@
 
 var shapeNames = []string{"steady", "ramp", "step", "wave", "bursty", "due-date", "replay"}
 
-// Recorded is one invocation of a recorded load.
+// Recorded is one request of a recorded load.
 type Recorded struct {
 	At                Micros
 	Operation, Tenant int
@@ -316,7 +316,7 @@
 	MostNames = 64
 )
 
-// Capacity is how many invocations a second all hosts can read and run, at full speed.
+// Capacity is how many requests a second all hosts can read and run, at full speed.
 func (s *Scenario) Capacity() float64 {
 	mean, total := 0.0, 0.0
 	for _, op := range s.Operations {
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Trace keeps the course of one invocation, or of one host, for who asks why.
+// Trace keeps the course of one request, or of one host, for who asks why.
 type Trace struct {
 	Invocation uint64 // its number in the day, from 1; 0: any
 	Host       int32  // -1: any
@@ -19,9 +19,9 @@
 		tr.More++
 		return
 	}
-	h, a := &w.hosts[t.host], &w.asks[t.ask]
+	h, a := &w.hosts[t.host], &w.requests[t.request]
 	line := fmt.Sprintf("%10.6f  invocation %d %s try %d  host %d life %d: %s", float64(w.now)/1e6, number,
-		w.s.Operations[a.op].Name, a.tries, t.host, h.life, what)
+		w.s.Operations[a.op].Name, a.tries, t.host, h.incarnation, what)
 	switch what {
 	case "read":
 		line += fmt.Sprintf(" after %d us, %d in hand, %d on the cores, hint %d us", w.now-t.reached, h.inHand, h.cores.live, a.hint)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -8,8 +8,8 @@
 	"milletbarrow/internal/backend/quota"
 )
 
-// ask is what one caller wants: it may take several attempts, and, where the caller asks anew, several lives.
-type ask struct {
+// ask is what one caller wants: it may take several attempts, and, where the caller asks anew, several incarnations.
+type request struct {
 	number    uint64 // the same through all that the caller asks anew
 	node      int32
 	op        int16
@@ -46,10 +46,10 @@
 // attempt is one try at one host.
 type attempt struct {
 	id                 string
-	ask                int32
+	request            int32
 	host               int32
 	slot               int32
-	life               uint32 // of the host, when it was sent
+	incarnation        uint32 // of the host, when it was sent
 	gen                uint32
 	phase              phase
 	answers            uint8
@@ -89,37 +89,37 @@
 
 // world is one run.
 type world struct {
-	s      *Scenario
-	p      *Policy
-	q      queue
-	now    Micros
-	hosts  []host
-	nodes  []node
-	asks   []ask
-	atts   []attempt
-	freeA  []int32
-	freeT  []int32
-	listed []bool // by the register
-	lists  uint32 // changes of it
-	below  shared
-	belowX float64 // the dependency is slower by so much
+	s        *Scenario
+	p        *Policy
+	q        queue
+	now      Micros
+	hosts    []host
+	nodes    []node
+	requests []request
+	attempts []attempt
+	freeA    []int32
+	freeT    []int32
+	listed   []bool // by the endpoint registry
+	lists    uint32 // changes of it
+	below    shared
+	belowX   float64 // the dependency is slower by so much
 
-	stream    *Stream // has a chance of its own, so that policies meet the same day
-	coming    Arrival
-	fate      *rand.Rand // of troubles
-	chance    *rand.Rand // of nodes
-	number    uint64
-	agentOff  bool
-	cutNodes  map[int32]bool
-	cutHosts  int32         // hosts below this one are cut off from those nodes
-	ledgerCut bool          // and from the ledger
-	quotas    *quota.Holder // what succeeds is priced by
-	shares    *sharing      // nil where hosts guess
-	grayBy    Micros
-	grayHost  map[int32]bool
+	stream     *Stream // has a chance of its own, so that policies meet the same day
+	coming     Arrival
+	fate       *rand.Rand // of troubles
+	chance     *rand.Rand // of nodes
+	number     uint64
+	agentOff   bool
+	cutNodes   map[int32]bool
+	cutHosts   int32            // hosts below this one are cut off from those nodes
+	ledgerCut  bool             // and from the quota store
+	quotas     *quota.Holder    // what succeeds is priced by
+	quotaState *quotaSimulation // nil where hosts guess
+	grayBy     Micros
+	grayHost   map[int32]bool
 
-	crews  []*crew   // of a release that the real fleet decides about
-	seen   []float64 // an oracle's sight of the hosts
+	agents []*hostAgent // of a release that the real fleet decides about
+	seen   []float64    // an oracle's sight of the hosts
 	seenAt Micros
 
 	audit  Audit
@@ -157,12 +157,12 @@
 	speeds := rand.New(rand.NewPCG(seed, 4))
 	for _, t := range s.Troubles { // no process reads a clock that can be set, so that a clock stands off all day or not at all
 		if t.Kind == Skew {
-			for _, n := range w.some(t.Share) {
+			for _, n := range w.randomHosts(t.Share) {
 				w.hosts[n].skew = Micros(t.Factor * 1e6)
 			}
 		}
 	}
-	w.openShares()
+	w.openQuotas()
 	for i := range w.hosts {
 		h := &w.hosts[i]
 		h.number, h.base, h.slow, h.neighbour = int32(i), 1+s.Hosts.Spread*(2*speeds.Float64()-1), 1, 1
@@ -173,8 +173,8 @@
 		w.listed[i] = true
 	}
 	for _, t := range s.Troubles {
-		if t.Kind == Release && t.Fleet && w.crews == nil {
-			if err := w.crewsUp(); err != nil {
+		if t.Kind == Release && t.Fleet && w.agents == nil {
+			if err := w.startAgents(); err != nil {
 				return nil, err
 			}
 		}
@@ -185,9 +185,9 @@
 	}
 	w.arrivals()
 	for i, t := range s.Troubles {
-		w.q.push(event{at: t.At, kind: evTrouble, a: int32(i)})
+		w.q.push(event{at: t.At, kind: evFault, a: int32(i)})
 	}
-	w.q.push(event{at: Second, kind: evSecond})
+	w.q.push(event{at: Second, kind: evSampleSecond})
 	return w, nil
 }
 
@@ -205,13 +205,13 @@
 		}
 		w.now = e.at
 		w.res.Events++
-		w.happen(&e)
+		w.handle(&e)
 	}
 	w.res.close(w)
 }
 
 // happen carries one event out. Each group of events has a function of its own; an event belongs to one of them.
-func (w *world) happen(e *event) {
+func (w *world) handle(e *event) {
 	if w.hostEvent(e) || w.attemptEvent(e) {
 		return
 	}
@@ -231,19 +231,19 @@
 		}
 	case evIdle:
 		w.idle(e.a, e.b)
-	case evTrouble:
-		w.trouble(int(e.a))
-	case evOver:
-		w.relief(int(e.a))
-	case evSecond:
+	case evFault:
+		w.beginFault(int(e.a))
+	case evFaultOver:
+		w.endFault(int(e.a))
+	case evSampleSecond:
 		w.res.second(w)
 		if w.now < w.s.For || w.busyA > 0 {
-			w.q.push(event{at: w.now + Second, kind: evSecond})
+			w.q.push(event{at: w.now + Second, kind: evSampleSecond})
 		}
-	case evClerk:
-		w.clerkLooks()
-	case evCrew:
-		w.crewLooks(e.a)
+	case evExpiry:
+		w.expireLeases()
+	case evAgent:
+		w.tickAgent(e.a)
 	}
 }
 
@@ -263,20 +263,20 @@
 		do = func(h *host) { w.wake(h, int64(e.b)) }
 	case evCold:
 		do = w.warm
-	case evCrowd:
+	case evOverload:
 		do = w.crowded
 	case evStop:
 		do = w.stop
-	case evShare:
+	case evLease:
 		do = func(h *host) {
 			if w.now < w.s.For {
-				w.askShares(h)
+				w.renewLeases(h)
 			}
 		}
 	default:
 		return false
 	}
-	if h := &w.hosts[e.a]; h.life == e.gen && h.up {
+	if h := &w.hosts[e.a]; h.incarnation == e.gen && h.up {
 		do(h)
 	}
 	return true
@@ -286,12 +286,12 @@
 func (w *world) attemptEvent(e *event) bool {
 	switch e.kind {
 	case evReach, evAnswer, evGone, evCall:
-		if w.sameT(e) {
-			w.onAttempt(e)
+		if w.sameAttempt(e) {
+			w.handleAttempt(e)
 		}
-	case evDue, evRetry, evHedge, evBehind:
-		if w.asks[e.a].gen == e.gen {
-			w.onRequest(e)
+	case evDue, evRetry, evHedge, evClientRetry:
+		if w.requests[e.a].gen == e.gen {
+			w.handleRequest(e)
 		}
 	default:
 		return false
@@ -299,39 +299,39 @@
 	return true
 }
 
-func (w *world) onAttempt(e *event) {
+func (w *world) handleAttempt(e *event) {
 	switch e.kind {
 	case evReach:
 		w.reach(e.a)
 	case evAnswer:
-		w.heard(e.a)
+		w.receiveAnswer(e.a)
 	case evGone:
 		w.left(e.a)
 	case evCall:
-		if t := &w.atts[e.a]; t.phase == calls && t.callGen == uint32(e.b) {
+		if t := &w.attempts[e.a]; t.phase == calls && t.callGen == uint32(e.b) {
 			w.callOver(e.a, admission.TimedOut)
 		}
 	}
 }
 
-func (w *world) onRequest(e *event) {
-	a := &w.asks[e.a]
+func (w *world) handleRequest(e *event) {
+	a := &w.requests[e.a]
 	switch {
-	case e.kind == evBehind:
-		w.askAnew(e.a)
+	case e.kind == evClientRetry:
+		w.repeatRequest(e.a)
 	case a.over:
 	case e.kind == evDue:
 		w.end(e.a, Lost)
 	case e.kind == evRetry:
-		w.try(e.a, true)
+		w.startAttempt(e.a, true)
 	case e.kind == evHedge && a.open[1] == none && a.open[0] != none:
-		w.try(e.a, true)
+		w.startAttempt(e.a, true)
 	}
 }
 
-func (w *world) sameT(e *event) bool { return w.atts[e.a].gen == e.gen }
+func (w *world) sameAttempt(e *event) bool { return w.attempts[e.a].gen == e.gen }
 
-// arrivals schedules the next invocation.
+// arrivals schedules the next request.
 func (w *world) arrivals() {
 	if a, more := w.stream.Next(); more {
 		w.coming = a
@@ -343,35 +343,35 @@
 func (w *world) arrive() {
 	s, c := w.s, w.coming
 	w.arrivals()
-	i := w.newAsk()
-	a := &w.asks[i]
+	i := w.newRequest()
+	a := &w.requests[i]
 	w.number++
 	a.number, a.born, a.node, a.op, a.tenant, a.work, a.hint = w.number, w.now, int32(c.Node), int16(c.Operation), int16(c.Tenant), c.Work, c.Hint
 	op := &s.Operations[a.op]
 	a.due = w.now + op.Timeout
 	w.res.Offer(s, w.now, c.Operation, c.Tenant)
 	w.q.later(laneDue+int(a.op), event{at: a.due, kind: evDue, a: i, gen: a.gen})
-	w.try(i, false)
+	w.startAttempt(i, false)
 	if h := s.Nodes.Hedge; h > 0 && op.Repeat == admission.Idempotent {
 		w.q.push(event{at: w.now + h, kind: evHedge, a: i, gen: a.gen})
 	}
 }
 
-func (w *world) newAsk() int32 {
+func (w *world) newRequest() int32 {
 	w.busyA++
 	if n := len(w.freeA); n > 0 {
 		i := w.freeA[n-1]
 		w.freeA = w.freeA[:n-1]
-		w.asks[i] = ask{gen: w.asks[i].gen, open: [2]int32{none, none}, last: none}
+		w.requests[i] = request{gen: w.requests[i].gen, open: [2]int32{none, none}, last: none}
 		return i
 	}
-	w.asks = append(w.asks, ask{open: [2]int32{none, none}, last: none})
-	return int32(len(w.asks) - 1)
+	w.requests = append(w.requests, request{open: [2]int32{none, none}, last: none})
+	return int32(len(w.requests) - 1)
 }
 
-func (w *world) freeAsk(i int32) {
+func (w *world) freeRequest(i int32) {
 	w.busyA--
-	w.asks[i].gen++
+	w.requests[i].gen++
 	w.freeA = append(w.freeA, i)
 }
 
@@ -381,29 +381,29 @@
 	if n := len(w.freeT); n > 0 {
 		i = w.freeT[n-1]
 		w.freeT = w.freeT[:n-1]
-		t := &w.atts[i]
+		t := &w.attempts[i]
 		*t = attempt{id: t.id, gen: t.gen, waits: t.waits[:0]}
 	} else {
-		w.atts = append(w.atts, attempt{})
-		i = int32(len(w.atts) - 1)
-		w.atts[i].id = fmt.Sprintf("%d", i)
+		w.attempts = append(w.attempts, attempt{})
+		i = int32(len(w.attempts) - 1)
+		w.attempts[i].id = fmt.Sprintf("%d", i)
 	}
 	if unique { // what a host remembers must not be met again under another's name
 		w.tick++
-		w.atts[i].id = fmt.Sprintf("%d.%d", i, w.tick)
+		w.attempts[i].id = fmt.Sprintf("%d.%d", i, w.tick)
 	}
 	return i
 }
 
 // free lets go of an attempt with which nobody has to do any more.
 func (w *world) free(i int32) {
-	if t := &w.atts[i]; !t.atHost && !t.atNode && t.phase != ended {
+	if t := &w.attempts[i]; !t.atHost && !t.atNode && t.phase != ended {
 		t.phase = ended
 		t.gen++
 		w.busyA--
 		w.freeT = append(w.freeT, i)
-		w.asks[t.ask].refs--
-		w.release(t.ask)
+		w.requests[t.request].refs--
+		w.release(t.request)
 	}
 }
 
@@ -416,7 +416,7 @@
 		}
 		n = n*10 + int(id[i]-'0')
 	}
-	if id == "" || n >= len(w.atts) || w.atts[n].id != id || w.atts[n].phase == ended {
+	if id == "" || n >= len(w.attempts) || w.attempts[n].id != id || w.attempts[n].phase == ended {
 		return none
 	}
 	return int32(n)
