--- a/internal/fakes/caller.go
+++ b/internal/fakes/caller.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// converse uses one connection for as long as the backend lets it; over tells that the load has been stopped.
+// serveConnection uses one connection for as long as the backend lets it; over tells that the load has been stopped.
 func (l *Caller) serveConnection(c net.Conn, tick <-chan time.Time) (over bool) {
 	t := &callerConn{load: l, conn: c, open: map[uint32]*SentRequest{}, goAway: make(chan struct{}), ended: make(chan struct{})}
 	go t.read()
@@ -115,7 +115,7 @@
 	return over
 }
 
-// talk is one connection of a Load: a reader, and a writer that follows the ticks.
+// callerConn is one connection of a Load: a reader, and a writer that follows the ticks.
 type callerConn struct {
 	load    *Caller
 	conn    net.Conn
--- a/internal/fakes/timedexecutor/executor.go
+++ b/internal/fakes/timedexecutor/executor.go
@@ -79,7 +79,7 @@
 // mostKept notices are kept for a link that breaks.
 const mostKept = 100_000
 
-// Start opens a executor on an address; port 0 takes any.
+// Start opens an executor on an address; port 0 takes any.
 func Start(address string, t Config) (*Executor, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/fakes/trace.go
+++ b/internal/fakes/trace.go
@@ -14,7 +14,7 @@
 
 var update = flag.Bool("update", false, "write the traces anew")
 
-// patience is how long a test waits for what must happen.
+// waitLimit is how long a test waits for what must happen.
 const waitLimit = 10 * time.Second
 
 // Trace gathers what a test prints.
--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -179,7 +179,7 @@
 	Grants   int      `json:"grants"`
 }
 
-// edge is a change of what is in force.
+// change is a change of what is in force.
 type change struct {
 	at          int64
 	floor, more int64
@@ -263,7 +263,7 @@
 	return edges
 }
 
-// changeShare takes one edge into what its process has in force.
+// applyChange takes one edge into what its process has in force.
 func applyChange(inForce map[int]*Share, all []*Process, e change) {
 	s := inForce[e.who]
 	if s == nil {
--- a/internal/faultinjection/harness/inject.go
+++ b/internal/faultinjection/harness/inject.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// bring brings one fault about and takes it back.
+// inject brings one fault about and takes it back.
 func (g *Harness) inject(ctx context.Context, f schedule.Fault) error {
 	switch f.Kind {
 	case schedule.Cut, schedule.CutBoth, schedule.Delay, schedule.Stall, schedule.Slow, schedule.Reset, schedule.Twice:
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -276,7 +276,7 @@
 	return unix.Prlimit(pid, unix.RLIMIT_FSIZE, &l, nil)
 }
 
-// life is who a backend's processes are, by its supervisor's file.
+// incarnation is who a backend's processes are, by its supervisor's file.
 type incarnation struct {
 	Keeper   process.Identity `json:"keeper"`
 	Instance process.Identity `json:"instance"`
--- a/internal/faultinjection/harness/state.go
+++ b/internal/faultinjection/harness/state.go
@@ -36,7 +36,7 @@
 	return &s
 }
 
-// wholeNow tells whether the quota store has all of each rate in force, and nothing of the count.
+// fullyGranted tells whether the quota store has all of each rate in force, and nothing of the count.
 func (g *Harness) fullyGranted(ctx context.Context) bool {
 	s := g.budgets(ctx)
 	if s == nil {
--- a/internal/faultinjection/harness/verdict.go
+++ b/internal/faultinjection/harness/verdict.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// keep copies what a person needs to look at.
+// saveFailure copies what a person needs to look at.
 func (g *Harness) saveFailure(v *Verdict) error {
 	if g.options.Keep == "" || v.OK {
 		return nil
--- a/internal/faultinjection/schedule/schedule.go
+++ b/internal/faultinjection/schedule/schedule.go
@@ -222,12 +222,12 @@
 	return t
 }
 
-// drawBetween draws a span of whole milliseconds, both ends included.
+// randomSpan draws a span of whole milliseconds, both ends included.
 func randomSpan(r *rand.Rand, from, to int) time.Duration {
 	return time.Duration(from+r.IntN(to-from+1)) * time.Millisecond
 }
 
-// drawFault draws where one fault happens and how long it lasts.
+// randomFault draws where one fault happens and how long it lasts.
 func randomFault(r *rand.Rand, k Kind, at time.Duration, hosts, backends int) Fault {
 	f := Fault{Kind: k, At: at}
 	ms := func(from, to int) time.Duration { return randomSpan(r, from, to) }
--- a/internal/simulation/coldstart/rising.go
+++ b/internal/simulation/coldstart/rising.go
@@ -1,5 +1,5 @@
 // Package coldstart plays how hundreds or thousands of backends come up together, with the code that decides it in
-// installations (endpoint registry/pace for reports, manage/rise for starts, fleet's pauses between launches) unchanged: beside a
+// installations (registration/reportpacing for load reports, cluster/coldstart for starts, fleet's pauses between launches) unchanged: beside a
 // register, and a service below that each start has to call, both of which can be crowded and fall over. One seed, one course.
 package coldstart
 
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -6,7 +6,7 @@
 	"milletbarrow/admission"
 )
 
-// some draws a share of the hosts, at least one where the share is above 0.
+// randomHosts draws a share of the hosts, at least one where the share is above 0.
 func (w *world) randomHosts(share float64) []int32 {
 	n := int(math.Ceil(share * float64(len(w.hosts))))
 	all := w.fate.Perm(len(w.hosts))
@@ -17,7 +17,7 @@
 	return some
 }
 
-// trouble begins one; bursts are the load's own. Who is concerned is drawn from a chance of its own, so that it is the same for all policies.
+// beginFault begins one; bursts are the load's own. Who is concerned is drawn from a chance of its own, so that it is the same for all policies.
 func (w *world) beginFault(i int) {
 	t := &w.s.Troubles[i]
 	over := func() { w.q.push(event{at: w.now + max(t.For, 1), kind: evFaultOver, a: int32(i)}) }
@@ -61,7 +61,7 @@
 	}
 }
 
-// killSome kills a share of the hosts; each comes back when the fault is over.
+// killShare kills a share of the hosts; each comes back when the fault is over.
 func (w *world) killShare(t *Trouble) {
 	for _, n := range w.randomHosts(t.Share) {
 		if h := &w.hosts[n]; h.up {
@@ -72,7 +72,7 @@
 	}
 }
 
-// cutSome cuts a share of the edge nodes from half of the hosts, and those hosts from the quota store.
+// cutShare cuts a share of the edge nodes from half of the hosts, and those hosts from the quota store.
 func (w *world) cutShare(t *Trouble) {
 	n := int(math.Ceil(t.Share * float64(len(w.nodes))))
 	for _, k := range w.fate.Perm(len(w.nodes))[:n] {
@@ -93,7 +93,7 @@
 	w.afterBelow()
 }
 
-// wave tells the next part of the hosts to leave; a release's own event comes again while some are left.
+// rollingUpdate tells the next part of the hosts to leave; a release's own event comes again while some are left.
 func (w *world) rollingUpdate(i int) {
 	t := &w.s.Troubles[i]
 	width := max(1, int(t.Width*float64(len(w.hosts))))
@@ -140,7 +140,7 @@
 	}
 }
 
-// relief ends a trouble.
+// endFault ends a trouble.
 func (w *world) endFault(i int) {
 	t := &w.s.Troubles[i]
 	switch t.Kind {
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -51,7 +51,7 @@
 	degradation   *degradationState
 }
 
-// kept is a remembered request.
+// cachedResult is a remembered request.
 type cachedResult struct {
 	until Micros
 	ended bool
--- a/internal/simulation/host_agent.go
+++ b/internal/simulation/host_agent.go
@@ -8,61 +8,61 @@
 	"milletbarrow/internal/limits"
 )
 
-// executor is an agent with the real fleet's machine: it releases its hosts in a wave and starts them again. It sees them as an
+// hostAgent is an agent with the real fleet's machine: it releases its hosts in a wave and starts them again. It sees them as an
 // agent does, some time after they changed, and not at all while agents are gone.
 type hostAgent struct {
-	m     *fleet.Machine
-	first int // of its hosts
-	runs  []string
-	tolds []string
-	seen  []fleet.Observation
-	names []string
-	lost  float64 // part of its notices
+	machine *fleet.Machine
+	first   int // of its hosts
+	running []string
+	notices []string
+	seen    []fleet.Observation
+	names   []string
+	lost    float64 // part of its notices
 }
 
 // Of one agent, and how often it looks.
 const (
-	crewHosts = 500
-	crewEvery = 25 * Millisecond
+	hostsPerAgent = 500
+	agentPeriod   = 25 * Millisecond
 )
 
 func agentName(k int) string { return fmt.Sprintf("h%d", k+1) }
 
-// crewsUp starts as many agents as the hosts need, for a release that the real fleet decides about.
+// startAgents starts as many agents as the hosts need, for a release that the real fleet decides about.
 func (w *world) startAgents() error {
-	for first := 0; first < len(w.hosts); first += crewHosts {
+	for first := 0; first < len(w.hosts); first += hostsPerAgent {
 		c := &hostAgent{first: first}
-		n := min(crewHosts, len(w.hosts)-first)
+		n := min(hostsPerAgent, len(w.hosts)-first)
 		text := fmt.Sprintf("(fleet model (host a (agent \"unix:/a\")) (group g (host a) (config \"%%n\") (range h 1 %d) (settle 500ms) (start-within 60s) (restart (most 100) (within 1m))))", n)
 		spec, err := fleet.ReadSpec("model", []byte(text), limits.ForControl())
 		if err != nil {
 			return err
 		}
-		c.m = fleet.New(spec, "a", fleet.DefaultConfig(limits.ForControl(), w.policy), func(*fleet.InstanceSpec) fleet.ShutdownWindow {
+		c.machine = fleet.New(spec, "a", fleet.DefaultConfig(limits.ForControl(), w.policy), func(*fleet.InstanceSpec) fleet.ShutdownWindow {
 			return fleet.ShutdownWindow{Grace: fleet.Micros(w.s.Hosts.Grace), ExitTimeout: fleet.Micros(w.s.Hosts.Stop)}
 		})
 		for k := range n {
 			c.names = append(c.names, agentName(k))
 			w.hosts[first+k].crewed = true
 		}
-		c.runs, c.tolds, c.seen = make([]string, n), make([]string, n), make([]fleet.Observation, n)
+		c.running, c.notices, c.seen = make([]string, n), make([]string, n), make([]fleet.Observation, n)
 		if err := w.submit(c, &fleet.Command{ID: "start", Kind: fleet.KindStart, Names: c.names, RequestedBy: "model", Deadline: 60_000_000}); err != nil {
 			return err
 		}
 		w.agents = append(w.agents, c)
-		w.q.push(event{at: crewEvery, kind: evAgent, a: int32(len(w.agents) - 1)})
+		w.q.push(event{at: agentPeriod, kind: evAgent, a: int32(len(w.agents) - 1)})
 	}
 	return nil
 }
 
-// order gives a executor's machine a command.
+// submit gives an agent's machine a command.
 func (w *world) submit(c *hostAgent, command *fleet.Command) error {
-	steps, _, err := c.m.Decide(fleet.Micros(w.now), fleet.CommandReceived{Command: command})
+	steps, _, err := c.machine.Decide(fleet.Micros(w.now), fleet.CommandReceived{Command: command})
 	w.carryOut(c, slices.Clone(steps))
 	return err
 }
 
-// rollOut has all crews roll; a release's width is of each executor.
+// rollOut has all hosts' agents begin a rolling update; its width is of each agent.
 func (w *world) rollOut(i int) {
 	t := &w.s.Troubles[i]
 	for _, c := range w.agents {
@@ -77,11 +77,11 @@
 	}
 }
 
-// crewLooks tells a executor what it sees, and lets it go on.
+// tickAgent tells an agent what it sees, and lets it go on.
 func (w *world) tickAgent(i int32) {
 	c := w.agents[i]
 	if w.now < w.s.For || w.busyA > 0 {
-		w.q.push(event{at: w.now + crewEvery, kind: evAgent, a: i})
+		w.q.push(event{at: w.now + agentPeriod, kind: evAgent, a: i})
 	}
 	if w.agentOff {
 		return
@@ -89,11 +89,11 @@
 	now := fleet.Micros(w.now)
 	for k := range c.names {
 		h := &w.hosts[c.first+k]
-		s := fleet.Observation{Phase: fleet.PhaseReady, Incarnation: c.runs[k], NoticeID: c.tolds[k]}
+		s := fleet.Observation{Phase: fleet.PhaseReady, Incarnation: c.running[k], NoticeID: c.notices[k]}
 		switch {
 		case !h.up:
 			s.Phase = fleet.PhaseExited
-		case c.tolds[k] != "":
+		case c.notices[k] != "":
 			s.Phase = fleet.PhaseDraining
 		case !h.healthy:
 			s.Phase = fleet.PhaseUnready
@@ -102,27 +102,27 @@
 			continue
 		}
 		c.seen[k] = s
-		steps, _, _ := c.m.Decide(now, fleet.InstanceObserved{Name: c.names[k], Observation: s})
+		steps, _, _ := c.machine.Decide(now, fleet.InstanceObserved{Name: c.names[k], Observation: s})
 		w.carryOut(c, slices.Clone(steps))
 	}
-	steps, _, _ := c.m.Decide(now, fleet.Tick{})
+	steps, _, _ := c.machine.Decide(now, fleet.Tick{})
 	w.carryOut(c, slices.Clone(steps))
 }
 
-// steps does what a executor's machine says.
+// carryOut does what an agent's machine says.
 func (w *world) carryOut(c *hostAgent, steps []fleet.Action) {
 	for _, s := range steps {
 		k := slices.Index(c.names, s.Name)
 		h := &w.hosts[c.first+k]
 		switch s.Kind {
 		case fleet.ActionLaunch:
-			if !s.Adopt && c.runs[k] != s.Incarnation {
-				c.runs[k], c.tolds[k] = s.Incarnation, ""
+			if !s.Adopt && c.running[k] != s.Incarnation {
+				c.running[k], c.notices[k] = s.Incarnation, ""
 				w.back(h)
 			}
 		case fleet.ActionNotify:
-			if c.tolds[k] != s.ID && h.up {
-				c.tolds[k] = s.ID
+			if c.notices[k] != s.ID && h.up {
+				c.notices[k] = s.ID
 				w.notice(h, w.fate.Float64() < c.lost)
 			}
 		case fleet.ActionKill:
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -6,7 +6,7 @@
 	"milletbarrow/admission"
 )
 
-// node is an edge node: it knows some hosts, opens connections to them and attempts.
+// node is an edge node: it knows some hosts, opens connections to them and makes attempts.
 type node struct {
 	slots    []slot
 	view     []int32 // slots that are on its list now
@@ -188,7 +188,7 @@
 	return best
 }
 
-// try sends one attempt. A further one carries the retry mark.
+// startAttempt sends one attempt. A further one carries the retry mark.
 func (w *world) startAttempt(i int32, retry bool) {
 	a := &w.requests[i]
 	n := &w.nodes[a.node]
@@ -283,7 +283,7 @@
 	h.conns--
 }
 
-// heard is a node's end of an attempt: an answer, or the word that there is none.
+// receiveAnswer is a node's end of an attempt: an answer, or the word that there is none.
 func (w *world) receiveAnswer(j int32) {
 	t := &w.attempts[j]
 	i := t.request
@@ -328,7 +328,7 @@
 	w.retryOrEnd(i, out)
 }
 
-// again is the decision about a retry.
+// retryOrEnd is the decision about a retry.
 func (w *world) retryOrEnd(i int32, out Outcome) {
 	a := &w.requests[i]
 	n := &w.nodes[a.node]
@@ -385,7 +385,7 @@
 	w.close(i)
 }
 
-// tell lets the hosts know, late, that nobody waits any more.
+// notifyCallers lets the hosts know, late, that nobody waits any more.
 func (w *world) notifyCallers(a *request) {
 	for _, j := range a.open {
 		if j == none || w.s.Nodes.Word < 0 {
@@ -412,7 +412,7 @@
 	}
 }
 
-// askAnew begins a caller's wish again, without a mark: for the node it is a first try.
+// repeatRequest begins a caller's wish again, without a mark: for the node it is a first try.
 func (w *world) repeatRequest(i int32) {
 	old := w.requests[i]
 	k := w.newRequest()
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -35,7 +35,7 @@
 	floorPart   = 0.2
 )
 
-// sharing is what hosts draw from on a day with shares.
+// quotaSimulation is what hosts draw from on a day with shares.
 type quotaSimulation struct {
 	mode    Shares
 	ledger  *quota.State
@@ -48,7 +48,7 @@
 
 func hostName(n int32) string { return fmt.Sprint("n", n) }
 
-// openShares begins a day's division.
+// openQuotas begins a day's division.
 func (w *world) openQuotas() {
 	if w.p.Shares == Guess || len(w.s.Tenants) == 0 {
 		return
@@ -120,7 +120,7 @@
 	return overShare
 }
 
-// beginShares gives a host's new process its side.
+// beginQuotas gives a host's new process its side.
 func (w *world) beginQuotas(h *host) {
 	sh := w.quotaState
 	if sh == nil || sh.mode == Whole {
@@ -150,7 +150,7 @@
 	return h.Count
 }
 
-// askShares renews what a host holds, where the quota store can be reached from it. A call takes a thousandth of a lease, which
+// renewLeases renews what a host holds, where the quota store can be reached from it. A call takes a thousandth of a lease, which
 // is left out.
 func (w *world) renewLeases(h *host) {
 	sh := w.quotaState
@@ -164,7 +164,7 @@
 	w.q.push(event{at: w.now + sharePause, kind: evLease, a: h.number, gen: h.incarnation})
 }
 
-// clerkLooks has the quota store's clerk look for what is over.
+// expireLeases has the quota store's clerk look for what is over.
 func (w *world) expireLeases() {
 	sh := w.quotaState
 	if over, divide := sh.tracker.Tick(quota.Micros(w.now), sh.ledger); divide || len(over) > 0 {
@@ -175,7 +175,7 @@
 	}
 }
 
-// goneShares tells the quota store that a process has ended, as the agent of its host would.
+// releaseQuotas tells the quota store that a process has ended, as the agent of its host would.
 func (w *world) releaseQuotas(h *host) {
 	if sh := w.quotaState; sh != nil && sh.mode == Divided && (!w.ledgerCut || h.number >= w.cutHosts) {
 		name := hostName(h.number)
@@ -183,7 +183,7 @@
 	}
 }
 
-// drawShare takes a unit for what a host has just read.
+// drawQuota takes a unit for what a host has just read.
 func (w *world) drawQuota(h *host, tenant int) admission.QuotaStanding {
 	holder, i := w.holderFor(h, tenant)
 	if holder == nil {
@@ -197,7 +197,7 @@
 	return admission.OverQuota
 }
 
-// giveBack lets others have the unit that was drawn for what never ran.
+// refundQuota lets others have the unit that was drawn for what never ran.
 func (w *world) refundQuota(h *host, t *attempt) {
 	if !t.drew {
 		return
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -8,7 +8,7 @@
 	"milletbarrow/internal/backend/quota"
 )
 
-// ask is what one caller wants: it may take several attempts, and, where the caller asks anew, several incarnations.
+// request is what one caller wants: it may take several attempts, and, where the caller asks anew, several incarnations.
 type request struct {
 	number    uint64 // the same through all that the caller asks anew
 	node      int32
@@ -210,7 +210,7 @@
 	w.res.close(w)
 }
 
-// happen carries one event out. Each group of events has a function of its own; an event belongs to one of them.
+// handle carries one event out. Each group of events has a function of its own; an event belongs to one of them.
 func (w *world) handle(e *event) {
 	if w.hostEvent(e) || w.attemptEvent(e) {
 		return
