--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -521,7 +521,8 @@
 	tr.Say("%s %s", state().Ladder, state().Level)
 	b.farm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // a queue, though the cores are not busy: the gate is open
 	fakes.Until(t, "the level is entered", func() bool { return state().Level == "no-look" })
-	tr.Say("logged: %t", b.said("event=level from=full to=no-look collapse=false cause=")())
+	fakes.Until(t, "the level is logged", b.said("event=level from=full to=no-look collapse=false cause="))
+	tr.Say("logged: true")
 	b.farm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1))
