--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	slog.Warn("record", "set_aside", path)
+	slog.Warn("store", "set_aside", path)
 	return agentstore.Open(dir, historyLimit)
 }
 
@@ -166,7 +166,7 @@
 	if p.node != nil {
 		tasks.Go(func() {
 			if err := p.node.Run(ctx); err != nil { // the instances are managed all the same
-				slog.Error("ledger", "stage", "ended", "error", err.Error())
+				slog.Error("quota_store", "stage", "ended", "error", err.Error())
 			}
 		})
 	}
--- a/cmd/milletbarrow/degradation_bench_test.go
+++ b/cmd/milletbarrow/degradation_bench_test.go
@@ -82,7 +82,7 @@
 	return b.start().ready(), crew
 }
 
-var levelLine = regexp.MustCompile(`time=(\S+) event=level from=(\S+) to=(\S+) collapse=(\S+) cause=("[^"]*"|\S+)`)
+var levelLine = regexp.MustCompile(`time=(\S+) event=degradation_level from=(\S+) to=(\S+) collapse=(\S+) cause=("[^"]*"|\S+)`)
 
 // changes reads the changes of level from the log.
 func (b *backend) changes(t *testing.T) (all [][]string, at []time.Time) {
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -207,7 +207,7 @@
 		if farm == "gone" {
 			b.farm.With(func(state, _ *string) { *state = "" })
 			b.farm.Cut()
-			fakes.Until(t, "the link is lost", b.said("event=farm_lost"))
+			fakes.Until(t, "the link is lost", b.said("event=executor_lost"))
 		}
 		since := b.term()
 		var codes []byte
@@ -297,12 +297,12 @@
 	cut()
 	n.Send(fakes.Invocation(3, 3))
 	three := fakes.Take(t, "a launch", b.farm.Launches)
-	tr.Say("good all along: %t", !b.said("event=farm_lost")())
+	tr.Say("good all along: %t", !b.said("event=executor_lost")())
 
 	b.configure(now + "}")
 	fakes.Until(t, "the bad file is told of", b.said("event=reload used=false"))
 	b.configure(strings.Replace(now, `"stop_ms":1500`, `"stop_ms":900`, 1))
-	fakes.Until(t, "the field is named", b.said(`left_as_they_are=stop_ms`))
+	fakes.Until(t, "the field is named", b.said(`restart_required=stop_ms`))
 	for range 5 {
 		b.cmd.Process.Signal(syscall.SIGHUP)
 	}
@@ -452,7 +452,7 @@
 	t.Logf("most memory: %d kB", peak)
 	tr.Say("%v, memory within 192 MB %t", err, peak > 0 && peak < 192<<10)
 	b.exit(tr, b.term())
-	tr.Say("left over %t", !b.said("event=stop connections=0 carried=0 in_hand=0 ")())
+	tr.Say("left over %t", !b.said("event=stop connections=0 open_streams=0 in_flight=0 ")())
 }
 
 func TestCommands(t *testing.T) {
@@ -521,7 +521,7 @@
 	tr.Say("%s %s", state().Ladder, state().Level)
 	b.farm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // a queue, though the cores are not busy: the gate is open
 	fakes.Until(t, "the level is entered", func() bool { return state().Level == "no-look" })
-	fakes.Until(t, "the level is logged", b.said("event=level from=full to=no-look collapse=false cause="))
+	fakes.Until(t, "the level is logged", b.said("event=degradation_level from=full to=no-look collapse=false cause="))
 	tr.Say("logged: true")
 	b.farm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	n := fakes.Dial(t, b.address)
@@ -542,7 +542,7 @@
 	tr.Say("shed %d", state().Shed)
 	write("(ladder small")
 	b.cmd.Process.Signal(syscall.SIGHUP)
-	fakes.Until(t, "the bad ladder is told of", b.said("event=reload_levels used=false"))
+	fakes.Until(t, "the bad ladder is told of", b.said("event=reload_degradation used=false"))
 	write(strings.Replace(text, "small", "other", 1))
 	b.cmd.Process.Signal(syscall.SIGHUP)
 	fakes.Until(t, "the new ladder is in force", func() bool { return state().Ladder == "other" })
--- a/cmd/milletbarrow/moments_test.go
+++ b/cmd/milletbarrow/moments_test.go
@@ -32,7 +32,7 @@
 		t.Fatalf("%v after %v: not the end of the grace", f, time.Since(since))
 	}
 	b.farm.With(func(state, _ *string) { *state = "hot 1" })
-	fakes.Until(t, "the farm has greeted", b.said("event=farm_up"))
+	fakes.Until(t, "the farm has greeted", b.said("event=executor_up"))
 	n.Send(fakes.Invocation(3, 3))
 	if f := n.Expect(); f.Type != 11 || f.Code != 2 || len(b.farm.Launches) > 0 {
 		t.Errorf("%v, launched %d", f, len(b.farm.Launches))
--- a/cmd/milletbarrow/serve_reload.go
+++ b/cmd/milletbarrow/serve_reload.go
@@ -44,14 +44,14 @@
 
 // apply takes over what can change of a configuration.
 func (b *backendProcess) apply(later *config.Backend) {
-	slog.Info("reload", "used", true, "farm", later.Executor, "roster", later.Registry,
-		"left_as_they_are", strings.Join(b.config.ImmutableChanges(later), " "))
+	slog.Info("reload", "used", true, "executor", later.Executor, "registry", later.Registry,
+		"restart_required", strings.Join(b.config.ImmutableChanges(later), " "))
 	b.executor.SetAddress(later.Executor)
 	b.reporter.SetAddress(later.Registry)
 	if !reflect.DeepEqual(b.shadow, later.Shadow) { // else its counts go on
 		b.shadow = later.Shadow
 		b.dispatcher.SetShadow(b.shadow)
-		slog.Info("watch", "on", b.shadow != nil)
+		slog.Info("shadow", "on", b.shadow != nil)
 	}
 	if b.files.degradation == "" {
 		return
@@ -60,5 +60,5 @@
 	if err == nil {
 		err = b.dispatcher.SetDegradationPolicy(policy)
 	}
-	slog.Info("reload_levels", "used", err == nil, "error", fmt.Sprint(err))
+	slog.Info("reload_degradation", "used", err == nil, "error", fmt.Sprint(err))
 }
--- a/cmd/milletbarrow/serve_state.go
+++ b/cmd/milletbarrow/serve_state.go
@@ -30,13 +30,13 @@
 	runtime.ReadMemStats(&m)
 	connections, carried := b.server.Counts()
 	n, inFlight := b.dispatcher.Counts()
-	slog.Info(event, "connections", connections, "carried", carried, "in_hand", inFlight,
+	slog.Info(event, "connections", connections, "open_streams", carried, "in_flight", inFlight,
 		"goroutines", runtime.NumGoroutine(), "heap_kb", m.HeapAlloc>>10, "system_kb", m.Sys>>10,
-		"collections", m.NumGC, "picked", n.Arrived, "used_up", n.Expired, "run", n.Started, "throttled", n.Throttled,
-		"errored", n.Errored, "left", n.Abandoned, "ticks", n.Ticks, "unsampled", n.Unsampled, "faults", n.Panics,
-		"repeated", n.Replayed, "unkept", n.CacheFull)
+		"collections", m.NumGC, "arrived", n.Arrived, "expired", n.Expired, "started", n.Started, "throttled", n.Throttled,
+		"errored", n.Errored, "abandoned", n.Abandoned, "ticks", n.Ticks, "ticks_without_sample", n.Unsampled, "panics", n.Panics,
+		"replayed", n.Replayed, "cache_full", n.CacheFull)
 	if c, on := b.dispatcher.ShadowCounts(); on {
-		slog.Info("watched", "otherwise", c.String())
+		slog.Info("shadow_differences", "counts", c.String())
 	}
 }
 
--- a/cmd/milletbarrow/watch_test.go
+++ b/cmd/milletbarrow/watch_test.go
@@ -71,19 +71,19 @@
 	serve("before")
 	for _, w := range [][2]string{{"the same", old}, {"the other settings", other}, {"too little memory", tiny}} {
 		put(old, w[1])
-		hangup("event=watch on=true")
+		hangup("event=shadow on=true")
 		serve("2. watching " + w[0])
 	}
 	put(old, strings.Replace(other, `"request"`, `"day"`, 1))
 	hangup("event=reload used=false")
 	serve("2. a bad file, what was watched goes on")
 	put(old, "")
-	hangup("event=watch on=false")
+	hangup("event=shadow on=false")
 	serve("2. back")
 	for _, to := range [][2]string{{"5. switched, the old settings watched", other}, {"5. back", old}} {
 		put(to[1], map[string]string{other: old}[to[1]])
 		b.exit(tr, b.term())
-		tr.Say("counts logged: %t", b.said("event=watched otherwise=")())
+		tr.Say("counts logged: %t", b.said("event=shadow_differences counts=")())
 		b.start().ready()
 		serve(to[0])
 	}
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -52,7 +52,7 @@
 	if stateErr != nil || state.Run != action.Incarnation || state.Ended {
 		return // it is over, which the watcher reports
 	}
-	slog.Warn("keeper", "name", action.Name, "step", action.ID, "error", err.Error())
+	slog.Warn("supervisor", "name", action.Name, "step", action.ID, "error", err.Error())
 	if action.Kind == fleet.ActionKill {
 		err = state.Instance.KillGroup()
 	} else {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -266,9 +266,9 @@
 	err := a.options.Store.Save(a.loop.unsaved)
 	switch {
 	case err != nil && a.loop.storeErr == nil:
-		slog.Error("record", "written", false, "error", err.Error())
+		slog.Error("store", "written", false, "error", err.Error())
 	case err == nil && a.loop.storeErr != nil:
-		slog.Info("record", "written", true)
+		slog.Info("store", "written", true)
 	}
 	a.loop.storeErr = err
 	if err == nil {
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -105,7 +105,7 @@
 			return nil
 		}
 		a.loop.storeErr = err
-		slog.Error("record", "written", false, "error", err.Error())
+		slog.Error("store", "written", false, "error", err.Error())
 	}
 	return unavailable(fmt.Sprintf("nothing new is taken: the record can't be written: %v", a.loop.storeErr))
 }
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -54,7 +54,7 @@
 		problem := r.renew(round, names)
 		cancel()
 		if problem != lastProblem {
-			slog.Info("shares", "renewed", problem == "", "why", problem)
+			slog.Info("quota_leases", "renewed", problem == "", "why", problem)
 			lastProblem = problem
 		}
 		select {
--- a/internal/backend/dispatch/degradation.go
+++ b/internal/backend/dispatch/degradation.go
@@ -124,7 +124,7 @@
 	if len(state.recentChanges) > maxRecentChanges {
 		state.recentChanges = state.recentChanges[1:]
 	}
-	slog.Warn("level", "from", state.policy.LevelName(change.From), "to", state.policy.LevelName(change.To),
+	slog.Warn("degradation_level", "from", state.policy.LevelName(change.From), "to", state.policy.LevelName(change.To),
 		"collapse", change.Collapse, "cause", change.Cause, "signals", change.Signals.String())
 }
 
--- a/internal/backend/dispatch/module.go
+++ b/internal/backend/dispatch/module.go
@@ -18,7 +18,7 @@
 		if r := recover(); r != nil {
 			d.counts.Panics++
 			err = fmt.Errorf("%v", r)
-			slog.Error("fault", "in", fmt.Sprintf("%T", event), "text", err, "stack", string(debug.Stack()))
+			slog.Error("internal_error", "in", fmt.Sprintf("%T", event), "text", err, "stack", string(debug.Stack()))
 		}
 	}()
 	d.actions = d.backend.Decide(now, event, d.actions[:0])
@@ -62,7 +62,7 @@
 	case admission.Log:
 		slog.Info("module", "text", a.Text)
 	default: // no action for this front end; the configuration refuses deployments that would need it
-		slog.Error("fault", "in", fmt.Sprintf("%T", action), "text", "no way to carry it out")
+		slog.Error("internal_error", "in", fmt.Sprintf("%T", action), "text", "no way to carry it out")
 	}
 }
 
--- a/internal/backend/executor/client.go
+++ b/internal/backend/executor/client.go
@@ -161,7 +161,7 @@
 					continue dial
 				case <-look.C:
 					if l.silent() { // likewise: it may be open at our side alone
-						slog.Warn("farm_silent")
+						slog.Warn("executor_silent")
 						continue dial
 					}
 				}
@@ -171,7 +171,7 @@
 			return
 		}
 		if !down {
-			slog.Warn("farm_lost", "runs", l.count(), "reason", fmt.Sprint(err))
+			slog.Warn("executor_lost", "runs", l.count(), "reason", fmt.Sprint(err))
 			down = true
 		}
 		select {
--- a/internal/backend/executor/read.go
+++ b/internal/backend/executor/read.go
@@ -134,7 +134,7 @@
 
 // takeGreeting makes the connection the one in use, and closes the one that it takes over from.
 func (l *Client) takeGreeting(conn net.Conn, n notice) {
-	slog.Info("farm_up", "cold", n.cold, "ago_us", n.micros)
+	slog.Info("executor_up", "cold", n.cold, "ago_us", n.micros)
 	l.onGreeting(n.cold, n.micros)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,7 +154,7 @@
 // takeRefusal ends the run whose launch was refused.
 func (l *Client) takeRefusal(n notice) {
 	id := string(n.id)
-	l.violations.Warn("farm_refusal", fmt.Errorf("%.20q %.20q", n.command, id))
+	l.violations.Warn("executor_refusal", fmt.Errorf("%.20q %.20q", n.command, id))
 	if string(n.command) == "launch" {
 		l.finish(id, Outcome{End: dispatch.Unrunnable})
 	}
@@ -177,7 +177,7 @@
 	if n.length <= l.bounds.Result {
 		end.Result, err = r.bytes(n.length)
 	} else { // more than an answer may hold: it cannot be passed on unchanged
-		l.violations.Warn("farm_result", fmt.Errorf("%.20q: %d bytes", id, n.length))
+		l.violations.Warn("executor_result", fmt.Errorf("%.20q: %d bytes", id, n.length))
 		end.End = dispatch.RunErrored
 		err = r.discard(n.length)
 	}
--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -202,7 +202,7 @@
 	defer r.mu.Unlock()
 	if ill := err != nil; ill != r.ill && ctx.Err() == nil {
 		r.ill = ill
-		slog.Info("roster", "reported", !ill, "error", fmt.Sprint(err))
+		slog.Info("load_report", "reported", !ill, "error", fmt.Sprint(err))
 	}
 	return advice, err
 }
--- a/internal/backend/server/invocation.go
+++ b/internal/backend/server/invocation.go
@@ -118,7 +118,7 @@
 	defer s.inFlight.Add(-1)
 	defer func() {
 		if r := recover(); r != nil {
-			slog.Error("fault", "in", "carry", "id", inv.ID, "text", r, "stack", string(debug.Stack()))
+			slog.Error("internal_error", "in", "carry", "id", inv.ID, "text", r, "stack", string(debug.Stack()))
 			c.answer(st, frame.Errored, 0, false, nil)
 		}
 	}()
--- a/internal/backend/server/read.go
+++ b/internal/backend/server/read.go
@@ -12,7 +12,7 @@
 func (c *conn) read() {
 	defer func() {
 		if r := recover(); r != nil {
-			slog.Error("fault", "in", "read", "text", r, "stack", string(debug.Stack()))
+			slog.Error("internal_error", "in", "read", "text", r, "stack", string(debug.Stack()))
 			c.abort()
 		}
 	}()
@@ -100,7 +100,7 @@
 
 // framingLost: frames can no longer be told apart. What was read before is answered, then the connection closes.
 func (c *conn) framingLost(err error) {
-	c.server.violations.Warn("borders", err)
+	c.server.violations.Warn("frame_length", err)
 	c.ignoreInput, c.partial = true, nil
 	c.send(func(to []byte) []byte { return frame.AppendError(to, err.Error()) })
 	c.closeWhenAnswered()
@@ -133,7 +133,7 @@
 	h := frame.ReadHeader(b)
 	defer func() {
 		if r := recover(); r != nil {
-			slog.Error("fault", "in", "frame", "text", r, "stack", string(debug.Stack()))
+			slog.Error("internal_error", "in", "frame", "text", r, "stack", string(debug.Stack()))
 			c.fail(h.Stream)
 		}
 	}()
--- a/internal/cluster/quotastore/boltstore.go
+++ b/internal/cluster/quotastore/boltstore.go
@@ -131,7 +131,7 @@
 			return err
 		}
 		if n%50 == 0 {
-			slog.Error("ledger", "written", false, "error", err.Error())
+			slog.Error("quota_store", "written", false, "error", err.Error())
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/cluster/quotastore/quotastore.go
+++ b/internal/cluster/quotastore/quotastore.go
@@ -113,7 +113,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if stage != n.stage {
-		slog.Info("ledger", "stage", stage, "why", why)
+		slog.Info("quota_store", "stage", stage, "why", why)
 	}
 	n.stage = stage
 }
--- a/internal/cluster/quotastore/raftnode.go
+++ b/internal/cluster/quotastore/raftnode.go
@@ -64,7 +64,7 @@
 				all = append(all, s)
 			}
 			f := quorum.Assess(own, all)
-			slog.Info("ledger_standing", "term", own.Term, "index", own.Index, "heard", len(heard), "behind", f.Behind,
+			slog.Info("quota_store_position", "term", own.Term, "index", own.Index, "heard", len(heard), "behind", f.Behind,
 				"group_term", f.AdoptTerm, "group_index", f.RequiredLog.Index, "first", f.Bootstrap)
 			if f.Behind {
 				n.emit(quota.Event{Name: n.config.Host, Kind: "ledger behind", Cause: fmt.Sprintf("has entry %d, the group %d: it votes for none that has less, until it has that", own.Index, f.RequiredLog.Index)})
--- a/internal/ratelimitlog/logger.go
+++ b/internal/ratelimitlog/logger.go
@@ -37,7 +37,7 @@
 	}
 	e.count++
 	if now := time.Now(); now.Sub(e.logged) >= t.quiet {
-		slog.Warn("odd", "kind", kind, "count", e.count, "error", fmt.Sprint(err))
+		slog.Warn("protocol_error", "kind", kind, "count", e.count, "error", fmt.Sprint(err))
 		e.count, e.logged = 0, now
 	}
 }
--- a/internal/ratelimitlog/logger_test.go
+++ b/internal/ratelimitlog/logger_test.go
@@ -20,10 +20,10 @@
 	slog.SetDefault(slog.New(logging.Handler(&text, logging.Text)))
 	tally := New(time.Hour)
 	for range 1000 {
-		tally.Warn("borders", errors.New("frame length 4"))
+		tally.Warn("frame_length", errors.New("frame length 4"))
 	}
 	tally.Warn("kind", nil)
 	tally.quiet = 0
-	tally.Warn("borders", errors.New("frame length 3"))
+	tally.Warn("frame_length", errors.New("frame length 3"))
 	tr.Say("%s", regexp.MustCompile(`time=\S+ `).ReplaceAllString(text.String(), ""))
 }
