--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -86,7 +86,7 @@
 	}
 	runtime.GOMAXPROCS(maxAgentProcessors)
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error like a full disk, and no end
-	store, err := openAgentStore(dir, limits.ForControl().History, c.Bool("record-anew"))
+	store, err := openAgentStore(dir, limits.ForControl().HistoryEntries, c.Bool("record-anew"))
 	if err != nil {
 		return unusable(err)
 	}
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -138,7 +138,7 @@
 			}
 			last := int64(0)
 			for end := time.Now().Add(c.Duration("for")); time.Now().Before(end); time.Sleep(every) {
-				ask, cancel := context.WithTimeout(ctx, limits.ForControl().Call)
+				ask, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
 				s, err := p.State(ask)
 				cancel()
 				if err != nil {
@@ -175,7 +175,7 @@
 			}
 			p := admin.NewClient(c.String("socket"), limits.ForControl())
 			defer p.Close()
-			ctx, cancel := context.WithTimeout(ctx, limits.ForControl().Call)
+			ctx, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
 			defer cancel()
 			return p.Pin(ctx, admin.Pin{
 				Level: c.Args().First(), For: c.Duration("for").Microseconds(), By: "command line", Above: c.Bool("above"),
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -126,7 +126,7 @@
 			return nil, unusable(err)
 		}
 	}
-	protocolErrors := ratelimitlog.New(bounds.Quiet)
+	protocolErrors := ratelimitlog.New(bounds.LogInterval)
 	b.dispatcher.SetShadow(settings.Shadow)
 	b.executor = executor.New(settings.Executor, bounds, protocolErrors, b.dispatcher.Open)
 	b.server = backendserver.New(settings.Settings, bounds, protocolErrors, b.dispatcher, b.executor)
@@ -171,7 +171,7 @@
 // listen opens the listener; an address that is taken is tried again for a while. It reports false where a notice came
 // first: nothing has been accepted.
 func (b *backendProcess) listen(notice <-chan os.Signal) (bool, error) {
-	deadline := time.Now().Add(b.bounds.Bind)
+	deadline := time.Now().Add(b.bounds.BindTimeout)
 	for attempt := 1; ; attempt++ {
 		select {
 		case <-notice:
@@ -189,7 +189,7 @@
 		if attempt == 1 {
 			slog.Warn("listen_taken", "address", b.config.Listen)
 		}
-		time.Sleep(b.bounds.Rebind)
+		time.Sleep(b.bounds.BindRetry)
 	}
 }
 
--- a/cmd/milletbarrow/serve_reload.go
+++ b/cmd/milletbarrow/serve_reload.go
@@ -36,8 +36,8 @@
 		if retries == 0 {
 			slog.Warn("reload", "used", false, "error", err.Error())
 		}
-		if retries < b.bounds.Rereads {
-			retry = time.After(b.bounds.Reread)
+		if retries < b.bounds.ReloadAttempts {
+			retry = time.After(b.bounds.ReloadRetry)
 		}
 	}
 }
--- a/cmd/milletbarrow/serve_shutdown.go
+++ b/cmd/milletbarrow/serve_shutdown.go
@@ -65,8 +65,8 @@
 func drain(server *backendserver.Server, d *shutdown, bounds limits.Bounds) {
 	awaitGrace(d, bounds)
 	server.StopAccepting()
-	closing := func() time.Time { _, stop := d.times(); return stop.Add(-bounds.LastWords) }
-	last := func() time.Time { _, stop := d.times(); return stop.Add(-bounds.LastChance) }
+	closing := func() time.Time { _, stop := d.times(); return stop.Add(-bounds.ExitMargin) }
+	last := func() time.Time { _, stop := d.times(); return stop.Add(-bounds.ExitMarginUnwritten) }
 	idleChecks := 0 // in a row
 	for now := time.Now(); now.Before(closing()) || now.Before(last()) && (!server.AllClosed() || !server.AllAnswered()); now = time.Now() {
 		if !now.Before(closing()) { // whoever has not gone by now is told that nothing more comes
@@ -81,7 +81,7 @@
 		if idleChecks > maxIdleChecks {
 			return
 		}
-		time.Sleep(bounds.LastChance)
+		time.Sleep(bounds.ExitMarginUnwritten)
 	}
 }
 
@@ -92,13 +92,13 @@
 func awaitGrace(d *shutdown, bounds limits.Bounds) {
 	for { // looked at again and again, as a later notice may bring it forward
 		grace, stop := d.times()
-		if latest := stop.Add(-bounds.LastWords - bounds.Parting); latest.Before(grace) {
+		if latest := stop.Add(-bounds.ExitMargin - bounds.RejectBeforeStop); latest.Before(grace) {
 			grace = latest
 		}
 		left := time.Until(grace)
 		if left <= 0 {
 			return
 		}
-		time.Sleep(min(left, bounds.Rebind))
+		time.Sleep(min(left, bounds.BindRetry))
 	}
 }
--- a/cmd/milletbarrow/serve_state.go
+++ b/cmd/milletbarrow/serve_state.go
@@ -12,7 +12,7 @@
 
 // logStates logs the counts at intervals, until ctx ends.
 func (b *backendProcess) logStates(ctx context.Context) {
-	ticker := time.NewTicker(b.bounds.Quiet)
+	ticker := time.NewTicker(b.bounds.LogInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -71,7 +71,7 @@
 		a.post(fleet.UnitAcquired{HeldUnit: held, Cause: errNoQuotas.Text})
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*a.options.Bounds.Call)
+	ctx, cancel := context.WithTimeout(ctx, 2*a.options.Bounds.CallTimeout)
 	defer cancel()
 	result, err := a.options.Cluster.Do(ctx, quota.Command{Acquire: a.permitCommand(action)})
 	if err != nil {
@@ -86,7 +86,7 @@
 		a.acquireUnit(ctx, action) // answers that there are no quotas
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*a.options.Bounds.Call)
+	ctx, cancel := context.WithTimeout(ctx, 2*a.options.Bounds.CallTimeout)
 	defer cancel()
 	command := a.permitCommand(action)
 	command.Outcome = &action.StartResult
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -78,7 +78,7 @@
 	a := &Agent{
 		options: o, startedAt: process.Now(),
 		calls: make(chan func(fleet.Micros), callBacklog), stopped: make(chan struct{}),
-		launchSlots: make(chan struct{}, o.Bounds.Parallel),
+		launchSlots: make(chan struct{}, o.Bounds.ParallelStarts),
 		loop:        loopState{spec: o.Spec, nextSerial: 1, watchers: map[string]*watcher{}},
 		feed:        newHistoryFeed(saved.History),
 	}
@@ -209,9 +209,9 @@
 
 func (a *Agent) tickPause() time.Duration {
 	if a.loop.machine.Idle(fleet.Micros(process.Now())) && a.loop.storeErr == nil {
-		return idleFactor * a.options.Bounds.Beat
+		return idleFactor * a.options.Bounds.TickInterval
 	}
-	return a.options.Bounds.Beat
+	return a.options.Bounds.TickInterval
 }
 
 // decide feeds the machine an event. Its actions and history wait for flush.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -40,7 +40,7 @@
 	h.outcomes(tr, "down")
 	for _, n := range []string{"talks", "talks.1"} {
 		path := supervisor.PathsOf(h.dir, strings.TrimSuffix(n, ".1")).Log + strings.TrimPrefix(n, "talks")
-		if info, err := os.Stat(path); err == nil && info.Size() > 3*limits.ForControl().LogBytes {
+		if info, err := os.Stat(path); err == nil && info.Size() > 3*limits.ForControl().LogFileSize {
 			t.Errorf("%s has %d bytes", path, info.Size())
 		}
 	}
--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -31,7 +31,7 @@
 	if a.options.Cluster == nil {
 		return agentapi.Budgets{}, errNoQuotas
 	}
-	ctx, cancel := context.WithTimeout(ctx, a.options.Bounds.Call)
+	ctx, cancel := context.WithTimeout(ctx, a.options.Bounds.CallTimeout)
 	defer cancel()
 	b := agentapi.Budgets{Host: a.options.Host, Stage: a.options.Cluster.Stage()}
 	var err error
@@ -64,7 +64,7 @@
 	if a.options.Cluster == nil {
 		return "", errNoQuotas
 	}
-	ctx, cancel := context.WithTimeout(ctx, a.options.Bounds.Call)
+	ctx, cancel := context.WithTimeout(ctx, a.options.Bounds.CallTimeout)
 	defer cancel()
 	result, err := a.options.Cluster.Do(ctx, c)
 	if err != nil {
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -21,7 +21,7 @@
 // the next agent would not know. Errors are *agentapi.StatusError; after one f may still run.
 func (a *Agent) call(f func(now fleet.Micros)) error {
 	saved := make(chan struct{})
-	timeout := time.NewTimer(a.options.Bounds.Call)
+	timeout := time.NewTimer(a.options.Bounds.CallTimeout)
 	defer timeout.Stop()
 	select {
 	case a.calls <- func(now fleet.Micros) {
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -189,7 +189,7 @@
 	h.t.Helper()
 	b := limits.ForControl()
 	var err error
-	if h.store, err = agentstore.Open(h.dir, b.History); err != nil {
+	if h.store, err = agentstore.Open(h.dir, b.HistoryEntries); err != nil {
 		h.t.Fatal(err)
 	}
 	store := h.store
--- a/internal/agent/history.go
+++ b/internal/agent/history.go
@@ -63,7 +63,7 @@
 	a.loop.nextSerial++
 	unsaved := &a.loop.unsaved
 	unsaved.History = append(unsaved.History, entry)
-	if over := len(unsaved.History) - a.options.Bounds.History; over > 0 { // the store can't be written for long
+	if over := len(unsaved.History) - a.options.Bounds.HistoryEntries; over > 0 { // the store can't be written for long
 		unsaved.History = unsaved.History[over:]
 	}
 	a.loop.unpublished = append(a.loop.unpublished, entry)
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -99,7 +99,7 @@
 
 // openSupervisorLog opens the log that the supervisors of one instance share, and rotates one that has grown.
 func (a *Agent) openSupervisorLog(path string) (*os.File, error) {
-	if info, err := os.Stat(path); err == nil && info.Size() > a.options.Bounds.LogBytes/supervisorLogFraction {
+	if info, err := os.Stat(path); err == nil && info.Size() > a.options.Bounds.LogFileSize/supervisorLogFraction {
 		_ = os.Rename(path, path+".1") // else the log goes on growing, which must not keep an instance down
 	}
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, logMode)
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -105,7 +105,7 @@
 		calls.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(ctx, bounds.Call/instanceCallPart)
+			ctx, cancel := context.WithTimeout(ctx, bounds.CallTimeout/instanceCallPart)
 			defer cancel()
 			do(ctx, i, client)
 		})
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -106,7 +106,7 @@
 			return
 		}
 		select {
-		case <-time.After(min(a.options.Bounds.Poll*time.Duration(missed), a.options.Bounds.PollRest)):
+		case <-time.After(min(a.options.Bounds.PollInterval*time.Duration(missed), a.options.Bounds.IdlePollInterval)):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/agentapi/api_test.go
+++ b/internal/agentapi/api_test.go
@@ -114,8 +114,8 @@
 // testBounds are those of production with short times.
 func testBounds() limits.Control {
 	b := limits.ForControl()
-	b.Call = 300 * time.Millisecond
-	b.Again, b.AgainMax = time.Millisecond, 2*time.Millisecond
+	b.CallTimeout = 300 * time.Millisecond
+	b.RetryBackoff, b.RetryBackoffMax = time.Millisecond, 2*time.Millisecond
 	return b
 }
 
@@ -217,7 +217,7 @@
 	}{
 		{fleet.ErrUnknownCommand, 404, 1}, {fmt.Errorf("c1: %w", fleet.ErrIDConflict), 409, 1}, {fleet.ErrUpdateInProgress, 409, 1},
 		{fleet.ErrTooManyCommands, 429, 1}, {errors.New("names: none"), 422, 1}, {&StatusError{400, "by: over 100 bytes"}, 400, 1},
-		{&StatusError{503, "the agent is busy"}, 503, b.Tries},
+		{&StatusError{503, "the agent is busy"}, 503, b.Attempts},
 	} {
 		m := newFakeManager()
 		m.err = c.err
@@ -245,7 +245,7 @@
 	b := testBounds()
 	address := freeLoopbackAddress(t)
 	serveAt(t, address, m, b)
-	long := `{"id":"` + strings.Repeat("x", b.Message) + `"}`
+	long := `{"id":"` + strings.Repeat("x", b.MessageSize) + `"}`
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -391,7 +391,7 @@
 // TestStreamsAreLimited: one stream too many is rejected; once another has ended there is place again.
 func TestStreamsAreLimited(t *testing.T) {
 	b := testBounds()
-	b.Streams = 1
+	b.Watchers = 1
 	address, _ := serve(t, newFakeManager(), b)
 	open := func() (net.Conn, string) {
 		conn, err := net.Dial("unix", strings.TrimPrefix(address, "unix:"))
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -68,10 +68,10 @@
 		f.retryBudget.RecordAttempt()
 		return 0, true
 	}
-	if attempt > f.bounds.Tries || !f.retryBudget.AllowRetry() {
+	if attempt > f.bounds.Attempts || !f.retryBudget.AllowRetry() {
 		return 0, false
 	}
-	return backoff.Policy{Min: f.bounds.Again, Max: f.bounds.AgainMax}.Pause(attempt, f.random), true
+	return backoff.Policy{Min: f.bounds.RetryBackoff, Max: f.bounds.RetryBackoffMax}.Pause(attempt, f.random), true
 }
 
 // call makes a request, and retries it while the budget allows.
@@ -97,9 +97,9 @@
 
 // attempt makes a request once; retryable: another attempt may help.
 func (c *Client) attempt(ctx context.Context, method, path string, body, into any) (retryable bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*c.factory.bounds.Call)
+	ctx, cancel := context.WithTimeout(ctx, 2*c.factory.bounds.CallTimeout)
 	defer cancel()
-	maxResponse := maxResponseFactor * int64(c.factory.bounds.Message)
+	maxResponse := maxResponseFactor * int64(c.factory.bounds.MessageSize)
 	err = jsonhttp.Call(ctx, c.http, method, path, body, into, maxResponse)
 	if rejection, ok := errors.AsType[*jsonhttp.StatusError](err); ok {
 		return rejection.Code == http.StatusServiceUnavailable, newStatusError(rejection.Code, []byte(rejection.Text))
--- a/internal/agentapi/follow.go
+++ b/internal/agentapi/follow.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return true, err
 	}
-	maxSilence := silenceFactor * c.factory.bounds.Call
+	maxSilence := silenceFactor * c.factory.bounds.CallTimeout
 	silence := time.AfterFunc(maxSilence, cancel)
 	defer silence.Stop()
 	response, err := c.http.Do(request)
@@ -71,7 +71,7 @@
 		return status == http.StatusNotFound || status == http.StatusBadRequest, newStatusError(status, raw)
 	}
 	lines := bufio.NewScanner(response.Body)
-	lines.Buffer(nil, maxResponseFactor*c.factory.bounds.Message)
+	lines.Buffer(nil, maxResponseFactor*c.factory.bounds.MessageSize)
 	for lines.Scan() {
 		silence.Reset(maxSilence)
 		var event StreamEvent
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -42,14 +42,14 @@
 
 // Serve answers requests on the listener until ctx ends, and closes it. An error means that the listener failed.
 func Serve(ctx context.Context, l net.Listener, m Manager, b limits.Control) error {
-	s := &server{manager: m, bounds: b, streams: make(chan struct{}, b.Streams), stopped: ctx.Done()}
+	s := &server{manager: m, bounds: b, streams: make(chan struct{}, b.Watchers), stopped: ctx.Done()}
 	server := &http.Server{
-		Handler: s.handler(), ReadHeaderTimeout: b.Call, ReadTimeout: 2 * b.Call, IdleTimeout: b.Idle,
-		MaxHeaderBytes: b.Message,
+		Handler: s.handler(), ReadHeaderTimeout: b.CallTimeout, ReadTimeout: 2 * b.CallTimeout, IdleTimeout: b.IdleTimeout,
+		MaxHeaderBytes: b.MessageSize,
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	if err := server.Serve(limits.LimitListener(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(limits.LimitListener(l, b.Connections)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -118,7 +118,7 @@
 
 func (s *server) submit(r *http.Request) (*fleet.Command, error) {
 	var request CommandRequest
-	if err := decodeBody(r, "an order", int64(s.bounds.Message), &request); err != nil {
+	if err := decodeBody(r, "an order", int64(s.bounds.MessageSize), &request); err != nil {
 		return nil, err
 	}
 	return s.manager.Submit(request)
@@ -145,7 +145,7 @@
 
 func (s *server) coldStart(r *http.Request) (struct{}, error) {
 	var command quota.ColdStartCommand
-	if err := decodeBody(r, "a rise", coldStartFactor*int64(s.bounds.Message), &command); err != nil {
+	if err := decodeBody(r, "a rise", coldStartFactor*int64(s.bounds.MessageSize), &command); err != nil {
 		return struct{}{}, err
 	}
 	return struct{}{}, s.manager.Rise(r.Context(), command)
@@ -206,7 +206,7 @@
 
 // writeJSON writes a response. A client that does not read it is gone, which is no error of the server.
 func (s *server) writeJSON(w http.ResponseWriter, status int, value any) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.bounds.Call))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.bounds.CallTimeout))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
--- a/internal/agentapi/stream.go
+++ b/internal/agentapi/stream.go
@@ -37,9 +37,9 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	stream := &streamWriter{
 		manager: s.manager, commandID: id, after: after,
-		encoder: json.NewEncoder(w), control: http.NewResponseController(w), timeout: s.bounds.Call,
+		encoder: json.NewEncoder(w), control: http.NewResponseController(w), timeout: s.bounds.CallTimeout,
 	}
-	heartbeat := time.NewTicker(s.bounds.Call)
+	heartbeat := time.NewTicker(s.bounds.CallTimeout)
 	defer heartbeat.Stop()
 	for {
 		more, ok := stream.sendNew()
--- a/internal/backend/admin/admin.go
+++ b/internal/backend/admin/admin.go
@@ -93,7 +93,7 @@
 	})
 	mux.HandleFunc("POST /v1/leave", func(w http.ResponseWriter, r *http.Request) {
 		var n Notice
-		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.Message))).Decode(&n)
+		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.MessageSize))).Decode(&n)
 		if err != nil || n.Ago < 0 || n.Ago > longestAgo {
 			http.Error(w, fmt.Sprintf("ago_us: %d is not from 0 to an hour: %v", n.Ago, err), http.StatusBadRequest)
 			return
@@ -113,14 +113,14 @@
 	takes(mux, "POST /v1/share", b, in.Answer)
 	takes(mux, "POST /v1/level", b, in.Pin)
 	server := &http.Server{
-		Handler: mux, ReadHeaderTimeout: b.Call, ReadTimeout: b.Call, WriteTimeout: b.Call, IdleTimeout: b.Idle,
-		MaxHeaderBytes: b.Message,
+		Handler: mux, ReadHeaderTimeout: b.CallTimeout, ReadTimeout: b.CallTimeout, WriteTimeout: b.CallTimeout, IdleTimeout: b.IdleTimeout,
+		MaxHeaderBytes: b.MessageSize,
 	}
 	go func() {
 		<-ctx.Done()
 		_ = server.Close()
 	}()
-	if err := server.Serve(limits.LimitListener(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(limits.LimitListener(l, b.Connections)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -130,7 +130,7 @@
 func takes[T any](mux *http.ServeMux, at string, b limits.Control, take func(T) error) {
 	mux.HandleFunc(at, func(w http.ResponseWriter, r *http.Request) {
 		var v T
-		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.Message))).Decode(&v)
+		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.MessageSize))).Decode(&v)
 		if err == nil {
 			err = take(v)
 		}
@@ -176,7 +176,7 @@
 
 // State asks for the state.
 func (p *Client) State(ctx context.Context) (s State, err error) {
-	return s, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/state", nil, &s, int64(p.bounds.Message))
+	return s, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/state", nil, &s, int64(p.bounds.MessageSize))
 }
 
 // Leave tells the instance to leave, as it was first told so long ago.
@@ -191,7 +191,7 @@
 
 // Ask has the instance say what it would have of the fleet's budgets. A lease counts from the moment it says so.
 func (p *Client) Ask(ctx context.Context) (a quota.LeaseRequest, err error) {
-	return a, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/share", nil, &a, int64(p.bounds.Message))
+	return a, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/share", nil, &a, int64(p.bounds.MessageSize))
 }
 
 // Answer tells the instance what it has.
--- a/internal/backend/dispatch/admit.go
+++ b/internal/backend/dispatch/admit.go
@@ -59,7 +59,7 @@
 // executor's connection. The next sample follows those ends.
 func (d *Dispatcher) awaitFreshTick() {
 	d.mu.Lock()
-	if d.backend == nil || Now()-d.lastTick <= Micros(d.bounds.HeldUp.Microseconds()) {
+	if d.backend == nil || Now()-d.lastTick <= Micros(d.bounds.StallThreshold.Microseconds()) {
 		d.mu.Unlock()
 		return
 	}
@@ -68,7 +68,7 @@
 	}
 	tickDone := d.tickDone
 	d.mu.Unlock()
-	timeout := time.NewTimer(2 * d.bounds.SampleWait)
+	timeout := time.NewTimer(2 * d.bounds.SampleTimeout)
 	defer timeout.Stop()
 	select {
 	case <-tickDone:
--- a/internal/backend/dispatch/dispatcher.go
+++ b/internal/backend/dispatch/dispatcher.go
@@ -70,7 +70,7 @@
 	d := &Dispatcher{sheet: sheet, seed: seed, bounds: bounds, inFlight: map[string]*Request{}}
 	for _, op := range sheet.Admission.Operations {
 		if op.RetrySafety == admission.IdempotencyKeyed && d.results == nil {
-			d.results = idempotency.New(bounds.Kept, bounds.Result)
+			d.results = idempotency.New(bounds.IdempotencyCacheSize, bounds.ResultSize)
 		}
 	}
 	return d
@@ -109,7 +109,7 @@
 	// Results are cached in this process, in a table that is bounded; the setting is about the executor's memory.
 	t.IdempotencyKeyKB = 0
 	// The notice may arrive late, and the grace must not end later for that.
-	t.DrainGrace = max(0, t.DrainGrace-Micros(d.bounds.NoticeLate.Microseconds()))
+	t.DrainGrace = max(0, t.DrainGrace-Micros(d.bounds.NoticeDelay.Microseconds()))
 	return t
 }
 
--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -59,7 +59,7 @@
 	if d.updateGauges(d.gaugesAt+1, nil); len(d.gauges) == 0 {
 		t.Error("the gauges of the latest sample are dropped")
 	}
-	old := d.gaugesAt + Micros(d.bounds.SampleOld.Microseconds()) + 1
+	old := d.gaugesAt + Micros(d.bounds.SampleMaxAge.Microseconds()) + 1
 	if d.updateGauges(old, nil); len(d.gauges) != 0 {
 		t.Errorf("old gauges are passed on: %v", d.gauges)
 	}
@@ -173,15 +173,15 @@
 // TestSampleOfBeforeSuspension: a sample that was waited for while the process was suspended is requested again.
 func TestSampleOfBeforeSuspension(t *testing.T) {
 	d := open(t)
-	d.bounds.SampleWait = 10 * time.Second
+	d.bounds.SampleTimeout = 10 * time.Second
 	sampled := make(chan []float64, 1)
 	requests := 0
 	got := runTicks(t, d, func() bool {
 		if requests++; requests == 1 {
-			time.Sleep(d.bounds.HeldUp + 20*time.Millisecond)
+			time.Sleep(d.bounds.StallThreshold + 20*time.Millisecond)
 			sampled <- []float64{0.5, 7, 0.1, 1}
 		} else {
-			d.bounds.HeldUp = time.Minute // whatever the machine does to this test now
+			d.bounds.StallThreshold = time.Minute // whatever the machine does to this test now
 			select {
 			case sampled <- []float64{0.5, 8, 0.1, 1}:
 			default:
@@ -328,7 +328,7 @@
 // TestModuleGrace: the module's grace is shorter by the delay that a notice may have, and never negative.
 func TestModuleGrace(t *testing.T) {
 	d := open(t)
-	late := Micros(d.bounds.NoticeLate.Microseconds())
+	late := Micros(d.bounds.NoticeDelay.Microseconds())
 	settings := *d.sheet
 	for grace, want := range map[Micros]Micros{0: 0, late / 2: 0, late: 0, late + 5: 5} {
 		settings.Admission.DrainGrace = grace
--- a/internal/backend/dispatch/replay.go
+++ b/internal/backend/dispatch/replay.go
@@ -84,7 +84,7 @@
 	case ok:
 		resp, outcome = Response{Verdict: Replayed, Result: result}, admission.OK
 	case !ran:
-		resp = Response{Verdict: Throttled, RetryAfter: Micros(d.bounds.ComeBack.Microseconds())}
+		resp = Response{Verdict: Throttled, RetryAfter: Micros(d.bounds.ReplayRetryAfter.Microseconds())}
 	}
 	d.respond(req, resp)
 	_ = d.decide(Now(), admission.Finished{ID: req.id, Outcome: outcome})
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -160,7 +160,7 @@
 
 // TestResultCacheFull: what cannot be remembered is not run, with when to come back; what is remembered is answered all the same.
 func TestResultCacheFull(t *testing.T) {
-	d := openTokened(t, "5000", func(b *limits.Bounds) { b.Kept = 3 << 10; b.Result = 1 << 10 })
+	d := openTokened(t, "5000", func(b *limits.Bounds) { b.IdempotencyCacheSize = 3 << 10; b.ResultSize = 1 << 10 })
 	_, first := d.Admit(tokened("a", "x"))
 	w, none := d.Admit(tokened("b", "y"))
 	if w.Verdict != Throttled || w.RetryAfter <= 0 || none != nil {
--- a/internal/backend/dispatch/ticker.go
+++ b/internal/backend/dispatch/ticker.go
@@ -34,11 +34,11 @@
 		default:
 		}
 		for requested := Now(); requestSample(); requested = Now() {
-			newer, over := sleep(d.bounds.SampleWait, sampled)
+			newer, over := sleep(d.bounds.SampleTimeout, sampled)
 			if over {
 				return
 			}
-			if Now()-requested > Micros(d.bounds.HeldUp.Microseconds()) {
+			if Now()-requested > Micros(d.bounds.StallThreshold.Microseconds()) {
 				continue // the process was suspended meanwhile, and the sample is from before
 			}
 			if newer != nil {
@@ -60,7 +60,7 @@
 	}
 	d.lastTick = now
 	if d.results != nil {
-		d.results.EvictExpired(now, d.maxReadDelay(), Micros(d.bounds.Sweep.Microseconds()))
+		d.results.EvictExpired(now, d.maxReadDelay(), Micros(d.bounds.SweepInterval.Microseconds()))
 	}
 	if d.tickDone != nil {
 		defer close(d.tickDone)
@@ -83,14 +83,14 @@
 // tickInterval is the time between ticks where the module asks for none.
 func (d *Dispatcher) tickInterval() Micros { return d.sheet.Admission.AnswerSlack / 3 }
 
-// updateGauges takes in a sample. Without one the gauges known before hold for SampleOld.
+// updateGauges takes in a sample. Without one the gauges known before hold for SampleMaxAge.
 func (d *Dispatcher) updateGauges(now Micros, gauges []float64) {
 	if gauges != nil {
 		d.gauges, d.gaugesAt = append(d.gauges[:0], gauges...), now
 		return
 	}
 	d.counts.Unsampled++
-	if now-d.gaugesAt > Micros(d.bounds.SampleOld.Microseconds()) {
+	if now-d.gaugesAt > Micros(d.bounds.SampleMaxAge.Microseconds()) {
 		d.gauges = d.gauges[:0]
 	}
 }
--- a/internal/backend/executor/client.go
+++ b/internal/backend/executor/client.go
@@ -93,7 +93,7 @@
 func (l *Client) RequestSample() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.synced || l.samplePending && time.Since(l.sampleSince) < l.bounds.SampleOld {
+	if !l.synced || l.samplePending && time.Since(l.sampleSince) < l.bounds.SampleMaxAge {
 		return false
 	}
 	l.sendSample()
@@ -116,7 +116,7 @@
 func (l *Client) Available() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.synced || time.Since(l.lastSynced) < l.bounds.LinkMissed
+	return l.synced || time.Since(l.lastSynced) < l.bounds.ExecutorAbsence
 }
 
 // SetAddress names another address of the same executor, to which a new link is made while the old one goes on.
@@ -135,9 +135,9 @@
 
 // Run holds the link up until the context ends.
 func (l *Client) Run(ctx context.Context) {
-	dialer := net.Dialer{Timeout: l.bounds.Dial}
-	pause := l.bounds.RedialLeast
-	look := time.NewTicker(l.bounds.LinkSilent / 2)
+	dialer := net.Dialer{Timeout: l.bounds.DialTimeout}
+	pause := l.bounds.RedialMin
+	look := time.NewTicker(l.bounds.ExecutorSilence / 2)
 	defer look.Stop()
 dial:
 	for down := false; ctx.Err() == nil; {
@@ -153,11 +153,11 @@
 				select {
 				case end := <-over:
 					if err = end.err; end.greeted {
-						pause, down = l.bounds.RedialLeast, false
+						pause, down = l.bounds.RedialMin, false
 					}
 					held = false
 				case <-l.addressChanged: // this link goes on until the next has taken over, or the executor closes it
-					pause = l.bounds.RedialLeast
+					pause = l.bounds.RedialMin
 					continue dial
 				case <-look.C:
 					if l.silent() { // likewise: it may be open at our side alone
@@ -176,9 +176,9 @@
 		}
 		select {
 		case <-time.After(pause):
-			pause = min(2*pause, l.bounds.RedialMost)
+			pause = min(2*pause, l.bounds.RedialMax)
 		case <-l.addressChanged:
-			pause = l.bounds.RedialLeast
+			pause = l.bounds.RedialMin
 		case <-ctx.Done():
 		}
 	}
@@ -201,7 +201,7 @@
 func (l *Client) silent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	long := l.bounds.LinkSilent
+	long := l.bounds.ExecutorSilence
 	return (l.samplePending || l.everGreeted && !l.synced) && time.Since(l.lastInput) > long && (l.next == nil || time.Since(l.nextSince) > long)
 }
 
--- a/internal/backend/executor/client_test.go
+++ b/internal/backend/executor/client_test.go
@@ -326,7 +326,7 @@
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Take(t, "a sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
-	for began := time.Now(); time.Since(began) < l.bounds.LinkSilent*3/2; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < l.bounds.ExecutorSilence*3/2; time.Sleep(20 * time.Millisecond) {
 		l.RequestSample()
 		a.Send("sampled t1 0.1 1 0 0\r\n")
 	}
--- a/internal/backend/executor/notices_test.go
+++ b/internal/backend/executor/notices_test.go
@@ -88,7 +88,7 @@
 	a.With(func(state, _ *string) { *state = "" })
 	l := keep(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
-	time.Sleep(l.bounds.LinkSilent * 8 / 5) // it has to last: one look at the link falls into it
+	time.Sleep(l.bounds.ExecutorSilence * 8 / 5) // it has to last: one look at the link falls into it
 	if len(a.Subscribes) != 0 || l.silent() {
 		t.Errorf("%d further links, silent %t", len(a.Subscribes), l.silent())
 	}
--- a/internal/backend/executor/read.go
+++ b/internal/backend/executor/read.go
@@ -99,7 +99,7 @@
 
 // read handles notices until the connection is over or brings what cannot be read.
 func (l *Client) read(conn net.Conn) (greeted bool, err error) {
-	r := &reader{conn: conn, buf: make([]byte, l.bounds.Line+l.bounds.Result+4), lineMost: l.bounds.Line}
+	r := &reader{conn: conn, buf: make([]byte, l.bounds.LineSize+l.bounds.ResultSize+4), lineMost: l.bounds.LineSize}
 	var gauges []float64 // used again for each sample
 	for {
 		text, err := r.line()
@@ -174,7 +174,7 @@
 	id := string(n.id) // reading the result moves the buffer that the line's slices are of
 	end := Outcome{End: n.end}
 	var err error
-	if n.length <= l.bounds.Result {
+	if n.length <= l.bounds.ResultSize {
 		end.Result, err = r.bytes(n.length)
 	} else { // more than an answer may hold: it cannot be passed on unchanged
 		l.violations.Warn("executor_result", fmt.Errorf("%.20q: %d bytes", id, n.length))
--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -51,11 +51,11 @@
 // New makes a reporter for the backend of that name. fixed: in step with the clock, as baselines are.
 func New(address, name string, bounds limits.Bounds, fixed bool) *Reporter {
 	t := reportpacing.Config{
-		Usual: micros(bounds.Report), Lapse: micros(bounds.Lapse), Least: micros(bounds.ReportLeast), Closed: micros(bounds.ReportClosed),
-		First: micros(bounds.ReportFirst), Most: micros(bounds.ReportMost), Advice: micros(bounds.ReportAdvice), OnWay: bounds.Reports, Fixed: fixed,
+		Usual: micros(bounds.ReportInterval), Lapse: micros(bounds.RegistrationTTL), Least: micros(bounds.ReportRetryMin), Closed: micros(bounds.ReportRetryRefused),
+		First: micros(bounds.ReportRetryInitial), Most: micros(bounds.ReportRetryMax), Advice: micros(bounds.RetryAfterMax), OnWay: bounds.ReportsInFlight, Fixed: fixed,
 	}
 	if fixed {
-		t.Least, t.OnWay = micros(bounds.ReportAgain), 2*bounds.Reports
+		t.Least, t.OnWay = micros(bounds.DeregisterRetry), 2*bounds.ReportsInFlight
 	}
 	return &Reporter{
 		path: "/roster/" + url.PathEscape(name), address: address, bounds: bounds, off: make(chan struct{}),
@@ -63,11 +63,11 @@
 		pace: reportpacing.New(t, rand.Uint64()^xxhash.Sum64String(name)), began: time.Now(),
 		ended: make(chan report, t.OnWay), moved: make(chan struct{}, 1),
 		client: &http.Client{
-			Timeout:       bounds.Call,
+			Timeout:       bounds.ReportTimeout,
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 			Transport: &http.Transport{
 				MaxConnsPerHost: t.OnWay + 2, MaxIdleConnsPerHost: 1, DisableCompression: true,
-				IdleConnTimeout: 4 * bounds.Report, MaxResponseHeaderBytes: int64(bounds.Line),
+				IdleConnTimeout: 4 * bounds.ReportInterval, MaxResponseHeaderBytes: int64(bounds.LineSize),
 			},
 		},
 	}
@@ -167,7 +167,7 @@
 			taken <- err
 		})
 	}
-	wait := r.bounds.ReportAgain
+	wait := r.bounds.DeregisterRetry
 	again := time.NewTimer(wait)
 	defer again.Stop()
 	saying, owed, stray := true, false, false
@@ -180,13 +180,13 @@
 			owed = true
 			stray = stray || e.err != nil && !errors.Is(e.err, errStatus) && !errors.Is(e.err, syscall.ECONNREFUSED)
 		case <-r.moved:
-			owed, wait = true, r.bounds.ReportAgain
+			owed, wait = true, r.bounds.DeregisterRetry
 			again.Reset(0)
 		case <-again.C:
 			if (owed || stray) && !saying {
 				saying, owed = true, false
 				say()
-				wait = min(2*wait, r.bounds.Report)
+				wait = min(2*wait, r.bounds.ReportInterval)
 			}
 			again.Reset(wait/2 + rand.N(wait))
 		case <-ctx.Done():
@@ -221,7 +221,7 @@
 		return 0, err
 	}
 	defer func() { _ = answer.Body.Close() }()
-	_, _ = io.CopyN(io.Discard, answer.Body, int64(r.bounds.Line)) // so that the connection can be used again
+	_, _ = io.CopyN(io.Discard, answer.Body, int64(r.bounds.LineSize)) // so that the connection can be used again
 	if answer.StatusCode != http.StatusNoContent {
 		return advised(answer.Header.Get("Retry-After"), time.Now()), fmt.Errorf("%w %d", errStatus, answer.StatusCode)
 	}
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -44,7 +44,7 @@
 		{"too slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
 	} {
 		b := limits.For(1, 192, 1024)
-		b.Report, b.Call, b.ReportFirst, b.ReportMost = 10*time.Millisecond, 200*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
+		b.ReportInterval, b.ReportTimeout, b.ReportRetryInitial, b.ReportRetryMax = 10*time.Millisecond, 200*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
 		address, reports := fakes.NewRegistry(t, c.does)
 		r := New(address, "n3", b, false)
 		over := make(chan struct{})
@@ -52,7 +52,7 @@
 		go func() { r.Run(ctx); close(over) }()
 		n := 3
 		if c.how == "too slow" {
-			n = b.Reports
+			n = b.ReportsInFlight
 		}
 		for range n {
 			tr.Say("%s: %s", c.how, fakes.Take(t, "a report", reports))
@@ -99,7 +99,7 @@
 	fakes.Take(t, "the first that is never answered", reports)
 	fakes.Take(t, "the second", reports)
 	fakes.Take(t, "the next", reports)
-	if late := time.Since(counted); late > b.Lapse {
+	if late := time.Since(counted); late > b.RegistrationTTL {
 		t.Errorf("the next came after %v, the entry had lapsed", late)
 	}
 	close(held)
@@ -116,7 +116,7 @@
 	}
 	l.Close()
 	b := limits.For(1, 192, 1024)
-	b.Report, b.ReportClosed = time.Hour, 10*time.Millisecond
+	b.ReportInterval, b.ReportRetryRefused = time.Hour, 10*time.Millisecond
 	r := New(l.Addr().String(), "n3", b, false)
 	r.pace = reportpacing.New(reportpacing.Config{First: 10_000, Most: 10_000, Closed: 10_000, OnWay: 2}, 1) // not up to an hour before the first
 	ctx, cancel := context.WithCancel(context.Background())
@@ -197,7 +197,7 @@
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-said) })
 	elsewhere, later := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	b := limits.For(1, 192, 1024)
-	b.Report = 10 * time.Millisecond
+	b.ReportInterval = 10 * time.Millisecond
 	r := New(address, "n3", b, false)
 	over := make(chan struct{})
 	go func() { r.Run(context.Background()); close(over) }()
@@ -235,7 +235,7 @@
 		http.Error(w, "later", http.StatusServiceUnavailable)
 	})
 	b := limits.For(1, 192, 1024)
-	b.Report, b.ReportFirst, b.ReportMost = 10*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
+	b.ReportInterval, b.ReportRetryInitial, b.ReportRetryMax = 10*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
 	r := New(address, "n3", b, false)
 	over := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/backend/server/close.go
+++ b/internal/backend/server/close.go
@@ -11,7 +11,7 @@
 	if c.closing && !c.writeClosed && len(c.streams) == 0 && len(c.pending) == 0 && !c.writing {
 		if !c.released {
 			_ = syscall.Shutdown(c.fd, syscall.SHUT_WR)
-			time.AfterFunc(c.server.bounds.Linger, c.abort)
+			time.AfterFunc(c.server.bounds.LingerTimeout, c.abort)
 		}
 		c.writeClosed = true
 	}
--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -22,7 +22,7 @@
 		{"rested", fakes.Raw(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
 		{"within a frame", complete[:40], complete[40:] + fakes.Invocation(2, 2)},
 	} {
-		s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Linger = time.Minute })
+		s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = time.Minute })
 		n := fakes.Dial(t, s.address)
 		n.Send(c.before)
 		one := s.only(t)
@@ -60,7 +60,7 @@
 // over input that is not read. The system holds none of them back: TCP_NODELAY is set on what is accepted, and all arrive.
 func TestSmallAnswersBeforeClose(t *testing.T) {
 	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
-		b.Linger, settings.Admission.Cores = time.Minute, 64
+		b.LingerTimeout, settings.Admission.Cores = time.Minute, 64
 	})
 	n := fakes.Dial(t, s.address)
 	c := s.only(t)
@@ -131,7 +131,7 @@
 // else pending. It stays open for writing until they are written, and the peer reads them all.
 func TestCloseWithAWriterWaiting(t *testing.T) {
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) {
-		b.Unsent, b.UnsentAll, b.Linger = 64<<20, 64<<20, time.Minute
+		b.UnsentPerConnection, b.UnsentTotal, b.LingerTimeout = 64<<20, 64<<20, time.Minute
 	})
 	n := fakes.Dial(t, s.address)
 	c := s.only(t)
--- a/internal/backend/server/drain.go
+++ b/internal/backend/server/drain.go
@@ -9,7 +9,7 @@
 	for _, c := range s.all() {
 		c.sendGoAway()
 	}
-	if err := s.listener.closeWhenEmpty(s.bounds.Queued); err != nil {
+	if err := s.listener.closeWhenEmpty(s.bounds.AcceptQueueTimeout); err != nil {
 		s.violations.Warn("listener", err)
 	}
 }
--- a/internal/backend/server/evict.go
+++ b/internal/backend/server/evict.go
@@ -36,11 +36,11 @@
 		return leaving, now
 	case c.writeClosed: // and waits for its peer's end
 		return neverValid, c.openedAt
-	case !c.sentValid && now.Sub(c.openedAt) > c.server.bounds.Fresh:
+	case !c.sentValid && now.Sub(c.openedAt) > c.server.bounds.NewConnectionAge:
 		return neverValid, c.openedAt
 	case !c.sentValid:
 		return justOpened, c.openedAt
-	case c.idle() && now.Sub(c.lastUsed) > c.server.bounds.Rests:
+	case c.idle() && now.Sub(c.lastUsed) > c.server.bounds.IdleAge:
 		return resting, c.lastUsed
 	case c.idle():
 		return justUsed, c.lastUsed
@@ -94,7 +94,7 @@
 // the dispatcher wants, and closes those whose time is up.
 func (s *Server) Sweep(done <-chan struct{}) {
 	s.lastSweep = time.Now() // the process may be held up before the first look too
-	tick := time.NewTicker(s.bounds.Sweep)
+	tick := time.NewTicker(s.bounds.SweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -109,14 +109,14 @@
 // sweep looks at all connections once; idleTimeout is how long the dispatcher lets them be idle, 0 for any time.
 func (s *Server) sweep(idleTimeout time.Duration) {
 	now := time.Now()
-	if late := now.Sub(s.lastSweep) - s.bounds.Sweep; !s.lastSweep.IsZero() && late > s.bounds.Sweep {
+	if late := now.Sub(s.lastSweep) - s.bounds.SweepInterval; !s.lastSweep.IsZero() && late > s.bounds.SweepInterval {
 		for _, c := range s.all() { // the process was held up: that is not the peers' time
 			c.extendDeadlines(late)
 		}
 	}
 	s.lastSweep = now
 	maxIdle := time.Duration(s.settings.Admission.IdleTimeout) * time.Microsecond
-	if maxIdle += s.bounds.Hello; s.settings.Admission.IdleTimeout <= 0 {
+	if maxIdle += s.bounds.FrameTimeout; s.settings.Admission.IdleTimeout <= 0 {
 		maxIdle = math.MaxInt64
 	}
 	for _, c := range s.all() {
@@ -127,9 +127,9 @@
 	}
 	// As the table fills, callers are asked to leave the connections idle for longest before one has to be closed: those who
 	// comply send nothing that crosses the close.
-	if open, _ := s.Counts(); open > s.bounds.Roomy {
+	if open, _ := s.Counts(); open > s.bounds.ConnectionsHighWater {
 		for _, c := range s.byRetention(now) {
-			if c.priority == resting && open > s.bounds.Roomy {
+			if c.priority == resting && open > s.bounds.ConnectionsHighWater {
 				c.sendGoAway()
 			}
 			open--
@@ -145,17 +145,17 @@
 	b, idle := &c.server.bounds, c.idle()
 	switch {
 	case c.writeClosed || c.closing:
-	case !c.sentValid && now.Sub(c.openedAt) > b.Hello && !c.unread(): // with unread input the poller is behind
+	case !c.sentValid && now.Sub(c.openedAt) > b.FrameTimeout && !c.unread(): // with unread input the poller is behind
 		c.server.violations.Warn("silent", nil)
 		c.closing = true
 		c.closeWriteIfDone()
-	case !c.frameStart.IsZero() && now.Sub(c.frameStart) > b.Hello && !c.unread():
+	case !c.frameStart.IsZero() && now.Sub(c.frameStart) > b.FrameTimeout && !c.unread():
 		c.server.violations.Warn("unended", nil)
 		c.closing = true
 		c.closeWriteIfDone()
 	case idle && now.Sub(c.lastUsed) > maxIdle && !c.unread():
 		c.shutdown()
-	case idle && now.Sub(c.lastUsed) > b.Sweep:
+	case idle && now.Sub(c.lastUsed) > b.SweepInterval:
 		c.pending = nil
 	}
 }
--- a/internal/backend/server/invocation.go
+++ b/internal/backend/server/invocation.go
@@ -59,7 +59,7 @@
 
 // decodeInvocation reads an invocation and checks it against the settings. The body is a slice of payload.
 func (s *Server) decodeInvocation(h frame.Header, payload []byte) (inv dispatch.Invocation, body []byte, err error) {
-	in, err := frame.ReadInvocation(payload, s.bounds.Body)
+	in, err := frame.ReadInvocation(payload, s.bounds.BodySize)
 	op, tenant := s.operations[string(in.Operation)], s.tenants[string(in.Tenant)]
 	switch {
 	case h.Payload > len(payload):
@@ -71,7 +71,7 @@
 		err = errUnknownTenant
 	case !in.HasWait && !s.settings.DeadlineOptional:
 		err = errNoDeadline
-	case s.keyed(op-1) && (len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.Token):
+	case s.keyed(op-1) && (len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.IdempotencyKeySize):
 		err = errNoIdempotencyKey
 	}
 	if err != nil {
--- a/internal/backend/server/races_test.go
+++ b/internal/backend/server/races_test.go
@@ -69,7 +69,7 @@
 // None is closed over them: not by what ends the silent, those within a frame and the resting, nor to make room.
 func TestUnreadOnIdle(t *testing.T) {
 	short := func(b *limits.Bounds, settings *config.Settings) {
-		b.Hello, b.Rests, b.Sweep = time.Millisecond, 0, time.Hour
+		b.FrameTimeout, b.IdleAge, b.SweepInterval = time.Millisecond, 0, time.Hour
 		settings.Admission.IdleTimeout = 1000
 	}
 	for _, c := range []struct {
@@ -117,7 +117,7 @@
 	c := s.only(t)
 	fakes.Until(t, "the frame has begun", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.frameStart.IsZero() })
 	s.sweep(0)
-	held := s.bounds.Hello + time.Second
+	held := s.bounds.FrameTimeout + time.Second
 	c.extendDeadlines(-held) // as if it had come so long ago,
 	s.lastSweep = s.lastSweep.Add(-held)
 	s.sweep(0) // and nothing was looked at since
@@ -136,7 +136,7 @@
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
-	for k := range s.bounds.Unfit {
+	for k := range s.bounds.InvalidFrames {
 		n.Send(fakes.Invocation(uint32(k+2), k+2, "class=x"))
 		if f := n.Expect(); f.Code != 3 {
 			t.Error(f)
@@ -154,7 +154,7 @@
 // TestLastAnswersBeforeUnreadInput: a connection ends while its peer, which reads nothing yet, goes on sending. All
 // answers reach it all the same: closed outright, the system would reset the connection and drop what is on its way.
 func TestLastAnswersBeforeUnreadInput(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Linger = 5 * time.Second })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = 5 * time.Second })
 	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
--- a/internal/backend/server/read.go
+++ b/internal/backend/server/read.go
@@ -48,12 +48,12 @@
 			head = c.partial
 		}
 		if len(head) >= needed {
-			size, err := frame.Length(head, c.server.bounds.Frame)
+			size, err := frame.Length(head, c.server.bounds.FrameSize)
 			if err != nil {
 				c.framingLost(err)
 				return
 			}
-			needed = min(frame.LengthSize+size, frame.HeaderSize+c.server.bounds.Content)
+			needed = min(frame.LengthSize+size, frame.HeaderSize+c.server.bounds.InvocationFrameSize)
 			if len(c.partial) > 0 {
 				b = c.gather(b, needed)
 				head = c.partial
@@ -64,7 +64,7 @@
 				handled = true
 				if len(c.partial) == 0 {
 					b = b[needed:]
-				} else if c.partial = c.partial[:0]; cap(c.partial) > c.server.bounds.Part {
+				} else if c.partial = c.partial[:0]; cap(c.partial) > c.server.bounds.PartialFrameBuffer {
 					c.partial = nil
 				}
 				continue
@@ -112,7 +112,7 @@
 	c.server.violations.Warn(kind, err)
 	c.mu.Lock()
 	c.invalid++
-	invalid, most := c.invalid, c.server.bounds.Unfit
+	invalid, most := c.invalid, c.server.bounds.InvalidFrames
 	c.mu.Unlock()
 	if invalid == most {
 		c.server.violations.Warn("unfit", nil)
@@ -124,7 +124,7 @@
 func (c *conn) ignoresInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.writeClosed || c.invalid >= 2*c.server.bounds.Unfit
+	return c.writeClosed || c.invalid >= 2*c.server.bounds.InvalidFrames
 }
 
 // handleFrame handles one frame; b holds all of it, or the beginning of one that is too long. A panic is logged, and the stream
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -68,14 +68,14 @@
 func (s *Server) Listen(address string) (net.Addr, error) {
 	configureNetpoll.Do(func() {
 		_ = netpoll.Configure(netpoll.Config{
-			PollerNum: 1, BufferSize: s.bounds.Input, LoggerOutput: netpollLog{s},
+			PollerNum: 1, BufferSize: s.bounds.ReadBuffer, LoggerOutput: netpollLog{s},
 			Runner: func(_ context.Context, f func()) { f() }, // on the poller, see conn
 		})
 	})
 	// What the kernel buffers of a connection that is read late is bounded too.
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		control := raw.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, s.bounds.Received)
+			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, s.bounds.ReceiveBuffer)
 		})
 		return errors.Join(control, err)
 	}}
@@ -92,7 +92,7 @@
 			return nil
 		},
 		netpoll.WithOnPrepare(s.accept),
-		netpoll.WithWriteTimeout(s.bounds.Unread),
+		netpoll.WithWriteTimeout(s.bounds.WriteTimeout),
 	)
 	return l.Addr(), err
 }
@@ -108,7 +108,7 @@
 	crowded := false
 	if s.full(0) {
 		s.violations.Warn("connections", nil)
-		if crowded = !s.evict(now); s.full(s.bounds.Leaving) {
+		if crowded = !s.evict(now); s.full(s.bounds.ClosingConnections) {
 			_ = transport.Close()
 			return ctx
 		}
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -37,7 +37,7 @@
 	}
 	fakeExecutor := fakes.NewScriptedExecutor(t)
 	g := dispatch.New(&settings, 1, b)
-	tally := ratelimitlog.New(b.Quiet)
+	tally := ratelimitlog.New(b.LogInterval)
 	link := executor.New(fakeExecutor.Address, b, tally, g.Open)
 	s := New(&settings, b, tally, g, link)
 	address, err := s.Listen("127.0.0.1:0")
@@ -94,9 +94,9 @@
 		tr.Say("%s: %+v", end, s.run(t, end, ""))
 		tr.Say("  %v", n.Expect())
 	}
-	big := strings.Repeat("b", s.bounds.Body)
+	big := strings.Repeat("b", s.bounds.BodySize)
 	n.Send(fakes.Raw(10, 9, fakes.Fields(fakes.DefaultFields(9)...)+big))
-	l := s.run(t, "complete", strings.Repeat("r", s.bounds.Result))
+	l := s.run(t, "complete", strings.Repeat("r", s.bounds.ResultSize))
 	tr.Say("largest body unchanged %t, largest result %d", l.Body == big, len(n.Expect().Body))
 	n.Send(fakes.Invocation(10, 10, "wait=0"), fakes.Invocation(11, 11, "at=1"))
 	tr.Say("used up: %d %d", n.Expect().Code, n.Expect().Code)
@@ -191,7 +191,7 @@
 		{"no tenant", fakes.Invocation(4, 4, "tenant=")},
 		{"no fields", fakes.Raw(10, 5, "")},
 		{"fields cut short", fakes.Raw(10, 6, "\x09\x05class")},
-		{"body too long", fakes.Raw(10, 7, fakes.Fields(fakes.DefaultFields(7)...)+strings.Repeat("x", s.bounds.Body+1))},
+		{"body too long", fakes.Raw(10, 7, fakes.Fields(fakes.DefaultFields(7)...)+strings.Repeat("x", s.bounds.BodySize+1))},
 		{"longest frame", fakes.Raw(10, 8, strings.Repeat("x", 262_144-5))},
 		{"stream 0", fakes.Invocation(0, 9)},
 		{"unknown type", fakes.Raw(77, 1, "payload")},
@@ -277,7 +277,7 @@
 
 // TestSlowPeer: a caller that reads nothing stalls nobody and is cut off when it goes on sending.
 func TestSlowPeer(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Unsent = 1 << 20 })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.UnsentPerConnection = 1 << 20 })
 	slow, other := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	checks := strings.Repeat(fakes.Raw(20, 1, "\x00"), 4000)
 	slow.SetWriteDeadline(time.Now().Add(10 * time.Second))
@@ -312,7 +312,7 @@
 // invocation. Where all have work, a few newcomers are answered and asked for no more, the rest ends. Idle ones are asked away by type 30.
 func TestFull(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.Leaving = 2, 1 })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.ClosingConnections = 2, 1 })
 	one, silent := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	one.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
@@ -366,7 +366,7 @@
 func TestBadCallers(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) {
-		b.Hello, b.Sweep = 150*time.Millisecond, 20*time.Millisecond
+		b.FrameTimeout, b.SweepInterval = 150*time.Millisecond, 20*time.Millisecond
 	})
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
@@ -451,7 +451,9 @@
 // several at once where it is large.
 func TestIdleAskedToLeave(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.Roomy, b.Rests = 64, 62, 0 })
+	s := open(t, func(b *limits.Bounds, _ *config.Settings) {
+		b.Connections, b.ConnectionsHighWater, b.IdleAge = 64, 62, 0
+	})
 	all := make([]*fakes.EdgeNode, 0, 64)
 	for range 64 {
 		all = append(all, fakes.Dial(t, s.address))
@@ -473,7 +475,9 @@
 // TestIdleTooLong: who holds a connection for longer than the deployment's callers do loses it once it rests.
 func TestIdleTooLong(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, settings *config.Settings) { b.Hello, settings.Admission.IdleTimeout = 0, 50_000 })
+	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
+		b.FrameTimeout, settings.Admission.IdleTimeout = 0, 50_000
+	})
 	held, busy := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	held.Send(fakes.Raw(20, 1, "\x00"))
 	tr.Say("%v", held.Expect())
--- a/internal/backend/server/write.go
+++ b/internal/backend/server/write.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if c.writing {
-		if len(c.pending) > b.Unsent || c.server.unsent.Load() > b.UnsentAll {
+		if len(c.pending) > b.UnsentPerConnection || c.server.unsent.Load() > b.UnsentTotal {
 			c.server.violations.Warn("unread", nil)
 			c.shutdown()
 		}
@@ -57,7 +57,7 @@
 // recycle keeps a written buffer for the next answers; c.mu is held.
 func (c *conn) recycle(b []byte) {
 	c.server.unsent.Add(-int64(len(b)))
-	if c.pending = nil; cap(b) <= c.server.bounds.Spare {
+	if c.pending = nil; cap(b) <= c.server.bounds.OutputBuffer {
 		c.pending = b[:0]
 	}
 }
--- a/internal/cluster/membership/list.go
+++ b/internal/cluster/membership/list.go
@@ -303,7 +303,7 @@
 		}
 		if c == nil && time.Since(tried) > 200*time.Millisecond {
 			tried = time.Now()
-			ctx, cancel := context.WithTimeout(context.Background(), w.config.Bounds.Call/4)
+			ctx, cancel := context.WithTimeout(context.Background(), w.config.Bounds.CallTimeout/4)
 			if fresh, err := w.config.Transport.Dial(ctx, transport.KindPacket, host); err == nil {
 				c = fresh
 			}
@@ -312,7 +312,7 @@
 		if c == nil {
 			continue
 		}
-		_ = c.SetWriteDeadline(time.Now().Add(w.config.Bounds.Call / 4))
+		_ = c.SetWriteDeadline(time.Now().Add(w.config.Bounds.CallTimeout / 4))
 		if transport.WriteFrame(c, b) != nil {
 			_ = c.Close()
 			c = nil
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -83,8 +83,8 @@
 	mux := http.NewServeMux()
 	j.RegisterHandlers(mux)
 	server := &http.Server{
-		Handler: mux, ReadHeaderTimeout: j.config.Bounds.Call, ReadTimeout: 2 * j.config.Bounds.Call, WriteTimeout: 4 * j.config.Bounds.Call,
-		IdleTimeout: j.config.Bounds.Idle, MaxHeaderBytes: j.config.Bounds.Message,
+		Handler: mux, ReadHeaderTimeout: j.config.Bounds.CallTimeout, ReadTimeout: 2 * j.config.Bounds.CallTimeout, WriteTimeout: 4 * j.config.Bounds.CallTimeout,
+		IdleTimeout: j.config.Bounds.IdleTimeout, MaxHeaderBytes: j.config.Bounds.MessageSize,
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
--- a/internal/cluster/quotastore/api.go
+++ b/internal/cluster/quotastore/api.go
@@ -68,7 +68,7 @@
 			next = members[i]
 		}
 		tried[next] = true
-		ask, cancel := context.WithTimeout(ctx, n.config.Bounds.Call)
+		ask, cancel := context.WithTimeout(ctx, n.config.Bounds.CallTimeout)
 		err := n.config.Transport.Call(ask, next, path, body, into)
 		cancel()
 		if err == nil {
@@ -137,7 +137,7 @@
 	})
 	mux.HandleFunc("POST /ledger/do", func(w http.ResponseWriter, r *http.Request) {
 		var c quota.Command
-		if err := json.NewDecoder(io.LimitReader(r.Body, 16*int64(n.config.Bounds.Message))).Decode(&c); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, 16*int64(n.config.Bounds.MessageSize))).Decode(&c); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/internal/cluster/quotastore/raftnode.go
+++ b/internal/cluster/quotastore/raftnode.go
@@ -51,7 +51,7 @@
 	heard := map[string]quorum.LogPosition{}
 	for ctx.Err() == nil {
 		for _, m := range others {
-			ask, cancel := context.WithTimeout(ctx, n.config.Bounds.Call/2)
+			ask, cancel := context.WithTimeout(ctx, n.config.Bounds.CallTimeout/2)
 			var s quorum.LogPosition
 			if err := n.config.Transport.Call(ask, m, "/ledger/standing", nil, &s); err == nil {
 				heard[m] = s
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	trans := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: streamLayer{n.config.Transport.Listener(transport.KindRaft), n.config.Transport}, MaxPool: 3, Timeout: n.config.Bounds.Call, Logger: quiet,
+		Stream: streamLayer{n.config.Transport.Listener(transport.KindRaft), n.config.Transport}, MaxPool: 3, Timeout: n.config.Bounds.CallTimeout, Logger: quiet,
 		// No pipeline: where its reader gives up while its writer waits for room, the library (v1.8.0) waits for ever, and
 		// with it the end of that node. Entries are sent in batches anyway.
 		MaxRPCsInFlight: 1,
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -75,14 +75,14 @@
 			_ = q.Close()
 		}
 	}()
-	l := limits.LimitListener(n.listener, 4*n.limits.Clients)
+	l := limits.LimitListener(n.listener, 4*n.limits.Connections)
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			time.Sleep(n.limits.Again)
+			time.Sleep(n.limits.RetryBackoff)
 			continue
 		}
 		go n.accept(c)
@@ -91,7 +91,7 @@
 
 // greet reads the first line and hands the conversation to its kind; one that is meant for another agent is closed.
 func (n *Transport) accept(c net.Conn) {
-	_ = c.SetReadDeadline(time.Now().Add(n.limits.Call))
+	_ = c.SetReadDeadline(time.Now().Add(n.limits.CallTimeout))
 	line := make([]byte, 0, 128)
 	for one := make([]byte, 1); len(line) < cap(line); { // no byte beyond the line may be taken
 		if _, err := io.ReadFull(c, one); err != nil {
@@ -114,7 +114,7 @@
 	case q.conns <- &peerConn{c, peerAddr(words[3])}:
 	case <-q.closed:
 		_ = c.Close()
-	case <-time.After(n.limits.Call):
+	case <-time.After(n.limits.CallTimeout):
 		_ = c.Close()
 	}
 }
@@ -127,11 +127,11 @@
 	if address == "" {
 		return nil, fmt.Errorf("peer %q: no address is known", to)
 	}
-	c, err := (&net.Dialer{Timeout: n.limits.Call}).DialContext(ctx, "tcp", address)
+	c, err := (&net.Dialer{Timeout: n.limits.CallTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(n.limits.Call))
+	_ = c.SetWriteDeadline(time.Now().Add(n.limits.CallTimeout))
 	if _, err := fmt.Fprintf(c, "%s %s %s %s\n", protocolVersion, kind, to, n.Self); err != nil {
 		_ = c.Close()
 		return nil, err
@@ -149,13 +149,13 @@
 	c := n.clients[to]
 	if c == nil {
 		c = &http.Client{Transport: &http.Transport{
-			MaxConnsPerHost: 8, MaxIdleConnsPerHost: 4, DisableCompression: true, IdleConnTimeout: n.limits.Idle,
+			MaxConnsPerHost: 8, MaxIdleConnsPerHost: 4, DisableCompression: true, IdleConnTimeout: n.limits.IdleTimeout,
 			DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) { return n.Dial(ctx, KindCall, to) },
 		}}
 		n.clients[to] = c
 	}
 	n.mu.Unlock()
-	return jsonhttp.Call(ctx, c, http.MethodPost, path, body, into, 16*int64(n.limits.Message))
+	return jsonhttp.Call(ctx, c, http.MethodPost, path, body, into, 16*int64(n.limits.MessageSize))
 }
 
 // name is a peer's address where one is asked for.
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -18,8 +18,8 @@
 // DefaultConfig is the configuration of an agent under bounds b.
 func DefaultConfig(b limits.Control, seed uint64) Config {
 	return Config{
-		KillDelay: micros(500_000_000), MaxFinishedCommands: b.Commands, MaxOpenCommands: b.Open, JitterSeed: seed,
-		ResendBackoff:   backoff.Policy{Min: b.Again, Max: b.AgainMax},
-		RelaunchBackoff: backoff.Policy{Min: 2 * b.Again, Max: 10 * b.AgainMax},
+		KillDelay: micros(500_000_000), MaxFinishedCommands: b.EndedCommands, MaxOpenCommands: b.OpenCommands, JitterSeed: seed,
+		ResendBackoff:   backoff.Policy{Min: b.RetryBackoff, Max: b.RetryBackoffMax},
+		RelaunchBackoff: backoff.Policy{Min: 2 * b.RetryBackoff, Max: 10 * b.RetryBackoffMax},
 	}
 }
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -436,7 +436,7 @@
 	for _, n := range []int{60, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			bounds := limits.ForControl()
-			bounds.Names = n
+			bounds.Instances = n
 			s, err := ReadSpec("f", []byte(groupsOf(4, n/4, 0, "(width 8) (least-share 0.5)")), bounds)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -33,7 +33,7 @@
 	for _, g := range f.All("group") {
 		s.readGroup(g, filepath.Dir(file))
 	}
-	s.checkInstanceCounts(f, b.Names)
+	s.checkInstanceCounts(f, b.Instances)
 	if w := f.Field("wave"); w != nil {
 		s.RollingUpdateQuota = w.Text("budget", "")
 		s.RollingUpdate = readRollingUpdate(w, s.RollingUpdate)
--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -101,7 +101,7 @@
 		return
 	}
 	// The stream ended first: ask how the command stands, also where the time has run out.
-	ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*c.Bounds.Call)
+	ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*c.Bounds.CallTimeout)
 	defer cancel()
 	command, errAsk := agent.Command(ask, id)
 	if errAsk != nil {
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounds.Call, bounds.Again, bounds.AgainMax = 500*time.Millisecond, time.Millisecond, time.Millisecond
+	bounds.CallTimeout, bounds.RetryBackoff, bounds.RetryBackoffMax = 500*time.Millisecond, time.Millisecond, time.Millisecond
 	return &Client{Spec: spec, Caller: agentapi.NewClientFactory(bounds, 1), Bounds: bounds, Operator: "tester"}, agents
 }
 
--- a/internal/fleetclient/rollingupdate.go
+++ b/internal/fleetclient/rollingupdate.go
@@ -65,7 +65,7 @@
 			return ""
 		}
 		select {
-		case <-time.After(progressIntervalBeats * u.client.Bounds.Beat):
+		case <-time.After(progressIntervalBeats * u.client.Bounds.TickInterval):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -31,9 +31,9 @@
 		network, to = "unix", path
 	}
 	return &http.Client{Transport: &http.Transport{
-		MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: b.Idle,
+		MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: b.IdleTimeout,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return (&net.Dialer{Timeout: b.Call}).DialContext(ctx, network, to)
+			return (&net.Dialer{Timeout: b.CallTimeout}).DialContext(ctx, network, to)
 		},
 	}}
 }
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -144,7 +144,7 @@
 	now := s.now()
 	s.r.Late = max(s.r.Late, time.Duration(now-arrival.At)*time.Microsecond)
 	s.r.Offer(s.s, arrival.At, arrival.Operation, arrival.Tenant)
-	if s.open >= s.o.Bounds.Open {
+	if s.open >= s.o.Bounds.InFlight {
 		s.r.Unsent++
 		s.r.End(s.s, now, arrival.Operation, arrival.Tenant, simulation.Local, 0, 0)
 		return
--- a/internal/supervisor/api.go
+++ b/internal/supervisor/api.go
@@ -123,7 +123,7 @@
 // handleStep takes a notice or a kill for this incarnation.
 func (s *supervisor) handleStep(w http.ResponseWriter, r *http.Request) {
 	var request StepRequest
-	body := io.LimitReader(r.Body, int64(s.options.Bounds.Message))
+	body := io.LimitReader(r.Body, int64(s.options.Bounds.MessageSize))
 	if err := json.NewDecoder(body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -22,16 +22,16 @@
 
 // Report waits for a report whose serial is above after, or for longPollTimeout.
 func (c *Client) Report(ctx context.Context, after int) (r Report, err error) {
-	ctx, cancel := context.WithTimeout(ctx, longPollTimeout+c.bounds.Call)
+	ctx, cancel := context.WithTimeout(ctx, longPollTimeout+c.bounds.CallTimeout)
 	defer cancel()
 	path := "/v1/report?after=" + strconv.Itoa(after)
-	err = jsonhttp.Call(ctx, c.http, http.MethodGet, path, nil, &r, int64(c.bounds.Message))
+	err = jsonhttp.Call(ctx, c.http, http.MethodGet, path, nil, &r, int64(c.bounds.MessageSize))
 	return r, err
 }
 
-// Request hands a step over, within limits.Control.Call.
+// Request hands a step over, within limits.Control.CallTimeout.
 func (c *Client) Request(ctx context.Context, r StepRequest) error {
-	ctx, cancel := context.WithTimeout(ctx, c.bounds.Call)
+	ctx, cancel := context.WithTimeout(ctx, c.bounds.CallTimeout)
 	defer cancel()
 	return jsonhttp.Call(ctx, c.http, http.MethodPost, "/v1/order", r, nil, 0)
 }
--- a/internal/supervisor/launch.go
+++ b/internal/supervisor/launch.go
@@ -91,10 +91,10 @@
 	for instance.Alive() {
 		fd, err := unix.PidfdOpen(instance.PID, 0)
 		if err != nil {
-			time.Sleep(s.options.Bounds.Poll)
+			time.Sleep(s.options.Bounds.PollInterval)
 			continue
 		}
-		timeout := int(s.options.Bounds.PollRest.Milliseconds())
+		timeout := int(s.options.Bounds.IdlePollInterval.Milliseconds())
 		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, timeout) // Alive decides
 		_ = unix.Close(fd)
 	}
--- a/internal/supervisor/logfile.go
+++ b/internal/supervisor/logfile.go
@@ -10,7 +10,7 @@
 // is copied, not renamed, as the instance keeps its descriptor.
 func (s *supervisor) rotateLog() {
 	info, err := os.Stat(s.paths.Log)
-	if err != nil || info.Size() < s.options.Bounds.LogBytes {
+	if err != nil || info.Size() < s.options.Bounds.LogFileSize {
 		return
 	}
 	if err := copyFile(s.paths.Log, s.paths.Log+".1", info.Size()); err != nil {
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -18,7 +18,7 @@
 	acknowledgeTimeout   Micros = 250_000
 	socketNoticeInterval Micros = 200_000
 	// lateNoticeAllowance is by how much later than the notice an instance may begin its grace: its module shortens
-	// the grace by that much (limits.Bounds.NoticeLate).
+	// the grace by that much (limits.Bounds.NoticeDelay).
 	lateNoticeAllowance Micros = 100_000
 	// killLead is how long before the end of its grace an unresponsive instance is killed: a kill takes time.
 	killLead Micros = 150_000
--- a/internal/supervisor/record_test.go
+++ b/internal/supervisor/record_test.go
@@ -258,7 +258,7 @@
 // TestRotateLog: a log file that is too long is copied aside and begun anew, one that is not stays.
 func TestRotateLog(t *testing.T) {
 	s := newTestSupervisor(t, nil, false)
-	s.options.Bounds.LogBytes = 10
+	s.options.Bounds.LogFileSize = 10
 	for _, c := range []struct{ text, aside string }{{"short", ""}, {"0123456789", "0123456789"}} {
 		if err := os.WriteFile(s.paths.Log, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -101,12 +101,12 @@
 	}
 	b := s.options.Bounds
 	server := &http.Server{
-		Handler: s.handler(), ReadHeaderTimeout: b.Call, ReadTimeout: 2 * longPollTimeout, WriteTimeout: 2 * longPollTimeout,
-		IdleTimeout: b.Idle, MaxHeaderBytes: b.Message,
+		Handler: s.handler(), ReadHeaderTimeout: b.CallTimeout, ReadTimeout: 2 * longPollTimeout, WriteTimeout: 2 * longPollTimeout,
+		IdleTimeout: b.IdleTimeout, MaxHeaderBytes: b.MessageSize,
 	}
 	var serving sync.WaitGroup
 	serving.Go(func() {
-		if err := server.Serve(limits.LimitListener(l, b.Clients)); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(limits.LimitListener(l, b.Connections)); !errors.Is(err, http.ErrServerClosed) {
 			slog.Error("serve", "name", s.options.Name, "error", err.Error())
 		}
 	})
@@ -175,7 +175,7 @@
 		interval := s.step()
 		checks.start(s, interval)
 		timer.Reset(interval)
-		if time.Since(logCheckedAt) >= s.options.Bounds.LogLook {
+		if time.Since(logCheckedAt) >= s.options.Bounds.LogCheckInterval {
 			logCheckedAt = time.Now()
 			s.rotateLog()
 		}
@@ -196,7 +196,7 @@
 	}
 	h.running, h.startedAt = true, time.Now()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), s.options.Bounds.PollRest)
+		ctx, cancel := context.WithTimeout(context.Background(), s.options.Bounds.IdlePollInterval)
 		defer cancel()
 		state, err := s.instance.State(ctx)
 		if err != nil {
@@ -229,9 +229,9 @@
 		s.perform(a, instance, killCause, now-notifiedAt)
 	}
 	if phase == fleet.PhaseReady || phase == fleet.PhaseUnready {
-		return s.options.Bounds.PollRest
+		return s.options.Bounds.IdlePollInterval
 	}
-	return s.options.Bounds.Poll
+	return s.options.Bounds.PollInterval
 }
 
 // perform does one action; sinceNotice is how long ago the notice was given.
@@ -242,7 +242,7 @@
 		err = instance.Signal(syscall.SIGTERM)
 	case NotifySocket:
 		go func() { // an unresponsive one does not answer, and the main loop must go on meanwhile
-			ctx, cancel := context.WithTimeout(context.Background(), s.options.Bounds.PollRest)
+			ctx, cancel := context.WithTimeout(context.Background(), s.options.Bounds.IdlePollInterval)
 			defer cancel()
 			_ = s.instance.Leave(ctx, time.Duration(sinceNotice)*time.Microsecond) // repeated until it is acknowledged
 		}()
@@ -322,7 +322,7 @@
 		fetched := s.exitFetched
 		s.mu.Unlock()
 		if fetched {
-			time.Sleep(s.options.Bounds.Poll) // the answer goes out
+			time.Sleep(s.options.Bounds.PollInterval) // the answer goes out
 			return
 		}
 	}
