--- a/internal/limits/control.go
+++ b/internal/limits/control.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Control bounds the sockets by which instances are managed, and who speaks on them. None of it lies on the way
-// of an invocation.
+// Control bounds the sockets by which instances are managed, and their clients: the agent, the supervisors, the admin socket
+// and the command-line tool. None of it lies on the way of an invocation.
 type Control struct {
-	Connections      int           // connections open at once on one socket; a further one waits to be accepted
-	MessageSize      int           // bytes of one message, headers apart
-	CallTimeout      time.Duration // one call from its connection to its answer
-	IdleTimeout      time.Duration // a kept connection without a call
-	Watchers         int           // watchers of one agent at once; a further one is turned away
-	WatcherBacklog   int           // lines of progress that wait for one watcher; beyond it is cut and may join again
-	EndedCommands    int           // ended commands that an agent keeps; the oldest are forgotten first
-	OpenCommands     int           // commands that are open at once; a further one is turned away
-	Instances        int           // instances of one agent
-	HistoryEntries   int           // entries of history that an agent keeps
-	FanOut           int           // agents that the tool speaks to at once
+	Connections      int           // open at the same time on one socket; a further one waits to be accepted
+	MessageSize      int           // bytes of one message, without its headers
+	CallTimeout      time.Duration // one call, from its connection to its response
+	IdleTimeout      time.Duration // how long a connection without a call stays open
+	Watchers         int           // of one agent at the same time; a further one is rejected
+	WatcherBacklog   int           // progress lines queued for one watcher; with more it is disconnected and may connect again
+	EndedCommands    int           // kept by an agent; the oldest are dropped first
+	OpenCommands     int           // of an agent at the same time; a further one is rejected
+	Instances        int           // of one agent
+	HistoryEntries   int           // kept by an agent
+	FanOut           int           // agents that the tool calls at the same time
 	Attempts         int           // of one call to one agent
-	RetryBackoff     time.Duration // before the second try; it doubles, with jitter
+	RetryBackoff     time.Duration // before the second attempt; it doubles, with jitter
 	RetryBackoffMax  time.Duration // up to this
-	LogFileSize      int64         // of one instance's log file; two of them are kept
-	LogCheckInterval time.Duration // between two looks at its size
-	PollInterval     time.Duration // between two looks at an instance that is expected to change
-	IdlePollInterval time.Duration // and at one that rests
-	ParallelStarts   int           // keepers started at once
-	TickInterval     time.Duration // between two looks of the agent at its time limits
+	LogFileSize      int64         // bytes of one instance's log file; the current and the previous one are kept
+	LogCheckInterval time.Duration // between two checks of that size
+	PollInterval     time.Duration // between two polls of an instance that is expected to change
+	IdlePollInterval time.Duration // between two polls of any other instance
+	ParallelStarts   int           // supervisors that are started at the same time
+	TickInterval     time.Duration // between two checks of the agent for deadlines that have passed
 }
 
-// ForControl are the bounds for a host of up to some hundred instances.
+// ForControl returns the bounds for a host of up to some hundred instances.
 func ForControl() Control {
 	return Control{
 		Connections: 64, MessageSize: 1 << 20, CallTimeout: 2 * time.Second, IdleTimeout: time.Minute, Watchers: 32, WatcherBacklog: 1024,
@@ -41,11 +41,13 @@
 	}
 }
 
-// LimitListener lets at most so many connections of a listener be open; Accept waits for one to be closed.
-func LimitListener(l net.Listener, most int) net.Listener {
-	return &limitedListener{Listener: l, slots: make(chan struct{}, most), closed: make(chan struct{})}
+// LimitListener bounds the open connections of a listener: at the maximum, Accept waits until one is closed. Accept returns
+// net.ErrClosed once the listener is closed.
+func LimitListener(l net.Listener, maxOpen int) net.Listener {
+	return &limitedListener{Listener: l, slots: make(chan struct{}, maxOpen), closed: make(chan struct{})}
 }
 
+// limitedListener takes a slot for each connection that it accepts.
 type limitedListener struct {
 	net.Listener
 	slots  chan struct{}
@@ -72,6 +74,7 @@
 	return l.Listener.Close()
 }
 
+// limitedConn returns its slot when it is closed for the first time.
 type limitedConn struct {
 	net.Conn
 	slots chan struct{}
@@ -83,10 +86,10 @@
 	return c.Conn.Close()
 }
 
-// Load bounds what sends a day over sockets.
+// Load bounds the load generator.
 type Load struct {
-	InFlight int // invocations without an end; further ones are counted and not sent
+	InFlight int // invocations sent and not answered; further ones are counted and not sent
 }
 
-// ForLoad are the bounds for one machine.
+// ForLoad returns the bounds for one machine.
 func ForLoad() Load { return Load{InFlight: 100_000} }
--- a/internal/limits/instance.go
+++ b/internal/limits/instance.go
@@ -1,5 +1,5 @@
-// Package limits holds every size, count and time that bounds the program. The figures follow from what the
-// machine and the protocol allow; they are worked out once, at the start, and handed down.
+// Package limits holds the sizes, counts and durations that bound the program. They follow from what the machine and the
+// protocol allow, and are computed once, at the start. It also limits the open connections of a listener.
 package limits
 
 import (
@@ -7,91 +7,91 @@
 	"time"
 )
 
-// The log of any program of this repository.
+// Bounds of the log of each program.
 const (
-	LogLines = 4096            // that wait for whoever reads the log; further ones are dropped and counted
-	LogEnd   = 2 * time.Second // a program that ends waits so long for them to be read
+	LogLines = 4096            // lines queued for the log's reader; further ones are dropped and counted
+	LogEnd   = 2 * time.Second // how long a program that exits waits for them to be read
 )
 
-// Bounds are the limits of one process.
+// Bounds are the limits of one backend process.
 type Bounds struct {
 	// The process.
-	Processors           int   // that run Go code at once
-	Heap                 int64 // bytes, the soft limit
-	HeapGrowth           int   // percent between two collections, while under that limit
-	Connections          int   // of edge nodes, open at once
-	ConnectionsHighWater int   // beyond so many, those that rest longest are asked away
-	ClosingConnections   int   // besides those, on their way out
-	Invocations          int   // read and not answered, or answered and still on the farm
+	Processors           int   // that run Go code at the same time (GOMAXPROCS)
+	Heap                 int64 // bytes, the soft memory limit of the garbage collector
+	HeapGrowth           int   // percent between two collections, while below that limit (GOGC)
+	Connections          int   // of edge nodes, open at the same time
+	ConnectionsHighWater int   // with more than these open, those idle for longest are asked to leave (GOAWAY)
+	ClosingConnections   int   // allowed beyond Connections while they are being closed
+	Invocations          int   // read and not answered, or answered and still running on the executor
 
 	// Messages, in bytes unless said otherwise.
-	Streams              int   // invocations open on one connection
+	Streams              int   // invocations open on one connection, a count
 	FrameSize            int   // a frame after its length, by the protocol
-	InvocationFrameSize  int   // a frame that can be an invocation; what is longer is skipped unread
+	InvocationFrameSize  int   // the payload of a frame that can be an invocation; what is longer is skipped unread
 	BodySize             int   // an invocation's body
 	ResultSize           int   // a run's result
-	LineSize             int   // a line from the farm, without what follows it
-	UnsentPerConnection  int   // answers that one connection's peer leaves unread
+	LineSize             int   // a line from the executor, without the result that follows it
+	UnsentPerConnection  int   // answers that the peer of one connection leaves unread
 	UnsentTotal          int64 // the same for all connections together
-	IdempotencyCacheSize int   // what is remembered of tokened operations, results included
-	IdempotencyKeySize   int   // by which a repeat is known
-	OutputBuffer         int   // a buffer that is kept for the next answers
-	PartialFrameBuffer   int   // the same for the beginnings of frames
-	ReadBuffer           int   // what one connection's turn brings at the most
-	ReceiveBuffer        int   // what the system may hold of a connection's input
-	InvalidFrames        int   // frames on one connection that cannot be used, or name work that the farm does not know
+	IdempotencyCacheSize int   // the cache of operations with an idempotency key, results included
+	IdempotencyKeySize   int   // an idempotency key
+	OutputBuffer         int   // the largest output buffer that is reused for the next answers
+	PartialFrameBuffer   int   // the largest buffer of a partial frame that is reused
+	ReadBuffer           int   // what is read from one connection at a time
+	ReceiveBuffer        int   // what the kernel may hold of a connection's input (SO_RCVBUF)
+	InvalidFrames        int   // on one connection before it is closed, a count; unknown operations count too
 
-	// The farm.
-	SampleTimeout   time.Duration // a tick waits so long for its sample
-	SampleMaxAge    time.Duration // gauges older than this are not told
-	StallThreshold  time.Duration // without a tick for so long, the process was held up and its gauges are of before
-	DialTimeout     time.Duration // one try to reach it
-	RedialMin       time.Duration // between the first two tries; it doubles
+	// The executor.
+	SampleTimeout   time.Duration // how long a tick waits for its sample
+	SampleMaxAge    time.Duration // older gauges are not used
+	StallThreshold  time.Duration // without a tick for so long, the process was stalled and its gauges are out of date
+	DialTimeout     time.Duration // one attempt to connect
+	RedialMin       time.Duration // between the first two attempts; it doubles
 	RedialMax       time.Duration // up to this
-	ExecutorSilence time.Duration // a link that brings nothing for so long, though asked, is tried anew beside it
-	ExecutorAbsence time.Duration // without a link for so long, checks are answered with bad
+	ExecutorSilence time.Duration // a connection that brings nothing for so long, though asked, is replaced by a new one
+	ExecutorAbsence time.Duration // without a connection for so long, health checks are answered with bad
 
-	// The roster.
-	ReportInterval     time.Duration // between two reports, in the mean
-	DeregisterRetry    time.Duration // between two words that we leave, where one may overtake the other
-	ReportRetryMin     time.Duration // of a pause after a report that was not taken
-	ReportRetryRefused time.Duration // the longest while nobody listens there
-	ReportRetryInitial time.Duration // the longest after the first that was not taken
-	ReportRetryMax     time.Duration // and after many
-	RetryAfterMax      time.Duration // the longest that the roster may ask to stay away
-	RegistrationTTL    time.Duration // an entry is gone so long after its last report
-	ReportTimeout      time.Duration // one report; as long as an entry lasts, so that a slow roster still counts it
-	ReportsInFlight    int           // on their way at once: two that are never answered leave room for the one that keeps the entry
+	// The endpoint registry.
+	ReportInterval     time.Duration // between two load reports, in the mean
+	DeregisterRetry    time.Duration // between the first two attempts to deregister; it doubles
+	ReportRetryMin     time.Duration // the shortest pause after a report that failed
+	ReportRetryRefused time.Duration // the longest pause while connections to the registry are refused
+	ReportRetryInitial time.Duration // the longest pause after the first failure; it grows with each
+	ReportRetryMax     time.Duration // up to this
+	RetryAfterMax      time.Duration // the longest Retry-After of the registry that is honoured
+	RegistrationTTL    time.Duration // the registry drops an entry so long after its last report
+	ReportTimeout      time.Duration // one report; nearly as long as an entry lasts, so that a slow registry still counts it
+	ReportsInFlight    int           // at the same time: two that are never answered leave room for the one that renews the entry
 
 	// Edge nodes.
-	BindTimeout        time.Duration // an address that is still taken, by one just killed, is tried for so long,
-	BindRetry          time.Duration // so often
-	WriteTimeout       time.Duration // a peer that takes nothing for so long is gone
-	SweepInterval      time.Duration // between two looks at all connections, and at all that is remembered
-	NewConnectionAge   time.Duration // a connection this young may yet say something
-	IdleAge            time.Duration // one that has carried nothing for so long rests
-	LingerTimeout      time.Duration // closed for writing, it waits so long for its peer's end
-	AcceptQueueTimeout time.Duration // what stands in the accept queue is taken in for so long before the listener closes
-	FrameTimeout       time.Duration // it has said something sound by then, and ended any frame that it began; under 3 s
+	BindTimeout        time.Duration // how long an address is tried that is still in use by a process just killed
+	BindRetry          time.Duration // between two attempts to bind it
+	WriteTimeout       time.Duration // a peer that reads nothing for so long is cut off
+	SweepInterval      time.Duration // between two looks at all connections, and at the idempotency cache
+	NewConnectionAge   time.Duration // a younger connection without a frame may still send one
+	IdleAge            time.Duration // a connection unused for longer is idle and may be evicted
+	LingerTimeout      time.Duration // a connection closed for writing waits so long for its peer's end
+	AcceptQueueTimeout time.Duration // how long the accept queue is emptied before the listener closes
+	FrameTimeout       time.Duration // for the first valid frame of a connection, and for the rest of any frame; below 3 s
 
-	// The life of the process.
-	ReplayRetryAfter    time.Duration // a repeat that waited for what never ran may come again after so long
-	LogInterval         time.Duration // between two log lines on the state, or on odd input of one kind
-	NoticeDelay         time.Duration // a notice may be heard so late; that much of the grace is not used
-	ReloadRetry         time.Duration // a file that cannot be used may be half written: it is read again after so long
-	ReloadAttempts      int           // so many times
-	RejectBeforeStop    time.Duration // callers are turned away so long before the stop at the least: what crosses that is answered
-	ExitMargin          time.Duration // the process ends so long before the stop, if all is answered
-	ExitMarginUnwritten time.Duration // or, with answers still to be written, so long before it
+	// Start, reload and shutdown of the process.
+	ReplayRetryAfter    time.Duration // Retry-After for a repeat whose first attempt did not run
+	LogInterval         time.Duration // between two log lines on the state, or on protocol errors of one kind
+	NoticeDelay         time.Duration // a shutdown notice may arrive so late; that much of the grace period is not used
+	ReloadRetry         time.Duration // between two attempts to read a file that may be half written
+	ReloadAttempts      int           // attempts to read it
+	RejectBeforeStop    time.Duration // invocations are rejected at least so long before the stop, so that late ones are still answered
+	ExitMargin          time.Duration // the process exits so long before the stop, if all is answered
+	ExitMarginUnwritten time.Duration // or so long before it, with answers still to be written
 }
 
-// What a process needs beside its connections and invocations.
+// What the capacity for connections and invocations is computed from.
 const (
-	bytesPerMB         = 1 << 20
-	spareDescriptors   = 24       // of the executor, the registry, the pollers and the standard streams
-	leavingConnections = 12       // connections that are being closed at once
-	bytesPerInvocation = 16 << 10 // goroutine, body, result, and the answer until it is written
-	bytesPerConnection = 20 << 10 // netpoll's buffer and ours, with a frame begun
+	bytesPerMB          = 1 << 20
+	reservedDescriptors = 24       // for the executor, the registry, the pollers and the standard streams
+	closingConnections  = 12       // being closed at the same time
+	bytesPerInvocation  = 16 << 10 // goroutine, body, result, and the answer until it is written
+	bytesPerConnection  = 20 << 10 // netpoll's buffer and ours, with a partial frame
 )
 
 // fixed are the bounds that do not depend on the size of a process.
@@ -108,7 +108,7 @@
 		ReadBuffer:         4 << 10,
 		ReceiveBuffer:      64 << 10,
 		InvalidFrames:      32,
-		ClosingConnections: leavingConnections,
+		ClosingConnections: closingConnections,
 		IdempotencyKeySize: 64,
 
 		SampleTimeout:       20 * time.Millisecond,
@@ -149,11 +149,11 @@
 	}
 }
 
-// For works the bounds out from a process's share of cores, its memory in MB and its descriptors.
+// For computes the bounds of a process from its share of cores, its memory in MB and its limit of file descriptors.
 func For(cores, memoryMB float64, sockets int) Bounds {
 	b := fixed()
-	// One more than the cores: the poller of edge connections sleeps inside a system call, and what
-	// becomes due meanwhile should not wait until the runtime has taken its processor back.
+	// One more than the cores: the poller of edge connections blocks inside a system call, and goroutines that
+	// become runnable meanwhile should not wait until the runtime has retaken its processor.
 	b.Processors = int(math.Ceil(cores)) + 1
 	b.Heap = int64(memoryMB * bytesPerMB * 5 / 8)
 	b.InvocationFrameSize = b.BodySize + 8<<10
@@ -161,9 +161,10 @@
 	b.UnsentTotal = int64(memoryMB * bytesPerMB / 8)
 	b.IdempotencyCacheSize = int(memoryMB * bytesPerMB / 16)
 	b.OutputBuffer = 16 << 10
-	room := memoryMB * bytesPerMB / 4 // for connections, and as much for invocations; the rest is for collections
-	b.Connections = max(1, min(sockets-spareDescriptors-leavingConnections, int(room/bytesPerConnection)))
+	// A quarter of the memory is for connections, and as much for invocations; the rest is for the garbage collector.
+	capacity := memoryMB * bytesPerMB / 4
+	b.Connections = max(1, min(sockets-reservedDescriptors-closingConnections, int(capacity/bytesPerConnection)))
 	b.ConnectionsHighWater = b.Connections * 3 / 4
-	b.Invocations = max(1, min(b.Connections*b.Streams, int(room/bytesPerInvocation)))
+	b.Invocations = max(1, min(b.Connections*b.Streams, int(capacity/bytesPerInvocation)))
 	return b
 }
--- a/internal/limits/instance_test.go
+++ b/internal/limits/instance_test.go
@@ -6,7 +6,7 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestBounds: whatever the limits are, there is room for something, and what is bounded fits within them.
+// TestBounds: whatever the size of the process, connections and invocations have capacity, and the bounds fit within its size.
 func TestBounds(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
