--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -26,47 +26,47 @@
 // Reporter reports as its pace has it; nothing waits for it. A report does not wait for the one before: a roster
 // that takes longer than the pause to answer must not cost the entry.
 type Reporter struct {
-	path   string
-	bounds limits.Bounds
-	client *http.Client
-	pace   *reportpacing.Pacer // Keep's
-	began  time.Time
-	off    chan struct{}
-	once   sync.Once
-	moved  chan struct{} // the roster is at another address
-	ended  chan report   // room for all that may be on their way
+	path           string
+	bounds         limits.Bounds
+	client         *http.Client
+	pacer          *reportpacing.Pacer // Keep's
+	startedAt      time.Time
+	deregister     chan struct{}
+	deregisterOnce sync.Once
+	addressChanged chan struct{} // the roster is at another address
+	results        chan result   // room for all that may be on their way
 
 	mu      sync.Mutex
 	address string
-	ill     bool // the last report to end did not arrive
+	failing bool // the last report to end did not arrive
 }
 
-// report is one that has ended.
-type report struct {
-	begun  reportpacing.Micros
-	err    error
-	advice time.Duration
+// result is a report that has ended.
+type result struct {
+	startedAt  reportpacing.Micros
+	err        error
+	retryAfter time.Duration
 }
 
 // New makes a reporter for the backend of that name. fixed: in step with the clock, as baselines are.
 func New(address, name string, bounds limits.Bounds, fixed bool) *Reporter {
 	t := reportpacing.Config{
-		Usual: micros(bounds.ReportInterval), Lapse: micros(bounds.RegistrationTTL), Least: micros(bounds.ReportRetryMin), Closed: micros(bounds.ReportRetryRefused),
-		First: micros(bounds.ReportRetryInitial), Most: micros(bounds.ReportRetryMax), Advice: micros(bounds.RetryAfterMax), OnWay: bounds.ReportsInFlight, Fixed: fixed,
+		Interval: micros(bounds.ReportInterval), TTL: micros(bounds.RegistrationTTL), RetryMin: micros(bounds.ReportRetryMin), RetryRefused: micros(bounds.ReportRetryRefused),
+		RetryInitial: micros(bounds.ReportRetryInitial), RetryMax: micros(bounds.ReportRetryMax), RetryAfterMax: micros(bounds.RetryAfterMax), InFlight: bounds.ReportsInFlight, Fixed: fixed,
 	}
 	if fixed {
-		t.Least, t.OnWay = micros(bounds.DeregisterRetry), 2*bounds.ReportsInFlight
+		t.RetryMin, t.InFlight = micros(bounds.DeregisterRetry), 2*bounds.ReportsInFlight
 	}
 	return &Reporter{
-		path: "/roster/" + url.PathEscape(name), address: address, bounds: bounds, off: make(chan struct{}),
+		path: "/roster/" + url.PathEscape(name), address: address, bounds: bounds, deregister: make(chan struct{}),
 		// Chance of the process's own: backends that start at one instant may have one seed in their configurations.
-		pace: reportpacing.New(t, rand.Uint64()^xxhash.Sum64String(name)), began: time.Now(),
-		ended: make(chan report, t.OnWay), moved: make(chan struct{}, 1),
+		pacer: reportpacing.New(t, rand.Uint64()^xxhash.Sum64String(name)), startedAt: time.Now(),
+		results: make(chan result, t.InFlight), addressChanged: make(chan struct{}, 1),
 		client: &http.Client{
 			Timeout:       bounds.ReportTimeout,
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 			Transport: &http.Transport{
-				MaxConnsPerHost: t.OnWay + 2, MaxIdleConnsPerHost: 1, DisableCompression: true,
+				MaxConnsPerHost: t.InFlight + 2, MaxIdleConnsPerHost: 1, DisableCompression: true,
 				IdleConnTimeout: 4 * bounds.ReportInterval, MaxResponseHeaderBytes: int64(bounds.LineSize),
 			},
 		},
@@ -75,10 +75,10 @@
 
 func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 
-func (r *Reporter) now() reportpacing.Micros { return micros(time.Since(r.began)) }
+func (r *Reporter) now() reportpacing.Micros { return micros(time.Since(r.startedAt)) }
 
 // Deregister has off reported at once, until it is taken, and nothing else after it: the entry lapses then.
-func (r *Reporter) Deregister() { r.once.Do(func() { close(r.off) }) }
+func (r *Reporter) Deregister() { r.deregisterOnce.Do(func() { close(r.deregister) }) }
 
 // SetAddress names another address of the roster; the next report, sent at once, goes there.
 func (r *Reporter) SetAddress(address string) {
@@ -91,7 +91,7 @@
 	}
 	r.client.CloseIdleConnections()
 	select {
-	case r.moved <- struct{}{}:
+	case r.addressChanged <- struct{}{}:
 	default:
 	}
 }
@@ -104,37 +104,37 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	opened, onWay := r.now(), 0
-	r.pace.Start(opened)
+	r.pacer.Start(opened)
 	for {
 		var due <-chan time.Time
-		if at, room := r.pace.Due(); room {
+		if at, room := r.pacer.Due(); room {
 			timer.Reset(time.Duration(max(0, at-r.now())) * time.Microsecond)
 			due = timer.C
 		}
 		select {
 		case <-due:
 			now := r.now()
-			r.pace.Started(now)
+			r.pacer.Started(now)
 			onWay++
 			going.Go(func() {
-				advice, err := r.tell(ctx, "on")
-				r.ended <- report{now, err, advice}
+				advice, err := r.report(ctx, "on")
+				r.results <- result{now, err, advice}
 			})
-		case e := <-r.ended:
+		case e := <-r.results:
 			onWay--
 			switch now := r.now(); {
-			case e.begun < opened:
-				r.pace.Abandoned()
+			case e.startedAt < opened:
+				r.pacer.Abandoned()
 			case e.err == nil:
-				r.pace.Succeeded(now, e.begun)
+				r.pacer.Succeeded(now, e.startedAt)
 			default:
-				r.pace.Failed(now, missed(e.err), micros(e.advice))
+				r.pacer.Failed(now, failureOf(e.err), micros(e.retryAfter))
 			}
-		case <-r.moved:
+		case <-r.addressChanged:
 			opened = r.now()
-			r.pace.Start(opened)
-		case <-r.off:
-			r.leave(ctx, &going, onWay)
+			r.pacer.Start(opened)
+		case <-r.deregister:
+			r.deregisterUntilAccepted(ctx, &going, onWay)
 			return
 		case <-ctx.Done():
 			return
@@ -145,7 +145,7 @@
 // errStatus: the roster has answered, and not counted it.
 var errStatus = errors.New("status")
 
-func missed(err error) reportpacing.Failure {
+func failureOf(err error) reportpacing.Failure {
 	var slow net.Error
 	switch {
 	case errors.As(err, &slow) && slow.Timeout():
@@ -156,14 +156,14 @@
 	return reportpacing.Rejected
 }
 
-// leave says off until the roster has taken it, wherever it is moved to, in growing pauses. A report on its way may be
+// deregisterUntilAccepted says off until the roster has taken it, wherever it is moved to, in growing pauses. A report on its way may be
 // overtaken by it, and would list for good what leaves: off is said again once that has ended. Where it ended without an
 // answer it may still come to pass at any time, so off is said as long as this process lives.
-func (r *Reporter) leave(ctx context.Context, going *sync.WaitGroup, onWay int) {
+func (r *Reporter) deregisterUntilAccepted(ctx context.Context, going *sync.WaitGroup, onWay int) {
 	taken := make(chan error, 1)
 	say := func() {
 		going.Go(func() {
-			_, err := r.tell(ctx, "off")
+			_, err := r.report(ctx, "off")
 			taken <- err
 		})
 	}
@@ -175,11 +175,11 @@
 		select {
 		case err := <-taken:
 			saying, owed = false, owed || err != nil
-		case e := <-r.ended:
+		case e := <-r.results:
 			onWay--
 			owed = true
 			stray = stray || e.err != nil && !errors.Is(e.err, errStatus) && !errors.Is(e.err, syscall.ECONNREFUSED)
-		case <-r.moved:
+		case <-r.addressChanged:
 			owed, wait = true, r.bounds.DeregisterRetry
 			again.Reset(0)
 		case <-again.C:
@@ -195,19 +195,19 @@
 	}
 }
 
-// tell makes one report and logs it if it fares other than the one before.
-func (r *Reporter) tell(ctx context.Context, duty string) (advice time.Duration, err error) {
-	advice, err = r.report(ctx, duty)
+// report makes one report and logs it if it fares other than the one before.
+func (r *Reporter) report(ctx context.Context, duty string) (advice time.Duration, err error) {
+	advice, err = r.put(ctx, duty)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if ill := err != nil; ill != r.ill && ctx.Err() == nil {
-		r.ill = ill
+	if ill := err != nil; ill != r.failing && ctx.Err() == nil {
+		r.failing = ill
 		slog.Info("load_report", "reported", !ill, "error", fmt.Sprint(err))
 	}
 	return advice, err
 }
 
-func (r *Reporter) report(ctx context.Context, duty string) (advice time.Duration, err error) {
+func (r *Reporter) put(ctx context.Context, duty string) (retryAfter time.Duration, err error) {
 	body := bytes.NewReader([]byte(`{"duty":"` + duty + `"}`))
 	r.mu.Lock()
 	to := "http://" + r.address + r.path
@@ -223,13 +223,13 @@
 	defer func() { _ = answer.Body.Close() }()
 	_, _ = io.CopyN(io.Discard, answer.Body, int64(r.bounds.LineSize)) // so that the connection can be used again
 	if answer.StatusCode != http.StatusNoContent {
-		return advised(answer.Header.Get("Retry-After"), time.Now()), fmt.Errorf("%w %d", errStatus, answer.StatusCode)
+		return parseRetryAfter(answer.Header.Get("Retry-After"), time.Now()), fmt.Errorf("%w %d", errStatus, answer.StatusCode)
 	}
 	return 0, nil
 }
 
-// advised is how long a Retry-After asks to stay away, in seconds or as a date (RFC 9110, 10.2.3); 0 if it can't be read.
-func advised(word string, now time.Time) time.Duration {
+// parseRetryAfter is how long a Retry-After asks to stay away, in seconds or as a date (RFC 9110, 10.2.3); 0 if it can't be read.
+func parseRetryAfter(word string, now time.Time) time.Duration {
 	if s, err := strconv.ParseUint(word, 10, 31); err == nil {
 		return time.Duration(s) * time.Second
 	}
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -17,7 +17,7 @@
 )
 
 // none tells whether nothing more is heard for a while.
-func none(c <-chan string) bool {
+func nothingWithin(c <-chan string) bool {
 	select {
 	case <-c:
 		return false
@@ -30,8 +30,8 @@
 func TestReports(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
-		how  string
-		does http.HandlerFunc
+		name    string
+		handler http.HandlerFunc
 	}{
 		{"as it should", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }},
 		{"closing after each call", func(w http.ResponseWriter, _ *http.Request) {
@@ -45,25 +45,25 @@
 	} {
 		b := limits.For(1, 192, 1024)
 		b.ReportInterval, b.ReportTimeout, b.ReportRetryInitial, b.ReportRetryMax = 10*time.Millisecond, 200*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
-		address, reports := fakes.NewRegistry(t, c.does)
+		address, reports := fakes.NewRegistry(t, c.handler)
 		r := New(address, "n3", b, false)
-		over := make(chan struct{})
+		done := make(chan struct{})
 		ctx, cancel := context.WithCancel(context.Background())
-		go func() { r.Run(ctx); close(over) }()
+		go func() { r.Run(ctx); close(done) }()
 		n := 3
-		if c.how == "too slow" {
+		if c.name == "too slow" {
 			n = b.ReportsInFlight
 		}
 		for range n {
-			tr.Say("%s: %s", c.how, fakes.Take(t, "a report", reports))
+			tr.Say("%s: %s", c.name, fakes.Take(t, "a report", reports))
 		}
-		if c.how == "too slow" { // none has ended
-			tr.Say("  on their way: as many as may be, and no further within 100 ms %t", none(reports))
+		if c.name == "too slow" { // none has ended
+			tr.Say("  on their way: as many as may be, and no further within 100 ms %t", nothingWithin(reports))
 		}
 		r.Deregister()
 		r.Deregister()
 		off, last := 0, ""
-		if c.how != "as it should" && c.how != "closing after each call" { // it goes on saying so
+		if c.name != "as it should" && c.name != "closing after each call" { // it goes on saying so
 			for off < 3 {
 				if last = fakes.Take(t, "a report", reports); strings.Contains(last, "off") {
 					off++
@@ -71,44 +71,44 @@
 			}
 			cancel()
 		}
-		fakes.Take(t, "the end", over)
+		fakes.Take(t, "the end", done)
 		cancel()
 		for len(reports) > 0 {
 			last = <-reports
 		}
-		tr.Say("%s: the last: %s, said again and again until the end %t", c.how, last, off > 0)
+		tr.Say("%s: the last: %s, said again and again until the end %t", c.name, last, off > 0)
 	}
 }
 
 // TestTwoNeverAnswered: two reports in a row are accepted and never answered. The next comes while the entry still stands.
-func TestTwoNeverAnswered(t *testing.T) {
-	b, held := limits.For(1, 192, 1024), make(chan struct{})
-	var seen atomic.Int32
+func TestTwoUnansweredReportsKeepTheEntry(t *testing.T) {
+	b, release := limits.For(1, 192, 1024), make(chan struct{})
+	var received atomic.Int32
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
-		if n := seen.Add(1); n == 2 || n == 3 { // reports are begun one after the other
-			<-held
+		if n := received.Add(1); n == 2 || n == 3 { // reports are begun one after the other
+			<-release
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	done := make(chan struct{})
 	r := New(address, "n3", b, false)
-	go func() { r.Run(ctx); close(over) }()
+	go func() { r.Run(ctx); close(done) }()
 	fakes.Take(t, "the report that counts", reports)
-	counted := time.Now()
+	countedAt := time.Now()
 	fakes.Take(t, "the first that is never answered", reports)
 	fakes.Take(t, "the second", reports)
 	fakes.Take(t, "the next", reports)
-	if late := time.Since(counted); late > b.RegistrationTTL {
+	if late := time.Since(countedAt); late > b.RegistrationTTL {
 		t.Errorf("the next came after %v, the entry had lapsed", late)
 	}
-	close(held)
+	close(release)
 	cancel()
-	fakes.Take(t, "the end", over)
+	fakes.Take(t, "the end", done)
 }
 
 // TestBack: a roster that was away hears of us soon after it is back, not only when the next report is due.
-func TestBack(t *testing.T) {
+func TestReturningRegistryIsReportedToSoon(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,11 +118,11 @@
 	b := limits.For(1, 192, 1024)
 	b.ReportInterval, b.ReportRetryRefused = time.Hour, 10*time.Millisecond
 	r := New(l.Addr().String(), "n3", b, false)
-	r.pace = reportpacing.New(reportpacing.Config{First: 10_000, Most: 10_000, Closed: 10_000, OnWay: 2}, 1) // not up to an hour before the first
+	r.pacer = reportpacing.New(reportpacing.Config{RetryInitial: 10_000, RetryMax: 10_000, RetryRefused: 10_000, InFlight: 2}, 1) // not up to an hour before the first
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { r.Run(ctx); close(over) }()
-	fakes.Until(t, "a report was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ill })
+	done := make(chan struct{})
+	go func() { r.Run(ctx); close(done) }()
+	fakes.Until(t, "a report was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.failing })
 	l, err = net.Listen("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -136,19 +136,19 @@
 	t.Cleanup(func() { s.Close() })
 	tr.Say("%s", fakes.Take(t, "a report", reports))
 	cancel()
-	fakes.Take(t, "the end", over)
+	fakes.Take(t, "the end", done)
 }
 
 // TestOvertaken: a report that is slow on its way arrives after the first off; the last word is off all the same.
-func TestOvertaken(t *testing.T) {
-	said, heard := make(chan string, 16), make(chan struct{}, 16)
+func TestDeregistrationOvertakesReport(t *testing.T) {
+	bodies, received := make(chan string, 16), make(chan struct{}, 16)
 	s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
-		heard <- struct{}{}
+		received <- struct{}{}
 		if strings.Contains(string(body), "on") {
 			time.Sleep(50 * time.Millisecond) // the off passes it by
 		}
-		said <- string(body)
+		bodies <- string(body)
 		w.WriteHeader(http.StatusNoContent)
 	})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,14 +158,14 @@
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { s.Close() })
 	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
-	over := make(chan struct{})
-	go func() { r.Run(context.Background()); close(over) }()
-	fakes.Take(t, "a report", heard)
+	done := make(chan struct{})
+	go func() { r.Run(context.Background()); close(done) }()
+	fakes.Take(t, "a report", received)
 	r.Deregister()
-	fakes.Take(t, "the end", over)
+	fakes.Take(t, "the end", done)
 	var all []string
-	for len(said) > 0 {
-		all = append(all, <-said)
+	for len(bodies) > 0 {
+		all = append(all, <-bodies)
 	}
 	if want := []string{`{"duty":"off"}`, `{"duty":"on"}`, `{"duty":"off"}`}; !slices.Equal(all, want) {
 		t.Errorf("the roster heard %q, want %q", all, want)
@@ -173,60 +173,60 @@
 }
 
 // TestDown: a roster that is not there holds nothing up.
-func TestDown(t *testing.T) {
+func TestUnreachableRegistryBlocksNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { r.Run(ctx); close(over) }()
+	go func() { r.Run(ctx); close(done) }()
 	r.Deregister()
-	fakes.Until(t, "off was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.ill })
+	fakes.Until(t, "off was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.failing })
 	cancel() // the process ends
-	fakes.Take(t, "the end", over)
+	fakes.Take(t, "the end", done)
 }
 
 // TestLeavesUntilTaken: off is said until the roster takes it, also where that comes back or is moved meanwhile; then
 // nothing more.
-func TestLeavesUntilTaken(t *testing.T) {
+func TestDeregistersUntilAccepted(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	status, said := http.StatusServiceUnavailable, make(chan int, 100)
-	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-said) })
-	elsewhere, later := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	status, bodies := http.StatusServiceUnavailable, make(chan int, 100)
+	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-bodies) })
+	newAddress, newReports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	b := limits.For(1, 192, 1024)
 	b.ReportInterval = 10 * time.Millisecond
 	r := New(address, "n3", b, false)
-	over := make(chan struct{})
-	go func() { r.Run(context.Background()); close(over) }()
-	said <- http.StatusNoContent
+	done := make(chan struct{})
+	go func() { r.Run(context.Background()); close(done) }()
+	bodies <- http.StatusNoContent
 	tr.Say("%s", fakes.Take(t, "a report", reports))
 	r.Deregister()
 	for n := 0; n < 2; {
-		said <- status
+		bodies <- status
 		if report := fakes.Take(t, "off again", reports); strings.Contains(report, "off") {
 			n++
 		}
 	}
-	r.SetAddress(elsewhere)
+	r.SetAddress(newAddress)
 	for range 10 {
-		said <- status // whatever was on its way there
+		bodies <- status // whatever was on its way there
 	}
-	tr.Say("moved: %s", fakes.Take(t, "off elsewhere", later))
-	fakes.Take(t, "the end", over)
-	tr.Say("nothing more: %t", none(later))
+	tr.Say("moved: %s", fakes.Take(t, "off elsewhere", newReports))
+	fakes.Take(t, "the end", done)
+	tr.Say("nothing more: %t", nothingWithin(newReports))
 }
 
 // TestAdvised: a roster that asks to stay away is left alone for that long, and no longer than the bound.
-func TestAdvised(t *testing.T) {
+func TestRetryAfterIsHonoured(t *testing.T) {
 	now := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	for word, want := range map[string]time.Duration{
 		"5": 5 * time.Second, "": 0, "-1": 0, "soon": 0, "99999999999": 0, now.Add(7 * time.Second).Format(http.TimeFormat): 7 * time.Second,
 		now.Add(-time.Minute).Format(http.TimeFormat): 0,
 	} {
-		if got := advised(word, now); got != want {
+		if got := parseRetryAfter(word, now); got != want {
 			t.Errorf("%q: %v, want %v", word, got, want)
 		}
 	}
@@ -237,16 +237,16 @@
 	b := limits.For(1, 192, 1024)
 	b.ReportInterval, b.ReportRetryInitial, b.ReportRetryMax = 10*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
 	r := New(address, "n3", b, false)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { r.Run(ctx); close(over) }()
+	go func() { r.Run(ctx); close(done) }()
 	fakes.Take(t, "a report", reports)
-	began := time.Now()
+	startedAt := time.Now()
 	fakes.Take(t, "the next", reports)
-	if after := time.Since(began); after < 900*time.Millisecond {
+	if after := time.Since(startedAt); after < 900*time.Millisecond {
 		t.Errorf("it came again after %v, it was asked to wait a second", after)
 	}
 	r.Deregister()
 	cancel()
-	fakes.Take(t, "the end", over)
+	fakes.Take(t, "the end", done)
 }
--- a/internal/backend/registration/reportpacing/growth_test.go
+++ b/internal/backend/registration/reportpacing/growth_test.go
@@ -13,13 +13,13 @@
 // TestGrowthIsUnchanged: the bound of the pauses grows as the library had it grow from call to call.
 func TestGrowthIsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first := time.Duration(rapid.Int64Range(1, 10_000_000).Draw(t, "first")) * time.Microsecond
-		most := time.Duration(rapid.Int64Range(1, 100_000_000).Draw(t, "most")) * time.Microsecond
-		was := &backoff.ExponentialBackOff{InitialInterval: first, Multiplier: 1.5, MaxInterval: most}
-		is := shared.Exponential{Initial: first, Max: most, Multiplier: 1.5}
+		initial := time.Duration(rapid.Int64Range(1, 10_000_000).Draw(t, "first")) * time.Microsecond
+		maxInterval := time.Duration(rapid.Int64Range(1, 100_000_000).Draw(t, "most")) * time.Microsecond
+		libraryBackoff := &backoff.ExponentialBackOff{InitialInterval: initial, Multiplier: 1.5, MaxInterval: maxInterval}
+		sharedBackoff := shared.Exponential{Initial: initial, Max: maxInterval, Multiplier: 1.5}
 		for n := range 60 {
-			if want, got := was.NextBackOff(), is.Interval(n+1); got != want {
-				t.Fatalf("%v for interval %d of %+v, %v before", got, n+1, is, want)
+			if want, got := libraryBackoff.NextBackOff(), sharedBackoff.Interval(n+1); got != want {
+				t.Fatalf("%v for interval %d of %+v, %v before", got, n+1, sharedBackoff, want)
 			}
 		}
 	})
--- a/internal/backend/registration/reportpacing/pacer_test.go
+++ b/internal/backend/registration/reportpacing/pacer_test.go
@@ -6,66 +6,66 @@
 	"pgregory.net/rapid"
 )
 
-func terms() Config {
+func testConfig() Config {
 	return Config{
-		Usual: 700_000, Lapse: 3_000_000, Least: 20_000, Closed: 1_400_000, First: 2_800_000, Most: 4_200_000, Advice: 30_000_000, OnWay: 3,
+		Interval: 700_000, TTL: 3_000_000, RetryMin: 20_000, RetryRefused: 1_400_000, RetryInitial: 2_800_000, RetryMax: 4_200_000, RetryAfterMax: 30_000_000, InFlight: 3,
 	}
 }
 
 // TestKeeps: whatever one miss in a row is like, the entry stands; no more are on their way than may be; and what the
 // register asks for is kept.
-func TestKeeps(t *testing.T) {
+func TestEntryIsRenewedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(terms(), rapid.Uint64().Draw(t, "seed"))
+		p := New(testConfig(), rapid.Uint64().Draw(t, "seed"))
 		now := Micros(rapid.Int64Range(0, 1<<40).Draw(t, "now"))
 		p.Start(now)
-		if at, _ := p.Due(); at < now || at > now+terms().Usual {
+		if at, _ := p.Due(); at < now || at > now+testConfig().Interval {
 			t.Fatalf("the first is due after %d us", at-now)
 		}
-		missed, last, away := false, Micros(0), Micros(0)
+		failedBefore, lastCounted, notBefore := false, Micros(0), Micros(0)
 		for range 60 {
 			at, ok := p.Due()
 			if !ok {
 				t.Fatal("no room though all have ended")
 			}
-			if at < away {
-				t.Fatalf("due %d us before the register wants it", away-at)
+			if at < notBefore {
+				t.Fatalf("due %d us before the register wants it", notBefore-at)
 			}
 			now = max(now, at)
-			if last > 0 && away == 0 && now > last+terms().Lapse {
-				t.Fatalf("the entry lapsed %d us before the report", now-last-terms().Lapse)
+			if lastCounted > 0 && notBefore == 0 && now > lastCounted+testConfig().TTL {
+				t.Fatalf("the entry lapsed %d us before the report", now-lastCounted-testConfig().TTL)
 			}
 			p.Started(now)
 			begun := now
 			now += Micros(rapid.IntRange(1, 200_000).Draw(t, "takes"))
-			away = 0
-			if !missed && rapid.Bool().Draw(t, "is missed") {
-				advice := Micros(rapid.SampledFrom([]int{0, 0, 5_000_000}).Draw(t, "advice"))
-				p.Failed(now, Failure(rapid.IntRange(0, 1).Draw(t, "how")), advice)
-				if missed = true; advice > 0 {
-					away = now + advice
+			notBefore = 0
+			if !failedBefore && rapid.Bool().Draw(t, "is missed") {
+				retryAfter := Micros(rapid.SampledFrom([]int{0, 0, 5_000_000}).Draw(t, "advice"))
+				p.Failed(now, Failure(rapid.IntRange(0, 1).Draw(t, "how")), retryAfter)
+				if failedBefore = true; retryAfter > 0 {
+					notBefore = now + retryAfter
 				}
 				continue
 			}
-			missed, last = false, begun
+			failedBefore, lastCounted = false, begun
 			p.Succeeded(now, begun)
 		}
 	})
 }
 
 // TestTwoNeverAnswered: the entry stands though two reports in a row are never answered.
-func TestTwoNeverAnswered(t *testing.T) {
+func TestTwoUnansweredReportsKeepTheEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(terms(), rapid.Uint64().Draw(t, "seed"))
+		p := New(testConfig(), rapid.Uint64().Draw(t, "seed"))
 		p.Start(0)
 		now, _ := p.Due()
 		p.Started(now)
 		p.Succeeded(now+1000, now)
-		lapses := now + 1000 + terms().Lapse
-		for hung := range 3 {
+		expires := now + 1000 + testConfig().TTL
+		for unanswered := range 3 {
 			at, ok := p.Due()
-			if now = at; !ok || now+1000 > lapses {
-				t.Fatalf("due %d us before the entry lapses, room %t, with %d on their way", lapses-now, ok, hung)
+			if now = at; !ok || now+1000 > expires {
+				t.Fatalf("due %d us before the entry lapses, room %t, with %d on their way", expires-now, ok, unanswered)
 			}
 			p.Started(now)
 		}
@@ -74,27 +74,27 @@
 
 // TestRefusing: while the register takes nothing, all together call half as often as else at the most, a second at a time
 // from the third on; and nobody stays away for longer than the longest pause.
-func TestRefusing(t *testing.T) {
+func TestRejectingRegistryIsNotFlooded(t *testing.T) {
 	const backends, seconds = 300, 30
 	var calls [seconds]int
 	for n := range backends {
-		p := New(terms(), uint64(n))
+		p := New(testConfig(), uint64(n))
 		p.Start(0)
-		for last := Micros(0); ; {
+		for lastCounted := Micros(0); ; {
 			at, _ := p.Due()
 			if at >= seconds*1_000_000 {
 				break
 			}
-			if at-last > terms().Most {
-				t.Fatalf("%d stays away for %d us", n, at-last)
+			if at-lastCounted > testConfig().RetryMax {
+				t.Fatalf("%d stays away for %d us", n, at-lastCounted)
 			}
-			last = at
+			lastCounted = at
 			calls[at/1_000_000]++
 			p.Started(at)
 			p.Failed(at+1000, Rejected, 0)
 		}
 	}
-	ordinary := backends * 1_000_000 / int(terms().Usual)
+	ordinary := backends * 1_000_000 / int(testConfig().Interval)
 	for s, n := range calls[2:] {
 		if n > ordinary/2 {
 			t.Errorf("second %d: %d calls, an ordinary one has %d", s+2, n, ordinary)
@@ -103,8 +103,8 @@
 }
 
 // TestSilent: a register that answers nothing has so many calls of one backend open, and no more.
-func TestSilent(t *testing.T) {
-	p := New(terms(), 7)
+func TestSilentRegistryBoundsCallsInFlight(t *testing.T) {
+	p := New(testConfig(), 7)
 	p.Start(0)
 	open := []Micros{}
 	for now := Micros(0); now < 30_000_000; now += 1000 {
@@ -116,7 +116,7 @@
 			open = append(open, now)
 			p.Started(now)
 		}
-		if len(open) > terms().OnWay {
+		if len(open) > testConfig().InFlight {
 			t.Fatalf("%d on their way", len(open))
 		}
 	}
--- a/internal/simulation/coldstart/rising.go
+++ b/internal/simulation/coldstart/rising.go
@@ -154,7 +154,7 @@
 		w.now = e.at
 		w.step(e)
 	}
-	w.c.Figures = faultinjectioncoldstart.Of(w.calls, &t.Register, t.Backends, time.Duration(t.Reports.Usual)*time.Microsecond, t.For)
+	w.c.Figures = faultinjectioncoldstart.Of(w.calls, &t.Register, t.Backends, time.Duration(t.Reports.Interval)*time.Microsecond, t.For)
 	w.c.Falls, w.c.Warm = w.falls, len(w.warmTimes)
 	w.c.HalfWarm, w.c.MostWarm = w.nth(0.5), w.nth(0.95)
 	return &w.c, nil
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -26,8 +26,8 @@
 		Register: coldstart.Register{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, Takes: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, Takes: 10 * time.Millisecond}}},
 		Below:    Below{Takes: 200 * time.Millisecond, Crowd: max(2, backends/30), Bound: max(4, backends/10), Needs: 5 * time.Second},
 		Reports: reportpacing.Config{
-			Usual: of(b.ReportInterval), Lapse: of(b.RegistrationTTL), Least: of(b.ReportRetryMin), Closed: of(b.ReportRetryRefused), First: of(b.ReportRetryInitial),
-			Most: of(b.ReportRetryMax), Advice: of(b.RetryAfterMax), OnWay: b.ReportsInFlight,
+			Interval: of(b.ReportInterval), TTL: of(b.RegistrationTTL), RetryMin: of(b.ReportRetryMin), RetryRefused: of(b.ReportRetryRefused), RetryInitial: of(b.ReportRetryInitial),
+			RetryMax: of(b.ReportRetryMax), RetryAfterMax: of(b.RetryAfterMax), InFlight: b.ReportsInFlight,
 		},
 		Relaunch: fleet.DefaultConfig(limits.ForControl(), 1).RelaunchBackoff,
 	}
