--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -1,4 +1,5 @@
-// Package registration keeps a backend on the list that edge nodes go by.
+// Package registration sends a backend's load reports to the endpoint registry, so that the backend is in the endpoint list of
+// the edge nodes, and deregisters it at shutdown. Package reportpacing decides when a report is due.
 package registration
 
 import (
@@ -23,22 +24,23 @@
 	"milletbarrow/internal/limits"
 )
 
-// Reporter reports as its pace has it; nothing waits for it. A report does not wait for the one before: a roster
-// that takes longer than the pause to answer must not cost the entry.
+// Reporter sends load reports when its pacer has them due. A report does not wait for the one before: a registry that is slower
+// to answer than the report interval must not lose the entry. Run is called once; Deregister and SetAddress may be called from
+// any goroutine.
 type Reporter struct {
 	path           string
 	bounds         limits.Bounds
 	client         *http.Client
-	pacer          *reportpacing.Pacer // Keep's
+	pacer          *reportpacing.Pacer // used by Run alone
 	startedAt      time.Time
 	deregister     chan struct{}
 	deregisterOnce sync.Once
-	addressChanged chan struct{} // the roster is at another address
-	results        chan result   // room for all that may be on their way
+	addressChanged chan struct{}
+	results        chan result // has capacity for all reports in flight
 
 	mu      sync.Mutex
 	address string
-	failing bool // the last report to end did not arrive
+	failing bool // the last report that ended has failed
 }
 
 // result is a report that has ended.
@@ -48,39 +50,55 @@
 	retryAfter time.Duration
 }
 
-// New makes a reporter for the backend of that name. fixed: in step with the clock, as baselines are.
+// New makes a reporter for the backend of that name; address is the registry's host and port. fixed turns jitter and growing
+// pauses off: for comparison.
 func New(address, name string, bounds limits.Bounds, fixed bool) *Reporter {
-	t := reportpacing.Config{
-		Interval: micros(bounds.ReportInterval), TTL: micros(bounds.RegistrationTTL), RetryMin: micros(bounds.ReportRetryMin), RetryRefused: micros(bounds.ReportRetryRefused),
-		RetryInitial: micros(bounds.ReportRetryInitial), RetryMax: micros(bounds.ReportRetryMax), RetryAfterMax: micros(bounds.RetryAfterMax), InFlight: bounds.ReportsInFlight, Fixed: fixed,
-	}
-	if fixed {
-		t.RetryMin, t.InFlight = micros(bounds.DeregisterRetry), 2*bounds.ReportsInFlight
-	}
+	pacing := pacingConfig(bounds, fixed)
 	return &Reporter{
 		path: "/roster/" + url.PathEscape(name), address: address, bounds: bounds, deregister: make(chan struct{}),
-		// Chance of the process's own: backends that start at one instant may have one seed in their configurations.
-		pacer: reportpacing.New(t, rand.Uint64()^xxhash.Sum64String(name)), startedAt: time.Now(),
-		results: make(chan result, t.InFlight), addressChanged: make(chan struct{}, 1),
+		// The seed is the process's own: backends that start at the same time may have the same seed in their configurations.
+		pacer: reportpacing.New(pacing, rand.Uint64()^xxhash.Sum64String(name)), startedAt: time.Now(),
+		results: make(chan result, pacing.InFlight), addressChanged: make(chan struct{}, 1),
 		client: &http.Client{
 			Timeout:       bounds.ReportTimeout,
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 			Transport: &http.Transport{
-				MaxConnsPerHost: t.InFlight + 2, MaxIdleConnsPerHost: 1, DisableCompression: true,
+				MaxConnsPerHost: pacing.InFlight + 2, MaxIdleConnsPerHost: 1, DisableCompression: true,
 				IdleConnTimeout: 4 * bounds.ReportInterval, MaxResponseHeaderBytes: int64(bounds.LineSize),
 			},
 		},
 	}
 }
 
+// pacingConfig returns the pacer's configuration under these bounds.
+func pacingConfig(bounds limits.Bounds, fixed bool) reportpacing.Config {
+	config := reportpacing.Config{
+		Interval:      micros(bounds.ReportInterval),
+		TTL:           micros(bounds.RegistrationTTL),
+		RetryMin:      micros(bounds.ReportRetryMin),
+		RetryRefused:  micros(bounds.ReportRetryRefused),
+		RetryInitial:  micros(bounds.ReportRetryInitial),
+		RetryMax:      micros(bounds.ReportRetryMax),
+		RetryAfterMax: micros(bounds.RetryAfterMax),
+		InFlight:      bounds.ReportsInFlight,
+		Fixed:         fixed,
+	}
+	if fixed {
+		config.RetryMin, config.InFlight = micros(bounds.DeregisterRetry), 2*bounds.ReportsInFlight
+	}
+	return config
+}
+
 func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 
+// now returns the pacer's time: that since the reporter was made.
 func (r *Reporter) now() reportpacing.Micros { return micros(time.Since(r.startedAt)) }
 
-// Deregister has off reported at once, until it is taken, and nothing else after it: the entry lapses then.
+// Deregister makes Run report off at once, until the registry has accepted it, and nothing else after it. Further calls do
+// nothing.
 func (r *Reporter) Deregister() { r.deregisterOnce.Do(func() { close(r.deregister) }) }
 
-// SetAddress names another address of the roster; the next report, sent at once, goes there.
+// SetAddress changes the registry's address; the next report, sent at once, goes there.
 func (r *Reporter) SetAddress(address string) {
 	r.mu.Lock()
 	same := r.address == address
@@ -96,18 +114,18 @@
 	}
 }
 
-// Run reports until Deregister, or until the context ends, and then waits for what is on its way.
+// Run reports until the registry has accepted a deregistration, or the context ends, and then waits for the reports in flight.
 func (r *Reporter) Run(ctx context.Context) {
 	defer r.client.CloseIdleConnections()
-	var going sync.WaitGroup
-	defer going.Wait()
+	var reports sync.WaitGroup
+	defer reports.Wait()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	opened, onWay := r.now(), 0
-	r.pacer.Start(opened)
+	addressSince, inFlight := r.now(), 0
+	r.pacer.Start(addressSince)
 	for {
 		var due <-chan time.Time
-		if at, room := r.pacer.Due(); room {
+		if at, mayReport := r.pacer.Due(); mayReport {
 			timer.Reset(time.Duration(max(0, at-r.now())) * time.Microsecond)
 			due = timer.C
 		}
@@ -115,26 +133,19 @@
 		case <-due:
 			now := r.now()
 			r.pacer.Started(now)
-			onWay++
-			going.Go(func() {
-				advice, err := r.report(ctx, "on")
-				r.results <- result{now, err, advice}
+			inFlight++
+			reports.Go(func() {
+				retryAfter, err := r.report(ctx, "on")
+				r.results <- result{now, err, retryAfter}
 			})
-		case e := <-r.results:
-			onWay--
-			switch now := r.now(); {
-			case e.startedAt < opened:
-				r.pacer.Abandoned()
-			case e.err == nil:
-				r.pacer.Succeeded(now, e.startedAt)
-			default:
-				r.pacer.Failed(now, failureOf(e.err), micros(e.retryAfter))
-			}
+		case ended := <-r.results:
+			inFlight--
+			r.pace(ended, addressSince)
 		case <-r.addressChanged:
-			opened = r.now()
-			r.pacer.Start(opened)
+			addressSince = r.now()
+			r.pacer.Start(addressSince)
 		case <-r.deregister:
-			r.deregisterUntilAccepted(ctx, &going, onWay)
+			r.deregisterUntilAccepted(ctx, &reports, inFlight)
 			return
 		case <-ctx.Done():
 			return
@@ -142,13 +153,23 @@
 	}
 }
 
-// errStatus: the roster has answered, and not counted it.
-var errStatus = errors.New("status")
+// pace passes the result of a report on to the pacer. Results of reports to a former address say nothing about this one.
+func (r *Reporter) pace(ended result, addressSince reportpacing.Micros) {
+	switch now := r.now(); {
+	case ended.startedAt < addressSince:
+		r.pacer.Abandoned()
+	case ended.err == nil:
+		r.pacer.Succeeded(now, ended.startedAt)
+	default:
+		r.pacer.Failed(now, failureOf(ended.err), micros(ended.retryAfter))
+	}
+}
 
+// failureOf returns how a report with this error failed.
 func failureOf(err error) reportpacing.Failure {
-	var slow net.Error
+	var netError net.Error
 	switch {
-	case errors.As(err, &slow) && slow.Timeout():
+	case errors.As(err, &netError) && netError.Timeout():
 		return reportpacing.TimedOut
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return reportpacing.Refused
@@ -156,84 +177,92 @@
 	return reportpacing.Rejected
 }
 
-// deregisterUntilAccepted says off until the roster has taken it, wherever it is moved to, in growing pauses. A report on its way may be
-// overtaken by it, and would list for good what leaves: off is said again once that has ended. Where it ended without an
-// answer it may still come to pass at any time, so off is said as long as this process lives.
-func (r *Reporter) deregisterUntilAccepted(ctx context.Context, going *sync.WaitGroup, onWay int) {
-	taken := make(chan error, 1)
-	say := func() {
-		going.Go(func() {
+// wasNotCounted reports whether a report with this error can't be counted any more: the registry has said so, or was not reached.
+func wasNotCounted(err error) bool {
+	var status *StatusError
+	return errors.As(err, &status) || errors.Is(err, syscall.ECONNREFUSED)
+}
+
+// deregisterUntilAccepted reports off, with a growing pause, until the registry has accepted it at its latest address. A report
+// in flight may arrive after it and would register the backend again: off is repeated once that report has ended. Where it
+// ended without a response it may still be counted at any time, so off is repeated for as long as the process runs.
+func (r *Reporter) deregisterUntilAccepted(ctx context.Context, reports *sync.WaitGroup, inFlight int) {
+	accepted := make(chan error, 1)
+	send := func() {
+		reports.Go(func() {
 			_, err := r.report(ctx, "off")
-			taken <- err
+			accepted <- err
 		})
 	}
-	wait := r.bounds.DeregisterRetry
-	again := time.NewTimer(wait)
-	defer again.Stop()
-	saying, owed, stray := true, false, false
-	for say(); saying || owed || stray || onWay > 0; {
+	pause := r.bounds.DeregisterRetry
+	retry := time.NewTimer(pause)
+	defer retry.Stop()
+	sending, needed, mayBeCounted := true, false, false
+	for send(); sending || needed || mayBeCounted || inFlight > 0; {
 		select {
-		case err := <-taken:
-			saying, owed = false, owed || err != nil
-		case e := <-r.results:
-			onWay--
-			owed = true
-			stray = stray || e.err != nil && !errors.Is(e.err, errStatus) && !errors.Is(e.err, syscall.ECONNREFUSED)
+		case err := <-accepted:
+			sending, needed = false, needed || err != nil
+		case ended := <-r.results:
+			inFlight--
+			needed = true
+			mayBeCounted = mayBeCounted || ended.err != nil && !wasNotCounted(ended.err)
 		case <-r.addressChanged:
-			owed, wait = true, r.bounds.DeregisterRetry
-			again.Reset(0)
-		case <-again.C:
-			if (owed || stray) && !saying {
-				saying, owed = true, false
-				say()
-				wait = min(2*wait, r.bounds.ReportInterval)
+			needed, pause = true, r.bounds.DeregisterRetry
+			retry.Reset(0)
+		case <-retry.C:
+			if (needed || mayBeCounted) && !sending {
+				sending, needed = true, false
+				send()
+				pause = min(2*pause, r.bounds.ReportInterval)
 			}
-			again.Reset(wait/2 + rand.N(wait))
+			retry.Reset(pause/2 + rand.N(pause))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// report makes one report and logs it if it fares other than the one before.
-func (r *Reporter) report(ctx context.Context, duty string) (advice time.Duration, err error) {
-	advice, err = r.put(ctx, duty)
+// report makes one report, and logs when reports begin to fail or to succeed. retryAfter is the registry's Retry-After, 0 if none.
+func (r *Reporter) report(ctx context.Context, duty string) (retryAfter time.Duration, err error) {
+	retryAfter, err = r.put(ctx, duty)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if ill := err != nil; ill != r.failing && ctx.Err() == nil {
-		r.failing = ill
-		slog.Info("load_report", "reported", !ill, "error", fmt.Sprint(err))
+	if failed := err != nil; failed != r.failing && ctx.Err() == nil {
+		r.failing = failed
+		slog.Info("load_report", "reported", !failed, "error", fmt.Sprint(err))
 	}
-	return advice, err
+	return retryAfter, err
 }
 
+// put makes the registry call of one report. The error is a *StatusError, or that of the call.
 func (r *Reporter) put(ctx context.Context, duty string) (retryAfter time.Duration, err error) {
 	body := bytes.NewReader([]byte(`{"duty":"` + duty + `"}`))
 	r.mu.Lock()
-	to := "http://" + r.address + r.path
+	target := "http://" + r.address + r.path
 	r.mu.Unlock()
-	call, err := http.NewRequestWithContext(ctx, http.MethodPut, to, body)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, target, body)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := r.client.Do(call)
+	response, err := r.client.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	_, _ = io.CopyN(io.Discard, answer.Body, int64(r.bounds.LineSize)) // so that the connection can be used again
-	if answer.StatusCode != http.StatusNoContent {
-		return parseRetryAfter(answer.Header.Get("Retry-After"), time.Now()), fmt.Errorf("%w %d", errStatus, answer.StatusCode)
+	defer func() { _ = response.Body.Close() }()
+	_, _ = io.CopyN(io.Discard, response.Body, int64(r.bounds.LineSize)) // so that the connection can be reused
+	if response.StatusCode != http.StatusNoContent {
+		return parseRetryAfter(response.Header.Get("Retry-After"), time.Now()), &StatusError{Code: response.StatusCode}
 	}
 	return 0, nil
 }
 
-// parseRetryAfter is how long a Retry-After asks to stay away, in seconds or as a date (RFC 9110, 10.2.3); 0 if it can't be read.
-func parseRetryAfter(word string, now time.Time) time.Duration {
-	if s, err := strconv.ParseUint(word, 10, 31); err == nil {
-		return time.Duration(s) * time.Second
+// parseRetryAfter returns the delay that a Retry-After header asks for, in seconds or as a date (RFC 9110, 10.2.3); 0 if it
+// can't be read.
+func parseRetryAfter(header string, now time.Time) time.Duration {
+	if seconds, err := strconv.ParseUint(header, 10, 31); err == nil {
+		return time.Duration(seconds) * time.Second
 	}
-	if at, err := http.ParseTime(word); err == nil {
+	if at, err := http.ParseTime(header); err == nil {
 		return max(0, at.Sub(now))
 	}
 	return 0
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -16,7 +16,7 @@
 	"milletbarrow/internal/limits"
 )
 
-// none tells whether nothing more is heard for a while.
+// nothingWithin reports whether nothing is received for 100 ms.
 func nothingWithin(c <-chan string) bool {
 	select {
 	case <-c:
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestReports: reports go on whatever becomes of one, and the last says off.
+// TestReports: reports go on however one ends, and the last one reports off.
 func TestReports(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
@@ -63,7 +63,7 @@
 		r.Deregister()
 		r.Deregister()
 		off, last := 0, ""
-		if c.name != "as it should" && c.name != "closing after each call" { // it goes on saying so
+		if c.name != "as it should" && c.name != "closing after each call" { // off is repeated
 			for off < 3 {
 				if last = fakes.Take(t, "a report", reports); strings.Contains(last, "off") {
 					off++
@@ -80,12 +80,12 @@
 	}
 }
 
-// TestTwoNeverAnswered: two reports in a row are accepted and never answered. The next comes while the entry still stands.
+// TestTwoUnansweredReportsKeepTheEntry: two reports in a row are accepted and never answered. The next comes before the entry expires.
 func TestTwoUnansweredReportsKeepTheEntry(t *testing.T) {
 	b, release := limits.For(1, 192, 1024), make(chan struct{})
 	var received atomic.Int32
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
-		if n := received.Add(1); n == 2 || n == 3 { // reports are begun one after the other
+		if n := received.Add(1); n == 2 || n == 3 { // reports are sent one after the other
 			<-release
 		}
 		w.WriteHeader(http.StatusNoContent)
@@ -100,14 +100,14 @@
 	fakes.Take(t, "the second", reports)
 	fakes.Take(t, "the next", reports)
 	if late := time.Since(countedAt); late > b.RegistrationTTL {
-		t.Errorf("the next came after %v, the entry had lapsed", late)
+		t.Errorf("the next came after %v, the entry had expired", late)
 	}
 	close(release)
 	cancel()
 	fakes.Take(t, "the end", done)
 }
 
-// TestBack: a roster that was away hears of us soon after it is back, not only when the next report is due.
+// TestReturningRegistryIsReportedToSoon: a registry that returns gets a report soon, not only after the report interval.
 func TestReturningRegistryIsReportedToSoon(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -118,11 +118,11 @@
 	b := limits.For(1, 192, 1024)
 	b.ReportInterval, b.ReportRetryRefused = time.Hour, 10*time.Millisecond
 	r := New(l.Addr().String(), "n3", b, false)
-	r.pacer = reportpacing.New(reportpacing.Config{RetryInitial: 10_000, RetryMax: 10_000, RetryRefused: 10_000, InFlight: 2}, 1) // not up to an hour before the first
+	r.pacer = reportpacing.New(reportpacing.Config{RetryInitial: 10_000, RetryMax: 10_000, RetryRefused: 10_000, InFlight: 2}, 1) // else the first is due within an hour
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
-	fakes.Until(t, "a report was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.failing })
+	fakes.Until(t, "a report failed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.failing })
 	l, err = net.Listen("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -139,14 +139,14 @@
 	fakes.Take(t, "the end", done)
 }
 
-// TestOvertaken: a report that is slow on its way arrives after the first off; the last word is off all the same.
+// TestDeregistrationOvertakesReport: a slow report arrives after the first off; off is reported again after it.
 func TestDeregistrationOvertakesReport(t *testing.T) {
 	bodies, received := make(chan string, 16), make(chan struct{}, 16)
 	s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		received <- struct{}{}
 		if strings.Contains(string(body), "on") {
-			time.Sleep(50 * time.Millisecond) // the off passes it by
+			time.Sleep(50 * time.Millisecond) // the off overtakes it
 		}
 		bodies <- string(body)
 		w.WriteHeader(http.StatusNoContent)
@@ -168,11 +168,11 @@
 		all = append(all, <-bodies)
 	}
 	if want := []string{`{"duty":"off"}`, `{"duty":"on"}`, `{"duty":"off"}`}; !slices.Equal(all, want) {
-		t.Errorf("the roster heard %q, want %q", all, want)
+		t.Errorf("the registry received %q, want %q", all, want)
 	}
 }
 
-// TestDown: a roster that is not there holds nothing up.
+// TestUnreachableRegistryBlocksNothing: Run ends with its context though the registry refuses connections.
 func TestUnreachableRegistryBlocksNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -184,50 +184,50 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { r.Run(ctx); close(done) }()
 	r.Deregister()
-	fakes.Until(t, "off was missed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.failing })
-	cancel() // the process ends
+	fakes.Until(t, "a report failed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.failing })
+	cancel() // the process exits
 	fakes.Take(t, "the end", done)
 }
 
-// TestLeavesUntilTaken: off is said until the roster takes it, also where that comes back or is moved meanwhile; then
+// TestDeregistersUntilAccepted: off is reported until the registry accepts it, also where its address changes meanwhile; then
 // nothing more.
 func TestDeregistersUntilAccepted(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	status, bodies := http.StatusServiceUnavailable, make(chan int, 100)
-	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-bodies) })
+	status, responses := http.StatusServiceUnavailable, make(chan int, 100)
+	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-responses) })
 	newAddress, newReports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	b := limits.For(1, 192, 1024)
 	b.ReportInterval = 10 * time.Millisecond
 	r := New(address, "n3", b, false)
 	done := make(chan struct{})
 	go func() { r.Run(context.Background()); close(done) }()
-	bodies <- http.StatusNoContent
+	responses <- http.StatusNoContent
 	tr.Say("%s", fakes.Take(t, "a report", reports))
 	r.Deregister()
 	for n := 0; n < 2; {
-		bodies <- status
+		responses <- status
 		if report := fakes.Take(t, "off again", reports); strings.Contains(report, "off") {
 			n++
 		}
 	}
 	r.SetAddress(newAddress)
 	for range 10 {
-		bodies <- status // whatever was on its way there
+		responses <- status // whatever was in flight there
 	}
 	tr.Say("moved: %s", fakes.Take(t, "off elsewhere", newReports))
 	fakes.Take(t, "the end", done)
 	tr.Say("nothing more: %t", nothingWithin(newReports))
 }
 
-// TestAdvised: a roster that asks to stay away is left alone for that long, and no longer than the bound.
+// TestRetryAfterIsHonoured: Retry-After is read in both forms, and the next report waits for it.
 func TestRetryAfterIsHonoured(t *testing.T) {
 	now := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
-	for word, want := range map[string]time.Duration{
+	for header, want := range map[string]time.Duration{
 		"5": 5 * time.Second, "": 0, "-1": 0, "soon": 0, "99999999999": 0, now.Add(7 * time.Second).Format(http.TimeFormat): 7 * time.Second,
 		now.Add(-time.Minute).Format(http.TimeFormat): 0,
 	} {
-		if got := parseRetryAfter(word, now); got != want {
-			t.Errorf("%q: %v, want %v", word, got, want)
+		if got := parseRetryAfter(header, now); got != want {
+			t.Errorf("%q: %v, want %v", header, got, want)
 		}
 	}
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/backend/registration/reportpacing/growth_test.go
+++ b/internal/backend/registration/reportpacing/growth_test.go
@@ -10,7 +10,7 @@
 	shared "milletbarrow/internal/backoff"
 )
 
-// TestGrowthIsUnchanged: the bound of the pauses grows as the library had it grow from call to call.
+// TestGrowthIsUnchanged: the bound of the pauses grows as that of the backoff library does from call to call.
 func TestGrowthIsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		initial := time.Duration(rapid.Int64Range(1, 10_000_000).Draw(t, "first")) * time.Microsecond
--- a/internal/backend/registration/reportpacing/pacer.go
+++ b/internal/backend/registration/reportpacing/pacer.go
@@ -1,6 +1,5 @@
-// Package reportpacing decides when a backend tells the register that it is there: by chance from the first time on, in growing
-// pauses while the register does not take it, and never so late that one miss costs the entry. It does no I/O and holds
-// no clock. Not safe for use by several goroutines.
+// Package reportpacing decides when a backend's next load report to the registry is due: with jitter, backing off while reports
+// fail, and never so late that one failure loses the entry. It does no I/O and reads no clock.
 package reportpacing
 
 import (
@@ -10,46 +9,46 @@
 	"milletbarrow/internal/backoff"
 )
 
-// Micros is a point on some clock that only goes on, or a span, in whole microseconds.
+// Micros is a time on a monotonic clock, or a duration, in whole microseconds.
 type Micros int64
 
-// Config of one backend's reports.
+// Config is the configuration of one backend's reports.
 type Config struct {
 	Interval      Micros // between two reports, in the mean
-	TTL           Micros // the register drops an entry so long after its last report
-	RetryMin      Micros // of a pause after a miss
-	RetryRefused  Micros // the longest pause while nobody listens at the register's address: calls cost it nothing then
-	RetryInitial  Micros // the longest pause after the first miss of another kind; it grows by half with each
+	TTL           Micros // the registry drops an entry so long after its last report
+	RetryMin      Micros // the shortest pause after a failed report
+	RetryRefused  Micros // the longest pause while the registry's address refuses connections: calls cost it nothing then
+	RetryInitial  Micros // the longest pause after the first failure of another kind; it grows by half with each
 	RetryMax      Micros // up to this
-	RetryAfterMax Micros // the longest that the register may ask to stay away
-	InFlight      int    // reports that may be on their way at once
-	Fixed         bool   // no chance and no growing pauses, as it was before: for comparison
+	RetryAfterMax Micros // the longest Retry-After that is honoured
+	InFlight      int    // reports in flight at the same time, at most
+	Fixed         bool   // no jitter and no backoff: for comparison
 }
 
-// Failure is how a report came to nothing.
+// Failure is how a report failed.
 type Failure int
 
-// The misses.
+// The kinds of failure.
 const (
-	Refused  Failure = iota // nobody listens there
-	Rejected                // another answer than the one that counts, or a connection that broke
-	TimedOut                // no answer in time
+	Refused  Failure = iota // the connection was refused
+	Rejected                // a response other than the one that counts, or a connection that broke
+	TimedOut                // no response in time
 )
 
-// Pacer is one backend's.
+// Pacer paces the reports of one backend. It is not safe for use by several goroutines.
 type Pacer struct {
 	config      Config
 	random      *rand.Rand
-	growth      backoff.Exponential // of the bound that a pause is drawn below
+	growth      backoff.Exponential // of the bound that a retry delay is drawn below
 	failures    int                 // in a row: intervals of growth used up
 	inFlight    int
 	due         Micros
-	lastCounted Micros // when the last report that counted was begun
-	registered  bool   // one counted
-	overlapping bool   // the last two were on their way at once: the register is slow
+	lastCounted Micros // start of the last report that the registry has counted
+	registered  bool   // one was counted since Start
+	overlapping bool   // the last two were in flight at the same time: the registry is slow
 }
 
-// New makes one. The seed has to differ from process to process: backends that start at one instant must not stay in step.
+// New makes a pacer. The seed has to differ between processes: backends that start at the same time must not stay in step.
 func New(config Config, seed uint64) *Pacer {
 	return &Pacer{
 		config: config, random: rand.New(rand.NewPCG(seed, 0)),
@@ -59,13 +58,13 @@
 
 func duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
-// upTo draws evenly from 0 to most.
+// uniform draws from 0 to bound, both included.
 func (p *Pacer) uniform(bound Micros) Micros {
 	return Micros(p.random.Int64N(int64(max(0, bound)) + 1))
 }
 
-// usual is a pause between two reports that count: five to nine sevenths of the mean. Three fit into a lapse, so that one
-// that is lost costs nothing.
+// interval draws the pause after a report that counts: five to nine sevenths of the mean. Three fit into the TTL, so that one
+// lost report does not lose the entry.
 func (p *Pacer) interval() Micros {
 	if p.config.Fixed {
 		return p.config.Interval
@@ -73,7 +72,7 @@
 	return p.config.Interval*5/7 + p.uniform(p.config.Interval*4/7)
 }
 
-// Start says that the first report, or the first at another address, may go out from now on.
+// Start makes the first report due, or the first to another address of the registry.
 func (p *Pacer) Start(now Micros) {
 	p.failures = 0
 	p.registered, p.due = false, now
@@ -82,11 +81,11 @@
 	}
 }
 
-// Due is when to report; ok is false while as many are on their way as may be.
+// Due returns when the next report is due; mayReport is false while the maximum of reports is in flight.
 func (p *Pacer) Due() (at Micros, mayReport bool) { return p.due, p.inFlight < p.config.InFlight }
 
-// Started says that a report has gone out. Where the one before is still on its way, the register is slow, and the next
-// waits as after a miss.
+// Started notes that a report was sent. Where the one before is still in flight, the registry is slow, and the next is delayed
+// as after a failure.
 func (p *Pacer) Started(now Micros) {
 	p.overlapping = p.inFlight > 0
 	p.inFlight++
@@ -96,17 +95,17 @@
 	}
 }
 
-// Succeeded says that one that was begun then has counted.
-func (p *Pacer) Succeeded(now, begun Micros) {
+// Succeeded notes that a report, sent at startedAt, was counted.
+func (p *Pacer) Succeeded(now, startedAt Micros) {
 	p.inFlight--
-	p.lastCounted, p.registered = max(p.lastCounted, begun), true
+	p.lastCounted, p.registered = max(p.lastCounted, startedAt), true
 	p.failures = 0
 	if next := now + p.interval(); !p.config.Fixed && p.due > next { // a longer pause is over
 		p.due = next
 	}
 }
 
-// Failed says that one came to nothing. advice is how long the register asks to stay away, 0 if it does not.
+// Failed notes that a report failed. retryAfter is the registry's Retry-After, 0 if it gave none.
 func (p *Pacer) Failed(now Micros, failure Failure, retryAfter Micros) {
 	p.inFlight--
 	if p.config.Fixed {
@@ -116,20 +115,20 @@
 		return
 	}
 	delay := p.retryDelay(now, failure)
-	if retryAfter = min(retryAfter, p.config.RetryAfterMax); retryAfter > 0 { // all that heard it come back then: spread
+	if retryAfter = min(retryAfter, p.config.RetryAfterMax); retryAfter > 0 { // every backend that got it comes back then: spread
 		delay = retryAfter + p.uniform(max(p.config.Interval, retryAfter/2))
 	}
 	p.due = now + delay
 }
 
-// Abandoned says that one that was begun before the latest Open has ended.
+// Abandoned notes the end of a report that was sent before the latest Start.
 func (p *Pacer) Abandoned() { p.inFlight-- }
 
-// guard is how long before the lapse a report is to be there.
+// renewalMargin is how long before the entry expires a report has to arrive, in microseconds.
 const renewalMargin = 300_000
 
-// pause is drawn evenly below a bound that grows: full jitter. While the entry still stands, the try is made in time to
-// keep it, unless it is too late for that.
+// retryDelay draws a delay below a bound that grows with each failure: full jitter. While the entry exists, the next attempt is
+// made in time to renew it, unless it is too late for that.
 func (p *Pacer) retryDelay(now Micros, failure Failure) Micros {
 	p.failures++
 	bound := Micros(p.growth.Interval(p.failures).Microseconds())
--- a/internal/backend/registration/reportpacing/pacer_test.go
+++ b/internal/backend/registration/reportpacing/pacer_test.go
@@ -12,8 +12,8 @@
 	}
 }
 
-// TestKeeps: whatever one miss in a row is like, the entry stands; no more are on their way than may be; and what the
-// register asks for is kept.
+// TestEntryIsRenewedInTime: no single failure loses the entry; reports are due once none is in flight; and the registry's
+// Retry-After is honoured.
 func TestEntryIsRenewedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(testConfig(), rapid.Uint64().Draw(t, "seed"))
@@ -24,36 +24,36 @@
 		}
 		failedBefore, lastCounted, notBefore := false, Micros(0), Micros(0)
 		for range 60 {
-			at, ok := p.Due()
-			if !ok {
-				t.Fatal("no room though all have ended")
+			at, mayReport := p.Due()
+			if !mayReport {
+				t.Fatal("no report may be sent though none is in flight")
 			}
 			if at < notBefore {
-				t.Fatalf("due %d us before the register wants it", notBefore-at)
+				t.Fatalf("due %d us before the registry's Retry-After is over", notBefore-at)
 			}
 			now = max(now, at)
 			if lastCounted > 0 && notBefore == 0 && now > lastCounted+testConfig().TTL {
-				t.Fatalf("the entry lapsed %d us before the report", now-lastCounted-testConfig().TTL)
+				t.Fatalf("the entry expired %d us before the report", now-lastCounted-testConfig().TTL)
 			}
 			p.Started(now)
-			begun := now
+			startedAt := now
 			now += Micros(rapid.IntRange(1, 200_000).Draw(t, "takes"))
 			notBefore = 0
-			if !failedBefore && rapid.Bool().Draw(t, "is missed") {
-				retryAfter := Micros(rapid.SampledFrom([]int{0, 0, 5_000_000}).Draw(t, "advice"))
-				p.Failed(now, Failure(rapid.IntRange(0, 1).Draw(t, "how")), retryAfter)
+			if !failedBefore && rapid.Bool().Draw(t, "fails") {
+				retryAfter := Micros(rapid.SampledFrom([]int{0, 0, 5_000_000}).Draw(t, "retry after"))
+				p.Failed(now, Failure(rapid.IntRange(0, 1).Draw(t, "failure")), retryAfter)
 				if failedBefore = true; retryAfter > 0 {
 					notBefore = now + retryAfter
 				}
 				continue
 			}
-			failedBefore, lastCounted = false, begun
-			p.Succeeded(now, begun)
+			failedBefore, lastCounted = false, startedAt
+			p.Succeeded(now, startedAt)
 		}
 	})
 }
 
-// TestTwoNeverAnswered: the entry stands though two reports in a row are never answered.
+// TestTwoUnansweredReportsKeepTheEntry: the entry is renewed in time though two reports in a row are never answered.
 func TestTwoUnansweredReportsKeepTheEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(testConfig(), rapid.Uint64().Draw(t, "seed"))
@@ -63,46 +63,46 @@
 		p.Succeeded(now+1000, now)
 		expires := now + 1000 + testConfig().TTL
 		for unanswered := range 3 {
-			at, ok := p.Due()
-			if now = at; !ok || now+1000 > expires {
-				t.Fatalf("due %d us before the entry lapses, room %t, with %d on their way", expires-now, ok, unanswered)
+			at, mayReport := p.Due()
+			if now = at; !mayReport || now+1000 > expires {
+				t.Fatalf("due %d us before the entry expires, may report %t, with %d in flight", expires-now, mayReport, unanswered)
 			}
 			p.Started(now)
 		}
 	})
 }
 
-// TestRefusing: while the register takes nothing, all together call half as often as else at the most, a second at a time
-// from the third on; and nobody stays away for longer than the longest pause.
+// TestRejectingRegistryIsNotFlooded: while the registry rejects all reports, the backends together make at most half as many
+// calls as usual in each second from the third on; and none of them pauses for longer than RetryMax.
 func TestRejectingRegistryIsNotFlooded(t *testing.T) {
 	const backends, seconds = 300, 30
 	var calls [seconds]int
 	for n := range backends {
 		p := New(testConfig(), uint64(n))
 		p.Start(0)
-		for lastCounted := Micros(0); ; {
+		for lastReport := Micros(0); ; {
 			at, _ := p.Due()
 			if at >= seconds*1_000_000 {
 				break
 			}
-			if at-lastCounted > testConfig().RetryMax {
-				t.Fatalf("%d stays away for %d us", n, at-lastCounted)
+			if at-lastReport > testConfig().RetryMax {
+				t.Fatalf("backend %d pauses for %d us", n, at-lastReport)
 			}
-			lastCounted = at
+			lastReport = at
 			calls[at/1_000_000]++
 			p.Started(at)
 			p.Failed(at+1000, Rejected, 0)
 		}
 	}
-	ordinary := backends * 1_000_000 / int(testConfig().Interval)
+	usual := backends * 1_000_000 / int(testConfig().Interval)
 	for s, n := range calls[2:] {
-		if n > ordinary/2 {
-			t.Errorf("second %d: %d calls, an ordinary one has %d", s+2, n, ordinary)
+		if n > usual/2 {
+			t.Errorf("second %d: %d calls, %d are usual", s+2, n, usual)
 		}
 	}
 }
 
-// TestSilent: a register that answers nothing has so many calls of one backend open, and no more.
+// TestSilentRegistryBoundsCallsInFlight: of a registry that never responds, one backend has at most InFlight calls open.
 func TestSilentRegistryBoundsCallsInFlight(t *testing.T) {
 	p := New(testConfig(), 7)
 	p.Start(0)
@@ -112,12 +112,12 @@
 			open = open[1:]
 			p.Failed(now, TimedOut, 0)
 		}
-		if at, ok := p.Due(); ok && at <= now {
+		if at, mayReport := p.Due(); mayReport && at <= now {
 			open = append(open, now)
 			p.Started(now)
 		}
 		if len(open) > testConfig().InFlight {
-			t.Fatalf("%d on their way", len(open))
+			t.Fatalf("%d in flight", len(open))
 		}
 	}
 }
