--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -144,12 +144,12 @@
 				if err != nil {
 					return err
 				}
-				if s.Ladder == "" {
+				if s.DegradationPolicy == "" {
 					return unusable(fmt.Errorf("socket: this instance has no ladder, and measures nothing"))
 				}
-				if s.Clock > last { // a reading that was printed already says nothing new
-					last = s.Clock
-					fmt.Println(s.Clock, s.Signals)
+				if s.SignalsAt > last { // a reading that was printed already says nothing new
+					last = s.SignalsAt
+					fmt.Println(s.SignalsAt, s.Signals)
 				}
 			}
 			return nil
@@ -177,8 +177,8 @@
 			defer p.Close()
 			ctx, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
 			defer cancel()
-			return p.Pin(ctx, admin.Pin{
-				Level: c.Args().First(), For: c.Duration("for").Microseconds(), By: "command line", Above: c.Bool("above"),
+			return p.Override(ctx, admin.Override{
+				Level: c.Args().First(), Duration: c.Duration("for").Microseconds(), By: "command line", AllowHigher: c.Bool("above"),
 			})
 		},
 	}
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -52,7 +52,7 @@
 				pid = fmt.Sprint(in.PID)
 			}
 			if in.State != nil {
-				hand = fmt.Sprint(in.State.InHand)
+				hand = fmt.Sprint(in.State.InFlight)
 				if in.State.Level != "" {
 					level = in.State.Level
 				}
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -518,7 +518,7 @@
 		}
 		return s
 	}
-	tr.Say("%s %s", state().Ladder, state().Level)
+	tr.Say("%s %s", state().DegradationPolicy, state().Level)
 	b.farm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // a queue, though the cores are not busy: the gate is open
 	fakes.Until(t, "the level is entered", func() bool { return state().Level == "no-look" })
 	fakes.Until(t, "the level is logged", b.said("event=degradation_level from=full to=no-look collapse=false cause="))
@@ -532,8 +532,8 @@
 	l := fakes.Take(t, "a launch", b.farm.Launches)
 	b.farm.End(l.ID, "complete", "paid")
 	tr.Say("post: %v", n.Expect())
-	tr.Say("%v", peer.Pin(t.Context(), admin.Pin{Level: "no-such", For: 1_000_000}))
-	tr.Say("%v", peer.Pin(t.Context(), admin.Pin{Level: "full", For: 60_000_000, By: "test"}))
+	tr.Say("%v", peer.Override(t.Context(), admin.Override{Level: "no-such", Duration: 1_000_000}))
+	tr.Say("%v", peer.Override(t.Context(), admin.Override{Level: "full", Duration: 60_000_000, By: "test"}))
 	fakes.Until(t, "it is held", func() bool { return state().Level == "full" })
 	n.Send(fakes.Invocation(3, 3))
 	l = fakes.Take(t, "a launch", b.farm.Launches)
@@ -545,7 +545,7 @@
 	fakes.Until(t, "the bad ladder is told of", b.said("event=reload_degradation used=false"))
 	write(strings.Replace(text, "small", "other", 1))
 	b.cmd.Process.Signal(syscall.SIGHUP)
-	fakes.Until(t, "the new ladder is in force", func() bool { return state().Ladder == "other" })
+	fakes.Until(t, "the new ladder is in force", func() bool { return state().DegradationPolicy == "other" })
 }
 
 // TestLevelsCommands: what the sub-commands print and end with.
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -228,14 +228,14 @@
 func (b *backendProcess) adminInstance() admin.Instance {
 	return admin.Instance{
 		State: b.state,
-		Leave: func(ago time.Duration) { b.shutdown.notify(b.dispatcher, ago, "inspection") },
-		Pin: func(p admin.Pin) error {
+		Drain: func(ago time.Duration) { b.shutdown.notify(b.dispatcher, ago, "inspection") },
+		Override: func(p admin.Override) error {
 			if p.Level == "" {
 				b.dispatcher.ClearOverride()
 				return nil
 			}
-			return b.dispatcher.OverrideLevel(p.Level, time.Duration(p.For)*time.Microsecond, p.By, p.Above)
+			return b.dispatcher.OverrideLevel(p.Level, time.Duration(p.Duration)*time.Microsecond, p.By, p.AllowHigher)
 		},
-		Ask: b.dispatcher.QuotaRequest, Answer: b.dispatcher.ApplyQuotaResponse,
+		QuotaRequest: b.dispatcher.QuotaRequest, ApplyLease: b.dispatcher.ApplyQuotaResponse,
 	}
 }
--- a/cmd/milletbarrow/serve_state.go
+++ b/cmd/milletbarrow/serve_state.go
@@ -45,18 +45,18 @@
 	connections, carried := b.server.Counts()
 	n, inFlight := b.dispatcher.Counts()
 	s := admin.State{
-		Version: admin.Version, Name: b.config.Name, PID: os.Getpid(), Build: version(), Config: b.config.Hash, Since: b.startedAt,
-		Ready: b.dispatcher.Healthy() && b.executor.Available(), Connections: connections, Carried: carried, InHand: inFlight, Picked: n.Arrived,
-		Run: n.Started, Throttled: n.Throttled, Errored: n.Errored, Left: n.Abandoned, Faults: n.Panics,
+		Version: admin.Version, Name: b.config.Name, PID: os.Getpid(), Build: version(), Config: b.config.Hash, StartedAt: b.startedAt,
+		Ready: b.dispatcher.Healthy() && b.executor.Available(), Connections: connections, ServerInFlight: carried, InFlight: inFlight, Arrived: n.Arrived,
+		Started: n.Started, Throttled: n.Throttled, Errored: n.Errored, Abandoned: n.Abandoned, Panics: n.Panics,
 	}
 	if r, ok := b.dispatcher.DegradationStatus(); ok {
-		s.Ladder, s.Level, s.Depth, s.Shed, s.Changes = r.Policy, r.Level, r.Depth, r.Shed, r.Changes
-		s.Clock, s.Signals = int64(r.At), r.Signals.String()
+		s.DegradationPolicy, s.Level, s.Depth, s.Shed, s.Changes = r.Policy, r.Level, r.Depth, r.Shed, r.Changes
+		s.SignalsAt, s.Signals = int64(r.At), r.Signals.String()
 	}
 	if c, on := b.dispatcher.ShadowCounts(); on {
-		s.Watched = c.Map()
+		s.ShadowCounts = c.Map()
 	}
-	s.Shares = b.dispatcher.QuotaStatus()
+	s.Quotas = b.dispatcher.QuotaStatus()
 	d := b.shutdown
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/cmd/milletbarrow/watch_test.go
+++ b/cmd/milletbarrow/watch_test.go
@@ -65,7 +65,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tr.Say("%s:%s, otherwise %v", step, seen, s.Watched)
+		tr.Say("%s:%s, otherwise %v", step, seen, s.ShadowCounts)
 	}
 	b.start().ready()
 	serve("before")
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -112,7 +112,7 @@
 				s.Ready, s.Draining, s.GraceEnds = false, true, at+grace.Microseconds()
 			}
 			return s
-		}, Leave: leave, Pin: func(admin.Pin) error { return nil }})
+		}, Drain: leave, Override: func(admin.Override) error { return nil }})
 	}()
 	for {
 		if at := heard.Load(); at != 0 {
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -137,7 +137,7 @@
 func (r *leaseRenewer) collectRequests(ctx context.Context, names []string) []backendquota.LeaseRequest {
 	requests := make([]backendquota.LeaseRequest, len(names))
 	r.forEach(ctx, names, func(ctx context.Context, i int, c *admin.Client) {
-		if request, err := c.Ask(ctx); err == nil && request.Name == names[i] {
+		if request, err := c.QuotaRequest(ctx); err == nil && request.Name == names[i] {
 			requests[i] = request
 		}
 	})
@@ -155,7 +155,7 @@
 		if at < 0 || responses[at].Refusal != "" {
 			return
 		}
-		_ = c.Answer(ctx, responses[at]) // one that is lost is made up for by the next renewal
+		_ = c.ApplyLease(ctx, responses[at]) // one that is lost is made up for by the next renewal
 	})
 }
 
--- a/internal/backend/admin/admin.go
+++ b/internal/backend/admin/admin.go
@@ -23,45 +23,45 @@
 
 // State is what an instance says of itself. Times are microseconds of proc.Now's clock.
 type State struct {
-	Version     int    `json:"version"`
-	Name        string `json:"name"`
-	PID         int    `json:"pid"`
-	Build       string `json:"build"`
-	Config      string `json:"config"`               // hash of the configuration that was read at the start
-	Since       int64  `json:"since_us"`             // when it started
-	Ready       bool   `json:"ready"`                // health checks are answered with good
-	Draining    bool   `json:"draining"`             // it has heard the notice
-	GraceEnds   int64  `json:"grace_ends,omitempty"` // what arrives later does not run
-	StopBy      int64  `json:"stop_by,omitempty"`    // it has ended by then
-	Connections int    `json:"connections"`
-	Carried     int    `json:"carried"`
-	InHand      int    `json:"in_hand"`
-	Picked      int    `json:"picked"` // counts since the start
-	Run         int    `json:"run"`
-	Throttled   int    `json:"throttled"`
-	Errored     int    `json:"errored"`
-	Left        int    `json:"left"`
-	Faults      int    `json:"faults"`
-
-	Ladder  string   `json:"ladder,omitempty"` // of levels of reduced service, if there is one
-	Level   string   `json:"level,omitempty"`  // in force; full: nothing is shed
-	Depth   float64  `json:"depth,omitempty"`  // how much of it, 0 to 1
-	Shed    int      `json:"shed,omitempty"`   // invocations since the start
-	Changes []string `json:"changes,omitempty"`
-	Clock   int64    `json:"clock_us,omitempty"` // of the signals
-	Signals string   `json:"signals,omitempty"`  // the latest, as a line of a trace has them
-
-	Watched map[string]int `json:"watched,omitempty"` // by kind, where watched settings would have decided otherwise
-
-	Shares []quota.Status `json:"shares,omitempty"` // of fleet-wide budgets
+	Version        int    `json:"version"`
+	Name           string `json:"name"`
+	PID            int    `json:"pid"`
+	Build          string `json:"build"`
+	Config         string `json:"config"`               // hash of the configuration that was read at the start
+	StartedAt      int64  `json:"since_us"`             // when it started
+	Ready          bool   `json:"ready"`                // health checks are answered with good
+	Draining       bool   `json:"draining"`             // it has heard the notice
+	GraceEnds      int64  `json:"grace_ends,omitempty"` // what arrives later does not run
+	StopBy         int64  `json:"stop_by,omitempty"`    // it has ended by then
+	Connections    int    `json:"connections"`
+	ServerInFlight int    `json:"carried"`
+	InFlight       int    `json:"in_hand"`
+	Arrived        int    `json:"picked"` // counts since the start
+	Started        int    `json:"run"`
+	Throttled      int    `json:"throttled"`
+	Errored        int    `json:"errored"`
+	Abandoned      int    `json:"left"`
+	Panics         int    `json:"faults"`
+
+	DegradationPolicy string   `json:"ladder,omitempty"` // of levels of reduced service, if there is one
+	Level             string   `json:"level,omitempty"`  // in force; full: nothing is shed
+	Depth             float64  `json:"depth,omitempty"`  // how much of it, 0 to 1
+	Shed              int      `json:"shed,omitempty"`   // invocations since the start
+	Changes           []string `json:"changes,omitempty"`
+	SignalsAt         int64    `json:"clock_us,omitempty"` // of the signals
+	Signals           string   `json:"signals,omitempty"`  // the latest, as a line of a trace has them
+
+	ShadowCounts map[string]int `json:"watched,omitempty"` // by kind, where watched settings would have decided otherwise
+
+	Quotas []quota.Status `json:"shares,omitempty"` // of fleet-wide budgets
 }
 
 // Pin holds a level of reduced service; an empty level lets the signals decide again.
-type Pin struct {
-	Level string `json:"level"`
-	For   int64  `json:"for_us"`
-	By    string `json:"by"`
-	Above bool   `json:"above"` // the signals may go above it
+type Override struct {
+	Level       string `json:"level"`
+	Duration    int64  `json:"for_us"`
+	By          string `json:"by"`
+	AllowHigher bool   `json:"above"` // the signals may go above it
 }
 
 // Notice asks an instance to leave. Ago is how long ago it was first told, in microseconds, 0 to one hour.
@@ -69,15 +69,15 @@
 	Ago int64 `json:"ago_us"`
 }
 
-const longestAgo = int64(time.Hour / time.Microsecond)
+const maxAgo = int64(time.Hour / time.Microsecond)
 
 // Instance is what answers on the socket. None of it may block.
 type Instance struct {
-	State  func() State
-	Leave  func(ago time.Duration) // each notice
-	Pin    func(Pin) error
-	Ask    func() (quota.LeaseRequest, bool) // what the instance would have of the fleet's budgets; false without any
-	Answer func(quota.LeaseResponse) error
+	State        func() State
+	Drain        func(ago time.Duration) // each notice
+	Override     func(Override) error
+	QuotaRequest func() (quota.LeaseRequest, bool) // what the instance would have of the fleet's budgets; false without any
+	ApplyLease   func(quota.LeaseResponse) error
 }
 
 // Serve answers on the socket at path until ctx ends.
@@ -94,15 +94,15 @@
 	mux.HandleFunc("POST /v1/leave", func(w http.ResponseWriter, r *http.Request) {
 		var n Notice
 		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.MessageSize))).Decode(&n)
-		if err != nil || n.Ago < 0 || n.Ago > longestAgo {
+		if err != nil || n.Ago < 0 || n.Ago > maxAgo {
 			http.Error(w, fmt.Sprintf("ago_us: %d is not from 0 to an hour: %v", n.Ago, err), http.StatusBadRequest)
 			return
 		}
-		in.Leave(time.Duration(n.Ago) * time.Microsecond)
+		in.Drain(time.Duration(n.Ago) * time.Microsecond)
 		w.WriteHeader(http.StatusAccepted)
 	})
 	mux.HandleFunc("GET /v1/share", func(w http.ResponseWriter, _ *http.Request) {
-		a, ok := in.Ask()
+		a, ok := in.QuotaRequest()
 		if !ok {
 			http.Error(w, "no budget is drawn from here", http.StatusNotFound)
 			return
@@ -110,8 +110,8 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(a)
 	})
-	takes(mux, "POST /v1/share", b, in.Answer)
-	takes(mux, "POST /v1/level", b, in.Pin)
+	handleDecoded(mux, "POST /v1/share", b, in.ApplyLease)
+	handleDecoded(mux, "POST /v1/level", b, in.Override)
 	server := &http.Server{
 		Handler: mux, ReadHeaderTimeout: b.CallTimeout, ReadTimeout: b.CallTimeout, WriteTimeout: b.CallTimeout, IdleTimeout: b.IdleTimeout,
 		MaxHeaderBytes: b.MessageSize,
@@ -127,7 +127,7 @@
 }
 
 // takes hands what comes at a path on, and answers with what was wrong with it.
-func takes[T any](mux *http.ServeMux, at string, b limits.Control, take func(T) error) {
+func handleDecoded[T any](mux *http.ServeMux, at string, b limits.Control, take func(T) error) {
 	mux.HandleFunc(at, func(w http.ResponseWriter, r *http.Request) {
 		var v T
 		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.MessageSize))).Decode(&v)
@@ -180,22 +180,22 @@
 }
 
 // Leave tells the instance to leave, as it was first told so long ago.
-func (p *Client) Leave(ctx context.Context, ago time.Duration) error {
+func (p *Client) Drain(ctx context.Context, ago time.Duration) error {
 	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/leave", Notice{Ago: ago.Microseconds()}, nil, 0)
 }
 
 // Pin holds a level.
-func (p *Client) Pin(ctx context.Context, pin Pin) error {
+func (p *Client) Override(ctx context.Context, pin Override) error {
 	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/level", pin, nil, 0)
 }
 
 // Ask has the instance say what it would have of the fleet's budgets. A lease counts from the moment it says so.
-func (p *Client) Ask(ctx context.Context) (a quota.LeaseRequest, err error) {
+func (p *Client) QuotaRequest(ctx context.Context) (a quota.LeaseRequest, err error) {
 	return a, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/share", nil, &a, int64(p.bounds.MessageSize))
 }
 
 // Answer tells the instance what it has.
-func (p *Client) Answer(ctx context.Context, a quota.LeaseResponse) error {
+func (p *Client) ApplyLease(ctx context.Context, a quota.LeaseResponse) error {
 	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/share", a, nil, 0)
 }
 
--- a/internal/backend/admin/compat_test.go
+++ b/internal/backend/admin/compat_test.go
@@ -9,6 +9,6 @@
 // TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[State](t, "State.json")
-	compattest.RoundTrip[Pin](t, "Pin.json")
+	compattest.RoundTrip[Override](t, "Pin.json")
 	compattest.RoundTrip[Notice](t, "Notice.json")
 }
--- a/internal/supervisor/api.go
+++ b/internal/supervisor/api.go
@@ -49,7 +49,7 @@
 	phase, cause := s.monitor.Phase(now)
 	key := reportKey{phase: phase, cause: cause, notifiedStep: s.record.NotifiedStep, at: now}
 	if s.lastState != nil {
-		key.picked, key.level = s.lastState.Picked, s.lastState.Level
+		key.picked, key.level = s.lastState.Arrived, s.lastState.Level
 	}
 	last := s.lastReported
 	countsDue := last.picked != key.picked && now-last.at >= countsInterval
@@ -74,7 +74,7 @@
 	phase, cause := s.monitor.Phase(Micros(process.Now()))
 	o := fleet.Observation{Incarnation: s.record.Run, Phase: phase, Cause: cause, NoticeID: s.record.NotifiedStep}
 	if state := s.lastState; state != nil {
-		o.Invocations, o.Rejected = state.Picked, state.Throttled+state.Errored
+		o.Invocations, o.Rejected = state.Arrived, state.Throttled+state.Errored
 		o.Level = state.Level
 		if n := len(state.Changes); n > 0 {
 			o.LevelCause = state.Changes[n-1]
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -244,7 +244,7 @@
 		go func() { // an unresponsive one does not answer, and the main loop must go on meanwhile
 			ctx, cancel := context.WithTimeout(context.Background(), s.options.Bounds.IdlePollInterval)
 			defer cancel()
-			_ = s.instance.Leave(ctx, time.Duration(sinceNotice)*time.Microsecond) // repeated until it is acknowledged
+			_ = s.instance.Drain(ctx, time.Duration(sinceNotice)*time.Microsecond) // repeated until it is acknowledged
 		}()
 	case KillGroup:
 		err = instance.KillGroup()
