--- a/internal/config/backend.go
+++ b/internal/config/backend.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"reflect"
@@ -36,17 +35,18 @@
 func (s *Seed) UnmarshalJSON(raw []byte) error {
 	var digits string
 	if err := json.Unmarshal(raw, &digits); err != nil {
-		return errors.New("seed: not text")
+		return fieldError("seed", "not text")
 	}
 	n, err := strconv.ParseUint(digits, 16, 64)
 	if err != nil {
-		return fmt.Errorf("seed: %q is not a number of up to 16 hex digits", digits)
+		return fieldError("seed", "%q is not a number of up to 16 hex digits", digits)
 	}
 	*s = Seed(n)
 	return nil
 }
 
-// Read decodes and validates the configuration file at path. An error names the field that cannot be used.
+// Read decodes and validates the configuration file at path. The error is that of the
+// file system, or as in Parse.
 func Read(path string) (*Backend, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -73,11 +73,11 @@
 	return fields
 }
 
-// Parse decodes and validates a configuration. An error names the field that cannot be used.
+// Parse decodes and validates a configuration. The error is a *DecodeError or a *FieldError.
 func Parse(raw []byte) (*Backend, error) {
 	var b Backend
 	if err := json.Unmarshal(raw, &b); err != nil {
-		return nil, fmt.Errorf("not a configuration: %w", err)
+		return nil, &DecodeError{err}
 	}
 	b.Hash = fmt.Sprintf("%016x", xxhash.Sum64(raw))
 	return &b, b.validate()
--- /dev/null
+++ b/internal/config/errors.go
@@ -0,0 +1,22 @@
+package config
+
+import "fmt"
+
+// FieldError reports a field that cannot be used.
+type FieldError struct {
+	Field   string // its path in the configuration file, such as settings.classes[0].name
+	Problem string // what is wrong with its value
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// fieldError reports a field by its path; format and args make the problem.
+func fieldError(field, format string, args ...any) error {
+	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
+
+// DecodeError reports a configuration that could not be decoded: its JSON is malformed, or a value has the wrong type.
+type DecodeError struct{ Err error }
+
+func (e *DecodeError) Error() string { return "not a configuration: " + e.Err.Error() }
+func (e *DecodeError) Unwrap() error { return e.Err }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"net/netip"
@@ -23,7 +22,7 @@
 		return err
 	}
 	if b.Settings == nil {
-		return errors.New("settings: missing")
+		return fieldError("settings", "missing")
 	}
 	if err := b.Settings.validateSupported(); err != nil || b.Shadow == nil {
 		return err
@@ -34,13 +33,13 @@
 // validateProcess checks the names, addresses and numbers outside the settings.
 func (b *Backend) validateProcess() error {
 	if b.Name == "" || !isWord(b.Name) {
-		return fmt.Errorf("name: %q is not a word", b.Name)
+		return fieldError("name", "%q is not a word", b.Name)
 	}
 	for _, a := range []struct{ field, address string }{
 		{"listen", b.Listen}, {"agent", b.Executor}, {"roster", b.Registry},
 	} {
 		if to, err := netip.ParseAddrPort(a.address); err != nil || to.Port() == 0 && a.field != "listen" {
-			return fmt.Errorf("%s: %q is not an address and a port", a.field, a.address)
+			return fieldError(a.field, "%q is not an address and a port", a.address)
 		}
 	}
 	for _, n := range []struct {
@@ -52,7 +51,7 @@
 		{"limits.sockets", float64(b.Limits.Sockets), maxSockets},
 	} {
 		if !(n.value > 0 && n.value <= n.max) {
-			return fmt.Errorf("%s: %v is not above 0 and at most %v", n.field, n.value, n.max)
+			return fieldError(n.field, "%v is not above 0 and at most %v", n.value, n.max)
 		}
 	}
 	return nil
@@ -66,11 +65,11 @@
 	shadow, settings := b.Shadow, b.Settings
 	switch {
 	case !slices.Equal(shadow.Operations, settings.Operations):
-		return fmt.Errorf("watch.classes: %q, and settings.classes has %q", shadow.Operations, settings.Operations)
+		return fieldError("watch.classes", "%q, and settings.classes has %q", shadow.Operations, settings.Operations)
 	case !slices.Equal(shadow.Tenants, settings.Tenants):
-		return fmt.Errorf("watch.projects: %q, and settings.projects has %q", shadow.Tenants, settings.Tenants)
+		return fieldError("watch.projects", "%q, and settings.projects has %q", shadow.Tenants, settings.Tenants)
 	case shadow.Admission.Cores != settings.Admission.Cores:
-		return fmt.Errorf("watch.family_info.n_cores: %d, and this machine has %d",
+		return fieldError("watch.family_info.n_cores", "%d, and this machine has %d",
 			shadow.Admission.Cores, settings.Admission.Cores)
 	}
 	return nil
@@ -89,7 +88,7 @@
 		return err
 	}
 	if s.choices.below != "off" && s.choices.below != "" {
-		return fmt.Errorf("settings.family_info.below: %q, and calls below have no line here", s.choices.below)
+		return fieldError("settings.family_info.below", "%q, and calls below have no line here", s.choices.below)
 	}
 	if s.choices.freshMs > 0 {
 		s.IgnoredFields = append(s.IgnoredFields, "family_info.fresh_ms")
@@ -105,11 +104,6 @@
 	return nil
 }
 
-// fieldError says that a field under the named object cannot be used.
-func fieldError(object, field, format string, args ...any) error {
-	return fmt.Errorf("%s.%s: %s", object, field, fmt.Sprintf(format, args...))
-}
-
 // validate refuses what no backend could use, or what contradicts itself; object names the settings in errors.
 func (s *Settings) validate(object string) error {
 	if err := s.validateDeployment(object); err != nil {
@@ -125,7 +119,7 @@
 	}
 	for n, name := range s.Tenants {
 		if name == "" || slices.Index(s.Tenants, name) != n {
-			return fieldError(object, fmt.Sprintf("projects[%d].name", n), "%q is empty or stands twice", name)
+			return fieldError(fmt.Sprintf("%s.projects[%d].name", object, n), "%q is empty or stands twice", name)
 		}
 	}
 	return nil
@@ -135,17 +129,17 @@
 	a := &s.Admission
 	switch {
 	case len(a.Operations) == 0:
-		return fieldError(object, "classes", "none")
+		return fieldError(object+".classes", "none")
 	case a.Cores < 1:
-		return fieldError(object, "family_info.n_cores", "%d", a.Cores)
+		return fieldError(object+".family_info.n_cores", "%d", a.Cores)
 	case !(a.MemoryKB > 0):
-		return fieldError(object, "family_info.mem_limit_kb", "%v", a.MemoryKB)
+		return fieldError(object+".family_info.mem_limit_kb", "%v", a.MemoryKB)
 	case !(a.RunFactor >= 1) || math.IsInf(a.RunFactor, 0):
-		return fieldError(object, "family_info.run_factor", "%v", a.RunFactor)
+		return fieldError(object+".family_info.run_factor", "%v", a.RunFactor)
 	case a.AnswerSlack <= 0:
-		return fieldError(object, "invariants.answer_slack_ms", "not above 0")
+		return fieldError(object+".invariants.answer_slack_ms", "not above 0")
 	case !(a.CollapseMultiple >= 1):
-		return fieldError(object, "invariants.fall_multiple", "%v", a.CollapseMultiple)
+		return fieldError(object+".invariants.fall_multiple", "%v", a.CollapseMultiple)
 	}
 	return nil
 }
@@ -154,46 +148,46 @@
 	a, c := &s.Admission, &s.choices
 	switch {
 	case c.valueBy != "" && c.valueBy != "request" && c.valueBy != "work":
-		return fieldError(object, "worth_by", "%q is neither request nor work", c.valueBy)
+		return fieldError(object+".worth_by", "%q is neither request nor work", c.valueBy)
 	case c.preemption != "" && !has(preemptions, c.preemption):
-		return fieldError(object, "family_info.preemption", "%q is none of off, discard and freeze", c.preemption)
+		return fieldError(object+".family_info.preemption", "%q is none of off, discard and freeze", c.preemption)
 	case c.say != "" && !has(advertisedValues, c.say):
-		return fieldError(object, "family_info.say", "%q is none of off, floor, allowance and weight", c.say)
+		return fieldError(object+".family_info.say", "%q is none of off, floor, allowance and weight", c.say)
 	case !slices.Contains([]string{"", "off", "one_for_all", "tier"}, c.below):
-		return fieldError(object, "family_info.below", "%q is none of off, one_for_all and tier", c.below)
+		return fieldError(object+".family_info.below", "%q is none of off, one_for_all and tier", c.below)
 	case a.SharedDependency && !(a.CallQuota > 0 && a.CallQuotaWindow > 0):
-		return fieldError(object, "family_info.calls_out", "%v over %v us, and one dependency serves all",
+		return fieldError(object+".family_info.calls_out", "%v over %v us, and one dependency serves all",
 			a.CallQuota, a.CallQuotaWindow)
 	}
 	return nil
 }
 
 func (s *Settings) validateOperation(object string, n int) error {
-	op, name, field := &s.Admission.Operations[n], s.Operations[n], fmt.Sprintf("classes[%d]", n)
+	op, name, field := &s.Admission.Operations[n], s.Operations[n], fmt.Sprintf("%s.classes[%d]", object, n)
 	switch {
 	case name == "" || !isWord(name):
-		return fieldError(object, field+".name", "%q is not a word", name)
+		return fieldError(field+".name", "%q is not a word", name)
 	case slices.Index(s.Operations, name) != n:
-		return fieldError(object, field+".name", "%q stands twice", name)
+		return fieldError(field+".name", "%q stands twice", name)
 	case op.Objective <= 0:
-		return fieldError(object, field+".aim_ms", "not above 0")
+		return fieldError(field+".aim_ms", "not above 0")
 	case op.ClientTimeout <= 0:
-		return fieldError(object, field+".deadline_ms", "not above 0")
+		return fieldError(field+".deadline_ms", "not above 0")
 	case !has(retrySafeties, s.choices.repeats[n]):
-		return fieldError(object, field+".repeat", "%q is none of idempotent, deduplicated and at_most_once",
+		return fieldError(field+".repeat", "%q is none of idempotent, deduplicated and at_most_once",
 			s.choices.repeats[n])
 	case op.RetrySafety == admission.IdempotencyKeyed && op.RepeatWindow <= 0:
-		return fieldError(object, field+".window_ms", "not above 0, and repeats are to be known")
+		return fieldError(field+".window_ms", "not above 0, and repeats are to be known")
 	case op.RetrySafety == admission.IdempotencyKeyed && !(s.Admission.IdempotencyKeyKB > 0):
-		return fieldError(object, "family_info.key_kb", "not above 0, and %s keeps keys", name)
+		return fieldError(object+".family_info.key_kb", "not above 0, and %s keeps keys", name)
 	case !(op.Value >= 0) || math.IsInf(op.Value, 0):
-		return fieldError(object, field+".worth", "%v", op.Value)
+		return fieldError(field+".worth", "%v", op.Value)
 	case !(op.LateValue >= 0 && op.LateValue <= 1):
-		return fieldError(object, field+".late_value", "%v is no part", op.LateValue)
+		return fieldError(field+".late_value", "%v is no part", op.LateValue)
 	case !(op.ValueWithoutCall >= 0 && op.ValueWithoutCall <= 1):
-		return fieldError(object, fmt.Sprintf("family_info.degraded_worth[%d]", n), "%v is no part", op.ValueWithoutCall)
+		return fieldError(fmt.Sprintf("%s.family_info.degraded_worth[%d]", object, n), "%v is no part", op.ValueWithoutCall)
 	case op.MakesCalls && s.choices.below == "off":
-		return fieldError(object, fmt.Sprintf("family_info.class_calls[%d]", n), "true, and nothing lies below")
+		return fieldError(fmt.Sprintf("%s.family_info.class_calls[%d]", object, n), "true, and nothing lies below")
 	}
 	return nil
 }
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
@@ -69,12 +70,30 @@
 		if err == nil || !strings.HasSuffix(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
 		}
+		if fieldErr := (*FieldError)(nil); !errors.As(err, &fieldErr) || fieldErr.Error() != c.want {
+			t.Errorf("%s: %#v is no error of a field", c.new, err)
+		}
 	}
 	if _, err := Parse([]byte(edited(t, completeFile, "127.0.0.1:1", "127.0.0.1:0"))); err != nil {
 		t.Errorf("port 0 to listen at: %v", err)
 	}
 }
 
+// TestDecodeErrors: text that is no JSON object, or has a value of the wrong type, is told apart from an unusable field.
+func TestDecodeErrors(t *testing.T) {
+	for text, want := range map[string]string{
+		"{":             "not a configuration: unexpected end of JSON input",
+		`{"name":1}`:    "not a configuration: json: cannot unmarshal number into Go struct field Backend.name of type string",
+		`{"settings":7`: "not a configuration: unexpected end of JSON input",
+	} {
+		_, err := Parse([]byte(text))
+		var decodeErr *DecodeError
+		if fieldErr := (*FieldError)(nil); !errors.As(err, &decodeErr) || errors.As(err, &fieldErr) || err.Error() != want {
+			t.Errorf("%s: %v, want %s", text, err, want)
+		}
+	}
+}
+
 // TestInvalidShadowSettings: events of the one instance must have a meaning to the other, on the same machine.
 func TestInvalidShadowSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
