--- a/internal/backend/quota/bucket.go
+++ b/internal/backend/quota/bucket.go
@@ -32,6 +32,17 @@
 	b.refillAt(now, b.Floor+b.Extra)
 }
 
+// applyGrant replaces the grant. What the old one has yielded up to now stays, as far as the new bucket holds it.
+func (b *allotment) applyGrant(now Micros, grant Grant, leaseEnd Micros) {
+	b.refill(now)
+	if b.leaseEnd = leaseEnd; leaseEnd <= now {
+		grant.Extra = 0 // the lease expired before the response came
+	}
+	b.Grant = grant
+	b.filledAt = now
+	b.tokens = min(b.tokens, bucketSize(grant.Floor+grant.Extra))
+}
+
 // refillAt adds tokens at a rate up to a time. A full bucket takes no more, so nothing overflows.
 func (b *allotment) refillAt(to Micros, rate int64) {
 	full := bucketSize(rate)
--- a/internal/backend/quota/holder.go
+++ b/internal/backend/quota/holder.go
@@ -4,7 +4,6 @@
 package quota
 
 import (
-	"fmt"
 	"slices"
 
 	"milletbarrow/internal/failpoint"
@@ -97,46 +96,56 @@
 	return request
 }
 
-// Apply takes in the grants of a response. An error means that nothing was changed: the response is to another process or
-// to a request that is not pending, or a grant is of an old epoch, of another budget or out of bounds.
-func (h *Holder) Apply(now Micros, a LeaseResponse) error {
-	if a.Name != h.name || a.Incarnation != h.incarnation {
-		return fmt.Errorf("life: the answer is for %s %s, this is %s %s", a.Name, a.Incarnation, h.name, h.incarnation)
+// Apply takes in the grants of a response. An error is a *ResponseError and means that nothing was changed: the response is
+// to another process or to a request that is not pending, or a grant is of an old epoch, of another budget or out of bounds.
+func (h *Holder) Apply(now Micros, response LeaseResponse) error {
+	if response.Name != h.name || response.Incarnation != h.incarnation {
+		return refuse(ErrWrongHolder, "life: the answer is for %s %s, this is %s %s",
+			response.Name, response.Incarnation, h.name, h.incarnation)
 	}
-	began := now
-	at := slices.IndexFunc(h.pending, func(q pendingRequest) bool { return q.number == a.Number })
+	requestedAt, pending := h.requestedAt(response.Number)
 	switch {
-	case failpoint.Enabled(failpoint.IgnoreEpoch): // taken as if it had been asked for just now
-	case at < 0:
-		return fmt.Errorf("number: %d is none of the latest asks", a.Number)
-	default:
-		began = h.pending[at].sentAt
+	case failpoint.Enabled(failpoint.IgnoreEpoch): // as if it had been requested just now
+		requestedAt = now
+	case !pending:
+		return refuse(ErrUnknownRequest, "number: %d is none of the latest asks", response.Number)
 	}
-	for _, p := range a.Grants {
-		i := h.Index(p.Budget)
-		switch {
-		case i < 0:
-			return fmt.Errorf("budget: %q is not drawn from here", p.Budget)
-		case !failpoint.Enabled(failpoint.IgnoreEpoch) && p.Epoch <= h.allotments[i].Epoch:
-			return fmt.Errorf("epoch: %d of %s is not newer than %d", p.Epoch, p.Budget, h.allotments[i].Epoch)
-		case p.Floor < 0 || p.Floor > MaxRate || p.Extra < 0 || p.Extra > MaxRate || p.Lease < 0:
-			return fmt.Errorf("budget %s: floor %d, extra %d or lease %d is out of bounds", p.Budget, p.Floor, p.Extra, p.Lease)
+	for i := range response.Grants {
+		if err := h.checkGrant(&response.Grants[i]); err != nil {
+			return err
 		}
 	}
-	for _, p := range a.Grants {
-		b := &h.allotments[h.Index(p.Budget)]
-		b.refill(now)
-		if b.leaseEnd = began + p.Lease; b.leaseEnd <= now {
-			p.Extra = 0 // the lease expired before the response came
-		}
-		b.Grant = p
-		b.filledAt = now
-		b.tokens = min(b.tokens, bucketSize(p.Floor+p.Extra))
+	for _, grant := range response.Grants {
+		h.allotments[h.Index(grant.Budget)].applyGrant(now, grant, requestedAt+grant.Lease)
+	}
+	return nil
+}
+
+// requestedAt returns when the pending request of that number was made; ok is false if there is none.
+func (h *Holder) requestedAt(number uint64) (at Micros, ok bool) {
+	i := slices.IndexFunc(h.pending, func(request pendingRequest) bool { return request.number == number })
+	if i < 0 {
+		return 0, false
+	}
+	return h.pending[i].sentAt, true
+}
+
+// checkGrant refuses a grant that may not replace the one in force.
+func (h *Holder) checkGrant(grant *Grant) error {
+	i := h.Index(grant.Budget)
+	switch {
+	case i < 0:
+		return refuse(ErrUnknownBudget, "budget: %q is not drawn from here", grant.Budget)
+	case !failpoint.Enabled(failpoint.IgnoreEpoch) && grant.Epoch <= h.allotments[i].Epoch:
+		return refuse(ErrStaleEpoch, "epoch: %d of %s is not newer than %d", grant.Epoch, grant.Budget, h.allotments[i].Epoch)
+	case grant.Floor < 0 || grant.Floor > MaxRate || grant.Extra < 0 || grant.Extra > MaxRate || grant.Lease < 0:
+		return refuse(ErrOutOfBounds, "budget %s: floor %d, extra %d or lease %d is out of bounds",
+			grant.Budget, grant.Floor, grant.Extra, grant.Lease)
 	}
 	return nil
 }
 
-// Release gives up all grants, floors too: nothing is acquired any more. Tell the lease server after this, not before.
+// Release gives up all grants, floors too: nothing is acquired any more. Notify the lease server after this, not before.
 func (h *Holder) Release(now Micros) {
 	for i := range h.allotments {
 		b := &h.allotments[i]
