--- a/internal/backend/degradation/controller.go
+++ b/internal/backend/degradation/controller.go
@@ -283,13 +283,14 @@
 }
 
 // Override holds a level until then, at most MaxOverride from now, on behalf of by. With allowAbove the signals may raise
-// the level above it. An override is not stored, and a new one replaces the old. An error means that nothing was changed.
+// the level above it. An override is not stored, and a new one replaces the old. An error is an *OverrideError and
+// means that nothing was changed.
 func (c *Controller) Override(now Micros, level int, until Micros, by string, allowAbove bool) error {
 	switch {
 	case level < 0 || level > len(c.policy.Levels):
-		return fmt.Errorf("level: %d is not from 0 to %d", level, len(c.policy.Levels))
+		return overrideError("level", "%d is not from 0 to %d", level, len(c.policy.Levels))
 	case until <= now || until-now > c.policy.MaxOverride:
-		return fmt.Errorf("until: not within the next %d s", c.policy.MaxOverride/1_000_000)
+		return overrideError("until", "not within the next %d s", c.policy.MaxOverride/1_000_000)
 	}
 	c.override = levelOverride{level: level, until: until, by: by, allowAbove: allowAbove}
 	return nil
--- /dev/null
+++ b/internal/backend/degradation/errors.go
@@ -0,0 +1,35 @@
+package degradation
+
+import "fmt"
+
+// OverrideError reports an override of the level that was refused.
+type OverrideError struct {
+	Field   string // of the override: level or until
+	Problem string // what is wrong with its value
+}
+
+func (e *OverrideError) Error() string { return e.Field + ": " + e.Problem }
+
+func overrideError(field, format string, args ...any) error {
+	return &OverrideError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
+
+// UnknownNameError reports a rule of a policy that names an operation or a tenant that the deployment does not have.
+type UnknownNameError struct {
+	Level string // whose rule it is
+	Kind  string // operation or tenant
+	Name  string
+}
+
+func (e *UnknownNameError) Error() string {
+	return fmt.Sprintf("level %s: %s %q: the deployment has none of this name", e.Level, e.Kind, e.Name)
+}
+
+// TraceError reports a line of a trace that cannot be read.
+type TraceError struct {
+	File    string // as it was named to ReadTrace
+	Line    int    // from 1
+	Problem string
+}
+
+func (e *TraceError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem) }
--- a/internal/backend/degradation/invariants_test.go
+++ b/internal/backend/degradation/invariants_test.go
@@ -1,7 +1,9 @@
 package degradation
 
 import (
+	"errors"
 	"math"
+	"strings"
 	"testing"
 )
 
@@ -116,7 +118,8 @@
 		{-1, now + second, false}, {0, now + second, true}, {3, now + second, true}, {4, now + second, false},
 		{1, now - 1, false}, {1, now, false}, {1, now + 600*second, true}, {1, now + 600*second + 1, false},
 	} {
-		if err := c.Override(now, row.level, row.until, "test", false); (err == nil) != row.ok {
+		err := c.Override(now, row.level, row.until, "test", false)
+		if overrideErr := (*OverrideError)(nil); (err == nil) != row.ok || !row.ok && !errors.As(err, &overrideErr) {
 			t.Errorf("%+v: %v", row, err)
 		}
 	}
@@ -167,3 +170,39 @@
 		t.Errorf("unknown gauges: %v", s)
 	}
 }
+
+// TestTraceErrors: a line of a trace that cannot be read is named by file and number.
+func TestTraceErrors(t *testing.T) {
+	const known = "queue, cores, turned, hopeless, late, retries, memory, unknown, cold, draining"
+	for _, row := range []struct{ text, want string }{
+		{"; note\n5 queue=1\n5 queue=1\n", `t:3: time: "5" is no number of microseconds above that of the line before`},
+		{"-1 queue=1\n", `t:1: time: "-1" is no number of microseconds above that of the line before`},
+		{"x queue=1\n", `t:1: time: "x" is no number of microseconds above that of the line before`},
+		{"\n1 load=1\n", `t:2: "load=1" is no signal with a value from 0 up; there are ` + known},
+		{"1 queue=-1\n", `t:1: "queue=-1" is no signal with a value from 0 up; there are ` + known},
+		{"1 queue=NaN\n", `t:1: "queue=NaN" is no signal with a value from 0 up; there are ` + known},
+		{"1 queue=2e9\n", `t:1: "queue=2e9" is no signal with a value from 0 up; there are ` + known},
+	} {
+		_, err := ReadTrace("t", strings.NewReader(row.text))
+		if traceErr := (*TraceError)(nil); !errors.As(err, &traceErr) || err.Error() != row.want {
+			t.Errorf("%q: %v, wanted %s", row.text, err, row.want)
+		}
+	}
+}
+
+// TestUnknownNames: a rule of an operation or a tenant that the deployment lacks is refused, with the level and the name.
+func TestUnknownNames(t *testing.T) {
+	policy := policyOf(t, `(ladder l (level a (shed (operations look) (tenants loud)) (enter (queue 2)) (exit (queue 1))))`)
+	for _, row := range []struct {
+		operations, tenants []string
+		want                UnknownNameError
+	}{
+		{nil, []string{"loud"}, UnknownNameError{Level: "a", Kind: "operation", Name: "look"}},
+		{[]string{"look"}, []string{"calm"}, UnknownNameError{Level: "a", Kind: "tenant", Name: "loud"}},
+	} {
+		_, err := NewShedder(policy, row.operations, row.tenants, 1)
+		if unknown := (*UnknownNameError)(nil); !errors.As(err, &unknown) || *unknown != row.want {
+			t.Errorf("%v, wanted %v", err, &row.want)
+		}
+	}
+}
--- a/internal/backend/degradation/shedder.go
+++ b/internal/backend/degradation/shedder.go
@@ -1,7 +1,6 @@
 package degradation
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"slices"
 )
@@ -23,53 +22,56 @@
 }
 
 // NewShedder returns a shedder for the operations and tenants of a deployment. A name in the policy that is none of them is
-// an error, since its rule could never match.
+// an *UnknownNameError, since its rule could never match.
 func NewShedder(policy *Policy, operations, tenants []string, seed uint64) (*Shedder, error) {
-	d := &Shedder{debt: make([]float64, len(operations)), pcg: *rand.NewPCG(seed, 3), operations: len(operations)}
-	mark := func(what string, names, all []string) ([]bool, error) {
-		if len(names) == 0 {
-			return nil, nil
-		}
-		set := make([]bool, len(all))
-		for _, n := range names {
-			i := slices.Index(all, n)
-			if i < 0 {
-				return nil, fmt.Errorf("%s %q: the deployment has none of this name", what, n)
-			}
-			set[i] = true
-		}
-		return set, nil
-	}
-	for _, v := range policy.Levels {
+	shedder := &Shedder{debt: make([]float64, len(operations)), pcg: *rand.NewPCG(seed, 3), operations: len(operations)}
+	for _, level := range policy.Levels {
 		var rules []rule
-		for _, r := range v.Shed {
-			ops, err := mark("operation", r.Operations, operations)
-			if err != nil {
-				return nil, fmt.Errorf("level %s: %w", v.Name, err)
+		for _, r := range level.Shed {
+			matchedOperations, unknown := indexSet(r.Operations, operations)
+			if unknown != "" {
+				return nil, &UnknownNameError{Level: level.Name, Kind: "operation", Name: unknown}
 			}
-			ten, err := mark("tenant", r.Tenants, tenants)
-			if err != nil {
-				return nil, fmt.Errorf("level %s: %w", v.Name, err)
+			matchedTenants, unknown := indexSet(r.Tenants, tenants)
+			if unknown != "" {
+				return nil, &UnknownNameError{Level: level.Name, Kind: "tenant", Name: unknown}
 			}
-			rules = append(rules, rule{ops, ten, r.RankBelow, r.CostAbove, r.Share})
+			rules = append(rules, rule{matchedOperations, matchedTenants, r.RankBelow, r.CostAbove, r.Share})
+		}
+		shedder.rules = append(shedder.rules, rules)
+	}
+	return shedder, nil
+}
+
+// indexSet marks the indices of names in all; nil stands for all of them if there are no names. unknown is the first name
+// that is not in all.
+func indexSet(names, all []string) (set []bool, unknown string) {
+	if len(names) == 0 {
+		return nil, ""
+	}
+	set = make([]bool, len(all))
+	for _, name := range names {
+		i := slices.Index(all, name)
+		if i < 0 {
+			return nil, name
 		}
-		d.rules = append(d.rules, rules)
+		set[i] = true
 	}
-	return d, nil
+	return set, ""
 }
 
 // ShedFraction is the fraction of requests like this one that a level sheds; depth is that of the level, see
 // Controller.Depth. Operations and tenants are indices of the names given to NewShedder; a tenant beyond them matches no
 // rule that names tenants.
-func (d *Shedder) ShedFraction(level int, depth float64, operation, tenant int, rank float64, cost Micros) float64 {
+func (s *Shedder) ShedFraction(level int, depth float64, operation, tenant int, rank float64, cost Micros) float64 {
 	share := 0.0
-	for n := range min(level, len(d.rules)) {
+	for n := range min(level, len(s.rules)) {
 		part := 1.0
 		if n == level-1 {
 			part = depth
 		}
-		for i := range d.rules[n] {
-			r := &d.rules[n][i]
+		for i := range s.rules[n] {
+			r := &s.rules[n][i]
 			if (r.operations == nil || r.operations[operation]) && rank < r.rankBelow && cost >= r.costAbove &&
 				(r.tenants == nil || tenant < len(r.tenants) && r.tenants[tenant]) {
 				share = max(share, part*r.share)
@@ -80,17 +82,17 @@
 }
 
 // ShouldShed decides on one request.
-func (d *Shedder) ShouldShed(level int, depth float64, operation, tenant int, rank float64, cost Micros) bool {
+func (s *Shedder) ShouldShed(level int, depth float64, operation, tenant int, rank float64, cost Micros) bool {
 	if level == 0 {
 		return false
 	}
-	share := d.ShedFraction(level, depth, operation, tenant, rank, cost)
+	share := s.ShedFraction(level, depth, operation, tenant, rank, cost)
 	if share <= 0 || share >= 1 {
 		return share > 0
 	}
-	owed := &d.debt[operation]
+	owed := &s.debt[operation]
 	*owed += share
-	if *owed > float64(d.pcg.Uint64()>>11)/(1<<53) {
+	if *owed > float64(s.pcg.Uint64()>>11)/(1<<53) {
 		*owed--
 		return true
 	}
--- a/internal/backend/degradation/trace.go
+++ b/internal/backend/degradation/trace.go
@@ -33,6 +33,7 @@
 }
 
 // ReadTrace reads a trace; file is its name in errors. Times must increase. Signals that a line leaves out are missing.
+// An error is a *TraceError, or that of the reader.
 func ReadTrace(file string, in io.Reader) (all []Reading, err error) {
 	lines := bufio.NewScanner(in)
 	for n := 1; lines.Scan(); n++ {
@@ -41,7 +42,7 @@
 			continue
 		}
 		fail := func(format string, args ...any) error {
-			return fmt.Errorf("%s:%d: %s", file, n, fmt.Sprintf(format, args...))
+			return &TraceError{File: file, Line: n, Problem: fmt.Sprintf(format, args...)}
 		}
 		at, err := strconv.ParseInt(words[0], 10, 64)
 		if err != nil || at < 0 || len(all) > 0 && Micros(at) <= all[len(all)-1].At {
