--- a/internal/backend/dispatch/degradation.go
+++ b/internal/backend/dispatch/degradation.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"time"
@@ -33,8 +32,8 @@
 // degradationNow is the clock of the degradation controller. Setting the wall clock must not change a level.
 func degradationNow() degradation.Micros { return degradation.Micros(process.Now()) }
 
-// SetDegradationPolicy puts a policy in force, or replaces the present one; the level in force goes on. An error names
-// what in the policy this deployment does not have.
+// SetDegradationPolicy puts a policy in force, or replaces the present one; the level in force goes on. A name that
+// this deployment does not have is a *degradation.UnknownNameError.
 func (d *Dispatcher) SetDegradationPolicy(policy *degradation.Policy) error {
 	shedder, err := degradation.NewShedder(policy, d.sheet.Operations, d.sheet.Tenants, d.seed)
 	if err != nil {
@@ -159,10 +158,8 @@
 	return status, true
 }
 
-// ErrNoPolicy is the error of an override while no degradation policy is in force.
-var ErrNoPolicy = errors.New("no ladder is in force")
-
-// OverrideLevel holds the level of that name for a while, on behalf of by; see degradation.Controller.Override.
+// OverrideLevel holds the level of that name for a while, on behalf of by; see degradation.Controller.Override. An error
+// is ErrNoPolicy or a *degradation.OverrideError.
 func (d *Dispatcher) OverrideLevel(name string, span time.Duration, by string, allowAbove bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,7 +173,7 @@
 			return state.controller.Override(now, level, now+degradation.Micros(span.Microseconds()), by, allowAbove)
 		}
 	}
-	return fmt.Errorf("level: %q is none of ladder %s", name, state.policy.Name)
+	return &degradation.OverrideError{Field: "level", Problem: fmt.Sprintf("%q is none of ladder %s", name, state.policy.Name)}
 }
 
 // ClearOverride ends an override: the signals decide again.
--- /dev/null
+++ b/internal/backend/dispatch/errors.go
@@ -0,0 +1,33 @@
+package dispatch
+
+import (
+	"errors"
+	"fmt"
+)
+
+// ErrNoPolicy is the error of an override while no degradation policy is in force.
+var ErrNoPolicy = errors.New("no ladder is in force")
+
+// ErrNoQuotas is the error of a lease response where no budget is in use.
+var ErrNoQuotas = errors.New("no budget is drawn from here")
+
+// UnknownTenantError reports a quota configuration with a tenant that the deployment does not have.
+type UnknownTenantError struct {
+	Configured map[string]string // budget by tenant
+	Known      []string          // the deployment's tenants
+}
+
+func (e *UnknownTenantError) Error() string {
+	return fmt.Sprintf("draw: some tenant of %v is none of this deployment's %v", e.Configured, e.Known)
+}
+
+// PanicError reports a panic of the decision module.
+type PanicError struct{ Value any }
+
+func (e *PanicError) Error() string { return fmt.Sprint(e.Value) }
+
+// Unwrap returns the value of the panic if that is an error, such as a runtime.Error; otherwise nil.
+func (e *PanicError) Unwrap() error {
+	err, _ := e.Value.(error)
+	return err
+}
--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"log"
 	"log/slog"
+	"runtime"
 	"strings"
 	"testing"
 	"time"
@@ -246,8 +248,26 @@
 // TestUnknownTenantOfBudget: a budget of a tenant that the deployment lacks is refused.
 func TestUnknownTenantOfBudget(t *testing.T) {
 	d := drawing(t, open(t))
-	if err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, Tenants: map[string]string{"nobody": "b"}}); err == nil {
-		t.Error("it was taken")
+	err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, Tenants: map[string]string{"nobody": "b"}})
+	const want = "draw: some tenant of map[nobody:b] is none of this deployment's [acme zenith]"
+	if unknown := (*UnknownTenantError)(nil); !errors.As(err, &unknown) || err.Error() != want {
+		t.Errorf("%v, wanted %s", err, want)
+	}
+}
+
+// TestModulePanic: a panic of the module is an error that has its value, and wraps it if that is an error itself.
+func TestModulePanic(t *testing.T) {
+	d := open(t)
+	err := d.decide(Now(), admission.Arrived{ID: "a", Operation: 99}) // the module indexes its operations with it
+	var panicked *PanicError
+	if cause := runtime.Error(nil); !errors.As(err, &panicked) || !errors.As(err, &cause) || cause.Error() != err.Error() {
+		t.Errorf("%#v", err)
+	}
+	if err := error(&PanicError{Value: "text"}); err.Error() != "text" || errors.Unwrap(err) != nil {
+		t.Errorf("%#v", err)
+	}
+	if d.counts.Panics != 1 {
+		t.Errorf("%d panics counted", d.counts.Panics)
 	}
 }
 
--- a/internal/backend/dispatch/module.go
+++ b/internal/backend/dispatch/module.go
@@ -9,7 +9,7 @@
 )
 
 // decide passes an event to the module and carries out the actions that it returns. A panic in the module is logged and
-// returned as an error; requests in flight stay so and are answered when they are overdue.
+// returned as a *PanicError; requests in flight stay so and are answered when they are overdue.
 func (d *Dispatcher) decide(now Micros, event admission.Event) (err error) {
 	if d.backend == nil {
 		return nil
@@ -17,7 +17,7 @@
 	defer func() {
 		if r := recover(); r != nil {
 			d.counts.Panics++
-			err = fmt.Errorf("%v", r)
+			err = &PanicError{Value: r}
 			slog.Error("internal_error", "in", fmt.Sprintf("%T", event), "text", err, "stack", string(debug.Stack()))
 		}
 	}()
--- a/internal/backend/dispatch/quota.go
+++ b/internal/backend/dispatch/quota.go
@@ -1,9 +1,6 @@
 package dispatch
 
 import (
-	"errors"
-	"fmt"
-
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/backend/quotalog"
@@ -18,7 +15,7 @@
 	log            *quotalog.Log
 }
 
-// QuotaConfig names the budgets that tenants draw from.
+// QuotaConfig names the budgets that tenants acquire units from.
 type QuotaConfig struct {
 	Holder       *quota.Holder
 	Tenants      map[string]string   // budget by tenant
@@ -27,11 +24,8 @@
 	Log          *quotalog.Log       // for an auditor; may be nil
 }
 
-// ErrNoQuotas is the error of a lease response where no budget is drawn from.
-var ErrNoQuotas = errors.New("no budget is drawn from here")
-
-// SetQuotas has requests draw units from their tenants' budgets from now on. An error names a tenant that this deployment
-// does not have.
+// SetQuotas has requests acquire units from their tenants' budgets from now on. A tenant that this deployment
+// does not have is an *UnknownTenantError.
 func (d *Dispatcher) SetQuotas(cfg QuotaConfig) error {
 	state := &quotaState{
 		holder: cfg.Holder, clock: cfg.Clock, machineClock: cfg.MachineClock,
@@ -46,7 +40,7 @@
 		}
 	}
 	if found < len(cfg.Tenants) {
-		return fmt.Errorf("draw: some tenant of %v is none of this deployment's %v", cfg.Tenants, d.sheet.Tenants)
+		return &UnknownTenantError{Configured: cfg.Tenants, Known: d.sheet.Tenants}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
