--- a/internal/backend/dispatch/degradation_test.go
+++ b/internal/backend/dispatch/degradation_test.go
@@ -17,8 +17,8 @@
 	return l
 }
 
-// TestDegradationLevels: a level sheds what its rules name, on arrival and with advice, and nothing else; a person may hold it,
-// and what a deployment does not have is refused.
+// TestDegradationLevels: a level sheds what its rules name, on arrival and with advice, and nothing else; an operator may
+// override it, and a policy that names what the deployment does not have is refused.
 func TestDegradationLevels(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
@@ -29,18 +29,18 @@
 		(level half (shed (operations post) (share 0.5)) (enter (queue 50)) (exit (queue 40))))`)); err != nil {
 		t.Fatal(err)
 	}
-	pick := func(what string, operation int) {
-		inv := usual(what)
+	admit := func(what string, operation int) {
+		inv := newInvocation(what)
 		inv.Operation = operation
-		w, ticket := d.Admit(inv)
-		say(tr, what, w, ticket, d)
-		if ticket != nil {
-			d.Complete(ticket, RunSucceeded, nil)
+		resp, req := d.Admit(inv)
+		say(tr, what, resp, req, d)
+		if req != nil {
+			d.Complete(req, RunSucceeded, nil)
 		}
 	}
 	quiet := []float64{0.1, 0, 0.1, 1}
 	d.Tick(quiet)
-	pick("full service: look", 0)
+	admit("full service: look", 0)
 	d.Tick([]float64{1, 30, 0.1, 1}) // 15 a core
 	r, _ := d.DegradationStatus()
 	tr.Say("level %s, %d changes", r.Level, len(r.Changes))
@@ -48,36 +48,36 @@
 	d.Tick(quiet)
 	fakes.Until(t, "the queue has drained", func() bool {
 		d.Tick(quiet)
-		inv := usual(fmt.Sprint("p", Now()))
-		inv.Operation, inv.CallerLeft = 1, gone
-		w, ticket := d.Admit(inv)
-		if ticket != nil {
-			d.Complete(ticket, RunSucceeded, nil)
+		inv := newInvocation(fmt.Sprint("p", Now()))
+		inv.Operation, inv.CallerLeft = 1, leftCaller
+		resp, req := d.Admit(inv)
+		if req != nil {
+			d.Complete(req, RunSucceeded, nil)
 		}
-		return w.Verdict != Throttled
+		return resp.Verdict != Throttled
 	})
-	pick("look", 0)
-	pick("post", 1)
+	admit("look", 0)
+	admit("post", 1)
 	tr.Say("%v", d.OverrideLevel("nothing", time.Second, "test", false))
 	tr.Say("%v", d.OverrideLevel("full", time.Minute, "test", false))
 	d.Tick(quiet)
-	pick("held at full service: look", 0)
+	admit("held at full service: look", 0)
 	tr.Say("%v", d.OverrideLevel("half", time.Minute, "test", false))
 	d.Tick(quiet)
 	shed := 0
 	for n := range 100 {
-		inv := usual(fmt.Sprint("h", n))
+		inv := newInvocation(fmt.Sprint("h", n))
 		inv.Operation = 1
-		w, ticket := d.Admit(inv)
-		if ticket != nil {
-			d.Complete(ticket, RunSucceeded, nil)
+		resp, req := d.Admit(inv)
+		if req != nil {
+			d.Complete(req, RunSucceeded, nil)
 		}
-		if w.Verdict == Throttled {
+		if resp.Verdict == Throttled {
 			shed++
 		}
 	}
 	d.Drain(5_000_000, 300_000) // under a level: what is not shed runs on through the grace
-	pick("draining: look", 0)
+	admit("draining: look", 0)
 	r, _ = d.DegradationStatus()
 	tr.Say("%s: %t of a hundred are shed", r.Level, shed >= 49 && shed <= 51)
 }
--- a/internal/backend/dispatch/dispatcher_test.go
+++ b/internal/backend/dispatch/dispatcher_test.go
@@ -21,20 +21,20 @@
 	return d
 }
 
-func inHand(d *Dispatcher) int {
+func requestsInFlight(d *Dispatcher) int {
 	_, n := d.Counts()
 	return n
 }
 
-var gone = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
+var leftCaller = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-func usual(id string) Invocation {
+func newInvocation(id string) Invocation {
 	return Invocation{ID: id, Rank: 0.5, MemoryKB: 20, ExpectedWork: 20_000, ArrivedAt: Now(), CallerTimeout: 4_000_000}
 }
 
-func say(tr *fakes.Trace, what string, w Response, ticket *Request, d *Dispatcher) {
-	tr.Say("%s: verdict %d away %t don't retry %t ticket %t, in hand %d", what, w.Verdict, w.RetryAfter > 0, w.DontRetry,
-		ticket != nil, inHand(d))
+func say(tr *fakes.Trace, what string, resp Response, req *Request, d *Dispatcher) {
+	tr.Say("%s: verdict %d away %t don't retry %t ticket %t, in hand %d", what, resp.Verdict, resp.RetryAfter > 0, resp.DontRetry,
+		req != nil, requestsInFlight(d))
 }
 
 // responseText prints every field of a response in the form of the recorded traces.
@@ -46,47 +46,47 @@
 func TestVerdicts(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
-	w, ticket := d.Admit(usual("a"))
-	say(tr, "idle cores", w, ticket, d)
-	same, none := d.Admit(usual("a"))
+	resp, req := d.Admit(newInvocation("a"))
+	say(tr, "idle cores", resp, req, d)
+	same, none := d.Admit(newInvocation("a"))
 	say(tr, "an id that is in hand", same, none, d)
-	tr.Say("its run succeeds: owed %t, in hand %d", d.Complete(ticket, RunSucceeded, nil), inHand(d))
+	tr.Say("its run succeeds: owed %t, in hand %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
-	_, ticket = d.Admit(usual("b"))
-	d.Abandon(ticket)
-	tr.Say("the caller left: final word %s", responseText(<-ticket.FinalResponse()))
-	tr.Say("its run succeeds: owed %t, in hand %d", d.Complete(ticket, RunSucceeded, nil), inHand(d))
+	_, req = d.Admit(newInvocation("b"))
+	d.Abandon(req)
+	tr.Say("the caller left: final word %s", responseText(<-req.FinalResponse()))
+	tr.Say("its run succeeds: owed %t, in hand %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
-	early := usual("c")
+	early := newInvocation("c")
 	early.ArrivedAt -= 3_900_000 // due in 100 ms, of which the run knows nothing
-	_, ticket = d.Admit(early)
-	for len(ticket.FinalResponse()) == 0 {
+	_, req = d.Admit(early)
+	for len(req.FinalResponse()) == 0 {
 		d.Tick([]float64{0.5, 1, 0, 0})
 	}
 	late := Now() - (early.ArrivedAt + early.CallerTimeout)
-	tr.Say("due while it runs: final word %s, too late %t", responseText(<-ticket.FinalResponse()), late > d.sheet.Admission.AnswerSlack)
-	tr.Say("its run succeeds after all: owed %t, in hand %d", d.Complete(ticket, RunSucceeded, nil), inHand(d))
+	tr.Say("due while it runs: final word %s, too late %t", responseText(<-req.FinalResponse()), late > d.sheet.Admission.AnswerSlack)
+	tr.Say("its run succeeds after all: owed %t, in hand %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
-	fault := usual("d")
+	fault := newInvocation("d")
 	fault.Operation = 99 // the module indexes its operations with it
-	w, ticket = d.Admit(fault)
-	say(tr, "a panic in the module", w, ticket, d)
-	w, ticket = d.Admit(usual("e"))
-	say(tr, "the next after it", w, ticket, d)
-	d.Complete(ticket, RunErrored, nil)
+	resp, req = d.Admit(fault)
+	say(tr, "a panic in the module", resp, req, d)
+	resp, req = d.Admit(newInvocation("e"))
+	say(tr, "the next after it", resp, req, d)
+	d.Complete(req, RunErrored, nil)
 
 	n := 0
 	fakes.Until(t, "the queue is beyond the threshold", func() bool {
 		d.Tick([]float64{1, 20, 0.1, 1})
 		n++
-		inv := usual(fmt.Sprint("f", n))
-		inv.CallerLeft = gone // it does not wait in line
-		if w, ticket = d.Admit(inv); ticket != nil {
-			d.Complete(ticket, NeverRan, nil)
+		inv := newInvocation(fmt.Sprint("f", n))
+		inv.CallerLeft = leftCaller // it does not wait in the queue
+		if resp, req = d.Admit(inv); req != nil {
+			d.Complete(req, NeverRan, nil)
 		}
-		return w.Verdict == Throttled
+		return resp.Verdict == Throttled
 	})
-	say(tr, "crowded cores", w, ticket, d)
+	say(tr, "crowded cores", resp, req, d)
 	d.Drain(5_000_000, 300_000)
 	tr.Say("draining: good %t", d.Healthy())
 }
@@ -96,41 +96,41 @@
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	d.Drain(5_000_000, 300_000)
-	w, ticket := d.Admit(usual("within the grace"))
-	say(tr, "within the grace", w, ticket, d)
-	d.Complete(ticket, RunSucceeded, nil)
+	resp, req := d.Admit(newInvocation("within the grace"))
+	say(tr, "within the grace", resp, req, d)
+	d.Complete(req, RunSucceeded, nil)
 	d.Drain(4_000_000, 0)
-	w, ticket = d.Admit(usual("after it"))
-	say(tr, "brought forward", w, ticket, d)
+	resp, req = d.Admit(newInvocation("after it"))
+	say(tr, "brought forward", resp, req, d)
 	fakes.Until(t, "the module's own grace is over", func() bool { return Now() > d.moduleGraceEnd })
-	inv := usual("read late")
-	inv.ArrivedAt = d.moduleGraceEnd - 20_000 // it arrived when that was not over
-	w, ticket = d.Admit(inv)
-	say(tr, "read late", w, ticket, d)
+	inv := newInvocation("read late")
+	inv.ArrivedAt = d.moduleGraceEnd - 20_000 // it arrived before that had ended
+	resp, req = d.Admit(inv)
+	say(tr, "read late", resp, req, d)
 	late := open(t)
 	late.Drain(4_000_000, -100_000)
-	w, ticket = late.Admit(usual("a"))
-	say(tr, "heard after its grace", w, ticket, late)
+	resp, req = late.Admit(newInvocation("a"))
+	say(tr, "heard after its grace", resp, req, late)
 }
 
 // TestDuplicateIDAbandoned: a request whose id is in flight already, and whose caller leaves, does not end the other. The answer and the
 // leaving are there at once, so that either may be seen first: fifty times, to see both.
 func TestDuplicateIDAbandoned(t *testing.T) {
 	d := open(t)
-	_, first := d.Admit(usual("a"))
+	_, first := d.Admit(newInvocation("a"))
 	for range 50 {
-		again := usual("a")
-		again.CallerLeft = gone
-		if w, ticket := d.Admit(again); w.Verdict != Errored || ticket != nil || inHand(d) != 1 {
-			t.Fatalf("verdict %d, in flight %d", w.Verdict, inHand(d))
+		again := newInvocation("a")
+		again.CallerLeft = leftCaller
+		if resp, req := d.Admit(again); resp.Verdict != Errored || req != nil || requestsInFlight(d) != 1 {
+			t.Fatalf("verdict %d, in flight %d", resp.Verdict, requestsInFlight(d))
 		}
 	}
-	if !d.Complete(first, RunSucceeded, nil) || inHand(d) != 0 {
-		t.Errorf("the first is owed no answer, or is still in flight: %d", inHand(d))
+	if !d.Complete(first, RunSucceeded, nil) || requestsInFlight(d) != 0 {
+		t.Errorf("the first is owed no answer, or is still in flight: %d", requestsInFlight(d))
 	}
 }
 
-// TestDrainBeforeExecutorReady: an executor that comes up during a graceful shutdown lets nothing in after the grace.
+// TestDrainBeforeExecutorReady: an executor that comes up during a graceful shutdown admits nothing after the grace.
 func TestDrainBeforeExecutorReady(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	var sheet config.Settings
@@ -139,17 +139,17 @@
 	}
 	d := New(&sheet, 1, limits.For(1, 192, 1024))
 	d.Drain(600_000, 100_000)
-	begun := Now()
+	start := Now()
 	d.Open(false, 0)
-	w, ticket := d.Admit(usual("a"))
-	say(tr, "within the grace", w, ticket, d)
-	d.Complete(ticket, RunSucceeded, nil)
-	fakes.Until(t, "the grace is over", func() bool { return Now() > begun+100_000 })
-	w, ticket = d.Admit(usual("b"))
-	say(tr, "after it", w, ticket, d)
-	fakes.Until(t, "the module's own grace is over", func() bool { return Now() > begun+400_000 })
-	w, ticket = d.Admit(usual("c"))
-	say(tr, "after that", w, ticket, d)
+	resp, req := d.Admit(newInvocation("a"))
+	say(tr, "within the grace", resp, req, d)
+	d.Complete(req, RunSucceeded, nil)
+	fakes.Until(t, "the grace is over", func() bool { return Now() > start+100_000 })
+	resp, req = d.Admit(newInvocation("b"))
+	say(tr, "after it", resp, req, d)
+	fakes.Until(t, "the module's own grace is over", func() bool { return Now() > start+400_000 })
+	resp, req = d.Admit(newInvocation("c"))
+	say(tr, "after that", resp, req, d)
 }
 
 // TestExpiredAndAbandoned: nothing stays in flight for callers that have left or never waited.
@@ -157,44 +157,44 @@
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	d.Tick([]float64{1, 2.4, 0.1, 1}) // no room for a start; the queue is not yet long
-	inv := usual("a")
-	inv.CallerLeft = gone
-	w, ticket := d.Admit(inv)
-	say(tr, "left while held", w, ticket, d)
+	inv := newInvocation("a")
+	inv.CallerLeft = leftCaller
+	resp, req := d.Admit(inv)
+	say(tr, "left while held", resp, req, d)
 	d = open(t)
 	for _, wait := range []Micros{0, -5_000_000, 1 << 55} {
-		inv := usual(fmt.Sprint("wait", wait))
+		inv := newInvocation(fmt.Sprint("wait", wait))
 		inv.CallerTimeout = wait
-		w, ticket := d.Admit(inv)
-		for ticket != nil && wait <= 0 && len(ticket.FinalResponse()) == 0 {
+		resp, req := d.Admit(inv)
+		for req != nil && wait <= 0 && len(req.FinalResponse()) == 0 {
 			d.Tick(nil)
 		}
-		say(tr, fmt.Sprint("wait of ", wait), w, ticket, d)
-		if ticket != nil {
-			d.Complete(ticket, RunSucceeded, nil)
+		say(tr, fmt.Sprint("wait of ", wait), resp, req, d)
+		if req != nil {
+			d.Complete(req, RunSucceeded, nil)
 		}
 	}
-	inv = usual("future")
+	inv = newInvocation("future")
 	inv.ArrivedAt += 60_000_000
-	w, ticket = d.Admit(inv)
-	say(tr, "at is a minute ahead", w, ticket, d)
-	d.Complete(ticket, RunSucceeded, nil)
-	tr.Say("in hand %d", inHand(d))
+	resp, req = d.Admit(inv)
+	say(tr, "at is a minute ahead", resp, req, d)
+	d.Complete(req, RunSucceeded, nil)
+	tr.Say("in hand %d", requestsInFlight(d))
 }
 
 // TestBeforeOpen: before the executor is there nothing can run, and the backend is unhealthy.
 func TestBeforeOpen(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	shut := New(&config.Settings{}, 1, limits.For(1, 192, 1024))
-	w, ticket := shut.Admit(usual("a"))
-	say(tr, "not open", w, ticket, shut)
+	resp, req := shut.Admit(newInvocation("a"))
+	say(tr, "not open", resp, req, shut)
 	tr.Say("good %t, next tick %t", shut.Healthy(), shut.Tick(nil) > 0)
 	shut.Drain(1000, 1000)
 	d := open(t)
 	tr.Say("open: good %t", d.Healthy())
-	_, ticket = d.Admit(usual("b"))
-	d.Open(true, 0) // the next link's greeting
-	tr.Say("greeted again: owed %t, good %t", d.Complete(ticket, RunSucceeded, nil), d.Healthy())
+	_, req = d.Admit(newInvocation("b"))
+	d.Open(true, 0) // the greeting of the next connection
+	tr.Say("greeted again: owed %t, good %t", d.Complete(req, RunSucceeded, nil), d.Healthy())
 }
 
 // TestTicksWithoutSamples: ticks never wait for the executor; what is due is answered though no sample comes.
@@ -202,23 +202,23 @@
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	done, over := make(chan struct{}), make(chan struct{})
-	asked := 0
-	go func() { d.RunTicks(done, func() bool { asked++; return true }, nil); close(over) }()
-	inv := usual("a")
+	requested := 0
+	go func() { d.RunTicks(done, func() bool { requested++; return true }, nil); close(over) }()
+	inv := newInvocation("a")
 	inv.CallerTimeout = 300_000
-	_, ticket := d.Admit(inv)
-	w := fakes.Take(t, "the final word", ticket.FinalResponse())
-	tr.Say("verdict %d, in time %t", w.Verdict, Now() < inv.ArrivedAt+inv.CallerTimeout+d.sheet.Admission.AnswerSlack)
+	_, req := d.Admit(inv)
+	resp := fakes.Take(t, "the final response", req.FinalResponse())
+	tr.Say("verdict %d, in time %t", resp.Verdict, Now() < inv.ArrivedAt+inv.CallerTimeout+d.sheet.Admission.AnswerSlack)
 	close(done)
-	fakes.Take(t, "the end of the beat", over)
-	tr.Say("asked %t", asked > 0)
+	fakes.Take(t, "the end of the ticks", over)
+	tr.Say("asked %t", requested > 0)
 }
 
 // TestArrivalAfterHoldUpAwaitsTick: after a hold-up, arrivals are decided by the gauges of the next tick, or without if none comes.
 func TestArrivalAfterHoldUpAwaitsTick(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
-	waits := func() bool {
+	waiting := func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return d.tickDone != nil
@@ -227,20 +227,20 @@
 		d.mu.Lock()
 		d.lastTick -= 1_000_000
 		d.mu.Unlock()
-		words := make(chan Response, 1)
-		go func() { w, _ := d.Admit(usual(id)); words <- w }()
-		fakes.Until(t, "the arrival waits", waits)
-		return words
+		responses := make(chan Response, 1)
+		go func() { resp, _ := d.Admit(newInvocation(id)); responses <- resp }()
+		fakes.Until(t, "the arrival waits", waiting)
+		return responses
 	}
-	words := heldUp("a")
-	tr.Say("in hand before the tick %d", inHand(d))
+	responses := heldUp("a")
+	tr.Say("in hand before the tick %d", requestsInFlight(d))
 	d.Tick([]float64{0.1, 0, 0, 0})
-	tr.Say("after it: verdict %d, in hand %d", fakes.Take(t, "a word", words).Verdict, inHand(d))
-	tr.Say("no tick comes: verdict %d", fakes.Take(t, "a word", heldUp("b")).Verdict)
+	tr.Say("after it: verdict %d, in hand %d", fakes.Take(t, "a response", responses).Verdict, requestsInFlight(d))
+	tr.Say("no tick comes: verdict %d", fakes.Take(t, "a response", heldUp("b")).Verdict)
 }
 
-// TestClock: the dispatcher's time goes by the monotonic clock. One that is set would stop the ticks, or make all that is in
-// flight due at once.
+// TestClock: the dispatcher's time goes by the monotonic clock. A wall clock that is set would stop the ticks, or make all
+// requests in flight due at once.
 func TestClock(t *testing.T) {
 	if clockStart == clockStart.Round(0) { //nolint:staticcheck // Equal would not see the monotonic reading
 		t.Error("the beginning carries no reading of the machine's clock: setting the wall clock would move the dispatcher's time")
@@ -265,11 +265,11 @@
 	if ago := Now() - d.openedAt; !d.moduleTerms(d.sheet).JustStarted || ago < 3_000_000 || ago > 4_000_000 {
 		t.Errorf("cold %t, opened %d us ago", d.startedCold, ago)
 	}
-	d.Admit(usual("a"))
+	d.Admit(newInvocation("a"))
 	c, _ := d.ShadowCounts()
 	d.Drain(5_000_000, 300_000)
 	d.SetShadow(d.sheet)
-	d.Admit(usual("b"))
+	d.Admit(newInvocation("b"))
 	if after, on := d.ShadowCounts(); c.Arrivals != 1 || after.Arrivals != 0 || !on {
 		t.Errorf("%v, then %v, %t", c, after, on)
 	}
--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -22,14 +22,14 @@
 
 // TestCachedIDRefused: a request with the id of one whose result is cached is refused, and the result stays.
 func TestCachedIDRefused(t *testing.T) {
-	d := openTokened(t, "5000", nil)
-	_, first := d.Admit(tokened("a", "x"))
+	d := openKeyed(t, "5000", nil)
+	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
-	if w, req := d.Admit(tokened("a", "y")); w.Verdict != Errored || req != nil {
-		t.Errorf("the same id, another key: %+v", w)
+	if resp, req := d.Admit(keyedInvocation("a", "y")); resp.Verdict != Errored || req != nil {
+		t.Errorf("the same id, another key: %+v", resp)
 	}
-	if w, _ := d.Admit(tokened("b", "x")); w.Verdict != Replayed || string(w.Result) != "r" {
-		t.Errorf("a repeat of the first: %+v", w)
+	if resp, _ := d.Admit(keyedInvocation("b", "x")); resp.Verdict != Replayed || string(resp.Result) != "r" {
+		t.Errorf("a repeat of the first: %+v", resp)
 	}
 }
 
@@ -67,16 +67,16 @@
 	}
 }
 
-// silence replaces the module by one that answers nothing and asks for no timer.
-func silence(d *Dispatcher) { d.backend = &admission.Backend{} }
+// silenceModule replaces the module by one that answers nothing and sets no timer.
+func silenceModule(d *Dispatcher) { d.backend = &admission.Backend{} }
 
-// TestNextTick: the next tick lies in the future though the module asks for no timer.
+// TestNextTick: the next tick lies in the future though the module sets no timer.
 func TestNextTick(t *testing.T) {
 	d := open(t)
-	silence(d)
-	began := Now()
-	if next := d.Tick(fullCores); next <= began {
-		t.Errorf("next tick %d us after this one", next-began)
+	silenceModule(d)
+	start := Now()
+	if next := d.Tick(fullCores); next <= start {
+		t.Errorf("next tick %d us after this one", next-start)
 	}
 }
 
@@ -84,10 +84,10 @@
 // been answered is left alone.
 func TestOverdueAnswered(t *testing.T) {
 	d := open(t)
-	_, lost := d.Admit(usual("lost"))
-	_, abandoned := d.Admit(usual("abandoned"))
+	_, lost := d.Admit(newInvocation("lost"))
+	_, abandoned := d.Admit(newInvocation("abandoned"))
 	d.Abandon(abandoned)
-	silence(d)
+	silenceModule(d)
 	var logged bytes.Buffer
 	defer log.SetOutput(log.Writer())
 	defer slog.SetDefault(slog.Default())
@@ -98,8 +98,8 @@
 		t.Error("answered before its deadline")
 	}
 	d.answerOverdue(overdue)
-	if w := fakes.Take(t, "the final response", lost.responses); w.Verdict != Errored {
-		t.Errorf("the lost one: %+v", w)
+	if resp := fakes.Take(t, "the final response", lost.responses); resp.Verdict != Errored {
+		t.Errorf("the lost one: %+v", resp)
 	}
 	if n := strings.Count(logged.String(), "msg=overdue"); n != 1 || d.counts.Errored != 1 {
 		t.Errorf("%d answered, %d logged, wanted one each:\n%s", d.counts.Errored, n, logged.String())
@@ -109,7 +109,7 @@
 // TestRespondOnce: a request gets one final response and starts once.
 func TestRespondOnce(t *testing.T) {
 	d := open(t)
-	_, req := d.Admit(usual("a"))
+	_, req := d.Admit(newInvocation("a"))
 	d.perform(admission.Start{ID: "a"})
 	if d.counts.Started != 1 || len(req.responses) != 0 {
 		t.Errorf("started %d times", d.counts.Started)
@@ -150,8 +150,8 @@
 	}
 }
 
-// runTicks runs the ticks until the first sampled one is over, and returns its gauges.
-func runTicks(t *testing.T, d *Dispatcher, requestSample func() bool, sampled chan []float64) float64 {
+// runUntilSampled runs the ticks until the first sampled one is over, and returns its gauges.
+func runUntilSampled(t *testing.T, d *Dispatcher, requestSample func() bool, sampled chan []float64) float64 {
 	done, over := make(chan struct{}), make(chan struct{})
 	go func() { d.RunTicks(done, requestSample, sampled); close(over) }()
 	fakes.Until(t, "a sampled tick", func() bool {
@@ -167,7 +167,7 @@
 func TestLateSampleUsed(t *testing.T) {
 	sampled := make(chan []float64, 1)
 	sampled <- []float64{0.5, 7, 0.1, 1}
-	if got := runTicks(t, open(t), func() bool { return true }, sampled); got != 7 {
+	if got := runUntilSampled(t, open(t), func() bool { return true }, sampled); got != 7 {
 		t.Errorf("gauge %v", got)
 	}
 }
@@ -178,7 +178,7 @@
 	d.bounds.SampleTimeout = 10 * time.Second
 	sampled := make(chan []float64, 1)
 	requests := 0
-	got := runTicks(t, d, func() bool {
+	got := runUntilSampled(t, d, func() bool {
 		if requests++; requests == 1 {
 			time.Sleep(d.bounds.StallThreshold + 20*time.Millisecond)
 			sampled <- []float64{0.5, 7, 0.1, 1}
@@ -196,8 +196,8 @@
 	}
 }
 
-// shedding puts a policy in force that sheds every request of the second operation.
-func shedding(t *testing.T, d *Dispatcher) {
+// shedSecondOperation puts a policy in force that sheds every request of the second operation.
+func shedSecondOperation(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	policy := policyOf(t, `(ladder l (level no-post (shed (operations post)) (enter (queue 900)) (exit (queue 800))))`)
 	if err := d.SetDegradationPolicy(policy); err != nil {
@@ -211,30 +211,30 @@
 
 // TestRepeatNotShed: a level that sheds an operation leaves the repeats of what has run to their results.
 func TestRepeatNotShed(t *testing.T) {
-	d := openTokened(t, "5000", nil)
-	_, first := d.Admit(tokened("a", "x"))
+	d := openKeyed(t, "5000", nil)
+	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
-	shedding(t, d)
-	if w, _ := d.Admit(tokened("b", "y")); w.Verdict != Throttled {
-		t.Fatalf("new work is not shed: %+v", w)
+	shedSecondOperation(t, d)
+	if resp, _ := d.Admit(keyedInvocation("b", "y")); resp.Verdict != Throttled {
+		t.Fatalf("new work is not shed: %+v", resp)
 	}
-	w, _ := d.Admit(tokened("c", "x"))
-	if status, _ := d.DegradationStatus(); w.Verdict != Replayed || status.Shed != 1 {
-		t.Errorf("the repeat: %+v, %d shed", w, status.Shed)
+	resp, _ := d.Admit(keyedInvocation("c", "x"))
+	if status, _ := d.DegradationStatus(); resp.Verdict != Replayed || status.Shed != 1 {
+		t.Errorf("the repeat: %+v, %d shed", resp, status.Shed)
 	}
 }
 
-// TestShedDrawsNoUnit: what a level sheds takes no unit of its tenant's budget.
-func TestShedDrawsNoUnit(t *testing.T) {
-	d := drawing(t, open(t))
-	shedding(t, d)
-	inv := usual("a")
+// TestShedAcquiresNoUnit: a request that a level sheds acquires no unit of its tenant's budget.
+func TestShedAcquiresNoUnit(t *testing.T) {
+	d := withQuota(t, open(t))
+	shedSecondOperation(t, d)
+	inv := newInvocation("a")
 	inv.Operation = 1
 	d.Admit(inv)
 	if s := d.QuotaStatus()[0]; s.Drawn != 0 || s.Denied != 0 {
-		t.Errorf("%d drawn, %d denied", s.Drawn, s.Denied)
+		t.Errorf("%d acquired, %d denied", s.Drawn, s.Denied)
 	}
-	inv = usual("b")
+	inv = newInvocation("b")
 	inv.Tenant = 1 << 20 // beyond the deployment's tenants
 	if standing := d.acquireUnit(&inv, &Request{}); standing != admission.QuotaUnknown {
 		t.Errorf("an unknown tenant's standing is %v", standing)
@@ -247,7 +247,7 @@
 
 // TestUnknownTenantOfBudget: a budget of a tenant that the deployment lacks is refused.
 func TestUnknownTenantOfBudget(t *testing.T) {
-	d := drawing(t, open(t))
+	d := withQuota(t, open(t))
 	err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, Tenants: map[string]string{"nobody": "b"}})
 	const want = "draw: some tenant of map[nobody:b] is none of this deployment's [acme zenith]"
 	if unknown := (*UnknownTenantError)(nil); !errors.As(err, &unknown) || err.Error() != want {
@@ -276,9 +276,9 @@
 	d := open(t)
 	since := Now()
 	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
-	shedding(t, d)
+	shedSecondOperation(t, d)
 	left := make(chan struct{})
-	inv := usual("a")
+	inv := newInvocation("a")
 	inv.CallerLeft = left
 	response := repeat(t, d, inv)
 	d.mu.Lock()
@@ -296,7 +296,7 @@
 // TestPolicyReplaced: another policy leaves the level in force, and what was counted, as they are.
 func TestPolicyReplaced(t *testing.T) {
 	d := open(t)
-	shedding(t, d)
+	shedSecondOperation(t, d)
 	d.degradation.shedCount = 3
 	policy := d.degradation.policy
 	if err := d.SetDegradationPolicy(policy); err != nil {
@@ -310,7 +310,7 @@
 // TestChangesBounded: only a bounded number of the latest changes is stored.
 func TestChangesBounded(t *testing.T) {
 	d := open(t)
-	shedding(t, d)
+	shedSecondOperation(t, d)
 	for n := range 3 * maxRecentChanges {
 		d.degradation.recordChange(degradation.Change{At: degradation.Micros(n)})
 	}
@@ -323,11 +323,11 @@
 
 // TestUseLoggedBeforeRelease: what was acquired until the release is recorded before it.
 func TestUseLoggedBeforeRelease(t *testing.T) {
-	d := drawing(t, open(t))
+	d := withQuota(t, open(t))
 	var records strings.Builder
 	d.quotas.machineClock = func() int64 { return 7 }
 	d.quotas.log = quotalog.New(&records, 5, 0)
-	_, req := d.Admit(usual("a"))
+	_, req := d.Admit(newInvocation("a"))
 	d.Complete(req, RunSucceeded, nil)
 	d.ReleaseQuotas()
 	if want := "clock 5 0\ndrew 5 7 b 1\nhave 7 b 1 0 0 0\n"; records.String() != want {
@@ -339,9 +339,9 @@
 func TestWarmExecutorsPast(t *testing.T) {
 	d := open(t)
 	d.backend = nil
-	began := Now()
-	if d.Open(false, 3_000_000); d.openedAt < began {
-		t.Errorf("opened %d us before now", began-d.openedAt)
+	start := Now()
+	if d.Open(false, 3_000_000); d.openedAt < start {
+		t.Errorf("opened %d us before now", start-d.openedAt)
 	}
 }
 
@@ -363,25 +363,25 @@
 	d := open(t)
 	since := Now()
 	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
-	response := repeat(t, d, usual("a"))
+	response := repeat(t, d, newInvocation("a"))
 	for range 50 { // the answer and the caller's leaving are there at once: either may be seen first
-		again := usual("a")
-		again.CallerLeft = gone
-		if w, _ := d.Admit(again); w.Verdict != Errored {
-			t.Fatalf("%+v", w)
+		again := newInvocation("a")
+		again.CallerLeft = leftCaller
+		if resp, _ := d.Admit(again); resp.Verdict != Errored {
+			t.Fatalf("%+v", resp)
 		}
 	}
 	fakes.Until(t, "the first is answered", func() bool { d.Tick([]float64{0.1, 0, 0.1, 1}); return len(response) > 0 })
-	if w := <-response; w.Verdict != Admitted {
-		t.Errorf("the first: %+v", w)
+	if resp := <-response; resp.Verdict != Admitted {
+		t.Errorf("the first: %+v", resp)
 	}
 }
 
 // TestTickAnswersOverdue: each tick answers what is overdue.
 func TestTickAnswersOverdue(t *testing.T) {
 	d := open(t)
-	_, lost := d.Admit(usual("lost"))
-	silence(d)
+	_, lost := d.Admit(newInvocation("lost"))
+	silenceModule(d)
 	lost.deadline -= 10_000_000
 	d.Tick(fullCores)
 	if len(lost.responses) != 1 {
@@ -396,7 +396,7 @@
 	now := Now()
 	d.graceEnd, d.moduleGraceEnd = now-1000, now+1000
 	for after, want := range map[Micros]bool{-1001: false, -1000: true, 0: true, 1000: true, 1001: false} {
-		inv := usual("a")
+		inv := newInvocation("a")
 		inv.ArrivedAt = now + after
 		if _, rejected := d.rejectEarly(now+5000, &inv, d.newRequest(&inv), false); rejected != want {
 			t.Errorf("arrived %d us after now: rejected %t", after, rejected)
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -8,8 +8,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// drawing is a dispatcher whose first tenant has four units, and no more: its clock stands.
-func drawing(t *testing.T, d *Dispatcher) *Dispatcher {
+// withQuota gives the first tenant of a dispatcher four units, and no more: its clock stands.
+func withQuota(t *testing.T, d *Dispatcher) *Dispatcher {
 	h := quota.New("n", "1", []string{"b"})
 	now := quota.Micros(1)
 	a := h.NewRequest(now)
@@ -26,36 +26,36 @@
 // TestQuotaUnitsRefunded: work that is throttled, that the executor never ran or does not know, or whose caller left
 // before its start, gets its unit refunded; what ran does not.
 func TestQuotaUnitsRefunded(t *testing.T) {
-	d := drawing(t, open(t))
+	d := withQuota(t, open(t))
 	for n := range 8 { // more than there are units
-		big := usual(fmt.Sprint("big", n))
+		big := newInvocation(fmt.Sprint("big", n))
 		big.MemoryKB = 1 << 40 // nothing can hold it
-		if w, _ := d.Admit(big); w.Verdict != Throttled {
-			t.Fatalf("%s: verdict %d", big.ID, w.Verdict)
+		if resp, _ := d.Admit(big); resp.Verdict != Throttled {
+			t.Fatalf("%s: verdict %d", big.ID, resp.Verdict)
 		}
 	}
 	if v := d.QuotaStatus()[0]; v.Drawn != 1 || v.Denied != 0 {
-		t.Fatalf("one unit went round eight times: %d drawn, %d denied", v.Drawn, v.Denied)
+		t.Fatalf("one unit went round eight times: %d acquired, %d denied", v.Drawn, v.Denied)
 	}
 
-	d = drawing(t, open(t))
+	d = withQuota(t, open(t))
 	for n, end := range []Outcome{RunSucceeded, NeverRan, Unrunnable, RunErrored, NeverRan} {
-		w, ticket := d.Admit(usual(fmt.Sprint("run", n)))
-		if w.Verdict != Admitted {
-			t.Fatalf("run %d: verdict %d", n, w.Verdict)
+		resp, req := d.Admit(newInvocation(fmt.Sprint("run", n)))
+		if resp.Verdict != Admitted {
+			t.Fatalf("run %d: verdict %d", n, resp.Verdict)
 		}
-		d.Complete(ticket, end, nil)
+		d.Complete(req, end, nil)
 	}
 	if v := d.QuotaStatus()[0]; v.Drawn != 3 || v.Denied != 0 {
-		t.Fatalf("two ran and the third unit came back: %d drawn, %d denied", v.Drawn, v.Denied)
+		t.Fatalf("two ran and the third unit came back: %d acquired, %d denied", v.Drawn, v.Denied)
 	}
 
-	d = drawing(t, openTokened(t, "5000", nil))
-	_, first := d.Admit(tokened("a", "x"))
-	waits := repeat(t, d, tokened("b", "x"))
+	d = withQuota(t, openKeyed(t, "5000", nil))
+	_, first := d.Admit(keyedInvocation("a", "x"))
+	waiting := repeat(t, d, keyedInvocation("b", "x"))
 	if v := d.QuotaStatus()[0]; v.Drawn != 1 {
-		t.Errorf("a repeat that waits: %d drawn", v.Drawn)
+		t.Errorf("a repeat that waits: %d acquired", v.Drawn)
 	}
 	d.Complete(first, RunSucceeded, nil)
-	fakes.Take(t, "its word", waits)
+	fakes.Take(t, "its response", waiting)
 }
