--- a/internal/backend/dispatch/admit.go
+++ b/internal/backend/dispatch/admit.go
@@ -112,7 +112,7 @@
 		id: inv.ID, deadline: inv.ArrivedAt + inv.CallerTimeout, drawnBudget: noBudget,
 		responses: make(chan Response, maxResponses),
 	}
-	if operations := d.sheet.Admission.Operations; inv.Operation < len(operations) {
+	if operations := d.settings.Admission.Operations; inv.Operation < len(operations) {
 		req.objectiveAt = inv.ArrivedAt + operations[inv.Operation].Objective
 	}
 	return req
@@ -120,7 +120,7 @@
 
 // rejectEarly returns the response to a request that the module never hears of.
 func (d *Dispatcher) rejectEarly(now Micros, inv *Invocation, req *Request, keyed bool) (resp Response, rejected bool) {
-	goElsewhere := Response{Verdict: Throttled, RetryAfter: d.sheet.Admission.MaxRetryAfter}
+	goElsewhere := Response{Verdict: Throttled, RetryAfter: d.settings.Admission.MaxRetryAfter}
 	if req.original != "" { // the original has run, or may yet: other backends must not be invited to run it too
 		goElsewhere = Response{Verdict: Errored}
 	}
--- a/internal/backend/dispatch/degradation.go
+++ b/internal/backend/dispatch/degradation.go
@@ -22,7 +22,7 @@
 	signals       degradation.Signals // the latest
 }
 
-// maxRecentChanges is how many changes of the level are kept for inspection.
+// maxRecentChanges is how many changes of the level the status has at most.
 const maxRecentChanges = 16
 
 // minShedAdvice is the Retry-After of a request that a level sheds. Advice is about this backend, not about the operation:
@@ -35,7 +35,7 @@
 // SetDegradationPolicy puts a policy in force, or replaces the present one; the level in force goes on. A name that
 // this deployment does not have is a *degradation.UnknownNameError.
 func (d *Dispatcher) SetDegradationPolicy(policy *degradation.Policy) error {
-	shedder, err := degradation.NewShedder(policy, d.sheet.Operations, d.sheet.Tenants, d.seed)
+	shedder, err := degradation.NewShedder(policy, d.settings.Operations, d.settings.Tenants, d.seed)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 		state.recentChanges, state.shedCount = old.recentChanges, old.shedCount
 	} else {
 		state.controller = degradation.NewController(policy)
-		state.meter = degradation.NewSignalMeter(d.sheet.Admission.Cores)
+		state.meter = degradation.NewSignalMeter(d.settings.Admission.Cores)
 	}
 	d.degradation = state
 	return nil
--- a/internal/backend/dispatch/dispatcher.go
+++ b/internal/backend/dispatch/dispatcher.go
@@ -17,15 +17,15 @@
 
 // Dispatcher serves one backend. Its methods may be called from any goroutine.
 type Dispatcher struct {
-	sheet  *config.Settings
-	seed   uint64
-	bounds limits.Bounds
+	settings *config.Settings
+	seed     uint64
+	bounds   limits.Bounds
 
 	mu             sync.Mutex         // guards everything below
 	backend        *admission.Backend // the decision module; nil until Open
 	inFlight       map[string]*Request
 	actions        []admission.Action // of the latest decision; reused
-	nextTick       Micros             // as the module asked for
+	nextTick       Micros             // as the module has set it
 	timerToken     int64              // of the module's timer
 	healthy        bool               // as the module wants health checks answered
 	idleTimeout    Micros             // of connections; the configured one or more leaves it to the callers
@@ -66,9 +66,9 @@
 }
 
 // New returns a dispatcher that throttles everything until Open.
-func New(sheet *config.Settings, seed uint64, bounds limits.Bounds) *Dispatcher {
-	d := &Dispatcher{sheet: sheet, seed: seed, bounds: bounds, inFlight: map[string]*Request{}}
-	for _, op := range sheet.Admission.Operations {
+func New(settings *config.Settings, seed uint64, bounds limits.Bounds) *Dispatcher {
+	d := &Dispatcher{settings: settings, seed: seed, bounds: bounds, inFlight: map[string]*Request{}}
+	for _, op := range settings.Admission.Operations {
 		if op.RetrySafety == admission.IdempotencyKeyed && d.results == nil {
 			d.results = idempotency.New(bounds.IdempotencyCacheSize, bounds.ResultSize)
 		}
@@ -77,7 +77,7 @@
 }
 
 // Open starts to admit requests: the executor is there and started that long ago, warming up (cold) or warm. Later calls
-// change nothing. Only the time since a cold start matters, as its warm-up has gone on for so long. An executor that has
+// change nothing. Only the time since a cold start matters, as the warm-up has lasted for so long. An executor that has
 // been warm for an hour must not make the module believe that no caller came for an hour.
 func (d *Dispatcher) Open(cold bool, ago Micros) {
 	d.mu.Lock()
@@ -86,15 +86,15 @@
 		return
 	}
 	d.startedCold = cold
-	t := d.moduleTerms(d.sheet)
-	d.backend = admission.New(t, d.seed)
+	cfg := d.moduleConfig(d.settings)
+	d.backend = admission.New(cfg, d.seed)
 	d.lastTick = Now()
 	if !cold {
 		ago = 0
 	} else if d.degradation != nil {
-		d.degradation.meter.SetWarmingUntil(degradation.Micros(process.Now()) + degradation.Micros(max(0, t.WarmUp-ago)))
+		d.degradation.meter.SetWarmingUntil(degradation.Micros(process.Now()) + degradation.Micros(max(0, cfg.WarmUp-ago)))
 	}
-	d.openedAt = Now() - min(ago, t.WarmUp)
+	d.openedAt = Now() - min(ago, cfg.WarmUp)
 	d.startShadow()
 	_ = d.decide(d.openedAt, admission.Opened{})
 	if d.draining { // the executor came up after the notice
@@ -102,15 +102,15 @@
 	}
 }
 
-// moduleTerms adapts settings for the module.
-func (d *Dispatcher) moduleTerms(sheet *config.Settings) admission.Config {
-	t := sheet.Admission
-	t.JustStarted = d.startedCold
+// moduleConfig adapts settings for the module.
+func (d *Dispatcher) moduleConfig(settings *config.Settings) admission.Config {
+	cfg := settings.Admission
+	cfg.JustStarted = d.startedCold
 	// Results are cached in this process, in a table that is bounded; the setting is about the executor's memory.
-	t.IdempotencyKeyKB = 0
+	cfg.IdempotencyKeyKB = 0
 	// The notice may arrive late, and the grace must not end later for that.
-	t.DrainGrace = max(0, t.DrainGrace-Micros(d.bounds.NoticeDelay.Microseconds()))
-	return t
+	cfg.DrainGrace = max(0, cfg.DrainGrace-Micros(d.bounds.NoticeDelay.Microseconds()))
+	return cfg
 }
 
 // Counts returns the totals since the start, and how many requests are in flight.
@@ -131,7 +131,7 @@
 func (d *Dispatcher) IdleTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.idleTimeout >= d.sheet.Admission.IdleTimeout {
+	if d.idleTimeout >= d.settings.Admission.IdleTimeout {
 		return 0
 	}
 	return time.Duration(d.idleTimeout) * time.Microsecond
--- a/internal/backend/dispatch/dispatcher_test.go
+++ b/internal/backend/dispatch/dispatcher_test.go
@@ -12,11 +12,11 @@
 )
 
 func open(t *testing.T) *Dispatcher {
-	var sheet config.Settings
-	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
+	var settings config.Settings
+	if err := json.Unmarshal([]byte(fakes.Settings), &settings); err != nil {
 		t.Fatal(err)
 	}
-	d := New(&sheet, 1, limits.For(1, 192, 1024))
+	d := New(&settings, 1, limits.For(1, 192, 1024))
 	d.Open(false, 0)
 	return d
 }
@@ -64,7 +64,7 @@
 		d.Tick([]float64{0.5, 1, 0, 0})
 	}
 	late := Now() - (early.ArrivedAt + early.CallerTimeout)
-	tr.Say("due while it runs: final word %s, too late %t", responseText(<-req.FinalResponse()), late > d.sheet.Admission.AnswerSlack)
+	tr.Say("due while it runs: final word %s, too late %t", responseText(<-req.FinalResponse()), late > d.settings.Admission.AnswerSlack)
 	tr.Say("its run succeeds after all: owed %t, in hand %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
 	fault := newInvocation("d")
@@ -133,11 +133,11 @@
 // TestDrainBeforeExecutorReady: an executor that comes up during a graceful shutdown admits nothing after the grace.
 func TestDrainBeforeExecutorReady(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	var sheet config.Settings
-	if err := json.Unmarshal([]byte(fakes.Settings), &sheet); err != nil {
+	var settings config.Settings
+	if err := json.Unmarshal([]byte(fakes.Settings), &settings); err != nil {
 		t.Fatal(err)
 	}
-	d := New(&sheet, 1, limits.For(1, 192, 1024))
+	d := New(&settings, 1, limits.For(1, 192, 1024))
 	d.Drain(600_000, 100_000)
 	start := Now()
 	d.Open(false, 0)
@@ -208,7 +208,7 @@
 	inv.CallerTimeout = 300_000
 	_, req := d.Admit(inv)
 	resp := fakes.Take(t, "the final response", req.FinalResponse())
-	tr.Say("verdict %d, in time %t", resp.Verdict, Now() < inv.ArrivedAt+inv.CallerTimeout+d.sheet.Admission.AnswerSlack)
+	tr.Say("verdict %d, in time %t", resp.Verdict, Now() < inv.ArrivedAt+inv.CallerTimeout+d.settings.Admission.AnswerSlack)
 	close(done)
 	fakes.Take(t, "the end of the ticks", over)
 	tr.Say("asked %t", requested > 0)
@@ -261,14 +261,14 @@
 	d := open(t)
 	d.backend = nil // open it anew, cold for 3 s
 	d.Open(true, 3_000_000)
-	d.SetShadow(d.sheet)
-	if ago := Now() - d.openedAt; !d.moduleTerms(d.sheet).JustStarted || ago < 3_000_000 || ago > 4_000_000 {
+	d.SetShadow(d.settings)
+	if ago := Now() - d.openedAt; !d.moduleConfig(d.settings).JustStarted || ago < 3_000_000 || ago > 4_000_000 {
 		t.Errorf("cold %t, opened %d us ago", d.startedCold, ago)
 	}
 	d.Admit(newInvocation("a"))
 	c, _ := d.ShadowCounts()
 	d.Drain(5_000_000, 300_000)
-	d.SetShadow(d.sheet)
+	d.SetShadow(d.settings)
 	d.Admit(newInvocation("b"))
 	if after, on := d.ShadowCounts(); c.Arrivals != 1 || after.Arrivals != 0 || !on {
 		t.Errorf("%v, then %v, %t", c, after, on)
--- a/internal/backend/dispatch/drain.go
+++ b/internal/backend/dispatch/drain.go
@@ -22,6 +22,6 @@
 
 // notifyModule passes the notice to the module, which counts its grace from now on.
 func (d *Dispatcher) notifyModule(now Micros) {
-	d.moduleGraceEnd = now + d.moduleTerms(d.sheet).DrainGrace
+	d.moduleGraceEnd = now + d.moduleConfig(d.settings).DrainGrace
 	_ = d.decide(now, admission.DrainNotice{Left: d.stopAt - now})
 }
--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -48,8 +48,8 @@
 	d := open(t)
 	d.backend = nil
 	d.Open(true, 3_600_000_000)
-	if ago := Now() - d.openedAt; ago > d.sheet.Admission.WarmUp+5_000_000 {
-		t.Errorf("opened %d us ago, the warm-up takes %d", ago, d.sheet.Admission.WarmUp)
+	if ago := Now() - d.openedAt; ago > d.settings.Admission.WarmUp+5_000_000 {
+		t.Errorf("opened %d us ago, the warm-up takes %d", ago, d.settings.Admission.WarmUp)
 	}
 }
 
@@ -92,7 +92,7 @@
 	defer log.SetOutput(log.Writer())
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
-	overdue := max(lost.deadline, abandoned.deadline) + d.sheet.Admission.AnswerSlack
+	overdue := max(lost.deadline, abandoned.deadline) + d.settings.Admission.AnswerSlack
 	d.answerOverdue(lost.deadline - 1)
 	if len(lost.responses) != 0 {
 		t.Error("answered before its deadline")
@@ -139,7 +139,7 @@
 // TestIdleTimeout: the server closes idle connections only if the module wants that sooner than the callers do it.
 func TestIdleTimeout(t *testing.T) {
 	d := open(t)
-	configured := d.sheet.Admission.IdleTimeout
+	configured := d.settings.Admission.IdleTimeout
 	for after, want := range map[Micros]time.Duration{
 		configured: 0, configured + 1: 0, configured / 2: time.Duration(configured/2) * time.Microsecond,
 	} {
@@ -287,7 +287,7 @@
 	d.mu.Unlock()
 	close(left)
 	fakes.Take(t, "the response", response)
-	want := float64(3+queued) / float64(d.sheet.Admission.Cores)
+	want := float64(3+queued) / float64(d.settings.Admission.Cores)
 	if status, _ := d.DegradationStatus(); queued != 1 || status.Signals[degradation.Queue] != want {
 		t.Errorf("%d queued, the signal is %v, wanted %v", queued, status.Signals[degradation.Queue], want)
 	}
@@ -349,10 +349,10 @@
 func TestModuleGrace(t *testing.T) {
 	d := open(t)
 	late := Micros(d.bounds.NoticeDelay.Microseconds())
-	settings := *d.sheet
+	settings := *d.settings
 	for grace, want := range map[Micros]Micros{0: 0, late / 2: 0, late: 0, late + 5: 5} {
 		settings.Admission.DrainGrace = grace
-		if got := d.moduleTerms(&settings).DrainGrace; got != want {
+		if got := d.moduleConfig(&settings).DrainGrace; got != want {
 			t.Errorf("grace %d: the module's is %d, wanted %d", grace, got, want)
 		}
 	}
--- a/internal/backend/dispatch/quota.go
+++ b/internal/backend/dispatch/quota.go
@@ -29,10 +29,10 @@
 func (d *Dispatcher) SetQuotas(cfg QuotaConfig) error {
 	state := &quotaState{
 		holder: cfg.Holder, clock: cfg.Clock, machineClock: cfg.MachineClock,
-		budgetOfTenant: make([]int, len(d.sheet.Tenants)), log: cfg.Log,
+		budgetOfTenant: make([]int, len(d.settings.Tenants)), log: cfg.Log,
 	}
 	found := 0
-	for i, tenant := range d.sheet.Tenants {
+	for i, tenant := range d.settings.Tenants {
 		state.budgetOfTenant[i] = noBudget
 		if budget, ok := cfg.Tenants[tenant]; ok {
 			state.budgetOfTenant[i] = cfg.Holder.Index(budget)
@@ -40,7 +40,7 @@
 		}
 	}
 	if found < len(cfg.Tenants) {
-		return &UnknownTenantError{Configured: cfg.Tenants, Known: d.sheet.Tenants}
+		return &UnknownTenantError{Configured: cfg.Tenants, Known: d.settings.Tenants}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,7 +83,7 @@
 	return d.quotas.holder.NewRequest(d.quotas.clock()), true
 }
 
-// ApplyQuotaResponse takes in what was granted. An error means that nothing was changed, or that the log failed.
+// ApplyQuotaResponse applies the grants of a response. An error means that nothing was changed, or that the log failed.
 func (d *Dispatcher) ApplyQuotaResponse(response quota.LeaseResponse) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,7 +99,7 @@
 	return state.recordHeld(at, now)
 }
 
-// recordHeld logs what is held.
+// recordHeld logs the grants in force.
 func (state *quotaState) recordHeld(at int64, now quota.Micros) error {
 	if state.log == nil {
 		return nil
@@ -107,7 +107,7 @@
 	return state.log.RecordHeld(at, now, state.holder.Status(now))
 }
 
-// ReleaseQuotas gives up all that is held: this process acquires no unit any more.
+// ReleaseQuotas gives up all grants: this process acquires no unit any more.
 func (d *Dispatcher) ReleaseQuotas() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// QuotaStatus returns the budgets as they are held; nil without budgets.
+// QuotaStatus returns the grants in force; nil without budgets.
 func (d *Dispatcher) QuotaStatus() []quota.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	now += 2_000_000
-	if err := d.SetQuotas(QuotaConfig{Holder: h, Tenants: map[string]string{d.sheet.Tenants[0]: "b"}, Clock: func() quota.Micros { return now }}); err != nil {
+	if err := d.SetQuotas(QuotaConfig{Holder: h, Tenants: map[string]string{d.settings.Tenants[0]: "b"}, Clock: func() quota.Micros { return now }}); err != nil {
 		t.Fatal(err)
 	}
 	return d
--- a/internal/backend/dispatch/replay.go
+++ b/internal/backend/dispatch/replay.go
@@ -6,9 +6,9 @@
 )
 
 // identify sets the idempotency key of a request and finds the original that it repeats. It returns false if the operation
-// is not keyed. The lock is held.
+// is not keyed. d.mu must be held.
 func (d *Dispatcher) identify(inv Invocation, req *Request) (keyed bool) {
-	operations := d.sheet.Admission.Operations
+	operations := d.settings.Admission.Operations
 	if inv.Operation >= len(operations) || operations[inv.Operation].RetrySafety != admission.IdempotencyKeyed {
 		return false
 	}
@@ -27,16 +27,16 @@
 
 // maxReadDelay is the longest time between a request's arrival and its being read; the caller of an older one has given up.
 func (d *Dispatcher) maxReadDelay() (longest Micros) {
-	for _, op := range d.sheet.Admission.Operations {
+	for _, op := range d.settings.Admission.Operations {
 		longest = max(longest, op.ClientTimeout)
 	}
-	return longest + d.sheet.Admission.AnswerSlack
+	return longest + d.settings.Admission.AnswerSlack
 }
 
 // remember caches a request for as long as the module wants, and a little longer, as the caller's clock may differ.
 func (d *Dispatcher) remember(a admission.Remember) {
 	if req := d.inFlight[a.ID]; req != nil {
-		d.results.Remember(a.ID, req.key, Now()+a.For+d.sheet.Admission.AnswerSlack)
+		d.results.Remember(a.ID, req.key, Now()+a.For+d.settings.Admission.AnswerSlack)
 	}
 }
 
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -12,16 +12,16 @@
 
 // openKeyed opens a dispatcher whose second operation has idempotency keys, remembered for window milliseconds.
 func openKeyed(t *testing.T, window string, bounds func(*limits.Bounds)) *Dispatcher {
-	var sheet config.Settings
+	var settings config.Settings
 	text := strings.NewReplacer(`"at_most_once"`, `"deduplicated","window_ms":`+window, `"run_factor"`, `"key_kb":20,"run_factor"`).Replace(fakes.Settings)
-	if err := json.Unmarshal([]byte(text), &sheet); err != nil {
+	if err := json.Unmarshal([]byte(text), &settings); err != nil {
 		t.Fatal(err)
 	}
 	b := limits.For(1, 192, 1024)
 	if bounds != nil {
 		bounds(&b)
 	}
-	d := New(&sheet, 1, b)
+	d := New(&settings, 1, b)
 	d.Open(false, 0)
 	return d
 }
@@ -187,8 +187,8 @@
 // would fill it.
 func TestCachedResultsTakeNoExecutorMemory(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
-	d.sheet.Admission.IdempotencyKeyKB = d.sheet.Admission.MemoryKB / 3
-	d = New(d.sheet, 1, d.bounds)
+	d.settings.Admission.IdempotencyKeyKB = d.settings.Admission.MemoryKB / 3
+	d = New(d.settings, 1, d.bounds)
 	d.Open(false, 0)
 	for n := range 6 {
 		resp, req := d.Admit(keyedInvocation(string(rune('a'+n)), string(rune('s'+n))))
--- a/internal/backend/dispatch/request.go
+++ b/internal/backend/dispatch/request.go
@@ -25,7 +25,7 @@
 // The verdicts. All but Admitted are final.
 const (
 	Admitted  Verdict = iota // the request is to run
-	Throttled                // rejected; RetryAfter and DontRetry tell the caller what to do next
+	Throttled                // rejected; RetryAfter and DontRetry advise the caller
 	Errored                  // failed
 	Abandoned                // the caller has left; no answer is owed
 	Replayed                 // answered with the result of an earlier run with the same idempotency key
--- a/internal/backend/dispatch/shadow.go
+++ b/internal/backend/dispatch/shadow.go
@@ -8,20 +8,20 @@
 
 // shadowState is what a shadow configuration adds to a dispatcher, guarded by its lock.
 type shadowState struct {
-	sheet     *config.Settings
+	settings  *config.Settings
 	evaluator *shadow.Evaluator // nil until Open
 }
 
 // SetShadow counts from now on where another configuration would have decided otherwise; nil ends it. No action of the
 // shadow's is carried out. Requests that are in flight now are not compared.
-func (d *Dispatcher) SetShadow(sheet *config.Settings) {
+func (d *Dispatcher) SetShadow(settings *config.Settings) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.shadow = nil
-	if sheet == nil {
+	if settings == nil {
 		return
 	}
-	d.shadow = &shadowState{sheet: sheet}
+	d.shadow = &shadowState{settings: settings}
 	if d.backend != nil && !d.draining { // a process that shuts down evaluates nothing new
 		d.startShadow()
 	}
@@ -30,7 +30,7 @@
 // startShadow opens the shadow module as the first was opened: an executor that warms up does so for both.
 func (d *Dispatcher) startShadow() {
 	if state := d.shadow; state != nil {
-		state.evaluator = shadow.New(d.moduleTerms(state.sheet), d.seed, d.openedAt)
+		state.evaluator = shadow.New(d.moduleConfig(state.settings), d.seed, d.openedAt)
 	}
 }
 
--- a/internal/backend/dispatch/ticker.go
+++ b/internal/backend/dispatch/ticker.go
@@ -68,7 +68,7 @@
 	}
 	d.counts.Ticks++
 	d.updateGauges(now, gauges)
-	reading := d.sheet.Reading(d.gauges)
+	reading := d.settings.Reading(d.gauges)
 	reading.Token = d.timerToken
 	d.updateLevel(reading)
 	d.nextTick = 0
@@ -80,8 +80,8 @@
 	return d.nextTick
 }
 
-// tickInterval is the time between ticks where the module asks for none.
-func (d *Dispatcher) tickInterval() Micros { return d.sheet.Admission.AnswerSlack / 3 }
+// tickInterval is the time between ticks where the module sets none.
+func (d *Dispatcher) tickInterval() Micros { return d.settings.Admission.AnswerSlack / 3 }
 
 // updateGauges takes in a sample. Without one the gauges known before hold for SampleMaxAge.
 func (d *Dispatcher) updateGauges(now Micros, gauges []float64) {
@@ -99,7 +99,7 @@
 // defect.
 func (d *Dispatcher) answerOverdue(now Micros) {
 	for _, req := range d.inFlight {
-		if !req.answered && now > req.deadline+d.sheet.Admission.AnswerSlack*2/3 {
+		if !req.answered && now > req.deadline+d.settings.Admission.AnswerSlack*2/3 {
 			slog.Error("overdue", "id", req.id, "late_us", now-req.deadline, "running", req.running)
 			d.respond(req, Response{Verdict: Errored})
 			_ = d.decide(now, admission.CallerGone{ID: req.id})
