--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -23,10 +23,12 @@
 
 // choices are the fields that validation needs as they are spelled.
 type choices struct {
-	repeats                []string
-	below, preemption, say string
-	valueBy                string
-	freshMs                float64
+	retrySafety     []string // by operation
+	dependency      string
+	preemption      string
+	advertisedValue string
+	valueBy         string
+	freshMs         float64
 }
 
 // object is the JSON form of Settings.
@@ -118,17 +120,18 @@
 		Gauges:           f.Gauges,
 		DeadlineOptional: f.TellsDeadline != nil && !*f.TellsDeadline,
 		choices: choices{
-			below: f.Dependency, preemption: f.Preemption, say: f.AdvertisedValue, valueBy: o.ValueBy, freshMs: f.FreshMs,
+			dependency: f.Dependency, preemption: f.Preemption, advertisedValue: f.AdvertisedValue,
+			valueBy: o.ValueBy, freshMs: f.FreshMs,
 		},
 	}
-	for _, p := range o.Tenants {
-		s.Admission.QuotaPerSecond = append(s.Admission.QuotaPerSecond, p.QuotaPerSecond)
-		s.Tenants = append(s.Tenants, p.Name)
+	for _, tenant := range o.Tenants {
+		s.Admission.QuotaPerSecond = append(s.Admission.QuotaPerSecond, tenant.QuotaPerSecond)
+		s.Tenants = append(s.Tenants, tenant.Name)
 	}
 	for n, c := range o.Operations {
 		s.Admission.Operations = append(s.Admission.Operations, o.operation(n))
 		s.Operations = append(s.Operations, c.Name)
-		s.choices.repeats = append(s.choices.repeats, c.RetrySafety)
+		s.choices.retrySafety = append(s.choices.retrySafety, c.RetrySafety)
 	}
 	return nil
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -87,13 +87,13 @@
 	if err := s.validate("settings"); err != nil {
 		return err
 	}
-	if s.choices.below != "off" && s.choices.below != "" {
-		return fieldError("settings.family_info.below", "%q, and calls below have no line here", s.choices.below)
+	if s.choices.dependency != "off" && s.choices.dependency != "" {
+		return fieldError("settings.family_info.below", "%q, and calls below have no line here", s.choices.dependency)
 	}
 	if s.choices.freshMs > 0 {
 		s.IgnoredFields = append(s.IgnoredFields, "family_info.fresh_ms")
 	}
-	if s.choices.say != "" && s.choices.say != "off" {
+	if s.choices.advertisedValue != "" && s.choices.advertisedValue != "off" {
 		s.IgnoredFields = append(s.IgnoredFields, "family_info.say")
 		s.Admission.AdvertisedValue = admission.NothingAdvertised
 	}
@@ -151,10 +151,10 @@
 		return fieldError(object+".worth_by", "%q is neither request nor work", c.valueBy)
 	case c.preemption != "" && !has(preemptions, c.preemption):
 		return fieldError(object+".family_info.preemption", "%q is none of off, discard and freeze", c.preemption)
-	case c.say != "" && !has(advertisedValues, c.say):
-		return fieldError(object+".family_info.say", "%q is none of off, floor, allowance and weight", c.say)
-	case !slices.Contains([]string{"", "off", "one_for_all", "tier"}, c.below):
-		return fieldError(object+".family_info.below", "%q is none of off, one_for_all and tier", c.below)
+	case c.advertisedValue != "" && !has(advertisedValues, c.advertisedValue):
+		return fieldError(object+".family_info.say", "%q is none of off, floor, allowance and weight", c.advertisedValue)
+	case !slices.Contains([]string{"", "off", "one_for_all", "tier"}, c.dependency):
+		return fieldError(object+".family_info.below", "%q is none of off, one_for_all and tier", c.dependency)
 	case a.SharedDependency && !(a.CallQuota > 0 && a.CallQuotaWindow > 0):
 		return fieldError(object+".family_info.calls_out", "%v over %v us, and one dependency serves all",
 			a.CallQuota, a.CallQuotaWindow)
@@ -173,9 +173,9 @@
 		return fieldError(field+".aim_ms", "not above 0")
 	case op.ClientTimeout <= 0:
 		return fieldError(field+".deadline_ms", "not above 0")
-	case !has(retrySafeties, s.choices.repeats[n]):
+	case !has(retrySafeties, s.choices.retrySafety[n]):
 		return fieldError(field+".repeat", "%q is none of idempotent, deduplicated and at_most_once",
-			s.choices.repeats[n])
+			s.choices.retrySafety[n])
 	case op.RetrySafety == admission.IdempotencyKeyed && op.RepeatWindow <= 0:
 		return fieldError(field+".window_ms", "not above 0, and repeats are to be known")
 	case op.RetrySafety == admission.IdempotencyKeyed && !(s.Admission.IdempotencyKeyKB > 0):
@@ -186,7 +186,7 @@
 		return fieldError(field+".late_value", "%v is no part", op.LateValue)
 	case !(op.ValueWithoutCall >= 0 && op.ValueWithoutCall <= 1):
 		return fieldError(fmt.Sprintf("%s.family_info.degraded_worth[%d]", object, n), "%v is no part", op.ValueWithoutCall)
-	case op.MakesCalls && s.choices.below == "off":
+	case op.MakesCalls && s.choices.dependency == "off":
 		return fieldError(fmt.Sprintf("%s.family_info.class_calls[%d]", object, n), "true, and nothing lies below")
 	}
 	return nil
