--- a/internal/backend/shadow/evaluator_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -11,8 +11,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// terms are a small deployment; shape changes it.
-func terms(shape func(*admission.Config)) admission.Config {
+// config is that of a small deployment; shape changes it.
+func config(shape func(*admission.Config)) admission.Config {
 	t := admission.Config{
 		Operations: []admission.Operation{
 			{Objective: 1_800_000, ClientTimeout: 4_500_000, Value: 1},
@@ -26,44 +26,44 @@
 	return t
 }
 
-// pair is an instance that decides and one that watches, on one made-up clock.
+// pair is a primary module with a shadow, on a simulated clock.
 type pair struct {
-	real      *admission.Backend
+	primary   *admission.Backend
 	evaluator *Evaluator
 	now       admission.Micros
 	running   []string
-	record    bool // what runs
+	record    bool // keep the started requests in running
 }
 
 func newPair(first, second admission.Config) *pair {
-	p := &pair{real: admission.New(first, 7), now: 1_000_000, record: true}
+	p := &pair{primary: admission.New(first, 7), now: 1_000_000, record: true}
 	p.evaluator = New(second, 7, p.now)
-	p.tell(admission.Opened{})
+	p.observe(admission.Opened{})
 	return p
 }
 
-func (p *pair) tell(ev admission.Event) {
-	acts := p.real.Decide(p.now, ev, nil)
-	for _, act := range acts {
-		if a, ok := act.(admission.Start); ok && p.record {
+func (p *pair) observe(event admission.Event) {
+	actions := p.primary.Decide(p.now, event, nil)
+	for _, action := range actions {
+		if a, ok := action.(admission.Start); ok && p.record {
 			p.running = append(p.running, a.ID)
 		}
 	}
-	p.evaluator.Observe(p.now, ev, acts)
+	p.evaluator.Observe(p.now, event, actions)
 }
 
 func (p *pair) end(id string, how admission.Outcome) {
 	p.running = slices.DeleteFunc(p.running, func(other string) bool { return other == id })
-	p.tell(admission.Finished{ID: id, Outcome: how, Took: 1})
+	p.observe(admission.Finished{ID: id, Outcome: how, Took: 1})
 }
 
 func (p *pair) tick(onCores float64) {
 	p.now += 20_000
-	p.tell(admission.Reading{Token: 1, CoreUse: min(1, onCores/2), OnCores: onCores, MemoryShare: 0.1, Connections: 5})
+	p.observe(admission.Reading{Token: 1, CoreUse: min(1, onCores/2), OnCores: onCores, MemoryShare: 0.1, Connections: 5})
 }
 
-// course draws a course of events and tells both of them.
-func course(t *rapid.T, p *pair) {
+// randomEvents generates events and has both modules decide on them.
+func randomEvents(t *rapid.T, p *pair) {
 	arrived := 0
 	p.now += 10_000
 	for range rapid.IntRange(20, 200).Draw(t, "events") {
@@ -80,20 +80,20 @@
 			if arrived > 3 && a.Operation == 1 && rapid.IntRange(0, 3).Draw(t, "repeat") == 0 {
 				a.RepeatOf = fmt.Sprint("i", rapid.IntRange(1, arrived-1).Draw(t, "of"))
 			}
-			p.tell(a)
+			p.observe(a)
 		case 6:
 			if len(p.running) > 0 {
 				how := []admission.Outcome{admission.OK, admission.Errored, admission.Unrunnable}
 				p.end(rapid.SampledFrom(p.running).Draw(t, "which"), rapid.SampledFrom(how).Draw(t, "how"))
 			}
 		case 7:
-			p.tell(admission.CallerGone{ID: fmt.Sprint("i", rapid.IntRange(1, arrived+1).Draw(t, "gone"))})
+			p.observe(admission.CallerGone{ID: fmt.Sprint("i", rapid.IntRange(1, arrived+1).Draw(t, "gone"))})
 		default:
 			p.tick(float64(rapid.IntRange(0, 12).Draw(t, "on cores")))
 		}
 	}
 	if rapid.Bool().Draw(t, "drains") {
-		p.tell(admission.DrainNotice{Left: 3_000_000})
+		p.observe(admission.DrainNotice{Left: 3_000_000})
 		for range 160 {
 			p.tick(3)
 		}
@@ -101,7 +101,7 @@
 	for len(p.running) > 0 {
 		p.end(p.running[0], admission.OK)
 	}
-	for range 400 { // all is due by then
+	for range 400 { // every deadline has passed by then
 		p.tick(0)
 		for len(p.running) > 0 {
 			p.end(p.running[0], admission.OK)
@@ -109,18 +109,18 @@
 	}
 }
 
-// TestAnyConfiguration: whatever happens, settings that are those in force decide nothing otherwise, and under any others
-// no request stays unanswered once all is over and the second instance does not fail.
+// TestAnyConfiguration: whatever happens, a shadow with the same settings decides nothing otherwise, and one with others
+// leaves no request unanswered at the end and does not panic.
 func TestAnyConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first := terms(func(s *admission.Config) {
+		first := config(func(s *admission.Config) {
 			s.RetriesUnmarked = rapid.Bool().Draw(t, "unmarked")
 			s.AdvertisedValue = rapid.SampledFrom([]admission.AdvertisedValue{admission.NothingAdvertised, admission.TrafficWeight}).Draw(t, "value")
 			s.Preemption = rapid.SampledFrom([]admission.Preemption{admission.NoPreemption, admission.PreemptionPauses}).Draw(t, "preemption")
 		})
 		second, same := first, rapid.Bool().Draw(t, "the same")
 		if !same {
-			second = terms(func(s *admission.Config) {
+			second = config(func(s *admission.Config) {
 				s.RetriesUnmarked, s.AdvertisedValue, s.Preemption = true, admission.TrafficWeight, admission.PreemptionPauses
 				s.Operations[0].Objective /= admission.Micros(rapid.IntRange(1, 9).Draw(t, "objective"))
 				s.Operations[1].RetrySafety = admission.Idempotent
@@ -128,7 +128,7 @@
 			})
 		}
 		p := newPair(first, second)
-		course(t, p)
+		randomEvents(t, p)
 		c := p.evaluator.Counts()
 		if same && len(c.Map()) > 2 || c.Panics > 0 || len(p.evaluator.unanswered) > 0 {
 			t.Errorf("the same %t: %v, %d unanswered", same, c, len(p.evaluator.unanswered))
@@ -136,11 +136,11 @@
 	})
 }
 
-// TestShadowPanic: a panic of the second instance is counted, and it decides nothing more.
+// TestShadowPanic: a panic of the shadow is counted, and it decides nothing more.
 func TestShadowPanic(t *testing.T) {
-	p := newPair(terms(func(*admission.Config) {}), terms(func(s *admission.Config) { s.Operations = s.Operations[:1] }))
+	p := newPair(config(func(*admission.Config) {}), config(func(s *admission.Config) { s.Operations = s.Operations[:1] }))
 	for n := range 3 {
-		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000})
+		p.observe(admission.Arrived{ID: fmt.Sprint("i", n), Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000})
 	}
 	if c := p.evaluator.Counts(); c.Panics != 1 || c.Arrivals != 1 || len(p.running) != 2 {
 		t.Errorf("%v, %d run", c, len(p.running))
@@ -152,9 +152,9 @@
 	tr := fakes.NewTrace(t)
 	arrive := func(p *pair, n, operation int, budget admission.Micros) {
 		p.now += 1000
-		p.tell(admission.Arrived{ID: fmt.Sprint("i", n), Operation: operation, MemoryKB: 30, TimeLeft: budget, Priority: 0.1})
+		p.observe(admission.Arrived{ID: fmt.Sprint("i", n), Operation: operation, MemoryKB: 30, TimeLeft: budget, Priority: 0.1})
 	}
-	crowd := func(p *pair) { // cores that are full, with a line
+	crowd := func(p *pair) { // full cores with a queue
 		p.tick(2)
 		for n := range 12 {
 			arrive(p, n, n%2, 2_250_000)
@@ -190,7 +190,7 @@
 		{"a longer objective", brief, none, crowd},
 		{"repeats known by key", func(s *admission.Config) { s.Operations[1].RetrySafety = admission.Idempotent }, none, func(p *pair) {
 			arrive(p, 1, 1, 4_000_000)
-			p.tell(admission.Arrived{ID: "i2", Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000, RepeatOf: "i1"})
+			p.observe(admission.Arrived{ID: "i2", Operation: 1, MemoryKB: 30, TimeLeft: 4_000_000, RepeatOf: "i1"})
 		}},
 		{"runs can be paused", none, func(s *admission.Config) { s.Preemption = admission.PreemptionPauses }, func(p *pair) {
 			arrive(p, 1, 0, 100_000)
@@ -205,7 +205,7 @@
 			}
 		}},
 	} {
-		p := newPair(terms(c.first), terms(c.second))
+		p := newPair(config(c.first), config(c.second))
 		c.how(p)
 		tr.Say("%s: %v", c.name, p.evaluator.Counts())
 	}
@@ -213,16 +213,16 @@
 
 // BenchmarkObserve is what a shadow adds to two events, with some ten requests in flight.
 func BenchmarkObserve(b *testing.B) {
-	for _, watched := range []bool{false, true} {
-		b.Run(fmt.Sprint("watched=", watched), func(b *testing.B) {
-			p := newPair(terms(func(*admission.Config) {}), terms(func(*admission.Config) {}))
-			if p.record = false; !watched {
+	for _, shadowed := range []bool{false, true} {
+		b.Run(fmt.Sprint("shadow=", shadowed), func(b *testing.B) {
+			p := newPair(config(func(*admission.Config) {}), config(func(*admission.Config) {}))
+			if p.record = false; !shadowed {
 				p.evaluator.counts.Panics = 1
 			}
 			for n := 0; b.Loop(); n++ {
 				p.now += 10_000
-				p.tell(admission.Finished{ID: fmt.Sprint("i", n-10), Outcome: admission.OK, Took: 1})
-				p.tell(admission.Arrived{ID: fmt.Sprint("i", n), MemoryKB: 30, ExpectedWork: 20_000, TimeLeft: 4_000_000, Priority: 0.5})
+				p.observe(admission.Finished{ID: fmt.Sprint("i", n-10), Outcome: admission.OK, Took: 1})
+				p.observe(admission.Arrived{ID: fmt.Sprint("i", n), MemoryKB: 30, ExpectedWork: 20_000, TimeLeft: 4_000_000, Priority: 0.5})
 			}
 		})
 	}
