--- a/cmd/milletbarrow/degradation_bench_test.go
+++ b/cmd/milletbarrow/degradation_bench_test.go
@@ -51,11 +51,11 @@
 	ranked       bool // ranks follow value; else all are alike
 }
 
-func (w billed) mix() []fakes.Part {
-	mix := []fakes.Part{{Class: "reprint", Share: 0.35, Rank: 0.1}, {Class: "lookup", Share: 0.4, Rank: 0.4}, {Class: "pay-post", Share: 0.25, Rank: 0.9}}
+func (w billed) mix() []fakes.OperationShare {
+	mix := []fakes.OperationShare{{Operation: "reprint", Share: 0.35, Priority: 0.1}, {Operation: "lookup", Share: 0.4, Priority: 0.4}, {Operation: "pay-post", Share: 0.25, Priority: 0.9}}
 	if !w.ranked {
 		for i := range mix {
-			mix[i].Rank = 0.5
+			mix[i].Priority = 0.5
 		}
 	}
 	return mix
@@ -131,17 +131,17 @@
 			worth, most := 0.0, 0.0
 			for i, l := range loads {
 				for _, s := range l.Stop() {
-					most += billValue[s.Class]
-					sent[s.Class]++
+					most += billValue[s.Operation]
+					sent[s.Operation]++
 					ok := s.Code == 1 && s.Answers == 1 && s.Answered.Sub(s.At) <= time.Second
 					if ok {
-						worth += billValue[s.Class]
-						good[s.Class]++
+						worth += billValue[s.Operation]
+						good[s.Operation]++
 					}
 					if i < 2 && s.At.After(slowed) && s.At.Before(healed) {
-						slowSent[s.Class]++
+						slowSent[s.Operation]++
 						if ok {
-							slowGood[s.Class]++
+							slowGood[s.Operation]++
 						}
 					}
 				}
@@ -186,7 +186,7 @@
 			began := time.Now()
 			for time.Since(began) < span {
 				sec := time.Since(began).Seconds()
-				crew.Claim(2 * boundary * (1 + 0.25*math.Sin(2*math.Pi*sec/40) + 0.2*r.NormFloat64()))
+				crew.OverrideQueueGauge(2 * boundary * (1 + 0.25*math.Sin(2*math.Pi*sec/40) + 0.2*r.NormFloat64()))
 				time.Sleep(20 * time.Millisecond)
 			}
 			sent := l.Stop()
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -122,7 +122,7 @@
 					return unusable(errors.New("cores and crowd are at least 1, warm-up-share above 0"))
 				}
 				y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
-					Cores: c.Int("cores"), Crowd: c.Float("crowd"), Takes: c.Duration("service-time"), Cold: c.Duration("warm-up"), Share: c.Float("warm-up-share"), Most: 10_000,
+					Cores: c.Int("cores"), CollapseMultiple: c.Float("crowd"), ServiceTime: c.Duration("service-time"), WarmUp: c.Duration("warm-up"), ColdSpeed: c.Float("warm-up-share"), MaxRuns: 10_000,
 				})
 				if err != nil {
 					return unusable(err)
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -141,7 +141,7 @@
 			return false
 		}
 		defer c.Close()
-		f, err := fakes.NewEdgeNode(b.t, c).Ask(fakes.Raw(20, 1, "\x00"))
+		f, err := fakes.NewEdgeNode(b.t, c).RoundTrip(fakes.EncodeFrame(20, 1, "\x00"))
 		return err == nil && f.Code == 1
 	})
 	return b
@@ -229,7 +229,7 @@
 	b.start()
 	fakes.Take(t, "a link", b.farm.Subscribes)
 	n := fakes.Dial(t, b.address)
-	n.Send(fakes.Raw(20, 1, "\x00"), fakes.Invocation(2, 2))
+	n.Send(fakes.EncodeFrame(20, 1, "\x00"), fakes.Invocation(2, 2))
 	tr.Say("%v, %v", n.Expect(), n.Expect())
 	b.farm.With(func(state, _ *string) { *state = "chilly 5" })
 	b.ready()
@@ -382,7 +382,7 @@
 	tr := fakes.NewTrace(t)
 	b := prepare(t, `"sockets":1024`, `"sockets":64`).start().ready()
 	n := fakes.Dial(t, b.address)
-	n.Send(fakes.Raw(20, 1, "\x00"))
+	n.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	n.Expect()
 	all := make([]*fakes.EdgeNode, 0, 100)
 	for range 100 {
@@ -417,7 +417,7 @@
 			nodes = append(nodes, n)
 			for stream := range 32 {
 				number := k*32 + stream
-				n.Send(fakes.Raw(10, uint32(stream+1), fakes.Fields(fakes.DefaultFields(number, "wait=60000")...)+strings.Repeat("b", 2048)))
+				n.Send(fakes.EncodeFrame(10, uint32(stream+1), fakes.EncodeFields(fakes.DefaultFields(number, "wait=60000")...)+strings.Repeat("b", 2048)))
 			}
 		}
 	}
--- a/cmd/milletbarrow/moments_test.go
+++ b/cmd/milletbarrow/moments_test.go
@@ -25,7 +25,7 @@
 	b.start()
 	fakes.Take(t, "a link", b.farm.Subscribes)
 	n := fakes.Dial(t, b.address)
-	n.Send(fakes.Raw(20, 1, "\x00"))
+	n.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	n.Expect()
 	since := b.term()
 	if f := n.Expect(); f.Type != 30 || time.Since(since) < 250*time.Millisecond {
@@ -91,7 +91,7 @@
 	whole := fakes.Invocation(1, 1)
 	n.Send(whole[:40])
 	other := fakes.Dial(t, b.address)
-	other.Send(fakes.Raw(20, 1, "\x00"))
+	other.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	other.Expect() // what was sent before it has been read
 	b.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(2500 * time.Millisecond) // it has to last
@@ -178,7 +178,7 @@
 	b.start().ready()
 	fakes.Take(t, "a report", reports)
 	n := fakes.Dial(t, b.address) // so that it stays for the grace and longer
-	n.Send(fakes.Raw(20, 1, "\x00"))
+	n.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	n.Expect()
 	<-status
 	status <- http.StatusServiceUnavailable
@@ -208,7 +208,7 @@
 func TestRepeatsDuringTheDrain(t *testing.T) {
 	b := prepare(t, `"at_most_once"`, `"deduplicated","window_ms":5000`, `"run_factor"`, `"key_kb":20,"run_factor"`).start().ready()
 	first, second := fakes.Dial(t, b.address), fakes.Dial(t, b.address)
-	second.Send(fakes.Raw(20, 1, "\x00"))
+	second.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	second.Expect()
 	first.Send(fakes.Attempt(1, 1, "x"))
 	l := fakes.Take(t, "a launch", b.farm.Launches)
@@ -252,7 +252,7 @@
 	after, restAfter := half(2)
 	never, _ := half(3)
 	check := fakes.Dial(t, b.address)
-	check.Send(fakes.Raw(20, 1, "\x00"))
+	check.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	check.Expect() // what was sent before it has been read
 	b.term()
 	fakes.Until(t, "the notice is heard", b.said("event=drain"))
@@ -318,7 +318,7 @@
 		return err == nil
 	})
 	n = fakes.Dial(t, b.address)
-	n.Send(fakes.Raw(20, 1, "\x00"), fakes.Invocation(2, 2))
+	n.Send(fakes.EncodeFrame(20, 1, "\x00"), fakes.Invocation(2, 2))
 	if health, answer := n.Expect(), n.Expect(); health.Code == 1 || answer.Code != 2 {
 		t.Errorf("before the greeting: health %v, answer %v", health, answer)
 	}
--- a/cmd/milletbarrow/watch_test.go
+++ b/cmd/milletbarrow/watch_test.go
@@ -52,7 +52,7 @@
 			n.Send(fakes.Invocation(uint32(i+1), number, "class="+class))
 			l := fakes.Take(t, "a launch", b.farm.Launches)
 			if i == 2 {
-				n.Send(fakes.Raw(12, 3, "")) // its caller leaves while it runs
+				n.Send(fakes.EncodeFrame(12, 3, "")) // its caller leaves while it runs
 				b.farm.End(l.ID, "cancelled", "")
 				break
 			}
--- a/internal/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -42,11 +42,11 @@
 		{"no memory", []string{"kb=0"}}, {"too much memory", []string{"kb=2000"}}, {"from is no number", []string{"from=x"}},
 		{"cost is no number", []string{"cost=1e3"}},
 	} {
-		tr.Say("%s: %s", c.what, show(ReadInvocation([]byte(fakes.Fields(usual(c.edits...)...)+"the body"), bodyMost)))
+		tr.Say("%s: %s", c.what, show(ReadInvocation([]byte(fakes.EncodeFields(usual(c.edits...)...)+"the body"), bodyMost)))
 	}
-	twice := fakes.Fields(append(usual(), "wait=9")...)
+	twice := fakes.EncodeFields(append(usual(), "wait=9")...)
 	tr.Say("a field twice: %s", show(ReadInvocation([]byte(twice), bodyMost)))
-	complete := fakes.Fields(usual()...)
+	complete := fakes.EncodeFields(usual()...)
 	for _, size := range []int{0, bodyMost, bodyMost + 1} {
 		tr.Say("body of %d: %.60s", size, show(ReadInvocation([]byte(complete+strings.Repeat("x", size)), bodyMost)))
 	}
@@ -71,13 +71,13 @@
 	tr.Say("%x", AppendHealthAnswer(nil, 3, false))
 	tr.Say("%x", AppendGoAway(nil))
 	tr.Say("%x", AppendError([]byte("before"), "odd"))
-	tr.Say("%+v", ReadHeader([]byte(fakes.Raw(12, 9, "ab"))))
-	tr.Say("fields alone: %v, cut short: %v", ReadFields([]byte(fakes.Fields("a=b"))), ReadFields([]byte{1, 1, 'a', 0}))
+	tr.Say("%+v", ReadHeader([]byte(fakes.EncodeFrame(12, 9, "ab"))))
+	tr.Say("fields alone: %v, cut short: %v", ReadFields([]byte(fakes.EncodeFields("a=b"))), ReadFields([]byte{1, 1, 'a', 0}))
 }
 
 // FuzzReadInvocation: whatever comes, what is accepted keeps within what was given and within the protocol.
 func FuzzReadInvocation(f *testing.F) {
-	complete := fakes.Fields(usual("retry=1", "key=k")...)
+	complete := fakes.EncodeFields(usual("retry=1", "key=k")...)
 	f.Add([]byte(complete + "body"))
 	f.Add([]byte(complete[:40]))
 	f.Add([]byte{255, 0, 0, 0})
--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -19,7 +19,7 @@
 func TestRequestAfterClose(t *testing.T) {
 	complete := fakes.Invocation(1, 1)
 	for _, c := range []struct{ what, before, after string }{
-		{"rested", fakes.Raw(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
+		{"rested", fakes.EncodeFrame(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
 		{"within a frame", complete[:40], complete[40:] + fakes.Invocation(2, 2)},
 	} {
 		s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = time.Minute })
@@ -48,7 +48,7 @@
 		}
 		// The poller has taken it in before it serves another connection.
 		other := fakes.Dial(t, s.address)
-		other.Send(fakes.Raw(20, 1, "\x00"))
+		other.Send(fakes.EncodeFrame(20, 1, "\x00"))
 		other.Expect()
 		if _, carried := s.Counts(); carried != 0 || s.inDispatch() != 0 || len(s.fakeExecutor.Launches) != 0 {
 			t.Errorf("%s: %d in flight, %d launched", c.what, carried, len(s.fakeExecutor.Launches))
@@ -120,7 +120,7 @@
 		}
 		fakes.Until(t, "the link is up", s.healthy)
 	}
-	n.Send(fakes.Raw(20, 9, "\x00"))
+	n.Send(fakes.EncodeFrame(20, 9, "\x00"))
 	if f := n.Expect(); f.Stream != 9 {
 		t.Errorf("a second answer: %v", f)
 	}
--- a/internal/backend/server/races_test.go
+++ b/internal/backend/server/races_test.go
@@ -79,14 +79,14 @@
 	}{
 		{"silent", "", fakes.Invocation(1, 1), func(s *site) { s.sweep(0) }},
 		{"within a frame", fakes.Invocation(1, 2)[:30], fakes.Invocation(1, 2)[30:], func(s *site) { s.sweep(0) }},
-		{"resting", fakes.Raw(20, 9, "\x00"), fakes.Invocation(1, 3), func(s *site) { s.sweep(0) }},
-		{"full", fakes.Raw(20, 9, "\x00"), fakes.Invocation(1, 4), func(s *site) { s.evict(time.Now()) }},
+		{"resting", fakes.EncodeFrame(20, 9, "\x00"), fakes.Invocation(1, 3), func(s *site) { s.sweep(0) }},
+		{"full", fakes.EncodeFrame(20, 9, "\x00"), fakes.Invocation(1, 4), func(s *site) { s.evict(time.Now()) }},
 	} {
 		s := open(t, short)
 		n := fakes.Dial(t, s.address)
 		n.Send(c.before)
 		one := s.only(t)
-		if strings.HasPrefix(c.before, fakes.Raw(20, 9, "\x00")) {
+		if strings.HasPrefix(c.before, fakes.EncodeFrame(20, 9, "\x00")) {
 			n.Expect()
 		} else if c.before != "" {
 			fakes.Until(t, "the frame has begun", func() bool { one.mu.Lock(); defer one.mu.Unlock(); return !one.frameStart.IsZero() })
@@ -261,7 +261,7 @@
 func TestEvictionCountsClosing(t *testing.T) {
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections = 2 })
 	n := fakes.Dial(t, s.address)
-	n.Send(fakes.Raw(20, 1, "\x00"))
+	n.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	n.Expect()
 	fakes.Dial(t, s.address)
 	fakes.Until(t, "both are open", func() bool { n, _ := s.Counts(); return n == 2 })
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -63,8 +63,8 @@
 	s.beforeLaunch.Store(nil)
 	n.Send(fakes.Attempt(2, 2, "x", "retry=1"))
 	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
-	n.Send(fakes.Raw(12, 1, ""))
-	n.Send(fakes.Raw(20, 3, "\x00"))
+	n.Send(fakes.EncodeFrame(12, 1, ""))
+	n.Send(fakes.EncodeFrame(20, 3, "\x00"))
 	n.Expect() // type 12 has been read
 	close(goOn)
 	if f := n.Expect(); f.Stream != 2 || f.Code != 2 || f.Fields != "after=50" {
@@ -110,8 +110,8 @@
 	s := open(t, tokened)
 	n, bad := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	copied := func(stream uint32, number int) {
-		fields := fakes.Fields(fakes.DefaultFields(number, "class=post", "once=x")...)
-		bad.Send(fakes.Raw(10, stream, fields+"what it would like"))
+		fields := fakes.EncodeFields(fakes.DefaultFields(number, "class=post", "once=x")...)
+		bad.Send(fakes.EncodeFrame(10, stream, fields+"what it would like"))
 	}
 	refused := func() {
 		l := fakes.Take(t, "the copy's launch", s.fakeExecutor.Launches)
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -87,16 +87,16 @@
 	tr := fakes.NewTrace(t)
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
-	n.Send(fakes.Raw(20, 1, fakes.Fields()), fakes.Raw(20, 2, fakes.Fields("a=b")))
+	n.Send(fakes.EncodeFrame(20, 1, fakes.EncodeFields()), fakes.EncodeFrame(20, 2, fakes.EncodeFields("a=b")))
 	tr.Say("checks: %v, %v", n.Expect(), n.Expect())
 	for stream, end := range []string{"complete", "error", "cancelled", "unknown"} {
 		n.Send(fakes.Invocation(uint32(stream+1), stream+1))
 		tr.Say("%s: %+v", end, s.run(t, end, ""))
 		tr.Say("  %v", n.Expect())
 	}
-	big := strings.Repeat("b", s.bounds.BodySize)
-	n.Send(fakes.Raw(10, 9, fakes.Fields(fakes.DefaultFields(9)...)+big))
-	l := s.run(t, "complete", strings.Repeat("r", s.bounds.ResultSize))
+	big := strings.Repeat("b", s.bounds.Body)
+	n.Send(fakes.EncodeFrame(10, 9, fakes.EncodeFields(fakes.DefaultFields(9)...)+big))
+	l := s.run(t, "complete", strings.Repeat("r", s.bounds.Result))
 	tr.Say("largest body unchanged %t, largest result %d", l.Body == big, len(n.Expect().Body))
 	n.Send(fakes.Invocation(10, 10, "wait=0"), fakes.Invocation(11, 11, "at=1"))
 	tr.Say("used up: %d %d", n.Expect().Code, n.Expect().Code)
@@ -108,7 +108,7 @@
 	tr := fakes.NewTrace(t)
 	s := open(t, nil)
 	n := fakes.Dial(t, s.address)
-	for _, c := range []byte(fakes.Raw(20, 1, fakes.Fields("a=b")) + fakes.Invocation(2, 2) + fakes.Raw(20, 3, "\x00")) {
+	for _, c := range []byte(fakes.EncodeFrame(20, 1, fakes.EncodeFields("a=b")) + fakes.Invocation(2, 2) + fakes.EncodeFrame(20, 3, "\x00")) {
 		n.Send(string([]byte{c}))
 	}
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
@@ -117,7 +117,7 @@
 	tr.Say("  %v", n.Expect())
 	many := make([]string, 0, 20)
 	for stream := range 20 {
-		many = append(many, fakes.Raw(20, uint32(stream), "\x00"))
+		many = append(many, fakes.EncodeFrame(20, uint32(stream), "\x00"))
 	}
 	n.Send(many...)
 	for stream := range 20 {
@@ -136,26 +136,26 @@
 	backwards := func(pairs []string) []string { slices.Reverse(pairs); return pairs }
 	number := 0
 	for what, form := range map[string]func(number int) string{
-		"usual":               func(k int) string { return fakes.Fields(fakes.DefaultFields(k)...) + "body" },
-		"fields in any order": func(k int) string { return fakes.Fields(backwards(fakes.DefaultFields(k))...) + "body" },
+		"usual":               func(k int) string { return fakes.EncodeFields(fakes.DefaultFields(k)...) + "body" },
+		"fields in any order": func(k int) string { return fakes.EncodeFields(backwards(fakes.DefaultFields(k))...) + "body" },
 		"unknown fields": func(k int) string {
-			return fakes.Fields(append(fakes.DefaultFields(k), "colour=green", "x=", "="+strings.Repeat("v", 300))...) + "body"
+			return fakes.EncodeFields(append(fakes.DefaultFields(k), "colour=green", "x=", "="+strings.Repeat("v", 300))...) + "body"
 		},
 		"only what is needed": func(k int) string {
-			return fakes.Fields(fakes.DefaultFields(k, "from=", "cost=", "retry=")...) + "body"
+			return fakes.EncodeFields(fakes.DefaultFields(k, "from=", "cost=", "retry=")...) + "body"
 		},
 		"all that is known": func(k int) string {
-			return fakes.Fields(append(fakes.DefaultFields(k), "retry=0", "key=k", "once=o")...) + "body"
+			return fakes.EncodeFields(append(fakes.DefaultFields(k), "retry=0", "key=k", "once=o")...) + "body"
 		},
 		"numbers in any form": func(k int) string {
-			return fakes.Fields(fakes.DefaultFields(k, "kb=.5", "rank=0", "cost=20.", "wait=04000")...)
+			return fakes.EncodeFields(fakes.DefaultFields(k, "kb=.5", "rank=0", "cost=20.", "wait=04000")...)
 		},
-		"an empty body":       func(k int) string { return fakes.Fields(fakes.DefaultFields(k)...) },
-		"a body of any bytes": func(k int) string { return fakes.Fields(fakes.DefaultFields(k)...) + "\x00\r\n\xff" },
+		"an empty body":       func(k int) string { return fakes.EncodeFields(fakes.DefaultFields(k)...) },
+		"a body of any bytes": func(k int) string { return fakes.EncodeFields(fakes.DefaultFields(k)...) + "\x00\r\n\xff" },
 	} {
 		for _, cuts := range [][]int{nil, {2}, {9, 14}, {30, 31}, {-1}, {1, 2, 3, 4, 5, 6, 7, 8, 9}, {0}} {
 			number++
-			frame := fakes.Raw(10, uint32(number), form(number))
+			frame := fakes.EncodeFrame(10, uint32(number), form(number))
 			if len(cuts) == 1 && cuts[0] == 0 {
 				for _, b := range []byte(frame) {
 					n.Send(string([]byte{b}))
@@ -189,15 +189,15 @@
 		{"unknown operation", fakes.Invocation(2, 2, "class=nothing")},
 		{"unknown tenant", fakes.Invocation(3, 3, "tenant=nobody")},
 		{"no tenant", fakes.Invocation(4, 4, "tenant=")},
-		{"no fields", fakes.Raw(10, 5, "")},
-		{"fields cut short", fakes.Raw(10, 6, "\x09\x05class")},
-		{"body too long", fakes.Raw(10, 7, fakes.Fields(fakes.DefaultFields(7)...)+strings.Repeat("x", s.bounds.BodySize+1))},
-		{"longest frame", fakes.Raw(10, 8, strings.Repeat("x", 262_144-5))},
+		{"no fields", fakes.EncodeFrame(10, 5, "")},
+		{"fields cut short", fakes.EncodeFrame(10, 6, "\x09\x05class")},
+		{"body too long", fakes.EncodeFrame(10, 7, fakes.EncodeFields(fakes.DefaultFields(7)...)+strings.Repeat("x", s.bounds.Body+1))},
+		{"longest frame", fakes.EncodeFrame(10, 8, strings.Repeat("x", 262_144-5))},
 		{"stream 0", fakes.Invocation(0, 9)},
-		{"unknown type", fakes.Raw(77, 1, "payload")},
-		{"an answer", fakes.Raw(11, 1, "\x01\x00")},
-		{"a check cut short", fakes.Raw(20, 9, "\x01")},
-		{"gone: unknown stream", fakes.Raw(12, 99, "") + fakes.Raw(20, 10, "\x00")},
+		{"unknown type", fakes.EncodeFrame(77, 1, "payload")},
+		{"an answer", fakes.EncodeFrame(11, 1, "\x01\x00")},
+		{"a check cut short", fakes.EncodeFrame(20, 9, "\x01")},
+		{"gone: unknown stream", fakes.EncodeFrame(12, 99, "") + fakes.EncodeFrame(20, 10, "\x00")},
 		{"an id that is in hand", fakes.Invocation(11, 1)},
 		{"a stream that is open", fakes.Invocation(1, 12)},
 	} {
@@ -205,7 +205,7 @@
 		tr.Say("%s: %v", c.what, n.Expect())
 	}
 	s.fakeExecutor.End(sound.ID, "complete", "nobody can tell whose")
-	n.Send(fakes.Raw(20, 13, "\x00"))
+	n.Send(fakes.EncodeFrame(20, 13, "\x00"))
 	tr.Say("and still: %v", n.Expect())
 	s.rests(t, 1)
 }
@@ -225,7 +225,7 @@
 		tr.Say("  then %v", err)
 		s.rests(t, 1)
 	}
-	other.Send(fakes.Raw(20, 1, "\x00"))
+	other.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	tr.Say("the other connection: %v", other.Expect())
 }
 
@@ -236,11 +236,11 @@
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
-	n.Send(fakes.Raw(12, 1, ""), fakes.Raw(20, 2, "\x00"))
+	n.Send(fakes.EncodeFrame(12, 1, ""), fakes.EncodeFrame(20, 2, "\x00"))
 	tr.Say("gone while it runs: %v", n.Expect())
 	s.fakeExecutor.End(l.ID, "complete", "too late")
 	s.rests(t, 1)
-	n.Send(fakes.Raw(12, 1, ""), fakes.Raw(20, 3, "\x00"))
+	n.Send(fakes.EncodeFrame(12, 1, ""), fakes.EncodeFrame(20, 3, "\x00"))
 	tr.Say("gone once answered: %v", n.Expect())
 
 	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no room for a start
@@ -248,7 +248,7 @@
 	fakes.Until(t, "full cores are seen", func() bool { return s.fakeExecutor.Samples() >= asked+3 })
 	n.Send(fakes.Invocation(4, 4))
 	fakes.Until(t, "it is held", func() bool { return s.inDispatch() == 1 })
-	n.Send(fakes.Raw(12, 4, ""))
+	n.Send(fakes.EncodeFrame(12, 4, ""))
 	s.rests(t, 1)
 	n.Send(fakes.Invocation(5, 5), fakes.Invocation(6, 6)[:40])
 	fakes.Until(t, "it is held", func() bool { return s.inDispatch() == 1 })
@@ -279,7 +279,7 @@
 func TestSlowPeer(t *testing.T) {
 	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.UnsentPerConnection = 1 << 20 })
 	slow, other := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
-	checks := strings.Repeat(fakes.Raw(20, 1, "\x00"), 4000)
+	checks := strings.Repeat(fakes.EncodeFrame(20, 1, "\x00"), 4000)
 	slow.SetWriteDeadline(time.Now().Add(10 * time.Second))
 	for range 2000 {
 		if _, err := slow.Write([]byte(checks)); err != nil {
@@ -287,7 +287,7 @@
 		}
 	}
 	fakes.Until(t, "the slow one is cut off", func() bool { n, _ := s.Counts(); return n == 1 })
-	other.Send(fakes.Raw(20, 1, "\x00"))
+	other.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	if f := other.Expect(); f.Code != 1 {
 		t.Errorf("the other connection: %v", f)
 	}
@@ -317,7 +317,7 @@
 	one.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	fakes.Until(t, "two are open", func() bool { n, _ := s.Counts(); return n == 2 })
-	check := fakes.Raw(20, 1, "\x00")
+	check := fakes.EncodeFrame(20, 1, "\x00")
 	three := fakes.Dial(t, s.address)
 	three.Send(check)
 	tr.Say("the third: %v", three.Expect())
@@ -357,7 +357,7 @@
 	one.Close()
 	fakes.Until(t, "one has left", func() bool { n, _ := s.Counts(); return n == 1 })
 	late := fakes.Dial(t, s.address)
-	late.Send(fakes.Raw(20, 1, "\x00"))
+	late.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	tr.Say("room again: %v", late.Expect())
 }
 
@@ -372,7 +372,7 @@
 	t.Cleanup(func() { close(done) })
 	go s.Sweep(done)
 	good := fakes.Dial(t, s.address)
-	good.Send(fakes.Raw(20, 1, "\x00"))
+	good.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	good.Expect()
 	number := 1000
 	alike := func(many int, edits ...string) (text string) {
@@ -397,7 +397,7 @@
 		{"unknown tenant", alike(1, "tenant=x")},
 		{"ids unknown to the farm", alike(1)},
 		{"two under one number", alike(1) + alike(1)},
-		{"taken back at once", strings.Repeat(alike(1)+fakes.Raw(12, 1, ""), 300) + alike(1, "class=x")},
+		{"taken back at once", strings.Repeat(alike(1)+fakes.EncodeFrame(12, 1, ""), 300) + alike(1, "class=x")},
 		{"hundreds at once", alike(300)},
 		{"nothing but what cannot be used", strings.Repeat(alike(1, "class=x"), 300)},
 	} {
@@ -457,15 +457,15 @@
 	all := make([]*fakes.EdgeNode, 0, 64)
 	for range 64 {
 		all = append(all, fakes.Dial(t, s.address))
-		all[len(all)-1].Send(fakes.Raw(20, 1, "\x00"))
+		all[len(all)-1].Send(fakes.EncodeFrame(20, 1, "\x00"))
 		all[len(all)-1].Expect()
 	}
 	s.sweep(0)
 	tr.Say("the two that rest longest: %v, %v", all[0].Expect(), all[1].Expect())
-	all[2].Send(fakes.Raw(20, 2, "\x00"))
+	all[2].Send(fakes.EncodeFrame(20, 2, "\x00"))
 	tr.Say("the third: %v", all[2].Expect())
 	late := fakes.Dial(t, s.address)
-	late.Send(fakes.Raw(20, 1, "\x00"))
+	late.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	tr.Say("one more: %v", late.Expect())
 	fakes.Until(t, "three were given up", func() bool { n, _ := s.Counts(); return n == 62 })
 	_, err := all[1].Next()
@@ -479,7 +479,7 @@
 		b.FrameTimeout, settings.Admission.IdleTimeout = 0, 50_000
 	})
 	held, busy := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
-	held.Send(fakes.Raw(20, 1, "\x00"))
+	held.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	tr.Say("%v", held.Expect())
 	busy.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -121,8 +121,8 @@
 		}
 		held = append(held, free)
 		y, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Config{
-			Cores: s.Hosts.Cores, Crowd: s.Hosts.Crowd, Takes: 20 * time.Millisecond, Cold: time.Duration(s.Hosts.ColdFor) * time.Microsecond,
-			Share: s.Hosts.ColdShare, Most: 10_000,
+			Cores: s.Hosts.Cores, CollapseMultiple: s.Hosts.Crowd, ServiceTime: 20 * time.Millisecond, WarmUp: time.Duration(s.Hosts.ColdFor) * time.Microsecond,
+			ColdSpeed: s.Hosts.ColdShare, MaxRuns: 10_000,
 		})
 		if err != nil {
 			return site, err
--- a/internal/fakes/auto_executor.go
+++ b/internal/fakes/auto_executor.go
@@ -12,35 +12,35 @@
 	"time"
 )
 
-// AutoExecutor is an executor that works by itself: each run takes so long, on so many cores. It remembers which runs were
-// started and when, and survives its backend: a new one begins with a new numbering.
+// AutoExecutor is an executor that finishes runs by itself: each run takes ServiceTime on one of Cores cores. It remembers
+// which runs were started and when, and outlives its backend: the next backend begins with a new numbering of notices.
 type AutoExecutor struct {
-	Address string
-	Takes   time.Duration
-	Cores   int
+	Address     string
+	ServiceTime time.Duration
+	Cores       int
 
-	mu       sync.Mutex
-	started  map[string]time.Time
-	again    int // launches of an id that another life of the backend had launched: the effect would come twice
-	link     net.Conn
-	kept     []string
-	claim    float64         // says that so many want a core, whatever is true; 0: it says what is true
-	slow     float64         // runs take so many times longer; 0: they do not
-	life     map[string]bool // launched since the last subscribe 0
-	busy     int
-	waiting  []string
-	listener net.Listener
+	mu            sync.Mutex
+	started       map[string]time.Time
+	launchedTwice int // launches of an id that an earlier incarnation of the backend had launched: the effect would happen twice
+	conn          net.Conn
+	notices       []string
+	queueGauge    float64         // the reported queue length, whatever is true; 0: the true one
+	slow          float64         // the factor by which runs take longer; 0: they do not
+	launched      map[string]bool // run ids launched since the last "subscribe 0"
+	busy          int
+	waiting       []string
+	listener      net.Listener
 }
 
-// NewAutoExecutor starts one on loopback.
+// NewAutoExecutor starts an executor on a loopback address and closes it at the end of the test.
 func NewAutoExecutor(t testing.TB, takes time.Duration, cores int) *AutoExecutor {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &AutoExecutor{
-		Address: l.Addr().String(), Takes: takes, Cores: cores, started: map[string]time.Time{},
-		life: map[string]bool{}, listener: l,
+	e := &AutoExecutor{
+		Address: l.Addr().String(), ServiceTime: takes, Cores: cores, started: map[string]time.Time{},
+		launched: map[string]bool{}, listener: l,
 	}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
@@ -49,38 +49,38 @@
 			if err != nil {
 				return
 			}
-			go c.serve(conn)
+			go e.serve(conn)
 		}
 	}()
-	return c
+	return e
 }
 
-// Slow has runs that begin from now on take so many times longer.
-func (c *AutoExecutor) Slow(factor float64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.slow = factor
+// Slow makes runs that begin from now on take factor times as long.
+func (e *AutoExecutor) Slow(factor float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.slow = factor
 }
 
-// Claim has the gauges say that so many want a core, whatever is true.
-func (c *AutoExecutor) Claim(queue float64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.claim = max(0.001, queue)
+// OverrideQueueGauge makes the executor report that queue length, in runs, whatever is true.
+func (e *AutoExecutor) OverrideQueueGauge(queue float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.queueGauge = max(0.001, queue)
 }
 
-// Started tells when each run was started.
-func (c *AutoExecutor) Started() (at map[string]time.Time, twice int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	at = make(map[string]time.Time, len(c.started))
-	for id, t := range c.started {
+// Started returns when each run was started, by id, and how many ids two incarnations of the backend launched.
+func (e *AutoExecutor) Started() (at map[string]time.Time, twice int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	at = make(map[string]time.Time, len(e.started))
+	for id, t := range e.started {
 		at[id] = t
 	}
-	return at, c.again
+	return at, e.launchedTwice
 }
 
-func (c *AutoExecutor) serve(conn net.Conn) {
+func (e *AutoExecutor) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
@@ -89,72 +89,72 @@
 		if err != nil || len(words) < 2 {
 			return
 		}
-		c.mu.Lock()
+		e.mu.Lock()
 		switch words[0] {
 		case "subscribe":
 			after, _ := strconv.Atoi(words[1])
 			if after == 0 { // a backend that has just started
-				c.kept, c.life, c.waiting = nil, map[string]bool{}, nil
+				e.notices, e.launched, e.waiting = nil, map[string]bool{}, nil
 			}
-			c.link = conn
+			e.conn = conn
 			fmt.Fprintf(conn, "greeting hot 3600000\r\n")
-			for _, n := range c.kept[min(after, len(c.kept)):] {
+			for _, n := range e.notices[min(after, len(e.notices)):] {
 				_, _ = io.WriteString(conn, n)
 			}
 		case "sample":
-			queue := float64(c.busy + len(c.waiting))
-			if c.claim > 0 {
-				queue = c.claim
+			queue := float64(e.busy + len(e.waiting))
+			if e.queueGauge > 0 {
+				queue = e.queueGauge
 			}
-			fmt.Fprintf(conn, "sampled %s %.3f %.3f 0.05 3\r\n", words[1], min(1, float64(c.busy)/float64(c.Cores)), queue)
+			fmt.Fprintf(conn, "sampled %s %.3f %.3f 0.05 3\r\n", words[1], min(1, float64(e.busy)/float64(e.Cores)), queue)
 		case "launch":
 			size, _ := strconv.Atoi(words[3])
 			_, _ = io.CopyN(io.Discard, in, int64(size+2))
-			c.launch(words[1])
+			e.launch(words[1])
 		}
-		c.mu.Unlock()
+		e.mu.Unlock()
 	}
 }
 
-// launch starts a run, or keeps it until a core is free; c.mu is held.
-func (c *AutoExecutor) launch(id string) {
-	if c.life[id] {
+// launch starts a run, or queues it until a core is free. The caller holds e.mu.
+func (e *AutoExecutor) launch(id string) {
+	if e.launched[id] {
 		return
 	}
-	if _, known := c.started[id]; known {
-		c.again++
+	if _, known := e.started[id]; known {
+		e.launchedTwice++
 	}
-	c.life[id] = true
-	c.started[id] = time.Now()
-	if c.busy >= c.Cores {
-		c.waiting = append(c.waiting, id)
+	e.launched[id] = true
+	e.started[id] = time.Now()
+	if e.busy >= e.Cores {
+		e.waiting = append(e.waiting, id)
 		return
 	}
-	c.run(id)
+	e.run(id)
 }
 
-func (c *AutoExecutor) run(id string) {
-	c.busy++
-	takes := c.Takes
-	if c.slow > 0 {
-		takes = time.Duration(float64(takes) * c.slow)
+func (e *AutoExecutor) run(id string) {
+	e.busy++
+	takes := e.ServiceTime
+	if e.slow > 0 {
+		takes = time.Duration(float64(takes) * e.slow)
 	}
 	time.AfterFunc(takes, func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.busy--
-		if c.life[id] { // else its backend is another by now
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.busy--
+		if e.launched[id] { // else a later incarnation of the backend has taken over
 			result := "result of " + id
-			notice := fmt.Sprintf("outcome %d %s complete %d %d\r\n%s\r\n", len(c.kept)+1, id, takes.Milliseconds(), len(result), result)
-			c.kept = append(c.kept, notice)
-			if c.link != nil {
-				_, _ = io.WriteString(c.link, notice)
+			notice := fmt.Sprintf("outcome %d %s complete %d %d\r\n%s\r\n", len(e.notices)+1, id, takes.Milliseconds(), len(result), result)
+			e.notices = append(e.notices, notice)
+			if e.conn != nil {
+				_, _ = io.WriteString(e.conn, notice)
 			}
 		}
-		if len(c.waiting) > 0 && c.busy < c.Cores {
-			next := c.waiting[0]
-			c.waiting = c.waiting[1:]
-			c.run(next)
+		if len(e.waiting) > 0 && e.busy < e.Cores {
+			next := e.waiting[0]
+			e.waiting = e.waiting[1:]
+			e.run(next)
 		}
 	})
 }
--- a/internal/fakes/caller.go
+++ b/internal/fakes/caller.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// SentRequest is what became of one request, as its caller saw it.
+// SentRequest is the course of one request as its caller saw it.
 type SentRequest struct {
 	ID          string
-	Class       string
-	At, Due     time.Time // written; and when its answer has to be there
+	Operation   string
+	At, Due     time.Time // when it was written, and by when it has to be answered
 	Answers     int
 	Code        byte
 	Answered    time.Time
-	WrongResult bool // succeeded with what no run of it made
-	Broken      bool // the connection ended first
-	NeverSent   bool // it crossed the backend's own close of the connection, or never went out whole
+	WrongResult bool // it succeeded with a result that no run of it produced
+	Broken      bool // the connection ended before the answer
+	NeverSent   bool // it crossed the backend's own close of the connection, or was not written completely
 }
 
-// Caller is an edge node that keeps requests coming to one backend, on a new connection whenever it has to, and
-// remembers what became of each.
+// Caller is an edge node that sends requests to one backend at a fixed rate, reconnects whenever it has to, and
+// records the course of each request.
 type Caller struct {
 	address       string
 	from          int
 	every         time.Duration
 	wait          time.Duration
-	mix           []Part
-	ignoresGoAway time.Duration // goes on sending for so long after the backend asked for no more
+	mix           []OperationShare
+	ignoresGoAway time.Duration // how long it goes on sending after a go-away frame
 	stop          chan struct{}
 	done          chan struct{}
 
@@ -38,40 +38,42 @@
 	next int
 }
 
-// Part of a mix of operations: so much of it, with this rank.
-type Part struct {
-	Class string
-	Share float64
-	Rank  float64
+// OperationShare is an operation's share of a load, 0 to 1, and the priority of its requests, 0 to 1.
+type OperationShare struct {
+	Operation string
+	Share     float64
+	Priority  float64
 }
 
-// NewMixedCaller begins a load of several operations, drawn by their shares in an order that is the same for the same from.
-func NewMixedCaller(address string, from int, every, wait time.Duration, mix []Part) *Caller {
+// NewMixedCaller starts a caller that draws the operation of each request by its share. The order of draws depends on
+// from alone.
+func NewMixedCaller(address string, from int, every, wait time.Duration, mix []OperationShare) *Caller {
 	l := &Caller{address: address, from: from, every: every, wait: wait, mix: mix, stop: make(chan struct{}), done: make(chan struct{})}
 	go l.run()
 	return l
 }
 
-// draw draws the operation of a request; without a mix there is one, with a rank in the middle.
-func (l *Caller) draw(r *rand.Rand) Part {
+// draw draws the operation of a request. Without a mix there is one operation, of medium priority.
+func (l *Caller) draw(r *rand.Rand) OperationShare {
 	x := r.Float64()
 	for _, p := range l.mix {
 		if x -= p.Share; x < 0 {
 			return p
 		}
 	}
-	return Part{Class: "look", Rank: 0.5}
+	return OperationShare{Operation: "look", Priority: 0.5}
 }
 
-// NewCaller begins; from tells its ids from those of others. One that is deaf goes on sending for so long after the
-// backend asked for no more.
-func NewCaller(address string, from int, every, wait, deaf time.Duration) *Caller {
-	l := &Caller{address: address, from: from, every: every, wait: wait, ignoresGoAway: deaf, stop: make(chan struct{}), done: make(chan struct{})}
+// NewCaller starts a caller that sends a request every interval and waits for each answer up to wait. from is the
+// caller's number, which keeps its request ids apart from those of others. It goes on sending for ignoresGoAway after
+// the backend asked for no more.
+func NewCaller(address string, from int, every, wait, ignoresGoAway time.Duration) *Caller {
+	l := &Caller{address: address, from: from, every: every, wait: wait, ignoresGoAway: ignoresGoAway, stop: make(chan struct{}), done: make(chan struct{})}
 	go l.run()
 	return l
 }
 
-// Stop ends the load, waits for the answers that are still owed, and returns what became of all.
+// Stop ends the load, waits for outstanding answers, and returns the course of all requests.
 func (l *Caller) Stop() []*SentRequest {
 	close(l.stop)
 	<-l.done
@@ -94,11 +96,11 @@
 			if l.serveConnection(c, tick.C) {
 				return
 			}
-		} // a connection that is not taken proves that nothing ran
+		} // a refused connection proves that nothing ran
 	}
 }
 
-// serveConnection uses one connection for as long as the backend lets it; over tells that the load has been stopped.
+// serveConnection uses one connection for as long as the backend allows. It reports whether the load has been stopped.
 func (l *Caller) serveConnection(c net.Conn, tick <-chan time.Time) (over bool) {
 	t := &callerConn{load: l, conn: c, open: map[uint32]*SentRequest{}, goAway: make(chan struct{}), ended: make(chan struct{})}
 	go t.read()
@@ -115,21 +117,21 @@
 	return over
 }
 
-// callerConn is one connection of a Load: a reader, and a writer that follows the ticks.
+// callerConn is one connection of a Caller: a reader, and a writer that follows the ticks.
 type callerConn struct {
 	load    *Caller
 	conn    net.Conn
-	open    map[uint32]*SentRequest // by stream, under the load's lock
-	goAway  chan struct{}           // closed when the backend asks for no more
+	open    map[uint32]*SentRequest // by stream, guarded by the caller's mutex
+	goAway  chan struct{}           // closed at the backend's go-away frame
 	ended   chan struct{}           // closed when nothing more can be read
 	endedAt time.Time               // set before ended is closed
 }
 
-// Frames that the backend sends, by the protocol page.
+// Types of the frames that the backend sends, and the code of a successful answer, by the protocol page.
 const (
 	frameAnswer = 11
 	frameGoAway = 30
-	succeeded   = 1 // the code of an answer
+	succeeded   = 1
 )
 
 // read notes answers until the connection ends.
@@ -161,8 +163,8 @@
 	}
 }
 
-// send sends a request a tick until the load is stopped (then over is true), the connection ends, or the backend asked for no more
-// and the time for which the caller ignores that has passed.
+// send sends one request a tick until the load is stopped (then over is true), the connection ends, or the backend
+// asked for no more and the time for which the caller ignores that has passed.
 func (t *callerConn) send(tick <-chan time.Time) (over bool) {
 	l := t.load
 	chance := rand.New(rand.NewPCG(uint64(l.from), uint64(l.next)))
@@ -191,20 +193,20 @@
 	}
 }
 
-// sendOne writes one request; false where the connection did not take all of it.
+// sendOne writes one request. It reports whether the connection took all of it.
 func (t *callerConn) sendOne(stream uint32, chance *rand.Rand) bool {
 	l := t.load
 	l.mu.Lock()
 	l.next++
 	number := l.from<<24 + l.next
 	part := l.draw(chance)
-	s := &SentRequest{ID: fmt.Sprintf("%016x", number), Class: part.Class, At: time.Now()}
+	s := &SentRequest{ID: fmt.Sprintf("%016x", number), Operation: part.Operation, At: time.Now()}
 	s.Due = s.At.Add(l.wait)
 	t.open[stream] = s
 	l.all = append(l.all, s)
 	l.mu.Unlock()
 	text := Invocation(stream, number, fmt.Sprint("wait=", l.wait.Milliseconds()), fmt.Sprint("from=", l.from),
-		"class="+part.Class, fmt.Sprintf("rank=%.4f", part.Rank))
+		"class="+part.Operation, fmt.Sprintf("rank=%.4f", part.Priority))
 	if _, err := t.conn.Write([]byte(text)); err != nil {
 		l.mu.Lock()
 		s.NeverSent = true
@@ -214,7 +216,7 @@
 	return true
 }
 
-// awaitAnswers waits while an answer is owed: until it is due, and a little longer, as an answer may come twice.
+// awaitAnswers waits until no answer is outstanding or all are overdue, and a little longer, as an answer may come twice.
 func (t *callerConn) awaitAnswers() {
 	until := time.Now().Add(t.load.wait + 200*time.Millisecond)
 	for time.Now().Before(until) {
--- a/internal/fakes/edge_node.go
+++ b/internal/fakes/edge_node.go
@@ -1,5 +1,5 @@
-// Package fakes holds what the tests share: traces kept in testdata, and fakes for the systems around a
-// backend, written from their protocol alone: an edge node, the executor, the endpoint registry.
+// Package fakes holds what tests share: golden traces in testdata, and fakes of the systems around a backend, written
+// from their protocols alone: an edge node, the executor, the endpoint registry.
 package fakes
 
 import (
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Frame is a frame as a caller sees it.
+// Frame is a decoded frame of the backend.
 type Frame struct {
 	Type   byte
 	Stream uint32
 	Code   byte
-	Fields string // name=value, as they came
+	Fields string // name=value, in the order received
 	Body   string
 }
 
@@ -30,14 +30,14 @@
 	return fmt.Sprintf("%d stream %d", f.Type, f.Stream)
 }
 
-// Raw makes a frame of any type.
-func Raw(kind byte, stream uint32, payload string) string {
+// EncodeFrame encodes a frame of any type.
+func EncodeFrame(kind byte, stream uint32, payload string) string {
 	b := binary.BigEndian.AppendUint32(nil, uint32(5+len(payload)))
 	return string(binary.BigEndian.AppendUint32(append(b, kind), stream)) + payload
 }
 
-// Fields encodes name=value pairs.
-func Fields(pairs ...string) string {
+// EncodeFields encodes name=value pairs as the header fields of a frame.
+func EncodeFields(pairs ...string) string {
 	b := []byte{byte(len(pairs))}
 	for _, p := range pairs {
 		name, value, _ := strings.Cut(p, "=")
@@ -47,8 +47,8 @@
 	return string(b)
 }
 
-// DefaultFields are the fields of a request that has come now and may wait four seconds; edits replace or, with
-// an empty value, drop some.
+// DefaultFields returns the fields of a request that is sent now and may wait four seconds. Edits (name=value) replace
+// fields or, with an empty value, drop them.
 func DefaultFields(number int, edits ...string) []string {
 	pairs := []string{
 		"class=look", fmt.Sprintf("id=%016x", number), fmt.Sprint("at=", time.Now().UnixMilli()), "from=1",
@@ -56,28 +56,29 @@
 	}
 	for _, e := range edits {
 		name, value, _ := strings.Cut(e, "=")
-		kept := pairs[:0]
+		remaining := pairs[:0]
 		for _, p := range pairs {
 			if !strings.HasPrefix(p, name+"=") {
-				kept = append(kept, p)
+				remaining = append(remaining, p)
 			}
 		}
-		if pairs = kept; value != "" {
+		if pairs = remaining; value != "" {
 			pairs = append(pairs, e)
 		}
 	}
 	return pairs
 }
 
-// Invocation makes the frame of a request whose id is that number.
+// Invocation encodes the frame of a request whose id is that number.
 func Invocation(stream uint32, number int, edits ...string) string {
-	return Raw(10, stream, Fields(DefaultFields(number, edits...)...)+fmt.Sprint("body ", number))
+	return EncodeFrame(10, stream, EncodeFields(DefaultFields(number, edits...)...)+fmt.Sprint("body ", number))
 }
 
-// Attempt makes the frame of one try of the work that a token names, in the operation post; its content goes by the token.
+// Attempt encodes the frame of one attempt at the operation post under an idempotency key; its body depends on the key
+// alone.
 func Attempt(stream uint32, number int, token string, edits ...string) string {
 	fields := DefaultFields(number, append(edits, "class=post", "once="+token)...)
-	return Raw(10, stream, Fields(fields...)+"work "+token)
+	return EncodeFrame(10, stream, EncodeFields(fields...)+"work "+token)
 }
 
 // EdgeNode is an edge node with one connection.
@@ -87,7 +88,7 @@
 	in *bufio.Reader
 }
 
-// Dial connects an edge node.
+// Dial connects an edge node to a backend, until the end of the test.
 func Dial(t testing.TB, address string) *EdgeNode {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -98,20 +99,20 @@
 	return NewEdgeNode(t, c)
 }
 
-// NewEdgeNode makes an edge node of a connection.
+// NewEdgeNode wraps a connection. t may be nil where Send and Expect are not used.
 func NewEdgeNode(t testing.TB, c net.Conn) *EdgeNode {
 	return &EdgeNode{t: t, Conn: c, in: bufio.NewReader(c)}
 }
 
-// Ask sends bytes and reads the next frame; either may fail.
-func (n *EdgeNode) Ask(text string) (Frame, error) {
+// RoundTrip sends bytes and reads the next frame.
+func (n *EdgeNode) RoundTrip(text string) (Frame, error) {
 	if _, err := io.WriteString(n.Conn, text); err != nil {
 		return Frame{}, err
 	}
 	return n.Next()
 }
 
-// Send writes bytes as they are.
+// Send writes bytes unchanged and fails the test where it can't.
 func (n *EdgeNode) Send(parts ...string) {
 	n.t.Helper()
 	if _, err := io.WriteString(n.Conn, strings.Join(parts, "")); err != nil {
@@ -119,7 +120,7 @@
 	}
 }
 
-// Next reads a frame; an error means that the connection is over.
+// Next reads a frame. An error means that the connection has ended.
 func (n *EdgeNode) Next() (f Frame, err error) {
 	_ = n.SetReadDeadline(time.Now().Add(waitLimit))
 	var head [9]byte
@@ -147,7 +148,7 @@
 	return f, nil
 }
 
-// Expect reads a frame that must come.
+// Expect reads a frame and fails the test where none comes.
 func (n *EdgeNode) Expect() Frame {
 	n.t.Helper()
 	f, err := n.Next()
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// NewRegistry starts an endpoint registry; each report goes to the channel as "path body", then how answers it.
+// NewRegistry starts an endpoint registry. Each load report goes to the channel as "METHOD PATH BODY"; how answers it.
 func NewRegistry(t testing.TB, how http.HandlerFunc) (address string, reports chan string) {
 	reports = make(chan string, 1000)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		select {
 		case reports <- fmt.Sprintf("%s %s %s", r.Method, r.URL.Path, body):
-		default: // nobody takes them: it must not turn into an endpoint registry that never answers, and never ends
+		default: // nobody reads them: a full channel must not stop the registry from answering and closing
 		}
 		how(w, r)
 	}))
--- a/internal/fakes/scripted_executor.go
+++ b/internal/fakes/scripted_executor.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// Launch is a run that the executor was told to start.
+// Launch is a run that the executor was asked to start.
 type Launch struct{ ID, Operation, Body string }
 
-// ScriptedExecutor stands in for the executor, which owns the cores. It starts nothing by itself: tests end runs.
+// ScriptedExecutor is a fake of the executor, which owns the cores. It finishes nothing by itself: the test ends runs.
 type ScriptedExecutor struct {
 	Address    string
 	Launches   chan Launch
@@ -22,15 +22,15 @@
 	t          testing.TB
 	listener   net.Listener
 	mu         sync.Mutex
-	link       net.Conn
-	state      string // of the greeting; empty while the executor is not up
-	gauges     string // empty: samples are left unanswered
-	kept       []string
+	conn       net.Conn
+	state      string // as in the greeting; empty while the executor is not up
+	gauges     string // as in the answer to a sample; empty: samples are left unanswered
+	notices    []string
 	known      map[string]bool
 	samples    int
 }
 
-// NewScriptedExecutor starts an executor that is up and answers samples.
+// NewScriptedExecutor starts an executor on loopback that is up and answers samples, until the end of the test.
 func NewScriptedExecutor(t testing.TB) *ScriptedExecutor {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,14 +52,14 @@
 			return
 		}
 		f.mu.Lock()
-		f.link = c
+		f.conn = c
 		f.mu.Unlock()
 		go f.serve(c)
 	}
 }
 
-// Move gives the executor another address; the old one takes nothing new, a link to it goes on until the test
-// calls cut.
+// Move gives the executor another address. The former one accepts nothing more; a connection to it goes on until the
+// test calls cut.
 func (f *ScriptedExecutor) Move() (cut func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +71,7 @@
 	_ = f.listener.Close()
 	f.listener, f.Address = l, l.Addr().String()
 	go f.accept(l)
-	old := f.link
+	old := f.conn
 	return func() {
 		if old != nil {
 			_ = old.Close()
@@ -105,7 +105,7 @@
 			size, _ := strconv.Atoi(words[3])
 			body := make([]byte, size+2)
 			_, _ = io.ReadFull(in, body)
-			if !f.known[words[1]] { // for one that runs already nothing happens
+			if !f.known[words[1]] { // a repeated launch is ignored
 				f.known[words[1]] = true
 				f.Launches <- Launch{words[1], words[2], string(body[:size])}
 			}
@@ -115,44 +115,44 @@
 }
 
 func (f *ScriptedExecutor) greet(after int) {
-	fmt.Fprintf(f.link, "greeting %s\r\n", f.state)
-	for _, notice := range f.kept[min(after, len(f.kept)):] {
-		_, _ = io.WriteString(f.link, notice)
+	fmt.Fprintf(f.conn, "greeting %s\r\n", f.state)
+	for _, notice := range f.notices[min(after, len(f.notices)):] {
+		_, _ = io.WriteString(f.conn, notice)
 	}
 }
 
-// With changes the executor's state under its lock.
+// With changes the executor's state and gauges under its lock.
 func (f *ScriptedExecutor) With(change func(state, gauges *string)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.state
 	change(&f.state, &f.gauges)
-	if before == "" && f.state != "" && f.link != nil {
+	if before == "" && f.state != "" && f.conn != nil {
 		f.greet(0)
 	}
 }
 
-// Samples counts the samples asked for.
+// Samples counts the samples requested so far.
 func (f *ScriptedExecutor) Samples() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.samples
 }
 
-// End ends a run: word is complete, error, cancelled or unknown.
-func (f *ScriptedExecutor) End(id, word, result string) {
-	f.Notice(fmt.Sprintf("outcome %%d %s %s 12.5 %d\r\n%s\r\n", id, word, len(result), result))
+// End ends a run; outcome is complete, error, cancelled or unknown.
+func (f *ScriptedExecutor) End(id, outcome, result string) {
+	f.Notice(fmt.Sprintf("outcome %%d %s %s 12.5 %d\r\n%s\r\n", id, outcome, len(result), result))
 }
 
-// Notice sends a numbered notice, and keeps it; %d stands for the number.
+// Notice sends a numbered notice, and stores it for later subscribers; %d stands for the number.
 func (f *ScriptedExecutor) Notice(format string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.kept = append(f.kept, strings.Replace(format, "%d", strconv.Itoa(len(f.kept)+1), 1))
-	f.send(f.kept[len(f.kept)-1])
+	f.notices = append(f.notices, strings.Replace(format, "%d", strconv.Itoa(len(f.notices)+1), 1))
+	f.send(f.notices[len(f.notices)-1])
 }
 
-// Send writes text to the link as it is, if there is one.
+// Send writes text to the connection unchanged, if there is one.
 func (f *ScriptedExecutor) Send(text string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,19 +160,19 @@
 }
 
 func (f *ScriptedExecutor) send(text string) {
-	if f.link != nil {
-		_, _ = io.WriteString(f.link, text)
+	if f.conn != nil {
+		_, _ = io.WriteString(f.conn, text)
 	}
 }
 
-// Forget makes the executor one that never heard of a launch.
+// Forget removes a launch, as if the executor had never received it.
 func (f *ScriptedExecutor) Forget(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.known, id)
 }
 
-// Refuse says that a launch names nobody's work. A later one of that id is refused or taken anew.
+// Refuse rejects a launch. A later one of the same id is rejected or accepted anew.
 func (f *ScriptedExecutor) Refuse(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,12 +180,12 @@
 	f.send("refusal launch " + id + "\r\n")
 }
 
-// Cut ends the link.
+// Cut closes the connection, if there is one.
 func (f *ScriptedExecutor) Cut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.link != nil {
-		_ = f.link.Close()
-		f.link = nil
+	if f.conn != nil {
+		_ = f.conn.Close()
+		f.conn = nil
 	}
 }
--- a/internal/fakes/timedexecutor/executor.go
+++ b/internal/fakes/timedexecutor/executor.go
@@ -1,6 +1,6 @@
-// Package timedexecutor is a fake of the executor that really takes time: runs share its cores evenly, and past a crowd all
-// slow down, as the simulation has it. For load, demos and tests on this machine; it serves nobody. It owns runs and the
-// links that backends open to it; it never decides which run begins.
+// Package timedexecutor is a fake of the executor whose runs take time: they share its cores evenly, and with more runs
+// than the cores bear all slow down, as in the simulation. It serves load tests and demos on one machine. It owns the runs
+// and the connections that backends open to it; which run begins is the backend's decision.
 package timedexecutor
 
 import (
@@ -16,195 +16,203 @@
 	"time"
 )
 
-// Config of one executor.
+// Config describes one executor.
 type Config struct {
-	Cores int
-	Crowd float64       // runs a core that it bears
-	Takes time.Duration // of a run whose body does not say "work=MICROSECONDS"
-	Cold  time.Duration // a new backend's executor is slower for so long, evenly less so; 0: it is not
-	Share float64       // speed at the start of that
-	Most  int           // runs at once; what comes beyond is ended with an error
+	Cores            int
+	CollapseMultiple float64       // runs a core beyond which all slow down by the square of the excess; 0: no bound
+	ServiceTime      time.Duration // core time of a run whose body does not say "work=MICROSECONDS"
+	WarmUp           time.Duration // how long a new backend finds the cores slower, with linear recovery; 0: it does not
+	ColdSpeed        float64       // speed at the start of WarmUp, of 1
+	MaxRuns          int           // runs at once; a launch beyond them ends with an error
 }
 
-// Executor is one executor, on one address.
+// Executor is one executor, on one address. Its methods may be called by several goroutines.
 type Executor struct {
 	Address string
-	t       Config
+	config  Config
 
-	mu     sync.Mutex
-	l      net.Listener
-	links  map[net.Conn]bool
-	link   net.Conn
-	lives  map[string]bool // runs launched since the last subscribe 0
-	kept   [][]byte        // notices, by number from 1
-	given  float64         // microseconds of full speed that each run has had
-	at     time.Time
-	slow   float64
-	runs   ends
-	timer  *time.Timer
-	busy   float64 // core microseconds
-	seen   float64
-	seenAt time.Time
-	born   time.Time
-	closed bool
-	Ran    int // runs that have ended
-	Twice  int // launches of an id that another life of the backend had launched
-	ever   map[string]bool
+	mu            sync.Mutex
+	listener      net.Listener
+	conns         map[net.Conn]bool
+	subscriber    net.Conn
+	launched      map[string]bool // run ids launched since the last "subscribe 0"
+	notices       [][]byte        // by number, from 1
+	progress      float64         // microseconds of full speed that a run present since the start has had
+	advancedAt    time.Time
+	slowdown      float64
+	runs          runHeap
+	timer         *time.Timer
+	busyMicros    float64 // core time used, up to advancedAt
+	sampledMicros float64
+	sampledAt     time.Time
+	startedAt     time.Time
+	closed        bool
+	finished      int // runs that have ended
+	launchedTwice int // launches of an id that an earlier incarnation of the backend had launched
+	launchedEver  map[string]bool
 }
 
 type run struct {
-	end float64
-	id  string
-	was time.Time
+	endsAt    float64
+	id        string
+	startedAt time.Time
 }
 
-// ends is a heap of runs, the next to end first.
-type ends []*run
+// runHeap is a heap of runs, the next to finish first.
+type runHeap []*run
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].end < e[j].end }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (h runHeap) Len() int           { return len(h) }
+func (h runHeap) Less(i, j int) bool { return h[i].endsAt < h[j].endsAt }
+func (h runHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push and Pop are heap's.
-func (e *ends) Push(x any) { *e = append(*e, x.(*run)) }
+// Push implements heap.Interface.
+func (h *runHeap) Push(x any) { *h = append(*h, x.(*run)) }
 
-// Pop takes the last off.
-func (e *ends) Pop() any {
-	old := *e
+// Pop implements heap.Interface.
+func (h *runHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
-// mostKept notices are kept for a link that breaks.
-const mostKept = 100_000
+// Bounds of one executor.
+const (
+	maxNotices    = 100_000    // stored for a backend that reconnects
+	maxBody       = 1 << 20    // bytes of the body of a launch
+	maxLaunchedID = 10_000_000 // remembered to count launchedTwice
+)
 
-// Start opens an executor on an address; port 0 takes any.
-func Start(address string, t Config) (*Executor, error) {
+// Start opens an executor on an address; port 0 takes any free port.
+func Start(address string, config Config) (*Executor, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	y := &Executor{
-		Address: l.Addr().String(), t: t, l: l, links: map[net.Conn]bool{}, lives: map[string]bool{}, ever: map[string]bool{},
-		at: time.Now(), seenAt: time.Now(), slow: 1,
+	e := &Executor{
+		Address: l.Addr().String(), config: config, listener: l, conns: map[net.Conn]bool{}, launched: map[string]bool{}, launchedEver: map[string]bool{},
+		advancedAt: time.Now(), sampledAt: time.Now(), slowdown: 1,
 	}
-	y.timer = time.AfterFunc(time.Hour, y.due)
+	e.timer = time.AfterFunc(time.Hour, e.finishDue)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			y.mu.Lock()
-			y.links[c] = true
-			y.mu.Unlock()
-			go y.serve(c)
+			e.mu.Lock()
+			e.conns[c] = true
+			e.mu.Unlock()
+			go e.serve(c)
 		}
 	}()
-	return y, nil
+	return e, nil
 }
 
-// Close ends it with all its links.
-func (y *Executor) Close() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.closed = true
-	_ = y.l.Close()
-	y.timer.Stop()
-	for c := range y.links {
+// Close ends the executor and all its connections.
+func (e *Executor) Close() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.closed = true
+	_ = e.listener.Close()
+	e.timer.Stop()
+	for c := range e.conns {
 		_ = c.Close()
 	}
 }
 
-// Slow makes the cores slower by a factor; 1 is their full speed.
-func (y *Executor) Slow(factor float64) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.move()
-	y.slow = max(factor, 1e-3)
-	y.next()
+// Slow divides the speed of the cores by a factor; 1 restores full speed.
+func (e *Executor) Slow(factor float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.advance()
+	e.slowdown = max(factor, 1e-3)
+	e.setTimer()
 }
 
-// Counts tells how many runs have ended, how many are on the cores, and how many launches came twice.
-func (y *Executor) Counts() (ran, on, twice int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.Ran, len(y.runs), y.Twice
+// Counts returns how many runs have finished, how many are on the cores, and how many ids two incarnations of the backend
+// launched.
+func (e *Executor) Counts() (finished, running, launchedTwice int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.finished, len(e.runs), e.launchedTwice
 }
 
-// rate is the progress of each run by microsecond.
-func (y *Executor) rate() float64 {
-	n, cores := float64(len(y.runs)), float64(y.t.Cores)
-	r := 1 / y.slow
-	if warm := time.Since(y.born); y.t.Cold > 0 && warm < y.t.Cold {
-		r *= y.t.Share + (1-y.t.Share)*float64(warm)/float64(y.t.Cold)
+// rate returns the progress of each run per microsecond.
+func (e *Executor) rate() float64 {
+	n, cores := float64(len(e.runs)), float64(e.config.Cores)
+	r := 1 / e.slowdown
+	if warm := time.Since(e.startedAt); e.config.WarmUp > 0 && warm < e.config.WarmUp {
+		r *= e.config.ColdSpeed + (1-e.config.ColdSpeed)*float64(warm)/float64(e.config.WarmUp)
 	}
 	if n > cores {
 		r *= cores / n
 	}
-	if bears := y.t.Crowd * cores; bears > 0 && n > bears {
+	if bears := e.config.CollapseMultiple * cores; bears > 0 && n > bears {
 		r *= bears / n * bears / n
 	}
 	return r
 }
 
-// move brings the runs up to now; y.mu is held.
-func (y *Executor) move() {
+// advance brings the runs up to now. The caller holds e.mu.
+func (e *Executor) advance() {
 	now := time.Now()
-	us := float64(now.Sub(y.at).Nanoseconds()) / 1000
-	y.given += us * y.rate()
-	y.busy += us * min(float64(len(y.runs)), float64(y.t.Cores))
-	y.at = now
+	us := float64(now.Sub(e.advancedAt).Nanoseconds()) / 1000
+	e.progress += us * e.rate()
+	e.busyMicros += us * min(float64(len(e.runs)), float64(e.config.Cores))
+	e.advancedAt = now
 }
 
-// next sets the timer for the next end. A executor that warms up looks again soon, as its speed changes.
-func (y *Executor) next() {
-	if len(y.runs) == 0 || y.closed {
+// setTimer sets the timer for the next run to finish, and a short one while the executor warms up, as its speed changes.
+// The caller holds e.mu.
+func (e *Executor) setTimer() {
+	if len(e.runs) == 0 || e.closed {
 		return
 	}
-	in := time.Duration((y.runs[0].end - y.given) / y.rate() * 1000)
-	if time.Since(y.born) < y.t.Cold {
+	in := time.Duration((e.runs[0].endsAt - e.progress) / e.rate() * 1000)
+	if time.Since(e.startedAt) < e.config.WarmUp {
 		in = min(in, 20*time.Millisecond)
 	}
-	y.timer.Reset(max(in, 0))
+	e.timer.Reset(max(in, 0))
 }
 
-func (y *Executor) due() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.move()
-	for len(y.runs) > 0 && y.runs[0].end <= y.given+0.5 {
-		r := heap.Pop(&y.runs).(*run)
-		y.Ran++
-		if y.lives[r.id] {
+// finishDue ends the runs that are due and notifies the backend.
+func (e *Executor) finishDue() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.advance()
+	for len(e.runs) > 0 && e.runs[0].endsAt <= e.progress+0.5 {
+		r := heap.Pop(&e.runs).(*run)
+		e.finished++
+		if e.launched[r.id] {
 			result := "result of " + r.id
-			y.notice(fmt.Appendf(nil, " %s complete %.3f %d\r\n%s\r\n", r.id, float64(time.Since(r.was).Microseconds())/1000, len(result), result))
+			e.sendNotice(fmt.Appendf(nil, " %s complete %.3f %d\r\n%s\r\n", r.id, float64(time.Since(r.startedAt).Microseconds())/1000, len(result), result))
 		}
 	}
-	y.next()
+	e.setTimer()
 }
 
-// notice numbers and sends one.
-func (y *Executor) notice(text []byte) {
-	if len(y.kept) >= mostKept {
-		return // the backend's run goes without a word; load counts it as lost
+// sendNotice numbers, stores and sends a notice. The caller holds e.mu.
+func (e *Executor) sendNotice(text []byte) {
+	if len(e.notices) >= maxNotices {
+		return // the backend never hears of this run; the load generator counts it as lost
 	}
-	y.kept = append(y.kept, append(fmt.Appendf(nil, "outcome %d", len(y.kept)+1), text...))
-	if y.link != nil {
-		_, _ = y.link.Write(y.kept[len(y.kept)-1])
+	e.notices = append(e.notices, append(fmt.Appendf(nil, "outcome %d", len(e.notices)+1), text...))
+	if e.subscriber != nil {
+		_, _ = e.subscriber.Write(e.notices[len(e.notices)-1])
 	}
 }
 
-func (y *Executor) serve(c net.Conn) {
+// serve reads the lines of one connection until it ends or a line can't be used.
+func (e *Executor) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
-		y.mu.Lock()
-		delete(y.links, c)
-		if y.link == c {
-			y.link = nil
+		e.mu.Lock()
+		delete(e.conns, c)
+		if e.subscriber == c {
+			e.subscriber = nil
 		}
-		y.mu.Unlock()
+		e.mu.Unlock()
 	}()
 	in := bufio.NewReader(c)
 	for {
@@ -219,78 +227,78 @@
 			if err != nil || after < 0 {
 				return
 			}
-			y.subscribe(c, after)
+			e.subscribe(c, after)
 		case "sample":
-			y.sample(c, words[1])
+			e.sample(c, words[1])
 		case "launch":
 			if len(words) < 4 {
 				return
 			}
 			size, err := strconv.Atoi(words[3])
-			if err != nil || size < 0 || size > 1<<20 {
+			if err != nil || size < 0 || size > maxBody {
 				return
 			}
 			body := make([]byte, size+2)
 			if _, err := io.ReadFull(in, body); err != nil {
 				return
 			}
-			y.launch(words[1], body[:size])
+			e.launch(words[1], body[:size])
 		}
 	}
 }
 
-func (y *Executor) subscribe(c net.Conn, after int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+func (e *Executor) subscribe(c net.Conn, after int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	state := "hot 3600000"
-	if after == 0 { // a backend that has just started; its cores are another's by now, and cold
-		if y.t.Cold > 0 && len(y.ever) > 0 {
-			y.born = time.Now()
+	if after == 0 { // a backend that has just started: the cores are cold for it
+		if e.config.WarmUp > 0 && len(e.launchedEver) > 0 {
+			e.startedAt = time.Now()
 			state = "chilly 0"
 		}
-		y.kept, y.lives = nil, map[string]bool{}
+		e.notices, e.launched = nil, map[string]bool{}
 	}
-	y.link = c
+	e.subscriber = c
 	fmt.Fprintf(c, "greeting %s\r\n", state)
-	for _, n := range y.kept[min(after, len(y.kept)):] {
+	for _, n := range e.notices[min(after, len(e.notices)):] {
 		_, _ = c.Write(n)
 	}
 }
 
-func (y *Executor) sample(c net.Conn, token string) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.move()
-	span := max(1, float64(time.Since(y.seenAt).Microseconds()))
-	use := min(1, (y.busy-y.seen)/span/float64(y.t.Cores))
-	y.seen, y.seenAt = y.busy, time.Now()
-	fmt.Fprintf(c, "sampled %s %.3f %d 0.05 3\r\n", token, use, len(y.runs))
+func (e *Executor) sample(c net.Conn, token string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.advance()
+	span := max(1, float64(time.Since(e.sampledAt).Microseconds()))
+	use := min(1, (e.busyMicros-e.sampledMicros)/span/float64(e.config.Cores))
+	e.sampledMicros, e.sampledAt = e.busyMicros, time.Now()
+	fmt.Fprintf(c, "sampled %s %.3f %d 0.05 3\r\n", token, use, len(e.runs))
 }
 
-func (y *Executor) launch(id string, body []byte) {
-	work := float64(y.t.Takes.Microseconds())
+func (e *Executor) launch(id string, body []byte) {
+	work := float64(e.config.ServiceTime.Microseconds())
 	if rest, ok := bytes.CutPrefix(body, []byte("work=")); ok {
 		if us, err := strconv.ParseFloat(string(rest), 64); err == nil && us > 0 && us < 3.6e9 {
 			work = us
 		}
 	}
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if y.lives[id] {
-		return // for one that runs already nothing happens
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.launched[id] {
+		return // a repeated launch is ignored
 	}
-	if y.ever[id] {
-		y.Twice++
+	if e.launchedEver[id] {
+		e.launchedTwice++
 	}
-	if len(y.ever) < 10_000_000 {
-		y.ever[id] = true
+	if len(e.launchedEver) < maxLaunchedID {
+		e.launchedEver[id] = true
 	}
-	y.lives[id] = true
-	if len(y.runs) >= y.t.Most {
-		y.notice(fmt.Appendf(nil, " %s error 0 4\r\nfull\r\n", id))
+	e.launched[id] = true
+	if len(e.runs) >= e.config.MaxRuns {
+		e.sendNotice(fmt.Appendf(nil, " %s error 0 4\r\nfull\r\n", id))
 		return
 	}
-	y.move()
-	heap.Push(&y.runs, &run{end: y.given + work, id: id, was: time.Now()})
-	y.next()
+	e.advance()
+	heap.Push(&e.runs, &run{endsAt: e.progress + work, id: id, startedAt: time.Now()})
+	e.setTimer()
 }
--- a/internal/fakes/trace.go
+++ b/internal/fakes/trace.go
@@ -14,16 +14,16 @@
 
 var update = flag.Bool("update", false, "write the traces anew")
 
-// waitLimit is how long a test waits for what must happen.
+// waitLimit is how long a test waits for an expected event.
 const waitLimit = 10 * time.Second
 
-// Trace gathers what a test prints.
+// Trace collects the lines that a test prints and compares them with a golden file.
 type Trace struct {
 	testing.TB
 	text strings.Builder
 }
 
-// NewTrace begins a trace that is compared, at the end of the test, with the one kept under its name.
+// NewTrace begins a trace that is compared, at the end of a test that has not failed, with testdata/TESTNAME.txt.
 func NewTrace(t testing.TB) *Trace {
 	tr := &Trace{TB: t}
 	t.Cleanup(func() {
@@ -34,10 +34,10 @@
 	return tr
 }
 
-// Say prints a line.
+// Say adds a line to the trace.
 func (tr *Trace) Say(format string, args ...any) { fmt.Fprintf(&tr.text, format+"\n", args...) }
 
-// Compare compares text with the one kept under the test's name.
+// Compare compares text with testdata/TESTNAME.txt, or rewrites that file under -update.
 func Compare(t testing.TB, text string) {
 	t.Helper()
 	file := filepath.Join("testdata", t.Name()+".txt")
@@ -55,24 +55,24 @@
 	}
 }
 
-// Until waits for a condition.
-func Until(t testing.TB, what string, met func() bool) {
+// Until polls a condition and fails the test where it is not met in time.
+func Until(t testing.TB, condition string, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("waited in vain until %s", condition)
 		}
 	}
 }
 
-// Take waits for a value.
-func Take[T any](t testing.TB, what string, from <-chan T) T {
+// Take receives a value from a channel and fails the test where none comes in time.
+func Take[T any](t testing.TB, event string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(waitLimit):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("waited in vain for %s", event)
 		panic("unreachable")
 	}
 }
