--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -94,9 +94,9 @@
 		tr.Say("%s: %+v", end, s.run(t, end, ""))
 		tr.Say("  %v", n.Expect())
 	}
-	big := strings.Repeat("b", s.bounds.Body)
+	big := strings.Repeat("b", s.bounds.BodySize)
 	n.Send(fakes.EncodeFrame(10, 9, fakes.EncodeFields(fakes.DefaultFields(9)...)+big))
-	l := s.run(t, "complete", strings.Repeat("r", s.bounds.Result))
+	l := s.run(t, "complete", strings.Repeat("r", s.bounds.ResultSize))
 	tr.Say("largest body unchanged %t, largest result %d", l.Body == big, len(n.Expect().Body))
 	n.Send(fakes.Invocation(10, 10, "wait=0"), fakes.Invocation(11, 11, "at=1"))
 	tr.Say("used up: %d %d", n.Expect().Code, n.Expect().Code)
@@ -191,7 +191,7 @@
 		{"no tenant", fakes.Invocation(4, 4, "tenant=")},
 		{"no fields", fakes.EncodeFrame(10, 5, "")},
 		{"fields cut short", fakes.EncodeFrame(10, 6, "\x09\x05class")},
-		{"body too long", fakes.EncodeFrame(10, 7, fakes.EncodeFields(fakes.DefaultFields(7)...)+strings.Repeat("x", s.bounds.Body+1))},
+		{"body too long", fakes.EncodeFrame(10, 7, fakes.EncodeFields(fakes.DefaultFields(7)...)+strings.Repeat("x", s.bounds.BodySize+1))},
 		{"longest frame", fakes.EncodeFrame(10, 8, strings.Repeat("x", 262_144-5))},
 		{"stream 0", fakes.Invocation(0, 9)},
 		{"unknown type", fakes.EncodeFrame(77, 1, "payload")},
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -1,27 +1,25 @@
-// Package transport carries what agents say to each other: one listener an agent, one address for each other agent, and
-// several kinds of conversation over it, told apart by a first line. It knows nothing of what is said.
+// Package transport carries the traffic between agents: one listening address for each agent, and several protocols over
+// it, which the first line of a connection tells apart. It knows nothing of what is transported.
+//
+// That first line, the greeting, names the protocol version, the kind of the connection, the agent that it is for and the
+// agent that dials. It names the peers; it does not authenticate them, and addresses are expected to be on loopback.
 package transport
 
 import (
-	"bufio"
 	"context"
 	"errors"
-	"fmt"
-	"io"
 	"net"
 	"net/http"
-	"strings"
 	"sync"
 	"time"
 
-	"milletbarrow/internal/jsonhttp"
 	"milletbarrow/internal/limits"
 )
 
-// Kind of a conversation.
+// Kind is the protocol that a connection is for.
 type Kind string
 
-// The kinds: the consensus library's, the member list's datagrams and streams, and calls of our own.
+// The kinds: the consensus library's RPCs, the membership library's datagrams and streams, and HTTP calls between agents.
 const (
 	KindRaft   Kind = "raft"
 	KindPacket Kind = "packet"
@@ -29,12 +27,12 @@
 	KindCall   Kind = "call"
 )
 
-// greeting is the first line: the version, the kind, whom it is for, who speaks.
-const protocolVersion = "milletbarrow/1"
+// connectionsPerClient is how many connections a listener holds open at once for each client that the limits allow.
+const connectionsPerClient = 4
 
 // Transport is one agent's side. It is safe for concurrent use.
 type Transport struct {
-	Self   string
+	Self   string // the agent's name
 	limits limits.Control
 
 	listener net.Listener
@@ -45,171 +43,92 @@
 	clients   map[string]*http.Client
 }
 
-// Listen opens this agent's address. to names the others.
-func Listen(self, address string, to map[string]string, b limits.Control) (*Transport, error) {
+// Listen opens this agent's address. addresses are those of the other agents, by name. Connections wait until Run accepts
+// them. The caller has to end it by Run or Close.
+func Listen(self, address string, addresses map[string]string, bounds limits.Control) (*Transport, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	n := &Transport{Self: self, limits: b, listener: l, queues: map[Kind]*listenerQueue{}, addresses: to, clients: map[string]*http.Client{}}
-	for _, k := range []Kind{KindRaft, KindPacket, KindStream, KindCall} {
-		n.queues[k] = &listenerQueue{conns: make(chan net.Conn, 16), closed: make(chan struct{}), addr: peerAddr(self)}
+	t := &Transport{
+		Self: self, limits: bounds, listener: limits.LimitListener(l, connectionsPerClient*bounds.Connections),
+		queues: map[Kind]*listenerQueue{}, addresses: addresses, clients: map[string]*http.Client{},
 	}
-	return n, nil
+	for _, kind := range []Kind{KindRaft, KindPacket, KindStream, KindCall} {
+		t.queues[kind] = newListenerQueue(peerAddr(self))
+	}
+	return t, nil
 }
 
-// SetAddresses takes other addresses; connections that are open go on.
-func (n *Transport) SetAddresses(to map[string]string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.addresses = to
-	n.clients = map[string]*http.Client{}
+// SetAddresses replaces the addresses of the other agents; open connections go on.
+func (t *Transport) SetAddresses(addresses map[string]string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addresses = addresses
+	t.clients = map[string]*http.Client{}
 }
 
-// Run accepts until ctx ends.
-func (n *Transport) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() })
+// Listener returns the connections of one kind as they come in. It is closed when Run ends; a caller that closes it before
+// has further connections of its kind closed.
+func (t *Transport) Listener(kind Kind) net.Listener { return t.queues[kind] }
+
+// Run accepts connections until ctx ends. When it returns, the address is free and connections that no one has accepted
+// from a Listener are closed; those that were accepted belong to who accepted them.
+func (t *Transport) Run(ctx context.Context) error {
+	var greetings sync.WaitGroup
+	defer t.Close()
+	defer greetings.Wait()
+	stop := context.AfterFunc(ctx, func() { _ = t.listener.Close() })
 	defer stop()
-	defer func() {
-		for _, q := range n.queues {
-			_ = q.Close()
-		}
-	}()
-	l := limits.LimitListener(n.listener, 4*n.limits.Connections)
 	for {
-		c, err := l.Accept()
+		c, err := t.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil {
-			time.Sleep(n.limits.RetryBackoff)
+		if err != nil { // out of descriptors, most likely
+			wait(ctx, t.limits.RetryBackoff)
 			continue
 		}
-		go n.accept(c)
-	}
-}
-
-// greet reads the first line and hands the conversation to its kind; one that is meant for another agent is closed.
-func (n *Transport) accept(c net.Conn) {
-	_ = c.SetReadDeadline(time.Now().Add(n.limits.CallTimeout))
-	line := make([]byte, 0, 128)
-	for one := make([]byte, 1); len(line) < cap(line); { // no byte beyond the line may be taken
-		if _, err := io.ReadFull(c, one); err != nil {
-			_ = c.Close()
-			return
-		}
-		if one[0] == '\n' {
-			break
-		}
-		line = append(line, one[0])
-	}
-	_ = c.SetReadDeadline(time.Time{})
-	words := strings.Fields(string(line))
-	if len(words) != 4 || words[0] != protocolVersion || words[2] != n.Self || n.queues[Kind(words[1])] == nil {
-		_ = c.Close()
-		return
-	}
-	q := n.queues[Kind(words[1])]
-	select {
-	case q.conns <- &peerConn{c, peerAddr(words[3])}:
-	case <-q.closed:
-		_ = c.Close()
-	case <-time.After(n.limits.CallTimeout):
-		_ = c.Close()
+		greetings.Go(func() { t.handOver(ctx, c) })
 	}
 }
 
-// Dial begins a conversation.
-func (n *Transport) Dial(ctx context.Context, kind Kind, to string) (net.Conn, error) {
-	n.mu.Lock()
-	address := n.addresses[to]
-	n.mu.Unlock()
-	if address == "" {
-		return nil, fmt.Errorf("peer %q: no address is known", to)
-	}
-	c, err := (&net.Dialer{Timeout: n.limits.CallTimeout}).DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, err
+// Close releases what Listen opened. Run does so as it ends; Close is for a Transport that is not run.
+func (t *Transport) Close() {
+	_ = t.listener.Close()
+	for _, q := range t.queues {
+		_ = q.Close()
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(n.limits.CallTimeout))
-	if _, err := fmt.Fprintf(c, "%s %s %s %s\n", protocolVersion, kind, to, n.Self); err != nil {
-		_ = c.Close()
-		return nil, err
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, client := range t.clients {
+		client.CloseIdleConnections()
 	}
-	_ = c.SetWriteDeadline(time.Time{})
-	return &peerConn{c, peerAddr(to)}, nil
 }
 
-// Listener of one kind.
-func (n *Transport) Listener(kind Kind) net.Listener { return n.queues[kind] }
-
-// Call makes a call of our own to another agent, once.
-func (n *Transport) Call(ctx context.Context, to, path string, body, into any) error {
-	n.mu.Lock()
-	c := n.clients[to]
-	if c == nil {
-		c = &http.Client{Transport: &http.Transport{
-			MaxConnsPerHost: 8, MaxIdleConnsPerHost: 4, DisableCompression: true, IdleConnTimeout: n.limits.IdleTimeout,
-			DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) { return n.Dial(ctx, KindCall, to) },
-		}}
-		n.clients[to] = c
+// handOver reads a connection's greeting and passes the connection to the listener of its kind. One whose greeting is not
+// for this agent, or that nobody accepts in time, is closed.
+func (t *Transport) handOver(ctx context.Context, c net.Conn) {
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	accepted := false
+	defer func() {
+		if !stop() || !accepted {
+			_ = c.Close()
+		}
+	}()
+	greeting, err := readGreeting(c, time.Now().Add(t.limits.CallTimeout))
+	if err != nil || greeting.to != t.Self || t.queues[greeting.kind] == nil {
+		return
 	}
-	n.mu.Unlock()
-	return jsonhttp.Call(ctx, c, http.MethodPost, path, body, into, 16*int64(n.limits.MessageSize))
-}
-
-// name is a peer's address where one is asked for.
-type peerAddr string
-
-func (peerAddr) Network() string  { return "peer" }
-func (n peerAddr) String() string { return string(n) }
-
-// conn is a conversation whose far end is known by name.
-type peerConn struct {
-	net.Conn
-	remote peerAddr
+	accepted = t.queues[greeting.kind].offer(ctx, &peerConn{c, peerAddr(greeting.from)}, t.limits.CallTimeout)
 }
 
-func (c *peerConn) RemoteAddr() net.Addr { return c.remote }
-
-// queue hands conversations of one kind on, as a listener.
-type listenerQueue struct {
-	conns  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
-	addr   peerAddr
-}
-
-func (q *listenerQueue) Accept() (net.Conn, error) {
+// wait sleeps for a duration, or until ctx ends.
+func wait(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case c := <-q.conns:
-		return c, nil
-	case <-q.closed:
-		return nil, net.ErrClosed
-	}
-}
-
-func (q *listenerQueue) Close() error   { q.once.Do(func() { close(q.closed) }); return nil }
-func (q *listenerQueue) Addr() net.Addr { return q.addr }
-
-// WriteFrame writes one message of less than 16 MiB to a stream.
-func WriteFrame(w io.Writer, b []byte) error {
-	head := []byte{byte(len(b) >> 16), byte(len(b) >> 8), byte(len(b))}
-	_, err := w.Write(append(head, b...))
-	return err
-}
-
-// ReadFrame reads one message of at most so many bytes; after an error the stream is of no more use.
-func ReadFrame(r *bufio.Reader, most int) ([]byte, error) {
-	var head [3]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return nil, err
-	}
-	n := int(head[0])<<16 | int(head[1])<<8 | int(head[2])
-	if n > most {
-		return nil, fmt.Errorf("a message of %d bytes, at most %d are read", n, most)
+	case <-timer.C:
+	case <-ctx.Done():
 	}
-	b := make([]byte, n)
-	_, err := io.ReadFull(r, b)
-	return b, err
 }
