--- a/internal/cluster/transport/call_test.go
+++ b/internal/cluster/transport/call_test.go
@@ -78,7 +78,7 @@
 	to, _ := runTransport(t, "h1", nil, testLimits())
 	from, _ := runTransport(t, "h2", map[string]string{"h1": address(to)}, testLimits())
 	var calls atomic.Int32
-	l := serveCalls(t, to, func(w http.ResponseWriter, r *http.Request) {
+	l := serveCalls(t, to, func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 1 {
 			panic(http.ErrAbortHandler) // closes the connection
 		}
