--- /dev/null
+++ b/internal/cluster/membership/guards_test.go
@@ -0,0 +1,270 @@
+package membership
+
+import (
+	"bufio"
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"milletbarrow/internal/cluster/transport"
+	"milletbarrow/internal/limits"
+)
+
+// patience is how long a test waits for what has to happen.
+const patience = 10 * time.Second
+
+// newTestList returns a list of h1, which judges h1 to h4 and is not run, with the changes that it reports and its clock.
+func newTestList() (l *List, changed *[]Member, now *int64) {
+	changed, now = new([]Member), new(int64)
+	l = New(Config{
+		Host: "h1", Hosts: []string{"h1", "h2", "h3", "h4"}, Clock: func() int64 { return *now },
+		OnChange: func(m Member) { *changed = append(*changed, m) },
+	})
+	return l, changed, now
+}
+
+func node(host string, incarnation uint64, state memberlist.NodeStateType) *memberlist.Node {
+	return &memberlist.Node{Name: host, Meta: binary.BigEndian.AppendUint64(nil, incarnation), State: state}
+}
+
+// TestUpdates: a change of state or incarnation is reported once, with the time since; a suspicion is one; an agent that
+// the configuration does not name is ignored.
+func TestUpdates(t *testing.T) {
+	l, changed, now := newTestList()
+	for _, step := range []struct {
+		at    int64
+		nodes []*memberlist.Node
+		want  string // what is reported
+	}{
+		{5, []*memberlist.Node{node("h2", 1, memberlist.StateAlive)}, "[{h2 alive 1 5}]"},
+		{6, []*memberlist.Node{node("h2", 1, memberlist.StateAlive)}, "[]"},
+		{7, []*memberlist.Node{node("stranger", 1, memberlist.StateAlive)}, "[]"},
+		{8, []*memberlist.Node{node("h2", 1, memberlist.StateSuspect)}, "[{h2 suspected 1 8}]"},
+		{9, []*memberlist.Node{node("h2", 1, memberlist.StateAlive), node("h3", 9, memberlist.StateSuspect)}, "[{h2 alive 1 9} {h3 suspected 9 9}]"},
+		{10, []*memberlist.Node{node("h2", 2, memberlist.StateAlive)}, "[{h2 alive 2 10}]"}, // started anew between two looks
+		{11, []*memberlist.Node{node("h2", 2, memberlist.StateAlive)}, "[]"},
+	} {
+		*now, *changed = step.at, nil
+		l.updateAll(step.nodes)
+		if got := fmt.Sprint(*changed); got != step.want {
+			t.Errorf("at %d: reported %s, want %s", step.at, got, step.want)
+		}
+	}
+	*now = 20
+	if got := fmt.Sprint(l.Members()); got != "[{h1 unheard 0 20} {h2 alive 2 10} {h3 suspected 9 11} {h4 unheard 0 20}]" {
+		t.Errorf("members %s", got)
+	}
+}
+
+// TestAbsent: agents that are dead or were never heard of are joined, those that are alive or suspected are not, nor is
+// this agent itself.
+func TestAbsent(t *testing.T) {
+	l, _, _ := newTestList()
+	if got := l.absent(); !slices.Equal(got, []string{"h2", "h3", "h4"}) {
+		t.Errorf("at first %v", got)
+	}
+	l.update(node("h2", 1, memberlist.StateAlive), Alive)
+	l.update(node("h3", 1, memberlist.StateSuspect), Suspect)
+	changes{l}.NotifyLeave(node("h4", 1, memberlist.StateDead))
+	if got := l.absent(); !slices.Equal(got, []string{"h4"}) {
+		t.Errorf("with one alive, one suspected and one dead: %v", got)
+	}
+}
+
+// TestAddresses: each host has an address of its own, which leads back to it; any other address is of no agent.
+func TestAddresses(t *testing.T) {
+	hosts := hostList{"h1", "h2"}
+	for _, host := range hosts {
+		for _, a := range []memberlist.Address{{Addr: hosts.address(host).String()}, {Addr: "10.0.0.1:99", Name: host}} {
+			if got, err := hosts.host(a); got != host || err != nil {
+				t.Errorf("%+v is %q, %v, want %s", a, got, err, host)
+			}
+		}
+	}
+	for _, a := range []memberlist.Address{{Addr: "127.0.0.1:0"}, {Addr: "127.0.0.1:3"}, {Addr: "no port"}, {Addr: "127.0.0.1:3", Name: "stranger"}} {
+		_, err := hosts.host(a)
+		if unknown, ok := errors.AsType[*UnknownMemberError](err); !ok || unknown.Address != a || !strings.HasPrefix(err.Error(), "members: ") {
+			t.Errorf("%+v: %v", a, err)
+		}
+	}
+}
+
+// newTestMesh returns the transport of h1, whose peer h2 is at an address of the test's, until the test ends.
+func newTestMesh(t *testing.T, peer string) *meshTransport {
+	t.Helper()
+	bounds := limits.ForControl()
+	tr, err := transport.Listen("h1", "127.0.0.1:0", map[string]string{"h2": peer}, bounds)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(tr.Close)
+	mesh := newMeshTransport(context.Background(), Config{Host: "h1", Hosts: []string{"h1", "h2"}, Transport: tr, Bounds: bounds})
+	t.Cleanup(func() { _ = mesh.Shutdown() })
+	return mesh
+}
+
+// peerListener is a peer's address without an agent behind it.
+func peerListener(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	return l
+}
+
+// TestDatagramsToNobody: what is sent or dialed to no agent is an error, and what is sent after the end is.
+func TestDatagramsToNobody(t *testing.T) {
+	mesh := newTestMesh(t, peerListener(t).Addr().String())
+	if _, err := mesh.WriteTo(nil, "127.0.0.1:9"); !errors.As(err, new(*UnknownMemberError)) {
+		t.Errorf("a datagram: %v", err)
+	}
+	if _, err := mesh.DialTimeout("127.0.0.1:9", time.Second); !errors.As(err, new(*UnknownMemberError)) {
+		t.Errorf("a stream: %v", err)
+	}
+	_ = mesh.Shutdown()
+	if _, err := mesh.WriteTo(nil, mesh.hosts.address("h2").String()); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("a datagram after the end: %v", err)
+	}
+}
+
+// TestBrokenStream: datagrams go over a new connection after one has broken, and a peer that breaks each is not dialed
+// more often than minDialInterval allows.
+func TestBrokenStream(t *testing.T) {
+	l := peerListener(t)
+	mesh := newTestMesh(t, l.Addr().String())
+	accepted := make(chan net.Conn, 1000)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			accepted <- c
+			_ = c.Close()
+		}
+	}()
+	to := mesh.hosts.address("h2").String()
+	began := time.Now()
+	for len(accepted) < 3 || time.Since(began) < 3*minDialInterval {
+		if _, err := mesh.WriteTo([]byte("x"), to); err != nil {
+			t.Fatal(err)
+		}
+		if time.Since(began) > patience {
+			t.Fatalf("%d connections: a broken one is not replaced", len(accepted))
+		}
+		time.Sleep(time.Millisecond)
+	}
+	if n, most := len(accepted), 1+int(time.Since(began)/minDialInterval); n > most {
+		t.Errorf("%d connections within %v, at most %d are wanted", n, time.Since(began), most)
+	}
+}
+
+// TestUnreadDatagrams: a peer that reads nothing holds up nobody: datagrams beyond the queue are dropped. When it reads,
+// those that were queued arrive complete and in order.
+func TestUnreadDatagrams(t *testing.T) {
+	l := peerListener(t)
+	mesh := newTestMesh(t, l.Addr().String())
+	to := mesh.hosts.address("h2").String()
+	const sent = 1000 // of some 60 KB: more than the queue and the system's buffers take
+	done := make(chan error, 1)
+	go func() {
+		for i := range sent {
+			packet := make([]byte, 60_000)
+			binary.BigEndian.PutUint32(packet, uint32(i))
+			if _, err := mesh.WriteTo(packet, to); err != nil {
+				done <- err
+				return
+			}
+		}
+		done <- nil
+	}()
+	select {
+	case err := <-done:
+		if err != nil {
+			t.Fatal(err)
+		}
+	case <-time.After(patience):
+		t.Fatal("a peer that reads nothing blocks its sender")
+	}
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	_ = c.SetReadDeadline(time.Now().Add(patience))
+	in := bufio.NewReader(c)
+	if _, err := in.ReadString('\n'); err != nil { // the greeting
+		t.Fatal(err)
+	}
+	last := -1
+	for range maxQueuedPackets / 2 {
+		packet, err := transport.ReadFrame(in, maxPacket)
+		if err != nil || len(packet) != 60_000 {
+			t.Fatalf("%d bytes, %v", len(packet), err)
+		}
+		n := int(binary.BigEndian.Uint32(packet))
+		if n <= last || n >= sent {
+			t.Fatalf("datagram %d after %d", n, last)
+		}
+		last = n
+	}
+}
+
+// TestMeshShutdown: all goroutines end, whatever they wait for: a peer that reads nothing, the library, a connection.
+func TestMeshShutdown(t *testing.T) {
+	l := peerListener(t)
+	mesh := newTestMesh(t, l.Addr().String())
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	ran := make(chan error, 1)
+	go func() { ran <- mesh.config.Transport.Run(ctx) }()
+	self, err := transport.Listen("h2", "127.0.0.1:0", map[string]string{"h1": mesh.config.Transport.Address()}, limits.ForControl())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer self.Close()
+	for _, kind := range []transport.Kind{transport.KindPacket, transport.KindStream} {
+		c, err := self.Dial(ctx, kind, "h1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		for range 2 * maxPendingPackets { // nobody reads the library's channels here
+			if err := transport.WriteFrame(c, []byte("x")); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	for range 1000 {
+		_, _ = mesh.WriteTo(make([]byte, 60_000), mesh.hosts.address("h2").String())
+	}
+	for began := time.Now(); len(mesh.packets) < maxPendingPackets; time.Sleep(time.Millisecond) {
+		if time.Since(began) > patience {
+			t.Fatal("no datagrams came in")
+		}
+	}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = mesh.Shutdown()
+	}()
+	select {
+	case <-ended:
+	case <-time.After(patience):
+		t.Fatal("a goroutine goes on")
+	}
+	cancel()
+	if err := <-ran; err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/cluster/membership/list_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	l, err := Start(Config{
+	l := New(Config{
 		Host: name, Incarnation: incarnation, Hosts: h.Names, Transport: n, Bounds: limits.ForControl(), Clock: process.Now,
 		OnChange: func(s Member) {
 			h.mu.Lock()
@@ -61,13 +61,14 @@
 			h.heard[s.Host][s.State]++
 		},
 	})
-	if err != nil {
-		h.t.Fatal(err)
-	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { _ = n.Run(ctx) })
-	all.Go(func() { l.Run(ctx) })
+	all.Go(func() {
+		if err := l.Run(ctx); err != nil {
+			h.t.Errorf("%s: %v", name, err)
+		}
+	})
 	h.lists[name] = l
 	h.ends[name] = func() {
 		cancel()
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -1,9 +1,10 @@
-// Package node is one agent's part in what the agents of a fleet keep together: it opens the listener, the ledger and the
-// list of members, and ends them together. It decides nothing.
+// Package node is one agent's part in what the agents of a fleet share: it opens the transport, the quota store and the
+// membership, runs them and ends them together. It decides nothing.
 package node
 
 import (
 	"context"
+	"errors"
 	"net/http"
 	"path/filepath"
 	"sync"
@@ -18,113 +19,109 @@
 	"milletbarrow/internal/process"
 )
 
+// soleAddress is where an agent listens that has no address for others, as it is the only one.
+const soleAddress = "127.0.0.1:0"
+
 // Config is what a Node is opened with.
 type Config struct {
-	Spec     *fleet.Spec // with budgets
+	Spec     *fleet.Spec // with quotas
 	Host     string
 	Dir      string // the agent's own
 	TrustDir bool   // an operator says that the directory is no older copy
 	Bounds   limits.Control
 }
 
-// Node is one agent's part in the cluster.
+// Node is one agent's part in the cluster. It is safe for concurrent use.
 type Node struct {
 	*quotastore.Store
-	config    Config
+	bounds    limits.Control
 	transport *transport.Transport
 	members   *membership.List
-	events    chan quota.Event
-
-	mu          sync.Mutex
-	lastEmitted map[string]time.Time // by budget and event: when one was last told
-}
-
-// quietFor is between two notes of the same kind: a division moves with every count of demand.
-const minEventInterval = 2 * time.Second
-
-func addresses(s *fleet.Spec) (to map[string]string, hosts []string) {
-	to = map[string]string{}
-	for _, h := range s.Hosts {
-		to[h.Name] = h.PeerAddress
-		hosts = append(hosts, h.Name)
-	}
-	return to, hosts
+	events    *eventFeed
 }
 
-// Open opens the listener and the files.
-func Open(o Config) (*Node, error) {
-	j := &Node{config: o, events: make(chan quota.Event, 256), lastEmitted: map[string]time.Time{}}
-	to, hosts := addresses(o.Spec)
-	listen := o.Spec.Host(o.Host).PeerAddress
+// Open opens the listening address and the files of the quota store. Nothing is answered before Run, which also closes
+// them.
+func Open(config Config) (*Node, error) {
+	n := &Node{bounds: config.Bounds, events: newEventFeed()}
+	listen := config.Spec.Host(config.Host).PeerAddress
 	if listen == "" {
-		listen = "127.0.0.1:0" // alone: nobody speaks to it
+		listen = soleAddress
 	}
+	addresses, hosts := peers(config.Spec)
 	var err error
-	if j.transport, err = transport.Listen(o.Host, listen, to, o.Bounds); err != nil {
+	if n.transport, err = transport.Listen(config.Host, listen, addresses, config.Bounds); err != nil {
 		return nil, err
 	}
-	j.Store, err = quotastore.Open(quotastore.Config{
-		Host: o.Host, Members: o.Spec.QuotaHosts, Dir: filepath.Join(o.Dir, "ledger"), TrustDir: o.TrustDir, Transport: j.transport, Bounds: o.Bounds,
-		Clock: func() quota.Micros { return quota.Micros(process.Now()) }, OnEvent: j.emit,
+	if n.Store, err = openStore(config, n.transport, n.events.add); err != nil {
+		n.transport.Close()
+		return nil, err
+	}
+	n.members = membership.New(membership.Config{
+		Host: config.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Transport: n.transport, Bounds: config.Bounds,
+		Clock:    process.Now,
+		OnChange: func(m membership.Member) { n.events.add(quota.Event{Name: m.Host, Kind: "agent " + string(m.State)}) },
+	})
+	return n, nil
+}
+
+func openStore(config Config, t *transport.Transport, onEvent func(quota.Event)) (*quotastore.Store, error) {
+	s, err := quotastore.Open(quotastore.Config{
+		Host: config.Host, Members: config.Spec.QuotaHosts, Dir: filepath.Join(config.Dir, "ledger"), TrustDir: config.TrustDir,
+		Transport: t, Bounds: config.Bounds, Clock: func() quota.Micros { return quota.Micros(process.Now()) }, OnEvent: onEvent,
 	})
 	if err != nil {
 		return nil, err
 	}
-	j.SetConfig(o.Spec.Quotas, o.Spec.QuotaHosts)
-	j.members, err = membership.Start(membership.Config{
-		Host: o.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Transport: j.transport, Bounds: o.Bounds, Clock: process.Now,
-		OnChange: func(s membership.Member) { j.emit(quota.Event{Name: s.Host, Kind: "agent " + string(s.State)}) },
-	})
-	return j, err
+	s.SetConfig(config.Spec.Quotas, config.Spec.QuotaHosts)
+	return s, nil
 }
 
-// Run takes part until ctx ends.
-func (j *Node) Run(ctx context.Context) error {
-	mux := http.NewServeMux()
-	j.RegisterHandlers(mux)
-	server := &http.Server{
-		Handler: mux, ReadHeaderTimeout: j.config.Bounds.CallTimeout, ReadTimeout: 2 * j.config.Bounds.CallTimeout, WriteTimeout: 4 * j.config.Bounds.CallTimeout,
-		IdleTimeout: j.config.Bounds.IdleTimeout, MaxHeaderBytes: j.config.Bounds.MessageSize,
+// peers lists the addresses of all agents by host, and the hosts in the order of the fleet's file.
+func peers(spec *fleet.Spec) (addresses map[string]string, hosts []string) {
+	addresses = map[string]string{}
+	for _, h := range spec.Hosts {
+		addresses[h.Name] = h.PeerAddress
+		hosts = append(hosts, h.Name)
 	}
+	return addresses, hosts
+}
+
+// Run takes part until ctx ends, and returns when all that it started has ended. Where one part fails the others go on
+// until then.
+func (n *Node) Run(ctx context.Context) error {
+	mux := http.NewServeMux()
+	n.RegisterHandlers(mux)
+	server := n.server(mux)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	var all sync.WaitGroup
-	defer all.Wait()
-	all.Go(func() { _ = j.transport.Run(ctx) })
-	all.Go(func() { j.members.Run(ctx) })
-	all.Go(func() { _ = server.Serve(j.transport.Listener(transport.KindCall)) })
-	return j.Store.Run(ctx)
+	var tasks sync.WaitGroup
+	tasks.Go(func() { _ = n.transport.Run(ctx) }) // ends with ctx alone, without an error
+	tasks.Go(func() { _ = server.Serve(n.transport.Listener(transport.KindCall)) })
+	var membersErr error
+	tasks.Go(func() { membersErr = n.members.Run(ctx) })
+	storeErr := n.Store.Run(ctx)
+	tasks.Wait()
+	return errors.Join(storeErr, membersErr)
 }
 
-// UpdateAddresses takes the addresses of another configuration.
-func (j *Node) UpdateAddresses(s *fleet.Spec) {
-	to, _ := addresses(s)
-	j.transport.SetAddresses(to)
+// server answers the calls of other agents. It is closed with ctx, or with the listener as the transport ends.
+func (n *Node) server(handler http.Handler) *http.Server {
+	call := n.bounds.CallTimeout
+	return &http.Server{
+		Handler: handler, ReadHeaderTimeout: call, ReadTimeout: 2 * call, WriteTimeout: 4 * call, IdleTimeout: n.bounds.IdleTimeout,
+		MaxHeaderBytes: n.bounds.MessageSize,
+	}
 }
 
-// Members as this agent judges them.
-func (j *Node) Members() []membership.Member { return j.members.Members() }
+// UpdateAddresses takes the addresses of another configuration.
+func (n *Node) UpdateAddresses(spec *fleet.Spec) {
+	addresses, _ := peers(spec)
+	n.transport.SetAddresses(addresses)
+}
 
-// Events are for the history.
-func (j *Node) Events() <-chan quota.Event { return j.events }
+// Members lists all agents as this one judges them.
+func (n *Node) Members() []membership.Member { return n.members.Members() }
 
-func (j *Node) emit(n quota.Event) {
-	j.mu.Lock()
-	key := n.Limit + " " + n.Name + " " + n.Kind
-	now := time.Now()
-	if len(j.lastEmitted) > 10_000 {
-		clear(j.lastEmitted)
-	}
-	told := now.Sub(j.lastEmitted[key]) < minEventInterval
-	if !told {
-		j.lastEmitted[key] = now
-	}
-	j.mu.Unlock()
-	if told {
-		return
-	}
-	select {
-	case j.events <- n:
-	default: // a history that is not read holds up nobody
-	}
-}
+// Events are for the agent's history.
+func (n *Node) Events() <-chan quota.Event { return n.events.events }
--- a/internal/cluster/transport/call_test.go
+++ b/internal/cluster/transport/call_test.go
@@ -49,7 +49,7 @@
 // TestCalls: a body arrives, an answer comes back, a status is an error of its own, and calls share a connection.
 func TestCalls(t *testing.T) {
 	to, _ := runTransport(t, "h1", nil, testLimits())
-	from, _ := runTransport(t, "h2", map[string]string{"h1": address(to)}, testLimits())
+	from, _ := runTransport(t, "h2", map[string]string{"h1": to.Address()}, testLimits())
 	l := serveCalls(t, to, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/refused" {
 			http.Error(w, "no", http.StatusConflict)
@@ -76,7 +76,7 @@
 // TestBrokenCall: a connection that breaks before its answer is an error, and the next call opens another.
 func TestBrokenCall(t *testing.T) {
 	to, _ := runTransport(t, "h1", nil, testLimits())
-	from, _ := runTransport(t, "h2", map[string]string{"h1": address(to)}, testLimits())
+	from, _ := runTransport(t, "h2", map[string]string{"h1": to.Address()}, testLimits())
 	var calls atomic.Int32
 	l := serveCalls(t, to, func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 1 {
@@ -123,7 +123,7 @@
 	bounds := testLimits()
 	bounds.MessageSize = 10
 	to, _ := runTransport(t, "h1", nil, bounds)
-	from, _ := runTransport(t, "h2", map[string]string{"h1": address(to)}, bounds)
+	from, _ := runTransport(t, "h2", map[string]string{"h1": to.Address()}, bounds)
 	length := 100
 	serveCalls(t, to, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "%q", strings.Repeat("x", length)) })
 	var answer string
@@ -140,7 +140,7 @@
 func TestSetAddresses(t *testing.T) {
 	before, _ := runTransport(t, "h1", nil, testLimits())
 	after, _ := runTransport(t, "h1", nil, testLimits())
-	from, _ := runTransport(t, "h2", map[string]string{"h1": address(before)}, testLimits())
+	from, _ := runTransport(t, "h2", map[string]string{"h1": before.Address()}, testLimits())
 	answer := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "%q", text) }
 	}
@@ -157,7 +157,7 @@
 		if err := from.Call(context.Background(), "h1", "/x", nil, &got); err != nil || got != want {
 			t.Errorf("answered by %q, %v, want %q", got, err, want)
 		}
-		from.SetAddresses(map[string]string{"h1": address(after)})
+		from.SetAddresses(map[string]string{"h1": after.Address()})
 	}
 	if _, err := io.WriteString(stream, "x"); err != nil {
 		t.Fatal(err)
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -68,6 +68,9 @@
 	t.clients = map[string]*http.Client{}
 }
 
+// Address is where this agent listens.
+func (t *Transport) Address() string { return t.listener.Addr().String() }
+
 // Listener returns the connections of one kind as they come in. It is closed when Run ends; a caller that closes it before
 // has further connections of its kind closed.
 func (t *Transport) Listener(kind Kind) net.Listener { return t.queues[kind] }
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -51,8 +51,6 @@
 	return tr, end
 }
 
-func address(tr *Transport) string { return tr.listener.Addr().String() }
-
 // dialRaw connects without a greeting.
 func dialRaw(t *testing.T, to string) net.Conn {
 	t.Helper()
@@ -107,7 +105,7 @@
 		"GET / HTTP/1.1\r\n\r\n",
 		strings.Repeat("x", maxGreeting) + "\n",
 	} {
-		c := dialRaw(t, address(tr))
+		c := dialRaw(t, tr.Address())
 		if _, err := io.WriteString(c, line); err != nil {
 			t.Fatal(err)
 		}
@@ -118,7 +116,7 @@
 			t.Errorf("%d connections of kind %s came in", n, kind)
 		}
 	}
-	c := dialRaw(t, address(tr))
+	c := dialRaw(t, tr.Address())
 	if _, err := io.WriteString(c, "milletbarrow/1 raft h1 h2\nwhat follows"); err != nil {
 		t.Fatal(err)
 	}
@@ -137,8 +135,8 @@
 	bounds := testLimits()
 	tr, _ := runTransport(t, "h1", nil, bounds)
 	began := time.Now()
-	silent := dialRaw(t, address(tr))
-	greeted := dialRaw(t, address(tr))
+	silent := dialRaw(t, tr.Address())
+	greeted := dialRaw(t, tr.Address())
 	if _, err := io.WriteString(greeted, "milletbarrow/1 packet h1 h2\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +157,7 @@
 // TestFullQueue: where nobody accepts one kind, its further connections are closed after a time, and no other kind waits.
 func TestFullQueue(t *testing.T) {
 	to, _ := runTransport(t, "h1", nil, testLimits())
-	from, _ := runTransport(t, "h2", map[string]string{"h1": address(to)}, testLimits())
+	from, _ := runTransport(t, "h2", map[string]string{"h1": to.Address()}, testLimits())
 	conns := make([]net.Conn, 0, maxPendingConns+1)
 	for range maxPendingConns + 1 {
 		c, err := from.Dial(context.Background(), KindPacket, "h1")
@@ -203,7 +201,7 @@
 	bounds := testLimits()
 	bounds.Connections, bounds.CallTimeout = 1, time.Minute // greetings may take long
 	tr, end := runTransport(t, "h1", nil, bounds)
-	at := address(tr)
+	at := tr.Address()
 	greeting := dialRaw(t, at) // has sent half of its greeting
 	if _, err := io.WriteString(greeting, "milletbarrow/1 ra"); err != nil {
 		t.Fatal(err)
@@ -246,7 +244,7 @@
 // that come later.
 func TestClosedListener(t *testing.T) {
 	to, _ := runTransport(t, "h1", nil, testLimits())
-	from, _ := runTransport(t, "h2", map[string]string{"h1": address(to)}, testLimits())
+	from, _ := runTransport(t, "h2", map[string]string{"h1": to.Address()}, testLimits())
 	dial := func() net.Conn {
 		c, err := from.Dial(context.Background(), KindRaft, "h1")
 		if err != nil {
