--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -16,7 +16,7 @@
 )
 
 // patience is how long a test waits for what has to happen.
-const patience = 10 * time.Second
+const patience = 5 * time.Second
 
 // testLimits are the service's own with a short time limit for a call.
 func testLimits() limits.Control {
@@ -75,6 +75,7 @@
 	select {
 	case c := <-accepted:
 		t.Cleanup(func() { _ = c.Close() })
+		_ = c.SetDeadline(time.Now().Add(patience))
 		return c
 	case <-time.After(patience):
 		t.Fatal("no connection came in")
