--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -1,10 +1,6 @@
 package fleet
 
-import (
-	"errors"
-	"fmt"
-	"slices"
-)
+import "slices"
 
 // CommandKind is what a command asks for.
 type CommandKind string
@@ -100,62 +96,28 @@
 	At      Micros  `json:"at"`
 }
 
-// Why a command is not accepted; Decide returns them inside a CommandError.
-var (
-	ErrIDConflict       = errors.New("a command with this id and other content was taken before")
-	ErrUnknownCommand   = errors.New("no such command")
-	ErrTooManyCommands  = errors.New("too many commands are open")
-	ErrUpdateInProgress = errors.New("a wave is open; cancel it, or wait for its end")
-)
-
-// CommandError tells which operation on which command was refused, and why. Its text is that of Err alone.
-type CommandError struct {
-	Operation string // OperationAccept or the verb of CommandControl
-	CommandID string
-	Instance  string // empty: the refusal is not about a single instance
-	Err       error
-}
-
-// OperationAccept is the operation of a CommandError about a new command.
-const OperationAccept = "accept"
-
-func (e *CommandError) Error() string { return e.Err.Error() }
-
-// Unwrap gives the cause.
-func (e *CommandError) Unwrap() error { return e.Err }
-
-// commandError completes a refusal by the operation and the command.
-func commandError(operation, id string, err error) error {
-	refusal, ok := errors.AsType[*CommandError](err)
-	if !ok {
-		refusal = &CommandError{Err: err}
-	}
-	refusal.Operation, refusal.CommandID = operation, id
-	return refusal
-}
-
-// validate tells what makes a command unusable, whatever the state of the instances.
+// validate reports what makes a command unusable, whatever the state of the instances. Errors are *FieldError.
 func (c *Command) validate() error {
 	if err := CheckName(c.ID); err != nil {
-		return fmt.Errorf("id: %w", err)
+		return &FieldError{Field: "id", Reason: err.Error(), Err: err}
 	}
 	if !slices.Contains(CommandKinds(), c.Kind) {
-		return fmt.Errorf("kind: %q is none of %v", c.Kind, CommandKinds())
+		return fieldErrorf("kind", "%q is none of %v", c.Kind, CommandKinds())
 	}
 	if len(c.Names) == 0 {
-		return errors.New("names: none")
+		return fieldErrorf("names", "none")
 	}
 	if c.Immediate && c.Kind != KindStop {
-		return fmt.Errorf("now: not with %s", c.Kind)
+		return fieldErrorf("now", "not with %s", c.Kind)
 	}
 	if (c.Rollout != nil) != (c.Kind == KindRollingUpdate) {
-		return fmt.Errorf("terms: they belong to a wave, and a wave needs them")
+		return fieldErrorf("terms", "they belong to a wave, and a wave needs them")
 	}
 	if c.Kind == KindColdStart && c.Quota == "" {
-		return errors.New("budget: a rise needs a count of the fleet's file")
+		return fieldErrorf("budget", "a rise needs a count of the fleet's file")
 	}
 	if c.Quota != "" && c.Kind != KindRollingUpdate && c.Kind != KindColdStart {
-		return fmt.Errorf("budget: not with %s", c.Kind)
+		return fieldErrorf("budget", "not with %s", c.Kind)
 	}
 	if c.Rollout != nil {
 		return c.Rollout.Check()
--- a/internal/fleet/command_lifecycle.go
+++ b/internal/fleet/command_lifecycle.go
@@ -20,16 +20,16 @@
 	for _, n := range c.Names {
 		switch in := m.instances[n]; {
 		case in == nil:
-			return &CommandError{Instance: n, Err: fmt.Errorf("names: %q is no instance of this agent", n)}
+			return &CommandError{Instance: n, Err: fieldErrorf("names", "%q is no instance of this agent", n)}
 		case seen[n]:
-			return &CommandError{Instance: n, Err: fmt.Errorf("names: %q stands twice", n)}
+			return &CommandError{Instance: n, Err: fieldErrorf("names", "%q stands twice", n)}
 		case c.Kind == KindRollingUpdate && in.Spare:
-			return &CommandError{Instance: n, Err: fmt.Errorf("names: %q is a spare; a wave takes those by surge", n)}
+			return &CommandError{Instance: n, Err: fieldErrorf("names", "%q is a spare; a wave takes those by surge", n)}
 		}
 		seen[n] = true
 	}
 	if c.Deadline <= now {
-		return fmt.Errorf("due: it has passed")
+		return fieldErrorf("due", "it has passed")
 	}
 	if len(m.openCommands) >= m.config.MaxOpenCommands {
 		return ErrTooManyCommands
@@ -236,7 +236,7 @@
 	}
 	switch {
 	case c.State == CommandDone:
-		return fmt.Errorf("%s: the command has ended", e.Verb)
+		return fmt.Errorf("%s: %w", e.Verb, ErrCommandEnded)
 	case e.Verb == VerbCancel:
 		if c.State == CommandCancelled {
 			return nil
@@ -249,7 +249,7 @@
 			m.recordResult(now, c, n, OutcomeCancelled, "by "+e.RequestedBy)
 		}
 	case c.Kind != KindRollingUpdate:
-		return fmt.Errorf("%s: only a wave can be held", e.Verb)
+		return fmt.Errorf("%s: %w", e.Verb, ErrNotPausable)
 	case e.Verb == VerbPause && c.State == CommandOpen:
 		c.State, c.Cause = CommandPaused, "by "+e.RequestedBy
 	case e.Verb == VerbResume && c.State == CommandPaused:
@@ -257,7 +257,7 @@
 	case e.Verb == VerbPause, e.Verb == VerbResume:
 		return nil // as it is
 	default:
-		return fmt.Errorf("%q is none of pause, resume, cancel", e.Verb)
+		return &VerbError{e.Verb}
 	}
 	m.markCommandChanged(c)
 	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: string(e.Verb), Cause: "by " + e.RequestedBy})
--- a/internal/fleet/preview.go
+++ b/internal/fleet/preview.go
@@ -1,7 +1,5 @@
 package fleet
 
-import "fmt"
-
 // PlanStep is one instance of a plan: in which batch it would be restarted, and how many of its group would be ready
 // meanwhile.
 type PlanStep struct {
@@ -13,7 +11,8 @@
 }
 
 // Preview plays a rolling update through without any process: every instance counts as up and ready, and each batch
-// comes back complete. An error says why the update would not be accepted, or not end.
+// comes back complete. Errors are *CommandError where the update would
+// not be accepted, and ErrUpdateNeverEnds.
 func Preview(s *Spec, host string, names []string, w RollingUpdateConfig) ([]PlanStep, error) {
 	m := New(s, host, Config{MaxOpenCommands: 1, MaxFinishedCommands: 1}, func(*InstanceSpec) ShutdownWindow { return ShutdownWindow{1, 1} })
 	for _, in := range m.instances {
@@ -53,7 +52,7 @@
 		now += 1 << 40
 		_, _, _ = m.Decide(now, Tick{}) // a tick gives no error
 	}
-	return steps, fmt.Errorf("the wave does not come to its end by these terms")
+	return steps, ErrUpdateNeverEnds
 }
 
 // observe plays an observation of a phase; it gives no error.
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -53,12 +53,13 @@
 			}
 		}
 		if spares < c.Rollout.Surge {
-			return fmt.Errorf("surge: group %q has %d spares that are down, %d are wanted", name, spares, c.Rollout.Surge)
+			return &CommandError{Group: name, Err: fieldErrorf("surge",
+				"group %q has %d spares that are down, %d are wanted", name, spares, c.Rollout.Surge)}
 		}
 		up := tallies[name].desiredUp
 		if least := c.Rollout.minReady(up); up > 0 && up+spares-1 < least {
-			return fmt.Errorf("least: with %d of group %q up and %d spares, none can leave while %d must stay ready",
-				up, name, spares, least)
+			return &CommandError{Group: name, Err: fieldErrorf("least",
+				"with %d of group %q up and %d spares, none can leave while %d must stay ready", up, name, spares, least)}
 		}
 	}
 	c.Stage = StageRolling
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"milletbarrow/internal/sexpr"
 	"slices"
@@ -31,23 +30,23 @@
 	}
 }
 
-// Check tells what makes a configuration unusable; the text names the field as JSON has it.
+// Check reports what makes a configuration unusable. Errors are *FieldError.
 func (w RollingUpdateConfig) Check() error {
 	switch {
 	case w.MaxInProgress < 1 || w.MaxInProgress > 10_000:
-		return fmt.Errorf("width: %d is not from 1 to 10000", w.MaxInProgress)
+		return fieldErrorf("width", "%d is not from 1 to 10000", w.MaxInProgress)
 	case w.MinReady < 0:
-		return fmt.Errorf("least_count: %d is below 0", w.MinReady)
+		return fieldErrorf("least_count", "%d is below 0", w.MinReady)
 	case !isShare(w.MinReadyShare):
-		return fmt.Errorf("least_share: %v is not from 0 to 1", w.MinReadyShare)
+		return fieldErrorf("least_share", "%v is not from 0 to 1", w.MinReadyShare)
 	case !slices.Contains([]string{OrderFile, OrderName, OrderSpread}, w.Order):
-		return fmt.Errorf("order: %q is none of file, name, spread", w.Order)
+		return fieldErrorf("order", "%q is none of file, name, spread", w.Order)
 	case w.Surge < 0 || w.MaxFailures < 0 || w.ReadyWithin < 0 || w.StallTimeout <= 0 || w.RejectionTolerance < 0:
-		return fmt.Errorf("surge, failures and times: {Width:%d LeastCount:%d LeastShare:%v Order:%s Surge:%d Failures:%d ReadyWithin:%d "+
+		return fieldErrorf("surge, failures and times", "{Width:%d LeastCount:%d LeastShare:%v Order:%s Surge:%d Failures:%d ReadyWithin:%d "+
 			"Stall:%d TurnedAway:%v TurnedFor:%d} holds one below 0, or no stall",
 			w.MaxInProgress, w.MinReady, w.MinReadyShare, w.Order, w.Surge, w.MaxFailures, w.ReadyWithin, w.StallTimeout, w.MaxRejectedShare, w.RejectionTolerance)
 	case !isShare(w.MaxRejectedShare) || w.MaxRejectedShare == 0:
-		return fmt.Errorf("turned_away: %v is not above 0 and at most 1", w.MaxRejectedShare)
+		return fieldErrorf("turned_away", "%v is not above 0 and at most 1", w.MaxRejectedShare)
 	}
 	return nil
 }
--- a/internal/fleet/selection.go
+++ b/internal/fleet/selection.go
@@ -1,9 +1,6 @@
 package fleet
 
-import (
-	"fmt"
-	"slices"
-)
+import "slices"
 
 // Selection names instances: those that match any of the lists. All stands for all but spares.
 type Selection struct {
@@ -19,11 +16,11 @@
 	return !q.All && len(q.Names)+len(q.Groups)+len(q.Labels)+len(q.Hosts) == 0
 }
 
-// Select lists what the selection names, in the file's order, each once. A word that matches nothing is an
-// error: a misspelt name must not pass for done.
+// Select lists what the selection names, in the file's order, each once. Errors are ErrEmptySelection
+// and, for a word that matches nothing, *SelectionError: a misspelt name must not pass for done.
 func (s *Spec) Select(q Selection) ([]*InstanceSpec, error) {
 	if q.Empty() {
-		return nil, fmt.Errorf("no instance is selected: give names, --group, --label, --host or --all")
+		return nil, ErrEmptySelection
 	}
 	met := map[string]bool{}
 	var found []*InstanceSpec
@@ -32,23 +29,23 @@
 		hit := func(kind string, wanted []string, has ...string) {
 			for _, h := range has {
 				if slices.Contains(wanted, h) {
-					met[kind+h] = true
-					match = match || !in.Spare || kind == "instance "
+					met[kind+" "+h] = true
+					match = match || !in.Spare || kind == "instance"
 				}
 			}
 		}
-		hit("instance ", q.Names, in.Name)
-		hit("group ", q.Groups, in.Group)
-		hit("label ", q.Labels, in.Labels...)
-		hit("host ", q.Hosts, in.Host)
+		hit("instance", q.Names, in.Name)
+		hit("group", q.Groups, in.Group)
+		hit("label", q.Labels, in.Labels...)
+		hit("host", q.Hosts, in.Host)
 		if match {
 			found = append(found, in)
 		}
 	}
-	for kind, words := range map[string][]string{"instance ": q.Names, "group ": q.Groups, "label ": q.Labels, "host ": q.Hosts} {
+	for kind, words := range map[string][]string{"instance": q.Names, "group": q.Groups, "label": q.Labels, "host": q.Hosts} {
 		for _, w := range words {
-			if !met[kind+w] {
-				return nil, fmt.Errorf("%s%q matches nothing in fleet %s", kind, w, s.Name)
+			if !met[kind+" "+w] {
+				return nil, &SelectionError{Kind: kind, Word: w, Fleet: s.Name}
 			}
 		}
 	}
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -6,7 +6,6 @@
 package fleet
 
 import (
-	"fmt"
 	"maps"
 	"path/filepath"
 	"slices"
@@ -101,31 +100,38 @@
 	return all
 }
 
-// CheckName tells whether a name of a host, group, instance or command can be used: letters, digits, dots,
-// dashes and underscores, up to 40 of them, not beginning with a dot or a dash.
+// Limits of names and addresses.
+const (
+	maxNameLength = 40  // bytes
+	maxSocketPath = 100 // bytes
+	unixPrefix    = "unix:"
+)
+
+// CheckName returns a *NameError unless a name of a host, group, instance or command can be used: letters, digits, dots,
+// dashes and underscores, up to maxNameLength of them, not beginning with a dot or a dash.
 func CheckName(s string) error {
 	bad := func(r rune) bool {
 		good := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.'
 		return !good
 	}
-	if s == "" || len(s) > 40 || s[0] == '.' || s[0] == '-' || strings.ContainsFunc(s, bad) {
-		return fmt.Errorf("%q is no name: letters, digits, . - _ and at most 40 of them", s)
+	if s == "" || len(s) > maxNameLength || s[0] == '.' || s[0] == '-' || strings.ContainsFunc(s, bad) {
+		return &NameError{s}
 	}
 	return nil
 }
 
-// CheckAddress tells whether an agent's address can be used: unix:PATH, or a loopback address with a port.
+// CheckAddress returns an *AddressError unless an agent's address can be used: unix:PATH, or a loopback address with a port.
 func CheckAddress(a string) error {
-	if path, ok := strings.CutPrefix(a, "unix:"); ok {
-		if !filepath.IsAbs(path) || len(path) > 100 {
-			return fmt.Errorf("%q is no absolute path of at most 100 bytes", path)
+	if path, ok := strings.CutPrefix(a, unixPrefix); ok {
+		if !filepath.IsAbs(path) || len(path) > maxSocketPath {
+			return &AddressError{a}
 		}
 		return nil
 	}
 	host, port, ok := strings.Cut(a, ":")
 	n, err := strconv.Atoi(port)
 	if !ok || err != nil || n < 1 || n > 65535 || !strings.HasPrefix(host, "127.") {
-		return fmt.Errorf("%q is neither unix:PATH nor 127.x.x.x:PORT", a)
+		return &AddressError{a}
 	}
 	return nil
 }
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -13,54 +13,57 @@
 )
 
 // readQuotas reads the (budgets ...) form: the quotas that the fleet shares, and the hosts that keep their store.
-func (s *Spec) readQuotas(f *sexpr.Form) {
-	s.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, 1<<40, 1))}
-	s.QuotaHosts = f.Words("ledger")
-	if len(s.QuotaHosts) == 0 && len(s.Hosts) == 1 {
-		s.QuotaHosts = []string{s.Hosts[0].Name}
+func (r *specReader) readQuotas(f *sexpr.Form) {
+	r.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, 1<<40, 1))}
+	r.QuotaHosts = f.Words("ledger")
+	if len(r.QuotaHosts) == 0 && len(r.Hosts) == 1 {
+		r.QuotaHosts = []string{r.Hosts[0].Name}
 	}
-	if err := quorum.ValidateMembers(s.QuotaHosts); err != nil {
+	if err := quorum.ValidateMembers(r.QuotaHosts); err != nil {
 		f.Fail("ledger", "%v", err)
 	}
-	if len(s.QuotaHosts) == 0 {
+	if len(r.QuotaHosts) == 0 {
 		f.Fail("ledger", "missing: the hosts whose agents keep the ledger")
 	}
-	for _, m := range s.QuotaHosts {
-		if s.Host(m) == nil {
+	for _, m := range r.QuotaHosts {
+		if r.Host(m) == nil {
 			f.Fail("ledger", "%q is no host of this file", m)
 		}
 	}
-	if len(s.Hosts) > 1 {
-		for _, h := range s.Hosts {
+	if len(r.Hosts) > 1 {
+		for _, h := range r.Hosts {
 			if h.PeerAddress == "" {
+				r.attribute(SpecSubject{})
 				f.Fail("", "host %q has no (peer ADDRESS), and budgets are shared with it", h.Name)
+				r.attribute(SpecSubject{Host: h.Name})
 			}
 		}
 	}
 	for _, b := range f.All("budget") {
-		s.readQuota(b)
+		r.readQuota(b)
 	}
-	if n := len(s.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
+	if n := len(r.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
 		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
 	}
 	f.Done()
 }
 
 // readQuota reads a (budget ...) form.
-func (s *Spec) readQuota(f *sexpr.Form) {
+func (r *specReader) readQuota(f *sexpr.Form) {
+	r.attribute(SpecSubject{})
 	b := quota.Limit{Name: parseName(f)}
-	if s.Quotas.Lookup(b.Name) != nil {
+	if r.Quotas.Lookup(b.Name) != nil {
 		f.Fail("", "budget %q stands twice", b.Name)
 	}
 	rate, count := f.Int("rate", 0, backendquota.MaxRate, 0), f.Int("count", 0, backendquota.MaxRate, 0)
 	switch {
 	case rate > 0 && count == 0:
 		b.Kind, b.Total = quota.Rate, int64(rate)
-		s.readRate(f, &b)
+		r.readRate(f, &b)
 	case count > 0 && rate == 0:
 		b.Kind, b.Total = quota.Concurrency, int64(count)
 		if f.OneOf("alone", "no", "yes") == "yes" {
-			b.Reserved = int64(len(s.Hosts))
+			b.Reserved = int64(len(r.Hosts))
 		}
 	default:
 		f.Fail("", "wanted either (rate UNITS-A-SECOND) or (count UNITS)")
@@ -71,11 +74,12 @@
 			f.Fail(field, "%v", err)
 		}
 	}
-	s.Quotas.Limits = append(s.Quotas.Limits, b)
+	r.attribute(SpecSubject{Quota: b.Name})
+	r.Quotas.Limits = append(r.Quotas.Limits, b)
 }
 
 // readRate reads the fields of a rate quota.
-func (s *Spec) readRate(f *sexpr.Form, b *quota.Limit) {
+func (r *specReader) readRate(f *sexpr.Form, b *quota.Limit) {
 	b.Tenant = f.Text("tenant", "")
 	b.Division = quota.Division(f.OneOf("divide", string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
 	b.Step = int64(f.Int("step", 1, backendquota.MaxRate, 1))
@@ -89,11 +93,11 @@
 	groups := f.Words("groups")
 	b.Floors, b.Weights = map[string]int64{}, map[string]int64{}
 	for _, g := range groups {
-		if s.Group(g) == nil {
+		if r.Group(g) == nil {
 			f.Fail("groups", "%q is no group of this file", g)
 		}
 	}
-	for _, in := range s.InstancesOn("") {
+	for _, in := range r.InstancesOn("") {
 		if len(groups) == 0 || slices.Contains(groups, in.Group) {
 			b.Floors[in.Name] = floor
 		}
@@ -121,20 +125,20 @@
 }
 
 // readColdStart reads the (rise ...) form.
-func (s *Spec) readColdStart(f *sexpr.Form) {
-	s.ColdStartQuota = f.Text("budget", "")
+func (r *specReader) readColdStart(f *sexpr.Form) {
+	r.ColdStartQuota = f.Text("budget", "")
 	t := &coldstart.Config{
 		MinServing: f.Share("least", 0, 1, 0.1), MaxFailures: int64(f.Int("failures", 1, 100_000, 8)), SlowFactor: f.Share("slow", 1, 1000, 3),
 		MaxRejected: f.Share("refused", 0, 1, 0.1), InitialConcurrent: int64(f.Int("first", 0, 100_000, 0)),
 	}
 	f.Done()
-	if !s.hasCountQuota(s.ColdStartQuota) {
-		f.Fail("budget", "%q is no count of this file", s.ColdStartQuota)
+	if !r.hasCountQuota(r.ColdStartQuota) {
+		f.Fail("budget", "%q is no count of this file", r.ColdStartQuota)
 		return
 	}
-	b := s.Quotas.Lookup(s.ColdStartQuota)
+	b := r.Quotas.Lookup(r.ColdStartQuota)
 	if b.Reserved == 0 {
-		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good", s.ColdStartQuota)
+		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good", r.ColdStartQuota)
 	}
 	if t.MaxConcurrent = b.Total - b.Reserved; t.InitialConcurrent == 0 {
 		t.InitialConcurrent = min(2, t.MaxConcurrent)
@@ -142,7 +146,7 @@
 	if field, err := t.Validate(); err != nil {
 		f.Fail(field, "%v", err)
 	}
-	s.ColdStart = t
+	r.ColdStart = t
 }
 
 // hasCountQuota tells whether there is a concurrency quota of that name.
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"errors"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/sexpr"
 	"path/filepath"
@@ -14,8 +15,41 @@
 	maxSpan = 24 * time.Hour
 )
 
+// specReader reads a fleet's file into its Spec.
+type specReader struct {
+	*Spec
+	errs     *sexpr.Errors
+	subjects []SpecSubject // of the errors found so far, in their order
+}
+
+// attribute says what the errors are about that were found since its last call.
+func (r *specReader) attribute(subject SpecSubject) {
+	for found := len(r.found()); len(r.subjects) < found; {
+		r.subjects = append(r.subjects, subject)
+	}
+}
+
+// found lists the errors found so far.
+func (r *specReader) found() []error {
+	joined, ok := r.errs.Err().(interface{ Unwrap() []error })
+	if !ok {
+		return nil
+	}
+	return joined.Unwrap()
+}
+
+// err joins a *SpecError for each error found.
+func (r *specReader) err() error {
+	r.attribute(SpecSubject{})
+	errs := r.found()
+	for i, err := range errs {
+		errs[i] = &SpecError{SpecSubject: r.subjects[i], Err: err}
+	}
+	return errors.Join(errs...)
+}
+
 // ReadSpec reads a fleet's file; file is its name in errors, and its directory that of relative paths in it.
-// The error joins all that is wrong, each with its place.
+// The error is an *sexpr.Error where src is no S-expression; else it joins a *SpecError for all that is wrong.
 func ReadSpec(file string, src []byte, b limits.Control) (*Spec, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
@@ -25,37 +59,39 @@
 	forms := sexpr.Forms(nodes, errs)
 	if len(forms) != 1 || forms[0].Name != "fleet" {
 		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted one list that begins with fleet")
-		return nil, errs.Err()
+		return nil, (&specReader{errs: errs}).err()
 	}
 	f := forms[0]
 	s := &Spec{Name: f.Arg(), Program: f.Words("program"), instances: map[string]*InstanceSpec{}, RollingUpdate: DefaultRollingUpdate()}
-	s.readHosts(f)
+	r := &specReader{Spec: s, errs: errs}
+	r.readHosts(f)
 	for _, g := range f.All("group") {
-		s.readGroup(g, filepath.Dir(file))
+		r.readGroup(g, filepath.Dir(file))
 	}
-	s.checkInstanceCounts(f, b.Instances)
+	r.checkInstanceCounts(f, b.Names)
 	if w := f.Field("wave"); w != nil {
 		s.RollingUpdateQuota = w.Text("budget", "")
 		s.RollingUpdate = readRollingUpdate(w, s.RollingUpdate)
 	}
 	if b := f.Field("budgets"); b != nil {
-		s.readQuotas(b)
+		r.readQuotas(b)
 	}
-	if r := f.Field("rise"); r != nil {
-		s.readColdStart(r)
+	if rise := f.Field("rise"); rise != nil {
+		r.readColdStart(rise)
 	}
 	if s.RollingUpdateQuota != "" && !s.hasCountQuota(s.RollingUpdateQuota) {
 		f.Fail("wave", "budget %q is no count of this file", s.RollingUpdateQuota)
 	}
 	f.Done()
-	return s, errs.Err()
+	return s, r.err()
 }
 
 // readHosts reads the (host ...) forms.
-func (s *Spec) readHosts(f *sexpr.Form) {
+func (r *specReader) readHosts(f *sexpr.Form) {
 	for _, h := range f.All("host") {
+		r.attribute(SpecSubject{})
 		host := HostSpec{Name: parseName(h), AgentAddress: h.Text("agent", ""), PeerAddress: h.Text("peer", "")}
-		if h.Done(); s.Host(host.Name) != nil {
+		if h.Done(); r.Host(host.Name) != nil {
 			h.Fail("", "host %q stands twice", host.Name)
 		}
 		if err := CheckAddress(host.AgentAddress); err != nil {
@@ -64,45 +100,49 @@
 		if host.PeerAddress != "" && (strings.HasPrefix(host.PeerAddress, "unix:") || CheckAddress(host.PeerAddress) != nil) {
 			h.Fail("peer", "%q is not 127.x.x.x:PORT", host.PeerAddress)
 		}
-		s.Hosts = append(s.Hosts, host)
+		r.attribute(SpecSubject{Host: host.Name})
+		r.Hosts = append(r.Hosts, host)
 	}
-	if len(s.Hosts) == 0 {
+	if len(r.Hosts) == 0 {
 		f.Fail("", "no host")
 	}
 }
 
 // checkInstanceCounts tells of a fleet without instances, and of hosts with more than one agent can manage.
-func (s *Spec) checkInstanceCounts(f *sexpr.Form, most int) {
-	if len(s.instances) == 0 {
+func (r *specReader) checkInstanceCounts(f *sexpr.Form, most int) {
+	if len(r.instances) == 0 {
 		f.Fail("", "no instance")
 	}
-	for _, h := range s.Hosts {
-		if n := len(s.InstancesOn(h.Name)); n > most {
+	r.attribute(SpecSubject{})
+	for _, h := range r.Hosts {
+		if n := len(r.InstancesOn(h.Name)); n > most {
 			f.Fail("", "host %q has %d instances, at most %d can be managed by one agent", h.Name, n, most)
+			r.attribute(SpecSubject{Host: h.Name})
 		}
 	}
 }
 
 // readGroup reads a (group ...) form; dir is the directory of relative paths.
-func (s *Spec) readGroup(f *sexpr.Form, dir string) {
+func (r *specReader) readGroup(f *sexpr.Form, dir string) {
+	r.attribute(SpecSubject{})
 	g := GroupSpec{
 		Name: parseName(f), Host: f.Text("host", ""), Labels: f.Words("labels"),
 		StartWithin: micros(f.Span("start-within", minSpan, maxSpan, 30*time.Second)),
 		Settle:      micros(f.Span("settle", 0, maxSpan, time.Second)),
 		MaxLaunches: 3, LaunchWindow: micros(time.Minute),
 	}
-	if r := f.Field("restart"); r != nil {
-		g.MaxLaunches = r.Int("most", 0, 1000, g.MaxLaunches)
-		g.LaunchWindow = micros(r.Span("within", minSpan, maxSpan, time.Minute))
-		r.Done()
+	if restart := f.Field("restart"); restart != nil {
+		g.MaxLaunches = restart.Int("most", 0, 1000, g.MaxLaunches)
+		g.LaunchWindow = micros(restart.Span("within", minSpan, maxSpan, time.Minute))
+		restart.Done()
 	}
-	if g.Host == "" && len(s.Hosts) == 1 {
-		g.Host = s.Hosts[0].Name
+	if g.Host == "" && len(r.Hosts) == 1 {
+		g.Host = r.Hosts[0].Name
 	}
-	if s.Host(g.Host) == nil {
+	if r.Host(g.Host) == nil {
 		f.Fail("host", "%q is no host of this file", g.Host)
 	}
-	if s.Group(g.Name) != nil {
+	if r.Group(g.Name) != nil {
 		f.Fail("", "group %q stands twice", g.Name)
 	}
 	config := f.Text("config", "")
@@ -118,27 +158,31 @@
 	if len(names) > 1 && config != "" && !strings.Contains(config, "%n") {
 		f.Fail("config", "found %q for %d instances, wanted %%n in it", config, len(names))
 	}
-	s.addInstances(f, &g, config, "instances", names)
-	s.addInstances(f, &g, config, "spares", f.Words("spares"))
+	r.addInstances(f, &g, config, "instances", names)
+	r.addInstances(f, &g, config, "spares", f.Words("spares"))
 	if len(g.Instances) == 0 {
 		f.Fail("", "no instance")
 	}
 	f.Done()
-	s.Groups = append(s.Groups, g)
+	r.attribute(SpecSubject{Group: g.Name})
+	r.Groups = append(r.Groups, g)
 }
 
 // addInstances adds the instances that a field of a group names.
-func (s *Spec) addInstances(f *sexpr.Form, g *GroupSpec, config, field string, names []string) {
+func (r *specReader) addInstances(f *sexpr.Form, g *GroupSpec, config, field string, names []string) {
+	r.attribute(SpecSubject{Group: g.Name})
 	for _, name := range names {
 		if err := CheckName(name); err != nil {
 			f.Fail(field, "%v", err)
+			r.attribute(SpecSubject{Group: g.Name, Instance: name})
 			continue
 		}
-		if s.instances[name] != nil {
+		if r.instances[name] != nil {
 			f.Fail(field, "instance %q stands twice", name)
+			r.attribute(SpecSubject{Group: g.Name, Instance: name})
 			continue
 		}
-		s.instances[name] = &InstanceSpec{
+		r.instances[name] = &InstanceSpec{
 			Name: name, Host: g.Host, Group: g.Name, ConfigFile: strings.ReplaceAll(config, "%n", name), Spare: field == "spares",
 			Labels: g.Labels, DegradationFile: g.DegradationFile,
 		}
