--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"net/http"
 
 	"milletbarrow/internal/agentapi"
@@ -41,11 +40,12 @@
 	return b, nil
 }
 
-// WriteOff has the quota store end what a name holds, by an operator's word.
+// WriteOff has the quota store end what a name holds, by an operator's word. Errors are *agentapi.StatusError and, where
+// the quota store rejects it, *WriteOffError.
 func (a *Agent) WriteOff(ctx context.Context, name, by string) error {
 	rejection, err := a.applyQuotaCommand(ctx, quota.Command{WriteOff: &quota.WriteOffCommand{Name: name, By: by}})
 	if err == nil && rejection != "" {
-		return errors.New(rejection)
+		return &WriteOffError{Holder: name, Reason: rejection}
 	}
 	return err
 }
--- a/internal/agent/configcheck.go
+++ b/internal/agent/configcheck.go
@@ -33,7 +33,7 @@
 	for _, in := range s.InstancesOn(host) {
 		backend, err := config.Read(in.ConfigFile)
 		if err != nil {
-			errs = append(errs, &ConfigError{Instance: in.Name, File: in.ConfigFile, Err: err})
+			errs = append(errs, &ConfigError{Instance: in.Name, Err: &ConfigFileError{File: in.ConfigFile, Err: err}})
 			continue
 		}
 		if err := checkDegradationPolicy(in.DegradationFile, backend); err != nil {
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -35,6 +35,8 @@
 }
 
 func (e *ActionError) Error() string { return e.Err.Error() }
+
+// Unwrap returns the cause.
 func (e *ActionError) Unwrap() error { return e.Err }
 
 // SupervisorExitError reports a supervisor that exited without taking charge of its incarnation.
@@ -50,19 +52,33 @@
 // ConfigError reports an instance whose configuration can't be used.
 type ConfigError struct {
 	Instance string
-	File     string // empty: Err names it
-	Err      error
+	Err      error // names the file; for an instance's own configuration a *ConfigFileError
 }
 
-func (e *ConfigError) Error() string {
-	if e.File == "" {
-		return fmt.Sprintf("%s: %v", e.Instance, e.Err)
-	}
-	return fmt.Sprintf("%s: %s: %v", e.Instance, e.File, e.Err)
-}
+func (e *ConfigError) Error() string { return e.Instance + ": " + e.Err.Error() }
 
+// Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
+// ConfigFileError reports an instance's own configuration that can't be read or used.
+type ConfigFileError struct {
+	File string
+	Err  error
+}
+
+func (e *ConfigFileError) Error() string { return e.File + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *ConfigFileError) Unwrap() error { return e.Err }
+
+// WriteOffError reports that the quota store did not write off what a holder has. Its text is Reason alone.
+type WriteOffError struct {
+	Holder string
+	Reason string
+}
+
+func (e *WriteOffError) Error() string { return e.Reason }
+
 // ListenConflictError reports two instances of one host that are configured to listen on the same address.
 type ListenConflictError struct{ First, Second, Address string }
 
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"os"
 	"os/exec"
 	"slices"
@@ -74,7 +73,7 @@
 	in := spec.Instance(action.Name)
 	window, err := ReadShutdownWindow(in.ConfigFile)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", in.ConfigFile, err)
+		return nil, &ConfigFileError{File: in.ConfigFile, Err: err}
 	}
 	args := slices.Concat(a.options.Executable[1:], []string{
 		"keeper", "--dir", a.options.Dir, "--name", action.Name, "--run", action.Incarnation,
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -413,8 +413,13 @@
 	}
 	agents["c"].budget = agents["b"].budget
 	err = c.WriteOff(context.Background(), "n5")
-	for _, host := range []string{"a: ", "b: ", "c: "} {
-		if err == nil || !strings.Contains(err.Error(), host) {
+	joined, ok := err.(interface{ Unwrap() []error })
+	if !ok || len(joined.Unwrap()) != 3 {
+		t.Fatalf("none answers: %v", err)
+	}
+	for i, host := range []string{"a", "b", "c"} {
+		one, ok := errors.AsType[*HostError](joined.Unwrap()[i])
+		if !ok || one.Host != host || !strings.HasPrefix(one.Error(), host+": ") || !strings.Contains(err.Error(), one.Error()) {
 			t.Errorf("none answers: %v lacks %q", err, host)
 		}
 	}
--- a/internal/fleetclient/quotas.go
+++ b/internal/fleetclient/quotas.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/cluster/membership"
@@ -11,8 +10,19 @@
 	"milletbarrow/internal/fleet"
 )
 
+// HostError reports an agent that gave no answer that counts.
+type HostError struct {
+	Host string
+	Err  error
+}
+
+func (e *HostError) Error() string { return e.Host + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *HostError) Unwrap() error { return e.Err }
+
 // askAny asks one agent after the other until one answers; they all forward to the same leader. An answer of a 4xx
-// status is one; else all errors are joined.
+// status is one; else the error joins a *HostError for each.
 func (c *Client) askAny(ask func(*agentapi.Client) error) error {
 	var errs []error
 	for _, h := range c.Spec.Hosts {
@@ -22,7 +32,7 @@
 		if r, no := errors.AsType[*agentapi.StatusError](err); err == nil || no && r.Status/100 == 4 {
 			return err
 		}
-		errs = append(errs, fmt.Errorf("%s: %w", h.Name, err))
+		errs = append(errs, &HostError{Host: h.Name, Err: err})
 	}
 	return errors.Join(errs...)
 }
--- a/internal/supervisor/launch.go
+++ b/internal/supervisor/launch.go
@@ -1,7 +1,6 @@
 package supervisor
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -101,15 +100,15 @@
 	return fleet.Exit{Unobserved: true}
 }
 
-// WaitAndExec becomes the command once the supervisor has recorded which process it is, and returns an error if the
-// supervisor dies before that: no instance runs without a record of it.
+// WaitAndExec becomes the command once the supervisor has recorded which process it is, and returns ErrSupervisorGone if
+// the supervisor dies before that: no instance runs without a record of it.
 func WaitAndExec(command []string) error {
 	if len(command) == 0 {
-		return errors.New("nothing to begin")
+		return ErrNoCommand
 	}
 	release := os.NewFile(launchDescriptor, "release")
 	if n, err := release.Read(make([]byte, 1)); n != 1 {
-		return fmt.Errorf("the supervisor is gone: %w", err)
+		return fmt.Errorf("%w: %w", ErrSupervisorGone, err)
 	}
 	_ = release.Close() // nothing more comes
 	path, err := exec.LookPath(command[0])
--- a/internal/supervisor/record_test.go
+++ b/internal/supervisor/record_test.go
@@ -123,7 +123,9 @@
 		}
 	}
 	put(State{Version: stateVersion + 1, Name: "n1", Boot: process.Boot()})
-	if _, err := ReadState(path); err == nil || !strings.Contains(err.Error(), "version 2") {
+	_, err := ReadState(path)
+	newer, ok := errors.AsType[*VersionError](err)
+	if !ok || newer.Version != stateVersion+1 || newer.Known != stateVersion || err.Error() != path+": version 2, and this build knows 1" {
 		t.Errorf("newer version: %v", err)
 	}
 	here := State{Version: stateVersion, Name: "n1", Run: "r1", Boot: process.Boot(), Instance: self(t), Supervisor: self(t)}
@@ -141,11 +143,33 @@
 	if err := os.WriteFile(path, []byte(`{"version":1,`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadState(path); err == nil || errors.Is(err, ErrNoState) {
+	_, err = ReadState(path)
+	damaged, ok := errors.AsType[*StateFileError](err)
+	if !ok || damaged.Path != path || errors.Is(err, ErrNoState) || err.Error() != path+": unexpected end of JSON input" {
 		t.Errorf("damaged: %v", err)
 	}
 }
 
+// TestLongDirectory: a directory under which sockets can't be opened is refused with the path, and one byte less is not.
+func TestLongDirectory(t *testing.T) {
+	dir := "/" + strings.Repeat("d", maxSocketPath-len("//keepers/n1.inspect"))
+	if err := PathsOf(dir, "n1").Check(); err != nil {
+		t.Errorf("%v", err)
+	}
+	long, ok := errors.AsType[*SocketPathError](PathsOf(dir, "n10").Check())
+	text := dir + "/keepers/n10.inspect: 108 bytes, and a socket's path can have 107: take a shorter directory"
+	if !ok || long.Path != PathsOf(dir, "n10").Admin || long.Error() != text {
+		t.Errorf("%v", long)
+	}
+}
+
+// TestNothingToBegin: a launcher without a command does not wait for its byte.
+func TestNothingToBegin(t *testing.T) {
+	if err := WaitAndExec(nil); !errors.Is(err, ErrNoCommand) || err.Error() != "nothing to begin" {
+		t.Errorf("%v", err)
+	}
+}
+
 // TestLock: one supervisor at a time is in charge, and the next one once that has let go.
 func TestLock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n1.lock")
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -32,10 +31,10 @@
 	}
 }
 
-// Check returns an error for a directory whose sockets can't be opened, as their paths are too long.
+// Check returns a *SocketPathError for a directory whose sockets can't be opened, as their paths are too long.
 func (p Paths) Check() error {
-	if n := len(p.Admin); n > maxSocketPath {
-		return fmt.Errorf("%s: %d bytes, and a socket's path can have %d: take a shorter directory", p.Admin, n, maxSocketPath)
+	if len(p.Admin) > maxSocketPath {
+		return &SocketPathError{p.Admin}
 	}
 	return nil
 }
@@ -59,10 +58,7 @@
 // stateVersion is the version of the file and of the reports; a file of a newer one is not touched.
 const stateVersion = 1
 
-// ErrNoState means that no state was ever written: no instance was started.
-var ErrNoState = errors.New("no supervisor has written its state")
-
-// ReadState reads a supervisor's state file, or returns ErrNoState. A file from before a reboot of the machine counts
+// ReadState reads a supervisor's state file. Errors are ErrNoState, *StateFileError, or those of the file system. A file from before a reboot of the machine counts
 // as ended, and names no processes.
 func ReadState(path string) (s State, err error) {
 	raw, err := os.ReadFile(path)
@@ -73,10 +69,10 @@
 		return s, err
 	}
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
+		return s, &StateFileError{path, err}
 	}
 	if s.Version > stateVersion {
-		return s, fmt.Errorf("%s: version %d, and this build knows %d", path, s.Version, stateVersion)
+		return s, &StateFileError{path, &VersionError{Version: s.Version, Known: stateVersion}}
 	}
 	if s.Boot != process.Boot() {
 		s.Ended, s.End, s.Instance, s.Supervisor = true, fleet.Exit{Unobserved: true}, process.Identity{}, process.Identity{}
@@ -99,20 +95,6 @@
 	return os.Rename(next, path)
 }
 
-// ErrLocked means that another supervisor is in charge of the instance.
-var ErrLocked = errors.New("another supervisor holds the instance")
-
-// StateConflictError means that the state file does not allow a supervisor to start or adopt an incarnation.
-type StateConflictError struct {
-	Name   string // the instance
-	Run    string // the incarnation that was to be started or adopted
-	Reason string
-}
-
-func (e *StateConflictError) Error() string {
-	return fmt.Sprintf("instance %s, run %s: %s", e.Name, e.Run, e.Reason)
-}
-
 // lock takes charge of the instance for this process; the system releases the lock when the process ends.
 func lock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
