--- a/internal/faultinjection/checker/compat_test.go
+++ b/internal/faultinjection/checker/compat_test.go
@@ -32,9 +32,9 @@
 	}
 	reports := make([]Report, 0, 4)
 	for _, limit := range []Limits{limits(32), limits(20)} {
-		for _, budget := range []string{"acme", "zeta"} {
-			report := Shares(all, budget, limit, span.From, span.To)
-			report.Draws(all, limit, 20, 500_000, 2_000_000, 10_000_000)
+		for _, quota := range []string{"acme", "zeta"} {
+			report := CheckGrants(all, quota, limit, span.From, span.To)
+			report.CheckDraws(all, limit, 20, 500_000, 2_000_000, 10_000_000)
 			reports = append(reports, report)
 		}
 	}
--- a/internal/faultinjection/harness/report.go
+++ b/internal/faultinjection/harness/report.go
@@ -37,7 +37,7 @@
 	fmt.Fprintln(w)
 	for _, r := range v.Reports {
 		fmt.Fprintf(w, "  %s: shares in force at most %.3f of the whole, %.3f over time, %.3f at the end; %d grants, %d units drawn, at most %d over the whole at once\n",
-			r.Budget, r.Most, r.Mean, r.Last, r.Grants, r.Drawn, r.Over)
+			r.Quota, r.Peak, r.Mean, r.Last, r.Grants, r.Drawn, r.Excess)
 	}
 	if f := v.Cold; f != nil {
 		fmt.Fprintf(w, "  register: an ordinary second has %.0f calls; while it took nothing %.0f, at most %.0f; fullest tenth %.2f times the mean in the first second, %.2f once all were listed\n",
@@ -94,7 +94,7 @@
 			reports++
 			r.Grants += one.Grants
 			r.Drawn += one.Drawn
-			r.Most, r.Over = max(r.Most, one.Most), max(r.Over, one.Over)
+			r.Most, r.Over = max(r.Most, one.Peak), max(r.Over, one.Excess)
 			r.Mean += (one.Mean - r.Mean) / float64(reports)
 		}
 		r.Again = append(r.Again, v.Again)
--- a/internal/faultinjection/harness/verdict.go
+++ b/internal/faultinjection/harness/verdict.go
@@ -52,14 +52,14 @@
 		g.judgeCold(v, all)
 	}
 	for _, b := range g.options.Budgets {
-		r := checker.Shares(all, b.Name, v.Limits, v.From, v.To)
+		r := checker.CheckGrants(all, b.Name, v.Limits, v.From, v.To)
 		// A holder may draw three tenths of a second of its share at once, and four units at the least; each may be stopped
 		// once in a draw.
 		most := int64(0)
 		for _, w := range v.Limits[b.Name] {
 			most = max(most, w.Units)
 		}
-		r.Draws(all, v.Limits, most*3/10+5*int64(len(g.site.Names)), 500_000, 2_000_000, 10_000_000)
+		r.CheckDraws(all, v.Limits, most*3/10+5*int64(len(g.site.Names)), 500_000, 2_000_000, 10_000_000)
 		for _, one := range r.Breaches {
 			v.fail("%v", one)
 		}
--- a/internal/upgradetest/upgrade_test.go
+++ b/internal/upgradetest/upgrade_test.go
@@ -106,16 +106,16 @@
 	}
 	quotas := checker.Limits{"acme": {{From: from - beforeStart, Units: acmeQuota}}, "zeta": {{From: from - beforeStart, Units: zetaQuota}}}
 	for name, quota := range map[string]int64{"acme": acmeQuota, "zeta": zetaQuota} {
-		report := checker.Shares(processes, name, quotas, from, to)
+		report := checker.CheckGrants(processes, name, quotas, from, to)
 		// As the fault injection's harness allows: three tenths of a second of a share at once, and four units and one
 		// in hand for each instance.
-		report.Draws(processes, quotas, quota*3/10+5*int64(len(f.hosts)), 500_000, 2_000_000, 10_000_000)
+		report.CheckDraws(processes, quotas, quota*3/10+5*int64(len(f.hosts)), 500_000, 2_000_000, 10_000_000)
 		for _, breach := range report.Breaches {
 			f.t.Error(breach)
 		}
 		if report.Drawn == 0 {
 			f.t.Errorf("%s: nothing was drawn", name)
 		}
-		f.t.Logf("%s: %d units drawn under %d grants, shares in force at most %.3f of the quota", name, report.Drawn, report.Grants, report.Most)
+		f.t.Logf("%s: %d units drawn under %d grants, shares in force at most %.3f of the quota", name, report.Drawn, report.Grants, report.Peak)
 	}
 }
