--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -81,7 +81,7 @@
 // TestSpecErrorSubjectsOfHosts: hosts that can't take part, for what other forms of the file ask, are named.
 func TestSpecErrorSubjectsOfHosts(t *testing.T) {
 	bounds := limits.ForControl()
-	bounds.Names = 1
+	bounds.Instances = 1
 	_, err := ReadSpec("fleet.sx", []byte(`(fleet f (host h1 (agent "unix:/a") (peer 127.0.0.1:1)) (host h2 (agent "unix:/b"))
 		(group g (host h1) (config "%n") (instances a b)) (budgets (ledger h1) (budget q (count 1))))`), bounds)
 	named := make([]SpecSubject, 0, 2)
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -68,7 +68,7 @@
 	for _, g := range f.All("group") {
 		r.readGroup(g, filepath.Dir(file))
 	}
-	r.checkInstanceCounts(f, b.Names)
+	r.checkInstanceCounts(f, b.Instances)
 	if w := f.Field("wave"); w != nil {
 		s.RollingUpdateQuota = w.Text("budget", "")
 		s.RollingUpdate = readRollingUpdate(w, s.RollingUpdate)
