--- a/internal/ratelimitlog/logger.go
+++ b/internal/ratelimitlog/logger.go
@@ -1,4 +1,4 @@
-// Package ratelimitlog logs what peers should not have sent, without letting them fill the log.
+// Package ratelimitlog logs protocol violations of peers at a bounded rate, so that they cannot fill the log.
 package ratelimitlog
 
 import (
@@ -8,36 +8,38 @@
 	"time"
 )
 
-// Logger counts odd input by kind and logs one line of a kind in a while, with how many there were since.
+// Logger counts violations by kind, and logs at most one line of each kind per interval, with the count since the line before.
+// It is safe for use by several goroutines.
 type Logger struct {
-	quiet time.Duration
-	mu    sync.Mutex
-	kinds map[string]*entry
+	interval time.Duration
+	mu       sync.Mutex
+	kinds    map[string]*entry
 }
 
+// entry is the state of one kind.
 type entry struct {
-	count  int
-	logged time.Time
+	count    int
+	loggedAt time.Time
 }
 
-// New makes a tally that is quiet for so long between two lines of a kind.
-func New(quiet time.Duration) *Logger {
-	return &Logger{quiet: quiet, kinds: map[string]*entry{}}
+// New makes a logger with this interval between two lines of a kind.
+func New(interval time.Duration) *Logger {
+	return &Logger{interval: interval, kinds: map[string]*entry{}}
 }
 
-// Warn counts one; the error, which may be nil, is logged with the line if there is one. Kinds are few and of
-// this program's choice: they are kept for ever.
-func (t *Logger) Warn(kind string, err error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	e := t.kinds[kind]
+// Warn counts a violation. If a line of its kind is due, it is logged with the error, which may be nil. Kinds have to be few,
+// and never chosen by a peer: they stay in memory.
+func (l *Logger) Warn(kind string, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.kinds[kind]
 	if e == nil {
 		e = &entry{}
-		t.kinds[kind] = e
+		l.kinds[kind] = e
 	}
 	e.count++
-	if now := time.Now(); now.Sub(e.logged) >= t.quiet {
+	if now := time.Now(); now.Sub(e.loggedAt) >= l.interval {
 		slog.Warn("protocol_error", "kind", kind, "count", e.count, "error", fmt.Sprint(err))
-		e.count, e.logged = 0, now
+		e.count, e.loggedAt = 0, now
 	}
 }
