--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -102,7 +102,7 @@
 	maxResponse := maxResponseFactor * int64(c.factory.bounds.MessageSize)
 	err = jsonhttp.Call(ctx, c.http, method, path, body, into, maxResponse)
 	if rejection, ok := errors.AsType[*jsonhttp.StatusError](err); ok {
-		return rejection.Code == http.StatusServiceUnavailable, newStatusError(rejection.Code, []byte(rejection.Text))
+		return rejection.Code == http.StatusServiceUnavailable, newStatusError(rejection.Code, []byte(rejection.Message))
 	}
 	return err != nil, err
 }
--- a/internal/cluster/quotastore/api.go
+++ b/internal/cluster/quotastore/api.go
@@ -80,7 +80,7 @@
 		last = fmt.Errorf("%s: %w", next, err)
 		var other notLeader
 		if no, ok := errors.AsType[*jsonhttp.StatusError](err); ok && no.Code == http.StatusMisdirectedRequest {
-			_ = json.Unmarshal([]byte(no.Text), &other)
+			_ = json.Unmarshal([]byte(no.Message), &other)
 		}
 		next = other.Leader
 	}
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,5 +1,4 @@
-// Package jsonhttp makes calls with JSON over HTTP to programs of this machine, for all that do so here. It holds no
-// words of its own and makes no call twice.
+// Package jsonhttp makes calls with JSON over HTTP, over Unix sockets or TCP. It does not retry.
 package jsonhttp
 
 import (
@@ -18,53 +17,53 @@
 // StatusError is a response of a status other than 2xx.
 type StatusError struct {
 	Code int
-	Text string // at most 4 KB
+	Message string // at most 4 KB
 }
 
-func (s *StatusError) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Text) }
+func (s *StatusError) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Message) }
 
-// Client speaks to one address: unix:PATH, or a host and a port. It sets no time limit of its own: calls have
-// that of their context.
+// Client returns a client of one address: unix:PATH, or a host and a port. Connecting is bounded by b.CallTimeout; a call has no
+// other deadline than that of its context.
 func Client(address string, b limits.Control) *http.Client {
-	network, to := "tcp", address
+	network, target := "tcp", address
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
-		network, to = "unix", path
+		network, target = "unix", path
 	}
 	return &http.Client{Transport: &http.Transport{
 		MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: b.IdleTimeout,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return (&net.Dialer{Timeout: b.CallTimeout}).DialContext(ctx, network, to)
+			return (&net.Dialer{Timeout: b.CallTimeout}).DialContext(ctx, network, target)
 		},
 	}}
 }
 
-// Call makes one call; body and into may be nil. A response of another status than 2xx is a *StatusError. Of an answer at most so many
-// bytes are read.
-func Call(ctx context.Context, c *http.Client, method, path string, body, into any, most int64) error {
-	var raw []byte
+// Call makes one call; body and into may be nil. At most maxBytes of the response are read. A response of another status than 2xx
+// is a *StatusError.
+func Call(ctx context.Context, c *http.Client, method, path string, body, into any, maxBytes int64) error {
+	var encoded []byte
 	if body != nil {
 		var err error
-		if raw, err = json.Marshal(body); err != nil {
+		if encoded, err = json.Marshal(body); err != nil {
 			return err
 		}
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://local"+path, bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, method, "http://local"+path, bytes.NewReader(encoded))
 	if err != nil {
 		return err
 	}
-	a, err := c.Do(q)
+	response, err := c.Do(request)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = a.Body.Close() }() // it was only read
-	if a.StatusCode/100 != 2 {
-		text, _ := io.ReadAll(io.LimitReader(a.Body, 4<<10))
-		return &StatusError{a.StatusCode, string(bytes.TrimSpace(text))}
+	defer func() { _ = response.Body.Close() }() // it was only read
+	if response.StatusCode/100 != 2 {
+		text, _ := io.ReadAll(io.LimitReader(response.Body, 4<<10))
+		return &StatusError{response.StatusCode, string(bytes.TrimSpace(text))}
 	}
 	if into == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(a.Body, most)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxBytes)).Decode(into); err != nil {
 		return fmt.Errorf("answer: %w", err)
 	}
 	return nil
--- a/internal/logging/logline_test.go
+++ b/internal/logging/logging_test.go
@@ -14,29 +14,29 @@
 	"milletbarrow/internal/limits"
 )
 
-// stuck is a pipe that nobody reads until it is let go.
-type stuck struct {
-	gate chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+// blockedWriter is a pipe that nobody reads until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.gate
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
 }
 
-// TestNobodyReads: who logs is never held up; what was lost is counted, and nothing is lost twice or in silence.
-func TestNobodyReads(t *testing.T) {
-	s := &stuck{gate: make(chan struct{})}
+// TestUnreadLogDropsLines: logging never blocks though nobody reads; dropped lines are counted once each.
+func TestUnreadLogDropsLines(t *testing.T) {
+	s := &blockedWriter{unblock: make(chan struct{})}
 	end := Start(s, Text)
 	const written = 3 * limits.LogLines
 	for i := range written {
 		slog.Info("one", "i", i) // returns, though nobody reads
 	}
-	close(s.gate)
+	close(s.unblock)
 	end()
 	lines := strings.Split(strings.TrimSpace(s.text.String()), "\n")
 	var came, lost, n int
@@ -52,11 +52,11 @@
 		}
 	}
 	if came < limits.LogLines || lost == 0 || came+lost != written {
-		t.Fatalf("%d came, %d are told of as lost, %d were written", came, lost, written)
+		t.Fatalf("%d lines were read, %d counted as dropped, %d logged", came, lost, written)
 	}
 }
 
-// TestFormats: the same event in both forms.
+// TestFormats: the same event in both formats.
 func TestFormats(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, f := range []Format{Text, JSON} {
--- a/internal/process/proc_test.go
+++ b/internal/process/process_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestIdentity: a process that ended, a zombie and a pid that is another's by now get no signal.
+// TestIdentity: a process that has ended, a zombie and a reused pid get no signal.
 func TestIdentity(t *testing.T) {
 	cmd := exec.Command("sleep", "60")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -21,10 +21,10 @@
 	}
 	other := Identity{id.PID, id.Start + 1}
 	if err := other.Signal(syscall.SIGKILL); !errors.Is(err, ErrGone) {
-		t.Errorf("a pid given away: %v", err)
+		t.Errorf("a reused pid: %v", err)
 	}
 	if err := other.KillGroup(); !errors.Is(err, ErrGone) || !id.Alive() {
-		t.Errorf("a group given away: %v", err)
+		t.Errorf("a reused group id: %v", err)
 	}
 	if err := id.Signal(syscall.SIGSTOP); err != nil || !id.Alive() {
 		t.Errorf("stopped: %v, alive %t", err, id.Alive())
--- a/internal/sexpr/form.go
+++ b/internal/sexpr/form.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Form reads a list whose first word names it: (name argument... (field ...)...). What it is asked for and does
-// not find, or finds out of bounds, goes to its Errors; the reading goes on with the default.
+// Form decodes a list whose first word names it: (name argument... (field ...)...). A field that is missing has its default. One
+// that is malformed or out of range adds an error to the form's Errors, and decoding goes on with the default.
 type Form struct {
 	Place
 	Name   string
 	path   string
 	args   []Node
 	fields []Node
-	asked  map[string]bool
+	known  map[string]bool // names that were decoded, found or not
 	errs   *Errors
 }
 
-// Forms opens each of the nodes of a file as a form.
+// Forms returns the nodes of a file as forms. A node that is not a list with a name is an error.
 func Forms(nodes []Node, errs *Errors) (forms []*Form) {
 	for _, n := range nodes {
 		if f := open(n, "", errs); f != nil {
@@ -30,12 +30,13 @@
 	return forms
 }
 
+// open returns a node as a form; nil, and an error, if it is not a list with a name.
 func open(n Node, path string, errs *Errors) *Form {
 	if n.Kind != List || len(n.Items) == 0 || n.Items[0].Kind != Word {
 		errs.Add(n.Place, path, "found %v, wanted a list that begins with a word", n.Kind)
 		return nil
 	}
-	f := &Form{Place: n.Place, Name: n.Items[0].Value, errs: errs, asked: map[string]bool{}}
+	f := &Form{Place: n.Place, Name: n.Items[0].Value, errs: errs, known: map[string]bool{}}
 	f.path = strings.TrimPrefix(path+"."+f.Name, ".")
 	for _, item := range n.Items[1:] {
 		if item.Kind == List {
@@ -47,7 +48,7 @@
 	return f
 }
 
-// Fail notes an error about the whole form, or about one of its fields.
+// Fail adds an error about the form, or about one of its fields.
 func (f *Form) Fail(field, format string, args ...any) {
 	at, path := f.Place, f.path
 	if field != "" {
@@ -61,14 +62,14 @@
 	f.errs.Add(at, path, format, args...)
 }
 
-// Args are the form's words and texts; there must be from least to most of them.
-func (f *Form) Args(least, most int) []string {
-	if n := len(f.args); n < least || n > most {
-		wanted := strconv.Itoa(least)
-		if most == math.MaxInt {
+// Args returns the form's words and texts; a number of them outside minimum and maximum is an error.
+func (f *Form) Args(minimum, maximum int) []string {
+	if n := len(f.args); n < minimum || n > maximum {
+		wanted := strconv.Itoa(minimum)
+		if maximum == math.MaxInt {
 			wanted += " or more"
-		} else if most > least {
-			wanted += " to " + strconv.Itoa(most)
+		} else if maximum > minimum {
+			wanted += " to " + strconv.Itoa(maximum)
 		}
 		f.errs.Add(f.Place, f.path, "found %d words, wanted %s", n, wanted)
 	}
@@ -79,7 +80,7 @@
 	return all
 }
 
-// Arg is the form's only word; an empty one is an error.
+// Arg returns the form's only word or text; an empty one is an error.
 func (f *Form) Arg() string {
 	all := f.Args(1, 1)
 	if len(all) == 0 {
@@ -91,9 +92,9 @@
 	return all[0]
 }
 
-// All opens each field of that name.
+// All returns each field of that name.
 func (f *Form) All(name string) (forms []*Form) {
-	f.asked[name] = true
+	f.known[name] = true
 	for _, n := range f.fields {
 		if len(n.Items) > 0 && n.Items[0].Kind == Word && n.Items[0].Value == name {
 			if sub := open(n, f.path, f.errs); sub != nil {
@@ -104,7 +105,7 @@
 	return forms
 }
 
-// Field opens the field of that name, which may stand once; nil if it is not there.
+// Field returns the field of that name, nil if there is none. A second one is an error.
 func (f *Form) Field(name string) *Form {
 	all := f.All(name)
 	if len(all) == 0 {
@@ -116,8 +117,8 @@
 	return all[0]
 }
 
-// only opens a field that holds nothing but words.
-func (f *Form) only(name string) *Form {
+// leaf returns a field that has no fields itself.
+func (f *Form) leaf(name string) *Form {
 	sub := f.Field(name)
 	if sub != nil {
 		sub.Done()
@@ -125,25 +126,25 @@
 	return sub
 }
 
-// Text is a field of one word or text; or as given.
-func (f *Form) Text(name, or string) string {
-	if sub := f.only(name); sub != nil {
+// Text decodes a field of one word or text.
+func (f *Form) Text(name, fallback string) string {
+	if sub := f.leaf(name); sub != nil {
 		return sub.Arg()
 	}
-	return or
+	return fallback
 }
 
-// Words is a field of words.
+// Words decodes a field of one or more words; nil if there is none.
 func (f *Form) Words(name string) []string {
-	if sub := f.only(name); sub != nil {
+	if sub := f.leaf(name); sub != nil {
 		return sub.Args(1, math.MaxInt)
 	}
 	return nil
 }
 
-// OneOf is a field that holds one of these words; or the first of them.
+// OneOf decodes a field that holds one of these words; the first is the default.
 func (f *Form) OneOf(name string, words ...string) string {
-	sub := f.only(name)
+	sub := f.leaf(name)
 	if sub == nil {
 		return words[0]
 	}
@@ -154,57 +155,57 @@
 	return words[0]
 }
 
-// Int is a field of a whole number from least to most; or as given.
-func (f *Form) Int(name string, least, most, or int) int {
-	sub := f.only(name)
+// Int decodes a field of an integer from minimum to maximum.
+func (f *Form) Int(name string, minimum, maximum, fallback int) int {
+	sub := f.leaf(name)
 	if sub == nil {
-		return or
+		return fallback
 	}
 	word := sub.Arg()
 	n, err := strconv.Atoi(word)
-	if err != nil || n < least || n > most {
-		sub.errs.Add(sub.Place, sub.path, "found %q, wanted a whole number from %d to %d", word, least, most)
-		return or
+	if err != nil || n < minimum || n > maximum {
+		sub.errs.Add(sub.Place, sub.path, "found %q, wanted a whole number from %d to %d", word, minimum, maximum)
+		return fallback
 	}
 	return n
 }
 
-// Share is a field of a number from least to most; or as given.
-func (f *Form) Share(name string, least, most, or float64) float64 {
-	sub := f.only(name)
+// Share decodes a field of a number from minimum to maximum.
+func (f *Form) Share(name string, minimum, maximum, fallback float64) float64 {
+	sub := f.leaf(name)
 	if sub == nil {
-		return or
+		return fallback
 	}
 	word := sub.Arg()
 	x, err := strconv.ParseFloat(word, 64)
-	if err != nil || !(x >= least && x <= most) {
-		sub.errs.Add(sub.Place, sub.path, "found %q, wanted a number from %v to %v", word, least, most)
-		return or
+	if err != nil || !(x >= minimum && x <= maximum) {
+		sub.errs.Add(sub.Place, sub.path, "found %q, wanted a number from %v to %v", word, minimum, maximum)
+		return fallback
 	}
 	return x
 }
 
-// Span is a field of a length of time such as 250ms or 1m30s, from least to most; or as given.
-func (f *Form) Span(name string, least, most, or time.Duration) time.Duration {
-	sub := f.only(name)
+// Span decodes a field of a duration such as 250ms or 1m30s, from minimum to maximum.
+func (f *Form) Span(name string, minimum, maximum, fallback time.Duration) time.Duration {
+	sub := f.leaf(name)
 	if sub == nil {
-		return or
+		return fallback
 	}
 	word := sub.Arg()
 	d, err := time.ParseDuration(word)
-	if err != nil || d < least || d > most {
-		sub.errs.Add(sub.Place, sub.path, "found %q, wanted a time from %v to %v, such as 250ms or 1m30s", word, least, most)
-		return or
+	if err != nil || d < minimum || d > maximum {
+		sub.errs.Add(sub.Place, sub.path, "found %q, wanted a time from %v to %v, such as 250ms or 1m30s", word, minimum, maximum)
+		return fallback
 	}
 	return d
 }
 
-// Done tells of fields that nothing asked for.
+// Done adds an error for each field that was not decoded before: fields that nobody knows.
 func (f *Form) Done() {
 	for _, n := range f.fields {
-		if sub := open(n, f.path, f.errs); sub != nil && !f.asked[sub.Name] {
-			known := make([]string, 0, len(f.asked))
-			for name := range f.asked {
+		if sub := open(n, f.path, f.errs); sub != nil && !f.known[sub.Name] {
+			known := make([]string, 0, len(f.known))
+			for name := range f.known {
 				known = append(known, name)
 			}
 			slices.Sort(known)
--- a/internal/sexpr/sexp.go
+++ b/internal/sexpr/parse.go
@@ -1,10 +1,10 @@
-// Package sexpr reads the files that people write: S-expressions with the place of every word, so that an error
-// can say where, what was found and what was wanted. It does no I/O and knows no file's meaning.
+// Package sexpr parses configuration files written as S-expressions. Each node has its line and column, so that an error can say
+// where it is, what was found and what was wanted. It does no I/O and knows no file's meaning.
 //
 //	; a comment runs to the end of its line
 //	(group counter (instances n1 n2) (settle 2s) (label "front row"))
 //
-// A word is a run of characters other than space, brackets, quotes and semicolons. Text stands in double quotes,
+// A word is a sequence of characters other than space, brackets, quotes and semicolons. Text is in double quotes,
 // where \" \\ \n and \t are escapes.
 package sexpr
 
@@ -15,15 +15,15 @@
 	"unicode/utf8"
 )
 
-// What a file may hold at the most; beyond it Parse gives an error and keeps nothing.
+// Limits of a file; beyond them Parse returns an error and no nodes. MaxBytes and MaxText are in bytes.
 const (
-	MostBytes = 1 << 20
-	MostDepth = 32
-	MostNodes = 200_000
-	MostText  = 4 << 10
+	MaxBytes = 1 << 20
+	MaxDepth = 32
+	MaxNodes = 200_000
+	MaxText  = 4 << 10
 )
 
-// Kind is what a node is.
+// Kind is the kind of a node.
 type Kind int
 
 // The kinds.
@@ -35,7 +35,7 @@
 
 func (k Kind) String() string { return [...]string{"a list", "a word", "text"}[k] }
 
-// Place is where something stands; both count from 1, columns in characters.
+// Place is a position in a file; both count from 1, columns in characters.
 type Place struct{ Line, Column int }
 
 // Node is a list, a word or text.
@@ -46,12 +46,12 @@
 	Items []Node // of a list
 }
 
-// Error is one thing that is wrong, and where.
+// Error is one error in a file, with its position.
 type Error struct {
 	File string
 	Place
-	Field string // the path to it, such as fleet.group.settle; may be empty
-	What  string
+	Field   string // the path of the field, such as fleet.group.settle; may be empty
+	Message string
 }
 
 func (e *Error) Error() string {
@@ -59,14 +59,14 @@
 	if e.Field != "" {
 		field = e.Field + ": "
 	}
-	return fmt.Sprintf("%s:%d:%d: %s%s", e.File, e.Line, e.Column, field, e.What)
+	return fmt.Sprintf("%s:%d:%d: %s%s", e.File, e.Line, e.Column, field, e.Message)
 }
 
-// Parse reads all of src; file is its name in errors. The error is an *Error.
+// Parse parses all of src; file is its name in errors. The error is an *Error.
 func Parse(file string, src []byte) ([]Node, error) {
 	p := parser{file: file, src: src, at: Place{1, 1}}
-	if len(src) > MostBytes {
-		return nil, p.fail(p.at, "%d bytes, at most %d can be read", len(src), MostBytes)
+	if len(src) > MaxBytes {
+		return nil, p.fail(p.at, "%d bytes, at most %d can be read", len(src), MaxBytes)
 	}
 	nodes, err := p.list(0, Place{})
 	if err != nil {
@@ -75,19 +75,20 @@
 	return nodes, nil
 }
 
+// parser is at one position of a file.
 type parser struct {
 	file  string
 	src   []byte
-	next  int
+	next  int // offset of the next byte
 	at    Place
-	nodes int
+	nodes int // parsed so far
 }
 
 func (p *parser) fail(at Place, format string, args ...any) error {
-	return &Error{File: p.file, Place: at, What: fmt.Sprintf(format, args...)}
+	return &Error{File: p.file, Place: at, Message: fmt.Sprintf(format, args...)}
 }
 
-// peek tells the next character; size is 0 at the end.
+// peek returns the next character and its size in bytes, which is 0 at the end.
 func (p *parser) peek() (r rune, size int) {
 	if p.next >= len(p.src) {
 		return 0, 0
@@ -95,14 +96,15 @@
 	return utf8.DecodeRune(p.src[p.next:])
 }
 
-func (p *parser) step(r rune, size int) {
+// advance moves behind a character.
+func (p *parser) advance(r rune, size int) {
 	p.next += size
 	if p.at.Column++; r == '\n' {
 		p.at = Place{p.at.Line + 1, 1}
 	}
 }
 
-// list reads nodes up to the closing bracket, or at depth 0 to the end.
+// list parses nodes up to the closing bracket, or at depth 0 up to the end.
 func (p *parser) list(depth int, opened Place) (nodes []Node, err error) {
 	for {
 		r, size := p.peek()
@@ -115,27 +117,27 @@
 		case r == ')' && depth == 0:
 			return nil, p.fail(start, "a closing bracket without an opening one")
 		case r == ')':
-			p.step(r, size)
+			p.advance(r, size)
 			return nodes, nil
 		case r == ' ' || r == '\t' || r == '\n' || r == '\r':
-			p.step(r, size)
+			p.advance(r, size)
 			continue
 		case r == ';':
 			for ; size > 0 && r != '\n'; r, size = p.peek() {
-				p.step(r, size)
+				p.advance(r, size)
 			}
 			continue
 		}
-		if p.nodes++; p.nodes > MostNodes {
-			return nil, p.fail(start, "more than %d words and lists", MostNodes)
+		if p.nodes++; p.nodes > MaxNodes {
+			return nil, p.fail(start, "more than %d words and lists", MaxNodes)
 		}
 		n := Node{Place: start}
 		switch r {
 		case '(':
-			if depth >= MostDepth {
-				return nil, p.fail(start, "lists more than %d deep", MostDepth)
+			if depth >= MaxDepth {
+				return nil, p.fail(start, "lists more than %d deep", MaxDepth)
 			}
-			p.step(r, size)
+			p.advance(r, size)
 			n.Items, err = p.list(depth+1, start)
 		case '"':
 			n.Kind = Text
@@ -151,25 +153,28 @@
 	}
 }
 
+// word parses a word up to the character that ends it.
 func (p *parser) word() (string, error) {
 	start, from := p.at, p.next
 	for r, size := p.peek(); size > 0 && !strings.ContainsRune(" \t\r\n()\";", r); r, size = p.peek() {
 		if r < ' ' || r == 0x7f || r == utf8.RuneError && size == 1 {
 			return "", p.fail(p.at, "a character that can't stand in a word: %q", p.src[p.next])
 		}
-		p.step(r, size)
+		p.advance(r, size)
 	}
-	if p.next-from > MostText {
-		return "", p.fail(start, "a word of %d bytes, at most %d can be read", p.next-from, MostText)
+	if p.next-from > MaxText {
+		return "", p.fail(start, "a word of %d bytes, at most %d can be read", p.next-from, MaxText)
 	}
 	return string(p.src[from:p.next]), nil
 }
 
+// escapes are the characters that stand for themselves or for white space after a backslash.
 var escapes = map[rune]rune{'"': '"', '\\': '\\', 'n': '\n', 't': '\t'}
 
+// text parses a quoted text.
 func (p *parser) text() (string, error) {
 	start := p.at
-	p.step('"', 1)
+	p.advance('"', 1)
 	var b strings.Builder
 	for {
 		r, size := p.peek()
@@ -182,7 +187,7 @@
 			return "", p.fail(p.at, "a character that can't stand in text: %q", p.src[p.next])
 		}
 		at := p.at
-		p.step(r, size)
+		p.advance(r, size)
 		if r == '"' {
 			return b.String(), nil
 		}
@@ -191,15 +196,15 @@
 			if r = escapes[c]; r == 0 {
 				return "", p.fail(at, `\%c is no escape; \" \\ \n \t are`, c)
 			}
-			p.step(c, size)
+			p.advance(c, size)
 		}
-		if b.WriteRune(r); b.Len() > MostText {
-			return "", p.fail(start, "text of more than %d bytes", MostText)
+		if b.WriteRune(r); b.Len() > MaxText {
+			return "", p.fail(start, "text of more than %d bytes", MaxText)
 		}
 	}
 }
 
-// Quote writes text so that Parse reads it back; a plain word stays one.
+// Quote formats text so that Parse reads it back: as a word where it can be one, else in quotes.
 func Quote(s string) string {
 	plain := s != "" && utf8.ValidString(s) && !strings.ContainsFunc(s, func(r rune) bool {
 		return r <= ' ' || r == 0x7f || strings.ContainsRune(`()";`, r)
@@ -214,7 +219,7 @@
 	return `"` + strings.NewReplacer(`"`, `\"`, `\`, `\\`, "\n", `\n`, "\t", `\t`).Replace(s) + `"`
 }
 
-// String writes the node on one line.
+// String formats the node on one line, as Parse reads it.
 func (n Node) String() string {
 	switch n.Kind {
 	case Word:
@@ -229,21 +234,21 @@
 	return "(" + strings.Join(parts, " ") + ")"
 }
 
-// Errors gathers what is wrong with a file, so that all of it is told at once.
+// Errors collects the errors of a file, so that all are reported together.
 type Errors struct {
 	File string
 	list []error
 }
 
-// mostErrors: more than this says nothing more.
-const mostErrors = 20
+// maxErrors is how many errors are reported of one file.
+const maxErrors = 20
 
-// Add notes an error at a place.
+// Add adds an error at a position; further ones than maxErrors are dropped.
 func (e *Errors) Add(at Place, field, format string, args ...any) {
-	if len(e.list) < mostErrors {
+	if len(e.list) < maxErrors {
 		e.list = append(e.list, &Error{e.File, at, field, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Err is nil if nothing is wrong.
+// Err returns all errors joined, each an *Error; nil if there is none.
 func (e *Errors) Err() error { return errors.Join(e.list...) }
--- a/internal/sexpr/sexp_test.go
+++ b/internal/sexpr/parse_test.go
@@ -9,7 +9,7 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestErrors: each says where it is, what was found and what was wanted.
+// TestErrors: each error says where it is, what was found and what was wanted.
 func TestErrors(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, src := range []string{
@@ -35,8 +35,8 @@
 	}
 }
 
-// FuzzParse: nothing that is read makes it panic, errors have a place within the input, and what it read and
-// wrote again reads the same.
+// FuzzParse: no input makes Parse panic, errors have a position within the input, and formatted nodes are parsed to the same
+// nodes.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"(a b (c \"d\\n\") ; e\n)", "((((", "\"", "(\xff)", "a(b)c\"d\"e;f"} {
 		f.Add([]byte(s))
