--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -16,7 +16,7 @@
 
 // StatusError is a response of a status other than 2xx.
 type StatusError struct {
-	Code int
+	Code    int
 	Message string // at most 4 KB
 }
 
