--- a/internal/backend/executor/protocol.go
+++ b/internal/backend/executor/protocol.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
-	"fmt"
 	"math"
 	"strconv"
 
@@ -40,11 +38,6 @@
 	"cancelled": dispatch.RunCancelled, "unknown": dispatch.NeverRan,
 }
 
-var (
-	errWordCount        = errors.New("too few words, or too many")
-	errControlCharacter = errors.New("a control character within the line")
-)
-
 // words are the words of a line that have not been taken.
 type words struct{ rest []byte }
 
@@ -78,7 +71,7 @@
 		n.number, _ = strconv.ParseUint(string(w.next()), 10, 64)
 		return n, nil
 	default:
-		return n, fmt.Errorf("unknown word %.20q", word)
+		return n, &valueError{"unknown word", string(word)}
 	}
 	if err == nil && len(w.rest) > 0 {
 		err = errWordCount
@@ -94,7 +87,7 @@
 		n.cold = true
 	case "hot":
 	default:
-		return fmt.Errorf("greeting: state %.20q", state)
+		return &valueError{"greeting: state", string(state)}
 	}
 	n.micros, err = micros(w.next())
 	return err
@@ -105,7 +98,7 @@
 	n.kind = outcome
 	if n.number, err = strconv.ParseUint(string(w.next()), 10, 64); err != nil || n.number == 0 {
 		n.number = 0
-		return errors.New("outcome: no number")
+		return errNoNoticeNumber
 	}
 	if n.id = w.next(); len(n.id) == 0 {
 		return errWordCount
@@ -113,14 +106,14 @@
 	word := w.next()
 	end, known := ends[string(word)]
 	if n.end = end; !known {
-		return fmt.Errorf("outcome: end %.20q", word)
+		return &valueError{"outcome: end", string(word)}
 	}
 	if n.micros, err = micros(w.next()); err != nil {
 		return err
 	}
 	if n.length, err = strconv.Atoi(string(w.next())); err != nil || n.length < 0 {
 		n.length = 0
-		return errors.New("outcome: no length")
+		return errNoLength
 	}
 	return nil
 }
@@ -132,7 +125,7 @@
 	for len(w.rest) > 0 {
 		x, err := strconv.ParseFloat(string(w.next()), 64)
 		if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			return errors.New("sampled: not a number")
+			return errGaugeNotNumber
 		}
 		n.gauges = append(n.gauges, x)
 	}
@@ -146,7 +139,7 @@
 func micros(word []byte) (dispatch.Micros, error) {
 	ms, err := strconv.ParseFloat(string(word), 64)
 	if err != nil || !(ms >= 0 && ms < 1e12) {
-		return 0, fmt.Errorf("not a time: %.20q", word)
+		return 0, &valueError{"not a time:", string(word)}
 	}
 	return dispatch.Micros(math.Round(ms * 1000)), nil
 }
--- a/internal/backend/executor/read.go
+++ b/internal/backend/executor/read.go
@@ -1,7 +1,6 @@
 package executor
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -11,11 +10,6 @@
 	"milletbarrow/internal/backend/dispatch"
 )
 
-var (
-	errLineTooLong = errors.New("a line without an end")
-	errNoCRLF      = errors.New("no CR LF at the end")
-)
-
 // reader reads lines and results from a connection. What it returns are slices of its buffer, valid until the next call.
 type reader struct {
 	conn     net.Conn
@@ -111,7 +105,7 @@
 			if n.kind == outcome {
 				l.failUnreadable(n.number, string(n.id))
 			}
-			return greeted, fmt.Errorf("cannot read %.60q: %w", text, err)
+			return greeted, &lineError{line: string(text), err: err}
 		}
 		switch n.kind {
 		case greeting:
--- a/internal/backend/frame/client.go
+++ b/internal/backend/frame/client.go
@@ -1,8 +1,6 @@
 package frame
 
 import (
-	"errors"
-	"fmt"
 	"strconv"
 
 	"milletbarrow/admission"
@@ -61,7 +59,7 @@
 // ReadAnswer reads the payload of an answer's frame.
 func ReadAnswer(p []byte) (a Answer, err error) {
 	if len(p) < 2 {
-		return a, errCut
+		return a, ErrTruncated
 	}
 	a.Code = Code(p[0])
 	a.Body, err = eachField(p[1:], func(name, value []byte) error {
@@ -69,7 +67,7 @@
 		case "after":
 			ms, err := strconv.ParseInt(string(value), 10, 32)
 			if err != nil || ms < 0 {
-				return fmt.Errorf("after %q", value)
+				return &retryAfterError{string(value)}
 			}
 			a.After = admission.Micros(ms) * 1000
 		case "last":
@@ -90,7 +88,7 @@
 		return h, nil, 0, err
 	}
 	if n < HeaderSize-LengthSize {
-		return h, nil, 0, errors.New("a frame without a head")
+		return h, nil, 0, ErrNoHeader
 	}
 	if len(b) < LengthSize+n {
 		return h, nil, 0, nil
--- a/internal/backend/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -4,8 +4,6 @@
 
 import (
 	"encoding/binary"
-	"errors"
-	"fmt"
 	"math"
 	"strconv"
 
@@ -60,7 +58,7 @@
 func Length(b []byte, most int) (int, error) {
 	n := binary.BigEndian.Uint32(b)
 	if n < lengthMin || int64(n) > int64(most) {
-		return 0, fmt.Errorf("frame length %d", n)
+		return 0, &LengthError{Length: n}
 	}
 	return int(n), nil
 }
@@ -104,8 +102,6 @@
 	needed = hasClass | hasID | hasAt | hasKB | hasRank
 )
 
-var errCut = errors.New("cut short")
-
 // ReadInvocation reads the payload of an invocation's frame. Fields that it does not know are skipped. Its slices are of p.
 func ReadInvocation(p []byte, bodyMost int) (Invocation, error) {
 	var inv Invocation
@@ -113,7 +109,7 @@
 	rest, err := eachField(p, func(name, value []byte) error {
 		bit, err := inv.setField(name, value)
 		if err == nil && seen&bit != 0 {
-			err = errors.New("stands twice")
+			err = ErrDuplicateField
 		}
 		seen |= bit
 		return err
@@ -122,9 +118,9 @@
 	case err != nil:
 		return inv, err
 	case seen&needed != needed:
-		return inv, errors.New("a field is missing")
+		return inv, ErrMissingField
 	case len(rest) > bodyMost:
-		return inv, fmt.Errorf("body of %d bytes", len(rest))
+		return inv, &BodySizeError{Size: len(rest)}
 	}
 	inv.Body = rest
 	return inv, nil
@@ -138,7 +134,7 @@
 	case "id":
 		bit, inv.ID = hasID, value
 		if !isID(value) {
-			err = errors.New("not 16 hex digits")
+			err = ErrInvalidID
 		}
 	case "at":
 		bit = hasAt
@@ -160,12 +156,12 @@
 	case "kb":
 		bit = hasKB
 		if inv.KB, err = number(value, kbMost); err == nil && (inv.KB == 0 || inv.KB == kbMost) {
-			err = errors.New("out of range")
+			err = ErrOutOfRange
 		}
 	case "rank":
 		bit = hasRank
 		if inv.Rank, err = number(value, 1); err == nil && inv.Rank == 1 {
-			err = errors.New("out of range")
+			err = ErrOutOfRange
 		}
 	case "key":
 		bit, inv.HasKey = hasKey, true
@@ -184,21 +180,21 @@
 // eachField calls do for each field and returns what follows the last.
 func eachField(p []byte, do func(name, value []byte) error) ([]byte, error) {
 	if len(p) < 1 {
-		return nil, errCut
+		return nil, ErrTruncated
 	}
 	count, p := int(p[0]), p[1:]
 	for range count {
 		if len(p) < 1 || len(p) < 1+int(p[0])+2 {
-			return nil, errCut
+			return nil, ErrTruncated
 		}
 		name := p[1 : 1+int(p[0])]
 		p = p[1+len(name):]
 		size := int(binary.BigEndian.Uint16(p))
 		if len(p) < 2+size {
-			return nil, errCut
+			return nil, ErrTruncated
 		}
 		if err := do(name, p[2:2+size]); err != nil {
-			return nil, fmt.Errorf("field %.20q: %w", name, err)
+			return nil, &FieldError{Field: string(name), Err: err}
 		}
 		p = p[2+size:]
 	}
@@ -217,19 +213,19 @@
 // number reads plain decimal digits with at most one point; what is beyond most is out of range.
 func number(b []byte, most float64) (float64, error) {
 	if len(b) == 0 || len(b) > 32 {
-		return 0, errors.New("not a number")
+		return 0, ErrNotNumber
 	}
 	for _, c := range b {
 		if (c < '0' || c > '9') && c != '.' {
-			return 0, errors.New("not a number")
+			return 0, ErrNotNumber
 		}
 	}
 	x, err := strconv.ParseFloat(string(b), 64)
 	if err != nil {
-		return 0, errors.New("not a number")
+		return 0, ErrNotNumber
 	}
 	if x > most {
-		return 0, errors.New("out of range")
+		return 0, ErrOutOfRange
 	}
 	return x, nil
 }
