--- a/internal/backend/executor/client.go
+++ b/internal/backend/executor/client.go
@@ -137,8 +137,8 @@
 func (l *Client) Run(ctx context.Context) {
 	dialer := net.Dialer{Timeout: l.bounds.DialTimeout}
 	pause := l.bounds.RedialMin
-	look := time.NewTicker(l.bounds.ExecutorSilence / 2)
-	defer look.Stop()
+	silenceCheck := time.NewTicker(l.bounds.ExecutorSilence / 2)
+	defer silenceCheck.Stop()
 dial:
 	for down := false; ctx.Err() == nil; {
 		l.mu.Lock()
@@ -146,20 +146,20 @@
 		l.mu.Unlock()
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
-			over := make(chan ending, 1)
+			ended := make(chan connectionEnd, 1)
 			first := l.subscribe(conn)
-			go func() { over <- l.serve(ctx, conn, first) }()
-			for held := true; held; {
+			go func() { ended <- l.serve(ctx, conn, first) }()
+			for connected := true; connected; {
 				select {
-				case end := <-over:
+				case end := <-ended:
 					if err = end.err; end.greeted {
 						pause, down = l.bounds.RedialMin, false
 					}
-					held = false
+					connected = false
 				case <-l.addressChanged: // this link goes on until the next has taken over, or the executor closes it
 					pause = l.bounds.RedialMin
 					continue dial
-				case <-look.C:
+				case <-silenceCheck.C:
 					if l.silent() { // likewise: it may be open at our side alone
 						slog.Warn("executor_silent")
 						continue dial
@@ -171,7 +171,7 @@
 			return
 		}
 		if !down {
-			slog.Warn("executor_lost", "runs", l.count(), "reason", fmt.Sprint(err))
+			slog.Warn("executor_lost", "runs", l.runsInFlight(), "reason", fmt.Sprint(err))
 			down = true
 		}
 		select {
@@ -184,14 +184,14 @@
 	}
 }
 
-func (l *Client) count() int {
+func (l *Client) runsInFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.runs)
 }
 
 // ending is how a link came to its end.
-type ending struct {
+type connectionEnd struct {
 	greeted bool
 	err     error
 }
@@ -248,7 +248,7 @@
 }
 
 // serve works one connection until it is over.
-func (l *Client) serve(ctx context.Context, conn net.Conn, first []byte) (end ending) {
+func (l *Client) serve(ctx context.Context, conn net.Conn, first []byte) (end connectionEnd) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	var writer sync.WaitGroup
--- a/internal/backend/executor/client_test.go
+++ b/internal/backend/executor/client_test.go
@@ -43,45 +43,45 @@
 }
 
 // keep holds a link to the executor until the test ends.
-func keep(t *testing.T, a *fakes.ScriptedExecutor) *Client {
+func connect(t *testing.T, a *fakes.ScriptedExecutor) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := New(a.Address, limits.For(1, 192, 1024), ratelimitlog.New(time.Hour), func(bool, dispatch.Micros) {})
-	over := make(chan struct{})
-	go func() { l.Run(ctx); close(over) }()
-	t.Cleanup(func() { cancel(); fakes.Take(t, "the link's end", over) })
+	done := make(chan struct{})
+	go func() { l.Run(ctx); close(done) }()
+	t.Cleanup(func() { cancel(); fakes.Take(t, "the link's end", done) })
 	return l
 }
 
 // story runs what the executor does with one run and prints how it ended.
-func story(tr *fakes.Trace, l *Client, a *fakes.ScriptedExecutor, id, what string, do func()) {
+func runOnce(tr *fakes.Trace, l *Client, a *fakes.ScriptedExecutor, id, name string, do func()) {
 	run := l.Launch(id, "look", []byte("body"))
 	fakes.Take(tr, "a launch", a.Launches)
 	do()
-	end := fakes.Take(tr, "the end of "+what, run.Done())
-	tr.Say("%s: end %d, %d bytes %.12q, runs left %d", what, end.End, len(end.Result), end.Result, l.count())
+	end := fakes.Take(tr, "the end of "+name, run.Done())
+	tr.Say("%s: end %d, %d bytes %.12q, runs left %d", name, end.End, len(end.Result), end.Result, l.runsInFlight())
 }
 
-func TestRuns(t *testing.T) {
+func TestRunOutcomes(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	id := func(n int) string { return fmt.Sprintf("%016x", n) }
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Until(t, "the link is up", l.Available)
-	story(tr, l, a, id(1), "complete", func() { a.End(id(1), "complete", "result\r\n") })
-	story(tr, l, a, id(2), "empty result", func() { a.End(id(2), "complete", "") })
-	story(tr, l, a, id(3), "largest result", func() { a.End(id(3), "complete", strings.Repeat("r", 4096)) })
-	story(tr, l, a, id(4), "result too long", func() { a.End(id(4), "complete", strings.Repeat("r", 9000)) })
-	story(tr, l, a, id(5), "error", func() { a.End(id(5), "error", "") })
-	story(tr, l, a, id(6), "unknown", func() { a.End(id(6), "unknown", "") })
-	story(tr, l, a, id(7), "cancelled", func() { a.End(id(7), "cancelled", "") })
-	story(tr, l, a, id(8), "refusal", func() { a.Send("refusal launch " + id(8) + "\r\n") })
-	story(tr, l, a, id(9), "in pieces", func() {
+	runOnce(tr, l, a, id(1), "complete", func() { a.End(id(1), "complete", "result\r\n") })
+	runOnce(tr, l, a, id(2), "empty result", func() { a.End(id(2), "complete", "") })
+	runOnce(tr, l, a, id(3), "largest result", func() { a.End(id(3), "complete", strings.Repeat("r", 4096)) })
+	runOnce(tr, l, a, id(4), "result too long", func() { a.End(id(4), "complete", strings.Repeat("r", 9000)) })
+	runOnce(tr, l, a, id(5), "error", func() { a.End(id(5), "error", "") })
+	runOnce(tr, l, a, id(6), "unknown", func() { a.End(id(6), "unknown", "") })
+	runOnce(tr, l, a, id(7), "cancelled", func() { a.End(id(7), "cancelled", "") })
+	runOnce(tr, l, a, id(8), "refusal", func() { a.Send("refusal launch " + id(8) + "\r\n") })
+	runOnce(tr, l, a, id(9), "in pieces", func() {
 		for _, c := range "outcome 8 " + id(9) + " complete 3 4\r\nabcd\r\n" {
 			a.Send(string(c))
 		}
 	})
-	story(tr, l, a, id(10), "end of an unknown run before", func() {
+	runOnce(tr, l, a, id(10), "end of an unknown run before", func() {
 		a.End(id(99), "complete", "x")
 		a.Notice("aside %d a remark\r\n")
 		a.End(id(10), "complete", "mine")
@@ -90,10 +90,10 @@
 
 // TestLinkLost: what the executor ended while there was no link is heard on the next one, once, and what it
 // never heard of is started there.
-func TestLinkLost(t *testing.T) {
+func TestConnectionLost(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	tr.Say("subscribe %d", fakes.Take(t, "the first link", a.Subscribes))
 	fakes.Until(t, "the link is up", l.Available)
 	one, two := l.Launch("00000000000000a1", "look", nil), l.Launch("00000000000000a2", "look", nil)
@@ -115,41 +115,41 @@
 	a.With(func(state, _ *string) { *state = "hot 1" })
 	tr.Say("launched once it is: %+v", fakes.Take(t, "the launch kept for the link", a.Launches))
 	a.End("00000000000000a3", "complete", "third")
-	tr.Say("%q, runs left %d", fakes.Take(t, "the third end", three.Done()).Result, l.count())
+	tr.Say("%q, runs left %d", fakes.Take(t, "the third end", three.Done()).Result, l.runsInFlight())
 }
 
 // TestGarble: links broken within a notice or a result, with commands unread, or before the greeting; notices that
 // come twice under one number, with remarks in between. Each run ends once, with its own result.
-func TestGarble(t *testing.T) {
+func TestBrokenConnectionsAndRepeatedNotices(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Until(t, "the link is up", l.Available)
 	id := func(n int) string { return fmt.Sprintf("00000000000000c%d", n) }
-	story(tr, l, a, id(1), "cut within its notice", func() {
+	runOnce(tr, l, a, id(1), "cut within its notice", func() {
 		a.Send("outcome 1 " + id(1) + " comp")
 		a.Cut()
 		a.End(id(1), "complete", "first")
 	})
-	story(tr, l, a, id(2), "cut within its result", func() {
+	runOnce(tr, l, a, id(2), "cut within its result", func() {
 		a.Send("outcome 2 " + id(2) + " complete 3 6\r\nsec")
 		a.Cut()
 		a.End(id(2), "complete", "second")
 	})
 	other := l.Launch(id(9), "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
-	story(tr, l, a, id(3), "twice, with remarks", func() {
+	runOnce(tr, l, a, id(3), "twice, with remarks", func() {
 		a.End(id(3), "complete", "third")
 		a.Notice("aside %d between\r\n")
 		a.Send("outcome 3 " + id(9) + " complete 3 5\r\nwrong\r\naside 4 between\r\naside 4 between\r\n")
 	})
-	story(tr, l, a, id(4), "its launch unread", func() {
+	runOnce(tr, l, a, id(4), "its launch unread", func() {
 		a.Forget(id(4))
 		a.Cut()
 		tr.Say("launched again: %v", fakes.Take(t, "a launch", a.Launches))
 		a.End(id(4), "complete", "fourth")
 	})
-	story(tr, l, a, id(5), "cut again before the greeting", func() {
+	runOnce(tr, l, a, id(5), "cut again before the greeting", func() {
 		for len(a.Subscribes) > 0 {
 			<-a.Subscribes
 		}
@@ -167,10 +167,10 @@
 
 // TestUnreadable: what cannot be read costs the link, and the run that it would have ended, no other; it must
 // not come again with each new link.
-func TestUnreadable(t *testing.T) {
+func TestUnreadableNoticeEndsItsRun(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Until(t, "the link is up", l.Available)
 	other := l.Launch("00000000000000b0", "look", nil)
@@ -195,15 +195,15 @@
 		tr.Say("  end %d", fakes.Take(t, "the run's end", run.Done()).End)
 	}
 	a.End("00000000000000b0", "complete", "unharmed")
-	tr.Say("the other: %q, runs left %d", fakes.Take(t, "its end", other.Done()).Result, l.count())
+	tr.Say("the other: %q, runs left %d", fakes.Take(t, "its end", other.Done()).Result, l.runsInFlight())
 }
 
 // TestSamples: a sample that does not come is asked for again after a while, and one that comes later still is
 // not taken for the newer; asking never blocks.
-func TestSamples(t *testing.T) {
+func TestSampleIsRequestedAgain(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Until(t, "the link is up", l.Available)
 	fakes.Take(t, "the first sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
@@ -228,7 +228,7 @@
 func TestMoveWithoutGreeting(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Until(t, "the link is up", l.Available)
 	fakes.Take(t, "a sample", l.Samples())
@@ -266,13 +266,13 @@
 	greet("hot 1")
 	tr.Say("the link in use ends first: %v", fakes.Take(t, "a launch", a.Launches))
 	a.End("00000000000000d3", "complete", "third")
-	tr.Say("%q, runs left %d", fakes.Take(t, "its end", three.Done()).Result, l.count())
+	tr.Say("%q, runs left %d", fakes.Take(t, "its end", three.Done()).Result, l.runsInFlight())
 }
 
 // TestSilentLink: a synced link that stays open and brings nothing is tried anew; runs go on.
-func TestSilentLink(t *testing.T) {
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Until(t, "the link is up", l.Available)
 	fakes.Take(t, "a sample", l.Samples())
@@ -290,12 +290,12 @@
 
 // TestSilentBeforeItsGreeting: a link that was made anew is accepted and never greeted, though the executor had greeted before.
 // It is tried anew, as is one beside a silent link. What was launched meanwhile goes out once.
-func TestSilentBeforeItsGreeting(t *testing.T) {
-	for what, beside := range map[string]bool{"beside": true, "alone": false} {
-		t.Run(what, func(t *testing.T) {
+func TestConnectionWithoutGreetingIsReplaced(t *testing.T) {
+	for name, beside := range map[string]bool{"beside": true, "alone": false} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a := fakes.NewScriptedExecutor(t)
-			l := keep(t, a)
+			l := connect(t, a)
 			fakes.Take(t, "the first link", a.Subscribes)
 			fakes.Take(t, "a sample", l.Samples())
 			a.With(func(state, _ *string) { *state = "" })
@@ -320,13 +320,13 @@
 }
 
 // TestLateSamples: a executor that answers each sample too late to count is slow, not silent: its link stays.
-func TestLateSamples(t *testing.T) {
+func TestLateSamplesKeepTheConnection(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Take(t, "a sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
-	for began := time.Now(); time.Since(began) < l.bounds.ExecutorSilence*3/2; time.Sleep(20 * time.Millisecond) {
+	for startedAt := time.Now(); time.Since(startedAt) < l.bounds.ExecutorSilence*3/2; time.Sleep(20 * time.Millisecond) {
 		l.RequestSample()
 		a.Send("sampled t1 0.1 1 0 0\r\n")
 	}
@@ -336,9 +336,9 @@
 }
 
 // TestMoveToNobody: nobody listens at the new address. Runs go on over the link in use, and a move back leaves one link.
-func TestMoveToNobody(t *testing.T) {
+func TestMoveToAddressThatRefuses(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Take(t, "a sample", l.Samples())
 	l.SetAddress("127.0.0.1:1")
--- a/internal/backend/executor/notices_test.go
+++ b/internal/backend/executor/notices_test.go
@@ -13,7 +13,7 @@
 // between the reading of the notice and of its result. The run that the notice names ends all the same.
 func TestUnreadableResultInAFullBuffer(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Until(t, "the link is up", l.Available)
 	one, two := l.Launch("00000000000000a1", "look", nil), l.Launch("00000000000000a2", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
@@ -23,15 +23,15 @@
 	if end := fakes.Take(t, "the first end", one.Done()); end.End != dispatch.RunSucceeded {
 		t.Errorf("the first: %+v", end)
 	}
-	if end := fakes.Take(t, "the second end", two.Done()); end.End != dispatch.RunErrored || l.count() != 0 {
-		t.Errorf("the second: %+v, runs left %d", end, l.count())
+	if end := fakes.Take(t, "the second end", two.Done()); end.End != dispatch.RunErrored || l.runsInFlight() != 0 {
+		t.Errorf("the second: %+v, runs left %d", end, l.runsInFlight())
 	}
 }
 
 // TestSamplesOfOthers: a sample that was not the last asked for, or that the link before brings, is not taken for it.
-func TestSamplesOfOthers(t *testing.T) {
+func TestSamplesNotRequestedAreIgnored(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Until(t, "the link is up", l.Available)
 	fakes.Take(t, "the first sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
@@ -54,7 +54,7 @@
 func TestLaunchBeforeSynced(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	a.With(func(state, _ *string) { *state = "" })
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	l.Launch("00000000000000a1", "look", nil)
 	l.mu.Lock()
@@ -70,7 +70,7 @@
 // TestRemarkCounts: a numbered remark is a notice that has been read: the next link is subscribed after it.
 func TestRemarkCounts(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	fakes.Take(t, "the first sample", l.Samples())
 	a.Notice("aside %d a remark\r\n")
@@ -86,7 +86,7 @@
 func TestSlowFirstGreeting(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	a.With(func(state, _ *string) { *state = "" })
-	l := keep(t, a)
+	l := connect(t, a)
 	fakes.Take(t, "the first link", a.Subscribes)
 	time.Sleep(l.bounds.ExecutorSilence * 8 / 5) // it has to last: one look at the link falls into it
 	if len(a.Subscribes) != 0 || l.silent() {
--- a/internal/backend/executor/protocol.go
+++ b/internal/backend/executor/protocol.go
@@ -12,7 +12,7 @@
 type kind int
 
 const (
-	aside kind = iota
+	remark kind = iota
 	greeting
 	outcome
 	sampled
@@ -33,7 +33,7 @@
 	gauges  []float64
 }
 
-var ends = map[string]dispatch.Outcome{
+var outcomeOf = map[string]dispatch.Outcome{
 	"complete": dispatch.RunSucceeded, "error": dispatch.RunErrored,
 	"cancelled": dispatch.RunCancelled, "unknown": dispatch.NeverRan,
 }
@@ -67,7 +67,7 @@
 			err = errWordCount
 		}
 	case "aside": // numbered like an outcome; a remark without a number is as good
-		n.kind = aside
+		n.kind = remark
 		n.number, _ = strconv.ParseUint(string(w.next()), 10, 64)
 		return n, nil
 	default:
@@ -104,7 +104,7 @@
 		return errWordCount
 	}
 	word := w.next()
-	end, known := ends[string(word)]
+	end, known := outcomeOf[string(word)]
 	if n.end = end; !known {
 		return &valueError{"outcome: end", string(word)}
 	}
--- a/internal/backend/executor/read.go
+++ b/internal/backend/executor/read.go
@@ -15,18 +15,18 @@
 	conn     net.Conn
 	buf      []byte // holds the longest line and the longest result
 	from, to int    // what has been read and not yet taken
-	lineMost int    // bytes of a line, without its end
+	maxLine  int    // bytes of a line, without its end
 }
 
 // fill reads until so many bytes stand ready.
-func (r *reader) fill(least int) error {
-	if r.from+least > len(r.buf) {
+func (r *reader) fill(needed int) error {
+	if r.from+needed > len(r.buf) {
 		r.to, r.from = copy(r.buf, r.buf[r.from:r.to]), 0
 	}
-	for r.to-r.from < least {
+	for r.to-r.from < needed {
 		n, err := r.conn.Read(r.buf[r.to:])
 		r.to += n
-		if err != nil && r.to-r.from < least {
+		if err != nil && r.to-r.from < needed {
 			return err
 		}
 	}
@@ -45,7 +45,7 @@
 		if end >= 0 {
 			break
 		}
-		if r.to-r.from > r.lineMost {
+		if r.to-r.from > r.maxLine {
 			return nil, errLineTooLong
 		}
 		if err := r.fill(r.to - r.from + 1); err != nil {
@@ -93,7 +93,7 @@
 
 // read handles notices until the connection is over or brings what cannot be read.
 func (l *Client) read(conn net.Conn) (greeted bool, err error) {
-	r := &reader{conn: conn, buf: make([]byte, l.bounds.LineSize+l.bounds.ResultSize+4), lineMost: l.bounds.LineSize}
+	r := &reader{conn: conn, buf: make([]byte, l.bounds.LineSize+l.bounds.ResultSize+4), maxLine: l.bounds.LineSize}
 	var gauges []float64 // used again for each sample
 	for {
 		text, err := r.line()
@@ -116,8 +116,8 @@
 			l.takeSample(conn, n)
 		case refusal:
 			l.takeRefusal(n)
-		case aside:
-			l.takeAside(n)
+		case remark:
+			l.takeRemark(n)
 		case outcome:
 			if err := l.takeOutcome(r, n); err != nil {
 				return greeted, err
@@ -155,7 +155,7 @@
 }
 
 // takeAside counts a numbered remark, where it is the next notice.
-func (l *Client) takeAside(n notice) {
+func (l *Client) takeRemark(n notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n.number == l.lastNotice+1 {
--- a/internal/backend/frame/client.go
+++ b/internal/backend/frame/client.go
@@ -79,11 +79,11 @@
 }
 
 // SplitFrame finds the first complete frame of what was read: its head and payload, and how much it took; 0 if more must come.
-func SplitFrame(b []byte, most int) (h Header, payload []byte, took int, err error) {
+func SplitFrame(b []byte, maxLength int) (h Header, payload []byte, size int, err error) {
 	if len(b) < HeaderSize {
 		return h, nil, 0, nil
 	}
-	n, err := Length(b, most)
+	n, err := Length(b, maxLength)
 	if err != nil {
 		return h, nil, 0, err
 	}
--- a/internal/backend/frame/client_test.go
+++ b/internal/backend/frame/client_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestBothSides: what a caller writes is what a backend reads, and the other way round, however the bytes are cut.
-func TestBothSides(t *testing.T) {
+func TestCallerAndBackendAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := OutgoingInvocation{
 			Operation: rapid.StringMatching(`[a-z-]{1,20}`).Draw(t, "operation"), ID: rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "id"),
@@ -20,13 +20,13 @@
 		}
 		text := AppendInvocation(nil, 7, &a)
 		for cut := range len(text) {
-			if _, _, took, err := SplitFrame(text[:cut], 262_144); took != 0 || err != nil {
-				t.Fatalf("cut at %d: took %d, %v", cut, took, err)
+			if _, _, size, err := SplitFrame(text[:cut], 262_144); size != 0 || err != nil {
+				t.Fatalf("cut at %d: took %d, %v", cut, size, err)
 			}
 		}
-		h, p, took, err := SplitFrame(append(text, "more"...), 262_144)
-		if err != nil || took != len(text) || h.Kind != KindInvocation || h.Stream != 7 {
-			t.Fatalf("%+v, took %d of %d, %v", h, took, len(text), err)
+		h, p, size, err := SplitFrame(append(text, "more"...), 262_144)
+		if err != nil || size != len(text) || h.Kind != KindInvocation || h.Stream != 7 {
+			t.Fatalf("%+v, took %d of %d, %v", h, size, len(text), err)
 		}
 		in, err := ReadInvocation(p, 2<<10)
 		if err != nil {
--- a/internal/backend/frame/errors_test.go
+++ b/internal/backend/frame/errors_test.go
@@ -15,15 +15,15 @@
 	if length := new(LengthError); !errors.As(err, &length) || length.Length != 4 {
 		t.Errorf("a length below that of a header: %v", err)
 	}
-	complete := fakes.Fields(usual()...)
-	_, err = ReadInvocation([]byte(complete+strings.Repeat("x", bodyMost+1)), bodyMost)
-	if size := new(BodySizeError); !errors.As(err, &size) || size.Size != bodyMost+1 {
+	complete := fakes.Fields(defaultFields()...)
+	_, err = ReadInvocation([]byte(complete+strings.Repeat("x", maxBody+1)), maxBody)
+	if size := new(BodySizeError); !errors.As(err, &size) || size.Size != maxBody+1 {
 		t.Errorf("a body beyond the maximum: %v", err)
 	}
-	if _, err := ReadInvocation([]byte(complete[:40]), bodyMost); !errors.Is(err, ErrTruncated) {
+	if _, err := ReadInvocation([]byte(complete[:40]), maxBody); !errors.Is(err, ErrTruncated) {
 		t.Errorf("a truncated frame: %v", err)
 	}
-	if _, err := ReadInvocation([]byte(fakes.Fields(usual("class=")...)), bodyMost); !errors.Is(err, ErrMissingField) {
+	if _, err := ReadInvocation([]byte(fakes.Fields(defaultFields("class=")...)), maxBody); !errors.Is(err, ErrMissingField) {
 		t.Errorf("a missing field: %v", err)
 	}
 	for _, c := range []struct {
@@ -34,24 +34,24 @@
 		{"id", ErrInvalidID, []string{"id=12"}}, {"at", ErrNotNumber, []string{"at=soon"}}, {"kb", ErrOutOfRange, []string{"kb=0"}},
 		{"rank", ErrOutOfRange, []string{"rank=1"}},
 	} {
-		frame := []byte(fakes.Fields(usual(c.edits...)...))
-		_, err := ReadInvocation(frame, bodyMost)
+		frame := []byte(fakes.Fields(defaultFields(c.edits...)...))
+		_, err := ReadInvocation(frame, maxBody)
 		clear(frame) // the error outlives the buffer that the frame was read into
 		if field := new(FieldError); !errors.As(err, &field) || field.Field != c.field || !errors.Is(err, c.want) {
 			t.Errorf("%v: %v, want field %s, %v", c.edits, err, c.field, c.want)
 		}
 	}
-	twice := fakes.Fields(append(usual(), "wait=9")...)
-	if _, err := ReadInvocation([]byte(twice), bodyMost); !errors.Is(err, ErrDuplicateField) {
+	twice := fakes.Fields(append(defaultFields(), "wait=9")...)
+	if _, err := ReadInvocation([]byte(twice), maxBody); !errors.Is(err, ErrDuplicateField) {
 		t.Errorf("a field twice: %v", err)
 	}
 }
 
 // TestReadInvocationAllocations: a valid frame is read without any allocation.
 func TestReadInvocationAllocations(t *testing.T) {
-	frame := []byte(fakes.Fields(usual()...) + "body")
+	frame := []byte(fakes.Fields(defaultFields()...) + "body")
 	if n := testing.AllocsPerRun(100, func() {
-		if _, err := ReadInvocation(frame, bodyMost); err != nil {
+		if _, err := ReadInvocation(frame, maxBody); err != nil {
 			t.Fatal(err)
 		}
 	}); n > 0 {
--- a/internal/backend/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -36,8 +36,8 @@
 const (
 	lengthSize = 4
 	headerSize = lengthSize + 1 + 4
-	lengthMin  = headerSize - lengthSize
-	kbMost     = 2000
+	minLength  = headerSize - lengthSize
+	maxKB      = 2000
 	idSize     = 16
 )
 
@@ -55,9 +55,9 @@
 )
 
 // Length reads the border of a frame: how many bytes follow the length itself.
-func Length(b []byte, most int) (int, error) {
+func Length(b []byte, maxLength int) (int, error) {
 	n := binary.BigEndian.Uint32(b)
-	if n < lengthMin || int64(n) > int64(most) {
+	if n < minLength || int64(n) > int64(maxLength) {
 		return 0, &LengthError{Length: n}
 	}
 	return int(n), nil
@@ -67,7 +67,7 @@
 func ReadHeader(b []byte) Header {
 	return Header{
 		Kind: Kind(b[lengthSize]), Stream: binary.BigEndian.Uint32(b[lengthSize+1:]),
-		Payload: int(binary.BigEndian.Uint32(b)) - lengthMin,
+		Payload: int(binary.BigEndian.Uint32(b)) - minLength,
 	}
 }
 
@@ -99,11 +99,11 @@
 	hasRank
 	hasKey
 	hasOnce
-	needed = hasClass | hasID | hasAt | hasKB | hasRank
+	requiredFields = hasClass | hasID | hasAt | hasKB | hasRank
 )
 
 // ReadInvocation reads the payload of an invocation's frame. Fields that it does not know are skipped. Its slices are of p.
-func ReadInvocation(p []byte, bodyMost int) (Invocation, error) {
+func ReadInvocation(p []byte, maxBody int) (Invocation, error) {
 	var inv Invocation
 	seen := fieldSet(0)
 	rest, err := eachField(p, func(name, value []byte) error {
@@ -117,9 +117,9 @@
 	switch {
 	case err != nil:
 		return inv, err
-	case seen&needed != needed:
+	case seen&requiredFields != requiredFields:
 		return inv, ErrMissingField
-	case len(rest) > bodyMost:
+	case len(rest) > maxBody:
 		return inv, &BodySizeError{Size: len(rest)}
 	}
 	inv.Body = rest
@@ -155,7 +155,7 @@
 		inv.Work, err = millis(value)
 	case "kb":
 		bit = hasKB
-		if inv.KB, err = number(value, kbMost); err == nil && (inv.KB == 0 || inv.KB == kbMost) {
+		if inv.KB, err = number(value, maxKB); err == nil && (inv.KB == 0 || inv.KB == maxKB) {
 			err = ErrOutOfRange
 		}
 	case "rank":
@@ -211,7 +211,7 @@
 }
 
 // number reads plain decimal digits with at most one point; what is beyond most is out of range.
-func number(b []byte, most float64) (float64, error) {
+func number(b []byte, maximum float64) (float64, error) {
 	if len(b) == 0 || len(b) > 32 {
 		return 0, ErrNotNumber
 	}
@@ -224,7 +224,7 @@
 	if err != nil {
 		return 0, ErrNotNumber
 	}
-	if x > most {
+	if x > maximum {
 		return 0, ErrOutOfRange
 	}
 	return x, nil
--- a/internal/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -11,9 +11,9 @@
 	"milletbarrow/internal/fakes"
 )
 
-const bodyMost = 2048
+const maxBody = 2048
 
-func show(inv Invocation, err error) string {
+func format(inv Invocation, err error) string {
 	if err != nil {
 		return "error: " + err.Error()
 	}
@@ -21,14 +21,14 @@
 		inv.Tenant, inv.At, inv.Wait, inv.Retry, inv.HasKey, inv.Work, inv.KB, inv.Rank, inv.Body)
 }
 
-func usual(edits ...string) []string {
+func defaultFields(edits ...string) []string {
 	return fakes.DefaultFields(0xa1, append([]string{"at=1764576000123"}, edits...)...)
 }
 
 func TestInvocations(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
-		what  string
+		name  string
 		edits []string
 	}{
 		{"as usual", nil}, {"retry", []string{"retry=1"}}, {"a key", []string{"key=7f3a9c21e0b4d655"}},
@@ -42,23 +42,23 @@
 		{"no memory", []string{"kb=0"}}, {"too much memory", []string{"kb=2000"}}, {"from is no number", []string{"from=x"}},
 		{"cost is no number", []string{"cost=1e3"}},
 	} {
-		tr.Say("%s: %s", c.what, show(ReadInvocation([]byte(fakes.EncodeFields(usual(c.edits...)...)+"the body"), bodyMost)))
+		tr.Say("%s: %s", c.name, format(ReadInvocation([]byte(fakes.Fields(defaultFields(c.edits...)...)+"the body"), maxBody)))
 	}
-	twice := fakes.EncodeFields(append(usual(), "wait=9")...)
-	tr.Say("a field twice: %s", show(ReadInvocation([]byte(twice), bodyMost)))
-	complete := fakes.EncodeFields(usual()...)
-	for _, size := range []int{0, bodyMost, bodyMost + 1} {
-		tr.Say("body of %d: %.60s", size, show(ReadInvocation([]byte(complete+strings.Repeat("x", size)), bodyMost)))
+	twice := fakes.Fields(append(defaultFields(), "wait=9")...)
+	tr.Say("a field twice: %s", format(ReadInvocation([]byte(twice), maxBody)))
+	complete := fakes.Fields(defaultFields()...)
+	for _, size := range []int{0, maxBody, maxBody + 1} {
+		tr.Say("body of %d: %.60s", size, format(ReadInvocation([]byte(complete+strings.Repeat("x", size)), maxBody)))
 	}
 	cut := map[string]int{}
 	for n := range len(complete) {
-		_, err := ReadInvocation([]byte(complete[:n]), bodyMost)
+		_, err := ReadInvocation([]byte(complete[:n]), maxBody)
 		cut[fmt.Sprint(err)]++
 	}
 	tr.Say("cut at every byte of %d: %v", len(complete), cut)
 }
 
-func TestBordersAndAnswers(t *testing.T) {
+func TestLengthsAndAnswers(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, n := range []uint32{0, 4, 5, 262_144, 262_145, 1<<32 - 1} {
 		size, err := Length(binary.BigEndian.AppendUint32(nil, n), 262_144)
@@ -77,13 +77,13 @@
 
 // FuzzReadInvocation: whatever comes, what is accepted keeps within what was given and within the protocol.
 func FuzzReadInvocation(f *testing.F) {
-	complete := fakes.EncodeFields(usual("retry=1", "key=k")...)
+	complete := fakes.Fields(defaultFields("retry=1", "key=k")...)
 	f.Add([]byte(complete + "body"))
 	f.Add([]byte(complete[:40]))
 	f.Add([]byte{255, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, p []byte) {
 		before := slices.Clone(p)
-		inv, err := ReadInvocation(p, bodyMost)
+		inv, err := ReadInvocation(p, maxBody)
 		if !bytes.Equal(p, before) {
 			t.Fatal("the payload was changed")
 		}
@@ -91,8 +91,8 @@
 			return
 		}
 		if !isID(inv.ID) || inv.At < 0 || inv.Wait < 0 || inv.Work < 0 || !(inv.KB > 0 && inv.KB < 2000) ||
-			!(inv.Rank >= 0 && inv.Rank < 1) || len(inv.Body) > bodyMost || !bytes.HasSuffix(p, inv.Body) {
-			t.Fatalf("accepted: %s", show(inv, err))
+			!(inv.Rank >= 0 && inv.Rank < 1) || len(inv.Body) > maxBody || !bytes.HasSuffix(p, inv.Body) {
+			t.Fatalf("accepted: %s", format(inv, err))
 		}
 	})
 }
--- a/internal/backend/server/close.go
+++ b/internal/backend/server/close.go
@@ -82,6 +82,6 @@
 		delete(c.streams, number)
 		close(st.canceled)
 	}
-	c.server.unsent.Add(-int64(len(c.pending)))
+	c.server.unsentBytes.Add(-int64(len(c.pending)))
 	c.pending = nil
 }
--- a/internal/backend/server/conn.go
+++ b/internal/backend/server/conn.go
@@ -49,7 +49,7 @@
 // openStream opens the stream of an invocation; st is nil for a health check, which only counts as valid input. reused: the
 // number is open already. room: the stream was opened; a connection that closes has no room, but still answers what
 // comes. gone: the connection is closed for writing, and nobody can be answered.
-func (c *conn) openStream(st *stream) (reused, room, gone bool) {
+func (c *conn) openStream(st *stream) (reused, opened, gone bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sentValid, c.lastUsed = true, time.Now()
@@ -57,11 +57,11 @@
 		return false, false, c.writeClosed
 	}
 	reused = c.streams[st.number] != nil
-	room = !reused && !c.closing && len(c.streams) < c.server.bounds.Streams
-	if room {
+	opened = !reused && !c.closing && len(c.streams) < c.server.bounds.Streams
+	if opened {
 		c.streams[st.number] = st
 	}
-	return reused, room, false
+	return reused, opened, false
 }
 
 // answer gives a stream its one answer, unless it was canceled or answered before. retryAfter and last go to the caller as they are.
--- a/internal/backend/server/listener.go
+++ b/internal/backend/server/listener.go
@@ -70,10 +70,10 @@
 // closeWhenEmpty waits until the poller has accepted all that stands in the accept queue, for patience at the most, and
 // closes the listener: a caller whose connection was established may have written an invocation. Meanwhile the kernel drops
 // the packets of newcomers, who try again once the listener is closed.
-func (l *listener) closeWhenEmpty(patience time.Duration) error {
+func (l *listener) closeWhenEmpty(timeout time.Duration) error {
 	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0} // takes no bytes of any packet
 	_ = unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &dropAll})
-	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) {
 		if done, err := l.closeIfEmpty(time.Now().After(deadline)); done {
 			return err
 		}
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -23,17 +23,17 @@
 
 // Server serves the edge nodes of one backend. Its methods may be called from several goroutines; Listen comes first, then Serve.
 type Server struct {
-	settings   *config.Settings
-	bounds     limits.Bounds
-	violations *ratelimitlog.Logger
-	dispatcher *dispatch.Dispatcher
-	executor   *executor.Client
-	operations map[string]int // index of each name in the settings, from 1
-	tenants    map[string]int
-	listener   *listener
-	loop       netpoll.EventLoop
-	inFlight   atomic.Int64 // invocations that have a goroutine
-	unsent     atomic.Int64 // bytes of answers not yet written, on all connections
+	settings    *config.Settings
+	bounds      limits.Bounds
+	violations  *ratelimitlog.Logger
+	dispatcher  *dispatch.Dispatcher
+	executor    *executor.Client
+	operations  map[string]int // index of each name in the settings, from 1
+	tenants     map[string]int
+	listener    *listener
+	loop        netpoll.EventLoop
+	inFlight    atomic.Int64 // invocations that have a goroutine
+	unsentBytes atomic.Int64 // bytes of answers not yet written, on all connections
 
 	mu        sync.Mutex
 	conns     map[*conn]struct{}
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -79,7 +79,7 @@
 			s.run(t, "complete", "nobody waits")
 		}
 		n, carried := s.Counts()
-		return n == conns && carried == 0 && s.inDispatch() == 0 && s.unsent.Load() == 0 && s.Idle()
+		return n == conns && carried == 0 && s.inDispatch() == 0 && s.unsentBytes.Load() == 0 && s.Idle()
 	})
 }
 
--- a/internal/backend/server/write.go
+++ b/internal/backend/server/write.go
@@ -21,7 +21,7 @@
 	}
 	before := len(c.pending)
 	c.pending = write(c.pending)
-	c.server.unsent.Add(int64(len(c.pending) - before))
+	c.server.unsentBytes.Add(int64(len(c.pending) - before))
 }
 
 // flush writes the pending output as far as the socket takes it, and leaves the rest to a goroutine that waits. A peer that
@@ -32,7 +32,7 @@
 		return
 	}
 	if c.writing {
-		if len(c.pending) > b.UnsentPerConnection || c.server.unsent.Load() > b.UnsentTotal {
+		if len(c.pending) > b.UnsentPerConnection || c.server.unsentBytes.Load() > b.UnsentTotal {
 			c.server.violations.Warn("unread", nil)
 			c.shutdown()
 		}
@@ -44,7 +44,7 @@
 		c.shutdown()
 		return
 	case n < len(c.pending):
-		c.server.unsent.Add(-int64(n))
+		c.server.unsentBytes.Add(-int64(n))
 		c.pending = c.pending[:copy(c.pending, c.pending[n:])]
 		c.writing = true
 		go c.drainPending()
@@ -56,7 +56,7 @@
 
 // recycle keeps a written buffer for the next answers; c.mu is held.
 func (c *conn) recycle(b []byte) {
-	c.server.unsent.Add(-int64(len(b)))
+	c.server.unsentBytes.Add(-int64(len(b)))
 	if c.pending = nil; cap(b) <= c.server.bounds.OutputBuffer {
 		c.pending = b[:0]
 	}
@@ -72,7 +72,7 @@
 		c.mu.Unlock()
 		_, err := c.transport.Write(b)
 		c.mu.Lock()
-		c.server.unsent.Add(-int64(len(b)))
+		c.server.unsentBytes.Add(-int64(len(b)))
 		if err != nil {
 			c.shutdown()
 		}
