--- a/internal/backend/frame/errors_test.go
+++ b/internal/backend/frame/errors_test.go
@@ -15,7 +15,7 @@
 	if length := new(LengthError); !errors.As(err, &length) || length.Length != 4 {
 		t.Errorf("a length below that of a header: %v", err)
 	}
-	complete := fakes.Fields(defaultFields()...)
+	complete := fakes.EncodeFields(defaultFields()...)
 	_, err = ReadInvocation([]byte(complete+strings.Repeat("x", maxBody+1)), maxBody)
 	if size := new(BodySizeError); !errors.As(err, &size) || size.Size != maxBody+1 {
 		t.Errorf("a body beyond the maximum: %v", err)
@@ -23,7 +23,7 @@
 	if _, err := ReadInvocation([]byte(complete[:40]), maxBody); !errors.Is(err, ErrTruncated) {
 		t.Errorf("a truncated frame: %v", err)
 	}
-	if _, err := ReadInvocation([]byte(fakes.Fields(defaultFields("class=")...)), maxBody); !errors.Is(err, ErrMissingField) {
+	if _, err := ReadInvocation([]byte(fakes.EncodeFields(defaultFields("class=")...)), maxBody); !errors.Is(err, ErrMissingField) {
 		t.Errorf("a missing field: %v", err)
 	}
 	for _, c := range []struct {
@@ -34,14 +34,14 @@
 		{"id", ErrInvalidID, []string{"id=12"}}, {"at", ErrNotNumber, []string{"at=soon"}}, {"kb", ErrOutOfRange, []string{"kb=0"}},
 		{"rank", ErrOutOfRange, []string{"rank=1"}},
 	} {
-		frame := []byte(fakes.Fields(defaultFields(c.edits...)...))
+		frame := []byte(fakes.EncodeFields(defaultFields(c.edits...)...))
 		_, err := ReadInvocation(frame, maxBody)
 		clear(frame) // the error outlives the buffer that the frame was read into
 		if field := new(FieldError); !errors.As(err, &field) || field.Field != c.field || !errors.Is(err, c.want) {
 			t.Errorf("%v: %v, want field %s, %v", c.edits, err, c.field, c.want)
 		}
 	}
-	twice := fakes.Fields(append(defaultFields(), "wait=9")...)
+	twice := fakes.EncodeFields(append(defaultFields(), "wait=9")...)
 	if _, err := ReadInvocation([]byte(twice), maxBody); !errors.Is(err, ErrDuplicateField) {
 		t.Errorf("a field twice: %v", err)
 	}
@@ -49,7 +49,7 @@
 
 // TestReadInvocationAllocations: a valid frame is read without any allocation.
 func TestReadInvocationAllocations(t *testing.T) {
-	frame := []byte(fakes.Fields(defaultFields()...) + "body")
+	frame := []byte(fakes.EncodeFields(defaultFields()...) + "body")
 	if n := testing.AllocsPerRun(100, func() {
 		if _, err := ReadInvocation(frame, maxBody); err != nil {
 			t.Fatal(err)
--- a/internal/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -42,11 +42,11 @@
 		{"no memory", []string{"kb=0"}}, {"too much memory", []string{"kb=2000"}}, {"from is no number", []string{"from=x"}},
 		{"cost is no number", []string{"cost=1e3"}},
 	} {
-		tr.Say("%s: %s", c.name, format(ReadInvocation([]byte(fakes.Fields(defaultFields(c.edits...)...)+"the body"), maxBody)))
+		tr.Say("%s: %s", c.name, format(ReadInvocation([]byte(fakes.EncodeFields(defaultFields(c.edits...)...)+"the body"), maxBody)))
 	}
-	twice := fakes.Fields(append(defaultFields(), "wait=9")...)
+	twice := fakes.EncodeFields(append(defaultFields(), "wait=9")...)
 	tr.Say("a field twice: %s", format(ReadInvocation([]byte(twice), maxBody)))
-	complete := fakes.Fields(defaultFields()...)
+	complete := fakes.EncodeFields(defaultFields()...)
 	for _, size := range []int{0, maxBody, maxBody + 1} {
 		tr.Say("body of %d: %.60s", size, format(ReadInvocation([]byte(complete+strings.Repeat("x", size)), maxBody)))
 	}
@@ -77,7 +77,7 @@
 
 // FuzzReadInvocation: whatever comes, what is accepted keeps within what was given and within the protocol.
 func FuzzReadInvocation(f *testing.F) {
-	complete := fakes.Fields(defaultFields("retry=1", "key=k")...)
+	complete := fakes.EncodeFields(defaultFields("retry=1", "key=k")...)
 	f.Add([]byte(complete + "body"))
 	f.Add([]byte(complete[:40]))
 	f.Add([]byte{255, 0, 0, 0})
--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -18,14 +18,14 @@
 // within a frame. None is forwarded to the executor, none opens a stream, and the caller reads the end, not a reset.
 func TestRequestAfterClose(t *testing.T) {
 	complete := fakes.Invocation(1, 1)
-	for _, c := range []struct{ what, before, after string }{
+	for _, c := range []struct{ name, before, after string }{
 		{"rested", fakes.EncodeFrame(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
 		{"within a frame", complete[:40], complete[40:] + fakes.Invocation(2, 2)},
 	} {
-		s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = time.Minute })
+		s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = time.Minute })
 		n := fakes.Dial(t, s.address)
 		n.Send(c.before)
-		one := s.only(t)
+		one := s.onlyConn(t)
 		fakes.Until(t, "it is read", func() bool {
 			one.mu.Lock()
 			defer one.mu.Unlock()
@@ -33,25 +33,25 @@
 		})
 		s.CloseAnswered()
 		if !s.AllClosed() {
-			t.Fatalf("%s: not closed", c.what)
+			t.Fatalf("%s: not closed", c.name)
 		}
 		release := s.holdPoller(t)
 		n.Send(c.after)
 		fakes.Until(t, "it stands unread", func() bool { return unread(one.fd) })
 		release()
 		fakes.Until(t, "it is read too", func() bool { return !unread(one.fd) })
-		if c.what == "rested" {
+		if c.name == "rested" {
 			n.Expect() // the health check, before the close
 		}
 		if f, err := n.Next(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v %v after the close", c.what, f, err)
+			t.Errorf("%s: %v %v after the close", c.name, f, err)
 		}
 		// The poller has taken it in before it serves another connection.
 		other := fakes.Dial(t, s.address)
 		other.Send(fakes.EncodeFrame(20, 1, "\x00"))
 		other.Expect()
-		if _, carried := s.Counts(); carried != 0 || s.inDispatch() != 0 || len(s.fakeExecutor.Launches) != 0 {
-			t.Errorf("%s: %d in flight, %d launched", c.what, carried, len(s.fakeExecutor.Launches))
+		if _, inFlight := s.Counts(); inFlight != 0 || s.inDispatch() != 0 || len(s.fakeExecutor.Launches) != 0 {
+			t.Errorf("%s: %d in flight, %d launched", c.name, inFlight, len(s.fakeExecutor.Launches))
 		}
 	}
 }
@@ -59,11 +59,11 @@
 // TestSmallAnswersBeforeClose: many small answers go out one by one, each in a write of its own, and the connection is closed
 // over input that is not read. The system holds none of them back: TCP_NODELAY is set on what is accepted, and all arrive.
 func TestSmallAnswersBeforeClose(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
+	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
 		b.LingerTimeout, settings.Admission.Cores = time.Minute, 64
 	})
 	n := fakes.Dial(t, s.address)
-	c := s.only(t)
+	c := s.onlyConn(t)
 	if on, err := unix.GetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY); err != nil || on == 0 {
 		t.Errorf("TCP_NODELAY is %d, %v", on, err)
 	}
@@ -72,7 +72,7 @@
 		n.Send(fakes.Invocation(uint32(k+1), k+1))
 	}
 	for range many {
-		s.run(t, "complete", "r")
+		s.endNextRun(t, "complete", "r")
 	}
 	n.Send("\x00\x00\x00\x01xxxx") // closes once all is answered
 	fakes.Until(t, "it is closed", func() bool { return s.AllClosed() })
@@ -93,12 +93,12 @@
 
 // TestResultCutOnItsWay: the executor's link breaks within a notice, within a result, and brings a result whose end cannot be
 // read. The caller gets one answer: complete and unchanged once the next link brings it, errored where the notice was spoilt.
-func TestResultCutOnItsWay(t *testing.T) {
-	s := open(t, nil)
+func TestConnectionBreaksWithinAResult(t *testing.T) {
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	for k, c := range []struct {
-		what   string
-		spoils func(id string)
+		name   string
+		breaks func(id string)
 		code   byte
 		body   string
 	}{
@@ -111,12 +111,12 @@
 	} {
 		n.Send(fakes.Invocation(uint32(k+1), k+1))
 		l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
-		c.spoils(l.ID)
+		c.breaks(l.ID)
 		if c.code == 1 {
 			s.fakeExecutor.End(l.ID, "complete", "the whole")
 		}
 		if f := n.Expect(); f.Stream != uint32(k+1) || f.Code != c.code || f.Body != c.body {
-			t.Errorf("%s: %v", c.what, f)
+			t.Errorf("%s: %v", c.name, f)
 		}
 		fakes.Until(t, "the link is up", s.healthy)
 	}
@@ -124,17 +124,17 @@
 	if f := n.Expect(); f.Stream != 9 {
 		t.Errorf("a second answer: %v", f)
 	}
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 }
 
 // TestCloseWithAWriterWaiting: a connection is to close while a goroutine waits for its socket to take answers, with nothing
 // else pending. It stays open for writing until they are written, and the peer reads them all.
 func TestCloseWithAWriterWaiting(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) {
+	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) {
 		b.UnsentPerConnection, b.UnsentTotal, b.LingerTimeout = 64<<20, 64<<20, time.Minute
 	})
 	n := fakes.Dial(t, s.address)
-	c := s.only(t)
+	c := s.onlyConn(t)
 	const length = 32 << 20 // more than the sockets of both sides hold
 	c.send(func(to []byte) []byte { return append(to, make([]byte, length)...) })
 	fakes.Until(t, "a writer waits with nothing else pending", func() bool {
--- a/internal/backend/server/races_test.go
+++ b/internal/backend/server/races_test.go
@@ -18,7 +18,7 @@
 
 // holdPoller stops the poller until release is called: what comes meanwhile stands unread in the sockets, as where the
 // process was held up. A connection that only knocks brings the poller to the listener, which is locked.
-func (s *site) holdPoller(t testing.TB) (release func()) {
+func (s *testServer) holdPoller(t testing.TB) (release func()) {
 	s.listener.mu.Lock()
 	knock, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -30,7 +30,7 @@
 }
 
 // only is the one connection that is open.
-func (s *site) only(t testing.TB) *conn {
+func (s *testServer) onlyConn(t testing.TB) *conn {
 	fakes.Until(t, "one is open", func() bool { n, _ := s.Counts(); return n == 1 })
 	return s.all()[0]
 }
@@ -38,7 +38,7 @@
 // TestAcceptQueue: the listener closes while connections, invocations written, stand in the accept queue. Each is
 // answered, and who comes later finds the listener closed.
 func TestAcceptQueue(t *testing.T) {
-	s := open(t, nil)
+	s := openServer(t, nil)
 	release := s.holdPoller(t)
 	nodes := make([]*fakes.EdgeNode, 0, 5)
 	for k := range 5 {
@@ -46,12 +46,12 @@
 		n.Send(fakes.Invocation(1, k+1))
 		nodes = append(nodes, n)
 	}
-	over := make(chan struct{})
-	go func() { s.StopAccepting(); close(over) }()
+	closed := make(chan struct{})
+	go func() { s.StopAccepting(); close(closed) }()
 	release()
-	fakes.Take(t, "the listener's closing", over)
+	fakes.Take(t, "the listener's closing", closed)
 	for range nodes {
-		s.run(t, "complete", "r")
+		s.endNextRun(t, "complete", "r")
 	}
 	for k, n := range nodes {
 		for f := n.Expect(); f.Type != 11; f = n.Expect() {
@@ -73,19 +73,19 @@
 		settings.Admission.IdleTimeout = 1000
 	}
 	for _, c := range []struct {
-		what, before string
+		name, before string
 		after        string // what is unread
-		closes       func(*site)
+		closes       func(*testServer)
 	}{
-		{"silent", "", fakes.Invocation(1, 1), func(s *site) { s.sweep(0) }},
-		{"within a frame", fakes.Invocation(1, 2)[:30], fakes.Invocation(1, 2)[30:], func(s *site) { s.sweep(0) }},
-		{"resting", fakes.EncodeFrame(20, 9, "\x00"), fakes.Invocation(1, 3), func(s *site) { s.sweep(0) }},
-		{"full", fakes.EncodeFrame(20, 9, "\x00"), fakes.Invocation(1, 4), func(s *site) { s.evict(time.Now()) }},
+		{"silent", "", fakes.Invocation(1, 1), func(s *testServer) { s.sweep(0) }},
+		{"within a frame", fakes.Invocation(1, 2)[:30], fakes.Invocation(1, 2)[30:], func(s *testServer) { s.sweep(0) }},
+		{"resting", fakes.EncodeFrame(20, 9, "\x00"), fakes.Invocation(1, 3), func(s *testServer) { s.sweep(0) }},
+		{"full", fakes.EncodeFrame(20, 9, "\x00"), fakes.Invocation(1, 4), func(s *testServer) { s.evict(time.Now()) }},
 	} {
-		s := open(t, short)
+		s := openServer(t, short)
 		n := fakes.Dial(t, s.address)
 		n.Send(c.before)
-		one := s.only(t)
+		one := s.onlyConn(t)
 		if strings.HasPrefix(c.before, fakes.EncodeFrame(20, 9, "\x00")) {
 			n.Expect()
 		} else if c.before != "" {
@@ -97,32 +97,32 @@
 		time.Sleep(10 * time.Millisecond) // all timers are over
 		c.closes(s)
 		release()
-		s.run(t, "complete", "r")
+		s.endNextRun(t, "complete", "r")
 		f := n.Expect()
 		for f.Type == 30 {
 			f = n.Expect()
 		}
 		if f.Type != 11 || f.Code != 1 {
-			t.Errorf("%s: %v", c.what, f)
+			t.Errorf("%s: %v", c.name, f)
 		}
 	}
 }
 
 // TestHeldUpWithinAFrame: the process was held up for longer than a frame may take; that time is not its peer's.
-func TestHeldUpWithinAFrame(t *testing.T) {
-	s := open(t, nil)
+func TestStallWithinAFrame(t *testing.T) {
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	complete := fakes.Invocation(1, 1)
 	n.Send(complete[:30])
-	c := s.only(t)
+	c := s.onlyConn(t)
 	fakes.Until(t, "the frame has begun", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.frameStart.IsZero() })
 	s.sweep(0)
-	held := s.bounds.FrameTimeout + time.Second
-	c.extendDeadlines(-held) // as if it had come so long ago,
-	s.lastSweep = s.lastSweep.Add(-held)
+	stalled := s.bounds.FrameTimeout + time.Second
+	c.extendDeadlines(-stalled) // as if it had come so long ago,
+	s.lastSweep = s.lastSweep.Add(-stalled)
 	s.sweep(0) // and nothing was looked at since
 	n.Send(complete[30:])
-	s.run(t, "complete", "r")
+	s.endNextRun(t, "complete", "r")
 	if f := n.Expect(); f.Code != 1 {
 		t.Error(f)
 	}
@@ -132,7 +132,7 @@
 // invocation that comes meanwhile never ran, and its answer says so.
 func TestValidAfterInvalid(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, nil)
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
@@ -154,7 +154,7 @@
 // TestLastAnswersBeforeUnreadInput: a connection ends while its peer, which reads nothing yet, goes on sending. All
 // answers reach it all the same: closed outright, the system would reset the connection and drop what is on its way.
 func TestLastAnswersBeforeUnreadInput(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = 5 * time.Second })
+	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = 5 * time.Second })
 	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -168,9 +168,9 @@
 	const many = 16
 	for k := range many {
 		n.Send(fakes.Invocation(uint32(k+1), k+1, "wait=60000"))
-		s.run(t, "complete", strings.Repeat("r", 4096))
+		s.endNextRun(t, "complete", strings.Repeat("r", 4096))
 	}
-	c := s.only(t)
+	c := s.onlyConn(t)
 	n.Send("\x00\x00\x00\x01xxxx")
 	fakes.Until(t, "all is written", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.writeClosed })
 	for range 20 {
@@ -195,20 +195,20 @@
 // TestClosedBeforeItsStreamOpens: the connection is cut between the reading of an invocation and the opening of its
 // stream. Nobody can be answered: nothing is opened, carried or run.
 func TestClosedBeforeItsStreamOpens(t *testing.T) {
-	s := open(t, nil)
+	s := openServer(t, nil)
 	fakes.Dial(t, s.address)
-	c := s.only(t)
+	c := s.onlyConn(t)
 	c.abort()
-	if again, room, gone := c.openStream(&stream{number: 1, canceled: make(chan struct{})}); again || room || !gone {
-		t.Errorf("again %t, room %t, gone %t", again, room, gone)
+	if reused, opened, gone := c.openStream(&stream{number: 1, canceled: make(chan struct{})}); reused || opened || !gone {
+		t.Errorf("again %t, room %t, gone %t", reused, opened, gone)
 	}
-	s.rests(t, 0)
+	s.expectNothingLeft(t, 0)
 }
 
 // TestDueBeforeItsLaunch: an invocation falls due, and is errored, between the word that it may run and its launch. It
 // does not run for nobody.
 func TestDueBeforeItsLaunch(t *testing.T) {
-	s := open(t, nil)
+	s := openServer(t, nil)
 	stop := func() {
 		fakes.Until(t, "it is errored", func() bool { c, _ := s.dispatcher.Counts(); return c.Errored == 1 })
 	}
@@ -218,17 +218,17 @@
 	if f := n.Expect(); f.Code != 3 {
 		t.Error(f)
 	}
-	fakes.Until(t, "it is over", func() bool { _, carried := s.Counts(); return carried == 0 })
+	fakes.Until(t, "it is over", func() bool { _, inFlight := s.Counts(); return inFlight == 0 })
 	if len(s.fakeExecutor.Launches) > 0 {
 		t.Error("it was launched")
 	}
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 }
 
 // TestResetBeforeItsAnswer: the peer resets at every stage: within a frame, with an invocation unread, held, running.
 // Nothing is left over, and another connection is answered.
 func TestResetBeforeItsAnswer(t *testing.T) {
-	s := open(t, nil)
+	s := openServer(t, nil)
 	other := fakes.Dial(t, s.address)
 	for k, stage := range []string{"within a frame", "running", "answered and not read"} {
 		n := fakes.Dial(t, s.address)
@@ -248,7 +248,7 @@
 		}
 		n.Close()
 		other.Send(fakes.Invocation(uint32(k+1), 20+k))
-		s.run(t, "complete", "r")
+		s.endNextRun(t, "complete", "r")
 		if f := other.Expect(); f.Code != 1 {
 			t.Errorf("%s: beside it %v", stage, f)
 		}
@@ -259,7 +259,7 @@
 // TestEvictionCountsClosing: a table is full of what has been closed and waits for the poller, which is busy with newcomers. None of
 // those that stay is closed for them.
 func TestEvictionCountsClosing(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections = 2 })
+	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections = 2 })
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	n.Expect()
@@ -273,7 +273,7 @@
 	}
 	release()
 	n.Send(fakes.Invocation(2, 2))
-	s.run(t, "complete", "r")
+	s.endNextRun(t, "complete", "r")
 	f := n.Expect()
 	for f.Type == 30 {
 		f = n.Expect()
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -14,7 +14,7 @@
 )
 
 // tokened has the operation post known by its tokens.
-func tokened(_ *limits.Bounds, settings *config.Settings) {
+func withIdempotencyKeys(_ *limits.Bounds, settings *config.Settings) {
 	settings.Admission.IdempotencyKeyKB = 20
 	op := &settings.Admission.Operations[1]
 	op.RetrySafety, op.RepeatWindow = admission.IdempotencyKeyed, 5_000_000
@@ -23,7 +23,7 @@
 // TestRepeatsOfOneRun: one run brings the answer to a repeat that comes while it runs, though its own caller has reset the
 // connection, and to one that comes after it. The executor's link breaks between the two.
 func TestRepeatsOfOneRun(t *testing.T) {
-	s := open(t, tokened)
+	s := openServer(t, withIdempotencyKeys)
 	first, second := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	first.Send(fakes.Attempt(1, 1, "x"))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
@@ -47,15 +47,15 @@
 	if len(s.fakeExecutor.Launches) > 0 {
 		t.Errorf("launched again: %v", <-s.fakeExecutor.Launches)
 	}
-	fakes.Until(t, "nothing is carried", func() bool { _, carried := s.Counts(); return carried == 0 && s.inDispatch() == 0 })
+	fakes.Until(t, "nothing is carried", func() bool { _, inFlight := s.Counts(); return inFlight == 0 && s.inDispatch() == 0 })
 }
 
 // TestRepeatBeforeItsFirstIsLaunched: the first's caller takes it back between the word that it may run and its launch, with
 // a repeat that waits for it. Nothing ran, so the repeat may come again, and runs then.
 func TestRepeatBeforeItsFirstIsLaunched(t *testing.T) {
-	s := open(t, tokened)
-	stopped, goOn := make(chan struct{}), make(chan struct{})
-	hook := func() { stopped <- struct{}{}; <-goOn }
+	s := openServer(t, withIdempotencyKeys)
+	stopped, resume := make(chan struct{}), make(chan struct{})
+	hook := func() { stopped <- struct{}{}; <-resume }
 	s.beforeLaunch.Store(&hook)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Attempt(1, 1, "x"))
@@ -66,12 +66,12 @@
 	n.Send(fakes.EncodeFrame(12, 1, ""))
 	n.Send(fakes.EncodeFrame(20, 3, "\x00"))
 	n.Expect() // type 12 has been read
-	close(goOn)
+	close(resume)
 	if f := n.Expect(); f.Stream != 2 || f.Code != 2 || f.Fields != "after=50" {
 		t.Errorf("the repeat: %v", f)
 	}
 	n.Send(fakes.Attempt(4, 4, "x", "retry=1"))
-	if l := s.run(t, "complete", "r"); l.ID != "0000000000000004" {
+	if l := s.endNextRun(t, "complete", "r"); l.ID != "0000000000000004" {
 		t.Errorf("launched %v", l)
 	}
 	if f := n.Expect(); f.Stream != 4 || f.Code != 1 {
@@ -83,31 +83,31 @@
 // may be open, a repeat is errored, as another backend would run it again, and new work is throttled.
 func TestKeysOnFrames(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
-		tokened(b, settings)
+	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
+		withIdempotencyKeys(b, settings)
 		b.Streams = 1
 	})
 	n := fakes.Dial(t, s.address)
-	ask := func(what string, stream uint32, token string, edits ...string) {
-		n.Send(fakes.Attempt(stream, int(stream), token, edits...))
-		tr.Say("%s: %v", what, n.Expect())
+	sendAttempt := func(name string, stream uint32, key string, edits ...string) {
+		n.Send(fakes.Attempt(stream, int(stream), key, edits...))
+		tr.Say("%s: %v", name, n.Expect())
 	}
-	ask("no token", 1, "")
-	ask("a long one", 3, strings.Repeat("0123456789", 7))
+	sendAttempt("no token", 1, "")
+	sendAttempt("a long one", 3, strings.Repeat("0123456789", 7))
 	n.Send(fakes.Attempt(5, 5, "x"))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
-	ask("a repeat where no more may be open", 6, "x", "retry=1")
-	ask("new work there", 7, "y")
+	sendAttempt("a repeat where no more may be open", 6, "x", "retry=1")
+	sendAttempt("new work there", 7, "y")
 	s.fakeExecutor.End(l.ID, "error", "")
 	tr.Say("its run is errored: %v", n.Expect())
-	ask("its repeat", 8, "x", "retry=1")
+	sendAttempt("its repeat", 8, "x", "retry=1")
 	tr.Say("launched besides: %d", len(s.fakeExecutor.Launches))
 }
 
 // TestCopiedIdempotencyKey: a bad client copies the mark of another's work, beside it and before it. It gets nothing of that
 // one's result, the executor refuses it, and the other is run and its repeat answered as if it had not come.
 func TestCopiedIdempotencyKey(t *testing.T) {
-	s := open(t, tokened)
+	s := openServer(t, withIdempotencyKeys)
 	n, bad := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	copied := func(stream uint32, number int) {
 		fields := fakes.EncodeFields(fakes.DefaultFields(number, "class=post", "once=x")...)
@@ -153,8 +153,8 @@
 func TestRepeatAtTheWindowsEdge(t *testing.T) {
 	const window = 100 * time.Millisecond
 	var slack time.Duration
-	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
-		tokened(b, settings)
+	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
+		withIdempotencyKeys(b, settings)
 		settings.Admission.Operations[1].RepeatWindow = admission.Micros(window.Microseconds())
 		slack = time.Duration(settings.Admission.AnswerSlack) * time.Microsecond
 	})
@@ -162,7 +162,7 @@
 	at := func(when time.Time) string { return fmt.Sprint("at=", when.UnixMilli()) }
 	arrived := time.Now()
 	n.Send(fakes.Attempt(1, 1, "x", at(arrived)))
-	s.run(t, "complete", "first")
+	s.endNextRun(t, "complete", "first")
 	n.Expect()
 	inside, outside := arrived.Add(window), time.Now().Add(window+slack+2*time.Millisecond)
 	fakes.Until(t, "the window is over", func() bool { return time.Now().After(outside) })
@@ -171,7 +171,7 @@
 		t.Errorf("just inside: %v, %d launched", f, len(s.fakeExecutor.Launches))
 	}
 	n.Send(fakes.Attempt(3, 3, "x", "retry=1", at(outside)))
-	if l := s.run(t, "complete", "second"); l.ID != "0000000000000003" {
+	if l := s.endNextRun(t, "complete", "second"); l.ID != "0000000000000003" {
 		t.Errorf("just outside: launched %v", l)
 	}
 	if f := n.Expect(); f.Stream != 3 || f.Code != 1 || f.Body != "second" {
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -20,13 +20,13 @@
 )
 
 // site is a server with a fake executor and all that stands between them.
-type site struct {
+type testServer struct {
 	*Server
 	fakeExecutor *fakes.ScriptedExecutor
 	address      string
 }
 
-func open(t *testing.T, edit func(*limits.Bounds, *config.Settings)) *site {
+func openServer(t *testing.T, edit func(*limits.Bounds, *config.Settings)) *testServer {
 	var settings config.Settings
 	if err := json.Unmarshal([]byte(fakes.Settings), &settings); err != nil {
 		t.Fatal(err)
@@ -36,17 +36,17 @@
 		edit(&b, &settings)
 	}
 	fakeExecutor := fakes.NewScriptedExecutor(t)
-	g := dispatch.New(&settings, 1, b)
-	tally := ratelimitlog.New(b.LogInterval)
-	link := executor.New(fakeExecutor.Address, b, tally, g.Open)
-	s := New(&settings, b, tally, g, link)
+	dispatcher := dispatch.New(&settings, 1, b)
+	violations := ratelimitlog.New(b.LogInterval)
+	client := executor.New(fakeExecutor.Address, b, violations, dispatcher.Open)
+	s := New(&settings, b, violations, dispatcher, client)
 	address, err := s.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go link.Run(ctx)
-	go g.RunTicks(ctx.Done(), link.RequestSample, link.Samples())
+	go client.Run(ctx)
+	go dispatcher.RunTicks(ctx.Done(), client.RequestSample, client.Samples())
 	go func() { _ = s.Serve() }()
 	t.Cleanup(func() {
 		cancel()
@@ -56,57 +56,57 @@
 		}
 	})
 	fakes.Until(t, "work can be taken", s.healthy)
-	return &site{s, fakeExecutor, address.String()}
+	return &testServer{s, fakeExecutor, address.String()}
 }
 
-func (s *site) inDispatch() int {
+func (s *testServer) inDispatch() int {
 	_, n := s.dispatcher.Counts()
 	return n
 }
 
 // run ends the next run that the executor is asked for.
-func (s *site) run(t testing.TB, word, result string) fakes.Launch {
+func (s *testServer) endNextRun(t testing.TB, word, result string) fakes.Launch {
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	s.fakeExecutor.End(l.ID, word, result)
 	return l
 }
 
 // rests ends all runs and waits until nothing is left over of what a test did.
-func (s *site) rests(t testing.TB, conns int) {
+func (s *testServer) expectNothingLeft(t testing.TB, conns int) {
 	t.Helper()
 	fakes.Until(t, "nothing is left over", func() bool {
 		for len(s.fakeExecutor.Launches) > 0 {
-			s.run(t, "complete", "nobody waits")
+			s.endNextRun(t, "complete", "nobody waits")
 		}
-		n, carried := s.Counts()
-		return n == conns && carried == 0 && s.inDispatch() == 0 && s.unsentBytes.Load() == 0 && s.Idle()
+		n, inFlight := s.Counts()
+		return n == conns && inFlight == 0 && s.inDispatch() == 0 && s.unsentBytes.Load() == 0 && s.Idle()
 	})
 }
 
 func TestAnswers(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, nil)
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.EncodeFrame(20, 1, fakes.EncodeFields()), fakes.EncodeFrame(20, 2, fakes.EncodeFields("a=b")))
 	tr.Say("checks: %v, %v", n.Expect(), n.Expect())
 	for stream, end := range []string{"complete", "error", "cancelled", "unknown"} {
 		n.Send(fakes.Invocation(uint32(stream+1), stream+1))
-		tr.Say("%s: %+v", end, s.run(t, end, ""))
+		tr.Say("%s: %+v", end, s.endNextRun(t, end, ""))
 		tr.Say("  %v", n.Expect())
 	}
 	big := strings.Repeat("b", s.bounds.BodySize)
 	n.Send(fakes.EncodeFrame(10, 9, fakes.EncodeFields(fakes.DefaultFields(9)...)+big))
-	l := s.run(t, "complete", strings.Repeat("r", s.bounds.ResultSize))
+	l := s.endNextRun(t, "complete", strings.Repeat("r", s.bounds.ResultSize))
 	tr.Say("largest body unchanged %t, largest result %d", l.Body == big, len(n.Expect().Body))
 	n.Send(fakes.Invocation(10, 10, "wait=0"), fakes.Invocation(11, 11, "at=1"))
 	tr.Say("used up: %d %d", n.Expect().Code, n.Expect().Code)
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 }
 
 // TestFramesInPieces sends the same frames split at every byte, and all in one.
 func TestFramesInPieces(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, nil)
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	for _, c := range []byte(fakes.EncodeFrame(20, 1, fakes.EncodeFields("a=b")) + fakes.Invocation(2, 2) + fakes.EncodeFrame(20, 3, "\x00")) {
 		n.Send(string([]byte{c}))
@@ -125,17 +125,17 @@
 			t.Errorf("answer %d is %v", stream, f)
 		}
 	}
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 }
 
 // TestFormsInPieces: every form of an invocation that the protocol allows is run, sent at once, byte by byte, and cut in the
 // middle of its length, of a name, of a value and of its body.
 func TestFormsInPieces(t *testing.T) {
-	s := open(t, nil)
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	backwards := func(pairs []string) []string { slices.Reverse(pairs); return pairs }
 	number := 0
-	for what, form := range map[string]func(number int) string{
+	for name, form := range map[string]func(number int) string{
 		"usual":               func(k int) string { return fakes.EncodeFields(fakes.DefaultFields(k)...) + "body" },
 		"fields in any order": func(k int) string { return fakes.EncodeFields(backwards(fakes.DefaultFields(k))...) + "body" },
 		"unknown fields": func(k int) string {
@@ -169,23 +169,23 @@
 				}
 				n.Send(frame[from:])
 			}
-			l := s.run(t, "complete", "r")
+			l := s.endNextRun(t, "complete", "r")
 			if f := n.Expect(); f.Stream != uint32(number) || f.Code != 1 || f.Body != "r" || l.ID != fmt.Sprintf("%016x", number) {
-				t.Errorf("%s cut at %v: %v, launched %v", what, cuts, f, l)
+				t.Errorf("%s cut at %v: %v, launched %v", name, cuts, f, l)
 			}
 		}
 	}
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 }
 
 // TestInvalidFrames: what is wrong within sound borders costs its stream, no other.
 func TestInvalidFrames(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, nil)
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
-	sound := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
-	for _, c := range []struct{ what, frame string }{
+	valid := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
+	for _, c := range []struct{ name, frame string }{
 		{"unknown operation", fakes.Invocation(2, 2, "class=nothing")},
 		{"unknown tenant", fakes.Invocation(3, 3, "tenant=nobody")},
 		{"no tenant", fakes.Invocation(4, 4, "tenant=")},
@@ -202,28 +202,28 @@
 		{"a stream that is open", fakes.Invocation(1, 12)},
 	} {
 		n.Send(c.frame)
-		tr.Say("%s: %v", c.what, n.Expect())
+		tr.Say("%s: %v", c.name, n.Expect())
 	}
-	s.fakeExecutor.End(sound.ID, "complete", "nobody can tell whose")
+	s.fakeExecutor.End(valid.ID, "complete", "nobody can tell whose")
 	n.Send(fakes.EncodeFrame(20, 13, "\x00"))
 	tr.Say("and still: %v", n.Expect())
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 }
 
 // TestFramingLost: nothing more is read, what was read before is answered, then the connection closes.
 func TestFramingLost(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, nil)
+	s := openServer(t, nil)
 	other := fakes.Dial(t, s.address)
 	for k, length := range []string{"\x00\x00\x00\x04", "\x00\x04\x00\x01", "\xff\xff\xff\xff"} {
 		n := fakes.Dial(t, s.address)
 		n.Send(fakes.Invocation(1, 2*k+1), length, "whatever", fakes.Invocation(2, 2*k+2))
 		tr.Say("length %x: %v", length, n.Expect())
-		s.run(t, "complete", "still answered")
+		s.endNextRun(t, "complete", "still answered")
 		tr.Say("  %v", n.Expect())
 		_, err := n.Next()
 		tr.Say("  then %v", err)
-		s.rests(t, 1)
+		s.expectNothingLeft(t, 1)
 	}
 	other.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	tr.Say("the other connection: %v", other.Expect())
@@ -232,14 +232,14 @@
 // TestCancel: whoever left gets no answer, and what was only held for it does not run.
 func TestCancel(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, nil)
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	n.Send(fakes.EncodeFrame(12, 1, ""), fakes.EncodeFrame(20, 2, "\x00"))
 	tr.Say("gone while it runs: %v", n.Expect())
 	s.fakeExecutor.End(l.ID, "complete", "too late")
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 	n.Send(fakes.EncodeFrame(12, 1, ""), fakes.EncodeFrame(20, 3, "\x00"))
 	tr.Say("gone once answered: %v", n.Expect())
 
@@ -249,18 +249,18 @@
 	n.Send(fakes.Invocation(4, 4))
 	fakes.Until(t, "it is held", func() bool { return s.inDispatch() == 1 })
 	n.Send(fakes.EncodeFrame(12, 4, ""))
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 	n.Send(fakes.Invocation(5, 5), fakes.Invocation(6, 6)[:40])
 	fakes.Until(t, "it is held", func() bool { return s.inDispatch() == 1 })
 	n.Close()
-	s.rests(t, 0)
+	s.expectNothingLeft(t, 0)
 	tr.Say("launches of what was only held: %d", len(s.fakeExecutor.Launches))
 }
 
 // TestTooMany: more than the protocol allows on a connection, or than this process can hold, is throttled.
 func TestTooMany(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, settings *config.Settings) { b.Invocations, settings.Admission.Cores = 40, 64 })
+	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) { b.Invocations, settings.Admission.Cores = 40, 64 })
 	one, two := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	for k := range 33 {
 		one.Send(fakes.Invocation(uint32(k+1), k+1))
@@ -272,12 +272,12 @@
 	tr.Say("the 41st of all: %v", two.Expect())
 	one.Close()
 	two.Close()
-	s.rests(t, 0)
+	s.expectNothingLeft(t, 0)
 }
 
 // TestSlowPeer: a caller that reads nothing stalls nobody and is cut off when it goes on sending.
 func TestSlowPeer(t *testing.T) {
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.UnsentPerConnection = 1 << 20 })
+	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.UnsentPerConnection = 1 << 20 })
 	slow, other := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	checks := strings.Repeat(fakes.EncodeFrame(20, 1, "\x00"), 4000)
 	slow.SetWriteDeadline(time.Now().Add(10 * time.Second))
@@ -291,12 +291,12 @@
 	if f := other.Expect(); f.Code != 1 {
 		t.Errorf("the other connection: %v", f)
 	}
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 }
 
 // TestConnectionChurn: after thousands of connections, many cut within a frame or with runs on the executor, nothing is left.
 func TestConnectionChurn(t *testing.T) {
-	s := open(t, nil)
+	s := openServer(t, nil)
 	before := runtime.NumGoroutine()
 	for k := range 2000 {
 		n := fakes.Dial(t, s.address)
@@ -304,15 +304,15 @@
 		n.Send(fakes.Invocation(1, 10_000+k), fakes.Invocation(2, 50_000+k)[:9+k%30])
 		n.Close()
 	}
-	s.rests(t, 0)
+	s.expectNothingLeft(t, 0)
 	fakes.Until(t, "no goroutine is left over", func() bool { return runtime.NumGoroutine() <= before+4 })
 }
 
 // TestFull: beyond the bound those that said nothing sound are given up, then those that rest; never those with an
 // invocation. Where all have work, a few newcomers are answered and asked for no more, the rest ends. Idle ones are asked away by type 30.
-func TestFull(t *testing.T) {
+func TestEvictionWhenFull(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.ClosingConnections = 2, 1 })
+	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.ClosingConnections = 2, 1 })
 	one, silent := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	one.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
@@ -350,7 +350,7 @@
 	s.sweep(time.Nanosecond)
 	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("swept while it waits: %v", one.Expect())
-	s.rests(t, 2)
+	s.expectNothingLeft(t, 2)
 	s.sweep(time.Nanosecond)
 	s.sweep(time.Nanosecond)
 	tr.Say("swept while it rests: %v", one.Expect())
@@ -365,7 +365,7 @@
 // holds a bounded part of our memory, and no edge node notices.
 func TestBadCallers(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) {
+	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) {
 		b.FrameTimeout, b.SweepInterval = 150*time.Millisecond, 20*time.Millisecond
 	})
 	done := make(chan struct{})
@@ -375,44 +375,44 @@
 	good.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	good.Expect()
 	number := 1000
-	alike := func(many int, edits ...string) (text string) {
+	invocations := func(many int, edits ...string) (text string) {
 		for k := range many {
 			text += fakes.Invocation(uint32(k+1), number+k, edits...)
 		}
 		number += many
 		return text
 	}
-	for _, c := range []struct{ what, sends string }{
+	for _, c := range []struct{ name, sends string }{
 		{"says nothing", ""},
-		{"half a frame", alike(1)[:60]},
+		{"half a frame", invocations(1)[:60]},
 		{"half a length", "\x00\x00"},
 		{"a frame that does not end", "\x00\x03\x00\x00\x0a\x00\x00\x00\x01" + strings.Repeat("x", 100_000)},
 		{"length too small", "\x00\x00\x00\x01xxxx"},
 		{"length negative", "\xff\xff\xff\xffxxxx"},
 		{"60 MB", "\x03\x93\x87\x00" + strings.Repeat("x", 60_000_000)},
-		{"no id", alike(1, "id=")},
-		{"not a number", alike(1, "cost=NaN")},
-		{"out of range", alike(1, "rank=7")},
-		{"unknown operation", alike(1, "class=x")},
-		{"unknown tenant", alike(1, "tenant=x")},
-		{"ids unknown to the farm", alike(1)},
-		{"two under one number", alike(1) + alike(1)},
-		{"taken back at once", strings.Repeat(alike(1)+fakes.EncodeFrame(12, 1, ""), 300) + alike(1, "class=x")},
-		{"hundreds at once", alike(300)},
-		{"nothing but what cannot be used", strings.Repeat(alike(1, "class=x"), 300)},
+		{"no id", invocations(1, "id=")},
+		{"not a number", invocations(1, "cost=NaN")},
+		{"out of range", invocations(1, "rank=7")},
+		{"unknown operation", invocations(1, "class=x")},
+		{"unknown tenant", invocations(1, "tenant=x")},
+		{"ids unknown to the farm", invocations(1)},
+		{"two under one number", invocations(1) + invocations(1)},
+		{"taken back at once", strings.Repeat(invocations(1)+fakes.EncodeFrame(12, 1, ""), 300) + invocations(1, "class=x")},
+		{"hundreds at once", invocations(300)},
+		{"nothing but what cannot be used", strings.Repeat(invocations(1, "class=x"), 300)},
 	} {
 		n := fakes.Dial(t, s.address)
-		began := time.Now()
+		startedAt := time.Now()
 		go func() { _, _ = n.Write([]byte(c.sends)) }()
 		var codes [4]int
-		over := make(chan struct{})
+		closed := make(chan struct{})
 		got := make(chan byte, 10_000)
 		go func() {
 			f, err := n.Next()
 			for ; err == nil; f, err = n.Next() {
 				got <- f.Code
 			}
-			close(over)
+			close(closed)
 		}()
 		answered := false
 		for !answered {
@@ -422,11 +422,11 @@
 			case code := <-got:
 				codes[code]++
 				answered = true
-			case <-over:
+			case <-closed:
 				answered = true
 			}
 		}
-		tr.Say("%s: in time %t, succeeded %d", c.what, time.Since(began) < 3*time.Second, codes[1])
+		tr.Say("%s: in time %t, succeeded %d", c.name, time.Since(startedAt) < 3*time.Second, codes[1])
 		for len(s.fakeExecutor.Launches) > 0 {
 			l := <-s.fakeExecutor.Launches
 			s.fakeExecutor.Refuse(l.ID)
@@ -439,19 +439,19 @@
 		}
 		s.fakeExecutor.End(id, "complete", "r")
 		if f := good.Expect(); f.Code != 1 {
-			t.Errorf("%s: beside it %v", c.what, f)
+			t.Errorf("%s: beside it %v", c.name, f)
 		}
 		n.Close()
 		fakes.Until(t, "it is gone", func() bool { conns, _ := s.Counts(); return conns == 1 })
 	}
-	s.rests(t, 1)
+	s.expectNothingLeft(t, 1)
 }
 
 // TestIdleAskedToLeave: while the table fills those that rest longest are asked away; when it is full they are closed,
 // several at once where it is large.
 func TestIdleAskedToLeave(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, _ *config.Settings) {
+	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) {
 		b.Connections, b.ConnectionsHighWater, b.IdleAge = 64, 62, 0
 	})
 	all := make([]*fakes.EdgeNode, 0, 64)
@@ -475,16 +475,16 @@
 // TestIdleTooLong: who holds a connection for longer than the deployment's callers do loses it once it rests.
 func TestIdleTooLong(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, func(b *limits.Bounds, settings *config.Settings) {
+	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
 		b.FrameTimeout, settings.Admission.IdleTimeout = 0, 50_000
 	})
-	held, busy := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
-	held.Send(fakes.EncodeFrame(20, 1, "\x00"))
-	tr.Say("%v", held.Expect())
+	idle, busy := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
+	idle.Send(fakes.EncodeFrame(20, 1, "\x00"))
+	tr.Say("%v", idle.Expect())
 	busy.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	fakes.Until(t, "it is closed", func() bool { s.sweep(0); n, _ := s.Counts(); return n == 1 })
-	_, err := held.Next()
+	_, err := idle.Next()
 	tr.Say("the one that rests: %v", err)
 	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("the one with work: %v", busy.Expect())
@@ -492,7 +492,7 @@
 
 // TestCanceledBeforeAdmission: what was canceled before it was decided does not come to the dispatcher, nor to the executor.
 func TestCanceledBeforeAdmission(t *testing.T) {
-	s := open(t, nil)
+	s := openServer(t, nil)
 	st := &stream{number: 1, canceled: make(chan struct{})}
 	close(st.canceled)
 	for n := range 300 {
@@ -502,13 +502,13 @@
 	if counts, _ := s.dispatcher.Counts(); counts.Arrived != 0 || len(s.fakeExecutor.Launches) != 0 {
 		t.Errorf("%+v, %d launches", counts, len(s.fakeExecutor.Launches))
 	}
-	s.rests(t, 0)
+	s.expectNothingLeft(t, 0)
 }
 
 // TestStopAccepting: type 30 on every connection; what crosses it is still answered; nothing new connects.
 func TestStopAccepting(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := open(t, nil)
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1))
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
@@ -535,20 +535,20 @@
 // TestNoDeadline: where the settings say that callers do not tell how long they wait, it is the client timeout, on time
 // though the run does not end; elsewhere such a frame is errored.
 func TestNoDeadline(t *testing.T) {
-	s := open(t, nil)
+	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1, "wait="))
 	if f := n.Expect(); f.Code != 3 || len(s.fakeExecutor.Launches) > 0 {
 		t.Errorf("where they tell: %v", f)
 	}
-	s = open(t, func(_ *limits.Bounds, settings *config.Settings) {
+	s = openServer(t, func(_ *limits.Bounds, settings *config.Settings) {
 		settings.DeadlineOptional = true
 		settings.Admission.Operations[0].ClientTimeout = 300_000
 		settings.Admission.Operations[0].Objective = 200_000
 	})
 	n = fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1, "wait="))
-	s.run(t, "complete", "r")
+	s.endNextRun(t, "complete", "r")
 	if f := n.Expect(); f.Code != 1 {
 		t.Errorf("the first: %v", f)
 	}
--- a/internal/cluster/transport/call_test.go
+++ b/internal/cluster/transport/call_test.go
@@ -65,7 +65,7 @@
 		}
 	}
 	err := from.Call(context.Background(), "h1", "/refused", nil, nil)
-	if status, ok := errors.AsType[*jsonhttp.StatusError](err); !ok || status.Code != http.StatusConflict || status.Text != "no" {
+	if status, ok := errors.AsType[*jsonhttp.StatusError](err); !ok || status.Code != http.StatusConflict || status.Message != "no" {
 		t.Errorf("a refused call: %v", err)
 	}
 	if n := l.accepted.Load(); n != 1 {
