--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -81,8 +81,16 @@
 	var greetings sync.WaitGroup
 	defer t.Close()
 	defer greetings.Wait()
-	stop := context.AfterFunc(ctx, func() { _ = t.listener.Close() })
-	defer stop()
+	closed := make(chan struct{})
+	stop := context.AfterFunc(ctx, func() {
+		defer close(closed)
+		_ = t.listener.Close()
+	})
+	defer func() {
+		if !stop() {
+			<-closed // Accept fails a moment before the address is free
+		}
+	}()
 	for {
 		c, err := t.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
