--- a/internal/backend/executor/client.go
+++ b/internal/backend/executor/client.go
@@ -1,5 +1,5 @@
-// Package executor is the client of the executor that runs invocations: its line protocol (protocol.go, read.go) and the one
-// connection that carries it, made anew whenever it is lost, with the runs in flight by id.
+// Package executor is the client of the executor that runs invocations: its line protocol (protocol.go, read.go), and the one
+// connection to it, which is made again whenever it is lost, with the runs in flight by id.
 package executor
 
 import (
@@ -28,33 +28,33 @@
 	Result []byte
 }
 
-// Done brings the outcome, once.
+// Done returns a channel that receives the outcome, once.
 func (r *Run) Done() <-chan Outcome { return r.done }
 
-// Client holds the one link to the executor. Its methods may be called from several goroutines; only Run blocks.
+// Client has the connection to the executor. Its methods may be called from several goroutines; only Run blocks.
 type Client struct {
 	bounds         limits.Bounds
 	violations     *ratelimitlog.Logger
 	onGreeting     func(cold bool, ago dispatch.Micros)
 	samples        chan []float64
-	addressChanged chan struct{} // the address is another one
+	addressChanged chan struct{}
 
 	mu            sync.Mutex
 	address       string
-	writable      *sync.Cond // there is something to write, or the link is over
-	conn          net.Conn   // all that is written goes to it, but for the first word of the next
-	previous      net.Conn   // the one it took over from
-	everGreeted   bool       // the executor has greeted us once: it is up as long as we are
-	nextSince     time.Time  // when next was made
-	next          net.Conn   // subscribed, and takes over once it is greeted or conn ends; nil while conn is not synced
-	pending       []byte     // to be written
+	writable      *sync.Cond // pending is not empty, or conn has changed
+	conn          net.Conn   // in use: commands are written to it
+	previous      net.Conn   // the one it replaced, still read until conn is greeted
+	everGreeted   bool       // the executor has sent a greeting, on any connection
+	nextSince     time.Time  // when next was connected
+	next          net.Conn   // subscribed, and replaces conn once it is greeted or conn ends; nil while conn is not synced
+	pending       []byte     // commands to be written
 	runs          map[string]*Run
 	lastNotice    uint64    // number of the last notice read
-	synced        bool      // all notices from before this link have been read
-	lastSynced    time.Time // when it was last so
-	lastInput     time.Time // when conn last brought something
-	sampleTag     uint64    // of the last sample asked for
-	samplePending bool      // and it has not come
+	synced        bool      // all notices from before this connection have been read
+	lastSynced    time.Time // when it was last synced
+	lastInput     time.Time // when something was last read from conn
+	sampleTag     uint64    // of the last sample requested
+	samplePending bool      // and has not arrived
 	sampleSince   time.Time
 }
 
@@ -70,7 +70,7 @@
 	return l
 }
 
-// Launch starts a run. While there is no link it is held and goes out with the next one.
+// Launch starts a run. Without a synced connection it is held, and sent on the next one.
 func (l *Client) Launch(id, operation string, body []byte) *Run {
 	r := &Run{id: id, operation: operation, body: body, done: make(chan Outcome, 1)}
 	l.mu.Lock()
@@ -88,8 +88,8 @@
 	l.writable.Signal()
 }
 
-// RequestSample asks for the gauges and reports whether it did: not without a link, nor while an answer is to come,
-// unless that is so late that it may never come.
+// RequestSample requests a sample of the gauges and reports whether it did: not without a synced connection, nor while a sample is
+// pending, unless that is so late that it may never arrive.
 func (l *Client) RequestSample() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,18 +108,18 @@
 	l.writable.Signal()
 }
 
-// Samples brings gauges; only the newest are there for who reads late.
+// Samples returns a channel of gauges; it holds the newest alone.
 func (l *Client) Samples() <-chan []float64 { return l.samples }
 
-// Available reports whether runs can be started now, or will be as soon as a link that was just lost is back: a cut of
-// a moment costs no run, and callers that hear of bad health act on it for seconds.
+// Available reports whether runs can be started, now or once a connection that was just lost is back: a short loss ends no run,
+// and callers act for seconds on a failed health check.
 func (l *Client) Available() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.synced || time.Since(l.lastSynced) < l.bounds.ExecutorAbsence
 }
 
-// SetAddress names another address of the same executor, to which a new link is made while the old one goes on.
+// SetAddress changes the address of the executor. A new connection is made while the one in use goes on.
 func (l *Client) SetAddress(address string) {
 	l.mu.Lock()
 	same := l.address == address
@@ -133,7 +133,7 @@
 	}
 }
 
-// Run holds the link up until the context ends.
+// Run keeps a connection open until the context ends.
 func (l *Client) Run(ctx context.Context) {
 	dialer := net.Dialer{Timeout: l.bounds.DialTimeout}
 	pause := l.bounds.RedialMin
@@ -156,11 +156,11 @@
 						pause, down = l.bounds.RedialMin, false
 					}
 					connected = false
-				case <-l.addressChanged: // this link goes on until the next has taken over, or the executor closes it
+				case <-l.addressChanged: // this connection goes on until the next has replaced it, or the executor closes it
 					pause = l.bounds.RedialMin
 					continue dial
 				case <-silenceCheck.C:
-					if l.silent() { // likewise: it may be open at our side alone
+					if l.silent() { // likewise: it may be open at this side alone
 						slog.Warn("executor_silent")
 						continue dial
 					}
@@ -184,20 +184,22 @@
 	}
 }
 
+// runsInFlight returns how many runs have not ended.
 func (l *Client) runsInFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.runs)
 }
 
-// ending is how a link came to its end.
+// connectionEnd is how a connection ended.
 type connectionEnd struct {
 	greeted bool
 	err     error
 }
 
-// silent: the link in use has brought nothing for long though it was asked, or has not been greeted for long, and if another
-// is on its way, nor has that. Before the first greeting of all nothing is to be done about it: an executor may come up late.
+// silent reports whether the connection in use has brought nothing for ExecutorSilence though a sample is pending, or no greeting
+// for so long, and neither has the next one, if there is one. Before the first greeting of all it is false: the executor may start
+// late.
 func (l *Client) silent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -205,9 +207,8 @@
 	return (l.samplePending || l.everGreeted && !l.synced) && time.Since(l.lastInput) > long && (l.next == nil || time.Since(l.nextSince) > long)
 }
 
-// subscribe brings a new connection in, subscribed from the last notice read. While the link in use is synced, it goes on
-// taking launches until the new one is greeted: a greeting may be late, or never come. It returns what is to be written
-// to the new one first.
+// subscribe takes a new connection, and returns the command that subscribes it after the last notice read, to be written first.
+// While the connection in use is synced, launches go on to it until the new one is greeted: a greeting may be late, or never come.
 func (l *Client) subscribe(conn net.Conn) (first []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -223,9 +224,9 @@
 	return first
 }
 
-// takeOver makes conn the link in use. The one before is still read, until this one is greeted: its notices count by
-// their numbers, whichever link brings them first. What was written to it and not read by the executor is sent again once
-// the new link is synced. l.mu is held.
+// takeOver makes conn the connection in use. The one before is still read until this one is greeted: notices count by their
+// numbers, whichever connection brings them first. Launches that the executor has not read there are sent again once the new
+// connection is synced. l.mu is held.
 func (l *Client) takeOver(conn net.Conn) {
 	if l.previous != nil {
 		_ = l.previous.Close()
@@ -235,7 +236,7 @@
 	l.pending = l.pending[:0]
 }
 
-// replace lets conn, which may be nil, stand in for the one in use; l.mu is held.
+// replace makes conn, which may be nil, the connection in use; l.mu is held.
 func (l *Client) replace(conn net.Conn) {
 	if l.synced {
 		l.lastSynced = time.Now()
@@ -247,7 +248,7 @@
 	l.writable.Broadcast()
 }
 
-// serve works one connection until it is over.
+// serve reads from and writes to one connection until it ends.
 func (l *Client) serve(ctx context.Context, conn net.Conn, first []byte) (end connectionEnd) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
@@ -271,7 +272,7 @@
 	return end
 }
 
-// write sends what gathers, until the link is over.
+// write writes first, and then pending commands, until conn is not in use any more.
 func (l *Client) write(conn net.Conn, first []byte) {
 	if _, err := conn.Write(first); err != nil {
 		_ = conn.Close() // its reader sees the end
--- a/internal/backend/executor/client_test.go
+++ b/internal/backend/executor/client_test.go
@@ -42,17 +42,17 @@
 	})
 }
 
-// keep holds a link to the executor until the test ends.
+// connect runs a client of the executor until the test ends.
 func connect(t *testing.T, a *fakes.ScriptedExecutor) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := New(a.Address, limits.For(1, 192, 1024), ratelimitlog.New(time.Hour), func(bool, dispatch.Micros) {})
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
-	t.Cleanup(func() { cancel(); fakes.Take(t, "the link's end", done) })
+	t.Cleanup(func() { cancel(); fakes.Take(t, "the client's end", done) })
 	return l
 }
 
-// story runs what the executor does with one run and prints how it ended.
+// runOnce launches a run, does what the executor is to do with it, and prints its outcome.
 func runOnce(tr *fakes.Trace, l *Client, a *fakes.ScriptedExecutor, id, name string, do func()) {
 	run := l.Launch(id, "look", []byte("body"))
 	fakes.Take(tr, "a launch", a.Launches)
@@ -66,8 +66,8 @@
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
 	id := func(n int) string { return fmt.Sprintf("%016x", n) }
-	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Until(t, "the link is up", l.Available)
+	fakes.Take(t, "the first connection", a.Subscribes)
+	fakes.Until(t, "the connection is up", l.Available)
 	runOnce(tr, l, a, id(1), "complete", func() { a.End(id(1), "complete", "result\r\n") })
 	runOnce(tr, l, a, id(2), "empty result", func() { a.End(id(2), "complete", "") })
 	runOnce(tr, l, a, id(3), "largest result", func() { a.End(id(3), "complete", strings.Repeat("r", 4096)) })
@@ -88,14 +88,14 @@
 	})
 }
 
-// TestLinkLost: what the executor ended while there was no link is heard on the next one, once, and what it
-// never heard of is started there.
+// TestConnectionLost: outcomes of runs that ended while there was no connection arrive on the next one, once each, and launches
+// that the executor has not read are sent there.
 func TestConnectionLost(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	tr.Say("subscribe %d", fakes.Take(t, "the first link", a.Subscribes))
-	fakes.Until(t, "the link is up", l.Available)
+	tr.Say("subscribe %d", fakes.Take(t, "the first connection", a.Subscribes))
+	fakes.Until(t, "the connection is up", l.Available)
 	one, two := l.Launch("00000000000000a1", "look", nil), l.Launch("00000000000000a2", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
 	fakes.Take(t, "a launch", a.Launches)
@@ -104,27 +104,27 @@
 	a.Cut()
 	a.End("00000000000000a2", "complete", "second")
 	tr.Say("%q", fakes.Take(t, "the second end", two.Done()).Result)
-	tr.Say("subscribe %d", fakes.Take(t, "the second link", a.Subscribes))
+	tr.Say("subscribe %d", fakes.Take(t, "the second connection", a.Subscribes))
 
 	a.With(func(state, _ *string) { *state = "" })
 	a.Cut()
 	tr.Say("up while the cut is short: %t", l.Available())
 	fakes.Until(t, "the loss is long", func() bool { return !l.Available() })
 	three := l.Launch("00000000000000a3", "look", nil)
-	tr.Say("subscribe %d, the farm is not up", fakes.Take(t, "the third link", a.Subscribes))
+	tr.Say("subscribe %d, the farm is not up", fakes.Take(t, "the third connection", a.Subscribes))
 	a.With(func(state, _ *string) { *state = "hot 1" })
-	tr.Say("launched once it is: %+v", fakes.Take(t, "the launch kept for the link", a.Launches))
+	tr.Say("launched once it is: %+v", fakes.Take(t, "the launch held for the connection", a.Launches))
 	a.End("00000000000000a3", "complete", "third")
 	tr.Say("%q, runs left %d", fakes.Take(t, "the third end", three.Done()).Result, l.runsInFlight())
 }
 
-// TestGarble: links broken within a notice or a result, with commands unread, or before the greeting; notices that
-// come twice under one number, with remarks in between. Each run ends once, with its own result.
+// TestBrokenConnectionsAndRepeatedNotices: connections break within a notice or a result, with commands unread, or before the
+// greeting; notices arrive twice under one number, with remarks between. Each run ends once, with its own result.
 func TestBrokenConnectionsAndRepeatedNotices(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Until(t, "the link is up", l.Available)
+	fakes.Until(t, "the connection is up", l.Available)
 	id := func(n int) string { return fmt.Sprintf("00000000000000c%d", n) }
 	runOnce(tr, l, a, id(1), "cut within its notice", func() {
 		a.Send("outcome 1 " + id(1) + " comp")
@@ -156,7 +156,7 @@
 		a.With(func(state, _ *string) { *state = "" })
 		for range 3 {
 			a.Cut()
-			tr.Say("subscribe %d", fakes.Take(t, "a link", a.Subscribes))
+			tr.Say("subscribe %d", fakes.Take(t, "a connection", a.Subscribes))
 		}
 		a.End(id(5), "complete", "fifth")
 		a.With(func(state, _ *string) { *state = "hot 1" })
@@ -165,14 +165,14 @@
 	tr.Say("the other: %q, launches left %d", fakes.Take(t, "its end", other.Done()).Result, len(a.Launches))
 }
 
-// TestUnreadable: what cannot be read costs the link, and the run that it would have ended, no other; it must
-// not come again with each new link.
+// TestUnreadableNoticeEndsItsRun: a line that cannot be parsed ends the connection, and the run that it names, no other; it is
+// not read again on each new connection.
 func TestUnreadableNoticeEndsItsRun(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Until(t, "the link is up", l.Available)
+	fakes.Take(t, "the first connection", a.Subscribes)
+	fakes.Until(t, "the connection is up", l.Available)
 	other := l.Launch("00000000000000b0", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
 	for n, text := range []string{
@@ -187,8 +187,8 @@
 		} else {
 			a.Send(text)
 		}
-		tr.Say("%.50q: subscribe %d", text, fakes.Take(t, "a new link", a.Subscribes))
-		fakes.Until(t, "the link is up", l.Available)
+		tr.Say("%.50q: subscribe %d", text, fakes.Take(t, "a new connection", a.Subscribes))
+		fakes.Until(t, "the connection is up", l.Available)
 		if !strings.HasPrefix(text, "outcome") {
 			a.End(id, "complete", "")
 		}
@@ -198,13 +198,13 @@
 	tr.Say("the other: %q, runs left %d", fakes.Take(t, "its end", other.Done()).Result, l.runsInFlight())
 }
 
-// TestSamples: a sample that does not come is asked for again after a while, and one that comes later still is
-// not taken for the newer; asking never blocks.
+// TestSampleIsRequestedAgain: a sample that does not arrive is requested again after a while, and is not mistaken for the later
+// one if it arrives after all; requests never block.
 func TestSampleIsRequestedAgain(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Until(t, "the link is up", l.Available)
+	fakes.Until(t, "the connection is up", l.Available)
 	fakes.Take(t, "the first sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
 	asked := 0
@@ -223,26 +223,26 @@
 	tr.Say("of the next link: %v", fakes.Take(t, "a sample", l.Samples()))
 }
 
-// TestMoveWithoutGreeting: while the executor at the new address has not greeted, the link in use takes launches; where that
-// ends first the new one stands in for it, and a move back and forth leaves one link.
+// TestMoveWithoutGreeting: until the executor at the new address has greeted, launches go to the connection in use; where that
+// ends first the new one replaces it, and a move back and forth leaves one connection.
 func TestMoveWithoutGreeting(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Until(t, "the link is up", l.Available)
+	fakes.Take(t, "the first connection", a.Subscribes)
+	fakes.Until(t, "the connection is up", l.Available)
 	fakes.Take(t, "a sample", l.Samples())
 	move := func() (cut func()) {
 		cut = a.Move()
 		l.SetAddress(a.Address)
-		fakes.Take(t, "a new link", a.Subscribes)
+		fakes.Take(t, "a new connection", a.Subscribes)
 		return cut
 	}
 	greet := func(state string) { a.With(func(now, _ *string) { *now = state }) }
 	greet("")
 	move()
 	one := l.Launch("00000000000000d1", "look", nil)
-	tr.Say("before the greeting: %v", fakes.Take(t, "a launch on the link in use", a.Launches))
+	tr.Say("before the greeting: %v", fakes.Take(t, "a launch on the connection in use", a.Launches))
 	greet("hot 1")
 	fakes.Take(t, "the new link is synced", l.Samples())
 	a.End("00000000000000d1", "complete", "first")
@@ -261,7 +261,7 @@
 
 	greet("")
 	cut = move()
-	cut() // the link in use, before the new one is greeted
+	cut() // the connection in use, before the new one is greeted
 	three := l.Launch("00000000000000d3", "look", nil)
 	greet("hot 1")
 	tr.Say("the link in use ends first: %v", fakes.Take(t, "a launch", a.Launches))
@@ -269,17 +269,17 @@
 	tr.Say("%q, runs left %d", fakes.Take(t, "its end", three.Done()).Result, l.runsInFlight())
 }
 
-// TestSilentLink: a synced link that stays open and brings nothing is tried anew; runs go on.
+// TestSilentConnectionIsReplaced: a synced connection that stays open and brings nothing is replaced; runs go on.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Take(t, "the first link", a.Subscribes)
-	fakes.Until(t, "the link is up", l.Available)
+	fakes.Take(t, "the first connection", a.Subscribes)
+	fakes.Until(t, "the connection is up", l.Available)
 	fakes.Take(t, "a sample", l.Samples())
 	run := l.Launch("00000000000000e1", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
 	a.With(func(_, gauges *string) { *gauges = "" })
-	fakes.Until(t, "a link beside it", func() bool { l.RequestSample(); return len(a.Subscribes) == 1 })
+	fakes.Until(t, "a connection beside it", func() bool { l.RequestSample(); return len(a.Subscribes) == 1 })
 	a.With(func(_, gauges *string) { *gauges = "0.1 0 0 0" })
 	fakes.Until(t, "the new one is synced", func() bool { l.RequestSample(); return len(l.Samples()) > 0 })
 	a.End("00000000000000e1", "complete", "r")
@@ -288,15 +288,15 @@
 	}
 }
 
-// TestSilentBeforeItsGreeting: a link that was made anew is accepted and never greeted, though the executor had greeted before.
-// It is tried anew, as is one beside a silent link. What was launched meanwhile goes out once.
+// TestConnectionWithoutGreetingIsReplaced: a new connection is accepted and never greeted, though the executor had greeted before.
+// It is replaced, as is one beside a silent connection. A run launched meanwhile is sent once.
 func TestConnectionWithoutGreetingIsReplaced(t *testing.T) {
 	for name, beside := range map[string]bool{"beside": true, "alone": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a := fakes.NewScriptedExecutor(t)
 			l := connect(t, a)
-			fakes.Take(t, "the first link", a.Subscribes)
+			fakes.Take(t, "the first connection", a.Subscribes)
 			fakes.Take(t, "a sample", l.Samples())
 			a.With(func(state, _ *string) { *state = "" })
 			if beside {
@@ -305,7 +305,7 @@
 			} else {
 				a.Cut()
 			}
-			fakes.Take(t, "a link that is not greeted", a.Subscribes)
+			fakes.Take(t, "a connection that is not greeted", a.Subscribes)
 			run := l.Launch("00000000000000e2", "look", nil)
 			fakes.Until(t, "another", func() bool { l.RequestSample(); return len(a.Subscribes) > 0 })
 			<-a.Subscribes
@@ -319,11 +319,11 @@
 	}
 }
 
-// TestLateSamples: a executor that answers each sample too late to count is slow, not silent: its link stays.
+// TestLateSamplesKeepTheConnection: an executor that answers each sample too late to count is slow, not silent.
 func TestLateSamplesKeepTheConnection(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Take(t, "the first connection", a.Subscribes)
 	fakes.Take(t, "a sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
 	for startedAt := time.Now(); time.Since(startedAt) < l.bounds.ExecutorSilence*3/2; time.Sleep(20 * time.Millisecond) {
@@ -331,15 +331,16 @@
 		a.Send("sampled t1 0.1 1 0 0\r\n")
 	}
 	if len(a.Subscribes) > 0 {
-		t.Error("another link was made")
+		t.Error("another connection was made")
 	}
 }
 
-// TestMoveToNobody: nobody listens at the new address. Runs go on over the link in use, and a move back leaves one link.
+// TestMoveToAddressThatRefuses: the new address refuses connections. Runs go on over the connection in use, and a move back
+// leaves one connection.
 func TestMoveToAddressThatRefuses(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Take(t, "the first connection", a.Subscribes)
 	fakes.Take(t, "a sample", l.Samples())
 	l.SetAddress("127.0.0.1:1")
 	for k, id := range []string{"00000000000000f1", "00000000000000f2"} {
@@ -351,7 +352,7 @@
 		}
 		if k == 0 {
 			l.SetAddress(a.Address)
-			fakes.Take(t, "a link beside it", a.Subscribes)
+			fakes.Take(t, "a connection beside it", a.Subscribes)
 			fakes.Take(t, "a sample of it", l.Samples())
 		}
 	}
--- a/internal/backend/executor/notices_test.go
+++ b/internal/backend/executor/notices_test.go
@@ -14,7 +14,7 @@
 func TestUnreadableResultInAFullBuffer(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Until(t, "the link is up", l.Available)
+	fakes.Until(t, "the connection is up", l.Available)
 	one, two := l.Launch("00000000000000a1", "look", nil), l.Launch("00000000000000a2", "look", nil)
 	fakes.Take(t, "a launch", a.Launches)
 	fakes.Take(t, "a launch", a.Launches)
@@ -28,11 +28,11 @@
 	}
 }
 
-// TestSamplesOfOthers: a sample that was not the last asked for, or that the link before brings, is not taken for it.
+// TestSamplesNotRequestedAreIgnored: a sample that is not the one requested last, or that a former connection brings, is ignored.
 func TestSamplesNotRequestedAreIgnored(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Until(t, "the link is up", l.Available)
+	fakes.Until(t, "the connection is up", l.Available)
 	fakes.Take(t, "the first sample", l.Samples())
 	a.With(func(_, gauges *string) { *gauges = "" })
 	fakes.Until(t, "it asks", l.RequestSample)
@@ -46,16 +46,16 @@
 	}
 	l.takeSample(nil, notice{kind: sampled, tag: []byte(sampleTag(2)), gauges: []float64{9}})
 	if len(l.Samples()) != 0 {
-		t.Error("taken from a connection that is not in use")
+		t.Error("a sample of a connection that is not in use was taken")
 	}
 }
 
-// TestLaunchBeforeSynced: a launch waits until all notices from before the link have been read, and goes out then, once.
+// TestLaunchBeforeSynced: a launch waits until all notices from before the connection have been read, and is sent then, once.
 func TestLaunchBeforeSynced(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	a.With(func(state, _ *string) { *state = "" })
 	l := connect(t, a)
-	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Take(t, "the first connection", a.Subscribes)
 	l.Launch("00000000000000a1", "look", nil)
 	l.mu.Lock()
 	pending := string(l.pending)
@@ -67,28 +67,28 @@
 	fakes.Take(t, "a launch", a.Launches)
 }
 
-// TestRemarkCounts: a numbered remark is a notice that has been read: the next link is subscribed after it.
+// TestRemarkCounts: a numbered remark counts as a notice read: the next connection subscribes after it.
 func TestRemarkCounts(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	l := connect(t, a)
-	fakes.Take(t, "the first link", a.Subscribes)
+	fakes.Take(t, "the first connection", a.Subscribes)
 	fakes.Take(t, "the first sample", l.Samples())
 	a.Notice("aside %d a remark\r\n")
 	fakes.Until(t, "it asks", l.RequestSample)
 	fakes.Take(t, "a sample, read after the remark", l.Samples())
 	a.Cut()
-	if n := fakes.Take(t, "the next link", a.Subscribes); n != 1 {
+	if n := fakes.Take(t, "the next connection", a.Subscribes); n != 1 {
 		t.Errorf("subscribed from %d", n)
 	}
 }
 
-// TestSlowFirstGreeting: before the first greeting of all a silent link is left alone: the executor may come up late.
+// TestSlowFirstGreeting: a silent connection is not replaced before the first greeting of all: the executor may start late.
 func TestSlowFirstGreeting(t *testing.T) {
 	a := fakes.NewScriptedExecutor(t)
 	a.With(func(state, _ *string) { *state = "" })
 	l := connect(t, a)
-	fakes.Take(t, "the first link", a.Subscribes)
-	time.Sleep(l.bounds.ExecutorSilence * 8 / 5) // it has to last: one look at the link falls into it
+	fakes.Take(t, "the first connection", a.Subscribes)
+	time.Sleep(l.bounds.ExecutorSilence * 8 / 5) // it has to last: one check of the connection falls into it
 	if len(a.Subscribes) != 0 || l.silent() {
 		t.Errorf("%d further links, silent %t", len(a.Subscribes), l.silent())
 	}
--- a/internal/backend/executor/protocol.go
+++ b/internal/backend/executor/protocol.go
@@ -33,23 +33,24 @@
 	gauges  []float64
 }
 
+// outcomeOf maps the words for the end of a run.
 var outcomeOf = map[string]dispatch.Outcome{
 	"complete": dispatch.RunSucceeded, "error": dispatch.RunErrored,
 	"cancelled": dispatch.RunCancelled, "unknown": dispatch.NeverRan,
 }
 
-// words are the words of a line that have not been taken.
+// words are the words of a line that have not been parsed.
 type words struct{ rest []byte }
 
-// next takes the first word off; it is empty where none is left.
+// next returns the next word; it is empty where none is left.
 func (w *words) next() (word []byte) {
 	word, w.rest, _ = bytes.Cut(w.rest, []byte{' '})
 	return word
 }
 
-// parse reads a line without its end. Where an outcome cannot be read but its number and id can, they are
-// filled in beside the error. Gauges are appended to room.
-func parse(line []byte, room []float64) (n notice, err error) {
+// parse parses a line without its end. Where an outcome cannot be parsed but its number and id can, they are set beside the error.
+// Gauges are appended to buffer.
+func parse(line []byte, buffer []float64) (n notice, err error) {
 	if bytes.ContainsAny(line, "\r\n\x00") {
 		return n, errControlCharacter
 	}
@@ -60,13 +61,13 @@
 	case "outcome":
 		err = parseOutcome(&w, &n)
 	case "sampled":
-		err = parseSampled(&w, &n, room)
+		err = parseSampled(&w, &n, buffer)
 	case "refusal":
 		n.kind = refusal
 		if n.command, n.id = w.next(), w.next(); len(n.id) == 0 {
 			err = errWordCount
 		}
-	case "aside": // numbered like an outcome; a remark without a number is as good
+	case "aside": // numbered like an outcome; the number may be missing
 		n.kind = remark
 		n.number, _ = strconv.ParseUint(string(w.next()), 10, 64)
 		return n, nil
@@ -79,7 +80,7 @@
 	return n, err
 }
 
-// parseGreeting reads whether the executor is warming up, and for how long it has been up.
+// parseGreeting parses whether the executor is warming up, and for how long it has been up.
 func parseGreeting(w *words, n *notice) (err error) {
 	n.kind = greeting
 	switch state := w.next(); string(state) {
@@ -93,7 +94,7 @@
 	return err
 }
 
-// parseOutcome reads how a run ended, and the length of the result that follows.
+// parseOutcome parses how a run ended, and the length of the result that follows.
 func parseOutcome(w *words, n *notice) (err error) {
 	n.kind = outcome
 	if n.number, err = strconv.ParseUint(string(w.next()), 10, 64); err != nil || n.number == 0 {
@@ -118,9 +119,9 @@
 	return nil
 }
 
-// parseSampled reads gauges, which are appended to room.
-func parseSampled(w *words, n *notice, room []float64) error {
-	n.kind, n.gauges = sampled, room
+// parseSampled parses gauges, which are appended to buffer.
+func parseSampled(w *words, n *notice, buffer []float64) error {
+	n.kind, n.gauges = sampled, buffer
 	n.tag = w.next()
 	for len(w.rest) > 0 {
 		x, err := strconv.ParseFloat(string(w.next()), 64)
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// micros reads a time in milliseconds.
+// micros parses a time in milliseconds.
 func micros(word []byte) (dispatch.Micros, error) {
 	ms, err := strconv.ParseFloat(string(word), 64)
 	if err != nil || !(ms >= 0 && ms < 1e12) {
--- a/internal/backend/executor/read.go
+++ b/internal/backend/executor/read.go
@@ -14,11 +14,11 @@
 type reader struct {
 	conn     net.Conn
 	buf      []byte // holds the longest line and the longest result
-	from, to int    // what has been read and not yet taken
-	maxLine  int    // bytes of a line, without its end
+	from, to int    // the part of buf that is read and not consumed
+	maxLine  int    // bytes, without its end
 }
 
-// fill reads until so many bytes stand ready.
+// fill reads until so many bytes are buffered.
 func (r *reader) fill(needed int) error {
 	if r.from+needed > len(r.buf) {
 		r.to, r.from = copy(r.buf, r.buf[r.from:r.to]), 0
@@ -60,7 +60,7 @@
 	return text[:end-1], nil
 }
 
-// bytes reads so many bytes.
+// bytes reads so many bytes, and makes sure that their CR LF is buffered.
 func (r *reader) bytes(length int) ([]byte, error) {
 	if err := r.fill(length + len("\r\n")); err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	return b, nil
 }
 
-// discard skips so many bytes, which may be more than the buffer holds.
+// discard skips so many bytes, which may be more than the buffer holds, up to their CR LF.
 func (r *reader) discard(length int) error {
 	rest := length - (r.to - r.from)
 	r.from = min(r.from+length, r.to)
@@ -82,7 +82,7 @@
 	return r.fill(len("\r\n"))
 }
 
-// crlf takes the end of a result, which stands ready.
+// crlf consumes the CR LF after a result, which is buffered, and reports whether it was one.
 func (r *reader) crlf() bool {
 	ok := r.buf[r.from] == '\r' && r.buf[r.from+1] == '\n'
 	if ok {
@@ -91,10 +91,10 @@
 	return ok
 }
 
-// read handles notices until the connection is over or brings what cannot be read.
+// read handles notices until the connection ends or brings a line that cannot be parsed.
 func (l *Client) read(conn net.Conn) (greeted bool, err error) {
 	r := &reader{conn: conn, buf: make([]byte, l.bounds.LineSize+l.bounds.ResultSize+4), maxLine: l.bounds.LineSize}
-	var gauges []float64 // used again for each sample
+	var gauges []float64 // reused for each sample
 	for {
 		text, err := r.line()
 		if err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// takeGreeting makes the connection the one in use, and closes the one that it takes over from.
+// takeGreeting makes conn the connection in use, and closes the one that it replaces.
 func (l *Client) takeGreeting(conn net.Conn, n notice) {
 	slog.Info("executor_up", "cold", n.cold, "ago_us", n.micros)
 	l.onGreeting(n.cold, n.micros)
@@ -142,7 +142,7 @@
 	if l.previous != nil {
 		_ = l.previous.Close()
 	}
-	l.sendSample() // its answer follows the notices that were held for us
+	l.sendSample() // its answer follows the notices that the executor has held
 }
 
 // takeRefusal ends the run whose launch was refused.
@@ -154,7 +154,7 @@
 	}
 }
 
-// takeAside counts a numbered remark, where it is the next notice.
+// takeRemark counts a numbered remark, where it is the next notice.
 func (l *Client) takeRemark(n notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,7 +163,7 @@
 	}
 }
 
-// takeOutcome reads the result that follows an outcome, and ends its run unless the notice was read before.
+// takeOutcome reads the result that follows an outcome, and ends its run unless the notice was counted before.
 func (l *Client) takeOutcome(r *reader, n notice) error {
 	id := string(n.id) // reading the result moves the buffer that the line's slices are of
 	end := Outcome{End: n.end}
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// countNotice notes the number of a notice, and reports whether it is new. Each is held by the executor until the next
-// subscription, and may come over two connections.
+// countNotice records the number of a notice, and reports whether it is new. The executor holds each until the next subscription,
+// so that it may arrive on two connections.
 func (l *Client) countNotice(conn net.Conn, number uint64) (isNew bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,8 +202,8 @@
 	return isNew
 }
 
-// takeSample takes the sample last asked for; the first of a link tells that what came before it has been read.
-// One from before, which came after another was asked for or another link took over, is passed over.
+// takeSample takes the sample requested last. The first one of a connection implies that all notices from before it have been
+// read: the connection is synced. An older sample, or one of a connection that was replaced, is ignored.
 func (l *Client) takeSample(conn net.Conn, n notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -217,7 +217,7 @@
 	l.samplePending = false
 	if !l.synced {
 		l.synced = true
-		for _, r := range l.runs { // it is not known which of them the executor has read; known ones do no harm
+		for _, r := range l.runs { // it is unknown which of them the executor has read; those it knows are ignored there
 			l.sendLaunch(r)
 		}
 	}
@@ -228,15 +228,15 @@
 	l.samples <- append([]float64(nil), n.gauges...)
 }
 
-// failUnreadable ends the run of a notice that cannot be read though its number can: it must not come again with every link, and
-// the run that it ended has no result.
+// failUnreadable ends the run of a notice that cannot be parsed though its number can: the notice must not be read again on every
+// connection, and the run that it ended has no result.
 func (l *Client) failUnreadable(number uint64, id string) {
 	if number != 0 && l.countNotice(nil, number) {
 		l.finish(id, Outcome{End: dispatch.RunErrored})
 	}
 }
 
-// finish ends a run; ends of runs that are not in flight are void.
+// finish ends a run; outcomes of runs that are not in flight are ignored.
 func (l *Client) finish(id string, end Outcome) {
 	l.mu.Lock()
 	r := l.runs[id]
--- a/internal/backend/frame/client.go
+++ b/internal/backend/frame/client.go
@@ -6,9 +6,9 @@
 	"milletbarrow/admission"
 )
 
-// This file is the caller's side, for load over sockets: what an edge node writes, and reads.
+// This file is the caller's side of the codec, for the load generator and tests.
 
-// OutgoingInvocation is what a caller writes of one invocation. Zero values of Work, Tenant and Retry are left out.
+// OutgoingInvocation is an invocation as its caller writes it. Zero values of Work, Tenant and Retry are left out.
 type OutgoingInvocation struct {
 	Operation, ID, Tenant string
 	At                    int64 // Unix time, milliseconds
@@ -48,15 +48,15 @@
 	return end(append(to, a.Body...), start)
 }
 
-// Answer is what a backend wrote of one invocation.
+// Answer is a backend's answer to one invocation.
 type Answer struct {
 	Code  Code
-	After admission.Micros // stay away from this backend for so long
-	Last  bool             // try no other either
-	Body  []byte           // a slice of what was read
+	After admission.Micros // Retry-After: send nothing to this backend for so long
+	Last  bool             // and do not retry elsewhere either
+	Body  []byte           // a slice of the payload
 }
 
-// ReadAnswer reads the payload of an answer's frame.
+// ReadAnswer decodes the payload of an answer's frame. The error is ErrTruncated or a *FieldError.
 func ReadAnswer(p []byte) (a Answer, err error) {
 	if len(p) < 2 {
 		return a, ErrTruncated
@@ -78,7 +78,8 @@
 	return a, err
 }
 
-// SplitFrame finds the first complete frame of what was read: its head and payload, and how much it took; 0 if more must come.
+// SplitFrame returns the header and payload of the first frame in b, and its size in bytes; 0 if the frame is not complete. The
+// error is a *LengthError or ErrNoHeader.
 func SplitFrame(b []byte, maxLength int) (h Header, payload []byte, size int, err error) {
 	if len(b) < HeaderSize {
 		return h, nil, 0, nil
--- a/internal/backend/frame/client_test.go
+++ b/internal/backend/frame/client_test.go
@@ -9,7 +9,8 @@
 	"milletbarrow/admission"
 )
 
-// TestBothSides: what a caller writes is what a backend reads, and the other way round, however the bytes are cut.
+// TestCallerAndBackendAgree: a backend reads what a caller has written, and the other way round; no part of a frame is mistaken
+// for a complete one.
 func TestCallerAndBackendAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := OutgoingInvocation{
@@ -48,7 +49,7 @@
 	})
 }
 
-// FuzzReadAnswer: no bytes bring the caller's side down.
+// FuzzReadAnswer: no input makes ReadAnswer panic.
 func FuzzReadAnswer(f *testing.F) {
 	f.Add([]byte{1, 0})
 	f.Add([]byte{2, 1, 5, 'a', 'f', 't', 'e', 'r', 0, 1, 'x'})
--- a/internal/backend/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -1,5 +1,5 @@
-// Package frame reads and writes the binary frames of edge nodes. It works on byte slices and does no I/O;
-// what it reads are slices of what it was given.
+// Package frame encodes and decodes the binary frames of edge nodes. It works on byte slices and does no I/O; decoded values are
+// slices of the input.
 package frame
 
 import (
@@ -13,7 +13,7 @@
 // Kind is the type of a frame.
 type Kind byte
 
-// The types that exist.
+// The frame types.
 const (
 	KindInvocation   Kind = 10
 	KindAnswer       Kind = 11
@@ -26,7 +26,7 @@
 // Code is the result code of an answer.
 type Code byte
 
-// The codes of answers; a health check is answered by Succeeded for good and Errored for bad.
+// The result codes; a health check is answered with Succeeded for good and Errored for bad.
 const (
 	Succeeded Code = 1
 	Throttled Code = 2
@@ -45,16 +45,16 @@
 type Header struct {
 	Kind    Kind
 	Stream  uint32
-	Payload int // bytes that follow the head
+	Payload int // bytes that follow the header
 }
 
-// LengthSize and HeaderSize are how many bytes Length and ReadHeader need.
+// LengthSize and HeaderSize are the sizes in bytes of what Length and ReadHeader decode.
 const (
 	LengthSize = lengthSize
 	HeaderSize = headerSize
 )
 
-// Length reads the border of a frame: how many bytes follow the length itself.
+// Length decodes the length of a frame: how many bytes follow the length itself. The error is a *LengthError.
 func Length(b []byte, maxLength int) (int, error) {
 	n := binary.BigEndian.Uint32(b)
 	if n < minLength || int64(n) > int64(maxLength) {
@@ -63,7 +63,7 @@
 	return int(n), nil
 }
 
-// ReadHeader reads a head whose length has been found sound.
+// ReadHeader decodes a header whose length was checked by Length.
 func ReadHeader(b []byte) Header {
 	return Header{
 		Kind: Kind(b[lengthSize]), Stream: binary.BigEndian.Uint32(b[lengthSize+1:]),
@@ -71,19 +71,19 @@
 	}
 }
 
-// Invocation is the content of an invocation's frame, in slices of that frame.
+// Invocation is the payload of an invocation's frame, in slices of that frame.
 type Invocation struct {
 	Operation, ID, Tenant  []byte
 	IdempotencyKey         []byte           // the same in all attempts at one piece of work; empty: not given
-	At                     admission.Micros // when it reached the machine, Unix time
-	Wait                   admission.Micros // its caller waits so long from then, if HasWait
+	At                     admission.Micros // when it reached the host, Unix time
+	Wait                   admission.Micros // how long its caller waits from then, if HasWait
 	HasWait, Retry, HasKey bool
 	Work                   admission.Micros // expected, on one core; 0 if not given
 	KB, Rank               float64
 	Body                   []byte
 }
 
-// fieldSet marks the fields seen, to find those that are missing or stand twice.
+// fieldSet is the set of fields seen, to find those that are missing or duplicate.
 type fieldSet uint16
 
 const (
@@ -102,7 +102,8 @@
 	requiredFields = hasClass | hasID | hasAt | hasKB | hasRank
 )
 
-// ReadInvocation reads the payload of an invocation's frame. Fields that it does not know are skipped. Its slices are of p.
+// ReadInvocation decodes the payload of an invocation's frame; its slices are of p. Unknown fields are skipped. The error is
+// ErrTruncated, ErrMissingField, a *FieldError or a *BodySizeError.
 func ReadInvocation(p []byte, maxBody int) (Invocation, error) {
 	var inv Invocation
 	seen := fieldSet(0)
@@ -126,7 +127,7 @@
 	return inv, nil
 }
 
-// setField reads one field and returns its bit; 0 for a field that is not known.
+// setField decodes one field and returns its bit; 0 for an unknown field.
 func (inv *Invocation) setField(name, value []byte) (bit fieldSet, err error) {
 	switch string(name) {
 	case "class":
@@ -171,13 +172,13 @@
 	return bit, err
 }
 
-// ReadFields checks the fields of a frame that has nothing else.
+// ReadFields checks the fields of a frame that has no body.
 func ReadFields(p []byte) error {
 	_, err := eachField(p, func(_, _ []byte) error { return nil })
 	return err
 }
 
-// eachField calls do for each field and returns what follows the last.
+// eachField calls do for each field and returns the bytes after the last one.
 func eachField(p []byte, do func(name, value []byte) error) ([]byte, error) {
 	if len(p) < 1 {
 		return nil, ErrTruncated
@@ -210,7 +211,7 @@
 	return len(b) == idSize
 }
 
-// number reads plain decimal digits with at most one point; what is beyond most is out of range.
+// number parses decimal digits with at most one point. The error is ErrNotNumber, or ErrOutOfRange beyond maximum.
 func number(b []byte, maximum float64) (float64, error) {
 	if len(b) == 0 || len(b) > 32 {
 		return 0, ErrNotNumber
@@ -230,14 +231,14 @@
 	return x, nil
 }
 
-// millis reads a time in milliseconds; longer ones than a million years are cut to that.
+// millis parses a time in milliseconds; longer ones than about a thousand years are cut to that.
 func millis(b []byte) (admission.Micros, error) {
 	x, err := number(b, math.Inf(1))
 	return admission.Micros(math.Round(min(x*1000, 1<<55))), err
 }
 
-// AppendAnswer writes an answer. After tells the edge node to keep away for so long, last to try no other
-// backend; zero values are left out. Times go out in whole milliseconds, rounded up.
+// AppendAnswer appends an answer. after is the Retry-After of this backend, in whole milliseconds, rounded up; last tells the edge
+// node not to retry elsewhere either. Zero values are left out.
 func AppendAnswer(to []byte, stream uint32, code Code, after admission.Micros, last bool, body []byte) []byte {
 	to, start := begin(to, KindAnswer, stream)
 	to = append(to, byte(code), 0)
@@ -254,12 +255,12 @@
 	return end(append(to, body...), start)
 }
 
-// AppendError tells of an error that belongs to no invocation.
+// AppendError appends an error that belongs to no stream.
 func AppendError(to []byte, text string) []byte {
 	return AppendAnswer(to, 0, Errored, 0, false, []byte(text))
 }
 
-// AppendHealthAnswer answers a health check.
+// AppendHealthAnswer appends the answer to a health check.
 func AppendHealthAnswer(to []byte, stream uint32, good bool) []byte {
 	code := Errored
 	if good {
@@ -269,18 +270,20 @@
 	return end(append(to, byte(code), 0), start)
 }
 
-// AppendGoAway asks for no further invocation on a connection.
+// AppendGoAway appends a frame that asks for no more invocations on its connection.
 func AppendGoAway(to []byte) []byte {
 	to, start := begin(to, KindGoAway, 0)
 	return end(to, start)
 }
 
+// begin appends a header without its length, and returns where the frame starts.
 func begin(to []byte, kind Kind, stream uint32) ([]byte, int) {
 	start := len(to)
 	to = append(to, 0, 0, 0, 0, byte(kind))
 	return binary.BigEndian.AppendUint32(to, stream), start
 }
 
+// end sets the length of the frame that starts there.
 func end(to []byte, start int) []byte {
 	binary.BigEndian.PutUint32(to[start:], uint32(len(to)-start-lengthSize))
 	return to
--- a/internal/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -75,7 +75,7 @@
 	tr.Say("fields alone: %v, cut short: %v", ReadFields([]byte(fakes.EncodeFields("a=b"))), ReadFields([]byte{1, 1, 'a', 0}))
 }
 
-// FuzzReadInvocation: whatever comes, what is accepted keeps within what was given and within the protocol.
+// FuzzReadInvocation: an accepted invocation is a slice of its payload and within the bounds of the protocol.
 func FuzzReadInvocation(f *testing.F) {
 	complete := fakes.EncodeFields(defaultFields("retry=1", "key=k")...)
 	f.Add([]byte(complete + "body"))
--- a/internal/backend/server/close.go
+++ b/internal/backend/server/close.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// closeWriteIfDone closes a connection that is to close once all is answered and written; c.mu is held. For writing first: were it
-// closed with input unread, the kernel would reset it, and the last answer could be lost on its way.
+// closeWriteIfDone closes a connection that is closing, once all is answered and written; c.mu is held. It is closed for writing
+// first: closed with unread input, the kernel would reset it, and the last answer could be lost.
 func (c *conn) closeWriteIfDone() {
 	if c.closing && !c.writeClosed && len(c.streams) == 0 && len(c.pending) == 0 && !c.writing {
 		if !c.released {
@@ -62,18 +62,18 @@
 	return true
 }
 
-// unread: the peer has sent what has not been read, and may be an invocation. Input on a connection that is closed for writing
-// does not count. c.mu is held.
+// unread reports whether the peer has sent bytes that have not been read, and may be an invocation. Input on a connection that is
+// closed for writing does not count. c.mu is held.
 func (c *conn) unread() bool { return !c.writeClosed && !c.released && unread(c.fd) }
 
-// allAnswered: all input has been read and answered, to the last byte, and the answers are written.
+// allAnswered reports whether all input has been read and answered, and the answers are written.
 func (c *conn) allAnswered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idle() && !c.unread()
 }
 
-// release: the connection is gone, and with it the callers of all that was open.
+// release is called once the connection is closed: the callers of all open streams are gone.
 func (c *conn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -14,12 +14,12 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestRequestAfterClose: requests are read on connections that have just been closed for writing: one that rested, one
+// TestRequestAfterClose: requests are read on connections that have just been closed for writing: one that was idle, one
 // within a frame. None is forwarded to the executor, none opens a stream, and the caller reads the end, not a reset.
 func TestRequestAfterClose(t *testing.T) {
 	complete := fakes.Invocation(1, 1)
 	for _, c := range []struct{ name, before, after string }{
-		{"rested", fakes.EncodeFrame(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
+		{"idle", fakes.Raw(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
 		{"within a frame", complete[:40], complete[40:] + fakes.Invocation(2, 2)},
 	} {
 		s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = time.Minute })
@@ -37,10 +37,10 @@
 		}
 		release := s.holdPoller(t)
 		n.Send(c.after)
-		fakes.Until(t, "it stands unread", func() bool { return unread(one.fd) })
+		fakes.Until(t, "it is unread", func() bool { return unread(one.fd) })
 		release()
 		fakes.Until(t, "it is read too", func() bool { return !unread(one.fd) })
-		if c.name == "rested" {
+		if c.name == "idle" {
 			n.Expect() // the health check, before the close
 		}
 		if f, err := n.Next(); !errors.Is(err, io.EOF) {
@@ -57,7 +57,7 @@
 }
 
 // TestSmallAnswersBeforeClose: many small answers go out one by one, each in a write of its own, and the connection is closed
-// over input that is not read. The system holds none of them back: TCP_NODELAY is set on what is accepted, and all arrive.
+// with unread input. The kernel delays none of them: accepted sockets have TCP_NODELAY set, and all answers arrive.
 func TestSmallAnswersBeforeClose(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
 		b.LingerTimeout, settings.Admission.Cores = time.Minute, 64
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestResultCutOnItsWay: the executor's link breaks within a notice, within a result, and brings a result whose end cannot be
-// read. The caller gets one answer: complete and unchanged once the next link brings it, errored where the notice was spoilt.
+// TestConnectionBreaksWithinAResult: the connection to the executor breaks within a notice, within a result, and brings a result
+// without its end. The caller gets one answer: complete and unchanged once the next connection brings it, errored without the end.
 func TestConnectionBreaksWithinAResult(t *testing.T) {
 	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
@@ -102,23 +102,23 @@
 		code   byte
 		body   string
 	}{
-		{"cut within its notice", func(id string) { s.fakeExecutor.Send("outcome 1 " + id + " comp"); s.fakeExecutor.Cut() }, 1, "the whole"},
+		{"cut within its notice", func(id string) { s.fakeExecutor.Send("outcome 1 " + id + " comp"); s.fakeExecutor.Cut() }, 1, "the total"},
 		{"cut within its result", func(id string) {
-			s.fakeExecutor.Send("outcome 2 " + id + " complete 3 9\r\nthe w")
+			s.fakeExecutor.Send("outcome 2 " + id + " complete 3 9\r\nthe t")
 			s.fakeExecutor.Cut()
-		}, 1, "the whole"},
-		{"without its end", func(id string) { s.fakeExecutor.Notice("outcome %d " + id + " complete 3 9\r\nthe wholeXX") }, 3, ""},
+		}, 1, "the total"},
+		{"without its end", func(id string) { s.fakeExecutor.Notice("outcome %d " + id + " complete 3 9\r\nthe totalXX") }, 3, ""},
 	} {
 		n.Send(fakes.Invocation(uint32(k+1), k+1))
 		l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 		c.breaks(l.ID)
 		if c.code == 1 {
-			s.fakeExecutor.End(l.ID, "complete", "the whole")
+			s.fakeExecutor.End(l.ID, "complete", "the total")
 		}
 		if f := n.Expect(); f.Stream != uint32(k+1) || f.Code != c.code || f.Body != c.body {
 			t.Errorf("%s: %v", c.name, f)
 		}
-		fakes.Until(t, "the link is up", s.healthy)
+		fakes.Until(t, "the executor is connected", s.healthy)
 	}
 	n.Send(fakes.EncodeFrame(20, 9, "\x00"))
 	if f := n.Expect(); f.Stream != 9 {
--- a/internal/backend/server/conn.go
+++ b/internal/backend/server/conn.go
@@ -11,9 +11,9 @@
 )
 
 // conn is one connection of an edge node. Its input is handled on netpoll's poller itself: it is read no faster than it is
-// handled, and each connection has its turn of one small buffer, however much input stands before it. So nothing that the
-// poller calls may block. Answers gather in pending and go straight to the socket; only what the socket does not take at once
-// is left to a goroutine that waits.
+// handled, and each connection gets one small buffer at a time, however much input it has. So nothing that the poller calls may
+// block. Answers are collected in pending and written directly to the socket; only what the socket does not take at once is left
+// to a goroutine that waits.
 type conn struct {
 	server    *Server
 	transport netpoll.Connection
@@ -21,23 +21,23 @@
 	openedAt  time.Time
 
 	// Used by the poller alone.
-	partial     []byte // the beginning of a frame whose rest has not come
+	partial     []byte // the beginning of a frame that is not complete
 	skip        int    // bytes still to be skipped of a frame too long to be an invocation
 	ignoreInput bool   // framing is lost, or too many frames were invalid: nothing more is handled
 
 	mu          sync.Mutex
 	streams     map[uint32]*stream // open ones
 	pending     []byte             // answers not yet written
-	writing     bool               // a goroutine waits for the socket to take some
+	writing     bool               // a goroutine waits for the socket to be writable
 	goAwaySent  bool
 	closing     bool // closes once all is answered and written
-	writeClosed bool // closed for writing: what comes is read and dropped
+	writeClosed bool // closed for writing: input is read and dropped
 	readClosed  bool // and for reading
-	released    bool // netpoll has let go of it; the descriptor may be another connection's
+	released    bool // netpoll has released it; the descriptor may be another connection's
 	sentValid   bool // the peer has sent a valid frame
 	invalid     int  // invalid frames, and invocations that the executor does not know
 	lastUsed    time.Time
-	frameStart  time.Time // when the frame began of which the rest has not come; zero if there is none
+	frameStart  time.Time // when the frame that is not complete began; zero if there is none
 }
 
 // stream is an invocation that is to be answered.
@@ -47,8 +47,8 @@
 }
 
 // openStream opens the stream of an invocation; st is nil for a health check, which only counts as valid input. reused: the
-// number is open already. room: the stream was opened; a connection that closes has no room, but still answers what
-// comes. gone: the connection is closed for writing, and nobody can be answered.
+// number is open already. opened: the stream was opened; a connection that is closing opens none, but still answers its input.
+// gone: the connection is closed for writing, and nobody can be answered.
 func (c *conn) openStream(st *stream) (reused, opened, gone bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,8 +78,8 @@
 	c.flush()
 }
 
-// fail answers a stream whose frame is invalid. Where an invocation is open under the same number, its caller cannot tell the
-// answers apart: this is the answer to both, and the first is canceled.
+// fail answers a stream whose frame is invalid. Where an invocation is open under the same number, its caller cannot distinguish
+// the answers: this is the answer to both, and the first is canceled.
 func (c *conn) fail(number uint32) {
 	c.mu.Lock()
 	if st := c.streams[number]; st != nil {
@@ -90,7 +90,7 @@
 	c.send(func(to []byte) []byte { return frame.AppendAnswer(to, number, frame.Errored, 0, false, nil) })
 }
 
-// cancel: the caller waits for this stream no longer. Unknown and answered streams are no longer open.
+// cancel closes a stream whose caller waits no longer, unless it is unknown or answered.
 func (c *conn) cancel(number uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/server/evict.go
+++ b/internal/backend/server/evict.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// retentionPriority orders connections by what is lost when they are closed, least first: see Server.evict. A connection that
-// was just opened may yet send, and one that was just used may yet be used again.
+// retentionPriority orders connections by the cost of closing them, lowest first: see Server.evict. A connection that was just
+// opened may still send, and one that was just used may be used again.
 type retentionPriority int
 
 const (
@@ -71,12 +71,12 @@
 
 // evict closes connections to make room, and reports whether there is or will be any: first those that never sent a valid frame,
 // then those idle for longest, several at once, as finding them costs time; else one just opened, else one just used. It
-// closes none with an open stream or unread input. It protects against clients that connect by the hundred and send nothing, and
-// against callers that keep connections open for good: neither may shut others out.
+// closes none with an open stream or unread input. So neither clients that connect by the hundred and send nothing, nor callers
+// that hold connections open forever, can exclude others.
 func (s *Server) evict(now time.Time) bool {
 	evicted, list := 0, s.byRetention(now)
 	firstLeaving := slices.IndexFunc(list, func(c candidate) bool { return c.priority == leaving })
-	if firstLeaving >= 0 && firstLeaving < s.bounds.Connections { // these make room: a burst must not evict one more for each newcomer
+	if firstLeaving >= 0 && firstLeaving < s.bounds.Connections { // these make room: a burst must not evict one more for each new connection
 		return true
 	}
 	for _, c := range list {
@@ -90,10 +90,10 @@
 	return evicted > 0
 }
 
-// Sweep looks at all connections in intervals, until done is closed: it asks callers to leave those that are idle for longer than
+// Sweep checks all connections at intervals, until done is closed: it asks callers to leave those that are idle for longer than
 // the dispatcher wants, and closes those whose time is up.
 func (s *Server) Sweep(done <-chan struct{}) {
-	s.lastSweep = time.Now() // the process may be held up before the first look too
+	s.lastSweep = time.Now() // the process may be stalled before the first sweep too
 	tick := time.NewTicker(s.bounds.SweepInterval)
 	defer tick.Stop()
 	for {
@@ -106,11 +106,11 @@
 	}
 }
 
-// sweep looks at all connections once; idleTimeout is how long the dispatcher lets them be idle, 0 for any time.
+// sweep checks all connections once; idleTimeout is how long the dispatcher lets them be idle, 0 for any time.
 func (s *Server) sweep(idleTimeout time.Duration) {
 	now := time.Now()
 	if late := now.Sub(s.lastSweep) - s.bounds.SweepInterval; !s.lastSweep.IsZero() && late > s.bounds.SweepInterval {
-		for _, c := range s.all() { // the process was held up: that is not the peers' time
+		for _, c := range s.all() { // the process was stalled: that time is not counted against the peers
 			c.extendDeadlines(late)
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 }
 
-// extendDeadlines takes a span during which the process was held up out of what the peer has let pass.
+// extendDeadlines moves the times of a connection by a span during which the process was stalled.
 func (c *conn) extendDeadlines(span time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/server/invocation.go
+++ b/internal/backend/server/invocation.go
@@ -12,7 +12,7 @@
 	"milletbarrow/internal/backend/frame"
 )
 
-// What is wrong with an invocation whose frame can be read.
+// Errors of an invocation whose frame can be decoded.
 var (
 	errInvocationTooLong = errors.New("too long for an invocation")
 	errUnknownOperation  = errors.New("unknown operation")
@@ -37,15 +37,15 @@
 	}
 	st := &stream{number: h.Stream, canceled: make(chan struct{})}
 	inv.CallerLeft = st.canceled
-	reused, room, gone := c.openStream(st)
+	reused, opened, gone := c.openStream(st)
 	switch {
 	case gone: // nobody can be answered any more
 	case reused:
 		c.reject("stream_again", nil)
 		c.fail(h.Stream)
-	case !room || !s.reserve():
-		// More than may be open here, or than this process can hold: it never ran, another may have room. Not for a
-		// repeat of what ran here: the other would run it again.
+	case !opened || !s.reserve():
+		// Beyond the bound of the connection or of the process: it did not run, and another backend may have capacity. Not for
+		// a repeat of an invocation that ran here: the other would run it again.
 		code := frame.Throttled
 		if s.dispatcher.IsRepeat(inv) {
 			code = frame.Errored
@@ -90,14 +90,14 @@
 	return inv, in.Body, nil
 }
 
-// keyed reports whether retries of an operation are known by an idempotency key.
+// keyed reports whether retries of an operation are recognised by an idempotency key.
 func (s *Server) keyed(operation int) bool {
 	return s.settings.Admission.Operations[operation].RetrySafety == admission.IdempotencyKeyed
 }
 
-// idempotencyKey is what the attempts of one piece of work have in common: the key that they bear and their content. A bad client
-// may copy the key of another's work. With other content it is other work, which must neither get the other's result nor stand
-// in its way; the executor refuses it.
+// idempotencyKey identifies the attempts of one invocation: by the key that they carry and their body. A bad client may copy the
+// key of another's invocation. With another body it is another invocation, which must neither get the other's result nor block
+// it; the executor refuses it.
 func idempotencyKey(key, body []byte) string {
 	sum := sha256.Sum256(body)
 	return string(key) + string(sum[:])
@@ -141,8 +141,8 @@
 	s.awaitRun(c, st, ticket, s.executor.Launch(inv.ID, operation, body))
 }
 
-// endedBeforeLaunch reports whether an admitted invocation was canceled, or fell due and was answered, before its launch; it
-// is then complete, and nothing is run for nobody.
+// endedBeforeLaunch reports whether an admitted invocation was canceled, or answered at its deadline, before its launch; it
+// is then complete, and is not launched.
 func (s *Server) endedBeforeLaunch(c *conn, st *stream, ticket *dispatch.Request) bool {
 	select {
 	case <-st.canceled:
@@ -161,7 +161,7 @@
 }
 
 // awaitRun waits until the run has ended. The final response may come earlier, and the caller may leave: the run goes on then
-// with nobody waiting for it.
+// without a caller.
 func (s *Server) awaitRun(c *conn, st *stream, ticket *dispatch.Request, run *executor.Run) {
 	canceled := st.canceled
 	for {
--- a/internal/backend/server/listener.go
+++ b/internal/backend/server/listener.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// listener accepts connections for netpoll. Netpoll's own listener closes its descriptor twice, and may hit another's the
-// second time; neither it nor the kernel waits for what stands in the accept queue, which is reset at the close.
+// listener accepts connections for netpoll. Netpoll's own listener closes its descriptor twice, and may close another file the
+// second time; neither it nor the kernel waits for the connections in the accept queue, which are reset at the close.
 type listener struct {
 	*net.TCPListener
 	fd int
@@ -20,6 +20,7 @@
 	closed bool
 }
 
+// errListenerClosed ends the accept loop.
 var errListenerClosed = errors.New("listener is closed")
 
 func newListener(tcp *net.TCPListener) (*listener, error) {
@@ -67,9 +68,9 @@
 	return c, nil
 }
 
-// closeWhenEmpty waits until the poller has accepted all that stands in the accept queue, for patience at the most, and
-// closes the listener: a caller whose connection was established may have written an invocation. Meanwhile the kernel drops
-// the packets of newcomers, who try again once the listener is closed.
+// closeWhenEmpty waits, for at most timeout, until the poller has accepted all connections in the accept queue, and closes the
+// listener: a caller whose connection was established may have written an invocation. Meanwhile the kernel drops the packets of
+// new connections, which are refused at their retransmission once the listener is closed.
 func (l *listener) closeWhenEmpty(timeout time.Duration) error {
 	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0} // takes no bytes of any packet
 	_ = unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &dropAll})
@@ -80,6 +81,7 @@
 	}
 }
 
+// closeIfEmpty closes the listener if its accept queue is empty, or anyway; done if it is closed.
 func (l *listener) closeIfEmpty(anyway bool) (done bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/server/races_test.go
+++ b/internal/backend/server/races_test.go
@@ -14,10 +14,10 @@
 	"milletbarrow/internal/limits"
 )
 
-// Races: each of these tests makes one bad order of events happen every time.
+// Races: each of these tests forces one unfavourable order of events.
 
-// holdPoller stops the poller until release is called: what comes meanwhile stands unread in the sockets, as where the
-// process was held up. A connection that only knocks brings the poller to the listener, which is locked.
+// holdPoller blocks the poller until release is called: input that arrives meanwhile stays unread in the sockets, as when the
+// process is stalled. A new connection brings the poller to the listener, which is locked.
 func (s *testServer) holdPoller(t testing.TB) (release func()) {
 	s.listener.mu.Lock()
 	knock, err := net.Dial("tcp", s.address)
@@ -25,18 +25,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { knock.Close() })
-	// The poller waits for the listener once it no longer takes in what another connection sends.
+	// The poller waits for the listener once it no longer reads what another connection sends.
 	return s.listener.mu.Unlock
 }
 
-// only is the one connection that is open.
+// onlyConn waits until one connection is open, and returns it.
 func (s *testServer) onlyConn(t testing.TB) *conn {
 	fakes.Until(t, "one is open", func() bool { n, _ := s.Counts(); return n == 1 })
 	return s.all()[0]
 }
 
-// TestAcceptQueue: the listener closes while connections, invocations written, stand in the accept queue. Each is
-// answered, and who comes later finds the listener closed.
+// TestAcceptQueue: the listener closes while connections whose invocations are written are in the accept queue. Each is
+// answered, and later connections are refused.
 func TestAcceptQueue(t *testing.T) {
 	s := openServer(t, nil)
 	release := s.holdPoller(t)
@@ -61,12 +61,12 @@
 		}
 	}
 	if c, err := net.Dial("tcp", s.address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("let in after the listener is closed: %v %v", c, err)
+		t.Errorf("accepted after the listener is closed: %v %v", c, err)
 	}
 }
 
-// TestUnreadOnIdle: timers have run out on connections whose invocations stand unread, as the process was held up.
-// None is closed over them: not by what ends the silent, those within a frame and the resting, nor to make room.
+// TestUnreadOnIdle: timeouts have expired on connections with unread invocations, as the process was stalled. None of these is
+// closed: not as silent, within a frame or idle for too long, nor evicted.
 func TestUnreadOnIdle(t *testing.T) {
 	short := func(b *limits.Bounds, settings *config.Settings) {
 		b.FrameTimeout, b.IdleAge, b.SweepInterval = time.Millisecond, 0, time.Hour
@@ -93,8 +93,8 @@
 		}
 		release := s.holdPoller(t)
 		n.Send(c.after)
-		fakes.Until(t, "it stands unread", func() bool { return unread(one.fd) })
-		time.Sleep(10 * time.Millisecond) // all timers are over
+		fakes.Until(t, "it is unread", func() bool { return unread(one.fd) })
+		time.Sleep(10 * time.Millisecond) // all timeouts expire
 		c.closes(s)
 		release()
 		s.endNextRun(t, "complete", "r")
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestHeldUpWithinAFrame: the process was held up for longer than a frame may take; that time is not its peer's.
+// TestStallWithinAFrame: the process was stalled for longer than a frame may take; that time is not counted against its peer.
 func TestStallWithinAFrame(t *testing.T) {
 	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
@@ -118,9 +118,9 @@
 	fakes.Until(t, "the frame has begun", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.frameStart.IsZero() })
 	s.sweep(0)
 	stalled := s.bounds.FrameTimeout + time.Second
-	c.extendDeadlines(-stalled) // as if it had come so long ago,
+	c.extendDeadlines(-stalled) // as if it had arrived so long ago,
 	s.lastSweep = s.lastSweep.Add(-stalled)
-	s.sweep(0) // and nothing was looked at since
+	s.sweep(0) // and no sweep had been made since
 	n.Send(complete[30:])
 	s.endNextRun(t, "complete", "r")
 	if f := n.Expect(); f.Code != 1 {
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestValidAfterInvalid: a connection has sent too much that cannot be used and ends once all is answered; a sound
-// invocation that comes meanwhile never ran, and its answer says so.
+// TestValidAfterInvalid: a connection that has sent too many invalid frames closes once all is answered; a valid invocation that
+// arrives meanwhile does not run, and is throttled.
 func TestValidAfterInvalid(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
@@ -152,7 +152,7 @@
 }
 
 // TestLastAnswersBeforeUnreadInput: a connection ends while its peer, which reads nothing yet, goes on sending. All
-// answers reach it all the same: closed outright, the system would reset the connection and drop what is on its way.
+// answers still reach it: closed at once, the kernel would reset the connection and drop the answers in flight.
 func TestLastAnswersBeforeUnreadInput(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = 5 * time.Second })
 	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
@@ -193,7 +193,7 @@
 }
 
 // TestClosedBeforeItsStreamOpens: the connection is cut between the reading of an invocation and the opening of its
-// stream. Nobody can be answered: nothing is opened, carried or run.
+// stream. Nobody can be answered: nothing is opened, handled or run.
 func TestClosedBeforeItsStreamOpens(t *testing.T) {
 	s := openServer(t, nil)
 	fakes.Dial(t, s.address)
@@ -205,8 +205,7 @@
 	s.expectNothingLeft(t, 0)
 }
 
-// TestDueBeforeItsLaunch: an invocation falls due, and is errored, between the word that it may run and its launch. It
-// does not run for nobody.
+// TestDueBeforeItsLaunch: an invocation falls due, and is errored, between its admission and its launch. It does not run.
 func TestDueBeforeItsLaunch(t *testing.T) {
 	s := openServer(t, nil)
 	stop := func() {
@@ -218,7 +217,7 @@
 	if f := n.Expect(); f.Code != 3 {
 		t.Error(f)
 	}
-	fakes.Until(t, "it is over", func() bool { _, inFlight := s.Counts(); return inFlight == 0 })
+	fakes.Until(t, "it is complete", func() bool { _, inFlight := s.Counts(); return inFlight == 0 })
 	if len(s.fakeExecutor.Launches) > 0 {
 		t.Error("it was launched")
 	}
@@ -256,8 +255,8 @@
 	fakes.Until(t, "they are gone", func() bool { n, _ := s.Counts(); return n == 1 })
 }
 
-// TestEvictionCountsClosing: a table is full of what has been closed and waits for the poller, which is busy with newcomers. None of
-// those that stay is closed for them.
+// TestEvictionCountsClosing: the bound is reached by connections that are closed and wait for the poller, which is busy with new
+// ones. No open connection is evicted for the new ones.
 func TestEvictionCountsClosing(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections = 2 })
 	n := fakes.Dial(t, s.address)
@@ -268,7 +267,7 @@
 	release := s.holdPoller(t)
 	for range 5 {
 		if !s.evict(time.Now()) {
-			t.Error("no room is made")
+			t.Error("nothing is evicted")
 		}
 	}
 	release()
--- a/internal/backend/server/read.go
+++ b/internal/backend/server/read.go
@@ -8,7 +8,7 @@
 	"milletbarrow/internal/backend/frame"
 )
 
-// read handles all input. Netpoll calls it on the poller, and would call it again and again for what is left unread.
+// read handles all input. Netpoll calls it on the poller, and would call it repeatedly for input left unread.
 func (c *conn) read() {
 	defer func() {
 		if r := recover(); r != nil {
@@ -30,8 +30,8 @@
 	}
 }
 
-// feed handles bytes, which are valid until it returns. Of a frame that is not complete it keeps the beginning, as far as it
-// can be an invocation.
+// feed handles bytes, which are valid until it returns. It stores the beginning of a frame that is not complete, as far as the
+// frame can be an invocation.
 func (c *conn) feed(b []byte) {
 	handled := false
 	for len(b) > 0 && !c.ignoreInput {
@@ -77,7 +77,7 @@
 	c.trackPartialFrame(handled)
 }
 
-// trackPartialFrame notes when the frame began of which the rest has not come. handled: frames before it were handled now.
+// trackPartialFrame records when the frame that is not complete began. handled: frames before it were handled now.
 func (c *conn) trackPartialFrame(handled bool) {
 	within := len(c.partial) > 0 || c.skip > 0
 	if within == !c.frameStart.IsZero() && (!within || !handled) {
@@ -98,7 +98,8 @@
 	return b[n:]
 }
 
-// framingLost: frames can no longer be told apart. What was read before is answered, then the connection closes.
+// framingLost handles a length that no frame can have: the frames after it cannot be found. Invocations read before are answered,
+// then the connection closes.
 func (c *conn) framingLost(err error) {
 	c.server.violations.Warn("frame_length", err)
 	c.ignoreInput, c.partial = true, nil
@@ -107,7 +108,7 @@
 }
 
 // reject counts an invalid frame, or an invocation that the executor does not know. It limits floods of them: a caller that
-// sends nothing else costs a bounded share of our time, then its connection closes.
+// sends nothing else costs a bounded amount of CPU time, then its connection closes.
 func (c *conn) reject(kind string, err error) {
 	c.server.violations.Warn(kind, err)
 	c.mu.Lock()
@@ -120,7 +121,8 @@
 	}
 }
 
-// ignoresInput: nothing on the connection can be answered any more, or so many frames were invalid that no further one is read.
+// ignoresInput reports whether nothing on the connection can be answered any more, or so many frames were invalid that no further
+// one is read.
 func (c *conn) ignoresInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +158,7 @@
 			c.openStream(nil)
 		}
 		c.send(func(to []byte) []byte { return frame.AppendHealthAnswer(to, h.Stream, good) })
-	default: // what its stream number means is unknown, so no stream is touched
+	default: // the meaning of its stream number is unknown, so no stream is touched
 		c.reject("kind", nil)
 		c.send(func(to []byte) []byte { return frame.AppendError(to, "unknown type") })
 	}
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -13,7 +13,7 @@
 	"milletbarrow/internal/limits"
 )
 
-// tokened has the operation post known by its tokens.
+// withIdempotencyKeys makes the operation post idempotent by its keys.
 func withIdempotencyKeys(_ *limits.Bounds, settings *config.Settings) {
 	settings.Admission.IdempotencyKeyKB = 20
 	op := &settings.Admission.Operations[1]
@@ -21,7 +21,7 @@
 }
 
 // TestRepeatsOfOneRun: one run brings the answer to a repeat that comes while it runs, though its own caller has reset the
-// connection, and to one that comes after it. The executor's link breaks between the two.
+// connection, and to one that comes after it. The connection to the executor breaks between the two.
 func TestRepeatsOfOneRun(t *testing.T) {
 	s := openServer(t, withIdempotencyKeys)
 	first, second := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
@@ -36,7 +36,7 @@
 		<-s.fakeExecutor.Subscribes
 	}
 	s.fakeExecutor.Cut()
-	s.fakeExecutor.End(l.ID, "complete", "the one result") // while there is no link
+	s.fakeExecutor.End(l.ID, "complete", "the one result") // while there is no connection
 	if f := second.Expect(); f.Code != 1 || f.Body != "the one result" {
 		t.Errorf("the repeat beside it: %v", f)
 	}
@@ -47,11 +47,11 @@
 	if len(s.fakeExecutor.Launches) > 0 {
 		t.Errorf("launched again: %v", <-s.fakeExecutor.Launches)
 	}
-	fakes.Until(t, "nothing is carried", func() bool { _, inFlight := s.Counts(); return inFlight == 0 && s.inDispatch() == 0 })
+	fakes.Until(t, "nothing is in flight", func() bool { _, inFlight := s.Counts(); return inFlight == 0 && s.inDispatch() == 0 })
 }
 
-// TestRepeatBeforeItsFirstIsLaunched: the first's caller takes it back between the word that it may run and its launch, with
-// a repeat that waits for it. Nothing ran, so the repeat may come again, and runs then.
+// TestRepeatBeforeItsFirstIsLaunched: the first attempt is canceled between its admission and its launch, with a repeat waiting
+// for it. Nothing ran, so the repeat gets a Retry-After, and the retry runs.
 func TestRepeatBeforeItsFirstIsLaunched(t *testing.T) {
 	s := openServer(t, withIdempotencyKeys)
 	stopped, resume := make(chan struct{}), make(chan struct{})
@@ -59,7 +59,7 @@
 	s.beforeLaunch.Store(&hook)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Attempt(1, 1, "x"))
-	fakes.Take(t, "the word that it may run", stopped)
+	fakes.Take(t, "the first is admitted", stopped)
 	s.beforeLaunch.Store(nil)
 	n.Send(fakes.Attempt(2, 2, "x", "retry=1"))
 	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestKeysOnFrames: one without a token is errored and not run, as is one whose token is beyond all bounds. Where no more
-// may be open, a repeat is errored, as another backend would run it again, and new work is throttled.
+// TestKeysOnFrames: an invocation without an idempotency key, or with one that is too long, is errored and not run. Where no more
+// may be open, a repeat is errored, as another backend would run it again, and a first attempt is throttled.
 func TestKeysOnFrames(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
@@ -104,8 +104,8 @@
 	tr.Say("launched besides: %d", len(s.fakeExecutor.Launches))
 }
 
-// TestCopiedIdempotencyKey: a bad client copies the mark of another's work, beside it and before it. It gets nothing of that
-// one's result, the executor refuses it, and the other is run and its repeat answered as if it had not come.
+// TestCopiedIdempotencyKey: a bad client copies the idempotency key of another's invocation, before it and while it runs. It does
+// not get the other's result, the executor refuses it, and the other runs and its repeat is answered as if there were no copy.
 func TestCopiedIdempotencyKey(t *testing.T) {
 	s := openServer(t, withIdempotencyKeys)
 	n, bad := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
@@ -148,8 +148,8 @@
 }
 
 // TestRepeatAtTheWindowsEdge: with a window of 100 ms, a repeat that arrived in the window's last moment is answered with the
-// first's result and not run, though it is read after the window; one that arrived just after the entry has run out is new
-// work and runs. Both say themselves when they arrived, so the outcome does not depend on how fast the test goes.
+// first's result and not run, though it is read after the window; one that arrived just after the entry has expired is a new
+// invocation and runs. Both give their time of arrival, so the outcome does not depend on the speed of the test.
 func TestRepeatAtTheWindowsEdge(t *testing.T) {
 	const window = 100 * time.Millisecond
 	var slack time.Duration
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -61,7 +61,7 @@
 	return s
 }
 
-// configureNetpoll: netpoll has one configuration for the whole process.
+// configureNetpoll guards the configuration of netpoll, of which a process has one.
 var configureNetpoll sync.Once
 
 // Listen opens the address and returns it with the port in use. The error is that of the listening socket or of the poller.
@@ -72,7 +72,7 @@
 			Runner: func(_ context.Context, f func()) { f() }, // on the poller, see conn
 		})
 	})
-	// What the kernel buffers of a connection that is read late is bounded too.
+	// The kernel's buffer of a connection that is read late is bounded too.
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		control := raw.Control(func(fd uintptr) {
 			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, s.bounds.ReceiveBuffer)
@@ -100,7 +100,7 @@
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve() error { return s.loop.Serve(s.listener) }
 
-// accept takes a new connection in; netpoll calls it on the poller.
+// accept registers a new connection; netpoll calls it on the poller.
 func (s *Server) accept(transport netpoll.Connection) context.Context {
 	now := time.Now()
 	c := &conn{server: s, transport: transport, fd: transport.(netpoll.Conn).Fd(), streams: map[uint32]*stream{}, openedAt: now, lastUsed: now}
@@ -124,7 +124,7 @@
 		c.release()
 		return nil
 	})
-	if draining || crowded { // what it has already sent is answered
+	if draining || crowded { // invocations that it has already sent are answered
 		c.sendGoAway()
 	}
 	return ctx
@@ -133,7 +133,7 @@
 // healthy reports whether health checks are answered with good.
 func (s *Server) healthy() bool { return s.dispatcher.Healthy() && s.executor.Available() }
 
-// netpollLog takes netpoll's own log: it writes a line for each connection that is reset.
+// netpollLog receives netpoll's own log, which has a line for each connection that is reset.
 type netpollLog struct{ server *Server }
 
 func (r netpollLog) Write(line []byte) (int, error) {
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -19,13 +19,14 @@
 	"milletbarrow/internal/ratelimitlog"
 )
 
-// site is a server with a fake executor and all that stands between them.
+// testServer is a server with a fake executor.
 type testServer struct {
 	*Server
 	fakeExecutor *fakes.ScriptedExecutor
 	address      string
 }
 
+// openServer starts a server whose bounds and settings are those that edit leaves, and waits until it is healthy.
 func openServer(t *testing.T, edit func(*limits.Bounds, *config.Settings)) *testServer {
 	var settings config.Settings
 	if err := json.Unmarshal([]byte(fakes.Settings), &settings); err != nil {
@@ -55,23 +56,24 @@
 			c.abort()
 		}
 	})
-	fakes.Until(t, "work can be taken", s.healthy)
+	fakes.Until(t, "the server is healthy", s.healthy)
 	return &testServer{s, fakeExecutor, address.String()}
 }
 
+// inDispatch returns how many invocations the dispatcher has in flight.
 func (s *testServer) inDispatch() int {
 	_, n := s.dispatcher.Counts()
 	return n
 }
 
-// run ends the next run that the executor is asked for.
+// endNextRun ends the next run that is launched.
 func (s *testServer) endNextRun(t testing.TB, word, result string) fakes.Launch {
 	l := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
 	s.fakeExecutor.End(l.ID, word, result)
 	return l
 }
 
-// rests ends all runs and waits until nothing is left over of what a test did.
+// expectNothingLeft ends all runs and waits until nothing that the test did is left over, but for its connections.
 func (s *testServer) expectNothingLeft(t testing.TB, conns int) {
 	t.Helper()
 	fakes.Until(t, "nothing is left over", func() bool {
@@ -178,7 +180,7 @@
 	s.expectNothingLeft(t, 1)
 }
 
-// TestInvalidFrames: what is wrong within sound borders costs its stream, no other.
+// TestInvalidFrames: an invalid frame of a valid length ends its stream, no other.
 func TestInvalidFrames(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
@@ -210,7 +212,7 @@
 	s.expectNothingLeft(t, 1)
 }
 
-// TestFramingLost: nothing more is read, what was read before is answered, then the connection closes.
+// TestFramingLost: nothing more is read, invocations read before are answered, then the connection closes.
 func TestFramingLost(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
@@ -229,7 +231,7 @@
 	tr.Say("the other connection: %v", other.Expect())
 }
 
-// TestCancel: whoever left gets no answer, and what was only held for it does not run.
+// TestCancel: a caller that left gets no answer, and an invocation that was only held for it does not run.
 func TestCancel(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
@@ -243,9 +245,9 @@
 	n.Send(fakes.EncodeFrame(12, 1, ""), fakes.EncodeFrame(20, 3, "\x00"))
 	tr.Say("gone once answered: %v", n.Expect())
 
-	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no room for a start
-	asked := s.fakeExecutor.Samples()                                        // each is asked for after the tick of the one before
-	fakes.Until(t, "full cores are seen", func() bool { return s.fakeExecutor.Samples() >= asked+3 })
+	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no capacity for a start
+	asked := s.fakeExecutor.Samples()                                        // each is requested after the tick of the one before
+	fakes.Until(t, "the dispatcher has seen busy cores", func() bool { return s.fakeExecutor.Samples() >= asked+3 })
 	n.Send(fakes.Invocation(4, 4))
 	fakes.Until(t, "it is held", func() bool { return s.inDispatch() == 1 })
 	n.Send(fakes.EncodeFrame(12, 4, ""))
@@ -275,7 +277,7 @@
 	s.expectNothingLeft(t, 0)
 }
 
-// TestSlowPeer: a caller that reads nothing stalls nobody and is cut off when it goes on sending.
+// TestSlowPeer: a caller that reads nothing stalls no other, and is cut off when it goes on sending.
 func TestSlowPeer(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.UnsentPerConnection = 1 << 20 })
 	slow, other := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
@@ -300,7 +302,7 @@
 	before := runtime.NumGoroutine()
 	for k := range 2000 {
 		n := fakes.Dial(t, s.address)
-		n.Conn.(*net.TCPConn).SetLinger(0) // a reset, not an end
+		n.Conn.(*net.TCPConn).SetLinger(0) // a reset
 		n.Send(fakes.Invocation(1, 10_000+k), fakes.Invocation(2, 50_000+k)[:9+k%30])
 		n.Close()
 	}
@@ -308,8 +310,8 @@
 	fakes.Until(t, "no goroutine is left over", func() bool { return runtime.NumGoroutine() <= before+4 })
 }
 
-// TestFull: beyond the bound those that said nothing sound are given up, then those that rest; never those with an
-// invocation. Where all have work, a few newcomers are answered and asked for no more, the rest ends. Idle ones are asked away by type 30.
+// TestEvictionWhenFull: beyond the bound, connections without a valid frame are evicted, then idle ones; never those with an
+// invocation. Where all have one, a few new connections are answered and sent GoAway, the rest are closed. Idle ones are sent GoAway.
 func TestEvictionWhenFull(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections, b.ClosingConnections = 2, 1 })
@@ -323,16 +325,16 @@
 	tr.Say("the third: %v", three.Expect())
 	_, err := silent.Next()
 	tr.Say("the silent one ends: %t", err != nil)
-	fakes.Until(t, "it has gone", func() bool { n, _ := s.Counts(); return n == 2 })
+	fakes.Until(t, "the evicted one is closed", func() bool { n, _ := s.Counts(); return n == 2 })
 	two := fakes.Dial(t, s.address)
 	two.Send(check)
 	tr.Say("the fourth: %v", two.Expect())
 	_, err = three.Next()
 	tr.Say("the one that rests ends: %t", err != nil)
-	fakes.Until(t, "it has gone", func() bool { n, _ := s.Counts(); return n == 2 })
+	fakes.Until(t, "the evicted one is closed", func() bool { n, _ := s.Counts(); return n == 2 })
 	two.Send(fakes.Invocation(2, 2))
 	l2 := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
-	five := fakes.Dial(t, s.address) // both others have work: it may have written before it could be closed
+	five := fakes.Dial(t, s.address) // both others have an invocation: it may have written before it could be closed
 	five.Send(fakes.Invocation(5, 5))
 	tr.Say("the fifth, both others have work: %v", five.Expect())
 	l5 := fakes.Take(t, "a launch", s.fakeExecutor.Launches)
@@ -361,8 +363,8 @@
 	tr.Say("room again: %v", late.Expect())
 }
 
-// TestBadCallers: whoever sends what cannot be read or run, floods or says nothing is answered or closed in time,
-// holds a bounded part of our memory, and no edge node notices.
+// TestBadCallers: a caller that sends what cannot be read or run, floods, or sends nothing is answered or closed in time, uses
+// bounded memory, and does not disturb other connections.
 func TestBadCallers(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) {
@@ -447,7 +449,7 @@
 	s.expectNothingLeft(t, 1)
 }
 
-// TestIdleAskedToLeave: while the table fills those that rest longest are asked away; when it is full they are closed,
+// TestIdleAskedToLeave: above the high-water mark the connections idle for longest are sent GoAway; at the bound they are closed,
 // several at once where it is large.
 func TestIdleAskedToLeave(t *testing.T) {
 	tr := fakes.NewTrace(t)
@@ -467,12 +469,12 @@
 	late := fakes.Dial(t, s.address)
 	late.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	tr.Say("one more: %v", late.Expect())
-	fakes.Until(t, "three were given up", func() bool { n, _ := s.Counts(); return n == 62 })
+	fakes.Until(t, "three were evicted", func() bool { n, _ := s.Counts(); return n == 62 })
 	_, err := all[1].Next()
 	tr.Say("the second: %v", err)
 }
 
-// TestIdleTooLong: who holds a connection for longer than the deployment's callers do loses it once it rests.
+// TestIdleTooLong: a connection that is idle for longer than those of the deployment's callers is closed.
 func TestIdleTooLong(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
@@ -490,7 +492,7 @@
 	tr.Say("the one with work: %v", busy.Expect())
 }
 
-// TestCanceledBeforeAdmission: what was canceled before it was decided does not come to the dispatcher, nor to the executor.
+// TestCanceledBeforeAdmission: an invocation that was canceled before its admission reaches neither dispatcher nor executor.
 func TestCanceledBeforeAdmission(t *testing.T) {
 	s := openServer(t, nil)
 	st := &stream{number: 1, canceled: make(chan struct{})}
@@ -505,7 +507,7 @@
 	s.expectNothingLeft(t, 0)
 }
 
-// TestStopAccepting: type 30 on every connection; what crosses it is still answered; nothing new connects.
+// TestStopAccepting: GoAway is sent on every connection; invocations that cross it are still answered; nothing new connects.
 func TestStopAccepting(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
@@ -521,7 +523,7 @@
 	tr.Say("quiet %t", s.Idle())
 	s.fakeExecutor.End(l.ID, "complete", "r")
 	tr.Say("%v", n.Expect())
-	fakes.Until(t, "all is quiet", s.Idle)
+	fakes.Until(t, "the server is idle", s.Idle)
 	fakes.Until(t, "nobody can connect", func() bool {
 		c, err := net.Dial("tcp", s.address)
 		if err == nil {
@@ -532,14 +534,14 @@
 	tr.Say("%s", fmt.Sprint("connections left: ", len(s.all())))
 }
 
-// TestNoDeadline: where the settings say that callers do not tell how long they wait, it is the client timeout, on time
-// though the run does not end; elsewhere such a frame is errored.
+// TestNoDeadline: an invocation without a deadline has the client timeout where the settings make deadlines optional, and is
+// answered by then though its run does not end; elsewhere it is errored.
 func TestNoDeadline(t *testing.T) {
 	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
 	n.Send(fakes.Invocation(1, 1, "wait="))
 	if f := n.Expect(); f.Code != 3 || len(s.fakeExecutor.Launches) > 0 {
-		t.Errorf("where they tell: %v", f)
+		t.Errorf("where a deadline is required: %v", f)
 	}
 	s = openServer(t, func(_ *limits.Bounds, settings *config.Settings) {
 		settings.DeadlineOptional = true
--- a/internal/backend/server/write.go
+++ b/internal/backend/server/write.go
@@ -54,7 +54,7 @@
 	c.closeWriteIfDone()
 }
 
-// recycle keeps a written buffer for the next answers; c.mu is held.
+// recycle makes a written buffer available for the next answers; c.mu is held.
 func (c *conn) recycle(b []byte) {
 	c.server.unsentBytes.Add(-int64(len(b)))
 	if c.pending = nil; cap(b) <= c.server.bounds.OutputBuffer {
@@ -62,7 +62,7 @@
 	}
 }
 
-// drainPending writes, and waits for, what the socket did not take at once.
+// drainPending writes the output that the socket did not take at once, and waits for it.
 func (c *conn) drainPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
