--- a/internal/backend/degradation/controller.go
+++ b/internal/backend/degradation/controller.go
@@ -46,9 +46,9 @@
 	for s := range c.smoothed {
 		c.smoothed[s] = Missing
 	}
-	for _, v := range policy.Levels {
-		c.entrySince = append(c.entrySince, make([]Micros, len(v.Enter.Terms)))
-		c.exitSince = append(c.exitSince, make([]Micros, len(v.Exit.Terms)))
+	for _, level := range policy.Levels {
+		c.entrySince = append(c.entrySince, make([]Micros, len(level.Enter.Terms)))
+		c.exitSince = append(c.exitSince, make([]Micros, len(level.Exit.Terms)))
 	}
 	return c
 }
@@ -123,7 +123,7 @@
 			c.smoothed[i] += (s[i] - c.smoothed[i]) * (1 - math.Exp(-float64(gap)/over))
 		}
 	}
-	if c.lastUpdate != 0 && gap > maxGap { // nothing is known of the time between: spans begin anew
+	if c.lastUpdate != 0 && gap > maxGap { // nothing is known of the time between: spans start anew
 		for n := range c.entrySince {
 			clear(c.entrySince[n])
 			clear(c.exitSince[n])
@@ -134,11 +134,11 @@
 
 // trackTerms records since when each term holds. No term of a missing signal does.
 func (c *Controller) trackTerms(now Micros) {
-	for n, v := range c.policy.Levels {
-		for i, t := range v.Enter.Terms {
+	for n, level := range c.policy.Levels {
+		for i, t := range level.Enter.Terms {
 			trackSince(&c.entrySince[n][i], now, c.smoothed[t.Signal] >= t.Value)
 		}
-		for i, t := range v.Exit.Terms {
+		for i, t := range level.Exit.Terms {
 			trackSince(&c.exitSince[n][i], now, c.smoothed[t.Signal] < t.Value)
 		}
 	}
@@ -154,14 +154,14 @@
 
 // conditionMet returns whether a condition is met, and the terms that are.
 func (c *Controller) conditionMet(cond Condition, since []Micros) (string, bool) {
-	var by []string
+	var met []string
 	for i, t := range cond.Terms {
 		if since[i] != 0 && c.lastUpdate-since[i] >= t.For {
-			by = append(by, fmt.Sprintf("%s %.3g", t.Signal, c.smoothed[t.Signal]))
+			met = append(met, fmt.Sprintf("%s %.3g", t.Signal, c.smoothed[t.Signal]))
 		}
 	}
-	if cond.Any && len(by) > 0 || len(by) == len(cond.Terms) {
-		return strings.Join(by, ", "), true
+	if cond.Any && len(met) > 0 || len(met) == len(cond.Terms) {
+		return strings.Join(met, ", "), true
 	}
 	return "", false
 }
@@ -169,8 +169,8 @@
 // worstEntered returns the highest level whose entry is met, and by which terms.
 func (c *Controller) worstEntered() (to int, cause string) {
 	for n := len(c.policy.Levels) - 1; n >= c.level; n-- {
-		if by, ok := c.conditionMet(c.policy.Levels[n].Enter, c.entrySince[n]); ok {
-			return n + 1, by
+		if terms, ok := c.conditionMet(c.policy.Levels[n].Enter, c.entrySince[n]); ok {
+			return n + 1, terms
 		}
 	}
 	return c.level, ""
@@ -210,22 +210,22 @@
 		c.leavingSince = 0
 		return change, false
 	}
-	v := c.policy.Levels[c.level-1]
+	level := c.policy.Levels[c.level-1]
 	if c.leavingSince != 0 {
-		if c.worsens(v) {
+		if c.worsens(level) {
 			c.leavingSince = 0
 			c.extendBackoff(now)
 			return change, false
 		}
 		if now-c.leavingSince >= c.policy.RecoveryRamp {
-			return c.change(now, c.level-1, "recovered: "+c.exitSignals(v), false), true
+			return c.change(now, c.level-1, "recovered: "+c.exitSignals(level), false), true
 		}
 		return change, false
 	}
-	if _, ok := c.conditionMet(v.Exit, c.exitSince[c.level-1]); ok && now >= c.noExitBefore && c.changeAllowed(now, c.level-1) {
+	if _, ok := c.conditionMet(level.Exit, c.exitSince[c.level-1]); ok && now >= c.noExitBefore && c.changeAllowed(now, c.level-1) {
 		c.leavingSince = now
 		if c.policy.RecoveryRamp == 0 {
-			return c.change(now, c.level-1, "recovered: "+c.exitSignals(v), false), true
+			return c.change(now, c.level-1, "recovered: "+c.exitSignals(level), false), true
 		}
 	}
 	return change, false
@@ -241,10 +241,10 @@
 }
 
 // worsens reports whether a signal of the level's exit has risen half way back to the entry, or is missing.
-func (c *Controller) worsens(v Level) bool {
-	for _, t := range v.Exit.Terms {
-		in, both := v.Enter.threshold(t.Signal)
-		if well := c.smoothed[t.Signal] < (in+t.Value)/2; both && !well { // a missing signal is NaN and never well
+func (c *Controller) worsens(level Level) bool {
+	for _, t := range level.Exit.Terms {
+		entry, both := level.Enter.threshold(t.Signal)
+		if recovered := c.smoothed[t.Signal] < (entry+t.Value)/2; both && !recovered { // a missing signal is NaN: not recovered
 			return true
 		}
 	}
@@ -252,12 +252,12 @@
 }
 
 // exitSignals prints the signals of the level's exit.
-func (c *Controller) exitSignals(v Level) string {
-	by := make([]string, 0, len(v.Exit.Terms))
-	for _, t := range v.Exit.Terms {
-		by = append(by, fmt.Sprintf("%s %.3g", t.Signal, c.smoothed[t.Signal]))
+func (c *Controller) exitSignals(level Level) string {
+	signals := make([]string, 0, len(level.Exit.Terms))
+	for _, t := range level.Exit.Terms {
+		signals = append(signals, fmt.Sprintf("%s %.3g", t.Signal, c.smoothed[t.Signal]))
 	}
-	return strings.Join(by, ", ")
+	return strings.Join(signals, ", ")
 }
 
 // change puts another level in force.
@@ -305,15 +305,15 @@
 	n := NewController(policy)
 	n.smoothed, n.lastUpdate, n.noExitBefore, n.backoff = c.smoothed, c.lastUpdate, c.noExitBefore, c.backoff
 	for old := c.level; old > 0 && n.level == 0; old-- {
-		for i, v := range policy.Levels {
-			if v.Name == c.policy.LevelName(old) {
+		for i, level := range policy.Levels {
+			if level.Name == c.policy.LevelName(old) {
 				n.level = i + 1
 			}
 		}
 	}
-	for i, v := range policy.Levels {
+	for i, level := range policy.Levels {
 		for old, was := range c.policy.Levels {
-			if was.Name == v.Name {
+			if was.Name == level.Name {
 				n.changedAt[i+1], n.enteredAt[i+1] = c.changedAt[old+1], c.enteredAt[old+1]
 			}
 		}
--- a/internal/backend/degradation/degradation_test.go
+++ b/internal/backend/degradation/degradation_test.go
@@ -19,11 +19,11 @@
 	(level payments-only (shed (operations lookup)) (shed (rank-below 0.5)) (enter (queue 3 2s)) (exit (queue 1.8 10s)) (stay 60s)))`
 
 func policyOf(t interface{ Fatal(...any) }, text string) *Policy {
-	l, err := ParsePolicy("ladder.sx", []byte(text))
+	policy, err := ParsePolicy("ladder.sx", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return policy
 }
 
 func queued(q float64) (s Signals) {
@@ -34,7 +34,7 @@
 	return s
 }
 
-// TestPolicies: how a policy is explained, and what is refused with which words.
+// TestPolicies: how a policy is explained, and which faults are refused with which errors.
 func TestPolicies(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	tr.Say("%s", policyOf(t, bills).Explain())
@@ -57,30 +57,30 @@
 // TestControllerCourses: what a controller does under each kind of load.
 func TestControllerCourses(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	story := func(what string, run func(step func(until Micros, s Signals), m **Controller)) {
+	scenario := func(what string, run func(step func(until Micros, s Signals), controller **Controller)) {
 		tr.Say("%s", what)
-		m, now := NewController(policyOf(t, bills)), Micros(0)
+		controller, now := NewController(policyOf(t, bills)), Micros(0)
 		run(func(until Micros, s Signals) {
 			for ; now < until; now += 100_000 {
-				if c, changed := m.Update(now, s); changed {
+				if c, changed := controller.Update(now, s); changed {
 					tr.Say("  %5.1f s: %v", float64(now)/1e6, c)
 				}
 			}
-			tr.Say("  %5.1f s: level %d, depth %.2f", float64(now)/1e6, m.Level(), m.Depth(now))
-		}, &m)
+			tr.Say("  %5.1f s: level %d, depth %.2f", float64(now)/1e6, controller.Level(), controller.Depth(now))
+		}, &controller)
 	}
-	story("a slow rise to each level, and back bit by bit", func(step func(Micros, Signals), _ **Controller) {
+	scenario("a slow rise to each level, and back bit by bit", func(step func(Micros, Signals), _ **Controller) {
 		step(10*second, queued(1))
 		step(100*second, queued(1.7))
 		step(200*second, queued(2.2))
 		step(400*second, queued(0.5))
 	})
-	story("a collapse takes several steps at once", func(step func(Micros, Signals), _ **Controller) {
+	scenario("a collapse takes several steps at once", func(step func(Micros, Signals), _ **Controller) {
 		step(10*second, queued(1))
 		step(20*second, queued(8))
 		step(300*second, queued(8))
 	})
-	story("a probe that hurts is taken back at once, and the next one waits longer", func(step func(Micros, Signals), _ **Controller) {
+	scenario("a probe that hurts is taken back at once, and the next one waits longer", func(step func(Micros, Signals), _ **Controller) {
 		step(10*second, queued(1.7))
 		step(70*second, queued(1))
 		step(75*second, queued(1.45))
@@ -90,7 +90,7 @@
 		step(250*second, queued(1))
 		step(300*second, queued(1))
 	})
-	story("relapse after relapse by collapse: each time it waits longer before it leaves", func(step func(Micros, Signals), _ **Controller) {
+	scenario("relapse after relapse by collapse: each time it waits longer before it leaves", func(step func(Micros, Signals), _ **Controller) {
 		for n := range Micros(4) {
 			step((n*400+100)*second, queued(1.7))
 			step((n*400+220)*second, queued(0.5))
@@ -98,91 +98,91 @@
 			step((n*400+400)*second, queued(0.5))
 		}
 	})
-	story("a signal that is missing neither enters nor leaves", func(step func(Micros, Signals), _ **Controller) {
+	scenario("a signal that is missing neither enters nor leaves", func(step func(Micros, Signals), _ **Controller) {
 		step(10*second, queued(1.7))
-		none := queued(0)
-		none[Queue] = Missing
-		step(200*second, none)
+		missing := queued(0)
+		missing[Queue] = Missing
+		step(200*second, missing)
 		step(400*second, queued(0.5))
 	})
-	story("a frozen signal: nothing comes for minutes, then load is high", func(step func(Micros, Signals), m **Controller) {
+	scenario("a frozen signal: nothing comes for minutes, then load is high", func(step func(Micros, Signals), controller **Controller) {
 		step(10*second, queued(0.5))
-		controller := *m
-		if c, changed := controller.Update(300*second, queued(9)); changed {
+		afterGap := *controller
+		if c, changed := afterGap.Update(300*second, queued(9)); changed {
 			tr.Say("  at once: %v", c)
 		}
-		tr.Say("  level %d after one reading", controller.Level())
-		if _, changed := controller.Update(20*second, queued(9)); changed {
+		tr.Say("  level %d after one reading", afterGap.Level())
+		if _, changed := afterGap.Update(20*second, queued(9)); changed {
 			tr.Say("  moved by a clock that went back")
 		}
 	})
-	story("held by a person, above, below, and until it ends by itself", func(step func(Micros, Signals), m **Controller) {
+	scenario("held by a person, above, below, and until it ends by itself", func(step func(Micros, Signals), controller **Controller) {
 		step(10*second, queued(1))
-		tr.Say("  %v, %v", (*m).Override(10*second, 9, 20*second, "a person", false), (*m).Override(10*second, 1, 20*60*second, "a person", false))
-		tr.Say("  %v", (*m).Override(10*second, 2, 200*second, "a person", true))
+		tr.Say("  %v, %v", (*controller).Override(10*second, 9, 20*second, "a person", false), (*controller).Override(10*second, 1, 20*60*second, "a person", false))
+		tr.Say("  %v", (*controller).Override(10*second, 2, 200*second, "a person", true))
 		step(100*second, queued(1))
 		step(150*second, queued(4))
-		tr.Say("  %v", (*m).Override(150*second, 0, 160*second, "another", false))
+		tr.Say("  %v", (*controller).Override(150*second, 0, 160*second, "another", false))
 		step(159*second, queued(4))
 		step(240*second, queued(4))
 	})
-	story("two signals that pull apart: either enters, both must be well to leave", func(step func(Micros, Signals), _ **Controller) {
-		apart := queued(0.5)
-		apart[Late] = 0.2
-		step(10*second, apart)
-		step(100*second, apart)
-		apart = queued(1.4)
-		step(200*second, apart)
+	scenario("two signals that pull apart: either enters, both must be well to leave", func(step func(Micros, Signals), _ **Controller) {
+		signals := queued(0.5)
+		signals[Late] = 0.2
+		step(10*second, signals)
+		step(100*second, signals)
+		signals = queued(1.4)
+		step(200*second, signals)
 		step(300*second, queued(1))
 	})
-	story("a host that comes back in the middle of a step knows nothing, and is there within the entry's span", func(step func(Micros, Signals), m **Controller) {
+	scenario("a host that comes back in the middle of a step knows nothing, and is there within the entry's span", func(step func(Micros, Signals), controller **Controller) {
 		step(10*second, queued(2.5))
-		*m = NewController(policyOf(t, bills))
+		*controller = NewController(policyOf(t, bills))
 		cold := queued(2.5)
 		cold[WarmingUp] = 1
 		step(11*second, cold)
 		step(14*second, cold)
 	})
-	story("another ladder while a level is in force", func(step func(Micros, Signals), m **Controller) {
+	scenario("another ladder while a level is in force", func(step func(Micros, Signals), controller **Controller) {
 		step(10*second, queued(2.5))
-		*m = (*m).WithPolicy(policyOf(t, strings.Replace(bills, "half-lookups", "most-lookups", 1)))
+		*controller = (*controller).WithPolicy(policyOf(t, strings.Replace(bills, "half-lookups", "most-lookups", 1)))
 		step(11*second, queued(2.5))
 		step(12*second, queued(2.5))
 	})
 }
 
-// oscillate plays ten minutes of load about a boundary: a swell of so long, noise upon it, and retries that follow
-// each change for some seconds.
-func oscillate(l *Policy, at, swell float64, seed uint64) (changes []Change) {
-	m, r := NewController(l), rand.New(rand.NewPCG(seed, 0))
-	back := 0.0
+// oscillatingLoad runs ten minutes of load that oscillates about a mean with a period in seconds, with noise, and with
+// retries that follow each recovery for some seconds.
+func oscillatingLoad(policy *Policy, meanLoad, period float64, seed uint64) (changes []Change) {
+	controller, r := NewController(policy), rand.New(rand.NewPCG(seed, 0))
+	retryLoad := 0.0
 	for now := Micros(0); now < 600*second; now += 20_000 {
-		sec := float64(now) / 1e6
-		back *= 0.999
-		load := at * (1 + 0.25*math.Sin(2*math.Pi*sec/swell) + 0.2*r.NormFloat64() + back)
-		load *= 1 - 0.1*float64(m.Level()) // what is shed is not load any more
-		if c, changed := m.Update(now, queued(max(0, load))); changed {
+		seconds := float64(now) / 1e6
+		retryLoad *= 0.999
+		load := meanLoad * (1 + 0.25*math.Sin(2*math.Pi*seconds/period) + 0.2*r.NormFloat64() + retryLoad)
+		load *= 1 - 0.1*float64(controller.Level()) // shed requests are no load
+		if c, changed := controller.Update(now, queued(max(0, load))); changed {
 			changes = append(changes, c)
 			if c.To < c.From {
-				back += 0.3 // what comes back brings its retries
+				retryLoad += 0.3 // readmitted callers bring their retries
 			}
 		}
 	}
 	return changes
 }
 
-// TestNoOscillation: ten minutes of load about each boundary, with many swells and seeds: no level changes more than
+// TestNoOscillation: ten minutes of load about each boundary, with many periods and seeds: no level changes more than
 // once a minute, and each change has its cause.
 func TestNoOscillation(t *testing.T) {
-	l := policyOf(t, bills)
-	most, total, collapses := 0, 0, 0
-	for _, at := range []float64{1.1, 1.5, 2, 3} {
-		for _, swell := range []float64{0.5, 3, 10, 30, 59, 120} {
+	policy := policyOf(t, bills)
+	maxChanges, total, collapses := 0, 0, 0
+	for _, meanLoad := range []float64{1.1, 1.5, 2, 3} {
+		for _, period := range []float64{0.5, 3, 10, 30, 59, 120} {
 			for seed := range uint64(8) {
-				changes := oscillate(l, at, swell, seed)
+				changes := oscillatingLoad(policy, meanLoad, period, seed)
 				total += len(changes)
-				most = max(most, len(changes))
-				once(t, l, changes)
+				maxChanges = max(maxChanges, len(changes))
+				checkChangeInterval(t, policy, changes)
 				for _, c := range changes {
 					if c.Collapse {
 						collapses++
@@ -191,7 +191,7 @@
 			}
 		}
 	}
-	t.Logf("%d changes in 192 times ten minutes, %d at the most in one, %d of them by collapse", total, most, collapses)
+	t.Logf("%d changes in 192 times ten minutes, %d at the most in one, %d of them by collapse", total, maxChanges, collapses)
 	if collapses > 0 {
 		t.Error("load about a boundary is no collapse")
 	}
@@ -200,16 +200,16 @@
 	}
 }
 
-// once: no level changes twice within Every, but by a collapse that says so.
-func once(t interface{ Fatalf(string, ...any) }, l *Policy, changes []Change) {
+// checkChangeInterval fails the test if a level changes twice within ChangeInterval, except in a collapse.
+func checkChangeInterval(t interface{ Fatalf(string, ...any) }, policy *Policy, changes []Change) {
 	last := map[int]Micros{}
 	for _, c := range changes {
 		if c.Cause == "" {
 			t.Fatalf("a change without a cause: %v", c)
 		}
 		for n := min(c.From, c.To) + 1; n <= max(c.From, c.To); n++ {
-			if at, had := last[n]; had && c.At-at < l.ChangeInterval && !c.Collapse {
-				t.Fatalf("level %d changes again after %d us: %v", n, c.At-at, changes)
+			if meanLoad, had := last[n]; had && c.At-meanLoad < policy.ChangeInterval && !c.Collapse {
+				t.Fatalf("level %d changes again after %d us: %v", n, c.At-meanLoad, changes)
 			}
 			last[n] = c.At
 		}
@@ -219,12 +219,12 @@
 	}
 }
 
-// TestControllerInvariants: whatever the signals do, missing ones and jumps of the clock among it, changes keep to their
-// budget, a level is not left before its stay, and steps up are single.
+// TestControllerInvariants: whatever the signals do, missing ones and jumps of the clock among it, changes keep the change
+// interval, a level is not left before its least time, and recovery goes by single steps.
 func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := policyOf(t, bills)
-		m, now := NewController(l), Micros(0)
+		policy := policyOf(t, bills)
+		controller, now := NewController(policy), Micros(0)
 		var changes []Change
 		entered := map[int]Micros{}
 		for range rapid.IntRange(1, 60).Draw(t, "stretches") {
@@ -236,11 +236,11 @@
 			gap := Micros(rapid.SampledFrom([]int{20_000, 100_000, 1_000_000, 3_000_000}).Draw(t, "gap"))
 			for range rapid.IntRange(1, 300).Draw(t, "readings") {
 				now += gap
-				c, changed := m.Update(now, s)
+				c, changed := controller.Update(now, s)
 				if !changed {
 					continue
 				}
-				if c.To < c.From && now-entered[c.From] < l.Levels[c.From-1].MinDuration {
+				if c.To < c.From && now-entered[c.From] < policy.Levels[c.From-1].MinDuration {
 					t.Fatalf("left after %d us", now-entered[c.From])
 				}
 				for n := c.From + 1; n <= c.To; n++ {
@@ -248,25 +248,25 @@
 				}
 				changes = append(changes, c)
 			}
-			if d := m.Depth(now); d < 0 || d > 1 {
+			if d := controller.Depth(now); d < 0 || d > 1 {
 				t.Fatalf("depth %v", d)
 			}
 			now += Micros(rapid.SampledFrom([]int{0, 0, 0, 60_000_000, -500_000}).Draw(t, "jump"))
 		}
-		once(t, l, changes)
+		checkChangeInterval(t, policy, changes)
 	})
 }
 
 // TestShedFraction: the fraction is followed closely at any time, chance decides which, and what no rule names is not shed.
 func TestShedFraction(t *testing.T) {
-	l := policyOf(t, bills)
-	d, err := NewShedder(l, []string{"reprint", "lookup", "pay"}, []string{"acme"}, 7)
+	policy := policyOf(t, bills)
+	shedder, err := NewShedder(policy, []string{"reprint", "lookup", "pay"}, []string{"acme"}, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	shed, runs, last := 0, 0, false
 	for n := 1; n <= 100_000; n++ {
-		now := d.ShouldShed(2, 1, 1, 0, 0.9, 0)
+		now := shedder.ShouldShed(2, 1, 1, 0, 0.9, 0)
 		if now {
 			shed++
 		}
@@ -278,7 +278,7 @@
 			t.Fatalf("%d of %d", shed, n)
 		}
 	}
-	if runs < 20_000 { // it does not simply alternate: a caller that comes every second time would be hit each time
+	if runs < 20_000 { // it does not simply alternate: a caller that sends every second request would be shed each time
 		t.Errorf("the same twice running %d times of 100000", runs)
 	}
 	for _, c := range []struct {
@@ -287,26 +287,26 @@
 		rank      float64
 		want      float64
 	}{{0, 0, 1, 0, 0}, {1, 0, 1, 0.9, 1}, {1, 1, 1, 0, 0}, {2, 0, 1, 0.9, 1}, {3, 2, 1, 0.4, 1}, {3, 2, 1, 0.6, 0}, {3, 1, 0.2, 0.9, 0.5}, {3, 2, 0.3, 0.1, 0.3}} {
-		if got := d.ShedFraction(c.level, c.depth, c.op, 0, c.rank, 0); math.Abs(got-c.want) > 1e-9 {
+		if got := shedder.ShedFraction(c.level, c.depth, c.op, 0, c.rank, 0); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
-	if n := testing.AllocsPerRun(1000, func() { d.ShouldShed(3, 0.5, 1, 0, 0.7, 0) }); n != 0 {
-		t.Errorf("%v allocations a draw", n)
+	if n := testing.AllocsPerRun(1000, func() { shedder.ShouldShed(3, 0.5, 1, 0, 0.7, 0) }); n != 0 {
+		t.Errorf("%v allocations a decision", n)
 	}
 }
 
 // TestTenantBurst: a rule that names a tenant leaves the others as they were.
 func TestTenantBurst(t *testing.T) {
-	l := policyOf(t, `(ladder b (level no-excess (shed (tenants loud) (share 0.8)) (enter (queue 2)) (exit (queue 1))))`)
-	d, err := NewShedder(l, []string{"look"}, []string{"calm", "loud"}, 3)
+	policy := policyOf(t, `(ladder b (level no-excess (shed (tenants loud) (share 0.8)) (enter (queue 2)) (exit (queue 1))))`)
+	shedder, err := NewShedder(policy, []string{"look"}, []string{"calm", "loud"}, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	shed := [2]int{}
 	for range 1000 {
 		for tenant := range shed {
-			if d.ShouldShed(1, 1, 0, tenant, 0.5, 0) {
+			if shedder.ShouldShed(1, 1, 0, tenant, 0.5, 0) {
 				shed[tenant]++
 			}
 		}
@@ -316,7 +316,7 @@
 	}
 }
 
-// FuzzReadTrace: whatever is read is written and read again as it was.
+// FuzzReadTrace: a trace that was read is written and read back unchanged.
 func FuzzReadTrace(f *testing.F) {
 	f.Add("1 queue=2 late=0.5\n; note\n5 cores=1\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -347,17 +347,17 @@
 }
 
 func BenchmarkUpdate(b *testing.B) {
-	m := NewController(policyOf(b, bills))
+	controller := NewController(policyOf(b, bills))
 	b.ReportAllocs()
 	for now := Micros(1); b.Loop(); now += 20_000 {
-		m.Update(now, queued(1.3))
+		controller.Update(now, queued(1.3))
 	}
 }
 
 func BenchmarkShouldShed(b *testing.B) {
-	d, _ := NewShedder(policyOf(b, bills), []string{"reprint", "lookup", "pay"}, nil, 7)
+	shedder, _ := NewShedder(policyOf(b, bills), []string{"reprint", "lookup", "pay"}, nil, 7)
 	b.ReportAllocs()
 	for b.Loop() {
-		d.ShouldShed(3, 0.5, 1, 0, 0.7, 0)
+		shedder.ShouldShed(3, 0.5, 1, 0, 0.7, 0)
 	}
 }
--- a/internal/backend/degradation/explain.go
+++ b/internal/backend/degradation/explain.go
@@ -12,10 +12,10 @@
 	span := func(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 	fmt.Fprintf(&b, "ladder %s: %d levels; at most one change of a level in %v, a collapse excepted; a level is left over %v\n",
 		p.Name, len(p.Levels), span(p.ChangeInterval), span(p.RecoveryRamp))
-	for i, v := range p.Levels {
-		fmt.Fprintf(&b, "%d. %s\n   entered when %s\n   left when %s, after %v at least\n", i+1, v.Name,
-			v.Enter.describe("at or above"), v.Exit.describe("below"), span(v.MinDuration))
-		for _, r := range v.Shed {
+	for i, level := range p.Levels {
+		fmt.Fprintf(&b, "%d. %s\n   entered when %s\n   left when %s, after %v at least\n", i+1, level.Name,
+			level.Enter.describe("at or above"), level.Exit.describe("below"), span(level.MinDuration))
+		for _, r := range level.Shed {
 			fmt.Fprintf(&b, "   sheds %s\n", r.describe())
 		}
 	}
--- a/internal/backend/degradation/parse.go
+++ b/internal/backend/degradation/parse.go
@@ -34,14 +34,14 @@
 	for s := range p.Smoothing {
 		p.Smoothing[s] = micros(time.Second)
 	}
-	if sm := f.Field("smooth"); sm != nil {
+	if smoothing := f.Field("smooth"); smoothing != nil {
 		for s, name := range signalNames {
-			p.Smoothing[s] = micros(sm.Span(name, 0, hour, time.Second))
+			p.Smoothing[s] = micros(smoothing.Span(name, 0, hour, time.Second))
 		}
-		sm.Done()
+		smoothing.Done()
 	}
-	for _, lf := range f.All("level") {
-		p.Levels = append(p.Levels, readLevel(lf))
+	for _, form := range f.All("level") {
+		p.Levels = append(p.Levels, readLevel(form))
 	}
 	f.Done()
 	if n := len(p.Levels); n == 0 || n > MaxLevels {
@@ -52,20 +52,20 @@
 }
 
 func readLevel(f *sexpr.Form) Level {
-	v := Level{Name: f.Arg(), place: f.Place, MinDuration: Micros(f.Span("stay", time.Second, hour, time.Minute).Microseconds())}
-	v.Enter, v.Exit = readCondition(f, "enter"), readCondition(f, "exit")
+	level := Level{Name: f.Arg(), place: f.Place, MinDuration: Micros(f.Span("stay", time.Second, hour, time.Minute).Microseconds())}
+	level.Enter, level.Exit = readCondition(f, "enter"), readCondition(f, "exit")
 	for _, s := range f.All("shed") {
-		v.Shed = append(v.Shed, Rule{
+		level.Shed = append(level.Shed, Rule{
 			Operations: s.Words("operations"), Tenants: s.Words("tenants"), RankBelow: s.Share("rank-below", 0, 1, 1),
 			CostAbove: Micros(s.Span("cost-above", 0, hour, 0).Microseconds()), Share: s.Share("share", 0.01, 1, 1),
 		})
 		s.Done()
 	}
-	if n := len(v.Shed); n == 0 || n > MaxRules {
+	if n := len(level.Shed); n == 0 || n > MaxRules {
 		f.Fail("", "sheds by %d rules, wanted 1 to %d", n, MaxRules)
 	}
 	f.Done()
-	return v
+	return level
 }
 
 // readCondition reads (enter (any (queue 1.8 2s) (late 0.1 2s))), or with all, or with one term alone.
--- a/internal/backend/degradation/policy.go
+++ b/internal/backend/degradation/policy.go
@@ -41,8 +41,8 @@
 // Signals are the values of all signals at one time.
 type Signals [signalCount]float64
 
-// Policy is an ordered list of levels of reduced service, the mildest first. Its tags are the names by which it has always been printed and by which
-// stored results of experiments are found.
+// Policy is an ordered list of levels of reduced service, the mildest first. Its
+// tags are the names in printed output, by which stored results of experiments are found.
 type Policy struct {
 	Name           string
 	Levels         []Level
@@ -104,10 +104,10 @@
 // SignalsUsed returns the signals that the conditions compare, each once.
 func (p *Policy) SignalsUsed() (all []Signal) {
 	for s := range signalCount {
-		for _, v := range p.Levels {
-			_, in := v.Enter.threshold(s)
-			_, out := v.Exit.threshold(s)
-			if (in || out) && !slices.Contains(all, s) {
+		for _, level := range p.Levels {
+			_, entered := level.Enter.threshold(s)
+			_, left := level.Exit.threshold(s)
+			if (entered || left) && !slices.Contains(all, s) {
 				all = append(all, s)
 			}
 		}
