--- a/internal/backend/dispatch/admit.go
+++ b/internal/backend/dispatch/admit.go
@@ -95,18 +95,23 @@
 		d.counts.Expired++
 	}
 	req.shedAdvice = d.shedAdvice(&inv, req)
-	panicked := d.decide(now, admission.Arrived{
-		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Priority: inv.Rank, Retry: inv.Retry,
-		ExpectedWork: inv.ExpectedWork, QueueTime: max(0, now-inv.ArrivedAt),
-		TimeLeft: max(1, req.deadline-now), // a deadline that has passed is due at once; 0 would mean that there is none
-		MemoryKB: inv.MemoryKB, RepeatOf: req.original, ShedFor: req.shedAdvice, Quota: d.acquireUnit(&inv, req),
-	})
-	if panicked != nil {
+	if err := d.decide(now, arrival(now, &inv, req, d.acquireUnit(&inv, req))); err != nil {
 		d.respond(req, Response{Verdict: Errored})
 	}
 	return req
 }
 
+// arrival is the event of a request that is passed to the module.
+func arrival(now Micros, inv *Invocation, req *Request, standing admission.QuotaStanding) admission.Arrived {
+	return admission.Arrived{
+		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Priority: inv.Rank, Retry: inv.Retry,
+		ExpectedWork: inv.ExpectedWork, MemoryKB: inv.MemoryKB, RepeatOf: req.original, ShedFor: req.shedAdvice,
+		QueueTime: max(0, now-inv.ArrivedAt), // it seems to arrive later than now if the wall clock was set back
+		TimeLeft:  max(1, req.deadline-now),  // a deadline that has passed is due at once; 0 would mean that there is none
+		Quota:     standing,
+	}
+}
+
 func (d *Dispatcher) newRequest(inv *Invocation) *Request {
 	req := &Request{
 		id: inv.ID, deadline: inv.ArrivedAt + inv.CallerTimeout, drawnBudget: noBudget,
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"milletbarrow/admission"
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
@@ -198,3 +199,63 @@
 		d.Complete(req, RunSucceeded, nil)
 	}
 }
+
+// TestArrivalTimes: a request never seems to have waited for less than no time, nor to be without a deadline.
+func TestArrivalTimes(t *testing.T) {
+	const now = 10_000_000
+	for _, row := range []struct{ arrivedAt, deadline, queueTime, timeLeft Micros }{
+		{now - 5, now + 7, 5, 7},
+		{now + 5, now + 7, 0, 7},
+		{now - 5, now, 5, 1},
+		{now - 5, now - 1, 5, 1},
+	} {
+		inv := newInvocation("a")
+		inv.ArrivedAt = row.arrivedAt
+		event := arrival(now, &inv, &Request{deadline: row.deadline}, admission.QuotaUnknown)
+		if event.QueueTime != row.queueTime || event.TimeLeft != row.timeLeft {
+			t.Errorf("%+v: queue time %d, time left %d", row, event.QueueTime, event.TimeLeft)
+		}
+	}
+}
+
+// TestAnsweredRepeatStopsWaiting: a repeat that is answered before its original ends waits for that no more.
+func TestAnsweredRepeatStopsWaiting(t *testing.T) {
+	d := openKeyed(t, "5000", nil)
+	d.Admit(keyedInvocation("a", "x"))
+	left := make(chan struct{})
+	inv := keyedInvocation("b", "x")
+	inv.CallerLeft = left
+	response := repeat(t, d, inv)
+	close(left)
+	if resp := fakes.Take(t, "the repeat's response", response); resp.Verdict != Abandoned {
+		t.Fatalf("%+v", resp)
+	}
+	if waiting := d.results.Complete("a", true, nil); len(waiting) != 0 {
+		t.Errorf("%v wait for the original", waiting)
+	}
+}
+
+// TestAnsweredRequestIsNoRepeat: a Reuse of a request that has been answered, and is in flight only as its run goes on,
+// does not make it a repeat to be answered.
+func TestAnsweredRequestIsNoRepeat(t *testing.T) {
+	d := openKeyed(t, "5000", nil)
+	_, req := d.Admit(keyedInvocation("a", "x"))
+	d.Abandon(req)
+	if d.perform(admission.Reuse{ID: "a"}); len(d.readyRepeats) != 0 {
+		t.Errorf("%v are to be answered", d.readyRepeats)
+	}
+}
+
+// TestOnlyOpenRepeatsAreAnswered: of the repeats whose original has ended, those that have been answered or are not in
+// flight any more are passed over, and the module hears nothing of them.
+func TestOnlyOpenRepeatsAreAnswered(t *testing.T) {
+	d := openKeyed(t, "5000", nil)
+	_, req := d.Admit(keyedInvocation("a", "x"))
+	d.Abandon(req)
+	d.actions = []admission.Action{admission.Log{Text: "none decided since"}}
+	d.readyRepeats = []string{"not in flight", "a"}
+	d.answerRepeats()
+	if len(d.readyRepeats) != 0 || len(d.actions) != 1 || len(req.responses) != 1 {
+		t.Errorf("%v left, %d responses, actions %v", d.readyRepeats, len(req.responses), d.actions)
+	}
+}
