--- a/internal/backend/quota/bucket_test.go
+++ b/internal/backend/quota/bucket_test.go
@@ -84,7 +84,7 @@
 
 // TestBucketSize: a bucket holds some units even at a low rate, and none without one.
 func TestBucketSize(t *testing.T) {
-	for rate, want := range map[int64]int64{0: 0, 1: 4, 13: 4, 100: 30, MaxRate: 30_000_000} {
+	for rate, want := range map[int64]int64{0: 0, 1: 4, 13: 4, 15: 5, 100: 30, MaxRate: 30_000_000} {
 		if got := BurstUnits(rate); got != want {
 			t.Errorf("rate %d: %d units, wanted %d", rate, got, want)
 		}
@@ -119,6 +119,48 @@
 	}
 }
 
+// TestLeaseEndAtResponse: a grant whose lease ends as its response comes has no extra.
+func TestLeaseEndAtResponse(t *testing.T) {
+	const lease = 5 * microUnits
+	for late, want := range map[Micros]int64{-1: 1000, 0: 0, 1: 0} {
+		h := New("n", "1", []string{"b"})
+		request := h.NewRequest(start)
+		now := start + lease + late
+		grants := []Grant{{Budget: "b", Epoch: 1, Floor: 4, Extra: 1000, Lease: lease}}
+		if err := h.Apply(now, LeaseResponse{Name: "n", Incarnation: "1", Number: request.Number, Grants: grants}); err != nil {
+			t.Fatal(err)
+		}
+		if s := h.Status(now)[0]; s.Extra != want || s.Floor != 4 {
+			t.Errorf("%d us after the lease: floor %d, extra %d, wanted 4 and %d", late, s.Floor, s.Extra, want)
+		}
+	}
+}
+
+// TestLeaseEndAfterClockBack: an extra that is granted after the clock went back ends with its lease all the same.
+func TestLeaseEndAfterClockBack(t *testing.T) {
+	const lease = 5 * microUnits
+	h := granted(t, 4, 0, 0)
+	h.Status(start + 10*microUnits)
+	grant(t, h, start, Grant{Epoch: 2, Floor: 4, Extra: 1000, Lease: lease})
+	if s := h.Status(start + lease - 1)[0]; s.Extra != 1000 {
+		t.Errorf("extra %d before the end", s.Extra)
+	}
+	if s := h.Status(start + lease)[0]; s.Extra != 0 {
+		t.Errorf("extra %d at the end", s.Extra)
+	}
+}
+
+// TestExtraYieldsUpToLeaseEnd: what the extra yields in the last moments of its lease can be acquired after it, as far as
+// the floor's bucket holds it.
+func TestExtraYieldsUpToLeaseEnd(t *testing.T) {
+	const lease = 5 * microUnits
+	h := granted(t, 100, 1000, lease)
+	acquireAll(h, start+lease-20_000)
+	if n := acquireAll(h, start+lease); n != 22 {
+		t.Errorf("%d units of 20 ms at 1100 a second, wanted 22", n)
+	}
+}
+
 // TestLongRest: a holder of the largest rate that rests for a day and more acquires as before.
 func TestLongRest(t *testing.T) {
 	for _, rest := range []Micros{100_000_000_000, 300_000_000_000, 31_536_000_000_000} {
@@ -163,7 +205,11 @@
 func TestRelease(t *testing.T) {
 	h := granted(t, 4, 100, 100*microUnits)
 	now := start + 10*microUnits
+	h.Status(now)
 	h.Release(now)
+	if s := h.Status(now)[0]; s.Floor != 0 || s.Extra != 0 || s.Until != now {
+		t.Errorf("%+v is still held at once", s)
+	}
 	if acquireAll(h, now) != 0 || acquireAll(h, now+microUnits) != 0 {
 		t.Error("a unit was acquired after the release")
 	}
--- a/internal/backend/quota/holder.go
+++ b/internal/backend/quota/holder.go
@@ -149,7 +149,6 @@
 func (h *Holder) Release(now Micros) {
 	for i := range h.allotments {
 		b := &h.allotments[i]
-		b.refill(now)
 		b.Floor, b.Extra, b.tokens, b.leaseEnd = 0, 0, 0, now
 	}
 }
