--- a/internal/backend/idempotency/table.go
+++ b/internal/backend/idempotency/table.go
@@ -1,5 +1,5 @@
-// Package idempotency is the cache of results by idempotency key: it has the invocations that are remembered and what
-// became of them, so that a repeat can be answered with the first result. It decides nothing and has no clock and no
+// Package idempotency is the cache of results by idempotency key: it holds the invocations that are remembered and how
+// they ended, so that a repeat can be answered with the first result. It decides nothing and has no clock and no
 // lock: whoever owns a Table calls it from one goroutine at a time.
 package idempotency
 
@@ -12,8 +12,8 @@
 // Micros is a point or a span of time in microseconds, by the clock of the caller.
 type Micros = admission.Micros
 
-// Key is what the attempts of one piece of work have in common. The tenant is part of it: no tenant may be answered with
-// another's result, whatever token it sends.
+// Key identifies the attempts of one operation. The tenant is part of it: no tenant may be answered with another's result,
+// whatever token it sends.
 type Key struct {
 	Operation, Tenant int
 	Token             string
@@ -22,7 +22,7 @@
 // entryBytes is about what an entry takes besides its result: two places in maps, its strings, and its waiting repeats.
 const entryBytes = 1 << 10
 
-// Table is a cache of bounded size. A caller of Remember has to ask HasCapacity first.
+// Table is a cache of bounded size. Remember may be called only while HasCapacity is true.
 type Table struct {
 	maxBytes, maxResult int
 	usedBytes           int
@@ -35,7 +35,7 @@
 type entry struct {
 	id        string
 	key       Key
-	expiresAt Micros // a repeat that reaches the host later is new work
+	expiresAt Micros // a repeat that reaches the host later is a new invocation
 	completed bool
 	succeeded bool
 	result    []byte
@@ -48,10 +48,10 @@
 	return &Table{maxBytes: maxBytes, maxResult: maxResult, byKey: map[Key]*entry{}, byID: map[string]*entry{}}
 }
 
-// HasCapacity tells whether one more invocation can be remembered.
+// HasCapacity reports whether one more invocation can be remembered.
 func (t *Table) HasCapacity() bool { return t.usedBytes+entryBytes+t.maxResult <= t.maxBytes }
 
-// Contains tells whether the invocation with that ID is remembered.
+// Contains reports whether the invocation with that ID is remembered.
 func (t *Table) Contains(id string) bool { return t.byID[id] != nil }
 
 // Len is the number of remembered invocations.
@@ -86,11 +86,10 @@
 	return e.waiters
 }
 
+// remove deletes an entry. It is the one under its key: Remember removes the entry that was there before.
 func (t *Table) remove(e *entry) {
 	delete(t.byID, e.id)
-	if t.byKey[e.key] == e {
-		delete(t.byKey, e.key)
-	}
+	delete(t.byKey, e.key)
 	t.usedBytes -= entryBytes + len(e.result)
 	if !e.completed {
 		t.usedBytes -= t.maxResult
@@ -142,7 +141,7 @@
 	return e.result, e.succeeded, true
 }
 
-// EvictExpired removes what no repeat can ask for any more: one that is read now reached the host at most maxQueueTime
+// EvictExpired removes what no repeat can refer to any more: one that is read now reached the host at most maxQueueTime
 // ago. An invocation whose run has not ended goes too. Calls that follow another within interval do nothing.
 func (t *Table) EvictExpired(now, maxQueueTime, interval Micros) {
 	if now < t.lastEviction+interval {
--- a/internal/backend/idempotency/table_test.go
+++ b/internal/backend/idempotency/table_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestTable: whatever comes, in any order, the table stays within its bytes and releases all of them, finds what is
-// remembered and nothing else, and names each waiter once, for as long as it waits.
+// remembered and nothing else, has each entry under its key, and returns each waiter once, as long as it waits.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type expected struct {
@@ -30,7 +30,7 @@
 			}
 			return list
 		}
-		named := func(what string, s *expected, waiting []string) {
+		checkWaiters := func(what string, s *expected, waiting []string) {
 			if len(waiting) != len(s.waits) {
 				t.Fatalf("%s: %v wait, wanted %v", what, waiting, s.waits)
 			}
@@ -69,14 +69,14 @@
 				s, ok := all[id], rapid.Bool().Draw(t, "ok")
 				first := !s.ended
 				waiting := table.Complete(id, ok, make([]byte, rapid.IntRange(0, entryBytes).Draw(t, "bytes")))
-				named("ended", s, waiting)
+				checkWaiters("ended", s, waiting)
 				s.ended, s.waits = true, map[string]bool{}
 				if _, has, ran := table.Result(id); first && has != ok || !ran {
 					t.Fatalf("a result %t of a run that succeeded %t", has, ok)
 				}
 			case what == 2 && len(known) > 0:
 				id := rapid.SampledFrom(known).Draw(t, "forgotten")
-				named("forgotten", all[id], table.Forget(id))
+				checkWaiters("forgotten", all[id], table.Forget(id))
 				delete(all, id)
 			case what == 3 && len(known) > 0:
 				id, repeat := rapid.SampledFrom(known).Draw(t, "repeated"), fmt.Sprint("r", number)
@@ -104,6 +104,11 @@
 			if table.usedBytes > 10*entryBytes || table.usedBytes < 0 || table.Len() != len(all) {
 				t.Fatalf("%d bytes, %d remembered, wanted %d", table.usedBytes, table.Len(), len(all))
 			}
+			for id, e := range table.byID {
+				if table.byKey[e.key] != e || len(table.byKey) != len(table.byID) {
+					t.Fatalf("%s is not the entry under its key; %d keys, %d remembered", id, len(table.byKey), len(table.byID))
+				}
+			}
 		}
 		table.EvictExpired(now+1000, 0, 0)
 		if table.usedBytes != 0 || table.Len() != 0 || len(table.byKey) != 0 {
@@ -122,7 +127,7 @@
 		t.Error("the time is counted from the arrival")
 	}
 	if table.EvictExpired(151, 50, 0); table.Len() != 0 {
-		t.Error("nothing can ask for it")
+		t.Error("it is remembered though no repeat can refer to it")
 	}
 }
 
