--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -33,6 +33,7 @@
 	trans := tcpTransport(t)
 	required := quorum.Eligibility{Behind: true, RequiredLog: quorum.LogPosition{Term: 3, LogTerm: 3, Index: 9}}
 	e := newEligibilityTransport(trans, required, func() (term, index uint64) { return 3, own })
+	t.Cleanup(func() { _ = e.Close() })
 	var vote raft.RequestVoteResponse
 	var preVote raft.RequestPreVoteResponse
 	if err := e.RequestVote("x", trans.LocalAddr(), &raft.RequestVoteRequest{}, &vote); !errors.Is(err, errIneligible) {
--- a/internal/cluster/quotastore/raftnode.go
+++ b/internal/cluster/quotastore/raftnode.go
@@ -107,10 +107,7 @@
 		// with it the end of that node. Entries are sent in batches anyway.
 		MaxRPCsInFlight: 1,
 	})
-	var r *raft.Raft
-	started := make(chan struct{})
 	n.eligibility = newEligibilityTransport(trans, fit, func() (term, index uint64) {
-		<-started
 		s, err := n.logPosition()
 		if err != nil {
 			return 0, 0
@@ -123,14 +120,15 @@
 			group.Servers = append(group.Servers, raft.Server{ID: raft.ServerID(m), Address: raft.ServerAddress(m)})
 		}
 		if err := raft.BootstrapCluster(c, n.log, n.log, snaps, trans, group); err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
+			_ = n.eligibility.Close()
 			return nil, err
 		}
 	}
-	r, err = raft.NewRaft(c, stateMachine{n}, n.log, n.log, snaps, n.eligibility)
+	r, err := raft.NewRaft(c, stateMachine{n}, n.log, n.log, snaps, n.eligibility)
 	if err != nil {
+		_ = n.eligibility.Close() // ends its goroutines and the listener; the error is that of the start
 		return nil, err
 	}
-	close(started)
 	n.mu.Lock()
 	n.raft = r
 	n.mu.Unlock()
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -75,7 +75,6 @@
 	select {
 	case c := <-accepted:
 		t.Cleanup(func() { _ = c.Close() })
-		_ = c.SetDeadline(time.Now().Add(patience))
 		return c
 	case <-time.After(patience):
 		t.Fatal("no connection came in")
@@ -105,6 +104,7 @@
 		"\n",
 		"GET / HTTP/1.1\r\n\r\n",
 		strings.Repeat("x", maxGreeting) + "\n",
+		"milletbarrow/1 raft h1 " + strings.Repeat(" ", maxGreeting) + "h2\n", // well formed, and too long
 	} {
 		c := dialRaw(t, tr.Address())
 		if _, err := io.WriteString(c, line); err != nil {
@@ -125,6 +125,7 @@
 	if got := in.RemoteAddr(); got.String() != "h2" || got.Network() != "peer" {
 		t.Errorf("the peer is %s %s", got.Network(), got)
 	}
+	_ = in.SetDeadline(time.Now().Add(patience))
 	got := make([]byte, len("what follows"))
 	if _, err := io.ReadFull(in, got); err != nil || string(got) != "what follows" {
 		t.Errorf("after the greeting came %q, %v", got, err)
