--- a/internal/cluster/quotastore/eligibility.go
+++ b/internal/cluster/quotastore/eligibility.go
@@ -1,32 +1,15 @@
 package quotastore
 
 import (
-	"context"
 	"errors"
-	"io"
-	"net"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/hashicorp/raft"
 
 	"milletbarrow/internal/cluster/quorum"
-	"milletbarrow/internal/cluster/transport"
 )
 
-// streamLayer has the consensus library speak over the streams between agents. Addresses are names of hosts.
-type streamLayer struct {
-	net.Listener
-	net *transport.Transport
-}
-
-func (l streamLayer) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
-	defer cancel()
-	return l.net.Dial(ctx, transport.KindRaft, string(to))
-}
-
 // eligibilityTransport holds a member whose log is not as far as it has to be from standing for election, and from voting for others
 // whose log is not either; see package quorum.
 type eligibilityTransport struct {
@@ -114,30 +97,3 @@
 	}
 	return c.NetworkTransport.RequestPreVote(id, to, q, a)
 }
-
-// stateMachine is the state as the library drives it.
-type stateMachine struct{ store *Store }
-
-func (m stateMachine) Apply(l *raft.Log) any { return m.store.apply(l.Data) }
-
-func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
-	raw, err := m.store.snapshot()
-	return encodedState(raw), err
-}
-
-func (m stateMachine) Restore(from io.ReadCloser) error {
-	defer func() { _ = from.Close() }()
-	return m.store.restore(from)
-}
-
-// encodedState is a snapshot.
-type encodedState []byte
-
-func (s encodedState) Persist(to raft.SnapshotSink) error {
-	if _, err := to.Write(s); err != nil {
-		return errors.Join(err, to.Cancel())
-	}
-	return to.Close()
-}
-
-func (encodedState) Release() {}
--- a/internal/cluster/quotastore/api.go
+++ b/internal/cluster/quotastore/forward.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"slices"
 
@@ -120,45 +119,3 @@
 	n.tracker.FillRemaining(n.config.Clock(), n.state, v.Limits)
 	return v, n.config.Host, true, nil
 }
-
-// RegisterHandlers answers other agents on mux.
-func (n *Store) RegisterHandlers(mux *http.ServeMux) {
-	mux.HandleFunc("POST /ledger/standing", func(w http.ResponseWriter, _ *http.Request) {
-		if n.log == nil {
-			http.Error(w, "outside the group", http.StatusNotFound)
-			return
-		}
-		s, err := n.logPosition()
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusServiceUnavailable)
-			return
-		}
-		_ = json.NewEncoder(w).Encode(s)
-	})
-	mux.HandleFunc("POST /ledger/do", func(w http.ResponseWriter, r *http.Request) {
-		var c quota.Command
-		if err := json.NewDecoder(io.LimitReader(r.Body, 16*int64(n.config.Bounds.MessageSize))).Decode(&c); err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		c.Config, c.Expire, c.Rebalance, c.FreezeGrowth = nil, nil, false, false // the leader's own words
-		res, leader, ok, err := n.local(c)
-		writeAnswer(w, res, leader, ok, err)
-	})
-	mux.HandleFunc("POST /ledger/view", func(w http.ResponseWriter, _ *http.Request) {
-		v, leader, ok, err := n.localStatus()
-		writeAnswer(w, v, leader, ok, err)
-	})
-}
-
-func writeAnswer(w http.ResponseWriter, v any, leader string, ok bool, err error) {
-	switch {
-	case !ok:
-		w.WriteHeader(http.StatusMisdirectedRequest)
-		_ = json.NewEncoder(w).Encode(notLeader{leader})
-	case err != nil:
-		http.Error(w, err.Error(), http.StatusServiceUnavailable)
-	default:
-		_ = json.NewEncoder(w).Encode(v)
-	}
-}
--- a/internal/cluster/quotastore/quotastore.go
+++ b/internal/cluster/quotastore/quotastore.go
@@ -5,12 +5,8 @@
 package quotastore
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"io"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -22,7 +18,6 @@
 
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/cluster/transport"
-	"milletbarrow/internal/failpoint"
 	"milletbarrow/internal/limits"
 )
 
@@ -131,74 +126,6 @@
 	n.wantedConfig, n.wantedMembers, n.config.Members, n.wantedVersion = t, members, members, t.Version
 }
 
-// apply takes in an entry that is committed.
-func (n *Store) apply(raw []byte) quota.Result {
-	var c quota.Command
-	if err := json.Unmarshal(raw, &c); err != nil {
-		return quota.Result{Rejection: "not a command: " + err.Error()}
-	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.state.Apply(c)
-}
-
-func (n *Store) snapshot() ([]byte, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return json.Marshal(n.state)
-}
-
-func (n *Store) restore(from io.Reader) error {
-	l := quota.NewState()
-	if err := json.NewDecoder(from).Decode(l); err != nil {
-		return err
-	}
-	l.RebuildIndexes()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.state = l
-	return nil
-}
-
-// propose has a command replicated, and waits until it is applied here.
-func (n *Store) propose(r *raft.Raft, c quota.Command) (res quota.Result, err error) {
-	raw, err := json.Marshal(c)
-	if err != nil {
-		return res, err
-	}
-	if failpoint.Enabled(failpoint.AnswerEarly) && c.Renew != nil {
-		return n.answerBeforeCommit(r, raw)
-	}
-	f := r.Apply(raw, applyTimeout)
-	if err := f.Error(); err != nil {
-		return res, fmt.Errorf("%w: %w", ErrNoLeader, err)
-	}
-	res, ok := f.Response().(quota.Result)
-	if !ok {
-		return res, fmt.Errorf("ledger: %v", f.Response())
-	}
-	failpoint.CrashAt(failpoint.AfterReplicated)
-	for _, l := range res.Events {
-		n.emit(l)
-	}
-	return res, nil
-}
-
-// unproven is what failpoint.AnswerEarly does: it answers from a copy.
-func (n *Store) answerBeforeCommit(r *raft.Raft, raw []byte) (res quota.Result, err error) {
-	was, err := n.snapshot()
-	if err != nil {
-		return res, err
-	}
-	copied := &Store{}
-	if err := copied.restore(bytes.NewReader(was)); err != nil {
-		return res, err
-	}
-	f := r.Apply(raw, applyTimeout)
-	go func() { _ = f.Error() }() // its outcome shows in the log alone; ends with applyTimeout
-	return copied.apply(raw), nil
-}
-
 // Stage says how this node takes part.
 func (n *Store) Stage() string {
 	n.mu.Lock()
