--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -19,7 +19,7 @@
 func TestRequestAfterClose(t *testing.T) {
 	complete := fakes.Invocation(1, 1)
 	for _, c := range []struct{ name, before, after string }{
-		{"idle", fakes.Raw(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
+		{"idle", fakes.EncodeFrame(20, 9, "\x00"), complete + fakes.Invocation(2, 2)},
 		{"within a frame", complete[:40], complete[40:] + fakes.Invocation(2, 2)},
 	} {
 		s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = time.Minute })
--- a/internal/backend/server/drain_test.go
+++ b/internal/backend/server/drain_test.go
@@ -10,7 +10,7 @@
 func TestCloseAnsweredSparesUnreadInput(t *testing.T) {
 	s := openServer(t, nil)
 	n := fakes.Dial(t, s.address)
-	n.Send(fakes.Raw(20, 9, "\x00"))
+	n.Send(fakes.EncodeFrame(20, 9, "\x00"))
 	n.Expect()
 	c := s.onlyConn(t)
 	fakes.Until(t, "the answer is written", func() bool { _, idle := c.idleSince(); return idle })
--- a/internal/cluster/quotastore/boltstore.go
+++ b/internal/cluster/quotastore/boltstore.go
@@ -13,10 +13,11 @@
 	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
 
+	"milletbarrow/internal/cluster/quorum"
 	"milletbarrow/internal/failpoint"
 )
 
-// store is the consensus library's log and its few words, on bbolt: every write is durable before it returns.
+// boltStore is the consensus library's log and its few values, on bbolt: every write is durable before it returns.
 type boltStore struct {
 	db     *bbolt.DB
 	closed atomic.Bool
@@ -27,9 +28,25 @@
 	stableBucket = []byte("words")
 )
 
-// openStore opens or makes the file; another process that has it is waited for a little.
+// Keys under which the library stores its term and its latest vote.
+var (
+	currentTermKey       = []byte("CurrentTerm")
+	lastVoteTermKey      = []byte("LastVoteTerm")
+	lastVoteCandidateKey = []byte("LastVoteCand")
+)
+
+// unknownCandidate stands for the candidate of a vote that was forgotten; no host has this name.
+const unknownCandidate = "nobody: it may have voted before its directory was set back"
+
+const (
+	lockTimeout       = time.Second            // for another process to close the file
+	setRetryInterval  = 100 * time.Millisecond // between two attempts to write a value
+	setRetriesPerLine = 50                     // attempts for each line in the log
+)
+
+// openBoltStore opens or makes the file; another process that has it is waited for a little.
 func openBoltStore(path string) (*boltStore, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -52,6 +69,7 @@
 
 func key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
+// boundaryIndex is the index of the first or the last entry.
 func (s *boltStore) boundaryIndex(last bool) (n uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(logBucket).Cursor()
@@ -108,7 +126,7 @@
 	return err
 }
 
-// DeleteRange forgets entries, both ends with it.
+// DeleteRange deletes entries, both ends included.
 func (s *boltStore) DeleteRange(from, to uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(logBucket).Cursor()
@@ -121,23 +139,43 @@
 	})
 }
 
-// Set writes a word. The library gives up its whole process where a term can't be written; but an agent has other duties.
-// So the write is tried until the disk takes it: the library stands still meanwhile, which for its peers is a member that
-// does not answer.
+// position is the member's term and the end of its log.
+func (s *boltStore) position() (p quorum.LogPosition, err error) {
+	if p.Term, err = s.GetUint64(currentTermKey); err != nil {
+		return p, err
+	}
+	if p.Index, err = s.LastIndex(); err != nil || p.Index == 0 {
+		return p, err
+	}
+	var last raft.Log
+	err = s.GetLog(p.Index, &last)
+	p.LogTerm = last.Term
+	return p, err
+}
+
+// adoptTerm takes over a term of the group, with its vote used up: this member may have voted in it before its directory
+// was set back.
+func (s *boltStore) adoptTerm(term uint64) error {
+	return errors.Join(s.SetUint64(currentTermKey, term), s.SetUint64(lastVoteTermKey, term), s.Set(lastVoteCandidateKey, []byte(unknownCandidate)))
+}
+
+// Set writes a value. The library ends its process where a term can't be written; but an agent has other duties. So the
+// write is retried until the disk takes it: the library stands still meanwhile, which for its peers is a member that does
+// not answer.
 func (s *boltStore) Set(name, value []byte) error {
 	for n := 0; ; n++ {
 		err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stableBucket).Put(name, value) })
 		if err == nil || s.closed.Load() {
 			return err
 		}
-		if n%50 == 0 {
+		if n%setRetriesPerLine == 0 {
 			slog.Error("quota_store", "written", false, "error", err.Error())
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(setRetryInterval)
 	}
 }
 
-// Get reads a word; none is empty.
+// Get reads a value; none is empty. It is the caller's own.
 func (s *boltStore) Get(name []byte) (value []byte, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		value = bytes.Clone(tx.Bucket(stableBucket).Get(name))
--- a/internal/cluster/quotastore/eligibility.go
+++ b/internal/cluster/quotastore/eligibility.go
@@ -10,90 +10,102 @@
 	"milletbarrow/internal/cluster/quorum"
 )
 
-// eligibilityTransport holds a member whose log is not as far as it has to be from standing for election, and from voting for others
-// whose log is not either; see package quorum.
+// eligibilityTransport holds a member whose log is behind what it may have had from standing for election, and from voting
+// for others whose log is behind too; see package quorum.
 type eligibilityTransport struct {
 	*raft.NetworkTransport
 	eligibility quorum.Eligibility
-	eligible    atomic.Bool
-	calls       chan raft.RPC
+	eligible    atomic.Bool   // once its log is far enough it stays so
+	calls       chan raft.RPC // that the library may handle
 	done        chan struct{} // closed by Close
 	closing     sync.Once
-	lastLog     func() (term, index uint64)
+	lastLog     func() (term, index uint64) // of this member; called by several goroutines
 }
 
 var errIneligible = errors.New("this member's log is not as far as it has to be to take part")
 
-func newEligibilityTransport(t *raft.NetworkTransport, fit quorum.Eligibility, log func() (term, index uint64)) *eligibilityTransport {
-	c := &eligibilityTransport{NetworkTransport: t, eligibility: fit, calls: make(chan raft.RPC), done: make(chan struct{}), lastLog: log}
-	c.eligible.Store(!fit.Behind)
-	go c.filter()
-	return c
+var (
+	_ raft.Transport   = (*eligibilityTransport)(nil)
+	_ raft.WithPreVote = (*eligibilityTransport)(nil)
+)
+
+func newEligibilityTransport(inner *raft.NetworkTransport, eligibility quorum.Eligibility, lastLog func() (term, index uint64)) *eligibilityTransport {
+	t := &eligibilityTransport{
+		NetworkTransport: inner, eligibility: eligibility, lastLog: lastLog,
+		calls: make(chan raft.RPC), done: make(chan struct{}),
+	}
+	t.eligible.Store(!eligibility.Behind)
+	go t.filter() // ends with Close
+	return t
 }
 
 // filter hands on the calls that this member may handle. It ends with Close.
-func (c *eligibilityTransport) filter() {
+func (t *eligibilityTransport) filter() {
 	for {
 		select {
-		case call := <-c.NetworkTransport.Consumer():
-			if !c.satisfied() && !c.mayHandle(call.Command) {
+		case call := <-t.NetworkTransport.Consumer():
+			if !t.satisfied() && !t.mayHandle(call.Command) {
 				call.Respond(nil, errIneligible)
 				continue
 			}
 			select {
-			case c.calls <- call:
-			case <-c.done:
+			case t.calls <- call:
+			case <-t.done:
 				call.Respond(nil, raft.ErrTransportShutdown)
 				return
 			}
-		case <-c.done:
+		case <-t.done:
 			return
 		}
 	}
 }
 
 // Close ends the transport; the consensus library calls it as it shuts down.
-func (c *eligibilityTransport) Close() error {
-	c.closing.Do(func() { close(c.done) })
-	return c.NetworkTransport.Close()
+func (t *eligibilityTransport) Close() error {
+	t.closing.Do(func() { close(t.done) })
+	return t.NetworkTransport.Close()
 }
 
 // satisfied tells whether the log is far enough by now.
-func (c *eligibilityTransport) satisfied() bool {
-	if c.eligible.Load() {
+func (t *eligibilityTransport) satisfied() bool {
+	if t.eligible.Load() {
 		return true
 	}
-	if c.eligibility.Satisfied(c.lastLog()) {
-		c.eligible.Store(true)
+	if t.eligibility.Satisfied(t.lastLog()) {
+		t.eligible.Store(true)
 		return true
 	}
 	return false
 }
 
-func (c *eligibilityTransport) mayHandle(command any) bool {
+// mayHandle reports whether a member that is not eligible yet may handle a call.
+func (t *eligibilityTransport) mayHandle(command any) bool {
 	switch q := command.(type) {
 	case *raft.RequestVoteRequest:
-		return c.eligibility.Satisfied(q.LastLogTerm, q.LastLogIndex)
+		return t.eligibility.Satisfied(q.LastLogTerm, q.LastLogIndex)
 	case *raft.RequestPreVoteRequest:
-		return c.eligibility.Satisfied(q.LastLogTerm, q.LastLogIndex)
+		return t.eligibility.Satisfied(q.LastLogTerm, q.LastLogIndex)
 	case *raft.TimeoutNowRequest:
 		return false
 	}
 	return true
 }
 
-func (c *eligibilityTransport) Consumer() <-chan raft.RPC { return c.calls }
+// Consumer implements raft.Transport.
+func (t *eligibilityTransport) Consumer() <-chan raft.RPC { return t.calls }
 
-func (c *eligibilityTransport) RequestVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestVoteRequest, a *raft.RequestVoteResponse) error {
-	if !c.satisfied() {
+// RequestVote implements raft.Transport.
+func (t *eligibilityTransport) RequestVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestVoteRequest, a *raft.RequestVoteResponse) error {
+	if !t.satisfied() {
 		return errIneligible
 	}
-	return c.NetworkTransport.RequestVote(id, to, q, a)
+	return t.NetworkTransport.RequestVote(id, to, q, a)
 }
 
-func (c *eligibilityTransport) RequestPreVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestPreVoteRequest, a *raft.RequestPreVoteResponse) error {
-	if !c.satisfied() {
+// RequestPreVote implements raft.WithPreVote.
+func (t *eligibilityTransport) RequestPreVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestPreVoteRequest, a *raft.RequestPreVoteResponse) error {
+	if !t.satisfied() {
 		return errIneligible
 	}
-	return c.NetworkTransport.RequestPreVote(id, to, q, a)
+	return t.NetworkTransport.RequestPreVote(id, to, q, a)
 }
--- a/internal/cluster/quotastore/forward.go
+++ b/internal/cluster/quotastore/forward.go
@@ -8,114 +8,87 @@
 	"net/http"
 	"slices"
 
-	"github.com/hashicorp/raft"
-
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/jsonhttp"
 )
 
-// notLeader is the answer of an agent that is not the leader, with the name of whom it thinks to be.
+// Paths of the calls between agents.
+const (
+	pathLogPosition = "/ledger/standing"
+	pathDo          = "/ledger/do"
+	pathStatus      = "/ledger/view"
+)
+
+// notLeader is the answer of an agent that does not lead, with the host that it believes to.
 type notLeader struct {
 	Leader string `json:"leader"`
 }
 
-// local does a command if this node leads; ok is false if it does not.
-func (n *Store) local(c quota.Command) (res quota.Result, leader string, ok bool, err error) {
-	n.mu.Lock()
-	r, ready := n.raft, n.ready
-	if ready {
-		c.FreezeGrowth = n.tracker.GrowthFrozen(n.config.Clock())
+// Do has a command applied by whichever agent leads. After an error it may be applied all the same; ErrNoLeader is one of
+// those that it wraps where no agent answered as the leader.
+func (s *Store) Do(ctx context.Context, c quota.Command) (res quota.Result, err error) {
+	l := s.leadership()
+	if l.leads() {
+		return s.doAsLeader(l, c)
 	}
-	n.mu.Unlock()
-	if r == nil {
-		return res, "", false, nil
-	}
-	if !ready || r.State() != raft.Leader {
-		_, id := r.LeaderWithID()
-		return res, string(id), false, nil
-	}
-	res, err = n.propose(r, c)
-	return res, n.config.Host, true, err
+	err = s.forwardToLeader(ctx, l.leader, pathDo, c, &res)
+	return res, err
 }
 
-// Do has a command done, by whichever agent leads. An error does not say that it was not done.
-func (n *Store) Do(ctx context.Context, c quota.Command) (res quota.Result, err error) {
-	res, leader, ok, err := n.local(c)
-	if ok {
-		return res, err
+// Status asks the leader, which makes sure that it still is one. Its errors are those of Do.
+func (s *Store) Status(ctx context.Context) (status quota.Status, err error) {
+	l := s.leadership()
+	if l.leads() {
+		return s.statusAsLeader(l)
 	}
-	err = n.forwardToLeader(ctx, leader, "/ledger/do", c, &res)
-	return res, err
+	err = s.forwardToLeader(ctx, l.leader, pathStatus, nil, &status)
+	return status, err
 }
 
-// forwardToLeader asks one agent after the other until one leads.
-func (n *Store) forwardToLeader(ctx context.Context, hint, path string, body, into any) error {
-	n.mu.Lock()
-	if hint == "" {
-		hint = n.lastLeader
+// forwardToLeader calls one agent of the group after the other until one answers as the leader: first the likely leader,
+// then whom the last answer named, then those that were not called yet.
+func (s *Store) forwardToLeader(ctx context.Context, likely, path string, body, into any) error {
+	s.mu.Lock()
+	if likely == "" {
+		likely = s.lastLeader
 	}
-	members := slices.Clone(n.config.Members)
-	n.mu.Unlock()
-	tried := map[string]bool{n.config.Host: true}
-	var last error
-	for next := hint; ctx.Err() == nil; {
-		if next == "" || tried[next] {
-			i := slices.IndexFunc(members, func(m string) bool { return !tried[m] })
+	s.mu.Unlock()
+	members := s.members()
+	called := map[string]bool{s.config.Host: true}
+	var lastErr error
+	for next := likely; ctx.Err() == nil; {
+		if next == "" || called[next] {
+			i := slices.IndexFunc(members, func(m string) bool { return !called[m] })
 			if i < 0 {
 				break
 			}
 			next = members[i]
 		}
-		tried[next] = true
-		ask, cancel := context.WithTimeout(ctx, n.config.Bounds.CallTimeout)
-		err := n.config.Transport.Call(ask, next, path, body, into)
-		cancel()
+		called[next] = true
+		err := s.call(ctx, next, path, body, into)
 		if err == nil {
-			n.mu.Lock()
-			n.lastLeader = next
-			n.mu.Unlock()
+			s.mu.Lock()
+			s.lastLeader = next
+			s.mu.Unlock()
 			return nil
 		}
-		last = fmt.Errorf("%s: %w", next, err)
-		var other notLeader
-		if no, ok := errors.AsType[*jsonhttp.StatusError](err); ok && no.Code == http.StatusMisdirectedRequest {
-			_ = json.Unmarshal([]byte(no.Message), &other)
-		}
-		next = other.Leader
+		lastErr = fmt.Errorf("%s: %w", next, err)
+		next = leaderNamedBy(err)
 	}
-	return errors.Join(ErrNoLeader, last)
+	return errors.Join(ErrNoLeader, lastErr)
 }
 
-// Status asks the leader, which makes sure that it still is one.
-func (n *Store) Status(ctx context.Context) (v quota.Status, err error) {
-	v, leader, ok, err := n.localStatus()
-	if ok {
-		return v, err
-	}
-	err = n.forwardToLeader(ctx, leader, "/ledger/view", nil, &v)
-	return v, err
+func (s *Store) call(ctx context.Context, host, path string, body, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, s.config.Bounds.CallTimeout)
+	defer cancel()
+	return s.config.Transport.Call(ctx, host, path, body, into)
 }
 
-func (n *Store) localStatus() (v quota.Status, leader string, ok bool, err error) {
-	n.mu.Lock()
-	r, ready := n.raft, n.ready
-	n.mu.Unlock()
-	if r == nil {
-		return v, "", false, nil
-	}
-	if _, id := r.LeaderWithID(); !ready || r.State() != raft.Leader {
-		return v, string(id), false, nil
-	}
-	if err := r.VerifyLeader().Error(); err != nil {
-		return v, "", true, fmt.Errorf("%w: %w", ErrNoLeader, err)
-	}
-	for _, s := range r.GetConfiguration().Configuration().Servers {
-		v.Members = append(v.Members, string(s.ID))
+// leaderNamedBy returns the leader that an agent's answer names, empty for none.
+func leaderNamedBy(err error) string {
+	var other notLeader
+	if status, ok := errors.AsType[*jsonhttp.StatusError](err); ok && status.Code == http.StatusMisdirectedRequest {
+		_ = json.Unmarshal([]byte(status.Text), &other) // an answer that is cut short names none
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	v.Leader, v.Term, v.Version, v.GrowthFrozen = n.config.Host, r.CurrentTerm(), n.state.Config.Version, n.tracker.GrowthFrozen(n.config.Clock())
-	v.Limits, v.ColdStarts = n.state.Usages(), n.state.ColdStartStatuses()
-	n.tracker.FillRemaining(n.config.Clock(), n.state, v.Limits)
-	return v, n.config.Host, true, nil
+	return other.Leader
 }
--- a/internal/cluster/quotastore/quotastore.go
+++ b/internal/cluster/quotastore/quotastore.go
@@ -14,124 +14,136 @@
 	"sync"
 	"time"
 
-	"github.com/hashicorp/raft"
-
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/cluster/transport"
 	"milletbarrow/internal/limits"
 )
 
-// Times of the group, each once. A leader that hears of no half for leaderLease gives up; elections take one to two of
-// election.
+// Times of the group. A leader that hears of no quorum for leaderLeaseTimeout steps down; an election takes one to two
+// electionTimeout.
 const (
 	heartbeatTimeout   = 500 * time.Millisecond
 	electionTimeout    = 500 * time.Millisecond
 	leaderLeaseTimeout = 400 * time.Millisecond
 	commitTimeout      = 20 * time.Millisecond
-	trackerInterval    = 25 * time.Millisecond // between two looks of the clerk
-	applyTimeout       = 2 * time.Second       // a command waits so long for its half
+	trackerInterval    = 25 * time.Millisecond // between two ticks of the leader
+	applyTimeout       = 2 * time.Second       // a command waits so long for a quorum
 )
 
 // Config is what a Store is opened with.
 type Config struct {
-	Host      string
-	Members   []string // of the group as the fleet's file names them
-	Dir       string   // of this node alone
+	Host      string   // this agent's
+	Members   []string // hosts of the group as the fleet's file names them
+	Dir       string   // for this store alone; made where it is missing
 	TrustDir  bool     // the directory is known to be no older copy: an operator says so
 	Transport *transport.Transport
 	Bounds    limits.Control
-	Clock     func() quota.Micros
-	OnEvent   func(quota.Event) // of the leader's history; must not block
+	Clock     func() quota.Micros // this host's own, which only goes on
+	OnEvent   func(quota.Event)   // of the leader's history; must not block
 }
 
 // Store is one agent's replica, or its client where the agent is outside the group. It is safe for concurrent use.
 type Store struct {
-	config      Config
-	log         *boltStore // nil outside the group
-	eligibility *eligibilityTransport
+	config Config
+	log    *boltStore // nil outside the group
 
 	mu            sync.Mutex // guards what follows
-	raft          *raft.Raft
+	replica       replica    // nil until this member takes part
 	state         *quota.State
 	tracker       quota.LeaseTracker
-	ready         bool // this is the leader, and the clerk has begun
+	ready         bool // this replica leads, knows all that earlier leaders granted, and its tracker has begun
 	wantedConfig  *quota.Config
 	wantedMembers []string // members wanted, by the version of the file that this agent has
 	wantedVersion uint64
-	lastLeader    string // last known
-	stage         string // why this node takes no part, as long as it does not
-
+	lastLeader    string // that answered last
+	stage         string // why this member takes no part, as long as it does not
 }
 
-// ErrNoLeader says that no half of the group can be reached, or that none has agreed on a leader yet.
+// ErrNoLeader says that no quorum of the group can be reached, or that it has not agreed on a leader yet.
 var ErrNoLeader = errors.New("the ledger has no leader that can be reached")
 
-// Open opens this host's side; a host outside the group keeps nothing and asks.
-func Open(o Config) (*Store, error) {
-	n := &Store{config: o, state: quota.NewState(), wantedMembers: o.Members, stage: "outside the group"}
-	if !slices.Contains(o.Members, o.Host) {
-		return n, nil
+// Open opens this host's side; a host outside the group stores nothing and asks the others. Run closes what it opened.
+func Open(config Config) (*Store, error) {
+	s := &Store{config: config, state: quota.NewState(), wantedMembers: config.Members, stage: "outside the group"}
+	if !slices.Contains(config.Members, config.Host) {
+		return s, nil
 	}
-	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	s, err := openBoltStore(filepath.Join(o.Dir, "ledger.db"))
-	if err != nil {
+	var err error
+	if s.log, err = openBoltStore(filepath.Join(config.Dir, "ledger.db")); err != nil {
 		return nil, err
 	}
-	n.log, n.stage = s, "starting"
-	return n, nil
+	s.stage = "starting"
+	return s, nil
 }
 
-// Run takes part until ctx ends.
-func (n *Store) Run(ctx context.Context) error {
-	if n.log == nil {
+// Run takes part until ctx ends, or until this member can't start. It closes the files as it returns.
+func (s *Store) Run(ctx context.Context) error {
+	if s.log == nil {
 		<-ctx.Done()
 		return nil
 	}
-	defer func() { _ = n.log.Close() }()
-	fit, err := n.assessEligibility(ctx)
+	defer func() { _ = s.log.Close() }()
+	eligibility, err := s.assessEligibility(ctx)
 	if err != nil || ctx.Err() != nil {
 		return err
 	}
-	r, err := n.startRaft(fit)
+	r, err := s.startRaft(eligibility)
 	if err != nil {
-		n.setStage("", err.Error())
+		s.setStage("", err.Error())
 		return err
 	}
 	defer func() { _ = r.Shutdown().Error() }()
-	n.runLeader(ctx, r)
+	leader := leaderLoop{store: s, replica: r}
+	leader.run(ctx)
 	return nil
 }
 
-func (n *Store) setStage(stage, why string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if stage != n.stage {
-		slog.Info("quota_store", "stage", stage, "why", why)
+// setReady says whether this replica may answer as the leader.
+func (s *Store) setReady(ready bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ready = ready
+}
+
+// setStage records and logs how this member takes part.
+func (s *Store) setStage(stage, why string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if stage != s.stage {
+		slog.Info("ledger", "stage", stage, "why", why)
 	}
-	n.stage = stage
+	s.stage = stage
 }
 
-func (n *Store) emit(l quota.Event) {
-	if n.config.OnEvent != nil {
-		n.config.OnEvent(l)
+func (s *Store) emit(e quota.Event) {
+	if s.config.OnEvent != nil {
+		s.config.OnEvent(e)
 	}
 }
 
 // SetConfig takes in what the fleet's file says now. Only a leader acts on it, and only on a version above the one in force.
-func (n *Store) SetConfig(t *quota.Config, members []string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.wantedConfig, n.wantedMembers, n.config.Members, n.wantedVersion = t, members, members, t.Version
+func (s *Store) SetConfig(config *quota.Config, members []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.wantedConfig, s.wantedMembers, s.config.Members, s.wantedVersion = config, members, members, config.Version
+}
+
+// members lists the group's members as the latest fleet file names them.
+func (s *Store) members() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.config.Members)
 }
 
-// Stage says how this node takes part.
-func (n *Store) Stage() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.raft != nil {
-		return n.raft.State().String()
+// Stage says how this member takes part: as the consensus library names it, or why it does not.
+func (s *Store) Stage() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.replica != nil {
+		return s.replica.State().String()
 	}
-	return n.stage
+	return s.stage
 }
--- a/internal/cluster/quotastore/quotastore_test.go
+++ b/internal/cluster/quotastore/quotastore_test.go
@@ -336,7 +336,11 @@
 	g.start("h3")
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, n := range []string{"h2", "h3"} {
-			if v, _, ok, err := g.node(n).localStatus(); ok && err == nil && len(v.Limits) > 0 && v.Limits[0].InForce == 0 {
+			l := g.node(n).leadership()
+			if !l.leads() {
+				continue
+			}
+			if v, err := g.node(n).statusAsLeader(l); err == nil && len(v.Limits) > 0 && v.Limits[0].InForce == 0 {
 				t.Fatalf("%s leads a ledger that has forgotten a unit", n)
 			}
 		}
--- a/internal/cluster/quotastore/raftnode_test.go
+++ b/internal/cluster/quotastore/raftnode_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
 
 	"milletbarrow/internal/cluster/quorum"
@@ -92,9 +91,7 @@
 	}
 	waitForNone(t, filter)
 	waitForNone(t, listen)
-	if s.raft != nil {
+	if s.replica != nil {
 		t.Error("the store has a replica")
 	}
 }
-
-var _ raft.WithPreVote = (*eligibilityTransport)(nil)
--- a/internal/cluster/quotastore/statemachine.go
+++ b/internal/cluster/quotastore/statemachine.go
@@ -13,21 +13,25 @@
 // stateMachine is the state of a Store as the consensus library drives it.
 type stateMachine struct{ store *Store }
 
+// Apply implements raft.FSM.
 func (m stateMachine) Apply(l *raft.Log) any { return m.store.apply(l.Data) }
 
+// Snapshot implements raft.FSM.
 func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	raw, err := m.store.snapshot()
 	return encodedState(raw), err
 }
 
+// Restore implements raft.FSM.
 func (m stateMachine) Restore(from io.ReadCloser) error {
 	defer func() { _ = from.Close() }()
 	return m.store.restore(from)
 }
 
-// encodedState is a snapshot.
+// encodedState is a snapshot of the state.
 type encodedState []byte
 
+// Persist implements raft.FSMSnapshot.
 func (s encodedState) Persist(to raft.SnapshotSink) error {
 	if _, err := to.Write(s); err != nil {
 		return errors.Join(err, to.Cancel())
@@ -35,33 +39,36 @@
 	return to.Close()
 }
 
+// Release implements raft.FSMSnapshot.
 func (encodedState) Release() {}
 
-// apply takes in an entry that is committed.
-func (n *Store) apply(raw []byte) quota.Result {
+// apply applies a committed entry. One that can't be read is rejected: every replica does the same.
+func (s *Store) apply(raw []byte) quota.Result {
 	var c quota.Command
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return quota.Result{Rejection: "not a command: " + err.Error()}
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.state.Apply(c)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.Apply(c)
 }
 
-func (n *Store) snapshot() ([]byte, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return json.Marshal(n.state)
+// snapshot encodes the state.
+func (s *Store) snapshot() ([]byte, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return json.Marshal(s.state)
 }
 
-func (n *Store) restore(from io.Reader) error {
-	l := quota.NewState()
-	if err := json.NewDecoder(from).Decode(l); err != nil {
+// restore replaces the state by a snapshot.
+func (s *Store) restore(from io.Reader) error {
+	state := quota.NewState()
+	if err := json.NewDecoder(from).Decode(state); err != nil {
 		return err
 	}
-	l.RebuildIndexes()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.state = l
+	state.RebuildIndexes()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.state = state
 	return nil
 }
