--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -50,7 +50,8 @@
 type loopState struct {
 	spec     *fleet.Spec
 	machine  *fleet.Machine
-	watchers map[string]*watcher // by instance
+	watchers map[string]*watcher           // by instance
+	reports  map[string]*supervisor.Report // by instance: the latest of the incarnation that runs; none while its supervisor is silent
 
 	storeErr   error             // why the store can't be written; nil: it can
 	unsaved    agentstore.Change // decided and not written yet
@@ -78,8 +79,8 @@
 	a := &Agent{
 		options: o, startedAt: process.Now(),
 		calls: make(chan func(fleet.Micros), callBacklog), stopped: make(chan struct{}),
-		launchSlots: make(chan struct{}, o.Bounds.ParallelStarts),
-		loop:        loopState{spec: o.Spec, nextSerial: 1, watchers: map[string]*watcher{}},
+		launchSlots: make(chan struct{}, o.Bounds.Parallel),
+		loop:        loopState{spec: o.Spec, nextSerial: 1, watchers: map[string]*watcher{}, reports: map[string]*supervisor.Report{}},
 		feed:        newHistoryFeed(saved.History),
 	}
 	if n := len(saved.History); n > 0 {
@@ -314,6 +315,7 @@
 		machine := a.newMachine(s)
 		machine.Restore(now, a.loop.machine.Snapshot(), false)
 		a.loop.machine, a.loop.spec = machine, s
+		clear(a.loop.reports) // the new machine has observed nothing yet
 		if a.options.Cluster != nil && s.Quotas != nil {
 			a.options.Cluster.SetConfig(s.Quotas, s.QuotaHosts)
 		}
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -319,7 +319,7 @@
 	}
 	exited := fleet.Observation{Incarnation: launched.Incarnation, Phase: fleet.PhaseExited, Exit: fleet.Exit{Unobserved: true}}
 	for _, recorded := range []bool{false, true} {
-		a.observe(t.Context(), "a", exited, recorded)
+		a.observe(t.Context(), "a", exited, nil, recorded)
 		(<-a.calls)(fleet.Micros(process.Now()))
 		if in, _ := a.loop.machine.Instance("a"); (in.Incarnation == "") != recorded {
 			t.Errorf("recorded %t: %+v", recorded, in)
@@ -327,6 +327,62 @@
 	}
 }
 
+// TestStatusShowsLatestReport: the status names the processes of the latest report about the incarnation that runs, and
+// none while the supervisor is silent, after the incarnation's end, or after a reload until the next report.
+func TestStatusShowsLatestReport(t *testing.T) {
+	a := mustNewIdleAgent(t, &memoryStore{})
+	command := &fleet.Command{ID: "c1", Kind: fleet.KindStart, Names: []string{"a"}, Deadline: 1 << 60}
+	if err := a.decide(fleet.Micros(process.Now()), fleet.CommandReceived{Command: command}); err != nil {
+		t.Fatal(err)
+	}
+	launched, _ := a.loop.machine.Instance("a")
+	observe := func(observation fleet.Observation, pid int) agentapi.Instance {
+		t.Helper()
+		var report *supervisor.Report
+		if pid != 0 {
+			report = &supervisor.Report{Observation: observation, Record: supervisor.State{Instance: process.Identity{PID: pid}, Supervisor: process.Identity{PID: pid + 1}}}
+		}
+		a.observe(t.Context(), "a", observation, report, true)
+		(<-a.calls)(fleet.Micros(process.Now()))
+		return a.loop.status(fleet.Micros(process.Now())).Instances[0]
+	}
+	want := func(what string, got agentapi.Instance, pid int) {
+		t.Helper()
+		if got.Name != "a" || got.PID != pid || pid != 0 && got.SupervisorPID != pid+1 {
+			t.Errorf("%s: %+v", what, got)
+		}
+	}
+	ready := fleet.Observation{Incarnation: launched.Incarnation, Phase: fleet.PhaseReady}
+	want("ready", observe(ready, 40), 40)
+	want("a later report", observe(ready, 50), 50)
+	earlier := ready
+	earlier.Incarnation = "a.0"
+	want("a report about another incarnation", observe(earlier, 60), 50)
+	silent := ready
+	silent.Phase = fleet.PhaseUnknown
+	want("silent", observe(silent, 0), 0)
+	want("it answers again", observe(ready, 70), 70)
+	if err := reloadIdle(t, a, a.loop.spec); err != nil {
+		t.Fatal(err)
+	}
+	want("reloaded", a.loop.status(fleet.Micros(process.Now())).Instances[0], 0)
+	want("reported again", observe(ready, 80), 80)
+	exited := ready
+	exited.Phase = fleet.PhaseExited
+	want("ended", observe(exited, 90), 0)
+}
+
+// reloadIdle has an agent whose loop does not run read a fleet file anew; no action is started.
+func reloadIdle(t *testing.T, a *Agent, s *fleet.Spec) error {
+	t.Helper()
+	result := make(chan error, 1)
+	go func() { result <- a.Reload(s) }()
+	(<-a.calls)(fleet.Micros(process.Now()))
+	a.loop.actions = nil
+	a.flush(t.Context())
+	return <-result
+}
+
 // TestLaunchTwice: a launch whose incarnation has a supervisor, or has ended, starts no other.
 func TestLaunchTwice(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -33,7 +33,7 @@
 	}
 	for _, name := range l.machine.Names() {
 		in, _ := l.machine.Instance(name)
-		s.Instances = append(s.Instances, instanceStatus(now, name, in))
+		s.Instances = append(s.Instances, instanceStatus(now, in, l.reports[name]))
 	}
 	for _, c := range l.machine.Commands() {
 		if c.State != fleet.CommandDone {
@@ -43,16 +43,17 @@
 	return s
 }
 
-func instanceStatus(now fleet.Micros, name string, in fleet.Instance) agentapi.Instance {
+// instanceStatus joins the machine's state of an instance with the latest report of its supervisor, which may be nil.
+func instanceStatus(now fleet.Micros, in fleet.Instance, report *supervisor.Report) agentapi.Instance {
 	s := agentapi.Instance{
-		Name: name, Group: in.Group, Spare: in.Spare, DesiredUp: in.DesiredUp, Phase: in.Phase,
+		Name: in.Name, Group: in.Group, Spare: in.Spare, DesiredUp: in.DesiredUp, Phase: in.Phase,
 		PhaseAgeMicros: int64(now - in.PhaseSince), Cause: in.Cause, Task: in.CommandID,
 		RecentRestarts: len(in.LaunchBudget.Attempts), Settled: in.Settled(now),
 	}
 	if in.PhaseDeadline != 0 {
 		s.TimeLeftMicros = int64(in.PhaseDeadline - now)
 	}
-	if report, ok := in.Detail.(*supervisor.Report); ok && !in.Phase.Down() {
+	if report != nil && report.Observation.Incarnation == in.Incarnation && !in.Phase.Down() {
 		s.PID, s.SupervisorPID, s.State = report.Record.Instance.PID, report.Record.Supervisor.PID, report.State
 	}
 	return s
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -86,8 +86,7 @@
 		report, err := client.Report(ctx, after)
 		if err == nil && report.Observation.Incarnation == incarnation {
 			missed, after = 0, report.Serial
-			report.Observation.Detail = &report
-			a.observe(ctx, name, report.Observation, true)
+			a.observe(ctx, name, report.Observation, &report, true)
 			if report.Observation.Phase == fleet.PhaseExited {
 				return
 			}
@@ -100,7 +99,7 @@
 		after = -1 // another supervisor may answer next, and it counts from the beginning
 		verdict := a.interpretSilence(name, incarnation, missed)
 		if verdict.Decided {
-			a.observe(ctx, name, verdict.Observation, verdict.Recorded)
+			a.observe(ctx, name, verdict.Observation, nil, verdict.Recorded)
 		}
 		if verdict.Ended() {
 			return
@@ -112,9 +111,9 @@
 	}
 }
 
-// observe gives the loop an observation. One about an incarnation that no supervisor recorded says nothing while its
-// launch is under way.
-func (a *Agent) observe(ctx context.Context, name string, observation fleet.Observation, recorded bool) {
+// observe gives the loop an observation, with the supervisor's report that it comes from; nil: the supervisor is silent.
+// One about an incarnation that no supervisor recorded says nothing while its launch is under way.
+func (a *Agent) observe(ctx context.Context, name string, observation fleet.Observation, report *supervisor.Report, recorded bool) {
 	select {
 	case <-ctx.Done():
 	case a.calls <- func(now fleet.Micros) {
@@ -122,6 +121,9 @@
 		if launching := in.ActionPending && in.LastAction == fleet.ActionLaunch; launching && !recorded {
 			return
 		}
+		if in.Incarnation == observation.Incarnation {
+			a.loop.reports[name] = report
+		}
 		a.handle(now, fleet.InstanceObserved{Name: name, Observation: observation})
 	}:
 	}
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -43,7 +43,22 @@
 	Rejected    int    `json:"turned"`           // of them, throttled or answered with an error
 	Level       string `json:"level,omitempty"`  // of degradation
 	LevelCause  string `json:"why,omitempty"`    // cause of the latest change of Level
-	Detail      any    `json:"detail,omitempty"` // what the observer adds for people; the machine hands it on unread
+	Detail      Detail `json:"detail,omitempty"` // what a supervisor of another release may add; empty: nothing
+}
+
+// Detail is a JSON value of a form that this release does not know; empty: none. It is passed on as it came. A string,
+// so that observations can be compared.
+type Detail string
+
+// MarshalJSON returns the value as it came.
+func (d Detail) MarshalJSON() ([]byte, error) { return []byte(d), nil }
+
+// UnmarshalJSON takes any value; null is none.
+func (d *Detail) UnmarshalJSON(raw []byte) error {
+	if *d = Detail(raw); *d == "null" {
+		*d = ""
+	}
+	return nil
 }
 
 // Exit is how an incarnation ended.
@@ -110,7 +125,6 @@
 	Invocations int    `json:"picked,omitempty"`
 	Rejected    int    `json:"turned,omitempty"`
 	Level       string `json:"level,omitempty"` // of degradation, as it was last observed
-	Detail      any    `json:"-"`
 
 	group     *GroupSpec
 	shutdown  ShutdownWindow
--- a/internal/fleet/invariants_test.go
+++ b/internal/fleet/invariants_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"slices"
+	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -303,6 +304,22 @@
 	}
 }
 
+// TestDetailIsPassedOn: what a supervisor of another release adds to an observation is passed on as it came.
+func TestDetailIsPassedOn(t *testing.T) {
+	for text, want := range map[string]string{
+		`{"detail":{"a":[1,"x"]}}`: `"detail":{"a":[1,"x"]}`, `{"detail":"x"}`: `"detail":"x"`, `{"detail":0}`: `"detail":0`, `{"detail":null}`: "", `{}`: "",
+	} {
+		var o Observation
+		if err := json.Unmarshal([]byte(text), &o); err != nil {
+			t.Fatal(err)
+		}
+		raw, err := json.Marshal(o)
+		if err != nil || !strings.Contains(string(raw), want) || want == "" && strings.Contains(string(raw), "detail") {
+			t.Errorf("%s became %s (%v)", text, raw, err)
+		}
+	}
+}
+
 // TestStoredForm: the bytes that an agent stores of an instance and of a command are read and written as ever.
 func TestStoredForm(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/fleet/observation.go
+++ b/internal/fleet/observation.go
@@ -9,7 +9,6 @@
 		m.handleExit(now, in, o.Exit)
 		return
 	}
-	in.Detail = o.Detail
 	m.countInvocations(now, in, o)
 	m.recordLevel(now, in, o)
 	if o.Phase != PhaseUnknown {
@@ -100,7 +99,7 @@
 	notified, giveUpReason := in.NoticeID != "" || in.KillAttempts > 0, in.GiveUpReason
 	in.LastExit = exit
 	in.clearIncarnation()
-	in.Invocations, in.Rejected, in.Detail, in.Level = 0, 0, nil, ""
+	in.Invocations, in.Rejected, in.Level = 0, 0, ""
 	restart := in.RestartPending
 	in.RestartPending = false
 	switch {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -40,7 +40,7 @@
 	*in = stored
 	in.Group, in.Spare = fromSpec.Group, fromSpec.Spare
 	in.group, in.shutdown, in.fileOrder = fromSpec.group, fromSpec.shutdown, fromSpec.fileOrder
-	in.ReadySince, in.Detail, in.Invocations = 0, nil, unknownInvocations
+	in.ReadySince, in.Invocations = 0, unknownInvocations
 	switch {
 	case rebooted:
 		in.clearIncarnation()
