--- a/internal/faultinjection/checker/checker_test.go
+++ b/internal/faultinjection/checker/checker_test.go
@@ -21,3 +21,15 @@
 	}
 	return itoa(n/10) + string(rune('0'+n%10))
 }
+
+// processes reads a draw log each, of backends n1, n2 and so on.
+func processes(t *testing.T, logs ...string) []*Process {
+	t.Helper()
+	all := make([]*Process, 0, len(logs))
+	for i, log := range logs {
+		all = append(all, process(t, "n"+itoa(i+1), log))
+	}
+	return all
+}
+
+func near(a, b float64) bool { return a-b < 1e-9 && b-a < 1e-9 }
--- a/internal/faultinjection/checker/drawlog_test.go
+++ b/internal/faultinjection/checker/drawlog_test.go
@@ -1,6 +1,10 @@
 package checker
 
 import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -15,3 +19,71 @@
 		}
 	}
 }
+
+// TestLineErrors: what is wrong with a line can be told apart, and its place is named.
+func TestLineErrors(t *testing.T) {
+	read := func(log string) *LineError {
+		_, err := Read("n1", strings.NewReader(log))
+		var line *LineError
+		if !errors.As(err, &line) {
+			t.Fatalf("%q: %v is no LineError", log, err)
+		}
+		return line
+	}
+	var order *OrderError
+	if err := read("clock 5 0\nhere 4\n"); !errors.As(err, &order) || order.Previous != 5 || order.Time != 4 || err.Line != 2 ||
+		err.Error() != "n1: line 2: time goes back from 5 to 4" {
+		t.Errorf("an earlier time: %v", err)
+	}
+	for _, log := range []string{"went 5\n", "\n", "clock 5\n", "here 5 6\n", "have 1 b 2 3 4\n", "drew 1 2 b 3 4\n"} {
+		var entry *EntryError
+		if err := read(log); !errors.As(err, &entry) || err.Error() != `n1: line 1: "`+strings.TrimSpace(log)+`" is no stamp` {
+			t.Errorf("%q: %v", log, err)
+		}
+	}
+	for _, log := range []string{"clock x 0\n", "clock 1 x\n", "here x\n", "have x b 1 1 1 1\n", "have 1 b 1 1 1 x\n", "drew x 2 b 1\n", "drew 1 x b 1\n", "drew 1 2 b x\n"} {
+		if err := read(log); !errors.Is(err, strconv.ErrSyntax) {
+			t.Errorf("%q: %v", log, err)
+		}
+	}
+}
+
+// TestEveryEntryCountsAsLast: a process is known to have run until its last entry, of whatever kind.
+func TestEveryEntryCountsAsLast(t *testing.T) {
+	for log, last := range map[string]int64{
+		"clock 5 -30\n": 5, "clock 5 0\nhere 6\n": 6, "clock 5 0\nhave 7 b 1 1 1 1\n": 7, "clock 5 0\ndrew 5 8 b 1\n": 8,
+	} {
+		if p := process(t, "n1", log); p.Last != last || p.First != 5 {
+			t.Errorf("%q: from %d to %d, wanted 5 to %d", log, p.First, p.Last, last)
+		}
+	}
+	if p := process(t, "n1", "clock 5 -30\n"); p.PPM != -30 {
+		t.Errorf("its clock runs by %d ppm, wanted -30", p.PPM)
+	}
+}
+
+// TestReadAll: a file is one process of the backend that its name begins with; one that wrote nothing is left out, and a
+// log that can't be used is no reason to go on without it.
+func TestReadAll(t *testing.T) {
+	dir := t.TempDir()
+	write := func(name, log string) {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(log), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write("n1.17", "clock 5 0\nhere 9\n")
+	write("n2.18", "")
+	write("n2.19", "clock 7 0")
+	all, err := ReadAll(dir)
+	if err != nil || len(all) != 1 || all[0].Name != "n1" || all[0].Last != 9 {
+		t.Errorf("%+v, %v", all, err)
+	}
+	write("n3.20", "went\n")
+	var entry *EntryError
+	if _, err := ReadAll(dir); !errors.As(err, &entry) {
+		t.Errorf("an unusable log: %v", err)
+	}
+	if _, err := ReadAll(filepath.Join(dir, "none")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("no directory: %v", err)
+	}
+}
--- a/internal/faultinjection/checker/grants.go
+++ b/internal/faultinjection/checker/grants.go
@@ -64,7 +64,7 @@
 	return r
 }
 
-// grantChanges are the instants at which what is in force changes, in order; at one instant what ends goes first.
+// grantChanges are the changes of what is in force, in order of time. Those of one instant are judged together.
 func grantChanges(all []*Process, quota string, limits Limits) []change {
 	var changes []change
 	for i, p := range all {
@@ -91,9 +91,7 @@
 	for _, total := range limits[quota] {
 		changes = append(changes, change{at: total.From, holder: noHolder})
 	}
-	slices.SortStableFunc(changes, func(a, b change) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.floor+a.extra, b.floor+b.extra))
-	})
+	slices.SortStableFunc(changes, func(a, b change) int { return cmp.Compare(a.at, b.at) })
 	return changes
 }
 
--- /dev/null
+++ b/internal/faultinjection/checker/imports_test.go
@@ -0,0 +1,41 @@
+package checker
+
+import (
+	"go/parser"
+	"go/token"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// TestSharesNoCode: the checker imports the standard library alone, and of that nothing that could run the program. With
+// code of the program in it, one fault could be on both sides and stay unseen.
+func TestSharesNoCode(t *testing.T) {
+	allowed := map[string]bool{
+		"bufio": true, "cmp": true, "errors": true, "fmt": true, "io": true, "os": true, "path/filepath": true, "slices": true, "strconv": true, "strings": true,
+	}
+	files, err := os.ReadDir(".")
+	if err != nil {
+		t.Fatal(err)
+	}
+	read := 0
+	for _, file := range files {
+		if !strings.HasSuffix(file.Name(), ".go") || strings.HasSuffix(file.Name(), "_test.go") {
+			continue
+		}
+		read++
+		parsed, err := parser.ParseFile(token.NewFileSet(), file.Name(), nil, parser.ImportsOnly)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, spec := range parsed.Imports {
+			if path, err := strconv.Unquote(spec.Path.Value); err != nil || !allowed[path] {
+				t.Errorf("%s imports %s: the checker goes by the logs alone", file.Name(), spec.Path.Value)
+			}
+		}
+	}
+	if read < 5 {
+		t.Errorf("%d files were looked at", read)
+	}
+}
--- a/internal/faultinjection/checker/processes.go
+++ b/internal/faultinjection/checker/processes.go
@@ -49,7 +49,7 @@
 	for _, p := range all {
 		end := p.First + span
 		if p.Last < end { // it died on the way, or wrote nothing since: no longer than it is known to have run
-			end = max(p.Last, p.First)
+			end = p.Last
 		}
 		steps = append(steps, step{p.First, 1}, step{end, -1})
 	}
