--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -101,8 +101,8 @@
 		}
 		all = append(all, t)
 	}
-	if c.Int("hosts") < 1 || c.Int("hosts") > schedule.MostHosts || c.Int("backends") < 1 || c.Int("backends") > schedule.MostBackends {
-		return unusable(fmt.Errorf("trial: 1 to %d hosts, 1 to %d backends", schedule.MostHosts, schedule.MostBackends))
+	if c.Int("hosts") < 1 || c.Int("hosts") > schedule.MaxHosts || c.Int("backends") < 1 || c.Int("backends") > schedule.MaxBackends {
+		return unusable(fmt.Errorf("trial: 1 to %d hosts, 1 to %d backends", schedule.MaxHosts, schedule.MaxBackends))
 	}
 	for n := range c.Int("count") {
 		all = append(all, schedule.Random(c.Uint64("seed")+uint64(n), c.Int("hosts"), c.Int("backends"), c.Int("faults"), c.Duration("span")))
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -101,15 +101,15 @@
 	}
 	// One host of three starts all that it has, whatever the ledger says.
 	ignored := kept(t, "cold-rise.sx")
-	ignored.Faults, ignored.Backends, ignored.Span, ignored.Cold.Rise = nil, 36, 4*time.Second, 7
+	ignored.Faults, ignored.Backends, ignored.Span, ignored.ColdStart.MaxConcurrent = nil, 36, 4*time.Second, 7
 	if v := played(t, bad, "ignore@h2", ignored); v.OK || !strings.Contains(strings.Join(v.Why, " "), "starting at once") {
 		t.Errorf("a host that ignores the budget of starts was not found: %v", v.Why)
 	}
 	// At a point between what is written and what is replicated, and between that and the answer, an agent dies.
 	table.Name, table.Span = "points", 14*time.Second
-	for i, word := range []string{"stored", "replicated", "stored"} {
+	for i, point := range []string{"stored", "replicated", "stored"} {
 		table.Faults = append(table.Faults, schedule.Fault{
-			Kind: schedule.Point, A: fmt.Sprint("h", i+1), Word: word, At: time.Duration(1+4*i) * time.Second, For: 3 * time.Second,
+			Kind: schedule.CrashPoint, Target: fmt.Sprint("h", i+1), Name: point, At: time.Duration(1+4*i) * time.Second, Duration: 3 * time.Second,
 		})
 	}
 	v := played(t, bad, "", table)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -79,7 +79,7 @@
 	a := &Agent{
 		options: o, startedAt: process.Now(),
 		calls: make(chan func(fleet.Micros), callBacklog), stopped: make(chan struct{}),
-		launchSlots: make(chan struct{}, o.Bounds.Parallel),
+		launchSlots: make(chan struct{}, o.Bounds.ParallelStarts),
 		loop:        loopState{spec: o.Spec, nextSerial: 1, watchers: map[string]*watcher{}, reports: map[string]*supervisor.Report{}},
 		feed:        newHistoryFeed(saved.History),
 	}
--- a/internal/faultinjection/harness/cold_start.go
+++ b/internal/faultinjection/harness/cold_start.go
@@ -18,7 +18,7 @@
 	g.register.Begin()
 	g.asked = time.Now()
 	how := "start"
-	if g.options.Table.Cold.Rise > 0 {
+	if g.options.Table.ColdStart.MaxConcurrent > 0 {
 		how = "rise"
 	}
 	if _, err := g.Tool(ctx, how, "--all", "--quiet", "--wait=false", "--id", "cold", "--within", "10m"); err != nil {
@@ -36,8 +36,8 @@
 // judgeCold works out what the endpoint registry saw up to now, and from the stamps how many were starting at once.
 func (g *Harness) judgeCold(v *Verdict, all []*checker.Process) {
 	calls, conns, falls := g.heard()
-	c := g.options.Table.Cold
-	f := coldstart.Of(calls, &c.Register, len(g.site.Names), limits.For(1, 192, 1024).ReportInterval, g.ended.Sub(g.asked))
+	c := g.options.Table.ColdStart
+	f := coldstart.Of(calls, &c.Register, len(g.site.Names), limits.For(1, 192, 1024).Report, g.ended.Sub(g.asked))
 	f.Conns, f.Falls = conns, falls
 	v.Cold = &f
 	for _, why := range f.Breaks(c.Bounds) {
@@ -45,7 +45,7 @@
 	}
 	// One holds its unit from before its process begins until it has been ready for a while.
 	f.Starting = checker.MaxConcurrentStarts(all, settled.Microseconds())
-	if c.Rise > 0 && f.Starting > c.Rise {
-		v.fail("%d backends were starting at once, %d may be", f.Starting, c.Rise)
+	if c.MaxConcurrent > 0 && f.Starting > c.MaxConcurrent {
+		v.fail("%d backends were starting at once, %d may be", f.Starting, c.MaxConcurrent)
 	}
 }
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -194,7 +194,7 @@
 			g.countFault(string(f.Kind))
 		})
 	}
-	if g.options.Table.Wave > 0 {
+	if g.options.Table.RollingUpdate > 0 {
 		all.Go(func() { g.wave(ctx, v, start) })
 	}
 	all.Wait()
@@ -219,7 +219,7 @@
 // wave takes all backends through one, with a tool that is killed on the way, and joins it again.
 func (g *Harness) wave(ctx context.Context, v *Verdict, start time.Time) {
 	select {
-	case <-time.After(g.options.Table.Wave - time.Since(start)):
+	case <-time.After(g.options.Table.RollingUpdate - time.Since(start)):
 	case <-ctx.Done():
 		return
 	}
--- a/internal/faultinjection/harness/inject.go
+++ b/internal/faultinjection/harness/inject.go
@@ -31,42 +31,42 @@
 // inject brings one fault about and takes it back.
 func (g *Harness) inject(ctx context.Context, f schedule.Fault) error {
 	switch f.Kind {
-	case schedule.Cut, schedule.CutBoth, schedule.Delay, schedule.Stall, schedule.Slow, schedule.Reset, schedule.Twice:
+	case schedule.Cut, schedule.CutBoth, schedule.Delay, schedule.Stall, schedule.Slow, schedule.Reset, schedule.Duplicate:
 		g.between(ctx, f)
 		return nil
 	case schedule.Minority:
 		g.minority(ctx, f)
 		return nil
-	case schedule.Freeze, schedule.Death, schedule.Orphan, schedule.BadStart:
+	case schedule.StopBackend, schedule.KillBackend, schedule.KillSupervisor, schedule.BadStart:
 		return g.backend(ctx, f)
-	case schedule.Whole:
-		return g.whole(ctx, f.Word, f.Number)
+	case schedule.ChangeTotal:
+		return g.whole(ctx, f.Name, f.Value)
 	case schedule.Blackout:
-		return g.blackout(ctx, f.For)
-	case schedule.Leader:
+		return g.blackout(ctx, f.Duration)
+	case schedule.KillLeader:
 		s := g.budgets(ctx)
 		if s == nil {
 			return errors.New("nobody leads")
 		}
-		f.A = s.Leader
+		f.Target = s.Leader
 	}
-	h := g.hosts[index(f.A)]
+	h := g.hosts[index(f.Target)]
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch f.Kind {
-	case schedule.Stop:
+	case schedule.StopAgent:
 		_ = h.cmd.Process.Signal(syscall.SIGSTOP)
-		wait(ctx, f.For)
+		wait(ctx, f.Duration)
 		return h.cmd.Process.Signal(syscall.SIGCONT)
-	case schedule.Full:
-		return g.fullDisk(ctx, h, f.For)
-	case schedule.Point:
+	case schedule.FullDisk:
+		return g.fullDisk(ctx, h, f.Duration)
+	case schedule.CrashPoint:
 		return g.dieAt(h, f)
-	case schedule.Old:
-		return g.old(ctx, h, f.For)
+	case schedule.StaleStore:
+		return g.old(ctx, h, f.Duration)
 	}
 	h.killAgent()
-	wait(ctx, f.For)
+	wait(ctx, f.Duration)
 	return g.startAgent(h)
 }
 
@@ -87,60 +87,60 @@
 // dieAt has the host's agent die at a named point of its code, and starts it again.
 func (g *Harness) dieAt(h *host, f schedule.Fault) error {
 	dir := filepath.Join(g.site.Dir, "points", h.name)
-	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(filepath.Join(dir, f.Word), nil, 0o600)); err != nil {
+	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(filepath.Join(dir, f.Name), nil, 0o600)); err != nil {
 		return err
 	}
 	select {
 	case <-h.ended:
-		g.options.Say("%s died at %q", h.name, f.Word)
-	case <-time.After(max(f.For, 5*time.Second)):
-		_ = os.Remove(filepath.Join(dir, f.Word))
-		return fmt.Errorf("%s did not come to %q", h.name, f.Word)
+		g.options.Say("%s died at %q", h.name, f.Name)
+	case <-time.After(max(f.Duration, 5*time.Second)):
+		_ = os.Remove(filepath.Join(dir, f.Name))
+		return fmt.Errorf("%s did not come to %q", h.name, f.Name)
 	}
 	return g.startAgent(h)
 }
 
 // between brings a fault between two hosts.
 func (g *Harness) between(ctx context.Context, f schedule.Fault) {
-	there, back := g.mesh.Way(f.A, f.B), g.mesh.Way(f.B, f.A)
+	there, back := g.mesh.Way(f.Target, f.Peer), g.mesh.Way(f.Peer, f.Target)
 	switch f.Kind {
 	case schedule.Cut:
 		there.Hold(true)
-		wait(ctx, f.For)
-		g.mesh.Reset(f.A, f.B) // what was lost meanwhile is not brought by a connection that was given up
+		wait(ctx, f.Duration)
+		g.mesh.Reset(f.Target, f.Peer) // what was lost meanwhile is not brought by a connection that was given up
 		there.Hold(false)
 	case schedule.CutBoth:
 		there.Hold(true)
 		back.Hold(true)
-		wait(ctx, f.For)
-		g.mesh.Reset(f.A, f.B)
+		wait(ctx, f.Duration)
+		g.mesh.Reset(f.Target, f.Peer)
 		there.Hold(false)
 		back.Hold(false)
 	case schedule.Stall:
 		there.Hold(true)
-		wait(ctx, f.For)
+		wait(ctx, f.Duration)
 		there.Hold(false)
 	case schedule.Delay:
-		there.Delay(f.By)
-		wait(ctx, f.For)
+		there.Delay(f.Offset)
+		wait(ctx, f.Duration)
 		there.Delay(0)
 	case schedule.Slow:
-		there.Slow(f.Number)
-		wait(ctx, f.For)
+		there.Slow(f.Value)
+		wait(ctx, f.Duration)
 		there.Slow(0)
 	case schedule.Reset:
-		g.mesh.Reset(f.A, f.B)
-	case schedule.Twice:
-		g.mesh.Link(f.A, f.B).Twice(f.By)
-		wait(ctx, f.For)
-		g.mesh.Link(f.A, f.B).Twice(0)
-		wait(ctx, f.By)
+		g.mesh.Reset(f.Target, f.Peer)
+	case schedule.Duplicate:
+		g.mesh.Link(f.Target, f.Peer).Twice(f.Offset)
+		wait(ctx, f.Duration)
+		g.mesh.Link(f.Target, f.Peer).Twice(0)
+		wait(ctx, f.Offset)
 	}
 }
 
 // minority cuts a host and the next off from all others.
 func (g *Harness) minority(ctx context.Context, f schedule.Fault) {
-	a := index(f.A)
+	a := index(f.Target)
 	few := map[int]bool{a: true, (a + 1) % len(g.hosts): len(g.hosts) > 3}
 	each := func(do func(a, b string)) {
 		for i := range g.hosts {
@@ -152,7 +152,7 @@
 		}
 	}
 	each(func(a, b string) { g.mesh.Way(a, b).Hold(true) })
-	wait(ctx, f.For)
+	wait(ctx, f.Duration)
 	each(g.mesh.Reset)
 	each(func(a, b string) { g.mesh.Way(a, b).Hold(false) })
 }
@@ -197,35 +197,35 @@
 
 // backend brings a fault to one backend's processes, by what its supervisor wrote down.
 func (g *Harness) backend(ctx context.Context, f schedule.Fault) error {
-	n := index(f.A)
+	n := index(f.Target)
 	h := g.hosts[n%len(g.hosts)]
-	l := g.incarnation(h, f.A)
-	config := filepath.Join(g.site.Dir, f.A+".json")
+	l := g.incarnation(h, f.Target)
+	config := filepath.Join(g.site.Dir, f.Target+".json")
 	switch f.Kind {
-	case schedule.Freeze:
+	case schedule.StopBackend:
 		if err := l.Instance.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
-		wait(ctx, f.For)
+		wait(ctx, f.Duration)
 		if err := l.Instance.Signal(syscall.SIGCONT); !errors.Is(err, process.ErrGone) {
 			return err
 		}
-	case schedule.Death:
+	case schedule.KillBackend:
 		return l.Instance.Signal(syscall.SIGKILL)
-	case schedule.Orphan:
+	case schedule.KillSupervisor:
 		return l.Keeper.Signal(syscall.SIGKILL)
 	case schedule.BadStart:
 		if err := os.Rename(config, config+".away"); err != nil {
 			return err
 		}
 		err := l.Instance.Signal(syscall.SIGKILL)
-		wait(ctx, f.For)
+		wait(ctx, f.Duration)
 		if errBack := os.Rename(config+".away", config); errBack != nil {
 			return errBack
 		}
 		// Given up by its agent: an operator asks for it again, as often as it takes.
-		errAgain := g.until(ctx, time.Minute, "start of "+f.A, func() bool {
-			_, err := g.Tool(ctx, "start", f.A, "--quiet", "--wait=false", "--within", "30s")
+		errAgain := g.until(ctx, time.Minute, "start of "+f.Target, func() bool {
+			_, err := g.Tool(ctx, "start", f.Target, "--quiet", "--wait=false", "--within", "30s")
 			return err == nil
 		})
 		return errors.Join(err, errAgain)
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -30,8 +30,8 @@
 	g = &Harness{options: o, totals: map[string]int{}, limits: checker.Limits{}, faults: map[string]int{}, version: 1}
 	g.scenario = g.makeScenario()
 	registryAddress := ""
-	if o.Table.Cold != nil {
-		if g.register, err = registry.Start(demo.Loopback()+":0", o.Table.Cold.Register); err != nil {
+	if o.Table.ColdStart != nil {
+		if g.register, err = registry.Start(demo.Loopback()+":0", o.Table.ColdStart.Register); err != nil {
 			return nil, err
 		}
 		registryAddress = g.register.Address
@@ -150,8 +150,8 @@
 				one.Name, g.totals[one.Name], one.Tenant, one.Floor, one.Divide, g.options.Lease, g.options.Margin)
 		}
 		fmt.Fprintf(&b, "  (budget out (count %d))", MaxUnavailable)
-		if c := g.options.Table.Cold; c != nil && c.Rise > 0 {
-			fmt.Fprintf(&b, "\n  (budget starts (count %d) (alone yes)))\n (rise (budget starts) (first 2) (failures 8))", c.Rise)
+		if c := g.options.Table.ColdStart; c != nil && c.MaxConcurrent > 0 {
+			fmt.Fprintf(&b, "\n  (budget starts (count %d) (alone yes)))\n (rise (budget starts) (first 2) (failures 8))", c.MaxConcurrent)
 		} else {
 			b.WriteString(")")
 		}
@@ -179,7 +179,7 @@
 	}
 	cmd.Env = append(os.Environ(), "MILLETBARROW_STAMPS="+filepath.Join(g.site.Dir, "stamps"), failpoint.FaultVariable+"="+failpointAt(g.options.Failpoint, h.name),
 		failpoint.CrashDirVariable+"="+filepath.Join(g.site.Dir, "points", h.name), "MILLETBARROW_TRIAL_CLOCK="+strconv.Itoa(skew))
-	if c := g.options.Table.Cold; c != nil && c.Fixed {
+	if c := g.options.Table.ColdStart; c != nil && c.FixedReports {
 		cmd.Env = append(cmd.Env, "MILLETBARROW_REPORTS_FIXED=true")
 	}
 	log, err := os.OpenFile(filepath.Join(g.site.Dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
--- a/internal/faultinjection/schedule/cold_start.go
+++ b/internal/faultinjection/schedule/cold_start.go
@@ -13,42 +13,67 @@
 type ColdStart struct {
 	coldstart.Register
 	coldstart.Bounds
-	Fixed bool // backends report without chance or growing pauses, as a baseline
-	Rise  int  // so many may start at once over all hosts, by a rise; 0: all are asked for at once
+	FixedReports  bool // backends report without jitter or backoff, as a baseline
+	MaxConcurrent int  // backends that may start at once over all hosts, by a cold start; 0: all are started at once
 }
 
-func readCold(f *sexpr.Form) *ColdStart {
-	c := &ColdStart{Register: coldstart.Register{Crowd: f.Int("crowd", 0, 100_000, 0), Needs: f.Span("needs", 0, longest, 5*time.Second)}}
-	c.Rise = f.Int("rise", 0, 100_000, 0)
-	c.Fixed = f.OneOf("reports", "paced", "fixed") == "fixed"
-	last := time.Duration(-1)
+// Words of (reports ...).
+const (
+	pacedReports = "paced"
+	fixedReports = "fixed"
+)
+
+func readColdStart(f *sexpr.Form) *ColdStart {
+	c := &ColdStart{
+		Register:      coldstart.Register{Crowd: f.Int("crowd", 0, 100_000, 0), Needs: f.Span("needs", 0, maxSpan, 5*time.Second)},
+		MaxConcurrent: f.Int("rise", 0, 100_000, 0),
+		FixedReports:  f.OneOf("reports", pacedReports, fixedReports) == fixedReports,
+	}
+	c.Phases = readPhases(f)
+	if sub := f.Field("bounds"); sub != nil {
+		c.Bounds = readBounds(sub)
+	}
+	f.Done()
+	return c
+}
+
+func readPhases(f *sexpr.Form) (phases []coldstart.Phase) {
+	previous := time.Duration(-1)
 	for _, sub := range f.All("phase") {
-		p := coldstart.Phase{From: sub.Span("from", 0, longest, 0), Takes: sub.Span("takes", 0, time.Minute, 0), Advice: sub.Span("advice", 0, longest, 0)}
-		p.Mode = coldstart.Mode(sub.OneOf("is", coldstart.Modes()...))
-		if p.From <= last {
+		p := coldstart.Phase{
+			From:   sub.Span("from", 0, maxSpan, 0),
+			Takes:  sub.Span("takes", 0, time.Minute, 0),
+			Advice: sub.Span("advice", 0, maxSpan, 0),
+			Mode:   coldstart.Mode(sub.OneOf("is", coldstart.Modes()...)),
+		}
+		if p.From <= previous {
 			sub.Fail("from", "%v is not after the phase before", p.From)
 		}
-		last = p.From
+		previous = p.From
 		sub.Done()
-		c.Phases = append(c.Phases, p)
+		phases = append(phases, p)
 	}
-	if sub := f.Field("bounds"); sub != nil {
-		c.Bounds = coldstart.Bounds{
-			Refusing: sub.Share("refusing", 0, 100, 0), First: sub.Share("first", 0, 100, 0), Peak: sub.Share("peak", 0, 100, 0),
-			Conns: sub.Int("connections", 0, 1000, 0), Most: sub.Span("listed", 0, longest, 0).Seconds(),
-		}
-		sub.Done()
+	return phases
+}
+
+func readBounds(f *sexpr.Form) coldstart.Bounds {
+	b := coldstart.Bounds{
+		Refusing: f.Share("refusing", 0, 100, 0),
+		First:    f.Share("first", 0, 100, 0),
+		Peak:     f.Share("peak", 0, 100, 0),
+		Conns:    f.Int("connections", 0, 1000, 0),
+		Most:     f.Span("listed", 0, maxSpan, 0).Seconds(),
 	}
 	f.Done()
-	return c
+	return b
 }
 
 func (c *ColdStart) write(b *strings.Builder) {
-	reports := "paced"
-	if c.Fixed {
-		reports = "fixed"
+	reports := pacedReports
+	if c.FixedReports {
+		reports = fixedReports
 	}
-	fmt.Fprintf(b, "\n  (cold (reports %s) (rise %d) (crowd %d) (needs %v)", reports, c.Rise, c.Crowd, c.Needs)
+	fmt.Fprintf(b, "\n  (cold (reports %s) (rise %d) (crowd %d) (needs %v)", reports, c.MaxConcurrent, c.Crowd, c.Needs)
 	for _, p := range c.Phases {
 		fmt.Fprintf(b, "\n    (phase (from %v) (is %s) (takes %v) (advice %v))", p.From, p.Mode, p.Takes, p.Advice)
 	}
