--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -112,7 +112,7 @@
 		return nil, 0, err
 	}
 	troubles, trouble := errgroup.WithContext(ctx)
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		troubles.Go(func() error { return site.Bring(trouble, t, say, tool) })
 	}
 	r, err = loadgen.Run(ctx, loadgen.Options{
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -89,7 +89,7 @@
 		Action: func(context.Context, *cli.Command) error {
 			w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 			for _, p := range simulation.Policies() {
-				fmt.Fprintf(w, "%s\t%s\t%s\n", p.Name, p.About, p.Source)
+				fmt.Fprintf(w, "%s\t%s\t%s\n", p.Name, p.Description, p.Source)
 			}
 			return w.Flush()
 		},
@@ -330,7 +330,7 @@
 	case "operations", "tenants":
 		return plot.Parts(f, title, names, days, what == "tenants", format)
 	case "latency":
-		var parts []*simulation.Part
+		var parts []*simulation.Breakdown
 		var lines []string
 		for i, r := range days {
 			for k := range r.Operations {
@@ -373,7 +373,7 @@
 			if c.Uint64("invocation") == 0 && c.Int("host") < 0 {
 				return unusable(errors.New("name an --invocation or a --host"))
 			}
-			tr := &simulation.Trace{Invocation: c.Uint64("invocation"), Host: int32(c.Int("host")), Most: c.Int("most")}
+			tr := &simulation.Trace{Request: c.Uint64("invocation"), Host: int32(c.Int("host")), MaxLines: c.Int("most")}
 			cell := &cells[i]
 			r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, tr)
 			if err != nil {
@@ -383,8 +383,8 @@
 			for _, line := range tr.Lines {
 				fmt.Println(line)
 			}
-			if tr.More > 0 {
-				fmt.Printf("and %d lines more: --most\n", tr.More)
+			if tr.Omitted > 0 {
+				fmt.Printf("and %d lines more: --most\n", tr.Omitted)
 			}
 			for _, b := range r.Breaches {
 				fmt.Println("broken:", b)
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -71,7 +71,7 @@
 			return unusable(err)
 		}
 		s := speed{
-			Hosts: cell.Scenario.Hosts.Count, Policy: cell.Policy.Name, Seconds: time.Since(began).Seconds(), Events: r.Events, Asks: r.Asks,
+			Hosts: cell.Scenario.Hosts.Count, Policy: cell.Policy.Name, Seconds: time.Since(began).Seconds(), Events: r.Events, Asks: r.Requests,
 			HeapMB: heapMB(),
 		}
 		s.PerEvent = s.Seconds * 1e9 / math.Max(1, float64(s.Events))
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -112,8 +112,8 @@
 	asks, weight := 0, 0.0
 	for i := range r.Operations {
 		p := &r.Operations[i]
-		asks += p.Asks
-		share += float64(p.Ends[simulation.Throttled])
+		asks += p.Requests
+		share += float64(p.Outcomes[simulation.Throttled])
 		if h, err := p.Histogram(); err == nil && h != nil {
 			p99 += float64(h.ValueAtQuantile(99)) * float64(h.TotalCount())
 			weight += float64(h.TotalCount())
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -57,7 +57,7 @@
 				return cli.Exit("interrupted", exitLate)
 			case r.Doubles+r.Strange > 0:
 				return cli.Exit(fmt.Sprintf("%d answers came twice, %d were of no run", r.Doubles, r.Strange), exitSome)
-			case r.Asks > 0 && r.Billed == 0:
+			case r.Requests > 0 && r.Billed == 0:
 				return cli.Exit("nothing succeeded", exitSome)
 			}
 			return err
@@ -96,8 +96,8 @@
 		if h, err := p.Histogram(); err == nil && h != nil {
 			p50, p99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 		}
-		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.1f\t%.1f", p.Name, p.Asks, p.Billed/max(p.Offered, 1e-9), float64(p.InTime)/max(1, float64(p.Asks)), p50, p99)
-		for _, n := range p.Ends {
+		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.1f\t%.1f", p.Name, p.Requests, p.Billed/max(p.Offered, 1e-9), float64(p.InTime)/max(1, float64(p.Requests)), p50, p99)
+		for _, n := range p.Outcomes {
 			fmt.Fprintf(w, "\t%d", n)
 		}
 		fmt.Fprintln(w)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,13 +27,13 @@
 // Scenario is the demo's day for so many backends: a load near what they can take, with a burst and a release in it.
 func Scenario(backends int, span time.Duration) simulation.Scenario {
 	s := simulation.Default()
-	s.Name, s.For = "demo", simulation.Micros(span.Microseconds())
-	s.Hosts.Count, s.Hosts.Cores, s.Hosts.Spread, s.Hosts.Read, s.Hosts.Handshake = backends, 2, 0, 0, 0
-	s.Hosts.ColdFor, s.Hosts.ColdShare = 2*simulation.Second, 0.5
+	s.Name, s.Duration = "demo", simulation.Micros(span.Microseconds())
+	s.Hosts.Count, s.Hosts.Cores, s.Hosts.SpeedSpread, s.Hosts.ReadWork, s.Hosts.HandshakeWork = backends, 2, 0, 0, 0
+	s.Hosts.WarmUp, s.Hosts.ColdSpeed = 2*simulation.Second, 0.5
 	s.Nodes.Count, s.Nodes.Subset = 4, 0
-	s.Load.At = 0.75
-	s.Troubles = []simulation.Trouble{
-		{Kind: simulation.Burst, At: s.For / 4, For: s.For / 5, Factor: 2}, {Kind: simulation.Release, At: s.For * 11 / 20, Width: 1 / float64(backends)},
+	s.Load.Level = 0.75
+	s.Faults = []simulation.Fault{
+		{Kind: simulation.Burst, At: s.Duration / 4, Duration: s.Duration / 5, Factor: 2}, {Kind: simulation.Release, At: s.Duration * 11 / 20, BatchShare: 1 / float64(backends)},
 	}
 	return s
 }
@@ -46,7 +46,7 @@
 	ms := func(m simulation.Micros) float64 { return float64(m) / 1000 }
 	for _, op := range s.Operations {
 		classes = append(classes, map[string]any{
-			"name": op.Name, "aim_ms": ms(op.Objective), "deadline_ms": ms(op.Timeout), "repeat": repeats[op.Repeat], "late_value": op.LateValue,
+			"name": op.Name, "aim_ms": ms(op.Objective), "deadline_ms": ms(op.Timeout), "repeat": repeats[op.RetrySafety], "late_value": op.LateValue,
 		})
 	}
 	for _, t := range s.Tenants {
@@ -55,13 +55,13 @@
 	h := &s.Hosts
 	return map[string]any{
 		"classes": classes, "projects": projects, "over_share_worth": 0.3, "fleet_size": h.Count, "round_ms": 5,
-		"policy_limits": map[string]any{"max_retry_after_ms": ms(h.RetryAfter), "retry_after": h.RetryAfter > 0},
+		"policy_limits": map[string]any{"max_retry_after_ms": ms(h.MaxRetryAfter), "retry_after": h.MaxRetryAfter > 0},
 		"invariants": map[string]any{
-			"answer_slack_ms": ms(h.Slack), "cold_ms": ms(h.ColdFor), "cold_share": h.ColdShare, "drain_grace_ms": ms(h.Grace),
-			"fall_ms": ms(h.FallOver), "fall_multiple": h.Crowd,
+			"answer_slack_ms": ms(h.AnswerSlack), "cold_ms": ms(h.WarmUp), "cold_share": h.ColdSpeed, "drain_grace_ms": ms(h.DrainGrace),
+			"fall_ms": ms(h.CollapseAfter), "fall_multiple": h.CollapseMultiple,
 		},
 		"family_info": map[string]any{
-			"below": "off", "callers": s.Nodes.Count, "idle_ms": ms(h.IdleFor), "just_started": false, "mem_limit_kb": h.MemoryKB, "n_cores": h.Cores,
+			"below": "off", "callers": s.Nodes.Count, "idle_ms": ms(h.IdleTimeout), "just_started": false, "mem_limit_kb": h.MemoryKB, "n_cores": h.Cores,
 			"own_stats": []string{"core_use", "on_cores", "heap_share", "links"}, "preemption": "off", "run_factor": h.RunFactor, "say": "off",
 		},
 	}
@@ -121,8 +121,8 @@
 		}
 		held = append(held, free)
 		y, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Config{
-			Cores: s.Hosts.Cores, CollapseMultiple: s.Hosts.Crowd, ServiceTime: 20 * time.Millisecond, WarmUp: time.Duration(s.Hosts.ColdFor) * time.Microsecond,
-			ColdSpeed: s.Hosts.ColdShare, MaxRuns: 10_000,
+			Cores: s.Hosts.Cores, CollapseMultiple: s.Hosts.CollapseMultiple, ServiceTime: 20 * time.Millisecond, WarmUp: time.Duration(s.Hosts.WarmUp) * time.Microsecond,
+			ColdSpeed: s.Hosts.ColdSpeed, MaxRuns: 10_000,
 		})
 		if err != nil {
 			return site, err
@@ -130,7 +130,7 @@
 		site.Yards = append(site.Yards, y)
 		raw, err := json.MarshalIndent(map[string]any{
 			"name": name, "listen": free.Addr().String(), "agent": y.Address, "roster": register, "seed": fmt.Sprintf("%016x", n+1),
-			"stop_ms": float64(s.Hosts.Stop) / 1000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(s),
+			"stop_ms": float64(s.Hosts.ExitTimeout) / 1000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(s),
 		}, "", " ")
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, name+".json"), raw, 0o600)
@@ -158,7 +158,7 @@
 
 // Bring brings a trouble about at its time, if it can be brought about here, and takes it back. tool runs a sub-command of fleet
 // for all instances.
-func (s *Site) Bring(ctx context.Context, t simulation.Trouble, say func(string, ...any), tool func(context.Context, ...string) error) error {
+func (s *Site) Bring(ctx context.Context, t simulation.Fault, say func(string, ...any), tool func(context.Context, ...string) error) error {
 	wait := func(m simulation.Micros) bool {
 		select {
 		case <-time.After(time.Duration(m) * time.Microsecond):
@@ -172,14 +172,14 @@
 	}
 	if t.Kind == simulation.Release {
 		say("      a release begins: each backend leaves and comes up again, a few at a time")
-		return tool(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(t.Width*float64(len(s.Names))))))
+		return tool(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(t.BatchShare*float64(len(s.Names))))))
 	}
 	concerned := s.Yards[:int(math.Ceil(t.Share*float64(len(s.Yards))))]
 	say("      %d backends' cores are %g times slower", len(concerned), t.Factor)
 	for _, y := range concerned {
 		y.Slow(t.Factor)
 	}
-	wait(t.For)
+	wait(t.Duration)
 	for _, y := range concerned {
 		y.Slow(1)
 	}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -20,39 +20,39 @@
 // MeasureNamed finds a figure by its name: value, broken, attempts, wasted, or one of an operation: OPERATION.value,
 // OPERATION.in-time, OPERATION.p50, .p99, .throttled, .lost. NaN where a result does not have it.
 func MeasureNamed(name string) (m Measure, err error) {
-	per := func(r *simulation.Result, x float64) float64 { return x / math.Max(1, float64(r.Asks)) }
+	per := func(r *simulation.Result, x float64) float64 { return x / math.Max(1, float64(r.Requests)) }
 	m.Name = name
 	switch name {
 	case "value":
 		m.Of = (*simulation.Result).Value
 	case "broken":
-		m.Of, m.Less = func(r *simulation.Result) float64 { return float64(r.Broken()) }, true
+		m.Of, m.Less = func(r *simulation.Result) float64 { return float64(r.BreachCount()) }, true
 	case "priced":
-		m.Of = func(r *simulation.Result) float64 { return r.Priced / math.Max(r.Offered, 1e-9) }
+		m.Of = func(r *simulation.Result) float64 { return r.QuotaPriced / math.Max(r.Offered, 1e-9) }
 	case "attempts":
 		m.Of, m.Less = func(r *simulation.Result) float64 { return per(r, float64(r.Attempts)) }, true
 	case "wasted":
-		m.Of, m.Less = func(r *simulation.Result) float64 { return per(r, r.Wasted) }, true
+		m.Of, m.Less = func(r *simulation.Result) float64 { return per(r, r.WastedMicros) }, true
 	case "changes":
-		m.Of, m.Less = func(r *simulation.Result) float64 { return float64(r.Changes) }, true
+		m.Of, m.Less = func(r *simulation.Result) float64 { return float64(r.LevelChangeCount) }, true
 	default:
 		op, what, ok := strings.Cut(name, ".")
 		ends := simulation.Outcomes()
-		of, known := map[string]func(p *simulation.Part) float64{
-			"value":   func(p *simulation.Part) float64 { return p.Billed / math.Max(p.Offered, 1e-9) },
-			"in-time": func(p *simulation.Part) float64 { return float64(p.InTime) / math.Max(1, float64(p.Asks)) },
-			"p50":     func(p *simulation.Part) float64 { return quantile(p, 50) },
-			"p99":     func(p *simulation.Part) float64 { return quantile(p, 99) },
+		of, known := map[string]func(p *simulation.Breakdown) float64{
+			"value":   func(p *simulation.Breakdown) float64 { return p.Billed / math.Max(p.Offered, 1e-9) },
+			"in-time": func(p *simulation.Breakdown) float64 { return float64(p.InTime) / math.Max(1, float64(p.Requests)) },
+			"p50":     func(p *simulation.Breakdown) float64 { return quantile(p, 50) },
+			"p99":     func(p *simulation.Breakdown) float64 { return quantile(p, 99) },
 		}[what]
 		if n := slices.Index(ends, what); n >= 0 {
-			of, known = func(p *simulation.Part) float64 { return p.Share(n) }, true
+			of, known = func(p *simulation.Breakdown) float64 { return p.OutcomeShare(n) }, true
 		}
 		if !ok || !known {
 			return m, fmt.Errorf("no figure %q: value, priced, broken, attempts, wasted, changes, or OPERATION with .value, .in-time, .p50, .p99 or .%s", name, strings.Join(ends, ", ."))
 		}
 		m.Less = what != "value" && what != "in-time" && what != "succeeded"
 		m.Of = func(r *simulation.Result) float64 {
-			for _, parts := range [][]simulation.Part{r.Operations, r.Tenants} {
+			for _, parts := range [][]simulation.Breakdown{r.Operations, r.Tenants} {
 				for i := range parts {
 					if parts[i].Name == op {
 						return of(&parts[i])
@@ -65,7 +65,7 @@
 	return m, nil
 }
 
-func quantile(p *simulation.Part, q float64) float64 {
+func quantile(p *simulation.Breakdown, q float64) float64 {
 	h, err := p.Histogram()
 	if err != nil || h == nil {
 		return math.NaN()
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -199,7 +199,7 @@
 	if ladder := f.Text("ladder", ""); ladder != "" {
 		raw, err := os.ReadFile(filepath.Join(filepath.Dir(file), ladder))
 		if err == nil {
-			p.Ladder, err = degradation.ParsePolicy(ladder, raw)
+			p.Degradation, err = degradation.ParsePolicy(ladder, raw)
 		}
 		if err != nil {
 			f.Fail("ladder", "%v", err)
@@ -209,7 +209,7 @@
 		way := simulation.Balance(slices.Index([]string{"round-robin", "random", "two-choices", "least-load"}, b))
 		p.Balance = &way
 	}
-	p.Shares = simulation.SharesNamed(f.OneOf("shares", simulation.SharesNames()...))
+	p.QuotaSource = simulation.QuotaSourceNamed(f.OneOf("shares", simulation.QuotaSourceNames()...))
 	f.Done()
 	return p
 }
@@ -247,7 +247,7 @@
 	switch over {
 	case "":
 	case "load.at":
-		s.Load.At = v
+		s.Load.Level = v
 	case "hosts.count":
 		s.Hosts.Count = whole
 	case "nodes.count":
@@ -255,30 +255,30 @@
 	case "size": // hosts, with nodes, and what they share, in proportion
 		part := v / float64(s.Hosts.Count)
 		s.Nodes.Count = max(1, int(float64(s.Nodes.Count)*part+0.5))
-		s.Below.Slots = max(1, int(float64(s.Below.Slots)*part+0.5))
+		s.Dependency.Slots = max(1, int(float64(s.Dependency.Slots)*part+0.5))
 		s.Hosts.Count = whole
 		for i := range s.Tenants {
 			s.Tenants[i].Quota *= part
 		}
 	case "nodes.deaf":
-		s.Nodes.Deaf = v
+		s.Nodes.UnresponsiveShare = v
 	case "nodes.tries":
-		s.Nodes.Tries = whole
+		s.Nodes.MaxAttempts = whole
 	case "nodes.subset":
 		s.Nodes.Subset = whole
 	case "nodes.behind":
-		s.Nodes.Behind = v
+		s.Nodes.ClientRetryShare = v
 	case "register.lag":
-		s.Register.Lag = simulation.Micros(v * 1e6)
+		s.Registry.Lag = simulation.Micros(v * 1e6)
 	case "trouble.factor":
-		s.Troubles = slices.Clone(s.Troubles)
-		for i := range s.Troubles {
-			s.Troubles[i].Factor = v
+		s.Faults = slices.Clone(s.Faults)
+		for i := range s.Faults {
+			s.Faults[i].Factor = v
 		}
 	case "trouble.share":
-		s.Troubles = slices.Clone(s.Troubles)
-		for i := range s.Troubles {
-			s.Troubles[i].Share = v
+		s.Faults = slices.Clone(s.Faults)
+		for i := range s.Faults {
+			s.Faults[i].Share = v
 		}
 	default:
 		return fmt.Errorf("%q can't be swept; load.at, size, hosts.count, nodes.count, nodes.deaf, nodes.tries, nodes.subset, nodes.behind, register.lag (seconds), trouble.factor and trouble.share can", over)
--- a/internal/experiment/resultkey.go
+++ b/internal/experiment/resultkey.go
@@ -17,10 +17,10 @@
 	h := xxhash.New()
 	_, _ = fmt.Fprintf(h, "%d ", simulation.Version) // a hash takes all that is written
 	printStable(h, reflect.ValueOf(c.Scenario))
-	_, _ = fmt.Fprintf(h, "|%s|%d|%v", c.Policy.Name+"|"+c.Policy.About, c.Seed, c.Value)
-	if p := c.Policy; p.Ladder != nil {
+	_, _ = fmt.Fprintf(h, "|%s|%d|%v", c.Policy.Name+"|"+c.Policy.Description, c.Seed, c.Value)
+	if p := c.Policy; p.Degradation != nil {
 		_, _ = io.WriteString(h, "|")
-		printStable(h, reflect.ValueOf(*p.Ladder))
+		printStable(h, reflect.ValueOf(*p.Degradation))
 	}
 	if p := c.Policy; p.Balance != nil {
 		_, _ = fmt.Fprintf(h, "|%v", *p.Balance)
--- a/internal/experiment/words.go
+++ b/internal/experiment/words.go
@@ -32,17 +32,17 @@
 	fmt.Fprintf(&b, "experiment %s: %d runs\n", x.Name, cells)
 	for _, s := range x.Scenarios {
 		fmt.Fprintf(&b, "  scenario %s: %d hosts of %d cores, %d nodes, %g s, %.0f invocations a second are all they can take\n", s.Name,
-			s.Hosts.Count, s.Hosts.Cores, s.Nodes.Count, float64(s.For)/1e6, s.Capacity())
+			s.Hosts.Count, s.Hosts.Cores, s.Nodes.Count, float64(s.Duration)/1e6, s.Capacity())
 		for _, op := range s.Operations {
-			fmt.Fprintf(&b, "    operation %s: value %g, rank %g, %g of the load, work %g ms, objective %g ms, timeout %g ms\n", op.Name, op.Value, op.Rank,
+			fmt.Fprintf(&b, "    operation %s: value %g, rank %g, %g of the load, work %g ms, objective %g ms, timeout %g ms\n", op.Name, op.Value, op.Priority,
 				op.Share, float64(op.Work)/1000, float64(op.Objective)/1000, float64(op.Timeout)/1000)
 		}
-		for _, t := range s.Troubles {
-			fmt.Fprintf(&b, "    trouble %v at %g s for %g s\n", t.Kind, float64(t.At)/1e6, float64(t.For)/1e6)
+		for _, t := range s.Faults {
+			fmt.Fprintf(&b, "    trouble %v at %g s for %g s\n", t.Kind, float64(t.At)/1e6, float64(t.Duration)/1e6)
 		}
 	}
 	for _, p := range x.Policies {
-		fmt.Fprintf(&b, "  policy %s: %s\n", p.Name, p.About)
+		fmt.Fprintf(&b, "  policy %s: %s\n", p.Name, p.Description)
 	}
 	fmt.Fprintf(&b, "  seeds: %d of them, %d to %d\n", len(x.Seeds), x.Seeds[0], x.Seeds[len(x.Seeds)-1])
 	if x.Over != "" {
@@ -132,9 +132,9 @@
 		}
 		row := &rows[n]
 		values[n] = append(values[n], r.Value())
-		row.Attempts += float64(r.Attempts) / max(1, float64(r.Asks))
-		row.Wasted += r.Wasted / max(1, float64(r.Asks))
-		for rule, broken := range r.Rules {
+		row.Attempts += float64(r.Attempts) / max(1, float64(r.Requests))
+		row.Wasted += r.WastedMicros / max(1, float64(r.Requests))
+		for rule, broken := range r.BreachesByRule {
 			row.Rules[rule] += broken
 		}
 		if len(r.Breaches) > 0 && row.First == "" {
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -78,7 +78,7 @@
 // makeScenario makes the load of the demo with a tenant for each quota, and notes the quotas' sizes.
 func (g *Harness) makeScenario() simulation.Scenario {
 	s := demo.Scenario(g.options.Table.Backends, g.options.Table.Span)
-	s.Troubles, s.Load.At = nil, g.options.Table.Load
+	s.Faults, s.Load.Level = nil, g.options.Table.Load
 	sum := 0.0
 	for _, b := range g.options.Budgets {
 		sum += float64(b.Whole)
--- a/internal/loadgen/attempts.go
+++ b/internal/loadgen/attempts.go
@@ -74,10 +74,10 @@
 func Next(s *simulation.Scenario, now Micros, a *Request, h Response, deaf bool, chance *rand.Rand) (pause Micros, again bool) {
 	op := &s.Operations[a.Operation]
 	ran := h.Outcome != simulation.Throttled && h.Outcome != simulation.Unreachable
-	if ran && op.Repeat == admission.NonIdempotent || h.Dont && !deaf || s.Nodes.Tries > 0 && a.Tries >= s.Nodes.Tries {
+	if ran && op.RetrySafety == admission.NonIdempotent || h.Dont && !deaf || s.Nodes.MaxAttempts > 0 && a.Tries >= s.Nodes.MaxAttempts {
 		return 0, false
 	}
-	wait := float64(s.Nodes.Pause)
+	wait := float64(s.Nodes.Backoff)
 	if !deaf {
 		wait *= math.Exp2(float64(min(a.Tries, 8) - 1))
 	}
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -19,7 +19,7 @@
 
 func day(span simulation.Micros) *simulation.Scenario {
 	s := simulation.Default()
-	s.For, s.Hosts.Count, s.Nodes.Count, s.Load.At = span, 1, 2, 0.5
+	s.Duration, s.Hosts.Count, s.Nodes.Count, s.Load.Level = span, 1, 2, 0.5
 	return &s
 }
 
@@ -147,20 +147,20 @@
 			return ""
 		}},
 		{"twice", func(_ int, id string, stream uint32) []byte { return append(good(id, stream), good(id, stream)...) }, func(r *Report) string {
-			if r.Doubles != r.Asks {
+			if r.Doubles != r.Requests {
 				return "doubles"
 			}
 			return ""
 		}},
 		{"of no run", func(_ int, _ string, stream uint32) []byte { return good("another", stream) }, func(r *Report) string {
-			if r.Strange != r.Asks {
+			if r.Strange != r.Requests {
 				return "strange"
 			}
 			return ""
 		}},
 		{"never", func(int, string, uint32) []byte { return []byte{} }, func(r *Report) string {
 			for _, p := range r.Operations {
-				if p.Ends[simulation.Lost] != p.Asks {
+				if p.Outcomes[simulation.Lost] != p.Requests {
 					return "lost"
 				}
 			}
@@ -172,14 +172,14 @@
 			}
 			return good(id, stream)
 		}, func(r *Report) string {
-			if r.Operations[2].Ends[simulation.Reset] == 0 || r.Attempts <= r.Asks {
+			if r.Operations[2].Outcomes[simulation.Reset] == 0 || r.Attempts <= r.Requests {
 				return "resets: a non-idempotent invocation is not tried again, others are"
 			}
 			return ""
 		}},
 	} {
 		s := day(simulation.Second)
-		s.Load.At = 2
+		s.Load.Level = 2
 		for i := range s.Operations {
 			s.Operations[i].Timeout, s.Operations[i].Objective = simulation.Second, simulation.Second/2
 		}
@@ -189,12 +189,12 @@
 		}
 		ends := 0
 		for _, p := range r.Operations {
-			for _, n := range p.Ends {
+			for _, n := range p.Outcomes {
 				ends += n
 			}
 		}
-		if text := c.wrong(r); text != "" || ends != r.Asks || r.Asks == 0 {
-			t.Errorf("%s: %s: %d asks, %d ends, %d doubles, %d strange, %+v", c.name, text, r.Asks, ends, r.Doubles, r.Strange, r.Operations)
+		if text := c.wrong(r); text != "" || ends != r.Requests || r.Requests == 0 {
+			t.Errorf("%s: %s: %d asks, %d ends, %d doubles, %d strange, %+v", c.name, text, r.Requests, ends, r.Doubles, r.Strange, r.Operations)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	})
 	s := day(simulation.Second / 2)
 	s.Operations = s.Operations[:1]
-	s.Operations[0].Repeat = admission.NonIdempotent
+	s.Operations[0].RetrySafety = admission.NonIdempotent
 	r, err := Run(context.Background(), Options{Scenario: s, Seed: 1, Backends: []string{address}, Bounds: limits.ForLoad()})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -31,7 +31,7 @@
 	Asks      int
 	Open      int
 	Value     float64 // billed by offered, so far
-	Last      simulation.Moment
+	Last      simulation.SecondStats
 	Links     int
 	Behind    time.Duration // the sender itself is so late
 	PerSecond float64
@@ -84,7 +84,7 @@
 	}
 	for n := range o.Scenario.Nodes.Count {
 		s.nodes = append(s.nodes, Backends{Avoid: make([]Micros, len(o.Backends)), turn: n % len(o.Backends)})
-		s.deaf = append(s.deaf, float64(n) < o.Scenario.Nodes.Deaf*float64(o.Scenario.Nodes.Count))
+		s.deaf = append(s.deaf, float64(n) < o.Scenario.Nodes.UnresponsiveShare*float64(o.Scenario.Nodes.Count))
 	}
 	defer s.hangUp()
 	ticks := make(chan struct{})
@@ -143,10 +143,10 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	s.r.Late = max(s.r.Late, time.Duration(now-arrival.At)*time.Microsecond)
-	s.r.Offer(s.s, arrival.At, arrival.Operation, arrival.Tenant)
-	if s.open >= s.o.Bounds.InFlight {
+	s.r.RecordRequest(s.s, arrival.At, arrival.Operation, arrival.Tenant)
+	if s.open >= s.o.Bounds.Open {
 		s.r.Unsent++
-		s.r.End(s.s, now, arrival.Operation, arrival.Tenant, simulation.Local, 0, 0)
+		s.r.RecordOutcome(s.s, now, arrival.Operation, arrival.Tenant, simulation.Local, 0, 0)
 		return
 	}
 	s.open++
@@ -177,7 +177,7 @@
 	op := &s.s.Operations[a.Operation]
 	ask := &frame.OutgoingInvocation{
 		Operation: op.Name, ID: fmt.Sprintf("%016x", s.salt+s.tries), At: time.Now().UnixMilli(), Wait: max(1000, a.Due-now), Retry: retry, Work: a.Hint,
-		KB: max(0.1, min(s.s.Hosts.HeldKB, 1999)), Rank: min(op.Rank, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(a.Work), 10),
+		KB: max(0.1, min(s.s.Hosts.RequestKB, 1999)), Rank: min(op.Priority, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(a.Work), 10),
 	}
 	if len(s.s.Tenants) > 0 {
 		ask.Tenant = s.s.Tenants[a.Tenant].Name
@@ -200,7 +200,7 @@
 	if h.Outcome == simulation.Succeeded {
 		took := now - a.At
 		a.Over = true
-		s.r.End(s.s, now, a.Operation, a.Tenant, simulation.Succeeded, took, EarnedValue(&s.s.Operations[a.Operation], took))
+		s.r.RecordOutcome(s.s, now, a.Operation, a.Tenant, simulation.Succeeded, took, EarnedValue(&s.s.Operations[a.Operation], took))
 		s.open--
 		s.done()
 		return
@@ -226,7 +226,7 @@
 
 func (s *sender) end(a *Request, out simulation.Outcome) {
 	a.Over = true
-	s.r.End(s.s, s.now(), a.Operation, a.Tenant, out, s.now()-a.At, 0)
+	s.r.RecordOutcome(s.s, s.now(), a.Operation, a.Tenant, out, s.now()-a.At, 0)
 	s.open--
 	s.done()
 }
@@ -251,10 +251,10 @@
 		}
 		s.mu.Lock()
 		p := Snapshot{
-			At: time.Since(s.began).Round(time.Second), Asks: s.r.Asks, Open: s.open, Value: s.r.Value(), Links: len(s.links), Behind: s.r.Late,
-			PerSecond: float64(s.r.Asks - asks),
+			At: time.Since(s.began).Round(time.Second), Asks: s.r.Requests, Open: s.open, Value: s.r.Value(), Links: len(s.links), Behind: s.r.Late,
+			PerSecond: float64(s.r.Requests - asks),
 		}
-		asks = s.r.Asks
+		asks = s.r.Requests
 		if n := len(s.r.Seconds); n > 1 {
 			p.Last = s.r.Seconds[n-2]
 		}
--- a/internal/plot/lab.go
+++ b/internal/plot/lab.go
@@ -135,7 +135,7 @@
 }
 
 // Latencies draws the latency at each percentile, a line a result and operation: how long is the wait of the unluckiest.
-func Latencies(to io.Writer, title string, names []string, parts []*simulation.Part, format string) error {
+func Latencies(to io.Writer, title string, names []string, parts []*simulation.Breakdown, format string) error {
 	p := blank(title, "percentile (of 1 in so many slower ones)", "milliseconds")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -10,13 +10,13 @@
 // sized is the operators' day at a size, 60 s long: nodes are two thirds of the hosts.
 func sized(hosts int) Scenario {
 	s := Default()
-	s.For = 60 * Second
+	s.Duration = 60 * Second
 	s.Hosts.Count, s.Nodes.Count, s.Nodes.Subset = hosts, max(1, hosts*2/3), 12
-	s.Load.At = 0.95
-	s.Troubles = []Trouble{
-		{Kind: Burst, At: 10 * Second, For: 10 * Second, Factor: 1.4},
-		{Kind: Slow, At: 25 * Second, For: 10 * Second, Share: 0.25, Factor: 4},
-		{Kind: Release, At: 40 * Second, Width: 0.15},
+	s.Load.Level = 0.95
+	s.Faults = []Fault{
+		{Kind: Burst, At: 10 * Second, Duration: 10 * Second, Factor: 1.4},
+		{Kind: Slow, At: 25 * Second, Duration: 10 * Second, Share: 0.25, Factor: 4},
+		{Kind: Release, At: 40 * Second, BatchShare: 0.15},
 	}
 	return s
 }
@@ -39,7 +39,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					events, asks = events+float64(r.Events), asks+float64(r.Asks)
+					events, asks = events+float64(r.Events), asks+float64(r.Requests)
 				}
 				b.ReportMetric(events/b.Elapsed().Seconds()/1e6, "Mevents/s")
 				b.ReportMetric(b.Elapsed().Seconds()*1e9/events, "ns/event")
@@ -65,7 +65,7 @@
 // BenchmarkBare is the model with a policy that takes no time: go test ./model -run xxx -bench Bare -benchtime 1x
 func BenchmarkBare(b *testing.B) {
 	s := sized(330)
-	s.Load.At, s.Troubles = 0.5, nil
+	s.Load.Level, s.Faults = 0.5, nil
 	p := &Policy{Name: "idler", New: func(admission.Config, uint64) Decider { return idler{} }}
 	events := 0.0
 	for b.Loop() {
--- a/internal/simulation/host_calls.go
+++ b/internal/simulation/host_calls.go
@@ -4,67 +4,67 @@
 	"milletbarrow/admission"
 )
 
-// call takes a run to the dependency that all share.
-func (w *world) call(h *host, j int32, within Micros) {
-	t := &w.attempts[j]
-	t.phase = calls
-	t.callGen++
-	h.atBelow++
-	b := &w.below
-	b.move(w.now)
-	b.push(job{end: b.given + float64(w.s.Below.Work), who: j, gen: t.gen, sub: uint8(t.callGen)})
-	w.afterBelow()
-	w.q.push(event{at: w.now + max(within, 1), kind: evCall, a: j, b: int32(t.callGen), gen: t.gen})
+// startCall takes a run to the dependency that all share.
+func (w *world) startCall(h *host, j int32, within Micros) {
+	att := &w.attempts[j]
+	att.phase = phaseCalling
+	att.callGen++
+	h.inCalls++
+	dependency := &w.dependency
+	dependency.advance(w.now)
+	dependency.push(job{end: dependency.progress + float64(w.scenario.Dependency.Work), attempt: j, generation: att.gen, stage: uint8(att.callGen)})
+	w.updateDependency()
+	w.queue.push(event{at: w.now + max(within, 1), kind: evCallTimeout, subject: j, detail: int32(att.callGen), gen: att.gen})
 }
 
-func (w *world) afterBelow() {
-	b := &w.below
-	b.rate = 1 / w.belowX
-	if n := float64(b.live); n > float64(w.s.Below.Slots) {
-		b.rate *= float64(w.s.Below.Slots) / n
+func (w *world) updateDependency() {
+	dependency := &w.dependency
+	dependency.rate = 1 / w.dependencySlowdown
+	if n := float64(dependency.running); n > float64(w.scenario.Dependency.Slots) {
+		dependency.rate *= float64(w.scenario.Dependency.Slots) / n
 	}
-	if b.live > 0 {
-		w.due(b, evBelow, 0)
+	if dependency.running > 0 {
+		w.scheduleCompletion(dependency, evDependency, 0)
 	}
 }
 
-func (w *world) belowDue() {
-	b := &w.below
-	b.next = 0
-	b.move(w.now)
-	for len(b.jobs) > 0 && b.jobs[0].end <= b.given+nearly {
-		j := b.pop()
-		b.live--
-		if t := &w.attempts[j.who]; t.gen == j.gen && t.phase == calls && uint8(t.callGen) == j.sub {
-			w.callOver(j.who, admission.OK)
+func (w *world) completeCalls() {
+	dependency := &w.dependency
+	dependency.completionAt = 0
+	dependency.advance(w.now)
+	for len(dependency.jobs) > 0 && dependency.jobs[0].end <= dependency.progress+workEpsilon {
+		j := dependency.pop()
+		dependency.running--
+		if att := &w.attempts[j.attempt]; att.gen == j.generation && att.phase == phaseCalling && uint8(att.callGen) == j.stage {
+			w.endCall(j.attempt, admission.OK)
 		}
 	}
-	w.afterBelow()
+	w.updateDependency()
 }
 
-func (w *world) callOver(j int32, out admission.Outcome) {
-	t := &w.attempts[j]
-	h := &w.hosts[t.host]
-	if !h.up || h.incarnation != t.incarnation {
+func (w *world) endCall(j int32, out admission.Outcome) {
+	att := &w.attempts[j]
+	h := &w.hosts[att.host]
+	if !h.up || h.incarnation != att.incarnation {
 		return
 	}
-	h.atBelow--
-	t.callGen++
-	t.phase = waitsBelow
-	id := t.id
-	w.decide(h, admission.CallReturned{ID: id, Outcome: out, Took: 1 + w.s.Below.Work})
+	h.inCalls--
+	att.callGen++
+	att.phase = phaseBeforeCall
+	id := att.id
+	w.decide(h, admission.CallReturned{ID: id, Outcome: out, Took: 1 + w.scenario.Dependency.Work})
 	if !h.up {
 		return
 	}
-	t = &w.attempts[j]
-	if out == admission.OK && t.phase == waitsBelow {
-		w.resume(h, j)
-	} else if t.answers > 0 && t.phase == waitsBelow { // given up: nothing of it goes on
-		w.finish(h, j, admission.Errored)
+	att = &w.attempts[j]
+	if out == admission.OK && att.phase == phaseBeforeCall {
+		w.resumeRun(h, j)
+	} else if att.answers > 0 && att.phase == phaseBeforeCall { // given up: nothing of it goes on
+		w.finishRun(h, j, admission.Errored)
 	}
 }
 
-func (w *world) resume(h *host, j int32) {
-	w.attempts[j].phase = runs
-	w.onCores(h, j)
+func (w *world) resumeRun(h *host, j int32) {
+	w.attempts[j].phase = phaseRunning
+	w.putOnCores(h, j)
 }
--- a/internal/simulation/host_results.go
+++ b/internal/simulation/host_results.go
@@ -4,47 +4,47 @@
 	"milletbarrow/admission"
 )
 
-// finish tells the policy that a run is over and lets go of it.
-func (w *world) finish(h *host, j int32, out admission.Outcome) {
-	t := &w.attempts[j]
-	id, took := t.id, w.now-t.read
-	h.memory -= w.s.Hosts.HeldKB * (w.s.Hosts.RunFactor - 1)
-	t.phase, t.ending = reuses, true // off the cores; still in hand while the policy hears of it
+// finishRun tells the policy that a run is over and lets go of it.
+func (w *world) finishRun(h *host, j int32, out admission.Outcome) {
+	att := &w.attempts[j]
+	id, took := att.id, w.now-att.readAt
+	h.memory -= w.scenario.Hosts.RequestKB * (w.scenario.Hosts.RunFactor - 1)
+	att.phase, att.finishing = phaseAwaitingResult, true // off the cores; still in hand while the policy hears of it
 	w.decide(h, admission.Finished{ID: id, Outcome: out, Took: took})
 	if h.up && w.attempts[j].atHost && w.attempts[j].id == id {
 		w.leaveHost(h, j)
 	}
-	waits := w.attempts[j].waits
-	w.attempts[j].waits = nil
+	waits := w.attempts[j].waiters
+	w.attempts[j].waiters = nil
 	for _, k := range waits {
-		if h.up && w.attempts[k].phase == reuses && w.attempts[k].atHost && w.attempts[k].host == h.number && w.attempts[k].answers == 0 {
+		if h.up && w.attempts[k].phase == phaseAwaitingResult && w.attempts[k].atHost && w.attempts[k].host == h.number && w.attempts[k].answers == 0 {
 			w.reuse(h, k)
 		}
 	}
 }
 
-// takeOff ends a run before its end.
-func (w *world) takeOff(h *host, j int32) {
-	t := &w.attempts[j]
-	w.before(h)
-	h.cores.live--
+// preempt ends a run before its end.
+func (w *world) preempt(h *host, j int32) {
+	att := &w.attempts[j]
+	w.advanceCores(h)
+	h.cores.running--
 	h.running--
-	t.phase = reuses
-	w.after(h)
-	w.finish(h, j, admission.Canceled)
+	att.phase = phaseAwaitingResult
+	w.updateCores(h)
+	w.finishRun(h, j, admission.Canceled)
 }
 
 // reuse answers a repeat with what an earlier request brought, at once or when it ends.
 func (w *world) reuse(h *host, j int32) {
-	t := &w.attempts[j]
-	a := &w.requests[t.request]
-	k := h.cachedResults[h.byKey[a.number]]
-	if t.phase == held {
-		h.held--
+	att := &w.attempts[j]
+	req := &w.requests[att.request]
+	k := h.cachedResults[h.resultsByRequest[req.number]]
+	if att.phase == phaseQueued {
+		h.queued--
 	}
-	t.phase = reuses
+	att.phase = phaseAwaitingResult
 	if k != nil && !k.ended {
-		w.attempts[k.at].waits = append(w.attempts[k.at].waits, j)
+		w.attempts[k.attempt].waiters = append(w.attempts[k.attempt].waiters, j)
 		return
 	}
 	if k == nil {
@@ -52,8 +52,8 @@
 	} else {
 		w.answer(h, j, Succeeded)
 	}
-	id := t.id
-	t.ending = true
+	id := att.id
+	att.finishing = true
 	w.decide(h, admission.Finished{ID: id, Outcome: admission.OK, Took: 1})
 	if h.up && w.attempts[j].atHost && w.attempts[j].id == id {
 		w.leaveHost(h, j)
@@ -62,84 +62,84 @@
 
 // answer sends what a policy says. The one final answer is judged here.
 func (w *world) answer(h *host, j int32, out Outcome) {
-	t := &w.attempts[j]
-	w.audit.answered(w, h, t)
-	t.answers++
-	w.trace.note(w, w.requests[t.request].number, t, outcomeNames[out])
-	if t.answers == 1 && !t.gone {
-		t.outcome = out
-		if d := w.way(w.requests[t.request].node, h.number); d >= 0 {
-			w.q.later(laneNet, event{at: w.now + d, kind: evAnswer, a: j, gen: t.gen})
+	att := &w.attempts[j]
+	w.audit.checkAnswer(w, h, att)
+	att.answers++
+	w.trace.record(w, w.requests[att.request].number, att, outcomeNames[out])
+	if att.answers == 1 && !att.callerGone {
+		att.outcome = out
+		if d := w.networkDelay(w.requests[att.request].node, h.number); d >= 0 {
+			w.queue.pushLane(laneNet, event{at: w.now + d, kind: evAnswer, subject: j, gen: att.gen})
 		} else { // nobody hears it; the node counts it as open until its caller leaves
-			t.outcome = Reset
-			w.q.push(event{at: max(w.now, t.due) + w.s.Nodes.Net, kind: evAnswer, a: j, gen: t.gen})
+			att.outcome = Reset
+			w.queue.push(event{at: max(w.now, att.dueAt) + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
 		}
 	}
-	if t.phase == held {
+	if att.phase == phaseQueued {
 		w.leaveHost(h, j)
 	}
 }
 
-// unreused lets go of a repeat that was answered before the result came for which it waits.
-func (w *world) unreused(h *host, j int32) {
-	if t := &w.attempts[j]; t.phase == reuses && t.atHost && !t.ending {
+// dropWaiter lets go of a repeat that was answered before the result came for which it waits.
+func (w *world) dropWaiter(h *host, j int32) {
+	if att := &w.attempts[j]; att.phase == phaseAwaitingResult && att.atHost && !att.finishing {
 		w.leaveHost(h, j)
 	}
 }
 
 // leaveHost takes an attempt out of its host's hand.
 func (w *world) leaveHost(h *host, j int32) {
-	t := &w.attempts[j]
-	if !t.atHost {
+	att := &w.attempts[j]
+	if !att.atHost {
 		return
 	}
-	if t.phase == held { // it never ran
-		h.held--
-		w.refundQuota(h, t)
+	if att.phase == phaseQueued { // it never ran
+		h.queued--
+		w.refundQuota(h, att)
 	}
-	if t.phase != unread && t.read > 0 {
-		h.memory -= w.s.Hosts.HeldKB
+	if att.phase != phaseUnread && att.readAt > 0 {
+		h.memory -= w.scenario.Hosts.RequestKB
 	}
-	w.audit.leaves(w, h, t)
-	t.atHost = false
-	if t.gone && t.atNode && t.answers == 0 { // its node hears of the end by itself
-		t.outcome = Reset
-		w.q.push(event{at: w.now + w.s.Nodes.Net, kind: evAnswer, a: j, gen: t.gen})
-	} else if t.gone && t.atNode {
-		w.q.push(event{at: w.now + w.s.Nodes.Net, kind: evAnswer, a: j, gen: t.gen})
+	w.audit.checkLeave(w, h, att)
+	att.atHost = false
+	if att.callerGone && att.atNode && att.answers == 0 { // its node hears of the end by itself
+		att.outcome = Reset
+		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
+	} else if att.callerGone && att.atNode {
+		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
 	}
-	if t.prev != none {
-		w.attempts[t.prev].next = t.next
+	if att.prev != none {
+		w.attempts[att.prev].next = att.next
 	} else {
-		h.first = t.next
+		h.firstAttempt = att.next
 	}
-	if t.next != none {
-		w.attempts[t.next].prev = t.prev
+	if att.next != none {
+		w.attempts[att.next].prev = att.prev
 	}
-	h.inHand--
-	w.free(j)
+	h.inFlight--
+	w.freeAttempt(j)
 }
 
-// left is the word that a caller has gone.
-func (w *world) left(j int32) {
-	t := &w.attempts[j]
-	h := &w.hosts[t.host]
-	if !t.atHost || t.gone || t.incarnation != h.incarnation || !h.up {
+// callerLeft is the word that a caller has gone.
+func (w *world) callerLeft(j int32) {
+	att := &w.attempts[j]
+	h := &w.hosts[att.host]
+	if !att.atHost || att.callerGone || att.incarnation != h.incarnation || !h.up {
 		return
 	}
-	if t.answers > 0 {
+	if att.answers > 0 {
 		return // it crossed the answer
 	}
-	t.gone = true
-	if t.phase == unread {
+	att.callerGone = true
+	if att.phase == phaseUnread {
 		return
 	}
-	if w.now >= t.due && t.read < t.due-w.s.Hosts.Slack { // it did not leave: its time ran out
-		w.audit.broken(w, 1, h, t, "its caller's time is over and it has no answer")
+	if w.now >= att.dueAt && att.readAt < att.dueAt-w.scenario.Hosts.AnswerSlack { // it did not leave: its time ran out
+		w.audit.breach(w, 1, h, att, "its caller's time is over and it has no answer")
 	}
-	was := t.phase
-	w.decide(h, admission.CallerGone{ID: t.id})
-	if h.up && w.attempts[j].atHost && (was == held || was == reuses) {
+	was := att.phase
+	w.decide(h, admission.CallerGone{ID: att.id})
+	if h.up && w.attempts[j].atHost && (was == phaseQueued || was == phaseAwaitingResult) {
 		w.leaveHost(h, j)
 	}
 }
--- a/internal/simulation/load.go
+++ b/internal/simulation/load.go
@@ -16,37 +16,37 @@
 // Stream is the load of a day, one request after the other: open loop, the same for the same scenario and seed, whoever
 // answers. The model plays it, and load sends it over sockets.
 type Stream struct {
-	s       *Scenario
-	r       *rand.Rand
-	at      float64
-	most    float64   // requests a microsecond, at the most
-	shares  []float64 // of operations, summed up
-	onUntil Micros    // of a bursty load
-	on      bool
-	told    int // of a recorded load
+	scenario         *Scenario
+	rand             *rand.Rand
+	nextAt           float64
+	maxRate          float64   // requests a microsecond, at the most
+	cumulativeShares []float64 // of operations, summed up
+	burstUntil       Micros    // of a bursty load
+	burstOn          bool
+	replayed         int // of a recorded load
 }
 
 // NewStream begins a day's load.
 func NewStream(s *Scenario, seed uint64) *Stream {
-	st := &Stream{s: s, r: rand.New(rand.NewPCG(seed, 1)), most: s.Capacity() / 1e6 * s.top()}
+	st := &Stream{scenario: s, rand: rand.New(rand.NewPCG(seed, 1)), maxRate: s.Capacity() / 1e6 * s.peakLevel()}
 	sum := 0.0
 	for _, op := range s.Operations {
 		sum += op.Share
-		st.shares = append(st.shares, sum)
+		st.cumulativeShares = append(st.cumulativeShares, sum)
 	}
 	return st
 }
 
-// top is the highest that the load's shape and bursts reach, of capacity.
-func (s *Scenario) top() float64 {
-	top := s.Load.At
+// peakLevel is the highest that the load's shape and bursts reach, of capacity.
+func (s *Scenario) peakLevel() float64 {
+	top := s.Load.Level
 	switch s.Load.Shape {
 	case Ramp, Step, DueDate:
-		top = max(s.Load.At, s.Load.To)
+		top = max(s.Load.Level, s.Load.PeakLevel)
 	case Wave, Bursty:
-		top = s.Load.At * (1 + s.Load.Swing)
+		top = s.Load.Level * (1 + s.Load.Swing)
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		if t.Kind == Burst || t.Kind == TenantBurst {
 			top *= max(1, t.Factor)
 		}
@@ -54,15 +54,17 @@
 	return top
 }
 
-// during tells whether a trouble is on.
-func (t *Trouble) during(now Micros) bool { return now >= t.At && now < t.At+max(t.For, 1) }
+// activeAt tells whether a trouble is on.
+func (fault *Fault) activeAt(now Micros) bool {
+	return now >= fault.At && now < fault.At+max(fault.Duration, 1)
+}
 
-// weight is how much more a tenant asks for at a time.
-func (s *Scenario) weight(tenant int, now Micros) float64 {
+// tenantWeight is how much more a tenant asks for at a time.
+func (s *Scenario) tenantWeight(tenant int, now Micros) float64 {
 	x := s.Tenants[tenant].Share
-	for i := range s.Troubles {
-		if t := &s.Troubles[i]; t.Kind == TenantBurst && t.Tenant == tenant && t.during(now) {
-			x *= t.Factor
+	for i := range s.Faults {
+		if fault := &s.Faults[i]; fault.Kind == TenantBurst && fault.Tenant == tenant && fault.activeAt(now) {
+			x *= fault.Factor
 		}
 	}
 	return x
@@ -70,43 +72,43 @@
 
 // level is the load at a time, of capacity.
 func (st *Stream) level(now Micros) float64 {
-	l := &st.s.Load
-	x, part := l.At, float64(now)/float64(st.s.For)
+	l := &st.scenario.Load
+	x, part := l.Level, float64(now)/float64(st.scenario.Duration)
 	switch l.Shape {
 	case Ramp:
-		x += (l.To - l.At) * part
+		x += (l.PeakLevel - l.Level) * part
 	case Step:
 		if part >= 1.0/3 && part < 2.0/3 {
-			x = l.To
+			x = l.PeakLevel
 		}
 	case Wave:
 		x *= 1 + l.Swing*math.Sin(2*math.Pi*float64(now)/float64(l.Period))
 	case Bursty:
-		for st.onUntil <= now {
-			st.on = !st.on
-			st.onUntil += Micros(st.r.ExpFloat64()*float64(l.Period)) + 1
+		for st.burstUntil <= now {
+			st.burstOn = !st.burstOn
+			st.burstUntil += Micros(st.rand.ExpFloat64()*float64(l.Period)) + 1
 		}
-		if st.on {
+		if st.burstOn {
 			x *= 1 + l.Swing
 		} else {
 			x *= 1 - l.Swing
 		}
 	case DueDate:
 		if part < 2.0/3 {
-			x += (l.To - l.At) * part * 1.5
+			x += (l.PeakLevel - l.Level) * part * 1.5
 		} else {
-			x = l.To - (l.To-l.At)*(part-2.0/3)*3
+			x = l.PeakLevel - (l.PeakLevel-l.Level)*(part-2.0/3)*3
 		}
 	}
-	for i := range st.s.Troubles {
-		if t := &st.s.Troubles[i]; t.Kind == Burst && t.during(now) {
-			x *= t.Factor
+	for i := range st.scenario.Faults {
+		if fault := &st.scenario.Faults[i]; fault.Kind == Burst && fault.activeAt(now) {
+			x *= fault.Factor
 		}
 	}
-	if len(st.s.Tenants) > 0 { // a tenant's burst adds to the whole
+	if len(st.scenario.Tenants) > 0 { // a tenant's burst adds to the whole
 		usual, present := 0.0, 0.0
-		for i, t := range st.s.Tenants {
-			usual, present = usual+t.Share, present+st.s.weight(i, now)
+		for i, t := range st.scenario.Tenants {
+			usual, present = usual+t.Share, present+st.scenario.tenantWeight(i, now)
 		}
 		x *= present / max(usual, 1e-9)
 	}
@@ -124,54 +126,54 @@
 
 // Next is the next request; false: the day is over. A Poisson stream of the highest rate is thinned to that of the moment.
 func (st *Stream) Next() (a Arrival, more bool) {
-	s := st.s
+	s := st.scenario
 	if s.Load.Shape == Replay {
-		if st.told >= len(s.Load.Recorded) {
+		if st.replayed >= len(s.Load.Recorded) {
 			return a, false
 		}
-		r := s.Load.Recorded[st.told]
-		st.told++
-		a = Arrival{At: r.At, Node: st.r.IntN(s.Nodes.Count), Operation: r.Operation, Tenant: r.Tenant, Work: float64(r.Work)}
+		r := s.Load.Recorded[st.replayed]
+		st.replayed++
+		a = Arrival{At: r.At, Node: st.rand.IntN(s.Nodes.Count), Operation: r.Operation, Tenant: r.Tenant, Work: float64(r.Work)}
 		st.hint(&a)
 		return a, true
 	}
-	if st.most <= 0 {
+	if st.maxRate <= 0 {
 		return a, false
 	}
 	for {
-		st.at += st.r.ExpFloat64() / st.most
-		if st.at >= float64(s.For) { // also where it is beyond all numbers
+		st.nextAt += st.rand.ExpFloat64() / st.maxRate
+		if st.nextAt >= float64(s.Duration) { // also where it is beyond all numbers
 			return a, false
 		}
-		if a.At = Micros(st.at); st.r.Float64()*st.most <= st.level(a.At)*s.Capacity()/1e6 {
+		if a.At = Micros(st.nextAt); st.rand.Float64()*st.maxRate <= st.level(a.At)*s.Capacity()/1e6 {
 			break
 		}
 	}
-	a.Node = st.r.IntN(s.Nodes.Count)
-	a.Operation = pick(st.r.Float64()*st.shares[len(st.shares)-1], len(st.shares), func(i int) float64 { return st.shares[i] })
+	a.Node = st.rand.IntN(s.Nodes.Count)
+	a.Operation = pick(st.rand.Float64()*st.cumulativeShares[len(st.cumulativeShares)-1], len(st.cumulativeShares), func(i int) float64 { return st.cumulativeShares[i] })
 	if len(s.Tenants) > 0 {
 		sum, to := 0.0, 0.0
 		for i := range s.Tenants {
-			sum += s.weight(i, a.At)
+			sum += s.tenantWeight(i, a.At)
 		}
-		a.Tenant = pick(st.r.Float64()*sum, len(s.Tenants), func(i int) float64 { to += s.weight(i, a.At); return to })
+		a.Tenant = pick(st.rand.Float64()*sum, len(s.Tenants), func(i int) float64 { to += s.tenantWeight(i, a.At); return to })
 	}
 	op := &s.Operations[a.Operation]
-	a.Work = float64(op.Work) * math.Exp(op.Tail*st.r.NormFloat64()-op.Tail*op.Tail/2)
+	a.Work = float64(op.Work) * math.Exp(op.WorkSigma*st.rand.NormFloat64()-op.WorkSigma*op.WorkSigma/2)
 	st.hint(&a)
 	return a, true
 }
 
 // hint draws what is told of the work, and holds the work within bounds.
 func (st *Stream) hint(a *Arrival) {
-	op := &st.s.Operations[a.Operation]
-	lie := op.Hint * math.Exp(op.HintSpread*st.r.NormFloat64())
+	op := &st.scenario.Operations[a.Operation]
+	lie := op.HintFactor * math.Exp(op.HintSigma*st.rand.NormFloat64())
 	a.Work = min(max(a.Work, 50), 60e6)
-	if op.Hint <= 0 {
+	if op.HintFactor <= 0 {
 		return
 	}
-	if len(st.s.Tenants) > 0 && st.s.Tenants[a.Tenant].Lies > 0 {
-		lie *= st.s.Tenants[a.Tenant].Lies
+	if len(st.scenario.Tenants) > 0 && st.scenario.Tenants[a.Tenant].HintFactor > 0 {
+		lie *= st.scenario.Tenants[a.Tenant].HintFactor
 	}
 	a.Hint = max(1, Micros(a.Work*lie))
 }
--- a/internal/simulation/model_test.go
+++ b/internal/simulation/model_test.go
@@ -35,8 +35,8 @@
 // short is a day of a few seconds, for tests of single things.
 func short() Scenario {
 	s := Default()
-	s.For = 6 * Second
-	s.Hosts.Count, s.Nodes.Count, s.Hosts.ColdFor = 4, 4, 2*Second
+	s.Duration = 6 * Second
+	s.Hosts.Count, s.Nodes.Count, s.Hosts.WarmUp = 4, 4, 2*Second
 	return s
 }
 
@@ -44,13 +44,13 @@
 func TestDays(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := short()
-	s.Load.At = 1.1
-	s.Troubles = []Trouble{{Kind: Slow, At: 2 * Second, For: Second, Share: 0.25, Factor: 4}, {Kind: Release, At: 3 * Second, Width: 0.3}}
+	s.Load.Level = 1.1
+	s.Faults = []Fault{{Kind: Slow, At: 2 * Second, Duration: Second, Share: 0.25, Factor: 4}, {Kind: Release, At: 3 * Second, BatchShare: 0.3}}
 	for _, p := range Policies() {
 		r := play(t, &s, &p, 7)
-		tr.Say("%-12s value %.6f attempts %d runs %d events %d rules %v", p.Name, r.Value(), r.Attempts, r.Runs, r.Events, r.Rules)
+		tr.Say("%-12s value %.6f attempts %d runs %d events %d rules %v", p.Name, r.Value(), r.Attempts, r.Runs, r.Events, r.BreachesByRule)
 		for _, op := range r.Operations {
-			tr.Say("    %-9s asks %d in time %d ends %v", op.Name, op.Asks, op.InTime, op.Ends)
+			tr.Say("    %-9s asks %d in time %d ends %v", op.Name, op.Requests, op.InTime, op.Outcomes)
 		}
 	}
 }
@@ -58,8 +58,8 @@
 // TestSame: the same scenario, policy and seed give the same bytes; another seed does not.
 func TestSame(t *testing.T) {
 	s := short()
-	s.Nodes.Behind, s.Nodes.Hedge = 0.5, 200*Millisecond
-	s.Troubles = []Trouble{{Kind: Death, At: 2 * Second, For: Second, Share: 0.5}}
+	s.Nodes.ClientRetryShare, s.Nodes.HedgeDelay = 0.5, 200*Millisecond
+	s.Faults = []Fault{{Kind: Death, At: 2 * Second, Duration: Second, Share: 0.5}}
 	text := func(seed uint64) []byte {
 		raw, err := json.Marshal(play(t, &s, module(t), seed))
 		if err != nil {
@@ -81,34 +81,34 @@
 	s.Load.Shape = Bursty
 	a := play(t, &s, module(t), 5)
 	for _, p := range Policies() {
-		if b := play(t, &s, &p, 5); a.Offered != b.Offered || a.Asks != b.Asks {
-			t.Errorf("%s: %d asks worth %g, the module had %d worth %g", p.Name, b.Asks, b.Offered, a.Asks, a.Offered)
+		if b := play(t, &s, &p, 5); a.Offered != b.Offered || a.Requests != b.Requests {
+			t.Errorf("%s: %d asks worth %g, the module had %d worth %g", p.Name, b.Requests, b.Offered, a.Requests, a.Offered)
 		}
 	}
 }
 
 // TestRules: the module keeps the four rules through every trouble, alone and with others.
 func TestRules(t *testing.T) {
-	kinds := []Trouble{
-		{Kind: Death, For: Second, Share: 0.5}, {Kind: Slow, For: 2 * Second, Share: 0.5, Factor: 8}, {Kind: Gray, For: 2 * Second, Share: 0.5, Factor: 200},
-		{Kind: Release, Width: 0.4}, {Kind: Burst, For: Second, Factor: 3}, {Kind: TenantBurst, For: 2 * Second, Factor: 5},
-		{Kind: Neighbour, For: 2 * Second, Share: 0.5, Factor: 2}, {Kind: Cut, For: Second, Share: 0.5}, {Kind: AgentGone, For: Second},
-		{Kind: BelowSlow, For: 2 * Second, Factor: 20}, {Kind: Skew, For: Second, Share: 0.5, Factor: 3600},
-		{Kind: Release, Width: 0.4, Lost: 0.5},
+	kinds := []Fault{
+		{Kind: Death, Duration: Second, Share: 0.5}, {Kind: Slow, Duration: 2 * Second, Share: 0.5, Factor: 8}, {Kind: Gray, Duration: 2 * Second, Share: 0.5, Factor: 200},
+		{Kind: Release, BatchShare: 0.4}, {Kind: Burst, Duration: Second, Factor: 3}, {Kind: TenantBurst, Duration: 2 * Second, Factor: 5},
+		{Kind: NoisyNeighbour, Duration: 2 * Second, Share: 0.5, Factor: 2}, {Kind: Partition, Duration: Second, Share: 0.5}, {Kind: AgentUnavailable, Duration: Second},
+		{Kind: DependencySlow, Duration: 2 * Second, Factor: 20}, {Kind: ClockSkew, Duration: Second, Share: 0.5, Factor: 3600},
+		{Kind: Release, BatchShare: 0.4, LostNotices: 0.5},
 	}
 	for _, first := range kinds {
 		for seed := range uint64(3) {
 			s := short()
-			s.Load.At = 1.2
-			s.Operations[1].Calls, s.Operations[0].Repeat = true, admission.IdempotencyKeyed
-			s.Nodes.Behind, s.Nodes.Tries = 0.3, 0
+			s.Load.Level = 1.2
+			s.Operations[1].MakesCalls, s.Operations[0].RetrySafety = true, admission.IdempotencyKeyed
+			s.Nodes.ClientRetryShare, s.Nodes.MaxAttempts = 0.3, 0
 			s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 200}, {Name: "b", Share: 0.5, Quota: 200}}
 			first.At = Second
 			second := kinds[(seed*5+uint64(first.Kind))%uint64(len(kinds))]
 			second.At = 2 * Second
-			s.Troubles = []Trouble{first, second}
-			if r := play(t, &s, module(t), seed); r.Broken() > 0 {
-				t.Errorf("%v with %v, seed %d: %v %v", first.Kind, second.Kind, seed, r.Rules, r.Breaches[0])
+			s.Faults = []Fault{first, second}
+			if r := play(t, &s, module(t), seed); r.BreachCount() > 0 {
+				t.Errorf("%v with %v, seed %d: %v %v", first.Kind, second.Kind, seed, r.BreachesByRule, r.Breaches[0])
 			}
 		}
 	}
@@ -119,8 +119,8 @@
 func TestFleet(t *testing.T) {
 	for seed := range uint64(4) {
 		s := short()
-		s.For, s.Hosts.Count, s.Load.At = 30*Second, 10, 0.4
-		s.Troubles = []Trouble{{Kind: Release, At: 2 * Second, Width: 0.2, Fleet: true, Lost: float64(seed) * 0.1}, {Kind: AgentGone, At: 5 * Second, For: 4 * Second}}
+		s.Duration, s.Hosts.Count, s.Load.Level = 30*Second, 10, 0.4
+		s.Faults = []Fault{{Kind: Release, At: 2 * Second, BatchShare: 0.2, ByFleet: true, LostNotices: float64(seed) * 0.1}, {Kind: AgentUnavailable, At: 5 * Second, Duration: 4 * Second}}
 		r := play(t, &s, module(t), seed)
 		for sec, row := range r.Heat {
 			out := 0
@@ -133,8 +133,8 @@
 				t.Errorf("seed %d: %d are down at %d s, two may be", seed, out, sec+1)
 			}
 		}
-		if r.Lives != 20 || r.Broken() > 0 || r.Refused > 0 {
-			t.Errorf("seed %d: %d lives of 10 hosts, wanted 20; %d lost notices, refused %d, %v", seed, r.Lives, r.LostNotices, r.Refused, r.Breaches)
+		if r.Incarnations != 20 || r.BreachCount() > 0 || r.RejectedReleases > 0 {
+			t.Errorf("seed %d: %d lives of 10 hosts, wanted 20; %d lost notices, refused %d, %v", seed, r.Incarnations, r.LostNotices, r.RejectedReleases, r.Breaches)
 		}
 	}
 }
@@ -201,12 +201,12 @@
 	}
 	for _, f := range faults {
 		s := short()
-		s.Load.At = 1.5
-		s.Hosts.FallOver = Second
-		s.Troubles = []Trouble{{Kind: Release, At: Second, Width: 0.5}}
+		s.Load.Level = 1.5
+		s.Hosts.CollapseAfter = Second
+		s.Faults = []Fault{{Kind: Release, At: Second, BatchShare: 0.5}}
 		p := &Policy{Name: f.name, New: func(t admission.Config, seed uint64) Decider { return faulty{admission.New(t, seed), f.alter} }}
-		if r := play(t, &s, p, 1); r.Rules[f.rule] == 0 {
-			t.Errorf("%s: rule %d was to be seen broken: %v %v", f.name, f.rule, r.Rules, r.Breaches)
+		if r := play(t, &s, p, 1); r.BreachesByRule[f.rule] == 0 {
+			t.Errorf("%s: rule %d was to be seen broken: %v %v", f.name, f.rule, r.BreachesByRule, r.Breaches)
 		}
 	}
 }
@@ -221,11 +221,11 @@
 	for _, tail := range []float64{0, 1} {
 		for _, load := range []float64{0.3, 0.6} {
 			s := Default()
-			s.For = 1000 * Second
-			s.Hosts.Count, s.Hosts.Cores, s.Hosts.Spread, s.Hosts.Read, s.Hosts.Handshake, s.Hosts.Crowd = 1, 1, 0, 0, 0, 1000
-			s.Nodes.Count, s.Nodes.Net = 1, 0
-			s.Operations = []Operation{{Name: "a", Value: 1, Share: 1, Work: 20 * Millisecond, Tail: tail, Objective: 100 * Second, Timeout: 100 * Second}}
-			s.Load.At = load
+			s.Duration = 1000 * Second
+			s.Hosts.Count, s.Hosts.Cores, s.Hosts.SpeedSpread, s.Hosts.ReadWork, s.Hosts.HandshakeWork, s.Hosts.CollapseMultiple = 1, 1, 0, 0, 0, 1000
+			s.Nodes.Count, s.Nodes.NetworkDelay = 1, 0
+			s.Operations = []Operation{{Name: "a", Value: 1, Share: 1, Work: 20 * Millisecond, WorkSigma: tail, Objective: 100 * Second, Timeout: 100 * Second}}
+			s.Load.Level = load
 			r := play(t, &s, none, 1)
 			h, err := r.Operations[0].Histogram()
 			if err != nil {
@@ -243,24 +243,24 @@
 func TestOdd(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := short()
-	s.Load.At = 0
+	s.Load.Level = 0
 	r := play(t, &s, module(t), 1)
-	tr.Say("without arrivals: %d asks, %d broken", r.Asks, r.Broken())
+	tr.Say("without arrivals: %d asks, %d broken", r.Requests, r.BreachCount())
 
 	s = short()
-	s.Troubles = []Trouble{{Kind: Death, At: 3 * Second, For: Second, Share: 1}}
+	s.Faults = []Fault{{Kind: Death, At: 3 * Second, Duration: Second, Share: 1}}
 	r = play(t, &s, module(t), 1)
-	tr.Say("all hosts die with everything in hand: %d deaths, every ask ended: %t, broken %d", r.Deaths, ends(r) == r.Asks, r.Broken())
+	tr.Say("all hosts die with everything in hand: %d deaths, every ask ended: %t, broken %d", r.Deaths, ends(r) == r.Requests, r.BreachCount())
 
 	s = short()
-	s.For, s.Hosts.Count, s.Nodes.Count, s.Load.At = 2*Second, 10_000, 50, 0.01
-	s.Troubles = []Trouble{{Kind: Death, At: Second, For: Second / 2, Share: 1}}
+	s.Duration, s.Hosts.Count, s.Nodes.Count, s.Load.Level = 2*Second, 10_000, 50, 0.01
+	s.Faults = []Fault{{Kind: Death, At: Second, Duration: Second / 2, Share: 1}}
 	r = play(t, &s, module(t), 1)
-	tr.Say("10,000 die at once: %d deaths, every ask ended: %t, up at the end of the day: %d", r.Deaths, ends(r) == r.Asks, r.Seconds[1].Up)
+	tr.Say("10,000 die at once: %d deaths, every ask ended: %t, up at the end of the day: %d", r.Deaths, ends(r) == r.Requests, r.Seconds[1].HostsUp)
 
 	for _, alter := range []func(*Scenario){
-		func(s *Scenario) { s.Hosts.MemoryKB = 1 }, func(s *Scenario) { s.Operations = nil }, func(s *Scenario) { s.Hosts.Grace = s.Hosts.Stop },
-		func(s *Scenario) { s.Operations[0].Timeout = 1 }, func(s *Scenario) { s.Troubles = []Trouble{{Kind: TenantBurst, Factor: 2}} },
+		func(s *Scenario) { s.Hosts.MemoryKB = 1 }, func(s *Scenario) { s.Operations = nil }, func(s *Scenario) { s.Hosts.DrainGrace = s.Hosts.ExitTimeout },
+		func(s *Scenario) { s.Operations[0].Timeout = 1 }, func(s *Scenario) { s.Faults = []Fault{{Kind: TenantBurst, Factor: 2}} },
 		func(s *Scenario) { s.Hosts.Count = 0 }, func(s *Scenario) { s.Load.Recorded = []Recorded{{At: 2, Work: 1}, {At: 1, Work: 1}} },
 	} {
 		s = short()
@@ -272,7 +272,7 @@
 
 func ends(r *Result) (n int) {
 	for _, op := range r.Operations {
-		for _, c := range op.Ends {
+		for _, c := range op.Outcomes {
 			n += c
 		}
 	}
@@ -290,7 +290,7 @@
 			if rapid.Bool().Draw(t, "put") {
 				e := event{at: now + Micros(rapid.IntRange(0, 20).Draw(t, "in"))}
 				if n := rapid.IntRange(0, 5).Draw(t, "lane"); n < 4 {
-					q.later(n, e)
+					q.pushLane(n, e)
 				} else {
 					q.push(e)
 				}
@@ -321,21 +321,21 @@
 	all := Policies()
 	rapid.Check(t, func(t *rapid.T) {
 		s := short()
-		s.For = 2 * Second
-		s.Load.At = rapid.Float64Range(0, 2).Draw(t, "load")
+		s.Duration = 2 * Second
+		s.Load.Level = rapid.Float64Range(0, 2).Draw(t, "load")
 		s.Load.Shape = Shape(rapid.IntRange(0, int(DueDate)).Draw(t, "shape"))
-		s.Nodes.Tries = rapid.IntRange(0, 4).Draw(t, "tries")
-		s.Nodes.Deaf = rapid.Float64Range(0, 1).Draw(t, "deaf")
-		s.Nodes.Hedge = Micros(rapid.IntRange(0, 100_000).Draw(t, "hedge"))
-		s.Nodes.Word = Micros(rapid.IntRange(-1, 50_000).Draw(t, "word"))
+		s.Nodes.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "tries")
+		s.Nodes.UnresponsiveShare = rapid.Float64Range(0, 1).Draw(t, "deaf")
+		s.Nodes.HedgeDelay = Micros(rapid.IntRange(0, 100_000).Draw(t, "hedge"))
+		s.Nodes.CancelDelay = Micros(rapid.IntRange(-1, 50_000).Draw(t, "word"))
 		s.Nodes.Subset = rapid.IntRange(0, 5).Draw(t, "subset")
-		s.Operations[0].Calls = rapid.Bool().Draw(t, "calls")
+		s.Operations[0].MakesCalls = rapid.Bool().Draw(t, "calls")
 		s.Hosts.Connections = rapid.IntRange(1, 10).Draw(t, "connections")
 		for range rapid.IntRange(0, 3).Draw(t, "troubles") {
-			s.Troubles = append(s.Troubles, Trouble{
-				Kind: []Kind{Death, Slow, Gray, Release, Burst, Cut, BelowSlow}[rapid.IntRange(0, 6).Draw(t, "kind")],
-				At:   Micros(rapid.IntRange(0, 2_000_000).Draw(t, "at")), For: Micros(rapid.IntRange(1, 1_000_000).Draw(t, "for")),
-				Share: rapid.Float64Range(0, 1).Draw(t, "share"), Factor: rapid.Float64Range(0.1, 10).Draw(t, "factor"), Width: 0.3,
+			s.Faults = append(s.Faults, Fault{
+				Kind: []FaultKind{Death, Slow, Gray, Release, Burst, Partition, DependencySlow}[rapid.IntRange(0, 6).Draw(t, "kind")],
+				At:   Micros(rapid.IntRange(0, 2_000_000).Draw(t, "at")), Duration: Micros(rapid.IntRange(1, 1_000_000).Draw(t, "for")),
+				Share: rapid.Float64Range(0, 1).Draw(t, "share"), Factor: rapid.Float64Range(0.1, 10).Draw(t, "factor"), BatchShare: 0.3,
 			})
 		}
 		p := all[rapid.IntRange(0, len(all)-1).Draw(t, "policy")]
@@ -348,11 +348,11 @@
 			billed, offered = billed+sec.Billed, offered+sec.Offered
 		}
 		switch {
-		case ends(r) != r.Asks+r.Anew:
-			t.Fatalf("%d asks, %d anew, %d ends", r.Asks, r.Anew, ends(r))
+		case ends(r) != r.Requests+r.ClientRetries:
+			t.Fatalf("%d asks, %d anew, %d ends", r.Requests, r.ClientRetries, ends(r))
 		case math.Abs(billed-r.Billed) > 1e-6 || math.Abs(offered-r.Offered) > 1e-6 || r.Billed > r.Offered+1e-6:
 			t.Fatalf("billed %g by seconds %g, offered %g by seconds %g", r.Billed, billed, r.Offered, offered)
-		case p.Name == Module && r.Broken() > 0:
+		case p.Name == Module && r.BreachCount() > 0:
 			t.Fatalf("%v", r.Breaches[0])
 		}
 	})
@@ -362,26 +362,26 @@
 func TestReplayed(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := short()
-	s.Load.At = 1.5
-	course := &Trace{Invocation: 900, Host: -1, Most: 20}
+	s.Load.Level = 1.5
+	course := &Trace{Request: 900, Host: -1, MaxLines: 20}
 	if _, err := Play(&s, module(t), 2, course); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range course.Lines {
 		tr.Say("%s", line)
 	}
-	few := &Trace{Host: 1, Most: 3}
+	few := &Trace{Host: 1, MaxLines: 3}
 	if _, err := Play(&s, module(t), 2, few); err != nil {
 		t.Fatal(err)
 	}
-	tr.Say("%d lines of host 1, and more: %t", len(few.Lines), few.More > 0)
+	tr.Say("%d lines of host 1, and more: %t", len(few.Lines), few.Omitted > 0)
 }
 
 func ExamplePlay() {
 	s := Default()
-	s.For, s.Load.At = 2*Second, 0.5
+	s.Duration, s.Load.Level = 2*Second, 0.5
 	p, _ := PolicyNamed("pool")
 	r, err := Play(&s, p, 1, nil)
-	fmt.Println(err, r.Broken(), r.Value() > 0.99)
+	fmt.Println(err, r.BreachCount(), r.Value() > 0.99)
 	// Output: <nil> 0 true
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -8,36 +8,36 @@
 
 // node is an edge node: it knows some hosts, opens connections to them and makes attempts.
 type node struct {
-	slots    []slot
-	view     []int32 // slots that are on its list now
-	lists    uint32  // of the endpoint registry, when it last looked
-	turn     int
-	deaf     bool
-	asked    decays // for its own throttle
-	accepted decays
+	slots           []slot
+	view            []int32 // slots that are on its list now
+	registryVersion uint32  // of the endpoint registry, when it last looked
+	nextSlot        int
+	ignoresAdvice   bool
+	requested       decayingSum // for its own throttle
+	accepted        decayingSum
 }
 
 // slot is what a node knows of one host.
 type slot struct {
-	host   int32
-	open   int32
-	life   uint32 // of the host to which the connection leads
-	linked bool
-	used   Micros
-	avoid  Micros
-	takes  float64 // microseconds an answer takes of late
+	host        int32
+	inFlight    int32
+	incarnation uint32 // of the host to which the connection leads
+	connected   bool
+	usedAt      Micros
+	avoidUntil  Micros
+	latency     float64 // microseconds an answer takes of late
 }
 
-// decays is a sum that forgets.
-type decays struct {
-	sum float64
-	at  Micros
+// decayingSum is a sum that forgets.
+type decayingSum struct {
+	sum       float64
+	updatedAt Micros
 }
 
-func (d *decays) add(now, over Micros, x float64) {
-	if now > d.at {
-		d.sum *= math.Exp(-float64(now-d.at) / float64(over))
-		d.at = now
+func (d *decayingSum) add(now, over Micros, x float64) {
+	if now > d.updatedAt {
+		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(over))
+		d.updatedAt = now
 	}
 	d.sum += x
 }
@@ -45,24 +45,24 @@
 // placeNode gives a node its hosts: every so many along the ring, so that the hosts' parts are alike, and twice as many as it
 // uses, so that it has others when some leave the endpoint registry.
 func (w *world) placeNode(i int32) {
-	n, h := &w.nodes[i], w.s.Hosts.Count
-	size := w.s.Nodes.Subset
+	n, h := &w.nodes[i], w.scenario.Hosts.Count
+	size := w.scenario.Nodes.Subset
 	if size <= 0 || size > h {
 		size = h
 	}
 	pool := min(h, 2*size)
-	start, step := w.fate.IntN(h), 1+w.fate.IntN(h)
+	start, step := w.faultRand.IntN(h), 1+w.faultRand.IntN(h)
 	for gcd(step, h) != 1 {
 		step++
 	}
 	n.slots = make([]slot, pool)
 	for k := range n.slots {
-		n.slots[k] = slot{host: int32((start + k*step) % h), takes: 20_000}
+		n.slots[k] = slot{host: int32((start + k*step) % h), latency: 20_000}
 	}
-	n.deaf = float64(i) < w.s.Nodes.Deaf*float64(w.s.Nodes.Count)
-	n.turn = w.fate.IntN(pool)
-	w.look(n)
-	w.q.push(event{at: Micros(w.fate.Float64() * float64(w.s.Nodes.Refresh)), kind: evRefresh, a: i})
+	n.ignoresAdvice = float64(i) < w.scenario.Nodes.UnresponsiveShare*float64(w.scenario.Nodes.Count)
+	n.nextSlot = w.faultRand.IntN(pool)
+	w.refreshView(n)
+	w.queue.push(event{at: Micros(w.faultRand.Float64() * float64(w.scenario.Nodes.RefreshInterval)), kind: evRefresh, subject: i})
 }
 
 func gcd(a, b int) int {
@@ -72,19 +72,19 @@
 	return a
 }
 
-func (w *world) refresh(i int32) {
-	if w.now >= w.s.For && w.busyA == 0 {
+func (w *world) refreshNode(i int32) {
+	if w.now >= w.scenario.Duration && w.active == 0 {
 		return
 	}
-	if n := &w.nodes[i]; n.lists != w.lists {
-		w.look(n)
+	if n := &w.nodes[i]; n.registryVersion != w.registryVersion {
+		w.refreshView(n)
 	}
-	w.q.push(event{at: w.now + w.s.Nodes.Refresh, kind: evRefresh, a: i})
+	w.queue.push(event{at: w.now + w.scenario.Nodes.RefreshInterval, kind: evRefresh, subject: i})
 }
 
-func (w *world) look(n *node) {
-	n.lists = w.lists
-	size := w.s.Nodes.Subset
+func (w *world) refreshView(n *node) {
+	n.registryVersion = w.registryVersion
+	size := w.scenario.Nodes.Subset
 	if size <= 0 {
 		size = len(n.slots)
 	}
@@ -96,44 +96,44 @@
 	}
 }
 
-// choose is the slot for a try; none where the list is empty or all of it is to be left alone for now.
-func (w *world) choose(a *request, n *node) int32 {
+// chooseSlot is the slot for a try; none where the list is empty or all of it is to be left alone for now.
+func (w *world) chooseSlot(req *request, n *node) int32 {
 	v := n.view
 	if len(v) == 0 {
 		return none
 	}
 	usable := func(k int32) bool {
-		return n.slots[k].avoid <= w.now && (k != a.last || len(v) == 1)
+		return n.slots[k].avoidUntil <= w.now && (k != req.lastSlot || len(v) == 1)
 	}
-	if k := w.balanced(n, usable); k != none {
+	if k := w.balancedSlot(n, usable); k != none {
 		return k
 	}
 	for range v { // in turn, also where the balancing policy found nothing
-		n.turn++
-		if k := v[n.turn%len(v)]; usable(k) {
+		n.nextSlot++
+		if k := v[n.nextSlot%len(v)]; usable(k) {
 			return k
 		}
 	}
-	if a.tries == 0 { // a first attempt goes to somebody, even one that asked to be left alone
-		n.turn++
-		return v[n.turn%len(v)]
+	if req.attempts == 0 { // a first attempt goes to somebody, even one that asked to be left alone
+		n.nextSlot++
+		return v[n.nextSlot%len(v)]
 	}
 	return none
 }
 
-// balanced is the choice of the node's balancing policy, or none.
-func (w *world) balanced(n *node, usable func(int32) bool) int32 {
+// balancedSlot is the choice of the node's balancing policy, or none.
+func (w *world) balancedSlot(n *node, usable func(int32) bool) int32 {
 	v := n.view
-	switch w.p.balance(w.s) {
+	switch w.policy.balance(w.scenario) {
 	case Random:
 		for range 4 {
-			if k := v[w.chance.IntN(len(v))]; usable(k) {
+			if k := v[w.nodeRand.IntN(len(v))]; usable(k) {
 				return k
 			}
 		}
 	case TwoChoices:
-		x, y := v[w.chance.IntN(len(v))], v[w.chance.IntN(len(v))]
-		if !usable(x) || usable(y) && n.slots[y].open < n.slots[x].open {
+		x, y := v[w.nodeRand.IntN(len(v))], v[w.nodeRand.IntN(len(v))]
+		if !usable(x) || usable(y) && n.slots[y].inFlight < n.slots[x].inFlight {
 			x = y
 		}
 		if usable(x) {
@@ -142,7 +142,7 @@
 	case LeastLoad:
 		return w.leastLoad(n, usable)
 	case Oracle:
-		return w.truest(n)
+		return w.leastTrueLoad(n)
 	}
 	return none
 }
@@ -151,61 +151,61 @@
 func (w *world) leastLoad(n *node, usable func(int32) bool) int32 {
 	v := n.view
 	best, least := none, 0.0
-	from := w.chance.IntN(len(v))
+	from := w.nodeRand.IntN(len(v))
 	for i := range v {
 		k := v[(from+i)%len(v)]
-		if load := float64(n.slots[k].open+1) * n.slots[k].takes; usable(k) && (best == none || load < least) {
+		if load := float64(n.slots[k].inFlight+1) * n.slots[k].latency; usable(k) && (best == none || load < least) {
 			best, least = k, load
 		}
 	}
 	return best
 }
 
-// truest is what an oracle would choose: the host whose cores have the least work in hand by their speed, as it was 0.1 s
+// leastTrueLoad is what an oracle would choose: the host whose cores have the least work in hand by their speed, as it was 0.1 s
 // ago. What the oracle itself has sent since is known to it.
-func (w *world) truest(n *node) int32 {
-	if w.now >= w.seenAt+100*Millisecond {
-		w.seenAt = w.now
+func (w *world) leastTrueLoad(n *node) int32 {
+	if w.now >= w.oracleAt+100*Millisecond {
+		w.oracleAt = w.now
 		for i := range w.hosts {
 			h := &w.hosts[i]
-			w.seen[i] = float64(h.inHand) + 0.5
-			if speed := h.base / h.slow * h.warmth * h.neighbour; h.up && !h.draining && speed > 0 {
-				w.seen[i] /= speed
+			w.oracleLoad[i] = float64(h.inFlight) + 0.5
+			if speed := h.baseSpeed / h.slowdown * h.warmUpSpeed * h.coreShare; h.up && !h.draining && speed > 0 {
+				w.oracleLoad[i] /= speed
 			} else {
-				w.seen[i] = math.Inf(1)
+				w.oracleLoad[i] = math.Inf(1)
 			}
 		}
 	}
 	best := none
 	for _, k := range n.view {
-		if best == none || w.seen[n.slots[k].host] < w.seen[n.slots[best].host] {
+		if best == none || w.oracleLoad[n.slots[k].host] < w.oracleLoad[n.slots[best].host] {
 			best = k
 		}
 	}
 	if best != none {
-		w.seen[n.slots[best].host]++
+		w.oracleLoad[n.slots[best].host]++
 	}
 	return best
 }
 
 // startAttempt sends one attempt. A further one carries the retry mark.
 func (w *world) startAttempt(i int32, retry bool) {
-	a := &w.requests[i]
-	n := &w.nodes[a.node]
-	s := &w.s.Nodes
-	if w.p.throttles(w.s) {
-		n.asked.add(w.now, s.Window, 1)
-		n.accepted.add(w.now, s.Window, 0)
+	req := &w.requests[i]
+	n := &w.nodes[req.node]
+	s := &w.scenario.Nodes
+	if w.policy.throttles(w.scenario) {
+		n.requested.add(w.now, s.ThrottleWindow, 1)
+		n.accepted.add(w.now, s.ThrottleWindow, 0)
 		// Client-side throttling by the share accepted of late, "Handling Overload", Site Reliability Engineering, 2016: K = 2.
-		if w.chance.Float64() < (n.asked.sum-2*n.accepted.sum)/(n.asked.sum+1) {
+		if w.nodeRand.Float64() < (n.requested.sum-2*n.accepted.sum)/(n.requested.sum+1) {
 			w.retryOrEnd(i, Local)
 			return
 		}
 	}
-	k := w.choose(a, n)
-	op := &w.s.Operations[a.op]
-	if op.Repeat == admission.IdempotencyKeyed && a.unsure { // only the one that may have run it knows of it
-		k = a.last
+	k := w.chooseSlot(req, n)
+	op := &w.scenario.Operations[req.operation]
+	if op.RetrySafety == admission.IdempotencyKeyed && req.maybeRan { // only the one that may have run it knows of it
+		k = req.lastSlot
 		if !w.listed[n.slots[k].host] {
 			k = none
 		}
@@ -214,115 +214,115 @@
 		w.retryOrEnd(i, Unreachable)
 		return
 	}
-	a.tries++
-	a.refs++
-	a.last = k
+	req.attempts++
+	req.liveAttempts++
+	req.lastSlot = k
 	sl := &n.slots[k]
 	h := &w.hosts[sl.host]
-	j := w.newAttempt(op.Repeat == admission.IdempotencyKeyed)
-	t := &w.attempts[j]
-	t.request, t.host, t.slot, t.incarnation, t.retry, t.atNode, t.prev, t.next = i, sl.host, k, h.incarnation, retry, true, none, none
-	if a.open[0] == none {
-		a.open[0] = j
+	j := w.newAttempt(op.RetrySafety == admission.IdempotencyKeyed)
+	att := &w.attempts[j]
+	att.request, att.host, att.slot, att.incarnation, att.retry, att.atNode, att.prev, att.next = i, sl.host, k, h.incarnation, retry, true, none, none
+	if req.openAttempts[0] == none {
+		req.openAttempts[0] = j
 	} else {
-		a.open[1] = j
+		req.openAttempts[1] = j
 	}
-	sl.open++
-	w.res.Attempts++
-	delay := w.way(a.node, sl.host)
+	sl.inFlight++
+	w.result.Attempts++
+	delay := w.networkDelay(req.node, sl.host)
 	if delay < 0 { // cut off: it finds out when no connection comes about
-		t.outcome = Unreachable
-		w.q.push(event{at: min(w.now+Second, max(a.due-1, w.now)), kind: evAnswer, a: j, gen: t.gen})
+		att.outcome = Unreachable
+		w.queue.push(event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, gen: att.gen})
 		return
 	}
-	w.q.later(laneNet, event{at: w.now + delay, kind: evReach, a: j, gen: t.gen})
+	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evReach, subject: j, gen: att.gen})
 }
 
-// way is how long a message takes between a node and a host; negative: it never arrives.
-func (w *world) way(node, host int32) Micros {
-	if len(w.cutNodes) > 0 && host < w.cutHosts && w.cutNodes[node] {
+// networkDelay is how long a message takes between a node and a host; negative: it never arrives.
+func (w *world) networkDelay(node, host int32) Micros {
+	if len(w.partitionedNodes) > 0 && host < w.partitionedHosts && w.partitionedNodes[node] {
 		return -1
 	}
-	d := w.s.Nodes.Net
-	if w.grayBy > 0 && node%2 == 0 && w.grayHost[host] {
-		d += w.grayBy
+	d := w.scenario.Nodes.NetworkDelay
+	if w.grayDelay > 0 && node%2 == 0 && w.grayHosts[host] {
+		d += w.grayDelay
 	}
 	return d
 }
 
-// link opens the connection that an attempt needs, or uses the one that is there; false: the host has no room.
-func (w *world) link(t *attempt, h *host) (opened, ok bool) {
-	n := &w.nodes[w.requests[t.request].node]
-	sl := &n.slots[t.slot]
-	if sl.linked && sl.life == h.incarnation {
-		sl.used = w.now
+// connect opens the connection that an attempt needs, or uses the one that is there; false: the host has no room.
+func (w *world) connect(att *attempt, h *host) (opened, ok bool) {
+	n := &w.nodes[w.requests[att.request].node]
+	sl := &n.slots[att.slot]
+	if sl.connected && sl.incarnation == h.incarnation {
+		sl.usedAt = w.now
 		return false, true
 	}
-	if h.conns >= w.s.Hosts.Connections {
+	if h.connections >= w.scenario.Hosts.Connections {
 		return false, false
 	}
-	h.conns++
-	sl.linked, sl.life, sl.used = true, h.incarnation, w.now
-	w.q.push(event{at: w.now + h.idleFor, kind: evIdle, a: w.requests[t.request].node, b: t.slot, gen: h.incarnation})
+	h.connections++
+	sl.connected, sl.incarnation, sl.usedAt = true, h.incarnation, w.now
+	w.queue.push(event{at: w.now + h.idleTimeout, kind: evIdleCheck, subject: w.requests[att.request].node, detail: att.slot, gen: h.incarnation})
 	return true, true
 }
 
-func (w *world) idle(node, k int32) {
+func (w *world) checkIdle(node, k int32) {
 	sl := &w.nodes[node].slots[k]
 	h := &w.hosts[sl.host]
-	if !sl.linked || sl.life != h.incarnation || !h.up {
+	if !sl.connected || sl.incarnation != h.incarnation || !h.up {
 		return
 	}
-	if rests := w.now - sl.used; rests < h.idleFor || sl.open > 0 {
-		if w.now < w.s.For || w.busyA > 0 {
-			w.q.push(event{at: w.now + max(h.idleFor-rests, Second/4), kind: evIdle, a: node, b: k, gen: h.incarnation})
+	if rests := w.now - sl.usedAt; rests < h.idleTimeout || sl.inFlight > 0 {
+		if w.now < w.scenario.Duration || w.active > 0 {
+			w.queue.push(event{at: w.now + max(h.idleTimeout-rests, Second/4), kind: evIdleCheck, subject: node, detail: k, gen: h.incarnation})
 		}
 		return
 	}
-	sl.linked = false
-	h.conns--
+	sl.connected = false
+	h.connections--
 }
 
 // receiveAnswer is a node's end of an attempt: an answer, or the word that there is none.
 func (w *world) receiveAnswer(j int32) {
-	t := &w.attempts[j]
-	i := t.request
-	a := &w.requests[i]
-	n := &w.nodes[a.node]
-	sl := &n.slots[t.slot]
-	sl.open--
-	sl.used = w.now
-	out, retryIn, dont := t.outcome, t.retryIn, t.dont
-	skipped := t.skipped
-	t.atNode = false
-	for k := range a.open {
-		if a.open[k] == j {
-			a.open[k] = none
+	att := &w.attempts[j]
+	i := att.request
+	req := &w.requests[i]
+	n := &w.nodes[req.node]
+	sl := &n.slots[att.slot]
+	sl.inFlight--
+	sl.usedAt = w.now
+	out, retryIn, dont := att.outcome, att.retryIn, att.dontRetry
+	skipped := att.skipped
+	att.atNode = false
+	for k := range req.openAttempts {
+		if req.openAttempts[k] == j {
+			req.openAttempts[k] = none
 		}
 	}
-	over := a.over
-	w.free(j)
+	over := req.finished
+	w.freeAttempt(j)
 	if out == Unreachable || out == Reset {
-		sl.avoid, sl.linked = w.now+Second, false
+		sl.avoidUntil, sl.connected = w.now+Second, false
 	}
 	if over {
 		return
 	}
 	switch out {
 	case Succeeded:
-		n.accepted.add(w.now, w.s.Nodes.Window, 1)
-		sl.takes += (float64(w.now-a.born) - sl.takes) * 0.1
-		w.succeed(i, skipped)
+		n.accepted.add(w.now, w.scenario.Nodes.ThrottleWindow, 1)
+		sl.latency += (float64(w.now-req.arrivedAt) - sl.latency) * 0.1
+		w.succeedRequest(i, skipped)
 		return
 	case Errored:
-		n.accepted.add(w.now, w.s.Nodes.Window, 1)
-		a.unsure = true
+		n.accepted.add(w.now, w.scenario.Nodes.ThrottleWindow, 1)
+		req.maybeRan = true
 	case Reset:
-		a.unsure = true
+		req.maybeRan = true
 	case Throttled:
-		if !n.deaf {
-			sl.avoid = max(sl.avoid, w.now+retryIn)
-			a.unheeded = dont
+		if !n.ignoresAdvice {
+			sl.avoidUntil = max(sl.avoidUntil, w.now+retryIn)
+			req.retryForbidden = dont
 		}
 	}
 	w.retryOrEnd(i, out)
@@ -330,84 +330,84 @@
 
 // retryOrEnd is the decision about a retry.
 func (w *world) retryOrEnd(i int32, out Outcome) {
-	a := &w.requests[i]
-	n := &w.nodes[a.node]
-	op := &w.s.Operations[a.op]
-	s := &w.s.Nodes
-	if a.open[0] != none || a.open[1] != none {
+	req := &w.requests[i]
+	n := &w.nodes[req.node]
+	op := &w.scenario.Operations[req.operation]
+	s := &w.scenario.Nodes
+	if req.openAttempts[0] != none || req.openAttempts[1] != none {
 		return // a copy is still open
 	}
-	safe := out == Throttled || out == Unreachable || out == Local || op.Repeat != admission.NonIdempotent
-	if !safe || a.unheeded && !n.deaf || s.Tries > 0 && int(a.tries) >= s.Tries || out == Local {
-		w.end(i, out)
+	safe := out == Throttled || out == Unreachable || out == Local || op.RetrySafety != admission.NonIdempotent
+	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts || out == Local {
+		w.failRequest(i, out)
 		return
 	}
-	pause := float64(s.Pause) * math.Exp2(float64(min(a.tries, 8)-1))
-	if n.deaf {
-		pause = float64(s.Pause)
+	pause := float64(s.Backoff) * math.Exp2(float64(min(req.attempts, 8)-1))
+	if n.ignoresAdvice {
+		pause = float64(s.Backoff)
 	}
-	at := w.now + max(1000, Micros(pause*(0.5+w.chance.Float64())))
-	if at >= a.due {
-		w.end(i, out)
+	at := w.now + max(1000, Micros(pause*(0.5+w.nodeRand.Float64())))
+	if at >= req.due {
+		w.failRequest(i, out)
 		return
 	}
-	w.q.push(event{at: at, kind: evRetry, a: i, gen: a.gen})
+	w.queue.push(event{at: at, kind: evRetry, subject: i, gen: req.gen})
 }
 
-func (w *world) succeed(i int32, skipped bool) {
-	a := &w.requests[i]
-	op := &w.s.Operations[a.op]
-	took := w.now - a.born
+func (w *world) succeedRequest(i int32, skipped bool) {
+	req := &w.requests[i]
+	op := &w.scenario.Operations[req.operation]
+	took := w.now - req.arrivedAt
 	value := op.Value
 	if took > op.Objective {
 		value *= op.LateValue
 	}
 	if skipped {
-		value *= op.SkippedValue
+		value *= op.ValueWithoutCall
 	}
-	w.res.End(w.s, w.now, int(a.op), int(a.tenant), Succeeded, took, value)
-	w.res.Priced += value * w.price(int(a.tenant))
-	w.close(i)
+	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), Succeeded, took, value)
+	w.result.QuotaPriced += value * w.quotaPrice(int(req.tenant))
+	w.closeRequest(i)
 }
 
-// end gives an ask up. Its caller may ask anew.
-func (w *world) end(i int32, out Outcome) {
-	a := &w.requests[i]
-	w.res.End(w.s, w.now, int(a.op), int(a.tenant), out, w.now-a.born, 0)
-	op := &w.s.Operations[a.op]
-	if a.anew < 3 && w.chance.Float64() < w.s.Nodes.Behind && (op.Repeat != admission.NonIdempotent || out == Throttled || out == Local) {
-		a.anew++
-		w.notifyCallers(a)
-		a.over, a.later = true, true
-		w.q.push(event{at: w.now + Micros(float64(w.s.Nodes.BehindIn)*(0.5+w.chance.Float64())), kind: evClientRetry, a: i, gen: a.gen})
+// failRequest gives an ask up. Its caller may ask anew.
+func (w *world) failRequest(i int32, out Outcome) {
+	req := &w.requests[i]
+	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), out, w.now-req.arrivedAt, 0)
+	op := &w.scenario.Operations[req.operation]
+	if req.clientRetries < 3 && w.nodeRand.Float64() < w.scenario.Nodes.ClientRetryShare && (op.RetrySafety != admission.NonIdempotent || out == Throttled || out == Local) {
+		req.clientRetries++
+		w.notifyCallers(req)
+		req.finished, req.retriesLater = true, true
+		w.queue.push(event{at: w.now + Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())), kind: evClientRetry, subject: i, gen: req.gen})
 		return
 	}
-	w.close(i)
+	w.closeRequest(i)
 }
 
 // notifyCallers lets the hosts know, late, that nobody waits any more.
-func (w *world) notifyCallers(a *request) {
-	for _, j := range a.open {
-		if j == none || w.s.Nodes.Word < 0 {
+func (w *world) notifyCallers(req *request) {
+	for _, j := range req.openAttempts {
+		if j == none || w.scenario.Nodes.CancelDelay < 0 {
 			continue
 		}
-		if d := w.way(a.node, w.attempts[j].host); d >= 0 {
-			w.q.push(event{at: w.now + d + w.s.Nodes.Word, kind: evGone, a: j, gen: w.attempts[j].gen})
+		if d := w.networkDelay(req.node, w.attempts[j].host); d >= 0 {
+			w.queue.push(event{at: w.now + d + w.scenario.Nodes.CancelDelay, kind: evCallerGone, subject: j, gen: w.attempts[j].gen})
 		}
 	}
 }
 
-func (w *world) close(i int32) {
-	a := &w.requests[i]
-	w.notifyCallers(a)
-	a.over = true
-	w.release(i)
+func (w *world) closeRequest(i int32) {
+	req := &w.requests[i]
+	w.notifyCallers(req)
+	req.finished = true
+	w.releaseRequest(i)
 }
 
-// release frees an ask once no attempt of it is open.
-func (w *world) release(i int32) {
-	if a := &w.requests[i]; a.over && !a.later && a.refs == 0 {
-		a.over = false // once
+// releaseRequest frees an ask once no attempt of it is open.
+func (w *world) releaseRequest(i int32) {
+	if req := &w.requests[i]; req.finished && !req.retriesLater && req.liveAttempts == 0 {
+		req.finished = false // once
 		w.freeRequest(i)
 	}
 }
@@ -416,14 +416,14 @@
 func (w *world) repeatRequest(i int32) {
 	old := w.requests[i]
 	k := w.newRequest()
-	a := &w.requests[k]
-	gen := a.gen
-	*a = old
-	a.gen, a.refs, a.over, a.later, a.tries, a.unheeded, a.open = gen, 0, false, false, 0, false, [2]int32{none, none}
-	a.born, a.due = w.now, w.now+w.s.Operations[a.op].Timeout
-	w.requests[i].later = false
-	w.release(i)
-	w.res.Anew++
-	w.q.later(laneDue+int(a.op), event{at: a.due, kind: evDue, a: k, gen: a.gen})
+	req := &w.requests[k]
+	gen := req.gen
+	*req = old
+	req.gen, req.liveAttempts, req.finished, req.retriesLater, req.attempts, req.retryForbidden, req.openAttempts = gen, 0, false, false, 0, false, [2]int32{none, none}
+	req.arrivedAt, req.due = w.now, w.now+w.scenario.Operations[req.operation].Timeout
+	w.requests[i].retriesLater = false
+	w.releaseRequest(i)
+	w.result.ClientRetries++
+	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evDue, subject: k, gen: req.gen})
 	w.startAttempt(k, false)
 }
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -12,15 +12,15 @@
 
 // Policy is what is measured: what a host decides with, and how nodes choose where that is part of it.
 type Policy struct {
-	Name      string
-	New       func(t admission.Config, seed uint64) Decider
-	Ladder    *degradation.Policy // levels of reduced service before the module; nil: none
-	Balance   *Balance            // instead of the scenario's
-	Throttles bool                // nodes throttle by themselves
-	Shares    Shares              // where hosts have their part of the tenants' quotas from
-	SeesWork  bool                // hints are the true work: an oracle's
-	About     string
-	Source    string
+	Name        string
+	New         func(t admission.Config, seed uint64) Decider
+	Degradation *degradation.Policy // levels of reduced service before the module; nil: none
+	Balance     *Balance            // instead of the scenario's
+	Throttles   bool                // nodes throttle by themselves
+	QuotaSource QuotaSource         // where hosts have their part of the tenants' quotas from
+	KnowsWork   bool                // hints are the true work: an oracle's
+	Description string
+	Source      string
 }
 
 func (p *Policy) balance(s *Scenario) Balance {
@@ -41,49 +41,49 @@
 	short := pooled(func(*pool) {})
 	return []Policy{
 		{
-			Name: Module, About: "the module, unchanged",
+			Name: Module, Description: "the module, unchanged",
 			New:    func(t admission.Config, seed uint64) Decider { return admission.New(t, seed) },
 			Source: "docs/design.md",
 		},
-		{Name: "pool", New: short, About: "a run a core, and a line of four a core, in turn", Source: "the ordinary thread pool"},
+		{Name: "pool", New: short, Description: "a run a core, and a line of four a core, in turn", Source: "the ordinary thread pool"},
 		{
-			Name: "none", New: pooled(func(p *pool) { p.limit, p.line = 1<<30, 0 }), About: "all that comes is run at once",
+			Name: "none", New: pooled(func(p *pool) { p.concurrency, p.queueLimit = 1<<30, 0 }), Description: "all that comes is run at once",
 			Source: "no admission",
 		},
 		{
-			Name: "fixed", New: pooled(func(p *pool) { p.limit, p.line = 4*p.t.Cores, 0 }),
-			About: "four runs a core, no line", Source: "a fixed limit of concurrency",
+			Name: "fixed", New: pooled(func(p *pool) { p.concurrency, p.queueLimit = 4*p.config.Cores, 0 }),
+			Description: "four runs a core, no line", Source: "a fixed limit of concurrency",
 		},
 		{
-			Name: "aimd", New: pooled(func(p *pool) { p.limit, p.line, p.adapt = 4*p.t.Cores, 0, aimd }),
-			About:  "a limit that grows by one a round of successes and falls by a tenth when one is late",
-			Source: "Jacobson, Congestion Avoidance and Control, 1988; as a limit of concurrency",
+			Name: "aimd", New: pooled(func(p *pool) { p.concurrency, p.queueLimit, p.adapt = 4*p.config.Cores, 0, adaptAIMD }),
+			Description: "a limit that grows by one a round of successes and falls by a tenth when one is late",
+			Source:      "Jacobson, Congestion Avoidance and Control, 1988; as a limit of concurrency",
 		},
 		{
-			Name: "gradient", New: pooled(func(p *pool) { p.limit, p.line, p.adapt = 4*p.t.Cores, 0, gradient }),
-			About:  "a limit that follows the long-term by the present time of a run, with room for a root of itself",
-			Source: "the gradient limit, Performance Under Load, Netflix Technology Blog, 2018",
+			Name: "gradient", New: pooled(func(p *pool) { p.concurrency, p.queueLimit, p.adapt = 4*p.config.Cores, 0, adaptGradient }),
+			Description: "a limit that follows the long-term by the present time of a run, with room for a root of itself",
+			Source:      "the gradient limit, Performance Under Load, Netflix Technology Blog, 2018",
 		},
 		{
-			Name: "codel", New: pooled(func(p *pool) { p.line, p.delay = 64*p.t.Cores, 100*Millisecond }),
-			About:  "newest first once the line has not been empty for 100 ms; what waited longer than allowed is turned away",
-			Source: "Nichols and Jacobson, Controlling Queue Delay, 2012; adaptive LIFO, Maurer, Fail at Scale, 2015",
+			Name: "codel", New: pooled(func(p *pool) { p.queueLimit, p.targetDelay = 64*p.config.Cores, 100*Millisecond }),
+			Description: "newest first once the line has not been empty for 100 ms; what waited longer than allowed is turned away",
+			Source:      "Nichols and Jacobson, Controlling Queue Delay, 2012; adaptive LIFO, Maurer, Fail at Scale, 2015",
 		},
 		{
-			Name: "client", New: short, Throttles: true, About: "pool, and nodes that throttle by the share accepted of late",
+			Name: "client", New: short, Throttles: true, Description: "pool, and nodes that throttle by the share accepted of late",
 			Source: "Handling Overload, Site Reliability Engineering, 2016",
 		},
 		{
-			Name: "two-choices", New: short, Balance: &two, About: "pool, and nodes that take the emptier of two hosts",
+			Name: "two-choices", New: short, Balance: &two, Description: "pool, and nodes that take the emptier of two hosts",
 			Source: "Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 1996",
 		},
 		{
-			Name: "least-load", New: short, Balance: &least, About: "pool, and nodes that weigh what they have open by how long it takes",
+			Name: "least-load", New: short, Balance: &least, Description: "pool, and nodes that weigh what they have open by how long it takes",
 			Source: "weighted least load",
 		},
 		{
-			Name: "oracle", Balance: &oracle, SeesWork: true, About: "sees each host's true work 0.1 s late, and the work of what comes; by value for its work",
-			New:    pooled(func(p *pool) { p.line, p.dear = 1<<20, true }),
+			Name: "oracle", Balance: &oracle, KnowsWork: true, Description: "sees each host's true work 0.1 s late, and the work of what comes; by value for its work",
+			New:    pooled(func(p *pool) { p.queueLimit, p.byValue = 1<<20, true }),
 			Source: "not to be had: what stands between the module and the possible",
 		},
 	}
@@ -92,9 +92,9 @@
 // pooled makes a baseline of a thread pool, a run a core and a queue of four a core unless shape sets it otherwise.
 func pooled(shape func(*pool)) func(admission.Config, uint64) Decider {
 	return func(t admission.Config, _ uint64) Decider {
-		p := &pool{t: t, by: map[string]*poolJob{}, drainAt: never, stopAt: never}
+		p := &pool{config: t, runsByID: map[string]*pooledRun{}, drainingAt: never, stopAt: never}
 		p.tick = max(min(20*Millisecond, t.AnswerSlack/3), Millisecond)
-		p.limit, p.line = t.Cores, 4*t.Cores
+		p.concurrency, p.queueLimit = t.Cores, 4*t.Cores
 		shape(p)
 		return p
 	}
@@ -118,179 +118,181 @@
 // pool is the frame of the baselines. It keeps the four rules as the module must: else a comparison would be with
 // something that nobody may run.
 type pool struct {
-	t               admission.Config
-	limit, line     int // runs at once, and how many wait
-	adapt           func(p *pool, now Micros, took Micros, late bool)
-	delay           Micros // of controlled delay; 0: in turn
-	dear            bool   // by value for its work
-	by              map[string]*poolJob
-	waits           []*poolJob
-	all             []*poolJob
-	running         int
-	tick            Micros
-	drainAt, stopAt Micros
-	emptyAt         Micros  // the line was empty last
-	long, now       float64 // times of runs, long-term and at present
-	size            float64 // the limit, exactly
-	round           int
+	config                  admission.Config
+	concurrency, queueLimit int // runs at once, and how many wait
+	adapt                   func(p *pool, now Micros, took Micros, late bool)
+	targetDelay             Micros // of controlled delay; 0: in turn
+	byValue                 bool   // by value for its work
+	runsByID                map[string]*pooledRun
+	queue                   []*pooledRun
+	runs                    []*pooledRun
+	running                 int
+	tick                    Micros
+	drainingAt, stopAt      Micros
+	queueEmptyAt            Micros  // the line was empty last
+	longTerm, shortTerm     float64 // times of runs, long-term and at present
+	estimate                float64 // the limit, exactly
+	successes               int
 }
 
-type poolJob struct {
-	id                  string
-	arrived, due, begun Micros
-	want                Micros
-	worth               float64
-	work                Micros
-	runs, answered      bool
+type pooledRun struct {
+	id                          string
+	arrivedAt, dueAt, startedAt Micros
+	objectiveAt                 Micros
+	valueDensity                float64
+	work                        Micros
+	running, answered           bool
 }
 
 func (p *pool) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	switch e := ev.(type) {
 	case admission.Opened:
-		p.emptyAt = now
+		p.queueEmptyAt = now
 		return append(out, admission.Wake{At: now + p.tick, Token: 1})
 	case admission.Reading:
-		return append(p.fill(now, p.sweep(now, out)), admission.Wake{At: now + p.tick, Token: 1})
+		return append(p.startNext(now, p.expire(now, out)), admission.Wake{At: now + p.tick, Token: 1})
 	case admission.DrainNotice:
-		p.drainAt, p.stopAt = now, now+e.Left
-		return p.sweep(now, append(out, admission.SetHealth{}))
+		p.drainingAt, p.stopAt = now, now+e.Left
+		return p.expire(now, append(out, admission.SetHealth{}))
 	case admission.Arrived:
 		out = p.arrive(now, e, out)
 	case admission.Finished:
-		if j := p.by[e.ID]; j != nil {
-			p.drop(j)
+		if j := p.runsByID[e.ID]; j != nil {
+			p.remove(j)
 			if p.adapt != nil && e.Outcome == admission.OK {
-				p.adapt(p, now, now-j.begun, now > j.want)
+				p.adapt(p, now, now-j.startedAt, now > j.objectiveAt)
 			}
 		}
 	case admission.CallerGone:
-		if j := p.by[e.ID]; j != nil {
+		if j := p.runsByID[e.ID]; j != nil {
 			j.answered = true
-			if !j.runs {
-				p.drop(j)
+			if !j.running {
+				p.remove(j)
 			}
 		}
 	case admission.NeedsCall:
-		if j := p.by[e.ID]; j != nil && !j.answered {
-			return append(out, admission.Call{ID: e.ID, Timeout: max(1000, min(j.due, p.last())-now)})
+		if j := p.runsByID[e.ID]; j != nil && !j.answered {
+			return append(out, admission.Call{ID: e.ID, Timeout: max(1000, min(j.dueAt, p.lastAnswerAt())-now)})
 		}
 	case admission.CallReturned:
-		if j := p.by[e.ID]; j != nil && e.Outcome != admission.OK && !j.answered {
+		if j := p.runsByID[e.ID]; j != nil && e.Outcome != admission.OK && !j.answered {
 			j.answered = true
 			return append(out, admission.Fail{ID: e.ID})
 		}
 	}
-	return p.fill(now, out)
+	return p.startNext(now, out)
 }
 
-func (p *pool) last() Micros { return p.stopAt - 3*p.tick }
+func (p *pool) lastAnswerAt() Micros { return p.stopAt - 3*p.tick }
 
 func (p *pool) arrive(now Micros, a admission.Arrived, out []admission.Action) []admission.Action {
-	op := &p.t.Operations[a.Operation]
-	if now-a.QueueTime > p.drainAt+p.t.DrainGrace || now >= p.last() || a.ShedFor > 0 {
+	op := &p.config.Operations[a.Operation]
+	if now-a.QueueTime > p.drainingAt+p.config.DrainGrace || now >= p.lastAnswerAt() || a.ShedFor > 0 {
 		return append(out, admission.Throttle{ID: a.ID})
 	}
-	if p.running >= p.limit && len(p.waits) >= p.line && !p.dear {
+	if p.running >= p.concurrency && len(p.queue) >= p.queueLimit && !p.byValue {
 		return append(out, admission.Throttle{ID: a.ID})
 	}
-	j := &poolJob{id: a.ID, arrived: now - a.QueueTime, due: now + a.TimeLeft, work: a.ExpectedWork}
-	j.want = min(j.due, j.arrived+op.Objective)
-	j.worth = (a.Priority + 0.01) / float64(max(a.ExpectedWork, 1000))
-	p.by[a.ID] = j
-	p.all = append(p.all, j)
-	p.waits = append(p.waits, j)
+	j := &pooledRun{id: a.ID, arrivedAt: now - a.QueueTime, dueAt: now + a.TimeLeft, work: a.ExpectedWork}
+	j.objectiveAt = min(j.dueAt, j.arrivedAt+op.Objective)
+	j.valueDensity = (a.Priority + 0.01) / float64(max(a.ExpectedWork, 1000))
+	p.runsByID[a.ID] = j
+	p.runs = append(p.runs, j)
+	p.queue = append(p.queue, j)
 	return out
 }
 
-func (p *pool) drop(j *poolJob) {
-	delete(p.by, j.id)
-	is := func(o *poolJob) bool { return o == j }
-	p.all = slices.DeleteFunc(p.all, is)
-	if j.runs {
+func (p *pool) remove(j *pooledRun) {
+	delete(p.runsByID, j.id)
+	is := func(o *pooledRun) bool { return o == j }
+	p.runs = slices.DeleteFunc(p.runs, is)
+	if j.running {
 		p.running--
 	} else {
-		p.waits = slices.DeleteFunc(p.waits, is)
+		p.queue = slices.DeleteFunc(p.queue, is)
 	}
 }
 
-// fill starts what may run: in turn, the newest first under delay, or the dearest for its work.
-func (p *pool) fill(now Micros, out []admission.Action) []admission.Action {
-	for p.running < p.limit && len(p.waits) > 0 {
+// startNext starts what may run: in turn, the newest first under delay, or the dearest for its work.
+func (p *pool) startNext(now Micros, out []admission.Action) []admission.Action {
+	for p.running < p.concurrency && len(p.queue) > 0 {
 		k := 0
 		switch {
-		case p.dear:
-			for i, j := range p.waits {
-				if j.worth > p.waits[k].worth {
+		case p.byValue:
+			for i, j := range p.queue {
+				if j.valueDensity > p.queue[k].valueDensity {
 					k = i
 				}
 			}
-		case p.delay > 0 && now-p.emptyAt > p.delay:
-			k = len(p.waits) - 1
+		case p.targetDelay > 0 && now-p.queueEmptyAt > p.targetDelay:
+			k = len(p.queue) - 1
 		}
-		j := p.waits[k]
-		if p.dear && now+j.work > j.want || now+p.tick >= j.due {
-			p.drop(j)
+		j := p.queue[k]
+		if p.byValue && now+j.work > j.objectiveAt || now+p.tick >= j.dueAt {
+			p.remove(j)
 			out = append(out, admission.Throttle{ID: j.id})
 			continue
 		}
-		p.waits = slices.Delete(p.waits, k, k+1)
-		j.runs, j.begun = true, now
+		p.queue = slices.Delete(p.queue, k, k+1)
+		j.running, j.startedAt = true, now
 		p.running++
 		out = append(out, admission.Start{ID: j.id})
 	}
-	if len(p.waits) == 0 {
-		p.emptyAt = now
+	if len(p.queue) == 0 {
+		p.queueEmptyAt = now
 	}
 	return out
 }
 
-// sweep answers what can wait no longer; under delay, what has waited longer than allowed: 5 ms while the line does not
+// expire answers what can wait no longer; under delay, what has waited longer than allowed: 5 ms while the line does not
 // empty, else 100.
-func (p *pool) sweep(now Micros, out []admission.Action) []admission.Action {
-	for _, j := range slices.Clone(p.all) {
-		allowed := p.delay
-		if now-p.emptyAt > p.delay {
-			allowed = p.delay / 20
+func (p *pool) expire(now Micros, out []admission.Action) []admission.Action {
+	for _, j := range slices.Clone(p.runs) {
+		allowed := p.targetDelay
+		if now-p.queueEmptyAt > p.targetDelay {
+			allowed = p.targetDelay / 20
 		}
-		due := now+p.tick >= min(j.due, p.last())
+		due := now+p.tick >= min(j.dueAt, p.lastAnswerAt())
 		switch {
 		case j.answered:
-		case j.runs && due:
+		case j.running && due:
 			j.answered = true
 			out = append(out, admission.Fail{ID: j.id})
-		case !j.runs && (due || p.delay > 0 && now-j.arrived > allowed || p.dear && now+j.work > j.want):
-			p.drop(j)
+		case !j.running && (due || p.targetDelay > 0 && now-j.arrivedAt > allowed || p.byValue && now+j.work > j.objectiveAt):
+			p.remove(j)
 			out = append(out, admission.Throttle{ID: j.id})
 		}
 	}
 	return out
 }
 
-// bears is what a host is set up to bear at the most: nobody lets a limit grow past that.
-func (p *pool) bears() float64 { return 0.8 * p.t.CollapseMultiple * float64(p.t.Cores) }
+// maxConcurrency is what a host is set up to bear at the most: nobody lets a limit grow past that.
+func (p *pool) maxConcurrency() float64 {
+	return 0.8 * p.config.CollapseMultiple * float64(p.config.Cores)
+}
 
-func aimd(p *pool, _, _ Micros, late bool) {
+func adaptAIMD(p *pool, _, _ Micros, late bool) {
 	if late {
-		p.limit = max(p.t.Cores, p.limit*9/10)
-		p.round = 0
-	} else if p.round++; p.round >= p.limit && p.running >= p.limit/2 {
-		p.limit, p.round = min(p.limit+1, int(p.bears())), 0
+		p.concurrency = max(p.config.Cores, p.concurrency*9/10)
+		p.successes = 0
+	} else if p.successes++; p.successes >= p.concurrency && p.running >= p.concurrency/2 {
+		p.concurrency, p.successes = min(p.concurrency+1, int(p.maxConcurrency())), 0
 	}
 }
 
-func gradient(p *pool, _, took Micros, _ bool) {
+func adaptGradient(p *pool, _, took Micros, _ bool) {
 	x := float64(took)
-	if p.long == 0 {
-		p.long, p.now, p.size = x, x, float64(p.limit)
+	if p.longTerm == 0 {
+		p.longTerm, p.shortTerm, p.estimate = x, x, float64(p.concurrency)
 	}
-	p.now += (x - p.now) * 0.1
-	p.long += (x - p.long) * 0.002
-	if p.long > 2*p.now { // after a long crowd the usual is forgotten faster
-		p.long *= 0.95
+	p.shortTerm += (x - p.shortTerm) * 0.1
+	p.longTerm += (x - p.longTerm) * 0.002
+	if p.longTerm > 2*p.shortTerm { // after a long crowd the usual is forgotten faster
+		p.longTerm *= 0.95
 	}
-	g := max(0.5, min(1, 1.5*p.long/p.now))
-	if p.running >= p.limit/2 {
-		p.size = p.size*0.8 + 0.2*(p.size*g+math.Sqrt(p.size))
+	g := max(0.5, min(1, 1.5*p.longTerm/p.shortTerm))
+	if p.running >= p.concurrency/2 {
+		p.estimate = p.estimate*0.8 + 0.2*(p.estimate*g+math.Sqrt(p.estimate))
 	}
-	p.limit = int(max(float64(p.t.Cores), min(p.size, p.bears())))
+	p.concurrency = int(max(float64(p.config.Cores), min(p.estimate, p.maxConcurrency())))
 }
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -1,43 +1,43 @@
 package simulation
 
-// kind of an event. What happens at one time happens in the order in which it was scheduled.
-type kind uint8
+// eventKind of an event. What happens at one time happens in the order in which it was scheduled.
+type eventKind uint8
 
 const (
-	evLoad         kind = iota // the next request comes
-	evReach                    // attempt a reaches its host
-	evCores                    // the cores of host a end something, or may
-	evWake                     // host a's policy asked for a reading
-	evAnswer                   // attempt a's answer reaches its node
-	evDue                      // the caller of ask a waits no longer
-	evRetry                    // ask a has its retry
-	evHedge                    // ask a sends a copy, if it is still open
-	evGone                     // attempt a's host hears that the caller has left
-	evBelow                    // the dependency ends a call, or may
-	evCall                     // the time of attempt a's call is over
-	evRefresh                  // node a looks at the endpoint registry
-	evListed                   // the endpoint registry takes host a in, or leaves it out (b)
-	evIdle                     // node a's connection to its host b may have rested for too long
-	evCold                     // host a is a little warmer
-	evOverload                 // host a has been beyond its crowd for long, or was
-	evFault                    // trouble a begins
-	evFaultOver                // trouble a ends
-	evStop                     // the process of host a ends
-	evBack                     // host a has a new process
-	evSampleSecond             // the state of the hosts is written down
-	evLease                    // a host renews what it holds of the fleet's budgets
-	evExpiry                   // the quota store's clerk looks
-	evClientRetry              // the caller of an ask asks anew
-	evAgent                    // agent a looks at its hosts
+	evLoad         eventKind = iota // the next request comes
+	evReach                         // attempt a reaches its host
+	evCores                         // the cores of host a end something, or may
+	evWake                          // host a's policy asked for a reading
+	evAnswer                        // attempt a's answer reaches its node
+	evDue                           // the caller of ask a waits no longer
+	evRetry                         // ask a has its retry
+	evHedge                         // ask a sends a copy, if it is still open
+	evCallerGone                    // attempt a's host hears that the caller has left
+	evDependency                    // the dependency ends a call, or may
+	evCallTimeout                   // the time of attempt a's call is over
+	evRefresh                       // node a looks at the endpoint registry
+	evListed                        // the endpoint registry takes host a in, or leaves it out (b)
+	evIdleCheck                     // node a's connection to its host b may have rested for too long
+	evWarmUp                        // host a is a little warmer
+	evOverload                      // host a has been beyond its crowd for long, or was
+	evFault                         // trouble a begins
+	evFaultOver                     // trouble a ends
+	evStop                          // the process of host a ends
+	evRestart                       // host a has a new process
+	evSampleSecond                  // the state of the hosts is written down
+	evLease                         // a host renews what it holds of the fleet's budgets
+	evExpiry                        // the quota store's clerk looks
+	evClientRetry                   // the caller of an ask asks anew
+	evAgent                         // agent a looks at its hosts
 )
 
 // event is 32 bytes on purpose: millions of them lie in the queue.
 type event struct {
-	at   Micros
-	seq  uint64
-	a, b int32
-	gen  uint32
-	kind kind
+	at              Micros
+	seq             uint64
+	subject, detail int32
+	gen             uint32
+	kind            eventKind
 }
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
@@ -62,11 +62,11 @@
 	laneNet = iota
 	laneTick
 	laneDue
-	mostDues = 6
+	maxDueLanes = 6
 )
 
-// later schedules what comes after a fixed delay, in that delay's lane. Where it does not come last, it goes into the heap.
-func (q *queue) later(n int, e event) {
+// retriesLater schedules what comes after a fixed delay, in that delay's lane. Where it does not come last, it goes into the heap.
+func (q *queue) pushLane(n int, e event) {
 	if n >= len(q.lanes) {
 		q.push(e)
 		return
@@ -91,7 +91,7 @@
 	l.tail++
 }
 
-// next takes the earliest out; false: there is none.
+// completionAt takes the earliest out; false: there is none.
 func (q *queue) next() (event, bool) {
 	best, from := (*event)(nil), -1
 	if len(q.heap) > 0 {
@@ -162,32 +162,32 @@
 	return top
 }
 
-// shared is work that shares something evenly: each job gets the same, so all that is kept is how much one job has had
+// sharedWork is work that shares something evenly: each job gets the same, so all that is kept is how much one job has had
 // since the start (given), and for each job at how much it ends.
-type shared struct {
-	given float64 // microseconds of full speed that each job present since the start would have had
-	rate  float64 // of it by microsecond, now
-	at    Micros
-	jobs  []job // heap by end
-	live  int   // those not taken off
-	next  Micros
-	gen   uint32
+type sharedWork struct {
+	progress     float64 // microseconds of full speed that each job present since the start would have had
+	rate         float64 // of it by microsecond, now
+	updatedAt    Micros
+	jobs         []job // heap by end
+	running      int   // those not taken off
+	completionAt Micros
+	generation   uint32
 }
 
 type job struct {
-	end float64
-	who int32
-	gen uint32 // of the attempt when it came; another one by now: taken off
-	sub uint8
+	end        float64
+	attempt    int32
+	generation uint32 // of the attempt when it came; another one by now: taken off
+	stage      uint8
 }
 
-func (s *shared) move(now Micros) {
-	s.given += s.rate * float64(now-s.at)
-	s.at = now
+func (s *sharedWork) advance(now Micros) {
+	s.progress += s.rate * float64(now-s.updatedAt)
+	s.updatedAt = now
 }
 
-func (s *shared) push(j job) {
-	s.live++
+func (s *sharedWork) push(j job) {
+	s.running++
 	s.jobs = append(s.jobs, j)
 	h, i := s.jobs, len(s.jobs)-1
 	for i > 0 {
@@ -201,7 +201,7 @@
 	h[i] = j
 }
 
-func (s *shared) pop() job {
+func (s *sharedWork) pop() job {
 	h := s.jobs
 	top, last := h[0], h[len(h)-1]
 	h = h[:len(h)-1]
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -8,90 +8,90 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// Shares says where a host's part of the tenants' quotas comes from.
-type Shares int
+// QuotaSource says where a host's part of the tenants' quotas comes from.
+type QuotaSource int
 
 // The ways. Guess is the module's own, by the fleet's size that it was told; the others tell it.
 const (
-	Guess   Shares = iota
-	Divided        // by manage/budget's quota store, unchanged, with leases that hosts hold
-	EvenCut        // an even part of the quota by the size that was told, and not more, whoever is there
-	Whole          // an oracle's: one count for all hosts, seen at once
+	GuessedQuotas QuotaSource = iota
+	LeasedQuotas              // by manage/budget's quota store, unchanged, with leases that hosts hold
+	EvenQuotas                // an even part of the quota by the size that was told, and not more, whoever is there
+	GlobalQuotas              // an oracle's: one count for all hosts, seen at once
 )
 
-var sharesNames = []string{"guess", "divided", "even", "whole"}
+var quotaSourceNames = []string{"guess", "divided", "even", "whole"}
 
-// SharesNamed finds a way by its name.
-func SharesNamed(name string) Shares { return Shares(index(sharesNames, name)) }
+// QuotaSourceNamed finds a way by its name.
+func QuotaSourceNamed(name string) QuotaSource { return QuotaSource(indexOf(quotaSourceNames, name)) }
 
-// SharesNames lists them.
-func SharesNames() []string { return sharesNames }
+// QuotaSourceNames lists them.
+func QuotaSourceNames() []string { return quotaSourceNames }
 
-// Terms of the modelled quota store: a lease as installations have it, and a floor that is a part of an even share.
+// AdmissionConfig of the modelled quota store: a lease as installations have it, and a floor that is a part of an even share.
 const (
-	shareLease  = 3 * Second
-	shareMargin = shareLease / 20
-	sharePause  = shareLease / 4
-	floorPart   = 0.2
+	leaseDuration = 3 * Second
+	leaseMargin   = leaseDuration / 20
+	leaseRenewal  = leaseDuration / 4
+	floorShare    = 0.2
 )
 
-// quotaSimulation is what hosts draw from on a day with shares.
-type quotaSimulation struct {
-	mode    Shares
-	ledger  *quota.State
-	tracker quota.LeaseTracker
-	holders []*backendquota.Holder // by host
-	whole   *backendquota.Holder   // the oracle's
-	index   []int                  // by tenant: its budget in a holder, or -1
-	names   []string
+// quotas is what hosts draw from on a day with shares.
+type quotaState struct {
+	source     QuotaSource
+	store      *quota.State
+	tracker    quota.LeaseTracker
+	holders    []*backendquota.Holder // by host
+	global     *backendquota.Holder   // the oracle's
+	limitIndex []int                  // by tenant: its budget in a holder, or -1
+	limitNames []string
 }
 
 func hostName(n int32) string { return fmt.Sprint("n", n) }
 
 // openQuotas begins a day's division.
 func (w *world) openQuotas() {
-	if w.p.Shares == Guess || len(w.s.Tenants) == 0 {
+	if w.policy.QuotaSource == GuessedQuotas || len(w.scenario.Tenants) == 0 {
 		return
 	}
-	sh := &quotaSimulation{mode: w.p.Shares, holders: make([]*backendquota.Holder, len(w.hosts))}
-	terms := quota.Config{Version: 1}
-	for i, t := range w.s.Tenants {
-		sh.index = append(sh.index, -1)
+	sh := &quotaState{source: w.policy.QuotaSource, holders: make([]*backendquota.Holder, len(w.hosts))}
+	config := quota.Config{Version: 1}
+	for i, t := range w.scenario.Tenants {
+		sh.limitIndex = append(sh.limitIndex, -1)
 		if t.Quota < 1 {
 			continue
 		}
-		sh.index[i] = len(sh.names)
+		sh.limitIndex[i] = len(sh.limitNames)
 		b := quota.Limit{
-			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: quota.Micros(shareLease),
-			ClockMargin: quota.Micros(shareMargin), Tenant: t.Name, Floors: map[string]int64{},
+			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: quota.Micros(leaseDuration),
+			ClockMargin: quota.Micros(leaseMargin), Tenant: t.Name, Floors: map[string]int64{},
 		}
-		floor := int64(floorPart * t.Quota / float64(len(w.hosts)))
+		floor := int64(floorShare * t.Quota / float64(len(w.hosts)))
 		for n := range w.hosts {
 			b.Floors[hostName(int32(n))] = floor
 		}
-		sh.names = append(sh.names, b.Name)
-		terms.Limits = append(terms.Limits, b)
-	}
-	w.quotaState = sh
-	switch sh.mode {
-	case Divided:
-		sh.ledger = quota.NewState()
-		sh.ledger.Apply(quota.Command{Config: &terms})
-		sh.tracker.BecomeLeader(quota.Micros(w.now), sh.ledger, false)
-		w.q.push(event{at: w.now + 1, kind: evExpiry})
-	case Whole:
-		sh.whole = fixedHolder("all", "1", terms.Limits, 1)
+		sh.limitNames = append(sh.limitNames, b.Name)
+		config.Limits = append(config.Limits, b)
+	}
+	w.quotas = sh
+	switch sh.source {
+	case LeasedQuotas:
+		sh.store = quota.NewState()
+		sh.store.Apply(quota.Command{Config: &config})
+		sh.tracker.BecomeLeader(quota.Micros(w.now), sh.store, false)
+		w.queue.push(event{at: w.now + 1, kind: evExpiry})
+	case GlobalQuotas:
+		sh.global = fixedHolder("all", "1", config.Limits, 1)
 	}
 }
 
 // fixedHolder draws from a part of each budget, for good.
-func fixedHolder(name, life string, all []quota.Limit, parts int64) *backendquota.Holder {
+func fixedHolder(name, incarnation string, all []quota.Limit, parts int64) *backendquota.Holder {
 	names := make([]string, 0, len(all))
 	for _, b := range all {
 		names = append(names, b.Name)
 	}
-	h := backendquota.New(name, life, names)
-	a := backendquota.LeaseResponse{Name: name, Incarnation: life, Number: h.NewRequest(0).Number}
+	h := backendquota.New(name, incarnation, names)
+	a := backendquota.LeaseResponse{Name: name, Incarnation: incarnation, Number: h.NewRequest(0).Number}
 	for _, b := range all {
 		a.Grants = append(a.Grants, backendquota.Grant{Budget: b.Name, Epoch: 1, Floor: b.Total / parts})
 	}
@@ -101,51 +101,51 @@
 	return h
 }
 
-// price is what one that succeeds now is worth beside its billed value: less beyond its tenant's quota, counted over all hosts
-// at once, whatever the policy knew of it.
-func (w *world) price(tenant int) float64 {
-	if len(w.s.Tenants) == 0 || w.s.Tenants[tenant].Quota < 1 {
+// quotaPrice is what one that succeeds now is worth beside its billed value: less beyond its tenant's quota, counted over all hosts
+// attempt once, whatever the policy knew of it.
+func (w *world) quotaPrice(tenant int) float64 {
+	if len(w.scenario.Tenants) == 0 || w.scenario.Tenants[tenant].Quota < 1 {
 		return 1
 	}
-	if w.quotas == nil {
+	if w.pricing == nil {
 		var all []quota.Limit
-		for i, t := range w.s.Tenants {
+		for i, t := range w.scenario.Tenants {
 			all = append(all, quota.Limit{Name: fmt.Sprint(i), Total: int64(t.Quota)})
 		}
-		w.quotas = fixedHolder("all", "price", all, 1)
+		w.pricing = fixedHolder("all", "price", all, 1)
 	}
-	if w.quotas.TryAcquire(backendquota.Micros(w.now), tenant) {
+	if w.pricing.TryAcquire(backendquota.Micros(w.now), tenant) {
 		return 1
 	}
-	return overShare
+	return overQuotaValue
 }
 
-// beginQuotas gives a host's new process its side.
-func (w *world) beginQuotas(h *host) {
-	sh := w.quotaState
-	if sh == nil || sh.mode == Whole {
+// startQuotas gives a host's new process its side.
+func (w *world) startQuotas(h *host) {
+	sh := w.quotas
+	if sh == nil || sh.source == GlobalQuotas {
 		return
 	}
-	name, life := hostName(h.number), fmt.Sprint(h.incarnation)
-	if sh.mode == EvenCut {
+	name, incarnation := hostName(h.number), fmt.Sprint(h.incarnation)
+	if sh.source == EvenQuotas {
 		var all []quota.Limit
-		for i, t := range w.s.Tenants {
-			if sh.index[i] >= 0 {
-				all = append(all, quota.Limit{Name: sh.names[sh.index[i]], Total: int64(t.Quota)})
+		for i, t := range w.scenario.Tenants {
+			if sh.limitIndex[i] >= 0 {
+				all = append(all, quota.Limit{Name: sh.limitNames[sh.limitIndex[i]], Total: int64(t.Quota)})
 			}
 		}
-		sh.holders[h.number] = fixedHolder(name, life, all, int64(w.s.Hosts.told()))
+		sh.holders[h.number] = fixedHolder(name, incarnation, all, int64(w.scenario.Hosts.fleetSize()))
 		return
 	}
-	sh.holders[h.number] = backendquota.New(name, life, sh.names)
+	sh.holders[h.number] = backendquota.New(name, incarnation, sh.limitNames)
 	// Hosts ask spread over the pause, as agents that were started at their own times do.
-	w.q.push(event{at: w.now + 1 + Micros(h.number)*sharePause/Micros(len(w.hosts)), kind: evLease, a: h.number, gen: h.incarnation})
+	w.queue.push(event{at: w.now + 1 + Micros(h.number)*leaseRenewal/Micros(len(w.hosts)), kind: evLease, subject: h.number, gen: h.incarnation})
 }
 
-// told is the fleet's size as hosts were told it.
-func (h *HostTerms) told() int {
-	if h.Told > 0 {
-		return h.Told
+// fleetSize is the fleet's size as hosts were told it.
+func (h *HostConfig) fleetSize() int {
+	if h.ReportedFleetSize > 0 {
+		return h.ReportedFleetSize
 	}
 	return h.Count
 }
@@ -153,33 +153,33 @@
 // renewLeases renews what a host holds, where the quota store can be reached from it. A call takes a thousandth of a lease, which
 // is left out.
 func (w *world) renewLeases(h *host) {
-	sh := w.quotaState
-	if !w.ledgerCut || h.number >= w.cutHosts {
+	sh := w.quotas
+	if !w.quotaStoreCut || h.number >= w.partitionedHosts {
 		holder, now := sh.holders[h.number], backendquota.Micros(w.now)
-		r := sh.ledger.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
+		r := sh.store.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
 		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
 			_ = holder.Apply(now, r.Answers[0]) // a refused answer leaves the shares as they are
 		}
 	}
-	w.q.push(event{at: w.now + sharePause, kind: evLease, a: h.number, gen: h.incarnation})
+	w.queue.push(event{at: w.now + leaseRenewal, kind: evLease, subject: h.number, gen: h.incarnation})
 }
 
 // expireLeases has the quota store's clerk look for what is over.
 func (w *world) expireLeases() {
-	sh := w.quotaState
-	if over, divide := sh.tracker.Tick(quota.Micros(w.now), sh.ledger); divide || len(over) > 0 {
-		sh.ledger.Apply(quota.Command{Expire: over, Rebalance: divide})
+	sh := w.quotas
+	if over, divide := sh.tracker.Tick(quota.Micros(w.now), sh.store); divide || len(over) > 0 {
+		sh.store.Apply(quota.Command{Expire: over, Rebalance: divide})
 	}
-	if w.now < w.s.For {
-		w.q.push(event{at: w.now + sharePause/4, kind: evExpiry})
+	if w.now < w.scenario.Duration {
+		w.queue.push(event{at: w.now + leaseRenewal/4, kind: evExpiry})
 	}
 }
 
 // releaseQuotas tells the quota store that a process has ended, as the agent of its host would.
 func (w *world) releaseQuotas(h *host) {
-	if sh := w.quotaState; sh != nil && sh.mode == Divided && (!w.ledgerCut || h.number >= w.cutHosts) {
+	if sh := w.quotas; sh != nil && sh.source == LeasedQuotas && (!w.quotaStoreCut || h.number >= w.partitionedHosts) {
 		name := hostName(h.number)
-		sh.ledger.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []string{quota.ClientKey(name, fmt.Sprint(h.incarnation))}}})
+		sh.store.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []string{quota.ClientKey(name, fmt.Sprint(h.incarnation))}}})
 	}
 }
 
@@ -190,32 +190,32 @@
 		return admission.QuotaUnknown
 	}
 	if holder.TryAcquire(backendquota.Micros(w.now), i) {
-		w.res.Within++
+		w.result.WithinQuota++
 		return admission.WithinQuota
 	}
-	w.res.Beyond++
+	w.result.OverQuota++
 	return admission.OverQuota
 }
 
 // refundQuota lets others have the unit that was drawn for what never ran.
-func (w *world) refundQuota(h *host, t *attempt) {
-	if !t.drew {
+func (w *world) refundQuota(h *host, att *attempt) {
+	if !att.quotaDrawn {
 		return
 	}
-	t.drew = false
-	if holder, i := w.holderFor(h, int(w.requests[t.request].tenant)); holder != nil {
+	att.quotaDrawn = false
+	if holder, i := w.holderFor(h, int(w.requests[att.request].tenant)); holder != nil {
 		holder.Refund(backendquota.Micros(w.now), i)
 	}
 }
 
 // holderFor is what a host draws a tenant's units from, and the budget there; nil where nothing tells it.
 func (w *world) holderFor(h *host, tenant int) (*backendquota.Holder, int) {
-	sh := w.quotaState
-	if sh == nil || sh.index[tenant] < 0 {
+	sh := w.quotas
+	if sh == nil || sh.limitIndex[tenant] < 0 {
 		return nil, 0
 	}
-	if sh.whole != nil {
-		return sh.whole, sh.index[tenant]
+	if sh.global != nil {
+		return sh.global, sh.limitIndex[tenant]
 	}
-	return sh.holders[h.number], sh.index[tenant]
+	return sh.holders[h.number], sh.limitIndex[tenant]
 }
--- a/internal/simulation/read.go
+++ b/internal/simulation/read.go
@@ -18,16 +18,16 @@
 	noTime = time.Duration(0)
 )
 
-func micros(d time.Duration) Micros      { return Micros(d.Microseconds()) }
-func span(m Micros) time.Duration        { return time.Duration(m) * time.Microsecond }
-func index(names []string, s string) int { return slices.Index(names, s) }
+func micros(d time.Duration) Micros        { return Micros(d.Microseconds()) }
+func span(m Micros) time.Duration          { return time.Duration(m) * time.Microsecond }
+func indexOf(names []string, s string) int { return slices.Index(names, s) }
 
 // ReadScenario reads the form (scenario NAME (hosts ...) (nodes ...) ...). What it leaves out stands as in Default; what is
 // wrong goes to the form's errors.
 func ReadScenario(f *sexpr.Form) Scenario {
 	s := Default()
 	s.Name = f.Arg()
-	s.For = micros(f.Span("for", time.Millisecond, day, span(s.For)))
+	s.Duration = micros(f.Span("for", time.Millisecond, day, span(s.Duration)))
 	if h := f.Field("hosts"); h != nil {
 		readHosts(h, &s.Hosts)
 	}
@@ -35,12 +35,12 @@
 		readNodes(n, &s.Nodes)
 	}
 	if r := f.Field("register"); r != nil {
-		s.Register.Lag = micros(r.Span("lag", noTime, time.Hour, span(s.Register.Lag)))
+		s.Registry.Lag = micros(r.Span("lag", noTime, time.Hour, span(s.Registry.Lag)))
 		r.Done()
 	}
 	if b := f.Field("below"); b != nil {
-		s.Below.Slots = b.Int("slots", 1, 1_000_000, s.Below.Slots)
-		s.Below.Work = micros(b.Span("work", noTime, time.Minute, span(s.Below.Work)))
+		s.Dependency.Slots = b.Int("slots", 1, 1_000_000, s.Dependency.Slots)
+		s.Dependency.Work = micros(b.Span("work", noTime, time.Minute, span(s.Dependency.Work)))
 		b.Done()
 	}
 	if all := f.All("operation"); len(all) > 0 {
@@ -51,20 +51,20 @@
 	}
 	for _, t := range f.All("tenant") {
 		s.Tenants = append(s.Tenants, Tenant{
-			Name: t.Arg(), Share: t.Share("share", 0, 1, 1), Quota: t.Share("quota", 0, 1e9, 0), Lies: t.Share("lies", 0, 1000, 1),
+			Name: t.Arg(), Share: t.Share("share", 0, 1, 1), Quota: t.Share("quota", 0, 1e9, 0), HintFactor: t.Share("lies", 0, 1000, 1),
 		})
 		t.Done()
 	}
 	if l := f.Field("load"); l != nil {
-		s.Load.At = l.Share("at", 0, 100, s.Load.At)
-		s.Load.To = l.Share("to", 0, 100, s.Load.To)
-		s.Load.Shape = Shape(index(shapeNames, l.OneOf("shape", shapeNames[:Replay]...)))
+		s.Load.Level = l.Share("at", 0, 100, s.Load.Level)
+		s.Load.PeakLevel = l.Share("to", 0, 100, s.Load.PeakLevel)
+		s.Load.Shape = Shape(indexOf(shapeNames, l.OneOf("shape", shapeNames[:Replay]...)))
 		s.Load.Period = micros(l.Span("period", time.Millisecond, day, span(s.Load.Period)))
 		s.Load.Swing = l.Share("swing", 0, 1, s.Load.Swing)
 		l.Done()
 	}
 	for _, t := range f.All("trouble") {
-		s.Troubles = append(s.Troubles, readTrouble(t, &s))
+		s.Faults = append(s.Faults, readFault(t, &s))
 	}
 	f.Done()
 	if err := s.Check(); err != nil {
@@ -73,77 +73,77 @@
 	return s
 }
 
-func readHosts(f *sexpr.Form, h *HostTerms) {
+func readHosts(f *sexpr.Form, h *HostConfig) {
 	const mb = 1024
-	h.Count = f.Int("count", 1, MostHosts, h.Count)
-	h.Told = f.Int("told", 0, MostHosts, h.Told)
+	h.Count = f.Int("count", 1, MaxHosts, h.Count)
+	h.ReportedFleetSize = f.Int("told", 0, MaxHosts, h.ReportedFleetSize)
 	h.Cores = f.Int("cores", 1, 1024, h.Cores)
-	h.Spread = f.Share("spread", 0, 0.9, h.Spread)
-	h.Crowd = f.Share("crowd", 1, 1000, h.Crowd)
-	h.FallOver = micros(f.Span("fall-over", time.Millisecond, day, span(h.FallOver)))
-	h.Read = micros(f.Span("read", noTime, time.Second, span(h.Read)))
-	h.Handshake = micros(f.Span("handshake", noTime, time.Second, span(h.Handshake)))
+	h.SpeedSpread = f.Share("spread", 0, 0.9, h.SpeedSpread)
+	h.CollapseMultiple = f.Share("crowd", 1, 1000, h.CollapseMultiple)
+	h.CollapseAfter = micros(f.Span("fall-over", time.Millisecond, day, span(h.CollapseAfter)))
+	h.ReadWork = micros(f.Span("read", noTime, time.Second, span(h.ReadWork)))
+	h.HandshakeWork = micros(f.Span("handshake", noTime, time.Second, span(h.HandshakeWork)))
 	h.MemoryKB = mb * f.Share("memory", 1, 1<<20, h.MemoryKB/mb)
-	h.HeldKB = f.Share("held", 0, 1<<20, h.HeldKB)
+	h.RequestKB = f.Share("held", 0, 1<<20, h.RequestKB)
 	h.RunFactor = f.Share("run-factor", 1, 1000, h.RunFactor)
-	h.ColdShare = f.Share("cold-share", 0.01, 1, h.ColdShare)
-	h.ColdFor = micros(f.Span("cold-for", noTime, time.Hour, span(h.ColdFor)))
+	h.ColdSpeed = f.Share("cold-share", 0.01, 1, h.ColdSpeed)
+	h.WarmUp = micros(f.Span("cold-for", noTime, time.Hour, span(h.WarmUp)))
 	h.Connections = f.Int("connections", 1, 1_000_000, h.Connections)
-	h.IdleFor = micros(f.Span("idle-for", time.Millisecond, day, span(h.IdleFor)))
-	h.Grace = micros(f.Span("grace", noTime, time.Hour, span(h.Grace)))
-	h.Stop = micros(f.Span("stop", time.Millisecond, time.Hour, span(h.Stop)))
-	h.Slack = micros(f.Span("slack", time.Millisecond, time.Minute, span(h.Slack)))
-	h.RetryAfter = micros(f.Span("retry-after", noTime, time.Hour, span(h.RetryAfter)))
-	h.Stoppable = f.OneOf("stoppable", "no", "yes") == "yes"
+	h.IdleTimeout = micros(f.Span("idle-for", time.Millisecond, day, span(h.IdleTimeout)))
+	h.DrainGrace = micros(f.Span("grace", noTime, time.Hour, span(h.DrainGrace)))
+	h.ExitTimeout = micros(f.Span("stop", time.Millisecond, time.Hour, span(h.ExitTimeout)))
+	h.AnswerSlack = micros(f.Span("slack", time.Millisecond, time.Minute, span(h.AnswerSlack)))
+	h.MaxRetryAfter = micros(f.Span("retry-after", noTime, time.Hour, span(h.MaxRetryAfter)))
+	h.Preemptible = f.OneOf("stoppable", "no", "yes") == "yes"
 	f.Done()
 }
 
-func readNodes(f *sexpr.Form, n *NodeTerms) {
-	n.Count = f.Int("count", 1, MostNodes, n.Count)
-	n.Subset = f.Int("subset", 0, MostHosts, n.Subset)
-	n.Balance = Balance(index(balanceNames, f.OneOf("balance", balanceNames[:Oracle]...)))
-	n.Tries = f.Int("tries", 0, 1000, n.Tries)
-	n.Pause = micros(f.Span("pause", noTime, time.Minute, span(n.Pause)))
-	n.Deaf = f.Share("deaf", 0, 1, n.Deaf)
-	n.Hedge = micros(f.Span("hedge", noTime, time.Minute, span(n.Hedge)))
-	n.Word = micros(f.Span("word", noTime, time.Minute, span(n.Word)))
-	n.Net = micros(f.Span("net", noTime, time.Minute, span(n.Net)))
-	n.Behind = f.Share("behind", 0, 1, n.Behind)
-	n.BehindIn = micros(f.Span("behind-in", time.Millisecond, time.Hour, span(n.BehindIn)))
-	n.Refresh = micros(f.Span("refresh", time.Millisecond, time.Hour, span(n.Refresh)))
+func readNodes(f *sexpr.Form, n *NodeConfig) {
+	n.Count = f.Int("count", 1, MaxNodes, n.Count)
+	n.Subset = f.Int("subset", 0, MaxHosts, n.Subset)
+	n.Balance = Balance(indexOf(balanceNames, f.OneOf("balance", balanceNames[:Oracle]...)))
+	n.MaxAttempts = f.Int("tries", 0, 1000, n.MaxAttempts)
+	n.Backoff = micros(f.Span("pause", noTime, time.Minute, span(n.Backoff)))
+	n.UnresponsiveShare = f.Share("deaf", 0, 1, n.UnresponsiveShare)
+	n.HedgeDelay = micros(f.Span("hedge", noTime, time.Minute, span(n.HedgeDelay)))
+	n.CancelDelay = micros(f.Span("word", noTime, time.Minute, span(n.CancelDelay)))
+	n.NetworkDelay = micros(f.Span("net", noTime, time.Minute, span(n.NetworkDelay)))
+	n.ClientRetryShare = f.Share("behind", 0, 1, n.ClientRetryShare)
+	n.ClientRetryDelay = micros(f.Span("behind-in", time.Millisecond, time.Hour, span(n.ClientRetryDelay)))
+	n.RefreshInterval = micros(f.Span("refresh", time.Millisecond, time.Hour, span(n.RefreshInterval)))
 	n.Throttles = f.OneOf("throttles", "no", "yes") == "yes"
 	f.Done()
 }
 
 func readOperation(f *sexpr.Form) Operation {
 	o := Operation{
-		Name: f.Arg(), Value: f.Share("value", 0, 1e9, 1), Rank: f.Share("rank", 0, 1, 0.5), Share: f.Share("share", 0, 1, 1),
-		Work: micros(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)), Tail: f.Share("tail", 0, 3, 0.5),
+		Name: f.Arg(), Value: f.Share("value", 0, 1e9, 1), Priority: f.Share("rank", 0, 1, 0.5), Share: f.Share("share", 0, 1, 1),
+		Work: micros(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)), WorkSigma: f.Share("tail", 0, 3, 0.5),
 		Objective: micros(f.Span("objective", time.Millisecond, time.Hour, time.Second)),
 		Timeout:   micros(f.Span("timeout", time.Millisecond, time.Hour, 3*time.Second)), LateValue: f.Share("late-value", 0, 1, 0),
-		Hint: f.Share("hint", 0, 1000, 0), HintSpread: f.Share("hint-spread", 0, 3, 0), SkippedValue: f.Share("skipped-value", 0, 1, 0),
-		Calls: f.OneOf("calls", "no", "yes") == "yes",
+		HintFactor: f.Share("hint", 0, 1000, 0), HintSigma: f.Share("hint-spread", 0, 3, 0), ValueWithoutCall: f.Share("skipped-value", 0, 1, 0),
+		MakesCalls: f.OneOf("calls", "no", "yes") == "yes",
 	}
-	o.Repeat = admission.RetrySafety(index([]string{"idempotent", "tokened", "non-idempotent"}, f.OneOf("repeat", "idempotent", "tokened", "non-idempotent")))
+	o.RetrySafety = admission.RetrySafety(indexOf([]string{"idempotent", "tokened", "non-idempotent"}, f.OneOf("repeat", "idempotent", "tokened", "non-idempotent")))
 	f.Done()
 	return o
 }
 
-func readTrouble(f *sexpr.Form, s *Scenario) Trouble {
-	t := Trouble{
-		At: micros(f.Span("at", noTime, day, noTime)), For: micros(f.Span("for", noTime, day, 10*time.Second)), Share: f.Share("share", 0, 1, 0.25),
-		Factor: f.Share("factor", 0, 1e6, 2), Width: f.Share("width", 0, 1, 0.1), Lost: f.Share("lost", 0, 1, 0),
-		Fleet: f.OneOf("by", "waves", "fleet") == "fleet",
+func readFault(f *sexpr.Form, s *Scenario) Fault {
+	t := Fault{
+		At: micros(f.Span("at", noTime, day, noTime)), Duration: micros(f.Span("for", noTime, day, 10*time.Second)), Share: f.Share("share", 0, 1, 0.25),
+		Factor: f.Share("factor", 0, 1e6, 2), BatchShare: f.Share("width", 0, 1, 0.1), LostNotices: f.Share("lost", 0, 1, 0),
+		ByFleet: f.OneOf("by", "waves", "fleet") == "fleet",
 	}
 	name := f.Arg()
-	k := index(kindNames, name)
+	k := indexOf(faultNames, name)
 	if k < 0 {
-		f.Fail("", "found %q, wanted one of %s", name, strings.Join(kindNames, ", "))
+		f.Fail("", "found %q, wanted one of %s", name, strings.Join(faultNames, ", "))
 		k = 0
 	}
-	t.Kind = Kind(k)
+	t.Kind = FaultKind(k)
 	if tenant := f.Text("tenant", ""); tenant != "" {
-		if t.Tenant = index(s.tenantNames(), tenant); t.Tenant < 0 {
+		if t.Tenant = indexOf(s.tenantNames(), tenant); t.Tenant < 0 {
 			f.Fail("tenant", "%q is none of the scenario's", tenant)
 			t.Tenant = 0
 		}
@@ -152,8 +152,8 @@
 	return t
 }
 
-// MostRecorded lines of a recorded load are taken.
-const MostRecorded = 20_000_000
+// MaxRecorded lines of a recorded load are taken.
+const MaxRecorded = 20_000_000
 
 // ReadRecorded reads a recorded load: a line a request, in order of time, as "MICROSECONDS OPERATION TENANT WORK", the
 // tenant "-" where there is none and the work in microseconds. The names must be the scenario's.
@@ -172,7 +172,7 @@
 			return nil, fail(1, "found %d words, wanted 4: microseconds, operation, tenant, work", len(words))
 		}
 		at := strings.Index(lines.Text(), words[0]) + 1
-		r := Recorded{Operation: index(ops, words[1])}
+		r := Recorded{Operation: indexOf(ops, words[1])}
 		us, err := strconv.ParseInt(words[0], 10, 64)
 		if err != nil || us < 0 || len(all) > 0 && Micros(us) < all[len(all)-1].At {
 			return nil, fail(at, "found %q, wanted microseconds, not before the line above", words[0])
@@ -185,12 +185,12 @@
 			return nil, fail(at, "operation %q is none of the scenario's", words[1])
 		}
 		if words[2] != "-" {
-			if r.Tenant = index(tenants, words[2]); r.Tenant < 0 {
+			if r.Tenant = indexOf(tenants, words[2]); r.Tenant < 0 {
 				return nil, fail(at, "tenant %q is none of the scenario's", words[2])
 			}
 		}
-		if len(all) >= MostRecorded {
-			return nil, fail(at, "more than %d lines", MostRecorded)
+		if len(all) >= MaxRecorded {
+			return nil, fail(at, "more than %d lines", MaxRecorded)
 		}
 		r.At, r.Work = Micros(us), Micros(work)
 		all = append(all, r)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -23,57 +23,57 @@
 // Scenario is one day: what there is, what is asked of it, and what breaks.
 type Scenario struct {
 	Name       string
-	For        Micros // requests come for so long; afterwards what is under way may end
-	Hosts      HostTerms
-	Nodes      NodeTerms
-	Register   RegisterTerms
-	Below      BelowTerms
+	Duration   Micros `json:"For"` // requests come for so long; afterwards what is under way may end
+	Hosts      HostConfig
+	Nodes      NodeConfig
+	Registry   RegistryConfig   `json:"Register"`
+	Dependency DependencyConfig `json:"Below"`
 	Operations []Operation
 	Tenants    []Tenant
 	Load       Load
-	Troubles   []Trouble
+	Faults     []Fault `json:"Troubles"`
 }
 
-// HostTerms describe the backends.
-type HostTerms struct {
-	Count       int
-	Told        int // the fleet's size as hosts are told it; 0: Count
-	Cores       int
-	Spread      float64 // a host's speed lies within 1 more or less this part
-	Crowd       float64 // runs a core that it bears; beyond them all slow down
-	FallOver    Micros  // beyond the crowd for so long, it falls over
-	Read        Micros  // core time to read one request
-	Handshake   Micros  // core time to open a connection
-	MemoryKB    float64 // held and running work; beyond it the host dies
-	HeldKB      float64 // of one request that waits
-	RunFactor   float64 // a running one takes so many times as much
-	ColdShare   float64 // speed at the start of a life
-	ColdFor     Micros  // until full speed, evenly
-	Connections int     // open at once; a further one is turned away unread
-	IdleFor     Micros  // one that rests longer is closed
-	Grace       Micros  // after a shutdown notice
-	Stop        Micros  // the end of the process, after the notice
-	Slack       Micros  // an answer may leave so much before the last moment
-	RetryAfter  Micros  // the longest advice to stay away that is passed on; 0: none is
-	Stoppable   bool    // runs can be taken off the cores
+// HostConfig describe the backends.
+type HostConfig struct {
+	Count             int
+	ReportedFleetSize int `json:"Told"` // the fleet's size as hosts are told it; 0: Count
+	Cores             int
+	SpeedSpread       float64 `json:"Spread"`    // a host's speed lies within 1 more or less this part
+	CollapseMultiple  float64 `json:"Crowd"`     // runs a core that it bears; beyond them all slow down
+	CollapseAfter     Micros  `json:"FallOver"`  // beyond the crowd for so long, it falls over
+	ReadWork          Micros  `json:"Read"`      // core time to read one request
+	HandshakeWork     Micros  `json:"Handshake"` // core time to open a connection
+	MemoryKB          float64 // held and running work; beyond it the host dies
+	RequestKB         float64 `json:"HeldKB"` // of one request that waits
+	RunFactor         float64 // a running one takes so many times as much
+	ColdSpeed         float64 `json:"ColdShare"` // speed at the start of a life
+	WarmUp            Micros  `json:"ColdFor"`   // until full speed, evenly
+	Connections       int     // open at once; a further one is turned away unread
+	IdleTimeout       Micros  `json:"IdleFor"`    // one that rests longer is closed
+	DrainGrace        Micros  `json:"Grace"`      // after a shutdown notice
+	ExitTimeout       Micros  `json:"Stop"`       // the end of the process, after the notice
+	AnswerSlack       Micros  `json:"Slack"`      // an answer may leave so much before the last moment
+	MaxRetryAfter     Micros  `json:"RetryAfter"` // the longest advice to stay away that is passed on; 0: none is
+	Preemptible       bool    `json:"Stoppable"`  // runs can be taken off the cores
 }
 
-// NodeTerms describe the edge nodes and the callers behind them.
-type NodeTerms struct {
-	Count     int
-	Subset    int     // hosts that one node knows; 0: all
-	Balance   Balance // how it chooses
-	Tries     int     // of one request; 0: until its time is over
-	Pause     Micros  // before a retry, with jitter; it doubles
-	Deaf      float64 // part of the nodes that heed neither "don't retry" nor when to come back
-	Hedge     Micros  // a copy goes to a second host after so long; 0: never. Idempotent operations alone
-	Word      Micros  // a caller's leaving is told to the host so late; negative: never
-	Net       Micros  // one way
-	Behind    float64 // part of the callers that ask anew, unmarked, after an answer that is no success
-	BehindIn  Micros  // so long after
-	Refresh   Micros  // between two looks at the endpoint registry
-	Throttles bool    // nodes throttle by themselves, from the share accepted of late (baseline)
-	Window    Micros  // what they remember for that
+// NodeConfig describe the edge nodes and the callers behind them.
+type NodeConfig struct {
+	Count             int
+	Subset            int     // hosts that one node knows; 0: all
+	Balance           Balance // how it chooses
+	MaxAttempts       int     `json:"Tries"`    // of one request; 0: until its time is over
+	Backoff           Micros  `json:"Pause"`    // before a retry, with jitter; it doubles
+	UnresponsiveShare float64 `json:"Deaf"`     // part of the nodes that heed neither "don't retry" nor when to come back
+	HedgeDelay        Micros  `json:"Hedge"`    // a copy goes to a second host after so long; 0: never. Idempotent operations alone
+	CancelDelay       Micros  `json:"Word"`     // a caller's leaving is told to the host so late; negative: never
+	NetworkDelay      Micros  `json:"Net"`      // one way
+	ClientRetryShare  float64 `json:"Behind"`   // part of the callers that ask anew, unmarked, after an answer that is no success
+	ClientRetryDelay  Micros  `json:"BehindIn"` // so long after
+	RefreshInterval   Micros  `json:"Refresh"`  // between two looks at the endpoint registry
+	Throttles         bool    // nodes throttle by themselves, from the share accepted of late (baseline)
+	ThrottleWindow    Micros  `json:"Window"` // what they remember for that
 }
 
 // Balance is how an edge node chooses among its hosts.
@@ -92,51 +92,51 @@
 
 func (b Balance) String() string { return balanceNames[b] }
 
-// RegisterTerms describe the list of hosts.
-type RegisterTerms struct {
+// RegistryConfig describe the list of hosts.
+type RegistryConfig struct {
 	Lag Micros // a change of a host's health is seen so late
 }
 
-// BelowTerms describe the dependency that operations with calls share.
-type BelowTerms struct {
+// DependencyConfig describe the dependency that operations with calls share.
+type DependencyConfig struct {
 	Slots int    // calls worked on at once; more of them share these evenly
 	Work  Micros // of one call with nobody else there
 }
 
 // Operation is one kind of request.
 type Operation struct {
-	Name         string
-	Value        float64 // billed when it succeeds within its objective
-	Rank         float64
-	Share        float64 // of all requests
-	Work         Micros  // mean core time
-	Tail         float64 // sigma of the lognormal spread; 0: all alike
-	Objective    Micros
-	Timeout      Micros
-	LateValue    float64
-	Repeat       admission.RetrySafety
-	Hint         float64 // the hint given is the work times this; 0: none is given
-	HintSpread   float64 // sigma of a further lognormal factor
-	Calls        bool
-	SkippedValue float64
+	Name             string
+	Value            float64 // billed when it succeeds within its objective
+	Priority         float64 `json:"Rank"`
+	Share            float64 // of all requests
+	Work             Micros  // mean core time
+	WorkSigma        float64 `json:"Tail"` // sigma of the lognormal spread; 0: all alike
+	Objective        Micros
+	Timeout          Micros
+	LateValue        float64
+	RetrySafety      admission.RetrySafety `json:"Repeat"`
+	HintFactor       float64               `json:"Hint"`       // the hint given is the work times this; 0: none is given
+	HintSigma        float64               `json:"HintSpread"` // sigma of a further lognormal factor
+	MakesCalls       bool                  `json:"Calls"`
+	ValueWithoutCall float64               `json:"SkippedValue"`
 }
 
 // Tenant is one part of the callers.
 type Tenant struct {
-	Name  string
-	Share float64 // of all requests
-	Quota float64 // a second, over all hosts; 0: none
-	Lies  float64 // its hints are multiplied by this; 0 stands for 1
+	Name       string
+	Share      float64 // of all requests
+	Quota      float64 // a second, over all hosts; 0: none
+	HintFactor float64 `json:"Lies"` // its hints are multiplied by this; 0 stands for 1
 }
 
 // Load says how many requests come, open loop.
 type Load struct {
-	At       float64 // of capacity: all cores at full speed, reading counted
-	Shape    Shape
-	To       float64 // of a ramp's end or a step's top, of capacity
-	Period   Micros  // of waves and bursts
-	Swing    float64 // of waves and bursts: so much more and less, as a part
-	Recorded []Recorded
+	Level     float64 `json:"At"` // of capacity: all cores at full speed, reading counted
+	Shape     Shape
+	PeakLevel float64 `json:"To"` // of a ramp's end or a step's top, of capacity
+	Period    Micros  // of waves and bursts
+	Swing     float64 // of waves and bursts: so much more and less, as a part
+	Recorded  []Recorded
 }
 
 // Shape is how the load runs over the day.
@@ -162,70 +162,70 @@
 	Work              Micros
 }
 
-// Trouble is one thing that breaks.
-type Trouble struct {
-	Kind   Kind
-	At     Micros
-	For    Micros
-	Share  float64 // of the hosts, nodes or notices concerned
-	Factor float64 // slower, or more, by so much
-	Tenant int     // of a tenant's burst
-	Width  float64 // part of the hosts that a release takes at once
-	Fleet  bool    // a release goes by the real fleet's machine
-	Lost   float64 // part of a release's notices that never arrive; the end comes all the same
+// Fault is one thing that breaks.
+type Fault struct {
+	Kind        FaultKind
+	At          Micros
+	Duration    Micros  `json:"For"`
+	Share       float64 // of the hosts, nodes or notices concerned
+	Factor      float64 // slower, or more, by so much
+	Tenant      int     // of a tenant's burst
+	BatchShare  float64 `json:"Width"` // part of the hosts that a release takes at once
+	ByFleet     bool    `json:"Fleet"` // a release goes by the real fleet's machine
+	LostNotices float64 `json:"Lost"`  // part of a release's notices that never arrive; the end comes all the same
 }
 
-// Kind is what breaks.
-type Kind int
+// FaultKind is what breaks.
+type FaultKind int
 
 // The troubles. Those with a span end after it.
 const (
-	Death       Kind = iota // hosts die at once, and come back cold after the span
-	Slow                    // hosts' cores are slower by the factor
-	Gray                    // the same for what comes from half of the nodes alone: their way there takes longer
-	Release                 // all hosts are replaced in waves
-	Burst                   // the load grows by the factor
-	TenantBurst             // one tenant's does
-	Neighbour               // others take 1 - 1/factor of the cores, now and then
-	Cut                     // between a share of the nodes and half of the hosts nothing passes
-	AgentGone               // no wave of a release goes on
-	BelowSlow               // the dependency is slower by the factor
-	Skew                    // hosts' clocks stand off by the factor, in seconds, all day
+	Death            FaultKind = iota // hosts die at once, and come back cold after the span
+	Slow                              // hosts' cores are slower by the factor
+	Gray                              // the same for what comes from half of the nodes alone: their way there takes longer
+	Release                           // all hosts are replaced in waves
+	Burst                             // the load grows by the factor
+	TenantBurst                       // one tenant's does
+	NoisyNeighbour                    // others take 1 - 1/factor of the cores, now and then
+	Partition                         // between a share of the nodes and half of the hosts nothing passes
+	AgentUnavailable                  // no wave of a release goes on
+	DependencySlow                    // the dependency is slower by the factor
+	ClockSkew                         // hosts' clocks stand off by the factor, in seconds, all day
 )
 
-var kindNames = []string{
+var faultNames = []string{
 	"death", "slow", "gray", "release", "burst", "tenant-burst", "neighbour", "cut", "agent-gone", "below-slow", "skew",
 }
 
-func (k Kind) String() string { return kindNames[k] }
+func (k FaultKind) String() string { return faultNames[k] }
 
 // Default is a scenario of the operators' kind, small: what a file leaves out stands as here.
 func Default() Scenario {
 	return Scenario{
-		Name: "default", For: 30 * Second,
-		Hosts: HostTerms{
-			Count: 12, Cores: 2, Spread: 0.05, Crowd: 6, FallOver: 5 * Second, Read: 300, Handshake: 400, MemoryKB: 256 << 10,
-			HeldKB: 64, RunFactor: 4, ColdShare: 0.3, ColdFor: 8 * Second, Connections: 512, IdleFor: 10 * Second,
-			Grace: 2 * Second, Stop: 3200 * Millisecond, Slack: 60 * Millisecond, RetryAfter: 2 * Second,
+		Name: "default", Duration: 30 * Second,
+		Hosts: HostConfig{
+			Count: 12, Cores: 2, SpeedSpread: 0.05, CollapseMultiple: 6, CollapseAfter: 5 * Second, ReadWork: 300, HandshakeWork: 400, MemoryKB: 256 << 10,
+			RequestKB: 64, RunFactor: 4, ColdSpeed: 0.3, WarmUp: 8 * Second, Connections: 512, IdleTimeout: 10 * Second,
+			DrainGrace: 2 * Second, ExitTimeout: 3200 * Millisecond, AnswerSlack: 60 * Millisecond, MaxRetryAfter: 2 * Second,
 		},
-		Nodes: NodeTerms{
-			Count: 8, Subset: 8, Tries: 3, Pause: 5 * Millisecond, Deaf: 0.1, Word: 20 * Millisecond, Net: 500,
-			BehindIn: 500 * Millisecond, Refresh: Second, Window: 10 * Second,
+		Nodes: NodeConfig{
+			Count: 8, Subset: 8, MaxAttempts: 3, Backoff: 5 * Millisecond, UnresponsiveShare: 0.1, CancelDelay: 20 * Millisecond, NetworkDelay: 500,
+			ClientRetryDelay: 500 * Millisecond, RefreshInterval: Second, ThrottleWindow: 10 * Second,
 		},
-		Register: RegisterTerms{Lag: 2 * Second},
-		Below:    BelowTerms{Slots: 64, Work: 5 * Millisecond},
+		Registry:   RegistryConfig{Lag: 2 * Second},
+		Dependency: DependencyConfig{Slots: 64, Work: 5 * Millisecond},
 		Operations: []Operation{
-			{Name: "reprint", Value: 1, Rank: 0.1, Share: 0.35, Work: 25 * Millisecond, Tail: 0.8, Objective: Second, Timeout: 3 * Second, LateValue: 0.1},
-			{Name: "lookup", Value: 3, Rank: 0.4, Share: 0.4, Work: 15 * Millisecond, Tail: 0.6, Objective: 500 * Millisecond, Timeout: 2 * Second, LateValue: 0.1},
-			{Name: "pay-post", Value: 10, Rank: 0.9, Share: 0.25, Work: 20 * Millisecond, Tail: 0.5, Objective: Second, Timeout: 4 * Second, Repeat: admission.NonIdempotent},
+			{Name: "reprint", Value: 1, Priority: 0.1, Share: 0.35, Work: 25 * Millisecond, WorkSigma: 0.8, Objective: Second, Timeout: 3 * Second, LateValue: 0.1},
+			{Name: "lookup", Value: 3, Priority: 0.4, Share: 0.4, Work: 15 * Millisecond, WorkSigma: 0.6, Objective: 500 * Millisecond, Timeout: 2 * Second, LateValue: 0.1},
+			{Name: "pay-post", Value: 10, Priority: 0.9, Share: 0.25, Work: 20 * Millisecond, WorkSigma: 0.5, Objective: Second, Timeout: 4 * Second, RetrySafety: admission.NonIdempotent},
 		},
-		Load: Load{At: 0.8, To: 1.2, Period: 5 * Second, Swing: 0.5},
+		Load: Load{Level: 0.8, PeakLevel: 1.2, Period: 5 * Second, Swing: 0.5},
 	}
 }
 
 // Check tells the first thing that can't be: a scenario that nobody could play.
 func (s *Scenario) Check() error {
-	for _, check := range []func() error{s.checkHosts, s.checkAround, s.checkOperations, s.checkRecorded, s.checkTroubles} {
+	for _, check := range []func() error{s.checkHosts, s.checkSurroundings, s.checkOperations, s.checkRecorded, s.checkFaults} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -236,41 +236,41 @@
 func (s *Scenario) checkHosts() error {
 	h, n := &s.Hosts, &s.Nodes
 	switch {
-	case s.For <= 0 || s.For > 24*3600*Second:
-		return s.bad("for", "%d us, wanted above 0 to a day", s.For)
-	case h.Count < 1 || h.Count > MostHosts:
-		return s.bad("hosts.count", "%d, wanted 1 to %d", h.Count, MostHosts)
-	case n.Count < 1 || n.Count > MostNodes:
-		return s.bad("nodes.count", "%d, wanted 1 to %d", n.Count, MostNodes)
-	case h.Cores < 1 || h.Spread < 0 || h.Spread >= 1 || h.Crowd < 1:
-		return s.bad("hosts", "cores %d, spread %g, crowd %g", h.Cores, h.Spread, h.Crowd)
-	case h.Grace >= h.Stop:
-		return s.bad("hosts.grace", "%d us does not lie before the stop, %d us", h.Grace, h.Stop)
-	case h.MemoryKB < h.HeldKB*h.RunFactor:
-		return s.bad("hosts.memory", "%g KB hold no single run of %g KB", h.MemoryKB, h.HeldKB*h.RunFactor)
+	case s.Duration <= 0 || s.Duration > 24*3600*Second:
+		return s.invalid("for", "%d us, wanted above 0 to a day", s.Duration)
+	case h.Count < 1 || h.Count > MaxHosts:
+		return s.invalid("hosts.count", "%d, wanted 1 to %d", h.Count, MaxHosts)
+	case n.Count < 1 || n.Count > MaxNodes:
+		return s.invalid("nodes.count", "%d, wanted 1 to %d", n.Count, MaxNodes)
+	case h.Cores < 1 || h.SpeedSpread < 0 || h.SpeedSpread >= 1 || h.CollapseMultiple < 1:
+		return s.invalid("hosts", "cores %d, spread %g, crowd %g", h.Cores, h.SpeedSpread, h.CollapseMultiple)
+	case h.DrainGrace >= h.ExitTimeout:
+		return s.invalid("hosts.grace", "%d us does not lie before the stop, %d us", h.DrainGrace, h.ExitTimeout)
+	case h.MemoryKB < h.RequestKB*h.RunFactor:
+		return s.invalid("hosts.memory", "%g KB hold no single run of %g KB", h.MemoryKB, h.RequestKB*h.RunFactor)
 	}
 	return nil
 }
 
-// checkAround looks at what surrounds the hosts: names, edge nodes, load and the tier below.
-func (s *Scenario) checkAround() error {
+// checkSurroundings looks at what surrounds the hosts: names, edge nodes, load and the tier below.
+func (s *Scenario) checkSurroundings() error {
 	switch {
-	case len(s.Operations) == 0 || len(s.Operations) > MostNames || len(s.Tenants) > MostNames:
-		return s.bad("operation", "%d operations and %d tenants, wanted 1 to %d, and %d at the most", len(s.Operations), len(s.Tenants), MostNames, MostNames)
-	case s.Nodes.Refresh <= 0 || s.Hosts.ColdFor < 0 || s.Nodes.Net < 0:
-		return s.bad("nodes.refresh", "a span that must lie above 0 does not")
-	case s.Load.At < 0 || s.Load.At > 100 || math.IsNaN(s.Load.At):
-		return s.bad("load.at", "%g of capacity", s.Load.At)
+	case len(s.Operations) == 0 || len(s.Operations) > MaxNames || len(s.Tenants) > MaxNames:
+		return s.invalid("operation", "%d operations and %d tenants, wanted 1 to %d, and %d at the most", len(s.Operations), len(s.Tenants), MaxNames, MaxNames)
+	case s.Nodes.RefreshInterval <= 0 || s.Hosts.WarmUp < 0 || s.Nodes.NetworkDelay < 0:
+		return s.invalid("nodes.refresh", "a span that must lie above 0 does not")
+	case s.Load.Level < 0 || s.Load.Level > 100 || math.IsNaN(s.Load.Level):
+		return s.invalid("load.at", "%g of capacity", s.Load.Level)
 	case (s.Load.Shape == Wave || s.Load.Shape == Bursty) && s.Load.Period <= 0:
-		return s.bad("load.period", "a wave needs one")
-	case s.Below.Slots < 1 || s.Below.Work < 0:
-		return s.bad("below", "%d slots of %d us", s.Below.Slots, s.Below.Work)
+		return s.invalid("load.period", "a wave needs one")
+	case s.Dependency.Slots < 1 || s.Dependency.Work < 0:
+		return s.invalid("below", "%d slots of %d us", s.Dependency.Slots, s.Dependency.Work)
 	}
 	return nil
 }
 
-// bad names the field that cannot be used.
-func (s *Scenario) bad(field, format string, args ...any) error {
+// invalid names the field that cannot be used.
+func (s *Scenario) invalid(field, format string, args ...any) error {
 	return fmt.Errorf("scenario %s: %s: %s", s.Name, field, fmt.Sprintf(format, args...))
 }
 
@@ -279,11 +279,11 @@
 	for _, op := range s.Operations {
 		total += op.Share
 		if op.Work <= 0 || op.Objective <= 0 || op.Timeout < op.Objective || op.Share < 0 {
-			return s.bad("operation "+op.Name, "work %d us, objective %d us, timeout %d us, share %g: work above 0, the objective within the timeout", op.Work, op.Objective, op.Timeout, op.Share)
+			return s.invalid("operation "+op.Name, "work %d us, objective %d us, timeout %d us, share %g: work above 0, the objective within the timeout", op.Work, op.Objective, op.Timeout, op.Share)
 		}
 	}
 	if total <= 0 {
-		return s.bad("operation", "no operation has a share")
+		return s.invalid("operation", "no operation has a share")
 	}
 	return nil
 }
@@ -291,19 +291,19 @@
 func (s *Scenario) checkRecorded() error {
 	for i, r := range s.Load.Recorded {
 		if r.Operation >= len(s.Operations) || r.Operation < 0 || r.Work <= 0 || i > 0 && r.At < s.Load.Recorded[i-1].At {
-			return s.bad("load.recorded", "line %d: operation %d, work %d us, at %d us", i+1, r.Operation, r.Work, r.At)
+			return s.invalid("load.recorded", "line %d: operation %d, work %d us, at %d us", i+1, r.Operation, r.Work, r.At)
 		}
 	}
 	return nil
 }
 
-func (s *Scenario) checkTroubles() error {
-	for _, t := range s.Troubles {
-		if t.At < 0 || t.At > s.For || t.Share < 0 || t.Share > 1 || t.Factor < 0 {
-			return s.bad("trouble "+t.Kind.String(), "at %d us, share %g, factor %g", t.At, t.Share, t.Factor)
+func (s *Scenario) checkFaults() error {
+	for _, t := range s.Faults {
+		if t.At < 0 || t.At > s.Duration || t.Share < 0 || t.Share > 1 || t.Factor < 0 {
+			return s.invalid("trouble "+t.Kind.String(), "at %d us, share %g, factor %g", t.At, t.Share, t.Factor)
 		}
 		if t.Kind == TenantBurst && (t.Tenant < 0 || t.Tenant >= len(s.Tenants)) {
-			return s.bad("trouble "+t.Kind.String(), "tenant %d of %d", t.Tenant, len(s.Tenants))
+			return s.invalid("trouble "+t.Kind.String(), "tenant %d of %d", t.Tenant, len(s.Tenants))
 		}
 	}
 	return nil
@@ -311,9 +311,9 @@
 
 // Bounds of a scenario.
 const (
-	MostHosts = 20_000
-	MostNodes = 20_000
-	MostNames = 64
+	MaxHosts = 20_000
+	MaxNodes = 20_000
+	MaxNames = 64
 )
 
 // Capacity is how many requests a second all hosts can read and run, at full speed.
@@ -322,28 +322,28 @@
 	for _, op := range s.Operations {
 		mean, total = mean+op.Share*float64(op.Work), total+op.Share
 	}
-	return float64(s.Hosts.Count*s.Hosts.Cores) * 1e6 / (mean/total + float64(s.Hosts.Read))
+	return float64(s.Hosts.Count*s.Hosts.Cores) * 1e6 / (mean/total + float64(s.Hosts.ReadWork))
 }
 
-// overShare is what work beyond its tenant's quota is worth, beside work within it.
-const overShare = 0.3
+// overQuotaValue is what work beyond its tenant's quota is worth, beside work within it.
+const overQuotaValue = 0.3
 
-// Terms are what a host's policy is told of the deployment, cold for one that replaces another.
-func (s *Scenario) Terms(cold bool) admission.Config {
+// AdmissionConfig are what a host's policy is told of the deployment, cold for one that replaces another.
+func (s *Scenario) AdmissionConfig(cold bool) admission.Config {
 	h := &s.Hosts
 	t := admission.Config{
-		OverQuotaValue: overShare, FleetSize: h.told(), Callers: s.Nodes.Count, Cores: h.Cores, MemoryKB: h.MemoryKB, RunFactor: h.RunFactor,
-		IdempotencyKeyKB: 0.2, JustStarted: cold, AnswerSlack: h.Slack, DrainGrace: h.Grace, ColdSpeed: h.ColdShare, WarmUp: max(h.ColdFor, 1),
-		CollapseMultiple: h.Crowd, CollapseAfter: h.FallOver, SharedDependency: true, CallQuota: float64(s.Below.Slots) / float64(h.Count),
-		CallQuotaWindow: Second, AbandonedCallLinger: s.Below.Work, MaxRetryAfter: h.RetryAfter, IdleTimeout: h.IdleFor,
+		OverQuotaValue: overQuotaValue, FleetSize: h.fleetSize(), Callers: s.Nodes.Count, Cores: h.Cores, MemoryKB: h.MemoryKB, RunFactor: h.RunFactor,
+		IdempotencyKeyKB: 0.2, JustStarted: cold, AnswerSlack: h.AnswerSlack, DrainGrace: h.DrainGrace, ColdSpeed: h.ColdSpeed, WarmUp: max(h.WarmUp, 1),
+		CollapseMultiple: h.CollapseMultiple, CollapseAfter: h.CollapseAfter, SharedDependency: true, CallQuota: float64(s.Dependency.Slots) / float64(h.Count),
+		CallQuotaWindow: Second, AbandonedCallLinger: s.Dependency.Work, MaxRetryAfter: h.MaxRetryAfter, IdleTimeout: h.IdleTimeout,
 	}
-	if h.Stoppable {
+	if h.Preemptible {
 		t.Preemption = admission.PreemptionDiscards
 	}
 	for _, op := range s.Operations {
 		t.Operations = append(t.Operations, admission.Operation{
-			RetrySafety: op.Repeat, Objective: op.Objective, ClientTimeout: op.Timeout, RepeatWindow: 2 * op.Timeout,
-			LateValue: op.LateValue, MakesCalls: op.Calls, ValueWithoutCall: op.SkippedValue,
+			RetrySafety: op.RetrySafety, Objective: op.Objective, ClientTimeout: op.Timeout, RepeatWindow: 2 * op.Timeout,
+			LateValue: op.LateValue, MakesCalls: op.MakesCalls, ValueWithoutCall: op.ValueWithoutCall,
 		})
 	}
 	for _, tn := range s.Tenants {
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -4,31 +4,31 @@
 
 // Trace keeps the course of one request, or of one host, for who asks why.
 type Trace struct {
-	Invocation uint64 // its number in the day, from 1; 0: any
-	Host       int32  // -1: any
-	Most       int    // lines
-	Lines      []string
-	More       int // that did not fit
+	Request  uint64 // its number in the day, from 1; 0: any
+	Host     int32  // -1: any
+	MaxLines int    // lines
+	Lines    []string
+	Omitted  int // that did not fit
 }
 
-func (tr *Trace) note(w *world, number uint64, t *attempt, what string) {
-	if tr == nil || tr.Invocation != 0 && tr.Invocation != number || tr.Host >= 0 && tr.Host != t.host {
+func (tr *Trace) record(w *world, number uint64, att *attempt, what string) {
+	if tr == nil || tr.Request != 0 && tr.Request != number || tr.Host >= 0 && tr.Host != att.host {
 		return
 	}
-	if len(tr.Lines) >= tr.Most {
-		tr.More++
+	if len(tr.Lines) >= tr.MaxLines {
+		tr.Omitted++
 		return
 	}
-	h, a := &w.hosts[t.host], &w.requests[t.request]
+	h, req := &w.hosts[att.host], &w.requests[att.request]
 	line := fmt.Sprintf("%10.6f  invocation %d %s try %d  host %d life %d: %s", float64(w.now)/1e6, number,
-		w.s.Operations[a.op].Name, a.tries, t.host, h.incarnation, what)
+		w.scenario.Operations[req.operation].Name, req.attempts, att.host, h.incarnation, what)
 	switch what {
 	case "read":
-		line += fmt.Sprintf(" after %d us, %d in hand, %d on the cores, hint %d us", w.now-t.reached, h.inHand, h.cores.live, a.hint)
+		line += fmt.Sprintf(" after %d us, %d in hand, %d on the cores, hint %d us", w.now-att.reachedAt, h.inFlight, h.cores.running, req.hint)
 	case "runs":
-		line += fmt.Sprintf(" after %d us in line, %d on the cores", w.now-t.read, h.cores.live)
+		line += fmt.Sprintf(" after %d us in line, %d on the cores", w.now-att.readAt, h.cores.running)
 	case "throttled":
-		line += fmt.Sprintf(", come back in %d us, don't retry %t", t.retryIn, t.dont)
+		line += fmt.Sprintf(", come back in %d us, don't retry %t", att.retryIn, att.dontRetry)
 	}
 	tr.Lines = append(tr.Lines, line)
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -10,64 +10,64 @@
 
 // request is what one caller wants: it may take several attempts, and, where the caller asks anew, several incarnations.
 type request struct {
-	number    uint64 // the same through all that the caller asks anew
-	node      int32
-	op        int16
-	tenant    int16
-	tries     int32
-	anew      uint8
-	over      bool
-	later     bool // its caller will ask anew
-	unsure    bool // an attempt may have run without a word of it
-	unheeded  bool
-	open      [2]int32 // attempts without an answer; -1: none
-	refs      int32    // attempts that still name it, running ones that nobody waits for included
-	gen       uint32
-	born, due Micros
-	work      float64 // core time
-	hint      Micros
-	last      int32 // slot of the latest attempt
+	number         uint64 // the same through all that the caller asks anew
+	node           int32
+	operation      int16
+	tenant         int16
+	attempts       int32
+	clientRetries  uint8
+	finished       bool
+	retriesLater   bool // its caller will ask anew
+	maybeRan       bool // an attempt may have run without a word of it
+	retryForbidden bool
+	openAttempts   [2]int32 // attempts without an answer; -1: none
+	liveAttempts   int32    // attempts that still name it, running ones that nobody waits for included
+	gen            uint32
+	arrivedAt, due Micros
+	work           float64 // core time
+	hint           Micros
+	lastSlot       int32 // slot of the latest attempt
 }
 
 // phase of an attempt.
 type phase uint8
 
 const (
-	travels phase = iota
-	unread
-	held
-	runs
-	waitsBelow
-	calls
-	reuses
-	ended
+	phaseInTransit phase = iota
+	phaseUnread
+	phaseQueued
+	phaseRunning
+	phaseBeforeCall
+	phaseCalling
+	phaseAwaitingResult
+	phaseEnded
 )
 
 // attempt is one try at one host.
 type attempt struct {
-	id                 string
-	request            int32
-	host               int32
-	slot               int32
-	incarnation        uint32 // of the host, when it was sent
-	gen                uint32
-	phase              phase
-	answers            uint8
-	outcome            Outcome
-	gone               bool // its host knows that the caller has left
-	retry              bool
-	skipped            bool
-	shed               bool // by a level
-	ending             bool // the policy hears that it is over
-	called             bool
-	drew               bool // a unit of its tenant's share
-	atHost, atNode     bool // who still has to do with it
-	prev, next         int32
-	reached, read, due Micros
-	callGen            uint32
-	retryIn            Micros
-	dont               bool
-	waits              []int32 // attempts that repeat this one and wait for its result
+	id                       string
+	request                  int32
+	host                     int32
+	slot                     int32
+	incarnation              uint32 // of the host, when it was sent
+	gen                      uint32
+	phase                    phase
+	answers                  uint8
+	outcome                  Outcome
+	callerGone               bool // its host knows that the caller has left
+	retry                    bool
+	skipped                  bool
+	shed                     bool // by a level
+	finishing                bool // the policy hears that it is over
+	called                   bool
+	quotaDrawn               bool // a unit of its tenant's share
+	atHost, atNode           bool // who still has to do with it
+	prev, next               int32
+	reachedAt, readAt, dueAt Micros
+	callGen                  uint32
+	retryIn                  Micros
+	dontRetry                bool
+	waiters                  []int32 // attempts that repeat this one and wait for its result
 }
 
 // Outcome is how an attempt or an ask ended, as the node sees it.
@@ -89,45 +89,45 @@
 
 // world is one run.
 type world struct {
-	s        *Scenario
-	p        *Policy
-	q        queue
-	now      Micros
-	hosts    []host
-	nodes    []node
-	requests []request
-	attempts []attempt
-	freeA    []int32
-	freeT    []int32
-	listed   []bool // by the endpoint registry
-	lists    uint32 // changes of it
-	below    shared
-	belowX   float64 // the dependency is slower by so much
+	scenario           *Scenario
+	policy             *Policy
+	queue              queue
+	now                Micros
+	hosts              []host
+	nodes              []node
+	requests           []request
+	attempts           []attempt
+	freeRequests       []int32
+	freeAttempts       []int32
+	listed             []bool // by the endpoint registry
+	registryVersion    uint32 // changes of it
+	dependency         sharedWork
+	dependencySlowdown float64 // the dependency is slower by so much
 
-	stream     *Stream // has a chance of its own, so that policies meet the same day
-	coming     Arrival
-	fate       *rand.Rand // of troubles
-	chance     *rand.Rand // of nodes
-	number     uint64
-	agentOff   bool
-	cutNodes   map[int32]bool
-	cutHosts   int32            // hosts below this one are cut off from those nodes
-	ledgerCut  bool             // and from the quota store
-	quotas     *quota.Holder    // what succeeds is priced by
-	quotaState *quotaSimulation // nil where hosts guess
-	grayBy     Micros
-	grayHost   map[int32]bool
+	stream            *Stream // has a chance of its own, so that policies meet the same day
+	nextArrival       Arrival
+	faultRand         *rand.Rand // of troubles
+	nodeRand          *rand.Rand // of nodes
+	lastNumber        uint64
+	agentsUnavailable bool
+	partitionedNodes  map[int32]bool
+	partitionedHosts  int32         // hosts below this one are cut off from those nodes
+	quotaStoreCut     bool          // and from the quota store
+	pricing           *quota.Holder // what succeeds is priced by
+	quotas            *quotaState   // nil where hosts guess
+	grayDelay         Micros
+	grayHosts         map[int32]bool
 
-	agents []*hostAgent // of a release that the real fleet decides about
-	seen   []float64    // an oracle's sight of the hosts
-	seenAt Micros
+	agents     []*hostAgent // of a release that the real fleet decides about
+	oracleLoad []float64    // an oracle's sight of the hosts
+	oracleAt   Micros
 
-	audit  Audit
-	res    *Result
-	policy uint64 // seed
-	trace  *Trace
-	tick   uint64
-	busyA  int // attempts and asks under way
+	audit        Audit
+	result       *Result
+	policySeed   uint64 // seed
+	trace        *Trace
+	lastUniqueID uint64
+	active       int // attempts and asks under way
 }
 
 const none = int32(-1)
@@ -142,38 +142,38 @@
 		return nil, err
 	}
 	w.run()
-	return w.res, nil
+	return w.result, nil
 }
 
 func newWorld(s *Scenario, p *Policy, seed uint64, tr *Trace) (*world, error) {
 	w := &world{
-		s: s, p: p, trace: tr, policy: seed * 0x9e3779b97f4a7c15, belowX: 1, stream: NewStream(s, seed),
-		fate: rand.New(rand.NewPCG(seed, 2)), chance: rand.New(rand.NewPCG(seed, 3)),
-		listed: make([]bool, s.Hosts.Count), seen: make([]float64, s.Hosts.Count), seenAt: -Second, cutNodes: map[int32]bool{}, grayHost: map[int32]bool{},
+		scenario: s, policy: p, trace: tr, policySeed: seed * 0x9e3779b97f4a7c15, dependencySlowdown: 1, stream: NewStream(s, seed),
+		faultRand: rand.New(rand.NewPCG(seed, 2)), nodeRand: rand.New(rand.NewPCG(seed, 3)),
+		listed: make([]bool, s.Hosts.Count), oracleLoad: make([]float64, s.Hosts.Count), oracleAt: -Second, partitionedNodes: map[int32]bool{}, grayHosts: map[int32]bool{},
 	}
-	w.q.lanes = make([]lane, laneDue+min(mostDues, len(s.Operations)))
-	w.res = NewResult(s, p.Name, seed)
+	w.queue.lanes = make([]lane, laneDue+min(maxDueLanes, len(s.Operations)))
+	w.result = NewResult(s, p.Name, seed)
 	w.hosts = make([]host, s.Hosts.Count)
 	speeds := rand.New(rand.NewPCG(seed, 4))
-	for _, t := range s.Troubles { // no process reads a clock that can be set, so that a clock stands off all day or not at all
-		if t.Kind == Skew {
+	for _, t := range s.Faults { // no process reads a clock that can be set, so that a clock stands off all day or not at all
+		if t.Kind == ClockSkew {
 			for _, n := range w.randomHosts(t.Share) {
-				w.hosts[n].skew = Micros(t.Factor * 1e6)
+				w.hosts[n].clockSkew = Micros(t.Factor * 1e6)
 			}
 		}
 	}
 	w.openQuotas()
 	for i := range w.hosts {
 		h := &w.hosts[i]
-		h.number, h.base, h.slow, h.neighbour = int32(i), 1+s.Hosts.Spread*(2*speeds.Float64()-1), 1, 1
-		h.first = none
-		if err := w.begin(h, false); err != nil {
+		h.number, h.baseSpeed, h.slowdown, h.coreShare = int32(i), 1+s.Hosts.SpeedSpread*(2*speeds.Float64()-1), 1, 1
+		h.firstAttempt = none
+		if err := w.startProcess(h, false); err != nil {
 			return nil, err
 		}
 		w.listed[i] = true
 	}
-	for _, t := range s.Troubles {
-		if t.Kind == Release && t.Fleet && w.agents == nil {
+	for _, t := range s.Faults {
+		if t.Kind == Release && t.ByFleet && w.agents == nil {
 			if err := w.startAgents(); err != nil {
 				return nil, err
 			}
@@ -183,31 +183,31 @@
 	for i := range w.nodes {
 		w.placeNode(int32(i))
 	}
-	w.arrivals()
-	for i, t := range s.Troubles {
-		w.q.push(event{at: t.At, kind: evFault, a: int32(i)})
+	w.scheduleArrival()
+	for i, t := range s.Faults {
+		w.queue.push(event{at: t.At, kind: evFault, subject: int32(i)})
 	}
-	w.q.push(event{at: Second, kind: evSampleSecond})
+	w.queue.push(event{at: Second, kind: evSampleSecond})
 	return w, nil
 }
 
 // run goes from event to event. After the day, it ends once nobody waits for anything, or when nobody can wait any more: what
 // is in hand then is judged by the audit.
 func (w *world) run() {
-	last := w.s.For + w.s.Hosts.Stop + Second*60
-	for _, op := range w.s.Operations {
-		last = max(last, w.s.For+w.s.Hosts.Stop+4*(op.Timeout+w.s.Nodes.BehindIn*2)+60*Second)
+	last := w.scenario.Duration + w.scenario.Hosts.ExitTimeout + Second*60
+	for _, op := range w.scenario.Operations {
+		last = max(last, w.scenario.Duration+w.scenario.Hosts.ExitTimeout+4*(op.Timeout+w.scenario.Nodes.ClientRetryDelay*2)+60*Second)
 	}
 	for {
-		e, found := w.q.next()
-		if !found || e.at > last || e.at > w.s.For && w.busyA == 0 {
+		e, found := w.queue.next()
+		if !found || e.at > last || e.at > w.scenario.Duration && w.active == 0 {
 			break
 		}
 		w.now = e.at
-		w.res.Events++
+		w.result.Events++
 		w.handle(&e)
 	}
-	w.res.close(w)
+	w.result.finish(w)
 }
 
 // handle carries one event out. Each group of events has a function of its own; an event belongs to one of them.
@@ -217,33 +217,33 @@
 	}
 	switch e.kind {
 	case evLoad:
-		w.arrive()
-	case evBelow:
-		if w.below.gen == e.gen {
-			w.belowDue()
+		w.handleArrival()
+	case evDependency:
+		if w.dependency.generation == e.gen {
+			w.completeCalls()
 		}
 	case evRefresh:
-		w.refresh(e.a)
+		w.refreshNode(e.subject)
 	case evListed:
-		if w.listed[e.a] != (e.b == 1) {
-			w.listed[e.a] = e.b == 1
-			w.lists++
+		if w.listed[e.subject] != (e.detail == 1) {
+			w.listed[e.subject] = e.detail == 1
+			w.registryVersion++
 		}
-	case evIdle:
-		w.idle(e.a, e.b)
+	case evIdleCheck:
+		w.checkIdle(e.subject, e.detail)
 	case evFault:
-		w.beginFault(int(e.a))
+		w.beginFault(int(e.subject))
 	case evFaultOver:
-		w.endFault(int(e.a))
+		w.endFault(int(e.subject))
 	case evSampleSecond:
-		w.res.second(w)
-		if w.now < w.s.For || w.busyA > 0 {
-			w.q.push(event{at: w.now + Second, kind: evSampleSecond})
+		w.result.recordSecond(w)
+		if w.now < w.scenario.Duration || w.active > 0 {
+			w.queue.push(event{at: w.now + Second, kind: evSampleSecond})
 		}
 	case evExpiry:
 		w.expireLeases()
 	case evAgent:
-		w.tickAgent(e.a)
+		w.tickAgent(e.subject)
 	}
 }
 
@@ -252,31 +252,31 @@
 	var do func(h *host)
 	switch e.kind {
 	case evCores:
-		if h := &w.hosts[e.a]; h.cores.gen == e.gen {
-			w.coresDue(h)
+		if h := &w.hosts[e.subject]; h.cores.generation == e.gen {
+			w.completeWork(h)
 		}
 		return true
-	case evBack:
-		w.back(&w.hosts[e.a])
+	case evRestart:
+		w.restart(&w.hosts[e.subject])
 		return true
 	case evWake:
-		do = func(h *host) { w.wake(h, int64(e.b)) }
-	case evCold:
-		do = w.warm
+		do = func(h *host) { w.readGauges(h, int64(e.detail)) }
+	case evWarmUp:
+		do = w.warmUp
 	case evOverload:
-		do = w.crowded
+		do = w.checkOverload
 	case evStop:
-		do = w.stop
+		do = w.exitProcess
 	case evLease:
 		do = func(h *host) {
-			if w.now < w.s.For {
+			if w.now < w.scenario.Duration {
 				w.renewLeases(h)
 			}
 		}
 	default:
 		return false
 	}
-	if h := &w.hosts[e.a]; h.incarnation == e.gen && h.up {
+	if h := &w.hosts[e.subject]; h.incarnation == e.gen && h.up {
 		do(h)
 	}
 	return true
@@ -285,12 +285,12 @@
 // attemptEvent carries out what concerns one request or one attempt, unless its place was reused since.
 func (w *world) attemptEvent(e *event) bool {
 	switch e.kind {
-	case evReach, evAnswer, evGone, evCall:
+	case evReach, evAnswer, evCallerGone, evCallTimeout:
 		if w.sameAttempt(e) {
 			w.handleAttempt(e)
 		}
 	case evDue, evRetry, evHedge, evClientRetry:
-		if w.requests[e.a].gen == e.gen {
+		if w.requests[e.subject].gen == e.gen {
 			w.handleRequest(e)
 		}
 	default:
@@ -302,113 +302,113 @@
 func (w *world) handleAttempt(e *event) {
 	switch e.kind {
 	case evReach:
-		w.reach(e.a)
+		w.reachHost(e.subject)
 	case evAnswer:
-		w.receiveAnswer(e.a)
-	case evGone:
-		w.left(e.a)
-	case evCall:
-		if t := &w.attempts[e.a]; t.phase == calls && t.callGen == uint32(e.b) {
-			w.callOver(e.a, admission.TimedOut)
+		w.receiveAnswer(e.subject)
+	case evCallerGone:
+		w.callerLeft(e.subject)
+	case evCallTimeout:
+		if att := &w.attempts[e.subject]; att.phase == phaseCalling && att.callGen == uint32(e.detail) {
+			w.endCall(e.subject, admission.TimedOut)
 		}
 	}
 }
 
 func (w *world) handleRequest(e *event) {
-	a := &w.requests[e.a]
+	req := &w.requests[e.subject]
 	switch {
 	case e.kind == evClientRetry:
-		w.repeatRequest(e.a)
-	case a.over:
+		w.repeatRequest(e.subject)
+	case req.finished:
 	case e.kind == evDue:
-		w.end(e.a, Lost)
+		w.failRequest(e.subject, Lost)
 	case e.kind == evRetry:
-		w.startAttempt(e.a, true)
-	case e.kind == evHedge && a.open[1] == none && a.open[0] != none:
-		w.startAttempt(e.a, true)
+		w.startAttempt(e.subject, true)
+	case e.kind == evHedge && req.openAttempts[1] == none && req.openAttempts[0] != none:
+		w.startAttempt(e.subject, true)
 	}
 }
 
-func (w *world) sameAttempt(e *event) bool { return w.attempts[e.a].gen == e.gen }
+func (w *world) sameAttempt(e *event) bool { return w.attempts[e.subject].gen == e.gen }
 
-// arrivals schedules the next request.
-func (w *world) arrivals() {
+// scheduleArrival schedules the next request.
+func (w *world) scheduleArrival() {
 	if a, more := w.stream.Next(); more {
-		w.coming = a
-		w.q.push(event{at: a.At, kind: evLoad})
+		w.nextArrival = a
+		w.queue.push(event{at: a.At, kind: evLoad})
 	}
 }
 
-// arrive is a caller's wish.
-func (w *world) arrive() {
-	s, c := w.s, w.coming
-	w.arrivals()
+// handleArrival is a caller's wish.
+func (w *world) handleArrival() {
+	s, c := w.scenario, w.nextArrival
+	w.scheduleArrival()
 	i := w.newRequest()
-	a := &w.requests[i]
-	w.number++
-	a.number, a.born, a.node, a.op, a.tenant, a.work, a.hint = w.number, w.now, int32(c.Node), int16(c.Operation), int16(c.Tenant), c.Work, c.Hint
-	op := &s.Operations[a.op]
-	a.due = w.now + op.Timeout
-	w.res.Offer(s, w.now, c.Operation, c.Tenant)
-	w.q.later(laneDue+int(a.op), event{at: a.due, kind: evDue, a: i, gen: a.gen})
+	req := &w.requests[i]
+	w.lastNumber++
+	req.number, req.arrivedAt, req.node, req.operation, req.tenant, req.work, req.hint = w.lastNumber, w.now, int32(c.Node), int16(c.Operation), int16(c.Tenant), c.Work, c.Hint
+	op := &s.Operations[req.operation]
+	req.due = w.now + op.Timeout
+	w.result.RecordRequest(s, w.now, c.Operation, c.Tenant)
+	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evDue, subject: i, gen: req.gen})
 	w.startAttempt(i, false)
-	if h := s.Nodes.Hedge; h > 0 && op.Repeat == admission.Idempotent {
-		w.q.push(event{at: w.now + h, kind: evHedge, a: i, gen: a.gen})
+	if h := s.Nodes.HedgeDelay; h > 0 && op.RetrySafety == admission.Idempotent {
+		w.queue.push(event{at: w.now + h, kind: evHedge, subject: i, gen: req.gen})
 	}
 }
 
 func (w *world) newRequest() int32 {
-	w.busyA++
-	if n := len(w.freeA); n > 0 {
-		i := w.freeA[n-1]
-		w.freeA = w.freeA[:n-1]
-		w.requests[i] = request{gen: w.requests[i].gen, open: [2]int32{none, none}, last: none}
+	w.active++
+	if n := len(w.freeRequests); n > 0 {
+		i := w.freeRequests[n-1]
+		w.freeRequests = w.freeRequests[:n-1]
+		w.requests[i] = request{gen: w.requests[i].gen, openAttempts: [2]int32{none, none}, lastSlot: none}
 		return i
 	}
-	w.requests = append(w.requests, request{open: [2]int32{none, none}, last: none})
+	w.requests = append(w.requests, request{openAttempts: [2]int32{none, none}, lastSlot: none})
 	return int32(len(w.requests) - 1)
 }
 
 func (w *world) freeRequest(i int32) {
-	w.busyA--
+	w.active--
 	w.requests[i].gen++
-	w.freeA = append(w.freeA, i)
+	w.freeRequests = append(w.freeRequests, i)
 }
 
 func (w *world) newAttempt(unique bool) int32 {
-	w.busyA++
+	w.active++
 	var i int32
-	if n := len(w.freeT); n > 0 {
-		i = w.freeT[n-1]
-		w.freeT = w.freeT[:n-1]
-		t := &w.attempts[i]
-		*t = attempt{id: t.id, gen: t.gen, waits: t.waits[:0]}
+	if n := len(w.freeAttempts); n > 0 {
+		i = w.freeAttempts[n-1]
+		w.freeAttempts = w.freeAttempts[:n-1]
+		att := &w.attempts[i]
+		*att = attempt{id: att.id, gen: att.gen, waiters: att.waiters[:0]}
 	} else {
 		w.attempts = append(w.attempts, attempt{})
 		i = int32(len(w.attempts) - 1)
 		w.attempts[i].id = fmt.Sprintf("%d", i)
 	}
 	if unique { // what a host remembers must not be met again under another's name
-		w.tick++
-		w.attempts[i].id = fmt.Sprintf("%d.%d", i, w.tick)
+		w.lastUniqueID++
+		w.attempts[i].id = fmt.Sprintf("%d.%d", i, w.lastUniqueID)
 	}
 	return i
 }
 
-// free lets go of an attempt with which nobody has to do any more.
-func (w *world) free(i int32) {
-	if t := &w.attempts[i]; !t.atHost && !t.atNode && t.phase != ended {
-		t.phase = ended
-		t.gen++
-		w.busyA--
-		w.freeT = append(w.freeT, i)
-		w.requests[t.request].refs--
-		w.release(t.request)
+// freeAttempt lets go of an attempt with which nobody has to do any more.
+func (w *world) freeAttempt(i int32) {
+	if att := &w.attempts[i]; !att.atHost && !att.atNode && att.phase != phaseEnded {
+		att.phase = phaseEnded
+		att.gen++
+		w.active--
+		w.freeAttempts = append(w.freeAttempts, i)
+		w.requests[att.request].liveAttempts--
+		w.releaseRequest(att.request)
 	}
 }
 
-// byID finds the attempt that a policy names: its id begins with its place.
-func (w *world) byID(id string) int32 {
+// attemptByID finds the attempt that a policy names: its id begins with its place.
+func (w *world) attemptByID(id string) int32 {
 	n := 0
 	for i := 0; i < len(id) && id[i] != '.'; i++ {
 		if id[i] < '0' || id[i] > '9' {
@@ -416,7 +416,7 @@
 		}
 		n = n*10 + int(id[i]-'0')
 	}
-	if id == "" || n >= len(w.attempts) || w.attempts[n].id != id || w.attempts[n].phase == ended {
+	if id == "" || n >= len(w.attempts) || w.attempts[n].id != id || w.attempts[n].phase == phaseEnded {
 		return none
 	}
 	return int32(n)
--- a/internal/upgradetest/fleet_test.go
+++ b/internal/upgradetest/fleet_test.go
@@ -46,7 +46,7 @@
 func newFleet(t *testing.T, tool string, hosts int) *testFleet {
 	t.Helper()
 	scenario := demo.Scenario(hosts, 15*time.Second)
-	scenario.Troubles, scenario.Load.At = nil, 0.3
+	scenario.Faults, scenario.Load.Level = nil, 0.3
 	scenario.Tenants = []simulation.Tenant{{Name: "acme", Share: 0.7, Quota: acmeQuota}, {Name: "zeta", Share: 0.3, Quota: zetaQuota}}
 	site, err := demo.NewSiteWithRegistry(&scenario, "", "")
 	if err != nil {
--- a/internal/upgradetest/upgrade_test.go
+++ b/internal/upgradetest/upgrade_test.go
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	scenario := f.scenario
-	scenario.For *= 20 // longer than any test
+	scenario.Duration *= 20 // longer than any test
 	go func() {
 		defer close(ended)
 		_, _ = loadgen.Run(ctx, loadgen.Options{Scenario: &scenario, Seed: 1, Backends: f.site.Backends, Bounds: limits.ForLoad()})
