--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -60,8 +60,8 @@
 	} else {
 		printLoad(r)
 	}
-	if twice+r.Doubles+r.Strange > 0 {
-		return cli.Exit(fmt.Sprintf("%d runs were launched twice, %d answers came twice", twice, r.Doubles), exitSome)
+	if twice+r.DuplicateAnswers+r.UnknownResults > 0 {
+		return cli.Exit(fmt.Sprintf("%d runs were launched twice, %d answers came twice", twice, r.DuplicateAnswers), exitSome)
 	}
 	say("drawn to %s", c.String("plot"))
 	return err
@@ -89,13 +89,13 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	defer func() { err = errors.Join(err, site.Clear()) }()
-	agent := exec.Command(self, "agent", "--fleet", site.Fleet, "--host", "h1", "--dir", site.Dir)
+	defer func() { err = errors.Join(err, site.Close()) }()
+	agent := exec.Command(self, "agent", "--fleet", site.FleetFile, "--host", "h1", "--dir", site.Dir)
 	if err := agent.Start(); err != nil {
 		return nil, 0, err
 	}
 	tool := func(ctx context.Context, args ...string) error {
-		out, err := exec.CommandContext(ctx, self, append([]string{"fleet", args[0], "--fleet", site.Fleet, "--all", "--quiet"}, args[1:]...)...).CombinedOutput()
+		out, err := exec.CommandContext(ctx, self, append([]string{"fleet", args[0], "--fleet", site.FleetFile, "--all", "--quiet"}, args[1:]...)...).CombinedOutput()
 		if err != nil && ctx.Err() == nil {
 			return fmt.Errorf("fleet %s: %w: %s", args[0], err, out)
 		}
@@ -113,16 +113,16 @@
 	}
 	troubles, trouble := errgroup.WithContext(ctx)
 	for _, t := range s.Faults {
-		troubles.Go(func() error { return site.Bring(trouble, t, say, tool) })
+		troubles.Go(func() error { return site.InjectFault(trouble, t, say, tool) })
 	}
 	r, err = loadgen.Run(ctx, loadgen.Options{
 		Scenario: s, Seed: seed, Backends: site.Backends, Bounds: limits.ForLoad(),
-		Told: func(p loadgen.Snapshot) { say("%s  %d of %d listed", loadLine(p), site.Listed(), len(site.Backends)) },
+		OnSnapshot: func(p loadgen.Snapshot) { say("%s  %d of %d listed", loadLine(p), site.Listed(), len(site.Backends)) },
 	})
 	if err = errors.Join(err, troubles.Wait()); err != nil {
 		return nil, 0, err
 	}
-	for _, y := range site.Yards {
+	for _, y := range site.Executors {
 		_, _, n := y.Counts()
 		twice += n
 	}
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -76,7 +76,7 @@
 			if c.Bool("json") {
 				return printJSON(x.Facts())
 			}
-			fmt.Print(x.Explain(len(cells)))
+			fmt.Print(x.Describe(len(cells)))
 			return nil
 		},
 	}
@@ -111,7 +111,7 @@
 			if err != nil {
 				return err
 			}
-			place, err := experiment.Open(c.String("dir"), build())
+			place, err := experiment.OpenResultDir(c.String("dir"), build())
 			if err != nil {
 				return unusable(err)
 			}
@@ -121,7 +121,7 @@
 			began := time.Now()
 			results, err := experiment.Run(ctx, x, place, c.Int("cores"), func(p experiment.Progress) {
 				if !c.Bool("quiet") {
-					fmt.Fprintf(os.Stderr, "%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n", p.Done, p.All, p.Kept,
+					fmt.Fprintf(os.Stderr, "%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n", p.Done, p.Total, p.Cached,
 						time.Since(began).Round(time.Second), p.Cell.Scenario.Name, p.Cell.Policy.Name, p.Cell.Seed, p.Result.Value())
 				}
 			})
@@ -158,9 +158,9 @@
 	fmt.Fprintln(w, "scenario\tat\tpolicy\tdays\tvalue\tinterval\ttries an ask\twasted ms an ask\trules broken")
 	broken := false
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%.4f\t%.4f to %.4f\t%.2f\t%.2f\t%s\n", r.Scenario, r.Value, r.Policy, r.Worth.N, r.Worth.Mean,
-			r.Worth.Low, r.Worth.High, r.Attempts, r.Wasted/1000, r.RuleWords())
-		broken = broken || r.Policy == simulation.Module && r.Broken() > 0
+		fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%.4f\t%.4f to %.4f\t%.2f\t%.2f\t%s\n", r.Scenario, r.SweptValue, r.Policy, r.BilledShare.N, r.BilledShare.Mean,
+			r.BilledShare.Low, r.BilledShare.High, r.Attempts, r.WastedMicros/1000, r.BreachSummary())
+		broken = broken || r.Policy == simulation.Module && r.BreachCount() > 0
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -223,8 +223,8 @@
 			w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 			fmt.Fprintf(w, "scenario\tat\tdays\t%s\t%s\tdifference\tinterval\t\n", c.Args().Get(1), c.Args().Get(2))
 			for _, d := range all {
-				fmt.Fprintf(w, "%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n", d.Scenario, d.Value, d.Paired.N, d.A.Mean, d.B.Mean,
-					d.Paired.Mean, d.Paired.Low, d.Paired.High, d.Word)
+				fmt.Fprintf(w, "%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n", d.Scenario, d.SweptValue, d.Paired.N, d.A.Mean, d.B.Mean,
+					d.Paired.Mean, d.Paired.Low, d.Paired.High, d.Verdict)
 			}
 			return w.Flush()
 		},
@@ -267,8 +267,8 @@
 	if seed == 0 {
 		seed = x.Seeds[0]
 	}
-	if math.IsNaN(at) && len(x.Values) > 0 {
-		at = x.Values[0]
+	if math.IsNaN(at) && len(x.SweptValues) > 0 {
+		at = x.SweptValues[0]
 	}
 	names, days := daysOf(x, cells, results, scenario, c.String("policy"), seed, at)
 	what := c.String("what")
@@ -278,7 +278,7 @@
 	title := fmt.Sprintf("%s: %s (modelled)", x.Name, scenario)
 	return replaceFile(c.String("to"), func(f io.Writer) error {
 		if what == "sweep" {
-			return plot.Curves(f, title, x.Over, m.Name, experiment.Curves(cells, results, scenario, m), format)
+			return plot.Curves(f, title, x.SweptField, m.Name, experiment.Curves(cells, results, scenario, m), format)
 		}
 		return plotDays(f, what, title, names, days, format)
 	})
@@ -298,7 +298,7 @@
 	x *experiment.Experiment, cells []experiment.Cell, results []*simulation.Result, scenario, policy string, seed uint64, at float64,
 ) (names []string, days []*simulation.Result) {
 	for i, cell := range cells {
-		if results[i] != nil && cell.Scenario.Name == scenario && cell.Seed == seed && (x.Over == "" || cell.Value == at) &&
+		if results[i] != nil && cell.Scenario.Name == scenario && cell.Seed == seed && (x.SweptField == "" || cell.SweptValue == at) &&
 			(policy == "" || policy == cell.Policy.Name) {
 			names, days = append(names, cell.Policy.Name), append(days, results[i])
 		}
@@ -328,7 +328,7 @@
 	case "time":
 		return plot.Times(f, title, names, days, format)
 	case "operations", "tenants":
-		return plot.Parts(f, title, names, days, what == "tenants", format)
+		return plot.Breakdowns(f, title, names, days, what == "tenants", format)
 	case "latency":
 		var parts []*simulation.Breakdown
 		var lines []string
@@ -365,7 +365,7 @@
 			}
 			i := slices.IndexFunc(cells, func(l experiment.Cell) bool {
 				return (c.String("scenario") == "" || c.String("scenario") == l.Scenario.Name) && (c.String("policy") == "" || c.String("policy") == l.Policy.Name) &&
-					(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) && (math.IsNaN(c.Float("at")) || c.Float("at") == l.Value)
+					(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) && (math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
 			})
 			if i < 0 {
 				return unusable(errors.New("no such run in this experiment"))
@@ -379,7 +379,7 @@
 			if err != nil {
 				return unusable(err)
 			}
-			fmt.Printf("%s, %s, seed %d, at %g: value %.4f\n", cell.Scenario.Name, cell.Policy.Name, cell.Seed, cell.Value, r.Value())
+			fmt.Printf("%s, %s, seed %d, at %g: value %.4f\n", cell.Scenario.Name, cell.Policy.Name, cell.Seed, cell.SweptValue, r.Value())
 			for _, line := range tr.Lines {
 				fmt.Println(line)
 			}
--- a/cmd/milletbarrow/experiment_test.go
+++ b/cmd/milletbarrow/experiment_test.go
@@ -25,8 +25,8 @@
 	if err := json.Unmarshal(out, &r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Doubles+r.Strange+r.Unsent > 0 || r.Requests == 0 || r.Value() < 0.5 {
-		t.Errorf("value %.3f of %d asks, %d answers came twice, %d of no run, %d not sent", r.Value(), r.Requests, r.Doubles, r.Strange, r.Unsent)
+	if r.DuplicateAnswers+r.UnknownResults+r.Unsent > 0 || r.Requests == 0 || r.Value() < 0.5 {
+		t.Errorf("value %.3f of %d asks, %d answers came twice, %d of no run, %d not sent", r.Value(), r.Requests, r.DuplicateAnswers, r.UnknownResults, r.Unsent)
 	}
 	for _, op := range r.Operations {
 		if ends := op.Outcomes; ends[5] > 0 && op.Name == "pay-post" {
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if n := twice + measured.Doubles + measured.Strange; n > 0 {
+	if n := twice + measured.DuplicateAnswers + measured.UnknownResults; n > 0 {
 		return nil, cli.Exit(fmt.Sprintf("%s: %d answers or runs came twice", s.Name, n), exitSome)
 	}
 	w := &twin{Scenario: s.Name}
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -39,7 +39,7 @@
 			defer stop()
 			o := loadgen.Options{Scenario: s, Seed: c.Uint64("seed"), Backends: c.StringSlice("to"), Bounds: limits.ForLoad()}
 			if !c.Bool("quiet") {
-				o.Told = func(p loadgen.Snapshot) { fmt.Fprintln(os.Stderr, loadLine(p)) }
+				o.OnSnapshot = func(p loadgen.Snapshot) { fmt.Fprintln(os.Stderr, loadLine(p)) }
 			}
 			r, err := loadgen.Run(ctx, o)
 			if r == nil {
@@ -55,8 +55,8 @@
 			switch {
 			case errors.Is(err, context.Canceled):
 				return cli.Exit("interrupted", exitLate)
-			case r.Doubles+r.Strange > 0:
-				return cli.Exit(fmt.Sprintf("%d answers came twice, %d were of no run", r.Doubles, r.Strange), exitSome)
+			case r.DuplicateAnswers+r.UnknownResults > 0:
+				return cli.Exit(fmt.Sprintf("%d answers came twice, %d were of no run", r.DuplicateAnswers, r.UnknownResults), exitSome)
 			case r.Requests > 0 && r.Billed == 0:
 				return cli.Exit("nothing succeeded", exitSome)
 			}
@@ -83,8 +83,8 @@
 }
 
 func loadLine(p loadgen.Snapshot) string {
-	return fmt.Sprintf("%4v  %7.0f/s  %6d open  last second billed %5.1f%%  throttled %5d  so far %5.1f%%", p.At, p.PerSecond, p.Open,
-		100*p.Last.Billed/max(p.Last.Offered, 1e-9), p.Last.Throttled, 100*p.Value)
+	return fmt.Sprintf("%4v  %7.0f/s  %6d open  last second billed %5.1f%%  throttled %5d  so far %5.1f%%", p.At, p.PerSecond, p.InFlight,
+		100*p.LastSecond.Billed/max(p.LastSecond.Offered, 1e-9), p.LastSecond.Throttled, 100*p.Value)
 }
 
 func printLoad(r *loadgen.Report) {
@@ -103,8 +103,8 @@
 		fmt.Fprintln(w)
 	}
 	_ = w.Flush() // standard output: nowhere else to say so
-	fmt.Printf("value %.4f, %d tries, %d answers came twice, %d of no run, %d not sent, the sender at most %v late\n", r.Value(), r.Attempts, r.Doubles,
-		r.Strange, r.Unsent, r.Late.Round(time.Millisecond/10))
+	fmt.Printf("value %.4f, %d tries, %d answers came twice, %d of no run, %d not sent, the sender at most %v late\n", r.Value(), r.Attempts, r.DuplicateAnswers,
+		r.UnknownResults, r.Unsent, r.MaxLag.Round(time.Millisecond/10))
 }
 
 func fakeCommand() *cli.Command {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -69,16 +69,16 @@
 
 // Site is a fleet set up in a directory of its own.
 type Site struct {
-	Dir      string
-	Fleet    string // its file
-	Backends []string
-	Names    []string
-	Yards    []*timedexecutor.Executor
-	Loopback string // an address of this machine where nobody's calls begin: a port that is free stays free until it is used
+	Dir       string
+	FleetFile string // its file
+	Backends  []string
+	Names     []string
+	Executors []*timedexecutor.Executor
+	Loopback  string // an address of this machine where nobody's calls begin: a port that is free stays free until it is used
 
-	register *http.Server
-	mu       sync.Mutex
-	listed   map[string]time.Time
+	registry   *http.Server
+	mu         sync.Mutex
+	reportedAt map[string]time.Time
 }
 
 // NewSite writes all files and starts the fakes. program is the milletbarrow that is to run; empty: the one that runs now.
@@ -87,29 +87,29 @@
 }
 
 // NewSiteWithRegistry does it with a registry of somebody else's at that address.
-func NewSiteWithRegistry(s *simulation.Scenario, program, register string) (site *Site, err error) {
+func NewSiteWithRegistry(s *simulation.Scenario, program, registry string) (site *Site, err error) {
 	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
 	if err != nil {
 		return nil, err
 	}
-	site = &Site{Dir: dir, Fleet: filepath.Join(dir, "fleet.sx"), listed: map[string]time.Time{}, Loopback: Loopback()}
+	site = &Site{Dir: dir, FleetFile: filepath.Join(dir, "fleet.sx"), reportedAt: map[string]time.Time{}, Loopback: Loopback()}
 	defer func() {
 		if err != nil {
-			_ = site.Clear()
+			_ = site.Close()
 		}
 	}()
-	if register == "" {
+	if registry == "" {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return site, err
 		}
-		site.register = &http.Server{Handler: http.HandlerFunc(site.list), ReadTimeout: 5 * time.Second}
-		go func() { _ = site.register.Serve(l) }()
-		register = l.Addr().String()
+		site.registry = &http.Server{Handler: http.HandlerFunc(site.handleReport), ReadTimeout: 5 * time.Second}
+		go func() { _ = site.registry.Serve(l) }()
+		registry = l.Addr().String()
 	}
-	var held []net.Listener // so that no address is given twice
+	var listeners []net.Listener // so that no address is given twice
 	defer func() {
-		for _, h := range held {
+		for _, h := range listeners {
 			_ = h.Close()
 		}
 	}()
@@ -119,7 +119,7 @@
 		if err != nil {
 			return site, err
 		}
-		held = append(held, free)
+		listeners = append(listeners, free)
 		y, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Config{
 			Cores: s.Hosts.Cores, CollapseMultiple: s.Hosts.CollapseMultiple, ServiceTime: 20 * time.Millisecond, WarmUp: time.Duration(s.Hosts.WarmUp) * time.Microsecond,
 			ColdSpeed: s.Hosts.ColdSpeed, MaxRuns: 10_000,
@@ -127,9 +127,9 @@
 		if err != nil {
 			return site, err
 		}
-		site.Yards = append(site.Yards, y)
+		site.Executors = append(site.Executors, y)
 		raw, err := json.MarshalIndent(map[string]any{
-			"name": name, "listen": free.Addr().String(), "agent": y.Address, "roster": register, "seed": fmt.Sprintf("%016x", n+1),
+			"name": name, "listen": free.Addr().String(), "agent": y.Address, "roster": registry, "seed": fmt.Sprintf("%016x", n+1),
 			"stop_ms": float64(s.Hosts.ExitTimeout) / 1000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(s),
 		}, "", " ")
 		if err == nil {
@@ -145,20 +145,20 @@
 	}
 	text := fmt.Sprintf("(fleet demo %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") (range n 1 %d) (settle 500ms))\n"+
 		" (wave (width 1) (least-share 0.5)))\n", program, dir, s.Hosts.Count)
-	return site, os.WriteFile(site.Fleet, []byte(text), 0o600)
+	return site, os.WriteFile(site.FleetFile, []byte(text), 0o600)
 }
 
-var laid atomic.Int32
+var loopbackCount atomic.Int32
 
 // Loopback is another address of this machine at each call, where nobody's calls begin.
 func Loopback() string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 2+laid.Add(1)%250)
+	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 2+loopbackCount.Add(1)%250)
 }
 
-// Bring brings a trouble about at its time, if it can be brought about here, and takes it back. tool runs a sub-command of fleet
+// InjectFault brings a trouble about at its time, if it can be brought about here, and takes it back. tool runs a sub-command of fleet
 // for all instances.
-func (s *Site) Bring(ctx context.Context, t simulation.Fault, say func(string, ...any), tool func(context.Context, ...string) error) error {
+func (s *Site) InjectFault(ctx context.Context, t simulation.Fault, logf func(string, ...any), runFleetCommand func(context.Context, ...string) error) error {
 	wait := func(m simulation.Micros) bool {
 		select {
 		case <-time.After(time.Duration(m) * time.Microsecond):
@@ -171,11 +171,11 @@
 		return nil
 	}
 	if t.Kind == simulation.Release {
-		say("      a release begins: each backend leaves and comes up again, a few at a time")
-		return tool(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(t.BatchShare*float64(len(s.Names))))))
+		logf("      a release begins: each backend leaves and comes up again, a few at a time")
+		return runFleetCommand(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(t.BatchShare*float64(len(s.Names))))))
 	}
-	concerned := s.Yards[:int(math.Ceil(t.Share*float64(len(s.Yards))))]
-	say("      %d backends' cores are %g times slower", len(concerned), t.Factor)
+	concerned := s.Executors[:int(math.Ceil(t.Share*float64(len(s.Executors))))]
+	logf("      %d backends' cores are %g times slower", len(concerned), t.Factor)
 	for _, y := range concerned {
 		y.Slow(t.Factor)
 	}
@@ -186,15 +186,15 @@
 	return nil
 }
 
-// list takes reports as the endpoint registry would.
-func (s *Site) list(w http.ResponseWriter, r *http.Request) {
+// handleReport takes reports as the endpoint registry would.
+func (s *Site) handleReport(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(io.LimitReader(r.Body, 1<<10))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if name := filepath.Base(r.URL.Path); len(s.listed) < 10_000 {
-		s.listed[name] = time.Now()
+	if name := filepath.Base(r.URL.Path); len(s.reportedAt) < 10_000 {
+		s.reportedAt[name] = time.Now()
 		if string(body) == `{"duty":"off"}` {
-			delete(s.listed, name)
+			delete(s.reportedAt, name)
 		}
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -204,7 +204,7 @@
 func (s *Site) Listed() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, at := range s.listed {
+	for _, at := range s.reportedAt {
 		if time.Since(at) < 3*time.Second {
 			n++
 		}
@@ -212,14 +212,14 @@
 	return n
 }
 
-// Clear ends the fakes and removes the directory.
-func (s *Site) Clear() error {
-	for _, y := range s.Yards {
+// Close ends the fakes and removes the directory.
+func (s *Site) Close() error {
+	for _, y := range s.Executors {
 		y.Close()
 	}
 	var err error
-	if s.register != nil {
-		err = s.register.Close()
+	if s.registry != nil {
+		err = s.registry.Close()
 	}
 	return errors.Join(err, os.RemoveAll(s.Dir))
 }
--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -12,37 +12,37 @@
 
 // Progress is told after each run.
 type Progress struct {
-	Done, All int
-	Kept      int // of them, found in the place
-	Cell      *Cell
-	Result    *simulation.Result
+	Done, Total int
+	Cached      int // of them, found in the place
+	Cell        *Cell
+	Result      *simulation.Result
 }
 
 // Run plays all of an experiment's cells on so many cores, keeps each result as it comes, and skips what the place has.
 // Who is interrupted goes on later with the same call. The results come in the order of the cells, whatever the cores.
 // place may be nil: nothing is kept. told is called by one goroutine at a time; it may be nil.
-func Run(ctx context.Context, x *Experiment, place *Place, cores int, told func(Progress)) ([]*simulation.Result, error) {
+func Run(ctx context.Context, x *Experiment, dir *ResultDir, cores int, onProgress func(Progress)) ([]*simulation.Result, error) {
 	cells, err := x.Cells()
 	if err != nil {
 		return nil, err
 	}
 	results := make([]*simulation.Result, len(cells))
-	whole := ctx
+	callerContext := ctx
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, cores))
 	var mu sync.Mutex
-	state := Progress{All: len(cells)}
-	finished := func(i int, r *simulation.Result, kept bool) {
+	state := Progress{Total: len(cells)}
+	finished := func(i int, r *simulation.Result, cached bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		results[i] = r
 		state.Done++
-		if kept {
-			state.Kept++
+		if cached {
+			state.Cached++
 		}
 		state.Cell, state.Result = &cells[i], r
-		if told != nil {
-			told(state)
+		if onProgress != nil {
+			onProgress(state)
 		}
 	}
 	for i := range cells {
@@ -54,8 +54,8 @@
 				return ctx.Err()
 			}
 			c := &cells[i]
-			if place != nil {
-				if r, ok := place.Done(c.Key); ok {
+			if dir != nil {
+				if r, ok := dir.Load(c.Key); ok {
 					finished(i, r, true)
 					return nil
 				}
@@ -64,8 +64,8 @@
 			if err != nil {
 				return err
 			}
-			if place != nil {
-				if err := place.Write(c.Key, r); err != nil {
+			if dir != nil {
+				if err := dir.Write(c.Key, r); err != nil {
 					return fmt.Errorf("result of %s: %w", c.Key, err)
 				}
 			}
@@ -76,7 +76,7 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	return results, whole.Err()
+	return results, callerContext.Err()
 }
 
 // Load reads the results of an experiment from a place; what is missing is counted.
@@ -85,9 +85,9 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	p := &Place{Dir: dir}
+	p := &ResultDir{Dir: dir}
 	for _, c := range cells {
-		r, ok := p.Done(c.Key)
+		r, ok := p.Load(c.Key)
 		if !ok {
 			missing++
 		}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -12,9 +12,9 @@
 
 // Measure is a figure of a result.
 type Measure struct {
-	Name string
-	Of   func(r *simulation.Result) float64
-	Less bool // less is better
+	Name          string
+	Value         func(r *simulation.Result) float64
+	LowerIsBetter bool // less is better
 }
 
 // MeasureNamed finds a figure by its name: value, broken, attempts, wasted, or one of an operation: OPERATION.value,
@@ -24,17 +24,17 @@
 	m.Name = name
 	switch name {
 	case "value":
-		m.Of = (*simulation.Result).Value
+		m.Value = (*simulation.Result).Value
 	case "broken":
-		m.Of, m.Less = func(r *simulation.Result) float64 { return float64(r.BreachCount()) }, true
+		m.Value, m.LowerIsBetter = func(r *simulation.Result) float64 { return float64(r.BreachCount()) }, true
 	case "priced":
-		m.Of = func(r *simulation.Result) float64 { return r.QuotaPriced / math.Max(r.Offered, 1e-9) }
+		m.Value = func(r *simulation.Result) float64 { return r.QuotaPriced / math.Max(r.Offered, 1e-9) }
 	case "attempts":
-		m.Of, m.Less = func(r *simulation.Result) float64 { return per(r, float64(r.Attempts)) }, true
+		m.Value, m.LowerIsBetter = func(r *simulation.Result) float64 { return per(r, float64(r.Attempts)) }, true
 	case "wasted":
-		m.Of, m.Less = func(r *simulation.Result) float64 { return per(r, r.WastedMicros) }, true
+		m.Value, m.LowerIsBetter = func(r *simulation.Result) float64 { return per(r, r.WastedMicros) }, true
 	case "changes":
-		m.Of, m.Less = func(r *simulation.Result) float64 { return float64(r.LevelChangeCount) }, true
+		m.Value, m.LowerIsBetter = func(r *simulation.Result) float64 { return float64(r.LevelChangeCount) }, true
 	default:
 		op, what, ok := strings.Cut(name, ".")
 		ends := simulation.Outcomes()
@@ -50,8 +50,8 @@
 		if !ok || !known {
 			return m, fmt.Errorf("no figure %q: value, priced, broken, attempts, wasted, changes, or OPERATION with .value, .in-time, .p50, .p99 or .%s", name, strings.Join(ends, ", ."))
 		}
-		m.Less = what != "value" && what != "in-time" && what != "succeeded"
-		m.Of = func(r *simulation.Result) float64 {
+		m.LowerIsBetter = what != "value" && what != "in-time" && what != "succeeded"
+		m.Value = func(r *simulation.Result) float64 {
 			for _, parts := range [][]simulation.Breakdown{r.Operations, r.Tenants} {
 				for i := range parts {
 					if parts[i].Name == op {
@@ -83,9 +83,9 @@
 
 // Draws of a bootstrap, and how much of them lies within an interval.
 const (
-	draws      = 4000
-	confidence = 0.95
-	leastPairs = 5 // fewer say nothing of how much chance there is
+	bootstrapDraws = 4000
+	confidence     = 0.95
+	minPairs       = 5 // fewer say nothing of how much chance there is
 )
 
 // Bootstrap is the mean of some figures with the interval in which it lies with a confidence of 0.95, by drawing from them
@@ -105,7 +105,7 @@
 	}
 	e.Mean /= float64(e.N)
 	r := rand.New(rand.NewPCG(1, uint64(e.N)))
-	means := make([]float64, draws)
+	means := make([]float64, bootstrapDraws)
 	for i := range means {
 		for range known {
 			means[i] += known[r.IntN(len(known))]
@@ -114,18 +114,18 @@
 	}
 	slices.Sort(means)
 	tail := (1 - confidence) / 2
-	e.Low, e.High = means[int(tail*draws)], means[int((1-tail)*draws)-1]
+	e.Low, e.High = means[int(tail*bootstrapDraws)], means[int((1-tail)*bootstrapDraws)-1]
 	return e
 }
 
 // Difference is what two policies did on the same days.
 type Difference struct {
-	Scenario string   `json:"scenario"`
-	Value    float64  `json:"at"` // of what is swept
-	A        Estimate `json:"a"`
-	B        Estimate `json:"b"`
-	Paired   Estimate `json:"b_less_a"`
-	Word     string   `json:"word"`
+	Scenario   string   `json:"scenario"`
+	SweptValue float64  `json:"at"` // of what is swept
+	A          Estimate `json:"a"`
+	B          Estimate `json:"b"`
+	Paired     Estimate `json:"b_less_a"`
+	Verdict    string   `json:"word"`
 }
 
 // Compare takes the days that both policies have played, pairs them by seed, and says of each scenario and value whether a
@@ -140,20 +140,20 @@
 	first := map[string]float64{}
 	for i, c := range cells {
 		if results[i] != nil && c.Policy.Name == a {
-			first[fmt.Sprint(c.Scenario.Name, c.Value, c.Seed)] = m.Of(results[i])
+			first[fmt.Sprint(c.Scenario.Name, c.SweptValue, c.Seed)] = m.Value(results[i])
 		}
 	}
 	for i, c := range cells {
-		x, ok := first[fmt.Sprint(c.Scenario.Name, c.Value, c.Seed)]
+		x, ok := first[fmt.Sprint(c.Scenario.Name, c.SweptValue, c.Seed)]
 		if results[i] == nil || c.Policy.Name != b || !ok {
 			continue
 		}
-		k := at{c.Scenario.Name, c.Value}
+		k := at{c.Scenario.Name, c.SweptValue}
 		if pairs[k] == nil {
 			pairs[k] = &pair{}
 			order = append(order, k)
 		}
-		pairs[k].a, pairs[k].b = append(pairs[k].a, x), append(pairs[k].b, m.Of(results[i]))
+		pairs[k].a, pairs[k].b = append(pairs[k].a, x), append(pairs[k].b, m.Value(results[i]))
 	}
 	for _, k := range order {
 		p := pairs[k]
@@ -161,23 +161,23 @@
 		for i := range less {
 			less[i] = p.b[i] - p.a[i]
 		}
-		d := Difference{Scenario: k.scenario, Value: k.value, A: Bootstrap(p.a), B: Bootstrap(p.b), Paired: Bootstrap(less)}
-		d.Word = word(d.Paired, m, a, b)
+		d := Difference{Scenario: k.scenario, SweptValue: k.value, A: Bootstrap(p.a), B: Bootstrap(p.b), Paired: Bootstrap(less)}
+		d.Verdict = verdict(d.Paired, m, a, b)
 		all = append(all, d)
 	}
 	return all
 }
 
-// word says what an interval shows, and nothing more.
-func word(e Estimate, m Measure, a, b string) string {
+// verdict says what an interval shows, and nothing more.
+func verdict(e Estimate, m Measure, a, b string) string {
 	switch {
 	case e.N == 0:
 		return "nothing to compare"
-	case e.N < leastPairs:
+	case e.N < minPairs:
 		return fmt.Sprintf("%d days are too few to show anything", e.N)
 	case e.Low <= 0 && e.High >= 0:
 		return "no difference shown"
-	case (e.Mean > 0) != m.Less:
+	case (e.Mean > 0) != m.LowerIsBetter:
 		return b + " is better"
 	}
 	return a + " is better"
@@ -203,7 +203,7 @@
 			order = append(order, c.Policy.Name)
 		}
 		at := points[c.Policy.Name]
-		at[c.Value] = append(at[c.Value], m.Of(results[i]))
+		at[c.SweptValue] = append(at[c.SweptValue], m.Value(results[i]))
 	}
 	for _, name := range order {
 		cv := Curve{Policy: name}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -18,28 +18,28 @@
 
 // Experiment is a file that has been read: what is to be run.
 type Experiment struct {
-	Name      string
-	Scenarios []simulation.Scenario
-	Policies  []simulation.Policy
-	Seeds     []uint64
-	Over      string    // what is swept; empty: nothing
-	Values    []float64 // its values
+	Name        string
+	Scenarios   []simulation.Scenario
+	Policies    []simulation.Policy
+	Seeds       []uint64
+	SweptField  string    // what is swept; empty: nothing
+	SweptValues []float64 // its values
 }
 
 // Bounds of an experiment's file.
 const (
-	MostSeeds  = 1000
-	MostValues = 100
-	MostCells  = 100_000
+	MaxSeeds  = 1000
+	MaxValues = 100
+	MaxCells  = 100_000
 )
 
 // Cell is one run of an experiment.
 type Cell struct {
-	Scenario simulation.Scenario
-	Policy   *simulation.Policy
-	Seed     uint64
-	Value    float64 // of what is swept
-	Key      string  // the same for the same run, whatever else the file holds
+	Scenario   simulation.Scenario
+	Policy     *simulation.Policy
+	Seed       uint64
+	SweptValue float64 // of what is swept
+	Key        string  // the same for the same run, whatever else the file holds
 }
 
 // Read reads an experiment's file: any number of scenario, policy and load forms, and one (experiment NAME ...). Files that
@@ -67,8 +67,8 @@
 	x := &Experiment{Name: d.experiment.Arg()}
 	x.Scenarios = d.namedScenarios()
 	x.Policies = d.namedPolicies()
-	x.Seeds = seeds(d.experiment)
-	x.readOver(d.experiment)
+	x.Seeds = readSeeds(d.experiment)
+	x.readSweep(d.experiment)
 	d.experiment.Done()
 	if err := errs.Err(); err != nil {
 		return nil, err
@@ -153,23 +153,23 @@
 	return all
 }
 
-// readOver reads the field that is varied and its values.
-func (x *Experiment) readOver(f *sexpr.Form) {
+// readSweep reads the field that is varied and its values.
+func (x *Experiment) readSweep(f *sexpr.Form) {
 	over := f.Field("over")
 	if over == nil {
 		return
 	}
-	x.Over = over.Arg()
+	x.SweptField = over.Arg()
 	for _, w := range over.Words("values") {
 		v, err := strconv.ParseFloat(w, 64)
 		if err != nil {
 			over.Fail("values", "found %q, wanted a number", w)
 		}
-		x.Values = append(x.Values, v)
+		x.SweptValues = append(x.SweptValues, v)
 	}
 	over.Done()
-	if len(x.Values) == 0 || len(x.Values) > MostValues {
-		over.Fail("values", "found %d, wanted 1 to %d", len(x.Values), MostValues)
+	if len(x.SweptValues) == 0 || len(x.SweptValues) > MaxValues {
+		over.Fail("values", "found %d, wanted 1 to %d", len(x.SweptValues), MaxValues)
 	}
 }
 
@@ -214,8 +214,8 @@
 	return p
 }
 
-// seeds reads (seeds 1 2 7) or (seeds 1..20).
-func seeds(f *sexpr.Form) (all []uint64) {
+// readSeeds reads (seeds 1 2 7) or (seeds 1..20).
+func readSeeds(f *sexpr.Form) (all []uint64) {
 	words := f.Words("seeds")
 	if len(words) == 0 {
 		return []uint64{1}
@@ -227,7 +227,7 @@
 		if err == nil && isRange {
 			to, err = strconv.ParseUint(last, 10, 63)
 		}
-		if err != nil || to < from || to-from >= MostSeeds {
+		if err != nil || to < from || to-from >= MaxSeeds {
 			f.Fail("seeds", "found %q, wanted a number or a range such as 1..20", w)
 			return nil
 		}
@@ -235,37 +235,37 @@
 			all = append(all, n)
 		}
 	}
-	if len(all) > MostSeeds {
-		f.Fail("seeds", "found %d, wanted %d at the most", len(all), MostSeeds)
+	if len(all) > MaxSeeds {
+		f.Fail("seeds", "found %d, wanted %d at the most", len(all), MaxSeeds)
 	}
 	return all
 }
 
-// set gives a scenario one value of what is swept.
-func set(s *simulation.Scenario, over string, v float64) error {
-	whole := int(v)
+// setSwept gives a scenario one value of what is swept.
+func setSwept(s *simulation.Scenario, over string, v float64) error {
+	callerContext := int(v)
 	switch over {
 	case "":
 	case "load.at":
 		s.Load.Level = v
 	case "hosts.count":
-		s.Hosts.Count = whole
+		s.Hosts.Count = callerContext
 	case "nodes.count":
-		s.Nodes.Count = whole
+		s.Nodes.Count = callerContext
 	case "size": // hosts, with nodes, and what they share, in proportion
 		part := v / float64(s.Hosts.Count)
 		s.Nodes.Count = max(1, int(float64(s.Nodes.Count)*part+0.5))
 		s.Dependency.Slots = max(1, int(float64(s.Dependency.Slots)*part+0.5))
-		s.Hosts.Count = whole
+		s.Hosts.Count = callerContext
 		for i := range s.Tenants {
 			s.Tenants[i].Quota *= part
 		}
 	case "nodes.deaf":
 		s.Nodes.UnresponsiveShare = v
 	case "nodes.tries":
-		s.Nodes.MaxAttempts = whole
+		s.Nodes.MaxAttempts = callerContext
 	case "nodes.subset":
-		s.Nodes.Subset = whole
+		s.Nodes.Subset = callerContext
 	case "nodes.behind":
 		s.Nodes.ClientRetryShare = v
 	case "register.lag":
@@ -288,24 +288,24 @@
 
 // Cells are the runs of an experiment, in the order of the file: scenarios, values, seeds, policies.
 func (x *Experiment) Cells() (cells []Cell, err error) {
-	values := x.Values
-	if x.Over == "" {
+	values := x.SweptValues
+	if x.SweptField == "" {
 		values = []float64{0}
 	}
-	if n := len(x.Scenarios) * len(values) * len(x.Seeds) * len(x.Policies); n > MostCells {
-		return nil, fmt.Errorf("%d runs, wanted %d at the most", n, MostCells)
+	if n := len(x.Scenarios) * len(values) * len(x.Seeds) * len(x.Policies); n > MaxCells {
+		return nil, fmt.Errorf("%d runs, wanted %d at the most", n, MaxCells)
 	}
 	for _, s := range x.Scenarios {
 		for _, v := range values {
 			day := s
 			day.Tenants = slices.Clone(s.Tenants)
-			if err := set(&day, x.Over, v); err != nil {
+			if err := setSwept(&day, x.SweptField, v); err != nil {
 				return nil, err
 			}
 			for _, seed := range x.Seeds {
 				for i := range x.Policies {
-					c := Cell{Scenario: day, Policy: &x.Policies[i], Seed: seed, Value: v}
-					c.Key = key(&c)
+					c := Cell{Scenario: day, Policy: &x.Policies[i], Seed: seed, SweptValue: v}
+					c.Key = resultKey(&c)
 					cells = append(cells, c)
 				}
 			}
--- a/internal/experiment/keep.go
+++ b/internal/experiment/keep.go
@@ -14,23 +14,23 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Place is the directory of an experiment's results: a file a run, written whole or not at all, so that a run that was
+// ResultDir is the directory of an experiment's results: a file a run, written whole or not at all, so that a run that was
 // interrupted goes on where it was. One process at a time may write to it.
-type Place struct {
-	Dir  string
-	lock *os.File
-	enc  *zstd.Encoder
+type ResultDir struct {
+	Dir     string
+	lock    *os.File
+	encoder *zstd.Encoder
 }
 
-// ErrTaken says that another process writes to the directory.
-var ErrTaken = errors.New("another run writes to this place")
+// ErrLocked says that another process writes to the directory.
+var ErrLocked = errors.New("another run writes to this place")
 
-// ErrBuild says that the results in the directory are of another build.
-var ErrBuild = errors.New("the results there are of another build: name another place, or remove it")
+// ErrOtherBuild says that the results in the directory are of another build.
+var ErrOtherBuild = errors.New("the results there are of another build: name another place, or remove it")
 
-// Open takes a place for writing, and makes it if it is not there. Build names what runs: results of one build are not gone
+// OpenResultDir takes a place for writing, and makes it if it is not there. Build names what runs: results of one build are not gone
 // on with by another.
-func Open(dir, build string) (*Place, error) {
+func OpenResultDir(dir, build string) (*ResultDir, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -40,18 +40,18 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, fmt.Errorf("%s: %w", dir, ErrTaken)
+		return nil, fmt.Errorf("%s: %w", dir, ErrLocked)
 	}
-	p := &Place{Dir: dir, lock: lock}
+	p := &ResultDir{Dir: dir, lock: lock}
 	was, err := os.ReadFile(filepath.Join(dir, "build"))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		err = os.WriteFile(filepath.Join(dir, "build"), []byte(build), 0o644)
 	case err == nil && string(was) != build:
-		err = fmt.Errorf("%s: %w", dir, ErrBuild)
+		err = fmt.Errorf("%s: %w", dir, ErrOtherBuild)
 	}
 	if err == nil {
-		p.enc, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+		p.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	}
 	if err != nil {
 		_ = lock.Close()
@@ -61,14 +61,14 @@
 }
 
 // Close lets others have the place.
-func (p *Place) Close() error {
-	return errors.Join(p.enc.Close(), p.lock.Close())
+func (p *ResultDir) Close() error {
+	return errors.Join(p.encoder.Close(), p.lock.Close())
 }
 
-func (p *Place) file(key string) string { return filepath.Join(p.Dir, key+".run") }
+func (p *ResultDir) path(key string) string { return filepath.Join(p.Dir, key+".run") }
 
 // Write keeps a result under its key, whole or not at all.
-func (p *Place) Write(key string, r *simulation.Result) error {
+func (p *ResultDir) Write(key string, r *simulation.Result) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -78,15 +78,15 @@
 		return err
 	}
 	defer func() { _ = os.Remove(f.Name()) }()
-	_, err = f.Write(p.enc.EncodeAll(raw, nil))
+	_, err = f.Write(p.encoder.EncodeAll(raw, nil))
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	return os.Rename(f.Name(), p.file(key))
+	return os.Rename(f.Name(), p.path(key))
 }
 
-// MostResult is the longest result that is read, in bytes before compression.
-const MostResult = 1 << 30
+// MaxResultBytes is the longest result that is read, in bytes before compression.
+const MaxResultBytes = 1 << 30
 
 // ReadResult reads one file of a place. A file that was cut short or altered is an error that says so.
 func ReadResult(file string) (*simulation.Result, error) {
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	defer func() { _ = in.Close() }()
-	d, err := zstd.NewReader(in, zstd.WithDecoderMaxMemory(MostResult), zstd.WithDecoderConcurrency(1))
+	d, err := zstd.NewReader(in, zstd.WithDecoderMaxMemory(MaxResultBytes), zstd.WithDecoderConcurrency(1))
 	if err != nil {
 		return nil, err
 	}
@@ -114,8 +114,8 @@
 	return r, nil
 }
 
-// Done tells whether a key's result is there and can be read.
-func (p *Place) Done(key string) (*simulation.Result, bool) {
-	r, err := ReadResult(p.file(key))
+// Load tells whether a key's result is there and can be read.
+func (p *ResultDir) Load(key string) (*simulation.Result, bool) {
+	r, err := ReadResult(p.path(key))
 	return r, err == nil
 }
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -43,14 +43,14 @@
 		_, err := Parse("file.sx", []byte(text))
 		tr.Say("%s\n%v\n", text, err)
 	}
-	tr.Say("%s", parse(t, small).Explain(12))
+	tr.Say("%s", parse(t, small).Describe(12))
 }
 
 // TestSameOnAnyCores: results do not depend on how many run at once, nor on whether they were kept in between.
 func TestSameOnAnyCores(t *testing.T) {
 	x := parse(t, small)
-	text := func(place *Place, cores int) string {
-		results, err := Run(context.Background(), x, place, cores, nil)
+	text := func(dir *ResultDir, cores int) string {
+		results, err := Run(context.Background(), x, dir, cores, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,12 +61,12 @@
 		return string(raw)
 	}
 	one := text(nil, 1)
-	place, err := Open(t.TempDir(), "b")
+	dir, err := OpenResultDir(t.TempDir(), "b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer place.Close()
-	for n, other := range []string{text(nil, 7), text(place, 4), text(place, 2)} {
+	defer dir.Close()
+	for n, other := range []string{text(nil, 7), text(dir, 4), text(dir, 2)} {
 		if one != other {
 			t.Errorf("way %d gives other results", n)
 		}
@@ -77,12 +77,12 @@
 // cut short is played again.
 func TestInterrupted(t *testing.T) {
 	x, dir := parse(t, small), t.TempDir()
-	place, err := Open(dir, "b")
+	resultDir, err := OpenResultDir(dir, "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	_, err = Run(ctx, x, place, 1, func(p Progress) {
+	_, err = Run(ctx, x, resultDir, 1, func(p Progress) {
 		if p.Done == 5 {
 			cancel()
 		}
@@ -90,37 +90,37 @@
 	if !errors.Is(err, context.Canceled) {
 		t.Fatalf("stopped: %v", err)
 	}
-	if _, err := Open(dir, "b"); !errors.Is(err, ErrTaken) {
+	if _, err := OpenResultDir(dir, "b"); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second run into one place: %v", err)
 	}
-	place.Close()
-	if _, err := Open(dir, "another build"); !errors.Is(err, ErrBuild) {
+	resultDir.Close()
+	if _, err := OpenResultDir(dir, "another build"); !errors.Is(err, ErrOtherBuild) {
 		t.Errorf("another build: %v", err)
 	}
-	kept, err := filepath.Glob(filepath.Join(dir, "*.run"))
-	if err != nil || len(kept) < 5 || len(kept) > 6 {
-		t.Fatalf("%d results kept after five: %v", len(kept), err)
+	cached, err := filepath.Glob(filepath.Join(dir, "*.run"))
+	if err != nil || len(cached) < 5 || len(cached) > 6 {
+		t.Fatalf("%d results kept after five: %v", len(cached), err)
 	}
-	raw, err := os.ReadFile(kept[0])
+	raw, err := os.ReadFile(cached[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(kept[0], raw[:len(raw)/2], 0o644); err != nil {
+	if err := os.WriteFile(cached[0], raw[:len(raw)/2], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadResult(kept[0]); err == nil {
+	if _, err := ReadResult(cached[0]); err == nil {
 		t.Error("a file that was cut short is read as if it were whole")
 	}
-	if _, missing, err := Load(x, dir); err != nil || missing != 12-len(kept)+1 {
+	if _, missing, err := Load(x, dir); err != nil || missing != 12-len(cached)+1 {
 		t.Errorf("%d are missing, %v", missing, err)
 	}
-	if place, err = Open(dir, "b"); err != nil {
+	if resultDir, err = OpenResultDir(dir, "b"); err != nil {
 		t.Fatal(err)
 	}
-	defer place.Close()
+	defer resultDir.Close()
 	played := 0
-	results, err := Run(context.Background(), x, place, 2, func(p Progress) { played = p.Done - p.Kept })
-	if err != nil || played != 12-len(kept)+1 {
+	results, err := Run(context.Background(), x, resultDir, 2, func(p Progress) { played = p.Done - p.Cached })
+	if err != nil || played != 12-len(cached)+1 {
 		t.Errorf("%d were played again, %v", played, err)
 	}
 	fresh, err := Run(context.Background(), x, nil, 4, nil)
@@ -156,7 +156,7 @@
 			t.Fatal(err)
 		}
 		for _, d := range Compare(cells, results, c[0], c[1], m) {
-			tr.Say("%s of %s and %s: %s", c[2], c[0], c[1], d.Word)
+			tr.Say("%s of %s and %s: %s", c[2], c[0], c[1], d.Verdict)
 		}
 	}
 	_, err = MeasureNamed("colour")
@@ -184,15 +184,15 @@
 
 // TestNewer: a result of a later build's form is not misread.
 func TestNewer(t *testing.T) {
-	place, err := Open(t.TempDir(), "b")
+	dir, err := OpenResultDir(t.TempDir(), "b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer place.Close()
-	if err := place.Write("k", &simulation.Result{Version: simulation.Version + 1}); err != nil {
+	defer dir.Close()
+	if err := dir.Write("k", &simulation.Result{Version: simulation.Version + 1}); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := place.Done("k"); ok {
+	if _, ok := dir.Load("k"); ok {
 		t.Error("a newer form is read")
 	}
 }
--- a/internal/experiment/resultkey.go
+++ b/internal/experiment/resultkey.go
@@ -11,13 +11,13 @@
 	"milletbarrow/internal/simulation"
 )
 
-// key names a run by all that decides its result, so that what has been run is known again, and nothing else is. It is
+// resultKey names a run by all that decides its result, so that what has been run is known again, and nothing else is. It is
 // the name of the file that keeps the result, and must not change when a Go field is renamed.
-func key(c *Cell) string {
+func resultKey(c *Cell) string {
 	h := xxhash.New()
 	_, _ = fmt.Fprintf(h, "%d ", simulation.Version) // a hash takes all that is written
 	printStable(h, reflect.ValueOf(c.Scenario))
-	_, _ = fmt.Fprintf(h, "|%s|%d|%v", c.Policy.Name+"|"+c.Policy.Description, c.Seed, c.Value)
+	_, _ = fmt.Fprintf(h, "|%s|%d|%v", c.Policy.Name+"|"+c.Policy.Description, c.Seed, c.SweptValue)
 	if p := c.Policy; p.Degradation != nil {
 		_, _ = io.WriteString(h, "|")
 		printStable(h, reflect.ValueOf(*p.Degradation))
--- a/internal/experiment/words.go
+++ b/internal/experiment/words.go
@@ -14,20 +14,20 @@
 	if !ok {
 		return fmt.Errorf("over: %q, wanted NAME=VALUE,VALUE", text)
 	}
-	x.Over, x.Values = name, nil
+	x.SweptField, x.SweptValues = name, nil
 	for _, w := range strings.Split(list, ",") {
 		v, err := strconv.ParseFloat(w, 64)
 		if err != nil {
 			return fmt.Errorf("over: %q, wanted a number", w)
 		}
-		x.Values = append(x.Values, v)
+		x.SweptValues = append(x.SweptValues, v)
 	}
 	_, err := x.Cells()
 	return err
 }
 
-// Explain tells in words what an experiment runs.
-func (x *Experiment) Explain(cells int) string {
+// Describe tells in words what an experiment runs.
+func (x *Experiment) Describe(cells int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "experiment %s: %d runs\n", x.Name, cells)
 	for _, s := range x.Scenarios {
@@ -45,26 +45,26 @@
 		fmt.Fprintf(&b, "  policy %s: %s\n", p.Name, p.Description)
 	}
 	fmt.Fprintf(&b, "  seeds: %d of them, %d to %d\n", len(x.Seeds), x.Seeds[0], x.Seeds[len(x.Seeds)-1])
-	if x.Over != "" {
-		fmt.Fprintf(&b, "  over %s: %v\n", x.Over, x.Values)
+	if x.SweptField != "" {
+		fmt.Fprintf(&b, "  over %s: %v\n", x.SweptField, x.SweptValues)
 	}
 	return b.String()
 }
 
 // Facts are an experiment for programs.
 type Facts struct {
-	Name      string    `json:"name"`
-	Scenarios []string  `json:"scenarios"`
-	Policies  []string  `json:"policies"`
-	Seeds     []uint64  `json:"seeds"`
-	Over      string    `json:"over,omitempty"`
-	Values    []float64 `json:"values,omitempty"`
-	Runs      int       `json:"runs"`
+	Name        string    `json:"name"`
+	Scenarios   []string  `json:"scenarios"`
+	Policies    []string  `json:"policies"`
+	Seeds       []uint64  `json:"seeds"`
+	SweptField  string    `json:"over,omitempty"`
+	SweptValues []float64 `json:"values,omitempty"`
+	Runs        int       `json:"runs"`
 }
 
 // Facts tells what an experiment runs.
 func (x *Experiment) Facts() Facts {
-	f := Facts{Name: x.Name, Seeds: x.Seeds, Over: x.Over, Values: x.Values}
+	f := Facts{Name: x.Name, Seeds: x.Seeds, SweptField: x.SweptField, SweptValues: x.SweptValues}
 	for _, s := range x.Scenarios {
 		f.Scenarios = append(f.Scenarios, s.Name)
 	}
@@ -78,28 +78,28 @@
 
 // Row is one line of an experiment's table: all days of one scenario, value and policy.
 type Row struct {
-	Scenario string   `json:"scenario"`
-	Value    float64  `json:"at"`
-	Policy   string   `json:"policy"`
-	Worth    Estimate `json:"value"`
-	Attempts float64  `json:"attempts"`
-	Wasted   float64  `json:"wasted_us"`
-	Rules    [5]int   `json:"rules"`
-	First    string   `json:"first_breach,omitempty"`
+	Scenario       string   `json:"scenario"`
+	SweptValue     float64  `json:"at"`
+	Policy         string   `json:"policy"`
+	BilledShare    Estimate `json:"value"`
+	Attempts       float64  `json:"attempts"`
+	WastedMicros   float64  `json:"wasted_us"`
+	BreachesByRule [5]int   `json:"rules"`
+	FirstBreach    string   `json:"first_breach,omitempty"`
 }
 
-// Broken counts the breaches of a row.
-func (r *Row) Broken() (n int) {
-	for _, c := range r.Rules {
+// BreachCount counts the breaches of a row.
+func (r *Row) BreachCount() (n int) {
+	for _, c := range r.BreachesByRule {
 		n += c
 	}
 	return n
 }
 
-// RuleWords tells which rules were broken and how often; "-" where all were kept.
-func (r *Row) RuleWords() string {
+// BreachSummary tells which rules were broken and how often; "-" where all were kept.
+func (r *Row) BreachSummary() string {
 	var words []string
-	for rule, n := range r.Rules {
+	for rule, n := range r.BreachesByRule {
 		if n > 0 {
 			words = append(words, fmt.Sprintf("%d: %d times", rule, n))
 		}
@@ -123,28 +123,28 @@
 		if r == nil {
 			continue
 		}
-		k := at{c.Scenario.Name, c.Policy.Name, c.Value}
+		k := at{c.Scenario.Name, c.Policy.Name, c.SweptValue}
 		n, ok := places[k]
 		if !ok {
 			n = len(rows)
 			places[k] = n
-			rows = append(rows, Row{Scenario: k.scenario, Value: k.value, Policy: k.policy})
+			rows = append(rows, Row{Scenario: k.scenario, SweptValue: k.value, Policy: k.policy})
 		}
 		row := &rows[n]
 		values[n] = append(values[n], r.Value())
 		row.Attempts += float64(r.Attempts) / max(1, float64(r.Requests))
-		row.Wasted += r.WastedMicros / max(1, float64(r.Requests))
+		row.WastedMicros += r.WastedMicros / max(1, float64(r.Requests))
 		for rule, broken := range r.BreachesByRule {
-			row.Rules[rule] += broken
+			row.BreachesByRule[rule] += broken
 		}
-		if len(r.Breaches) > 0 && row.First == "" {
-			row.First = fmt.Sprintf("seed %d: %v", c.Seed, r.Breaches[0])
+		if len(r.Breaches) > 0 && row.FirstBreach == "" {
+			row.FirstBreach = fmt.Sprintf("seed %d: %v", c.Seed, r.Breaches[0])
 		}
 	}
 	for n := range rows {
-		rows[n].Worth = Bootstrap(values[n])
+		rows[n].BilledShare = Bootstrap(values[n])
 		rows[n].Attempts /= float64(len(values[n]))
-		rows[n].Wasted /= float64(len(values[n]))
+		rows[n].WastedMicros /= float64(len(values[n]))
 	}
 	return rows
 }
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -171,7 +171,7 @@
 				v.fail("load: %v", err)
 			}
 			if r != nil {
-				v.Asks, v.Billed, v.Doubles = r.Requests, r.Value(), r.Doubles+r.Strange
+				v.Asks, v.Billed, v.Doubles = r.Requests, r.Value(), r.DuplicateAnswers+r.UnknownResults
 			}
 		}()
 	} else {
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -233,7 +233,7 @@
 	if g.register != nil {
 		_ = g.register.Close()
 	}
-	return g.site.Clear()
+	return g.site.Close()
 }
 
 // sweep ends supervisors and backends by what supervisors wrote down of them: both are known by pid and start.
--- a/internal/faultinjection/harness/verdict.go
+++ b/internal/faultinjection/harness/verdict.go
@@ -68,7 +68,7 @@
 		}
 		v.Reports = append(v.Reports, r)
 	}
-	for _, y := range g.site.Yards {
+	for _, y := range g.site.Executors {
 		_, _, twice := y.Counts()
 		v.Doubles += twice
 	}
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -30,39 +30,39 @@
 	for _, op := range []int{0, 2} {
 		for _, out := range []simulation.Outcome{simulation.Throttled, simulation.Errored, simulation.Unreachable, simulation.Reset} {
 			for _, tries := range []int{1, 3} {
-				for _, h := range []Response{{Outcome: out}, {Outcome: out, Dont: true}} {
-					for _, deaf := range []bool{false, true} {
-						a := &Request{Arrival: simulation.Arrival{Operation: op}, Due: simulation.Second, Tries: tries}
-						pause, again := Next(s, 0, a, h, deaf, rand.New(rand.NewPCG(1, 1)))
-						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, simulation.Outcomes()[out], tries, h.Dont, deaf, again, pause)
+				for _, h := range []Response{{Outcome: out}, {Outcome: out, DontRetry: true}} {
+					for _, ignoresAdvice := range []bool{false, true} {
+						req := &Request{Arrival: simulation.Arrival{Operation: op}, Due: simulation.Second, Attempts: tries}
+						pause, again := Next(s, 0, req, h, ignoresAdvice, rand.New(rand.NewPCG(1, 1)))
+						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, simulation.Outcomes()[out], tries, h.DontRetry, ignoresAdvice, again, pause)
 					}
 				}
 			}
 		}
 	}
-	a := &Request{Due: 1500, Tries: 1}
-	if _, again := Next(s, 1000, a, Response{Outcome: simulation.Throttled}, false, rand.New(rand.NewPCG(1, 1))); again {
+	req := &Request{Due: 1500, Attempts: 1}
+	if _, again := Next(s, 1000, req, Response{Outcome: simulation.Throttled}, false, rand.New(rand.NewPCG(1, 1))); again {
 		t.Error("a try that comes after the caller's time")
 	}
 }
 
 // TestChoose: in turn; not who asked to be left alone, nor who was just tried; a first try goes out all the same.
 func TestChoose(t *testing.T) {
-	b := Backends{Avoid: make([]Micros, 3)}
-	a := &Request{Last: -1}
+	b := BackendView{AvoidUntil: make([]Micros, 3)}
+	req := &Request{LastBackend: -1}
 	got := make([]int, 0, 9)
 	for range 4 {
-		got = append(got, b.Choose(0, a))
+		got = append(got, b.Choose(0, req))
 	}
-	b.Avoid[1] = 100
-	a.Tries, a.Last = 1, 2
+	b.AvoidUntil[1] = 100
+	req.Attempts, req.LastBackend = 1, 2
 	for range 3 {
-		got = append(got, b.Choose(50, a))
+		got = append(got, b.Choose(50, req))
 	}
-	b.Avoid = []Micros{100, 100, 100}
-	got = append(got, b.Choose(50, a))
-	a.Tries = 0
-	got = append(got, b.Choose(50, a))
+	b.AvoidUntil = []Micros{100, 100, 100}
+	got = append(got, b.Choose(50, req))
+	req.Attempts = 0
+	got = append(got, b.Choose(50, req))
 	if text := fmt.Sprint(got); text != "[1 2 0 1 0 0 0 -1 1]" {
 		t.Error(text)
 	}
@@ -70,13 +70,13 @@
 
 // TestHeed: advice lengthens what stands, deaf nodes pass it over, and one that is gone is left alone by all.
 func TestHeed(t *testing.T) {
-	b := Backends{Avoid: make([]Micros, 4)}
-	b.Heed(100, 0, Response{Outcome: simulation.Throttled, RetryIn: 50}, false)
-	b.Heed(100, 0, Response{Outcome: simulation.Throttled, RetryIn: 20}, false)
-	b.Heed(100, 1, Response{Outcome: simulation.Throttled, RetryIn: 50}, true)
-	b.Heed(100, 2, Response{Outcome: simulation.Reset}, true)
-	b.Heed(100, 3, Response{Outcome: simulation.Errored}, false)
-	if text := fmt.Sprint(b.Avoid); text != "[150 0 250100 0]" {
+	b := BackendView{AvoidUntil: make([]Micros, 4)}
+	b.RecordResponse(100, 0, Response{Outcome: simulation.Throttled, RetryAfter: 50}, false)
+	b.RecordResponse(100, 0, Response{Outcome: simulation.Throttled, RetryAfter: 20}, false)
+	b.RecordResponse(100, 1, Response{Outcome: simulation.Throttled, RetryAfter: 50}, true)
+	b.RecordResponse(100, 2, Response{Outcome: simulation.Reset}, true)
+	b.RecordResponse(100, 3, Response{Outcome: simulation.Errored}, false)
+	if text := fmt.Sprint(b.AvoidUntil); text != "[150 0 250100 0]" {
 		t.Error(text)
 	}
 }
@@ -141,19 +141,19 @@
 		wrong  func(r *Report) string
 	}{
 		{"as it should", func(_ int, id string, stream uint32) []byte { return good(id, stream) }, func(r *Report) string {
-			if r.Value() != 1 || r.Doubles+r.Strange != 0 {
+			if r.Value() != 1 || r.DuplicateAnswers+r.UnknownResults != 0 {
 				return "not all well"
 			}
 			return ""
 		}},
 		{"twice", func(_ int, id string, stream uint32) []byte { return append(good(id, stream), good(id, stream)...) }, func(r *Report) string {
-			if r.Doubles != r.Requests {
+			if r.DuplicateAnswers != r.Requests {
 				return "doubles"
 			}
 			return ""
 		}},
 		{"of no run", func(_ int, _ string, stream uint32) []byte { return good("another", stream) }, func(r *Report) string {
-			if r.Strange != r.Requests {
+			if r.UnknownResults != r.Requests {
 				return "strange"
 			}
 			return ""
@@ -194,7 +194,7 @@
 			}
 		}
 		if text := c.wrong(r); text != "" || ends != r.Requests || r.Requests == 0 {
-			t.Errorf("%s: %s: %d asks, %d ends, %d doubles, %d strange, %+v", c.name, text, r.Requests, ends, r.Doubles, r.Strange, r.Operations)
+			t.Errorf("%s: %s: %d asks, %d ends, %d doubles, %d strange, %+v", c.name, text, r.Requests, ends, r.DuplicateAnswers, r.UnknownResults, r.Operations)
 		}
 	}
 }
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -18,53 +18,53 @@
 
 // Options of one load.
 type Options struct {
-	Scenario *simulation.Scenario
-	Seed     uint64
-	Backends []string // addresses on this machine
-	Bounds   limits.Load
-	Told     func(Snapshot) // every second; may be nil
+	Scenario   *simulation.Scenario
+	Seed       uint64
+	Backends   []string // addresses on this machine
+	Bounds     limits.Load
+	OnSnapshot func(Snapshot) // every second; may be nil
 }
 
 // Snapshot is how a load stands.
 type Snapshot struct {
-	At        time.Duration
-	Asks      int
-	Open      int
-	Value     float64 // billed by offered, so far
-	Last      simulation.SecondStats
-	Links     int
-	Behind    time.Duration // the sender itself is so late
-	PerSecond float64
+	At          time.Duration
+	Requests    int
+	InFlight    int
+	Value       float64 // billed by offered, so far
+	LastSecond  simulation.SecondStats
+	Connections int
+	Lag         time.Duration // the sender itself is so late
+	PerSecond   float64
 }
 
 // Report is what a load brought.
 type Report struct {
 	*simulation.Result
-	Doubles int           `json:"doubles"` // answers to what was answered before
-	Strange int           `json:"strange"` // succeeded with what no run of it made
-	Unsent  int           `json:"unsent"`  // asks beyond the bound of what may be open
-	Late    time.Duration `json:"late_ns"` // the latest that the sender itself was
+	DuplicateAnswers int           `json:"doubles"` // answers to what was answered before
+	UnknownResults   int           `json:"strange"` // succeeded with what no run of it made
+	Unsent           int           `json:"unsent"`  // asks beyond the bound of what may be open
+	MaxLag           time.Duration `json:"late_ns"` // the latest that the sender itself was
 }
 
 type sender struct {
-	o       Options
-	s       *simulation.Scenario
-	began   time.Time
-	mu      sync.Mutex
-	r       *Report
-	nodes   []Backends
-	deaf    []bool
-	chance  *rand.Rand
-	links   map[[2]int]*link
-	open    int
-	over    chan struct{}
-	sentAll bool
-	salt    uint64
-	tries   uint64
+	options       Options
+	scenario      *simulation.Scenario
+	startedAt     time.Time
+	mu            sync.Mutex
+	report        *Report
+	views         []BackendView
+	ignoresAdvice []bool
+	rand          *rand.Rand
+	connections   map[[2]int]*connection
+	inFlight      int
+	allDone       chan struct{}
+	sentAll       bool
+	idBase        uint64
+	attempts      uint64
 }
 
 // Run sends the scenario's day. Latency counts from the time at which the day has the request, not from when it was sent:
-// a sender or a backend that stalls does not hide what waited meanwhile. Every address must be of this machine.
+// request sender or a backend that stalls does not hide what waited meanwhile. Every address must be of this machine.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Scenario.Check(); err != nil {
 		return nil, err
@@ -79,18 +79,18 @@
 		}
 	}
 	s := &sender{
-		o: o, s: o.Scenario, r: &Report{Result: simulation.NewResult(o.Scenario, "sockets", o.Seed)}, chance: rand.New(rand.NewPCG(o.Seed, 3)),
-		links: map[[2]int]*link{}, over: make(chan struct{}), salt: uint64(time.Now().UnixNano()) << 24, began: time.Now(),
+		options: o, scenario: o.Scenario, report: &Report{Result: simulation.NewResult(o.Scenario, "sockets", o.Seed)}, rand: rand.New(rand.NewPCG(o.Seed, 3)),
+		connections: map[[2]int]*connection{}, allDone: make(chan struct{}), idBase: uint64(time.Now().UnixNano()) << 24, startedAt: time.Now(),
 	}
 	for n := range o.Scenario.Nodes.Count {
-		s.nodes = append(s.nodes, Backends{Avoid: make([]Micros, len(o.Backends)), turn: n % len(o.Backends)})
-		s.deaf = append(s.deaf, float64(n) < o.Scenario.Nodes.UnresponsiveShare*float64(o.Scenario.Nodes.Count))
+		s.views = append(s.views, BackendView{AvoidUntil: make([]Micros, len(o.Backends)), next: n % len(o.Backends)})
+		s.ignoresAdvice = append(s.ignoresAdvice, float64(n) < o.Scenario.Nodes.UnresponsiveShare*float64(o.Scenario.Nodes.Count))
 	}
-	defer s.hangUp()
+	defer s.closeConnections()
 	ticks := make(chan struct{})
-	go s.tell(ticks)
+	go s.reportProgress(ticks)
 	defer close(ticks)
-	stream := simulation.NewStream(s.s, o.Seed)
+	stream := simulation.NewStream(s.scenario, o.Seed)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for n := 1; ; n++ {
@@ -98,148 +98,148 @@
 		if !more {
 			break
 		}
-		timer.Reset(time.Until(s.began.Add(time.Duration(a.At) * time.Microsecond)))
+		timer.Reset(time.Until(s.startedAt.Add(time.Duration(a.At) * time.Microsecond)))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-			return s.books(), ctx.Err()
+			return s.finishReport(), ctx.Err()
 		}
-		s.begin(a, n)
+		s.startRequest(a, n)
 	}
 	s.mu.Lock()
 	s.sentAll = true
-	s.done()
+	s.closeIfDone()
 	s.mu.Unlock()
 	select {
-	case <-s.over:
+	case <-s.allDone:
 	case <-ctx.Done():
-		return s.books(), ctx.Err()
+		return s.finishReport(), ctx.Err()
 	}
-	return s.books(), nil
+	return s.finishReport(), nil
 }
 
-func (s *sender) now() Micros { return Micros(time.Since(s.began).Microseconds()) }
+func (s *sender) now() Micros { return Micros(time.Since(s.startedAt).Microseconds()) }
 
-func (s *sender) books() *Report {
+func (s *sender) finishReport() *Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.r.Close()
-	return s.r
+	s.report.Close()
+	return s.report
 }
 
-// done: all has been sent and nothing is open; s.mu is held.
-func (s *sender) done() {
-	if s.sentAll && s.open == 0 {
+// closeIfDone: all has been sent and nothing is open; s.mu is held.
+func (s *sender) closeIfDone() {
+	if s.sentAll && s.inFlight == 0 {
 		select {
-		case <-s.over:
+		case <-s.allDone:
 		default:
-			close(s.over)
+			close(s.allDone)
 		}
 	}
 }
 
-func (s *sender) begin(arrival simulation.Arrival, number int) {
+func (s *sender) startRequest(arrival simulation.Arrival, number int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.r.Late = max(s.r.Late, time.Duration(now-arrival.At)*time.Microsecond)
-	s.r.RecordRequest(s.s, arrival.At, arrival.Operation, arrival.Tenant)
-	if s.open >= s.o.Bounds.Open {
-		s.r.Unsent++
-		s.r.RecordOutcome(s.s, now, arrival.Operation, arrival.Tenant, simulation.Local, 0, 0)
+	s.report.MaxLag = max(s.report.MaxLag, time.Duration(now-arrival.At)*time.Microsecond)
+	s.report.RecordRequest(s.scenario, arrival.At, arrival.Operation, arrival.Tenant)
+	if s.inFlight >= s.options.Bounds.Open {
+		s.report.Unsent++
+		s.report.RecordOutcome(s.scenario, now, arrival.Operation, arrival.Tenant, simulation.Local, 0, 0)
 		return
 	}
-	s.open++
-	a := &Request{Arrival: arrival, Number: number, Due: arrival.At + s.s.Operations[arrival.Operation].Timeout, Last: -1}
-	time.AfterFunc(time.Duration(a.Due-now)*time.Microsecond, func() {
+	s.inFlight++
+	req := &Request{Arrival: arrival, Number: number, Due: arrival.At + s.scenario.Operations[arrival.Operation].Timeout, LastBackend: -1}
+	time.AfterFunc(time.Duration(req.Due-now)*time.Microsecond, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !a.Over {
-			s.end(a, simulation.Lost)
+		if !req.Finished {
+			s.endRequest(req, simulation.Lost)
 		}
 	})
-	s.try(a)
+	s.sendAttempt(req)
 }
 
-// try sends one attempt; s.mu is held.
-func (s *sender) try(a *Request) {
+// sendAttempt sends one attempt; s.mu is held.
+func (s *sender) sendAttempt(req *Request) {
 	now := s.now()
-	b := s.nodes[a.Node].Choose(now, a)
+	b := s.views[req.Node].Choose(now, req)
 	if b < 0 {
-		s.failed(a, Response{Outcome: simulation.Unreachable})
+		s.retryOrEnd(req, Response{Outcome: simulation.Unreachable})
 		return
 	}
-	retry := a.Tries > 0
-	a.Tries++
-	a.Last = b
-	s.r.Attempts++
-	s.tries++
-	op := &s.s.Operations[a.Operation]
+	retry := req.Attempts > 0
+	req.Attempts++
+	req.LastBackend = b
+	s.report.Attempts++
+	s.attempts++
+	op := &s.scenario.Operations[req.Operation]
 	ask := &frame.OutgoingInvocation{
-		Operation: op.Name, ID: fmt.Sprintf("%016x", s.salt+s.tries), At: time.Now().UnixMilli(), Wait: max(1000, a.Due-now), Retry: retry, Work: a.Hint,
-		KB: max(0.1, min(s.s.Hosts.RequestKB, 1999)), Rank: min(op.Priority, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(a.Work), 10),
+		Operation: op.Name, ID: fmt.Sprintf("%016x", s.idBase+s.attempts), At: time.Now().UnixMilli(), Wait: max(1000, req.Due-now), Retry: retry, Work: req.Hint,
+		KB: max(0.1, min(s.scenario.Hosts.RequestKB, 1999)), Rank: min(op.Priority, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(req.Work), 10),
 	}
-	if len(s.s.Tenants) > 0 {
-		ask.Tenant = s.s.Tenants[a.Tenant].Name
+	if len(s.scenario.Tenants) > 0 {
+		ask.Tenant = s.scenario.Tenants[req.Tenant].Name
 	}
-	l := s.links[[2]int{a.Node, b}]
+	l := s.connections[[2]int{req.Node, b}]
 	if l == nil {
-		l = &link{s: s, node: a.Node, backend: b, open: map[uint32]*sent{}}
-		s.links[[2]int{a.Node, b}] = l
-		go l.dial(s.o.Backends[b])
+		l = &connection{sender: s, node: req.Node, backend: b, unanswered: map[uint32]*sentAttempt{}}
+		s.connections[[2]int{req.Node, b}] = l
+		go l.dial(s.options.Backends[b])
 	}
-	l.send(a, ask)
+	l.send(req, ask)
 }
 
-// heard is the end of a try; s.mu is held.
-func (s *sender) heard(a *Request, node, backend int, h Response) {
-	if a.Over {
+// handleResponse is the end of a try; s.mu is held.
+func (s *sender) handleResponse(req *Request, node, backend int, h Response) {
+	if req.Finished {
 		return
 	}
 	now := s.now()
 	if h.Outcome == simulation.Succeeded {
-		took := now - a.At
-		a.Over = true
-		s.r.RecordOutcome(s.s, now, a.Operation, a.Tenant, simulation.Succeeded, took, EarnedValue(&s.s.Operations[a.Operation], took))
-		s.open--
-		s.done()
+		took := now - req.At
+		req.Finished = true
+		s.report.RecordOutcome(s.scenario, now, req.Operation, req.Tenant, simulation.Succeeded, took, EarnedValue(&s.scenario.Operations[req.Operation], took))
+		s.inFlight--
+		s.closeIfDone()
 		return
 	}
-	s.nodes[node].Heed(now, backend, h, s.deaf[node])
-	s.failed(a, h)
+	s.views[node].RecordResponse(now, backend, h, s.ignoresAdvice[node])
+	s.retryOrEnd(req, h)
 }
 
-func (s *sender) failed(a *Request, h Response) {
-	pause, again := Next(s.s, s.now(), a, h, s.deaf[a.Node], s.chance)
+func (s *sender) retryOrEnd(req *Request, h Response) {
+	pause, again := Next(s.scenario, s.now(), req, h, s.ignoresAdvice[req.Node], s.rand)
 	if !again {
-		s.end(a, h.Outcome)
+		s.endRequest(req, h.Outcome)
 		return
 	}
 	time.AfterFunc(time.Duration(pause)*time.Microsecond, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !a.Over {
-			s.try(a)
+		if !req.Finished {
+			s.sendAttempt(req)
 		}
 	})
 }
 
-func (s *sender) end(a *Request, out simulation.Outcome) {
-	a.Over = true
-	s.r.RecordOutcome(s.s, s.now(), a.Operation, a.Tenant, out, s.now()-a.At, 0)
-	s.open--
-	s.done()
+func (s *sender) endRequest(req *Request, out simulation.Outcome) {
+	req.Finished = true
+	s.report.RecordOutcome(s.scenario, s.now(), req.Operation, req.Tenant, out, s.now()-req.At, 0)
+	s.inFlight--
+	s.closeIfDone()
 }
 
-func (s *sender) hangUp() {
+func (s *sender) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.links {
+	for _, l := range s.connections {
 		l.close()
 	}
 }
 
-func (s *sender) tell(stop chan struct{}) {
+func (s *sender) reportProgress(stop chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	asks := 0
@@ -251,82 +251,82 @@
 		}
 		s.mu.Lock()
 		p := Snapshot{
-			At: time.Since(s.began).Round(time.Second), Asks: s.r.Requests, Open: s.open, Value: s.r.Value(), Links: len(s.links), Behind: s.r.Late,
-			PerSecond: float64(s.r.Requests - asks),
+			At: time.Since(s.startedAt).Round(time.Second), Requests: s.report.Requests, InFlight: s.inFlight, Value: s.report.Value(), Connections: len(s.connections), Lag: s.report.MaxLag,
+			PerSecond: float64(s.report.Requests - asks),
 		}
-		asks = s.r.Requests
-		if n := len(s.r.Seconds); n > 1 {
-			p.Last = s.r.Seconds[n-2]
+		asks = s.report.Requests
+		if n := len(s.report.Seconds); n > 1 {
+			p.LastSecond = s.report.Seconds[n-2]
 		}
 		s.mu.Unlock()
-		if s.o.Told != nil {
-			s.o.Told(p)
+		if s.options.OnSnapshot != nil {
+			s.options.OnSnapshot(p)
 		}
 	}
 }
 
-// link is one connection of one node to one backend. The sender's lock guards it, but for the socket.
-type link struct {
-	s             *sender
+// connection is one connection of one node to one backend. The sender's lock guards it, but for the socket.
+type connection struct {
+	sender        *sender
 	node, backend int
-	c             net.Conn
-	open          map[uint32]*sent
-	next          uint32
-	out           []byte
+	conn          net.Conn
+	unanswered    map[uint32]*sentAttempt
+	lastStream    uint32
+	pending       []byte
 	writing       bool
-	over          bool
-	noMore        bool
+	closed        bool
+	goingAway     bool
 }
 
-type sent struct {
-	a  *Request
-	id string
+type sentAttempt struct {
+	request *Request
+	id      string
 }
 
 // dial opens the connection; what was to be sent meanwhile goes out then.
-func (l *link) dial(address string) {
+func (l *connection) dial(address string) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
-	l.s.mu.Lock()
-	if err != nil || l.over {
-		l.end(simulation.Unreachable)
-		l.s.mu.Unlock()
+	l.sender.mu.Lock()
+	if err != nil || l.closed {
+		l.fail(simulation.Unreachable)
+		l.sender.mu.Unlock()
 		if c != nil {
 			_ = c.Close()
 		}
 		return
 	}
-	l.c = c
+	l.conn = c
 	l.flush()
-	l.s.mu.Unlock()
+	l.sender.mu.Unlock()
 	l.read(c)
 }
 
 // send appends a frame; s.mu is held.
-func (l *link) send(a *Request, ask *frame.OutgoingInvocation) {
-	l.next++
-	l.open[l.next] = &sent{a: a, id: ask.ID}
-	a.Open++
-	l.out = frame.AppendInvocation(l.out, l.next, ask)
+func (l *connection) send(req *Request, ask *frame.OutgoingInvocation) {
+	l.lastStream++
+	l.unanswered[l.lastStream] = &sentAttempt{request: req, id: ask.ID}
+	req.OpenAttempts++
+	l.pending = frame.AppendInvocation(l.pending, l.lastStream, ask)
 	l.flush()
 }
 
 // flush has what waits written, without holding the lock meanwhile.
-func (l *link) flush() {
-	if l.writing || l.c == nil || len(l.out) == 0 {
+func (l *connection) flush() {
+	if l.writing || l.conn == nil || len(l.pending) == 0 {
 		return
 	}
 	l.writing = true
 	go func() {
 		for {
-			l.s.mu.Lock()
-			out, c := l.out, l.c
-			l.out = nil
-			if len(out) == 0 || l.over {
+			l.sender.mu.Lock()
+			out, c := l.pending, l.conn
+			l.pending = nil
+			if len(out) == 0 || l.closed {
 				l.writing = false
-				l.s.mu.Unlock()
+				l.sender.mu.Unlock()
 				return
 			}
-			l.s.mu.Unlock()
+			l.sender.mu.Unlock()
 			if _, err := c.Write(out); err != nil {
 				_ = c.Close() // the reader finds the end
 			}
@@ -334,14 +334,14 @@
 	}()
 }
 
-func (l *link) read(c net.Conn) {
+func (l *connection) read(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	const most = 262_144
 	buffer, have := make([]byte, 16<<10), 0
 	for {
 		n, err := c.Read(buffer[have:])
 		have += n
-		l.s.mu.Lock()
+		l.sender.mu.Lock()
 		used := 0
 		for {
 			h, payload, took, bad := frame.SplitFrame(buffer[used:have], most)
@@ -352,7 +352,7 @@
 				break
 			}
 			used += took
-			if bad := l.frame(h, payload); bad != nil {
+			if bad := l.handleFrame(h, payload); bad != nil {
 				err = bad
 			}
 		}
@@ -360,80 +360,80 @@
 		if have == len(buffer) {
 			buffer = append(buffer, make([]byte, len(buffer))...)
 		}
-		if err != nil || l.noMore && l.idle() {
-			l.end(simulation.Reset)
-			l.s.mu.Unlock()
+		if err != nil || l.goingAway && l.allAnswered() {
+			l.fail(simulation.Reset)
+			l.sender.mu.Unlock()
 			return
 		}
-		l.s.mu.Unlock()
+		l.sender.mu.Unlock()
 	}
 }
 
-func (l *link) idle() bool {
-	for _, x := range l.open {
-		if !x.a.Over {
+func (l *connection) allAnswered() bool {
+	for _, x := range l.unanswered {
+		if !x.request.Finished {
 			return false
 		}
 	}
-	return len(l.out) == 0
+	return len(l.pending) == 0
 }
 
-// frame takes one in; s.mu is held.
-func (l *link) frame(h frame.Header, payload []byte) error {
+// handleFrame takes one in; s.mu is held.
+func (l *connection) handleFrame(h frame.Header, payload []byte) error {
 	switch h.Kind {
 	case frame.KindGoAway:
-		l.noMore = true
-		if l.s.links[[2]int{l.node, l.backend}] == l { // what comes next opens another connection
-			delete(l.s.links, [2]int{l.node, l.backend})
+		l.goingAway = true
+		if l.sender.connections[[2]int{l.node, l.backend}] == l { // what comes next opens another connection
+			delete(l.sender.connections, [2]int{l.node, l.backend})
 		}
 	case frame.KindAnswer:
 		ans, err := frame.ReadAnswer(payload)
 		if err != nil {
 			return err
 		}
-		x := l.open[h.Stream]
+		x := l.unanswered[h.Stream]
 		if x == nil {
-			if h.Stream > 0 && h.Stream <= l.next { // it was answered before
-				l.s.r.Doubles++
+			if h.Stream > 0 && h.Stream <= l.lastStream { // it was answered before
+				l.sender.report.DuplicateAnswers++
 			}
 			return nil
 		}
-		delete(l.open, h.Stream)
-		x.a.Open--
-		heard := Response{Outcome: simulation.Errored, RetryIn: ans.After, Dont: ans.Last}
+		delete(l.unanswered, h.Stream)
+		x.request.OpenAttempts--
+		heard := Response{Outcome: simulation.Errored, RetryAfter: ans.After, DontRetry: ans.Last}
 		switch ans.Code {
 		case frame.Succeeded:
 			heard.Outcome = simulation.Succeeded
 			if !bytes.Equal(ans.Body, []byte("result of "+x.id)) {
-				l.s.r.Strange++
+				l.sender.report.UnknownResults++
 			}
 		case frame.Throttled:
 			heard.Outcome = simulation.Throttled
 		}
-		l.s.heard(x.a, l.node, l.backend, heard)
+		l.sender.handleResponse(x.request, l.node, l.backend, heard)
 	}
 	return nil
 }
 
-// end is the end of the connection; what is open on it has had none. s.mu is held.
-func (l *link) end(out simulation.Outcome) {
-	if l.over {
+// endRequest is the end of the connection; what is open on it has had none. s.mu is held.
+func (l *connection) fail(out simulation.Outcome) {
+	if l.closed {
 		return
 	}
-	l.over = true
-	if l.s.links[[2]int{l.node, l.backend}] == l {
-		delete(l.s.links, [2]int{l.node, l.backend})
+	l.closed = true
+	if l.sender.connections[[2]int{l.node, l.backend}] == l {
+		delete(l.sender.connections, [2]int{l.node, l.backend})
 	}
-	for _, x := range l.open {
-		x.a.Open--
-		l.s.heard(x.a, l.node, l.backend, Response{Outcome: out})
+	for _, x := range l.unanswered {
+		x.request.OpenAttempts--
+		l.sender.handleResponse(x.request, l.node, l.backend, Response{Outcome: out})
 	}
-	clear(l.open)
+	clear(l.unanswered)
 }
 
-func (l *link) close() {
-	l.over = true
-	if l.c != nil {
-		_ = l.c.Close()
+func (l *connection) close() {
+	l.closed = true
+	if l.conn != nil {
+		_ = l.conn.Close()
 	}
 }
--- a/internal/plot/lab.go
+++ b/internal/plot/lab.go
@@ -22,27 +22,27 @@
 	if err != nil {
 		return err
 	}
-	p.Draw(draw.Crop(draw.New(c), 0, -legendWide, 0, 0))
+	p.Draw(draw.Crop(draw.New(c), 0, -legendWidth, 0, 0))
 	_, err = c.WriteTo(to)
 	return err
 }
 
-// legendRoom is how far right of the axes the legend stands, and legendWide the room for it.
+// legendOffset is how far right of the axes the legend stands, and legendWide the room for it.
 const (
-	legendRoom = 3 * vg.Centimeter
-	legendWide = 3.2 * vg.Centimeter
+	legendOffset = 3 * vg.Centimeter
+	legendWidth  = 3.2 * vg.Centimeter
 )
 
-func blank(title, x, y string) *plot.Plot {
+func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
-	p.Legend.Top, p.Legend.XOffs = true, legendRoom
+	p.Legend.Top, p.Legend.XOffs = true, legendOffset
 	p.X.Padding = vg.Points(5)
 	p.Add(plotter.NewGrid())
 	return p
 }
 
-func stroke(n int) (color.Color, []vg.Length) {
+func lineStyle(n int) (color.Color, []vg.Length) {
 	var dashes []vg.Length
 	if n >= len(palette) {
 		dashes = []vg.Length{vg.Points(5), vg.Points(2)}
@@ -53,7 +53,7 @@
 // Curves draws a figure over what is swept, a line a policy, with bars for the intervals. An axis is logarithmic
 // where what it spans is more than a factor of 20, or 50.
 func Curves(to io.Writer, title, over, measure string, curves []experiment.Curve, format string) error {
-	p := blank(title, over, measure)
+	p := newPlot(title, over, measure)
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, c := range curves {
 		for _, x := range c.X {
@@ -96,7 +96,7 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Dashes = stroke(n)
+		line.Color, line.Dashes = lineStyle(n)
 		dots.Color = line.Color
 		dots.Radius = vg.Points(1.5)
 		p.Add(line, dots)
@@ -111,7 +111,7 @@
 
 // Times draws what part of the value offered in each second was billed, a line a result.
 func Times(to io.Writer, title string, names []string, results []*simulation.Result, format string) error {
-	p := blank(title, "seconds", "billed by offered, over 2 s")
+	p := newPlot(title, "seconds", "billed by offered, over 2 s")
 	p.Y.Min, p.Y.Max = 0, 1.1
 	for n, r := range results {
 		var xy plotter.XYs
@@ -127,7 +127,7 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Dashes = stroke(n)
+		line.Color, line.Dashes = lineStyle(n)
 		p.Add(line)
 		p.Legend.Add(names[n], line)
 	}
@@ -136,7 +136,7 @@
 
 // Latencies draws the latency at each percentile, a line a result and operation: how long is the wait of the unluckiest.
 func Latencies(to io.Writer, title string, names []string, parts []*simulation.Breakdown, format string) error {
-	p := blank(title, "percentile (of 1 in so many slower ones)", "milliseconds")
+	p := newPlot(title, "percentile (of 1 in so many slower ones)", "milliseconds")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	drawn := 0
@@ -160,7 +160,7 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Dashes = stroke(n)
+		line.Color, line.Dashes = lineStyle(n)
 		p.Add(line)
 		p.Legend.Add(names[n], line)
 		drawn++
@@ -171,9 +171,9 @@
 	return write(p, to, format)
 }
 
-// Parts draws, for each operation or tenant, the part of its value that was billed: a group of bars a name, a bar a result.
-func Parts(to io.Writer, title string, names []string, results []*simulation.Result, tenants bool, format string) error {
-	p := blank(title, "", "billed by offered")
+// Breakdowns draws, for each operation or tenant, the part of its value that was billed: a group of bars a name, a bar a result.
+func Breakdowns(to io.Writer, title string, names []string, results []*simulation.Result, tenants bool, format string) error {
+	p := newPlot(title, "", "billed by offered")
 	p.Y.Min, p.Y.Max = 0, 1.15
 	wide := vg.Points(max(3, 180/float64(max(1, len(results)*4))))
 	var labels []string
@@ -195,7 +195,7 @@
 		if err != nil {
 			return err
 		}
-		bars.Color, _ = stroke(n)
+		bars.Color, _ = lineStyle(n)
 		bars.LineStyle.Width = 0
 		bars.Offset = wide * vg.Length(float64(n)-float64(len(results)-1)/2)
 		p.Add(bars)
@@ -205,18 +205,20 @@
 	return write(p, to, format)
 }
 
-// heat is the state of a fleet as a grid: seconds across, hosts up.
-type heat struct {
-	rows [][]byte
-	by   int // hosts by row of the picture
+// heatGrid is the state of a fleet as a grid: seconds across, hosts up.
+type heatGrid struct {
+	rows        [][]byte
+	hostsPerRow int // hosts by row of the picture
 }
 
-func (h heat) Dims() (c, r int) { return len(h.rows), (len(h.rows[0]) + h.by - 1) / h.by }
-func (h heat) X(c int) float64  { return float64(c) + 0.5 }
-func (h heat) Y(r int) float64  { return float64(r * h.by) }
-func (h heat) Z(c, r int) float64 {
+func (h heatGrid) Dims() (c, r int) {
+	return len(h.rows), (len(h.rows[0]) + h.hostsPerRow - 1) / h.hostsPerRow
+}
+func (h heatGrid) X(c int) float64 { return float64(c) + 0.5 }
+func (h heatGrid) Y(r int) float64 { return float64(r * h.hostsPerRow) }
+func (h heatGrid) Z(c, r int) float64 {
 	sum, n := 0.0, 0.0
-	for k := r * h.by; k < min((r+1)*h.by, len(h.rows[c])); k++ {
+	for k := r * h.hostsPerRow; k < min((r+1)*h.hostsPerRow, len(h.rows[c])); k++ {
 		if v := h.rows[c][k]; v != simulation.Down {
 			sum, n = sum+float64(v), n+1
 		}
@@ -227,19 +229,19 @@
 	return sum / n
 }
 
-// mostRows of a heat map; hosts beyond are drawn together, as their mean.
-const mostRows = 200
+// maxHeatRows of a heat map; hosts beyond are drawn together, as their mean.
+const maxHeatRows = 200
 
 // Heat draws the cores' use of each host, second by second; a host without a process is left white.
 func Heat(to io.Writer, title string, r *simulation.Result, format string) error {
 	if len(r.Heat) < 2 || len(r.Heat[0]) == 0 {
 		return fmt.Errorf("nothing to draw: no state of the hosts was kept (a fleet of %d is too large for it)", r.Hosts)
 	}
-	p := blank(title, "seconds", "host")
+	p := newPlot(title, "seconds", "host")
 	colors := moreland.SmoothBlueRed()
 	colors.SetMin(0)
 	colors.SetMax(100)
-	m := plotter.NewHeatMap(heat{r.Heat, (len(r.Heat[0]) + mostRows - 1) / mostRows}, colors.Palette(64))
+	m := plotter.NewHeatMap(heatGrid{r.Heat, (len(r.Heat[0]) + maxHeatRows - 1) / maxHeatRows}, colors.Palette(64))
 	m.Min, m.Max = 0, 100
 	m.NaN = color.White
 	p.Add(m)
--- a/internal/plot/levels.go
+++ b/internal/plot/levels.go
@@ -14,8 +14,8 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// mostPoints of one line; a longer trace is thinned evenly.
-const mostPoints = 4000
+// maxPoints of one line; a longer trace is thinned evenly.
+const maxPoints = 4000
 
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 255}, color.RGBA{R: 0xd6, G: 0x27, B: 0x28, A: 255},
@@ -30,7 +30,7 @@
 	p.Title.Text = "ladder " + l.Name
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "level, signals"
 	p.Legend.Top = true
-	stride := max(1, len(points)/mostPoints)
+	stride := max(1, len(points)/maxPoints)
 	var shown []degradation.ReplayPoint
 	for i := 0; i < len(points); i += stride {
 		shown = append(shown, points[i])
--- a/internal/simulation/coldstart/rising.go
+++ b/internal/simulation/coldstart/rising.go
@@ -17,70 +17,72 @@
 
 // Policy is how backends start and report.
 type Policy struct {
-	Name   string
-	Steady bool // reports without chance and growing pauses
-	AtOnce int  // starts at once; 0: all; below 0: by manage/rise, up to so many
+	Name         string
+	FixedReports bool // reports without chance and growing pauses
+	MaxStarting  int  // starts at once; 0: all; below 0: by manage/rise, up to so many
 }
 
-// Terms of a course.
-type Terms struct {
-	Backends, Hosts int
-	Starts          time.Duration // a start on a host that has nothing else to do; so many more at once and each takes longer
-	Cores           int           // starts of a host that do not slow each other down
-	Register        faultinjectioncoldstart.Register
-	Below           Below
-	For             time.Duration
-	Reports         reportpacing.Config
-	Relaunch        backoff.Policy
+// Config of a course.
+type Config struct {
+	Backends, Hosts   int
+	StartDuration     time.Duration // a start on a host that has nothing else to do; so many more at once and each takes longer
+	UncontendedStarts int           // starts of a host that do not slow each other down
+	Registry          faultinjectioncoldstart.Register
+	Dependency        Dependency
+	Duration          time.Duration
+	Reports           reportpacing.Config
+	RelaunchBackoff   backoff.Policy
 }
 
-// Below is the service that each start calls once.
-type Below struct {
-	Takes time.Duration // while no more than so many call at once
-	Crowd int           // beyond it each takes longer, by the square
-	Bound int           // beyond it, it falls over and what it had in hand comes to nothing; 0: it never does
-	Needs time.Duration // it is well again once it was left alone for so long
+// Dependency is the service that each start calls once.
+type Dependency struct {
+	Latency     time.Duration // while no more than so many call at once
+	Concurrency int           // beyond it each takes longer, by the square
+	CollapseAt  int           // beyond it, it falls over and what it had in hand comes to nothing; 0: it never does
+	Recovery    time.Duration // it is well again once it was left alone for so long
 }
 
-// Course is what came of it.
-type Course struct {
+// Result is what came of it.
+type Result struct {
 	faultinjectioncoldstart.Figures
-	HalfWarm, MostWarm float64 // seconds until a half, and 95 in a hundred, are warm; -1: never
-	Warm               int     // at the end
-	BelowFell          int
-	BelowCalls         int
-	Starting           int // at once, at the most
+	HalfReadySeconds, MostReadySeconds float64 // seconds until a half, and 95 in a hundred, are warm; -1: never
+	Ready                              int     // at the end
+	DependencyCollapses                int
+	DependencyCalls                    int
+	PeakStarting                       int // at once, at the most
 }
 
 type event struct {
-	at   time.Duration
-	kind int
-	who  int
-	gen  int
-	n    int
+	at        time.Duration
+	kind      int
+	index     int
+	reference int
+	sequence  int
 }
 
 const (
-	begin  = iota // a start is tried
-	called        // a start has come to its call below
-	fetched
-	warm
-	due // a report
-	answered
-	rested // a rise has
+	eventStart = iota // a start is tried
+	eventCall         // a start has come to its call below
+	eventCallDone
+	eventReady
+	eventReportDue // a report
+	eventReportAnswered
+	eventPauseOver // a rise has
 )
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push and Pop are heap's.
-func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
 // Pop takes the last off.
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -88,234 +90,234 @@
 }
 
 type backend struct {
-	name   string
-	host   int
-	pace   *reportpacing.Pacer
-	began  time.Duration
-	tries  int
-	starts bool
-	warm   bool
-	gen    int  // of its timer
-	below  bool // its call below is in hand
-	fetch  int  // of them, by number
+	name        string
+	host        int
+	pacer       *reportpacing.Pacer
+	startedAt   time.Duration
+	failures    int
+	starting    bool
+	ready       bool
+	reportTimer int  // of its timer
+	calling     bool // its call below is in hand
+	callNumber  int  // of them, by number
 }
 
-type play struct {
-	t        Terms
-	p        Policy
-	q        queue
-	n        int
-	now      time.Duration
-	draw     *rand.Rand
-	all      []backend
-	hosts    []int // starts under way, by host
-	starting int
-	rise     *coldstart.State
-	place    map[string]int
+type run struct {
+	config       Config
+	policy       Policy
+	queue        eventQueue
+	sequence     int
+	now          time.Duration
+	rand         *rand.Rand
+	backends     []backend
+	startsByHost []int // starts under way, by host
+	starting     int
+	coldStart    *coldstart.State
+	indexByName  map[string]int
 
-	within      int // calls at the endpoint registry
-	fallenUntil time.Duration
-	calls       []faultinjectioncoldstart.Call
-	falls       int
+	reportsInFlight   int // calls at the endpoint registry
+	registryDownUntil time.Duration
+	reports           []faultinjectioncoldstart.Call
+	registryCollapses int
 
-	below     int           // calls in hand
-	illUntil  time.Duration // the service below is ill until then, if it is left alone
-	c         Course
-	warmTimes []time.Duration
+	callsInFlight       int           // calls in hand
+	dependencyDownUntil time.Duration // the service below is ill until then, if it is left alone
+	result              Result
+	readyTimes          []time.Duration
 }
 
 // Run plays one course.
-func Run(t Terms, p Policy, seed uint64) (*Course, error) {
-	w := &play{t: t, p: p, draw: rand.New(rand.NewPCG(seed, 28)), hosts: make([]int, t.Hosts), place: map[string]int{}}
+func Run(t Config, p Policy, seed uint64) (*Result, error) {
+	w := &run{config: t, policy: p, rand: rand.New(rand.NewPCG(seed, 28)), startsByHost: make([]int, t.Hosts), indexByName: map[string]int{}}
 	members := make([]coldstart.Member, 0, t.Backends)
 	reports := t.Reports
-	reports.Fixed = p.Steady
+	reports.Fixed = p.FixedReports
 	for n := range t.Backends {
 		name := fmt.Sprintf("n%05d", n)
-		w.all = append(w.all, backend{name: name, host: n % t.Hosts, pace: reportpacing.New(reports, w.draw.Uint64())})
-		w.place[name] = n
+		w.backends = append(w.backends, backend{name: name, host: n % t.Hosts, pacer: reportpacing.New(reports, w.rand.Uint64())})
+		w.indexByName[name] = n
 		members = append(members, coldstart.Member{Name: name, Group: fmt.Sprint("g", n%3), Host: fmt.Sprint("h", n%t.Hosts)})
 	}
-	if p.AtOnce < 0 {
+	if p.MaxStarting < 0 {
 		var err error
-		terms := coldstart.Config{MaxConcurrent: int64(-p.AtOnce), InitialConcurrent: min(2, int64(-p.AtOnce)), MinServing: 0.1, MaxFailures: 8, SlowFactor: 3, MaxRejected: 0.1}
-		if w.rise, err = coldstart.New("r", terms, members); err != nil {
+		terms := coldstart.Config{MaxConcurrent: int64(-p.MaxStarting), InitialConcurrent: min(2, int64(-p.MaxStarting)), MinServing: 0.1, MaxFailures: 8, SlowFactor: 3, MaxRejected: 0.1}
+		if w.coldStart, err = coldstart.New("r", terms, members); err != nil {
 			return nil, err
 		}
 	}
-	for i := range w.all {
-		w.later(time.Duration(w.draw.Int64N(int64(50*time.Millisecond))), begin, i, 0)
+	for i := range w.backends {
+		w.schedule(time.Duration(w.rand.Int64N(int64(50*time.Millisecond))), eventStart, i, 0)
 	}
-	for len(w.q) > 0 {
-		e := heap.Pop(&w.q).(event)
-		if e.at > t.For {
+	for len(w.queue) > 0 {
+		e := heap.Pop(&w.queue).(event)
+		if e.at > t.Duration {
 			break
 		}
 		w.now = e.at
-		w.step(e)
+		w.handle(e)
 	}
-	w.c.Figures = faultinjectioncoldstart.Of(w.calls, &t.Register, t.Backends, time.Duration(t.Reports.Interval)*time.Microsecond, t.For)
-	w.c.Falls, w.c.Warm = w.falls, len(w.warmTimes)
-	w.c.HalfWarm, w.c.MostWarm = w.nth(0.5), w.nth(0.95)
-	return &w.c, nil
+	w.result.Figures = faultinjectioncoldstart.Of(w.reports, &t.Registry, t.Backends, time.Duration(t.Reports.Usual)*time.Microsecond, t.Duration)
+	w.result.Falls, w.result.Ready = w.registryCollapses, len(w.readyTimes)
+	w.result.HalfReadySeconds, w.result.MostReadySeconds = w.readyAt(0.5), w.readyAt(0.95)
+	return &w.result, nil
 }
 
-func (w *play) nth(share float64) float64 {
-	n := int(share*float64(len(w.all)) + 0.999)
-	if n > len(w.warmTimes) {
+func (w *run) readyAt(share float64) float64 {
+	n := int(share*float64(len(w.backends)) + 0.999)
+	if n > len(w.readyTimes) {
 		return -1
 	}
-	return w.warmTimes[n-1].Seconds()
+	return w.readyTimes[n-1].Seconds()
 }
 
-func (w *play) later(after time.Duration, kind, who, gen int) {
-	w.n++
-	heap.Push(&w.q, event{at: w.now + after, kind: kind, who: who, gen: gen, n: w.n})
+func (w *run) schedule(after time.Duration, kind, index, gen int) {
+	w.sequence++
+	heap.Push(&w.queue, event{at: w.now + after, kind: kind, index: index, reference: gen, sequence: w.sequence})
 }
 
 func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 
-func (w *play) step(e event) {
-	b := &w.all[e.who]
+func (w *run) handle(e event) {
+	b := &w.backends[e.index]
 	switch e.kind {
-	case begin:
-		w.begin(e.who)
-	case called:
-		w.callBelow(e.who)
-	case fetched:
-		if !b.below || b.fetch != e.gen { // it fell over with this in hand
+	case eventStart:
+		w.start(e.index)
+	case eventCall:
+		w.callDependency(e.index)
+	case eventCallDone:
+		if !b.calling || b.callNumber != e.reference { // it fell over with this in hand
 			return
 		}
-		b.below = false
-		w.below--
-		w.later(w.t.Starts/4, warm, e.who, 0)
-	case warm:
-		w.ended(e.who, true)
-	case due:
-		if e.gen == b.gen {
-			w.report(e.who)
+		b.calling = false
+		w.callsInFlight--
+		w.schedule(w.config.StartDuration/4, eventReady, e.index, 0)
+	case eventReady:
+		w.endStart(e.index, true)
+	case eventReportDue:
+		if e.reference == b.reportTimer {
+			w.report(e.index)
 		}
-	case rested:
-		w.rise.EndPause(uint64(e.gen))
-	case answered:
-		w.answer(e.who, e.gen)
+	case eventPauseOver:
+		w.coldStart.EndPause(uint64(e.reference))
+	case eventReportAnswered:
+		w.reportAnswered(e.index, e.reference)
 	}
 }
 
-// begin starts one, if it may now; else it asks again a little later, as agents do.
-func (w *play) begin(who int) {
-	b := &w.all[who]
+// eventStart starts one, if it may now; else it asks again a little later, as agents do.
+func (w *run) start(index int) {
+	b := &w.backends[index]
 	may := true
 	switch {
-	case w.p.AtOnce > 0:
-		may = w.starting < w.p.AtOnce
-	case w.rise != nil:
-		may, _ = w.rise.RequestStart(b.name)
+	case w.policy.MaxStarting > 0:
+		may = w.starting < w.policy.MaxStarting
+	case w.coldStart != nil:
+		may, _ = w.coldStart.RequestStart(b.name)
 	}
 	if !may {
-		w.later(300*time.Millisecond+time.Duration(w.draw.Int64N(int64(150*time.Millisecond))), begin, who, 0)
+		w.schedule(300*time.Millisecond+time.Duration(w.rand.Int64N(int64(150*time.Millisecond))), eventStart, index, 0)
 		return
 	}
-	b.starts, b.began = true, w.now
+	b.starting, b.startedAt = true, w.now
 	w.starting++
-	w.hosts[b.host]++
-	w.c.Starting = max(w.c.Starting, w.starting)
-	slower := max(1, float64(w.hosts[b.host])/float64(w.t.Cores))
-	takes := time.Duration(float64(w.t.Starts) * (0.5 + w.draw.Float64()*0.5) * slower)
-	w.later(takes, called, who, 0)
+	w.startsByHost[b.host]++
+	w.result.PeakStarting = max(w.result.PeakStarting, w.starting)
+	slower := max(1, float64(w.startsByHost[b.host])/float64(w.config.UncontendedStarts))
+	takes := time.Duration(float64(w.config.StartDuration) * (0.5 + w.rand.Float64()*0.5) * slower)
+	w.schedule(takes, eventCall, index, 0)
 }
 
-// callBelow has a start fetch what it needs.
-func (w *play) callBelow(who int) {
-	b := &w.all[who]
-	w.c.BelowCalls++
-	if w.now < w.illUntil { // and ill for longer, because it is not left alone
-		w.illUntil = w.now + w.t.Below.Needs
-		w.ended(who, false)
+// callDependency has a start fetch what it needs.
+func (w *run) callDependency(index int) {
+	b := &w.backends[index]
+	w.result.DependencyCalls++
+	if w.now < w.dependencyDownUntil { // and ill for longer, because it is not left alone
+		w.dependencyDownUntil = w.now + w.config.Dependency.Recovery
+		w.endStart(index, false)
 		return
 	}
-	w.below++
-	b.fetch++
-	b.below = true
-	if w.t.Below.Bound > 0 && w.below > w.t.Below.Bound {
-		w.c.BelowFell++
-		w.illUntil = w.now + w.t.Below.Needs
-		for i := range w.all {
-			if o := &w.all[i]; o.below {
-				o.below = false
-				w.ended(i, false)
+	w.callsInFlight++
+	b.callNumber++
+	b.calling = true
+	if w.config.Dependency.CollapseAt > 0 && w.callsInFlight > w.config.Dependency.CollapseAt {
+		w.result.DependencyCollapses++
+		w.dependencyDownUntil = w.now + w.config.Dependency.Recovery
+		for i := range w.backends {
+			if o := &w.backends[i]; o.calling {
+				o.calling = false
+				w.endStart(i, false)
 			}
 		}
-		w.below = 0
+		w.callsInFlight = 0
 		return
 	}
-	crowd := max(1, float64(w.below)/float64(w.t.Below.Crowd))
-	w.later(time.Duration(float64(w.t.Below.Takes)*crowd*crowd), fetched, who, b.fetch)
+	crowd := max(1, float64(w.callsInFlight)/float64(w.config.Dependency.Concurrency))
+	w.schedule(time.Duration(float64(w.config.Dependency.Latency)*crowd*crowd), eventCallDone, index, b.callNumber)
 }
 
-// ended closes a start.
-func (w *play) ended(who int, well bool) {
-	b := &w.all[who]
-	if !b.starts {
+// endStart closes a start.
+func (w *run) endStart(index int, well bool) {
+	b := &w.backends[index]
+	if !b.starting {
 		return
 	}
-	b.starts = false
+	b.starting = false
 	w.starting--
-	w.hosts[b.host]--
-	if w.rise != nil {
-		no := w.rise.PauseNumber
-		w.rise.Report(b.name, coldstart.Outcome{Ready: well, Took: coldstart.Micros((w.now - b.began).Microseconds()), Cause: "the service below"})
-		if w.rise.PauseNumber != no {
-			w.later(time.Duration(w.rise.Pause)*time.Microsecond, rested, who, int(w.rise.PauseNumber))
+	w.startsByHost[b.host]--
+	if w.coldStart != nil {
+		no := w.coldStart.PauseNumber
+		w.coldStart.Report(b.name, coldstart.Outcome{Ready: well, Took: coldstart.Micros((w.now - b.startedAt).Microseconds()), Cause: "the service below"})
+		if w.coldStart.PauseNumber != no {
+			w.schedule(time.Duration(w.coldStart.Pause)*time.Microsecond, eventPauseOver, index, int(w.coldStart.PauseNumber))
 		}
 	}
 	if !well {
-		b.tries++
-		w.later(w.t.Relaunch.Pause(b.tries+1, w.draw), begin, who, 0)
+		b.failures++
+		w.schedule(w.config.RelaunchBackoff.Pause(b.failures+1, w.rand), eventStart, index, 0)
 		return
 	}
-	b.warm = true
-	w.warmTimes = append(w.warmTimes, w.now)
-	b.pace.Start(micros(w.now))
-	w.schedule(who)
+	b.ready = true
+	w.readyTimes = append(w.readyTimes, w.now)
+	b.pacer.Start(micros(w.now))
+	w.scheduleReport(index)
 }
 
-// schedule sets a backend's timer by its pace.
-func (w *play) schedule(who int) {
-	b := &w.all[who]
-	b.gen++
-	if at, room := b.pace.Due(); room {
-		w.later(max(0, time.Duration(at)*time.Microsecond-w.now), due, who, b.gen)
+// scheduleReport sets a backend's timer by its pace.
+func (w *run) scheduleReport(index int) {
+	b := &w.backends[index]
+	b.reportTimer++
+	if at, room := b.pacer.Due(); room {
+		w.schedule(max(0, time.Duration(at)*time.Microsecond-w.now), eventReportDue, index, b.reportTimer)
 	}
 }
 
 // report calls the endpoint registry.
-func (w *play) report(who int) {
-	b := &w.all[who]
-	b.pace.Started(micros(w.now))
-	w.schedule(who)
-	r := &w.t.Register
+func (w *run) report(index int) {
+	b := &w.backends[index]
+	b.pacer.Started(micros(w.now))
+	w.scheduleReport(index)
+	r := &w.config.Registry
 	p := r.At(w.now)
-	w.calls = append(w.calls, faultinjectioncoldstart.Call{Name: b.name, At: w.now})
-	call := len(w.calls) - 1
-	w.within++
-	if r.Crowd > 0 && w.within > r.Crowd && w.now >= w.fallenUntil {
-		w.falls++
-		w.fallenUntil = w.now + r.Needs
+	w.reports = append(w.reports, faultinjectioncoldstart.Call{Name: b.name, At: w.now})
+	call := len(w.reports) - 1
+	w.reportsInFlight++
+	if r.Crowd > 0 && w.reportsInFlight > r.Crowd && w.now >= w.registryDownUntil {
+		w.registryCollapses++
+		w.registryDownUntil = w.now + r.Needs
 	}
-	takes := p.Takes + time.Duration(w.draw.Int64N(int64(time.Millisecond)))
-	w.calls[call].Counted = p.Mode == faultinjectioncoldstart.Takes && w.now >= w.fallenUntil || p.Mode == faultinjectioncoldstart.Half && w.draw.IntN(2) == 0
-	w.later(takes, answered, who, call)
+	takes := p.Takes + time.Duration(w.rand.Int64N(int64(time.Millisecond)))
+	w.reports[call].Counted = p.Mode == faultinjectioncoldstart.Takes && w.now >= w.registryDownUntil || p.Mode == faultinjectioncoldstart.Half && w.rand.IntN(2) == 0
+	w.schedule(takes, eventReportAnswered, index, call)
 }
 
-func (w *play) answer(who, call int) {
-	b := &w.all[who]
-	w.within--
-	c := &w.calls[call]
+func (w *run) reportAnswered(index, call int) {
+	b := &w.backends[index]
+	w.reportsInFlight--
+	c := &w.reports[call]
 	if c.Counted {
-		b.pace.Succeeded(micros(w.now), micros(c.At))
+		b.pacer.Succeeded(micros(w.now), micros(c.At))
 	} else {
-		b.pace.Failed(micros(w.now), reportpacing.Rejected, micros(w.t.Register.At(c.At).Advice))
+		b.pacer.Failed(micros(w.now), reportpacing.Rejected, micros(w.config.Registry.At(c.At).Advice))
 	}
-	w.schedule(who)
+	w.scheduleReport(index)
 }
--- a/internal/simulation/coldstart/rising_test.go
+++ b/internal/simulation/coldstart/rising_test.go
@@ -9,24 +9,24 @@
 // no more start at once than may.
 func TestCourses(t *testing.T) {
 	const n = 330
-	run := func(p Policy) *Course {
+	run := func(p Policy) *Result {
 		c, err := Run(Default(n), p, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	}
-	up := run(Policy{AtOnce: -40})
-	if again := run(Policy{AtOnce: -40}); !reflect.DeepEqual(up, again) {
+	up := run(Policy{MaxStarting: -40})
+	if again := run(Policy{MaxStarting: -40}); !reflect.DeepEqual(up, again) {
 		t.Error("the same seed went two ways")
 	}
-	if up.Warm != n || up.BelowFell > 1 || up.Starting > 40 || up.Falls > 0 || up.Listed != n {
+	if up.Ready != n || up.DependencyCollapses > 1 || up.PeakStarting > 40 || up.Falls > 0 || up.Listed != n {
 		t.Errorf("the rise: %+v", up)
 	}
-	if all := run(Policy{Steady: true}); all.BelowFell == 0 || all.Warm == n {
+	if all := run(Policy{FixedReports: true}); all.DependencyCollapses == 0 || all.Ready == n {
 		t.Errorf("all at once spare the service below: %+v", all)
 	}
-	if one := run(Policy{AtOnce: 3}); one.Starting != 3 || one.BelowFell > 0 {
+	if one := run(Policy{MaxStarting: 3}); one.PeakStarting != 3 || one.DependencyCollapses > 0 {
 		t.Errorf("three at once: %+v", one)
 	}
 }
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -18,28 +18,28 @@
 
 // Default are terms as installations have them: a register that refuses for ten seconds, and a service below that falls
 // over when a tenth of all call it at once, and only gets well if it is left alone for five seconds.
-func Default(backends int) Terms {
+func Default(backends int) Config {
 	b := limits.For(1, 192, 1024)
 	of := func(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
-	return Terms{
-		Backends: backends, Hosts: max(1, backends/30), Starts: time.Second, Cores: 6, For: 120 * time.Second,
-		Register: coldstart.Register{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, Takes: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, Takes: 10 * time.Millisecond}}},
-		Below:    Below{Takes: 200 * time.Millisecond, Crowd: max(2, backends/30), Bound: max(4, backends/10), Needs: 5 * time.Second},
+	return Config{
+		Backends: backends, Hosts: max(1, backends/30), StartDuration: time.Second, UncontendedStarts: 6, Duration: 120 * time.Second,
+		Registry:   coldstart.Register{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, Takes: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, Takes: 10 * time.Millisecond}}},
+		Dependency: Dependency{Latency: 200 * time.Millisecond, Concurrency: max(2, backends/30), CollapseAt: max(4, backends/10), Recovery: 5 * time.Second},
 		Reports: reportpacing.Config{
 			Interval: of(b.ReportInterval), TTL: of(b.RegistrationTTL), RetryMin: of(b.ReportRetryMin), RetryRefused: of(b.ReportRetryRefused), RetryInitial: of(b.ReportRetryInitial),
 			RetryMax: of(b.ReportRetryMax), RetryAfterMax: of(b.RetryAfterMax), InFlight: b.ReportsInFlight,
 		},
-		Relaunch: fleet.DefaultConfig(limits.ForControl(), 1).RelaunchBackoff,
+		RelaunchBackoff: fleet.DefaultConfig(limits.ForControl(), 1).RelaunchBackoff,
 	}
 }
 
 // Policies are those that a study compares for so many backends: as it was, each part alone, fixed paces, and the rise.
 func Policies(backends int) []Policy {
 	return []Policy{
-		{Name: "at once, reports in step", Steady: true}, {Name: "at once", Steady: false}, {Name: "rise, reports in step", Steady: true, AtOnce: -backends / 8},
-		{Name: "fixed, a 100th", AtOnce: max(1, backends/100)}, {Name: "fixed, a 30th", AtOnce: max(1, backends/30)},
-		{Name: "fixed, a 15th", AtOnce: max(1, backends/15)}, {Name: "fixed, an 8th", AtOnce: max(1, backends/8)},
-		{Name: "fixed, a 4th", AtOnce: max(1, backends/4)}, {Name: "rise to an 8th", AtOnce: -backends / 8}, {Name: "rise to a 4th", AtOnce: -backends / 4},
+		{Name: "at once, reports in step", FixedReports: true}, {Name: "at once", FixedReports: false}, {Name: "rise, reports in step", FixedReports: true, MaxStarting: -backends / 8},
+		{Name: "fixed, a 100th", MaxStarting: max(1, backends/100)}, {Name: "fixed, a 30th", MaxStarting: max(1, backends/30)},
+		{Name: "fixed, a 15th", MaxStarting: max(1, backends/15)}, {Name: "fixed, an 8th", MaxStarting: max(1, backends/8)},
+		{Name: "fixed, a 4th", MaxStarting: max(1, backends/4)}, {Name: "rise to an 8th", MaxStarting: -backends / 8}, {Name: "rise to a 4th", MaxStarting: -backends / 4},
 	}
 }
 
@@ -53,27 +53,27 @@
 
 // Figure is a mean with half of its 95% interval.
 type Figure struct {
-	Mean float64 `json:"mean"`
-	Half float64 `json:"half"`
-	Out  int     `json:"out,omitempty"` // courses in which it never came
+	Mean         float64 `json:"mean"`
+	HalfInterval float64 `json:"half"`
+	Never        int     `json:"out,omitempty"` // courses in which it never came
 }
 
-var figures = []struct {
+var measures = []struct {
 	name string
-	of   func(*Course) float64
+	of   func(*Result) float64
 }{
-	{"refusing", func(c *Course) float64 { return c.Refusing / c.Ordinary }}, {"first", func(c *Course) float64 { return c.First }},
-	{"peak", func(c *Course) float64 { return c.Peak }}, {"listed95_s", func(c *Course) float64 { return c.Most }},
-	{"warm50_s", func(c *Course) float64 { return c.HalfWarm }}, {"warm95_s", func(c *Course) float64 { return c.MostWarm }},
-	{"warm", func(c *Course) float64 { return float64(c.Warm) }}, {"below_fell", func(c *Course) float64 { return float64(c.BelowFell) }},
-	{"below_calls", func(c *Course) float64 { return float64(c.BelowCalls) }}, {"starting", func(c *Course) float64 { return float64(c.Starting) }},
+	{"refusing", func(c *Result) float64 { return c.Refusing / c.Ordinary }}, {"first", func(c *Result) float64 { return c.First }},
+	{"peak", func(c *Result) float64 { return c.Peak }}, {"listed95_s", func(c *Result) float64 { return c.Most }},
+	{"warm50_s", func(c *Result) float64 { return c.HalfReadySeconds }}, {"warm95_s", func(c *Result) float64 { return c.MostReadySeconds }},
+	{"warm", func(c *Result) float64 { return float64(c.Ready) }}, {"below_fell", func(c *Result) float64 { return float64(c.DependencyCollapses) }},
+	{"below_calls", func(c *Result) float64 { return float64(c.DependencyCalls) }}, {"starting", func(c *Result) float64 { return float64(c.PeakStarting) }},
 }
 
 // Study plays all policies at all sizes.
-func Study(sizes []int, seeds int, say func(string, ...any)) (rows []Row, err error) {
+func Study(sizes []int, seeds int, logf func(string, ...any)) (rows []Row, err error) {
 	for _, n := range sizes {
 		for _, p := range Policies(n) {
-			courses := make([]*Course, seeds)
+			courses := make([]*Result, seeds)
 			var all errgroup.Group
 			all.SetLimit(runtime.GOMAXPROCS(0))
 			for s := range seeds {
@@ -87,29 +87,29 @@
 			}
 			values := map[string][]float64{}
 			for _, c := range courses {
-				for _, f := range figures {
+				for _, f := range measures {
 					values[f.name] = append(values[f.name], f.of(c))
 				}
 			}
 			r := Row{Backends: n, Policy: p.Name, Seeds: seeds, Figures: map[string]Figure{}}
 			for name, v := range values {
-				r.Figures[name] = figure(v)
+				r.Figures[name] = estimate(v)
 			}
 			rows = append(rows, r)
-			say("%d backends, %s: done", n, p.Name)
+			logf("%d backends, %s: done", n, p.Name)
 		}
 	}
 	return rows, nil
 }
 
-// t95 is Student's for a 95% interval, by degrees of freedom from 1.
-var t95 = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}
+// studentT95 is Student's for a 95% interval, by degrees of freedom from 1.
+var studentT95 = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}
 
-func figure(all []float64) (f Figure) {
+func estimate(all []float64) (f Figure) {
 	var v []float64
 	for _, x := range all {
 		if x < 0 {
-			f.Out++
+			f.Never++
 		} else {
 			v = append(v, x)
 		}
@@ -125,7 +125,7 @@
 		for _, x := range v {
 			sum += (x - f.Mean) * (x - f.Mean)
 		}
-		f.Half = t95[min(len(v)-1, len(t95))-1] * math.Sqrt(sum/float64(len(v)-1)/float64(len(v)))
+		f.HalfInterval = studentT95[min(len(v)-1, len(studentT95))-1] * math.Sqrt(sum/float64(len(v)-1)/float64(len(v)))
 	}
 	return f
 }
@@ -137,12 +137,12 @@
 	cell := func(r *Row, name string, digits int) string {
 		f := r.Figures[name]
 		switch {
-		case f.Out == r.Seeds:
+		case f.Never == r.Seeds:
 			return "never"
-		case f.Out > 0:
-			return fmt.Sprintf("%.*f (never in %d of %d)", digits, f.Mean, f.Out, r.Seeds)
+		case f.Never > 0:
+			return fmt.Sprintf("%.*f (never in %d of %d)", digits, f.Mean, f.Never, r.Seeds)
 		}
-		return fmt.Sprintf("%.*f ± %.*f", digits, f.Mean, digits, f.Half)
+		return fmt.Sprintf("%.*f ± %.*f", digits, f.Mean, digits, f.HalfInterval)
 	}
 	for i := range rows {
 		r := &rows[i]
--- a/internal/upgradetest/fleet_test.go
+++ b/internal/upgradetest/fleet_test.go
@@ -97,7 +97,7 @@
 		_ = supervisor.Signal(syscall.SIGKILL)
 		_ = instance.KillGroup()
 	}
-	if err := f.site.Clear(); err != nil {
+	if err := f.site.Close(); err != nil {
 		f.t.Log(err)
 	}
 }
