--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/experiment_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestWords: a difference is shown where there is one, and none where there is none.
-func TestWords(t *testing.T) {
+// TestVerdicts: a difference is shown where there is one, and none where there is none.
+func TestVerdicts(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	x := parse(t, `(scenario day (for 1s) (hosts (count 3)) (nodes (count 2)) (load (at 1.4)))
 (policy again (base pool)) (experiment small (policies milletbarrow pool again two-choices) (seeds 1..8))`)
@@ -163,9 +163,9 @@
 	tr.Say("%v", err)
 }
 
-// TestInterval: of intervals from days whose true difference is known, some 95 in 100 hold it; so few days as eight make it a
+// TestIntervalCoversTheMean: of intervals from days whose true difference is known, some 95 in 100 hold it; so few days as eight make it a
 // little less.
-func TestInterval(t *testing.T) {
+func TestIntervalCoversTheMean(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	held, tries := 0, 300
 	for range tries {
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestNewer: a result of a later build's form is not misread.
-func TestNewer(t *testing.T) {
+// TestNewerVersionIsRefused: a result of a later build's form is not misread.
+func TestNewerVersionIsRefused(t *testing.T) {
 	dir, err := OpenResultDir(t.TempDir(), "b")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestHeed: advice lengthens what stands, deaf nodes pass it over, and one that is gone is left alone by all.
-func TestHeed(t *testing.T) {
+// TestRecordResponse: advice lengthens what stands, deaf nodes pass it over, and one that is gone is left alone by all.
+func TestRecordResponse(t *testing.T) {
 	b := BackendView{AvoidUntil: make([]Micros, 4)}
 	b.RecordResponse(100, 0, Response{Outcome: simulation.Throttled, RetryAfter: 50}, false)
 	b.RecordResponse(100, 0, Response{Outcome: simulation.Throttled, RetryAfter: 20}, false)
@@ -132,9 +132,9 @@
 	return frame.AppendAnswer(nil, stream, frame.Succeeded, 0, false, []byte("result of "+id))
 }
 
-// TestFinds: answers that come twice, that no run made, that never come, and connections that end are counted as what they
+// TestReportCountsWrongAnswers: answers that come twice, that no run made, that never come, and connections that end are counted as what they
 // are, and each ask has one end.
-func TestFinds(t *testing.T) {
+func TestReportCountsWrongAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer func(n int, id string, stream uint32) []byte
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestStalled: a backend that stalls for a while does not hide what waited: latency counts from the day's time.
-func TestStalled(t *testing.T) {
+// TestLatencyCountsFromScheduledTime: a backend that stalls for a while does not hide what waited: latency counts from the day's time.
+func TestLatencyCountsFromScheduledTime(t *testing.T) {
 	began := time.Now()
 	address := backend(t, func(_ int, id string, stream uint32) []byte {
 		if time.Since(began) < 400*time.Millisecond {
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestElsewhere: load goes to this machine alone.
-func TestElsewhere(t *testing.T) {
+// TestRefusesOtherMachines: load goes to this machine alone.
+func TestRefusesOtherMachines(t *testing.T) {
 	for _, to := range []string{"10.0.0.1:80", "example.org:80", "127.0.0.1", ""} {
 		if _, err := Run(context.Background(), Options{Scenario: day(simulation.Second), Backends: []string{to}}); err == nil || !strings.Contains(err.Error(), "loopback") {
 			t.Errorf("%q: %v", to, err)
--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -7,8 +7,8 @@
 	"milletbarrow/admission"
 )
 
-// sized is the operators' day at a size, 60 s long: nodes are two thirds of the hosts.
-func sized(hosts int) Scenario {
+// dayOfSize is the operators' day at a size, 60 s long: nodes are two thirds of the hosts.
+func dayOfSize(hosts int) Scenario {
 	s := Default()
 	s.Duration = 60 * Second
 	s.Hosts.Count, s.Nodes.Count, s.Nodes.Subset = hosts, max(1, hosts*2/3), 12
@@ -32,7 +32,7 @@
 		}
 		for _, hosts := range []int{10, 33, 100, 330, 1000} {
 			b.Run(fmt.Sprintf("%s/%d", policy, hosts), func(b *testing.B) {
-				s := sized(hosts)
+				s := dayOfSize(hosts)
 				events, asks := 0.0, 0.0
 				for b.Loop() {
 					r, err := Play(&s, p, 1, nil)
@@ -49,10 +49,10 @@
 	}
 }
 
-// idler decides nothing: what is left is the model's own time.
-type idler struct{}
+// idlePolicy decides nothing: what is left is the model's own time.
+type idlePolicy struct{}
 
-func (idler) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
+func (idlePolicy) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	switch e := ev.(type) {
 	case admission.Opened, admission.Reading:
 		return append(out, admission.Wake{At: now + 20*Millisecond, Token: 1})
@@ -64,9 +64,9 @@
 
 // BenchmarkBare is the model with a policy that takes no time: go test ./model -run xxx -bench Bare -benchtime 1x
 func BenchmarkBare(b *testing.B) {
-	s := sized(330)
+	s := dayOfSize(330)
 	s.Load.Level, s.Faults = 0.5, nil
-	p := &Policy{Name: "idler", New: func(admission.Config, uint64) Decider { return idler{} }}
+	p := &Policy{Name: "idler", New: func(admission.Config, uint64) Decider { return idlePolicy{} }}
 	events := 0.0
 	for b.Loop() {
 		r, err := Play(&s, p, 1, nil)
--- a/internal/simulation/coldstart/rising_test.go
+++ b/internal/simulation/coldstart/coldstart_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestCourses: one seed is one course; a rise brings all up and spares the service below that all at once never get past;
+// TestRun: one seed is one course; a rise brings all up and spares the service below that all at once never get past;
 // no more start at once than may.
-func TestCourses(t *testing.T) {
+func TestRun(t *testing.T) {
 	const n = 330
 	run := func(p Policy) *Result {
 		c, err := Run(Default(n), p, 3)
--- a/internal/simulation/model_test.go
+++ b/internal/simulation/simulation_test.go
@@ -32,8 +32,8 @@
 	return p
 }
 
-// short is a day of a few seconds, for tests of single things.
-func short() Scenario {
+// shortDay is a day of a few seconds, for tests of single things.
+func shortDay() Scenario {
 	s := Default()
 	s.Duration = 6 * Second
 	s.Hosts.Count, s.Nodes.Count, s.Hosts.WarmUp = 4, 4, 2*Second
@@ -43,7 +43,7 @@
 // TestDays keeps what each policy does on one day, to the last digit: the model may not change unseen.
 func TestDays(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := short()
+	s := shortDay()
 	s.Load.Level = 1.1
 	s.Faults = []Fault{{Kind: Slow, At: 2 * Second, Duration: Second, Share: 0.25, Factor: 4}, {Kind: Release, At: 3 * Second, BatchShare: 0.3}}
 	for _, p := range Policies() {
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestSame: the same scenario, policy and seed give the same bytes; another seed does not.
-func TestSame(t *testing.T) {
-	s := short()
+// TestSameSeedSameResult: the same scenario, policy and seed give the same bytes; another seed does not.
+func TestSameSeedSameResult(t *testing.T) {
+	s := shortDay()
 	s.Nodes.ClientRetryShare, s.Nodes.HedgeDelay = 0.5, 200*Millisecond
 	s.Faults = []Fault{{Kind: Death, At: 2 * Second, Duration: Second, Share: 0.5}}
 	text := func(seed uint64) []byte {
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestPairs: policies meet the same day: what is asked for does not depend on who answers.
-func TestPairs(t *testing.T) {
-	s := short()
+// TestPoliciesMeetTheSameLoad: policies meet the same day: what is asked for does not depend on who answers.
+func TestPoliciesMeetTheSameLoad(t *testing.T) {
+	s := shortDay()
 	s.Load.Shape = Bursty
 	a := play(t, &s, module(t), 5)
 	for _, p := range Policies() {
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestRules: the module keeps the four rules through every trouble, alone and with others.
-func TestRules(t *testing.T) {
+// TestModuleKeepsRulesUnderFaults: the module keeps the four rules through every trouble, alone and with others.
+func TestModuleKeepsRulesUnderFaults(t *testing.T) {
 	kinds := []Fault{
 		{Kind: Death, Duration: Second, Share: 0.5}, {Kind: Slow, Duration: 2 * Second, Share: 0.5, Factor: 8}, {Kind: Gray, Duration: 2 * Second, Share: 0.5, Factor: 200},
 		{Kind: Release, BatchShare: 0.4}, {Kind: Burst, Duration: Second, Factor: 3}, {Kind: TenantBurst, Duration: 2 * Second, Factor: 5},
@@ -98,7 +98,7 @@
 	}
 	for _, first := range kinds {
 		for seed := range uint64(3) {
-			s := short()
+			s := shortDay()
 			s.Load.Level = 1.2
 			s.Operations[1].MakesCalls, s.Operations[0].RetrySafety = true, admission.IdempotencyKeyed
 			s.Nodes.ClientRetryShare, s.Nodes.MaxAttempts = 0.3, 0
@@ -114,11 +114,11 @@
 	}
 }
 
-// TestFleet: a release by the real fleet's machine takes every host through one new life, never more out than its width and
+// TestReleaseByFleet: a release by the real fleet's machine takes every host through one new life, never more out than its width and
 // those that died, also where agents are gone for a while and notices are lost.
-func TestFleet(t *testing.T) {
+func TestReleaseByFleet(t *testing.T) {
 	for seed := range uint64(4) {
-		s := short()
+		s := shortDay()
 		s.Duration, s.Hosts.Count, s.Load.Level = 30*Second, 10, 0.4
 		s.Faults = []Fault{{Kind: Release, At: 2 * Second, BatchShare: 0.2, ByFleet: true, LostNotices: float64(seed) * 0.1}, {Kind: AgentUnavailable, At: 5 * Second, Duration: 4 * Second}}
 		r := play(t, &s, module(t), seed)
@@ -139,13 +139,13 @@
 	}
 }
 
-// faulty plants a fault in the module's decisions.
-type faulty struct {
+// alteredBackend plants a fault in the module's decisions.
+type alteredBackend struct {
 	*admission.Backend
 	alter func(now Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
 }
 
-func (f faulty) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
+func (f alteredBackend) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	ev, more := f.alter(now, ev, out)
 	if ev == nil {
 		return more
@@ -155,8 +155,8 @@
 	return out
 }
 
-// TestPlanted: the audit finds what it is there for. Each fault is planted in the module's own decisions.
-func TestPlanted(t *testing.T) {
+// TestAuditFindsPlantedFaults: the audit finds what it is there for. Each fault is planted in the module's own decisions.
+func TestAuditFindsPlantedFaults(t *testing.T) {
 	runs := map[string]bool{}
 	faults := []struct {
 		name  string
@@ -200,20 +200,20 @@
 		}},
 	}
 	for _, f := range faults {
-		s := short()
+		s := shortDay()
 		s.Load.Level = 1.5
 		s.Hosts.CollapseAfter = Second
 		s.Faults = []Fault{{Kind: Release, At: Second, BatchShare: 0.5}}
-		p := &Policy{Name: f.name, New: func(t admission.Config, seed uint64) Decider { return faulty{admission.New(t, seed), f.alter} }}
+		p := &Policy{Name: f.name, New: func(t admission.Config, seed uint64) Decider { return alteredBackend{admission.New(t, seed), f.alter} }}
 		if r := play(t, &s, p, 1); r.BreachesByRule[f.rule] == 0 {
 			t.Errorf("%s: rule %d was to be seen broken: %v %v", f.name, f.rule, r.BreachesByRule, r.Breaches)
 		}
 	}
 }
 
-// TestSharing: with one core, no reading and no limit, what a run takes is its work by the part of the core that is free:
+// TestProcessorSharingMean: with one core, no reading and no limit, what a run takes is its work by the part of the core that is free:
 // the mean of a queue that shares its server evenly, whatever the spread of the work.
-func TestSharing(t *testing.T) {
+func TestProcessorSharingMean(t *testing.T) {
 	none, err := PolicyNamed("none")
 	if err != nil {
 		t.Fatal(err)
@@ -239,38 +239,38 @@
 	}
 }
 
-// TestOdd: days at the edge of what a scenario can be.
-func TestOdd(t *testing.T) {
+// TestEdgeCases: days at the edge of what a scenario can be.
+func TestEdgeCases(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := short()
+	s := shortDay()
 	s.Load.Level = 0
 	r := play(t, &s, module(t), 1)
 	tr.Say("without arrivals: %d asks, %d broken", r.Requests, r.BreachCount())
 
-	s = short()
+	s = shortDay()
 	s.Faults = []Fault{{Kind: Death, At: 3 * Second, Duration: Second, Share: 1}}
 	r = play(t, &s, module(t), 1)
-	tr.Say("all hosts die with everything in hand: %d deaths, every ask ended: %t, broken %d", r.Deaths, ends(r) == r.Requests, r.BreachCount())
+	tr.Say("all hosts die with everything in hand: %d deaths, every ask ended: %t, broken %d", r.Deaths, countOutcomes(r) == r.Requests, r.BreachCount())
 
-	s = short()
+	s = shortDay()
 	s.Duration, s.Hosts.Count, s.Nodes.Count, s.Load.Level = 2*Second, 10_000, 50, 0.01
 	s.Faults = []Fault{{Kind: Death, At: Second, Duration: Second / 2, Share: 1}}
 	r = play(t, &s, module(t), 1)
-	tr.Say("10,000 die at once: %d deaths, every ask ended: %t, up at the end of the day: %d", r.Deaths, ends(r) == r.Requests, r.Seconds[1].HostsUp)
+	tr.Say("10,000 die at once: %d deaths, every ask ended: %t, up at the end of the day: %d", r.Deaths, countOutcomes(r) == r.Requests, r.Seconds[1].HostsUp)
 
 	for _, alter := range []func(*Scenario){
 		func(s *Scenario) { s.Hosts.MemoryKB = 1 }, func(s *Scenario) { s.Operations = nil }, func(s *Scenario) { s.Hosts.DrainGrace = s.Hosts.ExitTimeout },
 		func(s *Scenario) { s.Operations[0].Timeout = 1 }, func(s *Scenario) { s.Faults = []Fault{{Kind: TenantBurst, Factor: 2}} },
 		func(s *Scenario) { s.Hosts.Count = 0 }, func(s *Scenario) { s.Load.Recorded = []Recorded{{At: 2, Work: 1}, {At: 1, Work: 1}} },
 	} {
-		s = short()
+		s = shortDay()
 		alter(&s)
 		_, err := Play(&s, module(t), 1, nil)
 		tr.Say("%v", err)
 	}
 }
 
-func ends(r *Result) (n int) {
+func countOutcomes(r *Result) (n int) {
 	for _, op := range r.Operations {
 		for _, c := range op.Outcomes {
 			n += c
@@ -279,9 +279,9 @@
 	return n
 }
 
-// TestQueue: events come out by time, and those of one time in the order in which they were scheduled, whichever way they
+// TestEventQueueOrder: events come out by time, and those of one time in the order in which they were scheduled, whichever way they
 // went in.
-func TestQueue(t *testing.T) {
+func TestEventQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue{lanes: make([]lane, 3)}
 		now, put := Micros(0), 0
@@ -316,11 +316,11 @@
 	})
 }
 
-// TestEveryAskEnds: whatever breaks, each ask ends once, values add up, and seconds add up to the day.
-func TestEveryAskEnds(t *testing.T) {
+// TestEveryRequestEnds: whatever breaks, each ask ends once, values add up, and seconds add up to the day.
+func TestEveryRequestEnds(t *testing.T) {
 	all := Policies()
 	rapid.Check(t, func(t *rapid.T) {
-		s := short()
+		s := shortDay()
 		s.Duration = 2 * Second
 		s.Load.Level = rapid.Float64Range(0, 2).Draw(t, "load")
 		s.Load.Shape = Shape(rapid.IntRange(0, int(DueDate)).Draw(t, "shape"))
@@ -348,8 +348,8 @@
 			billed, offered = billed+sec.Billed, offered+sec.Offered
 		}
 		switch {
-		case ends(r) != r.Requests+r.ClientRetries:
-			t.Fatalf("%d asks, %d anew, %d ends", r.Requests, r.ClientRetries, ends(r))
+		case countOutcomes(r) != r.Requests+r.ClientRetries:
+			t.Fatalf("%d asks, %d anew, %d ends", r.Requests, r.ClientRetries, countOutcomes(r))
 		case math.Abs(billed-r.Billed) > 1e-6 || math.Abs(offered-r.Offered) > 1e-6 || r.Billed > r.Offered+1e-6:
 			t.Fatalf("billed %g by seconds %g, offered %g by seconds %g", r.Billed, billed, r.Offered, offered)
 		case p.Name == Module && r.BreachCount() > 0:
@@ -361,7 +361,7 @@
 // TestReplayed: one request's course can be told.
 func TestReplayed(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := short()
+	s := shortDay()
 	s.Load.Level = 1.5
 	course := &Trace{Request: 900, Host: -1, MaxLines: 20}
 	if _, err := Play(&s, module(t), 2, course); err != nil {
