--- /dev/null
+++ b/internal/experiment/estimate.go
@@ -0,0 +1,52 @@
+package experiment
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+// Estimate is a mean with its interval.
+type Estimate struct {
+	Mean float64 `json:"mean"`
+	Low  float64 `json:"low"`
+	High float64 `json:"high"`
+	N    int     `json:"n"`
+}
+
+// Draws of a bootstrap, and how much of them lies within an interval.
+const (
+	bootstrapDraws = 4000
+	confidence     = 0.95
+	minPairs       = 5 // fewer say nothing of how much chance there is
+)
+
+// Bootstrap is the mean of some figures with the interval in which it lies with a confidence of 0.95, by drawing from them
+// again and again. The same figures give the same interval. Values that are missing are left out.
+func Bootstrap(xs []float64) (e Estimate) {
+	known := make([]float64, 0, len(xs))
+	for _, x := range xs {
+		if !math.IsNaN(x) {
+			known = append(known, x)
+			e.Mean += x
+		}
+	}
+	e.N = len(known)
+	if e.N == 0 {
+		e.Mean, e.Low, e.High = math.NaN(), math.NaN(), math.NaN()
+		return e
+	}
+	e.Mean /= float64(e.N)
+	r := rand.New(rand.NewPCG(1, uint64(e.N)))
+	means := make([]float64, bootstrapDraws)
+	for i := range means {
+		for range known {
+			means[i] += known[r.IntN(len(known))]
+		}
+		means[i] /= float64(e.N)
+	}
+	slices.Sort(means)
+	tail := (1 - confidence) / 2
+	e.Low, e.High = means[int(tail*bootstrapDraws)], means[int((1-tail)*bootstrapDraws)-1]
+	return e
+}
--- /dev/null
+++ b/internal/simulation/balance.go
@@ -0,0 +1,97 @@
+package simulation
+
+import (
+	"math"
+)
+
+// chooseSlot is the slot for a try; none where the list is empty or all of it is to be left alone for now.
+func (w *world) chooseSlot(req *request, n *node) int32 {
+	v := n.view
+	if len(v) == 0 {
+		return none
+	}
+	usable := func(k int32) bool {
+		return n.slots[k].avoidUntil <= w.now && (k != req.lastSlot || len(v) == 1)
+	}
+	if k := w.balancedSlot(n, usable); k != none {
+		return k
+	}
+	for range v { // in turn, also where the balancing policy found nothing
+		n.nextSlot++
+		if k := v[n.nextSlot%len(v)]; usable(k) {
+			return k
+		}
+	}
+	if req.attempts == 0 { // a first attempt goes to somebody, even one that asked to be left alone
+		n.nextSlot++
+		return v[n.nextSlot%len(v)]
+	}
+	return none
+}
+
+// balancedSlot is the choice of the node's balancing policy, or none.
+func (w *world) balancedSlot(n *node, usable func(int32) bool) int32 {
+	v := n.view
+	switch w.policy.balance(w.scenario) {
+	case Random:
+		for range 4 {
+			if k := v[w.nodeRand.IntN(len(v))]; usable(k) {
+				return k
+			}
+		}
+	case TwoChoices:
+		x, y := v[w.nodeRand.IntN(len(v))], v[w.nodeRand.IntN(len(v))]
+		if !usable(x) || usable(y) && n.slots[y].inFlight < n.slots[x].inFlight {
+			x = y
+		}
+		if usable(x) {
+			return x
+		}
+	case LeastLoad:
+		return w.leastLoad(n, usable)
+	case Oracle:
+		return w.leastTrueLoad(n)
+	}
+	return none
+}
+
+// leastLoad is the usable host with the least expected wait; ties go to the first from a random place on.
+func (w *world) leastLoad(n *node, usable func(int32) bool) int32 {
+	v := n.view
+	best, least := none, 0.0
+	from := w.nodeRand.IntN(len(v))
+	for i := range v {
+		k := v[(from+i)%len(v)]
+		if load := float64(n.slots[k].inFlight+1) * n.slots[k].latency; usable(k) && (best == none || load < least) {
+			best, least = k, load
+		}
+	}
+	return best
+}
+
+// leastTrueLoad is what an oracle would choose: the host whose cores have the least work in hand by their speed, as it was 0.1 s
+// ago. What the oracle itself has sent since is known to it.
+func (w *world) leastTrueLoad(n *node) int32 {
+	if w.now >= w.oracleAt+100*Millisecond {
+		w.oracleAt = w.now
+		for i := range w.hosts {
+			h := &w.hosts[i]
+			w.oracleLoad[i] = float64(h.inFlight) + 0.5
+			if speed := h.baseSpeed / h.slowdown * h.warmUpSpeed * h.coreShare; h.up && !h.draining && speed > 0 {
+				w.oracleLoad[i] /= speed
+			} else {
+				w.oracleLoad[i] = math.Inf(1)
+			}
+		}
+	}
+	best := none
+	for _, k := range n.view {
+		if best == none || w.oracleLoad[n.slots[k].host] < w.oracleLoad[n.slots[best].host] {
+			best = k
+		}
+	}
+	if best != none {
+		w.oracleLoad[n.slots[best].host]++
+	}
+	return best
+}
--- /dev/null
+++ b/internal/simulation/dispatch.go
@@ -0,0 +1,126 @@
+package simulation
+
+import (
+	"milletbarrow/admission"
+)
+
+// handle carries one event out. Each group of events has a function of its own; an event belongs to one of them.
+func (w *world) handle(e *event) {
+	if w.hostEvent(e) || w.attemptEvent(e) {
+		return
+	}
+	switch e.kind {
+	case evLoad:
+		w.handleArrival()
+	case evDependency:
+		if w.dependency.generation == e.gen {
+			w.completeCalls()
+		}
+	case evRefresh:
+		w.refreshNode(e.subject)
+	case evListed:
+		if w.listed[e.subject] != (e.detail == 1) {
+			w.listed[e.subject] = e.detail == 1
+			w.registryVersion++
+		}
+	case evIdleCheck:
+		w.checkIdle(e.subject, e.detail)
+	case evFault:
+		w.beginFault(int(e.subject))
+	case evFaultOver:
+		w.endFault(int(e.subject))
+	case evSampleSecond:
+		w.result.recordSecond(w)
+		if w.now < w.scenario.Duration || w.active > 0 {
+			w.queue.push(event{at: w.now + Second, kind: evSampleSecond})
+		}
+	case evExpiry:
+		w.expireLeases()
+	case evAgent:
+		w.tickAgent(e.subject)
+	}
+}
+
+// hostEvent carries out what concerns one host, unless that host's process ended since the event was scheduled.
+func (w *world) hostEvent(e *event) bool {
+	var do func(h *host)
+	switch e.kind {
+	case evCores:
+		if h := &w.hosts[e.subject]; h.cores.generation == e.gen {
+			w.completeWork(h)
+		}
+		return true
+	case evRestart:
+		w.restart(&w.hosts[e.subject])
+		return true
+	case evWake:
+		do = func(h *host) { w.readGauges(h, int64(e.detail)) }
+	case evWarmUp:
+		do = w.warmUp
+	case evOverload:
+		do = w.checkOverload
+	case evStop:
+		do = w.exitProcess
+	case evLease:
+		do = func(h *host) {
+			if w.now < w.scenario.Duration {
+				w.renewLeases(h)
+			}
+		}
+	default:
+		return false
+	}
+	if h := &w.hosts[e.subject]; h.incarnation == e.gen && h.up {
+		do(h)
+	}
+	return true
+}
+
+// attemptEvent carries out what concerns one request or one attempt, unless its place was reused since.
+func (w *world) attemptEvent(e *event) bool {
+	switch e.kind {
+	case evReach, evAnswer, evCallerGone, evCallTimeout:
+		if w.sameAttempt(e) {
+			w.handleAttempt(e)
+		}
+	case evDue, evRetry, evHedge, evClientRetry:
+		if w.requests[e.subject].gen == e.gen {
+			w.handleRequest(e)
+		}
+	default:
+		return false
+	}
+	return true
+}
+
+func (w *world) handleAttempt(e *event) {
+	switch e.kind {
+	case evReach:
+		w.reachHost(e.subject)
+	case evAnswer:
+		w.receiveAnswer(e.subject)
+	case evCallerGone:
+		w.callerLeft(e.subject)
+	case evCallTimeout:
+		if att := &w.attempts[e.subject]; att.phase == phaseCalling && att.callGen == uint32(e.detail) {
+			w.endCall(e.subject, admission.TimedOut)
+		}
+	}
+}
+
+func (w *world) handleRequest(e *event) {
+	req := &w.requests[e.subject]
+	switch {
+	case e.kind == evClientRetry:
+		w.repeatRequest(e.subject)
+	case req.finished:
+	case e.kind == evDue:
+		w.failRequest(e.subject, Lost)
+	case e.kind == evRetry:
+		w.startAttempt(e.subject, true)
+	case e.kind == evHedge && req.openAttempts[1] == none && req.openAttempts[0] != none:
+		w.startAttempt(e.subject, true)
+	}
+}
+
+func (w *world) sameAttempt(e *event) bool { return w.attempts[e.subject].gen == e.gen }
--- /dev/null
+++ b/internal/simulation/host_actions.go
@@ -0,0 +1,137 @@
+package simulation
+
+import (
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/degradation"
+)
+
+// decide hands one event to a host's policy and does what it says.
+func (w *world) decide(h *host, ev admission.Event) {
+	w.result.Decisions++
+	var acts [4]admission.Action
+	for _, act := range h.policy.Decide(w.now+h.clockSkew, ev, acts[:0]) {
+		if h.up {
+			w.perform(h, act)
+		}
+	}
+}
+
+// perform carries out one action of a host's policy.
+func (w *world) perform(h *host, act admission.Action) {
+	switch a := act.(type) {
+	case admission.Throttle:
+		w.throttle(h, a)
+	case admission.Fail:
+		if j := w.answerable(h, a.ID); j != none {
+			w.answer(h, j, Errored)
+			w.dropWaiter(h, j)
+		}
+	case admission.Start:
+		if j := w.inPhase(h, a.ID, phaseQueued); j != none {
+			w.startRun(h, j)
+		}
+	case admission.Stop:
+		if j := w.inPhase(h, a.ID, phaseRunning); j != none {
+			w.preempt(h, j)
+		}
+	case admission.Call:
+		if j := w.inPhase(h, a.ID, phaseBeforeCall); j != none {
+			w.startCall(h, j, a.Timeout)
+		}
+	case admission.SkipCall:
+		if j := w.inPhase(h, a.ID, phaseBeforeCall); j != none {
+			w.attempts[j].skipped = true
+			w.resumeRun(h, j)
+		}
+	case admission.Remember:
+		w.remember(h, a)
+	case admission.Forget:
+		if h.cachedResults[a.ID] != nil {
+			delete(h.cachedResults, a.ID)
+			h.keyKB -= keyKB
+		}
+	case admission.Reuse:
+		if j := w.inFlightAttempt(h, a.ID); j != none {
+			w.reuse(h, j)
+		}
+	case admission.SetHealth:
+		w.setHealth(h, a.Good)
+	case admission.CloseIdle:
+		h.idleTimeout = max(a.After, Second/10)
+	case admission.Wake:
+		w.queue.pushLane(laneTick, event{at: max(a.At-h.clockSkew, w.now+1), kind: evWake, subject: h.number, detail: int32(a.Token), gen: h.incarnation})
+	}
+}
+
+// inPhase is the attempt of that id where it is on the host and in that phase, else none.
+func (w *world) inPhase(h *host, id string, p phase) int32 {
+	if j := w.inFlightAttempt(h, id); j != none && w.attempts[j].phase == p {
+		return j
+	}
+	return none
+}
+
+// answerable is the attempt of that id; an answer for one that is not in flight breaks rule 1.
+func (w *world) answerable(h *host, id string) int32 {
+	j := w.inFlightAttempt(h, id)
+	if j == none {
+		w.audit.breach(w, 1, h, nil, "an answer for "+id+", which is not in hand")
+	}
+	return j
+}
+
+func (w *world) throttle(h *host, a admission.Throttle) {
+	j := w.answerable(h, a.ID)
+	if j == none {
+		return
+	}
+	att := &w.attempts[j]
+	att.retryIn, att.dontRetry = min(a.RetryAfter, w.scenario.Hosts.MaxRetryAfter), a.DontRetry
+	if r := h.degradation; r != nil && att.answers == 0 && !att.shed { // what a level sheds must not keep it
+		r.signals.Count(degradation.Micros(w.now), degradation.Rejections)
+	}
+	w.answer(h, j, Throttled)
+	w.dropWaiter(h, j)
+}
+
+// keyKB is what an idempotency key takes of a host's memory.
+const keyKB = 0.2
+
+func (w *world) remember(h *host, a admission.Remember) {
+	j := w.attemptByID(a.ID)
+	if j == none {
+		return
+	}
+	if h.cachedResults == nil {
+		h.cachedResults, h.resultsByRequest = map[string]*cachedResult{}, map[uint64]string{}
+	}
+	if k := h.cachedResults[a.ID]; k != nil {
+		k.expiresAt = w.now + a.For
+		return
+	}
+	h.cachedResults[a.ID] = &cachedResult{expiresAt: w.now + a.For, attempt: j}
+	h.resultsByRequest[w.requests[w.attempts[j].request].number] = a.ID
+	h.keyKB += keyKB
+}
+
+// setHealth has the registry learn of a change after its lag.
+func (w *world) setHealth(h *host, good bool) {
+	if good == h.healthy {
+		return
+	}
+	h.healthy = good
+	listed := int32(0)
+	if good {
+		listed = 1
+	}
+	w.queue.push(event{at: w.now + w.scenario.Registry.Lag, kind: evListed, subject: h.number, detail: listed})
+}
+
+// inFlightAttempt is the attempt of that id that this life of a host has in hand.
+func (w *world) inFlightAttempt(h *host, id string) int32 {
+	j := w.attemptByID(id)
+	if j == none || w.attempts[j].host != h.number || w.attempts[j].incarnation != h.incarnation || !w.attempts[j].atHost {
+		return none
+	}
+	return j
+}
--- /dev/null
+++ b/internal/simulation/host_intake.go
@@ -0,0 +1,99 @@
+package simulation
+
+import (
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/degradation"
+)
+
+// reachHost is an attempt at its host's door.
+func (w *world) reachHost(j int32) {
+	att := &w.attempts[j]
+	h := &w.hosts[att.host]
+	req := &w.requests[att.request]
+	back := w.scenario.Nodes.NetworkDelay
+	if !h.up {
+		w.reject(j, Unreachable, back)
+		return
+	}
+	opened, ok := w.connect(att, h)
+	if !ok {
+		w.reject(j, Unreachable, back)
+		return
+	}
+	att.incarnation = h.incarnation
+	att.atHost, att.phase, att.reachedAt, att.dueAt = true, phaseUnread, w.now, req.due-back
+	att.prev, att.next = none, h.firstAttempt
+	if h.firstAttempt != none {
+		w.attempts[h.firstAttempt].prev = j
+	}
+	h.firstAttempt = j
+	h.inFlight++
+	work := float64(w.scenario.Hosts.ReadWork)
+	if opened {
+		work += float64(w.scenario.Hosts.HandshakeWork)
+	}
+	w.advanceCores(h)
+	h.reading++
+	h.cores.push(job{end: h.cores.progress + work, attempt: j, generation: att.gen, stage: 0})
+	w.updateCores(h)
+}
+
+// reject is a word from the network, not from the process.
+func (w *world) reject(j int32, out Outcome, after Micros) {
+	att := &w.attempts[j]
+	att.outcome = out
+	w.queue.push(event{at: w.now + after, kind: evAnswer, subject: j, gen: att.gen})
+}
+
+// requestRead hands a request to the policy.
+func (w *world) requestRead(h *host, j int32) {
+	att := &w.attempts[j]
+	req := &w.requests[att.request]
+	op := &w.scenario.Operations[req.operation]
+	h.reading--
+	if att.callerGone { // taken back before it was read
+		w.updateCores(h)
+		w.leaveHost(h, j)
+		return
+	}
+	att.phase, att.readAt = phaseQueued, w.now
+	att.dueAt = max(att.dueAt, w.now) // what is read too late is owed an answer at once
+	h.queued++
+	h.memory += w.scenario.Hosts.RequestKB
+	w.updateCores(h)
+	w.trace.record(w, req.number, att, "read")
+	hint := req.hint
+	if w.policy.KnowsWork {
+		hint = Micros(req.work)
+	}
+	ev := admission.Arrived{
+		ID: att.id, Operation: int(req.operation), Tenant: int(req.tenant), Priority: op.Priority, Retry: att.retry,
+		ExpectedWork: hint, QueueTime: w.now - att.reachedAt, TimeLeft: max(1, att.dueAt-w.now), MemoryKB: w.scenario.Hosts.RequestKB,
+	}
+	if op.RetrySafety == admission.IdempotencyKeyed {
+		if id := h.resultsByRequest[req.number]; id != "" && h.cachedResults[id] != nil && h.cachedResults[id].expiresAt > w.now {
+			ev.RepeatOf = id
+		}
+	}
+	if r := h.degradation; r != nil {
+		now := degradation.Micros(w.now)
+		if r.shedder.ShouldShed(r.controller.Level(), r.controller.Depth(now), int(req.operation), int(req.tenant), op.Priority, degradation.Micros(req.hint)) {
+			ev.ShedFor, att.shed = 1, true
+			w.result.Shed++
+		} else {
+			r.signals.Count(now, degradation.Arrivals)
+			if att.retry {
+				r.signals.Count(now, degradation.RetriedArrivals)
+			}
+		}
+	}
+	if ev.ShedFor == 0 && len(w.scenario.Tenants) > 0 {
+		ev.Quota = w.drawQuota(h, int(req.tenant))
+		att.quotaDrawn = ev.Quota == admission.WithinQuota
+	}
+	w.decide(h, ev)
+	if h.memory+h.keyKB > w.scenario.Hosts.MemoryKB {
+		w.audit.breach(w, 4, h, att, "memory ran out")
+		w.kill(h, Reset)
+	}
+}
--- /dev/null
+++ b/internal/simulation/node_attempts.go
@@ -0,0 +1,214 @@
+package simulation
+
+import (
+	"math"
+
+	"milletbarrow/admission"
+)
+
+// startAttempt sends one attempt. A further one carries the retry mark.
+func (w *world) startAttempt(i int32, retry bool) {
+	req := &w.requests[i]
+	n := &w.nodes[req.node]
+	s := &w.scenario.Nodes
+	if w.policy.throttles(w.scenario) {
+		n.requested.add(w.now, s.ThrottleWindow, 1)
+		n.accepted.add(w.now, s.ThrottleWindow, 0)
+		// Client-side throttling by the share accepted of late, "Handling Overload", Site Reliability Engineering, 2016: K = 2.
+		if w.nodeRand.Float64() < (n.requested.sum-2*n.accepted.sum)/(n.requested.sum+1) {
+			w.retryOrEnd(i, Local)
+			return
+		}
+	}
+	k := w.chooseSlot(req, n)
+	op := &w.scenario.Operations[req.operation]
+	if op.RetrySafety == admission.IdempotencyKeyed && req.maybeRan { // only the one that may have run it knows of it
+		k = req.lastSlot
+		if !w.listed[n.slots[k].host] {
+			k = none
+		}
+	}
+	if k == none {
+		w.retryOrEnd(i, Unreachable)
+		return
+	}
+	req.attempts++
+	req.liveAttempts++
+	req.lastSlot = k
+	sl := &n.slots[k]
+	h := &w.hosts[sl.host]
+	j := w.newAttempt(op.RetrySafety == admission.IdempotencyKeyed)
+	att := &w.attempts[j]
+	att.request, att.host, att.slot, att.incarnation, att.retry, att.atNode, att.prev, att.next = i, sl.host, k, h.incarnation, retry, true, none, none
+	if req.openAttempts[0] == none {
+		req.openAttempts[0] = j
+	} else {
+		req.openAttempts[1] = j
+	}
+	sl.inFlight++
+	w.result.Attempts++
+	delay := w.networkDelay(req.node, sl.host)
+	if delay < 0 { // cut off: it finds out when no connection comes about
+		att.outcome = Unreachable
+		w.queue.push(event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, gen: att.gen})
+		return
+	}
+	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evReach, subject: j, gen: att.gen})
+}
+
+// networkDelay is how long a message takes between a node and a host; negative: it never arrives.
+func (w *world) networkDelay(node, host int32) Micros {
+	if len(w.partitionedNodes) > 0 && host < w.partitionedHosts && w.partitionedNodes[node] {
+		return -1
+	}
+	d := w.scenario.Nodes.NetworkDelay
+	if w.grayDelay > 0 && node%2 == 0 && w.grayHosts[host] {
+		d += w.grayDelay
+	}
+	return d
+}
+
+// receiveAnswer is a node's end of an attempt: an answer, or the word that there is none.
+func (w *world) receiveAnswer(j int32) {
+	att := &w.attempts[j]
+	i := att.request
+	req := &w.requests[i]
+	n := &w.nodes[req.node]
+	sl := &n.slots[att.slot]
+	sl.inFlight--
+	sl.usedAt = w.now
+	out, retryIn, dont := att.outcome, att.retryIn, att.dontRetry
+	skipped := att.skipped
+	att.atNode = false
+	for k := range req.openAttempts {
+		if req.openAttempts[k] == j {
+			req.openAttempts[k] = none
+		}
+	}
+	over := req.finished
+	w.freeAttempt(j)
+	if out == Unreachable || out == Reset {
+		sl.avoidUntil, sl.connected = w.now+Second, false
+	}
+	if over {
+		return
+	}
+	switch out {
+	case Succeeded:
+		n.accepted.add(w.now, w.scenario.Nodes.ThrottleWindow, 1)
+		sl.latency += (float64(w.now-req.arrivedAt) - sl.latency) * 0.1
+		w.succeedRequest(i, skipped)
+		return
+	case Errored:
+		n.accepted.add(w.now, w.scenario.Nodes.ThrottleWindow, 1)
+		req.maybeRan = true
+	case Reset:
+		req.maybeRan = true
+	case Throttled:
+		if !n.ignoresAdvice {
+			sl.avoidUntil = max(sl.avoidUntil, w.now+retryIn)
+			req.retryForbidden = dont
+		}
+	}
+	w.retryOrEnd(i, out)
+}
+
+// retryOrEnd is the decision about a retry.
+func (w *world) retryOrEnd(i int32, out Outcome) {
+	req := &w.requests[i]
+	n := &w.nodes[req.node]
+	op := &w.scenario.Operations[req.operation]
+	s := &w.scenario.Nodes
+	if req.openAttempts[0] != none || req.openAttempts[1] != none {
+		return // a copy is still open
+	}
+	safe := out == Throttled || out == Unreachable || out == Local || op.RetrySafety != admission.NonIdempotent
+	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts || out == Local {
+		w.failRequest(i, out)
+		return
+	}
+	pause := float64(s.Backoff) * math.Exp2(float64(min(req.attempts, 8)-1))
+	if n.ignoresAdvice {
+		pause = float64(s.Backoff)
+	}
+	at := w.now + max(1000, Micros(pause*(0.5+w.nodeRand.Float64())))
+	if at >= req.due {
+		w.failRequest(i, out)
+		return
+	}
+	w.queue.push(event{at: at, kind: evRetry, subject: i, gen: req.gen})
+}
+
+func (w *world) succeedRequest(i int32, skipped bool) {
+	req := &w.requests[i]
+	op := &w.scenario.Operations[req.operation]
+	took := w.now - req.arrivedAt
+	value := op.Value
+	if took > op.Objective {
+		value *= op.LateValue
+	}
+	if skipped {
+		value *= op.ValueWithoutCall
+	}
+	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), Succeeded, took, value)
+	w.result.QuotaPriced += value * w.quotaPrice(int(req.tenant))
+	w.closeRequest(i)
+}
+
+// failRequest gives an ask up. Its caller may ask anew.
+func (w *world) failRequest(i int32, out Outcome) {
+	req := &w.requests[i]
+	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), out, w.now-req.arrivedAt, 0)
+	op := &w.scenario.Operations[req.operation]
+	if req.clientRetries < 3 && w.nodeRand.Float64() < w.scenario.Nodes.ClientRetryShare && (op.RetrySafety != admission.NonIdempotent || out == Throttled || out == Local) {
+		req.clientRetries++
+		w.notifyCallers(req)
+		req.finished, req.retriesLater = true, true
+		w.queue.push(event{at: w.now + Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())), kind: evClientRetry, subject: i, gen: req.gen})
+		return
+	}
+	w.closeRequest(i)
+}
+
+// notifyCallers lets the hosts know, late, that nobody waits any more.
+func (w *world) notifyCallers(req *request) {
+	for _, j := range req.openAttempts {
+		if j == none || w.scenario.Nodes.CancelDelay < 0 {
+			continue
+		}
+		if d := w.networkDelay(req.node, w.attempts[j].host); d >= 0 {
+			w.queue.push(event{at: w.now + d + w.scenario.Nodes.CancelDelay, kind: evCallerGone, subject: j, gen: w.attempts[j].gen})
+		}
+	}
+}
+
+func (w *world) closeRequest(i int32) {
+	req := &w.requests[i]
+	w.notifyCallers(req)
+	req.finished = true
+	w.releaseRequest(i)
+}
+
+// releaseRequest frees an ask once no attempt of it is open.
+func (w *world) releaseRequest(i int32) {
+	if req := &w.requests[i]; req.finished && !req.retriesLater && req.liveAttempts == 0 {
+		req.finished = false // once
+		w.freeRequest(i)
+	}
+}
+
+// repeatRequest begins a caller's wish again, without a mark: for the node it is a first try.
+func (w *world) repeatRequest(i int32) {
+	old := w.requests[i]
+	k := w.newRequest()
+	req := &w.requests[k]
+	gen := req.gen
+	*req = old
+	req.gen, req.liveAttempts, req.finished, req.retriesLater, req.attempts, req.retryForbidden, req.openAttempts = gen, 0, false, false, 0, false, [2]int32{none, none}
+	req.arrivedAt, req.due = w.now, w.now+w.scenario.Operations[req.operation].Timeout
+	w.requests[i].retriesLater = false
+	w.releaseRequest(i)
+	w.result.ClientRetries++
+	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evDue, subject: k, gen: req.gen})
+	w.startAttempt(k, false)
+}
--- /dev/null
+++ b/internal/simulation/pool.go
@@ -0,0 +1,203 @@
+package simulation
+
+import (
+	"math"
+	"slices"
+
+	"milletbarrow/admission"
+)
+
+// pooled makes a baseline of a thread pool, a run a core and a queue of four a core unless shape sets it otherwise.
+func pooled(shape func(*pool)) func(admission.Config, uint64) Decider {
+	return func(t admission.Config, _ uint64) Decider {
+		p := &pool{config: t, runsByID: map[string]*pooledRun{}, drainingAt: never, stopAt: never}
+		p.tick = max(min(20*Millisecond, t.AnswerSlack/3), Millisecond)
+		p.concurrency, p.queueLimit = t.Cores, 4*t.Cores
+		shape(p)
+		return p
+	}
+}
+
+const never = Micros(1 << 60)
+
+// pool is the frame of the baselines. It keeps the four rules as the module must: else a comparison would be with
+// something that nobody may run.
+type pool struct {
+	config                  admission.Config
+	concurrency, queueLimit int // runs at once, and how many wait
+	adapt                   func(p *pool, now Micros, took Micros, late bool)
+	targetDelay             Micros // of controlled delay; 0: in turn
+	byValue                 bool   // by value for its work
+	runsByID                map[string]*pooledRun
+	queue                   []*pooledRun
+	runs                    []*pooledRun
+	running                 int
+	tick                    Micros
+	drainingAt, stopAt      Micros
+	queueEmptyAt            Micros  // the line was empty last
+	longTerm, shortTerm     float64 // times of runs, long-term and at present
+	estimate                float64 // the limit, exactly
+	successes               int
+}
+
+type pooledRun struct {
+	id                          string
+	arrivedAt, dueAt, startedAt Micros
+	objectiveAt                 Micros
+	valueDensity                float64
+	work                        Micros
+	running, answered           bool
+}
+
+func (p *pool) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
+	switch e := ev.(type) {
+	case admission.Opened:
+		p.queueEmptyAt = now
+		return append(out, admission.Wake{At: now + p.tick, Token: 1})
+	case admission.Reading:
+		return append(p.startNext(now, p.expire(now, out)), admission.Wake{At: now + p.tick, Token: 1})
+	case admission.DrainNotice:
+		p.drainingAt, p.stopAt = now, now+e.Left
+		return p.expire(now, append(out, admission.SetHealth{}))
+	case admission.Arrived:
+		out = p.arrive(now, e, out)
+	case admission.Finished:
+		if j := p.runsByID[e.ID]; j != nil {
+			p.remove(j)
+			if p.adapt != nil && e.Outcome == admission.OK {
+				p.adapt(p, now, now-j.startedAt, now > j.objectiveAt)
+			}
+		}
+	case admission.CallerGone:
+		if j := p.runsByID[e.ID]; j != nil {
+			j.answered = true
+			if !j.running {
+				p.remove(j)
+			}
+		}
+	case admission.NeedsCall:
+		if j := p.runsByID[e.ID]; j != nil && !j.answered {
+			return append(out, admission.Call{ID: e.ID, Timeout: max(1000, min(j.dueAt, p.lastAnswerAt())-now)})
+		}
+	case admission.CallReturned:
+		if j := p.runsByID[e.ID]; j != nil && e.Outcome != admission.OK && !j.answered {
+			j.answered = true
+			return append(out, admission.Fail{ID: e.ID})
+		}
+	}
+	return p.startNext(now, out)
+}
+
+func (p *pool) lastAnswerAt() Micros { return p.stopAt - 3*p.tick }
+
+func (p *pool) arrive(now Micros, a admission.Arrived, out []admission.Action) []admission.Action {
+	op := &p.config.Operations[a.Operation]
+	if now-a.QueueTime > p.drainingAt+p.config.DrainGrace || now >= p.lastAnswerAt() || a.ShedFor > 0 {
+		return append(out, admission.Throttle{ID: a.ID})
+	}
+	if p.running >= p.concurrency && len(p.queue) >= p.queueLimit && !p.byValue {
+		return append(out, admission.Throttle{ID: a.ID})
+	}
+	j := &pooledRun{id: a.ID, arrivedAt: now - a.QueueTime, dueAt: now + a.TimeLeft, work: a.ExpectedWork}
+	j.objectiveAt = min(j.dueAt, j.arrivedAt+op.Objective)
+	j.valueDensity = (a.Priority + 0.01) / float64(max(a.ExpectedWork, 1000))
+	p.runsByID[a.ID] = j
+	p.runs = append(p.runs, j)
+	p.queue = append(p.queue, j)
+	return out
+}
+
+func (p *pool) remove(j *pooledRun) {
+	delete(p.runsByID, j.id)
+	is := func(o *pooledRun) bool { return o == j }
+	p.runs = slices.DeleteFunc(p.runs, is)
+	if j.running {
+		p.running--
+	} else {
+		p.queue = slices.DeleteFunc(p.queue, is)
+	}
+}
+
+// startNext starts what may run: in turn, the newest first under delay, or the dearest for its work.
+func (p *pool) startNext(now Micros, out []admission.Action) []admission.Action {
+	for p.running < p.concurrency && len(p.queue) > 0 {
+		k := 0
+		switch {
+		case p.byValue:
+			for i, j := range p.queue {
+				if j.valueDensity > p.queue[k].valueDensity {
+					k = i
+				}
+			}
+		case p.targetDelay > 0 && now-p.queueEmptyAt > p.targetDelay:
+			k = len(p.queue) - 1
+		}
+		j := p.queue[k]
+		if p.byValue && now+j.work > j.objectiveAt || now+p.tick >= j.dueAt {
+			p.remove(j)
+			out = append(out, admission.Throttle{ID: j.id})
+			continue
+		}
+		p.queue = slices.Delete(p.queue, k, k+1)
+		j.running, j.startedAt = true, now
+		p.running++
+		out = append(out, admission.Start{ID: j.id})
+	}
+	if len(p.queue) == 0 {
+		p.queueEmptyAt = now
+	}
+	return out
+}
+
+// expire answers what can wait no longer; under delay, what has waited longer than allowed: 5 ms while the line does not
+// empty, else 100.
+func (p *pool) expire(now Micros, out []admission.Action) []admission.Action {
+	for _, j := range slices.Clone(p.runs) {
+		allowed := p.targetDelay
+		if now-p.queueEmptyAt > p.targetDelay {
+			allowed = p.targetDelay / 20
+		}
+		due := now+p.tick >= min(j.dueAt, p.lastAnswerAt())
+		switch {
+		case j.answered:
+		case j.running && due:
+			j.answered = true
+			out = append(out, admission.Fail{ID: j.id})
+		case !j.running && (due || p.targetDelay > 0 && now-j.arrivedAt > allowed || p.byValue && now+j.work > j.objectiveAt):
+			p.remove(j)
+			out = append(out, admission.Throttle{ID: j.id})
+		}
+	}
+	return out
+}
+
+// maxConcurrency is what a host is set up to bear at the most: nobody lets a limit grow past that.
+func (p *pool) maxConcurrency() float64 {
+	return 0.8 * p.config.CollapseMultiple * float64(p.config.Cores)
+}
+
+func adaptAIMD(p *pool, _, _ Micros, late bool) {
+	if late {
+		p.concurrency = max(p.config.Cores, p.concurrency*9/10)
+		p.successes = 0
+	} else if p.successes++; p.successes >= p.concurrency && p.running >= p.concurrency/2 {
+		p.concurrency, p.successes = min(p.concurrency+1, int(p.maxConcurrency())), 0
+	}
+}
+
+func adaptGradient(p *pool, _, took Micros, _ bool) {
+	x := float64(took)
+	if p.longTerm == 0 {
+		p.longTerm, p.shortTerm, p.estimate = x, x, float64(p.concurrency)
+	}
+	p.shortTerm += (x - p.shortTerm) * 0.1
+	p.longTerm += (x - p.longTerm) * 0.002
+	if p.longTerm > 2*p.shortTerm { // after a long crowd the usual is forgotten faster
+		p.longTerm *= 0.95
+	}
+	g := max(0.5, min(1, 1.5*p.longTerm/p.shortTerm))
+	if p.running >= p.concurrency/2 {
+		p.estimate = p.estimate*0.8 + 0.2*(p.estimate*g+math.Sqrt(p.estimate))
+	}
+	p.concurrency = int(max(float64(p.config.Cores), min(p.estimate, p.maxConcurrency())))
+}
--- /dev/null
+++ b/internal/simulation/scenario_check.go
@@ -0,0 +1,99 @@
+package simulation
+
+import (
+	"fmt"
+	"math"
+)
+
+// Check tells the first thing that can't be: a scenario that nobody could play.
+func (s *Scenario) Check() error {
+	for _, check := range []func() error{s.checkHosts, s.checkSurroundings, s.checkOperations, s.checkRecorded, s.checkFaults} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Scenario) checkHosts() error {
+	h, n := &s.Hosts, &s.Nodes
+	switch {
+	case s.Duration <= 0 || s.Duration > 24*3600*Second:
+		return s.invalid("for", "%d us, wanted above 0 to a day", s.Duration)
+	case h.Count < 1 || h.Count > MaxHosts:
+		return s.invalid("hosts.count", "%d, wanted 1 to %d", h.Count, MaxHosts)
+	case n.Count < 1 || n.Count > MaxNodes:
+		return s.invalid("nodes.count", "%d, wanted 1 to %d", n.Count, MaxNodes)
+	case h.Cores < 1 || h.SpeedSpread < 0 || h.SpeedSpread >= 1 || h.CollapseMultiple < 1:
+		return s.invalid("hosts", "cores %d, spread %g, crowd %g", h.Cores, h.SpeedSpread, h.CollapseMultiple)
+	case h.DrainGrace >= h.ExitTimeout:
+		return s.invalid("hosts.grace", "%d us does not lie before the stop, %d us", h.DrainGrace, h.ExitTimeout)
+	case h.MemoryKB < h.RequestKB*h.RunFactor:
+		return s.invalid("hosts.memory", "%g KB hold no single run of %g KB", h.MemoryKB, h.RequestKB*h.RunFactor)
+	}
+	return nil
+}
+
+// checkSurroundings looks at what surrounds the hosts: names, edge nodes, load and the tier below.
+func (s *Scenario) checkSurroundings() error {
+	switch {
+	case len(s.Operations) == 0 || len(s.Operations) > MaxNames || len(s.Tenants) > MaxNames:
+		return s.invalid("operation", "%d operations and %d tenants, wanted 1 to %d, and %d at the most", len(s.Operations), len(s.Tenants), MaxNames, MaxNames)
+	case s.Nodes.RefreshInterval <= 0 || s.Hosts.WarmUp < 0 || s.Nodes.NetworkDelay < 0:
+		return s.invalid("nodes.refresh", "a span that must lie above 0 does not")
+	case s.Load.Level < 0 || s.Load.Level > 100 || math.IsNaN(s.Load.Level):
+		return s.invalid("load.at", "%g of capacity", s.Load.Level)
+	case (s.Load.Shape == Wave || s.Load.Shape == Bursty) && s.Load.Period <= 0:
+		return s.invalid("load.period", "a wave needs one")
+	case s.Dependency.Slots < 1 || s.Dependency.Work < 0:
+		return s.invalid("below", "%d slots of %d us", s.Dependency.Slots, s.Dependency.Work)
+	}
+	return nil
+}
+
+// invalid names the field that cannot be used.
+func (s *Scenario) invalid(field, format string, args ...any) error {
+	return fmt.Errorf("scenario %s: %s: %s", s.Name, field, fmt.Sprintf(format, args...))
+}
+
+func (s *Scenario) checkOperations() error {
+	total := 0.0
+	for _, op := range s.Operations {
+		total += op.Share
+		if op.Work <= 0 || op.Objective <= 0 || op.Timeout < op.Objective || op.Share < 0 {
+			return s.invalid("operation "+op.Name, "work %d us, objective %d us, timeout %d us, share %g: work above 0, the objective within the timeout", op.Work, op.Objective, op.Timeout, op.Share)
+		}
+	}
+	if total <= 0 {
+		return s.invalid("operation", "no operation has a share")
+	}
+	return nil
+}
+
+func (s *Scenario) checkRecorded() error {
+	for i, r := range s.Load.Recorded {
+		if r.Operation >= len(s.Operations) || r.Operation < 0 || r.Work <= 0 || i > 0 && r.At < s.Load.Recorded[i-1].At {
+			return s.invalid("load.recorded", "line %d: operation %d, work %d us, at %d us", i+1, r.Operation, r.Work, r.At)
+		}
+	}
+	return nil
+}
+
+func (s *Scenario) checkFaults() error {
+	for _, t := range s.Faults {
+		if t.At < 0 || t.At > s.Duration || t.Share < 0 || t.Share > 1 || t.Factor < 0 {
+			return s.invalid("trouble "+t.Kind.String(), "at %d us, share %g, factor %g", t.At, t.Share, t.Factor)
+		}
+		if t.Kind == TenantBurst && (t.Tenant < 0 || t.Tenant >= len(s.Tenants)) {
+			return s.invalid("trouble "+t.Kind.String(), "tenant %d of %d", t.Tenant, len(s.Tenants))
+		}
+	}
+	return nil
+}
+
+// Bounds of a scenario.
+const (
+	MaxHosts = 20_000
+	MaxNodes = 20_000
+	MaxNames = 64
+)
