--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -78,7 +78,7 @@
 	}
 	host := spec.Host(c.String("host"))
 	if host == nil {
-		return unusable(fmt.Errorf("host: %q is no host of %s", c.String("host"), c.String("fleet")))
+		return usagef("host: %q is no host of %s", c.String("host"), c.String("fleet"))
 	}
 	dir, err := filepath.Abs(c.String("dir"))
 	if err != nil {
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -77,12 +77,12 @@
 			}
 			defer func() { _ = in.Close() }() // only read from
 			trace, err := degradation.ReadTrace(c.Args().Get(1), in)
-			if err == nil && len(trace) == 0 {
-				err = fmt.Errorf("%s: no reading", c.Args().Get(1))
-			}
 			if err != nil {
 				return unusable(err)
 			}
+			if len(trace) == 0 {
+				return usagef("%s: no reading", c.Args().Get(1))
+			}
 			points, changes := degradation.Replay(l, trace)
 			if file := c.String("plot"); file != "" {
 				format, err := plotFormat("plot", file)
@@ -134,7 +134,7 @@
 			defer p.Close()
 			every := c.Duration("every")
 			if every < time.Millisecond {
-				return unusable(fmt.Errorf("every: %v is under a millisecond", every))
+				return usagef("every: %v is under a millisecond", every)
 			}
 			last := int64(0)
 			for end := time.Now().Add(c.Duration("for")); time.Now().Before(end); time.Sleep(every) {
@@ -145,7 +145,7 @@
 					return err
 				}
 				if s.DegradationPolicy == "" {
-					return unusable(fmt.Errorf("socket: this instance has no ladder, and measures nothing"))
+					return usagef("socket: this instance has no ladder, and measures nothing")
 				}
 				if s.SignalsAt > last { // a reading that was printed already says nothing new
 					last = s.SignalsAt
@@ -171,7 +171,7 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if name := c.Args().First(); (name == "") != c.Bool("release") {
-				return unusable(fmt.Errorf("wanted a level, or --release"))
+				return usagef("wanted a level, or --release")
 			}
 			p := admin.NewClient(c.String("socket"), limits.ForControl())
 			defer p.Close()
--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -35,7 +35,7 @@
 
 func runDemo(ctx context.Context, c *cli.Command) error {
 	if n := c.Int("backends"); n < 1 || n > 40 || c.Duration("for") < 4*time.Second || c.Duration("for") > time.Hour {
-		return unusable(errors.New("demo: 1 to 40 backends, for 4s to 1h"))
+		return usagef("demo: 1 to 40 backends, for 4s to 1h")
 	}
 	format, err := plotFormat("--plot", c.String("plot"))
 	if err != nil {
@@ -61,7 +61,7 @@
 		printLoad(r)
 	}
 	if twice+r.DuplicateAnswers+r.UnknownResults > 0 {
-		return cli.Exit(fmt.Sprintf("%d runs were launched twice, %d answers came twice", twice, r.DuplicateAnswers), exitSome)
+		return outcomef(outcomePartial, "%d runs were launched twice, %d answers came twice", twice, r.DuplicateAnswers)
 	}
 	say("drawn to %s", c.String("plot"))
 	return err
--- /dev/null
+++ b/cmd/milletbarrow/errors_test.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os/exec"
+	"testing"
+
+	"github.com/urfave/cli/v3"
+
+	"milletbarrow/internal/agent"
+	"milletbarrow/internal/supervisor"
+)
+
+// TestExitCodes: each kind of error ends the program with its code and prints its cause's text and nothing else; what it
+// wraps stays within reach.
+func TestExitCodes(t *testing.T) {
+	missing := &fs.PathError{Op: "open", Path: "/nowhere", Err: fs.ErrNotExist}
+	failed := exec.Command("sh", "-c", "exit 5").Run()
+	for name, test := range map[string]struct {
+		err  error
+		code int
+		text string
+	}{
+		"none":                       {nil, 0, ""},
+		"any":                        {errNoConfig, 1, "config: no file is named, by GW_CONFIG or --config"},
+		"no such command":            {&unknownCommandError{word: "dance"}, 1, `"dance" is no command; help lists them`},
+		"usage":                      {unusable(missing), 2, "open /nowhere: file does not exist"},
+		"usage, wrapped":             {fmt.Errorf("x: %w", usagef("id: %w", missing)), 2, "x: id: open /nowhere: file does not exist"},
+		"usage, joined":              {errors.Join(usagef("a"), nil), 2, "a"},
+		"usage of a program's error": {unusable(failed), 2, "exit status 5"},
+		"out of range":               {checkRange("most", 0, 1, 100_000), 2, "most: 0 is not from 1 to 100000"},
+		"partial":                    {&outcomeError{outcome: outcomePartial}, 3, ""},
+		"partial, with a text":       {outcomef(outcomePartial, "%d of %d", 1, 2), 3, "1 of 2"},
+		"timed out":                  {&outcomeError{outcome: outcomeTimedOut}, 4, ""},
+		"unreachable":                {&outcomeError{outcome: outcomeUnreachable, cause: missing}, 5, "open /nowhere: file does not exist"},
+		"supervised already":         {supervisor.ErrLocked, agent.ExitSupervisorRunning, "another supervisor holds the instance"},
+		"of the library":             {cli.Exit("no help topic", 7), 7, "no help topic"},
+		"of a program that was run":  {fmt.Errorf("fleet start: %w", failed), 5, "fleet start: exit status 5"},
+	} {
+		if code := exitCode(test.err); code != test.code {
+			t.Errorf("%s: exit code %d, want %d", name, code, test.code)
+		}
+		if test.err != nil && test.err.Error() != test.text {
+			t.Errorf("%s: %q, want %q", name, test.err.Error(), test.text)
+		}
+	}
+	for _, err := range []error{unusable(missing), usagef("id: %w", missing), &outcomeError{cause: missing}} {
+		if !errors.Is(err, fs.ErrNotExist) {
+			t.Errorf("%v: its cause is out of reach", err)
+		}
+	}
+	if unusable(nil) != nil || checkRange("most", 1, 1, 2) != nil || checkRange("most", 2, 1, 2) != nil || checkRange("most", 3, 1, 2) == nil {
+		t.Error("a usage error where nothing is wrong, or none where something is")
+	}
+}
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -38,7 +38,7 @@
 func readExperiment(c *cli.Command) (*experiment.Experiment, error) {
 	file := c.Args().First()
 	if file == "" {
-		return nil, unusable(errors.New("no experiment is named"))
+		return nil, usagef("no experiment is named")
 	}
 	x, err := experiment.Read(file)
 	if err != nil {
@@ -126,7 +126,7 @@
 				}
 			})
 			if errors.Is(err, context.Canceled) {
-				return cli.Exit("interrupted; the same call goes on", exitLate)
+				return outcomef(outcomeTimedOut, "interrupted; the same call goes on")
 			}
 			if err != nil {
 				return err
@@ -166,7 +166,7 @@
 		return err
 	}
 	if broken {
-		return cli.Exit("a rule was broken", exitSome)
+		return outcomef(outcomePartial, "a rule was broken")
 	}
 	return nil
 }
@@ -182,12 +182,12 @@
 		return nil, nil, nil, unusable(err)
 	}
 	results, missing, err := experiment.Load(x, c.String("dir"))
-	if err == nil && missing == len(cells) {
-		err = fmt.Errorf("%s has none of the %d results: run the experiment first", c.String("dir"), missing)
-	}
 	if err != nil {
 		return nil, nil, nil, unusable(err)
 	}
+	if missing == len(cells) {
+		return nil, nil, nil, usagef("%s has none of the %d results: run the experiment first", c.String("dir"), missing)
+	}
 	if missing > 0 {
 		fmt.Fprintf(os.Stderr, "%d of %d results are missing or can't be read\n", missing, len(cells))
 	}
@@ -215,7 +215,7 @@
 			}
 			all := experiment.Compare(cells, results, c.Args().Get(1), c.Args().Get(2), m)
 			if len(all) == 0 {
-				return unusable(fmt.Errorf("no day was played by both %q and %q", c.Args().Get(1), c.Args().Get(2)))
+				return usagef("no day was played by both %q and %q", c.Args().Get(1), c.Args().Get(2))
 			}
 			if c.Bool("json") {
 				return printJSON(all)
@@ -273,7 +273,7 @@
 	names, days := daysOf(x, cells, results, scenario, c.String("policy"), seed, at)
 	what := c.String("what")
 	if what != "sweep" && len(days) == 0 {
-		return unusable(fmt.Errorf("no result of scenario %s, seed %d, at %g", scenario, seed, at))
+		return usagef("no result of scenario %s, seed %d, at %g", scenario, seed, at)
 	}
 	title := fmt.Sprintf("%s: %s (modelled)", x.Name, scenario)
 	return replaceFile(c.String("to"), func(f io.Writer) error {
@@ -288,7 +288,7 @@
 func plotFormat(flag, file string) (string, error) {
 	format := strings.TrimPrefix(filepath.Ext(file), ".")
 	if format != "svg" && format != "png" {
-		return "", unusable(fmt.Errorf("%s: %q ends neither in .svg nor in .png", flag, file))
+		return "", usagef("%s: %q ends neither in .svg nor in .png", flag, file)
 	}
 	return format, nil
 }
@@ -341,7 +341,7 @@
 	case "heat":
 		return plot.Heat(f, title+", "+names[0], days[0], format)
 	default:
-		return unusable(fmt.Errorf("--what: %q is none of sweep, time, operations, tenants, latency, heat", what))
+		return usagef("--what: %q is none of sweep, time, operations, tenants, latency, heat", what)
 	}
 }
 
@@ -368,10 +368,10 @@
 					(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) && (math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
 			})
 			if i < 0 {
-				return unusable(errors.New("no such run in this experiment"))
+				return usagef("no such run in this experiment")
 			}
 			if c.Uint64("invocation") == 0 && c.Int("host") < 0 {
-				return unusable(errors.New("name an --invocation or a --host"))
+				return usagef("name an --invocation or a --host")
 			}
 			tr := &simulation.Trace{Request: c.Uint64("invocation"), Host: int32(c.Int("host")), MaxLines: c.Int("most")}
 			cell := &cells[i]
--- a/cmd/milletbarrow/experiment_cold_start.go
+++ b/cmd/milletbarrow/experiment_cold_start.go
@@ -18,12 +18,12 @@
 		Flags: []cli.Flag{jsonFlag(), &cli.IntSliceFlag{Name: "backends", Value: coldstart.Sizes()}, &cli.IntFlag{Name: "seeds", Value: 6}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			for _, n := range c.IntSlice("backends") {
-				if n < 10 || n > 20_000 {
-					return unusable(fmt.Errorf("backends: %d is not from 10 to 20000", n))
+				if err := checkRange("backends", n, 10, 20_000); err != nil {
+					return err
 				}
 			}
-			if n := c.Int("seeds"); n < 1 || n > 1000 {
-				return unusable(fmt.Errorf("seeds: %d is not from 1 to 1000", n))
+			if err := checkRange("seeds", c.Int("seeds"), 1, 1000); err != nil {
+				return err
 			}
 			rows, err := coldstart.Study(c.IntSlice("backends"), c.Int("seeds"), func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 			if err != nil {
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	if apart > 0 {
-		return cli.Exit(fmt.Sprintf("%d of %d days lie apart", apart, len(all)), exitSome)
+		return outcomef(outcomePartial, "%d of %d days lie apart", apart, len(all))
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	if n := twice + measured.DuplicateAnswers + measured.UnknownResults; n > 0 {
-		return nil, cli.Exit(fmt.Sprintf("%s: %d answers or runs came twice", s.Name, n), exitSome)
+		return nil, outcomef(outcomePartial, "%s: %d answers or runs came twice", s.Name, n)
 	}
 	w := &twin{Scenario: s.Name}
 	for n, r := range []*simulation.Result{modelled, measured.Result} {
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -102,13 +102,13 @@
 		all = append(all, t)
 	}
 	if c.Int("hosts") < 1 || c.Int("hosts") > schedule.MaxHosts || c.Int("backends") < 1 || c.Int("backends") > schedule.MaxBackends {
-		return unusable(fmt.Errorf("trial: 1 to %d hosts, 1 to %d backends", schedule.MaxHosts, schedule.MaxBackends))
+		return usagef("trial: 1 to %d hosts, 1 to %d backends", schedule.MaxHosts, schedule.MaxBackends)
 	}
 	for n := range c.Int("count") {
 		all = append(all, schedule.Random(c.Uint64("seed")+uint64(n), c.Int("hosts"), c.Int("backends"), c.Int("faults"), c.Duration("span")))
 	}
 	if len(all) == 0 {
-		return unusable(errors.New("trial: name a file, or --count"))
+		return usagef("trial: name a file, or --count")
 	}
 	return playTrials(ctx, c, all)
 }
@@ -153,11 +153,11 @@
 			return errors.Join(err, ctx.Err())
 		}
 		if failed > 0 && c.Bool("stop") {
-			return cli.Exit(fmt.Sprintf("%s did not hold, after %d", t.Name, i+1), exitSome)
+			return outcomef(outcomePartial, "%s did not hold, after %d", t.Name, i+1)
 		}
 	}
 	if failed > 0 {
-		return cli.Exit(fmt.Sprintf("%d of %d did not hold", failed, len(all)), exitSome)
+		return outcomef(outcomePartial, "%d of %d did not hold", failed, len(all))
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 	}
 	r.Print(os.Stdout)
 	if r.Failed > 0 {
-		return cli.Exit("", exitSome)
+		return &outcomeError{outcome: outcomePartial}
 	}
 	return nil
 }
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -123,10 +123,10 @@
 		o.ID = fleetclient.NewID(kind, now)
 	}
 	if err := fleet.CheckName(o.ID); err != nil {
-		return o, unusable(fmt.Errorf("id: %w", err))
+		return o, usagef("id: %w", err)
 	}
 	if o.TimeoutMicros <= 0 {
-		return o, unusable(fmt.Errorf("within: %v is not above 0", c.Duration("within")))
+		return o, usagef("within: %v is not above 0", c.Duration("within"))
 	}
 	return o, nil
 }
@@ -181,11 +181,11 @@
 	}
 	switch verdict {
 	case fleetclient.VerdictPartial:
-		return cli.Exit("", exitSome)
+		return &outcomeError{outcome: outcomePartial}
 	case fleetclient.VerdictTimedOut:
-		return cli.Exit("", exitLate)
+		return &outcomeError{outcome: outcomeTimedOut}
 	case fleetclient.VerdictUnreachable:
-		return cli.Exit("", exitUnreachable)
+		return &outcomeError{outcome: outcomeUnreachable}
 	}
 	return nil
 }
--- a/cmd/milletbarrow/fleet_budgets.go
+++ b/cmd/milletbarrow/fleet_budgets.go
@@ -27,7 +27,7 @@
 				return err
 			}
 			if t.Spec.Quotas == nil {
-				return unusable(fmt.Errorf("%s: has no budgets", c.String("fleet")))
+				return usagef("%s: has no budgets", c.String("fleet"))
 			}
 			if name := c.String("write-off"); name != "" {
 				if err := t.WriteOff(ctx, name); err != nil {
@@ -53,7 +53,7 @@
 	if r, ok := errors.AsType[*agentapi.StatusError](err); ok && r.Status/100 == 4 {
 		return unusable(err)
 	}
-	return cli.Exit(err.Error(), exitUnreachable)
+	return &outcomeError{outcome: outcomeUnreachable, cause: err}
 }
 
 func printBudgets(b *agentapi.Budgets) {
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	if t.Spec.ColdStart == nil {
-		return unusable(fmt.Errorf("%s: has no (rise (budget COUNT))", c.String("fleet")))
+		return usagef("%s: has no (rise (budget COUNT))", c.String("fleet"))
 	}
 	all, err := selected(c, t)
 	if err != nil {
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -27,8 +27,8 @@
 			if err != nil {
 				return err
 			}
-			if n := c.Int("most"); n < 1 || n > 100_000 {
-				return unusable(fmt.Errorf("most: %d is not from 1 to 100000", n))
+			if err := checkRange("most", c.Int("most"), 1, 100_000); err != nil {
+				return err
 			}
 			name, command := c.String("name"), c.String("command")
 			all, missing := t.History(ctx, c.Int("most"), func(e fleetclient.Entry) bool {
@@ -45,7 +45,7 @@
 				}
 			}
 			if err == nil && len(missing) > 0 {
-				return cli.Exit("", exitUnreachable)
+				return &outcomeError{outcome: outcomeUnreachable}
 			}
 			return err
 		},
--- a/cmd/milletbarrow/fleet_members.go
+++ b/cmd/milletbarrow/fleet_members.go
@@ -41,7 +41,7 @@
 			}
 			for _, h := range all {
 				if err == nil && h.Error != "" {
-					return cli.Exit("", exitUnreachable)
+					return &outcomeError{outcome: outcomeUnreachable}
 				}
 			}
 			return err
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -61,7 +61,7 @@
 			defer cancel()
 			if !c.Bool("wait") {
 				if hosts, _ := t.ByHost(all); len(hosts) > 1 && o.Budget == "" {
-					return unusable(fmt.Errorf("wait: a wave over %d hosts is taken from host to host by this command, which has to stay", len(hosts)))
+					return usagef("wait: a wave over %d hosts is taken from host to host by this command, which has to stay", len(hosts))
 				}
 				return finish(c, t.Execute(ctx, o, all, false), false)
 			}
@@ -100,7 +100,7 @@
 	for _, h := range hosts {
 		steps, err := fleet.Preview(t.Spec, h, names[h], terms)
 		if err != nil {
-			return unusable(fmt.Errorf("host %s: %w", h, err))
+			return usagef("host %s: %w", h, err)
 		}
 		plans[h] = steps
 		for _, s := range steps {
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -28,7 +28,7 @@
 			}
 			for _, h := range all {
 				if err == nil && h.Status == nil {
-					return cli.Exit("", exitUnreachable)
+					return &outcomeError{outcome: outcomeUnreachable}
 				}
 			}
 			return err
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 
 	"github.com/urfave/cli/v3"
 
@@ -34,7 +33,7 @@
 	}
 	id := c.Args().First()
 	if err := fleet.CheckName(id); err != nil || c.Args().Len() != 1 {
-		return unusable(fmt.Errorf("wanted the id of one command: %w", errors.Join(err)))
+		return usagef("wanted the id of one command: %w", errors.Join(err))
 	}
 	type answer struct {
 		Host    string         `json:"host"`
@@ -75,11 +74,11 @@
 	case err != nil:
 		return err
 	case away > 0:
-		return cli.Exit("", exitUnreachable)
+		return &outcomeError{outcome: outcomeUnreachable}
 	case refused > 0:
-		return cli.Exit("", exitSome)
+		return &outcomeError{outcome: outcomePartial}
 	case known > 0:
 		return nil
 	}
-	return unusable(fmt.Errorf("no agent knows %s", id))
+	return usagef("no agent knows %s", id)
 }
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -54,11 +54,11 @@
 			}
 			switch {
 			case errors.Is(err, context.Canceled):
-				return cli.Exit("interrupted", exitLate)
+				return outcomef(outcomeTimedOut, "interrupted")
 			case r.DuplicateAnswers+r.UnknownResults > 0:
-				return cli.Exit(fmt.Sprintf("%d answers came twice, %d were of no run", r.DuplicateAnswers, r.UnknownResults), exitSome)
+				return outcomef(outcomePartial, "%d answers came twice, %d were of no run", r.DuplicateAnswers, r.UnknownResults)
 			case r.Requests > 0 && r.Billed == 0:
-				return cli.Exit("nothing succeeded", exitSome)
+				return outcomef(outcomePartial, "nothing succeeded")
 			}
 			return err
 		},
@@ -68,7 +68,7 @@
 // scenarioOf finds a scenario in an experiment's file.
 func scenarioOf(file, name string) (*simulation.Scenario, error) {
 	if file == "" {
-		return nil, unusable(errors.New("no file is named"))
+		return nil, usagef("no file is named")
 	}
 	x, err := experiment.Read(file)
 	if err != nil {
@@ -79,7 +79,7 @@
 			return &x.Scenarios[i], nil
 		}
 	}
-	return nil, unusable(fmt.Errorf("scenario %q is none of %s", name, file))
+	return nil, usagef("scenario %q is none of %s", name, file)
 }
 
 func loadLine(p loadgen.Snapshot) string {
@@ -119,7 +119,7 @@
 			},
 			Action: func(ctx context.Context, c *cli.Command) error {
 				if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("warm-up-share") <= 0 {
-					return unusable(errors.New("cores and crowd are at least 1, warm-up-share above 0"))
+					return usagef("cores and crowd are at least 1, warm-up-share above 0")
 				}
 				y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
 					Cores: c.Int("cores"), CollapseMultiple: c.Float("crowd"), ServiceTime: c.Duration("service-time"), WarmUp: c.Duration("warm-up"), ColdSpeed: c.Float("warm-up-share"), MaxRuns: 10_000,
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -3,7 +3,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"runtime"
@@ -16,27 +15,15 @@
 	"milletbarrow/internal/logging"
 )
 
-// Exit codes; docs/fleet.md explains them. Code 1 is any error that has no code of its own.
-const (
-	exitUnusable    = 2 // a file or a word of the command line can't be used; nothing was changed
-	exitSome        = 3 // some instances came out other than asked for
-	exitLate        = 4 // the time ran out before all had a result
-	exitUnreachable = 5 // some agents could not be reached
-)
-
 func main() {
 	err := newApp().Run(context.Background(), currentNames(os.Args))
 	if err == nil {
 		return
 	}
-	code := 1
-	if coded, ok := errors.AsType[cli.ExitCoder](err); ok {
-		code = coded.ExitCode()
-	}
 	if err.Error() != "" {
 		fmt.Fprintln(os.Stderr, "milletbarrow:", err)
 	}
-	os.Exit(code)
+	os.Exit(exitCode(err))
 }
 
 // newApp wires the sub-commands together.
@@ -54,14 +41,6 @@
 	}
 }
 
-// unusable marks an error of what the caller gave.
-func unusable(err error) error {
-	if err == nil {
-		return nil
-	}
-	return cli.Exit(err.Error(), exitUnusable)
-}
-
 func configFlag() cli.Flag {
 	return &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`", Sources: cli.EnvVars("GW_CONFIG")}
 }
@@ -82,7 +61,7 @@
 func configuration(c *cli.Command) (*config.Backend, error) {
 	file := c.String("config")
 	if file == "" {
-		return nil, errors.New("config: no file is named, by GW_CONFIG or --config")
+		return nil, errNoConfig
 	}
 	return config.Read(file)
 }
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -55,7 +55,7 @@
 // runServe starts a backend as the command line has it, and returns when it has ended.
 func runServe(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() { // what is no command comes here too
-		return fmt.Errorf("%q is no command; help lists them", c.Args().First())
+		return &unknownCommandError{word: c.Args().First()}
 	}
 	endLog, err := startLog(c)
 	if err != nil {
@@ -214,7 +214,7 @@
 	}
 	go b.reload(ctx, hangup)
 	go func() {
-		failures <- errors.Join(errors.New("listen: the event loop has ended"), b.server.Serve())
+		failures <- errors.Join(errEventLoopEnded, b.server.Serve())
 	}()
 	go func() {
 		for range notice { // a second one changes nothing
--- a/cmd/milletbarrow/serve_quota.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -26,14 +25,14 @@
 		return nil, nil
 	}
 	if len(words) > quota.MaxBudgets {
-		return nil, unusable(fmt.Errorf("--quota: %d budgets, at most %d can be drawn from", len(words), quota.MaxBudgets))
+		return nil, usagef("--quota: %d budgets, at most %d can be drawn from", len(words), quota.MaxBudgets)
 	}
 	s := &dispatch.QuotaConfig{Tenants: map[string]string{}, MachineClock: process.Now}
 	var budgets []string
 	for _, w := range words {
 		budget, tenant, ok := strings.Cut(w, "=")
 		if _, twice := s.Tenants[tenant]; !ok || budget == "" || twice {
-			return nil, unusable(fmt.Errorf("--quota: found %q, wanted BUDGET=TENANT, each tenant once", w))
+			return nil, usagef("--quota: found %q, wanted BUDGET=TENANT, each tenant once", w)
 		}
 		s.Tenants[tenant] = budget
 		budgets = append(budgets, budget)
--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"os"
 	"runtime"
 	"runtime/debug"
@@ -10,7 +9,6 @@
 
 	"github.com/urfave/cli/v3"
 
-	"milletbarrow/internal/agent"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/supervisor"
@@ -51,7 +49,7 @@
 			for _, word := range c.StringSlice("draw") {
 				command = append(command, "--draw", word)
 			}
-			err = supervisor.Run(ctx, supervisor.Options{
+			return supervisor.Run(ctx, supervisor.Options{
 				Dir: c.String("dir"), Name: c.String("name"), Run: c.String("run"), Adopt: c.Bool("adopt"),
 				Launcher: []string{self, "begin", "--"}, Command: command,
 				Window: fleet.ShutdownWindow{
@@ -59,10 +57,6 @@
 				},
 				Bounds: limits.ForControl(),
 			})
-			if errors.Is(err, supervisor.ErrLocked) {
-				return cli.Exit(err.Error(), agent.ExitSupervisorRunning)
-			}
-			return err
 		},
 	}
 }
