--- a/internal/cluster/quotastore/assessment.go
+++ b/internal/cluster/quotastore/assessment.go
@@ -61,7 +61,7 @@
 // assess judges this member's log by those of enough others, and reports the result.
 func (s *Store) assess(own quorum.LogPosition, heard map[string]quorum.LogPosition) quorum.Eligibility {
 	e := quorum.Assess(own, slices.Collect(maps.Values(heard)))
-	slog.Info("ledger_standing", "term", own.Term, "index", own.Index, "heard", len(heard), "behind", e.Behind,
+	slog.Info("quota_store_position", "term", own.Term, "index", own.Index, "heard", len(heard), "behind", e.Behind,
 		"group_term", e.AdoptTerm, "group_index", e.RequiredLog.Index, "first", e.Bootstrap)
 	if e.Behind {
 		cause := fmt.Sprintf("has entry %d, the group %d: it votes for none that has less, until it has that", own.Index, e.RequiredLog.Index)
--- a/internal/cluster/quotastore/forward.go
+++ b/internal/cluster/quotastore/forward.go
@@ -88,7 +88,7 @@
 func leaderNamedBy(err error) string {
 	var other notLeader
 	if status, ok := errors.AsType[*jsonhttp.StatusError](err); ok && status.Code == http.StatusMisdirectedRequest {
-		_ = json.Unmarshal([]byte(status.Text), &other) // an answer that is cut short names none
+		_ = json.Unmarshal([]byte(status.Message), &other) // an answer that is cut short names none
 	}
 	return other.Leader
 }
--- a/internal/cluster/quotastore/quotastore.go
+++ b/internal/cluster/quotastore/quotastore.go
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if stage != s.stage {
-		slog.Info("ledger", "stage", stage, "why", why)
+		slog.Info("quota_store", "stage", stage, "why", why)
 	}
 	s.stage = stage
 }
--- a/internal/faultinjection/harness/cold_start.go
+++ b/internal/faultinjection/harness/cold_start.go
@@ -37,7 +37,7 @@
 func (g *Harness) judgeCold(v *Verdict, all []*checker.Process) {
 	calls, conns, falls := g.heard()
 	c := g.options.Table.ColdStart
-	f := coldstart.Of(calls, &c.Register, len(g.site.Names), limits.For(1, 192, 1024).Report, g.ended.Sub(g.asked))
+	f := coldstart.Of(calls, &c.Register, len(g.site.Names), limits.For(1, 192, 1024).ReportInterval, g.ended.Sub(g.asked))
 	f.Conns, f.Falls = conns, falls
 	v.Cold = &f
 	for _, why := range f.Breaks(c.Bounds) {
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -143,7 +143,7 @@
 	now := s.now()
 	s.report.MaxLag = max(s.report.MaxLag, time.Duration(now-arrival.At)*time.Microsecond)
 	s.report.RecordRequest(s.scenario, arrival.At, arrival.Operation, arrival.Tenant)
-	if s.inFlight >= s.options.Bounds.Open {
+	if s.inFlight >= s.options.Bounds.InFlight {
 		s.report.Unsent++
 		s.report.RecordOutcome(s.scenario, now, arrival.Operation, arrival.Tenant, simulation.Local, 0, 0)
 		return
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -156,7 +156,7 @@
 		w.now = e.at
 		w.handle(e)
 	}
-	w.result.Figures = faultinjectioncoldstart.Of(w.reports, &t.Registry, t.Backends, time.Duration(t.Reports.Usual)*time.Microsecond, t.Duration)
+	w.result.Figures = faultinjectioncoldstart.Of(w.reports, &t.Registry, t.Backends, time.Duration(t.Reports.Interval)*time.Microsecond, t.Duration)
 	w.result.Falls, w.result.Ready = w.registryCollapses, len(w.readyTimes)
 	w.result.HalfReadySeconds, w.result.MostReadySeconds = w.readyAt(0.5), w.readyAt(0.95)
 	return &w.result, nil
