--- a/internal/backend/registration/guards_test.go
+++ b/internal/backend/registration/guards_test.go
@@ -32,7 +32,8 @@
 // takeOff returns once a deregistration is received.
 func takeOff(t *testing.T, reports <-chan string) {
 	t.Helper()
-	for !isOff(fakes.Take(t, "a deregistration", reports)) {
+	for report := ""; !isOff(report); {
+		report = fakes.Take(t, "a deregistration", reports)
 	}
 }
 
