--- a/internal/backend/registration/guards_test.go
+++ b/internal/backend/registration/guards_test.go
@@ -121,7 +121,7 @@
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(logging.Handler(&text, logging.Text)))
 	statuses := make(chan int, 10)
-	address, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-statuses) })
+	address, _ := fakes.NewRegistry(t, respondWith(statuses))
 	r := New(address, "n3", limits.For(1, 192, 1024), false)
 	for n, c := range []struct{ status, lines int }{{204, 0}, {503, 1}, {503, 1}, {204, 2}, {204, 2}} {
 		statuses <- c.status
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -189,12 +189,24 @@
 	fakes.Take(t, "the end", done)
 }
 
+// respondWith returns a handler that responds with the statuses in the order of the reports. A report whose caller has given up takes
+// none, and does not keep the registry from closing.
+func respondWith(statuses <-chan int) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case status := <-statuses:
+			w.WriteHeader(status)
+		case <-r.Context().Done():
+		}
+	}
+}
+
 // TestDeregistersUntilAccepted: off is reported until the registry accepts it, also where its address changes meanwhile; then
 // nothing more.
 func TestDeregistersUntilAccepted(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	status, responses := http.StatusServiceUnavailable, make(chan int, 100)
-	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(<-responses) })
+	address, reports := fakes.NewRegistry(t, respondWith(responses))
 	newAddress, newReports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	b := limits.For(1, 192, 1024)
 	b.ReportInterval = 10 * time.Millisecond
--- a/internal/limits/control.go
+++ b/internal/limits/control.go
@@ -15,15 +15,15 @@
 	IdleTimeout      time.Duration // how long a connection without a call stays open
 	Watchers         int           // of one agent at the same time; a further one is rejected
 	WatcherBacklog   int           // progress lines queued for one watcher; with more it is disconnected and may connect again
-	EndedCommands    int           // kept by an agent; the oldest are dropped first
+	EndedCommands    int           // stored by an agent; the oldest are deleted first
 	OpenCommands     int           // of an agent at the same time; a further one is rejected
 	Instances        int           // of one agent
-	HistoryEntries   int           // kept by an agent
+	HistoryEntries   int           // stored by an agent
 	FanOut           int           // agents that the tool calls at the same time
 	Attempts         int           // of one call to one agent
 	RetryBackoff     time.Duration // before the second attempt; it doubles, with jitter
 	RetryBackoffMax  time.Duration // up to this
-	LogFileSize      int64         // bytes of one instance's log file; the current and the previous one are kept
+	LogFileSize      int64         // bytes of one instance's log file; the current and the previous file exist
 	LogCheckInterval time.Duration // between two checks of that size
 	PollInterval     time.Duration // between two polls of an instance that is expected to change
 	IdlePollInterval time.Duration // between two polls of any other instance
