--- a/admission/backend_test.go
+++ b/admission/backend_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// A throttle says "don't retry" once the share of recent retries is above the limit, to first attempts and retries alike.
 func TestDontRetryFollowsRetryShare(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.pass(400, 1, 8)
@@ -19,6 +20,7 @@
 	tr.check()
 }
 
+// The run queue throttles only on busy cores, and lower priorities first.
 func TestThresholdByPriority(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.note("a crowded queue on idle cores throttles nobody")
@@ -38,6 +40,7 @@
 	tr.check()
 }
 
+// Each invocation is answered by its deadline, whatever has become of it, and stopped where its caller has left.
 func TestEveryInvocationIsAnsweredInTime(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.Preemption = PreemptionDiscards })
 	brief := func(a *Arrived) { a.TimeLeft = 300_000 }
@@ -54,6 +57,7 @@
 	tr.check()
 }
 
+// A repeat never runs beside its original or after it, and a non-idempotent run is neither repeated nor throttled.
 func TestNoEffectTwice(t *testing.T) {
 	tr := newTrace(t, nil)
 	again := func(a *Arrived) { a.RepeatOf = "tok" }
@@ -93,6 +97,7 @@
 	tr.check()
 }
 
+// What reaches the machine within the grace is admitted, what comes later is throttled, and all is answered before the stop.
 func TestDrain(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.arrive("before", 0, 0.5)
@@ -107,6 +112,7 @@
 	tr.check()
 }
 
+// Nothing is started or admitted beyond its part of the memory.
 func TestMemory(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.MemoryKB = 500 })
 	tr.note("two runs of 160 fit, a third does not and waits; past the held limit: throttled")
@@ -118,6 +124,7 @@
 	tr.check()
 }
 
+// The number of runs started and not ended is bounded by the cores, lower while warming up.
 func TestMaxRunsWarmAndCold(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.JustStarted, t.CollapseMultiple, t.WarmUp = true, 2, 3_000_000 })
 	tr.note("runs that left the gauge for a disk still count; cold, two cores bear two")
@@ -130,6 +137,7 @@
 	tr.check()
 }
 
+// Calls are bounded by the quota, retried within the retry budget, and skipped where that is allowed.
 func TestCallsToDependency(t *testing.T) {
 	tr := newTrace(t, func(t *Config) { t.SharedDependency, t.CallQuota = true, 1 })
 	tr.note("one call in hand at most; an abandoned one lingers")
@@ -383,7 +391,7 @@
 // A third run on two cores slows all three; on six cores a seventh has the core between an end and what follows it.
 func TestRunsWantedOnFewCoresAndMany(t *testing.T) {
 	for cores, want := range map[int]float64{1: 1, 2: 2, 4: 4, 6: 7} {
-		tr := newTrace(t, func(terms *Config) { terms.Cores = cores })
+		tr := newTrace(t, func(config *Config) { config.Cores = cores })
 		for n := range 12 {
 			tr.arrive(fmt.Sprint("a", n), 0, 0.9)
 		}
--- a/admission/guards_test.go
+++ b/admission/guards_test.go
@@ -7,15 +7,15 @@
 )
 
 // decide returns the actions of one event, without the timer.
-func (tr *trace) decide(ev Event) []Action {
-	return slices.DeleteFunc(tr.b.Decide(tr.now, ev, nil), func(a Action) bool { _, wake := a.(Wake); return wake })
+func (tr *trace) decide(event Event) []Action {
+	return slices.DeleteFunc(tr.b.Decide(tr.now, event, nil), func(a Action) bool { _, wake := a.(Wake); return wake })
 }
 
 // expect fails the test unless the event leads to these actions and no other.
-func (tr *trace) expect(ev Event, want ...Action) {
+func (tr *trace) expect(event Event, want ...Action) {
 	tr.t.Helper()
-	if got := tr.decide(ev); !slices.Equal(got, want) {
-		tr.t.Errorf("%T%+v: %T%+v, want %T%+v", ev, ev, got, got, want, want)
+	if got := tr.decide(event); !slices.Equal(got, want) {
+		tr.t.Errorf("%T%+v: %T%+v, want %T%+v", event, event, got, got, want, want)
 	}
 }
 
@@ -72,8 +72,8 @@
 	for n := range bound + 3 {
 		id := fmt.Sprint("inv", n)
 		tr.decide(arrival(id, 0))
-		for _, act := range tr.decide(NeedsCall{id}) {
-			if act == (Throttle{ID: id, DontRetry: true}) {
+		for _, action := range tr.decide(NeedsCall{id}) {
+			if action == (Throttle{ID: id, DontRetry: true}) {
 				rejected++
 			}
 		}
@@ -161,8 +161,8 @@
 		}
 		got := 0
 		for end := tr.now + 3_000_000; tr.now < end; tr.now += tr.b.tick {
-			for _, act := range tr.decide(Reading{Token: timerToken, CoreUse: 1, OnCores: 2}) {
-				if _, throttles := act.(Throttle); throttles {
+			for _, action := range tr.decide(Reading{Token: timerToken, CoreUse: 1, OnCores: 2}) {
+				if _, throttles := action.(Throttle); throttles {
 					got++
 				}
 			}
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -17,7 +17,7 @@
 }
 
 func newTrace(t *testing.T, edit func(*Config)) *trace {
-	terms := Config{
+	config := Config{
 		Operations: []Operation{
 			{Objective: 2_000_000, ClientTimeout: 5_000_000, MakesCalls: true},
 			{Objective: 2_000_000, ClientTimeout: 5_000_000, RetrySafety: IdempotencyKeyed, RepeatWindow: 4_000_000, MakesCalls: true},
@@ -29,29 +29,29 @@
 		CallQuotaWindow: 5_000_000, AbandonedCallLinger: 200_000,
 	}
 	if edit != nil {
-		edit(&terms)
+		edit(&config)
 	}
-	tr := &trace{t: t, b: New(terms, 7), now: 1_000_000}
+	tr := &trace{t: t, b: New(config, 7), now: 1_000_000}
 	tr.do(Opened{})
 	return tr
 }
 
-// traceNames turns Go's names into those that the traces of testdata have had from the first.
+// traceNames turns Go's names into those of the traces in testdata.
 var traceNames = strings.NewReplacer("admission.", "", " RetryAfter:", " RetryIn:", " Timeout:", " Within:")
 
 // do decides one event and prints it; what every reading repeats is left out.
-func (tr *trace) do(ev Event) {
-	var acts []string
-	for _, a := range tr.b.Decide(tr.now, ev, nil) {
+func (tr *trace) do(event Event) {
+	var actions []string
+	for _, a := range tr.b.Decide(tr.now, event, nil) {
 		if _, wake := a.(Wake); !wake {
-			acts = append(acts, traceNames.Replace(fmt.Sprintf("%T%+v", a, a)))
+			actions = append(actions, traceNames.Replace(fmt.Sprintf("%T%+v", a, a)))
 		}
 	}
-	if _, reading := ev.(Reading); reading && len(acts) == 0 {
+	if _, reading := event.(Reading); reading && len(actions) == 0 {
 		return
 	}
-	name := strings.TrimPrefix(fmt.Sprintf("%T", ev), "admission.")
-	switch e := ev.(type) {
+	name := strings.TrimPrefix(fmt.Sprintf("%T", event), "admission.")
+	switch e := event.(type) {
 	case Arrived:
 		name += fmt.Sprintf(" %s rank %.2f retry %v", e.ID, e.Priority, e.Retry)
 	case Opened, Reading:
@@ -59,7 +59,7 @@
 		name += fmt.Sprintf(" %+v", e)
 	}
 	fmt.Fprintf(&tr.text, "%5dms %s\n", tr.now/1000, name)
-	for _, a := range acts {
+	for _, a := range actions {
 		fmt.Fprintf(&tr.text, "        %s\n", a)
 	}
 }
