--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -82,7 +82,7 @@
 		Cores                 int       `json:"n_cores"`
 		Gauges                []string  `json:"own_stats"`
 		Preemption            string    `json:"preemption"`
-		TellsDeadline         *bool     `json:"passes_deadline"` // absent: they tell
+		PassesDeadline        *bool     `json:"passes_deadline"` // absent: they do
 		RunFactor             float64   `json:"run_factor"`
 		AdvertisedValue       string    `json:"say"`
 	} `json:"family_info"`
@@ -118,7 +118,7 @@
 	*s = Settings{
 		Admission:        o.deployment(),
 		Gauges:           f.Gauges,
-		DeadlineOptional: f.TellsDeadline != nil && !*f.TellsDeadline,
+		DeadlineOptional: f.PassesDeadline != nil && !*f.PassesDeadline,
 		choices: choices{
 			dependency: f.Dependency, preemption: f.Preemption, advertisedValue: f.AdvertisedValue,
 			valueBy: o.ValueBy, freshMs: f.FreshMs,
