--- a/internal/backend/degradation/parse.go
+++ b/internal/backend/degradation/parse.go
@@ -68,43 +68,52 @@
 	return level
 }
 
+// maxTermValue is the largest value that a term may compare a signal with.
+const maxTermValue = 1000
+
 // readCondition reads (enter (any (queue 1.8 2s) (late 0.1 2s))), or with all, or with one term alone.
 func readCondition(f *sexpr.Form, name string) (c Condition) {
-	cf := f.Field(name)
-	if cf == nil {
+	condition := f.Field(name)
+	if condition == nil {
 		f.Fail("", "%s: missing", name)
 		return c
 	}
-	terms := cf
-	for _, word := range []string{"any", "all"} {
-		if sub := cf.Field(word); sub != nil {
-			terms, c.Any = sub, word == "any"
+	terms := condition
+	for _, combination := range []string{"any", "all"} {
+		if sub := condition.Field(combination); sub != nil {
+			terms, c.Any = sub, combination == "any"
 		}
 	}
-	for s, word := range signalNames {
-		for _, t := range terms.All(word) {
-			words := t.Args(1, 2)
-			term := Term{Signal: Signal(s)}
-			if _, err := fmt.Sscanf(strings.Join(words[:min(1, len(words))], ""), "%g", &term.Value); err != nil || !(term.Value >= 0 && term.Value <= 1000) {
-				t.Fail("", "found %q, wanted a value from 0 to 1000 and perhaps a time", strings.Join(words, " "))
-			}
-			if len(words) == 2 {
-				d, err := time.ParseDuration(words[1])
-				if err != nil || d < 0 || d > hour {
-					t.Fail("", "found %q, wanted a time up to %v", words[1], hour)
-				}
-				term.For = Micros(d.Microseconds())
-			}
-			t.Done()
-			c.Terms = append(c.Terms, term)
+	for s, signal := range signalNames {
+		for _, term := range terms.All(signal) {
+			c.Terms = append(c.Terms, readTerm(term, Signal(s)))
 		}
 	}
-	if terms != cf {
+	if terms != condition {
 		terms.Done()
 	}
-	cf.Done()
+	condition.Done()
 	if n := len(c.Terms); n == 0 || n > MaxTerms {
-		cf.Fail("", "found %d terms, wanted 1 to %d", n, MaxTerms)
+		condition.Fail("", "found %d terms, wanted 1 to %d", n, MaxTerms)
 	}
 	return c
 }
+
+// readTerm reads a value and perhaps a time.
+func readTerm(f *sexpr.Form, signal Signal) Term {
+	args := f.Args(1, 2)
+	term := Term{Signal: signal}
+	_, err := fmt.Sscanf(strings.Join(args[:min(1, len(args))], ""), "%g", &term.Value)
+	if err != nil || !(term.Value >= 0 && term.Value <= maxTermValue) {
+		f.Fail("", "found %q, wanted a value from 0 to %d and perhaps a time", strings.Join(args, " "), maxTermValue)
+	}
+	if len(args) == 2 {
+		span, err := time.ParseDuration(args[1])
+		if err != nil || span < 0 || span > hour {
+			f.Fail("", "found %q, wanted a time up to %v", args[1], hour)
+		}
+		term.For = Micros(span.Microseconds())
+	}
+	f.Done()
+	return term
+}
--- a/internal/backend/degradation/signals.go
+++ b/internal/backend/degradation/signals.go
@@ -81,7 +81,7 @@
 	}
 	s[Queue], s[Cores], s[Memory] = gauge(onCores, m.cores), gauge(coreUse, 1), gauge(memory, 1)
 	s[Rejected], s[Late], s[Retries] = fraction(Rejections, Arrivals), fraction(LateSuccesses, Successes), fraction(RetriedArrivals, Arrivals)
-	s[Infeasible] = Missing // the module does not tell why it throttles
+	s[Infeasible] = Missing // the module does not report why it throttles
 	s[Unknown], s[WarmingUp], s[Draining] = yes(!known), yes(now < m.warmingUntil), yes(m.draining)
 	return s
 }
