--- a/internal/backend/shadow/evaluator_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -145,6 +145,83 @@
 	if c := p.evaluator.Counts(); c.Panics != 1 || c.Arrivals != 1 || len(p.running) != 2 {
 		t.Errorf("%v, %d run", c, len(p.running))
 	}
+	if p.evaluator.module != nil || p.evaluator.unanswered != nil {
+		t.Error("the shadow's module and its requests are still referred to")
+	}
+}
+
+// TestShadowStartsNothingItself: a start is the shadow's proposal until the primary has started that request.
+func TestShadowStartsNothingItself(t *testing.T) {
+	e := New(config(func(*admission.Config) {}), 7, 1_000_000)
+	for n := range 2 {
+		event := admission.Arrived{ID: fmt.Sprint("i", n), MemoryKB: 30, TimeLeft: 4_000_000}
+		e.Observe(1_000_000, event, nil) // the primary starts neither
+		if got := firstStarted(e.actions); got != "i0" {
+			t.Errorf("after %d arrivals %q is proposed", n+1, got)
+		}
+	}
+}
+
+// TestShadowOpensOnce: New has opened the shadow; the primary's opening is not passed on.
+func TestShadowOpensOnce(t *testing.T) {
+	e := New(config(func(*admission.Config) {}), 7, 1_000_000)
+	e.actions = []admission.Action{admission.Log{Text: "none decided since"}}
+	if e.Observe(2_000_000, admission.Opened{}, nil); len(e.actions) != 1 {
+		t.Errorf("decided %v", e.actions)
+	}
+}
+
+// TestEachRequestIsComparedOnce: an answer that only one side gives counts once, and what either gives later counts no more.
+func TestEachRequestIsComparedOnce(t *testing.T) {
+	e := New(config(func(*admission.Config) {}), 7, 1_000_000)
+	e.unanswered["a"] = true
+	throttle := []admission.Action{admission.Throttle{ID: "a"}}
+	for range 2 {
+		e.compare("", [sideCount][]admission.Action{shadow: throttle})
+	}
+	e.compare("", [sideCount][]admission.Action{primary: throttle})
+	e.compare("", [sideCount][]admission.Action{primary: {admission.Throttle{ID: "not in flight"}}})
+	if got, want := e.Counts().ByDifference, (Counts{ByDifference: [differenceCount]int{OnlyShadowGivesUp: 1}}).ByDifference; got != want {
+		t.Errorf("%v", e.Counts())
+	}
+}
+
+// TestStateIsComparedOnce: a state that differs counts once, until both sides agree again.
+func TestStateIsComparedOnce(t *testing.T) {
+	e := New(config(func(*admission.Config) {}), 7, 1_000_000)
+	bad := []admission.Action{admission.SetHealth{}, admission.CloseIdle{After: 1}}
+	for range 2 {
+		e.compare("", [sideCount][]admission.Action{primary: bad})
+		e.compare("", [sideCount][]admission.Action{})
+	}
+	if c := e.Counts().ByDifference; c[Health] != 1 || c[IdleTimeout] != 1 {
+		t.Errorf("%v", e.Counts())
+	}
+}
+
+// TestAnswersCompared: what counts as another answer where both sides give one.
+func TestAnswersCompared(t *testing.T) {
+	type throttle = admission.Throttle
+	for _, row := range []struct {
+		shadows, primaries admission.Action
+		want               Difference
+		differs            bool
+	}{
+		{throttle{RetryAfter: 3}, throttle{RetryAfter: 2}, RetryAfter, false},
+		{throttle{RetryAfter: 4}, throttle{RetryAfter: 2}, RetryAfter, true},
+		{throttle{RetryAfter: 2}, throttle{RetryAfter: 4}, RetryAfter, true},
+		{throttle{DontRetry: true}, throttle{}, RetryElsewhere, true},
+		{admission.Fail{}, throttle{DontRetry: true}, 0, false},
+		{throttle{DontRetry: true}, admission.Fail{}, 0, false},
+	} {
+		got, differs := compareAnswers(row.shadows, row.primaries, shadow, false)
+		if differs != row.differs || differs && got != row.want {
+			t.Errorf("%T%+v, %T%+v: %v %t", row.shadows, row.shadows, row.primaries, row.primaries, got, differs)
+		}
+		if _, differs = compareAnswers(row.primaries, row.shadows, primary, false); differs {
+			t.Errorf("%T%+v: counted from the primary's side too", row.primaries, row.primaries)
+		}
+	}
 }
 
 // TestDifferences: each kind is counted where one setting makes the difference.
