--- a/internal/cluster/quotastore/boltstore_test.go
+++ b/internal/cluster/quotastore/boltstore_test.go
@@ -69,3 +69,23 @@
 		t.Fatal("a closed store is written to still")
 	}
 }
+
+// TestBoltValuesAreCopies: a value that was read stays as it was, whatever is written after.
+func TestBoltValuesAreCopies(t *testing.T) {
+	s := newBoltStore(t)
+	if err := s.Set([]byte("k"), []byte("first")); err != nil {
+		t.Fatal(err)
+	}
+	value, err := s.Get([]byte("k"))
+	if err != nil || string(value) != "first" {
+		t.Fatalf("%q, %v", value, err)
+	}
+	for range 20 { // pages are used again after some transactions
+		if err := s.Set([]byte("k"), []byte("other")); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if string(value) != "first" {
+		t.Errorf("the value that was read is %q now", value)
+	}
+}
