--- a/internal/cluster/quota/command.go
+++ b/internal/cluster/quota/command.go
@@ -1,6 +1,7 @@
 package quota
 
 import (
+	"errors"
 	"fmt"
 
 	"milletbarrow/internal/backend/quota"
@@ -129,8 +130,8 @@
 	}
 	for i := range c.Limits {
 		l := &c.Limits[i]
-		if field, err := l.Validate(); err != nil {
-			r.Rejection = fmt.Sprintf("budget %s: %s: %v", l.Name, field, err)
+		if err, ok := errors.AsType[*LimitError](l.Validate()); ok {
+			r.Rejection = fmt.Sprintf("budget %s: %s: %s", l.Name, err.Field, err.Reason)
 			return
 		}
 	}
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"errors"
 	"slices"
 	"strconv"
 	"time"
@@ -70,8 +71,8 @@
 	}
 	f.Done()
 	if b.Kind != "" {
-		if field, err := b.Validate(); err != nil {
-			f.Fail(field, "%v", err)
+		if err, ok := errors.AsType[*quota.LimitError](b.Validate()); ok {
+			f.Fail(err.Field, "%s", err.Reason)
 		}
 	}
 	r.attribute(SpecSubject{Quota: b.Name})
@@ -143,8 +144,8 @@
 	if t.MaxConcurrent = b.Total - b.Reserved; t.InitialConcurrent == 0 {
 		t.InitialConcurrent = min(2, t.MaxConcurrent)
 	}
-	if field, err := t.Validate(); err != nil {
-		f.Fail(field, "%v", err)
+	if err, ok := errors.AsType[*coldstart.ConfigError](t.Validate()); ok {
+		f.Fail(err.Field, "%s", err.Reason)
 	}
 	r.ColdStart = t
 }
