--- a/internal/cluster/transport/listener.go
+++ b/internal/cluster/transport/listener.go
@@ -47,11 +47,6 @@
 	deadline := time.NewTimer(within)
 	defer deadline.Stop()
 	select {
-	case <-q.closed: // of several cases that are ready, the next select takes any
-		return false
-	default:
-	}
-	select {
 	case q.conns <- c:
 		q.closePendingIfClosed()
 		return true
@@ -64,11 +59,6 @@
 
 // Accept implements net.Listener. After Close it returns net.ErrClosed.
 func (q *listenerQueue) Accept() (net.Conn, error) {
-	select {
-	case <-q.closed:
-		return nil, net.ErrClosed
-	default:
-	}
 	select {
 	case c := <-q.conns:
 		return c, nil
