--- a/internal/cluster/quota/invariants_test.go
+++ b/internal/cluster/quota/invariants_test.go
@@ -64,7 +64,7 @@
 	expiresAt(tracker, 3_000_000)
 }
 
-// TestSoleReplicaFreezesGrowth: the only replica may have been set back with nobody to tell it, and waits a whole lease.
+// TestSoleReplicaFreezesGrowth: the only replica may have been set back without being able to find out, and waits for a full lease.
 func TestSoleReplicaFreezesGrowth(t *testing.T) {
 	s := newTestState(t, rate(10, 1, 0, DivideEvenly))
 	for _, sole := range []bool{true, false} {
@@ -226,10 +226,10 @@
 	config := rate(10, 1, 0, DivideEvenly)
 	config.Version = 5
 	s := newTestState(t, config)
-	older, other, invalid := rate(20, 1, 0, DivideEvenly), rate(20, 1, 0, DivideEvenly), rate(20, 1, 0, DivideEvenly)
-	older.Version, other.Version, invalid.Version = 4, 5, 6
-	invalid.Limits[0].Lease = invalid.Limits[0].ClockMargin
-	for _, c := range []Config{older, other, invalid} {
+	older, other, unusable := rate(20, 1, 0, DivideEvenly), rate(20, 1, 0, DivideEvenly), rate(20, 1, 0, DivideEvenly)
+	older.Version, other.Version, unusable.Version = 4, 5, 6
+	unusable.Limits[0].Lease = unusable.Limits[0].ClockMargin
+	for _, c := range []Config{older, other, unusable} {
 		if r := s.Apply(Command{Config: &c}); r.Rejection == "" || s.Config.Version != 5 || s.Config.Limits[0].Total != 10 {
 			t.Errorf("version %d: %q, in force is %+v", c.Version, r.Rejection, s.Config)
 		}
--- a/internal/cluster/quota/state_test.go
+++ b/internal/cluster/quota/state_test.go
@@ -14,37 +14,37 @@
 	"milletbarrow/internal/backend/quota"
 )
 
-func rate(whole int64, names int, floor int64, divide Division) Config {
-	b := Limit{Name: "b", Kind: Rate, Total: whole, Floors: map[string]int64{}, Division: divide, Step: 1, Lease: 1_000_000, ClockMargin: 50_000, Tenant: "t"}
+func rate(total int64, names int, floor int64, divide Division) Config {
+	b := Limit{Name: "b", Kind: Rate, Total: total, Floors: map[string]int64{}, Division: divide, Step: 1, Lease: 1_000_000, ClockMargin: 50_000, Tenant: "t"}
 	for i := range names {
 		b.Floors[fmt.Sprint("n", i)] = floor
 	}
 	return Config{Version: 1, Limits: []Limit{b}}
 }
 
-// fleet is a small world: holders with clocks of their own, a state with a leader's lease tracker, and messages in flight.
+// fleet simulates holders with clocks of their own, a state with a leader's lease tracker, and messages in flight.
 type fleet struct {
-	t       *rapid.T
-	now     int64 // true time
-	ledger  *State
-	clerk   *LeaseTracker
-	clock   int64 // the leader's runs faster by so many in a thousand
-	holders []*holder
-	asks    []flying[quota.LeaseRequest]
-	answers []flying[quota.LeaseResponse]
-	wholes  []int64 // by true time from which it holds
-	from    []int64
+	t                *rapid.T
+	now              int64 // true time in microseconds
+	state            *State
+	tracker          *LeaseTracker
+	clock            int64 // the leader's runs faster by so many in a thousand
+	holders          []*holder
+	requests         []inFlight[quota.LeaseRequest]
+	responses        []inFlight[quota.LeaseResponse]
+	configuredTotals []int64 // in the order of their versions
+	totalSince       []int64
 }
 
 type holder struct {
 	*quota.Holder
-	name, host string
-	life       int
-	ppm        int64
-	gone       bool
+	name, host  string
+	incarnation int
+	ppm         int64
+	exited      bool
 }
 
-type flying[T any] struct {
+type inFlight[T any] struct {
 	host string
 	msg  T
 }
@@ -54,17 +54,17 @@
 func (f *fleet) leader() quota.Micros { return quota.Micros(f.now + f.now/1000*f.clock) }
 
 func (f *fleet) apply(c Command) Result {
-	c.FreezeGrowth = f.clerk.GrowthFrozen(f.leader())
-	r := f.ledger.Apply(c)
+	c.FreezeGrowth = f.tracker.GrowthFrozen(f.leader())
+	r := f.state.Apply(c)
 	return r
 }
 
-// check compares what the holders may act on with the total; it asks the holders alone.
+// check compares what the holders may act on, by their own account, with the total.
 func (f *fleet) check() {
 	sum := int64(0)
 	floors := map[string]int64{}
 	for _, h := range f.holders {
-		if h.gone {
+		if h.exited {
 			continue
 		}
 		for _, v := range h.Status(h.clock(f.now)) {
@@ -75,34 +75,36 @@
 	for _, fl := range floors {
 		sum += fl
 	}
-	limit := f.wholes[len(f.wholes)-1]
-	for i := len(f.wholes) - 2; i >= 0 && f.now-f.from[i+1] < 4_000_000; i-- {
-		limit = max(limit, f.wholes[i]) // a lower whole is reached once the leases of before are over
+	limit := f.configuredTotals[len(f.configuredTotals)-1]
+	for i := len(f.configuredTotals) - 2; i >= 0 && f.now-f.totalSince[i+1] < 4_000_000; i-- {
+		limit = max(limit, f.configuredTotals[i]) // a lower total is reached once the leases from before are over
 	}
 	if sum > limit {
-		f.t.Fatalf("at %d shares in force add up to %d, the whole is %d", f.now, sum, limit)
+		f.t.Fatalf("at %d grants in force add up to %d, the total is %d", f.now, sum, limit)
 	}
-	// The ledger's own counts must be those of its grants.
-	was := *f.ledger.totals["b"]
-	f.ledger.recount("b")
-	if now := *f.ledger.totals["b"]; now.inForce != was.inForce || now.reservedFloors != was.reservedFloors || now.extras != was.extras {
+	// The state's totals must be those of its grants.
+	was := *f.state.totals["b"]
+	f.state.recount("b")
+	if now := *f.state.totals["b"]; now.inForce != was.inForce || now.reservedFloors != was.reservedFloors || now.extras != was.extras {
 		f.t.Fatalf("sums went astray: %+v, counted anew %+v", was, now)
 	}
 }
 
-func TestNeverMoreThanTheWhole(t *testing.T) {
+// TestNeverMoreThanTheTotal: whatever is lost, late or doubled, and however clocks differ, the grants in force add up to no more than the
+// total; once faults end all of it is granted again.
+func TestNeverMoreThanTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.IntRange(1, 6).Draw(t, "names")
 		floor := int64(rapid.IntRange(0, 4).Draw(t, "floor"))
-		whole := max(1, floor*int64(names)) + int64(rapid.IntRange(0, 60).Draw(t, "pool"))
+		total := max(1, floor*int64(names)) + int64(rapid.IntRange(0, 60).Draw(t, "pool"))
 		divide := rapid.SampledFrom([]Division{DivideEvenly, DivideByCapacity, DivideByDemand}).Draw(t, "divide")
-		terms := rate(whole, names, floor, divide)
-		f := &fleet{t: t, now: 1_000_000_000, ledger: NewState(), clerk: &LeaseTracker{}, clock: int64(rapid.IntRange(0, 4).Draw(t, "leader clock")), wholes: []int64{whole}, from: []int64{0}}
-		f.ledger.Apply(Command{Config: &terms})
-		f.clerk.BecomeLeader(f.leader(), f.ledger, false)
+		config := rate(total, names, floor, divide)
+		f := &fleet{t: t, now: 1_000_000_000, state: NewState(), tracker: &LeaseTracker{}, clock: int64(rapid.IntRange(0, 4).Draw(t, "leader clock")), configuredTotals: []int64{total}, totalSince: []int64{0}}
+		f.state.Apply(Command{Config: &config})
+		f.tracker.BecomeLeader(f.leader(), f.state, false)
 		start := func(i int) *holder {
-			h := &holder{name: fmt.Sprint("n", i), host: fmt.Sprint("h", i%3), life: len(f.holders), ppm: int64(rapid.IntRange(-4000, 4000).Draw(t, "ppm"))}
-			h.Holder = quota.New(h.name, fmt.Sprint(h.life), []string{"b"})
+			h := &holder{name: fmt.Sprint("n", i), host: fmt.Sprint("h", i%3), incarnation: len(f.holders), ppm: int64(rapid.IntRange(-4000, 4000).Draw(t, "ppm"))}
+			h.Holder = quota.New(h.name, fmt.Sprint(h.incarnation), []string{"b"})
 			f.holders = append(f.holders, h)
 			return h
 		}
@@ -110,67 +112,67 @@
 			start(i)
 		}
 		one := func() *holder { return f.holders[rapid.IntRange(0, len(f.holders)-1).Draw(t, "holder")] }
-		// Answers are those of asks; an ask that is delivered twice is answered twice.
+		// A request that is delivered twice is answered twice.
 		deliver := func(i int, twice bool) {
-			q := f.asks[i]
+			q := f.requests[i]
 			if !twice {
-				f.asks = slices.Delete(f.asks, i, i+1)
+				f.requests = slices.Delete(f.requests, i, i+1)
 			}
 			r := f.apply(Command{Renew: &RenewCommand{Host: q.host, Requests: []quota.LeaseRequest{q.msg}}})
 			for _, a := range r.Answers {
-				f.answers = append(f.answers, flying[quota.LeaseResponse]{msg: a})
+				f.responses = append(f.responses, inFlight[quota.LeaseResponse]{msg: a})
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"ask": func(*rapid.T) {
-				if h := one(); !h.gone && len(f.asks) < 8 {
-					f.asks = append(f.asks, flying[quota.LeaseRequest]{host: h.host, msg: h.NewRequest(h.clock(f.now))})
+			"request": func(*rapid.T) {
+				if h := one(); !h.exited && len(f.requests) < 8 {
+					f.requests = append(f.requests, inFlight[quota.LeaseRequest]{host: h.host, msg: h.NewRequest(h.clock(f.now))})
 				}
 			},
-			"round": func(*rapid.T) { // all of one host ask and are answered at once
+			"round": func(*rapid.T) { // all renew and are answered at once
 				for _, h := range f.holders {
-					if !h.gone {
-						f.asks = append(f.asks, flying[quota.LeaseRequest]{host: h.host, msg: h.NewRequest(h.clock(f.now))})
-						deliver(len(f.asks)-1, false)
-						_ = h.Apply(h.clock(f.now), f.answers[len(f.answers)-1].msg)
+					if !h.exited {
+						f.requests = append(f.requests, inFlight[quota.LeaseRequest]{host: h.host, msg: h.NewRequest(h.clock(f.now))})
+						deliver(len(f.requests)-1, false)
+						_ = h.Apply(h.clock(f.now), f.responses[len(f.responses)-1].msg)
 					}
 				}
 			},
 			"deliver": func(t *rapid.T) {
-				if n := len(f.asks); n > 0 {
-					deliver(rapid.IntRange(0, n-1).Draw(t, "ask"), rapid.Bool().Draw(t, "again later"))
+				if n := len(f.requests); n > 0 {
+					deliver(rapid.IntRange(0, n-1).Draw(t, "request"), rapid.Bool().Draw(t, "delivered again"))
 				}
 			},
-			"answer": func(t *rapid.T) {
-				if n := len(f.answers); n > 0 {
-					a := f.answers[rapid.IntRange(max(0, n-12), n-1).Draw(t, "answer")].msg
+			"response": func(t *rapid.T) {
+				if n := len(f.responses); n > 0 {
+					a := f.responses[rapid.IntRange(max(0, n-12), n-1).Draw(t, "response")].msg
 					for _, h := range f.holders {
-						if !h.gone {
+						if !h.exited {
 							_ = h.Apply(h.clock(f.now), a)
 						}
 					}
 				}
 			},
-			"lose": func(*rapid.T) { f.asks = f.asks[:0] },
+			"requests are lost": func(*rapid.T) { f.requests = f.requests[:0] },
 			"draw": func(t *rapid.T) {
-				if h := one(); !h.gone {
+				if h := one(); !h.exited {
 					for range rapid.IntRange(1, 50).Draw(t, "draws") {
 						h.TryAcquire(h.clock(f.now), 0)
 					}
 				}
 			},
-			"time":    func(t *rapid.T) { f.now += int64(rapid.IntRange(1, 400_000).Draw(t, "us")) },
-			"a lease": func(*rapid.T) { f.now += 1_000_000 },
-			"elected": func(*rapid.T) { f.clerk.BecomeLeader(f.leader(), f.ledger, false) },
-			"look": func(*rapid.T) {
-				over, divide := f.clerk.Tick(f.leader(), f.ledger)
+			"time":           func(t *rapid.T) { f.now += int64(rapid.IntRange(1, 400_000).Draw(t, "us")) },
+			"a lease passes": func(*rapid.T) { f.now += 1_000_000 },
+			"elected":        func(*rapid.T) { f.tracker.BecomeLeader(f.leader(), f.state, false) },
+			"tick": func(*rapid.T) {
+				over, divide := f.tracker.Tick(f.leader(), f.state)
 				f.apply(Command{Expire: over, Rebalance: divide})
 			},
-			"dies": func(t *rapid.T) {
-				if h := one(); !h.gone && len(f.holders) < 20 {
-					h.gone = true
-					if rapid.Bool().Draw(t, "seen") {
-						f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.life))}}})
+			"exits": func(t *rapid.T) {
+				if h := one(); !h.exited && len(f.holders) < 20 {
+					h.exited = true
+					if rapid.Bool().Draw(t, "reported") {
+						f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.incarnation))}}})
 					}
 					n := 0
 					if _, err := fmt.Sscanf(h.name, "n%d", &n); err != nil {
@@ -179,37 +181,37 @@
 					start(n)
 				}
 			},
-			"gone where it never was": func(*rapid.T) {
+			"exit reported by another host": func(*rapid.T) {
 				h := one()
-				f.apply(Command{Exited: &ExitCommand{Host: h.host + "x", ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.life))}}})
+				f.apply(Command{Exited: &ExitCommand{Host: h.host + "x", ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.incarnation))}}})
 			},
-			"another whole": func(t *rapid.T) {
-				if len(f.wholes) > 3 {
+			"another total": func(t *rapid.T) {
+				if len(f.configuredTotals) > 3 {
 					return
 				}
-				next := terms
-				next.Version = uint64(len(f.wholes) + 1)
-				next.Limits = slices.Clone(terms.Limits)
+				next := config
+				next.Version = uint64(len(f.configuredTotals) + 1)
+				next.Limits = slices.Clone(config.Limits)
 				next.Limits[0].Total = max(1, floor*int64(names)) + int64(rapid.IntRange(0, 60).Draw(t, "pool"))
-				f.ledger.Apply(Command{Config: &next})
-				f.wholes, f.from = append(f.wholes, next.Limits[0].Total), append(f.from, f.now)
-				// What is told by the old whole ends with its leases only while the clerk looks.
+				f.state.Apply(Command{Config: &next})
+				f.configuredTotals, f.totalSince = append(f.configuredTotals, next.Limits[0].Total), append(f.totalSince, f.now)
+				// Leases granted under the former total expire only while the tracker ticks.
 				for range 40 {
 					f.now += 100_000
-					over, divide := f.clerk.Tick(f.leader(), f.ledger)
+					over, divide := f.tracker.Tick(f.leader(), f.state)
 					f.apply(Command{Expire: over, Rebalance: divide})
 				}
 			},
 			"": func(*rapid.T) { f.check() },
 		})
-		// Faults end: everything that is wanted can be drawn again.
+		// Faults end: all of the total is granted again.
 		for range 60 {
 			f.now += 100_000
-			over, divide := f.clerk.Tick(f.leader(), f.ledger)
+			over, divide := f.tracker.Tick(f.leader(), f.state)
 			f.apply(Command{Expire: over, Rebalance: divide})
 			for _, h := range f.holders {
-				if h.gone {
-					f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.life))}}})
+				if h.exited {
+					f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.incarnation))}}})
 					continue
 				}
 				r := f.apply(Command{Renew: &RenewCommand{Host: h.host, Requests: []quota.LeaseRequest{h.NewRequest(h.clock(f.now))}}})
@@ -221,18 +223,19 @@
 		}
 		sum := int64(0)
 		for _, h := range f.holders {
-			if !h.gone {
+			if !h.exited {
 				v := h.Status(h.clock(f.now))[0]
 				sum += v.Floor + v.Extra
 			}
 		}
-		if whole := f.wholes[len(f.wholes)-1]; sum != whole {
-			t.Fatalf("after faults %d of %d are held", sum, whole)
+		if total := f.configuredTotals[len(f.configuredTotals)-1]; sum != total {
+			t.Fatalf("after the faults %d of %d are granted", sum, total)
 		}
 	})
 }
 
-func TestFair(t *testing.T) {
+// TestMaxMinFair: the parts are steps that add up to the pool, and no claim lacks while another has more than its part.
+func TestMaxMinFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool, step := int64(rapid.IntRange(0, 10_000).Draw(t, "pool")), int64(rapid.IntRange(1, 9).Draw(t, "step"))
 		claims := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Claim {
@@ -250,10 +253,10 @@
 			}
 			wanted += (w + step - 1) / step * step
 		}
-		if whole := pool / step * step; sum != whole {
-			t.Fatalf("parts add up to %d of %d", sum, whole)
+		if total := pool / step * step; sum != total {
+			t.Fatalf("parts add up to %d of %d", sum, total)
 		}
-		// Max-min: who lacks has no less, by weight, than anybody who has more than it needs for itself, but for a step.
+		// Max-min: a claim that lacks has no less, by weight, than any other, but for a step.
 		if wanted > pool {
 			for i, a := range claims {
 				for j, b := range claims {
@@ -267,12 +270,12 @@
 	})
 }
 
-// TestLateCalls has calls come twice, the second much later.
+// TestLateCalls: a command that comes a second time, much later, changes nothing.
 func TestLateCalls(t *testing.T) {
 	l := NewState()
-	terms := rate(10, 2, 1, DivideEvenly)
-	terms.Limits = append(terms.Limits, Limit{Name: "out", Kind: Concurrency, Total: 1})
-	l.Apply(Command{Config: &terms})
+	config := rate(10, 2, 1, DivideEvenly)
+	config.Limits = append(config.Limits, Limit{Name: "out", Kind: Concurrency, Total: 1})
+	l.Apply(Command{Config: &config})
 	take := Command{Acquire: &PermitCommand{Limit: "out", Name: "n0", Host: "h", AcquireID: "w1"}}
 	if r := l.Apply(take); r.Rejection != "" {
 		t.Fatal(r.Rejection)
@@ -282,33 +285,33 @@
 	}
 	l.Apply(Command{Release: &PermitCommand{Limit: "out", Name: "n0", Host: "h", AcquireID: "w1"}})
 	if r := l.Apply(take); r.Rejection == "" {
-		t.Fatal("a take that came twice holds again what was given back")
+		t.Fatal("a duplicate of an acquisition holds what was released")
 	}
 	l.Apply(Command{Acquire: &PermitCommand{Limit: "out", Name: "n0", Host: "h", AcquireID: "w2"}})
 	l.Apply(Command{Release: &PermitCommand{Limit: "out", Name: "n0", Host: "h", AcquireID: "w1"}})
 	if n := len(l.Permits["out"]); n != 1 {
-		t.Fatalf("a give of an earlier turn ended a later one: %d held", n)
+		t.Fatalf("a release of an earlier acquisition ended a later one: %d held", n)
 	}
-	ask := quota.LeaseRequest{Name: "n0", Incarnation: "a", Number: 2, Clock: 5, Usage: []quota.Usage{{Budget: "b"}}}
-	l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{ask}}})
-	if a := l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{ask}}}).Answers[0]; a.Refusal == "" || a.Grants != nil {
-		t.Fatalf("the same ask was answered twice: %+v", a)
+	request := quota.LeaseRequest{Name: "n0", Incarnation: "a", Number: 2, Clock: 5, Usage: []quota.Usage{{Budget: "b"}}}
+	l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{request}}})
+	if a := l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{request}}}).Answers[0]; a.Refusal == "" || a.Grants != nil {
+		t.Fatalf("the same request was granted twice: %+v", a)
 	}
 	other := quota.LeaseRequest{Name: "n0", Incarnation: "b", Number: 1, Usage: []quota.Usage{{Budget: "b"}}}
 	if a := l.Apply(Command{Renew: &RenewCommand{Host: "h2", Requests: []quota.LeaseRequest{other}}}).Answers[0]; a.Refusal == "" {
-		t.Fatalf("two processes have the floor of one name: %+v", a)
+		t.Fatalf("two processes have the floor of one backend: %+v", a)
 	}
 	l.Apply(Command{WriteOff: &WriteOffCommand{Name: "n0", By: "test"}})
 	if a := l.Apply(Command{Renew: &RenewCommand{Host: "h2", Requests: []quota.LeaseRequest{other}}}).Answers[0]; a.Refusal != "" {
-		t.Fatalf("written off and still not given: %s", a.Refusal)
+		t.Fatalf("written off and still not granted: %s", a.Refusal)
 	}
 }
 
-// TestSetBack has a holder know more than the ledger.
+// TestSetBack: a client that knows a later epoch than the state shows that the state was set back; growth is frozen then.
 func TestSetBack(t *testing.T) {
 	l, c := NewState(), &LeaseTracker{}
-	terms := rate(10, 2, 0, DivideEvenly)
-	l.Apply(Command{Config: &terms})
+	config := rate(10, 2, 0, DivideEvenly)
+	l.Apply(Command{Config: &config})
 	c.BecomeLeader(1, l, false)
 	c.Tick(2, l)
 	r := l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{{Name: "n0", Incarnation: "a", Number: 9, Usage: []quota.Usage{{Budget: "b", Epoch: 900}}}}}})
@@ -317,7 +320,7 @@
 	}
 	c.Tick(3, l)
 	if !c.GrowthFrozen(4) || !c.GrowthFrozen(1_000_000) || c.GrowthFrozen(1_050_004) {
-		t.Fatal("a ledger that was set back must wait out what it may have granted")
+		t.Fatal("a state that was set back must wait for the leases to end that it may have granted")
 	}
 }
 
@@ -325,8 +328,8 @@
 	for _, n := range []int{60, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l := NewState()
-			terms := rate(int64(n)*10, n, 1, DivideByDemand)
-			l.Apply(Command{Config: &terms})
+			config := rate(int64(n)*10, n, 1, DivideByDemand)
+			l.Apply(Command{Config: &config})
 			for i := range n {
 				l.Apply(Command{Renew: &RenewCommand{Host: "h", Requests: []quota.LeaseRequest{{Name: fmt.Sprint("n", i), Incarnation: "a", Number: 1, Usage: []quota.Usage{{Budget: "b", Drawn: int64(i)}}}}}})
 			}
@@ -337,18 +340,18 @@
 	}
 }
 
-// small is a ledger with a leader's clerk and holders that answer at once, for cases that need no chance.
+// small is a state with a leader's tracker and holders that renew at once, for cases without chance.
 type small struct {
 	l       *State
 	c       LeaseTracker
 	now     Micros
 	holders map[string]*quota.Holder
-	draws   func(name string) int // in a tenth of a second
+	draws   func(name string) int // units in a tenth of a second
 }
 
-func newSmall(terms Config) *small {
+func newSmall(config Config) *small {
 	s := &small{l: NewState(), now: 1_000_000, holders: map[string]*quota.Holder{}}
-	s.l.Apply(Command{Config: &terms})
+	s.l.Apply(Command{Config: &config})
 	s.c.BecomeLeader(s.now, s.l, false)
 	return s
 }
@@ -359,7 +362,7 @@
 	}
 }
 
-// pass lets time go by, with a round of asks in each tenth of a second.
+// pass lets tenths of a second pass, with a renewal of all in each.
 func (s *small) pass(tenths int) {
 	for range tenths {
 		s.now += 100_000
@@ -386,8 +389,8 @@
 	return sum, by
 }
 
-// TestLiar has one holder ask for all that there is, and the others for what they need.
-func TestLiar(t *testing.T) {
+// TestOverstatedDemand: a holder that claims all that there is takes nothing that the others need.
+func TestOverstatedDemand(t *testing.T) {
 	s := newSmall(rate(100, 5, 1, DivideByDemand))
 	s.join("n0", "n1", "n2", "n3", "n4")
 	s.draws = func(name string) int {
@@ -400,7 +403,7 @@
 	sum, by := s.held()
 	for _, n := range []string{"n1", "n2", "n3", "n4"} {
 		if by[n] < 19 {
-			t.Errorf("%s has %d beside one that asks for all, wanted 19 at least: %v", n, by[n], by)
+			t.Errorf("%s has %d beside one that claims all, wanted 19 at least: %v", n, by[n], by)
 		}
 	}
 	if sum > 100 {
@@ -408,7 +411,7 @@
 	}
 }
 
-// TestDemandMoves: what one no longer needs is drawn by another soon, and the parts come to rest.
+// TestDemandMoves: what one no longer needs is granted to another soon, and with steady demand the targets settle.
 func TestDemandMoves(t *testing.T) {
 	s := newSmall(rate(200, 2, 1, DivideByDemand))
 	s.join("n0", "n1")
@@ -426,7 +429,7 @@
 	busy = "n1"
 	s.pass(30)
 	if _, by := s.held(); by["n1"] < 198 {
-		t.Errorf("three leases after demand moved n1 has %v: who asks for nothing needs its floor alone", by)
+		t.Errorf("three leases after demand moved n1 has %v: one without demand needs its floor alone", by)
 	}
 	_, before := s.held()
 	moved := int64(0)
@@ -441,7 +444,7 @@
 	}
 }
 
-// TestManyJoin has 200 join and half of them die at once.
+// TestManyJoin: the total is divided among 200 that join, and again after half of them are lost at once.
 func TestManyJoin(t *testing.T) {
 	s := newSmall(rate(1000, 220, 1, DivideByDemand))
 	s.draws = func(string) int { return 1 }
@@ -454,17 +457,17 @@
 		}
 	}
 	s.pass(20)
-	if sum, _ := s.held(); sum != 1000-17 { // 17 names never came, their floors are set aside
+	if sum, _ := s.held(); sum != 1000-17 { // 17 never came, their floors are reserved
 		t.Errorf("%d of 983 are held by 203", sum)
 	}
 	for i := 3; i < 203; i += 2 {
 		delete(s.holders, fmt.Sprint("n", i))
 	}
 	s.pass(40)
-	if sum, _ := s.held(); sum != 1000-17-100 { // nobody saw them die: their floors stay
-		t.Errorf("%d of 883 are held after half died", sum)
+	if sum, _ := s.held(); sum != 1000-17-100 { // nobody reported their end: their floors stay reserved
+		t.Errorf("%d of 883 are held after half were lost", sum)
 	}
-	// A whole smaller than the number of backends: some have a unit, the others none.
+	// A total below the number of backends: some have a unit, the others none.
 	few := newSmall(rate(5, 20, 0, DivideEvenly))
 	few.draws = func(string) int { return 1 }
 	for i := range 20 {
@@ -476,7 +479,7 @@
 	}
 }
 
-// TestNoClock: setting the wall clock can't move what knows of none. What decides here may not import one.
+// TestNoClock: packages that decide import no clock and do no I/O, so that setting the wall clock changes nothing.
 func TestNoClock(t *testing.T) {
 	for _, dir := range []string{".", "../quorum", "../../backend/quota"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
