--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -7,8 +7,6 @@
 	"context"
 	"log/slog"
 	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -123,40 +121,23 @@
 	})
 }
 
-// adoptUnrecorded adds instances that run although the store does not know them, as desired: the store was lost, the
-// files of their supervisors were not.
+// adoptUnrecorded adds instances that run although the store does not know them.
 func (a *Agent) adoptUnrecorded(saved *agentstore.State) {
 	recorded := map[string]bool{}
 	for _, in := range saved.Instances {
 		recorded[in.Name] = true
 	}
 	for _, in := range a.loop.spec.InstancesOn(a.options.Host) {
-		state, err := supervisor.ReadState(supervisor.PathsOf(a.options.Dir, in.Name).State)
-		if recorded[in.Name] || err != nil || state.Ended {
+		if recorded[in.Name] {
 			continue
 		}
-		slog.Warn("adopt", "name", in.Name, "run", state.Run, "why", "the record does not know it")
-		saved.Instances = append(saved.Instances, fleet.Instance{
-			Name: in.Name, DesiredUp: state.NotifiedStep == "", Incarnation: state.Run,
-			ActionCount: adoptedActionCount(state.Run), NoticeID: state.NotifiedStep, NotifiedAt: state.NotifiedAt,
-			PhaseDeadline: state.NotifiedAt, Phase: fleet.PhaseUnknown,
-		})
-	}
-}
-
-// Margins that keep the ids of an adopted instance's actions above those of the actions that were lost with the store.
-const (
-	adoptedCountMargin  = 1 << 10
-	adoptedCountUnknown = 1 << 20 // where the incarnation's id does not tell its count
-)
-
-// adoptedActionCount continues the count of actions after the one that launched an incarnation.
-func adoptedActionCount(incarnation string) int {
-	n, err := strconv.Atoi(incarnation[strings.LastIndexByte(incarnation, '.')+1:])
-	if err != nil {
-		return adoptedCountUnknown
+		adopted, running := fleet.AdoptUnrecorded(in.Name, a.supervisorRecord(in.Name))
+		if !running {
+			continue
+		}
+		slog.Warn("adopt", "name", in.Name, "run", adopted.Incarnation, "why", "the record does not know it")
+		saved.Instances = append(saved.Instances, adopted)
 	}
-	return n + adoptedCountMargin
 }
 
 // idleFactor stretches the pause between ticks while nothing is under way.
@@ -247,8 +228,7 @@
 	actions := a.loop.actions
 	a.loop.actions = nil
 	for _, action := range actions {
-		begins := action.Kind == fleet.ActionLaunch && !action.Adopt || action.Kind == fleet.ActionAcquireUnit
-		if a.loop.storeErr != nil && begins {
+		if a.loop.storeErr != nil && action.StartsNew() {
 			continue // it stays pending, and the machine gives it out again
 		}
 		a.start(ctx, action)
@@ -305,12 +285,9 @@
 func (a *Agent) Reload(s *fleet.Spec) error {
 	var rejected error
 	err := a.call(func(now fleet.Micros) {
-		for _, name := range a.loop.machine.Names() {
-			in, _ := a.loop.machine.Instance(name)
-			if spec := s.Instance(name); in.Incarnation != "" && (spec == nil || spec.Host != a.options.Host) {
-				rejected = &UnnamedInstanceError{Instance: name}
-				return
-			}
+		if unnamed := a.loop.machine.RunningUnnamed(s, a.options.Host); len(unnamed) > 0 {
+			rejected = &UnnamedInstanceError{Instance: unnamed[0]}
+			return
 		}
 		machine := a.newMachine(s)
 		machine.Restore(now, a.loop.machine.Snapshot(), false)
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -319,7 +319,7 @@
 	}
 	exited := fleet.Observation{Incarnation: launched.Incarnation, Phase: fleet.PhaseExited, Exit: fleet.Exit{Unobserved: true}}
 	for _, recorded := range []bool{false, true} {
-		a.observe(t.Context(), "a", exited, nil, recorded)
+		a.observe(t.Context(), fleet.InstanceObserved{Name: "a", Observation: exited, Unrecorded: !recorded}, nil)
 		(<-a.calls)(fleet.Micros(process.Now()))
 		if in, _ := a.loop.machine.Instance("a"); (in.Incarnation == "") != recorded {
 			t.Errorf("recorded %t: %+v", recorded, in)
@@ -342,7 +342,7 @@
 		if pid != 0 {
 			report = &supervisor.Report{Observation: observation, Record: supervisor.State{Instance: process.Identity{PID: pid}, Supervisor: process.Identity{PID: pid + 1}}}
 		}
-		a.observe(t.Context(), "a", observation, report, true)
+		a.observe(t.Context(), fleet.InstanceObserved{Name: "a", Observation: observation}, report)
 		(<-a.calls)(fleet.Micros(process.Now()))
 		return a.loop.status(fleet.Micros(process.Now())).Instances[0]
 	}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -86,7 +86,7 @@
 		report, err := client.Report(ctx, after)
 		if err == nil && report.Observation.Incarnation == incarnation {
 			missed, after = 0, report.Serial
-			a.observe(ctx, name, report.Observation, &report, true)
+			a.observe(ctx, fleet.InstanceObserved{Name: name, Observation: report.Observation}, &report)
 			if report.Observation.Phase == fleet.PhaseExited {
 				return
 			}
@@ -99,7 +99,7 @@
 		after = -1 // another supervisor may answer next, and it counts from the beginning
 		verdict := a.interpretSilence(name, incarnation, missed)
 		if verdict.Decided {
-			a.observe(ctx, name, verdict.Observation, nil, verdict.Recorded)
+			a.observe(ctx, fleet.InstanceObserved{Name: name, Observation: verdict.Observation, Unrecorded: !verdict.Recorded}, nil)
 		}
 		if verdict.Ended() {
 			return
@@ -112,19 +112,15 @@
 }
 
 // observe gives the loop an observation, with the supervisor's report that it comes from; nil: the supervisor is silent.
-// One about an incarnation that no supervisor recorded says nothing while its launch is under way.
-func (a *Agent) observe(ctx context.Context, name string, observation fleet.Observation, report *supervisor.Report, recorded bool) {
+func (a *Agent) observe(ctx context.Context, observed fleet.InstanceObserved, report *supervisor.Report) {
 	select {
 	case <-ctx.Done():
 	case a.calls <- func(now fleet.Micros) {
-		in, _ := a.loop.machine.Instance(name)
-		if launching := in.ActionPending && in.LastAction == fleet.ActionLaunch; launching && !recorded {
-			return
-		}
-		if in.Incarnation == observation.Incarnation {
-			a.loop.reports[name] = report
+		in, _ := a.loop.machine.Instance(observed.Name)
+		if in.Incarnation == observed.Observation.Incarnation && !observed.Unrecorded {
+			a.loop.reports[observed.Name] = report
 		}
-		a.handle(now, fleet.InstanceObserved{Name: name, Observation: observation})
+		a.handle(now, observed)
 	}:
 	}
 }
@@ -148,6 +144,6 @@
 	}
 	return fleet.SupervisorRecord{
 		State: fleet.RecordRead, Incarnation: state.Run, Ended: state.Ended, Exit: state.End, NoticeID: state.NotifiedStep,
-		SupervisorAlive: state.Supervisor.Alive(), InstanceAlive: state.Instance.Alive(),
+		NotifiedAt: state.NotifiedAt, SupervisorAlive: state.Supervisor.Alive(), InstanceAlive: state.Instance.Alive(),
 	}
 }
--- a/internal/fleet/event.go
+++ b/internal/fleet/event.go
@@ -10,6 +10,9 @@
 type InstanceObserved struct {
 	Name        string
 	Observation Observation
+	// Unrecorded tells that no supervisor ever wrote about the incarnation. That proves no end while its launch is
+	// under way: the observation then says nothing.
+	Unrecorded bool
 }
 
 // ActionFailed tells that an action can't be carried out.
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -161,6 +161,12 @@
 	StartResult coldstart.Outcome `json:"End"`
 }
 
+// StartsNew tells whether the action begins something that a restart of the agent must not forget. While the state can't
+// be stored such actions wait; notices, kills and adoptions must not wait for a disk.
+func (a Action) StartsNew() bool {
+	return a.Kind == ActionLaunch && !a.Adopt || a.Kind == ActionAcquireUnit
+}
+
 // HistoryEvent is an entry of the history that is kept for people.
 type HistoryEvent struct {
 	At        Micros `json:"at"`
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -127,7 +127,7 @@
 	case Tick:
 		m.advanceAll(now)
 	case InstanceObserved:
-		if in := m.instances[e.Name]; in != nil {
+		if in := m.instances[e.Name]; in != nil && (!e.Unrecorded || !in.launchPending()) {
 			m.handleObservation(now, in, e.Observation)
 			m.advance(now, in)
 		}
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -187,7 +187,7 @@
 	w = story("an instance tells of its level of reduced service; the history has it, once a change")
 	startAll(w)
 	for _, level := range []string{"full", "full", "no-reprints", "no-reprints", "full"} {
-		_, notes, _ := w.m.Decide(w.now, InstanceObserved{"a", Observation{Incarnation: w.fakes["a"].incarnation, Phase: PhaseReady, Level: level, LevelCause: "queue 2"}})
+		_, notes, _ := w.m.Decide(w.now, InstanceObserved{Name: "a", Observation: Observation{Incarnation: w.fakes["a"].incarnation, Phase: PhaseReady, Level: level, LevelCause: "queue 2"}})
 		for _, n := range notes {
 			tr.Say("  %s %s, %s", n.Name, n.Event, n.Cause)
 		}
@@ -199,7 +199,7 @@
 	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
 	for n := range 80 {
 		w.advance(second/10, func(n string) bool { return n == "b" })
-		w.mustApply(InstanceObserved{"b", Observation{Incarnation: w.fakes["b"].incarnation, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n}})
+		w.mustApply(InstanceObserved{Name: "b", Observation: Observation{Incarnation: w.fakes["b"].incarnation, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n}})
 	}
 	reportCommand(tr, w, "w")
 }
--- a/internal/fleet/observation.go
+++ b/internal/fleet/observation.go
@@ -76,7 +76,7 @@
 		}
 	case PhaseUnknown:
 		in.setPhase(now, PhaseUnknown, o.Cause)
-		if o.Orphaned && (!in.ActionPending || in.LastAction != ActionLaunch) { // a new supervisor adopts it
+		if o.Orphaned && !in.launchPending() { // a new supervisor adopts it
 			m.issueAction(now, in, ActionLaunch, "its keeper is gone")
 		}
 	default: // it leaves, whoever notified it, and has a deadline from here on
--- a/internal/fleet/preview.go
+++ b/internal/fleet/preview.go
@@ -57,5 +57,5 @@
 
 // observe plays an observation of a phase; it gives no error.
 func (m *Machine) observe(now Micros, in *Instance, p Phase) {
-	_, _, _ = m.Decide(now, InstanceObserved{in.Name, Observation{Incarnation: in.Incarnation, Phase: p}})
+	_, _, _ = m.Decide(now, InstanceObserved{Name: in.Name, Observation: Observation{Incarnation: in.Incarnation, Phase: p}})
 }
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -37,6 +37,9 @@
 	})
 }
 
+// launchPending tells whether a launch of the instance, or of a supervisor that adopts it, is not known to have been taken.
+func (in *Instance) launchPending() bool { return in.ActionPending && in.LastAction == ActionLaunch }
+
 // readinessTimeout is how long the instance may take from its launch to ready: the rolling update's value where one
 // restarts it, else its group's.
 func (m *Machine) readinessTimeout(in *Instance) Micros {
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -22,6 +22,7 @@
 	Ended           bool   // the incarnation is over
 	Exit            Exit   // Ended: how
 	NoticeID        string // the shutdown notice that the supervisor has taken; empty: none
+	NotifiedAt      Micros // when it took NoticeID
 	SupervisorAlive bool   // the process that wrote it runs
 	InstanceAlive   bool   // the process of the instance runs
 }
--- a/internal/fleet/simulated_host_test.go
+++ b/internal/fleet/simulated_host_test.go
@@ -179,7 +179,7 @@
 			if l.incarnation == "" || blind != nil && blind(n) {
 				continue
 			}
-			s := InstanceObserved{n, l.observe(w.now)}
+			s := InstanceObserved{Name: n, Observation: l.observe(w.now)}
 			if len(w.pastObservations) < 200 {
 				w.pastObservations = append(w.pastObservations, s)
 			}
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -56,7 +56,7 @@
 
 // renewPendingDeadline counts the deadline of a launch or a notice that may not have arrived from now on.
 func (m *Machine) renewPendingDeadline(now Micros, in *Instance) {
-	if in.ActionPending && in.LastAction == ActionLaunch && in.Incarnation == in.ActionID {
+	if in.launchPending() && in.Incarnation == in.ActionID {
 		in.PhaseDeadline = now + m.readinessTimeout(in)
 		m.markInstanceChanged(in)
 	}
@@ -106,6 +106,17 @@
 	return r, dropped
 }
 
+// RunningUnnamed lists the instances that may run and that another fleet file does not name for the host, in this file's
+// order: an agent that used that file would lose sight of them.
+func (m *Machine) RunningUnnamed(s *Spec, host string) (names []string) {
+	for _, name := range m.instanceNames {
+		if named := s.Instance(name); m.instances[name].Incarnation != "" && (named == nil || named.Host != host) {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
 // Snapshot is all that Restore takes, as it is now.
 func (m *Machine) Snapshot() (r Snapshot) {
 	for _, name := range m.instanceNames {
