--- a/internal/faultinjection/schedule/read.go
+++ b/internal/faultinjection/schedule/read.go
@@ -57,8 +57,9 @@
 		Offset:   form.Span("by", 0, maxSpan, 0),
 		Value:    form.Int("to", 0, 1<<30, 0),
 	}
-	var names []string
-	for _, on := range form.All("on") {
+	targets := form.All("on")
+	names := make([]string, 0, len(targets))
+	for _, on := range targets {
 		names = append(names, on.Arg())
 		on.Done()
 	}
