--- a/internal/faultinjection/schedule/read.go
+++ b/internal/faultinjection/schedule/read.go
@@ -83,10 +83,10 @@
 	}
 	for i, target := range targets {
 		switch {
-		case target == hostTarget && !isNumbered(names[i], 'h', s.Hosts):
+		case target == hostTarget && !isNumbered(names[i], "h", s.Hosts):
 			form.Fail("on", "%q is no host from h1 to h%d", names[i], s.Hosts)
 			return false
-		case target == backendTarget && !isNumbered(names[i], 'n', s.Backends):
+		case target == backendTarget && !isNumbered(names[i], "n", s.Backends):
 			form.Fail("on", "%q is no backend from n1 to n%d", names[i], s.Backends)
 			return false
 		}
@@ -94,10 +94,11 @@
 	return true
 }
 
-// isNumbered tells whether a name is a letter and a number from 1 to the last.
-func isNumbered(name string, letter byte, last int) bool {
-	n, err := strconv.Atoi(strings.TrimLeft(name, "hn"))
-	return err == nil && name[0] == letter && n >= 1 && n <= last
+// isNumbered tells whether a name is a prefix and a number from 1 to the last, written as the harness writes it.
+func isNumbered(name, prefix string, last int) bool {
+	number, found := strings.CutPrefix(name, prefix)
+	n, err := strconv.Atoi(number)
+	return found && err == nil && n >= 1 && n <= last && strconv.Itoa(n) == number
 }
 
 // setTargets takes names that are as many as the kind has.
--- a/internal/faultinjection/schedule/schedule_test.go
+++ b/internal/faultinjection/schedule/schedule_test.go
@@ -151,7 +151,7 @@
 			if _, err := read(slices.Delete(slices.Clone(names), i, i+1)); err == nil {
 				t.Errorf("%s: one name too few was read", kind)
 			}
-			bad := map[target][]string{hostTarget: {"h4", "h0", "n1", "h", "acme", "h-1"}, backendTarget: {"n10", "n0", "h1", "n", "acme", "n-1"}}[word]
+			bad := map[target][]string{hostTarget: {"h4", "h0", "n1", "h", "acme", "h-1", "hh1", "h01", "h+1", "hn1", "1", "\"\""}, backendTarget: {"n10", "n0", "h1", "n", "acme", "n-1", "nn1", "n01", "n+1", "hn1", "1", "\"\""}}[word]
 			for _, name := range bad {
 				wrong := slices.Clone(names)
 				wrong[i] = name
