--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -115,9 +115,9 @@
 
 func trialOptions(c *cli.Command, t *schedule.Schedule) (o harness.Options, err error) {
 	self, err := os.Executable()
-	o = harness.Options{Program: self, Table: t, Keep: c.String("keep"), Failpoint: c.String("failpoint")}
+	o = harness.Options{Program: self, Schedule: t, FailureDir: c.String("keep"), Failpoint: c.String("failpoint")}
 	if !c.Bool("quiet") {
-		o.Say = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+		o.Logf = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	}
 	return o, err
 }
--- a/cmd/milletbarrow/faults_bench_test.go
+++ b/cmd/milletbarrow/faults_bench_test.go
@@ -14,7 +14,7 @@
 	for name, hosts := range map[string]int{"alone": 1, "three": 3} {
 		b.Run(name, func(b *testing.B) {
 			g, err := harness.Open(harness.Options{
-				Program: program, Table: &schedule.Schedule{Name: name, Hosts: hosts, Backends: 60 * hosts, Span: time.Second}, Lease: 3 * time.Second, Margin: 150 * time.Millisecond,
+				Program: program, Schedule: &schedule.Schedule{Name: name, Hosts: hosts, Backends: 60 * hosts, Span: time.Second}, Lease: 3 * time.Second, Margin: 150 * time.Millisecond,
 			})
 			if err != nil {
 				b.Fatal(err)
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
-	v, err := harness.Run(ctx, harness.Options{Program: program, Table: table, Failpoint: failpoint, Say: t.Logf})
+	v, err := harness.Run(ctx, harness.Options{Program: program, Schedule: table, Failpoint: failpoint, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	return v
 }
 
-func kept(t *testing.T, name string) *schedule.Schedule {
+func storedSchedule(t *testing.T, name string) *schedule.Schedule {
 	t.Helper()
 	table, err := tableOf(filepath.Join("../../internal/faultinjection/testdata", name))
 	if err != nil {
@@ -39,12 +39,12 @@
 	return table
 }
 
-// TestTrial is the bounded part of the proving ground: five agents, twenty backends under load, at least one fault of each
+// TestTrial is the bounded part of fault injection: five agents, twenty backends under load, at least one fault of each
 // kind.
 func TestTrial(t *testing.T) {
 	v := played(t, program, "", schedule.Random(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
 	if !v.OK {
-		t.Errorf("did not hold: %v", v.Why)
+		t.Errorf("did not hold: %v", v.Reasons)
 	}
 	missing := 0
 	for _, k := range schedule.Kinds() {
@@ -59,8 +59,8 @@
 
 // TestTrialWave takes a wave over four hosts while its tool and some agents are killed.
 func TestTrialWave(t *testing.T) {
-	if v := played(t, program, "", kept(t, "wave.sx")); !v.OK {
-		t.Errorf("did not hold: %v", v.Why)
+	if v := played(t, program, "", storedSchedule(t, "wave.sx")); !v.OK {
+		t.Errorf("did not hold: %v", v.Reasons)
 	}
 }
 
@@ -68,16 +68,16 @@
 // die and a host is cut off.
 func TestTrialCold(t *testing.T) {
 	for _, name := range []string{"cold.sx", "cold-rise.sx"} {
-		if v := played(t, program, "", kept(t, name)); !v.OK {
-			t.Errorf("%s did not hold: %v", name, v.Why)
+		if v := played(t, program, "", storedSchedule(t, name)); !v.OK {
+			t.Errorf("%s did not hold: %v", name, v.Reasons)
 		}
 	}
 	// Without chance and growing pauses the same is caught by each of its figures.
-	table := kept(t, "cold-fixed.sx")
+	table := storedSchedule(t, "cold-fixed.sx")
 	table.Span = 12 * time.Second
 	v := played(t, program, "", table)
-	if why := strings.Join(v.Why, " "); v.OK || !strings.Contains(why, "while it took nothing") || !strings.Contains(why, "first second") || !strings.Contains(why, "once all were listed") {
-		t.Errorf("backends in step were not caught: %v", v.Why)
+	if why := strings.Join(v.Reasons, " "); v.OK || !strings.Contains(why, "while it took nothing") || !strings.Contains(why, "first second") || !strings.Contains(why, "once all were listed") {
+		t.Errorf("backends in step were not caught: %v", v.Reasons)
 	}
 }
 
@@ -92,18 +92,18 @@
 	return to
 }
 
-// TestTrialCatches has the auditor judge a program with a fault, and the same program without it.
+// TestTrialCatches has the checker judge a program with a fault, and the same program without it.
 func TestTrialCatches(t *testing.T) {
 	bad := buildWithFailpoints(t)
 	table := &schedule.Schedule{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
-	if v := played(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Why, " "), "shares in force") {
-		t.Errorf("floors counted twice were not found: %v", v.Why)
+	if v := played(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "shares in force") {
+		t.Errorf("floors counted twice were not found: %v", v.Reasons)
 	}
 	// One host of three starts all that it has, whatever the ledger says.
-	ignored := kept(t, "cold-rise.sx")
+	ignored := storedSchedule(t, "cold-rise.sx")
 	ignored.Faults, ignored.Backends, ignored.Span, ignored.ColdStart.MaxConcurrent = nil, 36, 4*time.Second, 7
-	if v := played(t, bad, "ignore@h2", ignored); v.OK || !strings.Contains(strings.Join(v.Why, " "), "starting at once") {
-		t.Errorf("a host that ignores the budget of starts was not found: %v", v.Why)
+	if v := played(t, bad, "ignore@h2", ignored); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "starting at once") {
+		t.Errorf("a host that ignores the budget of starts was not found: %v", v.Reasons)
 	}
 	// At a point between what is written and what is replicated, and between that and the answer, an agent dies.
 	table.Name, table.Span = "points", 14*time.Second
@@ -114,13 +114,13 @@
 	}
 	v := played(t, bad, "", table)
 	if !v.OK || v.Faults["point"] < 2 {
-		t.Errorf("with agents that die at points: %v, faults %v", v.Why, v.Faults)
+		t.Errorf("with agents that die at points: %v, faults %v", v.Reasons, v.Faults)
 	}
 }
 
 // TestTrialLeavesNothing: what a trial began ends with it, also where it is broken off.
 func TestTrialLeavesNothing(t *testing.T) {
-	g, err := harness.Open(harness.Options{Program: program, Table: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
+	g, err := harness.Open(harness.Options{Program: program, Schedule: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultinjection/harness/cold_start.go
+++ b/internal/faultinjection/harness/cold_start.go
@@ -9,42 +9,41 @@
 	"milletbarrow/internal/limits"
 )
 
-// settled is how long a backend is ready, by the trial's file, before it counts as warm.
-const settled = 300 * time.Millisecond
+// settleTime is how long a backend has to be ready, by the trial's file, before it has started.
+const settleTime = 300 * time.Millisecond
 
-// startCold has the endpoint registry begin its phases and asks for all backends at once, or for a rise, without waiting for them:
-// what keeps some from being ready is part of the trial.
-func (g *Harness) startCold(ctx context.Context, v *Verdict) {
-	g.register.Begin()
-	g.asked = time.Now()
-	how := "start"
-	if g.options.Table.ColdStart.MaxConcurrent > 0 {
-		how = "rise"
+// startBackends has the endpoint registry begin its phases and starts all backends at once, or by a cold start, without
+// waiting for them: what keeps some from being ready is part of the trial.
+func (harness *Harness) startBackends(ctx context.Context, v *Verdict) {
+	harness.registry.Begin()
+	harness.startedAt = time.Now()
+	command := "start"
+	if harness.options.Schedule.ColdStart.MaxConcurrent > 0 {
+		command = "rise"
 	}
-	if _, err := g.Tool(ctx, how, "--all", "--quiet", "--wait=false", "--id", "cold", "--within", "10m"); err != nil {
-		v.fail("%s: %v", how, err)
+	if _, err := harness.Tool(ctx, command, "--all", "--quiet", "--wait=false", "--id", "cold", "--within", "10m"); err != nil {
+		v.fail("%s: %v", command, err)
 	}
 }
 
-// endCold takes down what the endpoint registry heard, before all are stopped.
-func (g *Harness) endCold() {
-	g.ended = time.Now()
-	calls, conns, falls := g.register.Heard()
-	g.heard = func() ([]coldstart.Call, int, int) { return calls, conns, falls }
+// endColdStart takes down what the endpoint registry observed, before all are stopped.
+func (harness *Harness) endColdStart() {
+	harness.endedAt = time.Now()
+	harness.observed = harness.registry.Observed()
 }
 
-// judgeCold works out what the endpoint registry saw up to now, and from the stamps how many were starting at once.
-func (g *Harness) judgeCold(v *Verdict, all []*checker.Process) {
-	calls, conns, falls := g.heard()
-	c := g.options.Table.ColdStart
-	f := coldstart.Of(calls, &c.Register, len(g.site.Names), limits.For(1, 192, 1024).ReportInterval, g.ended.Sub(g.asked))
-	f.Conns, f.Falls = conns, falls
-	v.Cold = &f
-	for _, why := range f.Breaks(c.Bounds) {
-		v.fail("register: %s", why)
+// judgeColdStart works out what the endpoint registry saw, and from the draw logs how many were starting at once.
+func (harness *Harness) judgeColdStart(v *Verdict, all []*checker.Process) {
+	c := harness.options.Schedule.ColdStart
+	reportInterval := limits.For(1, 192, 1024).ReportInterval // the bounds of the trial's backends
+	f := coldstart.Of(harness.observed.Calls, &c.Register, len(harness.site.Names), reportInterval, harness.endedAt.Sub(harness.startedAt))
+	f.Conns, f.Falls = harness.observed.MaxConnections, harness.observed.Falls
+	v.ColdStart = &f
+	for _, reason := range f.Breaks(c.Bounds) {
+		v.fail("register: %s", reason)
 	}
-	// One holds its unit from before its process begins until it has been ready for a while.
-	f.Starting = checker.MaxConcurrentStarts(all, settled.Microseconds())
+	// One holds its permit from before its process begins until it has been ready for a while.
+	f.Starting = checker.MaxConcurrentStarts(all, settleTime.Microseconds())
 	if c.MaxConcurrent > 0 && f.Starting > c.MaxConcurrent {
 		v.fail("%d backends were starting at once, %d may be", f.Starting, c.MaxConcurrent)
 	}
--- a/internal/faultinjection/harness/measure.go
+++ b/internal/faultinjection/harness/measure.go
@@ -16,54 +16,70 @@
 	"milletbarrow/internal/process"
 )
 
-// Measures are how well shares are used, with real processes: one budget that is divided by demand, and beside it one of the
-// same size that is divided evenly.
+// Measures are how well quotas are used, with real processes: one that is divided by demand, and beside it one of the same
+// size that is divided evenly.
 type Measures struct {
-	Hosts, Backends int
-	Lease, Margin   time.Duration
-	Whole           int
-	Moved           map[string][]float64 // by division: seconds from when all demand moved to other backends until 90% of the whole is drawn
-	Before          map[string]float64   // by division: part of the whole that is drawn while half of the backends have all demand
-	Lost            []float64            // seconds from the loss of a host until others hold its shares, sorted
-	Dead            []Dead
+	Hosts      int
+	Backends   int
+	Lease      time.Duration
+	Margin     time.Duration
+	Total      int                  `json:"Whole"` // units a second, of each of both
+	Moved      map[string][]float64 // by division: seconds from when all demand moved to other backends until 90% of the total is drawn; -1: never
+	BeforeMove map[string]float64   `json:"Before"` // by division: part of the total that is drawn while half of the backends have all demand
+	Lost       []float64            // seconds from the loss of a host until others hold its units, sorted; -1: never
+	Dead       []DeadAgents
 }
 
-// Dead is what is still drawn with some agents dead, once leases are over.
-type Dead struct {
+// DeadAgents is what is still drawn with some agents dead, once leases are over.
+type DeadAgents struct {
 	Agents int
-	Drawn  map[string]float64 // by division: part of the whole
+	Drawn  map[string]float64 // by division: part of the total
 }
 
-// Measure plays it all; it takes some minutes.
+// Divisions of a quota among its holders.
+const (
+	byDemand = "demand"
+	evenly   = "even"
+)
+
+var divisions = []string{byDemand, evenly}
+
+const (
+	unitsPerBackend = 20   // a second, of each quota
+	measuredLoad    = 0.45 // as a part of the backends' capacity
+)
+
+// Measure runs it all; it takes some minutes.
 func Measure(ctx context.Context, o Options) (m *Measures, err error) {
-	n := o.Table.Backends
-	whole := 20 * n
-	o.Budgets = []Budget{
-		{Name: "demand", Tenant: "acme", Whole: whole, Floor: 1, Divide: "demand"}, {Name: "even", Tenant: "zeta", Whole: whole, Floor: 1, Divide: "even"},
+	n := o.Schedule.Backends
+	total := unitsPerBackend * n
+	o.Quotas = []Quota{
+		{Name: byDemand, Tenant: "acme", Total: total, Floor: 1, Division: byDemand},
+		{Name: evenly, Tenant: "zeta", Total: total, Floor: 1, Division: evenly},
 	}
-	o.Table.Load = 0.45
-	g, err := Open(o)
+	o.Schedule.Load = measuredLoad
+	harness, err := Open(o)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = g.Close() }()
-	m = &Measures{Hosts: len(g.hosts), Backends: n, Lease: g.options.Lease, Margin: g.options.Margin, Whole: whole, Moved: map[string][]float64{}, Before: map[string]float64{}}
-	if err := g.Start(ctx); err != nil {
+	defer func() { _ = harness.Close() }()
+	m = &Measures{Hosts: len(harness.hosts), Backends: n, Lease: harness.options.Lease, Margin: harness.options.Margin, Total: total, Moved: map[string][]float64{}, BeforeMove: map[string]float64{}}
+	if err := harness.Start(ctx); err != nil {
 		return nil, err
 	}
-	moves := g.moveDemand(ctx)
-	g.options.Say("demand moved %d times", len(moves)-1)
-	losses, err := g.loseHosts(ctx)
+	moves := harness.moveDemand(ctx)
+	harness.options.Logf("demand moved %d times", len(moves)-1)
+	losses, err := harness.killHostsInTurn(ctx)
 	if err != nil {
 		return nil, err
 	}
-	g.options.Say("%d hosts were lost", len(losses))
-	spans := g.killAgentsInTurn(ctx)
-	all, err := checker.ReadAll(filepath.Join(g.site.Dir, "stamps"))
+	harness.options.Logf("%d hosts were lost", len(losses))
+	spans := harness.killAgentsInTurn(ctx)
+	all, err := checker.ReadAll(filepath.Join(harness.site.Dir, "stamps"))
 	if err != nil {
 		return nil, err
 	}
-	d := draws{all: all, whole: whole}
+	d := draws{all: all, total: total}
 	m.addMoves(d, moves)
 	m.addLosses(d, losses)
 	m.addDead(d, spans)
@@ -73,22 +89,22 @@
 // demandPhase is how long demand stays at one half of the backends.
 const demandPhase = 9 * time.Second
 
-// moveDemand moves all demand from one half of the backends to the other, and tells when.
-func (g *Harness) moveDemand(ctx context.Context) (at []int64) {
-	n := len(g.site.Backends)
-	half := [2][]string{g.site.Backends[:n/2], g.site.Backends[n/2:]}
+// moveDemand moves all demand from one half of the backends to the other; the times are microseconds of the boot clock.
+func (harness *Harness) moveDemand(ctx context.Context) (at []int64) {
+	n := len(harness.site.Backends)
+	half := [2][]string{harness.site.Backends[:n/2], harness.site.Backends[n/2:]}
 	for i := range 5 {
 		at = append(at, process.Now())
 		phase, cancel := context.WithTimeout(ctx, demandPhase)
-		g.load(phase, 1, half[i%2])
+		harness.load(phase, 1, half[i%2])
 		cancel()
 	}
 	return at
 }
 
 // load sends the scenario's requests until the context ends; what is measured is what the holders draw.
-func (g *Harness) load(ctx context.Context, seed uint64, backends []string) {
-	s := g.scenario
+func (harness *Harness) load(ctx context.Context, seed uint64, backends []string) {
+	s := harness.scenario
 	_, _ = loadgen.Run(ctx, loadgen.Options{Scenario: &s, Seed: seed, Backends: backends, Bounds: limits.ForLoad()})
 }
 
@@ -98,17 +114,17 @@
 	host *host
 }
 
-// loseHosts kills one host after the other; each comes back before the next.
-func (g *Harness) loseHosts(ctx context.Context) (losses []hostLoss, err error) {
-	for _, h := range g.hosts {
-		losses = append(losses, hostLoss{g.killHost(h), h})
-		time.Sleep(g.options.Lease + g.options.Margin + 4*time.Second)
-		if err := g.startAgent(h); err != nil {
+// killHostsInTurn kills one host after the other; each comes back before the next.
+func (harness *Harness) killHostsInTurn(ctx context.Context) (losses []hostLoss, err error) {
+	for _, h := range harness.hosts {
+		losses = append(losses, hostLoss{harness.killHost(h), h})
+		time.Sleep(harness.options.Lease + harness.options.Margin + 4*time.Second)
+		if err := harness.startAgent(h); err != nil {
 			return nil, err
 		}
-		if err := g.until(ctx, 45*time.Second, "return of "+h.name, func() bool {
-			_, _ = g.Tool(ctx, "start", "--host", h.name, "--quiet", "--wait=false", "--within", "30s")
-			return g.fullyGranted(ctx) && g.ready(ctx) == g.options.Table.Backends
+		if err := harness.waitFor(ctx, 45*time.Second, "return of "+h.name, func() bool {
+			_, _ = harness.Tool(ctx, "start", "--host", h.name, "--quiet", "--wait=false", "--within", "30s")
+			return harness.fullyGranted(ctx) && harness.ready(ctx) == harness.options.Schedule.Backends
 		}); err != nil {
 			return nil, err
 		}
@@ -116,15 +132,15 @@
 	return losses, nil
 }
 
-func (g *Harness) killHost(h *host) (at int64) {
+func (harness *Harness) killHost(h *host) (at int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.cmd.Process.Kill()
 	at = process.Now()
-	for _, name := range h.names {
-		l := g.incarnation(h, name)
-		_ = l.Keeper.Signal(syscall.SIGKILL)
-		_ = l.Instance.KillGroup()
+	for _, name := range h.backends {
+		l := harness.processesOf(h, name)
+		_ = l.Supervisor.Signal(syscall.SIGKILL)
+		_ = l.Backend.KillGroup()
 	}
 	<-h.ended
 	return at
@@ -137,19 +153,19 @@
 }
 
 // killAgentsInTurn kills agents under load, from none to all.
-func (g *Harness) killAgentsInTurn(ctx context.Context) (spans []deadSpan) {
+func (harness *Harness) killAgentsInTurn(ctx context.Context) (spans []deadSpan) {
 	var loading sync.WaitGroup
 	stop, cancel := context.WithCancel(ctx)
 	loading.Go(func() {
 		for stop.Err() == nil {
-			g.load(stop, 2, g.site.Backends)
+			harness.load(stop, 2, harness.site.Backends)
 		}
 	})
-	for dead := 0; dead <= len(g.hosts); dead++ {
+	for dead := 0; dead <= len(harness.hosts); dead++ {
 		if dead > 0 {
-			g.hosts[dead-1].killAgent()
+			harness.hosts[dead-1].killAgent()
 		}
-		time.Sleep(2*(g.options.Lease+g.options.Margin) + 2*time.Second)
+		time.Sleep(2*(harness.options.Lease+harness.options.Margin) + 2*time.Second)
 		from := process.Now()
 		time.Sleep(3 * time.Second)
 		spans = append(spans, deadSpan{dead, from, process.Now()})
@@ -162,22 +178,20 @@
 // draws are what all holders wrote down.
 type draws struct {
 	all   []*checker.Process
-	whole int // units a second
+	total int // units a second
 }
 
-// rate is the part of the whole that was drawn in a span, in microseconds of the machine's clock.
+// rate is the part of the total that was drawn in a span, in microseconds of the machine's clock.
 func (d draws) rate(budget string, from, to int64) float64 {
-	return checker.UnitsDrawn(d.all, budget, from, to) * 1e6 / float64(to-from) / float64(d.whole)
+	return checker.UnitsDrawn(d.all, budget, from, to) * 1e6 / float64(to-from) / float64(d.total)
 }
 
-var divisions = []string{"demand", "even"}
-
 // addMoves measures how long it takes until nine tenths are drawn again after demand moved.
 func (m *Measures) addMoves(d draws, moves []int64) {
 	for _, b := range divisions {
 		for _, at := range moves[1:] {
 			end := at + demandPhase.Microseconds()
-			m.Before[b] += d.rate(b, end-2_000_000, end-200_000) / float64(len(moves)-1)
+			m.BeforeMove[b] += d.rate(b, end-2_000_000, end-200_000) / float64(len(moves)-1)
 			took := -1.0 // never
 			for t := at; t+500_000 < end; t += 20_000 {
 				if d.rate(b, t, t+500_000) >= 0.9 {
@@ -194,11 +208,11 @@
 func (m *Measures) addLosses(d draws, losses []hostLoss) {
 	for _, l := range losses {
 		without := map[string]bool{}
-		for _, name := range l.host.names {
+		for _, name := range l.host.backends {
 			without[name] = true
 		}
-		floors := int64(len(l.host.names))
-		if at, ok := checker.HeldSince(d.all, "demand", without, int64(d.whole)-floors, l.at, l.at+30_000_000); ok {
+		floors := int64(len(l.host.backends))
+		if at, ok := checker.HeldSince(d.all, byDemand, without, int64(d.total)-floors, l.at, l.at+30_000_000); ok {
 			m.Lost = append(m.Lost, float64(at-l.at)/1e6)
 		} else {
 			m.Lost = append(m.Lost, -1)
@@ -210,7 +224,7 @@
 // addDead measures what is still drawn by the number of dead agents.
 func (m *Measures) addDead(d draws, spans []deadSpan) {
 	for _, s := range spans {
-		dead := Dead{Agents: s.agents, Drawn: map[string]float64{}}
+		dead := DeadAgents{Agents: s.agents, Drawn: map[string]float64{}}
 		for _, b := range divisions {
 			dead.Drawn[b] = d.rate(b, s.from, s.to)
 		}
@@ -219,28 +233,28 @@
 }
 
 // ready counts the backends that are.
-func (g *Harness) ready(ctx context.Context) (n int) {
-	s := g.budgets(ctx)
+func (harness *Harness) ready(ctx context.Context) (n int) {
+	s := harness.quotaState(ctx)
 	if s == nil {
 		return 0
 	}
 	for _, b := range s.Budgets {
-		if b.Budget == "demand" {
+		if b.Budget == byDemand {
 			n = len(b.Holders)
 		}
 	}
 	return n
 }
 
-// Print tells of them.
+// Print writes them for a person.
 func (m *Measures) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d hosts, %d backends, whole %d/s, lease %v, margin %v\n", m.Hosts, m.Backends, m.Whole, m.Lease, m.Margin)
-	for _, b := range []string{"demand", "even"} {
+	fmt.Fprintf(w, "%d hosts, %d backends, whole %d/s, lease %v, margin %v\n", m.Hosts, m.Backends, m.Total, m.Lease, m.Margin)
+	for _, b := range divisions {
 		fmt.Fprintf(w, "divided by %s: with all demand at half of the backends %.2f of the whole is drawn; moved to the other half, 0.9 is drawn again after %.2f s (-1: never)\n",
-			b, m.Before[b], m.Moved[b])
+			b, m.BeforeMove[b], m.Moved[b])
 	}
 	fmt.Fprintf(w, "a host is lost: others hold its shares after %.2f s (lease and margin are %.2f s)\n", m.Lost, (m.Lease + m.Margin).Seconds())
 	for _, d := range m.Dead {
-		fmt.Fprintf(w, "%d agents dead: drawn %.2f by demand, %.2f even; the floors are %.2f\n", d.Agents, d.Drawn["demand"], d.Drawn["even"], float64(m.Backends)/float64(m.Whole))
+		fmt.Fprintf(w, "%d agents dead: drawn %.2f by demand, %.2f even; the floors are %.2f\n", d.Agents, d.Drawn[byDemand], d.Drawn[evenly], float64(m.Backends)/float64(m.Total))
 	}
 }
--- a/internal/faultinjection/harness/state.go
+++ b/internal/faultinjection/harness/state.go
@@ -3,11 +3,10 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"time"
 )
 
-// State is what fleet budgets tells, as far as a trial needs it.
+// State is what fleet budgets prints, as far as a trial needs it.
 type State struct {
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
@@ -25,10 +24,10 @@
 	} `json:"budgets"`
 }
 
-func (g *Harness) budgets(ctx context.Context) *State {
+func (harness *Harness) quotaState(ctx context.Context) *State {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	out, err := g.Tool(ctx, "budgets", "--json")
+	out, err := harness.Tool(ctx, "budgets", "--json")
 	var s State
 	if err != nil || json.Unmarshal(out, &s) != nil || s.Leader == "" {
 		return nil
@@ -37,8 +36,8 @@
 }
 
 // fullyGranted tells whether the quota store has all of each rate in force, and nothing of the count.
-func (g *Harness) fullyGranted(ctx context.Context) bool {
-	s := g.budgets(ctx)
+func (harness *Harness) fullyGranted(ctx context.Context) bool {
+	s := harness.quotaState(ctx)
 	if s == nil {
 		return false
 	}
@@ -50,19 +49,30 @@
 	return true
 }
 
-// until waits for a condition.
-func (g *Harness) until(ctx context.Context, most time.Duration, what string, ok func() bool) error {
-	for end := time.Now().Add(most); !ok(); {
+// pollInterval is the time between two looks at a condition.
+const pollInterval = 100 * time.Millisecond
+
+// waitFor waits until a condition is true. The error is a *WaitError, also where the context ends first.
+func (harness *Harness) waitFor(ctx context.Context, limit time.Duration, condition string, ok func() bool) error {
+	for end := time.Now().Add(limit); !ok(); {
 		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("no %s within %v", what, most)
+			return &WaitError{condition, limit}
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-func (g *Harness) describeState(ctx context.Context) string {
-	if s := g.budgets(ctx); s != nil {
+// pause waits for a span, or until the context ends.
+func pause(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
+
+func (harness *Harness) describeState(ctx context.Context) string {
+	if s := harness.quotaState(ctx); s != nil {
 		raw, _ := json.Marshal(s)
 		return string(raw[:min(len(raw), 1500)])
 	}
--- a/internal/faultinjection/registry/registry.go
+++ b/internal/faultinjection/registry/registry.go
@@ -1,6 +1,5 @@
-// Package registry is a fake for the platform's register of backends that can be down, slow, refusing, silent, or fall
-// over when too much comes at once. It writes down every call. It owns its listener; it decides nothing but what its
-// phases say.
+// Package registry is a fake of the platform's endpoint registry that can be down, slow, refusing, silent, or fall over when
+// too many calls come at once. It records every call. It owns its listener; it decides nothing but what its phases say.
 package registry
 
 import (
@@ -10,6 +9,7 @@
 	"net"
 	"net/http"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -17,30 +17,46 @@
 	"milletbarrow/internal/faultinjection/coldstart"
 )
 
-// Registry is a running one.
+// Registry is a running fake. Its methods may be called by several goroutines.
 type Registry struct {
-	Address string
-	terms   coldstart.Register
-
-	mu     sync.Mutex
-	began  time.Time // of the phases; zero: it takes all at once
-	calls  []coldstart.Call
-	within int // calls that are open
-	conns  int
-	most   int // connections that were open at once
-	falls  int
-	fallen time.Time // it takes nothing before
-	server *http.Server
-	over   chan struct{}
-	draw   *rand.Rand
+	Address  string // host:port it listens at
+	behavior coldstart.Register
+
+	mu           sync.Mutex
+	began        time.Time // of the phases; zero: it takes all at once
+	observations Observations
+	openCalls    int
+	openConns    int
+	fallenUntil  time.Time
+	server       *http.Server
+	closed       chan struct{}
+	random       *rand.Rand
+}
+
+// Observations are what the registry saw since its phases began.
+type Observations struct {
+	Calls          []coldstart.Call // in the order of their ends, the first maxCalls
+	MaxConnections int              // open at once
+	Falls          int              // times that it fell over
 }
 
-// mostCalls are written down.
-const mostCalls = 1_000_000
+const (
+	// maxCalls is how many calls are recorded.
+	maxCalls = 1_000_000
+	// maxBody is how many bytes of a report are read.
+	maxBody = 1 << 10
+	// readTimeout is for one request.
+	readTimeout = 5 * time.Second
+	// reopenPause is between two attempts to listen again.
+	reopenPause = 10 * time.Millisecond
+)
+
+// offReport is the body of a report by which a backend leaves.
+const offReport = `{"duty":"off"}`
 
 // Start makes one listen at this address.
-func Start(address string, t coldstart.Register) (*Registry, error) {
-	r := &Registry{Address: address, terms: t, over: make(chan struct{}), draw: rand.New(rand.NewPCG(1, 2))}
+func Start(address string, behavior coldstart.Register) (*Registry, error) {
+	r := &Registry{Address: address, behavior: behavior, closed: make(chan struct{}), random: rand.New(rand.NewPCG(1, 2))}
 	if err := r.open(); err != nil {
 		return nil, err
 	}
@@ -55,57 +71,60 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Address = l.Addr().String()
-	r.server = &http.Server{Handler: http.HandlerFunc(r.take), ReadTimeout: 5 * time.Second, ConnState: r.state}
+	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), ReadTimeout: readTimeout, ConnState: r.countConnection}
 	go func() { _ = r.server.Serve(l) }()
 	return nil
 }
 
-// state counts connections.
-func (r *Registry) state(_ net.Conn, s http.ConnState) {
+// countConnection is the server's hook for the states of connections.
+func (r *Registry) countConnection(_ net.Conn, state http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	switch s {
+	switch state {
 	case http.StateNew:
-		r.conns++
-		r.most = max(r.most, r.conns)
+		r.openConns++
+		r.observations.MaxConnections = max(r.observations.MaxConnections, r.openConns)
 	case http.StateClosed, http.StateHijacked:
-		r.conns--
+		r.openConns--
 	}
 }
 
-// Begin has the phases run from now on, and forgets the calls of before.
+// Begin has the phases run from now on, and forgets what was observed before.
 func (r *Registry) Begin() {
 	r.mu.Lock()
-	r.began, r.calls, r.most, r.falls = time.Now(), nil, r.conns, 0
+	r.began, r.observations = time.Now(), Observations{MaxConnections: r.openConns}
 	began := r.began
 	r.mu.Unlock()
-	for _, p := range r.terms.Phases {
+	for _, p := range r.behavior.Phases {
 		if p.Mode != coldstart.Down {
 			continue
 		}
-		time.AfterFunc(time.Until(began.Add(p.From)), func() { r.shut() })
-		time.AfterFunc(time.Until(began.Add(r.terms.Until(p.From))), func() {
-			for r.ended() || r.open() != nil { // its address is of a net where nobody's calls begin; still, ports may linger
-				select {
-				case <-r.over:
-					return
-				case <-time.After(10 * time.Millisecond):
-				}
-			}
-		})
+		time.AfterFunc(time.Until(began.Add(p.From)), r.shut)
+		time.AfterFunc(time.Until(began.Add(r.behavior.Until(p.From))), r.reopen)
+	}
+}
+
+// reopen listens again. Nobody's calls begin at its address, but a port may linger.
+func (r *Registry) reopen() {
+	for r.isClosed() || r.open() != nil {
+		select {
+		case <-r.closed:
+			return
+		case <-time.After(reopenPause):
+		}
 	}
 }
 
-func (r *Registry) ended() bool {
+func (r *Registry) isClosed() bool {
 	select {
-	case <-r.over:
+	case <-r.closed:
 		return true
 	default:
 		return false
 	}
 }
 
-// shut closes the door and all connections.
+// shut closes the listener and all connections.
 func (r *Registry) shut() {
 	r.mu.Lock()
 	s := r.server
@@ -113,69 +132,91 @@
 	_ = s.Close()
 }
 
-// take answers one report as the phase has it.
-func (r *Registry) take(w http.ResponseWriter, q *http.Request) {
-	body, _ := io.ReadAll(io.LimitReader(q.Body, 1<<10))
+// answer is what becomes of one call.
+type answer struct {
+	phase  coldstart.Phase
+	broken bool // it has fallen over
+	refuse bool
+}
+
+// begin counts a call and decides by the phase what becomes of it.
+func (r *Registry) begin(name string) (coldstart.Call, answer) {
 	now := time.Now()
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	began := r.began
 	if began.IsZero() {
 		began = now
 	}
-	p := r.terms.At(now.Sub(began))
-	c := coldstart.Call{Name: filepath.Base(q.URL.Path), At: now.Sub(began)}
-	refuses := p.Mode == coldstart.Refuses || p.Mode == coldstart.Half && r.draw.IntN(2) == 0
-	silent := p.Mode == coldstart.Silent
-	broken := now.Before(r.fallen)
-	if r.within++; r.terms.Crowd > 0 && r.within > r.terms.Crowd && !broken {
-		r.falls++
-		r.fallen, broken = now.Add(r.terms.Needs), true
+	sinceBegin := now.Sub(began)
+	phase := r.behavior.At(sinceBegin)
+	a := answer{
+		phase:  phase,
+		broken: now.Before(r.fallenUntil),
+		refuse: phase.Mode == coldstart.Refuses || phase.Mode == coldstart.Half && r.random.IntN(2) == 0,
 	}
-	r.mu.Unlock()
-	defer func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.within--
-		if c.Off = string(body) == `{"duty":"off"}`; len(r.calls) < mostCalls {
-			r.calls = append(r.calls, c)
-		}
-	}()
-	switch {
-	case broken:
+	r.openCalls++
+	if r.behavior.Crowd > 0 && r.openCalls > r.behavior.Crowd && !a.broken {
+		r.observations.Falls++
+		r.fallenUntil, a.broken = now.Add(r.behavior.Needs), true
+	}
+	return coldstart.Call{Name: name, At: sinceBegin}, a
+}
+
+// end records a call.
+func (r *Registry) end(call coldstart.Call) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.openCalls--
+	if len(r.observations.Calls) < maxCalls {
+		r.observations.Calls = append(r.observations.Calls, call)
+	}
+}
+
+// serve answers one report as the phase has it.
+func (r *Registry) serve(w http.ResponseWriter, request *http.Request) {
+	body, _ := io.ReadAll(io.LimitReader(request.Body, maxBody))
+	call, a := r.begin(filepath.Base(request.URL.Path))
+	call.Off = string(body) == offReport
+	defer func() { r.end(call) }()
+	if a.broken {
 		panic(http.ErrAbortHandler)
-	case silent:
+	}
+	if a.phase.Mode == coldstart.Silent {
 		select {
-		case <-q.Context().Done():
-		case <-r.over:
+		case <-request.Context().Done():
+		case <-r.closed:
 		}
 		panic(http.ErrAbortHandler)
 	}
 	select {
-	case <-time.After(p.Takes):
-	case <-q.Context().Done():
+	case <-time.After(a.phase.Takes):
+	case <-request.Context().Done():
 		return
 	}
-	if refuses {
-		if p.Advice > 0 {
-			w.Header().Set("Retry-After", strconv.Itoa(int(p.Advice/time.Second)))
+	if a.refuse {
+		if a.phase.Advice > 0 {
+			w.Header().Set("Retry-After", strconv.Itoa(int(a.phase.Advice/time.Second)))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	c.Counted = true
+	call.Counted = true
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Heard is what came since Begin: calls by their time, the most connections at once, and how often it fell over.
-func (r *Registry) Heard() (calls []coldstart.Call, conns, falls int) {
+// Observed is what was observed since Begin.
+func (r *Registry) Observed() Observations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append(calls, r.calls...), r.most, r.falls
+	observed := r.observations
+	observed.Calls = slices.Clone(observed.Calls)
+	return observed
 }
 
 // Close ends it.
 func (r *Registry) Close() error {
-	close(r.over)
+	close(r.closed)
 	r.mu.Lock()
 	s := r.server
 	r.mu.Unlock()
