--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -5,28 +5,29 @@
 	"math/rand/v2"
 )
 
-// Arrival is one request of a day, as its caller wants it.
+// Arrival is one request of a day as its caller sends it.
 type Arrival struct {
-	At                      Micros
+	At                      Micros // when it is sent
 	Node, Operation, Tenant int
 	Work                    float64 // core time, microseconds
-	Hint                    Micros  // 0: none is given
+	Hint                    Micros  // expected work sent along; 0: none
 }
 
-// Stream is the load of a day, one request after the other: open loop, the same for the same scenario and seed, whoever
-// answers. The model plays it, and load sends it over sockets.
+// Stream generates the requests of a day, in order of time: open loop, and the same for the same scenario and seed,
+// whatever the answers are. The simulation plays it; the load generator sends it over sockets. A Stream is for one
+// goroutine.
 type Stream struct {
 	scenario         *Scenario
 	rand             *rand.Rand
 	nextAt           float64
-	maxRate          float64   // requests a microsecond, at the most
-	cumulativeShares []float64 // of operations, summed up
-	burstUntil       Micros    // of a bursty load
+	maxRate          float64   // highest rate of the day, in requests a microsecond
+	cumulativeShares []float64 // of the operations, cumulative
+	burstUntil       Micros    // of a bursty load: when the present phase ends
 	burstOn          bool
-	replayed         int // of a recorded load
+	replayed         int // requests of a recorded load so far
 }
 
-// NewStream begins a day's load.
+// NewStream starts the stream of a scenario's day.
 func NewStream(s *Scenario, seed uint64) *Stream {
 	st := &Stream{scenario: s, rand: rand.New(rand.NewPCG(seed, 1)), maxRate: s.Capacity() / 1e6 * s.peakLevel()}
 	sum := 0.0
@@ -37,7 +38,7 @@
 	return st
 }
 
-// peakLevel is the highest that the load's shape and bursts reach, of capacity.
+// peakLevel returns an upper bound of the load over the day, as a part of capacity.
 func (s *Scenario) peakLevel() float64 {
 	top := s.Load.Level
 	switch s.Load.Shape {
@@ -54,12 +55,12 @@
 	return top
 }
 
-// activeAt tells whether a trouble is on.
+// activeAt reports whether the fault lasts at that time.
 func (fault *Fault) activeAt(now Micros) bool {
 	return now >= fault.At && now < fault.At+max(fault.Duration, 1)
 }
 
-// tenantWeight is how much more a tenant asks for at a time.
+// tenantWeight returns a tenant's share of the load at a time, with its bursts; the shares need not add up to 1.
 func (s *Scenario) tenantWeight(tenant int, now Micros) float64 {
 	x := s.Tenants[tenant].Share
 	for i := range s.Faults {
@@ -70,7 +71,7 @@
 	return x
 }
 
-// level is the load at a time, of capacity.
+// level returns the load at a time, as a part of capacity.
 func (st *Stream) level(now Micros) float64 {
 	l := &st.scenario.Load
 	x, part := l.Level, float64(now)/float64(st.scenario.Duration)
@@ -105,7 +106,7 @@
 			x *= fault.Factor
 		}
 	}
-	if len(st.scenario.Tenants) > 0 { // a tenant's burst adds to the whole
+	if len(st.scenario.Tenants) > 0 { // a tenant's burst adds to the total load
 		usual, present := 0.0, 0.0
 		for i, t := range st.scenario.Tenants {
 			usual, present = usual+t.Share, present+st.scenario.tenantWeight(i, now)
@@ -124,7 +125,8 @@
 	return n - 1
 }
 
-// Next is the next request; false: the day is over. A Poisson stream of the highest rate is thinned to that of the moment.
+// Next returns the next request, and false at the end of the day. A Poisson stream of the highest rate is thinned to
+// the rate of the moment.
 func (st *Stream) Next() (a Arrival, more bool) {
 	s := st.scenario
 	if s.Load.Shape == Replay {
@@ -142,7 +144,7 @@
 	}
 	for {
 		st.nextAt += st.rand.ExpFloat64() / st.maxRate
-		if st.nextAt >= float64(s.Duration) { // also where it is beyond all numbers
+		if st.nextAt >= float64(s.Duration) { // also where it is infinite
 			return a, false
 		}
 		if a.At = Micros(st.nextAt); st.rand.Float64()*st.maxRate <= st.level(a.At)*s.Capacity()/1e6 {
@@ -164,7 +166,7 @@
 	return a, true
 }
 
-// hint draws what is told of the work, and holds the work within bounds.
+// hint draws the expected work that is sent along, and keeps the work within bounds.
 func (st *Stream) hint(a *Arrival) {
 	op := &st.scenario.Operations[a.Operation]
 	lie := op.HintFactor * math.Exp(op.HintSigma*st.rand.NormFloat64())
--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -4,7 +4,8 @@
 	"math"
 )
 
-// chooseSlot is the slot for a try; none where the list is empty or all of it is to be left alone for now.
+// chooseSlot returns the slot for an attempt, or none where the list is empty or all of its hosts are to be avoided for
+// now.
 func (w *world) chooseSlot(req *request, n *node) int32 {
 	v := n.view
 	if len(v) == 0 {
@@ -16,20 +17,20 @@
 	if k := w.balancedSlot(n, usable); k != none {
 		return k
 	}
-	for range v { // in turn, also where the balancing policy found nothing
+	for range v { // round robin, also where the balancing policy found nothing
 		n.nextSlot++
 		if k := v[n.nextSlot%len(v)]; usable(k) {
 			return k
 		}
 	}
-	if req.attempts == 0 { // a first attempt goes to somebody, even one that asked to be left alone
+	if req.attempts == 0 { // a first attempt is sent even to a host that asked to stay away
 		n.nextSlot++
 		return v[n.nextSlot%len(v)]
 	}
 	return none
 }
 
-// balancedSlot is the choice of the node's balancing policy, or none.
+// balancedSlot returns the choice of the node's balancing policy, or none.
 func (w *world) balancedSlot(n *node, usable func(int32) bool) int32 {
 	v := n.view
 	switch w.policy.balance(w.scenario) {
@@ -55,7 +56,7 @@
 	return none
 }
 
-// leastLoad is the usable host with the least expected wait; ties go to the first from a random place on.
+// leastLoad returns the usable host with the least expected wait; ties go to the first from a random index on.
 func (w *world) leastLoad(n *node, usable func(int32) bool) int32 {
 	v := n.view
 	best, least := none, 0.0
@@ -69,8 +70,8 @@
 	return best
 }
 
-// leastTrueLoad is what an oracle would choose: the host whose cores have the least work in hand by their speed, as it was 0.1 s
-// ago. What the oracle itself has sent since is known to it.
+// leastTrueLoad returns what an oracle would choose: the host with the least work in flight by its speed, as it was 0.1
+// s ago. The oracle knows what it has sent since.
 func (w *world) leastTrueLoad(n *node) int32 {
 	if w.now >= w.oracleAt+100*Millisecond {
 		w.oracleAt = w.now
--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -7,7 +7,7 @@
 	"milletbarrow/admission"
 )
 
-// dayOfSize is the operators' day at a size, 60 s long: nodes are two thirds of the hosts.
+// dayOfSize is a typical day of 60 s at a size, with two thirds as many nodes as hosts.
 func dayOfSize(hosts int) Scenario {
 	s := Default()
 	s.Duration = 60 * Second
@@ -21,9 +21,9 @@
 	return s
 }
 
-// BenchmarkDay plays 60 s at several sizes with the module and with the plain pool, whose own cost is next to nothing:
+// BenchmarkDay plays 60 s at several sizes with the module and with the plain pool, whose own cost is small:
 //
-//	go test ./model -run xxx -bench Day -benchtime 1x
+//	go test ./internal/simulation -run xxx -bench Day -benchtime 1x
 func BenchmarkDay(b *testing.B) {
 	for _, policy := range []string{"pool", Module} {
 		p, err := PolicyNamed(policy)
@@ -33,23 +33,23 @@
 		for _, hosts := range []int{10, 33, 100, 330, 1000} {
 			b.Run(fmt.Sprintf("%s/%d", policy, hosts), func(b *testing.B) {
 				s := dayOfSize(hosts)
-				events, asks := 0.0, 0.0
+				events, requests := 0.0, 0.0
 				for b.Loop() {
 					r, err := Play(&s, p, 1, nil)
 					if err != nil {
 						b.Fatal(err)
 					}
-					events, asks = events+float64(r.Events), asks+float64(r.Requests)
+					events, requests = events+float64(r.Events), requests+float64(r.Requests)
 				}
 				b.ReportMetric(events/b.Elapsed().Seconds()/1e6, "Mevents/s")
 				b.ReportMetric(b.Elapsed().Seconds()*1e9/events, "ns/event")
-				b.ReportMetric(asks/float64(b.N), "asks")
+				b.ReportMetric(requests/float64(b.N), "requests")
 			})
 		}
 	}
 }
 
-// idlePolicy decides nothing: what is left is the model's own time.
+// idlePolicy starts all and decides nothing: what is measured is the simulation's own time.
 type idlePolicy struct{}
 
 func (idlePolicy) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
@@ -62,7 +62,9 @@
 	return out
 }
 
-// BenchmarkBare is the model with a policy that takes no time: go test ./model -run xxx -bench Bare -benchtime 1x
+// BenchmarkBare is the simulation with a policy that takes no time:
+//
+//	go test ./internal/simulation -run xxx -bench Bare -benchtime 1x
 func BenchmarkBare(b *testing.B) {
 	s := dayOfSize(330)
 	s.Load.Level, s.Faults = 0.5, nil
--- a/internal/simulation/coldstart/coldstart_test.go
+++ b/internal/simulation/coldstart/coldstart_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRun: one seed is one course; a rise brings all up and spares the service below that all at once never get past;
-// no more start at once than may.
+// TestRun: one seed gives one result; the cold start brings all backends up and spares the dependency, which all starts
+// at once never get past; no more start at once than the policy allows.
 func TestRun(t *testing.T) {
 	const n = 330
 	run := func(p Policy) *Result {
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -1,6 +1,6 @@
-// Package coldstart plays how hundreds or thousands of backends come up together, with the code that decides it in
-// installations (registration/reportpacing for load reports, cluster/coldstart for starts, fleet's pauses between launches) unchanged: beside a
-// register, and a service below that each start has to call, both of which can be crowded and fall over. One seed, one course.
+// Package coldstart simulates how hundreds or thousands of backends come up together, with the code that decides it in
+// installations unchanged: registration/reportpacing for load reports, cluster/coldstart for starts, and fleet's backoff
+// between launches. The endpoint registry and a dependency that each start calls can both be overloaded and collapse.
 package coldstart
 
 import (
@@ -17,59 +17,64 @@
 
 // Policy is how backends start and report.
 type Policy struct {
-	Name         string
-	FixedReports bool // reports without chance and growing pauses
-	MaxStarting  int  // starts at once; 0: all; below 0: by manage/rise, up to so many
+	Name         string // in the tables of studies
+	FixedReports bool   // report at fixed intervals, without jitter and backoff
+	MaxStarting  int    // concurrent starts; 0: no bound; -n: by the cluster's cold start, up to n
 }
 
-// Config of a course.
+// Config describes the installation that comes up.
 type Config struct {
 	Backends, Hosts   int
-	StartDuration     time.Duration // a start on a host that has nothing else to do; so many more at once and each takes longer
-	UncontendedStarts int           // starts of a host that do not slow each other down
+	StartDuration     time.Duration // of a start on an idle host; with more than UncontendedStarts each takes longer
+	UncontendedStarts int           // concurrent starts of a host that do not slow each other down
 	Registry          faultinjectioncoldstart.Register
 	Dependency        Dependency
-	Duration          time.Duration
+	Duration          time.Duration // simulated time
 	Reports           reportpacing.Config
 	RelaunchBackoff   backoff.Policy
 }
 
 // Dependency is the service that each start calls once.
 type Dependency struct {
-	Latency     time.Duration // while no more than so many call at once
-	Concurrency int           // beyond it each takes longer, by the square
-	CollapseAt  int           // beyond it, it falls over and what it had in hand comes to nothing; 0: it never does
-	Recovery    time.Duration // it is well again once it was left alone for so long
+	Latency     time.Duration // of a call, up to Concurrency calls at once
+	Concurrency int           // beyond it each call takes longer, by the square of the excess
+	CollapseAt  int           // concurrent calls beyond which it collapses and loses all of them; 0: it never does
+	Recovery    time.Duration // it recovers after so long without a call
 }
 
-// Result is what came of it.
+// Result is the outcome of one run.
 type Result struct {
 	faultinjectioncoldstart.Figures
-	HalfReadySeconds, MostReadySeconds float64 // seconds until a half, and 95 in a hundred, are warm; -1: never
-	Ready                              int     // at the end
+	HalfReadySeconds, MostReadySeconds float64 // seconds until 50% and 95% of the backends are ready; -1: never
+	Ready                              int     // backends ready at the end
 	DependencyCollapses                int
 	DependencyCalls                    int
-	PeakStarting                       int // at once, at the most
+	PeakStarting                       int // highest number of concurrent starts
 }
 
+// event is scheduled by time, then by sequence.
 type event struct {
 	at        time.Duration
-	kind      int
-	index     int
-	reference int
+	kind      eventKind
+	index     int // of the backend
+	reference int // depends on the kind: a timer, a call, a report or a pause, by number
 	sequence  int
 }
 
+// eventKind says what an event is.
+type eventKind int
+
 const (
-	eventStart = iota // a start is tried
-	eventCall         // a start has come to its call below
-	eventCallDone
-	eventReady
-	eventReportDue // a report
-	eventReportAnswered
-	eventPauseOver // a rise has
+	eventStart          eventKind = iota // a backend tries to start
+	eventCall                            // a start calls the dependency
+	eventCallDone                        // the dependency has answered
+	eventReady                           // a start has succeeded
+	eventReportDue                       // a backend's report timer
+	eventReportAnswered                  // the registry has answered a report
+	eventPauseOver                       // a pause of the cold start has ended
 )
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -78,10 +83,10 @@
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push and Pop are heap's.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop takes the last off.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
@@ -89,6 +94,7 @@
 	return x
 }
 
+// backend is the state of one backend.
 type backend struct {
 	name        string
 	host        int
@@ -97,11 +103,12 @@
 	failures    int
 	starting    bool
 	ready       bool
-	reportTimer int  // of its timer
-	calling     bool // its call below is in hand
-	callNumber  int  // of them, by number
+	reportTimer int  // number of its latest report timer; earlier ones are ignored
+	calling     bool // its call to the dependency is in flight
+	callNumber  int  // of its latest call to the dependency
 }
 
+// run is the state of one run.
 type run struct {
 	config       Config
 	policy       Policy
@@ -110,58 +117,75 @@
 	now          time.Duration
 	rand         *rand.Rand
 	backends     []backend
-	startsByHost []int // starts under way, by host
+	startsByHost []int // concurrent starts, by host
 	starting     int
 	coldStart    *coldstart.State
-	indexByName  map[string]int
 
-	reportsInFlight   int // calls at the endpoint registry
+	reportsInFlight   int // at the endpoint registry
 	registryDownUntil time.Duration
 	reports           []faultinjectioncoldstart.Call
 	registryCollapses int
 
-	callsInFlight       int           // calls in hand
-	dependencyDownUntil time.Duration // the service below is ill until then, if it is left alone
+	callsInFlight       int           // to the dependency
+	dependencyDownUntil time.Duration // unless it is called before
 	result              Result
 	readyTimes          []time.Duration
 }
 
-// Run plays one course.
+// Delays of a backend's attempts to start: the first, and those after the policy has refused one.
+const (
+	maxFirstStart  = 50 * time.Millisecond
+	startPoll      = 300 * time.Millisecond
+	startPollRange = 150 * time.Millisecond
+)
+
+// Run plays one cold start. The same configuration, policy and seed give the same result.
 func Run(t Config, p Policy, seed uint64) (*Result, error) {
-	w := &run{config: t, policy: p, rand: rand.New(rand.NewPCG(seed, 28)), startsByHost: make([]int, t.Hosts), indexByName: map[string]int{}}
+	w, err := newRun(t, p, seed)
+	if err != nil {
+		return nil, err
+	}
+	for len(w.queue) > 0 {
+		e := heap.Pop(&w.queue).(event)
+		if e.at > t.Duration {
+			break
+		}
+		w.now = e.at
+		w.handle(e)
+	}
+	w.result.Figures = faultinjectioncoldstart.Of(w.reports, &t.Registry, t.Backends, time.Duration(t.Reports.Interval)*time.Microsecond, t.Duration)
+	w.result.Falls, w.result.Ready = w.registryCollapses, len(w.readyTimes)
+	w.result.HalfReadySeconds, w.result.MostReadySeconds = w.readyAt(0.5), w.readyAt(0.95)
+	return &w.result, nil
+}
+
+// newRun sets up all backends, each of which tries to start within maxFirstStart.
+func newRun(t Config, p Policy, seed uint64) (*run, error) {
+	w := &run{config: t, policy: p, rand: rand.New(rand.NewPCG(seed, 28)), startsByHost: make([]int, t.Hosts)}
 	members := make([]coldstart.Member, 0, t.Backends)
 	reports := t.Reports
 	reports.Fixed = p.FixedReports
 	for n := range t.Backends {
 		name := fmt.Sprintf("n%05d", n)
 		w.backends = append(w.backends, backend{name: name, host: n % t.Hosts, pacer: reportpacing.New(reports, w.rand.Uint64())})
-		w.indexByName[name] = n
 		members = append(members, coldstart.Member{Name: name, Group: fmt.Sprint("g", n%3), Host: fmt.Sprint("h", n%t.Hosts)})
 	}
 	if p.MaxStarting < 0 {
+		bound := int64(-p.MaxStarting)
 		var err error
-		terms := coldstart.Config{MaxConcurrent: int64(-p.MaxStarting), InitialConcurrent: min(2, int64(-p.MaxStarting)), MinServing: 0.1, MaxFailures: 8, SlowFactor: 3, MaxRejected: 0.1}
-		if w.coldStart, err = coldstart.New("r", terms, members); err != nil {
+		if w.coldStart, err = coldstart.New("r", coldstart.Config{
+			MaxConcurrent: bound, InitialConcurrent: min(2, bound), MinServing: 0.1, MaxFailures: 8, SlowFactor: 3, MaxRejected: 0.1,
+		}, members); err != nil {
 			return nil, err
 		}
 	}
 	for i := range w.backends {
-		w.schedule(time.Duration(w.rand.Int64N(int64(50*time.Millisecond))), eventStart, i, 0)
+		w.schedule(time.Duration(w.rand.Int64N(int64(maxFirstStart))), eventStart, i, 0)
 	}
-	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(event)
-		if e.at > t.Duration {
-			break
-		}
-		w.now = e.at
-		w.handle(e)
-	}
-	w.result.Figures = faultinjectioncoldstart.Of(w.reports, &t.Registry, t.Backends, time.Duration(t.Reports.Interval)*time.Microsecond, t.Duration)
-	w.result.Falls, w.result.Ready = w.registryCollapses, len(w.readyTimes)
-	w.result.HalfReadySeconds, w.result.MostReadySeconds = w.readyAt(0.5), w.readyAt(0.95)
-	return &w.result, nil
+	return w, nil
 }
 
+// readyAt returns when a share of the backends was ready, in seconds; -1: never.
 func (w *run) readyAt(share float64) float64 {
 	n := int(share*float64(len(w.backends)) + 0.999)
 	if n > len(w.readyTimes) {
@@ -170,13 +194,15 @@
 	return w.readyTimes[n-1].Seconds()
 }
 
-func (w *run) schedule(after time.Duration, kind, index, gen int) {
+// schedule adds an event after a delay.
+func (w *run) schedule(after time.Duration, kind eventKind, index, reference int) {
 	w.sequence++
-	heap.Push(&w.queue, event{at: w.now + after, kind: kind, index: index, reference: gen, sequence: w.sequence})
+	heap.Push(&w.queue, event{at: w.now + after, kind: kind, index: index, reference: reference, sequence: w.sequence})
 }
 
 func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 
+// handle executes one event.
 func (w *run) handle(e event) {
 	b := &w.backends[e.index]
 	switch e.kind {
@@ -185,7 +211,7 @@
 	case eventCall:
 		w.callDependency(e.index)
 	case eventCallDone:
-		if !b.calling || b.callNumber != e.reference { // it fell over with this in hand
+		if !b.calling || b.callNumber != e.reference { // it was lost in a collapse
 			return
 		}
 		b.calling = false
@@ -204,7 +230,7 @@
 	}
 }
 
-// eventStart starts one, if it may now; else it asks again a little later, as agents do.
+// start starts a backend if the policy allows it; else it tries again a little later, as agents do.
 func (w *run) start(index int) {
 	b := &w.backends[index]
 	may := true
@@ -215,7 +241,7 @@
 		may, _ = w.coldStart.RequestStart(b.name)
 	}
 	if !may {
-		w.schedule(300*time.Millisecond+time.Duration(w.rand.Int64N(int64(150*time.Millisecond))), eventStart, index, 0)
+		w.schedule(startPoll+time.Duration(w.rand.Int64N(int64(startPollRange))), eventStart, index, 0)
 		return
 	}
 	b.starting, b.startedAt = true, w.now
@@ -227,11 +253,11 @@
 	w.schedule(takes, eventCall, index, 0)
 }
 
-// callDependency has a start fetch what it needs.
+// callDependency sends the call of a start to the dependency.
 func (w *run) callDependency(index int) {
 	b := &w.backends[index]
 	w.result.DependencyCalls++
-	if w.now < w.dependencyDownUntil { // and ill for longer, because it is not left alone
+	if w.now < w.dependencyDownUntil { // and down for longer, as it was called again
 		w.dependencyDownUntil = w.now + w.config.Dependency.Recovery
 		w.endStart(index, false)
 		return
@@ -251,11 +277,11 @@
 		w.callsInFlight = 0
 		return
 	}
-	crowd := max(1, float64(w.callsInFlight)/float64(w.config.Dependency.Concurrency))
-	w.schedule(time.Duration(float64(w.config.Dependency.Latency)*crowd*crowd), eventCallDone, index, b.callNumber)
+	overload := max(1, float64(w.callsInFlight)/float64(w.config.Dependency.Concurrency))
+	w.schedule(time.Duration(float64(w.config.Dependency.Latency)*overload*overload), eventCallDone, index, b.callNumber)
 }
 
-// endStart closes a start.
+// endStart ends a start. A failed one is relaunched after a backoff.
 func (w *run) endStart(index int, well bool) {
 	b := &w.backends[index]
 	if !b.starting {
@@ -282,7 +308,7 @@
 	w.scheduleReport(index)
 }
 
-// scheduleReport sets a backend's timer by its pace.
+// scheduleReport sets a backend's report timer by its pacer.
 func (w *run) scheduleReport(index int) {
 	b := &w.backends[index]
 	b.reportTimer++
@@ -291,7 +317,7 @@
 	}
 }
 
-// report calls the endpoint registry.
+// report sends a load report to the endpoint registry.
 func (w *run) report(index int) {
 	b := &w.backends[index]
 	b.pacer.Started(micros(w.now))
@@ -310,6 +336,7 @@
 	w.schedule(takes, eventReportAnswered, index, call)
 }
 
+// reportAnswered passes the registry's answer to a backend's pacer.
 func (w *run) reportAnswered(index, call int) {
 	b := &w.backends[index]
 	w.reportsInFlight--
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -16,8 +16,8 @@
 	"milletbarrow/internal/limits"
 )
 
-// Default are terms as installations have them: a register that refuses for ten seconds, and a service below that falls
-// over when a tenth of all call it at once, and only gets well if it is left alone for five seconds.
+// Default returns a typical installation: a registry that rejects reports for ten seconds, and a dependency that
+// collapses when a tenth of all backends call it at once and recovers after five seconds without a call.
 func Default(backends int) Config {
 	b := limits.For(1, 192, 1024)
 	of := func(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
@@ -33,7 +33,8 @@
 	}
 }
 
-// Policies are those that a study compares for so many backends: as it was, each part alone, fixed paces, and the rise.
+// Policies returns the policies that a study compares for that many backends: the former behaviour, each part of the
+// cold start alone, fixed bounds of concurrent starts, and the cold start.
 func Policies(backends int) []Policy {
 	return []Policy{
 		{Name: "at once, reports in step", FixedReports: true}, {Name: "at once", FixedReports: false}, {Name: "rise, reports in step", FixedReports: true, MaxStarting: -backends / 8},
@@ -51,60 +52,69 @@
 	Seeds    int               `json:"seeds"`
 }
 
-// Figure is a mean with half of its 95% interval.
+// Figure is a mean with half the width of its 95% confidence interval.
 type Figure struct {
 	Mean         float64 `json:"mean"`
 	HalfInterval float64 `json:"half"`
-	Never        int     `json:"out,omitempty"` // courses in which it never came
+	Never        int     `json:"out,omitempty"` // runs in which it was never reached
 }
 
+// measures are the figures of a study, by their names in JSON.
 var measures = []struct {
 	name string
 	of   func(*Result) float64
 }{
-	{"refusing", func(c *Result) float64 { return c.Refusing / c.Ordinary }}, {"first", func(c *Result) float64 { return c.First }},
-	{"peak", func(c *Result) float64 { return c.Peak }}, {"listed95_s", func(c *Result) float64 { return c.Most }},
-	{"warm50_s", func(c *Result) float64 { return c.HalfReadySeconds }}, {"warm95_s", func(c *Result) float64 { return c.MostReadySeconds }},
-	{"warm", func(c *Result) float64 { return float64(c.Ready) }}, {"below_fell", func(c *Result) float64 { return float64(c.DependencyCollapses) }},
-	{"below_calls", func(c *Result) float64 { return float64(c.DependencyCalls) }}, {"starting", func(c *Result) float64 { return float64(c.PeakStarting) }},
+	{"refusing", func(r *Result) float64 { return r.Refusing / r.Ordinary }}, {"first", func(r *Result) float64 { return r.First }},
+	{"peak", func(r *Result) float64 { return r.Peak }}, {"listed95_s", func(r *Result) float64 { return r.Most }},
+	{"warm50_s", func(r *Result) float64 { return r.HalfReadySeconds }}, {"warm95_s", func(r *Result) float64 { return r.MostReadySeconds }},
+	{"warm", func(r *Result) float64 { return float64(r.Ready) }}, {"below_fell", func(r *Result) float64 { return float64(r.DependencyCollapses) }},
+	{"below_calls", func(r *Result) float64 { return float64(r.DependencyCalls) }}, {"starting", func(r *Result) float64 { return float64(r.PeakStarting) }},
 }
 
-// Study plays all policies at all sizes.
+// Study plays all policies at all sizes, as many runs at once as there are cores. logf reports progress.
 func Study(sizes []int, seeds int, logf func(string, ...any)) (rows []Row, err error) {
 	for _, n := range sizes {
 		for _, p := range Policies(n) {
-			courses := make([]*Result, seeds)
-			var all errgroup.Group
-			all.SetLimit(runtime.GOMAXPROCS(0))
-			for s := range seeds {
-				all.Go(func() (err error) {
-					courses[s], err = Run(Default(n), p, uint64(s+1))
-					return err
-				})
-			}
-			if err := all.Wait(); err != nil {
+			row, err := studyPolicy(n, p, seeds)
+			if err != nil {
 				return nil, err
 			}
-			values := map[string][]float64{}
-			for _, c := range courses {
-				for _, f := range measures {
-					values[f.name] = append(values[f.name], f.of(c))
-				}
-			}
-			r := Row{Backends: n, Policy: p.Name, Seeds: seeds, Figures: map[string]Figure{}}
-			for name, v := range values {
-				r.Figures[name] = estimate(v)
-			}
-			rows = append(rows, r)
+			rows = append(rows, row)
 			logf("%d backends, %s: done", n, p.Name)
 		}
 	}
 	return rows, nil
 }
 
-// studentT95 is Student's for a 95% interval, by degrees of freedom from 1.
+// studyPolicy plays one policy at one size on seeds from 1.
+func studyPolicy(backends int, p Policy, seeds int) (Row, error) {
+	results := make([]*Result, seeds)
+	var group errgroup.Group
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for s := range seeds {
+		group.Go(func() (err error) {
+			results[s], err = Run(Default(backends), p, uint64(s+1))
+			return err
+		})
+	}
+	if err := group.Wait(); err != nil {
+		return Row{}, err
+	}
+	row := Row{Backends: backends, Policy: p.Name, Seeds: seeds, Figures: map[string]Figure{}}
+	for _, m := range measures {
+		values := make([]float64, 0, seeds)
+		for _, result := range results {
+			values = append(values, m.of(result))
+		}
+		row.Figures[m.name] = estimate(values)
+	}
+	return row, nil
+}
+
+// studentT95 is Student's t for a two-sided 95% interval, by degrees of freedom from 1.
 var studentT95 = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}
 
+// estimate returns the mean of the values that are not negative, which stand for never.
 func estimate(all []float64) (f Figure) {
 	var v []float64
 	for _, x := range all {
@@ -130,7 +140,7 @@
 	return f
 }
 
-// Print writes a study as a table in Markdown.
+// Print writes a study as a Markdown table.
 func Print(w io.Writer, rows []Row) {
 	fmt.Fprintln(w, "| backends | policy | calls while refused, of ordinary | fullest tenth after | once listed | 95 in 100 listed, s | half warm, s | 95 in 100 warm, s | warm at 120 s | below fell | calls below |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -157,5 +167,5 @@
 	}
 }
 
-// Sizes are those of the studies on record.
+// Sizes returns the numbers of backends of the recorded studies.
 func Sizes() []int { return slices.Clone([]int{330, 1200, 5000}) }
--- a/internal/simulation/dependency.go
+++ b/internal/simulation/dependency.go
@@ -4,7 +4,7 @@
 	"milletbarrow/admission"
 )
 
-// startCall takes a run to the dependency that all share.
+// startCall sends a run's call to the shared dependency.
 func (w *world) startCall(h *host, j int32, within Micros) {
 	att := &w.attempts[j]
 	att.phase = phaseCalling
@@ -17,6 +17,7 @@
 	w.queue.push(event{at: w.now + max(within, 1), kind: evCallTimeout, subject: j, detail: int32(att.callGen), gen: att.gen})
 }
 
+// updateDependency sets the speed of calls after their number changed, and schedules the next completion.
 func (w *world) updateDependency() {
 	dependency := &w.dependency
 	dependency.rate = 1 / w.dependencySlowdown
@@ -28,6 +29,7 @@
 	}
 }
 
+// completeCalls ends the calls that are due.
 func (w *world) completeCalls() {
 	dependency := &w.dependency
 	dependency.completionAt = 0
@@ -42,6 +44,7 @@
 	w.updateDependency()
 }
 
+// endCall delivers the result of a call to the policy and resumes or ends the run.
 func (w *world) endCall(j int32, out admission.Outcome) {
 	att := &w.attempts[j]
 	h := &w.hosts[att.host]
@@ -59,11 +62,12 @@
 	att = &w.attempts[j]
 	if out == admission.OK && att.phase == phaseBeforeCall {
 		w.resumeRun(h, j)
-	} else if att.answers > 0 && att.phase == phaseBeforeCall { // given up: nothing of it goes on
+	} else if att.answers > 0 && att.phase == phaseBeforeCall { // it was answered meanwhile: the run ends
 		w.finishRun(h, j, admission.Errored)
 	}
 }
 
+// resumeRun puts a run back on the cores after its call.
 func (w *world) resumeRun(h *host, j int32) {
 	w.attempts[j].phase = phaseRunning
 	w.putOnCores(h, j)
--- a/internal/simulation/dispatch.go
+++ b/internal/simulation/dispatch.go
@@ -4,7 +4,7 @@
 	"milletbarrow/admission"
 )
 
-// handle carries one event out. Each group of events has a function of its own; an event belongs to one of them.
+// handle executes one event. Each group of events has a function of its own; an event belongs to one of them.
 func (w *world) handle(e *event) {
 	if w.hostEvent(e) || w.attemptEvent(e) {
 		return
@@ -41,7 +41,8 @@
 	}
 }
 
-// hostEvent carries out what concerns one host, unless that host's process ended since the event was scheduled.
+// hostEvent executes an event of one host, unless that host's process has ended since it was scheduled. It reports
+// whether the event is of this group.
 func (w *world) hostEvent(e *event) bool {
 	var do func(h *host)
 	switch e.kind {
@@ -76,7 +77,8 @@
 	return true
 }
 
-// attemptEvent carries out what concerns one request or one attempt, unless its place was reused since.
+// attemptEvent executes an event of one request or attempt, unless its index was reused since. It reports whether the
+// event is of this group.
 func (w *world) attemptEvent(e *event) bool {
 	switch e.kind {
 	case evReach, evAnswer, evCallerGone, evCallTimeout:
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -1,37 +1,38 @@
 package simulation
 
-// eventKind of an event. What happens at one time happens in the order in which it was scheduled.
+// eventKind says what an event is. Events of one time are executed in the order in which they were scheduled. Comments
+// name the event's subject and detail.
 type eventKind uint8
 
 const (
-	evLoad         eventKind = iota // the next request comes
-	evReach                         // attempt a reaches its host
-	evCores                         // the cores of host a end something, or may
-	evWake                          // host a's policy asked for a reading
-	evAnswer                        // attempt a's answer reaches its node
-	evDue                           // the caller of ask a waits no longer
-	evRetry                         // ask a has its retry
-	evHedge                         // ask a sends a copy, if it is still open
-	evCallerGone                    // attempt a's host hears that the caller has left
-	evDependency                    // the dependency ends a call, or may
-	evCallTimeout                   // the time of attempt a's call is over
-	evRefresh                       // node a looks at the endpoint registry
-	evListed                        // the endpoint registry takes host a in, or leaves it out (b)
-	evIdleCheck                     // node a's connection to its host b may have rested for too long
-	evWarmUp                        // host a is a little warmer
-	evOverload                      // host a has been beyond its crowd for long, or was
-	evFault                         // trouble a begins
-	evFaultOver                     // trouble a ends
-	evStop                          // the process of host a ends
-	evRestart                       // host a has a new process
-	evSampleSecond                  // the state of the hosts is written down
-	evLease                         // a host renews what it holds of the fleet's budgets
-	evExpiry                        // the quota store's clerk looks
-	evClientRetry                   // the caller of an ask asks anew
-	evAgent                         // agent a looks at its hosts
+	evLoad         eventKind = iota // the next request arrives
+	evReach                         // the attempt reaches its host
+	evCores                         // the host's cores may complete some work
+	evWake                          // the host's policy asked for a reading; detail: its token
+	evAnswer                        // the attempt's answer reaches its node
+	evDue                           // the request's client timeout
+	evRetry                         // the request is retried
+	evHedge                         // the request is hedged, if it is unanswered
+	evCallerGone                    // the attempt's host is notified that the caller has left
+	evDependency                    // the dependency may complete a call
+	evCallTimeout                   // the attempt's call times out; detail: its number
+	evRefresh                       // the node polls the endpoint registry
+	evListed                        // the endpoint registry lists the host (detail 1) or removes it (0)
+	evIdleCheck                     // the node's connection may have been idle for too long; detail: the slot
+	evWarmUp                        // the host's speed rises while it warms up
+	evOverload                      // the host may have been overloaded for too long
+	evFault                         // the fault begins
+	evFaultOver                     // the fault ends
+	evStop                          // the host's process exits after a shutdown notice
+	evRestart                       // the host's process is started again
+	evSampleSecond                  // the state of the fleet is recorded
+	evLease                         // the host renews its quota leases
+	evExpiry                        // the quota store expires leases
+	evClientRetry                   // the request's caller sends it again
+	evAgent                         // the agent polls its hosts
 )
 
-// event is 32 bytes on purpose: millions of them lie in the queue.
+// event is kept at 32 bytes, as millions of them are queued.
 type event struct {
 	at              Micros
 	seq             uint64
@@ -42,22 +43,22 @@
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// queue holds what is to come. Most of it comes after one of a few fixed delays (the network's, a client's time, a tick), so
-// that it is scheduled in the order of its time: that goes into lanes, which cost nothing to keep in order. The rest is a
-// heap of four children a node: fewer levels, and siblings lie side by side.
+// queue holds the scheduled events. Most events come after one of a few fixed delays (the network's, a client's
+// timeout, a tick) and so are scheduled in order of time: these go into lanes, which need no sorting. The rest goes
+// into a heap of four children a node: fewer levels, and siblings share cache lines.
 type queue struct {
 	heap  []event
 	lanes []lane
 	seq   uint64
 }
 
-// lane is a ring of events in order.
+// lane is a ring buffer of events in order of time.
 type lane struct {
 	ring       []event // its length is a power of two
 	head, tail uint64
 }
 
-// The first lanes; those of the client's times follow, one an operation while there are few.
+// Indexes of the lanes. Those of client timeouts follow from laneDue on, one for each of the first maxDueLanes operations.
 const (
 	laneNet = iota
 	laneTick
@@ -65,7 +66,7 @@
 	maxDueLanes = 6
 )
 
-// retriesLater schedules what comes after a fixed delay, in that delay's lane. Where it does not come last, it goes into the heap.
+// pushLane schedules an event in a lane, or in the heap where it would not be the lane's last.
 func (q *queue) pushLane(n int, e event) {
 	if n >= len(q.lanes) {
 		q.push(e)
@@ -91,7 +92,7 @@
 	l.tail++
 }
 
-// completionAt takes the earliest out; false: there is none.
+// next removes the earliest event; false where there is none.
 func (q *queue) next() (event, bool) {
 	best, from := (*event)(nil), -1
 	if len(q.heap) > 0 {
@@ -116,6 +117,7 @@
 	return *best, true
 }
 
+// push schedules an event in the heap.
 func (q *queue) push(e event) {
 	q.seq++
 	e.seq = q.seq
@@ -132,6 +134,7 @@
 	h[i] = e
 }
 
+// pop removes the earliest event of the heap, which must not be empty.
 func (q *queue) pop() event {
 	h := q.heap
 	top, last := h[0], h[len(h)-1]
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -17,7 +17,8 @@
 	return some
 }
 
-// beginFault begins one; bursts are the load's own. Who is concerned is drawn from a chance of its own, so that it is the same for all policies.
+// beginFault begins a fault; bursts are part of the load. The affected hosts are drawn by a generator of its own, so
+// that they are the same for all policies.
 func (w *world) beginFault(i int) {
 	fault := &w.scenario.Faults[i]
 	over := func() { w.queue.push(event{at: w.now + max(fault.Duration, 1), kind: evFaultOver, subject: int32(i)}) }
@@ -61,7 +62,7 @@
 	}
 }
 
-// killShare kills a share of the hosts; each comes back when the fault is over.
+// killShare kills a share of the hosts; each restarts when the fault is over.
 func (w *world) killShare(fault *Fault) {
 	for _, n := range w.randomHosts(fault.Share) {
 		if h := &w.hosts[n]; h.up {
@@ -81,23 +82,25 @@
 	w.partitionedHosts, w.quotaStoreCut = int32(len(w.hosts)+1)/2, true
 }
 
+// setSpeed changes the slowdown of a host's cores; 1 is full speed.
 func (w *world) setSpeed(h *host, slower float64) {
 	w.advanceCores(h)
 	h.slowdown = slower
 	w.updateCores(h)
 }
 
+// setDependencySpeed changes the slowdown of the dependency; 1 is full speed.
 func (w *world) setDependencySpeed(slower float64) {
 	w.dependency.advance(w.now)
 	w.dependencySlowdown = slower
 	w.updateDependency()
 }
 
-// continueRelease tells the next part of the hosts to leave; a release's own event comes again while some are left.
+// continueRelease drains the next batch of hosts. The event of a release repeats while some hosts are left.
 func (w *world) continueRelease(i int) {
 	fault := &w.scenario.Faults[i]
 	width := max(1, int(fault.BatchShare*float64(len(w.hosts))))
-	if w.agentsUnavailable { // nobody goes on with it; who was told leaves all the same
+	if w.agentsUnavailable { // no further batch begins; hosts that were notified still leave
 		w.queue.push(event{at: w.now + Second/4, kind: evFault, subject: int32(i)})
 		return
 	}
@@ -124,7 +127,7 @@
 	}
 }
 
-// sendNotice tells a host to leave; lost: the process never hears of it, and is stopped all the same.
+// sendNotice sends a host its shutdown notice. A lost one never reaches the process, which is stopped all the same.
 func (w *world) sendNotice(h *host, lost bool) {
 	h.noticedAt, h.exitsAt = w.now, w.now+w.scenario.Hosts.ExitTimeout
 	w.queue.push(event{at: h.exitsAt, kind: evStop, subject: h.number, gen: h.incarnation})
@@ -134,13 +137,13 @@
 	}
 	h.draining = true
 	w.decide(h, admission.DrainNotice{Left: w.scenario.Hosts.ExitTimeout})
-	if h.healthy { // a policy that says nothing of its health leaves the list all the same
+	if h.healthy { // also where the policy does not report its health as bad
 		h.healthy = false
 		w.queue.push(event{at: w.now + w.scenario.Registry.Lag, kind: evListed, subject: h.number, detail: 0})
 	}
 }
 
-// endFault ends a trouble.
+// endFault ends a fault.
 func (w *world) endFault(i int) {
 	fault := &w.scenario.Faults[i]
 	switch fault.Kind {
--- a/internal/simulation/fault_config.go
+++ b/internal/simulation/fault_config.go
@@ -1,34 +1,34 @@
 package simulation
 
-// Fault is one thing that breaks.
+// Fault is one disturbance of the day.
 type Fault struct {
 	Kind        FaultKind
 	At          Micros
 	Duration    Micros  `json:"For"`
-	Share       float64 // of the hosts, nodes or notices concerned
-	Factor      float64 // slower, or more, by so much
-	Tenant      int     // of a tenant's burst
-	BatchShare  float64 `json:"Width"` // part of the hosts that a release takes at once
-	ByFleet     bool    `json:"Fleet"` // a release goes by the real fleet's machine
-	LostNotices float64 `json:"Lost"`  // part of a release's notices that never arrive; the end comes all the same
+	Share       float64 // of the hosts or nodes that are affected
+	Factor      float64 // factor of the slowdown or of the load
+	Tenant      int     // index of the tenant of a TenantBurst
+	BatchShare  float64 `json:"Width"` // share of the hosts that a release replaces at once
+	ByFleet     bool    `json:"Fleet"` // a release is decided by fleet.Machine
+	LostNotices float64 `json:"Lost"`  // share of a release's shutdown notices that never arrive
 }
 
-// FaultKind is what breaks.
+// FaultKind is the kind of a fault. Its String is the word of experiment files.
 type FaultKind int
 
-// The troubles. Those with a span end after it.
+// The kinds of faults.
 const (
-	Death            FaultKind = iota // hosts die at once, and come back cold after the span
-	Slow                              // hosts' cores are slower by the factor
-	Gray                              // the same for what comes from half of the nodes alone: their way there takes longer
-	Release                           // all hosts are replaced in waves
+	Death            FaultKind = iota // hosts crash at once, and restart cold after the fault's duration
+	Slow                              // the cores of hosts are slower by the factor
+	Gray                              // messages of half of the nodes to some hosts are delayed
+	Release                           // all hosts are replaced by a rolling update
 	Burst                             // the load grows by the factor
-	TenantBurst                       // one tenant's does
-	NoisyNeighbour                    // others take 1 - 1/factor of the cores, now and then
-	Partition                         // between a share of the nodes and half of the hosts nothing passes
-	AgentUnavailable                  // no wave of a release goes on
+	TenantBurst                       // the load of one tenant grows by the factor
+	NoisyNeighbour                    // other processes take 1 - 1/factor of the cores
+	Partition                         // no message passes between a share of the nodes and half of the hosts
+	AgentUnavailable                  // no rolling update goes on
 	DependencySlow                    // the dependency is slower by the factor
-	ClockSkew                         // hosts' clocks stand off by the factor, in seconds, all day
+	ClockSkew                         // the clocks of hosts are wrong by the factor, in seconds, all day
 )
 
 var faultNames = []string{
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -5,8 +5,8 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// Decider decides for one life of one host: admit.Backend, unchanged, or a baseline that speaks the same events and
-// actions.
+// Decider decides for one incarnation of one host: admission.Backend, unchanged, or a baseline that speaks the same
+// events and actions. It appends its actions to out.
 type Decider interface {
 	Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action
 }
@@ -19,15 +19,15 @@
 	policy      Decider
 
 	cores            sharedWork
-	baseSpeed        float64 // speed of its own
-	slowdown         float64 // slower by so much
-	coreShare        float64 // part of the cores that is left to it
-	warmUpSpeed      float64 // speed of a cold one
+	baseSpeed        float64 // speed of the machine, about 1
+	slowdown         float64 // factor of a Slow fault; 1: none
+	coreShare        float64 // share of the cores that other processes leave
+	warmUpSpeed      float64 // speed by slow start, up to 1
 	startedAt        Micros
-	firstAttempt     int32 // attempts in hand, the latest first
+	firstAttempt     int32 // head of the list of attempts in flight, the latest first
 	inFlight         int
 	queued           int
-	running          int // on the cores
+	running          int // runs on the cores
 	reading          int
 	inCalls          int
 	memory           float64
@@ -36,22 +36,22 @@
 	idleTimeout      Micros
 	healthy          bool
 	draining         bool
-	noticedAt        Micros // of the notice
+	noticedAt        Micros // when the shutdown notice came
 	exitsAt          Micros
-	overloadedAt     Micros // beyond its crowd since; 0: it is not
+	overloadedAt     Micros // since when it has been overloaded; 0: it is not
 	busyMicros       float64
 	busyUpdatedAt    Micros
-	busyAtReading    float64 // at the last reading
+	busyAtReading    float64 // busyMicros at the last reading
 	readingAt        Micros
-	busyAtSecond     float64 // at the last second
+	busyAtSecond     float64 // busyMicros at the last full second
 	clockSkew        Micros
-	managedByAgent   bool // an agent with the real fleet starts and stops it
+	managedByAgent   bool // a hostAgent starts and stops it
 	cachedResults    map[string]*cachedResult
 	resultsByRequest map[uint64]string
 	degradation      *degradationState
 }
 
-// cachedResult is a remembered request.
+// cachedResult is the result of a request with an idempotency key, or its pending run.
 type cachedResult struct {
 	expiresAt Micros
 	ended     bool
@@ -59,14 +59,14 @@
 	attempt   int32
 }
 
-// reduced is a ladder of levels on one host.
+// degradationState is the graceful degradation of one host.
 type degradationState struct {
 	controller *degradation.Controller
 	shedder    *degradation.Shedder
 	signals    *degradation.SignalMeter
 }
 
-// startProcess starts a process on a host.
+// startProcess starts the next incarnation of a host. A cold one warms up.
 func (w *world) startProcess(h *host, cold bool) error {
 	h.incarnation++
 	w.result.Incarnations++
--- a/internal/simulation/host_actions.go
+++ b/internal/simulation/host_actions.go
@@ -5,7 +5,7 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// decide hands one event to a host's policy and does what it says.
+// decide passes one event to a host's policy and performs its actions.
 func (w *world) decide(h *host, ev admission.Event) {
 	w.result.Decisions++
 	var acts [4]admission.Action
@@ -63,7 +63,7 @@
 	}
 }
 
-// inPhase is the attempt of that id where it is on the host and in that phase, else none.
+// inPhase returns the attempt of that id if it is on the host and in that phase, else none.
 func (w *world) inPhase(h *host, id string, p phase) int32 {
 	if j := w.inFlightAttempt(h, id); j != none && w.attempts[j].phase == p {
 		return j
@@ -71,7 +71,7 @@
 	return none
 }
 
-// answerable is the attempt of that id; an answer for one that is not in flight breaks rule 1.
+// answerable returns the attempt of that id. An answer for one that is not in flight breaks rule 1.
 func (w *world) answerable(h *host, id string) int32 {
 	j := w.inFlightAttempt(h, id)
 	if j == none {
@@ -80,6 +80,7 @@
 	return j
 }
 
+// throttle answers an attempt with a rejection.
 func (w *world) throttle(h *host, a admission.Throttle) {
 	j := w.answerable(h, a.ID)
 	if j == none {
@@ -87,16 +88,17 @@
 	}
 	att := &w.attempts[j]
 	att.retryIn, att.dontRetry = min(a.RetryAfter, w.scenario.Hosts.MaxRetryAfter), a.DontRetry
-	if r := h.degradation; r != nil && att.answers == 0 && !att.shed { // what a level sheds must not keep it
+	if r := h.degradation; r != nil && att.answers == 0 && !att.shed { // what degradation sheds must not keep the level up
 		r.signals.Count(degradation.Micros(w.now), degradation.Rejections)
 	}
 	w.answer(h, j, Throttled)
 	w.dropWaiter(h, j)
 }
 
-// keyKB is what an idempotency key takes of a host's memory.
+// keyKB is the memory that an idempotency key takes on a host.
 const keyKB = 0.2
 
+// remember caches the result of an attempt with an idempotency key.
 func (w *world) remember(h *host, a admission.Remember) {
 	j := w.attemptByID(a.ID)
 	if j == none {
@@ -114,7 +116,7 @@
 	h.keyKB += keyKB
 }
 
-// setHealth has the registry learn of a change after its lag.
+// setHealth changes a host's health, which the registry learns after its lag.
 func (w *world) setHealth(h *host, good bool) {
 	if good == h.healthy {
 		return
@@ -127,7 +129,7 @@
 	w.queue.push(event{at: w.now + w.scenario.Registry.Lag, kind: evListed, subject: h.number, detail: listed})
 }
 
-// inFlightAttempt is the attempt of that id that this life of a host has in hand.
+// inFlightAttempt returns the attempt of that id that this incarnation of the host has in flight, or none.
 func (w *world) inFlightAttempt(h *host, id string) int32 {
 	j := w.attemptByID(id)
 	if j == none || w.attempts[j].host != h.number || w.attempts[j].incarnation != h.incarnation || !w.attempts[j].atHost {
--- a/internal/simulation/host_agent.go
+++ b/internal/simulation/host_agent.go
@@ -8,19 +8,20 @@
 	"milletbarrow/internal/limits"
 )
 
-// hostAgent is an agent with the real fleet's machine: it releases its hosts in a wave and starts them again. It sees them as an
-// agent does, some time after they changed, and not at all while agents are gone.
+// hostAgent is an agent that runs fleet.Machine unchanged: it releases its hosts by rolling update and starts them
+// again. It observes them as an agent does, with a delay, and not at all while agents are unavailable. Slices are by
+// host, from firstHost on.
 type hostAgent struct {
 	machine      *fleet.Machine
-	firstHost    int // of its hosts
+	firstHost    int // index of its first host
 	incarnations []string
 	notices      []string
 	observed     []fleet.Observation
 	names        []string
-	lostNotices  float64 // part of its notices
+	lostNotices  float64 // share of its shutdown notices
 }
 
-// Of one agent, and how often it looks.
+// Hosts of one agent, and how often it polls them.
 const (
 	hostsPerAgent = 500
 	agentPeriod   = 25 * Millisecond
@@ -28,7 +29,7 @@
 
 func agentName(k int) string { return fmt.Sprintf("h%d", k+1) }
 
-// startAgents starts as many agents as the hosts need, for a release that the real fleet decides about.
+// startAgents starts as many agents as the hosts need, for a release that is decided by fleet.Machine.
 func (w *world) startAgents() error {
 	for first := 0; first < len(w.hosts); first += hostsPerAgent {
 		c := &hostAgent{firstHost: first}
@@ -55,14 +56,14 @@
 	return nil
 }
 
-// submit gives an agent's machine a command.
+// submit passes a command to an agent's machine.
 func (w *world) submit(c *hostAgent, command *fleet.Command) error {
 	steps, _, err := c.machine.Decide(fleet.Micros(w.now), fleet.CommandReceived{Command: command})
 	w.carryOut(c, slices.Clone(steps))
 	return err
 }
 
-// startFleetRelease has all hosts' agents begin a rolling update; its width is of each agent.
+// startFleetRelease has all agents begin a rolling update. Its batch is a share of each agent's hosts.
 func (w *world) startFleetRelease(i int) {
 	fault := &w.scenario.Faults[i]
 	for _, c := range w.agents {
@@ -77,7 +78,7 @@
 	}
 }
 
-// tickAgent tells an agent what it sees, and lets it go on.
+// tickAgent passes an agent its observations and a tick.
 func (w *world) tickAgent(i int32) {
 	c := w.agents[i]
 	if w.now < w.scenario.Duration || w.active > 0 {
@@ -109,7 +110,7 @@
 	w.carryOut(c, slices.Clone(steps))
 }
 
-// carryOut does what an agent's machine says.
+// carryOut performs the actions of an agent's machine.
 func (w *world) carryOut(c *hostAgent, steps []fleet.Action) {
 	for _, s := range steps {
 		k := slices.Index(c.names, s.Name)
--- a/internal/simulation/host_completion.go
+++ b/internal/simulation/host_completion.go
@@ -4,26 +4,26 @@
 	"milletbarrow/admission"
 )
 
-// finishRun tells the policy that a run is over and lets go of it.
+// finishRun tells the policy that a run has ended and releases the attempt.
 func (w *world) finishRun(h *host, j int32, out admission.Outcome) {
 	att := &w.attempts[j]
 	id, took := att.id, w.now-att.readAt
 	h.memory -= w.scenario.Hosts.RequestKB * (w.scenario.Hosts.RunFactor - 1)
-	att.phase, att.finishing = phaseAwaitingResult, true // off the cores; still in hand while the policy hears of it
+	att.phase, att.finishing = phaseAwaitingResult, true // off the cores; still in flight while the policy decides
 	w.decide(h, admission.Finished{ID: id, Outcome: out, Took: took})
 	if h.up && w.attempts[j].atHost && w.attempts[j].id == id {
 		w.leaveHost(h, j)
 	}
-	waits := w.attempts[j].waiters
+	waiters := w.attempts[j].waiters
 	w.attempts[j].waiters = nil
-	for _, k := range waits {
+	for _, k := range waiters {
 		if h.up && w.attempts[k].phase == phaseAwaitingResult && w.attempts[k].atHost && w.attempts[k].host == h.number && w.attempts[k].answers == 0 {
 			w.reuse(h, k)
 		}
 	}
 }
 
-// preempt ends a run before its end.
+// preempt takes a run off the cores before its end.
 func (w *world) preempt(h *host, j int32) {
 	att := &w.attempts[j]
 	w.advanceCores(h)
@@ -34,7 +34,7 @@
 	w.finishRun(h, j, admission.Canceled)
 }
 
-// reuse answers a repeat with what an earlier request brought, at once or when it ends.
+// reuse answers a repeated request with the result of the earlier one, at once or when that ends.
 func (w *world) reuse(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
@@ -60,7 +60,7 @@
 	}
 }
 
-// answer sends what a policy says. The one final answer is judged here.
+// answer sends the answer of a policy. The audit checks here that it is the only one.
 func (w *world) answer(h *host, j int32, out Outcome) {
 	att := &w.attempts[j]
 	w.audit.checkAnswer(w, h, att)
@@ -70,7 +70,7 @@
 		att.outcome = out
 		if d := w.networkDelay(w.requests[att.request].node, h.number); d >= 0 {
 			w.queue.pushLane(laneNet, event{at: w.now + d, kind: evAnswer, subject: j, gen: att.gen})
-		} else { // nobody hears it; the node counts it as open until its caller leaves
+		} else { // the answer is lost; for the node it is unanswered until its caller leaves
 			att.outcome = Reset
 			w.queue.push(event{at: max(w.now, att.dueAt) + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
 		}
@@ -80,14 +80,14 @@
 	}
 }
 
-// dropWaiter lets go of a repeat that was answered before the result came for which it waits.
+// dropWaiter releases a repeated request that was answered before the result it waits for.
 func (w *world) dropWaiter(h *host, j int32) {
 	if att := &w.attempts[j]; att.phase == phaseAwaitingResult && att.atHost && !att.finishing {
 		w.leaveHost(h, j)
 	}
 }
 
-// leaveHost takes an attempt out of its host's hand.
+// leaveHost removes an attempt from its host.
 func (w *world) leaveHost(h *host, j int32) {
 	att := &w.attempts[j]
 	if !att.atHost {
@@ -102,7 +102,7 @@
 	}
 	w.audit.checkLeave(w, h, att)
 	att.atHost = false
-	if att.callerGone && att.atNode && att.answers == 0 { // its node hears of the end by itself
+	if att.callerGone && att.atNode && att.answers == 0 { // its node learns of the end by itself
 		att.outcome = Reset
 		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
 	} else if att.callerGone && att.atNode {
@@ -120,7 +120,7 @@
 	w.freeAttempt(j)
 }
 
-// callerLeft is the word that a caller has gone.
+// callerLeft notifies a host that the caller of an attempt has left.
 func (w *world) callerLeft(j int32) {
 	att := &w.attempts[j]
 	h := &w.hosts[att.host]
@@ -128,13 +128,13 @@
 		return
 	}
 	if att.answers > 0 {
-		return // it crossed the answer
+		return // the notification crossed the answer
 	}
 	att.callerGone = true
 	if att.phase == phaseUnread {
 		return
 	}
-	if w.now >= att.dueAt && att.readAt < att.dueAt-w.scenario.Hosts.AnswerSlack { // it did not leave: its time ran out
+	if w.now >= att.dueAt && att.readAt < att.dueAt-w.scenario.Hosts.AnswerSlack { // the caller did not cancel: its time ran out
 		w.audit.breach(w, 1, h, att, "its caller's time is over and it has no answer")
 	}
 	was := att.phase
--- a/internal/simulation/host_cores.go
+++ b/internal/simulation/host_cores.go
@@ -7,7 +7,7 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// advanceCores brings the cores up to now; what changes their load or speed comes next, then after.
+// advanceCores brings the cores up to now. Call it before their load or speed changes, and updateCores after.
 func (w *world) advanceCores(h *host) {
 	n := min(float64(h.cores.running), float64(w.scenario.Hosts.Cores))
 	h.busyMicros += n * float64(w.now-h.busyUpdatedAt)
@@ -15,7 +15,8 @@
 	h.cores.advance(w.now)
 }
 
-// updateCores sets the speed that each job has now, and when the next one ends.
+// updateCores sets the speed of each job and schedules the next completion, after the load or speed of the cores
+// changed.
 func (w *world) updateCores(h *host) {
 	s := &w.scenario.Hosts
 	n, cores := float64(h.cores.running), float64(s.Cores)
@@ -23,7 +24,7 @@
 	if n > cores {
 		rate *= cores / n
 	}
-	// Past the crowd of runs what is done at all falls. Readers are no crowd: one reads at a time.
+	// With more runs than the host bears, its throughput falls. Reading does not count: one request is read at a time.
 	if bears, on := s.CollapseMultiple*cores, float64(h.running); on > bears {
 		rate *= (bears / on) * (bears / on)
 		if h.overloadedAt == 0 {
@@ -41,8 +42,8 @@
 	w.scheduleCompletion(&h.cores, evCores, h.number)
 }
 
-// checkOverdue schedules the next end of shared work. One that is scheduled too early finds nothing and looks again; that is
-// cheaper than to schedule anew with each change.
+// scheduleCompletion schedules the next completion of shared work. One that is scheduled too early finds nothing and
+// looks again; that is cheaper than to schedule anew at each change.
 func (w *world) scheduleCompletion(s *sharedWork, k eventKind, who int32) {
 	for len(s.jobs) > 0 && s.jobs[0].attempt != none && w.attempts[s.jobs[0].attempt].gen != s.jobs[0].generation {
 		s.pop()
@@ -59,9 +60,9 @@
 	w.queue.push(event{at: at, kind: k, subject: who, gen: s.generation})
 }
 
-const workEpsilon = 1e-3 // microseconds of work that count as none
+const workEpsilon = 1e-3 // microseconds of work that count as done
 
-// completeWork ends what has had its work.
+// completeWork ends the jobs on a host's cores that are due.
 func (w *world) completeWork(h *host) {
 	h.cores.completionAt = 0
 	if !h.up {
@@ -73,7 +74,7 @@
 		j := h.cores.pop()
 		att := &w.attempts[j.attempt]
 		if att.gen != j.generation || att.phase != phaseUnread && att.phase != phaseRunning || (att.phase == phaseUnread) != (j.stage == 0) {
-			continue // taken off before
+			continue // preempted meanwhile
 		}
 		h.cores.running--
 		if j.stage == 0 {
@@ -88,7 +89,7 @@
 	w.updateCores(h)
 }
 
-// putOnCores puts a run, or what is left of it after its call, on the cores.
+// putOnCores puts a run, or the half of it after its call, on the cores.
 func (w *world) putOnCores(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
@@ -102,7 +103,7 @@
 	w.updateCores(h)
 }
 
-// checkEffect is a run that has had its work: of the half before its call, or of all.
+// runCompleted handles a run whose work is done: up to its call, or all of it.
 func (w *world) runCompleted(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
@@ -133,6 +134,7 @@
 	w.finishRun(h, j, admission.OK)
 }
 
+// startRun starts a queued request.
 func (w *world) startRun(h *host, j int32) {
 	att := &w.attempts[j]
 	w.audit.checkStart(w, h, att)
--- a/internal/simulation/host_intake.go
+++ b/internal/simulation/host_intake.go
@@ -5,7 +5,7 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// reachHost is an attempt at its host's door.
+// reachHost delivers an attempt to its host, which has to read it.
 func (w *world) reachHost(j int32) {
 	att := &w.attempts[j]
 	h := &w.hosts[att.host]
@@ -38,26 +38,26 @@
 	w.updateCores(h)
 }
 
-// reject is a word from the network, not from the process.
+// reject ends an attempt by the network, not by the process.
 func (w *world) reject(j int32, out Outcome, after Micros) {
 	att := &w.attempts[j]
 	att.outcome = out
 	w.queue.push(event{at: w.now + after, kind: evAnswer, subject: j, gen: att.gen})
 }
 
-// requestRead hands a request to the policy.
+// requestRead passes a request that has been read to the policy.
 func (w *world) requestRead(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
 	op := &w.scenario.Operations[req.operation]
 	h.reading--
-	if att.callerGone { // taken back before it was read
+	if att.callerGone { // cancelled before it was read
 		w.updateCores(h)
 		w.leaveHost(h, j)
 		return
 	}
 	att.phase, att.readAt = phaseQueued, w.now
-	att.dueAt = max(att.dueAt, w.now) // what is read too late is owed an answer at once
+	att.dueAt = max(att.dueAt, w.now) // what is read too late is due at once
 	h.queued++
 	h.memory += w.scenario.Hosts.RequestKB
 	w.updateCores(h)
--- a/internal/simulation/host_lifecycle.go
+++ b/internal/simulation/host_lifecycle.go
@@ -5,7 +5,7 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// readGauges is a reading of the gauges.
+// readGauges passes a reading of the host's gauges to its policy and its degradation.
 func (w *world) readGauges(h *host, token int64) {
 	w.advanceCores(h)
 	w.updateCores(h)
@@ -29,7 +29,7 @@
 	}
 }
 
-// warmUp makes a cold host a little faster.
+// warmUp raises the speed of a cold host by a step.
 func (w *world) warmUp(h *host) {
 	s := &w.scenario.Hosts
 	w.advanceCores(h)
@@ -40,7 +40,7 @@
 	}
 }
 
-// checkOverload looks whether a host has been beyond its crowd all along.
+// checkOverload kills a host that has been overloaded for too long.
 func (w *world) checkOverload(h *host) {
 	switch {
 	case h.overloadedAt == 0:
@@ -52,13 +52,13 @@
 	}
 }
 
-// kill ends a host's process with everything in hand; it comes back cold.
+// kill crashes a host's process with everything in flight; it restarts cold.
 func (w *world) kill(h *host, out Outcome) {
 	w.terminate(h, out)
 	w.queue.push(event{at: w.now + 3*Second, kind: evRestart, subject: h.number})
 }
 
-// terminate loses everything that a host has in hand.
+// terminate ends a host's process and everything in flight on it.
 func (w *world) terminate(h *host, out Outcome) {
 	w.releaseQuotas(h)
 	w.advanceCores(h)
@@ -76,7 +76,7 @@
 		if att.phase == phaseCalling {
 			att.callGen++
 		}
-		att.phase = phaseUnread // of no life any more; not ended, or it would not be let go of
+		att.phase = phaseUnread // of no incarnation any more; not phaseEnded, or it would not be freed
 		w.freeAttempt(j)
 		j = next
 	}
@@ -84,7 +84,7 @@
 	w.queue.push(event{at: w.now + w.scenario.Registry.Lag, kind: evListed, subject: h.number, detail: 0})
 }
 
-// exitProcess is the end of a process that was told to leave.
+// exitProcess stops a process at the end of its shutdown window.
 func (w *world) exitProcess(h *host) {
 	for j := h.firstAttempt; j != none; j = w.attempts[j].next {
 		if att := &w.attempts[j]; att.answers == 0 && !att.callerGone && att.phase != phaseUnread && !h.noticeLost() {
@@ -92,19 +92,20 @@
 		}
 	}
 	w.terminate(h, Reset)
-	if !h.managedByAgent { // else its agent starts it
+	if !h.managedByAgent { // else its agent restarts it
 		w.queue.push(event{at: w.now + 200*Millisecond, kind: evRestart, subject: h.number})
 	}
 }
 
-// noticeLost: the shutdown notice never came.
+// noticeLost reports whether the shutdown notice never reached the process.
 func (h *host) noticeLost() bool { return !h.draining }
 
+// restart starts a host's process again, if it is down.
 func (w *world) restart(h *host) {
 	if h.up {
 		return
 	}
 	if err := w.startProcess(h, true); err != nil {
-		panic(err) // the ladder was taken at the start
+		panic(err) // the degradation policy was accepted at the first start
 	}
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -4,14 +4,14 @@
 	"math"
 )
 
-// node is an edge node: it knows some hosts, opens connections to them and makes attempts.
+// node is an edge node: it knows some hosts, holds connections to them and sends attempts.
 type node struct {
 	slots           []slot
-	view            []int32 // slots that are on its list now
-	registryVersion uint32  // of the endpoint registry, when it last looked
+	view            []int32 // indexes of the slots that are on its endpoint list
+	registryVersion uint32  // as of its last poll
 	nextSlot        int
 	ignoresAdvice   bool
-	requested       decayingSum // for its own throttle
+	requested       decayingSum // for client-side throttling, as is accepted
 	accepted        decayingSum
 }
 
@@ -19,19 +19,20 @@
 type slot struct {
 	host        int32
 	inFlight    int32
-	incarnation uint32 // of the host to which the connection leads
+	incarnation uint32 // of the process to which the connection leads
 	connected   bool
 	usedAt      Micros
 	avoidUntil  Micros
-	latency     float64 // microseconds an answer takes of late
+	latency     float64 // moving average of the time to an answer, in microseconds
 }
 
-// decayingSum is a sum that forgets.
+// decayingSum is a sum whose past decays exponentially.
 type decayingSum struct {
 	sum       float64
 	updatedAt Micros
 }
 
+// add decays the sum by the time since the last call and adds x.
 func (d *decayingSum) add(now, over Micros, x float64) {
 	if now > d.updatedAt {
 		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(over))
@@ -40,8 +41,8 @@
 	d.sum += x
 }
 
-// placeNode gives a node its hosts: every so many along the ring, so that the hosts' parts are alike, and twice as many as it
-// uses, so that it has others when some leave the endpoint registry.
+// placeNode gives a node its hosts: every n-th along a ring, so that all hosts are known to about as many nodes, and
+// twice as many as it uses, so that it has others when some leave the endpoint registry.
 func (w *world) placeNode(i int32) {
 	n, h := &w.nodes[i], w.scenario.Hosts.Count
 	size := w.scenario.Nodes.Subset
@@ -70,6 +71,7 @@
 	return a
 }
 
+// refreshNode lets a node poll the endpoint registry, and schedules its next poll.
 func (w *world) refreshNode(i int32) {
 	if w.now >= w.scenario.Duration && w.active == 0 {
 		return
@@ -80,6 +82,7 @@
 	w.queue.push(event{at: w.now + w.scenario.Nodes.RefreshInterval, kind: evRefresh, subject: i})
 }
 
+// refreshView takes a node's endpoint list from the registry.
 func (w *world) refreshView(n *node) {
 	n.registryVersion = w.registryVersion
 	size := w.scenario.Nodes.Subset
@@ -94,7 +97,8 @@
 	}
 }
 
-// connect opens the connection that an attempt needs, or uses the one that is there; false: the host has no room.
+// connect opens the connection that an attempt needs, or reuses the present one. ok is false where the host has no
+// connection left.
 func (w *world) connect(att *attempt, h *host) (opened, ok bool) {
 	n := &w.nodes[w.requests[att.request].node]
 	sl := &n.slots[att.slot]
@@ -111,6 +115,7 @@
 	return true, true
 }
 
+// checkIdle closes a connection that has been idle for too long, or schedules the next check.
 func (w *world) checkIdle(node, k int32) {
 	sl := &w.nodes[node].slots[k]
 	h := &w.hosts[sl.host]
--- a/internal/simulation/node_attempts.go
+++ b/internal/simulation/node_attempts.go
@@ -6,7 +6,7 @@
 	"milletbarrow/admission"
 )
 
-// startAttempt sends one attempt. A further one carries the retry mark.
+// startAttempt sends one attempt of a request. A retry is marked as such.
 func (w *world) startAttempt(i int32, retry bool) {
 	req := &w.requests[i]
 	n := &w.nodes[req.node]
@@ -14,7 +14,7 @@
 	if w.policy.throttles(w.scenario) {
 		n.requested.add(w.now, s.ThrottleWindow, 1)
 		n.accepted.add(w.now, s.ThrottleWindow, 0)
-		// Client-side throttling by the share accepted of late, "Handling Overload", Site Reliability Engineering, 2016: K = 2.
+		// Client-side throttling by the share accepted recently, "Handling Overload", Site Reliability Engineering, 2016: K = 2.
 		if w.nodeRand.Float64() < (n.requested.sum-2*n.accepted.sum)/(n.requested.sum+1) {
 			w.retryOrEnd(i, Local)
 			return
@@ -22,7 +22,7 @@
 	}
 	k := w.chooseSlot(req, n)
 	op := &w.scenario.Operations[req.operation]
-	if op.RetrySafety == admission.IdempotencyKeyed && req.maybeRan { // only the one that may have run it knows of it
+	if op.RetrySafety == admission.IdempotencyKeyed && req.maybeRan { // only the host that may have run it knows the key
 		k = req.lastSlot
 		if !w.listed[n.slots[k].host] {
 			k = none
@@ -48,7 +48,7 @@
 	sl.inFlight++
 	w.result.Attempts++
 	delay := w.networkDelay(req.node, sl.host)
-	if delay < 0 { // cut off: it finds out when no connection comes about
+	if delay < 0 { // partitioned: the node finds out when the connection times out
 		att.outcome = Unreachable
 		w.queue.push(event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, gen: att.gen})
 		return
@@ -56,7 +56,7 @@
 	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evReach, subject: j, gen: att.gen})
 }
 
-// networkDelay is how long a message takes between a node and a host; negative: it never arrives.
+// networkDelay returns how long a message takes between a node and a host; negative: it never arrives.
 func (w *world) networkDelay(node, host int32) Micros {
 	if len(w.partitionedNodes) > 0 && host < w.partitionedHosts && w.partitionedNodes[node] {
 		return -1
@@ -68,7 +68,7 @@
 	return d
 }
 
-// receiveAnswer is a node's end of an attempt: an answer, or the word that there is none.
+// receiveAnswer handles the end of an attempt at its node: an answer, or a connection that failed.
 func (w *world) receiveAnswer(j int32) {
 	att := &w.attempts[j]
 	i := att.request
@@ -113,14 +113,14 @@
 	w.retryOrEnd(i, out)
 }
 
-// retryOrEnd is the decision about a retry.
+// retryOrEnd decides whether a request is retried after an attempt without success.
 func (w *world) retryOrEnd(i int32, out Outcome) {
 	req := &w.requests[i]
 	n := &w.nodes[req.node]
 	op := &w.scenario.Operations[req.operation]
 	s := &w.scenario.Nodes
 	if req.openAttempts[0] != none || req.openAttempts[1] != none {
-		return // a copy is still open
+		return // a hedged attempt is still open
 	}
 	safe := out == Throttled || out == Unreachable || out == Local || op.RetrySafety != admission.NonIdempotent
 	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts || out == Local {
@@ -139,6 +139,7 @@
 	w.queue.push(event{at: at, kind: evRetry, subject: i, gen: req.gen})
 }
 
+// succeedRequest ends a request with success and records its value.
 func (w *world) succeedRequest(i int32, skipped bool) {
 	req := &w.requests[i]
 	op := &w.scenario.Operations[req.operation]
@@ -155,7 +156,7 @@
 	w.closeRequest(i)
 }
 
-// failRequest gives an ask up. Its caller may ask anew.
+// failRequest ends a request without success. Its caller may send it again.
 func (w *world) failRequest(i int32, out Outcome) {
 	req := &w.requests[i]
 	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), out, w.now-req.arrivedAt, 0)
@@ -170,7 +171,7 @@
 	w.closeRequest(i)
 }
 
-// notifyCallers lets the hosts know, late, that nobody waits any more.
+// notifyCallers notifies the hosts of open attempts, with a delay, that the caller has left.
 func (w *world) notifyCallers(req *request) {
 	for _, j := range req.openAttempts {
 		if j == none || w.scenario.Nodes.CancelDelay < 0 {
@@ -182,6 +183,7 @@
 	}
 }
 
+// closeRequest ends a request for good.
 func (w *world) closeRequest(i int32) {
 	req := &w.requests[i]
 	w.notifyCallers(req)
@@ -189,15 +191,15 @@
 	w.releaseRequest(i)
 }
 
-// releaseRequest frees an ask once no attempt of it is open.
+// releaseRequest frees an ended request once no attempt of it is left.
 func (w *world) releaseRequest(i int32) {
 	if req := &w.requests[i]; req.finished && !req.retriesLater && req.liveAttempts == 0 {
-		req.finished = false // once
+		req.finished = false // so that it is freed once
 		w.freeRequest(i)
 	}
 }
 
-// repeatRequest begins a caller's wish again, without a mark: for the node it is a first try.
+// repeatRequest sends a caller's request again, without a retry mark: for the node it is a first attempt.
 func (w *world) repeatRequest(i int32) {
 	old := w.requests[i]
 	k := w.newRequest()
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -9,17 +9,17 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// Policy is what is measured: what a host decides with, and how nodes choose where that is part of it.
+// Policy is what an experiment measures: what hosts decide with, and how nodes choose hosts where that is part of it.
 type Policy struct {
 	Name        string
 	New         func(t admission.Config, seed uint64) Decider
-	Degradation *degradation.Policy // levels of reduced service before the module; nil: none
-	Balance     *Balance            // instead of the scenario's
-	Throttles   bool                // nodes throttle by themselves
-	QuotaSource QuotaSource         // where hosts have their part of the tenants' quotas from
-	KnowsWork   bool                // hints are the true work: an oracle's
-	Description string
-	Source      string
+	Degradation *degradation.Policy // graceful degradation in front of the module; nil: none
+	Balance     *Balance            // overrides the scenario's; nil: it does not
+	Throttles   bool                // nodes throttle on the client side
+	QuotaSource QuotaSource         // how hosts get their part of the tenants' quotas
+	KnowsWork   bool                // hints are the true work, for the oracle
+	Description string              // one line, for lists
+	Source      string              // where the algorithm is from
 }
 
 func (p *Policy) balance(s *Scenario) Balance {
@@ -31,10 +31,10 @@
 
 func (p *Policy) throttles(s *Scenario) bool { return p.Throttles || s.Nodes.Throttles }
 
-// Module is the name of the policy that is admit, unchanged.
+// Module is the name of the policy that is admission.Backend, unchanged.
 const Module = "milletbarrow"
 
-// Policies are all there are: the module first, then the baselines, which serve nobody, and the oracle.
+// Policies returns all policies: the module first, then the baselines, which serve nobody, and the oracle.
 func Policies() []Policy {
 	two, least, oracle := TwoChoices, LeastLoad, Oracle
 	short := pooled(func(*pool) {})
@@ -88,7 +88,7 @@
 	}
 }
 
-// PolicyNamed finds a policy, or tells which there are.
+// PolicyNamed finds a policy by name. The error is an *UnknownPolicyError.
 func PolicyNamed(name string) (*Policy, error) {
 	all := Policies()
 	if i := slices.IndexFunc(all, func(p Policy) bool { return p.Name == name }); i >= 0 {
--- a/internal/simulation/pool.go
+++ b/internal/simulation/pool.go
@@ -7,7 +7,8 @@
 	"milletbarrow/admission"
 )
 
-// pooled makes a baseline of a thread pool, a run a core and a queue of four a core unless shape sets it otherwise.
+// pooled returns a constructor of a thread pool baseline, with a run a core and a queue of four a core unless shape
+// changes that.
 func pooled(shape func(*pool)) func(admission.Config, uint64) Decider {
 	return func(t admission.Config, _ uint64) Decider {
 		p := &pool{config: t, runsByID: map[string]*pooledRun{}, drainingAt: never, stopAt: never}
@@ -20,26 +21,27 @@
 
 const never = Micros(1 << 60)
 
-// pool is the frame of the baselines. It keeps the four rules as the module must: else a comparison would be with
-// something that nobody may run.
+// pool is the common part of the baselines. It keeps the four rules as the module does, as a comparison with a policy
+// that breaks them would mean nothing.
 type pool struct {
 	config                  admission.Config
-	concurrency, queueLimit int // runs at once, and how many wait
+	concurrency, queueLimit int // bounds of running and of queue
 	adapt                   func(p *pool, now Micros, took Micros, late bool)
-	targetDelay             Micros // of controlled delay; 0: in turn
-	byValue                 bool   // by value for its work
+	targetDelay             Micros // of controlled delay; 0: first in, first out
+	byValue                 bool   // order by priority for its work
 	runsByID                map[string]*pooledRun
 	queue                   []*pooledRun
 	runs                    []*pooledRun
 	running                 int
 	tick                    Micros
 	drainingAt, stopAt      Micros
-	queueEmptyAt            Micros  // the line was empty last
-	longTerm, shortTerm     float64 // times of runs, long-term and at present
-	estimate                float64 // the limit, exactly
+	queueEmptyAt            Micros  // when the queue was empty last
+	longTerm, shortTerm     float64 // moving averages of the duration of runs
+	estimate                float64 // the concurrency limit before rounding
 	successes               int
 }
 
+// pooledRun is a request in a pool, queued or running.
 type pooledRun struct {
 	id                          string
 	arrivedAt, dueAt, startedAt Micros
@@ -49,6 +51,7 @@
 	running, answered           bool
 }
 
+// Decide implements Decider.
 func (p *pool) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	switch e := ev.(type) {
 	case admission.Opened:
@@ -88,8 +91,10 @@
 	return p.startNext(now, out)
 }
 
+// lastAnswerAt returns when the last answers are sent before the process exits.
 func (p *pool) lastAnswerAt() Micros { return p.stopAt - 3*p.tick }
 
+// arrive queues or rejects a request.
 func (p *pool) arrive(now Micros, a admission.Arrived, out []admission.Action) []admission.Action {
 	op := &p.config.Operations[a.Operation]
 	if now-a.QueueTime > p.drainingAt+p.config.DrainGrace || now >= p.lastAnswerAt() || a.ShedFor > 0 {
@@ -107,6 +112,7 @@
 	return out
 }
 
+// remove forgets a request.
 func (p *pool) remove(j *pooledRun) {
 	delete(p.runsByID, j.id)
 	is := func(o *pooledRun) bool { return o == j }
@@ -118,7 +124,7 @@
 	}
 }
 
-// startNext starts what may run: in turn, the newest first under delay, or the dearest for its work.
+// startNext starts what may run: first in, first out; the newest first under controlled delay; or by value.
 func (p *pool) startNext(now Micros, out []admission.Action) []admission.Action {
 	for p.running < p.concurrency && len(p.queue) > 0 {
 		k := 0
@@ -149,8 +155,8 @@
 	return out
 }
 
-// expire answers what can wait no longer; under delay, what has waited longer than allowed: 5 ms while the line does not
-// empty, else 100.
+// expire answers what can wait no longer. Under controlled delay that is also what has waited for targetDelay, or for a
+// twentieth of it while the queue does not empty.
 func (p *pool) expire(now Micros, out []admission.Action) []admission.Action {
 	for _, j := range slices.Clone(p.runs) {
 		allowed := p.targetDelay
@@ -171,11 +177,12 @@
 	return out
 }
 
-// maxConcurrency is what a host is set up to bear at the most: nobody lets a limit grow past that.
+// maxConcurrency returns the number of runs beyond which a host collapses, with a margin; no limit grows past it.
 func (p *pool) maxConcurrency() float64 {
 	return 0.8 * p.config.CollapseMultiple * float64(p.config.Cores)
 }
 
+// adaptAIMD changes the limit by additive increase and multiplicative decrease.
 func adaptAIMD(p *pool, _, _ Micros, late bool) {
 	if late {
 		p.concurrency = max(p.config.Cores, p.concurrency*9/10)
@@ -185,6 +192,7 @@
 	}
 }
 
+// adaptGradient changes the limit by the ratio of the long-term to the recent duration of runs.
 func adaptGradient(p *pool, _, took Micros, _ bool) {
 	x := float64(took)
 	if p.longTerm == 0 {
@@ -192,7 +200,7 @@
 	}
 	p.shortTerm += (x - p.shortTerm) * 0.1
 	p.longTerm += (x - p.longTerm) * 0.002
-	if p.longTerm > 2*p.shortTerm { // after a long crowd the usual is forgotten faster
+	if p.longTerm > 2*p.shortTerm { // recovers faster from a long overload
 		p.longTerm *= 0.95
 	}
 	g := max(0.5, min(1, 1.5*p.longTerm/p.shortTerm))
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -8,26 +8,27 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// QuotaSource says where a host's part of the tenants' quotas comes from.
+// QuotaSource says how a host gets its part of the tenants' quotas.
 type QuotaSource int
 
-// The ways. Guess is the module's own, by the fleet's size that it was told; the others tell it.
+// The sources. With GuessedQuotas the module divides by the fleet's size that it was configured with; with the others a quota
+// holder tells it whether a request is within its tenant's quota.
 const (
 	GuessedQuotas QuotaSource = iota
-	LeasedQuotas              // by manage/budget's quota store, unchanged, with leases that hosts hold
-	EvenQuotas                // an even part of the quota by the size that was told, and not more, whoever is there
-	GlobalQuotas              // an oracle's: one count for all hosts, seen at once
+	LeasedQuotas              // leases of cluster/quota's state machine, unchanged
+	EvenQuotas                // an even part by the configured size of the fleet, whoever is up
+	GlobalQuotas              // one count for all hosts, without delay: an oracle's
 )
 
 var quotaSourceNames = []string{"guess", "divided", "even", "whole"}
 
-// QuotaSourceNamed finds a way by its name.
+// QuotaSourceNamed finds a source by its word in experiment files; -1 where there is none.
 func QuotaSourceNamed(name string) QuotaSource { return QuotaSource(indexOf(quotaSourceNames, name)) }
 
-// QuotaSourceNames lists them.
+// QuotaSourceNames returns the words of experiment files, in the order of the constants.
 func QuotaSourceNames() []string { return quotaSourceNames }
 
-// AdmissionConfig of the modelled quota store: a lease as installations have it, and a floor that is a part of an even share.
+// Configuration of the simulated quota store: a lease as installations have it, and a floor as a part of an even share.
 const (
 	leaseDuration = 3 * Second
 	leaseMargin   = leaseDuration / 20
@@ -35,20 +36,20 @@
 	floorShare    = 0.2
 )
 
-// quotas is what hosts draw from on a day with shares.
+// quotaState is what hosts draw from on a day with a QuotaSource other than GuessedQuotas.
 type quotaState struct {
 	source     QuotaSource
 	store      *quota.State
 	tracker    quota.LeaseTracker
 	holders    []*backendquota.Holder // by host
-	global     *backendquota.Holder   // the oracle's
-	limitIndex []int                  // by tenant: its budget in a holder, or -1
+	global     *backendquota.Holder   // of GlobalQuotas
+	limitIndex []int                  // by tenant: index of its limit in a holder, or -1
 	limitNames []string
 }
 
 func hostName(n int32) string { return fmt.Sprint("n", n) }
 
-// openQuotas begins a day's division.
+// openQuotas sets up the quota store or the holders of the day.
 func (w *world) openQuotas() {
 	if w.policy.QuotaSource == GuessedQuotas || len(w.scenario.Tenants) == 0 {
 		return
@@ -84,7 +85,7 @@
 	}
 }
 
-// fixedHolder draws from a part of each budget, for good.
+// fixedHolder returns a holder of a fixed part of each limit, without a lease.
 func fixedHolder(name, incarnation string, all []quota.Limit, parts int64) *backendquota.Holder {
 	names := make([]string, 0, len(all))
 	for _, b := range all {
@@ -96,13 +97,13 @@
 		a.Grants = append(a.Grants, backendquota.Grant{Budget: b.Name, Epoch: 1, Floor: b.Total / parts})
 	}
 	if err := h.Apply(0, a); err != nil {
-		panic(err) // the terms were checked
+		panic(err) // the configuration was checked
 	}
 	return h
 }
 
-// quotaPrice is what one that succeeds now is worth beside its billed value: less beyond its tenant's quota, counted over all hosts
-// attempt once, whatever the policy knew of it.
+// quotaPrice returns the factor by which a success of a tenant counts now: 1 within its quota over all hosts,
+// overQuotaValue beyond it, whatever the policy knew of it.
 func (w *world) quotaPrice(tenant int) float64 {
 	if len(w.scenario.Tenants) == 0 || w.scenario.Tenants[tenant].Quota < 1 {
 		return 1
@@ -120,7 +121,7 @@
 	return overQuotaValue
 }
 
-// startQuotas gives a host's new process its side.
+// startQuotas gives a host's new process its quota holder.
 func (w *world) startQuotas(h *host) {
 	sh := w.quotas
 	if sh == nil || sh.source == GlobalQuotas {
@@ -138,11 +139,11 @@
 		return
 	}
 	sh.holders[h.number] = backendquota.New(name, incarnation, sh.limitNames)
-	// Hosts ask spread over the pause, as agents that were started at their own times do.
+	// Renewals are spread over the interval, as of agents that were started at different times.
 	w.queue.push(event{at: w.now + 1 + Micros(h.number)*leaseRenewal/Micros(len(w.hosts)), kind: evLease, subject: h.number, gen: h.incarnation})
 }
 
-// fleetSize is the fleet's size as hosts were told it.
+// fleetSize returns the size of the fleet that hosts are configured with.
 func (h *HostConfig) fleetSize() int {
 	if h.ReportedFleetSize > 0 {
 		return h.ReportedFleetSize
@@ -150,21 +151,21 @@
 	return h.Count
 }
 
-// renewLeases renews what a host holds, where the quota store can be reached from it. A call takes a thousandth of a lease, which
-// is left out.
+// renewLeases renews a host's leases, where it can reach the quota store. The duration of the call, a thousandth of a
+// lease, is left out.
 func (w *world) renewLeases(h *host) {
 	sh := w.quotas
 	if !w.quotaStoreCut || h.number >= w.partitionedHosts {
 		holder, now := sh.holders[h.number], backendquota.Micros(w.now)
 		r := sh.store.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
 		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
-			_ = holder.Apply(now, r.Answers[0]) // a refused answer leaves the shares as they are
+			_ = holder.Apply(now, r.Answers[0]) // a rejected answer leaves the leases as they are
 		}
 	}
 	w.queue.push(event{at: w.now + leaseRenewal, kind: evLease, subject: h.number, gen: h.incarnation})
 }
 
-// expireLeases has the quota store's clerk look for what is over.
+// expireLeases lets the quota store expire leases and divide anew.
 func (w *world) expireLeases() {
 	sh := w.quotas
 	if over, divide := sh.tracker.Tick(quota.Micros(w.now), sh.store); divide || len(over) > 0 {
@@ -175,7 +176,7 @@
 	}
 }
 
-// releaseQuotas tells the quota store that a process has ended, as the agent of its host would.
+// releaseQuotas tells the quota store that a process has exited, as the agent of its host would.
 func (w *world) releaseQuotas(h *host) {
 	if sh := w.quotas; sh != nil && sh.source == LeasedQuotas && (!w.quotaStoreCut || h.number >= w.partitionedHosts) {
 		name := hostName(h.number)
@@ -183,7 +184,7 @@
 	}
 }
 
-// drawQuota takes a unit for what a host has just read.
+// drawQuota takes a unit of the tenant's quota for a request that a host has just read.
 func (w *world) drawQuota(h *host, tenant int) admission.QuotaStanding {
 	holder, i := w.holderFor(h, tenant)
 	if holder == nil {
@@ -197,7 +198,7 @@
 	return admission.OverQuota
 }
 
-// refundQuota lets others have the unit that was drawn for what never ran.
+// refundQuota returns the unit that was drawn for a request that never ran.
 func (w *world) refundQuota(h *host, att *attempt) {
 	if !att.quotaDrawn {
 		return
@@ -208,7 +209,7 @@
 	}
 }
 
-// holderFor is what a host draws a tenant's units from, and the budget there; nil where nothing tells it.
+// holderFor returns what a host draws a tenant's units from and the index of the limit there; nil where there is none.
 func (w *world) holderFor(h *host, tenant int) (*backendquota.Holder, int) {
 	sh := w.quotas
 	if sh == nil || sh.limitIndex[tenant] < 0 {
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -4,28 +4,29 @@
 	"fmt"
 )
 
-// request is what one caller wants: it may take several attempts, and, where the caller asks anew, several incarnations.
+// request is what one caller wants. It may take several attempts and, where the caller sends it again, several entries
+// in world.requests.
 type request struct {
-	number         uint64 // the same through all that the caller asks anew
+	number         uint64 // in the day, from 1; the same when the caller sends it again
 	node           int32
 	operation      int16
 	tenant         int16
 	attempts       int32
 	clientRetries  uint8
 	finished       bool
-	retriesLater   bool // its caller will ask anew
-	maybeRan       bool // an attempt may have run without a word of it
+	retriesLater   bool // its caller will send it again
+	maybeRan       bool // an attempt may have run without an answer
 	retryForbidden bool
-	openAttempts   [2]int32 // attempts without an answer; -1: none
-	liveAttempts   int32    // attempts that still name it, running ones that nobody waits for included
+	openAttempts   [2]int32 // unanswered attempts, or none
+	liveAttempts   int32    // attempts that still refer to it, also runs that nobody waits for
 	gen            uint32
 	arrivedAt, due Micros
-	work           float64 // core time
+	work           float64 // core time, microseconds
 	hint           Micros
 	lastSlot       int32 // slot of the latest attempt
 }
 
-// phase of an attempt.
+// phase is the progress of an attempt.
 type phase uint8
 
 const (
@@ -39,34 +40,34 @@
 	phaseEnded
 )
 
-// attempt is one try at one host.
+// attempt is one attempt of a request at one host.
 type attempt struct {
 	id                       string
 	request                  int32
 	host                     int32
 	slot                     int32
-	incarnation              uint32 // of the host, when it was sent
+	incarnation              uint32 // of the host, when it arrived
 	gen                      uint32
 	phase                    phase
 	answers                  uint8
 	outcome                  Outcome
-	callerGone               bool // its host knows that the caller has left
+	callerGone               bool // its host was notified that the caller has left
 	retry                    bool
 	skipped                  bool
-	shed                     bool // by a level
-	finishing                bool // the policy hears that it is over
+	shed                     bool // by graceful degradation
+	finishing                bool // the policy is being told of its end
 	called                   bool
-	quotaDrawn               bool // a unit of its tenant's share
-	atHost, atNode           bool // who still has to do with it
+	quotaDrawn               bool // a unit of its tenant's quota was drawn
+	atHost, atNode           bool // who still refers to it
 	prev, next               int32
 	reachedAt, readAt, dueAt Micros
 	callGen                  uint32
 	retryIn                  Micros
 	dontRetry                bool
-	waiters                  []int32 // attempts that repeat this one and wait for its result
+	waiters                  []int32 // repeated requests that wait for its result
 }
 
-// Outcome is how an attempt or an ask ended, as the node sees it.
+// Outcome is how an attempt or a request ended, as the node sees it.
 type Outcome uint8
 
 // The outcomes.
@@ -74,10 +75,10 @@
 	Succeeded Outcome = iota
 	Throttled
 	Errored
-	Unreachable // nothing ran
-	Reset       // nobody knows
-	Lost        // no answer in the client's time
-	Local       // the node throttled it by itself
+	Unreachable // no connection: nothing ran
+	Reset       // the connection ended: it may have run
+	Lost        // no answer within the client timeout
+	Local       // throttled by the node itself
 	outcomes
 )
 
@@ -85,6 +86,7 @@
 
 const none = int32(-1)
 
+// newRequest returns the index of a new request.
 func (w *world) newRequest() int32 {
 	w.active++
 	if n := len(w.freeRequests); n > 0 {
@@ -97,12 +99,14 @@
 	return int32(len(w.requests) - 1)
 }
 
+// freeRequest makes an index available again.
 func (w *world) freeRequest(i int32) {
 	w.active--
 	w.requests[i].gen++
 	w.freeRequests = append(w.freeRequests, i)
 }
 
+// newAttempt returns the index of a new attempt. Its id begins with the index; a unique one is never used again.
 func (w *world) newAttempt(unique bool) int32 {
 	w.active++
 	var i int32
@@ -116,14 +120,14 @@
 		i = int32(len(w.attempts) - 1)
 		w.attempts[i].id = fmt.Sprintf("%d", i)
 	}
-	if unique { // what a host remembers must not be met again under another's name
+	if unique { // a host that caches by id must not meet it again
 		w.lastUniqueID++
 		w.attempts[i].id = fmt.Sprintf("%d.%d", i, w.lastUniqueID)
 	}
 	return i
 }
 
-// freeAttempt lets go of an attempt with which nobody has to do any more.
+// freeAttempt makes an attempt's index available again once neither host nor node refers to it.
 func (w *world) freeAttempt(i int32) {
 	if att := &w.attempts[i]; !att.atHost && !att.atNode && att.phase != phaseEnded {
 		att.phase = phaseEnded
@@ -135,7 +139,7 @@
 	}
 }
 
-// attemptByID finds the attempt that a policy names: its id begins with its place.
+// attemptByID returns the attempt that a policy names, or none.
 func (w *world) attemptByID(id string) int32 {
 	n := 0
 	for i := 0; i < len(id) && id[i] != '.'; i++ {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -8,10 +8,11 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// Version of a result's form; a reader refuses a newer one.
+// Version is the version of the stored form of a Result. A reader rejects a newer one.
 const Version = 1
 
-// Result is what one run brought. Values are billed values; times are microseconds.
+// Result is the outcome of one run. Values are billed values, times are microseconds. A request that its caller sends
+// again counts once in Requests and Offered.
 type Result struct {
 	Version  int    `json:"version"`
 	Scenario string `json:"scenario"`
@@ -20,20 +21,20 @@
 	Hosts    int    `json:"hosts"`
 	Nodes    int    `json:"nodes"`
 
-	Offered          float64 `json:"offered"` // value of all that was asked for, what is asked anew counted once
-	Billed           float64 `json:"billed"`  // of it, succeeded, late ones in part
+	Offered          float64 `json:"offered"` // value of all requests
+	Billed           float64 `json:"billed"`  // value of those that succeeded, late ones in part
 	Requests         int     `json:"asks"`
 	ClientRetries    int     `json:"anew"`
 	Attempts         int     `json:"attempts"`
 	Runs             int     `json:"runs"`
-	WastedMicros     float64 `json:"wasted_us"`        // core time of runs that nobody waited for
-	Shed             int     `json:"shed"`             // by a level
-	WithinQuota      int     `json:"within,omitempty"` // read, and within its tenant's share where shares are told
+	WastedMicros     float64 `json:"wasted_us"`        // core time of runs that nobody waited for, microseconds
+	Shed             int     `json:"shed"`             // by graceful degradation
+	WithinQuota      int     `json:"within,omitempty"` // requests read within their tenant's quota, where hosts draw from one
 	OverQuota        int     `json:"beyond,omitempty"`
-	QuotaPriced      float64 `json:"priced,omitempty"` // billed, where beyond a tenant's quota over all hosts it counts for less
+	QuotaPriced      float64 `json:"priced,omitempty"` // billed, reduced beyond a tenant's quota over all hosts
 	Deaths           int     `json:"deaths"`
-	Incarnations     int     `json:"lives"`             // of all hosts
-	RejectedReleases int     `json:"refused,omitempty"` // releases that the fleet did not take
+	Incarnations     int     `json:"lives"`             // processes started, over all hosts
+	RejectedReleases int     `json:"refused,omitempty"` // releases that fleet.Machine rejected
 	LostNotices      int     `json:"lost_notices"`
 	Events           uint64  `json:"events"`
 	Decisions        uint64  `json:"decisions"`
@@ -42,45 +43,45 @@
 	Operations       []Breakdown   `json:"operations"`
 	Tenants          []Breakdown   `json:"tenants,omitempty"`
 	Seconds          []SecondStats `json:"seconds"`
-	Heat             [][]byte      `json:"heat,omitempty"` // by second, by host: cores in use in percent; Down
+	Heat             [][]byte      `json:"heat,omitempty"` // by second and host: cores in use in percent, or Down
 	LevelChanges     []LevelChange `json:"levels,omitempty"`
 	LevelChangeCount int           `json:"level_changes"`
-	BreachesByRule   [5]int        `json:"rules"` // breaches by rule, 1 to 4
+	BreachesByRule   [5]int        `json:"rules"` // indexed by rule, 1 to 4
 	Breaches         []Breach      `json:"breaches,omitempty"`
 }
 
-// Down stands in Heat for a host without a process.
+// Down marks a host without a process in Result.Heat.
 const Down = 255
 
-// Breakdown is what became of an operation's requests, or a tenant's.
+// Breakdown is the outcome of the requests of one operation or tenant.
 type Breakdown struct {
 	Name     string        `json:"name"`
 	Offered  float64       `json:"offered"`
 	Billed   float64       `json:"billed"`
 	Requests int           `json:"asks"`
 	InTime   int           `json:"in_time"`
-	Outcomes [outcomes]int `json:"ends"`              // by outcome, in the order of Outcomes
-	Latency  []byte        `json:"latency,omitempty"` // of the succeeded, an HdrHistogram V2, compressed; microseconds
+	Outcomes [outcomes]int `json:"ends"`              // indexed as the names of Outcomes
+	Latency  []byte        `json:"latency,omitempty"` // of successes, in microseconds: a compressed HdrHistogram V2
 
 	histogram *hdrhistogram.Histogram
 }
 
-// Outcomes are the names of the ends, in the order of Part.Ends.
+// Outcomes returns the names of outcomes, in the order of Breakdown.Outcomes.
 func Outcomes() []string { return outcomeNames[:] }
 
-// SecondStats is one second of the day.
+// SecondStats is what happened in one second of the day.
 type SecondStats struct {
 	Offered   float64 `json:"offered"`
-	Billed    float64 `json:"billed"` // by the second in which it succeeded
+	Billed    float64 `json:"billed"` // by the second of the success
 	Requests  int     `json:"asks"`
-	Throttled int     `json:"throttled"` // asks that ended so
+	Throttled int     `json:"throttled"` // requests that ended so
 	Lost      int     `json:"lost"`
 	Attempts  int     `json:"attempts"`
-	CoreUse   float64 `json:"use"` // cores, 0 to 1
+	CoreUse   float64 `json:"use"` // mean over the hosts, 0 to 1
 	HostsUp   int     `json:"up"`
 }
 
-// LevelChange is one change of a level on one host.
+// LevelChange is one change of the degradation level on one host.
 type LevelChange struct {
 	At       Micros `json:"at_us"`
 	Host     int32  `json:"host"`
@@ -91,12 +92,12 @@
 
 const (
 	maxLevelChanges = 2000
-	maxHeatBytes    = 4 << 20 // bytes of the heat map; a larger fleet is drawn by its seconds alone
-	minLatency      = 1
+	maxHeatBytes    = 4 << 20 // beyond it a result has no heat map
+	minLatency      = 1       // microseconds
 	maxLatency      = 3_600_000_000
 )
 
-// NewResult begins the books of one day.
+// NewResult returns the empty result of a day.
 func NewResult(s *Scenario, policy string, seed uint64) *Result {
 	r := &Result{Version: Version, Scenario: s.Name, Policy: policy, Seed: seed, Hosts: s.Hosts.Count, Nodes: s.Nodes.Count}
 	for _, op := range s.Operations {
@@ -108,6 +109,7 @@
 	return r
 }
 
+// secondAt returns the entry of a time's second.
 func (r *Result) secondAt(now Micros) *SecondStats {
 	i := int(now / Second)
 	for len(r.Seconds) <= i {
@@ -116,7 +118,8 @@
 	return &r.Seconds[i]
 }
 
-// RecordRequest counts what a caller asks for, at a time of the day.
+// RecordRequest counts a request that a caller sends, at a time of the day. operation and tenant are indexes of the
+// scenario's.
 func (r *Result) RecordRequest(s *Scenario, now Micros, operation, tenant int) {
 	v := s.Operations[operation].Value
 	r.Requests++
@@ -132,7 +135,8 @@
 	}
 }
 
-// RecordOutcome counts how an ask ended, how long after it began, and what of its value was billed; one that is asked anew ends again.
+// RecordOutcome counts how a request ended, how long after it began, and what of its value was billed. One that its
+// caller sends again ends again.
 func (r *Result) RecordOutcome(s *Scenario, now Micros, operation, tenant int, out Outcome, took Micros, value float64) {
 	sec := r.secondAt(now)
 	r.Billed += value
@@ -159,7 +163,7 @@
 	}
 }
 
-// Close writes down the latencies; call it once, last.
+// Close encodes the latencies. Call it once, at the end.
 func (r *Result) Close() {
 	for _, parts := range [][]Breakdown{r.Operations, r.Tenants} {
 		for i := range parts {
@@ -170,7 +174,7 @@
 	}
 }
 
-// recordSecond writes down the state of the fleet.
+// recordSecond records the state of the fleet in the second that has ended.
 func (r *Result) recordSecond(w *world) {
 	w.audit.checkOverdue(w)
 	i := int(w.now/Second) - 1
@@ -209,6 +213,7 @@
 	}
 }
 
+// recordLevelChange records a change of a host's degradation level.
 func (r *Result) recordLevelChange(w *world, h *host, c degradation.Change) {
 	r.LevelChangeCount++
 	if len(r.LevelChanges) < maxLevelChanges {
@@ -216,17 +221,17 @@
 	}
 }
 
-// finishRun writes down what is known at the end alone.
+// finish completes a result at the end of a run.
 func (r *Result) finish(w *world) {
 	w.audit.checkOverdue(w)
-	for i := len(r.Seconds) - 1; i > 0; i-- { // from a running sum to each second's own
+	for i := len(r.Seconds) - 1; i > 0; i-- { // from a running sum to the count of each second
 		r.Seconds[i].Attempts = max(0, r.Seconds[i].Attempts-r.Seconds[i-1].Attempts)
 	}
 	r.Close()
 	r.BreachesByRule, r.Breaches = w.audit.Counts, w.audit.First
 }
 
-// Value is the part of what was offered that was billed.
+// Value returns the billed part of the offered value, 0 to 1.
 func (r *Result) Value() float64 {
 	if r.Offered == 0 {
 		return 0
@@ -234,7 +239,7 @@
 	return r.Billed / r.Offered
 }
 
-// BreachCount counts all breaches.
+// BreachCount returns the number of all breaches.
 func (r *Result) BreachCount() (n int) {
 	for _, c := range r.BreachesByRule {
 		n += c
@@ -242,7 +247,7 @@
 	return n
 }
 
-// Histogram is a part's latencies; nil without any.
+// Histogram decodes the latencies of successes, in microseconds; nil where there are none.
 func (p *Breakdown) Histogram() (*hdrhistogram.Histogram, error) {
 	if len(p.Latency) == 0 {
 		return nil, nil
@@ -254,7 +259,7 @@
 	return h, nil
 }
 
-// OutcomeShare is the part of a part's asks that ended so.
+// OutcomeShare returns the share of requests that ended with outcome n.
 func (p *Breakdown) OutcomeShare(n int) float64 {
 	total := 0
 	for _, c := range p.Outcomes {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,26 +1,25 @@
-// Package simulation is our own emulator of what milletbarrow balances: hosts, edge nodes that nobody can change, callers
-// behind them, a register that lags, and troubles. One Run plays one scenario with one policy on one seed, event by
-// event, on one goroutine, and is the same to the byte wherever it runs. It does no I/O and holds no clock of the
-// machine. Whether the four rules hold is judged here, from what happened, never by the policy.
+// Package simulation is an event-driven simulation of what milletbarrow balances: hosts, edge nodes that can't be changed,
+// the callers behind them, an endpoint registry with a lag, and faults. Play runs one scenario with one policy on one seed,
+// event by event on one goroutine, and gives the same result to the byte wherever it runs. It does no I/O and reads no
+// clock. Whether the four rules are kept is judged here, from what happened, never by the policy.
 package simulation
 
-import (
-	"milletbarrow/admission"
-)
+import "milletbarrow/admission"
 
-// Micros is a point of modelled time, or a span, in whole microseconds.
+// Micros is a point of simulated time, or a duration, in whole microseconds.
 type Micros = admission.Micros
 
-// Second and millisecond in modelled time.
+// Units of simulated time.
 const (
 	Millisecond Micros = 1000
 	Second      Micros = 1_000_000
 )
 
-// Scenario is one day: what there is, what is asked of it, and what breaks.
+// Scenario describes one day: hosts, edge nodes, load and faults. The names in its tags are those by which stored
+// results are found (see experiment.ResultDir); they never change.
 type Scenario struct {
 	Name       string
-	Duration   Micros `json:"For"` // requests come for so long; afterwards what is under way may end
+	Duration   Micros `json:"For"` // how long requests arrive; afterwards those in flight may end
 	Hosts      HostConfig
 	Nodes      NodeConfig
 	Registry   RegistryConfig   `json:"Register"`
@@ -31,88 +30,88 @@
 	Faults     []Fault `json:"Troubles"`
 }
 
-// HostConfig describe the backends.
+// HostConfig describes the backends, which are alike but for their speed.
 type HostConfig struct {
 	Count             int
-	ReportedFleetSize int `json:"Told"` // the fleet's size as hosts are told it; 0: Count
+	ReportedFleetSize int `json:"Told"` // the fleet's size that hosts are configured with; 0: Count
 	Cores             int
-	SpeedSpread       float64 `json:"Spread"`    // a host's speed lies within 1 more or less this part
-	CollapseMultiple  float64 `json:"Crowd"`     // runs a core that it bears; beyond them all slow down
-	CollapseAfter     Micros  `json:"FallOver"`  // beyond the crowd for so long, it falls over
+	SpeedSpread       float64 `json:"Spread"`    // a host's speed lies within 1 ± SpeedSpread
+	CollapseMultiple  float64 `json:"Crowd"`     // runs a core beyond which all slow down by the square of the excess
+	CollapseAfter     Micros  `json:"FallOver"`  // a host that is overloaded for so long crashes
 	ReadWork          Micros  `json:"Read"`      // core time to read one request
 	HandshakeWork     Micros  `json:"Handshake"` // core time to open a connection
-	MemoryKB          float64 // held and running work; beyond it the host dies
-	RequestKB         float64 `json:"HeldKB"` // of one request that waits
-	RunFactor         float64 // a running one takes so many times as much
-	ColdSpeed         float64 `json:"ColdShare"` // speed at the start of a life
-	WarmUp            Micros  `json:"ColdFor"`   // until full speed, evenly
-	Connections       int     // open at once; a further one is turned away unread
-	IdleTimeout       Micros  `json:"IdleFor"`    // one that rests longer is closed
-	DrainGrace        Micros  `json:"Grace"`      // after a shutdown notice
-	ExitTimeout       Micros  `json:"Stop"`       // the end of the process, after the notice
-	AnswerSlack       Micros  `json:"Slack"`      // an answer may leave so much before the last moment
-	MaxRetryAfter     Micros  `json:"RetryAfter"` // the longest advice to stay away that is passed on; 0: none is
+	MemoryKB          float64 // for queued and running requests; a host that exceeds it crashes
+	RequestKB         float64 `json:"HeldKB"` // of one queued request
+	RunFactor         float64 // a running request takes so many times as much
+	ColdSpeed         float64 `json:"ColdShare"` // speed of a cold process, of 1
+	WarmUp            Micros  `json:"ColdFor"`   // time to full speed, linear
+	Connections       int     // open at once; a further one is rejected unread
+	IdleTimeout       Micros  `json:"IdleFor"`    // an idle connection is closed after so long
+	DrainGrace        Micros  `json:"Grace"`      // requests that arrive so long after a shutdown notice are not run
+	ExitTimeout       Micros  `json:"Stop"`       // the process is stopped so long after the notice
+	AnswerSlack       Micros  `json:"Slack"`      // an answer may be late by so much
+	MaxRetryAfter     Micros  `json:"RetryAfter"` // the longest Retry-After that is passed on; 0: none is
 	Preemptible       bool    `json:"Stoppable"`  // runs can be taken off the cores
 }
 
-// NodeConfig describe the edge nodes and the callers behind them.
+// NodeConfig describes the edge nodes and the callers behind them.
 type NodeConfig struct {
 	Count             int
-	Subset            int     // hosts that one node knows; 0: all
-	Balance           Balance // how it chooses
-	MaxAttempts       int     `json:"Tries"`    // of one request; 0: until its time is over
-	Backoff           Micros  `json:"Pause"`    // before a retry, with jitter; it doubles
-	UnresponsiveShare float64 `json:"Deaf"`     // part of the nodes that heed neither "don't retry" nor when to come back
-	HedgeDelay        Micros  `json:"Hedge"`    // a copy goes to a second host after so long; 0: never. Idempotent operations alone
-	CancelDelay       Micros  `json:"Word"`     // a caller's leaving is told to the host so late; negative: never
+	Subset            int     // hosts that one node uses; 0: all
+	Balance           Balance // how it chooses a host
+	MaxAttempts       int     `json:"Tries"`    // of one request; 0: until its client timeout
+	Backoff           Micros  `json:"Pause"`    // before the first retry, with jitter; it doubles with each
+	UnresponsiveShare float64 `json:"Deaf"`     // share of the nodes that honour neither "don't retry" nor Retry-After
+	HedgeDelay        Micros  `json:"Hedge"`    // a hedged attempt is sent after so long, for idempotent operations; 0: never
+	CancelDelay       Micros  `json:"Word"`     // the host is notified so late that a caller has left; negative: never
 	NetworkDelay      Micros  `json:"Net"`      // one way
-	ClientRetryShare  float64 `json:"Behind"`   // part of the callers that ask anew, unmarked, after an answer that is no success
-	ClientRetryDelay  Micros  `json:"BehindIn"` // so long after
-	RefreshInterval   Micros  `json:"Refresh"`  // between two looks at the endpoint registry
-	Throttles         bool    // nodes throttle by themselves, from the share accepted of late (baseline)
-	ThrottleWindow    Micros  `json:"Window"` // what they remember for that
+	ClientRetryShare  float64 `json:"Behind"`   // share of the callers that send a failed request again, without a retry mark
+	ClientRetryDelay  Micros  `json:"BehindIn"` // mean delay of that
+	RefreshInterval   Micros  `json:"Refresh"`  // between two polls of the endpoint registry
+	Throttles         bool    // client-side throttling by the share accepted recently (baseline)
+	ThrottleWindow    Micros  `json:"Window"` // time constant of that share
 }
 
-// Balance is how an edge node chooses among its hosts.
+// Balance is how an edge node chooses among its hosts. Its String is the word of experiment files.
 type Balance int
 
-// The ways to choose. All but RoundRobin and Random know only what this node has open itself.
+// The balancing policies. All but Oracle know only what this node has in flight itself.
 const (
 	RoundRobin Balance = iota
 	Random
-	TwoChoices // of two drawn, the one with fewer open
-	LeastLoad  // fewest open, weighted by how long answers take of late
-	Oracle     // the host with the least true work, as it was a moment ago
+	TwoChoices // of two drawn, the one with fewer in flight
+	LeastLoad  // fewest in flight, weighted by the recent latency
+	Oracle     // the least true load, as it was a moment ago
 )
 
 var balanceNames = []string{"round-robin", "random", "two-choices", "least-load", "oracle"}
 
 func (b Balance) String() string { return balanceNames[b] }
 
-// RegistryConfig describe the list of hosts.
+// RegistryConfig describes the endpoint registry.
 type RegistryConfig struct {
-	Lag Micros // a change of a host's health is seen so late
+	Lag Micros // a change of a host's health is listed so late
 }
 
-// DependencyConfig describe the dependency that operations with calls share.
+// DependencyConfig describes the dependency that operations with calls share.
 type DependencyConfig struct {
-	Slots int    // calls worked on at once; more of them share these evenly
-	Work  Micros // of one call with nobody else there
+	Slots int    // calls worked on at once; more share them evenly
+	Work  Micros // duration of a call without contention
 }
 
 // Operation is one kind of request.
 type Operation struct {
 	Name             string
-	Value            float64 // billed when it succeeds within its objective
+	Value            float64 // billed for a success within the objective
 	Priority         float64 `json:"Rank"`
 	Share            float64 // of all requests
-	Work             Micros  // mean core time
-	WorkSigma        float64 `json:"Tail"` // sigma of the lognormal spread; 0: all alike
+	Work             Micros  // mean core time of a run
+	WorkSigma        float64 `json:"Tail"` // sigma of the lognormal distribution of work; 0: constant
 	Objective        Micros
 	Timeout          Micros
 	LateValue        float64
 	RetrySafety      admission.RetrySafety `json:"Repeat"`
-	HintFactor       float64               `json:"Hint"`       // the hint given is the work times this; 0: none is given
+	HintFactor       float64               `json:"Hint"`       // the expected work sent along is the work times this; 0: none is sent
 	HintSigma        float64               `json:"HintSpread"` // sigma of a further lognormal factor
 	MakesCalls       bool                  `json:"Calls"`
 	ValueWithoutCall float64               `json:"SkippedValue"`
@@ -122,44 +121,45 @@
 type Tenant struct {
 	Name       string
 	Share      float64 // of all requests
-	Quota      float64 // a second, over all hosts; 0: none
-	HintFactor float64 `json:"Lies"` // its hints are multiplied by this; 0 stands for 1
+	Quota      float64 // requests a second, over all hosts; 0: none
+	HintFactor float64 `json:"Lies"` // its hints are multiplied by this; 0 means 1
 }
 
-// Load says how many requests come, open loop.
+// Load describes the rate of requests over the day, open loop. Levels are parts of capacity: all cores at full speed,
+// reading included.
 type Load struct {
-	Level     float64 `json:"At"` // of capacity: all cores at full speed, reading counted
+	Level     float64 `json:"At"` // at the start, or the mean
 	Shape     Shape
-	PeakLevel float64 `json:"To"` // of a ramp's end or a step's top, of capacity
+	PeakLevel float64 `json:"To"` // at the end of a ramp or on top of a step
 	Period    Micros  // of waves and bursts
-	Swing     float64 // of waves and bursts: so much more and less, as a part
+	Swing     float64 // of waves and bursts: relative amplitude
 	Recorded  []Recorded
 }
 
-// Shape is how the load runs over the day.
+// Shape is the course of the load over the day.
 type Shape int
 
 // The shapes.
 const (
 	Steady  Shape = iota
-	Ramp          // evenly from At to To
-	Step          // To in the middle third, At else
-	Wave          // a sine of Period and Swing
-	Bursty        // on and off, exponential with a mean of Period, Swing up and down
-	DueDate       // a morning that rises to To at two thirds of the day, and falls off
-	Replay        // what was recorded
+	Ramp          // linear from Level to PeakLevel
+	Step          // PeakLevel in the middle third, else Level
+	Wave          // a sine with Period and Swing
+	Bursty        // on and off for exponential times with a mean of Period, by Swing up and down
+	DueDate       // rises to PeakLevel at two thirds of the day, and falls off
+	Replay        // Load.Recorded
 )
 
 var shapeNames = []string{"steady", "ramp", "step", "wave", "bursty", "due-date", "replay"}
 
-// Recorded is one request of a recorded load.
+// Recorded is one request of a recorded load. Operation and tenant are indexes of the scenario's.
 type Recorded struct {
 	At                Micros
 	Operation, Tenant int
 	Work              Micros
 }
 
-// Default is a scenario of the operators' kind, small: what a file leaves out stands as here.
+// Default returns a small scenario. What an experiment's file leaves out is as here.
 func Default() Scenario {
 	return Scenario{
 		Name: "default", Duration: 30 * Second,
@@ -183,7 +183,7 @@
 	}
 }
 
-// Capacity is how many requests a second all hosts can read and run, at full speed.
+// Capacity returns how many requests a second all hosts can read and run, at full speed.
 func (s *Scenario) Capacity() float64 {
 	mean, total := 0.0, 0.0
 	for _, op := range s.Operations {
@@ -192,10 +192,10 @@
 	return float64(s.Hosts.Count*s.Hosts.Cores) * 1e6 / (mean/total + float64(s.Hosts.ReadWork))
 }
 
-// overQuotaValue is what work beyond its tenant's quota is worth, beside work within it.
+// overQuotaValue is the value of a request beyond its tenant's quota, relative to one within it.
 const overQuotaValue = 0.3
 
-// AdmissionConfig are what a host's policy is told of the deployment, cold for one that replaces another.
+// AdmissionConfig returns the configuration of a host's policy; cold for a process that replaces another.
 func (s *Scenario) AdmissionConfig(cold bool) admission.Config {
 	h := &s.Hosts
 	t := admission.Config{
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Check tells the first thing that can't be: a scenario that nobody could play.
+// Check returns the first thing that makes a scenario impossible to play, as a *ScenarioError.
 func (s *Scenario) Check() error {
 	for _, check := range []func() error{s.checkHosts, s.checkSurroundings, s.checkOperations, s.checkRecorded, s.checkFaults} {
 		if err := check(); err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// checkSurroundings looks at what surrounds the hosts: names, edge nodes, load and the tier below.
+// checkSurroundings checks operations, edge nodes, load and the dependency.
 func (s *Scenario) checkSurroundings() error {
 	switch {
 	case len(s.Operations) == 0 || len(s.Operations) > MaxNames || len(s.Tenants) > MaxNames:
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Bounds of a scenario.
+// Bounds of a scenario; MaxNames is for operations and for tenants.
 const (
 	MaxHosts = 20_000
 	MaxNodes = 20_000
--- a/internal/simulation/scenario_file.go
+++ b/internal/simulation/scenario_file.go
@@ -22,8 +22,8 @@
 func span(m Micros) time.Duration          { return time.Duration(m) * time.Microsecond }
 func indexOf(names []string, s string) int { return slices.Index(names, s) }
 
-// ReadScenario reads the form (scenario NAME (hosts ...) (nodes ...) ...). What it leaves out stands as in Default; what is
-// wrong goes to the form's errors.
+// ReadScenario reads the form (scenario NAME (hosts ...) (nodes ...) ...). What it leaves out is as in Default; what is
+// wrong is added to the form's errors.
 func ReadScenario(f *sexpr.Form) Scenario {
 	s := Default()
 	s.Name = f.Arg()
@@ -152,11 +152,12 @@
 	return t
 }
 
-// MaxRecorded lines of a recorded load are taken.
+// MaxRecorded is the highest number of lines of a recorded load.
 const MaxRecorded = 20_000_000
 
-// ReadRecorded reads a recorded load: a line a request, in order of time, as "MICROSECONDS OPERATION TENANT WORK", the
-// tenant "-" where there is none and the work in microseconds. The names must be the scenario's.
+// ReadRecorded reads a recorded load: a line for each request, in order of time, as "MICROSECONDS OPERATION TENANT
+// WORK", with "-" for no tenant and the work in microseconds. Operations and tenants must be the scenario's. An error
+// is a *RecordedError, or the reader's.
 func ReadRecorded(file string, in io.Reader, s *Scenario) (all []Recorded, err error) {
 	ops, tenants := s.operationNames(), s.tenantNames()
 	lines := bufio.NewScanner(in)
--- a/internal/simulation/shared_work.go
+++ b/internal/simulation/shared_work.go
@@ -1,29 +1,32 @@
 package simulation
 
-// sharedWork is work that shares something evenly: each job gets the same, so all that is kept is how much one job has had
-// since the start (given), and for each job at how much it ends.
+// sharedWork is work that shares a resource evenly. All jobs progress alike, so it is enough to know the progress of
+// one that has been present since the start, and for each job the progress at which it ends.
 type sharedWork struct {
-	progress     float64 // microseconds of full speed that each job present since the start would have had
-	rate         float64 // of it by microsecond, now
+	progress     float64 // of a job present since the start, in microseconds at full speed
+	rate         float64 // progress per microsecond, at present
 	updatedAt    Micros
-	jobs         []job // heap by end
-	running      int   // those not taken off
+	jobs         []job // heap, the first to end on top
+	running      int   // jobs that were not preempted
 	completionAt Micros
 	generation   uint32
 }
 
+// job is one piece of work of an attempt.
 type job struct {
 	end        float64
 	attempt    int32
-	generation uint32 // of the attempt when it came; another one by now: taken off
+	generation uint32 // of the attempt when it was added; another by now: preempted
 	stage      uint8
 }
 
+// advance brings the progress up to now.
 func (s *sharedWork) advance(now Micros) {
 	s.progress += s.rate * float64(now-s.updatedAt)
 	s.updatedAt = now
 }
 
+// push adds a job.
 func (s *sharedWork) push(j job) {
 	s.running++
 	s.jobs = append(s.jobs, j)
@@ -39,6 +42,7 @@
 	h[i] = j
 }
 
+// pop removes the job that ends first; there must be one.
 func (s *sharedWork) pop() job {
 	h := s.jobs
 	top, last := h[0], h[len(h)-1]
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -32,7 +32,7 @@
 	return p
 }
 
-// shortDay is a day of a few seconds, for tests of single things.
+// shortDay is a day of a few seconds, for tests of single aspects.
 func shortDay() Scenario {
 	s := Default()
 	s.Duration = 6 * Second
@@ -40,7 +40,8 @@
 	return s
 }
 
-// TestDays keeps what each policy does on one day, to the last digit: the model may not change unseen.
+// TestDays compares what each policy does on one day with the golden file, to the last digit: the simulation may not
+// change unnoticed.
 func TestDays(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := shortDay()
@@ -75,19 +76,19 @@
 	}
 }
 
-// TestPoliciesMeetTheSameLoad: policies meet the same day: what is asked for does not depend on who answers.
+// TestPoliciesMeetTheSameLoad: what is requested does not depend on which policy answers.
 func TestPoliciesMeetTheSameLoad(t *testing.T) {
 	s := shortDay()
 	s.Load.Shape = Bursty
 	a := play(t, &s, module(t), 5)
 	for _, p := range Policies() {
 		if b := play(t, &s, &p, 5); a.Offered != b.Offered || a.Requests != b.Requests {
-			t.Errorf("%s: %d asks worth %g, the module had %d worth %g", p.Name, b.Requests, b.Offered, a.Requests, a.Offered)
+			t.Errorf("%s: %d requests of value %g, the module had %d of value %g", p.Name, b.Requests, b.Offered, a.Requests, a.Offered)
 		}
 	}
 }
 
-// TestModuleKeepsRulesUnderFaults: the module keeps the four rules through every trouble, alone and with others.
+// TestModuleKeepsRulesUnderFaults: the module keeps the four rules under each fault, alone and with others.
 func TestModuleKeepsRulesUnderFaults(t *testing.T) {
 	kinds := []Fault{
 		{Kind: Death, Duration: Second, Share: 0.5}, {Kind: Slow, Duration: 2 * Second, Share: 0.5, Factor: 8}, {Kind: Gray, Duration: 2 * Second, Share: 0.5, Factor: 200},
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestReleaseByFleet: a release by the real fleet's machine takes every host through one new life, never more out than its width and
-// those that died, also where agents are gone for a while and notices are lost.
+// TestReleaseByFleet: a release by fleet.Machine takes every host through one new incarnation, with never more down
+// than the batch and those that crashed, also where agents are unavailable for a while and notices are lost.
 func TestReleaseByFleet(t *testing.T) {
 	for seed := range uint64(4) {
 		s := shortDay()
@@ -134,7 +135,7 @@
 			}
 		}
 		if r.Incarnations != 20 || r.BreachCount() > 0 || r.RejectedReleases > 0 {
-			t.Errorf("seed %d: %d lives of 10 hosts, wanted 20; %d lost notices, refused %d, %v", seed, r.Incarnations, r.LostNotices, r.RejectedReleases, r.Breaches)
+			t.Errorf("seed %d: %d incarnations of 10 hosts, wanted 20; %d lost notices, %d rejected releases, %v", seed, r.Incarnations, r.LostNotices, r.RejectedReleases, r.Breaches)
 		}
 	}
 }
@@ -155,7 +156,7 @@
 	return out
 }
 
-// TestAuditFindsPlantedFaults: the audit finds what it is there for. Each fault is planted in the module's own decisions.
+// TestAuditFindsPlantedFaults: the audit finds each kind of breach, planted in the module's own decisions.
 func TestAuditFindsPlantedFaults(t *testing.T) {
 	runs := map[string]bool{}
 	faults := []struct {
@@ -211,8 +212,8 @@
 	}
 }
 
-// TestProcessorSharingMean: with one core, no reading and no limit, what a run takes is its work by the part of the core that is free:
-// the mean of a queue that shares its server evenly, whatever the spread of the work.
+// TestProcessorSharingMean: with one core, no reading and no limit, the mean duration of a run is that of a
+// processor-sharing queue, work / (1 - load), whatever the spread of the work.
 func TestProcessorSharingMean(t *testing.T) {
 	none, err := PolicyNamed("none")
 	if err != nil {
@@ -239,7 +240,7 @@
 	}
 }
 
-// TestEdgeCases: days at the edge of what a scenario can be.
+// TestEdgeCases: days at the bounds of what a scenario can be.
 func TestEdgeCases(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := shortDay()
@@ -279,8 +280,8 @@
 	return n
 }
 
-// TestEventQueueOrder: events come out by time, and those of one time in the order in which they were scheduled, whichever way they
-// went in.
+// TestEventQueueOrder: events are returned by time, and those of one time in the order in which they were scheduled,
+// whichever way they were queued.
 func TestEventQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue{lanes: make([]lane, 3)}
@@ -316,7 +317,7 @@
 	})
 }
 
-// TestEveryRequestEnds: whatever breaks, each ask ends once, values add up, and seconds add up to the day.
+// TestEveryRequestEnds: whatever breaks, each request ends once, values add up, and seconds add up to the day.
 func TestEveryRequestEnds(t *testing.T) {
 	all := Policies()
 	rapid.Check(t, func(t *rapid.T) {
@@ -324,14 +325,14 @@
 		s.Duration = 2 * Second
 		s.Load.Level = rapid.Float64Range(0, 2).Draw(t, "load")
 		s.Load.Shape = Shape(rapid.IntRange(0, int(DueDate)).Draw(t, "shape"))
-		s.Nodes.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "tries")
-		s.Nodes.UnresponsiveShare = rapid.Float64Range(0, 1).Draw(t, "deaf")
+		s.Nodes.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "max attempts")
+		s.Nodes.UnresponsiveShare = rapid.Float64Range(0, 1).Draw(t, "unresponsive share")
 		s.Nodes.HedgeDelay = Micros(rapid.IntRange(0, 100_000).Draw(t, "hedge"))
-		s.Nodes.CancelDelay = Micros(rapid.IntRange(-1, 50_000).Draw(t, "word"))
+		s.Nodes.CancelDelay = Micros(rapid.IntRange(-1, 50_000).Draw(t, "cancel delay"))
 		s.Nodes.Subset = rapid.IntRange(0, 5).Draw(t, "subset")
 		s.Operations[0].MakesCalls = rapid.Bool().Draw(t, "calls")
 		s.Hosts.Connections = rapid.IntRange(1, 10).Draw(t, "connections")
-		for range rapid.IntRange(0, 3).Draw(t, "troubles") {
+		for range rapid.IntRange(0, 3).Draw(t, "faults") {
 			s.Faults = append(s.Faults, Fault{
 				Kind: []FaultKind{Death, Slow, Gray, Release, Burst, Partition, DependencySlow}[rapid.IntRange(0, 6).Draw(t, "kind")],
 				At:   Micros(rapid.IntRange(0, 2_000_000).Draw(t, "at")), Duration: Micros(rapid.IntRange(1, 1_000_000).Draw(t, "for")),
@@ -349,7 +350,7 @@
 		}
 		switch {
 		case countOutcomes(r) != r.Requests+r.ClientRetries:
-			t.Fatalf("%d asks, %d anew, %d ends", r.Requests, r.ClientRetries, countOutcomes(r))
+			t.Fatalf("%d requests, %d sent again, %d outcomes", r.Requests, r.ClientRetries, countOutcomes(r))
 		case math.Abs(billed-r.Billed) > 1e-6 || math.Abs(offered-r.Offered) > 1e-6 || r.Billed > r.Offered+1e-6:
 			t.Fatalf("billed %g by seconds %g, offered %g by seconds %g", r.Billed, billed, r.Offered, offered)
 		case p.Name == Module && r.BreachCount() > 0:
@@ -358,7 +359,7 @@
 	})
 }
 
-// TestReplayed: one request's course can be told.
+// TestReplayed: a trace tells the course of one request.
 func TestReplayed(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := shortDay()
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// Trace keeps the course of one request, or of one host, for who asks why.
+// Trace records the course of one request, or of one host.
 type Trace struct {
-	Request  uint64 // its number in the day, from 1; 0: any
+	Request  uint64 // number of the request in the day, from 1; 0: any
 	Host     int32  // -1: any
-	MaxLines int    // lines
+	MaxLines int    // lines that are kept
 	Lines    []string
-	Omitted  int // that did not fit
+	Omitted  int // lines beyond MaxLines
 }
 
+// record adds a line, if the trace wants it. A nil trace records nothing.
 func (tr *Trace) record(w *world, number uint64, att *attempt, what string) {
 	if tr == nil || tr.Request != 0 && tr.Request != number || tr.Host >= 0 && tr.Host != att.host {
 		return
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -7,7 +7,7 @@
 	"milletbarrow/internal/backend/quota"
 )
 
-// world is one run.
+// world is the state of one run. Requests and attempts refer to each other by index.
 type world struct {
 	scenario           *Scenario
 	policy             *Policy
@@ -19,38 +19,39 @@
 	attempts           []attempt
 	freeRequests       []int32
 	freeAttempts       []int32
-	listed             []bool // by the endpoint registry
-	registryVersion    uint32 // changes of it
+	listed             []bool // by host: whether the endpoint registry lists it
+	registryVersion    uint32 // counts changes of listed
 	dependency         sharedWork
-	dependencySlowdown float64 // the dependency is slower by so much
+	dependencySlowdown float64 // 1: full speed
 
-	stream            *Stream // has a chance of its own, so that policies meet the same day
+	stream            *Stream // has a generator of its own, so that all policies meet the same load
 	nextArrival       Arrival
-	faultRand         *rand.Rand // of troubles
-	nodeRand          *rand.Rand // of nodes
+	faultRand         *rand.Rand // of faults
+	nodeRand          *rand.Rand // of edge nodes
 	lastNumber        uint64
 	agentsUnavailable bool
 	partitionedNodes  map[int32]bool
-	partitionedHosts  int32         // hosts below this one are cut off from those nodes
-	quotaStoreCut     bool          // and from the quota store
-	pricing           *quota.Holder // what succeeds is priced by
-	quotas            *quotaState   // nil where hosts guess
+	partitionedHosts  int32         // hosts with lower indexes are cut off from partitionedNodes
+	quotaStoreCut     bool          // and those hosts from the quota store
+	pricing           *quota.Holder // for quotaPrice; nil until it is needed
+	quotas            *quotaState   // nil with GuessedQuotas
 	grayDelay         Micros
 	grayHosts         map[int32]bool
 
-	agents     []*hostAgent // of a release that the real fleet decides about
-	oracleLoad []float64    // an oracle's sight of the hosts
+	agents     []*hostAgent // of releases that fleet.Machine decides
+	oracleLoad []float64    // by host: what the oracle knows of it
 	oracleAt   Micros
 
 	audit        Audit
 	result       *Result
-	policySeed   uint64 // seed
+	policySeed   uint64
 	trace        *Trace
 	lastUniqueID uint64
-	active       int // attempts and asks under way
+	active       int // attempts and requests in use
 }
 
-// Play plays a scenario with a policy on a seed. The same three give the same result to the byte. tr may be nil.
+// Play plays a scenario with a policy on a seed. The same three give the same result to the byte. tr may be nil. A
+// scenario that can't be played is a *ScenarioError.
 func Play(s *Scenario, p *Policy, seed uint64, tr *Trace) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -63,6 +64,7 @@
 	return w.result, nil
 }
 
+// newWorld sets up a run at time 0.
 func newWorld(s *Scenario, p *Policy, seed uint64, tr *Trace) (*world, error) {
 	w := &world{
 		scenario: s, policy: p, trace: tr, policySeed: seed * 0x9e3779b97f4a7c15, dependencySlowdown: 1, stream: NewStream(s, seed),
@@ -73,7 +75,7 @@
 	w.result = NewResult(s, p.Name, seed)
 	w.hosts = make([]host, s.Hosts.Count)
 	speeds := rand.New(rand.NewPCG(seed, 4))
-	for _, t := range s.Faults { // no process reads a clock that can be set, so that a clock stands off all day or not at all
+	for _, t := range s.Faults { // clocks are wrong all day or not at all, as no process reads one that can be set
 		if t.Kind == ClockSkew {
 			for _, n := range w.randomHosts(t.Share) {
 				w.hosts[n].clockSkew = Micros(t.Factor * 1e6)
@@ -109,8 +111,8 @@
 	return w, nil
 }
 
-// run goes from event to event. After the day, it ends once nobody waits for anything, or when nobody can wait any more: what
-// is in hand then is judged by the audit.
+// run executes event after event. After the day it ends once nothing is open, or when nothing can be open any more; the
+// audit checks what is in flight then.
 func (w *world) run() {
 	last := w.scenario.Duration + w.scenario.Hosts.ExitTimeout + Second*60
 	for _, op := range w.scenario.Operations {
@@ -128,7 +130,7 @@
 	w.result.finish(w)
 }
 
-// scheduleArrival schedules the next request.
+// scheduleArrival schedules the next request of the day.
 func (w *world) scheduleArrival() {
 	if a, more := w.stream.Next(); more {
 		w.nextArrival = a
@@ -136,7 +138,7 @@
 	}
 }
 
-// handleArrival is a caller's wish.
+// handleArrival starts the request that was scheduled last.
 func (w *world) handleArrival() {
 	s, c := w.scenario, w.nextArrival
 	w.scheduleArrival()
