--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -36,7 +36,7 @@
 	inBatch   bool
 }
 
-// serve answers batches until the input ends. A reply is written as a whole or not at all.
+// serve answers batches until the input ends. A reply is written completely or not at all.
 func serve(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<20)
 	a := &adapter{instances: map[int]*instance{}}
@@ -45,18 +45,18 @@
 		line = bytes.TrimSpace(line)
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			if a.inBatch {
-				return fmt.Errorf("line %d: the input ends within batch %d", number, a.clock.Round)
+				return &lineError{number, &truncatedBatchError{a.clock.Round}}
 			}
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", number, err)
+			return &lineError{number, err}
 		}
 		if len(line) == 0 {
 			continue
 		}
 		if err := a.handle(line, out); err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return &lineError{number, err}
 		}
 	}
 }
@@ -68,7 +68,7 @@
 	case err != nil:
 		return err
 	case (msg.Name == "Sync") == a.inBatch:
-		return fmt.Errorf("%s out of place", msg.Name)
+		return &misplacedMessageError{msg.Name}
 	case msg.Name == "Sync":
 		a.clock, a.inBatch = msg, true
 		a.reply.Reset()
@@ -89,7 +89,7 @@
 	inst := a.instances[msg.Instance]
 	if inst == nil {
 		if _, opens := msg.Event.(simwire.InstanceOpened); !opens {
-			return fmt.Errorf("%s: instance %d is not open", msg.Name, msg.Instance)
+			return &notOpenError{msg.Name, msg.Instance}
 		}
 	}
 	var event admission.Event = msg.Event
@@ -119,7 +119,7 @@
 func (a *adapter) decide(inst *instance, now admission.Micros, event admission.Event) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = errors.New(fmt.Sprint(r))
+			err = &panicError{r}
 		}
 	}()
 	a.actions = inst.backend.Decide(now, event, a.actions[:0])
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo sets up all that a newcomer needs to see backends at work on one machine: fakes for executors and the
-// register, configurations, a fleet's file. It owns the directory and the fakes; what runs in it is started by the
+// Package demo sets up all that is needed to see backends at work on one machine: fakes of the executors and the endpoint
+// registry, configurations and a fleet's file. It owns the directory and the fakes; what runs in it is started by the
 // command line.
 package demo
 
@@ -10,7 +10,7 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Scenario is the demo's day for so many backends: a load near what they can take, with a burst and a release in it.
+// Scenario returns the demo's day for that many backends: a load near their capacity, with a burst and a release.
 func Scenario(backends int, span time.Duration) simulation.Scenario {
 	s := simulation.Default()
 	s.Name, s.Duration = "demo", simulation.Micros(span.Microseconds())
@@ -24,7 +24,7 @@
 	return s
 }
 
-// Settings is the object that a platform hands a backend, made of a scenario.
+// Settings returns the platform's JSON object for a backend of a scenario.
 func Settings(s *simulation.Scenario) map[string]any {
 	repeats := map[admission.RetrySafety]string{admission.Idempotent: "idempotent", admission.NonIdempotent: "at_most_once"}
 	classes := make([]map[string]any, 0, len(s.Operations))
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -20,26 +20,27 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Site is a fleet set up in a directory of its own.
+// Site is a fleet set up in a directory of its own, with fakes of the executors and the endpoint registry.
 type Site struct {
 	Dir       string
-	FleetFile string // its file
+	FleetFile string // path of the fleet's file
 	Backends  []string
 	Names     []string
 	Executors []*timedexecutor.Executor
-	Loopback  string // an address of this machine where nobody's calls begin: a port that is free stays free until it is used
+	Loopback  string // a loopback address that no outgoing connection uses: a free port stays free until it is used
 
 	registry   *http.Server
 	mu         sync.Mutex
 	reportedAt map[string]time.Time
 }
 
-// NewSite writes all files and starts the fakes. program is the milletbarrow that is to run; empty: the one that runs now.
+// NewSite writes all files and starts the fakes. program is the milletbarrow that agents run; empty: the running one.
+// Close ends the fakes and removes the files.
 func NewSite(s *simulation.Scenario, program string) (*Site, error) {
 	return NewSiteWithRegistry(s, program, "")
 }
 
-// NewSiteWithRegistry does it with a registry of somebody else's at that address.
+// NewSiteWithRegistry is NewSite with an endpoint registry at that address instead of a fake.
 func NewSiteWithRegistry(s *simulation.Scenario, program, registry string) (site *Site, err error) {
 	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
 	if err != nil {
@@ -52,65 +53,86 @@
 		}
 	}()
 	if registry == "" {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
+		if registry, err = site.startRegistry(); err != nil {
 			return site, err
 		}
-		site.registry = &http.Server{Handler: http.HandlerFunc(site.handleReport), ReadTimeout: 5 * time.Second}
-		go func() { _ = site.registry.Serve(l) }()
-		registry = l.Addr().String()
 	}
-	var listeners []net.Listener // so that no address is given twice
+	listeners := make([]net.Listener, 0, s.Hosts.Count) // closed at the end, so that no address is used twice
 	defer func() {
-		for _, h := range listeners {
-			_ = h.Close()
+		for _, l := range listeners {
+			_ = l.Close()
 		}
 	}()
 	for n := range s.Hosts.Count {
-		name := fmt.Sprint("n", n+1)
 		free, err := net.Listen("tcp", site.Loopback+":0")
 		if err != nil {
 			return site, err
 		}
 		listeners = append(listeners, free)
-		y, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Config{
-			Cores: s.Hosts.Cores, CollapseMultiple: s.Hosts.CollapseMultiple, ServiceTime: 20 * time.Millisecond, WarmUp: time.Duration(s.Hosts.WarmUp) * time.Microsecond,
-			ColdSpeed: s.Hosts.ColdSpeed, MaxRuns: 10_000,
-		})
-		if err != nil {
-			return site, err
-		}
-		site.Executors = append(site.Executors, y)
-		raw, err := json.MarshalIndent(map[string]any{
-			"name": name, "listen": free.Addr().String(), "agent": y.Address, "roster": registry, "seed": fmt.Sprintf("%016x", n+1),
-			"stop_ms": float64(s.Hosts.ExitTimeout) / 1000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(s),
-		}, "", " ")
-		if err == nil {
-			err = os.WriteFile(filepath.Join(dir, name+".json"), raw, 0o600)
-		}
-		if err != nil {
+		if err := site.addBackend(s, n+1, free.Addr().String(), registry); err != nil {
 			return site, err
 		}
-		site.Backends, site.Names = append(site.Backends, free.Addr().String()), append(site.Names, name)
 	}
+	return site, site.writeFleetFile(program)
+}
+
+// startRegistry starts the fake of the endpoint registry and returns its address.
+func (s *Site) startRegistry() (address string, err error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	s.registry = &http.Server{Handler: http.HandlerFunc(s.handleReport), ReadTimeout: 5 * time.Second}
+	go func() { _ = s.registry.Serve(l) }()
+	return l.Addr().String(), nil
+}
+
+// addBackend starts the executor of the n-th backend, from 1, and writes the backend's file.
+func (s *Site) addBackend(day *simulation.Scenario, n int, address, registry string) error {
+	h := &day.Hosts
+	executor, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Config{
+		Cores: h.Cores, CollapseMultiple: h.CollapseMultiple, ServiceTime: 20 * time.Millisecond,
+		WarmUp: time.Duration(h.WarmUp) * time.Microsecond, ColdSpeed: h.ColdSpeed, MaxRuns: 10_000,
+	})
+	if err != nil {
+		return err
+	}
+	s.Executors = append(s.Executors, executor)
+	name := fmt.Sprint("n", n)
+	raw, err := json.MarshalIndent(map[string]any{
+		"name": name, "listen": address, "agent": executor.Address, "roster": registry, "seed": fmt.Sprintf("%016x", n),
+		"stop_ms": float64(h.ExitTimeout) / 1000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(day),
+	}, "", " ")
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(filepath.Join(s.Dir, name+".json"), raw, 0o600); err != nil {
+		return err
+	}
+	s.Backends, s.Names = append(s.Backends, address), append(s.Names, name)
+	return nil
+}
+
+// writeFleetFile writes the fleet's file: one host with all backends.
+func (s *Site) writeFleetFile(program string) error {
 	if program != "" {
 		program = fmt.Sprintf("(program %q)", program)
 	}
 	text := fmt.Sprintf("(fleet demo %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") (range n 1 %d) (settle 500ms))\n"+
-		" (wave (width 1) (least-share 0.5)))\n", program, dir, s.Hosts.Count)
-	return site, os.WriteFile(site.FleetFile, []byte(text), 0o600)
+		" (wave (width 1) (least-share 0.5)))\n", program, s.Dir, len(s.Names))
+	return os.WriteFile(s.FleetFile, []byte(text), 0o600)
 }
 
 var loopbackCount atomic.Int32
 
-// Loopback is another address of this machine at each call, where nobody's calls begin.
+// Loopback returns another loopback address at each call, which no outgoing connection uses.
 func Loopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 2+loopbackCount.Add(1)%250)
 }
 
-// InjectFault brings a trouble about at its time, if it can be brought about here, and takes it back. tool runs a sub-command of fleet
-// for all instances.
+// InjectFault causes a Slow fault at its time and ends it, or runs a release; other kinds are ignored. runFleetCommand
+// runs a sub-command of fleet for all instances.
 func (s *Site) InjectFault(ctx context.Context, t simulation.Fault, logf func(string, ...any), runFleetCommand func(context.Context, ...string) error) error {
 	wait := func(m simulation.Micros) bool {
 		select {
@@ -127,19 +149,19 @@
 		logf("      a release begins: each backend leaves and comes up again, a few at a time")
 		return runFleetCommand(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(t.BatchShare*float64(len(s.Names))))))
 	}
-	concerned := s.Executors[:int(math.Ceil(t.Share*float64(len(s.Executors))))]
-	logf("      %d backends' cores are %g times slower", len(concerned), t.Factor)
-	for _, y := range concerned {
-		y.Slow(t.Factor)
+	affected := s.Executors[:int(math.Ceil(t.Share*float64(len(s.Executors))))]
+	logf("      %d backends' cores are %g times slower", len(affected), t.Factor)
+	for _, executor := range affected {
+		executor.Slow(t.Factor)
 	}
 	wait(t.Duration)
-	for _, y := range concerned {
-		y.Slow(1)
+	for _, executor := range affected {
+		executor.Slow(1)
 	}
 	return nil
 }
 
-// handleReport takes reports as the endpoint registry would.
+// handleReport takes load reports as the endpoint registry does.
 func (s *Site) handleReport(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(io.LimitReader(r.Body, 1<<10))
 	s.mu.Lock()
@@ -153,7 +175,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Listed counts the backends that have reported within the last 3 s.
+// Listed returns the number of backends that have reported within the last 3 s.
 func (s *Site) Listed() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,8 +189,8 @@
 
 // Close ends the fakes and removes the directory.
 func (s *Site) Close() error {
-	for _, y := range s.Executors {
-		y.Close()
+	for _, executor := range s.Executors {
+		executor.Close()
 	}
 	var err error
 	if s.registry != nil {
--- a/internal/experiment/comparison.go
+++ b/internal/experiment/comparison.go
@@ -7,18 +7,18 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Difference is what two policies did on the same days.
+// Difference compares two policies on the same days.
 type Difference struct {
 	Scenario   string   `json:"scenario"`
-	SweptValue float64  `json:"at"` // of what is swept
+	SweptValue float64  `json:"at"` // of the swept field
 	A          Estimate `json:"a"`
 	B          Estimate `json:"b"`
 	Paired     Estimate `json:"b_less_a"`
 	Verdict    string   `json:"word"`
 }
 
-// Compare takes the days that both policies have played, pairs them by seed, and says of each scenario and value whether a
-// difference is shown.
+// Compare takes the days that both policies have played, pairs them by seed, and says for each scenario and swept value
+// whether a difference is shown. Results are in the order of cells; a missing one is nil.
 func Compare(cells []Cell, results []*simulation.Result, a, b string, m Measure) (all []Difference) {
 	type at struct {
 		scenario string
@@ -57,7 +57,7 @@
 	return all
 }
 
-// verdict says what an interval shows, and nothing more.
+// verdict says what an interval shows.
 func verdict(e Estimate, m Measure, a, b string) string {
 	switch {
 	case e.N == 0:
@@ -72,14 +72,14 @@
 	return a + " is better"
 }
 
-// Curve is one policy's figure over what is swept.
+// Curve is one policy's figure over the swept values.
 type Curve struct {
 	Policy string
 	X      []float64
 	Y      []Estimate
 }
 
-// Curves are the figures of one scenario, a curve a policy.
+// Curves returns the figure of one scenario as a curve for each policy.
 func Curves(cells []Cell, results []*simulation.Result, scenario string, m Measure) (all []Curve) {
 	var order []string
 	points := map[string]map[float64][]float64{}
--- a/internal/experiment/compat_test.go
+++ b/internal/experiment/compat_test.go
@@ -33,7 +33,7 @@
 	}
 	results, missing, err := Load(x, compattest.File("results"))
 	if err != nil || missing > 0 {
-		t.Fatalf("%d of %d results are not found: the names of their files follow from the printed form of scenario, policy and ladder: %v",
+		t.Fatalf("%d of %d results are not found: the names of their files follow from the printed form of scenario, policy and degradation policy: %v",
 			missing, len(cells), err)
 	}
 	compattest.SameJSON(t, "lab-check.json", compattest.Read(t, "lab-check.json"), x.Facts())
--- a/internal/experiment/estimate.go
+++ b/internal/experiment/estimate.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Estimate is a mean with its interval.
+// Estimate is a mean with its confidence interval.
 type Estimate struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
@@ -14,15 +14,15 @@
 	N    int     `json:"n"`
 }
 
-// Draws of a bootstrap, and how much of them lies within an interval.
+// Parameters of the bootstrap.
 const (
 	bootstrapDraws = 4000
 	confidence     = 0.95
-	minPairs       = 5 // fewer say nothing of how much chance there is
+	minPairs       = 5 // with fewer pairs no difference is claimed
 )
 
-// Bootstrap is the mean of some figures with the interval in which it lies with a confidence of 0.95, by drawing from them
-// again and again. The same figures give the same interval. Values that are missing are left out.
+// Bootstrap returns the mean of values with its 95% confidence interval by the percentile bootstrap. The same values
+// give the same interval. NaN stands for a missing value and is left out.
 func Bootstrap(xs []float64) (e Estimate) {
 	known := make([]float64, 0, len(xs))
 	for _, x := range xs {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,26 +1,25 @@
-// Package experiment decides what an experiment runs and what its results say: scenarios by policies by values by seeds, paired
-// differences with their intervals. How runs are spread over cores and kept on disk is in bench.go and keep.go. It
-// knows nothing of what a policy does.
+// Package experiment plans, runs and evaluates experiments on simulated fleets: scenarios by policies by swept values by
+// seeds, and paired differences with their confidence intervals. Runs are spread over cores (run.go) and their results
+// stored (result_dir.go). What a policy does is the simulation's concern.
 package experiment
 
 import (
-	"fmt"
 	"slices"
 
 	"milletbarrow/internal/simulation"
 )
 
-// Experiment is a file that has been read: what is to be run.
+// Experiment is the content of an experiment's file: what is to be run.
 type Experiment struct {
 	Name        string
 	Scenarios   []simulation.Scenario
 	Policies    []simulation.Policy
 	Seeds       []uint64
-	SweptField  string    // what is swept; empty: nothing
-	SweptValues []float64 // its values
+	SweptField  string    // name of the swept field; empty: none
+	SweptValues []float64 // its values, in the units of the file
 }
 
-// Bounds of an experiment's file.
+// Bounds of an experiment.
 const (
 	MaxSeeds  = 1000
 	MaxValues = 100
@@ -32,11 +31,11 @@
 	Scenario   simulation.Scenario
 	Policy     *simulation.Policy
 	Seed       uint64
-	SweptValue float64 // of what is swept
-	Key        string  // the same for the same run, whatever else the file holds
+	SweptValue float64 // of the swept field
+	Key        string  // the name of the stored result: the same for the same run, whatever else the file holds
 }
 
-// setSwept gives a scenario one value of what is swept.
+// setSwept gives a scenario one value of the swept field. The error is an *UnsweepableError or a *simulation.ScenarioError.
 func setSwept(s *simulation.Scenario, over string, v float64) error {
 	callerContext := int(v)
 	switch over {
@@ -76,19 +75,20 @@
 			s.Faults[i].Share = v
 		}
 	default:
-		return fmt.Errorf("%q can't be swept; load.at, size, hosts.count, nodes.count, nodes.deaf, nodes.tries, nodes.subset, nodes.behind, register.lag (seconds), trouble.factor and trouble.share can", over)
+		return &UnsweepableError{Field: over}
 	}
 	return s.Check()
 }
 
-// Cells are the runs of an experiment, in the order of the file: scenarios, values, seeds, policies.
+// Cells returns the runs of an experiment, in order of scenarios, values, seeds and policies. The error is that of a swept
+// value, or a *TooManyRunsError.
 func (x *Experiment) Cells() (cells []Cell, err error) {
 	values := x.SweptValues
 	if x.SweptField == "" {
 		values = []float64{0}
 	}
 	if n := len(x.Scenarios) * len(values) * len(x.Seeds) * len(x.Policies); n > MaxCells {
-		return nil, fmt.Errorf("%d runs, wanted %d at the most", n, MaxCells)
+		return nil, &TooManyRunsError{Runs: n}
 	}
 	for _, s := range x.Scenarios {
 		for _, v := range values {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -27,7 +27,7 @@
 	return x
 }
 
-// TestErrors: what is wrong with a file is told with its place and field.
+// TestErrors: an error in a file is reported with its place and field.
 func TestErrors(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, text := range []string{
@@ -46,7 +46,7 @@
 	tr.Say("%s", parse(t, small).Describe(12))
 }
 
-// TestSameOnAnyCores: results do not depend on how many run at once, nor on whether they were kept in between.
+// TestSameOnAnyCores: results do not depend on how many run at once, nor on whether they were stored in between.
 func TestSameOnAnyCores(t *testing.T) {
 	x := parse(t, small)
 	text := func(dir *ResultDir, cores int) string {
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestInterrupted: a run that is stopped half-way keeps what it has, and the next call plays only the rest; a file that was
-// cut short is played again.
+// TestInterrupted: an experiment that is stopped half-way has its results stored, and the next call plays only the
+// rest; a truncated file is played again.
 func TestInterrupted(t *testing.T) {
 	x, dir := parse(t, small), t.TempDir()
 	resultDir, err := OpenResultDir(dir, "b")
@@ -99,7 +99,7 @@
 	}
 	cached, err := filepath.Glob(filepath.Join(dir, "*.run"))
 	if err != nil || len(cached) < 5 || len(cached) > 6 {
-		t.Fatalf("%d results kept after five: %v", len(cached), err)
+		t.Fatalf("%d results stored after five: %v", len(cached), err)
 	}
 	raw, err := os.ReadFile(cached[0])
 	if err != nil {
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadResult(cached[0]); err == nil {
-		t.Error("a file that was cut short is read as if it were whole")
+		t.Error("a truncated file is read as if it were complete")
 	}
 	if _, missing, err := Load(x, dir); err != nil || missing != 12-len(cached)+1 {
 		t.Errorf("%d are missing, %v", missing, err)
@@ -163,26 +163,26 @@
 	tr.Say("%v", err)
 }
 
-// TestIntervalCoversTheMean: of intervals from days whose true difference is known, some 95 in 100 hold it; so few days as eight make it a
-// little less.
+// TestIntervalCoversTheMean: of intervals of days whose true difference is known, about 95% cover it; with as few days
+// as twelve it is a little less.
 func TestIntervalCoversTheMean(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	held, tries := 0, 300
-	for range tries {
+	covering, samples := 0, 300
+	for range samples {
 		xs := make([]float64, 12)
 		for i := range xs {
 			xs[i] = 3 + r.NormFloat64()
 		}
 		if e := Bootstrap(xs); e.Low <= 3 && e.High >= 3 {
-			held++
+			covering++
 		}
 	}
-	if held < tries*86/100 || held == tries {
-		t.Errorf("%d of %d intervals hold the true mean", held, tries)
+	if covering < samples*86/100 || covering == samples {
+		t.Errorf("%d of %d intervals cover the true mean", covering, samples)
 	}
 }
 
-// TestNewerVersionIsRefused: a result of a later build's form is not misread.
+// TestNewerVersionIsRefused: a result of a newer version is not misread.
 func TestNewerVersionIsRefused(t *testing.T) {
 	dir, err := OpenResultDir(t.TempDir(), "b")
 	if err != nil {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -12,8 +12,8 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Read reads an experiment's file: any number of scenario, policy and load forms, and one (experiment NAME ...). Files that
-// it names are looked for beside it.
+// Read reads an experiment's file: any number of scenario and policy forms, and one (experiment NAME ...). Files that
+// it names are relative to its directory. Syntax errors are sexpr's, with line and column.
 func Read(file string) (*Experiment, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return Parse(file, src)
 }
 
-// Parse reads an experiment from memory.
+// Parse is Read for a file in memory; file is its name.
 func Parse(file string, src []byte) (*Experiment, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
@@ -49,10 +49,10 @@
 	return x, errs.Err()
 }
 
-// definitions are the forms of one file: what the experiment may name, and the experiment itself.
+// definitions are the forms of one file: scenarios and policies by name, and the experiment itself.
 type definitions struct {
 	scenarios  map[string]simulation.Scenario
-	order      []string // of the scenarios, as they stand in the file
+	order      []string // names of the scenarios, as in the file
 	policies   map[string]*simulation.Policy
 	experiment *sexpr.Form
 }
@@ -87,7 +87,7 @@
 	return d
 }
 
-// namedScenarios are those that the experiment names, else all of the file.
+// namedScenarios returns the scenarios that the experiment names, else all of the file.
 func (d *definitions) namedScenarios() (all []simulation.Scenario) {
 	names := d.experiment.Words("scenarios")
 	if len(names) == 0 {
@@ -103,7 +103,8 @@
 	return all
 }
 
-// namedPolicies are those that the experiment names, the file's own before the built-in ones; without names the decision module alone.
+// namedPolicies returns the policies that the experiment names, the file's own before the built-in ones; without names
+// the decision module alone.
 func (d *definitions) namedPolicies() (all []simulation.Policy) {
 	names := d.experiment.Words("policies")
 	if len(names) == 0 {
@@ -123,7 +124,7 @@
 	return all
 }
 
-// readSweep reads the field that is varied and its values.
+// readSweep reads the swept field and its values.
 func (x *Experiment) readSweep(f *sexpr.Form) {
 	over := f.Field("over")
 	if over == nil {
@@ -143,6 +144,7 @@
 	}
 }
 
+// readRecorded reads the recorded load that a scenario names.
 func readRecorded(f *sexpr.Form, file, name string, s *simulation.Scenario) {
 	in, err := os.Open(filepath.Join(filepath.Dir(file), name))
 	if err != nil {
@@ -166,10 +168,10 @@
 		p = &simulation.Policy{}
 	}
 	p.Name = name
-	if ladder := f.Text("ladder", ""); ladder != "" {
-		raw, err := os.ReadFile(filepath.Join(filepath.Dir(file), ladder))
+	if degradationFile := f.Text("ladder", ""); degradationFile != "" {
+		raw, err := os.ReadFile(filepath.Join(filepath.Dir(file), degradationFile))
 		if err == nil {
-			p.Degradation, err = degradation.ParsePolicy(ladder, raw)
+			p.Degradation, err = degradation.ParsePolicy(degradationFile, raw)
 		}
 		if err != nil {
 			f.Fail("ladder", "%v", err)
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"fmt"
 	"math"
 	"slices"
 	"strings"
@@ -12,12 +11,12 @@
 // Measure is a figure of a result.
 type Measure struct {
 	Name          string
-	Value         func(r *simulation.Result) float64
-	LowerIsBetter bool // less is better
+	Value         func(r *simulation.Result) float64 // NaN where a result does not have it
+	LowerIsBetter bool                               // a lower value is better
 }
 
-// MeasureNamed finds a figure by its name: value, broken, attempts, wasted, or one of an operation: OPERATION.value,
-// OPERATION.in-time, OPERATION.p50, .p99, .throttled, .lost. NaN where a result does not have it.
+// MeasureNamed finds a figure by its name: value, priced, broken, attempts, wasted, changes, or one of an operation or
+// tenant: NAME.value, NAME.in-time, NAME.p50, NAME.p99, or NAME and an outcome. The error is an *UnknownMeasureError.
 func MeasureNamed(name string) (m Measure, err error) {
 	per := func(r *simulation.Result, x float64) float64 { return x / math.Max(1, float64(r.Requests)) }
 	m.Name = name
@@ -47,7 +46,7 @@
 			of, known = func(p *simulation.Breakdown) float64 { return p.OutcomeShare(n) }, true
 		}
 		if !ok || !known {
-			return m, fmt.Errorf("no figure %q: value, priced, broken, attempts, wasted, changes, or OPERATION with .value, .in-time, .p50, .p99 or .%s", name, strings.Join(ends, ", ."))
+			return m, &UnknownMeasureError{Name: name}
 		}
 		m.LowerIsBetter = what != "value" && what != "in-time" && what != "succeeded"
 		m.Value = func(r *simulation.Result) float64 {
@@ -64,6 +63,7 @@
 	return m, nil
 }
 
+// quantile returns a percentile of a breakdown's latencies, in microseconds; NaN where there are none.
 func quantile(p *simulation.Breakdown, q float64) float64 {
 	h, err := p.Histogram()
 	if err != nil || h == nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -8,17 +8,17 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Sweep has an experiment go over other values than its file says: NAME=VALUE,VALUE...
+// Sweep replaces what the file sweeps, by NAME=VALUE,VALUE... The error is a *SweepError, or that of Cells.
 func (x *Experiment) Sweep(text string) error {
 	name, list, ok := strings.Cut(text, "=")
 	if !ok {
-		return fmt.Errorf("over: %q, wanted NAME=VALUE,VALUE", text)
+		return &SweepError{Text: text, Wanted: "NAME=VALUE,VALUE"}
 	}
 	x.SweptField, x.SweptValues = name, nil
 	for _, w := range strings.Split(list, ",") {
 		v, err := strconv.ParseFloat(w, 64)
 		if err != nil {
-			return fmt.Errorf("over: %q, wanted a number", w)
+			return &SweepError{Text: w, Wanted: "a number"}
 		}
 		x.SweptValues = append(x.SweptValues, v)
 	}
@@ -26,7 +26,7 @@
 	return err
 }
 
-// Describe tells in words what an experiment runs.
+// Describe returns a text of what an experiment runs.
 func (x *Experiment) Describe(cells int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "experiment %s: %d runs\n", x.Name, cells)
@@ -51,7 +51,7 @@
 	return b.String()
 }
 
-// Facts are an experiment for programs.
+// Facts are what an experiment runs, for JSON.
 type Facts struct {
 	Name        string    `json:"name"`
 	Scenarios   []string  `json:"scenarios"`
@@ -62,7 +62,7 @@
 	Runs        int       `json:"runs"`
 }
 
-// Facts tells what an experiment runs.
+// Facts returns what an experiment runs.
 func (x *Experiment) Facts() Facts {
 	f := Facts{Name: x.Name, Seeds: x.Seeds, SweptField: x.SweptField, SweptValues: x.SweptValues}
 	for _, s := range x.Scenarios {
@@ -76,7 +76,7 @@
 	return f
 }
 
-// Row is one line of an experiment's table: all days of one scenario, value and policy.
+// Row is one line of an experiment's table: all days of one scenario, swept value and policy.
 type Row struct {
 	Scenario       string   `json:"scenario"`
 	SweptValue     float64  `json:"at"`
@@ -88,7 +88,7 @@
 	FirstBreach    string   `json:"first_breach,omitempty"`
 }
 
-// BreachCount counts the breaches of a row.
+// BreachCount returns the number of breaches.
 func (r *Row) BreachCount() (n int) {
 	for _, c := range r.BreachesByRule {
 		n += c
@@ -96,7 +96,7 @@
 	return n
 }
 
-// BreachSummary tells which rules were broken and how often; "-" where all were kept.
+// BreachSummary says which rules were broken and how often; "-" where all were kept.
 func (r *Row) BreachSummary() string {
 	var words []string
 	for rule, n := range r.BreachesByRule {
@@ -110,7 +110,8 @@
 	return strings.Join(words, ", ")
 }
 
-// Summary is the table of an experiment, in the order of its cells.
+// Summary returns the table of an experiment, in the order of its cells. Results are in the same order; a missing one
+// is nil.
 func Summary(cells []Cell, results []*simulation.Result) (rows []Row) {
 	type at struct {
 		scenario, policy string
--- a/internal/experiment/result_dir.go
+++ b/internal/experiment/result_dir.go
@@ -14,22 +14,16 @@
 	"milletbarrow/internal/simulation"
 )
 
-// ResultDir is the directory of an experiment's results: a file a run, written whole or not at all, so that a run that was
-// interrupted goes on where it was. One process at a time may write to it.
+// ResultDir is the directory of an experiment's results, a file for each run, written completely or not at all, so that
+// an interrupted experiment can be continued. One process at a time may write to it.
 type ResultDir struct {
 	Dir     string
 	lock    *os.File
 	encoder *zstd.Encoder
 }
 
-// ErrLocked says that another process writes to the directory.
-var ErrLocked = errors.New("another run writes to this place")
-
-// ErrOtherBuild says that the results in the directory are of another build.
-var ErrOtherBuild = errors.New("the results there are of another build: name another place, or remove it")
-
-// OpenResultDir takes a place for writing, and makes it if it is not there. Build names what runs: results of one build are not gone
-// on with by another.
+// OpenResultDir opens a directory for writing, and makes it if it is missing. build identifies the program: results of
+// one build are not continued by another. The error wraps ErrLocked or ErrOtherBuild where that is the cause.
 func OpenResultDir(dir, build string) (*ResultDir, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -60,14 +54,14 @@
 	return p, nil
 }
 
-// Close lets others have the place.
+// Close unlocks the directory.
 func (p *ResultDir) Close() error {
 	return errors.Join(p.encoder.Close(), p.lock.Close())
 }
 
 func (p *ResultDir) path(key string) string { return filepath.Join(p.Dir, key+".run") }
 
-// Write keeps a result under its key, whole or not at all.
+// Write stores a result under its key, completely or not at all.
 func (p *ResultDir) Write(key string, r *simulation.Result) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -85,10 +79,11 @@
 	return os.Rename(f.Name(), p.path(key))
 }
 
-// MaxResultBytes is the longest result that is read, in bytes before compression.
+// MaxResultBytes is the size of the largest result that is read, before compression.
 const MaxResultBytes = 1 << 30
 
-// ReadResult reads one file of a place. A file that was cut short or altered is an error that says so.
+// ReadResult reads one file of a result directory. The error is a *ResultError where the file is truncated, altered or
+// of a newer version.
 func ReadResult(file string) (*simulation.Result, error) {
 	in, err := os.Open(file)
 	if err != nil {
@@ -102,19 +97,19 @@
 	defer d.Close()
 	raw, err := io.ReadAll(d)
 	if err != nil {
-		return nil, fmt.Errorf("%s: cut short or altered: %w", file, err)
+		return nil, &ResultError{File: file, Err: fmt.Errorf("%w: %w", ErrDamaged, err)}
 	}
 	r := &simulation.Result{}
 	if err := json.Unmarshal(raw, r); err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return nil, &ResultError{File: file, Err: err}
 	}
 	if r.Version > simulation.Version {
-		return nil, fmt.Errorf("%s: version %d, this build reads up to %d", file, r.Version, simulation.Version)
+		return nil, &ResultError{File: file, Err: &VersionError{Version: r.Version}}
 	}
 	return r, nil
 }
 
-// Load tells whether a key's result is there and can be read.
+// Load returns the result of a key, and whether it is there and readable.
 func (p *ResultDir) Load(key string) (*simulation.Result, bool) {
 	r, err := ReadResult(p.path(key))
 	return r, err == nil
--- a/internal/experiment/resultkey.go
+++ b/internal/experiment/resultkey.go
@@ -11,8 +11,8 @@
 	"milletbarrow/internal/simulation"
 )
 
-// resultKey names a run by all that decides its result, so that what has been run is known again, and nothing else is. It is
-// the name of the file that keeps the result, and must not change when a Go field is renamed.
+// resultKey names a run by everything that decides its result, so that the same run is found again. It is the name of
+// the file that stores the result, and must not change when a Go field is renamed.
 func resultKey(c *Cell) string {
 	h := xxhash.New()
 	_, _ = fmt.Fprintf(h, "%d ", simulation.Version) // a hash takes all that is written
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// printStable prints a value as the verb %+v does, save that a field with a JSON tag goes by the name in its tag. A
-// field that is renamed gets its former name as a tag, and the printed form stays.
+// printStable prints a value as the verb %+v does, but a field with a JSON tag goes by the name in its tag. A field
+// that is renamed gets its former name as a tag, and the printed form stays.
 func printStable(w io.Writer, v reflect.Value) {
 	if v.CanInterface() {
 		switch v.Interface().(type) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,17 +10,18 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Progress is told after each run.
+// Progress is reported after each run.
 type Progress struct {
-	Done, Total int
-	Cached      int // of them, found in the place
+	Done, Total int // runs
+	Cached      int // of Done, found in the result directory
 	Cell        *Cell
 	Result      *simulation.Result
 }
 
-// Run plays all of an experiment's cells on so many cores, keeps each result as it comes, and skips what the place has.
-// Who is interrupted goes on later with the same call. The results come in the order of the cells, whatever the cores.
-// place may be nil: nothing is kept. told is called by one goroutine at a time; it may be nil.
+// Run plays all cells of an experiment on that many cores, stores each result as it comes, and skips those that the
+// directory has. A call that was interrupted is continued by the same call. Results are in the order of the cells,
+// whatever the number of cores. dir may be nil: nothing is stored. onProgress may be nil; it is called by one goroutine
+// at a time.
 func Run(ctx context.Context, x *Experiment, dir *ResultDir, cores int, onProgress func(Progress)) ([]*simulation.Result, error) {
 	cells, err := x.Cells()
 	if err != nil {
@@ -79,7 +80,7 @@
 	return results, callerContext.Err()
 }
 
-// Load reads the results of an experiment from a place; what is missing is counted.
+// Load reads the stored results of an experiment. A missing one is nil, and counted.
 func Load(x *Experiment, dir string) (results []*simulation.Result, missing int, err error) {
 	cells, err := x.Cells()
 	if err != nil {
--- a/internal/fakes/caller.go
+++ b/internal/fakes/caller.go
@@ -167,7 +167,7 @@
 // asked for no more and the time for which the caller ignores that has passed.
 func (t *callerConn) send(tick <-chan time.Time) (over bool) {
 	l := t.load
-	chance := rand.New(rand.NewPCG(uint64(l.from), uint64(l.next)))
+	random := rand.New(rand.NewPCG(uint64(l.from), uint64(l.next)))
 	noMore := t.goAway
 	var enough <-chan time.Time
 	for stream := uint32(1); ; {
@@ -185,7 +185,7 @@
 		case <-t.ended:
 			return false
 		case <-tick:
-			if !t.sendOne(stream, chance) {
+			if !t.sendOne(stream, random) {
 				return false
 			}
 			stream++
@@ -194,19 +194,19 @@
 }
 
 // sendOne writes one request. It reports whether the connection took all of it.
-func (t *callerConn) sendOne(stream uint32, chance *rand.Rand) bool {
+func (t *callerConn) sendOne(stream uint32, random *rand.Rand) bool {
 	l := t.load
 	l.mu.Lock()
 	l.next++
 	number := l.from<<24 + l.next
-	part := l.draw(chance)
-	s := &SentRequest{ID: fmt.Sprintf("%016x", number), Operation: part.Operation, At: time.Now()}
+	operation := l.draw(random)
+	s := &SentRequest{ID: fmt.Sprintf("%016x", number), Operation: operation.Operation, At: time.Now()}
 	s.Due = s.At.Add(l.wait)
 	t.open[stream] = s
 	l.all = append(l.all, s)
 	l.mu.Unlock()
 	text := Invocation(stream, number, fmt.Sprint("wait=", l.wait.Milliseconds()), fmt.Sprint("from=", l.from),
-		"class="+part.Operation, fmt.Sprintf("rank=%.4f", part.Priority))
+		"class="+operation.Operation, fmt.Sprintf("rank=%.4f", operation.Priority))
 	if _, err := t.conn.Write([]byte(text)); err != nil {
 		l.mu.Lock()
 		s.NeverSent = true
--- a/internal/fakes/trace.go
+++ b/internal/fakes/trace.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the traces anew")
+var update = flag.Bool("update", false, "rewrite the golden traces")
 
 // waitLimit is how long a test waits for an expected event.
 const waitLimit = 10 * time.Second
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(text, "\n")); diff != "" {
-		t.Errorf("not as in %s (-kept +now):\n%s", file, diff)
+		t.Errorf("not as in %s (-golden +now):\n%s", file, diff)
 	}
 }
 
--- a/internal/loadgen/connection.go
+++ b/internal/loadgen/connection.go
@@ -9,7 +9,7 @@
 	"milletbarrow/internal/simulation"
 )
 
-// connection is one connection of one node to one backend. The sender's lock guards it, but for the socket.
+// connection is one connection of one node to one backend. The sender's mutex guards it, but for the socket.
 type connection struct {
 	sender        *sender
 	node, backend int
@@ -22,12 +22,13 @@
 	goingAway     bool
 }
 
+// sentAttempt is an attempt that was sent, under its id.
 type sentAttempt struct {
 	request *Request
 	id      string
 }
 
-// dial opens the connection; what was to be sent meanwhile goes out then.
+// dial opens the connection and sends what is pending.
 func (l *connection) dial(address string) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	l.sender.mu.Lock()
@@ -45,16 +46,16 @@
 	l.read(c)
 }
 
-// send appends a frame; s.mu is held.
-func (l *connection) send(req *Request, ask *frame.OutgoingInvocation) {
+// send appends a frame and starts writing. The caller holds the sender's mutex.
+func (l *connection) send(req *Request, invocation *frame.OutgoingInvocation) {
 	l.lastStream++
-	l.unanswered[l.lastStream] = &sentAttempt{request: req, id: ask.ID}
+	l.unanswered[l.lastStream] = &sentAttempt{request: req, id: invocation.ID}
 	req.OpenAttempts++
-	l.pending = frame.AppendInvocation(l.pending, l.lastStream, ask)
+	l.pending = frame.AppendInvocation(l.pending, l.lastStream, invocation)
 	l.flush()
 }
 
-// flush has what waits written, without holding the lock meanwhile.
+// flush starts writing what is pending, without the mutex meanwhile. The caller holds it.
 func (l *connection) flush() {
 	if l.writing || l.conn == nil || len(l.pending) == 0 {
 		return
@@ -72,12 +73,13 @@
 			}
 			l.sender.mu.Unlock()
 			if _, err := c.Write(out); err != nil {
-				_ = c.Close() // the reader finds the end
+				_ = c.Close() // the reader handles the end
 			}
 		}
 	}()
 }
 
+// read handles frames until the connection ends.
 func (l *connection) read(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	const most = 262_144
@@ -113,6 +115,7 @@
 	}
 }
 
+// allAnswered reports whether nothing is unanswered or pending. The caller holds the sender's mutex.
 func (l *connection) allAnswered() bool {
 	for _, x := range l.unanswered {
 		if !x.request.Finished {
@@ -122,12 +125,12 @@
 	return len(l.pending) == 0
 }
 
-// handleFrame takes one in; s.mu is held.
+// handleFrame handles one frame. The caller holds the sender's mutex.
 func (l *connection) handleFrame(h frame.Header, payload []byte) error {
 	switch h.Kind {
 	case frame.KindGoAway:
 		l.goingAway = true
-		if l.sender.connections[[2]int{l.node, l.backend}] == l { // what comes next opens another connection
+		if l.sender.connections[[2]int{l.node, l.backend}] == l { // the next attempt opens another connection
 			delete(l.sender.connections, [2]int{l.node, l.backend})
 		}
 	case frame.KindAnswer:
@@ -137,7 +140,7 @@
 		}
 		x := l.unanswered[h.Stream]
 		if x == nil {
-			if h.Stream > 0 && h.Stream <= l.lastStream { // it was answered before
+			if h.Stream > 0 && h.Stream <= l.lastStream { // a second answer
 				l.sender.report.DuplicateAnswers++
 			}
 			return nil
@@ -159,7 +162,7 @@
 	return nil
 }
 
-// endRequest is the end of the connection; what is open on it has had none. s.mu is held.
+// fail ends the connection; unanswered attempts end with the outcome. The caller holds the sender's mutex.
 func (l *connection) fail(out simulation.Outcome) {
 	if l.closed {
 		return
@@ -175,6 +178,7 @@
 	clear(l.unanswered)
 }
 
+// close closes the socket. The caller holds the sender's mutex.
 func (l *connection) close() {
 	l.closed = true
 	if l.conn != nil {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -23,30 +23,31 @@
 	return &s
 }
 
-// TestNext: what follows each kind of end, for nodes that heed and such that do not.
+// TestNext: what follows each outcome, for nodes that honour advice and for those that ignore it.
 func TestNext(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := day(simulation.Second)
 	for _, op := range []int{0, 2} {
 		for _, out := range []simulation.Outcome{simulation.Throttled, simulation.Errored, simulation.Unreachable, simulation.Reset} {
-			for _, tries := range []int{1, 3} {
+			for _, attempts := range []int{1, 3} {
 				for _, h := range []Response{{Outcome: out}, {Outcome: out, DontRetry: true}} {
 					for _, ignoresAdvice := range []bool{false, true} {
-						req := &Request{Arrival: simulation.Arrival{Operation: op}, Due: simulation.Second, Attempts: tries}
-						pause, again := Next(s, 0, req, h, ignoresAdvice, rand.New(rand.NewPCG(1, 1)))
-						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, simulation.Outcomes()[out], tries, h.DontRetry, ignoresAdvice, again, pause)
+						req := &Request{Arrival: simulation.Arrival{Operation: op}, Due: simulation.Second, Attempts: attempts}
+						backoff, retry := Next(s, 0, req, h, ignoresAdvice, rand.New(rand.NewPCG(1, 1)))
+						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, simulation.Outcomes()[out], attempts, h.DontRetry, ignoresAdvice, retry, backoff)
 					}
 				}
 			}
 		}
 	}
 	req := &Request{Due: 1500, Attempts: 1}
-	if _, again := Next(s, 1000, req, Response{Outcome: simulation.Throttled}, false, rand.New(rand.NewPCG(1, 1))); again {
-		t.Error("a try that comes after the caller's time")
+	if _, retry := Next(s, 1000, req, Response{Outcome: simulation.Throttled}, false, rand.New(rand.NewPCG(1, 1))); retry {
+		t.Error("an attempt after the client timeout")
 	}
 }
 
-// TestChoose: in turn; not who asked to be left alone, nor who was just tried; a first try goes out all the same.
+// TestChoose: round robin; neither a backend that asked to be left alone nor that of the previous attempt; a first
+// attempt is sent all the same.
 func TestChoose(t *testing.T) {
 	b := BackendView{AvoidUntil: make([]Micros, 3)}
 	req := &Request{LastBackend: -1}
@@ -68,7 +69,8 @@
 	}
 }
 
-// TestRecordResponse: advice lengthens what stands, deaf nodes pass it over, and one that is gone is left alone by all.
+// TestRecordResponse: Retry-After extends the present one, is ignored by some nodes, and an unreachable backend is
+// avoided by all.
 func TestRecordResponse(t *testing.T) {
 	b := BackendView{AvoidUntil: make([]Micros, 4)}
 	b.RecordResponse(100, 0, Response{Outcome: simulation.Throttled, RetryAfter: 50}, false)
@@ -81,7 +83,7 @@
 	}
 }
 
-// backend answers by a rule of its own; it is as bad as the rule.
+// backend starts a backend that answers by a rule of the test.
 func backend(t *testing.T, answer func(n int, id string, stream uint32) []byte) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -132,8 +134,8 @@
 	return frame.AppendAnswer(nil, stream, frame.Succeeded, 0, false, []byte("result of "+id))
 }
 
-// TestReportCountsWrongAnswers: answers that come twice, that no run made, that never come, and connections that end are counted as what they
-// are, and each ask has one end.
+// TestReportCountsWrongAnswers: duplicate answers, unknown results, missing answers and connections that end are
+// counted as such, and each request has one outcome.
 func TestReportCountsWrongAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -194,12 +196,13 @@
 			}
 		}
 		if text := c.wrong(r); text != "" || ends != r.Requests || r.Requests == 0 {
-			t.Errorf("%s: %s: %d asks, %d ends, %d doubles, %d strange, %+v", c.name, text, r.Requests, ends, r.DuplicateAnswers, r.UnknownResults, r.Operations)
+			t.Errorf("%s: %s: %d requests, %d outcomes, %d duplicate answers, %d unknown results, %+v", c.name, text, r.Requests, ends, r.DuplicateAnswers, r.UnknownResults, r.Operations)
 		}
 	}
 }
 
-// TestLatencyCountsFromScheduledTime: a backend that stalls for a while does not hide what waited: latency counts from the day's time.
+// TestLatencyCountsFromScheduledTime: a backend that stalls for a while does not hide what waited: latency counts from
+// the day's time.
 func TestLatencyCountsFromScheduledTime(t *testing.T) {
 	began := time.Now()
 	address := backend(t, func(_ int, id string, stream uint32) []byte {
@@ -221,7 +224,7 @@
 	}
 }
 
-// TestRefusesOtherMachines: load goes to this machine alone.
+// TestRefusesOtherMachines: load is sent to loopback addresses alone.
 func TestRefusesOtherMachines(t *testing.T) {
 	for _, to := range []string{"10.0.0.1:80", "example.org:80", "127.0.0.1", ""} {
 		if _, err := Run(context.Background(), Options{Scenario: day(simulation.Second), Backends: []string{to}}); err == nil || !strings.Contains(err.Error(), "loopback") {
--- a/internal/loadgen/retry.go
+++ b/internal/loadgen/retry.go
@@ -1,6 +1,6 @@
-// Package loadgen sends a modelled day over sockets: open loop, to real backends on this machine, with the attempts, pauses and
-// heeding of the model's edge nodes, and keeps the same books. What a node does next is decided in this file, which
-// does no I/O and holds no clock; sender.go has the connections.
+// Package loadgen sends a scenario's day over sockets, open loop, to real backends on this machine, with the attempts and
+// backoff of the simulation's edge nodes, and records the same figures. What a node does next is decided in retry.go,
+// which does no I/O and reads no clock; sender.go and connection.go send.
 package loadgen
 
 import (
@@ -14,25 +14,25 @@
 // Micros is a time of the day that is sent, in whole microseconds.
 type Micros = simulation.Micros
 
-// Request is one request as its caller sees it, from its time in the day to its one end.
+// Request is the state of one request at its caller.
 type Request struct {
 	simulation.Arrival
 	Number       int
 	Due          Micros
 	Attempts     int
-	LastBackend  int // the backend of the latest try
-	OpenAttempts int // attempts without an answer
+	LastBackend  int // backend of the latest attempt; -1: none
+	OpenAttempts int // unanswered attempts
 	Finished     bool
 }
 
-// BackendView are what one node knows of the backends it may try.
+// BackendView is what one node knows of the backends.
 type BackendView struct {
-	AvoidUntil []Micros // not before
+	AvoidUntil []Micros // by backend: it gets no attempt before
 	next       int
 }
 
-// Choose is the backend of a try: in turn, none that asked to be left alone, and not the one of the try before while there are
-// others. A first try goes to somebody all the same. -1: nobody.
+// Choose returns the backend of an attempt: round robin, without those that asked to be left alone, and without that of
+// the previous attempt while there are others. A first attempt is sent all the same. -1: no backend.
 func (b *BackendView) Choose(now Micros, req *Request) int {
 	n := len(b.AvoidUntil)
 	for range n {
@@ -48,7 +48,8 @@
 	return b.next
 }
 
-// RecordResponse takes in what a backend said, or that it could not be reached: it is left alone for as long. A deaf node heeds no advice.
+// RecordResponse takes in a Retry-After, or that a backend could not be reached: it is avoided for as long. A node that
+// ignores advice honours no Retry-After.
 func (b *BackendView) RecordResponse(now Micros, backend int, h Response, ignoresAdvice bool) {
 	switch h.Outcome {
 	case simulation.Throttled:
@@ -60,18 +61,19 @@
 	}
 }
 
-// unreachableBackoff is how long a backend that could not be reached is left alone.
+// unreachableBackoff is how long a backend is avoided that could not be reached.
 const unreachableBackoff = simulation.Second / 4
 
-// Response is what came of a try.
+// Response is the outcome of an attempt.
 type Response struct {
 	Outcome    simulation.Outcome
 	RetryAfter Micros
 	DontRetry  bool
 }
 
-// Next is what follows a try that was no success: the pause before another, or the end of the ask. deaf: the node heeds nothing.
-func Next(s *simulation.Scenario, now Micros, req *Request, h Response, ignoresAdvice bool, chance *rand.Rand) (pause Micros, again bool) {
+// Next decides after an attempt without success whether the request is retried, and after which pause. A node that
+// ignores advice honours neither "don't retry" nor the growth of the backoff.
+func Next(s *simulation.Scenario, now Micros, req *Request, h Response, ignoresAdvice bool, random *rand.Rand) (backoff Micros, retry bool) {
 	op := &s.Operations[req.Operation]
 	ran := h.Outcome != simulation.Throttled && h.Outcome != simulation.Unreachable
 	if ran && op.RetrySafety == admission.NonIdempotent || h.DontRetry && !ignoresAdvice || s.Nodes.MaxAttempts > 0 && req.Attempts >= s.Nodes.MaxAttempts {
@@ -81,11 +83,11 @@
 	if !ignoresAdvice {
 		wait *= math.Exp2(float64(min(req.Attempts, 8) - 1))
 	}
-	pause = max(1000, Micros(wait*(0.5+chance.Float64())))
-	return pause, now+pause < req.Due
+	backoff = max(1000, Micros(wait*(0.5+random.Float64())))
+	return backoff, now+backoff < req.Due
 }
 
-// EarnedValue is what an answer that took so long is billed.
+// EarnedValue returns the value billed for a success after that long.
 func EarnedValue(op *simulation.Operation, took Micros) float64 {
 	if took > op.Objective {
 		return op.Value * op.LateValue
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -15,36 +14,37 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Options of one load.
+// Options describe one load.
 type Options struct {
 	Scenario   *simulation.Scenario
 	Seed       uint64
-	Backends   []string // addresses on this machine
+	Backends   []string // loopback addresses
 	Bounds     limits.Load
-	OnSnapshot func(Snapshot) // every second; may be nil
+	OnSnapshot func(Snapshot) // called every second; may be nil
 }
 
-// Snapshot is how a load stands.
+// Snapshot is the state of a load while it runs.
 type Snapshot struct {
 	At          time.Duration
 	Requests    int
 	InFlight    int
-	Value       float64 // billed by offered, so far
+	Value       float64 // billed part of the value offered so far
 	LastSecond  simulation.SecondStats
 	Connections int
-	Lag         time.Duration // the sender itself is so late
+	Lag         time.Duration // how late the sender itself has been at most
 	PerSecond   float64
 }
 
-// Report is what a load brought.
+// Report is the result of a load.
 type Report struct {
 	*simulation.Result
-	DuplicateAnswers int           `json:"doubles"` // answers to what was answered before
-	UnknownResults   int           `json:"strange"` // succeeded with what no run of it made
-	Unsent           int           `json:"unsent"`  // asks beyond the bound of what may be open
-	MaxLag           time.Duration `json:"late_ns"` // the latest that the sender itself was
+	DuplicateAnswers int           `json:"doubles"` // second answers to an attempt
+	UnknownResults   int           `json:"strange"` // successes with a result that no run of theirs produced
+	Unsent           int           `json:"unsent"`  // requests beyond Bounds.Open
+	MaxLag           time.Duration `json:"late_ns"` // how late the sender itself was at most
 }
 
+// sender is the state of one load. mu guards all that changes.
 type sender struct {
 	options       Options
 	scenario      *simulation.Scenario
@@ -62,19 +62,20 @@
 	attempts      uint64
 }
 
-// Run sends the scenario's day. Latency counts from the time at which the day has the request, not from when it was sent:
-// request sender or a backend that stalls does not hide what waited meanwhile. Every address must be of this machine.
+// Run sends the scenario's day to the backends, whose addresses must be on loopback (else the error is an
+// *AddressError). Latency counts from the time at which the day has the request, not from when it was sent, so that a
+// sender or backend that stalls does not hide what waited meanwhile.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Scenario.Check(); err != nil {
 		return nil, err
 	}
 	if len(o.Backends) == 0 {
-		return nil, errors.New("load: no backend is named")
+		return nil, ErrNoBackend
 	}
 	for _, b := range o.Backends {
 		host, _, err := net.SplitHostPort(b)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-			return nil, fmt.Errorf("load: %q is no loopback address: load goes to this machine alone", b)
+			return nil, &AddressError{Address: b}
 		}
 	}
 	s := &sender{
@@ -119,6 +120,7 @@
 
 func (s *sender) now() Micros { return Micros(time.Since(s.startedAt).Microseconds()) }
 
+// finishReport completes the report.
 func (s *sender) finishReport() *Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +128,7 @@
 	return s.report
 }
 
-// closeIfDone: all has been sent and nothing is open; s.mu is held.
+// closeIfDone closes allDone once all has been sent and answered. The caller holds s.mu.
 func (s *sender) closeIfDone() {
 	if s.sentAll && s.inFlight == 0 {
 		select {
@@ -137,6 +139,7 @@
 	}
 }
 
+// startRequest records a request and sends its first attempt.
 func (s *sender) startRequest(arrival simulation.Arrival, number int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +163,7 @@
 	s.sendAttempt(req)
 }
 
-// sendAttempt sends one attempt; s.mu is held.
+// sendAttempt sends one attempt. The caller holds s.mu.
 func (s *sender) sendAttempt(req *Request) {
 	now := s.now()
 	b := s.views[req.Node].Choose(now, req)
@@ -174,12 +177,12 @@
 	s.report.Attempts++
 	s.attempts++
 	op := &s.scenario.Operations[req.Operation]
-	ask := &frame.OutgoingInvocation{
+	invocation := &frame.OutgoingInvocation{
 		Operation: op.Name, ID: fmt.Sprintf("%016x", s.idBase+s.attempts), At: time.Now().UnixMilli(), Wait: max(1000, req.Due-now), Retry: retry, Work: req.Hint,
 		KB: max(0.1, min(s.scenario.Hosts.RequestKB, 1999)), Rank: min(op.Priority, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(req.Work), 10),
 	}
 	if len(s.scenario.Tenants) > 0 {
-		ask.Tenant = s.scenario.Tenants[req.Tenant].Name
+		invocation.Tenant = s.scenario.Tenants[req.Tenant].Name
 	}
 	l := s.connections[[2]int{req.Node, b}]
 	if l == nil {
@@ -187,10 +190,10 @@
 		s.connections[[2]int{req.Node, b}] = l
 		go l.dial(s.options.Backends[b])
 	}
-	l.send(req, ask)
+	l.send(req, invocation)
 }
 
-// handleResponse is the end of a try; s.mu is held.
+// handleResponse handles the end of an attempt. The caller holds s.mu.
 func (s *sender) handleResponse(req *Request, node, backend int, h Response) {
 	if req.Finished {
 		return
@@ -208,13 +211,14 @@
 	s.retryOrEnd(req, h)
 }
 
+// retryOrEnd retries or ends a request after an attempt without success. The caller holds s.mu.
 func (s *sender) retryOrEnd(req *Request, h Response) {
-	pause, again := Next(s.scenario, s.now(), req, h, s.ignoresAdvice[req.Node], s.rand)
-	if !again {
+	backoff, retry := Next(s.scenario, s.now(), req, h, s.ignoresAdvice[req.Node], s.rand)
+	if !retry {
 		s.endRequest(req, h.Outcome)
 		return
 	}
-	time.AfterFunc(time.Duration(pause)*time.Microsecond, func() {
+	time.AfterFunc(time.Duration(backoff)*time.Microsecond, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !req.Finished {
@@ -223,6 +227,7 @@
 	})
 }
 
+// endRequest ends a request without success. The caller holds s.mu.
 func (s *sender) endRequest(req *Request, out simulation.Outcome) {
 	req.Finished = true
 	s.report.RecordOutcome(s.scenario, s.now(), req.Operation, req.Tenant, out, s.now()-req.At, 0)
@@ -238,10 +243,11 @@
 	}
 }
 
+// reportProgress reports a snapshot each second until stop is closed.
 func (s *sender) reportProgress(stop chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	asks := 0
+	requests := 0
 	for {
 		select {
 		case <-stop:
@@ -251,9 +257,9 @@
 		s.mu.Lock()
 		p := Snapshot{
 			At: time.Since(s.startedAt).Round(time.Second), Requests: s.report.Requests, InFlight: s.inFlight, Value: s.report.Value(), Connections: len(s.connections), Lag: s.report.MaxLag,
-			PerSecond: float64(s.report.Requests - asks),
+			PerSecond: float64(s.report.Requests - requests),
 		}
-		asks = s.report.Requests
+		requests = s.report.Requests
 		if n := len(s.report.Seconds); n > 1 {
 			p.LastSecond = s.report.Seconds[n-2]
 		}
--- a/internal/plot/degradation.go
+++ b/internal/plot/degradation.go
@@ -1,4 +1,5 @@
-// Package plot draws. It decides nothing, and writes to where it is told.
+// Package plot draws results of experiments and replays of degradation policies, as SVG or PNG. Its functions write to the
+// writer they are given and may be called by several goroutines.
 package plot
 
 import (
@@ -14,7 +15,7 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
-// maxPoints of one line; a longer trace is thinned evenly.
+// maxPoints is the number of points of one line; a longer trace is thinned evenly.
 const maxPoints = 4000
 
 var palette = []color.Color{
@@ -23,8 +24,8 @@
 	color.RGBA{R: 0x8c, G: 0x56, B: 0x4b, A: 255}, color.RGBA{R: 0x7f, G: 0x7f, B: 0x7f, A: 255},
 }
 
-// Levels draws a replay: the level as steps, and the smoothed signals that the ladder speaks of, over seconds.
-// Format is svg or png.
+// Levels draws a replay of a degradation policy: the level as steps, and the smoothed signals that it uses, over
+// seconds. Format is svg or png.
 func Levels(to io.Writer, l *degradation.Policy, points []degradation.ReplayPoint, format string) error {
 	p := plot.New()
 	p.Title.Text = "ladder " + l.Name
@@ -59,7 +60,7 @@
 	}
 	line, err := plotter.NewLine(level)
 	if err != nil {
-		return fmt.Errorf("nothing to draw: %w", err)
+		return fmt.Errorf("%w: %w", ErrNothingToDraw, err)
 	}
 	line.StepStyle, line.Width = plotter.PreStep, vg.Points(2)
 	p.Add(plotter.NewGrid(), line)
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// addSignal draws one signal. Where it is missing (NaN) it leaves a gap: each stretch that is known is a line of its own.
+// addSignal draws one signal. Where it is missing (NaN) there is a gap: each known stretch is a line of its own.
 func addSignal(p *plot.Plot, points []degradation.ReplayPoint, s degradation.Signal, c color.Color) error {
 	var stretch plotter.XYs
 	named := false
@@ -99,6 +100,7 @@
 	return flush()
 }
 
+// secondsAfter returns a time in seconds after the first point.
 func secondsAfter(points []degradation.ReplayPoint, at degradation.Micros) float64 {
 	return float64(at-points[0].At) / 1e6
 }
--- a/internal/plot/results.go
+++ b/internal/plot/results.go
@@ -5,6 +5,7 @@
 	"image/color"
 	"io"
 	"math"
+	"slices"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/palette/moreland"
@@ -16,7 +17,7 @@
 	"milletbarrow/internal/simulation"
 )
 
-// write ends a plot in the format, svg or png.
+// write renders a plot in the format svg or png.
 func write(p *plot.Plot, to io.Writer, format string) error {
 	c, err := draw.NewFormattedCanvas(24*vg.Centimeter, 13*vg.Centimeter, format)
 	if err != nil {
@@ -33,6 +34,7 @@
 	legendWidth  = 3.2 * vg.Centimeter
 )
 
+// newPlot returns an empty plot with a grid, and a legend on the right.
 func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -42,6 +44,7 @@
 	return p
 }
 
+// lineStyle returns the colour and the dashes of the n-th line.
 func lineStyle(n int) (color.Color, []vg.Length) {
 	var dashes []vg.Length
 	if n >= len(palette) {
@@ -50,66 +53,93 @@
 	return palette[n%len(palette)], dashes
 }
 
-// Curves draws a figure over what is swept, a line a policy, with bars for the intervals. An axis is logarithmic
-// where what it spans is more than a factor of 20, or 50.
+// addLine draws the n-th line, with its entry in the legend.
+func addLine(p *plot.Plot, n int, name string, xy plotter.XYs) error {
+	line, err := plotter.NewLine(xy)
+	if err != nil {
+		return err
+	}
+	line.Color, line.Dashes = lineStyle(n)
+	p.Add(line)
+	p.Legend.Add(name, line)
+	return nil
+}
+
+// An axis is logarithmic where it spans more than these factors.
+const (
+	maxLinearX = 20
+	maxLinearY = 50
+)
+
+// Curves draws a figure over the swept values, a line for each policy, with bars for the intervals. format is svg or png,
+// here and below.
 func Curves(to io.Writer, title, over, measure string, curves []experiment.Curve, format string) error {
 	p := newPlot(title, over, measure)
-	low, high := math.Inf(1), math.Inf(-1)
-	for _, c := range curves {
-		for _, x := range c.X {
-			low, high = min(low, x), max(high, x)
-		}
-	}
-	if low > 0 && high/low > 20 {
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	}
-	least, most := math.Inf(1), math.Inf(-1)
+	var xs, ys []float64
 	for _, c := range curves {
+		xs = append(xs, c.X...)
 		for _, e := range c.Y {
-			if e.Mean == e.Mean {
-				least, most = min(least, e.Low), max(most, e.High)
+			if !math.IsNaN(e.Mean) {
+				ys = append(ys, e.Low, e.High)
 			}
 		}
 	}
-	if least > 0 && most/least > 50 {
-		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	}
+	setScale(&p.X, xs, maxLinearX)
+	setScale(&p.Y, ys, maxLinearY)
 	for n, c := range curves {
-		var xy plotter.XYs
-		bars := &struct {
-			plotter.XYs
-			plotter.YErrors
-		}{}
-		for i, x := range c.X {
-			e := c.Y[i]
-			if math.IsNaN(e.Mean) {
-				continue
-			}
-			xy = append(xy, plotter.XY{X: x, Y: e.Mean})
-			bars.XYs = append(bars.XYs, plotter.XY{X: x, Y: e.Mean})
-			bars.YErrors = append(bars.YErrors, struct{ Low, High float64 }{e.Mean - e.Low, e.High - e.Mean})
-		}
-		if len(xy) == 0 {
-			continue
-		}
-		line, dots, err := plotter.NewLinePoints(xy)
-		if err != nil {
+		if err := addCurve(p, n, c); err != nil {
 			return err
 		}
-		line.Color, line.Dashes = lineStyle(n)
-		dots.Color = line.Color
-		dots.Radius = vg.Points(1.5)
-		p.Add(line, dots)
-		if b, err := plotter.NewYErrorBars(bars); err == nil {
-			b.Color = line.Color
-			p.Add(b)
-		}
-		p.Legend.Add(c.Policy, line)
 	}
 	return write(p, to, format)
 }
 
-// Times draws what part of the value offered in each second was billed, a line a result.
+// setScale makes an axis logarithmic where its values are positive and span more than a factor.
+func setScale(axis *plot.Axis, values []float64, maxLinear float64) {
+	if len(values) == 0 {
+		return
+	}
+	if low, high := slices.Min(values), slices.Max(values); low > 0 && high/low > maxLinear {
+		axis.Scale, axis.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	}
+}
+
+// addCurve draws the n-th curve; missing values are left out.
+func addCurve(p *plot.Plot, n int, c experiment.Curve) error {
+	var xy plotter.XYs
+	bars := &struct {
+		plotter.XYs
+		plotter.YErrors
+	}{}
+	for i, x := range c.X {
+		e := c.Y[i]
+		if math.IsNaN(e.Mean) {
+			continue
+		}
+		xy = append(xy, plotter.XY{X: x, Y: e.Mean})
+		bars.XYs = append(bars.XYs, plotter.XY{X: x, Y: e.Mean})
+		bars.YErrors = append(bars.YErrors, struct{ Low, High float64 }{e.Mean - e.Low, e.High - e.Mean})
+	}
+	if len(xy) == 0 {
+		return nil
+	}
+	line, dots, err := plotter.NewLinePoints(xy)
+	if err != nil {
+		return err
+	}
+	line.Color, line.Dashes = lineStyle(n)
+	dots.Color = line.Color
+	dots.Radius = vg.Points(1.5)
+	p.Add(line, dots)
+	if b, err := plotter.NewYErrorBars(bars); err == nil {
+		b.Color = line.Color
+		p.Add(b)
+	}
+	p.Legend.Add(c.Policy, line)
+	return nil
+}
+
+// Times draws the billed part of the value offered, over the seconds of the day, a line for each result.
 func Times(to io.Writer, title string, names []string, results []*simulation.Result, format string) error {
 	p := newPlot(title, "seconds", "billed by offered, over 2 s")
 	p.Y.Min, p.Y.Max = 0, 1.1
@@ -123,18 +153,15 @@
 		if len(xy) == 0 {
 			continue
 		}
-		line, err := plotter.NewLine(xy)
-		if err != nil {
+		if err := addLine(p, n, names[n], xy); err != nil {
 			return err
 		}
-		line.Color, line.Dashes = lineStyle(n)
-		p.Add(line)
-		p.Legend.Add(names[n], line)
 	}
 	return write(p, to, format)
 }
 
-// Latencies draws the latency at each percentile, a line a result and operation: how long is the wait of the unluckiest.
+// Latencies draws the latency at each percentile, a line for each breakdown. It returns ErrNothingToDraw where there
+// are no latencies.
 func Latencies(to io.Writer, title string, names []string, parts []*simulation.Breakdown, format string) error {
 	p := newPlot(title, "percentile (of 1 in so many slower ones)", "milliseconds")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -156,22 +183,19 @@
 		if len(xy) < 2 {
 			continue
 		}
-		line, err := plotter.NewLine(xy)
-		if err != nil {
+		if err := addLine(p, n, names[n], xy); err != nil {
 			return err
 		}
-		line.Color, line.Dashes = lineStyle(n)
-		p.Add(line)
-		p.Legend.Add(names[n], line)
 		drawn++
 	}
 	if drawn == 0 {
-		return fmt.Errorf("nothing to draw: no latencies")
+		return fmt.Errorf("%w: no latencies", ErrNothingToDraw)
 	}
 	return write(p, to, format)
 }
 
-// Breakdowns draws, for each operation or tenant, the part of its value that was billed: a group of bars a name, a bar a result.
+// Breakdowns draws the billed part of the value of each operation, or tenant, a bar for each result. It returns
+// ErrNothingToDraw where the results have none.
 func Breakdowns(to io.Writer, title string, names []string, results []*simulation.Result, tenants bool, format string) error {
 	p := newPlot(title, "", "billed by offered")
 	p.Y.Min, p.Y.Max = 0, 1.15
@@ -189,7 +213,7 @@
 			labels = append(labels, part.Name)
 		}
 		if len(v) == 0 {
-			return fmt.Errorf("nothing to draw: no such parts")
+			return fmt.Errorf("%w: no such parts", ErrNothingToDraw)
 		}
 		bars, err := plotter.NewBarChart(v, wide)
 		if err != nil {
@@ -208,7 +232,7 @@
 // heatGrid is the state of a fleet as a grid: seconds across, hosts up.
 type heatGrid struct {
 	rows        [][]byte
-	hostsPerRow int // hosts by row of the picture
+	hostsPerRow int // hosts in one row of the picture
 }
 
 func (h heatGrid) Dims() (c, r int) {
@@ -229,13 +253,14 @@
 	return sum / n
 }
 
-// maxHeatRows of a heat map; hosts beyond are drawn together, as their mean.
+// maxHeatRows is the number of rows of a heat map; with more hosts a row is the mean of several.
 const maxHeatRows = 200
 
-// Heat draws the cores' use of each host, second by second; a host without a process is left white.
+// Heat draws the use of each host's cores, second by second; a host without a process is white. It returns
+// ErrNothingToDraw where the result has no such state.
 func Heat(to io.Writer, title string, r *simulation.Result, format string) error {
 	if len(r.Heat) < 2 || len(r.Heat[0]) == 0 {
-		return fmt.Errorf("nothing to draw: no state of the hosts was kept (a fleet of %d is too large for it)", r.Hosts)
+		return fmt.Errorf("%w: no state of the hosts was kept (a fleet of %d is too large for it)", ErrNothingToDraw, r.Hosts)
 	}
 	p := newPlot(title, "seconds", "host")
 	colors := moreland.SmoothBlueRed()
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -1,9 +1,7 @@
 package simulation
 
 import (
-	"fmt"
 	"slices"
-	"strings"
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/degradation"
@@ -98,5 +96,5 @@
 	for _, p := range all {
 		names = append(names, p.Name)
 	}
-	return nil, fmt.Errorf("no policy %q, there are %s", name, strings.Join(names, ", "))
+	return nil, &UnknownPolicyError{Name: name, Known: names}
 }
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// invalid names the field that cannot be used.
+// invalid returns a *ScenarioError of the field.
 func (s *Scenario) invalid(field, format string, args ...any) error {
-	return fmt.Errorf("scenario %s: %s: %s", s.Name, field, fmt.Sprintf(format, args...))
+	return &ScenarioError{Scenario: s.Name, Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
 func (s *Scenario) checkOperations() error {
--- a/internal/simulation/scenario_file.go
+++ b/internal/simulation/scenario_file.go
@@ -167,7 +167,7 @@
 			continue
 		}
 		fail := func(column int, format string, args ...any) error {
-			return fmt.Errorf("%s:%d:%d: %s", file, n, column, fmt.Sprintf(format, args...))
+			return &RecordedError{File: file, Line: n, Column: column, Reason: fmt.Sprintf(format, args...)}
 		}
 		if len(words) != 4 {
 			return nil, fail(1, "found %d words, wanted 4: microseconds, operation, tenant, work", len(words))
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"io"
 
 	"milletbarrow/admission"
@@ -63,7 +62,7 @@
 	case admission.Log:
 		return writeLine(w, "WriteLog", command{Instance: instance, Message: a.Text})
 	}
-	return fmt.Errorf("no line for action %T", action)
+	return &UnknownActionError{Action: action}
 }
 
 // WriteFault encodes that the decision code of an instance has panicked.
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -5,8 +5,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"fmt"
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/config"
@@ -81,10 +79,10 @@
 func Read(line []byte) (Message, error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(line, &object); err != nil {
-		return Message{}, fmt.Errorf("not a JSON object: %w", err)
+		return Message{}, &SyntaxError{Err: err}
 	}
 	if len(object) != 1 {
-		return Message{}, fmt.Errorf("a message has one name, this has %d", len(object))
+		return Message{}, &NameCountError{Names: len(object)}
 	}
 	var msg Message
 	var body json.RawMessage
@@ -92,15 +90,15 @@
 		msg.Name, body = name, raw
 	}
 	if b := bytes.TrimSpace(body); len(b) == 0 || b[0] != '{' {
-		return msg, fmt.Errorf("%s: the fields are not an object", msg.Name)
+		return msg, &MessageError{Message: msg.Name, Err: ErrNotObject}
 	}
 	var f fields
 	if err := json.Unmarshal(body, &f); err != nil {
-		return msg, fmt.Errorf("%s: %w", msg.Name, err)
+		return msg, &MessageError{Message: msg.Name, Err: err}
 	}
 	err := msg.decode(&f)
 	if err != nil {
-		err = fmt.Errorf("%s: %w", msg.Name, err)
+		err = &MessageError{Message: msg.Name, Err: err}
 	}
 	return msg, err
 }
@@ -109,7 +107,7 @@
 	switch msg.Name {
 	case "Sync":
 		if f.AtMs == nil || f.Round == nil {
-			return errors.New("at_time_ms or round is missing")
+			return &MissingFieldError{Field: "at_time_ms or round"}
 		}
 		msg.At, msg.Round = config.Micros(*f.AtMs), *f.Round
 		return nil
@@ -117,7 +115,7 @@
 		return nil
 	}
 	if f.Instance == nil {
-		return errors.New("i is missing")
+		return &MissingFieldError{Field: "i"}
 	}
 	msg.Instance = *f.Instance
 	var err error
@@ -130,12 +128,12 @@
 	return err
 }
 
-// instanceEvent decodes what happens to an instance as a whole.
+// instanceEvent decodes an event of an instance.
 func (f *fields) instanceEvent(name string) (any, error) {
 	switch name {
 	case "OpenInstance":
 		if f.Seed == nil || f.Settings == nil {
-			return nil, errors.New("init_seed or settings is missing")
+			return nil, &MissingFieldError{Field: "init_seed or settings"}
 		}
 		return InstanceOpened{Seed: *f.Seed, Config: f.Settings.Admission, Gauges: f.Settings.Gauges}, nil
 	case "Detach":
@@ -144,7 +142,7 @@
 		return admission.DrainNotice{Left: config.Micros(f.TimeLeftMs)}, nil
 	}
 	if f.Token == nil || f.Gauges == nil {
-		return nil, errors.New("token or feedback is missing")
+		return nil, &MissingFieldError{Field: "token or feedback"}
 	}
 	return GaugeReading{Token: *f.Token, Values: *f.Gauges}, nil
 }
@@ -155,7 +153,7 @@
 	switch name {
 	case "Req":
 		if f.Operation == nil {
-			return nil, errors.New("service is missing")
+			return nil, &MissingFieldError{Field: "service"}
 		}
 		event = admission.Arrived{
 			ID: f.ID, Operation: *f.Operation, Tenant: f.Tenant, Priority: f.Priority, Retry: f.Retry,
@@ -171,13 +169,13 @@
 	case "Returned":
 		event = admission.CallReturned{ID: f.ID, Outcome: outcome, Took: config.Micros(f.DurationMs)}
 	default:
-		return nil, errors.New("unknown message")
+		return nil, ErrUnknownMessage
 	}
 	if f.ID == "" {
-		return nil, errors.New("req is missing")
+		return nil, &MissingFieldError{Field: "req"}
 	}
 	if (name == "Done" || name == "Returned") && !known {
-		return nil, fmt.Errorf("unknown state_code %q", f.Outcome)
+		return nil, &UnknownOutcomeError{Code: f.Outcome}
 	}
 	return event, nil
 }
