--- a/cmd/milletbarrow/check.go
+++ b/cmd/milletbarrow/check.go
@@ -15,17 +15,17 @@
 		Name: "check", Usage: "tell whether a configuration can be used, without starting",
 		Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
-			b, err := configuration(c)
+			b, err := readConfiguration(c)
 			if err == nil {
-				fmt.Printf("%s: can be used%s\n", b.Name, unused(b))
+				fmt.Printf("%s: can be used%s\n", b.Name, ignoredSettings(b))
 			}
 			return err
 		},
 	}
 }
 
-// unused names what the deployment permits and this program leaves.
-func unused(b *config.Backend) string {
+// ignoredSettings names the settings that this program does not use.
+func ignoredSettings(b *config.Backend) string {
 	if len(b.Settings.IgnoredFields) == 0 {
 		return ""
 	}
@@ -36,9 +36,9 @@
 	return &cli.Command{
 		Name: "limits", Usage: "print the bounds that follow from a configuration", Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
-			b, err := configuration(c)
+			b, err := readConfiguration(c)
 			if err == nil {
-				fmt.Printf("%+v\n", bounds(b))
+				fmt.Printf("%+v\n", boundsOf(b))
 			}
 			return err
 		},
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func readLadder(file string) (*degradation.Policy, error) {
+func readDegradationPolicy(file string) (*degradation.Policy, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, unusable(err)
@@ -38,7 +38,7 @@
 		Description: "Example:\n   milletbarrow degradation check ladder.sx --config n3.json",
 		Flags:       []cli.Flag{configFlag(), jsonFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
-			l, err := readLadder(c.Args().First())
+			l, err := readDegradationPolicy(c.Args().First())
 			if err != nil {
 				return err
 			}
@@ -67,7 +67,7 @@
 			"Example:\n   milletbarrow degradation replay ladder.sx signals.txt --plot levels.svg",
 		Flags: []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"}},
 		Action: func(_ context.Context, c *cli.Command) error {
-			l, err := readLadder(c.Args().Get(0))
+			l, err := readDegradationPolicy(c.Args().Get(0))
 			if err != nil {
 				return err
 			}
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -41,10 +41,12 @@
 	}
 }
 
+// configFlag names the backend configuration.
 func configFlag() cli.Flag {
 	return &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`", Sources: cli.EnvVars("GW_CONFIG")}
 }
 
+// logFlag chooses the format of the log.
 func logFlag() cli.Flag {
 	return &cli.StringFlag{Name: "log", Usage: "write log lines as `text` or json", Value: string(logging.Text)}
 }
@@ -58,7 +60,8 @@
 	return logging.Start(os.Stderr, format), nil
 }
 
-func configuration(c *cli.Command) (*config.Backend, error) {
+// readConfiguration reads the backend configuration that the flag or the environment names.
+func readConfiguration(c *cli.Command) (*config.Backend, error) {
 	file := c.String("config")
 	if file == "" {
 		return nil, errNoConfig
@@ -66,10 +69,12 @@
 	return config.Read(file)
 }
 
-func bounds(b *config.Backend) limits.Bounds {
+// boundsOf derives the bounds of a backend from the limits in its configuration.
+func boundsOf(b *config.Backend) limits.Bounds {
 	return limits.For(b.Limits.Cores, b.Limits.MemoryMB, b.Limits.Sockets)
 }
 
+// version is the build, as the version sub-command prints it.
 func version() string {
 	revision := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -66,7 +66,7 @@
 	hangup, notice := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	signal.Notify(notice, syscall.SIGTERM, os.Interrupt)
-	settings, err := configuration(c)
+	settings, err := readConfiguration(c)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 
 // newBackend makes the parts, bounded as the configuration has it. Nothing is open yet.
 func newBackend(settings *config.Backend, files backendFiles, c *cli.Command) (*backendProcess, error) {
-	bounds := bounds(settings)
+	bounds := boundsOf(settings)
 	b := &backendProcess{config: settings, files: files, bounds: bounds, shutdown: newShutdown(settings), shadow: settings.Shadow}
 	policy, err := b.degradationPolicy()
 	if err != nil {
@@ -139,7 +139,7 @@
 	if b.files.degradation == "" {
 		return nil, nil
 	}
-	return readLadder(b.files.degradation)
+	return readDegradationPolicy(b.files.degradation)
 }
 
 // run listens, serves until the notice, drains, and returns before the stop.
--- a/cmd/milletbarrow/serve_quota.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -20,41 +20,52 @@
 
 // quotaConfig reads from the command line which tenants draw from which fleet-wide quotas; nil where none does.
 func quotaConfig(c *cli.Command, b *config.Backend) (*dispatch.QuotaConfig, error) {
-	words := c.StringSlice("quota")
-	if len(words) == 0 {
+	assignments := c.StringSlice("quota")
+	if len(assignments) == 0 {
 		return nil, nil
 	}
-	if len(words) > quota.MaxBudgets {
-		return nil, usagef("--quota: %d budgets, at most %d can be drawn from", len(words), quota.MaxBudgets)
-	}
-	s := &dispatch.QuotaConfig{Tenants: map[string]string{}, MachineClock: process.Now}
-	var budgets []string
-	for _, w := range words {
-		budget, tenant, ok := strings.Cut(w, "=")
-		if _, twice := s.Tenants[tenant]; !ok || budget == "" || twice {
-			return nil, usagef("--quota: found %q, wanted BUDGET=TENANT, each tenant once", w)
-		}
-		s.Tenants[tenant] = budget
-		budgets = append(budgets, budget)
-	}
-	ppm := c.Int("trial-clock")
-	s.Clock = func() quota.Micros {
-		now := process.Now()
-		return quota.Micros(now + now/1000*int64(ppm)/1000)
+	tenants, quotas, err := parseQuotas(assignments)
+	if err != nil {
+		return nil, err
 	}
-	me, err := process.Of(os.Getpid())
+	clockDrift := c.Int("trial-clock") // parts per million
+	self, err := process.Of(os.Getpid())
 	if err != nil {
 		return nil, err
 	}
-	s.Holder = quota.New(b.Name, agent.IncarnationID(me), budgets)
+	cfg := &dispatch.QuotaConfig{
+		Tenants: tenants, Holder: quota.New(b.Name, agent.IncarnationID(self), quotas), MachineClock: process.Now,
+		Clock: func() quota.Micros {
+			now := process.Now()
+			return quota.Micros(now + now/1000*int64(clockDrift)/1000)
+		},
+	}
 	if dir := c.String("stamps"); dir != "" {
-		f, err := os.OpenFile(filepath.Join(dir, b.Name+"."+strconv.Itoa(os.Getpid())), os.O_CREATE|os.O_WRONLY|os.O_EXCL, 0o600)
+		path := filepath.Join(dir, b.Name+"."+strconv.Itoa(os.Getpid()))
+		file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_EXCL, 0o600)
 		if err != nil {
 			return nil, unusable(err)
 		}
-		s.Log = quotalog.New(f, process.Now(), ppm)
+		cfg.Log = quotalog.New(file, process.Now(), clockDrift)
+	}
+	return cfg, nil
+}
+
+// parseQuotas reads assignments of the form BUDGET=TENANT: the quota of each tenant, and the quotas in order.
+func parseQuotas(assignments []string) (tenants map[string]string, quotas []string, err error) {
+	if len(assignments) > quota.MaxBudgets {
+		return nil, nil, usagef("--quota: %d budgets, at most %d can be drawn from", len(assignments), quota.MaxBudgets)
+	}
+	tenants = map[string]string{}
+	for _, assignment := range assignments {
+		name, tenant, ok := strings.Cut(assignment, "=")
+		if _, twice := tenants[tenant]; !ok || name == "" || twice {
+			return nil, nil, usagef("--quota: found %q, wanted BUDGET=TENANT, each tenant once", assignment)
+		}
+		tenants[tenant] = name
+		quotas = append(quotas, name)
 	}
-	return s, nil
+	return tenants, quotas, nil
 }
 
 // logQuotaUse writes down what is drawn, often enough for an audit of short spans, until ctx ends.
--- a/cmd/milletbarrow/serve_reload.go
+++ b/cmd/milletbarrow/serve_reload.go
@@ -56,7 +56,7 @@
 	if b.files.degradation == "" {
 		return
 	}
-	policy, err := readLadder(b.files.degradation)
+	policy, err := readDegradationPolicy(b.files.degradation)
 	if err == nil {
 		err = b.dispatcher.SetDegradationPolicy(policy)
 	}
--- a/cmd/milletbarrow/serve_shutdown.go
+++ b/cmd/milletbarrow/serve_shutdown.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"milletbarrow/internal/backend/admin"
 	"milletbarrow/internal/backend/dispatch"
 	backendserver "milletbarrow/internal/backend/server"
 	"milletbarrow/internal/config"
@@ -33,43 +34,54 @@
 	}
 }
 
-// notify takes a notice that was first given so long ago, and has the dispatcher drain.
-func (d *shutdown) notify(dispatcher *dispatch.Dispatcher, ago time.Duration, by string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// notify takes a notice that was first given so long ago, and has the dispatcher drain. by names who gave it, for the log.
+func (s *shutdown) notify(dispatcher *dispatch.Dispatcher, ago time.Duration, by string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now, clock := time.Now(), process.Now()
-	stopAt, graceEndsAt := now.Add(d.stop-ago), now.Add(d.grace-ago)
-	const noticeable = 5 * time.Millisecond
-	if d.draining && !stopAt.Before(d.stopAt.Add(-noticeable)) {
+	stopAt, graceEndsAt := now.Add(s.stop-ago), now.Add(s.grace-ago)
+	if s.draining && !stopAt.Before(s.stopAt.Add(-noticeResolution)) {
 		return
 	}
-	d.graceEndsAt, d.stopAt = graceEndsAt, stopAt
-	d.graceEndsClock, d.stopClock = clock+(d.grace-ago).Microseconds(), clock+(d.stop-ago).Microseconds()
-	slog.Info("drain", "stop_ms", float64((d.stop-ago).Microseconds())/1000, "by", by, "ago_ms", ago.Milliseconds())
-	dispatcher.Drain(dispatch.Micros((d.stop - ago).Microseconds()), dispatch.Micros((d.grace - ago).Microseconds()))
-	if !d.draining {
-		d.draining = true
-		d.notified <- struct{}{}
+	s.graceEndsAt, s.stopAt = graceEndsAt, stopAt
+	s.graceEndsClock, s.stopClock = clock+(s.grace-ago).Microseconds(), clock+(s.stop-ago).Microseconds()
+	slog.Info("drain", "stop_ms", float64((s.stop-ago).Microseconds())/1000, "by", by, "ago_ms", ago.Milliseconds())
+	dispatcher.Drain(dispatch.Micros((s.stop - ago).Microseconds()), dispatch.Micros((s.grace - ago).Microseconds()))
+	if !s.draining {
+		s.draining = true
+		s.notified <- struct{}{}
+	}
+}
+
+// noticeResolution is by how much a later notice has to bring the stop forward, to be another one and not the same twice.
+const noticeResolution = 5 * time.Millisecond
+
+// describe adds the shutdown, where it has begun, to the state that the admin socket serves.
+func (s *shutdown) describe(state *admin.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.draining {
+		state.Ready, state.Draining, state.GraceEnds, state.StopBy = false, true, s.graceEndsClock, s.stopClock
 	}
 }
 
 // times are those in force now.
-func (d *shutdown) times() (grace, stop time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.graceEndsAt, d.stopAt
+func (s *shutdown) times() (grace, stop time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.graceEndsAt, s.stopAt
 }
 
 // drain serves until the grace is over, then accepts nothing more, and returns once all is answered and the callers
 // have closed their connections, or shortly before the stop.
-func drain(server *backendserver.Server, d *shutdown, bounds limits.Bounds) {
-	awaitGrace(d, bounds)
+func drain(server *backendserver.Server, s *shutdown, bounds limits.Bounds) {
+	awaitGrace(s, bounds)
 	server.StopAccepting()
-	closing := func() time.Time { _, stop := d.times(); return stop.Add(-bounds.ExitMargin) }
-	last := func() time.Time { _, stop := d.times(); return stop.Add(-bounds.ExitMarginUnwritten) }
+	closing := func() time.Time { _, stop := s.times(); return stop.Add(-bounds.ExitMargin) }
+	last := func() time.Time { _, stop := s.times(); return stop.Add(-bounds.ExitMarginUnwritten) }
 	idleChecks := 0 // in a row
 	for now := time.Now(); now.Before(closing()) || now.Before(last()) && (!server.AllClosed() || !server.AllAnswered()); now = time.Now() {
-		if !now.Before(closing()) { // whoever has not gone by now is told that nothing more comes
+		if !now.Before(closing()) { // who is still connected by now learns that nothing more comes
 			server.CloseAnswered()
 		}
 		connections, _ := server.Counts()
@@ -89,9 +101,9 @@
 const maxIdleChecks = 3
 
 // awaitGrace returns when the grace is over, and early enough before the stop.
-func awaitGrace(d *shutdown, bounds limits.Bounds) {
+func awaitGrace(s *shutdown, bounds limits.Bounds) {
 	for { // looked at again and again, as a later notice may bring it forward
-		grace, stop := d.times()
+		grace, stop := s.times()
 		if latest := stop.Add(-bounds.ExitMargin - bounds.RejectBeforeStop); latest.Before(grace) {
 			grace = latest
 		}
