--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -42,8 +42,8 @@
 		return err
 	}
 	s := demo.Scenario(c.Int("backends"), c.Duration("for"))
-	say := sayer(c)
-	r, twice, err := onSockets(ctx, &s, c.Uint64("seed"), say)
+	say := progressPrinter(c)
+	r, twice, err := runOnSockets(ctx, &s, c.Uint64("seed"), say)
 	if err != nil {
 		return err
 	}
@@ -67,18 +67,18 @@
 	return err
 }
 
-// sayer tells of progress, unless it is to be quiet.
-func sayer(c *cli.Command) func(string, ...any) {
+// progressPrinter prints progress to standard error, or nowhere with --quiet.
+func progressPrinter(c *cli.Command) func(string, ...any) {
 	if c.Bool("quiet") {
 		return func(string, ...any) {}
 	}
 	return func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 }
 
-// onSockets lays a scenario's fleet out on this machine, sends its load, brings those of its troubles about that can be
-// brought about here (slow hosts, a release; bursts are the load's), and ends all that it began. twice counts the runs that were
+// runOnSockets starts a scenario's fleet on this machine, sends its load, injects those of its faults that can be injected
+// here (slow hosts, a release; bursts are part of the load), and ends all that it began. twice counts the runs that were
 // launched twice.
-func onSockets(ctx context.Context, s *simulation.Scenario, seed uint64, say func(string, ...any)) (r *loadgen.Report, twice int, err error) {
+func runOnSockets(ctx context.Context, s *simulation.Scenario, seed uint64, say func(string, ...any)) (r *loadgen.Report, twice int, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, 0, err
@@ -111,19 +111,21 @@
 	if err := tool(ctx, "start", "--within", "20s"); err != nil {
 		return nil, 0, err
 	}
-	troubles, trouble := errgroup.WithContext(ctx)
+	faults, faultsContext := errgroup.WithContext(ctx)
 	for _, t := range s.Faults {
-		troubles.Go(func() error { return site.InjectFault(trouble, t, say, tool) })
+		faults.Go(func() error { return site.InjectFault(faultsContext, t, say, tool) })
 	}
 	r, err = loadgen.Run(ctx, loadgen.Options{
 		Scenario: s, Seed: seed, Backends: site.Backends, Bounds: limits.ForLoad(),
-		OnSnapshot: func(p loadgen.Snapshot) { say("%s  %d of %d listed", loadLine(p), site.Listed(), len(site.Backends)) },
+		OnSnapshot: func(p loadgen.Snapshot) {
+			say("%s  %d of %d listed", progressLine(p), site.Listed(), len(site.Backends))
+		},
 	})
-	if err = errors.Join(err, troubles.Wait()); err != nil {
+	if err = errors.Join(err, faults.Wait()); err != nil {
 		return nil, 0, err
 	}
-	for _, y := range site.Executors {
-		_, _, n := y.Counts()
+	for _, executor := range site.Executors {
+		_, _, n := executor.Counts()
 		twice += n
 	}
 	return r, twice, nil
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -13,7 +13,6 @@
 	"slices"
 	"strings"
 	"syscall"
-	"text/tabwriter"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -35,6 +34,7 @@
 	}
 }
 
+// readExperiment reads the file that the command line names, with what --over sweeps.
 func readExperiment(c *cli.Command) (*experiment.Experiment, error) {
 	file := c.Args().First()
 	if file == "" {
@@ -52,6 +52,16 @@
 	return x, nil
 }
 
+// readCells reads an experiment and the cells that it has to run.
+func readCells(c *cli.Command) (*experiment.Experiment, []experiment.Cell, error) {
+	x, err := readExperiment(c)
+	if err != nil {
+		return nil, nil, err
+	}
+	cells, err := x.Cells()
+	return x, cells, unusable(err)
+}
+
 func dirFlag() cli.Flag {
 	return &cli.StringFlag{Name: "dir", Usage: "the `PLACE` of the results", Required: true}
 }
@@ -65,14 +75,10 @@
 		Name: "check", Usage: "read an experiment and tell what it would run", ArgsUsage: "FILE",
 		Description: "Example:\n   milletbarrow experiment check docs/studies/wording.sx", Flags: []cli.Flag{jsonFlag(), overFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
-			x, err := readExperiment(c)
+			x, cells, err := readCells(c)
 			if err != nil {
 				return err
 			}
-			cells, err := x.Cells()
-			if err != nil {
-				return unusable(err)
-			}
 			if c.Bool("json") {
 				return printJSON(x.Facts())
 			}
@@ -87,7 +93,7 @@
 		Name: "policies", Usage: "list the policies and where they come from",
 		Description: "Example:\n   milletbarrow experiment policies",
 		Action: func(context.Context, *cli.Command) error {
-			w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+			w := newTabWriter()
 			for _, p := range simulation.Policies() {
 				fmt.Fprintf(w, "%s\t%s\t%s\n", p.Name, p.Description, p.Source)
 			}
@@ -111,15 +117,15 @@
 			if err != nil {
 				return err
 			}
-			place, err := experiment.OpenResultDir(c.String("dir"), build())
+			store, err := experiment.OpenResultDir(c.String("dir"), buildID())
 			if err != nil {
 				return unusable(err)
 			}
-			defer func() { _ = place.Close() }() // each result is written before the run goes on
+			defer func() { _ = store.Close() }() // each result is written before the run goes on
 			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			began := time.Now()
-			results, err := experiment.Run(ctx, x, place, c.Int("cores"), func(p experiment.Progress) {
+			results, err := experiment.Run(ctx, x, store, c.Int("cores"), func(p experiment.Progress) {
 				if !c.Bool("quiet") {
 					fmt.Fprintf(os.Stderr, "%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n", p.Done, p.Total, p.Cached,
 						time.Since(began).Round(time.Second), p.Cell.Scenario.Name, p.Cell.Policy.Name, p.Cell.Seed, p.Result.Value())
@@ -140,8 +146,8 @@
 	}
 }
 
-// build names this program exactly: a changed module must not go on with results of another.
-func build() string {
+// buildID names this program by its content: results of one build must not be continued by another.
+func buildID() string {
 	self, err := os.Executable()
 	if err != nil {
 		return version()
@@ -153,8 +159,9 @@
 	return fmt.Sprintf("%s, %016x", version(), xxhash.Sum64(raw))
 }
 
+// printSummary prints a table, and returns an error where the decision module broke a rule.
 func printSummary(rows []experiment.Row) error {
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	w := newTabWriter()
 	fmt.Fprintln(w, "scenario\tat\tpolicy\tdays\tvalue\tinterval\ttries an ask\twasted ms an ask\trules broken")
 	broken := false
 	for _, r := range rows {
@@ -171,16 +178,12 @@
 	return nil
 }
 
-// loadExperiment reads a file and what a place has of it.
+// loadExperiment reads a file, and the results of it that are stored.
 func loadExperiment(c *cli.Command) (*experiment.Experiment, []experiment.Cell, []*simulation.Result, error) {
-	x, err := readExperiment(c)
+	x, cells, err := readCells(c)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	cells, err := x.Cells()
-	if err != nil {
-		return nil, nil, nil, unusable(err)
-	}
 	results, missing, err := experiment.Load(x, c.String("dir"))
 	if err != nil {
 		return nil, nil, nil, unusable(err)
@@ -220,7 +223,7 @@
 			if c.Bool("json") {
 				return printJSON(all)
 			}
-			w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+			w := newTabWriter()
 			fmt.Fprintf(w, "scenario\tat\tdays\t%s\t%s\tdifference\tinterval\t\n", c.Args().Get(1), c.Args().Get(2))
 			for _, d := range all {
 				fmt.Fprintf(w, "%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n", d.Scenario, d.SweptValue, d.Paired.N, d.A.Mean, d.B.Mean,
@@ -270,7 +273,7 @@
 	if math.IsNaN(at) && len(x.SweptValues) > 0 {
 		at = x.SweptValues[0]
 	}
-	names, days := daysOf(x, cells, results, scenario, c.String("policy"), seed, at)
+	names, days := selectDays(x, cells, results, scenario, c.String("policy"), seed, at)
 	what := c.String("what")
 	if what != "sweep" && len(days) == 0 {
 		return usagef("no result of scenario %s, seed %d, at %g", scenario, seed, at)
@@ -293,8 +296,8 @@
 	return format, nil
 }
 
-// daysOf selects the results of one scenario, seed and swept value, with their policies' names; no policy: all.
-func daysOf(
+// selectDays selects the results of one scenario, seed and swept value, with their policies' names; no policy: all.
+func selectDays(
 	x *experiment.Experiment, cells []experiment.Cell, results []*simulation.Result, scenario, policy string, seed uint64, at float64,
 ) (names []string, days []*simulation.Result) {
 	for i, cell := range cells {
@@ -306,7 +309,7 @@
 	return names, days
 }
 
-// replaceFile writes a file as a whole, or leaves it as it was.
+// replaceFile writes a complete file in the place of another, or leaves that as it was.
 func replaceFile(to string, write func(io.Writer) error) error {
 	f, err := os.CreateTemp(filepath.Dir(to), ".plot-*")
 	if err != nil {
@@ -322,7 +325,7 @@
 	return os.Rename(f.Name(), to)
 }
 
-// plotDays draws one day for each policy.
+// plotDays draws one day of each policy.
 func plotDays(f io.Writer, what, title string, names []string, days []*simulation.Result, format string) error {
 	switch what {
 	case "time":
@@ -355,14 +358,10 @@
 			&cli.FloatFlag{Name: "at", Value: math.NaN()}, &cli.IntFlag{Name: "most", Usage: "lines", Value: 200},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			x, err := readExperiment(c)
+			_, cells, err := readCells(c)
 			if err != nil {
 				return err
 			}
-			cells, err := x.Cells()
-			if err != nil {
-				return unusable(err)
-			}
 			i := slices.IndexFunc(cells, func(l experiment.Cell) bool {
 				return (c.String("scenario") == "" || c.String("scenario") == l.Scenario.Name) && (c.String("policy") == "" || c.String("policy") == l.Policy.Name) &&
 					(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) && (math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -7,7 +7,6 @@
 	"math"
 	"os"
 	"runtime"
-	"text/tabwriter"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -17,8 +16,8 @@
 	"milletbarrow/internal/simulation"
 )
 
-// speed is one run's cost on this machine.
-type speed struct {
+// benchmarkRun is one run's cost on this machine.
+type benchmarkRun struct {
 	Hosts    int     `json:"hosts"`
 	Policy   string  `json:"policy"`
 	Seconds  float64 `json:"seconds"`
@@ -60,7 +59,7 @@
 		return unusable(err)
 	}
 	runtime.GOMAXPROCS(1)
-	var all []speed
+	var all []benchmarkRun
 	curves := map[string]*experiment.Curve{}
 	var order []string
 	for i := range cells {
@@ -70,20 +69,20 @@
 		if err != nil {
 			return unusable(err)
 		}
-		s := speed{
+		run := benchmarkRun{
 			Hosts: cell.Scenario.Hosts.Count, Policy: cell.Policy.Name, Seconds: time.Since(began).Seconds(), Events: r.Events, Asks: r.Requests,
 			HeapMB: heapMB(),
 		}
-		s.PerEvent = s.Seconds * 1e9 / math.Max(1, float64(s.Events))
-		all = append(all, s)
-		cv := curves[s.Policy]
-		if cv == nil {
-			cv = &experiment.Curve{Policy: s.Policy}
-			curves[s.Policy] = cv
-			order = append(order, s.Policy)
+		run.PerEvent = run.Seconds * 1e9 / math.Max(1, float64(run.Events))
+		all = append(all, run)
+		curve := curves[run.Policy]
+		if curve == nil {
+			curve = &experiment.Curve{Policy: run.Policy}
+			curves[run.Policy] = curve
+			order = append(order, run.Policy)
 		}
-		cv.X, cv.Y = append(cv.X, float64(s.Hosts)), append(cv.Y, experiment.Bootstrap([]float64{s.Seconds}))
-		fmt.Fprintf(os.Stderr, "%d of %d: %s, %d hosts, %.2f s\n", i+1, len(cells), s.Policy, s.Hosts, s.Seconds)
+		curve.X, curve.Y = append(curve.X, float64(run.Hosts)), append(curve.Y, experiment.Bootstrap([]float64{run.Seconds}))
+		fmt.Fprintf(os.Stderr, "%d of %d: %s, %d hosts, %.2f s\n", i+1, len(cells), run.Policy, run.Hosts, run.Seconds)
 	}
 	if to := c.String("plot"); to != "" {
 		title := "seconds on one core of this machine, " + x.Scenarios[0].Name
@@ -97,11 +96,11 @@
 	return printBenchmark(all)
 }
 
-func printBenchmark(all []speed) error {
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+func printBenchmark(all []benchmarkRun) error {
+	w := newTabWriter()
 	fmt.Fprintln(w, "hosts\tpolicy\tseconds\tinvocations\tevents\tns by event\tMB so far")
-	for _, s := range all {
-		fmt.Fprintf(w, "%d\t%s\t%.2f\t%d\t%d\t%.0f\t%.0f\n", s.Hosts, s.Policy, s.Seconds, s.Asks, s.Events, s.PerEvent, s.HeapMB)
+	for _, run := range all {
+		fmt.Fprintf(w, "%d\t%s\t%.2f\t%d\t%d\t%.0f\t%.0f\n", run.Hosts, run.Policy, run.Seconds, run.Asks, run.Events, run.PerEvent, run.HeapMB)
 	}
 	return w.Flush()
 }
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -4,8 +4,6 @@
 	"context"
 	"fmt"
 	"math"
-	"os"
-	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
 
@@ -13,8 +11,8 @@
 	"milletbarrow/internal/simulation"
 )
 
-// twin is one day, modelled and on sockets.
-type twin struct {
+// validationResult compares one day, modelled and on sockets.
+type validationResult struct {
 	Scenario  string     `json:"scenario"`
 	Value     [2]float64 `json:"value"` // modelled, on sockets
 	Throttled [2]float64 `json:"throttled"`
@@ -22,10 +20,10 @@
 	Within    bool       `json:"within"`
 }
 
-// How far the two may lie apart.
+// How far the two may differ: in value and in the throttled share, and relative to the measured p99.
 const (
-	twinShare = 0.05
-	twinP99   = 0.20
+	maxShareDifference = 0.05
+	maxP99Difference   = 0.20
 )
 
 func experimentValidateCommand() *cli.Command {
@@ -47,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	var all []twin
+	var all []validationResult
 	for i := range x.Scenarios {
 		s := &x.Scenarios[i]
 		if name := c.String("scenario"); name != "" && name != s.Name {
@@ -65,8 +63,8 @@
 	return printValidation(all)
 }
 
-func printValidation(all []twin) error {
-	t := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+func printValidation(all []validationResult) error {
+	t := newTabWriter()
 	fmt.Fprintln(t, "scenario\tvalue modelled\ton sockets\tthrottled modelled\ton sockets\tp99 ms modelled\ton sockets\twithin")
 	apart := 0
 	for _, w := range all {
@@ -86,29 +84,29 @@
 }
 
 // validateScenario plays one day in the model and on sockets.
-func validateScenario(ctx context.Context, c *cli.Command, s *simulation.Scenario, p *simulation.Policy) (*twin, error) {
+func validateScenario(ctx context.Context, c *cli.Command, s *simulation.Scenario, p *simulation.Policy) (*validationResult, error) {
 	modelled, err := simulation.Play(s, p, c.Uint64("seed"), nil)
 	if err != nil {
 		return nil, unusable(err)
 	}
-	measured, twice, err := onSockets(ctx, s, c.Uint64("seed"), sayer(c))
+	measured, twice, err := runOnSockets(ctx, s, c.Uint64("seed"), progressPrinter(c))
 	if err != nil {
 		return nil, err
 	}
 	if n := twice + measured.DuplicateAnswers + measured.UnknownResults; n > 0 {
 		return nil, outcomef(outcomePartial, "%s: %d answers or runs came twice", s.Name, n)
 	}
-	w := &twin{Scenario: s.Name}
+	w := &validationResult{Scenario: s.Name}
 	for n, r := range []*simulation.Result{modelled, measured.Result} {
 		w.Value[n] = r.Value()
-		w.Throttled[n], w.P99[n] = throttledAndP99(r)
+		w.Throttled[n], w.P99[n] = throttledShareAndP99(r)
 	}
-	w.Within = math.Abs(w.Value[0]-w.Value[1]) <= twinShare && math.Abs(w.Throttled[0]-w.Throttled[1]) <= twinShare &&
-		math.Abs(w.P99[0]-w.P99[1]) <= twinP99*w.P99[1]
+	w.Within = math.Abs(w.Value[0]-w.Value[1]) <= maxShareDifference && math.Abs(w.Throttled[0]-w.Throttled[1]) <= maxShareDifference &&
+		math.Abs(w.P99[0]-w.P99[1]) <= maxP99Difference*w.P99[1]
 	return w, nil
 }
 
-func throttledAndP99(r *simulation.Result) (share, p99 float64) {
+func throttledShareAndP99(r *simulation.Result) (share, p99 float64) {
 	asks, weight := 0, 0.0
 	for i := range r.Operations {
 		p := &r.Operations[i]
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -33,24 +33,24 @@
 					&cli.DurationFlag{Name: "span", Value: 40 * time.Second}, &cli.StringFlag{Name: "out", Usage: "add each verdict to this `FILE`, a line each"},
 					&cli.BoolFlag{Name: "stop", Usage: "end at the first that does not hold"},
 				},
-				Action: runTrials,
+				Action: runSchedules,
 			},
 			{
 				Name: "replay", Usage: "play one timetable again, as it was kept", ArgsUsage: "FILE", Flags: []cli.Flag{keep, failpoint, jsonFlag()},
 				Description: "Example:\n   milletbarrow faults replay trials/drawn-17/trial.sx",
 				Action: func(ctx context.Context, c *cli.Command) error {
-					t, err := tableOf(c.Args().First())
+					t, err := readSchedule(c.Args().First())
 					if err != nil {
 						return err
 					}
-					return playTrials(ctx, c, []*schedule.Schedule{t})
+					return playSchedules(ctx, c, []*schedule.Schedule{t})
 				},
 			},
 			{
 				Name: "shrink", Usage: "make a timetable that does not hold smaller, as long as it does not", ArgsUsage: "FILE",
 				Description: "Example:\n   milletbarrow faults shrink trials/drawn-17/trial.sx --within 30m > small.sx",
 				Flags:       []cli.Flag{keep, failpoint, &cli.DurationFlag{Name: "within", Value: time.Hour}, &cli.IntFlag{Name: "tries", Value: 2, Usage: "of each, as chance has a part in it"}},
-				Action:      shrinkTrial,
+				Action:      shrinkSchedule,
 			},
 			{
 				Name: "measure", Usage: "measure how shares are used as demand moves, hosts are lost and agents die",
@@ -61,14 +61,14 @@
 			{
 				Name: "report", Usage: "sum up verdicts that were kept by --out", ArgsUsage: "FILE",
 				Description: "Example:\n   milletbarrow faults report trials.jsonl", Flags: []cli.Flag{jsonFlag()},
-				Action: reportTrials,
+				Action: reportVerdicts,
 			},
 		},
 	}
 }
 
 func measureFaults(ctx context.Context, c *cli.Command) error {
-	o, err := trialOptions(c, &schedule.Schedule{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
+	o, err := harnessOptions(c, &schedule.Schedule{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,8 @@
 	return nil
 }
 
-func tableOf(file string) (*schedule.Schedule, error) {
+// readSchedule reads a schedule of faults from a file.
+func readSchedule(file string) (*schedule.Schedule, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, unusable(err)
@@ -92,10 +93,10 @@
 	return t, unusable(err)
 }
 
-func runTrials(ctx context.Context, c *cli.Command) error {
+func runSchedules(ctx context.Context, c *cli.Command) error {
 	var all []*schedule.Schedule
 	for _, file := range c.Args().Slice() {
-		t, err := tableOf(file)
+		t, err := readSchedule(file)
 		if err != nil {
 			return err
 		}
@@ -110,10 +111,10 @@
 	if len(all) == 0 {
 		return usagef("trial: name a file, or --count")
 	}
-	return playTrials(ctx, c, all)
+	return playSchedules(ctx, c, all)
 }
 
-func trialOptions(c *cli.Command, t *schedule.Schedule) (o harness.Options, err error) {
+func harnessOptions(c *cli.Command, t *schedule.Schedule) (o harness.Options, err error) {
 	self, err := os.Executable()
 	o = harness.Options{Program: self, Schedule: t, FailureDir: c.String("keep"), Failpoint: c.String("failpoint")}
 	if !c.Bool("quiet") {
@@ -122,13 +123,13 @@
 	return o, err
 }
 
-// playTrials plays one after the other, and tells of each.
-func playTrials(ctx context.Context, c *cli.Command, all []*schedule.Schedule) error {
+// playSchedules runs one after the other, and prints or stores the verdict of each.
+func playSchedules(ctx context.Context, c *cli.Command, all []*schedule.Schedule) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	failed := 0
 	for i, t := range all {
-		o, err := trialOptions(c, t)
+		o, err := harnessOptions(c, t)
 		if err != nil {
 			return err
 		}
@@ -162,14 +163,14 @@
 	return nil
 }
 
-func shrinkTrial(ctx context.Context, c *cli.Command) error {
-	t, err := tableOf(c.Args().First())
+func shrinkSchedule(ctx context.Context, c *cli.Command) error {
+	t, err := readSchedule(c.Args().First())
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("within"))
 	defer cancel()
-	small, err := harness.Shrink(ctx, t, c.Int("tries"), func(t *schedule.Schedule) (harness.Options, error) { return trialOptions(c, t) })
+	small, err := harness.Shrink(ctx, t, c.Int("tries"), func(t *schedule.Schedule) (harness.Options, error) { return harnessOptions(c, t) })
 	if err != nil {
 		return err
 	}
@@ -177,7 +178,7 @@
 	return nil
 }
 
-func reportTrials(_ context.Context, c *cli.Command) error {
+func reportVerdicts(_ context.Context, c *cli.Command) error {
 	r, err := harness.ReadReport(c.Args().First())
 	if err != nil {
 		return unusable(err)
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -32,7 +32,7 @@
 
 func storedSchedule(t *testing.T, name string) *schedule.Schedule {
 	t.Helper()
-	table, err := tableOf(filepath.Join("../../internal/faultinjection/testdata", name))
+	table, err := readSchedule(filepath.Join("../../internal/faultinjection/testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -27,14 +27,17 @@
 		Description: "Exit codes: 0 all as asked, 1 an error, 2 a file or word can't be used and nothing was changed,\n" +
 			"3 some instances came out other than asked for, 4 the time ran out, 5 an agent could not be reached.",
 		Commands: []*cli.Command{
-			fleetCheckCommand(), orderCommand(fleet.KindStart), orderCommand(fleet.KindDrain), orderCommand(fleet.KindStop),
-			orderCommand(fleet.KindRestart), rollingUpdateCommand(), steerCommand("pause"), steerCommand("resume"),
-			steerCommand("cancel"), fleetStatusCommand(), fleetWatchCommand(), fleetHistoryCommand(), fleetBudgetsCommand(), coldStartCommand(),
+			fleetCheckCommand(), lifecycleCommand(fleet.KindStart), lifecycleCommand(fleet.KindDrain), lifecycleCommand(fleet.KindStop),
+			lifecycleCommand(fleet.KindRestart), rollingUpdateCommand(), steerCommand("pause"), steerCommand("resume"),
+			steerCommand("cancel"), fleetStatusCommand(), fleetWatchCommand(), fleetHistoryCommand(), fleetQuotasCommand(), coldStartCommand(),
 			fleetMembersCommand(),
 		},
 	}
 }
 
+// commandMargin is how much longer than a command's own timeout its sender waits for the report.
+const commandMargin = 10 * time.Second
+
 func jsonFlag() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "print facts as JSON"} }
 
 func selectionFlags() []cli.Flag {
@@ -52,8 +55,8 @@
 	}
 }
 
-// tool is what the sub-commands work with.
-func tool(c *cli.Command) (*fleetclient.Client, error) {
+// newFleetClient makes the client of the sub-commands, for the fleet file that the flag names.
+func newFleetClient(c *cli.Command) (*fleetclient.Client, error) {
 	spec, err := readFleet(c)
 	if err != nil {
 		return nil, err
@@ -63,17 +66,17 @@
 		by = u.Username
 	}
 	host, _ := os.Hostname()
-	t := &fleetclient.Client{
+	client := &fleetclient.Client{
 		Spec: spec, Bounds: limits.ForControl(), Operator: fmt.Sprintf("%s@%s", by, host),
 		Caller: agentapi.NewClientFactory(limits.ForControl(), uint64(process.Now())),
 	}
 	if !c.Bool("quiet") {
-		t.OnProgress = func(host string, l agentapi.StreamEvent) { sayLine(os.Stderr, host, l) }
+		client.OnProgress = func(host string, l agentapi.StreamEvent) { printEvent(os.Stderr, host, l) }
 	}
-	return t, nil
+	return client, nil
 }
 
-func sayLine(to *os.File, host string, l agentapi.StreamEvent) {
+func printEvent(to *os.File, host string, l agentapi.StreamEvent) {
 	switch {
 	case l.LostEntries > 0:
 		fmt.Fprintf(to, "%s: %d lines are no longer kept\n", host, l.LostEntries)
@@ -83,9 +86,9 @@
 	}
 }
 
-// selected are the instances that the command line names.
-func selected(c *cli.Command, t *fleetclient.Client) ([]*fleet.InstanceSpec, error) {
-	all, err := t.Spec.Select(fleet.Selection{
+// selectInstances finds the instances that the command line names.
+func selectInstances(c *cli.Command, client *fleetclient.Client) ([]*fleet.InstanceSpec, error) {
+	all, err := client.Spec.Select(fleet.Selection{
 		All: c.Bool("all"), Names: c.Args().Slice(), Groups: c.StringSlice("group"), Labels: c.StringSlice("label"),
 		Hosts: c.StringSlice("host"),
 	})
@@ -98,9 +101,15 @@
 	return out.Encode(v)
 }
 
-// table writes rows in columns.
-func table(rows [][]string) {
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+// newTabWriter aligns columns on standard output once it is flushed.
+func newTabWriter() *tabwriter.Writer {
+	const minWidth, tabWidth, padding = 0, 4, 2
+	return tabwriter.NewWriter(os.Stdout, minWidth, tabWidth, padding, ' ', 0)
+}
+
+// printTable prints rows in columns.
+func printTable(rows [][]string) {
+	w := newTabWriter()
 	for _, row := range rows {
 		for i, cell := range row {
 			if i > 0 {
@@ -113,43 +122,61 @@
 	_ = w.Flush() // standard output: nowhere else to say so
 }
 
-// orderOf is the command that the flags ask for.
-func orderOf(c *cli.Command, t *fleetclient.Client, kind fleet.CommandKind) (agentapi.CommandRequest, error) {
+// newCommandRequest makes the command that the flags ask for.
+func newCommandRequest(c *cli.Command, client *fleetclient.Client, kind fleet.CommandKind) (agentapi.CommandRequest, error) {
 	now := time.Now()
-	o := agentapi.CommandRequest{
-		ID: c.String("id"), Kind: kind, RequestedBy: t.Operator, RequestedUnixMicros: now.UnixMicro(), TimeoutMicros: c.Duration("within").Microseconds(),
+	request := agentapi.CommandRequest{
+		ID: c.String("id"), Kind: kind, RequestedBy: client.Operator, RequestedUnixMicros: now.UnixMicro(), TimeoutMicros: c.Duration("within").Microseconds(),
 	}
-	if o.ID == "" {
-		o.ID = fleetclient.NewID(kind, now)
+	if request.ID == "" {
+		request.ID = fleetclient.NewID(kind, now)
 	}
-	if err := fleet.CheckName(o.ID); err != nil {
-		return o, usagef("id: %w", err)
+	if err := fleet.CheckName(request.ID); err != nil {
+		return request, usagef("id: %w", err)
 	}
-	if o.TimeoutMicros <= 0 {
-		return o, usagef("within: %v is not above 0", c.Duration("within"))
+	if request.TimeoutMicros <= 0 {
+		return request, usagef("within: %v is not above 0", c.Duration("within"))
+	}
+	return request, nil
+}
+
+// newFleetCommand reads from the flags a command of a kind, with its client and the instances that it is for.
+func newFleetCommand(
+	c *cli.Command, kind fleet.CommandKind,
+) (*fleetclient.Client, []*fleet.InstanceSpec, agentapi.CommandRequest, error) {
+	client, err := newFleetClient(c)
+	if err != nil {
+		return nil, nil, agentapi.CommandRequest{}, err
+	}
+	instances, err := selectInstances(c, client)
+	if err != nil {
+		return nil, nil, agentapi.CommandRequest{}, err
 	}
-	return o, nil
+	request, err := newCommandRequest(c, client, kind)
+	return client, instances, request, err
 }
 
-// patience is for how long the tool stays with a command: agents end it by its own time.
-func patience(ctx context.Context, o agentapi.CommandRequest) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, time.Duration(o.TimeoutMicros)*time.Microsecond+10*time.Second)
+// withCommandTimeout bounds how long this process waits for a command. Agents end it by its own timeout; the margin leaves them
+// time to say so.
+func withCommandTimeout(ctx context.Context, request agentapi.CommandRequest) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, time.Duration(request.TimeoutMicros)*time.Microsecond+commandMargin)
 }
 
-// counted puts counts into words, in order.
-func counted(counts map[fleet.Outcome]int) string {
-	words := make([]string, 0, len(counts))
-	for _, o := range slices.Sorted(maps.Keys(counts)) {
-		words = append(words, fmt.Sprintf("%s %d", o, counts[o]))
+// formatCounts lists how many instances had which outcome, by the outcome's name.
+func formatCounts(counts map[fleet.Outcome]int) string {
+	parts := make([]string, 0, len(counts))
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s %d", name, counts[name]))
 	}
-	if len(words) == 0 {
+	if len(parts) == 0 {
 		return "no result"
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// finish prints a report and ends with the code that it stands for.
-func finish(c *cli.Command, r *fleetclient.Report, waited bool) error {
+// finishCommand prints a report, and returns the outcome that it stands for. Where the caller did not wait for results it is no
+// error that some are missing.
+func finishCommand(c *cli.Command, r *fleetclient.Report, waited bool) error {
 	if c.Bool("json") {
 		if err := printJSON(r); err != nil {
 			return err
@@ -169,14 +196,14 @@
 				rows = append(rows, []string{n, h.Host, string(res.Outcome), res.Cause})
 			}
 		}
-		table(rows)
-		fmt.Printf("command %s: %s\n", r.ID, counted(r.Counts))
+		printTable(rows)
+		fmt.Printf("command %s: %s\n", r.ID, formatCounts(r.Counts))
 		if r.Reason != "" {
 			fmt.Println("stopped:", r.Reason)
 		}
 	}
 	verdict := r.Verdict()
-	if !waited && verdict == fleetclient.VerdictTimedOut { // nobody wanted to know
+	if !waited && verdict == fleetclient.VerdictTimedOut {
 		verdict = fleetclient.VerdictSucceeded
 	}
 	switch verdict {
--- a/cmd/milletbarrow/fleet_budgets.go
+++ b/cmd/milletbarrow/fleet_budgets.go
@@ -13,7 +13,7 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-func fleetBudgetsCommand() *cli.Command {
+func fleetQuotasCommand() *cli.Command {
 	return &cli.Command{
 		Name: "budgets", Usage: "show who holds how much of the fleet's budgets, or write a lost holder off",
 		Description: "Any agent hands the question on to the one that leads the ledger. Examples:\n   milletbarrow fleet budgets --fleet fleet.sx\n" +
@@ -22,41 +22,42 @@
 			Name: "write-off", Usage: "what this `NAME` holds is in force no more: you have made sure of it",
 		}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			t, err := tool(c)
+			client, err := newFleetClient(c)
 			if err != nil {
 				return err
 			}
-			if t.Spec.Quotas == nil {
+			if client.Spec.Quotas == nil {
 				return usagef("%s: has no budgets", c.String("fleet"))
 			}
 			if name := c.String("write-off"); name != "" {
-				if err := t.WriteOff(ctx, name); err != nil {
-					return budgetsFailed(err)
+				if err := client.WriteOff(ctx, name); err != nil {
+					return quotaCallError(err)
 				}
 				fmt.Printf("%s holds nothing any more\n", name)
 				return nil
 			}
-			b, err := t.Budgets(ctx)
+			b, err := client.Budgets(ctx)
 			if err != nil {
-				return budgetsFailed(err)
+				return quotaCallError(err)
 			}
 			if c.Bool("json") {
 				return printJSON(b)
 			}
-			printBudgets(&b)
+			printQuotas(&b)
 			return nil
 		},
 	}
 }
 
-func budgetsFailed(err error) error {
+// quotaCallError says why a call about quotas failed: it was refused, or no agent that could answer was reached.
+func quotaCallError(err error) error {
 	if r, ok := errors.AsType[*agentapi.StatusError](err); ok && r.Status/100 == 4 {
 		return unusable(err)
 	}
 	return &outcomeError{outcome: outcomeUnreachable, cause: err}
 }
 
-func printBudgets(b *agentapi.Budgets) {
+func printQuotas(b *agentapi.Budgets) {
 	fmt.Printf("ledger: %s leads %v, term %d, terms of version %d\n", b.Leader, b.Members, b.Term, b.Version)
 	if b.GrowthFrozen {
 		fmt.Println("nothing grows now: shares may be in force that this ledger was made to forget")
@@ -81,8 +82,8 @@
 			rows = append(rows, []string{"", h.Name, h.Host, num(h.Floor), num(h.Extra), until, num(h.Demand), num(h.Drawn), num(h.Denied), ""})
 		}
 	}
-	table(rows)
+	printTable(rows)
 	for _, r := range b.ColdStarts {
-		fmt.Println(riseLine(&r))
+		fmt.Println(coldStartLine(&r))
 	}
 }
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -33,42 +33,42 @@
 }
 
 func runColdStart(ctx context.Context, c *cli.Command) error {
-	t, err := tool(c)
+	client, err := newFleetClient(c)
 	if err != nil {
 		return err
 	}
-	if t.Spec.ColdStart == nil {
+	if client.Spec.ColdStart == nil {
 		return usagef("%s: has no (rise (budget COUNT))", c.String("fleet"))
 	}
-	all, err := selected(c, t)
+	all, err := selectInstances(c, client)
 	if err != nil {
 		return err
 	}
-	o, err := orderOf(c, t, fleet.KindColdStart)
+	request, err := newCommandRequest(c, client, fleet.KindColdStart)
 	if err != nil {
 		return err
 	}
-	o.Budget = t.Spec.ColdStartQuota
-	r := quota.ColdStartCommand{Limit: o.Budget, ID: o.ID, By: t.Operator, Action: c.String("decision")}
+	request.Budget = client.Spec.ColdStartQuota
+	r := quota.ColdStartCommand{Limit: request.Budget, ID: request.ID, By: client.Operator, Action: c.String("decision")}
 	if r.Action != "" {
-		if err := t.ColdStart(ctx, r); err != nil {
-			return budgetsFailed(err)
+		if err := client.ColdStart(ctx, r); err != nil {
+			return quotaCallError(err)
 		}
-		fmt.Printf("%s: %s\n", o.ID, r.Action)
+		fmt.Printf("%s: %s\n", request.ID, r.Action)
 		return nil
 	}
-	r.Config = t.Spec.ColdStart
+	r.Config = client.Spec.ColdStart
 	for _, in := range all {
 		r.Members = append(r.Members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
 	}
 	if c.Bool("dry-run") {
-		return previewRise(c, &r)
+		return previewColdStart(c, &r)
 	}
-	ctx, cancel := patience(ctx, o)
+	ctx, cancel := withCommandTimeout(ctx, request)
 	defer cancel()
-	if err := t.ColdStart(ctx, r); err != nil {
+	if err := client.ColdStart(ctx, r); err != nil {
 		if no, ok := errors.AsType[*agentapi.StatusError](err); ok && no.Status/100 == 4 {
-			return budgetsFailed(err)
+			return quotaCallError(err)
 		}
 		fmt.Fprintf(os.Stderr, "the ledger can't be reached (%v): each host goes on by one start at a time\n", err)
 	}
@@ -76,16 +76,16 @@
 	showing, stop := context.WithCancel(ctx)
 	go func() {
 		defer close(shown)
-		showRise(showing, c, t, o.ID)
+		showColdStart(showing, c, client, request.ID)
 	}()
-	report := t.Execute(ctx, o, all, c.Bool("wait"))
+	report := client.Execute(ctx, request, all, c.Bool("wait"))
 	stop()
 	<-shown
-	return finish(c, report, c.Bool("wait"))
+	return finishCommand(c, report, c.Bool("wait"))
 }
 
-// previewRise prints who would come first.
-func previewRise(c *cli.Command, r *quota.ColdStartCommand) error {
+// previewColdStart prints in which order instances would start.
+func previewColdStart(c *cli.Command, r *quota.ColdStartCommand) error {
 	s, err := coldstart.New(r.ID, *r.Config, r.Members)
 	if err != nil {
 		return unusable(err)
@@ -101,13 +101,13 @@
 		}
 		rows = append(rows, []string{strconv.Itoa(i + 1), m.Name, m.Host, m.Group, word})
 	}
-	table(rows)
+	printTable(rows)
 	fmt.Printf("%d at once to begin with, %d at the most; those that are up stay so\nnothing was done\n", r.Config.InitialConcurrent, r.Config.MaxConcurrent)
 	return nil
 }
 
-// showRise tells how a rise stands whenever that changes.
-func showRise(ctx context.Context, c *cli.Command, t *fleetclient.Client, id string) {
+// showColdStart prints the progress of a cold start whenever it changes, until ctx ends.
+func showColdStart(ctx context.Context, c *cli.Command, client *fleetclient.Client, id string) {
 	if c.Bool("quiet") || c.Bool("json") || !c.Bool("wait") {
 		return
 	}
@@ -117,7 +117,7 @@
 			return
 		case <-time.After(time.Second):
 		}
-		b, err := t.Budgets(ctx)
+		b, err := client.Budgets(ctx)
 		if err != nil {
 			continue
 		}
@@ -125,7 +125,7 @@
 			if r.ID != id {
 				continue
 			}
-			if now := riseLine(&r); now != last {
+			if now := coldStartLine(&r); now != last {
 				fmt.Fprintln(os.Stderr, now)
 				last = now
 			}
@@ -133,8 +133,8 @@
 	}
 }
 
-// riseLine is one rise in a line.
-func riseLine(r *quota.ColdStartStatus) string {
+// coldStartLine describes the progress of a cold start in one line.
+func coldStartLine(r *quota.ColdStartStatus) string {
 	var sum coldstart.GroupStatus
 	for _, g := range r.Groups {
 		sum.Ready, sum.Starting, sum.Failed, sum.Waiting = sum.Ready+g.Ready, sum.Starting+g.Starting, sum.Failed+g.Failed, sum.Waiting+g.Waiting
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -23,7 +23,7 @@
 			&cli.StringFlag{Name: "name", Usage: "of one `INSTANCE`"}, &cli.StringFlag{Name: "command", Usage: "of one command's `ID`"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			t, err := tool(c)
+			client, err := newFleetClient(c)
 			if err != nil {
 				return err
 			}
@@ -31,14 +31,14 @@
 				return err
 			}
 			name, command := c.String("name"), c.String("command")
-			all, missing := t.History(ctx, c.Int("most"), func(e fleetclient.Entry) bool {
+			all, missing := client.History(ctx, c.Int("most"), func(e fleetclient.Entry) bool {
 				return (name == "" || e.Entry.Name == name) && (command == "" || e.Entry.CommandID == command)
 			})
 			if c.Bool("json") {
 				err = printJSON(map[string]any{"entries": all, "missing": missing})
 			} else {
 				for _, e := range all {
-					sayLine(os.Stdout, e.Host, e.StreamEvent)
+					printEvent(os.Stdout, e.Host, e.StreamEvent)
 				}
 				for host, why := range missing {
 					fmt.Printf("missing: all of host %s: %s\n", host, why)
@@ -58,19 +58,19 @@
 		Description: "Examples:\n   milletbarrow fleet watch --fleet fleet.sx\n   milletbarrow fleet watch --fleet fleet.sx wave-20261201T160000-ab12cd34",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			t, err := tool(c)
+			client, err := newFleetClient(c)
 			if err != nil {
 				return err
 			}
 			id := c.Args().First()
 			r := &fleetclient.Report{ID: id}
-			r.Hosts, _ = agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
-				return t.Watch(ctx, h.Name, id), nil
+			r.Hosts, _ = agentapi.FanOut(ctx, client.Bounds, client.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
+				return client.Watch(ctx, h.Name, id), nil
 			})
 			if id == "" {
 				return nil
 			}
-			return finish(c, r.OnlyKnown(), true)
+			return finishCommand(c, r.OnlyKnown(), true)
 		},
 	}
 }
--- a/cmd/milletbarrow/fleet_members.go
+++ b/cmd/milletbarrow/fleet_members.go
@@ -14,16 +14,16 @@
 		Description: "A row an agent that was asked, a column an agent that it judges. Example:\n   milletbarrow fleet members --fleet fleet.sx",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			t, err := tool(c)
+			client, err := newFleetClient(c)
 			if err != nil {
 				return err
 			}
-			all := t.Members(ctx)
+			all := client.Members(ctx)
 			if c.Bool("json") {
 				err = printJSON(all)
 			} else {
 				head := []string{"asked"}
-				for _, h := range t.Spec.Hosts {
+				for _, h := range client.Spec.Hosts {
 					head = append(head, h.Name)
 				}
 				rows := [][]string{head}
@@ -37,7 +37,7 @@
 					}
 					rows = append(rows, row)
 				}
-				table(rows)
+				printTable(rows)
 			}
 			for _, h := range all {
 				if err == nil && h.Error != "" {
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -34,43 +34,36 @@
 			&cli.StringFlag{Name: "budget", Usage: "a count of the fleet's file: each that is out holds a unit, over all hosts"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			t, err := tool(c)
+			client, instances, request, err := newFleetCommand(c, fleet.KindRollingUpdate)
 			if err != nil {
 				return err
 			}
-			all, err := selected(c, t)
-			if err != nil {
-				return err
-			}
-			o, err := orderOf(c, t, fleet.KindRollingUpdate)
-			if err != nil {
-				return err
-			}
-			terms := waveTerms(c, t.Spec.RollingUpdate)
-			if err := terms.Check(); err != nil {
+			config := rollingUpdateConfig(c, client.Spec.RollingUpdate)
+			if err := config.Check(); err != nil {
 				return unusable(err)
 			}
-			o.RollingUpdate, o.Budget = &terms, t.Spec.RollingUpdateQuota
+			request.RollingUpdate, request.Budget = &config, client.Spec.RollingUpdateQuota
 			if c.IsSet("budget") {
-				o.Budget = c.String("budget")
+				request.Budget = c.String("budget")
 			}
 			if c.Bool("dry-run") {
-				return previewWave(c, t, all, terms)
+				return previewRollingUpdate(c, client, instances, config)
 			}
-			ctx, cancel := patience(ctx, o)
+			ctx, cancel := withCommandTimeout(ctx, request)
 			defer cancel()
 			if !c.Bool("wait") {
-				if hosts, _ := t.ByHost(all); len(hosts) > 1 && o.Budget == "" {
+				if hosts, _ := client.ByHost(instances); len(hosts) > 1 && request.Budget == "" {
 					return usagef("wait: a wave over %d hosts is taken from host to host by this command, which has to stay", len(hosts))
 				}
-				return finish(c, t.Execute(ctx, o, all, false), false)
+				return finishCommand(c, client.Execute(ctx, request, instances, false), false)
 			}
-			return finish(c, t.RollingUpdate(ctx, o, all, c.Int("max-hosts")), true)
+			return finishCommand(c, client.RollingUpdate(ctx, request, instances, c.Int("max-hosts")), true)
 		},
 	}
 }
 
-func waveTerms(c *cli.Command, w fleet.RollingUpdateConfig) fleet.RollingUpdateConfig {
+// rollingUpdateConfig is the fleet file's configuration with what the flags set in its place.
+func rollingUpdateConfig(c *cli.Command, w fleet.RollingUpdateConfig) fleet.RollingUpdateConfig {
 	for name, to := range map[string]*int{"max-unavailable": &w.MaxInProgress, "min-ready": &w.MinReady, "surge": &w.Surge, "max-failures": &w.MaxFailures} {
 		if c.IsSet(name) {
 			*to = c.Int(name)
@@ -92,13 +85,13 @@
 	return w
 }
 
-// previewWave prints a wave step by step as it would go if all went well.
-func previewWave(c *cli.Command, t *fleetclient.Client, all []*fleet.InstanceSpec, terms fleet.RollingUpdateConfig) error {
-	hosts, names := t.ByHost(all)
+// previewRollingUpdate prints a rolling update batch by batch, as it would go if all went well.
+func previewRollingUpdate(c *cli.Command, client *fleetclient.Client, instances []*fleet.InstanceSpec, config fleet.RollingUpdateConfig) error {
+	hosts, names := client.ByHost(instances)
 	plans := map[string][]fleet.PlanStep{}
 	rows := [][]string{{"host", "batch", "instance", "group", "ready meanwhile", "must stay"}}
 	for _, h := range hosts {
-		steps, err := fleet.Preview(t.Spec, h, names[h], terms)
+		steps, err := fleet.Preview(client.Spec, h, names[h], config)
 		if err != nil {
 			return usagef("host %s: %w", h, err)
 		}
@@ -110,7 +103,7 @@
 	if c.Bool("json") {
 		return printJSON(plans)
 	}
-	table(rows)
+	printTable(rows)
 	fmt.Println("nothing was done")
 	return nil
 }
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -16,11 +16,11 @@
 		Description: "Examples:\n   milletbarrow fleet status --fleet fleet.sx\n   milletbarrow fleet status --fleet fleet.sx --json",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			t, err := tool(c)
+			client, err := newFleetClient(c)
 			if err != nil {
 				return err
 			}
-			all := t.Status(ctx)
+			all := client.Status(ctx)
 			if c.Bool("json") {
 				err = printJSON(all)
 			} else {
@@ -61,7 +61,7 @@
 			rows = append(rows, []string{in.Name, h.Host, in.Group, wanted, string(in.Phase), span.String(), pid, hand, level, in.Cause})
 		}
 	}
-	table(rows)
+	printTable(rows)
 	for _, h := range all {
 		if h.Status == nil {
 			continue
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// steer sends the verb to every agent; those that do not know the command are left out.
+// steer sends the verb to every agent. Agents that do not know the command do not count.
 func steer(ctx context.Context, c *cli.Command, verb string) error {
-	t, err := tool(c)
+	client, err := newFleetClient(c)
 	if err != nil {
 		return err
 	}
@@ -41,10 +41,10 @@
 		Error   string         `json:"error,omitempty"`
 	}
 	known, refused, away := 0, 0, 0
-	answers, errs := agentapi.FanOut(ctx, t.Bounds, t.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
-		client := t.Caller.Client(h.AgentAddress)
-		defer client.Close()
-		cmd, err := client.Steer(ctx, id, verb, t.Operator)
+	answers, errs := agentapi.FanOut(ctx, client.Bounds, client.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
+		agentClient := client.Caller.Client(h.AgentAddress)
+		defer agentClient.Close()
+		cmd, err := agentClient.Steer(ctx, id, verb, client.Operator)
 		if err != nil {
 			return answer{Host: h.Name, Error: err.Error()}, err
 		}
@@ -68,7 +68,7 @@
 	if c.Bool("json") {
 		err = printJSON(answers)
 	} else {
-		table(rows)
+		printTable(rows)
 	}
 	switch {
 	case err != nil:
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -8,7 +8,6 @@
 	"os/signal"
 	"strings"
 	"syscall"
-	"text/tabwriter"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -31,7 +30,7 @@
 			&cli.BoolFlag{Name: "quiet", Usage: "no progress"}, jsonFlag(),
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			s, err := scenarioOf(c.Args().First(), c.String("scenario"))
+			s, err := readScenario(c.Args().First(), c.String("scenario"))
 			if err != nil {
 				return err
 			}
@@ -39,7 +38,7 @@
 			defer stop()
 			o := loadgen.Options{Scenario: s, Seed: c.Uint64("seed"), Backends: c.StringSlice("to"), Bounds: limits.ForLoad()}
 			if !c.Bool("quiet") {
-				o.OnSnapshot = func(p loadgen.Snapshot) { fmt.Fprintln(os.Stderr, loadLine(p)) }
+				o.OnSnapshot = func(p loadgen.Snapshot) { fmt.Fprintln(os.Stderr, progressLine(p)) }
 			}
 			r, err := loadgen.Run(ctx, o)
 			if r == nil {
@@ -65,8 +64,8 @@
 	}
 }
 
-// scenarioOf finds a scenario in an experiment's file.
-func scenarioOf(file, name string) (*simulation.Scenario, error) {
+// readScenario reads a scenario of an experiment's file: the named one, or the first.
+func readScenario(file, name string) (*simulation.Scenario, error) {
 	if file == "" {
 		return nil, usagef("no file is named")
 	}
@@ -82,13 +81,13 @@
 	return nil, usagef("scenario %q is none of %s", name, file)
 }
 
-func loadLine(p loadgen.Snapshot) string {
+func progressLine(p loadgen.Snapshot) string {
 	return fmt.Sprintf("%4v  %7.0f/s  %6d open  last second billed %5.1f%%  throttled %5d  so far %5.1f%%", p.At, p.PerSecond, p.InFlight,
 		100*p.LastSecond.Billed/max(p.LastSecond.Offered, 1e-9), p.LastSecond.Throttled, 100*p.Value)
 }
 
 func printLoad(r *loadgen.Report) {
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	w := newTabWriter()
 	fmt.Fprintf(w, "operation\tasks\tbilled\tin time\tp50 ms\tp99 ms\t%s\n", strings.Join(simulation.Outcomes(), "\t"))
 	for i := range r.Operations {
 		p := &r.Operations[i]
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -34,7 +34,7 @@
 		DefaultCommand: "serve",
 		Commands: []*cli.Command{
 			serveCommand(), checkCommand(), limitsCommand(), versionCommand(),
-			agentCommand(), keeperCommand(), beginCommand(), fleetCommand(), degradationCommand(), experimentCommand(), loadCommand(),
+			agentCommand(), supervisorCommand(), beginCommand(), fleetCommand(), degradationCommand(), experimentCommand(), loadCommand(),
 			fakeCommand(), faultsCommand(), demoCommand(),
 		},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // main ends the process
--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -14,9 +14,9 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// keeperCommand runs a supervisor, which the agent starts beside each instance. Its name and flags, and those that it passes
+// supervisorCommand runs a supervisor, which the agent starts beside each instance. Its name and flags, and those that it passes
 // to the instance, are spoken between versions: an agent of an earlier one starts it by them.
-func keeperCommand() *cli.Command {
+func supervisorCommand() *cli.Command {
 	return &cli.Command{
 		Name: "keeper", Usage: "supervise one instance (started by the agent)", Hidden: true,
 		Flags: []cli.Flag{
