--- /dev/null
+++ b/cmd/milletbarrow/experiment_plot.go
@@ -0,0 +1,132 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/urfave/cli/v3"
+
+	"milletbarrow/internal/experiment"
+	"milletbarrow/internal/plot"
+	"milletbarrow/internal/simulation"
+)
+
+func experimentPlotCommand() *cli.Command {
+	return &cli.Command{
+		Name: "plot", Usage: "draw an experiment's results", ArgsUsage: "FILE",
+		Description: "What: sweep (the figure over what is swept), time, operations, tenants, latency, heat (of one policy).\n" +
+			"Example:\n   milletbarrow experiment plot docs/studies/wording.sx --dir /tmp/wording --what sweep --to wording.svg",
+		Flags: []cli.Flag{
+			dirFlag(), overFlag(), measureFlag(),
+			&cli.StringFlag{Name: "what", Value: "sweep"}, &cli.StringFlag{Name: "to", Usage: "a `FILE` that ends in .svg or .png", Required: true},
+			&cli.StringFlag{Name: "scenario", Usage: "the first one, if none is named"}, &cli.StringFlag{Name: "policy", Usage: "of a heat map"},
+			&cli.Uint64Flag{Name: "seed", Usage: "the first one, if none is named"}, &cli.FloatFlag{Name: "at", Usage: "the value of what is swept", Value: math.NaN()},
+		},
+		Action: plotExperiment,
+	}
+}
+
+func plotExperiment(_ context.Context, c *cli.Command) error {
+	x, cells, results, err := loadExperiment(c)
+	if err != nil {
+		return err
+	}
+	m, err := experiment.MeasureNamed(c.String("measure"))
+	if err != nil {
+		return unusable(err)
+	}
+	format, err := plotFormat("--to", c.String("to"))
+	if err != nil {
+		return err
+	}
+	scenario := c.String("scenario")
+	if scenario == "" {
+		scenario = x.Scenarios[0].Name
+	}
+	seed, at := c.Uint64("seed"), c.Float("at")
+	if seed == 0 {
+		seed = x.Seeds[0]
+	}
+	if math.IsNaN(at) && len(x.SweptValues) > 0 {
+		at = x.SweptValues[0]
+	}
+	names, days := selectDays(x, cells, results, scenario, c.String("policy"), seed, at)
+	what := c.String("what")
+	if what != "sweep" && len(days) == 0 {
+		return usagef("no result of scenario %s, seed %d, at %g", scenario, seed, at)
+	}
+	title := fmt.Sprintf("%s: %s (modelled)", x.Name, scenario)
+	return replaceFile(c.String("to"), func(f io.Writer) error {
+		if what == "sweep" {
+			return plot.Curves(f, title, x.SweptField, m.Name, experiment.Curves(cells, results, scenario, m), format)
+		}
+		return plotDays(f, what, title, names, days, format)
+	})
+}
+
+// plotFormat is the format that a plot's file name asks for: svg or png. The flag is named in the error.
+func plotFormat(flag, file string) (string, error) {
+	format := strings.TrimPrefix(filepath.Ext(file), ".")
+	if format != "svg" && format != "png" {
+		return "", usagef("%s: %q ends neither in .svg nor in .png", flag, file)
+	}
+	return format, nil
+}
+
+// selectDays selects the results of one scenario, seed and swept value, with their policies' names; no policy: all.
+func selectDays(
+	x *experiment.Experiment, cells []experiment.Cell, results []*simulation.Result, scenario, policy string, seed uint64, at float64,
+) (names []string, days []*simulation.Result) {
+	for i, cell := range cells {
+		if results[i] != nil && cell.Scenario.Name == scenario && cell.Seed == seed && (x.SweptField == "" || cell.SweptValue == at) &&
+			(policy == "" || policy == cell.Policy.Name) {
+			names, days = append(names, cell.Policy.Name), append(days, results[i])
+		}
+	}
+	return names, days
+}
+
+// replaceFile writes a complete file in the place of another, or leaves that as it was.
+func replaceFile(to string, write func(io.Writer) error) error {
+	f, err := os.CreateTemp(filepath.Dir(to), ".plot-*")
+	if err != nil {
+		return unusable(err)
+	}
+	defer func() { _ = os.Remove(f.Name()) }() // where it became the plot it is gone
+	if err = errors.Join(write(f), f.Close()); err != nil {
+		return err
+	}
+	if err := os.Chmod(f.Name(), 0o644); err != nil {
+		return err
+	}
+	return os.Rename(f.Name(), to)
+}
+
+// plotDays draws one day of each policy.
+func plotDays(f io.Writer, what, title string, names []string, days []*simulation.Result, format string) error {
+	switch what {
+	case "time":
+		return plot.Times(f, title, names, days, format)
+	case "operations", "tenants":
+		return plot.Breakdowns(f, title, names, days, what == "tenants", format)
+	case "latency":
+		var parts []*simulation.Breakdown
+		var lines []string
+		for i, r := range days {
+			for k := range r.Operations {
+				parts, lines = append(parts, &r.Operations[k]), append(lines, names[i]+" "+r.Operations[k].Name)
+			}
+		}
+		return plot.Latencies(f, title, lines, parts, format)
+	case "heat":
+		return plot.Heat(f, title+", "+names[0], days[0], format)
+	default:
+		return usagef("--what: %q is none of sweep, time, operations, tenants, latency, heat", what)
+	}
+}
--- /dev/null
+++ b/cmd/milletbarrow/experiment_run.go
@@ -0,0 +1,94 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"os/signal"
+	"runtime"
+	"syscall"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/urfave/cli/v3"
+
+	"milletbarrow/internal/experiment"
+	"milletbarrow/internal/simulation"
+)
+
+func experimentRunCommand() *cli.Command {
+	return &cli.Command{
+		Name: "run", Aliases: []string{"sweep"}, Usage: "play an experiment; what was interrupted goes on with the same call", ArgsUsage: "FILE",
+		Description: "Each run is kept in the place as soon as it ends. Ends with 3 where a rule was broken by the module.\n" +
+			"Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording --over nodes.deaf=0,0.5,1",
+		Flags: []cli.Flag{
+			dirFlag(), overFlag(), jsonFlag(),
+			&cli.IntFlag{Name: "cores", Usage: "runs at once", Value: runtime.NumCPU()},
+			&cli.BoolFlag{Name: "quiet", Usage: "no progress"},
+		},
+		Action: func(ctx context.Context, c *cli.Command) error {
+			x, err := readExperiment(c)
+			if err != nil {
+				return err
+			}
+			store, err := experiment.OpenResultDir(c.String("dir"), buildID())
+			if err != nil {
+				return unusable(err)
+			}
+			defer func() { _ = store.Close() }() // each result is written before the run goes on
+			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+			defer stop()
+			began := time.Now()
+			results, err := experiment.Run(ctx, x, store, c.Int("cores"), func(p experiment.Progress) {
+				if !c.Bool("quiet") {
+					fmt.Fprintf(os.Stderr, "%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n", p.Done, p.Total, p.Cached,
+						time.Since(began).Round(time.Second), p.Cell.Scenario.Name, p.Cell.Policy.Name, p.Cell.Seed, p.Result.Value())
+				}
+			})
+			if errors.Is(err, context.Canceled) {
+				return outcomef(outcomeTimedOut, "interrupted; the same call goes on")
+			}
+			if err != nil {
+				return err
+			}
+			cells, _ := x.Cells()
+			if c.Bool("json") {
+				return printJSON(experiment.Summary(cells, results))
+			}
+			return printSummary(experiment.Summary(cells, results))
+		},
+	}
+}
+
+// buildID names this program by its content: results of one build must not be continued by another.
+func buildID() string {
+	self, err := os.Executable()
+	if err != nil {
+		return version()
+	}
+	raw, err := os.ReadFile(self)
+	if err != nil {
+		return version()
+	}
+	return fmt.Sprintf("%s, %016x", version(), xxhash.Sum64(raw))
+}
+
+// printSummary prints a table, and returns an error where the decision module broke a rule.
+func printSummary(rows []experiment.Row) error {
+	w := newTabWriter()
+	fmt.Fprintln(w, "scenario\tat\tpolicy\tdays\tvalue\tinterval\ttries an ask\twasted ms an ask\trules broken")
+	broken := false
+	for _, r := range rows {
+		fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%.4f\t%.4f to %.4f\t%.2f\t%.2f\t%s\n", r.Scenario, r.SweptValue, r.Policy, r.BilledShare.N, r.BilledShare.Mean,
+			r.BilledShare.Low, r.BilledShare.High, r.Attempts, r.WastedMicros/1000, r.BreachSummary())
+		broken = broken || r.Policy == simulation.Module && r.BreachCount() > 0
+	}
+	if err := w.Flush(); err != nil {
+		return err
+	}
+	if broken {
+		return outcomef(outcomePartial, "a rule was broken")
+	}
+	return nil
+}
