--- a/cmd/milletbarrow/degradation_bench_test.go
+++ b/cmd/milletbarrow/degradation_bench_test.go
@@ -26,32 +26,32 @@
 
 var lookClasses = fakes.Settings[strings.Index(fakes.Settings, `"classes"`):strings.Index(fakes.Settings, `"projects"`)]
 
-var billValue = map[string]float64{"reprint": 1, "lookup": 3, "pay-post": 10}
+var operationValues = map[string]float64{"reprint": 1, "lookup": 3, "pay-post": 10}
 
-const steadyLadder = `(ladder bills (every 30s) (ramp 3s) (smooth (turned 500ms) (late 1s))
+const steadyPolicy = `(ladder bills (every 30s) (ramp 3s) (smooth (turned 500ms) (late 1s))
  (level no-reprints (shed (operations reprint)) (enter (any (turned 0.15 1s) (late 0.15 1s))) (exit (all (turned 0.05 3s) (late 0.08 3s))) (stay 20s))
  (level few-lookups (shed (operations lookup) (share 0.6)) (enter (turned 0.3 1s)) (exit (turned 0.08 3s)) (stay 20s))
  (level payments (shed (operations lookup)) (enter (turned 0.5 1s)) (exit (turned 0.1 3s)) (stay 20s)))`
 
 // swingLadder moves by the queue, which the experiment swings.
-const swingLadder = `(ladder bills (every 60s) (ramp 10s) (smooth (queue 500ms) (late 1s))
+const swingPolicy = `(ladder bills (every 60s) (ramp 10s) (smooth (queue 500ms) (late 1s))
  (level no-reprints (shed (operations reprint)) (enter (any (queue 1.6 1s) (late 0.1 1s))) (exit (all (queue 1.1 5s) (late 0.05 5s))) (stay 20s))
  (level few-lookups (shed (operations lookup) (share 0.6)) (enter (any (queue 2 1s) (late 0.25 1s))) (exit (all (queue 1.2 5s) (late 0.05 5s))) (stay 20s))
  (level payments (shed (operations lookup)) (enter (any (queue 2.6 1s) (late 0.5 1s))) (exit (all (queue 1.3 5s) (late 0.05 5s))) (stay 20s)))`
 
 // nervousLadder has the same steps, as little hysteresis as is taken, and no time to stay.
-const nervousLadder = `(ladder bills (every 1s) (ramp 0s) (smooth (turned 100ms) (late 1s))
+const nervousPolicy = `(ladder bills (every 1s) (ramp 0s) (smooth (turned 100ms) (late 1s))
  (level no-reprints (shed (operations reprint)) (enter (turned 0.15)) (exit (turned 0.135)) (stay 1s))
  (level few-lookups (shed (operations lookup) (share 0.6)) (enter (turned 0.3)) (exit (turned 0.27)) (stay 1s))
  (level payments (shed (operations lookup)) (enter (turned 0.5)) (exit (turned 0.45)) (stay 1s)))`
 
-// billed is one way to serve the same load.
-type billed struct {
-	name, ladder string
-	ranked       bool // ranks follow value; else all are alike
+// servingMode is one way to serve the same load.
+type servingMode struct {
+	name, policy string
+	ranked       bool // priorities follow value; else all are alike
 }
 
-func (w billed) mix() []fakes.OperationShare {
+func (w servingMode) mix() []fakes.OperationShare {
 	mix := []fakes.OperationShare{{Operation: "reprint", Share: 0.35, Priority: 0.1}, {Operation: "lookup", Share: 0.4, Priority: 0.4}, {Operation: "pay-post", Share: 0.25, Priority: 0.9}}
 	if !w.ranked {
 		for i := range mix {
@@ -61,25 +61,25 @@
 	return mix
 }
 
-// serveBills starts a backend with its crew.
-func (w billed) serve(t *testing.T) (*backend, *fakes.AutoExecutor) {
+// serveBills starts a backend with its executor.
+func (w servingMode) serve(t *testing.T) (*backend, *fakes.AutoExecutor) {
 	b := prepare(t, lookClasses, billClasses)
-	crew := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
+	executor := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
 	raw, err := os.ReadFile(b.config)
 	if err == nil {
-		err = os.WriteFile(b.config, []byte(strings.Replace(string(raw), b.farm.Address, crew.Address, 1)), 0o600)
+		err = os.WriteFile(b.config, []byte(strings.Replace(string(raw), b.executor.Address, executor.Address, 1)), 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.ladder != "" {
-		file := filepath.Join(t.TempDir(), "ladder.sx")
-		if err := os.WriteFile(file, []byte(w.ladder), 0o600); err != nil {
+	if w.policy != "" {
+		file := filepath.Join(t.TempDir(), "policy.sx")
+		if err := os.WriteFile(file, []byte(w.policy), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		b.args = []string{"serve", "--levels", file}
 	}
-	return b.start().ready(), crew
+	return b.start().ready(), executor
 }
 
 var levelLine = regexp.MustCompile(`time=(\S+) event=degradation_level from=(\S+) to=(\S+) collapse=(\S+) cause=("[^"]*"|\S+)`)
@@ -98,44 +98,44 @@
 	return all, at
 }
 
-// TestLevelsSlowQuarter: two of eight backends are slowed, 8.8 and 2.6 times, at full load; what is succeeded in time by
-// value, for each way to serve.
+// TestLevelsSlowQuarter: two of eight backends are slowed, 8.8 and 2.6 times, at full load; the share of value that succeeds in
+// time, for each serving mode.
 func TestLevelsSlowQuarter(t *testing.T) {
 	if os.Getenv("LEVELS") != "slow" {
 		t.Skip("an experiment of two minutes: LEVELS=slow")
 	}
 	const calm, slow, after = 15 * time.Second, 60 * time.Second, 55 * time.Second
-	for _, w := range []billed{{"ladder", steadyLadder, true}, {"no hysteresis", nervousLadder, true}, {"rank alone", "", true}, {"neither", "", false}} {
+	for _, w := range []servingMode{{"policy", steadyPolicy, true}, {"no hysteresis", nervousPolicy, true}, {"rank alone", "", true}, {"neither", "", false}} {
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
 			const many = 8
-			backends, crews := make([]*backend, 0, many), make([]*fakes.AutoExecutor, 0, many)
+			backends, executors := make([]*backend, 0, many), make([]*fakes.AutoExecutor, 0, many)
 			loads := make([]*fakes.Caller, 0, many)
 			for range many {
 				b, c := w.serve(t)
-				backends, crews = append(backends, b), append(crews, c)
+				backends, executors = append(backends, b), append(executors, c)
 			}
 			for i, b := range backends {
 				loads = append(loads, fakes.NewMixedCaller(b.address, i+1, 10*time.Millisecond, 3*time.Second, w.mix()))
 			}
 			time.Sleep(calm)
 			slowed := time.Now()
-			crews[0].Slow(8.8)
-			crews[1].Slow(2.6)
+			executors[0].Slow(8.8)
+			executors[1].Slow(2.6)
 			time.Sleep(slow)
-			crews[0].Slow(0)
-			crews[1].Slow(0)
+			executors[0].Slow(0)
+			executors[1].Slow(0)
 			healed := time.Now()
 			time.Sleep(after)
 			sent, good, slowSent, slowGood := map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
-			worth, most := 0.0, 0.0
+			value, most := 0.0, 0.0
 			for i, l := range loads {
 				for _, s := range l.Stop() {
-					most += billValue[s.Operation]
+					most += operationValues[s.Operation]
 					sent[s.Operation]++
 					ok := s.Code == 1 && s.Answers == 1 && s.Answered.Sub(s.At) <= time.Second
 					if ok {
-						worth += billValue[s.Operation]
+						value += operationValues[s.Operation]
 						good[s.Operation]++
 					}
 					if i < 2 && s.At.After(slowed) && s.At.Before(healed) {
@@ -146,7 +146,7 @@
 					}
 				}
 			}
-			line := fmt.Sprintf("%-14s value %.4f", w.name, worth/most)
+			line := fmt.Sprintf("%-14s value %.4f", w.name, value/most)
 			for _, c := range []string{"reprint", "lookup", "pay-post"} {
 				line += fmt.Sprintf("; %s %.3f, on the slow ones %.3f", c, float64(good[c])/float64(sent[c]), float64(slowGood[c])/float64(slowSent[c]))
 			}
@@ -179,14 +179,14 @@
 	for _, boundary := range []float64{1.1, 1.6, 2, 2.6} {
 		t.Run(fmt.Sprint(boundary), func(t *testing.T) {
 			t.Parallel()
-			b, crew := billed{ladder: swingLadder}.serve(t)
-			l := fakes.NewMixedCaller(b.address, int(boundary*10), 25*time.Millisecond, 3*time.Second, billed{ranked: true}.mix())
-			// The farm's queue is what is swung: the load itself is light, so that only the levels are at work.
+			b, executor := servingMode{policy: swingPolicy}.serve(t)
+			l := fakes.NewMixedCaller(b.address, int(boundary*10), 25*time.Millisecond, 3*time.Second, servingMode{ranked: true}.mix())
+			// The gauge of the executor's queue swings; the load itself is light, so that only the levels are at work.
 			r := rand.New(rand.NewPCG(uint64(boundary*10), 0))
 			began := time.Now()
 			for time.Since(began) < span {
 				sec := time.Since(began).Seconds()
-				crew.OverrideQueueGauge(2 * boundary * (1 + 0.25*math.Sin(2*math.Pi*sec/40) + 0.2*r.NormFloat64()))
+				executor.OverrideQueueGauge(2 * boundary * (1 + 0.25*math.Sin(2*math.Pi*sec/40) + 0.2*r.NormFloat64()))
 				time.Sleep(20 * time.Millisecond)
 			}
 			sent := l.Stop()
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -15,8 +15,8 @@
 	"milletbarrow/internal/process"
 )
 
-// played plays a timetable with real processes of a built program.
-func played(t *testing.T, program, failpoint string, table *schedule.Schedule) *harness.Verdict {
+// runSchedule plays a schedule of faults with real processes of a built program.
+func runSchedule(t *testing.T, program, failpoint string, table *schedule.Schedule) *harness.Verdict {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
@@ -42,7 +42,7 @@
 // TestTrial is the bounded part of fault injection: five agents, twenty backends under load, at least one fault of each
 // kind.
 func TestTrial(t *testing.T) {
-	v := played(t, program, "", schedule.Random(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
+	v := runSchedule(t, program, "", schedule.Random(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
 	if !v.OK {
 		t.Errorf("did not hold: %v", v.Reasons)
 	}
@@ -57,25 +57,25 @@
 	}
 }
 
-// TestTrialWave takes a wave over four hosts while its tool and some agents are killed.
+// TestTrialWave runs a rolling update over four hosts while its client and some agents are killed.
 func TestTrialWave(t *testing.T) {
-	if v := played(t, program, "", storedSchedule(t, "wave.sx")); !v.OK {
+	if v := runSchedule(t, program, "", storedSchedule(t, "wave.sx")); !v.OK {
 		t.Errorf("did not hold: %v", v.Reasons)
 	}
 }
 
-// TestTrialCold starts sixty backends at once beside a register that refuses, and a site that comes up by a rise while agents
+// TestTrialCold starts sixty backends at once beside a registry that refuses, and a site that comes up by a cold start while agents
 // die and a host is cut off.
 func TestTrialCold(t *testing.T) {
 	for _, name := range []string{"cold.sx", "cold-rise.sx"} {
-		if v := played(t, program, "", storedSchedule(t, name)); !v.OK {
+		if v := runSchedule(t, program, "", storedSchedule(t, name)); !v.OK {
 			t.Errorf("%s did not hold: %v", name, v.Reasons)
 		}
 	}
 	// Without chance and growing pauses the same is caught by each of its figures.
 	table := storedSchedule(t, "cold-fixed.sx")
 	table.Span = 12 * time.Second
-	v := played(t, program, "", table)
+	v := runSchedule(t, program, "", table)
 	if why := strings.Join(v.Reasons, " "); v.OK || !strings.Contains(why, "while it took nothing") || !strings.Contains(why, "first second") || !strings.Contains(why, "once all were listed") {
 		t.Errorf("backends in step were not caught: %v", v.Reasons)
 	}
@@ -96,13 +96,13 @@
 func TestTrialCatches(t *testing.T) {
 	bad := buildWithFailpoints(t)
 	table := &schedule.Schedule{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
-	if v := played(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "shares in force") {
+	if v := runSchedule(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "shares in force") {
 		t.Errorf("floors counted twice were not found: %v", v.Reasons)
 	}
 	// One host of three starts all that it has, whatever the ledger says.
 	ignored := storedSchedule(t, "cold-rise.sx")
 	ignored.Faults, ignored.Backends, ignored.Span, ignored.ColdStart.MaxConcurrent = nil, 36, 4*time.Second, 7
-	if v := played(t, bad, "ignore@h2", ignored); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "starting at once") {
+	if v := runSchedule(t, bad, "ignore@h2", ignored); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "starting at once") {
 		t.Errorf("a host that ignores the budget of starts was not found: %v", v.Reasons)
 	}
 	// At a point between what is written and what is replicated, and between that and the answer, an agent dies.
@@ -112,13 +112,13 @@
 			Kind: schedule.CrashPoint, Target: fmt.Sprint("h", i+1), Name: point, At: time.Duration(1+4*i) * time.Second, Duration: 3 * time.Second,
 		})
 	}
-	v := played(t, bad, "", table)
+	v := runSchedule(t, bad, "", table)
 	if !v.OK || v.Faults["point"] < 2 {
 		t.Errorf("with agents that die at points: %v, faults %v", v.Reasons, v.Faults)
 	}
 }
 
-// TestTrialLeavesNothing: what a trial began ends with it, also where it is broken off.
+// TestTrialLeavesNothing: the processes that a trial started end with it, also where it is interrupted.
 func TestTrialLeavesNothing(t *testing.T) {
 	g, err := harness.Open(harness.Options{Program: program, Schedule: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 	pids := g.Processes()
 	if len(pids) != 5 {
-		t.Errorf("%d processes, wanted an agent, two keepers and two backends", len(pids))
+		t.Errorf("%d processes, wanted an agent, two supervisors and two backends", len(pids))
 	}
 	if err := g.Close(); err != nil {
 		t.Error(err)
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestBudgetsCommands: what can't be kept is refused with its place, and what can be asked is answered.
+// TestBudgetsCommands: quotas that can't be granted are refused with their place in the file, and others are accepted.
 func TestBudgetsCommands(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "f.sx")
--- a/cmd/milletbarrow/fleet_bench_test.go
+++ b/cmd/milletbarrow/fleet_bench_test.go
@@ -25,7 +25,7 @@
 //	go test ./cmd/milletbarrow -run xxx -bench 'Notice|Adopt' -benchtime 5x
 //	go test ./cmd/milletbarrow -run xxx -bench Idle -benchtime 1x
 
-func (h *hosts) up(b *testing.B) *agentapi.Client {
+func (h *testFleet) up(b *testing.B) *agentapi.Client {
 	h.startAgent()
 	fakes.Until(b, "the agent answers", func() bool { return h.status().Status != nil })
 	h.must("start", "--all", "--quiet", "--within", "60s")
@@ -37,7 +37,7 @@
 var drainLine = regexp.MustCompile(`time=(\S+) event=drain `)
 
 // heard reads from the instances' logs when each last heard the notice.
-func (h *hosts) heard(b *testing.B) (all []time.Time) {
+func (h *testFleet) heard(b *testing.B) (all []time.Time) {
 	for _, n := range h.names {
 		raw, err := os.ReadFile(filepath.Join(h.dir, "keepers", n+".log"))
 		found := drainLine.FindAllStringSubmatch(string(raw), -1)
@@ -55,7 +55,7 @@
 
 // BenchmarkFleetNotice: from the tool's command to each of sixty instances having heard SIGTERM.
 func BenchmarkFleetNotice(b *testing.B) {
-	h := newHosts(b, 60, "(start-within 60s) (settle 0s)", "", "")
+	h := newTestFleet(b, 60, "(start-within 60s) (settle 0s)", "", "")
 	c := h.up(b)
 	h1 := hdrhistogram.New(1, 60_000_000, 3)
 	for round := 0; b.Loop(); round++ {
@@ -82,7 +82,7 @@
 
 // BenchmarkFleetAdopt: from the start of an agent to all forty instances seen ready.
 func BenchmarkFleetAdopt(b *testing.B) {
-	h := newHosts(b, 40, "(start-within 60s) (settle 0s)", "", "")
+	h := newTestFleet(b, 40, "(start-within 60s) (settle 0s)", "", "")
 	c := h.up(b)
 	h1 := hdrhistogram.New(1, 60_000_000, 3)
 	for b.Loop() {
@@ -103,41 +103,41 @@
 	b.ReportMetric(float64(h1.Max())/1000, "ms-max")
 }
 
-// BenchmarkFleetIdle: what the agent and its keepers take while sixty instances rest.
+// BenchmarkFleetIdle: what the agent and its supervisors take while sixty instances rest.
 func BenchmarkFleetIdle(b *testing.B) {
-	h := newHosts(b, 60, "(start-within 60s) (settle 0s)", "", "")
+	h := newTestFleet(b, 60, "(start-within 60s) (settle 0s)", "", "")
 	h.up(b)
 	const span = 10 * time.Second
 	agent, err := process.Of(h.agent.Process.Pid)
 	if err != nil {
 		b.Fatal(err)
 	}
-	keepers := make([]process.Identity, 0, len(h.names))
+	supervisors := make([]process.Identity, 0, len(h.names))
 	for _, n := range h.names {
-		l, err := h.life(n)
+		l, err := h.supervisorState(n)
 		if err != nil {
 			b.Fatal(err)
 		}
-		keepers = append(keepers, l.Keeper)
+		supervisors = append(supervisors, l.Supervisor)
 	}
 	cpu := func() (of int64) {
-		for _, k := range keepers {
+		for _, k := range supervisors {
 			of += k.CPU()
 		}
 		return of
 	}
 	// One look over the whole span: there is nothing to repeat.
-	agentBefore, keepersBefore := agent.CPU(), cpu()
+	agentBefore, supervisorsBefore := agent.CPU(), cpu()
 	time.Sleep(span)
 	share := func(us int64) float64 { return 100 * float64(us) / float64(span.Microseconds()) }
 	b.ReportMetric(share(agent.CPU()-agentBefore), "%core-agent")
-	b.ReportMetric(share(cpu()-keepersBefore), "%core-60-keepers")
+	b.ReportMetric(share(cpu()-supervisorsBefore), "%core-60-keepers")
 	private := 0.0
-	for _, k := range keepers {
+	for _, k := range supervisors {
 		private += float64(privateKB(k.PID))
 	}
 	b.ReportMetric(float64(agent.ResidentKB())/1024, "MB-agent")
-	b.ReportMetric(private/1024/float64(len(keepers)), "MB-private-a-keeper")
+	b.ReportMetric(private/1024/float64(len(supervisors)), "MB-private-a-keeper")
 }
 
 // privateKB is the memory that a process shares with no other.
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -25,26 +25,26 @@
 	"milletbarrow/internal/process"
 )
 
-// hosts is a fleet on this machine: one agent, so many instances, a farm for each, one roster for all.
-type hosts struct {
-	t     testing.TB
-	dir   string
-	file  string
-	crews map[string]*fakes.AutoExecutor
-	names []string
-	at    map[string]string // address of each
-	agent *exec.Cmd
+// testFleet is a fleet on this machine: one agent, so many instances, an executor for each, one registry for all.
+type testFleet struct {
+	t         testing.TB
+	dir       string
+	file      string
+	executors map[string]*fakes.AutoExecutor
+	names     []string
+	at        map[string]string // address of each
+	agent     *exec.Cmd
 }
 
-// newHosts writes the files of a fleet; group is what its one group has besides the instances, program starts them.
-func newHosts(t testing.TB, many int, group, wave, program string, edit ...string) *hosts {
+// newTestFleet writes the files of a fleet; group is what its one group has besides the instances, program starts them.
+func newTestFleet(t testing.TB, many int, group, rollingUpdate, program string, edit ...string) *testFleet {
 	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hosts{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), crews: map[string]*fakes.AutoExecutor{}, at: map[string]string{}}
+	h := &testFleet{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), executors: map[string]*fakes.AutoExecutor{}, at: map[string]string{}}
 	t.Cleanup(h.clear)
-	roster, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	registry, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	taken := make([]net.Listener, 0, many)
 	for n := range many {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,10 +53,10 @@
 		}
 		taken = append(taken, l)
 		name := fmt.Sprint("n", n+1)
-		crew := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
-		h.crews[name], h.at[name] = crew, l.Addr().String()
+		executor := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
+		h.executors[name], h.at[name] = executor, l.Addr().String()
 		h.names = append(h.names, name)
-		raw, err := os.ReadFile(configFile(t, l.Addr().String(), crew.Address, roster, append(edit, `"drain_grace_ms":300`, `"drain_grace_ms":2000`,
+		raw, err := os.ReadFile(configFile(t, l.Addr().String(), executor.Address, registry, append(edit, `"drain_grace_ms":300`, `"drain_grace_ms":2000`,
 			`"stop_ms":1500`, `"stop_ms":3200`, `"name":"n3"`, `"name":"`+name+`"`)...))
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, name+".json"), raw, 0o600)
@@ -72,24 +72,24 @@
 		program = `(program "` + program + `")`
 	}
 	text := fmt.Sprintf("(fleet test %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") %s (range n 1 %d))\n (wave %s))\n",
-		program, dir, group, many, wave)
+		program, dir, group, many, rollingUpdate)
 	if err := os.WriteFile(h.file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return h
 }
 
-// clear ends all that runs for this fleet and nothing else: by the identities in keepers' files.
-func (h *hosts) clear() {
+// clear ends all that runs for this fleet and nothing else: by the identities in supervisors' files.
+func (h *testFleet) clear() {
 	if h.agent != nil {
 		h.agent.Process.Kill()
 		h.agent.Wait()
 	}
-	for range 2 { // a keeper that was just starting its instance writes it down before it begins
+	for range 2 { // a supervisor that was just starting its instance writes it down before it begins
 		for _, n := range h.names {
-			if s, err := h.life(n); err == nil {
+			if s, err := h.supervisorState(n); err == nil {
 				_ = s.Instance.KillGroup() // mostly it is gone
-				s.Keeper.Signal(syscall.SIGKILL)
+				s.Supervisor.Signal(syscall.SIGKILL)
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -97,13 +97,13 @@
 	os.RemoveAll(h.dir)
 }
 
-type lifeFile struct {
-	Run      string           `json:"run"`
-	Keeper   process.Identity `json:"keeper"`
-	Instance process.Identity `json:"instance"`
+type supervisorFile struct {
+	Run        string           `json:"run"`
+	Supervisor process.Identity `json:"keeper"`
+	Instance   process.Identity `json:"instance"`
 }
 
-func (h *hosts) life(name string) (s lifeFile, err error) {
+func (h *testFleet) supervisorState(name string) (s supervisorFile, err error) {
 	raw, err := os.ReadFile(filepath.Join(h.dir, "keepers", name+".json"))
 	if err != nil {
 		return s, err
@@ -112,7 +112,7 @@
 }
 
 // startAgent starts it in the background and waits until it answers.
-func (h *hosts) startAgent() {
+func (h *testFleet) startAgent() {
 	cmd := exec.Command(program, "agent", "--fleet", h.file, "--host", "h1", "--dir", h.dir)
 	log, err := os.OpenFile(filepath.Join(h.dir, "agent.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -126,13 +126,13 @@
 	h.agent = cmd
 }
 
-func (h *hosts) killAgent() {
+func (h *testFleet) killAgent() {
 	h.agent.Process.Kill()
 	h.agent.Wait()
 }
 
 // fleet runs a sub-command and returns what it printed and its exit code.
-func (h *hosts) fleet(args ...string) (string, int) {
+func (h *testFleet) fleet(args ...string) (string, int) {
 	out, err := h.command(args...).Output()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -144,11 +144,11 @@
 	return string(out), 0
 }
 
-func (h *hosts) command(args ...string) *exec.Cmd {
+func (h *testFleet) command(args ...string) *exec.Cmd {
 	return exec.Command(program, append([]string{"fleet", args[0], "--fleet", h.file}, args[1:]...)...)
 }
 
-func (h *hosts) must(args ...string) string {
+func (h *testFleet) must(args ...string) string {
 	h.t.Helper()
 	out, code := h.fleet(args...)
 	if code != 0 {
@@ -157,13 +157,13 @@
 	return out
 }
 
-func (h *hosts) tail() string {
+func (h *testFleet) tail() string {
 	raw, _ := os.ReadFile(filepath.Join(h.dir, "agent.log"))
 	lines := strings.Split(string(raw), "\n")
 	return strings.Join(lines[max(0, len(lines)-30):], "\n")
 }
 
-func (h *hosts) status() fleetclient.HostStatus {
+func (h *testFleet) status() fleetclient.HostStatus {
 	out, _ := h.fleet("status", "--json")
 	var all []fleetclient.HostStatus
 	if err := json.Unmarshal([]byte(out), &all); err != nil || len(all) != 1 {
@@ -173,7 +173,7 @@
 }
 
 // phases tells how each instance is seen; empty while the agent is away.
-func (h *hosts) phases() map[string]fleet.Phase {
+func (h *testFleet) phases() map[string]fleet.Phase {
 	all := map[string]fleet.Phase{}
 	if s := h.status().Status; s != nil {
 		for _, in := range s.Instances {
@@ -183,7 +183,7 @@
 	return all
 }
 
-func (h *hosts) untilAll(p fleet.Phase) {
+func (h *testFleet) untilAll(p fleet.Phase) {
 	h.t.Helper()
 	fakes.Until(h.t, "all are "+string(p), func() bool {
 		all := h.phases()
@@ -191,23 +191,23 @@
 	})
 }
 
-// lived is one life of an instance as its keeper's log has it.
-type lived struct {
-	name, run             string
-	launched, told, ended time.Time
-	how                   string
+// incarnation is one run of an instance's process, as its supervisor logged it.
+type incarnation struct {
+	name, run                 string
+	launched, notified, ended time.Time
+	outcome                   string
 }
 
-var keeperLine = regexp.MustCompile(`time=(\S+) event=(launched|notified|ended) name=(\S+) run=(\S+)(?:.* how=("[^"]*"|\S+))?`)
+var supervisorLine = regexp.MustCompile(`time=(\S+) event=(launched|notified|ended) name=(\S+) run=(\S+)(?:.* how=("[^"]*"|\S+))?`)
 
-// lives reads the keepers' logs.
-func (h *hosts) lives() map[string][]*lived {
-	all := map[string][]*lived{}
+// incarnations reads the supervisors' logs.
+func (h *testFleet) incarnations() map[string][]*incarnation {
+	all := map[string][]*incarnation{}
 	for _, name := range h.names {
 		raw, _ := os.ReadFile(filepath.Join(h.dir, "keepers", name+".log.keeper"))
-		byRun := map[string]*lived{}
+		byRun := map[string]*incarnation{}
 		for in := bufio.NewScanner(bytes.NewReader(raw)); in.Scan(); {
-			m := keeperLine.FindStringSubmatch(in.Text())
+			m := supervisorLine.FindStringSubmatch(in.Text())
 			if m == nil {
 				continue
 			}
@@ -217,7 +217,7 @@
 			}
 			l := byRun[m[4]]
 			if l == nil {
-				l = &lived{name: name, run: m[4]}
+				l = &incarnation{name: name, run: m[4]}
 				byRun[m[4]] = l
 				all[name] = append(all[name], l)
 			}
@@ -225,18 +225,18 @@
 			case "launched":
 				l.launched = at
 			case "notified":
-				l.told = at
+				l.notified = at
 			case "ended":
-				l.ended, l.how = at, strings.Trim(m[5], `"`)
+				l.ended, l.outcome = at, strings.Trim(m[5], `"`)
 			}
 		}
 	}
 	return all
 }
 
-// TestWaveThroughTheAgentsDeath is what the fleet's part has to show as a whole: forty instances under load, a wave
-// over all of them, the agent killed again and again at seeded moments, one instance deaf to the signal, and one
-// that is stopped. Every answer, every launch and every stop is checked against what callers, farms and keepers saw.
+// TestWaveThroughTheAgentsDeath shows the fleet at work end to end: forty instances under load, a rolling update of
+// all of them, the agent killed again and again at seeded moments, one instance that ignores the signal, and one
+// that is stopped. Every answer, every launch and every stop is checked against what callers, executors and supervisors saw.
 func TestWaveThroughTheAgentsDeath(t *testing.T) {
 	const many, width, seed = 40, 8, 20261201
 	grace, stop := 2*time.Second, 3200*time.Millisecond
@@ -247,7 +247,7 @@
 	if err := os.WriteFile(wrapper, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	h := newHosts(t, many, "(start-within 30s) (settle 300ms)", fmt.Sprintf("(width %d) (least-share 0.75) (stall 30s)", width), wrapper)
+	h := newTestFleet(t, many, "(start-within 30s) (settle 300ms)", fmt.Sprintf("(width %d) (least-share 0.75) (stall 30s)", width), wrapper)
 	h.startAgent()
 	fakes.Until(t, "the agent answers", func() bool { return h.status().Status != nil })
 	h.must("start", "--all", "--quiet", "--within", "60s")
@@ -265,12 +265,12 @@
 	}
 	toolEnded := make(chan error, 1)
 	go func() { toolEnded <- tool.Wait() }()
-	deaf, err := h.life("n23")
+	unresponsive, err := h.supervisorState("n23")
 	if err != nil {
 		t.Fatal(err)
 	}
 	stopped := time.Now()
-	if err := deaf.Instance.Signal(syscall.SIGSTOP); err != nil {
+	if err := unresponsive.Instance.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 
@@ -304,33 +304,33 @@
 		t.Errorf("the agent was killed %d times only", deaths)
 	}
 
-	lives := h.lives()
+	incarnations := h.incarnations()
 	var r fleetclient.Report
 	if err := json.Unmarshal(report.Bytes(), &r); err != nil {
 		t.Fatalf("%v: %s", err, report.String())
 	}
-	checkReport(t, h, &r, lives)
-	checkStops(t, lives, stop)
-	checkAnswers(t, byInstance, lives, stopped)
-	checkLaunches(t, h, byInstance, lives, grace)
-	checkBudget(t, lives, h.readyTimes(), width)
+	checkReport(t, h, &r, incarnations)
+	checkStops(t, incarnations, stop)
+	checkAnswers(t, byInstance, incarnations, stopped)
+	checkLaunches(t, h, byInstance, incarnations, grace)
+	checkBudget(t, incarnations, h.readyTimes(), width)
 }
 
-// checkReport: what the tool says of each instance is what its keeper saw.
-func checkReport(t *testing.T, h *hosts, r *fleetclient.Report, lives map[string][]*lived) {
+// checkReport: the client reports of each instance what its supervisor saw.
+func checkReport(t *testing.T, h *testFleet, r *fleetclient.Report, incarnations map[string][]*incarnation) {
 	results := r.Hosts[0].Command.Results
 	for _, n := range h.names {
-		all := lives[n]
+		all := incarnations[n]
 		if len(all) != 2 {
-			t.Errorf("%s had %d lives, want 2: a notice or a launch was lost or came twice", n, len(all))
+			t.Errorf("%s had %d incarnations, want 2: a notice or a launch was lost or came twice", n, len(all))
 			continue
 		}
 		want := fleet.OutcomeSucceeded
-		if strings.HasPrefix(all[0].how, "killed") {
+		if strings.HasPrefix(all[0].outcome, "killed") {
 			want = fleet.OutcomeKilled
 		}
 		if got := results[n]; got.Outcome != want || want == fleet.OutcomeKilled != (n == "n23") {
-			t.Errorf("%s: the report says %+v, its keeper %q", n, got, all[0].how)
+			t.Errorf("%s: the report says %+v, its supervisor %q", n, got, all[0].outcome)
 		}
 	}
 	if len(results) != len(h.names) {
@@ -338,24 +338,24 @@
 	}
 }
 
-// checkStops: every life that was told to leave ended within its window.
-func checkStops(t *testing.T, lives map[string][]*lived, stop time.Duration) {
+// checkStops: every incarnation that got a shutdown notice ended within its window.
+func checkStops(t *testing.T, incarnations map[string][]*incarnation, stop time.Duration) {
 	const busy = 300 * time.Millisecond // by which a busy machine may see it late
-	for n, all := range lives {
-		if l := all[0]; l.told.IsZero() || l.ended.IsZero() || l.ended.Sub(l.told) > stop+busy {
-			t.Errorf("%s: told %v, ended %v after it", n, l.told, l.ended.Sub(l.told))
+	for n, all := range incarnations {
+		if l := all[0]; l.notified.IsZero() || l.ended.IsZero() || l.ended.Sub(l.notified) > stop+busy {
+			t.Errorf("%s: notified %v, ended %v after it", n, l.notified, l.ended.Sub(l.notified))
 		}
 	}
 }
 
 // checkAnswers: each invocation has exactly one final answer in time, but for those that the stopped instance held, and the few
-// of a life's last moments that, it is believed, a starved process had not read when it ended: from outside the two can't be told apart.
-func checkAnswers(t *testing.T, by map[string][]*fakes.SentRequest, lives map[string][]*lived, stopped time.Time) {
+// of an incarnation's last moments that, it is believed, a starved process had not read when it ended: from outside the two look alike.
+func checkAnswers(t *testing.T, by map[string][]*fakes.SentRequest, incarnations map[string][]*incarnation, stopped time.Time) {
 	const busy, lastMoments = 500 * time.Millisecond, 300 * time.Millisecond
-	killed := lives["n23"][0].ended
+	killed := incarnations["n23"][0].ended
 	codes, lost, unread := map[byte]int{}, 0, 0
 	atTheEnd := func(n string, s *fakes.SentRequest) bool {
-		return slices.ContainsFunc(lives[n], func(l *lived) bool { return s.At.After(l.ended.Add(-lastMoments)) && s.At.Before(l.ended) })
+		return slices.ContainsFunc(incarnations[n], func(l *incarnation) bool { return s.At.After(l.ended.Add(-lastMoments)) && s.At.Before(l.ended) })
 	}
 	for n, sent := range by {
 		for _, s := range sent {
@@ -382,21 +382,21 @@
 }
 
 // checkLaunches: nothing that arrived after an instance's grace was ever launched, and nothing twice.
-func checkLaunches(t *testing.T, h *hosts, by map[string][]*fakes.SentRequest, lives map[string][]*lived, grace time.Duration) {
+func checkLaunches(t *testing.T, h *testFleet, by map[string][]*fakes.SentRequest, incarnations map[string][]*incarnation, grace time.Duration) {
 	const allowance = 50 * time.Millisecond // that the platform's rule gives
 	late, after := 0, 0
 	for n, sent := range by {
-		started, twice := h.crews[n].Started()
+		started, twice := h.executors[n].Started()
 		if twice > 0 {
 			t.Errorf("%s: %d runs were launched twice", n, twice)
 		}
 		for _, s := range sent {
-			for _, l := range lives[n] {
-				if !l.told.IsZero() && s.At.After(l.told.Add(grace+allowance)) && s.At.Before(l.ended) {
+			for _, l := range incarnations[n] {
+				if !l.notified.IsZero() && s.At.After(l.notified.Add(grace+allowance)) && s.At.Before(l.ended) {
 					after++
 					if at, ran := started[s.ID]; ran && at.Before(l.ended) {
 						late++
-						t.Errorf("%s: %s came %v after the notice and was launched", n, s.ID, s.At.Sub(l.told))
+						t.Errorf("%s: %s came %v after the notice and was launched", n, s.ID, s.At.Sub(l.notified))
 					}
 				}
 			}
@@ -409,7 +409,7 @@
 }
 
 // readyTimes reads from the history when each instance was seen ready.
-func (h *hosts) readyTimes() map[string][]time.Time {
+func (h *testFleet) readyTimes() map[string][]time.Time {
 	out := h.must("history", "--json", "--most", "20000")
 	var all struct{ Entries []fleetclient.Entry }
 	if err := json.Unmarshal([]byte(out), &all); err != nil {
@@ -424,14 +424,14 @@
 	return ready
 }
 
-// checkBudget: by the keepers' own logs never more were out at once than the wave's width.
-func checkBudget(t *testing.T, lives map[string][]*lived, ready map[string][]time.Time, width int) {
+// checkBudget: by the supervisors' own logs never more were out at once than the rolling update may take.
+func checkBudget(t *testing.T, incarnations map[string][]*incarnation, ready map[string][]time.Time, width int) {
 	type edge struct {
 		at  time.Time
 		out int
 	}
 	var edges []edge
-	for n, all := range lives {
+	for n, all := range incarnations {
 		if len(all) < 2 {
 			continue
 		}
@@ -445,7 +445,7 @@
 			t.Errorf("%s was never seen ready after %v", n, all[1].launched)
 			continue
 		}
-		edges = append(edges, edge{all[0].told, 1}, edge{back, -1})
+		edges = append(edges, edge{all[0].notified, 1}, edge{back, -1})
 	}
 	slices.SortFunc(edges, func(a, b edge) int { return a.at.Compare(b.at) })
 	out, most := 0, 0
@@ -459,11 +459,11 @@
 	}
 }
 
-// TestFleetCommands: two hosts with an agent each; what the tool prints and ends with when all is well, when a word
-// is wrong, when an agent is away, and when a wave goes from host to host or stops at one.
+// TestFleetCommands: two hosts with an agent each; what the tool prints and ends with when all is well, when an argument
+// is wrong, when an agent is away, and when a rolling update goes from host to host or stops at one.
 func TestFleetCommands(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	h := newHosts(t, 4, "(settle 100ms)", "", "", `"drain_grace_ms":300`, `"drain_grace_ms":301`, `"stop_ms":1500`, `"stop_ms":901`)
+	h := newTestFleet(t, 4, "(settle 100ms)", "", "", `"drain_grace_ms":300`, `"drain_grace_ms":301`, `"stop_ms":1500`, `"stop_ms":901`)
 	text := fmt.Sprintf(`(fleet test (host h1 (agent "unix:%[1]s/agent.sock")) (host h2 (agent "unix:%[1]s/two/agent.sock"))
 		(group a (host h1) (config "%%n.json") (settle 100ms) (start-within 2s) (restart (most 1) (within 1m)) (instances n1 n2))
 		(group b (host h2) (config "%%n.json") (settle 100ms) (start-within 2s) (restart (most 1) (within 1m)) (instances n3 n4))
@@ -490,13 +490,13 @@
 		two.Wait()
 		for _, n := range []string{"n3", "n4"} {
 			if raw, err := os.ReadFile(filepath.Join(h.dir, "two", "keepers", n+".json")); err == nil {
-				var s lifeFile
+				var s supervisorFile
 				if err := json.Unmarshal(raw, &s); err != nil {
 					t.Error(err)
 					continue
 				}
 				_ = s.Instance.KillGroup() // mostly it is gone
-				s.Keeper.Signal(syscall.SIGKILL)
+				s.Supervisor.Signal(syscall.SIGKILL)
 			}
 		}
 	}()
@@ -513,7 +513,7 @@
 	say("pause", "release")
 	say("pause", "nothing")
 	say("watch", "nothing")
-	// A program that can't start stops the wave on the first host; the second is not begun.
+	// A program that can't start stops the rolling update on the first host; the second is not begun.
 	bad := strings.Replace(text, "(fleet test", `(fleet test (program "/bin/false")`, 1)
 	if err := os.WriteFile(h.file, []byte(bad), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -66,19 +66,19 @@
 	}
 }
 
-// backend is a started program with what is around it.
+// backend is a running program, and the fakes of the systems around it.
 type backend struct {
-	t       testing.TB
-	farm    *fakes.ScriptedExecutor
-	reports chan string
-	address string
-	config  string
-	args    []string      // of the program; none: it serves
-	stop    time.Duration // from the notice on: stop_ms of its configuration
-	cmd     *exec.Cmd
-	mu      sync.Mutex
-	log     bytes.Buffer
-	ended   chan error
+	t        testing.TB
+	executor *fakes.ScriptedExecutor
+	reports  chan string
+	address  string
+	config   string
+	args     []string      // of the program; none: it serves
+	stop     time.Duration // from the notice on: stop_ms of its configuration
+	cmd      *exec.Cmd
+	mu       sync.Mutex
+	log      bytes.Buffer
+	ended    chan error
 }
 
 func (b *backend) Write(p []byte) (int, error) {
@@ -87,8 +87,8 @@
 	return b.log.Write(p)
 }
 
-// said tells whether the log holds text.
-func (b *backend) said(text string) func() bool {
+// logged tells whether the log holds text.
+func (b *backend) logged(text string) func() bool {
 	return func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -96,11 +96,11 @@
 	}
 }
 
-// config is a whole configuration; edit replaces text in it.
-func configFile(t testing.TB, listen, agent, roster string, edit ...string) string {
+// configFile writes a complete configuration; edit replaces text in it.
+func configFile(t testing.TB, listen, agent, registry string, edit ...string) string {
 	text := strings.NewReplacer(edit...).Replace(fmt.Sprintf(`{"name":"n3","listen":"%s","agent":"%s","roster":"%s",
 		"seed":"8c1f30d27a5be964","stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"more":{},
-		"settings":%s}`, listen, agent, roster, fakes.Settings))
+		"settings":%s}`, listen, agent, registry, fakes.Settings))
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -114,10 +114,10 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	b := &backend{t: t, farm: fakes.NewScriptedExecutor(t), address: l.Addr().String(), stop: 1500 * time.Millisecond}
-	var roster string
-	roster, b.reports = fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	b.config = configFile(t, b.address, b.farm.Address, roster, edit...)
+	b := &backend{t: t, executor: fakes.NewScriptedExecutor(t), address: l.Addr().String(), stop: 1500 * time.Millisecond}
+	var registry string
+	registry, b.reports = fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	b.config = configFile(t, b.address, b.executor.Address, registry, edit...)
 	return b
 }
 
@@ -178,26 +178,26 @@
 	n.Send(fakes.Invocation(1, 1), fakes.Invocation(2, 2))
 	launched := map[string]fakes.Launch{} // both at once, in either order
 	for range 2 {
-		l := fakes.Take(t, "a launch", b.farm.Launches)
+		l := fakes.Take(t, "a launch", b.executor.Launches)
 		launched[l.ID] = l
 	}
 	first, second := fmt.Sprintf("%016x", 1), fmt.Sprintf("%016x", 2)
 	if want := (fakes.Launch{ID: first, Operation: "look", Body: "body 1"}); launched[first] != want {
 		t.Errorf("launched %+v, wanted %+v too", launched, want)
 	}
-	b.farm.End(second, "complete", "the result")
+	b.executor.End(second, "complete", "the result")
 	tr.Say("%+v: %v", launched[second], n.Expect())
 	since := b.term()
 	b.term()
-	fakes.Until(t, "the notice is heard", b.said("event=drain"))
+	fakes.Until(t, "the notice is heard", b.logged("event=drain"))
 	n.Send(fakes.Invocation(3, 3))
-	grace := fakes.Take(t, "a launch within the grace", b.farm.Launches)
-	b.farm.End(grace.ID, "complete", "within the grace")
+	grace := fakes.Take(t, "a launch within the grace", b.executor.Launches)
+	b.executor.End(grace.ID, "complete", "within the grace")
 	tr.Say("%v", n.Expect())
 	tr.Say("once the grace is over: %v", n.Expect())
 	n.Send(fakes.Invocation(4, 4))
 	tr.Say("after it: %v", n.Expect())
-	b.farm.End(first, "complete", "it had time")
+	b.executor.End(first, "complete", "it had time")
 	tr.Say("%v", n.Expect())
 	n.Close()
 	b.exit(tr, since)
@@ -205,30 +205,30 @@
 	for len(b.reports) > 0 {
 		last = <-b.reports
 	}
-	tr.Say("roster: %s, launches left %d", last, len(b.farm.Launches))
+	tr.Say("roster: %s, launches left %d", last, len(b.executor.Launches))
 }
 
-// TestDrainOfWhatNeverEnds: all is answered before the stop, though the farm is full, silent or gone.
+// TestDrainOfWhatNeverEnds: all is answered before the stop, though the executor is full, silent or gone.
 func TestDrainOfWhatNeverEnds(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	for _, farm := range []string{"silent", "full", "gone"} {
+	for _, condition := range []string{"silent", "full", "gone"} {
 		b := prepare(t).start().ready()
 		n := fakes.Dial(t, b.address)
 		n.Send(fakes.Invocation(1, 1))
-		fakes.Take(t, "a launch", b.farm.Launches)
-		if farm == "full" { // so that the others wait in line
-			asked := b.farm.Samples()
-			b.farm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" })
-			fakes.Until(t, "full cores are seen", func() bool { return b.farm.Samples() >= asked+3 })
+		fakes.Take(t, "a launch", b.executor.Launches)
+		if condition == "full" { // so that the others are queued
+			asked := b.executor.Samples()
+			b.executor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" })
+			fakes.Until(t, "full cores are seen", func() bool { return b.executor.Samples() >= asked+3 })
 		}
 		n.Send(fakes.Invocation(2, 2), fakes.Invocation(3, 3))
-		if farm != "full" {
-			fakes.Take(t, "a launch", b.farm.Launches)
+		if condition != "full" {
+			fakes.Take(t, "a launch", b.executor.Launches)
 		}
-		if farm == "gone" {
-			b.farm.With(func(state, _ *string) { *state = "" })
-			b.farm.Cut()
-			fakes.Until(t, "the link is lost", b.said("event=executor_lost"))
+		if condition == "gone" {
+			b.executor.With(func(state, _ *string) { *state = "" })
+			b.executor.Cut()
+			fakes.Until(t, "the link is lost", b.logged("event=executor_lost"))
 		}
 		since := b.term()
 		var codes []byte
@@ -237,7 +237,7 @@
 				codes = append(codes, f.Code)
 			}
 		}
-		tr.Say("farm %s: %d answers before the stop %t", farm, len(codes), time.Since(since) < 1500*time.Millisecond)
+		tr.Say("farm %s: %d answers before the stop %t", condition, len(codes), time.Since(since) < 1500*time.Millisecond)
 		b.exit(tr, since)
 	}
 }
@@ -246,21 +246,21 @@
 func TestBeforeTheFarm(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t)
-	b.farm.With(func(state, _ *string) { *state = "" })
+	b.executor.With(func(state, _ *string) { *state = "" })
 	b.start()
-	fakes.Take(t, "a link", b.farm.Subscribes)
+	fakes.Take(t, "a link", b.executor.Subscribes)
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.EncodeFrame(20, 1, "\x00"), fakes.Invocation(2, 2))
 	tr.Say("%v, %v", n.Expect(), n.Expect())
-	b.farm.With(func(state, _ *string) { *state = "chilly 5" })
+	b.executor.With(func(state, _ *string) { *state = "chilly 5" })
 	b.ready()
 	n.Send(fakes.Invocation(3, 3))
-	fakes.Take(t, "a launch", b.farm.Launches)
+	fakes.Take(t, "a launch", b.executor.Launches)
 
 	b = prepare(t)
-	b.farm.With(func(state, _ *string) { *state = "" })
+	b.executor.With(func(state, _ *string) { *state = "" })
 	b.start()
-	fakes.Take(t, "a link", b.farm.Subscribes)
+	fakes.Take(t, "a link", b.executor.Subscribes)
 	b.exit(tr, b.term())
 }
 
@@ -273,29 +273,29 @@
 }
 
 // TestReload: the new file's addresses are used from the notice on; runs, notice numbers and connections go on,
-// also in quick succession, while the link is broken, while draining, and with a farm that is not there yet.
+// also in quick succession, while the link is broken, while draining, and with an executor that is not there yet.
 func TestReload(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepareWindow(t, 2*time.Second, 6*time.Second)
-	b.farm.With(func(state, _ *string) { *state = "" })
+	b.executor.With(func(state, _ *string) { *state = "" })
 	b.start()
-	tr.Say("subscribe %d", fakes.Take(t, "a link", b.farm.Subscribes))
+	tr.Say("subscribe %d", fakes.Take(t, "a link", b.executor.Subscribes))
 	raw, err := os.ReadFile(b.config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := string(raw)
-	move := func(what string, meanwhile func()) (cut func()) {
-		before, reports := b.farm.Address, b.reports
-		cut = b.farm.Move()
+	move := func(situation string, meanwhile func()) (cut func()) {
+		before, reports := b.executor.Address, b.reports
+		cut = b.executor.Move()
 		meanwhile()
-		var roster string
-		roster, b.reports = fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-		now = regexp.MustCompile(`"roster":"[^"]*"`).ReplaceAllString(strings.Replace(now, before, b.farm.Address, 1), `"roster":"`+roster+`"`)
+		var registry string
+		registry, b.reports = fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+		now = regexp.MustCompile(`"roster":"[^"]*"`).ReplaceAllString(strings.Replace(now, before, b.executor.Address, 1), `"roster":"`+registry+`"`)
 		b.configure(now)
-		tr.Say("%s: subscribe %d", what, fakes.Take(t, "a new link", b.farm.Subscribes))
-		if !b.said("event=drain")() {
-			tr.Say("  %s", fakes.Take(t, "a report to the new roster", b.reports))
+		tr.Say("%s: subscribe %d", situation, fakes.Take(t, "a new link", b.executor.Subscribes))
+		if !b.logged("event=drain")() {
+			tr.Say("  %s", fakes.Take(t, "a report to the new registry", b.reports))
 		}
 		for len(reports) > 0 {
 			<-reports
@@ -303,55 +303,55 @@
 		return cut
 	}
 	move("before the first greeting", func() {})
-	b.farm.With(func(state, _ *string) { *state = "hot 1" })
+	b.executor.With(func(state, _ *string) { *state = "hot 1" })
 	b.ready()
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1))
-	one := fakes.Take(t, "a launch", b.farm.Launches)
+	one := fakes.Take(t, "a launch", b.executor.Launches)
 	n.Send(fakes.Invocation(2, 2))
-	two := fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(one.ID, "complete", "before")
+	two := fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(one.ID, "complete", "before")
 	tr.Say("%v", n.Expect())
 	cut := move("with a run in hand", func() {})
-	b.farm.End(two.ID, "complete", "after")
+	b.executor.End(two.ID, "complete", "after")
 	tr.Say("%v", n.Expect())
 	cut()
 	n.Send(fakes.Invocation(3, 3))
-	three := fakes.Take(t, "a launch", b.farm.Launches)
-	tr.Say("good all along: %t", !b.said("event=executor_lost")())
+	three := fakes.Take(t, "a launch", b.executor.Launches)
+	tr.Say("good all along: %t", !b.logged("event=executor_lost")())
 
 	b.configure(now + "}")
-	fakes.Until(t, "the bad file is told of", b.said("event=reload used=false"))
+	fakes.Until(t, "the bad file is logged", b.logged("event=reload used=false"))
 	b.configure(strings.Replace(now, `"stop_ms":6000`, `"stop_ms":900`, 1))
-	fakes.Until(t, "the field is named", b.said(`restart_required=stop_ms`))
+	fakes.Until(t, "the field is named", b.logged(`restart_required=stop_ms`))
 	for range 5 {
 		b.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	move("the link is broken", func() {
-		b.farm.Cut()
-		b.farm.End(three.ID, "complete", "while the link was broken")
+		b.executor.Cut()
+		b.executor.End(three.ID, "complete", "while the link was broken")
 	})
 	tr.Say("%v", n.Expect())
 
-	asked := b.farm.Samples() // the second is asked for once the link is level
-	fakes.Until(t, "the link is level", func() bool { return b.farm.Samples() >= asked+2 })
-	b.farm.With(func(state, _ *string) { *state = "" })
+	asked := b.executor.Samples() // the second is asked for once the link is level
+	fakes.Until(t, "the link is level", func() bool { return b.executor.Samples() >= asked+2 })
+	b.executor.With(func(state, _ *string) { *state = "" })
 	n.Send(fakes.Invocation(4, 4, "wait=20000"))
-	four := fakes.Take(t, "a launch", b.farm.Launches)
+	four := fakes.Take(t, "a launch", b.executor.Launches)
 	move("to a farm that is not there yet", func() {})
 	n.Send(fakes.Invocation(5, 5, "wait=20000"))
-	b.farm.With(func(state, _ *string) { *state = "hot 1" })
-	five := fakes.Take(t, "the launch that waited for the link", b.farm.Launches)
+	b.executor.With(func(state, _ *string) { *state = "hot 1" })
+	five := fakes.Take(t, "the launch that waited for the link", b.executor.Launches)
 	since := b.term()
-	fakes.Until(t, "the notice is heard", b.said("event=drain"))
+	fakes.Until(t, "the notice is heard", b.logged("event=drain"))
 	move("while draining", func() {})
 	for _, l := range []fakes.Launch{four, five} {
-		b.farm.End(l.ID, "complete", "moved")
+		b.executor.End(l.ID, "complete", "moved")
 		tr.Say("%v", n.Expect())
 	}
 	n.Close()
 	b.exit(tr, since)
-	tr.Say("launches left %d", len(b.farm.Launches))
+	tr.Say("launches left %d", len(b.executor.Launches))
 }
 
 // TestStartAgain: killed outright, it comes up at once under its name and address.
@@ -363,31 +363,31 @@
 		t.Fatal(err)
 	}
 	b.start()
-	fakes.Until(t, "it finds the address taken", b.said("event=listen_taken"))
+	fakes.Until(t, "it finds the address taken", b.logged("event=listen_taken"))
 	taken.Close()
 	b.ready()
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1))
-	fakes.Take(t, "a launch", b.farm.Launches)
+	fakes.Take(t, "a launch", b.executor.Launches)
 	b.cmd.Process.Kill()
 	_ = fakes.Take(t, "the end", b.ended) // it was killed
 	b.start().ready()
 	n = fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 2))
-	l := fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(l.ID, "complete", "again")
+	l := fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "again")
 	tr.Say("%v", n.Expect())
 }
 
-// TestHeldUp: due times are kept by a process that was stopped for a while, once it goes on.
+// TestHeldUp: a process that was suspended for a while meets deadlines once it goes on.
 func TestHeldUp(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
 	began := time.Now()
 	n.Send(fakes.Invocation(1, 1, "wait=1000")) // enough for a busy machine to launch it
-	fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.With(func(_, gauges *string) { *gauges = "" }) // and the farm is silent
+	fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.With(func(_, gauges *string) { *gauges = "" }) // and the executor is silent
 	b.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(120 * time.Millisecond) // it has to last, there is no condition to wait for
 	b.cmd.Process.Signal(syscall.SIGCONT)
@@ -410,8 +410,8 @@
 		all = append(all, fakes.Dial(t, b.address))
 	}
 	n.Send(fakes.Invocation(2, 2))
-	l := fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(l.ID, "complete", "still here")
+	l := fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "still here")
 	tr.Say("%v", n.Expect())
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", b.cmd.Process.Pid))
 	tr.Say("%v, within the limit %t", err, len(fds) <= 64)
@@ -430,7 +430,7 @@
 func TestPressure(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t, `"n_cores":2`, `"n_cores":5000`, `"mem_limit_kb":90000`, `"mem_limit_kb":90000000`).start().ready()
-	b.farm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
+	b.executor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	var nodes []*fakes.EdgeNode
 	send := func(from, to int) {
 		for k := from; k < to; k++ {
@@ -454,12 +454,12 @@
 	const full = 3072 / 32
 	send(0, full)
 	for range 3072 {
-		fakes.Take(t, "a launch", b.farm.Launches)
+		fakes.Take(t, "a launch", b.executor.Launches)
 	}
 	send(full, 110) // no place comes free before these are answered
 	answers(nodes[full:])
 	for number := range 3072 {
-		b.farm.End(fmt.Sprintf("%016x", number), "complete", strings.Repeat("r", 4096))
+		b.executor.End(fmt.Sprintf("%016x", number), "complete", strings.Repeat("r", 4096))
 	}
 	answers(nodes[:full])
 	tr.Say("answers by code: %v", codes)
@@ -473,7 +473,7 @@
 	t.Logf("most memory: %d kB", peak)
 	tr.Say("%v, memory within 192 MB %t", err, peak > 0 && peak < 192<<10)
 	b.exit(tr, b.term())
-	tr.Say("left over %t", !b.said("event=stop connections=0 open_streams=0 in_flight=0 ")())
+	tr.Say("left over %t", !b.logged("event=stop connections=0 open_streams=0 in_flight=0 ")())
 }
 
 func TestCommands(t *testing.T) {
@@ -510,7 +510,7 @@
 	tr.Say("no such command: %v, %s", err, out)
 }
 
-// TestLevels: a backend with a ladder: full cores bring the level, its operation is throttled on arrival while the
+// TestLevels: a backend with a degradation policy: full cores bring the level, its operation is throttled on arrival while the
 // other is served, all of it is seen on the inspection socket, and a person can hold another level for a while.
 func TestLevels(t *testing.T) {
 	tr := fakes.NewTrace(t)
@@ -519,7 +519,7 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	file, socket := filepath.Join(dir, "ladder.sx"), filepath.Join(dir, "s")
+	file, socket := filepath.Join(dir, "policy.sx"), filepath.Join(dir, "s")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -540,33 +540,33 @@
 		return s
 	}
 	tr.Say("%s %s", state().DegradationPolicy, state().Level)
-	b.farm.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // a queue, though the cores are not busy: the gate is open
+	b.executor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // a queue, though the cores are not busy: the dispatcher admits
 	fakes.Until(t, "the level is entered", func() bool { return state().Level == "no-look" })
-	fakes.Until(t, "the level is logged", b.said("event=degradation_level from=full to=no-look collapse=false cause="))
+	fakes.Until(t, "the level is logged", b.logged("event=degradation_level from=full to=no-look collapse=false cause="))
 	tr.Say("logged: true")
-	b.farm.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
+	b.executor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1))
 	f := n.Expect()
 	tr.Say("look: %d, told when to come back %t", f.Code, strings.Contains(f.Fields, "after="))
 	n.Send(fakes.Invocation(2, 2, "class=post"))
-	l := fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(l.ID, "complete", "paid")
+	l := fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "paid")
 	tr.Say("post: %v", n.Expect())
 	tr.Say("%v", peer.Override(t.Context(), admin.Override{Level: "no-such", Duration: 1_000_000}))
 	tr.Say("%v", peer.Override(t.Context(), admin.Override{Level: "full", Duration: 60_000_000, By: "test"}))
 	fakes.Until(t, "it is held", func() bool { return state().Level == "full" })
 	n.Send(fakes.Invocation(3, 3))
-	l = fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(l.ID, "complete", "seen")
+	l = fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "seen")
 	tr.Say("look: %v", n.Expect())
 	tr.Say("shed %d", state().Shed)
 	write("(ladder small")
 	b.cmd.Process.Signal(syscall.SIGHUP)
-	fakes.Until(t, "the bad ladder is told of", b.said("event=reload_degradation used=false"))
+	fakes.Until(t, "the bad policy is logged", b.logged("event=reload_degradation used=false"))
 	write(strings.Replace(text, "small", "other", 1))
 	b.cmd.Process.Signal(syscall.SIGHUP)
-	fakes.Until(t, "the new ladder is in force", func() bool { return state().DegradationPolicy == "other" })
+	fakes.Until(t, "the new policy is in force", func() bool { return state().DegradationPolicy == "other" })
 }
 
 // TestLevelsCommands: what the sub-commands print and end with.
--- a/cmd/milletbarrow/moments_test.go
+++ b/cmd/milletbarrow/moments_test.go
@@ -16,14 +16,14 @@
 	"milletbarrow/internal/fakes"
 )
 
-// The rare moments of the built program: each of these tests makes one bad order happen every time.
+// Races of the built program: each of these tests forces one unfavourable order of events.
 
-// TestNoticeBeforeTheGreeting: the farm greets during the drain. What arrives after the grace is not run all the same.
+// TestNoticeBeforeTheGreeting: the executor greets during the drain. What arrives after the grace is not run all the same.
 func TestNoticeBeforeTheGreeting(t *testing.T) {
 	b := prepareWindow(t, 300*time.Millisecond, 4*time.Second)
-	b.farm.With(func(state, _ *string) { *state = "" })
+	b.executor.With(func(state, _ *string) { *state = "" })
 	b.start()
-	fakes.Take(t, "a link", b.farm.Subscribes)
+	fakes.Take(t, "a link", b.executor.Subscribes)
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	n.Expect()
@@ -31,11 +31,11 @@
 	if f := n.Expect(); f.Type != 30 || time.Since(since) < 250*time.Millisecond {
 		t.Fatalf("%v after %v: not the end of the grace", f, time.Since(since))
 	}
-	b.farm.With(func(state, _ *string) { *state = "hot 1" })
-	fakes.Until(t, "the farm has greeted", b.said("event=executor_up"))
+	b.executor.With(func(state, _ *string) { *state = "hot 1" })
+	fakes.Until(t, "the executor has greeted", b.logged("event=executor_up"))
 	n.Send(fakes.Invocation(3, 3))
-	if f := n.Expect(); f.Type != 11 || f.Code != 2 || len(b.farm.Launches) > 0 {
-		t.Errorf("%v, launched %d", f, len(b.farm.Launches))
+	if f := n.Expect(); f.Type != 11 || f.Code != 2 || len(b.executor.Launches) > 0 {
+		t.Errorf("%v, launched %d", f, len(b.executor.Launches))
 	}
 	n.Close()
 	if err := fakes.Take(t, "the exit", b.ended); err != nil {
@@ -52,12 +52,12 @@
 	}
 	defer taken.Close()
 	b.start()
-	fakes.Until(t, "it finds the address taken", b.said("event=listen_taken"))
+	fakes.Until(t, "it finds the address taken", b.logged("event=listen_taken"))
 	since := b.term()
 	if err := fakes.Take(t, "the exit", b.ended); err != nil || time.Since(since) > 2*time.Second {
 		t.Errorf("%v after %v", err, time.Since(since))
 	}
-	if b.said("event=start")() || len(b.reports) > 0 {
+	if b.logged("event=start")() || len(b.reports) > 0 {
 		t.Error("it had begun")
 	}
 }
@@ -69,18 +69,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for len(b.farm.Subscribes) > 0 {
-		<-b.farm.Subscribes
+	for len(b.executor.Subscribes) > 0 {
+		<-b.executor.Subscribes
 	}
-	before := b.farm.Address
-	b.farm.Move()
-	text := strings.Replace(string(raw), before, b.farm.Address, 1)
+	before := b.executor.Address
+	b.executor.Move()
+	text := strings.Replace(string(raw), before, b.executor.Address, 1)
 	b.configure(text[:len(text)/2])
-	fakes.Until(t, "half of it is read", b.said("event=reload used=false"))
+	fakes.Until(t, "half of it is read", b.logged("event=reload used=false"))
 	if err := os.WriteFile(b.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	fakes.Take(t, "a link to the new address", b.farm.Subscribes)
+	fakes.Take(t, "a link to the new address", b.executor.Subscribes)
 }
 
 // TestStoppedWithinAFrame: the process is stopped for longer than a frame may take, with half of one read. The rest comes
@@ -88,8 +88,8 @@
 func TestStoppedWithinAFrame(t *testing.T) {
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
-	whole := fakes.Invocation(1, 1, "wait=20000")
-	n.Send(whole[:40])
+	complete := fakes.Invocation(1, 1, "wait=20000")
+	n.Send(complete[:40])
 	other := fakes.Dial(t, b.address)
 	other.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	other.Expect() // what was sent before it has been read
@@ -97,9 +97,9 @@
 	time.Sleep(2500 * time.Millisecond) // it has to last
 	b.cmd.Process.Signal(syscall.SIGCONT)
 	time.Sleep(600 * time.Millisecond) // two looks at all connections, before the rest comes
-	n.Send(whole[40:])
-	l := fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(l.ID, "complete", "r")
+	n.Send(complete[40:])
+	l := fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "r")
 	if f := n.Expect(); f.Code != 1 {
 		t.Error(f)
 	}
@@ -115,8 +115,8 @@
 	}
 	defer c.Close()
 	go func() {
-		for l := range b.farm.Launches {
-			b.farm.End(l.ID, "complete", "r")
+		for l := range b.executor.Launches {
+			b.executor.End(l.ID, "complete", "r")
 		}
 	}()
 	asked, sent := make(chan struct{}), make(chan int, 1)
@@ -164,18 +164,18 @@
 	}
 }
 
-// TestOffUntilTaken: the register takes nothing while the backend leaves, and then does: off comes until then.
+// TestOffUntilTaken: the registry takes nothing while the backend leaves, and then does: off comes until then.
 func TestOffUntilTaken(t *testing.T) {
 	b := prepare(t)
 	status := make(chan int, 1)
 	status <- http.StatusNoContent
-	roster, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
+	registry, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
 		now := <-status
 		status <- now
 		w.WriteHeader(now)
 	})
 	// Off is said three times before the stop, in pauses of up to a second.
-	b.config = configFile(t, b.address, b.farm.Address, roster, `"stop_ms":1500`, `"stop_ms":8000`)
+	b.config = configFile(t, b.address, b.executor.Address, registry, `"stop_ms":1500`, `"stop_ms":8000`)
 	b.start().ready()
 	fakes.Take(t, "a report", reports)
 	n := fakes.Dial(t, b.address) // so that it stays for the grace and longer
@@ -204,7 +204,7 @@
 }
 
 // TestRepeatsDuringTheDrain: an operation known by its tokens. Its first caller has reset its connection, SIGTERM comes, a
-// repeat within the grace and the farm's link breaks: one run, whose result the repeat gets; a repeat after the grace is
+// repeat within the grace and the executor's link breaks: one run, whose result the repeat gets; a repeat after the grace is
 // errored, not throttled, and the process ends in order.
 func TestRepeatsDuringTheDrain(t *testing.T) {
 	b := prepareWindow(t, 1500*time.Millisecond, 4*time.Second,
@@ -213,7 +213,7 @@
 	second.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	second.Expect()
 	first.Send(fakes.Attempt(1, 1, "x"))
-	l := fakes.Take(t, "a launch", b.farm.Launches)
+	l := fakes.Take(t, "a launch", b.executor.Launches)
 	first.Conn.(*net.TCPConn).SetLinger(0)
 	first.Close()
 	b.term()
@@ -225,13 +225,13 @@
 	if f := second.Expect(); f.Stream != 3 || f.Code != 3 {
 		t.Errorf("after the grace: %v", f)
 	}
-	b.farm.Cut()
-	b.farm.End(l.ID, "complete", "the one result")
+	b.executor.Cut()
+	b.executor.End(l.ID, "complete", "the one result")
 	if f := second.Expect(); f.Stream != 2 || f.Code != 1 || f.Body != "the one result" {
 		t.Errorf("within the grace: %v", f)
 	}
-	if len(b.farm.Launches) > 0 {
-		t.Errorf("launched again: %v", <-b.farm.Launches)
+	if len(b.executor.Launches) > 0 {
+		t.Errorf("launched again: %v", <-b.executor.Launches)
 	}
 	second.Close()
 	if err := fakes.Take(t, "the exit", b.ended); err != nil {
@@ -247,9 +247,9 @@
 	b := prepareWindow(t, time.Second, 3500*time.Millisecond).start().ready()
 	half := func(number int) (n *fakes.EdgeNode, rest string) {
 		n = fakes.Dial(t, b.address)
-		whole := fakes.Invocation(1, number, "wait=10000")
-		n.Send(whole[:40])
-		return n, whole[40:]
+		complete := fakes.Invocation(1, number, "wait=10000")
+		n.Send(complete[:40])
+		return n, complete[40:]
 	}
 	in, restIn := half(1)
 	after, restAfter := half(2)
@@ -258,17 +258,17 @@
 	check.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	check.Expect() // what was sent before it has been read
 	b.term()
-	fakes.Until(t, "the notice is heard", b.said("event=drain"))
+	fakes.Until(t, "the notice is heard", b.logged("event=drain"))
 	in.Send(restIn)
-	l := fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(l.ID, "complete", "r")
+	l := fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "r")
 	if f := in.Expect(); f.Type != 11 || f.Code != 1 {
 		t.Errorf("the rest within the grace: %v", f)
 	}
 	late := fakes.Dial(t, b.address)
 	late.Send(fakes.Invocation(1, 4))
-	l = fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(l.ID, "complete", "r")
+	l = fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "r")
 	if f := late.Expect(); f.Type != 11 || f.Code != 1 {
 		t.Errorf("made during the drain: %v", f)
 	}
@@ -279,8 +279,8 @@
 	}
 	after.Send(restAfter)
 	go func() {
-		for l := range b.farm.Launches {
-			b.farm.End(l.ID, "complete", "r")
+		for l := range b.executor.Launches {
+			b.executor.End(l.ID, "complete", "r")
 		}
 	}()
 	if f := after.Expect(); f.Type != 11 || f.Stream != 1 {
@@ -303,16 +303,16 @@
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1))
-	fakes.Take(t, "a launch", b.farm.Launches)
-	for len(b.farm.Subscribes) > 0 {
-		<-b.farm.Subscribes
+	fakes.Take(t, "a launch", b.executor.Launches)
+	for len(b.executor.Subscribes) > 0 {
+		<-b.executor.Subscribes
 	}
-	b.farm.With(func(state, _ *string) { *state = "" })
+	b.executor.With(func(state, _ *string) { *state = "" })
 	b.cmd.Process.Kill()
 	_ = fakes.Take(t, "the end", b.ended) // it was killed
-	b.farm.Cut()
+	b.executor.Cut()
 	b.start()
-	fakes.Take(t, "a link", b.farm.Subscribes)
+	fakes.Take(t, "a link", b.executor.Subscribes)
 	fakes.Until(t, "it listens", func() bool {
 		c, err := net.Dial("tcp", b.address)
 		if err == nil {
@@ -325,11 +325,11 @@
 	if health, answer := n.Expect(), n.Expect(); health.Code == 1 || answer.Code != 2 {
 		t.Errorf("before the greeting: health %v, answer %v", health, answer)
 	}
-	b.farm.With(func(state, _ *string) { *state = "chilly 5" })
+	b.executor.With(func(state, _ *string) { *state = "chilly 5" })
 	b.ready()
 	n.Send(fakes.Invocation(3, 3))
-	l := fakes.Take(t, "a launch", b.farm.Launches)
-	b.farm.End(l.ID, "complete", "r")
+	l := fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "r")
 	if f := n.Expect(); l.ID != "0000000000000003" || f.Stream != 3 || f.Code != 1 {
 		t.Errorf("after it: launched %v, answer %v", l, f)
 	}
--- a/cmd/milletbarrow/watch_test.go
+++ b/cmd/milletbarrow/watch_test.go
@@ -13,7 +13,7 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestMigration walks the steps of docs/migration.md and back, as an operator would: what callers and the farm see is
+// TestMigration walks the steps of docs/migration.md and back, as an operator would: what callers and the executor see is
 // the same whatever is watched, what differs is counted, and what cannot be used changes nothing.
 func TestMigration(t *testing.T) {
 	tr := fakes.NewTrace(t)
@@ -40,7 +40,7 @@
 		b.log.Reset()
 		b.mu.Unlock()
 		b.cmd.Process.Signal(syscall.SIGHUP)
-		fakes.Until(t, until, b.said(until))
+		fakes.Until(t, until, b.logged(until))
 	}
 	socket, number := filepath.Join(t.TempDir(), "s"), 0
 	b.args = []string{"serve", "--inspect", socket}
@@ -50,13 +50,13 @@
 		for i, class := range []string{"look", "post", "look"} {
 			number++
 			n.Send(fakes.Invocation(uint32(i+1), number, "class="+class))
-			l := fakes.Take(t, "a launch", b.farm.Launches)
+			l := fakes.Take(t, "a launch", b.executor.Launches)
 			if i == 2 {
 				n.Send(fakes.EncodeFrame(12, 3, "")) // its caller leaves while it runs
-				b.farm.End(l.ID, "cancelled", "")
+				b.executor.End(l.ID, "cancelled", "")
 				break
 			}
-			b.farm.End(l.ID, "complete", "done")
+			b.executor.End(l.ID, "complete", "done")
 			seen += " " + n.Expect().String()
 		}
 		peer := admin.NewClient(socket, limits.ForControl())
@@ -83,7 +83,7 @@
 	for _, to := range [][2]string{{"5. switched, the old settings watched", other}, {"5. back", old}} {
 		put(to[1], map[string]string{other: old}[to[1]])
 		b.exit(tr, b.term())
-		tr.Say("counts logged: %t", b.said("event=shadow_differences counts=")())
+		tr.Say("counts logged: %t", b.logged("event=shadow_differences counts=")())
 		b.start().ready()
 		serve(to[0])
 	}
