--- a/cmd/milletbarrow/experiment_test.go
+++ b/cmd/milletbarrow/experiment_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestLab: an experiment is run, run again, compared, drawn and replayed by the command line.
-func TestLab(t *testing.T) {
+// TestExperimentCommands: an experiment is run, run again, compared, drawn and replayed by the command line.
+func TestExperimentCommands(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "x.sx")
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -39,9 +39,9 @@
 	return table
 }
 
-// TestTrial is the bounded part of fault injection: five agents, twenty backends under load, at least one fault of each
+// TestFaultsDrawn is the bounded part of the proving ground: five agents, twenty backends under load, at least one fault of each
 // kind.
-func TestTrial(t *testing.T) {
+func TestFaultsDrawn(t *testing.T) {
 	v := runSchedule(t, program, "", schedule.Random(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
 	if !v.OK {
 		t.Errorf("did not hold: %v", v.Reasons)
@@ -57,16 +57,16 @@
 	}
 }
 
-// TestTrialWave runs a rolling update over four hosts while its client and some agents are killed.
-func TestTrialWave(t *testing.T) {
+// TestFaultsRollingUpdate runs a rolling update over four hosts while its client and some agents are killed.
+func TestFaultsRollingUpdate(t *testing.T) {
 	if v := runSchedule(t, program, "", storedSchedule(t, "wave.sx")); !v.OK {
 		t.Errorf("did not hold: %v", v.Reasons)
 	}
 }
 
-// TestTrialCold starts sixty backends at once beside a registry that refuses, and a site that comes up by a cold start while agents
+// TestFaultsColdStart starts sixty backends at once beside a registry that refuses, and a site that comes up by a cold start while agents
 // die and a host is cut off.
-func TestTrialCold(t *testing.T) {
+func TestFaultsColdStart(t *testing.T) {
 	for _, name := range []string{"cold.sx", "cold-rise.sx"} {
 		if v := runSchedule(t, program, "", storedSchedule(t, name)); !v.OK {
 			t.Errorf("%s did not hold: %v", name, v.Reasons)
@@ -92,8 +92,8 @@
 	return to
 }
 
-// TestTrialCatches has the checker judge a program with a fault, and the same program without it.
-func TestTrialCatches(t *testing.T) {
+// TestFaultsCaught has the auditor judge a program with a fault, and the same program without it.
+func TestFaultsCaught(t *testing.T) {
 	bad := buildWithFailpoints(t)
 	table := &schedule.Schedule{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
 	if v := runSchedule(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "shares in force") {
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestTrialLeavesNothing: the processes that a trial started end with it, also where it is interrupted.
-func TestTrialLeavesNothing(t *testing.T) {
-	g, err := harness.Open(harness.Options{Program: program, Schedule: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
+// TestFaultsLeaveNothing: the processes that a trial started end with it, also where it is interrupted.
+func TestFaultsLeaveNothing(t *testing.T) {
+	g, err := harness.Open(harness.Options{Program: program, Table: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestBudgetsCommands: quotas that can't be granted are refused with their place in the file, and others are accepted.
-func TestBudgetsCommands(t *testing.T) {
+// TestQuotaCommands: quotas that can't be granted are refused with their place in the file, and others are accepted.
+func TestQuotaCommands(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "f.sx")
 	check := func(budgets string) string {
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -234,10 +234,10 @@
 	return all
 }
 
-// TestWaveThroughTheAgentsDeath shows the fleet at work end to end: forty instances under load, a rolling update of
+// TestRollingUpdateThroughAgentCrashes shows the fleet at work end to end: forty instances under load, a rolling update of
 // all of them, the agent killed again and again at seeded moments, one instance that ignores the signal, and one
 // that is stopped. Every answer, every launch and every stop is checked against what callers, executors and supervisors saw.
-func TestWaveThroughTheAgentsDeath(t *testing.T) {
+func TestRollingUpdateThroughAgentCrashes(t *testing.T) {
 	const many, width, seed = 40, 8, 20261201
 	grace, stop := 2*time.Second, 3200*time.Millisecond
 	dir := t.TempDir()
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -173,7 +173,7 @@
 func TestServeAndDrain(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepareWindow(t, time.Second, 4500*time.Millisecond).start().ready()
-	tr.Say("roster: %s", fakes.Take(t, "a report", b.reports))
+	tr.Say("registry: %s", fakes.Take(t, "a report", b.reports))
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1), fakes.Invocation(2, 2))
 	launched := map[string]fakes.Launch{} // both at once, in either order
@@ -205,11 +205,11 @@
 	for len(b.reports) > 0 {
 		last = <-b.reports
 	}
-	tr.Say("roster: %s, launches left %d", last, len(b.executor.Launches))
+	tr.Say("registry: %s, launches left %d", last, len(b.executor.Launches))
 }
 
-// TestDrainOfWhatNeverEnds: all is answered before the stop, though the executor is full, silent or gone.
-func TestDrainOfWhatNeverEnds(t *testing.T) {
+// TestDrainWithUnfinishedRuns: all is answered before the stop, though the executor is full, silent or gone.
+func TestDrainWithUnfinishedRuns(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, condition := range []string{"silent", "full", "gone"} {
 		b := prepare(t).start().ready()
@@ -237,13 +237,13 @@
 				codes = append(codes, f.Code)
 			}
 		}
-		tr.Say("farm %s: %d answers before the stop %t", condition, len(codes), time.Since(since) < 1500*time.Millisecond)
+		tr.Say("executor %s: %d answers before the stop %t", condition, len(codes), time.Since(since) < 1500*time.Millisecond)
 		b.exit(tr, since)
 	}
 }
 
-// TestBeforeTheFarm: nothing is good before the first greeting, and leaving then is quick.
-func TestBeforeTheFarm(t *testing.T) {
+// TestBeforeTheExecutor: nothing is good before the first greeting, and leaving then is quick.
+func TestBeforeTheExecutor(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t)
 	b.executor.With(func(state, _ *string) { *state = "" })
@@ -312,7 +312,7 @@
 	two := fakes.Take(t, "a launch", b.executor.Launches)
 	b.executor.End(one.ID, "complete", "before")
 	tr.Say("%v", n.Expect())
-	cut := move("with a run in hand", func() {})
+	cut := move("with a run in flight", func() {})
 	b.executor.End(two.ID, "complete", "after")
 	tr.Say("%v", n.Expect())
 	cut()
@@ -338,7 +338,7 @@
 	b.executor.With(func(state, _ *string) { *state = "" })
 	n.Send(fakes.Invocation(4, 4, "wait=20000"))
 	four := fakes.Take(t, "a launch", b.executor.Launches)
-	move("to a farm that is not there yet", func() {})
+	move("to an executor that is not there yet", func() {})
 	n.Send(fakes.Invocation(5, 5, "wait=20000"))
 	b.executor.With(func(state, _ *string) { *state = "hot 1" })
 	five := fakes.Take(t, "the launch that waited for the link", b.executor.Launches)
@@ -379,8 +379,8 @@
 	tr.Say("%v", n.Expect())
 }
 
-// TestHeldUp: a process that was suspended for a while meets deadlines once it goes on.
-func TestHeldUp(t *testing.T) {
+// TestDeadlineAfterSuspension: a process that was suspended for a while meets deadlines once it goes on.
+func TestDeadlineAfterSuspension(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
@@ -510,9 +510,9 @@
 	tr.Say("no such command: %v, %s", err, out)
 }
 
-// TestLevels: a backend with a degradation policy: full cores bring the level, its operation is throttled on arrival while the
+// TestDegradation: a backend with a degradation policy: full cores bring the level, its operation is throttled on arrival while the
 // other is served, all of it is seen on the inspection socket, and a person can hold another level for a while.
-func TestLevels(t *testing.T) {
+func TestDegradation(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	dir, err := os.MkdirTemp("", "mb")
 	if err != nil {
@@ -548,7 +548,7 @@
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1))
 	f := n.Expect()
-	tr.Say("look: %d, told when to come back %t", f.Code, strings.Contains(f.Fields, "after="))
+	tr.Say("look: %d, with a Retry-After %t", f.Code, strings.Contains(f.Fields, "after="))
 	n.Send(fakes.Invocation(2, 2, "class=post"))
 	l := fakes.Take(t, "a launch", b.executor.Launches)
 	b.executor.End(l.ID, "complete", "paid")
@@ -569,8 +569,8 @@
 	fakes.Until(t, "the new policy is in force", func() bool { return state().DegradationPolicy == "other" })
 }
 
-// TestLevelsCommands: what the sub-commands print and end with.
-func TestLevelsCommands(t *testing.T) {
+// TestDegradationCommands: what the sub-commands print and end with.
+func TestDegradationCommands(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	dir := t.TempDir()
 	write := func(name, text string) string {
