--- /dev/null
+++ b/cmd/milletbarrow/degradation_test.go
@@ -0,0 +1,118 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"milletbarrow/internal/backend/admin"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
+)
+
+// TestDegradation: a backend with a degradation policy: full cores bring the level, its operation is throttled on arrival while the
+// other is served, all of it is seen on the inspection socket, and a person can hold another level for a while.
+func TestDegradation(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	dir, err := os.MkdirTemp("", "mb")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer os.RemoveAll(dir)
+	file, socket := filepath.Join(dir, "policy.sx"), filepath.Join(dir, "s")
+	write := func(text string) {
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	const text = `(ladder small (smooth (queue 50ms)) (level no-look (shed (operations look)) (enter (queue 3 100ms)) (exit (queue 2 5s))))`
+	write(text)
+	b := prepare(t)
+	b.args = []string{"serve", "--levels", file, "--inspect", socket}
+	b.start().ready()
+	peer := admin.NewClient(socket, limits.ForControl())
+	defer peer.Close()
+	state := func() admin.State {
+		s, err := peer.State(t.Context())
+		if err != nil {
+			t.Fatal(err)
+		}
+		return s
+	}
+	tr.Say("%s %s", state().DegradationPolicy, state().Level)
+	b.executor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // a queue, though the cores are not busy: the dispatcher admits
+	fakes.Until(t, "the level is entered", func() bool { return state().Level == "no-look" })
+	fakes.Until(t, "the level is logged", b.logged("event=degradation_level from=full to=no-look collapse=false cause="))
+	tr.Say("logged: true")
+	b.executor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
+	n := fakes.Dial(t, b.address)
+	n.Send(fakes.Invocation(1, 1))
+	f := n.Expect()
+	tr.Say("look: %d, with a Retry-After %t", f.Code, strings.Contains(f.Fields, "after="))
+	n.Send(fakes.Invocation(2, 2, "class=post"))
+	l := fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "paid")
+	tr.Say("post: %v", n.Expect())
+	tr.Say("%v", peer.Override(t.Context(), admin.Override{Level: "no-such", Duration: 1_000_000}))
+	tr.Say("%v", peer.Override(t.Context(), admin.Override{Level: "full", Duration: 60_000_000, By: "test"}))
+	fakes.Until(t, "it is held", func() bool { return state().Level == "full" })
+	n.Send(fakes.Invocation(3, 3))
+	l = fakes.Take(t, "a launch", b.executor.Launches)
+	b.executor.End(l.ID, "complete", "seen")
+	tr.Say("look: %v", n.Expect())
+	tr.Say("shed %d", state().Shed)
+	write("(ladder small")
+	b.cmd.Process.Signal(syscall.SIGHUP)
+	fakes.Until(t, "the bad policy is logged", b.logged("event=reload_degradation used=false"))
+	write(strings.Replace(text, "small", "other", 1))
+	b.cmd.Process.Signal(syscall.SIGHUP)
+	fakes.Until(t, "the new policy is in force", func() bool { return state().DegradationPolicy == "other" })
+}
+
+// TestDegradationCommands: what the sub-commands print and end with.
+func TestDegradationCommands(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	dir := t.TempDir()
+	write := func(name, text string) string {
+		file := filepath.Join(dir, name)
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return file
+	}
+	good := write("good.sx", `(ladder g (level a (shed (operations look)) (enter (queue 2 1s)) (exit (queue 1 2s)) (stay 5s)) (every 5s) (ramp 1s))`)
+	bad := write("bad.sx", `(ladder g (level a (shed) (enter (queue 2)) (exit (queue 3))))`)
+	var trace strings.Builder
+	for n := range 300 {
+		q := 0.5
+		if n >= 50 && n < 120 {
+			q = 3
+		}
+		fmt.Fprintf(&trace, "%d queue=%v\n", 1000+n*100_000, q)
+	}
+	signals, broken := write("signals.txt", trace.String()), write("broken.txt", "5 queue=1\n5 queue=1\n")
+	site := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+	say := func(args ...string) {
+		out, err := exec.Command(program, append([]string{"levels"}, args...)...).CombinedOutput()
+		tr.Say("%s", strings.ReplaceAll(fmt.Sprintf("$ levels %s\n%s%v", strings.Join(args, " "), out, err), dir, "DIR"))
+	}
+	say("check", good)
+	say("check", bad)
+	say("check", filepath.Join(dir, "none"))
+	say("replay", good, signals, "--plot", filepath.Join(dir, "x.svg"))
+	say("replay", good, signals, "--json")
+	say("replay", good, broken)
+	say("replay", good, signals, "--plot", filepath.Join(dir, "x.gif"))
+	say("pin", "--socket", filepath.Join(dir, "none"))
+	if out, err := exec.Command(program, "levels", "check", good, "--config", site).CombinedOutput(); err != nil {
+		t.Errorf("%v: %s", err, out)
+	}
+	if raw, err := os.ReadFile(filepath.Join(dir, "x.svg")); err != nil || !bytes.Contains(raw, []byte("</svg>")) {
+		t.Errorf("the plot: %v, %d bytes", err, len(raw))
+	}
+}
--- /dev/null
+++ b/cmd/milletbarrow/testfleet_test.go
@@ -0,0 +1,234 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/fleetclient"
+	"milletbarrow/internal/process"
+)
+
+// testFleet is a fleet on this machine: one agent, so many instances, an executor for each, one registry for all.
+type testFleet struct {
+	t         testing.TB
+	dir       string
+	file      string
+	executors map[string]*fakes.AutoExecutor
+	names     []string
+	at        map[string]string // address of each
+	agent     *exec.Cmd
+}
+
+// newTestFleet writes the files of a fleet; group is what its one group has besides the instances, program starts them.
+func newTestFleet(t testing.TB, many int, group, rollingUpdate, program string, edit ...string) *testFleet {
+	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := &testFleet{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), executors: map[string]*fakes.AutoExecutor{}, at: map[string]string{}}
+	t.Cleanup(h.clear)
+	registry, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	taken := make([]net.Listener, 0, many)
+	for n := range many {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		taken = append(taken, l)
+		name := fmt.Sprint("n", n+1)
+		executor := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
+		h.executors[name], h.at[name] = executor, l.Addr().String()
+		h.names = append(h.names, name)
+		raw, err := os.ReadFile(configFile(t, l.Addr().String(), executor.Address, registry, append(edit, `"drain_grace_ms":300`, `"drain_grace_ms":2000`,
+			`"stop_ms":1500`, `"stop_ms":3200`, `"name":"n3"`, `"name":"`+name+`"`)...))
+		if err == nil {
+			err = os.WriteFile(filepath.Join(dir, name+".json"), raw, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, l := range taken {
+		l.Close()
+	}
+	if program != "" {
+		program = `(program "` + program + `")`
+	}
+	text := fmt.Sprintf("(fleet test %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") %s (range n 1 %d))\n (wave %s))\n",
+		program, dir, group, many, rollingUpdate)
+	if err := os.WriteFile(h.file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return h
+}
+
+// clear ends all that runs for this fleet and nothing else: by the identities in supervisors' files.
+func (h *testFleet) clear() {
+	if h.agent != nil {
+		h.agent.Process.Kill()
+		h.agent.Wait()
+	}
+	for range 2 { // a supervisor that was just starting its instance writes it down before it begins
+		for _, n := range h.names {
+			if s, err := h.supervisorState(n); err == nil {
+				_ = s.Instance.KillGroup() // mostly it is gone
+				s.Supervisor.Signal(syscall.SIGKILL)
+			}
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	os.RemoveAll(h.dir)
+}
+
+type supervisorFile struct {
+	Run        string           `json:"run"`
+	Supervisor process.Identity `json:"keeper"`
+	Instance   process.Identity `json:"instance"`
+}
+
+func (h *testFleet) supervisorState(name string) (s supervisorFile, err error) {
+	raw, err := os.ReadFile(filepath.Join(h.dir, "keepers", name+".json"))
+	if err != nil {
+		return s, err
+	}
+	return s, json.Unmarshal(raw, &s)
+}
+
+// startAgent starts it in the background and waits until it answers.
+func (h *testFleet) startAgent() {
+	cmd := exec.Command(program, "agent", "--fleet", h.file, "--host", "h1", "--dir", h.dir)
+	log, err := os.OpenFile(filepath.Join(h.dir, "agent.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	defer log.Close()
+	cmd.Stderr = log
+	if err := cmd.Start(); err != nil {
+		h.t.Fatal(err)
+	}
+	h.agent = cmd
+}
+
+func (h *testFleet) killAgent() {
+	h.agent.Process.Kill()
+	h.agent.Wait()
+}
+
+// fleet runs a sub-command and returns what it printed and its exit code.
+func (h *testFleet) fleet(args ...string) (string, int) {
+	out, err := h.command(args...).Output()
+	var exit *exec.ExitError
+	if errors.As(err, &exit) {
+		return string(out) + string(exit.Stderr), exit.ExitCode()
+	}
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	return string(out), 0
+}
+
+func (h *testFleet) command(args ...string) *exec.Cmd {
+	return exec.Command(program, append([]string{"fleet", args[0], "--fleet", h.file}, args[1:]...)...)
+}
+
+func (h *testFleet) must(args ...string) string {
+	h.t.Helper()
+	out, code := h.fleet(args...)
+	if code != 0 {
+		h.t.Fatalf("fleet %v: exit %d: %s\n%s", args, code, out, h.tail())
+	}
+	return out
+}
+
+func (h *testFleet) tail() string {
+	raw, _ := os.ReadFile(filepath.Join(h.dir, "agent.log"))
+	lines := strings.Split(string(raw), "\n")
+	return strings.Join(lines[max(0, len(lines)-30):], "\n")
+}
+
+func (h *testFleet) status() fleetclient.HostStatus {
+	out, _ := h.fleet("status", "--json")
+	var all []fleetclient.HostStatus
+	if err := json.Unmarshal([]byte(out), &all); err != nil || len(all) != 1 {
+		h.t.Fatalf("%v: %s", err, out)
+	}
+	return all[0]
+}
+
+// phases tells how each instance is seen; empty while the agent is away.
+func (h *testFleet) phases() map[string]fleet.Phase {
+	all := map[string]fleet.Phase{}
+	if s := h.status().Status; s != nil {
+		for _, in := range s.Instances {
+			all[in.Name] = in.Phase
+		}
+	}
+	return all
+}
+
+func (h *testFleet) untilAll(p fleet.Phase) {
+	h.t.Helper()
+	fakes.Until(h.t, "all are "+string(p), func() bool {
+		all := h.phases()
+		return len(all) == len(h.names) && !slices.ContainsFunc(h.names, func(n string) bool { return all[n] != p })
+	})
+}
+
+// incarnation is one run of an instance's process, as its supervisor logged it.
+type incarnation struct {
+	name, run                 string
+	launched, notified, ended time.Time
+	outcome                   string
+}
+
+var supervisorLine = regexp.MustCompile(`time=(\S+) event=(launched|notified|ended) name=(\S+) run=(\S+)(?:.* how=("[^"]*"|\S+))?`)
+
+// incarnations reads the supervisors' logs.
+func (h *testFleet) incarnations() map[string][]*incarnation {
+	all := map[string][]*incarnation{}
+	for _, name := range h.names {
+		raw, _ := os.ReadFile(filepath.Join(h.dir, "keepers", name+".log.keeper"))
+		byRun := map[string]*incarnation{}
+		for in := bufio.NewScanner(bytes.NewReader(raw)); in.Scan(); {
+			m := supervisorLine.FindStringSubmatch(in.Text())
+			if m == nil {
+				continue
+			}
+			at, err := time.Parse(time.RFC3339Nano, m[1])
+			if err != nil {
+				h.t.Fatal(err)
+			}
+			l := byRun[m[4]]
+			if l == nil {
+				l = &incarnation{name: name, run: m[4]}
+				byRun[m[4]] = l
+				all[name] = append(all[name], l)
+			}
+			switch m[2] {
+			case "launched":
+				l.launched = at
+			case "notified":
+				l.notified = at
+			case "ended":
+				l.ended, l.outcome = at, strings.Trim(m[5], `"`)
+			}
+		}
+	}
+	return all
+}
