--- a/cmd/milletbarrow/check.go
+++ b/cmd/milletbarrow/check.go
@@ -32,19 +32,6 @@
 	return "; left unused: settings." + strings.Join(b.Settings.IgnoredFields, ", settings.")
 }
 
-func limitsCommand() *cli.Command {
-	return &cli.Command{
-		Name: "limits", Usage: "print the bounds that follow from a configuration", Flags: []cli.Flag{configFlag()},
-		Action: func(_ context.Context, c *cli.Command) error {
-			b, err := readConfiguration(c)
-			if err == nil {
-				fmt.Printf("%+v\n", boundsOf(b))
-			}
-			return err
-		},
-	}
-}
-
 func versionCommand() *cli.Command {
 	return &cli.Command{
 		Name: "version", Usage: "print the build",
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -7,12 +7,14 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"reflect"
 	"regexp"
 	"slices"
 	"strings"
 	"testing"
 
 	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
 )
 
 var program string
@@ -93,6 +95,19 @@
 	tr.Say("no such command: %v, %s", err, out)
 }
 
+// TestLimits: the bounds are printed under the names that earlier releases printed.
+func TestLimits(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	file := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+	out, err := exec.Command(program, "limits", "--config", file).CombinedOutput()
+	tr.Say("%s%v", out, err)
+	for field := range printedBounds {
+		if _, ok := reflect.TypeFor[limits.Bounds]().FieldByName(field); !ok {
+			t.Errorf("%s is no field of the bounds", field)
+		}
+	}
+}
+
 // TestExamples: the files under deploy/ that people copy can be used.
 func TestExamples(t *testing.T) {
 	for _, args := range [][]string{
