--- a/cmd/milletbarrow/backend_test.go
+++ b/cmd/milletbarrow/backend_test.go
@@ -115,6 +115,33 @@
 	return since
 }
 
+// watchStalls begins to measure by how much this process is held up, as it is on a busy machine; end tells the longest time. What a
+// test sees of another process it may see so much later than it was.
+func watchStalls() (end func() time.Duration) {
+	const interval = time.Millisecond
+	done, longest := make(chan struct{}), make(chan time.Duration)
+	go func() {
+		worst := time.Duration(0)
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
+		for last := time.Now(); ; {
+			select {
+			case <-ticker.C:
+			case <-done:
+				longest <- worst
+				return
+			}
+			now := time.Now()
+			worst = max(worst, now.Sub(last)-interval)
+			last = now
+		}
+	}()
+	return func() time.Duration {
+		close(done)
+		return <-longest
+	}
+}
+
 // exit waits for the program to end by itself. On a busy machine that may be seen some time after the stop.
 func (b *backend) exit(tr *fakes.Trace, since time.Time) {
 	const seenLate = time.Second
