--- a/internal/cluster/quota/coldstart.go
+++ b/internal/cluster/quota/coldstart.go
@@ -37,7 +37,7 @@
 	case c.Action == actionResume:
 		current.Resume()
 		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise goes on", Cause: "by " + c.By})
-	case c.Action == actionEnd: // permits that are held are released as ever
+	case c.Action == actionEnd: // permits that are held are released as usual
 		delete(s.ColdStarts, c.Limit)
 		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise ended", Cause: "by " + c.By})
 	default:
@@ -71,18 +71,18 @@
 	r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise begins", Cause: fmt.Sprintf("%s of %d, asked by %s", c.ID, len(c.Members), c.By)})
 }
 
-// mayStart asks the cold start that a name is part of, if there is one.
+// mayStart reports whether the cold start that a name is part of, if there is one, lets it start.
 func (s *State) mayStart(c *PermitCommand, r *Result) bool {
 	start := s.ColdStarts[c.Limit]
 	if start == nil || !start.Pending(c.Name) {
 		return true
 	}
-	ok, why := start.RequestStart(c.Name)
-	r.Rejection = why
+	ok, reason := start.RequestStart(c.Name)
+	r.Rejection = reason
 	return ok
 }
 
-// reportStart tells the cold start how the start came out that a released permit was for.
+// reportStart reports to the cold start how the start ended that a released permit was for.
 func (s *State) reportStart(c *PermitCommand, r *Result) {
 	start := s.ColdStarts[c.Limit]
 	if start == nil || !start.Pending(c.Name) {
@@ -143,7 +143,7 @@
 }
 
 // ElapsedPauses lists the pauses of cold starts that have lasted as long as they are to, by the leader's own clock: from
-// when this leader first saw them, so that a new leader counts anew.
+// when this leader first saw them, so that each leader times them in full.
 func (t *LeaseTracker) ElapsedPauses(now Micros, s *State) (elapsed []ElapsedPause) {
 	for _, limit := range sortedKeys(s.ColdStarts) {
 		start := s.ColdStarts[limit]
--- a/internal/cluster/quota/command.go
+++ b/internal/cluster/quota/command.go
@@ -18,9 +18,9 @@
 	Release       *PermitCommand    `json:"give,omitempty"`
 	WriteOff      *WriteOffCommand  `json:"write_off,omitempty"`
 	ColdStart     *ColdStartCommand `json:"rise,omitempty"`
-	ElapsedPauses []ElapsedPause    `json:"rested,omitempty"` // of cold starts, as timed by the leader
-	Rebalance     bool              `json:"divide,omitempty"` // the leader's clock says that it is time to divide anew
-	FreezeGrowth  bool              `json:"hold,omitempty"`   // grants that this state never knew may be in force: none may grow
+	ElapsedPauses []ElapsedPause    `json:"rested,omitempty"` // of cold starts, timed by the leader
+	Rebalance     bool              `json:"divide,omitempty"` // set by the leader when it is time to
+	FreezeGrowth  bool              `json:"hold,omitempty"`   // grants that this state has lost may be in force: none may grow
 }
 
 // RenewCommand brings the lease requests of one host's backends.
@@ -36,7 +36,7 @@
 	Epoch     uint64 `json:"epoch"`
 }
 
-// ExitCommand says that processes have ended. Only the host that they ran on can say so.
+// ExitCommand reports that processes have ended. It counts only from the host that they ran on.
 type ExitCommand struct {
 	Host       string   `json:"host"`
 	ClientKeys []string `json:"lives"`
@@ -53,13 +53,13 @@
 	Outcome *coldstart.Outcome `json:"end,omitempty"` // of a release: how the start came out that the permit was for
 }
 
-// WriteOffCommand is an operator's word that what a backend has is in force no more: its host is lost for good.
+// WriteOffCommand is an operator's statement that what a backend holds is no longer in force: its host is lost for good.
 type WriteOffCommand struct {
 	Name string `json:"name"`
 	By   string `json:"by"`
 }
 
-// Event is a line for the history.
+// Event is an entry for the agents' history.
 type Event struct {
 	Limit string `json:"budget"`
 	Name  string `json:"name,omitempty"`
@@ -67,7 +67,7 @@
 	Cause string `json:"cause,omitempty"`
 }
 
-// Result is what came of a command.
+// Result is the outcome of a command.
 type Result struct {
 	Serial     uint64                `json:"serial"`
 	Answers    []quota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
@@ -77,7 +77,7 @@
 	Permits    []Permit              `json:"out,omitempty"`   // of a renewal: all permits of its host
 }
 
-// Apply applies a command. Nothing but the command and the state decides, so that every replica comes to the same.
+// Apply applies a command. The result depends on the command and the state alone, so that every replica comes to the same.
 func (s *State) Apply(c Command) (r Result) {
 	s.Serial++
 	r.Serial = s.Serial
@@ -87,7 +87,7 @@
 	for _, e := range c.Expire {
 		s.expire(e, &r)
 	}
-	if c.Rebalance { // after the expiries: what is over can be granted at once
+	if c.Rebalance { // after the expiries: what has expired can be granted at once
 		s.rebalance(&r)
 	}
 	if c.Exited != nil {
@@ -149,7 +149,7 @@
 	s.rebalance(r)
 }
 
-// writeOff takes everything from a backend, whichever host it is on.
+// writeOff revokes all that a backend holds, whichever host it is on.
 func (s *State) writeOff(c *WriteOffCommand, r *Result) {
 	known := false
 	keys := append([]string(nil), s.byName[c.Name]...) // revokeAll changes the index
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -1,5 +1,5 @@
-// Package quota divides what a whole fleet may use among its backends. Config says what is limited; State, a pure state
-// machine, says who holds how much of it under which lease; LeaseTracker says when a lease has surely expired.
+// Package quota divides what a fleet may use among its backends. Config says what is limited; State, a pure state machine,
+// says who holds how much of it under which lease; LeaseTracker says when a lease has surely expired.
 //
 // The package does no I/O and holds no clock. State is what the consensus library replicates: the same commands in the
 // same order make the same state on every replica.
@@ -25,7 +25,7 @@
 // Division says how the part of a rate above the floors is divided.
 type Division string
 
-// The divisions. By demand is max-min fair: nobody gets more than it draws and is denied while another lacks.
+// The divisions. By demand is max-min fair: no backend gets more than its demand while another has less than its own.
 const (
 	DivideEvenly     Division = "even"
 	DivideByCapacity Division = "capacity"
@@ -37,14 +37,14 @@
 	Name        string           `json:"name"`
 	Kind        Kind             `json:"kind"`
 	Total       int64            `json:"whole"`            // units a second, or units held at once
-	Floors      map[string]int64 `json:"floors,omitempty"` // by backend; every backend that may draw from a rate stands here
+	Floors      map[string]int64 `json:"floors,omitempty"` // by backend; names every backend that may draw from a rate
 	Division    Division         `json:"divide,omitempty"`
-	Weights     map[string]int64 `json:"weight,omitempty"` // by backend, where it is divided by capacity; 1 for who is not named
+	Weights     map[string]int64 `json:"weight,omitempty"` // by backend, where it is divided by capacity; 1 for those not named
 	Step        int64            `json:"step,omitempty"`   // the smallest part that is moved
 	Lease       Micros           `json:"lease_us,omitempty"`
-	ClockMargin Micros           `json:"margin_us,omitempty"` // how far clocks may run apart over a whole lease
-	Tenant      string           `json:"tenant,omitempty"`    // whose work draws
-	Reserved    int64            `json:"aside,omitempty"`     // permits that hosts may use without asking, one each
+	ClockMargin Micros           `json:"margin_us,omitempty"` // how far clocks may run apart over one lease
+	Tenant      string           `json:"tenant,omitempty"`    // whose requests draw
+	Reserved    int64            `json:"aside,omitempty"`     // permits that hosts may use without acquiring them, one each
 }
 
 // Config is all limits of a fleet. A higher version replaces a lower one.
@@ -71,8 +71,8 @@
 	return all
 }
 
-// MinClockMargin is the least margin for a lease: clocks of hosts may run apart by one in a hundred, and no lease is so short
-// that its end can't be told from its beginning.
+// MinClockMargin is the least margin for a lease: clocks of hosts may run apart by one in a hundred, and the margin covers
+// the resolution of timers, however short the lease is.
 func MinClockMargin(lease Micros) Micros { return max(lease/100, 10_000) }
 
 // LimitError says why a Limit can't be used.
--- a/internal/cluster/quota/division.go
+++ b/internal/cluster/quota/division.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Claim is what one backend would have above its floor.
+// Claim is what one backend claims above its floor.
 type Claim struct {
 	Demand  int64 // units; below 0: as much as there is
 	Weight  int64 // 1 or more
-	Current int64 // what it was last given
+	Current int64 // its part in the latest division
 }
 
-// MaxMinFair divides a pool among claims in whole steps, max-min fair by weight: nobody gets more than it wants while another
-// lacks, and what nobody wants is spread by weight too, so that a burst finds something. The parts never add up to more
-// than the pool. It sorts once: n log n.
+// MaxMinFair divides a pool among claims in multiples of step, max-min fair by weight: no claim gets more than its demand
+// while another has less than its own, and what exceeds all demand is spread by weight too, so that a burst finds
+// something. The parts never add up to more than the pool. It takes O(n log n).
 func MaxMinFair(pool, step int64, claims []Claim) []int64 {
 	parts := make([]int64, len(claims))
-	left := max(0, pool) / step // in steps from here on
+	left := max(0, pool) / step // in steps, as all that follows
 	if left == 0 || len(claims) == 0 {
 		return parts
 	}
@@ -27,92 +27,95 @@
 		order[i] = i
 		weights += claims[i].Weight
 	}
-	wants := func(i int) int64 { // steps
-		if w := claims[i].Demand; w >= 0 && w < pool {
-			return (w + step - 1) / step
+	demand := func(i int) int64 {
+		if d := claims[i].Demand; d >= 0 && d < pool {
+			return (d + step - 1) / step
 		}
 		return pool/step + 1
 	}
-	slices.SortStableFunc(order, func(a, b int) int { // by want for each unit of weight
-		return cmp.Or(cmp.Compare(wants(a)*claims[b].Weight, wants(b)*claims[a].Weight), cmp.Compare(a, b))
+	slices.SortStableFunc(order, func(a, b int) int { // by demand for each unit of weight
+		return cmp.Or(cmp.Compare(demand(a)*claims[b].Weight, demand(b)*claims[a].Weight), cmp.Compare(a, b))
 	})
-	rest, at := weights, 0
-	for ; at < len(order); at++ { // who wants no more than its part of what is left has all it wants
-		i := order[at]
-		if w := wants(i); w <= left*claims[i].Weight/rest {
-			parts[i] = w
-			left -= w
-			rest -= claims[i].Weight
-			continue
+	unmetWeights, met := weights, 0
+	for ; met < len(order); met++ { // claims of no more than their part of what is left are met
+		i := order[met]
+		d := demand(i)
+		if d > left*claims[i].Weight/unmetWeights {
+			break
 		}
-		break
+		parts[i] = d
+		left -= d
+		unmetWeights -= claims[i].Weight
 	}
-	level := order[at:] // the others share what is left by weight
-	if at == len(order) {
-		level, rest = order, weights // there is more than is wanted
+	unmet := order[met:] // divide what is left by weight
+	if len(unmet) == 0 {
+		unmet, unmetWeights = order, weights // there is more than all demand
 	}
-	spread(left, rest, level, claims, parts)
+	spread(left, unmetWeights, unmet, claims, parts)
 	for i := range parts {
 		parts[i] *= step
 	}
 	return parts
 }
 
-// spread adds so many steps to some parts by weight; what rounding leaves over goes to those that it cut most.
-func spread(steps, weights int64, to []int, claims []Claim, parts []int64) {
+// spread adds steps to some of the parts by weight, the largest remainders rounded up. weights is the sum of their weights.
+func spread(steps, weights int64, indices []int, claims []Claim, parts []int64) {
 	left := steps
-	cut := make([]int64, len(claims))
-	for _, i := range to {
+	remainders := make([]int64, len(claims))
+	for _, i := range indices {
 		exact := steps * claims[i].Weight
 		parts[i] += exact / weights
 		left -= exact / weights
-		cut[i] = exact % weights
+		remainders[i] = exact % weights
 	}
 	if left == 0 {
 		return
 	}
-	most := slices.Clone(to)
-	slices.SortStableFunc(most, func(a, b int) int { return cmp.Compare(cut[b], cut[a]) })
-	for _, i := range most[:left] { // fewer than there are parts
+	byRemainder := slices.Clone(indices)
+	slices.SortStableFunc(byRemainder, func(a, b int) int { return cmp.Compare(remainders[b], remainders[a]) })
+	for _, i := range byRemainder[:left] { // fewer than there are indices
 		parts[i]++
 	}
 }
 
-// Stabilize keeps the parts that would hardly move, so that a division does not swing with every count of demand; where
-// that would add up to more than the pool, all move.
+// hysteresis is the part of a claim's current part by which a division has to differ to move it.
+const hysteresis = 16
+
+// Stabilize leaves the parts unchanged that would hardly move, so that a division does not swing with every report of
+// demand; where that would add up to more than the pool, all move.
 func Stabilize(pool, step int64, claims []Claim, parts []int64) []int64 {
-	kept := slices.Clone(parts)
+	stable := slices.Clone(parts)
 	sum := int64(0)
-	for i, p := range parts {
-		if held := claims[i].Current; held > 0 && max(p-held, held-p) <= max(step, held/16) {
-			kept[i] = held
+	for i, part := range parts {
+		if current := claims[i].Current; current > 0 && max(part-current, current-part) <= max(step, current/hysteresis) {
+			stable[i] = current
 		}
-		sum += kept[i]
+		sum += stable[i]
 	}
 	left := max(0, pool) - sum
 	if left < 0 {
 		return parts
 	}
-	for i, p := range parts { // who was to grow a little grows, as far as others' staying leaves room
-		if more := min(left, p-kept[i]); more > 0 {
-			kept[i] += more
+	for i, part := range parts { // those that were to grow a little grow, as far as the pool allows
+		if more := min(left, part-stable[i]); more > 0 {
+			stable[i] += more
 			left -= more
 		}
 	}
-	return kept
+	return stable
 }
 
-// estimateDemand is a claim after a span in which so much was drawn and denied: it moves by half of the way. What is claimed grows
-// at the most by twice the share and an eighth of the whole from one ask to the next, whatever a holder says.
-func estimateDemand(want, share, whole, drawn, denied int64, span Micros) int64 {
-	if span <= 0 || drawn < 0 || denied < 0 {
-		return want
+// estimateDemand smooths a demand, in units a second, by what was drawn and denied over a duration: it moves by half of the
+// difference. Denied units count for at most twice the client's quota and an eighth of the total, whatever it reports.
+func estimateDemand(previous, quota, total, drawn, denied int64, over Micros) int64 {
+	if over <= 0 || drawn < 0 || denied < 0 {
+		return previous
 	}
-	const most = 1 << 40 // a second's; more is nobody's demand
-	rate := min(drawn, most)*1_000_000/int64(span) + min(min(denied, most)*1_000_000/int64(span), 2*share+whole/8+1)
-	rate = min(rate, most)
-	if rate >= want {
-		return want + (rate-want+1)/2
+	const maxDemand = 1 << 40 // units a second
+	perSecond := func(units int64) int64 { return min(units, maxDemand) * 1_000_000 / int64(over) }
+	observed := min(maxDemand, perSecond(drawn)+min(perSecond(denied), 2*quota+total/8+1))
+	if observed >= previous {
+		return previous + (observed-previous+1)/2
 	}
-	return want - (want-rate+1)/2 // rounded up: what nobody asks for must not stay claimed by its last units
+	return previous - (previous-observed+1)/2 // rounded up, so that a demand that has ended comes to nothing
 }
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -54,20 +54,20 @@
 	return a
 }
 
-// refusal tells why a request is granted nothing, or is empty.
+// refusal is the reason for which a request is granted nothing, or empty.
 func (s *State) refusal(q *quota.LeaseRequest, r *Result) string {
 	key := ClientKey(q.Name, q.Incarnation)
 	client := s.Clients[key]
 	if client != nil && q.Number <= client.LastRequest {
 		return fmt.Sprintf("ask %d is old: %d was heard", q.Number, client.LastRequest)
 	}
-	for _, k := range s.byName[q.Name] { // a floor belongs to one process; of extras each is counted until it is over
+	for _, k := range s.byName[q.Name] { // a floor belongs to one process at a time; extras of several are counted until they expire
 		if other := s.Clients[k]; k != key && other.hasFloor() {
 			return fmt.Sprintf("%s has its floor as %s at %s: that one has to end there, or be written off", q.Name, other.Incarnation, other.Host)
 		}
 	}
 	for _, known := range q.Usage {
-		if known.Epoch > s.Serial { // this state granted it and does not know: its directory was set back
+		if known.Epoch > s.Serial { // this state granted it and has lost it: its directory is an older copy
 			r.Events = append(r.Events, Event{
 				Limit: known.Budget, Name: q.Name, Kind: "ledger is older than its grants",
 				Cause: fmt.Sprintf("epoch %d is held, %d is the latest here", known.Epoch, s.Serial),
@@ -84,7 +84,7 @@
 }
 
 // confirm takes in what a client reports of one limit: the epoch that it acts on, and what it drew in the time since its
-// last request. The grants before that epoch are in force no more.
+// last request. Grants before that epoch are no longer in force.
 func (s *State) confirm(l *Limit, client *Client, known *quota.Usage, elapsed Micros, first bool) *Allocation {
 	a := client.Allocations[l.Name]
 	if a == nil {
@@ -94,7 +94,7 @@
 	confirmed := slices.DeleteFunc(slices.Clone(a.Grants), func(g Grant) bool { return g.Epoch < known.Epoch })
 	s.setGrants(l.Name, client, a, confirmed)
 	floor := l.Floors[client.Name]
-	if !first {
+	if !first { // there is a time to which what was drawn belongs
 		demand := estimateDemand(a.Demand+floor, a.maxFloor()+a.maxExtra(), l.Total, known.Drawn-a.Drawn, known.Denied-a.Denied, elapsed)
 		a.Demand = max(0, demand-floor)
 	}
@@ -105,7 +105,7 @@
 	return a
 }
 
-// hasFloor tells whether a floor of any limit is in force at this client.
+// hasFloor reports whether a floor of any limit is in force at this client.
 func (c *Client) hasFloor() bool {
 	for _, a := range c.Allocations {
 		if a.maxFloor() > 0 {
@@ -147,7 +147,8 @@
 	return quota.Grant{Budget: l.Name, Epoch: g.Epoch, Floor: g.Floor, Extra: g.Extra, Lease: l.Lease}
 }
 
-// foldOldest counts the oldest grants into the next one, so that maxGrants are left: never less than may be in force.
+// foldOldest merges the oldest grants into the next one, so that maxGrants are left; the result is never less than what
+// may be in force.
 func foldOldest(grants []Grant) []Grant {
 	for len(grants) > maxGrants {
 		oldest, next := &grants[0], &grants[1]
@@ -201,7 +202,7 @@
 	s.remove(key)
 }
 
-// revokeAll takes everything from a client and deletes it.
+// revokeAll revokes all grants of a client and deletes it.
 func (s *State) revokeAll(key, cause string, r *Result) {
 	client := s.Clients[key]
 	for _, limit := range sortedKeys(client.Allocations) {
@@ -214,7 +215,7 @@
 	s.remove(key)
 }
 
-// removeExited deletes processes that their own host has seen end.
+// removeExited deletes processes whose end their own host has reported.
 func (s *State) removeExited(c *ExitCommand, r *Result) {
 	for _, key := range c.ClientKeys {
 		if client := s.Clients[key]; client != nil && client.Host == c.Host {
--- a/internal/cluster/quota/lease_tracker.go
+++ b/internal/cluster/quota/lease_tracker.go
@@ -7,19 +7,19 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// rebalancesPerLease is how often at the most the rates are divided anew within the shortest lease.
+// rebalancesPerLease is how often at most the rates are rebalanced within the shortest lease.
 const rebalancesPerLease = 4
 
-// LeaseTracker is the leader's side of time: it says when a lease has surely expired, by the leader's own clock, and when
-// to divide anew. It is local to the leader and never replicated: a new leader knows of no time before its own election,
-// and counts every grant that it finds from then on. It is not safe for concurrent use.
+// LeaseTracker times leases by the leader's own clock: it says when a lease has surely expired, and when to rebalance. It is
+// local to the leader and never replicated: a new leader knows of no time before its own election, and times every grant
+// that it finds from then on. It is not safe for concurrent use.
 type LeaseTracker struct {
 	firstSeen     map[grantRef]Micros // when a grant was first found by this leader
 	lastRebalance Micros
 	frozenUntil   Micros                  // nothing may grow before
 	regressions   uint64                  // of the state, as last seen
 	pauses        map[string]runningPause // of cold starts, by limit
-	scanned       bool                    // the grants from before the election were looked at
+	scanned       bool                    // the grants from before the election were seen
 }
 
 // grantRef identifies a grant.
@@ -28,9 +28,9 @@
 	epoch            uint64
 }
 
-// BecomeLeader starts the tracker anew at an election. The only replica of a state may have been set back by an older copy
-// of its directory with nobody to tell it; as sole replica it freezes growth until every lease that it may have granted
-// and forgotten has expired.
+// BecomeLeader resets the tracker at an election. The only replica of a state may run on an older copy of its directory and
+// has no other to find that out from; as sole replica it freezes growth until every lease that it may have granted and
+// lost has expired.
 func (t *LeaseTracker) BecomeLeader(now Micros, s *State, soleReplica bool) {
 	*t = LeaseTracker{firstSeen: map[grantRef]Micros{}, regressions: s.Regressions}
 	if soleReplica {
@@ -46,7 +46,7 @@
 	return longest
 }
 
-// GrowthFrozen tells whether no grant may grow now, because grants may be in force that the state has forgotten.
+// GrowthFrozen reports whether no grant may grow now, because grants may be in force that the state has lost.
 func (t *LeaseTracker) GrowthFrozen(now Micros) bool { return now < t.frozenUntil }
 
 // Tick says which leases have expired and whether to rebalance. It has to be called after each command and at regular
@@ -79,7 +79,7 @@
 	return expired, rebalance
 }
 
-// expired tells whether a grant is honoured no longer, and begins its time where it is new.
+// expired reports whether a grant is honoured no longer, and starts its time where it is new.
 func (t *LeaseTracker) expired(now Micros, ref grantRef, g Grant) bool {
 	seen, known := t.firstSeen[ref]
 	if !known {
@@ -111,14 +111,14 @@
 	return g.Lease + g.ClockMargin
 }
 
-// sweep forgets grants that the state has no more, once they are many.
+// sweep removes grants that the state no longer has, once they are many.
 func (t *LeaseTracker) sweep(s *State) {
 	const slack = 64
-	most := 0
+	maxCurrent := 0
 	for _, client := range s.Clients {
-		most += len(client.Allocations) * maxGrants
+		maxCurrent += len(client.Allocations) * maxGrants
 	}
-	if len(t.firstSeen) <= 2*most+slack {
+	if len(t.firstSeen) <= 2*maxCurrent+slack {
 		return
 	}
 	current := map[grantRef]Micros{}
@@ -135,7 +135,7 @@
 	t.firstSeen = current
 }
 
-// FillRemaining fills in how long each holder's extra lasts if it is not renewed.
+// FillRemaining fills in how long each holder's extra lasts without a renewal.
 func (t *LeaseTracker) FillRemaining(now Micros, s *State, all []Usage) {
 	for i := range all {
 		for j := range all[i].Holders {
--- a/internal/cluster/quota/permit.go
+++ b/internal/cluster/quota/permit.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// acquire gives a name one unit of a concurrency limit.
+// acquire grants a name one permit of a concurrency limit.
 func (s *State) acquire(c *PermitCommand, r *Result) {
 	l := s.Config.Lookup(c.Limit)
 	if l == nil || l.Kind != Concurrency {
@@ -32,7 +32,7 @@
 	}
 }
 
-// release gives a unit back. A cold start hears of the outcome even where the permit is not held any more.
+// release ends a permit. The outcome is reported to a cold start even where the permit is no longer held.
 func (s *State) release(c *PermitCommand, r *Result) {
 	if held, has := s.Permits[c.Limit][c.Name]; has && held.AcquireID == c.AcquireID && held.Host == c.Host {
 		delete(s.Permits[c.Limit], c.Name)
--- a/internal/cluster/quota/rebalance.go
+++ b/internal/cluster/quota/rebalance.go
@@ -12,7 +12,7 @@
 	allocation *Allocation
 }
 
-// rebalance sets the targets of all rates anew. Grants follow as holders renew their leases.
+// rebalance computes the targets of all rates. Grants follow as holders renew their leases.
 func (s *State) rebalance(r *Result) {
 	for i := range s.Config.Limits {
 		if l := &s.Config.Limits[i]; l.Kind == Rate {
@@ -31,22 +31,22 @@
 	if l.Division == DivideByDemand {
 		targets = Stabilize(pool, l.Step, claims, targets)
 	}
-	moved, most, mostName := int64(0), int64(0), ""
+	moved, largest, largestName := int64(0), int64(0), ""
 	for i, c := range claimants {
 		by := max(targets[i]-c.allocation.Target, c.allocation.Target-targets[i])
-		if moved += by; by > most {
-			most, mostName = by, c.backend
+		if moved += by; by > largest {
+			largest, largestName = by, c.backend
 		}
 		c.allocation.Target = targets[i]
 	}
 	if moved > 0 {
-		cause := fmt.Sprintf("%d units moved among %d, most at %s (%d)", moved, len(claimants), mostName, most)
+		cause := fmt.Sprintf("%d units moved among %d, most at %s (%d)", moved, len(claimants), largestName, largest)
 		r.Events = append(r.Events, Event{Limit: l.Name, Kind: "division", Cause: cause})
 	}
 }
 
-// claims lists who takes part in the division of a rate: of each backend the latest process, while its lease goes on.
-// All others have a target of nothing from now on.
+// claims lists what takes part in the division of a rate: of each backend the latest process, while its lease goes on. The
+// targets of all others become zero.
 func (s *State) claims(l *Limit) (claimants []claimant, claims []Claim) {
 	for _, name := range s.totals[l.Name].eligible {
 		latest := s.latestClient(name)
@@ -70,7 +70,7 @@
 	c := Claim{Demand: -1, Weight: 1, Current: a.Target}
 	switch l.Division {
 	case DivideByDemand:
-		c.Demand = a.Demand + (a.Demand+7)/8 // an eighth to grow into, but nothing for who asks for nothing
+		c.Demand = a.Demand + (a.Demand+7)/8 // an eighth to grow into; no demand stays none
 	case DivideByCapacity:
 		if w := l.Weights[name]; w > 0 {
 			c.Weight = w
--- a/internal/cluster/quota/state.go
+++ b/internal/cluster/quota/state.go
@@ -9,12 +9,12 @@
 	"milletbarrow/internal/cluster/coldstart"
 )
 
-// Micros is a point on some process's own clock, or a duration, in whole microseconds.
+// Micros is a point on some process's own clock, or a duration, in microseconds.
 type Micros = quota.Micros
 
-// Bounds of a State, whatever it is told.
+// Bounds of a State.
 const (
-	maxGrants      = 6      // unconfirmed, of one client and limit; older ones are folded into the next
+	maxGrants      = 6      // unconfirmed, of one client and limit; older ones are merged into the next
 	maxReleasedIDs = 8      // remembered for one name, so that a late duplicate does not acquire again
 	maxClients     = 50_000 // a further one is granted nothing
 	maxPermits     = 50_000 // of one limit
@@ -31,12 +31,12 @@
 
 // Allocation is what one client has of one rate.
 type Allocation struct {
-	Grants []Grant `json:"grants,omitempty"` // oldest first; the holder is known to have none older than the first
+	Grants []Grant `json:"grants,omitempty"` // oldest first; the holder acts on none older than the first
 	Drawn  int64   `json:"drawn"`            // units since the client's start, as it reported
 	Denied int64   `json:"denied"`           // units since the client's start, as it reported
 	Demand int64   `json:"want"`             // units a second above the floor, smoothed
 	Target int64   `json:"target"`           // units a second above the floor, of the latest division
-	Idle   bool    `json:"quiet,omitempty"`  // its lease has expired: no division counts on it
+	Idle   bool    `json:"quiet,omitempty"`  // its lease has expired: it takes part in no division
 }
 
 // maxFloor is the highest floor that the holder may act on now.
@@ -84,9 +84,9 @@
 	Permits     map[string]map[string]Permit `json:"counts"`          // by limit and name
 	ReleasedIDs map[string][]string          `json:"ended"`           // by limit and name, the latest acquisitions that have ended
 	ColdStarts  map[string]*coldstart.State  `json:"rises,omitempty"` // by concurrency limit
-	Regressions uint64                       `json:"forgot"`          // how often a client knew of an epoch that this state does not
+	Regressions uint64                       `json:"forgot"`          // how often a client held an epoch that this state does not have
 
-	// Indexes, made anew from the rest by RebuildIndexes.
+	// Indexes over the rest, built by RebuildIndexes.
 	totals map[string]*rateTotals     // by rate
 	byName map[string][]string        // keys of clients
 	byHost map[string]map[string]bool // keys of clients
@@ -141,7 +141,7 @@
 	}
 }
 
-// recount makes the totals of one rate anew.
+// recount computes the totals of one rate.
 func (s *State) recount(limit string) {
 	t := &rateTotals{floorInForce: map[string]int64{}}
 	for _, client := range s.Clients {
@@ -199,7 +199,7 @@
 	t.inForce += a.maxExtra() - extraBefore + floorAfter - floorBefore
 }
 
-// latestClient is the key of the process of a backend that asked last; older ones are granted nothing more.
+// latestClient is the key of the process of a backend that sent the latest request; older ones are granted nothing more.
 func (s *State) latestClient(name string) (key string) {
 	if keys := s.byName[name]; len(keys) == 1 {
 		return keys[0]
