--- a/internal/agent/agentstore/bolt.go
+++ b/internal/agent/agentstore/bolt.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"runtime/debug"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -18,6 +19,9 @@
 // formatVersion is that of the file. Files of older versions are read: fields that they lack are zero.
 const formatVersion = 1
 
+// closeTimeout is how long Close waits for calls that are under way.
+const closeTimeout = time.Second
+
 // lockTimeout is how long Open waits for an agent that is just ending.
 const lockTimeout = 500 * time.Millisecond
 
@@ -41,7 +45,8 @@
 // boltStore keeps the state in a bbolt file.
 type boltStore struct {
 	db           *bbolt.DB
-	historyLimit int // entries
+	historyLimit int         // entries
+	faulted      atomic.Bool // reading the file faulted: bbolt's locks may be held for good, so nothing may wait for them
 }
 
 // Path returns the store's file in an agent's directory.
@@ -99,19 +104,38 @@
 	return tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, formatVersion))
 }
 
-// closeUnusable closes a file that could not be loaded. Closing a damaged one may fault again, and its errors add
-// nothing to that of Load.
-func (s *boltStore) closeUnusable() {
-	defer func() { _ = recover() }()
-	_ = s.db.Close()
-}
+// closeUnusable closes a file that could not be loaded; errors add nothing to that of Load.
+func (s *boltStore) closeUnusable() { _ = s.Close() }
 
-func (s *boltStore) Close() error { return s.db.Close() }
+func (s *boltStore) Close() error {
+	closed := make(chan error, 1)
+	go func() { // it waits for good where a fault left a lock held
+		defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+		defer func() {
+			if r := recover(); r != nil { // closing a damaged file may fault too
+				closed <- fmt.Errorf("%w: %v", ErrNotClosed, r)
+			}
+		}()
+		closed <- s.db.Close()
+	}()
+	timeout := time.NewTimer(closeTimeout)
+	defer timeout.Stop()
+	select {
+	case err := <-closed:
+		return err
+	case <-timeout.C:
+		return fmt.Errorf("%w: calls were under way for %v, or reading it faulted", ErrNotClosed, closeTimeout)
+	}
+}
 
 func (s *boltStore) Load() (state State, err error) {
+	if s.faulted.Load() {
+		return State{}, errFaulted
+	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
+			s.faulted.Store(true)
 			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
 		}
 	}()
@@ -134,6 +158,9 @@
 	return state, err
 }
 
+// errFaulted answers calls after one that faulted.
+var errFaulted = fmt.Errorf("%w: reading it faulted before", ErrCorrupt)
+
 func checkVersion(raw []byte) error {
 	if len(raw) != 4 {
 		return fmt.Errorf("%w: no version", ErrCorrupt)
@@ -161,6 +188,9 @@
 }
 
 func (s *boltStore) Save(c Change) error {
+	if s.faulted.Load() {
+		return errFaulted
+	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		var errs []error
 		if c.BootID != "" {
--- a/internal/agent/agentstore/store.go
+++ b/internal/agent/agentstore/store.go
@@ -46,12 +46,15 @@
 	// Save writes a change; it is on the disk when Save returns nil. After an error nothing of the change is
 	// there, and the same or another change may be tried.
 	Save(Change) error
+	// Close waits for calls that are under way, for a bounded time. After ErrNotClosed the file stays open until the
+	// process ends; what was saved is on the disk all the same.
 	Close() error
 }
 
-// Errors of Open and Load that an operator has to deal with. They come wrapped with the path and the cause.
+// Errors that an operator has to deal with. They come wrapped with the path or the cause.
 var (
 	ErrLocked      = errors.New("another agent has this directory")
 	ErrCorrupt     = errors.New("the record is damaged")
 	ErrNewerFormat = errors.New("the record was written by a newer build")
+	ErrNotClosed   = errors.New("the record can't be closed")
 )
--- a/internal/agent/agentstore/store_test.go
+++ b/internal/agent/agentstore/store_test.go
@@ -221,6 +221,54 @@
 	s.(*boltStore).closeUnusable()
 }
 
+// within fails the test if a call of the store does not return.
+func within(t *testing.T, what string, call func() error) error {
+	t.Helper()
+	result := make(chan error, 1)
+	go func() { result <- call() }()
+	select {
+	case err := <-result:
+		return err
+	case <-time.After(4 * closeTimeout):
+		t.Fatalf("%s does not return", what)
+		return nil
+	}
+}
+
+// TestEmptiedFile: where the file is cut to nothing under an open store, reading reports damage, and later calls return
+// with an error of a type: neither the agent's loop nor its end waits for locks that the fault left held.
+func TestEmptiedFile(t *testing.T) {
+	dir := t.TempDir()
+	fill(t, dir, 60)
+	s, err := Open(dir, 50)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Truncate(Path(dir), 0); err != nil {
+		t.Fatal(err)
+	}
+	load := func() error {
+		_, err := s.Load()
+		return err
+	}
+	if err := within(t, "Load", load); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("%v", err)
+	}
+	if err := within(t, "Save", func() error { return s.Save(Change{BootID: "b2"}) }); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("%v", err)
+	}
+	if err := within(t, "Load", load); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("%v", err)
+	}
+	if err := within(t, "Close", s.Close); !errors.Is(err, ErrNotClosed) {
+		t.Errorf("%v", err)
+	}
+	if _, err := SetAside(dir, time.Now()); err != nil {
+		t.Fatal(err)
+	}
+	save(t, open(t, dir), Change{BootID: "b3"}) // a new store in the directory is not in the way of the old one
+}
+
 // TestSystemErrorIsNoDamage: an error of the file system does not lead an operator to set a sound store aside.
 func TestSystemErrorIsNoDamage(t *testing.T) {
 	dir := t.TempDir()
