--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -80,7 +80,7 @@
 	fmt.Fprintln(w, "scenario\tat\tpolicy\tdays\tvalue\tinterval\ttries an ask\twasted ms an ask\trules broken")
 	broken := false
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%.4f\t%.4f to %.4f\t%.2f\t%.2f\t%s\n", r.Scenario, r.SweptValue, r.Policy, r.BilledShare.N, r.BilledShare.Mean,
+		fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%.4f\t%.4f to %.4f\t%.2f\t%.2f\t%s\n", r.Scenario, r.SweptValue, r.Policy, r.BilledShare.Samples, r.BilledShare.Mean,
 			r.BilledShare.Low, r.BilledShare.High, r.Attempts, r.WastedMicros/1000, r.BreachSummary())
 		broken = broken || r.Policy == simulation.Module && r.BreachCount() > 0
 	}
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -39,7 +39,7 @@
 	return table
 }
 
-// TestFaultsDrawn is the bounded part of the proving ground: five agents, twenty backends under load, at least one fault of each
+// TestFaultsDrawn is the bounded part of fault injection: five agents, twenty backends under load, at least one fault of each
 // kind.
 func TestFaultsDrawn(t *testing.T) {
 	v := runSchedule(t, program, "", schedule.Random(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
@@ -92,7 +92,7 @@
 	return to
 }
 
-// TestFaultsCaught has the auditor judge a program with a fault, and the same program without it.
+// TestFaultsCaught has the checker judge a program with a fault, and the same program without it.
 func TestFaultsCaught(t *testing.T) {
 	bad := buildWithFailpoints(t)
 	table := &schedule.Schedule{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
@@ -120,7 +120,7 @@
 
 // TestFaultsLeaveNothing: the processes that a trial started end with it, also where it is interrupted.
 func TestFaultsLeaveNothing(t *testing.T) {
-	g, err := harness.Open(harness.Options{Program: program, Table: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
+	g, err := harness.Open(harness.Options{Program: program, Schedule: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -133,7 +133,7 @@
 
 // InjectFault causes a Slow fault at its time and ends it, or runs a release; other kinds are ignored. runFleetCommand
 // runs a sub-command of fleet for all instances.
-func (s *Site) InjectFault(ctx context.Context, t simulation.Fault, logf func(string, ...any), runFleetCommand func(context.Context, ...string) error) error {
+func (s *Site) InjectFault(ctx context.Context, fault simulation.Fault, logf func(string, ...any), runFleetCommand func(context.Context, ...string) error) error {
 	wait := func(m simulation.Micros) bool {
 		select {
 		case <-time.After(time.Duration(m) * time.Microsecond):
@@ -142,19 +142,19 @@
 			return false
 		}
 	}
-	if t.Kind != simulation.Slow && t.Kind != simulation.Release || !wait(t.At) {
+	if fault.Kind != simulation.Slow && fault.Kind != simulation.Release || !wait(fault.At) {
 		return nil
 	}
-	if t.Kind == simulation.Release {
+	if fault.Kind == simulation.Release {
 		logf("      a release begins: each backend leaves and comes up again, a few at a time")
-		return runFleetCommand(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(t.BatchShare*float64(len(s.Names))))))
+		return runFleetCommand(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(fault.BatchShare*float64(len(s.Names))))))
 	}
-	affected := s.Executors[:int(math.Ceil(t.Share*float64(len(s.Executors))))]
-	logf("      %d backends' cores are %g times slower", len(affected), t.Factor)
+	affected := s.Executors[:int(math.Ceil(fault.Share*float64(len(s.Executors))))]
+	logf("      %d backends' cores are %g times slower", len(affected), fault.Factor)
 	for _, executor := range affected {
-		executor.Slow(t.Factor)
+		executor.Slow(fault.Factor)
 	}
-	wait(t.Duration)
+	wait(fault.Duration)
 	for _, executor := range affected {
 		executor.Slow(1)
 	}
--- a/internal/experiment/comparison.go
+++ b/internal/experiment/comparison.go
@@ -60,10 +60,10 @@
 // verdict says what an interval shows.
 func verdict(e Estimate, m Measure, a, b string) string {
 	switch {
-	case e.N == 0:
+	case e.Samples == 0:
 		return "nothing to compare"
-	case e.N < minPairs:
-		return fmt.Sprintf("%d days are too few to show anything", e.N)
+	case e.Samples < minPairs:
+		return fmt.Sprintf("%d days are too few to show anything", e.Samples)
 	case e.Low <= 0 && e.High >= 0:
 		return "no difference shown"
 	case (e.Mean > 0) != m.LowerIsBetter:
--- a/internal/experiment/estimate.go
+++ b/internal/experiment/estimate.go
@@ -8,10 +8,10 @@
 
 // Estimate is a mean with its confidence interval.
 type Estimate struct {
-	Mean float64 `json:"mean"`
-	Low  float64 `json:"low"`
-	High float64 `json:"high"`
-	N    int     `json:"n"`
+	Mean    float64 `json:"mean"`
+	Low     float64 `json:"low"`
+	High    float64 `json:"high"`
+	Samples int     `json:"n"`
 }
 
 // Parameters of the bootstrap.
@@ -31,19 +31,19 @@
 			e.Mean += x
 		}
 	}
-	e.N = len(known)
-	if e.N == 0 {
+	e.Samples = len(known)
+	if e.Samples == 0 {
 		e.Mean, e.Low, e.High = math.NaN(), math.NaN(), math.NaN()
 		return e
 	}
-	e.Mean /= float64(e.N)
-	r := rand.New(rand.NewPCG(1, uint64(e.N)))
+	e.Mean /= float64(e.Samples)
+	r := rand.New(rand.NewPCG(1, uint64(e.Samples)))
 	means := make([]float64, bootstrapDraws)
 	for i := range means {
 		for range known {
 			means[i] += known[r.IntN(len(known))]
 		}
-		means[i] /= float64(e.N)
+		means[i] /= float64(e.Samples)
 	}
 	slices.Sort(means)
 	tail := (1 - confidence) / 2
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -57,6 +57,7 @@
 	experiment *sexpr.Form
 }
 
+// readDefinitions reads the forms of a file; what is wrong is added to their errors.
 func readDefinitions(file string, forms []*sexpr.Form) *definitions {
 	d := &definitions{scenarios: map[string]simulation.Scenario{}, policies: map[string]*simulation.Policy{}}
 	for _, f := range forms {
--- a/internal/experiment/result_dir.go
+++ b/internal/experiment/result_dir.go
@@ -59,6 +59,7 @@
 	return errors.Join(p.encoder.Close(), p.lock.Close())
 }
 
+// path returns the file of a key.
 func (p *ResultDir) path(key string) string { return filepath.Join(p.Dir, key+".run") }
 
 // Write stores a result under its key, completely or not at all.
--- a/internal/experiment/resultkey.go
+++ b/internal/experiment/resultkey.go
@@ -48,6 +48,7 @@
 	}
 }
 
+// printStruct prints a struct with the names of its fields.
 func printStruct(w io.Writer, v reflect.Value) {
 	separator := "{"
 	for i := range v.NumField() {
@@ -58,6 +59,7 @@
 	_, _ = io.WriteString(w, "}")
 }
 
+// printList prints a slice or an array.
 func printList(w io.Writer, v reflect.Value) {
 	_, _ = io.WriteString(w, "[")
 	for i := range v.Len() {
@@ -69,6 +71,7 @@
 	_, _ = io.WriteString(w, "]")
 }
 
+// printedName returns the name that a field is printed by.
 func printedName(f reflect.StructField) string {
 	if name, _, _ := strings.Cut(f.Tag.Get("json"), ","); name != "" {
 		return name
--- a/internal/fakes/auto_executor.go
+++ b/internal/fakes/auto_executor.go
@@ -34,18 +34,18 @@
 
 // NewAutoExecutor starts an executor on a loopback address and closes it at the end of the test.
 func NewAutoExecutor(t testing.TB, takes time.Duration, cores int) *AutoExecutor {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := &AutoExecutor{
-		Address: l.Addr().String(), ServiceTime: takes, Cores: cores, started: map[string]time.Time{},
-		launched: map[string]bool{}, listener: l,
+		Address: listener.Addr().String(), ServiceTime: takes, Cores: cores, started: map[string]time.Time{},
+		launched: map[string]bool{}, listener: listener,
 	}
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -80,6 +80,7 @@
 	return at, e.launchedTwice
 }
 
+// serve answers the lines of one connection until it ends.
 func (e *AutoExecutor) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
@@ -133,6 +134,7 @@
 	e.run(id)
 }
 
+// run puts a run on a core and sends its notice at the end. The caller holds e.mu.
 func (e *AutoExecutor) run(id string) {
 	e.busy++
 	takes := e.ServiceTime
--- a/internal/fakes/caller.go
+++ b/internal/fakes/caller.go
@@ -48,15 +48,15 @@
 // NewMixedCaller starts a caller that draws the operation of each request by its share. The order of draws depends on
 // from alone.
 func NewMixedCaller(address string, from int, every, wait time.Duration, mix []OperationShare) *Caller {
-	l := &Caller{address: address, from: from, every: every, wait: wait, mix: mix, stop: make(chan struct{}), done: make(chan struct{})}
-	go l.run()
-	return l
+	c := &Caller{address: address, from: from, every: every, wait: wait, mix: mix, stop: make(chan struct{}), done: make(chan struct{})}
+	go c.run()
+	return c
 }
 
 // draw draws the operation of a request. Without a mix there is one operation, of medium priority.
-func (l *Caller) draw(r *rand.Rand) OperationShare {
+func (c *Caller) draw(r *rand.Rand) OperationShare {
 	x := r.Float64()
-	for _, p := range l.mix {
+	for _, p := range c.mix {
 		if x -= p.Share; x < 0 {
 			return p
 		}
@@ -68,32 +68,33 @@
 // caller's number, which keeps its request ids apart from those of others. It goes on sending for ignoresGoAway after
 // the backend asked for no more.
 func NewCaller(address string, from int, every, wait, ignoresGoAway time.Duration) *Caller {
-	l := &Caller{address: address, from: from, every: every, wait: wait, ignoresGoAway: ignoresGoAway, stop: make(chan struct{}), done: make(chan struct{})}
-	go l.run()
-	return l
+	c := &Caller{address: address, from: from, every: every, wait: wait, ignoresGoAway: ignoresGoAway, stop: make(chan struct{}), done: make(chan struct{})}
+	go c.run()
+	return c
 }
 
 // Stop ends the load, waits for outstanding answers, and returns the course of all requests.
-func (l *Caller) Stop() []*SentRequest {
-	close(l.stop)
-	<-l.done
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.all
+func (c *Caller) Stop() []*SentRequest {
+	close(c.stop)
+	<-c.done
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.all
 }
 
-func (l *Caller) run() {
-	defer close(l.done)
-	tick := time.NewTicker(l.every)
+// run sends on one connection after the other until the load is stopped.
+func (c *Caller) run() {
+	defer close(c.done)
+	tick := time.NewTicker(c.every)
 	defer tick.Stop()
 	for {
 		select {
-		case <-l.stop:
+		case <-c.stop:
 			return
 		case <-tick.C:
 		}
-		if c, err := net.Dial("tcp", l.address); err == nil {
-			if l.serveConnection(c, tick.C) {
+		if conn, err := net.Dial("tcp", c.address); err == nil {
+			if c.serveConnection(conn, tick.C) {
 				return
 			}
 		} // a refused connection proves that nothing ran
@@ -101,16 +102,16 @@
 }
 
 // serveConnection uses one connection for as long as the backend allows. It reports whether the load has been stopped.
-func (l *Caller) serveConnection(c net.Conn, tick <-chan time.Time) (over bool) {
-	t := &callerConn{load: l, conn: c, open: map[uint32]*SentRequest{}, goAway: make(chan struct{}), ended: make(chan struct{})}
+func (c *Caller) serveConnection(conn net.Conn, tick <-chan time.Time) (over bool) {
+	t := &callerConn{caller: c, conn: conn, open: map[uint32]*SentRequest{}, goAway: make(chan struct{}), ended: make(chan struct{})}
 	go t.read()
-	defer func() { _ = c.Close() }()
+	defer func() { _ = conn.Close() }()
 	over = t.send(tick)
 	t.awaitAnswers()
-	_ = c.Close()
+	_ = conn.Close()
 	<-t.ended
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, s := range t.open {
 		s.Broken = s.Answers == 0 && !s.NeverSent && t.endedAt.Before(s.Due)
 	}
@@ -119,7 +120,7 @@
 
 // callerConn is one connection of a Caller: a reader, and a writer that follows the ticks.
 type callerConn struct {
-	load    *Caller
+	caller  *Caller
 	conn    net.Conn
 	open    map[uint32]*SentRequest // by stream, guarded by the caller's mutex
 	goAway  chan struct{}           // closed at the backend's go-away frame
@@ -152,13 +153,13 @@
 				close(t.goAway)
 			}
 		case frameAnswer:
-			t.load.mu.Lock()
+			t.caller.mu.Lock()
 			if s := t.open[f.Stream]; s != nil {
 				s.Answers++
 				s.Code, s.Answered = f.Code, time.Now()
 				s.WrongResult = f.Code == succeeded && f.Body != "result of "+s.ID
 			}
-			t.load.mu.Unlock()
+			t.caller.mu.Unlock()
 		}
 	}
 }
@@ -166,20 +167,20 @@
 // send sends one request a tick until the load is stopped (then over is true), the connection ends, or the backend
 // asked for no more and the time for which the caller ignores that has passed.
 func (t *callerConn) send(tick <-chan time.Time) (over bool) {
-	l := t.load
-	random := rand.New(rand.NewPCG(uint64(l.from), uint64(l.next)))
+	c := t.caller
+	random := rand.New(rand.NewPCG(uint64(c.from), uint64(c.next)))
 	noMore := t.goAway
 	var enough <-chan time.Time
 	for stream := uint32(1); ; {
 		select {
-		case <-l.stop:
+		case <-c.stop:
 			return true
 		case <-noMore:
 			noMore = nil
-			if l.ignoresGoAway == 0 {
+			if c.ignoresGoAway == 0 {
 				return false
 			}
-			enough = time.After(l.ignoresGoAway)
+			enough = time.After(c.ignoresGoAway)
 		case <-enough:
 			return false
 		case <-t.ended:
@@ -195,22 +196,22 @@
 
 // sendOne writes one request. It reports whether the connection took all of it.
 func (t *callerConn) sendOne(stream uint32, random *rand.Rand) bool {
-	l := t.load
-	l.mu.Lock()
-	l.next++
-	number := l.from<<24 + l.next
-	operation := l.draw(random)
+	c := t.caller
+	c.mu.Lock()
+	c.next++
+	number := c.from<<24 + c.next
+	operation := c.draw(random)
 	s := &SentRequest{ID: fmt.Sprintf("%016x", number), Operation: operation.Operation, At: time.Now()}
-	s.Due = s.At.Add(l.wait)
+	s.Due = s.At.Add(c.wait)
 	t.open[stream] = s
-	l.all = append(l.all, s)
-	l.mu.Unlock()
-	text := Invocation(stream, number, fmt.Sprint("wait=", l.wait.Milliseconds()), fmt.Sprint("from=", l.from),
+	c.all = append(c.all, s)
+	c.mu.Unlock()
+	text := Invocation(stream, number, fmt.Sprint("wait=", c.wait.Milliseconds()), fmt.Sprint("from=", c.from),
 		"class="+operation.Operation, fmt.Sprintf("rank=%.4f", operation.Priority))
 	if _, err := t.conn.Write([]byte(text)); err != nil {
-		l.mu.Lock()
+		c.mu.Lock()
 		s.NeverSent = true
-		l.mu.Unlock()
+		c.mu.Unlock()
 		return false
 	}
 	return true
@@ -218,22 +219,23 @@
 
 // awaitAnswers waits until no answer is outstanding or all are overdue, and a little longer, as an answer may come twice.
 func (t *callerConn) awaitAnswers() {
-	until := time.Now().Add(t.load.wait + 200*time.Millisecond)
+	until := time.Now().Add(t.caller.wait + 200*time.Millisecond)
 	for time.Now().Before(until) {
 		select {
 		case <-t.ended:
 			return
 		case <-time.After(5 * time.Millisecond):
-			if !t.load.awaitsAnswers(t.open) {
+			if !t.caller.awaitsAnswers(t.open) {
 				return
 			}
 		}
 	}
 }
 
-func (l *Caller) awaitsAnswers(open map[uint32]*SentRequest) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// awaitsAnswers reports whether an answer is outstanding.
+func (c *Caller) awaitsAnswers(open map[uint32]*SentRequest) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, s := range open {
 		if s.Answers == 0 && !s.NeverSent {
 			return true
--- a/internal/fakes/edge_node.go
+++ b/internal/fakes/edge_node.go
@@ -83,7 +83,7 @@
 
 // EdgeNode is an edge node with one connection.
 type EdgeNode struct {
-	t testing.TB
+	tb testing.TB
 	net.Conn
 	in *bufio.Reader
 }
@@ -91,17 +91,17 @@
 // Dial connects an edge node to a backend, until the end of the test.
 func Dial(t testing.TB, address string) *EdgeNode {
 	t.Helper()
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	return NewEdgeNode(t, c)
+	t.Cleanup(func() { _ = conn.Close() })
+	return NewEdgeNode(t, conn)
 }
 
 // NewEdgeNode wraps a connection. t may be nil where Send and Expect are not used.
-func NewEdgeNode(t testing.TB, c net.Conn) *EdgeNode {
-	return &EdgeNode{t: t, Conn: c, in: bufio.NewReader(c)}
+func NewEdgeNode(t testing.TB, conn net.Conn) *EdgeNode {
+	return &EdgeNode{tb: t, Conn: conn, in: bufio.NewReader(conn)}
 }
 
 // RoundTrip sends bytes and reads the next frame.
@@ -114,9 +114,9 @@
 
 // Send writes bytes unchanged and fails the test where it can't.
 func (n *EdgeNode) Send(parts ...string) {
-	n.t.Helper()
+	n.tb.Helper()
 	if _, err := io.WriteString(n.Conn, strings.Join(parts, "")); err != nil {
-		n.t.Fatal(err)
+		n.tb.Fatal(err)
 	}
 }
 
@@ -150,10 +150,10 @@
 
 // Expect reads a frame and fails the test where none comes.
 func (n *EdgeNode) Expect() Frame {
-	n.t.Helper()
+	n.tb.Helper()
 	f, err := n.Next()
 	if err != nil {
-		n.t.Fatalf("no further frame: %v", err)
+		n.tb.Fatalf("no further frame: %v", err)
 	}
 	return f
 }
--- a/internal/fakes/timedexecutor/executor.go
+++ b/internal/fakes/timedexecutor/executor.go
@@ -52,6 +52,7 @@
 	launchedEver  map[string]bool
 }
 
+// run is one run on the cores.
 type run struct {
 	endsAt    float64
 	id        string
@@ -85,25 +86,25 @@
 
 // Start opens an executor on an address; port 0 takes any free port.
 func Start(address string, config Config) (*Executor, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	e := &Executor{
-		Address: l.Addr().String(), config: config, listener: l, conns: map[net.Conn]bool{}, launched: map[string]bool{}, launchedEver: map[string]bool{},
+		Address: listener.Addr().String(), config: config, listener: listener, conns: map[net.Conn]bool{}, launched: map[string]bool{}, launchedEver: map[string]bool{},
 		advancedAt: time.Now(), sampledAt: time.Now(), slowdown: 1,
 	}
 	e.timer = time.AfterFunc(time.Hour, e.finishDue)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			e.mu.Lock()
-			e.conns[c] = true
+			e.conns[conn] = true
 			e.mu.Unlock()
-			go e.serve(c)
+			go e.serve(conn)
 		}
 	}()
 	return e, nil
@@ -116,8 +117,8 @@
 	e.closed = true
 	_ = e.listener.Close()
 	e.timer.Stop()
-	for c := range e.conns {
-		_ = c.Close()
+	for conn := range e.conns {
+		_ = conn.Close()
 	}
 }
 
@@ -204,17 +205,17 @@
 }
 
 // serve reads the lines of one connection until it ends or a line can't be used.
-func (e *Executor) serve(c net.Conn) {
+func (e *Executor) serve(conn net.Conn) {
 	defer func() {
-		_ = c.Close()
+		_ = conn.Close()
 		e.mu.Lock()
-		delete(e.conns, c)
-		if e.subscriber == c {
+		delete(e.conns, conn)
+		if e.subscriber == conn {
 			e.subscriber = nil
 		}
 		e.mu.Unlock()
 	}()
-	in := bufio.NewReader(c)
+	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
 		words := strings.Fields(line)
@@ -227,9 +228,9 @@
 			if err != nil || after < 0 {
 				return
 			}
-			e.subscribe(c, after)
+			e.subscribe(conn, after)
 		case "sample":
-			e.sample(c, words[1])
+			e.sample(conn, words[1])
 		case "launch":
 			if len(words) < 4 {
 				return
@@ -247,7 +248,8 @@
 	}
 }
 
-func (e *Executor) subscribe(c net.Conn, after int) {
+// subscribe makes a connection the subscriber, and sends the notices after a number. After 0 the backend is a new one.
+func (e *Executor) subscribe(conn net.Conn, after int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := "hot 3600000"
@@ -258,23 +260,25 @@
 		}
 		e.notices, e.launched = nil, map[string]bool{}
 	}
-	e.subscriber = c
-	fmt.Fprintf(c, "greeting %s\r\n", state)
+	e.subscriber = conn
+	fmt.Fprintf(conn, "greeting %s\r\n", state)
 	for _, n := range e.notices[min(after, len(e.notices)):] {
-		_, _ = c.Write(n)
+		_, _ = conn.Write(n)
 	}
 }
 
-func (e *Executor) sample(c net.Conn, token string) {
+// sample sends the gauges: use of the cores since the last sample, and the number of runs.
+func (e *Executor) sample(conn net.Conn, token string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advance()
 	span := max(1, float64(time.Since(e.sampledAt).Microseconds()))
 	use := min(1, (e.busyMicros-e.sampledMicros)/span/float64(e.config.Cores))
 	e.sampledMicros, e.sampledAt = e.busyMicros, time.Now()
-	fmt.Fprintf(c, "sampled %s %.3f %d 0.05 3\r\n", token, use, len(e.runs))
+	fmt.Fprintf(conn, "sampled %s %.3f %d 0.05 3\r\n", token, use, len(e.runs))
 }
 
+// launch starts a run, unless this incarnation of the backend has launched the id before.
 func (e *Executor) launch(id string, body []byte) {
 	work := float64(e.config.ServiceTime.Microseconds())
 	if rest, ok := bytes.CutPrefix(body, []byte("work=")); ok {
--- a/internal/loadgen/connection.go
+++ b/internal/loadgen/connection.go
@@ -29,65 +29,65 @@
 }
 
 // dial opens the connection and sends what is pending.
-func (l *connection) dial(address string) {
-	c, err := net.DialTimeout("tcp", address, time.Second)
-	l.sender.mu.Lock()
-	if err != nil || l.closed {
-		l.fail(simulation.Unreachable)
-		l.sender.mu.Unlock()
-		if c != nil {
-			_ = c.Close()
+func (c *connection) dial(address string) {
+	conn, err := net.DialTimeout("tcp", address, time.Second)
+	c.sender.mu.Lock()
+	if err != nil || c.closed {
+		c.fail(simulation.Unreachable)
+		c.sender.mu.Unlock()
+		if conn != nil {
+			_ = conn.Close()
 		}
 		return
 	}
-	l.conn = c
-	l.flush()
-	l.sender.mu.Unlock()
-	l.read(c)
+	c.conn = conn
+	c.flush()
+	c.sender.mu.Unlock()
+	c.read(conn)
 }
 
 // send appends a frame and starts writing. The caller holds the sender's mutex.
-func (l *connection) send(req *Request, invocation *frame.OutgoingInvocation) {
-	l.lastStream++
-	l.unanswered[l.lastStream] = &sentAttempt{request: req, id: invocation.ID}
+func (c *connection) send(req *Request, invocation *frame.OutgoingInvocation) {
+	c.lastStream++
+	c.unanswered[c.lastStream] = &sentAttempt{request: req, id: invocation.ID}
 	req.OpenAttempts++
-	l.pending = frame.AppendInvocation(l.pending, l.lastStream, invocation)
-	l.flush()
+	c.pending = frame.AppendInvocation(c.pending, c.lastStream, invocation)
+	c.flush()
 }
 
 // flush starts writing what is pending, without the mutex meanwhile. The caller holds it.
-func (l *connection) flush() {
-	if l.writing || l.conn == nil || len(l.pending) == 0 {
+func (c *connection) flush() {
+	if c.writing || c.conn == nil || len(c.pending) == 0 {
 		return
 	}
-	l.writing = true
+	c.writing = true
 	go func() {
 		for {
-			l.sender.mu.Lock()
-			out, c := l.pending, l.conn
-			l.pending = nil
-			if len(out) == 0 || l.closed {
-				l.writing = false
-				l.sender.mu.Unlock()
+			c.sender.mu.Lock()
+			out, conn := c.pending, c.conn
+			c.pending = nil
+			if len(out) == 0 || c.closed {
+				c.writing = false
+				c.sender.mu.Unlock()
 				return
 			}
-			l.sender.mu.Unlock()
-			if _, err := c.Write(out); err != nil {
-				_ = c.Close() // the reader handles the end
+			c.sender.mu.Unlock()
+			if _, err := conn.Write(out); err != nil {
+				_ = conn.Close() // the reader handles the end
 			}
 		}
 	}()
 }
 
 // read handles frames until the connection ends.
-func (l *connection) read(c net.Conn) {
-	defer func() { _ = c.Close() }()
+func (c *connection) read(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
 	const most = 262_144
 	buffer, have := make([]byte, 16<<10), 0
 	for {
-		n, err := c.Read(buffer[have:])
+		n, err := conn.Read(buffer[have:])
 		have += n
-		l.sender.mu.Lock()
+		c.sender.mu.Lock()
 		used := 0
 		for {
 			h, payload, took, bad := frame.SplitFrame(buffer[used:have], most)
@@ -98,7 +98,7 @@
 				break
 			}
 			used += took
-			if bad := l.handleFrame(h, payload); bad != nil {
+			if bad := c.handleFrame(h, payload); bad != nil {
 				err = bad
 			}
 		}
@@ -106,82 +106,82 @@
 		if have == len(buffer) {
 			buffer = append(buffer, make([]byte, len(buffer))...)
 		}
-		if err != nil || l.goingAway && l.allAnswered() {
-			l.fail(simulation.Reset)
-			l.sender.mu.Unlock()
+		if err != nil || c.goingAway && c.allAnswered() {
+			c.fail(simulation.Reset)
+			c.sender.mu.Unlock()
 			return
 		}
-		l.sender.mu.Unlock()
+		c.sender.mu.Unlock()
 	}
 }
 
 // allAnswered reports whether nothing is unanswered or pending. The caller holds the sender's mutex.
-func (l *connection) allAnswered() bool {
-	for _, x := range l.unanswered {
+func (c *connection) allAnswered() bool {
+	for _, x := range c.unanswered {
 		if !x.request.Finished {
 			return false
 		}
 	}
-	return len(l.pending) == 0
+	return len(c.pending) == 0
 }
 
 // handleFrame handles one frame. The caller holds the sender's mutex.
-func (l *connection) handleFrame(h frame.Header, payload []byte) error {
+func (c *connection) handleFrame(h frame.Header, payload []byte) error {
 	switch h.Kind {
 	case frame.KindGoAway:
-		l.goingAway = true
-		if l.sender.connections[[2]int{l.node, l.backend}] == l { // the next attempt opens another connection
-			delete(l.sender.connections, [2]int{l.node, l.backend})
+		c.goingAway = true
+		if c.sender.connections[[2]int{c.node, c.backend}] == c { // the next attempt opens another connection
+			delete(c.sender.connections, [2]int{c.node, c.backend})
 		}
 	case frame.KindAnswer:
 		ans, err := frame.ReadAnswer(payload)
 		if err != nil {
 			return err
 		}
-		x := l.unanswered[h.Stream]
+		x := c.unanswered[h.Stream]
 		if x == nil {
-			if h.Stream > 0 && h.Stream <= l.lastStream { // a second answer
-				l.sender.report.DuplicateAnswers++
+			if h.Stream > 0 && h.Stream <= c.lastStream { // a second answer
+				c.sender.report.DuplicateAnswers++
 			}
 			return nil
 		}
-		delete(l.unanswered, h.Stream)
+		delete(c.unanswered, h.Stream)
 		x.request.OpenAttempts--
 		heard := Response{Outcome: simulation.Errored, RetryAfter: ans.After, DontRetry: ans.Last}
 		switch ans.Code {
 		case frame.Succeeded:
 			heard.Outcome = simulation.Succeeded
 			if !bytes.Equal(ans.Body, []byte("result of "+x.id)) {
-				l.sender.report.UnknownResults++
+				c.sender.report.UnknownResults++
 			}
 		case frame.Throttled:
 			heard.Outcome = simulation.Throttled
 		}
-		l.sender.handleResponse(x.request, l.node, l.backend, heard)
+		c.sender.handleResponse(x.request, c.node, c.backend, heard)
 	}
 	return nil
 }
 
 // fail ends the connection; unanswered attempts end with the outcome. The caller holds the sender's mutex.
-func (l *connection) fail(out simulation.Outcome) {
-	if l.closed {
+func (c *connection) fail(out simulation.Outcome) {
+	if c.closed {
 		return
 	}
-	l.closed = true
-	if l.sender.connections[[2]int{l.node, l.backend}] == l {
-		delete(l.sender.connections, [2]int{l.node, l.backend})
+	c.closed = true
+	if c.sender.connections[[2]int{c.node, c.backend}] == c {
+		delete(c.sender.connections, [2]int{c.node, c.backend})
 	}
-	for _, x := range l.unanswered {
+	for _, x := range c.unanswered {
 		x.request.OpenAttempts--
-		l.sender.handleResponse(x.request, l.node, l.backend, Response{Outcome: out})
+		c.sender.handleResponse(x.request, c.node, c.backend, Response{Outcome: out})
 	}
-	clear(l.unanswered)
+	clear(c.unanswered)
 }
 
 // close closes the socket. The caller holds the sender's mutex.
-func (l *connection) close() {
-	l.closed = true
-	if l.conn != nil {
-		_ = l.conn.Close()
+func (c *connection) close() {
+	c.closed = true
+	if c.conn != nil {
+		_ = c.conn.Close()
 	}
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -30,11 +30,11 @@
 	for _, op := range []int{0, 2} {
 		for _, out := range []simulation.Outcome{simulation.Throttled, simulation.Errored, simulation.Unreachable, simulation.Reset} {
 			for _, attempts := range []int{1, 3} {
-				for _, h := range []Response{{Outcome: out}, {Outcome: out, DontRetry: true}} {
+				for _, response := range []Response{{Outcome: out}, {Outcome: out, DontRetry: true}} {
 					for _, ignoresAdvice := range []bool{false, true} {
 						req := &Request{Arrival: simulation.Arrival{Operation: op}, Due: simulation.Second, Attempts: attempts}
-						backoff, retry := Next(s, 0, req, h, ignoresAdvice, rand.New(rand.NewPCG(1, 1)))
-						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, simulation.Outcomes()[out], attempts, h.DontRetry, ignoresAdvice, retry, backoff)
+						backoff, retry := Next(s, 0, req, response, ignoresAdvice, rand.New(rand.NewPCG(1, 1)))
+						tr.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us", s.Operations[op].Name, simulation.Outcomes()[out], attempts, response.DontRetry, ignoresAdvice, retry, backoff)
 					}
 				}
 			}
--- a/internal/loadgen/retry.go
+++ b/internal/loadgen/retry.go
@@ -50,11 +50,11 @@
 
 // RecordResponse takes in a Retry-After, or that a backend could not be reached: it is avoided for as long. A node that
 // ignores advice honours no Retry-After.
-func (b *BackendView) RecordResponse(now Micros, backend int, h Response, ignoresAdvice bool) {
-	switch h.Outcome {
+func (b *BackendView) RecordResponse(now Micros, backend int, response Response, ignoresAdvice bool) {
+	switch response.Outcome {
 	case simulation.Throttled:
 		if !ignoresAdvice {
-			b.AvoidUntil[backend] = max(b.AvoidUntil[backend], now+h.RetryAfter)
+			b.AvoidUntil[backend] = max(b.AvoidUntil[backend], now+response.RetryAfter)
 		}
 	case simulation.Unreachable, simulation.Reset:
 		b.AvoidUntil[backend] = now + unreachableBackoff
@@ -73,10 +73,10 @@
 
 // Next decides after an attempt without success whether the request is retried, and after which pause. A node that
 // ignores advice honours neither "don't retry" nor the growth of the backoff.
-func Next(s *simulation.Scenario, now Micros, req *Request, h Response, ignoresAdvice bool, random *rand.Rand) (backoff Micros, retry bool) {
+func Next(s *simulation.Scenario, now Micros, req *Request, response Response, ignoresAdvice bool, random *rand.Rand) (backoff Micros, retry bool) {
 	op := &s.Operations[req.Operation]
-	ran := h.Outcome != simulation.Throttled && h.Outcome != simulation.Unreachable
-	if ran && op.RetrySafety == admission.NonIdempotent || h.DontRetry && !ignoresAdvice || s.Nodes.MaxAttempts > 0 && req.Attempts >= s.Nodes.MaxAttempts {
+	ran := response.Outcome != simulation.Throttled && response.Outcome != simulation.Unreachable
+	if ran && op.RetrySafety == admission.NonIdempotent || response.DontRetry && !ignoresAdvice || s.Nodes.MaxAttempts > 0 && req.Attempts >= s.Nodes.MaxAttempts {
 		return 0, false
 	}
 	wait := float64(s.Nodes.Backoff)
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -118,6 +118,7 @@
 	return s.finishReport(), nil
 }
 
+// now returns the time of the day.
 func (s *sender) now() Micros { return Micros(time.Since(s.startedAt).Microseconds()) }
 
 // finishReport completes the report.
@@ -184,22 +185,22 @@
 	if len(s.scenario.Tenants) > 0 {
 		invocation.Tenant = s.scenario.Tenants[req.Tenant].Name
 	}
-	l := s.connections[[2]int{req.Node, b}]
-	if l == nil {
-		l = &connection{sender: s, node: req.Node, backend: b, unanswered: map[uint32]*sentAttempt{}}
-		s.connections[[2]int{req.Node, b}] = l
-		go l.dial(s.options.Backends[b])
+	c := s.connections[[2]int{req.Node, b}]
+	if c == nil {
+		c = &connection{sender: s, node: req.Node, backend: b, unanswered: map[uint32]*sentAttempt{}}
+		s.connections[[2]int{req.Node, b}] = c
+		go c.dial(s.options.Backends[b])
 	}
-	l.send(req, invocation)
+	c.send(req, invocation)
 }
 
 // handleResponse handles the end of an attempt. The caller holds s.mu.
-func (s *sender) handleResponse(req *Request, node, backend int, h Response) {
+func (s *sender) handleResponse(req *Request, node, backend int, response Response) {
 	if req.Finished {
 		return
 	}
 	now := s.now()
-	if h.Outcome == simulation.Succeeded {
+	if response.Outcome == simulation.Succeeded {
 		took := now - req.At
 		req.Finished = true
 		s.report.RecordOutcome(s.scenario, now, req.Operation, req.Tenant, simulation.Succeeded, took, EarnedValue(&s.scenario.Operations[req.Operation], took))
@@ -207,15 +208,15 @@
 		s.closeIfDone()
 		return
 	}
-	s.views[node].RecordResponse(now, backend, h, s.ignoresAdvice[node])
-	s.retryOrEnd(req, h)
+	s.views[node].RecordResponse(now, backend, response, s.ignoresAdvice[node])
+	s.retryOrEnd(req, response)
 }
 
 // retryOrEnd retries or ends a request after an attempt without success. The caller holds s.mu.
-func (s *sender) retryOrEnd(req *Request, h Response) {
-	backoff, retry := Next(s.scenario, s.now(), req, h, s.ignoresAdvice[req.Node], s.rand)
+func (s *sender) retryOrEnd(req *Request, response Response) {
+	backoff, retry := Next(s.scenario, s.now(), req, response, s.ignoresAdvice[req.Node], s.rand)
 	if !retry {
-		s.endRequest(req, h.Outcome)
+		s.endRequest(req, response.Outcome)
 		return
 	}
 	time.AfterFunc(time.Duration(backoff)*time.Microsecond, func() {
@@ -235,11 +236,12 @@
 	s.closeIfDone()
 }
 
+// closeConnections closes all connections.
 func (s *sender) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.connections {
-		l.close()
+	for _, c := range s.connections {
+		c.close()
 	}
 }
 
--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -116,6 +116,7 @@
 	return x
 }
 
+// pick returns the first of n indexes whose upper bound lies above x, else the last.
 func pick(x float64, n int, upTo func(int) float64) int {
 	for i := range n {
 		if x < upTo(i) {
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -200,6 +200,7 @@
 	heap.Push(&w.queue, event{at: w.now + after, kind: kind, index: index, reference: reference, sequence: w.sequence})
 }
 
+// micros converts a duration to whole microseconds.
 func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 
 // handle executes one event.
--- a/internal/simulation/dispatch.go
+++ b/internal/simulation/dispatch.go
@@ -95,6 +95,7 @@
 	return true
 }
 
+// handleAttempt executes an event of an attempt.
 func (w *world) handleAttempt(e *event) {
 	switch e.kind {
 	case evReach:
@@ -110,6 +111,7 @@
 	}
 }
 
+// handleRequest executes an event of a request.
 func (w *world) handleRequest(e *event) {
 	req := &w.requests[e.subject]
 	switch {
@@ -125,4 +127,5 @@
 	}
 }
 
+// sameAttempt reports whether the attempt of an event is still the same.
 func (w *world) sameAttempt(e *event) bool { return w.attempts[e.subject].gen == e.gen }
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -41,6 +41,7 @@
 	kind            eventKind
 }
 
+// before reports whether an event is executed before another.
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
 // queue holds the scheduled events. Most events come after one of a few fixed delays (the network's, a client's
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -100,6 +100,7 @@
 	return nil
 }
 
+// operationNames returns the names of the operations, in order.
 func (s *Scenario) operationNames() (names []string) {
 	for _, op := range s.Operations {
 		names = append(names, op.Name)
@@ -107,6 +108,7 @@
 	return names
 }
 
+// tenantNames returns the names of the tenants, in order.
 func (s *Scenario) tenantNames() (names []string) {
 	for _, t := range s.Tenants {
 		names = append(names, t.Name)
--- a/internal/simulation/host_agent.go
+++ b/internal/simulation/host_agent.go
@@ -27,6 +27,7 @@
 	agentPeriod   = 25 * Millisecond
 )
 
+// agentName returns the name of an agent's k-th instance, as in its fleet's file.
 func agentName(k int) string { return fmt.Sprintf("h%d", k+1) }
 
 // startAgents starts as many agents as the hosts need, for a release that is decided by fleet.Machine.
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -64,6 +64,7 @@
 	w.queue.push(event{at: Micros(w.faultRand.Float64() * float64(w.scenario.Nodes.RefreshInterval)), kind: evRefresh, subject: i})
 }
 
+// gcd returns the greatest common divisor.
 func gcd(a, b int) int {
 	for b != 0 {
 		a, b = b, a%b
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -20,6 +20,7 @@
 	Source      string              // where the algorithm is from
 }
 
+// balance returns the balancing policy of the nodes.
 func (p *Policy) balance(s *Scenario) Balance {
 	if p.Balance != nil {
 		return *p.Balance
@@ -27,6 +28,7 @@
 	return s.Nodes.Balance
 }
 
+// throttles reports whether nodes throttle on the client side.
 func (p *Policy) throttles(s *Scenario) bool { return p.Throttles || s.Nodes.Throttles }
 
 // Module is the name of the policy that is admission.Backend, unchanged.
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -47,6 +47,7 @@
 	limitNames []string
 }
 
+// hostName returns a host's name at the quota store.
 func hostName(n int32) string { return fmt.Sprint("n", n) }
 
 // openQuotas sets up the quota store or the holders of the day.
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -15,6 +15,7 @@
 	return nil
 }
 
+// checkHosts checks the sizes of the fleet and the hosts' configuration.
 func (s *Scenario) checkHosts() error {
 	h, n := &s.Hosts, &s.Nodes
 	switch {
@@ -56,6 +57,7 @@
 	return &ScenarioError{Scenario: s.Name, Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
+// checkOperations checks the operations.
 func (s *Scenario) checkOperations() error {
 	total := 0.0
 	for _, op := range s.Operations {
@@ -70,6 +72,7 @@
 	return nil
 }
 
+// checkRecorded checks the recorded load.
 func (s *Scenario) checkRecorded() error {
 	for i, r := range s.Load.Recorded {
 		if r.Operation >= len(s.Operations) || r.Operation < 0 || r.Work <= 0 || i > 0 && r.At < s.Load.Recorded[i-1].At {
@@ -79,13 +82,14 @@
 	return nil
 }
 
+// checkFaults checks the faults.
 func (s *Scenario) checkFaults() error {
-	for _, t := range s.Faults {
-		if t.At < 0 || t.At > s.Duration || t.Share < 0 || t.Share > 1 || t.Factor < 0 {
-			return s.invalid("trouble "+t.Kind.String(), "at %d us, share %g, factor %g", t.At, t.Share, t.Factor)
+	for _, fault := range s.Faults {
+		if fault.At < 0 || fault.At > s.Duration || fault.Share < 0 || fault.Share > 1 || fault.Factor < 0 {
+			return s.invalid("trouble "+fault.Kind.String(), "at %d us, share %g, factor %g", fault.At, fault.Share, fault.Factor)
 		}
-		if t.Kind == TenantBurst && (t.Tenant < 0 || t.Tenant >= len(s.Tenants)) {
-			return s.invalid("trouble "+t.Kind.String(), "tenant %d of %d", t.Tenant, len(s.Tenants))
+		if fault.Kind == TenantBurst && (fault.Tenant < 0 || fault.Tenant >= len(s.Tenants)) {
+			return s.invalid("trouble "+fault.Kind.String(), "tenant %d of %d", fault.Tenant, len(s.Tenants))
 		}
 	}
 	return nil
--- a/internal/simulation/scenario_file.go
+++ b/internal/simulation/scenario_file.go
@@ -73,6 +73,7 @@
 	return s
 }
 
+// readHosts reads (hosts ...).
 func readHosts(f *sexpr.Form, h *HostConfig) {
 	const mb = 1024
 	h.Count = f.Int("count", 1, MaxHosts, h.Count)
@@ -98,6 +99,7 @@
 	f.Done()
 }
 
+// readNodes reads (nodes ...).
 func readNodes(f *sexpr.Form, n *NodeConfig) {
 	n.Count = f.Int("count", 1, MaxNodes, n.Count)
 	n.Subset = f.Int("subset", 0, MaxHosts, n.Subset)
@@ -115,6 +117,7 @@
 	f.Done()
 }
 
+// readOperation reads (operation NAME ...).
 func readOperation(f *sexpr.Form) Operation {
 	o := Operation{
 		Name: f.Arg(), Value: f.Share("value", 0, 1e9, 1), Priority: f.Share("rank", 0, 1, 0.5), Share: f.Share("share", 0, 1, 1),
@@ -129,6 +132,7 @@
 	return o
 }
 
+// readFault reads (trouble KIND ...).
 func readFault(f *sexpr.Form, s *Scenario) Fault {
 	t := Fault{
 		At: micros(f.Span("at", noTime, day, noTime)), Duration: micros(f.Span("for", noTime, day, 10*time.Second)), Share: f.Share("share", 0, 1, 0.25),
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -23,8 +23,10 @@
 	Message      string   `json:"message,omitempty"`
 }
 
+// millis converts a time to the wire's milliseconds.
 func millis(t admission.Micros) float64 { return float64(t) / 1000 }
 
+// writeLine encodes a message: an object with its name and fields.
 func writeLine(w io.Writer, name string, body any) error {
 	return json.NewEncoder(w).Encode(map[string]any{name: body})
 }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -61,6 +61,7 @@
 // optionalString is a string that may also come as null or as the number 0, meaning none.
 type optionalString string
 
+// UnmarshalJSON implements json.Unmarshaler.
 func (t *optionalString) UnmarshalJSON(raw []byte) error {
 	if string(raw) == "null" || string(raw) == "0" {
 		return nil
@@ -103,6 +104,7 @@
 	return msg, err
 }
 
+// decode sets the message's event, or the time of a Sync, from its fields.
 func (msg *Message) decode(f *fields) error {
 	switch msg.Name {
 	case "Sync":
