--- a/internal/cluster/coldstart/invariants_test.go
+++ b/internal/cluster/coldstart/invariants_test.go
@@ -20,7 +20,7 @@
 
 // TestPauseIsKept: after failures in a row nothing starts until the pause is ended.
 func TestPauseIsKept(t *testing.T) {
-	s := newTestStart(t, terms(4), "a", "b", "c")
+	s := newTestStart(t, testConfig(4), "a", "b", "c")
 	for range pauseAfterFailures {
 		if ok, why := s.RequestStart("a"); !ok {
 			t.Fatal(why)
@@ -38,7 +38,7 @@
 
 // TestFullSaysSo: who finds no capacity is told that, and who stands ahead of it is not blamed.
 func TestFullSaysSo(t *testing.T) {
-	s := newTestStart(t, terms(1), "a", "b")
+	s := newTestStart(t, testConfig(1), "a", "b")
 	s.RequestStart("a")
 	if ok, why := s.RequestStart("b"); ok || !strings.Contains(why, "1 are under way, 1 may be") {
 		t.Fatalf("%v %q", ok, why)
@@ -47,7 +47,7 @@
 
 // TestSlowStartDecreases: a start that takes a multiple of its group's fastest halves the limit.
 func TestSlowStartDecreases(t *testing.T) {
-	s := newTestStart(t, terms(8), "a", "b", "c", "d", "e")
+	s := newTestStart(t, testConfig(8), "a", "b", "c", "d", "e")
 	for i, took := range []Micros{1000, 1000, 3001} {
 		name := string(rune('a' + i))
 		if ok, why := s.RequestStart(name); !ok {
@@ -61,17 +61,17 @@
 	}
 }
 
-// TestDuplicateName: a name can stand in a cold start once.
+// TestDuplicateName: a cold start has no two members of one name.
 func TestDuplicateName(t *testing.T) {
 	m := Member{Name: "a", Group: "g", Host: "h"}
-	if _, err := New("r", terms(4), []Member{m, m}); err == nil {
-		t.Fatal("a name that stands twice was accepted")
+	if _, err := New("r", testConfig(4), []Member{m, m}); err == nil {
+		t.Fatal("a duplicate name was accepted")
 	}
 }
 
-// TestLimitBounded: the limit grows to the most that was set and by no thousandth further.
+// TestLimitBounded: the limit grows to the configured one and by no thousandth further.
 func TestLimitBounded(t *testing.T) {
-	s := newTestStart(t, terms(2), "a", "b")
+	s := newTestStart(t, testConfig(2), "a", "b")
 	s.ScaledLimit = 2*limitScale - 1
 	s.RequestStart("a")
 	if s.Report("a", Outcome{Ready: true, Took: 1000}); s.ScaledLimit != 2*limitScale {
@@ -79,12 +79,12 @@
 	}
 }
 
-// TestSilentMemberIsPassed: a member that asked once and never again holds up those behind it for a bounded time.
+// TestSilentMemberIsPassed: a member that stopped requesting delays those behind it for a bounded time.
 func TestSilentMemberIsPassed(t *testing.T) {
-	s := newTestStart(t, terms(1), "a", "b", "c")
+	s := newTestStart(t, testConfig(1), "a", "b", "c")
 	s.RequestStart("c")
 	first := s.Members[0].Name
-	s.RequestStart(first) // it waits while c is under way
+	s.RequestStart(first) // it waits while c is starting
 	s.Report("c", Outcome{Ready: true, Took: 1000})
 	last := s.Members[1].Name
 	for n := range 2 * requestWindow {
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -14,20 +14,20 @@
 	"milletbarrow/internal/process"
 )
 
-// hosts are some agents' lists in this process, with links between them.
+// hosts are the lists of some agents in this process, with links between them that a test can cut.
 type hosts struct {
 	*proxy.Mesh
-	t     *testing.T
-	at    []string
-	lists map[string]*List
-	ends  map[string]func()
+	t         *testing.T
+	addresses []string
+	lists     map[string]*List
+	ends      map[string]func()
 
-	mu    sync.Mutex
-	heard map[string]map[State]int // by judged host: how often some other came to a state
+	mu      sync.Mutex
+	changes map[string]map[State]int // by host: how often another judged it to have come to a state
 }
 
 func newHosts(t *testing.T, n int) *hosts {
-	h := &hosts{t: t, lists: map[string]*List{}, ends: map[string]func(){}, heard: map[string]map[State]int{}}
+	h := &hosts{t: t, lists: map[string]*List{}, ends: map[string]func(){}, changes: map[string]map[State]int{}}
 	names := make([]string, 0, n)
 	for i := range n {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.28.%d:0", i+1))
@@ -35,11 +35,11 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		names, h.at = append(names, fmt.Sprint("h", i+1)), append(h.at, l.Addr().String())
-		h.heard[names[i]] = map[State]int{}
+		names, h.addresses = append(names, fmt.Sprint("h", i+1)), append(h.addresses, l.Addr().String())
+		h.changes[names[i]] = map[State]int{}
 	}
 	var err error
-	if h.Mesh, err = proxy.NewMesh(names, h.at); err != nil {
+	if h.Mesh, err = proxy.NewMesh(names, h.addresses); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.Close)
@@ -49,7 +49,7 @@
 func (h *hosts) start(i int, incarnation uint64) {
 	h.t.Helper()
 	name := h.Names[i]
-	n, err := transport.Listen(name, h.at[i], h.To(name), limits.ForControl())
+	n, err := transport.Listen(name, h.addresses[i], h.To(name), limits.ForControl())
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 		OnChange: func(s Member) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.heard[s.Host][s.State]++
+			h.changes[s.Host][s.State]++
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -82,7 +82,7 @@
 	}
 }
 
-// judged waits until every list but that of one host judges it so, and says how long that took.
+// judged waits until every list but a host's own judges it to be in a state, and returns how long that took.
 func (h *hosts) judged(name string, state State, within time.Duration) time.Duration {
 	h.t.Helper()
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestCuts: one bad link condemns nobody, in one direction or both; who is cut off from all is gone, and comes back.
+// TestCuts: one bad link, in one direction or both, makes no agent dead; one that is cut off from all is, until it is back.
 func TestCuts(t *testing.T) {
 	h := newHosts(t, 5)
 	for i := range h.Names {
@@ -113,36 +113,36 @@
 	for _, name := range h.Names {
 		h.judged(name, Alive, 20*time.Second)
 	}
-	gone := func() (n int) {
+	deaths := func() (n int) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		for _, states := range h.heard {
+		for _, states := range h.changes {
 			n += states[Dead]
 		}
 		return n
 	}
 	h.Way("h1", "h2").Hold(true)
 	time.Sleep(4 * time.Second)
-	if n := gone(); n > 0 {
-		t.Errorf("one way from h1 to h2 was cut, and %d times somebody was judged gone", n)
+	if n := deaths(); n > 0 {
+		t.Errorf("one direction between h1 and h2 was cut, and %d times an agent was judged dead", n)
 	}
 	h.Way("h2", "h1").Hold(true)
 	time.Sleep(4 * time.Second)
-	if n := gone(); n > 0 {
-		t.Errorf("the link between h1 and h2 was cut, and %d times somebody was judged gone", n)
+	if n := deaths(); n > 0 {
+		t.Errorf("the link between h1 and h2 was cut, and %d times an agent was judged dead", n)
 	}
 	h.Way("h1", "h2").Hold(false)
 	h.Way("h2", "h1").Hold(false)
 	h.Alone("h3", true, true, true)
-	t.Logf("cut off from all: gone after %v", h.judged("h3", Dead, 30*time.Second).Round(10*time.Millisecond))
+	t.Logf("cut off from all: dead after %v", h.judged("h3", Dead, 30*time.Second).Round(10*time.Millisecond))
 	h.Alone("h3", true, true, false)
-	t.Logf("let back: alive after %v", h.judged("h3", Alive, 30*time.Second).Round(10*time.Millisecond))
+	t.Logf("connected again: alive after %v", h.judged("h3", Alive, 30*time.Second).Round(10*time.Millisecond))
 	h.Alone("h4", true, false, true)
-	t.Logf("heard by nobody, hearing all: gone after %v", h.judged("h4", Dead, 30*time.Second).Round(10*time.Millisecond))
+	t.Logf("what it sends is lost: dead after %v", h.judged("h4", Dead, 30*time.Second).Round(10*time.Millisecond))
 	h.Alone("h4", true, false, false)
 	h.judged("h4", Alive, 30*time.Second)
 
-	// A host that comes back is another incarnation.
+	// A host that restarts is another incarnation.
 	h.ends["h5"]()
 	delete(h.ends, "h5")
 	delete(h.lists, "h5")
--- a/internal/cluster/quorum/quorum_test.go
+++ b/internal/cluster/quorum/quorum_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestForgotten plays a group's log: entries are committed by halves, then one member is set back and judges. Whatever
-// it forgot, it must know that it is behind.
+// TestForgotten simulates a group's log: entries are committed by majorities, then one member is set back to an older copy.
+// Whatever it lost, it must find out that it is behind.
 func TestForgotten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 7).Draw(t, "members")
@@ -21,8 +21,8 @@
 				term++
 			}
 			entry := LogPosition{term, uint64(step + 1), term}
-			half := rapid.Permutation(seq(n)).Draw(t, "half")[:n/2+1]
-			for _, m := range half {
+			majority := rapid.Permutation(seq(n)).Draw(t, "majority")[:n/2+1]
+			for _, m := range majority {
 				logs[m] = entry
 			}
 			committed = entry
@@ -36,16 +36,16 @@
 		if !EnoughResponses(n, heard) {
 			return
 		}
-		var told []LogPosition
+		var positions []LogPosition
 		for _, m := range others[:heard] {
-			told = append(told, logs[m])
+			positions = append(positions, logs[m])
 		}
-		f := Assess(logs[me], told)
+		f := Assess(logs[me], positions)
 		if isBehind(copied.LogTerm, copied.Index, committed) && !f.Behind {
-			t.Fatalf("has %+v, %+v was committed, and thinks itself fit: %+v", copied, committed, f)
+			t.Fatalf("has %+v, %+v was committed, and it counts as complete: %+v", copied, committed, f)
 		}
 		if f.Bootstrap && committed.Index > 0 {
-			t.Fatal("begins a group anew that has committed")
+			t.Fatal("bootstraps a group that has committed entries")
 		}
 		if f.AdoptTerm < committed.Term && copied.Term < committed.Term {
 			t.Fatalf("term %d was reached, may vote in %d", committed.Term, f.AdoptTerm)
@@ -60,7 +60,8 @@
 	return all
 }
 
-func TestNext(t *testing.T) {
+// TestNextChange: additions come first, the leader is removed last.
+func TestNextChange(t *testing.T) {
 	has, wanted := []string{"a", "b", "c"}, []string{"c", "d", "e"}
 	var steps []Change
 	for range 9 {
@@ -79,6 +80,6 @@
 		t.Fatalf("steps %v, wanted %v", steps, want)
 	}
 	if ValidateMembers([]string{"a", "b"}) == nil || ValidateMembers([]string{"a", "b", "a"}) == nil || ValidateMembers([]string{"a"}) != nil {
-		t.Fatal("groups are judged wrongly")
+		t.Fatal("groups are validated wrongly")
 	}
 }
--- a/internal/cluster/quotastore/bench_test.go
+++ b/internal/cluster/quotastore/bench_test.go
@@ -12,8 +12,8 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// BenchmarkRenew is how many renewals a second a group bears, asked through any of its members, each of one host with ten
-// backends, and durable on a majority's disks before it is answered.
+// BenchmarkRenew measures renewals a second through any member of a group, each of one host with ten backends and durable on
+// a majority's disks before it is answered.
 func BenchmarkRenew(b *testing.B) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	for _, n := range []int{1, 3, 5} {
@@ -23,7 +23,7 @@
 			for i := range 5000 {
 				floors[fmt.Sprint("n", i)] = 1
 			}
-			g.terms = &quota.Config{Version: 1, Limits: []quota.Limit{{
+			g.config = &quota.Config{Version: 1, Limits: []quota.Limit{{
 				Name: "b", Kind: quota.Rate, Total: 100_000, Floors: floors, Division: quota.DivideByDemand, Step: 1, Lease: 3_000_000, ClockMargin: 150_000, Tenant: "t",
 			}}}
 			for _, name := range g.names {
--- a/internal/cluster/quotastore/boltstore_test.go
+++ b/internal/cluster/quotastore/boltstore_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// TestBoltLog: entries are deleted with both ends of a range, and one that is not there is told as such.
+// TestBoltLog: entries are deleted with both ends of a range, and one that is missing is an error of its own.
 func TestBoltLog(t *testing.T) {
 	s := newBoltStore(t)
 	for i := uint64(1); i <= 5; i++ {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestBoltSetRetries: a value that can't be written is tried again until the store is closed, as the consensus library
-// would end its whole process else.
+// TestBoltSetRetries: a value that can't be written is retried until the store is closed, as the consensus library
+// would end the process else.
 func TestBoltSetRetries(t *testing.T) {
 	s := newBoltStore(t)
 	if err := s.db.Close(); err != nil { // writes fail from here on
@@ -66,7 +66,7 @@
 			t.Fatal("a closed store took a value")
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("a closed store is written to still")
+		t.Fatal("a closed store is still written to")
 	}
 }
 
--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestRestore: a state that is read back knows its totals.
+// TestRestore: a restored state has its totals.
 func TestRestore(t *testing.T) {
 	from, to := &Store{state: quota.NewState()}, &Store{}
 	config := quota.Config{Version: 1, Limits: []quota.Limit{{
@@ -88,6 +88,6 @@
 		t.Fatal(err)
 	}
 	if got := to.state.Usages()[0].InForce; want == 0 || got != want {
-		t.Errorf("%d in force after it was read back, %d before", got, want)
+		t.Errorf("%d in force after the restore, %d before", got, want)
 	}
 }
--- a/internal/cluster/quotastore/leader_test.go
+++ b/internal/cluster/quotastore/leader_test.go
@@ -14,11 +14,11 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// TestSoleReplicaRestarts: the only replica may have been started on an older copy of its directory; nothing grows until
-// the leases are over that it may have granted, and what only the leader may say is taken from no other.
+// TestSoleReplicaRestarts: the only replica may have been started on an older copy of its directory; no grant grows until
+// the leases have expired that it may have granted, and commands of the leader are accepted from no other agent.
 func TestSoleReplicaRestarts(t *testing.T) {
 	g := newGroup(t, 1)
-	g.terms = &quota.Config{Version: 1, Limits: []quota.Limit{{
+	g.config = &quota.Config{Version: 1, Limits: []quota.Limit{{
 		Name: "b", Kind: quota.Rate, Total: 10, Floors: map[string]int64{"n": 3}, Division: quota.DivideEvenly, Step: 1,
 		Lease: 60_000_000, ClockMargin: 3_000_000, Tenant: "t",
 	}}}
@@ -41,7 +41,7 @@
 	if err != nil || len(res.Answers) != 1 || res.Answers[0].Grants[0].Floor != 0 || res.Answers[0].Grants[0].Extra != 0 {
 		t.Errorf("granted while growth is frozen: %+v, %v", res, err)
 	}
-	other := *g.terms
+	other := *g.config
 	other.Version = 99
 	store := g.node("h1")
 	mux := http.NewServeMux()
@@ -60,12 +60,12 @@
 	}
 }
 
-// TestOlderFileChangesNoMembers: an agent with an older file does not undo what a newer one asked for.
+// TestOlderFileChangesNoMembers: an agent with an older file does not undo what a newer one configured.
 func TestOlderFileChangesNoMembers(t *testing.T) {
 	g := newGroup(t, 3)
-	newer := *g.terms
+	newer := *g.config
 	newer.Version = 5
-	g.terms = &newer
+	g.config = &newer
 	for _, n := range g.names {
 		g.start(n)
 	}
@@ -77,7 +77,7 @@
 		g.node(n).SetConfig(&older, g.names[:1])
 	}
 	time.Sleep(time.Second)
-	g.asked = g.names
+	g.members = g.names
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	v, err := g.node("h1").Status(ctx)
--- a/internal/cluster/quotastore/quotastore_test.go
+++ b/internal/cluster/quotastore/quotastore_test.go
@@ -24,15 +24,15 @@
 	"milletbarrow/internal/process"
 )
 
-// group is some nodes in this process, with links between them.
+// testGroup is some stores in this process, with links between them that a test can cut.
 type testGroup struct {
 	t     testing.TB
 	dir   string
 	names []string
 	at    map[string]string
 	*proxy.Mesh
-	terms *quota.Config
-	asked []string
+	config  *quota.Config
+	members []string // of the group as the fleet file names them
 
 	mu    sync.Mutex
 	nodes map[string]*Store
@@ -41,7 +41,7 @@
 
 func newGroup(t testing.TB, n int) *testGroup {
 	g := &testGroup{t: t, dir: t.TempDir(), at: map[string]string{}, nodes: map[string]*Store{}, ends: map[string]func(){}}
-	g.terms = &quota.Config{Version: 1, Limits: []quota.Limit{{Name: "out", Kind: quota.Concurrency, Total: 2}}}
+	g.config = &quota.Config{Version: 1, Limits: []quota.Limit{{Name: "out", Kind: quota.Concurrency, Total: 2}}}
 	at := make([]string, 0, n)
 	for i := range n {
 		name := fmt.Sprint("h", i+1)
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(g.Close)
-	g.asked = g.names
+	g.members = g.names
 	return g
 }
 
@@ -75,14 +75,14 @@
 		return
 	}
 	node, err := Open(Config{
-		Host: name, Members: g.asked, Dir: filepath.Join(g.dir, name), Transport: n, Bounds: limits.ForControl(),
+		Host: name, Members: g.members, Dir: filepath.Join(g.dir, name), Transport: n, Bounds: limits.ForControl(),
 		Clock: func() quota.Micros { return quota.Micros(process.Now()) },
 	})
 	if err != nil {
 		g.t.Error(err)
 		return
 	}
-	node.SetConfig(g.terms, g.asked)
+	node.SetConfig(g.config, g.members)
 	ctx, cancel := context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	node.RegisterHandlers(mux)
@@ -144,24 +144,24 @@
 
 func anyLeader(v quota.Status) bool { return v.Leader != "" && v.Version > 0 }
 
-// asked is one call, as its client saw it.
-type asked struct {
-	give       bool
-	name, turn string
+// call is a command of one client: an acquisition, or a release.
+type call struct {
+	release         bool
+	name, acquireID string
 }
 
-// came is its answer; unknown where none came.
-type came struct{ held, unknown bool }
+// answer is what the client saw of it; unknown where no answer came.
+type answer struct{ held, unknown bool }
 
-// count is the ledger as a client may believe it to be: a count of two, and who holds a unit for which turn.
-var count = porcupine.Model{
+// permitModel is a concurrency limit of two as clients see it: its state lists who holds a permit for which acquisition.
+var permitModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		in, out := input.(asked), output.(came)
+		in, out := input.(call), output.(answer)
 		held := strings.Fields(state.(string))
-		me := in.name + "/" + in.turn
+		me := in.name + "/" + in.acquireID
 		i := slices.Index(held, me)
-		if in.give {
+		if in.release {
 			if i >= 0 {
 				held = slices.Delete(held, i, i+1)
 			}
@@ -177,8 +177,8 @@
 	},
 }
 
-// TestHistory has clients take and give units through any node while links are cut, calls come twice and nodes end and
-// begin, and has the history that they saw checked by a program that knows nothing of the ledger.
+// TestHistory has clients acquire and release permits through any store while links are cut, calls are doubled and stores
+// restart, and has the history that they saw checked for linearizability by a program that knows nothing of the store.
 func TestHistory(t *testing.T) {
 	const nodes, clients, span = 5, 6, 12 * time.Second
 	g := newGroup(t, nodes)
@@ -195,9 +195,9 @@
 		all.Go(func() {
 			draw := rand.New(rand.NewPCG(uint64(c), 5))
 			name := fmt.Sprint("n", c)
-			// until asks again, by the same turn, until it is known what came of it. Calls without an answer are one with the
-			// call that brought it: they are the same to the ledger, and which of them took effect is not seen.
-			until := func(in asked) bool {
+			// until retries with the same acquisition ID until the outcome is known. Calls without an answer are one operation
+			// with the call that brought it: they are the same to the store, and which of them took effect is not seen.
+			until := func(in call) bool {
 				first := int64(-1)
 				for time.Since(began) < span {
 					n := g.node(g.names[draw.IntN(nodes)])
@@ -206,15 +206,15 @@
 					}
 					op := porcupine.Operation{ClientId: c, Input: in, Call: int64(time.Since(began))}
 					ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-					turn := &quota.PermitCommand{Limit: "out", Name: in.name, Host: "h", AcquireID: in.turn}
-					cmd := quota.Command{Acquire: turn}
-					if in.give {
-						cmd = quota.Command{Release: turn}
+					permit := &quota.PermitCommand{Limit: "out", Name: in.name, Host: "h", AcquireID: in.acquireID}
+					cmd := quota.Command{Acquire: permit}
+					if in.release {
+						cmd = quota.Command{Release: permit}
 					}
 					res, err := n.Do(ctx, cmd)
 					cancel()
-					op.Output, op.Return = came{held: res.Rejection == "" && !in.give}, int64(time.Since(began))
-					done := err == nil && (in.give || res.Rejection == "")
+					op.Output, op.Return = answer{held: res.Rejection == "" && !in.release}, int64(time.Since(began))
+					done := err == nil && (in.release || res.Rejection == "")
 					switch {
 					case err != nil && first < 0:
 						first = op.Call
@@ -233,14 +233,14 @@
 				}
 				if first >= 0 { // it may take effect at any later time, or never
 					mu.Lock()
-					history = append(history, porcupine.Operation{ClientId: c, Input: in, Call: first, Output: came{unknown: true}, Return: int64(time.Hour)})
+					history = append(history, porcupine.Operation{ClientId: c, Input: in, Call: first, Output: answer{unknown: true}, Return: int64(time.Hour)})
 					mu.Unlock()
 				}
 				return false
 			}
-			for turn := 0; until(asked{name: name, turn: fmt.Sprint(turn)}); turn++ {
+			for id := 0; until(call{name: name, acquireID: fmt.Sprint(id)}); id++ {
 				time.Sleep(time.Duration(draw.IntN(20)) * time.Millisecond)
-				if !until(asked{true, name, fmt.Sprint(turn)}) {
+				if !until(call{true, name, fmt.Sprint(id)}) {
 					return
 				}
 			}
@@ -252,7 +252,7 @@
 			a, b := g.names[draw.IntN(nodes)], g.names[draw.IntN(nodes)]
 			pause := time.Duration(300+draw.IntN(900)) * time.Millisecond
 			switch k := g.Link(a, b); {
-			case k == nil || i%4 == 3: // a node ends and begins
+			case k == nil || i%4 == 3: // a store restarts
 				g.stop(a)
 				time.Sleep(pause / 2)
 				g.start(a)
@@ -264,7 +264,7 @@
 				k.Twice(pause)
 				time.Sleep(pause)
 				k.Twice(0)
-			case i%4 == 2: // the leader speaks to nobody, and hears all
+			case i%4 == 2: // what the leader sends is lost, what others send it arrives
 				v := g.view(10*time.Second, anyLeader)
 				g.Alone(v.Leader, true, false, true)
 				time.Sleep(2 * pause)
@@ -275,18 +275,18 @@
 	all.Wait()
 	held := 0
 	for _, op := range history {
-		if op.Output.(came).held {
+		if op.Output.(answer).held {
 			held++
 		}
 	}
-	result := porcupine.CheckOperationsTimeout(count, history, time.Minute)
-	t.Logf("%d calls, %d units taken: %v", len(history), held, result)
+	result := porcupine.CheckOperationsTimeout(permitModel, history, time.Minute)
+	t.Logf("%d calls, %d permits acquired: %v", len(history), held, result)
 	if result != porcupine.Ok || held < 20 {
-		t.Errorf("the history of %d calls with %d units taken is %v", len(history), held, result)
+		t.Errorf("the history of %d calls with %d permits acquired is %v", len(history), held, result)
 	}
 }
 
-// TestSetBack starts a member on an older copy of its directory: it may not help to undo what it has forgotten.
+// TestSetBack starts a member on an older copy of its directory: it may not help to undo what it has lost.
 func TestSetBack(t *testing.T) {
 	g := newGroup(t, 3)
 	for _, n := range g.names {
@@ -294,12 +294,12 @@
 	}
 	defer g.stopAll()
 	g.view(20*time.Second, anyLeader)
-	take := func(n *Store, turn string) {
+	acquire := func(n *Store, id string) {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		for {
-			if res, err := n.Do(ctx, quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: "n" + turn, Host: "h", AcquireID: turn}}); err == nil {
+			if res, err := n.Do(ctx, quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: "n" + id, Host: "h", AcquireID: id}}); err == nil {
 				if res.Rejection != "" {
 					t.Fatal(res.Rejection)
 				}
@@ -316,13 +316,13 @@
 	if err := os.CopyFS(copied, os.DirFS(filepath.Join(g.dir, "h3"))); err != nil {
 		t.Fatal(err)
 	}
-	// h3 comes back and h2 goes: what is taken now is agreed on by h1 and h3.
+	// h3 comes back and h2 is stopped: what is acquired now is agreed on by h1 and h3.
 	g.start("h3")
 	g.view(15*time.Second, func(v quota.Status) bool { return anyLeader(v) && g.node("h3").Stage() != "starting" })
 	time.Sleep(2 * time.Second)
 	g.stop("h2")
 	g.view(15*time.Second, anyLeader)
-	take(g.node("h1"), "1")
+	acquire(g.node("h1"), "1")
 	g.stop("h3")
 	if err := os.RemoveAll(filepath.Join(g.dir, "h3")); err == nil {
 		err = os.CopyFS(filepath.Join(g.dir, "h3"), os.DirFS(copied))
@@ -331,7 +331,7 @@
 		}
 	}
 	g.stop("h1")
-	// h2 never heard of the unit, h3 has forgotten it: together they are half and more, and must not go on alone.
+	// h2 never had the permit, h3 has lost it: together they are a majority, and must not go on alone.
 	g.start("h2")
 	g.start("h3")
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -341,33 +341,33 @@
 				continue
 			}
 			if v, err := g.node(n).statusAsLeader(l); err == nil && len(v.Limits) > 0 && v.Limits[0].InForce == 0 {
-				t.Fatalf("%s leads a ledger that has forgotten a unit", n)
+				t.Fatalf("%s leads a store that has lost a permit", n)
 			}
 		}
 	}
-	g.start("h1") // who knows comes back, and all go on by themselves
+	g.start("h1") // the member that has it comes back, and all go on by themselves
 	if v := g.view(20*time.Second, anyLeader); v.Limits[0].InForce != 1 {
-		t.Fatalf("the unit is lost: %+v", v)
+		t.Fatalf("the permit is lost: %+v", v)
 	}
 }
 
-// TestGroupChanges takes a group from three to five during a cut, and to other three.
+// TestGroupChanges: a group grows from three members to five while one is cut off, and changes to three others.
 func TestGroupChanges(t *testing.T) {
 	g := newGroup(t, 5)
-	g.asked = g.names[:3]
+	g.members = g.names[:3]
 	for _, n := range g.names {
 		g.start(n)
 	}
 	defer g.stopAll()
 	first := g.view(20*time.Second, func(v quota.Status) bool { return anyLeader(v) && len(v.Members) == 3 })
 	to := func(version uint64, members ...string) {
-		terms := *g.terms
-		terms.Version = version
-		g.terms, g.asked = &terms, members
+		config := *g.config
+		config.Version = version
+		g.config, g.members = &config, members
 		for _, n := range g.names {
 			node := g.node(n)
-			node.SetConfig(g.terms, members)
-			if slices.Contains(members, n) && node.log == nil { // it had no part, and an agent that is to have one is started anew
+			node.SetConfig(g.config, members)
+			if slices.Contains(members, n) && node.log == nil { // it was no member, and the agent of a new member has to be restarted
 				g.stop(n)
 				g.start(n)
 			}
