--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -70,10 +70,13 @@
 	return best
 }
 
+// oracleDelay is the age of the oracle's knowledge.
+const oracleDelay = 100 * Millisecond
+
 // leastTrueLoad returns what an oracle would choose: the host with the least work in flight by its speed, as it was 0.1
 // s ago. The oracle knows what it has sent since.
 func (w *world) leastTrueLoad(n *node) int32 {
-	if w.now >= w.oracleAt+100*Millisecond {
+	if w.now >= w.oracleAt+oracleDelay {
 		w.oracleAt = w.now
 		for i := range w.hosts {
 			h := &w.hosts[i]
--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -9,16 +9,16 @@
 
 // dayOfSize is a typical day of 60 s at a size, with two thirds as many nodes as hosts.
 func dayOfSize(hosts int) Scenario {
-	s := Default()
-	s.Duration = 60 * Second
-	s.Hosts.Count, s.Nodes.Count, s.Nodes.Subset = hosts, max(1, hosts*2/3), 12
-	s.Load.Level = 0.95
-	s.Faults = []Fault{
+	day := Default()
+	day.Duration = 60 * Second
+	day.Hosts.Count, day.Nodes.Count, day.Nodes.Subset = hosts, max(1, hosts*2/3), 12
+	day.Load.Level = 0.95
+	day.Faults = []Fault{
 		{Kind: Burst, At: 10 * Second, Duration: 10 * Second, Factor: 1.4},
 		{Kind: Slow, At: 25 * Second, Duration: 10 * Second, Share: 0.25, Factor: 4},
 		{Kind: Release, At: 40 * Second, BatchShare: 0.15},
 	}
-	return s
+	return day
 }
 
 // BenchmarkDay plays 60 s at several sizes with the module and with the plain pool, whose own cost is small:
@@ -32,10 +32,10 @@
 		}
 		for _, hosts := range []int{10, 33, 100, 330, 1000} {
 			b.Run(fmt.Sprintf("%s/%d", policy, hosts), func(b *testing.B) {
-				s := dayOfSize(hosts)
+				day := dayOfSize(hosts)
 				events, requests := 0.0, 0.0
 				for b.Loop() {
-					r, err := Play(&s, p, 1, nil)
+					r, err := Play(&day, p, 1, nil)
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -66,12 +66,12 @@
 //
 //	go test ./internal/simulation -run xxx -bench Bare -benchtime 1x
 func BenchmarkBare(b *testing.B) {
-	s := dayOfSize(330)
-	s.Load.Level, s.Faults = 0.5, nil
+	day := dayOfSize(330)
+	day.Load.Level, day.Faults = 0.5, nil
 	p := &Policy{Name: "idler", New: func(admission.Config, uint64) Decider { return idlePolicy{} }}
 	events := 0.0
 	for b.Loop() {
-		r, err := Play(&s, p, 1, nil)
+		r, err := Play(&day, p, 1, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/simulation/dependency.go
+++ b/internal/simulation/dependency.go
@@ -8,13 +8,13 @@
 func (w *world) startCall(h *host, j int32, within Micros) {
 	att := &w.attempts[j]
 	att.phase = phaseCalling
-	att.callGen++
+	att.callNumber++
 	h.inCalls++
 	dependency := &w.dependency
 	dependency.advance(w.now)
-	dependency.push(job{end: dependency.progress + float64(w.scenario.Dependency.Work), attempt: j, generation: att.gen, stage: uint8(att.callGen)})
+	dependency.push(job{end: dependency.progress + float64(w.scenario.Dependency.Work), attempt: j, generation: att.generation, stage: uint8(att.callNumber)})
 	w.updateDependency()
-	w.queue.push(event{at: w.now + max(within, 1), kind: evCallTimeout, subject: j, detail: int32(att.callGen), gen: att.gen})
+	w.queue.push(event{at: w.now + max(within, 1), kind: evCallTimeout, subject: j, detail: int32(att.callNumber), generation: att.generation})
 }
 
 // updateDependency sets the speed of calls after their number changed, and schedules the next completion.
@@ -37,7 +37,7 @@
 	for len(dependency.jobs) > 0 && dependency.jobs[0].end <= dependency.progress+workEpsilon {
 		j := dependency.pop()
 		dependency.running--
-		if att := &w.attempts[j.attempt]; att.gen == j.generation && att.phase == phaseCalling && uint8(att.callGen) == j.stage {
+		if att := &w.attempts[j.attempt]; att.generation == j.generation && att.phase == phaseCalling && uint8(att.callNumber) == j.stage {
 			w.endCall(j.attempt, admission.OK)
 		}
 	}
@@ -45,22 +45,22 @@
 }
 
 // endCall delivers the result of a call to the policy and resumes or ends the run.
-func (w *world) endCall(j int32, out admission.Outcome) {
+func (w *world) endCall(j int32, outcome admission.Outcome) {
 	att := &w.attempts[j]
 	h := &w.hosts[att.host]
 	if !h.up || h.incarnation != att.incarnation {
 		return
 	}
 	h.inCalls--
-	att.callGen++
+	att.callNumber++
 	att.phase = phaseBeforeCall
 	id := att.id
-	w.decide(h, admission.CallReturned{ID: id, Outcome: out, Took: 1 + w.scenario.Dependency.Work})
+	w.decide(h, admission.CallReturned{ID: id, Outcome: outcome, Took: 1 + w.scenario.Dependency.Work})
 	if !h.up {
 		return
 	}
 	att = &w.attempts[j]
-	if out == admission.OK && att.phase == phaseBeforeCall {
+	if outcome == admission.OK && att.phase == phaseBeforeCall {
 		w.resumeRun(h, j)
 	} else if att.answers > 0 && att.phase == phaseBeforeCall { // it was answered meanwhile: the run ends
 		w.finishRun(h, j, admission.Errored)
--- a/internal/simulation/dispatch.go
+++ b/internal/simulation/dispatch.go
@@ -13,7 +13,7 @@
 	case evLoad:
 		w.handleArrival()
 	case evDependency:
-		if w.dependency.generation == e.gen {
+		if w.dependency.generation == e.generation {
 			w.completeCalls()
 		}
 	case evRefresh:
@@ -47,7 +47,7 @@
 	var do func(h *host)
 	switch e.kind {
 	case evCores:
-		if h := &w.hosts[e.subject]; h.cores.generation == e.gen {
+		if h := &w.hosts[e.subject]; h.cores.generation == e.generation {
 			w.completeWork(h)
 		}
 		return true
@@ -71,7 +71,7 @@
 	default:
 		return false
 	}
-	if h := &w.hosts[e.subject]; h.incarnation == e.gen && h.up {
+	if h := &w.hosts[e.subject]; h.incarnation == e.generation && h.up {
 		do(h)
 	}
 	return true
@@ -86,7 +86,7 @@
 			w.handleAttempt(e)
 		}
 	case evDue, evRetry, evHedge, evClientRetry:
-		if w.requests[e.subject].gen == e.gen {
+		if w.requests[e.subject].generation == e.generation {
 			w.handleRequest(e)
 		}
 	default:
@@ -105,7 +105,7 @@
 	case evCallerGone:
 		w.callerLeft(e.subject)
 	case evCallTimeout:
-		if att := &w.attempts[e.subject]; att.phase == phaseCalling && att.callGen == uint32(e.detail) {
+		if att := &w.attempts[e.subject]; att.phase == phaseCalling && att.callNumber == uint32(e.detail) {
 			w.endCall(e.subject, admission.TimedOut)
 		}
 	}
@@ -128,4 +128,4 @@
 }
 
 // sameAttempt reports whether the attempt of an event is still the same.
-func (w *world) sameAttempt(e *event) bool { return w.attempts[e.subject].gen == e.gen }
+func (w *world) sameAttempt(e *event) bool { return w.attempts[e.subject].generation == e.generation }
--- a/internal/simulation/errors_test.go
+++ b/internal/simulation/errors_test.go
@@ -8,20 +8,20 @@
 
 // TestErrorTypes: callers can tell a bad scenario, an unknown policy and a bad recorded load apart, and find the place.
 func TestErrorTypes(t *testing.T) {
-	s := shortDay()
-	s.Hosts.Count = 0
+	day := shortDay()
+	day.Hosts.Count = 0
 	var scenario *ScenarioError
-	if err := s.Check(); !errors.As(err, &scenario) || scenario.Field != "hosts.count" || scenario.Scenario != s.Name {
+	if err := day.Check(); !errors.As(err, &scenario) || scenario.Field != "hosts.count" || scenario.Scenario != day.Name {
 		t.Errorf("Check: %#v", err)
 	}
 	var policy *UnknownPolicyError
 	if _, err := PolicyNamed("wrong"); !errors.As(err, &policy) || policy.Name != "wrong" || len(policy.Known) != len(Policies()) {
 		t.Errorf("PolicyNamed: %#v", err)
 	}
-	s = shortDay()
+	day = shortDay()
 	var recorded *RecordedError
 	in := "# microseconds operation tenant work\n10 lookup - 500\n20 unknown - 500\n"
-	if _, err := ReadRecorded("load.txt", strings.NewReader(in), &s); !errors.As(err, &recorded) || recorded.Line != 3 || recorded.Column != 1 {
+	if _, err := ReadRecorded("load.txt", strings.NewReader(in), &day); !errors.As(err, &recorded) || recorded.Line != 3 || recorded.Column != 1 {
 		t.Errorf("ReadRecorded: %#v", err)
 	} else if want := `load.txt:3:1: operation "unknown" is none of the scenario's`; err.Error() != want {
 		t.Errorf("%v, wanted %s", err, want)
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -37,7 +37,7 @@
 	at              Micros
 	seq             uint64
 	subject, detail int32
-	gen             uint32
+	generation      uint32
 	kind            eventKind
 }
 
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -96,18 +96,21 @@
 	w.updateDependency()
 }
 
+// releasePoll is how often a release looks whether the next batch can begin.
+const releasePoll = Second / 4
+
 // continueRelease drains the next batch of hosts. The event of a release repeats while some hosts are left.
 func (w *world) continueRelease(i int) {
 	fault := &w.scenario.Faults[i]
-	width := max(1, int(fault.BatchShare*float64(len(w.hosts))))
+	batch := max(1, int(fault.BatchShare*float64(len(w.hosts))))
 	if w.agentsUnavailable { // no further batch begins; hosts that were notified still leave
-		w.queue.push(event{at: w.now + Second/4, kind: evFault, subject: int32(i)})
+		w.queue.push(event{at: w.now + releasePoll, kind: evFault, subject: int32(i)})
 		return
 	}
-	out, left := 0, 0
+	unavailable, remaining := 0, 0
 	for k := range w.hosts {
 		if h := &w.hosts[k]; !h.up || h.draining || h.startedAt > fault.At && w.now < h.startedAt+w.scenario.Hosts.WarmUp/2 {
-			out++
+			unavailable++
 		}
 	}
 	for k := range w.hosts {
@@ -115,22 +118,22 @@
 		if h.startedAt > fault.At || !h.up || h.draining {
 			continue
 		}
-		if out >= width {
-			left++
+		if unavailable >= batch {
+			remaining++
 			continue
 		}
-		out++
+		unavailable++
 		w.sendNotice(h, w.faultRand.Float64() < fault.LostNotices)
 	}
-	if left > 0 || out > 0 && w.now < w.scenario.Duration {
-		w.queue.push(event{at: w.now + Second/4, kind: evFault, subject: int32(i)})
+	if remaining > 0 || unavailable > 0 && w.now < w.scenario.Duration {
+		w.queue.push(event{at: w.now + releasePoll, kind: evFault, subject: int32(i)})
 	}
 }
 
 // sendNotice sends a host its shutdown notice. A lost one never reaches the process, which is stopped all the same.
 func (w *world) sendNotice(h *host, lost bool) {
 	h.noticedAt, h.exitsAt = w.now, w.now+w.scenario.Hosts.ExitTimeout
-	w.queue.push(event{at: h.exitsAt, kind: evStop, subject: h.number, gen: h.incarnation})
+	w.queue.push(event{at: h.exitsAt, kind: evStop, subject: h.number, generation: h.incarnation})
 	if lost {
 		w.result.LostNotices++
 		return
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -92,7 +92,7 @@
 		if h.degradation != nil {
 			h.degradation.signals.SetWarmingUntil(degradation.Micros(w.now + w.scenario.Hosts.WarmUp))
 		}
-		w.queue.push(event{at: w.now + w.scenario.Hosts.WarmUp/20 + 1, kind: evWarmUp, subject: h.number, gen: h.incarnation})
+		w.queue.push(event{at: w.now + w.scenario.Hosts.WarmUp/warmUpSteps + 1, kind: evWarmUp, subject: h.number, generation: h.incarnation})
 	}
 	w.startQuotas(h)
 	w.decide(h, admission.Opened{})
--- a/internal/simulation/host_actions.go
+++ b/internal/simulation/host_actions.go
@@ -16,6 +16,9 @@
 	}
 }
 
+// minIdleTimeout bounds the idle timeout that a policy can set.
+const minIdleTimeout = Second / 10
+
 // perform carries out one action of a host's policy.
 func (w *world) perform(h *host, act admission.Action) {
 	switch a := act.(type) {
@@ -57,9 +60,9 @@
 	case admission.SetHealth:
 		w.setHealth(h, a.Good)
 	case admission.CloseIdle:
-		h.idleTimeout = max(a.After, Second/10)
+		h.idleTimeout = max(a.After, minIdleTimeout)
 	case admission.Wake:
-		w.queue.pushLane(laneTick, event{at: max(a.At-h.clockSkew, w.now+1), kind: evWake, subject: h.number, detail: int32(a.Token), gen: h.incarnation})
+		w.queue.pushLane(laneTick, event{at: max(a.At-h.clockSkew, w.now+1), kind: evWake, subject: h.number, detail: int32(a.Token), generation: h.incarnation})
 	}
 }
 
@@ -87,9 +90,9 @@
 		return
 	}
 	att := &w.attempts[j]
-	att.retryIn, att.dontRetry = min(a.RetryAfter, w.scenario.Hosts.MaxRetryAfter), a.DontRetry
-	if r := h.degradation; r != nil && att.answers == 0 && !att.shed { // what degradation sheds must not keep the level up
-		r.signals.Count(degradation.Micros(w.now), degradation.Rejections)
+	att.retryAfter, att.dontRetry = min(a.RetryAfter, w.scenario.Hosts.MaxRetryAfter), a.DontRetry
+	if state := h.degradation; state != nil && att.answers == 0 && !att.shed { // what degradation sheds must not keep the level up
+		state.signals.Count(degradation.Micros(w.now), degradation.Rejections)
 	}
 	w.answer(h, j, Throttled)
 	w.dropWaiter(h, j)
@@ -107,8 +110,8 @@
 	if h.cachedResults == nil {
 		h.cachedResults, h.resultsByRequest = map[string]*cachedResult{}, map[uint64]string{}
 	}
-	if k := h.cachedResults[a.ID]; k != nil {
-		k.expiresAt = w.now + a.For
+	if cached := h.cachedResults[a.ID]; cached != nil {
+		cached.expiresAt = w.now + a.For
 		return
 	}
 	h.cachedResults[a.ID] = &cachedResult{expiresAt: w.now + a.For, attempt: j}
--- a/internal/simulation/host_agent.go
+++ b/internal/simulation/host_agent.go
@@ -33,47 +33,47 @@
 // startAgents starts as many agents as the hosts need, for a release that is decided by fleet.Machine.
 func (w *world) startAgents() error {
 	for first := 0; first < len(w.hosts); first += hostsPerAgent {
-		c := &hostAgent{firstHost: first}
+		agent := &hostAgent{firstHost: first}
 		n := min(hostsPerAgent, len(w.hosts)-first)
 		text := fmt.Sprintf("(fleet model (host a (agent \"unix:/a\")) (group g (host a) (config \"%%n\") (range h 1 %d) (settle 500ms) (start-within 60s) (restart (most 100) (within 1m))))", n)
 		spec, err := fleet.ReadSpec("model", []byte(text), limits.ForControl())
 		if err != nil {
 			return err
 		}
-		c.machine = fleet.New(spec, "a", fleet.DefaultConfig(limits.ForControl(), w.policySeed), func(*fleet.InstanceSpec) fleet.ShutdownWindow {
+		agent.machine = fleet.New(spec, "a", fleet.DefaultConfig(limits.ForControl(), w.policySeed), func(*fleet.InstanceSpec) fleet.ShutdownWindow {
 			return fleet.ShutdownWindow{Grace: fleet.Micros(w.scenario.Hosts.DrainGrace), ExitTimeout: fleet.Micros(w.scenario.Hosts.ExitTimeout)}
 		})
 		for k := range n {
-			c.names = append(c.names, agentName(k))
+			agent.names = append(agent.names, agentName(k))
 			w.hosts[first+k].managedByAgent = true
 		}
-		c.incarnations, c.notices, c.observed = make([]string, n), make([]string, n), make([]fleet.Observation, n)
-		if err := w.submit(c, &fleet.Command{ID: "start", Kind: fleet.KindStart, Names: c.names, RequestedBy: "model", Deadline: 60_000_000}); err != nil {
+		agent.incarnations, agent.notices, agent.observed = make([]string, n), make([]string, n), make([]fleet.Observation, n)
+		if err := w.submit(agent, &fleet.Command{ID: "start", Kind: fleet.KindStart, Names: agent.names, RequestedBy: "model", Deadline: 60_000_000}); err != nil {
 			return err
 		}
-		w.agents = append(w.agents, c)
+		w.agents = append(w.agents, agent)
 		w.queue.push(event{at: agentPeriod, kind: evAgent, subject: int32(len(w.agents) - 1)})
 	}
 	return nil
 }
 
 // submit passes a command to an agent's machine.
-func (w *world) submit(c *hostAgent, command *fleet.Command) error {
-	steps, _, err := c.machine.Decide(fleet.Micros(w.now), fleet.CommandReceived{Command: command})
-	w.carryOut(c, slices.Clone(steps))
+func (w *world) submit(agent *hostAgent, command *fleet.Command) error {
+	steps, _, err := agent.machine.Decide(fleet.Micros(w.now), fleet.CommandReceived{Command: command})
+	w.carryOut(agent, slices.Clone(steps))
 	return err
 }
 
 // startFleetRelease has all agents begin a rolling update. Its batch is a share of each agent's hosts.
 func (w *world) startFleetRelease(i int) {
 	fault := &w.scenario.Faults[i]
-	for _, c := range w.agents {
+	for _, agent := range w.agents {
 		config := fleet.DefaultRollingUpdate()
-		config.MaxInProgress = max(1, int(fault.BatchShare*float64(len(c.names))))
+		config.MaxInProgress = max(1, int(fault.BatchShare*float64(len(agent.names))))
 		config.MinReadyShare = max(0, 1-2*fault.BatchShare)
-		config.MaxFailures = len(c.names)
-		c.lostNotices = fault.LostNotices
-		if err := w.submit(c, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.KindRollingUpdate, Names: c.names, RequestedBy: "model", Deadline: fleet.Micros(w.now + 3600*Second), Rollout: &config}); err != nil {
+		config.MaxFailures = len(agent.names)
+		agent.lostNotices = fault.LostNotices
+		if err := w.submit(agent, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.KindRollingUpdate, Names: agent.names, RequestedBy: "model", Deadline: fleet.Micros(w.now + 3600*Second), Rollout: &config}); err != nil {
 			w.result.RejectedReleases++
 		}
 	}
@@ -81,7 +81,7 @@
 
 // tickAgent passes an agent its observations and a tick.
 func (w *world) tickAgent(i int32) {
-	c := w.agents[i]
+	agent := w.agents[i]
 	if w.now < w.scenario.Duration || w.active > 0 {
 		w.queue.push(event{at: w.now + agentPeriod, kind: evAgent, subject: i})
 	}
@@ -89,43 +89,43 @@
 		return
 	}
 	now := fleet.Micros(w.now)
-	for k := range c.names {
-		h := &w.hosts[c.firstHost+k]
-		s := fleet.Observation{Phase: fleet.PhaseReady, Incarnation: c.incarnations[k], NoticeID: c.notices[k]}
+	for k := range agent.names {
+		h := &w.hosts[agent.firstHost+k]
+		s := fleet.Observation{Phase: fleet.PhaseReady, Incarnation: agent.incarnations[k], NoticeID: agent.notices[k]}
 		switch {
 		case !h.up:
 			s.Phase = fleet.PhaseExited
-		case c.notices[k] != "":
+		case agent.notices[k] != "":
 			s.Phase = fleet.PhaseDraining
 		case !h.healthy:
 			s.Phase = fleet.PhaseUnready
 		}
-		if s == c.observed[k] || s.Incarnation == "" {
+		if s == agent.observed[k] || s.Incarnation == "" {
 			continue
 		}
-		c.observed[k] = s
-		steps, _, _ := c.machine.Decide(now, fleet.InstanceObserved{Name: c.names[k], Observation: s})
-		w.carryOut(c, slices.Clone(steps))
+		agent.observed[k] = s
+		steps, _, _ := agent.machine.Decide(now, fleet.InstanceObserved{Name: agent.names[k], Observation: s})
+		w.carryOut(agent, slices.Clone(steps))
 	}
-	steps, _, _ := c.machine.Decide(now, fleet.Tick{})
-	w.carryOut(c, slices.Clone(steps))
+	steps, _, _ := agent.machine.Decide(now, fleet.Tick{})
+	w.carryOut(agent, slices.Clone(steps))
 }
 
 // carryOut performs the actions of an agent's machine.
-func (w *world) carryOut(c *hostAgent, steps []fleet.Action) {
+func (w *world) carryOut(agent *hostAgent, steps []fleet.Action) {
 	for _, s := range steps {
-		k := slices.Index(c.names, s.Name)
-		h := &w.hosts[c.firstHost+k]
+		k := slices.Index(agent.names, s.Name)
+		h := &w.hosts[agent.firstHost+k]
 		switch s.Kind {
 		case fleet.ActionLaunch:
-			if !s.Adopt && c.incarnations[k] != s.Incarnation {
-				c.incarnations[k], c.notices[k] = s.Incarnation, ""
+			if !s.Adopt && agent.incarnations[k] != s.Incarnation {
+				agent.incarnations[k], agent.notices[k] = s.Incarnation, ""
 				w.restart(h)
 			}
 		case fleet.ActionNotify:
-			if c.notices[k] != s.ID && h.up {
-				c.notices[k] = s.ID
-				w.sendNotice(h, w.faultRand.Float64() < c.lostNotices)
+			if agent.notices[k] != s.ID && h.up {
+				agent.notices[k] = s.ID
+				w.sendNotice(h, w.faultRand.Float64() < agent.lostNotices)
 			}
 		case fleet.ActionKill:
 			if h.up {
--- a/internal/simulation/host_completion.go
+++ b/internal/simulation/host_completion.go
@@ -5,12 +5,12 @@
 )
 
 // finishRun tells the policy that a run has ended and releases the attempt.
-func (w *world) finishRun(h *host, j int32, out admission.Outcome) {
+func (w *world) finishRun(h *host, j int32, outcome admission.Outcome) {
 	att := &w.attempts[j]
 	id, took := att.id, w.now-att.readAt
 	h.memory -= w.scenario.Hosts.RequestKB * (w.scenario.Hosts.RunFactor - 1)
 	att.phase, att.finishing = phaseAwaitingResult, true // off the cores; still in flight while the policy decides
-	w.decide(h, admission.Finished{ID: id, Outcome: out, Took: took})
+	w.decide(h, admission.Finished{ID: id, Outcome: outcome, Took: took})
 	if h.up && w.attempts[j].atHost && w.attempts[j].id == id {
 		w.leaveHost(h, j)
 	}
@@ -38,16 +38,16 @@
 func (w *world) reuse(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
-	k := h.cachedResults[h.resultsByRequest[req.number]]
+	cached := h.cachedResults[h.resultsByRequest[req.number]]
 	if att.phase == phaseQueued {
 		h.queued--
 	}
 	att.phase = phaseAwaitingResult
-	if k != nil && !k.ended {
-		w.attempts[k.attempt].waiters = append(w.attempts[k.attempt].waiters, j)
+	if cached != nil && !cached.ended {
+		w.attempts[cached.attempt].waiters = append(w.attempts[cached.attempt].waiters, j)
 		return
 	}
-	if k == nil {
+	if cached == nil {
 		w.answer(h, j, Errored)
 	} else {
 		w.answer(h, j, Succeeded)
@@ -61,18 +61,18 @@
 }
 
 // answer sends the answer of a policy. The audit checks here that it is the only one.
-func (w *world) answer(h *host, j int32, out Outcome) {
+func (w *world) answer(h *host, j int32, outcome Outcome) {
 	att := &w.attempts[j]
 	w.audit.checkAnswer(w, h, att)
 	att.answers++
-	w.trace.record(w, w.requests[att.request].number, att, outcomeNames[out])
+	w.trace.record(w, w.requests[att.request].number, att, outcomeNames[outcome])
 	if att.answers == 1 && !att.callerGone {
-		att.outcome = out
+		att.outcome = outcome
 		if d := w.networkDelay(w.requests[att.request].node, h.number); d >= 0 {
-			w.queue.pushLane(laneNet, event{at: w.now + d, kind: evAnswer, subject: j, gen: att.gen})
+			w.queue.pushLane(laneNet, event{at: w.now + d, kind: evAnswer, subject: j, generation: att.generation})
 		} else { // the answer is lost; for the node it is unanswered until its caller leaves
 			att.outcome = Reset
-			w.queue.push(event{at: max(w.now, att.dueAt) + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
+			w.queue.push(event{at: max(w.now, att.dueAt) + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation})
 		}
 	}
 	if att.phase == phaseQueued {
@@ -104,9 +104,9 @@
 	att.atHost = false
 	if att.callerGone && att.atNode && att.answers == 0 { // its node learns of the end by itself
 		att.outcome = Reset
-		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
+		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation})
 	} else if att.callerGone && att.atNode {
-		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
+		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation})
 	}
 	if att.prev != none {
 		w.attempts[att.prev].next = att.next
--- a/internal/simulation/host_cores.go
+++ b/internal/simulation/host_cores.go
@@ -25,11 +25,11 @@
 		rate *= cores / n
 	}
 	// With more runs than the host bears, its throughput falls. Reading does not count: one request is read at a time.
-	if bears, on := s.CollapseMultiple*cores, float64(h.running); on > bears {
-		rate *= (bears / on) * (bears / on)
+	if capacity, running := s.CollapseMultiple*cores, float64(h.running); running > capacity {
+		rate *= (capacity / running) * (capacity / running)
 		if h.overloadedAt == 0 {
 			h.overloadedAt = w.now
-			w.queue.push(event{at: w.now + s.CollapseAfter, kind: evOverload, subject: h.number, gen: h.incarnation})
+			w.queue.push(event{at: w.now + s.CollapseAfter, kind: evOverload, subject: h.number, generation: h.incarnation})
 		}
 	} else {
 		h.overloadedAt = 0
@@ -45,7 +45,7 @@
 // scheduleCompletion schedules the next completion of shared work. One that is scheduled too early finds nothing and
 // looks again; that is cheaper than to schedule anew at each change.
 func (w *world) scheduleCompletion(s *sharedWork, k eventKind, who int32) {
-	for len(s.jobs) > 0 && s.jobs[0].attempt != none && w.attempts[s.jobs[0].attempt].gen != s.jobs[0].generation {
+	for len(s.jobs) > 0 && s.jobs[0].attempt != none && w.attempts[s.jobs[0].attempt].generation != s.jobs[0].generation {
 		s.pop()
 	}
 	if len(s.jobs) == 0 {
@@ -57,7 +57,7 @@
 	}
 	s.generation++
 	s.completionAt = at
-	w.queue.push(event{at: at, kind: k, subject: who, gen: s.generation})
+	w.queue.push(event{at: at, kind: k, subject: who, generation: s.generation})
 }
 
 const workEpsilon = 1e-3 // microseconds of work that count as done
@@ -73,7 +73,7 @@
 	for len(h.cores.jobs) > 0 && h.cores.jobs[0].end <= h.cores.progress+workEpsilon {
 		j := h.cores.pop()
 		att := &w.attempts[j.attempt]
-		if att.gen != j.generation || att.phase != phaseUnread && att.phase != phaseRunning || (att.phase == phaseUnread) != (j.stage == 0) {
+		if att.generation != j.generation || att.phase != phaseUnread && att.phase != phaseRunning || (att.phase == phaseUnread) != (j.stage == 0) {
 			continue // preempted meanwhile
 		}
 		h.cores.running--
@@ -99,7 +99,7 @@
 	}
 	w.advanceCores(h)
 	h.running++
-	h.cores.push(job{end: h.cores.progress + work, attempt: j, generation: att.gen, stage: 1})
+	h.cores.push(job{end: h.cores.progress + work, attempt: j, generation: att.generation, stage: 1})
 	w.updateCores(h)
 }
 
@@ -117,13 +117,13 @@
 	w.updateCores(h)
 	w.result.Runs++
 	w.audit.checkEffect(w, h, att)
-	if k := h.cachedResults[att.id]; k != nil {
-		k.ended, k.succeeded = true, true
+	if cached := h.cachedResults[att.id]; cached != nil {
+		cached.ended, cached.succeeded = true, true
 	}
-	if r := h.degradation; r != nil && att.answers == 0 {
-		r.signals.Count(degradation.Micros(w.now), degradation.Successes)
+	if state := h.degradation; state != nil && att.answers == 0 {
+		state.signals.Count(degradation.Micros(w.now), degradation.Successes)
 		if w.now-att.reachedAt > w.scenario.Operations[req.operation].Objective {
-			r.signals.Count(degradation.Micros(w.now), degradation.LateSuccesses)
+			state.signals.Count(degradation.Micros(w.now), degradation.LateSuccesses)
 		}
 	}
 	if att.answers > 0 {
--- a/internal/simulation/host_intake.go
+++ b/internal/simulation/host_intake.go
@@ -10,18 +10,18 @@
 	att := &w.attempts[j]
 	h := &w.hosts[att.host]
 	req := &w.requests[att.request]
-	back := w.scenario.Nodes.NetworkDelay
+	networkDelay := w.scenario.Nodes.NetworkDelay
 	if !h.up {
-		w.reject(j, Unreachable, back)
+		w.reject(j, Unreachable, networkDelay)
 		return
 	}
-	opened, ok := w.connect(att, h)
+	connectionOpened, ok := w.connect(att, h)
 	if !ok {
-		w.reject(j, Unreachable, back)
+		w.reject(j, Unreachable, networkDelay)
 		return
 	}
 	att.incarnation = h.incarnation
-	att.atHost, att.phase, att.reachedAt, att.dueAt = true, phaseUnread, w.now, req.due-back
+	att.atHost, att.phase, att.reachedAt, att.dueAt = true, phaseUnread, w.now, req.due-networkDelay
 	att.prev, att.next = none, h.firstAttempt
 	if h.firstAttempt != none {
 		w.attempts[h.firstAttempt].prev = j
@@ -29,20 +29,20 @@
 	h.firstAttempt = j
 	h.inFlight++
 	work := float64(w.scenario.Hosts.ReadWork)
-	if opened {
+	if connectionOpened {
 		work += float64(w.scenario.Hosts.HandshakeWork)
 	}
 	w.advanceCores(h)
 	h.reading++
-	h.cores.push(job{end: h.cores.progress + work, attempt: j, generation: att.gen, stage: 0})
+	h.cores.push(job{end: h.cores.progress + work, attempt: j, generation: att.generation, stage: 0})
 	w.updateCores(h)
 }
 
 // reject ends an attempt by the network, not by the process.
-func (w *world) reject(j int32, out Outcome, after Micros) {
+func (w *world) reject(j int32, outcome Outcome, after Micros) {
 	att := &w.attempts[j]
-	att.outcome = out
-	w.queue.push(event{at: w.now + after, kind: evAnswer, subject: j, gen: att.gen})
+	att.outcome = outcome
+	w.queue.push(event{at: w.now + after, kind: evAnswer, subject: j, generation: att.generation})
 }
 
 // requestRead passes a request that has been read to the policy.
@@ -75,15 +75,15 @@
 			ev.RepeatOf = id
 		}
 	}
-	if r := h.degradation; r != nil {
+	if state := h.degradation; state != nil {
 		now := degradation.Micros(w.now)
-		if r.shedder.ShouldShed(r.controller.Level(), r.controller.Depth(now), int(req.operation), int(req.tenant), op.Priority, degradation.Micros(req.hint)) {
+		if state.shedder.ShouldShed(state.controller.Level(), state.controller.Depth(now), int(req.operation), int(req.tenant), op.Priority, degradation.Micros(req.hint)) {
 			ev.ShedFor, att.shed = 1, true
 			w.result.Shed++
 		} else {
-			r.signals.Count(now, degradation.Arrivals)
+			state.signals.Count(now, degradation.Arrivals)
 			if att.retry {
-				r.signals.Count(now, degradation.RetriedArrivals)
+				state.signals.Count(now, degradation.RetriedArrivals)
 			}
 		}
 	}
--- a/internal/simulation/host_lifecycle.go
+++ b/internal/simulation/host_lifecycle.go
@@ -5,6 +5,13 @@
 	"milletbarrow/internal/backend/degradation"
 )
 
+// Delays of a host's next process, and the steps in which a cold one reaches full speed.
+const (
+	crashRestart   = 3 * Second
+	releaseRestart = 200 * Millisecond
+	warmUpSteps    = 20
+)
+
 // readGauges passes a reading of the host's gauges to its policy and its degradation.
 func (w *world) readGauges(h *host, token int64) {
 	w.advanceCores(h)
@@ -12,18 +19,18 @@
 	span := max(1, float64(w.now-h.readingAt))
 	use := (h.busyMicros - h.busyAtReading) / span / float64(w.scenario.Hosts.Cores)
 	h.busyAtReading, h.readingAt = h.busyMicros, w.now
-	on := float64(h.cores.running)
+	running := float64(h.cores.running)
 	memory := (h.memory + h.keyKB) / w.scenario.Hosts.MemoryKB
 	w.result.Readings++
 	w.decide(h, admission.Reading{
-		Token: token, CoreUse: use, OnCores: on, MemoryShare: memory, Connections: float64(h.connections) / float64(w.scenario.Hosts.Connections),
+		Token: token, CoreUse: use, OnCores: running, MemoryShare: memory, Connections: float64(h.connections) / float64(w.scenario.Hosts.Connections),
 	})
-	if r := h.degradation; r != nil && h.up {
+	if state := h.degradation; state != nil && h.up {
 		now := degradation.Micros(w.now)
 		if h.draining {
-			r.signals.SetDraining()
+			state.signals.SetDraining()
 		}
-		if c, changed := r.controller.Update(now, r.signals.Signals(now, on+float64(h.queued), use, memory, true)); changed {
+		if c, changed := state.controller.Update(now, state.signals.Signals(now, running+float64(h.queued), use, memory, true)); changed {
 			w.result.recordLevelChange(w, h, c)
 		}
 	}
@@ -36,7 +43,7 @@
 	h.warmUpSpeed = min(1, s.ColdSpeed+(1-s.ColdSpeed)*float64(w.now-h.startedAt)/float64(s.WarmUp))
 	w.updateCores(h)
 	if h.warmUpSpeed < 1 {
-		w.queue.push(event{at: w.now + s.WarmUp/20 + 1, kind: evWarmUp, subject: h.number, gen: h.incarnation})
+		w.queue.push(event{at: w.now + s.WarmUp/warmUpSteps + 1, kind: evWarmUp, subject: h.number, generation: h.incarnation})
 	}
 }
 
@@ -48,18 +55,18 @@
 		w.audit.breach(w, 4, h, nil, "it fell over under its crowd")
 		w.kill(h, Reset)
 	default:
-		w.queue.push(event{at: h.overloadedAt + w.scenario.Hosts.CollapseAfter, kind: evOverload, subject: h.number, gen: h.incarnation})
+		w.queue.push(event{at: h.overloadedAt + w.scenario.Hosts.CollapseAfter, kind: evOverload, subject: h.number, generation: h.incarnation})
 	}
 }
 
 // kill crashes a host's process with everything in flight; it restarts cold.
-func (w *world) kill(h *host, out Outcome) {
-	w.terminate(h, out)
-	w.queue.push(event{at: w.now + 3*Second, kind: evRestart, subject: h.number})
+func (w *world) kill(h *host, outcome Outcome) {
+	w.terminate(h, outcome)
+	w.queue.push(event{at: w.now + crashRestart, kind: evRestart, subject: h.number})
 }
 
 // terminate ends a host's process and everything in flight on it.
-func (w *world) terminate(h *host, out Outcome) {
+func (w *world) terminate(h *host, outcome Outcome) {
 	w.releaseQuotas(h)
 	w.advanceCores(h)
 	h.up = false
@@ -69,12 +76,12 @@
 		att := &w.attempts[j]
 		next := att.next
 		if att.atNode && att.answers == 0 || att.atNode && att.callerGone {
-			att.outcome = out
-			w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, gen: att.gen})
+			att.outcome = outcome
+			w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation})
 		}
 		att.atHost, att.waiters = false, att.waiters[:0]
 		if att.phase == phaseCalling {
-			att.callGen++
+			att.callNumber++
 		}
 		att.phase = phaseUnread // of no incarnation any more; not phaseEnded, or it would not be freed
 		w.freeAttempt(j)
@@ -93,7 +100,7 @@
 	}
 	w.terminate(h, Reset)
 	if !h.managedByAgent { // else its agent restarts it
-		w.queue.push(event{at: w.now + 200*Millisecond, kind: evRestart, subject: h.number})
+		w.queue.push(event{at: w.now + releaseRestart, kind: evRestart, subject: h.number})
 	}
 }
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -41,6 +41,13 @@
 	d.sum += x
 }
 
+// initialLatency stands for the latency of a host that has not answered yet, in microseconds; minIdleCheck is the least
+// time between two checks of an idle connection.
+const (
+	initialLatency = 20_000
+	minIdleCheck   = Second / 4
+)
+
 // placeNode gives a node its hosts: every n-th along a ring, so that all hosts are known to about as many nodes, and
 // twice as many as it uses, so that it has others when some leave the endpoint registry.
 func (w *world) placeNode(i int32) {
@@ -56,7 +63,7 @@
 	}
 	n.slots = make([]slot, pool)
 	for k := range n.slots {
-		n.slots[k] = slot{host: int32((start + k*step) % h), latency: 20_000}
+		n.slots[k] = slot{host: int32((start + k*step) % h), latency: initialLatency}
 	}
 	n.ignoresAdvice = float64(i) < w.scenario.Nodes.UnresponsiveShare*float64(w.scenario.Nodes.Count)
 	n.nextSlot = w.faultRand.IntN(pool)
@@ -112,7 +119,7 @@
 	}
 	h.connections++
 	sl.connected, sl.incarnation, sl.usedAt = true, h.incarnation, w.now
-	w.queue.push(event{at: w.now + h.idleTimeout, kind: evIdleCheck, subject: w.requests[att.request].node, detail: att.slot, gen: h.incarnation})
+	w.queue.push(event{at: w.now + h.idleTimeout, kind: evIdleCheck, subject: w.requests[att.request].node, detail: att.slot, generation: h.incarnation})
 	return true, true
 }
 
@@ -125,7 +132,7 @@
 	}
 	if rests := w.now - sl.usedAt; rests < h.idleTimeout || sl.inFlight > 0 {
 		if w.now < w.scenario.Duration || w.active > 0 {
-			w.queue.push(event{at: w.now + max(h.idleTimeout-rests, Second/4), kind: evIdleCheck, subject: node, detail: k, gen: h.incarnation})
+			w.queue.push(event{at: w.now + max(h.idleTimeout-rests, minIdleCheck), kind: evIdleCheck, subject: node, detail: k, generation: h.incarnation})
 		}
 		return
 	}
--- a/internal/simulation/node_attempts.go
+++ b/internal/simulation/node_attempts.go
@@ -6,6 +6,15 @@
 	"milletbarrow/admission"
 )
 
+// Parameters of the edge nodes and callers.
+const (
+	latencyWeight      = 0.1 // of a new latency in the moving average
+	minBackoff         = Millisecond
+	maxDoublings       = 8      // of the backoff, counted from the first attempt
+	maxClientRetries   = 3      // how often a caller sends a request again
+	unreachableBackoff = Second // how long a host is avoided that could not be reached
+)
+
 // startAttempt sends one attempt of a request. A retry is marked as such.
 func (w *world) startAttempt(i int32, retry bool) {
 	req := &w.requests[i]
@@ -50,10 +59,10 @@
 	delay := w.networkDelay(req.node, sl.host)
 	if delay < 0 { // partitioned: the node finds out when the connection times out
 		att.outcome = Unreachable
-		w.queue.push(event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, gen: att.gen})
+		w.queue.push(event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, generation: att.generation})
 		return
 	}
-	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evReach, subject: j, gen: att.gen})
+	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evReach, subject: j, generation: att.generation})
 }
 
 // networkDelay returns how long a message takes between a node and a host; negative: it never arrives.
@@ -77,7 +86,7 @@
 	sl := &n.slots[att.slot]
 	sl.inFlight--
 	sl.usedAt = w.now
-	out, retryIn, dont := att.outcome, att.retryIn, att.dontRetry
+	outcome, retryAfter, dontRetry := att.outcome, att.retryAfter, att.dontRetry
 	skipped := att.skipped
 	att.atNode = false
 	for k := range req.openAttempts {
@@ -85,18 +94,18 @@
 			req.openAttempts[k] = none
 		}
 	}
-	over := req.finished
+	finished := req.finished
 	w.freeAttempt(j)
-	if out == Unreachable || out == Reset {
-		sl.avoidUntil, sl.connected = w.now+Second, false
+	if outcome == Unreachable || outcome == Reset {
+		sl.avoidUntil, sl.connected = w.now+unreachableBackoff, false
 	}
-	if over {
+	if finished {
 		return
 	}
-	switch out {
+	switch outcome {
 	case Succeeded:
 		n.accepted.add(w.now, w.scenario.Nodes.ThrottleWindow, 1)
-		sl.latency += (float64(w.now-req.arrivedAt) - sl.latency) * 0.1
+		sl.latency += (float64(w.now-req.arrivedAt) - sl.latency) * latencyWeight
 		w.succeedRequest(i, skipped)
 		return
 	case Errored:
@@ -106,15 +115,15 @@
 		req.maybeRan = true
 	case Throttled:
 		if !n.ignoresAdvice {
-			sl.avoidUntil = max(sl.avoidUntil, w.now+retryIn)
-			req.retryForbidden = dont
+			sl.avoidUntil = max(sl.avoidUntil, w.now+retryAfter)
+			req.retryForbidden = dontRetry
 		}
 	}
-	w.retryOrEnd(i, out)
+	w.retryOrEnd(i, outcome)
 }
 
 // retryOrEnd decides whether a request is retried after an attempt without success.
-func (w *world) retryOrEnd(i int32, out Outcome) {
+func (w *world) retryOrEnd(i int32, outcome Outcome) {
 	req := &w.requests[i]
 	n := &w.nodes[req.node]
 	op := &w.scenario.Operations[req.operation]
@@ -122,21 +131,21 @@
 	if req.openAttempts[0] != none || req.openAttempts[1] != none {
 		return // a hedged attempt is still open
 	}
-	safe := out == Throttled || out == Unreachable || out == Local || op.RetrySafety != admission.NonIdempotent
-	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts || out == Local {
-		w.failRequest(i, out)
+	safe := outcome == Throttled || outcome == Unreachable || outcome == Local || op.RetrySafety != admission.NonIdempotent
+	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts || outcome == Local {
+		w.failRequest(i, outcome)
 		return
 	}
-	pause := float64(s.Backoff) * math.Exp2(float64(min(req.attempts, 8)-1))
+	backoff := float64(s.Backoff) * math.Exp2(float64(min(req.attempts, maxDoublings)-1))
 	if n.ignoresAdvice {
-		pause = float64(s.Backoff)
+		backoff = float64(s.Backoff)
 	}
-	at := w.now + max(1000, Micros(pause*(0.5+w.nodeRand.Float64())))
+	at := w.now + max(minBackoff, Micros(backoff*(0.5+w.nodeRand.Float64())))
 	if at >= req.due {
-		w.failRequest(i, out)
+		w.failRequest(i, outcome)
 		return
 	}
-	w.queue.push(event{at: at, kind: evRetry, subject: i, gen: req.gen})
+	w.queue.push(event{at: at, kind: evRetry, subject: i, generation: req.generation})
 }
 
 // succeedRequest ends a request with success and records its value.
@@ -157,28 +166,28 @@
 }
 
 // failRequest ends a request without success. Its caller may send it again.
-func (w *world) failRequest(i int32, out Outcome) {
+func (w *world) failRequest(i int32, outcome Outcome) {
 	req := &w.requests[i]
-	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), out, w.now-req.arrivedAt, 0)
+	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), outcome, w.now-req.arrivedAt, 0)
 	op := &w.scenario.Operations[req.operation]
-	if req.clientRetries < 3 && w.nodeRand.Float64() < w.scenario.Nodes.ClientRetryShare && (op.RetrySafety != admission.NonIdempotent || out == Throttled || out == Local) {
+	if req.clientRetries < maxClientRetries && w.nodeRand.Float64() < w.scenario.Nodes.ClientRetryShare && (op.RetrySafety != admission.NonIdempotent || outcome == Throttled || outcome == Local) {
 		req.clientRetries++
-		w.notifyCallers(req)
+		w.notifyHosts(req)
 		req.finished, req.retriesLater = true, true
-		w.queue.push(event{at: w.now + Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())), kind: evClientRetry, subject: i, gen: req.gen})
+		w.queue.push(event{at: w.now + Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())), kind: evClientRetry, subject: i, generation: req.generation})
 		return
 	}
 	w.closeRequest(i)
 }
 
-// notifyCallers notifies the hosts of open attempts, with a delay, that the caller has left.
-func (w *world) notifyCallers(req *request) {
+// notifyHosts notifies the hosts of open attempts, with a delay, that the caller has left.
+func (w *world) notifyHosts(req *request) {
 	for _, j := range req.openAttempts {
 		if j == none || w.scenario.Nodes.CancelDelay < 0 {
 			continue
 		}
 		if d := w.networkDelay(req.node, w.attempts[j].host); d >= 0 {
-			w.queue.push(event{at: w.now + d + w.scenario.Nodes.CancelDelay, kind: evCallerGone, subject: j, gen: w.attempts[j].gen})
+			w.queue.push(event{at: w.now + d + w.scenario.Nodes.CancelDelay, kind: evCallerGone, subject: j, generation: w.attempts[j].generation})
 		}
 	}
 }
@@ -186,7 +195,7 @@
 // closeRequest ends a request for good.
 func (w *world) closeRequest(i int32) {
 	req := &w.requests[i]
-	w.notifyCallers(req)
+	w.notifyHosts(req)
 	req.finished = true
 	w.releaseRequest(i)
 }
@@ -204,13 +213,13 @@
 	old := w.requests[i]
 	k := w.newRequest()
 	req := &w.requests[k]
-	gen := req.gen
+	gen := req.generation
 	*req = old
-	req.gen, req.liveAttempts, req.finished, req.retriesLater, req.attempts, req.retryForbidden, req.openAttempts = gen, 0, false, false, 0, false, [2]int32{none, none}
+	req.generation, req.liveAttempts, req.finished, req.retriesLater, req.attempts, req.retryForbidden, req.openAttempts = gen, 0, false, false, 0, false, [2]int32{none, none}
 	req.arrivedAt, req.due = w.now, w.now+w.scenario.Operations[req.operation].Timeout
 	w.requests[i].retriesLater = false
 	w.releaseRequest(i)
 	w.result.ClientRetries++
-	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evDue, subject: k, gen: req.gen})
+	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evDue, subject: k, generation: req.generation})
 	w.startAttempt(k, false)
 }
--- a/internal/simulation/pool.go
+++ b/internal/simulation/pool.go
@@ -19,6 +19,17 @@
 	}
 }
 
+// Parameters of the baselines.
+const (
+	overloadedDelayFactor = 20 // targetDelay is shorter by it while the queue does not empty
+	shortTermWeight       = 0.1
+	longTermWeight        = 0.002
+	gradientTolerance     = 1.5 // increase of the duration of runs that leaves the limit as it is
+	minGradient           = 0.5
+	gradientSmoothing     = 0.2
+)
+
+// never is a time that does not come.
 const never = Micros(1 << 60)
 
 // pool is the common part of the baselines. It keeps the four rules as the module does, as a comparison with a policy
@@ -161,7 +172,7 @@
 	for _, j := range slices.Clone(p.runs) {
 		allowed := p.targetDelay
 		if now-p.queueEmptyAt > p.targetDelay {
-			allowed = p.targetDelay / 20
+			allowed = p.targetDelay / overloadedDelayFactor
 		}
 		due := now+p.tick >= min(j.dueAt, p.lastAnswerAt())
 		switch {
@@ -198,14 +209,14 @@
 	if p.longTerm == 0 {
 		p.longTerm, p.shortTerm, p.estimate = x, x, float64(p.concurrency)
 	}
-	p.shortTerm += (x - p.shortTerm) * 0.1
-	p.longTerm += (x - p.longTerm) * 0.002
+	p.shortTerm += (x - p.shortTerm) * shortTermWeight
+	p.longTerm += (x - p.longTerm) * longTermWeight
 	if p.longTerm > 2*p.shortTerm { // recovers faster from a long overload
 		p.longTerm *= 0.95
 	}
-	g := max(0.5, min(1, 1.5*p.longTerm/p.shortTerm))
+	g := max(minGradient, min(1, gradientTolerance*p.longTerm/p.shortTerm))
 	if p.running >= p.concurrency/2 {
-		p.estimate = p.estimate*0.8 + 0.2*(p.estimate*g+math.Sqrt(p.estimate))
+		p.estimate = p.estimate*(1-gradientSmoothing) + gradientSmoothing*(p.estimate*g+math.Sqrt(p.estimate))
 	}
 	p.concurrency = int(max(float64(p.config.Cores), min(p.estimate, p.maxConcurrency())))
 }
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -55,52 +55,52 @@
 	if w.policy.QuotaSource == GuessedQuotas || len(w.scenario.Tenants) == 0 {
 		return
 	}
-	sh := &quotaState{source: w.policy.QuotaSource, holders: make([]*backendquota.Holder, len(w.hosts))}
+	quotas := &quotaState{source: w.policy.QuotaSource, holders: make([]*backendquota.Holder, len(w.hosts))}
 	config := quota.Config{Version: 1}
 	for i, t := range w.scenario.Tenants {
-		sh.limitIndex = append(sh.limitIndex, -1)
+		quotas.limitIndex = append(quotas.limitIndex, -1)
 		if t.Quota < 1 {
 			continue
 		}
-		sh.limitIndex[i] = len(sh.limitNames)
-		b := quota.Limit{
+		quotas.limitIndex[i] = len(quotas.limitNames)
+		limit := quota.Limit{
 			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: quota.Micros(leaseDuration),
 			ClockMargin: quota.Micros(leaseMargin), Tenant: t.Name, Floors: map[string]int64{},
 		}
 		floor := int64(floorShare * t.Quota / float64(len(w.hosts)))
 		for n := range w.hosts {
-			b.Floors[hostName(int32(n))] = floor
+			limit.Floors[hostName(int32(n))] = floor
 		}
-		sh.limitNames = append(sh.limitNames, b.Name)
-		config.Limits = append(config.Limits, b)
+		quotas.limitNames = append(quotas.limitNames, limit.Name)
+		config.Limits = append(config.Limits, limit)
 	}
-	w.quotas = sh
-	switch sh.source {
+	w.quotas = quotas
+	switch quotas.source {
 	case LeasedQuotas:
-		sh.store = quota.NewState()
-		sh.store.Apply(quota.Command{Config: &config})
-		sh.tracker.BecomeLeader(quota.Micros(w.now), sh.store, false)
+		quotas.store = quota.NewState()
+		quotas.store.Apply(quota.Command{Config: &config})
+		quotas.tracker.BecomeLeader(quota.Micros(w.now), quotas.store, false)
 		w.queue.push(event{at: w.now + 1, kind: evExpiry})
 	case GlobalQuotas:
-		sh.global = fixedHolder("all", "1", config.Limits, 1)
+		quotas.global = fixedHolder("all", "1", config.Limits, 1)
 	}
 }
 
 // fixedHolder returns a holder of a fixed part of each limit, without a lease.
 func fixedHolder(name, incarnation string, all []quota.Limit, parts int64) *backendquota.Holder {
 	names := make([]string, 0, len(all))
-	for _, b := range all {
-		names = append(names, b.Name)
+	for _, limit := range all {
+		names = append(names, limit.Name)
 	}
-	h := backendquota.New(name, incarnation, names)
-	a := backendquota.LeaseResponse{Name: name, Incarnation: incarnation, Number: h.NewRequest(0).Number}
-	for _, b := range all {
-		a.Grants = append(a.Grants, backendquota.Grant{Budget: b.Name, Epoch: 1, Floor: b.Total / parts})
+	holder := backendquota.New(name, incarnation, names)
+	answer := backendquota.LeaseResponse{Name: name, Incarnation: incarnation, Number: holder.NewRequest(0).Number}
+	for _, limit := range all {
+		answer.Grants = append(answer.Grants, backendquota.Grant{Budget: limit.Name, Epoch: 1, Floor: limit.Total / parts})
 	}
-	if err := h.Apply(0, a); err != nil {
+	if err := holder.Apply(0, answer); err != nil {
 		panic(err) // the configuration was checked
 	}
-	return h
+	return holder
 }
 
 // quotaPrice returns the factor by which a success of a tenant counts now: 1 within its quota over all hosts,
@@ -124,24 +124,24 @@
 
 // startQuotas gives a host's new process its quota holder.
 func (w *world) startQuotas(h *host) {
-	sh := w.quotas
-	if sh == nil || sh.source == GlobalQuotas {
+	quotas := w.quotas
+	if quotas == nil || quotas.source == GlobalQuotas {
 		return
 	}
 	name, incarnation := hostName(h.number), fmt.Sprint(h.incarnation)
-	if sh.source == EvenQuotas {
+	if quotas.source == EvenQuotas {
 		var all []quota.Limit
 		for i, t := range w.scenario.Tenants {
-			if sh.limitIndex[i] >= 0 {
-				all = append(all, quota.Limit{Name: sh.limitNames[sh.limitIndex[i]], Total: int64(t.Quota)})
+			if quotas.limitIndex[i] >= 0 {
+				all = append(all, quota.Limit{Name: quotas.limitNames[quotas.limitIndex[i]], Total: int64(t.Quota)})
 			}
 		}
-		sh.holders[h.number] = fixedHolder(name, incarnation, all, int64(w.scenario.Hosts.fleetSize()))
+		quotas.holders[h.number] = fixedHolder(name, incarnation, all, int64(w.scenario.Hosts.fleetSize()))
 		return
 	}
-	sh.holders[h.number] = backendquota.New(name, incarnation, sh.limitNames)
+	quotas.holders[h.number] = backendquota.New(name, incarnation, quotas.limitNames)
 	// Renewals are spread over the interval, as of agents that were started at different times.
-	w.queue.push(event{at: w.now + 1 + Micros(h.number)*leaseRenewal/Micros(len(w.hosts)), kind: evLease, subject: h.number, gen: h.incarnation})
+	w.queue.push(event{at: w.now + 1 + Micros(h.number)*leaseRenewal/Micros(len(w.hosts)), kind: evLease, subject: h.number, generation: h.incarnation})
 }
 
 // fleetSize returns the size of the fleet that hosts are configured with.
@@ -155,22 +155,22 @@
 // renewLeases renews a host's leases, where it can reach the quota store. The duration of the call, a thousandth of a
 // lease, is left out.
 func (w *world) renewLeases(h *host) {
-	sh := w.quotas
+	quotas := w.quotas
 	if !w.quotaStoreCut || h.number >= w.partitionedHosts {
-		holder, now := sh.holders[h.number], backendquota.Micros(w.now)
-		r := sh.store.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
+		holder, now := quotas.holders[h.number], backendquota.Micros(w.now)
+		r := quotas.store.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
 		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
 			_ = holder.Apply(now, r.Answers[0]) // a rejected answer leaves the leases as they are
 		}
 	}
-	w.queue.push(event{at: w.now + leaseRenewal, kind: evLease, subject: h.number, gen: h.incarnation})
+	w.queue.push(event{at: w.now + leaseRenewal, kind: evLease, subject: h.number, generation: h.incarnation})
 }
 
 // expireLeases lets the quota store expire leases and divide anew.
 func (w *world) expireLeases() {
-	sh := w.quotas
-	if over, divide := sh.tracker.Tick(quota.Micros(w.now), sh.store); divide || len(over) > 0 {
-		sh.store.Apply(quota.Command{Expire: over, Rebalance: divide})
+	quotas := w.quotas
+	if over, divide := quotas.tracker.Tick(quota.Micros(w.now), quotas.store); divide || len(over) > 0 {
+		quotas.store.Apply(quota.Command{Expire: over, Rebalance: divide})
 	}
 	if w.now < w.scenario.Duration {
 		w.queue.push(event{at: w.now + leaseRenewal/4, kind: evExpiry})
@@ -179,9 +179,9 @@
 
 // releaseQuotas tells the quota store that a process has exited, as the agent of its host would.
 func (w *world) releaseQuotas(h *host) {
-	if sh := w.quotas; sh != nil && sh.source == LeasedQuotas && (!w.quotaStoreCut || h.number >= w.partitionedHosts) {
+	if quotas := w.quotas; quotas != nil && quotas.source == LeasedQuotas && (!w.quotaStoreCut || h.number >= w.partitionedHosts) {
 		name := hostName(h.number)
-		sh.store.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []string{quota.ClientKey(name, fmt.Sprint(h.incarnation))}}})
+		quotas.store.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []string{quota.ClientKey(name, fmt.Sprint(h.incarnation))}}})
 	}
 }
 
@@ -212,12 +212,12 @@
 
 // holderFor returns what a host draws a tenant's units from and the index of the limit there; nil where there is none.
 func (w *world) holderFor(h *host, tenant int) (*backendquota.Holder, int) {
-	sh := w.quotas
-	if sh == nil || sh.limitIndex[tenant] < 0 {
+	quotas := w.quotas
+	if quotas == nil || quotas.limitIndex[tenant] < 0 {
 		return nil, 0
 	}
-	if sh.global != nil {
-		return sh.global, sh.limitIndex[tenant]
+	if quotas.global != nil {
+		return quotas.global, quotas.limitIndex[tenant]
 	}
-	return sh.holders[h.number], sh.limitIndex[tenant]
+	return quotas.holders[h.number], quotas.limitIndex[tenant]
 }
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -19,7 +19,7 @@
 	retryForbidden bool
 	openAttempts   [2]int32 // unanswered attempts, or none
 	liveAttempts   int32    // attempts that still refer to it, also runs that nobody waits for
-	gen            uint32
+	generation     uint32
 	arrivedAt, due Micros
 	work           float64 // core time, microseconds
 	hint           Micros
@@ -47,7 +47,7 @@
 	host                     int32
 	slot                     int32
 	incarnation              uint32 // of the host, when it arrived
-	gen                      uint32
+	generation               uint32
 	phase                    phase
 	answers                  uint8
 	outcome                  Outcome
@@ -61,8 +61,8 @@
 	atHost, atNode           bool // who still refers to it
 	prev, next               int32
 	reachedAt, readAt, dueAt Micros
-	callGen                  uint32
-	retryIn                  Micros
+	callNumber               uint32
+	retryAfter               Micros
 	dontRetry                bool
 	waiters                  []int32 // repeated requests that wait for its result
 }
@@ -92,7 +92,7 @@
 	if n := len(w.freeRequests); n > 0 {
 		i := w.freeRequests[n-1]
 		w.freeRequests = w.freeRequests[:n-1]
-		w.requests[i] = request{gen: w.requests[i].gen, openAttempts: [2]int32{none, none}, lastSlot: none}
+		w.requests[i] = request{generation: w.requests[i].generation, openAttempts: [2]int32{none, none}, lastSlot: none}
 		return i
 	}
 	w.requests = append(w.requests, request{openAttempts: [2]int32{none, none}, lastSlot: none})
@@ -102,7 +102,7 @@
 // freeRequest makes an index available again.
 func (w *world) freeRequest(i int32) {
 	w.active--
-	w.requests[i].gen++
+	w.requests[i].generation++
 	w.freeRequests = append(w.freeRequests, i)
 }
 
@@ -114,7 +114,7 @@
 		i = w.freeAttempts[n-1]
 		w.freeAttempts = w.freeAttempts[:n-1]
 		att := &w.attempts[i]
-		*att = attempt{id: att.id, gen: att.gen, waiters: att.waiters[:0]}
+		*att = attempt{id: att.id, generation: att.generation, waiters: att.waiters[:0]}
 	} else {
 		w.attempts = append(w.attempts, attempt{})
 		i = int32(len(w.attempts) - 1)
@@ -131,7 +131,7 @@
 func (w *world) freeAttempt(i int32) {
 	if att := &w.attempts[i]; !att.atHost && !att.atNode && att.phase != phaseEnded {
 		att.phase = phaseEnded
-		att.gen++
+		att.generation++
 		w.active--
 		w.freeAttempts = append(w.freeAttempts, i)
 		w.requests[att.request].liveAttempts--
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -137,11 +137,11 @@
 
 // RecordOutcome counts how a request ended, how long after it began, and what of its value was billed. One that its
 // caller sends again ends again.
-func (r *Result) RecordOutcome(s *Scenario, now Micros, operation, tenant int, out Outcome, took Micros, value float64) {
+func (r *Result) RecordOutcome(s *Scenario, now Micros, operation, tenant int, outcome Outcome, took Micros, value float64) {
 	sec := r.secondAt(now)
 	r.Billed += value
 	sec.Billed += value
-	switch out {
+	switch outcome {
 	case Throttled, Local:
 		sec.Throttled++
 	case Lost:
@@ -149,8 +149,8 @@
 	}
 	count := func(p *Breakdown) {
 		p.Billed += value
-		p.Outcomes[out]++
-		if out == Succeeded {
+		p.Outcomes[outcome]++
+		if outcome == Succeeded {
 			_ = p.histogram.RecordValue(int64(max(took, minLatency)))
 			if took <= s.Operations[operation].Objective {
 				p.InTime++
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -34,21 +34,21 @@
 
 // shortDay is a day of a few seconds, for tests of single aspects.
 func shortDay() Scenario {
-	s := Default()
-	s.Duration = 6 * Second
-	s.Hosts.Count, s.Nodes.Count, s.Hosts.WarmUp = 4, 4, 2*Second
-	return s
+	day := Default()
+	day.Duration = 6 * Second
+	day.Hosts.Count, day.Nodes.Count, day.Hosts.WarmUp = 4, 4, 2*Second
+	return day
 }
 
 // TestDays compares what each policy does on one day with the golden file, to the last digit: the simulation may not
 // change unnoticed.
 func TestDays(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := shortDay()
-	s.Load.Level = 1.1
-	s.Faults = []Fault{{Kind: Slow, At: 2 * Second, Duration: Second, Share: 0.25, Factor: 4}, {Kind: Release, At: 3 * Second, BatchShare: 0.3}}
+	day := shortDay()
+	day.Load.Level = 1.1
+	day.Faults = []Fault{{Kind: Slow, At: 2 * Second, Duration: Second, Share: 0.25, Factor: 4}, {Kind: Release, At: 3 * Second, BatchShare: 0.3}}
 	for _, p := range Policies() {
-		r := play(t, &s, &p, 7)
+		r := play(t, &day, &p, 7)
 		tr.Say("%-12s value %.6f attempts %d runs %d events %d rules %v", p.Name, r.Value(), r.Attempts, r.Runs, r.Events, r.BreachesByRule)
 		for _, op := range r.Operations {
 			tr.Say("    %-9s asks %d in time %d ends %v", op.Name, op.Requests, op.InTime, op.Outcomes)
@@ -58,11 +58,11 @@
 
 // TestSameSeedSameResult: the same scenario, policy and seed give the same bytes; another seed does not.
 func TestSameSeedSameResult(t *testing.T) {
-	s := shortDay()
-	s.Nodes.ClientRetryShare, s.Nodes.HedgeDelay = 0.5, 200*Millisecond
-	s.Faults = []Fault{{Kind: Death, At: 2 * Second, Duration: Second, Share: 0.5}}
+	day := shortDay()
+	day.Nodes.ClientRetryShare, day.Nodes.HedgeDelay = 0.5, 200*Millisecond
+	day.Faults = []Fault{{Kind: Death, At: 2 * Second, Duration: Second, Share: 0.5}}
 	text := func(seed uint64) []byte {
-		raw, err := json.Marshal(play(t, &s, module(t), seed))
+		raw, err := json.Marshal(play(t, &day, module(t), seed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,11 +78,11 @@
 
 // TestPoliciesMeetTheSameLoad: what is requested does not depend on which policy answers.
 func TestPoliciesMeetTheSameLoad(t *testing.T) {
-	s := shortDay()
-	s.Load.Shape = Bursty
-	a := play(t, &s, module(t), 5)
+	day := shortDay()
+	day.Load.Shape = Bursty
+	a := play(t, &day, module(t), 5)
 	for _, p := range Policies() {
-		if b := play(t, &s, &p, 5); a.Offered != b.Offered || a.Requests != b.Requests {
+		if b := play(t, &day, &p, 5); a.Offered != b.Offered || a.Requests != b.Requests {
 			t.Errorf("%s: %d requests of value %g, the module had %d of value %g", p.Name, b.Requests, b.Offered, a.Requests, a.Offered)
 		}
 	}
@@ -99,16 +99,16 @@
 	}
 	for _, first := range kinds {
 		for seed := range uint64(3) {
-			s := shortDay()
-			s.Load.Level = 1.2
-			s.Operations[1].MakesCalls, s.Operations[0].RetrySafety = true, admission.IdempotencyKeyed
-			s.Nodes.ClientRetryShare, s.Nodes.MaxAttempts = 0.3, 0
-			s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 200}, {Name: "b", Share: 0.5, Quota: 200}}
+			day := shortDay()
+			day.Load.Level = 1.2
+			day.Operations[1].MakesCalls, day.Operations[0].RetrySafety = true, admission.IdempotencyKeyed
+			day.Nodes.ClientRetryShare, day.Nodes.MaxAttempts = 0.3, 0
+			day.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 200}, {Name: "b", Share: 0.5, Quota: 200}}
 			first.At = Second
 			second := kinds[(seed*5+uint64(first.Kind))%uint64(len(kinds))]
 			second.At = 2 * Second
-			s.Faults = []Fault{first, second}
-			if r := play(t, &s, module(t), seed); r.BreachCount() > 0 {
+			day.Faults = []Fault{first, second}
+			if r := play(t, &day, module(t), seed); r.BreachCount() > 0 {
 				t.Errorf("%v with %v, seed %d: %v %v", first.Kind, second.Kind, seed, r.BreachesByRule, r.Breaches[0])
 			}
 		}
@@ -119,10 +119,10 @@
 // than the batch and those that crashed, also where agents are unavailable for a while and notices are lost.
 func TestReleaseByFleet(t *testing.T) {
 	for seed := range uint64(4) {
-		s := shortDay()
-		s.Duration, s.Hosts.Count, s.Load.Level = 30*Second, 10, 0.4
-		s.Faults = []Fault{{Kind: Release, At: 2 * Second, BatchShare: 0.2, ByFleet: true, LostNotices: float64(seed) * 0.1}, {Kind: AgentUnavailable, At: 5 * Second, Duration: 4 * Second}}
-		r := play(t, &s, module(t), seed)
+		day := shortDay()
+		day.Duration, day.Hosts.Count, day.Load.Level = 30*Second, 10, 0.4
+		day.Faults = []Fault{{Kind: Release, At: 2 * Second, BatchShare: 0.2, ByFleet: true, LostNotices: float64(seed) * 0.1}, {Kind: AgentUnavailable, At: 5 * Second, Duration: 4 * Second}}
+		r := play(t, &day, module(t), seed)
 		for sec, row := range r.Heat {
 			out := 0
 			for _, use := range row {
@@ -201,12 +201,12 @@
 		}},
 	}
 	for _, f := range faults {
-		s := shortDay()
-		s.Load.Level = 1.5
-		s.Hosts.CollapseAfter = Second
-		s.Faults = []Fault{{Kind: Release, At: Second, BatchShare: 0.5}}
+		day := shortDay()
+		day.Load.Level = 1.5
+		day.Hosts.CollapseAfter = Second
+		day.Faults = []Fault{{Kind: Release, At: Second, BatchShare: 0.5}}
 		p := &Policy{Name: f.name, New: func(t admission.Config, seed uint64) Decider { return alteredBackend{admission.New(t, seed), f.alter} }}
-		if r := play(t, &s, p, 1); r.BreachesByRule[f.rule] == 0 {
+		if r := play(t, &day, p, 1); r.BreachesByRule[f.rule] == 0 {
 			t.Errorf("%s: rule %d was to be seen broken: %v %v", f.name, f.rule, r.BreachesByRule, r.Breaches)
 		}
 	}
@@ -221,13 +221,13 @@
 	}
 	for _, tail := range []float64{0, 1} {
 		for _, load := range []float64{0.3, 0.6} {
-			s := Default()
-			s.Duration = 1000 * Second
-			s.Hosts.Count, s.Hosts.Cores, s.Hosts.SpeedSpread, s.Hosts.ReadWork, s.Hosts.HandshakeWork, s.Hosts.CollapseMultiple = 1, 1, 0, 0, 0, 1000
-			s.Nodes.Count, s.Nodes.NetworkDelay = 1, 0
-			s.Operations = []Operation{{Name: "a", Value: 1, Share: 1, Work: 20 * Millisecond, WorkSigma: tail, Objective: 100 * Second, Timeout: 100 * Second}}
-			s.Load.Level = load
-			r := play(t, &s, none, 1)
+			day := Default()
+			day.Duration = 1000 * Second
+			day.Hosts.Count, day.Hosts.Cores, day.Hosts.SpeedSpread, day.Hosts.ReadWork, day.Hosts.HandshakeWork, day.Hosts.CollapseMultiple = 1, 1, 0, 0, 0, 1000
+			day.Nodes.Count, day.Nodes.NetworkDelay = 1, 0
+			day.Operations = []Operation{{Name: "a", Value: 1, Share: 1, Work: 20 * Millisecond, WorkSigma: tail, Objective: 100 * Second, Timeout: 100 * Second}}
+			day.Load.Level = load
+			r := play(t, &day, none, 1)
 			h, err := r.Operations[0].Histogram()
 			if err != nil {
 				t.Fatal(err)
@@ -243,20 +243,20 @@
 // TestEdgeCases: days at the bounds of what a scenario can be.
 func TestEdgeCases(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := shortDay()
-	s.Load.Level = 0
-	r := play(t, &s, module(t), 1)
+	day := shortDay()
+	day.Load.Level = 0
+	r := play(t, &day, module(t), 1)
 	tr.Say("without arrivals: %d asks, %d broken", r.Requests, r.BreachCount())
 
-	s = shortDay()
-	s.Faults = []Fault{{Kind: Death, At: 3 * Second, Duration: Second, Share: 1}}
-	r = play(t, &s, module(t), 1)
+	day = shortDay()
+	day.Faults = []Fault{{Kind: Death, At: 3 * Second, Duration: Second, Share: 1}}
+	r = play(t, &day, module(t), 1)
 	tr.Say("all hosts die with everything in hand: %d deaths, every ask ended: %t, broken %d", r.Deaths, countOutcomes(r) == r.Requests, r.BreachCount())
 
-	s = shortDay()
-	s.Duration, s.Hosts.Count, s.Nodes.Count, s.Load.Level = 2*Second, 10_000, 50, 0.01
-	s.Faults = []Fault{{Kind: Death, At: Second, Duration: Second / 2, Share: 1}}
-	r = play(t, &s, module(t), 1)
+	day = shortDay()
+	day.Duration, day.Hosts.Count, day.Nodes.Count, day.Load.Level = 2*Second, 10_000, 50, 0.01
+	day.Faults = []Fault{{Kind: Death, At: Second, Duration: Second / 2, Share: 1}}
+	r = play(t, &day, module(t), 1)
 	tr.Say("10,000 die at once: %d deaths, every ask ended: %t, up at the end of the day: %d", r.Deaths, countOutcomes(r) == r.Requests, r.Seconds[1].HostsUp)
 
 	for _, alter := range []func(*Scenario){
@@ -264,9 +264,9 @@
 		func(s *Scenario) { s.Operations[0].Timeout = 1 }, func(s *Scenario) { s.Faults = []Fault{{Kind: TenantBurst, Factor: 2}} },
 		func(s *Scenario) { s.Hosts.Count = 0 }, func(s *Scenario) { s.Load.Recorded = []Recorded{{At: 2, Work: 1}, {At: 1, Work: 1}} },
 	} {
-		s = shortDay()
-		alter(&s)
-		_, err := Play(&s, module(t), 1, nil)
+		day = shortDay()
+		alter(&day)
+		_, err := Play(&day, module(t), 1, nil)
 		tr.Say("%v", err)
 	}
 }
@@ -321,26 +321,26 @@
 func TestEveryRequestEnds(t *testing.T) {
 	all := Policies()
 	rapid.Check(t, func(t *rapid.T) {
-		s := shortDay()
-		s.Duration = 2 * Second
-		s.Load.Level = rapid.Float64Range(0, 2).Draw(t, "load")
-		s.Load.Shape = Shape(rapid.IntRange(0, int(DueDate)).Draw(t, "shape"))
-		s.Nodes.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "max attempts")
-		s.Nodes.UnresponsiveShare = rapid.Float64Range(0, 1).Draw(t, "unresponsive share")
-		s.Nodes.HedgeDelay = Micros(rapid.IntRange(0, 100_000).Draw(t, "hedge"))
-		s.Nodes.CancelDelay = Micros(rapid.IntRange(-1, 50_000).Draw(t, "cancel delay"))
-		s.Nodes.Subset = rapid.IntRange(0, 5).Draw(t, "subset")
-		s.Operations[0].MakesCalls = rapid.Bool().Draw(t, "calls")
-		s.Hosts.Connections = rapid.IntRange(1, 10).Draw(t, "connections")
+		day := shortDay()
+		day.Duration = 2 * Second
+		day.Load.Level = rapid.Float64Range(0, 2).Draw(t, "load")
+		day.Load.Shape = Shape(rapid.IntRange(0, int(DueDate)).Draw(t, "shape"))
+		day.Nodes.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "max attempts")
+		day.Nodes.UnresponsiveShare = rapid.Float64Range(0, 1).Draw(t, "unresponsive share")
+		day.Nodes.HedgeDelay = Micros(rapid.IntRange(0, 100_000).Draw(t, "hedge"))
+		day.Nodes.CancelDelay = Micros(rapid.IntRange(-1, 50_000).Draw(t, "cancel delay"))
+		day.Nodes.Subset = rapid.IntRange(0, 5).Draw(t, "subset")
+		day.Operations[0].MakesCalls = rapid.Bool().Draw(t, "calls")
+		day.Hosts.Connections = rapid.IntRange(1, 10).Draw(t, "connections")
 		for range rapid.IntRange(0, 3).Draw(t, "faults") {
-			s.Faults = append(s.Faults, Fault{
+			day.Faults = append(day.Faults, Fault{
 				Kind: []FaultKind{Death, Slow, Gray, Release, Burst, Partition, DependencySlow}[rapid.IntRange(0, 6).Draw(t, "kind")],
 				At:   Micros(rapid.IntRange(0, 2_000_000).Draw(t, "at")), Duration: Micros(rapid.IntRange(1, 1_000_000).Draw(t, "for")),
 				Share: rapid.Float64Range(0, 1).Draw(t, "share"), Factor: rapid.Float64Range(0.1, 10).Draw(t, "factor"), BatchShare: 0.3,
 			})
 		}
 		p := all[rapid.IntRange(0, len(all)-1).Draw(t, "policy")]
-		r, err := Play(&s, &p, rapid.Uint64().Draw(t, "seed"), nil)
+		r, err := Play(&day, &p, rapid.Uint64().Draw(t, "seed"), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -362,27 +362,27 @@
 // TestReplayed: a trace tells the course of one request.
 func TestReplayed(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	s := shortDay()
-	s.Load.Level = 1.5
+	day := shortDay()
+	day.Load.Level = 1.5
 	course := &Trace{Request: 900, Host: -1, MaxLines: 20}
-	if _, err := Play(&s, module(t), 2, course); err != nil {
+	if _, err := Play(&day, module(t), 2, course); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range course.Lines {
 		tr.Say("%s", line)
 	}
 	few := &Trace{Host: 1, MaxLines: 3}
-	if _, err := Play(&s, module(t), 2, few); err != nil {
+	if _, err := Play(&day, module(t), 2, few); err != nil {
 		t.Fatal(err)
 	}
 	tr.Say("%d lines of host 1, and more: %t", len(few.Lines), few.Omitted > 0)
 }
 
 func ExamplePlay() {
-	s := Default()
-	s.Duration, s.Load.Level = 2*Second, 0.5
+	day := Default()
+	day.Duration, day.Load.Level = 2*Second, 0.5
 	p, _ := PolicyNamed("pool")
-	r, err := Play(&s, p, 1, nil)
+	r, err := Play(&day, p, 1, nil)
 	fmt.Println(err, r.BreachCount(), r.Value() > 0.99)
 	// Output: <nil> 0 true
 }
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -29,7 +29,7 @@
 	case "runs":
 		line += fmt.Sprintf(" after %d us in line, %d on the cores", w.now-att.readAt, h.cores.running)
 	case "throttled":
-		line += fmt.Sprintf(", come back in %d us, don't retry %t", att.retryIn, att.dontRetry)
+		line += fmt.Sprintf(", come back in %d us, don't retry %t", att.retryAfter, att.dontRetry)
 	}
 	tr.Lines = append(tr.Lines, line)
 }
