--- a/internal/backend/registration/reportpacing/guards_test.go
+++ b/internal/backend/registration/reportpacing/guards_test.go
@@ -93,6 +93,32 @@
 	}
 }
 
+// TestReportsInFlightAreBounded: at the bound no report may be sent until one has ended, however it ends.
+func TestReportsInFlightAreBounded(t *testing.T) {
+	config := testConfig()
+	for name, end := range map[string]func(p *Pacer){
+		"succeeded": func(p *Pacer) { p.Succeeded(1, 0) },
+		"failed":    func(p *Pacer) { p.Failed(1, TimedOut, 0) },
+		"abandoned": func(p *Pacer) { p.Abandoned() },
+	} {
+		p := New(config, 1)
+		p.Start(0)
+		for n := range config.InFlight {
+			if _, mayReport := p.Due(); !mayReport {
+				t.Errorf("no report may be sent with %d in flight", n)
+			}
+			p.Started(0)
+		}
+		if _, mayReport := p.Due(); mayReport {
+			t.Errorf("a report may be sent with %d in flight", config.InFlight)
+		}
+		end(p)
+		if _, mayReport := p.Due(); !mayReport {
+			t.Errorf("no report may be sent once one has %s", name)
+		}
+	}
+}
+
 // TestOlderReportDoesNotAgeTheEntry: reports may end in another order than they were sent; the entry lasts from the newest.
 func TestOlderReportDoesNotAgeTheEntry(t *testing.T) {
 	p := New(testConfig(), 1)
@@ -113,11 +139,11 @@
 	config.RetryInitial, config.RetryMax = 1_000_000, 60_000_000
 	success := func(p *Pacer) Micros {
 		p.Start(0)
-		p.Started(0)
 		fail(p, 0, 20)
-		p.Failed(0, Rejected, 20_000_000) // of one report
 		p.Started(0)
-		p.Succeeded(0, 0) // of another, which was in flight
+		p.Started(0)
+		p.Failed(0, Rejected, 20_000_000) // one of the two
+		p.Succeeded(0, 0)                 // the other
 		return 0
 	}
 	if _, longest := bounds(delays(config, success)); longest > config.Interval*9/7 {
