--- a/internal/cluster/membership/guards_test.go
+++ b/internal/cluster/membership/guards_test.go
@@ -98,9 +98,8 @@
 }
 
 // newTestMesh returns the transport of h1, whose peer h2 is at an address of the test's, until the test ends.
-func newTestMesh(t *testing.T, peer string) *meshTransport {
+func newTestMesh(t *testing.T, peer string, bounds limits.Control) *meshTransport {
 	t.Helper()
-	bounds := limits.ForControl()
 	tr, err := transport.Listen("h1", "127.0.0.1:0", map[string]string{"h2": peer}, bounds)
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +123,7 @@
 
 // TestDatagramsToNobody: what is sent or dialed to no agent is an error, and what is sent after the end is.
 func TestDatagramsToNobody(t *testing.T) {
-	mesh := newTestMesh(t, peerListener(t).Addr().String())
+	mesh := newTestMesh(t, peerListener(t).Addr().String(), limits.ForControl())
 	if _, err := mesh.WriteTo(nil, "127.0.0.1:9"); !errors.As(err, new(*UnknownMemberError)) {
 		t.Errorf("a datagram: %v", err)
 	}
@@ -141,7 +140,7 @@
 // more often than minDialInterval allows.
 func TestBrokenStream(t *testing.T) {
 	l := peerListener(t)
-	mesh := newTestMesh(t, l.Addr().String())
+	mesh := newTestMesh(t, l.Addr().String(), limits.ForControl())
 	accepted := make(chan net.Conn, 1000)
 	go func() {
 		for {
@@ -169,61 +168,89 @@
 	}
 }
 
-// TestUnreadDatagrams: a peer that reads nothing holds up nobody: datagrams beyond the queue are dropped. When it reads,
-// those that were queued arrive complete and in order.
-func TestUnreadDatagrams(t *testing.T) {
-	l := peerListener(t)
-	mesh := newTestMesh(t, l.Addr().String())
-	to := mesh.hosts.address("h2").String()
-	const sent = 1000 // of some 60 KB: more than the queue and the system's buffers take
-	done := make(chan error, 1)
+// TestFullQueue: datagrams beyond a full queue are dropped, and whoever sends them does not wait.
+func TestFullQueue(t *testing.T) {
+	s := newPacketSender(Config{Bounds: limits.ForControl()}, "h2") // not run: nothing leaves its queue
+	done := make(chan struct{})
 	go func() {
-		for i := range sent {
-			packet := make([]byte, 60_000)
-			binary.BigEndian.PutUint32(packet, uint32(i))
-			if _, err := mesh.WriteTo(packet, to); err != nil {
-				done <- err
-				return
-			}
+		defer close(done)
+		for i := range 2 * maxQueuedPackets {
+			s.enqueue([]byte{byte(i)})
 		}
-		done <- nil
 	}()
 	select {
-	case err := <-done:
-		if err != nil {
-			t.Fatal(err)
-		}
+	case <-done:
 	case <-time.After(patience):
-		t.Fatal("a peer that reads nothing blocks its sender")
+		t.Fatal("a full queue blocks its sender")
 	}
-	c, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
+	for i := range maxQueuedPackets {
+		if packet := <-s.queue; packet[0] != byte(i) {
+			t.Fatalf("datagram %d is in place %d", packet[0], i)
+		}
 	}
-	defer c.Close()
-	_ = c.SetReadDeadline(time.Now().Add(patience))
-	in := bufio.NewReader(c)
-	if _, err := in.ReadString('\n'); err != nil { // the greeting
-		t.Fatal(err)
+	if n := len(s.queue); n > 0 {
+		t.Errorf("%d datagrams more are queued", n)
 	}
-	last := -1
-	for range maxQueuedPackets / 2 {
-		packet, err := transport.ReadFrame(in, maxPacket)
-		if err != nil || len(packet) != 60_000 {
-			t.Fatalf("%d bytes, %v", len(packet), err)
+}
+
+// TestUnreadStream: a connection whose peer reads nothing is given up after a time, and what is sent then arrives over
+// another, each datagram complete.
+func TestUnreadStream(t *testing.T) {
+	l := peerListener(t)
+	mesh := newTestMesh(t, l.Addr().String(), limits.ForControl())
+	stop := make(chan struct{})
+	sent := make(chan error, 1)
+	go func() {
+		for i := uint32(0); ; i++ {
+			packet := make([]byte, 60_000) // a few dozen fill the system's buffers
+			binary.BigEndian.PutUint32(packet, i)
+			if _, err := mesh.WriteTo(packet, mesh.hosts.address("h2").String()); err != nil {
+				sent <- err
+				return
+			}
+			select {
+			case <-stop:
+				sent <- nil
+				return
+			case <-time.After(time.Millisecond):
+			}
 		}
-		n := int(binary.BigEndian.Uint32(packet))
-		if n <= last || n >= sent {
-			t.Fatalf("datagram %d after %d", n, last)
+	}()
+	for i := range 2 {
+		_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+		c, err := l.Accept()
+		if err != nil {
+			t.Fatalf("connection %d: %v", i+1, err)
+		}
+		defer c.Close()
+		if i == 0 {
+			continue // nobody reads it
+		}
+		_ = c.SetReadDeadline(time.Now().Add(patience))
+		in := bufio.NewReader(c)
+		if greeting, err := in.ReadString('\n'); err != nil || greeting != "milletbarrow/1 packet h2 h1\n" {
+			t.Fatalf("greeted with %q, %v", greeting, err)
+		}
+		for last := -1; last < 0; {
+			packet, err := transport.ReadFrame(in, maxPacket)
+			if err != nil || len(packet) != 60_000 {
+				t.Fatalf("%d bytes, %v", len(packet), err)
+			}
+			last = int(binary.BigEndian.Uint32(packet))
 		}
-		last = n
+	}
+	close(stop)
+	if err := <-sent; err != nil {
+		t.Error(err)
 	}
 }
 
 // TestMeshShutdown: all goroutines end, whatever they wait for: a peer that reads nothing, the library, a connection.
 func TestMeshShutdown(t *testing.T) {
 	l := peerListener(t)
-	mesh := newTestMesh(t, l.Addr().String())
+	bounds := limits.ForControl()
+	bounds.CallTimeout = time.Hour // no time limit ends them
+	mesh := newTestMesh(t, l.Addr().String(), bounds)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ran := make(chan error, 1)
--- a/internal/cluster/quotastore/election_test.go
+++ b/internal/cluster/quotastore/election_test.go
@@ -211,6 +211,28 @@
 	}
 }
 
+// TestRejectedConfigIsProposedOnce: a configuration that the state rejects is not proposed with every tick.
+func TestRejectedConfigIsProposedOnce(t *testing.T) {
+	l, r, _ := newFakeLeader()
+	unusable := rateConfig()
+	unusable.Limits[0].Step = 0
+	l.store.SetConfig(unusable, l.store.members())
+	for range 5 {
+		l.tick()
+	}
+	if len(r.applied) != 1 || r.applied[0].Config == nil {
+		t.Errorf("proposed %+v", r.applied)
+	}
+	l.store.SetConfig(rateConfig(), l.store.members()) // corrected
+	if l.tick(); l.store.state.Config.Version != 1 {
+		t.Errorf("version %d is in force", l.store.state.Config.Version)
+	}
+	applied := len(r.applied)
+	if l.tick(); len(r.applied) != applied {
+		t.Errorf("with nothing due it proposed %+v", r.applied[applied:])
+	}
+}
+
 // TestLeaderNotReady: a leader that has not begun to lead answers no call, its own or another agent's, and names whom it
 // knows of.
 func TestLeaderNotReady(t *testing.T) {
