--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -27,57 +27,71 @@
 	if err != nil {
 		return nil, err
 	}
-	results := make([]*simulation.Result, len(cells))
-	callerContext := ctx
-	group, ctx := errgroup.WithContext(ctx)
+	r := &runner{dir: dir, results: make([]*simulation.Result, len(cells)), progress: Progress{Total: len(cells)}, onProgress: onProgress}
+	group, groupContext := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, cores))
-	var mu sync.Mutex
-	state := Progress{Total: len(cells)}
-	finished := func(i int, r *simulation.Result, cached bool) {
-		mu.Lock()
-		defer mu.Unlock()
-		results[i] = r
-		state.Done++
-		if cached {
-			state.Cached++
-		}
-		state.Cell, state.Result = &cells[i], r
-		if onProgress != nil {
-			onProgress(state)
-		}
-	}
 	for i := range cells {
-		if ctx.Err() != nil {
+		if groupContext.Err() != nil {
 			break
 		}
 		group.Go(func() error {
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			c := &cells[i]
-			if dir != nil {
-				if r, ok := dir.Load(c.Key); ok {
-					finished(i, r, true)
-					return nil
-				}
-			}
-			r, err := simulation.Play(&c.Scenario, c.Policy, c.Seed, nil)
-			if err != nil {
+			if err := groupContext.Err(); err != nil {
 				return err
 			}
-			if dir != nil {
-				if err := dir.Write(c.Key, r); err != nil {
-					return fmt.Errorf("result of %s: %w", c.Key, err)
-				}
+			result, cached, err := r.result(&cells[i])
+			if err == nil {
+				r.finish(i, &cells[i], result, cached)
 			}
-			finished(i, r, false)
-			return nil
+			return err
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	return results, callerContext.Err()
+	return r.results, ctx.Err()
+}
+
+// runner collects the results of one call of Run.
+type runner struct {
+	dir        *ResultDir // nil: nothing is stored
+	onProgress func(Progress)
+
+	mu       sync.Mutex
+	results  []*simulation.Result // in the order of the cells
+	progress Progress
+}
+
+// result returns the stored result of a cell, else plays and stores it.
+func (r *runner) result(c *Cell) (result *simulation.Result, cached bool, err error) {
+	if r.dir != nil {
+		if result, ok := r.dir.Load(c.Key); ok {
+			return result, true, nil
+		}
+	}
+	if result, err = simulation.Play(&c.Scenario, c.Policy, c.Seed, nil); err != nil {
+		return nil, false, err
+	}
+	if r.dir != nil {
+		if err := r.dir.Write(c.Key, result); err != nil {
+			return nil, false, fmt.Errorf("result of %s: %w", c.Key, err)
+		}
+	}
+	return result, false, nil
+}
+
+// finish records the result of the i-th cell and reports the progress.
+func (r *runner) finish(i int, c *Cell, result *simulation.Result, cached bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.results[i] = result
+	r.progress.Done++
+	if cached {
+		r.progress.Cached++
+	}
+	r.progress.Cell, r.progress.Result = c, result
+	if r.onProgress != nil {
+		r.onProgress(r.progress)
+	}
 }
 
 // Load reads the stored results of an experiment. A missing one is nil, and counted.
--- a/internal/fakes/caller.go
+++ b/internal/fakes/caller.go
@@ -128,13 +128,6 @@
 	endedAt time.Time               // set before ended is closed
 }
 
-// Types of the frames that the backend sends, and the code of a successful answer, by the protocol page.
-const (
-	frameAnswer = 11
-	frameGoAway = 30
-	succeeded   = 1
-)
-
 // read notes answers until the connection ends.
 func (t *callerConn) read() {
 	defer close(t.ended)
--- a/internal/fakes/edge_node.go
+++ b/internal/fakes/edge_node.go
@@ -13,6 +13,15 @@
 	"time"
 )
 
+// Types of frames, and the code of a successful answer, by the protocol page.
+const (
+	frameInvocation   = 10
+	frameAnswer       = 11
+	frameHealthAnswer = 21
+	frameGoAway       = 30
+	succeeded         = 1
+)
+
 // Frame is a decoded frame of the backend.
 type Frame struct {
 	Type   byte
@@ -22,9 +31,10 @@
 	Body   string
 }
 
+// String prints a frame as golden traces have it.
 func (f Frame) String() string {
 	switch f.Type {
-	case 11, 21:
+	case frameAnswer, frameHealthAnswer:
 		return strings.TrimSpace(fmt.Sprintf("%d stream %d code %d %s %.40q", f.Type, f.Stream, f.Code, f.Fields, f.Body))
 	}
 	return fmt.Sprintf("%d stream %d", f.Type, f.Stream)
@@ -71,14 +81,14 @@
 
 // Invocation encodes the frame of a request whose id is that number.
 func Invocation(stream uint32, number int, edits ...string) string {
-	return EncodeFrame(10, stream, EncodeFields(DefaultFields(number, edits...)...)+fmt.Sprint("body ", number))
+	return EncodeFrame(frameInvocation, stream, EncodeFields(DefaultFields(number, edits...)...)+fmt.Sprint("body ", number))
 }
 
 // Attempt encodes the frame of one attempt at the operation post under an idempotency key; its body depends on the key
 // alone.
 func Attempt(stream uint32, number int, token string, edits ...string) string {
 	fields := DefaultFields(number, append(edits, "class=post", "once="+token)...)
-	return EncodeFrame(10, stream, EncodeFields(fields...)+"work "+token)
+	return EncodeFrame(frameInvocation, stream, EncodeFields(fields...)+"work "+token)
 }
 
 // EdgeNode is an edge node with one connection.
@@ -132,7 +142,7 @@
 	if _, err := io.ReadFull(n.in, p); err != nil {
 		return f, err
 	}
-	if f.Type == 11 || f.Type == 21 {
+	if f.Type == frameAnswer || f.Type == frameHealthAnswer {
 		var fields []string
 		f.Code = p[0]
 		count := int(p[1])
--- a/internal/loadgen/connection.go
+++ b/internal/loadgen/connection.go
@@ -130,8 +130,8 @@
 	switch h.Kind {
 	case frame.KindGoAway:
 		c.goingAway = true
-		if c.sender.connections[[2]int{c.node, c.backend}] == c { // the next attempt opens another connection
-			delete(c.sender.connections, [2]int{c.node, c.backend})
+		if c.sender.connections[connectionKey{c.node, c.backend}] == c { // the next attempt opens another connection
+			delete(c.sender.connections, connectionKey{c.node, c.backend})
 		}
 	case frame.KindAnswer:
 		ans, err := frame.ReadAnswer(payload)
@@ -168,8 +168,8 @@
 		return
 	}
 	c.closed = true
-	if c.sender.connections[[2]int{c.node, c.backend}] == c {
-		delete(c.sender.connections, [2]int{c.node, c.backend})
+	if c.sender.connections[connectionKey{c.node, c.backend}] == c {
+		delete(c.sender.connections, connectionKey{c.node, c.backend})
 	}
 	for _, x := range c.unanswered {
 		x.request.OpenAttempts--
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -54,7 +54,7 @@
 	views         []BackendView
 	ignoresAdvice []bool
 	rand          *rand.Rand
-	connections   map[[2]int]*connection
+	connections   map[connectionKey]*connection
 	inFlight      int
 	allDone       chan struct{}
 	sentAll       bool
@@ -62,35 +62,58 @@
 	attempts      uint64
 }
 
+// connectionKey names the connection of a node to a backend, both by index.
+type connectionKey struct{ node, backend int }
+
 // Run sends the scenario's day to the backends, whose addresses must be on loopback (else the error is an
 // *AddressError). Latency counts from the time at which the day has the request, not from when it was sent, so that a
-// sender or backend that stalls does not hide what waited meanwhile.
+// sender or backend that stalls does not hide what waited meanwhile. A load that is interrupted has a report too.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	if err := o.Scenario.Check(); err != nil {
+	if err := o.check(); err != nil {
 		return nil, err
 	}
+	s := newSender(o)
+	defer s.closeConnections()
+	stop := make(chan struct{})
+	go s.reportProgress(stop)
+	defer close(stop)
+	err := s.sendDay(ctx)
+	return s.finishReport(), err
+}
+
+// check returns what makes a load impossible.
+func (o *Options) check() error {
+	if err := o.Scenario.Check(); err != nil {
+		return err
+	}
 	if len(o.Backends) == 0 {
-		return nil, ErrNoBackend
+		return ErrNoBackend
 	}
 	for _, b := range o.Backends {
 		host, _, err := net.SplitHostPort(b)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-			return nil, &AddressError{Address: b}
+			return &AddressError{Address: b}
 		}
 	}
+	return nil
+}
+
+func newSender(o Options) *sender {
 	s := &sender{
 		options: o, scenario: o.Scenario, report: &Report{Result: simulation.NewResult(o.Scenario, "sockets", o.Seed)}, rand: rand.New(rand.NewPCG(o.Seed, 3)),
-		connections: map[[2]int]*connection{}, allDone: make(chan struct{}), idBase: uint64(time.Now().UnixNano()) << 24, startedAt: time.Now(),
+		connections: map[connectionKey]*connection{}, allDone: make(chan struct{}), idBase: uint64(time.Now().UnixNano()) << 24, startedAt: time.Now(),
 	}
-	for n := range o.Scenario.Nodes.Count {
+	nodes := &o.Scenario.Nodes
+	for n := range nodes.Count {
 		s.views = append(s.views, BackendView{AvoidUntil: make([]Micros, len(o.Backends)), next: n % len(o.Backends)})
-		s.ignoresAdvice = append(s.ignoresAdvice, float64(n) < o.Scenario.Nodes.UnresponsiveShare*float64(o.Scenario.Nodes.Count))
+		s.ignoresAdvice = append(s.ignoresAdvice, float64(n) < nodes.UnresponsiveShare*float64(nodes.Count))
 	}
-	defer s.closeConnections()
-	ticks := make(chan struct{})
-	go s.reportProgress(ticks)
-	defer close(ticks)
-	stream := simulation.NewStream(s.scenario, o.Seed)
+	return s
+}
+
+// sendDay sends each request at its time and waits until all have ended.
+func (s *sender) sendDay(ctx context.Context) error {
+	stream := simulation.NewStream(s.scenario, s.options.Seed)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for n := 1; ; n++ {
@@ -102,7 +125,7 @@
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-			return s.finishReport(), ctx.Err()
+			return ctx.Err()
 		}
 		s.startRequest(a, n)
 	}
@@ -112,10 +135,10 @@
 	s.mu.Unlock()
 	select {
 	case <-s.allDone:
+		return nil
 	case <-ctx.Done():
-		return s.finishReport(), ctx.Err()
+		return ctx.Err()
 	}
-	return s.finishReport(), nil
 }
 
 // now returns the time of the day.
@@ -185,10 +208,10 @@
 	if len(s.scenario.Tenants) > 0 {
 		invocation.Tenant = s.scenario.Tenants[req.Tenant].Name
 	}
-	c := s.connections[[2]int{req.Node, b}]
+	c := s.connections[connectionKey{req.Node, b}]
 	if c == nil {
 		c = &connection{sender: s, node: req.Node, backend: b, unanswered: map[uint32]*sentAttempt{}}
-		s.connections[[2]int{req.Node, b}] = c
+		s.connections[connectionKey{req.Node, b}] = c
 		go c.dial(s.options.Backends[b])
 	}
 	c.send(req, invocation)
