--- a/cmd/milletbarrow/experiment_compare.go
+++ b/cmd/milletbarrow/experiment_compare.go
@@ -34,7 +34,7 @@
 			w := newTabWriter()
 			fmt.Fprintf(w, "scenario\tat\tdays\t%s\t%s\tdifference\tinterval\t\n", c.Args().Get(1), c.Args().Get(2))
 			for _, d := range all {
-				fmt.Fprintf(w, "%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n", d.Scenario, d.SweptValue, d.Paired.Samples, d.A.Mean, d.B.Mean,
+				fmt.Fprintf(w, "%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n", d.Scenario, d.SweptValue, d.Paired.Samples, d.First.Mean, d.Second.Mean,
 					d.Paired.Mean, d.Paired.Low, d.Paired.High, d.Verdict)
 			}
 			return w.Flush()
--- a/internal/experiment/comparison.go
+++ b/internal/experiment/comparison.go
@@ -10,55 +10,76 @@
 // Difference compares two policies on the same days.
 type Difference struct {
 	Scenario   string   `json:"scenario"`
-	SweptValue float64  `json:"at"` // of the swept field
-	A          Estimate `json:"a"`
-	B          Estimate `json:"b"`
-	Paired     Estimate `json:"b_less_a"`
+	SweptValue float64  `json:"at"`       // of the swept field
+	First      Estimate `json:"a"`        // figure of the first policy
+	Second     Estimate `json:"b"`        // figure of the second
+	Paired     Estimate `json:"b_less_a"` // second less first, day by day
 	Verdict    string   `json:"word"`
 }
 
+// point is a scenario with one value of the swept field.
+type point struct {
+	scenario string
+	value    float64
+}
+
+// pairedFigures are the figures of two policies, day by day.
+type pairedFigures struct{ first, second []float64 }
+
 // Compare takes the days that both policies have played, pairs them by seed, and says for each scenario and swept value
 // whether a difference is shown. Results are in the order of cells; a missing one is nil.
-func Compare(cells []Cell, results []*simulation.Result, a, b string, m Measure) (all []Difference) {
-	type at struct {
-		scenario string
-		value    float64
+func Compare(cells []Cell, results []*simulation.Result, first, second string, m Measure) (all []Difference) {
+	pairs, order := pairByDay(cells, results, first, second, m)
+	for _, at := range order {
+		p := pairs[at]
+		differences := make([]float64, len(p.first))
+		for i := range differences {
+			differences[i] = p.second[i] - p.first[i]
+		}
+		d := Difference{
+			Scenario: at.scenario, SweptValue: at.value,
+			First: Bootstrap(p.first), Second: Bootstrap(p.second), Paired: Bootstrap(differences),
+		}
+		d.Verdict = verdict(d.Paired, m, first, second)
+		all = append(all, d)
 	}
-	type pair struct{ a, b []float64 }
-	pairs, order := map[at]*pair{}, []at{}
-	first := map[string]float64{}
-	for i, c := range cells {
-		if results[i] != nil && c.Policy.Name == a {
-			first[fmt.Sprint(c.Scenario.Name, c.SweptValue, c.Seed)] = m.Value(results[i])
+	return all
+}
+
+// pairByDay returns the figures of the days that both policies have played, and the points in the order of the cells.
+func pairByDay(cells []Cell, results []*simulation.Result, first, second string, m Measure) (pairs map[point]*pairedFigures, order []point) {
+	type day struct {
+		point
+		seed uint64
+	}
+	dayOf := func(c *Cell) day { return day{point{c.Scenario.Name, c.SweptValue}, c.Seed} }
+	ofFirst := map[day]float64{}
+	for i := range cells {
+		if c := &cells[i]; results[i] != nil && c.Policy.Name == first {
+			ofFirst[dayOf(c)] = m.Value(results[i])
 		}
 	}
-	for i, c := range cells {
-		x, ok := first[fmt.Sprint(c.Scenario.Name, c.SweptValue, c.Seed)]
-		if results[i] == nil || c.Policy.Name != b || !ok {
+	pairs = map[point]*pairedFigures{}
+	for i := range cells {
+		c := &cells[i]
+		d := dayOf(c)
+		x, ok := ofFirst[d]
+		if results[i] == nil || c.Policy.Name != second || !ok {
 			continue
 		}
-		k := at{c.Scenario.Name, c.SweptValue}
-		if pairs[k] == nil {
-			pairs[k] = &pair{}
-			order = append(order, k)
+		p := pairs[d.point]
+		if p == nil {
+			p = &pairedFigures{}
+			pairs[d.point] = p
+			order = append(order, d.point)
 		}
-		pairs[k].a, pairs[k].b = append(pairs[k].a, x), append(pairs[k].b, m.Value(results[i]))
+		p.first, p.second = append(p.first, x), append(p.second, m.Value(results[i]))
 	}
-	for _, k := range order {
-		p := pairs[k]
-		less := make([]float64, len(p.a))
-		for i := range less {
-			less[i] = p.b[i] - p.a[i]
-		}
-		d := Difference{Scenario: k.scenario, SweptValue: k.value, A: Bootstrap(p.a), B: Bootstrap(p.b), Paired: Bootstrap(less)}
-		d.Verdict = verdict(d.Paired, m, a, b)
-		all = append(all, d)
-	}
-	return all
+	return pairs, order
 }
 
 // verdict says what an interval shows.
-func verdict(e Estimate, m Measure, a, b string) string {
+func verdict(e Estimate, m Measure, first, second string) string {
 	switch {
 	case e.Samples == 0:
 		return "nothing to compare"
@@ -67,9 +88,9 @@
 	case e.Low <= 0 && e.High >= 0:
 		return "no difference shown"
 	case (e.Mean > 0) != m.LowerIsBetter:
-		return b + " is better"
+		return second + " is better"
 	}
-	return a + " is better"
+	return first + " is better"
 }
 
 // Curve is one policy's figure over the swept values.
--- a/internal/simulation/coldstart/coldstart_test.go
+++ b/internal/simulation/coldstart/coldstart_test.go
@@ -18,15 +18,15 @@
 	}
 	up := run(Policy{MaxStarting: -40})
 	if again := run(Policy{MaxStarting: -40}); !reflect.DeepEqual(up, again) {
-		t.Error("the same seed went two ways")
+		t.Error("one seed gave two results")
 	}
 	if up.Ready != n || up.DependencyCollapses > 1 || up.PeakStarting > 40 || up.Falls > 0 || up.Listed != n {
-		t.Errorf("the rise: %+v", up)
+		t.Errorf("cold start: %+v", up)
 	}
 	if all := run(Policy{FixedReports: true}); all.DependencyCollapses == 0 || all.Ready == n {
-		t.Errorf("all at once spare the service below: %+v", all)
+		t.Errorf("all starts at once spare the dependency: %+v", all)
 	}
 	if one := run(Policy{MaxStarting: 3}); one.PeakStarting != 3 || one.DependencyCollapses > 0 {
-		t.Errorf("three at once: %+v", one)
+		t.Errorf("three concurrent starts: %+v", one)
 	}
 }
