--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -118,7 +118,7 @@
 	return agentstore.Open(dir, historyLimit)
 }
 
-// agentProcess is the agent of a host with what it runs beside its loop.
+// agentProcess is the agent of a host with the goroutines beside its loop.
 type agentProcess struct {
 	agent    *agent.Agent
 	node     *node.Node // nil: the fleet has no quotas
--- a/cmd/milletbarrow/errors.go
+++ b/cmd/milletbarrow/errors.go
@@ -26,7 +26,7 @@
 
 // usageError reports that a file or a word of the command line can't be used; nothing was changed.
 type usageError struct {
-	cause error // its text names what can't be used
+	cause error // its text names the flag, argument or file
 }
 
 func (e *usageError) Error() string { return e.cause.Error() }
@@ -73,7 +73,7 @@
 )
 
 // outcomeError reports how a command that was carried out came out, for scripts that go by the exit code. Without a cause
-// there is no text: what the command printed has told it.
+// there is no text: the command has printed it already.
 type outcomeError struct {
 	outcome outcome
 	cause   error // nil: none
--- a/cmd/milletbarrow/limits.go
+++ b/cmd/milletbarrow/limits.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// printedBounds are the names under which bounds are printed, where those differ from the fields' names: what scripts read of the
-// output stays as earlier releases printed it.
+// printedBounds are the names under which bounds are printed, where those differ from the fields' names: the output keeps the
+// names of earlier releases.
 var printedBounds = map[string]string{
 	"ConnectionsHighWater": "Roomy",
 	"ClosingConnections":   "Leaving",
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -51,7 +51,7 @@
 	return &cli.StringFlag{Name: "log", Usage: "write log lines as `text` or json", Value: string(logging.Text)}
 }
 
-// startLog begins the log as the flag has it; end writes what waits.
+// startLog starts the log in the format of the flag; end writes lines that are still queued.
 func startLog(c *cli.Command) (end func(), err error) {
 	format, err := logging.ParseFormat(c.String("log"))
 	if err != nil {
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -54,7 +54,7 @@
 
 // runServe starts a backend as the command line has it, and returns when it has ended.
 func runServe(_ context.Context, c *cli.Command) error {
-	if c.Args().Present() { // what is no command comes here too
+	if c.Args().Present() { // an unknown command comes here too
 		return &unknownCommandError{word: c.Args().First()}
 	}
 	endLog, err := startLog(c)
@@ -224,7 +224,7 @@
 	return failures
 }
 
-// adminInstance is what the admin socket does with this backend.
+// adminInstance connects the admin socket to this backend.
 func (b *backendProcess) adminInstance() admin.Instance {
 	return admin.Instance{
 		State: b.state,
--- a/cmd/milletbarrow/serve_quota.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -68,7 +68,7 @@
 	return tenants, quotas, nil
 }
 
-// logQuotaUse writes down what is drawn, often enough for an audit of short spans, until ctx ends.
+// logQuotaUse logs the units drawn, often enough for an audit of short spans, until ctx ends.
 func logQuotaUse(ctx context.Context, dispatcher *dispatch.Dispatcher) {
 	const interval = 20 * time.Millisecond
 	ticker := time.NewTicker(interval)
--- a/cmd/milletbarrow/serve_reload.go
+++ b/cmd/milletbarrow/serve_reload.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// apply takes over what can change of a configuration.
+// apply puts those parts of a configuration in force that can change without a restart.
 func (b *backendProcess) apply(later *config.Backend) {
 	slog.Info("reload", "used", true, "executor", later.Executor, "registry", later.Registry,
 		"restart_required", strings.Join(b.config.ImmutableChanges(later), " "))
--- a/cmd/milletbarrow/serve_shutdown.go
+++ b/cmd/milletbarrow/serve_shutdown.go
@@ -19,7 +19,7 @@
 	grace, stop time.Duration // from the notice on
 	notified    chan struct{} // gets one at the first notice
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	draining       bool
 	graceEndsAt    time.Time
 	stopAt         time.Time
@@ -34,7 +34,7 @@
 	}
 }
 
-// notify takes a notice that was first given so long ago, and has the dispatcher drain. by names who gave it, for the log.
+// notify takes a notice that was first given a time ago, and has the dispatcher drain. by names its source, for the log.
 func (s *shutdown) notify(dispatcher *dispatch.Dispatcher, ago time.Duration, by string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	last := func() time.Time { _, stop := s.times(); return stop.Add(-bounds.ExitMarginUnwritten) }
 	idleChecks := 0 // in a row
 	for now := time.Now(); now.Before(closing()) || now.Before(last()) && (!server.AllClosed() || !server.AllAnswered()); now = time.Now() {
-		if !now.Before(closing()) { // who is still connected by now learns that nothing more comes
+		if !now.Before(closing()) { // callers still connected by now learn that nothing more comes
 			server.CloseAnswered()
 		}
 		connections, _ := server.Counts()
--- a/cmd/milletbarrow/serve_state.go
+++ b/cmd/milletbarrow/serve_state.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// state is what the admin socket serves.
+// state describes this backend, for the admin socket.
 func (b *backendProcess) state() admin.State {
 	connections, openStreams := b.server.Counts()
 	counts, inFlight := b.dispatcher.Counts()
