--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -6,7 +6,9 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -150,6 +152,68 @@
 	}
 }
 
+// trialProcesses are the processes of trials whose directory is below this one.
+func trialProcesses(dir string) (all []process.Identity) {
+	files, _ := filepath.Glob("/proc/[0-9]*/environ")
+	for _, file := range files {
+		environment, _ := os.ReadFile(file) // of one that has ended there is none
+		if !strings.Contains("\x00"+string(environment), "\x00MILLETBARROW_TRIAL_DIR="+dir+"/") {
+			continue
+		}
+		pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(file)))
+		if id, err := process.Of(pid); err == nil {
+			all = append(all, id)
+		}
+	}
+	return all
+}
+
+// TestFaultsLeaveNothingWhenKilled: what a trial began ends also where the command that runs it is killed.
+func TestFaultsLeaveNothingWhenKilled(t *testing.T) {
+	dir, err := os.MkdirTemp("", "t") // short, as sockets lie below it
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer os.RemoveAll(dir)
+	file := filepath.Join(dir, "trial.sx")
+	if err := os.WriteFile(file, []byte("(trial none (hosts 1) (backends 2) (span 1h) (load 0))"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	command := exec.Command(program, "faults", "run", file, "--quiet", "--keep", dir)
+	command.Env = append(os.Environ(), "TMPDIR="+dir)
+	if err := command.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		for _, id := range trialProcesses(dir) {
+			id.Signal(syscall.SIGKILL)
+		}
+	}()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		command.Wait()
+	}()
+	for end := time.Now().Add(time.Minute); len(trialProcesses(dir)) < 5; time.Sleep(20 * time.Millisecond) {
+		select {
+		case <-ended:
+			t.Fatal("the trial ended by itself")
+		default:
+		}
+		if time.Now().After(end) {
+			command.Process.Kill()
+			t.Fatalf("%d processes, wanted an agent, two supervisors and two backends", len(trialProcesses(dir)))
+		}
+	}
+	command.Process.Kill()
+	<-ended
+	for end := time.Now().Add(30 * time.Second); len(trialProcesses(dir)) > 0; time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("still there: %v", trialProcesses(dir))
+		}
+	}
+}
+
 // TestQuotaCommands: quotas that can't be granted are refused with their place in the file, and others are accepted.
 func TestQuotaCommands(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -7,6 +7,7 @@
 	"bytes"
 	"context"
 	"errors"
+	"os"
 	"os/exec"
 	"sync"
 	"time"
@@ -61,6 +62,7 @@
 	scenario simulation.Scenario
 	hosts    []*host
 	mesh     *proxy.Mesh
+	watchdog *watchdog
 
 	startedAt time.Time             // when a cold start was asked for
 	endedAt   time.Time             // when its last fault was over
@@ -91,6 +93,7 @@
 // Tool runs a sub-command of fleet and returns what it prints. The error is a *ToolError.
 func (harness *Harness) Tool(ctx context.Context, args ...string) ([]byte, error) {
 	cmd := exec.CommandContext(ctx, harness.options.Program, append([]string{"fleet", args[0], "--fleet", harness.hosts[0].file}, args[1:]...)...)
+	cmd.Env = append(os.Environ(), directoryVariable+"="+harness.site.Dir)
 	var errs bytes.Buffer
 	cmd.Stderr = &errs
 	out, err := cmd.Output()
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -1,66 +1,72 @@
 package harness
 
 import (
-	"encoding/json"
+	"errors"
 	"fmt"
-	"io"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"milletbarrow/internal/demo"
-	"milletbarrow/internal/failpoint"
 	"milletbarrow/internal/faultinjection/checker"
 	"milletbarrow/internal/faultinjection/proxy"
 	"milletbarrow/internal/faultinjection/registry"
-	"milletbarrow/internal/process"
 	"milletbarrow/internal/simulation"
 )
 
-// Open lays files and links; nothing runs yet.
-func Open(o Options) (harness *Harness, err error) {
+// Open lays out files and links; no agent runs yet.
+func Open(o Options) (*Harness, error) {
 	o.setDefaults()
-	harness = &Harness{options: o, totals: map[string]int{}, limits: checker.Limits{}, faults: map[string]int{}, version: 1}
+	harness := &Harness{options: o, totals: map[string]int{}, limits: checker.Limits{}, faults: map[string]int{}, version: 1}
 	harness.scenario = harness.makeScenario()
+	if err := harness.openSite(); err != nil {
+		return nil, err
+	}
+	if err := harness.prepare(); err != nil {
+		return nil, errors.Join(err, harness.Close())
+	}
+	return harness, nil
+}
+
+// openSite starts the fakes.
+func (harness *Harness) openSite() (err error) {
 	registryAddress := ""
-	if o.Schedule.ColdStart != nil {
-		if harness.registry, err = registry.Start(demo.Loopback()+":0", o.Schedule.ColdStart.Register); err != nil {
-			return nil, err
+	if c := harness.options.Schedule.ColdStart; c != nil {
+		if harness.registry, err = registry.Start(demo.Loopback()+":0", c.Register); err != nil {
+			return err
 		}
 		registryAddress = harness.registry.Address
 	}
-	s := harness.scenario
-	if harness.site, err = demo.NewSiteWithRegistry(&s, o.Program, registryAddress); err != nil {
-		return nil, err
+	scenario := harness.scenario
+	if harness.site, err = demo.NewSiteWithRegistry(&scenario, harness.options.Program, registryAddress); err != nil && harness.registry != nil {
+		err = errors.Join(err, harness.registry.Close())
 	}
-	defer func() {
-		if err != nil {
-			_ = harness.Close()
-		}
-	}()
-	for _, d := range []string{"stamps", "points", "copies"} {
-		if err := os.Mkdir(filepath.Join(harness.site.Dir, d), 0o700); err != nil {
-			return nil, err
+	return err
+}
+
+// prepare starts what ends the trial's processes, and lays out directories, links and files.
+func (harness *Harness) prepare() (err error) {
+	if harness.watchdog, err = startWatchdog(harness.site.Dir); err != nil {
+		return err
+	}
+	for _, dir := range []string{"stamps", "points", "copies"} {
+		if err := os.Mkdir(filepath.Join(harness.site.Dir, dir), 0o700); err != nil {
+			return err
 		}
 	}
 	if err := harness.layHosts(); err != nil {
-		return nil, err
+		return err
 	}
 	var names, peers []string
 	for _, h := range harness.hosts {
 		names, peers = append(names, h.name), append(peers, h.peer)
 	}
 	if harness.mesh, err = proxy.NewMesh(names, peers); err != nil {
-		return nil, err
+		return err
 	}
-	return harness, harness.writeFiles()
+	return harness.writeFiles()
 }
 
 func (o *Options) setDefaults() {
@@ -165,129 +171,3 @@
 	}
 	return nil
 }
-
-// startAgent starts an agent that does not run.
-func (harness *Harness) startAgent(h *host) error {
-	cmd := exec.Command(harness.options.Program, "agent", "--fleet", h.file, "--host", h.name, "--dir", h.dir)
-	skew := 0
-	if n := len(harness.hosts); n > 1 && harness.options.Schedule.Skew > 0 { // evenly from the slowest to the fastest
-		for i, other := range harness.hosts {
-			if other == h {
-				skew = -harness.options.Schedule.Skew + 2*harness.options.Schedule.Skew*i/(n-1)
-			}
-		}
-	}
-	cmd.Env = append(os.Environ(), "MILLETBARROW_STAMPS="+filepath.Join(harness.site.Dir, "stamps"), failpoint.FaultVariable+"="+failpointAt(harness.options.Failpoint, h.name),
-		failpoint.CrashDirVariable+"="+filepath.Join(harness.site.Dir, "points", h.name), "MILLETBARROW_TRIAL_CLOCK="+strconv.Itoa(skew))
-	if c := harness.options.Schedule.ColdStart; c != nil && c.FixedReports {
-		cmd.Env = append(cmd.Env, "MILLETBARROW_REPORTS_FIXED=true")
-	}
-	log, err := os.OpenFile(filepath.Join(harness.site.Dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = log.Close() }()
-	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if err := cmd.Start(); err != nil {
-		return err
-	}
-	ended := make(chan struct{})
-	h.cmd, h.ended = cmd, ended
-	go func() {
-		_ = cmd.Wait()
-		close(ended)
-	}()
-	return nil
-}
-
-// failpointAt is the fault that a host's agent is started with: NAME everywhere, NAME@HOST at one host alone.
-func failpointAt(fault, host string) string {
-	if name, at, one := strings.Cut(fault, "@"); !one || at == host {
-		return name
-	}
-	return ""
-}
-
-func (h *host) killAgent() {
-	if h.cmd != nil {
-		_ = h.cmd.Process.Kill()
-		<-h.ended
-	}
-}
-
-// Close ends every process that the trial began, and removes its directory.
-func (harness *Harness) Close() error {
-	for _, h := range harness.hosts {
-		h.mu.Lock()
-		if h.cmd != nil {
-			_ = h.cmd.Process.Signal(syscall.SIGCONT)
-			h.killAgent()
-		}
-		h.mu.Unlock()
-	}
-	harness.killSupervised()
-	if harness.mesh != nil {
-		harness.mesh.Close()
-	}
-	if harness.registry != nil {
-		_ = harness.registry.Close()
-	}
-	return harness.site.Close()
-}
-
-// killSupervised ends supervisors and backends by what supervisors wrote down of them: both are known by pid and start.
-func (harness *Harness) killSupervised() {
-	for _, h := range harness.hosts {
-		for _, name := range h.backends {
-			id := harness.processesOf(h, name)
-			_ = id.Supervisor.Signal(syscall.SIGKILL)
-			_ = id.Backend.KillGroup()
-		}
-	}
-}
-
-// Processes are all that run now: agents, supervisors and backends.
-func (harness *Harness) Processes() (all []process.Identity) {
-	for _, h := range harness.hosts {
-		if h.cmd != nil {
-			if id, err := process.Of(h.cmd.Process.Pid); err == nil {
-				all = append(all, id)
-			}
-		}
-		for _, name := range h.backends {
-			l := harness.processesOf(h, name)
-			for _, id := range []process.Identity{l.Supervisor, l.Backend} {
-				if id.Alive() {
-					all = append(all, id)
-				}
-			}
-		}
-	}
-	return all
-}
-
-// limitFiles lets a process's files grow no more, as a full disk would.
-func limitFiles(pid int, on bool) error {
-	l := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
-	if on {
-		l.Cur = 1
-	}
-	return unix.Prlimit(pid, unix.RLIMIT_FSIZE, &l, nil)
-}
-
-// supervised is who a backend's processes are, by its supervisor's file.
-type supervised struct {
-	Supervisor process.Identity `json:"keeper"`
-	Backend    process.Identity `json:"instance"`
-}
-
-func (harness *Harness) processesOf(h *host, name string) (l supervised) {
-	f, err := os.Open(filepath.Join(h.dir, "keepers", name+".json"))
-	if err != nil {
-		return l
-	}
-	defer func() { _ = f.Close() }()
-	_ = json.NewDecoder(io.LimitReader(f, 1<<16)).Decode(&l) // what is not written yet names no process
-	return l
-}
