--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -15,52 +15,60 @@
 	LowerIsBetter bool                               // a lower value is better
 }
 
+// measures are the figures of a whole result, by name.
+var measures = map[string]Measure{
+	"value":    {Value: (*simulation.Result).Value},
+	"priced":   {Value: func(r *simulation.Result) float64 { return r.QuotaPriced / math.Max(r.Offered, minOffered) }},
+	"broken":   {Value: func(r *simulation.Result) float64 { return float64(r.BreachCount()) }, LowerIsBetter: true},
+	"changes":  {Value: func(r *simulation.Result) float64 { return float64(r.LevelChangeCount) }, LowerIsBetter: true},
+	"attempts": {Value: func(r *simulation.Result) float64 { return perRequest(float64(r.Attempts), r.Requests) }, LowerIsBetter: true},
+	"wasted":   {Value: func(r *simulation.Result) float64 { return perRequest(r.WastedMicros, r.Requests) }, LowerIsBetter: true},
+}
+
+// breakdownMeasures are the figures of an operation or tenant, by name.
+var breakdownMeasures = map[string]func(b *simulation.Breakdown) float64{
+	"value":   func(b *simulation.Breakdown) float64 { return b.Billed / math.Max(b.Offered, minOffered) },
+	"in-time": func(b *simulation.Breakdown) float64 { return perRequest(float64(b.InTime), b.Requests) },
+	"p50":     func(b *simulation.Breakdown) float64 { return quantile(b, 50) },
+	"p99":     func(b *simulation.Breakdown) float64 { return quantile(b, 99) },
+}
+
+// minOffered stands for the offered value of a day without requests.
+const minOffered = 1e-9
+
+func perRequest(total float64, requests int) float64 { return total / math.Max(1, float64(requests)) }
+
 // MeasureNamed finds a figure by its name: value, priced, broken, attempts, wasted, changes, or one of an operation or
 // tenant: NAME.value, NAME.in-time, NAME.p50, NAME.p99, or NAME and an outcome. The error is an *UnknownMeasureError.
-func MeasureNamed(name string) (m Measure, err error) {
-	per := func(r *simulation.Result, x float64) float64 { return x / math.Max(1, float64(r.Requests)) }
-	m.Name = name
-	switch name {
-	case "value":
-		m.Value = (*simulation.Result).Value
-	case "broken":
-		m.Value, m.LowerIsBetter = func(r *simulation.Result) float64 { return float64(r.BreachCount()) }, true
-	case "priced":
-		m.Value = func(r *simulation.Result) float64 { return r.QuotaPriced / math.Max(r.Offered, 1e-9) }
-	case "attempts":
-		m.Value, m.LowerIsBetter = func(r *simulation.Result) float64 { return per(r, float64(r.Attempts)) }, true
-	case "wasted":
-		m.Value, m.LowerIsBetter = func(r *simulation.Result) float64 { return per(r, r.WastedMicros) }, true
-	case "changes":
-		m.Value, m.LowerIsBetter = func(r *simulation.Result) float64 { return float64(r.LevelChangeCount) }, true
-	default:
-		op, what, ok := strings.Cut(name, ".")
-		ends := simulation.Outcomes()
-		of, known := map[string]func(p *simulation.Breakdown) float64{
-			"value":   func(p *simulation.Breakdown) float64 { return p.Billed / math.Max(p.Offered, 1e-9) },
-			"in-time": func(p *simulation.Breakdown) float64 { return float64(p.InTime) / math.Max(1, float64(p.Requests)) },
-			"p50":     func(p *simulation.Breakdown) float64 { return quantile(p, 50) },
-			"p99":     func(p *simulation.Breakdown) float64 { return quantile(p, 99) },
-		}[what]
-		if n := slices.Index(ends, what); n >= 0 {
-			of, known = func(p *simulation.Breakdown) float64 { return p.OutcomeShare(n) }, true
-		}
-		if !ok || !known {
-			return m, &UnknownMeasureError{Name: name}
-		}
-		m.LowerIsBetter = what != "value" && what != "in-time" && what != "succeeded"
-		m.Value = func(r *simulation.Result) float64 {
-			for _, parts := range [][]simulation.Breakdown{r.Operations, r.Tenants} {
-				for i := range parts {
-					if parts[i].Name == op {
-						return of(&parts[i])
-					}
+func MeasureNamed(name string) (Measure, error) {
+	if m, known := measures[name]; known {
+		m.Name = name
+		return m, nil
+	}
+	part, figure, _ := strings.Cut(name, ".")
+	value, known := breakdownMeasures[figure]
+	if n := slices.Index(simulation.Outcomes(), figure); n >= 0 {
+		value, known = func(b *simulation.Breakdown) float64 { return b.OutcomeShare(n) }, true
+	}
+	if !known {
+		return Measure{Name: name}, &UnknownMeasureError{Name: name}
+	}
+	higherIsBetter := figure == "value" || figure == "in-time" || figure == "succeeded"
+	return Measure{Name: name, Value: ofBreakdown(part, value), LowerIsBetter: !higherIsBetter}, nil
+}
+
+// ofBreakdown returns the figure of the operation or tenant of that name; NaN where a result has none.
+func ofBreakdown(name string, value func(b *simulation.Breakdown) float64) func(r *simulation.Result) float64 {
+	return func(r *simulation.Result) float64 {
+		for _, breakdowns := range [][]simulation.Breakdown{r.Operations, r.Tenants} {
+			for i := range breakdowns {
+				if breakdowns[i].Name == name {
+					return value(&breakdowns[i])
 				}
 			}
-			return math.NaN()
 		}
+		return math.NaN()
 	}
-	return m, nil
 }
 
 // quantile returns a percentile of a breakdown's latencies, in microseconds; NaN where there are none.
