--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -162,7 +162,7 @@
 		}},
 		{"never", func(int, string, uint32) []byte { return []byte{} }, func(r *Report) string {
 			for _, p := range r.Operations {
-				if p.Outcomes[simulation.Lost] != p.Requests {
+				if p.Outcomes[simulation.TimedOut] != p.Requests {
 					return "lost"
 				}
 			}
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -172,7 +172,7 @@
 	s.report.RecordRequest(s.scenario, arrival.At, arrival.Operation, arrival.Tenant)
 	if s.inFlight >= s.options.Bounds.InFlight {
 		s.report.Unsent++
-		s.report.RecordOutcome(s.scenario, now, arrival.Operation, arrival.Tenant, simulation.Local, 0, 0)
+		s.report.RecordOutcome(s.scenario, now, arrival.Operation, arrival.Tenant, simulation.ThrottledByNode, 0, 0)
 		return
 	}
 	s.inFlight++
@@ -181,7 +181,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !req.Finished {
-			s.endRequest(req, simulation.Lost)
+			s.endRequest(req, simulation.TimedOut)
 		}
 	})
 	s.sendAttempt(req)
--- a/internal/simulation/dispatch.go
+++ b/internal/simulation/dispatch.go
@@ -10,7 +10,7 @@
 		return
 	}
 	switch e.kind {
-	case evLoad:
+	case evArrival:
 		w.handleArrival()
 	case evDependency:
 		if w.dependency.generation == e.generation {
@@ -34,7 +34,7 @@
 		if w.now < w.scenario.Duration || w.active > 0 {
 			w.queue.push(event{at: w.now + Second, kind: evSampleSecond})
 		}
-	case evExpiry:
+	case evLeaseExpiry:
 		w.expireLeases()
 	case evAgent:
 		w.tickAgent(e.subject)
@@ -60,7 +60,7 @@
 		do = w.warmUp
 	case evOverload:
 		do = w.checkOverload
-	case evStop:
+	case evExit:
 		do = w.exitProcess
 	case evLease:
 		do = func(h *host) {
@@ -81,11 +81,11 @@
 // event is of this group.
 func (w *world) attemptEvent(e *event) bool {
 	switch e.kind {
-	case evReach, evAnswer, evCallerGone, evCallTimeout:
+	case evArriveAtHost, evAnswer, evCallerGone, evCallTimeout:
 		if w.sameAttempt(e) {
 			w.handleAttempt(e)
 		}
-	case evDue, evRetry, evHedge, evClientRetry:
+	case evClientTimeout, evRetry, evHedge, evClientRetry:
 		if w.requests[e.subject].generation == e.generation {
 			w.handleRequest(e)
 		}
@@ -98,7 +98,7 @@
 // handleAttempt executes an event of an attempt.
 func (w *world) handleAttempt(e *event) {
 	switch e.kind {
-	case evReach:
+	case evArriveAtHost:
 		w.reachHost(e.subject)
 	case evAnswer:
 		w.receiveAnswer(e.subject)
@@ -118,8 +118,8 @@
 	case e.kind == evClientRetry:
 		w.repeatRequest(e.subject)
 	case req.finished:
-	case e.kind == evDue:
-		w.failRequest(e.subject, Lost)
+	case e.kind == evClientTimeout:
+		w.failRequest(e.subject, TimedOut)
 	case e.kind == evRetry:
 		w.startAttempt(e.subject, true)
 	case e.kind == evHedge && req.openAttempts[1] == none && req.openAttempts[0] != none:
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -5,31 +5,31 @@
 type eventKind uint8
 
 const (
-	evLoad         eventKind = iota // the next request arrives
-	evReach                         // the attempt reaches its host
-	evCores                         // the host's cores may complete some work
-	evWake                          // the host's policy asked for a reading; detail: its token
-	evAnswer                        // the attempt's answer reaches its node
-	evDue                           // the request's client timeout
-	evRetry                         // the request is retried
-	evHedge                         // the request is hedged, if it is unanswered
-	evCallerGone                    // the attempt's host is notified that the caller has left
-	evDependency                    // the dependency may complete a call
-	evCallTimeout                   // the attempt's call times out; detail: its number
-	evRefresh                       // the node polls the endpoint registry
-	evListed                        // the endpoint registry lists the host (detail 1) or removes it (0)
-	evIdleCheck                     // the node's connection may have been idle for too long; detail: the slot
-	evWarmUp                        // the host's speed rises while it warms up
-	evOverload                      // the host may have been overloaded for too long
-	evFault                         // the fault begins
-	evFaultOver                     // the fault ends
-	evStop                          // the host's process exits after a shutdown notice
-	evRestart                       // the host's process is started again
-	evSampleSecond                  // the state of the fleet is recorded
-	evLease                         // the host renews its quota leases
-	evExpiry                        // the quota store expires leases
-	evClientRetry                   // the request's caller sends it again
-	evAgent                         // the agent polls its hosts
+	evArrival       eventKind = iota // the next request arrives
+	evArriveAtHost                   // the attempt reaches its host
+	evCores                          // the host's cores may complete some work
+	evWake                           // the host's policy asked for a reading; detail: its token
+	evAnswer                         // the attempt's answer reaches its node
+	evClientTimeout                  // the request's client timeout
+	evRetry                          // the request is retried
+	evHedge                          // the request is hedged, if it is unanswered
+	evCallerGone                     // the attempt's host is notified that the caller has left
+	evDependency                     // the dependency may complete a call
+	evCallTimeout                    // the attempt's call times out; detail: its number
+	evRefresh                        // the node polls the endpoint registry
+	evListed                         // the endpoint registry lists the host (detail 1) or removes it (0)
+	evIdleCheck                      // the node's connection may have been idle for too long; detail: the slot
+	evWarmUp                         // the host's speed rises while it warms up
+	evOverload                       // the host may have been overloaded for too long
+	evFault                          // the fault begins
+	evFaultOver                      // the fault ends
+	evExit                           // the host's process exits after a shutdown notice
+	evRestart                        // the host's process is started again
+	evSampleSecond                   // the state of the fleet is recorded
+	evLease                          // the host renews its quota leases
+	evLeaseExpiry                    // the quota store expires leases
+	evClientRetry                    // the request's caller sends it again
+	evAgent                          // the agent polls its hosts
 )
 
 // event is kept at 32 bytes, as millions of them are queued.
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -133,7 +133,7 @@
 // sendNotice sends a host its shutdown notice. A lost one never reaches the process, which is stopped all the same.
 func (w *world) sendNotice(h *host, lost bool) {
 	h.noticedAt, h.exitsAt = w.now, w.now+w.scenario.Hosts.ExitTimeout
-	w.queue.push(event{at: h.exitsAt, kind: evStop, subject: h.number, generation: h.incarnation})
+	w.queue.push(event{at: h.exitsAt, kind: evExit, subject: h.number, generation: h.incarnation})
 	if lost {
 		w.result.LostNotices++
 		return
--- a/internal/simulation/host_actions.go
+++ b/internal/simulation/host_actions.go
@@ -43,7 +43,7 @@
 		}
 	case admission.SkipCall:
 		if j := w.inPhase(h, a.ID, phaseBeforeCall); j != none {
-			w.attempts[j].skipped = true
+			w.attempts[j].callSkipped = true
 			w.resumeRun(h, j)
 		}
 	case admission.Remember:
--- a/internal/simulation/host_completion.go
+++ b/internal/simulation/host_completion.go
@@ -65,7 +65,7 @@
 	att := &w.attempts[j]
 	w.audit.checkAnswer(w, h, att)
 	att.answers++
-	w.trace.record(w, w.requests[att.request].number, att, outcomeNames[outcome])
+	w.trace.record(w, att, outcomeNames[outcome])
 	if att.answers == 1 && !att.callerGone {
 		att.outcome = outcome
 		if d := w.networkDelay(w.requests[att.request].node, h.number); d >= 0 {
--- a/internal/simulation/host_cores.go
+++ b/internal/simulation/host_cores.go
@@ -138,7 +138,7 @@
 func (w *world) startRun(h *host, j int32) {
 	att := &w.attempts[j]
 	w.audit.checkStart(w, h, att)
-	w.trace.record(w, w.requests[att.request].number, att, "runs")
+	w.trace.record(w, att, stepRun)
 	att.phase = phaseRunning
 	h.queued--
 	h.memory += w.scenario.Hosts.RequestKB * (w.scenario.Hosts.RunFactor - 1)
--- a/internal/simulation/host_intake.go
+++ b/internal/simulation/host_intake.go
@@ -61,7 +61,7 @@
 	h.queued++
 	h.memory += w.scenario.Hosts.RequestKB
 	w.updateCores(h)
-	w.trace.record(w, req.number, att, "read")
+	w.trace.record(w, att, stepRead)
 	hint := req.hint
 	if w.policy.KnowsWork {
 		hint = Micros(req.work)
@@ -75,17 +75,9 @@
 			ev.RepeatOf = id
 		}
 	}
-	if state := h.degradation; state != nil {
-		now := degradation.Micros(w.now)
-		if state.shedder.ShouldShed(state.controller.Level(), state.controller.Depth(now), int(req.operation), int(req.tenant), op.Priority, degradation.Micros(req.hint)) {
-			ev.ShedFor, att.shed = 1, true
-			w.result.Shed++
-		} else {
-			state.signals.Count(now, degradation.Arrivals)
-			if att.retry {
-				state.signals.Count(now, degradation.RetriedArrivals)
-			}
-		}
+	if h.degradation != nil && w.shouldShed(h, req, att, op.Priority) {
+		ev.ShedFor, att.shed = 1, true
+		w.result.Shed++
 	}
 	if ev.ShedFor == 0 && len(w.scenario.Tenants) > 0 {
 		ev.Quota = w.drawQuota(h, int(req.tenant))
@@ -97,3 +89,17 @@
 		w.kill(h, Reset)
 	}
 }
+
+// shouldShed asks a host's degradation whether it sheds a request, and counts one that it does not.
+func (w *world) shouldShed(h *host, req *request, att *attempt, priority float64) bool {
+	state, now := h.degradation, degradation.Micros(w.now)
+	level, depth := state.controller.Level(), state.controller.Depth(now)
+	if state.shedder.ShouldShed(level, depth, int(req.operation), int(req.tenant), priority, degradation.Micros(req.hint)) {
+		return true
+	}
+	state.signals.Count(now, degradation.Arrivals)
+	if att.retry {
+		state.signals.Count(now, degradation.RetriedArrivals)
+	}
+	return false
+}
--- a/internal/simulation/node_attempts.go
+++ b/internal/simulation/node_attempts.go
@@ -25,7 +25,7 @@
 		n.accepted.add(w.now, s.ThrottleWindow, 0)
 		// Client-side throttling by the share accepted recently, "Handling Overload", Site Reliability Engineering, 2016: K = 2.
 		if w.nodeRand.Float64() < (n.requested.sum-2*n.accepted.sum)/(n.requested.sum+1) {
-			w.retryOrEnd(i, Local)
+			w.retryOrEnd(i, ThrottledByNode)
 			return
 		}
 	}
@@ -62,7 +62,7 @@
 		w.queue.push(event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, generation: att.generation})
 		return
 	}
-	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evReach, subject: j, generation: att.generation})
+	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evArriveAtHost, subject: j, generation: att.generation})
 }
 
 // networkDelay returns how long a message takes between a node and a host; negative: it never arrives.
@@ -87,7 +87,7 @@
 	sl.inFlight--
 	sl.usedAt = w.now
 	outcome, retryAfter, dontRetry := att.outcome, att.retryAfter, att.dontRetry
-	skipped := att.skipped
+	skipped := att.callSkipped
 	att.atNode = false
 	for k := range req.openAttempts {
 		if req.openAttempts[k] == j {
@@ -131,8 +131,8 @@
 	if req.openAttempts[0] != none || req.openAttempts[1] != none {
 		return // a hedged attempt is still open
 	}
-	safe := outcome == Throttled || outcome == Unreachable || outcome == Local || op.RetrySafety != admission.NonIdempotent
-	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts || outcome == Local {
+	safe := outcome == Throttled || outcome == Unreachable || outcome == ThrottledByNode || op.RetrySafety != admission.NonIdempotent
+	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts || outcome == ThrottledByNode {
 		w.failRequest(i, outcome)
 		return
 	}
@@ -170,7 +170,7 @@
 	req := &w.requests[i]
 	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), outcome, w.now-req.arrivedAt, 0)
 	op := &w.scenario.Operations[req.operation]
-	if req.clientRetries < maxClientRetries && w.nodeRand.Float64() < w.scenario.Nodes.ClientRetryShare && (op.RetrySafety != admission.NonIdempotent || outcome == Throttled || outcome == Local) {
+	if req.clientRetries < maxClientRetries && w.nodeRand.Float64() < w.scenario.Nodes.ClientRetryShare && (op.RetrySafety != admission.NonIdempotent || outcome == Throttled || outcome == ThrottledByNode) {
 		req.clientRetries++
 		w.notifyHosts(req)
 		req.finished, req.retriesLater = true, true
@@ -220,6 +220,6 @@
 	w.requests[i].retriesLater = false
 	w.releaseRequest(i)
 	w.result.ClientRetries++
-	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evDue, subject: k, generation: req.generation})
+	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evClientTimeout, subject: k, generation: req.generation})
 	w.startAttempt(k, false)
 }
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -80,7 +80,7 @@
 		quotas.store = quota.NewState()
 		quotas.store.Apply(quota.Command{Config: &config})
 		quotas.tracker.BecomeLeader(quota.Micros(w.now), quotas.store, false)
-		w.queue.push(event{at: w.now + 1, kind: evExpiry})
+		w.queue.push(event{at: w.now + 1, kind: evLeaseExpiry})
 	case GlobalQuotas:
 		quotas.global = fixedHolder("all", "1", config.Limits, 1)
 	}
@@ -173,7 +173,7 @@
 		quotas.store.Apply(quota.Command{Expire: over, Rebalance: divide})
 	}
 	if w.now < w.scenario.Duration {
-		w.queue.push(event{at: w.now + leaseRenewal/4, kind: evExpiry})
+		w.queue.push(event{at: w.now + leaseRenewal/4, kind: evLeaseExpiry})
 	}
 }
 
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -53,7 +53,7 @@
 	outcome                  Outcome
 	callerGone               bool // its host was notified that the caller has left
 	retry                    bool
-	skipped                  bool
+	callSkipped              bool
 	shed                     bool // by graceful degradation
 	finishing                bool // the policy is being told of its end
 	called                   bool
@@ -75,14 +75,14 @@
 	Succeeded Outcome = iota
 	Throttled
 	Errored
-	Unreachable // no connection: nothing ran
-	Reset       // the connection ended: it may have run
-	Lost        // no answer within the client timeout
-	Local       // throttled by the node itself
-	outcomes
+	Unreachable     // no connection: nothing ran
+	Reset           // the connection ended: it may have run
+	TimedOut        // no answer within the client timeout
+	ThrottledByNode // throttled by the node itself
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"succeeded", "throttled", "errored", "unreachable", "reset", "lost", "local"}
+var outcomeNames = [outcomeCount]string{"succeeded", "throttled", "errored", "unreachable", "reset", "lost", "local"}
 
 const none = int32(-1)
 
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -55,13 +55,13 @@
 
 // Breakdown is the outcome of the requests of one operation or tenant.
 type Breakdown struct {
-	Name     string        `json:"name"`
-	Offered  float64       `json:"offered"`
-	Billed   float64       `json:"billed"`
-	Requests int           `json:"asks"`
-	InTime   int           `json:"in_time"`
-	Outcomes [outcomes]int `json:"ends"`              // indexed as the names of Outcomes
-	Latency  []byte        `json:"latency,omitempty"` // of successes, in microseconds: a compressed HdrHistogram V2
+	Name     string            `json:"name"`
+	Offered  float64           `json:"offered"`
+	Billed   float64           `json:"billed"`
+	Requests int               `json:"asks"`
+	InTime   int               `json:"in_time"`
+	Outcomes [outcomeCount]int `json:"ends"`              // indexed as the names of Outcomes
+	Latency  []byte            `json:"latency,omitempty"` // of successes, in microseconds: a compressed HdrHistogram V2
 
 	histogram *hdrhistogram.Histogram
 }
@@ -142,9 +142,9 @@
 	r.Billed += value
 	sec.Billed += value
 	switch outcome {
-	case Throttled, Local:
+	case Throttled, ThrottledByNode:
 		sec.Throttled++
-	case Lost:
+	case TimedOut:
 		sec.Lost++
 	}
 	count := func(p *Breakdown) {
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -11,24 +11,33 @@
 	Omitted  int // lines beyond MaxLines
 }
 
-// record adds a line, if the trace wants it. A nil trace records nothing.
-func (tr *Trace) record(w *world, number uint64, att *attempt, what string) {
-	if tr == nil || tr.Request != 0 && tr.Request != number || tr.Host >= 0 && tr.Host != att.host {
+// Steps of an attempt that a trace records; an answer is recorded by the name of its outcome.
+const (
+	stepRead = "read"
+	stepRun  = "runs"
+)
+
+// record adds a line for a step of an attempt, if it is traced. A nil trace records nothing.
+func (tr *Trace) record(w *world, att *attempt, step string) {
+	if tr == nil {
+		return
+	}
+	h, req := &w.hosts[att.host], &w.requests[att.request]
+	if tr.Request != 0 && tr.Request != req.number || tr.Host >= 0 && tr.Host != att.host {
 		return
 	}
 	if len(tr.Lines) >= tr.MaxLines {
 		tr.Omitted++
 		return
 	}
-	h, req := &w.hosts[att.host], &w.requests[att.request]
-	line := fmt.Sprintf("%10.6f  invocation %d %s try %d  host %d life %d: %s", float64(w.now)/1e6, number,
-		w.scenario.Operations[req.operation].Name, req.attempts, att.host, h.incarnation, what)
-	switch what {
-	case "read":
+	line := fmt.Sprintf("%10.6f  invocation %d %s try %d  host %d life %d: %s", float64(w.now)/1e6, req.number,
+		w.scenario.Operations[req.operation].Name, req.attempts, att.host, h.incarnation, step)
+	switch step {
+	case stepRead:
 		line += fmt.Sprintf(" after %d us, %d in hand, %d on the cores, hint %d us", w.now-att.reachedAt, h.inFlight, h.cores.running, req.hint)
-	case "runs":
+	case stepRun:
 		line += fmt.Sprintf(" after %d us in line, %d on the cores", w.now-att.readAt, h.cores.running)
-	case "throttled":
+	case outcomeNames[Throttled]:
 		line += fmt.Sprintf(", come back in %d us, don't retry %t", att.retryAfter, att.dontRetry)
 	}
 	tr.Lines = append(tr.Lines, line)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -134,7 +134,7 @@
 func (w *world) scheduleArrival() {
 	if a, more := w.stream.Next(); more {
 		w.nextArrival = a
-		w.queue.push(event{at: a.At, kind: evLoad})
+		w.queue.push(event{at: a.At, kind: evArrival})
 	}
 }
 
@@ -149,7 +149,7 @@
 	op := &s.Operations[req.operation]
 	req.due = w.now + op.Timeout
 	w.result.RecordRequest(s, w.now, c.Operation, c.Tenant)
-	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evDue, subject: i, generation: req.generation})
+	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evClientTimeout, subject: i, generation: req.generation})
 	w.startAttempt(i, false)
 	if h := s.Nodes.HedgeDelay; h > 0 && op.RetrySafety == admission.Idempotent {
 		w.queue.push(event{at: w.now + h, kind: evHedge, subject: i, generation: req.generation})
