--- a/internal/cluster/quotastore/quotastore_test.go
+++ b/internal/cluster/quotastore/quotastore_test.go
@@ -65,7 +65,7 @@
 	var n *transport.Transport
 	var err error
 	for range 50 { // its address may take a moment to be free again
-		if n, err = transport.Listen(name, g.at[name], g.To(name), limits.ForControl()); err == nil {
+		if n, err = transport.Listen(name, g.at[name], g.Addresses(name), limits.ForControl()); err == nil {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -257,18 +257,18 @@
 				time.Sleep(pause / 2)
 				g.start(a)
 			case i%4 == 0:
-				g.Way(a, b).Hold(true)
+				g.Direction(a, b).Hold(true)
 				time.Sleep(pause)
-				g.Way(a, b).Hold(false)
+				g.Direction(a, b).Hold(false)
 			case i%4 == 1:
-				k.Twice(pause)
+				k.Duplicate(pause)
 				time.Sleep(pause)
-				k.Twice(0)
-			case i%4 == 2: // what the leader sends is lost, what others send it arrives
+				k.Duplicate(0)
+			case i%4 == 2: // the leader speaks to nobody, and hears all
 				v := g.view(10*time.Second, anyLeader)
-				g.Alone(v.Leader, true, false, true)
+				g.Isolate(v.Leader, true, false, true)
 				time.Sleep(2 * pause)
-				g.Alone(v.Leader, true, false, false)
+				g.Isolate(v.Leader, true, false, false)
 			}
 		}
 	})
@@ -374,10 +374,10 @@
 		}
 	}
 	other := g.names[slices.IndexFunc(g.names[:3], func(n string) bool { return n != first.Leader })]
-	g.Alone(other, true, true, true)
+	g.Isolate(other, true, true, true)
 	to(2, g.names...)
 	time.Sleep(3 * time.Second)
-	g.Alone(other, true, true, false)
+	g.Isolate(other, true, true, false)
 	g.view(30*time.Second, func(v quota.Status) bool { return v.Version == 2 && len(v.Members) == 5 })
 	to(3, "h3", "h4", "h5")
 	v := g.view(30*time.Second, func(v quota.Status) bool { return v.Version == 3 && len(v.Members) == 3 })
--- a/internal/faultinjection/harness/inject_link.go
+++ b/internal/faultinjection/harness/inject_link.go
@@ -8,7 +8,7 @@
 
 // disturbLink injects a fault between two hosts, and takes it back.
 func (harness *Harness) disturbLink(ctx context.Context, f schedule.Fault) {
-	there, back := harness.mesh.Way(f.Target, f.Peer), harness.mesh.Way(f.Peer, f.Target)
+	there, back := harness.mesh.Direction(f.Target, f.Peer), harness.mesh.Direction(f.Peer, f.Target)
 	switch f.Kind {
 	case schedule.Cut:
 		there.Hold(true)
@@ -37,9 +37,9 @@
 	case schedule.Reset:
 		harness.mesh.Reset(f.Target, f.Peer)
 	case schedule.Duplicate:
-		harness.mesh.Link(f.Target, f.Peer).Twice(f.Offset)
+		harness.mesh.Link(f.Target, f.Peer).Duplicate(f.Offset)
 		pause(ctx, f.Duration)
-		harness.mesh.Link(f.Target, f.Peer).Twice(0)
+		harness.mesh.Link(f.Target, f.Peer).Duplicate(0)
 		pause(ctx, f.Offset)
 	}
 }
@@ -57,8 +57,8 @@
 			}
 		}
 	}
-	each(func(a, b string) { harness.mesh.Way(a, b).Hold(true) })
+	each(func(a, b string) { harness.mesh.Direction(a, b).Hold(true) })
 	pause(ctx, f.Duration)
 	each(harness.mesh.Reset)
-	each(func(a, b string) { harness.mesh.Way(a, b).Hold(false) })
+	each(func(a, b string) { harness.mesh.Direction(a, b).Hold(false) })
 }
--- a/internal/faultinjection/proxy/link.go
+++ b/internal/faultinjection/proxy/link.go
@@ -1,6 +1,3 @@
-// Package proxy is what lies between two processes in a trial: a way for bytes that can be cut in one direction or both,
-// delayed, stalled, slowed, reset in the middle of a message, and made to bring a call twice. It owns the connections it
-// carries and knows nothing of what they say, but for where a call begins.
 package proxy
 
 import (
@@ -8,226 +5,171 @@
 	"errors"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
-// Direction is one direction between two hosts. All links between them share it.
-type Direction struct {
-	mu    sync.Mutex
-	held  bool
-	delay time.Duration
-	rate  int           // bytes a second; 0: as they come
-	news  chan struct{} // closed at each change
-
-	Bytes atomic.Int64 // carried
-}
-
-// NewDirection is one without faults.
-func NewDirection() *Direction { return &Direction{news: make(chan struct{})} }
-
-func (w *Direction) change(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	f()
-	close(w.news)
-	w.news = make(chan struct{})
-}
-
-// Hold stops all bytes until it is taken back; they are kept, as a network's end keeps what it has not heard of.
-func (w *Direction) Hold(on bool) { w.change(func() { w.held = on }) }
-
-// Delay lets each byte arrive so much later.
-func (w *Direction) Delay(d time.Duration) { w.change(func() { w.delay = d }) }
-
-// Slow bounds bytes a second; 0 takes it back.
-func (w *Direction) Slow(rate int) { w.change(func() { w.rate = rate }) }
-
-func (w *Direction) now() (held bool, delay time.Duration, rate int, news <-chan struct{}) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.held, w.delay, w.rate, w.news
-}
-
-// Link is a listener on this machine whose connections go to an address over two ways.
+// Link is a listener on this machine whose connections go to an address in two directions. Its methods may be called by
+// several goroutines.
 type Link struct {
-	Address string // to be dialled instead of the other
-	to      string
-	out, in *Direction // from who dials, and to them
-	l       net.Listener
-
-	mu    sync.Mutex
-	conns map[*carried]bool
-	twice time.Duration // calls that begin now come again so much later; 0: they do not
-	after sync.WaitGroup
-	over  chan struct{}
-}
+	Address  string     // host:port to be dialled in place of the other
+	target   string     // host:port that it dials
+	out      *Direction // from who dials
+	in       *Direction // to who dials
+	listener net.Listener
+
+	mu          sync.Mutex
+	connections map[*connection]bool
+	duplicate   time.Duration // calls that begin now come again so much later; 0: they do not
+	duplicates  sync.WaitGroup
+	closed      chan struct{}
+}
+
+const (
+	dialTimeout = time.Second
+	acceptPause = 10 * time.Millisecond // after an error, such as too many open files
+	readSize    = 16 << 10
+	maxPieces   = 64 // read and not yet written, of one direction of one connection; beyond, who writes waits
+)
 
 // Open opens a link to an address.
-func Open(to string, out, in *Direction) (*Link, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func Open(target string, out, in *Direction) (*Link, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{Address: l.Addr().String(), to: to, out: out, in: in, l: l, conns: map[*carried]bool{}, over: make(chan struct{})}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			if err != nil {
-				time.Sleep(10 * time.Millisecond)
-				continue
-			}
-			go k.carry(c)
-		}
-	}()
-	return k, nil
+	l := &Link{
+		Address: listener.Addr().String(), target: target, out: out, in: in, listener: listener,
+		connections: map[*connection]bool{}, closed: make(chan struct{}),
+	}
+	go l.accept()
+	return l, nil
 }
 
-// Close ends the link and all it carries.
-func (k *Link) Close() {
-	_ = k.l.Close()
-	close(k.over)
-	k.Reset()
-	k.after.Wait()
+// accept takes connections until the listener is closed.
+func (l *Link) accept() {
+	for {
+		near, err := l.listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			time.Sleep(acceptPause)
+			continue
+		}
+		go l.carry(near)
+	}
 }
 
-// Reset breaks every connection, wherever in a message it is.
-func (k *Link) Reset() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for c := range k.conns {
-		c.breakOff()
+// Close ends the link and all it carries.
+func (l *Link) Close() {
+	_ = l.listener.Close()
+	close(l.closed)
+	l.Reset()
+	l.duplicates.Wait()
+}
+
+// Reset breaks every connection, wherever in a message it is. One that is still being dialled is not carried yet.
+func (l *Link) Reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.connections {
+		c.reset()
 	}
 }
 
-// Twice has calls that begin from now on come again so much later, their second answer being heard by nobody; 0 ends it.
-func (k *Link) Twice(later time.Duration) {
-	k.mu.Lock()
-	k.twice = later
-	k.mu.Unlock()
-	k.Reset() // kept connections would carry on as they were
+// connection is one that the link carries.
+type connection struct {
+	near net.Conn // to who dialled
+	far  net.Conn // to the target
 }
 
-type carried struct {
-	near, far net.Conn
+func (c *connection) reset() {
+	reset(c.near)
+	reset(c.far)
 }
 
-func (c *carried) breakOff() {
-	for _, one := range []net.Conn{c.near, c.far} {
-		if t, ok := one.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
-		}
-		if one != nil {
-			_ = one.Close()
-		}
+// reset closes a connection so that its other end sees it broken.
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
+	_ = conn.Close()
 }
 
-// mostCall is how much of a connection is kept to be brought again.
-const mostCall = 256 << 10
-
-var callBegins = []byte(" call ") // in the first line of a conversation between agents
-
-func (k *Link) carry(near net.Conn) {
-	if held, _, _, news := k.out.now(); held { // its first packet does not arrive
+// carry dials the target for a connection and copies both directions until it ends.
+func (l *Link) carry(near net.Conn) {
+	if faults, changed := l.out.current(); faults.held { // its first packet does not arrive
 		select {
-		case <-news:
-		case <-k.over:
+		case <-changed:
+		case <-l.closed:
 		}
 	}
-	far, err := net.DialTimeout("tcp", k.to, time.Second)
+	far, err := net.DialTimeout("tcp", l.target, dialTimeout)
 	if err != nil {
-		if t, ok := near.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
-		}
-		_ = near.Close()
+		reset(near)
 		return
 	}
-	c := &carried{near, far}
-	k.mu.Lock()
-	k.conns[c] = true
-	twice := k.twice
-	k.mu.Unlock()
-	var kept *bytes.Buffer
-	if twice > 0 {
-		kept = &bytes.Buffer{}
+	c := &connection{near, far}
+	l.mu.Lock()
+	l.connections[c] = true
+	duplicate := l.duplicate
+	l.mu.Unlock()
+	var recorded *bytes.Buffer
+	if duplicate > 0 {
+		recorded = &bytes.Buffer{}
 	}
 	var both sync.WaitGroup
-	both.Go(func() { k.pump(near, far, k.out, kept) })
-	both.Go(func() { k.pump(far, near, k.in, nil) })
+	both.Go(func() { l.pump(near, far, l.out, recorded) })
+	both.Go(func() { l.pump(far, near, l.in, nil) })
 	both.Wait()
-	c.breakOff()
-	k.mu.Lock()
-	delete(k.conns, c)
-	k.mu.Unlock()
-	if kept != nil && bytes.Contains(kept.Bytes()[:min(kept.Len(), 128)], callBegins) {
-		k.after.Go(func() { k.again(kept.Bytes(), twice) })
-	}
-}
-
-// again brings what a connection carried a second time.
-func (k *Link) again(what []byte, later time.Duration) {
-	select {
-	case <-time.After(later):
-	case <-k.over:
-		return
-	}
-	c, err := net.DialTimeout("tcp", k.to, time.Second)
-	if err != nil {
-		return
-	}
-	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
-	_, _ = c.Write(what)
-	for b := make([]byte, 4096); ; { // answered, and heard by nobody
-		if _, err := c.Read(b); err != nil {
-			return
-		}
+	c.reset()
+	l.mu.Lock()
+	delete(l.connections, c)
+	l.mu.Unlock()
+	if recorded != nil && isCall(recorded.Bytes()) {
+		l.duplicates.Go(func() { l.repeat(recorded.Bytes(), duplicate) })
 	}
 }
 
+// piece is what one read brought.
 type piece struct {
-	b  []byte
-	at time.Time
+	bytes []byte
+	at    time.Time
 }
 
-// pump carries one direction of one connection.
-func (k *Link) pump(from, to net.Conn, way *Direction, kept *bytes.Buffer) {
-	pieces := make(chan piece, 64) // beyond, who writes waits
-	go k.readPieces(from, pieces)
+// pump copies one direction of one connection; what it records is nil, or the first maxCall bytes.
+func (l *Link) pump(from, to net.Conn, direction *Direction, recorded *bytes.Buffer) {
+	pieces := make(chan piece, maxPieces)
+	go l.read(from, pieces)
 	for p := range pieces {
-		if !k.await(p, way) {
+		if !l.await(p, direction) {
 			_ = to.Close()
 			return
 		}
-		if kept != nil && kept.Len() < mostCall {
-			kept.Write(p.b)
+		if recorded != nil && recorded.Len() < maxCall {
+			recorded.Write(p.bytes)
 		}
-		way.Bytes.Add(int64(len(p.b)))
-		if _, err := to.Write(p.b); err != nil {
+		if _, err := to.Write(p.bytes); err != nil {
 			break
 		}
 	}
-	if t, ok := to.(*net.TCPConn); ok {
-		_ = t.CloseWrite()
+	if tcp, ok := to.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
 	}
 	for range pieces { // what is read must not block its reader
 	}
 }
 
-// readPieces reads until the connection or the link ends, and closes the channel.
-func (k *Link) readPieces(from net.Conn, pieces chan<- piece) {
+// read reads until the connection or the link ends, and closes the channel.
+func (l *Link) read(from net.Conn, pieces chan<- piece) {
 	defer close(pieces)
 	for {
-		b := make([]byte, 16<<10)
+		b := make([]byte, readSize)
 		n, err := from.Read(b)
 		if n > 0 {
 			select {
 			case pieces <- piece{b[:n], time.Now()}:
-			case <-k.over:
+			case <-l.closed:
 				return
 			}
 		}
@@ -237,25 +179,25 @@
 	}
 }
 
-// await returns once the faults of the way let a piece pass; false where the link was closed meanwhile.
-func (k *Link) await(p piece, way *Direction) bool {
+// await returns once the faults of a direction let a piece pass; false where the link was closed meanwhile.
+func (l *Link) await(p piece, direction *Direction) bool {
 	for {
-		held, delay, rate, news := way.now()
-		wait := time.Until(p.at.Add(delay))
-		if !held && wait <= 0 {
-			if rate > 0 {
-				time.Sleep(time.Duration(len(p.b)) * time.Second / time.Duration(rate))
+		faults, changed := direction.current()
+		wait := time.Until(p.at.Add(faults.delay))
+		if !faults.held && wait <= 0 {
+			if faults.rate > 0 {
+				time.Sleep(time.Duration(len(p.bytes)) * time.Second / time.Duration(faults.rate))
 			}
 			return true
 		}
 		var due <-chan time.Time
-		if !held {
+		if !faults.held {
 			due = time.After(wait)
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-due:
-		case <-k.over:
+		case <-l.closed:
 			return false
 		}
 	}
