--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -31,6 +31,7 @@
 	Quotas     []Quota                    // empty: StandardQuotas
 	Lease      time.Duration              // of quotas; 0: two seconds, with a margin of 100 ms
 	Margin     time.Duration              // between a lease's end by its holder and by the quota store
+	SettleTime time.Duration              // how long a backend has to be ready until it has started; 0: 300 ms
 	ModifyLoad func(*simulation.Scenario) // changes the load; nil: the demo's
 }
 
--- a/internal/faultinjection/harness/processes.go
+++ b/internal/faultinjection/harness/processes.go
@@ -71,6 +71,16 @@
 	return ""
 }
 
+// hasEnded tells whether the host's agent, which was started, has ended.
+func (h *host) hasEnded() bool {
+	select {
+	case <-h.ended:
+		return true
+	default:
+		return false
+	}
+}
+
 func (h *host) killAgent() {
 	if h.cmd != nil {
 		_ = h.cmd.Process.Kill()
