--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -49,7 +49,7 @@
 func (h *hosts) start(i int, incarnation uint64) {
 	h.t.Helper()
 	name := h.Names[i]
-	n, err := transport.Listen(name, h.at[i], h.Addresses(name), limits.ForControl())
+	n, err := transport.Listen(name, h.addresses[i], h.Addresses(name), limits.ForControl())
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -134,11 +134,11 @@
 	h.Direction("h1", "h2").Hold(false)
 	h.Direction("h2", "h1").Hold(false)
 	h.Isolate("h3", true, true, true)
-	t.Logf("cut off from all: gone after %v", h.judged("h3", Dead, 30*time.Second).Round(10*time.Millisecond))
+	t.Logf("cut off from all: dead after %v", h.judged("h3", Dead, 30*time.Second).Round(10*time.Millisecond))
 	h.Isolate("h3", true, true, false)
-	t.Logf("let back: alive after %v", h.judged("h3", Alive, 30*time.Second).Round(10*time.Millisecond))
+	t.Logf("connected again: alive after %v", h.judged("h3", Alive, 30*time.Second).Round(10*time.Millisecond))
 	h.Isolate("h4", true, false, true)
-	t.Logf("heard by nobody, hearing all: gone after %v", h.judged("h4", Dead, 30*time.Second).Round(10*time.Millisecond))
+	t.Logf("what it sends is lost: dead after %v", h.judged("h4", Dead, 30*time.Second).Round(10*time.Millisecond))
 	h.Isolate("h4", true, false, false)
 	h.judged("h4", Alive, 30*time.Second)
 
--- a/internal/cluster/quotastore/quotastore_test.go
+++ b/internal/cluster/quotastore/quotastore_test.go
@@ -264,7 +264,7 @@
 				k.Duplicate(pause)
 				time.Sleep(pause)
 				k.Duplicate(0)
-			case i%4 == 2: // the leader speaks to nobody, and hears all
+			case i%4 == 2: // what the leader sends is lost, what others send it arrives
 				v := g.view(10*time.Second, anyLeader)
 				g.Isolate(v.Leader, true, false, true)
 				time.Sleep(2 * pause)
--- a/internal/faultinjection/coldstart/cold_test.go
+++ b/internal/faultinjection/coldstart/figures_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// day has so many backends report by a rule that gives the time after each.
-func day(backends int, end time.Duration, first func(n int) time.Duration, next func(n int, at time.Duration, counted bool) time.Duration, r *Register) (all []Call) {
+// reports has so many backends report by a rule that gives the time after each.
+func reports(backends int, end time.Duration, first func(n int) time.Duration, next func(n int, at time.Duration, counted bool) time.Duration, r *RegistryBehavior) (all []Call) {
 	for n := range backends {
 		for at := first(n); at < end; {
 			p := r.At(at)
@@ -22,9 +22,9 @@
 	return all
 }
 
-// TestCaught: courses with one fault each are told by its own words, and the sound one by none.
-func TestCaught(t *testing.T) {
-	r := &Register{Phases: []Phase{{From: 0, Mode: Refuses}, {From: 10 * time.Second, Mode: Takes}}}
+// TestViolations: courses with one fault each are named by its own words, and the sound one by none.
+func TestViolations(t *testing.T) {
+	r := &RegistryBehavior{Phases: []Phase{{From: 0, Mode: Refuses}, {From: 10 * time.Second, Mode: Takes}}}
 	const n, end = 70, 40 * time.Second
 	spread := func(n int) time.Duration { return time.Duration(n) * 10 * ms }
 	usual := func(_ int, _ time.Duration, counted bool) time.Duration {
@@ -55,9 +55,9 @@
 			return usual(n, at, counted)
 		}, "69 of 70"},
 	} {
-		calls := day(n, end, c.first, c.next, r)
-		f := Of(calls, r, n, 700*ms, end)
-		why := f.Breaks(Bounds{Refusing: 0.5, First: 2, Peak: 1.6, Most: 6})
+		calls := reports(n, end, c.first, c.next, r)
+		f := Measure(calls, r, n, 700*ms, end)
+		why := f.Violations(Bounds{Refusing: 0.5, First: 2, Peak: 1.6, Most: 6})
 		switch got := strings.Join(why, "; "); {
 		case c.name == "one too slow" && f.Lapsed < 4:
 			t.Errorf("%s: %d lapses", c.name, f.Lapsed)
@@ -66,8 +66,8 @@
 			t.Errorf("%s: %q, wanted %q; %+v", c.name, got, c.want, f)
 		}
 	}
-	f := Of(nil, r, n, 700*ms, end)
-	if why := f.Breaks(Bounds{Most: 6}); len(why) != 2 {
+	f := Measure(nil, r, n, 700*ms, end)
+	if why := f.Violations(Bounds{Most: 6}); len(why) != 2 {
 		t.Errorf("nobody called: %q", why)
 	}
 }
--- a/internal/faultinjection/harness/cold_start.go
+++ b/internal/faultinjection/harness/cold_start.go
@@ -33,10 +33,10 @@
 func (harness *Harness) judgeColdStart(v *Verdict, all []*checker.Process) {
 	c := harness.options.Schedule.ColdStart
 	reportInterval := limits.For(1, 192, 1024).ReportInterval // the bounds of the trial's backends
-	f := coldstart.Of(harness.observed.Calls, &c.Register, len(harness.site.Names), reportInterval, harness.endedAt.Sub(harness.startedAt))
+	f := coldstart.Measure(harness.observed.Calls, &c.RegistryBehavior, len(harness.site.Names), reportInterval, harness.endedAt.Sub(harness.startedAt))
 	f.Conns, f.Falls = harness.observed.MaxConnections, harness.observed.Falls
 	v.ColdStart = &f
-	for _, reason := range f.Breaks(c.Bounds) {
+	for _, reason := range f.Violations(c.Bounds) {
 		v.fail("register: %s", reason)
 	}
 	// One holds its permit from before its process begins until it has been ready for a while.
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -34,7 +34,7 @@
 func (harness *Harness) openSite() (err error) {
 	registryAddress := ""
 	if c := harness.options.Schedule.ColdStart; c != nil {
-		if harness.registry, err = registry.Start(demo.Loopback()+":0", c.Register); err != nil {
+		if harness.registry, err = registry.Start(demo.Loopback()+":0", c.RegistryBehavior); err != nil {
 			return err
 		}
 		registryAddress = harness.registry.Address
--- a/internal/faultinjection/registry/registry.go
+++ b/internal/faultinjection/registry/registry.go
@@ -20,7 +20,7 @@
 // Registry is a running fake. Its methods may be called by several goroutines.
 type Registry struct {
 	Address  string // host:port it listens at
-	behavior coldstart.Register
+	behavior coldstart.RegistryBehavior
 
 	mu           sync.Mutex
 	began        time.Time // of the phases; zero: it takes all at once
@@ -55,7 +55,7 @@
 const offReport = `{"duty":"off"}`
 
 // Start makes one listen at this address.
-func Start(address string, behavior coldstart.Register) (*Registry, error) {
+func Start(address string, behavior coldstart.RegistryBehavior) (*Registry, error) {
 	r := &Registry{Address: address, behavior: behavior, closed: make(chan struct{}), random: rand.New(rand.NewPCG(1, 2))}
 	if err := r.open(); err != nil {
 		return nil, err
@@ -156,9 +156,9 @@
 		refuse: phase.Mode == coldstart.Refuses || phase.Mode == coldstart.Half && r.random.IntN(2) == 0,
 	}
 	r.openCalls++
-	if r.behavior.Crowd > 0 && r.openCalls > r.behavior.Crowd && !a.broken {
+	if r.behavior.MaxOpenCalls > 0 && r.openCalls > r.behavior.MaxOpenCalls && !a.broken {
 		r.observations.Falls++
-		r.fallenUntil, a.broken = now.Add(r.behavior.Needs), true
+		r.fallenUntil, a.broken = now.Add(r.behavior.RecoveryTime), true
 	}
 	return coldstart.Call{Name: name, At: sinceBegin}, a
 }
@@ -190,13 +190,13 @@
 		panic(http.ErrAbortHandler)
 	}
 	select {
-	case <-time.After(a.phase.Takes):
+	case <-time.After(a.phase.ResponseTime):
 	case <-request.Context().Done():
 		return
 	}
 	if a.refuse {
-		if a.phase.Advice > 0 {
-			w.Header().Set("Retry-After", strconv.Itoa(int(a.phase.Advice/time.Second)))
+		if a.phase.RetryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.Itoa(int(a.phase.RetryAfter/time.Second)))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/internal/faultinjection/schedule/cold_start.go
+++ b/internal/faultinjection/schedule/cold_start.go
@@ -11,7 +11,7 @@
 
 // ColdStart is the beginning of a trial in which all backends are started at once.
 type ColdStart struct {
-	coldstart.Register
+	coldstart.RegistryBehavior
 	coldstart.Bounds
 	FixedReports  bool // backends report without jitter or backoff, as a baseline
 	MaxConcurrent int  // backends that may start at once over all hosts, by a cold start; 0: all are started at once
@@ -25,9 +25,9 @@
 
 func readColdStart(f *sexpr.Form) *ColdStart {
 	c := &ColdStart{
-		Register:      coldstart.Register{Crowd: f.Int("crowd", 0, 100_000, 0), Needs: f.Span("needs", 0, maxSpan, 5*time.Second)},
-		MaxConcurrent: f.Int("rise", 0, 100_000, 0),
-		FixedReports:  f.OneOf("reports", pacedReports, fixedReports) == fixedReports,
+		RegistryBehavior: coldstart.RegistryBehavior{MaxOpenCalls: f.Int("crowd", 0, 100_000, 0), RecoveryTime: f.Span("needs", 0, maxSpan, 5*time.Second)},
+		MaxConcurrent:    f.Int("rise", 0, 100_000, 0),
+		FixedReports:     f.OneOf("reports", pacedReports, fixedReports) == fixedReports,
 	}
 	c.Phases = readPhases(f)
 	if sub := f.Field("bounds"); sub != nil {
@@ -41,10 +41,10 @@
 	previous := time.Duration(-1)
 	for _, sub := range f.All("phase") {
 		p := coldstart.Phase{
-			From:   sub.Span("from", 0, maxSpan, 0),
-			Takes:  sub.Span("takes", 0, time.Minute, 0),
-			Advice: sub.Span("advice", 0, maxSpan, 0),
-			Mode:   coldstart.Mode(sub.OneOf("is", coldstart.Modes()...)),
+			From:         sub.Span("from", 0, maxSpan, 0),
+			ResponseTime: sub.Span("takes", 0, time.Minute, 0),
+			RetryAfter:   sub.Span("advice", 0, maxSpan, 0),
+			Mode:         coldstart.Mode(sub.OneOf("is", coldstart.Modes()...)),
 		}
 		if p.From <= previous {
 			sub.Fail("from", "%v is not after the phase before", p.From)
@@ -73,9 +73,9 @@
 	if c.FixedReports {
 		reports = fixedReports
 	}
-	fmt.Fprintf(b, "\n  (cold (reports %s) (rise %d) (crowd %d) (needs %v)", reports, c.MaxConcurrent, c.Crowd, c.Needs)
+	fmt.Fprintf(b, "\n  (cold (reports %s) (rise %d) (crowd %d) (needs %v)", reports, c.MaxConcurrent, c.MaxOpenCalls, c.RecoveryTime)
 	for _, p := range c.Phases {
-		fmt.Fprintf(b, "\n    (phase (from %v) (is %s) (takes %v) (advice %v))", p.From, p.Mode, p.Takes, p.Advice)
+		fmt.Fprintf(b, "\n    (phase (from %v) (is %s) (takes %v) (advice %v))", p.From, p.Mode, p.ResponseTime, p.RetryAfter)
 	}
 	fmt.Fprintf(b, "\n    (bounds (refusing %g) (first %g) (peak %g) (connections %d) (listed %v)))",
 		c.Refusing, c.First, c.Peak, c.Conns, time.Duration(c.Most*float64(time.Second)))
--- a/internal/faultinjection/schedule/schedule_test.go
+++ b/internal/faultinjection/schedule/schedule_test.go
@@ -178,7 +178,7 @@
 		t.Errorf("read\n%vwanted\n%v", s, want)
 	}
 	s, err = Read("t.sx", []byte("(trial a (cold))"))
-	if err != nil || s.ColdStart.Needs != 5*time.Second || s.ColdStart.FixedReports || s.ColdStart.MaxConcurrent != 0 {
+	if err != nil || s.ColdStart.RecoveryTime != 5*time.Second || s.ColdStart.FixedReports || s.ColdStart.MaxConcurrent != 0 {
 		t.Errorf("a cold start's defaults: %+v, %v", s.ColdStart, err)
 	}
 }
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -27,7 +27,7 @@
 	Backends, Hosts   int
 	StartDuration     time.Duration // of a start on an idle host; with more than UncontendedStarts each takes longer
 	UncontendedStarts int           // concurrent starts of a host that do not slow each other down
-	Registry          faultinjectioncoldstart.Register
+	Registry          faultinjectioncoldstart.RegistryBehavior
 	Dependency        Dependency
 	Duration          time.Duration // simulated time
 	Reports           reportpacing.Config
@@ -153,7 +153,7 @@
 		w.now = e.at
 		w.handle(e)
 	}
-	w.result.Figures = faultinjectioncoldstart.Of(w.reports, &t.Registry, t.Backends, time.Duration(t.Reports.Interval)*time.Microsecond, t.Duration)
+	w.result.Figures = faultinjectioncoldstart.Measure(w.reports, &t.Registry, t.Backends, time.Duration(t.Reports.Interval)*time.Microsecond, t.Duration)
 	w.result.Falls, w.result.Ready = w.registryCollapses, len(w.readyTimes)
 	w.result.HalfReadySeconds, w.result.MostReadySeconds = w.readyAt(0.5), w.readyAt(0.95)
 	return &w.result, nil
@@ -328,11 +328,11 @@
 	w.reports = append(w.reports, faultinjectioncoldstart.Call{Name: b.name, At: w.now})
 	call := len(w.reports) - 1
 	w.reportsInFlight++
-	if r.Crowd > 0 && w.reportsInFlight > r.Crowd && w.now >= w.registryDownUntil {
+	if r.MaxOpenCalls > 0 && w.reportsInFlight > r.MaxOpenCalls && w.now >= w.registryDownUntil {
 		w.registryCollapses++
-		w.registryDownUntil = w.now + r.Needs
+		w.registryDownUntil = w.now + r.RecoveryTime
 	}
-	takes := p.Takes + time.Duration(w.rand.Int64N(int64(time.Millisecond)))
+	takes := p.ResponseTime + time.Duration(w.rand.Int64N(int64(time.Millisecond)))
 	w.reports[call].Counted = p.Mode == faultinjectioncoldstart.Takes && w.now >= w.registryDownUntil || p.Mode == faultinjectioncoldstart.Half && w.rand.IntN(2) == 0
 	w.schedule(takes, eventReportAnswered, index, call)
 }
@@ -345,7 +345,7 @@
 	if c.Counted {
 		b.pacer.Succeeded(micros(w.now), micros(c.At))
 	} else {
-		b.pacer.Failed(micros(w.now), reportpacing.Rejected, micros(w.config.Registry.At(c.At).Advice))
+		b.pacer.Failed(micros(w.now), reportpacing.Rejected, micros(w.config.Registry.At(c.At).RetryAfter))
 	}
 	w.scheduleReport(index)
 }
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -23,7 +23,7 @@
 	of := func(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 	return Config{
 		Backends: backends, Hosts: max(1, backends/30), StartDuration: time.Second, UncontendedStarts: 6, Duration: 120 * time.Second,
-		Registry:   coldstart.Register{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, Takes: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, Takes: 10 * time.Millisecond}}},
+		Registry:   coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, ResponseTime: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, ResponseTime: 10 * time.Millisecond}}},
 		Dependency: Dependency{Latency: 200 * time.Millisecond, Concurrency: max(2, backends/30), CollapseAt: max(4, backends/10), Recovery: 5 * time.Second},
 		Reports: reportpacing.Config{
 			Interval: of(b.ReportInterval), TTL: of(b.RegistrationTTL), RetryMin: of(b.ReportRetryMin), RetryRefused: of(b.ReportRetryRefused), RetryInitial: of(b.ReportRetryInitial),
