--- a/internal/faultinjection/registry/registry.go
+++ b/internal/faultinjection/registry/registry.go
@@ -23,7 +23,7 @@
 	behavior coldstart.RegistryBehavior
 
 	mu           sync.Mutex
-	began        time.Time // of the phases; zero: it takes all at once
+	began        time.Time // of the phases; zero: it behaves as in the first instant
 	observations Observations
 	openCalls    int
 	openConns    int
@@ -57,23 +57,30 @@
 // Start makes one listen at this address.
 func Start(address string, behavior coldstart.RegistryBehavior) (*Registry, error) {
 	r := &Registry{Address: address, behavior: behavior, closed: make(chan struct{}), random: rand.New(rand.NewPCG(1, 2))}
-	if err := r.open(); err != nil {
+	l, err := r.listen()
+	if err != nil {
 		return nil, err
 	}
+	r.Address = l.Addr().String()
+	r.serveOn(l)
 	return r, nil
 }
 
-func (r *Registry) open() error {
+func (r *Registry) listen() (net.Listener, error) {
 	l, err := net.Listen("tcp", r.Address)
 	if err != nil {
-		return fmt.Errorf("register: %w", err)
+		return nil, fmt.Errorf("register: %w", err)
 	}
+	return l, nil
+}
+
+// serveOn serves on a listener until the server is closed.
+func (r *Registry) serveOn(l net.Listener) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Address = l.Addr().String()
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), ReadTimeout: readTimeout, ConnState: r.countConnection}
-	go func() { _ = r.server.Serve(l) }()
-	return nil
+	server := r.server
+	go func() { _ = server.Serve(l) }()
 }
 
 // countConnection is the server's hook for the states of connections.
@@ -106,10 +113,14 @@
 
 // reopen listens again. Nobody's calls begin at its address, but a port may linger.
 func (r *Registry) reopen() {
-	for r.isClosed() || r.open() != nil {
+	for !r.isClosed() {
+		l, err := r.listen()
+		if err == nil {
+			r.serveOn(l)
+			return
+		}
 		select {
 		case <-r.closed:
-			return
 		case <-time.After(reopenPause):
 		}
 	}
