--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -25,7 +25,7 @@
 		Commands: []*cli.Command{
 			{
 				Name: "run", Usage: "play timetables from files, or drawn from seeds", ArgsUsage: "[FILE ...]",
-				Description: "Examples:\n   milletbarrow faults run trial/testdata/all.sx\n   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
+				Description: "Examples:\n   milletbarrow faults run internal/faultinjection/testdata/cold.sx\n   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
 				Flags: []cli.Flag{
 					keep, failpoint, jsonFlag(), &cli.BoolFlag{Name: "quiet", Usage: "no progress"},
 					&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the first one drawn"}, &cli.IntFlag{Name: "count", Usage: "so many are drawn"},
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -32,8 +32,11 @@
 		return err
 	}
 	id := c.Args().First()
-	if err := fleet.CheckName(id); err != nil || c.Args().Len() != 1 {
-		return usagef("wanted the id of one command: %w", errors.Join(err))
+	if err := fleet.CheckName(id); err != nil {
+		return usagef("wanted the id of one command: %w", err)
+	}
+	if n := c.Args().Len(); n != 1 {
+		return usagef("wanted the id of one command: %d are given", n)
 	}
 	type answer struct {
 		Host    string         `json:"host"`
--- /dev/null
+++ b/cmd/milletbarrow/fleet_steer_test.go
@@ -0,0 +1,27 @@
+package main
+
+import (
+	"os/exec"
+	"strings"
+	"testing"
+)
+
+// TestSteerWantsOneCommand: the commands that act on a fleet command take one id, and name what is wrong with any other.
+func TestSteerWantsOneCommand(t *testing.T) {
+	for _, name := range []string{"pause", "resume", "cancel"} {
+		for _, c := range []struct {
+			ids  []string
+			want string
+		}{
+			{[]string{"a", "b"}, "milletbarrow: wanted the id of one command: 2 are given\n"},
+			{[]string{"a/b"}, "milletbarrow: wanted the id of one command: "},
+		} {
+			args := append([]string{"fleet", name, "--fleet", "../../deploy/fleet.sx"}, c.ids...)
+			out, err := exec.Command(program, args...).CombinedOutput()
+			exit, ok := err.(*exec.ExitError)
+			if !ok || exit.ExitCode() != exitUnusable || !strings.HasPrefix(string(out), c.want) || strings.Contains(string(out), "%!") {
+				t.Errorf("%v: %v, %q", args, err, out)
+			}
+		}
+	}
+}
