--- a/internal/cluster/membership/guards_test.go
+++ b/internal/cluster/membership/guards_test.go
@@ -168,6 +168,30 @@
 	}
 }
 
+// TestPacketIsCopied: what a caller writes into its buffer after WriteTo does not change the datagram.
+func TestPacketIsCopied(t *testing.T) {
+	l := peerListener(t)
+	mesh := newTestMesh(t, l.Addr().String(), limits.ForControl())
+	packet := []byte("before")
+	if _, err := mesh.WriteTo(packet, mesh.hosts.address("h2").String()); err != nil {
+		t.Fatal(err)
+	}
+	copy(packet, "after!") // its connection is not open yet
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	_ = c.SetReadDeadline(time.Now().Add(patience))
+	in := bufio.NewReader(c)
+	if _, err := in.ReadString('\n'); err != nil { // the greeting
+		t.Fatal(err)
+	}
+	if got, err := transport.ReadFrame(in, maxPacket); err != nil || string(got) != "before" {
+		t.Errorf("sent %q, %v", got, err)
+	}
+}
+
 // TestFullQueue: datagrams beyond a full queue are dropped, and whoever sends them does not wait.
 func TestFullQueue(t *testing.T) {
 	s := newPacketSender(Config{Bounds: limits.ForControl()}, "h2") // not run: nothing leaves its queue
--- a/internal/cluster/quotastore/forward_test.go
+++ b/internal/cluster/quotastore/forward_test.go
@@ -34,13 +34,13 @@
 	return hosts
 }
 
-// newForwardingStore returns the store of h1, outside the group of h2 to h4. Each of these answers that another leads, as
-// leaders has it by host; one that leads by itself answers a result.
+// newForwardingStore returns the store of h1, a member of the group of h1 to h4 that is not run. The agents of leaders, by
+// host, answer that another leads; one that leads by itself answers a result. A call of h1 to itself is recorded too.
 func newForwardingStore(t *testing.T, leaders map[string]string) (*Store, *agentCalls) {
 	t.Helper()
 	calls, addresses := &agentCalls{}, map[string]string{}
-	for host, leader := range leaders {
-		agent := openTestStore(t, host, nil)
+	serve := func(agent *Store, leader string) {
+		host := agent.config.Host
 		addresses[host] = agent.config.Transport.Address()
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			calls.add(host)
@@ -53,7 +53,12 @@
 		go func() { _ = server.Serve(agent.config.Transport.Listener(transport.KindCall)) }()
 		t.Cleanup(func() { _ = server.Close() })
 	}
-	return openTestStore(t, "h1", addresses, "h2", "h3", "h4"), calls
+	for host, leader := range leaders {
+		serve(openTestStore(t, host, nil), leader)
+	}
+	s := openTestStore(t, "h1", addresses, "h1", "h2", "h3", "h4")
+	serve(s, "")
+	return s, calls
 }
 
 // TestForwarding: an agent that does not lead names who does, and that one is called next; it is called first the next time.
