--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -4,6 +4,8 @@
 	"context"
 	"fmt"
 	"net"
+	"runtime"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -165,3 +167,23 @@
 		}
 	}
 }
+
+// TestRunEndsCompletely: when lists have ended, no goroutine of the library or of the traffic goes on.
+func TestRunEndsCompletely(t *testing.T) {
+	h := newHosts(t, 2)
+	for i := range h.Names {
+		h.start(i, uint64(i+1))
+	}
+	h.judged("h1", Alive, 20*time.Second)
+	h.judged("h2", Alive, 20*time.Second)
+	h.stopAll()
+	var stacks string
+	for began := time.Now(); time.Since(began) < patience; time.Sleep(10 * time.Millisecond) {
+		all := make([]byte, 1<<20)
+		stacks = string(all[:runtime.Stack(all, true)])
+		if !strings.Contains(stacks, "memberlist.(*Memberlist)") && !strings.Contains(stacks, "membership.(*") {
+			return
+		}
+	}
+	t.Errorf("goroutines go on:\n%s", stacks)
+}
