--- a/internal/faultinjection/coldstart/measure_test.go
+++ b/internal/faultinjection/coldstart/measure_test.go
@@ -1,6 +1,7 @@
 package coldstart
 
 import (
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -39,14 +40,16 @@
 // TestRefusingFigures: calls while it took nothing count from the first one on.
 func TestRefusingFigures(t *testing.T) {
 	b := &RegistryBehavior{Phases: []Phase{{Mode: Refuses}, {From: 10 * time.Second, Mode: Takes}}}
-	calls := make([]Call, 0, 13)
+	calls := make([]Call, 0, 22)
 	for i := range 8 { // one a second, and four more within the sixth
 		calls = append(calls, Call{Name: "a", At: time.Duration(2+i) * time.Second})
 	}
 	for i := range 4 {
 		calls = append(calls, Call{Name: "a", At: 6*time.Second + time.Duration(1+i)*100*ms})
 	}
-	calls = append(calls, call("a", 10*time.Second))
+	for range 10 { // as it returned
+		calls = append(calls, call("a", 10*time.Second))
+	}
 	f := Measure(calls, b, 2, 500*ms, 20*time.Second)
 	if !near(f.Ordinary, 4) || !near(f.Refusing, 12.0/8) || !near(f.Worst, 5) {
 		t.Errorf("%.2f a second ordinarily, %.2f while it took nothing, at most %.2f, wanted 4, 1.5 and 5", f.Ordinary, f.Refusing, f.Worst)
@@ -72,6 +75,12 @@
 	if !near(f.Half, 4) || f.Most != -1 {
 		t.Errorf("half listed after %v, nearly all after %v, wanted 4 and never", f.Half, f.Most)
 	}
+	if f.Peak != 0 {
+		t.Errorf("never listed, and yet bunched by %.2f", f.Peak)
+	}
+	if f := Measure(calls, b, 2, 500*ms, 19*time.Second); !near(f.Half, 2) {
+		t.Errorf("one of two listed after %v, wanted 2: what was taken before its return does not count", f.Half)
+	}
 	f = Measure(calls, b, 3, 500*ms, 19*time.Second)
 	if !near(f.Half, 4) || !near(f.Most, 8) || f.Listed != 1 {
 		t.Errorf("half listed after %v, nearly all after %v, %d at the end, wanted 4, 8 and 1", f.Half, f.Most, f.Listed)
@@ -88,6 +97,16 @@
 	if f := Measure(calls, b, 1, 100*ms, 10*time.Second); !near(f.First, 1) || !near(f.Peak, 1) {
 		t.Errorf("even: %.2f in the first second, %.2f once listed", f.First, f.Peak)
 	}
+	bunched := slices.Clone(calls)
+	for range 5 { // past the first second, and before entries could lapse
+		bunched = append(bunched, call("a", 1510*ms))
+	}
+	for range 3 { // past the end
+		bunched = append(bunched, call("a", 9970*ms))
+	}
+	if f := Measure(bunched, b, 1, 100*ms, 9950*ms); !near(f.First, 1) || f.Peak > 1.01 {
+		t.Errorf("bunches past the first second and past the end: %.2f and %.2f", f.First, f.Peak)
+	}
 	for range 3 {
 		calls = append(calls, call("a", 980*ms), call("a", 1005*ms)) // six within 25 ms, over the edge of two tenths
 	}
--- a/internal/faultinjection/proxy/proxy_test.go
+++ b/internal/faultinjection/proxy/proxy_test.go
@@ -122,6 +122,13 @@
 	return time.Since(began)
 }
 
+// idle tells whether the link carries nothing.
+func (l testLink) idle() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.connections) == 0
+}
+
 // quiet fails if anything can be read within a moment.
 func (l testLink) quiet(conn net.Conn) {
 	l.t.Helper()
@@ -213,6 +220,8 @@
 	again := l.dial()
 	l.write(again, "two")
 	l.answer(again)
+	again.Close()
+	eventually(t, "end of what was carried", l.idle)
 }
 
 // TestNobodyListens: a connection to a target that is down is reset.
@@ -340,4 +349,5 @@
 	if isTimeout(readErr) {
 		t.Errorf("open after its link's end: %v", readErr)
 	}
+	eventually(t, "end of what was held", l.idle)
 }
