--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -23,13 +23,14 @@
 	}
 }
 
+// readDegradationPolicy reads and checks a degradation policy.
 func readDegradationPolicy(file string) (*degradation.Policy, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, unusable(err)
 	}
-	l, err := degradation.ParsePolicy(file, raw)
-	return l, unusable(err)
+	policy, err := degradation.ParsePolicy(file, raw)
+	return policy, unusable(err)
 }
 
 func degradationCheckCommand() *cli.Command {
@@ -37,27 +38,30 @@
 		Name: "check", Usage: "explain a ladder in words, and refuse one that can't work", ArgsUsage: "FILE",
 		Description: "Example:\n   milletbarrow degradation check ladder.sx --config n3.json",
 		Flags:       []cli.Flag{configFlag(), jsonFlag()},
-		Action: func(_ context.Context, c *cli.Command) error {
-			l, err := readDegradationPolicy(c.Args().First())
-			if err != nil {
-				return err
-			}
-			if file := c.String("config"); file != "" {
-				b, err := config.Read(file)
-				if err == nil {
-					_, err = degradation.NewShedder(l, b.Settings.Operations, b.Settings.Tenants, 1)
-				}
-				if err != nil {
-					return unusable(err)
-				}
-			}
-			if c.Bool("json") {
-				return printJSON(l)
-			}
-			fmt.Print(l.Explain())
-			return nil
-		},
+		Action:      checkDegradation,
+	}
+}
+
+// checkDegradation explains a policy, with --config also against a backend's operations and tenants.
+func checkDegradation(_ context.Context, c *cli.Command) error {
+	policy, err := readDegradationPolicy(c.Args().First())
+	if err != nil {
+		return err
+	}
+	if file := c.String("config"); file != "" {
+		b, err := config.Read(file)
+		if err == nil {
+			_, err = degradation.NewShedder(policy, b.Settings.Operations, b.Settings.Tenants, 1)
+		}
+		if err != nil {
+			return unusable(err)
+		}
 	}
+	if c.Bool("json") {
+		return printJSON(policy)
+	}
+	fmt.Print(policy.Explain())
+	return nil
 }
 
 func degradationReplayCommand() *cli.Command {
@@ -65,61 +69,86 @@
 		Name: "replay", Usage: "play recorded signals through a ladder, and draw level against signals", ArgsUsage: "FILE TRACE",
 		Description: "A trace has a line for each reading: microseconds, then the signals that are known, as queue=1.5.\n" +
 			"Example:\n   milletbarrow degradation replay ladder.sx signals.txt --plot levels.svg",
-		Flags: []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"}},
-		Action: func(_ context.Context, c *cli.Command) error {
-			l, err := readDegradationPolicy(c.Args().Get(0))
-			if err != nil {
-				return err
-			}
-			in, err := os.Open(c.Args().Get(1))
-			if err != nil {
-				return unusable(err)
-			}
-			defer func() { _ = in.Close() }() // only read from
-			trace, err := degradation.ReadTrace(c.Args().Get(1), in)
-			if err != nil {
-				return unusable(err)
-			}
-			if len(trace) == 0 {
-				return usagef("%s: no reading", c.Args().Get(1))
-			}
-			points, changes := degradation.Replay(l, trace)
-			if file := c.String("plot"); file != "" {
-				format, err := plotFormat("plot", file)
-				if err != nil {
-					return err
-				}
-				var b bytes.Buffer // so that a plot that fails leaves no half a file
-				if err := plot.Levels(&b, l, points, format); err != nil {
-					return err
-				}
-				if err := os.WriteFile(file, b.Bytes(), 0o644); err != nil {
-					return err
-				}
-			}
-			if c.Bool("json") {
-				type change struct {
-					At       degradation.Micros `json:"at_us"`
-					From     string             `json:"from"`
-					To       string             `json:"to"`
-					Collapse bool               `json:"collapse"`
-					Cause    string             `json:"cause"`
-				}
-				all := []change{}
-				for _, ch := range changes {
-					all = append(all, change{ch.At, l.LevelName(ch.From), l.LevelName(ch.To), ch.Collapse, ch.Cause})
-				}
-				return printJSON(all)
-			}
-			for _, ch := range changes {
-				fmt.Printf("%9.3f s  %s to %s, collapse %t, %s\n", float64(ch.At-trace[0].At)/1e6, l.LevelName(ch.From), l.LevelName(ch.To), ch.Collapse, ch.Cause)
-			}
-			fmt.Printf("%d readings, %d changes\n", len(trace), len(changes))
-			return nil
-		},
+		Flags:  []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"}},
+		Action: replayDegradation,
 	}
 }
 
+func replayDegradation(_ context.Context, c *cli.Command) error {
+	policy, err := readDegradationPolicy(c.Args().Get(0))
+	if err != nil {
+		return err
+	}
+	trace, err := readTrace(c.Args().Get(1))
+	if err != nil {
+		return err
+	}
+	points, changes := degradation.Replay(policy, trace)
+	if file := c.String("plot"); file != "" {
+		if err := plotLevels(file, policy, points); err != nil {
+			return err
+		}
+	}
+	if c.Bool("json") {
+		return printJSON(levelChanges(policy, changes))
+	}
+	for _, change := range changes {
+		fmt.Printf("%9.3f s  %s to %s, collapse %t, %s\n", float64(change.At-trace[0].At)/1e6, policy.LevelName(change.From),
+			policy.LevelName(change.To), change.Collapse, change.Cause)
+	}
+	fmt.Printf("%d readings, %d changes\n", len(trace), len(changes))
+	return nil
+}
+
+// readTrace reads recorded signals; there is at least one reading.
+func readTrace(file string) ([]degradation.Reading, error) {
+	in, err := os.Open(file)
+	if err != nil {
+		return nil, unusable(err)
+	}
+	defer func() { _ = in.Close() }() // only read from
+	trace, err := degradation.ReadTrace(file, in)
+	if err != nil {
+		return nil, unusable(err)
+	}
+	if len(trace) == 0 {
+		return nil, usagef("%s: no reading", file)
+	}
+	return trace, nil
+}
+
+// plotLevels draws the level and the signals of a replay. A plot that fails leaves no file.
+func plotLevels(file string, policy *degradation.Policy, points []degradation.ReplayPoint) error {
+	format, err := plotFormat("plot", file)
+	if err != nil {
+		return err
+	}
+	var drawing bytes.Buffer
+	if err := plot.Levels(&drawing, policy, points, format); err != nil {
+		return err
+	}
+	return os.WriteFile(file, drawing.Bytes(), 0o644)
+}
+
+// levelChange is a change of level as --json prints it.
+type levelChange struct {
+	At       degradation.Micros `json:"at_us"`
+	From     string             `json:"from"`
+	To       string             `json:"to"`
+	Collapse bool               `json:"collapse"`
+	Cause    string             `json:"cause"`
+}
+
+func levelChanges(policy *degradation.Policy, changes []degradation.Change) []levelChange {
+	all := make([]levelChange, 0, len(changes)) // none is printed as an empty list
+	for _, change := range changes {
+		all = append(all, levelChange{
+			change.At, policy.LevelName(change.From), policy.LevelName(change.To), change.Collapse, change.Cause,
+		})
+	}
+	return all
+}
+
 func degradationRecordCommand() *cli.Command {
 	return &cli.Command{
 		Name: "record", Usage: "print an instance's signals as a trace for replay",
@@ -129,34 +158,37 @@
 			&cli.DurationFlag{Name: "for", Usage: "so long", Value: time.Minute},
 			&cli.DurationFlag{Name: "every", Usage: "between two readings", Value: 100 * time.Millisecond},
 		},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			p := admin.NewClient(c.String("socket"), limits.ForControl())
-			defer p.Close()
-			every := c.Duration("every")
-			if every < time.Millisecond {
-				return usagef("every: %v is under a millisecond", every)
-			}
-			last := int64(0)
-			for end := time.Now().Add(c.Duration("for")); time.Now().Before(end); time.Sleep(every) {
-				ask, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
-				s, err := p.State(ask)
-				cancel()
-				if err != nil {
-					return err
-				}
-				if s.DegradationPolicy == "" {
-					return usagef("socket: this instance has no ladder, and measures nothing")
-				}
-				if s.SignalsAt > last { // a reading that was printed already says nothing new
-					last = s.SignalsAt
-					fmt.Println(s.SignalsAt, s.Signals)
-				}
-			}
-			return nil
-		},
+		Action: recordSignals,
 	}
 }
 
+// recordSignals prints the readings of an instance, each once, until the time is over.
+func recordSignals(ctx context.Context, c *cli.Command) error {
+	p := admin.NewClient(c.String("socket"), limits.ForControl())
+	defer p.Close()
+	every := c.Duration("every")
+	if every < time.Millisecond {
+		return usagef("every: %v is under a millisecond", every)
+	}
+	last := int64(0)
+	for end := time.Now().Add(c.Duration("for")); time.Now().Before(end); time.Sleep(every) {
+		ask, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
+		s, err := p.State(ask)
+		cancel()
+		if err != nil {
+			return err
+		}
+		if s.DegradationPolicy == "" {
+			return usagef("socket: this instance has no ladder, and measures nothing")
+		}
+		if s.SignalsAt > last { // a reading that was printed already says nothing new
+			last = s.SignalsAt
+			fmt.Println(s.SignalsAt, s.Signals)
+		}
+	}
+	return nil
+}
+
 func degradationPinCommand() *cli.Command {
 	return &cli.Command{
 		Name: "pin", Usage: "hold one instance at a level for a while, by its admin socket", ArgsUsage: "LEVEL",
@@ -169,17 +201,20 @@
 			&cli.BoolFlag{Name: "above", Usage: "let the signals go above it"},
 			&cli.BoolFlag{Name: "release", Usage: "let the signals decide again"},
 		},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			if name := c.Args().First(); (name == "") != c.Bool("release") {
-				return usagef("wanted a level, or --release")
-			}
-			p := admin.NewClient(c.String("socket"), limits.ForControl())
-			defer p.Close()
-			ctx, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
-			defer cancel()
-			return p.Override(ctx, admin.Override{
-				Level: c.Args().First(), Duration: c.Duration("for").Microseconds(), By: "command line", AllowHigher: c.Bool("above"),
-			})
-		},
+		Action: pinLevel,
+	}
+}
+
+// pinLevel holds an instance at a level, or releases it.
+func pinLevel(ctx context.Context, c *cli.Command) error {
+	if name := c.Args().First(); (name == "") != c.Bool("release") {
+		return usagef("wanted a level, or --release")
 	}
+	p := admin.NewClient(c.String("socket"), limits.ForControl())
+	defer p.Close()
+	ctx, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
+	defer cancel()
+	return p.Override(ctx, admin.Override{
+		Level: c.Args().First(), Duration: c.Duration("for").Microseconds(), By: "command line", AllowHigher: c.Bool("above"),
+	})
 }
--- a/cmd/milletbarrow/experiment_check.go
+++ b/cmd/milletbarrow/experiment_check.go
@@ -13,18 +13,21 @@
 	return &cli.Command{
 		Name: "check", Usage: "read an experiment and tell what it would run", ArgsUsage: "FILE",
 		Description: "Example:\n   milletbarrow experiment check docs/studies/wording.sx", Flags: []cli.Flag{jsonFlag(), overFlag()},
-		Action: func(_ context.Context, c *cli.Command) error {
-			x, cells, err := readCells(c)
-			if err != nil {
-				return err
-			}
-			if c.Bool("json") {
-				return printJSON(x.Facts())
-			}
-			fmt.Print(x.Describe(len(cells)))
-			return nil
-		},
+		Action: checkExperiment,
+	}
+}
+
+// checkExperiment prints what an experiment would run.
+func checkExperiment(_ context.Context, c *cli.Command) error {
+	x, cells, err := readCells(c)
+	if err != nil {
+		return err
+	}
+	if c.Bool("json") {
+		return printJSON(x.Facts())
 	}
+	fmt.Print(x.Describe(len(cells)))
+	return nil
 }
 
 func experimentPoliciesCommand() *cli.Command {
--- a/cmd/milletbarrow/experiment_cold_start.go
+++ b/cmd/milletbarrow/experiment_cold_start.go
@@ -15,25 +15,28 @@
 		Name: "cold-start", Usage: "play how many backends come up together, by each way of starting and reporting",
 		Description: "Beside a register that refuses for ten seconds and a service below that falls over, in the model. Example:\n" +
 			"   milletbarrow experiment cold-start --backends 330,1200,5000 --seeds 6",
-		Flags: []cli.Flag{jsonFlag(), &cli.IntSliceFlag{Name: "backends", Value: coldstart.Sizes()}, &cli.IntFlag{Name: "seeds", Value: 6}},
-		Action: func(_ context.Context, c *cli.Command) error {
-			for _, n := range c.IntSlice("backends") {
-				if err := checkRange("backends", n, 10, 20_000); err != nil {
-					return err
-				}
-			}
-			if err := checkRange("seeds", c.Int("seeds"), 1, 1000); err != nil {
-				return err
-			}
-			rows, err := coldstart.Study(c.IntSlice("backends"), c.Int("seeds"), func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
-			if err != nil {
-				return err
-			}
-			if c.Bool("json") {
-				return printJSON(rows)
-			}
-			coldstart.Print(os.Stdout, rows)
-			return nil
-		},
+		Flags:  []cli.Flag{jsonFlag(), &cli.IntSliceFlag{Name: "backends", Value: coldstart.Sizes()}, &cli.IntFlag{Name: "seeds", Value: 6}},
+		Action: studyColdStart,
 	}
 }
+
+// studyColdStart plays cold starts, and prints a row of each way.
+func studyColdStart(_ context.Context, c *cli.Command) error {
+	for _, n := range c.IntSlice("backends") {
+		if err := checkRange("backends", n, 10, 20_000); err != nil {
+			return err
+		}
+	}
+	if err := checkRange("seeds", c.Int("seeds"), 1, 1000); err != nil {
+		return err
+	}
+	rows, err := coldstart.Study(c.IntSlice("backends"), c.Int("seeds"), func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
+	if err != nil {
+		return err
+	}
+	if c.Bool("json") {
+		return printJSON(rows)
+	}
+	coldstart.Print(os.Stdout, rows)
+	return nil
+}
--- a/cmd/milletbarrow/experiment_compare.go
+++ b/cmd/milletbarrow/experiment_compare.go
@@ -14,30 +14,33 @@
 		Name: "compare", Usage: "the paired difference of two policies, with its interval", ArgsUsage: "FILE A B",
 		Description: "Days are paired by seed; the interval holds with a confidence of 0.95.\n" +
 			"Example:\n   milletbarrow experiment compare docs/studies/wording.sx --dir /tmp/wording --measure pay-post.value pool milletbarrow",
-		Flags: []cli.Flag{dirFlag(), overFlag(), measureFlag(), jsonFlag()},
-		Action: func(_ context.Context, c *cli.Command) error {
-			_, cells, results, err := loadExperiment(c)
-			if err != nil {
-				return err
-			}
-			m, err := experiment.MeasureNamed(c.String("measure"))
-			if err != nil {
-				return unusable(err)
-			}
-			all := experiment.Compare(cells, results, c.Args().Get(1), c.Args().Get(2), m)
-			if len(all) == 0 {
-				return usagef("no day was played by both %q and %q", c.Args().Get(1), c.Args().Get(2))
-			}
-			if c.Bool("json") {
-				return printJSON(all)
-			}
-			w := newTabWriter()
-			fmt.Fprintf(w, "scenario\tat\tdays\t%s\t%s\tdifference\tinterval\t\n", c.Args().Get(1), c.Args().Get(2))
-			for _, d := range all {
-				fmt.Fprintf(w, "%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n", d.Scenario, d.SweptValue, d.Paired.Samples, d.First.Mean, d.Second.Mean,
-					d.Paired.Mean, d.Paired.Low, d.Paired.High, d.Verdict)
-			}
-			return w.Flush()
-		},
+		Flags:  []cli.Flag{dirFlag(), overFlag(), measureFlag(), jsonFlag()},
+		Action: comparePolicies,
 	}
 }
+
+// comparePolicies prints the paired differences of two policies.
+func comparePolicies(_ context.Context, c *cli.Command) error {
+	_, cells, results, err := loadExperiment(c)
+	if err != nil {
+		return err
+	}
+	m, err := experiment.MeasureNamed(c.String("measure"))
+	if err != nil {
+		return unusable(err)
+	}
+	all := experiment.Compare(cells, results, c.Args().Get(1), c.Args().Get(2), m)
+	if len(all) == 0 {
+		return usagef("no day was played by both %q and %q", c.Args().Get(1), c.Args().Get(2))
+	}
+	if c.Bool("json") {
+		return printJSON(all)
+	}
+	w := newTabWriter()
+	fmt.Fprintf(w, "scenario\tat\tdays\t%s\t%s\tdifference\tinterval\t\n", c.Args().Get(1), c.Args().Get(2))
+	for _, d := range all {
+		fmt.Fprintf(w, "%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n", d.Scenario, d.SweptValue, d.Paired.Samples, d.First.Mean, d.Second.Mean,
+			d.Paired.Mean, d.Paired.Low, d.Paired.High, d.Verdict)
+	}
+	return w.Flush()
+}
--- a/cmd/milletbarrow/experiment_replay.go
+++ b/cmd/milletbarrow/experiment_replay.go
@@ -21,38 +21,41 @@
 			&cli.Uint64Flag{Name: "invocation", Usage: "its `NUMBER` in the day, from 1"}, &cli.IntFlag{Name: "host", Value: -1},
 			&cli.FloatFlag{Name: "at", Value: math.NaN()}, &cli.IntFlag{Name: "most", Usage: "lines", Value: 200},
 		},
-		Action: func(_ context.Context, c *cli.Command) error {
-			_, cells, err := readCells(c)
-			if err != nil {
-				return err
-			}
-			i := slices.IndexFunc(cells, func(l experiment.Cell) bool {
-				return (c.String("scenario") == "" || c.String("scenario") == l.Scenario.Name) && (c.String("policy") == "" || c.String("policy") == l.Policy.Name) &&
-					(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) && (math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
-			})
-			if i < 0 {
-				return usagef("no such run in this experiment")
-			}
-			if c.Uint64("invocation") == 0 && c.Int("host") < 0 {
-				return usagef("name an --invocation or a --host")
-			}
-			tr := &simulation.Trace{Request: c.Uint64("invocation"), Host: int32(c.Int("host")), MaxLines: c.Int("most")}
-			cell := &cells[i]
-			r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, tr)
-			if err != nil {
-				return unusable(err)
-			}
-			fmt.Printf("%s, %s, seed %d, at %g: value %.4f\n", cell.Scenario.Name, cell.Policy.Name, cell.Seed, cell.SweptValue, r.Value())
-			for _, line := range tr.Lines {
-				fmt.Println(line)
-			}
-			if tr.Omitted > 0 {
-				fmt.Printf("and %d lines more: --most\n", tr.Omitted)
-			}
-			for _, b := range r.Breaches {
-				fmt.Println("broken:", b)
-			}
-			return nil
-		},
+		Action: replayDay,
+	}
+}
+
+// replayDay plays one day again, and prints the course of a request or a host.
+func replayDay(_ context.Context, c *cli.Command) error {
+	_, cells, err := readCells(c)
+	if err != nil {
+		return err
+	}
+	i := slices.IndexFunc(cells, func(l experiment.Cell) bool {
+		return (c.String("scenario") == "" || c.String("scenario") == l.Scenario.Name) && (c.String("policy") == "" || c.String("policy") == l.Policy.Name) &&
+			(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) && (math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
+	})
+	if i < 0 {
+		return usagef("no such run in this experiment")
+	}
+	if c.Uint64("invocation") == 0 && c.Int("host") < 0 {
+		return usagef("name an --invocation or a --host")
+	}
+	tr := &simulation.Trace{Request: c.Uint64("invocation"), Host: int32(c.Int("host")), MaxLines: c.Int("most")}
+	cell := &cells[i]
+	r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, tr)
+	if err != nil {
+		return unusable(err)
+	}
+	fmt.Printf("%s, %s, seed %d, at %g: value %.4f\n", cell.Scenario.Name, cell.Policy.Name, cell.Seed, cell.SweptValue, r.Value())
+	for _, line := range tr.Lines {
+		fmt.Println(line)
+	}
+	if tr.Omitted > 0 {
+		fmt.Printf("and %d lines more: --most\n", tr.Omitted)
+	}
+	for _, b := range r.Breaches {
+		fmt.Println("broken:", b)
 	}
+	return nil
 }
--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -27,38 +27,41 @@
 			&cli.IntFlag{Name: "cores", Usage: "runs at once", Value: runtime.NumCPU()},
 			&cli.BoolFlag{Name: "quiet", Usage: "no progress"},
 		},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			x, err := readExperiment(c)
-			if err != nil {
-				return err
-			}
-			store, err := experiment.OpenResultDir(c.String("dir"), buildID())
-			if err != nil {
-				return unusable(err)
-			}
-			defer func() { _ = store.Close() }() // each result is written before the run goes on
-			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			began := time.Now()
-			results, err := experiment.Run(ctx, x, store, c.Int("cores"), func(p experiment.Progress) {
-				if !c.Bool("quiet") {
-					fmt.Fprintf(os.Stderr, "%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n", p.Done, p.Total, p.Cached,
-						time.Since(began).Round(time.Second), p.Cell.Scenario.Name, p.Cell.Policy.Name, p.Cell.Seed, p.Result.Value())
-				}
-			})
-			if errors.Is(err, context.Canceled) {
-				return outcomef(outcomeTimedOut, "interrupted; the same call goes on")
-			}
-			if err != nil {
-				return err
-			}
-			cells, _ := x.Cells()
-			if c.Bool("json") {
-				return printJSON(experiment.Summary(cells, results))
-			}
-			return printSummary(experiment.Summary(cells, results))
-		},
+		Action: runExperiment,
+	}
+}
+
+// runExperiment plays what is not stored yet, and prints a summary of all.
+func runExperiment(ctx context.Context, c *cli.Command) error {
+	x, err := readExperiment(c)
+	if err != nil {
+		return err
+	}
+	store, err := experiment.OpenResultDir(c.String("dir"), buildID())
+	if err != nil {
+		return unusable(err)
+	}
+	defer func() { _ = store.Close() }() // each result is written before the run goes on
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	began := time.Now()
+	results, err := experiment.Run(ctx, x, store, c.Int("cores"), func(p experiment.Progress) {
+		if !c.Bool("quiet") {
+			fmt.Fprintf(os.Stderr, "%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n", p.Done, p.Total, p.Cached,
+				time.Since(began).Round(time.Second), p.Cell.Scenario.Name, p.Cell.Policy.Name, p.Cell.Seed, p.Result.Value())
+		}
+	})
+	if errors.Is(err, context.Canceled) {
+		return outcomef(outcomeTimedOut, "interrupted; the same call goes on")
+	}
+	if err != nil {
+		return err
+	}
+	cells, _ := x.Cells()
+	if c.Bool("json") {
+		return printJSON(experiment.Summary(cells, results))
 	}
+	return printSummary(experiment.Summary(cells, results))
 }
 
 // buildID names this program by its content: results of one build must not be continued by another.
--- a/cmd/milletbarrow/fleet_check.go
+++ b/cmd/milletbarrow/fleet_check.go
@@ -16,28 +16,31 @@
 		Name: "check", Usage: "tell whether a fleet's file can be used, and with --configs those that it names",
 		Description: "Examples:\n   milletbarrow fleet check --fleet fleet.sx\n   milletbarrow fleet check --fleet fleet.sx --configs --json",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag(), &cli.BoolFlag{Name: "configs", Usage: "read the instances' configurations too"}},
-		Action: func(_ context.Context, c *cli.Command) error {
-			s, err := readFleet(c)
-			if err != nil {
-				return err
-			}
-			if c.Bool("configs") {
-				var errs []error
-				for _, h := range s.Hosts {
-					errs = append(errs, agent.CheckConfigs(s, h.Name))
-				}
-				if err := errors.Join(errs...); err != nil {
-					return unusable(err)
-				}
-			}
-			if c.Bool("json") {
-				return printJSON(struct {
-					*fleet.Spec
-					Instances []*fleet.InstanceSpec
-				}{s, s.InstancesOn("")})
-			}
-			fmt.Printf("%s: can be used: %d hosts, %d groups, %d instances\n", s.Name, len(s.Hosts), len(s.Groups), len(s.InstancesOn("")))
-			return nil
-		},
+		Action:      checkFleet,
 	}
 }
+
+// checkFleet reads the fleet's file, with --configs also the configurations that it names.
+func checkFleet(_ context.Context, c *cli.Command) error {
+	s, err := readFleet(c)
+	if err != nil {
+		return err
+	}
+	if c.Bool("configs") {
+		var errs []error
+		for _, h := range s.Hosts {
+			errs = append(errs, agent.CheckConfigs(s, h.Name))
+		}
+		if err := errors.Join(errs...); err != nil {
+			return unusable(err)
+		}
+	}
+	if c.Bool("json") {
+		return printJSON(struct {
+			*fleet.Spec
+			Instances []*fleet.InstanceSpec
+		}{s, s.InstancesOn("")})
+	}
+	fmt.Printf("%s: can be used: %d hosts, %d groups, %d instances\n", s.Name, len(s.Hosts), len(s.Groups), len(s.InstancesOn("")))
+	return nil
+}
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -22,34 +22,37 @@
 			fleetFlag(), jsonFlag(), &cli.IntFlag{Name: "most", Usage: "so many lines, the latest", Value: 200},
 			&cli.StringFlag{Name: "name", Usage: "of one `INSTANCE`"}, &cli.StringFlag{Name: "command", Usage: "of one command's `ID`"},
 		},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := newFleetClient(c)
-			if err != nil {
-				return err
-			}
-			if err := checkRange("most", c.Int("most"), 1, 100_000); err != nil {
-				return err
-			}
-			name, command := c.String("name"), c.String("command")
-			all, missing := client.History(ctx, c.Int("most"), func(e fleetclient.Entry) bool {
-				return (name == "" || e.Entry.Name == name) && (command == "" || e.Entry.CommandID == command)
-			})
-			if c.Bool("json") {
-				err = printJSON(map[string]any{"entries": all, "missing": missing})
-			} else {
-				for _, e := range all {
-					printEvent(os.Stdout, e.Host, e.StreamEvent)
-				}
-				for host, why := range missing {
-					fmt.Printf("missing: all of host %s: %s\n", host, why)
-				}
-			}
-			if err == nil && len(missing) > 0 {
-				return &outcomeError{outcome: outcomeUnreachable}
-			}
-			return err
-		},
+		Action: showHistory,
+	}
+}
+
+// showHistory prints the latest events of all hosts.
+func showHistory(ctx context.Context, c *cli.Command) error {
+	client, err := newFleetClient(c)
+	if err != nil {
+		return err
+	}
+	if err := checkRange("most", c.Int("most"), 1, 100_000); err != nil {
+		return err
+	}
+	name, command := c.String("name"), c.String("command")
+	all, missing := client.History(ctx, c.Int("most"), func(e fleetclient.Entry) bool {
+		return (name == "" || e.Entry.Name == name) && (command == "" || e.Entry.CommandID == command)
+	})
+	if c.Bool("json") {
+		err = printJSON(map[string]any{"entries": all, "missing": missing})
+	} else {
+		for _, e := range all {
+			printEvent(os.Stdout, e.Host, e.StreamEvent)
+		}
+		for host, why := range missing {
+			fmt.Printf("missing: all of host %s: %s\n", host, why)
+		}
 	}
+	if err == nil && len(missing) > 0 {
+		return &outcomeError{outcome: outcomeUnreachable}
+	}
+	return err
 }
 
 func fleetWatchCommand() *cli.Command {
@@ -57,20 +60,23 @@
 		Name: "watch", Usage: "follow one command to its end, or all that happens until interrupted", ArgsUsage: "[ID]",
 		Description: "Examples:\n   milletbarrow fleet watch --fleet fleet.sx\n   milletbarrow fleet watch --fleet fleet.sx wave-20261201T160000-ab12cd34",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := newFleetClient(c)
-			if err != nil {
-				return err
-			}
-			id := c.Args().First()
-			r := &fleetclient.Report{ID: id}
-			r.Hosts, _ = agentapi.FanOut(ctx, client.Bounds, client.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
-				return client.Watch(ctx, h.Name, id), nil
-			})
-			if id == "" {
-				return nil
-			}
-			return finishCommand(c, r.OnlyKnown(), true)
-		},
+		Action:      watchCommand,
+	}
+}
+
+// watchCommand follows one command to its end, or all events.
+func watchCommand(ctx context.Context, c *cli.Command) error {
+	client, err := newFleetClient(c)
+	if err != nil {
+		return err
+	}
+	id := c.Args().First()
+	r := &fleetclient.Report{ID: id}
+	r.Hosts, _ = agentapi.FanOut(ctx, client.Bounds, client.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
+		return client.Watch(ctx, h.Name, id), nil
+	})
+	if id == "" {
+		return nil
 	}
+	return finishCommand(c, r.OnlyKnown(), true)
 }
--- a/cmd/milletbarrow/fleet_order.go
+++ b/cmd/milletbarrow/fleet_lifecycle.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// dryRun lists what a command would do to which instance.
+// dryRun lists the instances of a command and its effect on each, and does nothing.
 func dryRun(c *cli.Command, kind fleet.CommandKind, instances []*fleet.InstanceSpec) error {
 	if c.Bool("json") {
 		return printJSON(instances)
--- a/cmd/milletbarrow/fleet_members.go
+++ b/cmd/milletbarrow/fleet_members.go
@@ -13,38 +13,41 @@
 		Name: "members", Usage: "show which agents each agent thinks to be there",
 		Description: "A row an agent that was asked, a column an agent that it judges. Example:\n   milletbarrow fleet members --fleet fleet.sx",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := newFleetClient(c)
-			if err != nil {
-				return err
-			}
-			all := client.Members(ctx)
-			if c.Bool("json") {
-				err = printJSON(all)
-			} else {
-				head := []string{"asked"}
-				for _, h := range client.Spec.Hosts {
-					head = append(head, h.Name)
-				}
-				rows := [][]string{head}
-				for _, h := range all {
-					row := []string{h.Host}
-					if h.Error != "" {
-						row = append(row, h.Error)
-					}
-					for _, s := range h.Seen {
-						row = append(row, fmt.Sprintf("%s %v", s.State, (time.Duration(s.For)*time.Microsecond).Round(time.Second)))
-					}
-					rows = append(rows, row)
-				}
-				printTable(rows)
+		Action:      showMembers,
+	}
+}
+
+// showMembers prints how each agent sees the others.
+func showMembers(ctx context.Context, c *cli.Command) error {
+	client, err := newFleetClient(c)
+	if err != nil {
+		return err
+	}
+	all := client.Members(ctx)
+	if c.Bool("json") {
+		err = printJSON(all)
+	} else {
+		head := []string{"asked"}
+		for _, h := range client.Spec.Hosts {
+			head = append(head, h.Name)
+		}
+		rows := [][]string{head}
+		for _, h := range all {
+			row := []string{h.Host}
+			if h.Error != "" {
+				row = append(row, h.Error)
 			}
-			for _, h := range all {
-				if err == nil && h.Error != "" {
-					return &outcomeError{outcome: outcomeUnreachable}
-				}
+			for _, s := range h.Seen {
+				row = append(row, fmt.Sprintf("%s %v", s.State, (time.Duration(s.For)*time.Microsecond).Round(time.Second)))
 			}
-			return err
-		},
+			rows = append(rows, row)
+		}
+		printTable(rows)
+	}
+	for _, h := range all {
+		if err == nil && h.Error != "" {
+			return &outcomeError{outcome: outcomeUnreachable}
+		}
 	}
+	return err
 }
--- a/cmd/milletbarrow/fleet_budgets.go
+++ b/cmd/milletbarrow/fleet_quotas.go
@@ -21,32 +21,35 @@
 		Flags: []cli.Flag{fleetFlag(), jsonFlag(), &cli.StringFlag{
 			Name: "write-off", Usage: "what this `NAME` holds is in force no more: you have made sure of it",
 		}},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := newFleetClient(c)
-			if err != nil {
-				return err
-			}
-			if client.Spec.Quotas == nil {
-				return usagef("%s: has no budgets", c.String("fleet"))
-			}
-			if name := c.String("write-off"); name != "" {
-				if err := client.WriteOff(ctx, name); err != nil {
-					return quotaCallError(err)
-				}
-				fmt.Printf("%s holds nothing any more\n", name)
-				return nil
-			}
-			b, err := client.Budgets(ctx)
-			if err != nil {
-				return quotaCallError(err)
-			}
-			if c.Bool("json") {
-				return printJSON(b)
-			}
-			printQuotas(&b)
-			return nil
-		},
+		Action: showQuotas,
+	}
+}
+
+// showQuotas prints the holders of each quota and their shares, or writes a lost holder off.
+func showQuotas(ctx context.Context, c *cli.Command) error {
+	client, err := newFleetClient(c)
+	if err != nil {
+		return err
+	}
+	if client.Spec.Quotas == nil {
+		return usagef("%s: has no budgets", c.String("fleet"))
+	}
+	if name := c.String("write-off"); name != "" {
+		if err := client.WriteOff(ctx, name); err != nil {
+			return quotaCallError(err)
+		}
+		fmt.Printf("%s holds nothing any more\n", name)
+		return nil
+	}
+	b, err := client.Budgets(ctx)
+	if err != nil {
+		return quotaCallError(err)
+	}
+	if c.Bool("json") {
+		return printJSON(b)
 	}
+	printQuotas(&b)
+	return nil
 }
 
 // quotaCallError says why a call about quotas failed: it was refused, or no agent that could answer was reached.
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -33,35 +33,38 @@
 			&cli.IntFlag{Name: "max-hosts", Usage: "hosts that roll at once, where no budget says how many instances may be out", Value: 1},
 			&cli.StringFlag{Name: "budget", Usage: "a count of the fleet's file: each that is out holds a unit, over all hosts"},
 		),
-		Action: func(ctx context.Context, c *cli.Command) error {
-			client, instances, request, err := newFleetCommand(c, fleet.KindRollingUpdate)
-			if err != nil {
-				return err
-			}
-			config := rollingUpdateConfig(c, client.Spec.RollingUpdate)
-			if err := config.Check(); err != nil {
-				return unusable(err)
-			}
-			request.RollingUpdate, request.Budget = &config, client.Spec.RollingUpdateQuota
-			if c.IsSet("budget") {
-				request.Budget = c.String("budget")
-			}
-			if c.Bool("dry-run") {
-				return previewRollingUpdate(c, client, instances, config)
-			}
-			ctx, cancel := withCommandTimeout(ctx, request)
-			defer cancel()
-			if !c.Bool("wait") {
-				if hosts, _ := client.ByHost(instances); len(hosts) > 1 && request.Budget == "" {
-					return usagef("wait: a wave over %d hosts is taken from host to host by this command, which has to stay", len(hosts))
-				}
-				return finishCommand(c, client.Execute(ctx, request, instances, false), false)
-			}
-			return finishCommand(c, client.RollingUpdate(ctx, request, instances, c.Int("max-hosts")), true)
-		},
+		Action: runRollingUpdate,
 	}
 }
 
+// runRollingUpdate carries out a rolling update, or with --dry-run prints its batches.
+func runRollingUpdate(ctx context.Context, c *cli.Command) error {
+	client, instances, request, err := newFleetCommand(c, fleet.KindRollingUpdate)
+	if err != nil {
+		return err
+	}
+	config := rollingUpdateConfig(c, client.Spec.RollingUpdate)
+	if err := config.Check(); err != nil {
+		return unusable(err)
+	}
+	request.RollingUpdate, request.Budget = &config, client.Spec.RollingUpdateQuota
+	if c.IsSet("budget") {
+		request.Budget = c.String("budget")
+	}
+	if c.Bool("dry-run") {
+		return previewRollingUpdate(c, client, instances, config)
+	}
+	ctx, cancel := withCommandTimeout(ctx, request)
+	defer cancel()
+	if !c.Bool("wait") {
+		if hosts, _ := client.ByHost(instances); len(hosts) > 1 && request.Budget == "" {
+			return usagef("wait: a wave over %d hosts is taken from host to host by this command, which has to stay", len(hosts))
+		}
+		return finishCommand(c, client.Execute(ctx, request, instances, false), false)
+	}
+	return finishCommand(c, client.RollingUpdate(ctx, request, instances, c.Int("max-hosts")), true)
+}
+
 // rollingUpdateConfig is the fleet file's configuration with what the flags set in its place.
 func rollingUpdateConfig(c *cli.Command, w fleet.RollingUpdateConfig) fleet.RollingUpdateConfig {
 	for name, to := range map[string]*int{"max-unavailable": &w.MaxInProgress, "min-ready": &w.MinReady, "surge": &w.Surge, "max-failures": &w.MaxFailures} {
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -15,25 +15,28 @@
 		Name: "status", Usage: "show how every instance stands, and which commands are open",
 		Description: "Examples:\n   milletbarrow fleet status --fleet fleet.sx\n   milletbarrow fleet status --fleet fleet.sx --json",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			client, err := newFleetClient(c)
-			if err != nil {
-				return err
-			}
-			all := client.Status(ctx)
-			if c.Bool("json") {
-				err = printJSON(all)
-			} else {
-				printStatus(all)
-			}
-			for _, h := range all {
-				if err == nil && h.Status == nil {
-					return &outcomeError{outcome: outcomeUnreachable}
-				}
-			}
-			return err
-		},
+		Action:      showStatus,
+	}
+}
+
+// showStatus prints the instances and open commands of all hosts.
+func showStatus(ctx context.Context, c *cli.Command) error {
+	client, err := newFleetClient(c)
+	if err != nil {
+		return err
+	}
+	all := client.Status(ctx)
+	if c.Bool("json") {
+		err = printJSON(all)
+	} else {
+		printStatus(all)
+	}
+	for _, h := range all {
+		if err == nil && h.Status == nil {
+			return &outcomeError{outcome: outcomeUnreachable}
+		}
 	}
+	return err
 }
 
 func printStatus(all []fleetclient.HostStatus) {
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -29,39 +29,42 @@
 			&cli.StringFlag{Name: "scenario", Usage: "the first one, if none is named"}, &cli.Uint64Flag{Name: "seed", Value: 1},
 			&cli.BoolFlag{Name: "quiet", Usage: "no progress"}, jsonFlag(),
 		},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			s, err := readScenario(c.Args().First(), c.String("scenario"))
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			o := loadgen.Options{Scenario: s, Seed: c.Uint64("seed"), Backends: c.StringSlice("to"), Bounds: limits.ForLoad()}
-			if !c.Bool("quiet") {
-				o.OnSnapshot = func(p loadgen.Snapshot) { fmt.Fprintln(os.Stderr, progressLine(p)) }
-			}
-			r, err := loadgen.Run(ctx, o)
-			if r == nil {
-				return unusable(err)
-			}
-			if c.Bool("json") {
-				if err := printJSON(r); err != nil {
-					return err
-				}
-			} else {
-				printLoad(r)
-			}
-			switch {
-			case errors.Is(err, context.Canceled):
-				return outcomef(outcomeTimedOut, "interrupted")
-			case r.DuplicateAnswers+r.UnknownResults > 0:
-				return outcomef(outcomePartial, "%d answers came twice, %d were of no run", r.DuplicateAnswers, r.UnknownResults)
-			case r.Requests > 0 && r.Billed == 0:
-				return outcomef(outcomePartial, "nothing succeeded")
-			}
+		Action: sendLoad,
+	}
+}
+
+// sendLoad sends the load of a scenario, and prints the report.
+func sendLoad(ctx context.Context, c *cli.Command) error {
+	s, err := readScenario(c.Args().First(), c.String("scenario"))
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	o := loadgen.Options{Scenario: s, Seed: c.Uint64("seed"), Backends: c.StringSlice("to"), Bounds: limits.ForLoad()}
+	if !c.Bool("quiet") {
+		o.OnSnapshot = func(p loadgen.Snapshot) { fmt.Fprintln(os.Stderr, progressLine(p)) }
+	}
+	r, err := loadgen.Run(ctx, o)
+	if r == nil {
+		return unusable(err)
+	}
+	if c.Bool("json") {
+		if err := printJSON(r); err != nil {
 			return err
-		},
+		}
+	} else {
+		printLoad(r)
+	}
+	switch {
+	case errors.Is(err, context.Canceled):
+		return outcomef(outcomeTimedOut, "interrupted")
+	case r.DuplicateAnswers+r.UnknownResults > 0:
+		return outcomef(outcomePartial, "%d answers came twice, %d were of no run", r.DuplicateAnswers, r.UnknownResults)
+	case r.Requests > 0 && r.Billed == 0:
+		return outcomef(outcomePartial, "nothing succeeded")
 	}
+	return err
 }
 
 // readScenario reads a scenario of an experiment's file: the named one, or the first.
@@ -116,23 +119,26 @@
 				&cli.DurationFlag{Name: "service-time", Value: 20 * time.Millisecond, Usage: "core time of a run whose body does not say work=MICROSECONDS"},
 				&cli.DurationFlag{Name: "warm-up", Usage: "a backend started anew finds its cores slow for so long"}, &cli.FloatFlag{Name: "warm-up-share", Value: 0.3},
 			},
-			Action: func(ctx context.Context, c *cli.Command) error {
-				if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("warm-up-share") <= 0 {
-					return usagef("cores and crowd are at least 1, warm-up-share above 0")
-				}
-				y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
-					Cores: c.Int("cores"), CollapseMultiple: c.Float("crowd"), ServiceTime: c.Duration("service-time"), WarmUp: c.Duration("warm-up"), ColdSpeed: c.Float("warm-up-share"), MaxRuns: 10_000,
-				})
-				if err != nil {
-					return unusable(err)
-				}
-				defer y.Close()
-				fmt.Println(y.Address)
-				ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
-				defer stop()
-				<-ctx.Done()
-				return nil
-			},
+			Action: runFakeExecutor,
 		}},
 	}
 }
+
+// runFakeExecutor serves until it is interrupted.
+func runFakeExecutor(ctx context.Context, c *cli.Command) error {
+	if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("warm-up-share") <= 0 {
+		return usagef("cores and crowd are at least 1, warm-up-share above 0")
+	}
+	y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
+		Cores: c.Int("cores"), CollapseMultiple: c.Float("crowd"), ServiceTime: c.Duration("service-time"), WarmUp: c.Duration("warm-up"), ColdSpeed: c.Float("warm-up-share"), MaxRuns: 10_000,
+	})
+	if err != nil {
+		return unusable(err)
+	}
+	defer y.Close()
+	fmt.Println(y.Address)
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	<-ctx.Done()
+	return nil
+}
--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -26,39 +26,42 @@
 			&cli.StringFlag{Name: "levels"}, &cli.StringSliceFlag{Name: "draw"},
 			&cli.DurationFlag{Name: "grace", Required: true}, &cli.DurationFlag{Name: "stop", Required: true},
 		},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			end, err := startLog(c)
-			if err != nil {
-				return err
-			}
-			defer end()
-			runtime.GOMAXPROCS(1) // there are as many of these as instances, and nearly always they sleep
-			debug.SetGCPercent(50)
-			self, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			program := c.Args().Slice()
-			if len(program) == 0 {
-				program = []string{self}
-			}
-			command := slices.Concat(program, []string{"serve", "--config", c.String("config")})
-			if file := c.String("levels"); file != "" {
-				command = append(command, "--levels", file)
-			}
-			for _, word := range c.StringSlice("draw") {
-				command = append(command, "--draw", word)
-			}
-			return supervisor.Run(ctx, supervisor.Options{
-				Dir: c.String("dir"), Name: c.String("name"), Run: c.String("run"), Adopt: c.Bool("adopt"),
-				Launcher: []string{self, "begin", "--"}, Command: command,
-				Window: fleet.ShutdownWindow{
-					Grace: fleet.Micros(c.Duration("grace").Microseconds()), ExitTimeout: fleet.Micros(c.Duration("stop").Microseconds()),
-				},
-				Bounds: limits.ForControl(),
-			})
-		},
+		Action: runSupervisor,
+	}
+}
+
+// runSupervisor supervises one instance until it has ended.
+func runSupervisor(ctx context.Context, c *cli.Command) error {
+	end, err := startLog(c)
+	if err != nil {
+		return err
+	}
+	defer end()
+	runtime.GOMAXPROCS(1) // there are as many of these as instances, and nearly always they sleep
+	debug.SetGCPercent(50)
+	self, err := os.Executable()
+	if err != nil {
+		return err
 	}
+	program := c.Args().Slice()
+	if len(program) == 0 {
+		program = []string{self}
+	}
+	command := slices.Concat(program, []string{"serve", "--config", c.String("config")})
+	if file := c.String("levels"); file != "" {
+		command = append(command, "--levels", file)
+	}
+	for _, word := range c.StringSlice("draw") {
+		command = append(command, "--draw", word)
+	}
+	return supervisor.Run(ctx, supervisor.Options{
+		Dir: c.String("dir"), Name: c.String("name"), Run: c.String("run"), Adopt: c.Bool("adopt"),
+		Launcher: []string{self, "begin", "--"}, Command: command,
+		Window: fleet.ShutdownWindow{
+			Grace: fleet.Micros(c.Duration("grace").Microseconds()), ExitTimeout: fleet.Micros(c.Duration("stop").Microseconds()),
+		},
+		Bounds: limits.ForControl(),
+	})
 }
 
 func beginCommand() *cli.Command {
