--- a/internal/faultinjection/proxy/proxy_test.go
+++ b/internal/faultinjection/proxy/proxy_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"slices"
+	"strings"
 	"sync"
 	"syscall"
 	"testing"
@@ -255,11 +256,15 @@
 	if _, err := kept.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a connection from before: %v", err)
 	}
+	began := time.Now()
 	say("a call 1")
 	say("gossip 2")
 	eventually(t, "second call", func() bool {
 		return slices.Equal(l.server.all(), []string{"before call 0", "a call 1", "gossip 2", "a call 1"})
 	})
+	if took := time.Since(began); took < 20*time.Millisecond {
+		t.Errorf("the second call came after %v, wanted 20 ms after the first", took)
+	}
 	l.Duplicate(0)
 	say("a call 3")
 	l.duplicates.Wait()
@@ -268,6 +273,25 @@
 	}
 }
 
+// TestDuplicateIsBounded: of a long call about the first maxCall bytes come again; a call is one by its first line.
+func TestDuplicateIsBounded(t *testing.T) {
+	l := newTestLink(t)
+	l.Duplicate(time.Millisecond)
+	conn := l.dial()
+	go func() { _, _ = io.Copy(io.Discard, conn) }()
+	l.write(conn, "a call "+strings.Repeat("x", 2*maxCall))
+	eventually(t, "arrival of a long call", func() bool { return len(l.server.all()) == 1 && len(l.server.all()[0]) == 2*maxCall+len("a call ") })
+	conn.Close()
+	eventually(t, "second call", func() bool { all := l.server.all(); return len(all) == 2 && len(all[1]) >= maxCall })
+	l.duplicates.Wait()
+	if size := len(l.server.all()[1]); size > maxCall+readSize {
+		t.Errorf("%d bytes came again, at most %d and a read may", size, maxCall)
+	}
+	if isCall([]byte(strings.Repeat("x", maxFirstLine)+" call ")) || !isCall([]byte("a call 1")) {
+		t.Error("a call is not known by its first line")
+	}
+}
+
 // TestMesh: hosts reach each other by links of their own; one can be cut off in one direction or both.
 func TestMesh(t *testing.T) {
 	names := []string{"h1", "h2", "h3"}
