--- a/cmd/milletbarrow/fleet_steer_test.go
+++ b/cmd/milletbarrow/fleet_steer_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"os/exec"
 	"strings"
 	"testing"
@@ -18,7 +19,7 @@
 		} {
 			args := append([]string{"fleet", name, "--fleet", "../../deploy/fleet.sx"}, c.ids...)
 			out, err := exec.Command(program, args...).CombinedOutput()
-			exit, ok := err.(*exec.ExitError)
+			exit, ok := errors.AsType[*exec.ExitError](err)
 			if !ok || exit.ExitCode() != exitUnusable || !strings.HasPrefix(string(out), c.want) || strings.Contains(string(out), "%!") {
 				t.Errorf("%v: %v, %q", args, err, out)
 			}
