--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -21,7 +21,8 @@
 // State of an agent, as this one judges it.
 type State string
 
-// The states. Unknown is an agent that was not heard of since this one started.
+// The states. Unknown is an agent that was not heard of since this one started. Suspect is a word of the format that no
+// release has used: the library (v0.7.0) reports no suspicion, its Node.State is never set.
 const (
 	Alive   State = "alive"
 	Suspect State = "suspected"
@@ -92,7 +93,6 @@
 	ticker := time.NewTicker(rejoinInterval)
 	defer ticker.Stop()
 	for {
-		l.updateAll(list.Members())
 		for _, host := range l.absent() {
 			if ctx.Err() != nil {
 				break
@@ -129,19 +129,9 @@
 	return hosts
 }
 
-// updateAll takes over how the library judges each agent. The library reports a suspicion by its list alone.
-func (l *List) updateAll(nodes []*memberlist.Node) {
-	for _, node := range nodes {
-		state := Alive
-		if node.State == memberlist.StateSuspect {
-			state = Suspect
-		}
-		l.update(node, state)
-	}
-}
-
 // update takes over the state of one agent, and reports it if it has changed. Agents that the configuration does not name
-// are ignored.
+// are ignored. The library calls it with its lock held, which guards the node: its own list of nodes may change while it is
+// read.
 func (l *List) update(node *memberlist.Node, state State) {
 	m := Member{Host: node.Name, State: state, For: l.config.Clock()}
 	if len(node.Meta) == incarnationBytes {
