--- a/internal/cluster/quotastore/eligibility.go
+++ b/internal/cluster/quotastore/eligibility.go
@@ -19,6 +19,7 @@
 	calls       chan raft.RPC // that the library may handle
 	done        chan struct{} // closed by Close
 	closing     sync.Once
+	heartbeats  sync.RWMutex                // held for reading while one is handled
 	lastLog     func() (term, index uint64) // of this member; called by several goroutines
 }
 
@@ -60,9 +61,27 @@
 	}
 }
 
-// Close ends the transport; the consensus library calls it as it shuts down.
+// SetHeartbeatHandler implements raft.Transport. The library handles heartbeats in the goroutines of connections, which may
+// write a term; Close waits for those.
+func (t *eligibilityTransport) SetHeartbeatHandler(handle func(raft.RPC)) {
+	t.NetworkTransport.SetHeartbeatHandler(func(call raft.RPC) {
+		t.heartbeats.RLock()
+		defer t.heartbeats.RUnlock()
+		select {
+		case <-t.done:
+			call.Respond(nil, raft.ErrTransportShutdown)
+		default:
+			handle(call)
+		}
+	})
+}
+
+// Close ends the transport; the consensus library calls it as it shuts down. When it returns no heartbeat is handled any
+// more, so that the log can be closed: the library panics where a term can't be written.
 func (t *eligibilityTransport) Close() error {
 	t.closing.Do(func() { close(t.done) })
+	t.heartbeats.Lock() // waits for those that are being handled
+	defer t.heartbeats.Unlock()
 	return t.NetworkTransport.Close()
 }
 
--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -68,6 +68,46 @@
 	}
 }
 
+// TestCloseAwaitsHeartbeats: Close returns when no heartbeat is being handled, and none is handled after it: a handler writes
+// terms into a log that is closed next.
+func TestCloseAwaitsHeartbeats(t *testing.T) {
+	inner, caller := tcpTransport(t), tcpTransport(t)
+	e := newEligibilityTransport(inner, quorum.Eligibility{}, func() (term, index uint64) { return 0, 0 })
+	entered, release, handled := make(chan struct{}, 2), make(chan struct{}), 0
+	e.SetHeartbeatHandler(func(call raft.RPC) {
+		handled++
+		entered <- struct{}{}
+		<-release
+		call.Respond(&raft.AppendEntriesResponse{Term: 7}, nil)
+	})
+	heartbeat := func() error {
+		var answer raft.AppendEntriesResponse
+		request := &raft.AppendEntriesRequest{RPCHeader: raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax, Addr: []byte("x")}, Term: 7}
+		return caller.AppendEntries("x", inner.LocalAddr(), request, &answer)
+	}
+	answered, closed := make(chan error, 1), make(chan error, 1)
+	go func() { answered <- heartbeat() }()
+	<-entered
+	go func() { closed <- e.Close() }()
+	<-e.done
+	select {
+	case <-closed:
+		close(release)
+		t.Fatal("closed while a heartbeat is handled")
+	case <-time.After(100 * time.Millisecond):
+	}
+	close(release)
+	if err := <-answered; err != nil {
+		t.Error(err)
+	}
+	if err := <-closed; err != nil {
+		t.Error(err)
+	}
+	if err := heartbeat(); err == nil || handled != 1 {
+		t.Errorf("after the end: %v, %d heartbeats were handled", err, handled)
+	}
+}
+
 // TestRestore: a restored state has its totals.
 func TestRestore(t *testing.T) {
 	from, to := &Store{state: quota.NewState()}, &Store{}
