--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -20,10 +20,10 @@
 // runSchedule plays a schedule of faults with real processes of a built program.
 func runSchedule(t *testing.T, program, failpoint string, table *schedule.Schedule) *harness.Verdict {
 	t.Helper()
-	return playedWith(t, harness.Options{Program: program, Schedule: table, Failpoint: failpoint})
+	return runWithOptions(t, harness.Options{Program: program, Schedule: table, Failpoint: failpoint})
 }
 
-func playedWith(t *testing.T, o harness.Options) *harness.Verdict {
+func runWithOptions(t *testing.T, o harness.Options) *harness.Verdict {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
@@ -87,7 +87,7 @@
 	for n := range table.Backends {
 		table.Faults = append(table.Faults, schedule.Fault{Kind: schedule.StopBackend, Target: fmt.Sprint("n", n+1), At: 3 * time.Second, Duration: time.Second})
 	}
-	v := played(t, program, "", table)
+	v := runSchedule(t, program, "", table)
 	if why := strings.Join(v.Reasons, " "); v.OK || !strings.Contains(why, "while it took nothing") || !strings.Contains(why, "first second") || !strings.Contains(why, "once all were listed") {
 		t.Errorf("backends in step were not caught: %v", v.Reasons)
 	}
@@ -115,7 +115,7 @@
 	ignored := storedSchedule(t, "cold-rise.sx")
 	ignored.Faults, ignored.Backends, ignored.Span, ignored.ColdStart.MaxConcurrent = nil, 36, 4*time.Second, 7
 	// The twelve of its backends start at once, however long a busy machine takes for them: each counts for a second.
-	if v := playedWith(t, harness.Options{Program: bad, Schedule: ignored, Failpoint: "ignore@h2", SettleTime: time.Second}); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "starting at once") {
+	if v := runWithOptions(t, harness.Options{Program: bad, Schedule: ignored, Failpoint: "ignore@h2", SettleTime: time.Second}); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "starting at once") {
 		t.Errorf("a host that ignores the budget of starts was not found: %v", v.Reasons)
 	}
 	// At a point between what is written and what is replicated, and between that and the answer, an agent dies.
--- a/internal/backend/admin/server_test.go
+++ b/internal/backend/admin/server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -25,7 +26,14 @@
 			t.Errorf("Serve ended with %v", err)
 		}
 	})
-	fakes.Until(t, "the socket is open", func() bool { _, err := os.Stat(path); return err == nil })
+	fakes.Until(t, "the socket is served", func() bool { // its file is there a moment before it listens
+		c, err := net.Dial("unix", path)
+		if err != nil {
+			return false
+		}
+		_ = c.Close()
+		return true
+	})
 	client := NewClient(path, limits.ForControl())
 	t.Cleanup(client.Close)
 	return client
--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -91,9 +91,9 @@
 	go func() { closed <- e.Close() }()
 	<-e.done
 	select {
-	case <-closed:
+	case err := <-closed:
 		close(release)
-		t.Fatal("closed while a heartbeat is handled")
+		t.Fatalf("closed while a heartbeat is handled: %v", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	close(release)
