--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -53,13 +53,13 @@
 		for _, after := range []bool{false, true} {
 			t.Run(fmt.Sprintf("write%d/done=%t", n, after), func(t *testing.T) {
 				t.Parallel()
-				h := newTestHost(t, "a", "b")
+				h := newTimedHost(t, longTiming, "a", "b")
 				died := make(chan struct{})
 				h.enter(func(s agentstore.Store) agentstore.Store {
 					return &dying{Store: s, left: n, after: after, died: died}
 				})
 				ask := func(id string, kind fleet.CommandKind) { // like a tool that sends again until it is taken
-					fakes.Until(t, id+" is taken", func() bool {
+					h.until(id+" is taken", func() bool {
 						select {
 						case <-died:
 							h.leave()
@@ -70,7 +70,7 @@
 						_, err := h.order(id, kind)
 						return err == nil
 					})
-					fakes.Until(t, id+" has ended", func() bool {
+					h.until(id+" has ended", func() bool {
 						select {
 						case <-died:
 							h.leave()
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -127,9 +127,26 @@
 	}
 }
 
+// hostTiming is what a test host's instances, commands and waits are held to.
+type hostTiming struct {
+	startWithin time.Duration // from a launch to ready
+	grace, stop time.Duration // from a shutdown notice on, by the instances' configuration
+	command     time.Duration // until a command ends as late
+	wait        time.Duration // of the test, for a condition
+}
+
+var (
+	// shortTiming is for tests of what happens when a time limit passes, and within which time.
+	shortTiming = hostTiming{startWithin: time.Second, grace: 300 * time.Millisecond, stop: 600 * time.Millisecond, command: 30 * time.Second, wait: 10 * time.Second}
+	// longTiming is for tests whose claims do not depend on time: an instance that gets no processor for seconds on a
+	// busy machine is then neither given up nor killed. What takes its usual time is no slower by it.
+	longTiming = hostTiming{startWithin: time.Minute, grace: 30 * time.Second, stop: time.Minute, command: 4 * time.Minute, wait: 2 * time.Minute}
+)
+
 // testHost is the directory of an agent, which may end and start again.
 type testHost struct {
 	t      testing.TB
+	timing hostTiming
 	dir    string
 	spec   *fleet.Spec
 	names  []string
@@ -141,16 +158,21 @@
 }
 
 func newTestHost(t testing.TB, names ...string) *testHost {
+	return newTimedHost(t, shortTiming, names...)
+}
+
+func newTimedHost(t testing.TB, timing hostTiming, names ...string) *testHost {
 	dir, err := os.MkdirTemp("", "mb")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &testHost{t: t, dir: dir, names: names, file: filepath.Join(dir, "f")}
+	settings := strings.Replace(fakes.Settings, `"drain_grace_ms":300`, fmt.Sprintf(`"drain_grace_ms":%d`, timing.grace.Milliseconds()), 1)
+	h := &testHost{t: t, timing: timing, dir: dir, names: names, file: filepath.Join(dir, "f")}
 	t.Cleanup(h.clear)
 	for i, n := range names {
 		text := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:%d",
-			"agent":"127.0.0.1:2","roster":"127.0.0.1:3","seed":"8c1f","stop_ms":600,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-			"settings":%s}`, n, 20_000+i, fakes.Settings)
+			"agent":"127.0.0.1:2","roster":"127.0.0.1:3","seed":"8c1f","stop_ms":%d,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+			"settings":%s}`, n, 20_000+i, timing.stop.Milliseconds(), settings)
 		if err := os.WriteFile(filepath.Join(dir, n+".json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -160,8 +182,8 @@
 }
 
 func (h *testHost) read(names ...string) *fleet.Spec {
-	text := fmt.Sprintf(`(fleet f (host h1 (agent "unix:%s/a.sock")) (group g (config "%%n.json") (start-within 1s) (settle 50ms)
-		(restart (most 2) (within 30s)) (instances %s)) (wave (width 1) (least-share 0)))`, h.dir, strings.Join(names, " "))
+	text := fmt.Sprintf(`(fleet f (host h1 (agent "unix:%s/a.sock")) (group g (config "%%n.json") (start-within %s) (settle 50ms)
+		(restart (most 2) (within 30s)) (instances %s)) (wave (width 1) (least-share 0)))`, h.dir, h.timing.startWithin, strings.Join(names, " "))
 	s, err := fleet.ReadSpec(h.file, []byte(text), limits.ForControl())
 	if err != nil {
 		h.t.Fatal(err)
@@ -223,7 +245,7 @@
 	if len(names) == 0 {
 		names = h.names
 	}
-	o := agentapi.CommandRequest{ID: id, Kind: kind, Instances: names, RequestedBy: "test", TimeoutMicros: 30_000_000}
+	o := agentapi.CommandRequest{ID: id, Kind: kind, Instances: names, RequestedBy: "test", TimeoutMicros: h.timing.command.Microseconds()}
 	if kind == fleet.KindRollingUpdate {
 		o.RollingUpdate = &h.spec.RollingUpdate
 	}
@@ -238,6 +260,16 @@
 	}
 }
 
+// until waits for a condition, for the host's own time.
+func (h *testHost) until(what string, met func() bool) {
+	h.t.Helper()
+	for end := time.Now().Add(h.timing.wait); !met(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			h.t.Fatalf("waited %v in vain until %s", h.timing.wait, what)
+		}
+	}
+}
+
 // result waits for a command's end.
 func (h *testHost) result(id string) *fleet.Command {
 	h.t.Helper()
