--- a/internal/agent/agentstore/compat_test.go
+++ b/internal/agent/agentstore/compat_test.go
@@ -13,7 +13,7 @@
 }
 
 // TestEarlierRecord: the record of an agent of an earlier release, with instances that run, commands and history, is
-// read whole. record.json is what that release itself read out of the same file.
+// read completely. record.json is what that release itself read out of the same file.
 func TestEarlierRecord(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(Path(dir), compattest.Read(t, "record.db"), 0o600); err != nil {
--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -40,7 +40,7 @@
 	return b, nil
 }
 
-// WriteOff has the quota store end what a name holds, by an operator's word. Errors are *agentapi.StatusError and, where
+// WriteOff has the quota store end what a name holds, on an operator's command. Errors are *agentapi.StatusError and, where
 // the quota store rejects it, *WriteOffError.
 func (a *Agent) WriteOff(ctx context.Context, name, by string) error {
 	rejection, err := a.applyQuotaCommand(ctx, quota.Command{WriteOff: &quota.WriteOffCommand{Name: name, By: by}})
--- a/internal/agentapi/api.go
+++ b/internal/agentapi/api.go
@@ -84,7 +84,7 @@
 	History(after uint64, most int) ([]agentstore.Entry, error)
 	// Budgets asks the leader of the quota store, whichever agent that is.
 	Budgets(ctx context.Context) (Budgets, error)
-	// WriteOff ends what a name holds of quotas, by an operator's word.
+	// WriteOff ends what a name holds of quotas, on an operator's command.
 	WriteOff(ctx context.Context, name, by string) error
 	// Rise begins or changes a cold start of the fleet.
 	Rise(ctx context.Context, r quota.ColdStartCommand) error
--- a/internal/agentapi/api_test.go
+++ b/internal/agentapi/api_test.go
@@ -305,7 +305,7 @@
 	}
 }
 
-// TestFollow: a stream tells of lost entries, brings those of its command in order, and ends with the command.
+// TestFollow: a stream reports of lost entries, brings those of its command in order, and ends with the command.
 func TestFollow(t *testing.T) {
 	m := newFakeManager()
 	m.commands["c1"] = &fleet.Command{ID: "c1"}
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -176,7 +176,7 @@
 	return members, err
 }
 
-// WriteOff has the quota store end what a name holds, by an operator's word.
+// WriteOff has the quota store end what a name holds, on an operator's command.
 func (c *Client) WriteOff(ctx context.Context, name, by string) error {
 	path := "/v1/write-off/" + url.PathEscape(name) + "?by=" + url.QueryEscape(by)
 	return c.call(ctx, http.MethodPost, path, nil, nil)
--- a/internal/cluster/quotastore/eligibility.go
+++ b/internal/cluster/quotastore/eligibility.go
@@ -85,7 +85,7 @@
 	return t.NetworkTransport.Close()
 }
 
-// satisfied tells whether the log is far enough by now.
+// satisfied reports whether the log is far enough by now.
 func (t *eligibilityTransport) satisfied() bool {
 	if t.eligible.Load() {
 		return true
--- a/internal/faultinjection/harness/processes.go
+++ b/internal/faultinjection/harness/processes.go
@@ -71,7 +71,7 @@
 	return ""
 }
 
-// hasEnded tells whether the host's agent, which was started, has ended.
+// hasEnded reports whether the host's agent, which was started, has ended.
 func (h *host) hasEnded() bool {
 	select {
 	case <-h.ended:
--- a/internal/faultinjection/harness/rolling_update.go
+++ b/internal/faultinjection/harness/rolling_update.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// noOpenCommands tells whether every host answers and has no command to carry out.
+// noOpenCommands reports whether every host answers and has no command to carry out.
 func (harness *Harness) noOpenCommands(ctx context.Context) bool {
 	out, err := harness.Tool(ctx, "status", "--json")
 	var hosts []hostStatus
--- a/internal/faultinjection/harness/shrink.go
+++ b/internal/faultinjection/harness/shrink.go
@@ -36,7 +36,7 @@
 	return nil, nil
 }
 
-// failsOnce tells whether a schedule does not hold in one of some attempts.
+// failsOnce reports whether a schedule does not hold in one of some attempts.
 func failsOnce(ctx context.Context, s *schedule.Schedule, attempts int, options func(*schedule.Schedule) (Options, error)) (bool, error) {
 	for range attempts {
 		o, err := options(s)
--- a/internal/faultinjection/harness/state.go
+++ b/internal/faultinjection/harness/state.go
@@ -35,7 +35,7 @@
 	return &s
 }
 
-// fullyGranted tells whether the quota store has all of each rate in force, and nothing of the count.
+// fullyGranted reports whether the quota store has all of each rate in force, and nothing of the count.
 func (harness *Harness) fullyGranted(ctx context.Context) bool {
 	s := harness.quotaState(ctx)
 	if s == nil {
--- a/internal/faultinjection/proxy/duplicate.go
+++ b/internal/faultinjection/proxy/duplicate.go
@@ -15,7 +15,7 @@
 // callMark is in the first line of a conversation between agents.
 var callMark = []byte(" call ")
 
-// isCall tells whether what a connection carried began with a call.
+// isCall reports whether what a connection carried began with a call.
 func isCall(carried []byte) bool {
 	return bytes.Contains(carried[:min(len(carried), maxFirstLine)], callMark)
 }
--- a/internal/faultinjection/proxy/proxy_test.go
+++ b/internal/faultinjection/proxy/proxy_test.go
@@ -123,7 +123,7 @@
 	return time.Since(began)
 }
 
-// idle tells whether the link carries nothing.
+// idle reports whether the link carries nothing.
 func (l testLink) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faultinjection/schedule/read.go
+++ b/internal/faultinjection/schedule/read.go
@@ -94,7 +94,7 @@
 	return true
 }
 
-// isNumbered tells whether a name is a prefix and a number from 1 to the last, written as the harness writes it.
+// isNumbered reports whether a name is a prefix and a number from 1 to the last, written as the harness writes it.
 func isNumbered(name, prefix string, last int) bool {
 	number, found := strings.CutPrefix(name, prefix)
 	n, err := strconv.Atoi(number)
--- a/internal/fleet/cold_start_test.go
+++ b/internal/fleet/cold_start_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// TestColdStartHaltsAfterFailures: a release of which each start fails stops after its failures, says so, and goes on at an operator's word.
+// TestColdStartHaltsAfterFailures: a release of which each start fails stops after its failures, says so, and goes on on an operator's command.
 func TestColdStartHaltsAfterFailures(t *testing.T) {
 	s := newSimulatedFleet(t, 3, 10, 12)
 	s.spec.ColdStart.MaxFailures = 4
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -84,7 +84,7 @@
 	OutcomeSkipped    Outcome = "skipped"
 )
 
-// Satisfied tells whether the instance is as the command wanted it.
+// Satisfied reports whether the instance is as the command wanted it.
 func (o Outcome) Satisfied() bool {
 	return o == OutcomeSucceeded || o == OutcomeUnchanged || o == OutcomeKilled
 }
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// equivalent tells whether two commands ask for the same; who asked and when does not matter.
+// equivalent reports whether two commands ask for the same; who asked and when does not matter.
 func (c *Command) equivalent(o *Command) bool {
 	terms := c.Rollout == o.Rollout || c.Rollout != nil && o.Rollout != nil && *c.Rollout == *o.Rollout
 	return c.Kind == o.Kind && c.Immediate == o.Immediate && c.Quota == o.Quota && terms && slices.Equal(c.Names, o.Names)
--- a/internal/fleet/command_lifecycle.go
+++ b/internal/fleet/command_lifecycle.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// failedForGood tells whether the instance is down and is not launched again by itself.
+// failedForGood reports whether the instance is down and is not launched again by itself.
 func (in *Instance) failedForGood() bool { return in.Phase == PhaseFailed && in.LaunchesExhausted }
 
 // resolveStart ends a start or a cold start for an instance that is ready, or that failed for good.
@@ -187,7 +187,7 @@
 	}
 }
 
-// runsUndisturbed tells whether the instance is ready and is not about to leave.
+// runsUndisturbed reports whether the instance is ready and is not about to leave.
 func (in *Instance) runsUndisturbed() bool {
 	return in.Phase == PhaseReady && !in.RestartPending && in.NoticeID == ""
 }
--- a/internal/fleet/event.go
+++ b/internal/fleet/event.go
@@ -10,12 +10,12 @@
 type InstanceObserved struct {
 	Name        string
 	Observation Observation
-	// Unrecorded tells that no supervisor ever wrote about the incarnation. That proves no end while its launch is
+	// Unrecorded reports that no supervisor ever wrote about the incarnation. That proves no end while its launch is
 	// under way: the observation then says nothing.
 	Unrecorded bool
 }
 
-// ActionFailed tells that an action can't be carried out.
+// ActionFailed reports that an action can't be carried out.
 type ActionFailed struct {
 	Name     string // of the instance
 	ActionID string
@@ -40,7 +40,7 @@
 	VerbCancel Verb = "cancel"
 )
 
-// Tick tells that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
 // UnitAcquired is the quota store's answer to ActionAcquireUnit. A call without an answer brings none.
@@ -50,7 +50,7 @@
 	Cause   string // why it was not granted
 }
 
-// UnitReleased tells that the quota store has a unit back.
+// UnitReleased reports that the quota store has a unit back.
 type UnitReleased struct {
 	Name      string // of the instance
 	RequestID string
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -23,12 +23,12 @@
 	PhaseUnknown      Phase = "unknown"  // it can't be observed; that does not mean that it has ended
 )
 
-// leaving tells whether the instance is shutting down.
+// leaving reports whether the instance is shutting down.
 func (p Phase) leaving() bool {
 	return p == PhaseDraining || p == PhaseStopping || p == PhaseUnresponsive
 }
 
-// Down tells whether no process of the instance is left.
+// Down reports whether no process of the instance is left.
 func (p Phase) Down() bool { return p == PhaseAbsent || p == PhaseExited || p == PhaseFailed }
 
 // Observation is what the supervisor of an instance reported, or what the agent found in its place.
@@ -161,13 +161,13 @@
 	StartResult coldstart.Outcome `json:"End"`
 }
 
-// StartsNew tells whether the action begins something that a restart of the agent must not forget. While the state can't
+// StartsNew reports whether the action begins something that a restart of the agent must not forget. While the state can't
 // be stored such actions wait; notices, kills and adoptions must not wait for a disk.
 func (a Action) StartsNew() bool {
 	return a.Kind == ActionLaunch && !a.Adopt || a.Kind == ActionAcquireUnit
 }
 
-// HistoryEvent is an entry of the history that is kept for people.
+// HistoryEvent is an entry of the history that people read.
 type HistoryEvent struct {
 	At        Micros `json:"at"`
 	Name      string `json:"name,omitempty"`
@@ -189,12 +189,12 @@
 	}
 }
 
-// Settled tells whether the instance has been ready for as long as its group wants.
+// Settled reports whether the instance has been ready for as long as its group wants.
 func (in *Instance) Settled(now Micros) bool {
 	return in.Phase == PhaseReady && now-in.ReadySince >= in.group.Settle
 }
 
-// available tells whether a rolling update may count the instance as serving.
+// available reports whether a rolling update may count the instance as serving.
 func (in *Instance) available(now Micros) bool {
 	return in.DesiredUp && !in.RestartPending && in.NoticeID == "" && in.Settled(now)
 }
--- a/internal/fleet/invariants_test.go
+++ b/internal/fleet/invariants_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// decide hands the machine an event without carrying its actions out.
+// decide gives the machine an event without carrying its actions out.
 func decide(t *testing.T, h *simulatedHost, event Event) []Action {
 	t.Helper()
 	actions, _, err := h.m.Decide(h.now, event)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -51,7 +51,7 @@
 // Names lists the instances in the file's order.
 func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
 
-// Idle tells whether nothing is to be expected soon: no command is open, and no instance waits for a deadline, an
+// Idle reports whether nothing is to be expected soon: no command is open, and no instance waits for a deadline, an
 // action or another launch. It does not depend on the time.
 func (m *Machine) Idle(_ Micros) bool {
 	if len(m.openCommands) > 0 {
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -255,12 +255,12 @@
 	tr.Say("and after the stall: %s", rolloutText(coordinator.Next(110, map[string]HostProgress{"a": {Reachable: true, Ready: 6, DesiredUp: 10, MaxUnavailable: 3}, "b": fact(""), "c": fact("")})))
 }
 
-// rolloutText prints a step of a rollout as the kept trace has it.
+// rolloutText prints a step of a rollout as the stored trace has it.
 func rolloutText(s RolloutStep) string {
 	return fmt.Sprintf("{Begin:%v Over:%t Why:%s}", s.Begin, s.Finished, s.StopReason)
 }
 
-// planText prints a plan as the kept trace has it.
+// planText prints a plan as the stored trace has it.
 func planText(steps []PlanStep) string {
 	words := make([]string, 0, len(steps))
 	for _, s := range steps {
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -29,7 +29,7 @@
 	m.recordEvent(now, in, string(kind), cause)
 }
 
-// emitAction hands the pending action out, for the first time or again.
+// emitAction emits the pending action, for the first time or again.
 func (m *Machine) emitAction(in *Instance, cause string) {
 	m.actions = append(m.actions, Action{
 		Kind: in.LastAction, ID: in.ActionID, Name: in.Name, Incarnation: in.Incarnation, NotifiedAt: in.NotifiedAt, Cause: cause,
@@ -37,7 +37,7 @@
 	})
 }
 
-// launchPending tells whether a launch of the instance, or of a supervisor that adopts it, is not known to have been taken.
+// launchPending reports whether a launch of the instance, or of a supervisor that adopts it, is not known to have been taken.
 func (in *Instance) launchPending() bool { return in.ActionPending && in.LastAction == ActionLaunch }
 
 // readinessTimeout is how long the instance may take from its launch to ready: the rolling update's value where one
@@ -80,7 +80,7 @@
 	}
 }
 
-// shouldNotify tells whether the instance is to leave and has not been notified.
+// shouldNotify reports whether the instance is to leave and has not been notified.
 func (in *Instance) shouldNotify() bool {
 	return in.NoticeID == "" && (!in.DesiredUp || in.RestartPending)
 }
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// startSpares starts the spares and tells whether the update may go on: all are settled, or it was cancelled.
+// startSpares starts the spares and reports whether the update may go on: all are settled, or it was cancelled.
 func (m *Machine) startSpares(now Micros, c *Command) bool {
 	ready := true
 	for _, n := range c.Spares {
@@ -127,7 +127,7 @@
 	return true
 }
 
-// pauseIfNeeded pauses an update that should not go on, and tells whether it did.
+// pauseIfNeeded pauses an update that should not go on, and reports whether it did.
 func (m *Machine) pauseIfNeeded(now Micros, c *Command) bool {
 	if c.State != CommandOpen {
 		return false
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -56,7 +56,7 @@
 	return max(w.MinReady, int(math.Ceil(w.MinReadyShare*float64(up)-1e-9)))
 }
 
-// isShare tells whether x is from 0 to 1; NaN is not.
+// isShare reports whether x is from 0 to 1; NaN is not.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
 // The orders of a rolling update.
--- a/internal/fleet/selection.go
+++ b/internal/fleet/selection.go
@@ -11,7 +11,7 @@
 	Hosts  []string `json:"hosts,omitempty"`
 }
 
-// Empty tells whether it asks for nothing.
+// Empty reports whether it asks for nothing.
 func (q Selection) Empty() bool {
 	return !q.All && len(q.Names)+len(q.Groups)+len(q.Labels)+len(q.Hosts) == 0
 }
--- a/internal/fleet/simulated_host_test.go
+++ b/internal/fleet/simulated_host_test.go
@@ -74,7 +74,7 @@
 	return w
 }
 
-// apply hands the machine an event, writes down what it must, and carries the actions out.
+// apply gives the machine an event, writes down what it must, and carries the actions out.
 func (w *simulatedHost) apply(ev Event) error {
 	actions, _, err := w.m.Decide(w.now, ev)
 	actions = slices.Clone(actions)
@@ -247,7 +247,7 @@
 	}
 }
 
-// mustApply hands the machine an event that can't be refused.
+// mustApply gives the machine an event that can't be refused.
 func (w *simulatedHost) mustApply(ev Event) {
 	w.t.Helper()
 	if err := w.apply(ev); err != nil {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -14,7 +14,7 @@
 	Commands  []*Command `json:"commands"`
 }
 
-// Restore takes back a snapshot. rebooted tells that the host was started anew since, so that no process of then is
+// Restore takes back a snapshot. rebooted reports that the host was started anew since, so that no process of then is
 // left. Instances that the spec no longer names are left out; forgotten lists those of them that may still run.
 func (m *Machine) Restore(now Micros, s Snapshot, rebooted bool) (forgotten []Instance) {
 	for _, stored := range s.Instances {
@@ -107,7 +107,7 @@
 }
 
 // RunningUnnamed lists the instances that may run and that another fleet file does not name for the host, in this file's
-// order: an agent that used that file would lose sight of them.
+// order: an agent that used that file would not manage them.
 func (m *Machine) RunningUnnamed(s *Spec, host string) (names []string) {
 	for _, name := range m.instanceNames {
 		if named := s.Instance(name); m.instances[name].Incarnation != "" && (named == nil || named.Host != host) {
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -17,7 +17,7 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// Micros is a point on the machine's own clock, or a span, in whole microseconds. Setting the wall clock does
+// Micros is a point on the machine's own clock, or a span, in microseconds. Setting the wall clock does
 // not move it; it begins anew with each start of the machine.
 type Micros int64
 
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -150,7 +150,7 @@
 	r.ColdStart = t
 }
 
-// hasCountQuota tells whether there is a concurrency quota of that name.
+// hasCountQuota reports whether there is a concurrency quota of that name.
 func (s *Spec) hasCountQuota(name string) bool {
 	if s.Quotas == nil {
 		return false
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// checkInstanceCounts tells of a fleet without instances, and of hosts with more than one agent can manage.
+// checkInstanceCounts reports of a fleet without instances, and of hosts with more than one agent can manage.
 func (r *specReader) checkInstanceCounts(f *sexpr.Form, most int) {
 	if len(r.instances) == 0 {
 		f.Fail("", "no instance")
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -40,7 +40,7 @@
 // maxRequestGap is how far two unit requests may be apart for the silence after the first to count with the second.
 const maxRequestGap = 10 * unitRetryDelay
 
-// holdsUnit tells whether an instance holds a unit for a command; else one is requested.
+// holdsUnit reports whether an instance holds a unit for a command; else one is requested.
 func (m *Machine) holdsUnit(now Micros, c *Command, in *Instance) bool {
 	if c.Quota == "" || in.Unit.Held && in.Unit.CommandID == c.ID {
 		return true
@@ -61,7 +61,7 @@
 	return false
 }
 
-// unitNeeded tells whether the command still has use for the unit of the instance.
+// unitNeeded reports whether the command still has use for the unit of the instance.
 func (m *Machine) unitNeeded(in *Instance) bool {
 	c := m.commands[in.Unit.CommandID]
 	if c == nil || c.Kind != KindRollingUpdate && c.Kind != KindColdStart || !slices.Contains(c.Names, in.Name) {
@@ -71,7 +71,7 @@
 	return !over && (c.State == CommandOpen || c.InProgress[in.Name])
 }
 
-// backInService tells whether an instance serves again, or is down as desired.
+// backInService reports whether an instance serves again, or is down as desired.
 func (in *Instance) backInService(now Micros) bool {
 	return in.available(now) || !in.DesiredUp && in.Phase.Down()
 }
--- a/internal/supervisor/api.go
+++ b/internal/supervisor/api.go
@@ -16,7 +16,7 @@
 // longPollTimeout is how long a request for a report may wait for a change.
 const longPollTimeout = 10 * time.Second
 
-// Report is what a supervisor tells of its instance. The JSON is spoken between versions.
+// Report is what a supervisor reports about its instance. The JSON is spoken between versions.
 type Report struct {
 	Version     int               `json:"version"`
 	Serial      int               `json:"serial"` // grows with each change
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -29,7 +29,7 @@
 	return r, err
 }
 
-// Request hands a step over, within limits.Control.CallTimeout.
+// Request sends a step, within limits.Control.CallTimeout.
 func (c *Client) Request(ctx context.Context, r StepRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, c.bounds.CallTimeout)
 	defer cancel()
--- a/internal/supervisor/monitor_test.go
+++ b/internal/supervisor/monitor_test.go
@@ -20,15 +20,15 @@
 // fake is an instance as a monitor may meet it: it may be deaf to the signal, to its socket, or to both, may be
 // stopped for a while, and may stay beyond its stop.
 type fake struct {
-	deafSignal, deafSocket, stays bool
-	hearsAtOnce                   bool // the signal; else at its next check
-	stopped                       func(Micros) bool
-	signal                        bool // stands before it
-	ready                         Micros
-	graceEnds                     Micros // 0: it has heard nothing
-	gone                          bool
-	end                           Micros
-	notices                       []Micros
+	ignoresSignal, ignoresSocket, stays bool
+	hearsAtOnce                         bool // the signal; else at its next check
+	stopped                             func(Micros) bool
+	signal                              bool // stands before it
+	ready                               Micros
+	graceEnds                           Micros // 0: it has heard nothing
+	exited                              bool
+	end                                 Micros
+	notices                             []Micros
 }
 
 func (f *fake) leave(now, ago Micros) {
@@ -46,17 +46,17 @@
 		}
 	case NotifySocket:
 		f.notices = append(f.notices, now)
-		if !f.deafSocket && !f.stopped(now) {
+		if !f.ignoresSocket && !f.stopped(now) {
 			f.leave(now, now-m.NotifiedAt)
 		}
 	case KillGroup:
-		f.gone, f.end = true, now
+		f.exited, f.end = true, now
 	}
 }
 
 // hear takes a signal that stands before it, unless it is deaf or stopped.
 func (f *fake) hear(now Micros) {
-	if f.signal && !f.deafSignal && !f.stopped(now) {
+	if f.signal && !f.ignoresSignal && !f.stopped(now) {
 		f.signal = false
 		f.leave(now, 0)
 	}
@@ -68,7 +68,7 @@
 		return Observation{}
 	}
 	if f.graceEnds != 0 && !f.stays && now >= f.graceEnds-usual.Grace+usual.ExitTimeout-endLead {
-		f.gone, f.end = true, now
+		f.exited, f.end = true, now
 	}
 	s := admin.State{Ready: now >= f.ready && f.graceEnds == 0}
 	if f.graceEnds != 0 {
@@ -77,14 +77,14 @@
 	return Observation{&s}
 }
 
-// takesIn tells whether it would let work run that arrives now.
+// takesIn reports whether it would let work run that arrives now.
 func (f *fake) takesIn(now Micros) bool {
-	return !f.gone && !f.stopped(now) && (f.graceEnds == 0 || now < f.graceEnds)
+	return !f.exited && !f.stopped(now) && (f.graceEnds == 0 || now < f.graceEnds)
 }
 
 func never(Micros) bool { return false }
 
-// TestMonitor: what becomes of an instance in each kind of trouble.
+// TestMonitor: what becomes of an instance in each kind of fault.
 func TestMonitor(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, c := range []struct {
@@ -92,8 +92,8 @@
 		f    fake
 	}{
 		{"hears the signal", fake{stopped: never}},
-		{"is deaf to the signal, hears its socket", fake{deafSignal: true, stopped: never}},
-		{"is deaf to both", fake{deafSignal: true, deafSocket: true, stopped: never}},
+		{"is deaf to the signal, hears its socket", fake{ignoresSignal: true, stopped: never}},
+		{"is deaf to both", fake{ignoresSignal: true, ignoresSocket: true, stopped: never}},
 		{"is stopped for good", fake{stopped: func(now Micros) bool { return now > 9*second }}},
 		{"is stopped for a second", fake{stopped: func(now Micros) bool { return now > 10*second-1 && now < 11*second }}},
 		{"hears, and stays beyond its stop", fake{stays: true, stopped: never}},
@@ -102,12 +102,12 @@
 		m := &Monitor{Window: usual}
 		tr.Say("%s", c.what)
 		was := fleet.Phase("")
-		for now := Micros(0); now < 20*second && !f.gone; now += 25_000 {
+		for now := Micros(0); now < 20*second && !f.exited; now += 25_000 {
 			if now == 10*second {
 				tr.Say("  told: %t, again: %t", m.Notify(now, "s1"), m.Notify(now, "s2"))
 			}
 			m.Observe(now, f.check(now))
-			if f.gone {
+			if f.exited {
 				break
 			}
 			for _, a := range m.NextActions(now) {
@@ -118,7 +118,7 @@
 				was = p
 			}
 		}
-		tr.Say("  gone %t after %.3f s, said %d times, killed %q", f.gone, float64(f.end-10*second)/1e6, len(f.notices), m.KillCause)
+		tr.Say("  gone %t after %.3f s, said %d times, killed %q", f.exited, float64(f.end-10*second)/1e6, len(f.notices), m.KillCause)
 	}
 }
 
@@ -129,17 +129,17 @@
 		from := Micros(rapid.IntRange(0, 40).Draw(t, "stopped from")) * 100_000
 		till := from + Micros(rapid.IntRange(0, 50).Draw(t, "for"))*100_000
 		f := fake{
-			deafSignal: rapid.Bool().Draw(t, "deaf to the signal"), deafSocket: rapid.Bool().Draw(t, "to its socket"),
+			ignoresSignal: rapid.Bool().Draw(t, "deaf to the signal"), ignoresSocket: rapid.Bool().Draw(t, "to its socket"),
 			stays: rapid.Bool().Draw(t, "stays"), hearsAtOnce: rapid.Bool().Draw(t, "hears at once"), stopped: func(now Micros) bool { return now >= from && now < till },
 		}
 		m := &Monitor{Window: usual}
-		told := Micros(rapid.IntRange(1, 40).Draw(t, "told")) * 100_000
-		for now := Micros(0); now < 12*second && !f.gone; now += Micros(rapid.IntRange(1000, 40_000).Draw(t, "step")) {
-			if now >= told {
+		notifiedAt := Micros(rapid.IntRange(1, 40).Draw(t, "told")) * 100_000
+		for now := Micros(0); now < 12*second && !f.exited; now += Micros(rapid.IntRange(1000, 40_000).Draw(t, "step")) {
+			if now >= notifiedAt {
 				m.Notify(now, "s")
 			}
 			m.Observe(now, f.check(now))
-			if !f.gone {
+			if !f.exited {
 				for _, a := range m.NextActions(now) {
 					f.act(now, m, a)
 				}
@@ -148,12 +148,12 @@
 				t.Fatalf("takes work in %d us after the notice: %+v, %+v", now-m.NotifiedAt, f, m)
 			}
 		}
-		if !f.gone || f.end > m.NotifiedAt+usual.ExitTimeout+stopMargin+50_000 {
+		if !f.exited || f.end > m.NotifiedAt+usual.ExitTimeout+stopMargin+50_000 {
 			t.Fatalf("not gone in time: %+v, %+v", f, m)
 		}
 		// It counts its stop from when it heard: one that hears later than it ends early is past its stop by then.
 		heardInTime := f.graceEnds != 0 && f.graceEnds-usual.Grace-m.NotifiedAt < endLead
-		meek := !f.stays && till <= from && !f.deafSignal && (f.hearsAtOnce || heardInTime)
+		meek := !f.stays && till <= from && !f.ignoresSignal && (f.hearsAtOnce || heardInTime)
 		if meek && m.KillCause != "" {
 			t.Fatalf("killed without need: %s", m.KillCause)
 		}
--- a/internal/upgradetest/fleet_test.go
+++ b/internal/upgradetest/fleet_test.go
@@ -209,7 +209,7 @@
 	return instanceStatus{}
 }
 
-// quotasInForce tells whether the leader has the whole of each quota divided among the instances.
+// quotasInForce reports whether the leader has the whole of each quota divided among the instances.
 func (f *testFleet) quotasInForce() bool {
 	output, err := f.command("budgets", "--json").Output()
 	var answer struct {
--- a/internal/upgradetest/upgrade_test.go
+++ b/internal/upgradetest/upgrade_test.go
@@ -77,7 +77,7 @@
 	f.audit(from, process.Now())
 }
 
-// startLoad sends invocations to all instances until it is told to stop.
+// startLoad sends invocations to all instances until it is stopped.
 func (f *testFleet) startLoad() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
