--- a/internal/agentapi/client_test.go
+++ b/internal/agentapi/client_test.go
@@ -305,6 +305,19 @@
 	}
 }
 
+// TestFirstAttemptsEarnRetries: after many requests that needed no retry, one that needs it has it.
+func TestFirstAttemptsEarnRetries(t *testing.T) {
+	factory := NewClientFactory(testBounds(), 1)
+	for range 100 {
+		if _, ok := factory.pause(1); !ok {
+			t.Fatal("a first attempt is refused")
+		}
+	}
+	if _, ok := factory.pause(2); !ok {
+		t.Error("no retry after 100 requests")
+	}
+}
+
 // TestAttemptsHaveAMost: no request is attempted more often than Bounds.Attempts, whatever the retry budget has.
 func TestAttemptsHaveAMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -328,7 +341,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
 		b.MessageSize = 1 << 10
-		for size, accepted := range map[int]bool{maxResponseFactor * b.MessageSize / 2: true, maxResponseFactor * b.MessageSize: false} {
+		for size, accepted := range map[int]bool{48 * b.MessageSize: true, 64 * b.MessageSize: false} {
 			text := `{"host":"` + strings.Repeat("x", size) + `"}`
 			client := newTransportClient(b, func(*http.Request) (*http.Response, error) {
 				return newResponse(http.StatusOK, strings.NewReader(text)), nil
