--- a/internal/agentapi/api_test.go
+++ b/internal/agentapi/api_test.go
@@ -243,6 +243,7 @@
 func TestMalformedRequests(t *testing.T) {
 	m := newFakeManager()
 	b := testBounds()
+	b.CallTimeout = 10 * time.Second // no claim of this test depends on time, and one body is a megabyte
 	address := freeLoopbackAddress(t)
 	serveAt(t, address, m, b)
 	long := `{"id":"` + strings.Repeat("x", b.MessageSize) + `"}`
