--- a/cmd/milletbarrow/backend_test.go
+++ b/cmd/milletbarrow/backend_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"milletbarrow/internal/demo"
 	"milletbarrow/internal/fakes"
 )
 
@@ -60,7 +61,7 @@
 }
 
 func prepare(t testing.TB, edit ...string) *backend {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a port that is free now
+	l, err := net.Listen("tcp", demo.Loopback()+":0") // stays free: no outgoing connection uses this address
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/milletbarrow/testfleet_test.go
+++ b/cmd/milletbarrow/testfleet_test.go
@@ -18,6 +18,7 @@
 	"testing"
 	"time"
 
+	"milletbarrow/internal/demo"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/fleetclient"
@@ -46,7 +47,7 @@
 	registry, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	taken := make([]net.Listener, 0, many)
 	for n := range many {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		l, err := net.Listen("tcp", demo.Loopback()+":0")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -32,8 +32,16 @@
 	registry   *http.Server
 	mu         sync.Mutex
 	reportedAt map[string]time.Time
+	givenOut   map[string]bool // addresses that FreeAddress has returned
 }
 
+// freeAddressAttempts bounds how often FreeAddress draws again. A draw repeats one given out with a chance below a tenth
+// as long as fewer than a thousand are.
+const freeAddressAttempts = 50
+
+// ErrNoFreeAddress means that no address was drawn that had not been given out before.
+var ErrNoFreeAddress = errors.New("no free address")
+
 // NewSite writes all files and starts the fakes. program is the milletbarrow that agents run; empty: the running one.
 // Close ends the fakes and removes the files.
 func NewSite(s *simulation.Scenario, program string) (*Site, error) {
@@ -46,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	site = &Site{Dir: dir, FleetFile: filepath.Join(dir, "fleet.sx"), reportedAt: map[string]time.Time{}, Loopback: Loopback()}
+	site = &Site{Dir: dir, FleetFile: filepath.Join(dir, "fleet.sx"), reportedAt: map[string]time.Time{}, givenOut: map[string]bool{}, Loopback: Loopback()}
 	defer func() {
 		if err != nil {
 			_ = site.Close()
@@ -57,25 +65,39 @@
 			return site, err
 		}
 	}
-	listeners := make([]net.Listener, 0, s.Hosts.Count) // closed at the end, so that no address is used twice
-	defer func() {
-		for _, l := range listeners {
-			_ = l.Close()
-		}
-	}()
 	for n := range s.Hosts.Count {
-		free, err := net.Listen("tcp", site.Loopback+":0")
+		address, err := site.FreeAddress()
 		if err != nil {
 			return site, err
 		}
-		listeners = append(listeners, free)
-		if err := site.addBackend(s, n+1, free.Addr().String(), registry); err != nil {
+		if err := site.addBackend(s, n+1, address, registry); err != nil {
 			return site, err
 		}
 	}
 	return site, site.writeFleetFile(program)
 }
 
+// FreeAddress returns an address of Loopback that it has not returned before and on which nothing listens yet. The kernel
+// draws at random and forgets what it drew: without the memory here a peer could get the address of a backend that is
+// still to start.
+func (s *Site) FreeAddress() (string, error) {
+	for range freeAddressAttempts {
+		l, err := net.Listen("tcp", s.Loopback+":0")
+		if err != nil {
+			return "", err
+		}
+		address := l.Addr().String()
+		if err := l.Close(); err != nil {
+			return "", err
+		}
+		if !s.givenOut[address] {
+			s.givenOut[address] = true
+			return address, nil
+		}
+	}
+	return "", fmt.Errorf("%w at %s, of which %d are given out", ErrNoFreeAddress, s.Loopback, len(s.givenOut))
+}
+
 // startRegistry starts the fake of the endpoint registry and returns its address.
 func (s *Site) startRegistry() (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -102,23 +101,15 @@
 	return s
 }
 
-// layHosts makes each host's directory and address; backends are dealt out in turn. The ports are held until all are drawn, so
-// that no two hosts get the same one.
+// layHosts makes each host's directory and address; backends are dealt out in turn.
 func (harness *Harness) layHosts() error {
-	var held []net.Listener
-	defer func() {
-		for _, l := range held {
-			_ = l.Close()
-		}
-	}()
 	for i := range harness.options.Schedule.Hosts {
-		l, err := net.Listen("tcp", harness.site.Loopback+":0")
+		peer, err := harness.site.FreeAddress()
 		if err != nil {
 			return err
 		}
-		held = append(held, l)
 		name := fmt.Sprint("h", i+1)
-		h := &host{name: name, dir: filepath.Join(harness.site.Dir, name), peer: l.Addr().String(), file: filepath.Join(harness.site.Dir, name+".sx")}
+		h := &host{name: name, dir: filepath.Join(harness.site.Dir, name), peer: peer, file: filepath.Join(harness.site.Dir, name+".sx")}
 		h.agent = "unix:" + filepath.Join(harness.site.Dir, name+".sock")
 		if err := os.Mkdir(h.dir, 0o700); err != nil {
 			return err
--- a/internal/upgradetest/fleet_test.go
+++ b/internal/upgradetest/fleet_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -62,7 +61,11 @@
 		host := &testHost{name: fmt.Sprint("h", i+1), instance: instance}
 		host.dir = filepath.Join(site.Dir, host.name)
 		f.hosts = append(f.hosts, host)
-		fmt.Fprintf(&spec, " (host %s (agent \"unix:%s.sock\") (peer %q))\n", host.name, host.dir, f.freeAddress())
+		peer, err := site.FreeAddress()
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&spec, " (host %s (agent \"unix:%s.sock\") (peer %q))\n", host.name, host.dir, peer)
 		fmt.Fprintf(&groups, " (group g-%s (host %s) (config \"%%n.json\") (instances %s) (start-within 30s) (settle 100ms))\n", host.name, host.name, instance)
 		ledger.WriteString(" " + host.name)
 	}
@@ -76,17 +79,6 @@
 	return f
 }
 
-// freeAddress is a free address of this machine where no calls begin.
-func (f *testFleet) freeAddress() string {
-	f.t.Helper()
-	listener, err := net.Listen("tcp", f.site.Loopback+":0")
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().String()
-}
-
 func (f *testFleet) drawLogs() string { return filepath.Join(f.site.Dir, "draws") }
 
 // close ends all that runs for this fleet and nothing else, by the identities in the supervisors' state files.
