--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -99,6 +99,7 @@
 // reject throttles what never ran. Many recent retries forbid another; so does what waits too long for the
 // dependency (atDependency), as it would elsewhere, while this backend has capacity for other work.
 func (b *Backend) reject(now Micros, inv *invocation, out []Action, atDependency bool) []Action {
+	b.arrivals.throttled.add(now, 1)
 	limit := retryLimit + (retryLimitTop-retryLimit)*inv.priority
 	if b.config.RetriesUnmarked {
 		limit *= unmarkedRetriesSeen
--- a/admission/backend.go
+++ b/admission/backend.go
@@ -31,8 +31,9 @@
 		inFlight: inFlight{byID: map[string]*invocation{}}, remembered: map[string]*rememberedKey{},
 		costs: make([]runCost, len(config.Operations)), workBefore: make([]float64, len(config.Operations)),
 		admitted: make([]decayingSum, len(config.QuotaPerSecond)),
-		arrivals: arrivals{recent: over(retryWindow), retries: over(retryWindow), usual: over(learningTime)},
-		runs:     runStats{coreTime: over(recentTime), expected: over(recentTime), ended: over(recentTime)},
+		arrivals: arrivals{recent: over(retryWindow), retries: over(retryWindow), throttled: over(retryWindow),
+			usual: over(learningTime)},
+		runs: runStats{coreTime: over(recentTime), expected: over(recentTime), ended: over(recentTime)},
 		calls: callStats{
 			first: over(callRetryWindow), retried: over(callRetryWindow),
 			took: over(callLearningTime), ended: over(callLearningTime),
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -4,10 +4,10 @@
 
 // feedback is what callers last heard, and since when health and connections are as they are.
 type feedback struct {
-	healthy, closingIdle       bool   // closingIdle: idle connections are closed early
-	lastProgress, lastLate     Micros // last arrival read in time or run that succeeded; last late arrival
-	unhealthyUntil, stormUntil Micros
-	advertised                 float64
+	healthy, closingIdle           bool   // closingIdle: idle connections are closed early
+	lastProgress, lastLate         Micros // last arrival read in time or run that succeeded; last late arrival
+	unhealthyUntil, saturatedUntil Micros
+	advertised                     float64
 }
 
 // retryAfter is the time in which the excess over this priority's threshold drains, or as long as the
@@ -63,7 +63,8 @@
 }
 
 // closeIdle: where many callers come back only after long, an idle connection costs more than opening it anew
-// and takes capacity from others. In a storm of new connections a full table keeps the rest out at no cost.
+// and takes capacity from others. While nearly all that is read is throttled, new connections bring hardly
+// anything; a full table keeps them out at no cost (from a hung backend too; it costs once overload ends).
 func (b *Backend) closeIdle(now Micros, out []Action) []Action {
 	f, config, age := &b.feedback, &b.config, float64(now-b.openedAt)
 	rate := max(1, b.arrivals.recent.read(now)) / (retryWindow * (1 - math.Exp(-age/retryWindow)))
@@ -71,10 +72,10 @@
 	if f.closingIdle { // hysteresis
 		limit /= 2
 	}
-	if b.load.connecting > stormConnecting*float64(config.Cores) {
-		f.stormUntil = now + stormFor
+	if b.arrivals.throttled.read(now) > saturatedShare*max(b.arrivals.recent.read(now), saturatedReads) {
+		f.saturatedUntil = now + saturatedFor
 	}
-	closing := interval > limit && now >= f.stormUntil
+	closing := interval > limit && now >= f.saturatedUntil
 	if age < rateKnownAfter || config.IdleTimeout <= minIdleTimeout ||
 		config.Callers <= fewCallers*config.Cores || f.closingIdle == closing {
 		return out
--- a/admission/tuning.go
+++ b/admission/tuning.go
@@ -6,14 +6,13 @@
 	timerToken = int64(1)        // of the one timer
 	never      = Micros(1 << 60) // no such time
 
-	retryWindow      = 4_000_000  // the recent past of the share of retries
-	learningTime     = 20_000_000 // what an operation costs here is learnt over this
-	recentTime       = 2_000_000  // and over this, whether runs, calls and tenants are as they were
-	queueSmoothing   = 200_000    // time constant of the run queue
-	connectSmoothing = 1_000_000  // time constant of what wants a core to read or connect
-	slowdownPrior    = 100_000    // core time, by core, that speaks for no slowdown
-	usualDeadline    = 0.15       // a time left that so many arrivals have is a first attempt's
-	sameDeadline     = 0.01       // times left that differ by less, in client timeouts, are the same
+	retryWindow    = 4_000_000  // the recent past of the share of retries
+	learningTime   = 20_000_000 // what an operation costs here is learnt over this
+	recentTime     = 2_000_000  // and over this, whether runs, calls and tenants are as they were
+	queueSmoothing = 200_000    // time constant of the run queue
+	slowdownPrior  = 100_000    // core time, by core, that speaks for no slowdown
+	usualDeadline  = 0.15       // a time left that so many arrivals have is a first attempt's
+	sameDeadline   = 0.01       // times left that differ by less, in client timeouts, are the same
 
 	busyCoreUse         = 0.85 // cores count as busy from here on
 	thresholdLow        = 1.0  // run queue per core at which the lowest priority is rejected
@@ -41,16 +40,17 @@
 	callsWaitPerCore = 2.0        // invocations waiting for their call, by core
 	callQuotaUsed    = 0.9        // part of the mean calls in flight that is used
 
-	minRetryAfter   = 50_000
-	minValue        = 0.05       // least weight, and the weight or allowance while unhealthy
-	stuckAfter      = 2_000_000  // full cores that make no progress for so long are stuck
-	stuckAfterRuns  = 8          // or for so many usual runs, if that is longer
-	stuckReads      = 0.5        // and read less than this part of what they usually do
-	unhealthyFor    = 3_000_000  // a backend that was stuck is not healthy for so long after
-	sparseInterval  = 8e6        // callers that come less often than this, in the mean, are sparse
-	rateKnownAfter  = 1_000_000  // after so long the rate of arrivals is known well enough
-	fewCallers      = 16         // a core: any table has capacity for them all, and nothing is closed
-	stormConnecting = 3.0        // a core, of what wants one to read or connect, from which tables may fill
-	stormFor        = 60_000_000 // and for so long after
-	minIdleTimeout  = 50_000     // of the connections of sparse callers
+	minRetryAfter  = 50_000
+	minValue       = 0.05       // least weight, and the weight or allowance while unhealthy
+	stuckAfter     = 2_000_000  // full cores that make no progress for so long are stuck
+	stuckAfterRuns = 8          // or for so many usual runs, if that is longer
+	stuckReads     = 0.5        // and read less than this part of what they usually do
+	unhealthyFor   = 3_000_000  // a backend that was stuck is not healthy for so long after
+	sparseInterval = 8e6        // callers that come less often than this, in the mean, are sparse
+	rateKnownAfter = 1_000_000  // after so long the rate of arrivals is known well enough
+	fewCallers     = 16         // a core: any table has capacity for them all, and nothing is closed
+	saturatedShare = 0.9        // of what is read is throttled: new connections bring hardly anything
+	saturatedReads = 10.0       // recent arrivals, below which that share says nothing
+	saturatedFor   = 60_000_000 // and for so long after
+	minIdleTimeout = 50_000     // of the connections of sparse callers
 )
