--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -20,11 +20,11 @@
 	failpoint := &cli.StringFlag{Name: "failpoint", Aliases: []string{"plant"}, Usage: "a `FAULT` of the program itself, where it was built with -tags failpoint", Hidden: true}
 	return &cli.Command{
 		Name: "faults", Usage: "run agents, supervisors and backends of this program while parts of them fail, and check the outcome",
-		Description: "Real processes on this machine, links between them, a timetable of faults. docs/trial.md says how to read it. Exit codes:\n" +
+		Description: "Real processes on this machine, links between them, a schedule of faults. docs/trial.md says how to read it. Exit codes:\n" +
 			"0 all held, 1 an error, 2 a file or word can't be used, 3 something did not hold.",
 		Commands: []*cli.Command{
 			{
-				Name: "run", Usage: "play timetables from files, or drawn from seeds", ArgsUsage: "[FILE ...]",
+				Name: "run", Usage: "play schedules of faults from files, or drawn from seeds", ArgsUsage: "[FILE ...]",
 				Description: "Examples:\n   milletbarrow faults run internal/faultinjection/testdata/cold.sx\n   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
 				Flags: []cli.Flag{
 					keep, failpoint, jsonFlag(), &cli.BoolFlag{Name: "quiet", Usage: "no progress"},
@@ -36,7 +36,7 @@
 				Action: runSchedules,
 			},
 			{
-				Name: "replay", Usage: "play one timetable again, as it was kept", ArgsUsage: "FILE", Flags: []cli.Flag{keep, failpoint, jsonFlag()},
+				Name: "replay", Usage: "play one schedule again, as it was kept", ArgsUsage: "FILE", Flags: []cli.Flag{keep, failpoint, jsonFlag()},
 				Description: "Example:\n   milletbarrow faults replay trials/drawn-17/trial.sx",
 				Action: func(ctx context.Context, c *cli.Command) error {
 					t, err := readSchedule(c.Args().First())
@@ -47,7 +47,7 @@
 				},
 			},
 			{
-				Name: "shrink", Usage: "make a timetable that does not hold smaller, as long as it does not", ArgsUsage: "FILE",
+				Name: "shrink", Usage: "make a schedule that does not hold smaller, as long as it does not", ArgsUsage: "FILE",
 				Description: "Example:\n   milletbarrow faults shrink trials/drawn-17/trial.sx --within 30m > small.sx",
 				Flags:       []cli.Flag{keep, failpoint, &cli.DurationFlag{Name: "within", Value: time.Hour}, &cli.IntFlag{Name: "tries", Value: 2, Usage: "of each, as chance has a part in it"}},
 				Action:      shrinkSchedule,
--- a/internal/fleetclient/report.go
+++ b/internal/fleetclient/report.go
@@ -15,6 +15,7 @@
 	Error    string         `json:"error,omitempty"`
 	Reached  bool           `json:"reached"`
 	Rejected bool           `json:"refused,omitempty"` // the agent did not take it
+	Unknown  bool           `json:"-"`                 // the agent has no such command
 }
 
 // Report is what came of a command.
@@ -81,7 +82,7 @@
 
 // OnlyKnown drops the hosts that never had the command from the report, and returns it.
 func (r *Report) OnlyKnown() *Report {
-	r.Hosts = slices.DeleteFunc(r.Hosts, func(h HostReport) bool { return h.Error == fleet.ErrUnknownCommand.Error() })
+	r.Hosts = slices.DeleteFunc(r.Hosts, func(h HostReport) bool { return h.Unknown })
 	if len(r.Hosts) == 0 {
 		r.Reason = "no agent knows this command"
 	}
@@ -102,9 +103,8 @@
 
 // failedReport is the report of a host whose agent did not take the command, or could not be reached.
 func failedReport(host string, err error) HostReport {
-	h := HostReport{Host: host, Error: err.Error()}
+	unknown := errors.Is(err, fleet.ErrUnknownCommand)
 	_, answered := errors.AsType[*agentapi.StatusError](err)
-	answered = answered || errors.Is(err, fleet.ErrUnknownCommand)
-	h.Reached, h.Rejected = answered, answered
-	return h
+	answered = answered || unknown
+	return HostReport{Host: host, Error: err.Error(), Reached: answered, Rejected: answered, Unknown: unknown}
 }
