--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -1,7 +1,9 @@
 package admission
 
+import "milletbarrow/monotime"
+
 // arrive is the way of an invocation from the count of its retry mark to its queue.
-func (b *Backend) arrive(now Micros, a *Arrived, out []Action) []Action {
+func (b *Backend) arrive(now monotime.Micros, a *Arrived, out []Action) []Action {
 	op := &b.config.Operations[a.Operation]
 	a.Retry = a.Retry || b.config.RetriesUnmarked && b.unusualDeadline(now, a, op)
 	b.arrivals.recent.add(now, 1)
@@ -53,7 +55,7 @@
 	return out
 }
 
-func (b *Backend) newInvocation(now Micros, a *Arrived, op *Operation) *invocation {
+func (b *Backend) newInvocation(now monotime.Micros, a *Arrived, op *Operation) *invocation {
 	inv, f := &invocation{}, &b.inFlight
 	if n := len(f.free); n > 0 {
 		inv, f.free = f.free[n-1], f.free[:n-1]
@@ -70,7 +72,7 @@
 	if a.ExpectedWork > 0 {
 		inv.units = float64(a.ExpectedWork)
 	}
-	inv.objective = inv.arrivedAt + op.Objective + Micros(op.ObjectiveStretch*float64(a.ExpectedWork))
+	inv.objective = inv.arrivedAt + op.Objective + monotime.Micros(op.ObjectiveStretch*float64(a.ExpectedWork))
 	inv.objective = min(inv.deadline, inv.objective)
 	if inv.cost.units.sum == 0 { // a first guess, soon outweighed
 		inv.cost.units.add(now, inv.units)
@@ -90,7 +92,7 @@
 
 // threshold rises with priority from little above the cores to below maxRuns. Runs that come together by
 // chance double the queue of two cores and hardly move that of many: that alone must not reject.
-func (b *Backend) threshold(now Micros, priority float64) float64 {
+func (b *Backend) threshold(now monotime.Micros, priority float64) float64 {
 	low := min(thresholdLow*float64(b.config.Cores)+burstLow, b.maxRuns(now))
 	top := max(low, min(thresholdTop*float64(b.config.Cores)+burstTop, b.maxRuns(now)))
 	return low + (top-low)*priority
@@ -98,7 +100,7 @@
 
 // reject throttles what never ran. Many recent retries forbid another; so does what waits too long for the
 // dependency (atDependency), as it would elsewhere, while this backend has capacity for other work.
-func (b *Backend) reject(now Micros, inv *invocation, out []Action, atDependency bool) []Action {
+func (b *Backend) reject(now monotime.Micros, inv *invocation, out []Action, atDependency bool) []Action {
 	b.arrivals.throttled.add(now, 1)
 	limit := retryLimit + (retryLimitTop-retryLimit)*inv.priority
 	if b.config.RetriesUnmarked {
--- a/admission/backend.go
+++ b/admission/backend.go
@@ -1,6 +1,10 @@
 package admission
 
-import "slices"
+import (
+	"slices"
+
+	"milletbarrow/monotime"
+)
 
 // Backend decides for one instance, and is for one goroutine at a time. An arrival is rejected when the
 // smoothed run queue is above a threshold that rises with priority and the cores are busy; it hears "don't
@@ -8,10 +12,10 @@
 // effect twice; the drain's grace and stop; bounded use of memory, cores and the dependency.
 type Backend struct {
 	config           Config
-	rng              uint64 // state of the random number generator
-	tick             Micros // between two readings
-	openedAt, nextAt Micros // of the first event, and of the next reading
-	drainAt, stopAt  Micros // of the drain notice, and of the stop that it announces; never without one
+	rng              uint64          // state of the random number generator
+	tick             monotime.Micros // between two readings
+	openedAt, nextAt monotime.Micros // of the first event, and of the next reading
+	drainAt, stopAt  monotime.Micros // of the drain notice, and of the stop that it announces; never without one
 	inFlight         inFlight
 	remembered       map[string]*rememberedKey // by invocation ID
 	costs            []runCost                 // by operation
@@ -58,7 +62,7 @@
 }
 
 // Decide takes an event and appends the actions that follow from it to out.
-func (b *Backend) Decide(now Micros, ev Event, out []Action) []Action {
+func (b *Backend) Decide(now monotime.Micros, ev Event, out []Action) []Action {
 	switch e := ev.(type) {
 	case Opened:
 		b.openedAt, b.load.readAt, b.nextAt = now, now, now+b.tick
--- a/admission/backend_test.go
+++ b/admission/backend_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"milletbarrow/monotime"
 )
 
 // A throttle says "don't retry" once the share of recent retries is above the limit, to first attempts and retries alike.
@@ -293,7 +295,7 @@
 		t.Errorf("sixteen callers a core, which any table holds:\n%s", text)
 	}
 	tr := newTrace(t, func(t *Config) { t.Callers, t.FleetSize, t.IdleTimeout = 40, 300, 30_000_000 })
-	for _, every := range []Micros{500, 60, 500} {
+	for _, every := range []monotime.Micros{500, 60, 500} {
 		tr.note(fmt.Sprintf("40 callers, one read every %d ms", every))
 		for end := tr.now + 12_000_000; tr.now < end; {
 			tr.b.arrivals.recent.add(tr.now, 1)
@@ -364,7 +366,7 @@
 		tr := newTrace(t, func(t *Config) { t.RetriesUnmarked = unmarked })
 		first := func(a *Arrived) { a.TimeLeft = 2_500_000 }
 		for n := range 60 {
-			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("first", n), TimeLeft: 2_500_000 - Micros(n*300), MemoryKB: 1}, nil)
+			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("first", n), TimeLeft: 2_500_000 - monotime.Micros(n*300), MemoryKB: 1}, nil)
 			tr.b.Decide(tr.now, Finished{ID: fmt.Sprint("first", n), Outcome: OK}, nil)
 			tr.now += 20_000
 		}
@@ -372,7 +374,7 @@
 		tr.pass(400, 1, 9)
 		tr.arrive("before", 0, 0.9, first)
 		for n := range 40 { // what is left of five seconds differs from one to the next
-			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("later", n), TimeLeft: 4_900_000 - Micros(n*73_000), MemoryKB: 1}, nil)
+			tr.b.Decide(tr.now, Arrived{ID: fmt.Sprint("later", n), TimeLeft: 4_900_000 - monotime.Micros(n*73_000), MemoryKB: 1}, nil)
 		}
 		tr.arrive("after", 0, 0.9, first)
 		dontRetry := strings.Count(tr.text.String(), "DontRetry:true")
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"milletbarrow/monotime"
 )
 
 // BenchmarkStream is one arrival with its end and its share of readings, all cores busy and so many in flight:
@@ -17,7 +19,7 @@
 					Operations: []Operation{{Objective: 60_000_000, ClientTimeout: 90_000_000}, {Objective: 60_000_000, ClientTimeout: 90_000_000, RetrySafety: NonIdempotent}},
 					FleetSize:  4, Callers: 8, Cores: cores, MemoryKB: 1e6, RunFactor: 4, AnswerSlack: 60_000, DrainGrace: 1_000_000, CollapseMultiple: 1000, CollapseAfter: 2_000_000, MaxRetryAfter: 1_000_000,
 				}
-				backend, now, out := New(config, 1), Micros(1), make([]Action, 0, 64)
+				backend, now, out := New(config, 1), monotime.Micros(1), make([]Action, 0, 64)
 				out = backend.Decide(now, Opened{}, out)
 				ids := make([]string, 2*inFlight+64)
 				for i := range ids {
@@ -43,7 +45,7 @@
 					if arrives {
 						a := Arrived{ID: ids[next%len(ids)], Operation: next % 2, Priority: 0.5, MemoryKB: 20, TimeLeft: 80_000_000}
 						if hints {
-							a.ExpectedWork = Micros(500 + next*7919%2000)
+							a.ExpectedWork = monotime.Micros(500 + next*7919%2000)
 						}
 						next++
 						out = backend.Decide(now, a, out)
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,34 +1,38 @@
 package admission
 
-import "math"
+import (
+	"math"
+
+	"milletbarrow/monotime"
+)
 
 // callStats is what is known of the calls to the dependency.
 type callStats struct {
-	first, retried   decayingSum // number of calls, for the retry budget
-	took, ended      decayingSum // time and number of calls that succeeded, over long
-	spent, succeeded decayingSum // recent time of all calls, ended or not, and number of those that succeeded
-	meanInFlight     decayingSum // calls in flight times time
-	lingering        []Micros    // when abandoned calls leave the dependency
+	first, retried   decayingSum       // number of calls, for the retry budget
+	took, ended      decayingSum       // time and number of calls that succeeded, over long
+	spent, succeeded decayingSum       // recent time of all calls, ended or not, and number of those that succeeded
+	meanInFlight     decayingSum       // calls in flight times time
+	lingering        []monotime.Micros // when abandoned calls leave the dependency
 }
 
 // usual is what a call that succeeds takes.
-func (c *callStats) usual(now Micros) float64 {
+func (c *callStats) usual(now monotime.Micros) float64 {
 	return (c.took.read(now) + 1000) / (c.ended.read(now) + 0.01)
 }
 
 // recent is what a call takes of late, those not ended included.
-func (c *callStats) recent(now Micros) float64 {
+func (c *callStats) recent(now monotime.Micros) float64 {
 	return (c.spent.read(now) + c.usual(now)) / (c.succeeded.read(now) + 1)
 }
 
 // maxCalls is the part of the call quota that is used: the slower calls are of late, the less. A dependency
 // that is crowded, hangs or is gone shows here alike. If calls differ much in length, capacity is given away.
-func (b *Backend) maxCalls(now Micros) float64 {
+func (b *Backend) maxCalls(now monotime.Micros) float64 {
 	return b.config.CallQuota * min(1, slowCallsFrom*b.calls.usual(now)/b.calls.recent(now))
 }
 
 // expectedCallTime is how long an invocation would be at its call, with those that wait before it.
-func (b *Backend) expectedCallTime(now Micros, op *Operation) float64 {
+func (b *Backend) expectedCallTime(now monotime.Micros, op *Operation) float64 {
 	if !op.MakesCalls || op.ValueWithoutCall > 0 {
 		return 0
 	}
@@ -36,7 +40,7 @@
 }
 
 // needsCall takes a run off the cores until its call has returned.
-func (b *Backend) needsCall(now Micros, inv *invocation, out []Action) []Action {
+func (b *Backend) needsCall(now monotime.Micros, inv *invocation, out []Action) []Action {
 	b.setPhase(inv, atCall)
 	inv.nextCallAt, inv.callAt = now, b.runs.clock
 	b.load.startedSince--
@@ -47,7 +51,7 @@
 }
 
 // startCalls makes the calls that runs wait for, in order, within this backend's call quota.
-func (b *Backend) startCalls(now Micros, out []Action) []Action {
+func (b *Backend) startCalls(now monotime.Micros, out []Action) []Action {
 	c := &b.calls
 	for len(c.lingering) > 0 && c.lingering[0] <= now {
 		c.lingering = c.lingering[1:]
@@ -75,14 +79,14 @@
 		calls++
 		timeout := min(inv.deadline, b.answerBy()) - now
 		if c.ended.read(now) > 0 {
-			timeout = min(timeout, Micros(8*c.usual(now))+inv.op.Objective/8)
+			timeout = min(timeout, monotime.Micros(8*c.usual(now))+inv.op.Objective/8)
 		}
 		out = append(out, Call{ID: inv.id, Timeout: max(timeout, 1000)})
 	}
 	return out
 }
 
-func (b *Backend) callReturned(now Micros, e CallReturned, out []Action) []Action {
+func (b *Backend) callReturned(now monotime.Micros, e CallReturned, out []Action) []Action {
 	inv := b.inFlight.byID[e.ID]
 	if inv == nil || inv.phase != inCall {
 		return out
@@ -118,7 +122,7 @@
 }
 
 // giveUpCall skips a call where that is allowed, else it ends the invocation with don't retry or an error.
-func (b *Backend) giveUpCall(now Micros, inv *invocation, out []Action) []Action {
+func (b *Backend) giveUpCall(now monotime.Micros, inv *invocation, out []Action) []Action {
 	if inv.op.ValueWithoutCall > 0 {
 		b.resume(inv)
 		return append(out, SkipCall{inv.id})
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -1,10 +1,12 @@
 package admission
 
+import "milletbarrow/monotime"
+
 // answerBy is when everything must be answered before the process is stopped.
-func (b *Backend) answerBy() Micros { return b.stopAt - 3*b.tick }
+func (b *Backend) answerBy() monotime.Micros { return b.stopAt - 3*b.tick }
 
 // expire answers what can wait no longer, and what can no longer meet its objective.
-func (b *Backend) expire(now Micros, out []Action) []Action {
+func (b *Backend) expire(now monotime.Micros, out []Action) []Action {
 	clear(b.workBefore)
 	b.inFlight.scratch = append(b.inFlight.scratch[:0], b.inFlight.all...)
 	for _, inv := range b.inFlight.scratch {
@@ -36,25 +38,25 @@
 }
 
 // missesObjective: with the work before it and what runs beside it, it ends after its objective.
-func (b *Backend) missesObjective(now Micros, inv *invocation, workBefore float64) bool {
+func (b *Backend) missesObjective(now monotime.Micros, inv *invocation, workBefore float64) bool {
 	if !b.coresFull() {
 		return b.callMissesObjective(now, inv)
 	}
 	cores := float64(b.config.Cores)
 	ends := b.expectedCallTime(now, inv.op) + workBefore/cores
 	ends += b.expectedCost(now, inv) * max(1, b.load.runnable()/cores)
-	return now+Micros(ends) > min(inv.objective, b.answerBy())
+	return now+monotime.Micros(ends) > min(inv.objective, b.answerBy())
 }
 
 // callMissesObjective: the call would keep it beyond its objective, however free the cores are. Long work
 // must not pass for a slow call, so at most half of the time left is set aside for it.
-func (b *Backend) callMissesObjective(now Micros, inv *invocation) bool {
+func (b *Backend) callMissesObjective(now monotime.Micros, inv *invocation) bool {
 	left := max(0, float64(inv.objective-now))
 	return b.expectedCallTime(now, inv.op) > left-min(b.expectedCost(now, inv), left/2)
 }
 
 // abandon ends what needs no answer any more; what is on the cores stays in flight until it has left them.
-func (b *Backend) abandon(now Micros, inv *invocation, out []Action) []Action {
+func (b *Backend) abandon(now monotime.Micros, inv *invocation, out []Action) []Action {
 	if !inv.phase.onCores() {
 		return b.remove(inv, out)
 	}
@@ -63,7 +65,7 @@
 }
 
 // stop takes a run that nobody waits for off the cores. What must not run twice is left to finish.
-func (b *Backend) stop(now Micros, inv *invocation, out []Action) []Action {
+func (b *Backend) stop(now monotime.Micros, inv *invocation, out []Action) []Action {
 	if b.config.Preemption == NoPreemption || inv.phase != running || inv.op.RetrySafety != Idempotent ||
 		now < inv.stoppedAt+stopInterval*b.tick {
 		return out
@@ -73,7 +75,7 @@
 }
 
 // lateAndStoppable: it runs past its objective, a late answer has no value, and its cores can be freed.
-func (b *Backend) lateAndStoppable(now Micros, inv *invocation) bool {
+func (b *Backend) lateAndStoppable(now monotime.Micros, inv *invocation) bool {
 	return inv.phase == running && inv.op.RetrySafety == Idempotent && inv.op.LateValue == 0 &&
 		b.config.Preemption != NoPreemption && now > inv.objective && b.coresFull()
 }
--- a/admission/invocation.go
+++ b/admission/invocation.go
@@ -1,6 +1,10 @@
 package admission
 
-import "slices"
+import (
+	"slices"
+
+	"milletbarrow/monotime"
+)
 
 // phase is where an invocation in flight stands.
 type phase int
@@ -20,16 +24,16 @@
 	op                       *Operation
 	cost                     *runCost
 	operation, tenant        int
-	priority, memoryKB       float64 // after the tenant's quota, and while it waits
-	units                    float64 // of expected work: Arrived.ExpectedWork, or 1
-	arrivedAt, deadline      Micros  // at the host, and its caller's
-	objective, minRetryAfter Micros  // objective: end of the latency objective
+	priority, memoryKB       float64         // after the tenant's quota, and while it waits
+	units                    float64         // of expected work: Arrived.ExpectedWork, or 1
+	arrivedAt, deadline      monotime.Micros // at the host, and its caller's
+	objective, minRetryAfter monotime.Micros // objective: end of the latency objective
 	phase                    phase
 	retry, admitted          bool
-	answered                 bool    // no answer is owed; it only has to leave the cores
-	callAttempts             int     // of the present call
-	startedAt, callAt        float64 // runStats.clock at the start, less the time at calls, and at the last call
-	nextCallAt, stoppedAt    Micros  // after the backoff; the last request to stop
+	answered                 bool            // no answer is owed; it only has to leave the cores
+	callAttempts             int             // of the present call
+	startedAt, callAt        float64         // runStats.clock at the start, less the time at calls, and at the last call
+	nextCallAt, stoppedAt    monotime.Micros // after the backoff; the last request to stop
 }
 
 // onCores: it has its running memory; waiting and reusing invocations have not.
@@ -37,7 +41,7 @@
 
 // rememberedKey is an entry of the table of idempotency keys.
 type rememberedKey struct {
-	until Micros
+	until monotime.Micros
 	ran   bool
 }
 
--- a/admission/measure.go
+++ b/admission/measure.go
@@ -1,16 +1,20 @@
 package admission
 
-import "math"
+import (
+	"math"
+
+	"milletbarrow/monotime"
+)
 
 // decayingSum is a sum that decays exponentially with a time constant.
 type decayingSum struct {
-	sum, window float64 // window: the time constant
-	at          Micros  // of the sum
+	sum, window float64         // window: the time constant
+	at          monotime.Micros // of the sum
 }
 
-func over(window Micros) decayingSum { return decayingSum{window: float64(window)} }
+func over(window monotime.Micros) decayingSum { return decayingSum{window: float64(window)} }
 
-func (d *decayingSum) read(now Micros) float64 {
+func (d *decayingSum) read(now monotime.Micros) float64 {
 	if now > d.at {
 		d.sum *= math.Exp(-float64(now-d.at) / d.window)
 		d.at = now
@@ -18,9 +22,9 @@
 	return d.sum
 }
 
-func (d *decayingSum) add(now Micros, x float64) { d.sum = d.read(now) + x }
+func (d *decayingSum) add(now monotime.Micros, x float64) { d.sum = d.read(now) + x }
 
-func (d *decayingSum) subtract(now Micros, x float64) { d.sum = max(0, d.read(now)-x) }
+func (d *decayingSum) subtract(now monotime.Micros, x float64) { d.sum = max(0, d.read(now)-x) }
 
 // arrivals counts what has been read.
 type arrivals struct {
@@ -37,7 +41,7 @@
 
 // load is the last reading of the gauges, smoothed values, and changes that are known since.
 type load struct {
-	readAt                      Micros
+	readAt                      monotime.Micros
 	onCores, coreUse, queue     float64 // queue: smoothed
 	admittedSince, startedSince float64 // less ended
 }
@@ -61,11 +65,13 @@
 	minUnits, maxUnits float64 // of an invocation, since the queue was last empty
 }
 
-func (c *runCost) perUnit(now Micros) float64 { return c.coreTime.read(now) / c.units.read(now) }
+func (c *runCost) perUnit(now monotime.Micros) float64 {
+	return c.coreTime.read(now) / c.units.read(now)
+}
 
 // unusualDeadline stands in for the retry mark where callers set none: each first attempt has the same time
 // left until its deadline, and a retry what remains of it.
-func (b *Backend) unusualDeadline(now Micros, a *Arrived, op *Operation) bool {
+func (b *Backend) unusualDeadline(now monotime.Micros, a *Arrived, op *Operation) bool {
 	groups := &b.arrivals.timesLeft
 	part, group := float64(a.QueueTime+a.TimeLeft)/float64(op.ClientTimeout), &groups[0]
 	for n := range groups {
@@ -88,7 +94,7 @@
 }
 
 // reading takes the gauges, and what was used since the last ones, and decides what only time brings about.
-func (b *Backend) reading(now Micros, r Reading, out []Action) []Action {
+func (b *Backend) reading(now monotime.Micros, r Reading, out []Action) []Action {
 	l, span := &b.load, float64(now-b.load.readAt)
 	perRun := span / max(1, (l.onCores+r.OnCores)/2/float64(b.config.Cores))
 	b.runs.clock += perRun
@@ -120,7 +126,7 @@
 }
 
 // slowdown is how many times more core time runs take of late than they did, those not ended included.
-func (b *Backend) slowdown(now Micros) float64 {
+func (b *Backend) slowdown(now monotime.Micros) float64 {
 	prior := slowdownPrior * float64(b.config.Cores)
 	expected := b.runs.expected.read(now)
 	if b.count(waiting) <= 1 { // no queue: what runs is not late yet
@@ -130,12 +136,12 @@
 }
 
 // expectedCost is the core time that a run is expected to need here as things are.
-func (b *Backend) expectedCost(now Micros, inv *invocation) float64 {
+func (b *Backend) expectedCost(now monotime.Micros, inv *invocation) float64 {
 	return inv.units * inv.cost.perUnit(now) * b.slowdown(now)
 }
 
 // workAhead is the core time of the waiting work that goes before a new invocation of this value; 0: all.
-func (b *Backend) workAhead(now Micros, value float64) float64 {
+func (b *Backend) workAhead(now monotime.Micros, value float64) float64 {
 	sum := 0.0
 	for n := range b.costs {
 		if c := &b.costs[n]; len(c.queue) > 0 {
--- a/admission/schedule.go
+++ b/admission/schedule.go
@@ -1,9 +1,13 @@
 package admission
 
-import "math"
+import (
+	"math"
+
+	"milletbarrow/monotime"
+)
 
 // startRuns starts what waits, as long as cores, the limit of runs and memory have capacity.
-func (b *Backend) startRuns(now Micros, out []Action) []Action {
+func (b *Backend) startRuns(now monotime.Micros, out []Action) []Action {
 	for b.load.runnable() < math.Floor(runsPerCore*float64(b.config.Cores)) {
 		inv := b.nextToRun(now)
 		started := b.count(running) + b.count(atCall) + b.count(inCall)
@@ -31,7 +35,7 @@
 
 // nextToRun is, of the heads of each operation's queue of short and of long work, the one with the highest
 // response ratio: its wait in relation to its length, times its value.
-func (b *Backend) nextToRun(now Micros) (best *invocation) {
+func (b *Backend) nextToRun(now monotime.Micros) (best *invocation) {
 	total, n, highest := b.workAhead(now, 0), b.count(waiting), 0.0
 	for k := range b.costs {
 		c := &b.costs[k]
@@ -55,7 +59,7 @@
 }
 
 // maxRuns is how many runs may be started and not ended: a part of what is survived, less while warming up.
-func (b *Backend) maxRuns(now Micros) float64 {
+func (b *Backend) maxRuns(now monotime.Micros) float64 {
 	speed := 1.0
 	if b.config.JustStarted && now < b.openedAt+b.config.WarmUp {
 		speed = b.config.ColdSpeed + (1-b.config.ColdSpeed)*float64(now-b.openedAt)/float64(b.config.WarmUp)
@@ -64,7 +68,7 @@
 }
 
 // finished ends a run or a reuse and learns from what it took.
-func (b *Backend) finished(now Micros, e Finished, out []Action) []Action {
+func (b *Backend) finished(now monotime.Micros, e Finished, out []Action) []Action {
 	inv := b.inFlight.byID[e.ID]
 	if inv == nil {
 		return out
--- a/admission/tenants.go
+++ b/admission/tenants.go
@@ -1,10 +1,14 @@
 package admission
 
-import "math"
+import (
+	"math"
+
+	"milletbarrow/monotime"
+)
 
 // applyQuota lowers the priority of an invocation beyond its tenant's quota. Unless a lease tells, that is
 // one beyond an even part; where a backend gets more than an even part of all traffic, the parts grow.
-func (b *Backend) applyQuota(now Micros, inv *invocation, standing QuotaStanding) {
+func (b *Backend) applyQuota(now monotime.Micros, inv *invocation, standing QuotaStanding) {
 	if inv.tenant >= len(b.admitted) || !(b.config.QuotaPerSecond[inv.tenant] > 0) {
 		return
 	}
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -6,13 +6,14 @@
 	"testing"
 
 	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
 )
 
 // trace prints what happens to one backend and what it does about it.
 type trace struct {
 	t    *testing.T
 	b    *Backend
-	now  Micros
+	now  monotime.Micros
 	text strings.Builder
 }
 
@@ -78,7 +79,7 @@
 func retry(a *Arrived) { a.Retry = true }
 
 // pass lets time go by with the gauges as given.
-func (tr *trace) pass(ms Micros, coreUse, onCores float64) {
+func (tr *trace) pass(ms monotime.Micros, coreUse, onCores float64) {
 	for end := tr.now + ms*1000; tr.now < end; {
 		tr.now = min(end, tr.now+tr.b.tick)
 		tr.do(Reading{Token: timerToken, CoreUse: coreUse, OnCores: onCores})
--- a/admission/tuning.go
+++ b/admission/tuning.go
@@ -1,10 +1,12 @@
 package admission
 
+import "milletbarrow/monotime"
+
 // Tuned values. Times are in microseconds; "per core" values are for each core of the backend.
 const (
-	maxTick    = 20_000          // gauges are read at least this often
-	timerToken = int64(1)        // of the one timer
-	never      = Micros(1 << 60) // no such time
+	maxTick    = 20_000                   // gauges are read at least this often
+	timerToken = int64(1)                 // of the one timer
+	never      = monotime.Micros(1 << 60) // no such time
 
 	retryWindow    = 4_000_000  // the recent past of the share of retries
 	learningTime   = 20_000_000 // what an operation costs here is learnt over this
--- a/admission/types.go
+++ b/admission/types.go
@@ -11,8 +11,7 @@
 // are in flight (calls.go).
 package admission
 
-// Micros is a point or a span of time in whole microseconds.
-type Micros int64
+import "milletbarrow/monotime"
 
 // RetrySafety tells whether a second attempt of an operation may have a second effect.
 type RetrySafety int
@@ -63,14 +62,14 @@
 // Operation is the configuration of one kind of invocation.
 type Operation struct {
 	RetrySafety      RetrySafety
-	Value            float64 // billed value, for each unit of work if Config.ValuePerWork; 0: unknown
-	Objective        Micros  // latency objective, from arrival to answer
-	ObjectiveStretch float64 // the objective grows by this multiple of the expected work
-	ClientTimeout    Micros
-	RepeatWindow     Micros  // how long after its arrival a keyed invocation can be repeated
-	LateValue        float64 // share of the billed value left after the objective
-	MakesCalls       bool    // its runs may call a dependency
-	ValueWithoutCall float64 // share of the billed value left if the call is skipped; 0: it may not be
+	Value            float64         // billed value, for each unit of work if Config.ValuePerWork; 0: unknown
+	Objective        monotime.Micros // latency objective, from arrival to answer
+	ObjectiveStretch float64         // the objective grows by this multiple of the expected work
+	ClientTimeout    monotime.Micros
+	RepeatWindow     monotime.Micros // how long after its arrival a keyed invocation can be repeated
+	LateValue        float64         // share of the billed value left after the objective
+	MakesCalls       bool            // its runs may call a dependency
+	ValueWithoutCall float64         // share of the billed value left if the call is skipped; 0: it may not be
 }
 
 // Config is what a deployment configures for one backend.
@@ -87,22 +86,22 @@
 	JustStarted         bool
 	Preemption          Preemption
 	AdvertisedValue     AdvertisedValue
-	AnswerSlack         Micros
-	DrainGrace          Micros
+	AnswerSlack         monotime.Micros
+	DrainGrace          monotime.Micros
 	ColdSpeed           float64
-	WarmUp              Micros
+	WarmUp              monotime.Micros
 	CollapseMultiple    float64
-	CollapseAfter       Micros
+	CollapseAfter       monotime.Micros
 	SharedDependency    bool    // one dependency serves every backend of the fleet
 	CallQuota           float64 // mean calls in flight that this backend may have
-	CallQuotaWindow     Micros
-	AbandonedCallLinger Micros // an abandoned call may stay at the dependency for so long
-	MaxRetryAfter       Micros // 0: Retry-After is not passed on to callers
-	BatchInterval       Micros // least time between two batches of events
-	ValuePerWork        bool   // values are billed for each unit of work, not for each invocation
-	ConfirmStarts       bool   // Start is a proposal, one at a time, and Launched confirms it
-	RetriesUnmarked     bool   // callers do not mark retries
-	IdleTimeout         Micros // callers close connections that have been idle for so long
+	CallQuotaWindow     monotime.Micros
+	AbandonedCallLinger monotime.Micros // an abandoned call may stay at the dependency for so long
+	MaxRetryAfter       monotime.Micros // 0: Retry-After is not passed on to callers
+	BatchInterval       monotime.Micros // least time between two batches of events
+	ValuePerWork        bool            // values are billed for each unit of work, not for each invocation
+	ConfirmStarts       bool            // Start is a proposal, one at a time, and Launched confirms it
+	RetriesUnmarked     bool            // callers do not mark retries
+	IdleTimeout         monotime.Micros // callers close connections that have been idle for so long
 }
 
 // Event is what happened: one of the types below.
@@ -118,13 +117,13 @@
 	Tenant       int
 	Priority     float64
 	Retry        bool
-	ExpectedWork Micros // on a standard core; 0: unknown
-	QueueTime    Micros // since it reached the host, before it was read
-	TimeLeft     Micros // until its caller's deadline; 0: unknown
+	ExpectedWork monotime.Micros // on a standard core; 0: unknown
+	QueueTime    monotime.Micros // since it reached the host, before it was read
+	TimeLeft     monotime.Micros // until its caller's deadline; 0: unknown
 	MemoryKB     float64
-	RepeatOf     string        // ID of the remembered invocation with the same idempotency key; "": none
-	ShedFor      Micros        // graceful degradation sheds it, for at most so long; 0: it does not
-	Quota        QuotaStanding // how it stands to its tenant's lease of a fleet-wide quota
+	RepeatOf     string          // ID of the remembered invocation with the same idempotency key; "": none
+	ShedFor      monotime.Micros // graceful degradation sheds it, for at most so long; 0: it does not
+	Quota        QuotaStanding   // how it stands to its tenant's lease of a fleet-wide quota
 }
 
 // QuotaStanding is how an invocation stands to what its tenant may use of this backend.
@@ -144,7 +143,7 @@
 type Finished struct {
 	ID      string
 	Outcome Outcome
-	Took    Micros
+	Took    monotime.Micros
 }
 
 // CallerGone says that nobody waits for this invocation any more.
@@ -157,11 +156,11 @@
 type CallReturned struct {
 	ID      string
 	Outcome Outcome
-	Took    Micros
+	Took    monotime.Micros
 }
 
 // DrainNotice begins a graceful shutdown: the process is stopped after Left.
-type DrainNotice struct{ Left Micros }
+type DrainNotice struct{ Left monotime.Micros }
 
 // Reading is the timer of Wake with the gauges of that moment; a gauge that the deployment lacks is -1.
 type Reading struct {
@@ -184,8 +183,8 @@
 // Throttle rejects an invocation that has had no effect.
 type Throttle struct {
 	ID         string
-	RetryAfter Micros // send nothing to this backend for so long
-	DontRetry  bool   // do not retry at another backend either
+	RetryAfter monotime.Micros // send nothing to this backend for so long
+	DontRetry  bool            // do not retry at another backend either
 }
 
 // Fail answers with an error.
@@ -194,7 +193,7 @@
 // Call makes the call that a run waits for.
 type Call struct {
 	ID      string
-	Timeout Micros
+	Timeout monotime.Micros
 }
 
 // SkipCall goes on without the call.
@@ -203,7 +202,7 @@
 // Remember puts an invocation into the table of idempotency keys.
 type Remember struct {
 	ID  string
-	For Micros
+	For monotime.Micros
 }
 
 // Forget removes an invocation from that table.
@@ -219,11 +218,11 @@
 type Advertise struct{ Value float64 }
 
 // CloseIdle closes, from now on, connections that have carried nothing for so long.
-type CloseIdle struct{ After Micros }
+type CloseIdle struct{ After monotime.Micros }
 
 // Wake asks for a Reading at a point in time.
 type Wake struct {
-	At    Micros
+	At    monotime.Micros
 	Token int64
 }
 
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -14,6 +14,7 @@
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/plot"
+	"milletbarrow/monotime"
 )
 
 func degradationCommand() *cli.Command {
@@ -132,11 +133,11 @@
 
 // levelChange is a change of level as --json prints it.
 type levelChange struct {
-	At       degradation.Micros `json:"at_us"`
-	From     string             `json:"from"`
-	To       string             `json:"to"`
-	Collapse bool               `json:"collapse"`
-	Cause    string             `json:"cause"`
+	At       monotime.Micros `json:"at_us"`
+	From     string          `json:"from"`
+	To       string          `json:"to"`
+	Collapse bool            `json:"collapse"`
+	Cause    string          `json:"cause"`
 }
 
 func levelChanges(policy *degradation.Policy, changes []degradation.Change) []levelChange {
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -9,6 +9,7 @@
 
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/fleetclient"
+	"milletbarrow/monotime"
 )
 
 func rollingUpdateCommand() *cli.Command {
@@ -77,9 +78,9 @@
 			*to = c.Float(name)
 		}
 	}
-	for name, to := range map[string]*fleet.Micros{"ready-within": &w.ReadyWithin, "stall": &w.StallTimeout, "rejected-for": &w.RejectionTolerance} {
+	for name, to := range map[string]*monotime.Micros{"ready-within": &w.ReadyWithin, "stall": &w.StallTimeout, "rejected-for": &w.RejectionTolerance} {
 		if c.IsSet(name) {
-			*to = fleet.Micros(c.Duration(name).Microseconds())
+			*to = monotime.FromDuration(c.Duration(name))
 		}
 	}
 	if c.IsSet("order") {
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -25,6 +25,7 @@
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/process"
 	"milletbarrow/internal/ratelimitlog"
+	"milletbarrow/monotime"
 )
 
 func serveCommand() *cli.Command {
@@ -90,7 +91,7 @@
 	config    *config.Backend
 	files     backendFiles
 	bounds    limits.Bounds
-	startedAt int64 // on the machine's clock, microseconds
+	startedAt monotime.Micros // on the host's clock
 	quotas    *dispatch.QuotaConfig
 
 	dispatcher *dispatch.Dispatcher
--- a/cmd/milletbarrow/serve_quota.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -16,6 +16,7 @@
 	"milletbarrow/internal/backend/quotalog"
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
 )
 
 // quotaConfig reads from the command line which tenants draw from which fleet-wide quotas; nil where none does.
@@ -35,9 +36,9 @@
 	}
 	cfg := &dispatch.QuotaConfig{
 		Tenants: tenants, Holder: quota.New(b.Name, agent.IncarnationID(self), quotas), MachineClock: process.Now,
-		Clock: func() quota.Micros {
+		Clock: func() monotime.Micros {
 			now := process.Now()
-			return quota.Micros(now + now/1000*int64(clockDrift)/1000)
+			return now + now/1000*monotime.Micros(clockDrift)/1000
 		},
 	}
 	if dir := c.String("stamps"); dir != "" {
--- a/cmd/milletbarrow/serve_shutdown.go
+++ b/cmd/milletbarrow/serve_shutdown.go
@@ -11,6 +11,7 @@
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
 )
 
 // shutdown is when this process ends. The notice may come more than once, by signal and on the admin socket; a later one
@@ -23,8 +24,8 @@
 	draining       bool
 	graceEndsAt    time.Time
 	stopAt         time.Time
-	graceEndsClock int64 // the same on the machine's clock, microseconds since its start
-	stopClock      int64
+	graceEndsClock monotime.Micros // the same on the machine's clock, microseconds since its start
+	stopClock      monotime.Micros
 }
 
 func newShutdown(b *config.Backend) *shutdown {
@@ -44,9 +45,9 @@
 		return
 	}
 	s.graceEndsAt, s.stopAt = graceEndsAt, stopAt
-	s.graceEndsClock, s.stopClock = clock+(s.grace-ago).Microseconds(), clock+(s.stop-ago).Microseconds()
+	s.graceEndsClock, s.stopClock = clock+monotime.FromDuration(s.grace-ago), clock+monotime.FromDuration(s.stop-ago)
 	slog.Info("drain", "stop_ms", float64((s.stop-ago).Microseconds())/1000, "by", by, "ago_ms", ago.Milliseconds())
-	dispatcher.Drain(dispatch.Micros((s.stop - ago).Microseconds()), dispatch.Micros((s.grace - ago).Microseconds()))
+	dispatcher.Drain(monotime.FromDuration(s.stop-ago), monotime.FromDuration(s.grace-ago))
 	if !s.draining {
 		s.draining = true
 		s.notified <- struct{}{}
--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -12,6 +12,7 @@
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/supervisor"
+	"milletbarrow/monotime"
 )
 
 // supervisorCommand runs a supervisor, which the agent starts beside each instance. Its name and flags, and those that it passes
@@ -58,7 +59,7 @@
 		Dir: c.String("dir"), Name: c.String("name"), Run: c.String("run"), Adopt: c.Bool("adopt"),
 		Launcher: []string{self, "begin", "--"}, Command: command,
 		Window: fleet.ShutdownWindow{
-			Grace: fleet.Micros(c.Duration("grace").Microseconds()), ExitTimeout: fleet.Micros(c.Duration("stop").Microseconds()),
+			Grace: monotime.FromDuration(c.Duration("grace")), ExitTimeout: monotime.FromDuration(c.Duration("stop")),
 		},
 		Bounds: limits.ForControl(),
 	})
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -12,6 +12,7 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/simwire"
+	"milletbarrow/monotime"
 )
 
 func main() {
@@ -85,7 +86,7 @@
 }
 
 // event gives an event to its instance and adds what that decides to the reply.
-func (a *adapter) event(now admission.Micros, msg simwire.Message) error {
+func (a *adapter) event(now monotime.Micros, msg simwire.Message) error {
 	inst := a.instances[msg.Instance]
 	if inst == nil {
 		if _, opens := msg.Event.(simwire.InstanceOpened); !opens {
@@ -116,7 +117,7 @@
 }
 
 // decide stores the actions that follow from an event; a panic of the module becomes an error.
-func (a *adapter) decide(inst *instance, now admission.Micros, event admission.Event) (err error) {
+func (a *adapter) decide(inst *instance, now monotime.Micros, event admission.Event) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = &panicError{r}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,6 +15,7 @@
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/process"
 	"milletbarrow/internal/supervisor"
+	"milletbarrow/monotime"
 )
 
 // Options configure an agent.
@@ -33,12 +34,12 @@
 // Agent manages the instances of one host. Its methods may be called from any goroutine.
 type Agent struct {
 	options   Options
-	startedAt int64 // microseconds of the machine's clock
+	startedAt monotime.Micros
 
-	calls       chan func(now fleet.Micros) // run by the loop
-	stopped     chan struct{}               // closed when the loop has ended
-	launchSlots chan struct{}               // one for each supervisor that is being started
-	tasks       sync.WaitGroup              // goroutines that Run starts and waits for
+	calls       chan func(now monotime.Micros) // run by the loop
+	stopped     chan struct{}                  // closed when the loop has ended
+	launchSlots chan struct{}                  // one for each supervisor that is being started
+	tasks       sync.WaitGroup                 // goroutines that Run starts and waits for
 
 	loop loopState
 	feed historyFeed
@@ -76,7 +77,7 @@
 	}
 	a := &Agent{
 		options: o, startedAt: process.Now(),
-		calls: make(chan func(fleet.Micros), callBacklog), stopped: make(chan struct{}),
+		calls: make(chan func(monotime.Micros), callBacklog), stopped: make(chan struct{}),
 		launchSlots: make(chan struct{}, o.Bounds.ParallelStarts),
 		loop:        loopState{spec: o.Spec, nextSerial: 1, watchers: map[string]*watcher{}, reports: map[string]*supervisor.Report{}},
 		feed:        newHistoryFeed(saved.History),
@@ -98,7 +99,7 @@
 	}
 	a.adoptUnrecorded(saved)
 	a.loop.machine = a.newMachine(a.loop.spec)
-	now := fleet.Micros(process.Now())
+	now := process.Now()
 	if unnamed := a.loop.machine.Restore(now, saved.Snapshot, rebooted); len(unnamed) > 0 {
 		return &UnnamedInstanceError{Instance: unnamed[0].Name}
 	}
@@ -168,7 +169,7 @@
 			}
 			a.flush(ctx)
 		case <-ticks.C:
-			a.handle(fleet.Micros(process.Now()), fleet.Tick{})
+			a.handle(process.Now(), fleet.Tick{})
 			a.flush(ctx)
 			ticks.Reset(a.tickPause())
 		}
@@ -176,8 +177,8 @@
 }
 
 // runCalls runs a call and all that have gathered behind it, so that one write saves what they decide.
-func (a *Agent) runCalls(call func(fleet.Micros)) {
-	now := fleet.Micros(process.Now())
+func (a *Agent) runCalls(call func(monotime.Micros)) {
+	now := process.Now()
 	call(now)
 	for {
 		select {
@@ -190,14 +191,14 @@
 }
 
 func (a *Agent) tickPause() time.Duration {
-	if a.loop.machine.Idle(fleet.Micros(process.Now())) && a.loop.storeErr == nil {
+	if a.loop.machine.Idle(process.Now()) && a.loop.storeErr == nil {
 		return idleFactor * a.options.Bounds.TickInterval
 	}
 	return a.options.Bounds.TickInterval
 }
 
 // decide feeds the machine an event. Its actions and history wait for flush.
-func (a *Agent) decide(now fleet.Micros, ev fleet.Event) error {
+func (a *Agent) decide(now monotime.Micros, ev fleet.Event) error {
 	actions, events, err := a.loop.machine.Decide(now, ev)
 	a.loop.actions = append(a.loop.actions, actions...)
 	for _, event := range events {
@@ -207,13 +208,13 @@
 }
 
 // handle is decide for an event that nobody waits for: an error would say why a command was rejected.
-func (a *Agent) handle(now fleet.Micros, ev fleet.Event) { _ = a.decide(now, ev) }
+func (a *Agent) handle(now monotime.Micros, ev fleet.Event) { _ = a.decide(now, ev) }
 
 // post gives the loop an event, unless it has ended.
 func (a *Agent) post(ev fleet.Event) {
 	select {
 	case <-a.stopped:
-	case a.calls <- func(now fleet.Micros) { a.handle(now, ev) }:
+	case a.calls <- func(now monotime.Micros) { a.handle(now, ev) }:
 	}
 }
 
@@ -284,7 +285,7 @@
 // does not name any more.
 func (a *Agent) Reload(s *fleet.Spec) error {
 	var rejected error
-	err := a.call(func(now fleet.Micros) {
+	err := a.call(func(now monotime.Micros) {
 		if unnamed := a.loop.machine.RunningUnnamed(s, a.options.Host); len(unnamed) > 0 {
 			rejected = &UnnamedInstanceError{Instance: unnamed[0]}
 			return
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -9,6 +9,7 @@
 	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/fleet"
+	"milletbarrow/monotime"
 )
 
 // Limits of a request.
@@ -19,12 +20,12 @@
 
 // call runs f in the loop and waits until what it read or changed has been saved: nobody may be given a result that
 // the next agent would not know. Errors are *agentapi.StatusError; after one f may still run.
-func (a *Agent) call(f func(now fleet.Micros)) error {
+func (a *Agent) call(f func(now monotime.Micros)) error {
 	saved := make(chan struct{})
 	timeout := time.NewTimer(a.options.Bounds.CallTimeout)
 	defer timeout.Stop()
 	select {
-	case a.calls <- func(now fleet.Micros) {
+	case a.calls <- func(now monotime.Micros) {
 		f(now)
 		a.loop.waiters = append(a.loop.waiters, saved)
 	}:
@@ -50,7 +51,7 @@
 	}
 	var command *fleet.Command
 	var rejected error
-	err := a.call(func(now fleet.Micros) {
+	err := a.call(func(now monotime.Micros) {
 		command, rejected = a.accept(now, r)
 	})
 	if err != nil {
@@ -76,7 +77,7 @@
 }
 
 // accept runs in the loop. A request that was accepted before needs no second intent.
-func (a *Agent) accept(now fleet.Micros, r agentapi.CommandRequest) (*fleet.Command, error) {
+func (a *Agent) accept(now monotime.Micros, r agentapi.CommandRequest) (*fleet.Command, error) {
 	if a.loop.machine.Command(r.ID) == nil {
 		if err := a.saveIntent(now, r); err != nil {
 			return nil, err
@@ -90,15 +91,15 @@
 	return a.loop.machine.Command(r.ID), nil
 }
 
-func newCommand(now fleet.Micros, r agentapi.CommandRequest) *fleet.Command {
+func newCommand(now monotime.Micros, r agentapi.CommandRequest) *fleet.Command {
 	return &fleet.Command{
 		ID: r.ID, Kind: r.Kind, Names: r.Instances, RequestedBy: r.RequestedBy, RequestedAt: r.RequestedUnixMicros,
-		Deadline: now + fleet.Micros(r.TimeoutMicros), Immediate: r.Immediate, Rollout: r.RollingUpdate, Quota: r.Budget,
+		Deadline: now + monotime.Micros(r.TimeoutMicros), Immediate: r.Immediate, Rollout: r.RollingUpdate, Quota: r.Budget,
 	}
 }
 
 // saveIntent makes a command durable before anything is decided. What can't be saved is not accepted.
-func (a *Agent) saveIntent(now fleet.Micros, r agentapi.CommandRequest) error {
+func (a *Agent) saveIntent(now monotime.Micros, r agentapi.CommandRequest) error {
 	if a.loop.storeErr == nil {
 		err := a.options.Store.Save(agentstore.Change{Intent: newCommand(now, r)})
 		if err == nil {
@@ -114,7 +115,7 @@
 func (a *Agent) Steer(id, verb, by string) (*fleet.Command, error) {
 	var command *fleet.Command
 	var rejected error
-	err := a.call(func(now fleet.Micros) {
+	err := a.call(func(now monotime.Micros) {
 		rejected = a.decide(now, fleet.CommandControl{CommandID: id, Verb: fleet.Verb(verb), RequestedBy: by})
 		if rejected == nil {
 			command = a.loop.machine.Command(id)
@@ -129,7 +130,7 @@
 // Command returns a copy of a command, nil if it is not known or the agent does not answer in time.
 func (a *Agent) Command(id string) *fleet.Command {
 	var command *fleet.Command
-	if a.call(func(fleet.Micros) { command = a.loop.machine.Command(id) }) != nil {
+	if a.call(func(monotime.Micros) { command = a.loop.machine.Command(id) }) != nil {
 		return nil // what was read may not have been saved
 	}
 	return command
@@ -138,7 +139,7 @@
 // Commands returns copies, newest first; nil if the agent does not answer in time.
 func (a *Agent) Commands() []*fleet.Command {
 	var all []*fleet.Command
-	if a.call(func(fleet.Micros) { all = a.loop.machine.Commands() }) != nil {
+	if a.call(func(monotime.Micros) { all = a.loop.machine.Commands() }) != nil {
 		return nil
 	}
 	return all
--- a/internal/agent/configcheck.go
+++ b/internal/agent/configcheck.go
@@ -7,6 +7,7 @@
 	"milletbarrow/internal/backend/degradation"
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/fleet"
+	"milletbarrow/monotime"
 )
 
 // defaultShutdownWindow is that of an instance whose configuration can't be read.
@@ -20,8 +21,8 @@
 		return defaultShutdownWindow, err
 	}
 	return fleet.ShutdownWindow{
-		Grace:       fleet.Micros(backend.Settings.Admission.DrainGrace),
-		ExitTimeout: fleet.Micros(backend.StopMs * 1000),
+		Grace:       backend.Settings.Admission.DrainGrace,
+		ExitTimeout: monotime.Micros(backend.StopMs * 1000),
 	}, nil
 }
 
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -24,6 +24,7 @@
 	"milletbarrow/internal/logging"
 	"milletbarrow/internal/process"
 	"milletbarrow/internal/supervisor"
+	"milletbarrow/monotime"
 )
 
 // TestMain: this program is also the supervisors and the instances of its tests.
@@ -63,7 +64,7 @@
 	err := supervisor.Run(context.Background(), supervisor.Options{
 		Dir: flagOf("dir"), Name: flagOf("name"), Run: flagOf("run"), Adopt: slices.Contains(os.Args, "--adopt"),
 		Launcher: []string{os.Args[0], "begin", "--"}, Command: []string{os.Args[0], "serve", "--config", flagOf("config")},
-		Window: fleet.ShutdownWindow{Grace: fleet.Micros(grace.Microseconds()), ExitTimeout: fleet.Micros(stop.Microseconds())},
+		Window: fleet.ShutdownWindow{Grace: monotime.FromDuration(grace), ExitTimeout: monotime.FromDuration(stop)},
 		Bounds: limits.ForControl(),
 	})
 	if errors.Is(err, supervisor.ErrLocked) {
@@ -96,7 +97,7 @@
 		if is("deaf") {
 			return
 		}
-		heard.CompareAndSwap(0, process.Now()-ago.Microseconds())
+		heard.CompareAndSwap(0, int64(process.Now())-ago.Microseconds())
 	}
 	term := make(chan os.Signal, 4)
 	signal.Notify(term, syscall.SIGTERM)
@@ -109,7 +110,7 @@
 		_ = admin.Serve(context.Background(), socket, limits.ForControl(), admin.Instance{State: func() admin.State {
 			s := admin.State{Ready: !is("never"), PID: os.Getpid()}
 			if at := heard.Load(); at != 0 {
-				s.Ready, s.Draining, s.GraceEnds = false, true, at+grace.Microseconds()
+				s.Ready, s.Draining, s.GraceEnds = false, true, monotime.Micros(at+grace.Microseconds())
 			}
 			return s
 		}, Drain: leave, Override: func(admin.Override) error { return nil }})
@@ -119,7 +120,7 @@
 			if is("dies") {
 				os.Exit(7)
 			}
-			if process.Now()-at > (stop - 200*time.Millisecond).Microseconds() {
+			if int64(process.Now())-at > (stop - 200*time.Millisecond).Microseconds() {
 				os.Exit(0)
 			}
 		}
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -11,6 +11,7 @@
 
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/supervisor"
+	"milletbarrow/monotime"
 )
 
 // ExitSupervisorRunning is the exit code of a supervisor that found another one running.
@@ -94,7 +95,7 @@
 	return slices.Concat(args, []string{"--"}, spec.Program), nil
 }
 
-func duration(d fleet.Micros) time.Duration { return time.Duration(d) * time.Microsecond }
+func duration(d monotime.Micros) time.Duration { return time.Duration(d) * time.Microsecond }
 
 // openSupervisorLog opens the log that the supervisors of one instance share, and rotates one that has grown.
 func (a *Agent) openSupervisorLog(path string) (*os.File, error) {
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -13,12 +13,13 @@
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/supervisor"
+	"milletbarrow/monotime"
 )
 
 const (
-	maxLease           = quota.Micros(4_000_000) // that renewals are paced by
-	renewalsPerLease   = 4                       // one or two that are lost cost nothing
-	instanceCallPart   = 8                       // of Bounds.Call: a stopped instance must not hold up the others
+	maxLease           = monotime.Micros(4_000_000) // that renewals are paced by
+	renewalsPerLease   = 4                          // one or two that are lost cost nothing
+	instanceCallPart   = 8                          // of Bounds.Call: a stopped instance must not hold up the others
 	maxShownRefusals   = 3
 	maxReportedExits   = 10_000 // remembered
 	renewalRoundPauses = 2      // a round of renewals may take this many pauses
@@ -71,7 +72,7 @@
 func (a *Agent) leaseHolders() ([]string, *quota.Config) {
 	var names []string
 	var config *quota.Config
-	err := a.call(func(fleet.Micros) {
+	err := a.call(func(monotime.Micros) {
 		config = a.loop.spec.Quotas
 		for _, name := range a.loop.machine.Names() {
 			if in, _ := a.loop.machine.Instance(name); in.Incarnation != "" {
@@ -207,7 +208,7 @@
 	for {
 		select {
 		case event := <-a.options.Cluster.Events():
-			err := a.call(func(now fleet.Micros) {
+			err := a.call(func(now monotime.Micros) {
 				a.addHistory(fleet.HistoryEvent{
 					At: now, Name: event.Name, Event: strings.TrimSpace(event.Limit + " " + event.Kind), Cause: event.Cause,
 				})
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -309,10 +309,10 @@
 func TestUnrecordedObservation(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	command := &fleet.Command{ID: "c1", Kind: fleet.KindStart, Names: []string{"a"}, Deadline: 1 << 60}
-	if err := a.decide(fleet.Micros(process.Now()), fleet.CommandReceived{Command: command}); err != nil {
+	if err := a.decide(process.Now(), fleet.CommandReceived{Command: command}); err != nil {
 		t.Fatal(err)
 	}
-	a.handle(fleet.Micros(process.Now()), fleet.Tick{})
+	a.handle(process.Now(), fleet.Tick{})
 	launched, _ := a.loop.machine.Instance("a")
 	if !launched.ActionPending || launched.LastAction != fleet.ActionLaunch {
 		t.Fatalf("%+v", launched)
@@ -320,7 +320,7 @@
 	exited := fleet.Observation{Incarnation: launched.Incarnation, Phase: fleet.PhaseExited, Exit: fleet.Exit{Unobserved: true}}
 	for _, recorded := range []bool{false, true} {
 		a.observe(t.Context(), fleet.InstanceObserved{Name: "a", Observation: exited, Unrecorded: !recorded}, nil)
-		(<-a.calls)(fleet.Micros(process.Now()))
+		(<-a.calls)(process.Now())
 		if in, _ := a.loop.machine.Instance("a"); (in.Incarnation == "") != recorded {
 			t.Errorf("recorded %t: %+v", recorded, in)
 		}
@@ -332,7 +332,7 @@
 func TestStatusShowsLatestReport(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	command := &fleet.Command{ID: "c1", Kind: fleet.KindStart, Names: []string{"a"}, Deadline: 1 << 60}
-	if err := a.decide(fleet.Micros(process.Now()), fleet.CommandReceived{Command: command}); err != nil {
+	if err := a.decide(process.Now(), fleet.CommandReceived{Command: command}); err != nil {
 		t.Fatal(err)
 	}
 	launched, _ := a.loop.machine.Instance("a")
@@ -343,8 +343,8 @@
 			report = &supervisor.Report{Observation: observation, Record: supervisor.State{Instance: process.Identity{PID: pid}, Supervisor: process.Identity{PID: pid + 1}}}
 		}
 		a.observe(t.Context(), fleet.InstanceObserved{Name: "a", Observation: observation}, report)
-		(<-a.calls)(fleet.Micros(process.Now()))
-		return a.loop.status(fleet.Micros(process.Now())).Instances[0]
+		(<-a.calls)(process.Now())
+		return a.loop.status(process.Now()).Instances[0]
 	}
 	want := func(what string, got agentapi.Instance, pid int) {
 		t.Helper()
@@ -365,7 +365,7 @@
 	if err := reloadIdle(t, a, a.loop.spec); err != nil {
 		t.Fatal(err)
 	}
-	want("reloaded", a.loop.status(fleet.Micros(process.Now())).Instances[0], 0)
+	want("reloaded", a.loop.status(process.Now()).Instances[0], 0)
 	want("reported again", observe(ready, 80), 80)
 	exited := ready
 	exited.Phase = fleet.PhaseExited
@@ -377,7 +377,7 @@
 	t.Helper()
 	result := make(chan error, 1)
 	go func() { result <- a.Reload(s) }()
-	(<-a.calls)(fleet.Micros(process.Now()))
+	(<-a.calls)(process.Now())
 	a.loop.actions = nil
 	a.flush(t.Context())
 	return <-result
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -7,16 +7,17 @@
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/process"
 	"milletbarrow/internal/supervisor"
+	"milletbarrow/monotime"
 )
 
 // Status returns the state of the agent and its instances. If the loop does not answer in time, StoreError says so.
 func (a *Agent) Status() agentapi.Status {
 	s := agentapi.Status{
 		Version: agentapi.Version, Host: a.options.Host, Build: a.options.Build, PID: os.Getpid(),
-		MonotonicMicros: process.Now(), UptimeMicros: process.Now() - a.startedAt,
+		MonotonicMicros: int64(process.Now()), UptimeMicros: int64(process.Now() - a.startedAt),
 	}
 	var loop agentapi.Status
-	if err := a.call(func(now fleet.Micros) { loop = a.loop.status(now) }); err != nil {
+	if err := a.call(func(now monotime.Micros) { loop = a.loop.status(now) }); err != nil {
 		s.StoreError = err.Error()
 		return s
 	}
@@ -26,7 +27,7 @@
 }
 
 // status fills in what the loop owns.
-func (l *loopState) status(now fleet.Micros) agentapi.Status {
+func (l *loopState) status(now monotime.Micros) agentapi.Status {
 	s := agentapi.Status{Fleet: l.spec.Name, LastSerial: l.nextSerial - 1}
 	if l.storeErr != nil {
 		s.StoreError = l.storeErr.Error()
@@ -44,7 +45,7 @@
 }
 
 // instanceStatus joins the machine's state of an instance with the latest report of its supervisor, which may be nil.
-func instanceStatus(now fleet.Micros, in fleet.Instance, report *supervisor.Report) agentapi.Instance {
+func instanceStatus(now monotime.Micros, in fleet.Instance, report *supervisor.Report) agentapi.Instance {
 	s := agentapi.Instance{
 		Name: in.Name, Group: in.Group, Spare: in.Spare, DesiredUp: in.DesiredUp, Phase: in.Phase,
 		PhaseAgeMicros: int64(now - in.PhaseSince), Cause: in.Cause, Task: in.CommandID,
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -8,6 +8,7 @@
 
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/supervisor"
+	"milletbarrow/monotime"
 )
 
 // watcher says which incarnation of an instance is to be watched.
@@ -115,7 +116,7 @@
 func (a *Agent) observe(ctx context.Context, observed fleet.InstanceObserved, report *supervisor.Report) {
 	select {
 	case <-ctx.Done():
-	case a.calls <- func(now fleet.Micros) {
+	case a.calls <- func(now monotime.Micros) {
 		in, _ := a.loop.machine.Instance(observed.Name)
 		if in.Incarnation == observed.Observation.Incarnation && !observed.Unrecorded {
 			a.loop.reports[observed.Name] = report
--- a/internal/backend/admin/state.go
+++ b/internal/backend/admin/state.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"milletbarrow/internal/backend/quota"
+	"milletbarrow/monotime"
 )
 
 // Version of the interface; it is the first part of every path.
@@ -11,25 +12,25 @@
 
 // State is an instance's report on itself. Times are in microseconds on the clock of process.Now; counts are since the start.
 type State struct {
-	Version        int    `json:"version"`
-	Name           string `json:"name"`
-	PID            int    `json:"pid"`
-	Build          string `json:"build"`
-	Config         string `json:"config"`               // hash of the configuration that was read at the start
-	StartedAt      int64  `json:"since_us"`             // when it started
-	Ready          bool   `json:"ready"`                // health checks are answered with good
-	Draining       bool   `json:"draining"`             // it has received a shutdown notice
-	GraceEnds      int64  `json:"grace_ends,omitempty"` // end of the grace period: what arrives later does not run
-	StopBy         int64  `json:"stop_by,omitempty"`    // it has exited by then
-	Connections    int    `json:"connections"`          // of edge nodes, open
-	ServerInFlight int    `json:"carried"`              // invocations that the server handles
-	InFlight       int    `json:"in_hand"`              // invocations that the dispatcher has admitted and not ended
-	Arrived        int    `json:"picked"`
-	Started        int    `json:"run"`
-	Throttled      int    `json:"throttled"`
-	Errored        int    `json:"errored"`
-	Abandoned      int    `json:"left"`   // whose caller was gone
-	Panics         int    `json:"faults"` // of the decision module
+	Version        int             `json:"version"`
+	Name           string          `json:"name"`
+	PID            int             `json:"pid"`
+	Build          string          `json:"build"`
+	Config         string          `json:"config"`               // hash of the configuration that was read at the start
+	StartedAt      monotime.Micros `json:"since_us"`             // when it started
+	Ready          bool            `json:"ready"`                // health checks are answered with good
+	Draining       bool            `json:"draining"`             // it has received a shutdown notice
+	GraceEnds      monotime.Micros `json:"grace_ends,omitempty"` // end of the grace period: what arrives later does not run
+	StopBy         monotime.Micros `json:"stop_by,omitempty"`    // it has exited by then
+	Connections    int             `json:"connections"`          // of edge nodes, open
+	ServerInFlight int             `json:"carried"`              // invocations that the server handles
+	InFlight       int             `json:"in_hand"`              // invocations that the dispatcher has admitted and not ended
+	Arrived        int             `json:"picked"`
+	Started        int             `json:"run"`
+	Throttled      int             `json:"throttled"`
+	Errored        int             `json:"errored"`
+	Abandoned      int             `json:"left"`   // whose caller was gone
+	Panics         int             `json:"faults"` // of the decision module
 
 	DegradationPolicy string   `json:"ladder,omitempty"` // its name, if there is one
 	Level             string   `json:"level,omitempty"`  // in force; full: no load is shed
--- a/internal/backend/degradation/controller.go
+++ b/internal/backend/degradation/controller.go
@@ -4,11 +4,13 @@
 	"fmt"
 	"math"
 	"strings"
+
+	"milletbarrow/monotime"
 )
 
 // Change is one change of the level, as it is logged and recorded.
 type Change struct {
-	At       Micros
+	At       monotime.Micros
 	From, To int     // numbers of levels; 0 is full service, 1 the mildest level
 	Cause    string  // the terms that were met, or who overrides the level
 	Collapse bool    // made sooner than ChangeInterval allows
@@ -19,22 +21,22 @@
 type Controller struct {
 	policy       *Policy
 	smoothed     Signals
-	lastUpdate   Micros // 0: none yet
+	lastUpdate   monotime.Micros // 0: none yet
 	level        int
-	enteredAt    []Micros   // by level: since when it has been in force, on its own or under a stronger one
-	changedAt    []Micros   // by level: when it was last entered or left; 0: never
-	entrySince   [][]Micros // by level and term of its entry: since when it holds; 0: it does not
-	exitSince    [][]Micros // likewise for the exits
-	leavingSince Micros     // since when the recovery ramp runs; 0: it does not
-	noExitBefore Micros     // no recovery ramp begins before
-	backoff      Micros     // the latest pause after a recovery that was aborted, or after a relapse
-	recoveredAt  Micros     // when a level was last left; 0: never
+	enteredAt    []monotime.Micros   // by level: since when it has been in force, on its own or under a stronger one
+	changedAt    []monotime.Micros   // by level: when it was last entered or left; 0: never
+	entrySince   [][]monotime.Micros // by level and term of its entry: since when it holds; 0: it does not
+	exitSince    [][]monotime.Micros // likewise for the exits
+	leavingSince monotime.Micros     // since when the recovery ramp runs; 0: it does not
+	noExitBefore monotime.Micros     // no recovery ramp begins before
+	backoff      monotime.Micros     // the latest pause after a recovery that was aborted, or after a relapse
+	recoveredAt  monotime.Micros     // when a level was last left; 0: never
 	override     levelOverride
 }
 
 type levelOverride struct {
 	level      int
-	until      Micros
+	until      monotime.Micros
 	by         string
 	allowAbove bool // the signals may raise the level above it
 }
@@ -42,13 +44,13 @@
 // NewController returns a controller at full service. A host that has just started begins there too: its signals are
 // missing until they are measured, and the admission control protects it meanwhile.
 func NewController(policy *Policy) *Controller {
-	c := &Controller{policy: policy, changedAt: make([]Micros, len(policy.Levels)+1), enteredAt: make([]Micros, len(policy.Levels)+1)}
+	c := &Controller{policy: policy, changedAt: make([]monotime.Micros, len(policy.Levels)+1), enteredAt: make([]monotime.Micros, len(policy.Levels)+1)}
 	for s := range c.smoothed {
 		c.smoothed[s] = Missing
 	}
 	for _, level := range policy.Levels {
-		c.entrySince = append(c.entrySince, make([]Micros, len(level.Enter.Terms)))
-		c.exitSince = append(c.exitSince, make([]Micros, len(level.Exit.Terms)))
+		c.entrySince = append(c.entrySince, make([]monotime.Micros, len(level.Enter.Terms)))
+		c.exitSince = append(c.exitSince, make([]monotime.Micros, len(level.Exit.Terms)))
 	}
 	return c
 }
@@ -69,7 +71,7 @@
 
 // Depth is how much of the level's own rules is in force, 0 to 1: less than 1 while it is being left. The rules of milder
 // levels are in force completely.
-func (c *Controller) Depth(now Micros) float64 {
+func (c *Controller) Depth(now monotime.Micros) float64 {
 	if c.leavingSince == 0 || c.policy.RecoveryRamp == 0 {
 		return 1
 	}
@@ -78,10 +80,10 @@
 
 // maxGap is the longest time between updates; after a longer one nothing is known of the time between. A clock that jumps
 // ahead looks the same, and one that goes back stops everything until it is where it was.
-const maxGap Micros = 2_000_000
+const maxGap monotime.Micros = 2_000_000
 
 // Update takes in the signals of now and returns the change of the level, if there is one.
-func (c *Controller) Update(now Micros, s Signals) (change Change, changes bool) {
+func (c *Controller) Update(now monotime.Micros, s Signals) (change Change, changes bool) {
 	if c.lastUpdate != 0 && now <= c.lastUpdate {
 		return change, false
 	}
@@ -110,7 +112,7 @@
 }
 
 // smooth smooths the signals. One that was missing starts from its first value; one that is missing is so at once.
-func (c *Controller) smooth(now Micros, s Signals) {
+func (c *Controller) smooth(now monotime.Micros, s Signals) {
 	gap := now - c.lastUpdate
 	for i := range s {
 		over := float64(c.policy.Smoothing[i])
@@ -133,7 +135,7 @@
 }
 
 // trackTerms records since when each term holds. No term of a missing signal does.
-func (c *Controller) trackTerms(now Micros) {
+func (c *Controller) trackTerms(now monotime.Micros) {
 	for n, level := range c.policy.Levels {
 		for i, t := range level.Enter.Terms {
 			trackSince(&c.entrySince[n][i], now, c.smoothed[t.Signal] >= t.Value)
@@ -144,7 +146,7 @@
 	}
 }
 
-func trackSince(since *Micros, now Micros, holds bool) {
+func trackSince(since *monotime.Micros, now monotime.Micros, holds bool) {
 	if !holds {
 		*since = 0
 	} else if *since == 0 {
@@ -153,7 +155,7 @@
 }
 
 // conditionMet returns whether a condition is met, and the terms that are.
-func (c *Controller) conditionMet(cond Condition, since []Micros) (string, bool) {
+func (c *Controller) conditionMet(cond Condition, since []monotime.Micros) (string, bool) {
 	var met []string
 	for i, t := range cond.Terms {
 		if since[i] != 0 && c.lastUpdate-since[i] >= t.For {
@@ -195,7 +197,7 @@
 // changeAllowed reports whether the level may change to another: none of the levels entered or left has changed within
 // ChangeInterval, and the present one has been in force for its MinDuration. Time under a stronger level counts: after a
 // recovery the next ones follow as fast as their exits and ramps allow.
-func (c *Controller) changeAllowed(now Micros, to int) bool {
+func (c *Controller) changeAllowed(now monotime.Micros, to int) bool {
 	for n := min(c.level, to) + 1; n <= max(c.level, to); n++ {
 		if at := c.changedAt[n]; at != 0 && now-at < c.policy.ChangeInterval {
 			return false
@@ -205,7 +207,7 @@
 }
 
 // recover leaves the level over RecoveryRamp once its exit is met, and aborts that as soon as a signal worsens.
-func (c *Controller) recover(now Micros) (change Change, changes bool) {
+func (c *Controller) recover(now monotime.Micros) (change Change, changes bool) {
 	if c.level == 0 || c.override.until != 0 && c.level <= c.override.level {
 		c.leavingSince = 0
 		return change, false
@@ -235,7 +237,7 @@
 const maxBackoff = 8
 
 // extendBackoff delays the next recovery, each time for twice as long.
-func (c *Controller) extendBackoff(now Micros) {
+func (c *Controller) extendBackoff(now monotime.Micros) {
 	c.backoff = min(max(2*c.backoff, c.policy.ChangeInterval), maxBackoff*c.policy.ChangeInterval)
 	c.noExitBefore = now + c.backoff
 }
@@ -261,7 +263,7 @@
 }
 
 // change puts another level in force.
-func (c *Controller) change(now Micros, to int, cause string, collapse bool) Change {
+func (c *Controller) change(now monotime.Micros, to int, cause string, collapse bool) Change {
 	change := Change{At: now, From: c.level, To: to, Cause: cause, Collapse: collapse, Signals: c.smoothed}
 	for n := min(c.level, to) + 1; n <= max(c.level, to); n++ {
 		c.changedAt[n] = now
@@ -285,7 +287,7 @@
 // Override holds a level until then, at most MaxOverride from now, on behalf of by. With allowAbove the signals may raise
 // the level above it. An override is not stored, and a new one replaces the old. An error is an *OverrideError and
 // means that nothing was changed.
-func (c *Controller) Override(now Micros, level int, until Micros, by string, allowAbove bool) error {
+func (c *Controller) Override(now monotime.Micros, level int, until monotime.Micros, by string, allowAbove bool) error {
 	switch {
 	case level < 0 || level > len(c.policy.Levels):
 		return overrideError("level", "%d is not from 0 to %d", level, len(c.policy.Levels))
--- a/internal/backend/degradation/degradation_test.go
+++ b/internal/backend/degradation/degradation_test.go
@@ -9,9 +9,10 @@
 	"pgregory.net/rapid"
 
 	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
 )
 
-const second Micros = 1_000_000
+const second monotime.Micros = 1_000_000
 
 const bills = `(ladder bills (every 60s) (ramp 20s) (pins 10m) (smooth (queue 1s))
 	(level no-reprints (shed (operations reprint)) (enter (any (queue 1.5 2s) (late 0.1 2s))) (exit (all (queue 1.1 10s) (late 0.05 10s))) (stay 60s))
@@ -57,10 +58,10 @@
 // TestControllerCourses: what a controller does under each kind of load.
 func TestControllerCourses(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	scenario := func(what string, run func(step func(until Micros, s Signals), controller **Controller)) {
+	scenario := func(what string, run func(step func(until monotime.Micros, s Signals), controller **Controller)) {
 		tr.Say("%s", what)
-		controller, now := NewController(policyOf(t, bills)), Micros(0)
-		run(func(until Micros, s Signals) {
+		controller, now := NewController(policyOf(t, bills)), monotime.Micros(0)
+		run(func(until monotime.Micros, s Signals) {
 			for ; now < until; now += 100_000 {
 				if c, changed := controller.Update(now, s); changed {
 					tr.Say("  %5.1f s: %v", float64(now)/1e6, c)
@@ -69,18 +70,18 @@
 			tr.Say("  %5.1f s: level %d, depth %.2f", float64(now)/1e6, controller.Level(), controller.Depth(now))
 		}, &controller)
 	}
-	scenario("a slow rise to each level, and back bit by bit", func(step func(Micros, Signals), _ **Controller) {
+	scenario("a slow rise to each level, and back bit by bit", func(step func(monotime.Micros, Signals), _ **Controller) {
 		step(10*second, queued(1))
 		step(100*second, queued(1.7))
 		step(200*second, queued(2.2))
 		step(400*second, queued(0.5))
 	})
-	scenario("a collapse takes several steps at once", func(step func(Micros, Signals), _ **Controller) {
+	scenario("a collapse takes several steps at once", func(step func(monotime.Micros, Signals), _ **Controller) {
 		step(10*second, queued(1))
 		step(20*second, queued(8))
 		step(300*second, queued(8))
 	})
-	scenario("a probe that hurts is taken back at once, and the next one waits longer", func(step func(Micros, Signals), _ **Controller) {
+	scenario("a probe that hurts is taken back at once, and the next one waits longer", func(step func(monotime.Micros, Signals), _ **Controller) {
 		step(10*second, queued(1.7))
 		step(70*second, queued(1))
 		step(75*second, queued(1.45))
@@ -90,22 +91,22 @@
 		step(250*second, queued(1))
 		step(300*second, queued(1))
 	})
-	scenario("relapse after relapse by collapse: each time it waits longer before it leaves", func(step func(Micros, Signals), _ **Controller) {
-		for n := range Micros(4) {
+	scenario("relapse after relapse by collapse: each time it waits longer before it leaves", func(step func(monotime.Micros, Signals), _ **Controller) {
+		for n := range monotime.Micros(4) {
 			step((n*400+100)*second, queued(1.7))
 			step((n*400+220)*second, queued(0.5))
 			step((n*400+240)*second, queued(6))
 			step((n*400+400)*second, queued(0.5))
 		}
 	})
-	scenario("a signal that is missing neither enters nor leaves", func(step func(Micros, Signals), _ **Controller) {
+	scenario("a signal that is missing neither enters nor leaves", func(step func(monotime.Micros, Signals), _ **Controller) {
 		step(10*second, queued(1.7))
 		missing := queued(0)
 		missing[Queue] = Missing
 		step(200*second, missing)
 		step(400*second, queued(0.5))
 	})
-	scenario("a frozen signal: nothing comes for minutes, then load is high", func(step func(Micros, Signals), controller **Controller) {
+	scenario("a frozen signal: nothing comes for minutes, then load is high", func(step func(monotime.Micros, Signals), controller **Controller) {
 		step(10*second, queued(0.5))
 		afterGap := *controller
 		if c, changed := afterGap.Update(300*second, queued(9)); changed {
@@ -116,7 +117,7 @@
 			tr.Say("  moved by a clock that went back")
 		}
 	})
-	scenario("held by a person, above, below, and until it ends by itself", func(step func(Micros, Signals), controller **Controller) {
+	scenario("held by a person, above, below, and until it ends by itself", func(step func(monotime.Micros, Signals), controller **Controller) {
 		step(10*second, queued(1))
 		tr.Say("  %v, %v", (*controller).Override(10*second, 9, 20*second, "a person", false), (*controller).Override(10*second, 1, 20*60*second, "a person", false))
 		tr.Say("  %v", (*controller).Override(10*second, 2, 200*second, "a person", true))
@@ -126,7 +127,7 @@
 		step(159*second, queued(4))
 		step(240*second, queued(4))
 	})
-	scenario("two signals that pull apart: either enters, both must be well to leave", func(step func(Micros, Signals), _ **Controller) {
+	scenario("two signals that pull apart: either enters, both must be well to leave", func(step func(monotime.Micros, Signals), _ **Controller) {
 		signals := queued(0.5)
 		signals[Late] = 0.2
 		step(10*second, signals)
@@ -135,7 +136,7 @@
 		step(200*second, signals)
 		step(300*second, queued(1))
 	})
-	scenario("a host that comes back in the middle of a step knows nothing, and is there within the entry's span", func(step func(Micros, Signals), controller **Controller) {
+	scenario("a host that comes back in the middle of a step knows nothing, and is there within the entry's span", func(step func(monotime.Micros, Signals), controller **Controller) {
 		step(10*second, queued(2.5))
 		*controller = NewController(policyOf(t, bills))
 		cold := queued(2.5)
@@ -143,7 +144,7 @@
 		step(11*second, cold)
 		step(14*second, cold)
 	})
-	scenario("another ladder while a level is in force", func(step func(Micros, Signals), controller **Controller) {
+	scenario("another ladder while a level is in force", func(step func(monotime.Micros, Signals), controller **Controller) {
 		step(10*second, queued(2.5))
 		*controller = (*controller).WithPolicy(policyOf(t, strings.Replace(bills, "half-lookups", "most-lookups", 1)))
 		step(11*second, queued(2.5))
@@ -156,7 +157,7 @@
 func oscillatingLoad(policy *Policy, meanLoad, period float64, seed uint64) (changes []Change) {
 	controller, r := NewController(policy), rand.New(rand.NewPCG(seed, 0))
 	retryLoad := 0.0
-	for now := Micros(0); now < 600*second; now += 20_000 {
+	for now := monotime.Micros(0); now < 600*second; now += 20_000 {
 		seconds := float64(now) / 1e6
 		retryLoad *= 0.999
 		load := meanLoad * (1 + 0.25*math.Sin(2*math.Pi*seconds/period) + 0.2*r.NormFloat64() + retryLoad)
@@ -202,7 +203,7 @@
 
 // checkChangeInterval fails the test if a level changes twice within ChangeInterval, except in a collapse.
 func checkChangeInterval(t interface{ Fatalf(string, ...any) }, policy *Policy, changes []Change) {
-	last := map[int]Micros{}
+	last := map[int]monotime.Micros{}
 	for _, c := range changes {
 		if c.Cause == "" {
 			t.Fatalf("a change without a cause: %v", c)
@@ -224,16 +225,16 @@
 func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := policyOf(t, bills)
-		controller, now := NewController(policy), Micros(0)
+		controller, now := NewController(policy), monotime.Micros(0)
 		var changes []Change
-		entered := map[int]Micros{}
+		entered := map[int]monotime.Micros{}
 		for range rapid.IntRange(1, 60).Draw(t, "stretches") {
 			s := queued(rapid.Float64Range(0, 5).Draw(t, "queue"))
 			s[Late] = rapid.Float64Range(0, 0.3).Draw(t, "late")
 			if rapid.IntRange(0, 5).Draw(t, "missing") == 0 {
 				s[rapid.IntRange(0, int(signalCount)-1).Draw(t, "which")] = Missing
 			}
-			gap := Micros(rapid.SampledFrom([]int{20_000, 100_000, 1_000_000, 3_000_000}).Draw(t, "gap"))
+			gap := monotime.Micros(rapid.SampledFrom([]int{20_000, 100_000, 1_000_000, 3_000_000}).Draw(t, "gap"))
 			for range rapid.IntRange(1, 300).Draw(t, "readings") {
 				now += gap
 				c, changed := controller.Update(now, s)
@@ -251,7 +252,7 @@
 			if d := controller.Depth(now); d < 0 || d > 1 {
 				t.Fatalf("depth %v", d)
 			}
-			now += Micros(rapid.SampledFrom([]int{0, 0, 0, 60_000_000, -500_000}).Draw(t, "jump"))
+			now += monotime.Micros(rapid.SampledFrom([]int{0, 0, 0, 60_000_000, -500_000}).Draw(t, "jump"))
 		}
 		checkChangeInterval(t, policy, changes)
 	})
@@ -349,7 +350,7 @@
 func BenchmarkUpdate(b *testing.B) {
 	controller := NewController(policyOf(b, bills))
 	b.ReportAllocs()
-	for now := Micros(1); b.Loop(); now += 20_000 {
+	for now := monotime.Micros(1); b.Loop(); now += 20_000 {
 		controller.Update(now, queued(1.3))
 	}
 }
--- a/internal/backend/degradation/explain.go
+++ b/internal/backend/degradation/explain.go
@@ -4,12 +4,14 @@
 	"fmt"
 	"strings"
 	"time"
+
+	"milletbarrow/monotime"
 )
 
 // Explain describes in words what the policy does.
 func (p *Policy) Explain() string {
 	var b strings.Builder
-	span := func(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+	span := func(m monotime.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 	fmt.Fprintf(&b, "ladder %s: %d levels; at most one change of a level in %v, a collapse excepted; a level is left over %v\n",
 		p.Name, len(p.Levels), span(p.ChangeInterval), span(p.RecoveryRamp))
 	for i, level := range p.Levels {
--- a/internal/backend/degradation/invariants_test.go
+++ b/internal/backend/degradation/invariants_test.go
@@ -5,6 +5,8 @@
 	"math"
 	"strings"
 	"testing"
+
+	"milletbarrow/monotime"
 )
 
 // steep has levels far enough apart that the next entry's collapse is not met by the level above it.
@@ -14,11 +16,11 @@
 	(level c (shed) (enter (late 0.5)) (exit (late 0.2))))`
 
 // recentlyChanged is a controller at the first level whose higher levels were left a moment ago, and the time of that.
-func recentlyChanged(t *testing.T) (*Controller, Micros) {
+func recentlyChanged(t *testing.T) (*Controller, monotime.Micros) {
 	t.Helper()
 	c := NewController(policyOf(t, steep))
 	for at, level := range []int{3, 1} {
-		now := Micros(at+1) * second
+		now := monotime.Micros(at+1) * second
 		if err := c.Override(now, level, now+100*second, "test", false); err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +55,7 @@
 func TestControllerClockBack(t *testing.T) {
 	c := NewController(policyOf(t, bills))
 	c.Update(10*second, queued(1))
-	for _, at := range []Micros{10 * second, 9 * second, 1} {
+	for _, at := range []monotime.Micros{10 * second, 9 * second, 1} {
 		if c.Update(at, queued(9)); c.Smoothed()[Queue] != 1 || c.lastUpdate != 10*second {
 			t.Errorf("at %d: queue %v, last update at %d", at, c.Smoothed()[Queue], c.lastUpdate)
 		}
@@ -112,7 +114,7 @@
 	now := 100 * second
 	for _, row := range []struct {
 		level int
-		until Micros
+		until monotime.Micros
 		ok    bool
 	}{
 		{-1, now + second, false}, {0, now + second, true}, {3, now + second, true}, {4, now + second, false},
@@ -135,7 +137,7 @@
 	for _, row := range []struct {
 		tenant int
 		rank   float64
-		cost   Micros
+		cost   monotime.Micros
 		depth  float64
 		want   float64
 	}{
--- a/internal/backend/degradation/parse.go
+++ b/internal/backend/degradation/parse.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"milletbarrow/internal/sexpr"
+	"milletbarrow/monotime"
 )
 
 const hour = time.Hour
@@ -24,19 +25,18 @@
 		return nil, errs.Err()
 	}
 	f := forms[0]
-	micros := func(d time.Duration) Micros { return Micros(d.Microseconds()) }
 	p := &Policy{
 		Name:           f.Arg(),
-		ChangeInterval: micros(f.Span("every", time.Second, hour, time.Minute)),
-		RecoveryRamp:   micros(f.Span("ramp", 0, hour, 20*time.Second)),
-		MaxOverride:    micros(f.Span("pins", time.Second, 24*hour, hour)),
+		ChangeInterval: monotime.FromDuration(f.Span("every", time.Second, hour, time.Minute)),
+		RecoveryRamp:   monotime.FromDuration(f.Span("ramp", 0, hour, 20*time.Second)),
+		MaxOverride:    monotime.FromDuration(f.Span("pins", time.Second, 24*hour, hour)),
 	}
 	for s := range p.Smoothing {
-		p.Smoothing[s] = micros(time.Second)
+		p.Smoothing[s] = monotime.FromDuration(time.Second)
 	}
 	if smoothing := f.Field("smooth"); smoothing != nil {
 		for s, name := range signalNames {
-			p.Smoothing[s] = micros(smoothing.Span(name, 0, hour, time.Second))
+			p.Smoothing[s] = monotime.FromDuration(smoothing.Span(name, 0, hour, time.Second))
 		}
 		smoothing.Done()
 	}
@@ -52,12 +52,12 @@
 }
 
 func readLevel(f *sexpr.Form) Level {
-	level := Level{Name: f.Arg(), place: f.Place, MinDuration: Micros(f.Span("stay", time.Second, hour, time.Minute).Microseconds())}
+	level := Level{Name: f.Arg(), place: f.Place, MinDuration: monotime.FromDuration(f.Span("stay", time.Second, hour, time.Minute))}
 	level.Enter, level.Exit = readCondition(f, "enter"), readCondition(f, "exit")
 	for _, s := range f.All("shed") {
 		level.Shed = append(level.Shed, Rule{
 			Operations: s.Words("operations"), Tenants: s.Words("tenants"), RankBelow: s.Share("rank-below", 0, 1, 1),
-			CostAbove: Micros(s.Span("cost-above", 0, hour, 0).Microseconds()), Share: s.Share("share", 0.01, 1, 1),
+			CostAbove: monotime.FromDuration(s.Span("cost-above", 0, hour, 0)), Share: s.Share("share", 0.01, 1, 1),
 		})
 		s.Done()
 	}
@@ -112,7 +112,7 @@
 		if err != nil || span < 0 || span > hour {
 			f.Fail("", "found %q, wanted a time up to %v", args[1], hour)
 		}
-		term.For = Micros(span.Microseconds())
+		term.For = monotime.FromDuration(span)
 	}
 	f.Done()
 	return term
--- a/internal/backend/degradation/policy.go
+++ b/internal/backend/degradation/policy.go
@@ -7,11 +7,9 @@
 	"slices"
 
 	"milletbarrow/internal/sexpr"
+	"milletbarrow/monotime"
 )
 
-// Micros is a point of time, or a span, in whole microseconds. Its clock is the caller's, and must be monotonic.
-type Micros int64
-
 // Signal is a measured quantity that a condition may compare.
 type Signal int
 
@@ -46,17 +44,17 @@
 type Policy struct {
 	Name           string
 	Levels         []Level
-	Smoothing      [signalCount]Micros `json:"Smooth"` // by signal: the time constant of its exponential smoothing
-	ChangeInterval Micros              `json:"Every"`  // at most one change of a level in so long, except in a collapse
-	RecoveryRamp   Micros              `json:"Ramp"`   // leaving a level takes so long; it sheds less and less meanwhile
-	MaxOverride    Micros              `json:"Pins"`   // the longest override of the level by an operator
+	Smoothing      [signalCount]monotime.Micros `json:"Smooth"` // by signal: the time constant of its exponential smoothing
+	ChangeInterval monotime.Micros              `json:"Every"`  // at most one change of a level in so long, except in a collapse
+	RecoveryRamp   monotime.Micros              `json:"Ramp"`   // leaving a level takes so long; it sheds less and less meanwhile
+	MaxOverride    monotime.Micros              `json:"Pins"`   // the longest override of the level by an operator
 }
 
 // Level is one level of reduced service. What milder levels shed is shed too.
 type Level struct {
 	Name        string
 	Enter, Exit Condition
-	MinDuration Micros `json:"Stay"` // it is in force for at least so long
+	MinDuration monotime.Micros `json:"Stay"` // it is in force for at least so long
 	Shed        []Rule
 	place       sexpr.Place
 }
@@ -72,16 +70,16 @@
 type Term struct {
 	Signal Signal
 	Value  float64
-	For    Micros
+	For    monotime.Micros
 }
 
 // Rule sheds requests that match all of its fields.
 type Rule struct {
-	Operations []string // empty: all
-	Tenants    []string // empty: all
-	RankBelow  float64  // 1: all ranks
-	CostAbove  Micros   // expected work; 0: any
-	Share      float64  // fraction to shed, above 0, at most 1
+	Operations []string        // empty: all
+	Tenants    []string        // empty: all
+	RankBelow  float64         // 1: all ranks
+	CostAbove  monotime.Micros // expected work; 0: any
+	Share      float64         // fraction to shed, above 0, at most 1
 }
 
 // Bounds of a policy file; ParsePolicy refuses a larger one.
--- a/internal/backend/degradation/shedder.go
+++ b/internal/backend/degradation/shedder.go
@@ -3,6 +3,8 @@
 import (
 	"math/rand/v2"
 	"slices"
+
+	"milletbarrow/monotime"
 )
 
 // Shedder decides which requests a level sheds. The number shed follows the fraction closely at any time, while chance
@@ -17,7 +19,7 @@
 type rule struct {
 	operations, tenants []bool // nil: all
 	rankBelow           float64
-	costAbove           Micros
+	costAbove           monotime.Micros
 	share               float64
 }
 
@@ -63,7 +65,7 @@
 // ShedFraction is the fraction of requests like this one that a level sheds; depth is that of the level, see
 // Controller.Depth. Operations and tenants are indices of the names given to NewShedder; a tenant beyond them matches no
 // rule that names tenants.
-func (s *Shedder) ShedFraction(level int, depth float64, operation, tenant int, rank float64, cost Micros) float64 {
+func (s *Shedder) ShedFraction(level int, depth float64, operation, tenant int, rank float64, cost monotime.Micros) float64 {
 	share := 0.0
 	for n := range min(level, len(s.rules)) {
 		part := 1.0
@@ -82,7 +84,7 @@
 }
 
 // ShouldShed decides on one request.
-func (s *Shedder) ShouldShed(level int, depth float64, operation, tenant int, rank float64, cost Micros) bool {
+func (s *Shedder) ShouldShed(level int, depth float64, operation, tenant int, rank float64, cost monotime.Micros) bool {
 	if level == 0 {
 		return false
 	}
--- a/internal/backend/degradation/signals.go
+++ b/internal/backend/degradation/signals.go
@@ -1,6 +1,10 @@
 package degradation
 
-import "math"
+import (
+	"math"
+
+	"milletbarrow/monotime"
+)
 
 // Counter names an event that a SignalMeter counts.
 type Counter int
@@ -19,9 +23,9 @@
 // second; a fraction of too small a count is missing. Not safe for concurrent use.
 type SignalMeter struct {
 	sums         [counterCount]float64
-	decayedAt    Micros
+	decayedAt    monotime.Micros
 	cores        float64
-	warmingUntil Micros // the executor warms up until then
+	warmingUntil monotime.Micros // the executor warms up until then
 	draining     bool
 }
 
@@ -34,7 +38,7 @@
 func NewSignalMeter(cores int) *SignalMeter { return &SignalMeter{cores: float64(max(1, cores))} }
 
 // decay reduces the counts by the time since the last event.
-func (m *SignalMeter) decay(now Micros) {
+func (m *SignalMeter) decay(now monotime.Micros) {
 	if now <= m.decayedAt {
 		return
 	}
@@ -46,20 +50,20 @@
 }
 
 // Count counts an event.
-func (m *SignalMeter) Count(now Micros, counter Counter) {
+func (m *SignalMeter) Count(now monotime.Micros, counter Counter) {
 	m.decay(now)
 	m.sums[counter]++
 }
 
 // SetWarmingUntil sets until when the executor warms up.
-func (m *SignalMeter) SetWarmingUntil(until Micros) { m.warmingUntil = until }
+func (m *SignalMeter) SetWarmingUntil(until monotime.Micros) { m.warmingUntil = until }
 
 // SetDraining sets that a graceful shutdown has begun.
 func (m *SignalMeter) SetDraining() { m.draining = true }
 
 // Signals returns the signals of now. Gauges that are not known, or below 0, are missing; onCores counts requests, coreUse
 // and memory are fractions.
-func (m *SignalMeter) Signals(now Micros, onCores, coreUse, memory float64, known bool) (s Signals) {
+func (m *SignalMeter) Signals(now monotime.Micros, onCores, coreUse, memory float64, known bool) (s Signals) {
 	m.decay(now)
 	gauge := func(v, by float64) float64 {
 		if !known || v < 0 {
--- a/internal/backend/degradation/trace.go
+++ b/internal/backend/degradation/trace.go
@@ -7,11 +7,13 @@
 	"math"
 	"strconv"
 	"strings"
+
+	"milletbarrow/monotime"
 )
 
 // Reading is one line of a trace of signals.
 type Reading struct {
-	At      Micros
+	At      monotime.Micros
 	Signals Signals
 }
 
@@ -45,10 +47,10 @@
 			return &TraceError{File: file, Line: n, Problem: fmt.Sprintf(format, args...)}
 		}
 		at, err := strconv.ParseInt(words[0], 10, 64)
-		if err != nil || at < 0 || len(all) > 0 && Micros(at) <= all[len(all)-1].At {
+		if err != nil || at < 0 || len(all) > 0 && monotime.Micros(at) <= all[len(all)-1].At {
 			return nil, fail("time: %q is no number of microseconds above that of the line before", words[0])
 		}
-		r := Reading{At: Micros(at)}
+		r := Reading{At: monotime.Micros(at)}
 		for s := range r.Signals {
 			r.Signals[s] = Missing
 		}
@@ -80,7 +82,7 @@
 
 // ReplayPoint is the controller's state after one reading.
 type ReplayPoint struct {
-	At       Micros
+	At       monotime.Micros
 	Level    int
 	Depth    float64
 	Smoothed Signals
--- a/internal/backend/dispatch/admit.go
+++ b/internal/backend/dispatch/admit.go
@@ -5,6 +5,7 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/monotime"
 )
 
 // Admit passes a request to the module and blocks until it is to run, is answered without a run, or its caller has left.
@@ -59,7 +60,7 @@
 // executor's connection. The next sample follows those ends.
 func (d *Dispatcher) awaitFreshTick() {
 	d.mu.Lock()
-	if d.backend == nil || Now()-d.lastTick <= Micros(d.bounds.StallThreshold.Microseconds()) {
+	if d.backend == nil || Now()-d.lastTick <= monotime.FromDuration(d.bounds.StallThreshold) {
 		d.mu.Unlock()
 		return
 	}
@@ -102,7 +103,7 @@
 }
 
 // arrival is the event of a request that is passed to the module.
-func arrival(now Micros, inv *Invocation, req *Request, standing admission.QuotaStanding) admission.Arrived {
+func arrival(now monotime.Micros, inv *Invocation, req *Request, standing admission.QuotaStanding) admission.Arrived {
 	return admission.Arrived{
 		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Priority: inv.Rank, Retry: inv.Retry,
 		ExpectedWork: inv.ExpectedWork, MemoryKB: inv.MemoryKB, RepeatOf: req.original, ShedFor: req.shedAdvice,
@@ -124,7 +125,7 @@
 }
 
 // rejectEarly returns the response to a request that the module never hears of.
-func (d *Dispatcher) rejectEarly(now Micros, inv *Invocation, req *Request, keyed bool) (resp Response, rejected bool) {
+func (d *Dispatcher) rejectEarly(now monotime.Micros, inv *Invocation, req *Request, keyed bool) (resp Response, rejected bool) {
 	goElsewhere := Response{Verdict: Throttled, RetryAfter: d.settings.Admission.MaxRetryAfter}
 	if req.original != "" { // the original has run, or may yet: other backends must not be invited to run it too
 		goElsewhere = Response{Verdict: Errored}
--- a/internal/backend/dispatch/clock.go
+++ b/internal/backend/dispatch/clock.go
@@ -3,22 +3,21 @@
 import (
 	"time"
 
-	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
-// Micros is a point of Unix time, or a span, in whole microseconds.
-type Micros = admission.Micros
-
 // The dispatcher's clock is the Unix time at the start of the process, carried on by the monotonic clock: setting the wall
 // clock an hour back must not stop the ticks for an hour, nor an hour ahead make every request in flight overdue.
 var (
 	clockStart = time.Now()
-	clockBase  = Micros(clockStart.UnixMicro())
+	clockBase  = monotime.Micros(clockStart.UnixMicro())
 )
 
 // Now is the time of the dispatcher's clock, the only clock of decisions.
-func Now() Micros { return clockBase + Micros(time.Since(clockStart).Microseconds()) }
+func Now() monotime.Micros { return clockBase + monotime.FromDuration(time.Since(clockStart)) }
 
 // FromWallClock converts a wall-clock time to the dispatcher's clock, however far the wall clock has been set since the
 // start of the process.
-func FromWallClock(at Micros) Micros { return Now() - (Micros(time.Now().UnixMicro()) - at) }
+func FromWallClock(at monotime.Micros) monotime.Micros {
+	return Now() - (monotime.Micros(time.Now().UnixMicro()) - at)
+}
--- a/internal/backend/dispatch/degradation.go
+++ b/internal/backend/dispatch/degradation.go
@@ -8,6 +8,7 @@
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/degradation"
 	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
 )
 
 // degradationState is what a degradation policy adds to a dispatcher, guarded by its lock.
@@ -18,7 +19,7 @@
 	meter         *degradation.SignalMeter
 	recentChanges []degradation.Change // oldest first
 	shedCount     int                  // requests, since the start
-	signalsAt     degradation.Micros
+	signalsAt     monotime.Micros
 	signals       degradation.Signals // the latest
 }
 
@@ -27,10 +28,10 @@
 
 // minShedAdvice is the Retry-After of a request that a level sheds. Advice is about this backend, not about the operation:
 // a longer one would keep away requests that are not shed.
-const minShedAdvice admission.Micros = 1
+const minShedAdvice monotime.Micros = 1
 
 // degradationNow is the clock of the degradation controller. Setting the wall clock must not change a level.
-func degradationNow() degradation.Micros { return degradation.Micros(process.Now()) }
+func degradationNow() monotime.Micros { return process.Now() }
 
 // SetDegradationPolicy puts a policy in force, or replaces the present one; the level in force goes on. A name that
 // this deployment does not have is a *degradation.UnknownNameError.
@@ -54,14 +55,14 @@
 }
 
 // shedAdvice returns the least Retry-After of a request that the level in force sheds, or 0 if it does not shed it.
-func (d *Dispatcher) shedAdvice(inv *Invocation, req *Request) admission.Micros {
+func (d *Dispatcher) shedAdvice(inv *Invocation, req *Request) monotime.Micros {
 	state := d.degradation
 	if state == nil {
 		return 0
 	}
 	now := degradationNow()
 	level, depth := state.controller.Level(), state.controller.Depth(now)
-	if req.original != "" || !state.shedder.ShouldShed(level, depth, inv.Operation, inv.Tenant, inv.Rank, degradation.Micros(inv.ExpectedWork)) {
+	if req.original != "" || !state.shedder.ShouldShed(level, depth, inv.Operation, inv.Tenant, inv.Rank, inv.ExpectedWork) {
 		state.meter.Count(now, degradation.Arrivals)
 		if inv.Retry {
 			state.meter.Count(now, degradation.RetriedArrivals)
@@ -135,7 +136,7 @@
 	Depth   float64  // how much of the level's rules is in force, 0 to 1
 	Shed    int      // requests, since the start
 	Changes []string // the latest, oldest first
-	At      degradation.Micros
+	At      monotime.Micros
 	Signals degradation.Signals // at that time, unsmoothed
 }
 
@@ -170,7 +171,7 @@
 	for level := range len(state.policy.Levels) + 1 {
 		if state.policy.LevelName(level) == name {
 			now := degradationNow()
-			return state.controller.Override(now, level, now+degradation.Micros(span.Microseconds()), by, allowAbove)
+			return state.controller.Override(now, level, now+monotime.FromDuration(span), by, allowAbove)
 		}
 	}
 	return &degradation.OverrideError{Field: "level", Problem: fmt.Sprintf("%q is none of ladder %s", name, state.policy.Name)}
--- a/internal/backend/dispatch/dispatcher.go
+++ b/internal/backend/dispatch/dispatcher.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"milletbarrow/admission"
-	"milletbarrow/internal/backend/degradation"
 	"milletbarrow/internal/backend/idempotency"
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
 )
 
 // Dispatcher serves one backend. Its methods may be called from any goroutine.
@@ -25,21 +25,21 @@
 	backend        *admission.Backend // the decision module; nil until Open
 	inFlight       map[string]*Request
 	actions        []admission.Action // of the latest decision; reused
-	nextTick       Micros             // as the module has set it
+	nextTick       monotime.Micros    // as the module has set it
 	timerToken     int64              // of the module's timer
 	healthy        bool               // as the module wants health checks answered
-	idleTimeout    Micros             // of connections; the configured one or more leaves it to the callers
+	idleTimeout    monotime.Micros    // of connections; the configured one or more leaves it to the callers
 	draining       bool
-	stopAt         Micros // the process is stopped then; set by Drain
-	graceEnd       Micros // later arrivals do not run; 0 unless draining
-	moduleGraceEnd Micros // the end of the grace as the module knows it
+	stopAt         monotime.Micros // the process is stopped then; set by Drain
+	graceEnd       monotime.Micros // later arrivals do not run; 0 unless draining
+	moduleGraceEnd monotime.Micros // the end of the grace as the module knows it
 	gauges         []float64
-	gaugesAt       Micros
-	lastTick       Micros        // or Open
-	tickDone       chan struct{} // closed at the next tick; nil while nobody waits for it
+	gaugesAt       monotime.Micros
+	lastTick       monotime.Micros // or Open
+	tickDone       chan struct{}   // closed at the next tick; nil while nobody waits for it
 	counts         Counts
-	startedCold    bool   // the executor was warming up at Open
-	openedAt       Micros // as the module knows it
+	startedCold    bool            // the executor was warming up at Open
+	openedAt       monotime.Micros // as the module knows it
 
 	results          *idempotency.Table // nil if no operation is keyed
 	readyRepeats     []string           // ids of repeats whose original has ended
@@ -79,7 +79,7 @@
 // Open starts to admit requests: the executor is there and started that long ago, warming up (cold) or warm. Later calls
 // change nothing. Only the time since a cold start matters, as the warm-up has lasted for so long. An executor that has
 // been warm for an hour must not make the module believe that no caller came for an hour.
-func (d *Dispatcher) Open(cold bool, ago Micros) {
+func (d *Dispatcher) Open(cold bool, ago monotime.Micros) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.backend != nil {
@@ -92,7 +92,7 @@
 	if !cold {
 		ago = 0
 	} else if d.degradation != nil {
-		d.degradation.meter.SetWarmingUntil(degradation.Micros(process.Now()) + degradation.Micros(max(0, cfg.WarmUp-ago)))
+		d.degradation.meter.SetWarmingUntil(process.Now() + max(0, cfg.WarmUp-ago))
 	}
 	d.openedAt = Now() - min(ago, cfg.WarmUp)
 	d.startShadow()
@@ -109,7 +109,7 @@
 	// Results are cached in this process, in a table that is bounded; the setting is about the executor's memory.
 	cfg.IdempotencyKeyKB = 0
 	// The notice may arrive late, and the grace must not end later for that.
-	cfg.DrainGrace = max(0, cfg.DrainGrace-Micros(d.bounds.NoticeDelay.Microseconds()))
+	cfg.DrainGrace = max(0, cfg.DrainGrace-monotime.FromDuration(d.bounds.NoticeDelay))
 	return cfg
 }
 
--- a/internal/backend/dispatch/dispatcher_test.go
+++ b/internal/backend/dispatch/dispatcher_test.go
@@ -9,6 +9,7 @@
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 func open(t *testing.T) *Dispatcher {
@@ -162,7 +163,7 @@
 	resp, req := d.Admit(inv)
 	say(tr, "left while held", resp, req, d)
 	d = open(t)
-	for _, wait := range []Micros{0, -5_000_000, 1 << 55} {
+	for _, wait := range []monotime.Micros{0, -5_000_000, 1 << 55} {
 		inv := newInvocation(fmt.Sprint("wait", wait))
 		inv.CallerTimeout = wait
 		resp, req := d.Admit(inv)
@@ -245,13 +246,13 @@
 	if clockStart == clockStart.Round(0) { //nolint:staticcheck // Equal would not see the monotonic reading
 		t.Error("the beginning carries no reading of the machine's clock: setting the wall clock would move the dispatcher's time")
 	}
-	if wall := Micros(time.Now().UnixMicro()); Now() < wall-3_600_000_000 || Now() > wall+3_600_000_000 {
+	if wall := monotime.Micros(time.Now().UnixMicro()); Now() < wall-3_600_000_000 || Now() > wall+3_600_000_000 {
 		t.Errorf("the time is %d, the wall's %d", Now(), wall)
 	}
 	// An hour after the wall clock was set back by one, what reached the machine 5 ms ago has still waited 5 ms.
 	clockBase += 3_600_000_000 // the time is an hour ahead of the wall's from here on
 	defer func() { clockBase -= 3_600_000_000 }()
-	if waited := Now() - FromWallClock(Micros(time.Now().UnixMicro())-5000); waited < 4900 || waited > 500_000 {
+	if waited := Now() - FromWallClock(monotime.Micros(time.Now().UnixMicro())-5000); waited < 4900 || waited > 500_000 {
 		t.Errorf("it has waited %d us, wanted some 5,000", waited)
 	}
 }
--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -15,6 +15,7 @@
 	"milletbarrow/internal/backend/degradation"
 	"milletbarrow/internal/backend/quotalog"
 	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
 )
 
 // fullCores are gauges with no core free and a short queue.
@@ -61,7 +62,7 @@
 	if d.updateGauges(d.gaugesAt+1, nil); len(d.gauges) == 0 {
 		t.Error("the gauges of the latest sample are dropped")
 	}
-	old := d.gaugesAt + Micros(d.bounds.SampleMaxAge.Microseconds()) + 1
+	old := d.gaugesAt + monotime.FromDuration(d.bounds.SampleMaxAge) + 1
 	if d.updateGauges(old, nil); len(d.gauges) != 0 {
 		t.Errorf("old gauges are passed on: %v", d.gauges)
 	}
@@ -140,7 +141,7 @@
 func TestIdleTimeout(t *testing.T) {
 	d := open(t)
 	configured := d.settings.Admission.IdleTimeout
-	for after, want := range map[Micros]time.Duration{
+	for after, want := range map[monotime.Micros]time.Duration{
 		configured: 0, configured + 1: 0, configured / 2: time.Duration(configured/2) * time.Microsecond,
 	} {
 		d.perform(admission.CloseIdle{After: after})
@@ -312,7 +313,7 @@
 	d := open(t)
 	shedSecondOperation(t, d)
 	for n := range 3 * maxRecentChanges {
-		d.degradation.recordChange(degradation.Change{At: degradation.Micros(n)})
+		d.degradation.recordChange(degradation.Change{At: monotime.Micros(n)})
 	}
 	status, _ := d.DegradationStatus()
 	latest := fmt.Sprintf("%d: %v", 3*maxRecentChanges-1, degradation.Change{})
@@ -325,7 +326,7 @@
 func TestUseLoggedBeforeRelease(t *testing.T) {
 	d := withQuota(t, open(t))
 	var records strings.Builder
-	d.quotas.machineClock = func() int64 { return 7 }
+	d.quotas.machineClock = func() monotime.Micros { return 7 }
 	d.quotas.log = quotalog.New(&records, 5, 0)
 	_, req := d.Admit(newInvocation("a"))
 	d.Complete(req, RunSucceeded, nil)
@@ -348,9 +349,9 @@
 // TestModuleGrace: the module's grace is shorter by the delay that a notice may have, and never negative.
 func TestModuleGrace(t *testing.T) {
 	d := open(t)
-	late := Micros(d.bounds.NoticeDelay.Microseconds())
+	late := monotime.FromDuration(d.bounds.NoticeDelay)
 	settings := *d.settings
-	for grace, want := range map[Micros]Micros{0: 0, late / 2: 0, late: 0, late + 5: 5} {
+	for grace, want := range map[monotime.Micros]monotime.Micros{0: 0, late / 2: 0, late: 0, late + 5: 5} {
 		settings.Admission.DrainGrace = grace
 		if got := d.moduleConfig(&settings).DrainGrace; got != want {
 			t.Errorf("grace %d: the module's is %d, wanted %d", grace, got, want)
@@ -395,7 +396,7 @@
 	d.Drain(5_000_000, 100_000)
 	now := Now()
 	d.graceEnd, d.moduleGraceEnd = now-1000, now+1000
-	for after, want := range map[Micros]bool{-1001: false, -1000: true, 0: true, 1000: true, 1001: false} {
+	for after, want := range map[monotime.Micros]bool{-1001: false, -1000: true, 0: true, 1000: true, 1001: false} {
 		inv := newInvocation("a")
 		inv.ArrivedAt = now + after
 		if _, rejected := d.rejectEarly(now+5000, &inv, d.newRequest(&inv), false); rejected != want {
--- a/internal/backend/dispatch/module.go
+++ b/internal/backend/dispatch/module.go
@@ -6,11 +6,12 @@
 	"runtime/debug"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // decide passes an event to the module and carries out the actions that it returns. A panic in the module is logged and
 // returned as a *PanicError; requests in flight stay so and are answered when they are overdue.
-func (d *Dispatcher) decide(now Micros, event admission.Event) (err error) {
+func (d *Dispatcher) decide(now monotime.Micros, event admission.Event) (err error) {
 	if d.backend == nil {
 		return nil
 	}
--- a/internal/backend/dispatch/quota.go
+++ b/internal/backend/dispatch/quota.go
@@ -4,13 +4,14 @@
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/backend/quotalog"
+	"milletbarrow/monotime"
 )
 
 // quotaState is what fleet-wide budgets add to a dispatcher, guarded by its lock.
 type quotaState struct {
 	holder         *quota.Holder
-	clock          func() quota.Micros
-	machineClock   func() int64
+	clock          func() monotime.Micros
+	machineClock   func() monotime.Micros
 	budgetOfTenant []int // index of the holder's budget, or noBudget
 	log            *quotalog.Log
 }
@@ -18,10 +19,10 @@
 // QuotaConfig names the budgets that tenants acquire units from.
 type QuotaConfig struct {
 	Holder       *quota.Holder
-	Tenants      map[string]string   // budget by tenant
-	Clock        func() quota.Micros // of leases; includes time that the machine is suspended
-	MachineClock func() int64        // of the log, in microseconds
-	Log          *quotalog.Log       // for an auditor; may be nil
+	Tenants      map[string]string      // budget by tenant
+	Clock        func() monotime.Micros // of leases; includes time that the machine is suspended
+	MachineClock func() monotime.Micros // of the log
+	Log          *quotalog.Log          // for an auditor; may be nil
 }
 
 // SetQuotas has requests acquire units from their tenants' budgets from now on. A tenant that this deployment
@@ -100,7 +101,7 @@
 }
 
 // recordHeld logs the grants in force.
-func (state *quotaState) recordHeld(at int64, now quota.Micros) error {
+func (state *quotaState) recordHeld(at, now monotime.Micros) error {
 	if state.log == nil {
 		return nil
 	}
@@ -139,7 +140,7 @@
 	}
 }
 
-func (state *quotaState) recordUse(now quota.Micros) {
+func (state *quotaState) recordUse(now monotime.Micros) {
 	if state.log != nil {
 		_ = state.log.RecordDrawn(state.machineClock(), state.holder.Status(now)) // serving goes on without an auditor
 	}
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -6,18 +6,19 @@
 
 	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
 )
 
 // withQuota gives the first tenant of a dispatcher four units, and no more: its clock stands.
 func withQuota(t *testing.T, d *Dispatcher) *Dispatcher {
 	h := quota.New("n", "1", []string{"b"})
-	now := quota.Micros(1)
+	now := monotime.Micros(1)
 	a := h.NewRequest(now)
 	if err := h.Apply(now, quota.LeaseResponse{Name: "n", Incarnation: "1", Number: a.Number, Grants: []quota.Grant{{Budget: "b", Epoch: 1, Floor: 4, Lease: 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	now += 2_000_000
-	if err := d.SetQuotas(QuotaConfig{Holder: h, Tenants: map[string]string{d.settings.Tenants[0]: "b"}, Clock: func() quota.Micros { return now }}); err != nil {
+	if err := d.SetQuotas(QuotaConfig{Holder: h, Tenants: map[string]string{d.settings.Tenants[0]: "b"}, Clock: func() monotime.Micros { return now }}); err != nil {
 		t.Fatal(err)
 	}
 	return d
--- a/internal/backend/dispatch/replay.go
+++ b/internal/backend/dispatch/replay.go
@@ -3,6 +3,7 @@
 import (
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/idempotency"
+	"milletbarrow/monotime"
 )
 
 // identify sets the idempotency key of a request and finds the original that it repeats. It returns false if the operation
@@ -26,7 +27,7 @@
 }
 
 // maxReadDelay is the longest time between a request's arrival and its being read; the caller of an older one has given up.
-func (d *Dispatcher) maxReadDelay() (longest Micros) {
+func (d *Dispatcher) maxReadDelay() (longest monotime.Micros) {
 	for _, op := range d.settings.Admission.Operations {
 		longest = max(longest, op.ClientTimeout)
 	}
@@ -84,7 +85,7 @@
 	case ok:
 		resp, outcome = Response{Verdict: Replayed, Result: result}, admission.OK
 	case !ran:
-		resp = Response{Verdict: Throttled, RetryAfter: Micros(d.bounds.ReplayRetryAfter.Microseconds())}
+		resp = Response{Verdict: Throttled, RetryAfter: monotime.FromDuration(d.bounds.ReplayRetryAfter)}
 	}
 	d.respond(req, resp)
 	_ = d.decide(Now(), admission.Finished{ID: req.id, Outcome: outcome})
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -9,6 +9,7 @@
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // openKeyed opens a dispatcher whose second operation has idempotency keys, remembered for window milliseconds.
@@ -203,7 +204,7 @@
 // TestArrivalTimes: a request never seems to have waited for less than no time, nor to be without a deadline.
 func TestArrivalTimes(t *testing.T) {
 	const now = 10_000_000
-	for _, row := range []struct{ arrivedAt, deadline, queueTime, timeLeft Micros }{
+	for _, row := range []struct{ arrivedAt, deadline, queueTime, timeLeft monotime.Micros }{
 		{now - 5, now + 7, 5, 7},
 		{now + 5, now + 7, 0, 7},
 		{now - 5, now, 5, 1},
--- a/internal/backend/dispatch/request.go
+++ b/internal/backend/dispatch/request.go
@@ -3,6 +3,7 @@
 import (
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/idempotency"
+	"milletbarrow/monotime"
 )
 
 // Invocation is a request as the server has read it.
@@ -12,9 +13,9 @@
 	Rank              float64         // of the caller's users, 0 to below 1
 	MemoryKB          float64         // that the request holds, in KB
 	Retry             bool            // marked as a retry by its caller
-	ExpectedWork      Micros          // of CPU; 0 if unknown
-	ArrivedAt         Micros          // when it reached the machine
-	CallerTimeout     Micros          // for so long from then the caller waits
+	ExpectedWork      monotime.Micros // of CPU; 0 if unknown
+	ArrivedAt         monotime.Micros // when it reached the machine
+	CallerTimeout     monotime.Micros // for so long from then the caller waits
 	CallerLeft        <-chan struct{} // closed once the caller is known to have left
 	IdempotencyKey    string          // by which repeats of a keyed operation are recognised
 }
@@ -34,9 +35,9 @@
 // Response is a verdict with what the caller is to be answered.
 type Response struct {
 	Verdict    Verdict
-	RetryAfter Micros // the caller stays away from this backend for so long
-	DontRetry  bool   // the caller tries no other backend either
-	Result     []byte // of the earlier run, if the verdict is Replayed
+	RetryAfter monotime.Micros // the caller stays away from this backend for so long
+	DontRetry  bool            // the caller tries no other backend either
+	Result     []byte          // of the earlier run, if the verdict is Replayed
 }
 
 // Outcome is how a run ended.
@@ -66,10 +67,10 @@
 // Request is a request in flight.
 type Request struct {
 	id          string
-	deadline    Micros // the caller waits no longer
-	objectiveAt Micros // a later answer misses the latency objective
+	deadline    monotime.Micros // the caller waits no longer
+	objectiveAt monotime.Micros // a later answer misses the latency objective
 	responses   chan Response
-	shedAdvice  Micros          // above 0 if a degradation level sheds it
+	shedAdvice  monotime.Micros // above 0 if a degradation level sheds it
 	drawnBudget int             // the budget that a unit was acquired from, or noBudget
 	key         idempotency.Key // zero unless the operation is keyed
 	original    string          // the id of the request that it repeats, if any
--- a/internal/backend/dispatch/shadow.go
+++ b/internal/backend/dispatch/shadow.go
@@ -4,6 +4,7 @@
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/shadow"
 	"milletbarrow/internal/config"
+	"milletbarrow/monotime"
 )
 
 // shadowState is what a shadow configuration adds to a dispatcher, guarded by its lock.
@@ -35,7 +36,7 @@
 }
 
 // observeShadow passes an event and the actions decided on it to the shadow.
-func (d *Dispatcher) observeShadow(now Micros, event admission.Event) {
+func (d *Dispatcher) observeShadow(now monotime.Micros, event admission.Event) {
 	if d.shadow != nil && d.shadow.evaluator != nil {
 		d.shadow.evaluator.Observe(now, event, d.actions)
 	}
--- a/internal/backend/dispatch/ticker.go
+++ b/internal/backend/dispatch/ticker.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // RunTicks ticks until done is closed. Before each tick it requests a sample of the gauges and waits a little for it; if
@@ -38,7 +39,7 @@
 			if over {
 				return
 			}
-			if Now()-requested > Micros(d.bounds.StallThreshold.Microseconds()) {
+			if Now()-requested > monotime.FromDuration(d.bounds.StallThreshold) {
 				continue // the process was suspended meanwhile, and the sample is from before
 			}
 			if newer != nil {
@@ -51,7 +52,7 @@
 }
 
 // Tick passes the gauges to the module, nil if they are unknown, and returns the time of the next tick.
-func (d *Dispatcher) Tick(gauges []float64) Micros {
+func (d *Dispatcher) Tick(gauges []float64) monotime.Micros {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := Now()
@@ -60,7 +61,7 @@
 	}
 	d.lastTick = now
 	if d.results != nil {
-		d.results.EvictExpired(now, d.maxReadDelay(), Micros(d.bounds.SweepInterval.Microseconds()))
+		d.results.EvictExpired(now, d.maxReadDelay(), monotime.FromDuration(d.bounds.SweepInterval))
 	}
 	if d.tickDone != nil {
 		defer close(d.tickDone)
@@ -81,23 +82,23 @@
 }
 
 // tickInterval is the time between ticks where the module sets none.
-func (d *Dispatcher) tickInterval() Micros { return d.settings.Admission.AnswerSlack / 3 }
+func (d *Dispatcher) tickInterval() monotime.Micros { return d.settings.Admission.AnswerSlack / 3 }
 
 // updateGauges takes in a sample. Without one the gauges known before hold for SampleMaxAge.
-func (d *Dispatcher) updateGauges(now Micros, gauges []float64) {
+func (d *Dispatcher) updateGauges(now monotime.Micros, gauges []float64) {
 	if gauges != nil {
 		d.gauges, d.gaugesAt = append(d.gauges[:0], gauges...), now
 		return
 	}
 	d.counts.Unsampled++
-	if now-d.gaugesAt > Micros(d.bounds.SampleMaxAge.Microseconds()) {
+	if now-d.gaugesAt > monotime.FromDuration(d.bounds.SampleMaxAge) {
 		d.gauges = d.gauges[:0]
 	}
 }
 
 // answerOverdue answers requests whose deadline is well past. The module answers each in time, so these were lost by a
 // defect.
-func (d *Dispatcher) answerOverdue(now Micros) {
+func (d *Dispatcher) answerOverdue(now monotime.Micros) {
 	for _, req := range d.inFlight {
 		if !req.answered && now > req.deadline+d.settings.Admission.AnswerSlack*2/3 {
 			slog.Error("overdue", "id", req.id, "late_us", now-req.deadline, "running", req.running)
--- a/internal/backend/executor/client.go
+++ b/internal/backend/executor/client.go
@@ -13,6 +13,7 @@
 	"milletbarrow/internal/backend/dispatch"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/ratelimitlog"
+	"milletbarrow/monotime"
 )
 
 // Run is one run on the executor.
@@ -35,7 +36,7 @@
 type Client struct {
 	bounds         limits.Bounds
 	violations     *ratelimitlog.Logger
-	onGreeting     func(cold bool, ago dispatch.Micros)
+	onGreeting     func(cold bool, ago monotime.Micros)
 	samples        chan []float64
 	addressChanged chan struct{}
 
@@ -60,7 +61,7 @@
 
 // New makes a client; onGreeting is called at each greeting, with whether the executor is warming up and how long it has been up.
 func New(
-	address string, bounds limits.Bounds, violations *ratelimitlog.Logger, onGreeting func(cold bool, ago dispatch.Micros),
+	address string, bounds limits.Bounds, violations *ratelimitlog.Logger, onGreeting func(cold bool, ago monotime.Micros),
 ) *Client {
 	l := &Client{
 		address: address, bounds: bounds, violations: violations, onGreeting: onGreeting,
--- a/internal/backend/executor/client_test.go
+++ b/internal/backend/executor/client_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"milletbarrow/internal/backend/dispatch"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/ratelimitlog"
+	"milletbarrow/monotime"
 )
 
 func TestLines(t *testing.T) {
@@ -45,7 +45,7 @@
 // connect runs a client of the executor until the test ends.
 func connect(t *testing.T, a *fakes.ScriptedExecutor) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := New(a.Address, limits.For(1, 192, 1024), ratelimitlog.New(time.Hour), func(bool, dispatch.Micros) {})
+	l := New(a.Address, limits.For(1, 192, 1024), ratelimitlog.New(time.Hour), func(bool, monotime.Micros) {})
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); fakes.Take(t, "the client's end", done) })
--- a/internal/backend/executor/protocol.go
+++ b/internal/backend/executor/protocol.go
@@ -6,6 +6,7 @@
 	"strconv"
 
 	"milletbarrow/internal/backend/dispatch"
+	"milletbarrow/monotime"
 )
 
 // kind is the first word of a line from the executor.
@@ -26,7 +27,7 @@
 	id      []byte // of an outcome or a refusal
 	command []byte // of a refusal
 	cold    bool   // of a greeting
-	micros  dispatch.Micros
+	micros  monotime.Micros
 	end     dispatch.Outcome
 	length  int // of the result that follows an outcome
 	tag     []byte
@@ -137,12 +138,12 @@
 }
 
 // micros parses a time in milliseconds.
-func micros(word []byte) (dispatch.Micros, error) {
+func micros(word []byte) (monotime.Micros, error) {
 	ms, err := strconv.ParseFloat(string(word), 64)
 	if err != nil || !(ms >= 0 && ms < 1e12) {
 		return 0, &valueError{"not a time:", string(word)}
 	}
-	return dispatch.Micros(math.Round(ms * 1000)), nil
+	return monotime.Micros(math.Round(ms * 1000)), nil
 }
 
 func appendSubscribe(to []byte, last uint64) []byte {
--- a/internal/backend/frame/client.go
+++ b/internal/backend/frame/client.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // This file is the caller's side of the codec, for the load generator and tests.
@@ -12,9 +12,9 @@
 type OutgoingInvocation struct {
 	Operation, ID, Tenant string
 	At                    int64 // Unix time, milliseconds
-	Wait                  admission.Micros
+	Wait                  monotime.Micros
 	Retry                 bool
-	Work                  admission.Micros
+	Work                  monotime.Micros
 	KB, Rank              float64
 	Body                  []byte
 }
@@ -29,7 +29,7 @@
 		to[count]++
 	}
 	var digits [32]byte
-	millis := func(us admission.Micros) []byte { return strconv.AppendFloat(digits[:0], float64(us)/1000, 'f', 3, 64) }
+	millis := func(us monotime.Micros) []byte { return strconv.AppendFloat(digits[:0], float64(us)/1000, 'f', 3, 64) }
 	field("class", []byte(a.Operation))
 	field("id", []byte(a.ID))
 	field("at", strconv.AppendInt(digits[:0], a.At, 10))
@@ -51,9 +51,9 @@
 // Answer is a backend's answer to one invocation.
 type Answer struct {
 	Code  Code
-	After admission.Micros // Retry-After: send nothing to this backend for so long
-	Last  bool             // and do not retry elsewhere either
-	Body  []byte           // a slice of the payload
+	After monotime.Micros // Retry-After: send nothing to this backend for so long
+	Last  bool            // and do not retry elsewhere either
+	Body  []byte          // a slice of the payload
 }
 
 // ReadAnswer decodes the payload of an answer's frame. The error is ErrTruncated or a *FieldError.
@@ -69,7 +69,7 @@
 			if err != nil || ms < 0 {
 				return &retryAfterError{string(value)}
 			}
-			a.After = admission.Micros(ms) * 1000
+			a.After = monotime.Micros(ms) * 1000
 		case "last":
 			a.Last = true
 		}
--- a/internal/backend/frame/client_test.go
+++ b/internal/backend/frame/client_test.go
@@ -4,9 +4,9 @@
 	"bytes"
 	"testing"
 
-	"pgregory.net/rapid"
+	"milletbarrow/monotime"
 
-	"milletbarrow/admission"
+	"pgregory.net/rapid"
 )
 
 // TestCallerAndBackendAgree: a backend reads what a caller has written, and the other way round; no part of a frame is mistaken
@@ -16,8 +16,8 @@
 		a := OutgoingInvocation{
 			Operation: rapid.StringMatching(`[a-z-]{1,20}`).Draw(t, "operation"), ID: rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "id"),
 			Tenant: rapid.StringMatching(`[a-z]{0,9}`).Draw(t, "tenant"), At: rapid.Int64Range(0, 3e13).Draw(t, "at"),
-			Wait: admission.Micros(rapid.Int64Range(0, 1e9).Draw(t, "wait")), Retry: rapid.Bool().Draw(t, "retry"),
-			Work: admission.Micros(rapid.Int64Range(0, 1e9).Draw(t, "work")), KB: 20, Rank: 0.25, Body: rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "body"),
+			Wait: monotime.Micros(rapid.Int64Range(0, 1e9).Draw(t, "wait")), Retry: rapid.Bool().Draw(t, "retry"),
+			Work: monotime.Micros(rapid.Int64Range(0, 1e9).Draw(t, "work")), KB: 20, Rank: 0.25, Body: rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "body"),
 		}
 		text := AppendInvocation(nil, 7, &a)
 		for cut := range len(text) {
@@ -33,11 +33,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if string(in.Operation) != a.Operation || string(in.ID) != a.ID || string(in.Tenant) != a.Tenant || in.At != admission.Micros(a.At)*1000 ||
+		if string(in.Operation) != a.Operation || string(in.ID) != a.ID || string(in.Tenant) != a.Tenant || in.At != monotime.Micros(a.At)*1000 ||
 			in.Wait != a.Wait || in.Retry != a.Retry || in.Work != a.Work || in.Rank != a.Rank || !bytes.Equal(in.Body, a.Body) {
 			t.Fatalf("wrote %+v, read %+v", a, in)
 		}
-		after := admission.Micros(rapid.Int64Range(0, 1e6).Draw(t, "after")) * 1000
+		after := monotime.Micros(rapid.Int64Range(0, 1e6).Draw(t, "after")) * 1000
 		last := rapid.Bool().Draw(t, "last")
 		_, p, _, err = SplitFrame(AppendAnswer(nil, 7, Throttled, after, last, a.Body), 262_144)
 		if err != nil {
--- a/internal/backend/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -7,7 +7,7 @@
 	"math"
 	"strconv"
 
-	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // Kind is the type of a frame.
@@ -74,11 +74,11 @@
 // Invocation is the payload of an invocation's frame, in slices of that frame.
 type Invocation struct {
 	Operation, ID, Tenant  []byte
-	IdempotencyKey         []byte           // the same in all attempts at one piece of work; empty: not given
-	At                     admission.Micros // when it reached the host, Unix time
-	Wait                   admission.Micros // how long its caller waits from then, if HasWait
+	IdempotencyKey         []byte          // the same in all attempts at one piece of work; empty: not given
+	At                     monotime.Micros // when it reached the host, Unix time
+	Wait                   monotime.Micros // how long its caller waits from then, if HasWait
 	HasWait, Retry, HasKey bool
-	Work                   admission.Micros // expected, on one core; 0 if not given
+	Work                   monotime.Micros // expected, on one core; 0 if not given
 	KB, Rank               float64
 	Body                   []byte
 }
@@ -232,14 +232,14 @@
 }
 
 // millis parses a time in milliseconds; longer ones than about a thousand years are cut to that.
-func millis(b []byte) (admission.Micros, error) {
+func millis(b []byte) (monotime.Micros, error) {
 	x, err := number(b, math.Inf(1))
-	return admission.Micros(math.Round(min(x*1000, 1<<55))), err
+	return monotime.Micros(math.Round(min(x*1000, 1<<55))), err
 }
 
 // AppendAnswer appends an answer. after is the Retry-After of this backend, in whole milliseconds, rounded up; last tells the edge
 // node not to retry elsewhere either. Zero values are left out.
-func AppendAnswer(to []byte, stream uint32, code Code, after admission.Micros, last bool, body []byte) []byte {
+func AppendAnswer(to []byte, stream uint32, code Code, after monotime.Micros, last bool, body []byte) []byte {
 	to, start := begin(to, KindAnswer, stream)
 	to = append(to, byte(code), 0)
 	count := len(to) - 1
--- a/internal/backend/idempotency/table.go
+++ b/internal/backend/idempotency/table.go
@@ -6,12 +6,9 @@
 import (
 	"slices"
 
-	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
-// Micros is a point or a span of time in microseconds, by the clock of the caller.
-type Micros = admission.Micros
-
 // Key identifies the attempts of one operation. The tenant is part of it: no tenant may be answered with another's result,
 // whatever token it sends.
 type Key struct {
@@ -28,14 +25,14 @@
 	usedBytes           int
 	byKey               map[Key]*entry
 	byID                map[string]*entry
-	lastEviction        Micros
+	lastEviction        monotime.Micros
 }
 
 // entry is a remembered invocation. Until its run has ended the bytes of the longest result are reserved for it.
 type entry struct {
 	id        string
 	key       Key
-	expiresAt Micros // a repeat that reaches the host later is a new invocation
+	expiresAt monotime.Micros // a repeat that reaches the host later is a new invocation
 	completed bool
 	succeeded bool
 	result    []byte
@@ -59,7 +56,7 @@
 
 // Find returns the ID of the remembered invocation that one with this key repeats, if that reached the host at the time
 // given; "" if there is none.
-func (t *Table) Find(k Key, arrived Micros) string {
+func (t *Table) Find(k Key, arrived monotime.Micros) string {
 	if e := t.byKey[k]; e != nil && arrived <= e.expiresAt {
 		return e.id
 	}
@@ -67,7 +64,7 @@
 }
 
 // Remember adds an invocation. It replaces one with the same key that has expired.
-func (t *Table) Remember(id string, k Key, expiresAt Micros) {
+func (t *Table) Remember(id string, k Key, expiresAt monotime.Micros) {
 	if old := t.byKey[k]; old != nil {
 		t.remove(old)
 	}
@@ -143,7 +140,7 @@
 
 // EvictExpired removes what no repeat can refer to any more: one that is read now reached the host at most maxQueueTime
 // ago. An invocation whose run has not ended goes too. Calls that follow another within interval do nothing.
-func (t *Table) EvictExpired(now, maxQueueTime, interval Micros) {
+func (t *Table) EvictExpired(now, maxQueueTime, interval monotime.Micros) {
 	if now < t.lastEviction+interval {
 		return
 	}
--- a/internal/backend/idempotency/table_test.go
+++ b/internal/backend/idempotency/table_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 
+	"milletbarrow/monotime"
+
 	"pgregory.net/rapid"
 )
 
@@ -13,14 +15,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		type expected struct {
 			key   Key
-			until Micros
+			until monotime.Micros
 			ended bool
 			waits map[string]bool
 		}
 		const late = 50
 		table := New(10*entryBytes, entryBytes)
 		all := map[string]*expected{}
-		now, number := Micros(0), 0
+		now, number := monotime.Micros(0), 0
 		ids := func() []string {
 			var list []string
 			for n := range number {
@@ -41,7 +43,7 @@
 			}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now += Micros(rapid.IntRange(0, 20).Draw(t, "later"))
+			now += monotime.Micros(rapid.IntRange(0, 20).Draw(t, "later"))
 			known := ids()
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what == 0 && table.HasCapacity():
--- a/internal/backend/quota/bucket.go
+++ b/internal/backend/quota/bucket.go
@@ -1,5 +1,7 @@
 package quota
 
+import "milletbarrow/monotime"
+
 // Bounds of the token buckets.
 const (
 	burstMicros   = 300_000   // a bucket holds what its rate yields in so long,
@@ -11,9 +13,9 @@
 // only while filledAt lies before leaseEnd.
 type allotment struct {
 	Grant
-	leaseEnd Micros
+	leaseEnd monotime.Micros
 	tokens   int64 // micro-units
-	filledAt Micros
+	filledAt monotime.Micros
 	drawn    int64 // units acquired, without those refunded
 	denied   int64 // units
 	refunded int64 // units that no later acquisition has used up yet
@@ -21,7 +23,7 @@
 
 // refill adds tokens up to now: at floor and extra during the lease, at the floor alone after it. What the extra left
 // unused expires with it, as a bucket holds no more than its present rate allows.
-func (b *allotment) refill(now Micros) {
+func (b *allotment) refill(now monotime.Micros) {
 	if now <= b.filledAt {
 		return
 	}
@@ -33,7 +35,7 @@
 }
 
 // applyGrant replaces the grant. What the old one has yielded up to now stays, as far as the new bucket holds it.
-func (b *allotment) applyGrant(now Micros, grant Grant, leaseEnd Micros) {
+func (b *allotment) applyGrant(now monotime.Micros, grant Grant, leaseEnd monotime.Micros) {
 	b.refill(now)
 	if b.leaseEnd = leaseEnd; leaseEnd <= now {
 		grant.Extra = 0 // the lease expired before the response came
@@ -44,7 +46,7 @@
 }
 
 // refillAt adds tokens at a rate up to a time. A full bucket takes no more, so nothing overflows.
-func (b *allotment) refillAt(to Micros, rate int64) {
+func (b *allotment) refillAt(to monotime.Micros, rate int64) {
 	full := bucketSize(rate)
 	if span := int64(to - b.filledAt); rate == 0 || span > full/rate {
 		b.tokens = full
--- a/internal/backend/quota/bucket_test.go
+++ b/internal/backend/quota/bucket_test.go
@@ -3,14 +3,16 @@
 import (
 	"testing"
 
+	"milletbarrow/monotime"
+
 	"pgregory.net/rapid"
 )
 
 // start is when the holders of these tests are granted their first lease.
-const start Micros = 1_000_000
+const start monotime.Micros = 1_000_000
 
 // grant has a holder request and apply a grant at one time.
-func grant(t testing.TB, h *Holder, now Micros, g Grant) {
+func grant(t testing.TB, h *Holder, now monotime.Micros, g Grant) {
 	t.Helper()
 	g.Budget = "b"
 	request := h.NewRequest(now)
@@ -20,7 +22,7 @@
 }
 
 // granted is a holder with a grant from start on.
-func granted(t testing.TB, floor, extra int64, lease Micros) *Holder {
+func granted(t testing.TB, floor, extra int64, lease monotime.Micros) *Holder {
 	t.Helper()
 	h := New("n", "1", []string{"b"})
 	grant(t, h, start, Grant{Epoch: 1, Floor: floor, Extra: extra, Lease: lease})
@@ -28,7 +30,7 @@
 }
 
 // acquireAll acquires units at one time until one is denied.
-func acquireAll(h *Holder, now Micros) (units int64) {
+func acquireAll(h *Holder, now monotime.Micros) (units int64) {
 	for h.TryAcquire(now, 0) {
 		units++
 	}
@@ -71,7 +73,7 @@
 		h := granted(t, rate, 0, 0)
 		now := start
 		for range rapid.IntRange(1, 8).Draw(rt, "rests") {
-			now += Micros(rapid.Int64Range(0, 2*bucketSize(rate)/rate).Draw(rt, "rest"))
+			now += monotime.Micros(rapid.Int64Range(0, 2*bucketSize(rate)/rate).Draw(rt, "rest"))
 			for range rapid.IntRange(0, 3).Draw(rt, "units") {
 				h.TryAcquire(now, 0)
 			}
@@ -122,7 +124,7 @@
 // TestLeaseEndAtResponse: a grant whose lease ends as its response comes has no extra.
 func TestLeaseEndAtResponse(t *testing.T) {
 	const lease = 5 * microUnits
-	for late, want := range map[Micros]int64{-1: 1000, 0: 0, 1: 0} {
+	for late, want := range map[monotime.Micros]int64{-1: 1000, 0: 0, 1: 0} {
 		h := New("n", "1", []string{"b"})
 		request := h.NewRequest(start)
 		now := start + lease + late
@@ -163,7 +165,7 @@
 
 // TestLongRest: a holder of the largest rate that rests for a day and more acquires as before.
 func TestLongRest(t *testing.T) {
-	for _, rest := range []Micros{100_000_000_000, 300_000_000_000, 31_536_000_000_000} {
+	for _, rest := range []monotime.Micros{100_000_000_000, 300_000_000_000, 31_536_000_000_000} {
 		h := granted(t, MaxRate, 0, 0)
 		if !h.TryAcquire(start+rest, 0) {
 			t.Errorf("nothing to acquire after %d us", rest)
--- a/internal/backend/quota/holder.go
+++ b/internal/backend/quota/holder.go
@@ -7,11 +7,9 @@
 	"slices"
 
 	"milletbarrow/internal/failpoint"
+	"milletbarrow/monotime"
 )
 
-// Micros is a point on the holder's own clock, or a span, in whole microseconds.
-type Micros int64
-
 const (
 	// maxPending is how many requests are remembered; a response to an older one is refused.
 	maxPending = 8
@@ -24,7 +22,7 @@
 
 type pendingRequest struct {
 	number uint64
-	sentAt Micros
+	sentAt monotime.Micros
 }
 
 // Holder is one process's part of all its budgets.
@@ -51,7 +49,7 @@
 
 // TryAcquire acquires a unit of budget i, or returns false if the grant does not allow it now. A process that is suspended
 // after this check uses that one unit too late, and no more.
-func (h *Holder) TryAcquire(now Micros, i int) bool {
+func (h *Holder) TryAcquire(now monotime.Micros, i int) bool {
 	b := &h.allotments[i]
 	b.refill(now)
 	if b.tokens < microUnits {
@@ -69,7 +67,7 @@
 
 // Refund returns a unit of budget i that was acquired for a request that never ran. Drawn only grows: units refunded are
 // acquired again before new ones are counted.
-func (h *Holder) Refund(now Micros, i int) {
+func (h *Holder) Refund(now monotime.Micros, i int) {
 	b := &h.allotments[i]
 	b.refill(now)
 	if b.refunded < b.drawn {
@@ -79,7 +77,7 @@
 }
 
 // NewRequest returns a request for grants. The lease of its response counts from now on.
-func (h *Holder) NewRequest(now Micros) LeaseRequest {
+func (h *Holder) NewRequest(now monotime.Micros) LeaseRequest {
 	number := uint64(1)
 	if len(h.pending) > 0 {
 		number = h.pending[len(h.pending)-1].number + 1
@@ -98,7 +96,7 @@
 
 // Apply takes in the grants of a response. An error is a *ResponseError and means that nothing was changed: the response is
 // to another process or to a request that is not pending, or a grant is of an old epoch, of another budget or out of bounds.
-func (h *Holder) Apply(now Micros, response LeaseResponse) error {
+func (h *Holder) Apply(now monotime.Micros, response LeaseResponse) error {
 	if response.Name != h.name || response.Incarnation != h.incarnation {
 		return refuse(ErrWrongHolder, "life: the answer is for %s %s, this is %s %s",
 			response.Name, response.Incarnation, h.name, h.incarnation)
@@ -122,7 +120,7 @@
 }
 
 // requestedAt returns when the pending request of that number was made; ok is false if there is none.
-func (h *Holder) requestedAt(number uint64) (at Micros, ok bool) {
+func (h *Holder) requestedAt(number uint64) (at monotime.Micros, ok bool) {
 	i := slices.IndexFunc(h.pending, func(request pendingRequest) bool { return request.number == number })
 	if i < 0 {
 		return 0, false
@@ -146,7 +144,7 @@
 }
 
 // Release gives up all grants, floors too: nothing is acquired any more. Notify the lease server after this, not before.
-func (h *Holder) Release(now Micros) {
+func (h *Holder) Release(now monotime.Micros) {
 	for i := range h.allotments {
 		b := &h.allotments[i]
 		b.Floor, b.Extra, b.tokens, b.leaseEnd = 0, 0, 0, now
@@ -154,7 +152,7 @@
 }
 
 // Status returns all budgets as they are now.
-func (h *Holder) Status(now Micros) []Status {
+func (h *Holder) Status(now monotime.Micros) []Status {
 	all := make([]Status, len(h.allotments))
 	for i := range h.allotments {
 		b := &h.allotments[i]
--- a/internal/backend/quota/holder_test.go
+++ b/internal/backend/quota/holder_test.go
@@ -4,6 +4,8 @@
 	"errors"
 	"testing"
 
+	"milletbarrow/monotime"
+
 	"pgregory.net/rapid"
 )
 
@@ -11,9 +13,9 @@
 func TestAcquireWithinGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floor, extra := int64(rapid.IntRange(0, 500).Draw(t, "floor")), int64(rapid.IntRange(0, 500).Draw(t, "extra"))
-		lease := Micros(rapid.IntRange(1, 3_000_000).Draw(t, "lease"))
+		lease := monotime.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "lease"))
 		h := New("n", "1", []string{"b"})
-		now := Micros(1_000_000)
+		now := monotime.Micros(1_000_000)
 		for range 3 {
 			if h.TryAcquire(now, 0) {
 				t.Fatal("a unit was acquired before the first grant")
@@ -22,13 +24,13 @@
 		}
 		request := h.NewRequest(now)
 		requestedAt := now
-		now += Micros(rapid.IntRange(0, 4_000_000).Draw(t, "response after"))
+		now += monotime.Micros(rapid.IntRange(0, 4_000_000).Draw(t, "response after"))
 		if err := h.Apply(now, LeaseResponse{Name: "n", Incarnation: "1", Number: request.Number, Grants: []Grant{{"b", 5, floor, extra, lease}}}); err != nil {
 			t.Fatal(err)
 		}
 		grantedAt, acquired := now, int64(0)
 		for range rapid.IntRange(1, 200).Draw(t, "units") {
-			now += Micros(rapid.IntRange(0, 60_000).Draw(t, "step"))
+			now += monotime.Micros(rapid.IntRange(0, 60_000).Draw(t, "step"))
 			if h.TryAcquire(now, 0) {
 				acquired++
 			}
@@ -120,7 +122,7 @@
 	if err := h.Apply(2, LeaseResponse{"n", "1", a.Number, []Grant{{"b", 1, 1000, 1000, 1 << 40}}, ""}); err != nil {
 		b.Fatal(err)
 	}
-	now := Micros(3)
+	now := monotime.Micros(3)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 600
--- a/internal/backend/quotalog/log.go
+++ b/internal/backend/quotalog/log.go
@@ -8,18 +8,19 @@
 	"io"
 
 	"milletbarrow/internal/backend/quota"
+	"milletbarrow/monotime"
 )
 
 // Log writes the records of one process. Not safe for concurrent use.
 type Log struct {
 	out    *bufio.Writer
-	since  int64
+	since  monotime.Micros
 	logged []int64 // by budget: the units drawn that are recorded
 }
 
 // New writes to w; every call ends with a complete line there. The first line is "clock TIME PPM": how much faster the
 // holder's own clock runs. If it can't be written, the next record returns the error.
-func New(w io.Writer, at int64, ppm int) *Log {
+func New(w io.Writer, at monotime.Micros, ppm int) *Log {
 	l := &Log{out: bufio.NewWriter(w), since: at}
 	fmt.Fprintf(l.out, "clock %d %d\n", at, ppm)
 	_ = l.out.Flush() // a bufio.Writer keeps its error
@@ -28,7 +29,7 @@
 
 // RecordHeld records the grants in force: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT", LEFT being how long the extra lasts
 // on the holder's own clock, now.
-func (l *Log) RecordHeld(at int64, now quota.Micros, budgets []quota.Status) error {
+func (l *Log) RecordHeld(at, now monotime.Micros, budgets []quota.Status) error {
 	for _, b := range budgets {
 		fmt.Fprintf(l.out, "have %d %s %d %d %d %d\n", at, b.Budget, b.Epoch, b.Floor, b.Extra, max(0, b.Until-now))
 	}
@@ -36,7 +37,7 @@
 }
 
 // RecordDrawn records the units acquired since the last time: "drew FROM TO BUDGET UNITS"; if there are none, "here TIME".
-func (l *Log) RecordDrawn(at int64, budgets []quota.Status) error {
+func (l *Log) RecordDrawn(at monotime.Micros, budgets []quota.Status) error {
 	if len(l.logged) < len(budgets) {
 		l.logged = append(l.logged, make([]int64, len(budgets)-len(l.logged))...)
 	}
--- a/internal/backend/quotalog/log_test.go
+++ b/internal/backend/quotalog/log_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"milletbarrow/internal/backend/quota"
+	"milletbarrow/monotime"
 )
 
 // TestLines: the lines of a log, as an auditor reads them.
@@ -68,7 +69,7 @@
 		{[]quota.Status{a(4), c(5)}, "here 70\n"},
 		{[]quota.Status{a(7), c(6)}, "drew 70 80 a 1\ndrew 70 80 c 1\n"},
 	} {
-		if err := l.RecordDrawn(int64(20+10*i), step.budgets); err != nil || b.String() != step.want {
+		if err := l.RecordDrawn(monotime.Micros(20+10*i), step.budgets); err != nil || b.String() != step.want {
 			t.Errorf("step %d: got %q, %v; wanted %q", i, b.String(), err, step.want)
 		}
 		b.Reset()
--- a/internal/backend/registration/guards_test.go
+++ b/internal/backend/registration/guards_test.go
@@ -17,6 +17,7 @@
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/logging"
+	"milletbarrow/monotime"
 )
 
 // run runs a reporter until the context ends or it has deregistered; done is closed then.
@@ -55,10 +56,10 @@
 func TestPacingConfig(t *testing.T) {
 	b := limits.For(1, 192, 1024)
 	paced, fixed := pacingConfig(b, false), pacingConfig(b, true)
-	if paced.Fixed || paced.RetryMin != micros(b.ReportRetryMin) || paced.InFlight != b.ReportsInFlight {
+	if paced.Fixed || paced.RetryMin != monotime.FromDuration(b.ReportRetryMin) || paced.InFlight != b.ReportsInFlight {
 		t.Errorf("paced: %+v", paced)
 	}
-	if !fixed.Fixed || fixed.RetryMin != micros(b.DeregisterRetry) || fixed.InFlight != 2*b.ReportsInFlight {
+	if !fixed.Fixed || fixed.RetryMin != monotime.FromDuration(b.DeregisterRetry) || fixed.InFlight != 2*b.ReportsInFlight {
 		t.Errorf("fixed: %+v", fixed)
 	}
 }
@@ -109,7 +110,7 @@
 	}
 	r.pacer.Started(20)
 	r.pace(result{startedAt: 20, err: io.ErrUnexpectedEOF, retryAfter: time.Minute}, 10)
-	if after, _ := r.pacer.Due(); after < micros(limits.For(1, 192, 1024).RetryAfterMax) {
+	if after, _ := r.pacer.Due(); after < monotime.FromDuration(limits.For(1, 192, 1024).RetryAfterMax) {
 		t.Errorf("after a failure at the present address, the next report is due at %d us", after)
 	}
 }
@@ -178,7 +179,7 @@
 	b := limits.For(1, 192, 1024)
 	b.ReportInterval, b.DeregisterRetry = time.Hour, 10*time.Millisecond
 	r := New(address, "n3", b, false)
-	r.pacer = reportpacing.New(reportpacing.Config{Interval: micros(time.Hour)}, 1) // no report before the deregistration
+	r.pacer = reportpacing.New(reportpacing.Config{Interval: monotime.FromDuration(time.Hour)}, 1) // no report before the deregistration
 	done := run(t.Context(), r)
 	r.Deregister()
 	takeOff(t, reports)
--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -22,6 +22,7 @@
 
 	"milletbarrow/internal/backend/registration/reportpacing"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // Reporter sends load reports when its pacer has them due. A report does not wait for the one before: a registry that is slower
@@ -45,7 +46,7 @@
 
 // result is a report that has ended.
 type result struct {
-	startedAt  reportpacing.Micros
+	startedAt  monotime.Micros
 	err        error
 	retryAfter time.Duration
 }
@@ -73,26 +74,24 @@
 // pacingConfig returns the pacer's configuration under these bounds.
 func pacingConfig(bounds limits.Bounds, fixed bool) reportpacing.Config {
 	config := reportpacing.Config{
-		Interval:      micros(bounds.ReportInterval),
-		TTL:           micros(bounds.RegistrationTTL),
-		RetryMin:      micros(bounds.ReportRetryMin),
-		RetryRefused:  micros(bounds.ReportRetryRefused),
-		RetryInitial:  micros(bounds.ReportRetryInitial),
-		RetryMax:      micros(bounds.ReportRetryMax),
-		RetryAfterMax: micros(bounds.RetryAfterMax),
+		Interval:      monotime.FromDuration(bounds.ReportInterval),
+		TTL:           monotime.FromDuration(bounds.RegistrationTTL),
+		RetryMin:      monotime.FromDuration(bounds.ReportRetryMin),
+		RetryRefused:  monotime.FromDuration(bounds.ReportRetryRefused),
+		RetryInitial:  monotime.FromDuration(bounds.ReportRetryInitial),
+		RetryMax:      monotime.FromDuration(bounds.ReportRetryMax),
+		RetryAfterMax: monotime.FromDuration(bounds.RetryAfterMax),
 		InFlight:      bounds.ReportsInFlight,
 		Fixed:         fixed,
 	}
 	if fixed {
-		config.RetryMin, config.InFlight = micros(bounds.DeregisterRetry), 2*bounds.ReportsInFlight
+		config.RetryMin, config.InFlight = monotime.FromDuration(bounds.DeregisterRetry), 2*bounds.ReportsInFlight
 	}
 	return config
 }
 
-func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
-
 // now returns the pacer's time: that since the reporter was made.
-func (r *Reporter) now() reportpacing.Micros { return micros(time.Since(r.startedAt)) }
+func (r *Reporter) now() monotime.Micros { return monotime.FromDuration(time.Since(r.startedAt)) }
 
 // Deregister makes Run report off at once, until the registry has accepted it, and nothing else after it. Further calls do
 // nothing.
@@ -154,14 +153,14 @@
 }
 
 // pace passes the result of a report on to the pacer. Results of reports to a former address say nothing about this one.
-func (r *Reporter) pace(ended result, addressSince reportpacing.Micros) {
+func (r *Reporter) pace(ended result, addressSince monotime.Micros) {
 	switch now := r.now(); {
 	case ended.startedAt < addressSince:
 		r.pacer.Abandoned()
 	case ended.err == nil:
 		r.pacer.Succeeded(now, ended.startedAt)
 	default:
-		r.pacer.Failed(now, failureOf(ended.err), micros(ended.retryAfter))
+		r.pacer.Failed(now, failureOf(ended.err), monotime.FromDuration(ended.retryAfter))
 	}
 }
 
--- a/internal/backend/registration/reportpacing/guards_test.go
+++ b/internal/backend/registration/reportpacing/guards_test.go
@@ -1,13 +1,17 @@
 package reportpacing
 
-import "testing"
+import (
+	"testing"
+
+	"milletbarrow/monotime"
+)
 
 // seeds is how many pacers are compared where a property is one of their distribution.
 const seeds = 200
 
 // delays returns the delay before the next report of pacers with different seeds; course brings each to the moment of interest,
 // and returns that moment.
-func delays(config Config, course func(p *Pacer) (now Micros)) (all []Micros) {
+func delays(config Config, course func(p *Pacer) (now monotime.Micros)) (all []monotime.Micros) {
 	for seed := range uint64(seeds) {
 		p := New(config, seed)
 		now := course(p)
@@ -18,7 +22,7 @@
 }
 
 // bounds returns the shortest and the longest delay.
-func bounds(all []Micros) (shortest, longest Micros) {
+func bounds(all []monotime.Micros) (shortest, longest monotime.Micros) {
 	shortest, longest = all[0], all[0]
 	for _, d := range all {
 		shortest, longest = min(shortest, d), max(longest, d)
@@ -27,7 +31,7 @@
 }
 
 // fail makes so many reports fail at now, as rejected.
-func fail(p *Pacer, now Micros, reports int) {
+func fail(p *Pacer, now monotime.Micros, reports int) {
 	for range reports {
 		p.Started(now)
 		p.Failed(now, Rejected, 0)
@@ -38,7 +42,7 @@
 // sends them at once.
 func TestFirstReportIsJittered(t *testing.T) {
 	config := testConfig()
-	start := func(p *Pacer) Micros { p.Start(5); return 5 }
+	start := func(p *Pacer) monotime.Micros { p.Start(5); return 5 }
 	if shortest, longest := bounds(delays(config, start)); shortest > config.Interval/10 || longest < config.Interval*9/10 {
 		t.Errorf("the first reports are due after %d to %d us", shortest, longest)
 	}
@@ -52,7 +56,7 @@
 func TestStartForgetsFormerAddress(t *testing.T) {
 	config := testConfig()
 	config.RetryInitial, config.RetryMax = 1_000_000, 60_000_000
-	failures := delays(config, func(p *Pacer) Micros {
+	failures := delays(config, func(p *Pacer) monotime.Micros {
 		fail(p, 0, 20)
 		p.Start(0)
 		fail(p, 0, 1)
@@ -62,7 +66,7 @@
 		t.Errorf("the first failure at a new address delays by %d us", longest)
 	}
 	config = testConfig()
-	entry := delays(config, func(p *Pacer) Micros {
+	entry := delays(config, func(p *Pacer) monotime.Micros {
 		p.Started(0)
 		p.Succeeded(0, 0)
 		p.Start(2_000_000) // the entry at the former address would expire in a second
@@ -78,7 +82,7 @@
 // keeps its interval.
 func TestOverlappingReportsBackOff(t *testing.T) {
 	config := testConfig()
-	overlap := func(p *Pacer) Micros {
+	overlap := func(p *Pacer) monotime.Micros {
 		p.Start(0)
 		p.Started(0)
 		p.Started(0)
@@ -137,7 +141,7 @@
 	config := testConfig()
 	config.TTL = 1 << 40 // the entry does not bound the delays
 	config.RetryInitial, config.RetryMax = 1_000_000, 60_000_000
-	success := func(p *Pacer) Micros {
+	success := func(p *Pacer) monotime.Micros {
 		p.Start(0)
 		fail(p, 0, 20)
 		p.Started(0)
@@ -149,7 +153,7 @@
 	if _, longest := bounds(delays(config, success)); longest > config.Interval*9/7 {
 		t.Errorf("after a success, the next report is due after %d us", longest)
 	}
-	after := delays(config, func(p *Pacer) Micros { now := success(p); fail(p, now, 1); return now })
+	after := delays(config, func(p *Pacer) monotime.Micros { now := success(p); fail(p, now, 1); return now })
 	if _, longest := bounds(after); longest > config.RetryInitial {
 		t.Errorf("the first failure after a success delays by %d us", longest)
 	}
@@ -159,8 +163,8 @@
 // do not come back at the same time.
 func TestRetryAfterIsBoundedAndSpread(t *testing.T) {
 	config := testConfig()
-	for _, c := range []struct{ retryAfter, want Micros }{{5_000_000, 5_000_000}, {3_600_000_000, config.RetryAfterMax}} {
-		all := delays(config, func(p *Pacer) Micros {
+	for _, c := range []struct{ retryAfter, want monotime.Micros }{{5_000_000, 5_000_000}, {3_600_000_000, config.RetryAfterMax}} {
+		all := delays(config, func(p *Pacer) monotime.Micros {
 			p.Started(0)
 			p.Failed(0, Rejected, c.retryAfter)
 			return 0
@@ -195,7 +199,7 @@
 func TestRetryDelays(t *testing.T) {
 	config := testConfig()
 	const grown = 20 // failures, after which the bound is RetryMax
-	refused := delays(config, func(p *Pacer) Micros {
+	refused := delays(config, func(p *Pacer) monotime.Micros {
 		fail(p, 0, grown)
 		p.Started(0)
 		p.Failed(0, Refused, 0)
@@ -204,12 +208,12 @@
 	if _, longest := bounds(refused); longest > config.RetryRefused {
 		t.Errorf("a refused connection delays by %d us", longest)
 	}
-	never := delays(config, func(p *Pacer) Micros { fail(p, config.TTL*2/3, 1); return config.TTL * 2 / 3 })
+	never := delays(config, func(p *Pacer) monotime.Micros { fail(p, config.TTL*2/3, 1); return config.TTL * 2 / 3 })
 	if _, longest := bounds(never); longest < config.TTL/2 {
 		t.Errorf("without an entry, delays are up to %d us", longest)
 	}
-	entry := func(age Micros) []Micros {
-		return delays(config, func(p *Pacer) Micros {
+	entry := func(age monotime.Micros) []monotime.Micros {
+		return delays(config, func(p *Pacer) monotime.Micros {
 			p.Started(0)
 			p.Succeeded(0, 0)
 			fail(p, age, 1)
@@ -223,7 +227,7 @@
 		t.Errorf("too late to renew the entry, delays are up to %d us", longest)
 	}
 	config.RetryInitial, config.RetryMax = config.RetryMin/10, config.RetryMin/10
-	if shortest, _ := bounds(delays(config, func(p *Pacer) Micros { fail(p, 0, 1); return 0 })); shortest < config.RetryMin {
+	if shortest, _ := bounds(delays(config, func(p *Pacer) monotime.Micros { fail(p, 0, 1); return 0 })); shortest < config.RetryMin {
 		t.Errorf("a failure delays by %d us", shortest)
 	}
 }
--- a/internal/backend/registration/reportpacing/pacer.go
+++ b/internal/backend/registration/reportpacing/pacer.go
@@ -7,22 +7,20 @@
 	"time"
 
 	"milletbarrow/internal/backoff"
+	"milletbarrow/monotime"
 )
 
-// Micros is a time on a monotonic clock, or a duration, in whole microseconds.
-type Micros int64
-
 // Config is the configuration of one backend's reports.
 type Config struct {
-	Interval      Micros // between two reports, in the mean
-	TTL           Micros // the registry drops an entry so long after its last report
-	RetryMin      Micros // the shortest pause after a failed report
-	RetryRefused  Micros // the longest pause while the registry's address refuses connections: calls cost it nothing then
-	RetryInitial  Micros // the longest pause after the first failure of another kind; it grows by half with each
-	RetryMax      Micros // up to this
-	RetryAfterMax Micros // the longest Retry-After that is honoured
-	InFlight      int    // reports in flight at the same time, at most
-	Fixed         bool   // no jitter and no backoff: for comparison
+	Interval      monotime.Micros // between two reports, in the mean
+	TTL           monotime.Micros // the registry drops an entry so long after its last report
+	RetryMin      monotime.Micros // the shortest pause after a failed report
+	RetryRefused  monotime.Micros // the longest pause while the registry's address refuses connections: calls cost it nothing then
+	RetryInitial  monotime.Micros // the longest pause after the first failure of another kind; it grows by half with each
+	RetryMax      monotime.Micros // up to this
+	RetryAfterMax monotime.Micros // the longest Retry-After that is honoured
+	InFlight      int             // reports in flight at the same time, at most
+	Fixed         bool            // no jitter and no backoff: for comparison
 }
 
 // Failure is how a report failed.
@@ -42,10 +40,10 @@
 	growth      backoff.Exponential // of the bound that a retry delay is drawn below
 	failures    int                 // in a row: intervals of growth used up
 	inFlight    int
-	due         Micros
-	lastCounted Micros // start of the last report that the registry has counted
-	registered  bool   // one was counted since Start
-	overlapping bool   // the last two were in flight at the same time: the registry is slow
+	due         monotime.Micros
+	lastCounted monotime.Micros // start of the last report that the registry has counted
+	registered  bool            // one was counted since Start
+	overlapping bool            // the last two were in flight at the same time: the registry is slow
 }
 
 // New makes a pacer. The seed has to differ between processes: backends that start at the same time must not stay in step.
@@ -56,16 +54,16 @@
 	}
 }
 
-func duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func duration(m monotime.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 // uniform draws from 0 to bound, both included.
-func (p *Pacer) uniform(bound Micros) Micros {
-	return Micros(p.random.Int64N(int64(max(0, bound)) + 1))
+func (p *Pacer) uniform(bound monotime.Micros) monotime.Micros {
+	return monotime.Micros(p.random.Int64N(int64(max(0, bound)) + 1))
 }
 
 // interval draws the pause after a report that counts: five to nine sevenths of the mean. Three fit into the TTL, so that one
 // lost report does not lose the entry.
-func (p *Pacer) interval() Micros {
+func (p *Pacer) interval() monotime.Micros {
 	if p.config.Fixed {
 		return p.config.Interval
 	}
@@ -73,7 +71,7 @@
 }
 
 // Start makes the first report due, or the first to another address of the registry.
-func (p *Pacer) Start(now Micros) {
+func (p *Pacer) Start(now monotime.Micros) {
 	p.failures = 0
 	p.registered, p.due = false, now
 	if !p.config.Fixed {
@@ -82,11 +80,13 @@
 }
 
 // Due returns when the next report is due; mayReport is false while the maximum of reports is in flight.
-func (p *Pacer) Due() (at Micros, mayReport bool) { return p.due, p.inFlight < p.config.InFlight }
+func (p *Pacer) Due() (at monotime.Micros, mayReport bool) {
+	return p.due, p.inFlight < p.config.InFlight
+}
 
 // Started notes that a report was sent. Where the one before is still in flight, the registry is slow, and the next is delayed
 // as after a failure.
-func (p *Pacer) Started(now Micros) {
+func (p *Pacer) Started(now monotime.Micros) {
 	p.overlapping = p.inFlight > 0
 	p.inFlight++
 	p.due = now + p.interval()
@@ -96,7 +96,7 @@
 }
 
 // Succeeded notes that a report, sent at startedAt, was counted.
-func (p *Pacer) Succeeded(now, startedAt Micros) {
+func (p *Pacer) Succeeded(now, startedAt monotime.Micros) {
 	p.inFlight--
 	p.lastCounted, p.registered = max(p.lastCounted, startedAt), true
 	p.failures = 0
@@ -106,7 +106,7 @@
 }
 
 // Failed notes that a report failed. retryAfter is the registry's Retry-After, 0 if it gave none.
-func (p *Pacer) Failed(now Micros, failure Failure, retryAfter Micros) {
+func (p *Pacer) Failed(now monotime.Micros, failure Failure, retryAfter monotime.Micros) {
 	p.inFlight--
 	if p.config.Fixed {
 		if failure != TimedOut {
@@ -129,9 +129,9 @@
 
 // retryDelay draws a delay below a bound that grows with each failure: full jitter. While the entry exists, the next attempt is
 // made in time to renew it, unless it is too late for that.
-func (p *Pacer) retryDelay(now Micros, failure Failure) Micros {
+func (p *Pacer) retryDelay(now monotime.Micros, failure Failure) monotime.Micros {
 	p.failures++
-	bound := Micros(p.growth.Interval(p.failures).Microseconds())
+	bound := monotime.FromDuration(p.growth.Interval(p.failures))
 	if failure == Refused {
 		bound = min(bound, p.config.RetryRefused)
 	}
--- a/internal/backend/registration/reportpacing/pacer_test.go
+++ b/internal/backend/registration/reportpacing/pacer_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"milletbarrow/monotime"
+
 	"pgregory.net/rapid"
 )
 
@@ -17,12 +19,12 @@
 func TestEntryIsRenewedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(testConfig(), rapid.Uint64().Draw(t, "seed"))
-		now := Micros(rapid.Int64Range(0, 1<<40).Draw(t, "now"))
+		now := monotime.Micros(rapid.Int64Range(0, 1<<40).Draw(t, "now"))
 		p.Start(now)
 		if at, _ := p.Due(); at < now || at > now+testConfig().Interval {
 			t.Fatalf("the first is due after %d us", at-now)
 		}
-		failedBefore, lastCounted, notBefore := false, Micros(0), Micros(0)
+		failedBefore, lastCounted, notBefore := false, monotime.Micros(0), monotime.Micros(0)
 		for range 60 {
 			at, mayReport := p.Due()
 			if !mayReport {
@@ -37,10 +39,10 @@
 			}
 			p.Started(now)
 			startedAt := now
-			now += Micros(rapid.IntRange(1, 200_000).Draw(t, "takes"))
+			now += monotime.Micros(rapid.IntRange(1, 200_000).Draw(t, "takes"))
 			notBefore = 0
 			if !failedBefore && rapid.Bool().Draw(t, "fails") {
-				retryAfter := Micros(rapid.SampledFrom([]int{0, 0, 5_000_000}).Draw(t, "retry after"))
+				retryAfter := monotime.Micros(rapid.SampledFrom([]int{0, 0, 5_000_000}).Draw(t, "retry after"))
 				p.Failed(now, Failure(rapid.IntRange(0, 1).Draw(t, "failure")), retryAfter)
 				if failedBefore = true; retryAfter > 0 {
 					notBefore = now + retryAfter
@@ -80,7 +82,7 @@
 	for n := range backends {
 		p := New(testConfig(), uint64(n))
 		p.Start(0)
-		for lastReport := Micros(0); ; {
+		for lastReport := monotime.Micros(0); ; {
 			at, _ := p.Due()
 			if at >= seconds*1_000_000 {
 				break
@@ -106,8 +108,8 @@
 func TestSilentRegistryBoundsCallsInFlight(t *testing.T) {
 	p := New(testConfig(), 7)
 	p.Start(0)
-	open := []Micros{}
-	for now := Micros(0); now < 30_000_000; now += 1000 {
+	open := []monotime.Micros{}
+	for now := monotime.Micros(0); now < 30_000_000; now += 1000 {
 		for len(open) > 0 && now-open[0] >= 2_800_000 {
 			open = open[1:]
 			p.Failed(now, TimedOut, 0)
--- a/internal/backend/server/conn.go
+++ b/internal/backend/server/conn.go
@@ -6,8 +6,8 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"milletbarrow/internal/backend/dispatch"
 	"milletbarrow/internal/backend/frame"
+	"milletbarrow/monotime"
 )
 
 // conn is one connection of an edge node. Its input is handled on netpoll's poller itself: it is read no faster than it is
@@ -65,7 +65,7 @@
 }
 
 // answer gives a stream its one answer, unless it was canceled or answered before. retryAfter and last go to the caller as they are.
-func (c *conn) answer(st *stream, code frame.Code, retryAfter dispatch.Micros, last bool, body []byte) {
+func (c *conn) answer(st *stream, code frame.Code, retryAfter monotime.Micros, last bool, body []byte) {
 	c.mu.Lock()
 	if c.streams[st.number] != st {
 		c.mu.Unlock()
--- a/internal/backend/server/repeat_test.go
+++ b/internal/backend/server/repeat_test.go
@@ -11,6 +11,7 @@
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // withIdempotencyKeys makes the operation post idempotent by its keys.
@@ -155,7 +156,7 @@
 	var slack time.Duration
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
 		withIdempotencyKeys(b, settings)
-		settings.Admission.Operations[1].RepeatWindow = admission.Micros(window.Microseconds())
+		settings.Admission.Operations[1].RepeatWindow = monotime.FromDuration(window)
 		slack = time.Duration(settings.Admission.AnswerSlack) * time.Microsecond
 	})
 	n := fakes.Dial(t, s.address)
--- a/internal/backend/shadow/compare.go
+++ b/internal/backend/shadow/compare.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // compare counts the differences between the actions of both sides on one event; arrived is the request that has just
@@ -94,7 +95,7 @@
 }
 
 // moreThanHalf reports whether a time is longer than another by more than half of it.
-func moreThanHalf(a, b admission.Micros) bool { return a > b*3/2 }
+func moreThanHalf(a, b monotime.Micros) bool { return a > b*3/2 }
 
 // firstStarted returns the request that is started first, or "".
 func firstStarted(actions []admission.Action) string {
--- a/internal/backend/shadow/evaluator.go
+++ b/internal/backend/shadow/evaluator.go
@@ -3,7 +3,10 @@
 // carried out. It does no I/O and has no clock.
 package shadow
 
-import "milletbarrow/admission"
+import (
+	"milletbarrow/admission"
+	"milletbarrow/monotime"
+)
 
 // side is one of the two modules; it indexes what is known of both.
 type side int
@@ -23,18 +26,18 @@
 	actions     []admission.Action // of the shadow's latest decision; reused
 	unanswered  map[string]bool    // requests in flight that the primary has not answered; true: nor has the shadow
 	counts      Counts
-	healthy     [sideCount]bool             // as each has last set it
-	idleTimeout [sideCount]admission.Micros // as each has last set it
-	timerToken  int64                       // of the shadow's timer
+	healthy     [sideCount]bool            // as each has last set it
+	idleTimeout [sideCount]monotime.Micros // as each has last set it
+	timerToken  int64                      // of the shadow's timer
 }
 
 // New starts a shadow with another configuration. now is when the primary opened, or any later time: requests that it had
 // in flight then are not compared.
-func New(cfg admission.Config, seed uint64, now admission.Micros) *Evaluator {
+func New(cfg admission.Config, seed uint64, now monotime.Micros) *Evaluator {
 	cfg.ConfirmStarts = true
 	e := &Evaluator{
 		module: admission.New(cfg, seed), unanswered: map[string]bool{}, healthy: [sideCount]bool{true, true},
-		idleTimeout: [sideCount]admission.Micros{cfg.IdleTimeout, cfg.IdleTimeout},
+		idleTimeout: [sideCount]monotime.Micros{cfg.IdleTimeout, cfg.IdleTimeout},
 	}
 	e.decide(now, admission.Opened{})
 	return e
@@ -44,7 +47,7 @@
 func (e *Evaluator) Counts() Counts { return e.counts }
 
 // Observe takes in an event and the actions that the primary decided on.
-func (e *Evaluator) Observe(now admission.Micros, event admission.Event, actions []admission.Action) {
+func (e *Evaluator) Observe(now monotime.Micros, event admission.Event, actions []admission.Action) {
 	if _, opened := event.(admission.Opened); opened || e.counts.Panics > 0 {
 		return
 	}
@@ -77,7 +80,7 @@
 
 // follow has the shadow go on from what really happened: what the primary started runs for the shadow too, and a request
 // that the primary answered is over for both.
-func (e *Evaluator) follow(now admission.Micros, actions []admission.Action) {
+func (e *Evaluator) follow(now monotime.Micros, actions []admission.Action) {
 	for _, action := range actions {
 		if start, ok := action.(admission.Start); ok {
 			e.decide(now, admission.Launched(start))
@@ -92,7 +95,7 @@
 }
 
 // decide passes an event to the shadow.
-func (e *Evaluator) decide(now admission.Micros, event admission.Event) {
+func (e *Evaluator) decide(now monotime.Micros, event admission.Event) {
 	e.actions = e.module.Decide(now, event, e.actions[:0])
 	for _, action := range e.actions {
 		if wake, ok := action.(admission.Wake); ok {
--- a/internal/backend/shadow/evaluator_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -9,6 +9,7 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
 )
 
 // config is that of a small deployment; shape changes it.
@@ -30,7 +31,7 @@
 type pair struct {
 	primary   *admission.Backend
 	evaluator *Evaluator
-	now       admission.Micros
+	now       monotime.Micros
 	running   []string
 	record    bool // keep the started requests in running
 }
@@ -67,15 +68,15 @@
 	arrived := 0
 	p.now += 10_000
 	for range rapid.IntRange(20, 200).Draw(t, "events") {
-		p.now += admission.Micros(rapid.IntRange(0, 30_000).Draw(t, "later"))
+		p.now += monotime.Micros(rapid.IntRange(0, 30_000).Draw(t, "later"))
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0, 1, 2, 3, 4, 5:
 			arrived++
 			a := admission.Arrived{
 				ID: fmt.Sprint("i", arrived), Operation: rapid.IntRange(0, 1).Draw(t, "operation"), MemoryKB: 30,
 				Priority: rapid.Float64Range(0, 0.99).Draw(t, "rank"), Retry: rapid.Bool().Draw(t, "retry"),
-				QueueTime: admission.Micros(rapid.IntRange(0, 1_200_000).Draw(t, "waited")),
-				TimeLeft:  admission.Micros(rapid.IntRange(1, 4_000_000).Draw(t, "budget")),
+				QueueTime: monotime.Micros(rapid.IntRange(0, 1_200_000).Draw(t, "waited")),
+				TimeLeft:  monotime.Micros(rapid.IntRange(1, 4_000_000).Draw(t, "budget")),
 			}
 			if arrived > 3 && a.Operation == 1 && rapid.IntRange(0, 3).Draw(t, "repeat") == 0 {
 				a.RepeatOf = fmt.Sprint("i", rapid.IntRange(1, arrived-1).Draw(t, "of"))
@@ -122,7 +123,7 @@
 		if !same {
 			second = config(func(s *admission.Config) {
 				s.RetriesUnmarked, s.AdvertisedValue, s.Preemption = true, admission.TrafficWeight, admission.PreemptionPauses
-				s.Operations[0].Objective /= admission.Micros(rapid.IntRange(1, 9).Draw(t, "objective"))
+				s.Operations[0].Objective /= monotime.Micros(rapid.IntRange(1, 9).Draw(t, "objective"))
 				s.Operations[1].RetrySafety = admission.Idempotent
 				s.MemoryKB /= float64(rapid.IntRange(1, 100).Draw(t, "memory"))
 			})
@@ -227,7 +228,7 @@
 // TestDifferences: each kind is counted where one setting makes the difference.
 func TestDifferences(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	arrive := func(p *pair, n, operation int, budget admission.Micros) {
+	arrive := func(p *pair, n, operation int, budget monotime.Micros) {
 		p.now += 1000
 		p.observe(admission.Arrived{ID: fmt.Sprint("i", n), Operation: operation, MemoryKB: 30, TimeLeft: budget, Priority: 0.1})
 	}
@@ -251,7 +252,7 @@
 		{"no mark: unusual waits", none, func(s *admission.Config) { s.RetriesUnmarked = true }, func(p *pair) {
 			for n := range 300 {
 				p.tick(9)
-				arrive(p, n, 0, []admission.Micros{2_250_000, 4_500_000 - admission.Micros(n*7919%2_000_000)}[n%2])
+				arrive(p, n, 0, []monotime.Micros{2_250_000, 4_500_000 - monotime.Micros(n*7919%2_000_000)}[n%2])
 			}
 		}},
 		{"a smaller memory", none, small, crowd},
--- a/internal/cluster/coldstart/invariants_test.go
+++ b/internal/cluster/coldstart/invariants_test.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 	"testing"
+
+	"milletbarrow/monotime"
 )
 
 func newTestStart(t *testing.T, config Config, names ...string) *State {
@@ -48,7 +50,7 @@
 // TestSlowStartDecreases: a start that takes a multiple of its group's fastest halves the limit.
 func TestSlowStartDecreases(t *testing.T) {
 	s := newTestStart(t, testConfig(8), "a", "b", "c", "d", "e")
-	for i, took := range []Micros{1000, 1000, 3001} {
+	for i, took := range []monotime.Micros{1000, 1000, 3001} {
 		name := string(rune('a' + i))
 		if ok, why := s.RequestStart(name); !ok {
 			t.Fatal(why)
--- a/internal/cluster/coldstart/state.go
+++ b/internal/cluster/coldstart/state.go
@@ -11,13 +11,10 @@
 	"fmt"
 	"time"
 
-	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/backoff"
+	"milletbarrow/monotime"
 )
 
-// Micros is a duration in microseconds.
-type Micros = quota.Micros
-
 // Bounds of a cold start.
 const (
 	MaxMembers    = 20_000
@@ -32,10 +29,10 @@
 
 // Outcome is how a start ended, or what became of an instance that was started.
 type Outcome struct {
-	Ready    bool    `json:"warm"`
-	Took     Micros  `json:"took_us,omitempty"`
-	Rejected float64 `json:"refused,omitempty"` // share of the calls to dependencies and to the registry that its host saw rejected meanwhile
-	Cause    string  `json:"cause,omitempty"`
+	Ready    bool            `json:"warm"`
+	Took     monotime.Micros `json:"took_us,omitempty"`
+	Rejected float64         `json:"refused,omitempty"` // share of the calls to dependencies and to the registry that its host saw rejected meanwhile
+	Cause    string          `json:"cause,omitempty"`
 }
 
 // RunningStart is a start whose outcome was not reported yet.
@@ -46,25 +43,25 @@
 // State is a cold start. Its exported fields are there to be encoded; only its methods change them. It is not safe for
 // concurrent use.
 type State struct {
-	ID                  string                  `json:"id"`
-	Config              Config                  `json:"terms"`
-	Members             []Member                `json:"order"` // in the order in which they are to start
-	Essential           int                     `json:"first"` // so many of them come first: their groups need them to serve
-	Starting            map[string]RunningStart `json:"under"`
-	Ready               map[string]bool         `json:"warm"`
-	Failed              map[string]string       `json:"failed"` // the cause by name; a further request tries again
-	LastRequest         map[string]uint64       `json:"asked"`  // by waiting member: the value of Requests at its latest
-	Requests            uint64                  `json:"asks"`
-	Starts              uint64                  `json:"starts"`
-	ScaledLimit         int64                   `json:"pace"` // how many may be starting now, in thousandths
-	DecreasedAt         uint64                  `json:"cut"`  // value of Starts at the latest decrease; earlier starts say nothing about the limit of now
-	SlowIncrease        bool                    `json:"grown"`
-	ConsecutiveFailures int64                   `json:"row"`               // since the latest success
-	Pause               Micros                  `json:"rest_us,omitempty"` // nothing starts until the leader has timed as long
-	PauseNumber         uint64                  `json:"rest_no,omitempty"`
-	Fastest             map[string]Micros       `json:"best"`
-	HaltReason          string                  `json:"halted,omitempty"` // why nothing more is started
-	Reason              string                  `json:"cause"`            // of the present limit
+	ID                  string                     `json:"id"`
+	Config              Config                     `json:"terms"`
+	Members             []Member                   `json:"order"` // in the order in which they are to start
+	Essential           int                        `json:"first"` // so many of them come first: their groups need them to serve
+	Starting            map[string]RunningStart    `json:"under"`
+	Ready               map[string]bool            `json:"warm"`
+	Failed              map[string]string          `json:"failed"` // the cause by name; a further request tries again
+	LastRequest         map[string]uint64          `json:"asked"`  // by waiting member: the value of Requests at its latest
+	Requests            uint64                     `json:"asks"`
+	Starts              uint64                     `json:"starts"`
+	ScaledLimit         int64                      `json:"pace"` // how many may be starting now, in thousandths
+	DecreasedAt         uint64                     `json:"cut"`  // value of Starts at the latest decrease; earlier starts say nothing about the limit of now
+	SlowIncrease        bool                       `json:"grown"`
+	ConsecutiveFailures int64                      `json:"row"`               // since the latest success
+	Pause               monotime.Micros            `json:"rest_us,omitempty"` // nothing starts until the leader has timed as long
+	PauseNumber         uint64                     `json:"rest_no,omitempty"`
+	Fastest             map[string]monotime.Micros `json:"best"`
+	HaltReason          string                     `json:"halted,omitempty"` // why nothing more is started
+	Reason              string                     `json:"cause"`            // of the present limit
 
 	position map[string]int
 }
@@ -90,7 +87,7 @@
 	}
 	s := &State{
 		ID: id, Config: config, Starting: map[string]RunningStart{}, Ready: map[string]bool{}, Failed: map[string]string{}, LastRequest: map[string]uint64{},
-		Fastest: map[string]Micros{}, ScaledLimit: config.InitialConcurrent * limitScale, Reason: "the beginning",
+		Fastest: map[string]monotime.Micros{}, ScaledLimit: config.InitialConcurrent * limitScale, Reason: "the beginning",
 	}
 	s.Members, s.Essential = orderMembers(config.MinServing, members)
 	s.RebuildIndex()
@@ -266,9 +263,9 @@
 
 // pauseDuration is how long nothing starts after so many further failures: a dependency may recover only if it is left
 // alone, and one start at a time would keep it overloaded for ever.
-func pauseDuration(n int64) Micros {
+func pauseDuration(n int64) monotime.Micros {
 	growth := backoff.Exponential{Initial: minPause, Max: maxPause, Multiplier: 2}
-	return Micros(growth.Interval(int(min(n, maxPauseSteps)) + 1).Microseconds())
+	return monotime.Micros(growth.Interval(int(min(n, maxPauseSteps)) + 1).Microseconds())
 }
 
 // EndPause ends the pause of that number, once the leader has timed it by its own clock.
--- a/internal/cluster/coldstart/state_test.go
+++ b/internal/cluster/coldstart/state_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"testing"
 
+	"milletbarrow/monotime"
+
 	"pgregory.net/rapid"
 )
 
@@ -34,7 +36,7 @@
 		step := func(healthy bool) {
 			name := rapid.SampledFrom(s.Members).Draw(t, "member").Name
 			if starting[name] {
-				e := Outcome{Ready: healthy || rapid.Bool().Draw(t, "ready"), Took: Micros(rapid.IntRange(1, 9_000_000).Draw(t, "took")), Cause: "x"}
+				e := Outcome{Ready: healthy || rapid.Bool().Draw(t, "ready"), Took: monotime.Micros(rapid.IntRange(1, 9_000_000).Draw(t, "took")), Cause: "x"}
 				if !healthy {
 					e.Rejected = rapid.Float64Range(0, 1).Draw(t, "rejected")
 				}
@@ -156,7 +158,7 @@
 		t.Fatalf("a round after a decrease: limit from %d to %d, want one more", before, s.ScaledLimit)
 	}
 	// A release of which each start fails: the limit is halved, the pauses grow, and after five in a row it halts.
-	before, paused := s.ScaledLimit, Micros(0)
+	before, paused := s.ScaledLimit, monotime.Micros(0)
 	for i := range 5 {
 		n := round(func(int) Outcome { return Outcome{Cause: "its configuration can't be read"} })
 		if n == 0 || s.HaltReason == "" && s.ScaledLimit > before {
--- a/internal/cluster/membership/guards_test.go
+++ b/internal/cluster/membership/guards_test.go
@@ -17,16 +17,17 @@
 
 	"milletbarrow/internal/cluster/transport"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // patience is how long a test waits for what has to happen.
 const patience = 10 * time.Second
 
 // newTestList returns a list of h1, which judges h1 to h4 and is not run, with the changes that it reports and its clock.
-func newTestList() (l *List, changed *[]Member, now *int64) {
-	changed, now = new([]Member), new(int64)
+func newTestList() (l *List, changed *[]Member, now *monotime.Micros) {
+	changed, now = new([]Member), new(monotime.Micros)
 	l = New(Config{
-		Host: "h1", Hosts: []string{"h1", "h2", "h3", "h4"}, Clock: func() int64 { return *now },
+		Host: "h1", Hosts: []string{"h1", "h2", "h3", "h4"}, Clock: func() monotime.Micros { return *now },
 		OnChange: func(m Member) { *changed = append(*changed, m) },
 	})
 	return l, changed, now
@@ -42,7 +43,7 @@
 	l, changed, now := newTestList()
 	events := changes{l}
 	for _, step := range []struct {
-		at     int64
+		at     monotime.Micros
 		notify func(*memberlist.Node)
 		node   *memberlist.Node
 		want   string // what is reported
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -16,6 +16,7 @@
 
 	"milletbarrow/internal/cluster/transport"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // State of an agent, as this one judges it.
@@ -46,10 +47,10 @@
 
 // Member is one agent, as this one judges it.
 type Member struct {
-	Host        string `json:"host"`
-	State       State  `json:"state"`
-	Incarnation uint64 `json:"incarnation,omitempty"` // differs for each start of that agent
-	For         int64  `json:"for_us"`                // microseconds in this state
+	Host        string          `json:"host"`
+	State       State           `json:"state"`
+	Incarnation uint64          `json:"incarnation,omitempty"` // differs for each start of that agent
+	For         monotime.Micros `json:"for_us"`                // microseconds in this state
 }
 
 // Config is what a List is made of.
@@ -59,7 +60,7 @@
 	Hosts       []string // all, in an order that every agent has
 	Transport   *transport.Transport
 	Bounds      limits.Control
-	Clock       func() int64 // microseconds
+	Clock       func() monotime.Micros
 	OnChange    func(Member) // called for each change of a host's state; must not block
 }
 
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -68,7 +68,7 @@
 func openStore(config Config, t *transport.Transport, onEvent func(quota.Event)) (*quotastore.Store, error) {
 	s, err := quotastore.Open(quotastore.Config{
 		Host: config.Host, Members: config.Spec.QuotaHosts, Dir: filepath.Join(config.Dir, "ledger"), TrustDir: config.TrustDir,
-		Transport: t, Bounds: config.Bounds, Clock: func() quota.Micros { return quota.Micros(process.Now()) }, OnEvent: onEvent,
+		Transport: t, Bounds: config.Bounds, Clock: process.Now, OnEvent: onEvent,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/cluster/quota/coldstart.go
+++ b/internal/cluster/quota/coldstart.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/monotime"
 )
 
 // Actions on a cold start, as they stand in commands.
@@ -139,12 +140,12 @@
 // runningPause is a pause, and when this leader first saw it.
 type runningPause struct {
 	ElapsedPause
-	since Micros
+	since monotime.Micros
 }
 
 // ElapsedPauses lists the pauses of cold starts that have lasted as long as they are to, by the leader's own clock: from
 // when this leader first saw them, so that each leader times them in full.
-func (t *LeaseTracker) ElapsedPauses(now Micros, s *State) (elapsed []ElapsedPause) {
+func (t *LeaseTracker) ElapsedPauses(now monotime.Micros, s *State) (elapsed []ElapsedPause) {
 	for _, limit := range sortedKeys(s.ColdStarts) {
 		start := s.ColdStarts[limit]
 		if start.Pause == 0 {
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -11,6 +11,7 @@
 	"slices"
 
 	"milletbarrow/internal/backend/quota"
+	"milletbarrow/monotime"
 )
 
 // Kind says what a limit counts.
@@ -41,8 +42,8 @@
 	Division    Division         `json:"divide,omitempty"`
 	Weights     map[string]int64 `json:"weight,omitempty"` // by backend, where it is divided by capacity; 1 for those not named
 	Step        int64            `json:"step,omitempty"`   // the smallest part that is moved
-	Lease       Micros           `json:"lease_us,omitempty"`
-	ClockMargin Micros           `json:"margin_us,omitempty"` // how far clocks may run apart over one lease
+	Lease       monotime.Micros  `json:"lease_us,omitempty"`
+	ClockMargin monotime.Micros  `json:"margin_us,omitempty"` // how far clocks may run apart over one lease
 	Tenant      string           `json:"tenant,omitempty"`    // whose requests draw
 	Reserved    int64            `json:"aside,omitempty"`     // permits that hosts may use without acquiring them, one each
 }
@@ -73,7 +74,7 @@
 
 // MinClockMargin is the least margin for a lease: clocks of hosts may run apart by one in a hundred, and the margin covers
 // the resolution of timers, however short the lease is.
-func MinClockMargin(lease Micros) Micros { return max(lease/100, 10_000) }
+func MinClockMargin(lease monotime.Micros) monotime.Micros { return max(lease/100, 10_000) }
 
 // LimitError says why a Limit can't be used.
 type LimitError struct {
--- a/internal/cluster/quota/division.go
+++ b/internal/cluster/quota/division.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"milletbarrow/monotime"
 )
 
 // Claim is what one backend claims above its floor.
@@ -107,7 +109,7 @@
 
 // estimateDemand smooths a demand, in units a second, by what was drawn and denied over a duration: it moves by half of the
 // difference. Denied units count for at most twice the client's quota and an eighth of the total, whatever it reports.
-func estimateDemand(previous, quota, total, drawn, denied int64, over Micros) int64 {
+func estimateDemand(previous, quota, total, drawn, denied int64, over monotime.Micros) int64 {
 	if over <= 0 || drawn < 0 || denied < 0 {
 		return previous
 	}
--- a/internal/cluster/quota/invariants_test.go
+++ b/internal/cluster/quota/invariants_test.go
@@ -5,11 +5,12 @@
 	"testing"
 
 	"milletbarrow/internal/backend/quota"
+	"milletbarrow/monotime"
 )
 
 const (
-	testLease  = Micros(1_000_000)
-	testMargin = Micros(50_000)
+	testLease  = monotime.Micros(1_000_000)
+	testMargin = monotime.Micros(50_000)
 )
 
 // requester sends the lease requests of one process, numbered and with the epoch that it last got.
@@ -46,9 +47,9 @@
 	r.renew(s, false)
 	s.Apply(Command{Rebalance: true})
 	r.renew(s, false)
-	expiresAt := func(tracker *LeaseTracker, from Micros) {
+	expiresAt := func(tracker *LeaseTracker, from monotime.Micros) {
 		t.Helper()
-		for _, at := range []Micros{from, from + testLease, from + testLease + testMargin - 1} {
+		for _, at := range []monotime.Micros{from, from + testLease, from + testLease + testMargin - 1} {
 			if over, _ := tracker.Tick(at, s); len(over) != 0 {
 				t.Fatalf("%d us after it was first seen, lease and margin are %d us: expired %v", at-from, testLease+testMargin, over)
 			}
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -6,6 +6,7 @@
 
 	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/failpoint"
+	"milletbarrow/monotime"
 )
 
 // renew answers the lease requests of one host.
@@ -85,7 +86,7 @@
 
 // confirm takes in what a client reports of one limit: the epoch that it acts on, and what it drew in the time since its
 // last request. Grants before that epoch are no longer in force.
-func (s *State) confirm(l *Limit, client *Client, known *quota.Usage, elapsed Micros, first bool) *Allocation {
+func (s *State) confirm(l *Limit, client *Client, known *quota.Usage, elapsed monotime.Micros, first bool) *Allocation {
 	a := client.Allocations[l.Name]
 	if a == nil {
 		a = &Allocation{Drawn: known.Drawn, Denied: known.Denied}
--- a/internal/cluster/quota/lease_tracker.go
+++ b/internal/cluster/quota/lease_tracker.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"milletbarrow/internal/failpoint"
+	"milletbarrow/monotime"
 )
 
 // rebalancesPerLease is how often at most the rates are rebalanced within the shortest lease.
@@ -14,9 +15,9 @@
 // local to the leader and never replicated: a new leader knows of no time before its own election, and times every grant
 // that it finds from then on. It is not safe for concurrent use.
 type LeaseTracker struct {
-	firstSeen     map[grantRef]Micros // when a grant was first found by this leader
-	lastRebalance Micros
-	frozenUntil   Micros                  // nothing may grow before
+	firstSeen     map[grantRef]monotime.Micros // when a grant was first found by this leader
+	lastRebalance monotime.Micros
+	frozenUntil   monotime.Micros         // nothing may grow before
 	regressions   uint64                  // of the state, as last seen
 	pauses        map[string]runningPause // of cold starts, by limit
 	scanned       bool                    // the grants from before the election were seen
@@ -31,15 +32,15 @@
 // BecomeLeader resets the tracker at an election. The only replica of a state may run on an older copy of its directory and
 // has no other to find that out from; as sole replica it freezes growth until every lease that it may have granted and
 // lost has expired.
-func (t *LeaseTracker) BecomeLeader(now Micros, s *State, soleReplica bool) {
-	*t = LeaseTracker{firstSeen: map[grantRef]Micros{}, regressions: s.Regressions}
+func (t *LeaseTracker) BecomeLeader(now monotime.Micros, s *State, soleReplica bool) {
+	*t = LeaseTracker{firstSeen: map[grantRef]monotime.Micros{}, regressions: s.Regressions}
 	if soleReplica {
 		t.frozenUntil = now + longestLease(s)
 	}
 }
 
 // longestLease is the longest time for which a grant of the configuration in force is honoured.
-func longestLease(s *State) (longest Micros) {
+func longestLease(s *State) (longest monotime.Micros) {
 	for i := range s.Config.Limits {
 		longest = max(longest, s.Config.Limits[i].Lease+s.Config.Limits[i].ClockMargin)
 	}
@@ -47,12 +48,12 @@
 }
 
 // GrowthFrozen reports whether no grant may grow now, because grants may be in force that the state has lost.
-func (t *LeaseTracker) GrowthFrozen(now Micros) bool { return now < t.frozenUntil }
+func (t *LeaseTracker) GrowthFrozen(now monotime.Micros) bool { return now < t.frozenUntil }
 
 // Tick says which leases have expired and whether to rebalance. It has to be called after each command and at regular
 // intervals: a grant's time runs from the first Tick after it was applied. The holder counts from before it sent its
 // request, so that the lease ends there first, whenever the response arrives.
-func (t *LeaseTracker) Tick(now Micros, s *State) (expired []Expiry, rebalance bool) {
+func (t *LeaseTracker) Tick(now monotime.Micros, s *State) (expired []Expiry, rebalance bool) {
 	if s.Regressions != t.regressions {
 		t.regressions, t.frozenUntil = s.Regressions, now+longestLease(s)
 	}
@@ -80,7 +81,7 @@
 }
 
 // expired reports whether a grant is honoured no longer, and starts its time where it is new.
-func (t *LeaseTracker) expired(now Micros, ref grantRef, g Grant) bool {
+func (t *LeaseTracker) expired(now monotime.Micros, ref grantRef, g Grant) bool {
 	seen, known := t.firstSeen[ref]
 	if !known {
 		seen = now
@@ -90,7 +91,7 @@
 }
 
 // rebalanceInterval is the time between two divisions; 0 where no rate is configured.
-func rebalanceInterval(s *State) (interval Micros) {
+func rebalanceInterval(s *State) (interval monotime.Micros) {
 	for i := range s.Config.Limits {
 		l := &s.Config.Limits[i]
 		if l.Kind == Rate && (interval == 0 || l.Lease/rebalancesPerLease < interval) {
@@ -101,7 +102,7 @@
 }
 
 // honouredFor is how long a grant counts as in force: its lease, and the margin for clocks that run apart.
-func honouredFor(g Grant) Micros {
+func honouredFor(g Grant) monotime.Micros {
 	switch {
 	case failpoint.Enabled(failpoint.NoClockMargin):
 		return g.Lease
@@ -121,7 +122,7 @@
 	if len(t.firstSeen) <= 2*maxCurrent+slack {
 		return
 	}
-	current := map[grantRef]Micros{}
+	current := map[grantRef]monotime.Micros{}
 	for key, client := range s.Clients {
 		for limit, a := range client.Allocations {
 			for _, g := range a.Grants {
@@ -136,7 +137,7 @@
 }
 
 // FillRemaining fills in how long each holder's extra lasts without a renewal.
-func (t *LeaseTracker) FillRemaining(now Micros, s *State, all []Usage) {
+func (t *LeaseTracker) FillRemaining(now monotime.Micros, s *State, all []Usage) {
 	for i := range all {
 		for j := range all[i].Holders {
 			h := &all[i].Holders[j]
--- a/internal/cluster/quota/state.go
+++ b/internal/cluster/quota/state.go
@@ -5,13 +5,10 @@
 	"maps"
 	"slices"
 
-	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/monotime"
 )
 
-// Micros is a point on some process's own clock, or a duration, in microseconds.
-type Micros = quota.Micros
-
 // Bounds of a State.
 const (
 	maxGrants      = 6      // unconfirmed, of one client and limit; older ones are merged into the next
@@ -22,11 +19,11 @@
 
 // Grant is a lease that its holder may still act on.
 type Grant struct {
-	Epoch       uint64 `json:"epoch"` // fencing token
-	Floor       int64  `json:"floor"` // units a second, without a lease
-	Extra       int64  `json:"extra"` // units a second above the floor, for the lease
-	Lease       Micros `json:"lease_us"`
-	ClockMargin Micros `json:"margin_us"`
+	Epoch       uint64          `json:"epoch"` // fencing token
+	Floor       int64           `json:"floor"` // units a second, without a lease
+	Extra       int64           `json:"extra"` // units a second above the floor, for the lease
+	Lease       monotime.Micros `json:"lease_us"`
+	ClockMargin monotime.Micros `json:"margin_us"`
 }
 
 // Allocation is what one client has of one rate.
@@ -61,7 +58,7 @@
 	Incarnation string                 `json:"life"` // of its process
 	Host        string                 `json:"host"`
 	LastRequest uint64                 `json:"number"`   // number of its latest lease request
-	Clock       Micros                 `json:"clock_us"` // its own, at that request
+	Clock       monotime.Micros        `json:"clock_us"` // its own, at that request
 	LastSerial  uint64                 `json:"asked"`    // the state's serial at that request
 	Allocations map[string]*Allocation `json:"held"`     // by limit
 }
--- a/internal/cluster/quota/state_test.go
+++ b/internal/cluster/quota/state_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 
 	"milletbarrow/internal/backend/quota"
+	"milletbarrow/monotime"
 )
 
 func rate(total int64, names int, floor int64, divide Division) Config {
@@ -49,9 +50,9 @@
 	msg  T
 }
 
-func (h *holder) clock(now int64) quota.Micros { return quota.Micros(now + now/1000*h.ppm/1000) }
+func (h *holder) clock(now int64) monotime.Micros { return monotime.Micros(now + now/1000*h.ppm/1000) }
 
-func (f *fleet) leader() quota.Micros { return quota.Micros(f.now + f.now/1000*f.clock) }
+func (f *fleet) leader() monotime.Micros { return monotime.Micros(f.now + f.now/1000*f.clock) }
 
 func (f *fleet) apply(c Command) Result {
 	c.FreezeGrowth = f.tracker.GrowthFrozen(f.leader())
@@ -344,7 +345,7 @@
 type small struct {
 	l       *State
 	c       LeaseTracker
-	now     Micros
+	now     monotime.Micros
 	holders map[string]*quota.Holder
 	draws   func(name string) int // units in a tenth of a second
 }
--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -1,5 +1,7 @@
 package quota
 
+import "milletbarrow/monotime"
+
 // Usage is how one limit stands.
 type Usage struct {
 	Limit          string        `json:"budget"`
@@ -12,18 +14,18 @@
 
 // HolderUsage is what one holder has of a limit.
 type HolderUsage struct {
-	Name        string `json:"name"`
-	Incarnation string `json:"life,omitempty"`
-	Host        string `json:"host"`
-	Epoch       uint64 `json:"epoch"`
-	Floor       int64  `json:"floor"`
-	Extra       int64  `json:"extra"`
-	Target      int64  `json:"target"`
-	Demand      int64  `json:"want"`
-	Drawn       int64  `json:"drawn"`
-	Denied      int64  `json:"denied"`
-	AcquireID   string `json:"turn,omitempty"`
-	Remaining   Micros `json:"left_us,omitempty"` // until the extra is surely over, if it is not renewed
+	Name        string          `json:"name"`
+	Incarnation string          `json:"life,omitempty"`
+	Host        string          `json:"host"`
+	Epoch       uint64          `json:"epoch"`
+	Floor       int64           `json:"floor"`
+	Extra       int64           `json:"extra"`
+	Target      int64           `json:"target"`
+	Demand      int64           `json:"want"`
+	Drawn       int64           `json:"drawn"`
+	Denied      int64           `json:"denied"`
+	AcquireID   string          `json:"turn,omitempty"`
+	Remaining   monotime.Micros `json:"left_us,omitempty"` // until the extra is surely over, if it is not renewed
 }
 
 // Status is how all limits stand, as the leader has it.
--- a/internal/cluster/quotastore/bench_test.go
+++ b/internal/cluster/quotastore/bench_test.go
@@ -10,6 +10,7 @@
 
 	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/monotime"
 )
 
 // BenchmarkRenew measures renewals a second through any member of a group, each of one host with ten backends and durable on
@@ -42,7 +43,7 @@
 					c := &quota.RenewCommand{Host: name}
 					for i := range 10 {
 						c.Requests = append(c.Requests, backendquota.LeaseRequest{
-							Name: fmt.Sprint("n", me*10+i), Incarnation: "1", Number: number, Clock: backendquota.Micros(number * 1000), Usage: []backendquota.Usage{{Budget: "b"}},
+							Name: fmt.Sprint("n", me*10+i), Incarnation: "1", Number: number, Clock: monotime.Micros(number * 1000), Usage: []backendquota.Usage{{Budget: "b"}},
 						})
 					}
 					ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/cluster/quotastore/election_test.go
+++ b/internal/cluster/quotastore/election_test.go
@@ -20,6 +20,7 @@
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/cluster/transport"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // fakeReplica is a replica whose elections a test decides. Its entries are applied to the store at once.
@@ -101,11 +102,11 @@
 
 // newFakeLeader returns the store of h1 with a replica of three members, which leads term 1 and has not begun to, and a
 // clock that the test sets.
-func newFakeLeader() (l *leaderLoop, r *fakeReplica, now *quota.Micros) {
-	now = new(quota.Micros)
+func newFakeLeader() (l *leaderLoop, r *fakeReplica, now *monotime.Micros) {
+	now = new(monotime.Micros)
 	members := []string{"h1", "h2", "h3"}
 	s := &Store{
-		config: Config{Host: "h1", Members: members, Bounds: limits.ForControl(), Clock: func() quota.Micros { return *now }},
+		config: Config{Host: "h1", Members: members, Bounds: limits.ForControl(), Clock: func() monotime.Micros { return *now }},
 		state:  quota.NewState(), wantedMembers: members,
 	}
 	r = &fakeReplica{store: s, state: raft.Leader, term: 1}
--- a/internal/cluster/quotastore/quotastore.go
+++ b/internal/cluster/quotastore/quotastore.go
@@ -17,6 +17,7 @@
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/cluster/transport"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // Times of the group. A leader that hears of no quorum for leaderLeaseTimeout steps down; an election takes one to two
@@ -38,8 +39,8 @@
 	TrustDir  bool     // the directory is known to be no older copy: an operator says so
 	Transport *transport.Transport
 	Bounds    limits.Control
-	Clock     func() quota.Micros // this host's own, which only goes on
-	OnEvent   func(quota.Event)   // of the leader's history; must not block
+	Clock     func() monotime.Micros // this host's own, which only goes on
+	OnEvent   func(quota.Event)      // of the leader's history; must not block
 }
 
 // Store is one agent's replica, or its client where the agent is outside the group. It is safe for concurrent use.
--- a/internal/cluster/quotastore/quotastore_test.go
+++ b/internal/cluster/quotastore/quotastore_test.go
@@ -76,7 +76,7 @@
 	}
 	node, err := Open(Config{
 		Host: name, Members: g.members, Dir: filepath.Join(g.dir, name), Transport: n, Bounds: limits.ForControl(),
-		Clock: func() quota.Micros { return quota.Micros(process.Now()) },
+		Clock: process.Now,
 	})
 	if err != nil {
 		g.t.Error(err)
--- a/internal/cluster/quotastore/raftnode_test.go
+++ b/internal/cluster/quotastore/raftnode_test.go
@@ -10,7 +10,6 @@
 	"go.etcd.io/bbolt"
 
 	"milletbarrow/internal/cluster/quorum"
-	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/cluster/transport"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/process"
@@ -34,7 +33,7 @@
 	}()
 	s, err := Open(Config{
 		Host: host, Members: members, Dir: t.TempDir(), Transport: tr, Bounds: limits.ForControl(),
-		Clock: func() quota.Micros { return quota.Micros(process.Now()) },
+		Clock: process.Now,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -5,9 +5,9 @@
 
 import (
 	"encoding/json"
-	"math"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // Settings is a decoded settings object.
@@ -102,12 +102,6 @@
 	}
 )
 
-// Micros converts milliseconds. Beyond 1e12 ms either way it is cut off, so that two of them can be added safely.
-func Micros(ms float64) admission.Micros {
-	const limit = 1e15
-	return admission.Micros(math.Round(math.Max(-limit, math.Min(limit, ms*1000))))
-}
-
 // UnmarshalJSON decodes a settings object; keys that it does not know are skipped.
 func (s *Settings) UnmarshalJSON(raw []byte) error {
 	var o object
@@ -150,23 +144,23 @@
 		JustStarted:         f.JustStarted,
 		Preemption:          preemptions[f.Preemption],
 		AdvertisedValue:     advertisedValues[f.AdvertisedValue],
-		AnswerSlack:         Micros(r.AnswerSlackMs),
-		DrainGrace:          Micros(r.DrainGraceMs),
+		AnswerSlack:         monotime.FromMilliseconds(r.AnswerSlackMs),
+		DrainGrace:          monotime.FromMilliseconds(r.DrainGraceMs),
 		ColdSpeed:           r.ColdSpeed,
-		WarmUp:              Micros(r.WarmUpMs),
+		WarmUp:              monotime.FromMilliseconds(r.WarmUpMs),
 		CollapseMultiple:    r.CollapseMultiple,
-		CollapseAfter:       Micros(r.CollapseAfterMs),
+		CollapseAfter:       monotime.FromMilliseconds(r.CollapseAfterMs),
 		SharedDependency:    f.Dependency == "one_for_all",
 		CallQuota:           f.CallQuota,
-		CallQuotaWindow:     Micros(f.CallQuotaWindowMs),
-		AbandonedCallLinger: Micros(f.AbandonedCallLingerMs),
-		BatchInterval:       Micros(o.BatchIntervalMs),
+		CallQuotaWindow:     monotime.FromMilliseconds(f.CallQuotaWindowMs),
+		AbandonedCallLinger: monotime.FromMilliseconds(f.AbandonedCallLingerMs),
+		BatchInterval:       monotime.FromMilliseconds(o.BatchIntervalMs),
 		ValuePerWork:        o.ValueBy == "work",
 		RetriesUnmarked:     o.Clients.MarksRetry != nil && !*o.Clients.MarksRetry,
-		IdleTimeout:         Micros(f.IdleTimeoutMs),
+		IdleTimeout:         monotime.FromMilliseconds(f.IdleTimeoutMs),
 	}
 	if o.Limits.RetryAfter {
-		c.MaxRetryAfter = Micros(o.Limits.MaxRetryAfterMs)
+		c.MaxRetryAfter = monotime.FromMilliseconds(o.Limits.MaxRetryAfterMs)
 	}
 	return c
 }
@@ -177,10 +171,10 @@
 	op := admission.Operation{
 		RetrySafety:      retrySafeties[c.RetrySafety],
 		Value:            c.Value,
-		Objective:        Micros(c.ObjectiveMs),
+		Objective:        monotime.FromMilliseconds(c.ObjectiveMs),
 		ObjectiveStretch: c.ObjectiveStretch,
-		ClientTimeout:    Micros(c.ClientTimeoutMs),
-		RepeatWindow:     Micros(c.RepeatWindowMs),
+		ClientTimeout:    monotime.FromMilliseconds(c.ClientTimeoutMs),
+		RepeatWindow:     monotime.FromMilliseconds(c.RepeatWindowMs),
 		LateValue:        c.LateValue,
 	}
 	if n < len(o.Family.MakesCalls) {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -8,12 +8,13 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/simulation"
+	"milletbarrow/monotime"
 )
 
 // Scenario returns the demo's day for that many backends: a load near their capacity, with a burst and a release.
 func Scenario(backends int, span time.Duration) simulation.Scenario {
 	s := simulation.Default()
-	s.Name, s.Duration = "demo", simulation.Micros(span.Microseconds())
+	s.Name, s.Duration = "demo", monotime.FromDuration(span)
 	s.Hosts.Count, s.Hosts.Cores, s.Hosts.SpeedSpread, s.Hosts.ReadWork, s.Hosts.HandshakeWork = backends, 2, 0, 0, 0
 	s.Hosts.WarmUp, s.Hosts.ColdSpeed = 2*simulation.Second, 0.5
 	s.Nodes.Count, s.Nodes.Subset = 4, 0
@@ -29,7 +30,7 @@
 	repeats := map[admission.RetrySafety]string{admission.Idempotent: "idempotent", admission.NonIdempotent: "at_most_once"}
 	classes := make([]map[string]any, 0, len(s.Operations))
 	projects := make([]map[string]any, 0, len(s.Tenants))
-	ms := func(m simulation.Micros) float64 { return float64(m) / 1000 }
+	ms := func(m monotime.Micros) float64 { return float64(m) / 1000 }
 	for _, op := range s.Operations {
 		classes = append(classes, map[string]any{
 			"name": op.Name, "aim_ms": ms(op.Objective), "deadline_ms": ms(op.Timeout), "repeat": repeats[op.RetrySafety], "late_value": op.LateValue,
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -18,6 +18,7 @@
 
 	"milletbarrow/internal/fakes/timedexecutor"
 	"milletbarrow/internal/simulation"
+	"milletbarrow/monotime"
 )
 
 // Site is a fleet set up in a directory of its own, with fakes of the executors and the endpoint registry.
@@ -156,7 +157,7 @@
 // InjectFault causes a Slow fault at its time and ends it, or runs a release; other kinds are ignored. runFleetCommand
 // runs a sub-command of fleet for all instances.
 func (s *Site) InjectFault(ctx context.Context, fault simulation.Fault, logf func(string, ...any), runFleetCommand func(context.Context, ...string) error) error {
-	wait := func(m simulation.Micros) bool {
+	wait := func(m monotime.Micros) bool {
 		select {
 		case <-time.After(time.Duration(m) * time.Microsecond):
 			return true
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"milletbarrow/internal/simulation"
+	"milletbarrow/monotime"
 )
 
 // Experiment is the content of an experiment's file: what is to be run.
@@ -63,7 +64,7 @@
 	case "nodes.behind":
 		s.Nodes.ClientRetryShare = v
 	case "register.lag":
-		s.Registry.Lag = simulation.Micros(v * 1e6)
+		s.Registry.Lag = monotime.Micros(v * 1e6)
 	case "trouble.factor":
 		s.Faults = slices.Clone(s.Faults)
 		for i := range s.Faults {
--- a/internal/faultinjection/harness/change_total.go
+++ b/internal/faultinjection/harness/change_total.go
@@ -25,7 +25,7 @@
 		}) != nil {
 			return
 		}
-		at := process.Now() + (harness.options.Lease + harness.options.Margin + leaseEndTolerance).Microseconds()
+		at := int64(process.Now()) + (harness.options.Lease + harness.options.Margin + leaseEndTolerance).Microseconds()
 		harness.mu.Lock()
 		defer harness.mu.Unlock()
 		if harness.version == version { // else the total was changed again
@@ -60,7 +60,7 @@
 	harness.version++
 	limits := harness.limits[name]
 	highest := max(limits[len(limits)-1].Units, int64(units))
-	harness.limits[name] = append(limits, checker.Total{From: process.Now(), Units: highest})
+	harness.limits[name] = append(limits, checker.Total{From: int64(process.Now()), Units: highest})
 	return harness.version, units, harness.writeFiles()
 }
 
