--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -117,7 +117,7 @@
 	if err := harness.waitFor(ctx, 30*time.Second, "a leader of the ledger", func() bool { return harness.quotaState(ctx) != nil }); err != nil {
 		return err
 	}
-	from := process.Now() - limitsFrom.Microseconds()
+	from := int64(process.Now()) - limitsFrom.Microseconds()
 	for _, quota := range harness.options.Quotas {
 		harness.limits[quota.Name] = []checker.Total{{From: from, Units: int64(quota.Total)}}
 	}
@@ -144,7 +144,7 @@
 		return v, harness.saveFailure(v)
 	}
 	harness.options.Logf("%d agents with %d backends stand ready after %v", len(harness.hosts), len(harness.site.Names), time.Since(began).Round(time.Millisecond))
-	v.From = process.Now()
+	v.From = int64(process.Now())
 	if harness.registry != nil {
 		harness.startBackends(ctx, v)
 	}
@@ -152,7 +152,7 @@
 	if harness.registry != nil {
 		harness.endColdStart()
 	}
-	v.To = process.Now()
+	v.To = int64(process.Now())
 	v.Limits, v.Faults = harness.limits, harness.faults
 	if state := harness.quotaState(ctx); state != nil {
 		v.Term = int(state.Term)
--- a/internal/faultinjection/harness/inject.go
+++ b/internal/faultinjection/harness/inject.go
@@ -120,7 +120,7 @@
 
 // old kills an agent, and starts it on a copy of its quota store that was made some seconds before.
 func (harness *Harness) restoreStaleStore(ctx context.Context, h *host, after time.Duration) error {
-	at, copied := filepath.Join(h.dir, "ledger"), filepath.Join(harness.site.Dir, "copies", fmt.Sprint(h.name, "-", process.Now()))
+	at, copied := filepath.Join(h.dir, "ledger"), filepath.Join(harness.site.Dir, "copies", fmt.Sprint(h.name, "-", int64(process.Now())))
 	// The copy is taken of a process that is stopped, so that it is one that a disk could hold.
 	_ = h.cmd.Process.Signal(syscall.SIGSTOP)
 	err := os.CopyFS(copied, os.DirFS(at))
--- a/internal/faultinjection/harness/measure.go
+++ b/internal/faultinjection/harness/measure.go
@@ -94,7 +94,7 @@
 	n := len(harness.site.Backends)
 	half := [2][]string{harness.site.Backends[:n/2], harness.site.Backends[n/2:]}
 	for i := range 5 {
-		at = append(at, process.Now())
+		at = append(at, int64(process.Now()))
 		phase, cancel := context.WithTimeout(ctx, demandPhase)
 		harness.load(phase, 1, half[i%2])
 		cancel()
@@ -136,7 +136,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.cmd.Process.Kill()
-	at = process.Now()
+	at = int64(process.Now())
 	for _, name := range h.backends {
 		l := harness.processesOf(h, name)
 		_ = l.Supervisor.Signal(syscall.SIGKILL)
@@ -166,9 +166,9 @@
 			harness.hosts[dead-1].killAgent()
 		}
 		time.Sleep(2*(harness.options.Lease+harness.options.Margin) + 2*time.Second)
-		from := process.Now()
+		from := int64(process.Now())
 		time.Sleep(3 * time.Second)
-		spans = append(spans, deadSpan{dead, from, process.Now()})
+		spans = append(spans, deadSpan{dead, from, int64(process.Now())})
 	}
 	cancel()
 	loading.Wait()
--- a/internal/faultinjection/harness/rolling_update.go
+++ b/internal/faultinjection/harness/rolling_update.go
@@ -24,7 +24,7 @@
 	if pause(ctx, harness.options.Schedule.RollingUpdate-time.Since(start)); ctx.Err() != nil {
 		return
 	}
-	v.Marks[markRollingUpdate] = process.Now()
+	v.Marks[markRollingUpdate] = int64(process.Now())
 	began := time.Now()
 	toolCtx, kill := context.WithTimeout(ctx, toolLifetime) // its end is SIGKILL to the tool
 	_, _ = harness.Tool(toolCtx, "wave", "--all", "--quiet", "--id", "w", "--within", "10m")
@@ -33,7 +33,7 @@
 		v.fail("%v", err)
 	}
 	v.RollingUpdateSeconds = time.Since(began).Seconds()
-	v.Marks[markRollingUpdateOver] = process.Now()
+	v.Marks[markRollingUpdateOver] = int64(process.Now())
 }
 
 // hostStatus is what fleet status prints of a host, as far as a trial needs it.
--- a/internal/fleet/cold_start.go
+++ b/internal/fleet/cold_start.go
@@ -5,6 +5,7 @@
 
 	"milletbarrow/internal/cluster/coldstart"
 	"milletbarrow/internal/failpoint"
+	"milletbarrow/monotime"
 )
 
 // Bounds of a host's part in a cold start.
@@ -15,7 +16,7 @@
 
 // advanceColdStart starts what is down on this host: each instance requests a unit, starts once it holds one, and keeps it
 // until it is settled or given up. The quota store decides which hosts get units first.
-func (m *Machine) advanceColdStart(now Micros, c *Command) {
+func (m *Machine) advanceColdStart(now monotime.Micros, c *Command) {
 	asked, alone := 0, false
 	for _, n := range m.instanceNames {
 		in := m.instances[n]
@@ -54,10 +55,10 @@
 }
 
 // startResult is how a start that held a unit came out.
-func (in *Instance) startResult(now Micros) coldstart.Outcome {
+func (in *Instance) startResult(now monotime.Micros) coldstart.Outcome {
 	e := coldstart.Outcome{Ready: in.available(now), Cause: in.Cause}
 	if e.Ready && in.Unit.StartedAt > 0 {
-		e.Took = coldstart.Micros(max(0, in.ReadySince-in.Unit.StartedAt))
+		e.Took = max(0, in.ReadySince-in.Unit.StartedAt)
 	}
 	return e
 }
--- a/internal/fleet/cold_start_test.go
+++ b/internal/fleet/cold_start_test.go
@@ -8,6 +8,7 @@
 
 	"milletbarrow/internal/cluster/coldstart"
 	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/monotime"
 )
 
 // simulatedFleet is the machines of some hosts and one quota store that they can or can't reach.
@@ -66,7 +67,7 @@
 }
 
 // advance lets time go by everywhere.
-func (s *simulatedFleet) advance(span Micros) {
+func (s *simulatedFleet) advance(span monotime.Micros) {
 	for end := s.hosts[0].now + span; s.hosts[0].now < end; {
 		for _, w := range s.hosts {
 			w.advance(100_000, nil)
@@ -75,7 +76,7 @@
 			}
 			s.replies[w] = nil
 		}
-		if over := s.leaseKeeper.ElapsedPauses(quota.Micros(s.hosts[0].now), s.quotas); len(over) > 0 {
+		if over := s.leaseKeeper.ElapsedPauses(s.hosts[0].now, s.quotas); len(over) > 0 {
 			s.quotas.Apply(quota.Command{ElapsedPauses: over})
 		}
 		starting := 0
@@ -145,7 +146,7 @@
 					died[n] = true
 				}
 			}
-			s.advance(Micros(rapid.IntRange(1, 60).Draw(t, "span")) * 100_000)
+			s.advance(monotime.Micros(rapid.IntRange(1, 60).Draw(t, "span")) * 100_000)
 		}
 		for _, w := range s.hosts {
 			s.partitioned[w], w.crashNext = false, false
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -1,6 +1,10 @@
 package fleet
 
-import "slices"
+import (
+	"slices"
+
+	"milletbarrow/monotime"
+)
 
 // CommandKind is what a command asks for.
 type CommandKind string
@@ -28,23 +32,23 @@
 	Names       []string             `json:"names"`
 	RequestedBy string               `json:"by"`               // who asked
 	RequestedAt int64                `json:"asked_unix_us"`    // wall clock, for people
-	Deadline    Micros               `json:"due"`              // an instance without a result by then gets OutcomeTimedOut
+	Deadline    monotime.Micros      `json:"due"`              // an instance without a result by then gets OutcomeTimedOut
 	Immediate   bool                 `json:"now,omitempty"`    // KindStop: killed at once, its callers get no answer
 	Rollout     *RollingUpdateConfig `json:"terms,omitempty"`  // KindRollingUpdate
 	Quota       string               `json:"budget,omitempty"` // name of the concurrency quota of which each instance in progress holds a unit
 	Sequence    int                  `json:"number"`           // order of arrival at this agent
 	State       CommandState         `json:"state"`
 	Cause       string               `json:"cause,omitempty"` // of a pause or a cancellation
-	StartedAt   Micros               `json:"begun"`
-	FinishedAt  Micros               `json:"finished,omitempty"`
+	StartedAt   monotime.Micros      `json:"begun"`
+	FinishedAt  monotime.Micros      `json:"finished,omitempty"`
 
 	Results        map[string]Result `json:"results"`          // exactly one for each instance, never changed
 	Failures       int               `json:"failed,omitempty"` // since the last resume
 	Spares         []string          `json:"spares,omitempty"` // of a rolling update with surge
 	Stage          Stage             `json:"stage,omitempty"`  // of a rolling update
 	InProgress     map[string]bool   `json:"out,omitempty"`    // taken out and not back yet
-	BlockedSince   Micros            `json:"stuck,omitempty"`  // since when no instance could be taken out; 0: one can
-	RejectingSince Micros            `json:"turned,omitempty"` // since when too many invocations are rejected; 0: they are not
+	BlockedSince   monotime.Micros   `json:"stuck,omitempty"`  // since when no instance could be taken out; 0: one can
+	RejectingSince monotime.Micros   `json:"turned,omitempty"` // since when too many invocations are rejected; 0: they are not
 }
 
 // CommandState is how far a command has come.
@@ -91,9 +95,9 @@
 
 // Result is how a command ended for one instance.
 type Result struct {
-	Outcome Outcome `json:"outcome"`
-	Cause   string  `json:"cause,omitempty"`
-	At      Micros  `json:"at"`
+	Outcome Outcome         `json:"outcome"`
+	Cause   string          `json:"cause,omitempty"`
+	At      monotime.Micros `json:"at"`
 }
 
 // validate reports what makes a command unusable, whatever the state of the instances. Errors are *FieldError.
--- a/internal/fleet/command_lifecycle.go
+++ b/internal/fleet/command_lifecycle.go
@@ -3,10 +3,12 @@
 import (
 	"fmt"
 	"slices"
+
+	"milletbarrow/monotime"
 )
 
 // acceptCommand takes a new command in; one that is known with the same content changes nothing.
-func (m *Machine) acceptCommand(now Micros, c *Command) error {
+func (m *Machine) acceptCommand(now monotime.Micros, c *Command) error {
 	if err := c.validate(); err != nil {
 		return err
 	}
@@ -57,7 +59,7 @@
 // assignInstance makes a command the one that waits for the instance. Of two commands for the same instance the later
 // holds, and the earlier one ends there as superseded. An instance that was notified exits all the same; if it is
 // desired up it is launched again afterwards.
-func (m *Machine) assignInstance(now Micros, c *Command, in *Instance) {
+func (m *Machine) assignInstance(now monotime.Micros, c *Command, in *Instance) {
 	if c.Kind == KindRollingUpdate && !in.DesiredUp {
 		m.recordResult(now, c, in.Name, OutcomeSkipped, "it is not wanted up")
 		return
@@ -102,7 +104,7 @@
 }
 
 // restartInstance has an instance exit and launched again.
-func (m *Machine) restartInstance(now Micros, in *Instance) {
+func (m *Machine) restartInstance(now monotime.Micros, in *Instance) {
 	in.DesiredUp, in.LaunchesExhausted, in.LaunchRequested, in.Attempts, in.LaunchBudget = true, false, true, 0, LaunchBudget{}
 	if in.Phase.Down() {
 		in.NextAttemptAt = now
@@ -114,7 +116,7 @@
 }
 
 // resolveCommand gives the command that waits for an instance its result, once there is one.
-func (m *Machine) resolveCommand(now Micros, in *Instance) {
+func (m *Machine) resolveCommand(now monotime.Micros, in *Instance) {
 	c := m.commands[in.CommandID]
 	if c == nil {
 		return
@@ -138,7 +140,7 @@
 func (in *Instance) failedForGood() bool { return in.Phase == PhaseFailed && in.LaunchesExhausted }
 
 // resolveStart ends a start or a cold start for an instance that is ready, or that failed for good.
-func (m *Machine) resolveStart(now Micros, c *Command, in *Instance) {
+func (m *Machine) resolveStart(now monotime.Micros, c *Command, in *Instance) {
 	switch {
 	case c.Kind == KindColdStart && !in.DesiredUp: // it has not been its turn
 	case in.runsUndisturbed() && (c.Kind == KindStart || in.Settled(now)):
@@ -150,7 +152,7 @@
 }
 
 // resolveStop ends a drain or a stop for an instance that is down.
-func (m *Machine) resolveStop(now Micros, c *Command, in *Instance) {
+func (m *Machine) resolveStop(now monotime.Micros, c *Command, in *Instance) {
 	switch exit := in.LastExit; {
 	case !in.Phase.Down():
 	case exit.KillReason != "":
@@ -163,7 +165,7 @@
 }
 
 // resolveRestart ends a restart or a rolling update for an instance that is up again, or that failed for good.
-func (m *Machine) resolveRestart(now Micros, c *Command, in *Instance) {
+func (m *Machine) resolveRestart(now monotime.Micros, c *Command, in *Instance) {
 	if c.Kind == KindRollingUpdate && !c.InProgress[in.Name] && !in.Spare {
 		return // it has not been its turn
 	}
@@ -193,7 +195,7 @@
 }
 
 // recordResult gives a command its result for one instance, once; what comes after it changes nothing.
-func (m *Machine) recordResult(now Micros, c *Command, name string, o Outcome, cause string) {
+func (m *Machine) recordResult(now monotime.Micros, c *Command, name string, o Outcome, cause string) {
 	if _, over := c.Results[name]; over {
 		return
 	}
@@ -211,7 +213,7 @@
 }
 
 // expireCommand ends a command whose time is over. What it began goes on.
-func (m *Machine) expireCommand(now Micros, c *Command) {
+func (m *Machine) expireCommand(now monotime.Micros, c *Command) {
 	for _, n := range c.unresolved() {
 		m.recordResult(now, c, n, OutcomeTimedOut, "the command's time is over")
 	}
@@ -229,7 +231,7 @@
 }
 
 // controlCommand pauses, resumes or cancels a command.
-func (m *Machine) controlCommand(now Micros, e CommandControl) error {
+func (m *Machine) controlCommand(now monotime.Micros, e CommandControl) error {
 	c := m.commands[e.CommandID]
 	if c == nil {
 		return ErrUnknownCommand
@@ -265,7 +267,7 @@
 }
 
 // closeFinishedCommands ends the commands that have all their results, and forgets the oldest beyond the bound.
-func (m *Machine) closeFinishedCommands(now Micros) {
+func (m *Machine) closeFinishedCommands(now monotime.Micros) {
 	m.openCommands = slices.DeleteFunc(m.openCommands, func(c *Command) bool {
 		if len(c.Results) < len(c.Names)+len(c.Spares) {
 			return false
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"slices"
+
+	"milletbarrow/monotime"
 )
 
 // RolloutCoordinator decides in which order the agents of many hosts begin their rolling updates: each agent keeps the
@@ -12,7 +14,7 @@
 	Hosts              []string // in the file's order
 	Config             RollingUpdateConfig
 	MaxConcurrentHosts int // hosts that update at once, 1 or more
-	blockedSince       Micros
+	blockedSince       monotime.Micros
 }
 
 // HostProgress is what is known of a host's part of a rollout.
@@ -36,7 +38,7 @@
 // Next says which updates begin. A host that is not reachable, or whose update is paused or failed, stops the rollout:
 // what fails on one host must not go on to the next. If the fleet's minimum is in the way for longer than
 // Config.StallTimeout it stops too; until then what has just come up may settle.
-func (r *RolloutCoordinator) Next(now Micros, facts map[string]HostProgress) RolloutStep {
+func (r *RolloutCoordinator) Next(now monotime.Micros, facts map[string]HostProgress) RolloutStep {
 	rolling, left := 0, []string{}
 	ready, up := 0, 0
 	for _, h := range r.Hosts {
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -4,6 +4,7 @@
 	"strconv"
 
 	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/monotime"
 )
 
 // Phase is where an instance is between its launch and its end, as far as it is observed.
@@ -63,12 +64,12 @@
 
 // Exit is how an incarnation ended.
 type Exit struct {
-	Code       int    `json:"code"`             // exit code; -1 if a signal ended it
-	Signal     string `json:"signal,omitempty"` // the signal that ended it
-	KillReason string `json:"killed,omitempty"` // why the supervisor or the agent killed it; empty: it did not
-	Unobserved bool   `json:"unseen,omitempty"` // nobody was there to read the exit code
-	Uptime     Micros `json:"lived,omitempty"`
-	DrainTime  Micros `json:"after,omitempty"` // from the notice to the exit; 0: no notice
+	Code       int             `json:"code"`             // exit code; -1 if a signal ended it
+	Signal     string          `json:"signal,omitempty"` // the signal that ended it
+	KillReason string          `json:"killed,omitempty"` // why the supervisor or the agent killed it; empty: it did not
+	Unobserved bool            `json:"unseen,omitempty"` // nobody was there to read the exit code
+	Uptime     monotime.Micros `json:"lived,omitempty"`
+	DrainTime  monotime.Micros `json:"after,omitempty"` // from the notice to the exit; 0: no notice
 }
 
 func (e Exit) String() string {
@@ -103,28 +104,28 @@
 	LastAction     ActionKind `json:"doing,omitempty"`   // the kind of ActionID
 	ActionPending  bool       `json:"pending,omitempty"` // ActionID is not known to have been taken
 
-	Incarnation       string       `json:"run,omitempty"` // the ID of the action that launched it; empty: no process
-	NoticeID          string       `json:"told,omitempty"`
-	NotifiedAt        Micros       `json:"told_at,omitempty"`
-	PhaseDeadline     Micros       `json:"deadline,omitempty"` // 0: none. Never 0 once it was notified
-	GiveUpReason      string       `json:"gave_up,omitempty"`  // why it was notified though it is desired up
-	LaunchesExhausted bool         `json:"spent,omitempty"`    // no further launch until a command asks for one
-	LaunchRequested   bool         `json:"free,omitempty"`     // the next launch was asked for and is not counted by LaunchBudget
-	KillAttempts      int          `json:"kills,omitempty"`    // in this incarnation
-	LastExit          Exit         `json:"last"`               // of the incarnation before
-	LaunchBudget      LaunchBudget `json:"budget"`             // of launches that no command asked for
-	Unit              Unit         `json:"unit,omitzero"`      // of a concurrency quota of the fleet
-	UnitRequests      int          `json:"turns,omitempty"`    // unit requests so far
-	Attempts          int          `json:"tries,omitempty"`    // of the pending action, or of launches in a row
-	NextAttemptAt     Micros       `json:"next,omitempty"`     // no attempt before
-
-	Phase       Phase  `json:"phase"`
-	PhaseSince  Micros `json:"since"`
-	Cause       string `json:"cause,omitempty"`
-	ReadySince  Micros `json:"steady,omitempty"` // 0: not ready
-	Invocations int    `json:"picked,omitempty"`
-	Rejected    int    `json:"turned,omitempty"`
-	Level       string `json:"level,omitempty"` // of degradation, as it was last observed
+	Incarnation       string          `json:"run,omitempty"` // the ID of the action that launched it; empty: no process
+	NoticeID          string          `json:"told,omitempty"`
+	NotifiedAt        monotime.Micros `json:"told_at,omitempty"`
+	PhaseDeadline     monotime.Micros `json:"deadline,omitempty"` // 0: none. Never 0 once it was notified
+	GiveUpReason      string          `json:"gave_up,omitempty"`  // why it was notified though it is desired up
+	LaunchesExhausted bool            `json:"spent,omitempty"`    // no further launch until a command asks for one
+	LaunchRequested   bool            `json:"free,omitempty"`     // the next launch was asked for and is not counted by LaunchBudget
+	KillAttempts      int             `json:"kills,omitempty"`    // in this incarnation
+	LastExit          Exit            `json:"last"`               // of the incarnation before
+	LaunchBudget      LaunchBudget    `json:"budget"`             // of launches that no command asked for
+	Unit              Unit            `json:"unit,omitzero"`      // of a concurrency quota of the fleet
+	UnitRequests      int             `json:"turns,omitempty"`    // unit requests so far
+	Attempts          int             `json:"tries,omitempty"`    // of the pending action, or of launches in a row
+	NextAttemptAt     monotime.Micros `json:"next,omitempty"`     // no attempt before
+
+	Phase       Phase           `json:"phase"`
+	PhaseSince  monotime.Micros `json:"since"`
+	Cause       string          `json:"cause,omitempty"`
+	ReadySince  monotime.Micros `json:"steady,omitempty"` // 0: not ready
+	Invocations int             `json:"picked,omitempty"`
+	Rejected    int             `json:"turned,omitempty"`
+	Level       string          `json:"level,omitempty"` // of degradation, as it was last observed
 
 	group     *GroupSpec
 	shutdown  ShutdownWindow
@@ -133,8 +134,8 @@
 
 // ShutdownWindow is the time that an instance has from the shutdown notice on, by its configuration.
 type ShutdownWindow struct {
-	Grace       Micros // work that arrives later is not run
-	ExitTimeout Micros // the instance has exited by then
+	Grace       monotime.Micros // work that arrives later is not run
+	ExitTimeout monotime.Micros // the instance has exited by then
 }
 
 // ActionKind is what an action does.
@@ -155,7 +156,7 @@
 	Name        string            `json:"name"`
 	Incarnation string            `json:"run"`
 	Adopt       bool              `json:"adopt,omitempty"`
-	NotifiedAt  Micros            `json:"told,omitempty"` // ActionNotify: when it was first issued; the shutdown window runs from there
+	NotifiedAt  monotime.Micros   `json:"told,omitempty"` // ActionNotify: when it was first issued; the shutdown window runs from there
 	Cause       string            `json:"cause,omitempty"`
 	Unit        Unit              // ActionAcquireUnit, ActionReleaseUnit
 	StartResult coldstart.Outcome `json:"End"`
@@ -169,15 +170,15 @@
 
 // HistoryEvent is an entry of the history that people read.
 type HistoryEvent struct {
-	At        Micros `json:"at"`
-	Name      string `json:"name,omitempty"`
-	CommandID string `json:"command,omitempty"`
-	Event     string `json:"event"`
-	Cause     string `json:"cause,omitempty"`
+	At        monotime.Micros `json:"at"`
+	Name      string          `json:"name,omitempty"`
+	CommandID string          `json:"command,omitempty"`
+	Event     string          `json:"event"`
+	Cause     string          `json:"cause,omitempty"`
 }
 
 // setPhase enters a phase, or updates the cause of the present one.
-func (in *Instance) setPhase(now Micros, p Phase, cause string) {
+func (in *Instance) setPhase(now monotime.Micros, p Phase, cause string) {
 	if in.Phase != p {
 		in.Phase, in.PhaseSince = p, now
 	}
@@ -190,11 +191,11 @@
 }
 
 // Settled reports whether the instance has been ready for as long as its group wants.
-func (in *Instance) Settled(now Micros) bool {
+func (in *Instance) Settled(now monotime.Micros) bool {
 	return in.Phase == PhaseReady && now-in.ReadySince >= in.group.Settle
 }
 
 // available reports whether a rolling update may count the instance as serving.
-func (in *Instance) available(now Micros) bool {
+func (in *Instance) available(now monotime.Micros) bool {
 	return in.DesiredUp && !in.RestartPending && in.NoticeID == "" && in.Settled(now)
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"math/rand/v2"
 	"slices"
+
+	"milletbarrow/monotime"
 )
 
 // Machine decides for all instances of one host. It is not for use by several goroutines at once.
@@ -18,8 +20,8 @@
 	finishedCommands  []string   // IDs, oldest first
 	lastSequence      int
 	rejections        rejectionRate
-	quotaSilentSince  Micros // since when unit requests have no answer; 0: the latest had one
-	lastUnitRequestAt Micros // the latest unit request
+	quotaSilentSince  monotime.Micros // since when unit requests have no answer; 0: the latest had one
+	lastUnitRequestAt monotime.Micros // the latest unit request
 
 	actions          []Action // of the present call of Decide
 	history          []HistoryEvent
@@ -53,7 +55,7 @@
 
 // Idle reports whether nothing is to be expected soon: no command is open, and no instance waits for a deadline, an
 // action or another launch. It does not depend on the time.
-func (m *Machine) Idle(_ Micros) bool {
+func (m *Machine) Idle(_ monotime.Micros) bool {
 	if len(m.openCommands) > 0 {
 		return false
 	}
@@ -93,7 +95,7 @@
 
 // Decide takes in an event and returns the actions to carry out, in order, and the entries for the history. Both are
 // valid until the next call. An error, always a *CommandError, means that the event changed nothing.
-func (m *Machine) Decide(now Micros, ev Event) (actions []Action, history []HistoryEvent, err error) {
+func (m *Machine) Decide(now monotime.Micros, ev Event) (actions []Action, history []HistoryEvent, err error) {
 	m.actions, m.history = m.actions[:0], m.history[:0]
 	err = m.handleEvent(now, ev)
 	for _, c := range m.openCommands {
@@ -109,7 +111,7 @@
 }
 
 // handleEvent changes the state of what the event is about.
-func (m *Machine) handleEvent(now Micros, ev Event) error {
+func (m *Machine) handleEvent(now monotime.Micros, ev Event) error {
 	switch e := ev.(type) {
 	case CommandReceived:
 		if err := m.acceptCommand(now, e.Command); err != nil {
@@ -147,7 +149,7 @@
 }
 
 // advanceAll ends the commands whose deadline has passed and brings all instances forward.
-func (m *Machine) advanceAll(now Micros) {
+func (m *Machine) advanceAll(now monotime.Micros) {
 	for _, c := range slices.Clone(m.openCommands) {
 		if now >= c.Deadline {
 			m.expireCommand(now, c)
@@ -159,7 +161,7 @@
 }
 
 // advance brings one instance forward, and the command that waits for it.
-func (m *Machine) advance(now Micros, in *Instance) {
+func (m *Machine) advance(now monotime.Micros, in *Instance) {
 	m.resolveCommand(now, in)
 	m.reconcile(now, in)
 	m.resolveCommand(now, in)
@@ -167,7 +169,7 @@
 }
 
 // handleActionFailed takes in that the pending action could not be carried out.
-func (m *Machine) handleActionFailed(now Micros, in *Instance, e ActionFailed) {
+func (m *Machine) handleActionFailed(now monotime.Micros, in *Instance, e ActionFailed) {
 	m.recordEvent(now, in, string(in.LastAction)+" not taken", e.Cause)
 	if in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // no process came of it
 		in.Incarnation, in.ActionPending, in.PhaseDeadline = "", false, 0
@@ -182,6 +184,6 @@
 }
 
 // recordEvent adds an entry about an instance to the history.
-func (m *Machine) recordEvent(now Micros, in *Instance, event, cause string) {
+func (m *Machine) recordEvent(now monotime.Micros, in *Instance, event, cause string) {
 	m.history = append(m.history, HistoryEvent{At: now, Name: in.Name, CommandID: in.CommandID, Event: event, Cause: cause})
 }
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -11,6 +11,7 @@
 
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // reportCommand prints how a command stands.
@@ -272,14 +273,14 @@
 // TestLaunchBudget: attempts within the window are bounded.
 func TestLaunchBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget, now := LaunchBudget{MaxAttempts: rapid.IntRange(0, 5).Draw(t, "attempts"), Window: 100}, Micros(0)
-		var taken []Micros
+		budget, now := LaunchBudget{MaxAttempts: rapid.IntRange(0, 5).Draw(t, "attempts"), Window: 100}, monotime.Micros(0)
+		var taken []monotime.Micros
 		for range 50 {
-			now += Micros(rapid.IntRange(0, 60).Draw(t, "step"))
+			now += monotime.Micros(rapid.IntRange(0, 60).Draw(t, "step"))
 			if budget.Take(now) {
 				taken = append(taken, now)
 			}
-			if in := len(slices.DeleteFunc(slices.Clone(taken), func(at Micros) bool { return now-at >= 100 })); in > budget.MaxAttempts {
+			if in := len(slices.DeleteFunc(slices.Clone(taken), func(at monotime.Micros) bool { return now-at >= 100 })); in > budget.MaxAttempts {
 				t.Fatalf("%d taken within the window, at most %d", in, budget.MaxAttempts)
 			}
 		}
@@ -311,7 +312,7 @@
 				kind := rapid.SampledFrom([]CommandKind{KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindRollingUpdate}).Draw(t, "kind")
 				some := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, -1, rapid.ID).Draw(t, "names")
 				orders++
-				_ = w.command(fmt.Sprint("c", orders), kind, Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
+				_ = w.command(fmt.Sprint("c", orders), kind, monotime.Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
 			},
 			"steer": func(t *rapid.T) {
 				verb := rapid.SampledFrom([]Verb{VerbPause, VerbResume, VerbCancel}).Draw(t, "verb")
@@ -342,8 +343,8 @@
 			},
 			"agent dies":      func(*rapid.T) { w.restart() },
 			"agent dies next": func(*rapid.T) { w.crashNext = true },
-			"clock jumps":     func(t *rapid.T) { w.now += Micros(rapid.IntRange(0, 30).Draw(t, "jump")) * second },
-			"time":            func(t *rapid.T) { w.advance(Micros(rapid.IntRange(1, 40).Draw(t, "span"))*100_000, blind) },
+			"clock jumps":     func(t *rapid.T) { w.now += monotime.Micros(rapid.IntRange(0, 30).Draw(t, "jump")) * second },
+			"time":            func(t *rapid.T) { w.advance(monotime.Micros(rapid.IntRange(1, 40).Draw(t, "span"))*100_000, blind) },
 		})
 		w.dropAction, w.crashNext = nil, false
 		w.advance(90*second, nil)
--- a/internal/fleet/observation.go
+++ b/internal/fleet/observation.go
@@ -1,7 +1,9 @@
 package fleet
 
+import "milletbarrow/monotime"
+
 // handleObservation takes in an observation. Those of other incarnations say nothing.
-func (m *Machine) handleObservation(now Micros, in *Instance, o Observation) {
+func (m *Machine) handleObservation(now monotime.Micros, in *Instance, o Observation) {
 	if in.Incarnation == "" || o.Incarnation != in.Incarnation {
 		return
 	}
@@ -25,7 +27,7 @@
 }
 
 // countInvocations adds what was invoked and rejected since the last observation to the machine's rate.
-func (m *Machine) countInvocations(now Micros, in *Instance, o Observation) {
+func (m *Machine) countInvocations(now monotime.Micros, in *Instance, o Observation) {
 	if o.Phase == PhaseUnknown {
 		return
 	}
@@ -36,7 +38,7 @@
 }
 
 // recordLevel writes a change of the degradation level into the history, so that it outlives the instance.
-func (m *Machine) recordLevel(now Micros, in *Instance, o Observation) {
+func (m *Machine) recordLevel(now monotime.Micros, in *Instance, o Observation) {
 	if o.Level == "" || o.Level == in.Level {
 		return
 	}
@@ -49,7 +51,7 @@
 
 // acknowledgeActions compares the pending action with what the supervisor has taken. A supervisor that took over
 // from another may not know of the notice; it gets the same one again.
-func (m *Machine) acknowledgeActions(now Micros, in *Instance, o Observation) {
+func (m *Machine) acknowledgeActions(now monotime.Micros, in *Instance, o Observation) {
 	if in.ActionPending && (in.LastAction == ActionLaunch || in.LastAction == ActionNotify && o.NoticeID == in.NoticeID) {
 		in.ActionPending, in.Attempts = false, 0
 		m.markInstanceChanged(in)
@@ -61,7 +63,7 @@
 }
 
 // applyPhase moves the instance into the phase observed and sets the phase's deadline.
-func (m *Machine) applyPhase(now Micros, in *Instance, o Observation) {
+func (m *Machine) applyPhase(now monotime.Micros, in *Instance, o Observation) {
 	switch o.Phase {
 	case PhaseStarting, PhaseReady, PhaseUnready:
 		if in.NoticeID != "" { // the notice is on its way, or the instance has not reacted yet
@@ -95,7 +97,7 @@
 }
 
 // handleExit closes an incarnation.
-func (m *Machine) handleExit(now Micros, in *Instance, exit Exit) {
+func (m *Machine) handleExit(now monotime.Micros, in *Instance, exit Exit) {
 	notified, giveUpReason := in.NoticeID != "" || in.KillAttempts > 0, in.GiveUpReason
 	in.LastExit = exit
 	in.clearIncarnation()
@@ -120,7 +122,7 @@
 }
 
 // delayRelaunch counts a launch that came to nothing and puts the next one off.
-func (m *Machine) delayRelaunch(now Micros, in *Instance) {
+func (m *Machine) delayRelaunch(now monotime.Micros, in *Instance) {
 	in.Attempts++
-	in.NextAttemptAt = now + micros(m.config.RelaunchBackoff.Pause(in.Attempts+1, m.random))
+	in.NextAttemptAt = now + monotime.FromDuration(m.config.RelaunchBackoff.Pause(in.Attempts+1, m.random))
 }
--- a/internal/fleet/preview.go
+++ b/internal/fleet/preview.go
@@ -1,5 +1,7 @@
 package fleet
 
+import "milletbarrow/monotime"
+
 // PlanStep is one instance of a plan: in which batch it would be restarted, and how many of its group would be ready
 // meanwhile.
 type PlanStep struct {
@@ -26,7 +28,7 @@
 		return nil, err
 	}
 	var steps []PlanStep
-	now := Micros(long / 2)
+	now := monotime.Micros(long / 2)
 	for batch := 1; batch <= 2*len(names)+4*len(m.instanceNames)+4; batch++ {
 		c := m.Command("preview")
 		if c.State == CommandDone {
@@ -56,6 +58,6 @@
 }
 
 // observe plays an observation of a phase; it gives no error.
-func (m *Machine) observe(now Micros, in *Instance, p Phase) {
+func (m *Machine) observe(now monotime.Micros, in *Instance, p Phase) {
 	_, _, _ = m.Decide(now, InstanceObserved{Name: in.Name, Observation: Observation{Incarnation: in.Incarnation, Phase: p}})
 }
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -1,13 +1,17 @@
 package fleet
 
-import "fmt"
+import (
+	"fmt"
+
+	"milletbarrow/monotime"
+)
 
 // issueAction decides on an action; a new incarnation begins with each launch that adopts none.
-func (m *Machine) issueAction(now Micros, in *Instance, kind ActionKind, cause string) {
+func (m *Machine) issueAction(now monotime.Micros, in *Instance, kind ActionKind, cause string) {
 	in.ActionCount++
 	in.ActionID, in.LastAction = fmt.Sprintf("%s.%d", in.Name, in.ActionCount), kind
 	in.ActionPending = true
-	in.NextAttemptAt = now + micros(m.config.ResendBackoff.Pause(2, m.random))
+	in.NextAttemptAt = now + monotime.FromDuration(m.config.ResendBackoff.Pause(2, m.random))
 	switch kind {
 	case ActionLaunch:
 		if in.Incarnation == "" {
@@ -22,7 +26,7 @@
 		in.setPhase(now, PhaseDraining, cause)
 	case ActionKill:
 		in.KillAttempts++
-		in.PhaseDeadline = now + m.config.KillDelay*Micros(min(in.KillAttempts, maxKillDelayFactor))
+		in.PhaseDeadline = now + m.config.KillDelay*monotime.Micros(min(in.KillAttempts, maxKillDelayFactor))
 	}
 	m.markInstanceChanged(in)
 	m.emitAction(in, cause)
@@ -42,7 +46,7 @@
 
 // readinessTimeout is how long the instance may take from its launch to ready: the rolling update's value where one
 // restarts it, else its group's.
-func (m *Machine) readinessTimeout(in *Instance) Micros {
+func (m *Machine) readinessTimeout(in *Instance) monotime.Micros {
 	if c := m.commands[in.CommandID]; c != nil && c.Kind == KindRollingUpdate && c.Rollout.ReadyWithin > 0 {
 		return c.Rollout.ReadyWithin
 	}
@@ -53,10 +57,10 @@
 const maxKillDelayFactor = 20
 
 // reconcile takes the next action from the observed state to the desired one, if it is time for one.
-func (m *Machine) reconcile(now Micros, in *Instance) {
+func (m *Machine) reconcile(now monotime.Micros, in *Instance) {
 	if in.ActionPending && now >= in.NextAttemptAt { // it was lost, or the agent died before it carried it out
 		in.Attempts++
-		in.NextAttemptAt = now + micros(m.config.ResendBackoff.Pause(in.Attempts+2, m.random))
+		in.NextAttemptAt = now + monotime.FromDuration(m.config.ResendBackoff.Pause(in.Attempts+2, m.random))
 		m.emitAction(in, "again")
 	}
 	switch in.Phase {
@@ -86,7 +90,7 @@
 }
 
 // reconcileDown launches an instance that is down, if it is desired and its launch budget allows it.
-func (m *Machine) reconcileDown(now Micros, in *Instance) {
+func (m *Machine) reconcileDown(now monotime.Micros, in *Instance) {
 	if !in.DesiredUp || in.LaunchesExhausted || now < in.NextAttemptAt || in.Incarnation != "" {
 		return
 	}
@@ -108,7 +112,7 @@
 }
 
 // reconcileRunning notifies an instance that is to leave, or that did not become ready in time.
-func (m *Machine) reconcileRunning(now Micros, in *Instance) {
+func (m *Machine) reconcileRunning(now monotime.Micros, in *Instance) {
 	switch {
 	case in.NoticeID != "":
 	case !in.DesiredUp:
--- a/internal/fleet/rejection_rate.go
+++ b/internal/fleet/rejection_rate.go
@@ -1,11 +1,15 @@
 package fleet
 
-import "math"
+import (
+	"math"
+
+	"milletbarrow/monotime"
+)
 
 // rejectionRate is the share of invocations that were rejected of late, over all instancer. Older counts lose weight
 // exponentially.
 type rejectionRate struct {
-	at                    Micros
+	at                    monotime.Micros
 	invocations, rejected float64
 }
 
@@ -15,7 +19,7 @@
 )
 
 // decay ages the counts to now.
-func (r *rejectionRate) decay(now Micros) {
+func (r *rejectionRate) decay(now monotime.Micros) {
 	if now > r.at {
 		keep := math.Exp(-float64(now-r.at) / rejectionDecay)
 		r.invocations, r.rejected, r.at = r.invocations*keep, r.rejected*keep, now
@@ -23,14 +27,14 @@
 }
 
 // add counts invocations and those of them that were rejected.
-func (r *rejectionRate) add(now Micros, invocations, rejected int) {
+func (r *rejectionRate) add(now monotime.Micros, invocations, rejected int) {
 	r.decay(now)
 	r.invocations += float64(invocations)
 	r.rejected += float64(rejected)
 }
 
 // share is the share of rejections, 0 to 1; ok is false while too little was counted to tell.
-func (r *rejectionRate) share(now Micros) (share float64, ok bool) {
+func (r *rejectionRate) share(now monotime.Micros) (share float64, ok bool) {
 	if r.decay(now); r.invocations < minInvocations {
 		return 0, false
 	}
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"slices"
+
+	"milletbarrow/monotime"
 )
 
 // groupCount counts the instances of a group, for the minimum of a rolling update.
@@ -12,7 +14,7 @@
 }
 
 // groupCounts counts the instances of each group.
-func (m *Machine) groupCounts(now Micros) map[string]*groupCount {
+func (m *Machine) groupCounts(now monotime.Micros) map[string]*groupCount {
 	all := make(map[string]*groupCount, len(m.groups))
 	for name := range m.groups {
 		all[name] = &groupCount{}
@@ -31,7 +33,7 @@
 }
 
 // planRollingUpdate prepares a rolling update, or says why none is possible by its configuration.
-func (m *Machine) planRollingUpdate(now Micros, c *Command) error {
+func (m *Machine) planRollingUpdate(now monotime.Micros, c *Command) error {
 	for _, o := range m.openCommands {
 		if o.Kind == KindRollingUpdate && o.State != CommandDone {
 			return fmt.Errorf("%w: %s", ErrUpdateInProgress, o.ID)
@@ -70,7 +72,7 @@
 }
 
 // advanceRollingUpdate brings an update forward: spares start, instances are released as they may, spares stop.
-func (m *Machine) advanceRollingUpdate(now Micros, c *Command) {
+func (m *Machine) advanceRollingUpdate(now monotime.Micros, c *Command) {
 	if c.Stage == StageStartSpares && !m.startSpares(now, c) {
 		return
 	}
@@ -96,7 +98,7 @@
 }
 
 // startSpares starts the spares and reports whether the update may go on: all are settled, or it was cancelled.
-func (m *Machine) startSpares(now Micros, c *Command) bool {
+func (m *Machine) startSpares(now monotime.Micros, c *Command) bool {
 	ready := true
 	for _, n := range c.Spares {
 		in := m.instances[n]
@@ -128,7 +130,7 @@
 }
 
 // pauseIfNeeded pauses an update that should not go on, and reports whether it did.
-func (m *Machine) pauseIfNeeded(now Micros, c *Command) bool {
+func (m *Machine) pauseIfNeeded(now monotime.Micros, c *Command) bool {
 	if c.State != CommandOpen {
 		return false
 	}
@@ -157,7 +159,7 @@
 }
 
 // pause pauses an update and records why.
-func (m *Machine) pause(now Micros, c *Command, why string) {
+func (m *Machine) pause(now monotime.Micros, c *Command, why string) {
 	c.State, c.Cause = CommandPaused, why
 	m.markCommandChanged(c)
 	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: "pause", Cause: why})
@@ -165,7 +167,7 @@
 
 // lastFailure names the instance that failed last, with the cause.
 func lastFailure(c *Command) string {
-	name, at := "", Micros(-1)
+	name, at := "", monotime.Micros(-1)
 	for _, n := range c.instanceNames() {
 		if r, over := c.Results[n]; over && r.Outcome == OutcomeFailed && r.At > at {
 			name, at = n, r.At
@@ -175,7 +177,7 @@
 }
 
 // releaseInstances restarts as many instances as width, group minimum and quota allow.
-func (m *Machine) releaseInstances(now Micros, c *Command) {
+func (m *Machine) releaseInstances(now monotime.Micros, c *Command) {
 	for _, n := range c.Names {
 		if in := m.instances[n]; c.InProgress[n] && in != nil {
 			m.resolveCommand(now, in)
@@ -213,7 +215,7 @@
 }
 
 // noteBlocked keeps since when the update is blocked.
-func (c *Command) noteBlocked(now Micros, blocked bool) {
+func (c *Command) noteBlocked(now monotime.Micros, blocked bool) {
 	switch {
 	case !blocked:
 		c.BlockedSince = 0
@@ -233,7 +235,7 @@
 
 // tryRelease restarts an instance if its group's minimum and the quota allow it. g counts it out already while its
 // unit is awaited.
-func (m *Machine) tryRelease(now Micros, c *Command, in *Instance, g *groupCount) releaseDecision {
+func (m *Machine) tryRelease(now monotime.Micros, c *Command, in *Instance, g *groupCount) releaseDecision {
 	cost := 0
 	if in.available(now) {
 		cost = 1
@@ -256,7 +258,7 @@
 }
 
 // blockedReason says which instance or group blocks the update.
-func (m *Machine) blockedReason(now Micros, c *Command) string {
+func (m *Machine) blockedReason(now monotime.Micros, c *Command) string {
 	tallies := m.groupCounts(now)
 	for _, n := range c.Names {
 		in := m.instances[n]
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -3,30 +3,32 @@
 import (
 	"cmp"
 	"math"
-	"milletbarrow/internal/sexpr"
 	"slices"
 	"time"
+
+	"milletbarrow/internal/sexpr"
+	"milletbarrow/monotime"
 )
 
 // RollingUpdateConfig says how a rolling update goes.
 type RollingUpdateConfig struct {
-	MaxInProgress      int     `json:"width"`        // instances in progress at once, 1 or more
-	MinReady           int     `json:"least_count"`  // instances ready in each group, at all times
-	MinReadyShare      float64 `json:"least_share"`  // and of those that are desired up, 0 to 1
-	Order              string  `json:"order"`        // OrderFile, OrderName or OrderSpread
-	Surge              int     `json:"surge"`        // spares of each group that are ready before the first instance leaves
-	MaxFailures        int     `json:"failures"`     // more than so many pause the update
-	ReadyWithin        Micros  `json:"ready_within"` // time from launch to ready; 0: the group's
-	StallTimeout       Micros  `json:"stall"`        // blocked for so long, the update pauses and says why
-	MaxRejectedShare   float64 `json:"turned_away"`  // share of rejected invocations that pauses it; 1: never
-	RejectionTolerance Micros  `json:"turned_for"`   // if it lasts so long
+	MaxInProgress      int             `json:"width"`        // instances in progress at once, 1 or more
+	MinReady           int             `json:"least_count"`  // instances ready in each group, at all times
+	MinReadyShare      float64         `json:"least_share"`  // and of those that are desired up, 0 to 1
+	Order              string          `json:"order"`        // OrderFile, OrderName or OrderSpread
+	Surge              int             `json:"surge"`        // spares of each group that are ready before the first instance leaves
+	MaxFailures        int             `json:"failures"`     // more than so many pause the update
+	ReadyWithin        monotime.Micros `json:"ready_within"` // time from launch to ready; 0: the group's
+	StallTimeout       monotime.Micros `json:"stall"`        // blocked for so long, the update pauses and says why
+	MaxRejectedShare   float64         `json:"turned_away"`  // share of rejected invocations that pauses it; 1: never
+	RejectionTolerance monotime.Micros `json:"turned_for"`   // if it lasts so long
 }
 
 // DefaultRollingUpdate is a careful update: one instance at a time, three quarters ready, no failure.
 func DefaultRollingUpdate() RollingUpdateConfig {
 	return RollingUpdateConfig{
-		MaxInProgress: 1, MinReadyShare: 0.75, Order: OrderFile, StallTimeout: micros(time.Minute), MaxRejectedShare: 1,
-		RejectionTolerance: micros(5 * time.Second),
+		MaxInProgress: 1, MinReadyShare: 0.75, Order: OrderFile, StallTimeout: monotime.FromDuration(time.Minute), MaxRejectedShare: 1,
+		RejectionTolerance: monotime.FromDuration(5 * time.Second),
 	}
 }
 
@@ -69,8 +71,8 @@
 // readRollingUpdate reads the (wave ...) form; what it lacks stays as in w.
 func readRollingUpdate(f *sexpr.Form, w RollingUpdateConfig) RollingUpdateConfig {
 	const many = 10_000
-	span := func(name string, or Micros) Micros {
-		return micros(f.Span(name, 0, maxSpan, time.Duration(or)*time.Microsecond))
+	span := func(name string, or monotime.Micros) monotime.Micros {
+		return monotime.FromDuration(f.Span(name, 0, maxSpan, time.Duration(or)*time.Microsecond))
 	}
 	w.MaxInProgress = f.Int("width", 1, many, w.MaxInProgress)
 	w.MinReady = f.Int("least-count", 0, many, w.MinReady)
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -1,5 +1,7 @@
 package fleet
 
+import "milletbarrow/monotime"
+
 // silencePatience is how many polls in a row a supervisor may leave unanswered before its silence counts: one that is
 // just starting or ending answers none.
 const silencePatience = 8
@@ -17,14 +19,14 @@
 // SupervisorRecord is what the record of a supervisor says about the last incarnation that it supervised.
 type SupervisorRecord struct {
 	State           RecordState
-	Cause           string // RecordUnreadable: why
-	Incarnation     string // that it is about
-	Ended           bool   // the incarnation is over
-	Exit            Exit   // Ended: how
-	NoticeID        string // the shutdown notice that the supervisor has taken; empty: none
-	NotifiedAt      Micros // when it took NoticeID
-	SupervisorAlive bool   // the process that wrote it runs
-	InstanceAlive   bool   // the process of the instance runs
+	Cause           string          // RecordUnreadable: why
+	Incarnation     string          // that it is about
+	Ended           bool            // the incarnation is over
+	Exit            Exit            // Ended: how
+	NoticeID        string          // the shutdown notice that the supervisor has taken; empty: none
+	NotifiedAt      monotime.Micros // when it took NoticeID
+	SupervisorAlive bool            // the process that wrote it runs
+	InstanceAlive   bool            // the process of the instance runs
 }
 
 // SupervisorSilence is what is known about an incarnation whose supervisor does not answer.
--- a/internal/fleet/simulated_host_test.go
+++ b/internal/fleet/simulated_host_test.go
@@ -6,15 +6,16 @@
 	"slices"
 
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
-const second = Micros(1_000_000)
+const second = monotime.Micros(1_000_000)
 
 // fakeInstance is an instance as it really is, whatever the machine has seen of it.
 type fakeInstance struct {
 	alive, supervised, ready, unresponsive bool
 	incarnation, noticeID                  string
-	since, notifiedAt                      Micros
+	since, notifiedAt                      monotime.Micros
 	exitState                              Exit
 	neverReady                             bool
 }
@@ -31,14 +32,14 @@
 	t                tester
 	m                *Machine
 	spec             *Spec
-	now              Micros
+	now              monotime.Micros
 	fakes            map[string]*fakeInstance
 	executed         map[string]bool
 	saved            Snapshot // what was written down
 	launches         map[string]int
 	dropAction       func(Action) bool // the action does not reach its supervisor
 	check            func([]Action)
-	startupTime      Micros
+	startupTime      monotime.Micros
 	crashNext        bool // the agent dies between writing down and acting
 	host             string
 	pastObservations []InstanceObserved // earlier ones, some of incarnations that are over
@@ -170,7 +171,7 @@
 }
 
 // advance lets time go by and shows the machine what is to be seen, but for what blind hides.
-func (w *simulatedHost) advance(span Micros, blind func(string) bool) {
+func (w *simulatedHost) advance(span monotime.Micros, blind func(string) bool) {
 	for end := w.now + span; w.now < end; {
 		w.now += min(end-w.now, 100_000)
 		for _, n := range w.m.Names() {
@@ -189,7 +190,7 @@
 	}
 }
 
-func (l *fakeInstance) update(now, cold Micros) {
+func (l *fakeInstance) update(now, cold monotime.Micros) {
 	if !l.alive {
 		return
 	}
@@ -205,7 +206,7 @@
 	}
 }
 
-func (l *fakeInstance) observe(now Micros) Observation {
+func (l *fakeInstance) observe(now monotime.Micros) Observation {
 	s := Observation{Incarnation: l.incarnation, NoticeID: l.noticeID}
 	switch {
 	case !l.alive:
@@ -227,7 +228,7 @@
 	return s
 }
 
-func (w *simulatedHost) command(id string, kind CommandKind, within Micros, names ...string) error {
+func (w *simulatedHost) command(id string, kind CommandKind, within monotime.Micros, names ...string) error {
 	c := &Command{ID: id, Kind: kind, Names: names, RequestedBy: "test", Deadline: w.now + within}
 	switch kind {
 	case KindRollingUpdate:
@@ -240,7 +241,7 @@
 }
 
 // mustCommand issues a command that has to be accepted.
-func (w *simulatedHost) mustCommand(id string, kind CommandKind, within Micros, names ...string) {
+func (w *simulatedHost) mustCommand(id string, kind CommandKind, within monotime.Micros, names ...string) {
 	w.t.Helper()
 	if err := w.command(id, kind, within, names...); err != nil {
 		w.t.Fatalf("%s: %v", id, err)
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"milletbarrow/monotime"
 )
 
 // notInSpec is the cause of a failure for an instance that a command names and the spec no longer does.
@@ -16,7 +18,7 @@
 
 // Restore takes back a snapshot. rebooted reports that the host was started anew since, so that no process of then is
 // left. Instances that the spec no longer names are left out; forgotten lists those of them that may still run.
-func (m *Machine) Restore(now Micros, s Snapshot, rebooted bool) (forgotten []Instance) {
+func (m *Machine) Restore(now monotime.Micros, s Snapshot, rebooted bool) (forgotten []Instance) {
 	for _, stored := range s.Instances {
 		in := m.instances[stored.Name]
 		switch {
@@ -35,7 +37,7 @@
 }
 
 // restoreInstance takes back the state of an instance. What its spec says is not taken from the store.
-func (m *Machine) restoreInstance(now Micros, in *Instance, stored Instance, rebooted bool) {
+func (m *Machine) restoreInstance(now monotime.Micros, in *Instance, stored Instance, rebooted bool) {
 	fromSpec := *in
 	*in = stored
 	in.Group, in.Spare = fromSpec.Group, fromSpec.Spare
@@ -55,7 +57,7 @@
 }
 
 // renewPendingDeadline counts the deadline of a launch or a notice that may not have arrived from now on.
-func (m *Machine) renewPendingDeadline(now Micros, in *Instance) {
+func (m *Machine) renewPendingDeadline(now monotime.Micros, in *Instance) {
 	if in.launchPending() && in.Incarnation == in.ActionID {
 		in.PhaseDeadline = now + m.readinessTimeout(in)
 		m.markInstanceChanged(in)
@@ -67,7 +69,7 @@
 }
 
 // restoreCommand takes back a command and ends it for instances that it can't reach any more.
-func (m *Machine) restoreCommand(now Micros, c *Command, rebooted bool) {
+func (m *Machine) restoreCommand(now monotime.Micros, c *Command, rebooted bool) {
 	if c.Results == nil {
 		c.Results = map[string]Result{}
 	}
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -11,18 +11,12 @@
 	"slices"
 	"strconv"
 	"strings"
-	"time"
 
 	"milletbarrow/internal/cluster/coldstart"
 	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/monotime"
 )
 
-// Micros is a point on the machine's own clock, or a span, in microseconds. Setting the wall clock does
-// not move it; it begins anew with each start of the machine.
-type Micros int64
-
-func micros(d time.Duration) Micros { return Micros(d.Microseconds()) }
-
 // Spec is a fleet as its file describes it. Its tags are the names that fleet check --json prints.
 type Spec struct {
 	Name               string
@@ -48,10 +42,10 @@
 // GroupSpec is a set of instances that serve the same, on one host.
 type GroupSpec struct {
 	Name, Host      string
-	StartWithin     Micros // from its start to ready
-	Settle          Micros // ready for so long before the instance counts as available: caches warm up, endpoint lists follow
-	MaxLaunches     int    `json:"Launches"` // at most so many by itself within LaunchWindow, then it stays failed
-	LaunchWindow    Micros `json:"Within"`
+	StartWithin     monotime.Micros // from its start to ready
+	Settle          monotime.Micros // ready for so long before the instance counts as available: caches warm up, endpoint lists follow
+	MaxLaunches     int             `json:"Launches"` // at most so many by itself within LaunchWindow, then it stays failed
+	LaunchWindow    monotime.Micros `json:"Within"`
 	Labels          []string
 	DegradationFile string   `json:"Levels"` // the degradation policy's file; empty: none
 	Instances       []string // in the file's order, spares last
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -11,6 +11,7 @@
 	"milletbarrow/internal/cluster/quorum"
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/sexpr"
+	"milletbarrow/monotime"
 )
 
 // readQuotas reads the (budgets ...) form: the quotas that the fleet shares, and the hosts that keep their store.
@@ -84,9 +85,9 @@
 	b.Tenant = f.Text("tenant", "")
 	b.Division = quota.Division(f.OneOf("divide", string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
 	b.Step = int64(f.Int("step", 1, backendquota.MaxRate, 1))
-	b.Lease = quota.Micros(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second).Microseconds())
+	b.Lease = monotime.FromDuration(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second))
 	margin := max(b.Lease/20, quota.MinClockMargin(b.Lease))
-	b.ClockMargin = quota.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
+	b.ClockMargin = monotime.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
 	if b.Tenant == "" {
 		f.Fail("tenant", "missing: whose work draws from it")
 	}
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -2,12 +2,14 @@
 
 import (
 	"errors"
-	"milletbarrow/internal/limits"
-	"milletbarrow/internal/sexpr"
 	"path/filepath"
 	"strconv"
 	"strings"
 	"time"
+
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/sexpr"
+	"milletbarrow/monotime"
 )
 
 const (
@@ -127,13 +129,13 @@
 	r.attribute(SpecSubject{})
 	g := GroupSpec{
 		Name: parseName(f), Host: f.Text("host", ""), Labels: f.Words("labels"),
-		StartWithin: micros(f.Span("start-within", minSpan, maxSpan, 30*time.Second)),
-		Settle:      micros(f.Span("settle", 0, maxSpan, time.Second)),
-		MaxLaunches: 3, LaunchWindow: micros(time.Minute),
+		StartWithin: monotime.FromDuration(f.Span("start-within", minSpan, maxSpan, 30*time.Second)),
+		Settle:      monotime.FromDuration(f.Span("settle", 0, maxSpan, time.Second)),
+		MaxLaunches: 3, LaunchWindow: monotime.FromDuration(time.Minute),
 	}
 	if restart := f.Field("restart"); restart != nil {
 		g.MaxLaunches = restart.Int("most", 0, 1000, g.MaxLaunches)
-		g.LaunchWindow = micros(restart.Span("within", minSpan, maxSpan, time.Minute))
+		g.LaunchWindow = monotime.FromDuration(restart.Span("within", minSpan, maxSpan, time.Minute))
 		restart.Done()
 	}
 	if g.Host == "" && len(r.Hosts) == 1 {
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -3,21 +3,23 @@
 import (
 	"fmt"
 	"slices"
+
+	"milletbarrow/monotime"
 )
 
 // Unit is one unit of a concurrency quota that the whole fleet shares, held by an instance while a rolling update or a
 // cold start has it in progress. It is released once the instance is observed ready, not when the command has a result
 // for it: what does not come back counts until an operator writes it off.
 type Unit struct {
-	Quota         string `json:"budget,omitempty"`
-	RequestID     string `json:"turn,omitempty"` // empty: none is requested
-	CommandID     string `json:"for,omitempty"`  // the command that it is for
-	Held          bool   `json:"held,omitempty"` // else it is requested
-	NextRequestAt Micros `json:"next,omitempty"` // no call to the quota store before
-	DenialCause   string `json:"why,omitempty"`  // why the latest request was denied
-
-	Standalone bool   `json:"alone,omitempty"` // the unit reserved for this host is used, as the quota store does not answer
-	StartedAt  Micros `json:"began,omitempty"` // KindColdStart: when the start began that holds it
+	Quota         string          `json:"budget,omitempty"`
+	RequestID     string          `json:"turn,omitempty"` // empty: none is requested
+	CommandID     string          `json:"for,omitempty"`  // the command that it is for
+	Held          bool            `json:"held,omitempty"` // else it is requested
+	NextRequestAt monotime.Micros `json:"next,omitempty"` // no call to the quota store before
+	DenialCause   string          `json:"why,omitempty"`  // why the latest request was denied
+
+	Standalone bool            `json:"alone,omitempty"` // the unit reserved for this host is used, as the quota store does not answer
+	StartedAt  monotime.Micros `json:"began,omitempty"` // KindColdStart: when the start began that holds it
 }
 
 // The actions on units. They go to the quota store, not to a supervisor, and may be carried out twice.
@@ -41,7 +43,7 @@
 const maxRequestGap = 10 * unitRetryDelay
 
 // holdsUnit reports whether an instance holds a unit for a command; else one is requested.
-func (m *Machine) holdsUnit(now Micros, c *Command, in *Instance) bool {
+func (m *Machine) holdsUnit(now monotime.Micros, c *Command, in *Instance) bool {
 	if c.Quota == "" || in.Unit.Held && in.Unit.CommandID == c.ID {
 		return true
 	}
@@ -51,7 +53,7 @@
 		m.markInstanceChanged(in)
 	}
 	if !in.Unit.Held && in.Unit.CommandID == c.ID && now >= in.Unit.NextRequestAt {
-		in.Unit.NextRequestAt = now + unitRetryDelay + Micros(m.random.Int64N(unitRetryDelay/2))
+		in.Unit.NextRequestAt = now + unitRetryDelay + monotime.Micros(m.random.Int64N(unitRetryDelay/2))
 		if m.quotaSilentSince == 0 || now-m.lastUnitRequestAt > maxRequestGap { // a silence while nothing was requested says nothing
 			m.quotaSilentSince = now
 		}
@@ -72,12 +74,12 @@
 }
 
 // backInService reports whether an instance serves again, or is down as desired.
-func (in *Instance) backInService(now Micros) bool {
+func (in *Instance) backInService(now monotime.Micros) bool {
 	return in.available(now) || !in.DesiredUp && in.Phase.Down()
 }
 
 // returnUnit releases a unit that is of no more use.
-func (m *Machine) returnUnit(now Micros, in *Instance) {
+func (m *Machine) returnUnit(now monotime.Micros, in *Instance) {
 	u := &in.Unit
 	switch {
 	case u.RequestID == "" || m.unitNeeded(in):
@@ -91,7 +93,7 @@
 }
 
 // handleUnitAcquired takes in the answer to a unit request.
-func (m *Machine) handleUnitAcquired(now Micros, in *Instance, e UnitAcquired) {
+func (m *Machine) handleUnitAcquired(now monotime.Micros, in *Instance, e UnitAcquired) {
 	u := &in.Unit
 	m.quotaSilentSince = 0
 	switch {
@@ -114,14 +116,14 @@
 }
 
 // returnStrayUnit releases a unit held for a request that nobody remembers, once the instance is back in service.
-func (m *Machine) returnStrayUnit(now Micros, in *Instance, h HeldUnit) {
+func (m *Machine) returnStrayUnit(now monotime.Micros, in *Instance, h HeldUnit) {
 	if in.backInService(now) {
 		m.actions = append(m.actions, Action{Name: in.Name, ID: h.RequestID, Kind: ActionReleaseUnit, Unit: Unit{Quota: h.Quota, RequestID: h.RequestID, Held: true}, StartResult: in.startResult(now)})
 	}
 }
 
 // handleUnitReleased takes in that a unit is back at the quota store. Another request may have begun meanwhile.
-func (m *Machine) handleUnitReleased(now Micros, e UnitReleased) {
+func (m *Machine) handleUnitReleased(now monotime.Micros, e UnitReleased) {
 	m.quotaSilentSince = 0
 	if in := m.instances[e.Name]; in != nil && in.Unit.RequestID == e.RequestID {
 		in.Unit = Unit{}
@@ -131,7 +133,7 @@
 }
 
 // handleUnitsListed releases the units that the quota store lists and no instance remembers.
-func (m *Machine) handleUnitsListed(now Micros, e UnitsListed) {
+func (m *Machine) handleUnitsListed(now monotime.Micros, e UnitsListed) {
 	for _, h := range e.Units {
 		if in := m.instances[h.Name]; in != nil && in.Unit.RequestID != h.RequestID {
 			m.returnStrayUnit(now, in, h)
--- a/internal/fleetclient/rollingupdate.go
+++ b/internal/fleetclient/rollingupdate.go
@@ -49,7 +49,7 @@
 // run goes on until all hosts are done, one has to stop it, or ctx ends. It returns why it stopped early.
 func (u *rollingUpdate) run(ctx context.Context) (reason string) {
 	for {
-		step := u.coordinator.Next(fleet.Micros(process.Now()), u.progress(ctx))
+		step := u.coordinator.Next(process.Now(), u.progress(ctx))
 		for _, host := range step.Begin {
 			if err := u.begin(ctx, host); err != nil {
 				step.StopReason = err.Error()
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -15,9 +15,10 @@
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/simulation"
+	"milletbarrow/monotime"
 )
 
-func day(span simulation.Micros) *simulation.Scenario {
+func day(span monotime.Micros) *simulation.Scenario {
 	s := simulation.Default()
 	s.Duration, s.Hosts.Count, s.Nodes.Count, s.Load.Level = span, 1, 2, 0.5
 	return &s
@@ -49,7 +50,7 @@
 // TestChoose: round robin; neither a backend that asked to be left alone nor that of the previous attempt; a first
 // attempt is sent all the same.
 func TestChoose(t *testing.T) {
-	b := BackendView{AvoidUntil: make([]Micros, 3)}
+	b := BackendView{AvoidUntil: make([]monotime.Micros, 3)}
 	req := &Request{LastBackend: -1}
 	got := make([]int, 0, 9)
 	for range 4 {
@@ -60,7 +61,7 @@
 	for range 3 {
 		got = append(got, b.Choose(50, req))
 	}
-	b.AvoidUntil = []Micros{100, 100, 100}
+	b.AvoidUntil = []monotime.Micros{100, 100, 100}
 	got = append(got, b.Choose(50, req))
 	req.Attempts = 0
 	got = append(got, b.Choose(50, req))
@@ -72,7 +73,7 @@
 // TestRecordResponse: Retry-After extends the present one, is ignored by some nodes, and an unreachable backend is
 // avoided by all.
 func TestRecordResponse(t *testing.T) {
-	b := BackendView{AvoidUntil: make([]Micros, 4)}
+	b := BackendView{AvoidUntil: make([]monotime.Micros, 4)}
 	b.RecordResponse(100, 0, Response{Outcome: simulation.Throttled, RetryAfter: 50}, false)
 	b.RecordResponse(100, 0, Response{Outcome: simulation.Throttled, RetryAfter: 20}, false)
 	b.RecordResponse(100, 1, Response{Outcome: simulation.Throttled, RetryAfter: 50}, true)
--- a/internal/loadgen/retry.go
+++ b/internal/loadgen/retry.go
@@ -9,16 +9,14 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/simulation"
+	"milletbarrow/monotime"
 )
 
-// Micros is a time of the day that is sent, in whole microseconds.
-type Micros = simulation.Micros
-
 // Request is the state of one request at its caller.
 type Request struct {
 	simulation.Arrival
 	Number       int
-	Due          Micros
+	Due          monotime.Micros
 	Attempts     int
 	LastBackend  int // backend of the latest attempt; -1: none
 	OpenAttempts int // unanswered attempts
@@ -27,13 +25,13 @@
 
 // BackendView is what one node knows of the backends.
 type BackendView struct {
-	AvoidUntil []Micros // by backend: it gets no attempt before
+	AvoidUntil []monotime.Micros // by backend: it gets no attempt before
 	next       int
 }
 
 // Choose returns the backend of an attempt: round robin, without those that asked to be left alone, and without that of
 // the previous attempt while there are others. A first attempt is sent all the same. -1: no backend.
-func (b *BackendView) Choose(now Micros, req *Request) int {
+func (b *BackendView) Choose(now monotime.Micros, req *Request) int {
 	n := len(b.AvoidUntil)
 	for range n {
 		b.next = (b.next + 1) % n
@@ -50,7 +48,7 @@
 
 // RecordResponse takes in a Retry-After, or that a backend could not be reached: it is avoided for as long. A node that
 // ignores advice honours no Retry-After.
-func (b *BackendView) RecordResponse(now Micros, backend int, response Response, ignoresAdvice bool) {
+func (b *BackendView) RecordResponse(now monotime.Micros, backend int, response Response, ignoresAdvice bool) {
 	switch response.Outcome {
 	case simulation.Throttled:
 		if !ignoresAdvice {
@@ -67,13 +65,13 @@
 // Response is the outcome of an attempt.
 type Response struct {
 	Outcome    simulation.Outcome
-	RetryAfter Micros
+	RetryAfter monotime.Micros
 	DontRetry  bool
 }
 
 // Next decides after an attempt without success whether the request is retried, and after which pause. A node that
 // ignores advice honours neither "don't retry" nor the growth of the backoff.
-func Next(s *simulation.Scenario, now Micros, req *Request, response Response, ignoresAdvice bool, random *rand.Rand) (backoff Micros, retry bool) {
+func Next(s *simulation.Scenario, now monotime.Micros, req *Request, response Response, ignoresAdvice bool, random *rand.Rand) (backoff monotime.Micros, retry bool) {
 	op := &s.Operations[req.Operation]
 	ran := response.Outcome != simulation.Throttled && response.Outcome != simulation.Unreachable
 	if ran && op.RetrySafety == admission.NonIdempotent || response.DontRetry && !ignoresAdvice || s.Nodes.MaxAttempts > 0 && req.Attempts >= s.Nodes.MaxAttempts {
@@ -83,12 +81,12 @@
 	if !ignoresAdvice {
 		wait *= math.Exp2(float64(min(req.Attempts, 8) - 1))
 	}
-	backoff = max(1000, Micros(wait*(0.5+random.Float64())))
+	backoff = max(1000, monotime.Micros(wait*(0.5+random.Float64())))
 	return backoff, now+backoff < req.Due
 }
 
 // EarnedValue returns the value billed for a success after that long.
-func EarnedValue(op *simulation.Operation, took Micros) float64 {
+func EarnedValue(op *simulation.Operation, took monotime.Micros) float64 {
 	if took > op.Objective {
 		return op.Value * op.LateValue
 	}
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -12,6 +12,7 @@
 	"milletbarrow/internal/backend/frame"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/simulation"
+	"milletbarrow/monotime"
 )
 
 // Options describe one load.
@@ -105,7 +106,7 @@
 	}
 	nodes := &o.Scenario.Nodes
 	for n := range nodes.Count {
-		s.views = append(s.views, BackendView{AvoidUntil: make([]Micros, len(o.Backends)), next: n % len(o.Backends)})
+		s.views = append(s.views, BackendView{AvoidUntil: make([]monotime.Micros, len(o.Backends)), next: n % len(o.Backends)})
 		s.ignoresAdvice = append(s.ignoresAdvice, float64(n) < nodes.UnresponsiveShare*float64(nodes.Count))
 	}
 	return s
@@ -142,7 +143,7 @@
 }
 
 // now returns the time of the day.
-func (s *sender) now() Micros { return Micros(time.Since(s.startedAt).Microseconds()) }
+func (s *sender) now() monotime.Micros { return monotime.FromDuration(time.Since(s.startedAt)) }
 
 // finishReport completes the report.
 func (s *sender) finishReport() *Report {
--- a/internal/plot/degradation.go
+++ b/internal/plot/degradation.go
@@ -13,6 +13,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/monotime"
 )
 
 // maxPoints is the number of points of one line; a longer trace is thinned evenly.
@@ -101,6 +102,6 @@
 }
 
 // secondsAfter returns a time in seconds after the first point.
-func secondsAfter(points []degradation.ReplayPoint, at degradation.Micros) float64 {
+func secondsAfter(points []degradation.ReplayPoint, at monotime.Micros) float64 {
 	return float64(at-points[0].At) / 1e6
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -11,6 +11,9 @@
 	"strings"
 	"sync"
 	"syscall"
+	"time"
+
+	"milletbarrow/monotime"
 
 	"golang.org/x/sys/unix"
 )
@@ -132,12 +135,12 @@
 
 // Now returns the time since the machine was booted, in microseconds, including suspension. Setting the wall clock does not change
 // it, and all processes of the machine read the same.
-func Now() int64 {
+func Now() monotime.Micros {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // on every Linux since 2.6.39
 	}
-	return t.Nano() / 1000
+	return monotime.FromDuration(time.Duration(t.Nano()))
 }
 
 // Boot returns the id of this boot of the machine: times of Now, pids and identities of another boot are not valid in it.
--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -3,14 +3,16 @@
 import (
 	"math"
 	"math/rand/v2"
+
+	"milletbarrow/monotime"
 )
 
 // Arrival is one request of a day as its caller sends it.
 type Arrival struct {
-	At                      Micros // when it is sent
+	At                      monotime.Micros // when it is sent
 	Node, Operation, Tenant int
-	Work                    float64 // core time, microseconds
-	Hint                    Micros  // expected work sent along; 0: none
+	Work                    float64         // core time, microseconds
+	Hint                    monotime.Micros // expected work sent along; 0: none
 }
 
 // Stream generates the requests of a day, in order of time: open loop, and the same for the same scenario and seed,
@@ -20,9 +22,9 @@
 	scenario         *Scenario
 	rand             *rand.Rand
 	nextAt           float64
-	maxRate          float64   // highest rate of the day, in requests a microsecond
-	cumulativeShares []float64 // of the operations, cumulative
-	burstUntil       Micros    // of a bursty load: when the present phase ends
+	maxRate          float64         // highest rate of the day, in requests a microsecond
+	cumulativeShares []float64       // of the operations, cumulative
+	burstUntil       monotime.Micros // of a bursty load: when the present phase ends
 	burstOn          bool
 	replayed         int // requests of a recorded load so far
 }
@@ -56,12 +58,12 @@
 }
 
 // activeAt reports whether the fault lasts at that time.
-func (fault *Fault) activeAt(now Micros) bool {
+func (fault *Fault) activeAt(now monotime.Micros) bool {
 	return now >= fault.At && now < fault.At+max(fault.Duration, 1)
 }
 
 // tenantWeight returns a tenant's share of the load at a time, with its bursts; the shares need not add up to 1.
-func (s *Scenario) tenantWeight(tenant int, now Micros) float64 {
+func (s *Scenario) tenantWeight(tenant int, now monotime.Micros) float64 {
 	x := s.Tenants[tenant].Share
 	for i := range s.Faults {
 		if fault := &s.Faults[i]; fault.Kind == TenantBurst && fault.Tenant == tenant && fault.activeAt(now) {
@@ -72,7 +74,7 @@
 }
 
 // level returns the load at a time, as a part of capacity.
-func (st *Stream) level(now Micros) float64 {
+func (st *Stream) level(now monotime.Micros) float64 {
 	l := &st.scenario.Load
 	x, part := l.Level, float64(now)/float64(st.scenario.Duration)
 	switch l.Shape {
@@ -87,7 +89,7 @@
 	case Bursty:
 		for st.burstUntil <= now {
 			st.burstOn = !st.burstOn
-			st.burstUntil += Micros(st.rand.ExpFloat64()*float64(l.Period)) + 1
+			st.burstUntil += monotime.Micros(st.rand.ExpFloat64()*float64(l.Period)) + 1
 		}
 		if st.burstOn {
 			x *= 1 + l.Swing
@@ -148,7 +150,7 @@
 		if st.nextAt >= float64(s.Duration) { // also where it is infinite
 			return a, false
 		}
-		if a.At = Micros(st.nextAt); st.rand.Float64()*st.maxRate <= st.level(a.At)*s.Capacity()/1e6 {
+		if a.At = monotime.Micros(st.nextAt); st.rand.Float64()*st.maxRate <= st.level(a.At)*s.Capacity()/1e6 {
 			break
 		}
 	}
@@ -178,5 +180,5 @@
 	if len(st.scenario.Tenants) > 0 && st.scenario.Tenants[a.Tenant].HintFactor > 0 {
 		lie *= st.scenario.Tenants[a.Tenant].HintFactor
 	}
-	a.Hint = max(1, Micros(a.Work*lie))
+	a.Hint = max(1, monotime.Micros(a.Work*lie))
 }
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // Audit checks the four rules of the balancer against what happened, never against what a policy reports.
@@ -15,11 +16,11 @@
 
 // Breach is one violation of a rule.
 type Breach struct {
-	At          Micros `json:"at_us"`
-	Rule        int    `json:"rule"`
-	Host        int32  `json:"host"`
-	Invocation  string `json:"invocation,omitempty"`
-	Description string `json:"what"`
+	At          monotime.Micros `json:"at_us"`
+	Rule        int             `json:"rule"`
+	Host        int32           `json:"host"`
+	Invocation  string          `json:"invocation,omitempty"`
+	Description string          `json:"what"`
 }
 
 func (b Breach) String() string {
--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // dayOfSize is a typical day of 60 s at a size, with two thirds as many nodes as hosts.
@@ -52,7 +53,7 @@
 // idlePolicy starts all and decides nothing: what is measured is the simulation's own time.
 type idlePolicy struct{}
 
-func (idlePolicy) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
+func (idlePolicy) Decide(now monotime.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	switch e := ev.(type) {
 	case admission.Opened, admission.Reading:
 		return append(out, admission.Wake{At: now + 20*Millisecond, Token: 1})
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -13,6 +13,7 @@
 	"milletbarrow/internal/backoff"
 	"milletbarrow/internal/cluster/coldstart"
 	faultinjectioncoldstart "milletbarrow/internal/faultinjection/coldstart"
+	"milletbarrow/monotime"
 )
 
 // Policy is how backends start and report.
@@ -201,7 +202,6 @@
 }
 
 // micros converts a duration to whole microseconds.
-func micros(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 
 // handle executes one event.
 func (w *run) handle(e event) {
@@ -293,7 +293,7 @@
 	w.startsByHost[b.host]--
 	if w.coldStart != nil {
 		no := w.coldStart.PauseNumber
-		w.coldStart.Report(b.name, coldstart.Outcome{Ready: well, Took: coldstart.Micros((w.now - b.startedAt).Microseconds()), Cause: "the service below"})
+		w.coldStart.Report(b.name, coldstart.Outcome{Ready: well, Took: monotime.FromDuration(w.now - b.startedAt), Cause: "the service below"})
 		if w.coldStart.PauseNumber != no {
 			w.schedule(time.Duration(w.coldStart.Pause)*time.Microsecond, eventPauseOver, index, int(w.coldStart.PauseNumber))
 		}
@@ -305,7 +305,7 @@
 	}
 	b.ready = true
 	w.readyTimes = append(w.readyTimes, w.now)
-	b.pacer.Start(micros(w.now))
+	b.pacer.Start(monotime.FromDuration(w.now))
 	w.scheduleReport(index)
 }
 
@@ -321,7 +321,7 @@
 // report sends a load report to the endpoint registry.
 func (w *run) report(index int) {
 	b := &w.backends[index]
-	b.pacer.Started(micros(w.now))
+	b.pacer.Started(monotime.FromDuration(w.now))
 	w.scheduleReport(index)
 	r := &w.config.Registry
 	p := r.At(w.now)
@@ -343,9 +343,9 @@
 	w.reportsInFlight--
 	c := &w.reports[call]
 	if c.Counted {
-		b.pacer.Succeeded(micros(w.now), micros(c.At))
+		b.pacer.Succeeded(monotime.FromDuration(w.now), monotime.FromDuration(c.At))
 	} else {
-		b.pacer.Failed(micros(w.now), reportpacing.Rejected, micros(w.config.Registry.At(c.At).RetryAfter))
+		b.pacer.Failed(monotime.FromDuration(w.now), reportpacing.Rejected, monotime.FromDuration(w.config.Registry.At(c.At).RetryAfter))
 	}
 	w.scheduleReport(index)
 }
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -14,20 +14,20 @@
 	"milletbarrow/internal/faultinjection/coldstart"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
 // Default returns a typical installation: a registry that rejects reports for ten seconds, and a dependency that
 // collapses when a tenth of all backends call it at once and recovers after five seconds without a call.
 func Default(backends int) Config {
 	b := limits.For(1, 192, 1024)
-	of := func(d time.Duration) reportpacing.Micros { return reportpacing.Micros(d.Microseconds()) }
 	return Config{
 		Backends: backends, Hosts: max(1, backends/30), StartDuration: time.Second, UncontendedStarts: 6, Duration: 120 * time.Second,
 		Registry:   coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, ResponseTime: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, ResponseTime: 10 * time.Millisecond}}},
 		Dependency: Dependency{Latency: 200 * time.Millisecond, Concurrency: max(2, backends/30), CollapseAt: max(4, backends/10), Recovery: 5 * time.Second},
 		Reports: reportpacing.Config{
-			Interval: of(b.ReportInterval), TTL: of(b.RegistrationTTL), RetryMin: of(b.ReportRetryMin), RetryRefused: of(b.ReportRetryRefused), RetryInitial: of(b.ReportRetryInitial),
-			RetryMax: of(b.ReportRetryMax), RetryAfterMax: of(b.RetryAfterMax), InFlight: b.ReportsInFlight,
+			Interval: monotime.FromDuration(b.ReportInterval), TTL: monotime.FromDuration(b.RegistrationTTL), RetryMin: monotime.FromDuration(b.ReportRetryMin), RetryRefused: monotime.FromDuration(b.ReportRetryRefused), RetryInitial: monotime.FromDuration(b.ReportRetryInitial),
+			RetryMax: monotime.FromDuration(b.ReportRetryMax), RetryAfterMax: monotime.FromDuration(b.RetryAfterMax), InFlight: b.ReportsInFlight,
 		},
 		RelaunchBackoff: fleet.DefaultConfig(limits.ForControl(), 1).RelaunchBackoff,
 	}
--- a/internal/simulation/dependency.go
+++ b/internal/simulation/dependency.go
@@ -2,10 +2,11 @@
 
 import (
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // startCall sends a run's call to the shared dependency.
-func (w *world) startCall(h *host, j int32, within Micros) {
+func (w *world) startCall(h *host, j int32, within monotime.Micros) {
 	att := &w.attempts[j]
 	att.phase = phaseCalling
 	att.callNumber++
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -1,5 +1,7 @@
 package simulation
 
+import "milletbarrow/monotime"
+
 // eventKind says what an event is. Events of one time are executed in the order in which they were scheduled. Comments
 // name the event's subject and detail.
 type eventKind uint8
@@ -34,7 +36,7 @@
 
 // event is kept at 32 bytes, as millions of them are queued.
 type event struct {
-	at              Micros
+	at              monotime.Micros
 	seq             uint64
 	subject, detail int32
 	generation      uint32
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -4,6 +4,7 @@
 	"math"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // randomHosts draws a share of the hosts, at least one where the share is above 0.
@@ -31,7 +32,7 @@
 		}
 		over()
 	case Gray:
-		w.grayDelay = Micros(fault.Factor * float64(w.scenario.Nodes.NetworkDelay))
+		w.grayDelay = monotime.Micros(fault.Factor * float64(w.scenario.Nodes.NetworkDelay))
 		for _, n := range w.randomHosts(fault.Share) {
 			w.grayHosts[n] = true
 		}
--- a/internal/simulation/fault_config.go
+++ b/internal/simulation/fault_config.go
@@ -1,16 +1,18 @@
 package simulation
 
+import "milletbarrow/monotime"
+
 // Fault is one disturbance of the day.
 type Fault struct {
 	Kind        FaultKind
-	At          Micros
-	Duration    Micros  `json:"For"`
-	Share       float64 // of the hosts or nodes that are affected
-	Factor      float64 // factor of the slowdown or of the load
-	Tenant      int     // index of the tenant of a TenantBurst
-	BatchShare  float64 `json:"Width"` // share of the hosts that a release replaces at once
-	ByFleet     bool    `json:"Fleet"` // a release is decided by fleet.Machine
-	LostNotices float64 `json:"Lost"`  // share of a release's shutdown notices that never arrive
+	At          monotime.Micros
+	Duration    monotime.Micros `json:"For"`
+	Share       float64         // of the hosts or nodes that are affected
+	Factor      float64         // factor of the slowdown or of the load
+	Tenant      int             // index of the tenant of a TenantBurst
+	BatchShare  float64         `json:"Width"` // share of the hosts that a release replaces at once
+	ByFleet     bool            `json:"Fleet"` // a release is decided by fleet.Machine
+	LostNotices float64         `json:"Lost"`  // share of a release's shutdown notices that never arrive
 }
 
 // FaultKind is the kind of a fault. Its String is the word of experiment files.
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -3,12 +3,13 @@
 import (
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/monotime"
 )
 
 // Decider decides for one incarnation of one host: admission.Backend, unchanged, or a baseline that speaks the same
 // events and actions. It appends its actions to out.
 type Decider interface {
-	Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action
+	Decide(now monotime.Micros, ev admission.Event, out []admission.Action) []admission.Action
 }
 
 // host is one backend machine and the process on it.
@@ -23,7 +24,7 @@
 	slowdown         float64 // factor of a Slow fault; 1: none
 	coreShare        float64 // share of the cores that other processes leave
 	warmUpSpeed      float64 // speed by slow start, up to 1
-	startedAt        Micros
+	startedAt        monotime.Micros
 	firstAttempt     int32 // head of the list of attempts in flight, the latest first
 	inFlight         int
 	queued           int
@@ -33,18 +34,18 @@
 	memory           float64
 	keyKB            float64
 	connections      int
-	idleTimeout      Micros
+	idleTimeout      monotime.Micros
 	healthy          bool
 	draining         bool
-	noticedAt        Micros // when the shutdown notice came
-	exitsAt          Micros
-	overloadedAt     Micros // since when it has been overloaded; 0: it is not
+	noticedAt        monotime.Micros // when the shutdown notice came
+	exitsAt          monotime.Micros
+	overloadedAt     monotime.Micros // since when it has been overloaded; 0: it is not
 	busyMicros       float64
-	busyUpdatedAt    Micros
+	busyUpdatedAt    monotime.Micros
 	busyAtReading    float64 // busyMicros at the last reading
-	readingAt        Micros
+	readingAt        monotime.Micros
 	busyAtSecond     float64 // busyMicros at the last full second
-	clockSkew        Micros
+	clockSkew        monotime.Micros
 	managedByAgent   bool // a hostAgent starts and stops it
 	cachedResults    map[string]*cachedResult
 	resultsByRequest map[uint64]string
@@ -53,7 +54,7 @@
 
 // cachedResult is the result of a request with an idempotency key, or its pending run.
 type cachedResult struct {
-	expiresAt Micros
+	expiresAt monotime.Micros
 	ended     bool
 	succeeded bool
 	attempt   int32
@@ -90,7 +91,7 @@
 	if cold && w.scenario.Hosts.WarmUp > 0 {
 		h.warmUpSpeed = w.scenario.Hosts.ColdSpeed
 		if h.degradation != nil {
-			h.degradation.signals.SetWarmingUntil(degradation.Micros(w.now + w.scenario.Hosts.WarmUp))
+			h.degradation.signals.SetWarmingUntil(w.now + w.scenario.Hosts.WarmUp)
 		}
 		w.queue.push(event{at: w.now + w.scenario.Hosts.WarmUp/warmUpSteps + 1, kind: evWarmUp, subject: h.number, generation: h.incarnation})
 	}
--- a/internal/simulation/host_actions.go
+++ b/internal/simulation/host_actions.go
@@ -92,7 +92,7 @@
 	att := &w.attempts[j]
 	att.retryAfter, att.dontRetry = min(a.RetryAfter, w.scenario.Hosts.MaxRetryAfter), a.DontRetry
 	if state := h.degradation; state != nil && att.answers == 0 && !att.shed { // what degradation sheds must not keep the level up
-		state.signals.Count(degradation.Micros(w.now), degradation.Rejections)
+		state.signals.Count(w.now, degradation.Rejections)
 	}
 	w.answer(h, j, Throttled)
 	w.dropWaiter(h, j)
--- a/internal/simulation/host_agent.go
+++ b/internal/simulation/host_agent.go
@@ -41,7 +41,7 @@
 			return err
 		}
 		agent.machine = fleet.New(spec, "a", fleet.DefaultConfig(limits.ForControl(), w.policySeed), func(*fleet.InstanceSpec) fleet.ShutdownWindow {
-			return fleet.ShutdownWindow{Grace: fleet.Micros(w.scenario.Hosts.DrainGrace), ExitTimeout: fleet.Micros(w.scenario.Hosts.ExitTimeout)}
+			return fleet.ShutdownWindow{Grace: w.scenario.Hosts.DrainGrace, ExitTimeout: w.scenario.Hosts.ExitTimeout}
 		})
 		for k := range n {
 			agent.names = append(agent.names, agentName(k))
@@ -59,7 +59,7 @@
 
 // submit passes a command to an agent's machine.
 func (w *world) submit(agent *hostAgent, command *fleet.Command) error {
-	steps, _, err := agent.machine.Decide(fleet.Micros(w.now), fleet.CommandReceived{Command: command})
+	steps, _, err := agent.machine.Decide(w.now, fleet.CommandReceived{Command: command})
 	w.carryOut(agent, slices.Clone(steps))
 	return err
 }
@@ -73,7 +73,7 @@
 		config.MinReadyShare = max(0, 1-2*fault.BatchShare)
 		config.MaxFailures = len(agent.names)
 		agent.lostNotices = fault.LostNotices
-		if err := w.submit(agent, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.KindRollingUpdate, Names: agent.names, RequestedBy: "model", Deadline: fleet.Micros(w.now + 3600*Second), Rollout: &config}); err != nil {
+		if err := w.submit(agent, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.KindRollingUpdate, Names: agent.names, RequestedBy: "model", Deadline: w.now + 3600*Second, Rollout: &config}); err != nil {
 			w.result.RejectedReleases++
 		}
 	}
@@ -88,7 +88,7 @@
 	if w.agentsUnavailable {
 		return
 	}
-	now := fleet.Micros(w.now)
+	now := w.now
 	for k := range agent.names {
 		h := &w.hosts[agent.firstHost+k]
 		s := fleet.Observation{Phase: fleet.PhaseReady, Incarnation: agent.incarnations[k], NoticeID: agent.notices[k]}
--- a/internal/simulation/host_cores.go
+++ b/internal/simulation/host_cores.go
@@ -5,6 +5,7 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/monotime"
 )
 
 // advanceCores brings the cores up to now. Call it before their load or speed changes, and updateCores after.
@@ -51,7 +52,7 @@
 	if len(s.jobs) == 0 {
 		return
 	}
-	at := w.now + Micros(math.Ceil(max(0, s.jobs[0].end-s.progress)/s.rate))
+	at := w.now + monotime.Micros(math.Ceil(max(0, s.jobs[0].end-s.progress)/s.rate))
 	if s.completionAt > w.now && s.completionAt <= at {
 		return
 	}
@@ -121,9 +122,9 @@
 		cached.ended, cached.succeeded = true, true
 	}
 	if state := h.degradation; state != nil && att.answers == 0 {
-		state.signals.Count(degradation.Micros(w.now), degradation.Successes)
+		state.signals.Count(w.now, degradation.Successes)
 		if w.now-att.reachedAt > w.scenario.Operations[req.operation].Objective {
-			state.signals.Count(degradation.Micros(w.now), degradation.LateSuccesses)
+			state.signals.Count(w.now, degradation.LateSuccesses)
 		}
 	}
 	if att.answers > 0 {
--- a/internal/simulation/host_intake.go
+++ b/internal/simulation/host_intake.go
@@ -3,6 +3,7 @@
 import (
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/monotime"
 )
 
 // reachHost delivers an attempt to its host, which has to read it.
@@ -39,7 +40,7 @@
 }
 
 // reject ends an attempt by the network, not by the process.
-func (w *world) reject(j int32, outcome Outcome, after Micros) {
+func (w *world) reject(j int32, outcome Outcome, after monotime.Micros) {
 	att := &w.attempts[j]
 	att.outcome = outcome
 	w.queue.push(event{at: w.now + after, kind: evAnswer, subject: j, generation: att.generation})
@@ -64,7 +65,7 @@
 	w.trace.record(w, att, stepRead)
 	hint := req.hint
 	if w.policy.KnowsWork {
-		hint = Micros(req.work)
+		hint = monotime.Micros(req.work)
 	}
 	ev := admission.Arrived{
 		ID: att.id, Operation: int(req.operation), Tenant: int(req.tenant), Priority: op.Priority, Retry: att.retry,
@@ -92,9 +93,9 @@
 
 // shouldShed asks a host's degradation whether it sheds a request, and counts one that it does not.
 func (w *world) shouldShed(h *host, req *request, att *attempt, priority float64) bool {
-	state, now := h.degradation, degradation.Micros(w.now)
+	state, now := h.degradation, w.now
 	level, depth := state.controller.Level(), state.controller.Depth(now)
-	if state.shedder.ShouldShed(level, depth, int(req.operation), int(req.tenant), priority, degradation.Micros(req.hint)) {
+	if state.shedder.ShouldShed(level, depth, int(req.operation), int(req.tenant), priority, req.hint) {
 		return true
 	}
 	state.signals.Count(now, degradation.Arrivals)
--- a/internal/simulation/host_lifecycle.go
+++ b/internal/simulation/host_lifecycle.go
@@ -2,7 +2,6 @@
 
 import (
 	"milletbarrow/admission"
-	"milletbarrow/internal/backend/degradation"
 )
 
 // Delays of a host's next process, and the steps in which a cold one reaches full speed.
@@ -26,7 +25,7 @@
 		Token: token, CoreUse: use, OnCores: running, MemoryShare: memory, Connections: float64(h.connections) / float64(w.scenario.Hosts.Connections),
 	})
 	if state := h.degradation; state != nil && h.up {
-		now := degradation.Micros(w.now)
+		now := w.now
 		if h.draining {
 			state.signals.SetDraining()
 		}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -2,6 +2,8 @@
 
 import (
 	"math"
+
+	"milletbarrow/monotime"
 )
 
 // node is an edge node: it knows some hosts, holds connections to them and sends attempts.
@@ -21,19 +23,19 @@
 	inFlight    int32
 	incarnation uint32 // of the process to which the connection leads
 	connected   bool
-	usedAt      Micros
-	avoidUntil  Micros
+	usedAt      monotime.Micros
+	avoidUntil  monotime.Micros
 	latency     float64 // moving average of the time to an answer, in microseconds
 }
 
 // decayingSum is a sum whose past decays exponentially.
 type decayingSum struct {
 	sum       float64
-	updatedAt Micros
+	updatedAt monotime.Micros
 }
 
 // add decays the sum by the time since the last call and adds x.
-func (d *decayingSum) add(now, over Micros, x float64) {
+func (d *decayingSum) add(now, over monotime.Micros, x float64) {
 	if now > d.updatedAt {
 		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(over))
 		d.updatedAt = now
@@ -68,7 +70,7 @@
 	n.ignoresAdvice = float64(i) < w.scenario.Nodes.UnresponsiveShare*float64(w.scenario.Nodes.Count)
 	n.nextSlot = w.faultRand.IntN(pool)
 	w.refreshView(n)
-	w.queue.push(event{at: Micros(w.faultRand.Float64() * float64(w.scenario.Nodes.RefreshInterval)), kind: evRefresh, subject: i})
+	w.queue.push(event{at: monotime.Micros(w.faultRand.Float64() * float64(w.scenario.Nodes.RefreshInterval)), kind: evRefresh, subject: i})
 }
 
 // gcd returns the greatest common divisor.
--- a/internal/simulation/node_attempts.go
+++ b/internal/simulation/node_attempts.go
@@ -4,6 +4,7 @@
 	"math"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // Parameters of the edge nodes and callers.
@@ -66,7 +67,7 @@
 }
 
 // networkDelay returns how long a message takes between a node and a host; negative: it never arrives.
-func (w *world) networkDelay(node, host int32) Micros {
+func (w *world) networkDelay(node, host int32) monotime.Micros {
 	if len(w.partitionedNodes) > 0 && host < w.partitionedHosts && w.partitionedNodes[node] {
 		return -1
 	}
@@ -140,7 +141,7 @@
 	if n.ignoresAdvice {
 		backoff = float64(s.Backoff)
 	}
-	at := w.now + max(minBackoff, Micros(backoff*(0.5+w.nodeRand.Float64())))
+	at := w.now + max(minBackoff, monotime.Micros(backoff*(0.5+w.nodeRand.Float64())))
 	if at >= req.due {
 		w.failRequest(i, outcome)
 		return
@@ -174,7 +175,7 @@
 		req.clientRetries++
 		w.notifyHosts(req)
 		req.finished, req.retriesLater = true, true
-		w.queue.push(event{at: w.now + Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())), kind: evClientRetry, subject: i, generation: req.generation})
+		w.queue.push(event{at: w.now + monotime.Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())), kind: evClientRetry, subject: i, generation: req.generation})
 		return
 	}
 	w.closeRequest(i)
--- a/internal/simulation/pool.go
+++ b/internal/simulation/pool.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // pooled returns a constructor of a thread pool baseline, with a run a core and a queue of four a core unless shape
@@ -30,40 +31,40 @@
 )
 
 // never is a time that does not come.
-const never = Micros(1 << 60)
+const never = monotime.Micros(1 << 60)
 
 // pool is the common part of the baselines. It keeps the four rules as the module does, as a comparison with a policy
 // that breaks them would mean nothing.
 type pool struct {
 	config                  admission.Config
 	concurrency, queueLimit int // bounds of running and of queue
-	adapt                   func(p *pool, now Micros, took Micros, late bool)
-	targetDelay             Micros // of controlled delay; 0: first in, first out
-	byValue                 bool   // order by priority for its work
+	adapt                   func(p *pool, now monotime.Micros, took monotime.Micros, late bool)
+	targetDelay             monotime.Micros // of controlled delay; 0: first in, first out
+	byValue                 bool            // order by priority for its work
 	runsByID                map[string]*pooledRun
 	queue                   []*pooledRun
 	runs                    []*pooledRun
 	running                 int
-	tick                    Micros
-	drainingAt, stopAt      Micros
-	queueEmptyAt            Micros  // when the queue was empty last
-	longTerm, shortTerm     float64 // moving averages of the duration of runs
-	estimate                float64 // the concurrency limit before rounding
+	tick                    monotime.Micros
+	drainingAt, stopAt      monotime.Micros
+	queueEmptyAt            monotime.Micros // when the queue was empty last
+	longTerm, shortTerm     float64         // moving averages of the duration of runs
+	estimate                float64         // the concurrency limit before rounding
 	successes               int
 }
 
 // pooledRun is a request in a pool, queued or running.
 type pooledRun struct {
 	id                          string
-	arrivedAt, dueAt, startedAt Micros
-	objectiveAt                 Micros
+	arrivedAt, dueAt, startedAt monotime.Micros
+	objectiveAt                 monotime.Micros
 	valueDensity                float64
-	work                        Micros
+	work                        monotime.Micros
 	running, answered           bool
 }
 
 // Decide implements Decider.
-func (p *pool) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
+func (p *pool) Decide(now monotime.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	switch e := ev.(type) {
 	case admission.Opened:
 		p.queueEmptyAt = now
@@ -103,10 +104,10 @@
 }
 
 // lastAnswerAt returns when the last answers are sent before the process exits.
-func (p *pool) lastAnswerAt() Micros { return p.stopAt - 3*p.tick }
+func (p *pool) lastAnswerAt() monotime.Micros { return p.stopAt - 3*p.tick }
 
 // arrive queues or rejects a request.
-func (p *pool) arrive(now Micros, a admission.Arrived, out []admission.Action) []admission.Action {
+func (p *pool) arrive(now monotime.Micros, a admission.Arrived, out []admission.Action) []admission.Action {
 	op := &p.config.Operations[a.Operation]
 	if now-a.QueueTime > p.drainingAt+p.config.DrainGrace || now >= p.lastAnswerAt() || a.ShedFor > 0 {
 		return append(out, admission.Throttle{ID: a.ID})
@@ -136,7 +137,7 @@
 }
 
 // startNext starts what may run: first in, first out; the newest first under controlled delay; or by value.
-func (p *pool) startNext(now Micros, out []admission.Action) []admission.Action {
+func (p *pool) startNext(now monotime.Micros, out []admission.Action) []admission.Action {
 	for p.running < p.concurrency && len(p.queue) > 0 {
 		k := 0
 		switch {
@@ -168,7 +169,7 @@
 
 // expire answers what can wait no longer. Under controlled delay that is also what has waited for targetDelay, or for a
 // twentieth of it while the queue does not empty.
-func (p *pool) expire(now Micros, out []admission.Action) []admission.Action {
+func (p *pool) expire(now monotime.Micros, out []admission.Action) []admission.Action {
 	for _, j := range slices.Clone(p.runs) {
 		allowed := p.targetDelay
 		if now-p.queueEmptyAt > p.targetDelay {
@@ -194,7 +195,7 @@
 }
 
 // adaptAIMD changes the limit by additive increase and multiplicative decrease.
-func adaptAIMD(p *pool, _, _ Micros, late bool) {
+func adaptAIMD(p *pool, _, _ monotime.Micros, late bool) {
 	if late {
 		p.concurrency = max(p.config.Cores, p.concurrency*9/10)
 		p.successes = 0
@@ -204,7 +205,7 @@
 }
 
 // adaptGradient changes the limit by the ratio of the long-term to the recent duration of runs.
-func adaptGradient(p *pool, _, took Micros, _ bool) {
+func adaptGradient(p *pool, _, took monotime.Micros, _ bool) {
 	x := float64(took)
 	if p.longTerm == 0 {
 		p.longTerm, p.shortTerm, p.estimate = x, x, float64(p.concurrency)
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -6,6 +6,7 @@
 	"milletbarrow/admission"
 	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/monotime"
 )
 
 // QuotaSource says how a host gets its part of the tenants' quotas.
@@ -64,8 +65,8 @@
 		}
 		quotas.limitIndex[i] = len(quotas.limitNames)
 		limit := quota.Limit{
-			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: quota.Micros(leaseDuration),
-			ClockMargin: quota.Micros(leaseMargin), Tenant: t.Name, Floors: map[string]int64{},
+			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: leaseDuration,
+			ClockMargin: leaseMargin, Tenant: t.Name, Floors: map[string]int64{},
 		}
 		floor := int64(floorShare * t.Quota / float64(len(w.hosts)))
 		for n := range w.hosts {
@@ -79,7 +80,7 @@
 	case LeasedQuotas:
 		quotas.store = quota.NewState()
 		quotas.store.Apply(quota.Command{Config: &config})
-		quotas.tracker.BecomeLeader(quota.Micros(w.now), quotas.store, false)
+		quotas.tracker.BecomeLeader(w.now, quotas.store, false)
 		w.queue.push(event{at: w.now + 1, kind: evLeaseExpiry})
 	case GlobalQuotas:
 		quotas.global = fixedHolder("all", "1", config.Limits, 1)
@@ -116,7 +117,7 @@
 		}
 		w.pricing = fixedHolder("all", "price", all, 1)
 	}
-	if w.pricing.TryAcquire(backendquota.Micros(w.now), tenant) {
+	if w.pricing.TryAcquire(w.now, tenant) {
 		return 1
 	}
 	return overQuotaValue
@@ -141,7 +142,7 @@
 	}
 	quotas.holders[h.number] = backendquota.New(name, incarnation, quotas.limitNames)
 	// Renewals are spread over the interval, as of agents that were started at different times.
-	w.queue.push(event{at: w.now + 1 + Micros(h.number)*leaseRenewal/Micros(len(w.hosts)), kind: evLease, subject: h.number, generation: h.incarnation})
+	w.queue.push(event{at: w.now + 1 + monotime.Micros(h.number)*leaseRenewal/monotime.Micros(len(w.hosts)), kind: evLease, subject: h.number, generation: h.incarnation})
 }
 
 // fleetSize returns the size of the fleet that hosts are configured with.
@@ -157,7 +158,7 @@
 func (w *world) renewLeases(h *host) {
 	quotas := w.quotas
 	if !w.quotaStoreCut || h.number >= w.partitionedHosts {
-		holder, now := quotas.holders[h.number], backendquota.Micros(w.now)
+		holder, now := quotas.holders[h.number], w.now
 		r := quotas.store.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
 		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
 			_ = holder.Apply(now, r.Answers[0]) // a rejected answer leaves the leases as they are
@@ -169,7 +170,7 @@
 // expireLeases lets the quota store expire leases and divide anew.
 func (w *world) expireLeases() {
 	quotas := w.quotas
-	if over, divide := quotas.tracker.Tick(quota.Micros(w.now), quotas.store); divide || len(over) > 0 {
+	if over, divide := quotas.tracker.Tick(w.now, quotas.store); divide || len(over) > 0 {
 		quotas.store.Apply(quota.Command{Expire: over, Rebalance: divide})
 	}
 	if w.now < w.scenario.Duration {
@@ -191,7 +192,7 @@
 	if holder == nil {
 		return admission.QuotaUnknown
 	}
-	if holder.TryAcquire(backendquota.Micros(w.now), i) {
+	if holder.TryAcquire(w.now, i) {
 		w.result.WithinQuota++
 		return admission.WithinQuota
 	}
@@ -206,7 +207,7 @@
 	}
 	att.quotaDrawn = false
 	if holder, i := w.holderFor(h, int(w.requests[att.request].tenant)); holder != nil {
-		holder.Refund(backendquota.Micros(w.now), i)
+		holder.Refund(w.now, i)
 	}
 }
 
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+
+	"milletbarrow/monotime"
 )
 
 // request is what one caller wants. It may take several attempts and, where the caller sends it again, several entries
@@ -20,9 +22,9 @@
 	openAttempts   [2]int32 // unanswered attempts, or none
 	liveAttempts   int32    // attempts that still refer to it, also runs that nobody waits for
 	generation     uint32
-	arrivedAt, due Micros
+	arrivedAt, due monotime.Micros
 	work           float64 // core time, microseconds
-	hint           Micros
+	hint           monotime.Micros
 	lastSlot       int32 // slot of the latest attempt
 }
 
@@ -60,9 +62,9 @@
 	quotaDrawn               bool // a unit of its tenant's quota was drawn
 	atHost, atNode           bool // who still refers to it
 	prev, next               int32
-	reachedAt, readAt, dueAt Micros
+	reachedAt, readAt, dueAt monotime.Micros
 	callNumber               uint32
-	retryAfter               Micros
+	retryAfter               monotime.Micros
 	dontRetry                bool
 	waiters                  []int32 // repeated requests that wait for its result
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -6,6 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"milletbarrow/internal/backend/degradation"
+	"milletbarrow/monotime"
 )
 
 // Version is the version of the stored form of a Result. A reader rejects a newer one.
@@ -83,8 +84,8 @@
 
 // LevelChange is one change of the degradation level on one host.
 type LevelChange struct {
-	At       Micros `json:"at_us"`
-	Host     int32  `json:"host"`
+	At       monotime.Micros `json:"at_us"`
+	Host     int32           `json:"host"`
 	From, To int
 	Collapse bool   `json:"collapse"`
 	Cause    string `json:"cause"`
@@ -110,7 +111,7 @@
 }
 
 // secondAt returns the entry of a time's second.
-func (r *Result) secondAt(now Micros) *SecondStats {
+func (r *Result) secondAt(now monotime.Micros) *SecondStats {
 	i := int(now / Second)
 	for len(r.Seconds) <= i {
 		r.Seconds = append(r.Seconds, SecondStats{})
@@ -120,7 +121,7 @@
 
 // RecordRequest counts a request that a caller sends, at a time of the day. operation and tenant are indexes of the
 // scenario's.
-func (r *Result) RecordRequest(s *Scenario, now Micros, operation, tenant int) {
+func (r *Result) RecordRequest(s *Scenario, now monotime.Micros, operation, tenant int) {
 	v := s.Operations[operation].Value
 	r.Requests++
 	r.Offered += v
@@ -137,7 +138,7 @@
 
 // RecordOutcome counts how a request ended, how long after it began, and what of its value was billed. One that its
 // caller sends again ends again.
-func (r *Result) RecordOutcome(s *Scenario, now Micros, operation, tenant int, outcome Outcome, took Micros, value float64) {
+func (r *Result) RecordOutcome(s *Scenario, now monotime.Micros, operation, tenant int, outcome Outcome, took monotime.Micros, value float64) {
 	sec := r.secondAt(now)
 	r.Billed += value
 	sec.Billed += value
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -4,22 +4,22 @@
 // clock. Whether the four rules are kept is judged here, from what happened, never by the policy.
 package simulation
 
-import "milletbarrow/admission"
-
-// Micros is a point of simulated time, or a duration, in whole microseconds.
-type Micros = admission.Micros
+import (
+	"milletbarrow/admission"
+	"milletbarrow/monotime"
+)
 
 // Units of simulated time.
 const (
-	Millisecond Micros = 1000
-	Second      Micros = 1_000_000
+	Millisecond monotime.Micros = 1000
+	Second      monotime.Micros = 1_000_000
 )
 
 // Scenario describes one day: hosts, edge nodes, load and faults. The names in its tags are those by which stored
 // results are found (see experiment.ResultDir); they never change.
 type Scenario struct {
 	Name       string
-	Duration   Micros `json:"For"` // how long requests arrive; afterwards those in flight may end
+	Duration   monotime.Micros `json:"For"` // how long requests arrive; afterwards those in flight may end
 	Hosts      HostConfig
 	Nodes      NodeConfig
 	Registry   RegistryConfig   `json:"Register"`
@@ -35,41 +35,41 @@
 	Count             int
 	ReportedFleetSize int `json:"Told"` // the fleet's size that hosts are configured with; 0: Count
 	Cores             int
-	SpeedSpread       float64 `json:"Spread"`    // a host's speed lies within 1 ± SpeedSpread
-	CollapseMultiple  float64 `json:"Crowd"`     // runs a core beyond which all slow down by the square of the excess
-	CollapseAfter     Micros  `json:"FallOver"`  // a host that is overloaded for so long crashes
-	ReadWork          Micros  `json:"Read"`      // core time to read one request
-	HandshakeWork     Micros  `json:"Handshake"` // core time to open a connection
-	MemoryKB          float64 // for queued and running requests; a host that exceeds it crashes
-	RequestKB         float64 `json:"HeldKB"` // of one queued request
-	RunFactor         float64 // a running request takes so many times as much
-	ColdSpeed         float64 `json:"ColdShare"` // speed of a cold process, of 1
-	WarmUp            Micros  `json:"ColdFor"`   // time to full speed, linear
-	Connections       int     // open at once; a further one is rejected unread
-	IdleTimeout       Micros  `json:"IdleFor"`    // an idle connection is closed after so long
-	DrainGrace        Micros  `json:"Grace"`      // requests that arrive so long after a shutdown notice are not run
-	ExitTimeout       Micros  `json:"Stop"`       // the process is stopped so long after the notice
-	AnswerSlack       Micros  `json:"Slack"`      // an answer may be late by so much
-	MaxRetryAfter     Micros  `json:"RetryAfter"` // the longest Retry-After that is passed on; 0: none is
-	Preemptible       bool    `json:"Stoppable"`  // runs can be taken off the cores
+	SpeedSpread       float64         `json:"Spread"`    // a host's speed lies within 1 ± SpeedSpread
+	CollapseMultiple  float64         `json:"Crowd"`     // runs a core beyond which all slow down by the square of the excess
+	CollapseAfter     monotime.Micros `json:"FallOver"`  // a host that is overloaded for so long crashes
+	ReadWork          monotime.Micros `json:"Read"`      // core time to read one request
+	HandshakeWork     monotime.Micros `json:"Handshake"` // core time to open a connection
+	MemoryKB          float64         // for queued and running requests; a host that exceeds it crashes
+	RequestKB         float64         `json:"HeldKB"` // of one queued request
+	RunFactor         float64         // a running request takes so many times as much
+	ColdSpeed         float64         `json:"ColdShare"` // speed of a cold process, of 1
+	WarmUp            monotime.Micros `json:"ColdFor"`   // time to full speed, linear
+	Connections       int             // open at once; a further one is rejected unread
+	IdleTimeout       monotime.Micros `json:"IdleFor"`    // an idle connection is closed after so long
+	DrainGrace        monotime.Micros `json:"Grace"`      // requests that arrive so long after a shutdown notice are not run
+	ExitTimeout       monotime.Micros `json:"Stop"`       // the process is stopped so long after the notice
+	AnswerSlack       monotime.Micros `json:"Slack"`      // an answer may be late by so much
+	MaxRetryAfter     monotime.Micros `json:"RetryAfter"` // the longest Retry-After that is passed on; 0: none is
+	Preemptible       bool            `json:"Stoppable"`  // runs can be taken off the cores
 }
 
 // NodeConfig describes the edge nodes and the callers behind them.
 type NodeConfig struct {
 	Count             int
-	Subset            int     // hosts that one node uses; 0: all
-	Balance           Balance // how it chooses a host
-	MaxAttempts       int     `json:"Tries"`    // of one request; 0: until its client timeout
-	Backoff           Micros  `json:"Pause"`    // before the first retry, with jitter; it doubles with each
-	UnresponsiveShare float64 `json:"Deaf"`     // share of the nodes that honour neither "don't retry" nor Retry-After
-	HedgeDelay        Micros  `json:"Hedge"`    // a hedged attempt is sent after so long, for idempotent operations; 0: never
-	CancelDelay       Micros  `json:"Word"`     // the host is notified so late that a caller has left; negative: never
-	NetworkDelay      Micros  `json:"Net"`      // one way
-	ClientRetryShare  float64 `json:"Behind"`   // share of the callers that send a failed request again, without a retry mark
-	ClientRetryDelay  Micros  `json:"BehindIn"` // mean delay of that
-	RefreshInterval   Micros  `json:"Refresh"`  // between two polls of the endpoint registry
-	Throttles         bool    // client-side throttling by the share accepted recently (baseline)
-	ThrottleWindow    Micros  `json:"Window"` // time constant of that share
+	Subset            int             // hosts that one node uses; 0: all
+	Balance           Balance         // how it chooses a host
+	MaxAttempts       int             `json:"Tries"`    // of one request; 0: until its client timeout
+	Backoff           monotime.Micros `json:"Pause"`    // before the first retry, with jitter; it doubles with each
+	UnresponsiveShare float64         `json:"Deaf"`     // share of the nodes that honour neither "don't retry" nor Retry-After
+	HedgeDelay        monotime.Micros `json:"Hedge"`    // a hedged attempt is sent after so long, for idempotent operations; 0: never
+	CancelDelay       monotime.Micros `json:"Word"`     // the host is notified so late that a caller has left; negative: never
+	NetworkDelay      monotime.Micros `json:"Net"`      // one way
+	ClientRetryShare  float64         `json:"Behind"`   // share of the callers that send a failed request again, without a retry mark
+	ClientRetryDelay  monotime.Micros `json:"BehindIn"` // mean delay of that
+	RefreshInterval   monotime.Micros `json:"Refresh"`  // between two polls of the endpoint registry
+	Throttles         bool            // client-side throttling by the share accepted recently (baseline)
+	ThrottleWindow    monotime.Micros `json:"Window"` // time constant of that share
 }
 
 // Balance is how an edge node chooses among its hosts. Its String is the word of experiment files.
@@ -90,25 +90,25 @@
 
 // RegistryConfig describes the endpoint registry.
 type RegistryConfig struct {
-	Lag Micros // a change of a host's health is listed so late
+	Lag monotime.Micros // a change of a host's health is listed so late
 }
 
 // DependencyConfig describes the dependency that operations with calls share.
 type DependencyConfig struct {
-	Slots int    // calls worked on at once; more share them evenly
-	Work  Micros // duration of a call without contention
+	Slots int             // calls worked on at once; more share them evenly
+	Work  monotime.Micros // duration of a call without contention
 }
 
 // Operation is one kind of request.
 type Operation struct {
 	Name             string
-	Value            float64 // billed for a success within the objective
-	Priority         float64 `json:"Rank"`
-	Share            float64 // of all requests
-	Work             Micros  // mean core time of a run
-	WorkSigma        float64 `json:"Tail"` // sigma of the lognormal distribution of work; 0: constant
-	Objective        Micros
-	Timeout          Micros
+	Value            float64         // billed for a success within the objective
+	Priority         float64         `json:"Rank"`
+	Share            float64         // of all requests
+	Work             monotime.Micros // mean core time of a run
+	WorkSigma        float64         `json:"Tail"` // sigma of the lognormal distribution of work; 0: constant
+	Objective        monotime.Micros
+	Timeout          monotime.Micros
 	LateValue        float64
 	RetrySafety      admission.RetrySafety `json:"Repeat"`
 	HintFactor       float64               `json:"Hint"`       // the expected work sent along is the work times this; 0: none is sent
@@ -130,9 +130,9 @@
 type Load struct {
 	Level     float64 `json:"At"` // at the start, or the mean
 	Shape     Shape
-	PeakLevel float64 `json:"To"` // at the end of a ramp or on top of a step
-	Period    Micros  // of waves and bursts
-	Swing     float64 // of waves and bursts: relative amplitude
+	PeakLevel float64         `json:"To"` // at the end of a ramp or on top of a step
+	Period    monotime.Micros // of waves and bursts
+	Swing     float64         // of waves and bursts: relative amplitude
 	Recorded  []Recorded
 }
 
@@ -154,9 +154,9 @@
 
 // Recorded is one request of a recorded load. Operation and tenant are indexes of the scenario's.
 type Recorded struct {
-	At                Micros
+	At                monotime.Micros
 	Operation, Tenant int
-	Work              Micros
+	Work              monotime.Micros
 }
 
 // Default returns a small scenario. What an experiment's file leaves out is as here.
--- a/internal/simulation/scenario_file.go
+++ b/internal/simulation/scenario_file.go
@@ -11,6 +11,7 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/sexpr"
+	"milletbarrow/monotime"
 )
 
 const (
@@ -18,8 +19,7 @@
 	noTime = time.Duration(0)
 )
 
-func micros(d time.Duration) Micros        { return Micros(d.Microseconds()) }
-func span(m Micros) time.Duration          { return time.Duration(m) * time.Microsecond }
+func span(m monotime.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 func indexOf(names []string, s string) int { return slices.Index(names, s) }
 
 // ReadScenario reads the form (scenario NAME (hosts ...) (nodes ...) ...). What it leaves out is as in Default; what is
@@ -27,7 +27,7 @@
 func ReadScenario(f *sexpr.Form) Scenario {
 	s := Default()
 	s.Name = f.Arg()
-	s.Duration = micros(f.Span("for", time.Millisecond, day, span(s.Duration)))
+	s.Duration = monotime.FromDuration(f.Span("for", time.Millisecond, day, span(s.Duration)))
 	if h := f.Field("hosts"); h != nil {
 		readHosts(h, &s.Hosts)
 	}
@@ -35,12 +35,12 @@
 		readNodes(n, &s.Nodes)
 	}
 	if r := f.Field("register"); r != nil {
-		s.Registry.Lag = micros(r.Span("lag", noTime, time.Hour, span(s.Registry.Lag)))
+		s.Registry.Lag = monotime.FromDuration(r.Span("lag", noTime, time.Hour, span(s.Registry.Lag)))
 		r.Done()
 	}
 	if b := f.Field("below"); b != nil {
 		s.Dependency.Slots = b.Int("slots", 1, 1_000_000, s.Dependency.Slots)
-		s.Dependency.Work = micros(b.Span("work", noTime, time.Minute, span(s.Dependency.Work)))
+		s.Dependency.Work = monotime.FromDuration(b.Span("work", noTime, time.Minute, span(s.Dependency.Work)))
 		b.Done()
 	}
 	if all := f.All("operation"); len(all) > 0 {
@@ -59,7 +59,7 @@
 		s.Load.Level = l.Share("at", 0, 100, s.Load.Level)
 		s.Load.PeakLevel = l.Share("to", 0, 100, s.Load.PeakLevel)
 		s.Load.Shape = Shape(indexOf(shapeNames, l.OneOf("shape", shapeNames[:Replay]...)))
-		s.Load.Period = micros(l.Span("period", time.Millisecond, day, span(s.Load.Period)))
+		s.Load.Period = monotime.FromDuration(l.Span("period", time.Millisecond, day, span(s.Load.Period)))
 		s.Load.Swing = l.Share("swing", 0, 1, s.Load.Swing)
 		l.Done()
 	}
@@ -81,20 +81,20 @@
 	h.Cores = f.Int("cores", 1, 1024, h.Cores)
 	h.SpeedSpread = f.Share("spread", 0, 0.9, h.SpeedSpread)
 	h.CollapseMultiple = f.Share("crowd", 1, 1000, h.CollapseMultiple)
-	h.CollapseAfter = micros(f.Span("fall-over", time.Millisecond, day, span(h.CollapseAfter)))
-	h.ReadWork = micros(f.Span("read", noTime, time.Second, span(h.ReadWork)))
-	h.HandshakeWork = micros(f.Span("handshake", noTime, time.Second, span(h.HandshakeWork)))
+	h.CollapseAfter = monotime.FromDuration(f.Span("fall-over", time.Millisecond, day, span(h.CollapseAfter)))
+	h.ReadWork = monotime.FromDuration(f.Span("read", noTime, time.Second, span(h.ReadWork)))
+	h.HandshakeWork = monotime.FromDuration(f.Span("handshake", noTime, time.Second, span(h.HandshakeWork)))
 	h.MemoryKB = mb * f.Share("memory", 1, 1<<20, h.MemoryKB/mb)
 	h.RequestKB = f.Share("held", 0, 1<<20, h.RequestKB)
 	h.RunFactor = f.Share("run-factor", 1, 1000, h.RunFactor)
 	h.ColdSpeed = f.Share("cold-share", 0.01, 1, h.ColdSpeed)
-	h.WarmUp = micros(f.Span("cold-for", noTime, time.Hour, span(h.WarmUp)))
+	h.WarmUp = monotime.FromDuration(f.Span("cold-for", noTime, time.Hour, span(h.WarmUp)))
 	h.Connections = f.Int("connections", 1, 1_000_000, h.Connections)
-	h.IdleTimeout = micros(f.Span("idle-for", time.Millisecond, day, span(h.IdleTimeout)))
-	h.DrainGrace = micros(f.Span("grace", noTime, time.Hour, span(h.DrainGrace)))
-	h.ExitTimeout = micros(f.Span("stop", time.Millisecond, time.Hour, span(h.ExitTimeout)))
-	h.AnswerSlack = micros(f.Span("slack", time.Millisecond, time.Minute, span(h.AnswerSlack)))
-	h.MaxRetryAfter = micros(f.Span("retry-after", noTime, time.Hour, span(h.MaxRetryAfter)))
+	h.IdleTimeout = monotime.FromDuration(f.Span("idle-for", time.Millisecond, day, span(h.IdleTimeout)))
+	h.DrainGrace = monotime.FromDuration(f.Span("grace", noTime, time.Hour, span(h.DrainGrace)))
+	h.ExitTimeout = monotime.FromDuration(f.Span("stop", time.Millisecond, time.Hour, span(h.ExitTimeout)))
+	h.AnswerSlack = monotime.FromDuration(f.Span("slack", time.Millisecond, time.Minute, span(h.AnswerSlack)))
+	h.MaxRetryAfter = monotime.FromDuration(f.Span("retry-after", noTime, time.Hour, span(h.MaxRetryAfter)))
 	h.Preemptible = f.OneOf("stoppable", "no", "yes") == "yes"
 	f.Done()
 }
@@ -105,14 +105,14 @@
 	n.Subset = f.Int("subset", 0, MaxHosts, n.Subset)
 	n.Balance = Balance(indexOf(balanceNames, f.OneOf("balance", balanceNames[:Oracle]...)))
 	n.MaxAttempts = f.Int("tries", 0, 1000, n.MaxAttempts)
-	n.Backoff = micros(f.Span("pause", noTime, time.Minute, span(n.Backoff)))
+	n.Backoff = monotime.FromDuration(f.Span("pause", noTime, time.Minute, span(n.Backoff)))
 	n.UnresponsiveShare = f.Share("deaf", 0, 1, n.UnresponsiveShare)
-	n.HedgeDelay = micros(f.Span("hedge", noTime, time.Minute, span(n.HedgeDelay)))
-	n.CancelDelay = micros(f.Span("word", noTime, time.Minute, span(n.CancelDelay)))
-	n.NetworkDelay = micros(f.Span("net", noTime, time.Minute, span(n.NetworkDelay)))
+	n.HedgeDelay = monotime.FromDuration(f.Span("hedge", noTime, time.Minute, span(n.HedgeDelay)))
+	n.CancelDelay = monotime.FromDuration(f.Span("word", noTime, time.Minute, span(n.CancelDelay)))
+	n.NetworkDelay = monotime.FromDuration(f.Span("net", noTime, time.Minute, span(n.NetworkDelay)))
 	n.ClientRetryShare = f.Share("behind", 0, 1, n.ClientRetryShare)
-	n.ClientRetryDelay = micros(f.Span("behind-in", time.Millisecond, time.Hour, span(n.ClientRetryDelay)))
-	n.RefreshInterval = micros(f.Span("refresh", time.Millisecond, time.Hour, span(n.RefreshInterval)))
+	n.ClientRetryDelay = monotime.FromDuration(f.Span("behind-in", time.Millisecond, time.Hour, span(n.ClientRetryDelay)))
+	n.RefreshInterval = monotime.FromDuration(f.Span("refresh", time.Millisecond, time.Hour, span(n.RefreshInterval)))
 	n.Throttles = f.OneOf("throttles", "no", "yes") == "yes"
 	f.Done()
 }
@@ -121,9 +121,9 @@
 func readOperation(f *sexpr.Form) Operation {
 	o := Operation{
 		Name: f.Arg(), Value: f.Share("value", 0, 1e9, 1), Priority: f.Share("rank", 0, 1, 0.5), Share: f.Share("share", 0, 1, 1),
-		Work: micros(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)), WorkSigma: f.Share("tail", 0, 3, 0.5),
-		Objective: micros(f.Span("objective", time.Millisecond, time.Hour, time.Second)),
-		Timeout:   micros(f.Span("timeout", time.Millisecond, time.Hour, 3*time.Second)), LateValue: f.Share("late-value", 0, 1, 0),
+		Work: monotime.FromDuration(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)), WorkSigma: f.Share("tail", 0, 3, 0.5),
+		Objective: monotime.FromDuration(f.Span("objective", time.Millisecond, time.Hour, time.Second)),
+		Timeout:   monotime.FromDuration(f.Span("timeout", time.Millisecond, time.Hour, 3*time.Second)), LateValue: f.Share("late-value", 0, 1, 0),
 		HintFactor: f.Share("hint", 0, 1000, 0), HintSigma: f.Share("hint-spread", 0, 3, 0), ValueWithoutCall: f.Share("skipped-value", 0, 1, 0),
 		MakesCalls: f.OneOf("calls", "no", "yes") == "yes",
 	}
@@ -135,7 +135,7 @@
 // readFault reads (trouble KIND ...).
 func readFault(f *sexpr.Form, s *Scenario) Fault {
 	t := Fault{
-		At: micros(f.Span("at", noTime, day, noTime)), Duration: micros(f.Span("for", noTime, day, 10*time.Second)), Share: f.Share("share", 0, 1, 0.25),
+		At: monotime.FromDuration(f.Span("at", noTime, day, noTime)), Duration: monotime.FromDuration(f.Span("for", noTime, day, 10*time.Second)), Share: f.Share("share", 0, 1, 0.25),
 		Factor: f.Share("factor", 0, 1e6, 2), BatchShare: f.Share("width", 0, 1, 0.1), LostNotices: f.Share("lost", 0, 1, 0),
 		ByFleet: f.OneOf("by", "waves", "fleet") == "fleet",
 	}
@@ -179,7 +179,7 @@
 		at := strings.Index(lines.Text(), words[0]) + 1
 		r := Recorded{Operation: indexOf(ops, words[1])}
 		us, err := strconv.ParseInt(words[0], 10, 64)
-		if err != nil || us < 0 || len(all) > 0 && Micros(us) < all[len(all)-1].At {
+		if err != nil || us < 0 || len(all) > 0 && monotime.Micros(us) < all[len(all)-1].At {
 			return nil, fail(at, "found %q, wanted microseconds, not before the line above", words[0])
 		}
 		work, err := strconv.ParseInt(words[3], 10, 64)
@@ -197,7 +197,7 @@
 		if len(all) >= MaxRecorded {
 			return nil, fail(at, "more than %d lines", MaxRecorded)
 		}
-		r.At, r.Work = Micros(us), Micros(work)
+		r.At, r.Work = monotime.Micros(us), monotime.Micros(work)
 		all = append(all, r)
 	}
 	return all, lines.Err()
--- a/internal/simulation/shared_work.go
+++ b/internal/simulation/shared_work.go
@@ -1,14 +1,16 @@
 package simulation
 
+import "milletbarrow/monotime"
+
 // sharedWork is work that shares a resource evenly. All jobs progress alike, so it is enough to know the progress of
 // one that has been present since the start, and for each job the progress at which it ends.
 type sharedWork struct {
 	progress     float64 // of a job present since the start, in microseconds at full speed
 	rate         float64 // progress per microsecond, at present
-	updatedAt    Micros
+	updatedAt    monotime.Micros
 	jobs         []job // heap, the first to end on top
 	running      int   // jobs that were not preempted
-	completionAt Micros
+	completionAt monotime.Micros
 	generation   uint32
 }
 
@@ -21,7 +23,7 @@
 }
 
 // advance brings the progress up to now.
-func (s *sharedWork) advance(now Micros) {
+func (s *sharedWork) advance(now monotime.Micros) {
 	s.progress += s.rate * float64(now-s.updatedAt)
 	s.updatedAt = now
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -12,6 +12,7 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
 )
 
 func play(t testing.TB, s *Scenario, p *Policy, seed uint64) *Result {
@@ -143,10 +144,10 @@
 // alteredBackend plants a fault in the module's decisions.
 type alteredBackend struct {
 	*admission.Backend
-	alter func(now Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
+	alter func(now monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
 }
 
-func (f alteredBackend) Decide(now admission.Micros, ev admission.Event, out []admission.Action) []admission.Action {
+func (f alteredBackend) Decide(now monotime.Micros, ev admission.Event, out []admission.Action) []admission.Action {
 	ev, more := f.alter(now, ev, out)
 	if ev == nil {
 		return more
@@ -162,9 +163,9 @@
 	faults := []struct {
 		name  string
 		rule  int
-		alter func(now Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
+		alter func(now monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
 	}{
-		{"a second answer", 1, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"a second answer", 1, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			for _, act := range out {
 				if a, ok := act.(admission.Throttle); ok && ev == nil {
 					return ev, append(out, a)
@@ -172,19 +173,19 @@
 			}
 			return ev, out
 		}},
-		{"a lost answer", 1, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"a lost answer", 1, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			if ev != nil {
 				return ev, out
 			}
 			return ev, slices.DeleteFunc(out, func(act admission.Action) bool { _, throttles := act.(admission.Throttle); return throttles })
 		}},
-		{"a run that came after the grace", 3, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"a run that came after the grace", 3, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			if _, notice := ev.(admission.DrainNotice); notice {
 				return nil, out
 			}
 			return ev, out
 		}},
-		{"a throttle for what runs", 2, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"a throttle for what runs", 2, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			for _, act := range out {
 				if a, ok := act.(admission.Start); ok && ev == nil && !runs[a.ID] {
 					runs[a.ID] = true
@@ -193,7 +194,7 @@
 			}
 			return ev, out
 		}},
-		{"all that comes is started", 4, func(_ Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"all that comes is started", 4, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			if a, ok := ev.(admission.Arrived); ok {
 				return nil, append(out, admission.Start{ID: a.ID})
 			}
@@ -285,11 +286,11 @@
 func TestEventQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue{lanes: make([]lane, 3)}
-		now, put := Micros(0), 0
+		now, put := monotime.Micros(0), 0
 		var last event
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "put") {
-				e := event{at: now + Micros(rapid.IntRange(0, 20).Draw(t, "in"))}
+				e := event{at: now + monotime.Micros(rapid.IntRange(0, 20).Draw(t, "in"))}
 				if n := rapid.IntRange(0, 5).Draw(t, "lane"); n < 4 {
 					q.pushLane(n, e)
 				} else {
@@ -327,15 +328,15 @@
 		day.Load.Shape = Shape(rapid.IntRange(0, int(DueDate)).Draw(t, "shape"))
 		day.Nodes.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "max attempts")
 		day.Nodes.UnresponsiveShare = rapid.Float64Range(0, 1).Draw(t, "unresponsive share")
-		day.Nodes.HedgeDelay = Micros(rapid.IntRange(0, 100_000).Draw(t, "hedge"))
-		day.Nodes.CancelDelay = Micros(rapid.IntRange(-1, 50_000).Draw(t, "cancel delay"))
+		day.Nodes.HedgeDelay = monotime.Micros(rapid.IntRange(0, 100_000).Draw(t, "hedge"))
+		day.Nodes.CancelDelay = monotime.Micros(rapid.IntRange(-1, 50_000).Draw(t, "cancel delay"))
 		day.Nodes.Subset = rapid.IntRange(0, 5).Draw(t, "subset")
 		day.Operations[0].MakesCalls = rapid.Bool().Draw(t, "calls")
 		day.Hosts.Connections = rapid.IntRange(1, 10).Draw(t, "connections")
 		for range rapid.IntRange(0, 3).Draw(t, "faults") {
 			day.Faults = append(day.Faults, Fault{
 				Kind: []FaultKind{Death, Slow, Gray, Release, Burst, Partition, DependencySlow}[rapid.IntRange(0, 6).Draw(t, "kind")],
-				At:   Micros(rapid.IntRange(0, 2_000_000).Draw(t, "at")), Duration: Micros(rapid.IntRange(1, 1_000_000).Draw(t, "for")),
+				At:   monotime.Micros(rapid.IntRange(0, 2_000_000).Draw(t, "at")), Duration: monotime.Micros(rapid.IntRange(1, 1_000_000).Draw(t, "for")),
 				Share: rapid.Float64Range(0, 1).Draw(t, "share"), Factor: rapid.Float64Range(0.1, 10).Draw(t, "factor"), BatchShare: 0.3,
 			})
 		}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -5,6 +5,7 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/backend/quota"
+	"milletbarrow/monotime"
 )
 
 // world is the state of one run. Requests and attempts refer to each other by index.
@@ -12,7 +13,7 @@
 	scenario           *Scenario
 	policy             *Policy
 	queue              queue
-	now                Micros
+	now                monotime.Micros
 	hosts              []host
 	nodes              []node
 	requests           []request
@@ -35,12 +36,12 @@
 	quotaStoreCut     bool          // and those hosts from the quota store
 	pricing           *quota.Holder // for quotaPrice; nil until it is needed
 	quotas            *quotaState   // nil with GuessedQuotas
-	grayDelay         Micros
+	grayDelay         monotime.Micros
 	grayHosts         map[int32]bool
 
 	agents     []*hostAgent // of releases that fleet.Machine decides
 	oracleLoad []float64    // by host: what the oracle knows of it
-	oracleAt   Micros
+	oracleAt   monotime.Micros
 
 	audit        Audit
 	result       *Result
@@ -78,7 +79,7 @@
 	for _, t := range s.Faults { // clocks are wrong all day or not at all, as no process reads one that can be set
 		if t.Kind == ClockSkew {
 			for _, n := range w.randomHosts(t.Share) {
-				w.hosts[n].clockSkew = Micros(t.Factor * 1e6)
+				w.hosts[n].clockSkew = monotime.Micros(t.Factor * 1e6)
 			}
 		}
 	}
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -5,6 +5,7 @@
 	"io"
 
 	"milletbarrow/admission"
+	"milletbarrow/monotime"
 )
 
 // command has the fields of all commands; each has some of them.
@@ -24,7 +25,7 @@
 }
 
 // millis converts a time to the wire's milliseconds.
-func millis(t admission.Micros) float64 { return float64(t) / 1000 }
+func millis(t monotime.Micros) float64 { return float64(t) / 1000 }
 
 // writeLine encodes a message: an object with its name and fields.
 func writeLine(w io.Writer, name string, body any) error {
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -8,6 +8,7 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/config"
+	"milletbarrow/monotime"
 )
 
 // InstanceOpened is the event that starts an instance.
@@ -28,9 +29,9 @@
 
 // Message is one line of input: the clock line, an event, or the end of a batch.
 type Message struct {
-	Name     string           // as on the wire
-	At       admission.Micros // of a Sync: the time of the events that follow
-	Round    int64            // of a Sync: the number of the batch
+	Name     string          // as on the wire
+	At       monotime.Micros // of a Sync: the time of the events that follow
+	Round    int64           // of a Sync: the number of the batch
 	Instance int
 	Event    any // an admission.Event, InstanceOpened, InstanceDetached or GaugeReading; nil for Sync and Commit
 }
@@ -111,7 +112,7 @@
 		if f.AtMs == nil || f.Round == nil {
 			return &MissingFieldError{Field: "at_time_ms or round"}
 		}
-		msg.At, msg.Round = config.Micros(*f.AtMs), *f.Round
+		msg.At, msg.Round = monotime.FromMilliseconds(*f.AtMs), *f.Round
 		return nil
 	case "Commit":
 		return nil
@@ -141,7 +142,7 @@
 	case "Detach":
 		return InstanceDetached{}, nil
 	case "Sigterm":
-		return admission.DrainNotice{Left: config.Micros(f.TimeLeftMs)}, nil
+		return admission.DrainNotice{Left: monotime.FromMilliseconds(f.TimeLeftMs)}, nil
 	}
 	if f.Token == nil || f.Gauges == nil {
 		return nil, &MissingFieldError{Field: "token or feedback"}
@@ -159,17 +160,17 @@
 		}
 		event = admission.Arrived{
 			ID: f.ID, Operation: *f.Operation, Tenant: f.Tenant, Priority: f.Priority, Retry: f.Retry,
-			ExpectedWork: config.Micros(f.ExpectedWorkMs), QueueTime: config.Micros(f.QueueTimeMs),
-			TimeLeft: config.Micros(f.TimeLeftMs), MemoryKB: f.MemoryKB, RepeatOf: string(f.RepeatOf),
+			ExpectedWork: monotime.FromMilliseconds(f.ExpectedWorkMs), QueueTime: monotime.FromMilliseconds(f.QueueTimeMs),
+			TimeLeft: monotime.FromMilliseconds(f.TimeLeftMs), MemoryKB: f.MemoryKB, RepeatOf: string(f.RepeatOf),
 		}
 	case "Done":
-		event = admission.Finished{ID: f.ID, Outcome: outcome, Took: config.Micros(f.DurationMs)}
+		event = admission.Finished{ID: f.ID, Outcome: outcome, Took: monotime.FromMilliseconds(f.DurationMs)}
 	case "TimedOutClient":
 		event = admission.CallerGone{ID: f.ID}
 	case "WantsCall":
 		event = admission.NeedsCall{ID: f.ID}
 	case "Returned":
-		event = admission.CallReturned{ID: f.ID, Outcome: outcome, Took: config.Micros(f.DurationMs)}
+		event = admission.CallReturned{ID: f.ID, Outcome: outcome, Took: monotime.FromMilliseconds(f.DurationMs)}
 	default:
 		return nil, ErrUnknownMessage
 	}
--- a/internal/supervisor/api.go
+++ b/internal/supervisor/api.go
@@ -11,6 +11,7 @@
 	"milletbarrow/internal/backend/admin"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
 )
 
 // longPollTimeout is how long a request for a report may wait for a change.
@@ -40,12 +41,12 @@
 	notifiedStep string
 	level        string
 	picked       int
-	at           Micros
+	at           monotime.Micros
 }
 
 // publishIfChanged wakes who waits for a report if something that matters has changed; s.mu is held.
-func (s *supervisor) publishIfChanged(now Micros) {
-	const countsInterval Micros = 1_000_000 // counts alone are no reason to wake the agent more often
+func (s *supervisor) publishIfChanged(now monotime.Micros) {
+	const countsInterval monotime.Micros = 1_000_000 // counts alone are no reason to wake the agent more often
 	phase, cause := s.monitor.Phase(now)
 	key := reportKey{phase: phase, cause: cause, notifiedStep: s.record.NotifiedStep, at: now}
 	if s.lastState != nil {
@@ -71,7 +72,7 @@
 func (s *supervisor) report() (Report, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	phase, cause := s.monitor.Phase(Micros(process.Now()))
+	phase, cause := s.monitor.Phase(process.Now())
 	o := fleet.Observation{Incarnation: s.record.Run, Phase: phase, Cause: cause, NoticeID: s.record.NotifiedStep}
 	if state := s.lastState; state != nil {
 		o.Invocations, o.Rejected = state.Arrived, state.Throttled+state.Errored
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -6,26 +6,24 @@
 import (
 	"milletbarrow/internal/backend/admin"
 	"milletbarrow/internal/fleet"
+	"milletbarrow/monotime"
 )
 
-// Micros is a time or a span in microseconds, as in fleet.
-type Micros = fleet.Micros
-
 // Time limits of a shutdown, counted from its notice unless noted.
 const (
 	// acknowledgeTimeout is how long an instance may take to show that it has the signal; from then on it is
 	// notified on its admin socket as well, every socketNoticeInterval.
-	acknowledgeTimeout   Micros = 250_000
-	socketNoticeInterval Micros = 200_000
+	acknowledgeTimeout   monotime.Micros = 250_000
+	socketNoticeInterval monotime.Micros = 200_000
 	// lateNoticeAllowance is by how much later than the notice an instance may begin its grace: its module shortens
 	// the grace by that much (limits.Bounds.NoticeDelay).
-	lateNoticeAllowance Micros = 100_000
+	lateNoticeAllowance monotime.Micros = 100_000
 	// killLead is how long before the end of its grace an unresponsive instance is killed: a kill takes time.
-	killLead Micros = 150_000
+	killLead monotime.Micros = 150_000
 	// stopMargin is how long after its stop an instance that has the notice is killed; it should end by itself before.
-	stopMargin Micros = 0
+	stopMargin monotime.Micros = 0
 	// silenceTimeout is how long after its last answer an instance counts as silent.
-	silenceTimeout Micros = 1_500_000
+	silenceTimeout monotime.Micros = 1_500_000
 )
 
 // Action is what the monitor wants done to the instance.
@@ -45,20 +43,20 @@
 type Monitor struct {
 	Window       fleet.ShutdownWindow
 	NotifiedStep string // the step whose shutdown notice was taken; empty: none
-	NotifiedAt   Micros
+	NotifiedAt   monotime.Micros
 	KillCause    string // why the instance was killed; empty: it was not
 
-	socketNotifiedAt Micros // the latest notice on the admin socket; 0: none
+	socketNotifiedAt monotime.Micros // the latest notice on the admin socket; 0: none
 	signalled        bool
 	answered         bool // the instance has answered at least once
 	wasReady         bool
 	lastState        *admin.State
-	lastStateAt      Micros
-	drainingSince    Micros // it drains without a notice from here, since then; 0: it does not
+	lastStateAt      monotime.Micros
+	drainingSince    monotime.Micros // it drains without a notice from here, since then; 0: it does not
 }
 
 // Notify takes the shutdown notice of a step and reports whether it is the first: one notice an incarnation counts.
-func (m *Monitor) Notify(now Micros, step string) bool {
+func (m *Monitor) Notify(now monotime.Micros, step string) bool {
 	if m.NotifiedStep != "" {
 		return false
 	}
@@ -75,25 +73,25 @@
 }
 
 // Observe takes in the outcome of a health check.
-func (m *Monitor) Observe(now Micros, o Observation) {
+func (m *Monitor) Observe(now monotime.Micros, o Observation) {
 	if o.State == nil {
 		return
 	}
 	m.answered, m.lastState, m.lastStateAt = true, o.State, now
 	m.wasReady = m.wasReady || o.State.Ready
 	if o.State.Draining && m.NotifiedStep == "" && m.drainingSince == 0 {
-		m.drainingSince = min(now, Micros(o.State.GraceEnds)-m.Window.Grace)
+		m.drainingSince = min(now, o.State.GraceEnds-m.Window.Grace)
 	}
 }
 
 // acknowledged reports whether the instance has said that it drains within the window of the notice.
 func (m *Monitor) acknowledged() bool {
 	return m.lastState != nil && m.lastState.Draining &&
-		Micros(m.lastState.GraceEnds) <= m.NotifiedAt+m.Window.Grace+lateNoticeAllowance
+		m.lastState.GraceEnds <= m.NotifiedAt+m.Window.Grace+lateNoticeAllowance
 }
 
 // shutdownStart is when the shutdown began, by notice or by the instance itself; 0: it has not.
-func (m *Monitor) shutdownStart() Micros {
+func (m *Monitor) shutdownStart() monotime.Micros {
 	if m.NotifiedStep != "" {
 		return m.NotifiedAt
 	}
@@ -102,7 +100,7 @@
 
 // NextActions returns what is to be done now. It is called after every observation, and as often as the time limits
 // need.
-func (m *Monitor) NextActions(now Micros) (actions []Action) {
+func (m *Monitor) NextActions(now monotime.Micros) (actions []Action) {
 	if m.KillCause != "" {
 		return []Action{KillGroup} // again, until it is gone
 	}
@@ -133,7 +131,7 @@
 }
 
 // Phase returns the instance's phase, with the cause where the phase alone does not say it.
-func (m *Monitor) Phase(now Micros) (fleet.Phase, string) {
+func (m *Monitor) Phase(now monotime.Micros) (fleet.Phase, string) {
 	start := m.shutdownStart()
 	silent := !m.answered || now-m.lastStateAt > silenceTimeout
 	switch {
--- a/internal/supervisor/monitor_rules_test.go
+++ b/internal/supervisor/monitor_rules_test.go
@@ -8,12 +8,13 @@
 
 	"milletbarrow/internal/backend/admin"
 	"milletbarrow/internal/fleet"
+	"milletbarrow/monotime"
 )
 
 func ready() Observation { return Observation{&admin.State{Ready: true}} }
 
-func draining(graceEnds Micros) Observation {
-	return Observation{&admin.State{Draining: true, GraceEnds: int64(graceEnds)}}
+func draining(graceEnds monotime.Micros) Observation {
+	return Observation{&admin.State{Draining: true, GraceEnds: graceEnds}}
 }
 
 // TestFirstKillCauseStays: a kill that is asked for twice is told with its first cause, and repeated until the end.
@@ -24,7 +25,7 @@
 	if m.KillCause != "asked for by a person" {
 		t.Errorf("cause %q, want the first one", m.KillCause)
 	}
-	for now := Micros(0); now < second; now += 100_000 {
+	for now := monotime.Micros(0); now < second; now += 100_000 {
 		if actions := m.NextActions(now); !slices.Equal(actions, []Action{KillGroup}) {
 			t.Fatalf("at %d: %v, want the kill again until it is gone", now, actions)
 		}
@@ -46,7 +47,7 @@
 	m := &Monitor{Window: usual}
 	m.Observe(second, ready())
 	for _, c := range []struct {
-		after Micros
+		after monotime.Micros
 		want  fleet.Phase
 	}{{silenceTimeout, fleet.PhaseReady}, {silenceTimeout + 1, fleet.PhaseUnready}} {
 		m.Observe(second+c.after, Observation{}) // no answer
@@ -75,7 +76,7 @@
 		m := &Monitor{Window: usual}
 		m.Notify(second, "s1")
 		signals := 0
-		for now := second; now < second+usual.ExitTimeout; now += Micros(rapid.IntRange(1000, 200_000).Draw(t, "step")) {
+		for now := second; now < second+usual.ExitTimeout; now += monotime.Micros(rapid.IntRange(1000, 200_000).Draw(t, "step")) {
 			if rapid.Bool().Draw(t, "answers") {
 				m.Observe(now, draining(second+usual.Grace))
 			}
@@ -95,7 +96,7 @@
 func TestSocketNoticesAreSpaced(t *testing.T) {
 	m := &Monitor{Window: usual}
 	m.Notify(second, "s1")
-	var notices []Micros
+	var notices []monotime.Micros
 	for now := second; now < second+usual.Grace-killLead; now += 10_000 {
 		if slices.Contains(m.NextActions(now), NotifySocket) {
 			notices = append(notices, now)
--- a/internal/supervisor/monitor_test.go
+++ b/internal/supervisor/monitor_test.go
@@ -8,12 +8,13 @@
 	"milletbarrow/internal/backend/admin"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/fleet"
+	"milletbarrow/monotime"
 )
 
-const second Micros = 1_000_000
+const second monotime.Micros = 1_000_000
 
 // endLead is how long before its stop the fake instance ends by itself.
-const endLead Micros = 30_000
+const endLead monotime.Micros = 30_000
 
 var usual = fleet.ShutdownWindow{Grace: 2 * second, ExitTimeout: 3200_000}
 
@@ -22,22 +23,22 @@
 type fake struct {
 	ignoresSignal, ignoresSocket, stays bool
 	hearsAtOnce                         bool // the signal; else at its next check
-	stopped                             func(Micros) bool
+	stopped                             func(monotime.Micros) bool
 	signal                              bool // stands before it
-	ready                               Micros
-	graceEnds                           Micros // 0: it has heard nothing
+	ready                               monotime.Micros
+	graceEnds                           monotime.Micros // 0: it has heard nothing
 	exited                              bool
-	end                                 Micros
-	notices                             []Micros
+	end                                 monotime.Micros
+	notices                             []monotime.Micros
 }
 
-func (f *fake) leave(now, ago Micros) {
+func (f *fake) leave(now, ago monotime.Micros) {
 	if end := now - ago + usual.Grace; f.graceEnds == 0 || end < f.graceEnds {
 		f.graceEnds = end
 	}
 }
 
-func (f *fake) act(now Micros, m *Monitor, a Action) {
+func (f *fake) act(now monotime.Micros, m *Monitor, a Action) {
 	switch a {
 	case SignalShutdown:
 		f.signal = true
@@ -55,14 +56,14 @@
 }
 
 // hear takes a signal that stands before it, unless it is deaf or stopped.
-func (f *fake) hear(now Micros) {
+func (f *fake) hear(now monotime.Micros) {
 	if f.signal && !f.ignoresSignal && !f.stopped(now) {
 		f.signal = false
 		f.leave(now, 0)
 	}
 }
 
-func (f *fake) check(now Micros) Observation {
+func (f *fake) check(now monotime.Micros) Observation {
 	f.hear(now)
 	if f.stopped(now) {
 		return Observation{}
@@ -72,17 +73,17 @@
 	}
 	s := admin.State{Ready: now >= f.ready && f.graceEnds == 0}
 	if f.graceEnds != 0 {
-		s.Draining, s.GraceEnds = true, int64(f.graceEnds)
+		s.Draining, s.GraceEnds = true, f.graceEnds
 	}
 	return Observation{&s}
 }
 
 // takesIn reports whether it would let work run that arrives now.
-func (f *fake) takesIn(now Micros) bool {
+func (f *fake) takesIn(now monotime.Micros) bool {
 	return !f.exited && !f.stopped(now) && (f.graceEnds == 0 || now < f.graceEnds)
 }
 
-func never(Micros) bool { return false }
+func never(monotime.Micros) bool { return false }
 
 // TestMonitor: what becomes of an instance in each kind of fault.
 func TestMonitor(t *testing.T) {
@@ -94,15 +95,15 @@
 		{"hears the signal", fake{stopped: never}},
 		{"is deaf to the signal, hears its socket", fake{ignoresSignal: true, stopped: never}},
 		{"is deaf to both", fake{ignoresSignal: true, ignoresSocket: true, stopped: never}},
-		{"is stopped for good", fake{stopped: func(now Micros) bool { return now > 9*second }}},
-		{"is stopped for a second", fake{stopped: func(now Micros) bool { return now > 10*second-1 && now < 11*second }}},
+		{"is stopped for good", fake{stopped: func(now monotime.Micros) bool { return now > 9*second }}},
+		{"is stopped for a second", fake{stopped: func(now monotime.Micros) bool { return now > 10*second-1 && now < 11*second }}},
 		{"hears, and stays beyond its stop", fake{stays: true, stopped: never}},
 	} {
 		f := c.f
 		m := &Monitor{Window: usual}
 		tr.Say("%s", c.what)
 		was := fleet.Phase("")
-		for now := Micros(0); now < 20*second && !f.exited; now += 25_000 {
+		for now := monotime.Micros(0); now < 20*second && !f.exited; now += 25_000 {
 			if now == 10*second {
 				tr.Say("  told: %t, again: %t", m.Notify(now, "s1"), m.Notify(now, "s2"))
 			}
@@ -126,15 +127,15 @@
 // by which it may hear late), is gone shortly after its stop, and is killed only where it left no choice.
 func TestMonitorAlways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from := Micros(rapid.IntRange(0, 40).Draw(t, "stopped from")) * 100_000
-		till := from + Micros(rapid.IntRange(0, 50).Draw(t, "for"))*100_000
+		from := monotime.Micros(rapid.IntRange(0, 40).Draw(t, "stopped from")) * 100_000
+		till := from + monotime.Micros(rapid.IntRange(0, 50).Draw(t, "for"))*100_000
 		f := fake{
 			ignoresSignal: rapid.Bool().Draw(t, "deaf to the signal"), ignoresSocket: rapid.Bool().Draw(t, "to its socket"),
-			stays: rapid.Bool().Draw(t, "stays"), hearsAtOnce: rapid.Bool().Draw(t, "hears at once"), stopped: func(now Micros) bool { return now >= from && now < till },
+			stays: rapid.Bool().Draw(t, "stays"), hearsAtOnce: rapid.Bool().Draw(t, "hears at once"), stopped: func(now monotime.Micros) bool { return now >= from && now < till },
 		}
 		m := &Monitor{Window: usual}
-		notifiedAt := Micros(rapid.IntRange(1, 40).Draw(t, "told")) * 100_000
-		for now := Micros(0); now < 12*second && !f.exited; now += Micros(rapid.IntRange(1000, 40_000).Draw(t, "step")) {
+		notifiedAt := monotime.Micros(rapid.IntRange(1, 40).Draw(t, "told")) * 100_000
+		for now := monotime.Micros(0); now < 12*second && !f.exited; now += monotime.Micros(rapid.IntRange(1000, 40_000).Draw(t, "step")) {
 			if now >= notifiedAt {
 				m.Notify(now, "s")
 			}
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -9,6 +9,7 @@
 
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
 )
 
 // Paths are the files of one instance's supervisor.
@@ -48,9 +49,9 @@
 	Boot         string           `json:"boot"` // the boot of the machine that identities and times are of
 	Supervisor   process.Identity `json:"keeper"`
 	Instance     process.Identity `json:"instance"` // zero before it was started
-	StartedAt    Micros           `json:"began"`
+	StartedAt    monotime.Micros  `json:"began"`
 	NotifiedStep string           `json:"told,omitempty"` // the step whose shutdown notice was taken
-	NotifiedAt   Micros           `json:"told_at,omitempty"`
+	NotifiedAt   monotime.Micros  `json:"told_at,omitempty"`
 	Ended        bool             `json:"ended,omitempty"`
 	End          fleet.Exit       `json:"end"`
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -16,6 +16,7 @@
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
 )
 
 // Options are what a supervisor is started with.
@@ -141,7 +142,7 @@
 	case err == nil && !previous.Ended && previous.Instance.Alive():
 		return conflict(fmt.Sprintf("run %s still goes on as %v", previous.Run, previous.Instance))
 	default:
-		s.record = State{Name: o.Name, Run: o.Run, StartedAt: Micros(process.Now())}
+		s.record = State{Name: o.Name, Run: o.Run, StartedAt: process.Now()}
 	}
 	if s.record.Ended {
 		return nil
@@ -210,7 +211,7 @@
 func (s *supervisor) observe(o Observation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.monitor.Observe(Micros(process.Now()), o)
+	s.monitor.Observe(process.Now(), o)
 	if o.State != nil {
 		s.lastState = o.State
 	}
@@ -218,7 +219,7 @@
 
 // step does what the monitor wants done now, and returns how long to wait until the next step.
 func (s *supervisor) step() time.Duration {
-	now := Micros(process.Now())
+	now := process.Now()
 	s.mu.Lock()
 	actions := s.monitor.NextActions(now)
 	killCause, notifiedAt, instance := s.monitor.KillCause, s.monitor.NotifiedAt, s.record.Instance
@@ -235,7 +236,7 @@
 }
 
 // perform does one action; sinceNotice is how long ago the notice was given.
-func (s *supervisor) perform(a Action, instance process.Identity, killCause string, sinceNotice Micros) {
+func (s *supervisor) perform(a Action, instance process.Identity, killCause string, sinceNotice monotime.Micros) {
 	var err error
 	switch a {
 	case SignalShutdown:
@@ -260,7 +261,7 @@
 func (s *supervisor) notify(step string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.monitor.Notify(Micros(process.Now()), step) {
+	if !s.monitor.Notify(process.Now(), step) {
 		return nil
 	}
 	s.record.NotifiedStep, s.record.NotifiedAt = step, s.monitor.NotifiedAt
@@ -297,7 +298,7 @@
 func (s *supervisor) recordExit(end fleet.Exit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := Micros(process.Now())
+	now := process.Now()
 	if end.KillReason = s.monitor.KillCause; end.KillReason != "" {
 		end.Code, end.Unobserved = -1, false
 	}
--- a/internal/upgradetest/upgrade_test.go
+++ b/internal/upgradetest/upgrade_test.go
@@ -60,7 +60,7 @@
 	f.until("a leader", func() bool { return f.command("budgets", "--json").Run() == nil })
 	f.run("start", "--all", "--quiet", "--within", "30s")
 	f.until("quotas divided by the earlier release", f.quotasInForce)
-	from := process.Now()
+	from := int64(process.Now())
 	stopLoad := f.startLoad()
 
 	for _, host := range f.hosts {
@@ -74,7 +74,7 @@
 	}
 	stopLoad()
 	f.run("stop", "--all", "--quiet", "--within", "30s")
-	f.audit(from, process.Now())
+	f.audit(from, int64(process.Now()))
 }
 
 // startLoad sends invocations to all instances until it is stopped.
