--- a/admission/invocation.go
+++ b/admission/invocation.go
@@ -1,10 +1,6 @@
 package admission
 
-import (
-	"slices"
-
-	"milletbarrow/monotime"
-)
+import "milletbarrow/monotime"
 
 // phase is where an invocation in flight stands.
 type phase int
@@ -18,6 +14,9 @@
 	numPhases
 )
 
+// onCores: it has its running memory; waiting and reusing invocations have not.
+func (p phase) onCores() bool { return p != waiting && p != reusing }
+
 type invocation struct {
 	id                       string
 	seq                      int // in order of arrival
@@ -36,95 +35,28 @@
 	nextCallAt, stoppedAt    monotime.Micros // after the backoff; the last request to stop
 }
 
-// onCores: it has its running memory; waiting and reusing invocations have not.
-func (p phase) onCores() bool { return p != waiting && p != reusing }
-
-// rememberedKey is an entry of the table of idempotency keys.
-type rememberedKey struct {
-	until monotime.Micros
-	ran   bool
-}
-
-// inFlight has every invocation that has been read and is not over.
-type inFlight struct {
-	all, scratch, free []*invocation // in order of arrival; a copy while that changes; to be used again
-	byID               map[string]*invocation
-	lastSeq            int
-	counts             [numPhases]int
-	memoryKB           float64
-}
-
-// add begins to track an invocation; it waits.
-func (f *inFlight) add(inv *invocation) {
-	f.all = append(f.all, inv)
-	f.byID[inv.id] = inv
-	f.counts[waiting]++
-	f.memoryKB += inv.memoryKB
-	c := inv.cost
-	if len(c.queue) == 0 {
-		c.minUnits, c.maxUnits = inv.units, inv.units
+func (b *Backend) newInvocation(now monotime.Micros, a *Arrived, op *Operation) *invocation {
+	inv, f := &invocation{}, &b.inFlight
+	if n := len(f.free); n > 0 {
+		inv, f.free = f.free[n-1], f.free[:n-1]
 	}
-	c.queue, c.queuedUnits = append(c.queue, inv), c.queuedUnits+inv.units
-	c.minUnits, c.maxUnits = min(c.minUnits, inv.units), max(c.maxUnits, inv.units)
-}
-
-func (b *Backend) count(p phase) float64 { return float64(b.inFlight.counts[p]) }
-
-// memory is what waiting, running and remembered invocations take, in KB.
-func (b *Backend) memory() float64 {
-	return float64(len(b.remembered))*b.config.IdempotencyKeyKB + b.inFlight.memoryKB
-}
-
-// setPhase changes a phase, and what is counted by it.
-func (b *Backend) setPhase(inv *invocation, to phase) {
-	f, c := &b.inFlight, inv.cost
-	f.counts[inv.phase]--
-	f.counts[to]++
-	if inv.phase == waiting {
-		c.queue, c.queuedUnits = without(c.queue, inv), c.queuedUnits-inv.units
-		if len(c.queue) == 0 {
-			c.queuedUnits = 0 // rounding errors do not add up
-		}
+	f.lastSeq++
+	*inv = invocation{
+		id: a.ID, seq: f.lastSeq, operation: a.Operation, tenant: a.Tenant, op: op, cost: &b.costs[a.Operation],
+		priority: a.Priority, memoryKB: a.MemoryKB, units: 1, retry: a.Retry,
+		minRetryAfter: max(a.QueueTime, a.ShedFor), arrivedAt: now - a.QueueTime, deadline: now + a.TimeLeft,
 	}
-	if growth := b.config.RunFactor - 1; to.onCores() && !inv.phase.onCores() {
-		f.memoryKB += inv.memoryKB * growth
-	} else if inv.phase.onCores() && !to.onCores() {
-		f.memoryKB -= inv.memoryKB * growth
+	if a.TimeLeft <= 0 {
+		inv.deadline = max(now, inv.arrivedAt+op.ClientTimeout)
 	}
-	inv.phase = to
-}
-
-// remove ends the tracking of an invocation that is over. The key of one that never ran is forgotten.
-func (b *Backend) remove(inv *invocation, out []Action) []Action {
-	b.setPhase(inv, reusing) // gives running memory back
-	f := &b.inFlight
-	f.counts[reusing]--
-	f.all, f.memoryKB = without(f.all, inv), f.memoryKB-inv.memoryKB
-	if len(f.all) == 0 {
-		f.memoryKB = 0 // rounding errors do not add up
-	}
-	delete(f.byID, inv.id)
-	f.free = append(f.free, inv)
-	if inv.admitted {
-		b.load.admittedSince--
-	}
-	if key := b.remembered[inv.id]; key != nil && !key.ran {
-		delete(b.remembered, inv.id)
-		out = append(out, Forget{inv.id})
+	if a.ExpectedWork > 0 {
+		inv.units = float64(a.ExpectedWork)
 	}
-	return out
-}
-
-// without removes an invocation from a list in order of arrival.
-func without(list []*invocation, inv *invocation) []*invocation {
-	n, found := slices.BinarySearchFunc(list, inv.seq, func(in *invocation, seq int) int { return in.seq - seq })
-	switch {
-	case !found:
-		return list
-	case n < len(list)/2: // the oldest mostly: the shorter side moves
-		copy(list[1:n+1], list[:n])
-		list[0] = nil
-		return list[1:]
+	inv.objective = inv.arrivedAt + op.Objective + monotime.Micros(op.ObjectiveStretch*float64(a.ExpectedWork))
+	inv.objective = min(inv.deadline, inv.objective)
+	if inv.cost.units.sum == 0 { // a first guess, soon outweighed
+		inv.cost.units.add(now, inv.units)
+		inv.cost.coreTime.add(now, max(float64(a.ExpectedWork), float64(op.Objective)/8))
 	}
-	return slices.Delete(list, n, n+1)
+	return inv
 }
