--- a/admission/advertise.go
+++ b/admission/advertise.go
@@ -6,24 +6,35 @@
 	"milletbarrow/monotime"
 )
 
-// advertise sends the advertised value, in the meaning that callers give to it, when it has changed enough.
+const (
+	// minAdvertised is the least traffic weight, and the value while unhealthy.
+	minAdvertised = 0.05
+	// advertisedChange is the relative change from which a value is sent again.
+	advertisedChange = 0.05
+	// minQueuePerCore is the run queue per core below which a backend counts as empty.
+	minQueuePerCore = 0.1
+)
+
+// advertise sends the advertised value when it has changed enough.
 func (b *Backend) advertise(now monotime.Micros, out []Action) []Action {
-	value, cores := 1.0, float64(b.config.Cores)
-	queue := max(b.runQueue()/cores, 0.1)
+	cores := float64(b.config.Cores)
+	queuePerCore := max(b.runQueue()/cores, minQueuePerCore)
+	var value float64
 	switch b.config.AdvertisedValue {
 	case NothingAdvertised:
 		return out
 	case CallerAllowance:
-		value = cores * thresholdTop / float64(b.config.Callers) * min(1, thresholdLow/queue) / b.slowdown(now)
+		allowance := cores * highestThresholdPerCore / float64(b.config.Callers)
+		value = allowance * min(1, lowestThresholdPerCore/queuePerCore) / b.slowdown(now)
 	case TrafficWeight:
-		value = max(minValue, min(1, busyCoreUse/queue)/b.slowdown(now))
+		value = max(minAdvertised, min(1, busyCoreUse/queuePerCore)/b.slowdown(now))
 	}
-	if now < b.feedback.unhealthyUntil {
-		value = minValue
+	if now < b.health.unhealthyUntil {
+		value = minAdvertised
 	}
-	if math.Abs(value-b.feedback.advertised) <= 0.05*max(value, b.feedback.advertised) {
+	if math.Abs(value-b.advertised) <= advertisedChange*max(value, b.advertised) {
 		return out
 	}
-	b.feedback.advertised = value
-	return append(out, Advertise{value})
+	b.advertised = value
+	return append(out, Advertise{Value: value})
 }
--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -2,55 +2,69 @@
 
 import "milletbarrow/monotime"
 
-// arrive is the way of an invocation from the count of its retry mark to its queue.
-func (b *Backend) arrive(now monotime.Micros, a *Arrived, out []Action) []Action {
-	op := &b.config.Operations[a.Operation]
-	a.Retry = a.Retry || b.config.RetriesUnmarked && b.unusualDeadline(now, a, op)
-	b.arrivals.recent.add(now, 1)
-	b.arrivals.usual.add(now, 1)
-	if a.Retry {
-		b.arrivals.retries.add(now, 1)
-	}
-	if a.QueueTime < op.Objective/2 {
-		b.feedback.lastProgress = now
-	} else {
-		b.feedback.lastLate = now
-	}
-	inv := b.newInvocation(now, a, op)
-	b.inFlight.add(inv)
+const (
+	// maxWaitingMemory is the share of the memory from which nothing more is admitted.
+	maxWaitingMemory = 0.90
+	// timelyReadDivisor: a request counts as read in time within its latency objective divided by this.
+	timelyReadDivisor = 2
+)
+
+// arrive counts a request that has been read, and admits or answers it.
+func (b *Backend) arrive(now monotime.Micros, arrived *Arrived, out []Action) []Action {
+	op := &b.config.Operations[arrived.Operation]
+	arrived.Retry = arrived.Retry || b.config.RetriesUnmarked && b.hasUnusualDeadline(now, arrived, op)
+	b.countArrival(now, arrived, op)
+	req := b.newRequest(now, arrived, op)
+	b.inFlight.add(req)
 
-	// A repeat never runs again. Nothing is admitted after the grace, beyond memory, or if it is to be shed.
-	late := inv.arrivedAt > b.drainAt+b.config.DrainGrace || now >= b.answerBy()
-	if a.RepeatOf != "" && op.RetrySafety == IdempotencyKeyed {
-		if late || inv.deadline <= now {
-			return b.abandon(now, inv, append(out, Fail{inv.id}))
+	late := req.arrivedAt > b.drainStartedAt+b.config.DrainGrace || now >= b.answerBy()
+	if arrived.RepeatOf != "" && op.RetrySafety == IdempotencyKeyed { // a repeat never runs again
+		if late || req.deadline <= now {
+			return b.abandon(now, req, append(out, Fail{ID: req.id}))
 		}
-		b.setPhase(inv, reusing)
-		return append(out, Reuse{a.ID})
+		b.setPhase(req, reusing)
+		return append(out, Reuse{ID: req.id})
 	}
-	if late || a.ShedFor > 0 || b.memory() > maxWaitingMemory*b.config.MemoryKB {
-		return b.reject(now, inv, out, false)
+	if late || arrived.ShedFor > 0 || b.memory() > maxWaitingMemory*b.config.MemoryKB {
+		return b.reject(now, req, out, false)
 	}
 
-	b.applyQuota(now, inv, a.Quota)
-	if b.missesObjective(now, inv, b.workAhead(now, op.Value)-b.expectedCost(now, inv)) {
-		return b.reject(now, inv, out, b.callMissesObjective(now, inv))
+	b.applyQuota(now, req, arrived.Quota)
+	if b.missesObjective(now, req, b.waitingCoreTime(now, op.Value)-b.expectedCost(now, req)) {
+		return b.reject(now, req, out, b.callMissesObjective(now, req))
 	}
-	if b.busy() && b.runQueue() > b.threshold(now, inv.priority) {
-		return b.reject(now, inv, out, false)
+	if b.busy() && b.runQueue() > b.threshold(now, req.priority) {
+		return b.reject(now, req, out, false)
 	}
-
 	if op.RetrySafety == IdempotencyKeyed {
 		if b.memory()+b.config.IdempotencyKeyKB > maxWaitingMemory*b.config.MemoryKB {
-			return b.reject(now, inv, out, false)
+			return b.reject(now, req, out, false)
 		}
-		b.remembered[inv.id] = &rememberedKey{until: now + op.RepeatWindow}
-		out = append(out, Remember{inv.id, op.RepeatWindow})
+		out = b.remember(now, req, out)
+	}
+	b.admit(now, req)
+	return out
+}
+
+// countArrival counts a request among the arrivals and for the backend's health.
+func (b *Backend) countArrival(now monotime.Micros, arrived *Arrived, op *Operation) {
+	b.arrivals.recent.add(now, 1)
+	b.arrivals.usual.add(now, 1)
+	if arrived.Retry {
+		b.arrivals.retries.add(now, 1)
 	}
-	if a.Tenant < len(b.admitted) {
-		b.admitted[a.Tenant].add(now, 1)
+	if arrived.QueueTime < op.Objective/timelyReadDivisor {
+		b.health.lastProgressAt = now
+	} else {
+		b.health.lastLateReadAt = now
 	}
-	inv.admitted = true
+}
+
+// admit leaves a request in its operation's queue.
+func (b *Backend) admit(now monotime.Micros, req *request) {
+	if req.tenant < len(b.admittedByTenant) {
+		b.admittedByTenant[req.tenant].add(now, 1)
+	}
+	req.admitted = true
 	b.load.admittedSince++
-	return out
 }
--- a/admission/backend_test.go
+++ b/admission/backend_test.go
@@ -8,7 +8,8 @@
 	"milletbarrow/monotime"
 )
 
-// A throttle says "don't retry" once the share of recent retries is above the limit, to first attempts and retries alike.
+// A throttle says "don't retry" once the share of recent retries is above the limit, to first attempts and retries
+// alike.
 func TestDontRetryFollowsRetryShare(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.pass(400, 1, 8)
@@ -99,7 +100,8 @@
 	tr.check()
 }
 
-// What reaches the machine within the grace is admitted, what comes later is throttled, and all is answered before the stop.
+// What reaches the machine within the grace is admitted, what comes later is throttled, and all is answered before
+// the stop.
 func TestDrain(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.arrive("before", 0, 0.5)
@@ -346,7 +348,7 @@
 	measures := func() string {
 		b := tr.b
 		return fmt.Sprintf("reads %.2f retries %.2f tenant %.2f ended %.2f pressure %.2f drag %.2f", b.arrivals.recent.read(tr.now),
-			b.arrivals.retries.read(tr.now), b.admitted[1].read(tr.now), b.runs.ended.read(tr.now), b.runQueue(), b.slowdown(tr.now))
+			b.arrivals.retries.read(tr.now), b.admittedByTenant[1].read(tr.now), b.runs.ended.read(tr.now), b.runQueue(), b.slowdown(tr.now))
 	}
 	before := measures()
 	for k := range 500 {
@@ -359,8 +361,8 @@
 	}
 }
 
-// Where no mark tells a retry, the time until its deadline does; so few show that the limit is halved: at priority 0.9 it is
-// a share of retries of 0.46.
+// Where no mark tells a retry, the time until its deadline does; so few show that the limit is halved: at priority
+// 0.9 it is a share of retries of 0.46.
 func TestUnusualDeadlinesStandForRetryMarks(t *testing.T) {
 	for _, unmarked := range []bool{false, true} {
 		tr := newTrace(t, func(t *Config) { t.RetriesUnmarked = unmarked })
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -26,7 +26,7 @@
 					ids[i] = fmt.Sprintf("%016x", i)
 				}
 				var running []string
-				next, at := 0, backend.nextAt
+				next, at := 0, backend.nextReadingAt
 				note := func() {
 					for _, action := range out {
 						if s, ok := action.(Start); ok {
@@ -39,7 +39,7 @@
 					now += 500
 					if now >= at {
 						at = now + 20_000
-						out = backend.Decide(now, Reading{Token: timerToken, CoreUse: 0.8, OnCores: cores, MemoryShare: -1, Connections: -1}, out)
+						out = backend.Decide(now, Reading{Token: readingToken, CoreUse: 0.8, OnCores: cores, MemoryShare: -1, Connections: -1}, out)
 						note()
 					}
 					if arrives {
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -2,80 +2,97 @@
 
 import "milletbarrow/monotime"
 
-// answerBy is when everything must be answered before the process is stopped.
-func (b *Backend) answerBy() monotime.Micros { return b.stopAt - 3*b.tick }
+const (
+	// readingsBeforeStop is the number of reading intervals before the stop by which everything is answered.
+	readingsBeforeStop = 3
+	// readingsBetweenStops is the number of reading intervals between two requests to stop the same run.
+	readingsBetweenStops = 10
+	// maxCostReserve is the share of the time left that is set aside for the work itself when a call is judged, so that
+	// long work does not pass for a slow call.
+	maxCostReserve = 0.5
+)
 
-// expire answers what can wait no longer, and what can no longer meet its objective.
+// answerBy returns when everything must be answered before the process is stopped.
+func (b *Backend) answerBy() monotime.Micros { return b.stopAt - readingsBeforeStop*b.readingInterval }
+
+// expire answers requests whose deadline comes before the next reading, and those that can't meet their objective.
 func (b *Backend) expire(now monotime.Micros, out []Action) []Action {
-	clear(b.workBefore)
-	b.inFlight.scratch = append(b.inFlight.scratch[:0], b.inFlight.all...)
-	for _, inv := range b.inFlight.scratch {
-		due := now+b.tick >= min(inv.deadline, b.answerBy())
-		if inv.phase == waiting && !due {
-			before := 0.0
-			for n := range b.workBefore {
-				before += b.workBefore[n] * min(1, b.config.Operations[n].Value/inv.op.Value)
-			}
-			if !b.missesObjective(now, inv, before) {
-				b.workBefore[inv.operation] += b.expectedCost(now, inv)
-				continue
-			}
+	clear(b.coreTimeDue)
+	for _, req := range b.inFlight.takeSnapshot() {
+		due := now+b.readingInterval >= min(req.deadline, b.answerBy())
+		if req.phase == waiting && !due && !b.missesObjective(now, req, b.coreTimeBefore(req)) {
+			b.coreTimeDue[req.operation] += b.expectedCost(now, req)
+			continue
 		}
 		switch {
-		case inv.answered:
-			out = b.stop(now, inv, out)
-		case inv.phase == waiting:
-			out = b.reject(now, inv, out, b.callMissesObjective(now, inv))
+		case req.answered:
+			out = b.stop(now, req, out)
+		case req.phase == waiting:
+			out = b.reject(now, req, out, b.callMissesObjective(now, req))
 		case due:
-			out = b.abandon(now, inv, append(out, Fail{inv.id}))
-		case inv.phase == atCall && now > inv.objective:
-			out = b.giveUpCall(now, inv, out)
-		case b.lateAndStoppable(now, inv):
-			out = b.abandon(now, inv, append(out, Throttle{ID: inv.id, DontRetry: true}))
+			out = b.abandon(now, req, append(out, Fail{ID: req.id}))
+		case req.phase == atCall && now > req.objective:
+			out = b.giveUpCall(now, req, out)
+		case b.isLateAndStoppable(now, req):
+			out = b.abandon(now, req, append(out, Throttle{ID: req.id, DontRetry: true}))
 		}
 	}
 	return out
 }
 
-// missesObjective: with the work before it and what runs beside it, it ends after its objective.
-func (b *Backend) missesObjective(now monotime.Micros, inv *invocation, workBefore float64) bool {
+// coreTimeBefore returns the core time, in microseconds, of the waiting requests of coreTimeDue that run before this
+// one. An operation of lower value counts in proportion.
+func (b *Backend) coreTimeBefore(req *request) float64 {
+	sum := 0.0
+	for i, coreTime := range b.coreTimeDue {
+		sum += coreTime * min(1, b.config.Operations[i].Value/req.op.Value)
+	}
+	return sum
+}
+
+// missesObjective reports whether a request ends after its objective, with workBefore microseconds of core time
+// before it and the present runs beside it.
+func (b *Backend) missesObjective(now monotime.Micros, req *request, workBefore float64) bool {
 	if !b.coresFull() {
-		return b.callMissesObjective(now, inv)
+		return b.callMissesObjective(now, req)
 	}
 	cores := float64(b.config.Cores)
-	ends := b.expectedCallTime(now, inv.op) + workBefore/cores
-	ends += b.expectedCost(now, inv) * max(1, b.load.runnable()/cores)
-	return now+monotime.Micros(ends) > min(inv.objective, b.answerBy())
+	timeToEnd := b.expectedCallTime(now, req.op) + workBefore/cores
+	timeToEnd += b.expectedCost(now, req) * max(1, b.load.runnable()/cores)
+	return now+monotime.Micros(timeToEnd) > min(req.objective, b.answerBy())
 }
 
-// callMissesObjective: the call would keep it beyond its objective, however free the cores are. Long work
-// must not pass for a slow call, so at most half of the time left is set aside for it.
-func (b *Backend) callMissesObjective(now monotime.Micros, inv *invocation) bool {
-	left := max(0, float64(inv.objective-now))
-	return b.expectedCallTime(now, inv.op) > left-min(b.expectedCost(now, inv), left/2)
+// callMissesObjective reports whether the call alone keeps a request beyond its objective, however free the cores are.
+func (b *Backend) callMissesObjective(now monotime.Micros, req *request) bool {
+	timeLeft := max(0, float64(req.objective-now))
+	reserve := min(b.expectedCost(now, req), timeLeft*maxCostReserve)
+	return b.expectedCallTime(now, req.op) > timeLeft-reserve
 }
 
-// abandon ends what needs no answer any more; what is on the cores stays in flight until it has left them.
-func (b *Backend) abandon(now monotime.Micros, inv *invocation, out []Action) []Action {
-	if !inv.phase.onCores() {
-		return b.remove(inv, out)
+// abandon ends a request that needs no answer any more. One that has started stays in flight until its run has ended.
+func (b *Backend) abandon(now monotime.Micros, req *request, out []Action) []Action {
+	if !req.phase.hasStarted() {
+		return b.remove(req, out)
 	}
-	inv.answered = true
-	return b.stop(now, inv, out)
+	req.answered = true
+	return b.stop(now, req, out)
 }
 
-// stop takes a run that nobody waits for off the cores. What must not run twice is left to finish.
-func (b *Backend) stop(now monotime.Micros, inv *invocation, out []Action) []Action {
-	if b.config.Preemption == NoPreemption || inv.phase != running || inv.op.RetrySafety != Idempotent ||
-		now < inv.stoppedAt+stopInterval*b.tick {
+// stop takes a run that nobody waits for off the cores. One that must not run twice is left to end.
+func (b *Backend) stop(now monotime.Micros, req *request, out []Action) []Action {
+	if !b.isStoppable(req) || now < req.stopRequestedAt+readingsBetweenStops*b.readingInterval {
 		return out
 	}
-	inv.stoppedAt = now
-	return append(out, Stop{inv.id})
+	req.stopRequestedAt = now
+	return append(out, Stop{ID: req.id})
+}
+
+// isStoppable reports whether a request runs, can be taken off the cores and may run again.
+func (b *Backend) isStoppable(req *request) bool {
+	return req.phase == running && req.op.RetrySafety == Idempotent && b.config.Preemption != NoPreemption
 }
 
-// lateAndStoppable: it runs past its objective, a late answer has no value, and its cores can be freed.
-func (b *Backend) lateAndStoppable(now monotime.Micros, inv *invocation) bool {
-	return inv.phase == running && inv.op.RetrySafety == Idempotent && inv.op.LateValue == 0 &&
-		b.config.Preemption != NoPreemption && now > inv.objective && b.coresFull()
+// isLateAndStoppable reports whether a run is past its objective, a late answer has no value, and others need its core.
+func (b *Backend) isLateAndStoppable(now monotime.Micros, req *request) bool {
+	return b.isStoppable(req) && req.op.LateValue == 0 && now > req.objective && b.coresFull()
 }
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,12 +1,26 @@
-// Package admission is the decision module of one backend: admission control, scheduling, load shedding and
-// graceful shutdown. Backend.Decide takes an event and appends the actions that follow from it. The package
-// knows of no wire, no other instance and no clock of its own, and does no I/O: the same events give the same
-// actions.
-//
-// This file is the interface and holds no decision; the files beside it decide. Beside the threshold for
-// arrivals and the four rules (see Backend), five mechanisms stand: work that misses its latency objective is
-// given up at once (deadlines.go); waiting work runs by response ratio and value (schedule.go); work beyond a
-// tenant's quota loses priority (tenants.go); callers hear how loaded the backend is by Retry-After, by the
-// advertised value, health and idle timeout (feedback.go); the slower calls to the dependency are, the fewer
-// are in flight (calls.go).
+// Package admission decides for one backend: admission control, scheduling, load shedding and graceful shutdown.
+//
+// Backend.Decide takes an event and its time, and appends the actions that follow. The package does no I/O, reads no
+// clock and shares nothing between instances: the same events give the same actions.
+//
+// The interface is in config.go, event.go and action.go. The decisions are in:
+//
+//   - arrival.go, threshold.go, reject.go: admission by priority against the smoothed run queue, and Retry-After;
+//   - tenants.go: a lower priority for requests beyond their tenant's quota;
+//   - schedule.go, finish.go: which waiting request runs next, and what is learnt from each run;
+//   - deadlines.go: rejection of requests that can't meet their latency objective or deadline;
+//   - calls.go: calls to the dependency, bounded by a quota and a retry budget;
+//   - health.go, advertise.go, idle_connections.go: health checks, load balancing weight, idle connections.
+//
+// They rest on the measurements of reading.go, run_cost.go, call_stats.go, arrival_stats.go and unmarked_retry.go.
+//
+// Invariants, whatever events come, each with the tests that hold it:
+//
+//   - Every request gets exactly one final answer, by its deadline: TestEveryInvocationIsAnsweredInTime.
+//   - No request has an effect twice: TestNoEffectTwice, TestOnlyKeyedOperationsAreReused,
+//     TestOnlyWaitingWorkIsLaunched.
+//   - No request that arrives after the drain grace runs, and all are answered before the process is stopped: TestDrain,
+//     TestShortDrainNotice, TestArrivalsJustBeforeTheStop.
+//   - Memory, concurrent runs and calls to the dependency are bounded: TestMemory, TestMaxRunsWarmAndCold,
+//     TestCallsToDependency, TestWaitingCallsAreBounded.
 package admission
--- a/admission/event.go
+++ b/admission/event.go
@@ -2,85 +2,93 @@
 
 import "milletbarrow/monotime"
 
-// Event is what happened: one of the types below.
+// Event is what happened: one of the types of this file.
 type Event any
 
-// Opened is the first event of an instance.
+// Opened is the first event of a backend.
 type Opened struct{}
 
-// Arrived says that an invocation has been read and waits for a decision or a start.
+// Arrived reports that a request has been read. It is in flight from now on, and owed one final answer.
 type Arrived struct {
-	ID           string
-	Operation    int
-	Tenant       int
-	Priority     float64
-	Retry        bool
+	ID           string          // of this attempt; never used again
+	Operation    int             // index into Config.Operations
+	Tenant       int             // index into Config.QuotaPerSecond; beyond its end: no tenant
+	Priority     float64         // 0 (lowest) to 1
+	Retry        bool            // marked by the caller as a retry or a hedged request
 	ExpectedWork monotime.Micros // on a standard core; 0: unknown
 	QueueTime    monotime.Micros // since it reached the host, before it was read
-	TimeLeft     monotime.Micros // until its caller's deadline; 0: unknown
-	MemoryKB     float64
-	RepeatOf     string          // ID of the remembered invocation with the same idempotency key; "": none
-	ShedFor      monotime.Micros // graceful degradation sheds it, for at most so long; 0: it does not
-	Quota        QuotaStanding   // how it stands to its tenant's lease of a fleet-wide quota
+	TimeLeft     monotime.Micros // until its caller's deadline; 0: unknown, see Operation.ClientTimeout
+	MemoryKB     float64         // while it waits
+	RepeatOf     string          // ID of the remembered request with the same idempotency key; "": none
+	ShedFor      monotime.Micros // graceful degradation sheds it, for at most so long; 0: it is not shed
+	Quota        QuotaStanding   // how it relates to its tenant's lease of a fleet-wide quota
 }
 
-// QuotaStanding is how an invocation stands to what its tenant may use of this backend.
+// QuotaStanding says whether a request is within what its tenant may use of this backend.
 type QuotaStanding int8
 
-// QuotaUnknown has the module estimate it from Config.QuotaPerSecond and FleetSize.
+// The standings.
 const (
-	QuotaUnknown QuotaStanding = iota
+	QuotaUnknown QuotaStanding = iota // no lease tells: it is estimated from Config.QuotaPerSecond and FleetSize
 	WithinQuota
 	OverQuota
 )
 
-// Launched confirms the start of a waiting invocation; see Config.ConfirmStarts.
-type Launched struct{ ID string }
+// Launched confirms the start of a waiting request; see Config.ConfirmStarts.
+type Launched struct {
+	ID string
+}
 
-// Outcome is how a run or a call to a dependency ended.
+// Outcome is how a run, or a call to the dependency, ended.
 type Outcome int
 
-// Outcomes of runs and calls. QueueFull, Unreachable, NeverRan and Unrunnable prove that nothing ran.
+// The outcomes. QueueFull, Unreachable, NeverRan and Unrunnable prove that nothing ran.
 const (
-	OK Outcome = iota
-	Errored
-	QueueFull
-	TimedOut
-	Unreachable
-	Reset
-	Canceled
-	NeverRan
-	Unrunnable // the executor knows no such invocation: it was no caller's work
+	OK          Outcome = iota
+	Errored             // it ended with an error
+	QueueFull           // the dependency refused the call
+	TimedOut            // the call timed out and may still be at the dependency
+	Unreachable         // the dependency could not be reached
+	Reset               // the connection broke during the call
+	Canceled            // the run was stopped, or its caller had left
+	NeverRan            // the executor did not start it
+	Unrunnable          // the executor knows no such request: it was no caller's work
 )
 
-// Finished says that a run, or the answer of a Reuse, has ended.
+// Finished reports that a run, or the answer of a Reuse, has ended.
 type Finished struct {
 	ID      string
 	Outcome Outcome
-	Took    monotime.Micros
+	Took    monotime.Micros // since the action that began it
 }
 
-// CallerGone says that nobody waits for this invocation any more.
-type CallerGone struct{ ID string }
+// CallerGone reports that the caller no longer waits: no answer is owed.
+type CallerGone struct {
+	ID string
+}
 
-// NeedsCall says that a run waits for a call to a dependency.
-type NeedsCall struct{ ID string }
+// NeedsCall reports that a run waits for a call to the dependency.
+type NeedsCall struct {
+	ID string
+}
 
-// CallReturned says how a call to a dependency ended.
+// CallReturned reports how a call to the dependency ended.
 type CallReturned struct {
 	ID      string
 	Outcome Outcome
-	Took    monotime.Micros
+	Took    monotime.Micros // since its Call
 }
 
-// DrainNotice begins a graceful shutdown: the process is stopped after Left.
-type DrainNotice struct{ Left monotime.Micros }
+// DrainNotice begins a graceful shutdown.
+type DrainNotice struct {
+	Left monotime.Micros // until the process is stopped
+}
 
-// Reading is the timer of Wake with the gauges of that moment; a gauge that the deployment lacks is -1.
+// Reading is the expiry of a Wake, with the gauges of that moment. A gauge that the deployment lacks is -1.
 type Reading struct {
-	Token       int64
+	Token       int64   // of the Wake
 	CoreUse     float64 // share of the cores in use, 0 to 1
 	OnCores     float64 // tasks that run or wait for a core
 	MemoryShare float64 // share of the memory limit in use, 0 to 1
-	Connections float64
+	Connections float64 // open connections
 }
--- a/admission/finish.go
+++ b/admission/finish.go
@@ -2,46 +2,59 @@
 
 import "milletbarrow/monotime"
 
-// finished ends a run or a reuse and learns from what it took.
-func (b *Backend) finished(now monotime.Micros, e Finished, out []Action) []Action {
-	inv := b.inFlight.byID[e.ID]
-	if inv == nil {
+// finish ends a run or a reuse, and learns from what the run took.
+func (b *Backend) finish(now monotime.Micros, event Finished, out []Action) []Action {
+	req := b.inFlight.byID[event.ID]
+	if req == nil {
 		return out
 	}
-	switch e.Outcome {
+	switch event.Outcome {
 	case OK:
-		b.feedback.lastProgress = now
-	case Unrunnable: // as if never read: what nobody sent must pass neither for load nor for first attempts
-		b.arrivals.recent.subtract(now, 1)
-		if inv.retry {
-			b.arrivals.retries.subtract(now, 1)
-		}
-		if inv.tenant < len(b.admitted) {
-			b.admitted[inv.tenant].subtract(now, 1)
-		}
-		b.load.startedSince--
-		return b.remove(inv, out)
-	}
-	if inv.phase == inCall {
-		b.calls.lingering = append(b.calls.lingering, now+b.config.AbandonedCallLinger)
-	}
-	if inv.phase.onCores() {
-		b.load.startedSince--
-		if inv.phase != running {
-			b.resume(inv)
-		}
-		spent, expected := max(1, b.runs.clock-inv.startedAt), inv.units*inv.cost.perUnit(now)
-		if e.Outcome == OK {
-			inv.cost.coreTime.add(now, spent)
-			inv.cost.units.add(now, inv.units)
-		} else {
-			expected = min(expected, spent) // it may have been cut short
-		}
-		b.runs.expected.add(now, expected)
-		b.runs.ended.add(now, 1)
-	}
-	if e.Outcome == Canceled && !inv.answered {
-		out = append(out, Fail{inv.id})
-	}
-	return b.remove(inv, out)
+		b.health.lastProgressAt = now
+	case Unrunnable:
+		return b.discount(now, req, out)
+	default:
+	}
+	if req.phase == inCall {
+		b.calls.linger(now + b.config.AbandonedCallLinger)
+	}
+	if req.phase.hasStarted() {
+		b.endRun(now, req, event.Outcome)
+	}
+	if event.Outcome == Canceled && !req.answered {
+		out = append(out, Fail{ID: req.id})
+	}
+	return b.remove(req, out)
+}
+
+// discount removes a request as if it had never been read: what no caller sent counts neither as load nor as a first
+// attempt.
+func (b *Backend) discount(now monotime.Micros, req *request, out []Action) []Action {
+	b.arrivals.recent.subtract(now, 1)
+	if req.retry {
+		b.arrivals.retries.subtract(now, 1)
+	}
+	if req.tenant < len(b.admittedByTenant) {
+		b.admittedByTenant[req.tenant].subtract(now, 1)
+	}
+	b.load.startedSince--
+	return b.remove(req, out)
+}
+
+// endRun takes a run off the cores, and learns what its operation costs if it succeeded.
+func (b *Backend) endRun(now monotime.Micros, req *request, outcome Outcome) {
+	b.load.startedSince--
+	if req.phase != running {
+		b.resume(req)
+	}
+	spent := max(1, b.runs.clock-req.startedAt)
+	expected := req.units * req.cost.perUnit(now)
+	if outcome == OK {
+		req.cost.coreTime.add(now, spent)
+		req.cost.units.add(now, req.units)
+	} else {
+		expected = min(expected, spent) // it may have been cut short
+	}
+	b.runs.expected.add(now, expected)
+	b.runs.ended.add(now, 1)
 }
--- a/admission/guards_test.go
+++ b/admission/guards_test.go
@@ -31,16 +31,16 @@
 // A timer that an earlier incarnation has set must not count as a reading: its gauges would be taken twice.
 func TestReadingBeforeItsTimeIsIgnored(t *testing.T) {
 	tr := newTrace(t, nil)
-	next, read := tr.b.nextAt, tr.b.load.readAt
+	next, read := tr.b.nextReadingAt, tr.b.load.readAt
 	tr.now = next - 1
-	if out := tr.b.Decide(tr.now, Reading{Token: timerToken, CoreUse: 1, OnCores: 9}, nil); len(out) != 0 {
+	if out := tr.b.Decide(tr.now, Reading{Token: readingToken, CoreUse: 1, OnCores: 9}, nil); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
-	if tr.b.nextAt != next || tr.b.load.readAt != read || tr.b.load.onCores != 0 {
-		t.Errorf("next %d, want %d; gauges %+v", tr.b.nextAt, next, tr.b.load)
+	if tr.b.nextReadingAt != next || tr.b.load.readAt != read || tr.b.load.onCores != 0 {
+		t.Errorf("next %d, want %d; gauges %+v", tr.b.nextReadingAt, next, tr.b.load)
 	}
 	tr.now = next
-	if out := tr.b.Decide(tr.now, Reading{Token: timerToken, CoreUse: 1, OnCores: 9}, nil); len(out) != 1 {
+	if out := tr.b.Decide(tr.now, Reading{Token: readingToken, CoreUse: 1, OnCores: 9}, nil); len(out) != 1 {
 		t.Errorf("%+v", out)
 	}
 }
@@ -160,8 +160,8 @@
 			tr.decide(arrival(fmt.Sprint("run", n), 0))
 		}
 		got := 0
-		for end := tr.now + 3_000_000; tr.now < end; tr.now += tr.b.tick {
-			for _, action := range tr.decide(Reading{Token: timerToken, CoreUse: 1, OnCores: 2}) {
+		for end := tr.now + 3_000_000; tr.now < end; tr.now += tr.b.readingInterval {
+			for _, action := range tr.decide(Reading{Token: readingToken, CoreUse: 1, OnCores: 2}) {
 				if _, throttles := action.(Throttle); throttles {
 					got++
 				}
--- a/admission/random.go
+++ b/admission/random.go
@@ -1,9 +1,23 @@
 package admission
 
-// random is a permuted congruential generator (PCG-XSH-RR); it returns a value in [0, 1).
+import "math"
+
+// Parameters of the permuted congruential generator PCG-XSH-RR 64/32 (O'Neill, 2014).
+const (
+	pcgMultiplier    uint64 = 6364136223846793005
+	pcgIncrement     uint64 = 1442695040888963407
+	pcgXorShift             = 18
+	pcgOutputShift          = 27
+	pcgRotationShift        = 59
+	pcgRotationMask         = 31
+)
+
+// random returns the next value of the backend's random sequence, at least 0 and less than 1.
 func (b *Backend) random() float64 {
-	b.rng = b.rng*6364136223846793005 + 1442695040888963407
-	x := uint32(((b.rng >> 18) ^ b.rng) >> 27)
-	rot := uint32(b.rng >> 59)
-	return float64(x>>rot|x<<(-rot&31)) / (1 << 32)
+	state := b.randomState*pcgMultiplier + pcgIncrement
+	b.randomState = state
+	output := uint32(((state >> pcgXorShift) ^ state) >> pcgOutputShift)
+	rotation := uint32(state >> pcgRotationShift)
+	rotated := output>>rotation | output<<(-rotation&pcgRotationMask)
+	return float64(rotated) / (math.MaxUint32 + 1)
 }
--- a/admission/schedule.go
+++ b/admission/schedule.go
@@ -6,51 +6,84 @@
 	"milletbarrow/monotime"
 )
 
-// startRuns starts what waits, as long as cores, the limit of runs and memory have capacity.
+const (
+	// wantedRunsPerCore is the number of runnable tasks per core up to which requests are started. A little over 1
+	// keeps many cores busy between an end and the next start; it is rounded down, so that few cores get no extra
+	// run.
+	wantedRunsPerCore = 1.2
+	// maxRunsShare is the share of the concurrent runs that the backend survives that is used.
+	maxRunsShare = 0.85
+	// maxStartMemory is the share of the memory beyond which nothing is started.
+	maxStartMemory = 0.80
+)
+
+// startRuns starts waiting requests while cores, memory and maxRuns allow it.
 func (b *Backend) startRuns(now monotime.Micros, out []Action) []Action {
-	for b.load.runnable() < math.Floor(runsPerCore*float64(b.config.Cores)) {
-		inv := b.nextToRun(now)
-		started := b.count(running) + b.count(atCall) + b.count(inCall)
-		if inv == nil || started+1 > b.maxRuns(now) ||
-			b.memory()+inv.memoryKB*(b.config.RunFactor-1) > maxStartMemory*b.config.MemoryKB {
+	for b.load.runnable() < math.Floor(wantedRunsPerCore*float64(b.config.Cores)) {
+		req := b.nextToRun(now)
+		if req == nil || !b.mayStart(now, req) {
 			break
 		}
-		out = append(out, Start{inv.id})
+		out = append(out, Start{ID: req.id})
 		if b.config.ConfirmStarts {
 			break
 		}
-		b.start(inv)
+		b.start(req)
 	}
 	return out
 }
 
-func (b *Backend) start(inv *invocation) {
-	b.setPhase(inv, running)
-	inv.startedAt = b.runs.clock
-	if key := b.remembered[inv.id]; key != nil {
+// mayStart reports whether maxRuns and the memory allow another run.
+func (b *Backend) mayStart(now monotime.Micros, req *request) bool {
+	started := b.count(running) + b.count(atCall) + b.count(inCall)
+	runningMemoryKB := req.memoryKB * (b.config.RunFactor - 1)
+	return started+1 <= b.maxRuns(now) && b.memory()+runningMemoryKB <= maxStartMemory*b.config.MemoryKB
+}
+
+// start moves a waiting request to the cores.
+func (b *Backend) start(req *request) {
+	b.setPhase(req, running)
+	req.startedAt = b.runs.clock
+	if key := b.remembered[req.id]; key != nil {
 		key.ran = true
 	}
 	b.load.startedSince++
 }
 
-// nextToRun is, of the heads of each operation's queue of short and of long work, the one with the highest
-// response ratio: its wait in relation to its length, times its value.
-func (b *Backend) nextToRun(now monotime.Micros) (best *invocation) {
-	total, n, highest := b.workAhead(now, 0), b.count(waiting), 0.0
-	for k := range b.costs {
-		c := &b.costs[k]
-		var seen [2]bool // heads of short and of long work
-		for _, inv := range c.queue {
-			class, cost := 0, b.expectedCost(now, inv)
-			if cost*n > total { // longer than the mean
-				class = 1
+// workClass divides an operation's queue by the length of the work.
+type workClass int
+
+const (
+	shortWork workClass = iota // up to the mean of all waiting requests
+	longWork
+	numWorkClasses
+)
+
+// nextToRun returns the waiting request with the highest response ratio: the time it has waited in relation to its
+// cost, times its value. Only the first short and the first long request of each operation's queue are compared, as
+// those behind them arrived later. Without a waiting request it returns nil.
+func (b *Backend) nextToRun(now monotime.Micros) *request {
+	var best *request
+	highest := 0.0
+	totalCost := b.waitingCoreTime(now, 0)
+	waitingRequests := b.count(waiting)
+	for i := range b.costs {
+		cost := &b.costs[i]
+		sameLength := cost.minUnits == cost.maxUnits
+		var seen [numWorkClasses]bool
+		for _, req := range cost.queue {
+			expected := b.expectedCost(now, req)
+			class := shortWork
+			if expected*waitingRequests > totalCost {
+				class = longWork
 			}
-			ratio := float64(now-inv.arrivedAt+1) / cost * inv.op.Value
+			ratio := float64(now-req.arrivedAt+1) / expected * req.op.Value
 			if !seen[class] && (best == nil || ratio > highest) {
-				best, highest = inv, ratio
+				best = req
+				highest = ratio
 			}
 			seen[class] = true
-			if c.minUnits == c.maxUnits || seen[0] && seen[1] { // the others are like those seen, and came later
+			if sameLength || seen[shortWork] && seen[longWork] {
 				break
 			}
 		}
@@ -58,11 +91,13 @@
 	return best
 }
 
-// maxRuns is how many runs may be started and not ended: a part of what is survived, less while warming up.
+// maxRuns returns how many runs may have started and not ended. It is lower while the backend warms up.
 func (b *Backend) maxRuns(now monotime.Micros) float64 {
 	speed := 1.0
 	if b.config.JustStarted && now < b.openedAt+b.config.WarmUp {
-		speed = b.config.ColdSpeed + (1-b.config.ColdSpeed)*float64(now-b.openedAt)/float64(b.config.WarmUp)
+		elapsed := float64(now - b.openedAt)
+		speed = b.config.ColdSpeed + (1-b.config.ColdSpeed)*elapsed/float64(b.config.WarmUp)
 	}
-	return max(1, runsSafety*float64(b.config.Cores)*(1+(b.config.CollapseMultiple-1)*speed))
+	survivedPerCore := 1 + (b.config.CollapseMultiple-1)*speed
+	return max(1, maxRunsShare*float64(b.config.Cores)*survivedPerCore)
 }
--- a/admission/tenants.go
+++ b/admission/tenants.go
@@ -6,25 +6,42 @@
 	"milletbarrow/monotime"
 )
 
-// applyQuota lowers the priority of an invocation beyond its tenant's quota. Unless a lease tells, that is
-// one beyond an even part; where a backend gets more than an even part of all traffic, the parts grow.
-func (b *Backend) applyQuota(now monotime.Micros, inv *invocation, standing QuotaStanding) {
-	if inv.tenant >= len(b.admitted) || !(b.config.QuotaPerSecond[inv.tenant] > 0) {
+const (
+	// withinQuotaFloor divides priorities: requests within their tenant's quota are above it, those beyond it below.
+	withinQuotaFloor = 0.3
+	// quotaBurstDeviations is the number of standard deviations by which arrivals may exceed a tenant's even part by
+	// chance.
+	quotaBurstDeviations = 1.5
+)
+
+// applyQuota raises the priority of a request within its tenant's quota above that of every request beyond its own.
+func (b *Backend) applyQuota(now monotime.Micros, req *request, standing QuotaStanding) {
+	if req.tenant >= len(b.admittedByTenant) || !(b.config.QuotaPerSecond[req.tenant] > 0) {
 		return
 	}
-	total, quotas, quota := 0.0, 0.0, b.config.QuotaPerSecond[inv.tenant]
-	for n := range b.admitted {
-		total, quotas = total+b.admitted[n].read(now), quotas+b.config.QuotaPerSecond[n]
-	}
-	even := quota / float64(b.config.FleetSize) * recentTime / 1e6
-	even += quotaSlack * math.Sqrt(even) // of one invocation a second two may come, of ten hardly twenty
-	beyond := b.admitted[inv.tenant].read(now) >= max(even, total*quota/quotas)
+	overQuota := b.exceedsEvenPart(now, req.tenant)
 	if standing != QuotaUnknown {
-		beyond = standing == OverQuota
+		overQuota = standing == OverQuota
 	}
-	if beyond {
-		inv.priority *= withinQuotaFloor * b.config.OverQuotaValue
+	if overQuota {
+		req.priority *= withinQuotaFloor * b.config.OverQuotaValue
 	} else {
-		inv.priority = withinQuotaFloor + (1-withinQuotaFloor)*inv.priority
+		req.priority = withinQuotaFloor + (1-withinQuotaFloor)*req.priority
+	}
+}
+
+// exceedsEvenPart reports whether the next request of a tenant exceeds an even part of its quota among the backends.
+// Where this backend gets more than an even part of all traffic, each tenant's part grows with it.
+func (b *Backend) exceedsEvenPart(now monotime.Micros, tenant int) bool {
+	quota := b.config.QuotaPerSecond[tenant]
+	totalAdmitted := 0.0
+	totalQuota := 0.0
+	for i := range b.admittedByTenant {
+		totalAdmitted += b.admittedByTenant[i].read(now)
+		totalQuota += b.config.QuotaPerSecond[i]
 	}
+	evenPart := quota / float64(b.config.FleetSize) * float64(recentWindow) / float64(monotime.Second)
+	evenPart += quotaBurstDeviations * math.Sqrt(evenPart) // arrivals vary more, in proportion, the fewer they are
+	partOfAdmitted := totalAdmitted * quota / totalQuota
+	return b.admittedByTenant[tenant].read(now) >= max(evenPart, partOfAdmitted)
 }
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -81,8 +81,8 @@
 // pass lets time go by with the gauges as given.
 func (tr *trace) pass(ms monotime.Micros, coreUse, onCores float64) {
 	for end := tr.now + ms*1000; tr.now < end; {
-		tr.now = min(end, tr.now+tr.b.tick)
-		tr.do(Reading{Token: timerToken, CoreUse: coreUse, OnCores: onCores})
+		tr.now = min(end, tr.now+tr.b.readingInterval)
+		tr.do(Reading{Token: readingToken, CoreUse: coreUse, OnCores: onCores})
 	}
 }
 
--- a/admission/unmarked_retry.go
+++ b/admission/unmarked_retry.go
@@ -6,32 +6,56 @@
 	"milletbarrow/monotime"
 )
 
-// deadlineGroup is a time left until the deadline, as a part of the client timeout, and how many have had it.
+const (
+	// deadlineGroups is the number of different deadlines that are told apart.
+	deadlineGroups = 6
+	// sameDeadline is the difference, in client timeouts, below which two deadlines are the same.
+	sameDeadline = 0.01
+	// usualDeadlineShare is the share of arrivals from which a deadline is taken for that of first attempts.
+	usualDeadlineShare = 0.15
+)
+
+// deadlineGroup counts the requests with one deadline.
 type deadlineGroup struct {
-	part  float64
-	count decayingSum
+	deadline float64     // from arrival, in client timeouts
+	count    decayingSum // over learningWindow
+}
+
+// hasUnusualDeadline stands in for the retry mark where callers set none: first attempts all have the same time left
+// until their deadline, and a retry has what remains of it.
+func (b *Backend) hasUnusualDeadline(now monotime.Micros, arrived *Arrived, op *Operation) bool {
+	groups := &b.arrivals.deadlines
+	for i := range groups {
+		groups[i].count.read(now)
+	}
+	deadline := float64(arrived.QueueTime+arrived.TimeLeft) / float64(op.ClientTimeout)
+	group := nearestGroup(groups, deadline)
+	if math.Abs(group.deadline-deadline) >= sameDeadline {
+		group = smallestGroup(groups, group)
+		*group = deadlineGroup{deadline: deadline, count: newDecayingSum(learningWindow)}
+	}
+	group.count.add(now, 1)
+	return arrived.TimeLeft > 0 && group.count.sum < usualDeadlineShare*b.arrivals.usual.read(now)
 }
 
-// unusualDeadline stands in for the retry mark where callers set none: each first attempt has the same time
-// left until its deadline, and a retry what remains of it.
-func (b *Backend) unusualDeadline(now monotime.Micros, a *Arrived, op *Operation) bool {
-	groups := &b.arrivals.timesLeft
-	part, group := float64(a.QueueTime+a.TimeLeft)/float64(op.ClientTimeout), &groups[0]
-	for n := range groups {
-		g := &groups[n]
-		g.count.read(now)
-		if math.Abs(g.part-part) < math.Abs(group.part-part) {
-			group = g
+// nearestGroup returns the group whose deadline is nearest; of equals, the first.
+func nearestGroup(groups *[deadlineGroups]deadlineGroup, deadline float64) *deadlineGroup {
+	nearest := &groups[0]
+	for i := range groups {
+		if math.Abs(groups[i].deadline-deadline) < math.Abs(nearest.deadline-deadline) {
+			nearest = &groups[i]
 		}
 	}
-	if math.Abs(group.part-part) >= sameDeadline {
-		for n := range groups {
-			if g := &groups[n]; g.count.sum < group.count.sum {
-				group = g
-			}
+	return nearest
+}
+
+// smallestGroup returns the group with the lowest count; of equals, preferred or else the first.
+func smallestGroup(groups *[deadlineGroups]deadlineGroup, preferred *deadlineGroup) *deadlineGroup {
+	smallest := preferred
+	for i := range groups {
+		if groups[i].count.sum < smallest.count.sum {
+			smallest = &groups[i]
 		}
-		*group = deadlineGroup{part, over(learningTime)}
 	}
-	group.count.add(now, 1)
-	return a.TimeLeft > 0 && group.count.sum < usualDeadline*b.arrivals.usual.read(now)
+	return smallest
 }
