--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -7,71 +7,110 @@
 	"milletbarrow/monotime"
 )
 
-// BenchmarkStream is one arrival with its end and its share of readings, all cores busy and so many in flight:
+// BenchmarkStream measures one arrival, the end of a run and their part of the readings, with all cores busy:
 //
 //	go test ./admission -run xxx -bench Stream
 func BenchmarkStream(b *testing.B) {
 	for _, inFlight := range []int{6, 64, 512} {
 		for _, hints := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d/hints=%t", inFlight, hints), func(b *testing.B) {
-				const cores = 2
-				config := Config{
-					Operations: []Operation{{Objective: 60_000_000, ClientTimeout: 90_000_000}, {Objective: 60_000_000, ClientTimeout: 90_000_000, RetrySafety: NonIdempotent}},
-					FleetSize:  4, Callers: 8, Cores: cores, MemoryKB: 1e6, RunFactor: 4, AnswerSlack: 60_000, DrainGrace: 1_000_000, CollapseMultiple: 1000, CollapseAfter: 2_000_000, MaxRetryAfter: 1_000_000,
-				}
-				backend, now, out := New(config, 1), monotime.Micros(1), make([]Action, 0, 64)
-				out = backend.Decide(now, Opened{}, out)
-				ids := make([]string, 2*inFlight+64)
-				for i := range ids {
-					ids[i] = fmt.Sprintf("%016x", i)
-				}
-				var running []string
-				next, at := 0, backend.nextReadingAt
-				note := func() {
-					for _, action := range out {
-						if s, ok := action.(Start); ok {
-							running = append(running, s.ID)
-						}
-					}
-					out = out[:0]
-				}
-				step := func(arrives, ends bool) {
-					now += 500
-					if now >= at {
-						at = now + 20_000
-						out = backend.Decide(now, Reading{Token: readingToken, CoreUse: 0.8, OnCores: cores, MemoryShare: -1, Connections: -1}, out)
-						note()
-					}
-					if arrives {
-						a := Arrived{ID: ids[next%len(ids)], Operation: next % 2, Priority: 0.5, MemoryKB: 20, TimeLeft: 80_000_000}
-						if hints {
-							a.ExpectedWork = monotime.Micros(500 + next*7919%2000)
-						}
-						next++
-						out = backend.Decide(now, a, out)
-						note()
-					}
-					if ends && len(running) > 0 {
-						id := running[0]
-						running = append(running[:0], running[1:]...)
-						out = backend.Decide(now, Finished{ID: id, Outcome: OK, Took: 1000}, out)
-						note()
-					}
-				}
+				s := newStream(inFlight, hints)
 				for range 4000 { // until it has learnt what a run takes
-					step(true, true)
+					s.step(true, true)
 				}
-				for len(backend.inFlight.all) < inFlight {
-					step(true, false)
+				for len(s.backend.inFlight.all) < inFlight {
+					s.step(true, false)
 				}
 				b.ReportAllocs()
-				for b.Loop() { // one ends, then one comes; a step in which nothing runs yet brings a reading nearer
-					for len(backend.inFlight.all) >= inFlight {
-						step(false, true)
+				for b.Loop() {
+					for len(s.backend.inFlight.all) >= inFlight {
+						s.step(false, true) // while nothing runs yet, this brings the next reading nearer
 					}
-					step(true, false)
+					s.step(true, false)
 				}
 			})
 		}
 	}
 }
+
+// streamCores is the number of cores of a stream's backend.
+const streamCores = 2
+
+// stream feeds a backend with arrivals and the ends of its runs.
+type stream struct {
+	backend       *Backend
+	now           monotime.Micros
+	nextReadingAt monotime.Micros
+	actions       []Action
+	ids           []string // used in turn
+	arrived       int
+	hints         bool     // arrivals tell their expected work
+	running       []string // in order of start
+}
+
+func newStream(inFlight int, hints bool) *stream {
+	operation := Operation{Objective: 60 * monotime.Second, ClientTimeout: 90 * monotime.Second}
+	config := Config{
+		Operations:       []Operation{operation, operation},
+		FleetSize:        4,
+		Callers:          8,
+		Cores:            streamCores,
+		MemoryKB:         1e6,
+		RunFactor:        4,
+		AnswerSlack:      60 * monotime.Millisecond,
+		DrainGrace:       monotime.Second,
+		CollapseMultiple: 1000,
+		CollapseAfter:    2 * monotime.Second,
+		MaxRetryAfter:    monotime.Second,
+	}
+	config.Operations[1].RetrySafety = NonIdempotent
+	s := &stream{backend: New(config, 1), now: 1, actions: make([]Action, 0, 64), hints: hints}
+	s.decide(Opened{})
+	s.nextReadingAt = s.backend.nextReadingAt
+	for i := range 2*inFlight + 64 {
+		s.ids = append(s.ids, fmt.Sprintf("%016x", i))
+	}
+	return s
+}
+
+// decide gives an event to the backend and notes which requests start.
+func (s *stream) decide(event Event) {
+	s.actions = s.backend.Decide(s.now, event, s.actions[:0])
+	for _, action := range s.actions {
+		if start, ok := action.(Start); ok {
+			s.running = append(s.running, start.ID)
+		}
+	}
+}
+
+// step lets half a millisecond go by, with a reading where it is due, an arrival and the end of the oldest run.
+func (s *stream) step(arrives, ends bool) {
+	s.now += monotime.Millisecond / 2
+	if s.now >= s.nextReadingAt {
+		s.nextReadingAt = s.now + 20*monotime.Millisecond
+		s.decide(Reading{Token: readingToken, CoreUse: 0.8, OnCores: streamCores, MemoryShare: -1, Connections: -1})
+	}
+	if arrives {
+		s.decide(s.nextArrival())
+	}
+	if ends && len(s.running) > 0 {
+		id := s.running[0]
+		s.running = append(s.running[:0], s.running[1:]...)
+		s.decide(Finished{ID: id, Outcome: OK, Took: monotime.Millisecond})
+	}
+}
+
+func (s *stream) nextArrival() Arrived {
+	arrived := Arrived{
+		ID:        s.ids[s.arrived%len(s.ids)],
+		Operation: s.arrived % 2,
+		Priority:  0.5,
+		MemoryKB:  20,
+		TimeLeft:  80 * monotime.Second,
+	}
+	if s.hints {
+		arrived.ExpectedWork = monotime.Micros(500 + s.arrived*7919%2000)
+	}
+	s.arrived++
+	return arrived
+}
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -31,7 +31,9 @@
 }
 
 // maxCallsAtOnce returns maxCalls as a number of calls, at least 1.
-func (b *Backend) maxCallsAtOnce(now monotime.Micros) float64 { return max(1, math.Floor(b.maxCalls(now))) }
+func (b *Backend) maxCallsAtOnce(now monotime.Micros) float64 {
+	return max(1, math.Floor(b.maxCalls(now)))
+}
 
 // expectedCallTime returns how long a new request of the operation would be at its call, in microseconds, with the
 // requests that wait before it. A call that may be skipped takes no time.
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -16,10 +16,10 @@
 //
 // Invariants, whatever events come, each with the tests that hold it:
 //
-//   - Every request gets exactly one final answer, by its deadline: TestEveryInvocationIsAnsweredInTime.
+//   - Every request gets exactly one final answer, by its deadline: TestEveryRequestIsAnsweredInTime.
 //   - No request has an effect twice: TestNoEffectTwice, TestOnlyKeyedOperationsAreReused,
 //     TestOnlyWaitingWorkIsLaunched.
-//   - No request that arrives after the drain grace runs, and all are answered before the process is stopped: TestDrain,
+//   - No request that arrives after the drain grace runs, and all are answered before the stop: TestDrain,
 //     TestShortDrainNotice, TestArrivalsJustBeforeTheStop.
 //   - Memory, concurrent runs and calls to the dependency are bounded: TestMemory, TestMaxRunsWarmAndCold,
 //     TestCallsToDependency, TestWaitingCallsAreBounded.
--- a/admission/run_cost.go
+++ b/admission/run_cost.go
@@ -62,7 +62,9 @@
 }
 
 // perUnit returns the learnt core time of a unit of work, in microseconds.
-func (c *runCost) perUnit(now monotime.Micros) float64 { return c.coreTime.read(now) / c.units.read(now) }
+func (c *runCost) perUnit(now monotime.Micros) float64 {
+	return c.coreTime.read(now) / c.units.read(now)
+}
 
 // slowdown returns how many times more core time recent runs take than expected, at least 1. Runs that have not ended
 // count.
