--- a/internal/fleet/adoption.go
+++ b/internal/fleet/adoption.go
@@ -14,7 +14,7 @@
 // AdoptUnrecorded returns the state of an instance that the store does not know, from its supervisor's record: the store
 // was lost, the files of the supervisors were not. It is adopted as it is, desired up unless it was notified. ok is false
 // where nothing is known to run.
-func AdoptUnrecorded(name string, r SupervisorRecord) (in Instance, ok bool) {
+func AdoptUnrecorded(name string, r SupervisorRecord) (inst Instance, ok bool) {
 	if r.State != RecordRead || r.Ended {
 		return Instance{}, false
 	}
--- a/internal/fleet/adoption_test.go
+++ b/internal/fleet/adoption_test.go
@@ -44,13 +44,13 @@
 	incarnation := actions[0].Incarnation
 	exited := InstanceObserved{Name: "a", Observation: Observation{Incarnation: incarnation, Phase: PhaseExited, Exit: Exit{Unobserved: true}}, Unrecorded: true}
 	decide(t, h, exited)
-	if in, _ := h.m.Instance("a"); in.Incarnation != incarnation || in.Phase != PhaseStarting {
-		t.Fatalf("an incarnation that is being launched has ended: %+v", in)
+	if inst, _ := h.m.Instance("a"); inst.Incarnation != incarnation || inst.Phase != PhaseStarting {
+		t.Fatalf("an incarnation that is being launched has ended: %+v", inst)
 	}
 	decide(t, h, InstanceObserved{Name: "a", Observation: Observation{Incarnation: incarnation, Phase: PhaseReady}})
 	decide(t, h, exited)
-	if in, _ := h.m.Instance("a"); in.Incarnation != "" || in.Phase != PhaseFailed {
-		t.Errorf("%+v", in)
+	if inst, _ := h.m.Instance("a"); inst.Incarnation != "" || inst.Phase != PhaseFailed {
+		t.Errorf("%+v", inst)
 	}
 }
 
@@ -59,8 +59,8 @@
 	h := newHost(t, readTestSpec(t, twoInstances))
 	actions := decide(t, h, CommandReceived{&Command{ID: "up", Kind: KindStart, Names: []string{"a"}, Deadline: h.now + 60*second}})
 	decide(t, h, InstanceObserved{Name: "a", Observation: Observation{Incarnation: actions[0].Incarnation, Phase: PhaseExited}})
-	if in, _ := h.m.Instance("a"); in.Incarnation != "" {
-		t.Errorf("%+v", in)
+	if inst, _ := h.m.Instance("a"); inst.Incarnation != "" {
+		t.Errorf("%+v", inst)
 	}
 }
 
--- a/internal/fleet/cold_start.go
+++ b/internal/fleet/cold_start.go
@@ -16,57 +16,57 @@
 
 // advanceColdStart starts what is down on this host: each instance requests a unit, starts once it holds one, and keeps it
 // until it is settled or given up. The quota store decides which hosts get units first.
-func (m *Machine) advanceColdStart(now monotime.Micros, c *Command) {
+func (m *Machine) advanceColdStart(now monotime.Micros, command *Command) {
 	asked, alone := 0, false
-	for _, n := range m.instanceNames {
-		in := m.instances[n]
-		alone = alone || in.Unit.Standalone && !in.backInService(now) && !in.LaunchesExhausted
+	for _, name := range m.instanceNames {
+		inst := m.instances[name]
+		alone = alone || inst.Unit.Standalone && !inst.backInService(now) && !inst.LaunchesExhausted
 	}
-	for _, n := range c.Names {
-		if _, over := c.Results[n]; over {
+	for _, name := range command.Names {
+		if _, over := command.Results[name]; over {
 			continue
 		}
-		in := m.instances[n]
+		inst := m.instances[name]
 		switch {
-		case in == nil:
-			m.recordResult(now, c, n, OutcomeFailed, notInSpec)
+		case inst == nil:
+			m.recordResult(now, command, name, OutcomeFailed, notInSpec)
 			continue
-		case c.InProgress[n] || in.DesiredUp: // in progress, by this command or by another
-			m.resolveCommand(now, in)
+		case command.InProgress[name] || inst.DesiredUp: // in progress, by this command or by another
+			m.resolveCommand(now, inst)
 			continue
-		case c.State != CommandOpen || !in.Phase.Down():
+		case command.State != CommandOpen || !inst.Phase.Down():
 			continue
-		case m.holdsUnit(now, c, in), failpoint.Enabled(failpoint.IgnoreStartPermit):
+		case m.holdsUnit(now, command, inst), failpoint.Enabled(failpoint.IgnoreStartPermit):
 		case !alone && m.quotaSilentSince != 0 && now-m.quotaSilentSince >= standaloneAfter:
-			alone, in.Unit.Standalone = true, true
-			m.recordEvent(now, in, "starts without the ledger", fmt.Sprintf("it has not answered for %d ms", (now-m.quotaSilentSince)/1000))
+			alone, inst.Unit.Standalone = true, true
+			m.recordEvent(now, inst, "starts without the ledger", fmt.Sprintf("it has not answered for %d ms", (now-m.quotaSilentSince)/1000))
 		default:
 			if asked++; asked >= maxPendingUnitRequests {
 				return
 			}
 			continue
 		}
-		c.InProgress[n] = true
-		m.restartInstance(now, in)
-		in.Unit.StartedAt = now
-		m.markCommandChanged(c)
-		m.advance(now, in)
+		command.InProgress[name] = true
+		m.restartInstance(now, inst)
+		inst.Unit.StartedAt = now
+		m.markCommandChanged(command)
+		m.advance(now, inst)
 	}
 }
 
 // startResult is how a start that held a unit came out.
-func (in *Instance) startResult(now monotime.Micros) coldstart.Outcome {
-	e := coldstart.Outcome{Ready: in.available(now), Cause: in.Cause}
-	if e.Ready && in.Unit.StartedAt > 0 {
-		e.Took = max(0, in.ReadySince-in.Unit.StartedAt)
+func (inst *Instance) startResult(now monotime.Micros) coldstart.Outcome {
+	e := coldstart.Outcome{Ready: inst.available(now), Cause: inst.Cause}
+	if e.Ready && inst.Unit.StartedAt > 0 {
+		e.Took = max(0, inst.ReadySince-inst.Unit.StartedAt)
 	}
 	return e
 }
 
 // reportAlreadyRunning has the quota store learn of an instance that serves and never requested a unit, as if it
 // released one.
-func (in *Instance) reportAlreadyRunning(c *Command) {
-	if c.Kind == KindColdStart && in.Unit.RequestID == "" {
-		in.Unit = Unit{Quota: c.Quota, RequestID: c.ID + "." + in.Name + ".0", CommandID: c.ID, Held: true}
+func (inst *Instance) reportAlreadyRunning(command *Command) {
+	if command.Kind == KindColdStart && inst.Unit.RequestID == "" {
+		inst.Unit = Unit{Quota: command.Quota, RequestID: command.ID + "." + inst.Name + ".0", CommandID: command.ID, Held: true}
 	}
 }
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -156,9 +156,9 @@
 
 // unresolved lists the instances that have no result yet.
 func (c *Command) unresolved() (names []string) {
-	for _, n := range c.instanceNames() {
-		if _, over := c.Results[n]; !over {
-			names = append(names, n)
+	for _, name := range c.instanceNames() {
+		if _, over := c.Results[name]; !over {
+			names = append(names, name)
 		}
 	}
 	return names
--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -141,30 +141,30 @@
 		{Command{ID: "c", Kind: KindColdStart, Names: []string{"a"}}, "budget", "", "", "budget: a rise needs a count of the fleet's file"},
 		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Quota: "q"}, "budget", "", "", "budget: not with start"},
 		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Deadline: -1}, "due", "", "", "due: it has passed"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.MaxInProgress = 0 })},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MaxInProgress = 0 })},
 			"width", "", "", "width: 0 is not from 1 to 10000"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.MinReady = -1 })},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReady = -1 })},
 			"least_count", "", "", "least_count: -1 is below 0"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.MinReadyShare = 2 })},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReadyShare = 2 })},
 			"least_share", "", "", "least_share: 2 is not from 0 to 1"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.Order = "up" })},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Order = "up" })},
 			"order", "", "", `order: "up" is none of file, name, spread`},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.Surge = -1 })},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Surge = -1 })},
 			"surge, failures and times", "", "", "surge, failures and times: {Width:1 LeastCount:0 LeastShare:0 Order:file Surge:-1 Failures:0 " +
 				"ReadyWithin:0 Stall:60000000 TurnedAway:1 TurnedFor:5000000} holds one below 0, or no stall"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.MaxRejectedShare = 0 })},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MaxRejectedShare = 0 })},
 			"turned_away", "", "", "turned_away: 0 is not above 0 and at most 1"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.Surge = 2 })},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Surge = 2 })},
 			"surge", "", "g", `surge: group "g" has 1 spares that are down, 2 are wanted`},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.MinReady = 2 })},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReady = 2 })},
 			"least", "", "g", `least: with 2 of group "g" up and 0 spares, none can leave while 2 must stay ready`},
 	} {
-		w := newHost(t, readTestSpec(t, twoInstances))
-		startAll(w)
+		host := newHost(t, readTestSpec(t, twoInstances))
+		startAll(host)
 		if c.command.Deadline == 0 {
 			c.command.Deadline = late
 		}
-		_, _, err := w.m.Decide(w.now, CommandReceived{&c.command})
+		_, _, err := host.m.Decide(host.now, CommandReceived{&c.command})
 		rejection, ok := errors.AsType[*CommandError](err)
 		if !ok || rejection.Operation != OperationAccept || rejection.CommandID != c.command.ID {
 			t.Errorf("%s: %+v", c.text, rejection)
@@ -179,10 +179,10 @@
 
 // TestControlErrors: what can't be done to a command is told apart by type.
 func TestControlErrors(t *testing.T) {
-	w := newHost(t, readTestSpec(t, twoInstances))
-	w.mustCommand("open", KindStart, 20*second, "a")
+	host := newHost(t, readTestSpec(t, twoInstances))
+	host.mustCommand("open", KindStart, 20*second, "a")
 	steer := func(id string, verb Verb) error {
-		_, _, err := w.m.Decide(w.now, CommandControl{CommandID: id, Verb: verb, RequestedBy: "test"})
+		_, _, err := host.m.Decide(host.now, CommandControl{CommandID: id, Verb: verb, RequestedBy: "test"})
 		return err
 	}
 	for _, c := range []struct {
@@ -204,11 +204,11 @@
 	if err := steer("open", VerbCancel); !errors.Is(err, ErrCommandEnded) || err.Error() != "cancel: the command has ended" {
 		t.Errorf("%v", err)
 	}
-	w = newHost(t, readTestSpec(t, twoInstances))
-	startAll(w)
+	host = newHost(t, readTestSpec(t, twoInstances))
+	startAll(host)
 	config := DefaultRollingUpdate()
 	config.MinReadyShare = 0
-	if _, _, err := w.m.Decide(w.now, CommandReceived{&Command{ID: "w", Kind: KindRollingUpdate, Names: []string{"a"}, Deadline: w.now + 20*second, Rollout: &config}}); err != nil {
+	if _, _, err := host.m.Decide(host.now, CommandReceived{&Command{ID: "w", Kind: KindRollingUpdate, Names: []string{"a"}, Deadline: host.now + 20*second, Rollout: &config}}); err != nil {
 		t.Fatal(err)
 	}
 	unknown, ok := errors.AsType[*VerbError](steer("w", "dance"))
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -178,24 +178,24 @@
 }
 
 // setPhase enters a phase, or updates the cause of the present one.
-func (in *Instance) setPhase(now monotime.Micros, p Phase, cause string) {
-	if in.Phase != p {
-		in.Phase, in.PhaseSince = p, now
+func (inst *Instance) setPhase(now monotime.Micros, p Phase, cause string) {
+	if inst.Phase != p {
+		inst.Phase, inst.PhaseSince = p, now
 	}
-	in.Cause = cause
+	inst.Cause = cause
 	if p != PhaseReady {
-		in.ReadySince = 0
-	} else if in.ReadySince == 0 {
-		in.ReadySince = now
+		inst.ReadySince = 0
+	} else if inst.ReadySince == 0 {
+		inst.ReadySince = now
 	}
 }
 
 // Settled reports whether the instance has been ready for as long as its group wants.
-func (in *Instance) Settled(now monotime.Micros) bool {
-	return in.Phase == PhaseReady && now-in.ReadySince >= in.group.Settle
+func (inst *Instance) Settled(now monotime.Micros) bool {
+	return inst.Phase == PhaseReady && now-inst.ReadySince >= inst.group.Settle
 }
 
 // available reports whether a rolling update may count the instance as serving.
-func (in *Instance) available(now monotime.Micros) bool {
-	return in.DesiredUp && !in.RestartPending && in.NoticeID == "" && in.Settled(now)
+func (inst *Instance) available(now monotime.Micros) bool {
+	return inst.DesiredUp && !inst.RestartPending && inst.NoticeID == "" && inst.Settled(now)
 }
--- a/internal/fleet/invariants_test.go
+++ b/internal/fleet/invariants_test.go
@@ -11,9 +11,9 @@
 )
 
 // decide gives the machine an event without carrying its actions out.
-func decide(t *testing.T, h *simulatedHost, event Event) []Action {
+func decide(t *testing.T, host *simulatedHost, event Event) []Action {
 	t.Helper()
-	actions, _, err := h.m.Decide(h.now, event)
+	actions, _, err := host.m.Decide(host.now, event)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,17 +25,17 @@
 	return func(a Action) bool { return a.Kind == kind }
 }
 
-func startCommand(t *testing.T, h *simulatedHost, names ...string) {
+func startCommand(t *testing.T, host *simulatedHost, names ...string) {
 	t.Helper()
-	if err := h.command("up", KindStart, 60*second, names...); err != nil {
+	if err := host.command("up", KindStart, 60*second, names...); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // stored is an instance as it is written down.
-func stored(t *testing.T, in *Instance) string {
+func stored(t *testing.T, inst *Instance) string {
 	t.Helper()
-	raw, err := json.Marshal(in)
+	raw, err := json.Marshal(inst)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,46 +44,46 @@
 
 // TestFailureOfAnotherActionIsIgnored: only the action that is pending can fail.
 func TestFailureOfAnotherActionIsIgnored(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	h.dropAction = dropKind(ActionLaunch)
-	startCommand(t, h, "a")
-	before := stored(t, h.m.instances["a"])
-	decide(t, h, ActionFailed{Name: "a", ActionID: "a.0", Cause: "of an older action", Final: true})
-	if after := stored(t, h.m.instances["a"]); after != before {
+	host := newHost(t, readTestSpec(t, twoInstances))
+	host.dropAction = dropKind(ActionLaunch)
+	startCommand(t, host, "a")
+	before := stored(t, host.m.instances["a"])
+	decide(t, host, ActionFailed{Name: "a", ActionID: "a.0", Cause: "of an older action", Final: true})
+	if after := stored(t, host.m.instances["a"]); after != before {
 		t.Errorf("the failure of an older action changed\n%s to\n%s", before, after)
 	}
 
-	h = newHost(t, readTestSpec(t, twoInstances))
-	startAll(h)
-	before = stored(t, h.m.instances["a"])
-	decide(t, h, ActionFailed{Name: "a", ActionID: h.m.instances["a"].ActionID, Cause: "after it was taken", Final: true})
-	if after := stored(t, h.m.instances["a"]); after != before {
+	host = newHost(t, readTestSpec(t, twoInstances))
+	startAll(host)
+	before = stored(t, host.m.instances["a"])
+	decide(t, host, ActionFailed{Name: "a", ActionID: host.m.instances["a"].ActionID, Cause: "after it was taken", Final: true})
+	if after := stored(t, host.m.instances["a"]); after != before {
 		t.Errorf("the failure of an action that was taken changed\n%s to\n%s", before, after)
 	}
 }
 
 // TestReleaseOfAnotherUnitIsIgnored: a confirmation for an older request leaves the present unit alone.
 func TestReleaseOfAnotherUnitIsIgnored(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
+	host := newHost(t, readTestSpec(t, twoInstances))
 	held := Unit{Quota: "updates", RequestID: "r.a.2", CommandID: "r", Held: true}
-	h.m.instances["a"].Unit = held
-	decide(t, h, UnitReleased{Name: "a", RequestID: "r.a.1"})
-	if got := h.m.instances["a"].Unit; got != held {
+	host.m.instances["a"].Unit = held
+	decide(t, host, UnitReleased{Name: "a", RequestID: "r.a.1"})
+	if got := host.m.instances["a"].Unit; got != held {
 		t.Errorf("%+v became %+v", held, got)
 	}
-	decide(t, h, UnitReleased{Name: "a", RequestID: "r.a.2"})
-	if got := h.m.instances["a"].Unit; got != (Unit{}) {
+	decide(t, host, UnitReleased{Name: "a", RequestID: "r.a.2"})
+	if got := host.m.instances["a"].Unit; got != (Unit{}) {
 		t.Errorf("%+v is held after its release", got)
 	}
 }
 
 // TestGrantOfAnotherRequestIsReturned: a unit that comes for a request given up meanwhile is not used.
 func TestGrantOfAnotherRequestIsReturned(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
+	host := newHost(t, readTestSpec(t, twoInstances))
 	asked := Unit{Quota: "updates", RequestID: "r.a.2", CommandID: "r"}
-	h.m.instances["a"].Unit = asked
-	actions := decide(t, h, UnitAcquired{HeldUnit: HeldUnit{Name: "a", Quota: "updates", RequestID: "r.a.1"}, Granted: true})
-	if got := h.m.instances["a"].Unit; got != asked {
+	host.m.instances["a"].Unit = asked
+	actions := decide(t, host, UnitAcquired{HeldUnit: HeldUnit{Name: "a", Quota: "updates", RequestID: "r.a.1"}, Granted: true})
+	if got := host.m.instances["a"].Unit; got != asked {
 		t.Errorf("%+v became %+v", asked, got)
 	}
 	if len(actions) != 1 || actions[0].Kind != ActionReleaseUnit || actions[0].ID != "r.a.1" {
@@ -93,14 +93,14 @@
 
 // TestUnitStaysHeldUntilBackInService: a unit without use is returned once its instance serves, not before.
 func TestUnitStaysHeldUntilBackInService(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	startCommand(t, h, "a")
-	h.m.instances["a"].Unit = Unit{Quota: "updates", RequestID: "r.a.1", CommandID: "gone", Held: true}
-	if actions := decide(t, h, Tick{}); len(actions) != 0 {
+	host := newHost(t, readTestSpec(t, twoInstances))
+	startCommand(t, host, "a")
+	host.m.instances["a"].Unit = Unit{Quota: "updates", RequestID: "r.a.1", CommandID: "gone", Held: true}
+	if actions := decide(t, host, Tick{}); len(actions) != 0 {
 		t.Errorf("%+v while it starts", actions)
 	}
-	h.advance(2*second, nil)
-	if h.m.instances["a"].Unit.NextRequestAt == 0 {
+	host.advance(2*second, nil)
+	if host.m.instances["a"].Unit.NextRequestAt == 0 {
 		t.Error("its unit was not returned after it became ready")
 	}
 }
@@ -109,12 +109,12 @@
 func TestResultIsRecordedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		outcomes := []Outcome{OutcomeSucceeded, OutcomeUnchanged, OutcomeKilled, OutcomeFailed, OutcomeSuperseded, OutcomeTimedOut, OutcomeCancelled}
-		h := newHost(t, readTestSpec(t, twoInstances))
+		host := newHost(t, readTestSpec(t, twoInstances))
 		c := &Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Results: map[string]Result{}}
 		first := rapid.SampledFrom(outcomes).Draw(t, "first")
-		h.m.recordResult(h.now, c, "a", first, "first")
+		host.m.recordResult(host.now, c, "a", first, "first")
 		want, failures := c.Results["a"], c.Failures
-		h.m.recordResult(h.now+1, c, "a", rapid.SampledFrom(outcomes).Draw(t, "later"), "later")
+		host.m.recordResult(host.now+1, c, "a", rapid.SampledFrom(outcomes).Draw(t, "later"), "later")
 		if c.Results["a"] != want || c.Failures != failures {
 			t.Fatalf("%+v became %+v, %d failures %d", want, c.Results["a"], failures, c.Failures)
 		}
@@ -123,35 +123,35 @@
 
 // TestFinishedCommandsAreBounded: beyond the bound the oldest are forgotten, in memory and in what is stored.
 func TestFinishedCommandsAreBounded(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	h.m.config.MaxFinishedCommands = 2
-	startAll(h)
+	host := newHost(t, readTestSpec(t, twoInstances))
+	host.m.config.MaxFinishedCommands = 2
+	startAll(host)
 	for n := range 4 {
-		if err := h.command(fmt.Sprint("again", n), KindStart, second, "a"); err != nil {
+		if err := host.command(fmt.Sprint("again", n), KindStart, second, "a"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	commands := h.m.Commands()
+	commands := host.m.Commands()
 	ids := make([]string, 0, len(commands))
 	for _, c := range commands {
 		ids = append(ids, c.ID)
 	}
-	if want := []string{"again3", "again2"}; !slices.Equal(ids, want) || len(h.saved.Commands) != 2 {
-		t.Errorf("%v are known, wanted %v; %d are stored", ids, want, len(h.saved.Commands))
+	if want := []string{"again3", "again2"}; !slices.Equal(ids, want) || len(host.saved.Commands) != 2 {
+		t.Errorf("%v are known, wanted %v; %d are stored", ids, want, len(host.saved.Commands))
 	}
 }
 
 // TestRestoreAfterReboot: no process outlives the machine's restart, so that what is wanted is launched anew.
 func TestRestoreAfterReboot(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	startAll(h)
-	h.m = New(h.spec, h.host, testTerms(), window)
-	h.m.Restore(h.now, h.saved, true)
-	if in, _ := h.m.Instance("a"); in.Incarnation != "" || in.Phase != PhaseAbsent {
-		t.Errorf("restored as %s of incarnation %q", in.Phase, in.Incarnation)
+	host := newHost(t, readTestSpec(t, twoInstances))
+	startAll(host)
+	host.m = New(host.spec, host.name, testTerms(), window)
+	host.m.Restore(host.now, host.saved, true)
+	if inst, _ := host.m.Instance("a"); inst.Incarnation != "" || inst.Phase != PhaseAbsent {
+		t.Errorf("restored as %s of incarnation %q", inst.Phase, inst.Incarnation)
 	}
 	launched := 0
-	for _, a := range decide(t, h, Tick{}) {
+	for _, a := range decide(t, host, Tick{}) {
 		if a.Kind == ActionLaunch && !a.Adopt {
 			launched++
 		}
@@ -163,83 +163,83 @@
 
 // TestRestoreRenewsPendingNotice: the shutdown window of a notice that may not have arrived runs from its resend.
 func TestRestoreRenewsPendingNotice(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	startAll(h)
-	h.dropAction = dropKind(ActionNotify)
-	if err := h.command("down", KindDrain, 60*second, "a"); err != nil {
+	host := newHost(t, readTestSpec(t, twoInstances))
+	startAll(host)
+	host.dropAction = dropKind(ActionNotify)
+	if err := host.command("down", KindDrain, 60*second, "a"); err != nil {
 		t.Fatal(err)
 	}
-	h.now += 2 * second
-	h.restart()
-	in, _ := h.m.Instance("a")
-	if want := h.now + in.shutdown.ExitTimeout + h.m.config.KillDelay; in.NotifiedAt != h.now || in.PhaseDeadline != want {
-		t.Errorf("notified at %d with the deadline %d, wanted %d and %d", in.NotifiedAt, in.PhaseDeadline, h.now, want)
+	host.now += 2 * second
+	host.restart()
+	inst, _ := host.m.Instance("a")
+	if want := host.now + inst.shutdown.ExitTimeout + host.m.config.KillDelay; inst.NotifiedAt != host.now || inst.PhaseDeadline != want {
+		t.Errorf("notified at %d with the deadline %d, wanted %d and %d", inst.NotifiedAt, inst.PhaseDeadline, host.now, want)
 	}
 }
 
 // TestCountsFromBeforeRestartAreNotAdded: the first counts seen after the agent's restart are a baseline only.
 func TestCountsFromBeforeRestartAreNotAdded(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	startAll(h)
-	h.restart()
+	host := newHost(t, readTestSpec(t, twoInstances))
+	startAll(host)
+	host.restart()
 	observe := func(invocations, rejected int) {
-		decide(t, h, InstanceObserved{Name: "a", Observation: Observation{
-			Incarnation: h.fakes["a"].incarnation, Phase: PhaseReady, Invocations: invocations, Rejected: rejected,
+		decide(t, host, InstanceObserved{Name: "a", Observation: Observation{
+			Incarnation: host.fakes["a"].incarnation, Phase: PhaseReady, Invocations: invocations, Rejected: rejected,
 		}})
 	}
 	observe(1000, 900)
-	if share, known := h.m.rejections.share(h.now); known {
+	if share, known := host.m.rejections.share(host.now); known {
 		t.Errorf("the share of rejections is known to be %v from counts of before", share)
 	}
 	observe(1100, 910)
-	if share, known := h.m.rejections.share(h.now); !known || share != 0.1 {
+	if share, known := host.m.rejections.share(host.now); !known || share != 0.1 {
 		t.Errorf("the share of rejections is %v (known %t), wanted 0.1", share, known)
 	}
 }
 
 // TestPendingLaunchIsNotDoubled: while a launch is pending, its incarnation without a supervisor asks for no other.
 func TestPendingLaunchIsNotDoubled(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	h.dropAction = dropKind(ActionLaunch)
-	startCommand(t, h, "a")
-	in := h.m.instances["a"]
-	decide(t, h, InstanceObserved{Name: "a", Observation: Observation{Incarnation: in.Incarnation, Phase: PhaseUnknown, Orphaned: true}})
-	if in.ActionCount != 1 {
-		t.Errorf("%d actions, the last %s", in.ActionCount, in.ActionID)
+	host := newHost(t, readTestSpec(t, twoInstances))
+	host.dropAction = dropKind(ActionLaunch)
+	startCommand(t, host, "a")
+	inst := host.m.instances["a"]
+	decide(t, host, InstanceObserved{Name: "a", Observation: Observation{Incarnation: inst.Incarnation, Phase: PhaseUnknown, Orphaned: true}})
+	if inst.ActionCount != 1 {
+		t.Errorf("%d actions, the last %s", inst.ActionCount, inst.ActionID)
 	}
 }
 
 // TestResendWaitsForItsBackoff: a pending action goes out again after its pause, under the same ID.
 func TestResendWaitsForItsBackoff(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	h.dropAction = dropKind(ActionLaunch)
-	startCommand(t, h, "a")
-	in := h.m.instances["a"]
-	h.now = in.NextAttemptAt - 1
-	if actions := decide(t, h, Tick{}); len(actions) != 0 {
+	host := newHost(t, readTestSpec(t, twoInstances))
+	host.dropAction = dropKind(ActionLaunch)
+	startCommand(t, host, "a")
+	inst := host.m.instances["a"]
+	host.now = inst.NextAttemptAt - 1
+	if actions := decide(t, host, Tick{}); len(actions) != 0 {
 		t.Errorf("before its time: %+v", actions)
 	}
-	h.now++
-	if actions := decide(t, h, Tick{}); len(actions) != 1 || actions[0].ID != "a.1" || in.NextAttemptAt <= h.now {
-		t.Errorf("at its time: %+v, next at %d of %d", actions, in.NextAttemptAt, h.now)
+	host.now++
+	if actions := decide(t, host, Tick{}); len(actions) != 1 || actions[0].ID != "a.1" || inst.NextAttemptAt <= host.now {
+		t.Errorf("at its time: %+v, next at %d of %d", actions, inst.NextAttemptAt, host.now)
 	}
 }
 
 // TestRelaunchWaitsForItsBackoff: an instance that ended by itself is not launched before its pause is over.
 func TestRelaunchWaitsForItsBackoff(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	startAll(h)
-	in := h.m.instances["a"]
-	ended := Observation{Incarnation: in.Incarnation, Phase: PhaseExited, Exit: Exit{Code: 3}}
-	if actions := decide(t, h, InstanceObserved{Name: "a", Observation: ended}); len(actions) != 0 {
+	host := newHost(t, readTestSpec(t, twoInstances))
+	startAll(host)
+	inst := host.m.instances["a"]
+	ended := Observation{Incarnation: inst.Incarnation, Phase: PhaseExited, Exit: Exit{Code: 3}}
+	if actions := decide(t, host, InstanceObserved{Name: "a", Observation: ended}); len(actions) != 0 {
 		t.Errorf("at once: %+v", actions)
 	}
-	h.now = in.NextAttemptAt - 1
-	if actions := decide(t, h, Tick{}); len(actions) != 0 {
+	host.now = inst.NextAttemptAt - 1
+	if actions := decide(t, host, Tick{}); len(actions) != 0 {
 		t.Errorf("before its time: %+v", actions)
 	}
-	h.now++
-	if actions := decide(t, h, Tick{}); len(actions) != 1 || actions[0].Kind != ActionLaunch {
+	host.now++
+	if actions := decide(t, host, Tick{}); len(actions) != 1 || actions[0].Kind != ActionLaunch {
 		t.Errorf("at its time: %+v", actions)
 	}
 }
@@ -247,46 +247,46 @@
 // TestUnseenInstanceIsNotReleased: a rolling update waits for an instance that can't be observed, though no
 // minimum of its group stands in the way.
 func TestUnseenInstanceIsNotReleased(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	startAll(h)
-	h.spec.RollingUpdate.MinReadyShare = 0
-	h.restart()
-	h.check = func(actions []Action) {
+	host := newHost(t, readTestSpec(t, twoInstances))
+	startAll(host)
+	host.spec.RollingUpdate.MinReadyShare = 0
+	host.restart()
+	host.check = func(actions []Action) {
 		for _, a := range actions {
 			t.Errorf("%s of %s, which is unseen", a.Kind, a.Name)
 		}
 	}
-	if err := h.command("w", KindRollingUpdate, 60*second, "a", "b"); err != nil {
+	if err := host.command("w", KindRollingUpdate, 60*second, "a", "b"); err != nil {
 		t.Fatal(err)
 	}
-	h.check = nil
-	h.advance(30*second, nil)
-	if c := h.m.Command("w"); c.State != CommandDone || len(c.Unsatisfied()) != 0 {
+	host.check = nil
+	host.advance(30*second, nil)
+	if c := host.m.Command("w"); c.State != CommandDone || len(c.Unsatisfied()) != 0 {
 		t.Errorf("%s: %+v", c.State, c.Results)
 	}
 }
 
 // TestSparesSettleBeforeTheUpdateRolls: nothing leaves before all spares have been ready for their group's time.
 func TestSparesSettleBeforeTheUpdateRolls(t *testing.T) {
-	h := newHost(t, readTestSpec(t, twoInstances))
-	startAll(h)
-	h.spec.RollingUpdate.Surge = 1
+	host := newHost(t, readTestSpec(t, twoInstances))
+	startAll(host)
+	host.spec.RollingUpdate.Surge = 1
 	left := 0
-	h.check = func(actions []Action) {
+	host.check = func(actions []Action) {
 		for _, a := range actions {
-			spare := h.m.instances["x"]
+			spare := host.m.instances["x"]
 			if a.Kind != ActionNotify || a.Name == "x" {
 				continue
 			}
-			if left++; left == 1 && !spare.Settled(h.now) {
-				t.Errorf("%s leaves while the spare is %s since %d at %d", a.Name, spare.Phase, spare.ReadySince, h.now)
+			if left++; left == 1 && !spare.Settled(host.now) {
+				t.Errorf("%s leaves while the spare is %s since %d at %d", a.Name, spare.Phase, spare.ReadySince, host.now)
 			}
 		}
 	}
-	if err := h.command("w", KindRollingUpdate, 60*second, "a", "b"); err != nil {
+	if err := host.command("w", KindRollingUpdate, 60*second, "a", "b"); err != nil {
 		t.Fatal(err)
 	}
-	h.advance(30*second, nil)
+	host.advance(30*second, nil)
 	if left != 2 {
 		t.Errorf("%d of 2 left", left)
 	}
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -47,8 +47,8 @@
 	return m
 }
 
-func (m *Machine) markInstanceChanged(in *Instance) { m.changedInstances[in.Name] = true }
-func (m *Machine) markCommandChanged(c *Command)    { m.changedCommands[c.ID] = true }
+func (m *Machine) markInstanceChanged(inst *Instance)  { m.changedInstances[inst.Name] = true }
+func (m *Machine) markCommandChanged(command *Command) { m.changedCommands[command.ID] = true }
 
 // Names lists the instances in the file's order.
 func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
@@ -60,7 +60,7 @@
 		return false
 	}
 	for _, name := range m.instanceNames {
-		if in := m.instances[name]; in.ActionPending || in.PhaseDeadline != 0 || in.Unit.RequestID != "" || in.DesiredUp && !in.LaunchesExhausted && in.Phase.Down() {
+		if inst := m.instances[name]; inst.ActionPending || inst.PhaseDeadline != 0 || inst.Unit.RequestID != "" || inst.DesiredUp && !inst.LaunchesExhausted && inst.Phase.Down() {
 			return false
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // Instance is a copy of the state of an instance; ok is false if the host has none of that name.
-func (m *Machine) Instance(name string) (in Instance, ok bool) {
+func (m *Machine) Instance(name string) (inst Instance, ok bool) {
 	known := m.instances[name]
 	if known == nil {
 		return Instance{}, false
@@ -78,16 +78,16 @@
 
 // Command is a copy of a command, nil if it is not known (any more).
 func (m *Machine) Command(id string) *Command {
-	if c := m.commands[id]; c != nil {
-		return c.clone()
+	if command := m.commands[id]; command != nil {
+		return command.clone()
 	}
 	return nil
 }
 
 // Commands lists copies of all known commands, newest first.
 func (m *Machine) Commands() (all []*Command) {
-	for _, c := range m.commands {
-		all = append(all, c.clone())
+	for _, command := range m.commands {
+		all = append(all, command.clone())
 	}
 	slices.SortFunc(all, func(a, b *Command) int { return cmp.Compare(b.Sequence, a.Sequence) })
 	return all
@@ -98,12 +98,12 @@
 func (m *Machine) Decide(now monotime.Micros, ev Event) (actions []Action, history []HistoryEvent, err error) {
 	m.actions, m.history = m.actions[:0], m.history[:0]
 	err = m.handleEvent(now, ev)
-	for _, c := range m.openCommands {
-		switch c.Kind {
+	for _, command := range m.openCommands {
+		switch command.Kind {
 		case KindRollingUpdate:
-			m.advanceRollingUpdate(now, c)
+			m.advanceRollingUpdate(now, command)
 		case KindColdStart:
-			m.advanceColdStart(now, c)
+			m.advanceColdStart(now, command)
 		}
 	}
 	m.closeFinishedCommands(now)
@@ -129,18 +129,18 @@
 	case Tick:
 		m.advanceAll(now)
 	case InstanceObserved:
-		if in := m.instances[e.Name]; in != nil && (!e.Unrecorded || !in.launchPending()) {
-			m.handleObservation(now, in, e.Observation)
-			m.advance(now, in)
+		if inst := m.instances[e.Name]; inst != nil && (!e.Unrecorded || !inst.launchPending()) {
+			m.handleObservation(now, inst, e.Observation)
+			m.advance(now, inst)
 		}
 	case ActionFailed:
-		if in := m.instances[e.Name]; in != nil && in.ActionID == e.ActionID && in.ActionPending {
-			m.handleActionFailed(now, in, e)
-			m.advance(now, in)
+		if inst := m.instances[e.Name]; inst != nil && inst.ActionID == e.ActionID && inst.ActionPending {
+			m.handleActionFailed(now, inst, e)
+			m.advance(now, inst)
 		}
 	case UnitAcquired:
-		if in := m.instances[e.Name]; in != nil {
-			m.handleUnitAcquired(now, in, e)
+		if inst := m.instances[e.Name]; inst != nil {
+			m.handleUnitAcquired(now, inst, e)
 		}
 	case UnitReleased:
 		m.handleUnitReleased(now, e)
@@ -150,9 +150,9 @@
 
 // advanceAll ends the commands whose deadline has passed and brings all instances forward.
 func (m *Machine) advanceAll(now monotime.Micros) {
-	for _, c := range slices.Clone(m.openCommands) {
-		if now >= c.Deadline {
-			m.expireCommand(now, c)
+	for _, command := range slices.Clone(m.openCommands) {
+		if now >= command.Deadline {
+			m.expireCommand(now, command)
 		}
 	}
 	for _, name := range m.instanceNames {
@@ -161,29 +161,29 @@
 }
 
 // advance brings one instance forward, and the command that waits for it.
-func (m *Machine) advance(now monotime.Micros, in *Instance) {
-	m.resolveCommand(now, in)
-	m.reconcile(now, in)
-	m.resolveCommand(now, in)
-	m.returnUnit(now, in)
+func (m *Machine) advance(now monotime.Micros, inst *Instance) {
+	m.resolveCommand(now, inst)
+	m.reconcile(now, inst)
+	m.resolveCommand(now, inst)
+	m.returnUnit(now, inst)
 }
 
 // handleActionFailed takes in that the pending action could not be carried out.
-func (m *Machine) handleActionFailed(now monotime.Micros, in *Instance, e ActionFailed) {
-	m.recordEvent(now, in, string(in.LastAction)+" not taken", e.Cause)
-	if in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // no process came of it
-		in.Incarnation, in.ActionPending, in.PhaseDeadline = "", false, 0
-		in.setPhase(now, PhaseFailed, e.Cause)
-		m.delayRelaunch(now, in)
+func (m *Machine) handleActionFailed(now monotime.Micros, inst *Instance, e ActionFailed) {
+	m.recordEvent(now, inst, string(inst.LastAction)+" not taken", e.Cause)
+	if inst.LastAction == ActionLaunch && inst.Incarnation == inst.ActionID { // no process came of it
+		inst.Incarnation, inst.ActionPending, inst.PhaseDeadline = "", false, 0
+		inst.setPhase(now, PhaseFailed, e.Cause)
+		m.delayRelaunch(now, inst)
 		if e.Final {
-			in.LaunchesExhausted = true
+			inst.LaunchesExhausted = true
 		}
-		in.RestartPending = false
-		m.markInstanceChanged(in)
+		inst.RestartPending = false
+		m.markInstanceChanged(inst)
 	}
 }
 
 // recordEvent adds an entry about an instance to the history.
-func (m *Machine) recordEvent(now monotime.Micros, in *Instance, event, cause string) {
-	m.history = append(m.history, HistoryEvent{At: now, Name: in.Name, CommandID: in.CommandID, Event: event, Cause: cause})
+func (m *Machine) recordEvent(now monotime.Micros, inst *Instance, event, cause string) {
+	m.history = append(m.history, HistoryEvent{At: now, Name: inst.Name, CommandID: inst.CommandID, Event: event, Cause: cause})
 }
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -15,17 +15,17 @@
 )
 
 // reportCommand prints how a command stands.
-func reportCommand(tr *fakes.Trace, w *simulatedHost, id string) {
-	c := w.m.Command(id)
+func reportCommand(tr *fakes.Trace, host *simulatedHost, id string) {
+	c := host.m.Command(id)
 	if c == nil {
 		tr.Say("  %s: not known", id)
 		return
 	}
 	tr.Say("  %s: %s %s", id, c.State, c.Cause)
 	for _, n := range c.instanceNames() {
-		in, _ := w.m.Instance(n)
+		inst, _ := host.m.Instance(n)
 		r, over := c.Results[n]
-		tr.Say("    %s %s launched %d: %t %s %s", n, in.Phase, w.launches[n], over, r.Outcome, r.Cause)
+		tr.Say("    %s %s launched %d: %t %s %s", n, inst.Phase, host.launches[n], over, r.Outcome, r.Cause)
 	}
 }
 
@@ -39,170 +39,170 @@
 		tr.Say("%s", what)
 		return newHost(t, readTestSpec(t, twoInstances))
 	}
-	w := story("started, started again, drained")
-	startAll(w)
-	reportCommand(tr, w, "up")
-	w.mustCommand("up2", KindStart, second, "a", "b")
-	reportCommand(tr, w, "up2")
-	w.mustCommand("down", KindDrain, 10*second, "a", "b")
-	w.advance(4*second, nil)
-	reportCommand(tr, w, "down")
-	w.mustCommand("down2", KindStop, 10*second, "a")
-	reportCommand(tr, w, "down2")
-
-	w = story("the same command twice, and another with its id")
-	startAll(w)
-	tr.Say("  %v", w.command("r", KindRestart, 20*second, "a"))
-	tr.Say("  %v", w.command("r", KindRestart, 20*second, "a"))
-	tr.Say("  %v", w.command("r", KindDrain, 20*second, "a"))
-	w.advance(8*second, nil)
-	tr.Say("  %v", w.command("r", KindRestart, 20*second, "a"))
-	w.advance(8*second, nil)
-	reportCommand(tr, w, "r")
-
-	w = story("a later command supersedes an earlier one; what was told to leave leaves all the same")
-	startAll(w)
-	w.mustCommand("d", KindDrain, 10*second, "a", "b")
-	w.advance(second/2, nil)
-	w.mustCommand("s", KindStart, 10*second, "a")
-	w.advance(6*second, nil)
-	reportCommand(tr, w, "d")
-	reportCommand(tr, w, "s")
-
-	w = story("deaf to the notice")
-	startAll(w)
-	w.fakes["a"].unresponsive = true
-	w.mustCommand("d", KindRestart, 20*second, "a")
-	w.advance(6*second, nil)
-	reportCommand(tr, w, "d")
-
-	w = story("dies by itself while draining")
-	startAll(w)
-	w.mustCommand("d", KindDrain, 10*second, "a")
-	w.advance(second, nil)
-	w.fakes["a"].exit(Exit{Code: -1, Signal: "killed", DrainTime: second})
-	w.advance(second, nil)
-	reportCommand(tr, w, "d")
-
-	w = story("dies by itself again and again, until its launches are spent; asked for, it is tried anew")
-	startAll(w)
+	host := story("started, started again, drained")
+	startAll(host)
+	reportCommand(tr, host, "up")
+	host.mustCommand("up2", KindStart, second, "a", "b")
+	reportCommand(tr, host, "up2")
+	host.mustCommand("down", KindDrain, 10*second, "a", "b")
+	host.advance(4*second, nil)
+	reportCommand(tr, host, "down")
+	host.mustCommand("down2", KindStop, 10*second, "a")
+	reportCommand(tr, host, "down2")
+
+	host = story("the same command twice, and another with its id")
+	startAll(host)
+	tr.Say("  %v", host.command("r", KindRestart, 20*second, "a"))
+	tr.Say("  %v", host.command("r", KindRestart, 20*second, "a"))
+	tr.Say("  %v", host.command("r", KindDrain, 20*second, "a"))
+	host.advance(8*second, nil)
+	tr.Say("  %v", host.command("r", KindRestart, 20*second, "a"))
+	host.advance(8*second, nil)
+	reportCommand(tr, host, "r")
+
+	host = story("a later command supersedes an earlier one; what was told to leave leaves all the same")
+	startAll(host)
+	host.mustCommand("d", KindDrain, 10*second, "a", "b")
+	host.advance(second/2, nil)
+	host.mustCommand("s", KindStart, 10*second, "a")
+	host.advance(6*second, nil)
+	reportCommand(tr, host, "d")
+	reportCommand(tr, host, "s")
+
+	host = story("deaf to the notice")
+	startAll(host)
+	host.fakes["a"].unresponsive = true
+	host.mustCommand("d", KindRestart, 20*second, "a")
+	host.advance(6*second, nil)
+	reportCommand(tr, host, "d")
+
+	host = story("dies by itself while draining")
+	startAll(host)
+	host.mustCommand("d", KindDrain, 10*second, "a")
+	host.advance(second, nil)
+	host.fakes["a"].exit(Exit{Code: -1, Signal: "killed", DrainTime: second})
+	host.advance(second, nil)
+	reportCommand(tr, host, "d")
+
+	host = story("dies by itself again and again, until its launches are spent; asked for, it is tried anew")
+	startAll(host)
 	for range 6 {
-		w.fakes["a"].exit(Exit{Code: 3})
-		w.advance(3*second, nil)
+		host.fakes["a"].exit(Exit{Code: 3})
+		host.advance(3*second, nil)
 	}
-	reportCommand(tr, w, "up")
-	w.mustCommand("again", KindStart, 10*second, "a")
-	w.advance(2*second, nil)
-	reportCommand(tr, w, "again")
-
-	w = story("never ready")
-	w.fakes["a"].neverReady = true
-	w.mustCommand("up", KindStart, 30*second, "a", "b")
-	w.advance(12*second, nil)
-	reportCommand(tr, w, "up")
-
-	w = story("can't be launched")
-	w.dropAction = func(s Action) bool { return s.Kind == ActionLaunch }
-	w.mustCommand("up", KindStart, 30*second, "a")
-	in, _ := w.m.Instance("a")
-	w.mustApply(ActionFailed{"a", in.ActionID, "no such program", true})
-	reportCommand(tr, w, "up")
-
-	w = story("killed at once")
-	startAll(w)
-	w.mustApply(CommandReceived{&Command{ID: "k", Kind: KindStop, Names: []string{"a"}, RequestedBy: "test", Deadline: w.now + 9*second, Immediate: true}})
-	w.advance(second, nil)
-	reportCommand(tr, w, "k")
-
-	w = story("its keeper dies, with the notice given and lost; another takes over")
-	startAll(w)
-	w.fakes["a"].supervised = false
-	w.mustCommand("d", KindDrain, 20*second, "a")
-	w.advance(second, nil)
-	tr.Say("  keeper %t, told %t", w.fakes["a"].supervised, w.fakes["a"].noticeID != "")
-	w.advance(4*second, nil)
-	reportCommand(tr, w, "d")
-
-	w = story("no sign of it for the whole window: the agent kills it itself")
-	startAll(w)
-	w.dropAction = func(s Action) bool { return s.Kind == ActionNotify }
-	w.mustCommand("d", KindDrain, 20*second, "a")
-	w.advance(6*second, nil)
-	reportCommand(tr, w, "d")
-
-	w = story("time is over before it can be seen; it leaves all the same")
-	startAll(w)
-	w.mustCommand("d", KindDrain, second, "a")
-	w.advance(4*second, func(n string) bool { return n == "a" })
-	reportCommand(tr, w, "d")
-	tr.Say("  alive %t", w.fakes["a"].alive)
-
-	w = story("a wave over the wrong names, or with terms that none can go by")
-	startAll(w)
-	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "a", "x"))
-	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "a", "a"))
-	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "c"))
-	tr.Say("  %v", w.command("w", KindRollingUpdate, 0, "a"))
-	tr.Say("  %v", w.command("-w", KindRollingUpdate, second, "a"))
-	w.spec.RollingUpdate.MinReady = 2
-	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "a"))
-	w.spec.RollingUpdate.Surge = 1
-	tr.Say("  %v", w.command("w", KindRollingUpdate, 60*second, "a", "b"))
-	tr.Say("  %v", w.command("w2", KindRollingUpdate, 60*second, "a", "b"))
-	w.advance(20*second, nil)
-	reportCommand(tr, w, "w")
-
-	w = story("a wave meets an instance that does not become ready, pauses, and goes on when told")
-	startAll(w)
-	w.fakes["a"].neverReady = true
-	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
-	w.advance(15*second, nil)
-	reportCommand(tr, w, "w")
-	w.fakes["a"].neverReady = false
-	w.mustApply(CommandControl{"w", "resume", "test"})
-	w.advance(15*second, nil)
-	reportCommand(tr, w, "w") // b may not leave: a is down, and half of two must stay ready
-	w.mustCommand("a-up", KindStart, 20*second, "a")
-	w.advance(4*second, nil)
-	w.mustApply(CommandControl{"w", "resume", "test"})
-	w.advance(15*second, nil)
-	reportCommand(tr, w, "w")
-
-	w = story("a wave is cancelled: what is out comes back, the rest stays")
-	startAll(w)
-	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
-	w.advance(second, nil)
-	tr.Say("  %v, %v, %v", w.apply(CommandControl{"w", "cancel", "test"}), w.apply(CommandControl{"v", "cancel", "test"}), w.apply(CommandControl{"up", "cancel", "test"}))
-	w.advance(6*second, nil)
-	reportCommand(tr, w, "w")
-
-	w = story("an instance that is drained by hand leaves the wave, which waits for its budget")
-	startAll(w)
-	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
-	w.advance(second, nil)
-	w.mustCommand("d", KindDrain, 20*second, "b")
-	w.advance(9*second, nil)
-	reportCommand(tr, w, "w")
-	reportCommand(tr, w, "d")
-
-	w = story("an instance tells of its level of reduced service; the history has it, once a change")
-	startAll(w)
+	reportCommand(tr, host, "up")
+	host.mustCommand("again", KindStart, 10*second, "a")
+	host.advance(2*second, nil)
+	reportCommand(tr, host, "again")
+
+	host = story("never ready")
+	host.fakes["a"].neverReady = true
+	host.mustCommand("up", KindStart, 30*second, "a", "b")
+	host.advance(12*second, nil)
+	reportCommand(tr, host, "up")
+
+	host = story("can't be launched")
+	host.dropAction = func(s Action) bool { return s.Kind == ActionLaunch }
+	host.mustCommand("up", KindStart, 30*second, "a")
+	inst, _ := host.m.Instance("a")
+	host.mustApply(ActionFailed{"a", inst.ActionID, "no such program", true})
+	reportCommand(tr, host, "up")
+
+	host = story("killed at once")
+	startAll(host)
+	host.mustApply(CommandReceived{&Command{ID: "k", Kind: KindStop, Names: []string{"a"}, RequestedBy: "test", Deadline: host.now + 9*second, Immediate: true}})
+	host.advance(second, nil)
+	reportCommand(tr, host, "k")
+
+	host = story("its keeper dies, with the notice given and lost; another takes over")
+	startAll(host)
+	host.fakes["a"].supervised = false
+	host.mustCommand("d", KindDrain, 20*second, "a")
+	host.advance(second, nil)
+	tr.Say("  keeper %t, told %t", host.fakes["a"].supervised, host.fakes["a"].noticeID != "")
+	host.advance(4*second, nil)
+	reportCommand(tr, host, "d")
+
+	host = story("no sign of it for the whole window: the agent kills it itself")
+	startAll(host)
+	host.dropAction = func(s Action) bool { return s.Kind == ActionNotify }
+	host.mustCommand("d", KindDrain, 20*second, "a")
+	host.advance(6*second, nil)
+	reportCommand(tr, host, "d")
+
+	host = story("time is over before it can be seen; it leaves all the same")
+	startAll(host)
+	host.mustCommand("d", KindDrain, second, "a")
+	host.advance(4*second, func(n string) bool { return n == "a" })
+	reportCommand(tr, host, "d")
+	tr.Say("  alive %t", host.fakes["a"].alive)
+
+	host = story("a wave over the wrong names, or with terms that none can go by")
+	startAll(host)
+	tr.Say("  %v", host.command("w", KindRollingUpdate, 60*second, "a", "x"))
+	tr.Say("  %v", host.command("w", KindRollingUpdate, 60*second, "a", "a"))
+	tr.Say("  %v", host.command("w", KindRollingUpdate, 60*second, "c"))
+	tr.Say("  %v", host.command("w", KindRollingUpdate, 0, "a"))
+	tr.Say("  %v", host.command("-w", KindRollingUpdate, second, "a"))
+	host.spec.RollingUpdate.MinReady = 2
+	tr.Say("  %v", host.command("w", KindRollingUpdate, 60*second, "a"))
+	host.spec.RollingUpdate.Surge = 1
+	tr.Say("  %v", host.command("w", KindRollingUpdate, 60*second, "a", "b"))
+	tr.Say("  %v", host.command("w2", KindRollingUpdate, 60*second, "a", "b"))
+	host.advance(20*second, nil)
+	reportCommand(tr, host, "w")
+
+	host = story("a wave meets an instance that does not become ready, pauses, and goes on when told")
+	startAll(host)
+	host.fakes["a"].neverReady = true
+	host.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
+	host.advance(15*second, nil)
+	reportCommand(tr, host, "w")
+	host.fakes["a"].neverReady = false
+	host.mustApply(CommandControl{"w", "resume", "test"})
+	host.advance(15*second, nil)
+	reportCommand(tr, host, "w") // b may not leave: a is down, and half of two must stay ready
+	host.mustCommand("a-up", KindStart, 20*second, "a")
+	host.advance(4*second, nil)
+	host.mustApply(CommandControl{"w", "resume", "test"})
+	host.advance(15*second, nil)
+	reportCommand(tr, host, "w")
+
+	host = story("a wave is cancelled: what is out comes back, the rest stays")
+	startAll(host)
+	host.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
+	host.advance(second, nil)
+	tr.Say("  %v, %v, %v", host.apply(CommandControl{"w", "cancel", "test"}), host.apply(CommandControl{"v", "cancel", "test"}), host.apply(CommandControl{"up", "cancel", "test"}))
+	host.advance(6*second, nil)
+	reportCommand(tr, host, "w")
+
+	host = story("an instance that is drained by hand leaves the wave, which waits for its budget")
+	startAll(host)
+	host.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
+	host.advance(second, nil)
+	host.mustCommand("d", KindDrain, 20*second, "b")
+	host.advance(9*second, nil)
+	reportCommand(tr, host, "w")
+	reportCommand(tr, host, "d")
+
+	host = story("an instance tells of its level of reduced service; the history has it, once a change")
+	startAll(host)
 	for _, level := range []string{"full", "full", "no-reprints", "no-reprints", "full"} {
-		_, notes, _ := w.m.Decide(w.now, InstanceObserved{Name: "a", Observation: Observation{Incarnation: w.fakes["a"].incarnation, Phase: PhaseReady, Level: level, LevelCause: "queue 2"}})
+		_, notes, _ := host.m.Decide(host.now, InstanceObserved{Name: "a", Observation: Observation{Incarnation: host.fakes["a"].incarnation, Phase: PhaseReady, Level: level, LevelCause: "queue 2"}})
 		for _, n := range notes {
 			tr.Say("  %s %s, %s", n.Name, n.Event, n.Cause)
 		}
 	}
 
-	w = story("service falls while a wave rolls")
-	w.spec.RollingUpdate.MaxRejectedShare = 0.5
-	startAll(w)
-	w.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
+	host = story("service falls while a wave rolls")
+	host.spec.RollingUpdate.MaxRejectedShare = 0.5
+	startAll(host)
+	host.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
 	for n := range 80 {
-		w.advance(second/10, func(n string) bool { return n == "b" })
-		w.mustApply(InstanceObserved{Name: "b", Observation: Observation{Incarnation: w.fakes["b"].incarnation, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n}})
+		host.advance(second/10, func(n string) bool { return n == "b" })
+		host.mustApply(InstanceObserved{Name: "b", Observation: Observation{Incarnation: host.fakes["b"].incarnation, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n}})
 	}
-	reportCommand(tr, w, "w")
+	reportCommand(tr, host, "w")
 }
 
 // TestSpecErrors: a fleet's file that can't be used says where, and all of it at once.
@@ -223,8 +223,8 @@
 	} {
 		all, err := s.Select(q)
 		names := make([]string, 0, len(all))
-		for _, in := range all {
-			names = append(names, in.Name)
+		for _, inst := range all {
+			names = append(names, inst.Name)
 		}
 		tr.Say("%+v: %v %v", q, names, err)
 	}
@@ -280,8 +280,8 @@
 			if budget.Take(now) {
 				taken = append(taken, now)
 			}
-			if in := len(slices.DeleteFunc(slices.Clone(taken), func(at monotime.Micros) bool { return now-at >= 100 })); in > budget.MaxAttempts {
-				t.Fatalf("%d taken within the window, at most %d", in, budget.MaxAttempts)
+			if inst := len(slices.DeleteFunc(slices.Clone(taken), func(at monotime.Micros) bool { return now-at >= 100 })); inst > budget.MaxAttempts {
+				t.Fatalf("%d taken within the window, at most %d", inst, budget.MaxAttempts)
 			}
 		}
 	})
@@ -297,82 +297,82 @@
 		update := fmt.Sprintf("(width %d) (least-share %v) (surge %d) (failures %d) (stall 8s) (order %s)",
 			rapid.IntRange(1, 3).Draw(t, "width"), rapid.SampledFrom([]float64{0, 0.5, 0.75, 1}).Draw(t, "least"),
 			spares, rapid.IntRange(0, 2).Draw(t, "failures"), rapid.SampledFrom([]string{"file", "name", "spread"}).Draw(t, "order"))
-		w := newHost(t, readTestSpec(t, groupsOf(groups, each, spares, update)))
+		host := newHost(t, readTestSpec(t, groupsOf(groups, each, spares, update)))
 		rnd := newRandom(rapid.Uint64().Draw(t, "seed"))
 		first := map[string]map[string]Result{}
 		out := map[string]bool{}
-		w.check = func(actions []Action) { checkInvariants(t, w, actions, first, out) }
-		w.dropAction = func(Action) bool { return rnd.IntN(10) == 0 }
+		host.check = func(actions []Action) { checkInvariants(t, host, actions, first, out) }
+		host.dropAction = func(Action) bool { return rnd.IntN(10) == 0 }
 		blind := func(string) bool { return rnd.IntN(5) == 0 }
-		startAll(w)
+		startAll(host)
 		orders := 0
-		names := w.m.Names()
+		names := host.m.Names()
 		t.Repeat(map[string]func(*rapid.T){
 			"order": func(t *rapid.T) {
 				kind := rapid.SampledFrom([]CommandKind{KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindRollingUpdate}).Draw(t, "kind")
 				some := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, -1, rapid.ID).Draw(t, "names")
 				orders++
-				_ = w.command(fmt.Sprint("c", orders), kind, monotime.Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
+				_ = host.command(fmt.Sprint("c", orders), kind, monotime.Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
 			},
 			"steer": func(t *rapid.T) {
 				verb := rapid.SampledFrom([]Verb{VerbPause, VerbResume, VerbCancel}).Draw(t, "verb")
-				_ = w.apply(CommandControl{fmt.Sprint("c", rapid.IntRange(1, orders+1).Draw(t, "id")), verb, "test"})
+				_ = host.apply(CommandControl{fmt.Sprint("c", rapid.IntRange(1, orders+1).Draw(t, "id")), verb, "test"})
 			},
 			"die": func(t *rapid.T) {
-				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
-				if l.alive {
-					l.exit(Exit{Code: 1})
+				fake := host.fakes[rapid.SampledFrom(names).Draw(t, "name")]
+				if fake.alive {
+					fake.exit(Exit{Code: 1})
 				}
 			},
-			"supervisor dies": func(t *rapid.T) { w.fakes[rapid.SampledFrom(names).Draw(t, "name")].supervised = false },
+			"supervisor dies": func(t *rapid.T) { host.fakes[rapid.SampledFrom(names).Draw(t, "name")].supervised = false },
 			"unresponsive": func(t *rapid.T) {
-				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
-				l.unresponsive = !l.unresponsive
+				fake := host.fakes[rapid.SampledFrom(names).Draw(t, "name")]
+				fake.unresponsive = !fake.unresponsive
 			},
 			"never ready": func(t *rapid.T) {
-				l := w.fakes[rapid.SampledFrom(names).Draw(t, "name")]
-				l.neverReady = !l.neverReady
+				fake := host.fakes[rapid.SampledFrom(names).Draw(t, "name")]
+				fake.neverReady = !fake.neverReady
 			},
 			"late observation": func(*rapid.T) { // of an incarnation that is over
-				for _, s := range w.pastObservations {
-					if l := w.fakes[s.Name]; s.Observation.Incarnation != l.incarnation && rnd.IntN(3) == 0 {
-						_ = w.apply(s)
+				for _, s := range host.pastObservations {
+					if fake := host.fakes[s.Name]; s.Observation.Incarnation != fake.incarnation && rnd.IntN(3) == 0 {
+						_ = host.apply(s)
 					}
 				}
-				w.pastObservations = nil
+				host.pastObservations = nil
 			},
-			"agent dies":      func(*rapid.T) { w.restart() },
-			"agent dies next": func(*rapid.T) { w.crashNext = true },
-			"clock jumps":     func(t *rapid.T) { w.now += monotime.Micros(rapid.IntRange(0, 30).Draw(t, "jump")) * second },
-			"time":            func(t *rapid.T) { w.advance(monotime.Micros(rapid.IntRange(1, 40).Draw(t, "span"))*100_000, blind) },
+			"agent dies":      func(*rapid.T) { host.restart() },
+			"agent dies next": func(*rapid.T) { host.crashNext = true },
+			"clock jumps":     func(t *rapid.T) { host.now += monotime.Micros(rapid.IntRange(0, 30).Draw(t, "jump")) * second },
+			"time":            func(t *rapid.T) { host.advance(monotime.Micros(rapid.IntRange(1, 40).Draw(t, "span"))*100_000, blind) },
 		})
-		w.dropAction, w.crashNext = nil, false
-		w.advance(90*second, nil)
-		for _, c := range w.m.Commands() {
+		host.dropAction, host.crashNext = nil, false
+		host.advance(90*second, nil)
+		for _, c := range host.m.Commands() {
 			if c.State != CommandDone || len(c.Results) != len(c.Names)+len(c.Spares) {
 				t.Fatalf("%s has not ended: %+v", c.ID, c)
 			}
 		}
 		for _, n := range names {
-			if in, _ := w.m.Instance(n); !in.DesiredUp && w.fakes[n].alive {
-				t.Fatalf("%s is not desired up and runs: %+v", n, in)
+			if inst, _ := host.m.Instance(n); !inst.DesiredUp && host.fakes[n].alive {
+				t.Fatalf("%s is not desired up and runs: %+v", n, inst)
 			}
 		}
 	})
 }
 
 // checkInvariants holds the actions and the state after them against what must be true at all times.
-func checkInvariants(t *rapid.T, w *simulatedHost, actions []Action, first map[string]map[string]Result, out map[string]bool) {
-	for _, n := range w.m.Names() {
-		in, _ := w.m.Instance(n)
-		if in.NoticeID != "" && in.PhaseDeadline == 0 {
-			t.Fatalf("%s was notified and has no deadline: %+v", n, in)
+func checkInvariants(t *rapid.T, host *simulatedHost, actions []Action, first map[string]map[string]Result, out map[string]bool) {
+	for _, n := range host.m.Names() {
+		inst, _ := host.m.Instance(n)
+		if inst.NoticeID != "" && inst.PhaseDeadline == 0 {
+			t.Fatalf("%s was notified and has no deadline: %+v", n, inst)
 		}
-		if in.Incarnation == "" && !in.Phase.Down() {
-			t.Fatalf("%s is %s without an incarnation", n, in.Phase)
+		if inst.Incarnation == "" && !inst.Phase.Down() {
+			t.Fatalf("%s is %s without an incarnation", n, inst.Phase)
 		}
 	}
-	for _, c := range w.m.Commands() {
+	for _, c := range host.m.Commands() {
 		if first[c.ID] == nil {
 			first[c.ID] = map[string]Result{}
 		}
@@ -385,9 +385,9 @@
 		}
 	}
 	for _, s := range actions {
-		in, _ := w.m.Instance(s.Name)
-		c := w.m.Command(in.CommandID)
-		if s.Kind != ActionNotify || c == nil || c.Kind != KindRollingUpdate || !in.DesiredUp || in.GiveUpReason != "" || s.Cause == "again" {
+		inst, _ := host.m.Instance(s.Name)
+		c := host.m.Command(inst.CommandID)
+		if s.Kind != ActionNotify || c == nil || c.Kind != KindRollingUpdate || !inst.DesiredUp || inst.GiveUpReason != "" || s.Cause == "again" {
 			continue
 		}
 		out[c.ID+" "+s.Name] = true
@@ -401,8 +401,8 @@
 			t.Fatalf("%s: %d out, width %d: %v", c.ID, many, c.Rollout.MaxInProgress, out)
 		}
 		ready, wanted := 0, 0
-		for _, n := range w.m.Names() {
-			if o, _ := w.m.Instance(n); o.Group == in.Group {
+		for _, n := range host.m.Names() {
+			if o, _ := host.m.Instance(n); o.Group == inst.Group {
 				if o.DesiredUp && !o.Spare {
 					wanted++
 				}
@@ -411,7 +411,7 @@
 				}
 			}
 		}
-		if before := w.fakes[s.Name]; before.ready && ready < c.Rollout.minReady(wanted) {
+		if before := host.fakes[s.Name]; before.ready && ready < c.Rollout.minReady(wanted) {
 			t.Fatalf("%s takes %s out, and %d of %d stay ready: %+v", c.ID, s.Name, ready, wanted, c.Rollout)
 		}
 	}
@@ -419,16 +419,16 @@
 
 // TestRejectedCommandChangesNothing: what can't be taken changes nothing.
 func TestRejectedCommandChangesNothing(t *testing.T) {
-	w := newHost(t, readTestSpec(t, twoInstances))
-	w.m.config.MaxOpenCommands = 1
-	if err := w.command("one", KindStart, 90*second, "a"); err != nil {
+	host := newHost(t, readTestSpec(t, twoInstances))
+	host.m.config.MaxOpenCommands = 1
+	if err := host.command("one", KindStart, 90*second, "a"); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.command("two", KindStart, 90*second, "b"); !errors.Is(err, ErrTooManyCommands) {
+	if err := host.command("two", KindStart, 90*second, "b"); !errors.Is(err, ErrTooManyCommands) {
 		t.Fatal(err)
 	}
-	if in, _ := w.m.Instance("b"); in.DesiredUp || in.CommandID != "" {
-		t.Fatalf("%+v", in)
+	if inst, _ := host.m.Instance("b"); inst.DesiredUp || inst.CommandID != "" {
+		t.Fatalf("%+v", inst)
 	}
 }
 
@@ -443,8 +443,8 @@
 				b.Fatal(err)
 			}
 			m := New(s, "h1", testTerms(), window)
-			for _, in := range m.instances {
-				in.DesiredUp, in.Phase, in.Incarnation, in.ReadySince = true, PhaseReady, "r", 1
+			for _, inst := range m.instances {
+				inst.DesiredUp, inst.Phase, inst.Incarnation, inst.ReadySince = true, PhaseReady, "r", 1
 			}
 			c := &Command{ID: "w", Kind: KindRollingUpdate, Names: m.Names(), Deadline: 1 << 60, Rollout: &s.RollingUpdate}
 			if _, _, err := m.Decide(1<<40, CommandReceived{c}); err != nil {
@@ -455,8 +455,8 @@
 			for i := 0; b.Loop(); i++ {
 				name := c.Names[i%len(c.Names)] // as if it were back, so that the next may leave
 				clear(c.InProgress)
-				in := m.instances[name]
-				in.RestartPending, in.NoticeID, in.Phase, in.ReadySince = false, "", PhaseReady, 1
+				inst := m.instances[name]
+				inst.RestartPending, inst.NoticeID, inst.Phase, inst.ReadySince = false, "", PhaseReady, 1
 				delete(c.Results, name)
 				m.advanceRollingUpdate(1<<41, c)
 				m.actions, m.history = m.actions[:0], m.history[:0]
--- a/internal/fleet/preview.go
+++ b/internal/fleet/preview.go
@@ -17,38 +17,38 @@
 // not be accepted, and ErrUpdateNeverEnds.
 func Preview(s *Spec, host string, names []string, w RollingUpdateConfig) ([]PlanStep, error) {
 	m := New(s, host, Config{MaxOpenCommands: 1, MaxFinishedCommands: 1}, func(*InstanceSpec) ShutdownWindow { return ShutdownWindow{1, 1} })
-	for _, in := range m.instances {
-		if !in.Spare {
-			in.DesiredUp, in.Phase, in.Incarnation = true, PhaseReady, "preview"
+	for _, inst := range m.instances {
+		if !inst.Spare {
+			inst.DesiredUp, inst.Phase, inst.Incarnation = true, PhaseReady, "preview"
 		}
 	}
 	const long = 1 << 60
-	c := &Command{ID: "preview", Kind: KindRollingUpdate, Names: names, Deadline: long, Rollout: &w}
-	if _, _, err := m.Decide(long/2, CommandReceived{c}); err != nil {
+	command := &Command{ID: "preview", Kind: KindRollingUpdate, Names: names, Deadline: long, Rollout: &w}
+	if _, _, err := m.Decide(long/2, CommandReceived{command}); err != nil {
 		return nil, err
 	}
 	var steps []PlanStep
 	now := monotime.Micros(long / 2)
 	for batch := 1; batch <= 2*len(names)+4*len(m.instanceNames)+4; batch++ {
-		c := m.Command("preview")
-		if c.State == CommandDone {
+		command := m.Command("preview")
+		if command.State == CommandDone {
 			return steps, nil
 		}
 		tallies := m.groupCounts(now)
-		for _, n := range c.Names {
-			if in := m.instances[n]; c.InProgress[n] {
-				g := tallies[in.Group]
-				steps = append(steps, PlanStep{n, in.Group, batch, g.available, c.Rollout.minReady(g.desiredUp)})
+		for _, name := range command.Names {
+			if inst := m.instances[name]; command.InProgress[name] {
+				g := tallies[inst.Group]
+				steps = append(steps, PlanStep{name, inst.Group, batch, g.available, command.Rollout.minReady(g.desiredUp)})
 			}
 		}
 		now += 1 << 40
-		for _, n := range m.instanceNames { // all that left is gone, and what is wanted up is ready
-			in := m.instances[n]
-			if in.Incarnation != "" && in.NoticeID != "" {
-				m.observe(now, in, PhaseExited)
+		for _, name := range m.instanceNames { // all that left is gone, and what is wanted up is ready
+			inst := m.instances[name]
+			if inst.Incarnation != "" && inst.NoticeID != "" {
+				m.observe(now, inst, PhaseExited)
 			}
-			if in.Incarnation != "" && in.NoticeID == "" {
-				m.observe(now, in, PhaseReady)
+			if inst.Incarnation != "" && inst.NoticeID == "" {
+				m.observe(now, inst, PhaseReady)
 			}
 		}
 		now += 1 << 40
@@ -58,6 +58,6 @@
 }
 
 // observe plays an observation of a phase; it gives no error.
-func (m *Machine) observe(now monotime.Micros, in *Instance, p Phase) {
-	_, _, _ = m.Decide(now, InstanceObserved{Name: in.Name, Observation: Observation{Incarnation: in.Incarnation, Phase: p}})
+func (m *Machine) observe(now monotime.Micros, inst *Instance, p Phase) {
+	_, _, _ = m.Decide(now, InstanceObserved{Name: inst.Name, Observation: Observation{Incarnation: inst.Incarnation, Phase: p}})
 }
--- a/internal/fleet/selection.go
+++ b/internal/fleet/selection.go
@@ -24,22 +24,22 @@
 	}
 	met := map[string]bool{}
 	var found []*InstanceSpec
-	for _, in := range s.InstancesOn("") {
-		match := q.All && !in.Spare
+	for _, inst := range s.InstancesOn("") {
+		match := q.All && !inst.Spare
 		hit := func(kind string, wanted []string, has ...string) {
 			for _, h := range has {
 				if slices.Contains(wanted, h) {
 					met[kind+" "+h] = true
-					match = match || !in.Spare || kind == "instance"
+					match = match || !inst.Spare || kind == "instance"
 				}
 			}
 		}
-		hit("instance", q.Names, in.Name)
-		hit("group", q.Groups, in.Group)
-		hit("label", q.Labels, in.Labels...)
-		hit("host", q.Hosts, in.Host)
+		hit("instance", q.Names, inst.Name)
+		hit("group", q.Groups, inst.Group)
+		hit("label", q.Labels, inst.Labels...)
+		hit("host", q.Hosts, inst.Host)
 		if match {
-			found = append(found, in)
+			found = append(found, inst)
 		}
 	}
 	for kind, words := range map[string][]string{"instance": q.Names, "group": q.Groups, "label": q.Labels, "host": q.Hosts} {
--- a/internal/fleet/simulated_host_test.go
+++ b/internal/fleet/simulated_host_test.go
@@ -41,7 +41,7 @@
 	check            func([]Action)
 	startupTime      monotime.Micros
 	crashNext        bool // the agent dies between writing down and acting
-	host             string
+	name             string
 	pastObservations []InstanceObserved // earlier ones, some of incarnations that are over
 }
 
@@ -63,51 +63,51 @@
 	return newNamedHost(t, s, "h1")
 }
 
-func newNamedHost(t tester, s *Spec, host string) *simulatedHost {
-	w := &simulatedHost{
-		t: t, spec: s, host: host, now: 1000 * second, fakes: map[string]*fakeInstance{}, executed: map[string]bool{}, launches: map[string]int{},
+func newNamedHost(t tester, spec *Spec, name string) *simulatedHost {
+	host := &simulatedHost{
+		t: t, spec: spec, name: name, now: 1000 * second, fakes: map[string]*fakeInstance{}, executed: map[string]bool{}, launches: map[string]int{},
 		startupTime: second / 2,
 	}
-	w.m = New(s, host, testTerms(), window)
-	for _, n := range w.m.Names() {
-		w.fakes[n] = &fakeInstance{}
+	host.m = New(spec, name, testTerms(), window)
+	for _, n := range host.m.Names() {
+		host.fakes[n] = &fakeInstance{}
 	}
-	return w
+	return host
 }
 
 // apply gives the machine an event, writes down what it must, and carries the actions out.
-func (w *simulatedHost) apply(ev Event) error {
-	actions, _, err := w.m.Decide(w.now, ev)
+func (host *simulatedHost) apply(ev Event) error {
+	actions, _, err := host.m.Decide(host.now, ev)
 	actions = slices.Clone(actions)
-	w.save()
-	if w.check != nil {
-		w.check(actions)
+	host.save()
+	if host.check != nil {
+		host.check(actions)
 	}
-	if w.crashNext {
-		w.crashNext = false
-		w.restart()
+	if host.crashNext {
+		host.crashNext = false
+		host.restart()
 		return err
 	}
-	for _, s := range actions {
-		if w.dropAction == nil || !w.dropAction(s) {
-			w.execute(s)
+	for _, action := range actions {
+		if host.dropAction == nil || !host.dropAction(action) {
+			host.execute(action)
 		}
 	}
 	return err
 }
 
-func (w *simulatedHost) save() {
-	r, dropped := w.m.Changes()
+func (host *simulatedHost) save() {
+	r, dropped := host.m.Changes()
 	for _, in := range r.Instances {
-		w.saved.Instances = put(w.saved.Instances, in, func(i Instance) string { return i.Name })
+		host.saved.Instances = put(host.saved.Instances, in, func(i Instance) string { return i.Name })
 	}
 	for _, c := range r.Commands {
-		w.saved.Commands = put(w.saved.Commands, c, func(c *Command) string { return c.ID })
+		host.saved.Commands = put(host.saved.Commands, c, func(c *Command) string { return c.ID })
 	}
 	for _, id := range dropped {
-		for i, c := range w.saved.Commands {
+		for i, c := range host.saved.Commands {
 			if c.ID == id {
-				w.saved.Commands = append(w.saved.Commands[:i], w.saved.Commands[i+1:]...)
+				host.saved.Commands = append(host.saved.Commands[:i], host.saved.Commands[i+1:]...)
 				break
 			}
 		}
@@ -125,134 +125,134 @@
 }
 
 // restart is the agent's death and return: what was not written down is lost.
-func (w *simulatedHost) restart() {
-	w.m = New(w.spec, w.host, testTerms(), window)
-	w.m.Restore(w.now, Snapshot{w.saved.Instances, w.saved.Commands}, false)
+func (host *simulatedHost) restart() {
+	host.m = New(host.spec, host.name, testTerms(), window)
+	host.m.Restore(host.now, Snapshot{host.saved.Instances, host.saved.Commands}, false)
 }
 
-func (w *simulatedHost) execute(s Action) {
-	l := w.fakes[s.Name]
-	if w.executed[s.ID] {
+func (host *simulatedHost) execute(action Action) {
+	fake := host.fakes[action.Name]
+	if host.executed[action.ID] {
 		return
 	}
-	switch s.Kind {
+	switch action.Kind {
 	case ActionLaunch:
-		w.executed[s.ID] = true
-		if s.Adopt {
-			if l.alive && l.incarnation == s.Incarnation {
-				l.supervised = true
+		host.executed[action.ID] = true
+		if action.Adopt {
+			if fake.alive && fake.incarnation == action.Incarnation {
+				fake.supervised = true
 			}
 			return
 		}
-		if l.alive {
-			w.t.Fatalf("%s is launched by %s while its incarnation %s runs", s.Name, s.ID, l.incarnation)
+		if fake.alive {
+			host.t.Fatalf("%s is launched by %s while its incarnation %s runs", action.Name, action.ID, fake.incarnation)
 		}
-		w.launches[s.Name]++
-		*l = fakeInstance{alive: true, supervised: true, incarnation: s.Incarnation, since: w.now, unresponsive: l.unresponsive, neverReady: l.neverReady}
+		host.launches[action.Name]++
+		*fake = fakeInstance{alive: true, supervised: true, incarnation: action.Incarnation, since: host.now, unresponsive: fake.unresponsive, neverReady: fake.neverReady}
 	case ActionNotify:
-		if l.incarnation != s.Incarnation || !l.alive || !l.supervised {
+		if fake.incarnation != action.Incarnation || !fake.alive || !fake.supervised {
 			return // nobody to take it; it comes again
 		}
-		w.executed[s.ID] = true
-		if l.noticeID != "" && l.noticeID != s.ID {
-			w.t.Fatalf("%s was notified by %s and again by %s in one incarnation", s.Name, l.noticeID, s.ID)
+		host.executed[action.ID] = true
+		if fake.noticeID != "" && fake.noticeID != action.ID {
+			host.t.Fatalf("%s was notified by %s and again by %s in one incarnation", action.Name, fake.noticeID, action.ID)
 		}
-		l.noticeID, l.notifiedAt = s.ID, w.now
+		fake.noticeID, fake.notifiedAt = action.ID, host.now
 	case ActionKill:
-		if l.incarnation == s.Incarnation && l.alive {
-			w.executed[s.ID] = true
-			l.exit(Exit{Code: -1, KillReason: s.Cause})
+		if fake.incarnation == action.Incarnation && fake.alive {
+			host.executed[action.ID] = true
+			fake.exit(Exit{Code: -1, KillReason: action.Cause})
 		}
 	}
 }
 
-func (l *fakeInstance) exit(e Exit) {
-	l.alive, l.ready, l.exitState = false, false, e
+func (fake *fakeInstance) exit(e Exit) {
+	fake.alive, fake.ready, fake.exitState = false, false, e
 }
 
 // advance lets time go by and shows the machine what is to be seen, but for what blind hides.
-func (w *simulatedHost) advance(span monotime.Micros, blind func(string) bool) {
-	for end := w.now + span; w.now < end; {
-		w.now += min(end-w.now, 100_000)
-		for _, n := range w.m.Names() {
-			l := w.fakes[n]
-			l.update(w.now, w.startupTime)
-			if l.incarnation == "" || blind != nil && blind(n) {
+func (host *simulatedHost) advance(span monotime.Micros, blind func(string) bool) {
+	for end := host.now + span; host.now < end; {
+		host.now += min(end-host.now, 100_000)
+		for _, n := range host.m.Names() {
+			fake := host.fakes[n]
+			fake.update(host.now, host.startupTime)
+			if fake.incarnation == "" || blind != nil && blind(n) {
 				continue
 			}
-			s := InstanceObserved{Name: n, Observation: l.observe(w.now)}
-			if len(w.pastObservations) < 200 {
-				w.pastObservations = append(w.pastObservations, s)
+			observed := InstanceObserved{Name: n, Observation: fake.observe(host.now)}
+			if len(host.pastObservations) < 200 {
+				host.pastObservations = append(host.pastObservations, observed)
 			}
-			w.mustApply(s)
+			host.mustApply(observed)
 		}
-		w.mustApply(Tick{})
+		host.mustApply(Tick{})
 	}
 }
 
-func (l *fakeInstance) update(now, cold monotime.Micros) {
-	if !l.alive {
+func (fake *fakeInstance) update(now, cold monotime.Micros) {
+	if !fake.alive {
 		return
 	}
-	l.ready = l.noticeID == "" && !l.neverReady && now-l.since >= cold
-	if l.noticeID == "" {
+	fake.ready = fake.noticeID == "" && !fake.neverReady && now-fake.since >= cold
+	if fake.noticeID == "" {
 		return
 	}
-	switch after := now - l.notifiedAt; {
-	case l.unresponsive && l.supervised && after >= 2*second:
-		l.exit(Exit{Code: -1, KillReason: "deaf", DrainTime: after})
-	case !l.unresponsive && after >= 2500_000:
-		l.exit(Exit{DrainTime: after})
+	switch after := now - fake.notifiedAt; {
+	case fake.unresponsive && fake.supervised && after >= 2*second:
+		fake.exit(Exit{Code: -1, KillReason: "deaf", DrainTime: after})
+	case !fake.unresponsive && after >= 2500_000:
+		fake.exit(Exit{DrainTime: after})
 	}
 }
 
-func (l *fakeInstance) observe(now monotime.Micros) Observation {
-	s := Observation{Incarnation: l.incarnation, NoticeID: l.noticeID}
+func (fake *fakeInstance) observe(now monotime.Micros) Observation {
+	observation := Observation{Incarnation: fake.incarnation, NoticeID: fake.noticeID}
 	switch {
-	case !l.alive:
-		s.Phase, s.Exit = PhaseExited, l.exitState
-	case !l.supervised:
-		s.Phase, s.Orphaned, s.Cause = PhaseUnknown, true, "its keeper is gone"
-		s.NoticeID = ""
-	case l.noticeID != "" && l.unresponsive:
-		s.Phase = PhaseUnresponsive
-	case l.noticeID != "" && now-l.notifiedAt < 2*second:
-		s.Phase = PhaseDraining
-	case l.noticeID != "":
-		s.Phase = PhaseStopping
-	case l.ready:
-		s.Phase = PhaseReady
+	case !fake.alive:
+		observation.Phase, observation.Exit = PhaseExited, fake.exitState
+	case !fake.supervised:
+		observation.Phase, observation.Orphaned, observation.Cause = PhaseUnknown, true, "its keeper is gone"
+		observation.NoticeID = ""
+	case fake.noticeID != "" && fake.unresponsive:
+		observation.Phase = PhaseUnresponsive
+	case fake.noticeID != "" && now-fake.notifiedAt < 2*second:
+		observation.Phase = PhaseDraining
+	case fake.noticeID != "":
+		observation.Phase = PhaseStopping
+	case fake.ready:
+		observation.Phase = PhaseReady
 	default:
-		s.Phase = PhaseStarting
+		observation.Phase = PhaseStarting
 	}
-	return s
+	return observation
 }
 
-func (w *simulatedHost) command(id string, kind CommandKind, within monotime.Micros, names ...string) error {
-	c := &Command{ID: id, Kind: kind, Names: names, RequestedBy: "test", Deadline: w.now + within}
+func (host *simulatedHost) command(id string, kind CommandKind, within monotime.Micros, names ...string) error {
+	c := &Command{ID: id, Kind: kind, Names: names, RequestedBy: "test", Deadline: host.now + within}
 	switch kind {
 	case KindRollingUpdate:
-		terms := w.spec.RollingUpdate
+		terms := host.spec.RollingUpdate
 		c.Rollout = &terms
 	case KindColdStart:
-		c.Quota = w.spec.ColdStartQuota
+		c.Quota = host.spec.ColdStartQuota
 	}
-	return w.apply(CommandReceived{c})
+	return host.apply(CommandReceived{c})
 }
 
 // mustCommand issues a command that has to be accepted.
-func (w *simulatedHost) mustCommand(id string, kind CommandKind, within monotime.Micros, names ...string) {
-	w.t.Helper()
-	if err := w.command(id, kind, within, names...); err != nil {
-		w.t.Fatalf("%s: %v", id, err)
+func (host *simulatedHost) mustCommand(id string, kind CommandKind, within monotime.Micros, names ...string) {
+	host.t.Helper()
+	if err := host.command(id, kind, within, names...); err != nil {
+		host.t.Fatalf("%s: %v", id, err)
 	}
 }
 
 // mustApply gives the machine an event that can't be refused.
-func (w *simulatedHost) mustApply(ev Event) {
-	w.t.Helper()
-	if err := w.apply(ev); err != nil {
-		w.t.Fatalf("%+v: %v", ev, err)
+func (host *simulatedHost) mustApply(ev Event) {
+	host.t.Helper()
+	if err := host.apply(ev); err != nil {
+		host.t.Fatalf("%+v: %v", ev, err)
 	}
 }
 
@@ -273,14 +273,14 @@
 	return text + " (wave " + update + "))"
 }
 
-func startAll(w *simulatedHost) {
-	w.mustCommand("up", KindStart, 60*second, w.nonSpares()...)
-	w.advance(3*second, nil)
+func startAll(host *simulatedHost) {
+	host.mustCommand("up", KindStart, 60*second, host.nonSpares()...)
+	host.advance(3*second, nil)
 }
 
-func (w *simulatedHost) nonSpares() (names []string) {
-	for _, n := range w.m.Names() {
-		if in, _ := w.m.Instance(n); !in.Spare {
+func (host *simulatedHost) nonSpares() (names []string) {
+	for _, n := range host.m.Names() {
+		if in, _ := host.m.Instance(n); !in.Spare {
 			names = append(names, n)
 		}
 	}
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -20,72 +20,72 @@
 // left. Instances that the spec no longer names are left out; forgotten lists those of them that may still run.
 func (m *Machine) Restore(now monotime.Micros, s Snapshot, rebooted bool) (forgotten []Instance) {
 	for _, stored := range s.Instances {
-		in := m.instances[stored.Name]
+		inst := m.instances[stored.Name]
 		switch {
-		case in != nil:
-			m.restoreInstance(now, in, stored, rebooted)
+		case inst != nil:
+			m.restoreInstance(now, inst, stored, rebooted)
 		case stored.Incarnation != "" && !rebooted:
 			forgotten = append(forgotten, stored)
 		}
 	}
 	slices.SortFunc(s.Commands, func(a, b *Command) int { return cmp.Compare(a.Sequence, b.Sequence) })
-	for _, c := range s.Commands {
-		m.restoreCommand(now, c.clone(), rebooted)
+	for _, command := range s.Commands {
+		m.restoreCommand(now, command.clone(), rebooted)
 	}
 	m.closeFinishedCommands(now)
 	return forgotten
 }
 
 // restoreInstance takes back the state of an instance. What its spec says is not taken from the store.
-func (m *Machine) restoreInstance(now monotime.Micros, in *Instance, stored Instance, rebooted bool) {
-	fromSpec := *in
-	*in = stored
-	in.Group, in.Spare = fromSpec.Group, fromSpec.Spare
-	in.group, in.shutdown, in.fileOrder = fromSpec.group, fromSpec.shutdown, fromSpec.fileOrder
-	in.ReadySince, in.Invocations = 0, unknownInvocations
+func (m *Machine) restoreInstance(now monotime.Micros, inst *Instance, stored Instance, rebooted bool) {
+	fromSpec := *inst
+	*inst = stored
+	inst.Group, inst.Spare = fromSpec.Group, fromSpec.Spare
+	inst.group, inst.shutdown, inst.fileOrder = fromSpec.group, fromSpec.shutdown, fromSpec.fileOrder
+	inst.ReadySince, inst.Invocations = 0, unknownInvocations
 	switch {
 	case rebooted:
-		in.clearIncarnation()
-		in.RestartPending, in.LaunchesExhausted, in.LaunchRequested = false, false, true
-		in.NextAttemptAt, in.Attempts, in.LaunchBudget = 0, 0, LaunchBudget{}
-		in.setPhase(now, PhaseAbsent, "the machine was started anew")
-	case in.Incarnation != "":
-		in.Phase, in.PhaseSince, in.Cause = PhaseUnknown, now, "the agent was started"
-		in.NextAttemptAt = now // what is pending goes out again at once
-		m.renewPendingDeadline(now, in)
+		inst.clearIncarnation()
+		inst.RestartPending, inst.LaunchesExhausted, inst.LaunchRequested = false, false, true
+		inst.NextAttemptAt, inst.Attempts, inst.LaunchBudget = 0, 0, LaunchBudget{}
+		inst.setPhase(now, PhaseAbsent, "the machine was started anew")
+	case inst.Incarnation != "":
+		inst.Phase, inst.PhaseSince, inst.Cause = PhaseUnknown, now, "the agent was started"
+		inst.NextAttemptAt = now // what is pending goes out again at once
+		m.renewPendingDeadline(now, inst)
 	}
 }
 
 // renewPendingDeadline counts the deadline of a launch or a notice that may not have arrived from now on.
-func (m *Machine) renewPendingDeadline(now monotime.Micros, in *Instance) {
-	if in.launchPending() && in.Incarnation == in.ActionID {
-		in.PhaseDeadline = now + m.readinessTimeout(in)
-		m.markInstanceChanged(in)
+func (m *Machine) renewPendingDeadline(now monotime.Micros, inst *Instance) {
+	if inst.launchPending() && inst.Incarnation == inst.ActionID {
+		inst.PhaseDeadline = now + m.readinessTimeout(inst)
+		m.markInstanceChanged(inst)
 	}
-	if in.ActionPending && in.LastAction == ActionNotify {
-		in.NotifiedAt, in.PhaseDeadline = now, now+in.shutdown.ExitTimeout+m.config.KillDelay
-		m.markInstanceChanged(in)
+	if inst.ActionPending && inst.LastAction == ActionNotify {
+		inst.NotifiedAt, inst.PhaseDeadline = now, now+inst.shutdown.ExitTimeout+m.config.KillDelay
+		m.markInstanceChanged(inst)
 	}
 }
 
 // restoreCommand takes back a command and ends it for instances that it can't reach any more.
-func (m *Machine) restoreCommand(now monotime.Micros, c *Command, rebooted bool) {
-	if c.Results == nil {
-		c.Results = map[string]Result{}
+func (m *Machine) restoreCommand(now monotime.Micros, command *Command, rebooted bool) {
+	if command.Results == nil {
+		command.Results = map[string]Result{}
 	}
-	m.commands[c.ID] = c
-	m.lastSequence = max(m.lastSequence, c.Sequence)
-	if c.State == CommandDone {
-		m.finishedCommands = append(m.finishedCommands, c.ID)
+	m.commands[command.ID] = command
+	m.lastSequence = max(m.lastSequence, command.Sequence)
+	if command.State == CommandDone {
+		m.finishedCommands = append(m.finishedCommands, command.ID)
 		return
 	}
-	m.openCommands = append(m.openCommands, c)
-	for _, n := range c.unresolved() {
+	m.openCommands = append(m.openCommands, command)
+	for _, name := range command.unresolved() {
 		switch {
-		case m.instances[n] == nil:
-			m.recordResult(now, c, n, OutcomeFailed, notInSpec)
+		case m.instances[name] == nil:
+			m.recordResult(now, command, name, OutcomeFailed, notInSpec)
 		case rebooted:
-			m.recordResult(now, c, n, OutcomeFailed, "the machine was started anew")
+			m.recordResult(now, command, name, OutcomeFailed, "the machine was started anew")
 		}
 	}
 }
@@ -97,8 +97,8 @@
 		r.Instances = append(r.Instances, *m.instances[name])
 	}
 	for _, id := range sortedKeys(m.changedCommands) {
-		if c := m.commands[id]; c != nil {
-			r.Commands = append(r.Commands, c.clone())
+		if command := m.commands[id]; command != nil {
+			r.Commands = append(r.Commands, command.clone())
 		} else {
 			dropped = append(dropped, id)
 		}
@@ -124,8 +124,8 @@
 	for _, name := range m.instanceNames {
 		r.Instances = append(r.Instances, *m.instances[name])
 	}
-	for _, c := range m.commands {
-		r.Commands = append(r.Commands, c.clone())
+	for _, command := range m.commands {
+		r.Commands = append(r.Commands, command.clone())
 	}
 	return r
 }
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -41,8 +41,8 @@
 			}
 		}
 	}
-	for _, b := range f.All("budget") {
-		r.readQuota(b)
+	for _, limit := range f.All("budget") {
+		r.readQuota(limit)
 	}
 	if n := len(r.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
 		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
@@ -53,55 +53,55 @@
 // readQuota reads a (budget ...) form.
 func (r *specReader) readQuota(f *sexpr.Form) {
 	r.attribute(SpecSubject{})
-	b := quota.Limit{Name: parseName(f)}
-	if r.Quotas.Lookup(b.Name) != nil {
-		f.Fail("", "budget %q stands twice", b.Name)
+	limit := quota.Limit{Name: parseName(f)}
+	if r.Quotas.Lookup(limit.Name) != nil {
+		f.Fail("", "budget %q stands twice", limit.Name)
 	}
 	rate, count := f.Int("rate", 0, backendquota.MaxRate, 0), f.Int("count", 0, backendquota.MaxRate, 0)
 	switch {
 	case rate > 0 && count == 0:
-		b.Kind, b.Total = quota.Rate, int64(rate)
-		r.readRate(f, &b)
+		limit.Kind, limit.Total = quota.Rate, int64(rate)
+		r.readRate(f, &limit)
 	case count > 0 && rate == 0:
-		b.Kind, b.Total = quota.Concurrency, int64(count)
+		limit.Kind, limit.Total = quota.Concurrency, int64(count)
 		if f.OneOf("alone", "no", "yes") == "yes" {
-			b.Reserved = int64(len(r.Hosts))
+			limit.Reserved = int64(len(r.Hosts))
 		}
 	default:
 		f.Fail("", "wanted either (rate UNITS-A-SECOND) or (count UNITS)")
 	}
 	f.Done()
-	if b.Kind != "" {
-		if err, ok := errors.AsType[*quota.LimitError](b.Validate()); ok {
+	if limit.Kind != "" {
+		if err, ok := errors.AsType[*quota.LimitError](limit.Validate()); ok {
 			f.Fail(err.Field, "%s", err.Reason)
 		}
 	}
-	r.attribute(SpecSubject{Quota: b.Name})
-	r.Quotas.Limits = append(r.Quotas.Limits, b)
+	r.attribute(SpecSubject{Quota: limit.Name})
+	r.Quotas.Limits = append(r.Quotas.Limits, limit)
 }
 
 // readRate reads the fields of a rate quota.
-func (r *specReader) readRate(f *sexpr.Form, b *quota.Limit) {
-	b.Tenant = f.Text("tenant", "")
-	b.Division = quota.Division(f.OneOf("divide", string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
-	b.Step = int64(f.Int("step", 1, backendquota.MaxRate, 1))
-	b.Lease = monotime.FromDuration(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second))
-	margin := max(b.Lease/20, quota.MinClockMargin(b.Lease))
-	b.ClockMargin = monotime.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
-	if b.Tenant == "" {
+func (r *specReader) readRate(f *sexpr.Form, limit *quota.Limit) {
+	limit.Tenant = f.Text("tenant", "")
+	limit.Division = quota.Division(f.OneOf("divide", string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
+	limit.Step = int64(f.Int("step", 1, backendquota.MaxRate, 1))
+	limit.Lease = monotime.FromDuration(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second))
+	margin := max(limit.Lease/20, quota.MinClockMargin(limit.Lease))
+	limit.ClockMargin = monotime.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
+	if limit.Tenant == "" {
 		f.Fail("tenant", "missing: whose work draws from it")
 	}
 	floor := int64(f.Int("floor", 0, backendquota.MaxRate, 0))
 	groups := f.Words("groups")
-	b.Floors, b.Weights = map[string]int64{}, map[string]int64{}
+	limit.Floors, limit.Weights = map[string]int64{}, map[string]int64{}
 	for _, g := range groups {
 		if r.Group(g) == nil {
 			f.Fail("groups", "%q is no group of this file", g)
 		}
 	}
-	for _, in := range r.InstancesOn("") {
-		if len(groups) == 0 || slices.Contains(groups, in.Group) {
-			b.Floors[in.Name] = floor
+	for _, inst := range r.InstancesOn("") {
+		if len(groups) == 0 || slices.Contains(groups, inst.Group) {
+			limit.Floors[inst.Name] = floor
 		}
 	}
 	own := func(field string, least int64, to map[string]int64) { // (floors (n1 4) (n2 2))
@@ -109,7 +109,7 @@
 		if sub == nil {
 			return
 		}
-		for name := range b.Floors {
+		for name := range limit.Floors {
 			for _, one := range sub.All(name) {
 				word := one.Arg()
 				if n, err := strconv.ParseInt(word, 10, 64); err != nil || n < least || n > backendquota.MaxRate {
@@ -122,8 +122,8 @@
 		}
 		sub.Done()
 	}
-	own("floors", 0, b.Floors)
-	own("weights", 1, b.Weights)
+	own("floors", 0, limit.Floors)
+	own("weights", 1, limit.Weights)
 }
 
 // readColdStart reads the (rise ...) form.
@@ -138,11 +138,11 @@
 		f.Fail("budget", "%q is no count of this file", r.ColdStartQuota)
 		return
 	}
-	b := r.Quotas.Lookup(r.ColdStartQuota)
-	if b.Reserved == 0 {
+	limit := r.Quotas.Lookup(r.ColdStartQuota)
+	if limit.Reserved == 0 {
 		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good", r.ColdStartQuota)
 	}
-	if t.MaxConcurrent = b.Total - b.Reserved; t.InitialConcurrent == 0 {
+	if t.MaxConcurrent = limit.Total - limit.Reserved; t.InitialConcurrent == 0 {
 		t.InitialConcurrent = min(2, t.MaxConcurrent)
 	}
 	if err, ok := errors.AsType[*coldstart.ConfigError](t.Validate()); ok {
@@ -156,6 +156,6 @@
 	if s.Quotas == nil {
 		return false
 	}
-	b := s.Quotas.Lookup(name)
-	return b != nil && b.Kind == quota.Concurrency
+	limit := s.Quotas.Lookup(name)
+	return limit != nil && limit.Kind == quota.Concurrency
 }
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -43,100 +43,100 @@
 const maxRequestGap = 10 * unitRetryDelay
 
 // holdsUnit reports whether an instance holds a unit for a command; else one is requested.
-func (m *Machine) holdsUnit(now monotime.Micros, c *Command, in *Instance) bool {
-	if c.Quota == "" || in.Unit.Held && in.Unit.CommandID == c.ID {
+func (m *Machine) holdsUnit(now monotime.Micros, command *Command, inst *Instance) bool {
+	if command.Quota == "" || inst.Unit.Held && inst.Unit.CommandID == command.ID {
 		return true
 	}
-	if in.Unit.RequestID == "" {
-		in.UnitRequests++
-		in.Unit = Unit{Quota: c.Quota, RequestID: fmt.Sprintf("%s.%s.%d", c.ID, in.Name, in.UnitRequests), CommandID: c.ID, DenialCause: in.Unit.DenialCause}
-		m.markInstanceChanged(in)
+	if inst.Unit.RequestID == "" {
+		inst.UnitRequests++
+		inst.Unit = Unit{Quota: command.Quota, RequestID: fmt.Sprintf("%s.%s.%d", command.ID, inst.Name, inst.UnitRequests), CommandID: command.ID, DenialCause: inst.Unit.DenialCause}
+		m.markInstanceChanged(inst)
 	}
-	if !in.Unit.Held && in.Unit.CommandID == c.ID && now >= in.Unit.NextRequestAt {
-		in.Unit.NextRequestAt = now + unitRetryDelay + monotime.Micros(m.random.Int64N(unitRetryDelay/2))
+	if !inst.Unit.Held && inst.Unit.CommandID == command.ID && now >= inst.Unit.NextRequestAt {
+		inst.Unit.NextRequestAt = now + unitRetryDelay + monotime.Micros(m.random.Int64N(unitRetryDelay/2))
 		if m.quotaSilentSince == 0 || now-m.lastUnitRequestAt > maxRequestGap { // a silence while nothing was requested says nothing
 			m.quotaSilentSince = now
 		}
 		m.lastUnitRequestAt = now
-		m.actions = append(m.actions, Action{Name: in.Name, ID: in.Unit.RequestID, Kind: ActionAcquireUnit, Unit: in.Unit})
+		m.actions = append(m.actions, Action{Name: inst.Name, ID: inst.Unit.RequestID, Kind: ActionAcquireUnit, Unit: inst.Unit})
 	}
 	return false
 }
 
 // unitNeeded reports whether the command still has use for the unit of the instance.
-func (m *Machine) unitNeeded(in *Instance) bool {
-	c := m.commands[in.Unit.CommandID]
-	if c == nil || c.Kind != KindRollingUpdate && c.Kind != KindColdStart || !slices.Contains(c.Names, in.Name) {
+func (m *Machine) unitNeeded(inst *Instance) bool {
+	command := m.commands[inst.Unit.CommandID]
+	if command == nil || command.Kind != KindRollingUpdate && command.Kind != KindColdStart || !slices.Contains(command.Names, inst.Name) {
 		return false
 	}
-	_, over := c.Results[in.Name]
-	return !over && (c.State == CommandOpen || c.InProgress[in.Name])
+	_, over := command.Results[inst.Name]
+	return !over && (command.State == CommandOpen || command.InProgress[inst.Name])
 }
 
 // backInService reports whether an instance serves again, or is down as desired.
-func (in *Instance) backInService(now monotime.Micros) bool {
-	return in.available(now) || !in.DesiredUp && in.Phase.Down()
+func (inst *Instance) backInService(now monotime.Micros) bool {
+	return inst.available(now) || !inst.DesiredUp && inst.Phase.Down()
 }
 
 // returnUnit releases a unit that is of no more use.
-func (m *Machine) returnUnit(now monotime.Micros, in *Instance) {
-	u := &in.Unit
+func (m *Machine) returnUnit(now monotime.Micros, inst *Instance) {
+	u := &inst.Unit
 	switch {
-	case u.RequestID == "" || m.unitNeeded(in):
+	case u.RequestID == "" || m.unitNeeded(inst):
 	case !u.Held && !u.Standalone: // if it is granted all the same, the store's list shows it
 		*u = Unit{}
-		m.markInstanceChanged(in)
-	case (in.backInService(now) || u.StartedAt > 0 && in.LaunchesExhausted) && now >= u.NextRequestAt:
+		m.markInstanceChanged(inst)
+	case (inst.backInService(now) || u.StartedAt > 0 && inst.LaunchesExhausted) && now >= u.NextRequestAt:
 		u.NextRequestAt = now + unitRetryDelay
-		m.actions = append(m.actions, Action{Name: in.Name, ID: u.RequestID, Kind: ActionReleaseUnit, Unit: *u, StartResult: in.startResult(now)})
+		m.actions = append(m.actions, Action{Name: inst.Name, ID: u.RequestID, Kind: ActionReleaseUnit, Unit: *u, StartResult: inst.startResult(now)})
 	}
 }
 
 // handleUnitAcquired takes in the answer to a unit request.
-func (m *Machine) handleUnitAcquired(now monotime.Micros, in *Instance, e UnitAcquired) {
-	u := &in.Unit
+func (m *Machine) handleUnitAcquired(now monotime.Micros, inst *Instance, e UnitAcquired) {
+	u := &inst.Unit
 	m.quotaSilentSince = 0
 	switch {
 	case u.RequestID != e.RequestID:
 		if e.Granted {
-			m.returnStrayUnit(now, in, e.HeldUnit)
+			m.returnStrayUnit(now, inst, e.HeldUnit)
 		}
 	case u.Standalone: // the start began meanwhile
 		u.Held = e.Granted
 	case e.Granted:
 		u.Held, u.NextRequestAt, u.DenialCause = true, now, ""
-		m.recordEvent(now, in, "unit taken", u.Quota)
+		m.recordEvent(now, inst, "unit taken", u.Quota)
 	default: // the next attempt gets an ID of its own: this one may be in a call that has yet to arrive
 		if u.DenialCause != e.Cause {
-			m.recordEvent(now, in, "waits for a unit", u.Quota+": "+e.Cause)
+			m.recordEvent(now, inst, "waits for a unit", u.Quota+": "+e.Cause)
 		}
 		*u = Unit{NextRequestAt: u.NextRequestAt, DenialCause: e.Cause}
 	}
-	m.markInstanceChanged(in)
+	m.markInstanceChanged(inst)
 }
 
 // returnStrayUnit releases a unit held for a request that nobody remembers, once the instance is back in service.
-func (m *Machine) returnStrayUnit(now monotime.Micros, in *Instance, h HeldUnit) {
-	if in.backInService(now) {
-		m.actions = append(m.actions, Action{Name: in.Name, ID: h.RequestID, Kind: ActionReleaseUnit, Unit: Unit{Quota: h.Quota, RequestID: h.RequestID, Held: true}, StartResult: in.startResult(now)})
+func (m *Machine) returnStrayUnit(now monotime.Micros, inst *Instance, h HeldUnit) {
+	if inst.backInService(now) {
+		m.actions = append(m.actions, Action{Name: inst.Name, ID: h.RequestID, Kind: ActionReleaseUnit, Unit: Unit{Quota: h.Quota, RequestID: h.RequestID, Held: true}, StartResult: inst.startResult(now)})
 	}
 }
 
 // handleUnitReleased takes in that a unit is back at the quota store. Another request may have begun meanwhile.
 func (m *Machine) handleUnitReleased(now monotime.Micros, e UnitReleased) {
 	m.quotaSilentSince = 0
-	if in := m.instances[e.Name]; in != nil && in.Unit.RequestID == e.RequestID {
-		in.Unit = Unit{}
-		m.recordEvent(now, in, "unit given back", "")
-		m.markInstanceChanged(in)
+	if inst := m.instances[e.Name]; inst != nil && inst.Unit.RequestID == e.RequestID {
+		inst.Unit = Unit{}
+		m.recordEvent(now, inst, "unit given back", "")
+		m.markInstanceChanged(inst)
 	}
 }
 
 // handleUnitsListed releases the units that the quota store lists and no instance remembers.
 func (m *Machine) handleUnitsListed(now monotime.Micros, e UnitsListed) {
 	for _, h := range e.Units {
-		if in := m.instances[h.Name]; in != nil && in.Unit.RequestID != h.RequestID {
-			m.returnStrayUnit(now, in, h)
+		if inst := m.instances[h.Name]; inst != nil && inst.Unit.RequestID != h.RequestID {
+			m.returnStrayUnit(now, inst, h)
 		}
 	}
 }
