--- a/internal/fleet/event.go
+++ b/internal/fleet/event.go
@@ -59,11 +59,18 @@
 // UnitsListed brings all units that the quota store has this host's instances hold.
 type UnitsListed struct{ Units []HeldUnit }
 
-func (CommandReceived) event()  {}
+func (CommandReceived) event() {}
+
 func (InstanceObserved) event() {}
-func (ActionFailed) event()     {}
-func (CommandControl) event()   {}
-func (Tick) event()             {}
-func (UnitAcquired) event()     {}
-func (UnitReleased) event()     {}
-func (UnitsListed) event()      {}
+
+func (ActionFailed) event() {}
+
+func (CommandControl) event() {}
+
+func (Tick) event() {}
+
+func (UnitAcquired) event() {}
+
+func (UnitReleased) event() {}
+
+func (UnitsListed) event() {}
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -1,9 +1,6 @@
 package fleet
 
 import (
-	"strconv"
-
-	"milletbarrow/internal/cluster/coldstart"
 	"milletbarrow/monotime"
 )
 
@@ -32,58 +29,6 @@
 // Down reports whether no process of the instance is left.
 func (p Phase) Down() bool { return p == PhaseAbsent || p == PhaseExited || p == PhaseFailed }
 
-// Observation is what the supervisor of an instance reported, or what the agent found in its place.
-type Observation struct {
-	Incarnation string `json:"run"`   // the incarnation it is about
-	Phase       Phase  `json:"phase"` // any but PhaseAbsent and PhaseFailed
-	NoticeID    string `json:"told"`  // the shutdown notice that its supervisor has taken; empty: none
-	Cause       string `json:"cause,omitempty"`
-	Orphaned    bool   `json:"orphan,omitempty"` // PhaseUnknown: it runs and its supervisor does not
-	Exit        Exit   `json:"end"`              // PhaseExited
-	Invocations int    `json:"picked"`           // invocations since its start
-	Rejected    int    `json:"turned"`           // of them, throttled or answered with an error
-	Level       string `json:"level,omitempty"`  // of degradation
-	LevelCause  string `json:"why,omitempty"`    // cause of the latest change of Level
-	Detail      Detail `json:"detail,omitempty"` // what a supervisor of another release may add; empty: nothing
-}
-
-// Detail is a JSON value of a form that this release does not know; empty: none. It is passed on as it came. A string,
-// so that observations can be compared.
-type Detail string
-
-// MarshalJSON returns the value as it came.
-func (d Detail) MarshalJSON() ([]byte, error) { return []byte(d), nil }
-
-// UnmarshalJSON takes any value; null is none.
-func (d *Detail) UnmarshalJSON(raw []byte) error {
-	if *d = Detail(raw); *d == "null" {
-		*d = ""
-	}
-	return nil
-}
-
-// Exit is how an incarnation ended.
-type Exit struct {
-	Code       int             `json:"code"`             // exit code; -1 if a signal ended it
-	Signal     string          `json:"signal,omitempty"` // the signal that ended it
-	KillReason string          `json:"killed,omitempty"` // why the supervisor or the agent killed it; empty: it did not
-	Unobserved bool            `json:"unseen,omitempty"` // nobody was there to read the exit code
-	Uptime     monotime.Micros `json:"lived,omitempty"`
-	DrainTime  monotime.Micros `json:"after,omitempty"` // from the notice to the exit; 0: no notice
-}
-
-func (e Exit) String() string {
-	switch {
-	case e.KillReason != "":
-		return "killed: " + e.KillReason
-	case e.Signal != "":
-		return "died of signal " + e.Signal
-	case e.Unobserved:
-		return "ended, its exit code was not seen"
-	}
-	return "exit code " + strconv.Itoa(e.Code)
-}
-
 // fullService is the degradation level of an instance without degradation.
 const fullService = "full"
 
@@ -138,45 +83,6 @@
 	ExitTimeout monotime.Micros // the instance has exited by then
 }
 
-// ActionKind is what an action does.
-type ActionKind string
-
-// The actions on an instance.
-const (
-	ActionLaunch ActionKind = "launch" // start a supervisor with the instance, or a supervisor alone if Adopt is set
-	ActionNotify ActionKind = "tell"   // hand over the shutdown notice
-	ActionKill   ActionKind = "kill"   // end the instance at once
-)
-
-// Action is for the agent to carry out once the change that it belongs to is stored. The same ID may come again: it
-// stands for one action.
-type Action struct {
-	Kind        ActionKind        `json:"what"`
-	ID          string            `json:"id"`
-	Name        string            `json:"name"`
-	Incarnation string            `json:"run"`
-	Adopt       bool              `json:"adopt,omitempty"`
-	NotifiedAt  monotime.Micros   `json:"told,omitempty"` // ActionNotify: when it was first issued; the shutdown window runs from there
-	Cause       string            `json:"cause,omitempty"`
-	Unit        Unit              // ActionAcquireUnit, ActionReleaseUnit
-	StartResult coldstart.Outcome `json:"End"`
-}
-
-// StartsNew reports whether the action begins something that a restart of the agent must not forget. While the state can't
-// be stored such actions wait; notices, kills and adoptions must not wait for a disk.
-func (a Action) StartsNew() bool {
-	return a.Kind == ActionLaunch && !a.Adopt || a.Kind == ActionAcquireUnit
-}
-
-// HistoryEvent is an entry of the history that people read.
-type HistoryEvent struct {
-	At        monotime.Micros `json:"at"`
-	Name      string          `json:"name,omitempty"`
-	CommandID string          `json:"command,omitempty"`
-	Event     string          `json:"event"`
-	Cause     string          `json:"cause,omitempty"`
-}
-
 // setPhase enters a phase, or updates the cause of the present one.
 func (inst *Instance) setPhase(now monotime.Micros, p Phase, cause string) {
 	if inst.Phase != p {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -47,7 +47,8 @@
 	return m
 }
 
-func (m *Machine) markInstanceChanged(inst *Instance)  { m.changedInstances[inst.Name] = true }
+func (m *Machine) markInstanceChanged(inst *Instance) { m.changedInstances[inst.Name] = true }
+
 func (m *Machine) markCommandChanged(command *Command) { m.changedCommands[command.ID] = true }
 
 // Names lists the instances in the file's order.
@@ -182,8 +183,3 @@
 		m.markInstanceChanged(inst)
 	}
 }
-
-// recordEvent adds an entry about an instance to the history.
-func (m *Machine) recordEvent(now monotime.Micros, inst *Instance, event, cause string) {
-	m.history = append(m.history, HistoryEvent{At: now, Name: inst.Name, CommandID: inst.CommandID, Event: event, Cause: cause})
-}
--- a/internal/fleet/preview.go
+++ b/internal/fleet/preview.go
@@ -1,6 +1,8 @@
 package fleet
 
-import "milletbarrow/monotime"
+import (
+	"milletbarrow/monotime"
+)
 
 // PlanStep is one instance of a plan: in which batch it would be restarted, and how many of its group would be ready
 // meanwhile.
--- a/internal/fleet/selection.go
+++ b/internal/fleet/selection.go
@@ -1,6 +1,8 @@
 package fleet
 
-import "slices"
+import (
+	"slices"
+)
 
 // Selection names instances: those that match any of the lists. All stands for all but spares.
 type Selection struct {
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -1,6 +1,8 @@
 package fleet
 
-import "milletbarrow/monotime"
+import (
+	"milletbarrow/monotime"
+)
 
 // silencePatience is how many polls in a row a supervisor may leave unanswered before its silence counts: one that is
 // just starting or ending answers none.
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -22,12 +22,6 @@
 	StartedAt  monotime.Micros `json:"began,omitempty"` // KindColdStart: when the start began that holds it
 }
 
-// The actions on units. They go to the quota store, not to a supervisor, and may be carried out twice.
-const (
-	ActionAcquireUnit ActionKind = "take a unit"
-	ActionReleaseUnit ActionKind = "give a unit back"
-)
-
 // HeldUnit is a unit that an instance holds.
 type HeldUnit struct {
 	Name      string `json:"name"`
