--- a/internal/fleet/adoption.go
+++ b/internal/fleet/adoption.go
@@ -19,8 +19,14 @@
 		return Instance{}, false
 	}
 	return Instance{
-		Name: name, DesiredUp: r.NoticeID == "", Incarnation: r.Incarnation, ActionCount: adoptedActionCount(r.Incarnation),
-		NoticeID: r.NoticeID, NotifiedAt: r.NotifiedAt, PhaseDeadline: r.NotifiedAt, Phase: PhaseUnknown,
+		Name:          name,
+		DesiredUp:     r.NoticeID == "",
+		ActionCount:   adoptedActionCount(r.Incarnation),
+		Incarnation:   r.Incarnation,
+		NoticeID:      r.NoticeID,
+		NotifiedAt:    r.NotifiedAt,
+		PhaseDeadline: r.NotifiedAt,
+		Phase:         PhaseUnknown,
 	}, true
 }
 
--- a/internal/fleet/apply_observation.go
+++ b/internal/fleet/apply_observation.go
@@ -1,110 +1,113 @@
 package fleet
 
-import (
-	"milletbarrow/monotime"
-)
+import "milletbarrow/monotime"
 
-// handleObservation takes in an observation. Those of other incarnations say nothing.
-func (m *Machine) handleObservation(now monotime.Micros, inst *Instance, o Observation) {
-	if inst.Incarnation == "" || o.Incarnation != inst.Incarnation {
+// handleObservation applies an observation of the present incarnation. Observations of other incarnations are ignored.
+func (m *Machine) handleObservation(now monotime.Micros, inst *Instance, observed Observation) {
+	if inst.Incarnation == "" || observed.Incarnation != inst.Incarnation {
 		return
 	}
-	if o.Phase == PhaseExited {
-		m.handleExit(now, inst, o.Exit)
+	if observed.Phase == PhaseExited {
+		m.handleExit(now, inst, observed.Exit)
 		return
 	}
-	m.countInvocations(now, inst, o)
-	m.recordLevel(now, inst, o)
-	if o.Phase != PhaseUnknown {
-		m.acknowledgeActions(now, inst, o)
+	m.countInvocations(now, inst, observed)
+	m.recordLevel(now, inst, observed)
+	if observed.Phase != PhaseUnknown {
+		m.acknowledgeActions(now, inst, observed)
 	}
 	before := inst.Phase
-	m.applyPhase(now, inst, o)
+	m.applyPhase(now, inst, observed)
 	if before != inst.Phase {
-		m.recordEvent(now, inst, string(inst.Phase), o.Cause)
+		m.recordEvent(now, inst, string(inst.Phase), observed.Cause)
 	}
 	if inst.Phase == PhaseReady && inst.Attempts > 0 && now-inst.ReadySince >= inst.group.LaunchWindow {
 		inst.Attempts = 0
 	}
 }
 
-// countInvocations adds what was invoked and rejected since the last observation to the machine's rate.
-func (m *Machine) countInvocations(now monotime.Micros, inst *Instance, o Observation) {
-	if o.Phase == PhaseUnknown {
+// countInvocations adds the invocations and rejections since the last observation to the host's rejection rate.
+func (m *Machine) countInvocations(now monotime.Micros, inst *Instance, observed Observation) {
+	if observed.Phase == PhaseUnknown {
 		return
 	}
-	if inst.Invocations != unknownInvocations && o.Invocations >= inst.Invocations && o.Rejected >= inst.Rejected {
-		m.rejections.add(now, o.Invocations-inst.Invocations, o.Rejected-inst.Rejected)
+	known := inst.Invocations != unknownInvocations
+	if known && observed.Invocations >= inst.Invocations && observed.Rejected >= inst.Rejected {
+		m.rejections.add(now, observed.Invocations-inst.Invocations, observed.Rejected-inst.Rejected)
 	}
-	inst.Invocations, inst.Rejected = o.Invocations, o.Rejected
+	inst.Invocations = observed.Invocations
+	inst.Rejected = observed.Rejected
 }
 
-// recordLevel writes a change of the degradation level into the history, so that it outlives the instance.
-func (m *Machine) recordLevel(now monotime.Micros, inst *Instance, o Observation) {
-	if o.Level == "" || o.Level == inst.Level {
+// recordLevel writes a change of the degradation level into the history, which outlives the instance.
+func (m *Machine) recordLevel(now monotime.Micros, inst *Instance, observed Observation) {
+	if observed.Level == "" || observed.Level == inst.Level {
 		return
 	}
-	if inst.Level != "" || o.Level != fullService {
-		m.recordEvent(now, inst, "level "+o.Level, o.LevelCause)
+	if inst.Level != "" || observed.Level != fullService {
+		m.recordEvent(now, inst, eventLevelPrefix+observed.Level, observed.LevelCause)
 	}
-	inst.Level = o.Level
+	inst.Level = observed.Level
 	m.markInstanceChanged(inst)
 }
 
-// acknowledgeActions compares the pending action with what the supervisor has taken. A supervisor that took over
-// from another may not know of the notice; it gets the same one again.
-func (m *Machine) acknowledgeActions(now monotime.Micros, inst *Instance, o Observation) {
-	if inst.ActionPending && (inst.LastAction == ActionLaunch || inst.LastAction == ActionNotify && o.NoticeID == inst.NoticeID) {
-		inst.ActionPending, inst.Attempts = false, 0
+// acknowledgeActions compares the pending action with what the supervisor has taken. A supervisor that took over from
+// another may not know the notice; it gets the same one again.
+func (m *Machine) acknowledgeActions(now monotime.Micros, inst *Instance, observed Observation) {
+	noticeTaken := inst.LastAction == ActionNotify && observed.NoticeID == inst.NoticeID
+	if inst.ActionPending && (inst.LastAction == ActionLaunch || noticeTaken) {
+		inst.ActionPending = false
+		inst.Attempts = 0
 		m.markInstanceChanged(inst)
 	}
-	if inst.NoticeID != "" && o.NoticeID != inst.NoticeID && inst.KillAttempts == 0 && !inst.ActionPending {
-		inst.ActionID, inst.LastAction, inst.ActionPending, inst.NextAttemptAt = inst.NoticeID, ActionNotify, true, now
+	noticeLost := inst.NoticeID != "" && observed.NoticeID != inst.NoticeID
+	if noticeLost && inst.KillAttempts == 0 && !inst.ActionPending {
+		inst.resendNotice(now)
 		m.markInstanceChanged(inst)
 	}
 }
 
 // applyPhase moves the instance into the phase observed and sets the phase's deadline.
-func (m *Machine) applyPhase(now monotime.Micros, inst *Instance, o Observation) {
-	switch o.Phase {
+func (m *Machine) applyPhase(now monotime.Micros, inst *Instance, observed Observation) {
+	switch observed.Phase {
 	case PhaseStarting, PhaseReady, PhaseUnready:
-		if inst.NoticeID != "" { // the notice is on its way, or the instance has not reacted yet
-			return
-		}
-		inst.setPhase(now, o.Phase, o.Cause)
-		switch {
-		case o.Phase != PhaseStarting:
-			inst.PhaseDeadline = 0
-		case inst.PhaseDeadline == 0:
-			inst.PhaseDeadline = now + m.readinessTimeout(inst)
-		}
+		m.applyRunning(now, inst, observed)
 	case PhaseUnknown:
-		inst.setPhase(now, PhaseUnknown, o.Cause)
-		if o.Orphaned && !inst.launchPending() { // a new supervisor adopts it
-			m.issueAction(now, inst, ActionLaunch, "its keeper is gone")
+		inst.setPhase(now, PhaseUnknown, observed.Cause)
+		if observed.Orphaned && !inst.launchPending() { // a new supervisor adopts it
+			m.issueAction(now, inst, ActionLaunch, causeSupervisorGone)
 		}
-	default: // it leaves, whoever notified it, and has a deadline from here on
+	default: // the instance leaves, whoever notified it
 		wasLeaving := inst.Phase.leaving()
-		inst.setPhase(now, o.Phase, o.Cause)
+		inst.setPhase(now, observed.Phase, observed.Cause)
 		if inst.PhaseDeadline == 0 || inst.NoticeID == "" && !wasLeaving {
-			inst.PhaseDeadline = now + inst.shutdown.ExitTimeout + m.config.KillDelay
+			inst.PhaseDeadline = m.exitDeadline(now, inst)
 		}
 	}
 }
 
-// clearIncarnation forgets all that belonged to the incarnation that has ended.
-func (inst *Instance) clearIncarnation() {
-	inst.Incarnation, inst.NoticeID, inst.NotifiedAt, inst.GiveUpReason = "", "", 0, ""
-	inst.PhaseDeadline, inst.ActionPending, inst.KillAttempts = 0, false, 0
+// applyRunning moves an instance that was not notified into a phase in which it runs.
+func (m *Machine) applyRunning(now monotime.Micros, inst *Instance, observed Observation) {
+	if inst.NoticeID != "" { // the notice is on its way, or the instance has not reacted yet
+		return
+	}
+	inst.setPhase(now, observed.Phase, observed.Cause)
+	switch {
+	case observed.Phase != PhaseStarting:
+		inst.PhaseDeadline = 0
+	case inst.PhaseDeadline == 0:
+		inst.PhaseDeadline = now + m.readinessTimeout(inst)
+	}
 }
 
 // handleExit closes an incarnation.
 func (m *Machine) handleExit(now monotime.Micros, inst *Instance, exit Exit) {
-	notified, giveUpReason := inst.NoticeID != "" || inst.KillAttempts > 0, inst.GiveUpReason
+	notified := inst.NoticeID != "" || inst.KillAttempts > 0
+	giveUpReason := inst.GiveUpReason
+	restart := inst.RestartPending
 	inst.LastExit = exit
 	inst.clearIncarnation()
-	inst.Invocations, inst.Rejected, inst.Level = 0, 0, ""
-	restart := inst.RestartPending
+	inst.clearObservations()
 	inst.RestartPending = false
 	switch {
 	case giveUpReason != "":
@@ -113,7 +116,7 @@
 	case notified:
 		inst.setPhase(now, PhaseExited, exit.String())
 		if restart {
-			inst.LaunchRequested, inst.NextAttemptAt, inst.Attempts = true, now, 0
+			inst.requestRelaunch(now)
 		}
 	default:
 		inst.setPhase(now, PhaseFailed, exit.String()+", and nobody had told it to leave")
@@ -123,8 +126,9 @@
 	m.markInstanceChanged(inst)
 }
 
-// delayRelaunch counts a launch that came to nothing and puts the next one off.
+// delayRelaunch counts a launch that came to nothing and puts off the next one.
 func (m *Machine) delayRelaunch(now monotime.Micros, inst *Instance) {
 	inst.Attempts++
-	inst.NextAttemptAt = now + monotime.FromDuration(m.config.RelaunchBackoff.Pause(inst.Attempts+1, m.random))
+	pause := m.config.RelaunchBackoff.Pause(inst.Attempts+1, m.random)
+	inst.NextAttemptAt = now + monotime.FromDuration(pause)
 }
--- a/internal/fleet/cold_start.go
+++ b/internal/fleet/cold_start.go
@@ -10,63 +10,116 @@
 
 // Bounds of a host's part in a cold start.
 const (
-	maxPendingUnitRequests = 2         // instances that request a unit at once
-	standaloneAfter        = 5_000_000 // microseconds without an answer until a host goes on with the one unit that is reserved for it
+	maxPendingUnitRequests = 2 // instances that request a unit at once
+	// standaloneAfter is the time without an answer of the quota store after which a host goes on with the one unit
+	// that is reserved for it.
+	standaloneAfter = 5 * monotime.Second
 )
 
-// advanceColdStart starts what is down on this host: each instance requests a unit, starts once it holds one, and keeps it
-// until it is settled or given up. The quota store decides which hosts get units first.
+// coldStartStep is what advanceColdStart does with one instance.
+type coldStartStep int
+
+const (
+	coldStartSkip            coldStartStep = iota // nothing: it is not down, or the command begins nothing new
+	coldStartAwaitUnit                            // its request for a unit is pending
+	coldStartBegin                                // it holds a unit
+	coldStartBeginStandalone                      // the quota store is silent; it starts with the host's reserved unit
+)
+
+// advanceColdStart starts what is down on this host: each instance requests a unit, starts once it holds one, and keeps
+// it until it is settled or given up. The quota store decides which hosts get units first.
 func (m *Machine) advanceColdStart(now monotime.Micros, command *Command) {
-	asked, alone := 0, false
-	for _, name := range m.instanceNames {
-		inst := m.instances[name]
-		alone = alone || inst.Unit.Standalone && !inst.backInService(now) && !inst.LaunchesExhausted
-	}
+	pending := 0
+	standalone := m.standaloneStartInProgress(now)
 	for _, name := range command.Names {
-		if _, over := command.Results[name]; over {
+		if command.hasResult(name) {
 			continue
 		}
 		inst := m.instances[name]
-		switch {
-		case inst == nil:
-			m.recordResult(now, command, name, OutcomeFailed, notInSpec)
+		if inst == nil {
+			m.recordResult(now, command, name, OutcomeFailed, causeNotInSpec)
 			continue
-		case command.InProgress[name] || inst.DesiredUp: // in progress, by this command or by another
+		}
+		if command.InProgress[name] || inst.DesiredUp { // in progress, by this command or by another
 			m.resolveCommand(now, inst)
 			continue
-		case command.State != CommandOpen || !inst.Phase.Down():
-			continue
-		case m.holdsUnit(now, command, inst), failpoint.Enabled(failpoint.IgnoreStartPermit):
-		case !alone && m.quotaSilentSince != 0 && now-m.quotaSilentSince >= standaloneAfter:
-			alone, inst.Unit.Standalone = true, true
-			m.recordEvent(now, inst, "starts without the ledger", fmt.Sprintf("it has not answered for %d ms", (now-m.quotaSilentSince)/1000))
-		default:
-			if asked++; asked >= maxPendingUnitRequests {
+		}
+		switch m.nextColdStartStep(now, command, inst, standalone) {
+		case coldStartSkip:
+		case coldStartAwaitUnit:
+			pending++
+			if pending >= maxPendingUnitRequests {
 				return
 			}
-			continue
+		case coldStartBeginStandalone:
+			standalone = true
+			inst.Unit.Standalone = true
+			m.recordEvent(now, inst, eventStandaloneStart,
+				fmt.Sprintf("it has not answered for %d ms", (now-m.quotaSilentSince)/monotime.Millisecond))
+			m.beginColdStart(now, command, inst)
+		case coldStartBegin:
+			m.beginColdStart(now, command, inst)
 		}
-		command.InProgress[name] = true
-		m.restartInstance(now, inst)
-		inst.Unit.StartedAt = now
-		m.markCommandChanged(command)
-		m.advance(now, inst)
 	}
 }
 
-// startResult is how a start that held a unit came out.
+// standaloneStartInProgress reports whether the unit reserved for this host is in use.
+func (m *Machine) standaloneStartInProgress(now monotime.Micros) bool {
+	for _, name := range m.instanceNames {
+		inst := m.instances[name]
+		if inst.Unit.Standalone && !inst.backInService(now) && !inst.LaunchesExhausted {
+			return true
+		}
+	}
+	return false
+}
+
+// nextColdStartStep decides what is next for an instance that is not in progress, and requests a unit for it if it may
+// start and holds none. standalone reports whether the unit reserved for this host is in use.
+func (m *Machine) nextColdStartStep(
+	now monotime.Micros, command *Command, inst *Instance, standalone bool,
+) coldStartStep {
+	if command.State != CommandOpen || !inst.Phase.Down() {
+		return coldStartSkip
+	}
+	if m.holdsUnit(now, command, inst) || failpoint.Enabled(failpoint.IgnoreStartPermit) {
+		return coldStartBegin
+	}
+	quotaSilent := m.quotaSilentSince != 0 && now-m.quotaSilentSince >= standaloneAfter
+	if quotaSilent && !standalone {
+		return coldStartBeginStandalone
+	}
+	return coldStartAwaitUnit
+}
+
+// beginColdStart starts an instance that may start now.
+func (m *Machine) beginColdStart(now monotime.Micros, command *Command, inst *Instance) {
+	command.InProgress[inst.Name] = true
+	m.restartInstance(now, inst)
+	inst.Unit.StartedAt = now
+	m.markCommandChanged(command)
+	m.advance(now, inst)
+}
+
+// startResult returns the outcome of a start that held a unit.
 func (inst *Instance) startResult(now monotime.Micros) coldstart.Outcome {
-	e := coldstart.Outcome{Ready: inst.available(now), Cause: inst.Cause}
-	if e.Ready && inst.Unit.StartedAt > 0 {
-		e.Took = max(0, inst.ReadySince-inst.Unit.StartedAt)
+	outcome := coldstart.Outcome{Ready: inst.available(now), Cause: inst.Cause}
+	if outcome.Ready && inst.Unit.StartedAt > 0 {
+		outcome.Took = max(0, inst.ReadySince-inst.Unit.StartedAt)
 	}
-	return e
+	return outcome
 }
 
-// reportAlreadyRunning has the quota store learn of an instance that serves and never requested a unit, as if it
-// released one.
+// reportAlreadyRunning makes the quota store learn of an instance that serves and never requested a unit: the instance
+// releases a unit that it did not hold.
 func (inst *Instance) reportAlreadyRunning(command *Command) {
-	if command.Kind == KindColdStart && inst.Unit.RequestID == "" {
-		inst.Unit = Unit{Quota: command.Quota, RequestID: command.ID + "." + inst.Name + ".0", CommandID: command.ID, Held: true}
+	if command.Kind != KindColdStart || inst.Unit.RequestID != "" {
+		return
+	}
+	inst.Unit = Unit{
+		Quota:     command.Quota,
+		RequestID: command.ID + "." + inst.Name + ".0",
+		CommandID: command.ID,
+		Held:      true,
 	}
 }
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"maps"
 	"slices"
 
 	"milletbarrow/monotime"
@@ -120,7 +121,7 @@
 	if c.Kind == KindColdStart && c.Quota == "" {
 		return fieldErrorf("budget", "a rise needs a count of the fleet's file")
 	}
-	if c.Quota != "" && c.Kind != KindRollingUpdate && c.Kind != KindColdStart {
+	if c.Quota != "" && !c.usesUnits() {
 		return fieldErrorf("budget", "not with %s", c.Kind)
 	}
 	if c.Rollout != nil {
@@ -130,36 +131,78 @@
 }
 
 // equivalent reports whether two commands ask for the same; who asked and when does not matter.
-func (c *Command) equivalent(o *Command) bool {
-	terms := c.Rollout == o.Rollout || c.Rollout != nil && o.Rollout != nil && *c.Rollout == *o.Rollout
-	return c.Kind == o.Kind && c.Immediate == o.Immediate && c.Quota == o.Quota && terms && slices.Equal(c.Names, o.Names)
+func (c *Command) equivalent(other *Command) bool {
+	sameRollout := c.Rollout == other.Rollout ||
+		c.Rollout != nil && other.Rollout != nil && *c.Rollout == *other.Rollout
+	return sameRollout &&
+		c.Kind == other.Kind &&
+		c.Immediate == other.Immediate &&
+		c.Quota == other.Quota &&
+		slices.Equal(c.Names, other.Names)
 }
 
-// clone is a copy that shares nothing that changes.
+// clone returns a copy that shares no map with the command.
 func (c *Command) clone() *Command {
-	d := *c
-	d.Results = cloneMap(c.Results)
-	d.InProgress = cloneMap(c.InProgress)
-	return &d
+	copied := *c
+	copied.Results = cloneMap(c.Results)
+	copied.InProgress = cloneMap(c.InProgress)
+	return &copied
 }
 
-func cloneMap[V any](m map[string]V) map[string]V {
-	out := make(map[string]V, len(m))
-	for k, v := range m {
-		out[k] = v
-	}
-	return out
+// cloneMap returns a copy of a map; the copy of nil is empty.
+func cloneMap[V any](original map[string]V) map[string]V {
+	copied := make(map[string]V, len(original))
+	maps.Copy(copied, original)
+	return copied
 }
 
-// instanceNames lists the command's instances, spares too.
+// instanceNames lists the command's instances, with its spares.
 func (c *Command) instanceNames() []string { return append(slices.Clone(c.Names), c.Spares...) }
 
-// unresolved lists the instances that have no result yet.
+// hasResult reports whether the command has ended for an instance.
+func (c *Command) hasResult(name string) bool {
+	_, ok := c.Results[name]
+	return ok
+}
+
+// allResolved reports whether all instances but the spares have a result.
+func (c *Command) allResolved() bool {
+	return !slices.ContainsFunc(c.Names, func(name string) bool { return !c.hasResult(name) })
+}
+
+// unresolved lists the instances, with the spares, that have no result yet.
 func (c *Command) unresolved() (names []string) {
 	for _, name := range c.instanceNames() {
-		if _, over := c.Results[name]; !over {
+		if !c.hasResult(name) {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// CountOutcomes counts the results of commands by outcome, and the instances that have none yet. A nil command counts
+// nothing.
+func CountOutcomes(commands ...*Command) (counts map[Outcome]int, open int) {
+	counts = map[Outcome]int{}
+	for _, command := range commands {
+		if command == nil {
+			continue
+		}
+		for _, result := range command.Results {
+			counts[result.Outcome]++
+		}
+		open += len(command.unresolved())
+	}
+	return counts, open
+}
+
+// Unsatisfied lists the instances that are not as the command wanted them, by name. Skipped ones are left out.
+func (c *Command) Unsatisfied() (names []string) {
+	for name, result := range c.Results {
+		if !result.Outcome.Satisfied() && result.Outcome != OutcomeSkipped {
 			names = append(names, name)
 		}
 	}
+	slices.Sort(names)
 	return names
 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,6 +1,8 @@
 package fleet
 
 import (
+	"time"
+
 	"milletbarrow/internal/backoff"
 	"milletbarrow/internal/limits"
 	"milletbarrow/monotime"
@@ -8,19 +10,34 @@
 
 // Config holds the machine's own limits and pauses.
 type Config struct {
-	KillDelay           monotime.Micros // after ExitTimeout until the agent itself kills an instance; also the unit of the pause between kills
-	ResendBackoff       backoff.Policy  // of an action that was not taken
-	RelaunchBackoff     backoff.Policy  // after an incarnation that ended by itself
-	MaxFinishedCommands int             // finished commands that are remembered
-	MaxOpenCommands     int             // commands that may be open at once
-	JitterSeed          uint64          // seeds the jitter of all pauses
+	// KillDelay is the time after an instance's ExitTimeout until the agent itself kills it, and the unit of the
+	// pause between two kills.
+	KillDelay           monotime.Micros
+	ResendBackoff       backoff.Policy // between attempts at an action that was not taken
+	RelaunchBackoff     backoff.Policy // after an incarnation that ended by itself
+	MaxFinishedCommands int            // finished commands that are remembered; the oldest are forgotten
+	MaxOpenCommands     int            // commands that may be open at once; a further one is rejected
+	JitterSeed          uint64         // seeds the jitter of all pauses
 }
 
-// DefaultConfig is the configuration of an agent under bounds b.
-func DefaultConfig(b limits.Control, seed uint64) Config {
+const (
+	defaultKillDelay = 500 * time.Millisecond
+	// A process that ends by itself costs its host more than an action that is sent again.
+	relaunchMinFactor = 2  // of the pauses between resends
+	relaunchMaxFactor = 10 // of the longest pause between resends
+)
+
+// DefaultConfig returns the configuration of an agent with the given bounds.
+func DefaultConfig(bounds limits.Control, seed uint64) Config {
 	return Config{
-		KillDelay: monotime.FromDuration(500_000_000), MaxFinishedCommands: b.EndedCommands, MaxOpenCommands: b.OpenCommands, JitterSeed: seed,
-		ResendBackoff:   backoff.Policy{Min: b.RetryBackoff, Max: b.RetryBackoffMax},
-		RelaunchBackoff: backoff.Policy{Min: 2 * b.RetryBackoff, Max: 10 * b.RetryBackoffMax},
+		KillDelay:     monotime.FromDuration(defaultKillDelay),
+		ResendBackoff: backoff.Policy{Min: bounds.RetryBackoff, Max: bounds.RetryBackoffMax},
+		RelaunchBackoff: backoff.Policy{
+			Min: relaunchMinFactor * bounds.RetryBackoff,
+			Max: relaunchMaxFactor * bounds.RetryBackoffMax,
+		},
+		MaxFinishedCommands: bounds.EndedCommands,
+		MaxOpenCommands:     bounds.OpenCommands,
+		JitterSeed:          seed,
 	}
 }
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -2,112 +2,121 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"milletbarrow/monotime"
 )
 
-// RolloutCoordinator decides in which order the agents of many hosts begin their rolling updates: each agent keeps the
+// RolloutCoordinator decides in which order the agents of many hosts begin their rolling updates. Each agent keeps the
 // minimum of its own groups, the coordinator that of the fleet. It needs no storage: commands have the same ID at every
-// agent, so a tool that is started again learns from the agents how far the one before had come.
+// agent, so that a coordinator that is started again learns from the agents how far the one before had come.
 type RolloutCoordinator struct {
 	Hosts              []string // in the file's order
 	Config             RollingUpdateConfig
-	MaxConcurrentHosts int // hosts that update at once, 1 or more
-	blockedSince       monotime.Micros
+	MaxConcurrentHosts int             // hosts that update at once; below 1 counts as 1
+	blockedSince       monotime.Micros // since when the fleet's minimum lets no host begin; 0: one can
 }
 
 // HostProgress is what is known of a host's part of a rollout.
 type HostProgress struct {
 	Reachable      bool
-	State          CommandState // of its command; empty: it has none yet
+	State          CommandState // of the host's command; empty: it has none yet
 	Failed         bool         // some instance is not as the command wanted it
-	Cause          string
-	Ready          int // instances ready now
-	DesiredUp      int // instances desired up
-	MaxUnavailable int // that its update takes out at once at the most
+	Cause          string       // of State or Failed; empty: none
+	Ready          int          // instances ready now
+	DesiredUp      int          // instances desired up
+	MaxUnavailable int          // instances that the host's update takes out at once at most
 }
 
-// RolloutStep is what to do next.
+// RolloutStep is the next step of a rollout.
 type RolloutStep struct {
 	Begin      []string // hosts whose updates begin now
 	Finished   bool     // nothing is left to begin or to wait for
-	StopReason string   // why it stops though hosts are left; empty: it goes on
+	StopReason string   // why the rollout stops although hosts are left; empty: it goes on
 }
 
-// Next says which updates begin. A host that is not reachable, or whose update is paused or failed, stops the rollout:
-// what fails on one host must not go on to the next. If the fleet's minimum is in the way for longer than
-// Config.StallTimeout it stops too; until then what has just come up may settle.
-func (r *RolloutCoordinator) Next(now monotime.Micros, facts map[string]HostProgress) RolloutStep {
-	rolling, left := 0, []string{}
-	ready, up := 0, 0
-	for _, h := range r.Hosts {
-		f := facts[h]
-		ready, up = ready+f.Ready, up+f.DesiredUp
-		switch {
-		case f.State == "":
-			left = append(left, h)
-		case f.State == CommandDone && f.Failed, f.State == CommandPaused, f.State == CommandCancelled:
-			return RolloutStep{Finished: f.State == CommandDone, StopReason: fmt.Sprintf("host %s: %s %s", h, f.State, f.Cause)}
-		case f.State != CommandDone:
-			rolling++
-			ready -= max(0, f.MaxUnavailable-(f.DesiredUp-f.Ready)) // as if all that it may take out were out already
+// rolloutTally sums up the progress of all hosts.
+type rolloutTally struct {
+	waiting   []string // hosts without a command, in the file's order
+	updating  int      // hosts whose update is under way
+	ready     int      // instances, without those that the updates under way may still take out
+	desiredUp int      // instances
+}
+
+// Next decides which updates begin. A host that is unreachable, or whose update is paused or failed, stops the rollout:
+// a fault on one host must not spread to the next. If the fleet's minimum lets no host begin for Config.StallTimeout,
+// the rollout stops too; until then instances that have just become ready may settle.
+func (r *RolloutCoordinator) Next(now monotime.Micros, progress map[string]HostProgress) RolloutStep {
+	for _, name := range r.Hosts {
+		if host := progress[name]; host.stopsRollout() {
+			return RolloutStep{
+				Finished:   host.State == CommandDone,
+				StopReason: fmt.Sprintf("host %s: %s %s", name, host.State, host.Cause),
+			}
 		}
 	}
-	step := RolloutStep{Finished: rolling == 0 && len(left) == 0}
-	for _, h := range left {
-		f := facts[h]
-		switch {
-		case rolling >= max(1, r.MaxConcurrentHosts):
+	tally := r.tally(progress)
+	step := RolloutStep{Finished: tally.updating == 0 && len(tally.waiting) == 0}
+	for _, name := range tally.waiting {
+		host := progress[name]
+		if tally.updating >= max(1, r.MaxConcurrentHosts) {
 			return step
-		case !f.Reachable:
-			if rolling == 0 {
-				step.Finished, step.StopReason = true, fmt.Sprintf("host %s can't be reached", h)
+		}
+		if !host.Reachable {
+			if tally.updating == 0 {
+				step.Finished = true
+				step.StopReason = fmt.Sprintf("host %s can't be reached", name)
 			}
 			return step
-		case ready-f.MaxUnavailable < r.Config.minReady(up):
-			if rolling > 0 {
-				return step
-			}
-			if r.blockedSince == 0 {
-				r.blockedSince = now
-			}
-			if now-r.blockedSince >= r.Config.StallTimeout {
-				step.StopReason = fmt.Sprintf("host %s would take %d out, with %d ready of %d in the fleet and %d to stay",
-					h, f.MaxUnavailable, ready, up, r.Config.minReady(up))
+		}
+		if tally.ready-host.MaxUnavailable < r.Config.minReady(tally.desiredUp) {
+			if tally.updating == 0 {
+				step.StopReason = r.blockedReason(now, name, host, tally)
 			}
 			return step
 		}
 		r.blockedSince = 0
-		step.Begin = append(step.Begin, h)
-		ready -= f.MaxUnavailable
-		rolling++
+		step.Begin = append(step.Begin, name)
+		tally.ready -= host.MaxUnavailable
+		tally.updating++
 	}
 	return step
 }
 
-// CountOutcomes sums the results of commands over hosts, and the instances that have none yet.
-func CountOutcomes(commands ...*Command) (counts map[Outcome]int, open int) {
-	counts = map[Outcome]int{}
-	for _, c := range commands {
-		if c == nil {
-			continue
-		}
-		for _, result := range c.Results {
-			counts[result.Outcome]++
+// stopsRollout reports whether the host's update failed, or needs an operator.
+func (p HostProgress) stopsRollout() bool {
+	return p.State == CommandDone && p.Failed || p.State == CommandPaused || p.State == CommandCancelled
+}
+
+// tally sums up the progress of all hosts.
+func (r *RolloutCoordinator) tally(progress map[string]HostProgress) rolloutTally {
+	var tally rolloutTally
+	for _, name := range r.Hosts {
+		host := progress[name]
+		tally.ready += host.Ready
+		tally.desiredUp += host.DesiredUp
+		switch host.State {
+		case "":
+			tally.waiting = append(tally.waiting, name)
+		case CommandDone:
+		default: // instances that the update may still take out count as out
+			alreadyOut := host.DesiredUp - host.Ready
+			tally.ready -= max(0, host.MaxUnavailable-alreadyOut)
+			tally.updating++
 		}
-		open += len(c.unresolved())
 	}
-	return counts, open
+	return tally
 }
 
-// Unsatisfied lists the instances that are not as the command wanted them, in order.
-func (c *Command) Unsatisfied() (names []string) {
-	for n, r := range c.Results {
-		if !r.Outcome.Satisfied() && r.Outcome != OutcomeSkipped {
-			names = append(names, n)
-		}
+// blockedReason returns why the rollout stops if no host could begin for Config.StallTimeout; empty: it goes on.
+func (r *RolloutCoordinator) blockedReason(
+	now monotime.Micros, name string, host HostProgress, tally rolloutTally,
+) string {
+	if r.blockedSince == 0 {
+		r.blockedSince = now
+	}
+	if now-r.blockedSince < r.Config.StallTimeout {
+		return ""
 	}
-	slices.Sort(names)
-	return names
+	return fmt.Sprintf("host %s would take %d out, with %d ready of %d in the fleet and %d to stay",
+		name, host.MaxUnavailable, tally.ready, tally.desiredUp, r.Config.minReady(tally.desiredUp))
 }
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -84,19 +84,95 @@
 }
 
 // setPhase enters a phase, or updates the cause of the present one.
-func (inst *Instance) setPhase(now monotime.Micros, p Phase, cause string) {
-	if inst.Phase != p {
-		inst.Phase, inst.PhaseSince = p, now
+func (inst *Instance) setPhase(now monotime.Micros, phase Phase, cause string) {
+	if inst.Phase != phase {
+		inst.Phase = phase
+		inst.PhaseSince = now
 	}
 	inst.Cause = cause
-	if p != PhaseReady {
+	if phase != PhaseReady {
 		inst.ReadySince = 0
 	} else if inst.ReadySince == 0 {
 		inst.ReadySince = now
 	}
 }
 
-// Settled reports whether the instance has been ready for as long as its group wants.
+// requestLaunch has a command's launch follow as soon as the instance is down. It is not counted by LaunchBudget,
+// which starts anew.
+func (inst *Instance) requestLaunch(now monotime.Micros) {
+	inst.DesiredUp = true
+	inst.LaunchesExhausted = false
+	inst.LaunchRequested = true
+	inst.Attempts = 0
+	inst.LaunchBudget = LaunchBudget{}
+	if inst.Phase.Down() {
+		inst.NextAttemptAt = now
+	}
+}
+
+// requestRelaunch has the launch that a restart asked for follow at once.
+func (inst *Instance) requestRelaunch(now monotime.Micros) {
+	inst.LaunchRequested = true
+	inst.NextAttemptAt = now
+	inst.Attempts = 0
+}
+
+// abandonLaunch forgets an incarnation of which no process came.
+func (inst *Instance) abandonLaunch() {
+	inst.Incarnation = ""
+	inst.ActionPending = false
+	inst.PhaseDeadline = 0
+}
+
+// clearIncarnation forgets the notice, the kills and the deadline of an incarnation that has ended.
+func (inst *Instance) clearIncarnation() {
+	inst.Incarnation = ""
+	inst.NoticeID = ""
+	inst.NotifiedAt = 0
+	inst.GiveUpReason = ""
+	inst.PhaseDeadline = 0
+	inst.ActionPending = false
+	inst.KillAttempts = 0
+}
+
+// clearObservations forgets what was observed of an incarnation that has ended.
+func (inst *Instance) clearObservations() {
+	inst.Invocations = 0
+	inst.Rejected = 0
+	inst.Level = ""
+}
+
+// resendNotice makes the notice the pending action again, due at once.
+func (inst *Instance) resendNotice(now monotime.Micros) {
+	inst.ActionID = inst.NoticeID
+	inst.LastAction = ActionNotify
+	inst.ActionPending = true
+	inst.NextAttemptAt = now
+}
+
+// resetAfterReboot forgets the process, which a reboot of the host has ended. If the instance is desired up, it is
+// launched at once.
+func (inst *Instance) resetAfterReboot(now monotime.Micros) {
+	inst.clearIncarnation()
+	inst.RestartPending = false
+	inst.LaunchesExhausted = false
+	inst.LaunchRequested = true
+	inst.NextAttemptAt = 0
+	inst.Attempts = 0
+	inst.LaunchBudget = LaunchBudget{}
+	inst.setPhase(now, PhaseAbsent, causeRebooted)
+}
+
+// awaitObservation makes the phase of a running instance unknown after a restart of the agent. A pending action goes
+// out again at once.
+func (inst *Instance) awaitObservation(now monotime.Micros) {
+	inst.Phase = PhaseUnknown
+	inst.PhaseSince = now
+	inst.Cause = causeAgentRestarted
+	inst.NextAttemptAt = now
+}
+
+// Settled reports whether the instance has been ready for at least its group's Settle time.
 func (inst *Instance) Settled(now monotime.Micros) bool {
 	return inst.Phase == PhaseReady && now-inst.ReadySince >= inst.group.Settle
 }
@@ -105,3 +181,29 @@
 func (inst *Instance) available(now monotime.Micros) bool {
 	return inst.DesiredUp && !inst.RestartPending && inst.NoticeID == "" && inst.Settled(now)
 }
+
+// backInService reports whether an instance serves again, or is down as desired.
+func (inst *Instance) backInService(now monotime.Micros) bool {
+	return inst.available(now) || !inst.DesiredUp && inst.Phase.Down()
+}
+
+// runsUndisturbed reports whether the instance is ready and is not about to leave.
+func (inst *Instance) runsUndisturbed() bool {
+	return inst.Phase == PhaseReady && !inst.RestartPending && inst.NoticeID == ""
+}
+
+// failedForGood reports whether the instance is down and is not launched again without a command.
+func (inst *Instance) failedForGood() bool {
+	return inst.Phase == PhaseFailed && inst.LaunchesExhausted
+}
+
+// shouldNotify reports whether the instance is to leave and has not been notified.
+func (inst *Instance) shouldNotify() bool {
+	return inst.NoticeID == "" && (!inst.DesiredUp || inst.RestartPending)
+}
+
+// launchPending reports whether a launch of the instance, or of a supervisor that adopts it, is not known to have been
+// carried out.
+func (inst *Instance) launchPending() bool {
+	return inst.ActionPending && inst.LastAction == ActionLaunch
+}
--- a/internal/fleet/launch_budget.go
+++ b/internal/fleet/launch_budget.go
@@ -6,15 +6,15 @@
 	"milletbarrow/monotime"
 )
 
-// LaunchBudget allows a number of attempts within a sliding window. It keeps an instance that fails at once from being
-// launched for ever, and a crowd of such instances from taking the host from the others.
+// LaunchBudget allows a number of launches within a sliding window. It keeps an instance that fails at once from being
+// launched for ever, and many such instances from taking the host's capacity from the others.
 type LaunchBudget struct {
-	MaxAttempts int               `json:"Most"`
-	Window      monotime.Micros   `json:"Within"`
-	Attempts    []monotime.Micros `json:"Spent"` // when; at most Most of them
+	MaxAttempts int               `json:"Most"`   // launches within Window; 0: none is allowed
+	Window      monotime.Micros   `json:"Within"` // length of the sliding window
+	Attempts    []monotime.Micros `json:"Spent"`  // times of the launches within Window, at most MaxAttempts
 }
 
-// Take uses one attempt up, if there is one left.
+// Take uses one launch of the budget and reports whether one was left.
 func (b *LaunchBudget) Take(now monotime.Micros) bool {
 	b.Attempts = slices.DeleteFunc(b.Attempts, func(at monotime.Micros) bool { return now-at >= b.Window })
 	if len(b.Attempts) >= b.MaxAttempts {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -30,18 +30,28 @@
 }
 
 // New makes a machine for the instances of a host; window gives the shutdown window of each.
-func New(s *Spec, host string, terms Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
+func New(s *Spec, host string, config Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
 	m := &Machine{
-		config: terms, random: rand.New(rand.NewPCG(terms.JitterSeed, 0)), instances: map[string]*Instance{},
-		groups: map[string]*GroupSpec{}, commands: map[string]*Command{}, changedInstances: map[string]bool{},
-		changedCommands: map[string]bool{},
+		config:           config,
+		random:           rand.New(rand.NewPCG(config.JitterSeed, 0)),
+		instances:        map[string]*Instance{},
+		groups:           map[string]*GroupSpec{},
+		commands:         map[string]*Command{},
+		changedInstances: map[string]bool{},
+		changedCommands:  map[string]bool{},
 	}
 	for i, spec := range s.InstancesOn(host) {
-		g := s.Group(spec.Group)
-		m.groups[g.Name] = g
+		group := s.Group(spec.Group)
+		m.groups[group.Name] = group
 		m.instanceNames = append(m.instanceNames, spec.Name)
 		m.instances[spec.Name] = &Instance{
-			Name: spec.Name, Group: g.Name, Spare: spec.Spare, Phase: PhaseAbsent, group: g, shutdown: window(spec), fileOrder: i,
+			Name:      spec.Name,
+			Group:     group.Name,
+			Spare:     spec.Spare,
+			Phase:     PhaseAbsent,
+			group:     group,
+			shutdown:  window(spec),
+			fileOrder: i,
 		}
 	}
 	return m
@@ -61,13 +71,19 @@
 		return false
 	}
 	for _, name := range m.instanceNames {
-		if inst := m.instances[name]; inst.ActionPending || inst.PhaseDeadline != 0 || inst.Unit.RequestID != "" || inst.DesiredUp && !inst.LaunchesExhausted && inst.Phase.Down() {
+		if !m.instances[name].idle() {
 			return false
 		}
 	}
 	return true
 }
 
+// idle reports whether the instance waits for no deadline, action, unit or launch.
+func (inst *Instance) idle() bool {
+	awaitsLaunch := inst.DesiredUp && !inst.LaunchesExhausted && inst.Phase.Down()
+	return !inst.ActionPending && inst.PhaseDeadline == 0 && inst.Unit.RequestID == "" && !awaitsLaunch
+}
+
 // Instance is a copy of the state of an instance; ok is false if the host has none of that name.
 func (m *Machine) Instance(name string) (inst Instance, ok bool) {
 	known := m.instances[name]
@@ -97,7 +113,8 @@
 // Decide takes in an event and returns the actions to carry out, in order, and the entries for the history. Both are
 // valid until the next call. An error, always a *CommandError, means that the event changed nothing.
 func (m *Machine) Decide(now monotime.Micros, ev Event) (actions []Action, history []HistoryEvent, err error) {
-	m.actions, m.history = m.actions[:0], m.history[:0]
+	m.actions = m.actions[:0]
+	m.history = m.history[:0]
 	err = m.handleEvent(now, ev)
 	for _, command := range m.openCommands {
 		switch command.Kind {
@@ -105,6 +122,7 @@
 			m.advanceRollingUpdate(now, command)
 		case KindColdStart:
 			m.advanceColdStart(now, command)
+		case KindStart, KindDrain, KindStop, KindRestart: // reconcile does all that they ask for
 		}
 	}
 	m.closeFinishedCommands(now)
@@ -171,15 +189,16 @@
 
 // handleActionFailed takes in that the pending action could not be carried out.
 func (m *Machine) handleActionFailed(now monotime.Micros, inst *Instance, e ActionFailed) {
-	m.recordEvent(now, inst, string(inst.LastAction)+" not taken", e.Cause)
-	if inst.LastAction == ActionLaunch && inst.Incarnation == inst.ActionID { // no process came of it
-		inst.Incarnation, inst.ActionPending, inst.PhaseDeadline = "", false, 0
-		inst.setPhase(now, PhaseFailed, e.Cause)
-		m.delayRelaunch(now, inst)
-		if e.Final {
-			inst.LaunchesExhausted = true
-		}
-		inst.RestartPending = false
-		m.markInstanceChanged(inst)
+	m.recordEvent(now, inst, string(inst.LastAction)+eventNotCarriedSuffix, e.Cause)
+	if inst.LastAction != ActionLaunch || inst.Incarnation != inst.ActionID {
+		return
+	}
+	inst.abandonLaunch()
+	inst.setPhase(now, PhaseFailed, e.Cause)
+	m.delayRelaunch(now, inst)
+	if e.Final {
+		inst.LaunchesExhausted = true
 	}
+	inst.RestartPending = false
+	m.markInstanceChanged(inst)
 }
--- a/internal/fleet/preview.go
+++ b/internal/fleet/preview.go
@@ -1,65 +1,116 @@
 package fleet
 
-import (
-	"milletbarrow/monotime"
-)
+import "milletbarrow/monotime"
 
-// PlanStep is one instance of a plan: in which batch it would be restarted, and how many of its group would be ready
-// meanwhile.
+// PlanStep is one instance of a plan: the batch in which it would be restarted, and how many of its group would be
+// ready meanwhile.
 type PlanStep struct {
 	Name     string `json:"name"`
 	Group    string `json:"group"`
-	Batch    int    `json:"batch"`
+	Batch    int    `json:"batch"` // counted from 1
 	Ready    int    `json:"ready"` // of its group, with this batch out
-	MinReady int    `json:"least"`
+	MinReady int    `json:"least"` // of its group
 }
 
-// Preview plays a rolling update through without any process: every instance counts as up and ready, and each batch
-// comes back complete. Errors are *CommandError where the update would
-// not be accepted, and ErrUpdateNeverEnds.
-func Preview(s *Spec, host string, names []string, w RollingUpdateConfig) ([]PlanStep, error) {
-	m := New(s, host, Config{MaxOpenCommands: 1, MaxFinishedCommands: 1}, func(*InstanceSpec) ShutdownWindow { return ShutdownWindow{1, 1} })
-	for _, inst := range m.instances {
-		if !inst.Spare {
-			inst.DesiredUp, inst.Phase, inst.Incarnation = true, PhaseReady, "preview"
-		}
+// The simulated course of a preview. Its times have no meaning beyond their order: a round is longer than any settle
+// time, and all rounds end before the deadline.
+const (
+	previewCommandID                   = "preview"
+	previewIncarnation                 = "preview"
+	previewDeadline    monotime.Micros = 1 << 60
+	previewStart       monotime.Micros = previewDeadline / 2
+	previewRound       monotime.Micros = 1 << 40
+)
+
+// Preview simulates a rolling update without any process: every instance counts as up and ready, and each batch comes
+// back complete. Its error is a *CommandError if the update would be rejected, or ErrUpdateNeverEnds.
+func Preview(spec *Spec, host string, names []string, config RollingUpdateConfig) ([]PlanStep, error) {
+	m := newPreviewMachine(spec, host)
+	command := &Command{
+		ID:       previewCommandID,
+		Kind:     KindRollingUpdate,
+		Names:    names,
+		Deadline: previewDeadline,
+		Rollout:  &config,
 	}
-	const long = 1 << 60
-	command := &Command{ID: "preview", Kind: KindRollingUpdate, Names: names, Deadline: long, Rollout: &w}
-	if _, _, err := m.Decide(long/2, CommandReceived{command}); err != nil {
+	now := previewStart
+	if _, _, err := m.Decide(now, CommandReceived{command}); err != nil {
 		return nil, err
 	}
 	var steps []PlanStep
-	now := monotime.Micros(long / 2)
-	for batch := 1; batch <= 2*len(names)+4*len(m.instanceNames)+4; batch++ {
-		command := m.Command("preview")
+	for batch := 1; batch <= m.maxPreviewBatches(names); batch++ {
+		command := m.Command(previewCommandID)
 		if command.State == CommandDone {
 			return steps, nil
 		}
-		tallies := m.groupCounts(now)
-		for _, name := range command.Names {
-			if inst := m.instances[name]; command.InProgress[name] {
-				g := tallies[inst.Group]
-				steps = append(steps, PlanStep{name, inst.Group, batch, g.available, command.Rollout.minReady(g.desiredUp)})
-			}
-		}
-		now += 1 << 40
-		for _, name := range m.instanceNames { // all that left is gone, and what is wanted up is ready
-			inst := m.instances[name]
-			if inst.Incarnation != "" && inst.NoticeID != "" {
-				m.observe(now, inst, PhaseExited)
-			}
-			if inst.Incarnation != "" && inst.NoticeID == "" {
-				m.observe(now, inst, PhaseReady)
-			}
-		}
-		now += 1 << 40
+		steps = append(steps, m.planSteps(now, command, batch)...)
+		now += previewRound
+		m.completeBatch(now)
+		now += previewRound
 		_, _, _ = m.Decide(now, Tick{}) // a tick gives no error
 	}
 	return steps, ErrUpdateNeverEnds
 }
 
-// observe plays an observation of a phase; it gives no error.
-func (m *Machine) observe(now monotime.Micros, inst *Instance, p Phase) {
-	_, _, _ = m.Decide(now, InstanceObserved{Name: inst.Name, Observation: Observation{Incarnation: inst.Incarnation, Phase: p}})
+// newPreviewMachine returns a machine whose instances, but for the spares, are up and ready.
+func newPreviewMachine(spec *Spec, host string) *Machine {
+	config := Config{MaxOpenCommands: 1, MaxFinishedCommands: 1}
+	window := func(*InstanceSpec) ShutdownWindow { return ShutdownWindow{Grace: 1, ExitTimeout: 1} }
+	m := New(spec, host, config, window)
+	for _, inst := range m.instances {
+		if !inst.Spare {
+			inst.DesiredUp = true
+			inst.Phase = PhaseReady
+			inst.Incarnation = previewIncarnation
+		}
+	}
+	return m
+}
+
+// maxPreviewBatches bounds the batches of an update that ends: each instance leaves and returns, spares start and stop.
+func (m *Machine) maxPreviewBatches(names []string) int {
+	const (
+		batchesPerName     = 2
+		batchesPerInstance = 4
+		extraBatches       = 4
+	)
+	return batchesPerName*len(names) + batchesPerInstance*len(m.instanceNames) + extraBatches
+}
+
+// planSteps lists the instances that are in progress.
+func (m *Machine) planSteps(now monotime.Micros, command *Command, batch int) (steps []PlanStep) {
+	counts := m.groupCounts(now)
+	for _, name := range command.Names {
+		if !command.InProgress[name] {
+			continue
+		}
+		group := m.instances[name].Group
+		steps = append(steps, PlanStep{
+			Name:     name,
+			Group:    group,
+			Batch:    batch,
+			Ready:    counts[group].available,
+			MinReady: command.Rollout.minReady(counts[group].desiredUp),
+		})
+	}
+	return steps
+}
+
+// completeBatch has all notified instances exit and all others become ready.
+func (m *Machine) completeBatch(now monotime.Micros) {
+	for _, name := range m.instanceNames {
+		inst := m.instances[name]
+		if inst.Incarnation != "" && inst.NoticeID != "" {
+			m.observe(now, inst, PhaseExited)
+		}
+		if inst.Incarnation != "" && inst.NoticeID == "" { // the exit may have launched the next incarnation
+			m.observe(now, inst, PhaseReady)
+		}
+	}
+}
+
+// observe reports a phase of an instance to the machine. An observation gives no error.
+func (m *Machine) observe(now monotime.Micros, inst *Instance, phase Phase) {
+	observed := Observation{Incarnation: inst.Incarnation, Phase: phase}
+	_, _, _ = m.Decide(now, InstanceObserved{Name: inst.Name, Observation: observed})
 }
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -6,64 +6,13 @@
 	"milletbarrow/monotime"
 )
 
-// issueAction decides on an action; a new incarnation begins with each launch that adopts none.
-func (m *Machine) issueAction(now monotime.Micros, inst *Instance, kind ActionKind, cause string) {
-	inst.ActionCount++
-	inst.ActionID, inst.LastAction = fmt.Sprintf("%s.%d", inst.Name, inst.ActionCount), kind
-	inst.ActionPending = true
-	inst.NextAttemptAt = now + monotime.FromDuration(m.config.ResendBackoff.Pause(2, m.random))
-	switch kind {
-	case ActionLaunch:
-		if inst.Incarnation == "" {
-			inst.Incarnation = inst.ActionID
-			inst.Invocations, inst.Rejected = 0, 0
-			inst.PhaseDeadline = now + m.readinessTimeout(inst)
-			inst.setPhase(now, PhaseStarting, cause)
-		}
-	case ActionNotify:
-		inst.NoticeID, inst.NotifiedAt = inst.ActionID, now
-		inst.PhaseDeadline = now + inst.shutdown.ExitTimeout + m.config.KillDelay
-		inst.setPhase(now, PhaseDraining, cause)
-	case ActionKill:
-		inst.KillAttempts++
-		inst.PhaseDeadline = now + m.config.KillDelay*monotime.Micros(min(inst.KillAttempts, maxKillDelayFactor))
-	}
-	m.markInstanceChanged(inst)
-	m.emitAction(inst, cause)
-	m.recordEvent(now, inst, string(kind), cause)
-}
-
-// emitAction emits the pending action, for the first time or again.
-func (m *Machine) emitAction(inst *Instance, cause string) {
-	m.actions = append(m.actions, Action{
-		Kind: inst.LastAction, ID: inst.ActionID, Name: inst.Name, Incarnation: inst.Incarnation, NotifiedAt: inst.NotifiedAt, Cause: cause,
-		Adopt: inst.LastAction == ActionLaunch && inst.Incarnation != inst.ActionID,
-	})
-}
-
-// launchPending reports whether a launch of the instance, or of a supervisor that adopts it, is not known to have been taken.
-func (inst *Instance) launchPending() bool {
-	return inst.ActionPending && inst.LastAction == ActionLaunch
-}
-
-// readinessTimeout is how long the instance may take from its launch to ready: the rolling update's value where one
-// restarts it, else its group's.
-func (m *Machine) readinessTimeout(inst *Instance) monotime.Micros {
-	if command := m.commands[inst.CommandID]; command != nil && command.Kind == KindRollingUpdate && command.Rollout.ReadyWithin > 0 {
-		return command.Rollout.ReadyWithin
-	}
-	return inst.group.StartWithin
-}
-
 // maxKillDelayFactor bounds the pause between two kills, as a multiple of Config.KillDelay.
 const maxKillDelayFactor = 20
 
-// reconcile takes the next action from the observed state to the desired one, if it is time for one.
+// reconcile takes the next action from the observed state to the desired one, if one is due.
 func (m *Machine) reconcile(now monotime.Micros, inst *Instance) {
 	if inst.ActionPending && now >= inst.NextAttemptAt { // it was lost, or the agent died before it carried it out
-		inst.Attempts++
-		inst.NextAttemptAt = now + monotime.FromDuration(m.config.ResendBackoff.Pause(inst.Attempts+2, m.random))
-		m.emitAction(inst, "again")
+		m.resendAction(now, inst)
 	}
 	switch inst.Phase {
 	case PhaseAbsent, PhaseExited, PhaseFailed:
@@ -73,39 +22,33 @@
 		m.reconcileRunning(now, inst)
 	case PhaseDraining, PhaseStopping, PhaseUnresponsive:
 		if inst.shouldNotify() {
-			m.issueAction(now, inst, ActionNotify, "asked for while it leaves by itself")
+			m.issueAction(now, inst, ActionNotify, causeLeavesByItself)
 		}
 	case PhaseUnknown:
 		if inst.shouldNotify() { // the notice does not wait until the instance can be observed
-			m.issueAction(now, inst, ActionNotify, "asked for while it can't be seen")
+			m.issueAction(now, inst, ActionNotify, causeCannotBeWatched)
 			inst.setPhase(now, PhaseUnknown, inst.Cause)
 		}
 	}
-	if (inst.NoticeID != "" || inst.Phase.leaving()) && inst.PhaseDeadline != 0 && now >= inst.PhaseDeadline {
-		m.issueAction(now, inst, ActionKill, "not gone by the end of its window")
+	leaving := inst.NoticeID != "" || inst.Phase.leaving()
+	if leaving && inst.PhaseDeadline != 0 && now >= inst.PhaseDeadline {
+		m.issueAction(now, inst, ActionKill, causeKillDeadline)
 	}
 }
 
-// shouldNotify reports whether the instance is to leave and has not been notified.
-func (inst *Instance) shouldNotify() bool {
-	return inst.NoticeID == "" && (!inst.DesiredUp || inst.RestartPending)
-}
-
-// reconcileDown launches an instance that is down, if it is desired and its launch budget allows it.
+// reconcileDown launches an instance that is down, if it is desired up and its launch budget allows it.
 func (m *Machine) reconcileDown(now monotime.Micros, inst *Instance) {
 	if !inst.DesiredUp || inst.LaunchesExhausted || now < inst.NextAttemptAt || inst.Incarnation != "" {
 		return
 	}
-	inst.LaunchBudget.MaxAttempts, inst.LaunchBudget.Window = inst.group.MaxLaunches, inst.group.LaunchWindow
-	if !inst.LaunchRequested && !inst.LaunchBudget.Take(now) {
-		inst.LaunchesExhausted = true
-		inst.setPhase(now, PhaseFailed, fmt.Sprintf("%s; launched %d times within %d s and stays down until asked for",
-			inst.Cause, inst.LaunchBudget.MaxAttempts, inst.LaunchBudget.Window/1_000_000))
-		m.recordEvent(now, inst, "given up", inst.Cause)
-		m.markInstanceChanged(inst)
+	budget := &inst.LaunchBudget
+	budget.MaxAttempts = inst.group.MaxLaunches
+	budget.Window = inst.group.LaunchWindow
+	if !inst.LaunchRequested && !budget.Take(now) {
+		m.giveUp(now, inst)
 		return
 	}
-	cause := "asked for"
+	cause := causeRequested
 	if !inst.LaunchRequested {
 		cause = inst.Cause
 	}
@@ -113,16 +56,102 @@
 	m.issueAction(now, inst, ActionLaunch, cause)
 }
 
+// giveUp stops the launches of an instance until a command asks for one.
+func (m *Machine) giveUp(now monotime.Micros, inst *Instance) {
+	inst.LaunchesExhausted = true
+	inst.setPhase(now, PhaseFailed, fmt.Sprintf("%s; launched %d times within %d s and stays down until asked for",
+		inst.Cause, inst.LaunchBudget.MaxAttempts, inst.LaunchBudget.Window/monotime.Second))
+	m.recordEvent(now, inst, eventGivenUp, inst.Cause)
+	m.markInstanceChanged(inst)
+}
+
 // reconcileRunning notifies an instance that is to leave, or that did not become ready in time.
 func (m *Machine) reconcileRunning(now monotime.Micros, inst *Instance) {
 	switch {
 	case inst.NoticeID != "":
 	case !inst.DesiredUp:
-		m.issueAction(now, inst, ActionNotify, "asked for")
+		m.issueAction(now, inst, ActionNotify, causeRequested)
 	case inst.RestartPending:
-		m.issueAction(now, inst, ActionNotify, "to come up again")
+		m.issueAction(now, inst, ActionNotify, causeRestart)
 	case inst.Phase == PhaseStarting && inst.PhaseDeadline != 0 && now >= inst.PhaseDeadline:
-		inst.GiveUpReason = fmt.Sprintf("not ready within %d ms", m.readinessTimeout(inst)/1000)
+		inst.GiveUpReason = fmt.Sprintf("not ready within %d ms", m.readinessTimeout(inst)/monotime.Millisecond)
 		m.issueAction(now, inst, ActionNotify, inst.GiveUpReason)
 	}
 }
+
+// issueAction decides on an action. A launch that adopts no incarnation begins a new one.
+func (m *Machine) issueAction(now monotime.Micros, inst *Instance, kind ActionKind, cause string) {
+	inst.ActionCount++
+	inst.ActionID = fmt.Sprintf("%s.%d", inst.Name, inst.ActionCount)
+	inst.LastAction = kind
+	inst.ActionPending = true
+	inst.NextAttemptAt = now + m.resendPause(0)
+	switch kind {
+	case ActionLaunch:
+		if inst.Incarnation == "" {
+			m.beginIncarnation(now, inst, cause)
+		}
+	case ActionNotify:
+		inst.NoticeID = inst.ActionID
+		inst.NotifiedAt = now
+		inst.PhaseDeadline = m.exitDeadline(now, inst)
+		inst.setPhase(now, PhaseDraining, cause)
+	case ActionKill:
+		inst.KillAttempts++
+		inst.PhaseDeadline = now + m.config.KillDelay*monotime.Micros(min(inst.KillAttempts, maxKillDelayFactor))
+	case ActionAcquireUnit, ActionReleaseUnit: // unit.go issues them; they leave the instance as it is
+	}
+	m.markInstanceChanged(inst)
+	m.emitAction(inst, cause)
+	m.recordEvent(now, inst, string(kind), cause)
+}
+
+// beginIncarnation names the incarnation after the action that launches it.
+func (m *Machine) beginIncarnation(now monotime.Micros, inst *Instance, cause string) {
+	inst.Incarnation = inst.ActionID
+	inst.Invocations = 0
+	inst.Rejected = 0
+	inst.PhaseDeadline = now + m.readinessTimeout(inst)
+	inst.setPhase(now, PhaseStarting, cause)
+}
+
+// resendAction emits the pending action again and puts off the next attempt.
+func (m *Machine) resendAction(now monotime.Micros, inst *Instance) {
+	inst.Attempts++
+	inst.NextAttemptAt = now + m.resendPause(inst.Attempts)
+	m.emitAction(inst, causeResent)
+}
+
+// resendPause returns the pause before the next attempt at an action that was sent again so many times.
+func (m *Machine) resendPause(resends int) monotime.Micros {
+	const firstRetry = 2 // the backoff counts the first attempt as 1
+	return monotime.FromDuration(m.config.ResendBackoff.Pause(firstRetry+resends, m.random))
+}
+
+// emitAction emits the pending action, for the first time or again.
+func (m *Machine) emitAction(inst *Instance, cause string) {
+	m.actions = append(m.actions, Action{
+		Kind:        inst.LastAction,
+		ID:          inst.ActionID,
+		Name:        inst.Name,
+		Incarnation: inst.Incarnation,
+		Adopt:       inst.LastAction == ActionLaunch && inst.Incarnation != inst.ActionID,
+		NotifiedAt:  inst.NotifiedAt,
+		Cause:       cause,
+	})
+}
+
+// exitDeadline returns when an instance that is notified now has to have exited; the agent then kills it.
+func (m *Machine) exitDeadline(now monotime.Micros, inst *Instance) monotime.Micros {
+	return now + inst.shutdown.ExitTimeout + m.config.KillDelay
+}
+
+// readinessTimeout returns how long the instance may take from its launch to ready: the rolling update's value if one
+// restarts it, else its group's.
+func (m *Machine) readinessTimeout(inst *Instance) monotime.Micros {
+	command := m.commands[inst.CommandID]
+	if command != nil && command.Kind == KindRollingUpdate && command.Rollout.ReadyWithin > 0 {
+		return command.Rollout.ReadyWithin
+	}
+	return inst.group.StartWithin
+}
--- a/internal/fleet/rejection_rate.go
+++ b/internal/fleet/rejection_rate.go
@@ -6,24 +6,28 @@
 	"milletbarrow/monotime"
 )
 
-// rejectionRate is the share of invocations that were rejected of late, over all instancer. Older counts lose weight
-// exponentially.
+// rejectionRate is the share of recent invocations that were rejected, over all instances of the host. Older counts
+// lose weight exponentially.
 type rejectionRate struct {
-	at                    monotime.Micros
-	invocations, rejected float64
+	at          monotime.Micros // when the counts were last decayed
+	invocations float64         // decayed count
+	rejected    float64         // decayed count; at most invocations
 }
 
 const (
-	rejectionDecay = 2_000_000 // microseconds in which a count loses weight by a factor of e
-	minInvocations = 20        // fewer give no share
+	rejectionDecay = 2 * monotime.Second // a count loses weight by a factor of e in this time
+	minInvocations = 20                  // below this decayed count the share is not known
 )
 
 // decay ages the counts to now.
 func (r *rejectionRate) decay(now monotime.Micros) {
-	if now > r.at {
-		keep := math.Exp(-float64(now-r.at) / rejectionDecay)
-		r.invocations, r.rejected, r.at = r.invocations*keep, r.rejected*keep, now
+	if now <= r.at {
+		return
 	}
+	kept := math.Exp(-float64(now-r.at) / float64(rejectionDecay))
+	r.invocations *= kept
+	r.rejected *= kept
+	r.at = now
 }
 
 // add counts invocations and those of them that were rejected.
@@ -33,9 +37,10 @@
 	r.rejected += float64(rejected)
 }
 
-// share is the share of rejections, 0 to 1; ok is false while too little was counted to tell.
-func (r *rejectionRate) share(now monotime.Micros) (share float64, ok bool) {
-	if r.decay(now); r.invocations < minInvocations {
+// share returns the share of rejections, 0 to 1. known is false while fewer than minInvocations are counted.
+func (r *rejectionRate) share(now monotime.Micros) (share float64, known bool) {
+	r.decay(now)
+	if r.invocations < minInvocations {
 		return 0, false
 	}
 	return min(1, r.rejected/r.invocations), true
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -4,9 +4,9 @@
 	"milletbarrow/monotime"
 )
 
-// silencePatience is how many polls in a row a supervisor may leave unanswered before its silence counts: one that is
-// just starting or ending answers none.
-const silencePatience = 8
+// maxMissedPolls is the number of missed polls in a row from which a supervisor's silence counts. A supervisor that is
+// starting or ending answers none.
+const maxMissedPolls = 8
 
 // RecordState says what an agent found where a supervisor writes its record.
 type RecordState int
@@ -53,34 +53,42 @@
 }
 
 // Interpret says what a supervisor's silence means. It is a pure function of what the agent found. A recorded end
-// counts at once; everything else has to be seen silencePatience times in a row. What can't be read or does not
-// answer is PhaseUnknown, which is not PhaseExited.
+// counts at once; any other verdict takes maxMissedPolls missed polls in a row. An incarnation whose record can't be
+// read, or whose supervisor runs without answering, is PhaseUnknown, which is not PhaseExited.
 func (s SupervisorSilence) Interpret() SilenceVerdict {
 	recorded := s.Record.State == RecordRead && s.Record.Incarnation == s.Incarnation
 	if recorded && s.Record.Ended {
-		return SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-			Incarnation: s.Incarnation, Phase: PhaseExited, Exit: s.Record.Exit, NoticeID: s.Record.NoticeID,
-		}}
+		return s.verdict(Observation{Phase: PhaseExited, Exit: s.Record.Exit, NoticeID: s.Record.NoticeID})
 	}
-	if s.MissedPolls < silencePatience {
+	if s.MissedPolls < maxMissedPolls {
 		return SilenceVerdict{Recorded: true}
 	}
 	if s.Record.State == RecordUnreadable {
-		return SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-			Incarnation: s.Incarnation, Phase: PhaseUnknown, Cause: s.Record.Cause,
-		}}
+		return s.verdict(Observation{Phase: PhaseUnknown, Cause: s.Record.Cause})
 	}
 	if !recorded {
-		return SilenceVerdict{Decided: true, Observation: Observation{Incarnation: s.Incarnation, Phase: PhaseExited, Exit: Exit{Unobserved: true}}}
+		unrecorded := s.verdict(Observation{Phase: PhaseExited, Exit: Exit{Unobserved: true}})
+		unrecorded.Recorded = false
+		return unrecorded
 	}
-	observation := Observation{Incarnation: s.Incarnation, NoticeID: s.Record.NoticeID}
+	observation := Observation{NoticeID: s.Record.NoticeID}
 	switch {
 	case s.Record.SupervisorAlive:
-		observation.Phase, observation.Cause = PhaseUnknown, "its keeper does not answer"
+		observation.Phase = PhaseUnknown
+		observation.Cause = causeSupervisorMute
 	case s.Record.InstanceAlive:
-		observation.Phase, observation.Cause, observation.Orphaned = PhaseUnknown, "its keeper is gone", true
+		observation.Phase = PhaseUnknown
+		observation.Cause = causeSupervisorGone
+		observation.Orphaned = true
 	default:
-		observation.Phase, observation.Exit = PhaseExited, Exit{Unobserved: true}
+		observation.Phase = PhaseExited
+		observation.Exit = Exit{Unobserved: true}
 	}
-	return SilenceVerdict{Decided: true, Recorded: true, Observation: observation}
+	return s.verdict(observation)
+}
+
+// verdict returns a decided verdict about the incarnation that was polled.
+func (s SupervisorSilence) verdict(observation Observation) SilenceVerdict {
+	observation.Incarnation = s.Incarnation
+	return SilenceVerdict{Decided: true, Observation: observation, Recorded: true}
 }
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -27,28 +27,28 @@
 		{"a recorded end counts although the processes run", 9,
 			record(func(r *SupervisorRecord) { r.Ended, r.Exit, r.SupervisorAlive, r.InstanceAlive = true, end, true, true }),
 			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: end, NoticeID: "a.2"}}},
-		{"the end of an earlier incarnation is none of this one", silencePatience - 1,
+		{"the end of an earlier incarnation is none of this one", maxMissedPolls - 1,
 			record(func(r *SupervisorRecord) { r.Incarnation, r.Ended = "a.0", true }),
 			SilenceVerdict{Recorded: true}},
-		{"no record, too early", silencePatience - 1, SupervisorRecord{}, SilenceVerdict{Recorded: true}},
-		{"a dead supervisor, too early", silencePatience - 1,
+		{"no record, too early", maxMissedPolls - 1, SupervisorRecord{}, SilenceVerdict{Recorded: true}},
+		{"a dead supervisor, too early", maxMissedPolls - 1,
 			record(func(r *SupervisorRecord) { r.InstanceAlive = true }), SilenceVerdict{Recorded: true}},
-		{"no record", silencePatience, SupervisorRecord{}, SilenceVerdict{Decided: true, Observation: unseen}},
-		{"the record of an earlier incarnation", silencePatience,
+		{"no record", maxMissedPolls, SupervisorRecord{}, SilenceVerdict{Decided: true, Observation: unseen}},
+		{"the record of an earlier incarnation", maxMissedPolls,
 			record(func(r *SupervisorRecord) { r.Incarnation, r.Ended, r.SupervisorAlive = "a.0", true, true }),
 			SilenceVerdict{Decided: true, Observation: unseen}},
-		{"an unreadable record proves nothing", silencePatience,
+		{"an unreadable record proves nothing", maxMissedPolls,
 			SupervisorRecord{State: RecordUnreadable, Cause: "permission denied"},
 			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "permission denied"}}},
-		{"a supervisor that hangs", silencePatience,
+		{"a supervisor that hangs", maxMissedPolls,
 			record(func(r *SupervisorRecord) { r.SupervisorAlive, r.InstanceAlive = true, true }),
 			SilenceVerdict{Decided: true, Recorded: true,
 				Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper does not answer", NoticeID: "a.2"}}},
-		{"a supervisor that died", silencePatience,
+		{"a supervisor that died", maxMissedPolls,
 			record(func(r *SupervisorRecord) { r.InstanceAlive = true }),
 			SilenceVerdict{Decided: true, Recorded: true,
 				Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper is gone", Orphaned: true, NoticeID: "a.2"}}},
-		{"both died", silencePatience, record(func(*SupervisorRecord) {}),
+		{"both died", maxMissedPolls, record(func(*SupervisorRecord) {}),
 			SilenceVerdict{Decided: true, Recorded: true,
 				Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}, NoticeID: "a.2"}}},
 	} {
@@ -65,7 +65,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		s := SupervisorSilence{
-			Incarnation: "a.1", MissedPolls: rapid.IntRange(1, 3*silencePatience).Draw(t, "missed"),
+			Incarnation: "a.1", MissedPolls: rapid.IntRange(1, 3*maxMissedPolls).Draw(t, "missed"),
 			Record: SupervisorRecord{
 				State:       rapid.SampledFrom([]RecordState{RecordMissing, RecordUnreadable, RecordRead}).Draw(t, "state"),
 				Incarnation: rapid.SampledFrom([]string{"a.0", "a.1"}).Draw(t, "run"),
@@ -81,7 +81,7 @@
 		if v.Decided != (v.Observation.Incarnation == s.Incarnation) {
 			t.Fatalf("%+v: %+v", s, v)
 		}
-		if !v.Decided && s.MissedPolls >= silencePatience {
+		if !v.Decided && s.MissedPolls >= maxMissedPolls {
 			t.Fatalf("%+v is never decided", s)
 		}
 	})
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -7,9 +7,6 @@
 	"milletbarrow/monotime"
 )
 
-// notInSpec is the cause of a failure for an instance that a command names and the spec no longer does.
-const notInSpec = "the fleet's file no longer names it"
-
 // Snapshot is the state that the machine needs back after a restart of the agent.
 type Snapshot struct {
 	Instances []Instance `json:"instances"`
@@ -36,34 +33,35 @@
 	return forgotten
 }
 
-// restoreInstance takes back the state of an instance. What its spec says is not taken from the store.
+// restoreInstance takes back the state of an instance. What the spec says about it is not taken from the store.
 func (m *Machine) restoreInstance(now monotime.Micros, inst *Instance, stored Instance, rebooted bool) {
 	fromSpec := *inst
 	*inst = stored
-	inst.Group, inst.Spare = fromSpec.Group, fromSpec.Spare
-	inst.group, inst.shutdown, inst.fileOrder = fromSpec.group, fromSpec.shutdown, fromSpec.fileOrder
-	inst.ReadySince, inst.Invocations = 0, unknownInvocations
+	inst.Group = fromSpec.Group
+	inst.Spare = fromSpec.Spare
+	inst.group = fromSpec.group
+	inst.shutdown = fromSpec.shutdown
+	inst.fileOrder = fromSpec.fileOrder
+	inst.ReadySince = 0
+	inst.Invocations = unknownInvocations
 	switch {
 	case rebooted:
-		inst.clearIncarnation()
-		inst.RestartPending, inst.LaunchesExhausted, inst.LaunchRequested = false, false, true
-		inst.NextAttemptAt, inst.Attempts, inst.LaunchBudget = 0, 0, LaunchBudget{}
-		inst.setPhase(now, PhaseAbsent, "the machine was started anew")
+		inst.resetAfterReboot(now)
 	case inst.Incarnation != "":
-		inst.Phase, inst.PhaseSince, inst.Cause = PhaseUnknown, now, "the agent was started"
-		inst.NextAttemptAt = now // what is pending goes out again at once
+		inst.awaitObservation(now)
 		m.renewPendingDeadline(now, inst)
 	}
 }
 
-// renewPendingDeadline counts the deadline of a launch or a notice that may not have arrived from now on.
+// renewPendingDeadline has the deadline of a launch or a notice that may not have arrived run from now on.
 func (m *Machine) renewPendingDeadline(now monotime.Micros, inst *Instance) {
 	if inst.launchPending() && inst.Incarnation == inst.ActionID {
 		inst.PhaseDeadline = now + m.readinessTimeout(inst)
 		m.markInstanceChanged(inst)
 	}
 	if inst.ActionPending && inst.LastAction == ActionNotify {
-		inst.NotifiedAt, inst.PhaseDeadline = now, now+inst.shutdown.ExitTimeout+m.config.KillDelay
+		inst.NotifiedAt = now
+		inst.PhaseDeadline = m.exitDeadline(now, inst)
 		m.markInstanceChanged(inst)
 	}
 }
@@ -83,9 +81,9 @@
 	for _, name := range command.unresolved() {
 		switch {
 		case m.instances[name] == nil:
-			m.recordResult(now, command, name, OutcomeFailed, notInSpec)
+			m.recordResult(now, command, name, OutcomeFailed, causeNotInSpec)
 		case rebooted:
-			m.recordResult(now, command, name, OutcomeFailed, "the machine was started anew")
+			m.recordResult(now, command, name, OutcomeFailed, causeRebooted)
 		}
 	}
 }
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -29,108 +29,162 @@
 	RequestID string `json:"turn"`
 }
 
-// unitRetryDelay is the time between two calls about one unit, in microseconds: where all units of a quota are held the
-// next is released within seconds.
-const unitRetryDelay = 300_000
-
-// maxRequestGap is how far two unit requests may be apart for the silence after the first to count with the second.
-const maxRequestGap = 10 * unitRetryDelay
+const (
+	// unitRetryDelay is the time between two calls about one unit. When all units of a quota are held, the next is
+	// released within seconds.
+	unitRetryDelay = 300 * monotime.Millisecond
+	// maxUnitRetryJitter is added to it at random for requests, so that hosts do not call together.
+	maxUnitRetryJitter = unitRetryDelay / 2
+	// maxRequestGap is the time between two unit requests up to which the silence after the first counts with the
+	// second.
+	maxRequestGap = 10 * unitRetryDelay
+)
 
-// holdsUnit reports whether an instance holds a unit for a command; else one is requested.
+// holdsUnit reports whether an instance holds a unit for a command, if the command needs one. If it holds none, one is
+// requested.
 func (m *Machine) holdsUnit(now monotime.Micros, command *Command, inst *Instance) bool {
 	if command.Quota == "" || inst.Unit.Held && inst.Unit.CommandID == command.ID {
 		return true
 	}
 	if inst.Unit.RequestID == "" {
-		inst.UnitRequests++
-		inst.Unit = Unit{Quota: command.Quota, RequestID: fmt.Sprintf("%s.%s.%d", command.ID, inst.Name, inst.UnitRequests), CommandID: command.ID, DenialCause: inst.Unit.DenialCause}
-		m.markInstanceChanged(inst)
+		m.newUnitRequest(command, inst)
 	}
 	if !inst.Unit.Held && inst.Unit.CommandID == command.ID && now >= inst.Unit.NextRequestAt {
-		inst.Unit.NextRequestAt = now + unitRetryDelay + monotime.Micros(m.random.Int64N(unitRetryDelay/2))
-		if m.quotaSilentSince == 0 || now-m.lastUnitRequestAt > maxRequestGap { // a silence while nothing was requested says nothing
-			m.quotaSilentSince = now
-		}
-		m.lastUnitRequestAt = now
-		m.actions = append(m.actions, Action{Name: inst.Name, ID: inst.Unit.RequestID, Kind: ActionAcquireUnit, Unit: inst.Unit})
+		m.requestUnit(now, inst)
 	}
 	return false
 }
 
+// newUnitRequest gives an instance a request for a unit with an ID of its own.
+func (m *Machine) newUnitRequest(command *Command, inst *Instance) {
+	inst.UnitRequests++
+	inst.Unit = Unit{
+		Quota:       command.Quota,
+		RequestID:   fmt.Sprintf("%s.%s.%d", command.ID, inst.Name, inst.UnitRequests),
+		CommandID:   command.ID,
+		DenialCause: inst.Unit.DenialCause,
+	}
+	m.markInstanceChanged(inst)
+}
+
+// requestUnit sends the request of an instance to the quota store, for the first time or again.
+func (m *Machine) requestUnit(now monotime.Micros, inst *Instance) {
+	jitter := monotime.Micros(m.random.Int64N(int64(maxUnitRetryJitter)))
+	inst.Unit.NextRequestAt = now + unitRetryDelay + jitter
+	// A silence during which nothing was requested shows nothing about the quota store.
+	if m.quotaSilentSince == 0 || now-m.lastUnitRequestAt > maxRequestGap {
+		m.quotaSilentSince = now
+	}
+	m.lastUnitRequestAt = now
+	m.actions = append(m.actions, Action{
+		Kind: ActionAcquireUnit,
+		ID:   inst.Unit.RequestID,
+		Name: inst.Name,
+		Unit: inst.Unit,
+	})
+}
+
 // unitNeeded reports whether the command still has use for the unit of the instance.
 func (m *Machine) unitNeeded(inst *Instance) bool {
 	command := m.commands[inst.Unit.CommandID]
-	if command == nil || command.Kind != KindRollingUpdate && command.Kind != KindColdStart || !slices.Contains(command.Names, inst.Name) {
+	if command == nil || !command.usesUnits() || !slices.Contains(command.Names, inst.Name) {
 		return false
 	}
-	_, over := command.Results[inst.Name]
-	return !over && (command.State == CommandOpen || command.InProgress[inst.Name])
+	return !command.hasResult(inst.Name) && (command.State == CommandOpen || command.InProgress[inst.Name])
 }
 
-// backInService reports whether an instance serves again, or is down as desired.
-func (inst *Instance) backInService(now monotime.Micros) bool {
-	return inst.available(now) || !inst.DesiredUp && inst.Phase.Down()
-}
+// usesUnits reports whether the instances of the command may hold units of a quota.
+func (c *Command) usesUnits() bool { return c.Kind == KindRollingUpdate || c.Kind == KindColdStart }
 
 // returnUnit releases a unit that is of no more use.
 func (m *Machine) returnUnit(now monotime.Micros, inst *Instance) {
-	u := &inst.Unit
-	switch {
-	case u.RequestID == "" || m.unitNeeded(inst):
-	case !u.Held && !u.Standalone: // if it is granted all the same, the store's list shows it
-		*u = Unit{}
+	unit := &inst.Unit
+	if unit.RequestID == "" || m.unitNeeded(inst) {
+		return
+	}
+	if !unit.Held && !unit.Standalone { // if it is granted after all, the quota store's list shows it
+		*unit = Unit{}
 		m.markInstanceChanged(inst)
-	case (inst.backInService(now) || u.StartedAt > 0 && inst.LaunchesExhausted) && now >= u.NextRequestAt:
-		u.NextRequestAt = now + unitRetryDelay
-		m.actions = append(m.actions, Action{Name: inst.Name, ID: u.RequestID, Kind: ActionReleaseUnit, Unit: *u, StartResult: inst.startResult(now)})
+		return
+	}
+	startFailed := unit.StartedAt > 0 && inst.LaunchesExhausted
+	if (inst.backInService(now) || startFailed) && now >= unit.NextRequestAt {
+		unit.NextRequestAt = now + unitRetryDelay
+		m.releaseUnit(now, inst, *unit)
 	}
 }
 
-// handleUnitAcquired takes in the answer to a unit request.
-func (m *Machine) handleUnitAcquired(now monotime.Micros, inst *Instance, e UnitAcquired) {
-	u := &inst.Unit
+// releaseUnit sends the release of a unit to the quota store.
+func (m *Machine) releaseUnit(now monotime.Micros, inst *Instance, unit Unit) {
+	m.actions = append(m.actions, Action{
+		Kind:        ActionReleaseUnit,
+		ID:          unit.RequestID,
+		Name:        inst.Name,
+		Unit:        unit,
+		StartResult: inst.startResult(now),
+	})
+}
+
+// handleUnitAcquired applies the answer to a unit request.
+func (m *Machine) handleUnitAcquired(now monotime.Micros, inst *Instance, answer UnitAcquired) {
+	unit := &inst.Unit
 	m.quotaSilentSince = 0
 	switch {
-	case u.RequestID != e.RequestID:
-		if e.Granted {
-			m.returnStrayUnit(now, inst, e.HeldUnit)
+	case unit.RequestID != answer.RequestID:
+		if answer.Granted {
+			m.returnStrayUnit(now, inst, answer.HeldUnit)
 		}
-	case u.Standalone: // the start began meanwhile
-		u.Held = e.Granted
-	case e.Granted:
-		u.Held, u.NextRequestAt, u.DenialCause = true, now, ""
-		m.recordEvent(now, inst, "unit taken", u.Quota)
-	default: // the next attempt gets an ID of its own: this one may be in a call that has yet to arrive
-		if u.DenialCause != e.Cause {
-			m.recordEvent(now, inst, "waits for a unit", u.Quota+": "+e.Cause)
+	case unit.Standalone: // the start began meanwhile
+		unit.Held = answer.Granted
+	case answer.Granted:
+		unit.grant(now)
+		m.recordEvent(now, inst, eventUnitAcquired, unit.Quota)
+	default:
+		if unit.DenialCause != answer.Cause {
+			m.recordEvent(now, inst, eventUnitDenied, unit.Quota+": "+answer.Cause)
 		}
-		*u = Unit{NextRequestAt: u.NextRequestAt, DenialCause: e.Cause}
+		unit.deny(answer.Cause)
 	}
 	m.markInstanceChanged(inst)
 }
 
+// grant marks a requested unit as held.
+func (u *Unit) grant(now monotime.Micros) {
+	u.Held = true
+	u.NextRequestAt = now
+	u.DenialCause = ""
+}
+
+// deny forgets a request. The next attempt gets an ID of its own, as another call with this ID may yet arrive.
+func (u *Unit) deny(cause string) {
+	*u = Unit{NextRequestAt: u.NextRequestAt, DenialCause: cause}
+}
+
 // returnStrayUnit releases a unit held for a request that nobody remembers, once the instance is back in service.
-func (m *Machine) returnStrayUnit(now monotime.Micros, inst *Instance, h HeldUnit) {
+func (m *Machine) returnStrayUnit(now monotime.Micros, inst *Instance, stray HeldUnit) {
 	if inst.backInService(now) {
-		m.actions = append(m.actions, Action{Name: inst.Name, ID: h.RequestID, Kind: ActionReleaseUnit, Unit: Unit{Quota: h.Quota, RequestID: h.RequestID, Held: true}, StartResult: inst.startResult(now)})
+		m.releaseUnit(now, inst, Unit{Quota: stray.Quota, RequestID: stray.RequestID, Held: true})
 	}
 }
 
-// handleUnitReleased takes in that a unit is back at the quota store. Another request may have begun meanwhile.
-func (m *Machine) handleUnitReleased(now monotime.Micros, e UnitReleased) {
+// handleUnitReleased applies that the quota store has a unit back. Another request may have begun meanwhile.
+func (m *Machine) handleUnitReleased(now monotime.Micros, released UnitReleased) {
 	m.quotaSilentSince = 0
-	if inst := m.instances[e.Name]; inst != nil && inst.Unit.RequestID == e.RequestID {
-		inst.Unit = Unit{}
-		m.recordEvent(now, inst, "unit given back", "")
-		m.markInstanceChanged(inst)
+	inst := m.instances[released.Name]
+	if inst == nil || inst.Unit.RequestID != released.RequestID {
+		return
 	}
+	inst.Unit = Unit{}
+	m.recordEvent(now, inst, eventUnitReleased, "")
+	m.markInstanceChanged(inst)
 }
 
 // handleUnitsListed releases the units that the quota store lists and no instance remembers.
-func (m *Machine) handleUnitsListed(now monotime.Micros, e UnitsListed) {
-	for _, h := range e.Units {
-		if inst := m.instances[h.Name]; inst != nil && inst.Unit.RequestID != h.RequestID {
-			m.returnStrayUnit(now, inst, h)
+func (m *Machine) handleUnitsListed(now monotime.Micros, listed UnitsListed) {
+	for _, held := range listed.Units {
+		inst := m.instances[held.Name]
+		if inst != nil && inst.Unit.RequestID != held.RequestID {
+			m.returnStrayUnit(now, inst, held)
 		}
 	}
 }
