--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -10,33 +10,54 @@
 	"milletbarrow/monotime"
 )
 
-// RollingUpdateConfig says how a rolling update goes.
+// RollingUpdateConfig sets the bounds of a rolling update.
 type RollingUpdateConfig struct {
 	MaxInProgress      int             `json:"width"`        // instances in progress at once, 1 or more
-	MinReady           int             `json:"least_count"`  // instances ready in each group, at all times
-	MinReadyShare      float64         `json:"least_share"`  // and of those that are desired up, 0 to 1
+	MinReady           int             `json:"least_count"`  // instances ready in each group at all times; 0: no bound
+	MinReadyShare      float64         `json:"least_share"`  // of those desired up in each group, 0 to 1; 0: no bound
 	Order              string          `json:"order"`        // OrderFile, OrderName or OrderSpread
-	Surge              int             `json:"surge"`        // spares of each group that are ready before the first instance leaves
-	MaxFailures        int             `json:"failures"`     // more than so many pause the update
-	ReadyWithin        monotime.Micros `json:"ready_within"` // time from launch to ready; 0: the group's
-	StallTimeout       monotime.Micros `json:"stall"`        // blocked for so long, the update pauses and says why
-	MaxRejectedShare   float64         `json:"turned_away"`  // share of rejected invocations that pauses it; 1: never
-	RejectionTolerance monotime.Micros `json:"turned_for"`   // if it lasts so long
+	Surge              int             `json:"surge"`        // spares of each group ready before an instance leaves
+	MaxFailures        int             `json:"failures"`     // failed instances; more pause the update
+	ReadyWithin        monotime.Micros `json:"ready_within"` // from launch to ready; 0: the group's StartWithin
+	StallTimeout       monotime.Micros `json:"stall"`        // blocked for so long, the update pauses; above 0
+	MaxRejectedShare   float64         `json:"turned_away"`  // share of rejected invocations, above 0; 1: no bound
+	RejectionTolerance monotime.Micros `json:"turned_for"`   // a greater share for so long pauses the update
 }
 
-// DefaultRollingUpdate is a careful update: one instance at a time, three quarters ready, no failure.
+// The orders of a rolling update.
+const (
+	OrderFile   = "file"   // as the fleet's file lists the instances
+	OrderName   = "name"   // by name
+	OrderSpread = "spread" // one instance of each group in turn
+)
+
+// Values of a careful update.
+const (
+	defaultMinReadyShare      = 0.75
+	defaultStallTimeout       = time.Minute
+	defaultRejectionTolerance = 5 * time.Second
+)
+
+// maxRolloutCount bounds the counts of a rolling update.
+const maxRolloutCount = 10_000
+
+// DefaultRollingUpdate returns a careful update: one instance at a time, three quarters ready, no failure.
 func DefaultRollingUpdate() RollingUpdateConfig {
 	return RollingUpdateConfig{
-		MaxInProgress: 1, MinReadyShare: 0.75, Order: OrderFile, StallTimeout: monotime.FromDuration(time.Minute), MaxRejectedShare: 1,
-		RejectionTolerance: monotime.FromDuration(5 * time.Second),
+		MaxInProgress:      1,
+		MinReadyShare:      defaultMinReadyShare,
+		Order:              OrderFile,
+		StallTimeout:       monotime.FromDuration(defaultStallTimeout),
+		MaxRejectedShare:   1,
+		RejectionTolerance: monotime.FromDuration(defaultRejectionTolerance),
 	}
 }
 
-// Check reports what makes a configuration unusable. Errors are *FieldError.
+// Check returns a *FieldError for the first field that can't be used.
 func (w RollingUpdateConfig) Check() error {
 	switch {
-	case w.MaxInProgress < 1 || w.MaxInProgress > 10_000:
-		return fieldErrorf("width", "%d is not from 1 to 10000", w.MaxInProgress)
+	case w.MaxInProgress < 1 || w.MaxInProgress > maxRolloutCount:
+		return fieldErrorf("width", "%d is not from 1 to %d", w.MaxInProgress, maxRolloutCount)
 	case w.MinReady < 0:
 		return fieldErrorf("least_count", "%d is below 0", w.MinReady)
 	case !isShare(w.MinReadyShare):
@@ -44,68 +65,66 @@
 	case !slices.Contains([]string{OrderFile, OrderName, OrderSpread}, w.Order):
 		return fieldErrorf("order", "%q is none of file, name, spread", w.Order)
 	case w.Surge < 0 || w.MaxFailures < 0 || w.ReadyWithin < 0 || w.StallTimeout <= 0 || w.RejectionTolerance < 0:
-		return fieldErrorf("surge, failures and times", "{Width:%d LeastCount:%d LeastShare:%v Order:%s Surge:%d Failures:%d ReadyWithin:%d "+
-			"Stall:%d TurnedAway:%v TurnedFor:%d} holds one below 0, or no stall",
-			w.MaxInProgress, w.MinReady, w.MinReadyShare, w.Order, w.Surge, w.MaxFailures, w.ReadyWithin, w.StallTimeout, w.MaxRejectedShare, w.RejectionTolerance)
+		return fieldErrorf("surge, failures and times",
+			"{Width:%d LeastCount:%d LeastShare:%v Order:%s Surge:%d Failures:%d ReadyWithin:%d "+
+				"Stall:%d TurnedAway:%v TurnedFor:%d} holds one below 0, or no stall",
+			w.MaxInProgress, w.MinReady, w.MinReadyShare, w.Order, w.Surge, w.MaxFailures, w.ReadyWithin,
+			w.StallTimeout, w.MaxRejectedShare, w.RejectionTolerance)
 	case !isShare(w.MaxRejectedShare) || w.MaxRejectedShare == 0:
 		return fieldErrorf("turned_away", "%v is not above 0 and at most 1", w.MaxRejectedShare)
 	}
 	return nil
 }
 
-// minReady is how many of a group must stay ready if so many are desired up.
-func (w RollingUpdateConfig) minReady(up int) int {
-	return max(w.MinReady, int(math.Ceil(w.MinReadyShare*float64(up)-1e-9)))
+// minReady returns how many instances of a group must stay ready if so many are desired up.
+func (w RollingUpdateConfig) minReady(desiredUp int) int {
+	const roundingError = 1e-9 // a product such as 0.07*100 may exceed the whole number by so much
+	return max(w.MinReady, int(math.Ceil(w.MinReadyShare*float64(desiredUp)-roundingError)))
 }
 
 // isShare reports whether x is from 0 to 1; NaN is not.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
-// The orders of a rolling update.
-const (
-	OrderFile   = "file"   // as the fleet's file lists the instances
-	OrderName   = "name"   // by name
-	OrderSpread = "spread" // one instance of each group in turn
-)
-
-// readRollingUpdate reads the (wave ...) form; what it lacks stays as in w.
-func readRollingUpdate(f *sexpr.Form, w RollingUpdateConfig) RollingUpdateConfig {
-	const many = 10_000
-	span := func(name string, or monotime.Micros) monotime.Micros {
-		return monotime.FromDuration(f.Span(name, 0, maxSpan, time.Duration(or)*time.Microsecond))
+// readRollingUpdate reads the (wave ...) form; a field that it lacks stays as in config.
+func readRollingUpdate(f *sexpr.Form, config RollingUpdateConfig) RollingUpdateConfig {
+	span := func(name string, missing monotime.Micros) monotime.Micros {
+		return monotime.FromDuration(f.Span(name, 0, maxSpan, missing.Duration()))
 	}
-	w.MaxInProgress = f.Int("width", 1, many, w.MaxInProgress)
-	w.MinReady = f.Int("least-count", 0, many, w.MinReady)
-	w.MinReadyShare = f.Share("least-share", 0, 1, w.MinReadyShare)
-	w.Order = f.OneOf("order", OrderFile, OrderName, OrderSpread)
-	w.Surge = f.Int("surge", 0, many, w.Surge)
-	w.MaxFailures = f.Int("failures", 0, many, w.MaxFailures)
-	w.ReadyWithin, w.StallTimeout, w.RejectionTolerance = span("ready-within", 0), span("stall", w.StallTimeout), span("turned-for", w.RejectionTolerance)
-	w.MaxRejectedShare = f.Share("turned-away", 0, 1, w.MaxRejectedShare)
+	config.MaxInProgress = f.Int("width", 1, maxRolloutCount, config.MaxInProgress)
+	config.MinReady = f.Int("least-count", 0, maxRolloutCount, config.MinReady)
+	config.MinReadyShare = f.Share("least-share", 0, 1, config.MinReadyShare)
+	config.Order = f.OneOf("order", OrderFile, OrderName, OrderSpread)
+	config.Surge = f.Int("surge", 0, maxRolloutCount, config.Surge)
+	config.MaxFailures = f.Int("failures", 0, maxRolloutCount, config.MaxFailures)
+	config.ReadyWithin = span("ready-within", 0)
+	config.StallTimeout = span("stall", config.StallTimeout)
+	config.RejectionTolerance = span("turned-for", config.RejectionTolerance)
+	config.MaxRejectedShare = f.Share("turned-away", 0, 1, config.MaxRejectedShare)
 	f.Done()
-	if err := w.Check(); err != nil {
+	if err := config.Check(); err != nil {
 		f.Fail("", "%v", err)
 	}
-	return w
+	return config
 }
 
-// rolloutOrder puts names in the order of a rolling update; place is the place of each in the file.
-func rolloutOrder(order string, names []string, place func(string) int, group func(string) string) []string {
-	byFile := func(a, b string) int { return cmp.Compare(place(a), place(b)) }
-	out := slices.Clone(names)
+// rolloutOrder returns names in the order of a rolling update; fileOrder gives the position of an instance in the file.
+func rolloutOrder(order string, names []string, fileOrder func(string) int, group func(string) string) []string {
+	byFile := func(a, b string) int { return cmp.Compare(fileOrder(a), fileOrder(b)) }
+	ordered := slices.Clone(names)
 	switch order {
 	case OrderName:
-		slices.Sort(out)
+		slices.Sort(ordered)
 	case OrderSpread:
-		slices.SortFunc(out, byFile)
-		seen, turn := map[string]int{}, map[string]int{}
-		for _, n := range out {
-			turn[n] = seen[group(n)]
-			seen[group(n)]++
+		slices.SortFunc(ordered, byFile)
+		seen := map[string]int{}     // by group
+		position := map[string]int{} // in its group, by instance
+		for _, name := range ordered {
+			position[name] = seen[group(name)]
+			seen[group(name)]++
 		}
-		slices.SortStableFunc(out, func(a, b string) int { return cmp.Compare(turn[a], turn[b]) })
+		slices.SortStableFunc(ordered, func(a, b string) int { return cmp.Compare(position[a], position[b]) })
 	default:
-		slices.SortFunc(out, byFile)
+		slices.SortFunc(ordered, byFile)
 	}
-	return out
+	return ordered
 }
--- a/internal/fleet/selection.go
+++ b/internal/fleet/selection.go
@@ -1,54 +1,88 @@
 package fleet
 
-import (
-	"slices"
-)
+import "slices"
 
-// Selection names instances: those that match any of the lists. All stands for all but spares.
+// Selection names instances: those that match any of the lists.
 type Selection struct {
-	All    bool     `json:"all,omitempty"`
+	All    bool     `json:"all,omitempty"` // all instances but spares
 	Names  []string `json:"names,omitempty"`
 	Groups []string `json:"groups,omitempty"`
 	Labels []string `json:"labels,omitempty"`
 	Hosts  []string `json:"hosts,omitempty"`
 }
 
-// Empty reports whether it asks for nothing.
+// Kinds of the words of a selection, as SelectionError names them.
+const (
+	selectInstance = "instance"
+	selectGroup    = "group"
+	selectLabel    = "label"
+	selectHost     = "host"
+)
+
+// selector is one word of a selection.
+type selector struct {
+	kind string
+	word string
+}
+
+// matches reports whether an instance has the name, the group, the label or the host.
+func (s selector) matches(inst *InstanceSpec) bool {
+	switch s.kind {
+	case selectInstance:
+		return inst.Name == s.word
+	case selectGroup:
+		return inst.Group == s.word
+	case selectLabel:
+		return slices.Contains(inst.Labels, s.word)
+	default:
+		return inst.Host == s.word
+	}
+}
+
+// Empty reports whether the selection names nothing.
 func (q Selection) Empty() bool {
-	return !q.All && len(q.Names)+len(q.Groups)+len(q.Labels)+len(q.Hosts) == 0
+	return !q.All && len(q.selectors()) == 0
+}
+
+// selectors lists the words of the selection.
+func (q Selection) selectors() (all []selector) {
+	add := func(kind string, words []string) {
+		for _, word := range words {
+			all = append(all, selector{kind, word})
+		}
+	}
+	add(selectInstance, q.Names)
+	add(selectGroup, q.Groups)
+	add(selectLabel, q.Labels)
+	add(selectHost, q.Hosts)
+	return all
 }
 
-// Select lists what the selection names, in the file's order, each once. Errors are ErrEmptySelection
-// and, for a word that matches nothing, *SelectionError: a misspelt name must not pass for done.
+// Select lists what the selection names, in the file's order, each once. A spare is selected by its name alone. The
+// error is ErrEmptySelection or, for a word that matches nothing, a *SelectionError, so that a misspelt name is
+// noticed.
 func (s *Spec) Select(q Selection) ([]*InstanceSpec, error) {
 	if q.Empty() {
 		return nil, ErrEmptySelection
 	}
-	met := map[string]bool{}
+	selectors := q.selectors()
+	matched := map[selector]bool{}
 	var found []*InstanceSpec
 	for _, inst := range s.InstancesOn("") {
-		match := q.All && !inst.Spare
-		hit := func(kind string, wanted []string, has ...string) {
-			for _, h := range has {
-				if slices.Contains(wanted, h) {
-					met[kind+" "+h] = true
-					match = match || !inst.Spare || kind == "instance"
-				}
+		selected := q.All && !inst.Spare
+		for _, one := range selectors {
+			if one.matches(inst) {
+				matched[one] = true
+				selected = selected || !inst.Spare || one.kind == selectInstance
 			}
 		}
-		hit("instance", q.Names, inst.Name)
-		hit("group", q.Groups, inst.Group)
-		hit("label", q.Labels, inst.Labels...)
-		hit("host", q.Hosts, inst.Host)
-		if match {
+		if selected {
 			found = append(found, inst)
 		}
 	}
-	for kind, words := range map[string][]string{"instance": q.Names, "group": q.Groups, "label": q.Labels, "host": q.Hosts} {
-		for _, w := range words {
-			if !met[kind+" "+w] {
-				return nil, &SelectionError{Kind: kind, Word: w, Fleet: s.Name}
-			}
+	for _, one := range selectors {
+		if !matched[one] {
+			return nil, &SelectionError{Kind: one.kind, Word: one.word, Fleet: s.Name}
 		}
 	}
 	return found, nil
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -1,8 +1,3 @@
-// Package fleet is a pure state machine of instances, commands, rolling updates and cold starts. It does no I/O and holds
-// no clock: events and the time go into Machine.Decide, actions to carry out come out. Commands set the desired state of
-// an instance, observations its observed one, and reconciliation issues the actions that bring the second to the first.
-// What a restart of the agent must not lose comes out of Machine.Changes, which the agent stores before it carries any
-// action out, and goes back in by Machine.Restore.
 package fleet
 
 import (
@@ -20,46 +15,53 @@
 	Program            []string // command that starts an instance; serve and its flags are appended. Empty: this program
 	Hosts              []HostSpec
 	Groups             []GroupSpec
-	RollingUpdate      RollingUpdateConfig `json:"Wave"`       // what a rolling update has if its command does not say
-	RollingUpdateQuota string              `json:"WaveBudget"` // the quota of which each instance in progress of a rolling update holds a unit; empty: none
-	ColdStart          *coldstart.Config   `json:"Rise"`       // nil: no cold start can be asked for
-	ColdStartQuota     string              `json:"RiseBudget"` // the quota of which each instance of a cold start holds a unit until it is settled
+	RollingUpdate      RollingUpdateConfig `json:"Wave"`       // of a rolling update whose command has none of its own
+	RollingUpdateQuota string              `json:"WaveBudget"` // each instance in progress holds a unit of it; empty: none
+	ColdStart          *coldstart.Config   `json:"Rise"`       // nil: a cold start is rejected
+	ColdStartQuota     string              `json:"RiseBudget"` // each instance holds a unit of it until it is settled
 	Quotas             *quota.Config       `json:"Budgets"`    // nil: no quotas are shared
 	QuotaHosts         []string            `json:"Ledger"`     // hosts whose agents keep the quota store
-	instances          map[string]*InstanceSpec
+
+	instances map[string]*InstanceSpec // by instance name
 }
 
 // HostSpec is a machine with an agent.
 type HostSpec struct {
 	Name         string
 	AgentAddress string `json:"Agent"` // unix:PATH or loopback ADDRESS:PORT
-	PeerAddress  string `json:"Peer"`  // loopback ADDRESS:PORT for the agents of other hosts; empty: the agent talks to none
+	PeerAddress  string `json:"Peer"`  // loopback ADDRESS:PORT for other hosts' agents; empty: the agent has no peers
 }
 
-// GroupSpec is a set of instances that serve the same, on one host.
+// GroupSpec is a set of instances on one host that serve the same requests.
 type GroupSpec struct {
-	Name, Host      string
-	StartWithin     monotime.Micros // from its start to ready
-	Settle          monotime.Micros // ready for so long before the instance counts as available: caches warm up, endpoint lists follow
-	MaxLaunches     int             `json:"Launches"` // at most so many by itself within LaunchWindow, then it stays failed
+	Name        string
+	Host        string
+	StartWithin monotime.Micros // from an instance's launch to ready
+	// Settle is the time for which an instance has to be ready before it counts as available: caches warm up and
+	// endpoint lists are updated meanwhile.
+	Settle          monotime.Micros
+	MaxLaunches     int             `json:"Launches"` // within LaunchWindow without a command; then the instance stays failed
 	LaunchWindow    monotime.Micros `json:"Within"`
 	Labels          []string
-	DegradationFile string   `json:"Levels"` // the degradation policy's file; empty: none
+	DegradationFile string   `json:"Levels"` // path of the degradation policy; empty: none
 	Instances       []string // in the file's order, spares last
 }
 
 // InstanceSpec is one instance.
 type InstanceSpec struct {
-	Name, Host, Group, ConfigFile string
-	DegradationFile               string `json:"Levels"`
-	Spare                         bool   // runs only while a rolling update with surge needs it
-	Labels                        []string
+	Name            string
+	Host            string
+	Group           string
+	ConfigFile      string
+	DegradationFile string `json:"Levels"` // path of the degradation policy; empty: none
+	Spare           bool   // runs only while a rolling update with surge needs it
+	Labels          []string
 }
 
-// Instance is the instance of that name, or nil.
+// Instance returns the instance of that name, or nil.
 func (s *Spec) Instance(name string) *InstanceSpec { return s.instances[name] }
 
-// Group is the group of that name, or nil.
+// Group returns the group of that name, or nil.
 func (s *Spec) Group(name string) *GroupSpec {
 	for i := range s.Groups {
 		if s.Groups[i].Name == name {
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// Host is the host of that name, or nil.
+// Host returns the host of that name, or nil.
 func (s *Spec) Host(name string) *HostSpec {
 	for i := range s.Hosts {
 		if s.Hosts[i].Name == name {
@@ -81,11 +83,12 @@
 
 // InstancesOn lists a host's instances in the file's order; those of all hosts if host is empty.
 func (s *Spec) InstancesOn(host string) (all []*InstanceSpec) {
-	for _, g := range s.Groups {
-		for _, name := range g.Instances {
-			if host == "" || g.Host == host {
-				all = append(all, s.instances[name])
-			}
+	for _, group := range s.Groups {
+		if host != "" && group.Host != host {
+			continue
+		}
+		for _, name := range group.Instances {
+			all = append(all, s.instances[name])
 		}
 	}
 	return all
--- /dev/null
+++ b/internal/fleet/spec_group.go
@@ -0,0 +1,131 @@
+package fleet
+
+import (
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+
+	"milletbarrow/internal/sexpr"
+	"milletbarrow/monotime"
+)
+
+// Values of a group whose (group ...) form does not set them.
+const (
+	defaultStartWithin  = 30 * time.Second
+	defaultSettle       = time.Second
+	defaultMaxLaunches  = 3
+	defaultLaunchWindow = time.Minute
+)
+
+const (
+	maxLaunchesLimit = 1000   // bound of (restart (most N))
+	maxRange         = 10_000 // bound of the instances of one range
+
+	namePlaceholder = "%n" // stands for the instance's name in a configuration's path
+)
+
+// readGroup reads a (group ...) form; dir is the directory at which relative paths start.
+func (r *specReader) readGroup(f *sexpr.Form, dir string) {
+	r.attribute(SpecSubject{})
+	group := GroupSpec{
+		Name:         readName(f),
+		Host:         f.Text("host", ""),
+		Labels:       f.Words("labels"),
+		StartWithin:  monotime.FromDuration(f.Span("start-within", minSpan, maxSpan, defaultStartWithin)),
+		Settle:       monotime.FromDuration(f.Span("settle", 0, maxSpan, defaultSettle)),
+		MaxLaunches:  defaultMaxLaunches,
+		LaunchWindow: monotime.FromDuration(defaultLaunchWindow),
+	}
+	if restart := f.Field("restart"); restart != nil {
+		group.MaxLaunches = restart.Int("most", 0, maxLaunchesLimit, group.MaxLaunches)
+		group.LaunchWindow = monotime.FromDuration(restart.Span("within", minSpan, maxSpan, defaultLaunchWindow))
+		restart.Done()
+	}
+	if group.Host == "" && len(r.Hosts) == 1 {
+		group.Host = r.Hosts[0].Name
+	}
+	if r.Host(group.Host) == nil {
+		f.Fail("host", "%q is no host of this file", group.Host)
+	}
+	if r.Group(group.Name) != nil {
+		f.Fail("", "group %q stands twice", group.Name)
+	}
+	config := absolutePath(dir, f.Text("config", ""))
+	if config == "" {
+		f.Fail("config", "missing: the configuration's path, with %%n for the instance's name")
+	}
+	group.DegradationFile = absolutePath(dir, f.Text("levels", ""))
+	names := append(f.Words("instances"), readRange(f)...)
+	if len(names) > 1 && config != "" && !strings.Contains(config, namePlaceholder) {
+		f.Fail("config", "found %q for %d instances, wanted %%n in it", config, len(names))
+	}
+	r.addInstances(f, &group, config, "instances", names)
+	r.addInstances(f, &group, config, "spares", f.Words("spares"))
+	if len(group.Instances) == 0 {
+		f.Fail("", "no instance")
+	}
+	f.Done()
+	r.attribute(SpecSubject{Group: group.Name})
+	r.Groups = append(r.Groups, group)
+}
+
+// absolutePath joins a relative path to a directory. An empty path stays empty.
+func absolutePath(dir, path string) string {
+	if path == "" || filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(dir, path)
+}
+
+// addInstances adds the instances that a field of a group names.
+func (r *specReader) addInstances(f *sexpr.Form, group *GroupSpec, config, field string, names []string) {
+	r.attribute(SpecSubject{Group: group.Name})
+	for _, name := range names {
+		if err := CheckName(name); err != nil {
+			f.Fail(field, "%v", err)
+			r.attribute(SpecSubject{Group: group.Name, Instance: name})
+			continue
+		}
+		if r.instances[name] != nil {
+			f.Fail(field, "instance %q stands twice", name)
+			r.attribute(SpecSubject{Group: group.Name, Instance: name})
+			continue
+		}
+		r.instances[name] = &InstanceSpec{
+			Name:            name,
+			Host:            group.Host,
+			Group:           group.Name,
+			ConfigFile:      strings.ReplaceAll(config, namePlaceholder, name),
+			DegradationFile: group.DegradationFile,
+			Spare:           field == "spares",
+			Labels:          group.Labels,
+		}
+		group.Instances = append(group.Instances, name)
+	}
+}
+
+// readRange reads the names of a range: (range n 1 40) is n1 to n40.
+func readRange(f *sexpr.Form) (names []string) {
+	const wordCount = 3
+	form := f.Field("range")
+	if form == nil {
+		return nil
+	}
+	words := form.Args(wordCount, wordCount)
+	form.Done()
+	if len(words) != wordCount {
+		return nil
+	}
+	prefix := words[0]
+	first, errFirst := strconv.Atoi(words[1])
+	last, errLast := strconv.Atoi(words[2])
+	if errFirst != nil || errLast != nil || first < 0 || last < first || last-first >= maxRange {
+		f.Fail("range", "found %q, wanted a name and the first and last number", strings.Join(words, " "))
+		return nil
+	}
+	for n := first; n <= last; n++ {
+		names = append(names, prefix+strconv.Itoa(n))
+	}
+	return names
+}
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -14,9 +14,45 @@
 	"milletbarrow/monotime"
 )
 
+// Bounds and defaults of the (budgets ...) form.
+const (
+	maxQuotaVersion = 1 << 40
+
+	minLease            = 100 * time.Millisecond
+	maxLease            = time.Hour
+	defaultLease        = 3 * time.Second
+	maxClockMargin      = time.Hour
+	leasePerClockMargin = 20 // the default margin is this part of a lease, but at least quota.MinClockMargin
+)
+
+// Bounds and defaults of the (rise ...) form.
+const (
+	defaultMinServing        = 0.1
+	maxColdStartFailures     = 100_000
+	defaultColdStartFailures = 8
+	maxSlowFactor            = 1000
+	defaultSlowFactor        = 3
+	defaultMaxRejected       = 0.1
+	maxInitialConcurrent     = 100_000
+	defaultInitialConcurrent = 2
+)
+
 // readQuotas reads the (budgets ...) form: the quotas that the fleet shares, and the hosts that keep their store.
 func (r *specReader) readQuotas(f *sexpr.Form) {
-	r.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, 1<<40, 1))}
+	r.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, maxQuotaVersion, 1))}
+	r.readQuotaHosts(f)
+	r.checkPeerAddresses(f)
+	for _, form := range f.All("budget") {
+		r.readQuota(form)
+	}
+	if n := len(r.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
+		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
+	}
+	f.Done()
+}
+
+// readQuotaHosts reads the hosts whose agents keep the quota store. The only host of a fleet need not be named.
+func (r *specReader) readQuotaHosts(f *sexpr.Form) {
 	r.QuotaHosts = f.Words("ledger")
 	if len(r.QuotaHosts) == 0 && len(r.Hosts) == 1 {
 		r.QuotaHosts = []string{r.Hosts[0].Name}
@@ -27,43 +63,44 @@
 	if len(r.QuotaHosts) == 0 {
 		f.Fail("ledger", "missing: the hosts whose agents keep the ledger")
 	}
-	for _, m := range r.QuotaHosts {
-		if r.Host(m) == nil {
-			f.Fail("ledger", "%q is no host of this file", m)
+	for _, host := range r.QuotaHosts {
+		if r.Host(host) == nil {
+			f.Fail("ledger", "%q is no host of this file", host)
 		}
 	}
-	if len(r.Hosts) > 1 {
-		for _, h := range r.Hosts {
-			if h.PeerAddress == "" {
-				r.attribute(SpecSubject{})
-				f.Fail("", "host %q has no (peer ADDRESS), and budgets are shared with it", h.Name)
-				r.attribute(SpecSubject{Host: h.Name})
-			}
-		}
-	}
-	for _, limit := range f.All("budget") {
-		r.readQuota(limit)
+}
+
+// checkPeerAddresses reports the hosts of a larger fleet that the other agents can't reach.
+func (r *specReader) checkPeerAddresses(f *sexpr.Form) {
+	if len(r.Hosts) == 1 {
+		return
 	}
-	if n := len(r.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
-		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
+	for _, host := range r.Hosts {
+		if host.PeerAddress == "" {
+			r.attribute(SpecSubject{})
+			f.Fail("", "host %q has no (peer ADDRESS), and budgets are shared with it", host.Name)
+			r.attribute(SpecSubject{Host: host.Name})
+		}
 	}
-	f.Done()
 }
 
 // readQuota reads a (budget ...) form.
 func (r *specReader) readQuota(f *sexpr.Form) {
 	r.attribute(SpecSubject{})
-	limit := quota.Limit{Name: parseName(f)}
+	limit := quota.Limit{Name: readName(f)}
 	if r.Quotas.Lookup(limit.Name) != nil {
 		f.Fail("", "budget %q stands twice", limit.Name)
 	}
-	rate, count := f.Int("rate", 0, backendquota.MaxRate, 0), f.Int("count", 0, backendquota.MaxRate, 0)
+	rate := f.Int("rate", 0, backendquota.MaxRate, 0)
+	count := f.Int("count", 0, backendquota.MaxRate, 0)
 	switch {
 	case rate > 0 && count == 0:
-		limit.Kind, limit.Total = quota.Rate, int64(rate)
+		limit.Kind = quota.Rate
+		limit.Total = int64(rate)
 		r.readRate(f, &limit)
 	case count > 0 && rate == 0:
-		limit.Kind, limit.Total = quota.Concurrency, int64(count)
+		limit.Kind = quota.Concurrency
+		limit.Total = int64(count)
 		if f.OneOf("alone", "no", "yes") == "yes" {
 			limit.Reserved = int64(len(r.Hosts))
 		}
@@ -83,76 +120,88 @@
 // readRate reads the fields of a rate quota.
 func (r *specReader) readRate(f *sexpr.Form, limit *quota.Limit) {
 	limit.Tenant = f.Text("tenant", "")
-	limit.Division = quota.Division(f.OneOf("divide", string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
+	limit.Division = quota.Division(f.OneOf("divide",
+		string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
 	limit.Step = int64(f.Int("step", 1, backendquota.MaxRate, 1))
-	limit.Lease = monotime.FromDuration(f.Span("lease", 100*time.Millisecond, time.Hour, 3*time.Second))
-	margin := max(limit.Lease/20, quota.MinClockMargin(limit.Lease))
-	limit.ClockMargin = monotime.Micros(f.Span("margin", 0, time.Hour, time.Duration(margin)*time.Microsecond).Microseconds())
+	limit.Lease = monotime.FromDuration(f.Span("lease", minLease, maxLease, defaultLease))
+	margin := max(limit.Lease/leasePerClockMargin, quota.MinClockMargin(limit.Lease))
+	limit.ClockMargin = monotime.FromDuration(f.Span("margin", 0, maxClockMargin, margin.Duration()))
 	if limit.Tenant == "" {
 		f.Fail("tenant", "missing: whose work draws from it")
 	}
 	floor := int64(f.Int("floor", 0, backendquota.MaxRate, 0))
 	groups := f.Words("groups")
-	limit.Floors, limit.Weights = map[string]int64{}, map[string]int64{}
-	for _, g := range groups {
-		if r.Group(g) == nil {
-			f.Fail("groups", "%q is no group of this file", g)
+	for _, group := range groups {
+		if r.Group(group) == nil {
+			f.Fail("groups", "%q is no group of this file", group)
 		}
 	}
+	limit.Floors = map[string]int64{}
 	for _, inst := range r.InstancesOn("") {
 		if len(groups) == 0 || slices.Contains(groups, inst.Group) {
 			limit.Floors[inst.Name] = floor
 		}
 	}
-	own := func(field string, least int64, to map[string]int64) { // (floors (n1 4) (n2 2))
-		sub := f.Field(field)
-		if sub == nil {
-			return
-		}
-		for name := range limit.Floors {
-			for _, one := range sub.All(name) {
-				word := one.Arg()
-				if n, err := strconv.ParseInt(word, 10, 64); err != nil || n < least || n > backendquota.MaxRate {
-					one.Fail("", "found %q, wanted a whole number from %d to %d", word, least, int64(backendquota.MaxRate))
-				} else {
-					to[name] = n
-				}
-				one.Done()
+	limit.Weights = map[string]int64{}
+	readPerInstance(f, "floors", 0, limit.Floors, limit.Floors)
+	readPerInstance(f, "weights", 1, limit.Floors, limit.Weights)
+}
+
+// readPerInstance reads a form such as (floors (n1 4) (n2 2)) into values. It may name the instances that are keys of
+// allowed.
+func readPerInstance(f *sexpr.Form, field string, minValue int64, allowed, values map[string]int64) {
+	form := f.Field(field)
+	if form == nil {
+		return
+	}
+	for name := range allowed {
+		for _, entry := range form.All(name) {
+			word := entry.Arg()
+			value, err := strconv.ParseInt(word, 10, 64)
+			if err != nil || value < minValue || value > backendquota.MaxRate {
+				entry.Fail("", "found %q, wanted a whole number from %d to %d",
+					word, minValue, int64(backendquota.MaxRate))
+			} else {
+				values[name] = value
 			}
+			entry.Done()
 		}
-		sub.Done()
 	}
-	own("floors", 0, limit.Floors)
-	own("weights", 1, limit.Weights)
+	form.Done()
 }
 
 // readColdStart reads the (rise ...) form.
 func (r *specReader) readColdStart(f *sexpr.Form) {
 	r.ColdStartQuota = f.Text("budget", "")
-	t := &coldstart.Config{
-		MinServing: f.Share("least", 0, 1, 0.1), MaxFailures: int64(f.Int("failures", 1, 100_000, 8)), SlowFactor: f.Share("slow", 1, 1000, 3),
-		MaxRejected: f.Share("refused", 0, 1, 0.1), InitialConcurrent: int64(f.Int("first", 0, 100_000, 0)),
+	config := &coldstart.Config{
+		MinServing:        f.Share("least", 0, 1, defaultMinServing),
+		MaxFailures:       int64(f.Int("failures", 1, maxColdStartFailures, defaultColdStartFailures)),
+		SlowFactor:        f.Share("slow", 1, maxSlowFactor, defaultSlowFactor),
+		MaxRejected:       f.Share("refused", 0, 1, defaultMaxRejected),
+		InitialConcurrent: int64(f.Int("first", 0, maxInitialConcurrent, 0)),
 	}
 	f.Done()
-	if !r.hasCountQuota(r.ColdStartQuota) {
+	if !r.hasConcurrencyQuota(r.ColdStartQuota) {
 		f.Fail("budget", "%q is no count of this file", r.ColdStartQuota)
 		return
 	}
 	limit := r.Quotas.Lookup(r.ColdStartQuota)
 	if limit.Reserved == 0 {
-		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good", r.ColdStartQuota)
+		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good",
+			r.ColdStartQuota)
 	}
-	if t.MaxConcurrent = limit.Total - limit.Reserved; t.InitialConcurrent == 0 {
-		t.InitialConcurrent = min(2, t.MaxConcurrent)
+	config.MaxConcurrent = limit.Total - limit.Reserved
+	if config.InitialConcurrent == 0 {
+		config.InitialConcurrent = min(defaultInitialConcurrent, config.MaxConcurrent)
 	}
-	if err, ok := errors.AsType[*coldstart.ConfigError](t.Validate()); ok {
+	if err, ok := errors.AsType[*coldstart.ConfigError](config.Validate()); ok {
 		f.Fail(err.Field, "%s", err.Reason)
 	}
-	r.ColdStart = t
+	r.ColdStart = config
 }
 
-// hasCountQuota reports whether there is a concurrency quota of that name.
-func (s *Spec) hasCountQuota(name string) bool {
+// hasConcurrencyQuota reports whether there is a concurrency quota of that name.
+func (s *Spec) hasConcurrencyQuota(name string) bool {
 	if s.Quotas == nil {
 		return false
 	}
