--- a/internal/fleet/action.go
+++ b/internal/fleet/action.go
@@ -5,7 +5,7 @@
 	"milletbarrow/monotime"
 )
 
-// ActionKind is what an action does.
+// ActionKind is the effect of an action.
 type ActionKind string
 
 // The actions on an instance.
@@ -15,22 +15,22 @@
 	ActionKill   ActionKind = "kill"   // end the instance at once
 )
 
-// Action is for the agent to carry out once the change that it belongs to is stored. The same ID may come again: it
-// stands for one action.
+// Action is carried out by the agent once the change that it belongs to is stored. An action that is sent again has the
+// same ID and takes effect once.
 type Action struct {
 	Kind        ActionKind        `json:"what"`
 	ID          string            `json:"id"`
-	Name        string            `json:"name"`
-	Incarnation string            `json:"run"`
-	Adopt       bool              `json:"adopt,omitempty"`
-	NotifiedAt  monotime.Micros   `json:"told,omitempty"` // ActionNotify: when it was first issued; the shutdown window runs from there
+	Name        string            `json:"name"`            // of the instance
+	Incarnation string            `json:"run"`             // the incarnation that it is for
+	Adopt       bool              `json:"adopt,omitempty"` // ActionLaunch: for a supervisor that adopts Incarnation
+	NotifiedAt  monotime.Micros   `json:"told,omitempty"`  // ActionNotify: start of the shutdown window
 	Cause       string            `json:"cause,omitempty"`
 	Unit        Unit              // ActionAcquireUnit, ActionReleaseUnit
-	StartResult coldstart.Outcome `json:"End"`
+	StartResult coldstart.Outcome `json:"End"` // ActionReleaseUnit: of the start that held the unit
 }
 
-// StartsNew reports whether the action begins something that a restart of the agent must not forget. While the state can't
-// be stored such actions wait; notices, kills and adoptions must not wait for a disk.
+// StartsNew reports whether the action begins something that a restart of the agent must not forget. Such actions wait
+// while the state can't be stored; notices, kills and adoptions must not wait for a disk.
 func (a Action) StartsNew() bool {
 	return a.Kind == ActionLaunch && !a.Adopt || a.Kind == ActionAcquireUnit
 }
--- a/internal/fleet/adoption.go
+++ b/internal/fleet/adoption.go
@@ -5,36 +5,36 @@
 	"strings"
 )
 
-// Margins that keep the ids of an adopted instance's actions above those of the actions that were lost with the store.
+// Margins that keep the IDs of an adopted instance's actions above those of the actions that were lost with the store.
 const (
 	adoptedCountMargin  = 1 << 10
-	adoptedCountUnknown = 1 << 20 // where the incarnation's id does not tell its count
+	adoptedCountUnknown = 1 << 20 // if the incarnation's ID does not end in a count
 )
 
-// AdoptUnrecorded returns the state of an instance that the store does not know, from its supervisor's record: the store
-// was lost, the files of the supervisors were not. It is adopted as it is, desired up unless it was notified. ok is false
-// where nothing is known to run.
-func AdoptUnrecorded(name string, r SupervisorRecord) (inst Instance, ok bool) {
-	if r.State != RecordRead || r.Ended {
+// AdoptUnrecorded returns the state of an instance that the store does not know, from its supervisor's record. It
+// serves after the loss of the store, while the supervisors' files are intact. The instance is desired up unless it was
+// notified. ok is false if no process is known to run.
+func AdoptUnrecorded(name string, record SupervisorRecord) (inst Instance, ok bool) {
+	if record.State != RecordRead || record.Ended {
 		return Instance{}, false
 	}
 	return Instance{
 		Name:          name,
-		DesiredUp:     r.NoticeID == "",
-		ActionCount:   adoptedActionCount(r.Incarnation),
-		Incarnation:   r.Incarnation,
-		NoticeID:      r.NoticeID,
-		NotifiedAt:    r.NotifiedAt,
-		PhaseDeadline: r.NotifiedAt,
+		DesiredUp:     record.NoticeID == "",
+		ActionCount:   adoptedActionCount(record.Incarnation),
+		Incarnation:   record.Incarnation,
+		NoticeID:      record.NoticeID,
+		NotifiedAt:    record.NotifiedAt,
+		PhaseDeadline: record.NotifiedAt,
 		Phase:         PhaseUnknown,
 	}, true
 }
 
-// adoptedActionCount continues the count of actions after the one that launched an incarnation.
+// adoptedActionCount returns a count of actions above that of the action that launched an incarnation.
 func adoptedActionCount(incarnation string) int {
-	n, err := strconv.Atoi(incarnation[strings.LastIndexByte(incarnation, '.')+1:])
+	count, err := strconv.Atoi(incarnation[strings.LastIndexByte(incarnation, '.')+1:])
 	if err != nil {
 		return adoptedCountUnknown
 	}
-	return n + adoptedCountMargin
+	return count + adoptedCountMargin
 }
--- a/internal/fleet/adoption_test.go
+++ b/internal/fleet/adoption_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// TestAdoptUnrecorded: an instance is adopted only by a record that was read and has no end; it is desired up unless it was
-// notified, and the ids of its actions do not come again.
+// TestAdoptUnrecorded: an instance is adopted only by a record that was read and has no end; it is desired up unless
+// it was notified, and the ids of its actions do not come again.
 func TestAdoptUnrecorded(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/fleet/cold_start_test.go
+++ b/internal/fleet/cold_start_test.go
@@ -117,8 +117,8 @@
 	return n
 }
 
-// TestColdStart: whichever agents die and whoever can't reach the ledger, no more start at once over all hosts than may, and once
-// that is over all are up, the cold start is over, and nobody holds a unit.
+// TestColdStart: whichever agents die and whoever can't reach the ledger, no more start at once over all hosts than
+// may, and once that is over all are up, the cold start is over, and nobody holds a unit.
 func TestColdStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts, each := rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "hosts"), rapid.IntRange(1, 6).Draw(t, "each")
@@ -172,7 +172,8 @@
 	})
 }
 
-// TestColdStartWithoutQuotaStore: with the quota store out of reach for good each host brings its own up, one at a time.
+// TestColdStartWithoutQuotaStore: with the quota store out of reach for good each host brings its own up, one at a
+// time.
 func TestColdStartWithoutQuotaStore(t *testing.T) {
 	fleet := newSimulatedFleet(t, 3, 4, 9)
 	for _, host := range fleet.hosts {
@@ -208,7 +209,8 @@
 	}
 }
 
-// TestColdStartHaltsAfterFailures: a release of which each start fails stops after its failures, says so, and goes on on an operator's command.
+// TestColdStartHaltsAfterFailures: a release of which each start fails stops after its failures, says so, and goes on
+// on an operator's command.
 func TestColdStartHaltsAfterFailures(t *testing.T) {
 	fleet := newSimulatedFleet(t, 3, 10, 12)
 	fleet.spec.ColdStart.MaxFailures = 4
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -7,18 +7,17 @@
 	"milletbarrow/monotime"
 )
 
-// CommandKind is what a command asks for.
+// CommandKind is what a command does with its instances.
 type CommandKind string
 
-// The kinds. A restart and a rolling update end with the instance up again; KindStop is KindDrain that may be
-// Immediate.
+// The kinds of commands. A restart and a rolling update end with the instance ready again.
 const (
 	KindStart         CommandKind = "start"
 	KindDrain         CommandKind = "drain"
-	KindStop          CommandKind = "stop"
+	KindStop          CommandKind = "stop" // as KindDrain; it may be Immediate
 	KindRestart       CommandKind = "restart"
 	KindRollingUpdate CommandKind = "wave"
-	KindColdStart     CommandKind = "rise" // what is down starts as the cold start of the whole fleet lets it; what serves stays
+	KindColdStart     CommandKind = "rise" // starts what is down, in the order of the fleet's cold start
 )
 
 // CommandKinds lists all kinds.
@@ -26,40 +25,45 @@
 	return []CommandKind{KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindColdStart}
 }
 
-// Command is a request for a set of instances. From State on it holds its progress; what is above stays as it came.
+// Command is a request for a set of instances, with its progress.
 type Command struct {
+	// The request. It stays as it was received, but a rolling update puts Names into its order.
+
 	ID          string               `json:"id"`
 	Kind        CommandKind          `json:"kind"`
-	Names       []string             `json:"names"`
-	RequestedBy string               `json:"by"`               // who asked
-	RequestedAt int64                `json:"asked_unix_us"`    // wall clock, for people
-	Deadline    monotime.Micros      `json:"due"`              // an instance without a result by then gets OutcomeTimedOut
-	Immediate   bool                 `json:"now,omitempty"`    // KindStop: killed at once, its callers get no answer
-	Rollout     *RollingUpdateConfig `json:"terms,omitempty"`  // KindRollingUpdate
-	Quota       string               `json:"budget,omitempty"` // name of the concurrency quota of which each instance in progress holds a unit
-	Sequence    int                  `json:"number"`           // order of arrival at this agent
-	State       CommandState         `json:"state"`
-	Cause       string               `json:"cause,omitempty"` // of a pause or a cancellation
-	StartedAt   monotime.Micros      `json:"begun"`
-	FinishedAt  monotime.Micros      `json:"finished,omitempty"`
-
-	Results        map[string]Result `json:"results"`          // exactly one for each instance, never changed
-	Failures       int               `json:"failed,omitempty"` // since the last resume
-	Spares         []string          `json:"spares,omitempty"` // of a rolling update with surge
+	Names       []string             `json:"names"`            // of the instances
+	RequestedBy string               `json:"by"`               // user or program, for people
+	RequestedAt int64                `json:"asked_unix_us"`    // wall clock, microseconds since 1970, for people
+	Deadline    monotime.Micros      `json:"due"`              // an instance without a result then: OutcomeTimedOut
+	Immediate   bool                 `json:"now,omitempty"`    // KindStop: kill at once; in-flight work is lost
+	Rollout     *RollingUpdateConfig `json:"terms,omitempty"`  // KindRollingUpdate; nil: another kind
+	Quota       string               `json:"budget,omitempty"` // each instance in progress holds a unit; empty: none
+
+	// The progress.
+
+	Sequence   int             `json:"number"` // order of arrival at this agent, from 1
+	State      CommandState    `json:"state"`
+	Cause      string          `json:"cause,omitempty"` // of a pause or a cancellation
+	StartedAt  monotime.Micros `json:"begun"`
+	FinishedAt monotime.Micros `json:"finished,omitempty"` // 0: not finished
+
+	Results        map[string]Result `json:"results"`          // by instance name; never changed
+	Failures       int               `json:"failed,omitempty"` // OutcomeFailed since the last resume
+	Spares         []string          `json:"spares,omitempty"` // instances that a rolling update with surge uses
 	Stage          Stage             `json:"stage,omitempty"`  // of a rolling update
-	InProgress     map[string]bool   `json:"out,omitempty"`    // taken out and not back yet
-	BlockedSince   monotime.Micros   `json:"stuck,omitempty"`  // since when no instance could be taken out; 0: one can
-	RejectingSince monotime.Micros   `json:"turned,omitempty"` // since when too many invocations are rejected; 0: they are not
+	InProgress     map[string]bool   `json:"out,omitempty"`    // by instance name: restarting, not back in service
+	BlockedSince   monotime.Micros   `json:"stuck,omitempty"`  // no instance may restart since; 0: one may
+	RejectingSince monotime.Micros   `json:"turned,omitempty"` // too many rejections since; 0: not so
 }
 
-// CommandState is how far a command has come.
+// CommandState is the progress of a command as a whole.
 type CommandState string
 
-// The states. A paused rolling update takes nothing out; what is in progress comes back.
+// The states of a command. A paused rolling update begins no further restart and completes those in progress.
 const (
 	CommandOpen      CommandState = "open"
 	CommandPaused    CommandState = "paused"
-	CommandCancelled CommandState = "cancelled" // nothing new; open until what was begun has ended
+	CommandCancelled CommandState = "cancelled" // begins nothing new and completes what is in progress
 	CommandDone      CommandState = "done"
 )
 
@@ -76,32 +80,31 @@
 // Outcome of a command for one instance.
 type Outcome string
 
-// The outcomes. Succeeded, unchanged and killed mean that the instance is as the command wanted it; after a kill its
-// callers may have lost answers.
+// The outcomes of a command for one instance. After a kill, callers of the instance may have lost responses.
 const (
 	OutcomeSucceeded  Outcome = "done"
-	OutcomeUnchanged  Outcome = "already"
-	OutcomeKilled     Outcome = "killed"
-	OutcomeFailed     Outcome = "failed"
-	OutcomeSuperseded Outcome = "superseded"
-	OutcomeTimedOut   Outcome = "late"
-	OutcomeCancelled  Outcome = "cancelled"
-	OutcomeSkipped    Outcome = "skipped"
+	OutcomeUnchanged  Outcome = "already"    // the instance was in the requested state before
+	OutcomeKilled     Outcome = "killed"     // the requested state was reached by a kill
+	OutcomeFailed     Outcome = "failed"     // the requested state was not reached
+	OutcomeSuperseded Outcome = "superseded" // a later command took the instance over
+	OutcomeTimedOut   Outcome = "late"       // the command's deadline passed first
+	OutcomeCancelled  Outcome = "cancelled"  // the command was cancelled first
+	OutcomeSkipped    Outcome = "skipped"    // a rolling update met an instance that is not desired up
 )
 
-// Satisfied reports whether the instance is as the command wanted it.
+// Satisfied reports whether the instance is in the state that the command requested.
 func (o Outcome) Satisfied() bool {
 	return o == OutcomeSucceeded || o == OutcomeUnchanged || o == OutcomeKilled
 }
 
-// Result is how a command ended for one instance.
+// Result is the end of a command for one instance.
 type Result struct {
 	Outcome Outcome         `json:"outcome"`
-	Cause   string          `json:"cause,omitempty"`
+	Cause   string          `json:"cause,omitempty"` // empty: Outcome says everything
 	At      monotime.Micros `json:"at"`
 }
 
-// validate reports what makes a command unusable, whatever the state of the instances. Errors are *FieldError.
+// validate returns a *FieldError if the command is unusable whatever the state of the instances.
 func (c *Command) validate() error {
 	if err := CheckName(c.ID); err != nil {
 		return &FieldError{Field: "id", Reason: err.Error(), Err: err}
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// equivalent reports whether two commands ask for the same; who asked and when does not matter.
+// equivalent reports whether two commands request the same. Who requested them, and when, does not count.
 func (c *Command) equivalent(other *Command) bool {
 	sameRollout := c.Rollout == other.Rollout ||
 		c.Rollout != nil && other.Rollout != nil && *c.Rollout == *other.Rollout
@@ -196,7 +199,7 @@
 	return counts, open
 }
 
-// Unsatisfied lists the instances that are not as the command wanted them, by name. Skipped ones are left out.
+// Unsatisfied lists the instances that are not in the requested state, sorted by name. Skipped ones are left out.
 func (c *Command) Unsatisfied() (names []string) {
 	for name, result := range c.Results {
 		if !result.Outcome.Satisfied() && result.Outcome != OutcomeSkipped {
--- a/internal/fleet/event.go
+++ b/internal/fleet/event.go
@@ -1,36 +1,36 @@
 package fleet
 
-// Event is a fact that Machine.Decide takes in.
+// Event is an input of Machine.Decide.
 type Event interface{ event() }
 
-// CommandReceived brings a command. One with a known ID and the same content changes nothing.
+// CommandReceived reports a command. A command with a known ID and the same content changes nothing.
 type CommandReceived struct{ Command *Command }
 
-// InstanceObserved brings what was observed of an instance.
+// InstanceObserved reports an observation of an instance.
 type InstanceObserved struct {
-	Name        string
+	Name        string // of the instance
 	Observation Observation
-	// Unrecorded reports that no supervisor ever wrote about the incarnation. That proves no end while its launch is
-	// under way: the observation then says nothing.
+	// Unrecorded is true if no supervisor ever recorded the incarnation. While the launch is pending, the observation
+	// is then ignored: it does not prove that the incarnation has ended.
 	Unrecorded bool
 }
 
-// ActionFailed reports that an action can't be carried out.
+// ActionFailed reports an action that could not be carried out.
 type ActionFailed struct {
 	Name     string // of the instance
 	ActionID string
 	Cause    string
-	Final    bool // another attempt would not help
+	Final    bool // another attempt would fail too
 }
 
 // CommandControl pauses, resumes or cancels a command.
 type CommandControl struct {
 	CommandID   string
 	Verb        Verb
-	RequestedBy string
+	RequestedBy string // user or program, for people
 }
 
-// Verb is what CommandControl does to a command.
+// Verb is the effect of CommandControl on a command.
 type Verb string
 
 // The verbs.
@@ -43,20 +43,20 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-// UnitAcquired is the quota store's answer to ActionAcquireUnit. A call without an answer brings none.
+// UnitAcquired reports the quota store's answer to ActionAcquireUnit. A call without an answer gives no event.
 type UnitAcquired struct {
 	HeldUnit
 	Granted bool
 	Cause   string // why it was not granted
 }
 
-// UnitReleased reports that the quota store has a unit back.
+// UnitReleased reports that the quota store took a unit back.
 type UnitReleased struct {
 	Name      string // of the instance
 	RequestID string
 }
 
-// UnitsListed brings all units that the quota store has this host's instances hold.
+// UnitsListed reports all units that, for the quota store, instances of this host hold.
 type UnitsListed struct{ Units []HeldUnit }
 
 func (CommandReceived) event() {}
--- a/internal/fleet/history.go
+++ b/internal/fleet/history.go
@@ -5,42 +5,42 @@
 // HistoryEvent is an entry of the history that people read.
 type HistoryEvent struct {
 	At        monotime.Micros `json:"at"`
-	Name      string          `json:"name,omitempty"`    // of the instance; empty: the event is about a command
+	Name      string          `json:"name,omitempty"`    // of the instance; empty: a command's event
 	CommandID string          `json:"command,omitempty"` // empty: no command waited for the instance
-	Event     string          `json:"event"`             // a phase, an action kind, a verb or one of the constants below
+	Event     string          `json:"event"`             // a phase, an action kind, a verb or a constant below
 	Cause     string          `json:"cause,omitempty"`
 }
 
-// Events of the history beside phases, action kinds and verbs. They are stored and shown as they are.
+// Events of the history besides phases, action kinds and verbs. They are stored and shown as they are.
 const (
-	eventAccepted         = "taken"
-	eventPaused           = "pause"
-	eventEnded            = "ended"
-	eventGivenUp          = "given up"
-	eventUnitAcquired     = "unit taken"
-	eventUnitDenied       = "waits for a unit"
-	eventUnitReleased     = "unit given back"
-	eventStandaloneStart  = "starts without the ledger"
-	eventResultPrefix     = "result "    // an Outcome follows
-	eventLevelPrefix      = "level "     // a degradation level follows
-	eventNotCarriedSuffix = " not taken" // an ActionKind precedes
+	eventAccepted           = "taken"
+	eventPaused             = "pause"
+	eventEnded              = "ended"
+	eventGivenUp            = "given up"
+	eventUnitAcquired       = "unit taken"
+	eventUnitDenied         = "waits for a unit"
+	eventUnitReleased       = "unit given back"
+	eventStandaloneStart    = "starts without the ledger"
+	eventResultPrefix       = "result "    // an Outcome follows
+	eventLevelPrefix        = "level "     // a degradation level follows
+	eventActionFailedSuffix = " not taken" // an ActionKind precedes
 )
 
-// Causes that stand in more than one place. They are stored and shown as they are.
+// Causes of phases, actions and results. They are stored and shown as they are.
 const (
-	causeRequested       = "asked for"
-	causeResent          = "again"
-	causeNotDesiredUp    = "it is not wanted up"
-	causeNotInSpec       = "the fleet's file no longer names it"
-	causeRebooted        = "the machine was started anew"
-	causeDeadlinePassed  = "the command's time is over"
-	causeSupervisorGone  = "its keeper is gone"
-	causeSupervisorMute  = "its keeper does not answer"
-	causeKillDeadline    = "not gone by the end of its window"
-	causeAgentRestarted  = "the agent was started"
-	causeRestart         = "to come up again"
-	causeLeavesByItself  = "asked for while it leaves by itself"
-	causeCannotBeWatched = "asked for while it can't be seen"
+	causeRequested      = "asked for"
+	causeResent         = "again"
+	causeNotDesiredUp   = "it is not wanted up"
+	causeNotInSpec      = "the fleet's file no longer names it"
+	causeRebooted       = "the machine was started anew"
+	causeDeadlinePassed = "the command's time is over"
+	causeSupervisorGone = "its keeper is gone"
+	causeSupervisorMute = "its keeper does not answer"
+	causeKillDeadline   = "not gone by the end of its window"
+	causeAgentRestarted = "the agent was started"
+	causeRestart        = "to come up again"
+	causeLeavesByItself = "asked for while it leaves by itself"
+	causeUnobservable   = "asked for while it can't be seen"
 )
 
 // recordEvent adds an event of an instance to the history.
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -1,24 +1,22 @@
 package fleet
 
-import (
-	"milletbarrow/monotime"
-)
+import "milletbarrow/monotime"
 
-// Phase is where an instance is between its launch and its end, as far as it is observed.
+// Phase is the observed part of an instance's life, from its launch to its exit.
 type Phase string
 
-// The phases. The desired state stands apart, in Instance.DesiredUp.
+// The phases. The desired state is separate: Instance.DesiredUp.
 const (
 	PhaseAbsent       Phase = "absent"   // never started
 	PhaseStarting     Phase = "starting" // launched, not ready yet
-	PhaseReady        Phase = "ready"    // answers health checks with good
-	PhaseUnready      Phase = "unready"  // was ready, and is not though nobody notified it
+	PhaseReady        Phase = "ready"    // passes its health checks
+	PhaseUnready      Phase = "unready"  // was ready, and fails its health checks without having been notified
 	PhaseDraining     Phase = "draining" // notified, within its grace period
-	PhaseStopping     Phase = "stopping" // its grace period is over, what is in flight is answered
-	PhaseUnresponsive Phase = "deaf"     // notified and shows no sign of it; killed before its grace period ends
-	PhaseExited       Phase = "gone"     // ended after it was notified
-	PhaseFailed       Phase = "failed"   // ended by itself, could not be launched, or did not become ready
-	PhaseUnknown      Phase = "unknown"  // it can't be observed; that does not mean that it has ended
+	PhaseStopping     Phase = "stopping" // its grace period is over; it answers the requests in flight
+	PhaseUnresponsive Phase = "deaf"     // notified without a reaction; killed before its grace period ends
+	PhaseExited       Phase = "gone"     // exited after it was notified
+	PhaseFailed       Phase = "failed"   // exited by itself, could not be launched, or did not become ready
+	PhaseUnknown      Phase = "unknown"  // can't be observed; it may well run
 )
 
 // leaving reports whether the instance is shutting down.
@@ -29,58 +27,66 @@
 // Down reports whether no process of the instance is left.
 func (p Phase) Down() bool { return p == PhaseAbsent || p == PhaseExited || p == PhaseFailed }
 
-// fullService is the degradation level of an instance without degradation.
+// fullService is the degradation level of an instance that serves without degradation.
 const fullService = "full"
 
-// unknownInvocations stands for a count from before a restart of the agent.
+// unknownInvocations is the value of Instance.Invocations from a restart of the agent to the first observation.
 const unknownInvocations = -1
 
-// Instance is the desired and the observed state of an instance. All that has a JSON name is stored by the agent.
+// Instance is the desired and the observed state of an instance. The agent stores the fields with a JSON name.
 type Instance struct {
 	Name  string `json:"name"`
 	Group string `json:"group"`
-	Spare bool   `json:"spare,omitempty"`
+	Spare bool   `json:"spare,omitempty"` // runs only while a rolling update with surge needs it
+
+	// The desired state, and the action that leads to it.
 
-	DesiredUp      bool       `json:"up"`                // the desired state
-	RestartPending bool       `json:"recycle,omitempty"` // it is to exit and to be launched again
+	DesiredUp      bool       `json:"up"`
+	RestartPending bool       `json:"recycle,omitempty"` // it has to exit and to be launched again
 	CommandID      string     `json:"task,omitempty"`    // the command that waits for it; empty: none
 	ActionCount    int        `json:"serial"`            // actions issued for it so far
-	ActionID       string     `json:"step,omitempty"`    // the last of them
-	LastAction     ActionKind `json:"doing,omitempty"`   // the kind of ActionID
-	ActionPending  bool       `json:"pending,omitempty"` // ActionID is not known to have been taken
-
-	Incarnation       string          `json:"run,omitempty"` // the ID of the action that launched it; empty: no process
-	NoticeID          string          `json:"told,omitempty"`
-	NotifiedAt        monotime.Micros `json:"told_at,omitempty"`
-	PhaseDeadline     monotime.Micros `json:"deadline,omitempty"` // 0: none. Never 0 once it was notified
-	GiveUpReason      string          `json:"gave_up,omitempty"`  // why it was notified though it is desired up
-	LaunchesExhausted bool            `json:"spent,omitempty"`    // no further launch until a command asks for one
-	LaunchRequested   bool            `json:"free,omitempty"`     // the next launch was asked for and is not counted by LaunchBudget
+	ActionID       string     `json:"step,omitempty"`    // of the latest action; empty: none yet
+	LastAction     ActionKind `json:"doing,omitempty"`   // of the latest action
+	ActionPending  bool       `json:"pending,omitempty"` // the latest action is not known to have been carried out
+
+	// The present incarnation, and the launch of the next one.
+
+	Incarnation       string          `json:"run,omitempty"`      // ID of its launch; empty: no process
+	NoticeID          string          `json:"told,omitempty"`     // ID of the shutdown notice; empty: not notified
+	NotifiedAt        monotime.Micros `json:"told_at,omitempty"`  // when NoticeID was issued; 0: not notified
+	PhaseDeadline     monotime.Micros `json:"deadline,omitempty"` // 0: none; never 0 after a notice
+	GiveUpReason      string          `json:"gave_up,omitempty"`  // of a notice to an instance that is desired up
+	LaunchesExhausted bool            `json:"spent,omitempty"`    // no further launch until a command requests one
+	LaunchRequested   bool            `json:"free,omitempty"`     // the next launch is not counted by LaunchBudget
 	KillAttempts      int             `json:"kills,omitempty"`    // in this incarnation
 	LastExit          Exit            `json:"last"`               // of the incarnation before
-	LaunchBudget      LaunchBudget    `json:"budget"`             // of launches that no command asked for
+	LaunchBudget      LaunchBudget    `json:"budget"`             // of launches that no command requested
 	Unit              Unit            `json:"unit,omitzero"`      // of a concurrency quota of the fleet
 	UnitRequests      int             `json:"turns,omitempty"`    // unit requests so far
-	Attempts          int             `json:"tries,omitempty"`    // of the pending action, or of launches in a row
-	NextAttemptAt     monotime.Micros `json:"next,omitempty"`     // no attempt before
+	Attempts          int             `json:"tries,omitempty"`    // at the pending action, or failed launches in a row
+	NextAttemptAt     monotime.Micros `json:"next,omitempty"`     // earliest resend or launch
+
+	// The observed state.
 
 	Phase       Phase           `json:"phase"`
 	PhaseSince  monotime.Micros `json:"since"`
-	Cause       string          `json:"cause,omitempty"`
+	Cause       string          `json:"cause,omitempty"`  // of Phase
 	ReadySince  monotime.Micros `json:"steady,omitempty"` // 0: not ready
-	Invocations int             `json:"picked,omitempty"`
-	Rejected    int             `json:"turned,omitempty"`
-	Level       string          `json:"level,omitempty"` // of degradation, as it was last observed
+	Invocations int             `json:"picked,omitempty"` // of this incarnation; unknownInvocations: not known
+	Rejected    int             `json:"turned,omitempty"` // of Invocations
+	Level       string          `json:"level,omitempty"`  // of degradation, as last observed; empty: not known
+
+	// From the spec.
 
 	group     *GroupSpec
 	shutdown  ShutdownWindow
-	fileOrder int
+	fileOrder int // position among the host's instances in the file
 }
 
-// ShutdownWindow is the time that an instance has from the shutdown notice on, by its configuration.
+// ShutdownWindow holds the times that an instance has from the shutdown notice on, by its configuration.
 type ShutdownWindow struct {
-	Grace       monotime.Micros // work that arrives later is not run
-	ExitTimeout monotime.Micros // the instance has exited by then
+	Grace       monotime.Micros // a request that arrives later is rejected
+	ExitTimeout monotime.Micros // the instance has to have exited by then
 }
 
 // setPhase enters a phase, or updates the cause of the present one.
@@ -97,7 +103,7 @@
 	}
 }
 
-// requestLaunch has a command's launch follow as soon as the instance is down. It is not counted by LaunchBudget,
+// requestLaunch requests a launch, which follows as soon as the instance is down. It is not counted by LaunchBudget,
 // which starts anew.
 func (inst *Instance) requestLaunch(now monotime.Micros) {
 	inst.DesiredUp = true
@@ -110,14 +116,14 @@
 	}
 }
 
-// requestRelaunch has the launch that a restart asked for follow at once.
+// requestRelaunch requests the launch that completes a restart, without a pause.
 func (inst *Instance) requestRelaunch(now monotime.Micros) {
 	inst.LaunchRequested = true
 	inst.NextAttemptAt = now
 	inst.Attempts = 0
 }
 
-// abandonLaunch forgets an incarnation of which no process came.
+// abandonLaunch forgets an incarnation whose process was never started.
 func (inst *Instance) abandonLaunch() {
 	inst.Incarnation = ""
 	inst.ActionPending = false
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -8,28 +8,31 @@
 	"milletbarrow/monotime"
 )
 
-// Machine decides for all instances of one host. It is not for use by several goroutines at once.
+// Machine decides for all instances of one host. It is not safe for concurrent use.
 type Machine struct {
-	config            Config
-	random            *rand.Rand
-	instanceNames     []string // in the file's order
-	instances         map[string]*Instance
-	groups            map[string]*GroupSpec
-	commands          map[string]*Command
-	openCommands      []*Command // by Sequence
-	finishedCommands  []string   // IDs, oldest first
-	lastSequence      int
+	config Config
+	random *rand.Rand
+
+	instanceNames    []string              // in the file's order
+	instances        map[string]*Instance  // by instance name
+	groups           map[string]*GroupSpec // by group name
+	commands         map[string]*Command   // by command ID
+	openCommands     []*Command            // by Sequence
+	finishedCommands []string              // IDs, oldest first
+	lastSequence     int                   // of the latest command; 0: none yet
+
 	rejections        rejectionRate
-	quotaSilentSince  monotime.Micros // since when unit requests have no answer; 0: the latest had one
-	lastUnitRequestAt monotime.Micros // the latest unit request
+	quotaSilentSince  monotime.Micros // unit requests have no answer since then; 0: the latest has one
+	lastUnitRequestAt monotime.Micros
+
+	actions []Action       // of the present call of Decide
+	history []HistoryEvent // of the present call of Decide
 
-	actions          []Action // of the present call of Decide
-	history          []HistoryEvent
-	changedInstances map[string]bool // to be stored
-	changedCommands  map[string]bool
+	changedInstances map[string]bool // by instance name: to be stored
+	changedCommands  map[string]bool // by command ID: to be stored, or to be forgotten
 }
 
-// New makes a machine for the instances of a host; window gives the shutdown window of each.
+// New returns a machine for the instances of a host; window returns the shutdown window of an instance.
 func New(s *Spec, host string, config Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
 	m := &Machine{
 		config:           config,
@@ -64,8 +67,8 @@
 // Names lists the instances in the file's order.
 func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
 
-// Idle reports whether nothing is to be expected soon: no command is open, and no instance waits for a deadline, an
-// action or another launch. It does not depend on the time.
+// Idle reports whether no command is open and no instance waits for a deadline, an action, a unit or a launch. It does
+// not depend on the time.
 func (m *Machine) Idle(_ monotime.Micros) bool {
 	if len(m.openCommands) > 0 {
 		return false
@@ -84,7 +87,7 @@
 	return !inst.ActionPending && inst.PhaseDeadline == 0 && inst.Unit.RequestID == "" && !awaitsLaunch
 }
 
-// Instance is a copy of the state of an instance; ok is false if the host has none of that name.
+// Instance returns a copy of the state of an instance; ok is false if the host has none of that name.
 func (m *Machine) Instance(name string) (inst Instance, ok bool) {
 	known := m.instances[name]
 	if known == nil {
@@ -93,7 +96,7 @@
 	return *known, true
 }
 
-// Command is a copy of a command, nil if it is not known (any more).
+// Command returns a copy of a command, or nil if it is unknown or forgotten.
 func (m *Machine) Command(id string) *Command {
 	if command := m.commands[id]; command != nil {
 		return command.clone()
@@ -110,12 +113,12 @@
 	return all
 }
 
-// Decide takes in an event and returns the actions to carry out, in order, and the entries for the history. Both are
-// valid until the next call. An error, always a *CommandError, means that the event changed nothing.
-func (m *Machine) Decide(now monotime.Micros, ev Event) (actions []Action, history []HistoryEvent, err error) {
+// Decide applies an event and returns the actions to carry out, in order, and the new entries of the history. Both are
+// valid until the next call. The error is a *CommandError; the event has then changed nothing.
+func (m *Machine) Decide(now monotime.Micros, event Event) (actions []Action, history []HistoryEvent, err error) {
 	m.actions = m.actions[:0]
 	m.history = m.history[:0]
-	err = m.handleEvent(now, ev)
+	err = m.handleEvent(now, event)
 	for _, command := range m.openCommands {
 		switch command.Kind {
 		case KindRollingUpdate:
@@ -129,9 +132,9 @@
 	return m.actions, m.history, err
 }
 
-// handleEvent changes the state of what the event is about.
-func (m *Machine) handleEvent(now monotime.Micros, ev Event) error {
-	switch e := ev.(type) {
+// handleEvent applies an event to the command or the instance that it names.
+func (m *Machine) handleEvent(now monotime.Micros, event Event) error {
+	switch e := event.(type) {
 	case CommandReceived:
 		if err := m.acceptCommand(now, e.Command); err != nil {
 			return commandError(OperationAccept, e.Command.ID, err)
@@ -167,7 +170,7 @@
 	return nil
 }
 
-// advanceAll ends the commands whose deadline has passed and brings all instances forward.
+// advanceAll ends the commands whose deadline has passed and advances all instances.
 func (m *Machine) advanceAll(now monotime.Micros) {
 	for _, command := range slices.Clone(m.openCommands) {
 		if now >= command.Deadline {
@@ -179,7 +182,7 @@
 	}
 }
 
-// advance brings one instance forward, and the command that waits for it.
+// advance takes the next step of one instance and of the command that waits for it.
 func (m *Machine) advance(now monotime.Micros, inst *Instance) {
 	m.resolveCommand(now, inst)
 	m.reconcile(now, inst)
@@ -187,16 +190,16 @@
 	m.returnUnit(now, inst)
 }
 
-// handleActionFailed takes in that the pending action could not be carried out.
-func (m *Machine) handleActionFailed(now monotime.Micros, inst *Instance, e ActionFailed) {
-	m.recordEvent(now, inst, string(inst.LastAction)+eventNotCarriedSuffix, e.Cause)
+// handleActionFailed records that the pending action could not be carried out. A failed launch ends its incarnation.
+func (m *Machine) handleActionFailed(now monotime.Micros, inst *Instance, failed ActionFailed) {
+	m.recordEvent(now, inst, string(inst.LastAction)+eventActionFailedSuffix, failed.Cause)
 	if inst.LastAction != ActionLaunch || inst.Incarnation != inst.ActionID {
 		return
 	}
 	inst.abandonLaunch()
-	inst.setPhase(now, PhaseFailed, e.Cause)
+	inst.setPhase(now, PhaseFailed, failed.Cause)
 	m.delayRelaunch(now, inst)
-	if e.Final {
+	if failed.Final {
 		inst.LaunchesExhausted = true
 	}
 	inst.RestartPending = false
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -234,7 +234,8 @@
 	tr.Say("%v", err)
 }
 
-// TestRolloutCoordinator: what goes wrong on one host does not go on to the next, and the fleet's budget holds over all.
+// TestRolloutCoordinator: what goes wrong on one host does not go on to the next, and the fleet's budget holds over
+// all.
 func TestRolloutCoordinator(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	coordinator := &RolloutCoordinator{Hosts: []string{"a", "b", "c"}, Config: RollingUpdateConfig{MinReadyShare: 0.8, StallTimeout: 10}, MaxConcurrentHosts: 2}
@@ -287,9 +288,9 @@
 	})
 }
 
-// TestInterleavings: whatever comes in whatever order, never more is in progress than allowed, no incarnation is notified
-// twice or launched beside another, none that was notified is without a deadline, results never change, and every command
-// ends with exactly one an instance.
+// TestInterleavings: whatever comes in whatever order, never more is in progress than allowed, no incarnation is
+// notified twice or launched beside another, none that was notified is without a deadline, results never change, and
+// every command ends with exactly one an instance.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		groups, each := rapid.IntRange(1, 2).Draw(t, "groups"), rapid.IntRange(1, 4).Draw(t, "each")
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -26,7 +26,7 @@
 		}
 	case PhaseUnknown:
 		if inst.shouldNotify() { // the notice does not wait until the instance can be observed
-			m.issueAction(now, inst, ActionNotify, causeCannotBeWatched)
+			m.issueAction(now, inst, ActionNotify, causeUnobservable)
 			inst.setPhase(now, PhaseUnknown, inst.Cause)
 		}
 	}
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -1,49 +1,47 @@
 package fleet
 
-import (
-	"milletbarrow/monotime"
-)
+import "milletbarrow/monotime"
 
 // maxMissedPolls is the number of missed polls in a row from which a supervisor's silence counts. A supervisor that is
 // starting or ending answers none.
 const maxMissedPolls = 8
 
-// RecordState says what an agent found where a supervisor writes its record.
+// RecordState tells whether an agent could read the record of a supervisor.
 type RecordState int
 
 // The states of a supervisor's record.
 const (
 	RecordMissing    RecordState = iota // no supervisor ever wrote one
-	RecordUnreadable                    // it is there and can't be read
-	RecordRead                          // the fields of SupervisorRecord hold what it says
+	RecordUnreadable                    // it exists and can't be read
+	RecordRead                          // the other fields of SupervisorRecord hold its content
 )
 
-// SupervisorRecord is what the record of a supervisor says about the last incarnation that it supervised.
+// SupervisorRecord is a supervisor's record of the last incarnation that it supervised.
 type SupervisorRecord struct {
 	State           RecordState
-	Cause           string          // RecordUnreadable: why
-	Incarnation     string          // that it is about
+	Cause           string          // RecordUnreadable: the error
+	Incarnation     string          // the incarnation recorded
 	Ended           bool            // the incarnation is over
-	Exit            Exit            // Ended: how
+	Exit            Exit            // Ended: of the incarnation
 	NoticeID        string          // the shutdown notice that the supervisor has taken; empty: none
 	NotifiedAt      monotime.Micros // when it took NoticeID
-	SupervisorAlive bool            // the process that wrote it runs
+	SupervisorAlive bool            // the process that wrote the record runs
 	InstanceAlive   bool            // the process of the instance runs
 }
 
-// SupervisorSilence is what is known about an incarnation whose supervisor does not answer.
+// SupervisorSilence is the knowledge about an incarnation whose supervisor does not answer.
 type SupervisorSilence struct {
-	Incarnation string // that was asked about
+	Incarnation string // the incarnation polled
 	MissedPolls int    // in a row
 	Record      SupervisorRecord
 }
 
-// SilenceVerdict is what a supervisor's silence means.
+// SilenceVerdict is the meaning of a supervisor's silence.
 type SilenceVerdict struct {
-	Decided     bool        // false: it is too early to say, Observation holds nothing
-	Observation Observation // of the incarnation that was asked about
-	// Recorded is false where no supervisor ever wrote about the incarnation. That proves no end while the launch
-	// of the incarnation is still under way.
+	Decided     bool        // false: it is too early to say, Observation is empty
+	Observation Observation // of the incarnation polled
+	// Recorded is false if no supervisor ever recorded the incarnation. While its launch is pending, that does not
+	// prove that it has ended.
 	Recorded bool
 }
 
@@ -52,9 +50,9 @@
 	return v.Decided && v.Recorded && v.Observation.Phase == PhaseExited
 }
 
-// Interpret says what a supervisor's silence means. It is a pure function of what the agent found. A recorded end
-// counts at once; any other verdict takes maxMissedPolls missed polls in a row. An incarnation whose record can't be
-// read, or whose supervisor runs without answering, is PhaseUnknown, which is not PhaseExited.
+// Interpret returns the meaning of a supervisor's silence. It is a pure function of what the agent found. A recorded
+// end counts at once; any other verdict takes maxMissedPolls missed polls in a row. An incarnation whose record can't
+// be read, or whose supervisor runs without answering, is PhaseUnknown, which is not PhaseExited.
 func (s SupervisorSilence) Interpret() SilenceVerdict {
 	recorded := s.Record.State == RecordRead && s.Record.Incarnation == s.Incarnation
 	if recorded && s.Record.Ended {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -7,14 +7,15 @@
 	"milletbarrow/monotime"
 )
 
-// Snapshot is the state that the machine needs back after a restart of the agent.
+// Snapshot is the state of a machine that has to survive a restart of the agent.
 type Snapshot struct {
 	Instances []Instance `json:"instances"`
 	Commands  []*Command `json:"commands"`
 }
 
-// Restore takes back a snapshot. rebooted reports that the host was started anew since, so that no process of then is
-// left. Instances that the spec no longer names are left out; forgotten lists those of them that may still run.
+// Restore sets the state of a new machine from a snapshot. rebooted reports that the host was rebooted since, which has
+// ended all processes. Instances that the spec no longer names are left out; forgotten lists those of them that may
+// still run.
 func (m *Machine) Restore(now monotime.Micros, s Snapshot, rebooted bool) (forgotten []Instance) {
 	for _, stored := range s.Instances {
 		inst := m.instances[stored.Name]
@@ -33,7 +34,7 @@
 	return forgotten
 }
 
-// restoreInstance takes back the state of an instance. What the spec says about it is not taken from the store.
+// restoreInstance sets the state of an instance from the store. The fields that the spec sets stay.
 func (m *Machine) restoreInstance(now monotime.Micros, inst *Instance, stored Instance, rebooted bool) {
 	fromSpec := *inst
 	*inst = stored
@@ -66,7 +67,7 @@
 	}
 }
 
-// restoreCommand takes back a command and ends it for instances that it can't reach any more.
+// restoreCommand adds a command from the store and ends it for instances that it can't reach any more.
 func (m *Machine) restoreCommand(now monotime.Micros, command *Command, rebooted bool) {
 	if command.Results == nil {
 		command.Results = map[string]Result{}
@@ -88,26 +89,26 @@
 	}
 }
 
-// Changes are the instances and commands to be stored before the actions are carried out, as they are now, and the IDs of
-// commands to be forgotten. The next call gives what changed since.
-func (m *Machine) Changes() (r Snapshot, dropped []string) {
+// Changes returns the instances and commands that have changed since its last call, and the IDs of forgotten commands.
+// The agent stores them before it carries out any action.
+func (m *Machine) Changes() (changed Snapshot, forgotten []string) {
 	for _, name := range sortedKeys(m.changedInstances) {
-		r.Instances = append(r.Instances, *m.instances[name])
+		changed.Instances = append(changed.Instances, *m.instances[name])
 	}
 	for _, id := range sortedKeys(m.changedCommands) {
 		if command := m.commands[id]; command != nil {
-			r.Commands = append(r.Commands, command.clone())
+			changed.Commands = append(changed.Commands, command.clone())
 		} else {
-			dropped = append(dropped, id)
+			forgotten = append(forgotten, id)
 		}
 	}
 	clear(m.changedInstances)
 	clear(m.changedCommands)
-	return r, dropped
+	return changed, forgotten
 }
 
-// RunningUnnamed lists the instances that may run and that another fleet file does not name for the host, in this file's
-// order: an agent that used that file would not manage them.
+// RunningUnnamed lists the instances that may run and that another spec does not name for the host, in the order of
+// this spec. An agent with the other spec would not manage them.
 func (m *Machine) RunningUnnamed(s *Spec, host string) (names []string) {
 	for _, name := range m.instanceNames {
 		if named := s.Instance(name); m.instances[name].Incarnation != "" && (named == nil || named.Host != host) {
@@ -117,13 +118,13 @@
 	return names
 }
 
-// Snapshot is all that Restore takes, as it is now.
-func (m *Machine) Snapshot() (r Snapshot) {
+// Snapshot returns the present state, complete, for Restore.
+func (m *Machine) Snapshot() (snapshot Snapshot) {
 	for _, name := range m.instanceNames {
-		r.Instances = append(r.Instances, *m.instances[name])
+		snapshot.Instances = append(snapshot.Instances, *m.instances[name])
 	}
 	for _, command := range m.commands {
-		r.Commands = append(r.Commands, command.clone())
+		snapshot.Commands = append(snapshot.Commands, command.clone())
 	}
-	return r
+	return snapshot
 }
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -12,11 +12,11 @@
 // Spec is a fleet as its file describes it. Its tags are the names that fleet check --json prints.
 type Spec struct {
 	Name               string
-	Program            []string // command that starts an instance; serve and its flags are appended. Empty: this program
+	Program            []string // command of an instance, without serve and its flags; empty: this program
 	Hosts              []HostSpec
 	Groups             []GroupSpec
-	RollingUpdate      RollingUpdateConfig `json:"Wave"`       // of a rolling update whose command has none of its own
-	RollingUpdateQuota string              `json:"WaveBudget"` // each instance in progress holds a unit of it; empty: none
+	RollingUpdate      RollingUpdateConfig `json:"Wave"`       // default of rolling updates
+	RollingUpdateQuota string              `json:"WaveBudget"` // each instance in progress holds a unit; empty: none
 	ColdStart          *coldstart.Config   `json:"Rise"`       // nil: a cold start is rejected
 	ColdStartQuota     string              `json:"RiseBudget"` // each instance holds a unit of it until it is settled
 	Quotas             *quota.Config       `json:"Budgets"`    // nil: no quotas are shared
@@ -40,7 +40,7 @@
 	// Settle is the time for which an instance has to be ready before it counts as available: caches warm up and
 	// endpoint lists are updated meanwhile.
 	Settle          monotime.Micros
-	MaxLaunches     int             `json:"Launches"` // within LaunchWindow without a command; then the instance stays failed
+	MaxLaunches     int             `json:"Launches"` // launches within LaunchWindow that no command requested
 	LaunchWindow    monotime.Micros `json:"Within"`
 	Labels          []string
 	DegradationFile string   `json:"Levels"` // path of the degradation policy; empty: none
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -7,24 +7,24 @@
 	"milletbarrow/monotime"
 )
 
-// Unit is one unit of a concurrency quota that the whole fleet shares, held by an instance while a rolling update or a
-// cold start has it in progress. It is released once the instance is observed ready, not when the command has a result
-// for it: what does not come back counts until an operator writes it off.
+// Unit is one unit of a concurrency quota of the whole fleet. An instance holds it while a rolling update or a cold
+// start has the instance in progress, and releases it once it is observed ready, not when the command has a result for
+// it: an instance that does not come back counts until an operator releases its unit.
 type Unit struct {
 	Quota         string          `json:"budget,omitempty"`
 	RequestID     string          `json:"turn,omitempty"` // empty: none is requested
-	CommandID     string          `json:"for,omitempty"`  // the command that it is for
-	Held          bool            `json:"held,omitempty"` // else it is requested
+	CommandID     string          `json:"for,omitempty"`  // the command that needs it
+	Held          bool            `json:"held,omitempty"` // false: it is requested
 	NextRequestAt monotime.Micros `json:"next,omitempty"` // no call to the quota store before
-	DenialCause   string          `json:"why,omitempty"`  // why the latest request was denied
+	DenialCause   string          `json:"why,omitempty"`  // of the latest denial; empty: none since the last grant
 
-	Standalone bool            `json:"alone,omitempty"` // the unit reserved for this host is used, as the quota store does not answer
-	StartedAt  monotime.Micros `json:"began,omitempty"` // KindColdStart: when the start began that holds it
+	Standalone bool            `json:"alone,omitempty"` // the unit reserved for this host: the quota store is silent
+	StartedAt  monotime.Micros `json:"began,omitempty"` // KindColdStart: start of the launch that uses it; 0: not begun
 }
 
-// HeldUnit is a unit that an instance holds.
+// HeldUnit is a unit that, for the quota store, an instance holds.
 type HeldUnit struct {
-	Name      string `json:"name"`
+	Name      string `json:"name"` // of the instance
 	Quota     string `json:"budget"`
 	RequestID string `json:"turn"`
 }
@@ -167,7 +167,7 @@
 	}
 }
 
-// handleUnitReleased applies that the quota store has a unit back. Another request may have begun meanwhile.
+// handleUnitReleased forgets a unit that the quota store took back. Another request may have begun meanwhile.
 func (m *Machine) handleUnitReleased(now monotime.Micros, released UnitReleased) {
 	m.quotaSilentSince = 0
 	inst := m.instances[released.Name]
