--- /dev/null
+++ b/internal/fleet/apply_observation.go
@@ -0,0 +1,134 @@
+package fleet
+
+import "milletbarrow/monotime"
+
+// handleObservation applies an observation of the present incarnation. Observations of other incarnations are ignored.
+func (m *Machine) handleObservation(now monotime.Micros, inst *Instance, observed Observation) {
+	if inst.Incarnation == "" || observed.Incarnation != inst.Incarnation {
+		return
+	}
+	if observed.Phase == PhaseExited {
+		m.handleExit(now, inst, observed.Exit)
+		return
+	}
+	m.countInvocations(now, inst, observed)
+	m.recordLevel(now, inst, observed)
+	if observed.Phase != PhaseUnknown {
+		m.acknowledgeActions(now, inst, observed)
+	}
+	before := inst.Phase
+	m.applyPhase(now, inst, observed)
+	if before != inst.Phase {
+		m.recordEvent(now, inst, string(inst.Phase), observed.Cause)
+	}
+	if inst.Phase == PhaseReady && inst.Attempts > 0 && now-inst.ReadySince >= inst.group.LaunchWindow {
+		inst.Attempts = 0
+	}
+}
+
+// countInvocations adds the invocations and rejections since the last observation to the host's rejection rate.
+func (m *Machine) countInvocations(now monotime.Micros, inst *Instance, observed Observation) {
+	if observed.Phase == PhaseUnknown {
+		return
+	}
+	known := inst.Invocations != unknownInvocations
+	if known && observed.Invocations >= inst.Invocations && observed.Rejected >= inst.Rejected {
+		m.rejections.add(now, observed.Invocations-inst.Invocations, observed.Rejected-inst.Rejected)
+	}
+	inst.Invocations = observed.Invocations
+	inst.Rejected = observed.Rejected
+}
+
+// recordLevel writes a change of the degradation level into the history, which outlives the instance.
+func (m *Machine) recordLevel(now monotime.Micros, inst *Instance, observed Observation) {
+	if observed.Level == "" || observed.Level == inst.Level {
+		return
+	}
+	if inst.Level != "" || observed.Level != fullService {
+		m.recordEvent(now, inst, eventLevelPrefix+observed.Level, observed.LevelCause)
+	}
+	inst.Level = observed.Level
+	m.markInstanceChanged(inst)
+}
+
+// acknowledgeActions compares the pending action with what the supervisor has taken. A supervisor that took over from
+// another may not know the notice; it gets the same one again.
+func (m *Machine) acknowledgeActions(now monotime.Micros, inst *Instance, observed Observation) {
+	noticeTaken := inst.LastAction == ActionNotify && observed.NoticeID == inst.NoticeID
+	if inst.ActionPending && (inst.LastAction == ActionLaunch || noticeTaken) {
+		inst.ActionPending = false
+		inst.Attempts = 0
+		m.markInstanceChanged(inst)
+	}
+	noticeLost := inst.NoticeID != "" && observed.NoticeID != inst.NoticeID
+	if noticeLost && inst.KillAttempts == 0 && !inst.ActionPending {
+		inst.resendNotice(now)
+		m.markInstanceChanged(inst)
+	}
+}
+
+// applyPhase moves the instance into the phase observed and sets the phase's deadline.
+func (m *Machine) applyPhase(now monotime.Micros, inst *Instance, observed Observation) {
+	switch observed.Phase {
+	case PhaseStarting, PhaseReady, PhaseUnready:
+		m.applyRunning(now, inst, observed)
+	case PhaseUnknown:
+		inst.setPhase(now, PhaseUnknown, observed.Cause)
+		if observed.Orphaned && !inst.launchPending() { // a new supervisor adopts it
+			m.issueAction(now, inst, ActionLaunch, causeSupervisorGone)
+		}
+	default: // the instance leaves, whoever notified it
+		wasLeaving := inst.Phase.leaving()
+		inst.setPhase(now, observed.Phase, observed.Cause)
+		if inst.PhaseDeadline == 0 || inst.NoticeID == "" && !wasLeaving {
+			inst.PhaseDeadline = m.exitDeadline(now, inst)
+		}
+	}
+}
+
+// applyRunning moves an instance that was not notified into a phase in which it runs.
+func (m *Machine) applyRunning(now monotime.Micros, inst *Instance, observed Observation) {
+	if inst.NoticeID != "" { // the notice is on its way, or the instance has not reacted yet
+		return
+	}
+	inst.setPhase(now, observed.Phase, observed.Cause)
+	switch {
+	case observed.Phase != PhaseStarting:
+		inst.PhaseDeadline = 0
+	case inst.PhaseDeadline == 0:
+		inst.PhaseDeadline = now + m.readinessTimeout(inst)
+	}
+}
+
+// handleExit closes an incarnation.
+func (m *Machine) handleExit(now monotime.Micros, inst *Instance, exit Exit) {
+	notified := inst.NoticeID != "" || inst.KillAttempts > 0
+	giveUpReason := inst.GiveUpReason
+	restart := inst.RestartPending
+	inst.LastExit = exit
+	inst.clearIncarnation()
+	inst.clearObservations()
+	inst.RestartPending = false
+	switch {
+	case giveUpReason != "":
+		inst.setPhase(now, PhaseFailed, giveUpReason)
+		inst.LaunchesExhausted = true
+	case notified:
+		inst.setPhase(now, PhaseExited, exit.String())
+		if restart {
+			inst.requestRelaunch(now)
+		}
+	default:
+		inst.setPhase(now, PhaseFailed, exit.String()+", and nobody had told it to leave")
+		m.delayRelaunch(now, inst)
+	}
+	m.recordEvent(now, inst, string(inst.Phase), inst.Cause)
+	m.markInstanceChanged(inst)
+}
+
+// delayRelaunch counts a launch that came to nothing and puts off the next one.
+func (m *Machine) delayRelaunch(now monotime.Micros, inst *Instance) {
+	inst.Attempts++
+	pause := m.config.RelaunchBackoff.Pause(inst.Attempts+1, m.random)
+	inst.NextAttemptAt = now + monotime.FromDuration(pause)
+}
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -1,27 +1,22 @@
 package fleet
 
-import (
-	"strconv"
+import "milletbarrow/monotime"
 
-	"milletbarrow/internal/cluster/coldstart"
-	"milletbarrow/monotime"
-)
-
-// Phase is where an instance is between its launch and its end, as far as it is observed.
+// Phase is the observed part of an instance's life, from its launch to its exit.
 type Phase string
 
-// The phases. The desired state stands apart, in Instance.DesiredUp.
+// The phases. The desired state is separate: Instance.DesiredUp.
 const (
 	PhaseAbsent       Phase = "absent"   // never started
 	PhaseStarting     Phase = "starting" // launched, not ready yet
-	PhaseReady        Phase = "ready"    // answers health checks with good
-	PhaseUnready      Phase = "unready"  // was ready, and is not though nobody notified it
+	PhaseReady        Phase = "ready"    // passes its health checks
+	PhaseUnready      Phase = "unready"  // was ready, and fails its health checks without having been notified
 	PhaseDraining     Phase = "draining" // notified, within its grace period
-	PhaseStopping     Phase = "stopping" // its grace period is over, what is in flight is answered
-	PhaseUnresponsive Phase = "deaf"     // notified and shows no sign of it; killed before its grace period ends
-	PhaseExited       Phase = "gone"     // ended after it was notified
-	PhaseFailed       Phase = "failed"   // ended by itself, could not be launched, or did not become ready
-	PhaseUnknown      Phase = "unknown"  // it can't be observed; that does not mean that it has ended
+	PhaseStopping     Phase = "stopping" // its grace period is over; it answers the requests in flight
+	PhaseUnresponsive Phase = "deaf"     // notified without a reaction; killed before its grace period ends
+	PhaseExited       Phase = "gone"     // exited after it was notified
+	PhaseFailed       Phase = "failed"   // exited by itself, could not be launched, or did not become ready
+	PhaseUnknown      Phase = "unknown"  // can't be observed; it may well run
 )
 
 // leaving reports whether the instance is shutting down.
@@ -32,170 +27,189 @@
 // Down reports whether no process of the instance is left.
 func (p Phase) Down() bool { return p == PhaseAbsent || p == PhaseExited || p == PhaseFailed }
 
-// Observation is what the supervisor of an instance reported, or what the agent found in its place.
-type Observation struct {
-	Incarnation string `json:"run"`   // the incarnation it is about
-	Phase       Phase  `json:"phase"` // any but PhaseAbsent and PhaseFailed
-	NoticeID    string `json:"told"`  // the shutdown notice that its supervisor has taken; empty: none
-	Cause       string `json:"cause,omitempty"`
-	Orphaned    bool   `json:"orphan,omitempty"` // PhaseUnknown: it runs and its supervisor does not
-	Exit        Exit   `json:"end"`              // PhaseExited
-	Invocations int    `json:"picked"`           // invocations since its start
-	Rejected    int    `json:"turned"`           // of them, throttled or answered with an error
-	Level       string `json:"level,omitempty"`  // of degradation
-	LevelCause  string `json:"why,omitempty"`    // cause of the latest change of Level
-	Detail      Detail `json:"detail,omitempty"` // what a supervisor of another release may add; empty: nothing
-}
-
-// Detail is a JSON value of a form that this release does not know; empty: none. It is passed on as it came. A string,
-// so that observations can be compared.
-type Detail string
-
-// MarshalJSON returns the value as it came.
-func (d Detail) MarshalJSON() ([]byte, error) { return []byte(d), nil }
-
-// UnmarshalJSON takes any value; null is none.
-func (d *Detail) UnmarshalJSON(raw []byte) error {
-	if *d = Detail(raw); *d == "null" {
-		*d = ""
-	}
-	return nil
-}
-
-// Exit is how an incarnation ended.
-type Exit struct {
-	Code       int             `json:"code"`             // exit code; -1 if a signal ended it
-	Signal     string          `json:"signal,omitempty"` // the signal that ended it
-	KillReason string          `json:"killed,omitempty"` // why the supervisor or the agent killed it; empty: it did not
-	Unobserved bool            `json:"unseen,omitempty"` // nobody was there to read the exit code
-	Uptime     monotime.Micros `json:"lived,omitempty"`
-	DrainTime  monotime.Micros `json:"after,omitempty"` // from the notice to the exit; 0: no notice
-}
-
-func (e Exit) String() string {
-	switch {
-	case e.KillReason != "":
-		return "killed: " + e.KillReason
-	case e.Signal != "":
-		return "died of signal " + e.Signal
-	case e.Unobserved:
-		return "ended, its exit code was not seen"
-	}
-	return "exit code " + strconv.Itoa(e.Code)
-}
-
-// fullService is the degradation level of an instance without degradation.
+// fullService is the degradation level of an instance that serves without degradation.
 const fullService = "full"
 
-// unknownInvocations stands for a count from before a restart of the agent.
+// unknownInvocations is the value of Instance.Invocations from a restart of the agent to the first observation.
 const unknownInvocations = -1
 
-// Instance is the desired and the observed state of an instance. All that has a JSON name is stored by the agent.
+// Instance is the desired and the observed state of an instance. The agent stores the fields with a JSON name.
 type Instance struct {
 	Name  string `json:"name"`
 	Group string `json:"group"`
-	Spare bool   `json:"spare,omitempty"`
+	Spare bool   `json:"spare,omitempty"` // runs only while a rolling update with surge needs it
+
+	// The desired state, and the action that leads to it.
 
-	DesiredUp      bool       `json:"up"`                // the desired state
-	RestartPending bool       `json:"recycle,omitempty"` // it is to exit and to be launched again
+	DesiredUp      bool       `json:"up"`
+	RestartPending bool       `json:"recycle,omitempty"` // it has to exit and to be launched again
 	CommandID      string     `json:"task,omitempty"`    // the command that waits for it; empty: none
 	ActionCount    int        `json:"serial"`            // actions issued for it so far
-	ActionID       string     `json:"step,omitempty"`    // the last of them
-	LastAction     ActionKind `json:"doing,omitempty"`   // the kind of ActionID
-	ActionPending  bool       `json:"pending,omitempty"` // ActionID is not known to have been taken
-
-	Incarnation       string          `json:"run,omitempty"` // the ID of the action that launched it; empty: no process
-	NoticeID          string          `json:"told,omitempty"`
-	NotifiedAt        monotime.Micros `json:"told_at,omitempty"`
-	PhaseDeadline     monotime.Micros `json:"deadline,omitempty"` // 0: none. Never 0 once it was notified
-	GiveUpReason      string          `json:"gave_up,omitempty"`  // why it was notified though it is desired up
-	LaunchesExhausted bool            `json:"spent,omitempty"`    // no further launch until a command asks for one
-	LaunchRequested   bool            `json:"free,omitempty"`     // the next launch was asked for and is not counted by LaunchBudget
+	ActionID       string     `json:"step,omitempty"`    // of the latest action; empty: none yet
+	LastAction     ActionKind `json:"doing,omitempty"`   // of the latest action
+	ActionPending  bool       `json:"pending,omitempty"` // the latest action is not known to have been carried out
+
+	// The present incarnation, and the launch of the next one.
+
+	Incarnation       string          `json:"run,omitempty"`      // ID of its launch; empty: no process
+	NoticeID          string          `json:"told,omitempty"`     // ID of the shutdown notice; empty: not notified
+	NotifiedAt        monotime.Micros `json:"told_at,omitempty"`  // when NoticeID was issued; 0: not notified
+	PhaseDeadline     monotime.Micros `json:"deadline,omitempty"` // 0: none; never 0 after a notice
+	GiveUpReason      string          `json:"gave_up,omitempty"`  // of a notice to an instance that is desired up
+	LaunchesExhausted bool            `json:"spent,omitempty"`    // no further launch until a command requests one
+	LaunchRequested   bool            `json:"free,omitempty"`     // the next launch is not counted by LaunchBudget
 	KillAttempts      int             `json:"kills,omitempty"`    // in this incarnation
 	LastExit          Exit            `json:"last"`               // of the incarnation before
-	LaunchBudget      LaunchBudget    `json:"budget"`             // of launches that no command asked for
+	LaunchBudget      LaunchBudget    `json:"budget"`             // of launches that no command requested
 	Unit              Unit            `json:"unit,omitzero"`      // of a concurrency quota of the fleet
 	UnitRequests      int             `json:"turns,omitempty"`    // unit requests so far
-	Attempts          int             `json:"tries,omitempty"`    // of the pending action, or of launches in a row
-	NextAttemptAt     monotime.Micros `json:"next,omitempty"`     // no attempt before
+	Attempts          int             `json:"tries,omitempty"`    // at the pending action, or failed launches in a row
+	NextAttemptAt     monotime.Micros `json:"next,omitempty"`     // earliest resend or launch
+
+	// The observed state.
 
 	Phase       Phase           `json:"phase"`
 	PhaseSince  monotime.Micros `json:"since"`
-	Cause       string          `json:"cause,omitempty"`
+	Cause       string          `json:"cause,omitempty"`  // of Phase
 	ReadySince  monotime.Micros `json:"steady,omitempty"` // 0: not ready
-	Invocations int             `json:"picked,omitempty"`
-	Rejected    int             `json:"turned,omitempty"`
-	Level       string          `json:"level,omitempty"` // of degradation, as it was last observed
+	Invocations int             `json:"picked,omitempty"` // of this incarnation; unknownInvocations: not known
+	Rejected    int             `json:"turned,omitempty"` // of Invocations
+	Level       string          `json:"level,omitempty"`  // of degradation, as last observed; empty: not known
+
+	// From the spec.
 
 	group     *GroupSpec
 	shutdown  ShutdownWindow
-	fileOrder int
+	fileOrder int // position among the host's instances in the file
 }
 
-// ShutdownWindow is the time that an instance has from the shutdown notice on, by its configuration.
+// ShutdownWindow holds the times that an instance has from the shutdown notice on, by its configuration.
 type ShutdownWindow struct {
-	Grace       monotime.Micros // work that arrives later is not run
-	ExitTimeout monotime.Micros // the instance has exited by then
+	Grace       monotime.Micros // a request that arrives later is rejected
+	ExitTimeout monotime.Micros // the instance has to have exited by then
 }
 
-// ActionKind is what an action does.
-type ActionKind string
+// setPhase enters a phase, or updates the cause of the present one.
+func (inst *Instance) setPhase(now monotime.Micros, phase Phase, cause string) {
+	if inst.Phase != phase {
+		inst.Phase = phase
+		inst.PhaseSince = now
+	}
+	inst.Cause = cause
+	if phase != PhaseReady {
+		inst.ReadySince = 0
+	} else if inst.ReadySince == 0 {
+		inst.ReadySince = now
+	}
+}
 
-// The actions on an instance.
-const (
-	ActionLaunch ActionKind = "launch" // start a supervisor with the instance, or a supervisor alone if Adopt is set
-	ActionNotify ActionKind = "tell"   // hand over the shutdown notice
-	ActionKill   ActionKind = "kill"   // end the instance at once
-)
+// requestLaunch requests a launch, which follows as soon as the instance is down. It is not counted by LaunchBudget,
+// which starts anew.
+func (inst *Instance) requestLaunch(now monotime.Micros) {
+	inst.DesiredUp = true
+	inst.LaunchesExhausted = false
+	inst.LaunchRequested = true
+	inst.Attempts = 0
+	inst.LaunchBudget = LaunchBudget{}
+	if inst.Phase.Down() {
+		inst.NextAttemptAt = now
+	}
+}
 
-// Action is for the agent to carry out once the change that it belongs to is stored. The same ID may come again: it
-// stands for one action.
-type Action struct {
-	Kind        ActionKind        `json:"what"`
-	ID          string            `json:"id"`
-	Name        string            `json:"name"`
-	Incarnation string            `json:"run"`
-	Adopt       bool              `json:"adopt,omitempty"`
-	NotifiedAt  monotime.Micros   `json:"told,omitempty"` // ActionNotify: when it was first issued; the shutdown window runs from there
-	Cause       string            `json:"cause,omitempty"`
-	Unit        Unit              // ActionAcquireUnit, ActionReleaseUnit
-	StartResult coldstart.Outcome `json:"End"`
+// requestRelaunch requests the launch that completes a restart, without a pause.
+func (inst *Instance) requestRelaunch(now monotime.Micros) {
+	inst.LaunchRequested = true
+	inst.NextAttemptAt = now
+	inst.Attempts = 0
 }
 
-// StartsNew reports whether the action begins something that a restart of the agent must not forget. While the state can't
-// be stored such actions wait; notices, kills and adoptions must not wait for a disk.
-func (a Action) StartsNew() bool {
-	return a.Kind == ActionLaunch && !a.Adopt || a.Kind == ActionAcquireUnit
+// abandonLaunch forgets an incarnation whose process was never started.
+func (inst *Instance) abandonLaunch() {
+	inst.Incarnation = ""
+	inst.ActionPending = false
+	inst.PhaseDeadline = 0
 }
 
-// HistoryEvent is an entry of the history that people read.
-type HistoryEvent struct {
-	At        monotime.Micros `json:"at"`
-	Name      string          `json:"name,omitempty"`
-	CommandID string          `json:"command,omitempty"`
-	Event     string          `json:"event"`
-	Cause     string          `json:"cause,omitempty"`
+// clearIncarnation forgets the notice, the kills and the deadline of an incarnation that has ended.
+func (inst *Instance) clearIncarnation() {
+	inst.Incarnation = ""
+	inst.NoticeID = ""
+	inst.NotifiedAt = 0
+	inst.GiveUpReason = ""
+	inst.PhaseDeadline = 0
+	inst.ActionPending = false
+	inst.KillAttempts = 0
 }
 
-// setPhase enters a phase, or updates the cause of the present one.
-func (in *Instance) setPhase(now monotime.Micros, p Phase, cause string) {
-	if in.Phase != p {
-		in.Phase, in.PhaseSince = p, now
-	}
-	in.Cause = cause
-	if p != PhaseReady {
-		in.ReadySince = 0
-	} else if in.ReadySince == 0 {
-		in.ReadySince = now
-	}
+// clearObservations forgets what was observed of an incarnation that has ended.
+func (inst *Instance) clearObservations() {
+	inst.Invocations = 0
+	inst.Rejected = 0
+	inst.Level = ""
 }
 
-// Settled reports whether the instance has been ready for as long as its group wants.
-func (in *Instance) Settled(now monotime.Micros) bool {
-	return in.Phase == PhaseReady && now-in.ReadySince >= in.group.Settle
+// resendNotice makes the notice the pending action again, due at once.
+func (inst *Instance) resendNotice(now monotime.Micros) {
+	inst.ActionID = inst.NoticeID
+	inst.LastAction = ActionNotify
+	inst.ActionPending = true
+	inst.NextAttemptAt = now
+}
+
+// resetAfterReboot forgets the process, which a reboot of the host has ended. If the instance is desired up, it is
+// launched at once.
+func (inst *Instance) resetAfterReboot(now monotime.Micros) {
+	inst.clearIncarnation()
+	inst.RestartPending = false
+	inst.LaunchesExhausted = false
+	inst.LaunchRequested = true
+	inst.NextAttemptAt = 0
+	inst.Attempts = 0
+	inst.LaunchBudget = LaunchBudget{}
+	inst.setPhase(now, PhaseAbsent, causeRebooted)
+}
+
+// awaitObservation makes the phase of a running instance unknown after a restart of the agent. A pending action goes
+// out again at once.
+func (inst *Instance) awaitObservation(now monotime.Micros) {
+	inst.Phase = PhaseUnknown
+	inst.PhaseSince = now
+	inst.Cause = causeAgentRestarted
+	inst.NextAttemptAt = now
+}
+
+// Settled reports whether the instance has been ready for at least its group's Settle time.
+func (inst *Instance) Settled(now monotime.Micros) bool {
+	return inst.Phase == PhaseReady && now-inst.ReadySince >= inst.group.Settle
 }
 
 // available reports whether a rolling update may count the instance as serving.
-func (in *Instance) available(now monotime.Micros) bool {
-	return in.DesiredUp && !in.RestartPending && in.NoticeID == "" && in.Settled(now)
+func (inst *Instance) available(now monotime.Micros) bool {
+	return inst.DesiredUp && !inst.RestartPending && inst.NoticeID == "" && inst.Settled(now)
+}
+
+// backInService reports whether an instance serves again, or is down as desired.
+func (inst *Instance) backInService(now monotime.Micros) bool {
+	return inst.available(now) || !inst.DesiredUp && inst.Phase.Down()
+}
+
+// runsUndisturbed reports whether the instance is ready and is not about to leave.
+func (inst *Instance) runsUndisturbed() bool {
+	return inst.Phase == PhaseReady && !inst.RestartPending && inst.NoticeID == ""
+}
+
+// failedForGood reports whether the instance is down and is not launched again without a command.
+func (inst *Instance) failedForGood() bool {
+	return inst.Phase == PhaseFailed && inst.LaunchesExhausted
+}
+
+// shouldNotify reports whether the instance is to leave and has not been notified.
+func (inst *Instance) shouldNotify() bool {
+	return inst.NoticeID == "" && (!inst.DesiredUp || inst.RestartPending)
+}
+
+// launchPending reports whether a launch of the instance, or of a supervisor that adopts it, is not known to have been
+// carried out.
+func (inst *Instance) launchPending() bool {
+	return inst.ActionPending && inst.LastAction == ActionLaunch
 }
