--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -56,7 +56,7 @@
 		command = append(command, "--draw", word)
 	}
 	return supervisor.Run(ctx, supervisor.Options{
-		Dir: c.String("dir"), Name: c.String("name"), Run: c.String("run"), Adopt: c.Bool("adopt"),
+		Dir: c.String("dir"), Name: c.String("name"), Incarnation: c.String("run"), Adopt: c.Bool("adopt"),
 		Launcher: []string{self, "begin", "--"}, Command: command,
 		Window: fleet.ShutdownWindow{
 			Grace: monotime.FromDuration(c.Duration("grace")), ExitTimeout: monotime.FromDuration(c.Duration("stop")),
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -42,14 +42,14 @@
 func (a *Agent) deliver(ctx context.Context, action fleet.Action) {
 	client := supervisor.NewClient(a.options.Dir, action.Name, a.options.Bounds)
 	defer client.Close()
-	err := client.Request(ctx, supervisor.StepRequest{
-		Step: action.ID, Run: action.Incarnation, What: action.Kind, Cause: action.Cause,
+	err := client.Request(ctx, supervisor.ActionRequest{
+		ActionID: action.ID, Incarnation: action.Incarnation, Action: action.Kind, Cause: action.Cause,
 	})
 	if err == nil || ctx.Err() != nil { // the agent ends: the action stays pending for the next one
 		return
 	}
 	state, stateErr := supervisor.ReadState(supervisor.PathsOf(a.options.Dir, action.Name).State)
-	if stateErr != nil || state.Run != action.Incarnation || state.Ended {
+	if stateErr != nil || state.Incarnation != action.Incarnation || state.Ended {
 		return // it is over, which the watcher reports
 	}
 	slog.Warn("supervisor", "name", action.Name, "step", action.ID, "error", err.Error())
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -190,11 +190,11 @@
 	before.Supervisor.Signal(syscall.SIGKILL)
 	fakes.Until(t, "another supervisor is there", func() bool { s := state("a"); return s.Supervisor != before.Supervisor && s.Supervisor.Alive() })
 	fakes.Until(t, "it is seen ready", func() bool { return h.agent.Status().Instances[0].Phase == fleet.PhaseReady })
-	if s := state("a"); s.Instance != before.Instance || s.NotifiedStep != "" {
+	if s := state("a"); s.Instance != before.Instance || s.NoticeID != "" {
 		t.Fatalf("%+v became %+v", before, s)
 	}
 	h.mustOrder("down", fleet.KindDrain)
-	fakes.Until(t, "the notice is written down", func() bool { return state("deaf").NotifiedStep != "" && state("a").NotifiedStep != "" })
+	fakes.Until(t, "the notice is written down", func() bool { return state("deaf").NoticeID != "" && state("a").NoticeID != "" })
 	state("deaf").Supervisor.Signal(syscall.SIGKILL)
 	state("a").Supervisor.Signal(syscall.SIGKILL)
 	c := h.result("down")
@@ -216,7 +216,7 @@
 	fakes.Until(t, "the notices are out", func() bool {
 		a, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
 		d, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "deaf").State)
-		return a.NotifiedStep != "" && d.NotifiedStep != ""
+		return a.NoticeID != "" && d.NoticeID != ""
 	})
 	h.leave()
 	for _, n := range h.names {
@@ -337,7 +337,7 @@
 	})
 	h.mustOrder("again", fleet.KindRestart, "a")
 	h.result("again")
-	if s, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State); s.Run == was.Run || s.Instance == was.Instance {
+	if s, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State); s.Incarnation == was.Incarnation || s.Instance == was.Instance {
 		t.Errorf("%+v after %+v", s, was)
 	}
 }
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -62,7 +62,7 @@
 	grace, _ := time.ParseDuration(flagOf("grace"))
 	stop, _ := time.ParseDuration(flagOf("stop"))
 	err := supervisor.Run(context.Background(), supervisor.Options{
-		Dir: flagOf("dir"), Name: flagOf("name"), Run: flagOf("run"), Adopt: slices.Contains(os.Args, "--adopt"),
+		Dir: flagOf("dir"), Name: flagOf("name"), Incarnation: flagOf("run"), Adopt: slices.Contains(os.Args, "--adopt"),
 		Launcher: []string{os.Args[0], "begin", "--"}, Command: []string{os.Args[0], "serve", "--config", flagOf("config")},
 		Window: fleet.ShutdownWindow{Grace: monotime.FromDuration(grace), ExitTimeout: monotime.FromDuration(stop)},
 		Bounds: limits.ForControl(),
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -42,7 +42,7 @@
 func (a *Agent) launch(spec *fleet.Spec, action fleet.Action) error {
 	paths := supervisor.PathsOf(a.options.Dir, action.Name)
 	state, err := supervisor.ReadState(paths.State)
-	if err == nil && state.Run == action.Incarnation && (state.Ended || state.Supervisor.Alive()) {
+	if err == nil && state.Incarnation == action.Incarnation && (state.Ended || state.Supervisor.Alive()) {
 		return nil // the same action came twice
 	}
 	failed := func(err error) error {
@@ -112,7 +112,7 @@
 	if code == 0 || code == ExitSupervisorRunning {
 		return
 	}
-	if state, err := supervisor.ReadState(statePath); err == nil && state.Run == action.Incarnation {
+	if state, err := supervisor.ReadState(statePath); err == nil && state.Incarnation == action.Incarnation {
 		return // it took charge, and its state says what became of the incarnation
 	}
 	a.fail(action, &SupervisorExitError{Code: code, LastOutput: lastLine(logPath)}, false)
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -61,7 +61,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	text := fmt.Sprintf(`{"version":1,"name":%q,"run":%q,"boot":%q,"ended":%t}`, s.Name, s.Run, process.Boot(), s.Ended)
+	text := fmt.Sprintf(`{"version":1,"name":%q,"run":%q,"boot":%q,"ended":%t}`, s.Name, s.Incarnation, process.Boot(), s.Ended)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -118,8 +118,8 @@
 func TestAdoption(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	dir := a.options.Dir
-	writeState(t, dir, supervisor.State{Name: "a", Run: "a.7"})
-	writeState(t, dir, supervisor.State{Name: "b", Run: "b.3", Ended: true})
+	writeState(t, dir, supervisor.State{Name: "a", Incarnation: "a.7"})
+	writeState(t, dir, supervisor.State{Name: "b", Incarnation: "b.3", Ended: true})
 	var saved agentstore.State
 	a.adoptUnrecorded(&saved)
 	if len(saved.Instances) != 1 {
@@ -386,7 +386,7 @@
 // TestLaunchTwice: a launch whose incarnation has a supervisor, or has ended, starts no other.
 func TestLaunchTwice(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
-	writeState(t, a.options.Dir, supervisor.State{Name: "a", Run: "a.1", Ended: true})
+	writeState(t, a.options.Dir, supervisor.State{Name: "a", Incarnation: "a.1", Ended: true})
 	if err := a.launch(a.loop.spec, fleet.Action{Kind: fleet.ActionLaunch, Name: "a", Incarnation: "a.1"}); err != nil {
 		t.Errorf("the ended incarnation was launched again: %v", err)
 	}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -144,7 +144,7 @@
 		return fleet.SupervisorRecord{State: fleet.RecordUnreadable, Cause: err.Error()}
 	}
 	return fleet.SupervisorRecord{
-		State: fleet.RecordRead, Incarnation: state.Run, Ended: state.Ended, Exit: state.End, NoticeID: state.NotifiedStep,
+		State: fleet.RecordRead, Incarnation: state.Incarnation, Ended: state.Ended, Exit: state.End, NoticeID: state.NoticeID,
 		NotifiedAt: state.NotifiedAt, SupervisorAlive: state.Supervisor.Alive(), InstanceAlive: state.Instance.Alive(),
 	}
 }
--- a/internal/supervisor/api.go
+++ b/internal/supervisor/api.go
@@ -26,11 +26,11 @@
 	Record      State             `json:"life"`
 }
 
-// StepRequest asks for a step of an agent's command. The JSON is spoken between versions.
-type StepRequest struct {
-	Step  string           `json:"step"`
-	Run   string           `json:"run"`
-	What  fleet.ActionKind `json:"what"` // a notice or a kill
+// ActionRequest asks for a step of an agent's command. The JSON is spoken between versions.
+type ActionRequest struct {
+	ActionID  string           `json:"step"`
+	Incarnation   string           `json:"run"`
+	Action  fleet.ActionKind `json:"what"` // a notice or a kill
 	Cause string           `json:"cause"`
 }
 
@@ -40,7 +40,7 @@
 	cause        string
 	notifiedStep string
 	level        string
-	picked       int
+	arrivals       int
 	at           monotime.Micros
 }
 
@@ -48,13 +48,13 @@
 func (s *supervisor) publishIfChanged(now monotime.Micros) {
 	const countsInterval monotime.Micros = 1_000_000 // counts alone are no reason to wake the agent more often
 	phase, cause := s.monitor.Phase(now)
-	key := reportKey{phase: phase, cause: cause, notifiedStep: s.record.NotifiedStep, at: now}
+	key := reportKey{phase: phase, cause: cause, notifiedStep: s.record.NoticeID, at: now}
 	if s.lastState != nil {
-		key.picked, key.level = s.lastState.Arrived, s.lastState.Level
+		key.arrivals, key.level = s.lastState.Arrived, s.lastState.Level
 	}
 	last := s.lastReported
-	countsDue := last.picked != key.picked && now-last.at >= countsInterval
-	last.picked, last.at = key.picked, key.at
+	countsDue := last.arrivals != key.arrivals && now-last.at >= countsInterval
+	last.arrivals, last.at = key.arrivals, key.at
 	if last != key || countsDue {
 		s.lastReported = key
 		s.publish()
@@ -73,7 +73,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	phase, cause := s.monitor.Phase(process.Now())
-	o := fleet.Observation{Incarnation: s.record.Run, Phase: phase, Cause: cause, NoticeID: s.record.NotifiedStep}
+	o := fleet.Observation{Incarnation: s.record.Incarnation, Phase: phase, Cause: cause, NoticeID: s.record.NoticeID}
 	if state := s.lastState; state != nil {
 		o.Invocations, o.Rejected = state.Arrived, state.Throttled+state.Errored
 		o.Level = state.Level
@@ -90,7 +90,7 @@
 func (s *supervisor) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/report", s.handleReport)
-	mux.HandleFunc("POST /v1/order", s.handleStep)
+	mux.HandleFunc("POST /v1/order", s.handleAction)
 	return mux
 }
 
@@ -121,25 +121,25 @@
 	s.mu.Unlock()
 }
 
-// handleStep takes a notice or a kill for this incarnation.
-func (s *supervisor) handleStep(w http.ResponseWriter, r *http.Request) {
-	var request StepRequest
+// handleAction takes a notice or a kill for this incarnation.
+func (s *supervisor) handleAction(w http.ResponseWriter, r *http.Request) {
+	var request ActionRequest
 	body := io.LimitReader(r.Body, int64(s.options.Bounds.MessageSize))
 	if err := json.NewDecoder(body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if request.Run != s.options.Run {
-		http.Error(w, fmt.Sprintf("run %q is over; this is %q", request.Run, s.options.Run), http.StatusConflict)
+	if request.Incarnation != s.options.Incarnation {
+		http.Error(w, fmt.Sprintf("run %q is over; this is %q", request.Incarnation, s.options.Incarnation), http.StatusConflict)
 		return
 	}
-	switch request.What {
+	switch request.Action {
 	case fleet.ActionNotify:
-		_ = s.notify(request.Step) // logged there; the instance is notified all the same
+		_ = s.takeNotice(request.ActionID) // logged there; the instance is notified all the same
 	case fleet.ActionKill:
 		s.kill(request.Cause)
 	default:
-		http.Error(w, fmt.Sprintf("what: %q", request.What), http.StatusBadRequest)
+		http.Error(w, fmt.Sprintf("what: %q", request.Action), http.StatusBadRequest)
 		return
 	}
 	w.WriteHeader(http.StatusAccepted)
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -30,7 +30,7 @@
 }
 
 // Request sends a step, within limits.Control.CallTimeout.
-func (c *Client) Request(ctx context.Context, r StepRequest) error {
+func (c *Client) Request(ctx context.Context, r ActionRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, c.bounds.CallTimeout)
 	defer cancel()
 	return jsonhttp.Call(ctx, c.http, http.MethodPost, "/v1/order", r, nil, 0)
--- a/internal/supervisor/compat_test.go
+++ b/internal/supervisor/compat_test.go
@@ -14,7 +14,7 @@
 // TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Report](t, "Report.json")
-	compattest.RoundTrip[StepRequest](t, "Order.json")
+	compattest.RoundTrip[ActionRequest](t, "Order.json")
 	compattest.RoundTrip[State](t, "State.json")
 	compattest.RoundTrip[State](t, "state.json")
 }
--- a/internal/supervisor/errors.go
+++ b/internal/supervisor/errors.go
@@ -44,10 +44,10 @@
 // StateConflictError means that the state file does not allow a supervisor to start or adopt an incarnation.
 type StateConflictError struct {
 	Name   string // the instance
-	Run    string // the incarnation that was to be started or adopted
+	Incarnation    string // the incarnation that was to be started or adopted
 	Reason string
 }
 
 func (e *StateConflictError) Error() string {
-	return fmt.Sprintf("instance %s, run %s: %s", e.Name, e.Run, e.Reason)
+	return fmt.Sprintf("instance %s, run %s: %s", e.Name, e.Incarnation, e.Reason)
 }
--- a/internal/supervisor/launch.go
+++ b/internal/supervisor/launch.go
@@ -52,7 +52,7 @@
 	if _, err := release.Write([]byte{1}); err != nil {
 		slog.Error("begin", "name", s.options.Name, "error", err.Error())
 	}
-	slog.Info("launched", "name", s.options.Name, "run", s.options.Run, "pid", instance.PID)
+	slog.Info("launched", "name", s.options.Name, "run", s.options.Incarnation, "pid", instance.PID)
 	go func() { exited <- awaitChild(cmd) }()
 	return nil
 }
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -42,12 +42,12 @@
 // Monitor decides about one incarnation of one instance. It is not safe for concurrent use.
 type Monitor struct {
 	Window       fleet.ShutdownWindow
-	NotifiedStep string // the step whose shutdown notice was taken; empty: none
+	NoticeID string // the step whose shutdown notice was taken; empty: none
 	NotifiedAt   monotime.Micros
 	KillCause    string // why the instance was killed; empty: it was not
 
 	socketNotifiedAt monotime.Micros // the latest notice on the admin socket; 0: none
-	signalled        bool
+	signalSent        bool
 	answered         bool // the instance has answered at least once
 	wasReady         bool
 	lastState        *admin.State
@@ -55,12 +55,12 @@
 	drainingSince    monotime.Micros // it drains without a notice from here, since then; 0: it does not
 }
 
-// Notify takes the shutdown notice of a step and reports whether it is the first: one notice an incarnation counts.
-func (m *Monitor) Notify(now monotime.Micros, step string) bool {
-	if m.NotifiedStep != "" {
+// RecordNotice takes the shutdown notice of a step and reports whether it is the first: one notice an incarnation counts.
+func (m *Monitor) RecordNotice(now monotime.Micros, step string) bool {
+	if m.NoticeID != "" {
 		return false
 	}
-	m.NotifiedStep, m.NotifiedAt = step, now
+	m.NoticeID, m.NotifiedAt = step, now
 	return true
 }
 
@@ -79,7 +79,7 @@
 	}
 	m.answered, m.lastState, m.lastStateAt = true, o.State, now
 	m.wasReady = m.wasReady || o.State.Ready
-	if o.State.Draining && m.NotifiedStep == "" && m.drainingSince == 0 {
+	if o.State.Draining && m.NoticeID == "" && m.drainingSince == 0 {
 		m.drainingSince = min(now, o.State.GraceEnds-m.Window.Grace)
 	}
 }
@@ -92,7 +92,7 @@
 
 // shutdownStart is when the shutdown began, by notice or by the instance itself; 0: it has not.
 func (m *Monitor) shutdownStart() monotime.Micros {
-	if m.NotifiedStep != "" {
+	if m.NoticeID != "" {
 		return m.NotifiedAt
 	}
 	return m.drainingSince
@@ -104,15 +104,15 @@
 	if m.KillCause != "" {
 		return []Action{KillGroup} // again, until it is gone
 	}
-	if m.NotifiedStep == "" && m.drainingSince == 0 {
+	if m.NoticeID == "" && m.drainingSince == 0 {
 		return nil
 	}
 	elapsed := now - m.shutdownStart()
-	if m.NotifiedStep != "" && !m.signalled {
-		m.signalled = true
+	if m.NoticeID != "" && !m.signalSent {
+		m.signalSent = true
 		actions = append(actions, SignalShutdown)
 	}
-	acknowledged := m.NotifiedStep == "" || m.acknowledged()
+	acknowledged := m.NoticeID == "" || m.acknowledged()
 	switch {
 	case !acknowledged && elapsed >= m.Window.Grace-killLead:
 		// It would admit work after its grace. What it has in flight is lost with it; work that runs when nobody may
@@ -137,7 +137,7 @@
 	switch {
 	case m.KillCause != "":
 		return fleet.PhaseUnresponsive, m.KillCause
-	case m.NotifiedStep != "" && !m.acknowledged() && now-start >= acknowledgeTimeout:
+	case m.NoticeID != "" && !m.acknowledged() && now-start >= acknowledgeTimeout:
 		return fleet.PhaseUnresponsive, "it shows no sign of having heard the notice"
 	case start != 0 && now-start >= m.Window.Grace:
 		return fleet.PhaseStopping, ""
--- a/internal/supervisor/monitor_rules_test.go
+++ b/internal/supervisor/monitor_rules_test.go
@@ -61,7 +61,7 @@
 func TestUnacknowledgedOnlyAfterItsTimeout(t *testing.T) {
 	m := &Monitor{Window: usual}
 	m.Observe(second, ready())
-	m.Notify(second, "s1")
+	m.RecordNotice(second, "s1")
 	if phase, _ := m.Phase(second + acknowledgeTimeout - 1); phase != fleet.PhaseDraining {
 		t.Errorf("before the timeout: %s, want %s", phase, fleet.PhaseDraining)
 	}
@@ -74,7 +74,7 @@
 func TestOneSignal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &Monitor{Window: usual}
-		m.Notify(second, "s1")
+		m.RecordNotice(second, "s1")
 		signals := 0
 		for now := second; now < second+usual.ExitTimeout; now += monotime.Micros(rapid.IntRange(1000, 200_000).Draw(t, "step")) {
 			if rapid.Bool().Draw(t, "answers") {
@@ -95,7 +95,7 @@
 // TestSocketNoticesAreSpaced: notices on the admin socket are socketNoticeInterval apart at least, and go on.
 func TestSocketNoticesAreSpaced(t *testing.T) {
 	m := &Monitor{Window: usual}
-	m.Notify(second, "s1")
+	m.RecordNotice(second, "s1")
 	var notices []monotime.Micros
 	for now := second; now < second+usual.Grace-killLead; now += 10_000 {
 		if slices.Contains(m.NextActions(now), NotifySocket) {
@@ -139,7 +139,7 @@
 // TestDrainingAfterTheNoticeIsNoOwnDecision: once notified the window counts from the notice, whatever was seen after.
 func TestDrainingAfterTheNoticeIsNoOwnDecision(t *testing.T) {
 	m := &Monitor{Window: usual}
-	m.Notify(second, "s1")
+	m.RecordNotice(second, "s1")
 	m.NextActions(second)
 	m.Observe(second+50_000, draining(second+usual.Grace))
 	if m.drainingSince != 0 {
--- a/internal/supervisor/monitor_test.go
+++ b/internal/supervisor/monitor_test.go
@@ -105,7 +105,7 @@
 		was := fleet.Phase("")
 		for now := monotime.Micros(0); now < 20*second && !f.exited; now += 25_000 {
 			if now == 10*second {
-				tr.Say("  told: %t, again: %t", m.Notify(now, "s1"), m.Notify(now, "s2"))
+				tr.Say("  told: %t, again: %t", m.RecordNotice(now, "s1"), m.RecordNotice(now, "s2"))
 			}
 			m.Observe(now, f.check(now))
 			if f.exited {
@@ -137,7 +137,7 @@
 		notifiedAt := monotime.Micros(rapid.IntRange(1, 40).Draw(t, "told")) * 100_000
 		for now := monotime.Micros(0); now < 12*second && !f.exited; now += monotime.Micros(rapid.IntRange(1000, 40_000).Draw(t, "step")) {
 			if now >= notifiedAt {
-				m.Notify(now, "s")
+				m.RecordNotice(now, "s")
 			}
 			m.Observe(now, f.check(now))
 			if !f.exited {
@@ -145,7 +145,7 @@
 					f.act(now, m, a)
 				}
 			}
-			if m.NotifiedStep != "" && now > m.NotifiedAt+usual.Grace+lateNoticeAllowance && f.takesIn(now) {
+			if m.NoticeID != "" && now > m.NotifiedAt+usual.Grace+lateNoticeAllowance && f.takesIn(now) {
 				t.Fatalf("takes work in %d us after the notice: %+v, %+v", now-m.NotifiedAt, f, m)
 			}
 		}
--- a/internal/supervisor/record_test.go
+++ b/internal/supervisor/record_test.go
@@ -25,7 +25,7 @@
 	if err := os.Mkdir(filepath.Join(dir, "keepers"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	s := newSupervisor(Options{Dir: dir, Name: "n1", Run: "r2", Adopt: adopt, Window: usual, Bounds: limits.ForControl()})
+	s := newSupervisor(Options{Dir: dir, Name: "n1", Incarnation: "r2", Adopt: adopt, Window: usual, Bounds: limits.ForControl()})
 	if previous != nil {
 		if err := previous.write(s.paths.State); err != nil {
 			t.Fatal(err)
@@ -58,14 +58,14 @@
 	}{
 		{what: "nothing before"},
 		{what: "nothing to adopt", adopt: true, conflict: true},
-		{what: "another incarnation to adopt", previous: &State{Name: "n1", Run: "r1", Instance: alive}, adopt: true, conflict: true},
-		{what: "another incarnation goes on", previous: &State{Name: "n1", Run: "r1", Instance: alive}, conflict: true},
-		{what: "another incarnation is gone", previous: &State{Name: "n1", Run: "r1", Instance: gone}},
-		{what: "another incarnation has ended", previous: &State{Name: "n1", Run: "r1", Instance: alive, Ended: true}},
-		{what: "it goes on without a supervisor", previous: &State{Name: "n1", Run: "r2", Instance: alive}, conflict: true},
-		{what: "it goes on and is adopted", previous: &State{Name: "n1", Run: "r2", Instance: alive}, adopt: true, instance: alive},
-		{what: "it has ended", previous: &State{Name: "n1", Run: "r2", Instance: alive, Ended: true}, ended: true, instance: alive},
-		{what: "it was never started", previous: &State{Name: "n1", Run: "r2"}},
+		{what: "another incarnation to adopt", previous: &State{Name: "n1", Incarnation: "r1", Instance: alive}, adopt: true, conflict: true},
+		{what: "another incarnation goes on", previous: &State{Name: "n1", Incarnation: "r1", Instance: alive}, conflict: true},
+		{what: "another incarnation is gone", previous: &State{Name: "n1", Incarnation: "r1", Instance: gone}},
+		{what: "another incarnation has ended", previous: &State{Name: "n1", Incarnation: "r1", Instance: alive, Ended: true}},
+		{what: "it goes on without a supervisor", previous: &State{Name: "n1", Incarnation: "r2", Instance: alive}, conflict: true},
+		{what: "it goes on and is adopted", previous: &State{Name: "n1", Incarnation: "r2", Instance: alive}, adopt: true, instance: alive},
+		{what: "it has ended", previous: &State{Name: "n1", Incarnation: "r2", Instance: alive, Ended: true}, ended: true, instance: alive},
+		{what: "it was never started", previous: &State{Name: "n1", Incarnation: "r2"}},
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			s := newTestSupervisor(t, c.previous, c.adopt)
@@ -75,12 +75,12 @@
 				t.Fatalf("claim: %v", err)
 			}
 			if c.conflict {
-				if conflict.Name != "n1" || conflict.Run != "r2" {
+				if conflict.Name != "n1" || conflict.Incarnation != "r2" {
 					t.Errorf("conflict of %+v", conflict)
 				}
 				return
 			}
-			if s.record.Run != "r2" || s.record.Ended != c.ended || s.record.Instance != c.instance {
+			if s.record.Incarnation != "r2" || s.record.Ended != c.ended || s.record.Instance != c.instance {
 				t.Errorf("record %+v", s.record)
 			}
 			written, err := ReadState(s.paths.State)
@@ -93,14 +93,14 @@
 
 // TestClaimKeepsTheNotice: a supervisor that takes over counts from the notice that the one before took.
 func TestClaimKeepsTheNotice(t *testing.T) {
-	s := newTestSupervisor(t, &State{Name: "n1", Run: "r2", Instance: self(t), NotifiedStep: "s1", NotifiedAt: 5 * second}, true)
+	s := newTestSupervisor(t, &State{Name: "n1", Incarnation: "r2", Instance: self(t), NoticeID: "s1", NotifiedAt: 5 * second}, true)
 	if err := s.claim(); err != nil {
 		t.Fatal(err)
 	}
-	if s.monitor.NotifiedStep != "s1" || s.monitor.NotifiedAt != 5*second {
-		t.Errorf("notified by %q at %d", s.monitor.NotifiedStep, s.monitor.NotifiedAt)
+	if s.monitor.NoticeID != "s1" || s.monitor.NotifiedAt != 5*second {
+		t.Errorf("notified by %q at %d", s.monitor.NoticeID, s.monitor.NotifiedAt)
 	}
-	if s.monitor.Notify(6*second, "s2") {
+	if s.monitor.RecordNotice(6*second, "s2") {
 		t.Error("a second notice counts as news")
 	}
 }
@@ -128,7 +128,7 @@
 	if !ok || newer.Version != stateVersion+1 || newer.Known != stateVersion || err.Error() != path+": version 2, and this build knows 1" {
 		t.Errorf("newer version: %v", err)
 	}
-	here := State{Version: stateVersion, Name: "n1", Run: "r1", Boot: process.Boot(), Instance: self(t), Supervisor: self(t)}
+	here := State{Version: stateVersion, Name: "n1", Incarnation: "r1", Boot: process.Boot(), Instance: self(t), Supervisor: self(t)}
 	put(here)
 	if s, err := ReadState(path); err != nil || s != here {
 		t.Errorf("this boot: %+v, %v", s, err)
@@ -218,7 +218,7 @@
 			t.Errorf("%s: status %d, want %d", c.body, got, c.want)
 		}
 		written, err := ReadState(s.paths.State)
-		if err != nil || written.NotifiedStep != c.step || s.monitor.KillCause != "" {
+		if err != nil || written.NoticeID != c.step || s.monitor.KillCause != "" {
 			t.Errorf("%s: written %+v, killed %q, %v", c.body, written, s.monitor.KillCause, err)
 		}
 	}
@@ -250,7 +250,7 @@
 	if r, err := get(short, "0"); err == nil {
 		t.Fatalf("a report without news: %+v", r)
 	}
-	if r, err := get(context.Background(), "-1"); err != nil || r.Serial != 0 || r.Record.Run != "r2" {
+	if r, err := get(context.Background(), "-1"); err != nil || r.Serial != 0 || r.Record.Incarnation != "r2" {
 		t.Fatalf("the latest report: %+v, %v", r, err)
 	}
 	time.AfterFunc(20*time.Millisecond, func() { s.recordExit(fleet.Exit{Code: 7}) })
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -45,12 +45,12 @@
 type State struct {
 	Version      int              `json:"version"`
 	Name         string           `json:"name"`
-	Run          string           `json:"run"`
+	Incarnation          string           `json:"run"`
 	Boot         string           `json:"boot"` // the boot of the machine that identities and times are of
 	Supervisor   process.Identity `json:"keeper"`
 	Instance     process.Identity `json:"instance"` // zero before it was started
 	StartedAt    monotime.Micros  `json:"began"`
-	NotifiedStep string           `json:"told,omitempty"` // the step whose shutdown notice was taken
+	NoticeID string           `json:"told,omitempty"` // the step whose shutdown notice was taken
 	NotifiedAt   monotime.Micros  `json:"told_at,omitempty"`
 	Ended        bool             `json:"ended,omitempty"`
 	End          fleet.Exit       `json:"end"`
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -23,7 +23,7 @@
 type Options struct {
 	Dir      string   // the agent's directory
 	Name     string   // of the instance
-	Run      string   // the incarnation to start, or to take over
+	Incarnation      string   // the incarnation to start, or to take over
 	Adopt    bool     // take a running instance over: start nothing
 	Launcher []string // runs the command appended to it once descriptor 3 brings a byte; see WaitAndExec
 	Command  []string // starts the instance; --inspect SOCKET is appended
@@ -126,23 +126,23 @@
 		return errSelf
 	}
 	conflict := func(reason string) error {
-		return &StateConflictError{Name: o.Name, Run: o.Run, Reason: reason}
+		return &StateConflictError{Name: o.Name, Incarnation: o.Incarnation, Reason: reason}
 	}
 	switch {
 	case err != nil && !errors.Is(err, ErrNoState):
 		return err
-	case err == nil && previous.Run == o.Run && (previous.Ended || !previous.Instance.Zero()):
+	case err == nil && previous.Incarnation == o.Incarnation && (previous.Ended || !previous.Instance.Zero()):
 		if !previous.Ended && !o.Adopt && previous.Instance.Alive() {
 			return conflict(fmt.Sprintf("goes on as %v without a supervisor; it has to be adopted", previous.Instance))
 		}
 		s.record = previous
-		s.monitor.NotifiedStep, s.monitor.NotifiedAt = previous.NotifiedStep, previous.NotifiedAt
+		s.monitor.NoticeID, s.monitor.NotifiedAt = previous.NoticeID, previous.NotifiedAt
 	case o.Adopt:
 		return conflict("there is nothing to take over")
 	case err == nil && !previous.Ended && previous.Instance.Alive():
-		return conflict(fmt.Sprintf("run %s still goes on as %v", previous.Run, previous.Instance))
+		return conflict(fmt.Sprintf("run %s still goes on as %v", previous.Incarnation, previous.Instance))
 	default:
-		s.record = State{Name: o.Name, Run: o.Run, StartedAt: process.Now()}
+		s.record = State{Name: o.Name, Incarnation: o.Incarnation, StartedAt: process.Now()}
 	}
 	if s.record.Ended {
 		return nil
@@ -166,9 +166,9 @@
 			checks.running = false
 			s.observe(o)
 		case <-signals: // whoever ends the supervisor wants the instance to shut down
-			_ = s.notify("signal") // logged there; the instance is notified all the same
+			_ = s.takeNotice("signal") // logged there; the instance is notified all the same
 		case <-ctx.Done():
-			_ = s.notify("context") // as above
+			_ = s.takeNotice("context") // as above
 			ctx = context.WithoutCancel(ctx)
 		case <-s.wake:
 		case <-timer.C:
@@ -249,23 +249,23 @@
 		}()
 	case KillGroup:
 		err = instance.KillGroup()
-		slog.Warn("killed", "name", s.options.Name, "run", s.options.Run, "cause", killCause, "after_ms", sinceNotice/1000)
+		slog.Warn("killed", "name", s.options.Name, "run", s.options.Incarnation, "cause", killCause, "after_ms", sinceNotice/1000)
 	}
 	if err != nil && !errors.Is(err, process.ErrGone) {
 		slog.Error("signal", "name", s.options.Name, "error", err.Error())
 	}
 }
 
-// notify takes the shutdown notice and writes it down, before the instance gets it. An error means that it could not
+// takeNotice takes the shutdown notice and writes it down, before the instance gets it. An error means that it could not
 // be written down; the instance gets it all the same.
-func (s *supervisor) notify(step string) error {
+func (s *supervisor) takeNotice(step string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.monitor.Notify(process.Now(), step) {
+	if !s.monitor.RecordNotice(process.Now(), step) {
 		return nil
 	}
-	s.record.NotifiedStep, s.record.NotifiedAt = step, s.monitor.NotifiedAt
-	slog.Info("notified", "name", s.options.Name, "run", s.options.Run, "step", step)
+	s.record.NoticeID, s.record.NotifiedAt = step, s.monitor.NotifiedAt
+	slog.Info("notified", "name", s.options.Name, "run", s.options.Incarnation, "step", step)
 	err := s.writeRecord()
 	select {
 	case s.wake <- struct{}{}:
@@ -303,12 +303,12 @@
 		end.Code, end.Unobserved = -1, false
 	}
 	end.Uptime = now - s.record.StartedAt
-	if s.record.NotifiedStep != "" {
+	if s.record.NoticeID != "" {
 		end.DrainTime = now - s.record.NotifiedAt
 	}
 	s.record.Ended, s.record.End = true, end
 	_ = s.writeRecord() // logged there; whoever asks in time gets it from the socket
-	slog.Info("ended", "name", s.options.Name, "run", s.options.Run, "how", end.String(), "after_ms", end.DrainTime/1000)
+	slog.Info("ended", "name", s.options.Name, "run", s.options.Incarnation, "how", end.String(), "after_ms", end.DrainTime/1000)
 	s.publish()
 }
 
