--- a/internal/supervisor/api.go
+++ b/internal/supervisor/api.go
@@ -28,10 +28,10 @@
 
 // ActionRequest asks for a step of an agent's command. The JSON is spoken between versions.
 type ActionRequest struct {
-	ActionID  string           `json:"step"`
-	Incarnation   string           `json:"run"`
-	Action  fleet.ActionKind `json:"what"` // a notice or a kill
-	Cause string           `json:"cause"`
+	ActionID    string           `json:"step"`
+	Incarnation string           `json:"run"`
+	Action      fleet.ActionKind `json:"what"` // a notice or a kill
+	Cause       string           `json:"cause"`
 }
 
 // reportKey is what was last published as a change.
@@ -40,7 +40,7 @@
 	cause        string
 	notifiedStep string
 	level        string
-	arrivals       int
+	arrivals     int
 	at           monotime.Micros
 }
 
--- a/internal/supervisor/errors.go
+++ b/internal/supervisor/errors.go
@@ -43,9 +43,9 @@
 
 // StateConflictError means that the state file does not allow a supervisor to start or adopt an incarnation.
 type StateConflictError struct {
-	Name   string // the instance
-	Incarnation    string // the incarnation that was to be started or adopted
-	Reason string
+	Name        string // the instance
+	Incarnation string // the incarnation that was to be started or adopted
+	Reason      string
 }
 
 func (e *StateConflictError) Error() string {
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -41,13 +41,13 @@
 
 // Monitor decides about one incarnation of one instance. It is not safe for concurrent use.
 type Monitor struct {
-	Window       fleet.ShutdownWindow
-	NoticeID string // the step whose shutdown notice was taken; empty: none
-	NotifiedAt   monotime.Micros
-	KillCause    string // why the instance was killed; empty: it was not
+	Window     fleet.ShutdownWindow
+	NoticeID   string // the step whose shutdown notice was taken; empty: none
+	NotifiedAt monotime.Micros
+	KillCause  string // why the instance was killed; empty: it was not
 
 	socketNotifiedAt monotime.Micros // the latest notice on the admin socket; 0: none
-	signalSent        bool
+	signalSent       bool
 	answered         bool // the instance has answered at least once
 	wasReady         bool
 	lastState        *admin.State
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -4,56 +4,26 @@
 	"encoding/json"
 	"errors"
 	"os"
-	"path/filepath"
-	"syscall"
 
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/process"
 	"milletbarrow/monotime"
 )
 
-// Paths are the files of one instance's supervisor.
-type Paths struct {
-	State  string // what the supervisor writes down
-	Socket string // the supervisor's own
-	Admin  string // the instance's admin socket
-	Log    string // what the instance prints
-	Lock   string // held by the supervisor in charge
-}
-
-// maxSocketPath is how many bytes the system allows a Unix socket's path, less the zero at its end.
-const maxSocketPath = 107
-
-// PathsOf names the files of an instance under the agent's directory.
-func PathsOf(dir, name string) Paths {
-	file := func(suffix string) string { return filepath.Join(dir, "keepers", name+suffix) }
-	return Paths{
-		State: file(".json"), Socket: file(".sock"), Admin: file(".inspect"), Log: file(".log"), Lock: file(".lock"),
-	}
-}
-
-// Check returns a *SocketPathError for a directory whose sockets can't be opened, as their paths are too long.
-func (p Paths) Check() error {
-	if len(p.Admin) > maxSocketPath {
-		return &SocketPathError{p.Admin}
-	}
-	return nil
-}
-
 // State is the record that a supervisor writes down, so that another can take over and the agent can tell what became
 // of an incarnation whose supervisor is gone. The file is read by other versions: its fields keep their names.
 type State struct {
-	Version      int              `json:"version"`
-	Name         string           `json:"name"`
-	Incarnation          string           `json:"run"`
-	Boot         string           `json:"boot"` // the boot of the machine that identities and times are of
-	Supervisor   process.Identity `json:"keeper"`
-	Instance     process.Identity `json:"instance"` // zero before it was started
-	StartedAt    monotime.Micros  `json:"began"`
-	NoticeID string           `json:"told,omitempty"` // the step whose shutdown notice was taken
-	NotifiedAt   monotime.Micros  `json:"told_at,omitempty"`
-	Ended        bool             `json:"ended,omitempty"`
-	End          fleet.Exit       `json:"end"`
+	Version     int              `json:"version"`
+	Name        string           `json:"name"`
+	Incarnation string           `json:"run"`
+	Boot        string           `json:"boot"` // the boot of the machine that identities and times are of
+	Supervisor  process.Identity `json:"keeper"`
+	Instance    process.Identity `json:"instance"` // zero before it was started
+	StartedAt   monotime.Micros  `json:"began"`
+	NoticeID    string           `json:"told,omitempty"` // the step whose shutdown notice was taken
+	NotifiedAt  monotime.Micros  `json:"told_at,omitempty"`
+	Ended       bool             `json:"ended,omitempty"`
+	End         fleet.Exit       `json:"end"`
 }
 
 // stateVersion is the version of the file and of the reports; a file of a newer one is not touched.
@@ -95,19 +65,3 @@
 	}
 	return os.Rename(next, path)
 }
-
-// lock takes charge of the instance for this process; the system releases the lock when the process ends.
-func lock(path string) (*os.File, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, err
-	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close() // nothing was written
-		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, ErrLocked
-		}
-		return nil, err
-	}
-	return f, nil
-}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net/http"
 	"os"
@@ -16,20 +15,19 @@
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/process"
-	"milletbarrow/monotime"
 )
 
 // Options are what a supervisor is started with.
 type Options struct {
-	Dir      string   // the agent's directory
-	Name     string   // of the instance
-	Incarnation      string   // the incarnation to start, or to take over
-	Adopt    bool     // take a running instance over: start nothing
-	Launcher []string // runs the command appended to it once descriptor 3 brings a byte; see WaitAndExec
-	Command  []string // starts the instance; --inspect SOCKET is appended
-	Env      []string // besides the supervisor's own
-	Window   fleet.ShutdownWindow
-	Bounds   limits.Control
+	Dir         string   // the agent's directory
+	Name        string   // of the instance
+	Incarnation string   // the incarnation to start, or to take over
+	Adopt       bool     // take a running instance over: start nothing
+	Launcher    []string // runs the command appended to it once descriptor 3 brings a byte; see WaitAndExec
+	Command     []string // starts the instance; --inspect SOCKET is appended
+	Env         []string // besides the supervisor's own
+	Window      fleet.ShutdownWindow
+	Bounds      limits.Control
 }
 
 // supervisor is a running one.
@@ -117,40 +115,6 @@
 	}, nil
 }
 
-// claim reads what another supervisor left, and records that this one is in charge.
-func (s *supervisor) claim() error {
-	o := s.options
-	previous, err := ReadState(s.paths.State)
-	self, errSelf := process.Of(os.Getpid())
-	if errSelf != nil {
-		return errSelf
-	}
-	conflict := func(reason string) error {
-		return &StateConflictError{Name: o.Name, Incarnation: o.Incarnation, Reason: reason}
-	}
-	switch {
-	case err != nil && !errors.Is(err, ErrNoState):
-		return err
-	case err == nil && previous.Incarnation == o.Incarnation && (previous.Ended || !previous.Instance.Zero()):
-		if !previous.Ended && !o.Adopt && previous.Instance.Alive() {
-			return conflict(fmt.Sprintf("goes on as %v without a supervisor; it has to be adopted", previous.Instance))
-		}
-		s.record = previous
-		s.monitor.NoticeID, s.monitor.NotifiedAt = previous.NoticeID, previous.NotifiedAt
-	case o.Adopt:
-		return conflict("there is nothing to take over")
-	case err == nil && !previous.Ended && previous.Instance.Alive():
-		return conflict(fmt.Sprintf("run %s still goes on as %v", previous.Incarnation, previous.Instance))
-	default:
-		s.record = State{Name: o.Name, Incarnation: o.Incarnation, StartedAt: process.Now()}
-	}
-	if s.record.Ended {
-		return nil
-	}
-	s.record.Supervisor = self
-	return s.record.write(s.paths.State)
-}
-
 // supervise checks the instance, asks the monitor, and acts, until the instance has ended.
 func (s *supervisor) supervise(ctx context.Context, signals <-chan os.Signal, exited <-chan fleet.Exit) {
 	checks := healthChecks{results: make(chan Observation, 1)}
@@ -183,40 +147,6 @@
 	}
 }
 
-// healthChecks starts one health check at a time, each in a goroutine of its own, which ends within PollRest: an
-// unresponsive instance must not hold the main loop up.
-type healthChecks struct {
-	results   chan Observation // holds one: the goroutine's send never blocks
-	running   bool
-	startedAt time.Time
-}
-
-func (h *healthChecks) start(s *supervisor, interval time.Duration) {
-	if h.running || time.Since(h.startedAt) < interval {
-		return
-	}
-	h.running, h.startedAt = true, time.Now()
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), s.options.Bounds.IdlePollInterval)
-		defer cancel()
-		state, err := s.instance.State(ctx)
-		if err != nil {
-			h.results <- Observation{}
-			return
-		}
-		h.results <- Observation{&state}
-	}()
-}
-
-func (s *supervisor) observe(o Observation) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.monitor.Observe(process.Now(), o)
-	if o.State != nil {
-		s.lastState = o.State
-	}
-}
-
 // step does what the monitor wants done now, and returns how long to wait until the next step.
 func (s *supervisor) step() time.Duration {
 	now := process.Now()
@@ -234,97 +164,3 @@
 	}
 	return s.options.Bounds.PollInterval
 }
-
-// perform does one action; sinceNotice is how long ago the notice was given.
-func (s *supervisor) perform(a Action, instance process.Identity, killCause string, sinceNotice monotime.Micros) {
-	var err error
-	switch a {
-	case SignalShutdown:
-		err = instance.Signal(syscall.SIGTERM)
-	case NotifySocket:
-		go func() { // an unresponsive one does not answer, and the main loop must go on meanwhile
-			ctx, cancel := context.WithTimeout(context.Background(), s.options.Bounds.IdlePollInterval)
-			defer cancel()
-			_ = s.instance.Drain(ctx, time.Duration(sinceNotice)*time.Microsecond) // repeated until it is acknowledged
-		}()
-	case KillGroup:
-		err = instance.KillGroup()
-		slog.Warn("killed", "name", s.options.Name, "run", s.options.Incarnation, "cause", killCause, "after_ms", sinceNotice/1000)
-	}
-	if err != nil && !errors.Is(err, process.ErrGone) {
-		slog.Error("signal", "name", s.options.Name, "error", err.Error())
-	}
-}
-
-// takeNotice takes the shutdown notice and writes it down, before the instance gets it. An error means that it could not
-// be written down; the instance gets it all the same.
-func (s *supervisor) takeNotice(step string) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.monitor.RecordNotice(process.Now(), step) {
-		return nil
-	}
-	s.record.NoticeID, s.record.NotifiedAt = step, s.monitor.NotifiedAt
-	slog.Info("notified", "name", s.options.Name, "run", s.options.Incarnation, "step", step)
-	err := s.writeRecord()
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
-	return err
-}
-
-// writeRecord writes the state file and logs it if that fails; s.mu is held.
-func (s *supervisor) writeRecord() error {
-	err := s.record.write(s.paths.State)
-	if err != nil {
-		slog.Error("state", "name", s.options.Name, "error", err.Error())
-	}
-	return err
-}
-
-// kill kills the instance at once.
-func (s *supervisor) kill(cause string) {
-	s.mu.Lock()
-	actions := s.monitor.RequestKill(cause)
-	instance, firstCause := s.record.Instance, s.monitor.KillCause
-	s.mu.Unlock()
-	for _, a := range actions {
-		s.perform(a, instance, firstCause, 0)
-	}
-}
-
-// recordExit writes down how the instance ended.
-func (s *supervisor) recordExit(end fleet.Exit) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := process.Now()
-	if end.KillReason = s.monitor.KillCause; end.KillReason != "" {
-		end.Code, end.Unobserved = -1, false
-	}
-	end.Uptime = now - s.record.StartedAt
-	if s.record.NoticeID != "" {
-		end.DrainTime = now - s.record.NotifiedAt
-	}
-	s.record.Ended, s.record.End = true, end
-	_ = s.writeRecord() // logged there; whoever asks in time gets it from the socket
-	slog.Info("ended", "name", s.options.Name, "run", s.options.Incarnation, "how", end.String(), "after_ms", end.DrainTime/1000)
-	s.publish()
-}
-
-// awaitExitFetched stays a moment, so that an agent that waits learns of the exit at once; later the file tells it.
-func (s *supervisor) awaitExitFetched() {
-	const (
-		timeout  = 500 * time.Millisecond
-		interval = time.Millisecond
-	)
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(interval) {
-		s.mu.Lock()
-		fetched := s.exitFetched
-		s.mu.Unlock()
-		if fetched {
-			time.Sleep(s.options.Bounds.PollInterval) // the answer goes out
-			return
-		}
-	}
-}
