--- a/internal/supervisor/claim.go
+++ b/internal/supervisor/claim.go
@@ -8,30 +8,33 @@
 	"milletbarrow/internal/process"
 )
 
-// claim reads what another supervisor left, and records that this one is in charge.
+// claim decides by the state file whether the incarnation can be started or adopted, and records this supervisor as
+// the one in charge. It writes nothing if the incarnation has ended already: then s.record.Ended is set.
 func (s *supervisor) claim() error {
 	o := s.options
-	previous, err := ReadState(s.paths.State)
-	self, errSelf := process.Of(os.Getpid())
-	if errSelf != nil {
-		return errSelf
+	self, err := process.Of(os.Getpid())
+	if err != nil {
+		return fmt.Errorf("identify this process: %w", err)
 	}
-	conflict := func(reason string) error {
-		return &StateConflictError{Name: o.Name, Incarnation: o.Incarnation, Reason: reason}
+	previous, err := ReadState(s.paths.State)
+	if err != nil && !errors.Is(err, ErrNoState) {
+		return err
 	}
+	sameIncarnation := previous.Incarnation == o.Incarnation && (previous.Ended || !previous.Instance.Zero())
+	running := !previous.Ended && previous.Instance.Alive()
 	switch {
-	case err != nil && !errors.Is(err, ErrNoState):
-		return err
-	case err == nil && previous.Incarnation == o.Incarnation && (previous.Ended || !previous.Instance.Zero()):
-		if !previous.Ended && !o.Adopt && previous.Instance.Alive() {
-			return conflict(fmt.Sprintf("goes on as %v without a supervisor; it has to be adopted", previous.Instance))
-		}
+	case sameIncarnation && running && !o.Adopt:
+		return s.conflict(fmt.Sprintf("runs as process %v without a supervisor; expected a request to adopt it",
+			previous.Instance))
+	case sameIncarnation:
 		s.record = previous
-		s.monitor.NoticeID, s.monitor.NotifiedAt = previous.NoticeID, previous.NotifiedAt
+		s.monitor.NoticeID = previous.NoticeID
+		s.monitor.NotifiedAt = previous.NotifiedAt
 	case o.Adopt:
-		return conflict("there is nothing to take over")
-	case err == nil && !previous.Ended && previous.Instance.Alive():
-		return conflict(fmt.Sprintf("run %s still goes on as %v", previous.Incarnation, previous.Instance))
+		return s.conflict("no such incarnation to adopt")
+	case running:
+		return s.conflict(fmt.Sprintf("incarnation %s still runs as process %v",
+			previous.Incarnation, previous.Instance))
 	default:
 		s.record = State{Name: o.Name, Incarnation: o.Incarnation, StartedAt: process.Now()}
 	}
@@ -41,3 +44,8 @@
 	s.record.Supervisor = self
 	return s.record.write(s.paths.State)
 }
+
+// conflict returns the error of a claim that the state file does not allow.
+func (s *supervisor) conflict(reason string) error {
+	return &StateConflictError{Name: s.options.Name, Incarnation: s.options.Incarnation, Reason: reason}
+}
--- /dev/null
+++ b/internal/supervisor/claim_test.go
@@ -0,0 +1,133 @@
+package supervisor
+
+import (
+	"errors"
+	"path/filepath"
+	"testing"
+
+	"milletbarrow/internal/process"
+)
+
+// TestClaim holds that no incarnation is started while another one runs, that none is adopted that does not exist, and
+// that one that has ended is not started again.
+func TestClaim(t *testing.T) {
+	alive := self(t)
+	gone := process.Identity{PID: alive.PID, Start: alive.Start + 1}
+	for _, test := range []struct {
+		name     string
+		previous *State // nil: no state file
+		adopt    bool
+		conflict bool
+		ended    bool
+		instance process.Identity // of the record after the claim
+	}{
+		{
+			name: "no state file",
+		},
+		{
+			name:     "no state file, to adopt",
+			adopt:    true,
+			conflict: true,
+		},
+		{
+			name:     "another incarnation, to adopt",
+			previous: &State{Name: "n1", Incarnation: "r1", Instance: alive},
+			adopt:    true,
+			conflict: true,
+		},
+		{
+			name:     "another incarnation runs",
+			previous: &State{Name: "n1", Incarnation: "r1", Instance: alive},
+			conflict: true,
+		},
+		{
+			name:     "another incarnation is gone",
+			previous: &State{Name: "n1", Incarnation: "r1", Instance: gone},
+		},
+		{
+			name:     "another incarnation has ended",
+			previous: &State{Name: "n1", Incarnation: "r1", Instance: alive, Ended: true},
+		},
+		{
+			name:     "it runs without a supervisor",
+			previous: &State{Name: "n1", Incarnation: "r2", Instance: alive},
+			conflict: true,
+		},
+		{
+			name:     "it runs, to adopt",
+			previous: &State{Name: "n1", Incarnation: "r2", Instance: alive},
+			adopt:    true,
+			instance: alive,
+		},
+		{
+			name:     "it has ended",
+			previous: &State{Name: "n1", Incarnation: "r2", Instance: alive, Ended: true},
+			ended:    true,
+			instance: alive,
+		},
+		{
+			name:     "it was never started",
+			previous: &State{Name: "n1", Incarnation: "r2"},
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := newTestSupervisor(t, test.previous, test.adopt)
+			err := s.claim()
+			conflict, found := errors.AsType[*StateConflictError](err)
+			if found != test.conflict || err != nil && !test.conflict {
+				t.Fatalf("claim: %v", err)
+			}
+			if test.conflict {
+				if conflict.Name != "n1" || conflict.Incarnation != "r2" {
+					t.Errorf("conflict of %+v", conflict)
+				}
+				return
+			}
+			if s.record.Incarnation != "r2" || s.record.Ended != test.ended || s.record.Instance != test.instance {
+				t.Errorf("record %+v", s.record)
+			}
+			written, err := ReadState(s.paths.State)
+			if err != nil || !test.ended && written.Supervisor != self(t) {
+				t.Errorf("written: %+v, %v", written, err)
+			}
+		})
+	}
+}
+
+// TestClaimKeepsTheNotice holds that a supervisor that adopts an instance counts from the notice that the previous
+// supervisor took.
+func TestClaimKeepsTheNotice(t *testing.T) {
+	previous := &State{
+		Name: "n1", Incarnation: "r2", Instance: self(t), NoticeID: "s1", NotifiedAt: 5 * second,
+	}
+	s := newTestSupervisor(t, previous, true)
+	if err := s.claim(); err != nil {
+		t.Fatal(err)
+	}
+	if s.monitor.NoticeID != "s1" || s.monitor.NotifiedAt != 5*second {
+		t.Errorf("notified by %q at %d", s.monitor.NoticeID, s.monitor.NotifiedAt)
+	}
+	if s.monitor.RecordNotice(6*second, "s2") {
+		t.Error("a second notice was taken")
+	}
+}
+
+// TestLockIsExclusive holds that one supervisor at a time has the lock, and the next one can take it after its release.
+func TestLockIsExclusive(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "n1.lock")
+	first, err := lock(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := lock(path); !errors.Is(err, ErrLocked) {
+		t.Errorf("second lock: %v, want ErrLocked", err)
+	}
+	if err := first.Close(); err != nil {
+		t.Fatal(err)
+	}
+	again, err := lock(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again.Close()
+}
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -17,19 +17,20 @@
 
 // NewClient returns a client for the supervisor of the named instance, under the agent's directory.
 func NewClient(dir, name string, b limits.Control) *Client {
-	return &Client{jsonhttp.Client("unix:"+PathsOf(dir, name).Socket, b), b}
+	return &Client{http: jsonhttp.Client("unix:"+PathsOf(dir, name).Socket, b), bounds: b}
 }
 
-// Report waits for a report whose serial is above after, or for longPollTimeout.
-func (c *Client) Report(ctx context.Context, after int) (r Report, err error) {
+// Report waits for a report whose serial is above after, and returns the present one after longPollTimeout.
+func (c *Client) Report(ctx context.Context, after int) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, longPollTimeout+c.bounds.CallTimeout)
 	defer cancel()
 	path := "/v1/report?after=" + strconv.Itoa(after)
-	err = jsonhttp.Call(ctx, c.http, http.MethodGet, path, nil, &r, int64(c.bounds.MessageSize))
+	var r Report
+	err := jsonhttp.Call(ctx, c.http, http.MethodGet, path, nil, &r, int64(c.bounds.MessageSize))
 	return r, err
 }
 
-// Request sends a step, within limits.Control.CallTimeout.
+// Request has the supervisor perform an action. It returns within limits.Control.CallTimeout.
 func (c *Client) Request(ctx context.Context, r ActionRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, c.bounds.CallTimeout)
 	defer cancel()
--- a/internal/supervisor/compat_test.go
+++ b/internal/supervisor/compat_test.go
@@ -11,7 +11,7 @@
 	"milletbarrow/internal/process"
 )
 
-// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats holds that JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Report](t, "Report.json")
 	compattest.RoundTrip[ActionRequest](t, "Order.json")
@@ -19,7 +19,7 @@
 	compattest.RoundTrip[State](t, "state.json")
 }
 
-// stateOfBoot copies the state file of an earlier release, as written in the given run of the machine.
+// stateOfBoot copies the state file of an earlier release, as if written in the given boot of the machine.
 func stateOfBoot(t *testing.T, boot string) (file string, content []byte) {
 	t.Helper()
 	written := compattest.Read(t, "state.json")
@@ -37,8 +37,8 @@
 	return file, content
 }
 
-// TestEarlierState: the state file of an earlier release is read, and means an instance that runs as long as the
-// machine was not started anew, and one that has ended after that.
+// TestEarlierState holds that the state file of an earlier release is read: in the same boot of the machine its
+// instance runs, and in a later one it has ended.
 func TestEarlierState(t *testing.T) {
 	file, content := stateOfBoot(t, process.Boot())
 	state, err := ReadState(file)
@@ -47,11 +47,11 @@
 	}
 	compattest.SameJSON(t, "state.json", content, state)
 
-	file, _ = stateOfBoot(t, "an earlier start of the machine")
+	file, _ = stateOfBoot(t, "an earlier boot")
 	if state, err = ReadState(file); err != nil {
 		t.Fatal(err)
 	}
 	if !state.Ended || !state.End.Unobserved || state.Instance.PID != 0 {
-		t.Errorf("written before the machine's last start, read as %+v", state)
+		t.Errorf("written in an earlier boot, read as %+v", state)
 	}
 }
--- a/internal/supervisor/exit.go
+++ b/internal/supervisor/exit.go
@@ -6,39 +6,48 @@
 
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
 )
 
-// recordExit writes down how the instance ended.
-func (s *supervisor) recordExit(end fleet.Exit) {
+// exitFetchTimeout is how long a supervisor stays after the exit, so that a waiting agent learns of it at once.
+// Later the agent reads it from the state file.
+const exitFetchTimeout = 500 * time.Millisecond
+
+// killedExitCode is the exit code of an instance that was killed.
+const killedExitCode = -1
+
+// recordExit writes to the state file how the instance ended.
+func (s *supervisor) recordExit(exit fleet.Exit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := process.Now()
-	if end.KillReason = s.monitor.KillCause; end.KillReason != "" {
-		end.Code, end.Unobserved = -1, false
+	exit.KillReason = s.monitor.KillCause
+	if exit.KillReason != "" {
+		exit.Code = killedExitCode
+		exit.Unobserved = false
 	}
-	end.Uptime = now - s.record.StartedAt
+	exit.Uptime = now - s.record.StartedAt
 	if s.record.NoticeID != "" {
-		end.DrainTime = now - s.record.NotifiedAt
+		exit.DrainTime = now - s.record.NotifiedAt
 	}
-	s.record.Ended, s.record.End = true, end
-	_ = s.writeRecord() // logged there; whoever asks in time gets it from the socket
-	slog.Info("ended", "name", s.options.Name, "run", s.options.Incarnation, "how", end.String(), "after_ms", end.DrainTime/1000)
+	s.record.Ended = true
+	s.record.End = exit
+	_ = s.writeRecord() // writeRecord logs the error; callers of the socket learn of the exit
+	slog.Info("ended", "name", s.options.Name, "run", s.options.Incarnation, "how", exit.String(),
+		"after_ms", exit.DrainTime/monotime.Millisecond)
 	s.publish()
 }
 
-// awaitExitFetched stays a moment, so that an agent that waits learns of the exit at once; later the file tells it.
+// markExitFetched records that an agent has fetched the report of the exit.
+func (s *supervisor) markExitFetched() {
+	s.exitFetchedOnce.Do(func() { close(s.exitFetched) })
+}
+
+// awaitExitFetched waits until an agent has fetched the report of the exit, at most for exitFetchTimeout.
 func (s *supervisor) awaitExitFetched() {
-	const (
-		timeout  = 500 * time.Millisecond
-		interval = time.Millisecond
-	)
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(interval) {
-		s.mu.Lock()
-		fetched := s.exitFetched
-		s.mu.Unlock()
-		if fetched {
-			time.Sleep(s.options.Bounds.PollInterval) // the answer goes out
-			return
-		}
+	select {
+	case <-s.exitFetched:
+		time.Sleep(s.options.Bounds.PollInterval) // the response is on its way
+	case <-time.After(exitFetchTimeout):
 	}
 }
--- a/internal/supervisor/launch.go
+++ b/internal/supervisor/launch.go
@@ -1,6 +1,7 @@
 package supervisor
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"os"
@@ -18,35 +19,31 @@
 // launchDescriptor is the file descriptor on which a launcher waits for its byte.
 const launchDescriptor = 3
 
-// launch runs the instance as the leader of a process group of its own: the notice goes to it alone, a kill to the
-// group. How it ended is sent to exited, which holds one.
-func (s *supervisor) launch(exited chan<- fleet.Exit) error {
-	log, err := os.OpenFile(s.paths.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// launch starts the instance as the leader of its own process group: the notice goes to the leader alone, a kill to the
+// group. It records the process before the instance begins. The exit is sent to exited, which has room for one.
+func (s *supervisor) launch(ctx context.Context, exited chan<- fleet.Exit) error {
+	log, err := os.OpenFile(s.paths.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the instance has a descriptor of its own
+	defer func() { _ = log.Close() }() // the instance has its own descriptor
 	waiting, release, err := os.Pipe()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = waiting.Close() }()
-	defer func() { _ = release.Close() }() // a launcher that got no byte ends by it
-	cmd := s.launcherCommand(log, waiting)
+	defer func() { _ = release.Close() }()                             // without the byte, the launcher ends at this
+	cmd := s.launcherCommand(context.WithoutCancel(ctx), log, waiting) // the instance drains after the end of ctx
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	instance, err := process.Of(cmd.Process.Pid)
-	if err != nil { // it has ended already; its exit code tells
+	if err != nil { // it has ended already; awaitChild reads its exit code
 		instance = process.Identity{PID: cmd.Process.Pid}
 	}
-	s.mu.Lock()
-	s.record.Instance = instance
-	err = s.record.write(s.paths.State)
-	s.mu.Unlock()
-	if err != nil { // without the record nobody could take the instance over
+	if err := s.recordInstance(instance); err != nil { // without the record no supervisor could adopt the instance
 		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
-		_ = cmd.Wait() // it was killed just now
+		_ = cmd.Wait() // reaps it; the kill is its only cause
 		return err
 	}
 	if _, err := release.Write([]byte{1}); err != nil {
@@ -57,35 +54,44 @@
 	return nil
 }
 
-// launcherCommand is the command of the launcher, which becomes the instance.
-func (s *supervisor) launcherCommand(log, waiting *os.File) *exec.Cmd {
+// recordInstance writes the process of the instance to the state file.
+func (s *supervisor) recordInstance(instance process.Identity) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.record.Instance = instance
+	return s.record.write(s.paths.State)
+}
+
+// launcherCommand returns the command of the launcher, which becomes the instance.
+func (s *supervisor) launcherCommand(ctx context.Context, log, waiting *os.File) *exec.Cmd {
 	o := s.options
 	args := slices.Concat(o.Launcher[1:], o.Command, []string{"--inspect", s.paths.Admin})
-	cmd := exec.Command(o.Launcher[0], args...)
+	cmd := exec.CommandContext(ctx, o.Launcher[0], args...)
 	cmd.ExtraFiles = []*os.File{waiting} // becomes launchDescriptor
 	cmd.Env = append(os.Environ(), o.Env...)
-	cmd.Stdout, cmd.Stderr = log, log // a file, not a pipe: it needs no reader, and outlives this process
+	cmd.Stdout = log // a file, not a pipe: it needs no reader and outlives this process
+	cmd.Stderr = log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return cmd
 }
 
-// awaitChild waits for a child's exit and kills what is left of its group.
+// awaitChild waits for a child's exit and kills the rest of its process group.
 func awaitChild(cmd *exec.Cmd) fleet.Exit {
 	pid := cmd.Process.Pid
-	// The group is killed before its leader is reaped: as long as that is a zombie its number is nobody else's.
+	// The group is killed before its leader is reaped: as long as that is a zombie, its pid is not reused.
 	if err := unix.Waitid(unix.P_PID, pid, nil, unix.WEXITED|unix.WNOWAIT, nil); err != nil {
 		slog.Error("wait", "pid", pid, "error", err.Error())
 	}
-	_ = syscall.Kill(-pid, syscall.SIGKILL) // mostly there is nobody left
+	_ = syscall.Kill(-pid, syscall.SIGKILL) // fails if the group has no other process
 	_ = cmd.Wait()                          // ProcessState has the exit code
-	end := fleet.Exit{Code: cmd.ProcessState.ExitCode()}
+	exit := fleet.Exit{Code: cmd.ProcessState.ExitCode()}
 	if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && status.Signaled() {
-		end.Signal = status.Signal().String()
+		exit.Signal = status.Signal().String()
 	}
-	return end
+	return exit
 }
 
-// awaitAdopted waits for the end of an instance that is not this process's child; nobody sees its exit code.
+// awaitAdopted waits for the exit of an instance that is not this process's child, so that its exit code is not known.
 func (s *supervisor) awaitAdopted(instance process.Identity) fleet.Exit {
 	for instance.Alive() {
 		fd, err := unix.PidfdOpen(instance.PID, 0)
@@ -94,14 +100,14 @@
 			continue
 		}
 		timeout := int(s.options.Bounds.IdlePollInterval.Milliseconds())
-		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, timeout) // Alive decides
+		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, timeout) // the loop asks Alive again
 		_ = unix.Close(fd)
 	}
 	return fleet.Exit{Unobserved: true}
 }
 
-// WaitAndExec becomes the command once the supervisor has recorded which process it is, and returns ErrSupervisorGone if
-// the supervisor dies before that: no instance runs without a record of it.
+// WaitAndExec replaces this process by the command once the supervisor has recorded the process. It returns
+// ErrSupervisorGone if the supervisor dies before that, so that no instance runs without a record.
 func WaitAndExec(command []string) error {
 	if len(command) == 0 {
 		return ErrNoCommand
@@ -110,7 +116,7 @@
 	if n, err := release.Read(make([]byte, 1)); n != 1 {
 		return fmt.Errorf("%w: %w", ErrSupervisorGone, err)
 	}
-	_ = release.Close() // nothing more comes
+	_ = release.Close() // it was only read from
 	path, err := exec.LookPath(command[0])
 	if err != nil {
 		return err
--- a/internal/supervisor/lock.go
+++ b/internal/supervisor/lock.go
@@ -2,22 +2,24 @@
 
 import (
 	"errors"
+	"fmt"
 	"os"
 	"syscall"
 )
 
-// lock takes charge of the instance for this process; the system releases the lock when the process ends.
+// lock locks the instance for this process, which holds the lock until it closes the file or ends. It returns
+// ErrLocked, wrapped, if another process holds the lock.
 func lock(path string) (*os.File, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = f.Close() // nothing was written
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, ErrLocked
+			return nil, fmt.Errorf("%w: %s", ErrLocked, path)
 		}
-		return nil, err
+		return nil, fmt.Errorf("lock %s: %w", path, err)
 	}
 	return f, nil
 }
--- a/internal/supervisor/logfile.go
+++ b/internal/supervisor/logfile.go
@@ -6,18 +6,21 @@
 	"os"
 )
 
-// rotateLog bounds the instance's log file: once it is longer than LogBytes it is copied to LOG.1 and truncated. It
-// is copied, not renamed, as the instance keeps its descriptor.
+// previousLogSuffix is appended to the path of the log file for the previous one.
+const previousLogSuffix = ".1"
+
+// rotateLog bounds the instance's log file: once it has Bounds.LogFileSize bytes it is copied to the previous log file
+// and truncated. It is copied, not renamed, as the instance keeps its descriptor.
 func (s *supervisor) rotateLog() {
 	info, err := os.Stat(s.paths.Log)
 	if err != nil || info.Size() < s.options.Bounds.LogFileSize {
 		return
 	}
-	if err := copyFile(s.paths.Log, s.paths.Log+".1", info.Size()); err != nil {
+	if err := copyFile(s.paths.Log, s.paths.Log+previousLogSuffix, info.Size()); err != nil {
 		slog.Error("log", "name", s.options.Name, "error", err.Error())
 		return
 	}
-	if err := os.Truncate(s.paths.Log, 0); err != nil { // it is opened to append: the next line stands at the new end
+	if err := os.Truncate(s.paths.Log, 0); err != nil { // the instance appends: its next line is the first one
 		slog.Error("log", "name", s.options.Name, "error", err.Error())
 	}
 }
@@ -34,7 +37,7 @@
 		return err
 	}
 	if _, err := io.CopyN(target, source, size); err != nil {
-		_ = target.Close() // the copy's error tells more
+		_ = target.Close() // the error of the copy says more
 		return err
 	}
 	return target.Close()
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -1,6 +1,3 @@
-// Package supervisor is the small process beside each instance that outlives the agent: it starts the instance,
-// passes the shutdown notice on, enforces the shutdown window, and records how the instance ended. What it decides
-// stands in Monitor, which does no I/O and holds no clock.
 package supervisor
 
 import (
@@ -11,86 +8,107 @@
 
 // Time limits of a shutdown, counted from its notice unless noted.
 const (
-	// acknowledgeTimeout is how long an instance may take to show that it has the signal; from then on it is
-	// notified on its admin socket as well, every socketNoticeInterval.
-	acknowledgeTimeout   monotime.Micros = 250_000
-	socketNoticeInterval monotime.Micros = 200_000
+	// acknowledgeTimeout is how long an instance may take to acknowledge the signal. After that it is notified on its
+	// admin socket too, every socketNoticeInterval.
+	acknowledgeTimeout   = 250 * monotime.Millisecond
+	socketNoticeInterval = 200 * monotime.Millisecond
 	// lateNoticeAllowance is by how much later than the notice an instance may begin its grace: its module shortens
 	// the grace by that much (limits.Bounds.NoticeDelay).
-	lateNoticeAllowance monotime.Micros = 100_000
+	lateNoticeAllowance = 100 * monotime.Millisecond
 	// killLead is how long before the end of its grace an unresponsive instance is killed: a kill takes time.
-	killLead monotime.Micros = 150_000
-	// stopMargin is how long after its stop an instance that has the notice is killed; it should end by itself before.
-	stopMargin monotime.Micros = 0
+	killLead = 150 * monotime.Millisecond
 	// silenceTimeout is how long after its last answer an instance counts as silent.
-	silenceTimeout monotime.Micros = 1_500_000
+	silenceTimeout = 1500 * monotime.Millisecond
 )
 
-// Action is what the monitor wants done to the instance.
+// Causes of kills and phases. They are stored and sent to agents of other releases.
+const (
+	causeNoticeNotAcknowledged = "deaf to the notice"
+	causeExitTimeout           = "not ended by its stop"
+	causeUnacknowledged        = "it shows no sign of having heard the notice"
+	causeSilent                = "its socket does not answer"
+	causeNotReady              = "it is not ready"
+	causeHealthCheckFails      = "health checks are answered with bad"
+)
+
+// Action is what the monitor has the supervisor do to the instance.
 type Action int
 
 // The actions.
 const (
-	SignalShutdown Action = iota // give the notice by SIGTERM
-	NotifySocket                 // give the notice on the admin socket, with how long ago it was first given
-	KillGroup                    // kill the instance and all of its process group
+	SignalShutdown Action = iota // give the shutdown notice by SIGTERM
+	NotifySocket                 // give the notice on the admin socket, with the time since it was first given
+	KillGroup                    // kill the instance's process group
 )
 
-// Observation is the outcome of one health check of the instance; State is nil if it did not answer.
-type Observation struct{ State *admin.State }
+// Observation is the outcome of one health check of the instance.
+type Observation struct {
+	State *admin.State // nil: the instance did not answer
+}
 
-// Monitor decides about one incarnation of one instance. It is not safe for concurrent use.
+// Monitor decides when one incarnation of an instance is notified and killed. It is not safe for concurrent use.
+//
+// Its invariants, each with the tests that hold it:
+//   - An instance admits nothing later than lateNoticeAllowance after its grace, has exited shortly after its exit
+//     timeout, and is not killed if it obeys the notice: TestShutdownWindowIsKept.
+//   - Only the first notice counts: TestMonitorTrace, TestClaimKeepsTheNotice. The signal is sent once:
+//     TestShutdownIsSignalledOnce.
+//   - Notices on the admin socket are at least socketNoticeInterval apart: TestSocketNoticesAreSpaced.
+//   - The first cause of a kill stays, and the kill is repeated until the exit: TestFirstKillCauseStays.
+//   - An instance that was ready is never starting again: TestOnceReadyIsNeverStarting.
+//   - An instance that drains without a notice is killed at its exit timeout and not before:
+//     TestDrainWithoutNoticeEndsAtExitTimeout, TestDrainingAfterNoticeCountsFromNotice.
 type Monitor struct {
 	Window     fleet.ShutdownWindow
-	NoticeID   string // the step whose shutdown notice was taken; empty: none
-	NotifiedAt monotime.Micros
-	KillCause  string // why the instance was killed; empty: it was not
+	NoticeID   string          // the action that brought the shutdown notice; empty: no notice
+	NotifiedAt monotime.Micros // valid with NoticeID
+	KillCause  string          // why the instance was killed; empty: it was not
 
+	signalSent       bool            // SignalShutdown was returned
 	socketNotifiedAt monotime.Micros // the latest notice on the admin socket; 0: none
-	signalSent       bool
-	answered         bool // the instance has answered at least once
-	wasReady         bool
-	lastState        *admin.State
-	lastStateAt      monotime.Micros
-	drainingSince    monotime.Micros // it drains without a notice from here, since then; 0: it does not
+	wasReady         bool            // the instance has been ready at least once
+	lastState        *admin.State    // the latest answer; nil: none yet
+	lastStateAt      monotime.Micros // when lastState came
+	drainingSince    monotime.Micros // when it began to drain without a notice; 0: it did not
 }
 
-// RecordNotice takes the shutdown notice of a step and reports whether it is the first: one notice an incarnation counts.
-func (m *Monitor) RecordNotice(now monotime.Micros, step string) bool {
+// RecordNotice takes a shutdown notice and reports whether it is the first one; later ones change nothing.
+func (m *Monitor) RecordNotice(now monotime.Micros, id string) bool {
 	if m.NoticeID != "" {
 		return false
 	}
-	m.NoticeID, m.NotifiedAt = step, now
+	m.NoticeID = id
+	m.NotifiedAt = now
 	return true
 }
 
-// RequestKill takes a kill that was asked for. The first cause stays.
-func (m *Monitor) RequestKill(cause string) []Action {
+// RequestKill records that the instance is to be killed. The first cause stays.
+func (m *Monitor) RequestKill(cause string) {
 	if m.KillCause == "" {
 		m.KillCause = cause
 	}
-	return []Action{KillGroup}
 }
 
-// Observe takes in the outcome of a health check.
+// Observe takes the outcome of a health check.
 func (m *Monitor) Observe(now monotime.Micros, o Observation) {
 	if o.State == nil {
 		return
 	}
-	m.answered, m.lastState, m.lastStateAt = true, o.State, now
+	m.lastState = o.State
+	m.lastStateAt = now
 	m.wasReady = m.wasReady || o.State.Ready
 	if o.State.Draining && m.NoticeID == "" && m.drainingSince == 0 {
 		m.drainingSince = min(now, o.State.GraceEnds-m.Window.Grace)
 	}
 }
 
-// acknowledged reports whether the instance has said that it drains within the window of the notice.
+// acknowledged reports whether the instance drains, by its latest answer, within the window of the notice.
 func (m *Monitor) acknowledged() bool {
 	return m.lastState != nil && m.lastState.Draining &&
 		m.lastState.GraceEnds <= m.NotifiedAt+m.Window.Grace+lateNoticeAllowance
 }
 
-// shutdownStart is when the shutdown began, by notice or by the instance itself; 0: it has not.
+// shutdownStart returns when the shutdown began, by notice or by the instance itself; 0: it has not.
 func (m *Monitor) shutdownStart() monotime.Micros {
 	if m.NoticeID != "" {
 		return m.NotifiedAt
@@ -98,11 +116,11 @@
 	return m.drainingSince
 }
 
-// NextActions returns what is to be done now. It is called after every observation, and as often as the time limits
-// need.
+// NextActions returns the actions that are due, in their order. The caller performs them, and calls it after every
+// observation and at intervals that are short beside the time limits.
 func (m *Monitor) NextActions(now monotime.Micros) (actions []Action) {
 	if m.KillCause != "" {
-		return []Action{KillGroup} // again, until it is gone
+		return []Action{KillGroup} // until the instance has exited
 	}
 	if m.NoticeID == "" && m.drainingSince == 0 {
 		return nil
@@ -115,12 +133,12 @@
 	acknowledged := m.NoticeID == "" || m.acknowledged()
 	switch {
 	case !acknowledged && elapsed >= m.Window.Grace-killLead:
-		// It would admit work after its grace. What it has in flight is lost with it; work that runs when nobody may
-		// wait for it any more is worse.
-		m.KillCause = "deaf to the notice"
+		// It would admit requests after its grace, whose callers may be gone. That is worse than the loss of those in
+		// flight.
+		m.KillCause = causeNoticeNotAcknowledged
 		return append(actions, KillGroup)
-	case elapsed >= m.Window.ExitTimeout+stopMargin:
-		m.KillCause = "not ended by its stop"
+	case elapsed >= m.Window.ExitTimeout:
+		m.KillCause = causeExitTimeout
 		return append(actions, KillGroup)
 	case !acknowledged && elapsed >= acknowledgeTimeout &&
 		(m.socketNotifiedAt == 0 || now-m.socketNotifiedAt >= socketNoticeInterval):
@@ -130,27 +148,27 @@
 	return actions
 }
 
-// Phase returns the instance's phase, with the cause where the phase alone does not say it.
-func (m *Monitor) Phase(now monotime.Micros) (fleet.Phase, string) {
+// Phase returns the instance's phase and its cause; empty: the phase needs none.
+func (m *Monitor) Phase(now monotime.Micros) (phase fleet.Phase, cause string) {
 	start := m.shutdownStart()
-	silent := !m.answered || now-m.lastStateAt > silenceTimeout
+	silent := m.lastState == nil || now-m.lastStateAt > silenceTimeout
 	switch {
 	case m.KillCause != "":
 		return fleet.PhaseUnresponsive, m.KillCause
 	case m.NoticeID != "" && !m.acknowledged() && now-start >= acknowledgeTimeout:
-		return fleet.PhaseUnresponsive, "it shows no sign of having heard the notice"
+		return fleet.PhaseUnresponsive, causeUnacknowledged
 	case start != 0 && now-start >= m.Window.Grace:
 		return fleet.PhaseStopping, ""
 	case start != 0:
 		return fleet.PhaseDraining, ""
 	case !m.wasReady && silent:
-		return fleet.PhaseStarting, "its socket does not answer"
+		return fleet.PhaseStarting, causeSilent
 	case !m.wasReady:
-		return fleet.PhaseStarting, "it is not ready"
+		return fleet.PhaseStarting, causeNotReady
 	case silent:
-		return fleet.PhaseUnready, "its socket does not answer"
+		return fleet.PhaseUnready, causeSilent
 	case !m.lastState.Ready:
-		return fleet.PhaseUnready, "health checks are answered with bad"
+		return fleet.PhaseUnready, causeHealthCheckFails
 	}
 	return fleet.PhaseReady, ""
 }
--- a/internal/supervisor/paths.go
+++ b/internal/supervisor/paths.go
@@ -1,33 +1,44 @@
 package supervisor
 
 import (
+	"os"
 	"path/filepath"
 )
 
 // Paths are the files of one instance's supervisor.
 type Paths struct {
-	State  string // what the supervisor writes down
-	Socket string // the supervisor's own
+	State  string // the supervisor's state file
+	Socket string // the supervisor's socket
 	Admin  string // the instance's admin socket
-	Log    string // what the instance prints
+	Log    string // the instance's standard output and standard error
 	Lock   string // held by the supervisor in charge
 }
 
-// maxSocketPath is how many bytes the system allows a Unix socket's path, less the zero at its end.
-const maxSocketPath = 107
+const (
+	// supervisorDirectory is below the agent's directory. Other releases use the same name.
+	supervisorDirectory = "keepers"
+	// maxSocketPath is the longest path of a Unix socket, in bytes: the size of sun_path less its closing zero.
+	maxSocketPath = 107
+	// fileMode keeps files from others on the host.
+	fileMode os.FileMode = 0o600
+)
 
-// PathsOf names the files of an instance under the agent's directory.
+// PathsOf returns the paths of an instance's files under the agent's directory.
 func PathsOf(dir, name string) Paths {
-	file := func(suffix string) string { return filepath.Join(dir, "keepers", name+suffix) }
+	file := func(suffix string) string { return filepath.Join(dir, supervisorDirectory, name+suffix) }
 	return Paths{
-		State: file(".json"), Socket: file(".sock"), Admin: file(".inspect"), Log: file(".log"), Lock: file(".lock"),
+		State:  file(".json"),
+		Socket: file(".sock"),
+		Admin:  file(".inspect"),
+		Log:    file(".log"),
+		Lock:   file(".lock"),
 	}
 }
 
-// Check returns a *SocketPathError for a directory whose sockets can't be opened, as their paths are too long.
+// Check returns a *SocketPathError if the paths of the sockets are too long for the system.
 func (p Paths) Check() error {
-	if len(p.Admin) > maxSocketPath {
-		return &SocketPathError{p.Admin}
+	if len(p.Admin) > maxSocketPath { // the longer one of the two
+		return &SocketPathError{Path: p.Admin}
 	}
 	return nil
 }
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"os"
 
 	"milletbarrow/internal/fleet"
@@ -10,57 +11,68 @@
 	"milletbarrow/monotime"
 )
 
-// State is the record that a supervisor writes down, so that another can take over and the agent can tell what became
-// of an incarnation whose supervisor is gone. The file is read by other versions: its fields keep their names.
+// State is the content of the state file. By it another supervisor can take over, and the agent can tell what became of
+// an incarnation whose supervisor is gone. Other releases read the file: its fields keep their JSON names.
 type State struct {
-	Version     int              `json:"version"`
-	Name        string           `json:"name"`
+	Version     int              `json:"version"` // stateVersion of the build that wrote it
+	Name        string           `json:"name"`    // of the instance
 	Incarnation string           `json:"run"`
-	Boot        string           `json:"boot"` // the boot of the machine that identities and times are of
-	Supervisor  process.Identity `json:"keeper"`
-	Instance    process.Identity `json:"instance"` // zero before it was started
-	StartedAt   monotime.Micros  `json:"began"`
-	NoticeID    string           `json:"told,omitempty"` // the step whose shutdown notice was taken
-	NotifiedAt  monotime.Micros  `json:"told_at,omitempty"`
+	Boot        string           `json:"boot"`              // the boot of the machine that identities and times are of
+	Supervisor  process.Identity `json:"keeper"`            // zero: the machine was rebooted
+	Instance    process.Identity `json:"instance"`          // zero: not started yet, or the machine was rebooted
+	StartedAt   monotime.Micros  `json:"began"`             // when the incarnation was claimed for the first time
+	NoticeID    string           `json:"told,omitempty"`    // the action of the shutdown notice; empty: no notice
+	NotifiedAt  monotime.Micros  `json:"told_at,omitempty"` // valid with NoticeID
 	Ended       bool             `json:"ended,omitempty"`
-	End         fleet.Exit       `json:"end"`
+	End         fleet.Exit       `json:"end"` // valid with Ended
 }
 
-// stateVersion is the version of the file and of the reports; a file of a newer one is not touched.
+// stateVersion is the format version of the state file and of reports. A file of a newer version is left as it is.
 const stateVersion = 1
 
-// ReadState reads a supervisor's state file. Errors are ErrNoState, *StateFileError, or those of the file system. A file from before a reboot of the machine counts
-// as ended, and names no processes.
-func ReadState(path string) (s State, err error) {
+// ReadState reads a supervisor's state file. In a file from before a reboot of the machine the incarnation has ended,
+// and no processes are named. Errors are ErrNoState, *StateFileError, or those of the file system.
+func ReadState(path string) (State, error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return s, ErrNoState
+		return State{}, ErrNoState
 	}
 	if err != nil {
-		return s, err
+		return State{}, err
 	}
+	var s State
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return s, &StateFileError{path, err}
+		return s, &StateFileError{Path: path, Err: err}
 	}
 	if s.Version > stateVersion {
-		return s, &StateFileError{path, &VersionError{Version: s.Version, Known: stateVersion}}
+		return s, &StateFileError{Path: path, Err: &VersionError{Version: s.Version, Known: stateVersion}}
 	}
 	if s.Boot != process.Boot() {
-		s.Ended, s.End, s.Instance, s.Supervisor = true, fleet.Exit{Unobserved: true}, process.Identity{}, process.Identity{}
+		return s.endedByReboot(), nil
 	}
 	return s, nil
 }
 
-// write replaces the file atomically. It is not synced, as it has to outlive processes and not the machine, which ends
-// them all.
+// endedByReboot returns the state after a reboot of the machine, which ended the instance and its supervisor.
+func (s State) endedByReboot() State {
+	s.Ended = true
+	s.End = fleet.Exit{Unobserved: true}
+	s.Instance = process.Identity{}
+	s.Supervisor = process.Identity{}
+	return s
+}
+
+// write replaces the state file atomically. It does not sync the file: a crash of the machine ends all the processes
+// that the file is about.
 func (s State) write(path string) error {
-	s.Version, s.Boot = stateVersion, process.Boot()
+	s.Version = stateVersion
+	s.Boot = process.Boot()
 	raw, err := json.Marshal(s)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode supervisor state: %w", err)
 	}
 	next := path + ".next"
-	if err := os.WriteFile(next, raw, 0o600); err != nil {
+	if err := os.WriteFile(next, raw, fileMode); err != nil {
 		return err
 	}
 	return os.Rename(next, path)
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -17,37 +17,42 @@
 	"milletbarrow/internal/process"
 )
 
-// Options are what a supervisor is started with.
+// Options configure a supervisor.
 type Options struct {
-	Dir         string   // the agent's directory
-	Name        string   // of the instance
-	Incarnation string   // the incarnation to start, or to take over
-	Adopt       bool     // take a running instance over: start nothing
-	Launcher    []string // runs the command appended to it once descriptor 3 brings a byte; see WaitAndExec
-	Command     []string // starts the instance; --inspect SOCKET is appended
-	Env         []string // besides the supervisor's own
-	Window      fleet.ShutdownWindow
+	Dir         string               // the agent's directory
+	Name        string               // of the instance
+	Incarnation string               // the incarnation to start or to adopt
+	Adopt       bool                 // supervise an instance that runs already, and start nothing
+	Launcher    []string             // command line that calls WaitAndExec with the arguments appended to it
+	Command     []string             // command line of the instance; --inspect SOCKET is appended
+	Env         []string             // added to the supervisor's own environment
+	Window      fleet.ShutdownWindow // the instance's
 	Bounds      limits.Control
 }
 
-// supervisor is a running one.
+// supervisor supervises one incarnation of one instance.
 type supervisor struct {
 	options  Options
 	paths    Paths
 	instance *admin.Client
 
-	mu           sync.Mutex // guards what follows, and monitor
-	monitor      Monitor
-	record       State
-	lastState    *admin.State  // the instance's latest answer
-	serial       int           // of the report; grows with each change
-	changed      chan struct{} // closed at each change of the report
-	lastReported reportKey
-	exitFetched  bool // somebody has fetched the report of the exit
+	mu            sync.Mutex // guards monitor and the fields up to lastPublished
+	monitor       Monitor
+	record        State           // as last written to the state file
+	lastState     *admin.State    // the instance's latest answer; nil: none yet
+	serial        int             // of the report; grows with each change
+	changed       chan struct{}   // closed at the next change of the report
+	lastPublished publishedReport // the report that had the latest serial
 
-	wake chan struct{} // has the main loop look at the monitor at once
+	exitFetched     chan struct{} // closed once an agent has fetched the report of the exit
+	exitFetchedOnce sync.Once     // closes exitFetched
+
+	wake chan struct{} // makes the main loop take a step at once
 }
 
+// signalBacklog is how many signals to the supervisor may wait for the main loop.
+const signalBacklog = 4
+
 // Run supervises one incarnation from its start to its end. It returns ErrLocked if another supervisor has the
 // instance, and a *StateConflictError if the state file does not allow the start or the adoption.
 func Run(ctx context.Context, o Options) error {
@@ -61,7 +66,7 @@
 		return err
 	}
 	if s.record.Ended {
-		return nil // this incarnation has come and gone: the same step came twice
+		return nil // the same launch was requested twice, and the incarnation has ended since
 	}
 	s.instance = admin.NewClient(s.paths.Admin, o.Bounds)
 	defer s.instance.Close()
@@ -74,10 +79,10 @@
 	exited := make(chan fleet.Exit, 1)
 	if o.Adopt {
 		go func() { exited <- s.awaitAdopted(s.record.Instance) }()
-	} else if err := s.launch(exited); err != nil {
+	} else if err := s.launch(ctx, exited); err != nil {
 		return err
 	}
-	signals := make(chan os.Signal, 4)
+	signals := make(chan os.Signal, signalBacklog)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	s.supervise(ctx, signals, exited)
@@ -87,12 +92,16 @@
 
 func newSupervisor(o Options) *supervisor {
 	return &supervisor{
-		options: o, paths: PathsOf(o.Dir, o.Name), changed: make(chan struct{}), wake: make(chan struct{}, 1),
-		monitor: Monitor{Window: o.Window},
+		options:     o,
+		paths:       PathsOf(o.Dir, o.Name),
+		monitor:     Monitor{Window: o.Window},
+		changed:     make(chan struct{}),
+		exitFetched: make(chan struct{}),
+		wake:        make(chan struct{}, 1),
 	}
 }
 
-// serve opens the supervisor's socket; stop closes it and waits for the listener's end.
+// serve opens the supervisor's socket. stop closes it and waits for the server's goroutine to end.
 func (s *supervisor) serve() (stop func(), err error) {
 	l, err := admin.Listen(s.paths.Socket)
 	if err != nil {
@@ -100,8 +109,12 @@
 	}
 	b := s.options.Bounds
 	server := &http.Server{
-		Handler: s.handler(), ReadHeaderTimeout: b.CallTimeout, ReadTimeout: 2 * longPollTimeout, WriteTimeout: 2 * longPollTimeout,
-		IdleTimeout: b.IdleTimeout, MaxHeaderBytes: b.MessageSize,
+		Handler:           s.handler(),
+		ReadHeaderTimeout: b.CallTimeout,
+		ReadTimeout:       requestTimeout,
+		WriteTimeout:      requestTimeout,
+		IdleTimeout:       b.IdleTimeout,
+		MaxHeaderBytes:    b.MessageSize,
 	}
 	var serving sync.WaitGroup
 	serving.Go(func() {
@@ -110,35 +123,37 @@
 		}
 	})
 	return func() {
-		_ = server.Close() // whoever still asks finds the exit in the state file
+		_ = server.Close() // later callers find the exit in the state file
 		serving.Wait()
 	}, nil
 }
 
-// supervise checks the instance, asks the monitor, and acts, until the instance has ended.
+// supervise polls the instance's health and performs the monitor's actions until the instance has exited.
 func (s *supervisor) supervise(ctx context.Context, signals <-chan os.Signal, exited <-chan fleet.Exit) {
+	cancelled := ctx.Done()
+	ctx = context.WithoutCancel(ctx) // the instance drains after the end of ctx, and is supervised while it does
 	checks := healthChecks{results: make(chan Observation, 1)}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	logCheckedAt := time.Now()
 	for {
 		select {
-		case end := <-exited:
-			s.recordExit(end)
+		case exit := <-exited:
+			s.recordExit(exit)
 			return
 		case o := <-checks.results:
 			checks.running = false
 			s.observe(o)
-		case <-signals: // whoever ends the supervisor wants the instance to shut down
-			_ = s.takeNotice("signal") // logged there; the instance is notified all the same
-		case <-ctx.Done():
+		case <-signals: // a signal to the supervisor shuts the instance down
+			_ = s.takeNotice("signal") // the error is logged, and the instance is notified all the same
+		case <-cancelled:
+			cancelled = nil
 			_ = s.takeNotice("context") // as above
-			ctx = context.WithoutCancel(ctx)
 		case <-s.wake:
 		case <-timer.C:
 		}
-		interval := s.step()
-		checks.start(s, interval)
+		interval := s.step(ctx)
+		checks.start(ctx, s, interval)
 		timer.Reset(interval)
 		if time.Since(logCheckedAt) >= s.options.Bounds.LogCheckInterval {
 			logCheckedAt = time.Now()
@@ -147,17 +162,18 @@
 	}
 }
 
-// step does what the monitor wants done now, and returns how long to wait until the next step.
-func (s *supervisor) step() time.Duration {
+// step performs the actions that are due and returns how long to wait until the next step.
+func (s *supervisor) step(ctx context.Context) time.Duration {
 	now := process.Now()
 	s.mu.Lock()
 	actions := s.monitor.NextActions(now)
-	killCause, notifiedAt, instance := s.monitor.KillCause, s.monitor.NotifiedAt, s.record.Instance
+	target := s.actionTarget()
+	target.sinceNotice = now - s.monitor.NotifiedAt
 	phase, _ := s.monitor.Phase(now)
 	s.publishIfChanged(now)
 	s.mu.Unlock()
 	for _, a := range actions {
-		s.perform(a, instance, killCause, now-notifiedAt)
+		s.perform(ctx, a, target)
 	}
 	if phase == fleet.PhaseReady || phase == fleet.PhaseUnready {
 		return s.options.Bounds.IdlePollInterval
