--- a/internal/agent/agentstore/bolt.go
+++ b/internal/agent/agentstore/bolt.go
@@ -1,8 +1,6 @@
 package agentstore
 
 import (
-	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -16,107 +14,110 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// formatVersion is that of the file. Files of older versions are read: fields that they lack are zero.
-const formatVersion = 1
-
-// closeTimeout is how long Close waits for calls that are under way.
-const closeTimeout = time.Second
-
-// lockTimeout is how long Open waits for an agent that is just ending.
-const lockTimeout = 500 * time.Millisecond
+const (
+	// closeTimeout is how long Close waits for calls in progress.
+	closeTimeout = time.Second
+	// lockTimeout is how long Open waits for an agent that is about to end.
+	lockTimeout = 500 * time.Millisecond
+)
 
-// Modes of what Open creates: nobody else reads commands and their requesters.
+// Modes of what Open creates: others on the host can't read commands and who requested them.
 const (
 	directoryMode os.FileMode = 0o700
 	fileMode      os.FileMode = 0o600
 )
 
-// Names of buckets and keys in the file.
-var (
-	metaBucket      = []byte("meta")
-	instancesBucket = []byte("instances") // by name
-	commandsBucket  = []byte("commands")  // by id
-	intentsBucket   = []byte("intents")   // by id
-	historyBucket   = []byte("history")   // by serial, big-endian
-	versionKey      = []byte("version")
-	bootKey         = []byte("boot")
+// Names below the agent's directory.
+const (
+	fileName = "record.db"
+	// supervisorDirectory has the files of the supervisors; package supervisor uses the same name.
+	supervisorDirectory = "keepers"
 )
 
 // boltStore keeps the state in a bbolt file.
 type boltStore struct {
 	db           *bbolt.DB
-	historyLimit int         // entries
-	faulted      atomic.Bool // reading the file faulted: bbolt's locks may be held for good, so nothing may wait for them
+	path         string
+	historyLimit int // entries
+	// faulted is set once reading the file has faulted. bbolt's locks may then be held forever, so that no later call
+	// may wait for them.
+	faulted atomic.Bool
 }
 
-// Path returns the store's file in an agent's directory.
-func Path(dir string) string { return filepath.Join(dir, "record.db") }
+// Path returns the path of the store's file in an agent's directory.
+func Path(dir string) string { return filepath.Join(dir, fileName) }
 
 // Open opens the store in dir, which it creates if necessary, and keeps at most historyLimit entries of history. It
-// waits up to half a second for another agent to close it. Errors are ErrLocked, ErrCorrupt, ErrNewerFormat, or
-// those of the file system.
-func Open(dir string, historyLimit int) (store Store, err error) {
-	if err := os.MkdirAll(filepath.Join(dir, "keepers"), directoryMode); err != nil {
+// waits up to lockTimeout for another agent to close it. Errors are ErrLocked, ErrCorrupt, ErrNewerFormat, or those of
+// the file system.
+func Open(dir string, historyLimit int) (Store, error) {
+	if err := os.MkdirAll(filepath.Join(dir, supervisorDirectory), directoryMode); err != nil {
 		return nil, err
 	}
-	path := Path(dir)
-	// bbolt maps the file's pages: where the file is truncated, reading a missing one faults.
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer func() {
-		if r := recover(); r != nil {
-			store, err = nil, fmt.Errorf("%w: %s: %v", ErrCorrupt, path, r)
-		}
-	}()
-	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout})
+	s := &boltStore{path: Path(dir), historyLimit: historyLimit}
+	if _, err := guardFaults(ErrCorrupt, s.open); err != nil {
+		return nil, s.wrap(err)
+	}
+	return s, nil
+}
+
+// open opens the file, checks that it can be read, and creates what it lacks.
+func (s *boltStore) open() error {
+	db, err := bbolt.Open(s.path, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return nil, openError(dir, path, err)
+		return openError(err)
 	}
-	s := &boltStore{db: db, historyLimit: historyLimit}
-	if _, err := s.Load(); err != nil {
-		s.closeUnusable()
-		return nil, err
+	s.db = db
+	if _, err := s.load(); err != nil {
+		_ = s.close() // the error of load says more
+		return err
 	}
 	if err := db.Update(initialize); err != nil {
-		s.closeUnusable()
-		return nil, err
+		_ = s.close() // as above
+		return err
 	}
-	return s, nil
+	return nil
 }
 
-// openError tells a lock that is held and an error of the system from damage.
-func openError(dir, path string, err error) error {
+// openError tells a held lock and an error of the file system from a corrupted file.
+func openError(err error) error {
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return fmt.Errorf("%w: %s", ErrLocked, dir)
+		return ErrLocked
 	}
 	if systemError, ok := errors.AsType[syscall.Errno](err); ok {
-		return fmt.Errorf("%s: %w", path, systemError)
+		return systemError
 	}
-	return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
+	return fmt.Errorf("%w: %w", ErrCorrupt, err)
 }
 
-// initialize creates what a new or older file lacks.
-func initialize(tx *bbolt.Tx) error {
-	for _, name := range [][]byte{metaBucket, instancesBucket, commandsBucket, intentsBucket, historyBucket} {
-		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-			return err
+// guardFaults calls f and reports whether it faulted; then the error wraps kind. bbolt maps the pages of the file, and
+// reading a page faults if the file was truncated before it.
+func guardFaults(kind error, f func() error) (faulted bool, err error) {
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if r := recover(); r != nil {
+			faulted = true
+			err = fmt.Errorf("%w: %v", kind, r)
 		}
+	}()
+	return false, f()
+}
+
+// wrap adds the path of the store to an error; nil stays nil.
+func (s *boltStore) wrap(err error) error {
+	if err == nil {
+		return nil
 	}
-	return tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, formatVersion))
+	return fmt.Errorf("agent store %s: %w", s.path, err)
 }
 
-// closeUnusable closes a file that could not be loaded; errors add nothing to that of Load.
-func (s *boltStore) closeUnusable() { _ = s.Close() }
+func (s *boltStore) Close() error { return s.wrap(s.close()) }
 
-func (s *boltStore) Close() error {
+func (s *boltStore) close() error {
 	closed := make(chan error, 1)
-	go func() { // it waits for good where a fault left a lock held
-		defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-		defer func() {
-			if r := recover(); r != nil { // closing a damaged file may fault too
-				closed <- fmt.Errorf("%w: %v", ErrNotClosed, r)
-			}
-		}()
-		closed <- s.db.Close()
+	go func() { // blocks forever if a fault left a lock held; closing a truncated file may fault too
+		_, err := guardFaults(ErrNotClosed, s.db.Close)
+		closed <- err
 	}()
 	timeout := time.NewTimer(closeTimeout)
 	defer timeout.Stop()
@@ -124,133 +125,40 @@
 	case err := <-closed:
 		return err
 	case <-timeout.C:
-		return fmt.Errorf("%w: calls were under way for %v, or reading it faulted", ErrNotClosed, closeTimeout)
+		return fmt.Errorf("%w: close timed out after %v", ErrNotClosed, closeTimeout)
 	}
 }
 
-func (s *boltStore) Load() (state State, err error) {
+func (s *boltStore) Load() (State, error) {
+	state, err := s.load()
+	return state, s.wrap(err)
+}
+
+func (s *boltStore) load() (State, error) {
 	if s.faulted.Load() {
 		return State{}, errFaulted
 	}
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer func() {
-		if r := recover(); r != nil {
-			s.faulted.Store(true)
-			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
-		}
-	}()
-	err = s.db.View(func(tx *bbolt.Tx) error {
-		meta := tx.Bucket(metaBucket)
-		if meta == nil {
-			return nil // a new file
-		}
-		if err := checkVersion(meta.Get(versionKey)); err != nil {
-			return err
-		}
-		state.BootID = string(meta.Get(bootKey))
-		return errors.Join(
-			readBucket(tx, instancesBucket, &state.Instances),
-			readBucket(tx, commandsBucket, &state.Commands),
-			readBucket(tx, intentsBucket, &state.Intents),
-			readBucket(tx, historyBucket, &state.History),
-		)
+	var state State
+	faulted, err := guardFaults(ErrCorrupt, func() error {
+		return s.db.View(func(tx *bbolt.Tx) error { return readState(tx, &state) })
 	})
+	if faulted {
+		s.faulted.Store(true)
+	}
 	return state, err
 }
 
 // errFaulted answers calls after one that faulted.
 var errFaulted = fmt.Errorf("%w: reading it faulted before", ErrCorrupt)
 
-func checkVersion(raw []byte) error {
-	if len(raw) != 4 {
-		return fmt.Errorf("%w: no version", ErrCorrupt)
-	}
-	if version := binary.BigEndian.Uint32(raw); version > formatVersion {
-		return fmt.Errorf("%w: version %d, this one knows %d", ErrNewerFormat, version, formatVersion)
-	}
-	return nil
-}
-
-// readBucket appends the values of a bucket to a list, in the order of their keys.
-func readBucket[V any](tx *bbolt.Tx, name []byte, list *[]V) error {
-	bucket := tx.Bucket(name)
-	if bucket == nil {
-		return nil // not known to the build that wrote the file
-	}
-	return bucket.ForEach(func(key, raw []byte) error {
-		var value V
-		if err := json.Unmarshal(raw, &value); err != nil {
-			return fmt.Errorf("%w: %s %q: %w", ErrCorrupt, name, key, err)
-		}
-		*list = append(*list, value)
-		return nil
-	})
-}
-
 func (s *boltStore) Save(c Change) error {
 	if s.faulted.Load() {
-		return errFaulted
-	}
-	return s.db.Update(func(tx *bbolt.Tx) error {
-		var errs []error
-		if c.BootID != "" {
-			errs = append(errs, tx.Bucket(metaBucket).Put(bootKey, []byte(c.BootID)))
-		}
-		for _, in := range c.Instances {
-			errs = append(errs, putJSON(tx, instancesBucket, []byte(in.Name), in))
-		}
-		return errors.Join(append(errs, saveCommands(tx, &c), s.appendHistory(tx, c.History))...)
-	})
-}
-
-// saveCommands writes the commands and intents of a change.
-func saveCommands(tx *bbolt.Tx, c *Change) error {
-	var errs []error
-	for _, command := range c.Commands {
-		errs = append(errs, putJSON(tx, commandsBucket, []byte(command.ID), command))
-	}
-	for _, id := range c.DeletedCommands {
-		errs = append(errs, tx.Bucket(commandsBucket).Delete([]byte(id)))
-	}
-	if c.Intent != nil {
-		errs = append(errs, putJSON(tx, intentsBucket, []byte(c.Intent.ID), c.Intent))
-	}
-	for _, id := range c.CompletedIntents {
-		errs = append(errs, tx.Bucket(intentsBucket).Delete([]byte(id)))
-	}
-	return errors.Join(errs...)
-}
-
-// appendHistory writes new entries and deletes those that are too old.
-func (s *boltStore) appendHistory(tx *bbolt.Tx, entries []Entry) error {
-	if len(entries) == 0 {
-		return nil
-	}
-	var errs []error
-	for _, entry := range entries {
-		errs = append(errs, putJSON(tx, historyBucket, binary.BigEndian.AppendUint64(nil, entry.Serial), entry))
-	}
-	last := entries[len(entries)-1].Serial
-	if last <= uint64(s.historyLimit) {
-		return errors.Join(errs...)
-	}
-	lastDeleted := last - uint64(s.historyLimit)
-	cursor := tx.Bucket(historyBucket).Cursor()
-	for key, _ := cursor.First(); key != nil && binary.BigEndian.Uint64(key) <= lastDeleted; key, _ = cursor.First() {
-		errs = append(errs, cursor.Delete())
-	}
-	return errors.Join(errs...)
-}
-
-func putJSON(tx *bbolt.Tx, bucket, key []byte, value any) error {
-	raw, err := json.Marshal(value)
-	if err != nil {
-		return err
+		return s.wrap(errFaulted)
 	}
-	return tx.Bucket(bucket).Put(key, raw)
+	return s.wrap(s.db.Update(func(tx *bbolt.Tx) error { return writeChange(tx, &c, s.historyLimit) }))
 }
 
-// SetAside renames a damaged store, so that the agent can begin a new one, and returns the new path.
+// SetAside renames a corrupted store, so that the agent can begin a new one, and returns its new path.
 func SetAside(dir string, now time.Time) (string, error) {
 	to := Path(dir) + now.UTC().Format(".20060102T150405.damaged")
 	return to, os.Rename(Path(dir), to)
--- a/internal/agent/agentstore/store.go
+++ b/internal/agent/agentstore/store.go
@@ -1,5 +1,6 @@
-// Package agentstore is the durable state of a host agent: commands before they are acted on (intents), the state of
-// instances and commands, and the history. It owns the file and its format; fleet decides what stands in it.
+// Package agentstore is the durable state of a host agent: commands accepted and not decided on yet (intents), the
+// state of instances and commands, and the history. It owns the file and its format; package fleet decides what is
+// stored.
 package agentstore
 
 import (
@@ -8,29 +9,29 @@
 	"milletbarrow/internal/fleet"
 )
 
-// Entry is one line of history.
+// Entry is one history entry.
 type Entry struct {
-	Serial     uint64 `json:"serial"`  // from 1, without gaps except for entries that were cut off
-	UnixMicros int64  `json:"unix_us"` // wall clock, for people
+	Serial     uint64 `json:"serial"`  // from 1; the oldest entries are deleted, between others there are no gaps
+	UnixMicros int64  `json:"unix_us"` // wall-clock time in microseconds, for people
 	fleet.HistoryEvent
 }
 
-// State is everything that the store holds.
+// State is the content of the store.
 type State struct {
 	fleet.Snapshot
-	BootID  string           // the boot that its times belong to; empty: nothing was written yet
+	BootID  string           // the boot of the machine that its times are of; empty: nothing was written yet
 	Intents []*fleet.Command // accepted from a client and not decided on
 	History []Entry          // oldest first
 }
 
-// Change is one transaction: it is written completely or not at all.
+// Change is one transaction: the store writes it completely or not at all.
 type Change struct {
 	fleet.Snapshot
 	DeletedCommands  []string       // ids
-	Intent           *fleet.Command // written before it is decided on
+	Intent           *fleet.Command // to be decided on; nil: none
 	CompletedIntents []string       // ids of intents that have been decided on
 	History          []Entry        // to append, in the order of their serials
-	BootID           string         // empty: as it was
+	BootID           string         // empty: unchanged
 }
 
 // Empty reports whether there is nothing to write.
@@ -39,22 +40,22 @@
 	return written == 0 && c.Intent == nil && c.BootID == ""
 }
 
-// Store is the durable state. Implementations may be used by several goroutines.
+// Store is the durable state. Its methods may be called from several goroutines.
 type Store interface {
-	// Load reads everything.
+	// Load reads the complete state.
 	Load() (State, error)
-	// Save writes a change; it is on the disk when Save returns nil. After an error nothing of the change is
-	// there, and the same or another change may be tried.
+	// Save writes a change, which is on the disk when Save returns nil. After an error nothing of the change is
+	// written, and the same or another change may be tried.
 	Save(Change) error
-	// Close waits for calls that are under way, for a bounded time. After ErrNotClosed the file stays open until the
-	// process ends; what was saved is on the disk all the same.
+	// Close waits for calls in progress, for a bounded time. After ErrNotClosed the file stays open until the process
+	// ends; saved changes are on the disk all the same.
 	Close() error
 }
 
-// Errors that an operator has to deal with. They come wrapped with the path or the cause.
+// Errors of the store. They come wrapped with the path and the cause.
 var (
-	ErrLocked      = errors.New("another agent has this directory")
-	ErrCorrupt     = errors.New("the record is damaged")
-	ErrNewerFormat = errors.New("the record was written by a newer build")
-	ErrNotClosed   = errors.New("the record can't be closed")
+	ErrLocked      = errors.New("locked by another agent")
+	ErrCorrupt     = errors.New("corrupted")
+	ErrNewerFormat = errors.New("written by a newer build")
+	ErrNotClosed   = errors.New("not closed")
 )
