--- a/internal/backend/degradation/errors.go
+++ b/internal/backend/degradation/errors.go
@@ -1,6 +1,8 @@
 package degradation
 
-import "fmt"
+import (
+	"fmt"
+)
 
 // OverrideError reports an override of the level that was refused.
 type OverrideError struct {
