--- a/internal/backend/degradation/condition.go
+++ b/internal/backend/degradation/condition.go
@@ -2,51 +2,28 @@
 
 import (
 	"fmt"
-	"math"
 	"strings"
 
 	"milletbarrow/monotime"
 )
 
-// maxGap is the longest time between updates; after a longer one nothing is known of the time between. A clock that jumps
-// ahead looks the same, and one that goes back stops everything until it is where it was.
-const maxGap monotime.Micros = 2_000_000
-
-// smooth smooths the signals. One that was missing starts from its first value; one that is missing is so at once.
-func (c *Controller) smooth(now monotime.Micros, s Signals) {
-	gap := now - c.lastUpdate
-	for i := range s {
-		over := float64(c.policy.Smoothing[i])
-		switch {
-		case math.IsNaN(s[i]):
-			c.smoothed[i] = Missing
-		case math.IsNaN(c.smoothed[i]) || over == 0 || c.lastUpdate == 0 || gap > maxGap:
-			c.smoothed[i] = s[i]
-		default:
-			c.smoothed[i] += (s[i] - c.smoothed[i]) * (1 - math.Exp(-float64(gap)/over))
-		}
-	}
-	if c.lastUpdate != 0 && gap > maxGap { // nothing is known of the time between: spans start anew
-		for n := range c.entrySince {
-			clear(c.entrySince[n])
-			clear(c.exitSince[n])
-		}
-	}
-	c.lastUpdate = now
-}
+// collapseFactor is the ratio of a signal to the next level's entry from which the change does not wait for
+// ChangeInterval.
+const collapseFactor = 1.5
 
-// trackTerms records since when each term holds. No term of a missing signal does.
+// trackTerms records since when each term holds. A term of a missing signal does not hold.
 func (c *Controller) trackTerms(now monotime.Micros) {
 	for n, level := range c.policy.Levels {
-		for i, t := range level.Enter.Terms {
-			trackSince(&c.entrySince[n][i], now, c.smoothed[t.Signal] >= t.Value)
+		for i, term := range level.Enter.Terms {
+			trackSince(&c.entrySince[n][i], now, c.smoothed[term.Signal] >= term.Value)
 		}
-		for i, t := range level.Exit.Terms {
-			trackSince(&c.exitSince[n][i], now, c.smoothed[t.Signal] < t.Value)
+		for i, term := range level.Exit.Terms {
+			trackSince(&c.exitSince[n][i], now, c.smoothed[term.Signal] < term.Value)
 		}
 	}
 }
 
+// trackSince updates the time since when a term holds; 0 means that it does not.
 func trackSince(since *monotime.Micros, now monotime.Micros, holds bool) {
 	if !holds {
 		*since = 0
@@ -55,40 +32,47 @@
 	}
 }
 
-// conditionMet returns whether a condition is met, and the terms that are.
-func (c *Controller) conditionMet(cond Condition, since []monotime.Micros) (string, bool) {
-	var met []string
-	for i, t := range cond.Terms {
-		if since[i] != 0 && c.lastUpdate-since[i] >= t.For {
-			met = append(met, fmt.Sprintf("%s %.3g", t.Signal, c.smoothed[t.Signal]))
+// clearTerms discards the times since when terms hold.
+func (c *Controller) clearTerms() {
+	for n := range c.entrySince {
+		clear(c.entrySince[n])
+		clear(c.exitSince[n])
+	}
+}
+
+// conditionMet reports whether a condition is met, and returns its terms that are. since has the time since when each
+// term holds.
+func (c *Controller) conditionMet(condition Condition, since []monotime.Micros) (terms string, met bool) {
+	var metTerms []string
+	for i, term := range condition.Terms {
+		if since[i] != 0 && c.lastUpdate-since[i] >= term.For {
+			metTerms = append(metTerms, fmt.Sprintf("%s %.3g", term.Signal, c.smoothed[term.Signal]))
 		}
 	}
-	if cond.Any && len(met) > 0 || len(met) == len(cond.Terms) {
-		return strings.Join(met, ", "), true
+	if condition.Any && len(metTerms) > 0 || len(metTerms) == len(condition.Terms) {
+		return strings.Join(metTerms, ", "), true
 	}
 	return "", false
 }
 
-// worstEntered returns the highest level whose entry is met, and by which terms.
-func (c *Controller) worstEntered() (to int, cause string) {
+// strongestEntered returns the strongest level whose entry is met and the terms that are, or the present level if no
+// stronger one is entered.
+func (c *Controller) strongestEntered() (level int, terms string) {
 	for n := len(c.policy.Levels) - 1; n >= c.level; n-- {
-		if terms, ok := c.conditionMet(c.policy.Levels[n].Enter, c.entrySince[n]); ok {
+		if terms, met := c.conditionMet(c.policy.Levels[n].Enter, c.entrySince[n]); met {
 			return n + 1, terms
 		}
 	}
 	return c.level, ""
 }
 
-// collapseFactor times the value of a term of the next level's entry is a collapse.
-const collapseFactor = 1.5
-
-// isCollapse reports whether a signal is far beyond the next level's entry. Then ChangeInterval does not delay the change.
+// isCollapse reports whether a signal is at least collapseFactor times the next level's entry.
 func (c *Controller) isCollapse() bool {
 	if c.level == len(c.policy.Levels) {
 		return false
 	}
-	for _, t := range c.policy.Levels[c.level].Enter.Terms {
-		if c.smoothed[t.Signal] >= collapseFactor*t.Value && t.Value > 0 {
+	for _, term := range c.policy.Levels[c.level].Enter.Terms {
+		if c.smoothed[term.Signal] >= collapseFactor*term.Value && term.Value > 0 {
 			return true
 		}
 	}
--- a/internal/backend/degradation/errors.go
+++ b/internal/backend/degradation/errors.go
@@ -1,8 +1,6 @@
 package degradation
 
-import (
-	"fmt"
-)
+import "fmt"
 
 // OverrideError reports an override of the level that was refused.
 type OverrideError struct {
@@ -12,26 +10,27 @@
 
 func (e *OverrideError) Error() string { return e.Field + ": " + e.Problem }
 
+// overrideError builds an OverrideError; format and args make its problem.
 func overrideError(field, format string, args ...any) error {
 	return &OverrideError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
 // UnknownNameError reports a rule of a policy that names an operation or a tenant that the deployment does not have.
 type UnknownNameError struct {
-	Level string // whose rule it is
+	Level string // name of the level whose rule it is
 	Kind  string // operation or tenant
-	Name  string
+	Name  string // the unknown name
 }
 
 func (e *UnknownNameError) Error() string {
-	return fmt.Sprintf("level %s: %s %q: the deployment has none of this name", e.Level, e.Kind, e.Name)
+	return fmt.Sprintf("level %s: %s %q does not exist in the deployment", e.Level, e.Kind, e.Name)
 }
 
 // TraceError reports a line of a trace that cannot be read.
 type TraceError struct {
 	File    string // as it was named to ReadTrace
 	Line    int    // from 1
-	Problem string
+	Problem string // what is wrong with the line
 }
 
 func (e *TraceError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem) }
--- a/internal/backend/degradation/explain.go
+++ b/internal/backend/degradation/explain.go
@@ -3,33 +3,34 @@
 import (
 	"fmt"
 	"strings"
-	"time"
-
-	"milletbarrow/monotime"
 )
 
+const percent = 100 // in 1
+
 // Explain describes in words what the policy does.
 func (p *Policy) Explain() string {
 	var b strings.Builder
-	span := func(m monotime.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
-	fmt.Fprintf(&b, "ladder %s: %d levels; at most one change of a level in %v, a collapse excepted; a level is left over %v\n",
-		p.Name, len(p.Levels), span(p.ChangeInterval), span(p.RecoveryRamp))
+	fmt.Fprintf(&b, "ladder %s: %d levels; a level changes at most once in %v, except in a collapse; recovery ramp %v\n",
+		p.Name, len(p.Levels), p.ChangeInterval.Duration(), p.RecoveryRamp.Duration())
 	for i, level := range p.Levels {
-		fmt.Fprintf(&b, "%d. %s\n   entered when %s\n   left when %s, after %v at least\n", i+1, level.Name,
-			level.Enter.describe("at or above"), level.Exit.describe("below"), span(level.MinDuration))
-		for _, r := range level.Shed {
-			fmt.Fprintf(&b, "   sheds %s\n", r.describe())
+		fmt.Fprintf(&b, "%d. %s\n", i+1, level.Name)
+		fmt.Fprintf(&b, "   entered when %s\n", level.Enter.describe("at or above"))
+		fmt.Fprintf(&b, "   left when %s, after %v at least\n",
+			level.Exit.describe("below"), level.MinDuration.Duration())
+		for _, rule := range level.Shed {
+			fmt.Fprintf(&b, "   sheds %s\n", rule.describe())
 		}
 	}
 	return b.String()
 }
 
-func (c Condition) describe(how string) string {
+// describe describes a condition whose terms compare in one way, such as "below".
+func (c Condition) describe(comparison string) string {
 	parts := make([]string, 0, len(c.Terms))
-	for _, t := range c.Terms {
-		text := fmt.Sprintf("%s is %s %v", t.Signal, how, t.Value)
-		if t.For > 0 {
-			text += fmt.Sprintf(" for %v", time.Duration(t.For)*time.Microsecond)
+	for _, term := range c.Terms {
+		text := fmt.Sprintf("%s is %s %v", term.Signal, comparison, term.Value)
+		if term.For > 0 {
+			text += fmt.Sprintf(" for %v", term.For.Duration())
 		}
 		parts = append(parts, text)
 	}
@@ -39,22 +40,23 @@
 	return strings.Join(parts, ", and ")
 }
 
+// describe describes the requests that a rule sheds.
 func (r Rule) describe() string {
-	parts := []string{"everything"}
+	parts := []string{"all requests"}
 	if r.Share < 1 {
-		parts[0] = fmt.Sprintf("%.0f%% of everything", 100*r.Share)
+		parts[0] = fmt.Sprintf("%.0f%% of requests", percent*r.Share)
 	}
 	if len(r.Operations) > 0 {
-		parts = append(parts, "of "+strings.Join(r.Operations, ", "))
+		parts = append(parts, "for operation "+strings.Join(r.Operations, ", "))
 	}
 	if len(r.Tenants) > 0 {
-		parts = append(parts, "from "+strings.Join(r.Tenants, ", "))
+		parts = append(parts, "from tenant "+strings.Join(r.Tenants, ", "))
 	}
 	if r.RankBelow < 1 {
-		parts = append(parts, fmt.Sprintf("of a rank below %v", r.RankBelow))
+		parts = append(parts, fmt.Sprintf("with a rank below %v", r.RankBelow))
 	}
 	if r.CostAbove > 0 {
-		parts = append(parts, fmt.Sprintf("with more than %v of work to expect", time.Duration(r.CostAbove)*time.Microsecond))
+		parts = append(parts, fmt.Sprintf("with expected work above %v", r.CostAbove.Duration()))
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/backend/degradation/invariants_test.go
+++ b/internal/backend/degradation/invariants_test.go
@@ -177,13 +177,13 @@
 func TestTraceErrors(t *testing.T) {
 	const known = "queue, cores, turned, hopeless, late, retries, memory, unknown, cold, draining"
 	for _, row := range []struct{ text, want string }{
-		{"; note\n5 queue=1\n5 queue=1\n", `t:3: time: "5" is no number of microseconds above that of the line before`},
-		{"-1 queue=1\n", `t:1: time: "-1" is no number of microseconds above that of the line before`},
-		{"x queue=1\n", `t:1: time: "x" is no number of microseconds above that of the line before`},
-		{"\n1 load=1\n", `t:2: "load=1" is no signal with a value from 0 up; there are ` + known},
-		{"1 queue=-1\n", `t:1: "queue=-1" is no signal with a value from 0 up; there are ` + known},
-		{"1 queue=NaN\n", `t:1: "queue=NaN" is no signal with a value from 0 up; there are ` + known},
-		{"1 queue=2e9\n", `t:1: "queue=2e9" is no signal with a value from 0 up; there are ` + known},
+		{"; note\n5 queue=1\n5 queue=1\n", `t:3: time: found "5", wanted microseconds above those of the line before`},
+		{"-1 queue=1\n", `t:1: time: found "-1", wanted microseconds above those of the line before`},
+		{"x queue=1\n", `t:1: time: found "x", wanted microseconds above those of the line before`},
+		{"\n1 load=1\n", `t:2: found "load=1", wanted SIGNAL=VALUE with a value from 0 to 1e+09; signals are ` + known},
+		{"1 queue=-1\n", `t:1: found "queue=-1", wanted SIGNAL=VALUE with a value from 0 to 1e+09; signals are ` + known},
+		{"1 queue=NaN\n", `t:1: found "queue=NaN", wanted SIGNAL=VALUE with a value from 0 to 1e+09; signals are ` + known},
+		{"1 queue=2e9\n", `t:1: found "queue=2e9", wanted SIGNAL=VALUE with a value from 0 to 1e+09; signals are ` + known},
 	} {
 		_, err := ReadTrace("t", strings.NewReader(row.text))
 		if traceErr := (*TraceError)(nil); !errors.As(err, &traceErr) || err.Error() != row.want {
--- a/internal/backend/degradation/meter.go
+++ b/internal/backend/degradation/meter.go
@@ -11,30 +11,32 @@
 
 // The counters.
 const (
-	Arrivals        Counter = iota // without those that a level sheds
-	RetriedArrivals                // of them, retries
-	Rejections                     // of them, throttled by the admission control
-	Successes                      // succeeded
-	LateSuccesses                  // of them, past their latency objective
+	Arrivals        Counter = iota // arrived requests, without those that a level sheds
+	RetriedArrivals                // arrivals that are retries
+	Rejections                     // arrivals that the admission control throttled
+	Successes                      // successful responses
+	LateSuccesses                  // successful responses that missed their latency objective
 	counterCount
 )
 
-// SignalMeter measures the signals from counted events and the executor's gauges. Counts decay by a factor of e each
-// second; a fraction of too small a count is missing. Not safe for concurrent use.
-type SignalMeter struct {
-	sums         [counterCount]float64
-	decayedAt    monotime.Micros
-	cores        float64
-	warmingUntil monotime.Micros // the executor warms up until then
-	draining     bool
-}
-
 const (
-	decayTime      = 1_000_000 // microseconds
-	minDenominator = 4.0       // the smallest count that a fraction is taken of
+	// countTimeConstant is the time in which a count decays by a factor of e.
+	countTimeConstant = monotime.Second
+	// minDenominator is the smallest decayed count that a fraction is computed of.
+	minDenominator = 4.0
 )
 
-// NewSignalMeter returns a meter for an executor of that many cores, at least 1.
+// SignalMeter measures the signals from counted events and the executor's gauges. Counts decay exponentially; a fraction
+// of too small a count is missing. It is not safe for concurrent use.
+type SignalMeter struct {
+	counts       [counterCount]float64
+	decayedAt    monotime.Micros // time that the counts are of
+	cores        float64         // of the executor, at least 1
+	warmingUntil monotime.Micros // end of the executor's warm-up; 0: not warming up
+	draining     bool            // a graceful shutdown has begun
+}
+
+// NewSignalMeter returns a meter for an executor with a number of cores; less than 1 counts as 1.
 func NewSignalMeter(cores int) *SignalMeter { return &SignalMeter{cores: float64(max(1, cores))} }
 
 // decay reduces the counts by the time since the last event.
@@ -42,9 +44,9 @@
 	if now <= m.decayedAt {
 		return
 	}
-	keep := math.Exp(-float64(now-m.decayedAt) / decayTime)
-	for i := range m.sums {
-		m.sums[i] *= keep
+	keep := math.Exp(-float64(now-m.decayedAt) / float64(countTimeConstant))
+	for i := range m.counts {
+		m.counts[i] *= keep
 	}
 	m.decayedAt = now
 }
@@ -52,40 +54,51 @@
 // Count counts an event.
 func (m *SignalMeter) Count(now monotime.Micros, counter Counter) {
 	m.decay(now)
-	m.sums[counter]++
+	m.counts[counter]++
 }
 
 // SetWarmingUntil sets until when the executor warms up.
 func (m *SignalMeter) SetWarmingUntil(until monotime.Micros) { m.warmingUntil = until }
 
-// SetDraining sets that a graceful shutdown has begun.
+// SetDraining records that a graceful shutdown has begun.
 func (m *SignalMeter) SetDraining() { m.draining = true }
 
-// Signals returns the signals of now. Gauges that are not known, or below 0, are missing; onCores counts requests, coreUse
-// and memory are fractions.
-func (m *SignalMeter) Signals(now monotime.Micros, onCores, coreUse, memory float64, known bool) (s Signals) {
+// Signals returns the signals of now. onCores counts requests; coreUse and memory are fractions. A gauge below 0 is
+// missing, as are all three unless they are known.
+func (m *SignalMeter) Signals(now monotime.Micros, onCores, coreUse, memory float64, known bool) Signals {
 	m.decay(now)
-	gauge := func(v, by float64) float64 {
-		if !known || v < 0 {
+	gauge := func(value float64) float64 {
+		if !known || value < 0 {
 			return Missing
 		}
-		return v / by
+		return value
 	}
-	fraction := func(part, total Counter) float64 {
-		if m.sums[total] < minDenominator {
-			return Missing
-		}
-		return min(1, m.sums[part]/m.sums[total])
+	return Signals{
+		Queue:      gauge(onCores) / m.cores,
+		Cores:      gauge(coreUse),
+		Rejected:   m.fraction(Rejections, Arrivals),
+		Infeasible: Missing, // the admission control does not report why it throttles
+		Late:       m.fraction(LateSuccesses, Successes),
+		Retries:    m.fraction(RetriedArrivals, Arrivals),
+		Memory:     gauge(memory),
+		Unknown:    indicator(!known),
+		WarmingUp:  indicator(now < m.warmingUntil),
+		Draining:   indicator(m.draining),
 	}
-	yes := func(b bool) float64 {
-		if b {
-			return 1
-		}
-		return 0
+}
+
+// fraction returns the ratio of two counts, at most 1, or Missing if the total is below minDenominator.
+func (m *SignalMeter) fraction(part, total Counter) float64 {
+	if m.counts[total] < minDenominator {
+		return Missing
+	}
+	return min(1, m.counts[part]/m.counts[total])
+}
+
+// indicator returns 1 for true and 0 for false.
+func indicator(b bool) float64 {
+	if b {
+		return 1
 	}
-	s[Queue], s[Cores], s[Memory] = gauge(onCores, m.cores), gauge(coreUse, 1), gauge(memory, 1)
-	s[Rejected], s[Late], s[Retries] = fraction(Rejections, Arrivals), fraction(LateSuccesses, Successes), fraction(RetriedArrivals, Arrivals)
-	s[Infeasible] = Missing // the module does not report why it throttles
-	s[Unknown], s[WarmingUp], s[Draining] = yes(!known), yes(now < m.warmingUntil), yes(m.draining)
-	return s
+	return 0
 }
--- a/internal/backend/degradation/parse.go
+++ b/internal/backend/degradation/parse.go
@@ -9,7 +9,19 @@
 	"milletbarrow/monotime"
 )
 
-const hour = time.Hour
+// Defaults and bounds of a policy file's fields.
+const (
+	defaultChangeInterval = time.Minute
+	defaultRecoveryRamp   = 20 * time.Second
+	defaultMaxOverride    = time.Hour
+	maxMaxOverride        = 24 * time.Hour
+	defaultSmoothing      = time.Second
+	defaultMinDuration    = time.Minute
+	maxSpan               = time.Hour // of the other durations
+	minRuleShare          = 0.01
+	maxTermValue          = 1000 // largest value that a term may compare a signal with
+	maxTermArgs           = 2    // a value and a duration
+)
 
 // ParsePolicy parses and validates a policy, the S-expression (ladder ...); file is its name in errors. The error joins
 // all faults that were found.
@@ -21,58 +33,70 @@
 	errs := &sexpr.Errors{File: file}
 	forms := sexpr.Forms(nodes, errs)
 	if len(forms) != 1 || forms[0].Name != "ladder" {
-		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted one list that begins with ladder")
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted exactly one list, (ladder ...)")
 		return nil, errs.Err()
 	}
-	f := forms[0]
-	p := &Policy{
+	policy := parsePolicyForm(forms[0])
+	policy.validate(errs)
+	return policy, errs.Err()
+}
+
+// parsePolicyForm parses (ladder NAME ...).
+func parsePolicyForm(f *sexpr.Form) *Policy {
+	policy := &Policy{
 		Name:           f.Arg(),
-		ChangeInterval: monotime.FromDuration(f.Span("every", time.Second, hour, time.Minute)),
-		RecoveryRamp:   monotime.FromDuration(f.Span("ramp", 0, hour, 20*time.Second)),
-		MaxOverride:    monotime.FromDuration(f.Span("pins", time.Second, 24*hour, hour)),
+		ChangeInterval: monotime.FromDuration(f.Span("every", time.Second, maxSpan, defaultChangeInterval)),
+		RecoveryRamp:   monotime.FromDuration(f.Span("ramp", 0, maxSpan, defaultRecoveryRamp)),
+		MaxOverride:    monotime.FromDuration(f.Span("pins", time.Second, maxMaxOverride, defaultMaxOverride)),
 	}
-	for s := range p.Smoothing {
-		p.Smoothing[s] = monotime.FromDuration(time.Second)
+	for s := range policy.Smoothing {
+		policy.Smoothing[s] = monotime.FromDuration(defaultSmoothing)
 	}
 	if smoothing := f.Field("smooth"); smoothing != nil {
 		for s, name := range signalNames {
-			p.Smoothing[s] = monotime.FromDuration(smoothing.Span(name, 0, hour, time.Second))
+			policy.Smoothing[s] = monotime.FromDuration(smoothing.Span(name, 0, maxSpan, defaultSmoothing))
 		}
 		smoothing.Done()
 	}
-	for _, form := range f.All("level") {
-		p.Levels = append(p.Levels, readLevel(form))
+	for _, level := range f.All("level") {
+		policy.Levels = append(policy.Levels, parseLevel(level))
 	}
 	f.Done()
-	if n := len(p.Levels); n == 0 || n > MaxLevels {
+	if n := len(policy.Levels); n == 0 || n > MaxLevels {
 		f.Fail("", "found %d levels, wanted 1 to %d", n, MaxLevels)
 	}
-	p.validate(errs)
-	return p, errs.Err()
+	return policy
 }
 
-func readLevel(f *sexpr.Form) Level {
-	level := Level{Name: f.Arg(), place: f.Place, MinDuration: monotime.FromDuration(f.Span("stay", time.Second, hour, time.Minute))}
-	level.Enter, level.Exit = readCondition(f, "enter"), readCondition(f, "exit")
-	for _, s := range f.All("shed") {
+// parseLevel parses (level NAME ...).
+func parseLevel(f *sexpr.Form) Level {
+	level := Level{
+		Name:        f.Arg(),
+		place:       f.Place,
+		MinDuration: monotime.FromDuration(f.Span("stay", time.Second, maxSpan, defaultMinDuration)),
+		Enter:       parseCondition(f, "enter"),
+		Exit:        parseCondition(f, "exit"),
+	}
+	for _, rule := range f.All("shed") {
 		level.Shed = append(level.Shed, Rule{
-			Operations: s.Words("operations"), Tenants: s.Words("tenants"), RankBelow: s.Share("rank-below", 0, 1, 1),
-			CostAbove: monotime.FromDuration(s.Span("cost-above", 0, hour, 0)), Share: s.Share("share", 0.01, 1, 1),
+			Operations: rule.Words("operations"),
+			Tenants:    rule.Words("tenants"),
+			RankBelow:  rule.Share("rank-below", 0, 1, 1),
+			CostAbove:  monotime.FromDuration(rule.Span("cost-above", 0, maxSpan, 0)),
+			Share:      rule.Share("share", minRuleShare, 1, 1),
 		})
-		s.Done()
+		rule.Done()
 	}
 	if n := len(level.Shed); n == 0 || n > MaxRules {
-		f.Fail("", "sheds by %d rules, wanted 1 to %d", n, MaxRules)
+		f.Fail("", "found %d shed rules, wanted 1 to %d", n, MaxRules)
 	}
 	f.Done()
 	return level
 }
 
-// maxTermValue is the largest value that a term may compare a signal with.
-const maxTermValue = 1000
-
-// readCondition reads (enter (any (queue 1.8 2s) (late 0.1 2s))), or with all, or with one term alone.
-func readCondition(f *sexpr.Form, name string) (c Condition) {
+// parseCondition parses a condition field such as (enter (any (queue 1.8 2s) (late 0.1 2s))), or with all, or with one
+// term alone.
+func parseCondition(f *sexpr.Form, name string) (c Condition) {
 	condition := f.Field(name)
 	if condition == nil {
 		f.Fail("", "%s: missing", name)
@@ -81,12 +105,13 @@
 	terms := condition
 	for _, combination := range []string{"any", "all"} {
 		if sub := condition.Field(combination); sub != nil {
-			terms, c.Any = sub, combination == "any"
+			terms = sub
+			c.Any = combination == "any"
 		}
 	}
 	for s, signal := range signalNames {
 		for _, term := range terms.All(signal) {
-			c.Terms = append(c.Terms, readTerm(term, Signal(s)))
+			c.Terms = append(c.Terms, parseTerm(term, Signal(s)))
 		}
 	}
 	if terms != condition {
@@ -99,18 +124,18 @@
 	return c
 }
 
-// readTerm reads a value and perhaps a time.
-func readTerm(f *sexpr.Form, signal Signal) Term {
-	args := f.Args(1, 2)
+// parseTerm parses a term such as (queue 1.8) or (queue 1.8 2s).
+func parseTerm(f *sexpr.Form, signal Signal) Term {
+	args := f.Args(1, maxTermArgs)
 	term := Term{Signal: signal}
 	_, err := fmt.Sscanf(strings.Join(args[:min(1, len(args))], ""), "%g", &term.Value)
 	if err != nil || !(term.Value >= 0 && term.Value <= maxTermValue) {
-		f.Fail("", "found %q, wanted a value from 0 to %d and perhaps a time", strings.Join(args, " "), maxTermValue)
+		f.Fail("", "found %q, wanted VALUE or VALUE DURATION with a value from 0 to %d", strings.Join(args, " "), maxTermValue)
 	}
-	if len(args) == 2 {
+	if len(args) == maxTermArgs {
 		span, err := time.ParseDuration(args[1])
-		if err != nil || span < 0 || span > hour {
-			f.Fail("", "found %q, wanted a time up to %v", args[1], hour)
+		if err != nil || span < 0 || span > maxSpan {
+			f.Fail("", "found %q, wanted a duration from 0 to %v", args[1], maxSpan)
 		}
 		term.For = monotime.FromDuration(span)
 	}
--- a/internal/backend/degradation/policy.go
+++ b/internal/backend/degradation/policy.go
@@ -9,38 +9,49 @@
 	"milletbarrow/monotime"
 )
 
-// Policy is an ordered list of levels of reduced service, the mildest first. Its
-// tags are the names in printed output, by which stored results of experiments are found.
+// fullService is the name of level 0, at which nothing is shed.
+const fullService = "full"
+
+// Bounds of a policy file; ParsePolicy refuses a larger one.
+const (
+	MaxLevels = 8  // levels of a policy
+	MaxRules  = 16 // rules of a level
+	MaxTerms  = 8  // terms of a condition
+)
+
+// Policy is an ordered list of levels of reduced service, the mildest first. Its tags are the names in printed output,
+// by which stored results of experiments are found.
 type Policy struct {
 	Name           string
-	Levels         []Level
-	Smoothing      [signalCount]monotime.Micros `json:"Smooth"` // by signal: the time constant of its exponential smoothing
-	ChangeInterval monotime.Micros              `json:"Every"`  // at most one change of a level in so long, except in a collapse
-	RecoveryRamp   monotime.Micros              `json:"Ramp"`   // leaving a level takes so long; it sheds less and less meanwhile
-	MaxOverride    monotime.Micros              `json:"Pins"`   // the longest override of the level by an operator
+	Levels         []Level                      // by number, from 1
+	Smoothing      [signalCount]monotime.Micros `json:"Smooth"` // by signal: time constant of its smoothing; 0: none
+	ChangeInterval monotime.Micros              `json:"Every"`  // shortest time between two changes of a level, except in a collapse
+	RecoveryRamp   monotime.Micros              `json:"Ramp"`   // duration of leaving a level, which sheds less and less; 0: at once
+	MaxOverride    monotime.Micros              `json:"Pins"`   // longest override of the level by an operator
 }
 
 // Level is one level of reduced service. What milder levels shed is shed too.
 type Level struct {
 	Name        string
-	Enter, Exit Condition
-	MinDuration monotime.Micros `json:"Stay"` // it is in force for at least so long
+	Enter       Condition       // the level is entered if it is met
+	Exit        Condition       // the level is left if it is met
+	MinDuration monotime.Micros `json:"Stay"` // shortest time in force
 	Shed        []Rule
-	place       sexpr.Place
+	place       sexpr.Place // in the policy file
 }
 
 // Condition is met if all of its terms hold, or any of them.
 type Condition struct {
-	Any   bool
+	Any   bool // true if one term suffices
 	Terms []Term
 }
 
-// Term holds once a signal has been beyond a value for a time without interruption: at or above it in an entry, below it in
-// an exit.
+// Term holds once a signal has been beyond a value for a time without interruption: at or above it in an entry, below
+// it in an exit.
 type Term struct {
 	Signal Signal
 	Value  float64
-	For    monotime.Micros
+	For    monotime.Micros // 0: at once
 }
 
 // Rule sheds requests that match all of its fields.
@@ -52,41 +63,42 @@
 	Share      float64         // fraction to shed, above 0, at most 1
 }
 
-// Bounds of a policy file; ParsePolicy refuses a larger one.
-const (
-	MaxLevels = 8
-	MaxRules  = 16
-	MaxTerms  = 8
-)
-
-// threshold returns the value that a condition compares a signal with, if it does.
-func (c Condition) threshold(s Signal) (float64, bool) {
-	for _, t := range c.Terms {
-		if t.Signal == s {
-			return t.Value, true
-		}
+// LevelName returns the name of a level by its number.
+func (p *Policy) LevelName(number int) string {
+	if number == 0 {
+		return fullService
 	}
-	return 0, false
+	return p.Levels[number-1].Name
+}
+
+// levelNumber returns the number of the level with a name, or 0 if there is none.
+func (p *Policy) levelNumber(name string) int {
+	return slices.IndexFunc(p.Levels, func(level Level) bool { return level.Name == name }) + 1
 }
 
 // SignalsUsed returns the signals that the conditions compare, each once.
 func (p *Policy) SignalsUsed() (all []Signal) {
 	for s := range signalCount {
-		for _, level := range p.Levels {
-			_, entered := level.Enter.threshold(s)
-			_, left := level.Exit.threshold(s)
-			if (entered || left) && !slices.Contains(all, s) {
-				all = append(all, s)
-			}
+		usesSignal := func(level Level) bool { return level.Enter.uses(s) || level.Exit.uses(s) }
+		if slices.ContainsFunc(p.Levels, usesSignal) {
+			all = append(all, s)
 		}
 	}
 	return all
 }
 
-// LevelName returns the name of a level by its number.
-func (policy *Policy) LevelName(n int) string {
-	if n == 0 {
-		return "full"
+// threshold returns the value that the first term with a signal compares it with; ok is false if there is none.
+func (c Condition) threshold(s Signal) (value float64, ok bool) {
+	for _, term := range c.Terms {
+		if term.Signal == s {
+			return term.Value, true
+		}
 	}
-	return policy.Levels[n-1].Name
+	return 0, false
+}
+
+// uses reports whether a term compares the signal.
+func (c Condition) uses(s Signal) bool {
+	_, ok := c.threshold(s)
+	return ok
 }
--- a/internal/backend/degradation/recovery.go
+++ b/internal/backend/degradation/recovery.go
@@ -7,47 +7,67 @@
 	"milletbarrow/monotime"
 )
 
-// recover leaves the level over RecoveryRamp once its exit is met, and aborts that as soon as a signal worsens.
-func (c *Controller) recover(now monotime.Micros) (change Change, changes bool) {
-	if c.level == 0 || c.override.until != 0 && c.level <= c.override.level {
+const (
+	// maxBackoffIntervals is the longest backoff, in ChangeIntervals.
+	maxBackoffIntervals = 8
+	// backoffFactor is the growth of the backoff from one aborted recovery or relapse to the next.
+	backoffFactor = 2
+	// relapseIntervals is the time after a recovery, in ChangeIntervals, within which an entry is a relapse.
+	relapseIntervals = 2
+)
+
+// updateRecovery leaves the level over RecoveryRamp once its exit is met, and aborts the ramp as soon as a signal worsens.
+func (c *Controller) updateRecovery(now monotime.Micros) (change Change, changed bool) {
+	if c.level == 0 || c.override.active() && c.level <= c.override.level {
 		c.leavingSince = 0
 		return change, false
 	}
 	level := c.policy.Levels[c.level-1]
-	if c.leavingSince != 0 {
-		if c.worsens(level) {
-			c.leavingSince = 0
-			c.extendBackoff(now)
+	if c.leavingSince == 0 {
+		if !c.recoveryMayStart(now, level) {
 			return change, false
 		}
-		if now-c.leavingSince >= c.policy.RecoveryRamp {
-			return c.change(now, c.level-1, "recovered: "+c.exitSignals(level), false), true
+		c.leavingSince = now
+		if c.policy.RecoveryRamp > 0 {
+			return change, false
 		}
+		return c.leaveLevel(now, level), true
+	}
+	if c.worsens(level) {
+		c.leavingSince = 0
+		c.extendBackoff(now)
 		return change, false
 	}
-	if _, ok := c.conditionMet(level.Exit, c.exitSince[c.level-1]); ok && now >= c.noExitBefore && c.changeAllowed(now, c.level-1) {
-		c.leavingSince = now
-		if c.policy.RecoveryRamp == 0 {
-			return c.change(now, c.level-1, "recovered: "+c.exitSignals(level), false), true
-		}
+	if now-c.leavingSince >= c.policy.RecoveryRamp {
+		return c.leaveLevel(now, level), true
 	}
 	return change, false
 }
 
-// maxBackoff is the longest backoff, in ChangeIntervals.
-const maxBackoff = 8
+// recoveryMayStart reports whether the exit of the level in force is met and no backoff or interval forbids to leave it.
+func (c *Controller) recoveryMayStart(now monotime.Micros, level Level) bool {
+	_, exitMet := c.conditionMet(level.Exit, c.exitSince[c.level-1])
+	return exitMet && now >= c.noExitBefore && c.changeAllowed(now, c.level-1)
+}
+
+// leaveLevel puts the next milder level in force.
+func (c *Controller) leaveLevel(now monotime.Micros, level Level) Change {
+	return c.changeLevel(now, c.level-1, "recovered: "+c.exitSignals(level), false)
+}
 
-// extendBackoff delays the next recovery, each time for twice as long.
+// extendBackoff delays the next recovery, each time for longer.
 func (c *Controller) extendBackoff(now monotime.Micros) {
-	c.backoff = min(max(2*c.backoff, c.policy.ChangeInterval), maxBackoff*c.policy.ChangeInterval)
+	interval := c.policy.ChangeInterval
+	c.backoff = min(max(backoffFactor*c.backoff, interval), maxBackoffIntervals*interval)
 	c.noExitBefore = now + c.backoff
 }
 
-// worsens reports whether a signal of the level's exit has risen half way back to the entry, or is missing.
+// worsens reports whether a signal of the level's exit has risen to the middle between exit and entry, or is missing.
 func (c *Controller) worsens(level Level) bool {
-	for _, t := range level.Exit.Terms {
-		entry, both := level.Enter.threshold(t.Signal)
-		if recovered := c.smoothed[t.Signal] < (entry+t.Value)/2; both && !recovered { // a missing signal is NaN: not recovered
+	for _, exit := range level.Exit.Terms {
+		entry, both := level.Enter.threshold(exit.Signal)
+		recovered := c.smoothed[exit.Signal] < (entry+exit.Value)/2 // false for a missing signal, a NaN
+		if both && !recovered {
 			return true
 		}
 	}
@@ -57,8 +77,8 @@
 // exitSignals prints the signals of the level's exit.
 func (c *Controller) exitSignals(level Level) string {
 	signals := make([]string, 0, len(level.Exit.Terms))
-	for _, t := range level.Exit.Terms {
-		signals = append(signals, fmt.Sprintf("%s %.3g", t.Signal, c.smoothed[t.Signal]))
+	for _, term := range level.Exit.Terms {
+		signals = append(signals, fmt.Sprintf("%s %.3g", term.Signal, c.smoothed[term.Signal]))
 	}
 	return strings.Join(signals, ", ")
 }
--- a/internal/backend/degradation/replay.go
+++ b/internal/backend/degradation/replay.go
@@ -7,19 +7,24 @@
 // ReplayPoint is the controller's state after one reading.
 type ReplayPoint struct {
 	At       monotime.Micros
-	Level    int
-	Depth    float64
+	Level    int     // in force; 0 is full service
+	Depth    float64 // see Controller.Depth
 	Smoothed Signals
 }
 
-// Replay runs a trace through a controller.
+// Replay runs a trace through a new controller. It returns the state after each reading, and the changes of the level.
 func Replay(policy *Policy, trace []Reading) (points []ReplayPoint, changes []Change) {
 	controller := NewController(policy)
-	for _, r := range trace {
-		if c, changed := controller.Update(r.At, r.Signals); changed {
-			changes = append(changes, c)
+	for _, reading := range trace {
+		if change, changed := controller.Update(reading.At, reading.Signals); changed {
+			changes = append(changes, change)
 		}
-		points = append(points, ReplayPoint{r.At, controller.Level(), controller.Depth(r.At), controller.Smoothed()})
+		points = append(points, ReplayPoint{
+			At:       reading.At,
+			Level:    controller.Level(),
+			Depth:    controller.Depth(reading.At),
+			Smoothed: controller.Smoothed(),
+		})
 	}
 	return points, changes
 }
--- a/internal/backend/degradation/validate.go
+++ b/internal/backend/degradation/validate.go
@@ -9,16 +9,22 @@
 // minHysteresis is the least distance of an exit from the entry by the same signal, as a fraction of the entry.
 const minHysteresis = 0.1
 
-// validate reports levels that cannot work: names used twice, exits without hysteresis, entries out of order.
+// failFunc reports a fault of a level.
+type failFunc func(format string, args ...any)
+
+// validate reports levels that cannot work: duplicate names, exits without hysteresis, entries out of order.
 func (p *Policy) validate(errs *sexpr.Errors) {
-	seen := map[string]bool{"full": true}
+	seen := map[string]bool{}
 	for i := range p.Levels {
 		level := &p.Levels[i]
-		fail := func(problem string, args ...any) {
-			errs.Add(level.place, "ladder.level "+level.Name, problem, args...)
+		fail := func(format string, args ...any) {
+			errs.Add(level.place, "ladder.level "+level.Name, format, args...)
 		}
-		if seen[level.Name] {
-			fail("this name stands twice, or is the name of full service")
+		switch {
+		case level.Name == fullService:
+			fail("name %q is reserved for full service", fullService)
+		case seen[level.Name]:
+			fail("duplicate level name %q", level.Name)
 		}
 		seen[level.Name] = true
 		level.validateExit(fail)
@@ -29,37 +35,45 @@
 	}
 }
 
-// validateExit reports an exit that would have the level oscillate.
-func (l *Level) validateExit(fail func(string, ...any)) {
+// validateExit reports an exit that makes the level oscillate.
+func (l *Level) validateExit(fail failFunc) {
 	shared := false
 	for _, exit := range l.Exit.Terms {
 		entry, both := l.Enter.threshold(exit.Signal)
-		shared = shared || both
+		if !both {
+			continue
+		}
+		shared = true
+		maxExit := (1 - minHysteresis) * entry
 		switch {
-		case both && exit.Value >= entry:
-			fail("exit: %s below %v lies at or above its entry at %v: it would swing", exit.Signal, exit.Value, entry)
-		case both && exit.Value > (1-minHysteresis)*entry:
-			fail("exit: %s below %v is within a tenth of its entry at %v: that is no hysteresis", exit.Signal, exit.Value, entry)
+		case exit.Value >= entry:
+			fail("exit: %s below %v is not below the entry at %v: the level would oscillate", exit.Signal, exit.Value, entry)
+		case exit.Value > maxExit:
+			fail("exit: %s below %v is too close to the entry at %v, wanted at most %.4g",
+				exit.Signal, exit.Value, entry, maxExit)
 		}
 	}
 	if !shared && len(l.Enter.Terms) > 0 && len(l.Exit.Terms) > 0 {
-		fail("exit: speaks of no signal by which the level is entered: it would be left and entered again at once")
+		fail("exit: compares no signal of the entry: the level would be left and entered again at once")
 	}
 }
 
 // validateEntry reports an entry that needs no overload.
-func (l *Level) validateEntry(fail func(string, ...any)) {
-	needsOverload := slices.ContainsFunc(l.Enter.Terms, func(t Term) bool { return t.Signal != WarmingUp && t.Signal != Draining })
+func (l *Level) validateEntry(fail failFunc) {
+	needsOverload := slices.ContainsFunc(l.Enter.Terms, func(term Term) bool {
+		return term.Signal != WarmingUp && term.Signal != Draining
+	})
 	if !l.Enter.Any && !needsOverload {
-		fail("enter: is met by every start or stop")
+		fail("enter: compares no signal other than %s and %s: every start and stop would meet it", WarmingUp, Draining)
 	}
 }
 
-// validateOrder reports an entry that lies below that of the next milder level.
-func (l *Level) validateOrder(milder *Level, fail func(string, ...any)) {
-	for _, t := range l.Enter.Terms {
-		if entry, both := milder.Enter.threshold(t.Signal); both && t.Value < entry {
-			fail("enter: %s at %v lies below that of %s at %v: the milder level could not be reached", t.Signal, t.Value, milder.Name, entry)
+// validateOrder reports an entry below that of the next milder level, which could then not be reached.
+func (l *Level) validateOrder(milder *Level, fail failFunc) {
+	for _, term := range l.Enter.Terms {
+		if entry, both := milder.Enter.threshold(term.Signal); both && term.Value < entry {
+			fail("enter: %s at %v is below the entry of the milder level %s, wanted at least %v",
+				term.Signal, term.Value, milder.Name, entry)
 		}
 	}
 }
