--- a/internal/backend/degradation/controller.go
+++ b/internal/backend/degradation/controller.go
@@ -1,15 +1,14 @@
 package degradation
 
-import (
-	"milletbarrow/monotime"
-)
+import "milletbarrow/monotime"
 
 // Controller decides from signals which level of a policy is in force. It is not safe for concurrent use.
 //
 // Invariants:
 //   - A level changes at most once in ChangeInterval, except in a collapse (TestLoadAtABoundaryDoesNotOscillate,
 //     TestControllerInvariants).
-//   - A level is in force for its MinDuration before a recovery leaves it (TestControllerInvariants, TestMinDuration).
+//   - A level is in force for its MinDuration before a recovery leaves it (TestControllerInvariants,
+//     TestLevelIsInForceForMinDuration).
 //   - A recovery leaves one level at a time (TestControllerInvariants).
 //   - The depth of the level in force lies between 0 and 1 (TestControllerInvariants).
 //   - An update whose time is not after the last one changes nothing (TestEarlierReadingsAreIgnored).
--- a/internal/backend/degradation/explain.go
+++ b/internal/backend/degradation/explain.go
@@ -10,8 +10,9 @@
 // Explain describes in words what the policy does.
 func (p *Policy) Explain() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "ladder %s: %d levels; a level changes at most once in %v, except in a collapse; recovery ramp %v\n",
-		p.Name, len(p.Levels), p.ChangeInterval.Duration(), p.RecoveryRamp.Duration())
+	fmt.Fprintf(&b, "ladder %s: %d levels; ", p.Name, len(p.Levels))
+	fmt.Fprintf(&b, "a level changes at most once in %v, except in a collapse; ", p.ChangeInterval.Duration())
+	fmt.Fprintf(&b, "recovery ramp %v\n", p.RecoveryRamp.Duration())
 	for i, level := range p.Levels {
 		fmt.Fprintf(&b, "%d. %s\n", i+1, level.Name)
 		fmt.Fprintf(&b, "   entered when %s\n", level.Enter.describe("at or above"))
--- a/internal/backend/degradation/meter.go
+++ b/internal/backend/degradation/meter.go
@@ -26,8 +26,8 @@
 	minDenominator = 4.0
 )
 
-// SignalMeter measures the signals from counted events and the executor's gauges. Counts decay exponentially; a fraction
-// of too small a count is missing. It is not safe for concurrent use.
+// SignalMeter measures the signals from counted events and the executor's gauges. Counts decay exponentially; a
+// fraction of too small a count is missing. It is not safe for concurrent use.
 type SignalMeter struct {
 	counts       [counterCount]float64
 	decayedAt    monotime.Micros // time that the counts are of
--- a/internal/backend/degradation/override.go
+++ b/internal/backend/degradation/override.go
@@ -1,8 +1,6 @@
 package degradation
 
-import (
-	"milletbarrow/monotime"
-)
+import "milletbarrow/monotime"
 
 // levelOverride is a level that an operator has set.
 type levelOverride struct {
--- a/internal/backend/degradation/parse.go
+++ b/internal/backend/degradation/parse.go
@@ -130,7 +130,8 @@
 	term := Term{Signal: signal}
 	_, err := fmt.Sscanf(strings.Join(args[:min(1, len(args))], ""), "%g", &term.Value)
 	if err != nil || !(term.Value >= 0 && term.Value <= maxTermValue) {
-		f.Fail("", "found %q, wanted VALUE or VALUE DURATION with a value from 0 to %d", strings.Join(args, " "), maxTermValue)
+		f.Fail("", "found %q, wanted VALUE or VALUE DURATION with a value from 0 to %d",
+			strings.Join(args, " "), maxTermValue)
 	}
 	if len(args) == maxTermArgs {
 		span, err := time.ParseDuration(args[1])
--- a/internal/backend/degradation/policy.go
+++ b/internal/backend/degradation/policy.go
@@ -25,9 +25,9 @@
 	Name           string
 	Levels         []Level                      // by number, from 1
 	Smoothing      [signalCount]monotime.Micros `json:"Smooth"` // by signal: time constant of its smoothing; 0: none
-	ChangeInterval monotime.Micros              `json:"Every"`  // shortest time between two changes of a level, except in a collapse
-	RecoveryRamp   monotime.Micros              `json:"Ramp"`   // duration of leaving a level, which sheds less and less; 0: at once
-	MaxOverride    monotime.Micros              `json:"Pins"`   // longest override of the level by an operator
+	ChangeInterval monotime.Micros              `json:"Every"`  // shortest time between changes of a level
+	RecoveryRamp   monotime.Micros              `json:"Ramp"`   // duration of leaving a level; 0: at once
+	MaxOverride    monotime.Micros              `json:"Pins"`   // longest override by an operator
 }
 
 // Level is one level of reduced service. What milder levels shed is shed too.
--- a/internal/backend/degradation/recovery.go
+++ b/internal/backend/degradation/recovery.go
@@ -16,7 +16,8 @@
 	relapseIntervals = 2
 )
 
-// updateRecovery leaves the level over RecoveryRamp once its exit is met, and aborts the ramp as soon as a signal worsens.
+// updateRecovery leaves the level over RecoveryRamp once its exit is met, and aborts the ramp as soon as a signal
+// worsens.
 func (c *Controller) updateRecovery(now monotime.Micros) (change Change, changed bool) {
 	if c.level == 0 || c.override.active() && c.level <= c.override.level {
 		c.leavingSince = 0
@@ -44,7 +45,8 @@
 	return change, false
 }
 
-// recoveryMayStart reports whether the exit of the level in force is met and no backoff or interval forbids to leave it.
+// recoveryMayStart reports whether the exit of the level in force is met and no backoff or interval forbids to leave
+// it.
 func (c *Controller) recoveryMayStart(now monotime.Micros, level Level) bool {
 	_, exitMet := c.conditionMet(level.Exit, c.exitSince[c.level-1])
 	return exitMet && now >= c.noExitBefore && c.changeAllowed(now, c.level-1)
@@ -64,9 +66,11 @@
 
 // worsens reports whether a signal of the level's exit has risen to the middle between exit and entry, or is missing.
 func (c *Controller) worsens(level Level) bool {
+	const thresholds = 2 // entry and exit
 	for _, exit := range level.Exit.Terms {
 		entry, both := level.Enter.threshold(exit.Signal)
-		recovered := c.smoothed[exit.Signal] < (entry+exit.Value)/2 // false for a missing signal, a NaN
+		middle := (entry + exit.Value) / thresholds
+		recovered := c.smoothed[exit.Signal] < middle // false for a missing signal, a NaN
 		if both && !recovered {
 			return true
 		}
--- a/internal/backend/degradation/replay.go
+++ b/internal/backend/degradation/replay.go
@@ -1,8 +1,6 @@
 package degradation
 
-import (
-	"milletbarrow/monotime"
-)
+import "milletbarrow/monotime"
 
 // ReplayPoint is the controller's state after one reading.
 type ReplayPoint struct {
--- a/internal/backend/degradation/shedder.go
+++ b/internal/backend/degradation/shedder.go
@@ -12,7 +12,8 @@
 const shedderStream = 3
 
 // Shedder decides which requests a level sheds. The number of requests shed follows the fraction closely at any time,
-// while chance decides which: no caller is shed each time, and none is always spared. It is not safe for concurrent use.
+// while chance decides which: no caller is shed each time, and none is always spared. It is not safe for concurrent
+// use.
 type Shedder struct {
 	rules [][]compiledRule // by level
 	debt  []float64        // by operation: requests fewer than its fraction that were shed, above -1 and below 1
@@ -28,8 +29,8 @@
 	share      float64         // fraction to shed, above 0, at most 1
 }
 
-// NewShedder returns a shedder for the operations and tenants of a deployment. A name in the policy that is none of them
-// is an *UnknownNameError, as its rule could never match.
+// NewShedder returns a shedder for the operations and tenants of a deployment. A name in the policy that is none of
+// them is an *UnknownNameError, as its rule could never match.
 func NewShedder(policy *Policy, operations, tenants []string, seed uint64) (*Shedder, error) {
 	shedder := &Shedder{
 		debt: make([]float64, len(operations)),
@@ -94,9 +95,10 @@
 }
 
 // ShedFraction returns the fraction of requests of one kind that a level sheds; depth is that of the level, see
-// Controller.Depth. Operations and tenants are indices of the names given to NewShedder; a tenant beyond them matches no
-// rule that names tenants.
+// Controller.Depth. Operations and tenants are indices of the names given to NewShedder; a tenant beyond them matches
+// no rule that names tenants.
 func (s *Shedder) ShedFraction(level int, depth float64, operation, tenant int, rank float64, cost monotime.Micros,
+
 ) float64 {
 	fraction := 0.0
 	for n := range min(level, len(s.rules)) {
@@ -134,6 +136,9 @@
 
 // uniform draws a number from 0 to 1, without 1.
 func (s *Shedder) uniform() float64 {
-	const mantissaBits = 53 // of a float64
-	return float64(s.pcg.Uint64()>>(64-mantissaBits)) / (1 << mantissaBits)
+	const (
+		mantissaBits = 53 // of a float64
+		surplusBits  = 64 - mantissaBits
+	)
+	return float64(s.pcg.Uint64()>>surplusBits) / (1 << mantissaBits)
 }
--- a/internal/backend/degradation/validate.go
+++ b/internal/backend/degradation/validate.go
@@ -47,7 +47,8 @@
 		maxExit := (1 - minHysteresis) * entry
 		switch {
 		case exit.Value >= entry:
-			fail("exit: %s below %v is not below the entry at %v: the level would oscillate", exit.Signal, exit.Value, entry)
+			fail("exit: %s below %v is not below the entry at %v: the level would oscillate",
+				exit.Signal, exit.Value, entry)
 		case exit.Value > maxExit:
 			fail("exit: %s below %v is too close to the entry at %v, wanted at most %.4g",
 				exit.Signal, exit.Value, entry, maxExit)
