--- a/internal/backend/degradation/compat_test.go
+++ b/internal/backend/degradation/compat_test.go
@@ -11,13 +11,13 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Policy](t, "Ladder.json")
 }
 
-// TestEarlierTrace: a trace recorded by an earlier release is read, written back the same to the byte, and replays
-// through that release's policy to the same levels at the same times.
+// TestEarlierTrace checks that a trace recorded by an earlier release is read, written back the same to the byte, and
+// replays through that release's policy to the same levels at the same times.
 func TestEarlierTrace(t *testing.T) {
 	policy, err := ParsePolicy("ladder.sx", compattest.Read(t, "ladder.sx"))
 	if err != nil {
@@ -36,7 +36,7 @@
 		}
 	}
 	if !bytes.Equal(written.Bytes(), recorded) {
-		t.Error("the trace is written otherwise than it was")
+		t.Error("the trace is not written as it was read")
 	}
 	var replayed strings.Builder
 	points, changes := Replay(policy, trace)
--- /dev/null
+++ b/internal/backend/degradation/controller_test.go
@@ -0,0 +1,165 @@
+package degradation
+
+import (
+	"strings"
+	"testing"
+
+	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
+)
+
+// TestControllerDecisions compares what a controller does under each kind of load with what it did before.
+func TestControllerDecisions(t *testing.T) {
+	trace := fakes.NewTrace(t)
+
+	s := newScenario(t, trace, "a slow rise to each level, and back bit by bit")
+	s.runUntil(10*second, queueSignals(1))
+	s.runUntil(100*second, queueSignals(1.7))
+	s.runUntil(200*second, queueSignals(2.2))
+	s.runUntil(400*second, queueSignals(0.5))
+
+	s = newScenario(t, trace, "a collapse takes several steps at once")
+	s.runUntil(10*second, queueSignals(1))
+	s.runUntil(20*second, queueSignals(8))
+	s.runUntil(300*second, queueSignals(8))
+
+	s = newScenario(t, trace, "a probe that hurts is taken back at once, and the next one waits longer")
+	s.runUntil(10*second, queueSignals(1.7))
+	s.runUntil(70*second, queueSignals(1))
+	s.runUntil(75*second, queueSignals(1.45))
+	s.runUntil(130*second, queueSignals(1))
+	s.runUntil(140*second, queueSignals(1))
+	s.runUntil(144*second, queueSignals(1.45))
+	s.runUntil(250*second, queueSignals(1))
+	s.runUntil(300*second, queueSignals(1))
+
+	s = newScenario(t, trace, "relapse after relapse by collapse: each time it waits longer before it leaves")
+	for start := monotime.Micros(0); start < 1600*second; start += 400 * second {
+		s.runUntil(start+100*second, queueSignals(1.7))
+		s.runUntil(start+220*second, queueSignals(0.5))
+		s.runUntil(start+240*second, queueSignals(6))
+		s.runUntil(start+400*second, queueSignals(0.5))
+	}
+
+	s = newScenario(t, trace, "a signal that is missing neither enters nor leaves")
+	s.runUntil(10*second, queueSignals(1.7))
+	missing := queueSignals(0)
+	missing[Queue] = Missing
+	s.runUntil(200*second, missing)
+	s.runUntil(400*second, queueSignals(0.5))
+
+	s = newScenario(t, trace, "a frozen signal: nothing comes for minutes, then load is high")
+	s.runUntil(10*second, queueSignals(0.5))
+	afterGap := *s.controller
+	if change, changed := afterGap.Update(300*second, queueSignals(9)); changed {
+		trace.Say("  at once: %v", change)
+	}
+	trace.Say("  level %d after one reading", afterGap.Level())
+	if _, changed := afterGap.Update(20*second, queueSignals(9)); changed {
+		trace.Say("  moved by a clock that went back")
+	}
+
+	s = newScenario(t, trace, "held by a person, above, below, and until it ends by itself")
+	s.runUntil(10*second, queueSignals(1))
+	unknownLevel := s.controller.Override(10*second, 9, 20*second, "a person", false)
+	tooLong := s.controller.Override(10*second, 1, 20*60*second, "a person", false)
+	trace.Say("  %v, %v", unknownLevel, tooLong)
+	trace.Say("  %v", s.controller.Override(10*second, 2, 200*second, "a person", true))
+	s.runUntil(100*second, queueSignals(1))
+	s.runUntil(150*second, queueSignals(4))
+	trace.Say("  %v", s.controller.Override(150*second, 0, 160*second, "another", false))
+	s.runUntil(159*second, queueSignals(4))
+	s.runUntil(240*second, queueSignals(4))
+
+	s = newScenario(t, trace, "two signals that pull apart: either enters, both must be well to leave")
+	late := queueSignals(0.5)
+	late[Late] = 0.2
+	s.runUntil(10*second, late)
+	s.runUntil(100*second, late)
+	s.runUntil(200*second, queueSignals(1.4))
+	s.runUntil(300*second, queueSignals(1))
+
+	s = newScenario(t, trace,
+		"a host that comes back in the middle of a step knows nothing, and is there within the entry's span")
+	s.runUntil(10*second, queueSignals(2.5))
+	s.controller = NewController(mustParse(t, billsPolicy))
+	warmingUp := queueSignals(2.5)
+	warmingUp[WarmingUp] = 1
+	s.runUntil(11*second, warmingUp)
+	s.runUntil(14*second, warmingUp)
+
+	s = newScenario(t, trace, "another ladder while a level is in force")
+	s.runUntil(10*second, queueSignals(2.5))
+	renamed := strings.Replace(billsPolicy, "half-lookups", "most-lookups", 1)
+	s.controller = s.controller.WithPolicy(mustParse(t, renamed))
+	s.runUntil(11*second, queueSignals(2.5))
+	s.runUntil(12*second, queueSignals(2.5))
+}
+
+// TestEarlierReadingsAreIgnored checks that a reading that is no later than the last one changes nothing.
+func TestEarlierReadingsAreIgnored(t *testing.T) {
+	c := NewController(mustParse(t, billsPolicy))
+	c.Update(10*second, queueSignals(1))
+	for _, at := range []monotime.Micros{10 * second, 9 * second, 1} {
+		if c.Update(at, queueSignals(9)); c.Smoothed()[Queue] != 1 || c.lastUpdate != 10*second {
+			t.Errorf("at %d: queue %v, last update at %d", at, c.Smoothed()[Queue], c.lastUpdate)
+		}
+	}
+}
+
+// TestGapRestartsSmoothingAndTerms checks that after a gap in the readings smoothing starts anew, as do the times since
+// when terms hold.
+func TestGapRestartsSmoothingAndTerms(t *testing.T) {
+	c := NewController(mustParse(t, billsPolicy))
+	c.Update(second, queueSignals(1.6))
+	if change, changed := c.Update(10*second, queueSignals(9)); changed || c.Smoothed()[Queue] != 9 {
+		t.Errorf("after the gap: queue %v, %v", c.Smoothed()[Queue], change)
+	}
+	if _, changed := c.Update(12*second, queueSignals(9)); !changed {
+		t.Error("the level is not entered although its terms have held since the gap")
+	}
+}
+
+// TestLevelIsInForceForMinDuration checks that a level is in force for its MinDuration though its exit is met and
+// ChangeInterval is shorter.
+func TestLevelIsInForceForMinDuration(t *testing.T) {
+	c := NewController(mustParse(t, `(ladder l (every 1s) (ramp 0s) (smooth (queue 0s))
+		(level a (shed) (enter (queue 2)) (exit (queue 1)) (stay 60s)))`))
+	c.Update(second, queueSignals(2))
+	for now := 2 * second; now < 61*second; now += second {
+		if change, changed := c.Update(now, queueSignals(0)); changed {
+			t.Fatalf("at %d: %v", now, change)
+		}
+	}
+	if _, changed := c.Update(61*second, queueSignals(0)); !changed {
+		t.Error("the level is not left after its MinDuration")
+	}
+}
+
+// TestMissingSignalAbortsRecovery checks that a recovery ramp ends at full depth once a signal of the exit is missing.
+func TestMissingSignalAbortsRecovery(t *testing.T) {
+	c := NewController(mustParse(t, `(ladder l (every 1s) (ramp 20s) (smooth (queue 0s))
+		(level a (shed) (enter (queue 2)) (exit (queue 1)) (stay 1s)))`))
+	c.Update(second, queueSignals(2))
+	now := 2 * second
+	for ; now <= 12*second; now += second {
+		c.Update(now, queueSignals(0))
+	}
+	if depth := c.Depth(now); depth <= 0 || depth >= 1 {
+		t.Fatalf("depth %v on the ramp", depth)
+	}
+	for ; now < 60*second; now += second {
+		if change, changed := c.Update(now, queueSignals(Missing)); changed || c.Depth(now) != 1 {
+			t.Fatalf("at %d: depth %v, %v", now, c.Depth(now), change)
+		}
+	}
+}
+
+func BenchmarkUpdate(b *testing.B) {
+	const interval = 20 * monotime.Millisecond
+	controller := NewController(mustParse(b, billsPolicy))
+	b.ReportAllocs()
+	for now := monotime.Micros(1); b.Loop(); now += interval {
+		controller.Update(now, queueSignals(1.3))
+	}
+}
