--- a/internal/backend/registration/reportpacing/pacer_test.go
+++ b/internal/backend/registration/reportpacing/pacer_test.go
@@ -3,28 +3,25 @@
 import (
 	"testing"
 
-	"milletbarrow/monotime"
-
 	"pgregory.net/rapid"
-)
 
-func testConfig() Config {
-	return Config{
-		Interval: 700_000, TTL: 3_000_000, RetryMin: 20_000, RetryRefused: 1_400_000, RetryInitial: 2_800_000, RetryMax: 4_200_000, RetryAfterMax: 30_000_000, InFlight: 3,
-	}
-}
+	"milletbarrow/monotime"
+)
 
-// TestEntryIsRenewedInTime: no single failure loses the entry; reports are due once none is in flight; and the registry's
-// Retry-After is honoured.
+// TestEntryIsRenewedInTime checks that no single failure loses the entry, that a report is due once none is in flight,
+// and that the registry's Retry-After is honoured.
 func TestEntryIsRenewedInTime(t *testing.T) {
+	config := testConfig()
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(testConfig(), rapid.Uint64().Draw(t, "seed"))
+		p := New(config, rapid.Uint64().Draw(t, "seed"))
 		now := monotime.Micros(rapid.Int64Range(0, 1<<40).Draw(t, "now"))
 		p.Start(now)
-		if at, _ := p.Due(); at < now || at > now+testConfig().Interval {
-			t.Fatalf("the first is due after %d us", at-now)
+		if at, _ := p.Due(); at < now || at > now+config.Interval {
+			t.Fatalf("the first report is due after %d us", at-now)
 		}
-		failedBefore, lastCounted, notBefore := false, monotime.Micros(0), monotime.Micros(0)
+		failedBefore := false
+		lastCounted := monotime.Micros(0) // 0: none yet
+		notBefore := monotime.Micros(0)   // end of the Retry-After; 0: none
 		for range 60 {
 			at, mayReport := p.Due()
 			if !mayReport {
@@ -34,8 +31,8 @@
 				t.Fatalf("due %d us before the registry's Retry-After is over", notBefore-at)
 			}
 			now = max(now, at)
-			if lastCounted > 0 && notBefore == 0 && now > lastCounted+testConfig().TTL {
-				t.Fatalf("the entry expired %d us before the report", now-lastCounted-testConfig().TTL)
+			if lastCounted > 0 && notBefore == 0 && now > lastCounted+config.TTL {
+				t.Fatalf("the entry expired %d us before the report", now-lastCounted-config.TTL)
 			}
 			p.Started(now)
 			startedAt := now
@@ -44,59 +41,66 @@
 			if !failedBefore && rapid.Bool().Draw(t, "fails") {
 				retryAfter := monotime.Micros(rapid.SampledFrom([]int{0, 0, 5_000_000}).Draw(t, "retry after"))
 				p.Failed(now, Failure(rapid.IntRange(0, 1).Draw(t, "failure")), retryAfter)
-				if failedBefore = true; retryAfter > 0 {
+				failedBefore = true
+				if retryAfter > 0 {
 					notBefore = now + retryAfter
 				}
 				continue
 			}
-			failedBefore, lastCounted = false, startedAt
+			failedBefore = false
+			lastCounted = startedAt
 			p.Succeeded(now, startedAt)
 		}
 	})
 }
 
-// TestTwoUnansweredReportsKeepTheEntry: the entry is renewed in time though two reports in a row are never answered.
+// TestTwoUnansweredReportsKeepTheEntry checks that the entry is renewed in time though two reports in a row are never
+// answered.
 func TestTwoUnansweredReportsKeepTheEntry(t *testing.T) {
+	config := testConfig()
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(testConfig(), rapid.Uint64().Draw(t, "seed"))
+		p := New(config, rapid.Uint64().Draw(t, "seed"))
 		p.Start(0)
 		now, _ := p.Due()
 		p.Started(now)
-		p.Succeeded(now+1000, now)
-		expires := now + 1000 + testConfig().TTL
+		p.Succeeded(now+millisecond, now)
+		expiresAt := now + millisecond + config.TTL
 		for unanswered := range 3 {
 			at, mayReport := p.Due()
-			if now = at; !mayReport || now+1000 > expires {
-				t.Fatalf("due %d us before the entry expires, may report %t, with %d in flight", expires-now, mayReport, unanswered)
+			if now = at; !mayReport || now+millisecond > expiresAt {
+				t.Fatalf("due %d us before the entry expires, may report %t, with %d in flight",
+					expiresAt-now, mayReport, unanswered)
 			}
 			p.Started(now)
 		}
 	})
 }
 
-// TestRejectingRegistryIsNotFlooded: while the registry rejects all reports, the backends together make at most half as many
-// calls as usual in each second from the third on; and none of them pauses for longer than RetryMax.
+// TestRejectingRegistryIsNotFlooded checks that while the registry rejects all reports, the backends together make at
+// most half as many calls as usual in each second from the third on, and no delay is longer than RetryMax.
 func TestRejectingRegistryIsNotFlooded(t *testing.T) {
 	const backends, seconds = 300, 30
-	var calls [seconds]int
+	config := testConfig()
+	var calls [seconds]int // by second
 	for n := range backends {
-		p := New(testConfig(), uint64(n))
+		p := New(config, uint64(n))
 		p.Start(0)
-		for lastReport := monotime.Micros(0); ; {
+		lastReport := monotime.Micros(0)
+		for {
 			at, _ := p.Due()
-			if at >= seconds*1_000_000 {
+			if at >= seconds*second {
 				break
 			}
-			if at-lastReport > testConfig().RetryMax {
-				t.Fatalf("backend %d pauses for %d us", n, at-lastReport)
+			if at-lastReport > config.RetryMax {
+				t.Fatalf("backend %d waits for %d us", n, at-lastReport)
 			}
 			lastReport = at
-			calls[at/1_000_000]++
+			calls[at/second]++
 			p.Started(at)
-			p.Failed(at+1000, Rejected, 0)
+			p.Failed(at+millisecond, Rejected, 0)
 		}
 	}
-	usual := backends * 1_000_000 / int(testConfig().Interval)
+	usual := backends * int(second) / int(config.Interval)
 	for s, n := range calls[2:] {
 		if n > usual/2 {
 			t.Errorf("second %d: %d calls, %d are usual", s+2, n, usual)
@@ -104,22 +108,90 @@
 	}
 }
 
-// TestSilentRegistryBoundsCallsInFlight: of a registry that never responds, one backend has at most InFlight calls open.
+// TestSilentRegistryBoundsCallsInFlight checks that one backend has at most InFlight calls open to a registry that
+// never responds.
 func TestSilentRegistryBoundsCallsInFlight(t *testing.T) {
-	p := New(testConfig(), 7)
+	const timeout = 2800 * millisecond
+	config := testConfig()
+	p := New(config, 7)
 	p.Start(0)
-	open := []monotime.Micros{}
-	for now := monotime.Micros(0); now < 30_000_000; now += 1000 {
-		for len(open) > 0 && now-open[0] >= 2_800_000 {
-			open = open[1:]
+	var startedAt []monotime.Micros // of the calls in flight, the oldest first
+	for now := monotime.Micros(0); now < 30*second; now += millisecond {
+		for len(startedAt) > 0 && now-startedAt[0] >= timeout {
+			startedAt = startedAt[1:]
 			p.Failed(now, TimedOut, 0)
 		}
 		if at, mayReport := p.Due(); mayReport && at <= now {
-			open = append(open, now)
+			startedAt = append(startedAt, now)
 			p.Started(now)
 		}
-		if len(open) > testConfig().InFlight {
-			t.Fatalf("%d in flight", len(open))
+		if len(startedAt) > config.InFlight {
+			t.Fatalf("%d calls in flight", len(startedAt))
 		}
 	}
 }
+
+// TestReportsInFlightAreBounded checks that with InFlight reports in flight none may be sent until one has ended,
+// however it ends.
+func TestReportsInFlightAreBounded(t *testing.T) {
+	config := testConfig()
+	for _, test := range []struct {
+		name string
+		end  func(p *Pacer)
+	}{
+		{"succeeded", func(p *Pacer) { p.Succeeded(1, 0) }},
+		{"failed", func(p *Pacer) { p.Failed(1, TimedOut, 0) }},
+		{"abandoned", func(p *Pacer) { p.Abandoned() }},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := New(config, 1)
+			p.Start(0)
+			for n := range config.InFlight {
+				if _, mayReport := p.Due(); !mayReport {
+					t.Errorf("no report may be sent with %d in flight", n)
+				}
+				p.Started(0)
+			}
+			if _, mayReport := p.Due(); mayReport {
+				t.Errorf("a report may be sent with %d in flight", config.InFlight)
+			}
+			test.end(p)
+			if _, mayReport := p.Due(); !mayReport {
+				t.Error("no report may be sent once one has ended")
+			}
+		})
+	}
+}
+
+// TestOlderReportDoesNotAgeTheEntry checks that the entry lasts from the newest report that counts, though reports end
+// in another order than they were sent.
+func TestOlderReportDoesNotAgeTheEntry(t *testing.T) {
+	p := New(testConfig(), 1)
+	p.Start(0)
+	p.Started(0)
+	p.Started(second)
+	p.Succeeded(1100*millisecond, second)
+	p.Succeeded(1200*millisecond, 0)
+	if p.lastCounted != second {
+		t.Errorf("the newest report that counts is that of %d us", p.lastCounted)
+	}
+}
+
+// TestFixedPacing checks that fixed pacing repeats a failed report after RetryMin, and after a timeout, which takes
+// longer than that, sends the next report at the interval.
+func TestFixedPacing(t *testing.T) {
+	config := testConfig()
+	config.Fixed = true
+	p := New(config, 1)
+	p.Start(0)
+	p.Started(0)
+	p.Failed(100*millisecond, Rejected, 0)
+	if at, _ := p.Due(); at != 100*millisecond+config.RetryMin {
+		t.Errorf("after a failure, the next report is due at %d us", at)
+	}
+	p.Started(200 * millisecond)
+	p.Failed(300*millisecond, TimedOut, 0)
+	if at, _ := p.Due(); at != 200*millisecond+config.Interval {
+		t.Errorf("after a timeout, the next report is due at %d us", at)
+	}
+}
