--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -1,21 +1,15 @@
-// Package registration sends a backend's load reports to the endpoint registry, so that the backend is in the endpoint list of
-// the edge nodes, and deregisters it at shutdown. Package reportpacing decides when a report is due.
+// Package registration sends a backend's load reports to the endpoint registry, so that the backend is in the endpoint
+// list of the edge nodes, and deregisters it at shutdown. Package reportpacing decides when a report is due.
 package registration
 
 import (
-	"bytes"
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"net/url"
-	"strconv"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -25,49 +19,52 @@
 	"milletbarrow/monotime"
 )
 
-// Reporter sends load reports when its pacer has them due. A report does not wait for the one before: a registry that is slower
-// to answer than the report interval must not lose the entry. Run is called once; Deregister and SetAddress may be called from
-// any goroutine.
+// fixedInFlightFactor is the ratio of reports in flight with fixed pacing to those with jitter and backoff.
+const fixedInFlightFactor = 2
+
+// Reporter sends load reports when its pacer has them due. A report does not wait for the one before: a registry that
+// responds more slowly than the report interval must not lose the entry. Run is called once; Deregister and SetAddress
+// may be called from any goroutine.
 type Reporter struct {
-	path           string
+	path           string // of the registry's entry
 	bounds         limits.Bounds
 	client         *http.Client
 	pacer          *reportpacing.Pacer // used by Run alone
-	startedAt      time.Time
-	deregister     chan struct{}
+	startedAt      time.Time           // origin of the pacer's clock
+	deregister     chan struct{}       // closed by Deregister
 	deregisterOnce sync.Once
-	addressChanged chan struct{}
-	results        chan result // has capacity for all reports in flight
+	addressChanged chan struct{} // wakes Run
+	results        chan result   // has capacity for all reports in flight
 
-	mu      sync.Mutex
-	address string
-	failing bool // the last report that ended has failed
+	mu      sync.Mutex // guards address and failing
+	address string     // host and port of the registry
+	failing bool       // the last report that ended has failed
 }
 
-// result is a report that has ended.
+// result is the result of a report that has ended.
 type result struct {
 	startedAt  monotime.Micros
-	err        error
-	retryAfter time.Duration
+	err        error         // nil: the registry has counted the report
+	retryAfter time.Duration // the registry's Retry-After; 0: none
 }
 
-// New makes a reporter for the backend of that name; address is the registry's host and port. fixed turns jitter and growing
-// pauses off: for comparison.
+// New returns a reporter for the backend of that name; address is the registry's host and port. fixed turns jitter and
+// backoff off: for comparison.
 func New(address, name string, bounds limits.Bounds, fixed bool) *Reporter {
 	pacing := pacingConfig(bounds, fixed)
+	// The seed differs between processes: backends that start at the same time may have the same seed in their
+	// settings.
+	seed := rand.Uint64() ^ xxhash.Sum64String(name)
 	return &Reporter{
-		path: "/roster/" + url.PathEscape(name), address: address, bounds: bounds, deregister: make(chan struct{}),
-		// The seed is the process's own: backends that start at the same time may have the same seed in their configurations.
-		pacer: reportpacing.New(pacing, rand.Uint64()^xxhash.Sum64String(name)), startedAt: time.Now(),
-		results: make(chan result, pacing.InFlight), addressChanged: make(chan struct{}, 1),
-		client: &http.Client{
-			Timeout:       bounds.ReportTimeout,
-			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-			Transport: &http.Transport{
-				MaxConnsPerHost: pacing.InFlight + 2, MaxIdleConnsPerHost: 1, DisableCompression: true,
-				IdleConnTimeout: 4 * bounds.ReportInterval, MaxResponseHeaderBytes: int64(bounds.LineSize),
-			},
-		},
+		path:           "/roster/" + url.PathEscape(name),
+		bounds:         bounds,
+		client:         newClient(bounds, pacing.InFlight),
+		pacer:          reportpacing.New(pacing, seed),
+		startedAt:      time.Now(),
+		deregister:     make(chan struct{}),
+		addressChanged: make(chan struct{}, 1),
+		results:        make(chan result, pacing.InFlight),
+		address:        address,
 	}
 }
 
@@ -85,7 +82,8 @@
 		Fixed:         fixed,
 	}
 	if fixed {
-		config.RetryMin, config.InFlight = monotime.FromDuration(bounds.DeregisterRetry), 2*bounds.ReportsInFlight
+		config.RetryMin = monotime.FromDuration(bounds.DeregisterRetry)
+		config.InFlight = fixedInFlightFactor * bounds.ReportsInFlight
 	}
 	return config
 }
@@ -93,7 +91,7 @@
 // now returns the pacer's time: that since the reporter was made.
 func (r *Reporter) now() monotime.Micros { return monotime.FromDuration(time.Since(r.startedAt)) }
 
-// Deregister makes Run report off at once, until the registry has accepted it, and nothing else after it. Further calls do
+// Deregister makes Run deregister the backend at once and return when the registry has accepted that. Further calls do
 // nothing.
 func (r *Reporter) Deregister() { r.deregisterOnce.Do(func() { close(r.deregister) }) }
 
@@ -109,23 +107,25 @@
 	r.client.CloseIdleConnections()
 	select {
 	case r.addressChanged <- struct{}{}:
-	default:
+	default: // Run is to be woken already
 	}
 }
 
-// Run reports until the registry has accepted a deregistration, or the context ends, and then waits for the reports in flight.
+// Run sends reports until the registry has accepted a deregistration, or the context ends, and then waits for the
+// reports in flight.
 func (r *Reporter) Run(ctx context.Context) {
 	defer r.client.CloseIdleConnections()
 	var reports sync.WaitGroup
 	defer reports.Wait()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	addressSince, inFlight := r.now(), 0
+	inFlight := 0
+	addressSince := r.now()
 	r.pacer.Start(addressSince)
 	for {
 		var due <-chan time.Time
 		if at, mayReport := r.pacer.Due(); mayReport {
-			timer.Reset(time.Duration(max(0, at-r.now())) * time.Microsecond)
+			timer.Reset(max(0, at-r.now()).Duration())
 			due = timer.C
 		}
 		select {
@@ -134,8 +134,8 @@
 			r.pacer.Started(now)
 			inFlight++
 			reports.Go(func() {
-				retryAfter, err := r.report(ctx, "on")
-				r.results <- result{now, err, retryAfter}
+				retryAfter, err := r.report(ctx, dutyOn)
+				r.results <- result{startedAt: now, err: err, retryAfter: retryAfter}
 			})
 		case ended := <-r.results:
 			inFlight--
@@ -152,7 +152,8 @@
 	}
 }
 
-// pace passes the result of a report on to the pacer. Results of reports to a former address say nothing about this one.
+// pace passes the result of a report on to the pacer. Results of reports to a former address say nothing about the
+// present one.
 func (r *Reporter) pace(ended result, addressSince monotime.Micros) {
 	switch now := r.now(); {
 	case ended.startedAt < addressSince:
@@ -164,65 +165,9 @@
 	}
 }
 
-// failureOf returns how a report with this error failed.
-func failureOf(err error) reportpacing.Failure {
-	var netError net.Error
-	switch {
-	case errors.As(err, &netError) && netError.Timeout():
-		return reportpacing.TimedOut
-	case errors.Is(err, syscall.ECONNREFUSED):
-		return reportpacing.Refused
-	}
-	return reportpacing.Rejected
-}
-
-// wasNotCounted reports whether a report with this error can't be counted any more: the registry has said so, or was not reached.
-func wasNotCounted(err error) bool {
-	var status *StatusError
-	return errors.As(err, &status) || errors.Is(err, syscall.ECONNREFUSED)
-}
-
-// deregisterUntilAccepted reports off, with a growing pause, until the registry has accepted it at its latest address. A report
-// in flight may arrive after it and would register the backend again: off is repeated once that report has ended. Where it
-// ended without a response it may still be counted at any time, so off is repeated for as long as the process runs.
-func (r *Reporter) deregisterUntilAccepted(ctx context.Context, reports *sync.WaitGroup, inFlight int) {
-	accepted := make(chan error, 1)
-	send := func() {
-		reports.Go(func() {
-			_, err := r.report(ctx, "off")
-			accepted <- err
-		})
-	}
-	pause := r.bounds.DeregisterRetry
-	retry := time.NewTimer(pause)
-	defer retry.Stop()
-	sending, needed, mayBeCounted := true, false, false
-	for send(); sending || needed || mayBeCounted || inFlight > 0; {
-		select {
-		case err := <-accepted:
-			sending, needed = false, needed || err != nil
-		case ended := <-r.results:
-			inFlight--
-			needed = true
-			mayBeCounted = mayBeCounted || ended.err != nil && !wasNotCounted(ended.err)
-		case <-r.addressChanged:
-			needed, pause = true, r.bounds.DeregisterRetry
-			retry.Reset(0)
-		case <-retry.C:
-			if (needed || mayBeCounted) && !sending {
-				sending, needed = true, false
-				send()
-				pause = min(2*pause, r.bounds.ReportInterval)
-			}
-			retry.Reset(pause/2 + rand.N(pause))
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-// report makes one report, and logs when reports begin to fail or to succeed. retryAfter is the registry's Retry-After, 0 if none.
-func (r *Reporter) report(ctx context.Context, duty string) (retryAfter time.Duration, err error) {
+// report makes one report, and logs when reports begin to fail or to succeed. retryAfter is the registry's Retry-After,
+// 0 if it gave none.
+func (r *Reporter) report(ctx context.Context, duty duty) (retryAfter time.Duration, err error) {
 	retryAfter, err = r.put(ctx, duty)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -232,37 +177,3 @@
 	}
 	return retryAfter, err
 }
-
-// put makes the registry call of one report. The error is a *StatusError, or that of the call.
-func (r *Reporter) put(ctx context.Context, duty string) (retryAfter time.Duration, err error) {
-	body := bytes.NewReader([]byte(`{"duty":"` + duty + `"}`))
-	r.mu.Lock()
-	target := "http://" + r.address + r.path
-	r.mu.Unlock()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, target, body)
-	if err != nil {
-		return 0, err
-	}
-	response, err := r.client.Do(request)
-	if err != nil {
-		return 0, err
-	}
-	defer func() { _ = response.Body.Close() }()
-	_, _ = io.CopyN(io.Discard, response.Body, int64(r.bounds.LineSize)) // so that the connection can be reused
-	if response.StatusCode != http.StatusNoContent {
-		return parseRetryAfter(response.Header.Get("Retry-After"), time.Now()), &StatusError{Code: response.StatusCode}
-	}
-	return 0, nil
-}
-
-// parseRetryAfter returns the delay that a Retry-After header asks for, in seconds or as a date (RFC 9110, 10.2.3); 0 if it
-// can't be read.
-func parseRetryAfter(header string, now time.Time) time.Duration {
-	if seconds, err := strconv.ParseUint(header, 10, 31); err == nil {
-		return time.Duration(seconds) * time.Second
-	}
-	if at, err := http.ParseTime(header); err == nil {
-		return max(0, at.Sub(now))
-	}
-	return 0
-}
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -1,11 +1,11 @@
 package registration
 
 import (
+	"bytes"
 	"context"
 	"io"
-	"net"
+	"log/slog"
 	"net/http"
-	"slices"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -13,76 +13,86 @@
 
 	"milletbarrow/internal/backend/registration/reportpacing"
 	"milletbarrow/internal/fakes"
-	"milletbarrow/internal/limits"
+	"milletbarrow/internal/logging"
+	"milletbarrow/monotime"
 )
 
-// nothingWithin reports whether nothing is received for 100 ms.
-func nothingWithin(c <-chan string) bool {
-	select {
-	case <-c:
-		return false
-	case <-time.After(100 * time.Millisecond):
-		return true
-	}
-}
-
-// TestReports: reports go on however one ends, and the last one reports off.
-func TestReports(t *testing.T) {
-	tr := fakes.NewTrace(t)
-	for _, c := range []struct {
-		name    string
-		handler http.HandlerFunc
+// TestReportsContinueHoweverOneEnds checks that reports go on whatever the registry responds, that the last report is a
+// deregistration, and that it is repeated where the registry has not accepted it.
+func TestReportsContinueHoweverOneEnds(t *testing.T) {
+	for _, test := range []struct {
+		name          string
+		handler       http.HandlerFunc
+		accepts       bool // deregistrations
+		neverResponds bool
 	}{
-		{"as it should", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }},
-		{"closing after each call", func(w http.ResponseWriter, _ *http.Request) {
+		{name: "counts reports", handler: accept, accepts: true},
+		{name: "closes connections", handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Connection", "close")
 			w.WriteHeader(http.StatusNoContent)
+		}, accepts: true},
+		{name: "another status", handler: func(w http.ResponseWriter, _ *http.Request) {
+			http.Error(w, "no", http.StatusServiceUnavailable)
+		}},
+		{name: "redirect", handler: func(w http.ResponseWriter, r *http.Request) {
+			http.Redirect(w, r, "/elsewhere", http.StatusFound)
 		}},
-		{"another status", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusServiceUnavailable) }},
-		{"a redirect", func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/elsewhere", http.StatusFound) }},
-		{"cut off", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
-		{"too slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
+		{name: "breaks connections", handler: func(http.ResponseWriter, *http.Request) {
+			panic(http.ErrAbortHandler)
+		}},
+		{name: "never responds", handler: func(_ http.ResponseWriter, r *http.Request) {
+			<-r.Context().Done()
+		}, neverResponds: true},
 	} {
-		b := limits.For(1, 192, 1024)
-		b.ReportInterval, b.ReportTimeout, b.ReportRetryInitial, b.ReportRetryMax = 10*time.Millisecond, 200*time.Millisecond, 20*time.Millisecond, 20*time.Millisecond
-		address, reports := fakes.NewRegistry(t, c.handler)
-		r := New(address, "n3", b, false)
-		done := make(chan struct{})
-		ctx, cancel := context.WithCancel(context.Background())
-		go func() { r.Run(ctx); close(done) }()
-		n := 3
-		if c.name == "too slow" {
-			n = b.ReportsInFlight
-		}
-		for range n {
-			tr.Say("%s: %s", c.name, fakes.Take(t, "a report", reports))
-		}
-		if c.name == "too slow" { // none has ended
-			tr.Say("  on their way: as many as may be, and no further within 100 ms %t", nothingWithin(reports))
-		}
-		r.Deregister()
-		r.Deregister()
-		off, last := 0, ""
-		if c.name != "as it should" && c.name != "closing after each call" { // off is repeated
-			for off < 3 {
-				if last = fakes.Take(t, "a report", reports); strings.Contains(last, "off") {
-					off++
+		t.Run(test.name, func(t *testing.T) {
+			bounds := testBounds()
+			bounds.ReportInterval = 10 * time.Millisecond
+			bounds.ReportTimeout = 200 * time.Millisecond
+			bounds.ReportRetryInitial = 20 * time.Millisecond
+			bounds.ReportRetryMax = 20 * time.Millisecond
+			address, reports := fakes.NewRegistry(t, test.handler)
+			r := newReporter(address, bounds)
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			done := run(ctx, r)
+			wantReports := 3
+			if test.neverResponds {
+				wantReports = bounds.ReportsInFlight
+			}
+			for range wantReports {
+				if report := fakes.Take(t, "a report", reports); report != reportOn {
+					t.Errorf("received %s, want %s", report, reportOn)
 				}
 			}
-			cancel()
-		}
-		fakes.Take(t, "the end", done)
-		cancel()
-		for len(reports) > 0 {
-			last = <-reports
-		}
-		tr.Say("%s: the last: %s, said again and again until the end %t", c.name, last, off > 0)
+			if test.neverResponds && !nothingWithin(reports) {
+				t.Errorf("more than %d reports are in flight", wantReports)
+			}
+			r.Deregister()
+			r.Deregister()
+			last := ""
+			if !test.accepts {
+				for range 3 {
+					takeOff(t, reports)
+				}
+				last = reportOff
+				cancel()
+			}
+			fakes.Take(t, "the end of Run", done)
+			for len(reports) > 0 {
+				last = <-reports
+			}
+			if last != reportOff {
+				t.Errorf("the last report is %s, want %s", last, reportOff)
+			}
+		})
 	}
 }
 
-// TestTwoUnansweredReportsKeepTheEntry: two reports in a row are accepted and never answered. The next comes before the entry expires.
+// TestTwoUnansweredReportsKeepTheEntry checks that after two reports in a row that are accepted and never answered, the
+// next comes before the entry expires.
 func TestTwoUnansweredReportsKeepTheEntry(t *testing.T) {
-	b, release := limits.For(1, 192, 1024), make(chan struct{})
+	bounds := testBounds()
+	release := make(chan struct{})
 	var received atomic.Int32
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
 		if n := received.Add(1); n == 2 || n == 3 { // reports are sent one after the other
@@ -90,175 +100,160 @@
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	r := New(address, "n3", b, false)
-	go func() { r.Run(ctx); close(done) }()
+	ctx, cancel := context.WithCancel(t.Context())
+	done := run(ctx, newReporter(address, bounds))
 	fakes.Take(t, "the report that counts", reports)
 	countedAt := time.Now()
 	fakes.Take(t, "the first that is never answered", reports)
 	fakes.Take(t, "the second", reports)
 	fakes.Take(t, "the next", reports)
-	if late := time.Since(countedAt); late > b.RegistrationTTL {
+	if late := time.Since(countedAt); late > bounds.RegistrationTTL {
 		t.Errorf("the next came after %v, the entry had expired", late)
 	}
 	close(release)
 	cancel()
-	fakes.Take(t, "the end", done)
+	fakes.Take(t, "the end of Run", done)
 }
 
-// TestReturningRegistryIsReportedToSoon: a registry that returns gets a report soon, not only after the report interval.
+// TestReturningRegistryIsReportedToSoon checks that a registry that returns gets a report soon, not only after the
+// report interval.
 func TestReturningRegistryIsReportedToSoon(t *testing.T) {
-	tr := fakes.NewTrace(t)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l.Close()
-	b := limits.For(1, 192, 1024)
-	b.ReportInterval, b.ReportRetryRefused = time.Hour, 10*time.Millisecond
-	r := New(l.Addr().String(), "n3", b, false)
-	r.pacer = reportpacing.New(reportpacing.Config{RetryInitial: 10_000, RetryMax: 10_000, RetryRefused: 10_000, InFlight: 2}, 1) // else the first is due within an hour
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() { r.Run(ctx); close(done) }()
-	fakes.Until(t, "a report failed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.failing })
-	l, err = net.Listen("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
+	const retryDelay = 10 * monotime.Millisecond
+	address := refusingAddress(t)
+	bounds := testBounds()
+	bounds.ReportInterval = time.Hour
+	bounds.ReportRetryRefused = retryDelay.Duration()
+	r := newReporter(address, bounds)
+	pacing := reportpacing.Config{ // without an interval, so that the first report is due at once
+		RetryInitial: retryDelay,
+		RetryMax:     retryDelay,
+		RetryRefused: retryDelay,
+		InFlight:     2,
 	}
+	r.pacer = reportpacing.New(pacing, 1)
+	ctx, cancel := context.WithCancel(t.Context())
+	done := run(ctx, r)
+	fakes.Until(t, "a report failed", func() bool { return isFailing(r) })
 	reports := make(chan string, 1)
-	s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	serve(t, listen(t, address), func(w http.ResponseWriter, request *http.Request) {
 		w.WriteHeader(http.StatusNoContent)
-		reports <- q.Method + " " + q.URL.Path
-	})}
-	go func() { _ = s.Serve(l) }()
-	t.Cleanup(func() { s.Close() })
-	tr.Say("%s", fakes.Take(t, "a report", reports))
+		reports <- request.Method + " " + request.URL.Path
+	})
+	if got, want := fakes.Take(t, "a report", reports), "PUT /roster/n3"; got != want {
+		t.Errorf("received %s, want %s", got, want)
+	}
 	cancel()
-	fakes.Take(t, "the end", done)
+	fakes.Take(t, "the end of Run", done)
 }
 
-// TestDeregistrationOvertakesReport: a slow report arrives after the first off; off is reported again after it.
-func TestDeregistrationOvertakesReport(t *testing.T) {
-	bodies, received := make(chan string, 16), make(chan struct{}, 16)
-	s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		body, _ := io.ReadAll(q.Body)
-		received <- struct{}{}
-		if strings.Contains(string(body), "on") {
-			time.Sleep(50 * time.Millisecond) // the off overtakes it
-		}
-		bodies <- string(body)
-		w.WriteHeader(http.StatusNoContent)
-	})}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	go func() { _ = s.Serve(l) }()
-	t.Cleanup(func() { s.Close() })
-	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
-	done := make(chan struct{})
-	go func() { r.Run(context.Background()); close(done) }()
-	fakes.Take(t, "a report", received)
+// TestUnreachableRegistryBlocksNothing checks that Run ends with its context though the registry refuses connections.
+func TestUnreachableRegistryBlocksNothing(t *testing.T) {
+	r := newReporter(refusingAddress(t), testBounds())
+	ctx, cancel := context.WithCancel(t.Context())
+	done := run(ctx, r)
 	r.Deregister()
-	fakes.Take(t, "the end", done)
-	var all []string
-	for len(bodies) > 0 {
-		all = append(all, <-bodies)
-	}
-	if want := []string{`{"duty":"off"}`, `{"duty":"on"}`, `{"duty":"off"}`}; !slices.Equal(all, want) {
-		t.Errorf("the registry received %q, want %q", all, want)
-	}
+	fakes.Until(t, "a report failed", func() bool { return isFailing(r) })
+	cancel()
+	fakes.Take(t, "the end of Run", done)
 }
 
-// TestUnreachableRegistryBlocksNothing: Run ends with its context though the registry refuses connections.
-func TestUnreachableRegistryBlocksNothing(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+// TestNextReportWaitsForRetryAfter checks that the report after a Retry-After is not sent before it is over.
+func TestNextReportWaitsForRetryAfter(t *testing.T) {
+	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Retry-After", "1")
+		http.Error(w, "later", http.StatusServiceUnavailable)
+	})
+	bounds := testBounds()
+	bounds.ReportInterval = 10 * time.Millisecond
+	bounds.ReportRetryInitial = 10 * time.Millisecond
+	bounds.ReportRetryMax = 10 * time.Millisecond
+	r := newReporter(address, bounds)
+	ctx, cancel := context.WithCancel(t.Context())
+	done := run(ctx, r)
+	fakes.Take(t, "a report", reports)
+	startedAt := time.Now()
+	fakes.Take(t, "the next report", reports)
+	if after := time.Since(startedAt); after < 900*time.Millisecond {
+		t.Errorf("the next report came after %v, Retry-After is 1 s", after)
 	}
-	l.Close()
-	r := New(l.Addr().String(), "n3", limits.For(1, 192, 1024), false)
-	done := make(chan struct{})
-	ctx, cancel := context.WithCancel(context.Background())
-	go func() { r.Run(ctx); close(done) }()
 	r.Deregister()
-	fakes.Until(t, "a report failed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.failing })
-	cancel() // the process exits
-	fakes.Take(t, "the end", done)
+	cancel()
+	fakes.Take(t, "the end of Run", done)
 }
 
-// respondWith returns a handler that responds with the statuses in the order of the reports. A report whose caller has given up takes
-// none, and does not keep the registry from closing.
-func respondWith(statuses <-chan int) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
-		select {
-		case status := <-statuses:
-			w.WriteHeader(status)
-		case <-r.Context().Done():
-		}
+// TestSetAddressWakesRunOnce checks that another address wakes Run, also if it is to be woken already, and that the
+// same address does not.
+func TestSetAddressWakesRunOnce(t *testing.T) {
+	r := newReporter("127.0.0.1:1", testBounds())
+	r.SetAddress("127.0.0.1:1")
+	if len(r.addressChanged) != 0 {
+		t.Error("the same address counts as a change")
+	}
+	r.SetAddress("127.0.0.1:2")
+	r.SetAddress("127.0.0.1:3") // returns though Run has not seen the one before
+	if len(r.addressChanged) != 1 {
+		t.Errorf("%d changes wait for Run, want 1", len(r.addressChanged))
 	}
 }
 
-// TestDeregistersUntilAccepted: off is reported until the registry accepts it, also where its address changes meanwhile; then
-// nothing more.
-func TestDeregistersUntilAccepted(t *testing.T) {
-	tr := fakes.NewTrace(t)
-	status, responses := http.StatusServiceUnavailable, make(chan int, 100)
-	address, reports := fakes.NewRegistry(t, respondWith(responses))
-	newAddress, newReports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	b := limits.For(1, 192, 1024)
-	b.ReportInterval = 10 * time.Millisecond
-	r := New(address, "n3", b, false)
-	done := make(chan struct{})
-	go func() { r.Run(context.Background()); close(done) }()
-	responses <- http.StatusNoContent
-	tr.Say("%s", fakes.Take(t, "a report", reports))
-	r.Deregister()
-	for n := 0; n < 2; {
-		responses <- status
-		if report := fakes.Take(t, "off again", reports); strings.Contains(report, "off") {
-			n++
-		}
+// TestPacingConfig checks that fixed pacing retries at the interval of deregistrations, and has twice as many reports
+// in flight.
+func TestPacingConfig(t *testing.T) {
+	bounds := testBounds()
+	paced := pacingConfig(bounds, false)
+	if paced.Fixed || paced.RetryMin != monotime.FromDuration(bounds.ReportRetryMin) ||
+		paced.InFlight != bounds.ReportsInFlight {
+		t.Errorf("paced: %+v", paced)
 	}
-	r.SetAddress(newAddress)
-	for range 10 {
-		responses <- status // whatever was in flight there
+	fixed := pacingConfig(bounds, true)
+	if !fixed.Fixed || fixed.RetryMin != monotime.FromDuration(bounds.DeregisterRetry) ||
+		fixed.InFlight != 2*bounds.ReportsInFlight {
+		t.Errorf("fixed: %+v", fixed)
 	}
-	tr.Say("moved: %s", fakes.Take(t, "off elsewhere", newReports))
-	fakes.Take(t, "the end", done)
-	tr.Say("nothing more: %t", nothingWithin(newReports))
 }
 
-// TestRetryAfterIsHonoured: Retry-After is read in both forms, and the next report waits for it.
-func TestRetryAfterIsHonoured(t *testing.T) {
-	now := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
-	for header, want := range map[string]time.Duration{
-		"5": 5 * time.Second, "": 0, "-1": 0, "soon": 0, "99999999999": 0, now.Add(7 * time.Second).Format(http.TimeFormat): 7 * time.Second,
-		now.Add(-time.Minute).Format(http.TimeFormat): 0,
-	} {
-		if got := parseRetryAfter(header, now); got != want {
-			t.Errorf("%q: %v, want %v", header, got, want)
-		}
+// TestResultOfFormerAddressIsAbandoned checks that the failure of a report to a former address does not delay the next
+// report.
+func TestResultOfFormerAddressIsAbandoned(t *testing.T) {
+	const addressSince = 10
+	r := newReporter("127.0.0.1:1", testBounds())
+	failedAt := func(startedAt monotime.Micros) result {
+		return result{startedAt: startedAt, err: io.ErrUnexpectedEOF, retryAfter: time.Minute}
 	}
-	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Retry-After", "1")
-		http.Error(w, "later", http.StatusServiceUnavailable)
-	})
-	b := limits.For(1, 192, 1024)
-	b.ReportInterval, b.ReportRetryInitial, b.ReportRetryMax = 10*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
-	r := New(address, "n3", b, false)
-	done := make(chan struct{})
-	ctx, cancel := context.WithCancel(context.Background())
-	go func() { r.Run(ctx); close(done) }()
-	fakes.Take(t, "a report", reports)
-	startedAt := time.Now()
-	fakes.Take(t, "the next", reports)
-	if after := time.Since(startedAt); after < 900*time.Millisecond {
-		t.Errorf("it came again after %v, it was asked to wait a second", after)
+	r.pacer.Start(0)
+	r.pacer.Started(0)
+	r.pacer.Start(addressSince)
+	before, _ := r.pacer.Due()
+	r.pace(failedAt(0), addressSince)
+	if after, _ := r.pacer.Due(); after != before {
+		t.Errorf("the next report was due at %d us, and is now at %d us", before, after)
 	}
-	r.Deregister()
+	r.pacer.Started(20)
+	r.pace(failedAt(20), addressSince)
+	if after, _ := r.pacer.Due(); after < monotime.FromDuration(testBounds().RetryAfterMax) {
+		t.Errorf("after a failure at the present address, the next report is due at %d us", after)
+	}
+}
+
+// TestReportsAreLoggedAtAChange checks that a line is logged when reports begin to fail, and one when they succeed
+// again, but none for a report that the end of the process has cut off.
+func TestReportsAreLoggedAtAChange(t *testing.T) {
+	var text bytes.Buffer
+	defer slog.SetDefault(slog.Default())
+	slog.SetDefault(slog.New(logging.Handler(&text, logging.Text)))
+	statuses := make(chan int, 10)
+	address, _ := fakes.NewRegistry(t, respondWith(statuses))
+	r := newReporter(address, testBounds())
+	for n, step := range []struct{ status, lines int }{{204, 0}, {503, 1}, {503, 1}, {204, 2}, {204, 2}} {
+		statuses <- step.status
+		_, _ = r.report(t.Context(), dutyOn)
+		if lines := strings.Count(text.String(), "\n"); lines != step.lines {
+			t.Errorf("%d lines after report %d, want %d: %s", lines, n, step.lines, text.String())
+		}
+	}
+	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	fakes.Take(t, "the end", done)
+	if _, err := r.report(ended, dutyOn); err == nil || strings.Count(text.String(), "\n") != 2 {
+		t.Errorf("a report that was cut off: %v, log %s", err, text.String())
+	}
 }
