--- a/internal/backend/quota/errors.go
+++ b/internal/backend/quota/errors.go
@@ -7,10 +7,10 @@
 
 // Reasons for which a holder refuses a LeaseResponse; a ResponseError wraps one of them.
 var (
-	ErrWrongHolder    = errors.New("response to another process")
-	ErrUnknownRequest = errors.New("response to no pending request")
-	ErrUnknownBudget  = errors.New("grant of a budget that is not held here")
-	ErrStaleEpoch     = errors.New("grant of an old epoch")
+	ErrWrongHolder    = errors.New("response for another process")
+	ErrUnknownRequest = errors.New("response to a request that is not pending")
+	ErrUnknownBudget  = errors.New("grant of an unknown budget")
+	ErrStaleEpoch     = errors.New("grant of a stale epoch")
 	ErrOutOfBounds    = errors.New("grant out of bounds")
 )
 
@@ -21,6 +21,8 @@
 }
 
 func (e *ResponseError) Error() string { return e.Detail }
+
+// Unwrap returns the reason.
 func (e *ResponseError) Unwrap() error { return e.Reason }
 
 // refuse builds a ResponseError; format and args make its detail.
--- a/internal/backend/quota/holder_test.go
+++ b/internal/backend/quota/holder_test.go
@@ -4,31 +4,34 @@
 	"errors"
 	"testing"
 
-	"milletbarrow/monotime"
-
 	"pgregory.net/rapid"
+
+	"milletbarrow/monotime"
 )
 
-// TestAcquireWithinGrant: a holder never acquires more than floor and lease allow, a full bucket apart.
+// TestAcquireWithinGrant checks that a holder acquires no more than floor and lease yield, and a full bucket.
 func TestAcquireWithinGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		floor, extra := int64(rapid.IntRange(0, 500).Draw(t, "floor")), int64(rapid.IntRange(0, 500).Draw(t, "extra"))
+		floor := int64(rapid.IntRange(0, 500).Draw(t, "floor"))
+		extra := int64(rapid.IntRange(0, 500).Draw(t, "extra"))
 		lease := monotime.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "lease"))
-		h := New("n", "1", []string{"b"})
-		now := monotime.Micros(1_000_000)
+		h := newHolder()
+		now := start
 		for range 3 {
 			if h.TryAcquire(now, 0) {
 				t.Fatal("a unit was acquired before the first grant")
 			}
-			now += 100_000
+			now += 100 * monotime.Millisecond
 		}
 		request := h.NewRequest(now)
-		requestedAt := now
+		leaseEnd := now + lease
 		now += monotime.Micros(rapid.IntRange(0, 4_000_000).Draw(t, "response after"))
-		if err := h.Apply(now, LeaseResponse{Name: "n", Incarnation: "1", Number: request.Number, Grants: []Grant{{"b", 5, floor, extra, lease}}}); err != nil {
+		grant := Grant{Budget: testBudget, Epoch: 5, Floor: floor, Extra: extra, Lease: lease}
+		if err := h.Apply(now, responseTo(request, grant)); err != nil {
 			t.Fatal(err)
 		}
-		grantedAt, acquired := now, int64(0)
+		grantedAt := now
+		acquired := int64(0)
 		for range rapid.IntRange(1, 200).Draw(t, "units") {
 			now += monotime.Micros(rapid.IntRange(0, 60_000).Draw(t, "step"))
 			if h.TryAcquire(now, 0) {
@@ -41,91 +44,164 @@
 			if counted := h.Status(now)[0].Drawn; counted < acquired {
 				t.Fatalf("%d counted as acquired, %d were", counted, acquired)
 			}
-			leased := max(0, min(now, requestedAt+lease)-grantedAt)
-			limit := (int64(now-grantedAt)*floor+int64(leased)*extra)/microUnits + BurstUnits(floor+extra) + 1
-			if acquired > limit {
+			leased := max(0, min(now, leaseEnd)-grantedAt)
+			yield := (int64(now-grantedAt)*floor + int64(leased)*extra) / microUnits
+			if limit := yield + BurstUnits(floor+extra) + 1; acquired > limit {
 				t.Fatalf("acquired %d, at most %d are allowed", acquired, limit)
 			}
-			if s := h.Status(now)[0]; now >= requestedAt+lease && s.Extra != 0 {
-				t.Fatalf("extra in force %d us after its lease", now-requestedAt-lease)
+			if s := h.Status(now)[0]; now >= leaseEnd && s.Extra != 0 {
+				t.Fatalf("extra in force %d us after its lease", now-leaseEnd)
 			}
 		}
 	})
 }
 
-// TestRefusedResponses: a response that may not be applied changes nothing, and the error has the reason.
+// TestRefusedResponses checks that a response that may not be applied changes nothing, and that the error has the
+// reason.
 func TestRefusedResponses(t *testing.T) {
-	h := New("n", "1", []string{"b"})
-	first := h.NewRequest(10)
-	grants := func(epoch uint64, extra int64) []Grant { return []Grant{{"b", epoch, 1, extra, 1000}} }
-	if err := h.Apply(20, LeaseResponse{"n", "1", first.Number, grants(7, 5), ""}); err != nil {
+	h := newHolder()
+	request := h.NewRequest(10)
+	inForce := Grant{Budget: testBudget, Epoch: 7, Floor: 1, Extra: 5, Lease: 1000}
+	if err := h.Apply(20, responseTo(request, inForce)); err != nil {
 		t.Fatal(err)
 	}
-	for _, row := range []struct {
-		name     string
-		response LeaseResponse
-		reason   error
-		text     string
+	for _, test := range []struct {
+		name   string
+		change func(response *LeaseResponse, grant *Grant) // of a response that may be applied
+		reason error
+		text   string
 	}{
-		{"another incarnation", LeaseResponse{"n", "2", first.Number, grants(8, 9), ""}, ErrWrongHolder, "life: the answer is for n 2, this is n 1"},
-		{"another name", LeaseResponse{"m", "1", first.Number, grants(8, 9), ""}, ErrWrongHolder, "life: the answer is for m 1, this is n 1"},
-		{"an older epoch", LeaseResponse{"n", "1", first.Number, grants(6, 9), ""}, ErrStaleEpoch, "epoch: 6 of b is not newer than 7"},
-		{"the same epoch", LeaseResponse{"n", "1", first.Number, grants(7, 9), ""}, ErrStaleEpoch, "epoch: 7 of b is not newer than 7"},
-		{"never requested", LeaseResponse{"n", "1", 99, grants(8, 9), ""}, ErrUnknownRequest, "number: 99 is none of the latest asks"},
-		{"another budget", LeaseResponse{"n", "1", first.Number, []Grant{{"c", 8, 1, 9, 1000}}, ""}, ErrUnknownBudget,
-			`budget: "c" is not drawn from here`},
-		{"an extra below 0", LeaseResponse{"n", "1", first.Number, []Grant{{"b", 8, 1, -9, 1000}}, ""}, ErrOutOfBounds,
-			"budget b: floor 1, extra -9 or lease 1000 is out of bounds"},
-		{"too large a floor", LeaseResponse{"n", "1", first.Number, []Grant{{"b", 8, MaxRate + 1, 9, 1000}}, ""}, ErrOutOfBounds,
-			"budget b: floor 100000001, extra 9 or lease 1000 is out of bounds"},
-		{"a floor below 0", LeaseResponse{"n", "1", first.Number, []Grant{{"b", 8, -1, 9, 1000}}, ""}, ErrOutOfBounds,
-			"budget b: floor -1, extra 9 or lease 1000 is out of bounds"},
-		{"too large an extra", LeaseResponse{"n", "1", first.Number, []Grant{{"b", 8, 1, MaxRate + 1, 1000}}, ""}, ErrOutOfBounds,
-			"budget b: floor 1, extra 100000001 or lease 1000 is out of bounds"},
-		{"a lease below 0", LeaseResponse{"n", "1", first.Number, []Grant{{"b", 8, 1, 9, -1}}, ""}, ErrOutOfBounds,
-			"budget b: floor 1, extra 9 or lease -1 is out of bounds"},
+		{
+			"another incarnation",
+			func(response *LeaseResponse, _ *Grant) { response.Incarnation = "2" },
+			ErrWrongHolder, "response for n, incarnation 2: this is n, incarnation 1",
+		},
+		{
+			"another name",
+			func(response *LeaseResponse, _ *Grant) { response.Name = "m" },
+			ErrWrongHolder, "response for m, incarnation 1: this is n, incarnation 1",
+		},
+		{
+			"unknown request",
+			func(response *LeaseResponse, _ *Grant) { response.Number = 99 },
+			ErrUnknownRequest, "response to request 99, which is not pending",
+		},
+		{
+			"older epoch",
+			func(_ *LeaseResponse, grant *Grant) { grant.Epoch = 6 },
+			ErrStaleEpoch, "budget b: epoch 6, wanted above 7",
+		},
+		{
+			"same epoch",
+			func(_ *LeaseResponse, grant *Grant) { grant.Epoch = 7 },
+			ErrStaleEpoch, "budget b: epoch 7, wanted above 7",
+		},
+		{
+			"unknown budget",
+			func(_ *LeaseResponse, grant *Grant) { grant.Budget = "c" },
+			ErrUnknownBudget, `unknown budget "c"`,
+		},
+		{
+			"negative extra",
+			func(_ *LeaseResponse, grant *Grant) { grant.Extra = -9 },
+			ErrOutOfBounds, "budget b: extra -9, wanted 0 to 100000000",
+		},
+		{
+			"too large an extra",
+			func(_ *LeaseResponse, grant *Grant) { grant.Extra = MaxRate + 1 },
+			ErrOutOfBounds, "budget b: extra 100000001, wanted 0 to 100000000",
+		},
+		{
+			"negative floor",
+			func(_ *LeaseResponse, grant *Grant) { grant.Floor = -1 },
+			ErrOutOfBounds, "budget b: floor -1, wanted 0 to 100000000",
+		},
+		{
+			"too large a floor",
+			func(_ *LeaseResponse, grant *Grant) { grant.Floor = MaxRate + 1 },
+			ErrOutOfBounds, "budget b: floor 100000001, wanted 0 to 100000000",
+		},
+		{
+			"negative lease",
+			func(_ *LeaseResponse, grant *Grant) { grant.Lease = -1 },
+			ErrOutOfBounds, "budget b: lease of -1 us, wanted at least 0",
+		},
 	} {
-		if err := h.Apply(30, row.response); !errors.Is(err, row.reason) || err.Error() != row.text {
-			t.Errorf("%s: %v, wanted %s", row.name, err, row.text)
-		}
-	}
-	if s := h.Status(30)[0]; s.Extra != 5 || s.Epoch != 7 {
-		t.Fatalf("changed by what was refused: %+v", s)
+		t.Run(test.name, func(t *testing.T) {
+			grant := Grant{Budget: testBudget, Epoch: 8, Floor: 1, Extra: 9, Lease: 1000}
+			response := responseTo(request)
+			test.change(&response, &grant)
+			response.Grants = []Grant{grant}
+			if err := h.Apply(30, response); !errors.Is(err, test.reason) || err.Error() != test.text {
+				t.Errorf("error %v, want %s", err, test.text)
+			}
+			if s := h.Status(30)[0]; s.Extra != 5 || s.Epoch != 7 {
+				t.Fatalf("the refused response changed the grant: %+v", s)
+			}
+		})
 	}
+}
+
+// TestForgottenRequests checks that a response to a request with maxPending later ones is refused.
+func TestForgottenRequests(t *testing.T) {
+	h := newHolder()
+	request := h.NewRequest(10)
 	for range maxPending + 1 {
 		h.NewRequest(40)
 	}
-	if err := h.Apply(50, LeaseResponse{"n", "1", first.Number, grants(8, 9), ""}); !errors.Is(err, ErrUnknownRequest) {
-		t.Errorf("a response to a forgotten request: %v", err)
+	grant := Grant{Budget: testBudget, Epoch: 8, Floor: 1, Extra: 9, Lease: 1000}
+	if err := h.Apply(50, responseTo(request, grant)); !errors.Is(err, ErrUnknownRequest) {
+		t.Errorf("error %v, want %v", err, ErrUnknownRequest)
 	}
-	if h.Release(60); h.TryAcquire(2_000_000, 0) {
+}
+
+// TestNothingIsAcquiredAfterRelease checks that a unit that the floor would have yielded is not acquired.
+func TestNothingIsAcquiredAfterRelease(t *testing.T) {
+	h := newHolder()
+	grantNow(t, h, 10, Grant{Epoch: 7, Floor: 1, Extra: 5, Lease: 1000})
+	if h.Release(60); h.TryAcquire(2*second, 0) {
 		t.Error("a unit was acquired after the release")
 	}
 }
 
-// TestRefusedAsAWhole: one grant that may not be applied keeps all grants of its response from being applied.
-func TestRefusedAsAWhole(t *testing.T) {
-	h := New("n", "1", []string{"a", "b"})
-	request := h.NewRequest(10)
-	grants := []Grant{{"a", 1, 1, 9, 1000}, {"c", 1, 1, 9, 1000}}
-	if err := h.Apply(20, LeaseResponse{"n", "1", request.Number, grants, ""}); !errors.Is(err, ErrUnknownBudget) {
+// TestResponseIsRefusedCompletely checks that one grant that may not be applied keeps all grants of its response from
+// being applied.
+func TestResponseIsRefusedCompletely(t *testing.T) {
+	h := New(testName, testIncarnation, []string{"a", "b"})
+	valid := Grant{Budget: "a", Epoch: 1, Floor: 1, Extra: 9, Lease: 1000}
+	unknown := Grant{Budget: "c", Epoch: 1, Floor: 1, Extra: 9, Lease: 1000}
+	if err := h.Apply(20, responseTo(h.NewRequest(10), valid, unknown)); !errors.Is(err, ErrUnknownBudget) {
 		t.Fatal(err)
 	}
 	if s := h.Status(20)[0]; s.Epoch != 0 || s.Floor != 0 || s.Extra != 0 {
-		t.Errorf("half of a refused response was applied: %+v", s)
+		t.Errorf("a part of a refused response was applied: %+v", s)
+	}
+}
+
+// TestRequestNumbersGrow checks that each request has a higher number than all before it.
+func TestRequestNumbersGrow(t *testing.T) {
+	h := New(testName, testIncarnation, nil)
+	last := uint64(0)
+	for range 3 * maxPending {
+		number := h.NewRequest(start).Number
+		if number <= last {
+			t.Fatalf("request %d after %d", number, last)
+		}
+		last = number
 	}
 }
 
 func BenchmarkTryAcquire(b *testing.B) {
-	h := New("n", "1", []string{"b"})
-	a := h.NewRequest(1)
-	if err := h.Apply(2, LeaseResponse{"n", "1", a.Number, []Grant{{"b", 1, 1000, 1000, 1 << 40}}, ""}); err != nil {
+	const interval = 600 // microseconds
+	h := newHolder()
+	grant := Grant{Budget: testBudget, Epoch: 1, Floor: 1000, Extra: 1000, Lease: 1 << 40}
+	if err := h.Apply(2, responseTo(h.NewRequest(1), grant)); err != nil {
 		b.Fatal(err)
 	}
 	now := monotime.Micros(3)
 	b.ReportAllocs()
 	for b.Loop() {
-		now += 600
+		now += interval
 		h.TryAcquire(now, 0)
 	}
 }
