--- a/internal/backend/quotalog/log.go
+++ b/internal/backend/quotalog/log.go
@@ -1,5 +1,6 @@
-// Package quotalog records what a holder of quotas has and uses, a line each, for an auditor to read. It is off unless asked
-// for. Times are of the machine's clock, in microseconds, even if the holder's own clock is made to run faster.
+// Package quotalog records the leases of a holder of quotas and its use of them, one line a record, for an auditor.
+// It is off by default. Times are of the machine's clock, in microseconds, even if the holder's own clock is made to
+// run faster.
 package quotalog
 
 import (
@@ -11,46 +12,60 @@
 	"milletbarrow/monotime"
 )
 
-// Log writes the records of one process. Not safe for concurrent use.
+// Log writes the records of one process. It is not safe for concurrent use.
 type Log struct {
 	out    *bufio.Writer
-	since  monotime.Micros
-	logged []int64 // by budget: the units drawn that are recorded
+	since  monotime.Micros // end of the span that the last RecordDrawn covered
+	logged []int64         // by budget index: the units drawn that are recorded
 }
 
-// New writes to w; every call ends with a complete line there. The first line is "clock TIME PPM": how much faster the
-// holder's own clock runs. If it can't be written, the next record returns the error.
+// New returns a log that writes to w; each call ends with a complete line there. The first line is "clock TIME PPM":
+// how much faster the holder's own clock runs, in parts per million. If it cannot be written, the next record returns
+// the error.
 func New(w io.Writer, at monotime.Micros, ppm int) *Log {
 	l := &Log{out: bufio.NewWriter(w), since: at}
-	fmt.Fprintf(l.out, "clock %d %d\n", at, ppm)
-	_ = l.out.Flush() // a bufio.Writer keeps its error
+	l.printf("clock %d %d\n", at, ppm)
+	_ = l.flush() // the next flush returns the error again
 	return l
 }
 
-// RecordHeld records the grants in force: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT", LEFT being how long the extra lasts
-// on the holder's own clock, now.
+// RecordHeld records the grants in force: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT". LEFT is how long the extra
+// lasts, on the holder's own clock, whose time is now.
 func (l *Log) RecordHeld(at, now monotime.Micros, budgets []quota.Status) error {
 	for _, b := range budgets {
-		fmt.Fprintf(l.out, "have %d %s %d %d %d %d\n", at, b.Budget, b.Epoch, b.Floor, b.Extra, max(0, b.Until-now))
+		l.printf("have %d %s %d %d %d %d\n", at, b.Budget, b.Epoch, b.Floor, b.Extra, max(0, b.Until-now))
 	}
-	return l.out.Flush()
+	return l.flush()
 }
 
-// RecordDrawn records the units acquired since the last time: "drew FROM TO BUDGET UNITS"; if there are none, "here TIME".
+// RecordDrawn records the units acquired since the last time: "drew FROM TO BUDGET UNITS", or "here TIME" if there are
+// none.
 func (l *Log) RecordDrawn(at monotime.Micros, budgets []quota.Status) error {
-	if len(l.logged) < len(budgets) {
-		l.logged = append(l.logged, make([]int64, len(budgets)-len(l.logged))...)
+	if missing := len(budgets) - len(l.logged); missing > 0 {
+		l.logged = append(l.logged, make([]int64, missing)...)
 	}
 	drawn := false
 	for i, b := range budgets {
-		if n := b.Drawn - l.logged[i]; n > 0 {
-			fmt.Fprintf(l.out, "drew %d %d %s %d\n", l.since, at, b.Budget, n)
-			l.logged[i], drawn = b.Drawn, true
+		if units := b.Drawn - l.logged[i]; units > 0 {
+			l.printf("drew %d %d %s %d\n", l.since, at, b.Budget, units)
+			l.logged[i] = b.Drawn
+			drawn = true
 		}
 	}
 	if !drawn {
-		fmt.Fprintf(l.out, "here %d\n", at)
+		l.printf("here %d\n", at)
 	}
 	l.since = at
-	return l.out.Flush()
+	return l.flush()
+}
+
+// printf adds to the buffered lines. Its error is returned by the next flush.
+func (l *Log) printf(format string, args ...any) { _, _ = fmt.Fprintf(l.out, format, args...) }
+
+// flush writes the buffered lines.
+func (l *Log) flush() error {
+	if err := l.out.Flush(); err != nil {
+		return fmt.Errorf("quota log: %w", err)
+	}
+	return nil
 }
--- a/internal/backend/quotalog/log_test.go
+++ b/internal/backend/quotalog/log_test.go
@@ -9,85 +9,101 @@
 	"milletbarrow/monotime"
 )
 
-// TestLines: the lines of a log, as an auditor reads them.
+// drawnFrom returns the status of a budget of which units were drawn.
+func drawnFrom(budget string, units int64) quota.Status {
+	return quota.Status{Budget: budget, Drawn: units}
+}
+
+// TestLines checks the lines of a log, as an auditor reads them.
 func TestLines(t *testing.T) {
-	var b strings.Builder
-	l := New(&b, 10, 200)
-	budgets := []quota.Status{{Budget: "a", Epoch: 3, Floor: 4, Extra: 5, Until: 90, Drawn: 2}, {Budget: "b", Epoch: 1}}
+	var text strings.Builder
+	l := New(&text, 10, 200)
+	budgets := []quota.Status{
+		{Budget: "a", Epoch: 3, Floor: 4, Extra: 5, Until: 90, Drawn: 2},
+		{Budget: "b", Epoch: 1},
+	}
 	for _, err := range []error{
-		l.RecordHeld(20, 50, budgets), l.RecordDrawn(30, budgets), l.RecordDrawn(40, budgets),
+		l.RecordHeld(20, 50, budgets),
+		l.RecordDrawn(30, budgets),
+		l.RecordDrawn(40, budgets),
 		l.RecordHeld(45, 100, budgets[:1]),
 	} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	want := "clock 10 200\nhave 20 a 3 4 5 40\nhave 20 b 1 0 0 0\ndrew 10 30 a 2\nhere 40\nhave 45 a 3 4 5 0\n"
-	if b.String() != want {
-		t.Errorf("got\n%swanted\n%s", b.String(), want)
+	want := "clock 10 200\n" +
+		"have 20 a 3 4 5 40\n" +
+		"have 20 b 1 0 0 0\n" +
+		"drew 10 30 a 2\n" +
+		"here 40\n" +
+		"have 45 a 3 4 5 0\n"
+	if text.String() != want {
+		t.Errorf("got\n%swant\n%s", text.String(), want)
 	}
 }
 
-// TestEachCallEndsWithACompleteLine: after New and after each record, all of its lines are written.
+// TestEachCallEndsWithACompleteLine checks that after New and after each record, all of its lines are written.
 func TestEachCallEndsWithACompleteLine(t *testing.T) {
-	var b strings.Builder
+	var text strings.Builder
 	budgets := []quota.Status{{Budget: "a", Epoch: 1, Drawn: 2}}
-	l := New(&b, 10, 0)
+	l := New(&text, 10, 0)
 	for _, step := range []struct {
+		name   string
 		record func() error
 		want   string
 	}{
-		{func() error { return nil }, "clock 10 0\n"},
-		{func() error { return l.RecordHeld(20, 20, budgets) }, "have 20 a 1 0 0 0\n"},
-		{func() error { return l.RecordDrawn(30, budgets) }, "drew 10 30 a 2\n"},
-		{func() error { return l.RecordDrawn(40, nil) }, "here 40\n"},
+		{"new", func() error { return nil }, "clock 10 0\n"},
+		{"held", func() error { return l.RecordHeld(20, 20, budgets) }, "have 20 a 1 0 0 0\n"},
+		{"drawn", func() error { return l.RecordDrawn(30, budgets) }, "drew 10 30 a 2\n"},
+		{"nothing drawn", func() error { return l.RecordDrawn(40, nil) }, "here 40\n"},
 	} {
-		if err := step.record(); err != nil || b.String() != step.want {
-			t.Errorf("got %q, %v; wanted %q", b.String(), err, step.want)
+		if err := step.record(); err != nil || text.String() != step.want {
+			t.Errorf("%s: got %q, %v; want %q", step.name, text.String(), err, step.want)
 		}
-		b.Reset()
+		text.Reset()
 	}
 }
 
-// TestDrawnUnitsAreRecordedOnce: each unit stands in one line, and a line's span begins where that of the line before it
-// ended, also when budgets come or are absent for a while, or a count falls.
+// TestDrawnUnitsAreRecordedOnce checks that each unit is in one line, and that a line's span begins at the end of
+// that of the line before it, also when budgets come or are absent for a while, or a count falls.
 func TestDrawnUnitsAreRecordedOnce(t *testing.T) {
-	var b strings.Builder
-	l := New(&b, 10, 0)
-	a := func(drawn int64) quota.Status { return quota.Status{Budget: "a", Drawn: drawn} }
-	c := func(drawn int64) quota.Status { return quota.Status{Budget: "c", Drawn: drawn} }
-	b.Reset()
-	for i, step := range []struct {
+	var text strings.Builder
+	l := New(&text, 10, 0)
+	text.Reset()
+	for _, step := range []struct {
+		at      monotime.Micros
 		budgets []quota.Status
 		want    string
 	}{
-		{[]quota.Status{a(2)}, "drew 10 20 a 2\n"},
-		{[]quota.Status{a(5), c(0)}, "drew 20 30 a 3\n"},
-		{[]quota.Status{a(5), c(4)}, "drew 30 40 c 4\n"},
-		{[]quota.Status{a(6)}, "drew 40 50 a 1\n"},
-		{[]quota.Status{a(6), c(5)}, "drew 50 60 c 1\n"},
-		{[]quota.Status{a(4), c(5)}, "here 70\n"},
-		{[]quota.Status{a(7), c(6)}, "drew 70 80 a 1\ndrew 70 80 c 1\n"},
+		{20, []quota.Status{drawnFrom("a", 2)}, "drew 10 20 a 2\n"},
+		{30, []quota.Status{drawnFrom("a", 5), drawnFrom("c", 0)}, "drew 20 30 a 3\n"},
+		{40, []quota.Status{drawnFrom("a", 5), drawnFrom("c", 4)}, "drew 30 40 c 4\n"},
+		{50, []quota.Status{drawnFrom("a", 6)}, "drew 40 50 a 1\n"},
+		{60, []quota.Status{drawnFrom("a", 6), drawnFrom("c", 5)}, "drew 50 60 c 1\n"},
+		{70, []quota.Status{drawnFrom("a", 4), drawnFrom("c", 5)}, "here 70\n"},
+		{80, []quota.Status{drawnFrom("a", 7), drawnFrom("c", 6)}, "drew 70 80 a 1\ndrew 70 80 c 1\n"},
 	} {
-		if err := l.RecordDrawn(monotime.Micros(20+10*i), step.budgets); err != nil || b.String() != step.want {
-			t.Errorf("step %d: got %q, %v; wanted %q", i, b.String(), err, step.want)
+		if err := l.RecordDrawn(step.at, step.budgets); err != nil || text.String() != step.want {
+			t.Errorf("at %d: got %q, %v; want %q", step.at, text.String(), err, step.want)
 		}
-		b.Reset()
+		text.Reset()
 	}
 }
 
 var errFull = errors.New("full")
 
+// fullDisk is a writer that always fails.
 type fullDisk struct{}
 
 func (fullDisk) Write([]byte) (int, error) { return 0, errFull }
 
-// TestFullDisk: what can't be written is reported with the next record.
-func TestFullDisk(t *testing.T) {
+// TestWriteErrorIsReturnedByNextRecord checks that what cannot be written is reported with the next record.
+func TestWriteErrorIsReturnedByNextRecord(t *testing.T) {
 	if err := New(fullDisk{}, 10, 0).RecordDrawn(20, nil); !errors.Is(err, errFull) {
-		t.Errorf("error %v", err)
+		t.Errorf("RecordDrawn: error %v", err)
 	}
 	if err := New(fullDisk{}, 10, 0).RecordHeld(20, 20, nil); !errors.Is(err, errFull) {
-		t.Errorf("error %v", err)
+		t.Errorf("RecordHeld: error %v", err)
 	}
 }
