--- a/internal/backend/dispatch/admit.go
+++ b/internal/backend/dispatch/admit.go
@@ -8,8 +8,13 @@
 	"milletbarrow/monotime"
 )
 
-// Admit passes a request to the module and blocks until it is to run, is answered without a run, or its caller has left.
-// The request returned is nil unless the verdict is Admitted; then Complete must follow once the run has ended.
+// freshTickTimeout is how long an arrival waits for a tick after a stall, in units of the timeout of a sample: the
+// tick may have to request a second sample.
+const freshTickTimeout = 2
+
+// Admit passes a request to the module and blocks until it is to run, is answered without a run, or its caller has
+// left. The request returned is nil unless the verdict is Admitted; then Complete must be called once the run has
+// ended.
 func (d *Dispatcher) Admit(inv Invocation) (Response, *Request) {
 	d.awaitFreshTick()
 	req := d.register(inv)
@@ -26,7 +31,7 @@
 	return resp, req
 }
 
-// Abandon reports that the caller has left. A run goes on, and Complete must still follow.
+// Abandon reports that the caller has left. A run goes on, and Complete must still be called.
 func (d *Dispatcher) Abandon(req *Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -36,8 +41,8 @@
 	}
 }
 
-// Complete reports how a run ended and its result, which may be cached. It returns whether the caller is still to be
-// answered: not if the final response has been given already, or the caller has left.
+// Complete reports how a run ended and its result, which may be cached. owed reports whether the caller is still to be
+// answered: it is false if the final response has been given, or the caller has left.
 func (d *Dispatcher) Complete(req *Request, outcome Outcome, result []byte) (owed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,9 +60,9 @@
 	return owed
 }
 
-// awaitFreshTick waits a little for the next tick if the last one is long past. A process that was suspended finds a crowd
-// of arrivals, which would be decided by old gauges while the ends of runs and the new gauges are still unread on the
-// executor's connection. The next sample follows those ends.
+// awaitFreshTick waits for the next tick if the last one is older than StallThreshold. A process that was suspended
+// finds many arrivals at once, while the ends of runs and the new gauges are still unread on the executor's
+// connection. The next sample follows those ends, so that the arrivals are not decided on outdated gauges.
 func (d *Dispatcher) awaitFreshTick() {
 	d.mu.Lock()
 	if d.backend == nil || Now()-d.lastTick <= monotime.FromDuration(d.bounds.StallThreshold) {
@@ -69,7 +74,7 @@
 	}
 	tickDone := d.tickDone
 	d.mu.Unlock()
-	timeout := time.NewTimer(2 * d.bounds.SampleTimeout)
+	timeout := time.NewTimer(freshTickTimeout * d.bounds.SampleTimeout)
 	defer timeout.Stop()
 	select {
 	case <-tickDone:
@@ -77,15 +82,15 @@
 	}
 }
 
-// register adds a request to those in flight and has the module decide on it, or rejects it before that.
+// register rejects a request early, or adds it to those in flight and passes it to the module.
 func (d *Dispatcher) register(inv Invocation) *Request {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := Now()
 	req := d.newRequest(&inv)
-	keyed := d.identify(inv, req)
+	keyed := d.identify(&inv, req)
 	if resp, rejected := d.rejectEarly(now, &inv, req, keyed); rejected {
-		// It is not in flight: its caller's leaving must not end another request of the same id.
+		// It is not in flight: when its caller leaves, no other request with the same ID may end.
 		req.answered = true
 		req.responses <- resp
 		return req
@@ -102,21 +107,31 @@
 	return req
 }
 
-// arrival is the event of a request that is passed to the module.
+// arrival returns the event of a request that is passed to the module.
 func arrival(now monotime.Micros, inv *Invocation, req *Request, standing admission.QuotaStanding) admission.Arrived {
 	return admission.Arrived{
-		ID: inv.ID, Operation: inv.Operation, Tenant: inv.Tenant, Priority: inv.Rank, Retry: inv.Retry,
-		ExpectedWork: inv.ExpectedWork, MemoryKB: inv.MemoryKB, RepeatOf: req.original, ShedFor: req.shedAdvice,
-		QueueTime: max(0, now-inv.ArrivedAt), // it seems to arrive later than now if the wall clock was set back
-		TimeLeft:  max(1, req.deadline-now),  // a deadline that has passed is due at once; 0 would mean that there is none
-		Quota:     standing,
+		ID:           inv.ID,
+		Operation:    inv.Operation,
+		Tenant:       inv.Tenant,
+		Priority:     inv.Rank,
+		Retry:        inv.Retry,
+		ExpectedWork: inv.ExpectedWork,
+		MemoryKB:     inv.MemoryKB,
+		RepeatOf:     req.original,
+		ShedFor:      req.shedAdvice,
+		QueueTime:    max(0, now-inv.ArrivedAt), // ArrivedAt is later than now if the wall clock was set back
+		TimeLeft:     max(1, req.deadline-now),  // 0 would mean that there is no deadline
+		Quota:        standing,
 	}
 }
 
+// newRequest returns a request that is not yet in flight.
 func (d *Dispatcher) newRequest(inv *Invocation) *Request {
 	req := &Request{
-		id: inv.ID, deadline: inv.ArrivedAt + inv.CallerTimeout, drawnBudget: noBudget,
-		responses: make(chan Response, maxResponses),
+		id:          inv.ID,
+		deadline:    inv.ArrivedAt + inv.CallerTimeout,
+		drawnBudget: noBudget,
+		responses:   make(chan Response, maxResponses),
 	}
 	if operations := d.settings.Admission.Operations; inv.Operation < len(operations) {
 		req.objectiveAt = inv.ArrivedAt + operations[inv.Operation].Objective
@@ -124,31 +139,43 @@
 	return req
 }
 
-// rejectEarly returns the response to a request that the module never hears of.
-func (d *Dispatcher) rejectEarly(now monotime.Micros, inv *Invocation, req *Request, keyed bool) (resp Response, rejected bool) {
-	goElsewhere := Response{Verdict: Throttled, RetryAfter: d.settings.Admission.MaxRetryAfter}
-	if req.original != "" { // the original has run, or may yet: other backends must not be invited to run it too
-		goElsewhere = Response{Verdict: Errored}
+// rejectEarly returns the response to a request that is rejected without a decision of the module.
+func (d *Dispatcher) rejectEarly(
+	now monotime.Micros, inv *Invocation, req *Request, keyed bool,
+) (resp Response, rejected bool) {
+	retryElsewhere := Response{Verdict: Throttled, RetryAfter: d.settings.Admission.MaxRetryAfter}
+	if req.original != "" { // the original ran here or may still run: no other backend may run it too
+		retryElsewhere = Response{Verdict: Errored}
 	}
-	arrived := min(now, inv.ArrivedAt)
 	switch {
-	case d.inFlight[inv.ID] != nil || d.results != nil && d.results.Contains(inv.ID):
-		// Ids are new for each attempt. This one is not, and must not end the other, nor evict its cached result.
+	case d.isDuplicateID(inv.ID):
 		return Response{Verdict: Errored}, true
 	case d.backend == nil:
 		return Response{Verdict: Throttled}, true
-	case d.graceEnd != 0 && d.graceEnd <= arrived && arrived <= d.moduleGraceEnd: // see Drain
-		return goElsewhere, true
+	case d.betweenGraceEnds(min(now, inv.ArrivedAt)):
+		return retryElsewhere, true
 	case keyed && (inv.IdempotencyKey == "" || now-inv.ArrivedAt > d.maxReadDelay()):
-		// Its original cannot be known, or may have been evicted.
+		// Its original cannot be determined: there is no key, or the original may have been evicted.
 		return Response{Verdict: Errored}, true
-	case keyed && req.original == "" && !d.results.HasCapacity(): // its repeats would run again
+	case keyed && req.original == "" && !d.results.HasCapacity(): // its result could not be cached for its repeats
 		d.counts.CacheFull++
-		return goElsewhere, true
+		return retryElsewhere, true
 	}
 	return Response{}, false
 }
 
+// isDuplicateID reports whether another request with this ID is in flight or in the result cache. IDs are unique for
+// each attempt, so this is an error of the caller; it must neither end the other request nor evict its result.
+func (d *Dispatcher) isDuplicateID(id string) bool {
+	return d.inFlight[id] != nil || d.results != nil && d.results.Contains(id)
+}
+
+// betweenGraceEnds reports whether a request arrived after the grace period, and before the module's own one ends; see
+// Drain.
+func (d *Dispatcher) betweenGraceEnds(arrivedAt monotime.Micros) bool {
+	return d.graceEnd != 0 && d.graceEnd <= arrivedAt && arrivedAt <= d.moduleGraceEnd
+}
+
 // respond gives a request its final response, once.
 func (d *Dispatcher) respond(req *Request, resp Response) {
 	if req.answered {
@@ -168,6 +195,7 @@
 	}
 }
 
+// countResponse counts a final response.
 func (d *Dispatcher) countResponse(req *Request, verdict Verdict) {
 	switch verdict {
 	case Throttled:
@@ -182,5 +210,6 @@
 	case Replayed:
 		d.counts.Replayed++
 		d.countSuccess(req)
+	default: // Admitted is no final response
 	}
 }
--- a/internal/backend/dispatch/degradation.go
+++ b/internal/backend/dispatch/degradation.go
@@ -11,30 +11,30 @@
 	"milletbarrow/monotime"
 )
 
-// degradationState is what a degradation policy adds to a dispatcher, guarded by its lock.
+// degradationState is the part of a Dispatcher that exists with a degradation policy. Dispatcher.mu guards it.
 type degradationState struct {
 	policy        *degradation.Policy
 	controller    *degradation.Controller
 	shedder       *degradation.Shedder
 	meter         *degradation.SignalMeter
 	recentChanges []degradation.Change // oldest first
-	shedCount     int                  // requests, since the start
-	signalsAt     monotime.Micros
-	signals       degradation.Signals // the latest
+	shedCount     int                  // requests shed since the start
+	signalsAt     monotime.Micros      // when signals was measured, on degradationNow's clock; 0: not yet
+	signals       degradation.Signals  // the latest
 }
 
-// maxRecentChanges is how many changes of the level the status has at most.
+// maxRecentChanges bounds the changes of the level that the status lists.
 const maxRecentChanges = 16
 
-// minShedAdvice is the Retry-After of a request that a level sheds. Advice is about this backend, not about the operation:
-// a longer one would keep away requests that are not shed.
+// minShedAdvice is the Retry-After of a request that a level sheds. A caller applies it to the backend as a whole, so a
+// longer one would also keep away requests that are not shed.
 const minShedAdvice monotime.Micros = 1
 
-// degradationNow is the clock of the degradation controller. Setting the wall clock must not change a level.
+// degradationNow returns the time of the degradation controller, which adjustments of the wall clock do not change.
 func degradationNow() monotime.Micros { return process.Now() }
 
-// SetDegradationPolicy puts a policy in force, or replaces the present one; the level in force goes on. A name that
-// this deployment does not have is a *degradation.UnknownNameError.
+// SetDegradationPolicy puts a policy in force, or replaces the present one and leaves its level in force. It returns a
+// *degradation.UnknownNameError if the policy names an operation or a tenant that the deployment does not have.
 func (d *Dispatcher) SetDegradationPolicy(policy *degradation.Policy) error {
 	shedder, err := degradation.NewShedder(policy, d.settings.Operations, d.settings.Tenants, d.seed)
 	if err != nil {
@@ -44,8 +44,10 @@
 	defer d.mu.Unlock()
 	state := &degradationState{policy: policy, shedder: shedder}
 	if old := d.degradation; old != nil {
-		state.controller, state.meter = old.controller.WithPolicy(policy), old.meter
-		state.recentChanges, state.shedCount = old.recentChanges, old.shedCount
+		state.controller = old.controller.WithPolicy(policy)
+		state.meter = old.meter
+		state.recentChanges = old.recentChanges
+		state.shedCount = old.shedCount
 	} else {
 		state.controller = degradation.NewController(policy)
 		state.meter = degradation.NewSignalMeter(d.settings.Admission.Cores)
@@ -54,26 +56,28 @@
 	return nil
 }
 
-// shedAdvice returns the least Retry-After of a request that the level in force sheds, or 0 if it does not shed it.
+// shedAdvice returns the minimum Retry-After of a request that the level in force sheds, or 0 if it does not shed it.
 func (d *Dispatcher) shedAdvice(inv *Invocation, req *Request) monotime.Micros {
 	state := d.degradation
 	if state == nil {
 		return 0
 	}
 	now := degradationNow()
-	level, depth := state.controller.Level(), state.controller.Depth(now)
-	if req.original != "" || !state.shedder.ShouldShed(level, depth, inv.Operation, inv.Tenant, inv.Rank, inv.ExpectedWork) {
-		state.meter.Count(now, degradation.Arrivals)
-		if inv.Retry {
-			state.meter.Count(now, degradation.RetriedArrivals)
-		}
-		return 0
+	level := state.controller.Level()
+	depth := state.controller.Depth(now)
+	if req.original == "" &&
+		state.shedder.ShouldShed(level, depth, inv.Operation, inv.Tenant, inv.Rank, inv.ExpectedWork) {
+		state.shedCount++
+		return minShedAdvice
 	}
-	state.shedCount++
-	return minShedAdvice
+	state.meter.Count(now, degradation.Arrivals)
+	if inv.Retry {
+		state.meter.Count(now, degradation.RetriedArrivals)
+	}
+	return 0
 }
 
-// countSuccess counts a successful answer, and whether it missed the latency objective.
+// countSuccess counts a successful answer, and counts it as late if it missed the latency objective.
 func (d *Dispatcher) countSuccess(req *Request) {
 	d.degradation.count(degradation.Successes)
 	if Now() > req.objectiveAt {
@@ -81,14 +85,14 @@
 	}
 }
 
-// count counts an event of a request that no level sheds; nil counts nothing.
+// count counts an event of a request that is not shed. A nil state counts nothing.
 func (state *degradationState) count(counter degradation.Counter) {
 	if state != nil {
 		state.meter.Count(degradationNow(), counter)
 	}
 }
 
-// updateLevel measures the signals and has the controller change the level.
+// updateLevel measures the signals and lets the controller update the level.
 func (d *Dispatcher) updateLevel(reading admission.Reading) {
 	state := d.degradation
 	if state == nil {
@@ -99,7 +103,7 @@
 		state.meter.SetDraining()
 	}
 	demand := reading.OnCores
-	if demand >= 0 { // the executor knows of the runs alone; queued requests want a core too
+	if demand >= 0 { // queued requests demand a core too, and the executor knows only of runs
 		demand += float64(d.queued())
 	}
 	state.signals = state.meter.Signals(now, demand, reading.CoreUse, reading.MemoryShare, len(d.gauges) > 0)
@@ -109,7 +113,7 @@
 	}
 }
 
-// queued is how many requests wait for a start.
+// queued returns the number of requests that wait to be started.
 func (d *Dispatcher) queued() (n int) {
 	for _, req := range d.inFlight {
 		if !req.running && !req.answered {
@@ -119,25 +123,30 @@
 	return n
 }
 
+// recordChange logs a change of the level and adds it to the recent ones.
 func (state *degradationState) recordChange(change degradation.Change) {
 	state.recentChanges = append(state.recentChanges, change)
 	if len(state.recentChanges) > maxRecentChanges {
 		state.recentChanges = state.recentChanges[1:]
 	}
-	slog.Warn("degradation_level", "from", state.policy.LevelName(change.From), "to", state.policy.LevelName(change.To),
-		"collapse", change.Collapse, "cause", change.Cause, "signals", change.Signals.String())
+	slog.Warn("degradation_level",
+		"from", state.policy.LevelName(change.From),
+		"to", state.policy.LevelName(change.To),
+		"collapse", change.Collapse,
+		"cause", change.Cause,
+		"signals", change.Signals.String())
 }
 
 // DegradationStatus is the state of graceful degradation.
 type DegradationStatus struct {
-	Policy  string   // its name
-	Level   string   // the name of the level in force
-	Number  int      // of the level, 0 for full service
-	Depth   float64  // how much of the level's rules is in force, 0 to 1
-	Shed    int      // requests, since the start
-	Changes []string // the latest, oldest first
-	At      monotime.Micros
-	Signals degradation.Signals // at that time, unsmoothed
+	Policy  string              // name of the policy
+	Level   string              // name of the level in force
+	Number  int                 // number of the level in force; 0: full service
+	Depth   float64             // part of the level's load that is shed, 0 to 1
+	Shed    int                 // requests shed since the start
+	Changes []string            // the latest changes of the level, oldest first
+	At      monotime.Micros     // when Signals was measured, on the clock of process.Now
+	Signals degradation.Signals // unsmoothed
 }
 
 // DegradationStatus returns the state of graceful degradation; ok is false without a policy.
@@ -150,8 +159,13 @@
 	}
 	level := state.controller.Level()
 	status = DegradationStatus{
-		Policy: state.policy.Name, Level: state.policy.LevelName(level), Number: level,
-		Depth: state.controller.Depth(degradationNow()), Shed: state.shedCount, At: state.signalsAt, Signals: state.signals,
+		Policy:  state.policy.Name,
+		Level:   state.policy.LevelName(level),
+		Number:  level,
+		Depth:   state.controller.Depth(degradationNow()),
+		Shed:    state.shedCount,
+		At:      state.signalsAt,
+		Signals: state.signals,
 	}
 	for _, change := range state.recentChanges {
 		status.Changes = append(status.Changes, fmt.Sprintf("%d: %v", change.At, change))
@@ -159,9 +173,9 @@
 	return status, true
 }
 
-// OverrideLevel holds the level of that name for a while, on behalf of by; see degradation.Controller.Override. An error
-// is ErrNoPolicy or a *degradation.OverrideError.
-func (d *Dispatcher) OverrideLevel(name string, span time.Duration, by string, allowAbove bool) error {
+// OverrideLevel puts the level of that name in force for duration, on behalf of the operator by; see
+// degradation.Controller.Override. An error is ErrNoPolicy or a *degradation.OverrideError.
+func (d *Dispatcher) OverrideLevel(name string, duration time.Duration, by string, allowAbove bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	state := d.degradation
@@ -171,13 +185,16 @@
 	for level := range len(state.policy.Levels) + 1 {
 		if state.policy.LevelName(level) == name {
 			now := degradationNow()
-			return state.controller.Override(now, level, now+monotime.FromDuration(span), by, allowAbove)
+			return state.controller.Override(now, level, now+monotime.FromDuration(duration), by, allowAbove)
 		}
 	}
-	return &degradation.OverrideError{Field: "level", Problem: fmt.Sprintf("%q is none of ladder %s", name, state.policy.Name)}
+	return &degradation.OverrideError{
+		Field:   "level",
+		Problem: fmt.Sprintf("degradation policy %s has no level %q", state.policy.Name, name),
+	}
 }
 
-// ClearOverride ends an override: the signals decide again.
+// ClearOverride ends an override, so that the signals determine the level again.
 func (d *Dispatcher) ClearOverride() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/backend/dispatch/dispatcher.go
+++ b/internal/backend/dispatch/dispatcher.go
@@ -1,6 +1,14 @@
-// Package dispatch serialises events into the decision module and carries out the actions that it returns. A Dispatcher
-// owns the requests in flight, the lock around the module and the clock of decisions. It decides nothing itself and does
-// no I/O.
+// Package dispatch serialises events into the decision module and carries out the actions that it returns. A
+// Dispatcher owns the requests in flight, the lock around the module and the clock of decisions. It decides nothing
+// itself and does no I/O.
+//
+// Invariants, each with the test that holds it:
+//   - A request starts at most once and gets one final response: TestRequestIsAnsweredOnce.
+//   - Every request is answered, though the module loses it: TestOverdueRequestIsAnswered, TestTickAnswersOverdueRequests.
+//   - A request with the ID of another one in flight or cached changes nothing: TestAbandonedDuplicateLeavesRunningRequest,
+//     TestAbandonedDuplicateLeavesQueuedRequest, TestDuplicateOfCachedIDIsRejected.
+//   - A quota unit is refunded unless its request ran: TestQuotaUnitIsRefundedUnlessRun.
+//   - The grace period of a shutdown is never extended: TestSecondNoticeNeverExtendsGrace.
 package dispatch
 
 import (
@@ -18,48 +26,61 @@
 // Dispatcher serves one backend. Its methods may be called from any goroutine.
 type Dispatcher struct {
 	settings *config.Settings
-	seed     uint64
+	seed     uint64 // of the module's and the shedder's random draws
 	bounds   limits.Bounds
 
-	mu             sync.Mutex         // guards everything below
-	backend        *admission.Backend // the decision module; nil until Open
-	inFlight       map[string]*Request
-	actions        []admission.Action // of the latest decision; reused
-	nextTick       monotime.Micros    // as the module has set it
-	timerToken     int64              // of the module's timer
-	healthy        bool               // as the module wants health checks answered
-	idleTimeout    monotime.Micros    // of connections; the configured one or more leaves it to the callers
+	// mu guards all fields below, what they point to (the decision module, the result cache, the degradation
+	// controller, the quota holder, the shadow) and the fields of each Request. Unexported methods expect it to be
+	// held, except Admit's helpers awaitFreshTick and register, which lock it.
+	mu sync.Mutex
+
+	backend  *admission.Backend  // the decision module; nil until Open
+	inFlight map[string]*Request // by request ID
+	actions  []admission.Action  // of the latest decision; the slice is reused
+	counts   Counts
+
+	// State that the module sets by its actions.
+	nextTick    monotime.Micros // 0: the module has set no time
+	timerToken  int64           // passed back with the next reading
+	healthy     bool            // how health checks are to be answered
+	idleTimeout monotime.Micros // of connections; the configured timeout or more: the callers close them
+
+	// Opening.
+	startedCold bool            // the executor was warming up at Open
+	openedAt    monotime.Micros // the time of Open that the module was given
+
+	// Graceful shutdown; see Drain.
 	draining       bool
-	stopAt         monotime.Micros // the process is stopped then; set by Drain
-	graceEnd       monotime.Micros // later arrivals do not run; 0 unless draining
-	moduleGraceEnd monotime.Micros // the end of the grace as the module knows it
-	gauges         []float64
-	gaugesAt       monotime.Micros
-	lastTick       monotime.Micros // or Open
-	tickDone       chan struct{}   // closed at the next tick; nil while nobody waits for it
-	counts         Counts
-	startedCold    bool            // the executor was warming up at Open
-	openedAt       monotime.Micros // as the module knows it
+	stopAt         monotime.Micros // the process is stopped then; 0: not draining
+	graceEnd       monotime.Micros // later arrivals do not run; 0: not draining
+	moduleGraceEnd monotime.Micros // the end of the module's own grace period; 0: not draining
+
+	// Gauges and ticks.
+	gauges   []float64       // the latest sample; empty: unknown
+	gaugesAt monotime.Micros // when the latest sample came; 0: none yet
+	lastTick monotime.Micros // or Open, until the first tick
+	tickDone chan struct{}   // closed at the next tick; nil while no arrival waits for it
 
+	// Repeats of requests with an idempotency key.
 	results          *idempotency.Table // nil if no operation is keyed
-	readyRepeats     []string           // ids of repeats whose original has ended
-	answeringRepeats bool               // guards answerRepeats against re-entry
+	readyRepeats     []string           // IDs of repeats whose original has ended
+	answeringRepeats bool               // answerRepeats is running; it must not be re-entered
 
-	degradation *degradationState // nil without a policy
-	quotas      *quotaState       // nil without fleet-wide budgets
+	degradation *degradationState // nil without a degradation policy
+	quotas      *quotaState       // nil without fleet-wide quotas
 	shadow      *shadowState      // nil without a shadow configuration
 }
 
 // Counts are totals since the start.
 type Counts struct {
 	Arrived   int // requests passed to the module
-	Expired   int // of them, those whose caller had stopped waiting before
+	Expired   int // arrived requests whose deadline had passed before
 	Started   int
 	Throttled int
 	Errored   int
-	Abandoned int // by callers that left
-	Replayed  int // answered with the result of an earlier run
-	CacheFull int // throttled because no more results could be cached
+	Abandoned int // requests whose caller left before the answer
+	Replayed  int // requests answered with the result of an earlier run
+	CacheFull int // requests throttled because the result cache was full
 	Ticks     int
 	Unsampled int // ticks without a fresh sample of the gauges
 	Panics    int // of the module
@@ -76,9 +97,9 @@
 	return d
 }
 
-// Open starts to admit requests: the executor is there and started that long ago, warming up (cold) or warm. Later calls
-// change nothing. Only the time since a cold start matters, as the warm-up has lasted for so long. An executor that has
-// been warm for an hour must not make the module believe that no caller came for an hour.
+// Open starts to admit requests: the executor is ready, and started that long ago, warming up (cold) or warm. Later
+// calls change nothing. The time since the start matters only for a cold executor, as the part of the warm-up that is
+// over. For a warm one the module opens now: it must not conclude that no request arrived since the executor started.
 func (d *Dispatcher) Open(cold bool, ago monotime.Micros) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,7 +118,7 @@
 	d.openedAt = Now() - min(ago, cfg.WarmUp)
 	d.startShadow()
 	_ = d.decide(d.openedAt, admission.Opened{})
-	if d.draining { // the executor came up after the notice
+	if d.draining { // the shutdown notice came before the executor was ready
 		d.notifyModule(Now())
 	}
 }
@@ -106,33 +127,33 @@
 func (d *Dispatcher) moduleConfig(settings *config.Settings) admission.Config {
 	cfg := settings.Admission
 	cfg.JustStarted = d.startedCold
-	// Results are cached in this process, in a table that is bounded; the setting is about the executor's memory.
+	// The setting is about the executor's memory; results are cached in this process, in a table that is bounded.
 	cfg.IdempotencyKeyKB = 0
-	// The notice may arrive late, and the grace must not end later for that.
+	// The notice may arrive late, and the grace period must not end later for that.
 	cfg.DrainGrace = max(0, cfg.DrainGrace-monotime.FromDuration(d.bounds.NoticeDelay))
 	return cfg
 }
 
-// Counts returns the totals since the start, and how many requests are in flight.
-func (d *Dispatcher) Counts() (Counts, int) {
+// Counts returns the totals since the start, and the number of requests in flight.
+func (d *Dispatcher) Counts() (counts Counts, inFlight int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.counts, len(d.inFlight)
 }
 
-// Healthy reports how health checks are to be answered.
+// Healthy reports whether health checks are to be answered with good.
 func (d *Dispatcher) Healthy() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.backend != nil && d.healthy && !d.draining
 }
 
-// IdleTimeout is how long a connection may be idle before the server closes it; 0 leaves that to the callers.
+// IdleTimeout returns how long a connection may be idle before the server closes it; 0 leaves that to the callers.
 func (d *Dispatcher) IdleTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.idleTimeout >= d.settings.Admission.IdleTimeout {
 		return 0
 	}
-	return time.Duration(d.idleTimeout) * time.Microsecond
+	return d.idleTimeout.Duration()
 }
--- a/internal/backend/dispatch/drain.go
+++ b/internal/backend/dispatch/drain.go
@@ -6,9 +6,11 @@
 )
 
 // Drain begins a graceful shutdown: the process is stopped after left, and requests that arrive after grace do not run.
-// The module counts the deployment's grace from the notice on. If the notice came late, or a second one brings the end
-// forward, the dispatcher itself throttles what arrives after that; otherwise the module has ended its grace before. Both
-// go by when a request reached the machine, not by when it was read: one that is read late would fall between the two.
+//
+// There are two ends of the grace period, because the module counts the deployment's full one from the notice on. The
+// dispatcher's (graceEnd) is earlier if the notice came late or a second one brings the end forward; it then rejects
+// what arrives between the two. Both compare the time at which a request reached the host, not at which it was read, so
+// that a request that is read late cannot fall between them.
 func (d *Dispatcher) Drain(left, grace monotime.Micros) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -23,7 +25,7 @@
 	}
 }
 
-// notifyModule passes the notice to the module, which counts its grace from now on.
+// notifyModule passes the shutdown notice to the module, whose grace period begins now.
 func (d *Dispatcher) notifyModule(now monotime.Micros) {
 	d.moduleGraceEnd = now + d.moduleConfig(d.settings).DrainGrace
 	_ = d.decide(now, admission.DrainNotice{Left: d.stopAt - now})
--- a/internal/backend/dispatch/invariants_test.go
+++ b/internal/backend/dispatch/invariants_test.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// TestLaterNotice: a second notice never extends the grace, and a draining backend is unhealthy whatever the module wants.
+// TestLaterNotice: a second notice never extends the grace, and a draining backend is unhealthy whatever the module
+// wants.
 func TestLaterNotice(t *testing.T) {
 	d := open(t)
 	d.Drain(5_000_000, 100_000)
@@ -250,7 +251,7 @@
 func TestUnknownTenantOfBudget(t *testing.T) {
 	d := withQuota(t, open(t))
 	err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, Tenants: map[string]string{"nobody": "b"}})
-	const want = "draw: some tenant of map[nobody:b] is none of this deployment's [acme zenith]"
+	const want = "draw: map[nobody:b] has a tenant that the deployment does not have; its tenants are [acme zenith]"
 	if unknown := (*UnknownTenantError)(nil); !errors.As(err, &unknown) || err.Error() != want {
 		t.Errorf("%v, wanted %s", err, want)
 	}
@@ -390,7 +391,8 @@
 	}
 }
 
-// TestOwnGrace: the dispatcher itself rejects only what arrives between the end of the true grace and that of the module's.
+// TestOwnGrace: the dispatcher itself rejects only what arrives between the end of the true grace and that of the
+// module's.
 func TestOwnGrace(t *testing.T) {
 	d := open(t)
 	d.Drain(5_000_000, 100_000)
--- a/internal/backend/dispatch/module.go
+++ b/internal/backend/dispatch/module.go
@@ -10,7 +10,7 @@
 )
 
 // decide passes an event to the module and carries out the actions that it returns. A panic in the module is logged and
-// returned as a *PanicError; requests in flight stay so and are answered when they are overdue.
+// returned as a *PanicError; requests in flight remain in flight and are answered when they are overdue.
 func (d *Dispatcher) decide(now monotime.Micros, event admission.Event) (err error) {
 	if d.backend == nil {
 		return nil
@@ -51,10 +51,7 @@
 	case admission.Reuse:
 		d.awaitOriginal(a.ID)
 	case admission.SetHealth:
-		if d.healthy != a.Good {
-			d.healthy = a.Good
-			slog.Info("health", "good", a.Good)
-		}
+		d.setHealth(a.Good)
 	case admission.CloseIdle:
 		d.idleTimeout = a.After
 		slog.Info("idle", "after_us", a.After)
@@ -62,12 +59,20 @@
 		d.nextTick, d.timerToken = a.At, a.Token
 	case admission.Log:
 		slog.Info("module", "text", a.Text)
-	default: // no action for this front end; the configuration refuses deployments that would need it
-		slog.Error("internal_error", "in", fmt.Sprintf("%T", action), "text", "no way to carry it out")
+	default: // the configuration refuses deployments that would need another action
+		slog.Error("internal_error", "in", fmt.Sprintf("%T", action), "text", "action is not supported by the dispatcher")
+	}
+}
+
+// setHealth sets how health checks are answered, and logs a change.
+func (d *Dispatcher) setHealth(good bool) {
+	if d.healthy != good {
+		d.healthy = good
+		slog.Info("health", "good", good)
 	}
 }
 
-// start lets a request run that waits for that.
+// start admits a queued request to run.
 func (d *Dispatcher) start(id string) {
 	if req := d.inFlight[id]; req != nil && !req.running && !req.answered {
 		req.running = true
--- a/internal/backend/dispatch/quota.go
+++ b/internal/backend/dispatch/quota.go
@@ -7,30 +7,33 @@
 	"milletbarrow/monotime"
 )
 
-// quotaState is what fleet-wide budgets add to a dispatcher, guarded by its lock.
+// quotaState is the part of a Dispatcher that exists with fleet-wide quotas. Dispatcher.mu guards it.
 type quotaState struct {
 	holder         *quota.Holder
 	clock          func() monotime.Micros
 	machineClock   func() monotime.Micros
-	budgetOfTenant []int // index of the holder's budget, or noBudget
-	log            *quotalog.Log
+	budgetOfTenant []int         // index of the holder's budget by index of the tenant, or noBudget
+	log            *quotalog.Log // nil: none
 }
 
-// QuotaConfig names the budgets that tenants acquire units from.
+// QuotaConfig assigns the budgets from which tenants acquire units.
 type QuotaConfig struct {
 	Holder       *quota.Holder
 	Tenants      map[string]string      // budget by tenant
-	Clock        func() monotime.Micros // of leases; includes time that the machine is suspended
-	MachineClock func() monotime.Micros // of the log
-	Log          *quotalog.Log          // for an auditor; may be nil
+	Clock        func() monotime.Micros // the clock of leases, which goes on while the host is suspended
+	MachineClock func() monotime.Micros // the clock of the log
+	Log          *quotalog.Log          // for an auditor; nil: none
 }
 
-// SetQuotas has requests acquire units from their tenants' budgets from now on. A tenant that this deployment
-// does not have is an *UnknownTenantError.
+// SetQuotas makes requests acquire units from their tenants' budgets from now on. It returns an *UnknownTenantError
+// if the deployment lacks a tenant of cfg.
 func (d *Dispatcher) SetQuotas(cfg QuotaConfig) error {
 	state := &quotaState{
-		holder: cfg.Holder, clock: cfg.Clock, machineClock: cfg.MachineClock,
-		budgetOfTenant: make([]int, len(d.settings.Tenants)), log: cfg.Log,
+		holder:         cfg.Holder,
+		clock:          cfg.Clock,
+		machineClock:   cfg.MachineClock,
+		budgetOfTenant: make([]int, len(d.settings.Tenants)),
+		log:            cfg.Log,
 	}
 	found := 0
 	for i, tenant := range d.settings.Tenants {
@@ -49,24 +52,28 @@
 	return nil
 }
 
-// acquireUnit takes a unit of the tenant's budget for a request. One that a level sheds takes none, nor does a repeat.
+// acquireUnit acquires a unit of the tenant's budget for a request, unless a degradation level sheds it or it is a
+// repeat.
 func (d *Dispatcher) acquireUnit(inv *Invocation, req *Request) admission.QuotaStanding {
 	state := d.quotas
-	if state == nil || req.shedAdvice > 0 || req.original != "" || inv.Tenant < 0 || inv.Tenant >= len(state.budgetOfTenant) {
+	if state == nil || req.shedAdvice > 0 || req.original != "" {
+		return admission.QuotaUnknown
+	}
+	if inv.Tenant < 0 || inv.Tenant >= len(state.budgetOfTenant) {
 		return admission.QuotaUnknown
 	}
 	budget := state.budgetOfTenant[inv.Tenant]
-	switch {
-	case budget < 0:
+	if budget < 0 {
 		return admission.QuotaUnknown
-	case !state.holder.TryAcquire(state.clock(), budget):
+	}
+	if !state.holder.TryAcquire(state.clock(), budget) {
 		return admission.OverQuota
 	}
 	req.drawnBudget = budget
 	return admission.WithinQuota
 }
 
-// refundUnit returns the unit of a request that never ran to its tenant's budget.
+// refundUnit returns the unit of a request that did not run to its tenant's budget.
 func (d *Dispatcher) refundUnit(req *Request) {
 	if req.drawnBudget >= 0 {
 		d.quotas.holder.Refund(d.quotas.clock(), req.drawnBudget)
@@ -74,7 +81,7 @@
 	}
 }
 
-// QuotaRequest returns a request to renew the leases; ok is false without budgets.
+// QuotaRequest returns a request to renew the leases; ok is false without fleet-wide quotas.
 func (d *Dispatcher) QuotaRequest() (request quota.LeaseRequest, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +91,8 @@
 	return d.quotas.holder.NewRequest(d.quotas.clock()), true
 }
 
-// ApplyQuotaResponse applies the grants of a response. An error means that nothing was changed, or that the log failed.
+// ApplyQuotaResponse applies the grants of a response. If the holder refuses the response, nothing changes; if the
+// log fails, the grants are in force all the same.
 func (d *Dispatcher) ApplyQuotaResponse(response quota.LeaseResponse) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,7 +100,7 @@
 	if state == nil {
 		return ErrNoQuotas
 	}
-	at := state.machineClock() // read before the holder's clock: the log must not show a lease that lasts longer
+	at := state.machineClock() // read before the holder's clock, so that the log shows no lease longer than it is
 	now := state.clock()
 	if err := state.holder.Apply(now, response); err != nil {
 		return err
@@ -108,7 +116,7 @@
 	return state.log.RecordHeld(at, now, state.holder.Status(now))
 }
 
-// ReleaseQuotas gives up all grants: this process acquires no unit any more.
+// ReleaseQuotas releases all grants: this process acquires no more units.
 func (d *Dispatcher) ReleaseQuotas() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,11 +125,11 @@
 		at := state.machineClock()
 		now := state.clock()
 		state.holder.Release(now)
-		_ = state.recordHeld(at, now) // the process ends; the auditor sees that the log stops
+		_ = state.recordHeld(at, now) // the process exits; the auditor sees that the log ends
 	}
 }
 
-// QuotaStatus returns the grants in force; nil without budgets.
+// QuotaStatus returns the grants in force; nil without fleet-wide quotas.
 func (d *Dispatcher) QuotaStatus() []quota.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,7 +139,7 @@
 	return d.quotas.holder.Status(d.quotas.clock())
 }
 
-// LogQuotaUse logs the units acquired since the last time, if there is a log.
+// LogQuotaUse logs the units acquired since the last call, if there is a log.
 func (d *Dispatcher) LogQuotaUse() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,8 +148,10 @@
 	}
 }
 
+// recordUse logs the units acquired so far.
 func (state *quotaState) recordUse(now monotime.Micros) {
 	if state.log != nil {
-		_ = state.log.RecordDrawn(state.machineClock(), state.holder.Status(now)) // serving goes on without an auditor
+		// An auditor is not needed to serve: an error of its log is ignored.
+		_ = state.log.RecordDrawn(state.machineClock(), state.holder.Status(now))
 	}
 }
--- a/internal/backend/dispatch/replay.go
+++ b/internal/backend/dispatch/replay.go
@@ -6,27 +6,29 @@
 	"milletbarrow/monotime"
 )
 
-// identify sets the idempotency key of a request and finds the original that it repeats. It returns false if the operation
-// is not keyed. d.mu must be held.
-func (d *Dispatcher) identify(inv Invocation, req *Request) (keyed bool) {
+// identify sets the idempotency key of a request and finds the original that it repeats. It returns false if the
+// operation is not keyed.
+func (d *Dispatcher) identify(inv *Invocation, req *Request) (keyed bool) {
 	operations := d.settings.Admission.Operations
 	if inv.Operation >= len(operations) || operations[inv.Operation].RetrySafety != admission.IdempotencyKeyed {
 		return false
 	}
 	req.key = idempotency.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.IdempotencyKey}
-	req.original = d.results.Find(req.key, min(inv.ArrivedAt, Now())) // it seems to arrive later than now if the wall clock was set back
+	arrivedAt := min(inv.ArrivedAt, Now()) // ArrivedAt is later than now if the wall clock was set back
+	req.original = d.results.Find(req.key, arrivedAt)
 	return true
 }
 
-// IsRepeat reports whether a request repeats one that is cached here.
+// IsRepeat reports whether a request repeats one in the result cache.
 func (d *Dispatcher) IsRepeat(inv Invocation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var req Request
-	return d.identify(inv, &req) && req.original != ""
+	return d.identify(&inv, &req) && req.original != ""
 }
 
-// maxReadDelay is the longest time between a request's arrival and its being read; the caller of an older one has given up.
+// maxReadDelay returns the longest time from a request's arrival until it is read. The caller of one that is read
+// later has given up.
 func (d *Dispatcher) maxReadDelay() (longest monotime.Micros) {
 	for _, op := range d.settings.Admission.Operations {
 		longest = max(longest, op.ClientTimeout)
@@ -34,21 +36,27 @@
 	return longest + d.settings.Admission.AnswerSlack
 }
 
-// remember caches a request for as long as the module wants, and a little longer, as the caller's clock may differ.
+// remember adds a request to the result cache for as long as the module wants, plus AnswerSlack for the difference
+// between the caller's clock and this one.
 func (d *Dispatcher) remember(a admission.Remember) {
 	if req := d.inFlight[a.ID]; req != nil {
 		d.results.Remember(a.ID, req.key, Now()+a.For+d.settings.Admission.AnswerSlack)
 	}
 }
 
-// awaitOriginal has a repeat wait for its original, or has answerRepeats answer it if that has ended.
+// awaitOriginal lets a repeat wait for its original, or marks it as ready to be answered if that has ended.
 func (d *Dispatcher) awaitOriginal(id string) {
-	if req := d.inFlight[id]; req != nil && !req.answered && d.results.AddWaiter(req.original, id) {
+	req := d.inFlight[id]
+	if req == nil || req.answered {
+		return
+	}
+	if completed := d.results.AddWaiter(req.original, id); completed {
 		d.readyRepeats = append(d.readyRepeats, id)
 	}
 }
 
-// recordResult caches how a run ended, for its repeats. One that never ran is evicted: its next repeat runs.
+// recordResult caches how a run ended, for its repeats. A request that never ran is evicted, so that its next repeat
+// runs.
 func (d *Dispatcher) recordResult(req *Request, outcome Outcome, result []byte) {
 	switch {
 	case req.key.Token == "":
@@ -59,8 +67,8 @@
 	}
 }
 
-// answerRepeats answers repeats whose original has ended. It waits until the module's actions have been carried out, and
-// its own events may make further repeats ready.
+// answerRepeats answers the repeats whose original has ended, including those that become ready while it runs. decide
+// calls it after carrying out the module's actions, and it calls decide itself: the inner call returns at once.
 func (d *Dispatcher) answerRepeats() {
 	if d.answeringRepeats {
 		return
@@ -77,14 +85,17 @@
 	d.readyRepeats = nil
 }
 
-// answerRepeat answers with the original's result. Without one the repeat fails, since its effect may have happened. If
-// nothing ran the caller may soon retry: the original was not started for a cause that has passed, or its caller left.
+// answerRepeat answers a repeat with the original's result. Without a result the repeat fails, since the original may
+// have taken effect. If the original never ran, the caller is advised to retry soon: what kept it from running has
+// passed, or its caller left.
 func (d *Dispatcher) answerRepeat(req *Request) {
-	resp, outcome := Response{Verdict: Errored}, admission.Errored
-	switch result, ok, ran := d.results.Result(req.original); {
+	resp := Response{Verdict: Errored}
+	outcome := admission.Errored
+	switch result, ok, remembered := d.results.Result(req.original); {
 	case ok:
-		resp, outcome = Response{Verdict: Replayed, Result: result}, admission.OK
-	case !ran:
+		resp = Response{Verdict: Replayed, Result: result}
+		outcome = admission.OK
+	case !remembered:
 		resp = Response{Verdict: Throttled, RetryAfter: monotime.FromDuration(d.bounds.ReplayRetryAfter)}
 	}
 	d.respond(req, resp)
--- a/internal/backend/dispatch/request.go
+++ b/internal/backend/dispatch/request.go
@@ -8,16 +8,17 @@
 
 // Invocation is a request as the server has read it.
 type Invocation struct {
-	ID                string          // unique for each attempt
-	Operation, Tenant int             // indices into the settings
-	Rank              float64         // of the caller's users, 0 to below 1
-	MemoryKB          float64         // that the request holds, in KB
-	Retry             bool            // marked as a retry by its caller
-	ExpectedWork      monotime.Micros // of CPU; 0 if unknown
-	ArrivedAt         monotime.Micros // when it reached the machine
-	CallerTimeout     monotime.Micros // for so long from then the caller waits
-	CallerLeft        <-chan struct{} // closed once the caller is known to have left
-	IdempotencyKey    string          // by which repeats of a keyed operation are recognised
+	ID             string          // unique for each attempt
+	Operation      int             // index into the settings' operations
+	Tenant         int             // index into the settings' tenants
+	Rank           float64         // priority of the caller's user, 0 to below 1
+	MemoryKB       float64         // memory that the request occupies, in KB
+	Retry          bool            // its caller marked it as a retry
+	ExpectedWork   monotime.Micros // CPU time on a standard core; 0: unknown
+	ArrivedAt      monotime.Micros // when it reached the host, on the dispatcher's clock
+	CallerTimeout  monotime.Micros // how long its caller waits for the answer, from ArrivedAt
+	CallerLeft     <-chan struct{} // closed once the caller is known to have left
+	IdempotencyKey string          // identifies repeats of a keyed operation; "": none
 }
 
 // Verdict is the decision on a request.
@@ -29,15 +30,15 @@
 	Throttled                // rejected; RetryAfter and DontRetry advise the caller
 	Errored                  // failed
 	Abandoned                // the caller has left; no answer is owed
-	Replayed                 // answered with the result of an earlier run with the same idempotency key
+	Replayed                 // answered with the result of an earlier request with the same idempotency key
 )
 
 // Response is a verdict with what the caller is to be answered.
 type Response struct {
 	Verdict    Verdict
-	RetryAfter monotime.Micros // the caller stays away from this backend for so long
-	DontRetry  bool            // the caller tries no other backend either
-	Result     []byte          // of the earlier run, if the verdict is Replayed
+	RetryAfter monotime.Micros // how long the caller sends nothing to this backend; 0: no advice
+	DontRetry  bool            // the caller must not retry on another backend either
+	Result     []byte          // result of the earlier run, if the verdict is Replayed
 }
 
 // Outcome is how a run ended.
@@ -48,20 +49,23 @@
 	RunSucceeded Outcome = iota
 	RunErrored
 	RunCancelled
-	NeverRan   // the executor has not started it
-	Unrunnable // the executor does not know the operation: no caller can have meant it
+	NeverRan   // the executor did not start it
+	Unrunnable // the executor does not know the operation
 )
 
-// moduleOutcomes has the outcomes as the decision module names them.
+// moduleOutcomes maps outcomes to those of the decision module.
 var moduleOutcomes = [...]admission.Outcome{
-	RunSucceeded: admission.OK, RunErrored: admission.Errored, RunCancelled: admission.Canceled, NeverRan: admission.NeverRan,
-	Unrunnable: admission.Unrunnable,
+	RunSucceeded: admission.OK,
+	RunErrored:   admission.Errored,
+	RunCancelled: admission.Canceled,
+	NeverRan:     admission.NeverRan,
+	Unrunnable:   admission.Unrunnable,
 }
 
-// maxResponses is how many responses a request gets at most: Admitted and a final one.
+// maxResponses bounds the responses to a request: Admitted and a final one.
 const maxResponses = 2
 
-// noBudget is the index of no budget: no quota unit was acquired.
+// noBudget is the index of a budget where there is none.
 const noBudget = -1
 
 // Request is a request in flight.
@@ -69,14 +73,14 @@
 	id          string
 	deadline    monotime.Micros // the caller waits no longer
 	objectiveAt monotime.Micros // a later answer misses the latency objective
-	responses   chan Response
-	shedAdvice  monotime.Micros // above 0 if a degradation level sheds it
-	drawnBudget int             // the budget that a unit was acquired from, or noBudget
+	responses   chan Response   // Admitted, if it is, and the final response
+	shedAdvice  monotime.Micros // minimum Retry-After of the degradation level that sheds it; 0: not shed
+	drawnBudget int             // index of the budget that a unit was acquired from, or noBudget
 	key         idempotency.Key // zero unless the operation is keyed
-	original    string          // the id of the request that it repeats, if any
+	original    string          // ID of the request that it repeats; "": it is no repeat
 	running     bool
-	answered    bool // the final response is out, or none is owed
+	answered    bool // the final response has been given, or none is owed
 }
 
-// FinalResponse delivers the final response, if there is one before the run ends.
+// FinalResponse returns the channel of the final response. It stays empty if the run ends first.
 func (r *Request) FinalResponse() <-chan Response { return r.responses }
--- a/internal/backend/dispatch/shadow.go
+++ b/internal/backend/dispatch/shadow.go
@@ -7,14 +7,14 @@
 	"milletbarrow/monotime"
 )
 
-// shadowState is what a shadow configuration adds to a dispatcher, guarded by its lock.
+// shadowState is the part of a Dispatcher that exists with a shadow configuration. Dispatcher.mu guards it.
 type shadowState struct {
 	settings  *config.Settings
 	evaluator *shadow.Evaluator // nil until Open
 }
 
-// SetShadow counts from now on where another configuration would have decided otherwise; nil ends it. No action of the
-// shadow's is carried out. Requests that are in flight now are not compared.
+// SetShadow starts to count the decisions that another configuration would have made differently; nil ends that. No
+// action of the shadow is carried out. Requests that are in flight now are not compared.
 func (d *Dispatcher) SetShadow(settings *config.Settings) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -23,19 +23,19 @@
 		return
 	}
 	d.shadow = &shadowState{settings: settings}
-	if d.backend != nil && !d.draining { // a process that shuts down evaluates nothing new
+	if d.backend != nil && !d.draining { // a process that shuts down starts no evaluation
 		d.startShadow()
 	}
 }
 
-// startShadow opens the shadow module as the first was opened: an executor that warms up does so for both.
+// startShadow opens the shadow module, if one is configured, with the opening time and warm-up of the primary.
 func (d *Dispatcher) startShadow() {
 	if state := d.shadow; state != nil {
 		state.evaluator = shadow.New(d.moduleConfig(state.settings), d.seed, d.openedAt)
 	}
 }
 
-// observeShadow passes an event and the actions decided on it to the shadow.
+// observeShadow passes an event, with the actions that the module decided on, to the shadow.
 func (d *Dispatcher) observeShadow(now monotime.Micros, event admission.Event) {
 	if d.shadow != nil && d.shadow.evaluator != nil {
 		d.shadow.evaluator.Observe(now, event, d.actions)
--- a/internal/backend/dispatch/ticker.go
+++ b/internal/backend/dispatch/ticker.go
@@ -8,44 +8,30 @@
 	"milletbarrow/monotime"
 )
 
-// RunTicks ticks until done is closed. Before each tick it requests a sample of the gauges and waits a little for it; if
-// the sample is late the tick goes by the gauges known before. requestSample reports whether a sample is on its way. One
-// that was late already is not waited for again, so that a silent executor does not stretch the time between two ticks.
+// Parts of the setting AnswerSlack, the time by which an answer may miss its deadline.
+const (
+	defaultTicksPerSlack = 3 // ticks where the module sets no time; the third is still in time to answer
+	// A request is overdue when its deadline is past by overdueNumerator/overdueDenominator of the slack. The module
+	// answers in the first part of it.
+	overdueNumerator   = 2
+	overdueDenominator = 3
+)
+
+// RunTicks ticks until done is closed. Before each tick it requests a sample of the gauges and waits up to
+// SampleTimeout for it; without one the tick uses the latest gauges. requestSample reports whether a sample is
+// expected. It is false while an earlier sample is late, so that a silent executor does not delay the ticks.
 func (d *Dispatcher) RunTicks(done <-chan struct{}, requestSample func() bool, sampled <-chan []float64) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	sleep := func(span time.Duration, samples <-chan []float64) (gauges []float64, over bool) {
-		timer.Reset(span)
-		select {
-		case <-timer.C:
-		case gauges = <-samples:
-		case <-done:
-			over = true
-		}
-		return gauges, over
-	}
+	sampler := sampler{bounds: &d.bounds, timer: timer, done: done, request: requestSample, samples: sampled}
 	next := Now()
 	for {
-		if _, over := sleep(time.Duration(next-Now())*time.Microsecond, nil); over {
+		if _, stopped := sampler.wait((next - Now()).Duration(), nil); stopped {
 			return
 		}
-		var gauges []float64
-		select {
-		case gauges = <-sampled: // a late one, unless a newer one comes
-		default:
-		}
-		for requested := Now(); requestSample(); requested = Now() {
-			newer, over := sleep(d.bounds.SampleTimeout, sampled)
-			if over {
-				return
-			}
-			if Now()-requested > monotime.FromDuration(d.bounds.StallThreshold) {
-				continue // the process was suspended meanwhile, and the sample is from before
-			}
-			if newer != nil {
-				gauges = newer
-			}
-			break
+		gauges, stopped := sampler.sample()
+		if stopped {
+			return
 		}
 		next = d.Tick(gauges)
 	}
@@ -81,13 +67,16 @@
 	return d.nextTick
 }
 
-// tickInterval is the time between ticks where the module sets none.
-func (d *Dispatcher) tickInterval() monotime.Micros { return d.settings.Admission.AnswerSlack / 3 }
+// tickInterval returns the time between ticks where the module sets none.
+func (d *Dispatcher) tickInterval() monotime.Micros {
+	return d.settings.Admission.AnswerSlack / defaultTicksPerSlack
+}
 
-// updateGauges takes in a sample. Without one the gauges known before hold for SampleMaxAge.
+// updateGauges stores a sample. Without one the latest gauges remain valid for SampleMaxAge.
 func (d *Dispatcher) updateGauges(now monotime.Micros, gauges []float64) {
 	if gauges != nil {
-		d.gauges, d.gaugesAt = append(d.gauges[:0], gauges...), now
+		d.gauges = append(d.gauges[:0], gauges...)
+		d.gaugesAt = now
 		return
 	}
 	d.counts.Unsampled++
@@ -99,8 +88,9 @@
 // answerOverdue answers requests whose deadline is well past. The module answers each in time, so these were lost by a
 // defect.
 func (d *Dispatcher) answerOverdue(now monotime.Micros) {
+	overdueAfter := d.settings.Admission.AnswerSlack * overdueNumerator / overdueDenominator
 	for _, req := range d.inFlight {
-		if !req.answered && now > req.deadline+d.settings.Admission.AnswerSlack*2/3 {
+		if !req.answered && now > req.deadline+overdueAfter {
 			slog.Error("overdue", "id", req.id, "late_us", now-req.deadline, "running", req.running)
 			d.respond(req, Response{Verdict: Errored})
 			_ = d.decide(now, admission.CallerGone{ID: req.id})
