--- a/internal/backend/dispatch/degradation_test.go
+++ b/internal/backend/dispatch/degradation_test.go
@@ -5,18 +5,12 @@
 	"testing"
 	"time"
 
+	"milletbarrow/admission"
 	"milletbarrow/internal/backend/degradation"
 	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
 )
 
-func policyOf(t *testing.T, text string) *degradation.Policy {
-	l, err := degradation.ParsePolicy("l", []byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return l
-}
-
 // TestDegradationLevels: a level sheds what its rules name, on arrival and with advice, and nothing else; an operator may
 // override it, and a policy that names what the deployment does not have is refused.
 func TestDegradationLevels(t *testing.T) {
@@ -81,3 +75,68 @@
 	r, _ = d.DegradationStatus()
 	tr.Say("%s: %t of a hundred are shed", r.Level, shed >= 49 && shed <= 51)
 }
+
+// TestRepeatNotShed: a level that sheds an operation leaves the repeats of what has run to their results.
+func TestRepeatNotShed(t *testing.T) {
+	d := openKeyed(t, "5000", nil)
+	_, first := d.Admit(keyedInvocation("a", "x"))
+	d.Complete(first, RunSucceeded, []byte("r"))
+	shedSecondOperation(t, d)
+	if resp, _ := d.Admit(keyedInvocation("b", "y")); resp.Verdict != Throttled {
+		t.Fatalf("new work is not shed: %+v", resp)
+	}
+	resp, _ := d.Admit(keyedInvocation("c", "x"))
+	if status, _ := d.DegradationStatus(); resp.Verdict != Replayed || status.Shed != 1 {
+		t.Errorf("the repeat: %+v, %d shed", resp, status.Shed)
+	}
+}
+
+// TestQueuedWantCores: the queue signal counts the requests that wait here with those on the executor's cores.
+func TestQueuedWantCores(t *testing.T) {
+	d := open(t)
+	since := Now()
+	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
+	shedSecondOperation(t, d)
+	left := make(chan struct{})
+	inv := newInvocation("a")
+	inv.CallerLeft = left
+	response := repeat(t, d, inv)
+	d.mu.Lock()
+	queued := d.queued()
+	d.updateLevel(admission.Reading{OnCores: 3, CoreUse: 0.5, MemoryShare: 0.1})
+	d.mu.Unlock()
+	close(left)
+	fakes.Take(t, "the response", response)
+	want := float64(3+queued) / float64(d.settings.Admission.Cores)
+	if status, _ := d.DegradationStatus(); queued != 1 || status.Signals[degradation.Queue] != want {
+		t.Errorf("%d queued, the signal is %v, wanted %v", queued, status.Signals[degradation.Queue], want)
+	}
+}
+
+// TestPolicyReplaced: another policy leaves the level in force, and what was counted, as they are.
+func TestPolicyReplaced(t *testing.T) {
+	d := open(t)
+	shedSecondOperation(t, d)
+	d.degradation.shedCount = 3
+	policy := d.degradation.policy
+	if err := d.SetDegradationPolicy(policy); err != nil {
+		t.Fatal(err)
+	}
+	if status, _ := d.DegradationStatus(); status.Level != "no-post" || status.Shed != 3 || len(status.Changes) != 1 {
+		t.Errorf("%+v", status)
+	}
+}
+
+// TestChangesBounded: only a bounded number of the latest changes is stored.
+func TestChangesBounded(t *testing.T) {
+	d := open(t)
+	shedSecondOperation(t, d)
+	for n := range 3 * maxRecentChanges {
+		d.degradation.recordChange(degradation.Change{At: monotime.Micros(n)})
+	}
+	status, _ := d.DegradationStatus()
+	latest := fmt.Sprintf("%d: %v", 3*maxRecentChanges-1, degradation.Change{})
+	if n := len(status.Changes); n != maxRecentChanges || status.Changes[n-1] != latest {
+		t.Errorf("%d changes, the latest %q", n, status.Changes[n-1])
+	}
+}
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -1,29 +1,17 @@
 package dispatch
 
 import (
+	"errors"
 	"fmt"
+	"strings"
 	"testing"
 
-	"milletbarrow/internal/backend/quota"
+	"milletbarrow/admission"
+	"milletbarrow/internal/backend/quotalog"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/monotime"
 )
 
-// withQuota gives the first tenant of a dispatcher four units, and no more: its clock stands.
-func withQuota(t *testing.T, d *Dispatcher) *Dispatcher {
-	h := quota.New("n", "1", []string{"b"})
-	now := monotime.Micros(1)
-	a := h.NewRequest(now)
-	if err := h.Apply(now, quota.LeaseResponse{Name: "n", Incarnation: "1", Number: a.Number, Grants: []quota.Grant{{Budget: "b", Epoch: 1, Floor: 4, Lease: 1}}}); err != nil {
-		t.Fatal(err)
-	}
-	now += 2_000_000
-	if err := d.SetQuotas(QuotaConfig{Holder: h, Tenants: map[string]string{d.settings.Tenants[0]: "b"}, Clock: func() monotime.Micros { return now }}); err != nil {
-		t.Fatal(err)
-	}
-	return d
-}
-
 // TestQuotaUnitsRefunded: work that is throttled, that the executor never ran or does not know, or whose caller left
 // before its start, gets its unit refunded; what ran does not.
 func TestQuotaUnitsRefunded(t *testing.T) {
@@ -60,3 +48,48 @@
 	d.Complete(first, RunSucceeded, nil)
 	fakes.Take(t, "its response", waiting)
 }
+
+// TestShedAcquiresNoUnit: a request that a level sheds acquires no unit of its tenant's budget.
+func TestShedAcquiresNoUnit(t *testing.T) {
+	d := withQuota(t, open(t))
+	shedSecondOperation(t, d)
+	inv := newInvocation("a")
+	inv.Operation = 1
+	d.Admit(inv)
+	if s := d.QuotaStatus()[0]; s.Drawn != 0 || s.Denied != 0 {
+		t.Errorf("%d acquired, %d denied", s.Drawn, s.Denied)
+	}
+	inv = newInvocation("b")
+	inv.Tenant = 1 << 20 // beyond the deployment's tenants
+	if standing := d.acquireUnit(&inv, &Request{}); standing != admission.QuotaUnknown {
+		t.Errorf("an unknown tenant's standing is %v", standing)
+	}
+	inv.Tenant = -1
+	if standing := d.acquireUnit(&inv, &Request{}); standing != admission.QuotaUnknown {
+		t.Errorf("no tenant's standing is %v", standing)
+	}
+}
+
+// TestUnknownTenantOfBudget: a budget of a tenant that the deployment lacks is refused.
+func TestUnknownTenantOfBudget(t *testing.T) {
+	d := withQuota(t, open(t))
+	err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, Tenants: map[string]string{"nobody": "b"}})
+	const want = "draw: map[nobody:b] has a tenant that the deployment does not have; its tenants are [acme zenith]"
+	if unknown := (*UnknownTenantError)(nil); !errors.As(err, &unknown) || err.Error() != want {
+		t.Errorf("%v, wanted %s", err, want)
+	}
+}
+
+// TestUseLoggedBeforeRelease: what was acquired until the release is recorded before it.
+func TestUseLoggedBeforeRelease(t *testing.T) {
+	d := withQuota(t, open(t))
+	var records strings.Builder
+	d.quotas.machineClock = func() monotime.Micros { return 7 }
+	d.quotas.log = quotalog.New(&records, 5, 0)
+	_, req := d.Admit(newInvocation("a"))
+	d.Complete(req, RunSucceeded, nil)
+	d.ReleaseQuotas()
+	if want := "clock 5 0\ndrew 5 7 b 1\nhave 7 b 1 0 0 0\n"; records.String() != want {
+		t.Errorf("got\n%swanted\n%s", records.String(), want)
+	}
+}
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -1,47 +1,13 @@
 package dispatch
 
 import (
-	"encoding/json"
-	"strings"
 	"testing"
 
 	"milletbarrow/admission"
-	"milletbarrow/internal/config"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
-	"milletbarrow/monotime"
 )
 
-// openKeyed opens a dispatcher whose second operation has idempotency keys, remembered for window milliseconds.
-func openKeyed(t *testing.T, window string, bounds func(*limits.Bounds)) *Dispatcher {
-	var settings config.Settings
-	text := strings.NewReplacer(`"at_most_once"`, `"deduplicated","window_ms":`+window, `"run_factor"`, `"key_kb":20,"run_factor"`).Replace(fakes.Settings)
-	if err := json.Unmarshal([]byte(text), &settings); err != nil {
-		t.Fatal(err)
-	}
-	b := limits.For(1, 192, 1024)
-	if bounds != nil {
-		bounds(&b)
-	}
-	d := New(&settings, 1, b)
-	d.Open(false, 0)
-	return d
-}
-
-func keyedInvocation(id, token string) Invocation {
-	inv := newInvocation(id)
-	inv.Operation, inv.IdempotencyKey = 1, token
-	return inv
-}
-
-// repeat admits a repeat, waits until it waits for its original, and returns where its response will come.
-func repeat(t *testing.T, d *Dispatcher, inv Invocation) <-chan Response {
-	response, n := make(chan Response, 1), requestsInFlight(d)
-	go func() { resp, _ := d.Admit(inv); response <- resp }()
-	fakes.Until(t, "it waits", func() bool { return requestsInFlight(d) == n+1 || len(response) > 0 })
-	return response
-}
-
 // TestRepeats walks through what can become of the repeats of one piece of work.
 func TestRepeats(t *testing.T) {
 	tr := fakes.NewTrace(t)
@@ -201,24 +167,6 @@
 	}
 }
 
-// TestArrivalTimes: a request never seems to have waited for less than no time, nor to be without a deadline.
-func TestArrivalTimes(t *testing.T) {
-	const now = 10_000_000
-	for _, row := range []struct{ arrivedAt, deadline, queueTime, timeLeft monotime.Micros }{
-		{now - 5, now + 7, 5, 7},
-		{now + 5, now + 7, 0, 7},
-		{now - 5, now, 5, 1},
-		{now - 5, now - 1, 5, 1},
-	} {
-		inv := newInvocation("a")
-		inv.ArrivedAt = row.arrivedAt
-		event := arrival(now, &inv, &Request{deadline: row.deadline}, admission.QuotaUnknown)
-		if event.QueueTime != row.queueTime || event.TimeLeft != row.timeLeft {
-			t.Errorf("%+v: queue time %d, time left %d", row, event.QueueTime, event.TimeLeft)
-		}
-	}
-}
-
 // TestAnsweredRepeatStopsWaiting: a repeat that is answered before its original ends waits for that no more.
 func TestAnsweredRepeatStopsWaiting(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
