--- a/internal/backend/dispatch/admit_test.go
+++ b/internal/backend/dispatch/admit_test.go
@@ -9,8 +9,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestVerdicts walks through what can become of one invocation.
-func TestVerdicts(t *testing.T) {
+// TestEachRequestGetsItsVerdict walks through what can become of one invocation.
+func TestEachRequestGetsItsVerdict(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	resp, req := d.Admit(newInvocation("a"))
@@ -58,8 +58,8 @@
 	tr.Say("draining: good %t", d.Healthy())
 }
 
-// TestExpiredAndAbandoned: nothing stays in flight for callers that have left or never waited.
-func TestExpiredAndAbandoned(t *testing.T) {
+// TestExpiredAndAbandonedRequestsLeaveNothingInFlight: nothing stays in flight for callers that have left or never waited.
+func TestExpiredAndAbandonedRequestsLeaveNothingInFlight(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	d.Tick([]float64{1, 2.4, 0.1, 1}) // no room for a start; the queue is not yet long
@@ -88,8 +88,8 @@
 	tr.Say("in hand %d", requestsInFlight(d))
 }
 
-// TestRespondOnce: a request gets one final response and starts once.
-func TestRespondOnce(t *testing.T) {
+// TestRequestIsAnsweredOnce: a request gets one final response and starts once.
+func TestRequestIsAnsweredOnce(t *testing.T) {
 	d := open(t)
 	_, req := d.Admit(newInvocation("a"))
 	d.perform(admission.Start{ID: "a"})
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestDuplicateIDAbandoned: a request whose id is in flight already, and whose caller leaves, does not end the other. The answer and the
+// TestAbandonedDuplicateLeavesRunningRequest: a request whose id is in flight already, and whose caller leaves, does not end the other. The answer and the
 // leaving are there at once, so that either may be seen first: fifty times, to see both.
-func TestDuplicateIDAbandoned(t *testing.T) {
+func TestAbandonedDuplicateLeavesRunningRequest(t *testing.T) {
 	d := open(t)
 	_, first := d.Admit(newInvocation("a"))
 	for range 50 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestQueuedSurvivesDuplicateID: a request in the queue still runs after others of its id came and their callers left.
-func TestQueuedSurvivesDuplicateID(t *testing.T) {
+// TestAbandonedDuplicateLeavesQueuedRequest: a request in the queue still runs after others of its id came and their callers left.
+func TestAbandonedDuplicateLeavesQueuedRequest(t *testing.T) {
 	d := open(t)
 	since := Now()
 	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestCachedIDRefused: a request with the id of one whose result is cached is refused, and the result stays.
-func TestCachedIDRefused(t *testing.T) {
+// TestDuplicateOfCachedIDIsRejected: a request with the id of one whose result is cached is refused, and the result stays.
+func TestDuplicateOfCachedIDIsRejected(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestArrivalTimes: a request never seems to have waited for less than no time, nor to be without a deadline.
-func TestArrivalTimes(t *testing.T) {
+// TestArrivalTimesAreClamped: a request never seems to have waited for less than no time, nor to be without a deadline.
+func TestArrivalTimesAreClamped(t *testing.T) {
 	const now = 10_000_000
 	for _, row := range []struct{ arrivedAt, deadline, queueTime, timeLeft monotime.Micros }{
 		{now - 5, now + 7, 5, 7},
@@ -170,8 +170,8 @@
 	}
 }
 
-// TestArrivalAfterHoldUpAwaitsTick: after a hold-up, arrivals are decided by the gauges of the next tick, or without if none comes.
-func TestArrivalAfterHoldUpAwaitsTick(t *testing.T) {
+// TestArrivalAfterStallAwaitsTick: after a hold-up, arrivals are decided by the gauges of the next tick, or without if none comes.
+func TestArrivalAfterStallAwaitsTick(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	waiting := func() bool {
--- a/internal/backend/dispatch/clock_test.go
+++ b/internal/backend/dispatch/clock_test.go
@@ -7,9 +7,9 @@
 	"milletbarrow/monotime"
 )
 
-// TestClock: the dispatcher's time goes by the monotonic clock. A wall clock that is set would stop the ticks, or make all
+// TestClockIsMonotonic: the dispatcher's time goes by the monotonic clock. A wall clock that is set would stop the ticks, or make all
 // requests in flight due at once.
-func TestClock(t *testing.T) {
+func TestClockIsMonotonic(t *testing.T) {
 	if clockStart == clockStart.Round(0) { //nolint:staticcheck // Equal would not see the monotonic reading
 		t.Error("the beginning carries no reading of the machine's clock: setting the wall clock would move the dispatcher's time")
 	}
--- a/internal/backend/dispatch/degradation_test.go
+++ b/internal/backend/dispatch/degradation_test.go
@@ -11,9 +11,9 @@
 	"milletbarrow/monotime"
 )
 
-// TestDegradationLevels: a level sheds what its rules name, on arrival and with advice, and nothing else; an operator may
+// TestLevelShedsWhatItsRulesName: a level sheds what its rules name, on arrival and with advice, and nothing else; an operator may
 // override it, and a policy that names what the deployment does not have is refused.
-func TestDegradationLevels(t *testing.T) {
+func TestLevelShedsWhatItsRulesName(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	tr.Say("%v", d.SetDegradationPolicy(policyOf(t, `(ladder l (level a (shed (operations nothing)) (enter (queue 5)) (exit (queue 4))))`)))
@@ -76,8 +76,8 @@
 	tr.Say("%s: %t of a hundred are shed", r.Level, shed >= 49 && shed <= 51)
 }
 
-// TestRepeatNotShed: a level that sheds an operation leaves the repeats of what has run to their results.
-func TestRepeatNotShed(t *testing.T) {
+// TestRepeatIsNotShed: a level that sheds an operation leaves the repeats of what has run to their results.
+func TestRepeatIsNotShed(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestQueuedWantCores: the queue signal counts the requests that wait here with those on the executor's cores.
-func TestQueuedWantCores(t *testing.T) {
+// TestQueueSignalCountsQueuedRequests: the queue signal counts the requests that wait here with those on the executor's cores.
+func TestQueueSignalCountsQueuedRequests(t *testing.T) {
 	d := open(t)
 	since := Now()
 	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestPolicyReplaced: another policy leaves the level in force, and what was counted, as they are.
-func TestPolicyReplaced(t *testing.T) {
+// TestReplacedPolicyLeavesLevelAndCounts: another policy leaves the level in force, and what was counted, as they are.
+func TestReplacedPolicyLeavesLevelAndCounts(t *testing.T) {
 	d := open(t)
 	shedSecondOperation(t, d)
 	d.degradation.shedCount = 3
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestChangesBounded: only a bounded number of the latest changes is stored.
-func TestChangesBounded(t *testing.T) {
+// TestRecentChangesAreBounded: only a bounded number of the latest changes is stored.
+func TestRecentChangesAreBounded(t *testing.T) {
 	d := open(t)
 	shedSecondOperation(t, d)
 	for n := range 3 * maxRecentChanges {
--- a/internal/backend/dispatch/dispatcher_test.go
+++ b/internal/backend/dispatch/dispatcher_test.go
@@ -11,8 +11,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestBeforeOpen: before the executor is there nothing can run, and the backend is unhealthy.
-func TestBeforeOpen(t *testing.T) {
+// TestUnhealthyAndThrottlingUntilOpen: before the executor is there nothing can run, and the backend is unhealthy.
+func TestUnhealthyAndThrottlingUntilOpen(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	shut := New(&config.Settings{}, 1, limits.For(1, 192, 1024))
 	resp, req := shut.Admit(newInvocation("a"))
@@ -26,8 +26,8 @@
 	tr.Say("greeted again: owed %t, good %t", d.Complete(req, RunSucceeded, nil), d.Healthy())
 }
 
-// TestOpenOnce: a second greeting of the executor leaves the module and what it knows as they are.
-func TestOpenOnce(t *testing.T) {
+// TestSecondOpenChangesNothing: a second greeting of the executor leaves the module and what it knows as they are.
+func TestSecondOpenChangesNothing(t *testing.T) {
 	d := open(t)
 	module, openedAt := d.backend, d.openedAt
 	d.Open(true, 1_000_000)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestOpenLongAgo: the module never believes that its opening lies further back than the warm-up.
-func TestOpenLongAgo(t *testing.T) {
+// TestOpeningIsAtMostAWarmUpAgo: the module never believes that its opening lies further back than the warm-up.
+func TestOpeningIsAtMostAWarmUpAgo(t *testing.T) {
 	d := open(t)
 	d.backend = nil
 	d.Open(true, 3_600_000_000)
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestWarmExecutorsPast: the module opens now for an executor that has been warm for long.
-func TestWarmExecutorsPast(t *testing.T) {
+// TestWarmExecutorOpensNow: the module opens now for an executor that has been warm for long.
+func TestWarmExecutorOpensNow(t *testing.T) {
 	d := open(t)
 	d.backend = nil
 	start := Now()
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestIdleTimeout: the server closes idle connections only if the module wants that sooner than the callers do it.
-func TestIdleTimeout(t *testing.T) {
+// TestIdleTimeoutIsSetOnlyBelowConfigured: the server closes idle connections only if the module wants that sooner than the callers do it.
+func TestIdleTimeoutIsSetOnlyBelowConfigured(t *testing.T) {
 	d := open(t)
 	configured := d.settings.Admission.IdleTimeout
 	for after, want := range map[monotime.Micros]time.Duration{
--- a/internal/backend/dispatch/drain_test.go
+++ b/internal/backend/dispatch/drain_test.go
@@ -10,8 +10,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestGraceBroughtForward: a notice heard late, or a second one, ends the grace when it was to end by the first.
-func TestGraceBroughtForward(t *testing.T) {
+// TestGraceEndsAtEarliestEnd: a notice heard late, or a second one, ends the grace when it was to end by the first.
+func TestGraceEndsAtEarliestEnd(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	d.Drain(5_000_000, 300_000)
@@ -32,8 +32,8 @@
 	say(tr, "heard after its grace", resp, req, late)
 }
 
-// TestDrainBeforeExecutorReady: an executor that comes up during a graceful shutdown admits nothing after the grace.
-func TestDrainBeforeExecutorReady(t *testing.T) {
+// TestGraceAppliesToLateExecutor: an executor that comes up during a graceful shutdown admits nothing after the grace.
+func TestGraceAppliesToLateExecutor(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	var settings config.Settings
 	if err := json.Unmarshal([]byte(fakes.Settings), &settings); err != nil {
@@ -54,9 +54,9 @@
 	say(tr, "after that", resp, req, d)
 }
 
-// TestLaterNotice: a second notice never extends the grace, and a draining backend is unhealthy whatever the module
+// TestSecondNoticeNeverExtendsGrace: a second notice never extends the grace, and a draining backend is unhealthy whatever the module
 // wants.
-func TestLaterNotice(t *testing.T) {
+func TestSecondNoticeNeverExtendsGrace(t *testing.T) {
 	d := open(t)
 	d.Drain(5_000_000, 100_000)
 	end := d.graceEnd
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestModuleGrace: the module's grace is shorter by the delay that a notice may have, and never negative.
-func TestModuleGrace(t *testing.T) {
+// TestModuleGraceIsShorterByNoticeDelay: the module's grace is shorter by the delay that a notice may have, and never negative.
+func TestModuleGraceIsShorterByNoticeDelay(t *testing.T) {
 	d := open(t)
 	late := monotime.FromDuration(d.bounds.NoticeDelay)
 	settings := *d.settings
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestOwnGrace: the dispatcher itself rejects only what arrives between the end of the true grace and that of the
+// TestRejectsBetweenGraceEnds: the dispatcher itself rejects only what arrives between the end of the true grace and that of the
 // module's.
-func TestOwnGrace(t *testing.T) {
+func TestRejectsBetweenGraceEnds(t *testing.T) {
 	d := open(t)
 	d.Drain(5_000_000, 100_000)
 	now := Now()
--- a/internal/backend/dispatch/module_test.go
+++ b/internal/backend/dispatch/module_test.go
@@ -8,8 +8,8 @@
 	"milletbarrow/admission"
 )
 
-// TestModulePanic: a panic of the module is an error that has its value, and wraps it if that is an error itself.
-func TestModulePanic(t *testing.T) {
+// TestModulePanicIsReturnedAsError: a panic of the module is an error that has its value, and wraps it if that is an error itself.
+func TestModulePanicIsReturnedAsError(t *testing.T) {
 	d := open(t)
 	err := d.decide(Now(), admission.Arrived{ID: "a", Operation: 99}) // the module indexes its operations with it
 	var panicked *PanicError
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -12,9 +12,9 @@
 	"milletbarrow/monotime"
 )
 
-// TestQuotaUnitsRefunded: work that is throttled, that the executor never ran or does not know, or whose caller left
+// TestQuotaUnitIsRefundedUnlessRun: work that is throttled, that the executor never ran or does not know, or whose caller left
 // before its start, gets its unit refunded; what ran does not.
-func TestQuotaUnitsRefunded(t *testing.T) {
+func TestQuotaUnitIsRefundedUnlessRun(t *testing.T) {
 	d := withQuota(t, open(t))
 	for n := range 8 { // more than there are units
 		big := newInvocation(fmt.Sprint("big", n))
@@ -49,8 +49,8 @@
 	fakes.Take(t, "its response", waiting)
 }
 
-// TestShedAcquiresNoUnit: a request that a level sheds acquires no unit of its tenant's budget.
-func TestShedAcquiresNoUnit(t *testing.T) {
+// TestShedRequestAcquiresNoUnit: a request that a level sheds acquires no unit of its tenant's budget.
+func TestShedRequestAcquiresNoUnit(t *testing.T) {
 	d := withQuota(t, open(t))
 	shedSecondOperation(t, d)
 	inv := newInvocation("a")
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestUnknownTenantOfBudget: a budget of a tenant that the deployment lacks is refused.
-func TestUnknownTenantOfBudget(t *testing.T) {
+// TestBudgetOfUnknownTenantIsRefused: a budget of a tenant that the deployment lacks is refused.
+func TestBudgetOfUnknownTenantIsRefused(t *testing.T) {
 	d := withQuota(t, open(t))
 	err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, Tenants: map[string]string{"nobody": "b"}})
 	const want = "draw: map[nobody:b] has a tenant that the deployment does not have; its tenants are [acme zenith]"
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestUseLoggedBeforeRelease: what was acquired until the release is recorded before it.
-func TestUseLoggedBeforeRelease(t *testing.T) {
+// TestUseIsLoggedBeforeRelease: what was acquired until the release is recorded before it.
+func TestUseIsLoggedBeforeRelease(t *testing.T) {
 	d := withQuota(t, open(t))
 	var records strings.Builder
 	d.quotas.machineClock = func() monotime.Micros { return 7 }
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -8,8 +8,8 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestRepeats walks through what can become of the repeats of one piece of work.
-func TestRepeats(t *testing.T) {
+// TestRepeatIsAnsweredWithOriginalsResult walks through what can become of the repeats of one piece of work.
+func TestRepeatIsAnsweredWithOriginalsResult(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := openKeyed(t, "5000", nil)
 	sayVerdict := func(what string, resp Response, req *Request) {
@@ -60,8 +60,8 @@
 	tr.Say("run %d, repeated %d, errored %d, kept %d", c.Started, c.Replayed, c.Errored, d.results.Len())
 }
 
-// TestRepeatOfQueuedRequest: the first waits in line and its caller leaves. It never ran, so the next runs.
-func TestRepeatOfQueuedRequest(t *testing.T) {
+// TestRepeatOfAbandonedQueuedRequestMayRetry: the first waits in line and its caller leaves. It never ran, so the next runs.
+func TestRepeatOfAbandonedQueuedRequestMayRetry(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	reads := func(gauges ...float64) { // the module reads them now and then
 		since := Now()
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestRepeatWindow: after the window it is new work; a repeat that arrived within it and is read later is none.
-func TestRepeatWindow(t *testing.T) {
+// TestRepeatWindowCountsFromArrival: after the window it is new work; a repeat that arrived within it and is read later is none.
+func TestRepeatWindowCountsFromArrival(t *testing.T) {
 	d := openKeyed(t, "20", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestResultCacheFull: what cannot be remembered is not run, with when to come back; what is remembered is answered all the same.
-func TestResultCacheFull(t *testing.T) {
+// TestFullResultCacheRejectsNewWork: what cannot be remembered is not run, with when to come back; what is remembered is answered all the same.
+func TestFullResultCacheRejectsNewWork(t *testing.T) {
 	d := openKeyed(t, "5000", func(b *limits.Bounds) { b.IdempotencyCacheSize = 3 << 10; b.ResultSize = 1 << 10 })
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	resp, none := d.Admit(keyedInvocation("b", "y"))
--- a/internal/backend/dispatch/shadow_test.go
+++ b/internal/backend/dispatch/shadow_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestShadowStartsAsOpened: a shadow set later is as cold as the executor still is; a process that shuts down starts none.
-func TestShadowStartsAsOpened(t *testing.T) {
+// TestShadowOpensLikePrimary: a shadow set later is as cold as the executor still is; a process that shuts down starts none.
+func TestShadowOpensLikePrimary(t *testing.T) {
 	d := open(t)
 	d.backend = nil // open it anew, cold for 3 s
 	d.Open(true, 3_000_000)
--- a/internal/backend/dispatch/ticker_test.go
+++ b/internal/backend/dispatch/ticker_test.go
@@ -12,8 +12,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestTicksWithoutSamples: ticks never wait for the executor; what is due is answered though no sample comes.
-func TestTicksWithoutSamples(t *testing.T) {
+// TestTicksGoOnWithoutSamples: ticks never wait for the executor; what is due is answered though no sample comes.
+func TestTicksGoOnWithoutSamples(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	done, over := make(chan struct{}), make(chan struct{})
@@ -29,8 +29,8 @@
 	tr.Say("asked %t", requested > 0)
 }
 
-// TestLateSampleUsed: a sample that came after its tick serves the next, if no newer one comes.
-func TestLateSampleUsed(t *testing.T) {
+// TestLateSampleIsUsedByNextTick: a sample that came after its tick serves the next, if no newer one comes.
+func TestLateSampleIsUsedByNextTick(t *testing.T) {
 	sampled := make(chan []float64, 1)
 	sampled <- []float64{0.5, 7, 0.1, 1}
 	if got := runUntilSampled(t, open(t), func() bool { return true }, sampled); got != 7 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestSampleOfBeforeSuspension: a sample that was waited for while the process was suspended is requested again.
-func TestSampleOfBeforeSuspension(t *testing.T) {
+// TestSampleIsRequestedAgainAfterStall: a sample that was waited for while the process was suspended is requested again.
+func TestSampleIsRequestedAgainAfterStall(t *testing.T) {
 	d := open(t)
 	d.bounds.SampleTimeout = 10 * time.Second
 	sampled := make(chan []float64, 1)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestOldGaugesDropped: without samples the gauges hold for a while, and then are unknown.
-func TestOldGaugesDropped(t *testing.T) {
+// TestOldGaugesBecomeUnknown: without samples the gauges hold for a while, and then are unknown.
+func TestOldGaugesBecomeUnknown(t *testing.T) {
 	d := open(t)
 	d.Tick(fullCores)
 	d.gaugesAt = Now()
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestNextTick: the next tick lies in the future though the module sets no timer.
-func TestNextTick(t *testing.T) {
+// TestNextTickIsInTheFuture: the next tick lies in the future though the module sets no timer.
+func TestNextTickIsInTheFuture(t *testing.T) {
 	d := open(t)
 	silenceModule(d)
 	start := Now()
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestOverdueAnswered: a request that the module has lost is answered once its deadline is well past, and one that has
+// TestOverdueRequestIsAnswered: a request that the module has lost is answered once its deadline is well past, and one that has
 // been answered is left alone.
-func TestOverdueAnswered(t *testing.T) {
+func TestOverdueRequestIsAnswered(t *testing.T) {
 	d := open(t)
 	_, lost := d.Admit(newInvocation("lost"))
 	_, abandoned := d.Admit(newInvocation("abandoned"))
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestTickAnswersOverdue: each tick answers what is overdue.
-func TestTickAnswersOverdue(t *testing.T) {
+// TestTickAnswersOverdueRequests: each tick answers what is overdue.
+func TestTickAnswersOverdueRequests(t *testing.T) {
 	d := open(t)
 	_, lost := d.Admit(newInvocation("lost"))
 	silenceModule(d)
