--- a/internal/backend/dispatch/admit_test.go
+++ b/internal/backend/dispatch/admit_test.go
@@ -9,86 +9,88 @@
 	"milletbarrow/monotime"
 )
 
-// TestEachRequestGetsItsVerdict walks through what can become of one invocation.
+// A request that runs, is a duplicate, is abandoned, overdue, lost by a panic or shed gets its verdict, and leaves
+// nothing in flight.
 func TestEachRequestGetsItsVerdict(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	resp, req := d.Admit(newInvocation("a"))
-	say(tr, "idle cores", resp, req, d)
+	sayResponse(tr, "idle cores", resp, req, d)
 	same, none := d.Admit(newInvocation("a"))
-	say(tr, "an id that is in hand", same, none, d)
-	tr.Say("its run succeeds: owed %t, in hand %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+	sayResponse(tr, "a duplicate of an ID in flight", same, none, d)
+	tr.Say("its run succeeds: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
 	_, req = d.Admit(newInvocation("b"))
 	d.Abandon(req)
-	tr.Say("the caller left: final word %s", responseText(<-req.FinalResponse()))
-	tr.Say("its run succeeds: owed %t, in hand %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+	tr.Say("the caller left: final response %s", responseText(<-req.FinalResponse()))
+	tr.Say("its run succeeds: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
 	early := newInvocation("c")
-	early.ArrivedAt -= 3_900_000 // due in 100 ms, of which the run knows nothing
+	early.ArrivedAt -= 3_900 * monotime.Millisecond // its deadline is in 100 ms; its run goes on
 	_, req = d.Admit(early)
 	for len(req.FinalResponse()) == 0 {
 		d.Tick([]float64{0.5, 1, 0, 0})
 	}
-	late := Now() - (early.ArrivedAt + early.CallerTimeout)
-	tr.Say("due while it runs: final word %s, too late %t", responseText(<-req.FinalResponse()), late > d.settings.Admission.AnswerSlack)
-	tr.Say("its run succeeds after all: owed %t, in hand %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+	lateBy := Now() - (early.ArrivedAt + early.CallerTimeout)
+	tr.Say("due while it runs: final response %s, too late %t",
+		responseText(<-req.FinalResponse()), lateBy > d.settings.Admission.AnswerSlack)
+	tr.Say("its run succeeds after all: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
-	fault := newInvocation("d")
-	fault.Operation = 99 // the module indexes its operations with it
-	resp, req = d.Admit(fault)
-	say(tr, "a panic in the module", resp, req, d)
+	panics := newInvocation("d")
+	panics.Operation = 99 // out of range of the module's operations
+	resp, req = d.Admit(panics)
+	sayResponse(tr, "a panic in the module", resp, req, d)
 	resp, req = d.Admit(newInvocation("e"))
-	say(tr, "the next after it", resp, req, d)
+	sayResponse(tr, "the next after it", resp, req, d)
 	d.Complete(req, RunErrored, nil)
 
-	n := 0
+	attempts := 0
 	fakes.Until(t, "the queue is beyond the threshold", func() bool {
 		d.Tick([]float64{1, 20, 0.1, 1})
-		n++
-		inv := newInvocation(fmt.Sprint("f", n))
-		inv.CallerLeft = leftCaller // it does not wait in the queue
+		attempts++
+		inv := newInvocation(fmt.Sprint("f", attempts))
+		inv.CallerLeft = leftCaller // so that it does not wait in the queue
 		if resp, req = d.Admit(inv); req != nil {
 			d.Complete(req, NeverRan, nil)
 		}
 		return resp.Verdict == Throttled
 	})
-	say(tr, "crowded cores", resp, req, d)
-	d.Drain(5_000_000, 300_000)
-	tr.Say("draining: good %t", d.Healthy())
+	sayResponse(tr, "the queue is beyond the threshold", resp, req, d)
+	d.Drain(5*monotime.Second, 300*monotime.Millisecond)
+	tr.Say("draining: healthy %t", d.Healthy())
 }
 
-// TestExpiredAndAbandonedRequestsLeaveNothingInFlight: nothing stays in flight for callers that have left or never waited.
+// No request stays in flight whose caller has left or did not wait.
 func TestExpiredAndAbandonedRequestsLeaveNothingInFlight(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
-	d.Tick([]float64{1, 2.4, 0.1, 1}) // no room for a start; the queue is not yet long
+	d.Tick([]float64{1, 2.4, 0.1, 1}) // the cores are full, and the queue is short
 	inv := newInvocation("a")
 	inv.CallerLeft = leftCaller
 	resp, req := d.Admit(inv)
-	say(tr, "left while held", resp, req, d)
+	sayResponse(tr, "its caller left at once", resp, req, d)
 	d = open(t)
-	for _, wait := range []monotime.Micros{0, -5_000_000, 1 << 55} {
-		inv := newInvocation(fmt.Sprint("wait", wait))
-		inv.CallerTimeout = wait
+	for _, timeout := range []monotime.Micros{0, -5 * monotime.Second, 1 << 55} {
+		inv := newInvocation(fmt.Sprint("timeout", timeout))
+		inv.CallerTimeout = timeout
 		resp, req := d.Admit(inv)
-		for req != nil && wait <= 0 && len(req.FinalResponse()) == 0 {
+		for req != nil && timeout <= 0 && len(req.FinalResponse()) == 0 {
 			d.Tick(nil)
 		}
-		say(tr, fmt.Sprint("wait of ", wait), resp, req, d)
+		sayResponse(tr, fmt.Sprint("caller timeout ", timeout), resp, req, d)
 		if req != nil {
 			d.Complete(req, RunSucceeded, nil)
 		}
 	}
 	inv = newInvocation("future")
-	inv.ArrivedAt += 60_000_000
+	inv.ArrivedAt += 60 * monotime.Second
 	resp, req = d.Admit(inv)
-	say(tr, "at is a minute ahead", resp, req, d)
+	sayResponse(tr, "arrived a minute ahead", resp, req, d)
 	d.Complete(req, RunSucceeded, nil)
-	tr.Say("in hand %d", requestsInFlight(d))
+	tr.Say("in flight %d", requestsInFlight(d))
 }
 
-// TestRequestIsAnsweredOnce: a request gets one final response and starts once.
+// A request gets one final response and starts once.
 func TestRequestIsAnsweredOnce(t *testing.T) {
 	d := open(t)
 	_, req := d.Admit(newInvocation("a"))
@@ -103,8 +105,8 @@
 	}
 }
 
-// TestAbandonedDuplicateLeavesRunningRequest: a request whose id is in flight already, and whose caller leaves, does not end the other. The answer and the
-// leaving are there at once, so that either may be seen first: fifty times, to see both.
+// A request with the ID of a running one, whose caller leaves, does not end the running one. The rejection and the
+// caller's leaving are simultaneous and may be seen in either order: fifty attempts see both.
 func TestAbandonedDuplicateLeavesRunningRequest(t *testing.T) {
 	d := open(t)
 	_, first := d.Admit(newInvocation("a"))
@@ -116,61 +118,72 @@
 		}
 	}
 	if !d.Complete(first, RunSucceeded, nil) || requestsInFlight(d) != 0 {
-		t.Errorf("the first is owed no answer, or is still in flight: %d", requestsInFlight(d))
+		t.Errorf("the first request is owed no answer, or is still in flight: %d", requestsInFlight(d))
 	}
 }
 
-// TestAbandonedDuplicateLeavesQueuedRequest: a request in the queue still runs after others of its id came and their callers left.
+// A queued request still starts after others with its ID have arrived and their callers have left.
 func TestAbandonedDuplicateLeavesQueuedRequest(t *testing.T) {
 	d := open(t)
-	since := Now()
-	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
-	response := repeat(t, d, newInvocation("a"))
-	for range 50 { // the answer and the caller's leaving are there at once: either may be seen first
+	tickUntilRead(t, d, fullCores)
+	response := admitAsync(t, d, newInvocation("a"))
+	for range 50 { // the rejection and the caller's leaving may be seen in either order
 		again := newInvocation("a")
 		again.CallerLeft = leftCaller
 		if resp, _ := d.Admit(again); resp.Verdict != Errored {
 			t.Fatalf("%+v", resp)
 		}
 	}
-	fakes.Until(t, "the first is answered", func() bool { d.Tick([]float64{0.1, 0, 0.1, 1}); return len(response) > 0 })
+	fakes.Until(t, "the first request is answered", func() bool {
+		d.Tick(idleGauges)
+		return len(response) > 0
+	})
 	if resp := <-response; resp.Verdict != Admitted {
-		t.Errorf("the first: %+v", resp)
+		t.Errorf("the first request: %+v, want verdict Admitted", resp)
 	}
 }
 
-// TestDuplicateOfCachedIDIsRejected: a request with the id of one whose result is cached is refused, and the result stays.
+// A request with the ID of one whose result is cached is rejected, and the result stays cached.
 func TestDuplicateOfCachedIDIsRejected(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
 	if resp, req := d.Admit(keyedInvocation("a", "y")); resp.Verdict != Errored || req != nil {
-		t.Errorf("the same id, another key: %+v", resp)
+		t.Errorf("the same ID with another key: %+v, want verdict Errored", resp)
 	}
 	if resp, _ := d.Admit(keyedInvocation("b", "x")); resp.Verdict != Replayed || string(resp.Result) != "r" {
-		t.Errorf("a repeat of the first: %+v", resp)
+		t.Errorf("a repeat of the first: %+v, want its result", resp)
 	}
 }
 
-// TestArrivalTimesAreClamped: a request never seems to have waited for less than no time, nor to be without a deadline.
+// The module is never passed a negative queue time, nor a deadline that is not in the future.
 func TestArrivalTimesAreClamped(t *testing.T) {
-	const now = 10_000_000
-	for _, row := range []struct{ arrivedAt, deadline, queueTime, timeLeft monotime.Micros }{
-		{now - 5, now + 7, 5, 7},
-		{now + 5, now + 7, 0, 7},
-		{now - 5, now, 5, 1},
-		{now - 5, now - 1, 5, 1},
+	const now = 10 * monotime.Second
+	for _, test := range []struct {
+		name          string
+		arrivedAt     monotime.Micros
+		deadline      monotime.Micros
+		wantQueueTime monotime.Micros
+		wantTimeLeft  monotime.Micros
+	}{
+		{"arrived before, deadline ahead", now - 5, now + 7, 5, 7},
+		{"arrival after now", now + 5, now + 7, 0, 7},
+		{"deadline now", now - 5, now, 5, 1},
+		{"deadline past", now - 5, now - 1, 5, 1},
 	} {
-		inv := newInvocation("a")
-		inv.ArrivedAt = row.arrivedAt
-		event := arrival(now, &inv, &Request{deadline: row.deadline}, admission.QuotaUnknown)
-		if event.QueueTime != row.queueTime || event.TimeLeft != row.timeLeft {
-			t.Errorf("%+v: queue time %d, time left %d", row, event.QueueTime, event.TimeLeft)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			inv := newInvocation("a")
+			inv.ArrivedAt = test.arrivedAt
+			event := arrival(now, &inv, &Request{deadline: test.deadline}, admission.QuotaUnknown)
+			if event.QueueTime != test.wantQueueTime || event.TimeLeft != test.wantTimeLeft {
+				t.Errorf("queue time %d, time left %d; want %d, %d",
+					event.QueueTime, event.TimeLeft, test.wantQueueTime, test.wantTimeLeft)
+			}
+		})
 	}
 }
 
-// TestArrivalAfterStallAwaitsTick: after a hold-up, arrivals are decided by the gauges of the next tick, or without if none comes.
+// After a stall, arrivals wait for the next tick and its gauges, but no longer than the timeout.
 func TestArrivalAfterStallAwaitsTick(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
@@ -179,18 +192,21 @@
 		defer d.mu.Unlock()
 		return d.tickDone != nil
 	}
-	heldUp := func(id string) chan Response {
+	admitAfterStall := func(id string) chan Response {
 		d.mu.Lock()
-		d.lastTick -= 1_000_000
+		d.lastTick -= monotime.Second
 		d.mu.Unlock()
-		responses := make(chan Response, 1)
-		go func() { resp, _ := d.Admit(newInvocation(id)); responses <- resp }()
+		response := make(chan Response, 1)
+		go func() {
+			resp, _ := d.Admit(newInvocation(id))
+			response <- resp
+		}()
 		fakes.Until(t, "the arrival waits", waiting)
-		return responses
+		return response
 	}
-	responses := heldUp("a")
-	tr.Say("in hand before the tick %d", requestsInFlight(d))
+	response := admitAfterStall("a")
+	tr.Say("in flight before the tick %d", requestsInFlight(d))
 	d.Tick([]float64{0.1, 0, 0, 0})
-	tr.Say("after it: verdict %d, in hand %d", fakes.Take(t, "a response", responses).Verdict, requestsInFlight(d))
-	tr.Say("no tick comes: verdict %d", fakes.Take(t, "a response", heldUp("b")).Verdict)
+	tr.Say("after it: verdict %d, in flight %d", fakes.Take(t, "the response", response).Verdict, requestsInFlight(d))
+	tr.Say("no tick comes: verdict %d", fakes.Take(t, "the response", admitAfterStall("b")).Verdict)
 }
--- a/internal/backend/dispatch/degradation_test.go
+++ b/internal/backend/dispatch/degradation_test.go
@@ -11,39 +11,43 @@
 	"milletbarrow/monotime"
 )
 
-// TestLevelShedsWhatItsRulesName: a level sheds what its rules name, on arrival and with advice, and nothing else; an operator may
-// override it, and a policy that names what the deployment does not have is refused.
+// A level sheds the operations of its rules on arrival, with a Retry-After, and nothing else. An operator may
+// override the level, and a policy with an unknown operation is refused.
 func TestLevelShedsWhatItsRulesName(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
-	tr.Say("%v", d.SetDegradationPolicy(policyOf(t, `(ladder l (level a (shed (operations nothing)) (enter (queue 5)) (exit (queue 4))))`)))
+	unknownOperation := policyOf(t, `(ladder l
+		(level a (shed (operations nothing)) (enter (queue 5)) (exit (queue 4))))`)
+	tr.Say("%v", d.SetDegradationPolicy(unknownOperation))
 	_, ok := d.DegradationStatus()
-	tr.Say("without a ladder: %t, pin: %v", ok, d.OverrideLevel("full", time.Second, "test", false))
-	if err := d.SetDegradationPolicy(policyOf(t, `(ladder l (smooth (queue 0s)) (level no-look (shed (operations look)) (enter (queue 5)) (exit (queue 4)))
-		(level half (shed (operations post) (share 0.5)) (enter (queue 50)) (exit (queue 40))))`)); err != nil {
+	tr.Say("without a policy: %t, override: %v", ok, d.OverrideLevel("full", time.Second, "test", false))
+	policy := policyOf(t, `(ladder l (smooth (queue 0s))
+		(level no-look (shed (operations look)) (enter (queue 5)) (exit (queue 4)))
+		(level half (shed (operations post) (share 0.5)) (enter (queue 50)) (exit (queue 40))))`)
+	if err := d.SetDegradationPolicy(policy); err != nil {
 		t.Fatal(err)
 	}
-	admit := func(what string, operation int) {
-		inv := newInvocation(what)
+	admit := func(label string, operation int) {
+		inv := newInvocation(label)
 		inv.Operation = operation
 		resp, req := d.Admit(inv)
-		say(tr, what, resp, req, d)
+		sayResponse(tr, label, resp, req, d)
 		if req != nil {
 			d.Complete(req, RunSucceeded, nil)
 		}
 	}
-	quiet := []float64{0.1, 0, 0.1, 1}
-	d.Tick(quiet)
+	d.Tick(idleGauges)
 	admit("full service: look", 0)
-	d.Tick([]float64{1, 30, 0.1, 1}) // 15 a core
-	r, _ := d.DegradationStatus()
-	tr.Say("level %s, %d changes", r.Level, len(r.Changes))
-	d.Tick(quiet) // the module admits again; the level stays
-	d.Tick(quiet)
-	fakes.Until(t, "the queue has drained", func() bool {
-		d.Tick(quiet)
+	d.Tick([]float64{1, 30, 0.1, 1}) // 15 tasks for each core
+	status, _ := d.DegradationStatus()
+	tr.Say("level %s, %d changes", status.Level, len(status.Changes))
+	d.Tick(idleGauges) // the module admits again; the level stays
+	d.Tick(idleGauges)
+	fakes.Until(t, "the queue is empty", func() bool {
+		d.Tick(idleGauges)
 		inv := newInvocation(fmt.Sprint("p", Now()))
-		inv.Operation, inv.CallerLeft = 1, leftCaller
+		inv.Operation = 1
+		inv.CallerLeft = leftCaller
 		resp, req := d.Admit(inv)
 		if req != nil {
 			d.Complete(req, RunSucceeded, nil)
@@ -54,10 +58,10 @@
 	admit("post", 1)
 	tr.Say("%v", d.OverrideLevel("nothing", time.Second, "test", false))
 	tr.Say("%v", d.OverrideLevel("full", time.Minute, "test", false))
-	d.Tick(quiet)
+	d.Tick(idleGauges)
 	admit("held at full service: look", 0)
 	tr.Say("%v", d.OverrideLevel("half", time.Minute, "test", false))
-	d.Tick(quiet)
+	d.Tick(idleGauges)
 	shed := 0
 	for n := range 100 {
 		inv := newInvocation(fmt.Sprint("h", n))
@@ -70,20 +74,20 @@
 			shed++
 		}
 	}
-	d.Drain(5_000_000, 300_000) // under a level: what is not shed runs on through the grace
+	d.Drain(5*monotime.Second, 300*monotime.Millisecond)
 	admit("draining: look", 0)
-	r, _ = d.DegradationStatus()
-	tr.Say("%s: %t of a hundred are shed", r.Level, shed >= 49 && shed <= 51)
+	status, _ = d.DegradationStatus()
+	tr.Say("%s: half of a hundred are shed %t", status.Level, shed >= 49 && shed <= 51)
 }
 
-// TestRepeatIsNotShed: a level that sheds an operation leaves the repeats of what has run to their results.
+// A level that sheds an operation does not shed repeats of requests that have run.
 func TestRepeatIsNotShed(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
 	shedSecondOperation(t, d)
 	if resp, _ := d.Admit(keyedInvocation("b", "y")); resp.Verdict != Throttled {
-		t.Fatalf("new work is not shed: %+v", resp)
+		t.Fatalf("a request that is no repeat is not shed: %+v", resp)
 	}
 	resp, _ := d.Admit(keyedInvocation("c", "x"))
 	if status, _ := d.DegradationStatus(); resp.Verdict != Replayed || status.Shed != 1 {
@@ -91,16 +95,15 @@
 	}
 }
 
-// TestQueueSignalCountsQueuedRequests: the queue signal counts the requests that wait here with those on the executor's cores.
+// The queue signal counts queued requests as well as the tasks on the executor's cores.
 func TestQueueSignalCountsQueuedRequests(t *testing.T) {
 	d := open(t)
-	since := Now()
-	fakes.Until(t, "the module reads the gauges", func() bool { d.Tick(fullCores); return Now() > since+50_000 })
+	tickUntilRead(t, d, fullCores)
 	shedSecondOperation(t, d)
 	left := make(chan struct{})
 	inv := newInvocation("a")
 	inv.CallerLeft = left
-	response := repeat(t, d, inv)
+	response := admitAsync(t, d, inv)
 	d.mu.Lock()
 	queued := d.queued()
 	d.updateLevel(admission.Reading{OnCores: 3, CoreUse: 0.5, MemoryShare: 0.1})
@@ -109,11 +112,11 @@
 	fakes.Take(t, "the response", response)
 	want := float64(3+queued) / float64(d.settings.Admission.Cores)
 	if status, _ := d.DegradationStatus(); queued != 1 || status.Signals[degradation.Queue] != want {
-		t.Errorf("%d queued, the signal is %v, wanted %v", queued, status.Signals[degradation.Queue], want)
+		t.Errorf("%d queued, the signal is %v; want 1, %v", queued, status.Signals[degradation.Queue], want)
 	}
 }
 
-// TestReplacedPolicyLeavesLevelAndCounts: another policy leaves the level in force, and what was counted, as they are.
+// A new policy changes neither the level in force nor the counts.
 func TestReplacedPolicyLeavesLevelAndCounts(t *testing.T) {
 	d := open(t)
 	shedSecondOperation(t, d)
@@ -127,7 +130,7 @@
 	}
 }
 
-// TestRecentChangesAreBounded: only a bounded number of the latest changes is stored.
+// Only the latest changes are stored, up to maxRecentChanges.
 func TestRecentChangesAreBounded(t *testing.T) {
 	d := open(t)
 	shedSecondOperation(t, d)
--- a/internal/backend/dispatch/dispatcher.go
+++ b/internal/backend/dispatch/dispatcher.go
@@ -4,9 +4,11 @@
 //
 // Invariants, each with the test that holds it:
 //   - A request starts at most once and gets one final response: TestRequestIsAnsweredOnce.
-//   - Every request is answered, though the module loses it: TestOverdueRequestIsAnswered, TestTickAnswersOverdueRequests.
-//   - A request with the ID of another one in flight or cached changes nothing: TestAbandonedDuplicateLeavesRunningRequest,
-//     TestAbandonedDuplicateLeavesQueuedRequest, TestDuplicateOfCachedIDIsRejected.
+//   - Every request is answered, even if the module loses it: TestOverdueRequestIsAnswered,
+//     TestTickAnswersOverdueRequests.
+//   - A request with the ID of another one in flight or cached changes nothing:
+//     TestAbandonedDuplicateLeavesRunningRequest, TestAbandonedDuplicateLeavesQueuedRequest,
+//     TestDuplicateOfCachedIDIsRejected.
 //   - A quota unit is refunded unless its request ran: TestQuotaUnitIsRefundedUnlessRun.
 //   - The grace period of a shutdown is never extended: TestSecondNoticeNeverExtendsGrace.
 package dispatch
@@ -53,7 +55,7 @@
 	draining       bool
 	stopAt         monotime.Micros // the process is stopped then; 0: not draining
 	graceEnd       monotime.Micros // later arrivals do not run; 0: not draining
-	moduleGraceEnd monotime.Micros // the end of the module's own grace period; 0: not draining
+	moduleGraceEnd monotime.Micros // the end of the module's own grace period; 0: the module has had no notice
 
 	// Gauges and ticks.
 	gauges   []float64       // the latest sample; empty: unknown
--- a/internal/backend/dispatch/dispatcher_test.go
+++ b/internal/backend/dispatch/dispatcher_test.go
@@ -11,61 +11,69 @@
 	"milletbarrow/monotime"
 )
 
-// TestUnhealthyAndThrottlingUntilOpen: before the executor is there nothing can run, and the backend is unhealthy.
+// Until Open the backend is unhealthy and throttles every request.
 func TestUnhealthyAndThrottlingUntilOpen(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	shut := New(&config.Settings{}, 1, limits.For(1, 192, 1024))
-	resp, req := shut.Admit(newInvocation("a"))
-	say(tr, "not open", resp, req, shut)
-	tr.Say("good %t, next tick %t", shut.Healthy(), shut.Tick(nil) > 0)
-	shut.Drain(1000, 1000)
+	unopened := New(&config.Settings{}, 1, limits.For(1, 192, 1024))
+	resp, req := unopened.Admit(newInvocation("a"))
+	sayResponse(tr, "not open", resp, req, unopened)
+	tr.Say("healthy %t, next tick %t", unopened.Healthy(), unopened.Tick(nil) > 0)
+	unopened.Drain(monotime.Millisecond, monotime.Millisecond)
 	d := open(t)
-	tr.Say("open: good %t", d.Healthy())
+	tr.Say("open: healthy %t", d.Healthy())
 	_, req = d.Admit(newInvocation("b"))
-	d.Open(true, 0) // the greeting of the next connection
-	tr.Say("greeted again: owed %t, good %t", d.Complete(req, RunSucceeded, nil), d.Healthy())
+	d.Open(true, 0) // the executor's next connection
+	tr.Say("opened again: owed %t, healthy %t", d.Complete(req, RunSucceeded, nil), d.Healthy())
 }
 
-// TestSecondOpenChangesNothing: a second greeting of the executor leaves the module and what it knows as they are.
+// A second Open changes neither the module nor the opening that it was given.
 func TestSecondOpenChangesNothing(t *testing.T) {
 	d := open(t)
 	module, openedAt := d.backend, d.openedAt
-	d.Open(true, 1_000_000)
+	d.Open(true, monotime.Second)
 	if d.backend != module || d.startedCold || d.openedAt != openedAt {
-		t.Error("the second opening changed the dispatcher")
+		t.Error("the second Open changed the dispatcher")
 	}
 }
 
-// TestOpeningIsAtMostAWarmUpAgo: the module never believes that its opening lies further back than the warm-up.
+// The module's opening is at most a warm-up ago.
 func TestOpeningIsAtMostAWarmUpAgo(t *testing.T) {
 	d := open(t)
 	d.backend = nil
-	d.Open(true, 3_600_000_000)
-	if ago := Now() - d.openedAt; ago > d.settings.Admission.WarmUp+5_000_000 {
+	d.Open(true, 3_600*monotime.Second)
+	if ago := Now() - d.openedAt; ago > d.settings.Admission.WarmUp+5*monotime.Second {
 		t.Errorf("opened %d us ago, the warm-up takes %d", ago, d.settings.Admission.WarmUp)
 	}
 }
 
-// TestWarmExecutorOpensNow: the module opens now for an executor that has been warm for long.
+// With a warm executor the module opens now, however long ago the executor started.
 func TestWarmExecutorOpensNow(t *testing.T) {
 	d := open(t)
 	d.backend = nil
 	start := Now()
-	if d.Open(false, 3_000_000); d.openedAt < start {
+	if d.Open(false, 3*monotime.Second); d.openedAt < start {
 		t.Errorf("opened %d us before now", start-d.openedAt)
 	}
 }
 
-// TestIdleTimeoutIsSetOnlyBelowConfigured: the server closes idle connections only if the module wants that sooner than the callers do it.
+// The server closes idle connections only if the module's timeout is below the configured one.
 func TestIdleTimeoutIsSetOnlyBelowConfigured(t *testing.T) {
 	d := open(t)
 	configured := d.settings.Admission.IdleTimeout
-	for after, want := range map[monotime.Micros]time.Duration{
-		configured: 0, configured + 1: 0, configured / 2: time.Duration(configured/2) * time.Microsecond,
+	for _, test := range []struct {
+		name  string
+		after monotime.Micros
+		want  time.Duration
+	}{
+		{"as configured", configured, 0},
+		{"above", configured + 1, 0},
+		{"below", configured / 2, (configured / 2).Duration()},
 	} {
-		d.perform(admission.CloseIdle{After: after})
-		if got := d.IdleTimeout(); got != want {
-			t.Errorf("after %d us: %v, wanted %v", after, got, want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			d.perform(admission.CloseIdle{After: test.after})
+			if got := d.IdleTimeout(); got != test.want {
+				t.Errorf("IdleTimeout() = %v after CloseIdle of %d us, want %v", got, test.after, test.want)
+			}
+		})
 	}
 }
--- a/internal/backend/dispatch/drain_test.go
+++ b/internal/backend/dispatch/drain_test.go
@@ -1,68 +1,62 @@
 package dispatch
 
 import (
-	"encoding/json"
 	"testing"
 
-	"milletbarrow/internal/config"
 	"milletbarrow/internal/fakes"
-	"milletbarrow/internal/limits"
 	"milletbarrow/monotime"
 )
 
-// TestGraceEndsAtEarliestEnd: a notice heard late, or a second one, ends the grace when it was to end by the first.
+// A notice that came late ends the grace period as early as one in time, and a second notice may end it earlier.
 func TestGraceEndsAtEarliestEnd(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
-	d.Drain(5_000_000, 300_000)
-	resp, req := d.Admit(newInvocation("within the grace"))
-	say(tr, "within the grace", resp, req, d)
+	d.Drain(5*monotime.Second, 300*monotime.Millisecond)
+	resp, req := d.Admit(newInvocation("within the grace period"))
+	sayResponse(tr, "within the grace period", resp, req, d)
 	d.Complete(req, RunSucceeded, nil)
-	d.Drain(4_000_000, 0)
+	d.Drain(4*monotime.Second, 0)
 	resp, req = d.Admit(newInvocation("after it"))
-	say(tr, "brought forward", resp, req, d)
-	fakes.Until(t, "the module's own grace is over", func() bool { return Now() > d.moduleGraceEnd })
+	sayResponse(tr, "after a notice that ends it", resp, req, d)
+	fakes.Until(t, "the module's grace period is over", func() bool { return Now() > d.moduleGraceEnd })
 	inv := newInvocation("read late")
-	inv.ArrivedAt = d.moduleGraceEnd - 20_000 // it arrived before that had ended
+	inv.ArrivedAt = d.moduleGraceEnd - 20*monotime.Millisecond
 	resp, req = d.Admit(inv)
-	say(tr, "read late", resp, req, d)
+	sayResponse(tr, "read late", resp, req, d)
 	late := open(t)
-	late.Drain(4_000_000, -100_000)
+	late.Drain(4*monotime.Second, -100*monotime.Millisecond)
 	resp, req = late.Admit(newInvocation("a"))
-	say(tr, "heard after its grace", resp, req, late)
+	sayResponse(tr, "notice received after its grace period", resp, req, late)
 }
 
-// TestGraceAppliesToLateExecutor: an executor that comes up during a graceful shutdown admits nothing after the grace.
+// With an executor that becomes ready during a graceful shutdown, nothing is admitted after the grace period.
 func TestGraceAppliesToLateExecutor(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	var settings config.Settings
-	if err := json.Unmarshal([]byte(fakes.Settings), &settings); err != nil {
-		t.Fatal(err)
-	}
-	d := New(&settings, 1, limits.For(1, 192, 1024))
-	d.Drain(600_000, 100_000)
+	d := newDispatcher(t, fakes.Settings, nil)
+	d.Drain(600*monotime.Millisecond, 100*monotime.Millisecond)
 	start := Now()
 	d.Open(false, 0)
 	resp, req := d.Admit(newInvocation("a"))
-	say(tr, "within the grace", resp, req, d)
+	sayResponse(tr, "within the grace period", resp, req, d)
 	d.Complete(req, RunSucceeded, nil)
-	fakes.Until(t, "the grace is over", func() bool { return Now() > start+100_000 })
+	fakes.Until(t, "the grace period is over", func() bool { return Now() > start+100*monotime.Millisecond })
 	resp, req = d.Admit(newInvocation("b"))
-	say(tr, "after it", resp, req, d)
-	fakes.Until(t, "the module's own grace is over", func() bool { return Now() > start+400_000 })
+	sayResponse(tr, "after it", resp, req, d)
+	fakes.Until(t, "the module's grace period is over", func() bool {
+		return Now() > start+400*monotime.Millisecond
+	})
 	resp, req = d.Admit(newInvocation("c"))
-	say(tr, "after that", resp, req, d)
+	sayResponse(tr, "after the end of the module's grace period", resp, req, d)
 }
 
-// TestSecondNoticeNeverExtendsGrace: a second notice never extends the grace, and a draining backend is unhealthy whatever the module
-// wants.
+// A second notice never extends the grace period, and a draining backend is unhealthy whatever the module sets.
 func TestSecondNoticeNeverExtendsGrace(t *testing.T) {
 	d := open(t)
-	d.Drain(5_000_000, 100_000)
+	d.Drain(5*monotime.Second, 100*monotime.Millisecond)
 	end := d.graceEnd
-	d.Drain(10_000_000, 5_000_000)
+	d.Drain(10*monotime.Second, 5*monotime.Second)
 	if d.graceEnd != end {
-		t.Errorf("the grace was extended by %d us", d.graceEnd-end)
+		t.Errorf("the grace period was extended by %d us", d.graceEnd-end)
 	}
 	d.healthy = true
 	if d.Healthy() {
@@ -70,31 +64,56 @@
 	}
 }
 
-// TestModuleGraceIsShorterByNoticeDelay: the module's grace is shorter by the delay that a notice may have, and never negative.
+// The module's grace period is shorter than the configured one by the delay that a notice may have, and never negative.
 func TestModuleGraceIsShorterByNoticeDelay(t *testing.T) {
 	d := open(t)
-	late := monotime.FromDuration(d.bounds.NoticeDelay)
+	delay := monotime.FromDuration(d.bounds.NoticeDelay)
 	settings := *d.settings
-	for grace, want := range map[monotime.Micros]monotime.Micros{0: 0, late / 2: 0, late: 0, late + 5: 5} {
-		settings.Admission.DrainGrace = grace
-		if got := d.moduleConfig(&settings).DrainGrace; got != want {
-			t.Errorf("grace %d: the module's is %d, wanted %d", grace, got, want)
-		}
+	for _, test := range []struct {
+		name       string
+		configured monotime.Micros
+		want       monotime.Micros
+	}{
+		{"none", 0, 0},
+		{"below the delay", delay / 2, 0},
+		{"the delay", delay, 0},
+		{"above the delay", delay + 5, 5},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			settings.Admission.DrainGrace = test.configured
+			if got := d.moduleConfig(&settings).DrainGrace; got != test.want {
+				t.Errorf("configured %d us: the module's grace period is %d us, want %d",
+					test.configured, got, test.want)
+			}
+		})
 	}
 }
 
-// TestRejectsBetweenGraceEnds: the dispatcher itself rejects only what arrives between the end of the true grace and that of the
-// module's.
+// The dispatcher rejects, without the module, only what arrives between its end of the grace period and the module's.
 func TestRejectsBetweenGraceEnds(t *testing.T) {
 	d := open(t)
-	d.Drain(5_000_000, 100_000)
+	d.Drain(5*monotime.Second, 100*monotime.Millisecond)
 	now := Now()
-	d.graceEnd, d.moduleGraceEnd = now-1000, now+1000
-	for after, want := range map[monotime.Micros]bool{-1001: false, -1000: true, 0: true, 1000: true, 1001: false} {
-		inv := newInvocation("a")
-		inv.ArrivedAt = now + after
-		if _, rejected := d.rejectEarly(now+5000, &inv, d.newRequest(&inv), false); rejected != want {
-			t.Errorf("arrived %d us after now: rejected %t", after, rejected)
-		}
+	d.graceEnd = now - monotime.Millisecond
+	d.moduleGraceEnd = now + monotime.Millisecond
+	for _, test := range []struct {
+		name      string
+		arrivedAt monotime.Micros
+		want      bool
+	}{
+		{"before the dispatcher's end", d.graceEnd - 1, false},
+		{"at the dispatcher's end", d.graceEnd, true},
+		{"between", now, true},
+		{"at the module's end", d.moduleGraceEnd, true},
+		{"after the module's end", d.moduleGraceEnd + 1, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			inv := newInvocation("a")
+			inv.ArrivedAt = test.arrivedAt
+			readAt := now + 5*monotime.Millisecond
+			if _, rejected := d.rejectEarly(readAt, &inv, d.newRequest(&inv), false); rejected != test.want {
+				t.Errorf("rejected %t, want %t", rejected, test.want)
+			}
+		})
 	}
 }
--- a/internal/backend/dispatch/errors.go
+++ b/internal/backend/dispatch/errors.go
@@ -18,7 +18,8 @@
 }
 
 func (e *UnknownTenantError) Error() string {
-	return fmt.Sprintf("draw: %v has a tenant that the deployment does not have; its tenants are %v", e.Configured, e.Known)
+	return fmt.Sprintf("draw: %v has a tenant that the deployment does not have; its tenants are %v",
+		e.Configured, e.Known)
 }
 
 // PanicError reports a panic of the decision module.
--- a/internal/backend/dispatch/helpers_test.go
+++ b/internal/backend/dispatch/helpers_test.go
@@ -16,39 +16,58 @@
 	"milletbarrow/monotime"
 )
 
+// open returns an open dispatcher with the settings of fakes.
 func open(t *testing.T) *Dispatcher {
-	var settings config.Settings
-	if err := json.Unmarshal([]byte(fakes.Settings), &settings); err != nil {
-		t.Fatal(err)
-	}
-	d := New(&settings, 1, limits.For(1, 192, 1024))
+	t.Helper()
+	d := newDispatcher(t, fakes.Settings, nil)
 	d.Open(false, 0)
 	return d
 }
 
-// openKeyed opens a dispatcher whose second operation has idempotency keys, remembered for window milliseconds.
-func openKeyed(t *testing.T, window string, bounds func(*limits.Bounds)) *Dispatcher {
+// newDispatcher returns a dispatcher that is not open yet. adjust changes its bounds; nil leaves them as they are.
+func newDispatcher(t *testing.T, settingsText string, adjust func(*limits.Bounds)) *Dispatcher {
+	t.Helper()
 	var settings config.Settings
-	text := strings.NewReplacer(`"at_most_once"`, `"deduplicated","window_ms":`+window, `"run_factor"`, `"key_kb":20,"run_factor"`).Replace(fakes.Settings)
-	if err := json.Unmarshal([]byte(text), &settings); err != nil {
+	if err := json.Unmarshal([]byte(settingsText), &settings); err != nil {
 		t.Fatal(err)
 	}
-	b := limits.For(1, 192, 1024)
-	if bounds != nil {
-		bounds(&b)
+	bounds := limits.For(1, 192, 1024)
+	if adjust != nil {
+		adjust(&bounds)
 	}
-	d := New(&settings, 1, b)
+	return New(&settings, 1, bounds)
+}
+
+// openKeyed returns an open dispatcher whose second operation has idempotency keys with a repeat window of windowMS
+// milliseconds. adjust changes its bounds; nil leaves them as they are.
+func openKeyed(t *testing.T, windowMS string, adjust func(*limits.Bounds)) *Dispatcher {
+	t.Helper()
+	keyed := strings.NewReplacer(
+		`"at_most_once"`, `"deduplicated","window_ms":`+windowMS,
+		`"run_factor"`, `"key_kb":20,"run_factor"`,
+	)
+	d := newDispatcher(t, keyed.Replace(fakes.Settings), adjust)
 	d.Open(false, 0)
 	return d
 }
 
+// newInvocation returns an invocation of the first operation that arrives now.
 func newInvocation(id string) Invocation {
-	return Invocation{ID: id, Rank: 0.5, MemoryKB: 20, ExpectedWork: 20_000, ArrivedAt: Now(), CallerTimeout: 4_000_000}
+	return Invocation{
+		ID:            id,
+		Rank:          0.5,
+		MemoryKB:      20,
+		ExpectedWork:  20 * monotime.Millisecond,
+		ArrivedAt:     Now(),
+		CallerTimeout: 4 * monotime.Second,
+	}
 }
 
-func keyedInvocation(id, token string) Invocation {
+// keyedInvocation returns an invocation of the second operation.
+func keyedInvocation(id, idempotencyKey string) Invocation {
 	inv := newInvocation(id)
-	inv.Operation, inv.IdempotencyKey = 1, token
+	inv.Operation = 1
+	inv.IdempotencyKey = idempotencyKey
 	return inv
 }
 
@@ -57,28 +76,55 @@
 	return n
 }
 
-var leftCaller = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
+// leftCaller is the CallerLeft of a caller that has left.
+var leftCaller = func() <-chan struct{} {
+	left := make(chan struct{})
+	close(left)
+	return left
+}()
+
+// Gauges are: share of the cores in use, tasks that run or wait for a core, share of the memory in use, connections.
+var (
+	idleGauges = []float64{0.1, 0, 0.1, 1}
+	fullCores  = []float64{0.5, 3, 0.1, 1} // no core is free, and the queue is short
+)
 
-// fullCores are gauges with no core free and a short queue.
-var fullCores = []float64{0.5, 3, 0.1, 1}
+// tickUntilRead ticks with these gauges until the module, which does not read them at each tick, has done so.
+func tickUntilRead(t *testing.T, d *Dispatcher, gauges []float64) {
+	t.Helper()
+	start := Now()
+	fakes.Until(t, "the module has read the gauges", func() bool {
+		d.Tick(gauges)
+		return Now() > start+50*monotime.Millisecond
+	})
+}
 
 // silenceModule replaces the module by one that answers nothing and sets no timer.
 func silenceModule(d *Dispatcher) { d.backend = &admission.Backend{} }
 
-// repeat admits a repeat, waits until it waits for its original, and returns where its response will come.
-func repeat(t *testing.T, d *Dispatcher, inv Invocation) <-chan Response {
-	response, n := make(chan Response, 1), requestsInFlight(d)
-	go func() { resp, _ := d.Admit(inv); response <- resp }()
-	fakes.Until(t, "it waits", func() bool { return requestsInFlight(d) == n+1 || len(response) > 0 })
+// admitAsync admits an invocation on another goroutine, waits until it is in flight or answered, and returns the
+// channel of its response.
+func admitAsync(t *testing.T, d *Dispatcher, inv Invocation) <-chan Response {
+	t.Helper()
+	response := make(chan Response, 1)
+	before := requestsInFlight(d)
+	go func() {
+		resp, _ := d.Admit(inv)
+		response <- resp
+	}()
+	fakes.Until(t, "the request is in flight or answered", func() bool {
+		return requestsInFlight(d) == before+1 || len(response) > 0
+	})
 	return response
 }
 
 func policyOf(t *testing.T, text string) *degradation.Policy {
-	l, err := degradation.ParsePolicy("l", []byte(text))
+	t.Helper()
+	policy, err := degradation.ParsePolicy("l", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return policy
 }
 
 // shedSecondOperation puts a policy in force that sheds every request of the second operation.
@@ -91,43 +137,72 @@
 	if err := d.OverrideLevel("no-post", time.Minute, "test", false); err != nil {
 		t.Fatal(err)
 	}
-	d.Tick([]float64{0.1, 0, 0.1, 1})
+	d.Tick(idleGauges)
 }
 
-// withQuota gives the first tenant of a dispatcher four units, and no more: its clock stands.
+// withQuota gives the first tenant of a dispatcher four quota units. Its clock stands still, so there will be no more.
 func withQuota(t *testing.T, d *Dispatcher) *Dispatcher {
-	h := quota.New("n", "1", []string{"b"})
+	t.Helper()
+	holder := quota.New("n", "1", []string{"b"})
 	now := monotime.Micros(1)
-	a := h.NewRequest(now)
-	if err := h.Apply(now, quota.LeaseResponse{Name: "n", Incarnation: "1", Number: a.Number, Grants: []quota.Grant{{Budget: "b", Epoch: 1, Floor: 4, Lease: 1}}}); err != nil {
+	request := holder.NewRequest(now)
+	err := holder.Apply(now, quota.LeaseResponse{
+		Name:        "n",
+		Incarnation: "1",
+		Number:      request.Number,
+		Grants:      []quota.Grant{{Budget: "b", Epoch: 1, Floor: 4, Lease: 1}},
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
-	now += 2_000_000
-	if err := d.SetQuotas(QuotaConfig{Holder: h, Tenants: map[string]string{d.settings.Tenants[0]: "b"}, Clock: func() monotime.Micros { return now }}); err != nil {
+	now += 2 * monotime.Second
+	err = d.SetQuotas(QuotaConfig{
+		Holder:  holder,
+		Tenants: map[string]string{d.settings.Tenants[0]: "b"},
+		Clock:   func() monotime.Micros { return now },
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-// runUntilSampled runs the ticks until the first sampled one is over, and returns its gauges.
-func runUntilSampled(t *testing.T, d *Dispatcher, requestSample func() bool, sampled chan []float64) float64 {
-	done, over := make(chan struct{}), make(chan struct{})
-	go func() { d.RunTicks(done, requestSample, sampled); close(over) }()
-	fakes.Until(t, "a sampled tick", func() bool {
+// startTicks runs the ticks of a dispatcher and returns a function that ends them and waits for their end.
+func startTicks(t *testing.T, d *Dispatcher, requestSample func() bool, sampled <-chan []float64) (stop func()) {
+	t.Helper()
+	done, ended := make(chan struct{}), make(chan struct{})
+	go func() {
+		d.RunTicks(done, requestSample, sampled)
+		close(ended)
+	}()
+	return func() {
+		close(done)
+		fakes.Take(t, "the end of the ticks", ended)
+	}
+}
+
+// queueGaugeOfFirstSample runs the ticks until one has had a sample, and returns that sample's tasks on the cores.
+func queueGaugeOfFirstSample(
+	t *testing.T, d *Dispatcher, requestSample func() bool, sampled <-chan []float64,
+) float64 {
+	t.Helper()
+	stop := startTicks(t, d, requestSample, sampled)
+	fakes.Until(t, "a tick with a sample", func() bool {
 		c, _ := d.Counts()
 		return c.Ticks > c.Unsampled
 	})
-	close(done)
-	fakes.Take(t, "the end of the ticks", over)
+	stop()
 	return d.gauges[1]
 }
 
-func say(tr *fakes.Trace, what string, resp Response, req *Request, d *Dispatcher) {
-	tr.Say("%s: verdict %d away %t don't retry %t ticket %t, in hand %d", what, resp.Verdict, resp.RetryAfter > 0, resp.DontRetry,
-		req != nil, requestsInFlight(d))
+// sayResponse adds a line about the response to a request to a trace.
+func sayResponse(tr *fakes.Trace, label string, resp Response, req *Request, d *Dispatcher) {
+	tr.Say("%s: verdict %d, retry-after %t, don't retry %t, admitted %t, in flight %d",
+		label, resp.Verdict, resp.RetryAfter > 0, resp.DontRetry, req != nil, requestsInFlight(d))
 }
 
-// responseText prints every field of a response in the form of the recorded traces.
+// responseText prints each field of a response.
 func responseText(r Response) string {
-	return fmt.Sprintf("{Verdict:%d Away:%d DontRetry:%t Result:%v}", r.Verdict, r.RetryAfter, r.DontRetry, r.Result)
+	return fmt.Sprintf("{Verdict:%d RetryAfter:%d DontRetry:%t Result:%v}",
+		r.Verdict, r.RetryAfter, r.DontRetry, r.Result)
 }
--- a/internal/backend/dispatch/module.go
+++ b/internal/backend/dispatch/module.go
@@ -60,7 +60,8 @@
 	case admission.Log:
 		slog.Info("module", "text", a.Text)
 	default: // the configuration refuses deployments that would need another action
-		slog.Error("internal_error", "in", fmt.Sprintf("%T", action), "text", "action is not supported by the dispatcher")
+		slog.Error("internal_error", "in", fmt.Sprintf("%T", action),
+			"text", "the dispatcher does not support this action")
 	}
 }
 
--- a/internal/backend/dispatch/module_test.go
+++ b/internal/backend/dispatch/module_test.go
@@ -8,18 +8,19 @@
 	"milletbarrow/admission"
 )
 
-// TestModulePanicIsReturnedAsError: a panic of the module is an error that has its value, and wraps it if that is an error itself.
+// A panic of the module is returned as an error with the text of its value, which it wraps if that is an error.
 func TestModulePanicIsReturnedAsError(t *testing.T) {
 	d := open(t)
-	err := d.decide(Now(), admission.Arrived{ID: "a", Operation: 99}) // the module indexes its operations with it
-	var panicked *PanicError
-	if cause := runtime.Error(nil); !errors.As(err, &panicked) || !errors.As(err, &cause) || cause.Error() != err.Error() {
-		t.Errorf("%#v", err)
+	err := d.decide(Now(), admission.Arrived{ID: "a", Operation: 99}) // out of range of the module's operations
+	var panicError *PanicError
+	var cause runtime.Error
+	if !errors.As(err, &panicError) || !errors.As(err, &cause) || cause.Error() != err.Error() {
+		t.Errorf("%#v, want a *PanicError that wraps a runtime.Error", err)
 	}
 	if err := error(&PanicError{Value: "text"}); err.Error() != "text" || errors.Unwrap(err) != nil {
-		t.Errorf("%#v", err)
+		t.Errorf("%#v, want the text and nothing wrapped", err)
 	}
 	if d.counts.Panics != 1 {
-		t.Errorf("%d panics counted", d.counts.Panics)
+		t.Errorf("%d panics counted, want 1", d.counts.Panics)
 	}
 }
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -12,44 +12,44 @@
 	"milletbarrow/monotime"
 )
 
-// TestQuotaUnitIsRefundedUnlessRun: work that is throttled, that the executor never ran or does not know, or whose caller left
-// before its start, gets its unit refunded; what ran does not.
+// The unit of a request is refunded if it is throttled, if the executor did not run it or does not know it, but not
+// if it ran. A repeat acquires none.
 func TestQuotaUnitIsRefundedUnlessRun(t *testing.T) {
 	d := withQuota(t, open(t))
 	for n := range 8 { // more than there are units
 		big := newInvocation(fmt.Sprint("big", n))
-		big.MemoryKB = 1 << 40 // nothing can hold it
+		big.MemoryKB = 1 << 40 // more than there is
 		if resp, _ := d.Admit(big); resp.Verdict != Throttled {
 			t.Fatalf("%s: verdict %d", big.ID, resp.Verdict)
 		}
 	}
-	if v := d.QuotaStatus()[0]; v.Drawn != 1 || v.Denied != 0 {
-		t.Fatalf("one unit went round eight times: %d acquired, %d denied", v.Drawn, v.Denied)
+	if status := d.QuotaStatus()[0]; status.Drawn != 1 || status.Denied != 0 {
+		t.Fatalf("eight throttled requests: %d acquired, %d denied; want 1, 0", status.Drawn, status.Denied)
 	}
 
 	d = withQuota(t, open(t))
-	for n, end := range []Outcome{RunSucceeded, NeverRan, Unrunnable, RunErrored, NeverRan} {
+	for n, outcome := range []Outcome{RunSucceeded, NeverRan, Unrunnable, RunErrored, NeverRan} {
 		resp, req := d.Admit(newInvocation(fmt.Sprint("run", n)))
 		if resp.Verdict != Admitted {
 			t.Fatalf("run %d: verdict %d", n, resp.Verdict)
 		}
-		d.Complete(req, end, nil)
+		d.Complete(req, outcome, nil)
 	}
-	if v := d.QuotaStatus()[0]; v.Drawn != 3 || v.Denied != 0 {
-		t.Fatalf("two ran and the third unit came back: %d acquired, %d denied", v.Drawn, v.Denied)
+	if status := d.QuotaStatus()[0]; status.Drawn != 3 || status.Denied != 0 {
+		t.Fatalf("two requests of five ran: %d acquired, %d denied; want 3, 0", status.Drawn, status.Denied)
 	}
 
 	d = withQuota(t, openKeyed(t, "5000", nil))
 	_, first := d.Admit(keyedInvocation("a", "x"))
-	waiting := repeat(t, d, keyedInvocation("b", "x"))
-	if v := d.QuotaStatus()[0]; v.Drawn != 1 {
-		t.Errorf("a repeat that waits: %d acquired", v.Drawn)
+	waiting := admitAsync(t, d, keyedInvocation("b", "x"))
+	if status := d.QuotaStatus()[0]; status.Drawn != 1 {
+		t.Errorf("a request and its waiting repeat: %d acquired, want 1", status.Drawn)
 	}
 	d.Complete(first, RunSucceeded, nil)
-	fakes.Take(t, "its response", waiting)
+	fakes.Take(t, "the response of the repeat", waiting)
 }
 
-// TestShedRequestAcquiresNoUnit: a request that a level sheds acquires no unit of its tenant's budget.
+// A request that a level sheds acquires no unit, nor does one of an unknown tenant.
 func TestShedRequestAcquiresNoUnit(t *testing.T) {
 	d := withQuota(t, open(t))
 	shedSecondOperation(t, d)
@@ -57,30 +57,30 @@
 	inv.Operation = 1
 	d.Admit(inv)
 	if s := d.QuotaStatus()[0]; s.Drawn != 0 || s.Denied != 0 {
-		t.Errorf("%d acquired, %d denied", s.Drawn, s.Denied)
+		t.Errorf("a shed request: %d acquired, %d denied; want 0, 0", s.Drawn, s.Denied)
 	}
 	inv = newInvocation("b")
 	inv.Tenant = 1 << 20 // beyond the deployment's tenants
 	if standing := d.acquireUnit(&inv, &Request{}); standing != admission.QuotaUnknown {
-		t.Errorf("an unknown tenant's standing is %v", standing)
+		t.Errorf("a tenant index out of range: standing %v", standing)
 	}
 	inv.Tenant = -1
 	if standing := d.acquireUnit(&inv, &Request{}); standing != admission.QuotaUnknown {
-		t.Errorf("no tenant's standing is %v", standing)
+		t.Errorf("a negative tenant index: standing %v", standing)
 	}
 }
 
-// TestBudgetOfUnknownTenantIsRefused: a budget of a tenant that the deployment lacks is refused.
+// A budget for a tenant that the deployment does not have is refused.
 func TestBudgetOfUnknownTenantIsRefused(t *testing.T) {
 	d := withQuota(t, open(t))
 	err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, Tenants: map[string]string{"nobody": "b"}})
 	const want = "draw: map[nobody:b] has a tenant that the deployment does not have; its tenants are [acme zenith]"
 	if unknown := (*UnknownTenantError)(nil); !errors.As(err, &unknown) || err.Error() != want {
-		t.Errorf("%v, wanted %s", err, want)
+		t.Errorf("%v, want %s", err, want)
 	}
 }
 
-// TestUseIsLoggedBeforeRelease: what was acquired until the release is recorded before it.
+// ReleaseQuotas logs the units acquired before it logs the release.
 func TestUseIsLoggedBeforeRelease(t *testing.T) {
 	d := withQuota(t, open(t))
 	var records strings.Builder
@@ -90,6 +90,6 @@
 	d.Complete(req, RunSucceeded, nil)
 	d.ReleaseQuotas()
 	if want := "clock 5 0\ndrew 5 7 b 1\nhave 7 b 1 0 0 0\n"; records.String() != want {
-		t.Errorf("got\n%swanted\n%s", records.String(), want)
+		t.Errorf("got\n%swant\n%s", records.String(), want)
 	}
 }
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -6,153 +6,162 @@
 	"milletbarrow/admission"
 	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
-// TestRepeatIsAnsweredWithOriginalsResult walks through what can become of the repeats of one piece of work.
+// A repeat is answered with its original's result if there is one. Otherwise it fails if the original may have taken
+// effect, and may retry if the original never ran.
 func TestRepeatIsAnsweredWithOriginalsResult(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := openKeyed(t, "5000", nil)
-	sayVerdict := func(what string, resp Response, req *Request) {
-		tr.Say("%s: verdict %d, result %q, ticket %t, in hand %d", what, resp.Verdict, resp.Result, req != nil, requestsInFlight(d))
+	sayVerdict := func(label string, resp Response, req *Request) {
+		tr.Say("%s: verdict %d, result %q, admitted %t, in flight %d",
+			label, resp.Verdict, resp.Result, req != nil, requestsInFlight(d))
 	}
 	resp, first := d.Admit(keyedInvocation("a", "x"))
 	sayVerdict("the first", resp, first)
-	waiting := repeat(t, d, keyedInvocation("b", "x"))
+	waiting := admitAsync(t, d, keyedInvocation("b", "x"))
 	resp, other := d.Admit(keyedInvocation("c", "y"))
-	sayVerdict("another piece of work", resp, other)
+	sayVerdict("another key", resp, other)
 	d.Complete(other, RunErrored, nil)
 	inv := keyedInvocation("d", "x")
 	inv.Tenant = 1
-	resp, stranger := d.Admit(inv)
-	sayVerdict("another tenant's of the same token", resp, stranger)
-	d.Complete(stranger, RunSucceeded, []byte("the stranger's"))
+	resp, otherTenants := d.Admit(inv)
+	sayVerdict("another tenant's with the same key", resp, otherTenants)
+	d.Complete(otherTenants, RunSucceeded, []byte("the other tenant's"))
 	d.Abandon(first)
-	tr.Say("its run ends, its caller has left: owed %t", d.Complete(first, RunSucceeded, []byte("r")))
-	sayVerdict("the repeat that waited", fakes.Take(t, "its response", waiting), nil)
+	tr.Say("its caller has left, its run ends: owed %t", d.Complete(first, RunSucceeded, []byte("r")))
+	sayVerdict("the repeat that waited", fakes.Take(t, "the response of the repeat", waiting), nil)
 	resp, none := d.Admit(keyedInvocation("e", "x"))
 	sayVerdict("a repeat after the end", resp, none)
 	resp, none = d.Admit(keyedInvocation("f", "y"))
-	sayVerdict("a repeat of one that was errored", resp, none)
+	sayVerdict("a repeat of a request that failed", resp, none)
 	resp, none = d.Admit(keyedInvocation("d", ""))
-	sayVerdict("no token", resp, none)
+	sayVerdict("no key", resp, none)
 	old := keyedInvocation("h", "z")
-	old.ArrivedAt -= d.maxReadDelay() + 1000
-	old.CallerTimeout += d.maxReadDelay() + 1000
+	old.ArrivedAt -= d.maxReadDelay() + monotime.Millisecond
+	old.CallerTimeout += d.maxReadDelay() + monotime.Millisecond
 	resp, none = d.Admit(old)
-	sayVerdict("so old that its first try may be forgotten", resp, none)
+	sayVerdict("so old that its original may have been evicted", resp, none)
 
 	_, first = d.Admit(keyedInvocation("i", "v"))
-	waiting = repeat(t, d, keyedInvocation("j", "v"))
+	waiting = admitAsync(t, d, keyedInvocation("j", "v"))
 	d.Complete(first, NeverRan, nil)
-	sayVerdict("a repeat of what never ran", fakes.Take(t, "its response", waiting), nil)
+	sayVerdict("a repeat of a request that never ran", fakes.Take(t, "the response of the repeat", waiting), nil)
 	resp, first = d.Admit(keyedInvocation("k", "v"))
 	sayVerdict("and the next", resp, first)
 	d.Complete(first, RunSucceeded, []byte("v"))
 
 	_, first = d.Admit(keyedInvocation("l", "u"))
 	soon := keyedInvocation("m", "u")
-	soon.ArrivedAt -= 3_800_000 // due in 200 ms
-	waiting = repeat(t, d, soon)
-	fakes.Until(t, "it is due", func() bool { d.Tick([]float64{0.5, 1, 0, 0}); return len(waiting) > 0 })
-	sayVerdict("a repeat that is due before the end", <-waiting, nil)
+	soon.ArrivedAt -= 3_800 * monotime.Millisecond // its deadline is in 200 ms
+	waiting = admitAsync(t, d, soon)
+	fakes.Until(t, "the repeat is answered at its deadline", func() bool {
+		d.Tick([]float64{0.5, 1, 0, 0})
+		return len(waiting) > 0
+	})
+	sayVerdict("a repeat whose deadline is before the end", <-waiting, nil)
 	d.Complete(first, RunSucceeded, []byte("u"))
 	c, _ := d.Counts()
-	tr.Say("run %d, repeated %d, errored %d, kept %d", c.Started, c.Replayed, c.Errored, d.results.Len())
+	tr.Say("started %d, replayed %d, errored %d, cached %d", c.Started, c.Replayed, c.Errored, d.results.Len())
 }
 
-// TestRepeatOfAbandonedQueuedRequestMayRetry: the first waits in line and its caller leaves. It never ran, so the next runs.
+// If the caller of a queued request leaves, its waiting repeat is advised to retry, and the next repeat runs.
 func TestRepeatOfAbandonedQueuedRequestMayRetry(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
-	reads := func(gauges ...float64) { // the module reads them now and then
-		since := Now()
-		fakes.Until(t, "it reads them", func() bool { d.Tick(gauges); return Now() > since+50_000 })
-	}
-	reads(0.5, 3, 0.1, 1) // no core is free
+	tickUntilRead(t, d, fullCores)
 	left := make(chan struct{})
 	inv := keyedInvocation("a", "x")
 	inv.CallerLeft = left
-	first := repeat(t, d, inv)
-	waiting := repeat(t, d, keyedInvocation("b", "x"))
+	first := admitAsync(t, d, inv)
+	waiting := admitAsync(t, d, keyedInvocation("b", "x"))
 	if len(first) > 0 || len(waiting) > 0 {
-		t.Fatal("they do not wait")
+		t.Fatal("the original or its repeat does not wait")
 	}
 	close(left)
-	if resp := fakes.Take(t, "the first's response", first); resp.Verdict != Abandoned {
-		t.Errorf("the first: %+v", resp)
+	if resp := fakes.Take(t, "the response of the original", first); resp.Verdict != Abandoned {
+		t.Errorf("the original: %+v, want verdict Abandoned", resp)
 	}
-	if resp := fakes.Take(t, "the repeat's response", waiting); resp.Verdict != Throttled || resp.RetryAfter <= 0 {
-		t.Errorf("the repeat: %+v", resp)
+	resp := fakes.Take(t, "the response of the repeat", waiting)
+	if resp.Verdict != Throttled || resp.RetryAfter <= 0 {
+		t.Errorf("the repeat: %+v, want verdict Throttled with a Retry-After", resp)
 	}
-	reads(0.1, 0, 0.1, 1)
+	tickUntilRead(t, d, idleGauges)
 	if resp, req := d.Admit(keyedInvocation("c", "x")); req == nil {
-		t.Errorf("the next: %+v", resp)
+		t.Errorf("the next repeat: %+v, want verdict Admitted", resp)
 	}
 }
 
-// TestRepeatWindowCountsFromArrival: after the window it is new work; a repeat that arrived within it and is read later is none.
+// A request with the key of another one is its repeat if it arrived within the window, even if it is read later;
+// after that it is an original.
 func TestRepeatWindowCountsFromArrival(t *testing.T) {
 	d := openKeyed(t, "20", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
-	at := Now()
-	fakes.Until(t, "the window is over", func() bool { return Now() > at+120_000 })
+	const pastWindow = 120 * monotime.Millisecond // the window and the slack
+	completedAt := Now()
+	fakes.Until(t, "the window is over", func() bool { return Now() > completedAt+pastWindow })
 	d.Tick([]float64{0, 0, 0, 0})
-	read := keyedInvocation("b", "x")
-	read.ArrivedAt = at
-	if resp, _ := d.Admit(read); resp.Verdict != Replayed || string(resp.Result) != "r" {
-		t.Errorf("read late: %+v", resp)
-	}
-	ahead := keyedInvocation("b2", "x") // the wall clock was set back: it seems to come later than now
-	ahead.ArrivedAt = Now() + 60_000_000
-	resp, again := d.Admit(ahead)
-	if again == nil {
-		t.Fatalf("after the window, ahead of the clock: %+v", resp)
-	}
-	d.Complete(again, RunSucceeded, []byte("q"))
-	ended := Now()
+	readLate := keyedInvocation("b", "x")
+	readLate.ArrivedAt = completedAt
+	if resp, _ := d.Admit(readLate); resp.Verdict != Replayed || string(resp.Result) != "r" {
+		t.Errorf("arrived in the window and read after it: %+v, want result r", resp)
+	}
+	ahead := keyedInvocation("b2", "x") // as if the wall clock had been set back
+	ahead.ArrivedAt = Now() + 60*monotime.Second
+	resp, second := d.Admit(ahead)
+	if second == nil {
+		t.Fatalf("after the window, arrival after now: %+v, want verdict Admitted", resp)
+	}
+	d.Complete(second, RunSucceeded, []byte("q"))
+	completedAt = Now()
 	ahead.ID = "b3"
 	if resp, _ := d.Admit(ahead); resp.Verdict != Replayed || string(resp.Result) != "q" {
-		t.Errorf("its repeat: %+v", resp)
+		t.Errorf("the repeat of an arrival after now: %+v, want result q", resp)
 	}
-	fakes.Until(t, "the window is over again", func() bool { return Now() > ended+120_000 })
-	resp, again = d.Admit(keyedInvocation("c", "x"))
-	if again == nil {
-		t.Fatalf("after the window: %+v", resp)
+	fakes.Until(t, "the second window is over", func() bool { return Now() > completedAt+pastWindow })
+	resp, third := d.Admit(keyedInvocation("c", "x"))
+	if third == nil {
+		t.Fatalf("after the second window: %+v, want verdict Admitted", resp)
 	}
-	waiting := repeat(t, d, keyedInvocation("d", "x"))
-	d.Complete(again, RunSucceeded, []byte("s"))
-	if resp := fakes.Take(t, "the repeat's response", waiting); resp.Verdict != Replayed || string(resp.Result) != "s" {
-		t.Errorf("beside it: %+v", resp)
+	waiting := admitAsync(t, d, keyedInvocation("d", "x"))
+	d.Complete(third, RunSucceeded, []byte("s"))
+	resp = fakes.Take(t, "the response of the repeat", waiting)
+	if resp.Verdict != Replayed || string(resp.Result) != "s" {
+		t.Errorf("the repeat that waited: %+v, want result s", resp)
 	}
 }
 
-// TestFullResultCacheRejectsNewWork: what cannot be remembered is not run, with when to come back; what is remembered is answered all the same.
+// While the result cache is full, new keyed requests are throttled with a Retry-After; repeats of cached ones are
+// answered.
 func TestFullResultCacheRejectsNewWork(t *testing.T) {
-	d := openKeyed(t, "5000", func(b *limits.Bounds) { b.IdempotencyCacheSize = 3 << 10; b.ResultSize = 1 << 10 })
+	d := openKeyed(t, "5000", func(bounds *limits.Bounds) {
+		bounds.IdempotencyCacheSize = 3 << 10
+		bounds.ResultSize = 1 << 10
+	})
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	resp, none := d.Admit(keyedInvocation("b", "y"))
 	if resp.Verdict != Throttled || resp.RetryAfter <= 0 || none != nil {
-		t.Errorf("no room: %+v", resp)
+		t.Errorf("the cache is full: %+v, want verdict Throttled with a Retry-After", resp)
 	}
 	if resp, req := d.Admit(newInvocation("c")); req == nil {
-		t.Errorf("one that needs none: %+v", resp)
+		t.Errorf("a request without a key: %+v, want verdict Admitted", resp)
 	}
 	d.Complete(first, RunSucceeded, []byte("r"))
 	if resp, _ := d.Admit(keyedInvocation("d", "x")); resp.Verdict != Replayed {
-		t.Errorf("a repeat: %+v", resp)
+		t.Errorf("a repeat: %+v, want verdict Replayed", resp)
 	}
 	c, _ := d.Counts()
 	if c.CacheFull != 1 || d.results.Len() != 1 {
-		t.Errorf("%+v, cached %d", c, d.results.Len())
+		t.Errorf("%+v, %d cached; want CacheFull 1, 1", c, d.results.Len())
 	}
-	d.Drain(4_000_000, -100_000)
+	d.Drain(4*monotime.Second, -100*monotime.Millisecond)
 	if resp, _ := d.Admit(keyedInvocation("e", "x")); resp.Verdict != Errored {
-		t.Errorf("a repeat after the grace, which another would run: %+v", resp)
+		t.Errorf("a repeat after the grace period, which another backend would run: %+v, want verdict Errored", resp)
 	}
 }
 
-// TestCachedResultsTakeNoExecutorMemory: what is remembered takes nothing of the executor's memory, though the settings name a size that
-// would fill it.
+// Cached results take none of the executor's memory, whatever size the settings give for them.
 func TestCachedResultsTakeNoExecutorMemory(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	d.settings.Admission.IdempotencyKeyKB = d.settings.Admission.MemoryKB / 3
@@ -161,42 +170,40 @@
 	for n := range 6 {
 		resp, req := d.Admit(keyedInvocation(string(rune('a'+n)), string(rune('s'+n))))
 		if req == nil {
-			t.Fatalf("number %d: %+v", n, resp)
+			t.Fatalf("request %d: %+v, want verdict Admitted", n, resp)
 		}
 		d.Complete(req, RunSucceeded, nil)
 	}
 }
 
-// TestAnsweredRepeatStopsWaiting: a repeat that is answered before its original ends waits for that no more.
+// A repeat that is answered before its original ends is no longer one of its waiters.
 func TestAnsweredRepeatStopsWaiting(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	d.Admit(keyedInvocation("a", "x"))
 	left := make(chan struct{})
 	inv := keyedInvocation("b", "x")
 	inv.CallerLeft = left
-	response := repeat(t, d, inv)
+	response := admitAsync(t, d, inv)
 	close(left)
-	if resp := fakes.Take(t, "the repeat's response", response); resp.Verdict != Abandoned {
-		t.Fatalf("%+v", resp)
+	if resp := fakes.Take(t, "the response of the repeat", response); resp.Verdict != Abandoned {
+		t.Fatalf("%+v, want verdict Abandoned", resp)
 	}
-	if waiting := d.results.Complete("a", true, nil); len(waiting) != 0 {
-		t.Errorf("%v wait for the original", waiting)
+	if waiters := d.results.Complete("a", true, nil); len(waiters) != 0 {
+		t.Errorf("waiters of the original: %v, want none", waiters)
 	}
 }
 
-// TestAnsweredRequestIsNoRepeat: a Reuse of a request that has been answered, and is in flight only as its run goes on,
-// does not make it a repeat to be answered.
+// Reuse of a request that has been answered, and whose run goes on, does not mark it as a repeat to be answered.
 func TestAnsweredRequestIsNoRepeat(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, req := d.Admit(keyedInvocation("a", "x"))
 	d.Abandon(req)
 	if d.perform(admission.Reuse{ID: "a"}); len(d.readyRepeats) != 0 {
-		t.Errorf("%v are to be answered", d.readyRepeats)
+		t.Errorf("repeats to be answered: %v, want none", d.readyRepeats)
 	}
 }
 
-// TestOnlyOpenRepeatsAreAnswered: of the repeats whose original has ended, those that have been answered or are not in
-// flight any more are passed over, and the module hears nothing of them.
+// answerRepeats skips repeats that have been answered or are not in flight; the module gets no event for them.
 func TestOnlyOpenRepeatsAreAnswered(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, req := d.Admit(keyedInvocation("a", "x"))
--- a/internal/backend/dispatch/shadow_test.go
+++ b/internal/backend/dispatch/shadow_test.go
@@ -2,23 +2,26 @@
 
 import (
 	"testing"
+
+	"milletbarrow/monotime"
 )
 
-// TestShadowOpensLikePrimary: a shadow set later is as cold as the executor still is; a process that shuts down starts none.
+// A shadow that is set later opens as cold as the primary did. A process that shuts down starts none.
 func TestShadowOpensLikePrimary(t *testing.T) {
 	d := open(t)
-	d.backend = nil // open it anew, cold for 3 s
-	d.Open(true, 3_000_000)
+	d.backend = nil // so that Open opens it again
+	d.Open(true, 3*monotime.Second)
 	d.SetShadow(d.settings)
-	if ago := Now() - d.openedAt; !d.moduleConfig(d.settings).JustStarted || ago < 3_000_000 || ago > 4_000_000 {
-		t.Errorf("cold %t, opened %d us ago", d.startedCold, ago)
+	ago := Now() - d.openedAt
+	if !d.moduleConfig(d.settings).JustStarted || ago < 3*monotime.Second || ago > 4*monotime.Second {
+		t.Errorf("cold %t, opened %d us ago; want true, 3 s", d.startedCold, ago)
 	}
 	d.Admit(newInvocation("a"))
-	c, _ := d.ShadowCounts()
-	d.Drain(5_000_000, 300_000)
+	before, _ := d.ShadowCounts()
+	d.Drain(5*monotime.Second, 300*monotime.Millisecond)
 	d.SetShadow(d.settings)
 	d.Admit(newInvocation("b"))
-	if after, on := d.ShadowCounts(); c.Arrivals != 1 || after.Arrivals != 0 || !on {
-		t.Errorf("%v, then %v, %t", c, after, on)
+	if after, ok := d.ShadowCounts(); before.Arrivals != 1 || after.Arrivals != 0 || !ok {
+		t.Errorf("before the shutdown %v, while draining %v, %t", before, after, ok)
 	}
 }
--- a/internal/backend/dispatch/ticker.go
+++ b/internal/backend/dispatch/ticker.go
@@ -8,11 +8,11 @@
 	"milletbarrow/monotime"
 )
 
-// Parts of the setting AnswerSlack, the time by which an answer may miss its deadline.
+// Parts of the setting AnswerSlack, which is the time by which an answer may miss its deadline.
 const (
-	defaultTicksPerSlack = 3 // ticks where the module sets no time; the third is still in time to answer
-	// A request is overdue when its deadline is past by overdueNumerator/overdueDenominator of the slack. The module
-	// answers in the first part of it.
+	defaultTicksPerSlack = 3 // ticks in the slack where the module sets no time for them
+
+	// A request is overdue when its deadline is past by overdueNumerator/overdueDenominator of the slack.
 	overdueNumerator   = 2
 	overdueDenominator = 3
 )
--- a/internal/backend/dispatch/ticker_test.go
+++ b/internal/backend/dispatch/ticker_test.go
@@ -12,71 +12,79 @@
 	"milletbarrow/monotime"
 )
 
-// TestTicksGoOnWithoutSamples: ticks never wait for the executor; what is due is answered though no sample comes.
+// Ticks go on while no sample comes, and answer requests by their deadline.
 func TestTicksGoOnWithoutSamples(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
-	done, over := make(chan struct{}), make(chan struct{})
 	requested := 0
-	go func() { d.RunTicks(done, func() bool { requested++; return true }, nil); close(over) }()
+	requestSample := func() bool {
+		requested++
+		return true
+	}
+	stop := startTicks(t, d, requestSample, nil)
 	inv := newInvocation("a")
-	inv.CallerTimeout = 300_000
+	inv.CallerTimeout = 300 * monotime.Millisecond
 	_, req := d.Admit(inv)
 	resp := fakes.Take(t, "the final response", req.FinalResponse())
-	tr.Say("verdict %d, in time %t", resp.Verdict, Now() < inv.ArrivedAt+inv.CallerTimeout+d.settings.Admission.AnswerSlack)
-	close(done)
-	fakes.Take(t, "the end of the ticks", over)
-	tr.Say("asked %t", requested > 0)
+	latest := inv.ArrivedAt + inv.CallerTimeout + d.settings.Admission.AnswerSlack
+	tr.Say("verdict %d, in time %t", resp.Verdict, Now() < latest)
+	stop()
+	tr.Say("sample requested %t", requested > 0)
 }
 
-// TestLateSampleIsUsedByNextTick: a sample that came after its tick serves the next, if no newer one comes.
+// A sample that came too late for its tick is used by the next one, if no newer sample comes.
 func TestLateSampleIsUsedByNextTick(t *testing.T) {
 	sampled := make(chan []float64, 1)
 	sampled <- []float64{0.5, 7, 0.1, 1}
-	if got := runUntilSampled(t, open(t), func() bool { return true }, sampled); got != 7 {
-		t.Errorf("gauge %v", got)
+	requestSample := func() bool { return true }
+	if got := queueGaugeOfFirstSample(t, open(t), requestSample, sampled); got != 7 {
+		t.Errorf("queue gauge %v, want 7", got)
 	}
 }
 
-// TestSampleIsRequestedAgainAfterStall: a sample that was waited for while the process was suspended is requested again.
+// A sample that comes after a stall is discarded, and another one is requested.
 func TestSampleIsRequestedAgainAfterStall(t *testing.T) {
 	d := open(t)
 	d.bounds.SampleTimeout = 10 * time.Second
 	sampled := make(chan []float64, 1)
 	requests := 0
-	got := runUntilSampled(t, d, func() bool {
-		if requests++; requests == 1 {
-			time.Sleep(d.bounds.StallThreshold + 20*time.Millisecond)
+	requestSample := func() bool {
+		requests++
+		if requests == 1 {
+			start := Now()
+			stalled := monotime.FromDuration(d.bounds.StallThreshold + 20*time.Millisecond)
+			fakes.Until(t, "the process has been stalled", func() bool { return Now() > start+stalled })
 			sampled <- []float64{0.5, 7, 0.1, 1}
-		} else {
-			d.bounds.StallThreshold = time.Minute // whatever the machine does to this test now
-			select {
-			case sampled <- []float64{0.5, 8, 0.1, 1}:
-			default:
-			}
+			return true
+		}
+		d.bounds.StallThreshold = time.Minute // so that a busy machine causes no further stall
+		select {
+		case sampled <- []float64{0.5, 8, 0.1, 1}:
+		default:
 		}
 		return true
-	}, sampled)
+	}
+	got := queueGaugeOfFirstSample(t, d, requestSample, sampled)
 	if got != 8 || requests < 2 {
-		t.Errorf("gauge %v after %d requests", got, requests)
+		t.Errorf("queue gauge %v after %d requests, want 8 after 2 or more", got, requests)
 	}
 }
 
-// TestOldGaugesBecomeUnknown: without samples the gauges hold for a while, and then are unknown.
+// Without samples the latest gauges remain valid for SampleMaxAge, and are then unknown.
 func TestOldGaugesBecomeUnknown(t *testing.T) {
 	d := open(t)
 	d.Tick(fullCores)
 	d.gaugesAt = Now()
 	if d.updateGauges(d.gaugesAt+1, nil); len(d.gauges) == 0 {
-		t.Error("the gauges of the latest sample are dropped")
+		t.Error("the latest gauges are unknown before SampleMaxAge")
 	}
 	old := d.gaugesAt + monotime.FromDuration(d.bounds.SampleMaxAge) + 1
 	if d.updateGauges(old, nil); len(d.gauges) != 0 {
-		t.Errorf("old gauges are passed on: %v", d.gauges)
+		t.Errorf("the gauges are known after SampleMaxAge: %v", d.gauges)
 	}
 }
 
-// TestNextTickIsInTheFuture: the next tick lies in the future though the module sets no timer.
+// The next tick is in the future although the module sets no timer.
 func TestNextTickIsInTheFuture(t *testing.T) {
 	d := open(t)
 	silenceModule(d)
@@ -86,8 +94,7 @@
 	}
 }
 
-// TestOverdueRequestIsAnswered: a request that the module has lost is answered once its deadline is well past, and one that has
-// been answered is left alone.
+// A request that the module has lost is answered once it is overdue; one that has been answered gets no second answer.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	d := open(t)
 	_, lost := d.Admit(newInvocation("lost"))
@@ -105,21 +112,21 @@
 	}
 	d.answerOverdue(overdue)
 	if resp := fakes.Take(t, "the final response", lost.responses); resp.Verdict != Errored {
-		t.Errorf("the lost one: %+v", resp)
+		t.Errorf("the lost request: %+v, want verdict Errored", resp)
 	}
 	if n := strings.Count(logged.String(), "msg=overdue"); n != 1 || d.counts.Errored != 1 {
-		t.Errorf("%d answered, %d logged, wanted one each:\n%s", d.counts.Errored, n, logged.String())
+		t.Errorf("%d answered, %d logged; want 1, 1:\n%s", d.counts.Errored, n, logged.String())
 	}
 }
 
-// TestTickAnswersOverdueRequests: each tick answers what is overdue.
+// Each tick answers overdue requests.
 func TestTickAnswersOverdueRequests(t *testing.T) {
 	d := open(t)
 	_, lost := d.Admit(newInvocation("lost"))
 	silenceModule(d)
-	lost.deadline -= 10_000_000
+	lost.deadline -= 10 * monotime.Second
 	d.Tick(fullCores)
 	if len(lost.responses) != 1 {
-		t.Error("it is not answered")
+		t.Error("the overdue request is not answered")
 	}
 }
