--- a/internal/backend/idempotency/table.go
+++ b/internal/backend/idempotency/table.go
@@ -1,6 +1,12 @@
-// Package idempotency is the cache of results by idempotency key: it holds the invocations that are remembered and how
-// they ended, so that a repeat can be answered with the first result. It decides nothing and has no clock and no
-// lock: whoever owns a Table calls it from one goroutine at a time.
+// Package idempotency is the cache of results by idempotency key. It stores invocations and how their runs ended, so
+// that a repeat is answered with the result of its original. It decides nothing and has no clock.
+//
+// Invariants, which TestTableMatchesModel holds for any order of calls unless another test is named:
+//   - usedBytes is the sum over all entries, and at most maxBytes; see also TestCapacityIsInBytes.
+//   - Each entry stands in byKey and byID.
+//   - An entry whose run has ended has no waiters, and each waiter is returned once.
+//   - An expired entry is not found, and is stored until no repeat that arrived in time can be unread:
+//     TestRepeatArrivedInTimeIsFoundUntilEviction.
 package idempotency
 
 import (
@@ -9,71 +15,80 @@
 	"milletbarrow/monotime"
 )
 
-// Key identifies the attempts of one operation. The tenant is part of it: no tenant may be answered with another's result,
-// whatever token it sends.
+// Key identifies the attempts of one operation. It contains the tenant, so that no tenant is answered with another's
+// result.
 type Key struct {
-	Operation, Tenant int
-	Token             string
+	Operation int    // index into the settings' operations
+	Tenant    int    // index into the settings' tenants
+	Token     string // the idempotency key that the caller sent
 }
 
-// entryBytes is about what an entry takes besides its result: two places in maps, its strings, and its waiting repeats.
+// entryBytes estimates the memory of an entry without its result: two places in maps, its strings, and its waiters.
 const entryBytes = 1 << 10
 
-// Table is a cache of bounded size. Remember may be called only while HasCapacity is true.
+// Table is a cache of bounded size. Remember may be called only while HasCapacity returns true. A Table is not safe for
+// concurrent use.
 type Table struct {
-	maxBytes, maxResult int
-	usedBytes           int
-	byKey               map[Key]*entry
-	byID                map[string]*entry
-	lastEviction        monotime.Micros
+	maxBytes     int
+	maxResult    int // bytes of the longest result
+	usedBytes    int // what entries occupy or, until their runs have ended, reserve
+	byKey        map[Key]*entry
+	byID         map[string]*entry // by ID of the invocation
+	lastEviction monotime.Micros   // 0: never
 }
 
-// entry is a remembered invocation. Until its run has ended the bytes of the longest result are reserved for it.
+// entry is a cached invocation. Until its run has ended, the longest result's bytes are reserved for it.
 type entry struct {
 	id        string
 	key       Key
-	expiresAt monotime.Micros // a repeat that reaches the host later is a new invocation
-	completed bool
+	expiresAt monotime.Micros // a request with the same key that arrives later is no repeat
+	completed bool            // its run has ended
 	succeeded bool
-	result    []byte
-	waiters   []string // IDs of repeats that are to have its result
+	result    []byte   // nil unless it succeeded
+	waiters   []string // IDs of repeats that wait for its run to end
 }
 
-// New makes a table of at most maxBytes, for results of at most maxResult bytes. IDs given to its methods are those of
-// invocations; an ID must not be remembered twice.
+// New returns a table of at most maxBytes, for results of at most maxResult bytes. The IDs passed to its methods are
+// those of invocations; an ID must not be added twice.
 func New(maxBytes, maxResult int) *Table {
-	return &Table{maxBytes: maxBytes, maxResult: maxResult, byKey: map[Key]*entry{}, byID: map[string]*entry{}}
+	return &Table{
+		maxBytes:  maxBytes,
+		maxResult: maxResult,
+		byKey:     map[Key]*entry{},
+		byID:      map[string]*entry{},
+	}
 }
 
-// HasCapacity reports whether one more invocation can be remembered.
+// HasCapacity reports whether one more invocation can be added.
 func (t *Table) HasCapacity() bool { return t.usedBytes+entryBytes+t.maxResult <= t.maxBytes }
 
-// Contains reports whether the invocation with that ID is remembered.
+// Contains reports whether the invocation with that ID is cached.
 func (t *Table) Contains(id string) bool { return t.byID[id] != nil }
 
-// Len is the number of remembered invocations.
+// Len returns the number of cached invocations.
 func (t *Table) Len() int { return len(t.byID) }
 
-// Find returns the ID of the remembered invocation that one with this key repeats, if that reached the host at the time
-// given; "" if there is none.
-func (t *Table) Find(k Key, arrived monotime.Micros) string {
-	if e := t.byKey[k]; e != nil && arrived <= e.expiresAt {
+// Find returns the ID of the original of a request with this key that reached the host at arrivedAt; "" if there is
+// none.
+func (t *Table) Find(key Key, arrivedAt monotime.Micros) string {
+	if e := t.byKey[key]; e != nil && arrivedAt <= e.expiresAt {
 		return e.id
 	}
 	return ""
 }
 
-// Remember adds an invocation. It replaces one with the same key that has expired.
-func (t *Table) Remember(id string, k Key, expiresAt monotime.Micros) {
-	if old := t.byKey[k]; old != nil {
+// Remember adds an invocation. It replaces an expired one with the same key.
+func (t *Table) Remember(id string, key Key, expiresAt monotime.Micros) {
+	if old := t.byKey[key]; old != nil {
 		t.remove(old)
 	}
-	e := &entry{id: id, key: k, expiresAt: expiresAt}
-	t.byKey[k], t.byID[id] = e, e
+	e := &entry{id: id, key: key, expiresAt: expiresAt}
+	t.byKey[key] = e
+	t.byID[id] = e
 	t.usedBytes += entryBytes + t.maxResult
 }
 
-// Forget removes an invocation that never ran, and returns the repeats that waited for it.
+// Forget removes an invocation that never ran, and returns the IDs of the repeats that waited for it.
 func (t *Table) Forget(id string) (waiters []string) {
 	e := t.byID[id]
 	if e == nil {
@@ -83,7 +98,7 @@
 	return e.waiters
 }
 
-// remove deletes an entry. It is the one under its key: Remember removes the entry that was there before.
+// remove deletes an entry and releases its bytes.
 func (t *Table) remove(e *entry) {
 	delete(t.byID, e.id)
 	delete(t.byKey, e.key)
@@ -93,25 +108,27 @@
 	}
 }
 
-// Complete stores how the run of an invocation ended and returns the repeats that waited for it. The result is not
-// copied; that of a run that failed is dropped.
+// Complete stores how the run of an invocation ended and returns the IDs of the repeats that waited for it. The
+// result is not copied; the result of a run that failed is dropped.
 func (t *Table) Complete(id string, succeeded bool, result []byte) (waiters []string) {
 	e := t.byID[id]
 	if e == nil || e.completed {
 		return nil
 	}
-	e.completed, e.succeeded = true, succeeded
+	e.completed = true
+	e.succeeded = succeeded
 	t.usedBytes -= t.maxResult
 	if succeeded {
 		e.result = result
 		t.usedBytes += len(result)
 	}
-	waiters, e.waiters = e.waiters, nil
+	waiters = e.waiters
+	e.waiters = nil
 	return waiters
 }
 
-// AddWaiter has a repeat wait for the end of the invocation that it repeats; completed is true if there is nothing to
-// wait for.
+// AddWaiter adds a repeat to those that wait for the run of their original to end. completed reports that the run has
+// ended, or the original is not cached: the repeat was not added.
 func (t *Table) AddWaiter(id, repeat string) (completed bool) {
 	e := t.byID[id]
 	if e == nil || e.completed {
@@ -121,15 +138,15 @@
 	return false
 }
 
-// RemoveWaiter removes a repeat that has been answered otherwise.
+// RemoveWaiter removes a repeat that has been answered before its original's run ended.
 func (t *Table) RemoveWaiter(id, repeat string) {
 	if e := t.byID[id]; e != nil {
 		e.waiters = slices.DeleteFunc(e.waiters, func(r string) bool { return r == repeat })
 	}
 }
 
-// Result returns what a repeat is to be answered with. ok is false if there is no result, remembered if there is no such
-// invocation either.
+// Result returns the result of an invocation. ok reports whether its run succeeded, remembered whether the invocation
+// is cached at all.
 func (t *Table) Result(id string) (result []byte, ok, remembered bool) {
 	e := t.byID[id]
 	if e == nil {
@@ -138,8 +155,9 @@
 	return e.result, e.succeeded, true
 }
 
-// EvictExpired removes what no repeat can refer to any more: one that is read now reached the host at most maxQueueTime
-// ago. An invocation whose run has not ended goes too. Calls that follow another within interval do nothing.
+// EvictExpired removes invocations that no request read from now on can repeat: a request read now reached the host
+// at most maxQueueTime ago. It removes those whose run has not ended too. A call within interval of the last eviction
+// does nothing.
 func (t *Table) EvictExpired(now, maxQueueTime, interval monotime.Micros) {
 	if now < t.lastEviction+interval {
 		return
