--- a/internal/backend/shadow/compare.go
+++ b/internal/backend/shadow/compare.go
@@ -7,24 +7,25 @@
 	"milletbarrow/monotime"
 )
 
-// compare counts the differences between the actions of both sides on one event; arrived is the request that has just
-// arrived, if one has.
+// compare counts the differences between the actions of both sides on one event. arrived is the ID of the request if
+// the event is an arrival, otherwise "".
 func (e *Evaluator) compare(arrived string, actions [sideCount][]admission.Action) {
-	if a, b := firstStarted(actions[primary]), firstStarted(actions[shadow]); a != "" && b != "" && a != b {
+	onPrimary, onShadow := firstStarted(actions[primary]), firstStarted(actions[shadow])
+	if onPrimary != "" && onShadow != "" && onPrimary != onShadow {
 		e.count(StartOrder)
 	}
 	for s := range sideCount {
+		others := actions[s.other()]
 		for _, action := range actions[s] {
-			e.compareAction(s, action, actions[s.other()])
+			e.compareAction(s, action, others)
 			id, final := finalAnswer(action)
 			if !final || !e.unanswered[id] {
 				continue
 			}
-			other := finalAnswerTo(id, actions[s.other()])
 			if s == shadow {
 				e.unanswered[id] = false
 			}
-			if difference, differs := compareAnswers(action, other, s, id == arrived); differs {
+			if difference, differs := compareAnswers(action, finalAnswerTo(id, others), s, id == arrived); differs {
 				e.count(difference)
 			}
 		}
@@ -32,9 +33,10 @@
 	e.compareState()
 }
 
+// count counts a difference.
 func (e *Evaluator) count(d Difference) { e.counts.ByDifference[d]++ }
 
-// compareAction records the state that an action sets, and counts one that the other side has not decided on.
+// compareAction records the state that an action sets, and counts an action that the other side has not decided on.
 func (e *Evaluator) compareAction(s side, action admission.Action, others []admission.Action) {
 	both := slices.Contains(others, action)
 	switch a := action.(type) {
@@ -57,7 +59,8 @@
 	}
 }
 
-// compareState counts states that differ, once until both agree again.
+// compareState counts a state that differs. It then sets the shadow's state to the primary's, so that the difference is
+// counted once until one of them changes.
 func (e *Evaluator) compareState() {
 	if e.healthy[primary] != e.healthy[shadow] {
 		e.count(Health)
@@ -69,11 +72,11 @@
 	}
 }
 
-// compareAnswers compares the final answer of one side with the other's, nil if there is none. Two answers are compared
-// once, from the shadow's side.
+// compareAnswers compares the final answer of side s with the other side's, which is nil if it has none. Two answers
+// are compared once, when s is the shadow.
 func compareAnswers(answer, other admission.Action, s side, onArrival bool) (d Difference, differs bool) {
 	switch {
-	case other != nil:
+	case other != nil: // both have answered; see below
 	case onArrival && s == primary:
 		return OnlyShadowAdmits, true
 	case onArrival:
@@ -83,21 +86,22 @@
 	default:
 		return OnlyShadowGivesUp, true
 	}
-	a, throttles := answer.(admission.Throttle)
-	b, both := other.(admission.Throttle)
+	throttle, ok := answer.(admission.Throttle)
+	otherThrottle, otherOK := other.(admission.Throttle)
 	switch {
-	case s == primary || !throttles || !both:
+	case s == primary || !ok || !otherOK:
 		return 0, false
-	case a.DontRetry != b.DontRetry:
+	case throttle.DontRetry != otherThrottle.DontRetry:
 		return RetryElsewhere, true
 	}
-	return RetryAfter, moreThanHalf(a.RetryAfter, b.RetryAfter) || moreThanHalf(b.RetryAfter, a.RetryAfter)
+	return RetryAfter, exceedsByHalf(throttle.RetryAfter, otherThrottle.RetryAfter) ||
+		exceedsByHalf(otherThrottle.RetryAfter, throttle.RetryAfter)
 }
 
-// moreThanHalf reports whether a time is longer than another by more than half of it.
-func moreThanHalf(a, b monotime.Micros) bool { return a > b*3/2 }
+// exceedsByHalf reports whether a is longer than b by more than half of b.
+func exceedsByHalf(a, b monotime.Micros) bool { return a > b*3/2 }
 
-// firstStarted returns the request that is started first, or "".
+// firstStarted returns the ID of the request that is started first, or "".
 func firstStarted(actions []admission.Action) string {
 	for _, action := range actions {
 		if start, ok := action.(admission.Start); ok {
@@ -107,7 +111,7 @@
 	return ""
 }
 
-// finalAnswerTo returns the final answer to a request among actions, or nil.
+// finalAnswerTo returns the final answer to a request, or nil if there is none among actions.
 func finalAnswerTo(id string, actions []admission.Action) admission.Action {
 	for _, action := range actions {
 		if to, final := finalAnswer(action); final && to == id {
@@ -117,7 +121,7 @@
 	return nil
 }
 
-// finalAnswer returns the request that an action answers finally, if it does.
+// finalAnswer returns the ID of the request to which an action is the final answer; final is false if it is none.
 func finalAnswer(action admission.Action) (id string, final bool) {
 	switch a := action.(type) {
 	case admission.Throttle:
--- a/internal/backend/shadow/difference.go
+++ b/internal/backend/shadow/difference.go
@@ -5,34 +5,50 @@
 	"strings"
 )
 
-// Difference is a way in which the shadow's decision differs from the primary's.
+// Difference is a kind of difference between the shadow's decisions and the primary's.
 type Difference int
 
-// The differences. Health, IdleTimeout and AdvertisedValue are counted once a change, the others once for each request and
-// event.
+// The kinds of difference. Health, IdleTimeout and AdvertisedValue are counted once for each change, the others once
+// for each request and event.
 const (
-	OnlyShadowAdmits  Difference = iota // the primary rejects the request on arrival
-	OnlyShadowRejects                   // on arrival
-	RetryElsewhere                      // both throttle the request, and only one lets the caller try other backends
-	RetryAfter                          // both throttle the request, with Retry-Afters that differ by more than half
-	StartOrder                          // another request is started first
-	OnlyShadowGivesUp                   // after the arrival
-	OnlyShadowKeeps                     // the primary gives the request up after its arrival
+	OnlyShadowAdmits  Difference = iota // the primary rejects the request on arrival, the shadow does not
+	OnlyShadowRejects                   // the shadow rejects the request on arrival, the primary does not
+	RetryElsewhere                      // both throttle the request; only one advises a retry on another backend
+	RetryAfter                          // both throttle the request; the Retry-Afters differ by more than half
+	StartOrder                          // the first request to be started is another one
+	OnlyShadowGivesUp                   // the shadow answers the request without a run after its arrival
+	OnlyShadowKeeps                     // the primary answers the request without a run after its arrival
 	Preemption                          // only one stops a run
 	Replay                              // only one answers with the result of an earlier run
-	Health                              // health checks are answered otherwise
-	IdleTimeout                         // connections may be idle for another time
-	AdvertisedValue                     // another value is advertised, or by only one
+	Health                              // health checks are answered differently
+	IdleTimeout                         // the idle timeouts of connections differ
+	AdvertisedValue                     // the advertised values differ, or only one advertises a value
 	differenceCount
 )
 
-// differenceNames are the names in logs and on the admin socket.
+// Names of the counts in logs and on the admin socket.
+const (
+	arrivalsName = "arrivals"
+	panicsName   = "faults"
+)
+
+// differenceNames are the names of the differences in logs and on the admin socket.
 var differenceNames = [differenceCount]string{
-	"let_in", "turned_away", "words", "advice", "order", "given_up", "kept_on", "paused", "repeated", "health",
-	"connections", "value",
+	OnlyShadowAdmits:  "let_in",
+	OnlyShadowRejects: "turned_away",
+	RetryElsewhere:    "words",
+	RetryAfter:        "advice",
+	StartOrder:        "order",
+	OnlyShadowGivesUp: "given_up",
+	OnlyShadowKeeps:   "kept_on",
+	Preemption:        "paused",
+	Replay:            "repeated",
+	Health:            "health",
+	IdleTimeout:       "connections",
+	AdvertisedValue:   "value",
 }
 
-// String is the name in logs and on the admin socket.
+// String returns the name in logs and on the admin socket.
 func (d Difference) String() string { return differenceNames[d] }
 
 // Counts are totals since the start of the shadow.
@@ -44,26 +60,26 @@
 
 // Map returns the arrivals, the panics and the differences that are not 0, by name.
 func (c Counts) Map() map[string]int {
-	m := map[string]int{"arrivals": c.Arrivals, "faults": c.Panics}
+	counts := map[string]int{arrivalsName: c.Arrivals, panicsName: c.Panics}
 	for d, n := range c.ByDifference {
 		if n > 0 {
-			m[Difference(d).String()] = n
+			counts[Difference(d).String()] = n
 		}
 	}
-	return m
+	return counts
 }
 
-// String prints the counts in a fixed order, for logs.
+// String formats the counts in a fixed order, for logs.
 func (c Counts) String() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "arrivals=%d", c.Arrivals)
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s=%d", arrivalsName, c.Arrivals)
 	for d, n := range c.ByDifference {
 		if n > 0 {
-			fmt.Fprintf(&b, " %v=%d", Difference(d), n)
+			fmt.Fprintf(&text, " %v=%d", Difference(d), n)
 		}
 	}
 	if c.Panics > 0 {
-		fmt.Fprintf(&b, " faults=%d", c.Panics)
+		fmt.Fprintf(&text, " %s=%d", panicsName, c.Panics)
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/backend/shadow/evaluator.go
+++ b/internal/backend/shadow/evaluator.go
@@ -1,6 +1,13 @@
-// Package shadow evaluates another configuration beside the one in force: a second decision module, the shadow, gets every
-// event of the first, the primary, and the ways in which its decisions differ are counted. None of the shadow's actions is
-// carried out. It does no I/O and has no clock.
+// Package shadow evaluates another configuration beside the one in force. A second decision module, the shadow, gets
+// every event of the first, the primary, and the differences between their decisions are counted. No action of the
+// shadow is carried out. The package does no I/O and has no clock.
+//
+// Invariants, each with the test that holds it:
+//   - A shadow with the primary's configuration differs in nothing, and no request is left at the end:
+//     TestEqualConfigurationsNeverDiffer.
+//   - Each answer is compared once: TestEachAnswerIsComparedOnce.
+//   - A state that differs is counted once until both sides agree again: TestDifferentStateIsCountedOnce.
+//   - A request runs for the shadow only if the primary has started it: TestShadowStartsNothingItself.
 package shadow
 
 import (
@@ -8,7 +15,7 @@
 	"milletbarrow/monotime"
 )
 
-// side is one of the two modules; it indexes what is known of both.
+// side is one of the two modules, as an index.
 type side int
 
 const (
@@ -17,26 +24,32 @@
 	sideCount
 )
 
-// other is the other side.
+// other returns the other side.
 func (s side) other() side { return sideCount - 1 - s }
 
-// Evaluator is a shadow module with the counts of its differences. Not safe for concurrent use.
+// Evaluator is a shadow module with the counts of its differences. It is not safe for concurrent use.
 type Evaluator struct {
-	module      *admission.Backend
-	actions     []admission.Action // of the shadow's latest decision; reused
-	unanswered  map[string]bool    // requests in flight that the primary has not answered; true: nor has the shadow
+	module  *admission.Backend // nil after a panic
+	actions []admission.Action // of the shadow's latest decision; the slice is reused
+
+	// unanswered has the requests in flight that the primary has not answered, by ID. The value is true while the
+	// shadow has not answered the request either. It is nil after a panic.
+	unanswered map[string]bool
+
 	counts      Counts
-	healthy     [sideCount]bool            // as each has last set it
-	idleTimeout [sideCount]monotime.Micros // as each has last set it
-	timerToken  int64                      // of the shadow's timer
+	healthy     [sideCount]bool            // as each side last set it
+	idleTimeout [sideCount]monotime.Micros // as each side last set it
+	timerToken  int64                      // of the shadow's timer; passed back with the next reading
 }
 
-// New starts a shadow with another configuration. now is when the primary opened, or any later time: requests that it had
-// in flight then are not compared.
+// New starts a shadow with another configuration. now is the time at which the primary opened, or a later one; requests
+// that the primary has in flight then are not compared.
 func New(cfg admission.Config, seed uint64, now monotime.Micros) *Evaluator {
 	cfg.ConfirmStarts = true
 	e := &Evaluator{
-		module: admission.New(cfg, seed), unanswered: map[string]bool{}, healthy: [sideCount]bool{true, true},
+		module:      admission.New(cfg, seed),
+		unanswered:  map[string]bool{},
+		healthy:     [sideCount]bool{true, true},
 		idleTimeout: [sideCount]monotime.Micros{cfg.IdleTimeout, cfg.IdleTimeout},
 	}
 	e.decide(now, admission.Opened{})
@@ -46,7 +59,7 @@
 // Counts returns the totals so far.
 func (e *Evaluator) Counts() Counts { return e.counts }
 
-// Observe takes in an event and the actions that the primary decided on.
+// Observe passes an event of the primary to the shadow and counts the differences between the actions of both.
 func (e *Evaluator) Observe(now monotime.Micros, event admission.Event, actions []admission.Action) {
 	if _, opened := event.(admission.Opened); opened || e.counts.Panics > 0 {
 		return
@@ -54,7 +67,8 @@
 	defer func() {
 		if r := recover(); r != nil {
 			e.counts.Panics++
-			e.unanswered, e.module = nil, nil
+			e.unanswered = nil
+			e.module = nil
 		}
 	}()
 	arrived := ""
@@ -78,8 +92,8 @@
 	}
 }
 
-// follow has the shadow go on from what really happened: what the primary started runs for the shadow too, and a request
-// that the primary answered is over for both.
+// follow adapts the shadow to the primary's actions, which are carried out: a request that the primary started runs
+// for the shadow too, and one that the primary answered ends for both.
 func (e *Evaluator) follow(now monotime.Micros, actions []admission.Action) {
 	for _, action := range actions {
 		if start, ok := action.(admission.Start); ok {
@@ -94,7 +108,7 @@
 	}
 }
 
-// decide passes an event to the shadow.
+// decide passes an event to the shadow's module.
 func (e *Evaluator) decide(now monotime.Micros, event admission.Event) {
 	e.actions = e.module.Decide(now, event, e.actions[:0])
 	for _, action := range e.actions {
