--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
-		return admin.Listen(path)
+		return admin.Listen(context.Background(), path)
 	}
 	return net.Listen("tcp", address)
 }
--- a/internal/backend/admin/client.go
+++ b/internal/backend/admin/client.go
@@ -10,42 +10,55 @@
 	"milletbarrow/internal/limits"
 )
 
-// Client calls an instance's admin socket. A response of another status than 2xx is a *jsonhttp.StatusError. It is safe for use
-// by several goroutines.
+// Client calls the admin socket of an instance. A response with a status other than 2xx is a *jsonhttp.StatusError. Its
+// methods may be called from any goroutine.
 type Client struct {
 	client *http.Client
 	bounds limits.Control
 }
 
-// NewClient makes a client of the socket at path.
-func NewClient(path string, b limits.Control) *Client {
-	return &Client{jsonhttp.Client("unix:"+path, b), b}
+// NewClient returns a client of the socket at path.
+func NewClient(path string, bounds limits.Control) *Client {
+	return &Client{client: jsonhttp.Client("unix:"+path, bounds), bounds: bounds}
 }
 
 // State returns the instance's state.
-func (p *Client) State(ctx context.Context) (s State, err error) {
-	return s, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/state", nil, &s, int64(p.bounds.MessageSize))
+func (c *Client) State(ctx context.Context) (state State, err error) {
+	err = c.get(ctx, statePath, &state)
+	return state, err
 }
 
-// Drain asks the instance to drain and exit; it was first notified so long ago.
-func (p *Client) Drain(ctx context.Context, ago time.Duration) error {
-	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/leave", Notice{Ago: ago.Microseconds()}, nil, 0)
+// Drain asks the instance to drain and exit. ago is the time since the first notice.
+func (c *Client) Drain(ctx context.Context, ago time.Duration) error {
+	return c.post(ctx, drainPath, Notice{Ago: ago.Microseconds()})
 }
 
-// Override holds a level of graceful degradation, or releases it.
-func (p *Client) Override(ctx context.Context, override Override) error {
-	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/level", override, nil, 0)
+// Override puts a level of graceful degradation in force, or ends an override.
+func (c *Client) Override(ctx context.Context, override Override) error {
+	return c.post(ctx, overridePath, override)
 }
 
-// QuotaRequest returns what the instance requests of the fleet-wide budgets. A lease counts from the moment of the request.
-func (p *Client) QuotaRequest(ctx context.Context) (request quota.LeaseRequest, err error) {
-	return request, jsonhttp.Call(ctx, p.client, http.MethodGet, "/v1/share", nil, &request, int64(p.bounds.MessageSize))
+// QuotaRequest returns the instance's request for leases of fleet-wide quotas. A lease is valid from the time of the
+// request.
+func (c *Client) QuotaRequest(ctx context.Context) (request quota.LeaseRequest, err error) {
+	err = c.get(ctx, quotaPath, &request)
+	return request, err
 }
 
 // ApplyLease passes the response to a quota request to the instance.
-func (p *Client) ApplyLease(ctx context.Context, response quota.LeaseResponse) error {
-	return jsonhttp.Call(ctx, p.client, http.MethodPost, "/v1/share", response, nil, 0)
+func (c *Client) ApplyLease(ctx context.Context, response quota.LeaseResponse) error {
+	return c.post(ctx, quotaPath, response)
 }
 
 // Close closes idle connections.
-func (p *Client) Close() { p.client.CloseIdleConnections() }
+func (c *Client) Close() { c.client.CloseIdleConnections() }
+
+// get decodes the response to a GET call into a message.
+func (c *Client) get(ctx context.Context, path string, into any) error {
+	return jsonhttp.Call(ctx, c.client, http.MethodGet, path, nil, into, int64(c.bounds.MessageSize))
+}
+
+// post sends a message. The response has no body.
+func (c *Client) post(ctx context.Context, path string, message any) error {
+	return jsonhttp.Call(ctx, c.client, http.MethodPost, path, message, nil, 0)
+}
--- a/internal/backend/admin/compat_test.go
+++ b/internal/backend/admin/compat_test.go
@@ -6,7 +6,7 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+// JSON with each field set that an earlier release wrote is decoded and encoded without a difference.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[State](t, "State.json")
 	compattest.RoundTrip[Override](t, "Pin.json")
--- a/internal/backend/admin/server.go
+++ b/internal/backend/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin is the admin socket of one instance: it serves the instance's state, and takes shutdown notices, overrides of
-// the degradation level and quota leases from the supervisor and the agent on the same host. It is a Unix socket, off unless
-// configured, and never touches an invocation.
+// Package admin is the admin socket of one instance. It serves the instance's state, and receives shutdown notices,
+// overrides of the degradation level and quota leases from the supervisor and the agent on the same host. It is a Unix
+// socket, off unless configured, and takes no part in handling invocations.
 package admin
 
 import (
@@ -18,10 +18,10 @@
 	"milletbarrow/internal/limits"
 )
 
-// Errors of Listen; the error wraps one of them after the socket's path.
+// Errors of Listen, which wraps them with the socket's path.
 var (
-	ErrSocketInUse = errors.New("somebody answers there already")
-	ErrNotSocket   = errors.New("is there and no socket")
+	ErrSocketInUse = errors.New("socket is in use by another process")
+	ErrNotSocket   = errors.New("file exists and is not a socket")
 )
 
 // socketMode lets only the user of the process connect.
@@ -30,101 +30,112 @@
 // Instance is the backend that a socket serves. None of its functions may block.
 type Instance struct {
 	State        func() State
-	Drain        func(ago time.Duration) // called for each notice, with how long ago the first one was given
+	Drain        func(ago time.Duration) // called for each notice, with the time since the first one
 	Override     func(Override) error
-	QuotaRequest func() (quota.LeaseRequest, bool) // false without any budget
+	QuotaRequest func() (request quota.LeaseRequest, ok bool) // ok is false without fleet-wide quotas
 	ApplyLease   func(quota.LeaseResponse) error
 }
 
-// Serve serves the socket at path until ctx ends. The error is that of Listen, or of the listener.
-func Serve(ctx context.Context, path string, b limits.Control, instance Instance) error {
-	l, err := Listen(path)
+// Serve serves the socket at path until ctx ends. It returns an error of Listen or of the listener.
+func Serve(ctx context.Context, path string, bounds limits.Control, instance Instance) error {
+	listener, err := Listen(ctx, path)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{
-		Handler: handler(b, instance), ReadHeaderTimeout: b.CallTimeout, ReadTimeout: b.CallTimeout, WriteTimeout: b.CallTimeout,
-		IdleTimeout: b.IdleTimeout, MaxHeaderBytes: b.MessageSize,
+		Handler:           handler(bounds, instance),
+		ReadHeaderTimeout: bounds.CallTimeout,
+		ReadTimeout:       bounds.CallTimeout,
+		WriteTimeout:      bounds.CallTimeout,
+		IdleTimeout:       bounds.IdleTimeout,
+		MaxHeaderBytes:    bounds.MessageSize,
 	}
-	go func() {
-		<-ctx.Done()
-		_ = server.Close()
-	}()
-	if err := server.Serve(limits.LimitListener(l, b.Connections)); !errors.Is(err, http.ErrServerClosed) {
-		return err
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
+	defer stop()
+	err = server.Serve(limits.LimitListener(listener, bounds.Connections))
+	if !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("serve %s: %w", path, err)
 	}
 	return nil
 }
 
 // handler routes the calls to the instance.
-func handler(b limits.Control, instance Instance) http.Handler {
+func handler(bounds limits.Control, instance Instance) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+statePath, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, instance.State())
 	})
-	mux.HandleFunc("POST /v1/leave", func(w http.ResponseWriter, r *http.Request) {
-		var n Notice
-		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.MessageSize))).Decode(&n)
-		if err != nil || n.Ago < 0 || n.Ago > maxAgo {
-			http.Error(w, fmt.Sprintf("ago_us: %d is not from 0 to an hour: %v", n.Ago, err), http.StatusBadRequest)
-			return
+	mux.HandleFunc("POST "+drainPath, handleMessage(bounds, http.StatusBadRequest, func(notice Notice) error {
+		if notice.Ago < 0 || notice.Ago > maxAgo {
+			return fmt.Errorf("ago_us: %d is outside the range 0 to %d", notice.Ago, maxAgo)
 		}
-		instance.Drain(time.Duration(n.Ago) * time.Microsecond)
-		w.WriteHeader(http.StatusAccepted)
-	})
-	mux.HandleFunc("GET /v1/share", func(w http.ResponseWriter, _ *http.Request) {
+		instance.Drain(time.Duration(notice.Ago) * time.Microsecond)
+		return nil
+	}))
+	mux.HandleFunc("POST "+overridePath, handleMessage(bounds, http.StatusUnprocessableEntity, instance.Override))
+	mux.HandleFunc("GET "+quotaPath, func(w http.ResponseWriter, _ *http.Request) {
 		request, ok := instance.QuotaRequest()
 		if !ok {
-			http.Error(w, "no budget is drawn from here", http.StatusNotFound)
+			http.Error(w, "no fleet-wide quota is configured", http.StatusNotFound)
 			return
 		}
 		writeJSON(w, request)
 	})
-	handleDecoded(mux, "POST /v1/share", b, instance.ApplyLease)
-	handleDecoded(mux, "POST /v1/level", b, instance.Override)
+	mux.HandleFunc("POST "+quotaPath, handleMessage(bounds, http.StatusUnprocessableEntity, instance.ApplyLease))
 	return mux
 }
 
-// writeJSON writes a response. The caller that has gone misses it: its error is ignored.
-func writeJSON(w http.ResponseWriter, v any) {
+// writeJSON writes a response with a message.
+func writeJSON(w http.ResponseWriter, message any) {
+	body, err := json.Marshal(message)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v)
+	_, _ = w.Write(append(body, '\n')) // the caller may have gone
 }
 
-// handleDecoded passes the decoded body of calls of a route to apply, and responds with its error.
-func handleDecoded[T any](mux *http.ServeMux, route string, b limits.Control, apply func(T) error) {
-	mux.HandleFunc(route, func(w http.ResponseWriter, r *http.Request) {
-		var v T
-		err := json.NewDecoder(io.LimitReader(r.Body, int64(b.MessageSize))).Decode(&v)
+// handleMessage returns a handler that decodes the message of a call and passes it to apply. The status of a response
+// is 202, or errorStatus if the message is not JSON or apply refuses it.
+func handleMessage[T any](bounds limits.Control, errorStatus int, apply func(T) error) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		var message T
+		err := json.NewDecoder(io.LimitReader(r.Body, int64(bounds.MessageSize))).Decode(&message)
 		if err == nil {
-			err = apply(v)
+			err = apply(message)
 		}
 		if err != nil {
-			http.Error(w, err.Error(), http.StatusUnprocessableEntity)
+			http.Error(w, err.Error(), errorStatus)
 			return
 		}
 		w.WriteHeader(http.StatusAccepted)
-	})
+	}
 }
 
-// Listen opens a Unix socket for this user alone. It replaces the socket of a process that was killed; ErrSocketInUse if one
-// still answers there, ErrNotSocket if the path is a file of another kind.
-func Listen(path string) (net.Listener, error) {
-	if c, err := net.Dial("unix", path); err == nil {
-		_ = c.Close()
+// Listen opens a Unix socket to which only this user may connect. It replaces the socket of a process that was
+// killed. It returns ErrSocketInUse if a process still accepts connections there, ErrNotSocket if path is a file of
+// another kind.
+func Listen(ctx context.Context, path string) (net.Listener, error) {
+	// A cancelled attempt to connect must not be taken for a socket that nobody accepts connections on.
+	ctx = context.WithoutCancel(ctx)
+	var dialer net.Dialer
+	if conn, err := dialer.DialContext(ctx, "unix", path); err == nil {
+		_ = conn.Close()
 		return nil, fmt.Errorf("%s: %w", path, ErrSocketInUse)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket == 0 {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotSocket)
 	}
-	_ = os.Remove(path) // it need not exist
-	l, err := net.Listen("unix", path)
+	_ = os.Remove(path) // it may not exist
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "unix", path)
 	if err != nil {
 		return nil, err
 	}
 	if err := os.Chmod(path, socketMode); err != nil {
-		_ = l.Close()
+		_ = listener.Close()
 		return nil, err
 	}
-	return l, nil
+	return listener, nil
 }
--- a/internal/backend/admin/server_test.go
+++ b/internal/backend/admin/server_test.go
@@ -1,6 +1,7 @@
 package admin
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -15,7 +16,7 @@
 	"milletbarrow/internal/limits"
 )
 
-// serveInstance serves an instance on a socket of its own for as long as the test runs, and returns a client of it.
+// serveInstance serves an instance on a socket of its own until the test ends, and returns a client of it.
 func serveInstance(t *testing.T, instance Instance) *Client {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "admin")
@@ -26,12 +27,13 @@
 			t.Errorf("Serve ended with %v", err)
 		}
 	})
-	fakes.Until(t, "the socket is served", func() bool { // its file is there a moment before it listens
-		c, err := net.Dial("unix", path)
+	fakes.Until(t, "the socket is served", func() bool { // its file exists before it accepts connections
+		var dialer net.Dialer
+		conn, err := dialer.DialContext(t.Context(), "unix", path)
 		if err != nil {
 			return false
 		}
-		_ = c.Close()
+		_ = conn.Close()
 		return true
 	})
 	client := NewClient(path, limits.ForControl())
@@ -39,16 +41,36 @@
 	return client
 }
 
-// statusOf returns the status of a response that is an error, 0 of any other error.
+// statusOf returns the status of a *jsonhttp.StatusError, or 0 for any other error.
 func statusOf(err error) int {
-	var status *jsonhttp.StatusError
-	if errors.As(err, &status) {
+	if status, ok := errors.AsType[*jsonhttp.StatusError](err); ok {
 		return status.Code
 	}
 	return 0
 }
 
-// TestCallsReachTheInstance: each call is passed on, and the instance's response or error comes back.
+// listen opens a socket at path.
+func listen(t *testing.T, path string) net.Listener {
+	t.Helper()
+	listener, err := Listen(t.Context(), path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return listener
+}
+
+// leaveSocket closes a listener and leaves its socket in the file system, as a killed process does.
+func leaveSocket(t *testing.T, listener net.Listener) {
+	t.Helper()
+	unix, ok := listener.(*net.UnixListener)
+	if !ok {
+		t.Fatalf("a %T, want a *net.UnixListener", listener)
+	}
+	unix.SetUnlinkOnClose(false)
+	_ = unix.Close()
+}
+
+// Each call is passed to the instance, and its response or error is returned.
 func TestCallsReachTheInstance(t *testing.T) {
 	var drained time.Duration
 	refused := errors.New("no such level")
@@ -60,68 +82,93 @@
 		ApplyLease:   func(quota.LeaseResponse) error { return nil },
 	})
 	if s, err := client.State(t.Context()); err != nil || s.Name != "n3" || s.InFlight != 7 {
-		t.Errorf("the state is %+v, %v", s, err)
+		t.Errorf("State() = %+v, %v", s, err)
 	}
 	if err := client.Drain(t.Context(), time.Hour); err != nil || drained != time.Hour {
-		t.Errorf("the notice was given %v ago, %v; want an hour", drained, err)
+		t.Errorf("drained with a notice of %v ago, %v; want an hour", drained, err)
 	}
 	if err := client.Override(t.Context(), Override{Level: "x"}); statusOf(err) != http.StatusUnprocessableEntity {
-		t.Errorf("an override that the instance refuses: %v, want status 422", err)
+		t.Errorf("a refused override: %v, want status 422", err)
 	}
 	if request, err := client.QuotaRequest(t.Context()); err != nil || request.Name != "n3" {
-		t.Errorf("the quota request is %+v, %v", request, err)
+		t.Errorf("QuotaRequest() = %+v, %v", request, err)
 	}
 	if err := client.ApplyLease(t.Context(), quota.LeaseResponse{}); err != nil {
-		t.Errorf("a lease: %v", err)
+		t.Errorf("ApplyLease() = %v", err)
 	}
 }
 
-// TestNoticeOutsideItsRange: a notice given in the future, or more than an hour ago, is refused and not passed on.
-func TestNoticeOutsideItsRange(t *testing.T) {
+// A notice of the future, or of more than an hour ago, is refused and not passed to the instance.
+func TestNoticeOutOfRangeIsRefused(t *testing.T) {
 	client := serveInstance(t, Instance{Drain: func(time.Duration) { t.Error("the notice was passed on") }})
-	for _, ago := range []time.Duration{-time.Microsecond, time.Hour + time.Microsecond} {
-		if err := client.Drain(t.Context(), ago); statusOf(err) != http.StatusBadRequest {
-			t.Errorf("a notice given %v ago: %v, want status 400", ago, err)
-		}
+	for _, test := range []struct {
+		name string
+		ago  time.Duration
+	}{
+		{"in the future", -time.Microsecond},
+		{"more than an hour ago", time.Hour + time.Microsecond},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if err := client.Drain(t.Context(), test.ago); statusOf(err) != http.StatusBadRequest {
+				t.Errorf("%v, want status 400", err)
+			}
+		})
 	}
 }
 
-// TestNoBudget: an instance without a budget has no quota request.
-func TestNoBudget(t *testing.T) {
-	client := serveInstance(t, Instance{QuotaRequest: func() (request quota.LeaseRequest, ok bool) { return request, false }})
+// An instance without fleet-wide quotas has no quota request.
+func TestNoQuotaRequestWithoutQuotas(t *testing.T) {
+	client := serveInstance(t, Instance{
+		QuotaRequest: func() (request quota.LeaseRequest, ok bool) { return request, false },
+	})
 	if _, err := client.QuotaRequest(t.Context()); statusOf(err) != http.StatusNotFound {
 		t.Errorf("%v, want status 404", err)
 	}
 }
 
-// TestListen: a socket in use and a file of another kind are left alone, the socket of a killed process is replaced, and only
-// the user may connect.
-func TestListen(t *testing.T) {
+// The socket of a killed process is replaced, and only this user may connect.
+func TestSocketOfKilledProcessIsReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
-	first, err := Listen(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	first := listen(t, path)
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
 		t.Errorf("mode %v, %v; want %o", info.Mode(), err, socketMode)
 	}
-	if _, err := Listen(path); !errors.Is(err, ErrSocketInUse) || err.Error() != path+": somebody answers there already" {
-		t.Errorf("a socket in use: %v", err)
+	leaveSocket(t, first)
+	_ = listen(t, path).Close()
+}
+
+// A socket on which a process accepts connections is not replaced.
+func TestSocketInUseIsNotReplaced(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "admin")
+	listener := listen(t, path)
+	defer func() { _ = listener.Close() }()
+	_, err := Listen(t.Context(), path)
+	if !errors.Is(err, ErrSocketInUse) || err.Error() != path+": socket is in use by another process" {
+		t.Errorf("%v, want ErrSocketInUse", err)
 	}
-	first.(interface{ SetUnlinkOnClose(bool) }).SetUnlinkOnClose(false) // as a killed process leaves it
-	_ = first.Close()
-	second, err := Listen(path)
-	if err != nil {
-		t.Fatalf("the socket of a killed process: %v", err)
+}
+
+// A cancelled context is no sign that nobody accepts connections on a socket.
+func TestSocketInUseIsNotReplacedAfterCancel(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "admin")
+	listener := listen(t, path)
+	defer func() { _ = listener.Close() }()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if _, err := Listen(ctx, path); !errors.Is(err, ErrSocketInUse) {
+		t.Errorf("%v, want ErrSocketInUse", err)
 	}
-	_ = second.Close()
+}
 
+// A file of another kind is not replaced.
+func TestFileIsNotReplaced(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, []byte("text"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(file); !errors.Is(err, ErrNotSocket) || err.Error() != file+": is there and no socket" {
-		t.Errorf("a file: %v", err)
+	_, err := Listen(t.Context(), file)
+	if !errors.Is(err, ErrNotSocket) || err.Error() != file+": file exists and is not a socket" {
+		t.Errorf("%v, want ErrNotSocket", err)
 	}
 	if text, err := os.ReadFile(file); err != nil || string(text) != "text" {
 		t.Errorf("the file is now %q, %v", text, err)
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -67,7 +67,7 @@
 	}
 	s.instance = admin.NewClient(s.paths.Admin, o.Bounds)
 	defer s.instance.Close()
-	stopServing, err := s.serve()
+	stopServing, err := s.serve(ctx)
 	if err != nil {
 		return err
 	}
@@ -95,8 +95,8 @@
 }
 
 // serve opens the supervisor's socket; stop closes it and waits for the listener's end.
-func (s *supervisor) serve() (stop func(), err error) {
-	l, err := admin.Listen(s.paths.Socket)
+func (s *supervisor) serve(ctx context.Context) (stop func(), err error) {
+	l, err := admin.Listen(ctx, s.paths.Socket)
 	if err != nil {
 		return nil, err
 	}
