--- /dev/null
+++ b/internal/backend/dispatch/admit_test.go
@@ -0,0 +1,212 @@
+package dispatch
+
+import (
+	"fmt"
+	"testing"
+
+	"milletbarrow/admission"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
+)
+
+// A request that runs, is a duplicate, is abandoned, overdue, lost by a panic or shed gets its verdict, and leaves
+// nothing in flight.
+func TestEachRequestGetsItsVerdict(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	d := open(t)
+	resp, req := d.Admit(newInvocation("a"))
+	sayResponse(tr, "idle cores", resp, req, d)
+	same, none := d.Admit(newInvocation("a"))
+	sayResponse(tr, "a duplicate of an ID in flight", same, none, d)
+	tr.Say("its run succeeds: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+
+	_, req = d.Admit(newInvocation("b"))
+	d.Abandon(req)
+	tr.Say("the caller left: final response %s", responseText(<-req.FinalResponse()))
+	tr.Say("its run succeeds: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+
+	early := newInvocation("c")
+	early.ArrivedAt -= 3_900 * monotime.Millisecond // its deadline is in 100 ms; its run goes on
+	_, req = d.Admit(early)
+	for len(req.FinalResponse()) == 0 {
+		d.Tick([]float64{0.5, 1, 0, 0})
+	}
+	lateBy := Now() - (early.ArrivedAt + early.CallerTimeout)
+	tr.Say("due while it runs: final response %s, too late %t",
+		responseText(<-req.FinalResponse()), lateBy > d.settings.Admission.AnswerSlack)
+	tr.Say("its run succeeds after all: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+
+	panics := newInvocation("d")
+	panics.Operation = 99 // out of range of the module's operations
+	resp, req = d.Admit(panics)
+	sayResponse(tr, "a panic in the module", resp, req, d)
+	resp, req = d.Admit(newInvocation("e"))
+	sayResponse(tr, "the next after it", resp, req, d)
+	d.Complete(req, RunErrored, nil)
+
+	attempts := 0
+	fakes.Until(t, "the queue is beyond the threshold", func() bool {
+		d.Tick([]float64{1, 20, 0.1, 1})
+		attempts++
+		inv := newInvocation(fmt.Sprint("f", attempts))
+		inv.CallerLeft = leftCaller // so that it does not wait in the queue
+		if resp, req = d.Admit(inv); req != nil {
+			d.Complete(req, NeverRan, nil)
+		}
+		return resp.Verdict == Throttled
+	})
+	sayResponse(tr, "the queue is beyond the threshold", resp, req, d)
+	d.Drain(5*monotime.Second, 300*monotime.Millisecond)
+	tr.Say("draining: healthy %t", d.Healthy())
+}
+
+// No request stays in flight whose caller has left or did not wait.
+func TestExpiredAndAbandonedRequestsLeaveNothingInFlight(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	d := open(t)
+	d.Tick([]float64{1, 2.4, 0.1, 1}) // the cores are full, and the queue is short
+	inv := newInvocation("a")
+	inv.CallerLeft = leftCaller
+	resp, req := d.Admit(inv)
+	sayResponse(tr, "its caller left at once", resp, req, d)
+	d = open(t)
+	for _, timeout := range []monotime.Micros{0, -5 * monotime.Second, 1 << 55} {
+		inv := newInvocation(fmt.Sprint("timeout", timeout))
+		inv.CallerTimeout = timeout
+		resp, req := d.Admit(inv)
+		for req != nil && timeout <= 0 && len(req.FinalResponse()) == 0 {
+			d.Tick(nil)
+		}
+		sayResponse(tr, fmt.Sprint("caller timeout ", timeout), resp, req, d)
+		if req != nil {
+			d.Complete(req, RunSucceeded, nil)
+		}
+	}
+	inv = newInvocation("future")
+	inv.ArrivedAt += 60 * monotime.Second
+	resp, req = d.Admit(inv)
+	sayResponse(tr, "arrived a minute ahead", resp, req, d)
+	d.Complete(req, RunSucceeded, nil)
+	tr.Say("in flight %d", requestsInFlight(d))
+}
+
+// A request gets one final response and starts once.
+func TestRequestIsAnsweredOnce(t *testing.T) {
+	d := open(t)
+	_, req := d.Admit(newInvocation("a"))
+	d.perform(admission.Start{ID: "a"})
+	if d.counts.Started != 1 || len(req.responses) != 0 {
+		t.Errorf("started %d times", d.counts.Started)
+	}
+	d.respond(req, Response{Verdict: Abandoned})
+	d.respond(req, Response{Verdict: Errored})
+	if len(req.responses) != 1 || d.counts.Errored != 0 || d.counts.Abandoned != 1 {
+		t.Errorf("%d final responses, %+v", len(req.responses), d.counts)
+	}
+}
+
+// A request with the ID of a running one, whose caller leaves, does not end the running one. The rejection and the
+// caller's leaving are simultaneous and may be seen in either order: fifty attempts see both.
+func TestAbandonedDuplicateLeavesRunningRequest(t *testing.T) {
+	d := open(t)
+	_, first := d.Admit(newInvocation("a"))
+	for range 50 {
+		again := newInvocation("a")
+		again.CallerLeft = leftCaller
+		if resp, req := d.Admit(again); resp.Verdict != Errored || req != nil || requestsInFlight(d) != 1 {
+			t.Fatalf("verdict %d, in flight %d", resp.Verdict, requestsInFlight(d))
+		}
+	}
+	if !d.Complete(first, RunSucceeded, nil) || requestsInFlight(d) != 0 {
+		t.Errorf("the first request is owed no answer, or is still in flight: %d", requestsInFlight(d))
+	}
+}
+
+// A queued request still starts after others with its ID have arrived and their callers have left.
+func TestAbandonedDuplicateLeavesQueuedRequest(t *testing.T) {
+	d := open(t)
+	tickUntilRead(t, d, fullCores)
+	response := admitAsync(t, d, newInvocation("a"))
+	for range 50 { // the rejection and the caller's leaving may be seen in either order
+		again := newInvocation("a")
+		again.CallerLeft = leftCaller
+		if resp, _ := d.Admit(again); resp.Verdict != Errored {
+			t.Fatalf("%+v", resp)
+		}
+	}
+	fakes.Until(t, "the first request is answered", func() bool {
+		d.Tick(idleGauges)
+		return len(response) > 0
+	})
+	if resp := <-response; resp.Verdict != Admitted {
+		t.Errorf("the first request: %+v, want verdict Admitted", resp)
+	}
+}
+
+// A request with the ID of one whose result is cached is rejected, and the result stays cached.
+func TestDuplicateOfCachedIDIsRejected(t *testing.T) {
+	d := openKeyed(t, "5000", nil)
+	_, first := d.Admit(keyedInvocation("a", "x"))
+	d.Complete(first, RunSucceeded, []byte("r"))
+	if resp, req := d.Admit(keyedInvocation("a", "y")); resp.Verdict != Errored || req != nil {
+		t.Errorf("the same ID with another key: %+v, want verdict Errored", resp)
+	}
+	if resp, _ := d.Admit(keyedInvocation("b", "x")); resp.Verdict != Replayed || string(resp.Result) != "r" {
+		t.Errorf("a repeat of the first: %+v, want its result", resp)
+	}
+}
+
+// The module is never passed a negative queue time, nor a deadline that is not in the future.
+func TestArrivalTimesAreClamped(t *testing.T) {
+	const now = 10 * monotime.Second
+	for _, test := range []struct {
+		name          string
+		arrivedAt     monotime.Micros
+		deadline      monotime.Micros
+		wantQueueTime monotime.Micros
+		wantTimeLeft  monotime.Micros
+	}{
+		{"arrived before, deadline ahead", now - 5, now + 7, 5, 7},
+		{"arrival after now", now + 5, now + 7, 0, 7},
+		{"deadline now", now - 5, now, 5, 1},
+		{"deadline past", now - 5, now - 1, 5, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			inv := newInvocation("a")
+			inv.ArrivedAt = test.arrivedAt
+			event := arrival(now, &inv, &Request{deadline: test.deadline}, admission.QuotaUnknown)
+			if event.QueueTime != test.wantQueueTime || event.TimeLeft != test.wantTimeLeft {
+				t.Errorf("queue time %d, time left %d; want %d, %d",
+					event.QueueTime, event.TimeLeft, test.wantQueueTime, test.wantTimeLeft)
+			}
+		})
+	}
+}
+
+// After a stall, arrivals wait for the next tick and its gauges, but no longer than the timeout.
+func TestArrivalAfterStallAwaitsTick(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	d := open(t)
+	waiting := func() bool {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return d.tickDone != nil
+	}
+	admitAfterStall := func(id string) chan Response {
+		d.mu.Lock()
+		d.lastTick -= monotime.Second
+		d.mu.Unlock()
+		response := make(chan Response, 1)
+		go func() {
+			resp, _ := d.Admit(newInvocation(id))
+			response <- resp
+		}()
+		fakes.Until(t, "the arrival waits", waiting)
+		return response
+	}
+	response := admitAfterStall("a")
+	tr.Say("in flight before the tick %d", requestsInFlight(d))
+	d.Tick([]float64{0.1, 0, 0, 0})
+	tr.Say("after it: verdict %d, in flight %d", fakes.Take(t, "the response", response).Verdict, requestsInFlight(d))
+	tr.Say("no tick comes: verdict %d", fakes.Take(t, "the response", admitAfterStall("b")).Verdict)
+}
