--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	request.Budget = client.Spec.ColdStartQuota
-	r := quota.ColdStartCommand{Limit: request.Budget, ID: request.ID, By: client.Operator, Action: c.String("decision")}
+	r := quota.ColdStartCommand{Limit: quota.LimitName(request.Budget), ID: request.ID, By: client.Operator, Action: c.String("decision")}
 	if r.Action != "" {
 		if err := client.ColdStart(ctx, r); err != nil {
 			return quotaCallError(err)
--- a/cmd/milletbarrow/fleet_quotas.go
+++ b/cmd/milletbarrow/fleet_quotas.go
@@ -72,17 +72,17 @@
 		if u.Kind == quota.Concurrency {
 			unit = ""
 		}
-		rows = append(rows, []string{u.Limit, fmt.Sprintf("%d of %d%s", u.InForce, u.Total, unit), "", num(u.ReservedFloors), "", "", "", "", "", ""})
+		rows = append(rows, []string{string(u.Limit), fmt.Sprintf("%d of %d%s", u.InForce, u.Total, unit), "", num(u.ReservedFloors), "", "", "", "", "", ""})
 		for _, h := range u.Holders {
 			if u.Kind == quota.Concurrency {
-				rows = append(rows, []string{"", h.Name, h.Host, "", "1", "", "", "", "", h.AcquireID})
+				rows = append(rows, []string{"", string(h.Name), h.Host, "", "1", "", "", "", "", h.AcquireID})
 				continue
 			}
 			until := "-"
 			if h.Remaining > 0 {
 				until = (time.Duration(h.Remaining) * time.Microsecond).Round(100 * time.Millisecond).String()
 			}
-			rows = append(rows, []string{"", h.Name, h.Host, num(h.Floor), num(h.Extra), until, num(h.Demand), num(h.Drawn), num(h.Denied), ""})
+			rows = append(rows, []string{"", string(h.Name), h.Host, num(h.Floor), num(h.Extra), until, num(h.Demand), num(h.Drawn), num(h.Denied), ""})
 		}
 	}
 	printTable(rows)
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -97,6 +97,6 @@
 
 func (a *Agent) permitCommand(action fleet.Action) *quota.PermitCommand {
 	return &quota.PermitCommand{
-		Limit: action.Unit.Quota, Name: action.Name, Host: a.options.Host, AcquireID: action.ID,
+		Limit: quota.LimitName(action.Unit.Quota), Name: quota.InstanceName(action.Name), Host: a.options.Host, AcquireID: action.ID,
 	}
 }
--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -43,7 +43,8 @@
 // WriteOff has the quota store end what a name holds, on an operator's command. Errors are *agentapi.StatusError and, where
 // the quota store rejects it, *WriteOffError.
 func (a *Agent) WriteOff(ctx context.Context, name, by string) error {
-	rejection, err := a.applyQuotaCommand(ctx, quota.Command{WriteOff: &quota.WriteOffCommand{Name: name, By: by}})
+	command := &quota.WriteOffCommand{Name: quota.InstanceName(name), By: by}
+	rejection, err := a.applyQuotaCommand(ctx, quota.Command{WriteOff: command})
 	if err == nil && rejection != "" {
 		return &WriteOffError{Holder: name, Reason: rejection}
 	}
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -9,6 +9,7 @@
 	"syscall"
 	"time"
 
+	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/supervisor"
 	"milletbarrow/monotime"
@@ -88,7 +89,7 @@
 		args = append(args, "--adopt")
 	}
 	if spec.Quotas != nil {
-		for _, draw := range spec.Quotas.DrawSpecs(action.Name) {
+		for _, draw := range spec.Quotas.DrawSpecs(quota.InstanceName(action.Name)) {
 			args = append(args, "--draw", draw)
 		}
 	}
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -40,12 +40,12 @@
 type leaseRenewer struct {
 	agent         *Agent
 	clients       map[string]*admin.Client // by instance
-	reportedExits map[string]bool          // by client key: the quota store knows that it has exited
+	reportedExits map[quota.ClientKey]bool // the quota store knows that it has exited
 }
 
 // renewLeases renews what this host's instances hold, until ctx ends.
 func (a *Agent) renewLeases(ctx context.Context) {
-	r := &leaseRenewer{agent: a, clients: map[string]*admin.Client{}, reportedExits: map[string]bool{}}
+	r := &leaseRenewer{agent: a, clients: map[string]*admin.Client{}, reportedExits: map[quota.ClientKey]bool{}}
 	defer r.close()
 	lastProblem := ""
 	for {
@@ -172,10 +172,10 @@
 }
 
 // reportExits tells the quota store which of this host's clients have exited; their processes are looked for here.
-func (r *leaseRenewer) reportExits(ctx context.Context, clientKeys []string) {
+func (r *leaseRenewer) reportExits(ctx context.Context, clientKeys []quota.ClientKey) {
 	command := &quota.ExitCommand{Host: r.agent.options.Host}
 	for _, key := range clientKeys {
-		if _, incarnationID, _ := strings.Cut(key, " "); !incarnationAlive(incarnationID) && !r.reportedExits[key] {
+		if _, incarnationID, _ := strings.Cut(string(key), " "); !incarnationAlive(incarnationID) && !r.reportedExits[key] {
 			command.ClientKeys = append(command.ClientKeys, key)
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	units := make([]fleet.HeldUnit, 0, len(permits))
 	for _, permit := range permits {
-		units = append(units, fleet.HeldUnit{Name: permit.Name, Quota: permit.Limit, RequestID: permit.AcquireID})
+		units = append(units, fleet.HeldUnit{Name: string(permit.Name), Quota: string(permit.Limit), RequestID: permit.AcquireID})
 	}
 	a.post(fleet.UnitsListed{Units: units})
 }
@@ -210,7 +210,7 @@
 		case event := <-a.options.Cluster.Events():
 			err := a.call(func(now monotime.Micros) {
 				a.addHistory(fleet.HistoryEvent{
-					At: now, Name: event.Name, Event: strings.TrimSpace(event.Limit + " " + event.Kind), Cause: event.Cause,
+					At: now, Name: event.Name, Event: strings.TrimSpace(string(event.Limit) + " " + event.Kind), Cause: event.Cause,
 				})
 			})
 			if err != nil {
--- a/internal/cluster/node/events.go
+++ b/internal/cluster/node/events.go
@@ -33,7 +33,7 @@
 
 // add passes an event on, unless one of its kind and name came within minEventInterval.
 func (f *eventFeed) add(e quota.Event) {
-	if !f.due(eventKey{e.Limit, e.Name, e.Kind}) {
+	if !f.due(eventKey{string(e.Limit), e.Name, e.Kind}) {
 		return
 	}
 	select {
--- a/internal/cluster/quota/coldstart.go
+++ b/internal/cluster/quota/coldstart.go
@@ -17,7 +17,7 @@
 // ColdStartCommand begins a cold start under a concurrency limit, or resumes or ends the one that is there. Begun again by
 // the same ID it changes nothing.
 type ColdStartCommand struct {
-	Limit   string             `json:"budget"`
+	Limit   LimitName          `json:"budget"`
 	ID      string             `json:"id"`
 	Config  *coldstart.Config  `json:"terms,omitempty"`
 	Members []coldstart.Member `json:"members,omitempty"`
@@ -66,7 +66,7 @@
 		return
 	}
 	for name := range s.Permits[c.Limit] { // starting already, for whatever reason
-		start.AddStarting(name)
+		start.AddStarting(string(name))
 	}
 	s.ColdStarts[c.Limit] = start
 	r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise begins", Cause: fmt.Sprintf("%s of %d, asked by %s", c.ID, len(c.Members), c.By)})
@@ -75,10 +75,10 @@
 // mayStart reports whether the cold start that a name is part of, if there is one, lets it start.
 func (s *State) mayStart(c *PermitCommand, r *Result) bool {
 	start := s.ColdStarts[c.Limit]
-	if start == nil || !start.Pending(c.Name) {
+	if start == nil || !start.Pending(string(c.Name)) {
 		return true
 	}
-	ok, reason := start.RequestStart(c.Name)
+	ok, reason := start.RequestStart(string(c.Name))
 	r.Rejection = reason
 	return ok
 }
@@ -86,16 +86,16 @@
 // reportStart reports to the cold start how the start ended that a released permit was for.
 func (s *State) reportStart(c *PermitCommand, r *Result) {
 	start := s.ColdStarts[c.Limit]
-	if start == nil || !start.Pending(c.Name) {
+	if start == nil || !start.Pending(string(c.Name)) {
 		return
 	}
 	if c.Outcome == nil {
-		start.WriteOff(c.Name)
+		start.WriteOff(string(c.Name))
 		return
 	}
 	haltedBefore := start.HaltReason
-	if changed := start.Report(c.Name, *c.Outcome); changed != "" {
-		r.Events = append(r.Events, Event{Limit: c.Limit, Name: c.Name, Kind: "pace", Cause: changed})
+	if changed := start.Report(string(c.Name), *c.Outcome); changed != "" {
+		r.Events = append(r.Events, Event{Limit: c.Limit, Name: string(c.Name), Kind: "pace", Cause: changed})
 	}
 	if start.HaltReason != haltedBefore {
 		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise stopped", Cause: start.HaltReason})
@@ -107,7 +107,7 @@
 
 // ColdStartStatus is how a cold start stands.
 type ColdStartStatus struct {
-	Limit         string                  `json:"budget"`
+	Limit         LimitName               `json:"budget"`
 	ID            string                  `json:"id"`
 	Concurrency   int64                   `json:"pace"` // how many may be starting at once now
 	MaxConcurrent int64                   `json:"most"`
@@ -132,9 +132,9 @@
 
 // ElapsedPause names a pause of a cold start that has lasted as long as it was to.
 type ElapsedPause struct {
-	Limit  string `json:"budget"`
-	ID     string `json:"id"`
-	Number uint64 `json:"number"`
+	Limit  LimitName `json:"budget"`
+	ID     string    `json:"id"`
+	Number uint64    `json:"number"`
 }
 
 // runningPause is a pause, and when this leader first saw it.
@@ -155,7 +155,7 @@
 		pause := ElapsedPause{Limit: limit, ID: start.ID, Number: start.PauseNumber}
 		if seen, known := t.pauses[limit]; !known || seen.ElapsedPause != pause {
 			if t.pauses == nil {
-				t.pauses = map[string]runningPause{}
+				t.pauses = map[LimitName]runningPause{}
 			}
 			t.pauses[limit] = runningPause{pause, now}
 		} else if now-seen.since >= start.Pause {
--- a/internal/cluster/quota/coldstart_test.go
+++ b/internal/cluster/quota/coldstart_test.go
@@ -34,7 +34,7 @@
 	if m := l.ColdStartStatuses()[0].MaxConcurrent; m != 3 {
 		t.Errorf("%d may be under way, of 4 with one reserved", m)
 	}
-	acquisition := func(name, n string) *PermitCommand {
+	acquisition := func(name InstanceName, n string) *PermitCommand {
 		return &PermitCommand{Limit: "s", Name: name, Host: "h", AcquireID: n}
 	}
 	for _, n := range []string{"1", "2"} { // two failures in a row
--- a/internal/cluster/quota/command.go
+++ b/internal/cluster/quota/command.go
@@ -31,40 +31,40 @@
 
 // Expiry ends the extras of a client's grants up to an epoch, whose leases are surely over.
 type Expiry struct {
-	Limit     string `json:"budget"`
-	ClientKey string `json:"key"`
-	Epoch     uint64 `json:"epoch"`
+	Limit     LimitName `json:"budget"`
+	ClientKey ClientKey `json:"key"`
+	Epoch     uint64    `json:"epoch"`
 }
 
 // ExitCommand reports that processes have ended. It counts only from the host that they ran on.
 type ExitCommand struct {
-	Host       string   `json:"host"`
-	ClientKeys []string `json:"lives"`
+	Host       string      `json:"host"`
+	ClientKeys []ClientKey `json:"lives"`
 }
 
 // PermitCommand acquires a unit of a concurrency limit, or releases it. Repeated with the same AcquireID it changes
 // nothing.
 type PermitCommand struct {
-	Limit     string `json:"budget"`
-	Name      string `json:"name"`
-	Host      string `json:"host"`
-	AcquireID string `json:"turn"`
+	Limit     LimitName    `json:"budget"`
+	Name      InstanceName `json:"name"`
+	Host      string       `json:"host"`
+	AcquireID string       `json:"turn"`
 
 	Outcome *coldstart.Outcome `json:"end,omitempty"` // of a release: how the start came out that the permit was for
 }
 
 // WriteOffCommand is an operator's statement that what a backend holds is no longer in force: its host is lost for good.
 type WriteOffCommand struct {
-	Name string `json:"name"`
-	By   string `json:"by"`
+	Name InstanceName `json:"name"`
+	By   string       `json:"by"`
 }
 
 // Event is an entry for the agents' history.
 type Event struct {
-	Limit string `json:"budget"`
-	Name  string `json:"name,omitempty"`
-	Kind  string `json:"event"`
-	Cause string `json:"cause,omitempty"`
+	Limit LimitName `json:"budget"`
+	Name  string    `json:"name,omitempty"` // of an instance, or of a host of the store's group
+	Kind  string    `json:"event"`
+	Cause string    `json:"cause,omitempty"`
 }
 
 // Result is the outcome of a command.
@@ -73,7 +73,7 @@
 	Answers    []quota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
 	Rejection  string                `json:"no,omitempty"`      // why the command changed nothing; empty: it was applied
 	Events     []Event               `json:"notes,omitempty"`
-	ClientKeys []string              `json:"lives,omitempty"` // of a renewal: all clients of its host
+	ClientKeys []ClientKey           `json:"lives,omitempty"` // of a renewal: all clients of its host
 	Permits    []Permit              `json:"out,omitempty"`   // of a renewal: all permits of its host
 }
 
@@ -152,7 +152,7 @@
 // writeOff revokes all that a backend holds, whichever host it is on.
 func (s *State) writeOff(c *WriteOffCommand, r *Result) {
 	known := false
-	keys := append([]string(nil), s.byName[c.Name]...) // revokeAll changes the index
+	keys := append([]ClientKey(nil), s.byName[c.Name]...) // revokeAll changes the index
 	for _, key := range keys {
 		known = true
 		s.revokeAll(key, "written off by "+c.By, r)
@@ -164,11 +164,11 @@
 		}
 		known = true
 		if start := s.ColdStarts[limit]; start != nil {
-			start.WriteOff(c.Name)
+			start.WriteOff(string(c.Name))
 		}
 		delete(s.Permits[limit], c.Name)
 		s.recordReleased(limit, c.Name, permit.AcquireID)
-		r.Events = append(r.Events, Event{Limit: limit, Name: c.Name, Kind: "unit over", Cause: "written off by " + c.By})
+		r.Events = append(r.Events, Event{Limit: limit, Name: string(c.Name), Kind: "unit over", Cause: "written off by " + c.By})
 	}
 	if !known {
 		r.Rejection = fmt.Sprintf("name: %q has nothing", c.Name)
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -35,17 +35,17 @@
 
 // Limit is what a fleet may use of one thing, and how that is divided.
 type Limit struct {
-	Name        string           `json:"name"`
-	Kind        Kind             `json:"kind"`
-	Total       int64            `json:"whole"`            // units a second, or units held at once
-	Floors      map[string]int64 `json:"floors,omitempty"` // by backend; names every backend that may draw from a rate
-	Division    Division         `json:"divide,omitempty"`
-	Weights     map[string]int64 `json:"weight,omitempty"` // by backend, where it is divided by capacity; 1 for those not named
-	Step        int64            `json:"step,omitempty"`   // the smallest part that is moved
-	Lease       monotime.Micros  `json:"lease_us,omitempty"`
-	ClockMargin monotime.Micros  `json:"margin_us,omitempty"` // how far clocks may run apart over one lease
-	Tenant      string           `json:"tenant,omitempty"`    // whose requests draw
-	Reserved    int64            `json:"aside,omitempty"`     // permits that hosts may use without acquiring them, one each
+	Name        LimitName              `json:"name"`
+	Kind        Kind                   `json:"kind"`
+	Total       int64                  `json:"whole"`            // units a second, or units held at once
+	Floors      map[InstanceName]int64 `json:"floors,omitempty"` // by backend; names every backend that may draw from a rate
+	Division    Division               `json:"divide,omitempty"`
+	Weights     map[InstanceName]int64 `json:"weight,omitempty"` // by backend, where it is divided by capacity; 1 for those not named
+	Step        int64                  `json:"step,omitempty"`   // the smallest part that is moved
+	Lease       monotime.Micros        `json:"lease_us,omitempty"`
+	ClockMargin monotime.Micros        `json:"margin_us,omitempty"` // how far clocks may run apart over one lease
+	Tenant      string                 `json:"tenant,omitempty"`    // whose requests draw
+	Reserved    int64                  `json:"aside,omitempty"`     // permits that hosts may use without acquiring them, one each
 }
 
 // Config is all limits of a fleet. A higher version replaces a lower one.
@@ -55,7 +55,7 @@
 }
 
 // Lookup returns the limit of that name, or nil.
-func (c *Config) Lookup(name string) *Limit {
+func (c *Config) Lookup(name LimitName) *Limit {
 	if i := slices.IndexFunc(c.Limits, func(l Limit) bool { return l.Name == name }); i >= 0 {
 		return &c.Limits[i]
 	}
@@ -63,10 +63,10 @@
 }
 
 // DrawSpecs lists the limits that a backend draws from, with the tenant of each: LIMIT=TENANT.
-func (c *Config) DrawSpecs(backend string) (all []string) {
+func (c *Config) DrawSpecs(backend InstanceName) (all []string) {
 	for i := range c.Limits {
 		if _, ok := c.Limits[i].Floors[backend]; ok && c.Limits[i].Tenant != "" {
-			all = append(all, c.Limits[i].Name+"="+c.Limits[i].Tenant)
+			all = append(all, string(c.Limits[i].Name)+"="+c.Limits[i].Tenant)
 		}
 	}
 	return all
--- a/internal/cluster/quota/invariants_test.go
+++ b/internal/cluster/quota/invariants_test.go
@@ -36,7 +36,7 @@
 }
 
 func (s *State) testAllocation(r *requester) *Allocation {
-	return s.Clients[ClientKey(r.backend, r.incarnation)].Allocations["b"]
+	return s.Clients[NewClientKey(InstanceName(r.backend), r.incarnation)].Allocations["b"]
 }
 
 // TestLeaseHonouredWithMargin: a lease is over after its time and the margin for clocks that run apart, no earlier, and a
@@ -164,7 +164,7 @@
 	s.Apply(Command{Rebalance: true})
 	older := r.renew(s, false).Grants[0].Epoch
 	r.renew(s, false)
-	s.Apply(Command{Expire: []Expiry{{Limit: "b", ClientKey: ClientKey("n0", "a"), Epoch: older}}})
+	s.Apply(Command{Expire: []Expiry{{Limit: "b", ClientKey: NewClientKey("n0", "a"), Epoch: older}}})
 	if in := s.testAllocation(r).maxExtra(); in != 10 {
 		t.Fatalf("%d of a later grant's 10 units are left", in)
 	}
@@ -175,11 +175,11 @@
 	s := newTestState(t, rate(10, 1, 2, DivideEvenly))
 	r := &requester{backend: "n0", incarnation: "a", host: "h"}
 	r.renew(s, false)
-	key := ClientKey("n0", "a")
-	if s.Apply(Command{Exited: &ExitCommand{Host: "elsewhere", ClientKeys: []string{key}}}); s.Clients[key] == nil {
+	key := NewClientKey("n0", "a")
+	if s.Apply(Command{Exited: &ExitCommand{Host: "elsewhere", ClientKeys: []ClientKey{key}}}); s.Clients[key] == nil {
 		t.Fatal("another host ended a process")
 	}
-	if s.Apply(Command{Exited: &ExitCommand{Host: "h", ClientKeys: []string{key}}}); s.Clients[key] != nil {
+	if s.Apply(Command{Exited: &ExitCommand{Host: "h", ClientKeys: []ClientKey{key}}}); s.Clients[key] != nil {
 		t.Fatal("a process that has ended is known still")
 	}
 }
@@ -196,7 +196,7 @@
 func TestClientsAreBounded(t *testing.T) {
 	s := newTestState(t, rate(10, 1, 2, DivideEvenly))
 	for i := range maxClients {
-		s.Clients[fmt.Sprint(i)] = &Client{}
+		s.Clients[ClientKey(fmt.Sprint(i))] = &Client{}
 	}
 	if a := (&requester{backend: "n0", incarnation: "a", host: "h"}).renew(s, false); a.Refusal == "" || len(s.Clients) != maxClients {
 		t.Fatalf("answered %+v, %d clients", a, len(s.Clients))
@@ -206,10 +206,10 @@
 // TestPermits: reserved units are not given out, and only the host that acquired a permit releases it.
 func TestPermits(t *testing.T) {
 	s := newTestState(t, Config{Version: 1, Limits: []Limit{{Name: "c", Kind: Concurrency, Total: 3, Reserved: 1}}})
-	command := func(name, host string) *PermitCommand {
+	command := func(name InstanceName, host string) *PermitCommand {
 		return &PermitCommand{Limit: "c", Name: name, Host: host, AcquireID: "1"}
 	}
-	for i, name := range []string{"x", "y", "z"} {
+	for i, name := range []InstanceName{"x", "y", "z"} {
 		if r := s.Apply(Command{Acquire: command(name, "h")}); (r.Rejection == "") != (i < 2) {
 			t.Fatalf("permit %d of 3 with one reserved: %q", i+1, r.Rejection)
 		}
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -30,23 +30,23 @@
 	if a.Refusal = s.refusal(q, r); a.Refusal != "" {
 		return a
 	}
-	key := ClientKey(q.Name, q.Incarnation)
+	key := NewClientKey(InstanceName(q.Name), q.Incarnation)
 	client := s.Clients[key]
 	if client == nil {
-		client = &Client{Name: q.Name, Incarnation: q.Incarnation, Host: host, Allocations: map[string]*Allocation{}}
+		client = &Client{Name: InstanceName(q.Name), Incarnation: q.Incarnation, Host: host, Allocations: map[LimitName]*Allocation{}}
 		s.Clients[key] = client
-		s.byName[q.Name] = append(s.byName[q.Name], key)
+		s.byName[InstanceName(q.Name)] = append(s.byName[InstanceName(q.Name)], key)
 	}
 	elapsed := q.Clock - client.Clock
 	first := client.LastRequest == 0
 	s.setHost(key, client, host)
 	client.LastRequest, client.Clock, client.LastSerial = q.Number, q.Clock, s.Serial
 	for i := range q.Usage {
-		l := s.Config.Lookup(q.Usage[i].Budget)
+		l := s.Config.Lookup(LimitName(q.Usage[i].Budget))
 		if l == nil || l.Kind != Rate {
 			continue
 		}
-		if _, named := l.Floors[q.Name]; !named {
+		if _, named := l.Floors[InstanceName(q.Name)]; !named {
 			continue
 		}
 		allocation := s.confirm(l, client, &q.Usage[i], elapsed, first)
@@ -57,12 +57,12 @@
 
 // refusal is the reason for which a request is granted nothing, or empty.
 func (s *State) refusal(q *quota.LeaseRequest, r *Result) string {
-	key := ClientKey(q.Name, q.Incarnation)
+	key := NewClientKey(InstanceName(q.Name), q.Incarnation)
 	client := s.Clients[key]
 	if client != nil && q.Number <= client.LastRequest {
 		return fmt.Sprintf("ask %d is old: %d was heard", q.Number, client.LastRequest)
 	}
-	for _, k := range s.byName[q.Name] { // a floor belongs to one process at a time; extras of several are counted until they expire
+	for _, k := range s.byName[InstanceName(q.Name)] { // a floor belongs to one process at a time; extras of several are counted until they expire
 		if other := s.Clients[k]; k != key && other.hasFloor() {
 			return fmt.Sprintf("%s has its floor as %s at %s: that one has to end there, or be written off", q.Name, other.Incarnation, other.Host)
 		}
@@ -70,7 +70,7 @@
 	for _, known := range q.Usage {
 		if known.Epoch > s.Serial { // this state granted it and has lost it: its directory is an older copy
 			r.Events = append(r.Events, Event{
-				Limit: known.Budget, Name: q.Name, Kind: "ledger is older than its grants",
+				Limit: LimitName(known.Budget), Name: q.Name, Kind: "ledger is older than its grants",
 				Cause: fmt.Sprintf("epoch %d is held, %d is the latest here", known.Epoch, s.Serial),
 			})
 			s.Serial = known.Epoch + 1
@@ -145,7 +145,7 @@
 	}
 	g := Grant{Epoch: s.Serial, Floor: floor, Extra: extra, Lease: l.Lease, ClockMargin: l.ClockMargin}
 	s.setGrants(l.Name, client, a, foldOldest(append(slices.Clone(a.Grants), g)))
-	return quota.Grant{Budget: l.Name, Epoch: g.Epoch, Floor: g.Floor, Extra: g.Extra, Lease: l.Lease}
+	return quota.Grant{Budget: string(l.Name), Epoch: g.Epoch, Floor: g.Floor, Extra: g.Extra, Lease: l.Lease}
 }
 
 // foldOldest merges the oldest grants into the next one, so that maxGrants are left; the result is never less than what
@@ -185,12 +185,12 @@
 	a.Demand, a.Target, a.Idle = 0, 0, true
 	if lost > 0 {
 		cause := fmt.Sprintf("%d units a second: the lease of epoch %d has run out", lost, e.Epoch)
-		r.Events = append(r.Events, Event{Limit: e.Limit, Name: client.Name, Kind: "share over", Cause: cause})
+		r.Events = append(r.Events, Event{Limit: e.Limit, Name: string(client.Name), Kind: "share over", Cause: cause})
 	}
 }
 
 // dropIfEmpty deletes a client that has nothing in force and is not its backend's latest process.
-func (s *State) dropIfEmpty(key string) {
+func (s *State) dropIfEmpty(key ClientKey) {
 	client := s.Clients[key]
 	if client == nil || s.latestClient(client.Name) == key {
 		return
@@ -204,12 +204,12 @@
 }
 
 // revokeAll revokes all grants of a client and deletes it.
-func (s *State) revokeAll(key, cause string, r *Result) {
+func (s *State) revokeAll(key ClientKey, cause string, r *Result) {
 	client := s.Clients[key]
 	for _, limit := range sortedKeys(client.Allocations) {
 		if a := client.Allocations[limit]; a.maxFloor()+a.maxExtra() > 0 {
 			text := fmt.Sprintf("%d units a second: %s", a.maxExtra(), cause)
-			r.Events = append(r.Events, Event{Limit: limit, Name: client.Name, Kind: "share over", Cause: text})
+			r.Events = append(r.Events, Event{Limit: limit, Name: string(client.Name), Kind: "share over", Cause: text})
 			s.setGrants(limit, client, a, nil)
 		}
 	}
--- a/internal/cluster/quota/lease_tracker.go
+++ b/internal/cluster/quota/lease_tracker.go
@@ -17,16 +17,17 @@
 type LeaseTracker struct {
 	firstSeen     map[grantRef]monotime.Micros // when a grant was first found by this leader
 	lastRebalance monotime.Micros
-	frozenUntil   monotime.Micros         // nothing may grow before
-	regressions   uint64                  // of the state, as last seen
-	pauses        map[string]runningPause // of cold starts, by limit
-	scanned       bool                    // the grants from before the election were seen
+	frozenUntil   monotime.Micros            // nothing may grow before
+	regressions   uint64                     // of the state, as last seen
+	pauses        map[LimitName]runningPause // of cold starts, by limit
+	scanned       bool                       // the grants from before the election were seen
 }
 
 // grantRef identifies a grant.
 type grantRef struct {
-	limit, clientKey string
-	epoch            uint64
+	limit     LimitName
+	clientKey ClientKey
+	epoch     uint64
 }
 
 // BecomeLeader resets the tracker at an election. The only replica of a state may run on an older copy of its directory and
@@ -141,7 +142,7 @@
 	for i := range all {
 		for j := range all[i].Holders {
 			h := &all[i].Holders[j]
-			key := ClientKey(h.Name, h.Incarnation)
+			key := NewClientKey(h.Name, h.Incarnation)
 			client := s.Clients[key]
 			if client == nil || client.Allocations[all[i].Limit] == nil {
 				continue
--- /dev/null
+++ b/internal/cluster/quota/names.go
@@ -0,0 +1,22 @@
+package quota
+
+// LimitName is the name of a Limit, unique in a Config.
+type LimitName string
+
+// InstanceName is the name of a backend instance. It stays the same over restarts of its process.
+type InstanceName string
+
+// ClientKey identifies one process that draws from rates: an instance and the incarnation of its process.
+type ClientKey string
+
+// NewClientKey returns the key of one process of an instance.
+func NewClientKey(name InstanceName, incarnation string) ClientKey {
+	return ClientKey(string(name) + " " + incarnation)
+}
+
+// PermitKey identifies the permit that an instance may hold under one concurrency limit.
+type PermitKey string
+
+func newPermitKey(limit LimitName, name InstanceName) PermitKey {
+	return PermitKey(string(limit) + " " + string(name))
+}
--- a/internal/cluster/quota/permit.go
+++ b/internal/cluster/quota/permit.go
@@ -14,7 +14,7 @@
 	}
 	permits := s.Permits[c.Limit]
 	if permits == nil {
-		permits = map[string]Permit{}
+		permits = map[InstanceName]Permit{}
 		s.Permits[c.Limit] = permits
 	}
 	held, has := permits[c.Name]
@@ -22,7 +22,7 @@
 	case has && held.AcquireID == c.AcquireID && held.Host == c.Host:
 	case has:
 		r.Rejection = fmt.Sprintf("%s holds one already, for %s at %s", c.Name, held.AcquireID, held.Host)
-	case slices.Contains(s.ReleasedIDs[c.Limit+" "+c.Name], c.AcquireID):
+	case slices.Contains(s.ReleasedIDs[newPermitKey(c.Limit, c.Name)], c.AcquireID):
 		r.Rejection = fmt.Sprintf("turn: %q of %s has ended", c.AcquireID, c.Name)
 	case int64(len(permits)) >= l.Total-l.Reserved || len(permits) >= maxPermits || len(s.ReleasedIDs) >= maxPermits:
 		r.Rejection = fmt.Sprintf("all %d are held", l.Total-l.Reserved)
@@ -42,8 +42,8 @@
 }
 
 // recordReleased remembers that an acquisition has ended, so that a late duplicate of it acquires nothing.
-func (s *State) recordReleased(limit, name, acquireID string) {
-	key := limit + " " + name
+func (s *State) recordReleased(limit LimitName, name InstanceName, acquireID string) {
+	key := newPermitKey(limit, name)
 	s.ReleasedIDs[key] = append(s.ReleasedIDs[key], acquireID)
 	if ids := s.ReleasedIDs[key]; len(ids) > maxReleasedIDs {
 		s.ReleasedIDs[key] = ids[1:]
--- a/internal/cluster/quota/rebalance.go
+++ b/internal/cluster/quota/rebalance.go
@@ -8,7 +8,7 @@
 
 // claimant is a client's allocation that a division counts on.
 type claimant struct {
-	backend    string
+	backend    InstanceName
 	allocation *Allocation
 }
 
@@ -31,7 +31,7 @@
 	if l.Division == DivideByDemand {
 		targets = Stabilize(pool, l.Step, claims, targets)
 	}
-	moved, largest, largestName := int64(0), int64(0), ""
+	moved, largest, largestName := int64(0), int64(0), InstanceName("")
 	for i, c := range claimants {
 		by := max(targets[i]-c.allocation.Target, c.allocation.Target-targets[i])
 		if moved += by; by > largest {
@@ -66,7 +66,7 @@
 	return claimants, claims
 }
 
-func claimOf(l *Limit, name string, a *Allocation) Claim {
+func claimOf(l *Limit, name InstanceName, a *Allocation) Claim {
 	c := Claim{Demand: -1, Weight: 1, Current: a.Target}
 	switch l.Division {
 	case DivideByDemand:
--- a/internal/cluster/quota/state.go
+++ b/internal/cluster/quota/state.go
@@ -54,66 +54,63 @@
 
 // Client is one process that draws.
 type Client struct {
-	Name        string                 `json:"name"` // of the backend
-	Incarnation string                 `json:"life"` // of its process
-	Host        string                 `json:"host"`
-	LastRequest uint64                 `json:"number"`   // number of its latest lease request
-	Clock       monotime.Micros        `json:"clock_us"` // its own, at that request
-	LastSerial  uint64                 `json:"asked"`    // the state's serial at that request
-	Allocations map[string]*Allocation `json:"held"`     // by limit
+	Name        InstanceName              `json:"name"` // of the backend
+	Incarnation string                    `json:"life"` // of its process
+	Host        string                    `json:"host"`
+	LastRequest uint64                    `json:"number"`   // number of its latest lease request
+	Clock       monotime.Micros           `json:"clock_us"` // its own, at that request
+	LastSerial  uint64                    `json:"asked"`    // the state's serial at that request
+	Allocations map[LimitName]*Allocation `json:"held"`     // by limit
 }
 
 // Permit is one unit of a concurrency limit, held by a name.
 type Permit struct {
-	Limit     string `json:"budget"`
-	Name      string `json:"name"`
-	Host      string `json:"host"`
-	AcquireID string `json:"turn"` // idempotency key of the acquisition
-	Epoch     uint64 `json:"epoch"`
+	Limit     LimitName    `json:"budget"`
+	Name      InstanceName `json:"name"`
+	Host      string       `json:"host"`
+	AcquireID string       `json:"turn"` // idempotency key of the acquisition
+	Epoch     uint64       `json:"epoch"`
 }
 
 // State is the replicated state of all limits. Its exported fields are there to be encoded; only Apply changes them. It
 // is not safe for concurrent use.
 type State struct {
-	Serial      uint64                       `json:"serial"` // number of commands applied; epochs are its values
-	Config      Config                       `json:"terms"`
-	Clients     map[string]*Client           `json:"lives"`           // by ClientKey
-	Permits     map[string]map[string]Permit `json:"counts"`          // by limit and name
-	ReleasedIDs map[string][]string          `json:"ended"`           // by limit and name, the latest acquisitions that have ended
-	ColdStarts  map[string]*coldstart.State  `json:"rises,omitempty"` // by concurrency limit
-	Regressions uint64                       `json:"forgot"`          // how often a client held an epoch that this state does not have
+	Serial      uint64                                `json:"serial"` // number of commands applied; epochs are its values
+	Config      Config                                `json:"terms"`
+	Clients     map[ClientKey]*Client                 `json:"lives"`           // by ClientKey
+	Permits     map[LimitName]map[InstanceName]Permit `json:"counts"`          // by limit and name
+	ReleasedIDs map[PermitKey][]string                `json:"ended"`           // by limit and name, the latest acquisitions that have ended
+	ColdStarts  map[LimitName]*coldstart.State        `json:"rises,omitempty"` // by concurrency limit
+	Regressions uint64                                `json:"forgot"`          // how often a client held an epoch that this state does not have
 
 	// Indexes over the rest, built by RebuildIndexes.
-	totals map[string]*rateTotals     // by rate
-	byName map[string][]string        // keys of clients
-	byHost map[string]map[string]bool // keys of clients
+	totals map[LimitName]*rateTotals     // by rate
+	byName map[InstanceName][]ClientKey  // keys of clients
+	byHost map[string]map[ClientKey]bool // keys of clients
 }
 
 // rateTotals are the sums over all clients of one rate, in units a second.
 type rateTotals struct {
-	floorInForce   map[string]int64 // by backend: the floor that some process of it may act on
-	reservedFloors int64            // floors in force or to be granted
-	inForce        int64            // floors in force and extras
+	floorInForce   map[InstanceName]int64 // by backend: the floor that some process of it may act on
+	reservedFloors int64                  // floors in force or to be granted
+	inForce        int64                  // floors in force and extras
 	extras         int64
-	eligible       []string // backends that may draw, in order
+	eligible       []InstanceName // backends that may draw, in order
 }
 
 // NewState returns an empty state.
 func NewState() *State {
 	s := &State{
-		Clients: map[string]*Client{}, Permits: map[string]map[string]Permit{}, ReleasedIDs: map[string][]string{},
-		ColdStarts: map[string]*coldstart.State{},
+		Clients: map[ClientKey]*Client{}, Permits: map[LimitName]map[InstanceName]Permit{}, ReleasedIDs: map[PermitKey][]string{},
+		ColdStarts: map[LimitName]*coldstart.State{},
 	}
 	s.RebuildIndexes()
 	return s
 }
 
-// ClientKey identifies a process: a backend's name and an incarnation.
-func ClientKey(name, incarnation string) string { return name + " " + incarnation }
-
 // RebuildIndexes has to be called on a state that was decoded, before anything else.
 func (s *State) RebuildIndexes() {
-	s.totals, s.byName, s.byHost = map[string]*rateTotals{}, map[string][]string{}, map[string]map[string]bool{}
+	s.totals, s.byName, s.byHost = map[LimitName]*rateTotals{}, map[InstanceName][]ClientKey{}, map[string]map[ClientKey]bool{}
 	for _, c := range s.ColdStarts {
 		c.RebuildIndex()
 	}
@@ -122,7 +119,7 @@
 		s.byName[client.Name] = append(s.byName[client.Name], key)
 		s.setHost(key, client, client.Host)
 	}
-	isRate := map[string]bool{}
+	isRate := map[LimitName]bool{}
 	for i := range s.Config.Limits {
 		isRate[s.Config.Limits[i].Name] = s.Config.Limits[i].Kind == Rate
 	}
@@ -139,8 +136,8 @@
 }
 
 // recount computes the totals of one rate.
-func (s *State) recount(limit string) {
-	t := &rateTotals{floorInForce: map[string]int64{}}
+func (s *State) recount(limit LimitName) {
+	t := &rateTotals{floorInForce: map[InstanceName]int64{}}
 	for _, client := range s.Clients {
 		if a := client.Allocations[limit]; a != nil {
 			t.floorInForce[client.Name] = max(t.floorInForce[client.Name], a.maxFloor())
@@ -162,17 +159,17 @@
 }
 
 // setHost records on which host a client runs.
-func (s *State) setHost(key string, client *Client, host string) {
+func (s *State) setHost(key ClientKey, client *Client, host string) {
 	delete(s.byHost[client.Host], key)
 	if s.byHost[host] == nil {
-		s.byHost[host] = map[string]bool{}
+		s.byHost[host] = map[ClientKey]bool{}
 	}
 	s.byHost[host][key] = true
 	client.Host = host
 }
 
 // setGrants replaces a client's grants of a limit and keeps the totals.
-func (s *State) setGrants(limit string, client *Client, a *Allocation, grants []Grant) {
+func (s *State) setGrants(limit LimitName, client *Client, a *Allocation, grants []Grant) {
 	t := s.totals[limit]
 	extraBefore, configured := a.maxExtra(), int64(0)
 	if l := s.Config.Lookup(limit); l != nil {
@@ -197,7 +194,7 @@
 }
 
 // latestClient is the key of the process of a backend that sent the latest request; older ones are granted nothing more.
-func (s *State) latestClient(name string) (key string) {
+func (s *State) latestClient(name InstanceName) (key ClientKey) {
 	if keys := s.byName[name]; len(keys) == 1 {
 		return keys[0]
 	}
@@ -211,11 +208,11 @@
 }
 
 // remove deletes a client that has nothing in force.
-func (s *State) remove(key string) {
+func (s *State) remove(key ClientKey) {
 	client := s.Clients[key]
 	delete(s.byHost[client.Host], key)
 	delete(s.Clients, key)
-	rest := slices.DeleteFunc(s.byName[client.Name], func(k string) bool { return k == key })
+	rest := slices.DeleteFunc(s.byName[client.Name], func(k ClientKey) bool { return k == key })
 	if len(rest) == 0 {
 		delete(s.byName, client.Name)
 		return
--- a/internal/cluster/quota/state_test.go
+++ b/internal/cluster/quota/state_test.go
@@ -16,9 +16,9 @@
 )
 
 func rate(total int64, names int, floor int64, divide Division) Config {
-	b := Limit{Name: "b", Kind: Rate, Total: total, Floors: map[string]int64{}, Division: divide, Step: 1, Lease: 1_000_000, ClockMargin: 50_000, Tenant: "t"}
+	b := Limit{Name: "b", Kind: Rate, Total: total, Floors: map[InstanceName]int64{}, Division: divide, Step: 1, Lease: 1_000_000, ClockMargin: 50_000, Tenant: "t"}
 	for i := range names {
-		b.Floors[fmt.Sprint("n", i)] = floor
+		b.Floors[InstanceName(fmt.Sprint("n", i))] = floor
 	}
 	return Config{Version: 1, Limits: []Limit{b}}
 }
@@ -173,7 +173,7 @@
 				if h := one(); !h.exited && len(f.holders) < 20 {
 					h.exited = true
 					if rapid.Bool().Draw(t, "reported") {
-						f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.incarnation))}}})
+						f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []ClientKey{NewClientKey(InstanceName(h.name), fmt.Sprint(h.incarnation))}}})
 					}
 					n := 0
 					if _, err := fmt.Sscanf(h.name, "n%d", &n); err != nil {
@@ -184,7 +184,7 @@
 			},
 			"exit reported by another host": func(*rapid.T) {
 				h := one()
-				f.apply(Command{Exited: &ExitCommand{Host: h.host + "x", ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.incarnation))}}})
+				f.apply(Command{Exited: &ExitCommand{Host: h.host + "x", ClientKeys: []ClientKey{NewClientKey(InstanceName(h.name), fmt.Sprint(h.incarnation))}}})
 			},
 			"another total": func(t *rapid.T) {
 				if len(f.configuredTotals) > 3 {
@@ -212,7 +212,7 @@
 			f.apply(Command{Expire: over, Rebalance: divide})
 			for _, h := range f.holders {
 				if h.exited {
-					f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []string{ClientKey(h.name, fmt.Sprint(h.incarnation))}}})
+					f.apply(Command{Exited: &ExitCommand{Host: h.host, ClientKeys: []ClientKey{NewClientKey(InstanceName(h.name), fmt.Sprint(h.incarnation))}}})
 					continue
 				}
 				r := f.apply(Command{Renew: &RenewCommand{Host: h.host, Requests: []quota.LeaseRequest{h.NewRequest(h.clock(f.now))}}})
--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -4,7 +4,7 @@
 
 // Usage is how one limit stands.
 type Usage struct {
-	Limit          string        `json:"budget"`
+	Limit          LimitName     `json:"budget"`
 	Kind           Kind          `json:"kind"`
 	Total          int64         `json:"whole"`
 	ReservedFloors int64         `json:"floors"`   // in force or to be granted
@@ -14,7 +14,7 @@
 
 // HolderUsage is what one holder has of a limit.
 type HolderUsage struct {
-	Name        string          `json:"name"`
+	Name        InstanceName    `json:"name"`
 	Incarnation string          `json:"life,omitempty"`
 	Host        string          `json:"host"`
 	Epoch       uint64          `json:"epoch"`
@@ -56,7 +56,7 @@
 	return all
 }
 
-func (s *State) permitHolders(limit string) (all []HolderUsage) {
+func (s *State) permitHolders(limit LimitName) (all []HolderUsage) {
 	for _, name := range sortedKeys(s.Permits[limit]) {
 		p := s.Permits[limit][name]
 		all = append(all, HolderUsage{Name: name, Host: p.Host, Epoch: p.Epoch, AcquireID: p.AcquireID})
@@ -64,7 +64,7 @@
 	return all
 }
 
-func (s *State) rateHolders(limit string) (all []HolderUsage) {
+func (s *State) rateHolders(limit LimitName) (all []HolderUsage) {
 	for _, key := range sortedKeys(s.Clients) {
 		client := s.Clients[key]
 		a := client.Allocations[limit]
--- a/internal/cluster/quotastore/bench_test.go
+++ b/internal/cluster/quotastore/bench_test.go
@@ -20,9 +20,9 @@
 	for _, n := range []int{1, 3, 5} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			g := newGroup(b, n)
-			floors := map[string]int64{}
+			floors := map[quota.InstanceName]int64{}
 			for i := range 5000 {
-				floors[fmt.Sprint("n", i)] = 1
+				floors[quota.InstanceName(fmt.Sprint("n", i))] = 1
 			}
 			g.config = &quota.Config{Version: 1, Limits: []quota.Limit{{
 				Name: "b", Kind: quota.Rate, Total: 100_000, Floors: floors, Division: quota.DivideByDemand, Step: 1, Lease: 3_000_000, ClockMargin: 150_000, Tenant: "t",
--- a/internal/cluster/quotastore/election_test.go
+++ b/internal/cluster/quotastore/election_test.go
@@ -120,7 +120,7 @@
 // rateConfig is a rate of 10 a second for the backend n, by leases of a second.
 func rateConfig() *quota.Config {
 	return &quota.Config{Version: 1, Limits: []quota.Limit{{
-		Name: "b", Kind: quota.Rate, Total: 10, Floors: map[string]int64{"n": 3}, Division: quota.DivideEvenly, Step: 1,
+		Name: "b", Kind: quota.Rate, Total: 10, Floors: map[quota.InstanceName]int64{"n": 3}, Division: quota.DivideEvenly, Step: 1,
 		Lease: 1_000_000, ClockMargin: 50_000, Tenant: "t",
 	}}}
 }
--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -112,7 +112,7 @@
 func TestRestore(t *testing.T) {
 	from, to := &Store{state: quota.NewState()}, &Store{}
 	config := quota.Config{Version: 1, Limits: []quota.Limit{{
-		Name: "b", Kind: quota.Rate, Total: 10, Floors: map[string]int64{"n": 3}, Division: quota.DivideEvenly, Step: 1,
+		Name: "b", Kind: quota.Rate, Total: 10, Floors: map[quota.InstanceName]int64{"n": 3}, Division: quota.DivideEvenly, Step: 1,
 		Lease: 1_000_000, ClockMargin: 50_000, Tenant: "t",
 	}}}
 	from.state.Apply(quota.Command{Config: &config})
--- a/internal/cluster/quotastore/leader_test.go
+++ b/internal/cluster/quotastore/leader_test.go
@@ -19,7 +19,7 @@
 func TestSoleReplicaRestarts(t *testing.T) {
 	g := newGroup(t, 1)
 	g.config = &quota.Config{Version: 1, Limits: []quota.Limit{{
-		Name: "b", Kind: quota.Rate, Total: 10, Floors: map[string]int64{"n": 3}, Division: quota.DivideEvenly, Step: 1,
+		Name: "b", Kind: quota.Rate, Total: 10, Floors: map[quota.InstanceName]int64{"n": 3}, Division: quota.DivideEvenly, Step: 1,
 		Lease: 60_000_000, ClockMargin: 3_000_000, Tenant: "t",
 	}}}
 	g.start("h1")
--- a/internal/cluster/quotastore/quotastore_test.go
+++ b/internal/cluster/quotastore/quotastore_test.go
@@ -206,7 +206,7 @@
 					}
 					op := porcupine.Operation{ClientId: c, Input: in, Call: int64(time.Since(began))}
 					ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-					permit := &quota.PermitCommand{Limit: "out", Name: in.name, Host: "h", AcquireID: in.acquireID}
+					permit := &quota.PermitCommand{Limit: "out", Name: quota.InstanceName(in.name), Host: "h", AcquireID: in.acquireID}
 					cmd := quota.Command{Acquire: permit}
 					if in.release {
 						cmd = quota.Command{Release: permit}
@@ -299,7 +299,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		for {
-			if res, err := n.Do(ctx, quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: "n" + id, Host: "h", AcquireID: id}}); err == nil {
+			if res, err := n.Do(ctx, quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: quota.InstanceName("n" + id), Host: "h", AcquireID: id}}); err == nil {
 				if res.Rejection != "" {
 					t.Fatal(res.Rejection)
 				}
--- a/internal/fleet/cold_start_test.go
+++ b/internal/fleet/cold_start_test.go
@@ -50,7 +50,9 @@
 
 // handleUnit takes an action on a unit to the quota store, as an agent would.
 func (s *simulatedFleet) handleUnit(w *simulatedHost, action Action) bool {
-	request := &quota.PermitCommand{Limit: action.Unit.Quota, Name: action.Name, Host: w.host, AcquireID: action.ID}
+	request := &quota.PermitCommand{
+		Limit: quota.LimitName(action.Unit.Quota), Name: quota.InstanceName(action.Name), Host: w.host, AcquireID: action.ID,
+	}
 	switch {
 	case action.Kind != ActionAcquireUnit && action.Kind != ActionReleaseUnit:
 		return false
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -53,7 +53,7 @@
 // readQuota reads a (budget ...) form.
 func (r *specReader) readQuota(f *sexpr.Form) {
 	r.attribute(SpecSubject{})
-	b := quota.Limit{Name: parseName(f)}
+	b := quota.Limit{Name: quota.LimitName(parseName(f))}
 	if r.Quotas.Lookup(b.Name) != nil {
 		f.Fail("", "budget %q stands twice", b.Name)
 	}
@@ -76,7 +76,7 @@
 			f.Fail(err.Field, "%s", err.Reason)
 		}
 	}
-	r.attribute(SpecSubject{Quota: b.Name})
+	r.attribute(SpecSubject{Quota: string(b.Name)})
 	r.Quotas.Limits = append(r.Quotas.Limits, b)
 }
 
@@ -93,7 +93,7 @@
 	}
 	floor := int64(f.Int("floor", 0, backendquota.MaxRate, 0))
 	groups := f.Words("groups")
-	b.Floors, b.Weights = map[string]int64{}, map[string]int64{}
+	b.Floors, b.Weights = map[quota.InstanceName]int64{}, map[quota.InstanceName]int64{}
 	for _, g := range groups {
 		if r.Group(g) == nil {
 			f.Fail("groups", "%q is no group of this file", g)
@@ -101,16 +101,16 @@
 	}
 	for _, in := range r.InstancesOn("") {
 		if len(groups) == 0 || slices.Contains(groups, in.Group) {
-			b.Floors[in.Name] = floor
+			b.Floors[quota.InstanceName(in.Name)] = floor
 		}
 	}
-	own := func(field string, least int64, to map[string]int64) { // (floors (n1 4) (n2 2))
+	own := func(field string, least int64, to map[quota.InstanceName]int64) { // (floors (n1 4) (n2 2))
 		sub := f.Field(field)
 		if sub == nil {
 			return
 		}
 		for name := range b.Floors {
-			for _, one := range sub.All(name) {
+			for _, one := range sub.All(string(name)) {
 				word := one.Arg()
 				if n, err := strconv.ParseInt(word, 10, 64); err != nil || n < least || n > backendquota.MaxRate {
 					one.Fail("", "found %q, wanted a whole number from %d to %d", word, least, int64(backendquota.MaxRate))
@@ -138,7 +138,7 @@
 		f.Fail("budget", "%q is no count of this file", r.ColdStartQuota)
 		return
 	}
-	b := r.Quotas.Lookup(r.ColdStartQuota)
+	b := r.Quotas.Lookup(quota.LimitName(r.ColdStartQuota))
 	if b.Reserved == 0 {
 		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good", r.ColdStartQuota)
 	}
@@ -156,6 +156,6 @@
 	if s.Quotas == nil {
 		return false
 	}
-	b := s.Quotas.Lookup(name)
+	b := s.Quotas.Lookup(quota.LimitName(name))
 	return b != nil && b.Kind == quota.Concurrency
 }
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -65,14 +65,14 @@
 		}
 		quotas.limitIndex[i] = len(quotas.limitNames)
 		limit := quota.Limit{
-			Name: "t" + fmt.Sprint(i), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: leaseDuration,
-			ClockMargin: leaseMargin, Tenant: t.Name, Floors: map[string]int64{},
+			Name: quota.LimitName("t" + fmt.Sprint(i)), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: leaseDuration,
+			ClockMargin: leaseMargin, Tenant: t.Name, Floors: map[quota.InstanceName]int64{},
 		}
 		floor := int64(floorShare * t.Quota / float64(len(w.hosts)))
 		for n := range w.hosts {
-			limit.Floors[hostName(int32(n))] = floor
+			limit.Floors[quota.InstanceName(hostName(int32(n)))] = floor
 		}
-		quotas.limitNames = append(quotas.limitNames, limit.Name)
+		quotas.limitNames = append(quotas.limitNames, string(limit.Name))
 		config.Limits = append(config.Limits, limit)
 	}
 	w.quotas = quotas
@@ -91,12 +91,12 @@
 func fixedHolder(name, incarnation string, all []quota.Limit, parts int64) *backendquota.Holder {
 	names := make([]string, 0, len(all))
 	for _, limit := range all {
-		names = append(names, limit.Name)
+		names = append(names, string(limit.Name))
 	}
 	holder := backendquota.New(name, incarnation, names)
 	answer := backendquota.LeaseResponse{Name: name, Incarnation: incarnation, Number: holder.NewRequest(0).Number}
 	for _, limit := range all {
-		answer.Grants = append(answer.Grants, backendquota.Grant{Budget: limit.Name, Epoch: 1, Floor: limit.Total / parts})
+		answer.Grants = append(answer.Grants, backendquota.Grant{Budget: string(limit.Name), Epoch: 1, Floor: limit.Total / parts})
 	}
 	if err := holder.Apply(0, answer); err != nil {
 		panic(err) // the configuration was checked
@@ -113,7 +113,7 @@
 	if w.pricing == nil {
 		var all []quota.Limit
 		for i, t := range w.scenario.Tenants {
-			all = append(all, quota.Limit{Name: fmt.Sprint(i), Total: int64(t.Quota)})
+			all = append(all, quota.Limit{Name: quota.LimitName(fmt.Sprint(i)), Total: int64(t.Quota)})
 		}
 		w.pricing = fixedHolder("all", "price", all, 1)
 	}
@@ -134,7 +134,7 @@
 		var all []quota.Limit
 		for i, t := range w.scenario.Tenants {
 			if quotas.limitIndex[i] >= 0 {
-				all = append(all, quota.Limit{Name: quotas.limitNames[quotas.limitIndex[i]], Total: int64(t.Quota)})
+				all = append(all, quota.Limit{Name: quota.LimitName(quotas.limitNames[quotas.limitIndex[i]]), Total: int64(t.Quota)})
 			}
 		}
 		quotas.holders[h.number] = fixedHolder(name, incarnation, all, int64(w.scenario.Hosts.fleetSize()))
@@ -182,7 +182,8 @@
 func (w *world) releaseQuotas(h *host) {
 	if quotas := w.quotas; quotas != nil && quotas.source == LeasedQuotas && (!w.quotaStoreCut || h.number >= w.partitionedHosts) {
 		name := hostName(h.number)
-		quotas.store.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []string{quota.ClientKey(name, fmt.Sprint(h.incarnation))}}})
+		key := quota.NewClientKey(quota.InstanceName(name), fmt.Sprint(h.incarnation))
+		quotas.store.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []quota.ClientKey{key}}})
 	}
 }
 
