--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -1,6 +1,8 @@
 package quota
 
-import "milletbarrow/monotime"
+import (
+	"milletbarrow/monotime"
+)
 
 // Usage is how one limit stands.
 type Usage struct {
