--- a/internal/cluster/quota/apply.go
+++ b/internal/cluster/quota/apply.go
@@ -1,104 +1,102 @@
 package quota
 
 import (
-	"errors"
 	"fmt"
+	"slices"
 )
 
-// Apply applies a command. The result depends on the command and the state alone, so that every replica comes to the same.
-func (s *State) Apply(c Command) (r Result) {
+// Apply applies a command. Its result depends on the command and the state alone, so that all replicas agree.
+func (s *State) Apply(command Command) Result {
 	s.Serial++
-	r.Serial = s.Serial
-	if c.Config != nil {
-		s.applyConfig(c.Config, &r)
+	result := Result{Serial: s.Serial}
+	if command.Config != nil {
+		s.applyConfig(command.Config, &result)
 	}
-	for _, e := range c.Expire {
-		s.expire(e, &r)
+	for _, expiry := range command.Expire {
+		s.expire(expiry, &result)
 	}
-	if c.Rebalance { // after the expiries: what has expired can be granted at once
-		s.rebalance(&r)
+	if command.Rebalance { // after the expiries, so that expired quota is granted at once
+		s.rebalance(&result)
 	}
-	if c.Exited != nil {
-		s.removeExited(c.Exited, &r)
+	if command.Exited != nil {
+		s.removeExited(command.Exited, &result)
 	}
-	if c.Renew != nil {
-		s.renew(c.Renew, c.FreezeGrowth, &r)
+	if command.Renew != nil {
+		s.renew(command.Renew, command.FreezeGrowth, &result)
 	}
-	if c.Acquire != nil {
-		s.acquire(c.Acquire, &r)
+	if command.Acquire != nil {
+		s.acquire(command.Acquire, &result)
 	}
-	if c.Release != nil {
-		s.release(c.Release, &r)
+	if command.Release != nil {
+		s.release(command.Release, &result)
 	}
-	if c.WriteOff != nil {
-		s.writeOff(c.WriteOff, &r)
+	if command.WriteOff != nil {
+		s.writeOff(command.WriteOff, &result)
 	}
-	if c.ColdStart != nil {
-		s.coldStart(c.ColdStart, &r)
+	if command.ColdStart != nil {
+		s.coldStart(command.ColdStart, &result)
 	}
-	for _, p := range c.ElapsedPauses {
-		if start := s.ColdStarts[p.Limit]; start != nil && start.ID == p.ID {
-			start.EndPause(p.Number)
-		}
+	for _, pause := range command.ElapsedPauses {
+		s.endPause(pause)
 	}
-	return r
+	return result
 }
 
-// applyConfig takes over a configuration of a higher version.
-func (s *State) applyConfig(c *Config, r *Result) {
-	switch {
-	case c.Version < s.Config.Version:
-		r.Rejection = fmt.Sprintf("version: %d is older than %d, which is in force", c.Version, s.Config.Version)
-		return
-	case c.Version == s.Config.Version && !c.Equal(&s.Config):
-		r.Rejection = fmt.Sprintf("version: %d is in force with other content; give the new one a higher number", c.Version)
-		return
-	case c.Version == s.Config.Version:
+// applyConfig replaces the configuration by one of a higher version.
+func (s *State) applyConfig(config *Config, result *Result) {
+	if config.Version <= s.Config.Version {
+		s.rejectOldConfig(config, result)
 		return
 	}
-	for i := range c.Limits {
-		l := &c.Limits[i]
-		if err, ok := errors.AsType[*LimitError](l.Validate()); ok {
-			r.Rejection = fmt.Sprintf("budget %s: %s: %s", l.Name, err.Field, err.Reason)
+	for i := range config.Limits {
+		limit := &config.Limits[i]
+		if err := limit.Validate(); err != nil {
+			result.reject("budget %s: %v", limit.Name, err)
 			return
 		}
 	}
-	for i := range c.Limits {
-		l, previous := &c.Limits[i], s.Config.Lookup(c.Limits[i].Name)
-		switch {
-		case previous == nil:
-			r.Events = append(r.Events, Event{Limit: l.Name, Kind: "budget", Cause: fmt.Sprintf("new, %s of %d", l.Kind, l.Total)})
-		case previous.Total != l.Total:
-			r.Events = append(r.Events, Event{Limit: l.Name, Kind: "budget", Cause: fmt.Sprintf("whole from %d to %d", previous.Total, l.Total)})
-		}
+	for i := range config.Limits {
+		s.reportLimitChange(&config.Limits[i], result)
 	}
-	s.Config = *c
+	s.Config = *config
 	s.RebuildIndexes()
-	s.rebalance(r)
+	s.rebalance(result)
 }
 
-// writeOff revokes all that a backend holds, whichever host it is on.
-func (s *State) writeOff(c *WriteOffCommand, r *Result) {
-	known := false
-	keys := append([]ClientKey(nil), s.byName[c.Name]...) // revokeAll changes the index
-	for _, key := range keys {
-		known = true
-		s.revokeAll(key, "written off by "+c.By, r)
+// rejectOldConfig rejects a configuration that is not newer, unless it is the one in force.
+func (s *State) rejectOldConfig(config *Config, result *Result) {
+	switch {
+	case config.Version < s.Config.Version:
+		result.reject("version: %d is older than %d, the version in force", config.Version, s.Config.Version)
+	case !config.Equal(&s.Config):
+		result.reject("version: %d is in force with other content; give the new one a higher number", config.Version)
 	}
-	for _, limit := range sortedKeys(s.Permits) {
-		permit, has := s.Permits[limit][c.Name]
-		if !has {
-			continue
-		}
-		known = true
-		if start := s.ColdStarts[limit]; start != nil {
-			start.WriteOff(string(c.Name))
-		}
-		delete(s.Permits[limit], c.Name)
-		s.recordReleased(limit, c.Name, permit.AcquireID)
-		r.Events = append(r.Events, Event{Limit: limit, Name: string(c.Name), Kind: "unit over", Cause: "written off by " + c.By})
+}
+
+// reportLimitChange adds an event for a limit that is new or has another total.
+func (s *State) reportLimitChange(limit *Limit, result *Result) {
+	event := Event{Limit: limit.Name, Kind: eventLimitChanged}
+	previous := s.Config.Lookup(limit.Name)
+	switch {
+	case previous == nil:
+		event.Cause = fmt.Sprintf("new, %s of %d", limit.Kind, limit.Total)
+	case previous.Total != limit.Total:
+		event.Cause = fmt.Sprintf("total from %d to %d", previous.Total, limit.Total)
+	default:
+		return
+	}
+	result.addEvent(event)
+}
+
+// writeOff revokes all grants and permits of a backend, whichever host it is on.
+func (s *State) writeOff(command *WriteOffCommand, result *Result) {
+	cause := "written off by " + command.By
+	keys := slices.Clone(s.byName[command.Name]) // revokeAll changes the index
+	for _, key := range keys {
+		s.revokeAll(key, cause, result)
 	}
-	if !known {
-		r.Rejection = fmt.Sprintf("name: %q has nothing", c.Name)
+	permits := s.revokePermits(command.Name, cause, result)
+	if len(keys) == 0 && permits == 0 {
+		result.reject("name: %q holds no grant and no permit", command.Name)
 	}
 }
--- a/internal/cluster/quota/coldstart.go
+++ b/internal/cluster/quota/coldstart.go
@@ -6,125 +6,106 @@
 	"milletbarrow/internal/cluster/coldstart"
 )
 
-// Actions on a cold start, as they stand in commands.
-const (
-	actionBegin  = ""
-	actionResume = "go-on"
-	actionEnd    = "end"
-)
-
-// ColdStartCommand begins a cold start under a concurrency limit, or resumes or ends the one that is there. Begun again by
-// the same ID it changes nothing.
-type ColdStartCommand struct {
-	Limit   LimitName          `json:"budget"`
-	ID      string             `json:"id"`
-	Config  *coldstart.Config  `json:"terms,omitempty"`
-	Members []coldstart.Member `json:"members,omitempty"`
-	Action  string             `json:"verb,omitempty"` // "go-on" or "end"; empty: begin
-	By      string             `json:"by"`
-}
-
-// coldStart applies a command about the cold start of one limit.
-func (s *State) coldStart(c *ColdStartCommand, r *Result) {
-	l, current := s.Config.Lookup(c.Limit), s.ColdStarts[c.Limit]
+// coldStart applies a command about the cold start under one limit.
+func (s *State) coldStart(command *ColdStartCommand, result *Result) {
+	limit := s.Config.Lookup(command.Limit)
+	current := s.ColdStarts[command.Limit]
 	switch {
-	case l == nil || l.Kind != Concurrency:
-		r.Rejection = fmt.Sprintf("budget: %q is no count of version %d", c.Limit, s.Config.Version)
-	case c.Action == actionBegin:
-		s.beginColdStart(c, l, current, r)
-	case current == nil || current.ID != c.ID:
-		r.Rejection = fmt.Sprintf("id: %q is no rise that is known", c.ID)
-	case c.Action == actionResume:
+	case limit == nil || limit.Kind != Concurrency:
+		result.reject("budget: %q is not a count in version %d", command.Limit, s.Config.Version)
+	case command.Action == actionBegin:
+		s.beginColdStart(command, limit, result)
+	case current == nil || current.ID != command.ID:
+		result.reject("id: unknown cold start %q", command.ID)
+	case command.Action == actionResume:
 		current.Resume()
-		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise goes on", Cause: "by " + c.By})
-	case c.Action == actionEnd: // permits that are held are released as usual
-		delete(s.ColdStarts, c.Limit)
-		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise ended", Cause: "by " + c.By})
+		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartResumed, Cause: "by " + command.By})
+	case command.Action == actionEnd: // permits that are held are released as usual
+		delete(s.ColdStarts, command.Limit)
+		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartEnded, Cause: "by " + command.By})
 	default:
-		r.Rejection = fmt.Sprintf("verb: %q is none of go-on, end", c.Action)
+		result.reject("verb: %q is not one of %s, %s", command.Action, actionResume, actionEnd)
 	}
 }
 
-func (s *State) beginColdStart(c *ColdStartCommand, l *Limit, current *coldstart.State, r *Result) {
+// beginColdStart begins a cold start, unless another one is in progress.
+func (s *State) beginColdStart(command *ColdStartCommand, limit *Limit, result *Result) {
+	current := s.ColdStarts[command.Limit]
 	switch {
-	case current != nil && current.ID == c.ID:
+	case current != nil && current.ID == command.ID:
 		return
 	case current != nil && !current.Done():
-		r.Rejection = fmt.Sprintf("rise %s is open: %d of %d are up; end it, or wait", current.ID, len(current.Ready), len(current.Members))
+		result.reject("cold start %s is in progress, %d of %d members are ready: end it or wait for it",
+			current.ID, len(current.Ready), len(current.Members))
 		return
-	case c.Config == nil:
-		r.Rejection = "terms: missing"
+	case command.Config == nil:
+		result.reject("terms: missing, a command that begins a cold start must contain them")
 		return
 	}
-	config := *c.Config
-	config.MaxConcurrent = min(config.MaxConcurrent, l.Total-l.Reserved)
+	config := *command.Config
+	config.MaxConcurrent = min(config.MaxConcurrent, limit.grantable())
 	config.InitialConcurrent = min(config.InitialConcurrent, config.MaxConcurrent)
-	start, err := coldstart.New(c.ID, config, c.Members)
+	start, err := coldstart.New(command.ID, config, command.Members)
 	if err != nil {
-		r.Rejection = err.Error()
+		result.Rejection = err.Error()
 		return
 	}
-	for name := range s.Permits[c.Limit] { // starting already, for whatever reason
+	for name := range s.Permits[command.Limit] { // these were starting before
 		start.AddStarting(string(name))
 	}
-	s.ColdStarts[c.Limit] = start
-	r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise begins", Cause: fmt.Sprintf("%s of %d, asked by %s", c.ID, len(c.Members), c.By)})
+	s.ColdStarts[command.Limit] = start
+	cause := fmt.Sprintf("%s of %d, asked by %s", command.ID, len(command.Members), command.By)
+	result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartBegan, Cause: cause})
 }
 
-// mayStart reports whether the cold start that a name is part of, if there is one, lets it start.
-func (s *State) mayStart(c *PermitCommand, r *Result) bool {
-	start := s.ColdStarts[c.Limit]
-	if start == nil || !start.Pending(string(c.Name)) {
+// requestStart reports whether the cold start under a limit lets an instance start now. Instances that are not part
+// of a cold start may always start.
+func (s *State) requestStart(command *PermitCommand, result *Result) bool {
+	start := s.pendingColdStart(command)
+	if start == nil {
 		return true
 	}
-	ok, reason := start.RequestStart(string(c.Name))
-	r.Rejection = reason
+	ok, reason := start.RequestStart(string(command.Name))
+	result.Rejection = reason
 	return ok
 }
 
+// pendingColdStart returns the cold start that an instance still has to start in, or nil.
+func (s *State) pendingColdStart(command *PermitCommand) *coldstart.State {
+	start := s.ColdStarts[command.Limit]
+	if start == nil || !start.Pending(string(command.Name)) {
+		return nil
+	}
+	return start
+}
+
 // reportStart reports to the cold start how the start ended that a released permit was for.
-func (s *State) reportStart(c *PermitCommand, r *Result) {
-	start := s.ColdStarts[c.Limit]
-	if start == nil || !start.Pending(string(c.Name)) {
+func (s *State) reportStart(command *PermitCommand, result *Result) {
+	start := s.pendingColdStart(command)
+	if start == nil {
 		return
 	}
-	if c.Outcome == nil {
-		start.WriteOff(string(c.Name))
+	name := string(command.Name)
+	if command.Outcome == nil {
+		start.WriteOff(name)
 		return
 	}
-	haltedBefore := start.HaltReason
-	if changed := start.Report(string(c.Name), *c.Outcome); changed != "" {
-		r.Events = append(r.Events, Event{Limit: c.Limit, Name: string(c.Name), Kind: "pace", Cause: changed})
+	haltReasonBefore := start.HaltReason
+	if change := start.Report(name, *command.Outcome); change != "" {
+		result.addEvent(Event{Limit: command.Limit, Name: name, Kind: eventConcurrencyAdjusted, Cause: change})
 	}
-	if start.HaltReason != haltedBefore {
-		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise stopped", Cause: start.HaltReason})
+	if start.HaltReason != haltReasonBefore {
+		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartHalted, Cause: start.HaltReason})
 	}
 	if start.Done() {
-		r.Events = append(r.Events, Event{Limit: c.Limit, Kind: "rise over", Cause: fmt.Sprintf("%d of %d are up", len(start.Ready), len(start.Members))})
+		cause := fmt.Sprintf("%d of %d are up", len(start.Ready), len(start.Members))
+		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartDone, Cause: cause})
 	}
 }
 
-// ColdStartStatus is how a cold start stands.
-type ColdStartStatus struct {
-	Limit         LimitName               `json:"budget"`
-	ID            string                  `json:"id"`
-	Concurrency   int64                   `json:"pace"` // how many may be starting at once now
-	MaxConcurrent int64                   `json:"most"`
-	Reason        string                  `json:"cause"` // of the present concurrency
-	HaltReason    string                  `json:"halted,omitempty"`
-	Done          bool                    `json:"over"`
-	Starts        uint64                  `json:"starts"`
-	Groups        []coldstart.GroupStatus `json:"groups"`
-}
-
-// ColdStartStatuses lists all cold starts that are known, by limit.
-func (s *State) ColdStartStatuses() (all []ColdStartStatus) {
-	for _, limit := range sortedKeys(s.ColdStarts) {
-		start := s.ColdStarts[limit]
-		all = append(all, ColdStartStatus{
-			Limit: limit, ID: start.ID, Concurrency: start.Limit(), MaxConcurrent: start.Config.MaxConcurrent, Reason: start.Reason,
-			HaltReason: start.HaltReason, Done: start.Done(), Starts: start.Starts, Groups: start.Groups(),
-		})
+// endPause ends a pause that the leader has timed, unless the cold start is another one by now.
+func (s *State) endPause(pause ElapsedPause) {
+	if start := s.ColdStarts[pause.Limit]; start != nil && start.ID == pause.ID {
+		start.EndPause(pause.Number)
 	}
-	return all
 }
--- a/internal/cluster/quota/coldstart_test.go
+++ b/internal/cluster/quota/coldstart_test.go
@@ -18,14 +18,14 @@
 		r    ColdStartCommand
 		want string
 	}{
-		{ColdStartCommand{Limit: "x", ID: "1", Config: config, Members: members}, "no count"},
+		{ColdStartCommand{Limit: "x", ID: "1", Config: config, Members: members}, `"x" is not a count`},
 		{ColdStartCommand{Limit: "s", ID: "1", Members: members}, "terms"},
 		{ColdStartCommand{Limit: "s", ID: "1", Config: config}, "0 members"},
 		{ColdStartCommand{Limit: "s", ID: "1", Config: config, Members: members}, ""},
 		{ColdStartCommand{Limit: "s", ID: "1", Config: config, Members: members}, ""},
-		{ColdStartCommand{Limit: "s", ID: "2", Config: config, Members: members}, "rise 1 is open"},
-		{ColdStartCommand{Limit: "s", ID: "2", Action: "go-on"}, "no rise that is known"},
-		{ColdStartCommand{Limit: "s", ID: "1", Action: "dance"}, "none of go-on, end"},
+		{ColdStartCommand{Limit: "s", ID: "2", Config: config, Members: members}, "cold start 1 is in progress"},
+		{ColdStartCommand{Limit: "s", ID: "2", Action: "go-on"}, `unknown cold start "2"`},
+		{ColdStartCommand{Limit: "s", ID: "1", Action: "dance"}, "not one of go-on, end"},
 	} {
 		if rejection := l.Apply(Command{ColdStart: &c.r}).Rejection; (c.want == "") != (rejection == "") || !strings.Contains(rejection, c.want) {
 			t.Errorf("%+v: %q, want %q", c.r, rejection, c.want)
--- a/internal/cluster/quota/command.go
+++ b/internal/cluster/quota/command.go
@@ -5,7 +5,7 @@
 	"milletbarrow/internal/cluster/coldstart"
 )
 
-// Command is one entry of the replicated log. The parts that are set are applied in the order of Apply.
+// Command is one entry of the replicated log. State.Apply applies the fields that are set, in an order of its own.
 type Command struct {
 	Config        *Config           `json:"terms,omitempty"`
 	Renew         *RenewCommand     `json:"renew,omitempty"`
@@ -16,60 +16,70 @@
 	WriteOff      *WriteOffCommand  `json:"write_off,omitempty"`
 	ColdStart     *ColdStartCommand `json:"rise,omitempty"`
 	ElapsedPauses []ElapsedPause    `json:"rested,omitempty"` // of cold starts, timed by the leader
-	Rebalance     bool              `json:"divide,omitempty"` // set by the leader when it is time to
-	FreezeGrowth  bool              `json:"hold,omitempty"`   // grants that this state has lost may be in force: none may grow
+	Rebalance     bool              `json:"divide,omitempty"` // set by the leader when a rebalance is due
+
+	// FreezeGrowth forbids grants to grow, because grants that this state has lost may still be in force.
+	FreezeGrowth bool `json:"hold,omitempty"`
 }
 
-// RenewCommand brings the lease requests of one host's backends.
+// RenewCommand contains the lease requests of one host's backends.
 type RenewCommand struct {
 	Host     string               `json:"host"`
 	Requests []quota.LeaseRequest `json:"asks"`
 }
 
-// Expiry ends the extras of a client's grants up to an epoch, whose leases are surely over.
+// Expiry ends the extras of a client's grants up to an epoch, whose leases have expired.
 type Expiry struct {
 	Limit     LimitName `json:"budget"`
 	ClientKey ClientKey `json:"key"`
 	Epoch     uint64    `json:"epoch"`
 }
 
-// ExitCommand reports that processes have ended. It counts only from the host that they ran on.
+// ExitCommand reports processes that have exited. Clients on other hosts than Host are ignored.
 type ExitCommand struct {
 	Host       string      `json:"host"`
 	ClientKeys []ClientKey `json:"lives"`
 }
 
-// PermitCommand acquires a unit of a concurrency limit, or releases it. Repeated with the same AcquireID it changes
-// nothing.
+// PermitCommand acquires or releases one permit of a concurrency limit. It is idempotent by its AcquireID.
 type PermitCommand struct {
 	Limit     LimitName    `json:"budget"`
 	Name      InstanceName `json:"name"`
 	Host      string       `json:"host"`
 	AcquireID string       `json:"turn"`
 
-	Outcome *coldstart.Outcome `json:"end,omitempty"` // of a release: how the start came out that the permit was for
+	// Outcome is the outcome of the start that a released permit was for; nil: unknown, or not a start.
+	Outcome *coldstart.Outcome `json:"end,omitempty"`
 }
 
-// WriteOffCommand is an operator's statement that what a backend holds is no longer in force: its host is lost for good.
+// WriteOffCommand is an operator's statement that a backend's grants and permits are no longer in use because its host
+// is lost for good.
 type WriteOffCommand struct {
 	Name InstanceName `json:"name"`
 	By   string       `json:"by"`
 }
 
-// Event is an entry for the agents' history.
-type Event struct {
-	Limit LimitName `json:"budget"`
-	Name  string    `json:"name,omitempty"` // of an instance, or of a host of the store's group
-	Kind  string    `json:"event"`
-	Cause string    `json:"cause,omitempty"`
+// ColdStartCommand begins a cold start under a concurrency limit, or resumes or ends the present one. It is idempotent
+// by its ID.
+type ColdStartCommand struct {
+	Limit   LimitName          `json:"budget"`
+	ID      string             `json:"id"`
+	Config  *coldstart.Config  `json:"terms,omitempty"`   // required to begin
+	Members []coldstart.Member `json:"members,omitempty"` // required to begin
+	Action  string             `json:"verb,omitempty"`    // "go-on" resumes, "end" ends; empty: begin
+	By      string             `json:"by"`
 }
 
-// Result is the outcome of a command.
-type Result struct {
-	Serial     uint64                `json:"serial"`
-	Answers    []quota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
-	Rejection  string                `json:"no,omitempty"`      // why the command changed nothing; empty: it was applied
-	Events     []Event               `json:"notes,omitempty"`
-	ClientKeys []ClientKey           `json:"lives,omitempty"` // of a renewal: all clients of its host
-	Permits    []Permit              `json:"out,omitempty"`   // of a renewal: all permits of its host
+// Values of ColdStartCommand.Action.
+const (
+	actionBegin  = ""
+	actionResume = "go-on"
+	actionEnd    = "end"
+)
+
+// ElapsedPause identifies a pause of a cold start whose duration has passed.
+type ElapsedPause struct {
+	Limit  LimitName `json:"budget"`
+	ID     string    `json:"id"` // of the cold start
+	Number uint64    `json:"number"`
 }
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -1,8 +1,8 @@
-// Package quota divides what a fleet may use among its backends. Config says what is limited; State, a pure state machine,
-// says who holds how much of it under which lease; LeaseTracker says when a lease has surely expired.
+// Package quota divides limits of a fleet among its backends. Config lists the limits. State is the replicated state
+// machine that records which backend holds how much of each limit, and under which lease. LeaseTracker runs on the
+// leader alone and decides when a lease has expired.
 //
-// The package does no I/O and holds no clock. State is what the consensus library replicates: the same commands in the
-// same order make the same state on every replica.
+// The package does no I/O and reads no clock. Equal commands in equal order make equal states on every replica.
 package quota
 
 import (
@@ -12,74 +12,107 @@
 	"milletbarrow/monotime"
 )
 
-// Kind says what a limit counts.
+// Kind is what a limit counts.
 type Kind string
 
-// The kinds. A rate is divided into quotas that backends draw from; concurrency is held permit by permit, each by a name.
 const (
-	Rate        Kind = "rate"
+	// Rate limits units per second. It is divided into quotas that backends draw from.
+	Rate Kind = "rate"
+	// Concurrency limits units in use at once. Each unit is a permit that one instance holds.
 	Concurrency Kind = "count"
 )
 
-// Division says how the part of a rate above the floors is divided.
+// Division is the rule that divides the part of a rate above the floors.
 type Division string
 
-// The divisions. By demand is max-min fair: no backend gets more than its demand while another has less than its own.
 const (
-	DivideEvenly     Division = "even"
+	// DivideEvenly gives every backend the same part.
+	DivideEvenly Division = "even"
+	// DivideByCapacity gives every backend a part in proportion to its weight.
 	DivideByCapacity Division = "capacity"
-	DivideByDemand   Division = "demand"
+	// DivideByDemand is max-min fair: no backend gets more than its demand while another has less than its own.
+	DivideByDemand Division = "demand"
 )
 
-// Limit is what a fleet may use of one thing, and how that is divided.
+// Limit is the most that a fleet may use of one resource, with the rule that divides it.
 type Limit struct {
-	Name        LimitName              `json:"name"`
-	Kind        Kind                   `json:"kind"`
-	Total       int64                  `json:"whole"`            // units a second, or units held at once
-	Floors      map[InstanceName]int64 `json:"floors,omitempty"` // by backend; names every backend that may draw from a rate
-	Division    Division               `json:"divide,omitempty"`
-	Weights     map[InstanceName]int64 `json:"weight,omitempty"` // by backend, where it is divided by capacity; 1 for those not named
-	Step        int64                  `json:"step,omitempty"`   // the smallest part that is moved
-	Lease       monotime.Micros        `json:"lease_us,omitempty"`
-	ClockMargin monotime.Micros        `json:"margin_us,omitempty"` // how far clocks may run apart over one lease
-	Tenant      string                 `json:"tenant,omitempty"`    // whose requests draw
-	Reserved    int64                  `json:"aside,omitempty"`     // permits that hosts may use without acquiring them, one each
+	Name LimitName `json:"name"`
+	Kind Kind      `json:"kind"`
+
+	// Total is in units per second for a Rate, in units for Concurrency.
+	Total int64 `json:"whole"`
+
+	// Floors has the units per second of a Rate that each backend may draw without a lease. Only the backends named
+	// here, also with 0, may draw at all.
+	Floors map[InstanceName]int64 `json:"floors,omitempty"`
+
+	// Division applies to a Rate.
+	Division Division `json:"divide,omitempty"`
+
+	// Weights applies to DivideByCapacity. A backend that is missing has weight 1.
+	Weights map[InstanceName]int64 `json:"weight,omitempty"`
+
+	// Step is the smallest number of units per second of a Rate that is moved between backends; at least 1.
+	Step int64 `json:"step,omitempty"`
+
+	// Lease is how long a backend may draw above its floor without renewing its lease on a Rate.
+	Lease monotime.Micros `json:"lease_us,omitempty"`
+
+	// ClockMargin bounds the drift between two hosts' clocks during one lease.
+	ClockMargin monotime.Micros `json:"margin_us,omitempty"`
+
+	// Tenant is the tenant whose requests draw from a Rate.
+	Tenant string `json:"tenant,omitempty"`
+
+	// Reserved is the number of permits of a Concurrency limit that hosts may use without acquiring them, one each; 0
+	// means that every permit has to be acquired.
+	Reserved int64 `json:"aside,omitempty"`
 }
 
-// Config is all limits of a fleet. A higher version replaces a lower one.
+// grantable returns the number of permits that may be acquired.
+func (l *Limit) grantable() int64 { return l.Total - l.Reserved }
+
+// Config holds all limits of a fleet. A higher version replaces a lower one.
 type Config struct {
-	Version uint64  `json:"version"`
+	Version uint64  `json:"version"` // 0: none was applied yet
 	Limits  []Limit `json:"budgets"`
 }
 
 // Lookup returns the limit of that name, or nil.
 func (c *Config) Lookup(name LimitName) *Limit {
-	if i := slices.IndexFunc(c.Limits, func(l Limit) bool { return l.Name == name }); i >= 0 {
+	if i := slices.IndexFunc(c.Limits, func(limit Limit) bool { return limit.Name == name }); i >= 0 {
 		return &c.Limits[i]
 	}
 	return nil
 }
 
-// DrawSpecs lists the limits that a backend draws from, with the tenant of each: LIMIT=TENANT.
-func (c *Config) DrawSpecs(backend InstanceName) (all []string) {
+// DrawSpecs returns LIMIT=TENANT for each limit that a backend draws from.
+func (c *Config) DrawSpecs(backend InstanceName) []string {
+	var specs []string
 	for i := range c.Limits {
-		if _, ok := c.Limits[i].Floors[backend]; ok && c.Limits[i].Tenant != "" {
-			all = append(all, string(c.Limits[i].Name)+"="+c.Limits[i].Tenant)
+		limit := &c.Limits[i]
+		if _, ok := limit.Floors[backend]; ok && limit.Tenant != "" {
+			specs = append(specs, string(limit.Name)+"="+limit.Tenant)
 		}
 	}
-	return all
+	return specs
 }
 
-// MinClockMargin is the least margin for a lease: clocks of hosts may run apart by one in a hundred, and the margin covers
-// the resolution of timers, however short the lease is.
-func MinClockMargin(lease monotime.Micros) monotime.Micros { return max(lease/100, 10_000) }
-
-// Equal reports whether two configurations are the same.
+// Equal reports whether two configurations have the same version and the same limits in the same order.
 func (c *Config) Equal(other *Config) bool {
-	return c.Version == other.Version && slices.EqualFunc(c.Limits, other.Limits, func(a, b Limit) bool {
-		same := maps.Equal(a.Floors, b.Floors) && maps.Equal(a.Weights, b.Weights)
-		a.Floors, a.Weights, b.Floors, b.Weights = nil, nil, nil, nil
-		return same && a.Name == b.Name && a.Kind == b.Kind && a.Total == b.Total && a.Division == b.Division && a.Step == b.Step &&
-			a.Lease == b.Lease && a.ClockMargin == b.ClockMargin && a.Tenant == b.Tenant && a.Reserved == b.Reserved
-	})
+	return c.Version == other.Version && slices.EqualFunc(c.Limits, other.Limits, equalLimits)
+}
+
+func equalLimits(a, b Limit) bool {
+	return a.Name == b.Name &&
+		a.Kind == b.Kind &&
+		a.Total == b.Total &&
+		maps.Equal(a.Floors, b.Floors) &&
+		a.Division == b.Division &&
+		maps.Equal(a.Weights, b.Weights) &&
+		a.Step == b.Step &&
+		a.Lease == b.Lease &&
+		a.ClockMargin == b.ClockMargin &&
+		a.Tenant == b.Tenant &&
+		a.Reserved == b.Reserved
 }
--- /dev/null
+++ b/internal/cluster/quota/demand.go
@@ -0,0 +1,42 @@
+package quota
+
+import "milletbarrow/monotime"
+
+const (
+	maxDemand int64 = 1 << 40 // units per second; keeps the arithmetic within int64
+
+	// Denied units count for at most this many times the client's quota, and one part in so many of the total.
+	maxDeniedQuotas         int64 = 2
+	maxDeniedOfTotalDivisor int64 = 8
+
+	smoothingDivisor int64 = 2 // an estimate moves by one part in so many of its difference to the observation
+)
+
+// demandSample is the usage of one client of one rate over a duration.
+type demandSample struct {
+	quota    int64 // units per second that the client may draw
+	total    int64 // units per second of the rate
+	drawn    int64 // units
+	denied   int64 // units
+	duration monotime.Micros
+}
+
+// estimateDemand smooths a demand, in units per second, with a new sample. Denied units count up to a bound, whatever
+// the client reports.
+func estimateDemand(previous int64, sample demandSample) int64 {
+	if sample.duration <= 0 || sample.drawn < 0 || sample.denied < 0 {
+		return previous
+	}
+	maxDenied := maxDeniedQuotas*sample.quota + sample.total/maxDeniedOfTotalDivisor + 1
+	observed := min(maxDemand, sample.perSecond(sample.drawn)+min(sample.perSecond(sample.denied), maxDenied))
+	// Differences are rounded up, so that a demand that has ended reaches 0.
+	if observed >= previous {
+		return previous + (observed-previous+smoothingDivisor-1)/smoothingDivisor
+	}
+	return previous - (previous-observed+smoothingDivisor-1)/smoothingDivisor
+}
+
+// perSecond converts units over the sample's duration to units per second.
+func (s *demandSample) perSecond(units int64) int64 {
+	return min(units, maxDemand) * int64(monotime.Second) / int64(s.duration)
+}
--- a/internal/cluster/quota/division.go
+++ b/internal/cluster/quota/division.go
@@ -3,55 +3,59 @@
 import (
 	"cmp"
 	"slices"
-
-	"milletbarrow/monotime"
 )
 
-// Claim is what one backend claims above its floor.
+// unlimitedDemand is the Demand of a claim to as much as there is.
+const unlimitedDemand int64 = -1
+
+// hysteresisDivisor is the part of a claim's current part, one in so many, by which a new part has to differ.
+const hysteresisDivisor int64 = 16
+
+// Claim is one backend's demand for quota above its floor, in units per second.
 type Claim struct {
-	Demand  int64 // units; below 0: as much as there is
+	Demand  int64 // below 0: as much as there is
 	Weight  int64 // 1 or more
-	Current int64 // its part in the latest division
+	Current int64 // part in the latest division; 0: none
+}
+
+// steps returns a claim's demand in steps, rounded up; more than the whole pool if the demand is unlimited.
+func (c *Claim) steps(pool, step int64) int64 {
+	if c.Demand >= 0 && c.Demand < pool {
+		return (c.Demand + step - 1) / step
+	}
+	return pool/step + 1
 }
 
-// MaxMinFair divides a pool among claims in multiples of step, max-min fair by weight: no claim gets more than its demand
-// while another has less than its own, and what exceeds all demand is spread by weight too, so that a burst finds
-// something. The parts never add up to more than the pool. It takes O(n log n).
+// MaxMinFair divides a pool among claims in multiples of step, max-min fair by weight: no claim gets more than its
+// demand while another has less than its own. What exceeds all demand is divided by weight, to serve bursts. The parts
+// never add up to more than the pool. MaxMinFair takes O(n log n).
 func MaxMinFair(pool, step int64, claims []Claim) []int64 {
-	parts := make([]int64, len(claims))
-	left := max(0, pool) / step // in steps, as all that follows
+	parts := make([]int64, len(claims)) // in steps until the end
+	left := max(0, pool) / step
 	if left == 0 || len(claims) == 0 {
 		return parts
 	}
-	order := make([]int, len(claims))
+	order := orderByDemand(pool, step, claims)
 	weights := int64(0)
 	for i := range claims {
-		order[i] = i
 		weights += claims[i].Weight
 	}
-	demand := func(i int) int64 {
-		if d := claims[i].Demand; d >= 0 && d < pool {
-			return (d + step - 1) / step
-		}
-		return pool/step + 1
-	}
-	slices.SortStableFunc(order, func(a, b int) int { // by demand for each unit of weight
-		return cmp.Or(cmp.Compare(demand(a)*claims[b].Weight, demand(b)*claims[a].Weight), cmp.Compare(a, b))
-	})
-	unmetWeights, met := weights, 0
-	for ; met < len(order); met++ { // claims of no more than their part of what is left are met
+	unmetWeights := weights
+	met := 0
+	for ; met < len(order); met++ { // meet the claims that demand no more than their part of what is left
 		i := order[met]
-		d := demand(i)
-		if d > left*claims[i].Weight/unmetWeights {
+		demand := claims[i].steps(pool, step)
+		if demand > left*claims[i].Weight/unmetWeights {
 			break
 		}
-		parts[i] = d
-		left -= d
+		parts[i] = demand
+		left -= demand
 		unmetWeights -= claims[i].Weight
 	}
-	unmet := order[met:] // divide what is left by weight
-	if len(unmet) == 0 {
-		unmet, unmetWeights = order, weights // there is more than all demand
+	unmet := order[met:]
+	if len(unmet) == 0 { // the pool exceeds all demand
+		unmet = order
+		unmetWeights = weights
 	}
 	spread(left, unmetWeights, unmet, claims, parts)
 	for i := range parts {
@@ -60,7 +64,22 @@
 	return parts
 }
 
-// spread adds steps to some of the parts by weight, the largest remainders rounded up. weights is the sum of their weights.
+// orderByDemand returns the indices of claims, ordered by demand per unit of weight.
+func orderByDemand(pool, step int64, claims []Claim) []int {
+	order := make([]int, len(claims))
+	for i := range claims {
+		order[i] = i
+	}
+	slices.SortStableFunc(order, func(a, b int) int {
+		demandA := claims[a].steps(pool, step) * claims[b].Weight
+		demandB := claims[b].steps(pool, step) * claims[a].Weight
+		return cmp.Or(cmp.Compare(demandA, demandB), cmp.Compare(a, b))
+	})
+	return order
+}
+
+// spread adds steps to the parts at the given indices by weight and rounds up the largest remainders. weights is the
+// sum of their weights.
 func spread(steps, weights int64, indices []int, claims []Claim, parts []int64) {
 	left := steps
 	remainders := make([]int64, len(claims))
@@ -75,21 +94,20 @@
 	}
 	byRemainder := slices.Clone(indices)
 	slices.SortStableFunc(byRemainder, func(a, b int) int { return cmp.Compare(remainders[b], remainders[a]) })
-	for _, i := range byRemainder[:left] { // fewer than there are indices
+	for _, i := range byRemainder[:left] { // left is less than len(indices)
 		parts[i]++
 	}
 }
 
-// hysteresis is the part of a claim's current part by which a division has to differ to move it.
-const hysteresis = 16
-
-// Stabilize leaves the parts unchanged that would hardly move, so that a division does not swing with every report of
-// demand; where that would add up to more than the pool, all move.
+// Stabilize replaces the parts that would hardly change by the current ones, so that a division does not oscillate with
+// every report of demand. If the result would exceed the pool, it returns the parts unchanged.
 func Stabilize(pool, step int64, claims []Claim, parts []int64) []int64 {
 	stable := slices.Clone(parts)
 	sum := int64(0)
 	for i, part := range parts {
-		if current := claims[i].Current; current > 0 && max(part-current, current-part) <= max(step, current/hysteresis) {
+		current := claims[i].Current
+		change := max(part-current, current-part)
+		if current > 0 && change <= max(step, current/hysteresisDivisor) {
 			stable[i] = current
 		}
 		sum += stable[i]
@@ -98,7 +116,7 @@
 	if left < 0 {
 		return parts
 	}
-	for i, part := range parts { // those that were to grow a little grow, as far as the pool allows
+	for i, part := range parts { // small growth is granted as far as the pool allows
 		if more := min(left, part-stable[i]); more > 0 {
 			stable[i] += more
 			left -= more
@@ -106,18 +124,3 @@
 	}
 	return stable
 }
-
-// estimateDemand smooths a demand, in units a second, by what was drawn and denied over a duration: it moves by half of the
-// difference. Denied units count for at most twice the client's quota and an eighth of the total, whatever it reports.
-func estimateDemand(previous, quota, total, drawn, denied int64, over monotime.Micros) int64 {
-	if over <= 0 || drawn < 0 || denied < 0 {
-		return previous
-	}
-	const maxDemand = 1 << 40 // units a second
-	perSecond := func(units int64) int64 { return min(units, maxDemand) * 1_000_000 / int64(over) }
-	observed := min(maxDemand, perSecond(drawn)+min(perSecond(denied), 2*quota+total/8+1))
-	if observed >= previous {
-		return previous + (observed-previous+1)/2
-	}
-	return previous - (previous-observed+1)/2 // rounded up, so that a demand that has ended comes to nothing
-}
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -10,147 +10,189 @@
 )
 
 // renew answers the lease requests of one host.
-func (s *State) renew(c *RenewCommand, freeze bool, r *Result) {
-	for i := range c.Requests {
-		r.Answers = append(r.Answers, s.renewClient(c.Host, &c.Requests[i], freeze, r))
+func (s *State) renew(command *RenewCommand, freeze bool, result *Result) {
+	for i := range command.Requests {
+		result.Answers = append(result.Answers, s.renewClient(command.Host, &command.Requests[i], freeze, result))
 	}
-	r.ClientKeys = sortedKeys(s.byHost[c.Host])
+	result.ClientKeys = sortedKeys(s.byHost[command.Host])
 	for _, limit := range sortedKeys(s.Permits) {
 		for _, name := range sortedKeys(s.Permits[limit]) {
-			if p := s.Permits[limit][name]; p.Host == c.Host {
-				r.Permits = append(r.Permits, p)
+			if permit := s.Permits[limit][name]; permit.Host == command.Host {
+				result.Permits = append(result.Permits, permit)
 			}
 		}
 	}
 }
 
-// renewClient grants one client its target, as far as that is available.
-func (s *State) renewClient(host string, q *quota.LeaseRequest, freeze bool, r *Result) quota.LeaseResponse {
-	a := quota.LeaseResponse{Name: q.Name, Incarnation: q.Incarnation, Number: q.Number}
-	if a.Refusal = s.refusal(q, r); a.Refusal != "" {
-		return a
+// renewClient grants one client its targets, as far as they are available.
+func (s *State) renewClient(
+	host string, request *quota.LeaseRequest, freeze bool, result *Result,
+) quota.LeaseResponse {
+	response := quota.LeaseResponse{Name: request.Name, Incarnation: request.Incarnation, Number: request.Number}
+	response.Refusal = s.refusal(request, result)
+	if response.Refusal != "" {
+		return response
 	}
-	key := NewClientKey(InstanceName(q.Name), q.Incarnation)
-	client := s.Clients[key]
-	if client == nil {
-		client = &Client{Name: InstanceName(q.Name), Incarnation: q.Incarnation, Host: host, Allocations: map[LimitName]*Allocation{}}
-		s.Clients[key] = client
-		s.byName[InstanceName(q.Name)] = append(s.byName[InstanceName(q.Name)], key)
-	}
-	elapsed := q.Clock - client.Clock
+	key := requestKey(request)
+	client := s.clientOf(host, request)
+	elapsed := request.Clock - client.Clock
 	first := client.LastRequest == 0
 	s.setHost(key, client, host)
-	client.LastRequest, client.Clock, client.LastSerial = q.Number, q.Clock, s.Serial
-	for i := range q.Usage {
-		l := s.Config.Lookup(LimitName(q.Usage[i].Budget))
-		if l == nil || l.Kind != Rate {
+	client.recordRequest(request, s.Serial)
+	for i := range request.Usage {
+		usage := &request.Usage[i]
+		limit := s.Config.Lookup(LimitName(usage.Budget))
+		if limit == nil || limit.Kind != Rate {
 			continue
 		}
-		if _, named := l.Floors[InstanceName(q.Name)]; !named {
+		if _, named := limit.Floors[InstanceName(request.Name)]; !named {
 			continue
 		}
-		allocation := s.confirm(l, client, &q.Usage[i], elapsed, first)
-		a.Grants = append(a.Grants, s.grant(l, client, allocation, freeze))
+		allocation := s.confirm(limit, client, usage, elapsed, first)
+		response.Grants = append(response.Grants, s.grant(limit, client, allocation, freeze))
+	}
+	return response
+}
+
+func requestKey(request *quota.LeaseRequest) ClientKey {
+	return NewClientKey(InstanceName(request.Name), request.Incarnation)
+}
+
+// clientOf returns the client that a request is from, and adds it if it is new.
+func (s *State) clientOf(host string, request *quota.LeaseRequest) *Client {
+	key := requestKey(request)
+	if client := s.Clients[key]; client != nil {
+		return client
+	}
+	client := &Client{
+		Name:        InstanceName(request.Name),
+		Incarnation: request.Incarnation,
+		Host:        host,
+		Allocations: map[LimitName]*Allocation{},
 	}
-	return a
+	s.Clients[key] = client
+	s.byName[client.Name] = append(s.byName[client.Name], key)
+	return client
 }
 
-// refusal is the reason for which a request is granted nothing, or empty.
-func (s *State) refusal(q *quota.LeaseRequest, r *Result) string {
-	key := NewClientKey(InstanceName(q.Name), q.Incarnation)
+// refusal returns the reason why a request is granted nothing, or "".
+func (s *State) refusal(request *quota.LeaseRequest, result *Result) string {
+	key := requestKey(request)
 	client := s.Clients[key]
-	if client != nil && q.Number <= client.LastRequest {
-		return fmt.Sprintf("ask %d is old: %d was heard", q.Number, client.LastRequest)
+	if client != nil && request.Number <= client.LastRequest {
+		return fmt.Sprintf("lease request %d is not newer than %d, the latest received",
+			request.Number, client.LastRequest)
 	}
-	for _, k := range s.byName[InstanceName(q.Name)] { // a floor belongs to one process at a time; extras of several are counted until they expire
-		if other := s.Clients[k]; k != key && other.hasFloor() {
-			return fmt.Sprintf("%s has its floor as %s at %s: that one has to end there, or be written off", q.Name, other.Incarnation, other.Host)
+	// A floor belongs to one process at a time. Extras of several processes are counted until they expire.
+	for _, otherKey := range s.byName[InstanceName(request.Name)] {
+		if other := s.Clients[otherKey]; otherKey != key && other.hasFloor() {
+			return fmt.Sprintf("%s has its floor as %s at %s: that process must end, or be written off",
+				request.Name, other.Incarnation, other.Host)
 		}
 	}
-	for _, known := range q.Usage {
-		if known.Epoch > s.Serial { // this state granted it and has lost it: its directory is an older copy
-			r.Events = append(r.Events, Event{
-				Limit: LimitName(known.Budget), Name: q.Name, Kind: "ledger is older than its grants",
-				Cause: fmt.Sprintf("epoch %d is held, %d is the latest here", known.Epoch, s.Serial),
-			})
-			s.Serial = known.Epoch + 1
-			s.Regressions++
-			return "the ledger was set back and waits until all is over that it may have granted"
+	for i := range request.Usage {
+		if usage := &request.Usage[i]; usage.Epoch > s.Serial {
+			s.recordRegression(request.Name, usage, result)
+			return "the quota store lost grants: it grants nothing until every lost lease has expired"
 		}
 	}
 	if client == nil && len(s.Clients) >= maxClients {
-		return fmt.Sprintf("%d lives are known already", maxClients)
+		return fmt.Sprintf("the quota store already has %d clients, its limit", maxClients)
 	}
 	return ""
 }
 
-// confirm takes in what a client reports of one limit: the epoch that it acts on, and what it drew in the time since its
-// last request. Grants before that epoch are no longer in force.
-func (s *State) confirm(l *Limit, client *Client, known *quota.Usage, elapsed monotime.Micros, first bool) *Allocation {
-	a := client.Allocations[l.Name]
-	if a == nil {
-		a = &Allocation{Drawn: known.Drawn, Denied: known.Denied}
-		client.Allocations[l.Name] = a
-	}
-	confirmed := slices.DeleteFunc(slices.Clone(a.Grants), func(g Grant) bool { return g.Epoch < known.Epoch })
-	s.setGrants(l.Name, client, a, confirmed)
-	floor := l.Floors[client.Name]
-	if !first { // there is a time to which what was drawn belongs
-		demand := estimateDemand(a.Demand+floor, a.maxFloor()+a.maxExtra(), l.Total, known.Drawn-a.Drawn, known.Denied-a.Denied, elapsed)
-		a.Demand = max(0, demand-floor)
-	}
-	a.Drawn, a.Denied, a.Idle = known.Drawn, known.Denied, false
-	if first { // until the next division
-		a.Target = max(a.Target, min(l.Step, s.available(l, a)))
-	}
-	return a
+// recordRegression records that this state granted an epoch and has lost it: its directory is an older copy.
+func (s *State) recordRegression(name string, usage *quota.Usage, result *Result) {
+	result.addEvent(Event{
+		Limit: LimitName(usage.Budget),
+		Name:  name,
+		Kind:  eventStateRegressed,
+		Cause: fmt.Sprintf("epoch %d is held, %d is the latest here", usage.Epoch, s.Serial),
+	})
+	s.Serial = usage.Epoch + 1
+	s.Regressions++
 }
 
-// hasFloor reports whether a floor of any limit is in force at this client.
-func (c *Client) hasFloor() bool {
-	for _, a := range c.Allocations {
-		if a.maxFloor() > 0 {
-			return true
-		}
+// confirm records what a client reports about one limit: the epoch that it acts on, and its usage since its last
+// request. Grants before that epoch are no longer in force.
+func (s *State) confirm(
+	limit *Limit, client *Client, usage *quota.Usage, elapsed monotime.Micros, first bool,
+) *Allocation {
+	allocation := client.Allocations[limit.Name]
+	if allocation == nil {
+		allocation = &Allocation{Drawn: usage.Drawn, Denied: usage.Denied}
+		client.Allocations[limit.Name] = allocation
+	}
+	confirmed := slices.DeleteFunc(slices.Clone(allocation.Grants), func(grant Grant) bool {
+		return grant.Epoch < usage.Epoch
+	})
+	s.setGrants(limit.Name, client, allocation, confirmed)
+	if !first { // the usage before the first request has no duration
+		floor := limit.Floors[client.Name]
+		demand := estimateDemand(allocation.Demand+floor, demandSample{
+			quota:    allocation.maxFloor() + allocation.maxExtra(),
+			total:    limit.Total,
+			drawn:    usage.Drawn - allocation.Drawn,
+			denied:   usage.Denied - allocation.Denied,
+			duration: elapsed,
+		})
+		allocation.Demand = max(0, demand-floor)
 	}
-	return false
+	allocation.recordUsage(usage)
+	if first { // until the next rebalance
+		allocation.Target = max(allocation.Target, min(limit.Step, s.available(limit, allocation)))
+	}
+	return allocation
 }
 
-// available is what a client may have above its floor while all others keep what they may act on.
-func (s *State) available(l *Limit, a *Allocation) int64 {
-	t := s.totals[l.Name]
-	floors := t.reservedFloors
+// available returns the units per second that a client may have above its floor while all others keep their grants.
+func (s *State) available(limit *Limit, allocation *Allocation) int64 {
+	totals := s.totals[limit.Name]
+	floors := totals.reservedFloors
 	if failpoint.Enabled(failpoint.FloorsCountedTwice) {
 		floors = 0
 	}
-	return max(0, l.Total-floors-(t.extras-a.maxExtra()))
+	return max(0, limit.Total-floors-(totals.extras-allocation.maxExtra()))
 }
 
-// grant gives a client a new lease. What is in force never grows past the total: a lower total, or a floor that was
-// raised, is reached as others confirm that they have less.
-func (s *State) grant(l *Limit, client *Client, a *Allocation, freeze bool) quota.Grant {
-	t := s.totals[l.Name]
-	current := a.maxExtra()
-	extra := min(a.Target, max(current, s.available(l, a)))
+// grant grants a client a new lease. The sum in force never grows beyond the total: a lower total or a raised floor
+// takes effect as other clients confirm that they have less.
+func (s *State) grant(limit *Limit, client *Client, allocation *Allocation, freeze bool) quota.Grant {
+	totals := s.totals[limit.Name]
+	current := allocation.maxExtra()
+	extra := min(allocation.Target, max(current, s.available(limit, allocation)))
 	if freeze {
 		extra = min(extra, current)
 	}
-	floor := l.Floors[client.Name]
-	if inForce := t.floorInForce[client.Name]; floor > inForce {
-		rest := t.inForce - inForce + max(0, extra-current)
-		floor = max(inForce, min(floor, l.Total-rest))
+	floor := limit.Floors[client.Name]
+	if inForce := totals.floorInForce[client.Name]; floor > inForce {
+		rest := totals.inForce - inForce + max(0, extra-current)
+		floor = max(inForce, min(floor, limit.Total-rest))
 		if freeze {
 			floor = inForce
 		}
 	}
-	g := Grant{Epoch: s.Serial, Floor: floor, Extra: extra, Lease: l.Lease, ClockMargin: l.ClockMargin}
-	s.setGrants(l.Name, client, a, foldOldest(append(slices.Clone(a.Grants), g)))
-	return quota.Grant{Budget: string(l.Name), Epoch: g.Epoch, Floor: g.Floor, Extra: g.Extra, Lease: l.Lease}
+	granted := Grant{
+		Epoch:       s.Serial,
+		Floor:       floor,
+		Extra:       extra,
+		Lease:       limit.Lease,
+		ClockMargin: limit.ClockMargin,
+	}
+	s.setGrants(limit.Name, client, allocation, mergeOldest(append(slices.Clone(allocation.Grants), granted)))
+	return quota.Grant{
+		Budget: string(limit.Name),
+		Epoch:  granted.Epoch,
+		Floor:  granted.Floor,
+		Extra:  granted.Extra,
+		Lease:  granted.Lease,
+	}
 }
 
-// foldOldest merges the oldest grants into the next one, so that maxGrants are left; the result is never less than what
-// may be in force.
-func foldOldest(grants []Grant) []Grant {
+// mergeOldest merges the oldest grants into the next one until maxGrants are left. The merged grant covers all that may
+// be in force.
+func mergeOldest(grants []Grant) []Grant {
 	for len(grants) > maxGrants {
 		oldest, next := &grants[0], &grants[1]
 		next.Floor = max(oldest.Floor, next.Floor)
@@ -162,41 +204,45 @@
 	return grants
 }
 
-// expire ends the extras of grants up to an epoch. Floors have no lease.
-func (s *State) expire(e Expiry, r *Result) {
-	client := s.Clients[e.ClientKey]
-	if client == nil || client.Allocations[e.Limit] == nil {
+// expire ends the extras of a client's grants up to an epoch. Floors do not expire.
+func (s *State) expire(expiry Expiry, result *Result) {
+	client := s.Clients[expiry.ClientKey]
+	if client == nil || client.Allocations[expiry.Limit] == nil {
 		return
 	}
-	defer s.dropIfEmpty(e.ClientKey)
-	a := client.Allocations[e.Limit]
-	grants := slices.Clone(a.Grants)
+	defer s.removeIfUnused(expiry.ClientKey)
+	allocation := client.Allocations[expiry.Limit]
+	grants := slices.Clone(allocation.Grants)
 	lost := int64(0)
 	for i := range grants {
-		if grants[i].Epoch <= e.Epoch {
+		if grants[i].Epoch <= expiry.Epoch {
 			lost = max(lost, grants[i].Extra)
 			grants[i].Extra = 0
 		}
 	}
-	s.setGrants(e.Limit, client, a, grants)
-	if n := len(grants); n == 0 || grants[n-1].Epoch > e.Epoch {
-		return
+	s.setGrants(expiry.Limit, client, allocation, grants)
+	if n := len(grants); n == 0 || grants[n-1].Epoch > expiry.Epoch {
+		return // a later grant is in force
 	}
-	a.Demand, a.Target, a.Idle = 0, 0, true
+	allocation.becomeIdle()
 	if lost > 0 {
-		cause := fmt.Sprintf("%d units a second: the lease of epoch %d has run out", lost, e.Epoch)
-		r.Events = append(r.Events, Event{Limit: e.Limit, Name: string(client.Name), Kind: "share over", Cause: cause})
+		result.addEvent(Event{
+			Limit: expiry.Limit,
+			Name:  string(client.Name),
+			Kind:  eventGrantEnded,
+			Cause: fmt.Sprintf("%d units a second: the lease of epoch %d has expired", lost, expiry.Epoch),
+		})
 	}
 }
 
-// dropIfEmpty deletes a client that has nothing in force and is not its backend's latest process.
-func (s *State) dropIfEmpty(key ClientKey) {
+// removeIfUnused deletes a client that has nothing in force and is not its instance's latest process.
+func (s *State) removeIfUnused(key ClientKey) {
 	client := s.Clients[key]
 	if client == nil || s.latestClient(client.Name) == key {
 		return
 	}
-	for _, a := range client.Allocations {
-		if a.maxFloor()+a.maxExtra() > 0 {
+	for _, allocation := range client.Allocations {
+		if allocation.inForce() > 0 {
 			return
 		}
 	}
@@ -204,23 +250,29 @@
 }
 
 // revokeAll revokes all grants of a client and deletes it.
-func (s *State) revokeAll(key ClientKey, cause string, r *Result) {
+func (s *State) revokeAll(key ClientKey, cause string, result *Result) {
 	client := s.Clients[key]
 	for _, limit := range sortedKeys(client.Allocations) {
-		if a := client.Allocations[limit]; a.maxFloor()+a.maxExtra() > 0 {
-			text := fmt.Sprintf("%d units a second: %s", a.maxExtra(), cause)
-			r.Events = append(r.Events, Event{Limit: limit, Name: string(client.Name), Kind: "share over", Cause: text})
-			s.setGrants(limit, client, a, nil)
+		allocation := client.Allocations[limit]
+		if allocation.inForce() == 0 {
+			continue
 		}
+		result.addEvent(Event{
+			Limit: limit,
+			Name:  string(client.Name),
+			Kind:  eventGrantEnded,
+			Cause: fmt.Sprintf("%d units a second: %s", allocation.maxExtra(), cause),
+		})
+		s.setGrants(limit, client, allocation, nil)
 	}
 	s.remove(key)
 }
 
-// removeExited deletes processes whose end their own host has reported.
-func (s *State) removeExited(c *ExitCommand, r *Result) {
-	for _, key := range c.ClientKeys {
-		if client := s.Clients[key]; client != nil && client.Host == c.Host {
-			s.revokeAll(key, "its process has ended", r)
+// removeExited deletes the clients whose exit was reported by their own host.
+func (s *State) removeExited(command *ExitCommand, result *Result) {
+	for _, key := range command.ClientKeys {
+		if client := s.Clients[key]; client != nil && client.Host == command.Host {
+			s.revokeAll(key, "its process has exited", result)
 		}
 	}
 }
--- a/internal/cluster/quota/lease_tracker.go
+++ b/internal/cluster/quota/lease_tracker.go
@@ -8,19 +8,32 @@
 	"milletbarrow/monotime"
 )
 
-// rebalancesPerLease is how often at most the rates are rebalanced within the shortest lease.
-const rebalancesPerLease = 4
+const (
+	// rebalancesPerLease is how often the rates are rebalanced within the shortest lease.
+	rebalancesPerLease = 4
+	// trackedGrantSlack is how many grants that no longer exist are tracked before they are removed.
+	trackedGrantSlack = 64
+	// earlyExpiryDivisor shortens leases under the fail point EarlyExpiry.
+	earlyExpiryDivisor = 2
+)
 
-// LeaseTracker times leases by the leader's own clock: it says when a lease has surely expired, and when to rebalance. It is
-// local to the leader and never replicated: a new leader knows of no time before its own election, and times every grant
-// that it finds from then on. It is not safe for concurrent use.
+// LeaseTracker times leases by the leader's clock. It decides when a lease has expired and when to rebalance. It is
+// local to the leader and never replicated: a new leader times every grant that it finds anew, from its own election.
+// It is not safe for concurrent use.
+//
+// Invariants:
+//   - A lease does not expire before its duration and margin have passed since the first Tick after its grant
+//     (TestLeaseExpiresAfterItsTimeAndMargin).
+//   - Nothing grows while a grant that the state has lost may be in force (TestSoleReplicaFreezesGrowth,
+//     TestRegressedStateFreezesGrowth).
+//   - A pause elapses no earlier on a new leader than on the former one (TestEachLeaderTimesPausesInFull).
 type LeaseTracker struct {
-	firstSeen     map[grantRef]monotime.Micros // when a grant was first found by this leader
-	lastRebalance monotime.Micros
-	frozenUntil   monotime.Micros            // nothing may grow before
-	regressions   uint64                     // of the state, as last seen
-	pauses        map[LimitName]runningPause // of cold starts, by limit
-	scanned       bool                       // the grants from before the election were seen
+	firstSeen     map[grantRef]monotime.Micros // when this leader first saw a grant
+	lastRebalance monotime.Micros              // 0: none since the election
+	frozenUntil   monotime.Micros              // no grant may grow before; 0: never frozen
+	regressions   uint64                       // State.Regressions as last seen
+	pauses        map[LimitName]runningPause   // of cold starts
+	scanned       bool                         // the grants from before the election were seen
 }
 
 // grantRef identifies a grant.
@@ -30,105 +43,122 @@
 	epoch     uint64
 }
 
-// BecomeLeader resets the tracker at an election. The only replica of a state may run on an older copy of its directory and
-// has no other to find that out from; as sole replica it freezes growth until every lease that it may have granted and
-// lost has expired.
-func (t *LeaseTracker) BecomeLeader(now monotime.Micros, s *State, soleReplica bool) {
-	*t = LeaseTracker{firstSeen: map[grantRef]monotime.Micros{}, regressions: s.Regressions}
+// BecomeLeader resets the tracker at an election. A sole replica may run on an older copy of its directory without
+// noticing, as there is no other replica to compare with. It freezes growth until every lease that it may have
+// granted and lost has expired.
+func (t *LeaseTracker) BecomeLeader(now monotime.Micros, state *State, soleReplica bool) {
+	*t = LeaseTracker{firstSeen: map[grantRef]monotime.Micros{}, regressions: state.Regressions}
 	if soleReplica {
-		t.frozenUntil = now + longestLease(s)
+		t.frozenUntil = now + longestLease(state)
 	}
 }
 
-// longestLease is the longest time for which a grant of the configuration in force is honoured.
-func longestLease(s *State) (longest monotime.Micros) {
-	for i := range s.Config.Limits {
-		longest = max(longest, s.Config.Limits[i].Lease+s.Config.Limits[i].ClockMargin)
+// longestLease returns the longest time for which a grant of the present configuration may be in force.
+func longestLease(state *State) monotime.Micros {
+	longest := monotime.Micros(0)
+	for i := range state.Config.Limits {
+		limit := &state.Config.Limits[i]
+		longest = max(longest, limit.Lease+limit.ClockMargin)
 	}
 	return longest
 }
 
-// GrowthFrozen reports whether no grant may grow now, because grants may be in force that the state has lost.
+// GrowthFrozen reports whether no grant may grow now, because grants that the state has lost may be in force.
 func (t *LeaseTracker) GrowthFrozen(now monotime.Micros) bool { return now < t.frozenUntil }
 
-// Tick says which leases have expired and whether to rebalance. It has to be called after each command and at regular
-// intervals: a grant's time runs from the first Tick after it was applied. The holder counts from before it sent its
-// request, so that the lease ends there first, whenever the response arrives.
-func (t *LeaseTracker) Tick(now monotime.Micros, s *State) (expired []Expiry, rebalance bool) {
-	if s.Regressions != t.regressions {
-		t.regressions, t.frozenUntil = s.Regressions, now+longestLease(s)
+// Tick returns the leases that have expired and whether to rebalance. Call it after each command and at regular
+// intervals: a lease is timed from the first Tick after its grant. The holder times it from before its request, so that
+// it stops drawing before the lease expires here, however late the response arrives.
+func (t *LeaseTracker) Tick(now monotime.Micros, state *State) (expired []Expiry, rebalance bool) {
+	if state.Regressions != t.regressions {
+		t.regressions = state.Regressions
+		t.frozenUntil = now + longestLease(state)
+	}
+	expired = t.expiries(now, state)
+	t.scanned = true
+	interval := rebalanceInterval(state)
+	if interval > 0 && (now-t.lastRebalance >= interval || len(expired) > 0) {
+		t.lastRebalance = now
+		rebalance = true
 	}
-	for key, client := range s.Clients {
-		for limit, a := range client.Allocations {
-			for i, g := range a.Grants {
-				if g.Extra == 0 && (a.Idle || i < len(a.Grants)-1) {
+	t.sweep(state)
+	return expired, rebalance
+}
+
+// expiries returns the grants that have expired, ordered by client, limit and epoch.
+func (t *LeaseTracker) expiries(now monotime.Micros, state *State) []Expiry {
+	var expired []Expiry
+	for key, client := range state.Clients {
+		for limit, allocation := range client.Allocations {
+			for i, grant := range allocation.Grants {
+				newest := i == len(allocation.Grants)-1
+				if grant.Extra == 0 && (allocation.Idle || !newest) {
 					continue // its expiry would change nothing
 				}
-				if t.expired(now, grantRef{limit, key, g.Epoch}, g) {
-					expired = append(expired, Expiry{Limit: limit, ClientKey: key, Epoch: g.Epoch})
+				if t.expired(now, grantRef{limit, key, grant.Epoch}, grant) {
+					expired = append(expired, Expiry{Limit: limit, ClientKey: key, Epoch: grant.Epoch})
 				}
 			}
 		}
 	}
 	slices.SortFunc(expired, func(a, b Expiry) int {
-		return cmp.Or(cmp.Compare(a.ClientKey, b.ClientKey), cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.Epoch, b.Epoch))
+		return cmp.Or(
+			cmp.Compare(a.ClientKey, b.ClientKey),
+			cmp.Compare(a.Limit, b.Limit),
+			cmp.Compare(a.Epoch, b.Epoch),
+		)
 	})
-	t.scanned = true
-	if interval := rebalanceInterval(s); interval > 0 && (now-t.lastRebalance >= interval || len(expired) > 0) {
-		t.lastRebalance, rebalance = now, true
-	}
-	t.sweep(s)
-	return expired, rebalance
+	return expired
 }
 
-// expired reports whether a grant is honoured no longer, and starts its time where it is new.
-func (t *LeaseTracker) expired(now monotime.Micros, ref grantRef, g Grant) bool {
+// expired reports whether a grant has expired, and starts to time one that is new.
+func (t *LeaseTracker) expired(now monotime.Micros, ref grantRef, grant Grant) bool {
 	seen, known := t.firstSeen[ref]
 	if !known {
 		seen = now
 		t.firstSeen[ref] = seen
 	}
-	return now-seen >= honouredFor(g) || failpoint.Enabled(failpoint.ForgetGrants) && !t.scanned
+	return now-seen >= validFor(grant) || failpoint.Enabled(failpoint.ForgetGrants) && !t.scanned
 }
 
-// rebalanceInterval is the time between two divisions; 0 where no rate is configured.
-func rebalanceInterval(s *State) (interval monotime.Micros) {
-	for i := range s.Config.Limits {
-		l := &s.Config.Limits[i]
-		if l.Kind == Rate && (interval == 0 || l.Lease/rebalancesPerLease < interval) {
-			interval = l.Lease / rebalancesPerLease
+// rebalanceInterval returns the time between two rebalances; 0 if no rate is configured.
+func rebalanceInterval(state *State) monotime.Micros {
+	interval := monotime.Micros(0)
+	for i := range state.Config.Limits {
+		limit := &state.Config.Limits[i]
+		if limit.Kind == Rate && (interval == 0 || limit.Lease/rebalancesPerLease < interval) {
+			interval = limit.Lease / rebalancesPerLease
 		}
 	}
 	return interval
 }
 
-// honouredFor is how long a grant counts as in force: its lease, and the margin for clocks that run apart.
-func honouredFor(g Grant) monotime.Micros {
+// validFor returns how long a grant counts as in force: its lease and the margin for clock drift.
+func validFor(grant Grant) monotime.Micros {
 	switch {
 	case failpoint.Enabled(failpoint.NoClockMargin):
-		return g.Lease
+		return grant.Lease
 	case failpoint.Enabled(failpoint.EarlyExpiry):
-		return g.Lease / 2
+		return grant.Lease / earlyExpiryDivisor
 	}
-	return g.Lease + g.ClockMargin
+	return grant.Lease + grant.ClockMargin
 }
 
-// sweep removes grants that the state no longer has, once they are many.
-func (t *LeaseTracker) sweep(s *State) {
-	const slack = 64
+// sweep removes grants that the state no longer has, once there are many of them.
+func (t *LeaseTracker) sweep(state *State) {
 	maxCurrent := 0
-	for _, client := range s.Clients {
+	for _, client := range state.Clients {
 		maxCurrent += len(client.Allocations) * maxGrants
 	}
-	if len(t.firstSeen) <= 2*maxCurrent+slack {
+	if len(t.firstSeen) <= 2*maxCurrent+trackedGrantSlack {
 		return
 	}
 	current := map[grantRef]monotime.Micros{}
-	for key, client := range s.Clients {
-		for limit, a := range client.Allocations {
-			for _, g := range a.Grants {
-				ref := grantRef{limit, key, g.Epoch}
-				if seen, ok := t.firstSeen[ref]; ok {
+	for key, client := range state.Clients {
+		for limit, allocation := range client.Allocations {
+			for _, grant := range allocation.Grants {
+				ref := grantRef{limit, key, grant.Epoch}
+				if seen, known := t.firstSeen[ref]; known {
 					current[ref] = seen
 				}
 			}
@@ -137,21 +167,30 @@
 	t.firstSeen = current
 }
 
-// FillRemaining fills in how long each holder's extra lasts without a renewal.
-func (t *LeaseTracker) FillRemaining(now monotime.Micros, s *State, all []Usage) {
-	for i := range all {
-		for j := range all[i].Holders {
-			h := &all[i].Holders[j]
-			key := NewClientKey(h.Name, h.Incarnation)
-			client := s.Clients[key]
-			if client == nil || client.Allocations[all[i].Limit] == nil {
-				continue
-			}
-			for _, g := range client.Allocations[all[i].Limit].Grants {
-				if seen, ok := t.firstSeen[grantRef{all[i].Limit, key, g.Epoch}]; ok && g.Extra > 0 {
-					h.Remaining = max(h.Remaining, seen+honouredFor(g)-now)
-				}
-			}
+// FillRemaining sets HolderUsage.Remaining of all holders.
+func (t *LeaseTracker) FillRemaining(now monotime.Micros, state *State, usages []Usage) {
+	for i := range usages {
+		for j := range usages[i].Holders {
+			holder := &usages[i].Holders[j]
+			holder.Remaining = max(holder.Remaining, t.remaining(now, state, usages[i].Limit, holder))
 		}
 	}
 }
+
+// remaining returns the time until the last extra of a holder expires; 0 if it has none.
+func (t *LeaseTracker) remaining(
+	now monotime.Micros, state *State, limit LimitName, holder *HolderUsage,
+) monotime.Micros {
+	key := NewClientKey(holder.Name, holder.Incarnation)
+	client := state.Clients[key]
+	if client == nil || client.Allocations[limit] == nil {
+		return 0
+	}
+	longest := monotime.Micros(0)
+	for _, grant := range client.Allocations[limit].Grants {
+		if seen, known := t.firstSeen[grantRef{limit, key, grant.Epoch}]; known && grant.Extra > 0 {
+			longest = max(longest, seen+validFor(grant)-now)
+		}
+	}
+	return longest
+}
--- a/internal/cluster/quota/names.go
+++ b/internal/cluster/quota/names.go
@@ -1,12 +1,12 @@
 package quota
 
-// LimitName is the name of a Limit, unique in a Config.
+// LimitName is the name of a Limit, unique within a Config.
 type LimitName string
 
-// InstanceName is the name of a backend instance. It stays the same over restarts of its process.
+// InstanceName is the name of a backend instance. It stays the same when the instance's process restarts.
 type InstanceName string
 
-// ClientKey identifies one process that draws from rates: an instance and the incarnation of its process.
+// ClientKey identifies one process that draws from rates, by its instance and its incarnation.
 type ClientKey string
 
 // NewClientKey returns the key of one process of an instance.
@@ -14,7 +14,7 @@
 	return ClientKey(string(name) + " " + incarnation)
 }
 
-// PermitKey identifies the permit that an instance may hold under one concurrency limit.
+// PermitKey identifies the permit that one instance may hold under one concurrency limit.
 type PermitKey string
 
 func newPermitKey(limit LimitName, name InstanceName) PermitKey {
--- a/internal/cluster/quota/permit.go
+++ b/internal/cluster/quota/permit.go
@@ -1,48 +1,84 @@
 package quota
 
-import (
-	"fmt"
-	"slices"
-)
+import "slices"
 
-// acquire grants a name one permit of a concurrency limit.
-func (s *State) acquire(c *PermitCommand, r *Result) {
-	l := s.Config.Lookup(c.Limit)
-	if l == nil || l.Kind != Concurrency {
-		r.Rejection = fmt.Sprintf("budget: %q is no count of version %d", c.Limit, s.Config.Version)
+// Permit is one unit of a concurrency limit, held by an instance.
+type Permit struct {
+	Limit     LimitName    `json:"budget"`
+	Name      InstanceName `json:"name"`
+	Host      string       `json:"host"`
+	AcquireID string       `json:"turn"`  // idempotency key of the acquisition
+	Epoch     uint64       `json:"epoch"` // serial of the command that acquired it
+}
+
+// acquire grants an instance one permit of a concurrency limit.
+func (s *State) acquire(command *PermitCommand, result *Result) {
+	limit := s.Config.Lookup(command.Limit)
+	if limit == nil || limit.Kind != Concurrency {
+		result.reject("budget: %q is not a count in version %d", command.Limit, s.Config.Version)
 		return
 	}
-	permits := s.Permits[c.Limit]
+	permits := s.Permits[command.Limit]
 	if permits == nil {
 		permits = map[InstanceName]Permit{}
-		s.Permits[c.Limit] = permits
+		s.Permits[command.Limit] = permits
 	}
-	held, has := permits[c.Name]
+	releasedIDs := s.ReleasedIDs[newPermitKey(command.Limit, command.Name)]
+	held, has := permits[command.Name]
 	switch {
-	case has && held.AcquireID == c.AcquireID && held.Host == c.Host:
+	case has && command.matches(held):
 	case has:
-		r.Rejection = fmt.Sprintf("%s holds one already, for %s at %s", c.Name, held.AcquireID, held.Host)
-	case slices.Contains(s.ReleasedIDs[newPermitKey(c.Limit, c.Name)], c.AcquireID):
-		r.Rejection = fmt.Sprintf("turn: %q of %s has ended", c.AcquireID, c.Name)
-	case int64(len(permits)) >= l.Total-l.Reserved || len(permits) >= maxPermits || len(s.ReleasedIDs) >= maxPermits:
-		r.Rejection = fmt.Sprintf("all %d are held", l.Total-l.Reserved)
-	case !s.mayStart(c, r):
+		result.reject("name: %q already holds a permit, as %q on host %q", command.Name, held.AcquireID, held.Host)
+	case slices.Contains(releasedIDs, command.AcquireID):
+		result.reject("turn: %q of %q has already ended", command.AcquireID, command.Name)
+	case int64(len(permits)) >= limit.grantable() || len(permits) >= maxPermits || len(s.ReleasedIDs) >= maxPermits:
+		result.reject("all %d are held", limit.grantable())
+	case !s.requestStart(command, result):
 	default:
-		permits[c.Name] = Permit{Limit: c.Limit, Name: c.Name, Host: c.Host, AcquireID: c.AcquireID, Epoch: s.Serial}
+		permits[command.Name] = Permit{
+			Limit:     command.Limit,
+			Name:      command.Name,
+			Host:      command.Host,
+			AcquireID: command.AcquireID,
+			Epoch:     s.Serial,
+		}
+	}
+}
+
+// matches reports whether a permit was acquired by the same acquisition from the same host.
+func (c *PermitCommand) matches(permit Permit) bool {
+	return permit.AcquireID == c.AcquireID && permit.Host == c.Host
+}
+
+// release ends a permit. The outcome is reported to the cold start even if the permit is no longer held.
+func (s *State) release(command *PermitCommand, result *Result) {
+	if held, has := s.Permits[command.Limit][command.Name]; has && command.matches(held) {
+		s.removePermit(command.Limit, command.Name, held.AcquireID)
 	}
+	s.reportStart(command, result)
 }
 
-// release ends a permit. The outcome is reported to a cold start even where the permit is no longer held.
-func (s *State) release(c *PermitCommand, r *Result) {
-	if held, has := s.Permits[c.Limit][c.Name]; has && held.AcquireID == c.AcquireID && held.Host == c.Host {
-		delete(s.Permits[c.Limit], c.Name)
-		s.recordReleased(c.Limit, c.Name, c.AcquireID)
+// revokePermits ends all permits of an instance and returns their number.
+func (s *State) revokePermits(name InstanceName, cause string, result *Result) int {
+	revoked := 0
+	for _, limit := range sortedKeys(s.Permits) {
+		permit, has := s.Permits[limit][name]
+		if !has {
+			continue
+		}
+		revoked++
+		if start := s.ColdStarts[limit]; start != nil {
+			start.WriteOff(string(name))
+		}
+		s.removePermit(limit, name, permit.AcquireID)
+		result.addEvent(Event{Limit: limit, Name: string(name), Kind: eventPermitEnded, Cause: cause})
 	}
-	s.reportStart(c, r)
+	return revoked
 }
 
-// recordReleased remembers that an acquisition has ended, so that a late duplicate of it acquires nothing.
-func (s *State) recordReleased(limit LimitName, name InstanceName, acquireID string) {
+// removePermit deletes a permit and remembers its acquisition, so that a late duplicate of it acquires nothing.
+func (s *State) removePermit(limit LimitName, name InstanceName, acquireID string) {
+	delete(s.Permits[limit], name)
 	key := newPermitKey(limit, name)
 	s.ReleasedIDs[key] = append(s.ReleasedIDs[key], acquireID)
 	if ids := s.ReleasedIDs[key]; len(ids) > maxReleasedIDs {
--- a/internal/cluster/quota/rebalance.go
+++ b/internal/cluster/quota/rebalance.go
@@ -6,75 +6,85 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// claimant is a client's allocation that a division counts on.
+// demandHeadroomDivisor adds one part in so many to a demand, so that it has room to grow until the next rebalance.
+const demandHeadroomDivisor int64 = 8
+
+// claimant is the allocation of a client that takes part in a division.
 type claimant struct {
 	backend    InstanceName
 	allocation *Allocation
 }
 
-// rebalance computes the targets of all rates. Grants follow as holders renew their leases.
-func (s *State) rebalance(r *Result) {
+// rebalance computes the targets of all rates. Grants follow as clients renew their leases.
+func (s *State) rebalance(result *Result) {
 	for i := range s.Config.Limits {
-		if l := &s.Config.Limits[i]; l.Kind == Rate {
-			s.rebalanceRate(l, r)
+		if limit := &s.Config.Limits[i]; limit.Kind == Rate {
+			s.rebalanceRate(limit, result)
 		}
 	}
 }
 
-func (s *State) rebalanceRate(l *Limit, r *Result) {
-	claimants, claims := s.claims(l)
-	pool := l.Total - s.totals[l.Name].reservedFloors
+func (s *State) rebalanceRate(limit *Limit, result *Result) {
+	claimants, claims := s.claims(limit)
+	pool := limit.Total - s.totals[limit.Name].reservedFloors
 	if failpoint.Enabled(failpoint.FloorsCountedTwice) {
-		pool = l.Total
+		pool = limit.Total
 	}
-	targets := MaxMinFair(pool, l.Step, claims)
-	if l.Division == DivideByDemand {
-		targets = Stabilize(pool, l.Step, claims, targets)
+	targets := MaxMinFair(pool, limit.Step, claims)
+	if limit.Division == DivideByDemand {
+		targets = Stabilize(pool, limit.Step, claims, targets)
 	}
-	moved, largest, largestName := int64(0), int64(0), InstanceName("")
-	for i, c := range claimants {
-		by := max(targets[i]-c.allocation.Target, c.allocation.Target-targets[i])
-		if moved += by; by > largest {
-			largest, largestName = by, c.backend
+	var (
+		moved, largest int64
+		largestName    InstanceName
+	)
+	for i, claimant := range claimants {
+		change := max(targets[i]-claimant.allocation.Target, claimant.allocation.Target-targets[i])
+		moved += change
+		if change > largest {
+			largest = change
+			largestName = claimant.backend
 		}
-		c.allocation.Target = targets[i]
+		claimant.allocation.Target = targets[i]
 	}
 	if moved > 0 {
 		cause := fmt.Sprintf("%d units moved among %d, most at %s (%d)", moved, len(claimants), largestName, largest)
-		r.Events = append(r.Events, Event{Limit: l.Name, Kind: "division", Cause: cause})
+		result.addEvent(Event{Limit: limit.Name, Kind: eventRebalanced, Cause: cause})
 	}
 }
 
-// claims lists what takes part in the division of a rate: of each backend the latest process, while its lease goes on. The
-// targets of all others become zero.
-func (s *State) claims(l *Limit) (claimants []claimant, claims []Claim) {
-	for _, name := range s.totals[l.Name].eligible {
+// claims returns the claimants of a rate with their claims: the latest process of each backend, unless its lease has
+// expired. It sets the targets of all other clients to 0.
+func (s *State) claims(limit *Limit) (claimants []claimant, claims []Claim) {
+	for _, name := range s.totals[limit.Name].eligible {
 		latest := s.latestClient(name)
 		for _, key := range s.byName[name] {
-			a := s.Clients[key].Allocations[l.Name]
-			if a == nil {
+			allocation := s.Clients[key].Allocations[limit.Name]
+			if allocation == nil {
 				continue
 			}
-			if key != latest || a.Idle {
-				a.Target = 0
+			if key != latest || allocation.Idle {
+				allocation.Target = 0
 				continue
 			}
-			claimants = append(claimants, claimant{name, a})
-			claims = append(claims, claimOf(l, name, a))
+			claimants = append(claimants, claimant{backend: name, allocation: allocation})
+			claims = append(claims, claimOf(limit, name, allocation))
 		}
 	}
 	return claimants, claims
 }
 
-func claimOf(l *Limit, name InstanceName, a *Allocation) Claim {
-	c := Claim{Demand: -1, Weight: 1, Current: a.Target}
-	switch l.Division {
+func claimOf(limit *Limit, name InstanceName, allocation *Allocation) Claim {
+	claim := Claim{Demand: unlimitedDemand, Weight: 1, Current: allocation.Target}
+	switch limit.Division {
 	case DivideByDemand:
-		c.Demand = a.Demand + (a.Demand+7)/8 // an eighth to grow into; no demand stays none
+		headroom := (allocation.Demand + demandHeadroomDivisor - 1) / demandHeadroomDivisor // 0 without demand
+		claim.Demand = allocation.Demand + headroom
 	case DivideByCapacity:
-		if w := l.Weights[name]; w > 0 {
-			c.Weight = w
+		if weight := limit.Weights[name]; weight > 0 {
+			claim.Weight = weight
 		}
+	case DivideEvenly:
 	}
-	return c
+	return claim
 }
--- /dev/null
+++ b/internal/cluster/quota/result.go
@@ -0,0 +1,44 @@
+package quota
+
+import (
+	"fmt"
+
+	"milletbarrow/internal/backend/quota"
+)
+
+// Event is an entry for the agents' history.
+type Event struct {
+	Limit LimitName `json:"budget"`
+	Name  string    `json:"name,omitempty"` // of an instance, or of a host of the store's group; empty: neither
+	Kind  string    `json:"event"`
+	Cause string    `json:"cause,omitempty"`
+}
+
+// Kinds of events.
+const (
+	eventLimitChanged        = "budget"
+	eventRebalanced          = "division"
+	eventGrantEnded          = "share over"
+	eventPermitEnded         = "unit over"
+	eventStateRegressed      = "ledger is older than its grants"
+	eventColdStartBegan      = "rise begins"
+	eventColdStartResumed    = "rise goes on"
+	eventColdStartHalted     = "rise stopped"
+	eventColdStartEnded      = "rise ended"
+	eventColdStartDone       = "rise over"
+	eventConcurrencyAdjusted = "pace"
+)
+
+// Result is the outcome of a command.
+type Result struct {
+	Serial     uint64                `json:"serial"`            // of the command
+	Answers    []quota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
+	Rejection  string                `json:"no,omitempty"`      // why nothing was changed; empty: applied
+	Events     []Event               `json:"notes,omitempty"`
+	ClientKeys []ClientKey           `json:"lives,omitempty"` // of a renewal: all clients of its host
+	Permits    []Permit              `json:"out,omitempty"`   // of a renewal: all permits of its host
+}
+
+func (r *Result) reject(format string, args ...any) { r.Rejection = fmt.Sprintf(format, args...) }
+
+func (r *Result) addEvent(event Event) { r.Events = append(r.Events, event) }
--- a/internal/cluster/quota/state.go
+++ b/internal/cluster/quota/state.go
@@ -5,125 +5,180 @@
 	"maps"
 	"slices"
 
+	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/coldstart"
 	"milletbarrow/monotime"
 )
 
 // Bounds of a State.
 const (
-	maxGrants      = 6      // unconfirmed, of one client and limit; older ones are merged into the next
-	maxReleasedIDs = 8      // remembered for one name, so that a late duplicate does not acquire again
-	maxClients     = 50_000 // a further one is granted nothing
+	maxGrants      = 6      // unconfirmed grants of one client and limit; older ones are merged into the next
+	maxReleasedIDs = 8      // released acquisitions remembered per instance, so that late duplicates acquire nothing
+	maxClients     = 50_000 // further clients are granted nothing
 	maxPermits     = 50_000 // of one limit
 )
 
-// Grant is a lease that its holder may still act on.
-type Grant struct {
-	Epoch       uint64          `json:"epoch"` // fencing token
-	Floor       int64           `json:"floor"` // units a second, without a lease
-	Extra       int64           `json:"extra"` // units a second above the floor, for the lease
-	Lease       monotime.Micros `json:"lease_us"`
-	ClockMargin monotime.Micros `json:"margin_us"`
+// State is the replicated state of all limits. Its exported fields exist for encoding; only Apply changes them. It is
+// not safe for concurrent use.
+//
+// Invariants:
+//   - The grants in force of a rate never exceed its total, however clocks differ and whatever messages are lost, late
+//     or duplicated; once faults end, the whole total is granted (TestGrantsInForceNeverExceedTheTotal).
+//   - A grant that its holder may act on counts as in force (TestConfirmedGrantStaysInForce,
+//     TestExpiryKeepsLaterGrants, TestMergedGrantCoversAllThatMayBeInForce).
+//   - A raised floor waits until other clients have less (TestRaisedFloorWaitsForOthers).
+//   - At most one process of an instance has a floor; a duplicate of a command changes nothing
+//     (TestDuplicateCommandsChangeNothing).
+//   - Permits held never exceed the total less the reserved ones, and only their own host releases them (TestPermits).
+//   - The size is bounded (TestClientsAreBounded).
+type State struct {
+	// Serial is the number of the latest command, unless regressions raised it. Grants take it as their epoch.
+	Serial  uint64                                `json:"serial"`
+	Config  Config                                `json:"terms"`
+	Clients map[ClientKey]*Client                 `json:"lives"`
+	Permits map[LimitName]map[InstanceName]Permit `json:"counts"`
+
+	// ReleasedIDs has the AcquireIDs of the latest permits that an instance released, oldest first.
+	ReleasedIDs map[PermitKey][]string `json:"ended"`
+
+	// ColdStarts has the cold start under each concurrency limit, also after its end.
+	ColdStarts map[LimitName]*coldstart.State `json:"rises,omitempty"`
+
+	// Regressions counts the epochs that clients reported and this state had lost.
+	Regressions uint64 `json:"forgot"`
+
+	// RebuildIndexes derives these fields from the others.
+	totals map[LimitName]*rateTotals
+	byName map[InstanceName][]ClientKey
+	byHost map[string]map[ClientKey]bool // by host name
+}
+
+// Client is one process that draws from rates.
+type Client struct {
+	Name        InstanceName              `json:"name"`
+	Incarnation string                    `json:"life"`
+	Host        string                    `json:"host"`
+	LastRequest uint64                    `json:"number"`   // number of its latest lease request; 0: none yet
+	Clock       monotime.Micros           `json:"clock_us"` // of the client, at that request
+	LastSerial  uint64                    `json:"asked"`    // State.Serial at that request
+	Allocations map[LimitName]*Allocation `json:"held"`
+}
+
+// recordRequest records a client's latest lease request.
+func (c *Client) recordRequest(request *quota.LeaseRequest, serial uint64) {
+	c.LastRequest = request.Number
+	c.Clock = request.Clock
+	c.LastSerial = serial
+}
+
+// hasFloor reports whether a floor of any limit is in force at this client.
+func (c *Client) hasFloor() bool {
+	for _, allocation := range c.Allocations {
+		if allocation.maxFloor() > 0 {
+			return true
+		}
+	}
+	return false
 }
 
-// Allocation is what one client has of one rate.
+// Allocation is one client's part of one rate.
 type Allocation struct {
-	Grants []Grant `json:"grants,omitempty"` // oldest first; the holder acts on none older than the first
+	Grants []Grant `json:"grants,omitempty"` // oldest first; the client acts on none older than the first
 	Drawn  int64   `json:"drawn"`            // units since the client's start, as it reported
 	Denied int64   `json:"denied"`           // units since the client's start, as it reported
-	Demand int64   `json:"want"`             // units a second above the floor, smoothed
-	Target int64   `json:"target"`           // units a second above the floor, of the latest division
+	Demand int64   `json:"want"`             // smoothed, in units per second above the floor
+	Target int64   `json:"target"`           // of the latest division, in units per second above the floor
 	Idle   bool    `json:"quiet,omitempty"`  // its lease has expired: it takes part in no division
 }
 
-// maxFloor is the highest floor that the holder may act on now.
-func (a *Allocation) maxFloor() (most int64) {
-	for _, g := range a.Grants {
-		most = max(most, g.Floor)
-	}
-	return most
+// Grant is a lease that its holder may still act on.
+type Grant struct {
+	Epoch       uint64          `json:"epoch"` // fencing token
+	Floor       int64           `json:"floor"` // units per second, without a lease
+	Extra       int64           `json:"extra"` // units per second above the floor, for the duration of the lease
+	Lease       monotime.Micros `json:"lease_us"`
+	ClockMargin monotime.Micros `json:"margin_us"`
 }
 
-// maxExtra is the most above its floor that the holder may act on now.
-func (a *Allocation) maxExtra() (most int64) {
-	for _, g := range a.Grants {
-		most = max(most, g.Extra)
+// maxFloor returns the highest floor that the client may act on now.
+func (a *Allocation) maxFloor() int64 {
+	highest := int64(0)
+	for _, grant := range a.Grants {
+		highest = max(highest, grant.Floor)
 	}
-	return most
+	return highest
 }
 
-// Client is one process that draws.
-type Client struct {
-	Name        InstanceName              `json:"name"` // of the backend
-	Incarnation string                    `json:"life"` // of its process
-	Host        string                    `json:"host"`
-	LastRequest uint64                    `json:"number"`   // number of its latest lease request
-	Clock       monotime.Micros           `json:"clock_us"` // its own, at that request
-	LastSerial  uint64                    `json:"asked"`    // the state's serial at that request
-	Allocations map[LimitName]*Allocation `json:"held"`     // by limit
+// maxExtra returns the highest extra that the client may act on now.
+func (a *Allocation) maxExtra() int64 {
+	highest := int64(0)
+	for _, grant := range a.Grants {
+		highest = max(highest, grant.Extra)
+	}
+	return highest
 }
 
-// Permit is one unit of a concurrency limit, held by a name.
-type Permit struct {
-	Limit     LimitName    `json:"budget"`
-	Name      InstanceName `json:"name"`
-	Host      string       `json:"host"`
-	AcquireID string       `json:"turn"` // idempotency key of the acquisition
-	Epoch     uint64       `json:"epoch"`
-}
+// inForce returns the most units per second that the client may draw now.
+func (a *Allocation) inForce() int64 { return a.maxFloor() + a.maxExtra() }
 
-// State is the replicated state of all limits. Its exported fields are there to be encoded; only Apply changes them. It
-// is not safe for concurrent use.
-type State struct {
-	Serial      uint64                                `json:"serial"` // number of commands applied; epochs are its values
-	Config      Config                                `json:"terms"`
-	Clients     map[ClientKey]*Client                 `json:"lives"`           // by ClientKey
-	Permits     map[LimitName]map[InstanceName]Permit `json:"counts"`          // by limit and name
-	ReleasedIDs map[PermitKey][]string                `json:"ended"`           // by limit and name, the latest acquisitions that have ended
-	ColdStarts  map[LimitName]*coldstart.State        `json:"rises,omitempty"` // by concurrency limit
-	Regressions uint64                                `json:"forgot"`          // how often a client held an epoch that this state does not have
+// recordUsage records what the client reports to have drawn.
+func (a *Allocation) recordUsage(usage *quota.Usage) {
+	a.Drawn = usage.Drawn
+	a.Denied = usage.Denied
+	a.Idle = false
+}
 
-	// Indexes over the rest, built by RebuildIndexes.
-	totals map[LimitName]*rateTotals     // by rate
-	byName map[InstanceName][]ClientKey  // keys of clients
-	byHost map[string]map[ClientKey]bool // keys of clients
+// becomeIdle takes the allocation out of further divisions, until the client's next request.
+func (a *Allocation) becomeIdle() {
+	a.Demand = 0
+	a.Target = 0
+	a.Idle = true
 }
 
 // NewState returns an empty state.
 func NewState() *State {
 	s := &State{
-		Clients: map[ClientKey]*Client{}, Permits: map[LimitName]map[InstanceName]Permit{}, ReleasedIDs: map[PermitKey][]string{},
-		ColdStarts: map[LimitName]*coldstart.State{},
+		Clients:     map[ClientKey]*Client{},
+		Permits:     map[LimitName]map[InstanceName]Permit{},
+		ReleasedIDs: map[PermitKey][]string{},
+		ColdStarts:  map[LimitName]*coldstart.State{},
 	}
 	s.RebuildIndexes()
 	return s
 }
 
-// RebuildIndexes has to be called on a state that was decoded, before anything else.
+// RebuildIndexes must be called on a decoded state before any other method.
 func (s *State) RebuildIndexes() {
-	s.totals, s.byName, s.byHost = map[LimitName]*rateTotals{}, map[InstanceName][]ClientKey{}, map[string]map[ClientKey]bool{}
-	for _, c := range s.ColdStarts {
-		c.RebuildIndex()
+	s.totals = map[LimitName]*rateTotals{}
+	s.byName = map[InstanceName][]ClientKey{}
+	s.byHost = map[string]map[ClientKey]bool{}
+	for _, start := range s.ColdStarts {
+		start.RebuildIndex()
 	}
 	for _, key := range sortedKeys(s.Clients) {
 		client := s.Clients[key]
 		s.byName[client.Name] = append(s.byName[client.Name], key)
 		s.setHost(key, client, client.Host)
 	}
-	isRate := map[LimitName]bool{}
-	for i := range s.Config.Limits {
-		isRate[s.Config.Limits[i].Name] = s.Config.Limits[i].Kind == Rate
+	for limit := range s.rates() {
+		s.recount(limit)
 	}
-	for _, client := range s.Clients {
-		for limit := range client.Allocations { // also of a limit that is configured no longer
-			isRate[limit] = true
+}
+
+// rates returns the rates that are configured or that a client still has an allocation of.
+func (s *State) rates() map[LimitName]bool {
+	rates := map[LimitName]bool{}
+	for i := range s.Config.Limits {
+		if limit := &s.Config.Limits[i]; limit.Kind == Rate {
+			rates[limit.Name] = true
 		}
 	}
-	for limit, rate := range isRate {
-		if rate {
-			s.recount(limit)
+	for _, client := range s.Clients {
+		for limit := range client.Allocations {
+			rates[limit] = true
 		}
 	}
+	return rates
 }
 
 // setHost records on which host a client runs.
@@ -136,18 +191,21 @@
 	client.Host = host
 }
 
-// latestClient is the key of the process of a backend that sent the latest request; older ones are granted nothing more.
-func (s *State) latestClient(name InstanceName) (key ClientKey) {
-	if keys := s.byName[name]; len(keys) == 1 {
+// latestClient returns the process of an instance that sent the latest request. Older ones are granted nothing more.
+func (s *State) latestClient(name InstanceName) ClientKey {
+	keys := s.byName[name]
+	if len(keys) == 1 {
 		return keys[0]
 	}
-	latest := uint64(0)
-	for _, k := range s.byName[name] {
-		if client := s.Clients[k]; client.LastSerial >= latest {
-			key, latest = k, client.LastSerial
+	latest := ClientKey("")
+	latestSerial := uint64(0)
+	for _, key := range keys {
+		if client := s.Clients[key]; client.LastSerial >= latestSerial {
+			latest = key
+			latestSerial = client.LastSerial
 		}
 	}
-	return key
+	return latest
 }
 
 // remove deletes a client that has nothing in force.
@@ -155,7 +213,7 @@
 	client := s.Clients[key]
 	delete(s.byHost[client.Host], key)
 	delete(s.Clients, key)
-	rest := slices.DeleteFunc(s.byName[client.Name], func(k ClientKey) bool { return k == key })
+	rest := slices.DeleteFunc(s.byName[client.Name], func(other ClientKey) bool { return other == key })
 	if len(rest) == 0 {
 		delete(s.byName, client.Name)
 		return
@@ -163,5 +221,5 @@
 	s.byName[client.Name] = rest
 }
 
-// sortedKeys lists a map's keys in order, so that every replica does the same in the same order.
+// sortedKeys returns a map's keys in order, so that all replicas act in the same order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -1,86 +1,132 @@
 package quota
 
 import (
+	"milletbarrow/internal/cluster/coldstart"
 	"milletbarrow/monotime"
 )
 
-// Usage is how one limit stands.
+// Usage is the state of one limit.
 type Usage struct {
 	Limit          LimitName     `json:"budget"`
 	Kind           Kind          `json:"kind"`
-	Total          int64         `json:"whole"`
-	ReservedFloors int64         `json:"floors"`   // in force or to be granted
-	InForce        int64         `json:"in_force"` // that may be acted on now
+	Total          int64         `json:"whole"`    // units per second of a Rate, or units
+	ReservedFloors int64         `json:"floors"`   // units per second in force or to be granted; 0 for Concurrency
+	InForce        int64         `json:"in_force"` // units per second that may be drawn, or permits held
 	Holders        []HolderUsage `json:"holders,omitempty"`
 }
 
-// HolderUsage is what one holder has of a limit.
+// HolderUsage is one holder's part of a limit. The holder of a permit has Name, Host, Epoch and AcquireID alone.
 type HolderUsage struct {
 	Name        InstanceName    `json:"name"`
 	Incarnation string          `json:"life,omitempty"`
 	Host        string          `json:"host"`
-	Epoch       uint64          `json:"epoch"`
-	Floor       int64           `json:"floor"`
-	Extra       int64           `json:"extra"`
-	Target      int64           `json:"target"`
-	Demand      int64           `json:"want"`
-	Drawn       int64           `json:"drawn"`
-	Denied      int64           `json:"denied"`
-	AcquireID   string          `json:"turn,omitempty"`
-	Remaining   monotime.Micros `json:"left_us,omitempty"` // until the extra is surely over, if it is not renewed
+	Epoch       uint64          `json:"epoch"`             // of the latest grant; 0: none
+	Floor       int64           `json:"floor"`             // units per second
+	Extra       int64           `json:"extra"`             // units per second above the floor
+	Target      int64           `json:"target"`            // units per second above the floor
+	Demand      int64           `json:"want"`              // units per second above the floor
+	Drawn       int64           `json:"drawn"`             // units since the client's start
+	Denied      int64           `json:"denied"`            // units since the client's start
+	AcquireID   string          `json:"turn,omitempty"`    // of a permit
+	Remaining   monotime.Micros `json:"left_us,omitempty"` // until the extra expires unless renewed; 0: no extra
 }
 
-// Status is how all limits stand, as the leader has it.
+// Status is the leader's view of all limits.
 type Status struct {
 	Leader       string            `json:"leader"`
 	Term         uint64            `json:"term"`
 	Version      uint64            `json:"version"` // of the configuration in force
-	Members      []string          `json:"members"` // that replicate the state
+	Members      []string          `json:"members"` // hosts that replicate the state
 	GrowthFrozen bool              `json:"hold,omitempty"`
 	Limits       []Usage           `json:"budgets"`
 	ColdStarts   []ColdStartStatus `json:"rises,omitempty"`
 }
 
-// Usages lists how all limits stand, in the order of the configuration.
-func (s *State) Usages() (all []Usage) {
+// ColdStartStatus is the state of one cold start.
+type ColdStartStatus struct {
+	Limit         LimitName               `json:"budget"`
+	ID            string                  `json:"id"`
+	Concurrency   int64                   `json:"pace"` // how many members may be starting at once now
+	MaxConcurrent int64                   `json:"most"`
+	Reason        string                  `json:"cause"`            // of the present concurrency
+	HaltReason    string                  `json:"halted,omitempty"` // empty: not halted
+	Done          bool                    `json:"over"`
+	Starts        uint64                  `json:"starts"` // granted up to now
+	Groups        []coldstart.GroupStatus `json:"groups"`
+}
+
+// Usages returns the state of all limits, in the order of the configuration.
+func (s *State) Usages() (usages []Usage) {
 	for i := range s.Config.Limits {
-		l := &s.Config.Limits[i]
-		u := Usage{Limit: l.Name, Kind: l.Kind, Total: l.Total}
-		if l.Kind == Concurrency {
-			u.InForce = int64(len(s.Permits[l.Name]))
-			u.Holders = s.permitHolders(l.Name)
-		} else if t := s.totals[l.Name]; t != nil {
-			u.ReservedFloors, u.InForce = t.reservedFloors, t.inForce
-			u.Holders = s.rateHolders(l.Name)
+		limit := &s.Config.Limits[i]
+		usage := Usage{Limit: limit.Name, Kind: limit.Kind, Total: limit.Total}
+		if limit.Kind == Concurrency {
+			usage.InForce = int64(len(s.Permits[limit.Name]))
+			usage.Holders = s.permitHolders(limit.Name)
+		} else if totals := s.totals[limit.Name]; totals != nil {
+			usage.ReservedFloors = totals.reservedFloors
+			usage.InForce = totals.inForce
+			usage.Holders = s.rateHolders(limit.Name)
 		}
-		all = append(all, u)
+		usages = append(usages, usage)
 	}
-	return all
+	return usages
 }
 
-func (s *State) permitHolders(limit LimitName) (all []HolderUsage) {
+func (s *State) permitHolders(limit LimitName) (holders []HolderUsage) {
 	for _, name := range sortedKeys(s.Permits[limit]) {
-		p := s.Permits[limit][name]
-		all = append(all, HolderUsage{Name: name, Host: p.Host, Epoch: p.Epoch, AcquireID: p.AcquireID})
+		permit := s.Permits[limit][name]
+		holders = append(holders, HolderUsage{
+			Name:      name,
+			Host:      permit.Host,
+			Epoch:     permit.Epoch,
+			AcquireID: permit.AcquireID,
+		})
 	}
-	return all
+	return holders
 }
 
-func (s *State) rateHolders(limit LimitName) (all []HolderUsage) {
+func (s *State) rateHolders(limit LimitName) (holders []HolderUsage) {
 	for _, key := range sortedKeys(s.Clients) {
 		client := s.Clients[key]
-		a := client.Allocations[limit]
-		if a == nil {
+		allocation := client.Allocations[limit]
+		if allocation == nil {
 			continue
 		}
-		h := HolderUsage{
-			Name: client.Name, Incarnation: client.Incarnation, Host: client.Host, Floor: a.maxFloor(), Extra: a.maxExtra(),
-			Target: a.Target, Demand: a.Demand, Drawn: a.Drawn, Denied: a.Denied,
+		holder := HolderUsage{
+			Name:        client.Name,
+			Incarnation: client.Incarnation,
+			Host:        client.Host,
+			Floor:       allocation.maxFloor(),
+			Extra:       allocation.maxExtra(),
+			Target:      allocation.Target,
+			Demand:      allocation.Demand,
+			Drawn:       allocation.Drawn,
+			Denied:      allocation.Denied,
 		}
-		if n := len(a.Grants); n > 0 {
-			h.Epoch = a.Grants[n-1].Epoch
+		if n := len(allocation.Grants); n > 0 {
+			holder.Epoch = allocation.Grants[n-1].Epoch
 		}
-		all = append(all, h)
+		holders = append(holders, holder)
+	}
+	return holders
+}
+
+// ColdStartStatuses returns the state of all cold starts, ordered by limit.
+func (s *State) ColdStartStatuses() (statuses []ColdStartStatus) {
+	for _, limit := range sortedKeys(s.ColdStarts) {
+		start := s.ColdStarts[limit]
+		statuses = append(statuses, ColdStartStatus{
+			Limit:         limit,
+			ID:            start.ID,
+			Concurrency:   start.Limit(),
+			MaxConcurrent: start.Config.MaxConcurrent,
+			Reason:        start.Reason,
+			HaltReason:    start.HaltReason,
+			Done:          start.Done(),
+			Starts:        start.Starts,
+			Groups:        start.Groups(),
+		})
 	}
-	return all
+	return statuses
 }
--- a/internal/cluster/quota/totals.go
+++ b/internal/cluster/quota/totals.go
@@ -1,58 +1,71 @@
 package quota
 
-// rateTotals are the sums over all clients of one rate, in units a second.
+// rateTotals are sums over all clients of one rate, in units per second.
 type rateTotals struct {
-	floorInForce   map[InstanceName]int64 // by backend: the floor that some process of it may act on
+	floorInForce   map[InstanceName]int64 // the highest floor that a process of an instance may act on
 	reservedFloors int64                  // floors in force or to be granted
 	inForce        int64                  // floors in force and extras
 	extras         int64
-	eligible       []InstanceName // backends that may draw, in order
+	eligible       []InstanceName // backends that may draw, ordered by name
 }
 
-// recount computes the totals of one rate.
-func (s *State) recount(limit LimitName) {
-	t := &rateTotals{floorInForce: map[InstanceName]int64{}}
+// recount computes the totals of one rate anew.
+func (s *State) recount(limitName LimitName) {
+	totals := &rateTotals{floorInForce: map[InstanceName]int64{}}
 	for _, client := range s.Clients {
-		if a := client.Allocations[limit]; a != nil {
-			t.floorInForce[client.Name] = max(t.floorInForce[client.Name], a.maxFloor())
-			t.extras += a.maxExtra()
+		if allocation := client.Allocations[limitName]; allocation != nil {
+			totals.floorInForce[client.Name] = max(totals.floorInForce[client.Name], allocation.maxFloor())
+			totals.extras += allocation.maxExtra()
 		}
 	}
-	t.inForce = t.extras
-	for _, floor := range t.floorInForce {
-		t.inForce += floor
-		t.reservedFloors += floor
+	totals.inForce = totals.extras
+	for _, floor := range totals.floorInForce {
+		totals.inForce += floor
+		totals.reservedFloors += floor
 	}
-	if l := s.Config.Lookup(limit); l != nil {
-		t.eligible = sortedKeys(l.Floors)
-		for name, floor := range l.Floors {
-			t.reservedFloors += max(floor, t.floorInForce[name]) - t.floorInForce[name]
+	if limit := s.Config.Lookup(limitName); limit != nil {
+		totals.eligible = sortedKeys(limit.Floors)
+		for name, floor := range limit.Floors {
+			totals.reservedFloors += max(0, floor-totals.floorInForce[name])
 		}
 	}
-	s.totals[limit] = t
+	s.totals[limitName] = totals
 }
 
-// setGrants replaces a client's grants of a limit and keeps the totals.
-func (s *State) setGrants(limit LimitName, client *Client, a *Allocation, grants []Grant) {
-	t := s.totals[limit]
-	extraBefore, configured := a.maxExtra(), int64(0)
-	if l := s.Config.Lookup(limit); l != nil {
-		configured = l.Floors[client.Name]
+// setGrants replaces a client's grants of a limit and updates the totals.
+func (s *State) setGrants(limit LimitName, client *Client, allocation *Allocation, grants []Grant) {
+	totals := s.totals[limit]
+	extraBefore := allocation.maxExtra()
+	floorBefore := totals.floorInForce[client.Name]
+	allocation.Grants = grants
+	extraAfter := allocation.maxExtra()
+	floorAfter := s.maxFloor(limit, client.Name)
+	if floorAfter == 0 {
+		delete(totals.floorInForce, client.Name)
+	} else {
+		totals.floorInForce[client.Name] = floorAfter
 	}
-	floorBefore := t.floorInForce[client.Name]
-	a.Grants = grants
-	floorAfter := int64(0)
-	for _, key := range s.byName[client.Name] {
-		if other := s.Clients[key].Allocations[limit]; other != nil {
-			floorAfter = max(floorAfter, other.maxFloor())
+	configured := s.configuredFloor(limit, client.Name)
+	totals.reservedFloors += max(configured, floorAfter) - max(configured, floorBefore)
+	totals.extras += extraAfter - extraBefore
+	totals.inForce += extraAfter - extraBefore + floorAfter - floorBefore
+}
+
+// maxFloor returns the highest floor of a limit that a process of an instance may act on.
+func (s *State) maxFloor(limit LimitName, name InstanceName) int64 {
+	highest := int64(0)
+	for _, key := range s.byName[name] {
+		if allocation := s.Clients[key].Allocations[limit]; allocation != nil {
+			highest = max(highest, allocation.maxFloor())
 		}
 	}
-	if floorAfter == 0 {
-		delete(t.floorInForce, client.Name)
-	} else {
-		t.floorInForce[client.Name] = floorAfter
+	return highest
+}
+
+// configuredFloor returns the floor of an instance in the present configuration; 0 if it has none.
+func (s *State) configuredFloor(limitName LimitName, name InstanceName) int64 {
+	if limit := s.Config.Lookup(limitName); limit != nil {
+		return limit.Floors[name]
 	}
-	t.reservedFloors += max(configured, floorAfter) - max(configured, floorBefore)
-	t.extras += a.maxExtra() - extraBefore
-	t.inForce += a.maxExtra() - extraBefore + floorAfter - floorBefore
+	return 0
 }
--- a/internal/cluster/quota/validate.go
+++ b/internal/cluster/quota/validate.go
@@ -4,9 +4,22 @@
 	"fmt"
 
 	"milletbarrow/internal/backend/quota"
+	"milletbarrow/monotime"
 )
 
-// LimitError says why a Limit can't be used.
+const (
+	clockDriftDivisor       = 100 // hosts' clocks may drift apart by one part in so many
+	minClockMargin          = 10 * monotime.Millisecond
+	maxRate           int64 = quota.MaxRate // units per second, or units
+)
+
+// MinClockMargin returns the smallest valid ClockMargin for a lease. It covers the drift of the hosts' clocks and the
+// resolution of their timers.
+func MinClockMargin(lease monotime.Micros) monotime.Micros {
+	return max(lease/clockDriftDivisor, minClockMargin)
+}
+
+// LimitError is returned by Limit.Validate for a field that is invalid.
 type LimitError struct {
 	Field  string // as the fleet's file names it; empty: the limit itself
 	Reason string
@@ -23,7 +36,7 @@
 	return &LimitError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate returns a *LimitError for the first field that can't be used.
+// Validate returns a *LimitError for the first field that is invalid, or nil.
 func (l *Limit) Validate() error {
 	floors, err := l.sumFloors()
 	if err != nil {
@@ -31,34 +44,51 @@
 	}
 	switch {
 	case l.Kind != Rate && l.Kind != Concurrency:
-		return invalid("", "wanted (rate UNITS-A-SECOND) or (count UNITS)")
-	case l.Total < 1 || l.Total > quota.MaxRate:
-		return invalid(string(l.Kind), "%d is not from 1 to %d", l.Total, int64(quota.MaxRate))
-	case l.Kind == Concurrency && (l.Reserved < 0 || l.Reserved >= l.Total):
-		return invalid(string(l.Kind), "%d leaves nothing to ask for: one each is set aside for %d hosts", l.Total, l.Reserved)
+		return invalid("", "kind is %q, expected (rate UNITS-A-SECOND) or (count UNITS)", l.Kind)
+	case l.Total < 1 || l.Total > maxRate:
+		return invalid(string(l.Kind), "%d is not from 1 to %d", l.Total, maxRate)
 	case l.Kind == Concurrency:
-		return nil
-	case floors > l.Total:
-		return invalid("floor", "the floors of %d backends sum up to %d, the whole is %d", len(l.Floors), floors, l.Total)
-	case l.Step < 1 || l.Step > l.Total:
-		return invalid("step", "%d is not from 1 to the whole, %d", l.Step, l.Total)
-	case l.Lease <= l.ClockMargin:
-		return invalid("lease", "%d ms is not longer than its margin, %d ms", l.Lease/1000, l.ClockMargin/1000)
-	case l.ClockMargin < MinClockMargin(l.Lease):
-		return invalid("margin", "%d ms is less than %d ms: clocks may run apart by one in a hundred", l.ClockMargin/1000, MinClockMargin(l.Lease)/1000)
-	case l.Division != DivideEvenly && l.Division != DivideByCapacity && l.Division != DivideByDemand:
-		return invalid("divide", "%q is none of even, capacity, demand", l.Division)
+		return l.validateReserved()
+	default:
+		return l.validateRate(floors)
 	}
-	return nil
 }
 
-// sumFloors adds up the floors of all backends, each of which is checked.
-func (l *Limit) sumFloors() (sum int64, err error) {
+// sumFloors validates the floors and returns their sum.
+func (l *Limit) sumFloors() (int64, error) {
+	sum := int64(0)
 	for _, floor := range l.Floors {
-		if floor < 0 || floor > quota.MaxRate {
-			return 0, invalid("floor", "%d is not from 0 to %d", floor, int64(quota.MaxRate))
+		if floor < 0 || floor > maxRate {
+			return 0, invalid("floor", "%d is not from 0 to %d", floor, maxRate)
 		}
 		sum += floor
 	}
 	return sum, nil
 }
+
+func (l *Limit) validateReserved() error {
+	if l.Reserved < 0 || l.Reserved >= l.Total {
+		return invalid(string(l.Kind), "%d units leave none to acquire: %d hosts have one reserved each",
+			l.Total, l.Reserved)
+	}
+	return nil
+}
+
+func (l *Limit) validateRate(floors int64) error {
+	switch {
+	case floors > l.Total:
+		return invalid("floor", "the floors of %d backends sum up to %d, the total is %d",
+			len(l.Floors), floors, l.Total)
+	case l.Step < 1 || l.Step > l.Total:
+		return invalid("step", "%d is not from 1 to the total, %d", l.Step, l.Total)
+	case l.Lease <= l.ClockMargin:
+		return invalid("lease", "%d ms is not longer than its margin, %d ms",
+			l.Lease/monotime.Millisecond, l.ClockMargin/monotime.Millisecond)
+	case l.ClockMargin < MinClockMargin(l.Lease):
+		return invalid("margin", "%d ms is less than %d ms: clocks may drift apart by 1 in %d",
+			l.ClockMargin/monotime.Millisecond, MinClockMargin(l.Lease)/monotime.Millisecond, clockDriftDivisor)
+	case l.Division != DivideEvenly && l.Division != DivideByCapacity && l.Division != DivideByDemand:
+		return invalid("divide", "%q is not one of even, capacity, demand", l.Division)
+	}
+	return nil
+}
