--- a/internal/cluster/quota/coldstart_test.go
+++ b/internal/cluster/quota/coldstart_test.go
@@ -5,60 +5,133 @@
 	"testing"
 
 	"milletbarrow/internal/cluster/coldstart"
+	"milletbarrow/monotime"
 )
 
-// TestColdStartCommands: there is one cold start at a time under a limit; the same one begun again changes nothing; a
-// command about another is rejected; and a pause ends by the leader's own clock, which a new leader starts anew.
-func TestColdStartCommands(t *testing.T) {
-	l := NewState()
-	l.Apply(Command{Config: &Config{Version: 1, Limits: []Limit{{Name: "s", Kind: Concurrency, Total: 4, Reserved: 1}}}})
-	config := &coldstart.Config{MaxConcurrent: 9, InitialConcurrent: 9, MinServing: 0, MaxFailures: 9, SlowFactor: 3, MaxRejected: 0.1}
-	members := []coldstart.Member{{Name: "a", Group: "g", Host: "h"}, {Name: "b", Group: "g", Host: "h"}, {Name: "c", Group: "g", Host: "h"}, {Name: "d", Group: "g", Host: "h"}}
-	for _, c := range []struct {
-		r    ColdStartCommand
-		want string
+func newColdStartState(tb testing.TB) *State {
+	tb.Helper()
+	return newTestState(tb, Config{
+		Version: 1,
+		Limits:  []Limit{{Name: testPermits, Kind: Concurrency, Total: 4, Reserved: 1}},
+	})
+}
+
+// beginCommand returns a command that begins a cold start of the members a, b, c and d.
+func beginCommand(id string) *ColdStartCommand {
+	command := &ColdStartCommand{
+		Limit: testPermits,
+		ID:    id,
+		Config: &coldstart.Config{
+			MaxConcurrent:     9,
+			InitialConcurrent: 9,
+			MinServing:        0,
+			MaxFailures:       9,
+			SlowFactor:        3,
+			MaxRejected:       0.1,
+		},
+	}
+	for _, name := range []string{"a", "b", "c", "d"} {
+		command.Members = append(command.Members, coldstart.Member{Name: name, Group: "g", Host: "h"})
+	}
+	return command
+}
+
+func TestColdStartCommandRejections(t *testing.T) {
+	without := func(change func(*ColdStartCommand)) *ColdStartCommand {
+		command := beginCommand("1")
+		change(command)
+		return command
+	}
+	for _, test := range []struct {
+		name    string
+		begun   bool // cold start 1
+		command *ColdStartCommand
+		want    string // part of the rejection; empty: accepted
 	}{
-		{ColdStartCommand{Limit: "x", ID: "1", Config: config, Members: members}, `"x" is not a count`},
-		{ColdStartCommand{Limit: "s", ID: "1", Members: members}, "terms"},
-		{ColdStartCommand{Limit: "s", ID: "1", Config: config}, "0 members"},
-		{ColdStartCommand{Limit: "s", ID: "1", Config: config, Members: members}, ""},
-		{ColdStartCommand{Limit: "s", ID: "1", Config: config, Members: members}, ""},
-		{ColdStartCommand{Limit: "s", ID: "2", Config: config, Members: members}, "cold start 1 is in progress"},
-		{ColdStartCommand{Limit: "s", ID: "2", Action: "go-on"}, `unknown cold start "2"`},
-		{ColdStartCommand{Limit: "s", ID: "1", Action: "dance"}, "not one of go-on, end"},
+		{
+			"unknown limit", false,
+			without(func(c *ColdStartCommand) { c.Limit = "x" }), `budget: "x" is not a count in version 1`,
+		},
+		{"without a configuration", false, without(func(c *ColdStartCommand) { c.Config = nil }), "terms: missing"},
+		{"without members", false, without(func(c *ColdStartCommand) { c.Members = nil }), "0 members"},
+		{"begin", false, beginCommand("1"), ""},
+		{"begin again", true, beginCommand("1"), ""},
+		{"begin another one", true, beginCommand("2"), "cold start 1 is in progress"},
+		{
+			"resume another one", true,
+			&ColdStartCommand{Limit: testPermits, ID: "2", Action: actionResume}, `id: unknown cold start "2"`,
+		},
+		{
+			"unknown action", true,
+			&ColdStartCommand{Limit: testPermits, ID: "1", Action: "dance"}, `verb: "dance" is not one of go-on, end`,
+		},
 	} {
-		if rejection := l.Apply(Command{ColdStart: &c.r}).Rejection; (c.want == "") != (rejection == "") || !strings.Contains(rejection, c.want) {
-			t.Errorf("%+v: %q, want %q", c.r, rejection, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			state := newColdStartState(t)
+			if test.begun {
+				state.Apply(Command{ColdStart: beginCommand("1")})
+			}
+			rejection := state.Apply(Command{ColdStart: test.command}).Rejection
+			if (test.want == "") != (rejection == "") || !strings.Contains(rejection, test.want) {
+				t.Errorf("rejection %q, want %q", rejection, test.want)
+			}
+		})
 	}
-	if m := l.ColdStartStatuses()[0].MaxConcurrent; m != 3 {
-		t.Errorf("%d may be under way, of 4 with one reserved", m)
+}
+
+func TestColdStartLeavesReservedPermitsFree(t *testing.T) {
+	state := newColdStartState(t)
+	state.Apply(Command{ColdStart: beginCommand("1")})
+	if most := state.ColdStartStatuses()[0].MaxConcurrent; most != 3 {
+		t.Errorf("%d members may start at once, want 3: one permit of 4 is reserved", most)
 	}
-	acquisition := func(name InstanceName, n string) *PermitCommand {
-		return &PermitCommand{Limit: "s", Name: name, Host: "h", AcquireID: n}
+}
+
+// TestEachLeaderTimesPausesInFull: a new leader knows nothing of how long the former one has timed a pause.
+func TestEachLeaderTimesPausesInFull(t *testing.T) {
+	state := newColdStartState(t)
+	state.Apply(Command{ColdStart: beginCommand("1")})
+	permit := func(name InstanceName, id string) *PermitCommand {
+		return &PermitCommand{Limit: testPermits, Name: name, Host: "h", AcquireID: id}
 	}
-	for _, n := range []string{"1", "2"} { // two failures in a row
-		if rejection := l.Apply(Command{Acquire: acquisition("a", n)}).Rejection; rejection != "" {
+	for _, id := range []string{"1", "2"} { // two failures in a row begin a pause
+		if rejection := state.Apply(Command{Acquire: permit("a", id)}).Rejection; rejection != "" {
 			t.Fatal(rejection)
 		}
-		release := acquisition("a", n)
+		release := permit("a", id)
 		release.Outcome = &coldstart.Outcome{Cause: "x"}
-		l.Apply(Command{Release: release})
+		state.Apply(Command{Release: release})
 	}
-	if rejection := l.Apply(Command{Acquire: acquisition("b", "1")}).Rejection; !strings.Contains(rejection, "nothing starts") {
-		t.Fatalf("after two failures: %q", rejection)
+	rejection := state.Apply(Command{Acquire: permit("b", "1")}).Rejection
+	if !strings.Contains(rejection, "nothing starts") {
+		t.Fatalf("after two failures: rejection %q, want a pause", rejection)
 	}
+
+	const firstSeen, secondSeen = 1000, 500 * monotime.Second // by clocks of their own
+	pause := state.ColdStarts[testPermits].Pause
 	first, second := &LeaseTracker{}, &LeaseTracker{}
-	first.BecomeLeader(0, l, false)
-	pause := l.ColdStarts["s"].Pause
-	first.ElapsedPauses(1000, l)
-	second.BecomeLeader(500_000_000, l, false) // by a clock of its own, without what the first one saw
-	if len(second.ElapsedPauses(500_000_000, l)) != 0 || len(first.ElapsedPauses(1000+pause-1, l)) != 0 || len(second.ElapsedPauses(500_000_000+pause-1, l)) != 0 {
-		t.Error("a pause ended before its time")
+	first.BecomeLeader(0, state, false)
+	first.ElapsedPauses(firstSeen, state)
+	second.BecomeLeader(secondSeen, state, false)
+	for _, early := range []struct {
+		name    string
+		tracker *LeaseTracker
+		at      monotime.Micros
+	}{
+		{"second leader, at its election", second, secondSeen},
+		{"first leader", first, firstSeen + pause - 1},
+		{"second leader", second, secondSeen + pause - 1},
+	} {
+		if elapsed := early.tracker.ElapsedPauses(early.at, state); len(elapsed) != 0 {
+			t.Errorf("%s: the pause elapsed before its time: %v", early.name, elapsed)
+		}
+	}
+	elapsed := second.ElapsedPauses(secondSeen+pause, state)
+	if len(elapsed) != 1 {
+		t.Fatalf("elapsed pauses: %v, want one", elapsed)
 	}
-	if over := second.ElapsedPauses(500_000_000+pause, l); len(over) != 1 {
-		t.Errorf("pauses that have elapsed: %v", over)
-	} else if l.Apply(Command{ElapsedPauses: over}); l.Apply(Command{Acquire: acquisition("b", "2")}).Rejection != "" {
-		t.Error("nothing starts after the pause")
+	state.Apply(Command{ElapsedPauses: elapsed})
+	if rejection := state.Apply(Command{Acquire: permit("b", "2")}).Rejection; rejection != "" {
+		t.Errorf("after the pause: %s", rejection)
 	}
 }
