--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -87,7 +87,7 @@
 // readQuota reads a (budget ...) form.
 func (r *specReader) readQuota(f *sexpr.Form) {
 	r.attribute(SpecSubject{})
-	limit := quota.Limit{Name: readName(f)}
+	limit := quota.Limit{Name: quota.LimitName(readName(f))}
 	if r.Quotas.Lookup(limit.Name) != nil {
 		f.Fail("", "budget %q stands twice", limit.Name)
 	}
@@ -113,7 +113,7 @@
 			f.Fail(err.Field, "%s", err.Reason)
 		}
 	}
-	r.attribute(SpecSubject{Quota: limit.Name})
+	r.attribute(SpecSubject{Quota: string(limit.Name)})
 	r.Quotas.Limits = append(r.Quotas.Limits, limit)
 }
 
@@ -136,26 +136,26 @@
 			f.Fail("groups", "%q is no group of this file", group)
 		}
 	}
-	limit.Floors = map[string]int64{}
+	limit.Floors = map[quota.InstanceName]int64{}
 	for _, inst := range r.InstancesOn("") {
 		if len(groups) == 0 || slices.Contains(groups, inst.Group) {
-			limit.Floors[inst.Name] = floor
+			limit.Floors[quota.InstanceName(inst.Name)] = floor
 		}
 	}
-	limit.Weights = map[string]int64{}
+	limit.Weights = map[quota.InstanceName]int64{}
 	readPerInstance(f, "floors", 0, limit.Floors, limit.Floors)
 	readPerInstance(f, "weights", 1, limit.Floors, limit.Weights)
 }
 
 // readPerInstance reads a form such as (floors (n1 4) (n2 2)) into values. It may name the instances that are keys of
 // allowed.
-func readPerInstance(f *sexpr.Form, field string, minValue int64, allowed, values map[string]int64) {
+func readPerInstance(f *sexpr.Form, field string, minValue int64, allowed, values map[quota.InstanceName]int64) {
 	form := f.Field(field)
 	if form == nil {
 		return
 	}
 	for name := range allowed {
-		for _, entry := range form.All(name) {
+		for _, entry := range form.All(string(name)) {
 			word := entry.Arg()
 			value, err := strconv.ParseInt(word, 10, 64)
 			if err != nil || value < minValue || value > backendquota.MaxRate {
@@ -185,7 +185,7 @@
 		f.Fail("budget", "%q is no count of this file", r.ColdStartQuota)
 		return
 	}
-	limit := r.Quotas.Lookup(r.ColdStartQuota)
+	limit := r.Quotas.Lookup(quota.LimitName(r.ColdStartQuota))
 	if limit.Reserved == 0 {
 		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good",
 			r.ColdStartQuota)
@@ -205,6 +205,6 @@
 	if s.Quotas == nil {
 		return false
 	}
-	limit := s.Quotas.Lookup(name)
+	limit := s.Quotas.Lookup(quota.LimitName(name))
 	return limit != nil && limit.Kind == quota.Concurrency
 }
