--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -243,11 +243,11 @@
 		"(budgets (ledger h1) (budget b (rate 10) (tenant t) (lease 1s) (margin 2s)))":                 "f.sx:3:53: fleet.budgets.budget.lease: 1000 ms is not longer than its margin, 2000 ms",
 		"(budgets (ledger h1) (budget b (rate 10) (tenant t) (lease 10s) (margin 50ms)))":              "budget.margin: 50 ms is less than 100 ms",
 		"(budgets (ledger h1 h2) (budget b (count 2)))":                                                "f.sx:3:10: fleet.budgets.ledger: a group of two stands still",
-		"(budgets (ledger h9) (budget b (count 2)))":                                                   `"h9" is no host of this file`,
+		"(budgets (ledger h9) (budget b (count 2)))":                                                   `unknown host "h9"`,
 		"(budgets (ledger h1) (budget b (count 2) (rate 3)))":                                          "wanted either (rate UNITS-A-SECOND) or (count UNITS)",
-		"(budgets (ledger h1) (budget b (count 2)) (budget b (count 2)))":                              `budget "b" stands twice`,
+		"(budgets (ledger h1) (budget b (count 2)) (budget b (count 2)))":                              `duplicate budget "b"`,
 		"(budgets (ledger h1) (budget b (rate 9)))":                                                    "budget.tenant: missing",
-		"(budgets (ledger h1) (budget b (count 2))) (wave (budget c))":                                 `budget "c" is no count of this file`,
+		"(budgets (ledger h1) (budget b (count 2))) (wave (budget c))":                                 `this file has no budget "c" with a count`,
 		"(budgets (ledger h1) (budget b (rate 9) (tenant t) (floors (n1 2) (n2 1)))) (wave (width 2))": "can be used",
 	} {
 		if out := check(budgets); !strings.Contains(out, wanted) {
--- a/internal/fleet/accept_command.go
+++ b/internal/fleet/accept_command.go
@@ -21,7 +21,7 @@
 		return err
 	}
 	if received.Deadline <= now {
-		return fieldErrorf("due", "it has passed")
+		return fieldErrorf("due", "deadline is in the past")
 	}
 	if len(m.openCommands) >= m.config.MaxOpenCommands {
 		return ErrTooManyCommands
@@ -46,12 +46,12 @@
 	for _, name := range command.Names {
 		switch inst := m.instances[name]; {
 		case inst == nil:
-			return &CommandError{Instance: name, Err: fieldErrorf("names", "%q is no instance of this agent", name)}
+			return &CommandError{Instance: name, Err: fieldErrorf("names", "unknown instance %q", name)}
 		case seen[name]:
-			return &CommandError{Instance: name, Err: fieldErrorf("names", "%q stands twice", name)}
+			return &CommandError{Instance: name, Err: fieldErrorf("names", "duplicate instance %q", name)}
 		case command.Kind == KindRollingUpdate && inst.Spare:
 			return &CommandError{Instance: name,
-				Err: fieldErrorf("names", "%q is a spare; a wave takes those by surge", name)}
+				Err: fieldErrorf("names", "%q is a spare: a rolling update uses spares by its surge only", name)}
 		}
 		seen[name] = true
 	}
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -110,22 +110,22 @@
 		return &FieldError{Field: "id", Reason: err.Error(), Err: err}
 	}
 	if !slices.Contains(CommandKinds(), c.Kind) {
-		return fieldErrorf("kind", "%q is none of %v", c.Kind, CommandKinds())
+		return fieldErrorf("kind", "%q is not one of %v", c.Kind, CommandKinds())
 	}
 	if len(c.Names) == 0 {
-		return fieldErrorf("names", "none")
+		return fieldErrorf("names", "missing, wanted at least one instance")
 	}
 	if c.Immediate && c.Kind != KindStop {
-		return fieldErrorf("now", "not with %s", c.Kind)
+		return fieldErrorf("now", "not allowed with kind %q, only with %q", c.Kind, KindStop)
 	}
 	if (c.Rollout != nil) != (c.Kind == KindRollingUpdate) {
-		return fieldErrorf("terms", "they belong to a wave, and a wave needs them")
+		return fieldErrorf("terms", "required with kind %q, and allowed with no other", KindRollingUpdate)
 	}
 	if c.Kind == KindColdStart && c.Quota == "" {
-		return fieldErrorf("budget", "a rise needs a count of the fleet's file")
+		return fieldErrorf("budget", "missing, wanted a budget with a count from the fleet's file")
 	}
 	if c.Quota != "" && !c.usesUnits() {
-		return fieldErrorf("budget", "not with %s", c.Kind)
+		return fieldErrorf("budget", "not allowed with kind %q", c.Kind)
 	}
 	if c.Rollout != nil {
 		return c.Rollout.Check()
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -8,18 +8,19 @@
 
 // Why a command is rejected; Decide returns them inside a CommandError.
 var (
-	ErrIDConflict       = errors.New("a command with this id and other content was taken before")
+	ErrIDConflict = errors.New("another command with this id was accepted before")
+	// ErrUnknownCommand keeps its text: command-line clients of other releases compare it.
 	ErrUnknownCommand   = errors.New("no such command")
-	ErrTooManyCommands  = errors.New("too many commands are open")
-	ErrUpdateInProgress = errors.New("a wave is open; cancel it, or wait for its end")
+	ErrTooManyCommands  = errors.New("too many open commands")
+	ErrUpdateInProgress = errors.New("another rolling update is open: cancel it or wait for its end")
 	ErrCommandEnded     = errors.New("the command has ended")
-	ErrNotPausable      = errors.New("only a wave can be held") // pause and resume are of rolling updates alone
+	ErrNotPausable      = errors.New("only a rolling update can be paused or resumed")
 )
 
 // Errors of Spec.Select and Preview.
 var (
 	ErrEmptySelection  = errors.New("no instance is selected: give names, --group, --label, --host or --all")
-	ErrUpdateNeverEnds = errors.New("the wave does not come to its end by these terms")
+	ErrUpdateNeverEnds = errors.New("the rolling update would never end with these settings")
 )
 
 // CommandError reports which operation on which command was rejected, and why. Its text is that of Err alone.
@@ -69,14 +70,15 @@
 type VerbError struct{ Verb Verb }
 
 func (e *VerbError) Error() string {
-	return fmt.Sprintf("%q is none of pause, resume, cancel", e.Verb)
+	return fmt.Sprintf("unknown operation %q, wanted pause, resume or cancel", e.Verb)
 }
 
 // NameError reports a string that can't name a host, a group, an instance or a command.
 type NameError struct{ Name string }
 
 func (e *NameError) Error() string {
-	return fmt.Sprintf("%q is no name: letters, digits, . - _ and at most %d of them", e.Name, maxNameLength)
+	return fmt.Sprintf("invalid name %q, wanted at most %d letters, digits, . - _, not beginning with . or -",
+		e.Name, maxNameLength)
 }
 
 // AddressError reports an address that an agent can't listen on.
@@ -84,7 +86,7 @@
 
 func (e *AddressError) Error() string {
 	if path, ok := strings.CutPrefix(e.Address, unixPrefix); ok {
-		return fmt.Sprintf("%q is no absolute path of at most %d bytes", path, maxSocketPath)
+		return fmt.Sprintf("%q is not an absolute path of at most %d bytes", path, maxSocketPath)
 	}
 	return fmt.Sprintf("%q is neither unix:PATH nor 127.x.x.x:PORT", e.Address)
 }
--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -130,34 +130,41 @@
 		instance, group string
 		text            string
 	}{
-		{Command{ID: "../x", Kind: KindStart, Names: []string{"a"}}, "id", "", "", `id: "../x" is no name: letters, digits, . - _ and at most 40 of them`},
-		{Command{ID: "c", Kind: "dance", Names: []string{"a"}}, "kind", "", "", `kind: "dance" is none of [start drain stop restart wave rise]`},
-		{Command{ID: "c", Kind: KindStart}, "names", "", "", "names: none"},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"z"}}, "names", "z", "", `names: "z" is no instance of this agent`},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"a", "a"}}, "names", "a", "", `names: "a" stands twice`},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"x"}, Rollout: &config}, "names", "x", "", `names: "x" is a spare; a wave takes those by surge`},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Immediate: true}, "now", "", "", "now: not with start"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}}, "terms", "", "", "terms: they belong to a wave, and a wave needs them"},
-		{Command{ID: "c", Kind: KindColdStart, Names: []string{"a"}}, "budget", "", "", "budget: a rise needs a count of the fleet's file"},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Quota: "q"}, "budget", "", "", "budget: not with start"},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Deadline: -1}, "due", "", "", "due: it has passed"},
+		{Command{ID: "../x", Kind: KindStart, Names: []string{"a"}}, "id", "", "", `id: invalid name "../x", wanted at most 40 letters, digits, . - _, not beginning with . or -`},
+		{Command{ID: "c", Kind: "dance", Names: []string{"a"}}, "kind", "", "", `kind: "dance" is not one of [start drain stop restart wave rise]`},
+		{Command{ID: "c", Kind: KindStart}, "names", "", "", "names: missing, wanted at least one instance"},
+		{Command{ID: "c", Kind: KindStart, Names: []string{"z"}}, "names", "z", "", `names: unknown instance "z"`},
+		{Command{ID: "c", Kind: KindStart, Names: []string{"a", "a"}}, "names", "a", "", `names: duplicate instance "a"`},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"x"}, Rollout: &config}, "names", "x", "", `names: "x" is a spare: a rolling update uses spares by its surge only`},
+		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Immediate: true}, "now", "", "", `now: not allowed with kind "start", only with "stop"`},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}}, "terms", "", "", `terms: required with kind "wave", and allowed with no other`},
+		{Command{ID: "c", Kind: KindColdStart, Names: []string{"a"}}, "budget", "", "", "budget: missing, wanted a budget with a count from the fleet's file"},
+		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Quota: "q"}, "budget", "", "", `budget: not allowed with kind "start"`},
+		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Deadline: -1}, "due", "", "", "due: deadline is in the past"},
 		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MaxInProgress = 0 })},
 			"width", "", "", "width: 0 is not from 1 to 10000"},
 		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReady = -1 })},
-			"least_count", "", "", "least_count: -1 is below 0"},
+			"least_count", "", "", "least_count: -1 is negative"},
 		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReadyShare = 2 })},
 			"least_share", "", "", "least_share: 2 is not from 0 to 1"},
 		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Order = "up" })},
-			"order", "", "", `order: "up" is none of file, name, spread`},
+			"order", "", "", `order: "up" is not one of file, name, spread`},
 		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Surge = -1 })},
-			"surge, failures and times", "", "", "surge, failures and times: {Width:1 LeastCount:0 LeastShare:0 Order:file Surge:-1 Failures:0 " +
-				"ReadyWithin:0 Stall:60000000 TurnedAway:1 TurnedFor:5000000} holds one below 0, or no stall"},
+			"surge", "", "", "surge: -1 is negative"},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.MaxFailures = -1 })},
+			"failures", "", "", "failures: -1 is negative"},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.ReadyWithin = -second })},
+			"ready_within", "", "", "ready_within: -1s is negative"},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.StallTimeout = 0 })},
+			"stall", "", "", "stall: 0s is not above 0"},
+		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.RejectionTolerance = -second })},
+			"turned_for", "", "", "turned_for: -1s is negative"},
 		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MaxRejectedShare = 0 })},
 			"turned_away", "", "", "turned_away: 0 is not above 0 and at most 1"},
 		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Surge = 2 })},
-			"surge", "", "g", `surge: group "g" has 1 spares that are down, 2 are wanted`},
+			"surge", "", "g", `surge: group "g" has 1 spares that are down, wanted 2`},
 		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReady = 2 })},
-			"least", "", "g", `least: with 2 of group "g" up and 0 spares, none can leave while 2 must stay ready`},
+			"least", "", "g", `least: group "g" has 2 instances up and 0 spares: none can restart while 2 must stay ready`},
 	} {
 		host := newHost(t, readTestSpec(t, twoInstances))
 		startAll(host)
@@ -191,8 +198,8 @@
 		text string
 	}{
 		{steer("nothing", VerbPause), ErrUnknownCommand, "no such command"},
-		{steer("open", VerbPause), ErrNotPausable, "pause: only a wave can be held"},
-		{steer("open", VerbResume), ErrNotPausable, "resume: only a wave can be held"},
+		{steer("open", VerbPause), ErrNotPausable, "pause: only a rolling update can be paused or resumed"},
+		{steer("open", VerbResume), ErrNotPausable, "resume: only a rolling update can be paused or resumed"},
 	} {
 		if !errors.Is(c.err, c.is) || c.err.Error() != c.text {
 			t.Errorf("%v, want %q", c.err, c.text)
@@ -212,7 +219,7 @@
 		t.Fatal(err)
 	}
 	unknown, ok := errors.AsType[*VerbError](steer("w", "dance"))
-	if !ok || unknown.Verb != "dance" || unknown.Error() != `"dance" is none of pause, resume, cancel` {
+	if !ok || unknown.Verb != "dance" || unknown.Error() != `unknown operation "dance", wanted pause, resume or cancel` {
 		t.Errorf("%v", unknown)
 	}
 }
@@ -223,7 +230,7 @@
 		t.Errorf("%v", bad)
 	}
 	for address, text := range map[string]string{
-		"unix:a":   `"a" is no absolute path of at most 100 bytes`,
+		"unix:a":   `"a" is not an absolute path of at most 100 bytes`,
 		"10.0.0.1": `"10.0.0.1" is neither unix:PATH nor 127.x.x.x:PORT`,
 	} {
 		if bad, ok := errors.AsType[*AddressError](CheckAddress(address)); !ok || bad.Address != address || bad.Error() != text {
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -74,7 +74,7 @@
 	}
 	if len(spares) < config.Surge {
 		return nil, &CommandError{Group: group, Err: fieldErrorf("surge",
-			"group %q has %d spares that are down, %d are wanted", group, len(spares), config.Surge)}
+			"group %q has %d spares that are down, wanted %d", group, len(spares), config.Surge)}
 	}
 	return spares, nil
 }
@@ -86,8 +86,8 @@
 		return nil
 	}
 	return &CommandError{Group: group, Err: fieldErrorf("least",
-		"with %d of group %q up and %d spares, none can leave while %d must stay ready",
-		desiredUp, group, spares, minReady)}
+		"group %q has %d instances up and %d spares: none can restart while %d must stay ready",
+		group, desiredUp, spares, minReady)}
 }
 
 // advanceRollingUpdate takes the next steps of an update: spares start, instances restart as they may, spares stop.
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -59,17 +59,21 @@
 	case w.MaxInProgress < 1 || w.MaxInProgress > maxRolloutCount:
 		return fieldErrorf("width", "%d is not from 1 to %d", w.MaxInProgress, maxRolloutCount)
 	case w.MinReady < 0:
-		return fieldErrorf("least_count", "%d is below 0", w.MinReady)
+		return fieldErrorf("least_count", "%d is negative", w.MinReady)
 	case !isShare(w.MinReadyShare):
 		return fieldErrorf("least_share", "%v is not from 0 to 1", w.MinReadyShare)
 	case !slices.Contains([]string{OrderFile, OrderName, OrderSpread}, w.Order):
-		return fieldErrorf("order", "%q is none of file, name, spread", w.Order)
-	case w.Surge < 0 || w.MaxFailures < 0 || w.ReadyWithin < 0 || w.StallTimeout <= 0 || w.RejectionTolerance < 0:
-		return fieldErrorf("surge, failures and times",
-			"{Width:%d LeastCount:%d LeastShare:%v Order:%s Surge:%d Failures:%d ReadyWithin:%d "+
-				"Stall:%d TurnedAway:%v TurnedFor:%d} holds one below 0, or no stall",
-			w.MaxInProgress, w.MinReady, w.MinReadyShare, w.Order, w.Surge, w.MaxFailures, w.ReadyWithin,
-			w.StallTimeout, w.MaxRejectedShare, w.RejectionTolerance)
+		return fieldErrorf("order", "%q is not one of file, name, spread", w.Order)
+	case w.Surge < 0:
+		return fieldErrorf("surge", "%d is negative", w.Surge)
+	case w.MaxFailures < 0:
+		return fieldErrorf("failures", "%d is negative", w.MaxFailures)
+	case w.ReadyWithin < 0:
+		return fieldErrorf("ready_within", "%v is negative", w.ReadyWithin.Duration())
+	case w.StallTimeout <= 0:
+		return fieldErrorf("stall", "%v is not above 0", w.StallTimeout.Duration())
+	case w.RejectionTolerance < 0:
+		return fieldErrorf("turned_for", "%v is negative", w.RejectionTolerance.Duration())
 	case !isShare(w.MaxRejectedShare) || w.MaxRejectedShare == 0:
 		return fieldErrorf("turned_away", "%v is not above 0 and at most 1", w.MaxRejectedShare)
 	}
--- a/internal/fleet/spec_group.go
+++ b/internal/fleet/spec_group.go
@@ -46,14 +46,14 @@
 		group.Host = r.Hosts[0].Name
 	}
 	if r.Host(group.Host) == nil {
-		f.Fail("host", "%q is no host of this file", group.Host)
+		f.Fail("host", "unknown host %q", group.Host)
 	}
 	if r.Group(group.Name) != nil {
-		f.Fail("", "group %q stands twice", group.Name)
+		f.Fail("", "duplicate group %q", group.Name)
 	}
 	config := absolutePath(dir, f.Text("config", ""))
 	if config == "" {
-		f.Fail("config", "missing: the configuration's path, with %%n for the instance's name")
+		f.Fail("config", "missing, wanted the configuration's path, with %%n for the instance's name")
 	}
 	group.DegradationFile = absolutePath(dir, f.Text("levels", ""))
 	names := append(f.Words("instances"), readRange(f)...)
@@ -63,7 +63,7 @@
 	r.addInstances(f, &group, config, "instances", names)
 	r.addInstances(f, &group, config, "spares", f.Words("spares"))
 	if len(group.Instances) == 0 {
-		f.Fail("", "no instance")
+		f.Fail("", "found no instance, wanted at least one")
 	}
 	f.Done()
 	r.attribute(SpecSubject{Group: group.Name})
@@ -88,7 +88,7 @@
 			continue
 		}
 		if r.instances[name] != nil {
-			f.Fail(field, "instance %q stands twice", name)
+			f.Fail(field, "duplicate instance %q", name)
 			r.attribute(SpecSubject{Group: group.Name, Instance: name})
 			continue
 		}
@@ -121,7 +121,7 @@
 	first, errFirst := strconv.Atoi(words[1])
 	last, errLast := strconv.Atoi(words[2])
 	if errFirst != nil || errLast != nil || first < 0 || last < first || last-first >= maxRange {
-		f.Fail("range", "found %q, wanted a name and the first and last number", strings.Join(words, " "))
+		f.Fail("range", "found %q, wanted a name and the first and the last number", strings.Join(words, " "))
 		return nil
 	}
 	for n := first; n <= last; n++ {
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -46,7 +46,7 @@
 		r.readQuota(form)
 	}
 	if n := len(r.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
-		f.Fail("", "%d budgets, there can be 1 to %d", n, backendquota.MaxBudgets)
+		f.Fail("", "found %d budgets, wanted 1 to %d", n, backendquota.MaxBudgets)
 	}
 	f.Done()
 }
@@ -61,11 +61,11 @@
 		f.Fail("ledger", "%v", err)
 	}
 	if len(r.QuotaHosts) == 0 {
-		f.Fail("ledger", "missing: the hosts whose agents keep the ledger")
+		f.Fail("ledger", "missing, wanted the hosts whose agents keep the quota store")
 	}
 	for _, host := range r.QuotaHosts {
 		if r.Host(host) == nil {
-			f.Fail("ledger", "%q is no host of this file", host)
+			f.Fail("ledger", "unknown host %q", host)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	for _, host := range r.Hosts {
 		if host.PeerAddress == "" {
 			r.attribute(SpecSubject{})
-			f.Fail("", "host %q has no (peer ADDRESS), and budgets are shared with it", host.Name)
+			f.Fail("", "host %q has no (peer ADDRESS), which the hosts that share budgets need", host.Name)
 			r.attribute(SpecSubject{Host: host.Name})
 		}
 	}
@@ -89,7 +89,7 @@
 	r.attribute(SpecSubject{})
 	limit := quota.Limit{Name: readName(f)}
 	if r.Quotas.Lookup(limit.Name) != nil {
-		f.Fail("", "budget %q stands twice", limit.Name)
+		f.Fail("", "duplicate budget %q", limit.Name)
 	}
 	rate := f.Int("rate", 0, backendquota.MaxRate, 0)
 	count := f.Int("count", 0, backendquota.MaxRate, 0)
@@ -127,13 +127,13 @@
 	margin := max(limit.Lease/leasePerClockMargin, quota.MinClockMargin(limit.Lease))
 	limit.ClockMargin = monotime.FromDuration(f.Span("margin", 0, maxClockMargin, margin.Duration()))
 	if limit.Tenant == "" {
-		f.Fail("tenant", "missing: whose work draws from it")
+		f.Fail("tenant", "missing, wanted the tenant whose requests use the budget")
 	}
 	floor := int64(f.Int("floor", 0, backendquota.MaxRate, 0))
 	groups := f.Words("groups")
 	for _, group := range groups {
 		if r.Group(group) == nil {
-			f.Fail("groups", "%q is no group of this file", group)
+			f.Fail("groups", "unknown group %q", group)
 		}
 	}
 	limit.Floors = map[string]int64{}
@@ -182,12 +182,13 @@
 	}
 	f.Done()
 	if !r.hasConcurrencyQuota(r.ColdStartQuota) {
-		f.Fail("budget", "%q is no count of this file", r.ColdStartQuota)
+		f.Fail("budget", "this file has no budget %q with a count", r.ColdStartQuota)
 		return
 	}
 	limit := r.Quotas.Lookup(r.ColdStartQuota)
 	if limit.Reserved == 0 {
-		f.Fail("budget", "%q has no (alone yes): a host that can't reach the ledger would start nothing for good",
+		f.Fail("budget",
+			"budget %q has no (alone yes): a host that can't reach the quota store could never start an instance",
 			r.ColdStartQuota)
 	}
 	config.MaxConcurrent = limit.Total - limit.Reserved
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -85,7 +85,7 @@
 		r.readColdStart(coldStart)
 	}
 	if r.RollingUpdateQuota != "" && !r.hasConcurrencyQuota(r.RollingUpdateQuota) {
-		form.Fail("wave", "budget %q is no count of this file", r.RollingUpdateQuota)
+		form.Fail("wave", "this file has no budget %q with a count", r.RollingUpdateQuota)
 	}
 	form.Done()
 	return spec, r.err()
@@ -97,7 +97,7 @@
 		r.readHost(form)
 	}
 	if len(r.Hosts) == 0 {
-		f.Fail("", "no host")
+		f.Fail("", "found no host, wanted at least one")
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	form.Done()
 	if r.Host(host.Name) != nil {
-		form.Fail("", "host %q stands twice", host.Name)
+		form.Fail("", "duplicate host %q", host.Name)
 	}
 	if err := CheckAddress(host.AgentAddress); err != nil {
 		form.Fail("agent", "%v", err)
@@ -126,12 +126,12 @@
 // checkInstanceCounts reports a fleet without instances, and hosts with more instances than one agent can manage.
 func (r *specReader) checkInstanceCounts(f *sexpr.Form, maxInstances int) {
 	if len(r.instances) == 0 {
-		f.Fail("", "no instance")
+		f.Fail("", "found no instance, wanted at least one")
 	}
 	r.attribute(SpecSubject{})
 	for _, host := range r.Hosts {
 		if n := len(r.InstancesOn(host.Name)); n > maxInstances {
-			f.Fail("", "host %q has %d instances, at most %d can be managed by one agent", host.Name, n, maxInstances)
+			f.Fail("", "host %q has %d instances, one agent manages at most %d", host.Name, n, maxInstances)
 			r.attribute(SpecSubject{Host: host.Name})
 		}
 	}
