--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"syscall"
 
-	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/process"
 	"milletbarrow/internal/supervisor"
@@ -62,41 +61,3 @@
 		slog.Error("signal", "name", action.Name, "step", action.ID, "error", err.Error())
 	}
 }
-
-// acquireUnit asks the quota store for a unit. Without an answer nothing is known, and the machine asks again with the
-// same request id.
-func (a *Agent) acquireUnit(ctx context.Context, action fleet.Action) {
-	held := fleet.HeldUnit{Name: action.Name, Quota: action.Unit.Quota, RequestID: action.ID}
-	if a.options.Cluster == nil {
-		a.post(fleet.UnitAcquired{HeldUnit: held, Cause: errNoQuotas.Text})
-		return
-	}
-	ctx, cancel := context.WithTimeout(ctx, 2*a.options.Bounds.CallTimeout)
-	defer cancel()
-	result, err := a.options.Cluster.Do(ctx, quota.Command{Acquire: a.permitCommand(action)})
-	if err != nil {
-		return
-	}
-	a.post(fleet.UnitAcquired{HeldUnit: held, Granted: result.Rejection == "", Cause: result.Rejection})
-}
-
-// releaseUnit gives a unit back to the quota store; without an answer the machine asks again.
-func (a *Agent) releaseUnit(ctx context.Context, action fleet.Action) {
-	if a.options.Cluster == nil {
-		a.acquireUnit(ctx, action) // answers that there are no quotas
-		return
-	}
-	ctx, cancel := context.WithTimeout(ctx, 2*a.options.Bounds.CallTimeout)
-	defer cancel()
-	command := a.permitCommand(action)
-	command.Outcome = &action.StartResult
-	if _, err := a.options.Cluster.Do(ctx, quota.Command{Release: command}); err == nil {
-		a.post(fleet.UnitReleased{Name: action.Name, RequestID: action.ID})
-	}
-}
-
-func (a *Agent) permitCommand(action fleet.Action) *quota.PermitCommand {
-	return &quota.PermitCommand{
-		Limit: action.Unit.Quota, Name: action.Name, Host: a.options.Host, AcquireID: action.ID,
-	}
-}
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -2,11 +2,9 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"net/http"
 	"time"
 
-	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/monotime"
@@ -18,32 +16,6 @@
 	maxRequestedByLength = 100 // bytes
 )
 
-// call runs f in the loop and waits until what it read or changed has been saved: nobody may be given a result that
-// the next agent would not know. Errors are *agentapi.StatusError; after one f may still run.
-func (a *Agent) call(f func(now monotime.Micros)) error {
-	saved := make(chan struct{})
-	timeout := time.NewTimer(a.options.Bounds.CallTimeout)
-	defer timeout.Stop()
-	select {
-	case a.calls <- func(now monotime.Micros) {
-		f(now)
-		a.loop.waiters = append(a.loop.waiters, saved)
-	}:
-	case <-a.stopped:
-		return errStopped
-	case <-timeout.C:
-		return unavailable("the agent is busy")
-	}
-	select {
-	case <-saved:
-		return nil
-	case <-a.stopped:
-		return errStopped
-	case <-timeout.C:
-		return unavailable("the agent is busy; ask again what became of it")
-	}
-}
-
 // Submit accepts a command once it is saved. The same request may come again: it is one command.
 func (a *Agent) Submit(r agentapi.CommandRequest) (*fleet.Command, error) {
 	if err := checkRequest(&r); err != nil {
@@ -98,19 +70,6 @@
 	}
 }
 
-// saveIntent makes a command durable before anything is decided. What can't be saved is not accepted.
-func (a *Agent) saveIntent(now monotime.Micros, r agentapi.CommandRequest) error {
-	if a.loop.storeErr == nil {
-		err := a.options.Store.Save(agentstore.Change{Intent: newCommand(now, r)})
-		if err == nil {
-			return nil
-		}
-		a.loop.storeErr = err
-		slog.Error("store", "written", false, "error", err.Error())
-	}
-	return unavailable(fmt.Sprintf("nothing new is taken: the record can't be written: %v", a.loop.storeErr))
-}
-
 // Steer pauses, resumes or cancels a command.
 func (a *Agent) Steer(id, verb, by string) (*fleet.Command, error) {
 	var command *fleet.Command
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -191,18 +191,6 @@
 	}
 }
 
-// reportHeldUnits gives the loop the units that the quota store has this host's instances hold.
-func (a *Agent) reportHeldUnits(permits []quota.Permit) {
-	if len(permits) == 0 {
-		return
-	}
-	units := make([]fleet.HeldUnit, 0, len(permits))
-	for _, permit := range permits {
-		units = append(units, fleet.HeldUnit{Name: permit.Name, Quota: permit.Limit, RequestID: permit.AcquireID})
-	}
-	a.post(fleet.UnitsListed{Units: units})
-}
-
 // recordClusterEvents writes what the quota store reported into the history.
 func (a *Agent) recordClusterEvents() {
 	for {
