--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -9,23 +9,24 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// Cluster is what the agents of a fleet share: the replicated quota store and the membership. cluster/node implements
-// it. Its methods may be called from any goroutine.
+// Cluster is the state that the agents of a fleet share: the replicated quota store and the membership. cluster/node
+// implements it. Its methods may be called from any goroutine.
 type Cluster interface {
-	// Do has the leader apply a command. After an error it may or may not have been applied.
+	// Do has the leader apply a command. After an error the command may or may not have been applied.
 	Do(context.Context, quota.Command) (quota.Result, error)
-	// Status asks the leader how the quotas stand.
+	// Status returns the leader's state of the quotas.
 	Status(context.Context) (quota.Status, error)
-	// SetConfig proposes a changed configuration and the hosts that keep the quota store.
-	SetConfig(*quota.Config, []string)
-	// Stage says how this agent takes part in the quota store.
+	// SetConfig proposes a changed configuration and the hosts that replicate the quota store.
+	SetConfig(c *quota.Config, hosts []string)
+	// Stage returns this agent's role in the quota store.
 	Stage() string
+	// Members returns the agents that this one believes to be alive.
 	Members() []membership.Member
-	// Events are to be written into the history.
+	// Events brings events of the quota store for the history.
 	Events() <-chan quota.Event
 }
 
-// Budgets asks the leader how the quotas stand.
+// Budgets returns the leader's state of the quotas.
 func (a *Agent) Budgets(ctx context.Context) (agentapi.Budgets, error) {
 	if a.options.Cluster == nil {
 		return agentapi.Budgets{}, errNoQuotas
@@ -33,15 +34,16 @@
 	ctx, cancel := context.WithTimeout(ctx, a.options.Bounds.CallTimeout)
 	defer cancel()
 	b := agentapi.Budgets{Host: a.options.Host, Stage: a.options.Cluster.Stage()}
-	var err error
-	if b.Status, err = a.options.Cluster.Status(ctx); err != nil {
+	status, err := a.options.Cluster.Status(ctx)
+	if err != nil {
 		return b, unavailable(err.Error())
 	}
+	b.Status = status
 	return b, nil
 }
 
-// WriteOff has the quota store end what a name holds, on an operator's command. Errors are *agentapi.StatusError and, where
-// the quota store rejects it, *WriteOffError.
+// WriteOff has the quota store end the leases and permits of a holder, at an operator's request. It returns a
+// *WriteOffError if the quota store rejects that; other errors are *agentapi.StatusError.
 func (a *Agent) WriteOff(ctx context.Context, name, by string) error {
 	rejection, err := a.applyQuotaCommand(ctx, quota.Command{WriteOff: &quota.WriteOffCommand{Name: name, By: by}})
 	if err == nil && rejection != "" {
@@ -50,7 +52,7 @@
 	return err
 }
 
-// Rise begins or changes a cold start of the fleet.
+// Rise begins or changes a cold start of the fleet. Errors are *agentapi.StatusError.
 func (a *Agent) Rise(ctx context.Context, c quota.ColdStartCommand) error {
 	rejection, err := a.applyQuotaCommand(ctx, quota.Command{ColdStart: &c})
 	if err == nil && rejection != "" {
@@ -59,7 +61,7 @@
 	return err
 }
 
-// applyQuotaCommand has the leader apply a command and returns why it was rejected; empty: it was not.
+// applyQuotaCommand has the leader apply a command and returns why the quota store rejected it; empty: it did not.
 func (a *Agent) applyQuotaCommand(ctx context.Context, c quota.Command) (rejection string, err error) {
 	if a.options.Cluster == nil {
 		return "", errNoQuotas
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -16,7 +16,7 @@
 	maxRequestedByLength = 100 // bytes
 )
 
-// Submit accepts a command once it is saved. The same request may come again: it is one command.
+// Submit returns a command once it is accepted and saved. A repeated request is the same command.
 func (a *Agent) Submit(r agentapi.CommandRequest) (*fleet.Command, error) {
 	if err := checkRequest(&r); err != nil {
 		return nil, err
@@ -35,6 +35,7 @@
 	return command, nil
 }
 
+// checkRequest checks the fields of a request that the machine does not check.
 func checkRequest(r *agentapi.CommandRequest) error {
 	if r.TimeoutMicros <= 0 || r.TimeoutMicros > maxTimeout.Microseconds() {
 		return &agentapi.StatusError{
@@ -43,12 +44,16 @@
 		}
 	}
 	if len(r.RequestedBy) > maxRequestedByLength {
-		return &agentapi.StatusError{Status: http.StatusBadRequest, Text: "by: over 100 bytes"}
+		return &agentapi.StatusError{
+			Status: http.StatusBadRequest,
+			Text:   fmt.Sprintf("by: %d bytes, expected at most %d", len(r.RequestedBy), maxRequestedByLength),
+		}
 	}
 	return nil
 }
 
-// accept runs in the loop. A request that was accepted before needs no second intent.
+// accept has the machine decide on a request, in the loop. It saves the intent first, unless the request was accepted
+// before.
 func (a *Agent) accept(now monotime.Micros, r agentapi.CommandRequest) (*fleet.Command, error) {
 	if a.loop.machine.Command(r.ID) == nil {
 		if err := a.saveIntent(now, r); err != nil {
@@ -63,10 +68,18 @@
 	return a.loop.machine.Command(r.ID), nil
 }
 
+// newCommand returns the command that a request asks for.
 func newCommand(now monotime.Micros, r agentapi.CommandRequest) *fleet.Command {
 	return &fleet.Command{
-		ID: r.ID, Kind: r.Kind, Names: r.Instances, RequestedBy: r.RequestedBy, RequestedAt: r.RequestedUnixMicros,
-		Deadline: now + monotime.Micros(r.TimeoutMicros), Immediate: r.Immediate, Rollout: r.RollingUpdate, Quota: r.Budget,
+		ID:          r.ID,
+		Kind:        r.Kind,
+		Names:       r.Instances,
+		RequestedBy: r.RequestedBy,
+		RequestedAt: r.RequestedUnixMicros,
+		Deadline:    now + monotime.Micros(r.TimeoutMicros),
+		Immediate:   r.Immediate,
+		Rollout:     r.RollingUpdate,
+		Quota:       r.Budget,
 	}
 }
 
@@ -86,20 +99,22 @@
 	return command, rejected
 }
 
-// Command returns a copy of a command, nil if it is not known or the agent does not answer in time.
+// Command returns a copy of a command; nil if it is unknown or the loop does not answer in time.
 func (a *Agent) Command(id string) *fleet.Command {
 	var command *fleet.Command
-	if a.call(func(monotime.Micros) { command = a.loop.machine.Command(id) }) != nil {
-		return nil // what was read may not have been saved
+	err := a.call(func(monotime.Micros) { command = a.loop.machine.Command(id) })
+	if err != nil {
+		return nil // the command may not be saved
 	}
 	return command
 }
 
-// Commands returns copies, newest first; nil if the agent does not answer in time.
+// Commands returns copies of all commands, newest first; nil if the loop does not answer in time.
 func (a *Agent) Commands() []*fleet.Command {
 	var all []*fleet.Command
-	if a.call(func(monotime.Micros) { all = a.loop.machine.Commands() }) != nil {
-		return nil
+	err := a.call(func(monotime.Micros) { all = a.loop.machine.Commands() })
+	if err != nil {
+		return nil // as above
 	}
 	return all
 }
--- a/internal/agent/configcheck.go
+++ b/internal/agent/configcheck.go
@@ -10,19 +10,22 @@
 	"milletbarrow/monotime"
 )
 
-// defaultShutdownWindow is that of an instance whose configuration can't be read.
-var defaultShutdownWindow = fleet.ShutdownWindow{Grace: 2_000_000, ExitTimeout: 3_000_000}
+// The shutdown window of an instance whose configuration can't be read, counted from the notice.
+const (
+	defaultGrace       = 2 * monotime.Second
+	defaultExitTimeout = 3 * monotime.Second
+)
 
-// ReadShutdownWindow reads from an instance's configuration how long it has from a shutdown notice on. With an error it
-// returns a default.
+// ReadShutdownWindow reads an instance's shutdown window from its configuration. With an error it returns
+// defaultGrace and defaultExitTimeout.
 func ReadShutdownWindow(file string) (fleet.ShutdownWindow, error) {
 	backend, err := config.Read(file)
 	if err != nil {
-		return defaultShutdownWindow, err
+		return fleet.ShutdownWindow{Grace: defaultGrace, ExitTimeout: defaultExitTimeout}, err
 	}
 	return fleet.ShutdownWindow{
 		Grace:       backend.Settings.Admission.DrainGrace,
-		ExitTimeout: monotime.Micros(backend.StopMs * 1000),
+		ExitTimeout: monotime.Micros(backend.StopMs * float64(monotime.Millisecond)),
 	}, nil
 }
 
@@ -30,7 +33,7 @@
 // *ListenConflictError for each that can't be used.
 func CheckConfigs(s *fleet.Spec, host string) error {
 	var errs []error
-	listeners := map[string]string{} // instance by address
+	instanceByAddress := map[string]string{}
 	for _, in := range s.InstancesOn(host) {
 		backend, err := config.Read(in.ConfigFile)
 		if err != nil {
@@ -40,15 +43,15 @@
 		if err := checkDegradationPolicy(in.DegradationFile, backend); err != nil {
 			errs = append(errs, &ConfigError{Instance: in.Name, Err: err})
 		}
-		if first := listeners[backend.Listen]; first != "" {
+		if first := instanceByAddress[backend.Listen]; first != "" {
 			errs = append(errs, &ListenConflictError{First: first, Second: in.Name, Address: backend.Listen})
 		}
-		listeners[backend.Listen] = in.Name
+		instanceByAddress[backend.Listen] = in.Name
 	}
 	return errors.Join(errs...)
 }
 
-// checkDegradationPolicy reports whether an instance can use its policy for degraded service.
+// checkDegradationPolicy returns why an instance can't use its degradation policy. An empty file name means none.
 func checkDegradationPolicy(file string, backend *config.Backend) error {
 	if file == "" {
 		return nil
@@ -61,6 +64,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = degradation.NewShedder(policy, backend.Settings.Operations, backend.Settings.Tenants, 1)
+	const seed = 1 // any: the shedder is not used
+	_, err = degradation.NewShedder(policy, backend.Settings.Operations, backend.Settings.Tenants, seed)
 	return err
 }
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -8,26 +8,34 @@
 	"milletbarrow/internal/fleet"
 )
 
-// errStopped answers calls that come when the agent's loop has ended, or ends before their result is saved.
-var errStopped = unavailable("the agent ends")
-
-// errNoQuotas answers calls about quotas in a fleet whose file names none.
-var errNoQuotas = &agentapi.StatusError{Status: http.StatusUnprocessableEntity, Text: "this fleet's file has no budgets"}
+var (
+	// errStopped answers a call that comes after the end of the loop, or whose result is not saved by then.
+	errStopped = unavailable("the agent is shutting down")
+	// errBusy answers a call that the loop did not take in time.
+	errBusy = unavailable("the agent is busy")
+	// errNotSavedInTime answers a call that the loop took and whose result is not saved in time.
+	errNotSavedInTime = unavailable("the agent is busy and may still execute the request: poll for its result")
+	// errNoQuotas answers calls about quotas in a fleet without quotas.
+	errNoQuotas = &agentapi.StatusError{
+		Status: http.StatusUnprocessableEntity,
+		Text:   "the fleet file configures no budgets",
+	}
+)
 
-// unavailable is a rejection that may be over when the request is sent again.
+// unavailable returns a rejection of a request that may be accepted when it is sent again.
 func unavailable(text string) *agentapi.StatusError {
 	return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: text}
 }
 
-// UnnamedInstanceError reports an instance that runs on this host and that the fleet file does not name.
+// UnnamedInstanceError reports an instance that runs on this host and is not named in the fleet file.
 type UnnamedInstanceError struct{ Instance string }
 
 func (e *UnnamedInstanceError) Error() string {
-	return e.Instance + " runs here and the fleet's file does not name it any more: drain it first"
+	return "instance " + e.Instance + " runs on this host and is not named in the fleet file: drain it first"
 }
 
-// ActionError reports an action that could not be carried out. Its text is that of the cause alone: the history and the
-// log lines that show it name the instance and the action beside it.
+// ActionError reports an action that could not be performed. Its text is that of the cause: the history and the log
+// lines that show it have the instance and the action in fields of their own.
 type ActionError struct {
 	Action   fleet.ActionKind
 	Instance string
@@ -46,7 +54,7 @@
 }
 
 func (e *SupervisorExitError) Error() string {
-	return fmt.Sprintf("the keeper ended with code %d: %s", e.Code, e.LastOutput)
+	return fmt.Sprintf("supervisor exited with code %d: %s", e.Code, e.LastOutput)
 }
 
 // ConfigError reports an instance whose configuration can't be used.
@@ -71,7 +79,7 @@
 // Unwrap returns the cause.
 func (e *ConfigFileError) Unwrap() error { return e.Err }
 
-// WriteOffError reports that the quota store did not write off what a holder has. Its text is Reason alone.
+// WriteOffError reports that the quota store rejected the write-off of a holder. Its text is the reason.
 type WriteOffError struct {
 	Holder string
 	Reason string
@@ -80,8 +88,12 @@
 func (e *WriteOffError) Error() string { return e.Reason }
 
 // ListenConflictError reports two instances of one host that are configured to listen on the same address.
-type ListenConflictError struct{ First, Second, Address string }
+type ListenConflictError struct {
+	First   string // instance
+	Second  string // instance
+	Address string
+}
 
 func (e *ListenConflictError) Error() string {
-	return fmt.Sprintf("%s and %s listen on %s", e.First, e.Second, e.Address)
+	return fmt.Sprintf("instances %s and %s both listen on %s", e.First, e.Second, e.Address)
 }
--- a/internal/agent/errors_test.go
+++ b/internal/agent/errors_test.go
@@ -58,7 +58,7 @@
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
 	}
-	err := a.launch(a.loop.spec, fleet.Action{Kind: fleet.ActionLaunch, Name: "a", Incarnation: "a.1"})
+	err := a.launch(t.Context(), a.loop.spec, fleet.Action{Kind: fleet.ActionLaunch, Name: "a", Incarnation: "a.1"})
 	failed, ok := errors.AsType[*ActionError](err)
 	if !ok || failed.Instance != "a" || failed.Action != fleet.ActionLaunch {
 		t.Fatalf("%v", err)
--- a/internal/agent/history.go
+++ b/internal/agent/history.go
@@ -12,22 +12,26 @@
 )
 
 const (
-	maxCachedEntries = 4096 // of history, for those who watch
-	maxEntriesAtOnce = 256  // that Entries returns
+	maxCachedEntries = 4096 // history entries that a feed holds
+	maxEntriesAtOnce = 256  // history entries that Entries returns
 )
 
-// historyFeed holds the latest history entries for those who watch.
+// historyFeed holds the latest history entries for clients that follow the history.
 type historyFeed struct {
-	mu      sync.Mutex
+	mu      sync.Mutex         // guards the fields below
 	entries []agentstore.Entry // oldest first
 	more    chan struct{}      // closed at the next entry
 }
 
 func newHistoryFeed(saved []agentstore.Entry) historyFeed {
-	return historyFeed{entries: slices.Clone(saved[max(0, len(saved)-maxCachedEntries):]), more: make(chan struct{})}
+	return historyFeed{
+		entries: slices.Clone(saved[max(0, len(saved)-maxCachedEntries):]),
+		more:    make(chan struct{}),
+	}
 }
 
-// publish adds entries and wakes those who wait for more. They have been saved, if anything can be.
+// publish adds entries and wakes the clients that wait for more. The entries are saved, unless the store can't be
+// written.
 func (f *historyFeed) publish(entries []agentstore.Entry) {
 	if len(entries) == 0 {
 		return
@@ -42,8 +46,8 @@
 	f.more = make(chan struct{})
 }
 
-// after returns the entries after a serial, how many before them are no longer cached, and a channel that is closed
-// once there are more.
+// after returns the first entries after a serial, how many before them the feed no longer holds, and a channel that is
+// closed at the next entry.
 func (f *historyFeed) after(serial uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,31 +61,36 @@
 	return slices.Clone(f.entries[first:end]), lost, f.more
 }
 
-// addHistory gives an event its serial and the wall-clock time. It is saved and published by the next flush.
+// addHistory appends an event to the history, with its serial and the wall-clock time. The next flush saves and
+// publishes it.
 func (a *Agent) addHistory(event fleet.HistoryEvent) {
-	entry := agentstore.Entry{Serial: a.loop.nextSerial, UnixMicros: time.Now().UnixMicro(), HistoryEvent: event}
+	entry := agentstore.Entry{
+		Serial:       a.loop.nextSerial,
+		UnixMicros:   time.Now().UnixMicro(),
+		HistoryEvent: event,
+	}
 	a.loop.nextSerial++
 	unsaved := &a.loop.unsaved
 	unsaved.History = append(unsaved.History, entry)
-	if over := len(unsaved.History) - a.options.Bounds.HistoryEntries; over > 0 { // the store can't be written for long
+	if over := len(unsaved.History) - a.options.Bounds.HistoryEntries; over > 0 { // the store has failed for long
 		unsaved.History = unsaved.History[over:]
 	}
 	a.loop.unpublished = append(a.loop.unpublished, entry)
 	slog.Info("fleet", "what", event.Event, "name", event.Name, "command", event.CommandID, "cause", event.Cause)
 }
 
-// Entries returns the latest cached entries after a serial, how many before them are lost to the cache, and a channel
-// that is closed once there are more.
+// Entries returns the first cached entries after a serial, how many before them are no longer cached, and a channel
+// that is closed at the next entry.
 func (a *Agent) Entries(after uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{}) {
 	return a.feed.after(after)
 }
 
-// History reads older entries from the store: the latest of those after a serial, at most so many.
-func (a *Agent) History(after uint64, most int) ([]agentstore.Entry, error) {
+// History reads the latest entries after a serial from the store, at most limit.
+func (a *Agent) History(after uint64, limit int) ([]agentstore.Entry, error) {
 	saved, err := a.options.Store.Load()
 	if err != nil {
 		return nil, err
 	}
 	later := slices.DeleteFunc(saved.History, func(e agentstore.Entry) bool { return e.Serial <= after })
-	return later[max(0, len(later)-most):], nil
+	return later[max(0, len(later)-limit):], nil
 }
--- a/internal/agent/incarnation.go
+++ b/internal/agent/incarnation.go
@@ -7,11 +7,11 @@
 	"milletbarrow/internal/process"
 )
 
-// IncarnationID identifies a process to the quota store: the boot id, the pid and the start time.
+// IncarnationID returns the id by which the quota store knows a process: its boot id, pid and start time.
 func IncarnationID(id process.Identity) string { return fmt.Sprintf("%s/%s", process.Boot(), id) }
 
-// incarnationAlive reports whether a process of this machine runs. An id that can't be read counts as alive: leases of
-// a live process must not be ended.
+// incarnationAlive reports whether a process of this machine runs. An id that can't be parsed counts as alive: the
+// leases of a running process must not be ended.
 func incarnationAlive(incarnationID string) bool {
 	boot, identity, found := strings.Cut(incarnationID, "/")
 	var id process.Identity
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -7,43 +7,48 @@
 	"os/exec"
 	"slices"
 	"syscall"
-	"time"
 
 	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/supervisor"
-	"milletbarrow/monotime"
 )
 
 // ExitSupervisorRunning is the exit code of a supervisor that found another one running.
 const ExitSupervisorRunning = 6
 
 const (
-	supervisorLogFraction = 16  // the log of supervisors is rotated at this part of Bounds.LogBytes
-	maxLastLine           = 300 // bytes of a supervisor's last line that the history shows
-	logMode               = 0o600
+	// supervisorLogFraction divides Bounds.LogFileSize: a supervisor's log is rotated at the result.
+	supervisorLogFraction = 16
+	// maxLastLine is how much of the last line of a supervisor's log the history shows, in bytes.
+	maxLastLine = 300
+	// logMode keeps the log from others on the host.
+	logMode os.FileMode = 0o600
+	// supervisorLogSuffix is appended to the path of the instance's log.
+	supervisorLogSuffix = ".keeper"
+	// supervisorCommand is the sub-command that runs a supervisor. Other releases use it too.
+	supervisorCommand = "keeper"
 )
 
-// launchWhenFree launches once fewer than Bounds.Parallel launches are under way.
+// launchWhenFree launches once fewer than Bounds.ParallelStarts launches are in progress.
 func (a *Agent) launchWhenFree(ctx context.Context, spec *fleet.Spec, action fleet.Action) {
 	select {
 	case a.launchSlots <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	err := a.launch(spec, action)
+	err := a.launch(ctx, spec, action)
 	<-a.launchSlots
 	if err != nil {
-		a.fail(action, err, true)
+		a.reportFailure(action, err, true)
 	}
 }
 
-// launch starts a supervisor, unless one has the incarnation already. The error is an *ActionError; another attempt
-// would not help.
-func (a *Agent) launch(spec *fleet.Spec, action fleet.Action) error {
+// launch starts a supervisor, unless one supervises the incarnation already or the incarnation has ended. The error is
+// an *ActionError; another attempt would not help.
+func (a *Agent) launch(ctx context.Context, spec *fleet.Spec, action fleet.Action) error {
 	paths := supervisor.PathsOf(a.options.Dir, action.Name)
 	state, err := supervisor.ReadState(paths.State)
 	if err == nil && state.Incarnation == action.Incarnation && (state.Ended || state.Supervisor.Alive()) {
-		return nil // the same action came twice
+		return nil // the action is a repetition
 	}
 	failed := func(err error) error {
 		return &ActionError{Action: action.Kind, Instance: action.Name, Err: err}
@@ -52,14 +57,16 @@
 	if err != nil {
 		return failed(err)
 	}
-	logPath := paths.Log + ".keeper"
+	logPath := paths.Log + supervisorLogSuffix
 	log, err := a.openSupervisorLog(logPath)
 	if err != nil {
 		return failed(err)
 	}
-	defer func() { _ = log.Close() }() // the supervisor has a descriptor of its own
-	cmd := exec.Command(a.options.Executable[0], args...)
-	cmd.Stdout, cmd.Stderr = log, log
+	defer func() { _ = log.Close() }() // the supervisor has its own descriptor
+	ctx = context.WithoutCancel(ctx) // the supervisor outlives the agent
+	cmd := exec.CommandContext(ctx, a.options.Executable[0], args...)
+	cmd.Stdout = log
+	cmd.Stderr = log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // signals to the agent's session do not reach it
 	if err := cmd.Start(); err != nil {
 		return failed(err)
@@ -69,7 +76,7 @@
 	return nil
 }
 
-// supervisorArgs is the command line of a supervisor, without the program.
+// supervisorArgs returns the arguments of a supervisor.
 func (a *Agent) supervisorArgs(spec *fleet.Spec, action fleet.Action) ([]string, error) {
 	in := spec.Instance(action.Name)
 	window, err := ReadShutdownWindow(in.ConfigFile)
@@ -77,8 +84,12 @@
 		return nil, &ConfigFileError{File: in.ConfigFile, Err: err}
 	}
 	args := slices.Concat(a.options.Executable[1:], []string{
-		"keeper", "--dir", a.options.Dir, "--name", action.Name, "--run", action.Incarnation,
-		"--grace", duration(window.Grace).String(), "--stop", duration(window.ExitTimeout).String(),
+		supervisorCommand,
+		"--dir", a.options.Dir,
+		"--name", action.Name,
+		"--run", action.Incarnation,
+		"--grace", window.Grace.Duration().String(),
+		"--stop", window.ExitTimeout.Duration().String(),
 		"--config", in.ConfigFile,
 	})
 	if in.DegradationFile != "" {
@@ -95,17 +106,15 @@
 	return slices.Concat(args, []string{"--"}, spec.Program), nil
 }
 
-func duration(d monotime.Micros) time.Duration { return time.Duration(d) * time.Microsecond }
-
-// openSupervisorLog opens the log that the supervisors of one instance share, and rotates one that has grown.
+// openSupervisorLog opens the log of an instance's supervisors, and rotates it if it is too long.
 func (a *Agent) openSupervisorLog(path string) (*os.File, error) {
 	if info, err := os.Stat(path); err == nil && info.Size() > a.options.Bounds.LogFileSize/supervisorLogFraction {
-		_ = os.Rename(path, path+".1") // else the log goes on growing, which must not keep an instance down
+		_ = os.Rename(path, path+".1") // after an error the log grows, which must not keep the instance down
 	}
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, logMode)
 }
 
-// reapSupervisor waits for a supervisor's exit and reports one that never took charge of its incarnation.
+// reapSupervisor waits for a supervisor's exit and reports a failure if it never took charge of its incarnation.
 func (a *Agent) reapSupervisor(cmd *exec.Cmd, action fleet.Action, statePath, logPath string) {
 	_ = cmd.Wait() // the exit code says more
 	code := cmd.ProcessState.ExitCode()
@@ -113,12 +122,12 @@
 		return
 	}
 	if state, err := supervisor.ReadState(statePath); err == nil && state.Incarnation == action.Incarnation {
-		return // it took charge, and its state says what became of the incarnation
+		return // it took charge; the watcher reads the state
 	}
-	a.fail(action, &SupervisorExitError{Code: code, LastOutput: lastLine(logPath)}, false)
+	a.reportFailure(action, &SupervisorExitError{Code: code, LastOutput: lastLine(logPath)}, false)
 }
 
-// lastLine returns the beginning of a file's last line; empty if the file can't be read.
+// lastLine returns the last line of a file, cut to maxLastLine; empty if the file can't be read.
 func lastLine(path string) string {
 	raw, _ := os.ReadFile(path)
 	raw = bytes.TrimSpace(raw)
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -17,15 +17,22 @@
 )
 
 const (
-	maxLease           = monotime.Micros(4_000_000) // that renewals are paced by
-	renewalsPerLease   = 4                          // one or two that are lost cost nothing
-	instanceCallPart   = 8                          // of Bounds.Call: a stopped instance must not hold up the others
-	maxShownRefusals   = 3
-	maxReportedExits   = 10_000 // remembered
-	renewalRoundPauses = 2      // a round of renewals may take this many pauses
+	// maxLease is the longest lease that renewals are paced by.
+	maxLease = 4 * monotime.Second
+	// renewalsPerLease is the number of renewals during the shortest lease, so that one or two may be lost.
+	renewalsPerLease = 4
+	// renewalRoundPauses is how long a round of renewals may take, in pauses between renewals.
+	renewalRoundPauses = 2
+	// instanceCallFraction divides Bounds.CallTimeout: a call of an instance may take the result, so that a stopped
+	// instance does not delay the others.
+	instanceCallFraction = 8
+	// maxShownRefusals is the number of refused requests that a log line names.
+	maxShownRefusals = 3
+	// maxReportedExits is the number of client keys that a renewer remembers as reported.
+	maxReportedExits = 10_000
 )
 
-// renewalPause is the time between two renewals.
+// renewalPause returns the time between two renewals.
 func renewalPause(c *quota.Config) time.Duration {
 	lease := maxLease
 	for _, limit := range c.Limits {
@@ -33,19 +40,23 @@
 			lease = min(lease, limit.Lease)
 		}
 	}
-	return time.Duration(lease/renewalsPerLease) * time.Microsecond
+	return (lease / renewalsPerLease).Duration()
 }
 
 // leaseRenewer renews the leases of this host's instances. It belongs to one goroutine.
 type leaseRenewer struct {
-	agent         *Agent
-	clients       map[string]*admin.Client // by instance
-	reportedExits map[string]bool          // by client key: the quota store knows that it has exited
+	agent            *Agent
+	clientByInstance map[string]*admin.Client
+	reportedExits    map[string]bool // client keys whose exit the quota store knows
 }
 
-// renewLeases renews what this host's instances hold, until ctx ends.
+// renewLeases renews the leases of this host's instances until ctx ends.
 func (a *Agent) renewLeases(ctx context.Context) {
-	r := &leaseRenewer{agent: a, clients: map[string]*admin.Client{}, reportedExits: map[string]bool{}}
+	r := &leaseRenewer{
+		agent:            a,
+		clientByInstance: map[string]*admin.Client{},
+		reportedExits:    map[string]bool{},
+	}
 	defer r.close()
 	lastProblem := ""
 	for {
@@ -67,8 +78,8 @@
 	}
 }
 
-// leaseHolders returns the names of the instances that have an incarnation, and the quotas of the fleet file. There are
-// none while the loop does not answer or the file has no quotas.
+// leaseHolders returns the names of the instances that have an incarnation, and the quotas of the fleet file. It
+// returns no names and no quotas if the loop does not answer or the file has no quotas.
 func (a *Agent) leaseHolders() ([]string, *quota.Config) {
 	var names []string
 	var config *quota.Config
@@ -86,27 +97,36 @@
 	return names, config
 }
 
+// close closes the clients of the instances.
 func (r *leaseRenewer) close() {
-	for _, client := range r.clients {
+	for _, client := range r.clientByInstance {
 		client.Close()
 	}
 }
 
-// forEach calls do for each instance, at most Bounds.FanOut at a time.
-func (r *leaseRenewer) forEach(ctx context.Context, names []string, do func(ctx context.Context, i int, c *admin.Client)) {
+// client returns the client of an instance.
+func (r *leaseRenewer) client(name string) *admin.Client {
+	client := r.clientByInstance[name]
+	if client == nil {
+		client = admin.NewClient(supervisor.PathsOf(r.agent.options.Dir, name).Admin, r.agent.options.Bounds)
+		r.clientByInstance[name] = client
+	}
+	return client
+}
+
+// forEach calls do for each instance, with its index in names, at most Bounds.FanOut at a time.
+func (r *leaseRenewer) forEach(
+	ctx context.Context, names []string, do func(ctx context.Context, i int, c *admin.Client),
+) {
 	bounds := r.agent.options.Bounds
 	var calls sync.WaitGroup
 	slots := make(chan struct{}, bounds.FanOut)
 	for i, name := range names {
-		client := r.clients[name]
-		if client == nil {
-			client = admin.NewClient(supervisor.PathsOf(r.agent.options.Dir, name).Admin, bounds)
-			r.clients[name] = client
-		}
+		client := r.client(name)
 		calls.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(ctx, bounds.CallTimeout/instanceCallPart)
+			ctx, cancel := context.WithTimeout(ctx, bounds.CallTimeout/instanceCallFraction)
 			defer cancel()
 			do(ctx, i, client)
 		})
@@ -114,8 +134,8 @@
 	calls.Wait()
 }
 
-// renew sends the lease requests of all instances to the quota store at once, and its responses back to them. It
-// returns what went wrong; empty: nothing.
+// renew sends the lease requests of all instances to the quota store in one command, and gives the instances its
+// responses. It returns what went wrong; empty: nothing.
 func (r *leaseRenewer) renew(ctx context.Context, names []string) (problem string) {
 	requests := r.collectRequests(ctx, names)
 	command := &quota.RenewCommand{Host: r.agent.options.Host}
@@ -134,7 +154,7 @@
 	return refusals(result.Answers)
 }
 
-// collectRequests asks each instance what it needs; the request of one that does not answer has no number.
+// collectRequests gets the lease request of each instance. It is zero for an instance that does not answer.
 func (r *leaseRenewer) collectRequests(ctx context.Context, names []string) []backendquota.LeaseRequest {
 	requests := make([]backendquota.LeaseRequest, len(names))
 	r.forEach(ctx, names, func(ctx context.Context, i int, c *admin.Client) {
@@ -156,11 +176,11 @@
 		if at < 0 || responses[at].Refusal != "" {
 			return
 		}
-		_ = c.ApplyLease(ctx, responses[at]) // one that is lost is made up for by the next renewal
+		_ = c.ApplyLease(ctx, responses[at]) // after an error, the next renewal makes up for it
 	})
 }
 
-// refusals names the first requests that were refused, and why.
+// refusals returns the names of the first instances whose requests were refused, with the reasons.
 func refusals(responses []backendquota.LeaseResponse) string {
 	var refused []string
 	for _, response := range responses {
@@ -171,11 +191,12 @@
 	return strings.Join(refused[:min(len(refused), maxShownRefusals)], "; ")
 }
 
-// reportExits tells the quota store which of this host's clients have exited; their processes are looked for here.
+// reportExits reports to the quota store the clients of this host whose processes have exited.
 func (r *leaseRenewer) reportExits(ctx context.Context, clientKeys []string) {
 	command := &quota.ExitCommand{Host: r.agent.options.Host}
 	for _, key := range clientKeys {
-		if _, incarnationID, _ := strings.Cut(key, " "); !incarnationAlive(incarnationID) && !r.reportedExits[key] {
+		_, incarnationID, _ := strings.Cut(key, " ")
+		if !incarnationAlive(incarnationID) && !r.reportedExits[key] {
 			command.ClientKeys = append(command.ClientKeys, key)
 		}
 	}
@@ -191,14 +212,17 @@
 	}
 }
 
-// recordClusterEvents writes what the quota store reported into the history.
+// recordClusterEvents appends the events of the quota store to the history.
 func (a *Agent) recordClusterEvents() {
 	for {
 		select {
 		case event := <-a.options.Cluster.Events():
 			err := a.call(func(now monotime.Micros) {
 				a.addHistory(fleet.HistoryEvent{
-					At: now, Name: event.Name, Event: strings.TrimSpace(event.Limit + " " + event.Kind), Cause: event.Cause,
+					At:    now,
+					Name:  event.Name,
+					Event: strings.TrimSpace(event.Limit + " " + event.Kind),
+					Cause: event.Cause,
 				})
 			})
 			if err != nil {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -9,14 +9,14 @@
 	"milletbarrow/monotime"
 )
 
-// idleFactor stretches the pause between ticks while nothing is under way.
+// idleFactor lengthens the pause between ticks while no command or action is in progress.
 const idleFactor = 10
 
 // Run manages the instances until ctx ends, and returns when its goroutines have ended. Instances and their
-// supervisors go on.
+// supervisors keep running.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.tasks.Wait()
-	defer close(a.stopped) // first: tasks that wait for the loop end by it
+	defer close(a.stopped) // runs first: it ends tasks that wait for the loop
 	a.watchInstances(ctx)
 	if a.options.Cluster != nil {
 		a.tasks.Go(func() { a.renewLeases(ctx) })
@@ -31,7 +31,7 @@
 			return
 		case call := <-a.calls:
 			a.runCalls(call)
-			if a.loop.machine != watched { // reloaded
+			if a.loop.machine != watched { // the call was a reload
 				a.watchInstances(ctx)
 				watched = a.loop.machine
 			}
@@ -44,7 +44,7 @@
 	}
 }
 
-// runCalls runs a call and all that have gathered behind it, so that one write saves what they decide.
+// runCalls runs a call and all that wait behind it, so that one write saves their decisions.
 func (a *Agent) runCalls(call func(monotime.Micros)) {
 	now := process.Now()
 	call(now)
@@ -58,6 +58,7 @@
 	}
 }
 
+// tickPause returns the time until the next tick.
 func (a *Agent) tickPause() time.Duration {
 	if a.loop.machine.Idle(process.Now()) && a.loop.storeErr == nil {
 		return idleFactor * a.options.Bounds.TickInterval
@@ -65,7 +66,8 @@
 	return a.options.Bounds.TickInterval
 }
 
-// decide feeds the machine an event. Its actions and history wait for flush.
+// decide feeds an event to the machine and keeps the resulting actions and history for flush. The error says why a
+// command was rejected.
 func (a *Agent) decide(now monotime.Micros, ev fleet.Event) error {
 	actions, events, err := a.loop.machine.Decide(now, ev)
 	a.loop.actions = append(a.loop.actions, actions...)
@@ -75,10 +77,10 @@
 	return err
 }
 
-// handle is decide for an event that nobody waits for: an error would say why a command was rejected.
+// handle feeds an event to the machine for which no caller waits.
 func (a *Agent) handle(now monotime.Micros, ev fleet.Event) { _ = a.decide(now, ev) }
 
-// post gives the loop an event, unless it has ended.
+// post has the loop handle an event, unless the loop has ended.
 func (a *Agent) post(ev fleet.Event) {
 	select {
 	case <-a.stopped:
@@ -86,8 +88,9 @@
 	}
 }
 
-// flush saves what was decided, then starts the actions. While the store can't be written nothing new is begun, but
-// what is under way goes on: a shutdown notice or a kill that was decided on must not wait for a disk.
+// flush saves the decisions since the last flush, answers the callers that wait for it, then starts the actions. While
+// the store can't be written, actions that start something new are left out; a shutdown notice or a kill must not wait
+// for a disk.
 func (a *Agent) flush(ctx context.Context) {
 	a.save()
 	for _, waiter := range a.loop.waiters {
@@ -98,7 +101,7 @@
 	a.loop.actions = nil
 	for _, action := range actions {
 		if a.loop.storeErr != nil && action.StartsNew() {
-			continue // it stays pending, and the machine gives it out again
+			continue // it stays pending, and the machine returns it again
 		}
 		a.start(ctx, action)
 	}
@@ -106,7 +109,7 @@
 	a.loop.unpublished = nil
 }
 
-// call runs f in the loop and waits until what it read or changed has been saved: nobody may be given a result that
+// call runs f in the loop and waits until the state that f read or changed is saved: no caller may get a result that
 // the next agent would not know. Errors are *agentapi.StatusError; after one f may still run.
 func (a *Agent) call(f func(now monotime.Micros)) error {
 	saved := make(chan struct{})
@@ -120,7 +123,7 @@
 	case <-a.stopped:
 		return errStopped
 	case <-timeout.C:
-		return unavailable("the agent is busy")
+		return errBusy
 	}
 	select {
 	case <-saved:
@@ -128,6 +131,6 @@
 	case <-a.stopped:
 		return errStopped
 	case <-timeout.C:
-		return unavailable("the agent is busy; ask again what became of it")
+		return errNotSavedInTime
 	}
 }
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -142,10 +142,10 @@
 	a := mustNewIdleAgent(t, store)
 	ctx := t.Context()
 	watched := func(incarnation string) bool {
-		current, _ := a.loop.watchers["a"].current()
+		current, _ := a.loop.watcherByInstance["a"].current()
 		return current == incarnation
 	}
-	a.loop.watchers["a"] = &watcher{name: "a"}
+	a.loop.watcherByInstance["a"] = &watcher{name: "a"}
 	a.loop.actions = []fleet.Action{{Kind: fleet.ActionLaunch, Name: "a", ID: "a.1", Incarnation: "a.1"}}
 	a.flush(ctx)
 	if watched("a.1") {
@@ -227,7 +227,7 @@
 		{agentapi.CommandRequest{TimeoutMicros: day}, ""},
 		{agentapi.CommandRequest{TimeoutMicros: 0}, "within_us: 0 is not above 0 and at most a day"},
 		{agentapi.CommandRequest{TimeoutMicros: day + 1}, fmt.Sprintf("within_us: %d is not above 0 and at most a day", day+1)},
-		{agentapi.CommandRequest{TimeoutMicros: 1, RequestedBy: strings.Repeat("x", 101)}, "by: over 100 bytes"},
+		{agentapi.CommandRequest{TimeoutMicros: 1, RequestedBy: strings.Repeat("x", 101)}, "by: 101 bytes, expected at most 100"},
 	} {
 		err := checkRequest(&c.request)
 		var rejection *agentapi.StatusError
@@ -344,7 +344,7 @@
 		}
 		a.observe(t.Context(), fleet.InstanceObserved{Name: "a", Observation: observation}, report)
 		(<-a.calls)(process.Now())
-		return a.loop.status(process.Now()).Instances[0]
+		return statusOf(a)
 	}
 	want := func(what string, got agentapi.Instance, pid int) {
 		t.Helper()
@@ -365,7 +365,7 @@
 	if err := reloadIdle(t, a, a.loop.spec); err != nil {
 		t.Fatal(err)
 	}
-	want("reloaded", a.loop.status(process.Now()).Instances[0], 0)
+	want("reloaded", statusOf(a), 0)
 	want("reported again", observe(ready, 80), 80)
 	exited := ready
 	exited.Phase = fleet.PhaseExited
@@ -387,12 +387,19 @@
 func TestLaunchTwice(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	writeState(t, a.options.Dir, supervisor.State{Name: "a", Incarnation: "a.1", Ended: true})
-	if err := a.launch(a.loop.spec, fleet.Action{Kind: fleet.ActionLaunch, Name: "a", Incarnation: "a.1"}); err != nil {
+	if err := a.launch(t.Context(), a.loop.spec, fleet.Action{Kind: fleet.ActionLaunch, Name: "a", Incarnation: "a.1"}); err != nil {
 		t.Errorf("the ended incarnation was launched again: %v", err)
 	}
-	err := a.launch(a.loop.spec, fleet.Action{Kind: fleet.ActionLaunch, Name: "a", Incarnation: "a.2"})
+	err := a.launch(t.Context(), a.loop.spec, fleet.Action{Kind: fleet.ActionLaunch, Name: "a", Incarnation: "a.2"})
 	var failed *ActionError
 	if !errors.As(err, &failed) || failed.Instance != "a" || failed.Action != fleet.ActionLaunch || !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v", err)
 	}
 }
+
+// statusOf returns the status of an idle agent's first instance.
+func statusOf(a *Agent) agentapi.Instance {
+	var s agentapi.Status
+	a.loop.addStatus(process.Now(), &s)
+	return s.Instances[0]
+}
--- a/internal/agent/restore.go
+++ b/internal/agent/restore.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+	"slices"
 
 	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/fleet"
@@ -9,7 +10,7 @@
 	"milletbarrow/monotime"
 )
 
-// restore brings the saved state into a new machine and decides on intents that an earlier agent left.
+// restore restores the saved state into a new machine and decides on the intents that the previous agent left.
 func (a *Agent) restore(saved *agentstore.State) error {
 	rebooted := saved.BootID != "" && saved.BootID != process.Boot()
 	if saved.BootID != process.Boot() {
@@ -29,6 +30,7 @@
 	return nil
 }
 
+// newMachine returns the machine of this host's instances, without state.
 func (a *Agent) newMachine(s *fleet.Spec) *fleet.Machine {
 	config := fleet.DefaultConfig(a.options.Bounds, a.options.Seed)
 	return fleet.New(s, a.options.Host, config, func(in *fleet.InstanceSpec) fleet.ShutdownWindow {
@@ -40,27 +42,24 @@
 	})
 }
 
-// adoptUnrecorded adds instances that run although the store does not know them.
+// adoptUnrecorded adds to the saved state the running instances that it lacks.
 func (a *Agent) adoptUnrecorded(saved *agentstore.State) {
-	recorded := map[string]bool{}
-	for _, in := range saved.Instances {
-		recorded[in.Name] = true
-	}
 	for _, in := range a.loop.spec.InstancesOn(a.options.Host) {
-		if recorded[in.Name] {
+		recorded := slices.ContainsFunc(saved.Instances, func(s fleet.Instance) bool { return s.Name == in.Name })
+		if recorded {
 			continue
 		}
 		adopted, running := fleet.AdoptUnrecorded(in.Name, a.supervisorRecord(in.Name))
 		if !running {
 			continue
 		}
-		slog.Warn("adopt", "name", in.Name, "run", adopted.Incarnation, "why", "the record does not know it")
+		slog.Warn("adopt", "name", in.Name, "run", adopted.Incarnation, "why", "the store does not have it")
 		saved.Instances = append(saved.Instances, adopted)
 	}
 }
 
-// Reload uses a changed fleet file from now on. It fails, and changes nothing, if an instance runs here that the file
-// does not name any more.
+// Reload puts a changed fleet file into use. If it does not name an instance that runs here, it changes nothing and
+// returns an *UnnamedInstanceError. Other errors are *agentapi.StatusError.
 func (a *Agent) Reload(s *fleet.Spec) error {
 	var rejected error
 	err := a.call(func(now monotime.Micros) {
@@ -68,10 +67,12 @@
 			rejected = &UnnamedInstanceError{Instance: unnamed[0]}
 			return
 		}
+		const rebooted = false
 		machine := a.newMachine(s)
-		machine.Restore(now, a.loop.machine.Snapshot(), false)
-		a.loop.machine, a.loop.spec = machine, s
-		clear(a.loop.reports) // the new machine has observed nothing yet
+		machine.Restore(now, a.loop.machine.Snapshot(), rebooted)
+		a.loop.machine = machine
+		a.loop.spec = s
+		clear(a.loop.reportByInstance) // the new machine has observed nothing yet
 		if a.options.Cluster != nil && s.Quotas != nil {
 			a.options.Cluster.SetConfig(s.Quotas, s.QuotaHosts)
 		}
--- a/internal/agent/save.go
+++ b/internal/agent/save.go
@@ -11,7 +11,7 @@
 	"milletbarrow/monotime"
 )
 
-// save writes what is not written yet. After an error it stays unsaved, and is written with what follows.
+// save writes the unsaved changes. After an error they stay unsaved, and are written together with later ones.
 func (a *Agent) save() {
 	snapshot, deleted := a.loop.machine.Changes()
 	mergeChange(&a.loop.unsaved, agentstore.Change{Snapshot: snapshot, DeletedCommands: deleted})
@@ -19,20 +19,25 @@
 		return
 	}
 	err := a.options.Store.Save(a.loop.unsaved)
+	a.loop.setStoreErr(err)
+	if err == nil {
+		a.loop.unsaved = agentstore.Change{}
+	}
+}
+
+// setStoreErr records why the store can't be written, nil if it can, and logs when that changes.
+func (l *loopState) setStoreErr(err error) {
 	switch {
-	case err != nil && a.loop.storeErr == nil:
+	case err != nil && l.storeErr == nil:
 		slog.Error("store", "written", false, "error", err.Error())
-	case err == nil && a.loop.storeErr != nil:
+	case err == nil && l.storeErr != nil:
 		slog.Info("store", "written", true)
 	}
-	a.loop.storeErr = err
-	if err == nil {
-		a.loop.unsaved = agentstore.Change{}
-	}
+	l.storeErr = err
 }
 
-// mergeChange adds a later change to one that is still to be written: the later state of an instance or a command
-// replaces the earlier, and a deleted command is not written.
+// mergeChange adds a later change to one that is not written yet: the later state of an instance or command replaces
+// the earlier one, and a deleted command is not written.
 func mergeChange(to *agentstore.Change, later agentstore.Change) {
 	for _, in := range later.Instances {
 		to.Instances = replaceOrAppend(to.Instances, in, func(o fleet.Instance) bool { return o.Name == in.Name })
@@ -46,6 +51,7 @@
 	})
 }
 
+// replaceOrAppend replaces the first item of the list that is the same, or appends the item if there is none.
 func replaceOrAppend[T any](list []T, item T, same func(T) bool) []T {
 	if i := slices.IndexFunc(list, same); i >= 0 {
 		list[i] = item
@@ -54,15 +60,13 @@
 	return append(list, item)
 }
 
-// saveIntent makes a command durable before anything is decided. What can't be saved is not accepted.
+// saveIntent saves a command before the machine decides on it. A command that can't be saved is rejected.
 func (a *Agent) saveIntent(now monotime.Micros, r agentapi.CommandRequest) error {
 	if a.loop.storeErr == nil {
-		err := a.options.Store.Save(agentstore.Change{Intent: newCommand(now, r)})
-		if err == nil {
-			return nil
-		}
-		a.loop.storeErr = err
-		slog.Error("store", "written", false, "error", err.Error())
+		a.loop.setStoreErr(a.options.Store.Save(agentstore.Change{Intent: newCommand(now, r)}))
+	}
+	if a.loop.storeErr != nil {
+		return unavailable(fmt.Sprintf("command rejected, its intent can't be saved: %v", a.loop.storeErr))
 	}
-	return unavailable(fmt.Sprintf("nothing new is taken: the record can't be written: %v", a.loop.storeErr))
+	return nil
 }
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -10,52 +10,66 @@
 	"milletbarrow/monotime"
 )
 
-// Status returns the state of the agent and its instances. If the loop does not answer in time, StoreError says so.
+// Status returns the state of the agent and its instances. If the loop does not answer in time, StoreError says so and
+// there are no instances.
 func (a *Agent) Status() agentapi.Status {
+	now := process.Now()
 	s := agentapi.Status{
-		Version: agentapi.Version, Host: a.options.Host, Build: a.options.Build, PID: os.Getpid(),
-		MonotonicMicros: int64(process.Now()), UptimeMicros: int64(process.Now() - a.startedAt),
+		Version:         agentapi.Version,
+		Host:            a.options.Host,
+		Build:           a.options.Build,
+		PID:             os.Getpid(),
+		MonotonicMicros: int64(now),
+		UptimeMicros:    int64(now - a.startedAt),
 	}
-	var loop agentapi.Status
-	if err := a.call(func(now monotime.Micros) { loop = a.loop.status(now) }); err != nil {
+	complete := s // a copy, as the loop may still write to it after an error of call
+	err := a.call(func(now monotime.Micros) { a.loop.addStatus(now, &complete) })
+	if err != nil {
 		s.StoreError = err.Error()
 		return s
 	}
-	s.Fleet, s.LastSerial, s.StoreError = loop.Fleet, loop.LastSerial, loop.StoreError
-	s.Instances, s.OpenCommands = loop.Instances, loop.OpenCommands
-	return s
+	return complete
 }
 
-// status fills in what the loop owns.
-func (l *loopState) status(now monotime.Micros) agentapi.Status {
-	s := agentapi.Status{Fleet: l.spec.Name, LastSerial: l.nextSerial - 1}
+// addStatus adds to a status what the loop owns.
+func (l *loopState) addStatus(now monotime.Micros, s *agentapi.Status) {
+	s.Fleet = l.spec.Name
+	s.LastSerial = l.nextSerial - 1
 	if l.storeErr != nil {
 		s.StoreError = l.storeErr.Error()
 	}
 	for _, name := range l.machine.Names() {
 		in, _ := l.machine.Instance(name)
-		s.Instances = append(s.Instances, instanceStatus(now, in, l.reports[name]))
+		s.Instances = append(s.Instances, instanceStatus(now, in, l.reportByInstance[name]))
 	}
 	for _, c := range l.machine.Commands() {
 		if c.State != fleet.CommandDone {
 			s.OpenCommands = append(s.OpenCommands, c)
 		}
 	}
-	return s
 }
 
 // instanceStatus joins the machine's state of an instance with the latest report of its supervisor, which may be nil.
 func instanceStatus(now monotime.Micros, in fleet.Instance, report *supervisor.Report) agentapi.Instance {
 	s := agentapi.Instance{
-		Name: in.Name, Group: in.Group, Spare: in.Spare, DesiredUp: in.DesiredUp, Phase: in.Phase,
-		PhaseAgeMicros: int64(now - in.PhaseSince), Cause: in.Cause, Task: in.CommandID,
-		RecentRestarts: len(in.LaunchBudget.Attempts), Settled: in.Settled(now),
+		Name:           in.Name,
+		Group:          in.Group,
+		Spare:          in.Spare,
+		DesiredUp:      in.DesiredUp,
+		Phase:          in.Phase,
+		PhaseAgeMicros: int64(now - in.PhaseSince),
+		Cause:          in.Cause,
+		Task:           in.CommandID,
+		RecentRestarts: len(in.LaunchBudget.Attempts),
+		Settled:        in.Settled(now),
 	}
 	if in.PhaseDeadline != 0 {
 		s.TimeLeftMicros = int64(in.PhaseDeadline - now)
 	}
 	if report != nil && report.Observation.Incarnation == in.Incarnation && !in.Phase.Down() {
-		s.PID, s.SupervisorPID, s.State = report.Record.Instance.PID, report.Record.Supervisor.PID, report.State
+		s.PID = report.Record.Instance.PID
+		s.SupervisorPID = report.Record.Supervisor.PID
+		s.State = report.State
 	}
 	return s
 }
--- a/internal/agent/units.go
+++ b/internal/agent/units.go
@@ -7,45 +7,53 @@
 	"milletbarrow/internal/fleet"
 )
 
-// acquireUnit asks the quota store for a unit. Without an answer nothing is known, and the machine asks again with the
-// same request id.
+// acquireUnit requests a unit from the quota store. It reports nothing if the store does not answer: the machine then
+// requests it again with the same request id.
 func (a *Agent) acquireUnit(ctx context.Context, action fleet.Action) {
 	held := fleet.HeldUnit{Name: action.Name, Quota: action.Unit.Quota, RequestID: action.ID}
 	if a.options.Cluster == nil {
 		a.post(fleet.UnitAcquired{HeldUnit: held, Cause: errNoQuotas.Text})
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*a.options.Bounds.CallTimeout)
-	defer cancel()
-	result, err := a.options.Cluster.Do(ctx, quota.Command{Acquire: a.permitCommand(action)})
+	result, err := a.doUnitCommand(ctx, quota.Command{Acquire: a.permitCommand(action)})
 	if err != nil {
 		return
 	}
 	a.post(fleet.UnitAcquired{HeldUnit: held, Granted: result.Rejection == "", Cause: result.Rejection})
 }
 
-// releaseUnit gives a unit back to the quota store; without an answer the machine asks again.
+// releaseUnit returns a unit to the quota store. If the store does not answer, the machine releases it again.
 func (a *Agent) releaseUnit(ctx context.Context, action fleet.Action) {
 	if a.options.Cluster == nil {
-		a.acquireUnit(ctx, action) // answers that there are no quotas
+		a.acquireUnit(ctx, action) // reports that there are no quotas
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*a.options.Bounds.CallTimeout)
-	defer cancel()
 	command := a.permitCommand(action)
 	command.Outcome = &action.StartResult
-	if _, err := a.options.Cluster.Do(ctx, quota.Command{Release: command}); err == nil {
+	if _, err := a.doUnitCommand(ctx, quota.Command{Release: command}); err == nil {
 		a.post(fleet.UnitReleased{Name: action.Name, RequestID: action.ID})
 	}
 }
 
+// doUnitCommand has the quota store apply a command. It waits longer than a client's call: no client waits for it.
+func (a *Agent) doUnitCommand(ctx context.Context, c quota.Command) (quota.Result, error) {
+	const callTimeouts = 2
+	ctx, cancel := context.WithTimeout(ctx, callTimeouts*a.options.Bounds.CallTimeout)
+	defer cancel()
+	return a.options.Cluster.Do(ctx, c)
+}
+
+// permitCommand returns the command that acquires or releases the unit of an action.
 func (a *Agent) permitCommand(action fleet.Action) *quota.PermitCommand {
 	return &quota.PermitCommand{
-		Limit: action.Unit.Quota, Name: action.Name, Host: a.options.Host, AcquireID: action.ID,
+		Limit:     action.Unit.Quota,
+		Name:      action.Name,
+		Host:      a.options.Host,
+		AcquireID: action.ID,
 	}
 }
 
-// reportHeldUnits gives the loop the units that the quota store has this host's instances hold.
+// reportHeldUnits reports to the loop the units that this host's instances hold, by the quota store.
 func (a *Agent) reportHeldUnits(permits []quota.Permit) {
 	if len(permits) == 0 {
 		return
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -11,16 +11,16 @@
 	"milletbarrow/monotime"
 )
 
-// watcher says which incarnation of an instance is to be watched.
+// watcher says which incarnation of an instance is watched.
 type watcher struct {
 	name string // of the instance
 
-	mu          sync.Mutex
+	mu          sync.Mutex    // guards the fields below
 	incarnation string        // empty: none
 	changed     chan struct{} // closed at the next restart
 }
 
-// restart has an incarnation watched, from the beginning.
+// restart has an incarnation watched, from its first report on.
 func (w *watcher) restart(incarnation string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -31,20 +31,21 @@
 	w.changed = make(chan struct{})
 }
 
+// current returns the incarnation that is watched, and a channel that is closed at the next restart.
 func (w *watcher) current() (incarnation string, changed <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.incarnation, w.changed
 }
 
-// watchInstances has each instance of the machine watched, from the beginning.
+// watchInstances has each instance of the machine watched, from its first report on.
 func (a *Agent) watchInstances(ctx context.Context) {
 	for _, name := range a.loop.machine.Names() {
 		in, _ := a.loop.machine.Instance(name)
-		w, known := a.loop.watchers[name]
+		w, known := a.loop.watcherByInstance[name]
 		if !known {
 			w = &watcher{name: name}
-			a.loop.watchers[name] = w
+			a.loop.watcherByInstance[name] = w
 		}
 		w.restart(in.Incarnation)
 		if !known {
@@ -53,7 +54,18 @@
 	}
 }
 
-// watch polls the supervisor of an instance until ctx ends, and gives the loop what it reports.
+// watchLaunched has the incarnation of a launch watched, unless it is already. It belongs to the loop.
+func (a *Agent) watchLaunched(action fleet.Action) {
+	w := a.loop.watcherByInstance[action.Name]
+	if w == nil {
+		return
+	}
+	if incarnation, _ := w.current(); incarnation != action.Incarnation {
+		w.restart(action.Incarnation)
+	}
+}
+
+// watch polls the supervisor of an instance until ctx ends, and gives the loop its reports.
 func (a *Agent) watch(ctx context.Context, w *watcher) {
 	client := supervisor.NewClient(a.options.Dir, w.name, a.options.Bounds)
 	defer client.Close()
@@ -69,24 +81,30 @@
 	}
 }
 
-// watchIncarnation returns when the incarnation has ended, when changed is closed, or when ctx ends.
+// noSerial asks a supervisor for its present report: the serials of reports begin at 0.
+const noSerial = -1
+
+// watchIncarnation polls the supervisor of an incarnation until the incarnation has ended, changed is closed, or ctx
+// ends.
 func (a *Agent) watchIncarnation(
 	ctx context.Context, client *supervisor.Client, name, incarnation string, changed <-chan struct{},
 ) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	a.tasks.Go(func() { // ends the long poll
+	a.tasks.Go(func() { // ends a long poll
 		select {
 		case <-changed:
 			cancel()
 		case <-ctx.Done():
 		}
 	})
-	missed, after := 0, -1
+	serial := noSerial
+	missedPolls := 0 // in a row
 	for ctx.Err() == nil {
-		report, err := client.Report(ctx, after)
+		report, err := client.Report(ctx, serial)
 		if err == nil && report.Observation.Incarnation == incarnation {
-			missed, after = 0, report.Serial
+			missedPolls = 0
+			serial = report.Serial
 			a.observe(ctx, fleet.InstanceObserved{Name: name, Observation: report.Observation}, &report)
 			if report.Observation.Phase == fleet.PhaseExited {
 				return
@@ -96,45 +114,59 @@
 		if ctx.Err() != nil {
 			return
 		}
-		missed++
-		after = -1 // another supervisor may answer next, and it counts from the beginning
-		verdict := a.interpretSilence(name, incarnation, missed)
-		if verdict.Decided {
-			a.observe(ctx, fleet.InstanceObserved{Name: name, Observation: verdict.Observation, Unrecorded: !verdict.Recorded}, nil)
-		}
-		if verdict.Ended() {
+		missedPolls++
+		serial = noSerial // the next answer may come from another supervisor, which has serials of its own
+		if a.observeSilence(ctx, name, incarnation, missedPolls) {
 			return
 		}
-		select {
-		case <-time.After(min(a.options.Bounds.PollInterval*time.Duration(missed), a.options.Bounds.IdlePollInterval)):
-		case <-ctx.Done():
+		a.pauseAfterMissedPoll(ctx, missedPolls)
+	}
+}
+
+// observeSilence gives the loop what the silence of a supervisor means, once that is known, and reports whether the
+// incarnation has ended.
+func (a *Agent) observeSilence(ctx context.Context, name, incarnation string, missedPolls int) (ended bool) {
+	verdict := fleet.SupervisorSilence{
+		Incarnation: incarnation,
+		MissedPolls: missedPolls,
+		Record:      a.supervisorRecord(name),
+	}.Interpret()
+	if verdict.Decided {
+		observed := fleet.InstanceObserved{
+			Name:        name,
+			Observation: verdict.Observation,
+			Unrecorded:  !verdict.Recorded,
 		}
+		a.observe(ctx, observed, nil)
+	}
+	return verdict.Ended()
+}
+
+// pauseAfterMissedPoll waits longer after each further missed poll, up to Bounds.IdlePollInterval.
+func (a *Agent) pauseAfterMissedPoll(ctx context.Context, missedPolls int) {
+	pause := min(a.options.Bounds.PollInterval*time.Duration(missedPolls), a.options.Bounds.IdlePollInterval)
+	select {
+	case <-time.After(pause):
+	case <-ctx.Done():
 	}
 }
 
-// observe gives the loop an observation, with the supervisor's report that it comes from; nil: the supervisor is silent.
+// observe gives the loop an observation, with the supervisor's report that it comes from; nil: the supervisor is
+// silent.
 func (a *Agent) observe(ctx context.Context, observed fleet.InstanceObserved, report *supervisor.Report) {
 	select {
 	case <-ctx.Done():
 	case a.calls <- func(now monotime.Micros) {
 		in, _ := a.loop.machine.Instance(observed.Name)
 		if in.Incarnation == observed.Observation.Incarnation && !observed.Unrecorded {
-			a.loop.reports[observed.Name] = report
+			a.loop.reportByInstance[observed.Name] = report
 		}
 		a.handle(now, observed)
 	}:
 	}
 }
 
-// interpretSilence finds out what became of an incarnation whose supervisor does not answer, from the supervisor's
-// record and from the processes that it names.
-func (a *Agent) interpretSilence(name, incarnation string, missedPolls int) fleet.SilenceVerdict {
-	return fleet.SupervisorSilence{
-		Incarnation: incarnation, MissedPolls: missedPolls, Record: a.supervisorRecord(name),
-	}.Interpret()
-}
-
-// supervisorRecord reads what the supervisor of an instance wrote down, and looks for its processes.
+// supervisorRecord reads the state file of an instance's supervisor, and looks whether its processes run.
 func (a *Agent) supervisorRecord(name string) fleet.SupervisorRecord {
 	state, err := supervisor.ReadState(supervisor.PathsOf(a.options.Dir, name).State)
 	switch {
@@ -144,7 +176,13 @@
 		return fleet.SupervisorRecord{State: fleet.RecordUnreadable, Cause: err.Error()}
 	}
 	return fleet.SupervisorRecord{
-		State: fleet.RecordRead, Incarnation: state.Incarnation, Ended: state.Ended, Exit: state.End, NoticeID: state.NoticeID,
-		NotifiedAt: state.NotifiedAt, SupervisorAlive: state.Supervisor.Alive(), InstanceAlive: state.Instance.Alive(),
+		State:           fleet.RecordRead,
+		Incarnation:     state.Incarnation,
+		Ended:           state.Ended,
+		Exit:            state.End,
+		NoticeID:        state.NoticeID,
+		NotifiedAt:      state.NotifiedAt,
+		SupervisorAlive: state.Supervisor.Alive(),
+		InstanceAlive:   state.Instance.Alive(),
 	}
 }
