--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -242,7 +242,7 @@
 		"(budgets (ledger h1) (budget b (rate 10) (tenant t) (floor 3)))":                              "f.sx:3:53: fleet.budgets.budget.floor: the floors of 4 backends sum up to 12, the total is 10",
 		"(budgets (ledger h1) (budget b (rate 10) (tenant t) (lease 1s) (margin 2s)))":                 "f.sx:3:53: fleet.budgets.budget.lease: 1000 ms is not longer than its margin, 2000 ms",
 		"(budgets (ledger h1) (budget b (rate 10) (tenant t) (lease 10s) (margin 50ms)))":              "budget.margin: 50 ms is less than 100 ms",
-		"(budgets (ledger h1 h2) (budget b (count 2)))":                                                "f.sx:3:10: fleet.budgets.ledger: a group of two stands still",
+		"(budgets (ledger h1 h2) (budget b (count 2)))":                                                "f.sx:3:10: fleet.budgets.ledger: a group of two tolerates no failure",
 		"(budgets (ledger h9) (budget b (count 2)))":                                                   `"h9" is no host of this file`,
 		"(budgets (ledger h1) (budget b (count 2) (rate 3)))":                                          "wanted either (rate UNITS-A-SECOND) or (count UNITS)",
 		"(budgets (ledger h1) (budget b (count 2)) (budget b (count 2)))":                              `budget "b" stands twice`,
