--- a/internal/cluster/membership/address.go
+++ b/internal/cluster/membership/address.go
@@ -9,28 +9,35 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// hostList maps hosts to the addresses by which the library knows them. An address is made of a host's place in the list,
-// as each agent may reach another by an address of its own.
+// addressIP is the IP address of the addresses that stand for hosts. Nothing is sent to it.
+const addressIP = "127.0.0.1"
+
+// hostList maps hosts to the addresses by which the memberlist library knows them. The port of an address is the host's
+// place in the list, from 1. It is no real address, as each agent may reach another at a different one.
 type hostList []string
 
 // address returns the address that stands for a host.
 func (h hostList) address(host string) *net.UDPAddr {
-	return &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1 + slices.Index(h, host)}
+	return &net.UDPAddr{IP: net.ParseIP(addressIP), Port: 1 + slices.Index(h, host)}
 }
 
-// host returns the host that an address of the library stands for. It returns an *UnknownMemberError for none.
+// host returns the host that an address stands for. An error is an *UnknownMemberError.
 func (h hostList) host(a memberlist.Address) (string, error) {
 	if slices.Contains(h, a.Name) {
 		return a.Name, nil
 	}
-	_, port, _ := net.SplitHostPort(a.Addr) // what can't be split has no port
+	_, port, _ := net.SplitHostPort(a.Addr) // after an error the port is empty
 	if i, err := strconv.Atoi(port); err == nil && i >= 1 && i <= len(h) {
 		return h[i-1], nil
 	}
-	return "", &UnknownMemberError{a}
+	return "", &UnknownMemberError{Address: a}
 }
 
-// UnknownMemberError is returned for an address that stands for no agent of the configuration.
-type UnknownMemberError struct{ Address memberlist.Address }
+// UnknownMemberError reports an address that stands for no agent of the configuration.
+type UnknownMemberError struct {
+	Address memberlist.Address
+}
 
-func (e *UnknownMemberError) Error() string { return fmt.Sprintf("members: %v is nobody", e.Address) }
+func (e *UnknownMemberError) Error() string {
+	return fmt.Sprintf("membership: address %v stands for no agent of the configuration", &e.Address)
+}
--- /dev/null
+++ b/internal/cluster/membership/helpers_test.go
@@ -0,0 +1,240 @@
+package membership
+
+import (
+	"context"
+	"encoding/binary"
+	"fmt"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"milletbarrow/internal/cluster/transport"
+	"milletbarrow/internal/faultinjection/proxy"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/process"
+	"milletbarrow/monotime"
+)
+
+// patience is how long a test waits for what has to happen.
+const patience = 10 * time.Second
+
+// waitUntil polls a condition, and fails the test if it is not met in time. It returns how long that took.
+func waitUntil(t *testing.T, within time.Duration, condition string, met func() bool) time.Duration {
+	t.Helper()
+	const pollInterval = time.Millisecond
+	for start := time.Now(); ; time.Sleep(pollInterval) {
+		if met() {
+			return time.Since(start)
+		}
+		if time.Since(start) > within {
+			t.Fatalf("not within %v: %s", within, condition)
+		}
+	}
+}
+
+// listOnTestClock is a List of agent h1, which judges h1 to h4 and is not run.
+type listOnTestClock struct {
+	*List
+	now      monotime.Micros // of the list's clock
+	reported []Member        // to Config.OnChange
+}
+
+func newListOnTestClock() *listOnTestClock {
+	l := &listOnTestClock{}
+	l.List = New(Config{
+		Host:     "h1",
+		Hosts:    []string{"h1", "h2", "h3", "h4"},
+		Clock:    func() monotime.Micros { return l.now },
+		OnChange: func(m Member) { l.reported = append(l.reported, m) },
+	})
+	return l
+}
+
+// nodeOf returns the library's node of an agent.
+func nodeOf(host string, incarnation uint64) *memberlist.Node {
+	return &memberlist.Node{Name: host, Meta: binary.BigEndian.AppendUint64(nil, incarnation)}
+}
+
+// listenOn listens on an address on loopback until the test ends.
+func listenOn(t *testing.T, address string) *net.TCPListener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	tcpListener, ok := listener.(*net.TCPListener)
+	if !ok {
+		t.Fatalf("listener is a %T", listener)
+	}
+	return tcpListener
+}
+
+// listenAsPeer listens at a peer's address, without an agent behind it.
+func listenAsPeer(t *testing.T) *net.TCPListener {
+	t.Helper()
+	return listenOn(t, "127.0.0.1:0")
+}
+
+// accept accepts one connection, or fails the test.
+func accept(t *testing.T, listener *net.TCPListener) net.Conn {
+	t.Helper()
+	_ = listener.SetDeadline(time.Now().Add(patience))
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	return conn
+}
+
+// newMeshOfH1 returns the transport of h1, whose peer h2 is at an address of the test's, until the test ends.
+func newMeshOfH1(t *testing.T, peer string, bounds limits.Control) *meshTransport {
+	t.Helper()
+	agentTransport, err := transport.Listen("h1", "127.0.0.1:0", map[string]string{"h2": peer}, bounds)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(agentTransport.Close)
+	mesh := newMeshTransport(context.Background(), Config{
+		Host:      "h1",
+		Hosts:     []string{"h1", "h2"},
+		Transport: agentTransport,
+		Bounds:    bounds,
+	})
+	t.Cleanup(func() { _ = mesh.Shutdown() })
+	return mesh
+}
+
+// cluster is some agents in this process, with links between them that a test can cut.
+type cluster struct {
+	*proxy.Mesh
+	t         *testing.T
+	addresses []string          // by index of the agent
+	lists     map[string]*List  // of running agents, by name
+	stops     map[string]func() // of running agents, by name
+
+	mu     sync.Mutex // guards deaths
+	deaths int        // how often an agent judged another dead
+}
+
+// newCluster returns a cluster of agents h1, h2 and so on, none of which runs.
+func newCluster(t *testing.T, size int) *cluster {
+	t.Helper()
+	c := &cluster{t: t, lists: map[string]*List{}, stops: map[string]func(){}}
+	names := make([]string, 0, size)
+	listeners := make([]net.Listener, 0, size)
+	for i := 1; i <= size; i++ {
+		listener := listenOn(t, fmt.Sprintf("127.0.28.%d:0", i))
+		listeners = append(listeners, listener)
+		names = append(names, fmt.Sprint("h", i))
+		c.addresses = append(c.addresses, listener.Addr().String())
+	}
+	mesh, err := proxy.NewMesh(names, c.addresses)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Mesh = mesh
+	t.Cleanup(c.Close)
+	for _, listener := range listeners {
+		_ = listener.Close() // the agents listen there
+	}
+	return c
+}
+
+// start runs one agent.
+func (c *cluster) start(i int, incarnation uint64) {
+	c.t.Helper()
+	name := c.Names[i]
+	agentTransport, err := transport.Listen(name, c.addresses[i], c.Addresses(name), limits.ForControl())
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	list := New(Config{
+		Host:        name,
+		Incarnation: incarnation,
+		Hosts:       c.Names,
+		Transport:   agentTransport,
+		Bounds:      limits.ForControl(),
+		Clock:       process.Now,
+		OnChange:    c.countDeath,
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	var tasks sync.WaitGroup
+	tasks.Go(func() { _ = agentTransport.Run(ctx) })
+	tasks.Go(func() {
+		if err := list.Run(ctx); err != nil {
+			c.t.Errorf("%s: %v", name, err)
+		}
+	})
+	c.lists[name] = list
+	c.stops[name] = func() {
+		cancel()
+		tasks.Wait()
+	}
+}
+
+// startAll runs all agents, with incarnations from 1.
+func (c *cluster) startAll() {
+	c.t.Helper()
+	for i := range c.Names {
+		c.start(i, uint64(i+1))
+	}
+}
+
+// stop stops one agent.
+func (c *cluster) stop(name string) {
+	c.stops[name]()
+	delete(c.stops, name)
+	delete(c.lists, name)
+}
+
+// stopAll stops all agents.
+func (c *cluster) stopAll() {
+	for _, stop := range c.stops {
+		stop()
+	}
+}
+
+func (c *cluster) countDeath(m Member) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if m.State == Dead {
+		c.deaths++
+	}
+}
+
+// deathCount returns how often an agent judged another dead.
+func (c *cluster) deathCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.deaths
+}
+
+// waitUntilAllOthers waits until all agents but one judge that one so that a condition holds, and returns how long that
+// took.
+func (c *cluster) waitUntilAllOthers(name string, within time.Duration, condition string, holds func(Member) bool,
+) time.Duration {
+	c.t.Helper()
+	return waitUntil(c.t, within, fmt.Sprintf("all others judge %s %s", name, condition), func() bool {
+		count := 0
+		for by, list := range c.lists {
+			for _, member := range list.Members() {
+				if by != name && member.Host == name && holds(member) {
+					count++
+				}
+			}
+		}
+		return count == len(c.Names)-1
+	})
+}
+
+// waitUntilJudged waits until all other agents judge one to be in a state, and returns how long that took.
+func (c *cluster) waitUntilJudged(name string, state State, within time.Duration) time.Duration {
+	c.t.Helper()
+	return c.waitUntilAllOthers(name, within, string(state), func(m Member) bool { return m.State == state })
+}
--- a/internal/cluster/membership/mesh_transport.go
+++ b/internal/cluster/membership/mesh_transport.go
@@ -14,33 +14,39 @@
 )
 
 const (
-	maxPacket         = 64 << 10 // bytes of a datagram
-	maxQueuedPackets  = 64       // datagrams for one peer; further ones are lost, as datagrams are
-	maxPendingPackets = 64       // datagrams that the library has not read yet; their streams wait then
+	maxPacketBytes    = 64 << 10 // of a datagram
+	maxPendingPackets = 64       // datagrams that the library has not read; with more, connections are not read
 )
 
 // meshTransport carries the library's datagrams and streams over the agents' transport. All its goroutines end with the
-// context that it was made with, or with Shutdown. It implements memberlist.NodeAwareTransport.
+// context that it was made with, or with Shutdown. It implements memberlist.NodeAwareTransport, whose methods have no
+// context; therefore it holds one.
 type meshTransport struct {
 	config  Config
 	hosts   hostList
-	packets chan *memberlist.Packet
-	streams chan net.Conn
+	packets chan *memberlist.Packet // received datagrams
+	streams chan net.Conn           // accepted streams
 
 	ctx    context.Context // ends the goroutines
 	cancel context.CancelFunc
-	tasks  sync.WaitGroup
+	tasks  sync.WaitGroup // the goroutines
 
-	mu      sync.Mutex // guards senders, and tasks against a sender that begins after Shutdown
-	senders map[string]*packetSender
+	mu      sync.Mutex               // guards senders, and that no sender starts after Shutdown
+	senders map[string]*packetSender // by host of the peer
 }
 
+// newMeshTransport returns a transport that accepts datagrams and streams.
 func newMeshTransport(ctx context.Context, config Config) *meshTransport {
+	ctx, cancel := context.WithCancel(ctx)
 	t := &meshTransport{
-		config: config, hosts: config.Hosts, packets: make(chan *memberlist.Packet, maxPendingPackets), streams: make(chan net.Conn),
+		config:  config,
+		hosts:   config.Hosts,
+		packets: make(chan *memberlist.Packet, maxPendingPackets),
+		streams: make(chan net.Conn),
+		ctx:     ctx,
+		cancel:  cancel,
 		senders: map[string]*packetSender{},
 	}
-	t.ctx, t.cancel = context.WithCancel(ctx)
 	t.tasks.Go(func() { t.accept(transport.KindPacket, t.readPackets) })
 	t.tasks.Go(func() { t.accept(transport.KindStream, t.passStream) })
 	return t
@@ -48,27 +54,27 @@
 
 // accept handles each connection of one kind in a goroutine of its own.
 func (t *meshTransport) accept(kind transport.Kind, handle func(net.Conn)) {
-	l := t.config.Transport.Listener(kind)
-	stop := context.AfterFunc(t.ctx, func() { _ = l.Close() })
+	listener := t.config.Transport.Listener(kind)
+	stop := context.AfterFunc(t.ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		t.tasks.Go(func() { handle(c) })
+		t.tasks.Go(func() { handle(conn) })
 	}
 }
 
 // readPackets passes the datagrams of one connection to the library.
-func (t *meshTransport) readPackets(c net.Conn) {
-	defer func() { _ = c.Close() }()
-	stop := context.AfterFunc(t.ctx, func() { _ = c.Close() })
+func (t *meshTransport) readPackets(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	stop := context.AfterFunc(t.ctx, func() { _ = conn.Close() })
 	defer stop()
-	from := t.hosts.address(c.RemoteAddr().String())
-	in := bufio.NewReader(c)
+	from := t.hosts.address(conn.RemoteAddr().String())
+	in := bufio.NewReader(conn)
 	for {
-		packet, err := transport.ReadFrame(in, maxPacket)
+		packet, err := transport.ReadFrame(in, maxPacketBytes)
 		if err != nil {
 			return
 		}
@@ -81,18 +87,18 @@
 }
 
 // passStream passes a connection to the library, which closes it.
-func (t *meshTransport) passStream(c net.Conn) {
+func (t *meshTransport) passStream(conn net.Conn) {
 	select {
-	case t.streams <- c:
+	case t.streams <- conn:
 	case <-t.ctx.Done():
-		_ = c.Close()
+		_ = conn.Close()
 	}
 }
 
 // FinalAdvertiseAddr implements memberlist.Transport.
 func (t *meshTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	a := t.hosts.address(t.config.Host)
-	return a.IP, a.Port, nil
+	address := t.hosts.address(t.config.Host)
+	return address.IP, address.Port, nil
 }
 
 // WriteTo implements memberlist.Transport.
@@ -106,28 +112,28 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	s := t.sender(host)
-	if s == nil {
+	sender := t.sender(host)
+	if sender == nil {
 		return time.Time{}, net.ErrClosed
 	}
-	s.enqueue(slices.Clone(packet))
+	sender.enqueue(slices.Clone(packet))
 	return time.Now(), nil
 }
 
-// sender returns the sender of datagrams to a host, nil after the end.
+// sender returns the sender of datagrams to a host, or nil after the end.
 func (t *meshTransport) sender(host string) *packetSender {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.senders[host]; s != nil {
-		return s
+	if sender := t.senders[host]; sender != nil {
+		return sender
 	}
 	if t.ctx.Err() != nil {
 		return nil
 	}
-	s := newPacketSender(t.config, host)
-	t.senders[host] = s
-	t.tasks.Go(func() { s.run(t.ctx) })
-	return s
+	sender := newPacketSender(t.config, host)
+	t.senders[host] = sender
+	t.tasks.Go(func() { sender.run(t.ctx) })
+	return sender
 }
 
 // PacketCh implements memberlist.Transport.
--- a/internal/cluster/membership/packet_sender.go
+++ b/internal/cluster/membership/packet_sender.go
@@ -8,26 +8,38 @@
 	"milletbarrow/internal/cluster/transport"
 )
 
-// minDialInterval is the least time between two attempts to reach a peer; datagrams in between are lost.
-const minDialInterval = 200 * time.Millisecond
+const (
+	// minDialInterval is the shortest time between two dials of a peer; datagrams in between are lost.
+	minDialInterval = 200 * time.Millisecond
+	// maxQueuedPackets is the number of datagrams queued for one peer; further ones are lost.
+	maxQueuedPackets = 64
+	// packetTimeoutDivisor is the ratio of the time limit of a call to that of a datagram.
+	packetTimeoutDivisor = 4
+)
 
-// packetSender sends datagrams to one peer over one connection, which it opens anew where it breaks. Its methods are for
-// the goroutine of run, except enqueue.
+// packetSender sends datagrams to one peer over one connection, which it replaces when it breaks. All methods but
+// enqueue are for the goroutine of run.
 type packetSender struct {
-	host      string
+	host      string // of the peer
 	transport *transport.Transport
-	timeout   time.Duration // of one attempt to dial, and of one datagram
+	timeout   time.Duration // of one dial, and of one datagram
 	queue     chan []byte
 
-	conn     net.Conn // nil: none is open
-	dialedAt time.Time
+	conn     net.Conn  // nil: none is open
+	dialedAt time.Time // start of the last dial
 }
 
+// newPacketSender returns a sender to a peer, whose run is not started.
 func newPacketSender(config Config, host string) *packetSender {
-	return &packetSender{host: host, transport: config.Transport, timeout: config.Bounds.CallTimeout / 4, queue: make(chan []byte, maxQueuedPackets)}
+	return &packetSender{
+		host:      host,
+		transport: config.Transport,
+		timeout:   config.Bounds.CallTimeout / packetTimeoutDivisor,
+		queue:     make(chan []byte, maxQueuedPackets),
+	}
 }
 
-// enqueue queues a datagram, or drops it where the queue is full. It may be called from any goroutine.
+// enqueue queues a datagram, or drops it if the queue is full. It may be called from any goroutine.
 func (s *packetSender) enqueue(packet []byte) {
 	select {
 	case s.queue <- packet:
@@ -35,7 +47,7 @@
 	}
 }
 
-// run sends what is queued until ctx ends.
+// run sends queued datagrams until ctx ends.
 func (s *packetSender) run(ctx context.Context) {
 	defer s.disconnect()
 	for {
@@ -48,13 +60,13 @@
 	}
 }
 
-// send writes one datagram; it is lost where the peer can't be reached.
+// send writes one datagram. It is lost if the peer cannot be reached.
 func (s *packetSender) send(ctx context.Context, packet []byte) {
 	if s.conn == nil && !s.connect(ctx) {
 		return
 	}
 	conn := s.conn
-	_ = conn.SetWriteDeadline(time.Now().Add(s.timeout)) // fails for a closed connection alone, and then the write does too
+	_ = conn.SetWriteDeadline(time.Now().Add(s.timeout)) // fails only for a closed connection, as the write does
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetWriteDeadline(time.Now()) })
 	defer stop()
 	if transport.WriteFrame(conn, packet) != nil {
@@ -62,7 +74,8 @@
 	}
 }
 
-// connect dials the peer, unless it did so a short time ago, and reports whether a connection is open.
+// connect dials the peer, unless the last dial is less than minDialInterval ago, and reports whether a connection is
+// open.
 func (s *packetSender) connect(ctx context.Context) bool {
 	if time.Since(s.dialedAt) <= minDialInterval {
 		return false
@@ -78,6 +91,7 @@
 	return true
 }
 
+// disconnect closes the connection, if one is open.
 func (s *packetSender) disconnect() {
 	if s.conn != nil {
 		_ = s.conn.Close()
