--- a/internal/fleet/coordinator_test.go
+++ b/internal/fleet/coordinator_test.go
@@ -7,42 +7,57 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestRolloutCoordinator: what goes wrong on one host does not go on to the next, and the fleet's budget holds over
-// all.
-func TestRolloutCoordinator(t *testing.T) {
-	tr := fakes.NewTrace(t)
-	coordinator := &RolloutCoordinator{Hosts: []string{"a", "b", "c"}, Config: RollingUpdateConfig{MinReadyShare: 0.8, StallTimeout: 10}, MaxConcurrentHosts: 2}
-	fact := func(s CommandState) HostProgress {
-		return HostProgress{Reachable: true, State: s, Ready: 10, DesiredUp: 10, MaxUnavailable: 3}
+// hostInState returns the progress of a host with ten instances, all ready, of which an update takes out three at once.
+func hostInState(state CommandState) HostProgress {
+	return HostProgress{Reachable: true, State: state, Ready: 10, DesiredUp: 10, MaxUnavailable: 3}
+}
+
+// hostWithReady returns the progress of a host with ten instances that has not begun its update.
+func hostWithReady(ready int) HostProgress {
+	return HostProgress{Reachable: true, Ready: ready, DesiredUp: 10, MaxUnavailable: 3}
+}
+
+// testCoordinator returns a coordinator that updates two hosts at once and keeps 80% of the fleet ready.
+func testCoordinator(hosts ...string) *RolloutCoordinator {
+	return &RolloutCoordinator{
+		Hosts:              hosts,
+		Config:             RollingUpdateConfig{MinReadyShare: 0.8, StallTimeout: 10},
+		MaxConcurrentHosts: 2,
 	}
-	for _, f := range []map[string]HostProgress{
-		{"a": fact(""), "b": fact(""), "c": fact("")},
-		{"a": fact(CommandOpen), "b": fact(CommandOpen), "c": fact("")},
-		{"a": fact(CommandDone), "b": fact(CommandOpen), "c": fact("")},
-		{"a": fact(CommandDone), "b": fact(CommandDone), "c": fact(CommandDone)},
-		{"a": fact(CommandDone), "b": fact(CommandPaused), "c": fact("")},
-		{"a": {Reachable: true, State: CommandDone, Failed: true, Cause: "n3"}, "b": fact(""), "c": fact("")},
-		{"a": {}, "b": fact(""), "c": fact("")},
-		{"a": {Reachable: true, Ready: 6, DesiredUp: 10, MaxUnavailable: 3}, "b": {Reachable: true, Ready: 8, DesiredUp: 10, MaxUnavailable: 3}, "c": fact("")},
+}
+
+// TestRolloutCoordinator compares the steps of a rollout with the stored trace: a fault on one host does not spread to
+// the next, and the fleet's minimum holds over all hosts.
+func TestRolloutCoordinator(t *testing.T) {
+	trace := fakes.NewTrace(t)
+	coordinator := testCoordinator("a", "b", "c")
+	failed := HostProgress{Reachable: true, State: CommandDone, Failed: true, Cause: "n3"}
+	for _, progress := range []map[string]HostProgress{
+		{"a": hostInState(""), "b": hostInState(""), "c": hostInState("")},
+		{"a": hostInState(CommandOpen), "b": hostInState(CommandOpen), "c": hostInState("")},
+		{"a": hostInState(CommandDone), "b": hostInState(CommandOpen), "c": hostInState("")},
+		{"a": hostInState(CommandDone), "b": hostInState(CommandDone), "c": hostInState(CommandDone)},
+		{"a": hostInState(CommandDone), "b": hostInState(CommandPaused), "c": hostInState("")},
+		{"a": failed, "b": hostInState(""), "c": hostInState("")},
+		{"a": {}, "b": hostInState(""), "c": hostInState("")},
+		{"a": hostWithReady(6), "b": hostWithReady(8), "c": hostInState("")},
 	} {
-		tr.Say("%s", rolloutText(coordinator.Next(100, f)))
+		trace.Say("%s", rolloutText(coordinator.Next(100, progress)))
 	}
-	tr.Say("and after the stall: %s", rolloutText(coordinator.Next(110, map[string]HostProgress{"a": {Reachable: true, Ready: 6, DesiredUp: 10, MaxUnavailable: 3}, "b": fact(""), "c": fact("")})))
+	blocked := map[string]HostProgress{"a": hostWithReady(6), "b": hostInState(""), "c": hostInState("")}
+	trace.Say("and after the stall: %s", rolloutText(coordinator.Next(110, blocked)))
 }
 
 // rolloutText prints a step of a rollout as the stored trace has it.
-func rolloutText(s RolloutStep) string {
-	return fmt.Sprintf("{Begin:%v Over:%t Why:%s}", s.Begin, s.Finished, s.StopReason)
+func rolloutText(step RolloutStep) string {
+	return fmt.Sprintf("{Begin:%v Over:%t Why:%s}", step.Begin, step.Finished, step.StopReason)
 }
 
-// TestRunningHostCountsAsUnavailable: what a host's update may still take out counts as out already.
+// TestRunningHostCountsAsUnavailable checks that instances that a host's update may still take out count as out.
 func TestRunningHostCountsAsUnavailable(t *testing.T) {
-	c := &RolloutCoordinator{Hosts: []string{"a", "b"}, Config: RollingUpdateConfig{MinReadyShare: 0.8, StallTimeout: 10}, MaxConcurrentHosts: 2}
-	progress := func(state CommandState) HostProgress {
-		return HostProgress{Reachable: true, State: state, Ready: 10, DesiredUp: 10, MaxUnavailable: 3}
-	}
-	step := c.Next(100, map[string]HostProgress{"a": progress(CommandOpen), "b": progress("")})
+	coordinator := testCoordinator("a", "b")
+	step := coordinator.Next(100, map[string]HostProgress{"a": hostInState(CommandOpen), "b": hostInState("")})
 	if len(step.Begin) != 0 {
-		t.Errorf("%v begins: 6 of 20 may be out, and 4 may be at most", step.Begin)
+		t.Errorf("%v begins: then 6 of 20 may be out, and at most 4 may", step.Begin)
 	}
 }
--- a/internal/fleet/interleavings_test.go
+++ b/internal/fleet/interleavings_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -10,132 +9,200 @@
 	"milletbarrow/monotime"
 )
 
-// TestInterleavings: whatever comes in whatever order, never more is in progress than allowed, no incarnation is
-// notified twice or launched beside another, none that was notified is without a deadline, results never change, and
-// every command ends with exactly one an instance.
+// TestInterleavings checks the machine's invariants under commands, controls, crashes, lost actions and late
+// observations in any order, and that every command ends once the faults are over.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		groups, each := rapid.IntRange(1, 2).Draw(t, "groups"), rapid.IntRange(1, 4).Draw(t, "each")
-		spares := rapid.IntRange(0, 1).Draw(t, "spares")
-		update := fmt.Sprintf("(width %d) (least-share %v) (surge %d) (failures %d) (stall 8s) (order %s)",
-			rapid.IntRange(1, 3).Draw(t, "width"), rapid.SampledFrom([]float64{0, 0.5, 0.75, 1}).Draw(t, "least"),
-			spares, rapid.IntRange(0, 2).Draw(t, "failures"), rapid.SampledFrom([]string{"file", "name", "spread"}).Draw(t, "order"))
-		host := newHost(t, readTestSpec(t, groupsOf(groups, each, spares, update)))
-		rnd := newRandom(rapid.Uint64().Draw(t, "seed"))
-		first := map[string]map[string]Result{}
-		out := map[string]bool{}
-		host.check = func(actions []Action) { checkInvariants(t, host, actions, first, out) }
-		host.dropAction = func(Action) bool { return rnd.IntN(10) == 0 }
-		blind := func(string) bool { return rnd.IntN(5) == 0 }
+		host := newHost(t, readTestSpec(t, drawFleet(t)))
+		random := newRandom(rapid.Uint64().Draw(t, "seed"))
+		checker := newInvariantChecker(t, host)
+		host.check = checker.check
+		host.dropAction = func(Action) bool { return random.IntN(10) == 0 }
+		blind := func(string) bool { return random.IntN(5) == 0 }
 		startAll(host)
-		orders := 0
 		names := host.m.Names()
+		drawFake := func(t *rapid.T) *fakeInstance {
+			return host.fakes[rapid.SampledFrom(names).Draw(t, "name")]
+		}
+		commands := 0
 		t.Repeat(map[string]func(*rapid.T){
-			"order": func(t *rapid.T) {
-				kind := rapid.SampledFrom([]CommandKind{KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindRollingUpdate}).Draw(t, "kind")
+			"command": func(t *rapid.T) {
+				kind := rapid.SampledFrom([]CommandKind{
+					KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindRollingUpdate,
+				}).Draw(t, "kind")
 				some := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, -1, rapid.ID).Draw(t, "names")
-				orders++
-				_ = host.command(fmt.Sprint("c", orders), kind, monotime.Micros(rapid.IntRange(1, 60).Draw(t, "due"))*second, some...)
+				within := monotime.Micros(rapid.IntRange(1, 60).Draw(t, "seconds")) * second
+				commands++
+				_ = host.command(fmt.Sprint("c", commands), kind, within, some...)
 			},
-			"steer": func(t *rapid.T) {
+			"control": func(t *rapid.T) {
 				verb := rapid.SampledFrom([]Verb{VerbPause, VerbResume, VerbCancel}).Draw(t, "verb")
-				_ = host.apply(CommandControl{fmt.Sprint("c", rapid.IntRange(1, orders+1).Draw(t, "id")), verb, "test"})
+				id := fmt.Sprint("c", rapid.IntRange(1, commands+1).Draw(t, "id"))
+				_ = host.apply(CommandControl{CommandID: id, Verb: verb, RequestedBy: "test"})
 			},
-			"die": func(t *rapid.T) {
-				fake := host.fakes[rapid.SampledFrom(names).Draw(t, "name")]
-				if fake.alive {
+			"crash": func(t *rapid.T) {
+				if fake := drawFake(t); fake.alive {
 					fake.exit(Exit{Code: 1})
 				}
 			},
-			"supervisor dies": func(t *rapid.T) { host.fakes[rapid.SampledFrom(names).Draw(t, "name")].supervised = false },
-			"unresponsive": func(t *rapid.T) {
-				fake := host.fakes[rapid.SampledFrom(names).Draw(t, "name")]
+			"supervisor crash": func(t *rapid.T) { drawFake(t).supervised = false },
+			"toggle unresponsive": func(t *rapid.T) {
+				fake := drawFake(t)
 				fake.unresponsive = !fake.unresponsive
 			},
-			"never ready": func(t *rapid.T) {
-				fake := host.fakes[rapid.SampledFrom(names).Draw(t, "name")]
+			"toggle never ready": func(t *rapid.T) {
+				fake := drawFake(t)
 				fake.neverReady = !fake.neverReady
 			},
-			"late observation": func(*rapid.T) { // of an incarnation that is over
-				for _, s := range host.pastObservations {
-					if fake := host.fakes[s.Name]; s.Observation.Incarnation != fake.incarnation && rnd.IntN(3) == 0 {
-						_ = host.apply(s)
+			"late observations": func(*rapid.T) { // of incarnations that have ended
+				for _, observed := range host.pastObservations {
+					fake := host.fakes[observed.Name]
+					if observed.Observation.Incarnation != fake.incarnation && random.IntN(3) == 0 {
+						_ = host.apply(observed)
 					}
 				}
 				host.pastObservations = nil
 			},
-			"agent dies":      func(*rapid.T) { host.restart() },
-			"agent dies next": func(*rapid.T) { host.crashNext = true },
-			"clock jumps":     func(t *rapid.T) { host.now += monotime.Micros(rapid.IntRange(0, 30).Draw(t, "jump")) * second },
-			"time":            func(t *rapid.T) { host.advance(monotime.Micros(rapid.IntRange(1, 40).Draw(t, "span"))*100_000, blind) },
+			"agent crash":             func(*rapid.T) { host.restart() },
+			"agent crash before acts": func(*rapid.T) { host.crashNext = true },
+			"clock jump": func(t *rapid.T) {
+				host.now += monotime.Micros(rapid.IntRange(0, 30).Draw(t, "seconds")) * second
+			},
+			"time": func(t *rapid.T) {
+				host.advance(monotime.Micros(rapid.IntRange(1, 40).Draw(t, "steps"))*stepTime, blind)
+			},
 		})
-		host.dropAction, host.crashNext = nil, false
+		host.dropAction = nil
+		host.crashNext = false
 		host.advance(90*second, nil)
-		for _, c := range host.m.Commands() {
-			if c.State != CommandDone || len(c.Results) != len(c.Names)+len(c.Spares) {
-				t.Fatalf("%s has not ended: %+v", c.ID, c)
-			}
+		checkAllEnded(t, host)
+	})
+}
+
+// drawFleet draws the text of a fleet with one or two groups.
+func drawFleet(t *rapid.T) string {
+	groups := rapid.IntRange(1, 2).Draw(t, "groups")
+	each := rapid.IntRange(1, 4).Draw(t, "each")
+	spares := rapid.IntRange(0, 1).Draw(t, "spares")
+	maxInProgress := rapid.IntRange(1, 3).Draw(t, "width")
+	minReadyShare := rapid.SampledFrom([]float64{0, 0.5, 0.75, 1}).Draw(t, "least")
+	maxFailures := rapid.IntRange(0, 2).Draw(t, "failures")
+	order := rapid.SampledFrom([]string{OrderFile, OrderName, OrderSpread}).Draw(t, "order")
+	update := fmt.Sprintf("(width %d) (least-share %v) (surge %d) (failures %d) (stall 8s) (order %s)",
+		maxInProgress, minReadyShare, spares, maxFailures, order)
+	return groupsOf(groups, each, spares, update)
+}
+
+// checkAllEnded fails unless every command is done with a result for each instance, and no instance runs that is not
+// desired up.
+func checkAllEnded(t *rapid.T, host *simulatedHost) {
+	for _, command := range host.m.Commands() {
+		if command.State != CommandDone || len(command.Results) != len(command.Names)+len(command.Spares) {
+			t.Fatalf("command %s has not ended: %+v", command.ID, command)
 		}
-		for _, n := range names {
-			if inst, _ := host.m.Instance(n); !inst.DesiredUp && host.fakes[n].alive {
-				t.Fatalf("%s is not desired up and runs: %+v", n, inst)
-			}
+	}
+	for _, name := range host.m.Names() {
+		if inst, _ := host.m.Instance(name); !inst.DesiredUp && host.fakes[name].alive {
+			t.Fatalf("%s is not desired up and runs: %+v", name, inst)
 		}
-	})
+	}
+}
+
+// commandInstance is one instance of a command.
+type commandInstance struct {
+	commandID string
+	name      string
+}
+
+// invariantChecker checks the actions of a machine and its state after them.
+type invariantChecker struct {
+	t          *rapid.T
+	host       *simulatedHost
+	results    map[commandInstance]Result // as first seen
+	restarting map[commandInstance]bool   // notified by a rolling update, without a result
+}
+
+func newInvariantChecker(t *rapid.T, host *simulatedHost) *invariantChecker {
+	return &invariantChecker{
+		t:          t,
+		host:       host,
+		results:    map[commandInstance]Result{},
+		restarting: map[commandInstance]bool{},
+	}
 }
 
-// checkInvariants holds the actions and the state after them against what must be true at all times.
-func checkInvariants(t *rapid.T, host *simulatedHost, actions []Action, first map[string]map[string]Result, out map[string]bool) {
-	for _, n := range host.m.Names() {
-		inst, _ := host.m.Instance(n)
+// check fails the test if an invariant is broken.
+func (c *invariantChecker) check(actions []Action) {
+	c.checkInstances()
+	c.checkResults()
+	for _, action := range actions {
+		inst, _ := c.host.m.Instance(action.Name)
+		command := c.host.m.Command(inst.CommandID)
+		byRollingUpdate := command != nil && command.Kind == KindRollingUpdate && inst.DesiredUp && inst.GiveUpReason == ""
+		if action.Kind == ActionNotify && byRollingUpdate && action.Cause != causeResent {
+			c.checkRestart(command, inst)
+		}
+	}
+}
+
+// checkInstances checks that a notified instance has a deadline, and that one without an incarnation is down.
+func (c *invariantChecker) checkInstances() {
+	for _, name := range c.host.m.Names() {
+		inst, _ := c.host.m.Instance(name)
 		if inst.NoticeID != "" && inst.PhaseDeadline == 0 {
-			t.Fatalf("%s was notified and has no deadline: %+v", n, inst)
+			c.t.Fatalf("%s was notified and has no deadline: %+v", name, inst)
 		}
 		if inst.Incarnation == "" && !inst.Phase.Down() {
-			t.Fatalf("%s is %s without an incarnation", n, inst.Phase)
+			c.t.Fatalf("%s is %s without an incarnation", name, inst.Phase)
 		}
 	}
-	for _, c := range host.m.Commands() {
-		if first[c.ID] == nil {
-			first[c.ID] = map[string]Result{}
-		}
-		for n, r := range c.Results {
-			if was, had := first[c.ID][n]; had && was != r {
-				t.Fatalf("%s: the result of %s was %+v and is %+v", c.ID, n, was, r)
+}
+
+// checkResults checks that no result has changed.
+func (c *invariantChecker) checkResults() {
+	for _, command := range c.host.m.Commands() {
+		for name, result := range command.Results {
+			key := commandInstance{command.ID, name}
+			if first, seen := c.results[key]; seen && first != result {
+				c.t.Fatalf("%s: the result of %s was %+v and is %+v", command.ID, name, first, result)
 			}
-			first[c.ID][n] = r
-			delete(out, c.ID+" "+n)
+			c.results[key] = result
+			delete(c.restarting, key)
 		}
 	}
-	for _, s := range actions {
-		inst, _ := host.m.Instance(s.Name)
-		c := host.m.Command(inst.CommandID)
-		if s.Kind != ActionNotify || c == nil || c.Kind != KindRollingUpdate || !inst.DesiredUp || inst.GiveUpReason != "" || s.Cause == "again" {
-			continue
-		}
-		out[c.ID+" "+s.Name] = true
-		many := 0
-		for n := range out {
-			if strings.HasPrefix(n, c.ID+" ") {
-				many++
-			}
+}
+
+// checkRestart checks that a rolling update may notify the instance: it keeps its bound on restarts in progress and the
+// minimum of the group.
+func (c *invariantChecker) checkRestart(command *Command, inst Instance) {
+	c.restarting[commandInstance{command.ID, inst.Name}] = true
+	inProgress := 0
+	for key := range c.restarting {
+		if key.commandID == command.ID {
+			inProgress++
 		}
-		if many > c.Rollout.MaxInProgress {
-			t.Fatalf("%s: %d out, width %d: %v", c.ID, many, c.Rollout.MaxInProgress, out)
+	}
+	if inProgress > command.Rollout.MaxInProgress {
+		c.t.Fatalf("%s: %d in progress, at most %d may be: %v",
+			command.ID, inProgress, command.Rollout.MaxInProgress, c.restarting)
+	}
+	ready := 0
+	desiredUp := 0
+	for _, name := range c.host.m.Names() {
+		other, _ := c.host.m.Instance(name)
+		if other.Group != inst.Group {
+			continue
 		}
-		ready, wanted := 0, 0
-		for _, n := range host.m.Names() {
-			if o, _ := host.m.Instance(n); o.Group == inst.Group {
-				if o.DesiredUp && !o.Spare {
-					wanted++
-				}
-				if o.Phase == PhaseReady && o.DesiredUp && o.NoticeID == "" && !o.RestartPending {
-					ready++
-				}
-			}
+		if other.DesiredUp && !other.Spare {
+			desiredUp++
 		}
-		if before := host.fakes[s.Name]; before.ready && ready < c.Rollout.minReady(wanted) {
-			t.Fatalf("%s takes %s out, and %d of %d stay ready: %+v", c.ID, s.Name, ready, wanted, c.Rollout)
+		if other.Phase == PhaseReady && other.DesiredUp && other.NoticeID == "" && !other.RestartPending {
+			ready++
 		}
 	}
+	wasReady := c.host.fakes[inst.Name].ready
+	if wasReady && ready < command.Rollout.minReady(desiredUp) {
+		c.t.Fatalf("%s restarts %s, and %d of %d stay ready: %+v",
+			command.ID, inst.Name, ready, desiredUp, command.Rollout)
+	}
 }
--- a/internal/fleet/invariants_test.go
+++ b/internal/fleet/invariants_test.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"slices"
@@ -10,54 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// decide gives the machine an event without carrying its actions out.
-func decide(t *testing.T, host *simulatedHost, event Event) []Action {
-	t.Helper()
-	actions, _, err := host.m.Decide(host.now, event)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return slices.Clone(actions)
-}
-
-// dropKind loses all actions of a kind on their way.
-func dropKind(kind ActionKind) func(Action) bool {
-	return func(a Action) bool { return a.Kind == kind }
-}
-
-func startCommand(t *testing.T, host *simulatedHost, names ...string) {
-	t.Helper()
-	if err := host.command("up", KindStart, 60*second, names...); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// stored is an instance as it is written down.
-func stored(t *testing.T, inst *Instance) string {
-	t.Helper()
-	raw, err := json.Marshal(inst)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(raw)
-}
-
 // TestFailureOfAnotherActionIsIgnored: only the action that is pending can fail.
 func TestFailureOfAnotherActionIsIgnored(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.dropAction = dropKind(ActionLaunch)
-	startCommand(t, host, "a")
-	before := stored(t, host.m.instances["a"])
+	host.mustCommand("up", KindStart, 60*second, "a")
+	before := storedForm(t, host.m.instances["a"])
 	decide(t, host, ActionFailed{Name: "a", ActionID: "a.0", Cause: "of an older action", Final: true})
-	if after := stored(t, host.m.instances["a"]); after != before {
+	if after := storedForm(t, host.m.instances["a"]); after != before {
 		t.Errorf("the failure of an older action changed\n%s to\n%s", before, after)
 	}
 
 	host = newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
-	before = stored(t, host.m.instances["a"])
+	before = storedForm(t, host.m.instances["a"])
 	decide(t, host, ActionFailed{Name: "a", ActionID: host.m.instances["a"].ActionID, Cause: "after it was taken", Final: true})
-	if after := stored(t, host.m.instances["a"]); after != before {
+	if after := storedForm(t, host.m.instances["a"]); after != before {
 		t.Errorf("the failure of an action that was taken changed\n%s to\n%s", before, after)
 	}
 }
@@ -94,7 +61,7 @@
 // TestUnitStaysHeldUntilBackInService: a unit without use is returned once its instance serves, not before.
 func TestUnitStaysHeldUntilBackInService(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
-	startCommand(t, host, "a")
+	host.mustCommand("up", KindStart, 60*second, "a")
 	host.m.instances["a"].Unit = Unit{Quota: "updates", RequestID: "r.a.1", CommandID: "gone", Held: true}
 	if actions := decide(t, host, Tick{}); len(actions) != 0 {
 		t.Errorf("%+v while it starts", actions)
@@ -145,7 +112,7 @@
 func TestRestoreAfterReboot(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
-	host.m = New(host.spec, host.name, testTerms(), window)
+	host.m = New(host.spec, host.name, testConfig(), testWindow)
 	host.m.Restore(host.now, host.saved, true)
 	if inst, _ := host.m.Instance("a"); inst.Incarnation != "" || inst.Phase != PhaseAbsent {
 		t.Errorf("restored as %s of incarnation %q", inst.Phase, inst.Incarnation)
@@ -201,7 +168,7 @@
 func TestPendingLaunchIsNotDoubled(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.dropAction = dropKind(ActionLaunch)
-	startCommand(t, host, "a")
+	host.mustCommand("up", KindStart, 60*second, "a")
 	inst := host.m.instances["a"]
 	decide(t, host, InstanceObserved{Name: "a", Observation: Observation{Incarnation: inst.Incarnation, Phase: PhaseUnknown, Orphaned: true}})
 	if inst.ActionCount != 1 {
@@ -213,7 +180,7 @@
 func TestResendWaitsForItsBackoff(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.dropAction = dropKind(ActionLaunch)
-	startCommand(t, host, "a")
+	host.mustCommand("up", KindStart, 60*second, "a")
 	inst := host.m.instances["a"]
 	host.now = inst.NextAttemptAt - 1
 	if actions := decide(t, host, Tick{}); len(actions) != 0 {
--- a/internal/fleet/launch_budget_test.go
+++ b/internal/fleet/launch_budget_test.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -9,18 +8,26 @@
 	"milletbarrow/monotime"
 )
 
-// TestLaunchBudget: attempts within the window are bounded.
+// TestLaunchBudget checks that a budget bounds the launches within its window.
 func TestLaunchBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget, now := LaunchBudget{MaxAttempts: rapid.IntRange(0, 5).Draw(t, "attempts"), Window: 100}, monotime.Micros(0)
+		const window = 100
+		budget := LaunchBudget{MaxAttempts: rapid.IntRange(0, 5).Draw(t, "attempts"), Window: window}
+		now := monotime.Micros(0)
 		var taken []monotime.Micros
 		for range 50 {
 			now += monotime.Micros(rapid.IntRange(0, 60).Draw(t, "step"))
 			if budget.Take(now) {
 				taken = append(taken, now)
 			}
-			if inst := len(slices.DeleteFunc(slices.Clone(taken), func(at monotime.Micros) bool { return now-at >= 100 })); inst > budget.MaxAttempts {
-				t.Fatalf("%d taken within the window, at most %d", inst, budget.MaxAttempts)
+			withinWindow := 0
+			for _, at := range taken {
+				if now-at < window {
+					withinWindow++
+				}
+			}
+			if withinWindow > budget.MaxAttempts {
+				t.Fatalf("%d launches within the window, at most %d may be", withinWindow, budget.MaxAttempts)
 			}
 		}
 	})
--- a/internal/fleet/plan_bench_test.go
+++ b/internal/fleet/plan_bench_test.go
@@ -5,37 +5,62 @@
 	"testing"
 
 	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
 )
 
-// BenchmarkPlan is one planning step of a rolling update over all instances of a host, with nothing else to do.
+// BenchmarkPlan measures one planning step of a rolling update over all instances of a host that is otherwise idle.
 func BenchmarkPlan(b *testing.B) {
-	for _, n := range []int{60, 1000, 10_000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			bounds := limits.ForControl()
-			bounds.Instances = n
-			s, err := ReadSpec("f", []byte(groupsOf(4, n/4, 0, "(width 8) (least-share 0.5)")), bounds)
-			if err != nil {
-				b.Fatal(err)
-			}
-			m := New(s, "h1", testTerms(), window)
-			for _, inst := range m.instances {
-				inst.DesiredUp, inst.Phase, inst.Incarnation, inst.ReadySince = true, PhaseReady, "r", 1
+	const (
+		start    monotime.Micros = 1 << 40
+		planned  monotime.Micros = 1 << 41
+		deadline monotime.Micros = 1 << 60
+	)
+	for _, instances := range []int{60, 1000, 10_000} {
+		b.Run(fmt.Sprint(instances), func(b *testing.B) {
+			m := newReadyMachine(b, instances)
+			rollout := DefaultRollingUpdate()
+			rollout.MaxInProgress = 8
+			rollout.MinReadyShare = 0.5
+			command := &Command{
+				ID: "w", Kind: KindRollingUpdate, Names: m.Names(), Deadline: deadline, Rollout: &rollout,
 			}
-			c := &Command{ID: "w", Kind: KindRollingUpdate, Names: m.Names(), Deadline: 1 << 60, Rollout: &s.RollingUpdate}
-			if _, _, err := m.Decide(1<<40, CommandReceived{c}); err != nil {
+			if _, _, err := m.Decide(start, CommandReceived{command}); err != nil {
 				b.Fatal(err)
 			}
-			c = m.openCommands[0]
+			command = m.openCommands[0]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				name := c.Names[i%len(c.Names)] // as if it were back, so that the next may leave
-				clear(c.InProgress)
-				inst := m.instances[name]
-				inst.RestartPending, inst.NoticeID, inst.Phase, inst.ReadySince = false, "", PhaseReady, 1
-				delete(c.Results, name)
-				m.advanceRollingUpdate(1<<41, c)
-				m.actions, m.history = m.actions[:0], m.history[:0]
+				clear(command.InProgress)
+				restored := m.instances[command.Names[i%len(command.Names)]] // as if it were back
+				restored.RestartPending = false
+				restored.NoticeID = ""
+				restored.Phase = PhaseReady
+				restored.ReadySince = 1
+				delete(command.Results, restored.Name)
+				m.advanceRollingUpdate(planned, command)
+				m.actions = m.actions[:0]
+				m.history = m.history[:0]
 			}
 		})
 	}
 }
+
+// newReadyMachine returns a machine with four groups of ready instances.
+func newReadyMachine(b *testing.B, instances int) *Machine {
+	b.Helper()
+	const groups = 4
+	bounds := limits.ForControl()
+	bounds.Instances = instances
+	spec, err := ReadSpec("f", []byte(groupsOf(groups, instances/groups, 0, "")), bounds)
+	if err != nil {
+		b.Fatal(err)
+	}
+	m := New(spec, "h1", testConfig(), testWindow)
+	for _, inst := range m.instances {
+		inst.DesiredUp = true
+		inst.Phase = PhaseReady
+		inst.Incarnation = "r"
+		inst.ReadySince = 1
+	}
+	return m
+}
--- a/internal/fleet/simulated_host_test.go
+++ b/internal/fleet/simulated_host_test.go
@@ -1,24 +1,27 @@
 package fleet
 
 import (
+	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strings"
+	"testing"
 
 	"milletbarrow/internal/limits"
 	"milletbarrow/monotime"
 )
 
-const second = monotime.Micros(1_000_000)
+const (
+	second   = monotime.Second
+	stepTime = 100 * monotime.Millisecond // between two observations of a simulated host
+	testSeed = 7
 
-// fakeInstance is an instance as it really is, whatever the machine has seen of it.
-type fakeInstance struct {
-	alive, supervised, ready, unresponsive bool
-	incarnation, noticeID                  string
-	since, notifiedAt                      monotime.Micros
-	exitState                              Exit
-	neverReady                             bool
-}
+	testGrace        = 2 * second
+	testExitTimeout  = 3200 * monotime.Millisecond
+	testDrainTime    = 2500 * monotime.Millisecond // of an instance that reacts to its notice
+	maxKeptSightings = 200                         // bounds simulatedHost.pastObservations
+)
 
 // tester is a test or a property under test.
 type tester interface {
@@ -27,57 +30,82 @@
 	Fatalf(string, ...any)
 }
 
-// simulatedHost stands in for supervisors and instances. Every action is carried out once by its ID, as supervisors do.
+// fakeInstance is the real state of an instance, whatever the machine has observed of it.
+type fakeInstance struct {
+	alive        bool
+	supervised   bool
+	ready        bool
+	unresponsive bool // it does not react to notices
+	neverReady   bool
+	incarnation  string
+	noticeID     string          // empty: not notified
+	since        monotime.Micros // start of the incarnation
+	notifiedAt   monotime.Micros
+	exitState    Exit
+}
+
+// simulatedHost replaces the supervisors and instances of a host. It carries out every action once by its ID, as
+// supervisors do.
 type simulatedHost struct {
 	t                tester
-	m                *Machine
+	name             string
 	spec             *Spec
+	m                *Machine
 	now              monotime.Micros
+	startupTime      monotime.Micros // from an instance's launch to ready
 	fakes            map[string]*fakeInstance
-	executed         map[string]bool
-	saved            Snapshot // what was written down
-	launches         map[string]int
-	dropAction       func(Action) bool // the action does not reach its supervisor
-	check            func([]Action)
-	startupTime      monotime.Micros
-	crashNext        bool // the agent dies between writing down and acting
-	name             string
-	pastObservations []InstanceObserved // earlier ones, some of incarnations that are over
+	executed         map[string]bool    // by action ID
+	launches         map[string]int     // by instance name
+	saved            Snapshot           // the stored state
+	dropAction       func(Action) bool  // reports whether the action gets lost; nil: none does
+	check            func([]Action)     // checks the actions of each event; nil: nothing
+	crashNext        bool               // the agent dies between storing the state and carrying out the actions
+	pastObservations []InstanceObserved // some of them of incarnations that have ended
 }
 
 func readTestSpec(t tester, text string) *Spec {
-	s, err := ReadSpec("fleet.sx", []byte(text), limits.ForControl())
+	t.Helper()
+	spec, err := ReadSpec("fleet.sx", []byte(text), limits.ForControl())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return spec
 }
 
-func window(*InstanceSpec) ShutdownWindow { return ShutdownWindow{2 * second, 3200_000} }
-
-func testTerms() Config {
-	return DefaultConfig(limits.ForControl(), 7)
+func testWindow(*InstanceSpec) ShutdownWindow {
+	return ShutdownWindow{Grace: testGrace, ExitTimeout: testExitTimeout}
 }
 
-func newHost(t tester, s *Spec) *simulatedHost {
-	return newNamedHost(t, s, "h1")
+func testConfig() Config { return DefaultConfig(limits.ForControl(), testSeed) }
+
+// newHost returns the simulated host h1.
+func newHost(t tester, spec *Spec) *simulatedHost {
+	t.Helper()
+	return newNamedHost(t, spec, "h1")
 }
 
 func newNamedHost(t tester, spec *Spec, name string) *simulatedHost {
+	t.Helper()
 	host := &simulatedHost{
-		t: t, spec: spec, name: name, now: 1000 * second, fakes: map[string]*fakeInstance{}, executed: map[string]bool{}, launches: map[string]int{},
+		t:           t,
+		name:        name,
+		spec:        spec,
+		m:           New(spec, name, testConfig(), testWindow),
+		now:         1000 * second,
 		startupTime: second / 2,
+		fakes:       map[string]*fakeInstance{},
+		executed:    map[string]bool{},
+		launches:    map[string]int{},
 	}
-	host.m = New(spec, name, testTerms(), window)
-	for _, n := range host.m.Names() {
-		host.fakes[n] = &fakeInstance{}
+	for _, name := range host.m.Names() {
+		host.fakes[name] = &fakeInstance{}
 	}
 	return host
 }
 
-// apply gives the machine an event, writes down what it must, and carries the actions out.
-func (host *simulatedHost) apply(ev Event) error {
-	actions, _, err := host.m.Decide(host.now, ev)
+// apply gives the machine an event, stores what has changed, and carries out the actions.
+func (host *simulatedHost) apply(event Event) error {
+	actions, _, err := host.m.Decide(host.now, event)
 	actions = slices.Clone(actions)
 	host.save()
 	if host.check != nil {
@@ -96,92 +124,116 @@
 	return err
 }
 
-func (host *simulatedHost) save() {
-	r, dropped := host.m.Changes()
-	for _, in := range r.Instances {
-		host.saved.Instances = put(host.saved.Instances, in, func(i Instance) string { return i.Name })
+// mustApply gives the machine an event that has to be accepted.
+func (host *simulatedHost) mustApply(event Event) {
+	host.t.Helper()
+	if err := host.apply(event); err != nil {
+		host.t.Fatalf("%+v: %v", event, err)
 	}
-	for _, c := range r.Commands {
-		host.saved.Commands = put(host.saved.Commands, c, func(c *Command) string { return c.ID })
+}
+
+// save stores what has changed.
+func (host *simulatedHost) save() {
+	changed, forgotten := host.m.Changes()
+	for _, inst := range changed.Instances {
+		host.saved.Instances = put(host.saved.Instances, inst, func(inst Instance) string { return inst.Name })
 	}
-	for _, id := range dropped {
-		for i, c := range host.saved.Commands {
-			if c.ID == id {
-				host.saved.Commands = append(host.saved.Commands[:i], host.saved.Commands[i+1:]...)
-				break
-			}
-		}
+	for _, command := range changed.Commands {
+		host.saved.Commands = put(host.saved.Commands, command, func(command *Command) string { return command.ID })
 	}
+	host.saved.Commands = slices.DeleteFunc(host.saved.Commands, func(command *Command) bool {
+		return slices.Contains(forgotten, command.ID)
+	})
 }
 
-func put[T any](all []T, v T, key func(T) string) []T {
+// put replaces the value with the same key, or appends a new one.
+func put[T any](all []T, value T, key func(T) string) []T {
 	for i := range all {
-		if key(all[i]) == key(v) {
-			all[i] = v
+		if key(all[i]) == key(value) {
+			all[i] = value
 			return all
 		}
 	}
-	return append(all, v)
+	return append(all, value)
 }
 
-// restart is the agent's death and return: what was not written down is lost.
+// restart replaces the machine as a restart of the agent does: what was not stored is lost.
 func (host *simulatedHost) restart() {
-	host.m = New(host.spec, host.name, testTerms(), window)
-	host.m.Restore(host.now, Snapshot{host.saved.Instances, host.saved.Commands}, false)
+	host.m = New(host.spec, host.name, testConfig(), testWindow)
+	host.m.Restore(host.now, Snapshot{Instances: host.saved.Instances, Commands: host.saved.Commands}, false)
 }
 
+// execute carries out an action, once.
 func (host *simulatedHost) execute(action Action) {
-	fake := host.fakes[action.Name]
 	if host.executed[action.ID] {
 		return
 	}
+	fake := host.fakes[action.Name]
 	switch action.Kind {
 	case ActionLaunch:
 		host.executed[action.ID] = true
-		if action.Adopt {
-			if fake.alive && fake.incarnation == action.Incarnation {
-				fake.supervised = true
-			}
-			return
-		}
-		if fake.alive {
-			host.t.Fatalf("%s is launched by %s while its incarnation %s runs", action.Name, action.ID, fake.incarnation)
-		}
-		host.launches[action.Name]++
-		*fake = fakeInstance{alive: true, supervised: true, incarnation: action.Incarnation, since: host.now, unresponsive: fake.unresponsive, neverReady: fake.neverReady}
+		host.launch(fake, action)
 	case ActionNotify:
 		if fake.incarnation != action.Incarnation || !fake.alive || !fake.supervised {
-			return // nobody to take it; it comes again
+			return // nobody takes the notice, and it is sent again
 		}
 		host.executed[action.ID] = true
 		if fake.noticeID != "" && fake.noticeID != action.ID {
-			host.t.Fatalf("%s was notified by %s and again by %s in one incarnation", action.Name, fake.noticeID, action.ID)
+			host.t.Fatalf("%s was notified by %s and again by %s in one incarnation",
+				action.Name, fake.noticeID, action.ID)
 		}
-		fake.noticeID, fake.notifiedAt = action.ID, host.now
+		fake.noticeID = action.ID
+		fake.notifiedAt = host.now
 	case ActionKill:
 		if fake.incarnation == action.Incarnation && fake.alive {
 			host.executed[action.ID] = true
 			fake.exit(Exit{Code: -1, KillReason: action.Cause})
 		}
+	case ActionAcquireUnit, ActionReleaseUnit: // dropAction takes those that a test handles
+	}
+}
+
+// launch starts an incarnation, or a supervisor that adopts the running one.
+func (host *simulatedHost) launch(fake *fakeInstance, action Action) {
+	if action.Adopt {
+		if fake.alive && fake.incarnation == action.Incarnation {
+			fake.supervised = true
+		}
+		return
+	}
+	if fake.alive {
+		host.t.Fatalf("%s is launched by %s while its incarnation %s runs", action.Name, action.ID, fake.incarnation)
+	}
+	host.launches[action.Name]++
+	*fake = fakeInstance{
+		alive:        true,
+		supervised:   true,
+		unresponsive: fake.unresponsive,
+		neverReady:   fake.neverReady,
+		incarnation:  action.Incarnation,
+		since:        host.now,
 	}
 }
 
-func (fake *fakeInstance) exit(e Exit) {
-	fake.alive, fake.ready, fake.exitState = false, false, e
+// exit ends the process.
+func (fake *fakeInstance) exit(exit Exit) {
+	fake.alive = false
+	fake.ready = false
+	fake.exitState = exit
 }
 
-// advance lets time go by and shows the machine what is to be seen, but for what blind hides.
-func (host *simulatedHost) advance(span monotime.Micros, blind func(string) bool) {
+// advance lets time pass and reports observations to the machine, but for those of instances that blind hides.
+func (host *simulatedHost) advance(span monotime.Micros, blind func(name string) bool) {
 	for end := host.now + span; host.now < end; {
-		host.now += min(end-host.now, 100_000)
-		for _, n := range host.m.Names() {
-			fake := host.fakes[n]
+		host.now += min(end-host.now, stepTime)
+		for _, name := range host.m.Names() {
+			fake := host.fakes[name]
 			fake.update(host.now, host.startupTime)
-			if fake.incarnation == "" || blind != nil && blind(n) {
+			if fake.incarnation == "" || blind != nil && blind(name) {
 				continue
 			}
-			observed := InstanceObserved{Name: n, Observation: fake.observe(host.now)}
-			if len(host.pastObservations) < 200 {
+			observed := InstanceObserved{Name: name, Observation: fake.observe(host.now)}
+			if len(host.pastObservations) < maxKeptSightings {
 				host.pastObservations = append(host.pastObservations, observed)
 			}
 			host.mustApply(observed)
@@ -190,33 +242,38 @@
 	}
 }
 
-func (fake *fakeInstance) update(now, cold monotime.Micros) {
+// update brings an instance to its state at the time now.
+func (fake *fakeInstance) update(now, startupTime monotime.Micros) {
 	if !fake.alive {
 		return
 	}
-	fake.ready = fake.noticeID == "" && !fake.neverReady && now-fake.since >= cold
+	fake.ready = fake.noticeID == "" && !fake.neverReady && now-fake.since >= startupTime
 	if fake.noticeID == "" {
 		return
 	}
-	switch after := now - fake.notifiedAt; {
-	case fake.unresponsive && fake.supervised && after >= 2*second:
-		fake.exit(Exit{Code: -1, KillReason: "deaf", DrainTime: after})
-	case !fake.unresponsive && after >= 2500_000:
-		fake.exit(Exit{DrainTime: after})
+	switch sinceNotice := now - fake.notifiedAt; {
+	case fake.unresponsive && fake.supervised && sinceNotice >= testGrace:
+		fake.exit(Exit{Code: -1, KillReason: "deaf", DrainTime: sinceNotice})
+	case !fake.unresponsive && sinceNotice >= testDrainTime:
+		fake.exit(Exit{DrainTime: sinceNotice})
 	}
 }
 
+// observe returns the observation that the agent makes of an instance.
 func (fake *fakeInstance) observe(now monotime.Micros) Observation {
 	observation := Observation{Incarnation: fake.incarnation, NoticeID: fake.noticeID}
 	switch {
 	case !fake.alive:
-		observation.Phase, observation.Exit = PhaseExited, fake.exitState
+		observation.Phase = PhaseExited
+		observation.Exit = fake.exitState
 	case !fake.supervised:
-		observation.Phase, observation.Orphaned, observation.Cause = PhaseUnknown, true, "its keeper is gone"
+		observation.Phase = PhaseUnknown
+		observation.Orphaned = true
+		observation.Cause = causeSupervisorGone
 		observation.NoticeID = ""
 	case fake.noticeID != "" && fake.unresponsive:
 		observation.Phase = PhaseUnresponsive
-	case fake.noticeID != "" && now-fake.notifiedAt < 2*second:
+	case fake.noticeID != "" && now-fake.notifiedAt < testGrace:
 		observation.Phase = PhaseDraining
 	case fake.noticeID != "":
 		observation.Phase = PhaseStopping
@@ -228,19 +285,21 @@
 	return observation
 }
 
+// command gives the machine a command with a deadline.
 func (host *simulatedHost) command(id string, kind CommandKind, within monotime.Micros, names ...string) error {
-	c := &Command{ID: id, Kind: kind, Names: names, RequestedBy: "test", Deadline: host.now + within}
+	command := &Command{ID: id, Kind: kind, Names: names, RequestedBy: "test", Deadline: host.now + within}
 	switch kind {
 	case KindRollingUpdate:
-		terms := host.spec.RollingUpdate
-		c.Rollout = &terms
+		rollout := host.spec.RollingUpdate
+		command.Rollout = &rollout
 	case KindColdStart:
-		c.Quota = host.spec.ColdStartQuota
+		command.Quota = host.spec.ColdStartQuota
+	case KindStart, KindDrain, KindStop, KindRestart:
 	}
-	return host.apply(CommandReceived{c})
+	return host.apply(CommandReceived{command})
 }
 
-// mustCommand issues a command that has to be accepted.
+// mustCommand gives the machine a command that has to be accepted.
 func (host *simulatedHost) mustCommand(id string, kind CommandKind, within monotime.Micros, names ...string) {
 	host.t.Helper()
 	if err := host.command(id, kind, within, names...); err != nil {
@@ -248,43 +307,64 @@
 	}
 }
 
-// mustApply gives the machine an event that can't be refused.
-func (host *simulatedHost) mustApply(ev Event) {
+// startAll starts all instances but the spares, and waits until they have settled.
+func startAll(host *simulatedHost) {
 	host.t.Helper()
-	if err := host.apply(ev); err != nil {
-		host.t.Fatalf("%+v: %v", ev, err)
+	host.mustCommand("up", KindStart, 60*second, host.nonSpares()...)
+	host.advance(3*second, nil)
+}
+
+func (host *simulatedHost) nonSpares() (names []string) {
+	for _, name := range host.m.Names() {
+		if inst, _ := host.m.Instance(name); !inst.Spare {
+			names = append(names, name)
+		}
 	}
+	return names
 }
 
 // groupsOf writes a fleet of some groups of so many instances on one host.
 func groupsOf(groups, each, spares int, update string) string {
-	text := `(fleet f (host h1 (agent "unix:/tmp/h1"))`
-	for g := range groups {
-		text += fmt.Sprintf(` (group g%d (config "%%n.json") (start-within 5s) (settle 1s) (range g%d-n 1 %d)`, g, g, each)
+	var text strings.Builder
+	text.WriteString(`(fleet f (host h1 (agent "unix:/tmp/h1"))`)
+	for group := range groups {
+		fmt.Fprintf(&text, ` (group g%d (config "%%n.json") (start-within 5s) (settle 1s) (range g%d-n 1 %d)`,
+			group, group, each)
 		if spares > 0 {
-			text += " (spares"
-			for s := range spares {
-				text += fmt.Sprintf(" g%d-s%d", g, s+1)
+			text.WriteString(" (spares")
+			for spare := range spares {
+				fmt.Fprintf(&text, " g%d-s%d", group, spare+1)
 			}
-			text += ")"
+			text.WriteString(")")
 		}
-		text += ")"
+		text.WriteString(")")
 	}
-	return text + " (wave " + update + "))"
+	return text.String() + " (wave " + update + "))"
 }
 
-func startAll(host *simulatedHost) {
-	host.mustCommand("up", KindStart, 60*second, host.nonSpares()...)
-	host.advance(3*second, nil)
+// dropKind loses all actions of a kind.
+func dropKind(kind ActionKind) func(Action) bool {
+	return func(action Action) bool { return action.Kind == kind }
 }
 
-func (host *simulatedHost) nonSpares() (names []string) {
-	for _, n := range host.m.Names() {
-		if in, _ := host.m.Instance(n); !in.Spare {
-			names = append(names, n)
-		}
+// decide gives the machine an event without carrying out its actions.
+func decide(t *testing.T, host *simulatedHost, event Event) []Action {
+	t.Helper()
+	actions, _, err := host.m.Decide(host.now, event)
+	if err != nil {
+		t.Fatal(err)
 	}
-	return names
+	return slices.Clone(actions)
+}
+
+// storedForm returns an instance as the agent stores it.
+func storedForm(t *testing.T, inst *Instance) string {
+	t.Helper()
+	raw, err := json.Marshal(inst)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
 }
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
