--- a/internal/fleet/adoption_test.go
+++ b/internal/fleet/adoption_test.go
@@ -23,7 +23,8 @@
 			name:   "running",
 			record: SupervisorRecord{State: RecordRead, Incarnation: "a.7"},
 			want: Instance{
-				Name: "a", DesiredUp: true, Incarnation: "a.7", ActionCount: 7 + adoptedCountMargin, Phase: PhaseUnknown,
+				Name: "a", DesiredUp: true, Incarnation: "a.7",
+				ActionCount: 7 + adoptedCountMargin, Phase: PhaseUnknown,
 			},
 			adopted: true,
 		},
--- a/internal/fleet/command_scenarios_test.go
+++ b/internal/fleet/command_scenarios_test.go
@@ -8,8 +8,9 @@
 )
 
 // twoInstances is a fleet of one group with the instances a and b and the spare x.
-const twoInstances = `(fleet f (host h1 (agent "unix:/tmp/h1")) (group g (config "%n.json") (start-within 5s) (settle 1s)
-	(restart (most 2) (within 20s)) (instances a b) (spares x)) (wave (least-share 0.5) (stall 10s)))`
+const twoInstances = `(fleet f (host h1 (agent "unix:/tmp/h1"))
+	(group g (config "%n.json") (start-within 5s) (settle 1s) (restart (most 2) (within 20s)) (instances a b) (spares x))
+	(wave (least-share 0.5) (stall 10s)))`
 
 // scenarioHost is a host with twoInstances whose course is traced.
 type scenarioHost struct {
@@ -133,7 +134,8 @@
 	{"an immediate stop kills the instance", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
 		host.mustApply(CommandReceived{&Command{
-			ID: "k", Kind: KindStop, Names: []string{"a"}, RequestedBy: "test", Deadline: host.now + 9*second, Immediate: true,
+			ID: "k", Kind: KindStop, Names: []string{"a"}, RequestedBy: "test",
+			Deadline: host.now + 9*second, Immediate: true,
 		}})
 		host.advance(second, nil)
 		host.report("k")
--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -5,143 +5,251 @@
 	"testing"
 )
 
-// TestCommandErrors: a rejected command says which field, instance or group is meant, in a type and in its text.
-func TestCommandErrors(t *testing.T) {
+// startA returns a start command for instance a.
+func startA() Command {
+	return Command{ID: "c", Kind: KindStart, Names: []string{"a"}}
+}
+
+// updateA returns a rolling update of instance a whose configuration has no minimum, changed by change.
+func updateA(change func(*RollingUpdateConfig)) Command {
 	config := DefaultRollingUpdate()
 	config.MinReadyShare = 0
-	with := func(change func(*RollingUpdateConfig)) *RollingUpdateConfig {
-		changed := config
-		change(&changed)
-		return &changed
-	}
-	const late = 100_000 * second
-	for _, c := range []struct {
-		command         Command
-		field           string
-		instance, group string
-		text            string
+	change(&config)
+	return Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: &config}
+}
+
+// TestCommandErrors checks that a rejected command names the field, the instance or the group that is wrong, in the
+// fields of its error and in its text.
+func TestCommandErrors(t *testing.T) {
+	unchanged := func(*RollingUpdateConfig) {}
+	for _, test := range []struct {
+		name     string
+		command  Command
+		change   func(*Command) // nil: command stays as it is
+		field    string
+		instance string // empty: the error names none
+		group    string // empty: the error names none
+		text     string
 	}{
-		{Command{ID: "../x", Kind: KindStart, Names: []string{"a"}}, "id", "", "", `id: invalid name "../x", wanted at most 40 letters, digits, . - _, not beginning with . or -`},
-		{Command{ID: "c", Kind: "dance", Names: []string{"a"}}, "kind", "", "", `kind: "dance" is not one of [start drain stop restart wave rise]`},
-		{Command{ID: "c", Kind: KindStart}, "names", "", "", "names: missing, wanted at least one instance"},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"z"}}, "names", "z", "", `names: unknown instance "z"`},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"a", "a"}}, "names", "a", "", `names: duplicate instance "a"`},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"x"}, Rollout: &config}, "names", "x", "", `names: "x" is a spare: a rolling update uses spares by its surge only`},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Immediate: true}, "now", "", "", `now: not allowed with kind "start", only with "stop"`},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}}, "terms", "", "", `terms: required with kind "wave", and allowed with no other`},
-		{Command{ID: "c", Kind: KindColdStart, Names: []string{"a"}}, "budget", "", "", "budget: missing, wanted a budget with a count from the fleet's file"},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Quota: "q"}, "budget", "", "", `budget: not allowed with kind "start"`},
-		{Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Deadline: -1}, "due", "", "", "due: deadline is in the past"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MaxInProgress = 0 })},
-			"width", "", "", "width: 0 is not from 1 to 10000"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReady = -1 })},
-			"least_count", "", "", "least_count: -1 is negative"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReadyShare = 2 })},
-			"least_share", "", "", "least_share: 2 is not from 0 to 1"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Order = "up" })},
-			"order", "", "", `order: "up" is not one of file, name, spread`},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Surge = -1 })},
-			"surge", "", "", "surge: -1 is negative"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.MaxFailures = -1 })},
-			"failures", "", "", "failures: -1 is negative"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.ReadyWithin = -second })},
-			"ready_within", "", "", "ready_within: -1s is negative"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.StallTimeout = 0 })},
-			"stall", "", "", "stall: 0s is not above 0"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(w *RollingUpdateConfig) { w.RejectionTolerance = -second })},
-			"turned_for", "", "", "turned_for: -1s is negative"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MaxRejectedShare = 0 })},
-			"turned_away", "", "", "turned_away: 0 is not above 0 and at most 1"},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.Surge = 2 })},
-			"surge", "", "g", `surge: group "g" has 1 spares that are down, wanted 2`},
-		{Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: with(func(host *RollingUpdateConfig) { host.MinReady = 2 })},
-			"least", "", "g", `least: group "g" has 2 instances up and 0 spares: none can restart while 2 must stay ready`},
+		{
+			name: "invalid ID", command: startA(), change: func(c *Command) { c.ID = "../x" }, field: "id",
+			text: `id: invalid name "../x", wanted at most 40 letters, digits, . - _, not beginning with . or -`,
+		},
+		{
+			name: "unknown kind", command: startA(), change: func(c *Command) { c.Kind = "dance" }, field: "kind",
+			text: `kind: "dance" is not one of [start drain stop restart wave rise]`,
+		},
+		{
+			name: "no instance", command: startA(), change: func(c *Command) { c.Names = nil }, field: "names",
+			text: "names: missing, wanted at least one instance",
+		},
+		{
+			name: "unknown instance", command: startA(), change: func(c *Command) { c.Names = []string{"z"} },
+			field: "names", instance: "z", text: `names: unknown instance "z"`,
+		},
+		{
+			name: "duplicate instance", command: startA(), change: func(c *Command) { c.Names = []string{"a", "a"} },
+			field: "names", instance: "a", text: `names: duplicate instance "a"`,
+		},
+		{
+			name: "spare", command: updateA(unchanged), change: func(c *Command) { c.Names = []string{"x"} },
+			field: "names", instance: "x",
+			text: `names: "x" is a spare: a rolling update uses spares by its surge only`,
+		},
+		{
+			name: "immediate start", command: startA(), change: func(c *Command) { c.Immediate = true }, field: "now",
+			text: `now: not allowed with kind "start", only with "stop"`,
+		},
+		{
+			name: "rolling update without a configuration", command: updateA(unchanged),
+			change: func(c *Command) { c.Rollout = nil }, field: "terms",
+			text: `terms: required with kind "wave", and allowed with no other`,
+		},
+		{
+			name: "cold start without a quota", command: startA(), change: func(c *Command) { c.Kind = KindColdStart },
+			field: "budget", text: "budget: missing, wanted a budget with a count from the fleet's file",
+		},
+		{
+			name: "start with a quota", command: startA(), change: func(c *Command) { c.Quota = "q" }, field: "budget",
+			text: `budget: not allowed with kind "start"`,
+		},
+		{
+			name: "past deadline", command: startA(), change: func(c *Command) { c.Deadline = -1 }, field: "due",
+			text: "due: deadline is in the past",
+		},
+		{
+			name: "none in progress", command: updateA(func(w *RollingUpdateConfig) { w.MaxInProgress = 0 }),
+			field: "width", text: "width: 0 is not from 1 to 10000",
+		},
+		{
+			name: "negative minimum", command: updateA(func(w *RollingUpdateConfig) { w.MinReady = -1 }),
+			field: "least_count", text: "least_count: -1 is negative",
+		},
+		{
+			name: "share above 1", command: updateA(func(w *RollingUpdateConfig) { w.MinReadyShare = 2 }),
+			field: "least_share", text: "least_share: 2 is not from 0 to 1",
+		},
+		{
+			name: "unknown order", command: updateA(func(w *RollingUpdateConfig) { w.Order = "up" }),
+			field: "order", text: `order: "up" is not one of file, name, spread`,
+		},
+		{
+			name: "negative surge", command: updateA(func(w *RollingUpdateConfig) { w.Surge = -1 }),
+			field: "surge", text: "surge: -1 is negative",
+		},
+		{
+			name: "negative failures", command: updateA(func(w *RollingUpdateConfig) { w.MaxFailures = -1 }),
+			field: "failures", text: "failures: -1 is negative",
+		},
+		{
+			name: "negative time to ready", command: updateA(func(w *RollingUpdateConfig) { w.ReadyWithin = -second }),
+			field: "ready_within", text: "ready_within: -1s is negative",
+		},
+		{
+			name: "no stall timeout", command: updateA(func(w *RollingUpdateConfig) { w.StallTimeout = 0 }),
+			field: "stall", text: "stall: 0s is not above 0",
+		},
+		{
+			name:    "negative tolerance of rejections",
+			command: updateA(func(w *RollingUpdateConfig) { w.RejectionTolerance = -second }),
+			field:   "turned_for", text: "turned_for: -1s is negative",
+		},
+		{
+			name: "rejected share of 0", command: updateA(func(w *RollingUpdateConfig) { w.MaxRejectedShare = 0 }),
+			field: "turned_away", text: "turned_away: 0 is not above 0 and at most 1",
+		},
+		{
+			name: "more surge than spares", command: updateA(func(w *RollingUpdateConfig) { w.Surge = 2 }),
+			field: "surge", group: "g", text: `surge: group "g" has 1 spares that are down, wanted 2`,
+		},
+		{
+			name: "unreachable minimum", command: updateA(func(w *RollingUpdateConfig) { w.MinReady = 2 }),
+			field: "least", group: "g",
+			text: `least: group "g" has 2 instances up and 0 spares: none can restart while 2 must stay ready`,
+		},
 	} {
-		host := newHost(t, readTestSpec(t, twoInstances))
-		startAll(host)
-		if c.command.Deadline == 0 {
-			c.command.Deadline = late
-		}
-		_, _, err := host.m.Decide(host.now, CommandReceived{&c.command})
-		rejection, ok := errors.AsType[*CommandError](err)
-		if !ok || rejection.Operation != OperationAccept || rejection.CommandID != c.command.ID {
-			t.Errorf("%s: %+v", c.text, rejection)
-			continue
-		}
-		field, ok := errors.AsType[*FieldError](err)
-		if !ok || field.Field != c.field || rejection.Instance != c.instance || rejection.Group != c.group || err.Error() != c.text {
-			t.Errorf("want %q about field %q, instance %q, group %q; got %q: %+v, %+v", c.text, c.field, c.instance, c.group, err, rejection, field)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			host := newHost(t, readTestSpec(t, twoInstances))
+			startAll(host)
+			command := test.command
+			command.Deadline = host.now + 60*second
+			if test.change != nil {
+				test.change(&command)
+			}
+			_, _, err := host.m.Decide(host.now, CommandReceived{&command})
+			rejection, ok := errors.AsType[*CommandError](err)
+			if !ok || rejection.Operation != OperationAccept || rejection.CommandID != command.ID {
+				t.Fatalf("%+v, want a *CommandError of operation accept on command %q", err, command.ID)
+			}
+			if rejection.Instance != test.instance || rejection.Group != test.group {
+				t.Errorf("instance %q, group %q, want %q, %q",
+					rejection.Instance, rejection.Group, test.instance, test.group)
+			}
+			if field, ok := errors.AsType[*FieldError](err); !ok || field.Field != test.field {
+				t.Errorf("%+v, want a *FieldError of field %q", field, test.field)
+			}
+			if err.Error() != test.text {
+				t.Errorf("%q, want %q", err, test.text)
+			}
+		})
 	}
 }
 
-// TestControlErrors: what can't be done to a command is told apart by type.
-func TestControlErrors(t *testing.T) {
+// control gives the host's machine a control of a command and returns its error.
+func control(host *simulatedHost, id string, verb Verb) error {
+	_, _, err := host.m.Decide(host.now, CommandControl{CommandID: id, Verb: verb, RequestedBy: "test"})
+	return err
+}
+
+// TestRejectedControlsHaveTypedErrors checks the errors of pause, resume and cancel where they are not possible.
+func TestRejectedControlsHaveTypedErrors(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.mustCommand("open", KindStart, 20*second, "a")
-	steer := func(id string, verb Verb) error {
-		_, _, err := host.m.Decide(host.now, CommandControl{CommandID: id, Verb: verb, RequestedBy: "test"})
-		return err
+	host.mustCommand("ended", KindStart, 20*second, "b")
+	if err := control(host, "ended", VerbCancel); err != nil {
+		t.Fatal(err)
 	}
-	for _, c := range []struct {
-		err  error
-		is   error
+	const notPausable = ": only a rolling update can be paused or resumed"
+	for _, test := range []struct {
+		name string
+		id   string
+		verb Verb
+		want error
 		text string
 	}{
-		{steer("nothing", VerbPause), ErrUnknownCommand, "no such command"},
-		{steer("open", VerbPause), ErrNotPausable, "pause: only a rolling update can be paused or resumed"},
-		{steer("open", VerbResume), ErrNotPausable, "resume: only a rolling update can be paused or resumed"},
+		{"unknown command", "nothing", VerbPause, ErrUnknownCommand, "no such command"},
+		{"pause of a start", "open", VerbPause, ErrNotPausable, "pause" + notPausable},
+		{"resume of a start", "open", VerbResume, ErrNotPausable, "resume" + notPausable},
+		{"cancel of an ended command", "ended", VerbCancel, ErrCommandEnded, "cancel: the command has ended"},
 	} {
-		if !errors.Is(c.err, c.is) || c.err.Error() != c.text {
-			t.Errorf("%v, want %q", c.err, c.text)
-		}
-	}
-	if err := steer("open", VerbCancel); err != nil {
-		t.Fatal(err)
+		t.Run(test.name, func(t *testing.T) {
+			if err := control(host, test.id, test.verb); !errors.Is(err, test.want) || err.Error() != test.text {
+				t.Errorf("%v, want %q", err, test.text)
+			}
+		})
 	}
-	if err := steer("open", VerbCancel); !errors.Is(err, ErrCommandEnded) || err.Error() != "cancel: the command has ended" {
-		t.Errorf("%v", err)
-	}
-	host = newHost(t, readTestSpec(t, twoInstances))
+}
+
+// TestUnknownVerbIsRejected checks that an operation that does not exist has an error of its own.
+func TestUnknownVerbIsRejected(t *testing.T) {
+	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
-	config := DefaultRollingUpdate()
-	config.MinReadyShare = 0
-	if _, _, err := host.m.Decide(host.now, CommandReceived{&Command{ID: "w", Kind: KindRollingUpdate, Names: []string{"a"}, Deadline: host.now + 20*second, Rollout: &config}}); err != nil {
-		t.Fatal(err)
-	}
-	unknown, ok := errors.AsType[*VerbError](steer("w", "dance"))
-	if !ok || unknown.Verb != "dance" || unknown.Error() != `unknown operation "dance", wanted pause, resume or cancel` {
-		t.Errorf("%v", unknown)
+	host.spec.RollingUpdate.MinReadyShare = 0
+	host.mustCommand("w", KindRollingUpdate, 20*second, "a")
+	const want = `unknown operation "dance", wanted pause, resume or cancel`
+	unknown, ok := errors.AsType[*VerbError](control(host, "w", "dance"))
+	if !ok || unknown.Verb != "dance" || unknown.Error() != want {
+		t.Errorf("%v, want %q", unknown, want)
 	}
 }
 
-// TestNameErrors: a name, an address or a word of a selection that can't be used is in its error.
-func TestNameErrors(t *testing.T) {
+// TestInvalidNamesAreInTheirErrors checks the errors of names and addresses.
+func TestInvalidNamesAreInTheirErrors(t *testing.T) {
 	if bad, ok := errors.AsType[*NameError](CheckName("-x")); !ok || bad.Name != "-x" {
-		t.Errorf("%v", bad)
+		t.Errorf("CheckName: %v, want a *NameError", bad)
 	}
-	for address, text := range map[string]string{
-		"unix:a":   `"a" is not an absolute path of at most 100 bytes`,
-		"10.0.0.1": `"10.0.0.1" is neither unix:PATH nor 127.x.x.x:PORT`,
+	for _, test := range []struct {
+		name    string
+		address string
+		text    string
+	}{
+		{"relative socket path", "unix:a", `"a" is not an absolute path of at most 100 bytes`},
+		{"address outside the loopback network", "10.0.0.1", `"10.0.0.1" is neither unix:PATH nor 127.x.x.x:PORT`},
 	} {
-		if bad, ok := errors.AsType[*AddressError](CheckAddress(address)); !ok || bad.Address != address || bad.Error() != text {
-			t.Errorf("%s: %v", address, bad)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			bad, ok := errors.AsType[*AddressError](CheckAddress(test.address))
+			if !ok || bad.Address != test.address || bad.Error() != test.text {
+				t.Errorf("CheckAddress: %v, want %q", bad, test.text)
+			}
+		})
 	}
-	s := readTestSpec(t, twoInstances)
-	for _, c := range []struct {
+}
+
+// TestUnmatchedSelectionsAreRejected checks that a word of a selection that matches nothing is in its error.
+func TestUnmatchedSelectionsAreRejected(t *testing.T) {
+	spec := readTestSpec(t, twoInstances)
+	unmatched := []string{"z"}
+	for _, test := range []struct {
+		kind      string
 		selection Selection
-		want      SelectionError
 	}{
-		{Selection{Names: []string{"z"}}, SelectionError{"instance", "z", "f"}}, {Selection{Groups: []string{"z"}}, SelectionError{"group", "z", "f"}},
-		{Selection{Labels: []string{"z"}}, SelectionError{"label", "z", "f"}}, {Selection{Hosts: []string{"z"}}, SelectionError{"host", "z", "f"}},
+		{"instance", Selection{Names: unmatched}},
+		{"group", Selection{Groups: unmatched}},
+		{"label", Selection{Labels: unmatched}},
+		{"host", Selection{Hosts: unmatched}},
 	} {
-		_, err := s.Select(c.selection)
-		if got, ok := errors.AsType[*SelectionError](err); !ok || *got != c.want || err.Error() != c.want.Kind+` "z" matches nothing in fleet f` {
-			t.Errorf("%+v: %v", c.selection, err)
-		}
+		t.Run(test.kind, func(t *testing.T) {
+			_, err := spec.Select(test.selection)
+			got, ok := errors.AsType[*SelectionError](err)
+			if want := (SelectionError{Kind: test.kind, Word: "z", Fleet: "f"}); !ok || *got != want {
+				t.Fatalf("%v, want %+v", err, want)
+			}
+			if text := test.kind + ` "z" matches nothing in fleet f`; err.Error() != text {
+				t.Errorf("%q, want %q", err, text)
+			}
+		})
 	}
-	if _, err := s.Select(Selection{}); !errors.Is(err, ErrEmptySelection) {
-		t.Errorf("%v", err)
+	if _, err := spec.Select(Selection{}); !errors.Is(err, ErrEmptySelection) {
+		t.Errorf("empty selection: %v, want %v", err, ErrEmptySelection)
 	}
 }
--- a/internal/fleet/interleavings_test.go
+++ b/internal/fleet/interleavings_test.go
@@ -138,8 +138,9 @@
 	for _, action := range actions {
 		inst, _ := c.host.m.Instance(action.Name)
 		command := c.host.m.Command(inst.CommandID)
-		byRollingUpdate := command != nil && command.Kind == KindRollingUpdate && inst.DesiredUp && inst.GiveUpReason == ""
-		if action.Kind == ActionNotify && byRollingUpdate && action.Cause != causeResent {
+		byRollingUpdate := command != nil && command.Kind == KindRollingUpdate
+		isRestart := action.Kind == ActionNotify && inst.DesiredUp && inst.GiveUpReason == ""
+		if byRollingUpdate && isRestart && action.Cause != causeResent {
 			c.checkRestart(command, inst)
 		}
 	}
--- a/internal/fleet/invariants_test.go
+++ b/internal/fleet/invariants_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestFailureOfAnotherActionIsIgnored: only the action that is pending can fail.
+// TestFailureOfAnotherActionIsIgnored checks that only the pending action can fail.
 func TestFailureOfAnotherActionIsIgnored(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.dropAction = dropKind(ActionLaunch)
@@ -23,13 +23,14 @@
 	host = newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	before = storedForm(t, host.m.instances["a"])
-	decide(t, host, ActionFailed{Name: "a", ActionID: host.m.instances["a"].ActionID, Cause: "after it was taken", Final: true})
+	taken := host.m.instances["a"].ActionID
+	decide(t, host, ActionFailed{Name: "a", ActionID: taken, Cause: "after it was taken", Final: true})
 	if after := storedForm(t, host.m.instances["a"]); after != before {
 		t.Errorf("the failure of an action that was taken changed\n%s to\n%s", before, after)
 	}
 }
 
-// TestReleaseOfAnotherUnitIsIgnored: a confirmation for an older request leaves the present unit alone.
+// TestReleaseOfAnotherUnitIsIgnored checks that the confirmation of an older release leaves the present unit alone.
 func TestReleaseOfAnotherUnitIsIgnored(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	held := Unit{Quota: "updates", RequestID: "r.a.2", CommandID: "r", Held: true}
@@ -44,21 +45,22 @@
 	}
 }
 
-// TestGrantOfAnotherRequestIsReturned: a unit that comes for a request given up meanwhile is not used.
+// TestGrantOfAnotherRequestIsReturned checks that a unit granted for an abandoned request is released.
 func TestGrantOfAnotherRequestIsReturned(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
-	asked := Unit{Quota: "updates", RequestID: "r.a.2", CommandID: "r"}
-	host.m.instances["a"].Unit = asked
-	actions := decide(t, host, UnitAcquired{HeldUnit: HeldUnit{Name: "a", Quota: "updates", RequestID: "r.a.1"}, Granted: true})
-	if got := host.m.instances["a"].Unit; got != asked {
-		t.Errorf("%+v became %+v", asked, got)
+	requested := Unit{Quota: "updates", RequestID: "r.a.2", CommandID: "r"}
+	host.m.instances["a"].Unit = requested
+	abandoned := HeldUnit{Name: "a", Quota: "updates", RequestID: "r.a.1"}
+	actions := decide(t, host, UnitAcquired{HeldUnit: abandoned, Granted: true})
+	if got := host.m.instances["a"].Unit; got != requested {
+		t.Errorf("%+v became %+v", requested, got)
 	}
 	if len(actions) != 1 || actions[0].Kind != ActionReleaseUnit || actions[0].ID != "r.a.1" {
-		t.Errorf("the stray unit is not returned: %+v", actions)
+		t.Errorf("the stray unit is not released: %+v", actions)
 	}
 }
 
-// TestUnitStaysHeldUntilBackInService: a unit without use is returned once its instance serves, not before.
+// TestUnitStaysHeldUntilBackInService checks that an unused unit is released once its instance is ready, not before.
 func TestUnitStaysHeldUntilBackInService(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.mustCommand("up", KindStart, 60*second, "a")
@@ -68,47 +70,52 @@
 	}
 	host.advance(2*second, nil)
 	if host.m.instances["a"].Unit.NextRequestAt == 0 {
-		t.Error("its unit was not returned after it became ready")
+		t.Error("its unit was not released after it became ready")
 	}
 }
 
-// TestResultIsRecordedOnce: whatever is reported after the first result changes nothing.
+// TestResultIsRecordedOnce checks that a result after the first one changes nothing.
 func TestResultIsRecordedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		outcomes := []Outcome{OutcomeSucceeded, OutcomeUnchanged, OutcomeKilled, OutcomeFailed, OutcomeSuperseded, OutcomeTimedOut, OutcomeCancelled}
+		outcomes := []Outcome{
+			OutcomeSucceeded, OutcomeUnchanged, OutcomeKilled, OutcomeFailed,
+			OutcomeSuperseded, OutcomeTimedOut, OutcomeCancelled,
+		}
 		host := newHost(t, readTestSpec(t, twoInstances))
-		c := &Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Results: map[string]Result{}}
+		command := &Command{ID: "c", Kind: KindStart, Names: []string{"a"}, Results: map[string]Result{}}
 		first := rapid.SampledFrom(outcomes).Draw(t, "first")
-		host.m.recordResult(host.now, c, "a", first, "first")
-		want, failures := c.Results["a"], c.Failures
-		host.m.recordResult(host.now+1, c, "a", rapid.SampledFrom(outcomes).Draw(t, "later"), "later")
-		if c.Results["a"] != want || c.Failures != failures {
-			t.Fatalf("%+v became %+v, %d failures %d", want, c.Results["a"], failures, c.Failures)
+		host.m.recordResult(host.now, command, "a", first, "first")
+		want := command.Results["a"]
+		failures := command.Failures
+		later := rapid.SampledFrom(outcomes).Draw(t, "later")
+		host.m.recordResult(host.now+1, command, "a", later, "later")
+		if command.Results["a"] != want || command.Failures != failures {
+			t.Fatalf("result %+v became %+v, %d failures became %d",
+				want, command.Results["a"], failures, command.Failures)
 		}
 	})
 }
 
-// TestFinishedCommandsAreBounded: beyond the bound the oldest are forgotten, in memory and in what is stored.
+// TestFinishedCommandsAreBounded checks that beyond the bound the oldest commands are forgotten, in memory and in the
+// store.
 func TestFinishedCommandsAreBounded(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.m.config.MaxFinishedCommands = 2
 	startAll(host)
 	for n := range 4 {
-		if err := host.command(fmt.Sprint("again", n), KindStart, second, "a"); err != nil {
-			t.Fatal(err)
-		}
+		host.mustCommand(fmt.Sprint("again", n), KindStart, second, "a")
 	}
 	commands := host.m.Commands()
 	ids := make([]string, 0, len(commands))
-	for _, c := range commands {
-		ids = append(ids, c.ID)
+	for _, command := range commands {
+		ids = append(ids, command.ID)
 	}
 	if want := []string{"again3", "again2"}; !slices.Equal(ids, want) || len(host.saved.Commands) != 2 {
-		t.Errorf("%v are known, wanted %v; %d are stored", ids, want, len(host.saved.Commands))
+		t.Errorf("known: %v, want %v; stored: %d, want 2", ids, want, len(host.saved.Commands))
 	}
 }
 
-// TestRestoreAfterReboot: no process outlives the machine's restart, so that what is wanted is launched anew.
+// TestRestoreAfterReboot checks that after a reboot, which no process survives, what is desired up is launched again.
 func TestRestoreAfterReboot(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
@@ -118,8 +125,8 @@
 		t.Errorf("restored as %s of incarnation %q", inst.Phase, inst.Incarnation)
 	}
 	launched := 0
-	for _, a := range decide(t, host, Tick{}) {
-		if a.Kind == ActionLaunch && !a.Adopt {
+	for _, action := range decide(t, host, Tick{}) {
+		if action.Kind == ActionLaunch && !action.Adopt {
 			launched++
 		}
 	}
@@ -128,23 +135,23 @@
 	}
 }
 
-// TestRestoreRenewsPendingNotice: the shutdown window of a notice that may not have arrived runs from its resend.
+// TestRestoreRenewsPendingNotice checks that the shutdown window of a notice that may be lost runs from its resend.
 func TestRestoreRenewsPendingNotice(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	host.dropAction = dropKind(ActionNotify)
-	if err := host.command("down", KindDrain, 60*second, "a"); err != nil {
-		t.Fatal(err)
-	}
+	host.mustCommand("down", KindDrain, 60*second, "a")
 	host.now += 2 * second
 	host.restart()
 	inst, _ := host.m.Instance("a")
-	if want := host.now + inst.shutdown.ExitTimeout + host.m.config.KillDelay; inst.NotifiedAt != host.now || inst.PhaseDeadline != want {
-		t.Errorf("notified at %d with the deadline %d, wanted %d and %d", inst.NotifiedAt, inst.PhaseDeadline, host.now, want)
+	wantDeadline := host.now + inst.shutdown.ExitTimeout + host.m.config.KillDelay
+	if inst.NotifiedAt != host.now || inst.PhaseDeadline != wantDeadline {
+		t.Errorf("notified at %d with the deadline %d, want %d and %d",
+			inst.NotifiedAt, inst.PhaseDeadline, host.now, wantDeadline)
 	}
 }
 
-// TestCountsFromBeforeRestartAreNotAdded: the first counts seen after the agent's restart are a baseline only.
+// TestCountsFromBeforeRestartAreNotAdded checks that the first counts after a restart of the agent are a baseline only.
 func TestCountsFromBeforeRestartAreNotAdded(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
@@ -156,27 +163,30 @@
 	}
 	observe(1000, 900)
 	if share, known := host.m.rejections.share(host.now); known {
-		t.Errorf("the share of rejections is known to be %v from counts of before", share)
+		t.Errorf("the rejected share is known to be %v from counts before the restart", share)
 	}
 	observe(1100, 910)
 	if share, known := host.m.rejections.share(host.now); !known || share != 0.1 {
-		t.Errorf("the share of rejections is %v (known %t), wanted 0.1", share, known)
+		t.Errorf("the rejected share is %v (known: %t), want 0.1", share, known)
 	}
 }
 
-// TestPendingLaunchIsNotDoubled: while a launch is pending, its incarnation without a supervisor asks for no other.
+// TestPendingLaunchIsNotDoubled checks that no second launch follows while the incarnation of a pending launch has no
+// supervisor.
 func TestPendingLaunchIsNotDoubled(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.dropAction = dropKind(ActionLaunch)
 	host.mustCommand("up", KindStart, 60*second, "a")
 	inst := host.m.instances["a"]
-	decide(t, host, InstanceObserved{Name: "a", Observation: Observation{Incarnation: inst.Incarnation, Phase: PhaseUnknown, Orphaned: true}})
+	decide(t, host, InstanceObserved{Name: "a", Observation: Observation{
+		Incarnation: inst.Incarnation, Phase: PhaseUnknown, Orphaned: true,
+	}})
 	if inst.ActionCount != 1 {
-		t.Errorf("%d actions, the last %s", inst.ActionCount, inst.ActionID)
+		t.Errorf("%d actions, the last %s, want 1", inst.ActionCount, inst.ActionID)
 	}
 }
 
-// TestResendWaitsForItsBackoff: a pending action goes out again after its pause, under the same ID.
+// TestResendWaitsForItsBackoff checks that a pending action is sent again after its pause, with the same ID.
 func TestResendWaitsForItsBackoff(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.dropAction = dropKind(ActionLaunch)
@@ -184,92 +194,88 @@
 	inst := host.m.instances["a"]
 	host.now = inst.NextAttemptAt - 1
 	if actions := decide(t, host, Tick{}); len(actions) != 0 {
-		t.Errorf("before its time: %+v", actions)
+		t.Errorf("before the end of the pause: %+v", actions)
 	}
 	host.now++
-	if actions := decide(t, host, Tick{}); len(actions) != 1 || actions[0].ID != "a.1" || inst.NextAttemptAt <= host.now {
-		t.Errorf("at its time: %+v, next at %d of %d", actions, inst.NextAttemptAt, host.now)
+	actions := decide(t, host, Tick{})
+	if len(actions) != 1 || actions[0].ID != "a.1" || inst.NextAttemptAt <= host.now {
+		t.Errorf("after the pause: %+v, next attempt at %d, now %d", actions, inst.NextAttemptAt, host.now)
 	}
 }
 
-// TestRelaunchWaitsForItsBackoff: an instance that ended by itself is not launched before its pause is over.
+// TestRelaunchWaitsForItsBackoff checks that a crashed instance is not launched before the end of its pause.
 func TestRelaunchWaitsForItsBackoff(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	inst := host.m.instances["a"]
-	ended := Observation{Incarnation: inst.Incarnation, Phase: PhaseExited, Exit: Exit{Code: 3}}
-	if actions := decide(t, host, InstanceObserved{Name: "a", Observation: ended}); len(actions) != 0 {
+	crashed := Observation{Incarnation: inst.Incarnation, Phase: PhaseExited, Exit: Exit{Code: 3}}
+	if actions := decide(t, host, InstanceObserved{Name: "a", Observation: crashed}); len(actions) != 0 {
 		t.Errorf("at once: %+v", actions)
 	}
 	host.now = inst.NextAttemptAt - 1
 	if actions := decide(t, host, Tick{}); len(actions) != 0 {
-		t.Errorf("before its time: %+v", actions)
+		t.Errorf("before the end of the pause: %+v", actions)
 	}
 	host.now++
 	if actions := decide(t, host, Tick{}); len(actions) != 1 || actions[0].Kind != ActionLaunch {
-		t.Errorf("at its time: %+v", actions)
+		t.Errorf("after the pause: %+v", actions)
 	}
 }
 
-// TestUnseenInstanceIsNotReleased: a rolling update waits for an instance that can't be observed, though no
-// minimum of its group stands in the way.
+// TestUnseenInstanceIsNotReleased checks that a rolling update waits for an instance that can't be observed, even
+// without a minimum for its group.
 func TestUnseenInstanceIsNotReleased(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	host.spec.RollingUpdate.MinReadyShare = 0
 	host.restart()
 	host.check = func(actions []Action) {
-		for _, a := range actions {
-			t.Errorf("%s of %s, which is unseen", a.Kind, a.Name)
+		for _, action := range actions {
+			t.Errorf("%s of %s, which was not observed", action.Kind, action.Name)
 		}
 	}
-	if err := host.command("w", KindRollingUpdate, 60*second, "a", "b"); err != nil {
-		t.Fatal(err)
-	}
+	host.mustCommand("w", KindRollingUpdate, 60*second, "a", "b")
 	host.check = nil
 	host.advance(30*second, nil)
-	if c := host.m.Command("w"); c.State != CommandDone || len(c.Unsatisfied()) != 0 {
-		t.Errorf("%s: %+v", c.State, c.Results)
+	if command := host.m.Command("w"); command.State != CommandDone || len(command.Unsatisfied()) != 0 {
+		t.Errorf("the update is %s: %+v", command.State, command.Results)
 	}
 }
 
-// TestSparesSettleBeforeTheUpdateRolls: nothing leaves before all spares have been ready for their group's time.
+// TestSparesSettleBeforeTheUpdateRolls checks that no instance is notified before all spares have settled.
 func TestSparesSettleBeforeTheUpdateRolls(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	host.spec.RollingUpdate.Surge = 1
-	left := 0
+	notified := 0
 	host.check = func(actions []Action) {
-		for _, a := range actions {
-			spare := host.m.instances["x"]
-			if a.Kind != ActionNotify || a.Name == "x" {
+		for _, action := range actions {
+			if action.Kind != ActionNotify || action.Name == "x" {
 				continue
 			}
-			if left++; left == 1 && !spare.Settled(host.now) {
-				t.Errorf("%s leaves while the spare is %s since %d at %d", a.Name, spare.Phase, spare.ReadySince, host.now)
+			notified++
+			if spare := host.m.instances["x"]; notified == 1 && !spare.Settled(host.now) {
+				t.Errorf("%s is notified at %d while the spare is %s, ready since %d",
+					action.Name, host.now, spare.Phase, spare.ReadySince)
 			}
 		}
 	}
-	if err := host.command("w", KindRollingUpdate, 60*second, "a", "b"); err != nil {
-		t.Fatal(err)
-	}
+	host.mustCommand("w", KindRollingUpdate, 60*second, "a", "b")
 	host.advance(30*second, nil)
-	if left != 2 {
-		t.Errorf("%d of 2 left", left)
+	if notified != 2 {
+		t.Errorf("%d instances were notified, want 2", notified)
 	}
 }
 
-// TestRejectedCommandChangesNothing: what can't be taken changes nothing.
+// TestRejectedCommandChangesNothing checks that a rejected command leaves its instances as they are.
 func TestRejectedCommandChangesNothing(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.m.config.MaxOpenCommands = 1
-	if err := host.command("one", KindStart, 90*second, "a"); err != nil {
-		t.Fatal(err)
-	}
+	host.mustCommand("one", KindStart, 90*second, "a")
 	if err := host.command("two", KindStart, 90*second, "b"); !errors.Is(err, ErrTooManyCommands) {
-		t.Fatal(err)
+		t.Fatalf("%v, want %v", err, ErrTooManyCommands)
 	}
 	if inst, _ := host.m.Instance("b"); inst.DesiredUp || inst.CommandID != "" {
-		t.Fatalf("%+v", inst)
+		t.Fatalf("the rejected command changed its instance: %+v", inst)
 	}
 }
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -7,82 +7,146 @@
 	"pgregory.net/rapid"
 )
 
+// testRecord returns a record of incarnation a.1 that was read, changed by change.
+func testRecord(change func(*SupervisorRecord)) SupervisorRecord {
+	record := SupervisorRecord{State: RecordRead, Incarnation: "a.1", NoticeID: "a.2"}
+	change(&record)
+	return record
+}
+
+// TestSupervisorSilence checks the verdict on incarnation a.1 for each content of the record.
 func TestSupervisorSilence(t *testing.T) {
-	end := Exit{Code: 3, Uptime: 7}
-	record := func(change func(*SupervisorRecord)) SupervisorRecord {
-		r := SupervisorRecord{State: RecordRead, Incarnation: "a.1", NoticeID: "a.2"}
-		change(&r)
-		return r
-	}
-	unseen := Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}}
-	for _, c := range []struct {
+	exit := Exit{Code: 3, Uptime: 7}
+	recordedExit := SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+		Incarnation: "a.1", Phase: PhaseExited, Exit: exit, NoticeID: "a.2",
+	}}
+	unrecordedExit := SilenceVerdict{Decided: true, Observation: Observation{
+		Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true},
+	}}
+	undecided := SilenceVerdict{Recorded: true}
+	for _, test := range []struct {
 		name   string
 		missed int
 		record SupervisorRecord
 		want   SilenceVerdict
 	}{
-		{"a recorded end counts at the first miss", 1,
-			record(func(r *SupervisorRecord) { r.Ended, r.Exit = true, end }),
-			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: end, NoticeID: "a.2"}}},
-		{"a recorded end counts although the processes run", 9,
-			record(func(r *SupervisorRecord) { r.Ended, r.Exit, r.SupervisorAlive, r.InstanceAlive = true, end, true, true }),
-			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: end, NoticeID: "a.2"}}},
-		{"the end of an earlier incarnation is none of this one", maxMissedPolls - 1,
-			record(func(r *SupervisorRecord) { r.Incarnation, r.Ended = "a.0", true }),
-			SilenceVerdict{Recorded: true}},
-		{"no record, too early", maxMissedPolls - 1, SupervisorRecord{}, SilenceVerdict{Recorded: true}},
-		{"a dead supervisor, too early", maxMissedPolls - 1,
-			record(func(r *SupervisorRecord) { r.InstanceAlive = true }), SilenceVerdict{Recorded: true}},
-		{"no record", maxMissedPolls, SupervisorRecord{}, SilenceVerdict{Decided: true, Observation: unseen}},
-		{"the record of an earlier incarnation", maxMissedPolls,
-			record(func(r *SupervisorRecord) { r.Incarnation, r.Ended, r.SupervisorAlive = "a.0", true, true }),
-			SilenceVerdict{Decided: true, Observation: unseen}},
-		{"an unreadable record proves nothing", maxMissedPolls,
-			SupervisorRecord{State: RecordUnreadable, Cause: "permission denied"},
-			SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "permission denied"}}},
-		{"a supervisor that hangs", maxMissedPolls,
-			record(func(r *SupervisorRecord) { r.SupervisorAlive, r.InstanceAlive = true, true }),
-			SilenceVerdict{Decided: true, Recorded: true,
-				Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper does not answer", NoticeID: "a.2"}}},
-		{"a supervisor that died", maxMissedPolls,
-			record(func(r *SupervisorRecord) { r.InstanceAlive = true }),
-			SilenceVerdict{Decided: true, Recorded: true,
-				Observation: Observation{Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper is gone", Orphaned: true, NoticeID: "a.2"}}},
-		{"both died", maxMissedPolls, record(func(*SupervisorRecord) {}),
-			SilenceVerdict{Decided: true, Recorded: true,
-				Observation: Observation{Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}, NoticeID: "a.2"}}},
+		{
+			name:   "recorded end, first miss",
+			missed: 1,
+			record: testRecord(func(r *SupervisorRecord) { r.Ended, r.Exit = true, exit }),
+			want:   recordedExit,
+		},
+		{
+			name:   "recorded end, processes run",
+			missed: 9,
+			record: testRecord(func(r *SupervisorRecord) {
+				r.Ended, r.Exit = true, exit
+				r.SupervisorAlive, r.InstanceAlive = true, true
+			}),
+			want: recordedExit,
+		},
+		{
+			name:   "end of an earlier incarnation, too early",
+			missed: maxMissedPolls - 1,
+			record: testRecord(func(r *SupervisorRecord) { r.Incarnation, r.Ended = "a.0", true }),
+			want:   undecided,
+		},
+		{
+			name:   "no record, too early",
+			missed: maxMissedPolls - 1,
+			want:   undecided,
+		},
+		{
+			name:   "dead supervisor, too early",
+			missed: maxMissedPolls - 1,
+			record: testRecord(func(r *SupervisorRecord) { r.InstanceAlive = true }),
+			want:   undecided,
+		},
+		{
+			name:   "no record",
+			missed: maxMissedPolls,
+			want:   unrecordedExit,
+		},
+		{
+			name:   "record of an earlier incarnation",
+			missed: maxMissedPolls,
+			record: testRecord(func(r *SupervisorRecord) {
+				r.Incarnation = "a.0"
+				r.Ended = true
+				r.SupervisorAlive = true
+			}),
+			want: unrecordedExit,
+		},
+		{
+			name:   "unreadable record",
+			missed: maxMissedPolls,
+			record: SupervisorRecord{State: RecordUnreadable, Cause: "permission denied"},
+			want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+				Incarnation: "a.1", Phase: PhaseUnknown, Cause: "permission denied",
+			}},
+		},
+		{
+			name:   "hanging supervisor",
+			missed: maxMissedPolls,
+			record: testRecord(func(r *SupervisorRecord) { r.SupervisorAlive, r.InstanceAlive = true, true }),
+			want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+				Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper does not answer", NoticeID: "a.2",
+			}},
+		},
+		{
+			name:   "dead supervisor",
+			missed: maxMissedPolls,
+			record: testRecord(func(r *SupervisorRecord) { r.InstanceAlive = true }),
+			want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+				Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper is gone", Orphaned: true, NoticeID: "a.2",
+			}},
+		},
+		{
+			name:   "dead supervisor and instance",
+			missed: maxMissedPolls,
+			record: testRecord(func(*SupervisorRecord) {}),
+			want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+				Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}, NoticeID: "a.2",
+			}},
+		},
 	} {
-		got := SupervisorSilence{Incarnation: "a.1", MissedPolls: c.missed, Record: c.record}.Interpret()
-		if diff := cmp.Diff(c.want, got); diff != "" {
-			t.Errorf("%s: %s", c.name, diff)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			silence := SupervisorSilence{Incarnation: "a.1", MissedPolls: test.missed, Record: test.record}
+			if diff := cmp.Diff(test.want, silence.Interpret()); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 }
 
-// TestSilenceNeverEndsLiveInstance: no verdict is final while a process of the incarnation runs, unless its
-// supervisor wrote the end down; and every verdict is about the incarnation that was asked about.
+// TestSilenceNeverEndsLiveInstance checks that no verdict is final while a process of the incarnation runs, unless its
+// supervisor recorded the end, and that every verdict is about the incarnation polled.
 func TestSilenceNeverEndsLiveInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-		s := SupervisorSilence{
-			Incarnation: "a.1", MissedPolls: rapid.IntRange(1, 3*maxMissedPolls).Draw(t, "missed"),
+		states := []RecordState{RecordMissing, RecordUnreadable, RecordRead}
+		silence := SupervisorSilence{
+			Incarnation: "a.1",
+			MissedPolls: rapid.IntRange(1, 3*maxMissedPolls).Draw(t, "missed"),
 			Record: SupervisorRecord{
-				State:       rapid.SampledFrom([]RecordState{RecordMissing, RecordUnreadable, RecordRead}).Draw(t, "state"),
-				Incarnation: rapid.SampledFrom([]string{"a.0", "a.1"}).Draw(t, "run"),
-				Ended:       flag("ended"), SupervisorAlive: flag("supervisor"), InstanceAlive: flag("instance"),
+				State:           rapid.SampledFrom(states).Draw(t, "state"),
+				Incarnation:     rapid.SampledFrom([]string{"a.0", "a.1"}).Draw(t, "incarnation"),
+				Ended:           flag("ended"),
+				SupervisorAlive: flag("supervisor"),
+				InstanceAlive:   flag("instance"),
 			},
 		}
-		v := s.Interpret()
-		recorded := s.Record.State == RecordRead && s.Record.Incarnation == s.Incarnation
-		alive := recorded && (s.Record.SupervisorAlive || s.Record.InstanceAlive)
-		if v.Ended() && (!recorded || alive && !s.Record.Ended) {
-			t.Fatalf("%+v ends by %+v", s, v)
+		verdict := silence.Interpret()
+		recorded := silence.Record.State == RecordRead && silence.Record.Incarnation == silence.Incarnation
+		alive := recorded && (silence.Record.SupervisorAlive || silence.Record.InstanceAlive)
+		if verdict.Ended() && (!recorded || alive && !silence.Record.Ended) {
+			t.Fatalf("%+v is final: %+v", silence, verdict)
 		}
-		if v.Decided != (v.Observation.Incarnation == s.Incarnation) {
-			t.Fatalf("%+v: %+v", s, v)
+		if verdict.Decided != (verdict.Observation.Incarnation == silence.Incarnation) {
+			t.Fatalf("%+v gives a verdict about another incarnation: %+v", silence, verdict)
 		}
-		if !v.Decided && s.MissedPolls >= maxMissedPolls {
-			t.Fatalf("%+v is never decided", s)
+		if !verdict.Decided && silence.MissedPolls >= maxMissedPolls {
+			t.Fatalf("%+v is never decided", silence)
 		}
 	})
 }
--- a/internal/fleet/spec_errors_test.go
+++ b/internal/fleet/spec_errors_test.go
@@ -13,14 +13,14 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// specErrorsOf reads a fleet's file and returns what is wrong with it.
+// specErrorsOf reads a fleet's file and returns its errors.
 func specErrorsOf(t *testing.T, text string) (all []*SpecError) {
 	t.Helper()
 	_, err := ReadSpec("fleet.sx", []byte(text), limits.ForControl())
 	return specErrors(t, err)
 }
 
-// specErrors takes apart what ReadSpec returned.
+// specErrors splits the error of ReadSpec.
 func specErrors(t *testing.T, err error) (all []*SpecError) {
 	t.Helper()
 	joined, ok := err.(interface{ Unwrap() []error })
@@ -28,18 +28,18 @@
 		t.Fatalf("%v joins no errors", err)
 	}
 	for _, one := range joined.Unwrap() {
-		wrong, ok := errors.AsType[*SpecError](one)
+		specError, ok := errors.AsType[*SpecError](one)
 		if !ok {
-			t.Fatalf("%v is no *SpecError", one)
+			t.Fatalf("%v is not a *SpecError", one)
 		}
-		all = append(all, wrong)
+		all = append(all, specError)
 	}
 	return all
 }
 
-// TestSpecErrorSubjects: each error about a fleet's file names the host, group, instance or quota that it is about, and
-// the field.
-func TestSpecErrorSubjects(t *testing.T) {
+// TestSpecErrorsNameTheirSubject checks that each error of a fleet's file names the host, group, instance or quota that
+// is wrong, and the field.
+func TestSpecErrorsNameTheirSubject(t *testing.T) {
 	const hosts = `(host h1 (agent "unix:/a") (peer 127.0.0.1:1)) (host h2 (agent x) (peer 127.0.0.1:2) (colour red))`
 	const group1 = `(group g1 (host h1) (config "%n") (instances a b) (settle never))`
 	const group2 = `(group g2 (host h3) (config "%n") (instances c a ../x) (spares b) (colour red))`
@@ -80,27 +80,33 @@
 	}
 }
 
-// TestSpecErrorSubjectsOfHosts: hosts that can't take part, for what other forms of the file ask, are named.
-func TestSpecErrorSubjectsOfHosts(t *testing.T) {
+// TestSpecErrorsNameHostsThatCannotTakePart checks that an error names the host that has too many instances or no peer
+// address.
+func TestSpecErrorsNameHostsThatCannotTakePart(t *testing.T) {
 	bounds := limits.ForControl()
 	bounds.Instances = 1
-	_, err := ReadSpec("fleet.sx", []byte(`(fleet f (host h1 (agent "unix:/a") (peer 127.0.0.1:1)) (host h2 (agent "unix:/b"))
-		(group g (host h1) (config "%n") (instances a b)) (budgets (ledger h1) (budget q (count 1))))`), bounds)
-	named := make([]SpecSubject, 0, 2)
-	for _, wrong := range specErrors(t, err) {
-		named = append(named, wrong.SpecSubject)
+	const hosts = `(host h1 (agent "unix:/a") (peer 127.0.0.1:1)) (host h2 (agent "unix:/b"))`
+	const group = `(group g (host h1) (config "%n") (instances a b))`
+	const quotas = `(budgets (ledger h1) (budget q (count 1)))`
+	_, err := ReadSpec("fleet.sx", []byte(`(fleet f `+hosts+group+quotas+`)`), bounds)
+	all := specErrors(t, err)
+	subjects := make([]SpecSubject, 0, len(all))
+	for _, specError := range all {
+		subjects = append(subjects, specError.SpecSubject)
 	}
-	if diff := cmp.Diff([]SpecSubject{{Host: "h1"}, {Host: "h2"}}, named); diff != "" {
+	if diff := cmp.Diff([]SpecSubject{{Host: "h1"}, {Host: "h2"}}, subjects); diff != "" {
 		t.Errorf("%v\n%s", err, diff)
 	}
 }
 
-// TestManySpecErrors: beyond the bound on errors the file's errors still come, each with its own subject.
-func TestManySpecErrors(t *testing.T) {
-	all := specErrorsOf(t, `(fleet f (host h1 (agent "unix:/a")) (group g1 (config "%n") (instances a`+strings.Repeat(" a", 30)+`)) (group g2))`)
-	for _, e := range all {
-		if e.SpecSubject != (SpecSubject{Group: "g1", Instance: "a"}) {
-			t.Errorf("%v: %+v", e, e.SpecSubject)
+// TestManySpecErrorsKeepTheirSubjects checks that each error has its own subject, also beyond the bound on errors.
+func TestManySpecErrorsKeepTheirSubjects(t *testing.T) {
+	duplicates := strings.Repeat(" a", 30)
+	all := specErrorsOf(t, `(fleet f (host h1 (agent "unix:/a"))`+
+		` (group g1 (config "%n") (instances a`+duplicates+`)) (group g2))`)
+	for _, specError := range all {
+		if want := (SpecSubject{Group: "g1", Instance: "a"}); specError.SpecSubject != want {
+			t.Errorf("%v: %+v, want %+v", specError, specError.SpecSubject, want)
 		}
 	}
 	if len(all) == 0 {
@@ -108,48 +114,65 @@
 	}
 }
 
-// TestUnparsedSpec: a file that is no S-expression is reported with its place alone.
-func TestUnparsedSpec(t *testing.T) {
+// TestUnparsedSpecIsReportedWithItsPlace checks the error of a file that is not an S-expression.
+func TestUnparsedSpecIsReportedWithItsPlace(t *testing.T) {
 	_, err := ReadSpec("fleet.sx", []byte("(fleet"), limits.ForControl())
 	if _, ok := errors.AsType[*sexpr.Error](err); !ok {
-		t.Errorf("%v", err)
+		t.Errorf("%v, want a *sexpr.Error", err)
 	}
 }
 
-// TestSpecErrors: a fleet's file that can't be used says where, and all of it at once.
+// TestSpecErrors compares all errors of some files, selections and plans with the stored trace.
 func TestSpecErrors(t *testing.T) {
-	tr := fakes.NewTrace(t)
+	trace := fakes.NewTrace(t)
+	const host = `(host h1 (agent "unix:/a"))`
 	for _, text := range []string{
-		"(wave)", "(fleet f)", `(fleet f (host h (agent "unix:/a")) (host h (agent 10.0.0.1:80)))`,
-		`(fleet f (host h1 (agent "unix:/a")) (group g (config c) (instances a b)) (group g (host z) (config "%n") (instances a ../x)))`,
-		`(fleet f (host h1 (agent "127.0.0.1:70000")) (group g (config "%n") (range n 5 2) (settle 2h30) (colour red)))`,
-		`(fleet f (host h1 (agent "unix:/a")) (group g (config "%n") (instances a)) (wave (width 0) (least-share 2) (order up) (stall 0s)))`,
+		"(wave)",
+		"(fleet f)",
+		`(fleet f (host h (agent "unix:/a")) (host h (agent 10.0.0.1:80)))`,
+		`(fleet f ` + host + ` (group g (config c) (instances a b))` +
+			` (group g (host z) (config "%n") (instances a ../x)))`,
+		`(fleet f (host h1 (agent "127.0.0.1:70000"))` +
+			` (group g (config "%n") (range n 5 2) (settle 2h30) (colour red)))`,
+		`(fleet f ` + host + ` (group g (config "%n") (instances a))` +
+			` (wave (width 0) (least-share 2) (order up) (stall 0s)))`,
 	} {
 		_, err := ReadSpec("fleet.sx", []byte(text), limits.ForControl())
-		tr.Say("%s\n%v", text, err)
+		trace.Say("%s\n%v", text, err)
 	}
-	s := readTestSpec(t, groupsOf(2, 2, 1, ""))
-	for _, q := range []Selection{
-		{}, {All: true}, {Groups: []string{"g1"}}, {Names: []string{"g0-s1", "g1-n2"}}, {Names: []string{"nobody"}}, {Hosts: []string{"h1"}},
+	spec := readTestSpec(t, groupsOf(2, 2, 1, ""))
+	for _, selection := range []Selection{
+		{},
+		{All: true},
+		{Groups: []string{"g1"}},
+		{Names: []string{"g0-s1", "g1-n2"}},
+		{Names: []string{"nobody"}},
+		{Hosts: []string{"h1"}},
 	} {
-		all, err := s.Select(q)
-		names := make([]string, 0, len(all))
-		for _, inst := range all {
+		selected, err := spec.Select(selection)
+		names := make([]string, 0, len(selected))
+		for _, inst := range selected {
 			names = append(names, inst.Name)
 		}
-		tr.Say("%+v: %v %v", q, names, err)
+		trace.Say("%+v: %v %v", selection, names, err)
+	}
+	config := RollingUpdateConfig{
+		MaxInProgress: 2, MinReadyShare: 0.5, Order: OrderSpread, StallTimeout: 1, MaxRejectedShare: 1,
 	}
-	steps, err := Preview(s, "h1", []string{"g0-n1", "g0-n2", "g1-n1"}, RollingUpdateConfig{MaxInProgress: 2, MinReadyShare: 0.5, Order: "spread", StallTimeout: 1, MaxRejectedShare: 1})
-	tr.Say("%v %v", planText(steps), err)
-	_, err = Preview(s, "h1", []string{"g0-n1"}, RollingUpdateConfig{MaxInProgress: 2, MinReadyShare: 1, Order: "file", StallTimeout: 1, MaxRejectedShare: 1})
-	tr.Say("%v", err)
+	steps, err := Preview(spec, "h1", []string{"g0-n1", "g0-n2", "g1-n1"}, config)
+	trace.Say("%v %v", planText(steps), err)
+	config.MinReadyShare = 1
+	config.Order = OrderFile
+	_, err = Preview(spec, "h1", []string{"g0-n1"}, config)
+	trace.Say("%v", err)
 }
 
 // planText prints a plan as the stored trace has it.
 func planText(steps []PlanStep) string {
 	words := make([]string, 0, len(steps))
-	for _, s := range steps {
-		words = append(words, fmt.Sprintf("{Name:%s Group:%s Batch:%d Ready:%d Least:%d}", s.Name, s.Group, s.Batch, s.Ready, s.MinReady))
+	for _, step := range steps {
+		words = append(words, fmt.Sprintf("{Name:%s Group:%s Batch:%d Ready:%d Least:%d}",
+			step.Name, step.Group, step.Batch, step.Ready, step.MinReady))
 	}
 	return "[" + strings.Join(words, " ") + "]"
 }
