--- a/internal/fleet/command_scenarios_test.go
+++ b/internal/fleet/command_scenarios_test.go
@@ -9,7 +9,8 @@
 
 // twoInstances is a fleet of one group with the instances a and b and the spare x.
 const twoInstances = `(fleet f (host h1 (agent "unix:/tmp/h1"))
-	(group g (config "%n.json") (start-within 5s) (settle 1s) (restart (most 2) (within 20s)) (instances a b) (spares x))
+	(group g (config "%n.json") (start-within 5s) (settle 1s) (restart (most 2) (within 20s))
+		(instances a b) (spares x))
 	(wave (least-share 0.5) (stall 10s)))`
 
 // scenarioHost is a host with twoInstances whose course is traced.
