--- /dev/null
+++ b/internal/agent/history_test.go
@@ -0,0 +1,41 @@
+package agent
+
+import (
+	"testing"
+
+	"milletbarrow/internal/agent/agentstore"
+)
+
+// TestHistoryFeed holds that a client that joins late learns how many entries it has missed, and gets the others in
+// parts.
+func TestHistoryFeed(t *testing.T) {
+	feed := newHistoryFeed(nil)
+	_, _, more := feed.after(0)
+	const published = maxCachedEntries + 10
+	for serial := uint64(1); serial <= published; serial++ {
+		feed.publish([]agentstore.Entry{{Serial: serial}})
+	}
+	select {
+	case <-more:
+	default:
+		t.Error("the waiting client was not woken")
+	}
+	for _, test := range []struct {
+		name    string
+		after   uint64
+		lost    uint64
+		first   uint64
+		entries int
+	}{
+		{"from the beginning", 0, 10, 11, maxEntriesAtOnce},
+		{"some missed", 5, 5, 11, maxEntriesAtOnce},
+		{"none missed", 10, 0, 11, maxEntriesAtOnce},
+		{"the last one", published - 1, 0, published, 1},
+	} {
+		entries, lost, _ := feed.after(test.after)
+		if lost != test.lost || len(entries) != test.entries || entries[0].Serial != test.first {
+			t.Errorf("%s: %d entries from %d, %d lost, want %d from %d, %d lost",
+				test.name, len(entries), entries[0].Serial, lost, test.entries, test.first, test.lost)
+		}
+	}
+}
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -63,7 +63,7 @@
 		return failed(err)
 	}
 	defer func() { _ = log.Close() }() // the supervisor has its own descriptor
-	ctx = context.WithoutCancel(ctx) // the supervisor outlives the agent
+	ctx = context.WithoutCancel(ctx)   // the supervisor outlives the agent
 	cmd := exec.CommandContext(ctx, a.options.Executable[0], args...)
 	cmd.Stdout = log
 	cmd.Stderr = log
--- /dev/null
+++ b/internal/agent/restore_test.go
@@ -0,0 +1,101 @@
+package agent
+
+import (
+	"errors"
+	"slices"
+	"testing"
+
+	"milletbarrow/internal/agent/agentstore"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/process"
+	"milletbarrow/internal/supervisor"
+)
+
+// runningInstance returns the saved state of an instance that runs.
+func runningInstance(name string) fleet.Instance {
+	return fleet.Instance{Name: name, DesiredUp: true, Incarnation: name + ".1", Phase: fleet.PhaseReady}
+}
+
+// TestUnnamedInstanceStopsStart holds that an agent does not start while an instance runs that its fleet file does not
+// name.
+func TestUnnamedInstanceStopsStart(t *testing.T) {
+	store := &memoryStore{}
+	store.state.BootID = process.Boot()
+	store.state.Instances = []fleet.Instance{runningInstance("z")}
+	_, err := newIdleAgent(t, store)
+	if unnamed, ok := errors.AsType[*UnnamedInstanceError](err); !ok || unnamed.Instance != "z" {
+		t.Errorf("%v, want an UnnamedInstanceError of z", err)
+	}
+	if len(store.saved) != 0 {
+		t.Errorf("saved %+v", store.saved)
+	}
+}
+
+// TestReboot holds that incarnations of another boot have ended, also those of instances that the fleet file does not
+// name. The state of a store without a boot is of the present one.
+func TestReboot(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		boot  string // of the saved state
+		ended bool
+	}{
+		{"another boot", "another", true},
+		{"no boot", "", false},
+		{"this boot", process.Boot(), false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			store := &memoryStore{}
+			store.state.BootID = test.boot
+			store.state.Instances = []fleet.Instance{runningInstance("a")}
+			a := mustNewIdleAgent(t, store)
+			if in, _ := a.loop.machine.Instance("a"); (in.Incarnation == "") != test.ended {
+				t.Errorf("instance %+v, want ended %t", in, test.ended)
+			}
+			if test.boot != process.Boot() && a.loop.unsaved.BootID != process.Boot() {
+				t.Errorf("boot to save %q, want the present one", a.loop.unsaved.BootID)
+			}
+			store.state.Instances[0].Name = "z"
+			if _, err := newIdleAgent(t, store); (err == nil) != test.ended {
+				t.Errorf("with an instance that is not named: %v", err)
+			}
+		})
+	}
+}
+
+// TestIntentsAreDecidedOnce holds that an agent decides on a command that the previous one accepted and did not decide
+// on, and completes its intent.
+func TestIntentsAreDecidedOnce(t *testing.T) {
+	store := &memoryStore{}
+	store.state.Intents = []*fleet.Command{
+		{ID: "c1", Kind: fleet.KindStart, Names: []string{"a"}, Deadline: farDeadline},
+	}
+	a := mustNewIdleAgent(t, store)
+	if a.loop.machine.Command("c1") == nil || !slices.Equal(a.loop.unsaved.CompletedIntents, []string{"c1"}) {
+		t.Errorf("command %v, completed %v", a.loop.machine.Command("c1"), a.loop.unsaved.CompletedIntents)
+	}
+}
+
+// TestUnrecordedInstancesAreAdopted holds that of the instances that the store lacks, those whose supervisors recorded
+// no exit are adopted, and that the ids of their actions are not reused.
+func TestUnrecordedInstancesAreAdopted(t *testing.T) {
+	a := mustNewIdleAgent(t, &memoryStore{})
+	dir := a.options.Dir
+	writeState(t, dir, supervisor.State{Name: "a", Incarnation: "a.7"})
+	writeState(t, dir, supervisor.State{Name: "b", Incarnation: "b.3", Ended: true})
+	var saved agentstore.State
+	a.adoptUnrecorded(&saved)
+	if len(saved.Instances) != 1 {
+		t.Fatalf("adopted %+v, want a alone", saved.Instances)
+	}
+	in := saved.Instances[0]
+	if in.Name != "a" || in.Incarnation != "a.7" || !in.DesiredUp || in.Phase != fleet.PhaseUnknown {
+		t.Errorf("adopted %+v", in)
+	}
+	if in.ActionCount <= 7+100 {
+		t.Errorf("action count %d, want one far above that of its incarnation", in.ActionCount)
+	}
+	a.adoptUnrecorded(&saved)
+	if len(saved.Instances) != 1 {
+		t.Errorf("adopted a second time: %+v", saved.Instances)
+	}
+}
