--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -45,7 +45,8 @@
 // WriteOff has the quota store end the leases and permits of a holder, at an operator's request. It returns a
 // *WriteOffError if the quota store rejects that; other errors are *agentapi.StatusError.
 func (a *Agent) WriteOff(ctx context.Context, name, by string) error {
-	rejection, err := a.applyQuotaCommand(ctx, quota.Command{WriteOff: &quota.WriteOffCommand{Name: name, By: by}})
+	command := &quota.WriteOffCommand{Name: quota.InstanceName(name), By: by}
+	rejection, err := a.applyQuotaCommand(ctx, quota.Command{WriteOff: command})
 	if err == nil && rejection != "" {
 		return &WriteOffError{Holder: name, Reason: rejection}
 	}
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -47,7 +47,7 @@
 type leaseRenewer struct {
 	agent            *Agent
 	clientByInstance map[string]*admin.Client
-	reportedExits    map[string]bool // client keys whose exit the quota store knows
+	reportedExits    map[quota.ClientKey]bool // client keys whose exit the quota store knows
 }
 
 // renewLeases renews the leases of this host's instances until ctx ends.
@@ -55,7 +55,7 @@
 	r := &leaseRenewer{
 		agent:            a,
 		clientByInstance: map[string]*admin.Client{},
-		reportedExits:    map[string]bool{},
+		reportedExits:    map[quota.ClientKey]bool{},
 	}
 	defer r.close()
 	lastProblem := ""
@@ -192,10 +192,10 @@
 }
 
 // reportExits reports to the quota store the clients of this host whose processes have exited.
-func (r *leaseRenewer) reportExits(ctx context.Context, clientKeys []string) {
+func (r *leaseRenewer) reportExits(ctx context.Context, clientKeys []quota.ClientKey) {
 	command := &quota.ExitCommand{Host: r.agent.options.Host}
 	for _, key := range clientKeys {
-		_, incarnationID, _ := strings.Cut(key, " ")
+		_, incarnationID, _ := strings.Cut(string(key), " ")
 		if !incarnationAlive(incarnationID) && !r.reportedExits[key] {
 			command.ClientKeys = append(command.ClientKeys, key)
 		}
@@ -221,7 +221,7 @@
 				a.addHistory(fleet.HistoryEvent{
 					At:    now,
 					Name:  event.Name,
-					Event: strings.TrimSpace(event.Limit + " " + event.Kind),
+					Event: strings.TrimSpace(string(event.Limit) + " " + event.Kind),
 					Cause: event.Cause,
 				})
 			})
--- a/internal/agent/units.go
+++ b/internal/agent/units.go
@@ -46,8 +46,8 @@
 // permitCommand returns the command that acquires or releases the unit of an action.
 func (a *Agent) permitCommand(action fleet.Action) *quota.PermitCommand {
 	return &quota.PermitCommand{
-		Limit:     action.Unit.Quota,
-		Name:      action.Name,
+		Limit:     quota.LimitName(action.Unit.Quota),
+		Name:      quota.InstanceName(action.Name),
 		Host:      a.options.Host,
 		AcquireID: action.ID,
 	}
@@ -60,7 +60,11 @@
 	}
 	units := make([]fleet.HeldUnit, 0, len(permits))
 	for _, permit := range permits {
-		units = append(units, fleet.HeldUnit{Name: permit.Name, Quota: permit.Limit, RequestID: permit.AcquireID})
+		units = append(units, fleet.HeldUnit{
+			Name:      string(permit.Name),
+			Quota:     string(permit.Limit),
+			RequestID: permit.AcquireID,
+		})
 	}
 	a.post(fleet.UnitsListed{Units: units})
 }
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -2,216 +2,197 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"milletbarrow/monotime"
 )
 
 // groupCount counts the instances of a group, for the minimum of a rolling update.
 type groupCount struct {
-	desiredUp int // spares apart
-	available int // spares too
+	desiredUp int // without spares
+	available int // with spares
 }
 
-// groupCounts counts the instances of each group.
+// groupCounts counts the instances of each group, by its name.
 func (m *Machine) groupCounts(now monotime.Micros) map[string]*groupCount {
-	all := make(map[string]*groupCount, len(m.groups))
-	for name := range m.groups {
-		all[name] = &groupCount{}
+	counts := make(map[string]*groupCount, len(m.groups))
+	for group := range m.groups {
+		counts[group] = &groupCount{}
 	}
 	for _, name := range m.instanceNames {
-		in := m.instances[name]
-		g := all[in.Group]
-		if in.DesiredUp && !in.Spare {
-			g.desiredUp++
+		inst := m.instances[name]
+		count := counts[inst.Group]
+		if inst.DesiredUp && !inst.Spare {
+			count.desiredUp++
 		}
-		if in.available(now) {
-			g.available++
+		if inst.available(now) {
+			count.available++
 		}
 	}
-	return all
+	return counts
 }
 
-// planRollingUpdate prepares a rolling update, or says why none is possible by its configuration.
-func (m *Machine) planRollingUpdate(now monotime.Micros, c *Command) error {
-	for _, o := range m.openCommands {
-		if o.Kind == KindRollingUpdate && o.State != CommandDone {
-			return fmt.Errorf("%w: %s", ErrUpdateInProgress, o.ID)
+// planRollingUpdate prepares a rolling update, or says why none is possible with its configuration.
+func (m *Machine) planRollingUpdate(now monotime.Micros, command *Command) error {
+	for _, other := range m.openCommands {
+		if other.Kind == KindRollingUpdate && other.State != CommandDone {
+			return fmt.Errorf("%w: %s", ErrUpdateInProgress, other.ID)
 		}
 	}
-	c.Names = rolloutOrder(c.Rollout.Order, c.Names,
-		func(n string) int { return m.instances[n].fileOrder }, func(n string) string { return m.instances[n].Group })
+	command.Names = rolloutOrder(command.Rollout.Order, command.Names,
+		func(name string) int { return m.instances[name].fileOrder },
+		func(name string) string { return m.instances[name].Group })
 	groups := map[string]bool{}
-	for _, n := range c.Names {
-		groups[m.instances[n].Group] = true
+	for _, name := range command.Names {
+		groups[m.instances[name].Group] = true
 	}
-	tallies := m.groupCounts(now)
-	for _, name := range sortedKeys(groups) {
-		spares := 0
-		for _, n := range m.groups[name].Instances {
-			if in := m.instances[n]; in != nil && in.Spare && !in.DesiredUp && spares < c.Rollout.Surge {
-				c.Spares = append(c.Spares, n)
-				spares++
-			}
+	counts := m.groupCounts(now)
+	for _, group := range sortedKeys(groups) {
+		spares, err := m.planSpares(command.Rollout, group)
+		if err != nil {
+			return err
 		}
-		if spares < c.Rollout.Surge {
-			return &CommandError{Group: name, Err: fieldErrorf("surge",
-				"group %q has %d spares that are down, %d are wanted", name, spares, c.Rollout.Surge)}
-		}
-		up := tallies[name].desiredUp
-		if least := c.Rollout.minReady(up); up > 0 && up+spares-1 < least {
-			return &CommandError{Group: name, Err: fieldErrorf("least",
-				"with %d of group %q up and %d spares, none can leave while %d must stay ready", up, name, spares, least)}
+		if err := checkMinReady(command.Rollout, group, counts[group].desiredUp, len(spares)); err != nil {
+			return err
 		}
+		command.Spares = append(command.Spares, spares...)
 	}
-	c.Stage = StageRolling
-	if len(c.Spares) > 0 {
-		c.Stage = StageStartSpares
+	command.Stage = StageRolling
+	if len(command.Spares) > 0 {
+		command.Stage = StageStartSpares
 	}
 	return nil
 }
 
-// advanceRollingUpdate brings an update forward: spares start, instances are released as they may, spares stop.
-func (m *Machine) advanceRollingUpdate(now monotime.Micros, c *Command) {
-	if c.Stage == StageStartSpares && !m.startSpares(now, c) {
+// planSpares lists the spares of a group that the update starts first. Its error is a *CommandError.
+func (m *Machine) planSpares(config *RollingUpdateConfig, group string) ([]string, error) {
+	var spares []string
+	for _, name := range m.groups[group].Instances {
+		inst := m.instances[name]
+		if inst != nil && inst.Spare && !inst.DesiredUp && len(spares) < config.Surge {
+			spares = append(spares, name)
+		}
+	}
+	if len(spares) < config.Surge {
+		return nil, &CommandError{Group: group, Err: fieldErrorf("surge",
+			"group %q has %d spares that are down, wanted %d", group, len(spares), config.Surge)}
+	}
+	return spares, nil
+}
+
+// checkMinReady returns a *CommandError if no instance of a group could ever leave.
+func checkMinReady(config *RollingUpdateConfig, group string, desiredUp, spares int) error {
+	minReady := config.minReady(desiredUp)
+	if desiredUp == 0 || desiredUp+spares-1 >= minReady {
+		return nil
+	}
+	return &CommandError{Group: group, Err: fieldErrorf("least",
+		"group %q has %d instances up and %d spares: none can restart while %d must stay ready",
+		group, desiredUp, spares, minReady)}
+}
+
+// advanceRollingUpdate takes the next steps of an update: spares start, instances restart as they may, spares stop.
+func (m *Machine) advanceRollingUpdate(now monotime.Micros, command *Command) {
+	if command.Stage == StageStartSpares && !m.startSpares(now, command) {
 		return
 	}
-	if c.Stage == StageRolling {
-		m.releaseInstances(now, c)
-		if len(c.InProgress) > 0 || slices.ContainsFunc(c.Names, func(n string) bool { _, over := c.Results[n]; return !over }) {
+	if command.Stage == StageRolling {
+		m.releaseInstances(now, command)
+		if len(command.InProgress) > 0 || !command.allResolved() {
 			return
 		}
-		c.Stage = StageStopSpares
-		m.markCommandChanged(c)
+		command.Stage = StageStopSpares
+		m.markCommandChanged(command)
 	}
-	if c.Stage == StageStopSpares {
-		for _, n := range c.Spares {
-			in := m.instances[n]
-			if in == nil {
-				m.recordResult(now, c, n, OutcomeFailed, notInSpec)
-				continue
-			}
-			m.stopSpare(in)
-			m.advance(now, in)
-		}
+	if command.Stage == StageStopSpares {
+		m.stopSpares(now, command)
 	}
 }
 
 // startSpares starts the spares and reports whether the update may go on: all are settled, or it was cancelled.
-func (m *Machine) startSpares(now monotime.Micros, c *Command) bool {
-	ready := true
-	for _, n := range c.Spares {
-		in := m.instances[n]
-		if _, over := c.Results[n]; over || in == nil {
-			continue
-		}
-		if c.State == CommandCancelled {
+func (m *Machine) startSpares(now monotime.Micros, command *Command) bool {
+	settled := true
+	for _, name := range command.Spares {
+		inst := m.instances[name]
+		if command.hasResult(name) || inst == nil || command.State == CommandCancelled {
 			continue
 		}
-		if !in.DesiredUp && in.CommandID != c.ID {
-			in.CommandID = c.ID
-			m.restartInstance(now, in)
-			in.DesiredUp = true
-			m.advance(now, in)
+		if !inst.DesiredUp && inst.CommandID != command.ID {
+			inst.CommandID = command.ID
+			m.restartInstance(now, inst)
+			m.advance(now, inst)
 		}
-		ready = ready && in.Settled(now)
-	}
-	if m.pauseIfNeeded(now, c) || c.State == CommandPaused {
-		return false
+		settled = settled && inst.Settled(now)
 	}
-	if !ready {
+	if m.pauseIfNeeded(now, command) || command.State == CommandPaused || !settled {
 		return false
 	}
-	if c.Stage = StageRolling; c.State == CommandCancelled {
-		c.Stage = StageStopSpares
+	command.Stage = StageRolling
+	if command.State == CommandCancelled {
+		command.Stage = StageStopSpares
 	}
-	m.markCommandChanged(c)
+	m.markCommandChanged(command)
 	return true
 }
 
-// pauseIfNeeded pauses an update that should not go on, and reports whether it did.
-func (m *Machine) pauseIfNeeded(now monotime.Micros, c *Command) bool {
-	if c.State != CommandOpen {
-		return false
-	}
-	why := ""
-	if c.Failures > c.Rollout.MaxFailures {
-		why = fmt.Sprintf("%d failed, at most %d may: %s", c.Failures, c.Rollout.MaxFailures, lastFailure(c))
-	}
-	share, known := m.rejections.share(now)
-	switch bad := known && share > c.Rollout.MaxRejectedShare; {
-	case !bad:
-		c.RejectingSince = 0
-	case c.RejectingSince == 0:
-		c.RejectingSince = now
-	}
-	if c.RejectingSince != 0 && now-c.RejectingSince >= c.Rollout.RejectionTolerance && why == "" {
-		why = fmt.Sprintf("service falls: %.0f%% are turned away, for %d ms", 100*share, (now-c.RejectingSince)/1000)
-	}
-	if why == "" && c.BlockedSince != 0 && now-c.BlockedSince >= c.Rollout.StallTimeout {
-		why = m.blockedReason(now, c)
-	}
-	if why == "" {
-		return false
+// stopSpares has the spares shut down.
+func (m *Machine) stopSpares(now monotime.Micros, command *Command) {
+	for _, name := range command.Spares {
+		inst := m.instances[name]
+		if inst == nil {
+			m.recordResult(now, command, name, OutcomeFailed, causeNotInSpec)
+			continue
+		}
+		m.stopSpare(inst)
+		m.advance(now, inst)
 	}
-	m.pause(now, c, why)
-	return true
-}
-
-// pause pauses an update and records why.
-func (m *Machine) pause(now monotime.Micros, c *Command, why string) {
-	c.State, c.Cause = CommandPaused, why
-	m.markCommandChanged(c)
-	m.history = append(m.history, HistoryEvent{At: now, CommandID: c.ID, Event: "pause", Cause: why})
 }
 
-// lastFailure names the instance that failed last, with the cause.
-func lastFailure(c *Command) string {
-	name, at := "", monotime.Micros(-1)
-	for _, n := range c.instanceNames() {
-		if r, over := c.Results[n]; over && r.Outcome == OutcomeFailed && r.At > at {
-			name, at = n, r.At
-		}
+// stopSpare makes a spare not desired up. An instance that is no spare any more stays as it is, and so does nil.
+func (m *Machine) stopSpare(inst *Instance) {
+	if inst != nil && inst.Spare && inst.DesiredUp {
+		inst.DesiredUp = false
+		m.markInstanceChanged(inst)
 	}
-	return name + " " + c.Results[name].Cause
 }
 
-// releaseInstances restarts as many instances as width, group minimum and quota allow.
-func (m *Machine) releaseInstances(now monotime.Micros, c *Command) {
-	for _, n := range c.Names {
-		if in := m.instances[n]; c.InProgress[n] && in != nil {
-			m.resolveCommand(now, in)
+// releaseInstances restarts as many instances as MaxInProgress, the group's minimum and the quota allow.
+func (m *Machine) releaseInstances(now monotime.Micros, command *Command) {
+	for _, name := range command.Names {
+		if inst := m.instances[name]; command.InProgress[name] && inst != nil {
+			m.resolveCommand(now, inst)
 		}
 	}
-	if m.pauseIfNeeded(now, c) || c.State != CommandOpen {
+	if m.pauseIfNeeded(now, command) || command.State != CommandOpen {
 		return
 	}
-	blocked, requested := false, 0
-	var counts map[string]*groupCount // counted once it is needed
-	for _, n := range c.Names {
-		if len(c.InProgress)+requested >= c.Rollout.MaxInProgress {
+	blocked := false
+	requested := 0
+	var counts map[string]*groupCount // by group; counted at the first use
+	for _, name := range command.Names {
+		if len(command.InProgress)+requested >= command.Rollout.MaxInProgress {
 			blocked = false
 			break
 		}
-		if _, over := c.Results[n]; over || c.InProgress[n] {
+		if command.hasResult(name) || command.InProgress[name] {
 			continue
 		}
-		in := m.instances[n]
-		if in == nil || !in.DesiredUp {
-			m.recordResult(now, c, n, OutcomeSkipped, "it is not wanted up")
+		inst := m.instances[name]
+		if inst == nil || !inst.DesiredUp {
+			m.recordResult(now, command, name, OutcomeSkipped, causeNotDesiredUp)
 			continue
 		}
 		if counts == nil {
 			counts = m.groupCounts(now)
 		}
-		switch m.tryRelease(now, c, in, counts[in.Group]) {
+		switch m.tryRelease(now, command, inst, counts[inst.Group]) {
+		case released:
 		case releaseBlocked:
 			blocked = true
 		case releaseAwaitsUnit:
 			requested++
 		}
 	}
-	c.noteBlocked(now, blocked && len(c.InProgress)+requested == 0)
+	command.noteBlocked(now, blocked && len(command.InProgress)+requested == 0)
 }
 
 // noteBlocked keeps since when the update is blocked.
@@ -224,7 +205,7 @@
 	}
 }
 
-// releaseDecision is what tryRelease came to.
+// releaseDecision is the result of tryRelease.
 type releaseDecision int
 
 const (
@@ -233,44 +214,26 @@
 	releaseAwaitsUnit                 // a unit of the quota is requested; others of the fleet may hold them all
 )
 
-// tryRelease restarts an instance if its group's minimum and the quota allow it. g counts it out already while its
-// unit is awaited.
-func (m *Machine) tryRelease(now monotime.Micros, c *Command, in *Instance, g *groupCount) releaseDecision {
+// tryRelease restarts an instance if its group's minimum and the quota allow it. While its unit is awaited, count has
+// it as out already.
+func (m *Machine) tryRelease(now monotime.Micros, command *Command, inst *Instance, count *groupCount) releaseDecision {
 	cost := 0
-	if in.available(now) {
+	if inst.available(now) {
 		cost = 1
 	}
-	if g.available-cost < c.Rollout.minReady(g.desiredUp) {
+	if count.available-cost < command.Rollout.minReady(count.desiredUp) {
 		return releaseBlocked
 	}
-	if in.Phase == PhaseUnknown { // it may be ready all the same: its restart would take out one that is not counted
+	if inst.Phase == PhaseUnknown { // it may be ready: its restart would take out one that is not counted
 		return releaseBlocked
 	}
-	g.available -= cost
-	if !m.holdsUnit(now, c, in) {
+	count.available -= cost
+	if !m.holdsUnit(now, command, inst) {
 		return releaseAwaitsUnit
 	}
-	c.InProgress[in.Name] = true
-	m.restartInstance(now, in)
-	m.markCommandChanged(c)
-	m.advance(now, in)
+	command.InProgress[inst.Name] = true
+	m.restartInstance(now, inst)
+	m.markCommandChanged(command)
+	m.advance(now, inst)
 	return released
 }
-
-// blockedReason says which instance or group blocks the update.
-func (m *Machine) blockedReason(now monotime.Micros, c *Command) string {
-	tallies := m.groupCounts(now)
-	for _, n := range c.Names {
-		in := m.instances[n]
-		if _, over := c.Results[n]; over || in == nil {
-			continue
-		}
-		if in.Phase == PhaseUnknown {
-			return fmt.Sprintf("can't go on: %s can't be seen (%s)", n, in.Cause)
-		}
-		g := tallies[in.Group]
-		return fmt.Sprintf("can't go on: group %s has %d ready of %d, and %d must stay ready; next would be %s",
-			in.Group, g.available, g.desiredUp, c.Rollout.minReady(g.desiredUp), n)
-	}
-	return "can't go on"
-}
