--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -59,7 +59,9 @@
 	}
 	r.Config = client.Spec.ColdStart
 	for _, in := range all {
-		r.Members = append(r.Members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
+		r.Members = append(r.Members, coldstart.Member{
+			Name: coldstart.MemberName(in.Name), Group: coldstart.GroupName(in.Group), Host: in.Host,
+		})
 	}
 	if c.Bool("dry-run") {
 		return previewColdStart(c, &r)
@@ -99,7 +101,7 @@
 		if i < s.Essential {
 			word = "the least of its group"
 		}
-		rows = append(rows, []string{strconv.Itoa(i + 1), m.Name, m.Host, m.Group, word})
+		rows = append(rows, []string{strconv.Itoa(i + 1), string(m.Name), m.Host, string(m.Group), word})
 	}
 	printTable(rows)
 	fmt.Printf("%d at once to begin with, %d at the most; those that are up stay so\nnothing was done\n", r.Config.InitialConcurrent, r.Config.MaxConcurrent)
--- a/internal/cluster/coldstart/invariants_test.go
+++ b/internal/cluster/coldstart/invariants_test.go
@@ -7,7 +7,7 @@
 	"milletbarrow/monotime"
 )
 
-func newTestStart(t *testing.T, config Config, names ...string) *State {
+func newTestStart(t *testing.T, config Config, names ...MemberName) *State {
 	t.Helper()
 	all := make([]Member, 0, len(names))
 	for _, n := range names {
@@ -51,7 +51,7 @@
 func TestSlowStartDecreases(t *testing.T) {
 	s := newTestStart(t, testConfig(8), "a", "b", "c", "d", "e")
 	for i, took := range []monotime.Micros{1000, 1000, 3001} {
-		name := string(rune('a' + i))
+		name := MemberName(rune('a' + i))
 		if ok, why := s.RequestStart(name); !ok {
 			t.Fatal(why)
 		}
--- a/internal/cluster/coldstart/order.go
+++ b/internal/cluster/coldstart/order.go
@@ -8,9 +8,9 @@
 
 // Member is one that is to come up.
 type Member struct {
-	Name  string `json:"name"`
-	Group string `json:"group"`
-	Host  string `json:"host"`
+	Name  MemberName `json:"name"`
+	Group GroupName  `json:"group"`
+	Host  string     `json:"host"`
 }
 
 // candidate is a member with what decides its place in the order.
@@ -50,8 +50,11 @@
 func spreadOverHosts(members []Member) []candidate {
 	byName := slices.Clone(members)
 	slices.SortStableFunc(byName, func(a, b Member) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Name, b.Name)) })
-	type groupHost struct{ group, host string }
-	onHost, groupSizes := map[groupHost]int{}, map[string]int{}
+	type groupHost struct {
+		group GroupName
+		host  string
+	}
+	onHost, groupSizes := map[groupHost]int{}, map[GroupName]int{}
 	candidates := make([]candidate, len(byName))
 	for i, m := range byName {
 		key := groupHost{m.Group, m.Host}
@@ -62,7 +65,7 @@
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.hostIndex, b.hostIndex), cmp.Compare(a.Host, b.Host))
 	})
-	inGroup := map[string]int{}
+	inGroup := map[GroupName]int{}
 	for i := range candidates {
 		c := &candidates[i]
 		c.index, c.groupSize = inGroup[c.Group], groupSizes[c.Group]
--- a/internal/cluster/coldstart/state.go
+++ b/internal/cluster/coldstart/state.go
@@ -43,27 +43,27 @@
 // State is a cold start. Its exported fields are there to be encoded; only its methods change them. It is not safe for
 // concurrent use.
 type State struct {
-	ID                  string                     `json:"id"`
-	Config              Config                     `json:"terms"`
-	Members             []Member                   `json:"order"` // in the order in which they are to start
-	Essential           int                        `json:"first"` // so many of them come first: their groups need them to serve
-	Starting            map[string]RunningStart    `json:"under"`
-	Ready               map[string]bool            `json:"warm"`
-	Failed              map[string]string          `json:"failed"` // the cause by name; a further request tries again
-	LastRequest         map[string]uint64          `json:"asked"`  // by waiting member: the value of Requests at its latest
-	Requests            uint64                     `json:"asks"`
-	Starts              uint64                     `json:"starts"`
-	ScaledLimit         int64                      `json:"pace"` // how many may be starting now, in thousandths
-	DecreasedAt         uint64                     `json:"cut"`  // value of Starts at the latest decrease; earlier starts say nothing about the limit of now
-	SlowIncrease        bool                       `json:"grown"`
-	ConsecutiveFailures int64                      `json:"row"`               // since the latest success
-	Pause               monotime.Micros            `json:"rest_us,omitempty"` // nothing starts until the leader has timed as long
-	PauseNumber         uint64                     `json:"rest_no,omitempty"`
-	Fastest             map[string]monotime.Micros `json:"best"`
-	HaltReason          string                     `json:"halted,omitempty"` // why nothing more is started
-	Reason              string                     `json:"cause"`            // of the present limit
+	ID                  string                        `json:"id"`
+	Config              Config                        `json:"terms"`
+	Members             []Member                      `json:"order"` // in the order in which they are to start
+	Essential           int                           `json:"first"` // so many of them come first: their groups need them to serve
+	Starting            map[MemberName]RunningStart   `json:"under"`
+	Ready               map[MemberName]bool           `json:"warm"`
+	Failed              map[MemberName]string         `json:"failed"` // the cause by name; a further request tries again
+	LastRequest         map[MemberName]uint64         `json:"asked"`  // by waiting member: the value of Requests at its latest
+	Requests            uint64                        `json:"asks"`
+	Starts              uint64                        `json:"starts"`
+	ScaledLimit         int64                         `json:"pace"` // how many may be starting now, in thousandths
+	DecreasedAt         uint64                        `json:"cut"`  // value of Starts at the latest decrease; earlier starts say nothing about the limit of now
+	SlowIncrease        bool                          `json:"grown"`
+	ConsecutiveFailures int64                         `json:"row"`               // since the latest success
+	Pause               monotime.Micros               `json:"rest_us,omitempty"` // nothing starts until the leader has timed as long
+	PauseNumber         uint64                        `json:"rest_no,omitempty"`
+	Fastest             map[GroupName]monotime.Micros `json:"best"`
+	HaltReason          string                        `json:"halted,omitempty"` // why nothing more is started
+	Reason              string                        `json:"cause"`            // of the present limit
 
-	position map[string]int
+	position map[MemberName]int
 }
 
 // ErrDuplicateMember is returned by New for members of which two have one name.
@@ -86,8 +86,8 @@
 		return nil, &MemberCountError{len(members)}
 	}
 	s := &State{
-		ID: id, Config: config, Starting: map[string]RunningStart{}, Ready: map[string]bool{}, Failed: map[string]string{}, LastRequest: map[string]uint64{},
-		Fastest: map[string]monotime.Micros{}, ScaledLimit: config.InitialConcurrent * limitScale, Reason: "the beginning",
+		ID: id, Config: config, Starting: map[MemberName]RunningStart{}, Ready: map[MemberName]bool{}, Failed: map[MemberName]string{}, LastRequest: map[MemberName]uint64{},
+		Fastest: map[GroupName]monotime.Micros{}, ScaledLimit: config.InitialConcurrent * limitScale, Reason: "the beginning",
 	}
 	s.Members, s.Essential = orderMembers(config.MinServing, members)
 	s.RebuildIndex()
@@ -99,14 +99,14 @@
 
 // RebuildIndex has to be called on a state that was decoded, before anything else.
 func (s *State) RebuildIndex() {
-	s.position = make(map[string]int, len(s.Members))
+	s.position = make(map[MemberName]int, len(s.Members))
 	for i, m := range s.Members {
 		s.position[m.Name] = i
 	}
 }
 
 // Pending reports whether a name is a member and not up yet.
-func (s *State) Pending(name string) bool {
+func (s *State) Pending(name MemberName) bool {
 	_, in := s.position[name]
 	return in && !s.Ready[name]
 }
@@ -118,7 +118,7 @@
 
 // RequestStart says whether a member may start now, and counts it as starting if so; else reason tells what it waits for.
 // Of the members that asked of late those that stand first go first; one that has stopped asking delays nobody for long.
-func (s *State) RequestStart(name string) (ok bool, reason string) {
+func (s *State) RequestStart(name MemberName) (ok bool, reason string) {
 	position, member := s.position[name]
 	switch {
 	case !member:
@@ -152,7 +152,7 @@
 
 // waitingAhead counts the members before a position that asked of late, and names the first of them. It forgets those
 // that have stopped asking.
-func (s *State) waitingAhead(position int) (ahead int64, first string) {
+func (s *State) waitingAhead(position int) (ahead int64, first MemberName) {
 	for other, request := range s.LastRequest {
 		if s.Requests-request > requestWindow {
 			delete(s.LastRequest, other)
@@ -171,7 +171,7 @@
 func (s *State) Limit() int64 { return s.ScaledLimit / limitScale }
 
 // AddStarting counts a member that was starting before the cold start began.
-func (s *State) AddStarting(name string) {
+func (s *State) AddStarting(name MemberName) {
 	if _, in := s.position[name]; in {
 		s.Starting[name] = RunningStart{}
 	}
@@ -180,7 +180,7 @@
 // Report takes in how a start ended. The limit is halved at once, and once for all starts from before; it is raised by one
 // for each good start while nothing has gone wrong yet, and after that by one for a round of them. changed says how the
 // limit changed, or is empty.
-func (s *State) Report(name string, outcome Outcome) (changed string) {
+func (s *State) Report(name MemberName, outcome Outcome) (changed string) {
 	start, starting := s.Starting[name]
 	if !starting {
 		if s.Pending(name) && outcome.Ready { // it started without a request: its host could not reach the leader
@@ -216,7 +216,7 @@
 
 // reportFailure counts a failed start, unless it failed together with others; too many in a row pause or halt the cold
 // start.
-func (s *State) reportFailure(name string, start RunningStart, cause string) {
+func (s *State) reportFailure(name MemberName, start RunningStart, cause string) {
 	s.Failed[name] = cause
 	if !s.decrease(start, fmt.Sprintf("%s did not come up: %s", name, cause)) {
 		return
@@ -244,7 +244,7 @@
 }
 
 // markReady counts a member as up, which ends a row of failures.
-func (s *State) markReady(name string) {
+func (s *State) markReady(name MemberName) {
 	s.Ready[name] = true
 	delete(s.Failed, name)
 	s.ConsecutiveFailures, s.Pause = 0, 0
@@ -282,7 +282,7 @@
 }
 
 // WriteOff stops counting a start whose outcome nobody will report, as failed.
-func (s *State) WriteOff(name string) {
+func (s *State) WriteOff(name MemberName) {
 	if _, starting := s.Starting[name]; starting {
 		delete(s.Starting, name)
 		s.Failed[name] = "written off"
--- a/internal/cluster/coldstart/state_test.go
+++ b/internal/cluster/coldstart/state_test.go
@@ -17,7 +17,7 @@
 func members(groups, each, hosts int) (all []Member) {
 	for g := range groups {
 		for n := range each {
-			all = append(all, Member{fmt.Sprintf("g%d-%02d", g, n), fmt.Sprint("g", g), fmt.Sprint("h", n%hosts)})
+			all = append(all, Member{MemberName(fmt.Sprintf("g%d-%02d", g, n)), GroupName(fmt.Sprint("g", g)), fmt.Sprint("h", n%hosts)})
 		}
 	}
 	return all
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		starting := map[string]bool{}
+		starting := map[MemberName]bool{}
 		step := func(healthy bool) {
 			name := rapid.SampledFrom(s.Members).Draw(t, "member").Name
 			if starting[name] {
@@ -102,7 +102,7 @@
 		t.Fatalf("%d come first, want 6", s.Essential)
 	}
 	for round := 0; !s.Done(); round++ {
-		var now []string
+		var now []MemberName
 		others := 0
 		for i := len(s.Members) - 1; i >= 0; i-- { // the last in order requests first
 			if m := s.Members[i]; s.Pending(m.Name) {
@@ -133,7 +133,7 @@
 func TestPace(t *testing.T) {
 	s, _ := New("r", testConfig(64), members(1, 200, 4))
 	round := func(outcome func(i int) Outcome) (n int) {
-		var now []string
+		var now []MemberName
 		for _, m := range s.Members {
 			if ok, _ := s.RequestStart(m.Name); ok && s.Pending(m.Name) {
 				now = append(now, m.Name)
--- a/internal/cluster/coldstart/status.go
+++ b/internal/cluster/coldstart/status.go
@@ -7,16 +7,16 @@
 
 // GroupStatus counts the members of one group by their state.
 type GroupStatus struct {
-	Group    string `json:"group"`
-	Ready    int    `json:"warm"`
-	Starting int    `json:"under_way"`
-	Failed   int    `json:"failed"`
-	Waiting  int    `json:"waiting"`
+	Group    GroupName `json:"group"`
+	Ready    int       `json:"warm"`
+	Starting int       `json:"under_way"`
+	Failed   int       `json:"failed"`
+	Waiting  int       `json:"waiting"`
 }
 
 // Groups counts the members of all groups, ordered by name.
 func (s *State) Groups() []GroupStatus {
-	all := map[string]*GroupStatus{}
+	all := map[GroupName]*GroupStatus{}
 	for _, m := range s.Members {
 		g := all[m.Group]
 		if g == nil {
--- a/internal/cluster/quota/coldstart.go
+++ b/internal/cluster/quota/coldstart.go
@@ -51,7 +51,7 @@
 		return
 	}
 	for name := range s.Permits[command.Limit] { // these were starting before
-		start.AddStarting(string(name))
+		start.AddStarting(coldstart.MemberName(name))
 	}
 	s.ColdStarts[command.Limit] = start
 	cause := fmt.Sprintf("%s of %d, asked by %s", command.ID, len(command.Members), command.By)
@@ -65,7 +65,7 @@
 	if start == nil {
 		return true
 	}
-	ok, reason := start.RequestStart(string(command.Name))
+	ok, reason := start.RequestStart(coldstart.MemberName(command.Name))
 	result.Rejection = reason
 	return ok
 }
@@ -73,7 +73,7 @@
 // pendingColdStart returns the cold start that an instance still has to start in, or nil.
 func (s *State) pendingColdStart(command *PermitCommand) *coldstart.State {
 	start := s.ColdStarts[command.Limit]
-	if start == nil || !start.Pending(string(command.Name)) {
+	if start == nil || !start.Pending(coldstart.MemberName(command.Name)) {
 		return nil
 	}
 	return start
@@ -85,14 +85,14 @@
 	if start == nil {
 		return
 	}
-	name := string(command.Name)
+	name := coldstart.MemberName(command.Name)
 	if command.Outcome == nil {
 		start.WriteOff(name)
 		return
 	}
 	haltReasonBefore := start.HaltReason
 	if change := start.Report(name, *command.Outcome); change != "" {
-		result.addEvent(Event{Limit: command.Limit, Name: name, Kind: eventConcurrencyAdjusted, Cause: change})
+		result.addEvent(Event{Limit: command.Limit, Name: string(name), Kind: eventConcurrencyAdjusted, Cause: change})
 	}
 	if start.HaltReason != haltReasonBefore {
 		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartHalted, Cause: start.HaltReason})
--- a/internal/cluster/quota/coldstart_test.go
+++ b/internal/cluster/quota/coldstart_test.go
@@ -30,7 +30,7 @@
 			MaxRejected:       0.1,
 		},
 	}
-	for _, name := range []string{"a", "b", "c", "d"} {
+	for _, name := range []coldstart.MemberName{"a", "b", "c", "d"} {
 		command.Members = append(command.Members, coldstart.Member{Name: name, Group: "g", Host: "h"})
 	}
 	return command
--- a/internal/cluster/quota/permit.go
+++ b/internal/cluster/quota/permit.go
@@ -1,6 +1,10 @@
 package quota
 
-import "slices"
+import (
+	"slices"
+
+	"milletbarrow/internal/cluster/coldstart"
+)
 
 // Permit is one unit of a concurrency limit, held by an instance.
 type Permit struct {
@@ -68,7 +72,7 @@
 		}
 		revoked++
 		if start := s.ColdStarts[limit]; start != nil {
-			start.WriteOff(string(name))
+			start.WriteOff(coldstart.MemberName(name))
 		}
 		s.removePermit(limit, name, permit.AcquireID)
 		result.addEvent(Event{Limit: limit, Name: string(name), Kind: eventPermitEnded, Cause: cause})
--- a/internal/fleet/cold_start_test.go
+++ b/internal/fleet/cold_start_test.go
@@ -97,7 +97,9 @@
 	instances := s.spec.InstancesOn("")
 	members := make([]coldstart.Member, 0, len(instances))
 	for _, in := range instances {
-		members = append(members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
+		members = append(members, coldstart.Member{
+			Name: coldstart.MemberName(in.Name), Group: coldstart.GroupName(in.Group), Host: in.Host,
+		})
 	}
 	s.quotas.Apply(quota.Command{ColdStart: &quota.ColdStartCommand{Limit: "starts", ID: id, Config: s.spec.ColdStart, Members: members, By: "test"}})
 	for _, w := range s.hosts {
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -169,7 +169,9 @@
 	for n := range t.Backends {
 		name := fmt.Sprintf("n%05d", n)
 		w.backends = append(w.backends, backend{name: name, host: n % t.Hosts, pacer: reportpacing.New(reports, w.rand.Uint64())})
-		members = append(members, coldstart.Member{Name: name, Group: fmt.Sprint("g", n%3), Host: fmt.Sprint("h", n%t.Hosts)})
+		members = append(members, coldstart.Member{
+			Name: coldstart.MemberName(name), Group: coldstart.GroupName(fmt.Sprint("g", n%3)), Host: fmt.Sprint("h", n%t.Hosts),
+		})
 	}
 	if p.MaxStarting < 0 {
 		bound := int64(-p.MaxStarting)
@@ -239,7 +241,7 @@
 	case w.policy.MaxStarting > 0:
 		may = w.starting < w.policy.MaxStarting
 	case w.coldStart != nil:
-		may, _ = w.coldStart.RequestStart(b.name)
+		may, _ = w.coldStart.RequestStart(coldstart.MemberName(b.name))
 	}
 	if !may {
 		w.schedule(startPoll+time.Duration(w.rand.Int64N(int64(startPollRange))), eventStart, index, 0)
@@ -293,7 +295,9 @@
 	w.startsByHost[b.host]--
 	if w.coldStart != nil {
 		no := w.coldStart.PauseNumber
-		w.coldStart.Report(b.name, coldstart.Outcome{Ready: well, Took: monotime.FromDuration(w.now - b.startedAt), Cause: "the service below"})
+		w.coldStart.Report(coldstart.MemberName(b.name), coldstart.Outcome{
+			Ready: well, Took: monotime.FromDuration(w.now - b.startedAt), Cause: "the service below",
+		})
 		if w.coldStart.PauseNumber != no {
 			w.schedule(time.Duration(w.coldStart.Pause)*time.Microsecond, eventPauseOver, index, int(w.coldStart.PauseNumber))
 		}
