--- a/internal/cluster/coldstart/order.go
+++ b/internal/cluster/coldstart/order.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Member is one that is to come up.
+// Member is an instance that a cold start starts.
 type Member struct {
 	Name  MemberName `json:"name"`
 	Group GroupName  `json:"group"`
@@ -16,29 +16,36 @@
 // candidate is a member with what decides its place in the order.
 type candidate struct {
 	Member
-	hostIndex int // among the members of its group on its host
-	index     int // in its group, turn by turn over hosts
-	groupSize int
-	essential bool
+	hostIndex int  // among the members of its group on its host
+	index     int  // in its group, which takes its members from each host in turn
+	groupSize int  // members
+	essential bool // its group needs it to serve
 }
 
-// compareProgress orders by how far a group would be with the candidate: (index+1)/groupSize.
+// compareProgress orders candidates by the progress that their groups have made once they are ready:
+// (index+1)/groupSize.
 func (c *candidate) compareProgress(other *candidate) int {
 	return cmp.Compare((c.index+1)*other.groupSize, (other.index+1)*c.groupSize)
 }
 
-// orderMembers orders members: first those that every group needs to serve, then the others, each part turn by turn over
-// groups, and within a group over hosts, so that no host and no group is far ahead. It returns how many are essential.
+// orderMembers returns the members in their order of starting, and how many of them are essential. Essential members
+// come first. Both parts take members from each group in turn, and each group from each host, so that no group and no
+// host gets far ahead.
 func orderMembers(minServing float64, members []Member) (order []Member, essential int) {
 	candidates := spreadOverHosts(members)
 	for i := range candidates {
 		c := &candidates[i]
-		if c.essential = float64(c.index) < math.Ceil(minServing*float64(c.groupSize)); c.essential {
+		c.essential = float64(c.index) < math.Ceil(minServing*float64(c.groupSize))
+		if c.essential {
 			essential++
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(compareBool(b.essential, a.essential), a.compareProgress(&b), cmp.Compare(a.Group, b.Group))
+		return cmp.Or(
+			compareBool(b.essential, a.essential),
+			a.compareProgress(&b),
+			cmp.Compare(a.Group, b.Group),
+		)
 	})
 	for i := range candidates {
 		order = append(order, candidates[i].Member)
@@ -46,29 +53,37 @@
 	return order, essential
 }
 
-// spreadOverHosts orders members by group, and within each group turn by turn over hosts.
+// spreadOverHosts returns the members ordered by group, with each group taking its members from each host in turn.
 func spreadOverHosts(members []Member) []candidate {
-	byName := slices.Clone(members)
-	slices.SortStableFunc(byName, func(a, b Member) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Name, b.Name)) })
-	type groupHost struct {
+	type groupOnHost struct {
 		group GroupName
 		host  string
 	}
-	onHost, groupSizes := map[groupHost]int{}, map[GroupName]int{}
-	candidates := make([]candidate, len(byName))
-	for i, m := range byName {
-		key := groupHost{m.Group, m.Host}
-		candidates[i] = candidate{Member: m, hostIndex: onHost[key]}
+	ordered := slices.Clone(members)
+	slices.SortStableFunc(ordered, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Name, b.Name))
+	})
+	onHost := map[groupOnHost]int{}
+	groupSizes := map[GroupName]int{}
+	candidates := make([]candidate, len(ordered))
+	for i, member := range ordered {
+		key := groupOnHost{group: member.Group, host: member.Host}
+		candidates[i] = candidate{Member: member, hostIndex: onHost[key]}
 		onHost[key]++
-		groupSizes[m.Group]++
+		groupSizes[member.Group]++
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.hostIndex, b.hostIndex), cmp.Compare(a.Host, b.Host))
+		return cmp.Or(
+			cmp.Compare(a.Group, b.Group),
+			cmp.Compare(a.hostIndex, b.hostIndex),
+			cmp.Compare(a.Host, b.Host),
+		)
 	})
 	inGroup := map[GroupName]int{}
 	for i := range candidates {
 		c := &candidates[i]
-		c.index, c.groupSize = inGroup[c.Group], groupSizes[c.Group]
+		c.index = inGroup[c.Group]
+		c.groupSize = groupSizes[c.Group]
 		inGroup[c.Group]++
 	}
 	return candidates
--- a/internal/cluster/coldstart/status.go
+++ b/internal/cluster/coldstart/status.go
@@ -16,30 +16,30 @@
 
 // Groups counts the members of all groups, ordered by name.
 func (s *State) Groups() []GroupStatus {
-	all := map[GroupName]*GroupStatus{}
-	for _, m := range s.Members {
-		g := all[m.Group]
-		if g == nil {
-			g = &GroupStatus{Group: m.Group}
-			all[m.Group] = g
+	byGroup := map[GroupName]*GroupStatus{}
+	for _, member := range s.Members {
+		group := byGroup[member.Group]
+		if group == nil {
+			group = &GroupStatus{Group: member.Group}
+			byGroup[member.Group] = group
 		}
-		_, starting := s.Starting[m.Name]
-		_, failed := s.Failed[m.Name]
+		_, starting := s.Starting[member.Name]
+		_, failed := s.Failed[member.Name]
 		switch {
-		case s.Ready[m.Name]:
-			g.Ready++
+		case s.Ready[member.Name]:
+			group.Ready++
 		case starting:
-			g.Starting++
+			group.Starting++
 		case failed:
-			g.Failed++
+			group.Failed++
 		default:
-			g.Waiting++
+			group.Waiting++
 		}
 	}
-	out := make([]GroupStatus, 0, len(all))
-	for _, group := range all {
-		out = append(out, *group)
+	groups := make([]GroupStatus, 0, len(byGroup))
+	for _, group := range byGroup {
+		groups = append(groups, *group)
 	}
-	slices.SortFunc(out, func(a, b GroupStatus) int { return cmp.Compare(a.Group, b.Group) })
-	return out
+	slices.SortFunc(groups, func(a, b GroupStatus) int { return cmp.Compare(a.Group, b.Group) })
+	return groups
 }
