--- a/internal/cluster/coldstart/outcome.go
+++ b/internal/cluster/coldstart/outcome.go
@@ -9,6 +9,8 @@
 )
 
 const (
+	percent = 100 // in 1
+
 	decreaseDivisor int64 = 2 // of the concurrency limit
 
 	pauseAfterFailures int64   = 2 // consecutive ones
@@ -65,8 +67,8 @@
 		s.recordFailure(name, start, outcome.Cause)
 	case outcome.Rejected > s.Config.MaxRejected:
 		s.markReady(name)
-		s.decrease(start, fmt.Sprintf("%.0f%% of the calls below were refused as %s came up",
-			100*outcome.Rejected, name))
+		rejectedPercent := percent * outcome.Rejected
+		s.decrease(start, fmt.Sprintf("%.0f%% of the calls below were refused as %s came up", rejectedPercent, name))
 	case fastest > 0 && float64(outcome.Took) > s.Config.SlowFactor*float64(fastest):
 		s.markReady(name)
 		s.decrease(start, fmt.Sprintf("%s took %d ms, the quickest of %s %d ms",
