--- a/internal/fleet/simulated_fleet_test.go
+++ b/internal/fleet/simulated_fleet_test.go
@@ -129,7 +129,11 @@
 	instances := fleet.spec.InstancesOn("")
 	members := make([]coldstart.Member, 0, len(instances))
 	for _, inst := range instances {
-		members = append(members, coldstart.Member{Name: inst.Name, Group: inst.Group, Host: inst.Host})
+		members = append(members, coldstart.Member{
+			Name:  coldstart.MemberName(inst.Name),
+			Group: coldstart.GroupName(inst.Group),
+			Host:  inst.Host,
+		})
 	}
 	fleet.quotas.Apply(quota.Command{ColdStart: &quota.ColdStartCommand{
 		Limit: startsQuota, ID: id, Config: fleet.spec.ColdStart, Members: members, By: "test",
