--- a/internal/cluster/transport/call.go
+++ b/internal/cluster/transport/call.go
@@ -10,15 +10,17 @@
 
 // Bounds of the calls to one agent.
 const (
-	maxCallConns      = 8
-	maxIdleCallConns  = 4
-	maxAnswerMessages = 16 // an answer may be as long as so many messages
+	maxCallConns     = 8
+	maxIdleCallConns = 4
+	// maxResponseMessages is the length of the longest response, in messages of the longest length.
+	maxResponseMessages = 16
 )
 
-// Call posts body as JSON to another agent, once, and decodes its answer into into. Its errors are those of Dial and of
-// jsonhttp.Call; after any but a *jsonhttp.StatusError the call may have been handled.
-func (t *Transport) Call(ctx context.Context, to, path string, body, into any) error {
-	return jsonhttp.Call(ctx, t.client(to), http.MethodPost, path, body, into, maxAnswerMessages*int64(t.limits.MessageSize))
+// Call posts body as JSON to another agent, once, and decodes its response into response. Its errors are those of Dial
+// and of jsonhttp.Call; after any but a *jsonhttp.StatusError the call may have been handled.
+func (t *Transport) Call(ctx context.Context, to, path string, body, response any) error {
+	maxBytes := maxResponseMessages * int64(t.limits.MessageSize)
+	return jsonhttp.Call(ctx, t.client(to), http.MethodPost, path, body, response, maxBytes)
 }
 
 // client returns the HTTP client for one agent, which keeps connections to it open between calls.
@@ -29,8 +31,13 @@
 		return client
 	}
 	client := &http.Client{Transport: &http.Transport{
-		MaxConnsPerHost: maxCallConns, MaxIdleConnsPerHost: maxIdleCallConns, DisableCompression: true, IdleConnTimeout: t.limits.IdleTimeout,
-		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) { return t.Dial(ctx, KindCall, to) },
+		MaxConnsPerHost:     maxCallConns,
+		MaxIdleConnsPerHost: maxIdleCallConns,
+		DisableCompression:  true,
+		IdleConnTimeout:     t.limits.IdleTimeout,
+		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return t.Dial(ctx, KindCall, to)
+		},
 	}}
 	t.clients[to] = client
 	return client
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -2,40 +2,48 @@
 
 import (
 	"bufio"
+	"encoding/binary"
 	"fmt"
 	"io"
 )
 
-// frameHeader is the length of a frame in three bytes, most significant first.
-const frameHeader = 3
+const (
+	// headerBytes is the length of a frame's header: the length of the message, most significant byte first.
+	headerBytes = 3
+	// uint32Bytes is the length of the integer that a header is the end of.
+	uint32Bytes = 4
+)
 
-// FrameTooLongError is returned for a frame that is longer than its reader takes.
-type FrameTooLongError struct{ Length, Max int }
+// FrameTooLongError reports a frame that is longer than its reader accepts.
+type FrameTooLongError struct {
+	Length int // bytes of the message
+	Max    int // bytes that the reader accepts
+}
 
 func (e *FrameTooLongError) Error() string {
-	return fmt.Sprintf("a message of %d bytes, at most %d are read", e.Length, e.Max)
+	return fmt.Sprintf("message of %d bytes, wanted at most %d", e.Length, e.Max)
 }
 
-// WriteFrame writes one message of less than 16 MiB to a stream.
+// WriteFrame writes one message of less than 16 MiB to a stream, in one write.
 func WriteFrame(w io.Writer, message []byte) error {
-	n := len(message)
-	header := [frameHeader]byte{byte(n >> 16), byte(n >> 8), byte(n)}
-	_, err := w.Write(append(header[:], message...))
+	frame := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
+	frame = append(frame[uint32Bytes-headerBytes:], message...)
+	_, err := w.Write(frame)
 	return err
 }
 
-// ReadFrame reads one message of at most so many bytes; it returns a *FrameTooLongError for a longer one. After an error
-// the stream cannot be read further.
-func ReadFrame(r *bufio.Reader, most int) ([]byte, error) {
-	var header [frameHeader]byte
-	if _, err := io.ReadFull(r, header[:]); err != nil {
+// ReadFrame reads one message of at most maxLength bytes; it returns a *FrameTooLongError for a longer one, and
+// io.EOF if the stream ends before it. After an error the stream cannot be read further.
+func ReadFrame(r *bufio.Reader, maxLength int) ([]byte, error) {
+	var header [uint32Bytes]byte
+	if _, err := io.ReadFull(r, header[uint32Bytes-headerBytes:]); err != nil {
 		return nil, err
 	}
-	n := int(header[0])<<16 | int(header[1])<<8 | int(header[2])
-	if n > most {
-		return nil, &FrameTooLongError{n, most}
+	length := int(binary.BigEndian.Uint32(header[:]))
+	if length > maxLength {
+		return nil, &FrameTooLongError{Length: length, Max: maxLength}
 	}
-	message := make([]byte, n)
+	message := make([]byte, length)
 	_, err := io.ReadFull(r, message)
 	return message, err
 }
--- /dev/null
+++ b/internal/cluster/transport/frame_test.go
@@ -0,0 +1,47 @@
+package transport
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"strings"
+	"testing"
+)
+
+// TestFramesArriveAsSent checks that messages arrive as they were sent, and that the end of the stream is io.EOF.
+func TestFramesArriveAsSent(t *testing.T) {
+	long := strings.Repeat("m", 70_000)
+	messages := []string{"", "one", long}
+	var sent strings.Builder
+	for _, message := range messages {
+		if err := WriteFrame(&sent, []byte(message)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	in := bufio.NewReader(strings.NewReader(sent.String()))
+	for _, want := range messages {
+		if got, err := ReadFrame(in, len(long)); err != nil || string(got) != want {
+			t.Errorf("read %d bytes, %v, want %d", len(got), err, len(want))
+		}
+	}
+	if _, err := ReadFrame(in, 1); !errors.Is(err, io.EOF) {
+		t.Errorf("at the end: error %v", err)
+	}
+}
+
+// TestFrameTooLong checks that a frame beyond the reader's bound is a *FrameTooLongError.
+func TestFrameTooLong(t *testing.T) {
+	_, err := ReadFrame(bufio.NewReader(strings.NewReader("\x00\x00\x05hello")), 4)
+	tooLong, ok := errors.AsType[*FrameTooLongError](err)
+	if !ok || tooLong.Length != 5 || tooLong.Max != 4 {
+		t.Errorf("error %v, want a frame of 5 bytes where 4 are read", err)
+	}
+}
+
+// TestTruncatedFrame checks that a frame that breaks off is io.ErrUnexpectedEOF.
+func TestTruncatedFrame(t *testing.T) {
+	_, err := ReadFrame(bufio.NewReader(strings.NewReader("\x00\x00\x05hell")), 5)
+	if !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("error %v, want %v", err, io.ErrUnexpectedEOF)
+	}
+}
--- a/internal/cluster/transport/greeting.go
+++ b/internal/cluster/transport/greeting.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -12,28 +11,41 @@
 
 const (
 	protocolVersion = "milletbarrow/1"
+	greetingFields  = 4   // version, kind, to and from
 	maxGreeting     = 128 // bytes, without the line feed
 )
 
-// errGreeting is returned for a first line that is not a greeting of this version.
-var errGreeting = errors.New("not a greeting of this protocol")
+// errGreeting reports a first line that is not a greeting of this version.
+var errGreeting = errors.New("not a greeting of protocol " + protocolVersion)
 
 // greeting is the first line of each connection.
 type greeting struct {
-	kind     Kind
-	to, from string // names of agents
+	kind Kind
+	to   string // name of the agent that the connection is for
+	from string // name of the agent that dials
 }
 
+// String returns the line, with its line feed.
 func (g greeting) String() string {
 	return fmt.Sprintf("%s %s %s %s\n", protocolVersion, g.kind, g.to, g.from)
 }
 
+// writeGreeting writes the first line of a connection.
+func writeGreeting(conn net.Conn, deadline time.Time, g greeting) error {
+	_ = conn.SetWriteDeadline(deadline) // fails only for a closed connection, as the write does
+	if _, err := io.WriteString(conn, g.String()); err != nil {
+		return err
+	}
+	_ = conn.SetWriteDeadline(time.Time{})
+	return nil
+}
+
 // readGreeting reads the first line byte by byte, as what follows belongs to the connection's next reader.
-func readGreeting(c net.Conn, deadline time.Time) (greeting, error) {
-	_ = c.SetReadDeadline(deadline) // fails for a closed connection alone, and then the read does too
+func readGreeting(conn net.Conn, deadline time.Time) (greeting, error) {
+	_ = conn.SetReadDeadline(deadline) // fails only for a closed connection, as the read does
 	line := make([]byte, 0, maxGreeting)
 	for next := make([]byte, 1); len(line) < maxGreeting; {
-		if _, err := io.ReadFull(c, next); err != nil {
+		if _, err := io.ReadFull(conn, next); err != nil {
 			return greeting{}, err
 		}
 		if next[0] == '\n' {
@@ -41,37 +53,10 @@
 		}
 		line = append(line, next[0])
 	}
-	_ = c.SetReadDeadline(time.Time{})
+	_ = conn.SetReadDeadline(time.Time{})
 	fields := strings.Fields(string(line))
-	if len(fields) != 4 || fields[0] != protocolVersion {
+	if len(fields) != greetingFields || fields[0] != protocolVersion {
 		return greeting{}, errGreeting
 	}
 	return greeting{kind: Kind(fields[1]), to: fields[2], from: fields[3]}, nil
 }
-
-// UnknownPeerError is returned for an agent that no address is known of.
-type UnknownPeerError struct{ Name string }
-
-func (e *UnknownPeerError) Error() string { return fmt.Sprintf("peer %q: no address is known", e.Name) }
-
-// Dial opens a connection of a kind to another agent; ctx bounds the dialing alone. It returns an *UnknownPeerError for an
-// agent without an address, and else what the system returned.
-func (t *Transport) Dial(ctx context.Context, kind Kind, to string) (net.Conn, error) {
-	t.mu.Lock()
-	address := t.addresses[to]
-	t.mu.Unlock()
-	if address == "" {
-		return nil, &UnknownPeerError{to}
-	}
-	c, err := (&net.Dialer{Timeout: t.limits.CallTimeout}).DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	_ = c.SetWriteDeadline(time.Now().Add(t.limits.CallTimeout))
-	if _, err := io.WriteString(c, greeting{kind, to, t.Self}.String()); err != nil {
-		_ = c.Close()
-		return nil, err
-	}
-	_ = c.SetWriteDeadline(time.Time{})
-	return &peerConn{c, peerAddr(to)}, nil
-}
--- a/internal/cluster/transport/listener.go
+++ b/internal/cluster/transport/listener.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// maxPendingConns is how many connections of one kind wait to be accepted before further ones wait with a time limit.
+// maxPendingConns is the number of connections of one kind that wait to be accepted without a time limit.
 const maxPendingConns = 16
 
-// peerAddr is an agent's name where a network address is asked for.
+// peerAddr is an agent's name as a network address.
 type peerAddr string
 
 // Network implements net.Addr.
 func (peerAddr) Network() string { return "peer" }
 
+// String implements net.Addr.
 func (a peerAddr) String() string { return string(a) }
 
-// peerConn is a connection whose remote end is known by its agent's name.
+// peerConn is a connection whose remote address is the name of an agent.
 type peerConn struct {
 	net.Conn
 	remote peerAddr
@@ -28,26 +29,33 @@
 func (c *peerConn) RemoteAddr() net.Addr { return c.remote }
 
 // listenerQueue is the net.Listener of one kind of connection.
+//
+// Invariant: once it is closed, no connection stays in the queue (TestClosedListener).
 type listenerQueue struct {
-	addr   peerAddr
+	addr   peerAddr // the agent's own name
 	conns  chan net.Conn
-	closed chan struct{}
+	closed chan struct{} // closed by Close
 
-	mu       sync.Mutex // orders offers before or after Close
+	mu       sync.Mutex // guards isClosed, and orders offers before or after Close
 	isClosed bool
 }
 
+// newListenerQueue returns an open listener.
 func newListenerQueue(addr peerAddr) *listenerQueue {
-	return &listenerQueue{addr: addr, conns: make(chan net.Conn, maxPendingConns), closed: make(chan struct{})}
+	return &listenerQueue{
+		addr:   addr,
+		conns:  make(chan net.Conn, maxPendingConns),
+		closed: make(chan struct{}),
+	}
 }
 
-// offer queues a connection for Accept and reports whether it did: not when the queue stays full for the given time, when
-// the listener is closed, or when ctx ends.
-func (q *listenerQueue) offer(ctx context.Context, c net.Conn, within time.Duration) bool {
+// offer queues a connection for Accept and reports whether it did. It does not if the queue stays full for the given
+// time, the listener is closed, or ctx ends.
+func (q *listenerQueue) offer(ctx context.Context, conn net.Conn, within time.Duration) bool {
 	deadline := time.NewTimer(within)
 	defer deadline.Stop()
 	select {
-	case q.conns <- c:
+	case q.conns <- conn:
 		q.closePendingIfClosed()
 		return true
 	case <-q.closed:
@@ -60,8 +68,8 @@
 // Accept implements net.Listener. After Close it returns net.ErrClosed.
 func (q *listenerQueue) Accept() (net.Conn, error) {
 	select {
-	case c := <-q.conns:
-		return c, nil
+	case conn := <-q.conns:
+		return conn, nil
 	case <-q.closed:
 		return nil, net.ErrClosed
 	}
@@ -79,19 +87,20 @@
 	return nil
 }
 
-// closePendingIfClosed closes the connections that wait in a closed queue: also one that was queued as it was closed.
+// closePendingIfClosed closes the connections in the queue of a closed listener, with one that was queued while it was
+// being closed.
 func (q *listenerQueue) closePendingIfClosed() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for q.isClosed {
 		select {
-		case c := <-q.conns:
-			_ = c.Close()
+		case conn := <-q.conns:
+			_ = conn.Close()
 		default:
 			return
 		}
 	}
 }
 
-// Addr implements net.Listener; it is the agent's own name.
+// Addr implements net.Listener. It returns the agent's own name.
 func (q *listenerQueue) Addr() net.Addr { return q.addr }
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -1,8 +1,9 @@
-// Package transport carries the traffic between agents: one listening address for each agent, and several protocols over
-// it, which the first line of a connection tells apart. It knows nothing of what is transported.
+// Package transport carries the traffic between agents: one listening address for each agent, and several protocols
+// over it. It does not know what is transported.
 //
-// That first line, the greeting, names the protocol version, the kind of the connection, the agent that it is for and the
-// agent that dials. It names the peers; it does not authenticate them, and addresses are expected to be on loopback.
+// The first line of a connection, the greeting, names the protocol version, the kind of the connection, the agent
+// that it is for and the agent that dials. It names the peers; it does not authenticate them, and addresses are
+// expected to be on loopback.
 package transport
 
 import (
@@ -19,40 +20,44 @@
 // Kind is the protocol that a connection is for.
 type Kind string
 
-// The kinds: the consensus library's RPCs, the membership library's datagrams and streams, and HTTP calls between agents.
+// The kinds.
 const (
-	KindRaft   Kind = "raft"
-	KindPacket Kind = "packet"
-	KindStream Kind = "stream"
-	KindCall   Kind = "call"
+	KindRaft   Kind = "raft"   // RPCs of the consensus library
+	KindPacket Kind = "packet" // datagrams of the membership library
+	KindStream Kind = "stream" // streams of the membership library
+	KindCall   Kind = "call"   // HTTP calls between agents
 )
 
-// connectionsPerClient is how many connections a listener holds open at once for each client that the limits allow.
+// connectionsPerClient is the number of connections that a listener holds open for each client that the limits allow.
 const connectionsPerClient = 4
 
-// Transport is one agent's side. It is safe for concurrent use.
+// Transport is one agent's side of the traffic. It is safe for concurrent use.
 type Transport struct {
-	Self   string // the agent's name
-	limits limits.Control
-
+	Self     string // the agent's name
+	limits   limits.Control
 	listener net.Listener
 	queues   map[Kind]*listenerQueue
 
-	mu        sync.Mutex
-	addresses map[string]string // by name: the address at which this agent reaches it
-	clients   map[string]*http.Client
+	mu        sync.Mutex              // guards addresses and clients
+	addresses map[string]string       // by name of the agent: where this agent reaches it
+	clients   map[string]*http.Client // by name of the agent
 }
 
-// Listen opens this agent's address. addresses are those of the other agents, by name. Connections wait until Run accepts
-// them. The caller has to end it by Run or Close.
+// Listen opens this agent's address. addresses are those of the other agents, by name. Connections wait until Run
+// accepts them. The caller has to end it by Run or Close.
 func Listen(self, address string, addresses map[string]string, bounds limits.Control) (*Transport, error) {
-	l, err := net.Listen("tcp", address)
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", address) // binding an address does not block
 	if err != nil {
 		return nil, err
 	}
 	t := &Transport{
-		Self: self, limits: bounds, listener: limits.LimitListener(l, connectionsPerClient*bounds.Connections),
-		queues: map[Kind]*listenerQueue{}, addresses: addresses, clients: map[string]*http.Client{},
+		Self:      self,
+		limits:    bounds,
+		listener:  limits.LimitListener(listener, connectionsPerClient*bounds.Connections),
+		queues:    map[Kind]*listenerQueue{},
+		addresses: addresses,
+		clients:   map[string]*http.Client{},
 	}
 	for _, kind := range []Kind{KindRaft, KindPacket, KindStream, KindCall} {
 		t.queues[kind] = newListenerQueue(peerAddr(self))
@@ -60,7 +65,7 @@
 	return t, nil
 }
 
-// SetAddresses replaces the addresses of the other agents; open connections go on.
+// SetAddresses replaces the addresses of the other agents. Open connections stay open.
 func (t *Transport) SetAddresses(addresses map[string]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,15 +73,15 @@
 	t.clients = map[string]*http.Client{}
 }
 
-// Address is where this agent listens.
+// Address returns the address at which this agent listens.
 func (t *Transport) Address() string { return t.listener.Addr().String() }
 
-// Listener returns the connections of one kind as they come in. It is closed when Run ends; a caller that closes it before
-// has further connections of its kind closed.
+// Listener returns the listener for connections of one kind. It is closed when Run ends. If the caller closes it
+// before, further connections of its kind are closed.
 func (t *Transport) Listener(kind Kind) net.Listener { return t.queues[kind] }
 
 // Run accepts connections until ctx ends. When it returns, the address is free and connections that no one has accepted
-// from a Listener are closed; those that were accepted belong to who accepted them.
+// from a Listener are closed; those that were accepted belong to the caller of Accept.
 func (t *Transport) Run(ctx context.Context) error {
 	var greetings sync.WaitGroup
 	defer t.Close()
@@ -92,23 +97,23 @@
 		}
 	}()
 	for {
-		c, err := t.listener.Accept()
+		conn, err := t.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors, most likely
+		if err != nil { // most likely out of file descriptors
 			wait(ctx, t.limits.RetryBackoff)
 			continue
 		}
-		greetings.Go(func() { t.handOver(ctx, c) })
+		greetings.Go(func() { t.dispatch(ctx, conn) })
 	}
 }
 
 // Close releases what Listen opened. Run does so as it ends; Close is for a Transport that is not run.
 func (t *Transport) Close() {
 	_ = t.listener.Close()
-	for _, q := range t.queues {
-		_ = q.Close()
+	for _, queue := range t.queues {
+		_ = queue.Close()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,21 +122,25 @@
 	}
 }
 
-// handOver reads a connection's greeting and passes the connection to the listener of its kind. One whose greeting is not
-// for this agent, or that nobody accepts in time, is closed.
-func (t *Transport) handOver(ctx context.Context, c net.Conn) {
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+// dispatch reads a connection's greeting and passes the connection to the listener of its kind. It closes the
+// connection if the greeting is not for this agent, or nobody accepts the connection in time.
+func (t *Transport) dispatch(ctx context.Context, conn net.Conn) {
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	accepted := false
 	defer func() {
 		if !stop() || !accepted {
-			_ = c.Close()
+			_ = conn.Close()
 		}
 	}()
-	greeting, err := readGreeting(c, time.Now().Add(t.limits.CallTimeout))
-	if err != nil || greeting.to != t.Self || t.queues[greeting.kind] == nil {
+	greeting, err := readGreeting(conn, time.Now().Add(t.limits.CallTimeout))
+	if err != nil || greeting.to != t.Self {
+		return
+	}
+	queue := t.queues[greeting.kind]
+	if queue == nil {
 		return
 	}
-	accepted = t.queues[greeting.kind].offer(ctx, &peerConn{c, peerAddr(greeting.from)}, t.limits.CallTimeout)
+	accepted = queue.offer(ctx, &peerConn{Conn: conn, remote: peerAddr(greeting.from)}, t.limits.CallTimeout)
 }
 
 // wait sleeps for a duration, or until ctx ends.
