--- a/internal/cluster/node/events.go
+++ b/internal/cluster/node/events.go
@@ -8,32 +8,43 @@
 )
 
 const (
-	// minEventInterval is the least time between two events of one kind and name: targets move with every report of demand.
+	// minEventInterval is the shortest time between two events of one key: targets move with each report of demand.
 	minEventInterval = 2 * time.Second
-	maxQueuedEvents  = 256
-	maxEventKeys     = 10_000 // beyond them all are forgotten, and an event may come again early
+	// maxQueuedEvents is the number of events that wait for the agent's history; further ones are lost.
+	maxQueuedEvents = 256
+	// maxEventKeys is the number of keys that are remembered. Beyond it all are forgotten, and an event may come early.
+	maxEventKeys = 10_000
 )
 
-// eventKey is what events are spaced by.
-type eventKey struct{ limit, name, kind string }
+// eventKey identifies the events that are spaced by minEventInterval.
+type eventKey struct {
+	limit quota.LimitName
+	name  string // of an instance or a host; empty: neither
+	kind  string
+}
 
-// eventFeed passes events to the agent's history. What comes too often is left out, and what is not read in time is lost:
-// it holds up nobody. It is safe for concurrent use.
+// eventFeed passes events to the agent's history. It leaves out events that come too often and loses those that are not
+// read in time: it blocks no caller. It is safe for concurrent use.
 type eventFeed struct {
 	events chan quota.Event
-	now    func() time.Time // a clock that only goes on
+	now    func() time.Time // a monotonic clock
 
-	mu       sync.Mutex
-	latestAt map[eventKey]time.Time
+	mu       sync.Mutex // guards passedAt
+	passedAt map[eventKey]time.Time
 }
 
+// newEventFeed returns a feed on the system's clock.
 func newEventFeed() *eventFeed {
-	return &eventFeed{events: make(chan quota.Event, maxQueuedEvents), now: time.Now, latestAt: map[eventKey]time.Time{}}
+	return &eventFeed{
+		events:   make(chan quota.Event, maxQueuedEvents),
+		now:      time.Now,
+		passedAt: map[eventKey]time.Time{},
+	}
 }
 
-// add passes an event on, unless one of its kind and name came within minEventInterval.
+// add passes an event on, unless one of the same key was passed within minEventInterval.
 func (f *eventFeed) add(e quota.Event) {
-	if !f.due(eventKey{string(e.Limit), e.Name, e.Kind}) {
+	if !f.mayPass(eventKey{limit: e.Limit, name: e.Name, kind: e.Kind}) {
 		return
 	}
 	select {
@@ -42,17 +53,17 @@
 	}
 }
 
-// due reports whether an event may be passed on now, and notes that it is.
-func (f *eventFeed) due(key eventKey) bool {
+// mayPass reports whether an event may be passed on now, and if so records the time.
+func (f *eventFeed) mayPass(key eventKey) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if len(f.latestAt) > maxEventKeys {
-		clear(f.latestAt)
+	if len(f.passedAt) > maxEventKeys {
+		clear(f.passedAt)
 	}
-	if latest, known := f.latestAt[key]; known && now.Sub(latest) < minEventInterval {
+	if last, known := f.passedAt[key]; known && now.Sub(last) < minEventInterval {
 		return false
 	}
-	f.latestAt[key] = now
+	f.passedAt[key] = now
 	return true
 }
--- /dev/null
+++ b/internal/cluster/node/helpers_test.go
@@ -0,0 +1,109 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"milletbarrow/internal/cluster/membership"
+	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/limits"
+)
+
+// patience is how long a test waits for what has to happen.
+const patience = 30 * time.Second
+
+// listen listens on an address on loopback.
+func listen(t *testing.T, address string) net.Listener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return listener
+}
+
+// wantFree fails the test unless an address is free to listen on.
+func wantFree(t *testing.T, address string) {
+	t.Helper()
+	_ = listen(t, address).Close()
+}
+
+// newSpec returns a fleet of hosts h1, h2 and so on with free addresses, all of which keep the quota store.
+func newSpec(t *testing.T, size int) *fleet.Spec {
+	t.Helper()
+	spec := &fleet.Spec{Quotas: &quota.Config{
+		Version: 1,
+		Limits:  []quota.Limit{{Name: "out", Kind: quota.Concurrency, Total: 2}},
+	}}
+	for i := 1; i <= size; i++ {
+		// No connection is dialed from this address, so that the port stays free.
+		listener := listen(t, fmt.Sprintf("127.0.29.%d:0", i))
+		defer func() { _ = listener.Close() }()
+		name := fmt.Sprint("h", i)
+		spec.Hosts = append(spec.Hosts, fleet.HostSpec{Name: name, PeerAddress: listener.Addr().String()})
+		spec.QuotaHosts = append(spec.QuotaHosts, name)
+	}
+	return spec
+}
+
+// runNode opens and runs a host's node until the test or the returned function ends it.
+func runNode(t *testing.T, spec *fleet.Spec, host, dir string) (*Node, func()) {
+	t.Helper()
+	n, err := Open(Config{Spec: spec, Host: host, Dir: dir, Bounds: limits.ForControl()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- n.Run(ctx) }()
+	end := func() {
+		cancel()
+		select {
+		case err := <-ended:
+			if err != nil {
+				t.Errorf("%s: %v", host, err)
+			}
+			ended <- nil // end may be called again
+		case <-time.After(patience):
+			t.Errorf("%s goes on after its context has ended", host)
+		}
+	}
+	t.Cleanup(end)
+	return n, end
+}
+
+// waitUntil polls a condition, and fails the test if it is not met in time.
+func waitUntil(t *testing.T, condition string, met func() bool) {
+	t.Helper()
+	const pollInterval = 10 * time.Millisecond
+	for start := time.Now(); !met(); time.Sleep(pollInterval) {
+		if time.Since(start) > patience {
+			t.Fatalf("not within %v: %s", patience, condition)
+		}
+	}
+}
+
+// storeStatus returns the status of the quota store, as a node returns it within a second.
+func storeStatus(n *Node) (quota.Status, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	return n.Status(ctx)
+}
+
+// leads reports whether a node says that a host leads the quota store.
+func leads(n *Node, host string) bool {
+	status, err := storeStatus(n)
+	return err == nil && status.Leader == host
+}
+
+// memberStates returns the states of all agents, as a node judges them.
+func memberStates(n *Node) (all []membership.State) {
+	for _, member := range n.Members() {
+		all = append(all, member.State)
+	}
+	return all
+}
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -1,10 +1,11 @@
-// Package node is one agent's part in what the agents of a fleet share: it opens the transport, the quota store and the
+// Package node is one agent's part in the cluster of a fleet's agents: it opens the transport, the quota store and the
 // membership, runs them and ends them together. It decides nothing.
 package node
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net/http"
 	"path/filepath"
 	"sync"
@@ -19,15 +20,23 @@
 	"milletbarrow/internal/process"
 )
 
-// soleAddress is where an agent listens that has no address for others, as it is the only one.
-const soleAddress = "127.0.0.1:0"
+const (
+	// soleAddress is the listening address of an agent without an address for others, as it is the only one.
+	soleAddress = "127.0.0.1:0"
+	// storeDir is the directory of the quota store in the agent's own.
+	storeDir = "ledger"
 
-// Config is what a Node is opened with.
+	// Time limits of a call from another agent, in call timeouts.
+	readTimeoutFactor  = 2
+	writeTimeoutFactor = 4
+)
+
+// Config is the configuration of a Node.
 type Config struct {
 	Spec     *fleet.Spec // with quotas
-	Host     string
-	Dir      string // the agent's own
-	TrustDir bool   // an operator says that the directory is no older copy
+	Host     string      // of this agent
+	Dir      string      // the agent's own
+	TrustDir bool        // an operator confirms that the directory is not an older copy
 	Bounds   limits.Control
 }
 
@@ -40,55 +49,77 @@
 	events    *eventFeed
 }
 
-// Open opens the listening address and the files of the quota store. Nothing is answered before Run, which also closes
-// them.
+// Open opens the listening address and the files of the quota store. Run serves other agents, and closes both.
 func Open(config Config) (*Node, error) {
-	n := &Node{bounds: config.Bounds, events: newEventFeed()}
 	listen := config.Spec.Host(config.Host).PeerAddress
 	if listen == "" {
 		listen = soleAddress
 	}
 	addresses, hosts := peers(config.Spec)
-	var err error
-	if n.transport, err = transport.Listen(config.Host, listen, addresses, config.Bounds); err != nil {
-		return nil, err
+	agentTransport, err := transport.Listen(config.Host, listen, addresses, config.Bounds)
+	if err != nil {
+		return nil, fmt.Errorf("agent's address for other agents: %w", err)
 	}
-	if n.Store, err = openStore(config, n.transport, n.events.add); err != nil {
-		n.transport.Close()
+	events := newEventFeed()
+	store, err := openStore(config, agentTransport, events.add)
+	if err != nil {
+		agentTransport.Close()
 		return nil, err
 	}
-	n.members = membership.New(membership.Config{
-		Host: config.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Transport: n.transport, Bounds: config.Bounds,
-		Clock:    process.Now,
-		OnChange: func(m membership.Member) { n.events.add(quota.Event{Name: m.Host, Kind: "agent " + string(m.State)}) },
+	members := membership.New(membership.Config{
+		Host:        config.Host,
+		Incarnation: uint64(time.Now().UnixMicro()),
+		Hosts:       hosts,
+		Transport:   agentTransport,
+		Bounds:      config.Bounds,
+		Clock:       process.Now,
+		OnChange:    func(m membership.Member) { events.add(memberEvent(m)) },
 	})
-	return n, nil
+	return &Node{
+		Store:     store,
+		bounds:    config.Bounds,
+		transport: agentTransport,
+		members:   members,
+		events:    events,
+	}, nil
 }
 
+// openStore opens the quota store under the spec's configuration.
 func openStore(config Config, t *transport.Transport, onEvent func(quota.Event)) (*quotastore.Store, error) {
-	s, err := quotastore.Open(quotastore.Config{
-		Host: config.Host, Members: config.Spec.QuotaHosts, Dir: filepath.Join(config.Dir, "ledger"), TrustDir: config.TrustDir,
-		Transport: t, Bounds: config.Bounds, Clock: process.Now, OnEvent: onEvent,
+	store, err := quotastore.Open(quotastore.Config{
+		Host:      config.Host,
+		Members:   config.Spec.QuotaHosts,
+		Dir:       filepath.Join(config.Dir, storeDir),
+		TrustDir:  config.TrustDir,
+		Transport: t,
+		Bounds:    config.Bounds,
+		Clock:     process.Now,
+		OnEvent:   onEvent,
 	})
 	if err != nil {
 		return nil, err
 	}
-	s.SetConfig(config.Spec.Quotas, config.Spec.QuotaHosts)
-	return s, nil
+	store.SetConfig(config.Spec.Quotas, config.Spec.QuotaHosts)
+	return store, nil
+}
+
+// memberEvent returns the event of a change of another agent's state.
+func memberEvent(m membership.Member) quota.Event {
+	return quota.Event{Name: m.Host, Kind: "agent " + string(m.State)}
 }
 
-// peers lists the addresses of all agents by host, and the hosts in the order of the fleet's file.
+// peers returns the addresses of all agents by host, and the hosts in the order of the fleet's file.
 func peers(spec *fleet.Spec) (addresses map[string]string, hosts []string) {
 	addresses = map[string]string{}
-	for _, h := range spec.Hosts {
-		addresses[h.Name] = h.PeerAddress
-		hosts = append(hosts, h.Name)
+	for _, host := range spec.Hosts {
+		addresses[host.Name] = host.PeerAddress
+		hosts = append(hosts, host.Name)
 	}
 	return addresses, hosts
 }
 
-// Run takes part until ctx ends, and returns when all that it started has ended. Where one part fails the others go on
-// until then.
+// Run takes part in the cluster until ctx ends, and returns when all that it started has ended. If one part fails, the
+// others go on until then.
 func (n *Node) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	n.RegisterHandlers(mux)
@@ -96,7 +127,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	var tasks sync.WaitGroup
-	tasks.Go(func() { _ = n.transport.Run(ctx) }) // ends with ctx alone, without an error
+	tasks.Go(func() { _ = n.transport.Run(ctx) }) // ends only with ctx, without an error
 	tasks.Go(func() { _ = server.Serve(n.transport.Listener(transport.KindCall)) })
 	var membersErr error
 	tasks.Go(func() { membersErr = n.members.Run(ctx) })
@@ -105,23 +136,26 @@
 	return errors.Join(storeErr, membersErr)
 }
 
-// server answers the calls of other agents. It is closed with ctx, or with the listener as the transport ends.
+// server returns the server of other agents' calls. It is closed with ctx, or with the listener as the transport ends.
 func (n *Node) server(handler http.Handler) *http.Server {
-	call := n.bounds.CallTimeout
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: call, ReadTimeout: 2 * call, WriteTimeout: 4 * call, IdleTimeout: n.bounds.IdleTimeout,
-		MaxHeaderBytes: n.bounds.MessageSize,
+		Handler:           handler,
+		ReadHeaderTimeout: n.bounds.CallTimeout,
+		ReadTimeout:       readTimeoutFactor * n.bounds.CallTimeout,
+		WriteTimeout:      writeTimeoutFactor * n.bounds.CallTimeout,
+		IdleTimeout:       n.bounds.IdleTimeout,
+		MaxHeaderBytes:    n.bounds.MessageSize,
 	}
 }
 
-// UpdateAddresses takes the addresses of another configuration.
+// UpdateAddresses replaces the addresses of the other agents by those of another configuration.
 func (n *Node) UpdateAddresses(spec *fleet.Spec) {
 	addresses, _ := peers(spec)
 	n.transport.SetAddresses(addresses)
 }
 
-// Members lists all agents as this one judges them.
+// Members returns all agents as this one judges them.
 func (n *Node) Members() []membership.Member { return n.members.Members() }
 
-// Events are for the agent's history.
+// Events returns the events for the agent's history.
 func (n *Node) Events() <-chan quota.Event { return n.events.events }
