--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -24,57 +24,72 @@
 // levels of the functions and methods of slog that write an event.
 var levels = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warn", "Error": "error"}
 
-// logEvent is one row of the table: an event may stand there once for each level.
-type logEvent struct{ name, level string }
+// logEvent identifies one row of the table: an event has a row for each of its levels.
+type logEvent struct {
+	name  string
+	level string
+}
 
+// String returns the event as messages name it.
 func (e logEvent) String() string { return e.name + " at " + e.level }
 
-// eventFields are the fields that lines of an event can have, and for messages where one is written.
+// eventFields has the fields that lines of an event can have.
 type eventFields struct {
 	names map[string]bool
-	place string
+	place string // file and line where the event is written or documented, for messages
 }
 
+// events has the fields of each event.
 type events map[logEvent]*eventFields
 
-func (all events) add(e logEvent, place string, fields []string) {
-	if all[e] == nil {
-		all[e] = &eventFields{names: map[string]bool{}, place: place}
+// add adds fields to those of an event.
+func (all events) add(event logEvent, place string, fields []string) {
+	if all[event] == nil {
+		all[event] = &eventFields{names: map[string]bool{}, place: place}
 	}
 	for _, field := range fields {
-		all[e].names[field] = true
+		all[event].names[field] = true
 	}
 }
 
-// TestEventsTable: the table of log events in docs/oncall.md names each event that the program writes, with its level
-// and all its fields, and none that it does not write.
+// TestEventsTable checks that the table of log events in docs/oncall.md names each event that the program writes, with
+// its level and all its fields, and none that it does not write.
 func TestEventsTable(t *testing.T) {
-	written, documented := eventsOfSource(t), eventsOfPage(t)
-	for e, w := range written {
-		d := documented[e]
-		if d == nil {
-			t.Errorf("%s: %s is written by %s and has no row in the table %q: add | `%s` | %s | %s | meaning | what to do |",
-				eventsPage, e, w.place, eventsHeading, e.name, e.level, fieldList(w.names))
+	allWritten := eventsOfSource(t)
+	allDocumented := eventsOfPage(t)
+	for event, written := range allWritten {
+		if documented := allDocumented[event]; documented != nil {
+			compareFields(t, event, written, documented)
 			continue
 		}
-		for field := range w.names {
-			if !d.names[field] {
-				t.Errorf("%s: the row of %s lacks the field `%s`, which %s writes", d.place, e, field, w.place)
-			}
+		t.Errorf("%s: no row in the table %q for %s, written at %s: add | `%s` | %s | %s | meaning | what to do |",
+			eventsPage, eventsHeading, event, written.place, event.name, event.level, fieldList(written.names))
+	}
+	for event, documented := range allDocumented {
+		if allWritten[event] == nil {
+			t.Errorf("%s: row for %s, which no code writes: rename or remove the row", documented.place, event)
 		}
-		for field := range d.names {
-			if !w.names[field] {
-				t.Errorf("%s: the row of %s has the field `%s`, which no line of it has (%s)", d.place, e, field, w.place)
-			}
+	}
+}
+
+// compareFields checks that the row of an event names the fields that the program writes.
+func compareFields(t *testing.T, event logEvent, written, documented *eventFields) {
+	t.Helper()
+	for field := range written.names {
+		if !documented.names[field] {
+			t.Errorf("%s: the row of %s lacks the field `%s`, written at %s",
+				documented.place, event, field, written.place)
 		}
 	}
-	for e, d := range documented {
-		if written[e] == nil {
-			t.Errorf("%s: %s has a row, and no code writes it: rename or remove the row", d.place, e)
+	for field := range documented.names {
+		if !written.names[field] {
+			t.Errorf("%s: the row of %s has the field `%s`, which no line has (%s)",
+				documented.place, event, field, written.place)
 		}
 	}
 }
 
+// fieldList returns the names as a cell of the table has them.
 func fieldList(names map[string]bool) string {
 	quoted := make([]string, 0, len(names))
 	for _, name := range slices.Sorted(maps.Keys(names)) {
@@ -83,6 +98,14 @@
 	return strings.Join(quoted, ", ")
 }
 
+// Columns of the table, whose rows begin and end with a separator.
+const (
+	nameColumn   = 1
+	levelColumn  = 2
+	fieldsColumn = 3
+	columns      = 6 // at least, with the empty ones at both ends
+)
+
 // eventsOfPage reads the rows of the table.
 func eventsOfPage(t *testing.T) events {
 	t.Helper()
@@ -90,27 +113,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, inTable := events{}, false
+	all := events{}
+	inTable := false
 	for i, line := range strings.Split(string(content), "\n") {
 		if strings.HasPrefix(line, "#") {
 			inTable = line == eventsHeading
 		}
 		cells := strings.Split(line, "|")
-		if !inTable || len(cells) < 6 || !strings.HasPrefix(strings.TrimSpace(cells[1]), "`") {
+		if !inTable || len(cells) < columns || !strings.HasPrefix(strings.TrimSpace(cells[nameColumn]), "`") {
 			continue
 		}
 		place := fmt.Sprintf("%s:%d", eventsPage, i+1)
-		e := logEvent{name: strings.Trim(cells[1], " `"), level: strings.TrimSpace(cells[2])}
-		if all[e] != nil {
-			t.Errorf("%s: a second row of %s", place, e)
+		event := logEvent{name: strings.Trim(cells[nameColumn], " `"), level: strings.TrimSpace(cells[levelColumn])}
+		if all[event] != nil {
+			t.Errorf("%s: duplicate row for %s", place, event)
 		}
 		var fields []string
-		for _, field := range strings.Split(cells[3], ",") {
+		for field := range strings.SplitSeq(cells[fieldsColumn], ",") {
 			if field = strings.Trim(field, " `"); field != "" && field != "-" {
 				fields = append(fields, field)
 			}
 		}
-		all.add(e, place, fields)
+		all.add(event, place, fields)
 	}
 	if len(all) == 0 {
 		t.Fatalf("%s has no rows below %q", eventsPage, eventsHeading)
@@ -118,44 +142,56 @@
 	return all
 }
 
-// eventsOfSource parses all Go files that are no tests.
+// eventsOfSource returns the events that all Go files but tests write.
 func eventsOfSource(t *testing.T) events {
 	t.Helper()
 	all := events{}
 	for _, dir := range []string{"admission", "cmd", "internal"} {
-		err := filepath.WalkDir(filepath.Join(repositoryRoot, dir), func(path string, entry fs.DirEntry, err error) error {
+		visit := func(path string, entry fs.DirEntry, err error) error {
 			if err == nil && entry.IsDir() && entry.Name() != "testdata" {
-				eventsOfPackage(t, path, all)
+				addPackage(t, path, all)
 			}
 			return err
-		})
-		if err != nil {
+		}
+		if err := filepath.WalkDir(filepath.Join(repositoryRoot, dir), visit); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return all
 }
 
-// eventsOfPackage adds what the files of one directory write.
-func eventsOfPackage(t *testing.T, dir string, all events) {
+// sourcePackage is the parsed Go files of one directory, without tests.
+type sourcePackage struct {
+	positions *token.FileSet
+	files     []*ast.File
+}
+
+// parsePackage parses the Go files of one directory, without tests.
+func parsePackage(t *testing.T, dir string) sourcePackage {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	positions := token.NewFileSet()
-	var files []*ast.File
+	source := sourcePackage{positions: token.NewFileSet()}
 	for _, path := range paths {
 		if strings.HasSuffix(path, "_test.go") {
 			continue
 		}
-		file, err := parser.ParseFile(positions, path, nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(source.positions, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			t.Fatal(err)
 		}
-		files = append(files, file)
+		source.files = append(source.files, file)
 	}
-	for _, file := range files {
+	return source
+}
+
+// addPackage adds the events that the files of one directory write.
+func addPackage(t *testing.T, dir string, all events) {
+	t.Helper()
+	source := parsePackage(t, dir)
+	for _, file := range source.files {
 		for _, decl := range file.Decls {
 			function, ok := decl.(*ast.FuncDecl)
 			if !ok {
@@ -163,7 +199,7 @@
 			}
 			ast.Inspect(function, func(n ast.Node) bool {
 				if call, ok := n.(*ast.CallExpr); ok {
-					addCall(t, positions, files, function, call, all)
+					source.addCall(t, function, call, all)
 				}
 				return true
 			})
@@ -171,39 +207,39 @@
 	}
 }
 
-// addCall adds the event of a call to slog, with its fields.
-func addCall(t *testing.T, positions *token.FileSet, files []*ast.File, function *ast.FuncDecl, call *ast.CallExpr, all events) {
+// addCall adds the event that a call within a function writes, if it is a call to slog.
+func (p sourcePackage) addCall(t *testing.T, function *ast.FuncDecl, call *ast.CallExpr, all events) {
 	t.Helper()
 	level := slogLevel(call)
 	if level == "" {
 		return
 	}
-	position := positions.Position(call.Pos())
+	position := p.positions.Position(call.Pos())
 	place := fmt.Sprintf("%s:%d", strings.TrimPrefix(position.Filename, repositoryRoot+"/"), position.Line)
 	var fields []string
 	for i := 1; i < len(call.Args); i += 2 {
 		field, ok := stringLiteral(call.Args[i])
 		if !ok || call.Ellipsis.IsValid() {
-			t.Errorf("%s: the names of a log line's fields must be string literals, or the table in %s can't be compared with them", place, eventsPage)
+			t.Errorf("%s: field names of a log line are not string literals, wanted for the table in %s",
+				place, eventsPage)
 			return
 		}
 		fields = append(fields, field)
 	}
-	names := []string{}
+	names := p.argumentsOf(function, call.Args[0])
 	if name, ok := stringLiteral(call.Args[0]); ok {
-		names = append(names, name)
-	} else {
-		names = argumentsOf(files, function, call.Args[0])
+		names = []string{name}
 	}
 	if len(names) == 0 {
-		t.Errorf("%s: the name of a log event must be a string literal, or a parameter that each caller in the package gives one", place)
+		t.Errorf("%s: name of a log event: wanted a string literal, or a parameter with a literal at each caller",
+			place)
 	}
 	for _, name := range names {
 		all.add(logEvent{name: name, level: level}, place, fields)
 	}
 }
 
-// slogLevel is the level of a call to slog, or to a logger made in place; empty for any other call.
+// slogLevel returns the level of a call to slog, or to a logger made in place, and "" for any other call.
 func slogLevel(call *ast.CallExpr) string {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
@@ -221,23 +257,24 @@
 	return levels[selector.Sel.Name]
 }
 
-func stringLiteral(e ast.Expr) (string, bool) {
-	literal, ok := e.(*ast.BasicLit)
+// stringLiteral returns the value of an expression that is a string literal.
+func stringLiteral(expression ast.Expr) (value string, ok bool) {
+	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return "", false
 	}
-	text, err := strconv.Unquote(literal.Value)
-	return text, err == nil
+	value, err := strconv.Unquote(literal.Value)
+	return value, err == nil
 }
 
-// argumentsOf lists the literals that calls within the package give for a parameter of a function.
-func argumentsOf(files []*ast.File, function *ast.FuncDecl, argument ast.Expr) (literals []string) {
+// argumentsOf returns the literals that calls within the package pass for a parameter of a function.
+func (p sourcePackage) argumentsOf(function *ast.FuncDecl, argument ast.Expr) (literals []string) {
 	parameter, ok := argument.(*ast.Ident)
 	if !ok {
 		return nil
 	}
 	index := parameterIndex(function, parameter.Name)
-	for _, file := range files {
+	for _, file := range p.files {
 		ast.Inspect(file, func(n ast.Node) bool {
 			call, ok := n.(*ast.CallExpr)
 			if ok && index >= 0 && index < len(call.Args) && calledName(call) == function.Name.Name {
@@ -251,6 +288,7 @@
 	return literals
 }
 
+// parameterIndex returns the index of a function's parameter, or -1 if it has none of that name.
 func parameterIndex(function *ast.FuncDecl, name string) int {
 	index := 0
 	for _, group := range function.Type.Params.List {
@@ -264,12 +302,13 @@
 	return -1
 }
 
+// calledName returns the name of the function that is called, without its package or receiver.
 func calledName(call *ast.CallExpr) string {
-	switch f := call.Fun.(type) {
+	switch called := call.Fun.(type) {
 	case *ast.Ident:
-		return f.Name
+		return called.Name
 	case *ast.SelectorExpr:
-		return f.Sel.Name
+		return called.Sel.Name
 	}
 	return ""
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -14,61 +14,66 @@
 	"milletbarrow/internal/limits"
 )
 
-// blockedWriter is a pipe that nobody reads until unblock is closed.
+// blockedWriter is a writer that blocks until unblock is closed.
 type blockedWriter struct {
 	unblock chan struct{}
-	mu      sync.Mutex
-	text    bytes.Buffer
+
+	mu   sync.Mutex // guards text
+	text bytes.Buffer
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	<-s.unblock
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.Write(p)
+// Write implements io.Writer.
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.text.Write(p)
 }
 
-// TestUnreadLogDropsLines: logging never blocks though nobody reads; dropped lines are counted once each.
+// TestUnreadLogDropsLines checks that logging does not block though nobody reads, and that each dropped line is counted
+// once.
 func TestUnreadLogDropsLines(t *testing.T) {
-	s := &blockedWriter{unblock: make(chan struct{})}
-	end := Start(s, Text)
-	const written = 3 * limits.LogLines
-	for i := range written {
+	const logged = 3 * limits.LogLines
+	w := &blockedWriter{unblock: make(chan struct{})}
+	end := Start(w, Text)
+	for i := range logged {
 		slog.Info("one", "i", i) // returns, though nobody reads
 	}
-	close(s.unblock)
+	close(w.unblock)
 	end()
-	lines := strings.Split(strings.TrimSpace(s.text.String()), "\n")
-	var came, lost, n int
-	for _, l := range lines {
-		_, event, named := strings.Cut(l, "event=")
+	written, dropped := 0, 0
+	for line := range strings.SplitSeq(strings.TrimSpace(w.text.String()), "\n") {
+		_, event, named := strings.Cut(line, "event=")
 		if !named {
-			t.Fatalf("a line without an event: %q", l)
+			t.Fatalf("line without an event: %q", line)
 		}
+		count := 0
 		if strings.HasPrefix(event, "one ") {
-			came++
-		} else if _, err := fmt.Sscanf(event, "log_dropped count=%d", &n); err == nil {
-			lost += n
+			written++
+		} else if _, err := fmt.Sscanf(event, "log_dropped count=%d", &count); err == nil {
+			dropped += count
 		}
 	}
-	if came < limits.LogLines || lost == 0 || came+lost != written {
-		t.Fatalf("%d lines were read, %d counted as dropped, %d logged", came, lost, written)
+	if written < limits.LogLines || dropped == 0 || written+dropped != logged {
+		t.Fatalf("%d lines were written, %d counted as dropped, %d logged", written, dropped, logged)
 	}
 }
 
-// TestFormats: the same event in both formats.
+var timestamp = regexp.MustCompile(`\d{4}-[^" ]*Z`)
+
+// TestFormats compares the same event in both formats with what is recorded, and which formats a flag may name.
 func TestFormats(t *testing.T) {
-	tr := fakes.NewTrace(t)
-	for _, f := range []Format{Text, JSON} {
-		var b bytes.Buffer
-		slog.New(Handler(&b, f)).Warn("level", "level", "no-look", "text", "two words", "n", 3)
-		tr.Say("%s", regexp.MustCompile(`\d{4}-[^" ]*Z`).ReplaceAllString(strings.TrimSpace(b.String()), "T"))
-		if f == JSON && !json.Valid(b.Bytes()) {
-			t.Error("not JSON")
+	trace := fakes.NewTrace(t)
+	for _, format := range []Format{Text, JSON} {
+		var line bytes.Buffer
+		slog.New(Handler(&line, format)).Warn("level", "level", "no-look", "text", "two words", "n", 3)
+		trace.Say("%s", timestamp.ReplaceAllString(strings.TrimSpace(line.String()), "T"))
+		if format == JSON && !json.Valid(line.Bytes()) {
+			t.Error("the line is not valid JSON")
 		}
 	}
-	for _, word := range []string{"text", "json", "xml"} {
-		_, err := ParseFormat(word)
-		tr.Say("%s: %v", word, err)
+	for _, name := range []string{"text", "json", "xml"} {
+		_, err := ParseFormat(name)
+		trace.Say("%s: %v", name, err)
 	}
 }
--- a/internal/ratelimitlog/logger.go
+++ b/internal/ratelimitlog/logger.go
@@ -8,38 +8,40 @@
 	"time"
 )
 
-// Logger counts violations by kind, and logs at most one line of each kind per interval, with the count since the line before.
-// It is safe for use by several goroutines.
+// Logger counts violations by kind. It logs at most one line of each kind per interval, with the count since the line
+// before. It is safe for concurrent use.
 type Logger struct {
 	interval time.Duration
-	mu       sync.Mutex
-	kinds    map[string]*entry
+
+	mu    sync.Mutex              // guards kinds
+	kinds map[string]*kindCounter // by kind
 }
 
-// entry is the state of one kind.
-type entry struct {
-	count    int
-	loggedAt time.Time
+// kindCounter counts the violations of one kind.
+type kindCounter struct {
+	count    int       // since the last line
+	loggedAt time.Time // of the last line; zero: none yet
 }
 
-// New makes a logger with this interval between two lines of a kind.
+// New returns a logger with this interval between two lines of a kind.
 func New(interval time.Duration) *Logger {
-	return &Logger{interval: interval, kinds: map[string]*entry{}}
+	return &Logger{interval: interval, kinds: map[string]*kindCounter{}}
 }
 
-// Warn counts a violation. If a line of its kind is due, it is logged with the error, which may be nil. Kinds have to be few,
-// and never chosen by a peer: they stay in memory.
+// Warn counts a violation, and logs it with the error, which may be nil, if a line of its kind is due. There have to be
+// few kinds, never chosen by a peer, as they stay in memory.
 func (l *Logger) Warn(kind string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.kinds[kind]
-	if e == nil {
-		e = &entry{}
-		l.kinds[kind] = e
+	counter := l.kinds[kind]
+	if counter == nil {
+		counter = &kindCounter{}
+		l.kinds[kind] = counter
 	}
-	e.count++
-	if now := time.Now(); now.Sub(e.loggedAt) >= l.interval {
-		slog.Warn("protocol_error", "kind", kind, "count", e.count, "error", fmt.Sprint(err))
-		e.count, e.loggedAt = 0, now
+	counter.count++
+	if now := time.Now(); now.Sub(counter.loggedAt) >= l.interval {
+		slog.Warn("protocol_error", "kind", kind, "count", counter.count, "error", fmt.Sprint(err))
+		counter.count = 0
+		counter.loggedAt = now
 	}
 }
--- a/internal/ratelimitlog/logger_test.go
+++ b/internal/ratelimitlog/logger_test.go
@@ -12,9 +12,12 @@
 	"milletbarrow/internal/logging"
 )
 
-// TestOneLinePerInterval: a thousand violations of a kind make one line, and the next line has their count.
+var timeField = regexp.MustCompile(`time=\S+ `)
+
+// TestOneLinePerInterval checks that a thousand violations of a kind make one line, and that the next line has their
+// count.
 func TestOneLinePerInterval(t *testing.T) {
-	tr := fakes.NewTrace(t)
+	trace := fakes.NewTrace(t)
 	var text bytes.Buffer
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(logging.Handler(&text, logging.Text)))
@@ -25,5 +28,5 @@
 	logger.Warn("kind", nil)
 	logger.interval = 0
 	logger.Warn("frame_length", errors.New("frame length 3"))
-	tr.Say("%s", regexp.MustCompile(`time=\S+ `).ReplaceAllString(text.String(), ""))
+	trace.Say("%s", timeField.ReplaceAllString(text.String(), ""))
 }
