--- a/internal/backend/executor/client.go
+++ b/internal/backend/executor/client.go
@@ -1,11 +1,22 @@
-// Package executor is the client of the executor that runs invocations: its line protocol (protocol.go, read.go), and the one
-// connection to it, which is made again whenever it is lost, with the runs in flight by id.
+// Package executor is the client of the executor that runs invocations. It speaks the executor's line protocol over one
+// connection, which it opens again whenever it is lost, and holds the runs in flight.
+//
+// A connection goes through these states. It is connected, and subscribes to the notices after the last one read;
+// greeted by the executor; and synced, once the first sample requested after the greeting has arrived, which follows
+// all earlier notices. Launches are sent only on a synced connection. While the connection in use is synced, a new
+// one replaces it once it is greeted, or when the one in use ends.
+//
+// Invariants, each with the test that holds it:
+//   - Each run ends once, with its own result, however often its outcome arrives:
+//     TestBrokenConnectionsAndRepeatedNotices.
+//   - A launch that the executor has not read is sent again on the next synced connection:
+//     TestRunsSurviveLostConnection.
+//   - No launch is sent before the connection is synced: TestLaunchWaitsUntilSynced.
+//   - A notice that cannot be parsed ends its run alone, and is not read again: TestUnreadableNoticeEndsItsRun.
+//   - Only the sample requested last on the connection in use is delivered: TestUnrequestedSamplesAreIgnored.
 package executor
 
 import (
-	"context"
-	"fmt"
-	"log/slog"
 	"net"
 	"sync"
 	"time"
@@ -18,9 +29,10 @@
 
 // Run is one run on the executor.
 type Run struct {
-	id, operation string
-	body          []byte
-	done          chan Outcome
+	id        string
+	operation string
+	body      []byte
+	done      chan Outcome
 }
 
 // Outcome is how a run ended, with its result.
@@ -32,270 +44,154 @@
 // Done returns a channel that receives the outcome, once.
 func (r *Run) Done() <-chan Outcome { return r.done }
 
-// Client has the connection to the executor. Its methods may be called from several goroutines; only Run blocks.
+// Client is the client of one executor. Its methods may be called from any goroutine; only Run blocks.
 type Client struct {
 	bounds         limits.Bounds
 	violations     *ratelimitlog.Logger
 	onGreeting     func(cold bool, ago monotime.Micros)
-	samples        chan []float64
-	addressChanged chan struct{}
+	samples        chan []float64 // holds at most the latest sample
+	addressChanged chan struct{}  // holds a value after a change that Run has not noticed
 
-	mu            sync.Mutex
-	address       string
-	writable      *sync.Cond // pending is not empty, or conn has changed
-	conn          net.Conn   // in use: commands are written to it
-	previous      net.Conn   // the one it replaced, still read until conn is greeted
-	everGreeted   bool       // the executor has sent a greeting, on any connection
-	nextSince     time.Time  // when next was connected
-	next          net.Conn   // subscribed, and replaces conn once it is greeted or conn ends; nil while conn is not synced
-	pending       []byte     // commands to be written
-	runs          map[string]*Run
-	lastNotice    uint64    // number of the last notice read
-	synced        bool      // all notices from before this connection have been read
-	lastSynced    time.Time // when it was last synced
-	lastInput     time.Time // when something was last read from conn
-	sampleTag     uint64    // of the last sample requested
-	samplePending bool      // and has not arrived
-	sampleSince   time.Time
-}
+	mu sync.Mutex // guards all fields below
 
-// New makes a client; onGreeting is called at each greeting, with whether the executor is warming up and how long it has been up.
-func New(
-	address string, bounds limits.Bounds, violations *ratelimitlog.Logger, onGreeting func(cold bool, ago monotime.Micros),
-) *Client {
-	l := &Client{
-		address: address, bounds: bounds, violations: violations, onGreeting: onGreeting,
-		runs: map[string]*Run{}, samples: make(chan []float64, 1), addressChanged: make(chan struct{}, 1),
-	}
-	l.writable = sync.NewCond(&l.mu)
-	return l
-}
+	address  string
+	writable *sync.Cond // signalled when pending, conn or next changes; its lock is mu
+	pending  []byte     // commands to be written on conn
 
-// Launch starts a run. Without a synced connection it is held, and sent on the next one.
-func (l *Client) Launch(id, operation string, body []byte) *Run {
-	r := &Run{id: id, operation: operation, body: body, done: make(chan Outcome, 1)}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.runs[id] = r
-	if l.synced {
-		l.sendLaunch(r)
-	}
-	return r
-}
+	// Connections. Each has a goroutine that reads and one that writes.
+	conn      net.Conn  // the connection in use; nil: none
+	previous  net.Conn  // the one that conn replaced, read until conn is greeted; nil: none
+	next      net.Conn  // subscribed, and to replace conn; nil unless conn is synced
+	nextSince time.Time // when next was connected
 
-// sendLaunch queues the launch of a run; l.mu is held.
-func (l *Client) sendLaunch(r *Run) {
-	l.pending = appendLaunch(l.pending, r.id, r.operation, r.body)
-	l.writable.Signal()
-}
+	// State of conn.
+	synced    bool      // all notices of earlier connections have been read
+	lastInput time.Time // when something was last read, or conn began to be used
+	sampling  sampling
 
-// RequestSample requests a sample of the gauges and reports whether it did: not without a synced connection, nor while a sample is
-// pending, unless that is so late that it may never arrive.
-func (l *Client) RequestSample() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.synced || l.samplePending && time.Since(l.sampleSince) < l.bounds.SampleMaxAge {
-		return false
-	}
-	l.sendSample()
-	return true
+	everGreeted bool            // the executor has sent a greeting on any connection
+	lastSynced  time.Time       // when a synced connection was last replaced or lost; zero: never
+	lastNotice  uint64          // number of the last notice read; 0: none
+	runs        map[string]*Run // runs in flight, by ID
 }
 
-// sendSample queues a request for the gauges; l.mu is held.
-func (l *Client) sendSample() {
-	l.sampleTag++
-	l.samplePending, l.sampleSince = true, time.Now()
-	l.pending = appendSample(l.pending, l.sampleTag)
-	l.writable.Signal()
+// sampling is the state of the requests for samples.
+type sampling struct {
+	tag         uint64 // of the last sample requested; 0: none yet
+	pending     bool   // that sample has not arrived
+	requestedAt time.Time
 }
 
-// Samples returns a channel of gauges; it holds the newest alone.
-func (l *Client) Samples() <-chan []float64 { return l.samples }
-
-// Available reports whether runs can be started, now or once a connection that was just lost is back: a short loss ends no run,
-// and callers act for seconds on a failed health check.
-func (l *Client) Available() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.synced || time.Since(l.lastSynced) < l.bounds.ExecutorAbsence
-}
-
-// SetAddress changes the address of the executor. A new connection is made while the one in use goes on.
-func (l *Client) SetAddress(address string) {
-	l.mu.Lock()
-	same := l.address == address
-	l.address = address
-	l.mu.Unlock()
-	if !same {
-		select {
-		case l.addressChanged <- struct{}{}:
-		default:
-		}
+// New returns a client of the executor at address. It calls onGreeting at each greeting, with whether the executor is
+// warming up and for how long it has been running.
+func New(
+	address string,
+	bounds limits.Bounds,
+	violations *ratelimitlog.Logger,
+	onGreeting func(cold bool, ago monotime.Micros),
+) *Client {
+	c := &Client{
+		address:        address,
+		bounds:         bounds,
+		violations:     violations,
+		onGreeting:     onGreeting,
+		runs:           map[string]*Run{},
+		samples:        make(chan []float64, 1),
+		addressChanged: make(chan struct{}, 1),
 	}
-}
-
-// Run keeps a connection open until the context ends.
-func (l *Client) Run(ctx context.Context) {
-	dialer := net.Dialer{Timeout: l.bounds.DialTimeout}
-	pause := l.bounds.RedialMin
-	silenceCheck := time.NewTicker(l.bounds.ExecutorSilence / 2)
-	defer silenceCheck.Stop()
-dial:
-	for down := false; ctx.Err() == nil; {
-		l.mu.Lock()
-		address := l.address
-		l.mu.Unlock()
-		conn, err := dialer.DialContext(ctx, "tcp", address)
-		if err == nil {
-			ended := make(chan connectionEnd, 1)
-			first := l.subscribe(conn)
-			go func() { ended <- l.serve(ctx, conn, first) }()
-			for connected := true; connected; {
-				select {
-				case end := <-ended:
-					if err = end.err; end.greeted {
-						pause, down = l.bounds.RedialMin, false
-					}
-					connected = false
-				case <-l.addressChanged: // this connection goes on until the next has replaced it, or the executor closes it
-					pause = l.bounds.RedialMin
-					continue dial
-				case <-silenceCheck.C:
-					if l.silent() { // likewise: it may be open at this side alone
-						slog.Warn("executor_silent")
-						continue dial
-					}
-				}
-			}
-		}
-		if ctx.Err() != nil {
-			return
-		}
-		if !down {
-			slog.Warn("executor_lost", "runs", l.runsInFlight(), "reason", fmt.Sprint(err))
-			down = true
-		}
-		select {
-		case <-time.After(pause):
-			pause = min(2*pause, l.bounds.RedialMax)
-		case <-l.addressChanged:
-			pause = l.bounds.RedialMin
-		case <-ctx.Done():
-		}
+	c.writable = sync.NewCond(&c.mu)
+	return c
+}
+
+// Launch starts a run. Without a synced connection the launch is sent once there is one.
+func (c *Client) Launch(id, operation string, body []byte) *Run {
+	run := &Run{id: id, operation: operation, body: body, done: make(chan Outcome, 1)}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.runs[id] = run
+	if c.synced {
+		c.sendLaunch(run)
 	}
+	return run
 }
 
-// runsInFlight returns how many runs have not ended.
-func (l *Client) runsInFlight() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.runs)
+// sendLaunch queues the launch of a run. c.mu must be held.
+func (c *Client) sendLaunch(run *Run) {
+	c.pending = appendLaunch(c.pending, run.id, run.operation, run.body)
+	c.writable.Signal()
 }
 
-// connectionEnd is how a connection ended.
-type connectionEnd struct {
-	greeted bool
-	err     error
+// finish ends a run. It ignores runs that are not in flight.
+func (c *Client) finish(id string, end Outcome) {
+	c.mu.Lock()
+	run := c.runs[id]
+	delete(c.runs, id)
+	c.mu.Unlock()
+	if run != nil {
+		run.done <- end
+	}
 }
 
-// silent reports whether the connection in use has brought nothing for ExecutorSilence though a sample is pending, or no greeting
-// for so long, and neither has the next one, if there is one. Before the first greeting of all it is false: the executor may start
-// late.
-func (l *Client) silent() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	long := l.bounds.ExecutorSilence
-	return (l.samplePending || l.everGreeted && !l.synced) && time.Since(l.lastInput) > long && (l.next == nil || time.Since(l.nextSince) > long)
+// runsInFlight returns the number of runs that have not ended.
+func (c *Client) runsInFlight() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.runs)
 }
 
-// subscribe takes a new connection, and returns the command that subscribes it after the last notice read, to be written first.
-// While the connection in use is synced, launches go on to it until the new one is greeted: a greeting may be late, or never come.
-func (l *Client) subscribe(conn net.Conn) (first []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	first = appendSubscribe(nil, l.lastNotice)
-	if l.next != nil {
-		_ = l.next.Close()
+// RequestSample requests a sample of the gauges and reports whether it did. It does not without a synced connection,
+// nor while a sample is pending, unless that is so late that it may never arrive.
+func (c *Client) RequestSample() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.synced {
+		return false
 	}
-	if l.next = nil; l.synced {
-		l.next, l.nextSince = conn, time.Now()
-		return first
+	if c.sampling.pending && time.Since(c.sampling.requestedAt) < c.bounds.SampleMaxAge {
+		return false
 	}
-	l.takeOver(conn)
-	return first
+	c.sendSample()
+	return true
 }
 
-// takeOver makes conn the connection in use. The one before is still read until this one is greeted: notices count by their
-// numbers, whichever connection brings them first. Launches that the executor has not read there are sent again once the new
-// connection is synced. l.mu is held.
-func (l *Client) takeOver(conn net.Conn) {
-	if l.previous != nil {
-		_ = l.previous.Close()
-	}
-	l.previous = l.conn
-	l.replace(conn)
-	l.pending = l.pending[:0]
+// sendSample queues a request for a sample. c.mu must be held.
+func (c *Client) sendSample() {
+	c.sampling.tag++
+	c.sampling.pending = true
+	c.sampling.requestedAt = time.Now()
+	c.pending = appendSample(c.pending, c.sampling.tag)
+	c.writable.Signal()
 }
 
-// replace makes conn, which may be nil, the connection in use; l.mu is held.
-func (l *Client) replace(conn net.Conn) {
-	if l.synced {
-		l.lastSynced = time.Now()
-	}
-	if l.next == conn {
-		l.next = nil
-	}
-	l.conn, l.synced, l.samplePending, l.lastInput = conn, false, false, time.Now()
-	l.writable.Broadcast()
-}
+// Samples returns the channel of the samples. It holds at most the latest one.
+func (c *Client) Samples() <-chan []float64 { return c.samples }
 
-// serve reads from and writes to one connection until it ends.
-func (l *Client) serve(ctx context.Context, conn net.Conn, first []byte) (end connectionEnd) {
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	defer stop()
-	var writer sync.WaitGroup
-	writer.Go(func() { l.write(conn, first) })
-	end.greeted, end.err = l.read(conn)
-	l.mu.Lock()
-	switch conn {
-	case l.next:
-		l.next = nil
-		l.writable.Broadcast()
-	case l.conn:
-		l.replace(l.next) // nil where there is none
-		l.pending = l.pending[:0]
-	case l.previous:
-		l.previous = nil
-	}
-	l.mu.Unlock()
-	_ = conn.Close()
-	writer.Wait()
-	return end
+// Available reports whether there is a synced connection, or was one less than ExecutorAbsence ago. A short loss ends
+// no run, but callers act for seconds on a failed health check.
+func (c *Client) Available() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.synced || time.Since(c.lastSynced) < c.bounds.ExecutorAbsence
 }
 
-// write writes first, and then pending commands, until conn is not in use any more.
-func (l *Client) write(conn net.Conn, first []byte) {
-	if _, err := conn.Write(first); err != nil {
-		_ = conn.Close() // its reader sees the end
+// SetAddress changes the address of the executor. The connection in use goes on while a new one is opened.
+func (c *Client) SetAddress(address string) {
+	c.mu.Lock()
+	same := c.address == address
+	c.address = address
+	c.mu.Unlock()
+	if same {
 		return
 	}
-	var sending []byte
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for {
-		for l.conn == conn && len(l.pending) == 0 || l.next == conn {
-			l.writable.Wait()
-		}
-		if l.conn != conn {
-			return
-		}
-		sending, l.pending = l.pending, sending[:0]
-		l.mu.Unlock()
-		_, err := conn.Write(sending)
-		l.mu.Lock()
-		if err != nil {
-			_ = conn.Close() // its reader sees the end
-			return
-		}
+	select {
+	case c.addressChanged <- struct{}{}:
+	default: // Run has not noticed the last change yet
 	}
 }
+
+// currentAddress returns the address of the executor.
+func (c *Client) currentAddress() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.address
+}
--- a/internal/backend/executor/errors.go
+++ b/internal/backend/executor/errors.go
@@ -5,26 +5,36 @@
 	"fmt"
 )
 
-// What can be wrong with what the executor sends. It ends the connection: what follows cannot be told apart.
+// Violations of the protocol by the executor. Each ends the connection, as the end of the line or result is not known.
 var (
-	errLineTooLong      = errors.New("a line without an end")
-	errNoCRLF           = errors.New("no CR LF at the end")
-	errWordCount        = errors.New("too few words, or too many")
-	errControlCharacter = errors.New("a control character within the line")
-	errNoNoticeNumber   = errors.New("outcome: no number")
-	errNoLength         = errors.New("outcome: no length")
-	errGaugeNotNumber   = errors.New("sampled: not a number")
+	errNoCRLF           = errors.New("CR LF is missing at the end")
+	errWordCount        = errors.New("too few or too many words")
+	errControlCharacter = errors.New("line contains a control character")
+	errNoNoticeNumber   = errors.New("outcome: number is missing or not a positive integer")
+	errNoLength         = errors.New("outcome: length is missing or not a non-negative integer")
+	errGaugeNotNumber   = errors.New("sampled: gauge is not a finite number")
 )
 
-// valueError is a word of a line that has a value outside the protocol.
+// lineLengthError reports a line that is too long.
+type lineLengthError struct {
+	limit int // bytes, without CR LF
+}
+
+func (e *lineLengthError) Error() string {
+	return fmt.Sprintf("line exceeds %d bytes without CR LF", e.limit)
+}
+
+// valueError reports a word with a value that the protocol does not have.
 type valueError struct {
-	position string // of the word: which line, and what the word is for
+	position string // the line's first word and the meaning of the word
 	value    string
 }
 
-func (e *valueError) Error() string { return fmt.Sprintf("%s %.20q", e.position, e.value) }
+func (e *valueError) Error() string {
+	return fmt.Sprintf("%s: invalid value %.20q", e.position, e.value)
+}
 
-// lineError is a line that cannot be parsed.
+// lineError reports a line that cannot be parsed.
 type lineError struct {
 	line string
 	err  error
--- a/internal/backend/executor/notices_test.go
+++ b/internal/backend/executor/notices_test.go
@@ -3,93 +3,78 @@
 import (
 	"strings"
 	"testing"
-	"time"
 
 	"milletbarrow/internal/backend/dispatch"
 	"milletbarrow/internal/fakes"
 )
 
-// TestUnreadableResultInAFullBuffer: a large result without its end follows another in one write, so that the buffer is moved
-// between the reading of the notice and of its result. The run that the notice names ends all the same.
-func TestUnreadableResultInAFullBuffer(t *testing.T) {
-	a := fakes.NewScriptedExecutor(t)
-	l := connect(t, a)
-	fakes.Until(t, "the connection is up", l.Available)
-	one, two := l.Launch("00000000000000a1", "look", nil), l.Launch("00000000000000a2", "look", nil)
-	fakes.Take(t, "a launch", a.Launches)
-	fakes.Take(t, "a launch", a.Launches)
-	a.Send("outcome 1 00000000000000a1 complete 3 2000\r\n" + strings.Repeat("r", 2000) + "\r\n" +
-		"outcome 2 00000000000000a2 complete 3 4096\r\n" + strings.Repeat("s", 4096) + "XX")
-	if end := fakes.Take(t, "the first end", one.Done()); end.End != dispatch.RunSucceeded {
-		t.Errorf("the first: %+v", end)
-	}
-	if end := fakes.Take(t, "the second end", two.Done()); end.End != dispatch.RunErrored || l.runsInFlight() != 0 {
-		t.Errorf("the second: %+v, runs left %d", end, l.runsInFlight())
+// A line that cannot be parsed ends the connection. It ends the run that it names, if it names one, and no other, and
+// is not read again on the next connection.
+func TestUnreadableNoticeEndsItsRun(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	executor := fakes.NewScriptedExecutor(t)
+	client := connectSynced(t, executor)
+	other := launch(t, client, executor, runID(0xb0))
+	for n, test := range []struct {
+		label    string
+		text     string // ID stands for the run's ID
+		numbered bool   // the text is a notice; %d stands for its number
+	}{
+		{"unknown first word", "garbage\r\n", false},
+		{"unknown end", "outcome %d ID melted 3 0\r\n\r\n", true},
+		{"result without CR LF", "outcome %d ID complete 3 2\r\nabXX", true},
+		{"line too long", strings.Repeat("x", 3000), false},
+		{"gauge that is no number", "sampled t1 x\r\n", false},
+		{"line without CR", "greeting hot 1\n", false},
+	} {
+		id := runID(0xb1 + n)
+		run := launch(t, client, executor, id)
+		if text := strings.Replace(test.text, "ID", id, 1); test.numbered {
+			executor.Notice(text)
+		} else {
+			executor.Send(text)
+		}
+		tr.Say("%s: subscribe %d", test.label, fakes.Take(t, "the next connection", executor.Subscribes))
+		fakes.Until(t, "the next connection is synced", client.Available)
+		if !test.numbered {
+			executor.End(id, "complete", "")
+		}
+		tr.Say("  end %d", fakes.Take(t, "the outcome", run.Done()).End)
 	}
+	executor.End(runID(0xb0), "complete", "unharmed")
+	result := fakes.Take(t, "the outcome of the other run", other.Done()).Result
+	tr.Say("the other run: %q, runs in flight %d", result, client.runsInFlight())
 }
 
-// TestSamplesNotRequestedAreIgnored: a sample that is not the one requested last, or that a former connection brings, is ignored.
-func TestSamplesNotRequestedAreIgnored(t *testing.T) {
-	a := fakes.NewScriptedExecutor(t)
-	l := connect(t, a)
-	fakes.Until(t, "the connection is up", l.Available)
-	fakes.Take(t, "the first sample", l.Samples())
-	a.With(func(_, gauges *string) { *gauges = "" })
-	fakes.Until(t, "it asks", l.RequestSample)
-	run := l.Launch("00000000000000a1", "look", nil)
-	fakes.Take(t, "a launch", a.Launches)
-	a.Send("sampled t2 0.1 2 0 0\r\nsampled t1 0.1 1 0 0\r\nsampled t3 0.1 3 0 0\r\n")
-	a.End("00000000000000a1", "complete", "r")
-	fakes.Take(t, "the end, read after the samples", run.Done())
-	if gauges := fakes.Take(t, "a sample", l.Samples()); gauges[1] != 2 {
-		t.Errorf("%v: of another sample", gauges)
-	}
-	l.takeSample(nil, notice{kind: sampled, tag: []byte(sampleTag(2)), gauges: []float64{9}})
-	if len(l.Samples()) != 0 {
-		t.Error("a sample of a connection that is not in use was taken")
+// A result without CR LF ends its run also if the buffer is moved between reading the notice and its result, as after a
+// large result in the same segment.
+func TestUnreadableResultInFullBuffer(t *testing.T) {
+	executor := fakes.NewScriptedExecutor(t)
+	client := connectSynced(t, executor)
+	first := launch(t, client, executor, runID(1))
+	second := launch(t, client, executor, runID(2))
+	executor.Send("outcome 1 " + runID(1) + " complete 3 2000\r\n" + strings.Repeat("r", 2000) + "\r\n" +
+		"outcome 2 " + runID(2) + " complete 3 4096\r\n" + strings.Repeat("s", 4096) + "XX")
+	if outcome := fakes.Take(t, "the first outcome", first.Done()); outcome.End != dispatch.RunSucceeded {
+		t.Errorf("the first run: %+v, want RunSucceeded", outcome)
 	}
-}
-
-// TestLaunchBeforeSynced: a launch waits until all notices from before the connection have been read, and is sent then, once.
-func TestLaunchBeforeSynced(t *testing.T) {
-	a := fakes.NewScriptedExecutor(t)
-	a.With(func(state, _ *string) { *state = "" })
-	l := connect(t, a)
-	fakes.Take(t, "the first connection", a.Subscribes)
-	l.Launch("00000000000000a1", "look", nil)
-	l.mu.Lock()
-	pending := string(l.pending)
-	l.mu.Unlock()
-	if pending != "" || len(a.Launches) != 0 {
-		t.Errorf("before the greeting: %q, %d launched", pending, len(a.Launches))
+	if outcome := fakes.Take(t, "the second outcome", second.Done()); outcome.End != dispatch.RunErrored {
+		t.Errorf("the second run: %+v, want RunErrored", outcome)
 	}
-	a.With(func(state, _ *string) { *state = "hot 1" })
-	fakes.Take(t, "a launch", a.Launches)
-}
-
-// TestRemarkCounts: a numbered remark counts as a notice read: the next connection subscribes after it.
-func TestRemarkCounts(t *testing.T) {
-	a := fakes.NewScriptedExecutor(t)
-	l := connect(t, a)
-	fakes.Take(t, "the first connection", a.Subscribes)
-	fakes.Take(t, "the first sample", l.Samples())
-	a.Notice("aside %d a remark\r\n")
-	fakes.Until(t, "it asks", l.RequestSample)
-	fakes.Take(t, "a sample, read after the remark", l.Samples())
-	a.Cut()
-	if n := fakes.Take(t, "the next connection", a.Subscribes); n != 1 {
-		t.Errorf("subscribed from %d", n)
+	if n := client.runsInFlight(); n != 0 {
+		t.Errorf("%d runs in flight, want none", n)
 	}
 }
 
-// TestSlowFirstGreeting: a silent connection is not replaced before the first greeting of all: the executor may start late.
-func TestSlowFirstGreeting(t *testing.T) {
-	a := fakes.NewScriptedExecutor(t)
-	a.With(func(state, _ *string) { *state = "" })
-	l := connect(t, a)
-	fakes.Take(t, "the first connection", a.Subscribes)
-	time.Sleep(l.bounds.ExecutorSilence * 8 / 5) // it has to last: one check of the connection falls into it
-	if len(a.Subscribes) != 0 || l.silent() {
-		t.Errorf("%d further links, silent %t", len(a.Subscribes), l.silent())
+// A numbered remark is counted as a notice: the next connection subscribes to the notices after it.
+func TestNumberedRemarkIsCounted(t *testing.T) {
+	executor := fakes.NewScriptedExecutor(t)
+	client := connectSynced(t, executor)
+	executor.Notice("aside %d a remark\r\n")
+	fakes.Until(t, "a sample is requested", client.RequestSample)
+	fakes.Take(t, "the sample, which is read after the remark", client.Samples())
+	executor.Cut()
+	if number := fakes.Take(t, "the next connection", executor.Subscribes); number != 1 {
+		t.Errorf("subscribed after notice %d, want 1", number)
 	}
 }
--- a/internal/backend/executor/protocol.go
+++ b/internal/backend/executor/protocol.go
@@ -9,7 +9,41 @@
 	"milletbarrow/monotime"
 )
 
-// kind is the first word of a line from the executor.
+// Words of the protocol, from the executor.
+const (
+	greetingWord = "greeting" // first line of a connection: state, milliseconds since the start
+	coldWord     = "chilly"   // state of an executor that is warming up
+	warmWord     = "hot"      // state of any other
+	outcomeWord  = "outcome"  // end of a run: number, ID, end, milliseconds, length; then the result
+	sampledWord  = "sampled"  // sample: tag, gauges
+	refusalWord  = "refusal"  // refused command: command, ID
+	remarkWord   = "aside"    // numbered like an outcome: number, text
+)
+
+// Words of the protocol, to the executor.
+const (
+	subscribeWord = "subscribe" // number of the last notice read
+	sampleWord    = "sample"    // tag
+	launchWord    = "launch"    // ID, operation, length; then the body
+)
+
+const (
+	crlf         = "\r\n"
+	separator    = ' '
+	decimal      = 10 // base of integers
+	numberBits   = 64
+	maxElapsedMS = 1e12 // exclusive
+)
+
+// outcomeOf maps the words for the end of a run.
+var outcomeOf = map[string]dispatch.Outcome{
+	"complete":  dispatch.RunSucceeded,
+	"error":     dispatch.RunErrored,
+	"cancelled": dispatch.RunCancelled,
+	"unknown":   dispatch.NeverRan,
+}
+
+// kind is the kind of a line from the executor.
 type kind int
 
 const (
@@ -20,60 +54,51 @@
 	refusal
 )
 
-// notice is a line from the executor; its text is in slices of the line.
+// notice is a line from the executor. Its byte slices are parts of the line.
 type notice struct {
 	kind    kind
-	number  uint64 // of an outcome or an aside
-	id      []byte // of an outcome or a refusal
-	command []byte // of a refusal
-	cold    bool   // of a greeting
-	micros  monotime.Micros
-	end     dispatch.Outcome
-	length  int // of the result that follows an outcome
-	tag     []byte
-	gauges  []float64
-}
-
-// outcomeOf maps the words for the end of a run.
-var outcomeOf = map[string]dispatch.Outcome{
-	"complete": dispatch.RunSucceeded, "error": dispatch.RunErrored,
-	"cancelled": dispatch.RunCancelled, "unknown": dispatch.NeverRan,
+	number  uint64           // of an outcome or a remark; 0: it has none
+	id      []byte           // of the run of an outcome or a refusal
+	command []byte           // that a refusal is about
+	cold    bool             // the executor that greets is warming up
+	elapsed monotime.Micros  // since the executor's start for a greeting, the run's time for an outcome
+	end     dispatch.Outcome // of the run of an outcome
+	length  int              // bytes of the result that follows an outcome
+	tag     []byte           // of a sample
+	gauges  []float64        // of a sample
 }
 
 // words are the words of a line that have not been parsed.
 type words struct{ rest []byte }
 
-// next returns the next word; it is empty where none is left.
+// next returns the next word, or an empty one if none is left.
 func (w *words) next() (word []byte) {
-	word, w.rest, _ = bytes.Cut(w.rest, []byte{' '})
+	word, w.rest, _ = bytes.Cut(w.rest, []byte{separator})
 	return word
 }
 
-// parse parses a line without its end. Where an outcome cannot be parsed but its number and id can, they are set beside the error.
-// Gauges are appended to buffer.
+// parse parses a line without its CR LF. If it fails for an outcome whose number and ID can be parsed, those are set
+// in n. Gauges are appended to buffer.
 func parse(line []byte, buffer []float64) (n notice, err error) {
 	if bytes.ContainsAny(line, "\r\n\x00") {
 		return n, errControlCharacter
 	}
 	w := words{line}
 	switch word := w.next(); string(word) {
-	case "greeting":
+	case greetingWord:
 		err = parseGreeting(&w, &n)
-	case "outcome":
+	case outcomeWord:
 		err = parseOutcome(&w, &n)
-	case "sampled":
+	case sampledWord:
 		err = parseSampled(&w, &n, buffer)
-	case "refusal":
-		n.kind = refusal
-		if n.command, n.id = w.next(), w.next(); len(n.id) == 0 {
-			err = errWordCount
-		}
-	case "aside": // numbered like an outcome; the number may be missing
+	case refusalWord:
+		err = parseRefusal(&w, &n)
+	case remarkWord: // its number may be missing, and its text is any words
 		n.kind = remark
-		n.number, _ = strconv.ParseUint(string(w.next()), 10, 64)
+		n.number, _ = parseNumber(w.next())
 		return n, nil
 	default:
-		return n, &valueError{"unknown word", string(word)}
+		return n, &valueError{"first word", string(word)}
 	}
 	if err == nil && len(w.rest) > 0 {
 		err = errWordCount
@@ -81,24 +106,24 @@
 	return n, err
 }
 
-// parseGreeting parses whether the executor is warming up, and for how long it has been up.
+// parseGreeting parses the state of the executor and the time since its start.
 func parseGreeting(w *words, n *notice) (err error) {
 	n.kind = greeting
 	switch state := w.next(); string(state) {
-	case "chilly":
+	case coldWord:
 		n.cold = true
-	case "hot":
+	case warmWord:
 	default:
 		return &valueError{"greeting: state", string(state)}
 	}
-	n.micros, err = micros(w.next())
+	n.elapsed, err = parseElapsed(w.next())
 	return err
 }
 
 // parseOutcome parses how a run ended, and the length of the result that follows.
 func parseOutcome(w *words, n *notice) (err error) {
 	n.kind = outcome
-	if n.number, err = strconv.ParseUint(string(w.next()), 10, 64); err != nil || n.number == 0 {
+	if n.number, err = parseNumber(w.next()); err != nil || n.number == 0 {
 		n.number = 0
 		return errNoNoticeNumber
 	}
@@ -110,7 +135,7 @@
 	if n.end = end; !known {
 		return &valueError{"outcome: end", string(word)}
 	}
-	if n.micros, err = micros(w.next()); err != nil {
+	if n.elapsed, err = parseElapsed(w.next()); err != nil {
 		return err
 	}
 	if n.length, err = strconv.Atoi(string(w.next())); err != nil || n.length < 0 {
@@ -120,16 +145,17 @@
 	return nil
 }
 
-// parseSampled parses gauges, which are appended to buffer.
+// parseSampled parses the tag of a sample and its gauges, which are appended to buffer.
 func parseSampled(w *words, n *notice, buffer []float64) error {
-	n.kind, n.gauges = sampled, buffer
+	n.kind = sampled
+	n.gauges = buffer
 	n.tag = w.next()
 	for len(w.rest) > 0 {
-		x, err := strconv.ParseFloat(string(w.next()), 64)
-		if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
+		gauge, err := strconv.ParseFloat(string(w.next()), numberBits)
+		if err != nil || math.IsNaN(gauge) || math.IsInf(gauge, 0) {
 			return errGaugeNotNumber
 		}
-		n.gauges = append(n.gauges, x)
+		n.gauges = append(n.gauges, gauge)
 	}
 	if len(n.tag) == 0 {
 		return errWordCount
@@ -137,28 +163,60 @@
 	return nil
 }
 
-// micros parses a time in milliseconds.
-func micros(word []byte) (monotime.Micros, error) {
-	ms, err := strconv.ParseFloat(string(word), 64)
-	if err != nil || !(ms >= 0 && ms < 1e12) {
-		return 0, &valueError{"not a time:", string(word)}
+// parseRefusal parses the command that was refused and the ID of its run.
+func parseRefusal(w *words, n *notice) error {
+	n.kind = refusal
+	n.command = w.next()
+	n.id = w.next()
+	if len(n.id) == 0 {
+		return errWordCount
+	}
+	return nil
+}
+
+// parseNumber parses the number of a notice.
+func parseNumber(word []byte) (uint64, error) {
+	return strconv.ParseUint(string(word), decimal, numberBits)
+}
+
+// parseElapsed parses a time in milliseconds.
+func parseElapsed(word []byte) (monotime.Micros, error) {
+	ms, err := strconv.ParseFloat(string(word), numberBits)
+	if err != nil || !(ms >= 0 && ms < maxElapsedMS) { // the comparison is false for NaN
+		return 0, &valueError{"time in milliseconds", string(word)}
 	}
-	return monotime.Micros(math.Round(ms * 1000)), nil
+	return monotime.FromMilliseconds(ms), nil
 }
 
+// appendSubscribe appends a subscription to the notices after the one with the number last.
 func appendSubscribe(to []byte, last uint64) []byte {
-	return append(strconv.AppendUint(append(to, "subscribe "...), last, 10), "\r\n"...)
+	to = append(to, subscribeWord...)
+	to = append(to, separator)
+	to = strconv.AppendUint(to, last, decimal)
+	return append(to, crlf...)
 }
 
+// appendSample appends a request for a sample.
 func appendSample(to []byte, tag uint64) []byte {
-	return append(append(append(to, "sample "...), sampleTag(tag)...), "\r\n"...)
+	to = append(to, sampleWord...)
+	to = append(to, separator)
+	to = append(to, sampleTag(tag)...)
+	return append(to, crlf...)
 }
 
-func sampleTag(tag uint64) string { return "t" + strconv.FormatUint(tag, 10) }
+// sampleTag returns the tag of the sample with that number.
+func sampleTag(number uint64) string { return "t" + strconv.FormatUint(number, decimal) }
 
+// appendLaunch appends the launch of a run with its body.
 func appendLaunch(to []byte, id, operation string, body []byte) []byte {
-	to = append(append(append(to, "launch "...), id...), ' ')
-	to = append(append(to, operation...), ' ')
-	to = append(strconv.AppendInt(to, int64(len(body)), 10), "\r\n"...)
-	return append(append(to, body...), "\r\n"...)
+	to = append(to, launchWord...)
+	to = append(to, separator)
+	to = append(to, id...)
+	to = append(to, separator)
+	to = append(to, operation...)
+	to = append(to, separator)
+	to = strconv.AppendInt(to, int64(len(body)), decimal)
+	to = append(to, crlf...)
+	to = append(to, body...)
+	return append(to, crlf...)
 }
