--- a/internal/backend/frame/client.go
+++ b/internal/backend/frame/client.go
@@ -6,93 +6,112 @@
 	"milletbarrow/monotime"
 )
 
-// This file is the caller's side of the codec, for the load generator and tests.
+// This file has the caller's side of the codec, for the load generator and tests.
 
-// OutgoingInvocation is an invocation as its caller writes it. Zero values of Work, Tenant and Retry are left out.
+// OutgoingInvocation is an invocation to be written by its caller. Zero values of ExpectedWork, Tenant and Retry are
+// left out.
 type OutgoingInvocation struct {
-	Operation, ID, Tenant string
-	At                    int64 // Unix time, milliseconds
-	Wait                  monotime.Micros
-	Retry                 bool
-	Work                  monotime.Micros
-	KB, Rank              float64
-	Body                  []byte
+	Operation     string
+	ID            string // 16 hex digits
+	Tenant        string
+	ArrivedAt     int64           // Unix time in milliseconds
+	CallerTimeout monotime.Micros // how long the caller waits, from ArrivedAt
+	Retry         bool
+	ExpectedWork  monotime.Micros // on one core
+	MemoryKB      float64
+	Priority      float64 // 0 to below 1
+	Body          []byte
 }
 
-// AppendInvocation writes an invocation's frame.
-func AppendInvocation(to []byte, stream uint32, a *OutgoingInvocation) []byte {
+// Decimal places of the numbers in an invocation.
+const (
+	millisPlaces   = 3
+	memoryPlaces   = 1
+	priorityPlaces = 4
+)
+
+// AppendInvocation appends an invocation's frame.
+func AppendInvocation(to []byte, stream uint32, inv *OutgoingInvocation) []byte {
 	to, start := begin(to, KindInvocation, stream)
-	to = append(to, 0)
-	count := len(to) - 1
-	field := func(name string, value []byte) {
-		to = appendField(to, name, value)
-		to[count]++
+	fields := beginFields(to)
+	var digits [maxDigits]byte
+	decimals := func(x float64, places int) []byte {
+		return strconv.AppendFloat(digits[:0], x, 'f', places, floatBits)
+	}
+	millis := func(span monotime.Micros) []byte {
+		return decimals(float64(span)/float64(monotime.Millisecond), millisPlaces)
 	}
-	var digits [32]byte
-	millis := func(us monotime.Micros) []byte { return strconv.AppendFloat(digits[:0], float64(us)/1000, 'f', 3, 64) }
-	field("class", []byte(a.Operation))
-	field("id", []byte(a.ID))
-	field("at", strconv.AppendInt(digits[:0], a.At, 10))
-	if a.Tenant != "" {
-		field("tenant", []byte(a.Tenant))
+	fields.add(fieldOperation, []byte(inv.Operation))
+	fields.add(fieldID, []byte(inv.ID))
+	fields.add(fieldArrivedAt, strconv.AppendInt(digits[:0], inv.ArrivedAt, decimal))
+	if inv.Tenant != "" {
+		fields.add(fieldTenant, []byte(inv.Tenant))
 	}
-	field("wait", millis(a.Wait))
-	if a.Retry {
-		field("retry", []byte("1"))
+	fields.add(fieldCallerTimeout, millis(inv.CallerTimeout))
+	if inv.Retry {
+		fields.add(fieldRetry, []byte(trueValue))
 	}
-	if a.Work > 0 {
-		field("cost", millis(a.Work))
+	if inv.ExpectedWork > 0 {
+		fields.add(fieldExpectedWork, millis(inv.ExpectedWork))
 	}
-	field("kb", strconv.AppendFloat(digits[:0], a.KB, 'f', 1, 64))
-	field("rank", strconv.AppendFloat(digits[:0], a.Rank, 'f', 4, 64))
-	return end(append(to, a.Body...), start)
+	fields.add(fieldMemory, decimals(inv.MemoryKB, memoryPlaces))
+	fields.add(fieldPriority, decimals(inv.Priority, priorityPlaces))
+	return end(append(fields.frame, inv.Body...), start)
 }
 
 // Answer is a backend's answer to one invocation.
 type Answer struct {
-	Code  Code
-	After monotime.Micros // Retry-After: send nothing to this backend for so long
-	Last  bool            // and do not retry elsewhere either
-	Body  []byte          // a slice of the payload
+	Code       Code
+	RetryAfter monotime.Micros // how long to send nothing to this backend; 0: no advice
+	DontRetry  bool            // do not retry on another backend either
+	Body       []byte          // a slice of the payload
 }
 
-// ReadAnswer decodes the payload of an answer's frame. The error is ErrTruncated or a *FieldError.
-func ReadAnswer(p []byte) (a Answer, err error) {
-	if len(p) < 2 {
-		return a, ErrTruncated
+// ReadAnswer decodes the payload of an answer's frame. An error is ErrTruncated or a *FieldError.
+func ReadAnswer(p []byte) (answer Answer, err error) {
+	const codeSize = 1
+	if len(p) < codeSize+countSize {
+		return answer, ErrTruncated
 	}
-	a.Code = Code(p[0])
-	a.Body, err = eachField(p[1:], func(name, value []byte) error {
+	answer.Code = Code(p[0])
+	answer.Body, err = eachField(p[codeSize:], func(name, value []byte) (err error) {
 		switch string(name) {
-		case "after":
-			ms, err := strconv.ParseInt(string(value), 10, 32)
-			if err != nil || ms < 0 {
-				return &retryAfterError{string(value)}
-			}
-			a.After = monotime.Micros(ms) * 1000
-		case "last":
-			a.Last = true
+		case fieldRetryAfter:
+			answer.RetryAfter, err = wholeMillis(value)
+		case fieldDontRetry:
+			answer.DontRetry = true
 		}
-		return nil
+		return err
 	})
-	return a, err
+	return answer, err
 }
 
-// SplitFrame returns the header and payload of the first frame in b, and its size in bytes; 0 if the frame is not complete. The
-// error is a *LengthError or ErrNoHeader.
+// wholeMillis parses a time in whole milliseconds.
+func wholeMillis(value []byte) (monotime.Micros, error) {
+	const bits = 32
+	ms, err := strconv.ParseInt(string(value), decimal, bits)
+	if err != nil {
+		return 0, ErrNotNumber
+	}
+	if ms < 0 {
+		return 0, ErrOutOfRange
+	}
+	return monotime.Micros(ms) * monotime.Millisecond, nil
+}
+
+// SplitFrame returns the header and payload of the first frame in b, and its size in bytes; 0 if the frame is not
+// complete. An error is a *LengthError.
 func SplitFrame(b []byte, maxLength int) (h Header, payload []byte, size int, err error) {
 	if len(b) < HeaderSize {
 		return h, nil, 0, nil
 	}
-	n, err := Length(b, maxLength)
+	length, err := Length(b, maxLength)
 	if err != nil {
 		return h, nil, 0, err
 	}
-	if n < HeaderSize-LengthSize {
-		return h, nil, 0, ErrNoHeader
-	}
-	if len(b) < LengthSize+n {
+	size = LengthSize + length
+	if len(b) < size {
 		return h, nil, 0, nil
 	}
-	return ReadHeader(b), b[HeaderSize : LengthSize+n], LengthSize + n, nil
+	return ReadHeader(b), b[HeaderSize:size], size, nil
 }
--- /dev/null
+++ b/internal/backend/frame/invocation.go
@@ -0,0 +1,162 @@
+package frame
+
+import (
+	"math"
+
+	"milletbarrow/monotime"
+)
+
+const (
+	maxMemoryKB = 2000 // exclusive
+	maxPriority = 1    // exclusive
+	idSize      = 16   // hex digits
+)
+
+// Invocation is the payload of an invocation's frame, in slices of that frame.
+type Invocation struct {
+	Operation        []byte
+	ID               []byte          // unique for each attempt
+	Tenant           []byte          // empty: not given
+	IdempotencyKey   []byte          // the same in all attempts of a request; empty: not given
+	ArrivedAt        monotime.Micros // when it reached the host, Unix time
+	CallerTimeout    monotime.Micros // how long its caller waits, from ArrivedAt
+	HasCallerTimeout bool            // CallerTimeout is given
+	Retry            bool            // its caller marked it as a retry
+	HasKey           bool            // the field key is given; the backend does not use it
+	ExpectedWork     monotime.Micros // on one core; 0: not given
+	MemoryKB         float64
+	Priority         float64 // 0 to below 1
+	Body             []byte
+}
+
+// fieldSet is a set of fields, to find duplicate and missing ones.
+type fieldSet uint16
+
+const (
+	hasOperation fieldSet = 1 << iota
+	hasID
+	hasArrivedAt
+	hasEdgeNode
+	hasTenant
+	hasCallerTimeout
+	hasRetry
+	hasExpectedWork
+	hasMemory
+	hasPriority
+	hasKey
+	hasIdempotencyKey
+)
+
+// requiredFields are the fields without which an invocation is refused. The deployment's settings may require others.
+var requiredFields = [...]struct {
+	bit  fieldSet
+	name string
+}{
+	{hasOperation, fieldOperation},
+	{hasID, fieldID},
+	{hasArrivedAt, fieldArrivedAt},
+	{hasMemory, fieldMemory},
+	{hasPriority, fieldPriority},
+}
+
+// ReadInvocation decodes the payload of an invocation's frame; its slices are of p. Unknown fields are skipped. An
+// error is ErrTruncated, a *FieldError or a *BodySizeError.
+func ReadInvocation(p []byte, maxBody int) (Invocation, error) {
+	var inv Invocation
+	var seen fieldSet
+	body, err := eachField(p, func(name, value []byte) error {
+		bit, err := inv.setField(name, value)
+		if err == nil && seen&bit != 0 {
+			err = ErrDuplicateField
+		}
+		seen |= bit
+		return err
+	})
+	if err != nil {
+		return inv, err
+	}
+	for _, field := range requiredFields {
+		if seen&field.bit == 0 {
+			return inv, &FieldError{Field: field.name, Err: ErrMissingField}
+		}
+	}
+	if len(body) > maxBody {
+		return inv, &BodySizeError{Size: len(body), Limit: maxBody}
+	}
+	inv.Body = body
+	return inv, nil
+}
+
+// setField decodes one field and returns its bit; 0 for an unknown field.
+func (inv *Invocation) setField(name, value []byte) (bit fieldSet, err error) {
+	switch string(name) {
+	case fieldOperation:
+		bit = hasOperation
+		inv.Operation = value
+	case fieldID:
+		bit = hasID
+		inv.ID = value
+		if !isID(value) {
+			err = ErrInvalidID
+		}
+	case fieldArrivedAt:
+		bit = hasArrivedAt
+		inv.ArrivedAt, err = millis(value)
+	case fieldEdgeNode:
+		bit = hasEdgeNode
+		_, err = number(value, math.MaxUint32)
+	case fieldTenant:
+		bit = hasTenant
+		inv.Tenant = value
+	case fieldCallerTimeout:
+		bit = hasCallerTimeout
+		inv.HasCallerTimeout = true
+		inv.CallerTimeout, err = millis(value)
+	case fieldRetry:
+		bit = hasRetry
+		inv.Retry = string(value) == trueValue
+	case fieldExpectedWork:
+		bit = hasExpectedWork
+		inv.ExpectedWork, err = millis(value)
+	case fieldMemory:
+		bit = hasMemory
+		inv.MemoryKB, err = memory(value)
+	case fieldPriority:
+		bit = hasPriority
+		inv.Priority, err = priority(value)
+	case fieldKey:
+		bit, inv.HasKey = hasKey, true
+	case fieldIdempotencyKey:
+		bit = hasIdempotencyKey
+		inv.IdempotencyKey = value
+	}
+	return bit, err
+}
+
+// memory parses a number of kilobytes between 0 and maxMemoryKB.
+func memory(value []byte) (float64, error) {
+	kb, err := number(value, maxMemoryKB)
+	if err == nil && (kb == 0 || kb == maxMemoryKB) {
+		err = ErrOutOfRange
+	}
+	return kb, err
+}
+
+// priority parses a priority from 0 to below maxPriority.
+func priority(value []byte) (float64, error) {
+	x, err := number(value, maxPriority)
+	if err == nil && x == maxPriority {
+		err = ErrOutOfRange
+	}
+	return x, err
+}
+
+// isID reports whether an ID has the form that the executor's line protocol can carry.
+func isID(id []byte) bool {
+	for _, char := range id {
+		if (char < '0' || char > '9') && (char < 'a' || char > 'f') && (char < 'A' || char > 'F') {
+			return false
+		}
+	}
+	return len(id) == idSize
+}
--- a/internal/backend/server/invocation.go
+++ b/internal/backend/server/invocation.go
@@ -69,7 +69,7 @@
 		err = errUnknownOperation
 	case tenant == 0 && len(s.tenants) > 0:
 		err = errUnknownTenant
-	case !in.HasWait && !s.settings.DeadlineOptional:
+	case !in.HasCallerTimeout && !s.settings.DeadlineOptional:
 		err = errNoDeadline
 	case s.keyed(op-1) && (len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.IdempotencyKeySize):
 		err = errNoIdempotencyKey
@@ -78,10 +78,10 @@
 		return inv, nil, err
 	}
 	inv = dispatch.Invocation{
-		ID: string(in.ID), Operation: op - 1, Tenant: max(tenant-1, 0), Rank: in.Rank, MemoryKB: in.KB, Retry: in.Retry,
-		ExpectedWork: in.Work, ArrivedAt: dispatch.FromWallClock(in.At), CallerTimeout: in.Wait,
+		ID: string(in.ID), Operation: op - 1, Tenant: max(tenant-1, 0), Rank: in.Priority, MemoryKB: in.MemoryKB, Retry: in.Retry,
+		ExpectedWork: in.ExpectedWork, ArrivedAt: dispatch.FromWallClock(in.ArrivedAt), CallerTimeout: in.CallerTimeout,
 	}
-	if !in.HasWait {
+	if !in.HasCallerTimeout {
 		inv.CallerTimeout = s.settings.Admission.Operations[op-1].ClientTimeout
 	}
 	if s.keyed(op - 1) {
--- a/internal/loadgen/connection.go
+++ b/internal/loadgen/connection.go
@@ -147,7 +147,7 @@
 		}
 		delete(c.unanswered, h.Stream)
 		x.request.OpenAttempts--
-		heard := Response{Outcome: simulation.Errored, RetryAfter: ans.After, DontRetry: ans.Last}
+		heard := Response{Outcome: simulation.Errored, RetryAfter: ans.RetryAfter, DontRetry: ans.DontRetry}
 		switch ans.Code {
 		case frame.Succeeded:
 			heard.Outcome = simulation.Succeeded
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -203,8 +203,8 @@
 	s.attempts++
 	op := &s.scenario.Operations[req.Operation]
 	invocation := &frame.OutgoingInvocation{
-		Operation: op.Name, ID: fmt.Sprintf("%016x", s.idBase+s.attempts), At: time.Now().UnixMilli(), Wait: max(1000, req.Due-now), Retry: retry, Work: req.Hint,
-		KB: max(0.1, min(s.scenario.Hosts.RequestKB, 1999)), Rank: min(op.Priority, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(req.Work), 10),
+		Operation: op.Name, ID: fmt.Sprintf("%016x", s.idBase+s.attempts), ArrivedAt: time.Now().UnixMilli(), CallerTimeout: max(1000, req.Due-now), Retry: retry, ExpectedWork: req.Hint,
+		MemoryKB: max(0.1, min(s.scenario.Hosts.RequestKB, 1999)), Priority: min(op.Priority, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(req.Work), 10),
 	}
 	if len(s.scenario.Tenants) > 0 {
 		invocation.Tenant = s.scenario.Tenants[req.Tenant].Name
