--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -2,11 +2,9 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"net/http"
 	"time"
 
-	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/fleet"
 	"milletbarrow/monotime"
@@ -18,33 +16,7 @@
 	maxRequestedByLength = 100 // bytes
 )
 
-// call runs f in the loop and waits until what it read or changed has been saved: nobody may be given a result that
-// the next agent would not know. Errors are *agentapi.StatusError; after one f may still run.
-func (a *Agent) call(f func(now monotime.Micros)) error {
-	saved := make(chan struct{})
-	timeout := time.NewTimer(a.options.Bounds.CallTimeout)
-	defer timeout.Stop()
-	select {
-	case a.calls <- func(now monotime.Micros) {
-		f(now)
-		a.loop.waiters = append(a.loop.waiters, saved)
-	}:
-	case <-a.stopped:
-		return errStopped
-	case <-timeout.C:
-		return unavailable("the agent is busy")
-	}
-	select {
-	case <-saved:
-		return nil
-	case <-a.stopped:
-		return errStopped
-	case <-timeout.C:
-		return unavailable("the agent is busy; ask again what became of it")
-	}
-}
-
-// Submit accepts a command once it is saved. The same request may come again: it is one command.
+// Submit returns a command once it is accepted and saved. A repeated request is the same command.
 func (a *Agent) Submit(r agentapi.CommandRequest) (*fleet.Command, error) {
 	if err := checkRequest(&r); err != nil {
 		return nil, err
@@ -63,6 +35,7 @@
 	return command, nil
 }
 
+// checkRequest checks the fields of a request that the machine does not check.
 func checkRequest(r *agentapi.CommandRequest) error {
 	if r.TimeoutMicros <= 0 || r.TimeoutMicros > maxTimeout.Microseconds() {
 		return &agentapi.StatusError{
@@ -71,12 +44,16 @@
 		}
 	}
 	if len(r.RequestedBy) > maxRequestedByLength {
-		return &agentapi.StatusError{Status: http.StatusBadRequest, Text: "by: over 100 bytes"}
+		return &agentapi.StatusError{
+			Status: http.StatusBadRequest,
+			Text:   fmt.Sprintf("by: %d bytes, expected at most %d", len(r.RequestedBy), maxRequestedByLength),
+		}
 	}
 	return nil
 }
 
-// accept runs in the loop. A request that was accepted before needs no second intent.
+// accept has the machine decide on a request, in the loop. It saves the intent first, unless the request was accepted
+// before.
 func (a *Agent) accept(now monotime.Micros, r agentapi.CommandRequest) (*fleet.Command, error) {
 	if a.loop.machine.Command(r.ID) == nil {
 		if err := a.saveIntent(now, r); err != nil {
@@ -91,26 +68,21 @@
 	return a.loop.machine.Command(r.ID), nil
 }
 
+// newCommand returns the command that a request asks for.
 func newCommand(now monotime.Micros, r agentapi.CommandRequest) *fleet.Command {
 	return &fleet.Command{
-		ID: r.ID, Kind: r.Kind, Names: r.Instances, RequestedBy: r.RequestedBy, RequestedAt: r.RequestedUnixMicros,
-		Deadline: now + monotime.Micros(r.TimeoutMicros), Immediate: r.Immediate, Rollout: r.RollingUpdate, Quota: r.Budget,
+		ID:          r.ID,
+		Kind:        r.Kind,
+		Names:       r.Instances,
+		RequestedBy: r.RequestedBy,
+		RequestedAt: r.RequestedUnixMicros,
+		Deadline:    now + monotime.Micros(r.TimeoutMicros),
+		Immediate:   r.Immediate,
+		Rollout:     r.RollingUpdate,
+		Quota:       r.Budget,
 	}
 }
 
-// saveIntent makes a command durable before anything is decided. What can't be saved is not accepted.
-func (a *Agent) saveIntent(now monotime.Micros, r agentapi.CommandRequest) error {
-	if a.loop.storeErr == nil {
-		err := a.options.Store.Save(agentstore.Change{Intent: newCommand(now, r)})
-		if err == nil {
-			return nil
-		}
-		a.loop.storeErr = err
-		slog.Error("store", "written", false, "error", err.Error())
-	}
-	return unavailable(fmt.Sprintf("nothing new is taken: the record can't be written: %v", a.loop.storeErr))
-}
-
 // Steer pauses, resumes or cancels a command.
 func (a *Agent) Steer(id, verb, by string) (*fleet.Command, error) {
 	var command *fleet.Command
@@ -127,20 +99,22 @@
 	return command, rejected
 }
 
-// Command returns a copy of a command, nil if it is not known or the agent does not answer in time.
+// Command returns a copy of a command; nil if it is unknown or the loop does not answer in time.
 func (a *Agent) Command(id string) *fleet.Command {
 	var command *fleet.Command
-	if a.call(func(monotime.Micros) { command = a.loop.machine.Command(id) }) != nil {
-		return nil // what was read may not have been saved
+	err := a.call(func(monotime.Micros) { command = a.loop.machine.Command(id) })
+	if err != nil {
+		return nil // the command may not be saved
 	}
 	return command
 }
 
-// Commands returns copies, newest first; nil if the agent does not answer in time.
+// Commands returns copies of all commands, newest first; nil if the loop does not answer in time.
 func (a *Agent) Commands() []*fleet.Command {
 	var all []*fleet.Command
-	if a.call(func(monotime.Micros) { all = a.loop.machine.Commands() }) != nil {
-		return nil
+	err := a.call(func(monotime.Micros) { all = a.loop.machine.Commands() })
+	if err != nil {
+		return nil // as above
 	}
 	return all
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -8,67 +8,87 @@
 	"milletbarrow/monotime"
 )
 
-// Machine decides for all instances of one host. It is not for use by several goroutines at once.
+// Machine decides for all instances of one host. It is not safe for concurrent use.
 type Machine struct {
-	config            Config
-	random            *rand.Rand
-	instanceNames     []string // in the file's order
-	instances         map[string]*Instance
-	groups            map[string]*GroupSpec
-	commands          map[string]*Command
-	openCommands      []*Command // by Sequence
-	finishedCommands  []string   // IDs, oldest first
-	lastSequence      int
+	config Config
+	random *rand.Rand
+
+	instanceNames    []string              // in the file's order
+	instances        map[string]*Instance  // by instance name
+	groups           map[string]*GroupSpec // by group name
+	commands         map[string]*Command   // by command ID
+	openCommands     []*Command            // by Sequence
+	finishedCommands []string              // IDs, oldest first
+	lastSequence     int                   // of the latest command; 0: none yet
+
 	rejections        rejectionRate
-	quotaSilentSince  monotime.Micros // since when unit requests have no answer; 0: the latest had one
-	lastUnitRequestAt monotime.Micros // the latest unit request
+	quotaSilentSince  monotime.Micros // unit requests have no answer since then; 0: the latest has one
+	lastUnitRequestAt monotime.Micros
+
+	actions []Action       // of the present call of Decide
+	history []HistoryEvent // of the present call of Decide
 
-	actions          []Action // of the present call of Decide
-	history          []HistoryEvent
-	changedInstances map[string]bool // to be stored
-	changedCommands  map[string]bool
+	changedInstances map[string]bool // by instance name: to be stored
+	changedCommands  map[string]bool // by command ID: to be stored, or to be forgotten
 }
 
-// New makes a machine for the instances of a host; window gives the shutdown window of each.
-func New(s *Spec, host string, terms Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
+// New returns a machine for the instances of a host; window returns the shutdown window of an instance.
+func New(s *Spec, host string, config Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
 	m := &Machine{
-		config: terms, random: rand.New(rand.NewPCG(terms.JitterSeed, 0)), instances: map[string]*Instance{},
-		groups: map[string]*GroupSpec{}, commands: map[string]*Command{}, changedInstances: map[string]bool{},
-		changedCommands: map[string]bool{},
+		config:           config,
+		random:           rand.New(rand.NewPCG(config.JitterSeed, 0)),
+		instances:        map[string]*Instance{},
+		groups:           map[string]*GroupSpec{},
+		commands:         map[string]*Command{},
+		changedInstances: map[string]bool{},
+		changedCommands:  map[string]bool{},
 	}
 	for i, spec := range s.InstancesOn(host) {
-		g := s.Group(spec.Group)
-		m.groups[g.Name] = g
+		group := s.Group(spec.Group)
+		m.groups[group.Name] = group
 		m.instanceNames = append(m.instanceNames, spec.Name)
 		m.instances[spec.Name] = &Instance{
-			Name: spec.Name, Group: g.Name, Spare: spec.Spare, Phase: PhaseAbsent, group: g, shutdown: window(spec), fileOrder: i,
+			Name:      spec.Name,
+			Group:     group.Name,
+			Spare:     spec.Spare,
+			Phase:     PhaseAbsent,
+			group:     group,
+			shutdown:  window(spec),
+			fileOrder: i,
 		}
 	}
 	return m
 }
 
-func (m *Machine) markInstanceChanged(in *Instance) { m.changedInstances[in.Name] = true }
-func (m *Machine) markCommandChanged(c *Command)    { m.changedCommands[c.ID] = true }
+func (m *Machine) markInstanceChanged(inst *Instance) { m.changedInstances[inst.Name] = true }
+
+func (m *Machine) markCommandChanged(command *Command) { m.changedCommands[command.ID] = true }
 
 // Names lists the instances in the file's order.
 func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
 
-// Idle reports whether nothing is to be expected soon: no command is open, and no instance waits for a deadline, an
-// action or another launch. It does not depend on the time.
+// Idle reports whether no command is open and no instance waits for a deadline, an action, a unit or a launch. It does
+// not depend on the time.
 func (m *Machine) Idle(_ monotime.Micros) bool {
 	if len(m.openCommands) > 0 {
 		return false
 	}
 	for _, name := range m.instanceNames {
-		if in := m.instances[name]; in.ActionPending || in.PhaseDeadline != 0 || in.Unit.RequestID != "" || in.DesiredUp && !in.LaunchesExhausted && in.Phase.Down() {
+		if !m.instances[name].idle() {
 			return false
 		}
 	}
 	return true
 }
 
-// Instance is a copy of the state of an instance; ok is false if the host has none of that name.
-func (m *Machine) Instance(name string) (in Instance, ok bool) {
+// idle reports whether the instance waits for no deadline, action, unit or launch.
+func (inst *Instance) idle() bool {
+	awaitsLaunch := inst.DesiredUp && !inst.LaunchesExhausted && inst.Phase.Down()
+	return !inst.ActionPending && inst.PhaseDeadline == 0 && inst.Unit.RequestID == "" && !awaitsLaunch
+}
+
+// Instance returns a copy of the state of an instance; ok is false if the host has none of that name.
+func (m *Machine) Instance(name string) (inst Instance, ok bool) {
 	known := m.instances[name]
 	if known == nil {
 		return Instance{}, false
@@ -76,43 +96,45 @@
 	return *known, true
 }
 
-// Command is a copy of a command, nil if it is not known (any more).
+// Command returns a copy of a command, or nil if it is unknown or forgotten.
 func (m *Machine) Command(id string) *Command {
-	if c := m.commands[id]; c != nil {
-		return c.clone()
+	if command := m.commands[id]; command != nil {
+		return command.clone()
 	}
 	return nil
 }
 
 // Commands lists copies of all known commands, newest first.
 func (m *Machine) Commands() (all []*Command) {
-	for _, c := range m.commands {
-		all = append(all, c.clone())
+	for _, command := range m.commands {
+		all = append(all, command.clone())
 	}
 	slices.SortFunc(all, func(a, b *Command) int { return cmp.Compare(b.Sequence, a.Sequence) })
 	return all
 }
 
-// Decide takes in an event and returns the actions to carry out, in order, and the entries for the history. Both are
-// valid until the next call. An error, always a *CommandError, means that the event changed nothing.
-func (m *Machine) Decide(now monotime.Micros, ev Event) (actions []Action, history []HistoryEvent, err error) {
-	m.actions, m.history = m.actions[:0], m.history[:0]
-	err = m.handleEvent(now, ev)
-	for _, c := range m.openCommands {
-		switch c.Kind {
+// Decide applies an event and returns the actions to carry out, in order, and the new entries of the history. Both are
+// valid until the next call. The error is a *CommandError; the event has then changed nothing.
+func (m *Machine) Decide(now monotime.Micros, event Event) (actions []Action, history []HistoryEvent, err error) {
+	m.actions = m.actions[:0]
+	m.history = m.history[:0]
+	err = m.handleEvent(now, event)
+	for _, command := range m.openCommands {
+		switch command.Kind {
 		case KindRollingUpdate:
-			m.advanceRollingUpdate(now, c)
+			m.advanceRollingUpdate(now, command)
 		case KindColdStart:
-			m.advanceColdStart(now, c)
+			m.advanceColdStart(now, command)
+		case KindStart, KindDrain, KindStop, KindRestart: // reconcile does all that they ask for
 		}
 	}
 	m.closeFinishedCommands(now)
 	return m.actions, m.history, err
 }
 
-// handleEvent changes the state of what the event is about.
-func (m *Machine) handleEvent(now monotime.Micros, ev Event) error {
-	switch e := ev.(type) {
+// handleEvent applies an event to the command or the instance that it names.
+func (m *Machine) handleEvent(now monotime.Micros, event Event) error {
+	switch e := event.(type) {
 	case CommandReceived:
 		if err := m.acceptCommand(now, e.Command); err != nil {
 			return commandError(OperationAccept, e.Command.ID, err)
@@ -129,18 +151,18 @@
 	case Tick:
 		m.advanceAll(now)
 	case InstanceObserved:
-		if in := m.instances[e.Name]; in != nil && (!e.Unrecorded || !in.launchPending()) {
-			m.handleObservation(now, in, e.Observation)
-			m.advance(now, in)
+		if inst := m.instances[e.Name]; inst != nil && (!e.Unrecorded || !inst.launchPending()) {
+			m.handleObservation(now, inst, e.Observation)
+			m.advance(now, inst)
 		}
 	case ActionFailed:
-		if in := m.instances[e.Name]; in != nil && in.ActionID == e.ActionID && in.ActionPending {
-			m.handleActionFailed(now, in, e)
-			m.advance(now, in)
+		if inst := m.instances[e.Name]; inst != nil && inst.ActionID == e.ActionID && inst.ActionPending {
+			m.handleActionFailed(now, inst, e)
+			m.advance(now, inst)
 		}
 	case UnitAcquired:
-		if in := m.instances[e.Name]; in != nil {
-			m.handleUnitAcquired(now, in, e)
+		if inst := m.instances[e.Name]; inst != nil {
+			m.handleUnitAcquired(now, inst, e)
 		}
 	case UnitReleased:
 		m.handleUnitReleased(now, e)
@@ -148,11 +170,11 @@
 	return nil
 }
 
-// advanceAll ends the commands whose deadline has passed and brings all instances forward.
+// advanceAll ends the commands whose deadline has passed and advances all instances.
 func (m *Machine) advanceAll(now monotime.Micros) {
-	for _, c := range slices.Clone(m.openCommands) {
-		if now >= c.Deadline {
-			m.expireCommand(now, c)
+	for _, command := range slices.Clone(m.openCommands) {
+		if now >= command.Deadline {
+			m.expireCommand(now, command)
 		}
 	}
 	for _, name := range m.instanceNames {
@@ -160,30 +182,26 @@
 	}
 }
 
-// advance brings one instance forward, and the command that waits for it.
-func (m *Machine) advance(now monotime.Micros, in *Instance) {
-	m.resolveCommand(now, in)
-	m.reconcile(now, in)
-	m.resolveCommand(now, in)
-	m.returnUnit(now, in)
+// advance takes the next step of one instance and of the command that waits for it.
+func (m *Machine) advance(now monotime.Micros, inst *Instance) {
+	m.resolveCommand(now, inst)
+	m.reconcile(now, inst)
+	m.resolveCommand(now, inst)
+	m.returnUnit(now, inst)
 }
 
-// handleActionFailed takes in that the pending action could not be carried out.
-func (m *Machine) handleActionFailed(now monotime.Micros, in *Instance, e ActionFailed) {
-	m.recordEvent(now, in, string(in.LastAction)+" not taken", e.Cause)
-	if in.LastAction == ActionLaunch && in.Incarnation == in.ActionID { // no process came of it
-		in.Incarnation, in.ActionPending, in.PhaseDeadline = "", false, 0
-		in.setPhase(now, PhaseFailed, e.Cause)
-		m.delayRelaunch(now, in)
-		if e.Final {
-			in.LaunchesExhausted = true
-		}
-		in.RestartPending = false
-		m.markInstanceChanged(in)
+// handleActionFailed records that the pending action could not be carried out. A failed launch ends its incarnation.
+func (m *Machine) handleActionFailed(now monotime.Micros, inst *Instance, failed ActionFailed) {
+	m.recordEvent(now, inst, string(inst.LastAction)+eventActionFailedSuffix, failed.Cause)
+	if inst.LastAction != ActionLaunch || inst.Incarnation != inst.ActionID {
+		return
 	}
-}
-
-// recordEvent adds an entry about an instance to the history.
-func (m *Machine) recordEvent(now monotime.Micros, in *Instance, event, cause string) {
-	m.history = append(m.history, HistoryEvent{At: now, Name: in.Name, CommandID: in.CommandID, Event: event, Cause: cause})
+	inst.abandonLaunch()
+	inst.setPhase(now, PhaseFailed, failed.Cause)
+	m.delayRelaunch(now, inst)
+	if failed.Final {
+		inst.LaunchesExhausted = true
+	}
+	inst.RestartPending = false
+	m.markInstanceChanged(inst)
 }
