--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -76,6 +76,7 @@
 	if err != nil {
 		return err
 	}
+	logFormerNames(spec.Warnings)
 	host := spec.Host(c.String("host"))
 	if host == nil {
 		return usagef("host: %q is no host of %s", c.String("host"), c.String("fleet"))
@@ -204,6 +205,7 @@
 	if err != nil {
 		return err
 	}
+	logFormerNames(spec.Warnings)
 	if err := p.agent.Reload(spec); err != nil {
 		return err
 	}
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -14,6 +14,7 @@
 	"milletbarrow/internal/config"
 	"milletbarrow/internal/limits"
 	"milletbarrow/internal/plot"
+	"milletbarrow/internal/sexpr"
 	"milletbarrow/monotime"
 )
 
@@ -25,19 +26,19 @@
 }
 
 // readDegradationPolicy reads and checks a degradation policy.
-func readDegradationPolicy(file string) (*degradation.Policy, error) {
+func readDegradationPolicy(file string) (*degradation.Policy, []sexpr.Warning, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, unusable(err)
+		return nil, nil, unusable(err)
 	}
-	policy, err := degradation.ParsePolicy(file, raw)
-	return policy, unusable(err)
+	policy, warnings, err := degradation.ParsePolicy(file, raw)
+	return policy, warnings, unusable(err)
 }
 
 func degradationCheckCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "explain a ladder in words, and refuse one that can't work", ArgsUsage: "FILE",
-		Description: "Example:\n   milletbarrow degradation check ladder.sx --config n3.json",
+		Name: "check", Usage: "explain a policy in words, and refuse one that can't work", ArgsUsage: "FILE",
+		Description: "Example:\n   milletbarrow degradation check policy.sx --config n3.json",
 		Flags:       []cli.Flag{configFlag(), jsonFlag()},
 		Action:      checkDegradation,
 	}
@@ -45,10 +46,11 @@
 
 // checkDegradation explains a policy, with --config also against a backend's operations and tenants.
 func checkDegradation(_ context.Context, c *cli.Command) error {
-	policy, err := readDegradationPolicy(c.Args().First())
+	policy, warnings, err := readDegradationPolicy(c.Args().First())
 	if err != nil {
 		return err
 	}
+	printFormerNames(warnings)
 	if file := c.String("config"); file != "" {
 		b, err := config.Read(file)
 		if err == nil {
@@ -67,19 +69,20 @@
 
 func degradationReplayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "replay", Usage: "play recorded signals through a ladder, and draw level against signals", ArgsUsage: "FILE TRACE",
+		Name: "replay", Usage: "play recorded signals through a policy, and draw level against signals", ArgsUsage: "FILE TRACE",
 		Description: "A trace has a line for each reading: microseconds, then the signals that are known, as queue=1.5.\n" +
-			"Example:\n   milletbarrow degradation replay ladder.sx signals.txt --plot levels.svg",
+			"Example:\n   milletbarrow degradation replay policy.sx signals.txt --plot levels.svg",
 		Flags:  []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"}},
 		Action: replayDegradation,
 	}
 }
 
 func replayDegradation(_ context.Context, c *cli.Command) error {
-	policy, err := readDegradationPolicy(c.Args().Get(0))
+	policy, warnings, err := readDegradationPolicy(c.Args().Get(0))
 	if err != nil {
 		return err
 	}
+	printFormerNames(warnings)
 	trace, err := readTrace(c.Args().Get(1))
 	if err != nil {
 		return err
@@ -180,7 +183,7 @@
 			return err
 		}
 		if s.DegradationPolicy == "" {
-			return usagef("socket: this instance has no ladder, and measures nothing")
+			return usagef("socket: this instance has no degradation policy, and measures nothing")
 		}
 		if s.SignalsAt > last { // a reading that was printed already says nothing new
 			last = s.SignalsAt
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -31,6 +31,7 @@
 	if err != nil {
 		return nil, unusable(err)
 	}
+	printFormerNames(x.Warnings)
 	if over := c.String("over"); over != "" { // replaces the sweep of the file
 		if err := x.Sweep(over); err != nil {
 			return nil, unusable(err)
--- a/cmd/milletbarrow/fleet_check.go
+++ b/cmd/milletbarrow/fleet_check.go
@@ -26,6 +26,7 @@
 	if err != nil {
 		return err
 	}
+	printFormerNames(s.Warnings)
 	if c.Bool("configs") {
 		var errs []error
 		for _, h := range s.Hosts {
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name: "cold-start", Usage: "bring a site up again: what is down starts at the pace that what comes back allows",
 		ArgsUsage: "[instance ...]",
-		Description: "What serves stays as it is. The least of each group comes first; terms are those of (rise ...) in the file. Given again with the\n" +
+		Description: "What serves stays as it is. The required minimum of each group starts first; limits are those of (cold-start ...) in the file. Given again with the\n" +
 			"same --id it joins what goes on, whichever tool began it.\n\nExamples:\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --dry-run\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all\n" +
@@ -38,7 +38,7 @@
 		return err
 	}
 	if client.Spec.ColdStart == nil {
-		return usagef("%s: has no (rise (budget COUNT))", c.String("fleet"))
+		return usagef("%s: has no (cold-start (quota COUNT))", c.String("fleet"))
 	}
 	all, err := selectInstances(c, client)
 	if err != nil {
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -140,7 +140,9 @@
 	if b.files.degradation == "" {
 		return nil, nil
 	}
-	return readDegradationPolicy(b.files.degradation)
+	policy, warnings, err := readDegradationPolicy(b.files.degradation)
+	logFormerNames(warnings)
+	return policy, err
 }
 
 // run listens, serves until the notice, drains, and returns before the stop.
--- a/cmd/milletbarrow/serve_reload.go
+++ b/cmd/milletbarrow/serve_reload.go
@@ -56,7 +56,7 @@
 	if b.files.degradation == "" {
 		return
 	}
-	policy, err := readDegradationPolicy(b.files.degradation)
+	policy, err := b.degradationPolicy()
 	if err == nil {
 		err = b.dispatcher.SetDegradationPolicy(policy)
 	}
--- a/internal/agent/configcheck.go
+++ b/internal/agent/configcheck.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	policy, err := degradation.ParsePolicy(file, raw)
+	policy, _, err := degradation.ParsePolicy(file, raw)
 	if err != nil {
 		return err
 	}
--- a/internal/backend/degradation/compat_test.go
+++ b/internal/backend/degradation/compat_test.go
@@ -19,7 +19,7 @@
 // TestEarlierTrace checks that a trace recorded by an earlier release is read, written back the same to the byte, and
 // replays through that release's policy to the same levels at the same times.
 func TestEarlierTrace(t *testing.T) {
-	policy, err := ParsePolicy("ladder.sx", compattest.Read(t, "ladder.sx"))
+	policy, _, err := ParsePolicy("ladder.sx", compattest.Read(t, "ladder.sx"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/degradation/explain.go
+++ b/internal/backend/degradation/explain.go
@@ -10,7 +10,7 @@
 // Explain describes in words what the policy does.
 func (p *Policy) Explain() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "ladder %s: %d levels; ", p.Name, len(p.Levels))
+	fmt.Fprintf(&b, "degradation %s: %d levels; ", p.Name, len(p.Levels))
 	fmt.Fprintf(&b, "a level changes at most once in %v, except in a collapse; ", p.ChangeInterval.Duration())
 	fmt.Fprintf(&b, "recovery ramp %v\n", p.RecoveryRamp.Duration())
 	for i, level := range p.Levels {
@@ -29,7 +29,7 @@
 func (c Condition) describe(comparison string) string {
 	parts := make([]string, 0, len(c.Terms))
 	for _, term := range c.Terms {
-		text := fmt.Sprintf("%s is %s %v", term.Signal, comparison, term.Value)
+		text := fmt.Sprintf("%s is %s %v", term.Signal.policyName(), comparison, term.Value)
 		if term.For > 0 {
 			text += fmt.Sprintf(" for %v", term.For.Duration())
 		}
@@ -54,7 +54,7 @@
 		parts = append(parts, "from tenant "+strings.Join(r.Tenants, ", "))
 	}
 	if r.RankBelow < 1 {
-		parts = append(parts, fmt.Sprintf("with a rank below %v", r.RankBelow))
+		parts = append(parts, fmt.Sprintf("with a priority below %v", r.RankBelow))
 	}
 	if r.CostAbove > 0 {
 		parts = append(parts, fmt.Sprintf("with expected work above %v", r.CostAbove.Duration()))
--- a/internal/backend/degradation/helpers_test.go
+++ b/internal/backend/degradation/helpers_test.go
@@ -38,7 +38,7 @@
 // mustParse parses a policy.
 func mustParse(t tester, text string) *Policy {
 	t.Helper()
-	policy, err := ParsePolicy("ladder.sx", []byte(text))
+	policy, _, err := ParsePolicy("ladder.sx", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/degradation/parse.go
+++ b/internal/backend/degradation/parse.go
@@ -23,37 +23,38 @@
 	maxTermArgs           = 2    // a value and a duration
 )
 
-// ParsePolicy parses and validates a policy, the S-expression (ladder ...); file is its name in errors. The error joins
-// all faults that were found.
-func ParsePolicy(file string, src []byte) (*Policy, error) {
+// ParsePolicy parses and validates a policy, the S-expression (degradation ...); file is its name in errors. The error
+// joins all faults that were found. A warning names each former name in the file, which is still read.
+func ParsePolicy(file string, src []byte) (*Policy, []sexpr.Warning, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
+	warnings := formerPolicyNames.Update(file, nodes)
 	errs := &sexpr.Errors{File: file}
 	forms := sexpr.Forms(nodes, errs)
-	if len(forms) != 1 || forms[0].Name != "ladder" {
-		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted exactly one list, (ladder ...)")
-		return nil, errs.Err()
+	if len(forms) != 1 || forms[0].Name != "degradation" {
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted exactly one list, (degradation ...)")
+		return nil, warnings, errs.Err()
 	}
 	policy := parsePolicyForm(forms[0])
 	policy.validate(errs)
-	return policy, errs.Err()
+	return policy, warnings, errs.Err()
 }
 
-// parsePolicyForm parses (ladder NAME ...).
+// parsePolicyForm parses (degradation NAME ...).
 func parsePolicyForm(f *sexpr.Form) *Policy {
 	policy := &Policy{
 		Name:           f.Arg(),
-		ChangeInterval: monotime.FromDuration(f.Span("every", time.Second, maxSpan, defaultChangeInterval)),
-		RecoveryRamp:   monotime.FromDuration(f.Span("ramp", 0, maxSpan, defaultRecoveryRamp)),
-		MaxOverride:    monotime.FromDuration(f.Span("pins", time.Second, maxMaxOverride, defaultMaxOverride)),
+		ChangeInterval: monotime.FromDuration(f.Span("change-interval", time.Second, maxSpan, defaultChangeInterval)),
+		RecoveryRamp:   monotime.FromDuration(f.Span("recovery-ramp", 0, maxSpan, defaultRecoveryRamp)),
+		MaxOverride:    monotime.FromDuration(f.Span("max-override", time.Second, maxMaxOverride, defaultMaxOverride)),
 	}
 	for s := range policy.Smoothing {
 		policy.Smoothing[s] = monotime.FromDuration(defaultSmoothing)
 	}
-	if smoothing := f.Field("smooth"); smoothing != nil {
-		for s, name := range signalNames {
+	if smoothing := f.Field("smoothing"); smoothing != nil {
+		for s, name := range policySignalNames {
 			policy.Smoothing[s] = monotime.FromDuration(smoothing.Span(name, 0, maxSpan, defaultSmoothing))
 		}
 		smoothing.Done()
@@ -73,7 +74,7 @@
 	level := Level{
 		Name:        f.Arg(),
 		place:       f.Place,
-		MinDuration: monotime.FromDuration(f.Span("stay", time.Second, maxSpan, defaultMinDuration)),
+		MinDuration: monotime.FromDuration(f.Span("min-duration", time.Second, maxSpan, defaultMinDuration)),
 		Enter:       parseCondition(f, "enter"),
 		Exit:        parseCondition(f, "exit"),
 	}
@@ -81,7 +82,7 @@
 		level.Shed = append(level.Shed, Rule{
 			Operations: rule.Words("operations"),
 			Tenants:    rule.Words("tenants"),
-			RankBelow:  rule.Share("rank-below", 0, 1, 1),
+			RankBelow:  rule.Share("priority-below", 0, 1, 1),
 			CostAbove:  monotime.FromDuration(rule.Span("cost-above", 0, maxSpan, 0)),
 			Share:      rule.Share("share", minRuleShare, 1, 1),
 		})
@@ -109,7 +110,7 @@
 			c.Any = combination == "any"
 		}
 	}
-	for s, signal := range signalNames {
+	for s, signal := range policySignalNames {
 		for _, term := range terms.All(signal) {
 			c.Terms = append(c.Terms, parseTerm(term, Signal(s)))
 		}
--- a/internal/backend/degradation/policy_test.go
+++ b/internal/backend/degradation/policy_test.go
@@ -25,7 +25,7 @@
 		"(ladder x (level a (shed) (enter (queue 1)) (exit (queue 0.5)))" +
 			" (level a (shed) (enter (queue 2)) (exit (queue 1))))",
 	} {
-		_, err := ParsePolicy("l", []byte(text))
+		_, _, err := ParsePolicy("l", []byte(text))
 		trace.Say("%s\n%v", text, err)
 	}
 	_, err := NewShedder(mustParse(t, billsPolicy), []string{"reprint"}, nil, 1)
--- a/internal/backend/degradation/validate.go
+++ b/internal/backend/degradation/validate.go
@@ -18,7 +18,7 @@
 	for i := range p.Levels {
 		level := &p.Levels[i]
 		fail := func(format string, args ...any) {
-			errs.Add(level.place, "ladder.level "+level.Name, format, args...)
+			errs.Add(level.place, "degradation.level "+level.Name, format, args...)
 		}
 		switch {
 		case level.Name == fullService:
@@ -48,10 +48,10 @@
 		switch {
 		case exit.Value >= entry:
 			fail("exit: %s below %v is not below the entry at %v: the level would oscillate",
-				exit.Signal, exit.Value, entry)
+				exit.Signal.policyName(), exit.Value, entry)
 		case exit.Value > maxExit:
 			fail("exit: %s below %v is too close to the entry at %v, wanted at most %.4g",
-				exit.Signal, exit.Value, entry, maxExit)
+				exit.Signal.policyName(), exit.Value, entry, maxExit)
 		}
 	}
 	if !shared && len(l.Enter.Terms) > 0 && len(l.Exit.Terms) > 0 {
@@ -65,7 +65,8 @@
 		return term.Signal != WarmingUp && term.Signal != Draining
 	})
 	if !l.Enter.Any && !needsOverload {
-		fail("enter: compares no signal other than %s and %s: every start and stop would meet it", WarmingUp, Draining)
+		fail("enter: compares no signal other than %s and %s: every start and stop would meet it",
+			WarmingUp.policyName(), Draining.policyName())
 	}
 }
 
@@ -74,7 +75,7 @@
 	for _, term := range l.Enter.Terms {
 		if entry, both := milder.Enter.threshold(term.Signal); both && term.Value < entry {
 			fail("enter: %s at %v is below the entry of the milder level %s, wanted at least %v",
-				term.Signal, term.Value, milder.Name, entry)
+				term.Signal.policyName(), term.Value, milder.Name, entry)
 		}
 	}
 }
--- a/internal/backend/dispatch/helpers_test.go
+++ b/internal/backend/dispatch/helpers_test.go
@@ -120,7 +120,7 @@
 
 func policyOf(t *testing.T, text string) *degradation.Policy {
 	t.Helper()
-	policy, err := degradation.ParsePolicy("l", []byte(text))
+	policy, _, err := degradation.ParsePolicy("l", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -142,7 +142,7 @@
 		program = fmt.Sprintf("(program %q)", program)
 	}
 	text := fmt.Sprintf("(fleet demo %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") (range n 1 %d) (settle 500ms))\n"+
-		" (wave (width 1) (least-share 0.5)))\n", program, s.Dir, len(s.Names))
+		" (rolling-update (max-unavailable 1) (min-ready-share 0.5)))\n", program, s.Dir, len(s.Names))
 	return os.WriteFile(s.FleetFile, []byte(text), 0o600)
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -6,6 +6,7 @@
 import (
 	"slices"
 
+	"milletbarrow/internal/sexpr"
 	"milletbarrow/internal/simulation"
 	"milletbarrow/monotime"
 )
@@ -16,8 +17,9 @@
 	Scenarios   []simulation.Scenario
 	Policies    []simulation.Policy
 	Seeds       []uint64
-	SweptField  string    // name of the swept field; empty: none
-	SweptValues []float64 // its values, in the units of the file
+	SweptField  string          // name of the swept field; empty: none
+	SweptValues []float64       // its values, in the units of the file
+	Warnings    []sexpr.Warning // former names in the file
 }
 
 // Bounds of an experiment.
@@ -38,29 +40,29 @@
 
 // setSwept gives a scenario one value of the swept field. The error is an *UnsweepableError or a *simulation.ScenarioError.
 func setSwept(s *simulation.Scenario, over string, v float64) error {
-	callerContext := int(v)
+	count := int(v)
 	switch over {
 	case "":
 	case "load.at":
 		s.Load.Level = v
 	case "hosts.count":
-		s.Hosts.Count = callerContext
+		s.Hosts.Count = count
 	case "nodes.count":
-		s.Nodes.Count = callerContext
+		s.Nodes.Count = count
 	case "size": // hosts, with nodes, and what they share, in proportion
 		part := v / float64(s.Hosts.Count)
 		s.Nodes.Count = max(1, int(float64(s.Nodes.Count)*part+0.5))
 		s.Dependency.Slots = max(1, int(float64(s.Dependency.Slots)*part+0.5))
-		s.Hosts.Count = callerContext
+		s.Hosts.Count = count
 		for i := range s.Tenants {
 			s.Tenants[i].Quota *= part
 		}
 	case "nodes.deaf":
 		s.Nodes.UnresponsiveShare = v
 	case "nodes.tries":
-		s.Nodes.MaxAttempts = callerContext
+		s.Nodes.MaxAttempts = count
 	case "nodes.subset":
-		s.Nodes.Subset = callerContext
+		s.Nodes.Subset = count
 	case "nodes.behind":
 		s.Nodes.ClientRetryShare = v
 	case "register.lag":
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -28,13 +28,14 @@
 	if err != nil {
 		return nil, err
 	}
+	warnings := formerNames.Update(file, nodes)
 	errs := &sexpr.Errors{File: file}
 	d := readDefinitions(file, sexpr.Forms(nodes, errs))
 	if d.experiment == nil {
 		errs.Add(sexpr.Place{Line: 1, Column: 1}, "experiment", "there is none in this file")
 		return nil, errs.Err()
 	}
-	x := &Experiment{Name: d.experiment.Arg()}
+	x := &Experiment{Name: d.experiment.Arg(), Warnings: warnings}
 	x.Scenarios = d.namedScenarios()
 	x.Policies = d.namedPolicies()
 	x.Seeds = readSeeds(d.experiment)
@@ -160,7 +161,7 @@
 	s.Load.Shape = simulation.Replay
 }
 
-// readPolicy reads (policy NAME (base milletbarrow) (ladder "FILE") (balance two-choices)).
+// readPolicy reads (policy NAME (base milletbarrow) (degradation "FILE") (balance two-choices)).
 func readPolicy(f *sexpr.Form, file string) *simulation.Policy {
 	name := f.Arg()
 	p, err := simulation.PolicyNamed(f.Text("base", simulation.Module))
@@ -169,13 +170,13 @@
 		p = &simulation.Policy{}
 	}
 	p.Name = name
-	if degradationFile := f.Text("ladder", ""); degradationFile != "" {
+	if degradationFile := f.Text("degradation", ""); degradationFile != "" {
 		raw, err := os.ReadFile(filepath.Join(filepath.Dir(file), degradationFile))
 		if err == nil {
-			p.Degradation, err = degradation.ParsePolicy(degradationFile, raw)
+			p.Degradation, _, err = degradation.ParsePolicy(degradationFile, raw)
 		}
 		if err != nil {
-			f.Fail("ladder", "%v", err)
+			f.Fail("degradation", "%v", err)
 		}
 	}
 	if b := f.OneOf("balance", "as-scenario", "round-robin", "random", "two-choices", "least-load"); b != "as-scenario" {
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -140,18 +140,20 @@
 					other.name, other.name, strings.Join(other.backends, " "), harness.options.SettleTime)
 			}
 		}
-		fmt.Fprintf(&b, " (wave (width 4) (least-share 0) (stall 2m) (failures 100) (budget out))\n (budgets (version %d) (ledger", harness.version)
+		fmt.Fprintf(&b, " (rolling-update (max-unavailable 4) (min-ready-share 0) (stall-timeout 2m) (max-failures 100) (quota out))\n"+
+			" (quotas (version %d) (quota-store", harness.version)
 		for _, other := range harness.hosts {
 			fmt.Fprintf(&b, " %s", other.name)
 		}
 		b.WriteString(")\n")
 		for _, one := range harness.options.Quotas {
-			fmt.Fprintf(&b, "  (budget %s (rate %d) (tenant %s) (floor %d) (divide %s) (lease %v) (margin %v))\n",
+			fmt.Fprintf(&b, "  (quota %s (rate %d) (tenant %s) (floor %d) (divide %s) (lease %v) (margin %v))\n",
 				one.Name, harness.totals[one.Name], one.Tenant, one.Floor, one.Division, harness.options.Lease, harness.options.Margin)
 		}
-		fmt.Fprintf(&b, "  (budget out (count %d))", MaxUnavailable)
+		fmt.Fprintf(&b, "  (quota out (count %d))", MaxUnavailable)
 		if c := harness.options.Schedule.ColdStart; c != nil && c.MaxConcurrent > 0 {
-			fmt.Fprintf(&b, "\n  (budget starts (count %d) (alone yes)))\n (rise (budget starts) (first 2) (failures 8))", c.MaxConcurrent)
+			fmt.Fprintf(&b, "\n  (quota starts (count %d) (reserve-per-host yes)))\n"+
+				" (cold-start (quota starts) (initial-concurrent 2) (max-failures 8))", c.MaxConcurrent)
 		} else {
 			b.WriteString(")")
 		}
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -2,8 +2,10 @@
 
 import (
 	"cmp"
+	"errors"
 	"math"
 	"slices"
+	"strings"
 	"time"
 
 	"milletbarrow/internal/sexpr"
@@ -89,24 +91,28 @@
 // isShare reports whether x is from 0 to 1; NaN is not.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
-// readRollingUpdate reads the (wave ...) form; a field that it lacks stays as in config.
+// readRollingUpdate reads the (rolling-update ...) form; a field that it lacks stays as in config.
 func readRollingUpdate(f *sexpr.Form, config RollingUpdateConfig) RollingUpdateConfig {
 	span := func(name string, missing monotime.Micros) monotime.Micros {
 		return monotime.FromDuration(f.Span(name, 0, maxSpan, missing.Duration()))
 	}
-	config.MaxInProgress = f.Int("width", 1, maxRolloutCount, config.MaxInProgress)
-	config.MinReady = f.Int("least-count", 0, maxRolloutCount, config.MinReady)
-	config.MinReadyShare = f.Share("least-share", 0, 1, config.MinReadyShare)
+	config.MaxInProgress = f.Int("max-unavailable", 1, maxRolloutCount, config.MaxInProgress)
+	config.MinReady = f.Int("min-ready", 0, maxRolloutCount, config.MinReady)
+	config.MinReadyShare = f.Share("min-ready-share", 0, 1, config.MinReadyShare)
 	config.Order = f.OneOf("order", OrderFile, OrderName, OrderSpread)
 	config.Surge = f.Int("surge", 0, maxRolloutCount, config.Surge)
-	config.MaxFailures = f.Int("failures", 0, maxRolloutCount, config.MaxFailures)
+	config.MaxFailures = f.Int("max-failures", 0, maxRolloutCount, config.MaxFailures)
 	config.ReadyWithin = span("ready-within", 0)
-	config.StallTimeout = span("stall", config.StallTimeout)
-	config.RejectionTolerance = span("turned-for", config.RejectionTolerance)
-	config.MaxRejectedShare = f.Share("turned-away", 0, 1, config.MaxRejectedShare)
+	config.StallTimeout = span("stall-timeout", config.StallTimeout)
+	config.RejectionTolerance = span("rejection-tolerance", config.RejectionTolerance)
+	config.MaxRejectedShare = f.Share("max-rejected-share", 0, 1, config.MaxRejectedShare)
 	f.Done()
-	if err := config.Check(); err != nil {
-		f.Fail("", "%v", err)
+	if err, ok := errors.AsType[*FieldError](config.Check()); ok {
+		field := strings.ReplaceAll(err.Field, "_", "-")
+		if name, found := formerSpecNames["rolling-update"][field]; found {
+			field = name
+		}
+		f.Fail(field, "%s", err.Reason)
 	}
 	return config
 }
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -6,6 +6,7 @@
 
 	"milletbarrow/internal/cluster/coldstart"
 	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/sexpr"
 	"milletbarrow/monotime"
 )
 
@@ -22,6 +23,8 @@
 	Quotas             *quota.Config       `json:"Budgets"`    // nil: no quotas are shared
 	QuotaHosts         []string            `json:"Ledger"`     // hosts whose agents keep the quota store
 
+	Warnings []sexpr.Warning `json:"-"` // former names in the file
+
 	instances map[string]*InstanceSpec // by instance name
 }
 
--- a/internal/fleet/spec_group.go
+++ b/internal/fleet/spec_group.go
@@ -38,7 +38,7 @@
 		LaunchWindow: monotime.FromDuration(defaultLaunchWindow),
 	}
 	if restart := f.Field("restart"); restart != nil {
-		group.MaxLaunches = restart.Int("most", 0, maxLaunchesLimit, group.MaxLaunches)
+		group.MaxLaunches = restart.Int("max", 0, maxLaunchesLimit, group.MaxLaunches)
 		group.LaunchWindow = monotime.FromDuration(restart.Span("within", minSpan, maxSpan, defaultLaunchWindow))
 		restart.Done()
 	}
@@ -55,7 +55,7 @@
 	if config == "" {
 		f.Fail("config", "missing, wanted the configuration's path, with %%n for the instance's name")
 	}
-	group.DegradationFile = absolutePath(dir, f.Text("levels", ""))
+	group.DegradationFile = absolutePath(dir, f.Text("degradation", ""))
 	names := append(f.Words("instances"), readRange(f)...)
 	if len(names) > 1 && config != "" && !strings.Contains(config, namePlaceholder) {
 		f.Fail("config", "found %q for %d instances, wanted %%n in it", config, len(names))
--- /dev/null
+++ b/internal/fleet/spec_names.go
@@ -0,0 +1,43 @@
+package fleet
+
+import "milletbarrow/internal/sexpr"
+
+// formerSpecNames has the names that a fleet's file used until December 2026. They are still read.
+var formerSpecNames = sexpr.FormerNames{
+	"fleet": {
+		"budgets": "quotas",
+		"rise":    "cold-start",
+		"wave":    "rolling-update",
+	},
+	"rolling-update": {
+		"budget":      "quota",
+		"failures":    "max-failures",
+		"least-count": "min-ready",
+		"least-share": "min-ready-share",
+		"stall":       "stall-timeout",
+		"turned-away": "max-rejected-share",
+		"turned-for":  "rejection-tolerance",
+		"width":       "max-unavailable",
+	},
+	"quotas": {
+		"budget": "quota",
+		"ledger": "quota-store",
+	},
+	"quota": {
+		"alone": "reserve-per-host",
+	},
+	"cold-start": {
+		"budget":   "quota",
+		"failures": "max-failures",
+		"first":    "initial-concurrent",
+		"least":    "min-serving-share",
+		"refused":  "max-rejected-share",
+		"slow":     "slow-factor",
+	},
+	"group": {
+		"levels": "degradation",
+	},
+	"restart": {
+		"most": "max",
+	},
+}
--- /dev/null
+++ b/internal/fleet/spec_names_test.go
@@ -0,0 +1,64 @@
+package fleet
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"milletbarrow/internal/compattest"
+	"milletbarrow/internal/limits"
+	"milletbarrow/internal/sexpr"
+)
+
+// specWithAllNames uses every name of today that has a former one.
+const specWithAllNames = `(fleet f
+  (host h1 (agent "unix:/a") (peer "127.0.0.1:7171"))
+  (quotas (version 2) (quota-store h1)
+    (quota q1 (rate 100) (tenant t))
+    (quota q2 (count 3) (reserve-per-host yes)))
+  (group g (host h1) (config "/c/%n.json") (instances a b) (degradation "/c/levels.sx") (restart (max 5) (within 1m)))
+  (rolling-update (max-unavailable 2) (min-ready 1) (min-ready-share 0.4) (max-failures 3) (stall-timeout 90s)
+    (max-rejected-share 0.7) (rejection-tolerance 8s) (quota q2))
+  (cold-start (quota q2) (min-serving-share 0.6) (max-failures 4) (slow-factor 3) (max-rejected-share 0.2)
+    (initial-concurrent 1)))`
+
+func TestFormerNamesInFleetFile(t *testing.T) {
+	compattest.FormerNames(t, formerSpecNames, specWithAllNames, func(src []byte) (any, []sexpr.Warning, error) {
+		spec, err := ReadSpec("fleet.sx", src, limits.ForControl())
+		if err != nil {
+			return nil, nil, err
+		}
+		return spec, spec.Warnings, nil
+	})
+}
+
+// The example of a fleet of release 6251f7b decodes to the value of today's.
+func TestExampleOfEarlierReleaseDecodesAlike(t *testing.T) {
+	read := func(path string) *Spec {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		spec, err := ReadSpec("fleet.sx", text, limits.ForControl())
+		if err != nil {
+			t.Fatal(err)
+		}
+		return spec
+	}
+	encode := func(spec *Spec) string {
+		text, err := json.MarshalIndent(spec, "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(text)
+	}
+	earlier, today := read("testdata/6251f7b/fleet.sx"), read("../../deploy/fleet.sx")
+	if diff := cmp.Diff(encode(earlier), encode(today)); diff != "" {
+		t.Error(diff)
+	}
+	if len(earlier.Warnings) == 0 || len(today.Warnings) != 0 {
+		t.Errorf("%d warnings about the earlier file, %d about today's", len(earlier.Warnings), len(today.Warnings))
+	}
+}
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -14,7 +14,7 @@
 	"milletbarrow/monotime"
 )
 
-// Bounds and defaults of the (budgets ...) form.
+// Bounds and defaults of the (quotas ...) form.
 const (
 	maxQuotaVersion = 1 << 40
 
@@ -25,7 +25,7 @@
 	leasePerClockMargin = 20 // the default margin is this part of a lease, but at least quota.MinClockMargin
 )
 
-// Bounds and defaults of the (rise ...) form.
+// Bounds and defaults of the (cold-start ...) form.
 const (
 	defaultMinServing        = 0.1
 	maxColdStartFailures     = 100_000
@@ -37,35 +37,35 @@
 	defaultInitialConcurrent = 2
 )
 
-// readQuotas reads the (budgets ...) form: the quotas that the fleet shares, and the hosts that keep their store.
+// readQuotas reads the (quotas ...) form: the quotas that the fleet shares, and the hosts that keep their store.
 func (r *specReader) readQuotas(f *sexpr.Form) {
 	r.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, maxQuotaVersion, 1))}
 	r.readQuotaHosts(f)
 	r.checkPeerAddresses(f)
-	for _, form := range f.All("budget") {
+	for _, form := range f.All("quota") {
 		r.readQuota(form)
 	}
 	if n := len(r.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
-		f.Fail("", "found %d budgets, wanted 1 to %d", n, backendquota.MaxBudgets)
+		f.Fail("", "found %d quotas, wanted 1 to %d", n, backendquota.MaxBudgets)
 	}
 	f.Done()
 }
 
 // readQuotaHosts reads the hosts whose agents keep the quota store. The only host of a fleet need not be named.
 func (r *specReader) readQuotaHosts(f *sexpr.Form) {
-	r.QuotaHosts = f.Words("ledger")
+	r.QuotaHosts = f.Words("quota-store")
 	if len(r.QuotaHosts) == 0 && len(r.Hosts) == 1 {
 		r.QuotaHosts = []string{r.Hosts[0].Name}
 	}
 	if err := quorum.ValidateMembers(r.QuotaHosts); err != nil {
-		f.Fail("ledger", "%v", err)
+		f.Fail("quota-store", "%v", err)
 	}
 	if len(r.QuotaHosts) == 0 {
-		f.Fail("ledger", "missing, wanted the hosts whose agents keep the quota store")
+		f.Fail("quota-store", "missing, wanted the hosts whose agents keep the quota store")
 	}
 	for _, host := range r.QuotaHosts {
 		if r.Host(host) == nil {
-			f.Fail("ledger", "unknown host %q", host)
+			f.Fail("quota-store", "unknown host %q", host)
 		}
 	}
 }
@@ -78,18 +78,18 @@
 	for _, host := range r.Hosts {
 		if host.PeerAddress == "" {
 			r.attribute(SpecSubject{})
-			f.Fail("", "host %q has no (peer ADDRESS), which the hosts that share budgets need", host.Name)
+			f.Fail("", "host %q has no (peer ADDRESS), which the hosts that share quotas need", host.Name)
 			r.attribute(SpecSubject{Host: host.Name})
 		}
 	}
 }
 
-// readQuota reads a (budget ...) form.
+// readQuota reads a (quota ...) form.
 func (r *specReader) readQuota(f *sexpr.Form) {
 	r.attribute(SpecSubject{})
 	limit := quota.Limit{Name: quota.LimitName(readName(f))}
 	if r.Quotas.Lookup(limit.Name) != nil {
-		f.Fail("", "duplicate budget %q", limit.Name)
+		f.Fail("", "duplicate quota %q", limit.Name)
 	}
 	rate := f.Int("rate", 0, backendquota.MaxRate, 0)
 	count := f.Int("count", 0, backendquota.MaxRate, 0)
@@ -101,7 +101,7 @@
 	case count > 0 && rate == 0:
 		limit.Kind = quota.Concurrency
 		limit.Total = int64(count)
-		if f.OneOf("alone", "no", "yes") == "yes" {
+		if f.OneOf("reserve-per-host", "no", "yes") == "yes" {
 			limit.Reserved = int64(len(r.Hosts))
 		}
 	default:
@@ -127,7 +127,7 @@
 	margin := max(limit.Lease/leasePerClockMargin, quota.MinClockMargin(limit.Lease))
 	limit.ClockMargin = monotime.FromDuration(f.Span("margin", 0, maxClockMargin, margin.Duration()))
 	if limit.Tenant == "" {
-		f.Fail("tenant", "missing, wanted the tenant whose requests use the budget")
+		f.Fail("tenant", "missing, wanted the tenant whose requests use the quota")
 	}
 	floor := int64(f.Int("floor", 0, backendquota.MaxRate, 0))
 	groups := f.Words("groups")
@@ -170,25 +170,25 @@
 	form.Done()
 }
 
-// readColdStart reads the (rise ...) form.
+// readColdStart reads the (cold-start ...) form.
 func (r *specReader) readColdStart(f *sexpr.Form) {
-	r.ColdStartQuota = f.Text("budget", "")
+	r.ColdStartQuota = f.Text("quota", "")
 	config := &coldstart.Config{
-		MinServing:        f.Share("least", 0, 1, defaultMinServing),
-		MaxFailures:       int64(f.Int("failures", 1, maxColdStartFailures, defaultColdStartFailures)),
-		SlowFactor:        f.Share("slow", 1, maxSlowFactor, defaultSlowFactor),
-		MaxRejected:       f.Share("refused", 0, 1, defaultMaxRejected),
-		InitialConcurrent: int64(f.Int("first", 0, maxInitialConcurrent, 0)),
+		MinServing:        f.Share("min-serving-share", 0, 1, defaultMinServing),
+		MaxFailures:       int64(f.Int("max-failures", 1, maxColdStartFailures, defaultColdStartFailures)),
+		SlowFactor:        f.Share("slow-factor", 1, maxSlowFactor, defaultSlowFactor),
+		MaxRejected:       f.Share("max-rejected-share", 0, 1, defaultMaxRejected),
+		InitialConcurrent: int64(f.Int("initial-concurrent", 0, maxInitialConcurrent, 0)),
 	}
 	f.Done()
 	if !r.hasConcurrencyQuota(r.ColdStartQuota) {
-		f.Fail("budget", "this file has no budget %q with a count", r.ColdStartQuota)
+		f.Fail("quota", "this file has no quota %q with a count", r.ColdStartQuota)
 		return
 	}
 	limit := r.Quotas.Lookup(quota.LimitName(r.ColdStartQuota))
 	if limit.Reserved == 0 {
-		f.Fail("budget",
-			"budget %q has no (alone yes): a host that can't reach the quota store could never start an instance",
+		f.Fail("quota",
+			"quota %q has no (reserve-per-host yes): a host that can't reach the quota store could never start an instance",
 			r.ColdStartQuota)
 	}
 	config.MaxConcurrent = limit.Total - limit.Reserved
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -55,6 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
+	warnings := formerSpecNames.Update(file, nodes)
 	errs := &sexpr.Errors{File: file}
 	forms := sexpr.Forms(nodes, errs)
 	if len(forms) != 1 || forms[0].Name != "fleet" {
@@ -66,6 +67,7 @@
 		Name:          form.Arg(),
 		Program:       form.Words("program"),
 		RollingUpdate: DefaultRollingUpdate(),
+		Warnings:      warnings,
 		instances:     map[string]*InstanceSpec{},
 	}
 	r := &specReader{Spec: spec, errs: errs}
@@ -74,18 +76,18 @@
 		r.readGroup(group, filepath.Dir(file))
 	}
 	r.checkInstanceCounts(form, bounds.Instances)
-	if update := form.Field("wave"); update != nil {
-		r.RollingUpdateQuota = update.Text("budget", "")
+	if update := form.Field("rolling-update"); update != nil {
+		r.RollingUpdateQuota = update.Text("quota", "")
 		r.RollingUpdate = readRollingUpdate(update, r.RollingUpdate)
 	}
-	if quotas := form.Field("budgets"); quotas != nil {
+	if quotas := form.Field("quotas"); quotas != nil {
 		r.readQuotas(quotas)
 	}
-	if coldStart := form.Field("rise"); coldStart != nil {
+	if coldStart := form.Field("cold-start"); coldStart != nil {
 		r.readColdStart(coldStart)
 	}
 	if r.RollingUpdateQuota != "" && !r.hasConcurrencyQuota(r.RollingUpdateQuota) {
-		form.Fail("wave", "this file has no budget %q with a count", r.RollingUpdateQuota)
+		form.Fail("rolling-update", "this file has no quota %q with a count", r.RollingUpdateQuota)
 	}
 	form.Done()
 	return spec, r.err()
--- a/internal/simulation/scenario_file.go
+++ b/internal/simulation/scenario_file.go
@@ -63,7 +63,7 @@
 		s.Load.Swing = l.Share("swing", 0, 1, s.Load.Swing)
 		l.Done()
 	}
-	for _, t := range f.All("trouble") {
+	for _, t := range f.All("fault") {
 		s.Faults = append(s.Faults, readFault(t, &s))
 	}
 	f.Done()
@@ -77,7 +77,7 @@
 func readHosts(f *sexpr.Form, h *HostConfig) {
 	const mb = 1024
 	h.Count = f.Int("count", 1, MaxHosts, h.Count)
-	h.ReportedFleetSize = f.Int("told", 0, MaxHosts, h.ReportedFleetSize)
+	h.ReportedFleetSize = f.Int("reported-fleet-size", 0, MaxHosts, h.ReportedFleetSize)
 	h.Cores = f.Int("cores", 1, 1024, h.Cores)
 	h.SpeedSpread = f.Share("spread", 0, 0.9, h.SpeedSpread)
 	h.CollapseMultiple = f.Share("crowd", 1, 1000, h.CollapseMultiple)
@@ -104,7 +104,7 @@
 	n.Count = f.Int("count", 1, MaxNodes, n.Count)
 	n.Subset = f.Int("subset", 0, MaxHosts, n.Subset)
 	n.Balance = Balance(indexOf(balanceNames, f.OneOf("balance", balanceNames[:Oracle]...)))
-	n.MaxAttempts = f.Int("tries", 0, 1000, n.MaxAttempts)
+	n.MaxAttempts = f.Int("attempts", 0, 1000, n.MaxAttempts)
 	n.Backoff = monotime.FromDuration(f.Span("pause", noTime, time.Minute, span(n.Backoff)))
 	n.UnresponsiveShare = f.Share("deaf", 0, 1, n.UnresponsiveShare)
 	n.HedgeDelay = monotime.FromDuration(f.Span("hedge", noTime, time.Minute, span(n.HedgeDelay)))
@@ -132,11 +132,11 @@
 	return o
 }
 
-// readFault reads (trouble KIND ...).
+// readFault reads (fault KIND ...).
 func readFault(f *sexpr.Form, s *Scenario) Fault {
 	t := Fault{
 		At: monotime.FromDuration(f.Span("at", noTime, day, noTime)), Duration: monotime.FromDuration(f.Span("for", noTime, day, 10*time.Second)), Share: f.Share("share", 0, 1, 0.25),
-		Factor: f.Share("factor", 0, 1e6, 2), BatchShare: f.Share("width", 0, 1, 0.1), LostNotices: f.Share("lost", 0, 1, 0),
+		Factor: f.Share("factor", 0, 1e6, 2), BatchShare: f.Share("batch-share", 0, 1, 0.1), LostNotices: f.Share("lost", 0, 1, 0),
 		ByFleet: f.OneOf("by", "waves", "fleet") == "fleet",
 	}
 	name := f.Arg()
