--- a/cmd/milletbarrow/degradation_bench_test.go
+++ b/cmd/milletbarrow/degradation_bench_test.go
@@ -28,22 +28,22 @@
 
 var operationValues = map[string]float64{"reprint": 1, "lookup": 3, "pay-post": 10}
 
-const steadyPolicy = `(ladder bills (every 30s) (ramp 3s) (smooth (turned 500ms) (late 1s))
- (level no-reprints (shed (operations reprint)) (enter (any (turned 0.15 1s) (late 0.15 1s))) (exit (all (turned 0.05 3s) (late 0.08 3s))) (stay 20s))
- (level few-lookups (shed (operations lookup) (share 0.6)) (enter (turned 0.3 1s)) (exit (turned 0.08 3s)) (stay 20s))
- (level payments (shed (operations lookup)) (enter (turned 0.5 1s)) (exit (turned 0.1 3s)) (stay 20s)))`
+const steadyPolicy = `(degradation bills (change-interval 30s) (recovery-ramp 3s) (smoothing (rejected 500ms) (late 1s))
+ (level no-reprints (shed (operations reprint)) (enter (any (rejected 0.15 1s) (late 0.15 1s))) (exit (all (rejected 0.05 3s) (late 0.08 3s))) (min-duration 20s))
+ (level few-lookups (shed (operations lookup) (share 0.6)) (enter (rejected 0.3 1s)) (exit (rejected 0.08 3s)) (min-duration 20s))
+ (level payments (shed (operations lookup)) (enter (rejected 0.5 1s)) (exit (rejected 0.1 3s)) (min-duration 20s)))`
 
 // swingLadder moves by the queue, which the experiment swings.
-const swingPolicy = `(ladder bills (every 60s) (ramp 10s) (smooth (queue 500ms) (late 1s))
- (level no-reprints (shed (operations reprint)) (enter (any (queue 1.6 1s) (late 0.1 1s))) (exit (all (queue 1.1 5s) (late 0.05 5s))) (stay 20s))
- (level few-lookups (shed (operations lookup) (share 0.6)) (enter (any (queue 2 1s) (late 0.25 1s))) (exit (all (queue 1.2 5s) (late 0.05 5s))) (stay 20s))
- (level payments (shed (operations lookup)) (enter (any (queue 2.6 1s) (late 0.5 1s))) (exit (all (queue 1.3 5s) (late 0.05 5s))) (stay 20s)))`
+const swingPolicy = `(degradation bills (change-interval 60s) (recovery-ramp 10s) (smoothing (queue 500ms) (late 1s))
+ (level no-reprints (shed (operations reprint)) (enter (any (queue 1.6 1s) (late 0.1 1s))) (exit (all (queue 1.1 5s) (late 0.05 5s))) (min-duration 20s))
+ (level few-lookups (shed (operations lookup) (share 0.6)) (enter (any (queue 2 1s) (late 0.25 1s))) (exit (all (queue 1.2 5s) (late 0.05 5s))) (min-duration 20s))
+ (level payments (shed (operations lookup)) (enter (any (queue 2.6 1s) (late 0.5 1s))) (exit (all (queue 1.3 5s) (late 0.05 5s))) (min-duration 20s)))`
 
 // nervousLadder has the same steps, as little hysteresis as is taken, and no time to stay.
-const nervousPolicy = `(ladder bills (every 1s) (ramp 0s) (smooth (turned 100ms) (late 1s))
- (level no-reprints (shed (operations reprint)) (enter (turned 0.15)) (exit (turned 0.135)) (stay 1s))
- (level few-lookups (shed (operations lookup) (share 0.6)) (enter (turned 0.3)) (exit (turned 0.27)) (stay 1s))
- (level payments (shed (operations lookup)) (enter (turned 0.5)) (exit (turned 0.45)) (stay 1s)))`
+const nervousPolicy = `(degradation bills (change-interval 1s) (recovery-ramp 0s) (smoothing (rejected 100ms) (late 1s))
+ (level no-reprints (shed (operations reprint)) (enter (rejected 0.15)) (exit (rejected 0.135)) (min-duration 1s))
+ (level few-lookups (shed (operations lookup) (share 0.6)) (enter (rejected 0.3)) (exit (rejected 0.27)) (min-duration 1s))
+ (level payments (shed (operations lookup)) (enter (rejected 0.5)) (exit (rejected 0.45)) (min-duration 1s)))`
 
 // servingMode is one way to serve the same load.
 type servingMode struct {
--- a/cmd/milletbarrow/degradation_test.go
+++ b/cmd/milletbarrow/degradation_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 	}
-	const text = `(ladder small (smooth (queue 50ms)) (level no-look (shed (operations look)) (enter (queue 3 100ms)) (exit (queue 2 5s))))`
+	const text = `(degradation small (smoothing (queue 50ms)) (level no-look (shed (operations look)) (enter (queue 3 100ms)) (exit (queue 2 5s))))`
 	write(text)
 	b := prepare(t)
 	b.args = []string{"serve", "--levels", file, "--inspect", socket}
@@ -66,7 +66,7 @@
 	b.executor.End(l.ID, "complete", "seen")
 	tr.Say("look: %v", n.Expect())
 	tr.Say("shed %d", state().Shed)
-	write("(ladder small")
+	write("(degradation small")
 	b.cmd.Process.Signal(syscall.SIGHUP)
 	fakes.Until(t, "the bad policy is logged", b.logged("event=reload_degradation used=false"))
 	write(strings.Replace(text, "small", "other", 1))
@@ -85,8 +85,8 @@
 		}
 		return file
 	}
-	good := write("good.sx", `(ladder g (level a (shed (operations look)) (enter (queue 2 1s)) (exit (queue 1 2s)) (stay 5s)) (every 5s) (ramp 1s))`)
-	bad := write("bad.sx", `(ladder g (level a (shed) (enter (queue 2)) (exit (queue 3))))`)
+	good := write("good.sx", `(degradation g (level a (shed (operations look)) (enter (queue 2 1s)) (exit (queue 1 2s)) (min-duration 5s)) (change-interval 5s) (recovery-ramp 1s))`)
+	bad := write("bad.sx", `(degradation g (level a (shed) (enter (queue 2)) (exit (queue 3))))`)
 	var trace strings.Builder
 	for n := range 300 {
 		q := 0.5
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -229,29 +229,29 @@
 func TestQuotaCommands(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "f.sx")
-	check := func(budgets string) string {
+	check := func(forms string) string {
 		text := "(fleet f (host h1 (agent \"unix:/tmp/a\") (peer \"127.0.0.1:7001\")) (host h2 (agent \"unix:/tmp/b\") (peer \"127.0.0.1:7002\"))\n" +
-			" (group g (host h1) (config \"%n.json\") (range n 1 4))\n" + budgets + ")"
+			" (group g (host h1) (config \"%n.json\") (range n 1 4))\n" + forms + ")"
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		out, _ := exec.Command(program, "fleet", "check", "--fleet", file).CombinedOutput()
 		return string(out)
 	}
-	for budgets, wanted := range map[string]string{
-		"(budgets (ledger h1) (budget b (rate 10) (tenant t) (floor 3)))":                              "f.sx:3:53: fleet.budgets.budget.floor: the floors of 4 backends sum up to 12, the total is 10",
-		"(budgets (ledger h1) (budget b (rate 10) (tenant t) (lease 1s) (margin 2s)))":                 "f.sx:3:53: fleet.budgets.budget.lease: 1000 ms is not longer than its margin, 2000 ms",
-		"(budgets (ledger h1) (budget b (rate 10) (tenant t) (lease 10s) (margin 50ms)))":              "budget.margin: 50 ms is less than 100 ms",
-		"(budgets (ledger h1 h2) (budget b (count 2)))":                                                "f.sx:3:10: fleet.budgets.ledger: a group of two tolerates no failure",
-		"(budgets (ledger h9) (budget b (count 2)))":                                                   `unknown host "h9"`,
-		"(budgets (ledger h1) (budget b (count 2) (rate 3)))":                                          "wanted either (rate UNITS-A-SECOND) or (count UNITS)",
-		"(budgets (ledger h1) (budget b (count 2)) (budget b (count 2)))":                              `duplicate budget "b"`,
-		"(budgets (ledger h1) (budget b (rate 9)))":                                                    "budget.tenant: missing",
-		"(budgets (ledger h1) (budget b (count 2))) (wave (budget c))":                                 `this file has no budget "c" with a count`,
-		"(budgets (ledger h1) (budget b (rate 9) (tenant t) (floors (n1 2) (n2 1)))) (wave (width 2))": "can be used",
+	for forms, wanted := range map[string]string{
+		"(quotas (quota-store h1) (quota b (rate 10) (tenant t) (floor 3)))":                                                  "f.sx:3:56: fleet.quotas.quota.floor: the floors of 4 backends sum up to 12, the total is 10",
+		"(quotas (quota-store h1) (quota b (rate 10) (tenant t) (lease 1s) (margin 2s)))":                                     "f.sx:3:56: fleet.quotas.quota.lease: 1000 ms is not longer than its margin, 2000 ms",
+		"(quotas (quota-store h1) (quota b (rate 10) (tenant t) (lease 10s) (margin 50ms)))":                                  "quota.margin: 50 ms is less than 100 ms",
+		"(quotas (quota-store h1 h2) (quota b (count 2)))":                                                                    "f.sx:3:9: fleet.quotas.quota-store: a group of two tolerates no failure",
+		"(quotas (quota-store h9) (quota b (count 2)))":                                                                       `unknown host "h9"`,
+		"(quotas (quota-store h1) (quota b (count 2) (rate 3)))":                                                              "wanted either (rate UNITS-A-SECOND) or (count UNITS)",
+		"(quotas (quota-store h1) (quota b (count 2)) (quota b (count 2)))":                                                   `duplicate quota "b"`,
+		"(quotas (quota-store h1) (quota b (rate 9)))":                                                                        "quota.tenant: missing",
+		"(quotas (quota-store h1) (quota b (count 2))) (rolling-update (quota c))":                                            `this file has no quota "c" with a count`,
+		"(quotas (quota-store h1) (quota b (rate 9) (tenant t) (floors (n1 2) (n2 1)))) (rolling-update (max-unavailable 2))": "can be used",
 	} {
-		if out := check(budgets); !strings.Contains(out, wanted) {
-			t.Errorf("%s\n%swanted %q", budgets, out, wanted)
+		if out := check(forms); !strings.Contains(out, wanted) {
+			t.Errorf("%s\n%swanted %q", forms, out, wanted)
 		}
 	}
 }
--- a/cmd/milletbarrow/fleet_quotas.go
+++ b/cmd/milletbarrow/fleet_quotas.go
@@ -15,9 +15,9 @@
 
 func fleetQuotasCommand() *cli.Command {
 	return &cli.Command{
-		Name: "budgets", Usage: "show who holds how much of the fleet's budgets, or write a lost holder off",
-		Description: "Any agent hands the question on to the one that leads the ledger. Examples:\n   milletbarrow fleet budgets --fleet fleet.sx\n" +
-			"   milletbarrow fleet budgets --fleet fleet.sx --write-off n3     (its host is lost for good, its process runs no more)",
+		Name: "quotas", Usage: "show who holds how much of the fleet's quotas, or write off a lost holder",
+		Description: "Any agent hands the question on to the one that leads the ledger. Examples:\n   milletbarrow fleet quotas --fleet fleet.sx\n" +
+			"   milletbarrow fleet quotas --fleet fleet.sx --write-off n3     (its host is lost for good, its process runs no more)",
 		Flags: []cli.Flag{fleetFlag(), jsonFlag(), &cli.StringFlag{
 			Name: "write-off", Usage: "what this `NAME` holds is in force no more: you have made sure of it",
 		}},
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -20,9 +20,9 @@
 	tr := fakes.NewTrace(t)
 	h := newTestFleet(t, 4, "(settle 100ms)", "", "", `"drain_grace_ms":300`, `"drain_grace_ms":301`, `"stop_ms":1500`, `"stop_ms":4001`)
 	text := fmt.Sprintf(`(fleet test (host h1 (agent "unix:%[1]s/agent.sock")) (host h2 (agent "unix:%[1]s/two/agent.sock"))
-		(group a (host h1) (config "%%n.json") (settle 100ms) (start-within 10s) (restart (most 1) (within 1m)) (instances n1 n2))
-		(group b (host h2) (config "%%n.json") (settle 100ms) (start-within 10s) (restart (most 1) (within 1m)) (instances n3 n4))
-		(wave (width 1) (least-share 0.5) (stall 10s)))`, h.dir)
+		(group a (host h1) (config "%%n.json") (settle 100ms) (start-within 10s) (restart (max 1) (within 1m)) (instances n1 n2))
+		(group b (host h2) (config "%%n.json") (settle 100ms) (start-within 10s) (restart (max 1) (within 1m)) (instances n3 n4))
+		(rolling-update (max-unavailable 1) (min-ready-share 0.5) (stall-timeout 10s)))`, h.dir)
 	if err := errors.Join(os.WriteFile(h.file, []byte(text), 0o600), os.Mkdir(filepath.Join(h.dir, "two"), 0o700)); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/milletbarrow/former_names.go
+++ b/cmd/milletbarrow/former_names.go
@@ -9,6 +9,7 @@
 	"lab":              "experiment",
 	"trial":            "faults",
 	"standin":          "fake",
+	"fleet budgets":    "quotas",
 	"fleet wave":       "rolling-update",
 	"fleet rise":       "cold-start",
 	"experiment rise":  "cold-start",
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -111,10 +111,31 @@
 // TestExamples: the files under deploy/ that people copy can be used.
 func TestExamples(t *testing.T) {
 	for _, args := range [][]string{
-		{"levels", "check", "../../deploy/ladder.sx"}, {"fleet", "check", "--fleet", "../../deploy/fleet.sx"},
+		{"levels", "check", "../../deploy/degradation.sx"}, {"fleet", "check", "--fleet", "../../deploy/fleet.sx"},
 	} {
 		if out, err := exec.Command(program, args...).CombinedOutput(); err != nil {
 			t.Errorf("%v: %v: %s", args, err, out)
 		}
 	}
 }
+
+// fleet check prints a line for each former name in a fleet's file, with its place and the name of today.
+func TestFleetCheckPrintsFormerNames(t *testing.T) {
+	const file = "../../internal/fleet/testdata/6251f7b/fleet.sx"
+	out, err := exec.Command(program, "fleet", "check", "--fleet", file).CombinedOutput()
+	if err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	for _, warning := range []string{
+		file + `:8:4: "budgets" is a former name: write "quotas"`,
+		file + `:8:25: "ledger" is a former name: write "quota-store"`,
+		file + `:15:4: "wave" is a former name: write "rolling-update"`,
+	} {
+		if strings.Count(string(out), warning+"\n") != 1 {
+			t.Errorf("no line %s in\n%s", warning, out)
+		}
+	}
+	if n := strings.Count(string(out), "is a former name"); n != 14 {
+		t.Errorf("%d former names, want 14:\n%s", n, out)
+	}
+}
--- a/internal/backend/degradation/names_test.go
+++ b/internal/backend/degradation/names_test.go
@@ -47,7 +47,7 @@
 		return string(encoded), warnings
 	}
 	earlier, earlierWarnings := read("testdata/6251f7b/ladder.sx")
-	today, warnings := read("../../../deploy/ladder.sx")
+	today, warnings := read("../../../deploy/degradation.sx")
 	if diff := cmp.Diff(earlier, today); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/faultinjection/harness/state.go
+++ b/internal/faultinjection/harness/state.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// State is what fleet budgets prints, as far as a trial needs it.
+// State is what fleet quotas prints, as far as a trial needs it.
 type State struct {
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
@@ -27,7 +27,7 @@
 func (harness *Harness) quotaState(ctx context.Context) *State {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	out, err := harness.Tool(ctx, "budgets", "--json")
+	out, err := harness.Tool(ctx, "quotas", "--json")
 	var s State
 	if err != nil || json.Unmarshal(out, &s) != nil || s.Leader == "" {
 		return nil
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -104,8 +104,8 @@
 	config.MaxFailures = f.Int("max-failures", 0, maxRolloutCount, config.MaxFailures)
 	config.ReadyWithin = span("ready-within", 0)
 	config.StallTimeout = span("stall-timeout", config.StallTimeout)
-	config.RejectionTolerance = span("rejection-tolerance", config.RejectionTolerance)
-	config.MaxRejectedShare = f.Share("max-rejected-share", 0, 1, config.MaxRejectedShare)
+	config.RejectionTolerance = span("rejected-for", config.RejectionTolerance)
+	config.MaxRejectedShare = f.Share("rejected-share", 0, 1, config.MaxRejectedShare)
 	f.Done()
 	if err, ok := errors.AsType[*FieldError](config.Check()); ok {
 		field := strings.ReplaceAll(err.Field, "_", "-")
--- a/internal/fleet/spec_names.go
+++ b/internal/fleet/spec_names.go
@@ -15,8 +15,8 @@
 		"least-count": "min-ready",
 		"least-share": "min-ready-share",
 		"stall":       "stall-timeout",
-		"turned-away": "max-rejected-share",
-		"turned-for":  "rejection-tolerance",
+		"turned-away": "rejected-share",
+		"turned-for":  "rejected-for",
 		"width":       "max-unavailable",
 	},
 	"quotas": {
@@ -31,7 +31,7 @@
 		"failures": "max-failures",
 		"first":    "initial-concurrent",
 		"least":    "min-serving-share",
-		"refused":  "max-rejected-share",
+		"refused":  "rejected-share",
 		"slow":     "slow-factor",
 	},
 	"group": {
--- a/internal/fleet/spec_names_test.go
+++ b/internal/fleet/spec_names_test.go
@@ -20,8 +20,8 @@
     (quota q2 (count 3) (reserve-per-host yes)))
   (group g (host h1) (config "/c/%n.json") (instances a b) (degradation "/c/levels.sx") (restart (max 5) (within 1m)))
   (rolling-update (max-unavailable 2) (min-ready 1) (min-ready-share 0.4) (max-failures 3) (stall-timeout 90s)
-    (max-rejected-share 0.7) (rejection-tolerance 8s) (quota q2))
-  (cold-start (quota q2) (min-serving-share 0.6) (max-failures 4) (slow-factor 3) (max-rejected-share 0.2)
+    (rejected-share 0.7) (rejected-for 8s) (quota q2))
+  (cold-start (quota q2) (min-serving-share 0.6) (max-failures 4) (slow-factor 3) (rejected-share 0.2)
     (initial-concurrent 1)))`
 
 func TestFormerNamesInFleetFile(t *testing.T) {
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -177,7 +177,7 @@
 		MinServing:        f.Share("min-serving-share", 0, 1, defaultMinServing),
 		MaxFailures:       int64(f.Int("max-failures", 1, maxColdStartFailures, defaultColdStartFailures)),
 		SlowFactor:        f.Share("slow-factor", 1, maxSlowFactor, defaultSlowFactor),
-		MaxRejected:       f.Share("max-rejected-share", 0, 1, defaultMaxRejected),
+		MaxRejected:       f.Share("rejected-share", 0, 1, defaultMaxRejected),
 		InitialConcurrent: int64(f.Int("initial-concurrent", 0, maxInitialConcurrent, 0)),
 	}
 	f.Done()
