--- a/internal/fleet/accept_command.go
+++ b/internal/fleet/accept_command.go
@@ -114,7 +114,7 @@
 			m.recordResult(now, command, inst.Name, OutcomeUnchanged, "")
 			inst.reportAlreadyRunning(command)
 		}
-	case KindRollingUpdate: // releaseInstances restarts the instance when its turn comes
+	case KindRollingUpdate: // releaseInstances restarts the instance in its turn
 	}
 }
 
--- a/internal/fleet/cold_start.go
+++ b/internal/fleet/cold_start.go
@@ -26,8 +26,8 @@
 	coldStartBeginStandalone                      // the quota store is silent; it starts with the host's reserved unit
 )
 
-// advanceColdStart starts what is down on this host: each instance requests a unit, starts once it holds one, and keeps
-// it until it is settled or given up. The quota store decides which hosts get units first.
+// advanceColdStart starts the instances of this host that are down: each requests a unit, starts once it holds one, and
+// keeps it until it has settled or is given up. The quota store decides which hosts get units first.
 func (m *Machine) advanceColdStart(now monotime.Micros, command *Command) {
 	pending := 0
 	standalone := m.standaloneStartInProgress(now)
@@ -74,7 +74,7 @@
 	return false
 }
 
-// nextColdStartStep decides what is next for an instance that is not in progress, and requests a unit for it if it may
+// nextColdStartStep decides the next step of an instance that is not in progress, and requests a unit for it if it may
 // start and holds none. standalone reports whether the unit reserved for this host is in use.
 func (m *Machine) nextColdStartStep(
 	now monotime.Micros, command *Command, inst *Instance, standalone bool,
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -22,7 +22,7 @@
 
 const (
 	defaultKillDelay = 500 * time.Millisecond
-	// A process that ends by itself costs its host more than an action that is sent again.
+	// The launch of a process costs its host more than the resend of an action.
 	relaunchMinFactor = 2  // of the pauses between resends
 	relaunchMaxFactor = 10 // of the longest pause between resends
 )
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -8,7 +8,7 @@
 
 // RolloutCoordinator decides in which order the agents of many hosts begin their rolling updates. Each agent keeps the
 // minimum of its own groups, the coordinator that of the fleet. It needs no storage: commands have the same ID at every
-// agent, so that a coordinator that is started again learns from the agents how far the one before had come.
+// agent, so that a restarted coordinator learns the progress from the agents.
 type RolloutCoordinator struct {
 	Hosts              []string // in the file's order
 	Config             RollingUpdateConfig
@@ -16,7 +16,7 @@
 	blockedSince       monotime.Micros // since when the fleet's minimum lets no host begin; 0: one can
 }
 
-// HostProgress is what is known of a host's part of a rollout.
+// HostProgress is the known progress of a host in a rollout.
 type HostProgress struct {
 	Reachable      bool
 	State          CommandState // of the host's command; empty: it has none yet
@@ -37,8 +37,8 @@
 // rolloutTally sums up the progress of all hosts.
 type rolloutTally struct {
 	waiting   []string // hosts without a command, in the file's order
-	updating  int      // hosts whose update is under way
-	ready     int      // instances, without those that the updates under way may still take out
+	updating  int      // hosts whose update is in progress
+	ready     int      // instances, less those that the updates in progress may still take out
 	desiredUp int      // instances
 }
 
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Why a command is rejected; Decide returns them inside a CommandError.
+// Causes of a rejected command. Decide returns them inside a CommandError.
 var (
 	ErrIDConflict = errors.New("another command with this id was accepted before")
 	// ErrUnknownCommand keeps its text: command-line clients of other releases compare it.
@@ -23,16 +23,16 @@
 	ErrUpdateNeverEnds = errors.New("the rolling update would never end with these settings")
 )
 
-// CommandError reports which operation on which command was rejected, and why. Its text is that of Err alone.
+// CommandError reports a rejected operation on a command. Its text is that of Err.
 type CommandError struct {
 	Operation string // OperationAccept or the verb of CommandControl
 	CommandID string
-	Instance  string // empty: the rejection is not about a single instance
-	Group     string // empty: the rejection is not about a single group
-	Err       error
+	Instance  string // the instance at fault; empty: no single one
+	Group     string // the group at fault; empty: no single one
+	Err       error  // the cause
 }
 
-// OperationAccept is the operation of a CommandError about a new command.
+// OperationAccept is the operation of a CommandError that rejects a new command.
 const OperationAccept = "accept"
 
 func (e *CommandError) Error() string { return e.Err.Error() }
@@ -40,21 +40,22 @@
 // Unwrap returns the cause.
 func (e *CommandError) Unwrap() error { return e.Err }
 
-// commandError completes a rejection by the operation and the command.
+// commandError adds the operation and the command to a rejection.
 func commandError(operation, id string, err error) error {
 	rejection, ok := errors.AsType[*CommandError](err)
 	if !ok {
 		rejection = &CommandError{Err: err}
 	}
-	rejection.Operation, rejection.CommandID = operation, id
+	rejection.Operation = operation
+	rejection.CommandID = id
 	return rejection
 }
 
-// FieldError reports a field of a command, or of a rolling update's configuration, that can't be used.
+// FieldError reports an invalid field of a command or of a rolling update's configuration.
 type FieldError struct {
-	Field  string // as JSON names it
+	Field  string // its JSON name; "least" for least_count and least_share together
 	Reason string
-	Err    error // the cause; nil: Reason says everything
+	Err    error // the cause; nil: Reason is complete
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
@@ -66,14 +67,14 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// VerbError reports an operation on a command that does not exist.
+// VerbError reports an unknown operation on a command.
 type VerbError struct{ Verb Verb }
 
 func (e *VerbError) Error() string {
 	return fmt.Sprintf("unknown operation %q, wanted pause, resume or cancel", e.Verb)
 }
 
-// NameError reports a string that can't name a host, a group, an instance or a command.
+// NameError reports an invalid name of a host, a group, an instance or a command.
 type NameError struct{ Name string }
 
 func (e *NameError) Error() string {
@@ -102,15 +103,20 @@
 	return fmt.Sprintf("%s %q matches nothing in fleet %s", e.Kind, e.Word, e.Fleet)
 }
 
-// SpecError reports one thing that is wrong with a fleet's file. Its text is that of Err alone.
+// SpecError reports one fault of a fleet's file. Its text is that of Err.
 type SpecError struct {
 	SpecSubject
 	Err error // a *sexpr.Error with the place and the path of the field
 }
 
-// SpecSubject is what a part of a fleet's file describes. What it does not name is empty; all is empty for the fleet
-// itself.
-type SpecSubject struct{ Host, Group, Instance, Quota string }
+// SpecSubject names the host, group, instance or quota that has a fault. The fields that do not apply are empty; all
+// are empty if the fault is the fleet's own.
+type SpecSubject struct {
+	Host     string
+	Group    string
+	Instance string
+	Quota    string
+}
 
 func (e *SpecError) Error() string { return e.Err.Error() }
 
--- a/internal/fleet/event.go
+++ b/internal/fleet/event.go
@@ -33,7 +33,7 @@
 // Verb is the effect of CommandControl on a command.
 type Verb string
 
-// The verbs.
+// The verbs of CommandControl.
 const (
 	VerbPause  Verb = "pause"
 	VerbResume Verb = "resume"
@@ -47,7 +47,7 @@
 type UnitAcquired struct {
 	HeldUnit
 	Granted bool
-	Cause   string // why it was not granted
+	Cause   string // of a denial; empty: granted
 }
 
 // UnitReleased reports that the quota store took a unit back.
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -169,8 +169,8 @@
 	inst.setPhase(now, PhaseAbsent, causeRebooted)
 }
 
-// awaitObservation makes the phase of a running instance unknown after a restart of the agent. A pending action goes
-// out again at once.
+// awaitObservation makes the phase of a running instance unknown after a restart of the agent. A pending action is
+// sent again at once.
 func (inst *Instance) awaitObservation(now monotime.Micros) {
 	inst.Phase = PhaseUnknown
 	inst.PhaseSince = now
@@ -193,7 +193,7 @@
 	return inst.available(now) || !inst.DesiredUp && inst.Phase.Down()
 }
 
-// runsUndisturbed reports whether the instance is ready and is not about to leave.
+// runsUndisturbed reports whether the instance is ready and has neither been notified nor to restart.
 func (inst *Instance) runsUndisturbed() bool {
 	return inst.Phase == PhaseReady && !inst.RestartPending && inst.NoticeID == ""
 }
@@ -203,7 +203,7 @@
 	return inst.Phase == PhaseFailed && inst.LaunchesExhausted
 }
 
-// shouldNotify reports whether the instance is to leave and has not been notified.
+// shouldNotify reports whether the instance has to exit and has not been notified.
 func (inst *Instance) shouldNotify() bool {
 	return inst.NoticeID == "" && (!inst.DesiredUp || inst.RestartPending)
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -33,7 +33,7 @@
 }
 
 // New returns a machine for the instances of a host; window returns the shutdown window of an instance.
-func New(s *Spec, host string, config Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
+func New(spec *Spec, host string, config Config, window func(*InstanceSpec) ShutdownWindow) *Machine {
 	m := &Machine{
 		config:           config,
 		random:           rand.New(rand.NewPCG(config.JitterSeed, 0)),
@@ -43,17 +43,17 @@
 		changedInstances: map[string]bool{},
 		changedCommands:  map[string]bool{},
 	}
-	for i, spec := range s.InstancesOn(host) {
-		group := s.Group(spec.Group)
+	for i, instanceSpec := range spec.InstancesOn(host) {
+		group := spec.Group(instanceSpec.Group)
 		m.groups[group.Name] = group
-		m.instanceNames = append(m.instanceNames, spec.Name)
-		m.instances[spec.Name] = &Instance{
-			Name:      spec.Name,
+		m.instanceNames = append(m.instanceNames, instanceSpec.Name)
+		m.instances[instanceSpec.Name] = &Instance{
+			Name:      instanceSpec.Name,
 			Group:     group.Name,
-			Spare:     spec.Spare,
+			Spare:     instanceSpec.Spare,
 			Phase:     PhaseAbsent,
 			group:     group,
-			shutdown:  window(spec),
+			shutdown:  window(instanceSpec),
 			fileOrder: i,
 		}
 	}
@@ -64,7 +64,7 @@
 
 func (m *Machine) markCommandChanged(command *Command) { m.changedCommands[command.ID] = true }
 
-// Names lists the instances in the file's order.
+// Names lists the names of the instances in the file's order.
 func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
 
 // Idle reports whether no command is open and no instance waits for a deadline, an action, a unit or a launch. It does
@@ -125,7 +125,7 @@
 			m.advanceRollingUpdate(now, command)
 		case KindColdStart:
 			m.advanceColdStart(now, command)
-		case KindStart, KindDrain, KindStop, KindRestart: // reconcile does all that they ask for
+		case KindStart, KindDrain, KindStop, KindRestart: // advance and reconcile serve them
 		}
 	}
 	m.closeFinishedCommands(now)
--- a/internal/fleet/preview.go
+++ b/internal/fleet/preview.go
@@ -22,8 +22,8 @@
 	previewRound       monotime.Micros = 1 << 40
 )
 
-// Preview simulates a rolling update without any process: every instance counts as up and ready, and each batch comes
-// back complete. Its error is a *CommandError if the update would be rejected, or ErrUpdateNeverEnds.
+// Preview simulates a rolling update without any process: every instance counts as up and ready, and each batch
+// becomes ready again. Its error is a *CommandError if the update would be rejected, or ErrUpdateNeverEnds.
 func Preview(spec *Spec, host string, names []string, config RollingUpdateConfig) ([]PlanStep, error) {
 	m := newPreviewMachine(spec, host)
 	command := &Command{
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -65,7 +65,7 @@
 	m.markInstanceChanged(inst)
 }
 
-// reconcileRunning notifies an instance that is to leave, or that did not become ready in time.
+// reconcileRunning notifies an instance that has to exit, or that did not become ready in time.
 func (m *Machine) reconcileRunning(now monotime.Micros, inst *Instance) {
 	switch {
 	case inst.NoticeID != "":
@@ -79,7 +79,7 @@
 	}
 }
 
-// issueAction decides on an action. A launch that adopts no incarnation begins a new one.
+// issueAction issues a new action. A launch that adopts no incarnation begins a new one.
 func (m *Machine) issueAction(now monotime.Micros, inst *Instance, kind ActionKind, cause string) {
 	inst.ActionCount++
 	inst.ActionID = fmt.Sprintf("%s.%d", inst.Name, inst.ActionCount)
@@ -141,7 +141,7 @@
 	})
 }
 
-// exitDeadline returns when an instance that is notified now has to have exited; the agent then kills it.
+// exitDeadline returns the time at which the agent kills an instance that is notified now.
 func (m *Machine) exitDeadline(now monotime.Micros, inst *Instance) monotime.Micros {
 	return now + inst.shutdown.ExitTimeout + m.config.KillDelay
 }
--- a/internal/fleet/resolve_command.go
+++ b/internal/fleet/resolve_command.go
@@ -2,7 +2,7 @@
 
 import "milletbarrow/monotime"
 
-// resolveCommand gives the command that waits for an instance its result, once there is one.
+// resolveCommand records the result for the command that waits for an instance, once there is one.
 func (m *Machine) resolveCommand(now monotime.Micros, inst *Instance) {
 	command := m.commands[inst.CommandID]
 	if command == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// recordResult gives a command its result for one instance. A result that is there is never replaced.
+// recordResult records the result of a command for one instance. A recorded result is never replaced.
 func (m *Machine) recordResult(now monotime.Micros, command *Command, name string, outcome Outcome, cause string) {
 	if command.hasResult(name) {
 		return
@@ -97,7 +97,7 @@
 	})
 }
 
-// expireCommand ends a command whose deadline has passed. What it began goes on.
+// expireCommand ends a command whose deadline has passed. Launches and shutdowns that it began continue.
 func (m *Machine) expireCommand(now monotime.Micros, command *Command) {
 	for _, name := range command.unresolved() {
 		m.recordResult(now, command, name, OutcomeTimedOut, causeDeadlinePassed)
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// stopSpare makes a spare not desired up. An instance that is no spare any more stays as it is, and so does nil.
+// stopSpare has a spare shut down. nil, and an instance that the spec no longer has as a spare, are ignored.
 func (m *Machine) stopSpare(inst *Instance) {
 	if inst != nil && inst.Spare && inst.DesiredUp {
 		inst.DesiredUp = false
@@ -224,7 +224,7 @@
 	if count.available-cost < command.Rollout.minReady(count.desiredUp) {
 		return releaseBlocked
 	}
-	if inst.Phase == PhaseUnknown { // it may be ready: its restart would take out one that is not counted
+	if inst.Phase == PhaseUnknown { // it may be ready although it is not counted
 		return releaseBlocked
 	}
 	count.available -= cost
--- a/internal/fleet/selection.go
+++ b/internal/fleet/selection.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Selection names instances: those that match any of the lists.
+// Selection selects the instances that match any of its lists.
 type Selection struct {
 	All    bool     `json:"all,omitempty"` // all instances but spares
 	Names  []string `json:"names,omitempty"`
@@ -39,7 +39,7 @@
 	}
 }
 
-// Empty reports whether the selection names nothing.
+// Empty reports whether the selection is empty.
 func (q Selection) Empty() bool {
 	return !q.All && len(q.selectors()) == 0
 }
@@ -58,7 +58,7 @@
 	return all
 }
 
-// Select lists what the selection names, in the file's order, each once. A spare is selected by its name alone. The
+// Select lists the selected instances in the file's order, each once. A spare is selected by its name alone. The
 // error is ErrEmptySelection or, for a word that matches nothing, a *SelectionError, so that a misspelt name is
 // noticed.
 func (s *Spec) Select(q Selection) ([]*InstanceSpec, error) {
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// readName reads a form's only word as a name, which stands in file names, paths and lines of words.
+// readName reads a form's only word as a name.
 func readName(f *sexpr.Form) string {
 	name := f.Arg()
 	if err := CheckName(name); err != nil {
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -33,10 +33,10 @@
 	// unitRetryDelay is the time between two calls about one unit. When all units of a quota are held, the next is
 	// released within seconds.
 	unitRetryDelay = 300 * monotime.Millisecond
-	// maxUnitRetryJitter is added to it at random for requests, so that hosts do not call together.
+	// maxUnitRetryJitter bounds the random addition to unitRetryDelay, so that hosts do not call together.
 	maxUnitRetryJitter = unitRetryDelay / 2
-	// maxRequestGap is the time between two unit requests up to which the silence after the first counts with the
-	// second.
+	// maxRequestGap bounds the pause between two requests over which a silence of the quota store continues: a longer
+	// time without requests shows nothing.
 	maxRequestGap = 10 * unitRetryDelay
 )
 
@@ -84,7 +84,7 @@
 	})
 }
 
-// unitNeeded reports whether the command still has use for the unit of the instance.
+// unitNeeded reports whether the command still needs the unit of the instance.
 func (m *Machine) unitNeeded(inst *Instance) bool {
 	command := m.commands[inst.Unit.CommandID]
 	if command == nil || !command.usesUnits() || !slices.Contains(command.Names, inst.Name) {
@@ -96,7 +96,7 @@
 // usesUnits reports whether the instances of the command may hold units of a quota.
 func (c *Command) usesUnits() bool { return c.Kind == KindRollingUpdate || c.Kind == KindColdStart }
 
-// returnUnit releases a unit that is of no more use.
+// returnUnit releases a unit that is no longer needed.
 func (m *Machine) returnUnit(now monotime.Micros, inst *Instance) {
 	unit := &inst.Unit
 	if unit.RequestID == "" || m.unitNeeded(inst) {
