--- /dev/null
+++ b/internal/backend/dispatch/ticker_test.go
@@ -0,0 +1,132 @@
+package dispatch
+
+import (
+	"bytes"
+	"log"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
+)
+
+// Ticks go on while no sample comes, and answer requests by their deadline.
+func TestTicksGoOnWithoutSamples(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	d := open(t)
+	requested := 0
+	requestSample := func() bool {
+		requested++
+		return true
+	}
+	stop := startTicks(t, d, requestSample, nil)
+	inv := newInvocation("a")
+	inv.CallerTimeout = 300 * monotime.Millisecond
+	_, req := d.Admit(inv)
+	resp := fakes.Take(t, "the final response", req.FinalResponse())
+	latest := inv.ArrivedAt + inv.CallerTimeout + d.settings.Admission.AnswerSlack
+	tr.Say("verdict %d, in time %t", resp.Verdict, Now() < latest)
+	stop()
+	tr.Say("sample requested %t", requested > 0)
+}
+
+// A sample that came too late for its tick is used by the next one, if no newer sample comes.
+func TestLateSampleIsUsedByNextTick(t *testing.T) {
+	sampled := make(chan []float64, 1)
+	sampled <- []float64{0.5, 7, 0.1, 1}
+	requestSample := func() bool { return true }
+	if got := queueGaugeOfFirstSample(t, open(t), requestSample, sampled); got != 7 {
+		t.Errorf("queue gauge %v, want 7", got)
+	}
+}
+
+// A sample that comes after a stall is discarded, and another one is requested.
+func TestSampleIsRequestedAgainAfterStall(t *testing.T) {
+	d := open(t)
+	d.bounds.SampleTimeout = 10 * time.Second
+	sampled := make(chan []float64, 1)
+	requests := 0
+	requestSample := func() bool {
+		requests++
+		if requests == 1 {
+			start := Now()
+			stalled := monotime.FromDuration(d.bounds.StallThreshold + 20*time.Millisecond)
+			fakes.Until(t, "the process has been stalled", func() bool { return Now() > start+stalled })
+			sampled <- []float64{0.5, 7, 0.1, 1}
+			return true
+		}
+		d.bounds.StallThreshold = time.Minute // so that a busy machine causes no further stall
+		select {
+		case sampled <- []float64{0.5, 8, 0.1, 1}:
+		default:
+		}
+		return true
+	}
+	got := queueGaugeOfFirstSample(t, d, requestSample, sampled)
+	if got != 8 || requests < 2 {
+		t.Errorf("queue gauge %v after %d requests, want 8 after 2 or more", got, requests)
+	}
+}
+
+// Without samples the latest gauges remain valid for SampleMaxAge, and are then unknown.
+func TestOldGaugesBecomeUnknown(t *testing.T) {
+	d := open(t)
+	d.Tick(fullCores)
+	d.gaugesAt = Now()
+	if d.updateGauges(d.gaugesAt+1, nil); len(d.gauges) == 0 {
+		t.Error("the latest gauges are unknown before SampleMaxAge")
+	}
+	old := d.gaugesAt + monotime.FromDuration(d.bounds.SampleMaxAge) + 1
+	if d.updateGauges(old, nil); len(d.gauges) != 0 {
+		t.Errorf("the gauges are known after SampleMaxAge: %v", d.gauges)
+	}
+}
+
+// The next tick is in the future although the module sets no timer.
+func TestNextTickIsInTheFuture(t *testing.T) {
+	d := open(t)
+	silenceModule(d)
+	start := Now()
+	if next := d.Tick(fullCores); next <= start {
+		t.Errorf("next tick %d us after this one", next-start)
+	}
+}
+
+// A request that the module has lost is answered once it is overdue; one that has been answered gets no second answer.
+func TestOverdueRequestIsAnswered(t *testing.T) {
+	d := open(t)
+	_, lost := d.Admit(newInvocation("lost"))
+	_, abandoned := d.Admit(newInvocation("abandoned"))
+	d.Abandon(abandoned)
+	silenceModule(d)
+	var logged bytes.Buffer
+	defer log.SetOutput(log.Writer())
+	defer slog.SetDefault(slog.Default())
+	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
+	overdue := max(lost.deadline, abandoned.deadline) + d.settings.Admission.AnswerSlack
+	d.answerOverdue(lost.deadline - 1)
+	if len(lost.responses) != 0 {
+		t.Error("answered before its deadline")
+	}
+	d.answerOverdue(overdue)
+	if resp := fakes.Take(t, "the final response", lost.responses); resp.Verdict != Errored {
+		t.Errorf("the lost request: %+v, want verdict Errored", resp)
+	}
+	if n := strings.Count(logged.String(), "msg=overdue"); n != 1 || d.counts.Errored != 1 {
+		t.Errorf("%d answered, %d logged; want 1, 1:\n%s", d.counts.Errored, n, logged.String())
+	}
+}
+
+// Each tick answers overdue requests.
+func TestTickAnswersOverdueRequests(t *testing.T) {
+	d := open(t)
+	_, lost := d.Admit(newInvocation("lost"))
+	silenceModule(d)
+	lost.deadline -= 10 * monotime.Second
+	d.Tick(fullCores)
+	if len(lost.responses) != 1 {
+		t.Error("the overdue request is not answered")
+	}
+}
--- a/internal/cluster/quota/command.go
+++ b/internal/cluster/quota/command.go
@@ -1,14 +1,11 @@
 package quota
 
 import (
-	"errors"
-	"fmt"
-
 	"milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/coldstart"
 )
 
-// Command is one entry of the replicated log. The parts that are set are applied in the order of Apply.
+// Command is one entry of the replicated log. State.Apply applies the fields that are set, in an order of its own.
 type Command struct {
 	Config        *Config           `json:"terms,omitempty"`
 	Renew         *RenewCommand     `json:"renew,omitempty"`
@@ -19,158 +16,70 @@
 	WriteOff      *WriteOffCommand  `json:"write_off,omitempty"`
 	ColdStart     *ColdStartCommand `json:"rise,omitempty"`
 	ElapsedPauses []ElapsedPause    `json:"rested,omitempty"` // of cold starts, timed by the leader
-	Rebalance     bool              `json:"divide,omitempty"` // set by the leader when it is time to
-	FreezeGrowth  bool              `json:"hold,omitempty"`   // grants that this state has lost may be in force: none may grow
+	Rebalance     bool              `json:"divide,omitempty"` // set by the leader when a rebalance is due
+
+	// FreezeGrowth forbids grants to grow, because grants that this state has lost may still be in force.
+	FreezeGrowth bool `json:"hold,omitempty"`
 }
 
-// RenewCommand brings the lease requests of one host's backends.
+// RenewCommand contains the lease requests of one host's backends.
 type RenewCommand struct {
 	Host     string               `json:"host"`
 	Requests []quota.LeaseRequest `json:"asks"`
 }
 
-// Expiry ends the extras of a client's grants up to an epoch, whose leases are surely over.
+// Expiry ends the extras of a client's grants up to an epoch, whose leases have expired.
 type Expiry struct {
-	Limit     string `json:"budget"`
-	ClientKey string `json:"key"`
-	Epoch     uint64 `json:"epoch"`
+	Limit     LimitName `json:"budget"`
+	ClientKey ClientKey `json:"key"`
+	Epoch     uint64    `json:"epoch"`
 }
 
-// ExitCommand reports that processes have ended. It counts only from the host that they ran on.
+// ExitCommand reports processes that have exited. Clients on other hosts than Host are ignored.
 type ExitCommand struct {
-	Host       string   `json:"host"`
-	ClientKeys []string `json:"lives"`
+	Host       string      `json:"host"`
+	ClientKeys []ClientKey `json:"lives"`
 }
 
-// PermitCommand acquires a unit of a concurrency limit, or releases it. Repeated with the same AcquireID it changes
-// nothing.
+// PermitCommand acquires or releases one permit of a concurrency limit. It is idempotent by its AcquireID.
 type PermitCommand struct {
-	Limit     string `json:"budget"`
-	Name      string `json:"name"`
-	Host      string `json:"host"`
-	AcquireID string `json:"turn"`
+	Limit     LimitName    `json:"budget"`
+	Name      InstanceName `json:"name"`
+	Host      string       `json:"host"`
+	AcquireID string       `json:"turn"`
 
-	Outcome *coldstart.Outcome `json:"end,omitempty"` // of a release: how the start came out that the permit was for
+	// Outcome is the outcome of the start that a released permit was for; nil: unknown, or not a start.
+	Outcome *coldstart.Outcome `json:"end,omitempty"`
 }
 
-// WriteOffCommand is an operator's statement that what a backend holds is no longer in force: its host is lost for good.
+// WriteOffCommand is an operator's statement that a backend's grants and permits are no longer in use because its host
+// is lost for good.
 type WriteOffCommand struct {
-	Name string `json:"name"`
-	By   string `json:"by"`
-}
-
-// Event is an entry for the agents' history.
-type Event struct {
-	Limit string `json:"budget"`
-	Name  string `json:"name,omitempty"`
-	Kind  string `json:"event"`
-	Cause string `json:"cause,omitempty"`
+	Name InstanceName `json:"name"`
+	By   string       `json:"by"`
 }
 
-// Result is the outcome of a command.
-type Result struct {
-	Serial     uint64                `json:"serial"`
-	Answers    []quota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
-	Rejection  string                `json:"no,omitempty"`      // why the command changed nothing; empty: it was applied
-	Events     []Event               `json:"notes,omitempty"`
-	ClientKeys []string              `json:"lives,omitempty"` // of a renewal: all clients of its host
-	Permits    []Permit              `json:"out,omitempty"`   // of a renewal: all permits of its host
+// ColdStartCommand begins a cold start under a concurrency limit, or resumes or ends the present one. It is idempotent
+// by its ID.
+type ColdStartCommand struct {
+	Limit   LimitName          `json:"budget"`
+	ID      string             `json:"id"`
+	Config  *coldstart.Config  `json:"terms,omitempty"`   // required to begin
+	Members []coldstart.Member `json:"members,omitempty"` // required to begin
+	Action  string             `json:"verb,omitempty"`    // "go-on" resumes, "end" ends; empty: begin
+	By      string             `json:"by"`
 }
 
-// Apply applies a command. The result depends on the command and the state alone, so that every replica comes to the same.
-func (s *State) Apply(c Command) (r Result) {
-	s.Serial++
-	r.Serial = s.Serial
-	if c.Config != nil {
-		s.applyConfig(c.Config, &r)
-	}
-	for _, e := range c.Expire {
-		s.expire(e, &r)
-	}
-	if c.Rebalance { // after the expiries: what has expired can be granted at once
-		s.rebalance(&r)
-	}
-	if c.Exited != nil {
-		s.removeExited(c.Exited, &r)
-	}
-	if c.Renew != nil {
-		s.renew(c.Renew, c.FreezeGrowth, &r)
-	}
-	if c.Acquire != nil {
-		s.acquire(c.Acquire, &r)
-	}
-	if c.Release != nil {
-		s.release(c.Release, &r)
-	}
-	if c.WriteOff != nil {
-		s.writeOff(c.WriteOff, &r)
-	}
-	if c.ColdStart != nil {
-		s.coldStart(c.ColdStart, &r)
-	}
-	for _, p := range c.ElapsedPauses {
-		if start := s.ColdStarts[p.Limit]; start != nil && start.ID == p.ID {
-			start.EndPause(p.Number)
-		}
-	}
-	return r
-}
-
-// applyConfig takes over a configuration of a higher version.
-func (s *State) applyConfig(c *Config, r *Result) {
-	switch {
-	case c.Version < s.Config.Version:
-		r.Rejection = fmt.Sprintf("version: %d is older than %d, which is in force", c.Version, s.Config.Version)
-		return
-	case c.Version == s.Config.Version && !c.Equal(&s.Config):
-		r.Rejection = fmt.Sprintf("version: %d is in force with other content; give the new one a higher number", c.Version)
-		return
-	case c.Version == s.Config.Version:
-		return
-	}
-	for i := range c.Limits {
-		l := &c.Limits[i]
-		if err, ok := errors.AsType[*LimitError](l.Validate()); ok {
-			r.Rejection = fmt.Sprintf("budget %s: %s: %s", l.Name, err.Field, err.Reason)
-			return
-		}
-	}
-	for i := range c.Limits {
-		l, previous := &c.Limits[i], s.Config.Lookup(c.Limits[i].Name)
-		switch {
-		case previous == nil:
-			r.Events = append(r.Events, Event{Limit: l.Name, Kind: "budget", Cause: fmt.Sprintf("new, %s of %d", l.Kind, l.Total)})
-		case previous.Total != l.Total:
-			r.Events = append(r.Events, Event{Limit: l.Name, Kind: "budget", Cause: fmt.Sprintf("whole from %d to %d", previous.Total, l.Total)})
-		}
-	}
-	s.Config = *c
-	s.RebuildIndexes()
-	s.rebalance(r)
-}
+// Values of ColdStartCommand.Action.
+const (
+	actionBegin  = ""
+	actionResume = "go-on"
+	actionEnd    = "end"
+)
 
-// writeOff revokes all that a backend holds, whichever host it is on.
-func (s *State) writeOff(c *WriteOffCommand, r *Result) {
-	known := false
-	keys := append([]string(nil), s.byName[c.Name]...) // revokeAll changes the index
-	for _, key := range keys {
-		known = true
-		s.revokeAll(key, "written off by "+c.By, r)
-	}
-	for _, limit := range sortedKeys(s.Permits) {
-		permit, has := s.Permits[limit][c.Name]
-		if !has {
-			continue
-		}
-		known = true
-		if start := s.ColdStarts[limit]; start != nil {
-			start.WriteOff(c.Name)
-		}
-		delete(s.Permits[limit], c.Name)
-		s.recordReleased(limit, c.Name, permit.AcquireID)
-		r.Events = append(r.Events, Event{Limit: limit, Name: c.Name, Kind: "unit over", Cause: "written off by " + c.By})
-	}
-	if !known {
-		r.Rejection = fmt.Sprintf("name: %q has nothing", c.Name)
-	}
+// ElapsedPause identifies a pause of a cold start whose duration has passed.
+type ElapsedPause struct {
+	Limit  LimitName `json:"budget"`
+	ID     string    `json:"id"` // of the cold start
+	Number uint64    `json:"number"`
 }
--- a/internal/fleet/simulated_fleet_test.go
+++ b/internal/fleet/simulated_fleet_test.go
@@ -71,7 +71,10 @@
 		return true
 	}
 	request := &quota.PermitCommand{
-		Limit: action.Unit.Quota, Name: action.Name, Host: host.name, AcquireID: action.ID,
+		Limit:     quota.LimitName(action.Unit.Quota),
+		Name:      quota.InstanceName(action.Name),
+		Host:      host.name,
+		AcquireID: action.ID,
 	}
 	var reply Event
 	if action.Kind == ActionReleaseUnit {
