--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -60,7 +60,7 @@
 
 // tickPause returns the time until the next tick.
 func (a *Agent) tickPause() time.Duration {
-	if a.loop.machine.Idle(process.Now()) && a.loop.storeErr == nil {
+	if a.loop.machine.Idle() && a.loop.storeErr == nil {
 		return idleFactor * a.options.Bounds.TickInterval
 	}
 	return a.options.Bounds.TickInterval
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -67,9 +67,8 @@
 // Names lists the names of the instances in the file's order.
 func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
 
-// Idle reports whether no command is open and no instance waits for a deadline, an action, a unit or a launch. It does
-// not depend on the time.
-func (m *Machine) Idle(_ monotime.Micros) bool {
+// Idle reports whether no command is open and no instance waits for a deadline, an action, a unit or a launch.
+func (m *Machine) Idle() bool {
 	if len(m.openCommands) > 0 {
 		return false
 	}
