--- a/internal/limits/instance.go
+++ b/internal/limits/instance.go
@@ -1,5 +1,6 @@
-// Package limits holds the sizes, counts and durations that bound the program. They follow from what the machine and the
-// protocol allow, and are computed once, at the start. It also limits the open connections of a listener.
+// Package limits holds the sizes, counts and durations that bound the program. They follow from the capacity of the
+// machine and from the protocol, and are computed once, at the start. The package also limits the open connections of a
+// listener.
 package limits
 
 import (
@@ -10,161 +11,237 @@
 // Bounds of the log of each program.
 const (
 	LogLines = 4096            // lines queued for the log's reader; further ones are dropped and counted
-	LogEnd   = 2 * time.Second // how long a program that exits waits for them to be read
+	LogEnd   = 2 * time.Second // a program that exits waits no longer until the lines are read
 )
 
 // Bounds are the limits of one backend process.
 type Bounds struct {
 	// The process.
-	Processors           int   // that run Go code at the same time (GOMAXPROCS)
-	Heap                 int64 // bytes, the soft memory limit of the garbage collector
-	HeapGrowth           int   // percent between two collections, while below that limit (GOGC)
-	Connections          int   // of edge nodes, open at the same time
-	ConnectionsHighWater int   // with more than these open, those idle for longest are asked to leave (GOAWAY)
-	ClosingConnections   int   // allowed beyond Connections while they are being closed
-	Invocations          int   // read and not answered, or answered and still running on the executor
-
-	// Messages, in bytes unless said otherwise.
-	Streams              int   // invocations open on one connection, a count
-	FrameSize            int   // a frame after its length, by the protocol
-	InvocationFrameSize  int   // the payload of a frame that can be an invocation; what is longer is skipped unread
-	BodySize             int   // an invocation's body
-	ResultSize           int   // a run's result
-	LineSize             int   // a line from the executor, without the result that follows it
-	UnsentPerConnection  int   // answers that the peer of one connection leaves unread
-	UnsentTotal          int64 // the same for all connections together
-	IdempotencyCacheSize int   // the cache of operations with an idempotency key, results included
-	IdempotencyKeySize   int   // an idempotency key
-	OutputBuffer         int   // the largest output buffer that is reused for the next answers
-	PartialFrameBuffer   int   // the largest buffer of a partial frame that is reused
-	ReadBuffer           int   // what is read from one connection at a time
-	ReceiveBuffer        int   // what the kernel may hold of a connection's input (SO_RCVBUF)
-	InvalidFrames        int   // on one connection before it is closed, a count; unknown operations count too
+
+	Processors           int   // processors that run Go code at the same time (GOMAXPROCS)
+	Heap                 int64 // bytes; the soft memory limit of the garbage collector
+	HeapGrowth           int   // percent between two collections while the heap is below Heap (GOGC)
+	Connections          int   // open connections of edge nodes
+	ConnectionsHighWater int   // with more open connections, those idle for longest get a GOAWAY
+	ClosingConnections   int   // connections that may exceed Connections while they are being closed
+	Invocations          int   // invocations read and not answered, or answered and running on the executor
+
+	// Messages.
+
+	Streams              int   // open invocations of one connection
+	FrameSize            int   // bytes of a frame after its length, by the protocol
+	InvocationFrameSize  int   // bytes of the payload of an invocation; a longer frame is skipped unread
+	BodySize             int   // bytes of an invocation's body
+	ResultSize           int   // bytes of a run's result
+	LineSize             int   // bytes of a line from the executor, without the result that follows it
+	UnsentPerConnection  int   // bytes of answers that the peer of one connection leaves unread
+	UnsentTotal          int64 // bytes of answers that all peers together leave unread
+	IdempotencyCacheSize int   // bytes of the cache for idempotency keys, with the results
+	IdempotencyKeySize   int   // bytes of an idempotency key
+	OutputBuffer         int   // bytes of the largest output buffer that is reused
+	PartialFrameBuffer   int   // bytes of the largest buffer of a partial frame that is reused
+	ReadBuffer           int   // bytes read from one connection at a time
+	ReceiveBuffer        int   // bytes of a connection's input in the kernel (SO_RCVBUF)
+	InvalidFrames        int   // invalid frames and unknown operations of one connection before it is closed
 
 	// The executor.
-	SampleTimeout   time.Duration // how long a tick waits for its sample
+
+	SampleTimeout   time.Duration // a tick waits no longer for its sample
 	SampleMaxAge    time.Duration // older gauges are not used
-	StallThreshold  time.Duration // without a tick for so long, the process was stalled and its gauges are out of date
-	DialTimeout     time.Duration // one attempt to connect
-	RedialMin       time.Duration // between the first two attempts; it doubles
-	RedialMax       time.Duration // up to this
-	ExecutorSilence time.Duration // a connection that brings nothing for so long, though asked, is replaced by a new one
-	ExecutorAbsence time.Duration // without a connection for so long, health checks are answered with bad
+	StallThreshold  time.Duration // without a tick for this time the process was stalled and its gauges are stale
+	DialTimeout     time.Duration // of one attempt to connect
+	RedialMin       time.Duration // between the first two attempts to connect; it doubles
+	RedialMax       time.Duration // bounds the time between two attempts
+	ExecutorSilence time.Duration // a connection without input for this time, though polled, is replaced
+	ExecutorAbsence time.Duration // without a connection for this time health checks fail
 
 	// The endpoint registry.
-	ReportInterval     time.Duration // between two load reports, in the mean
+
+	ReportInterval     time.Duration // mean time between two load reports
 	DeregisterRetry    time.Duration // between the first two attempts to deregister; it doubles
-	ReportRetryMin     time.Duration // the shortest pause after a report that failed
+	ReportRetryMin     time.Duration // the shortest pause after a failed report
 	ReportRetryRefused time.Duration // the longest pause while connections to the registry are refused
 	ReportRetryInitial time.Duration // the longest pause after the first failure; it grows with each
-	ReportRetryMax     time.Duration // up to this
+	ReportRetryMax     time.Duration // bounds the longest pause
 	RetryAfterMax      time.Duration // the longest Retry-After of the registry that is honoured
-	RegistrationTTL    time.Duration // the registry drops an entry so long after its last report
-	ReportTimeout      time.Duration // one report; nearly as long as an entry lasts, so that a slow registry still counts it
-	ReportsInFlight    int           // at the same time: two that are never answered leave room for the one that renews the entry
+	RegistrationTTL    time.Duration // from an entry's last report until the registry drops it
+	ReportTimeout      time.Duration // of one report; close to RegistrationTTL, as a late report still counts
+	ReportsInFlight    int           // reports without an answer; two may hang beside the one that renews the entry
 
 	// Edge nodes.
-	BindTimeout        time.Duration // how long an address is tried that is still in use by a process just killed
-	BindRetry          time.Duration // between two attempts to bind it
-	WriteTimeout       time.Duration // a peer that reads nothing for so long is cut off
-	SweepInterval      time.Duration // between two looks at all connections, and at the idempotency cache
+
+	BindTimeout        time.Duration // for attempts to bind an address that a process just killed still holds
+	BindRetry          time.Duration // between two attempts to bind
+	WriteTimeout       time.Duration // a peer that reads nothing for this time is disconnected
+	SweepInterval      time.Duration // between two checks of all connections and of the idempotency cache
 	NewConnectionAge   time.Duration // a younger connection without a frame may still send one
 	IdleAge            time.Duration // a connection unused for longer is idle and may be evicted
-	LingerTimeout      time.Duration // a connection closed for writing waits so long for its peer's end
-	AcceptQueueTimeout time.Duration // how long the accept queue is emptied before the listener closes
-	FrameTimeout       time.Duration // for the first valid frame of a connection, and for the rest of any frame; below 3 s
+	LingerTimeout      time.Duration // a connection closed for writing waits no longer for its peer to close
+	AcceptQueueTimeout time.Duration // for emptying the accept queue before the listener closes
+	FrameTimeout       time.Duration // for a connection's first frame, and the rest of any frame; below 3 s
 
 	// Start, reload and shutdown of the process.
+
 	ReplayRetryAfter    time.Duration // Retry-After for a repeat whose first attempt did not run
 	LogInterval         time.Duration // between two log lines on the state, or on protocol errors of one kind
-	NoticeDelay         time.Duration // a shutdown notice may arrive so late; that much of the grace period is not used
+	NoticeDelay         time.Duration // by which a shutdown notice may be late; it shortens the grace period used
 	ReloadRetry         time.Duration // between two attempts to read a file that may be half written
-	ReloadAttempts      int           // attempts to read it
-	RejectBeforeStop    time.Duration // invocations are rejected at least so long before the stop, so that late ones are still answered
-	ExitMargin          time.Duration // the process exits so long before the stop, if all is answered
-	ExitMarginUnwritten time.Duration // or so long before it, with answers still to be written
+	ReloadAttempts      int           // attempts to read a file on reload
+	RejectBeforeStop    time.Duration // from the first rejection to the stop, so that late requests are answered
+	ExitMargin          time.Duration // from the exit of a process that has answered all to the stop
+	ExitMarginUnwritten time.Duration // from the exit of a process with unwritten answers to the stop
 }
 
-// What the capacity for connections and invocations is computed from.
+// Terms of the bounds that For computes.
 const (
-	bytesPerMB          = 1 << 20
-	reservedDescriptors = 24       // for the executor, the registry, the pollers and the standard streams
-	closingConnections  = 12       // being closed at the same time
-	bytesPerInvocation  = 16 << 10 // goroutine, body, result, and the answer until it is written
-	bytesPerConnection  = 20 << 10 // netpoll's buffer and ours, with a partial frame
+	bytesPerMB = 1 << 20
+
+	heapEighths        = 5 // of the memory, for Bounds.Heap
+	eighths            = 8
+	unsentDivisor      = 8  // of the memory, for Bounds.UnsentTotal
+	idempotencyDivisor = 16 // of the memory, for Bounds.IdempotencyCacheSize
+	// A quarter of the memory is for connections and a quarter for invocations; the rest is for the garbage collector.
+	capacityDivisor   = 4
+	highWaterQuarters = 3 // of Bounds.Connections, for Bounds.ConnectionsHighWater
+	quarters          = 4
+
+	reservedDescriptors     = 24       // for the executor, the registry, the pollers and the standard streams
+	closingConnections      = 12       // connections being closed at the same time
+	bytesPerInvocation      = 16 << 10 // goroutine, body, result, and the answer until it is written
+	bytesPerConnection      = 20 << 10 // netpoll's buffer and ours, with a partial frame
+	invocationFrameOverhead = 8 << 10  // bytes of an invocation's frame beside its body
+	answerOverhead          = 256      // bytes of an answer beside its result
+	answersPerStream        = 2        // unread answers on a connection for each of its streams
 )
 
-// fixed are the bounds that do not depend on the size of a process.
+// Bounds that do not depend on the size of a process. The fields of Bounds with these names describe them.
+const (
+	heapGrowth = 100
+
+	streams            = 32
+	frameSize          = 262_144
+	bodySize           = 2 << 10
+	resultSize         = 4 << 10
+	lineSize           = 1 << 10
+	outputBuffer       = 16 << 10
+	partialFrameBuffer = 1 << 10
+	readBuffer         = 4 << 10
+	receiveBuffer      = 64 << 10
+	invalidFrames      = 32
+	idempotencyKeySize = 64
+
+	sampleTimeout   = 20 * time.Millisecond
+	sampleMaxAge    = 300 * time.Millisecond
+	stallThreshold  = 60 * time.Millisecond
+	shortestRedial  = 20 * time.Millisecond
+	longestRedial   = 100 * time.Millisecond
+	executorAbsence = time.Second
+	executorSilence = 2 * time.Second
+	dialTimeout     = time.Second
+
+	reportInterval      = 700 * time.Millisecond
+	deregisterRetry     = 150 * time.Millisecond
+	shortestReportRetry = 20 * time.Millisecond
+	reportRetryRefused  = 1400 * time.Millisecond
+	reportRetryInitial  = 2800 * time.Millisecond
+	longestReportRetry  = 4200 * time.Millisecond
+	retryAfterMax       = 30 * time.Second
+	registrationTTL     = 3 * time.Second
+	reportTimeout       = 2800 * time.Millisecond
+	reportsInFlight     = 3
+
+	bindTimeout        = 5 * time.Second
+	bindRetry          = 20 * time.Millisecond
+	writeTimeout       = 10 * time.Second
+	sweepInterval      = 250 * time.Millisecond
+	newConnectionAge   = 50 * time.Millisecond
+	idleAge            = time.Second
+	frameTimeout       = 2 * time.Second
+	lingerTimeout      = 500 * time.Millisecond
+	acceptQueueTimeout = 100 * time.Millisecond
+
+	rejectBeforeStop    = 200 * time.Millisecond
+	reloadRetry         = 50 * time.Millisecond
+	reloadAttempts      = 40
+	replayRetryAfter    = 50 * time.Millisecond
+	logInterval         = 10 * time.Second
+	noticeDelay         = 100 * time.Millisecond
+	exitMargin          = 30 * time.Millisecond
+	exitMarginUnwritten = 5 * time.Millisecond
+)
+
+// fixed returns the bounds that do not depend on the size of a process.
 func fixed() Bounds {
 	return Bounds{
-		HeapGrowth: 100,
-
-		Streams:            32,
-		FrameSize:          262_144,
-		BodySize:           2 << 10,
-		ResultSize:         4 << 10,
-		LineSize:           1 << 10,
-		PartialFrameBuffer: 1 << 10,
-		ReadBuffer:         4 << 10,
-		ReceiveBuffer:      64 << 10,
-		InvalidFrames:      32,
+		HeapGrowth: heapGrowth,
+
+		Streams:            streams,
+		FrameSize:          frameSize,
+		BodySize:           bodySize,
+		ResultSize:         resultSize,
+		LineSize:           lineSize,
+		OutputBuffer:       outputBuffer,
+		PartialFrameBuffer: partialFrameBuffer,
+		ReadBuffer:         readBuffer,
+		ReceiveBuffer:      receiveBuffer,
+		InvalidFrames:      invalidFrames,
 		ClosingConnections: closingConnections,
-		IdempotencyKeySize: 64,
-
-		SampleTimeout:       20 * time.Millisecond,
-		SampleMaxAge:        300 * time.Millisecond,
-		StallThreshold:      60 * time.Millisecond,
-		RedialMin:           20 * time.Millisecond,
-		RedialMax:           100 * time.Millisecond,
-		ExecutorAbsence:     time.Second,
-		ExecutorSilence:     2 * time.Second,
-		DialTimeout:         time.Second,
-		ReportInterval:      700 * time.Millisecond,
-		DeregisterRetry:     150 * time.Millisecond,
-		ReportRetryMin:      20 * time.Millisecond,
-		ReportRetryRefused:  1400 * time.Millisecond,
-		ReportRetryInitial:  2800 * time.Millisecond,
-		ReportRetryMax:      4200 * time.Millisecond,
-		RetryAfterMax:       30 * time.Second,
-		RegistrationTTL:     3 * time.Second,
-		ReportTimeout:       2800 * time.Millisecond,
-		ReportsInFlight:     3,
-		BindTimeout:         5 * time.Second,
-		BindRetry:           20 * time.Millisecond,
-		WriteTimeout:        10 * time.Second,
-		SweepInterval:       250 * time.Millisecond,
-		NewConnectionAge:    50 * time.Millisecond,
-		IdleAge:             time.Second,
-		FrameTimeout:        2 * time.Second,
-		LingerTimeout:       500 * time.Millisecond,
-		AcceptQueueTimeout:  100 * time.Millisecond,
-		RejectBeforeStop:    200 * time.Millisecond,
-		ReloadRetry:         50 * time.Millisecond,
-		ReloadAttempts:      40,
-		ReplayRetryAfter:    50 * time.Millisecond,
-		LogInterval:         10 * time.Second,
-		NoticeDelay:         100 * time.Millisecond,
-		ExitMargin:          30 * time.Millisecond,
-		ExitMarginUnwritten: 5 * time.Millisecond,
+		IdempotencyKeySize: idempotencyKeySize,
+
+		SampleTimeout:       sampleTimeout,
+		SampleMaxAge:        sampleMaxAge,
+		StallThreshold:      stallThreshold,
+		RedialMin:           shortestRedial,
+		RedialMax:           longestRedial,
+		ExecutorAbsence:     executorAbsence,
+		ExecutorSilence:     executorSilence,
+		DialTimeout:         dialTimeout,
+		ReportInterval:      reportInterval,
+		DeregisterRetry:     deregisterRetry,
+		ReportRetryMin:      shortestReportRetry,
+		ReportRetryRefused:  reportRetryRefused,
+		ReportRetryInitial:  reportRetryInitial,
+		ReportRetryMax:      longestReportRetry,
+		RetryAfterMax:       retryAfterMax,
+		RegistrationTTL:     registrationTTL,
+		ReportTimeout:       reportTimeout,
+		ReportsInFlight:     reportsInFlight,
+		BindTimeout:         bindTimeout,
+		BindRetry:           bindRetry,
+		WriteTimeout:        writeTimeout,
+		SweepInterval:       sweepInterval,
+		NewConnectionAge:    newConnectionAge,
+		IdleAge:             idleAge,
+		FrameTimeout:        frameTimeout,
+		LingerTimeout:       lingerTimeout,
+		AcceptQueueTimeout:  acceptQueueTimeout,
+		RejectBeforeStop:    rejectBeforeStop,
+		ReloadRetry:         reloadRetry,
+		ReloadAttempts:      reloadAttempts,
+		ReplayRetryAfter:    replayRetryAfter,
+		LogInterval:         logInterval,
+		NoticeDelay:         noticeDelay,
+		ExitMargin:          exitMargin,
+		ExitMarginUnwritten: exitMarginUnwritten,
 	}
 }
 
 // For computes the bounds of a process from its share of cores, its memory in MB and its limit of file descriptors.
-func For(cores, memoryMB float64, sockets int) Bounds {
+func For(cores, memoryMB float64, descriptors int) Bounds {
 	b := fixed()
 	// One more than the cores: the poller of edge connections blocks inside a system call, and goroutines that
 	// become runnable meanwhile should not wait until the runtime has retaken its processor.
 	b.Processors = int(math.Ceil(cores)) + 1
-	b.Heap = int64(memoryMB * bytesPerMB * 5 / 8)
-	b.InvocationFrameSize = b.BodySize + 8<<10
-	b.UnsentPerConnection = 2 * b.Streams * (b.ResultSize + 256)
-	b.UnsentTotal = int64(memoryMB * bytesPerMB / 8)
-	b.IdempotencyCacheSize = int(memoryMB * bytesPerMB / 16)
-	b.OutputBuffer = 16 << 10
-	// A quarter of the memory is for connections, and as much for invocations; the rest is for the garbage collector.
-	capacity := memoryMB * bytesPerMB / 4
-	b.Connections = max(1, min(sockets-reservedDescriptors-closingConnections, int(capacity/bytesPerConnection)))
-	b.ConnectionsHighWater = b.Connections * 3 / 4
+	memory := memoryMB * bytesPerMB
+	b.Heap = int64(memory * heapEighths / eighths)
+	b.InvocationFrameSize = b.BodySize + invocationFrameOverhead
+	b.UnsentPerConnection = answersPerStream * b.Streams * (b.ResultSize + answerOverhead)
+	b.UnsentTotal = int64(memory / unsentDivisor)
+	b.IdempotencyCacheSize = int(memory / idempotencyDivisor)
+	capacity := memory / capacityDivisor
+	freeDescriptors := descriptors - reservedDescriptors - closingConnections
+	b.Connections = max(1, min(freeDescriptors, int(capacity/bytesPerConnection)))
+	b.ConnectionsHighWater = b.Connections * highWaterQuarters / quarters
 	b.Invocations = max(1, min(b.Connections*b.Streams, int(capacity/bytesPerInvocation)))
 	return b
 }
