--- a/internal/limits/instance_test.go
+++ b/internal/limits/instance_test.go
@@ -6,18 +6,33 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestBounds: whatever the size of the process, connections and invocations have capacity, and the bounds fit within its size.
+// TestBounds checks that a process of any size can serve connections and invocations, and that its bounds fit within
+// its size. It compares the bounds with the stored trace.
 func TestBounds(t *testing.T) {
-	tr := fakes.NewTrace(t)
-	for _, c := range []struct {
-		cores, memoryMB float64
-		sockets         int
-	}{{1, 192, 1024}, {0.1, 24, 48}, {1, 8, 16}, {4, 2048, 4096}} {
-		b := For(c.cores, c.memoryMB, c.sockets)
-		tr.Say("%v cores, %v MB, %d descriptors: processors %d, heap %d KB, connections %d, invocations %d, unsent %d KB",
-			c.cores, c.memoryMB, c.sockets, b.Processors, b.Heap>>10, b.Connections, b.Invocations, b.UnsentTotal>>10)
-		if b.Connections >= c.sockets || b.Heap >= int64(c.memoryMB*(1<<20)) || b.UnsentPerConnection < b.Streams*b.ResultSize {
-			t.Errorf("beyond the limits: %+v", b)
+	trace := fakes.NewTrace(t)
+	for _, size := range []struct {
+		cores       float64
+		memoryMB    float64
+		descriptors int
+	}{
+		{1, 192, 1024},
+		{0.1, 24, 48},
+		{1, 8, 16},
+		{4, 2048, 4096},
+	} {
+		b := For(size.cores, size.memoryMB, size.descriptors)
+		trace.Say("%v cores, %v MB, %d descriptors: "+
+			"processors %d, heap %d KB, connections %d, invocations %d, unsent %d KB",
+			size.cores, size.memoryMB, size.descriptors,
+			b.Processors, b.Heap>>10, b.Connections, b.Invocations, b.UnsentTotal>>10)
+		if b.Connections >= size.descriptors {
+			t.Errorf("%d connections with %d descriptors", b.Connections, size.descriptors)
+		}
+		if b.Heap >= int64(size.memoryMB*bytesPerMB) {
+			t.Errorf("heap of %d bytes with a memory of %v MB", b.Heap, size.memoryMB)
+		}
+		if b.UnsentPerConnection < b.Streams*b.ResultSize {
+			t.Errorf("%d unsent bytes of a connection, fewer than the results of its streams", b.UnsentPerConnection)
 		}
 	}
 }
