--- a/internal/backoff/retry_budget.go
+++ b/internal/backoff/retry_budget.go
@@ -1,20 +1,21 @@
 package backoff
 
-// RetryBudget bounds retries: a tenth of the first attempts on top of a few, so that a client of many servers does not
-// multiply its calls when many are away. It is not for use by several goroutines at once.
+// RetryBudget bounds the retries of a client to a share of its first attempts, so that a client of many servers does
+// not multiply its calls when many are unavailable. It is not safe for concurrent use.
 type RetryBudget struct {
-	attempts, retries int
+	attempts int // first attempts so far
+	retries  int // retries so far
 }
 
 const (
-	freeRetries      = 20 // retries that are allowed whatever was attempted
-	attemptsPerRetry = 10 // first attempts that allow one more
+	freeRetries      = 20 // retries that are allowed without any attempt
+	attemptsPerRetry = 10 // first attempts that allow one more retry
 )
 
 // RecordAttempt counts a first attempt.
 func (r *RetryBudget) RecordAttempt() { r.attempts++ }
 
-// AllowRetry uses one retry up, if the budget allows one.
+// AllowRetry reports whether the budget allows a retry, and uses it.
 func (r *RetryBudget) AllowRetry() bool {
 	if r.retries >= freeRetries+r.attempts/attemptsPerRetry {
 		return false
