--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -10,50 +10,62 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-// formerPause is the rule in microseconds that fleet and agentapi had before they shared this package.
-func formerPause(least, most int64, n int, random *rand.Rand) int64 {
-	if n <= 1 {
+// formerPause returns the pause by the rule, in microseconds, that fleet and agentapi had before this package.
+func formerPause(shortest, longest int64, attempt int, random *rand.Rand) int64 {
+	if attempt <= 1 {
 		return 0
 	}
-	span := least
-	for ; n > 2 && span < most; n-- {
-		span *= 2
+	interval := shortest
+	for ; attempt > 2 && interval < longest; attempt-- {
+		interval *= 2
 	}
-	span = min(span, most)
-	return span/2 + random.Int64N(span/2+1)
+	interval = min(interval, longest)
+	return interval/2 + random.Int64N(interval/2+1)
 }
 
-// TestPauseIsUnchanged: the agent's actions and the calls to agents pause as they did, draw for draw.
+// TestPauseIsUnchanged checks that the pauses are those of the former rule, draw for draw.
 func TestPauseIsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		least := rapid.Int64Range(1, 10_000_000).Draw(t, "min")
-		most := rapid.Int64Range(1, 100_000_000).Draw(t, "max")
+		shortest := rapid.Int64Range(1, 10_000_000).Draw(t, "min")
+		longest := rapid.Int64Range(1, 100_000_000).Draw(t, "max")
 		seed := rapid.Uint64().Draw(t, "seed")
-		was, is := seeded(seed), seeded(seed)
-		p := Policy{Min: time.Duration(least) * time.Microsecond, Max: time.Duration(most) * time.Microsecond}
-		for n := range 60 {
-			want := time.Duration(formerPause(least, most, n, was)) * time.Microsecond
-			if got := p.Pause(n, is); got != want {
-				t.Fatalf("%+v: %v before attempt %d, %v before", p, got, n, want)
+		formerRandom := seeded(seed)
+		random := seeded(seed)
+		policy := Policy{
+			Min: time.Duration(shortest) * time.Microsecond,
+			Max: time.Duration(longest) * time.Microsecond,
+		}
+		for attempt := range 60 {
+			want := time.Duration(formerPause(shortest, longest, attempt, formerRandom)) * time.Microsecond
+			if got := policy.Pause(attempt, random); got != want {
+				t.Fatalf("%+v: %v before attempt %d, want %v", policy, got, attempt, want)
 			}
 		}
 	})
 }
 
-// TestPauseBounds: pauses grow, have jitter and an end.
+// TestPauseBounds checks that there is no pause before the first attempt, and that the others are between half of
+// the shortest interval and the longest one.
 func TestPauseBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Policy{Min: time.Duration(rapid.IntRange(2, 1000).Draw(t, "min")) * time.Microsecond}
-		p.Max = p.Min * time.Duration(rapid.IntRange(1, 100).Draw(t, "max"))
-		n := rapid.IntRange(0, 80).Draw(t, "n")
-		pause := p.Pause(n, seeded(rapid.Uint64().Draw(t, "seed")))
-		if n <= 1 && pause != 0 || n > 1 && (pause < p.Min/2/time.Microsecond*time.Microsecond || pause > p.Max) {
-			t.Fatalf("%v before attempt %d of %+v", pause, n, p)
+		policy := Policy{Min: time.Duration(rapid.IntRange(2, 1000).Draw(t, "min")) * time.Microsecond}
+		policy.Max = policy.Min * time.Duration(rapid.IntRange(1, 100).Draw(t, "max"))
+		attempt := rapid.IntRange(0, 80).Draw(t, "attempt")
+		pause := policy.Pause(attempt, seeded(rapid.Uint64().Draw(t, "seed")))
+		if attempt <= 1 {
+			if pause != 0 {
+				t.Fatalf("%v before attempt %d of %+v, want 0", pause, attempt, policy)
+			}
+			return
+		}
+		shortest := (policy.Min / 2).Truncate(time.Microsecond)
+		if pause < shortest || pause > policy.Max {
+			t.Fatalf("%v before attempt %d, want %v to %v", pause, attempt, shortest, policy.Max)
 		}
 	})
 }
 
-// TestRetryBudget: a thousand attempts allow a hundred and twenty retries.
+// TestRetryBudget checks that 1000 attempts allow the free retries and 100 more.
 func TestRetryBudget(t *testing.T) {
 	var budget RetryBudget
 	retries := 0
@@ -65,7 +77,7 @@
 			}
 		}
 	}
-	if retries != freeRetries+1000/attemptsPerRetry {
-		t.Fatalf("%d retries of 1000 attempts", retries)
+	if want := freeRetries + 1000/attemptsPerRetry; retries != want {
+		t.Fatalf("%d retries of 1000 attempts, want %d", retries, want)
 	}
 }
