--- a/internal/fleet/action.go
+++ b/internal/fleet/action.go
@@ -15,6 +15,12 @@
 	ActionKill   ActionKind = "kill"   // end the instance at once
 )
 
+// The actions on units. They go to the quota store, not to a supervisor, and may be carried out twice.
+const (
+	ActionAcquireUnit ActionKind = "take a unit"
+	ActionReleaseUnit ActionKind = "give a unit back"
+)
+
 // Action is carried out by the agent once the change that it belongs to is stored. An action that is sent again has the
 // same ID and takes effect once.
 type Action struct {
@@ -34,9 +40,3 @@
 func (a Action) StartsNew() bool {
 	return a.Kind == ActionLaunch && !a.Adopt || a.Kind == ActionAcquireUnit
 }
-
-// The actions on units. They go to the quota store, not to a supervisor, and may be carried out twice.
-const (
-	ActionAcquireUnit ActionKind = "take a unit"
-	ActionReleaseUnit ActionKind = "give a unit back"
-)
--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"testing"
 )
 
@@ -18,116 +19,127 @@
 	return Command{ID: "c", Kind: KindRollingUpdate, Names: []string{"a"}, Rollout: &config}
 }
 
+// commandErrorCase is a command that the machine of a host with twoInstances rejects.
+type commandErrorCase struct {
+	name     string
+	command  Command
+	change   func(*Command) // nil: command stays as it is
+	field    string
+	instance string // empty: the error names none
+	group    string // empty: the error names none
+	text     string
+}
+
+var commandErrorCases = []commandErrorCase{
+	{
+		name: "invalid ID", command: startA(), change: func(c *Command) { c.ID = "../x" }, field: "id",
+		text: `id: invalid name "../x", wanted at most 40 letters, digits, . - _, not beginning with . or -`,
+	},
+	{
+		name: "unknown kind", command: startA(), change: func(c *Command) { c.Kind = "dance" }, field: "kind",
+		text: `kind: "dance" is not one of [start drain stop restart wave rise]`,
+	},
+	{
+		name: "no instance", command: startA(), change: func(c *Command) { c.Names = nil }, field: "names",
+		text: "names: missing, wanted at least one instance",
+	},
+	{
+		name: "unknown instance", command: startA(), change: func(c *Command) { c.Names = []string{"z"} },
+		field: "names", instance: "z", text: `names: unknown instance "z"`,
+	},
+	{
+		name: "duplicate instance", command: startA(), change: func(c *Command) { c.Names = []string{"a", "a"} },
+		field: "names", instance: "a", text: `names: duplicate instance "a"`,
+	},
+	{
+		name:    "spare",
+		command: updateA(func(*RollingUpdateConfig) {}), change: func(c *Command) { c.Names = []string{"x"} },
+		field: "names", instance: "x",
+		text: `names: "x" is a spare: a rolling update uses spares by its surge only`,
+	},
+	{
+		name: "immediate start", command: startA(), change: func(c *Command) { c.Immediate = true }, field: "now",
+		text: `now: not allowed with kind "start", only with "stop"`,
+	},
+	{
+		name: "rolling update without a configuration", command: updateA(func(*RollingUpdateConfig) {}),
+		change: func(c *Command) { c.Rollout = nil }, field: "terms",
+		text: `terms: required with kind "wave", and allowed with no other`,
+	},
+	{
+		name: "cold start without a quota", command: startA(), change: func(c *Command) { c.Kind = KindColdStart },
+		field: "budget", text: "budget: missing, wanted a budget with a count from the fleet's file",
+	},
+	{
+		name: "start with a quota", command: startA(), change: func(c *Command) { c.Quota = "q" }, field: "budget",
+		text: `budget: not allowed with kind "start"`,
+	},
+	{
+		name: "past deadline", command: startA(), change: func(c *Command) { c.Deadline = -1 }, field: "due",
+		text: "due: deadline is in the past",
+	},
+}
+
+// rolloutErrorCases have a fault in the configuration of the rolling update.
+var rolloutErrorCases = []commandErrorCase{
+	{
+		name: "none in progress", command: updateA(func(config *RollingUpdateConfig) { config.MaxInProgress = 0 }),
+		field: "width", text: "width: 0 is not from 1 to 10000",
+	},
+	{
+		name: "negative minimum", command: updateA(func(config *RollingUpdateConfig) { config.MinReady = -1 }),
+		field: "least_count", text: "least_count: -1 is negative",
+	},
+	{
+		name: "share above 1", command: updateA(func(config *RollingUpdateConfig) { config.MinReadyShare = 2 }),
+		field: "least_share", text: "least_share: 2 is not from 0 to 1",
+	},
+	{
+		name: "unknown order", command: updateA(func(config *RollingUpdateConfig) { config.Order = "up" }),
+		field: "order", text: `order: "up" is not one of file, name, spread`,
+	},
+	{
+		name: "negative surge", command: updateA(func(config *RollingUpdateConfig) { config.Surge = -1 }),
+		field: "surge", text: "surge: -1 is negative",
+	},
+	{
+		name: "negative failures", command: updateA(func(config *RollingUpdateConfig) { config.MaxFailures = -1 }),
+		field: "failures", text: "failures: -1 is negative",
+	},
+	{
+		name:    "negative time to ready",
+		command: updateA(func(config *RollingUpdateConfig) { config.ReadyWithin = -second }),
+		field:   "ready_within", text: "ready_within: -1s is negative",
+	},
+	{
+		name: "no stall timeout", command: updateA(func(config *RollingUpdateConfig) { config.StallTimeout = 0 }),
+		field: "stall", text: "stall: 0s is not above 0",
+	},
+	{
+		name:    "negative tolerance of rejections",
+		command: updateA(func(config *RollingUpdateConfig) { config.RejectionTolerance = -second }),
+		field:   "turned_for", text: "turned_for: -1s is negative",
+	},
+	{
+		name:    "rejected share of 0",
+		command: updateA(func(config *RollingUpdateConfig) { config.MaxRejectedShare = 0 }),
+		field:   "turned_away", text: "turned_away: 0 is not above 0 and at most 1",
+	},
+	{
+		name: "more surge than spares", command: updateA(func(config *RollingUpdateConfig) { config.Surge = 2 }),
+		field: "surge", group: "g", text: `surge: group "g" has 1 spares that are down, wanted 2`,
+	},
+	{
+		name: "unreachable minimum", command: updateA(func(config *RollingUpdateConfig) { config.MinReady = 2 }),
+		field: "least", group: "g",
+		text: `least: group "g" has 2 instances up and 0 spares: none can restart while 2 must stay ready`,
+	},
+}
+
 // TestCommandErrors checks that a rejected command names the field, the instance or the group that is wrong, in the
 // fields of its error and in its text.
 func TestCommandErrors(t *testing.T) {
-	unchanged := func(*RollingUpdateConfig) {}
-	for _, test := range []struct {
-		name     string
-		command  Command
-		change   func(*Command) // nil: command stays as it is
-		field    string
-		instance string // empty: the error names none
-		group    string // empty: the error names none
-		text     string
-	}{
-		{
-			name: "invalid ID", command: startA(), change: func(c *Command) { c.ID = "../x" }, field: "id",
-			text: `id: invalid name "../x", wanted at most 40 letters, digits, . - _, not beginning with . or -`,
-		},
-		{
-			name: "unknown kind", command: startA(), change: func(c *Command) { c.Kind = "dance" }, field: "kind",
-			text: `kind: "dance" is not one of [start drain stop restart wave rise]`,
-		},
-		{
-			name: "no instance", command: startA(), change: func(c *Command) { c.Names = nil }, field: "names",
-			text: "names: missing, wanted at least one instance",
-		},
-		{
-			name: "unknown instance", command: startA(), change: func(c *Command) { c.Names = []string{"z"} },
-			field: "names", instance: "z", text: `names: unknown instance "z"`,
-		},
-		{
-			name: "duplicate instance", command: startA(), change: func(c *Command) { c.Names = []string{"a", "a"} },
-			field: "names", instance: "a", text: `names: duplicate instance "a"`,
-		},
-		{
-			name: "spare", command: updateA(unchanged), change: func(c *Command) { c.Names = []string{"x"} },
-			field: "names", instance: "x",
-			text: `names: "x" is a spare: a rolling update uses spares by its surge only`,
-		},
-		{
-			name: "immediate start", command: startA(), change: func(c *Command) { c.Immediate = true }, field: "now",
-			text: `now: not allowed with kind "start", only with "stop"`,
-		},
-		{
-			name: "rolling update without a configuration", command: updateA(unchanged),
-			change: func(c *Command) { c.Rollout = nil }, field: "terms",
-			text: `terms: required with kind "wave", and allowed with no other`,
-		},
-		{
-			name: "cold start without a quota", command: startA(), change: func(c *Command) { c.Kind = KindColdStart },
-			field: "budget", text: "budget: missing, wanted a budget with a count from the fleet's file",
-		},
-		{
-			name: "start with a quota", command: startA(), change: func(c *Command) { c.Quota = "q" }, field: "budget",
-			text: `budget: not allowed with kind "start"`,
-		},
-		{
-			name: "past deadline", command: startA(), change: func(c *Command) { c.Deadline = -1 }, field: "due",
-			text: "due: deadline is in the past",
-		},
-		{
-			name: "none in progress", command: updateA(func(w *RollingUpdateConfig) { w.MaxInProgress = 0 }),
-			field: "width", text: "width: 0 is not from 1 to 10000",
-		},
-		{
-			name: "negative minimum", command: updateA(func(w *RollingUpdateConfig) { w.MinReady = -1 }),
-			field: "least_count", text: "least_count: -1 is negative",
-		},
-		{
-			name: "share above 1", command: updateA(func(w *RollingUpdateConfig) { w.MinReadyShare = 2 }),
-			field: "least_share", text: "least_share: 2 is not from 0 to 1",
-		},
-		{
-			name: "unknown order", command: updateA(func(w *RollingUpdateConfig) { w.Order = "up" }),
-			field: "order", text: `order: "up" is not one of file, name, spread`,
-		},
-		{
-			name: "negative surge", command: updateA(func(w *RollingUpdateConfig) { w.Surge = -1 }),
-			field: "surge", text: "surge: -1 is negative",
-		},
-		{
-			name: "negative failures", command: updateA(func(w *RollingUpdateConfig) { w.MaxFailures = -1 }),
-			field: "failures", text: "failures: -1 is negative",
-		},
-		{
-			name: "negative time to ready", command: updateA(func(w *RollingUpdateConfig) { w.ReadyWithin = -second }),
-			field: "ready_within", text: "ready_within: -1s is negative",
-		},
-		{
-			name: "no stall timeout", command: updateA(func(w *RollingUpdateConfig) { w.StallTimeout = 0 }),
-			field: "stall", text: "stall: 0s is not above 0",
-		},
-		{
-			name:    "negative tolerance of rejections",
-			command: updateA(func(w *RollingUpdateConfig) { w.RejectionTolerance = -second }),
-			field:   "turned_for", text: "turned_for: -1s is negative",
-		},
-		{
-			name: "rejected share of 0", command: updateA(func(w *RollingUpdateConfig) { w.MaxRejectedShare = 0 }),
-			field: "turned_away", text: "turned_away: 0 is not above 0 and at most 1",
-		},
-		{
-			name: "more surge than spares", command: updateA(func(w *RollingUpdateConfig) { w.Surge = 2 }),
-			field: "surge", group: "g", text: `surge: group "g" has 1 spares that are down, wanted 2`,
-		},
-		{
-			name: "unreachable minimum", command: updateA(func(w *RollingUpdateConfig) { w.MinReady = 2 }),
-			field: "least", group: "g",
-			text: `least: group "g" has 2 instances up and 0 spares: none can restart while 2 must stay ready`,
-		},
-	} {
+	for _, test := range slices.Concat(commandErrorCases, rolloutErrorCases) {
 		t.Run(test.name, func(t *testing.T) {
 			host := newHost(t, readTestSpec(t, twoInstances))
 			startAll(host)
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -54,59 +54,59 @@
 }
 
 // Check returns a *FieldError for the first field that can't be used.
-func (w RollingUpdateConfig) Check() error {
+func (c RollingUpdateConfig) Check() error {
 	switch {
-	case w.MaxInProgress < 1 || w.MaxInProgress > maxRolloutCount:
-		return fieldErrorf("width", "%d is not from 1 to %d", w.MaxInProgress, maxRolloutCount)
-	case w.MinReady < 0:
-		return fieldErrorf("least_count", "%d is negative", w.MinReady)
-	case !isShare(w.MinReadyShare):
-		return fieldErrorf("least_share", "%v is not from 0 to 1", w.MinReadyShare)
-	case !slices.Contains([]string{OrderFile, OrderName, OrderSpread}, w.Order):
-		return fieldErrorf("order", "%q is not one of file, name, spread", w.Order)
-	case w.Surge < 0:
-		return fieldErrorf("surge", "%d is negative", w.Surge)
-	case w.MaxFailures < 0:
-		return fieldErrorf("failures", "%d is negative", w.MaxFailures)
-	case w.ReadyWithin < 0:
-		return fieldErrorf("ready_within", "%v is negative", w.ReadyWithin.Duration())
-	case w.StallTimeout <= 0:
-		return fieldErrorf("stall", "%v is not above 0", w.StallTimeout.Duration())
-	case w.RejectionTolerance < 0:
-		return fieldErrorf("turned_for", "%v is negative", w.RejectionTolerance.Duration())
-	case !isShare(w.MaxRejectedShare) || w.MaxRejectedShare == 0:
-		return fieldErrorf("turned_away", "%v is not above 0 and at most 1", w.MaxRejectedShare)
+	case c.MaxInProgress < 1 || c.MaxInProgress > maxRolloutCount:
+		return fieldErrorf("width", "%d is not from 1 to %d", c.MaxInProgress, maxRolloutCount)
+	case c.MinReady < 0:
+		return fieldErrorf("least_count", "%d is negative", c.MinReady)
+	case !isShare(c.MinReadyShare):
+		return fieldErrorf("least_share", "%v is not from 0 to 1", c.MinReadyShare)
+	case !slices.Contains([]string{OrderFile, OrderName, OrderSpread}, c.Order):
+		return fieldErrorf("order", "%q is not one of file, name, spread", c.Order)
+	case c.Surge < 0:
+		return fieldErrorf("surge", "%d is negative", c.Surge)
+	case c.MaxFailures < 0:
+		return fieldErrorf("failures", "%d is negative", c.MaxFailures)
+	case c.ReadyWithin < 0:
+		return fieldErrorf("ready_within", "%v is negative", c.ReadyWithin.Duration())
+	case c.StallTimeout <= 0:
+		return fieldErrorf("stall", "%v is not above 0", c.StallTimeout.Duration())
+	case c.RejectionTolerance < 0:
+		return fieldErrorf("turned_for", "%v is negative", c.RejectionTolerance.Duration())
+	case !isShare(c.MaxRejectedShare) || c.MaxRejectedShare == 0:
+		return fieldErrorf("turned_away", "%v is not above 0 and at most 1", c.MaxRejectedShare)
 	}
 	return nil
 }
 
 // minReady returns how many instances of a group must stay ready if so many are desired up.
-func (w RollingUpdateConfig) minReady(desiredUp int) int {
+func (c RollingUpdateConfig) minReady(desiredUp int) int {
 	const roundingError = 1e-9 // a product such as 0.07*100 may exceed the whole number by so much
-	return max(w.MinReady, int(math.Ceil(w.MinReadyShare*float64(desiredUp)-roundingError)))
+	return max(c.MinReady, int(math.Ceil(c.MinReadyShare*float64(desiredUp)-roundingError)))
 }
 
 // isShare reports whether x is from 0 to 1; NaN is not.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
 // readRollingUpdate reads the (wave ...) form; a field that it lacks stays as in config.
-func readRollingUpdate(f *sexpr.Form, config RollingUpdateConfig) RollingUpdateConfig {
+func readRollingUpdate(form *sexpr.Form, config RollingUpdateConfig) RollingUpdateConfig {
 	span := func(name string, missing monotime.Micros) monotime.Micros {
-		return monotime.FromDuration(f.Span(name, 0, maxSpan, missing.Duration()))
+		return monotime.FromDuration(form.Span(name, 0, maxSpan, missing.Duration()))
 	}
-	config.MaxInProgress = f.Int("width", 1, maxRolloutCount, config.MaxInProgress)
-	config.MinReady = f.Int("least-count", 0, maxRolloutCount, config.MinReady)
-	config.MinReadyShare = f.Share("least-share", 0, 1, config.MinReadyShare)
-	config.Order = f.OneOf("order", OrderFile, OrderName, OrderSpread)
-	config.Surge = f.Int("surge", 0, maxRolloutCount, config.Surge)
-	config.MaxFailures = f.Int("failures", 0, maxRolloutCount, config.MaxFailures)
+	config.MaxInProgress = form.Int("width", 1, maxRolloutCount, config.MaxInProgress)
+	config.MinReady = form.Int("least-count", 0, maxRolloutCount, config.MinReady)
+	config.MinReadyShare = form.Share("least-share", 0, 1, config.MinReadyShare)
+	config.Order = form.OneOf("order", OrderFile, OrderName, OrderSpread)
+	config.Surge = form.Int("surge", 0, maxRolloutCount, config.Surge)
+	config.MaxFailures = form.Int("failures", 0, maxRolloutCount, config.MaxFailures)
 	config.ReadyWithin = span("ready-within", 0)
 	config.StallTimeout = span("stall", config.StallTimeout)
 	config.RejectionTolerance = span("turned-for", config.RejectionTolerance)
-	config.MaxRejectedShare = f.Share("turned-away", 0, 1, config.MaxRejectedShare)
-	f.Done()
+	config.MaxRejectedShare = form.Share("turned-away", 0, 1, config.MaxRejectedShare)
+	form.Done()
 	if err := config.Check(); err != nil {
-		f.Fail("", "%v", err)
+		form.Fail("", "%v", err)
 	}
 	return config
 }
--- a/internal/fleet/selection.go
+++ b/internal/fleet/selection.go
@@ -40,36 +40,36 @@
 }
 
 // Empty reports whether the selection is empty.
-func (q Selection) Empty() bool {
-	return !q.All && len(q.selectors()) == 0
+func (s Selection) Empty() bool {
+	return !s.All && len(s.selectors()) == 0
 }
 
 // selectors lists the words of the selection.
-func (q Selection) selectors() (all []selector) {
+func (s Selection) selectors() (all []selector) {
 	add := func(kind string, words []string) {
 		for _, word := range words {
 			all = append(all, selector{kind, word})
 		}
 	}
-	add(selectInstance, q.Names)
-	add(selectGroup, q.Groups)
-	add(selectLabel, q.Labels)
-	add(selectHost, q.Hosts)
+	add(selectInstance, s.Names)
+	add(selectGroup, s.Groups)
+	add(selectLabel, s.Labels)
+	add(selectHost, s.Hosts)
 	return all
 }
 
 // Select lists the selected instances in the file's order, each once. A spare is selected by its name alone. The
 // error is ErrEmptySelection or, for a word that matches nothing, a *SelectionError, so that a misspelt name is
 // noticed.
-func (s *Spec) Select(q Selection) ([]*InstanceSpec, error) {
-	if q.Empty() {
+func (s *Spec) Select(selection Selection) ([]*InstanceSpec, error) {
+	if selection.Empty() {
 		return nil, ErrEmptySelection
 	}
-	selectors := q.selectors()
+	selectors := selection.selectors()
 	matched := map[selector]bool{}
 	var found []*InstanceSpec
 	for _, inst := range s.InstancesOn("") {
-		selected := q.All && !inst.Spare
+		selected := selection.All && !inst.Spare
 		for _, one := range selectors {
 			if one.matches(inst) {
 				matched[one] = true
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -14,102 +14,109 @@
 	return record
 }
 
-// TestSupervisorSilence checks the verdict on incarnation a.1 for each content of the record.
-func TestSupervisorSilence(t *testing.T) {
-	exit := Exit{Code: 3, Uptime: 7}
-	recordedExit := SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-		Incarnation: "a.1", Phase: PhaseExited, Exit: exit, NoticeID: "a.2",
+// Verdicts on incarnation a.1.
+var (
+	recordedExit      = Exit{Code: 3, Uptime: 7}
+	afterRecordedExit = SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+		Incarnation: "a.1", Phase: PhaseExited, Exit: recordedExit, NoticeID: "a.2",
 	}}
-	unrecordedExit := SilenceVerdict{Decided: true, Observation: Observation{
+	afterUnrecordedExit = SilenceVerdict{Decided: true, Observation: Observation{
 		Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true},
 	}}
-	undecided := SilenceVerdict{Recorded: true}
-	for _, test := range []struct {
-		name   string
-		missed int
-		record SupervisorRecord
-		want   SilenceVerdict
-	}{
-		{
-			name:   "recorded end, first miss",
-			missed: 1,
-			record: testRecord(func(r *SupervisorRecord) { r.Ended, r.Exit = true, exit }),
-			want:   recordedExit,
-		},
-		{
-			name:   "recorded end, processes run",
-			missed: 9,
-			record: testRecord(func(r *SupervisorRecord) {
-				r.Ended, r.Exit = true, exit
-				r.SupervisorAlive, r.InstanceAlive = true, true
-			}),
-			want: recordedExit,
-		},
-		{
-			name:   "end of an earlier incarnation, too early",
-			missed: maxMissedPolls - 1,
-			record: testRecord(func(r *SupervisorRecord) { r.Incarnation, r.Ended = "a.0", true }),
-			want:   undecided,
-		},
-		{
-			name:   "no record, too early",
-			missed: maxMissedPolls - 1,
-			want:   undecided,
-		},
-		{
-			name:   "dead supervisor, too early",
-			missed: maxMissedPolls - 1,
-			record: testRecord(func(r *SupervisorRecord) { r.InstanceAlive = true }),
-			want:   undecided,
-		},
-		{
-			name:   "no record",
-			missed: maxMissedPolls,
-			want:   unrecordedExit,
-		},
-		{
-			name:   "record of an earlier incarnation",
-			missed: maxMissedPolls,
-			record: testRecord(func(r *SupervisorRecord) {
-				r.Incarnation = "a.0"
-				r.Ended = true
-				r.SupervisorAlive = true
-			}),
-			want: unrecordedExit,
-		},
-		{
-			name:   "unreadable record",
-			missed: maxMissedPolls,
-			record: SupervisorRecord{State: RecordUnreadable, Cause: "permission denied"},
-			want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-				Incarnation: "a.1", Phase: PhaseUnknown, Cause: "permission denied",
-			}},
-		},
-		{
-			name:   "hanging supervisor",
-			missed: maxMissedPolls,
-			record: testRecord(func(r *SupervisorRecord) { r.SupervisorAlive, r.InstanceAlive = true, true }),
-			want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-				Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper does not answer", NoticeID: "a.2",
-			}},
-		},
-		{
-			name:   "dead supervisor",
-			missed: maxMissedPolls,
-			record: testRecord(func(r *SupervisorRecord) { r.InstanceAlive = true }),
-			want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-				Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper is gone", Orphaned: true, NoticeID: "a.2",
-			}},
-		},
-		{
-			name:   "dead supervisor and instance",
-			missed: maxMissedPolls,
-			record: testRecord(func(*SupervisorRecord) {}),
-			want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
-				Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}, NoticeID: "a.2",
-			}},
-		},
-	} {
+	undecided = SilenceVerdict{Recorded: true}
+)
+
+// silenceCases have the verdict on incarnation a.1 for each content of the record.
+var silenceCases = []struct {
+	name   string
+	missed int
+	record SupervisorRecord
+	want   SilenceVerdict
+}{
+	{
+		name:   "recorded end, first miss",
+		missed: 1,
+		record: testRecord(func(r *SupervisorRecord) { r.Ended, r.Exit = true, recordedExit }),
+		want:   afterRecordedExit,
+	},
+	{
+		name:   "recorded end, processes run",
+		missed: 9,
+		record: testRecord(func(r *SupervisorRecord) {
+			r.Ended, r.Exit = true, recordedExit
+			r.SupervisorAlive, r.InstanceAlive = true, true
+		}),
+		want: afterRecordedExit,
+	},
+	{
+		name:   "end of an earlier incarnation, too early",
+		missed: maxMissedPolls - 1,
+		record: testRecord(func(r *SupervisorRecord) { r.Incarnation, r.Ended = "a.0", true }),
+		want:   undecided,
+	},
+	{
+		name:   "no record, too early",
+		missed: maxMissedPolls - 1,
+		want:   undecided,
+	},
+	{
+		name:   "dead supervisor, too early",
+		missed: maxMissedPolls - 1,
+		record: testRecord(func(r *SupervisorRecord) { r.InstanceAlive = true }),
+		want:   undecided,
+	},
+	{
+		name:   "no record",
+		missed: maxMissedPolls,
+		want:   afterUnrecordedExit,
+	},
+	{
+		name:   "record of an earlier incarnation",
+		missed: maxMissedPolls,
+		record: testRecord(func(r *SupervisorRecord) {
+			r.Incarnation = "a.0"
+			r.Ended = true
+			r.SupervisorAlive = true
+		}),
+		want: afterUnrecordedExit,
+	},
+	{
+		name:   "unreadable record",
+		missed: maxMissedPolls,
+		record: SupervisorRecord{State: RecordUnreadable, Cause: "permission denied"},
+		want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+			Incarnation: "a.1", Phase: PhaseUnknown, Cause: "permission denied",
+		}},
+	},
+	{
+		name:   "hanging supervisor",
+		missed: maxMissedPolls,
+		record: testRecord(func(r *SupervisorRecord) { r.SupervisorAlive, r.InstanceAlive = true, true }),
+		want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+			Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper does not answer", NoticeID: "a.2",
+		}},
+	},
+	{
+		name:   "dead supervisor",
+		missed: maxMissedPolls,
+		record: testRecord(func(r *SupervisorRecord) { r.InstanceAlive = true }),
+		want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+			Incarnation: "a.1", Phase: PhaseUnknown, Cause: "its keeper is gone", Orphaned: true, NoticeID: "a.2",
+		}},
+	},
+	{
+		name:   "dead supervisor and instance",
+		missed: maxMissedPolls,
+		record: testRecord(func(*SupervisorRecord) {}),
+		want: SilenceVerdict{Decided: true, Recorded: true, Observation: Observation{
+			Incarnation: "a.1", Phase: PhaseExited, Exit: Exit{Unobserved: true}, NoticeID: "a.2",
+		}},
+	},
+}
+
+// TestSupervisorSilence checks the verdict on incarnation a.1 for each content of the record.
+func TestSupervisorSilence(t *testing.T) {
+	for _, test := range silenceCases {
 		t.Run(test.name, func(t *testing.T) {
 			silence := SupervisorSilence{Incarnation: "a.1", MissedPolls: test.missed, Record: test.record}
 			if diff := cmp.Diff(test.want, silence.Interpret()); diff != "" {
--- a/internal/fleet/spec_group.go
+++ b/internal/fleet/spec_group.go
@@ -26,18 +26,18 @@
 )
 
 // readGroup reads a (group ...) form; dir is the directory at which relative paths start.
-func (r *specReader) readGroup(f *sexpr.Form, dir string) {
+func (r *specReader) readGroup(form *sexpr.Form, dir string) {
 	r.attribute(SpecSubject{})
 	group := GroupSpec{
-		Name:         readName(f),
-		Host:         f.Text("host", ""),
-		Labels:       f.Words("labels"),
-		StartWithin:  monotime.FromDuration(f.Span("start-within", minSpan, maxSpan, defaultStartWithin)),
-		Settle:       monotime.FromDuration(f.Span("settle", 0, maxSpan, defaultSettle)),
+		Name:         readName(form),
+		Host:         form.Text("host", ""),
+		Labels:       form.Words("labels"),
+		StartWithin:  monotime.FromDuration(form.Span("start-within", minSpan, maxSpan, defaultStartWithin)),
+		Settle:       monotime.FromDuration(form.Span("settle", 0, maxSpan, defaultSettle)),
 		MaxLaunches:  defaultMaxLaunches,
 		LaunchWindow: monotime.FromDuration(defaultLaunchWindow),
 	}
-	if restart := f.Field("restart"); restart != nil {
+	if restart := form.Field("restart"); restart != nil {
 		group.MaxLaunches = restart.Int("most", 0, maxLaunchesLimit, group.MaxLaunches)
 		group.LaunchWindow = monotime.FromDuration(restart.Span("within", minSpan, maxSpan, defaultLaunchWindow))
 		restart.Done()
@@ -46,26 +46,26 @@
 		group.Host = r.Hosts[0].Name
 	}
 	if r.Host(group.Host) == nil {
-		f.Fail("host", "unknown host %q", group.Host)
+		form.Fail("host", "unknown host %q", group.Host)
 	}
 	if r.Group(group.Name) != nil {
-		f.Fail("", "duplicate group %q", group.Name)
+		form.Fail("", "duplicate group %q", group.Name)
 	}
-	config := absolutePath(dir, f.Text("config", ""))
+	config := absolutePath(dir, form.Text("config", ""))
 	if config == "" {
-		f.Fail("config", "missing, wanted the configuration's path, with %%n for the instance's name")
+		form.Fail("config", "missing, wanted the configuration's path, with %%n for the instance's name")
 	}
-	group.DegradationFile = absolutePath(dir, f.Text("levels", ""))
-	names := append(f.Words("instances"), readRange(f)...)
+	group.DegradationFile = absolutePath(dir, form.Text("levels", ""))
+	names := append(form.Words("instances"), readRange(form)...)
 	if len(names) > 1 && config != "" && !strings.Contains(config, namePlaceholder) {
-		f.Fail("config", "found %q for %d instances, wanted %%n in it", config, len(names))
+		form.Fail("config", "found %q for %d instances, wanted %%n in it", config, len(names))
 	}
-	r.addInstances(f, &group, config, "instances", names)
-	r.addInstances(f, &group, config, "spares", f.Words("spares"))
+	r.addInstances(form, &group, config, "instances", names)
+	r.addInstances(form, &group, config, "spares", form.Words("spares"))
 	if len(group.Instances) == 0 {
-		f.Fail("", "found no instance, wanted at least one")
+		form.Fail("", "found no instance, wanted at least one")
 	}
-	f.Done()
+	form.Done()
 	r.attribute(SpecSubject{Group: group.Name})
 	r.Groups = append(r.Groups, group)
 }
@@ -79,16 +79,16 @@
 }
 
 // addInstances adds the instances that a field of a group names.
-func (r *specReader) addInstances(f *sexpr.Form, group *GroupSpec, config, field string, names []string) {
+func (r *specReader) addInstances(form *sexpr.Form, group *GroupSpec, config, field string, names []string) {
 	r.attribute(SpecSubject{Group: group.Name})
 	for _, name := range names {
 		if err := CheckName(name); err != nil {
-			f.Fail(field, "%v", err)
+			form.Fail(field, "%v", err)
 			r.attribute(SpecSubject{Group: group.Name, Instance: name})
 			continue
 		}
 		if r.instances[name] != nil {
-			f.Fail(field, "duplicate instance %q", name)
+			form.Fail(field, "duplicate instance %q", name)
 			r.attribute(SpecSubject{Group: group.Name, Instance: name})
 			continue
 		}
@@ -106,14 +106,14 @@
 }
 
 // readRange reads the names of a range: (range n 1 40) is n1 to n40.
-func readRange(f *sexpr.Form) (names []string) {
+func readRange(form *sexpr.Form) (names []string) {
 	const wordCount = 3
-	form := f.Field("range")
-	if form == nil {
+	rangeForm := form.Field("range")
+	if rangeForm == nil {
 		return nil
 	}
-	words := form.Args(wordCount, wordCount)
-	form.Done()
+	words := rangeForm.Args(wordCount, wordCount)
+	rangeForm.Done()
 	if len(words) != wordCount {
 		return nil
 	}
@@ -121,7 +121,7 @@
 	first, errFirst := strconv.Atoi(words[1])
 	last, errLast := strconv.Atoi(words[2])
 	if errFirst != nil || errLast != nil || first < 0 || last < first || last-first >= maxRange {
-		f.Fail("range", "found %q, wanted a name and the first and the last number", strings.Join(words, " "))
+		form.Fail("range", "found %q, wanted a name and the first and the last number", strings.Join(words, " "))
 		return nil
 	}
 	for n := first; n <= last; n++ {
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -38,79 +38,79 @@
 )
 
 // readQuotas reads the (budgets ...) form: the quotas that the fleet shares, and the hosts that keep their store.
-func (r *specReader) readQuotas(f *sexpr.Form) {
-	r.Quotas = &quota.Config{Version: uint64(f.Int("version", 1, maxQuotaVersion, 1))}
-	r.readQuotaHosts(f)
-	r.checkPeerAddresses(f)
-	for _, form := range f.All("budget") {
-		r.readQuota(form)
+func (r *specReader) readQuotas(form *sexpr.Form) {
+	r.Quotas = &quota.Config{Version: uint64(form.Int("version", 1, maxQuotaVersion, 1))}
+	r.readQuotaHosts(form)
+	r.checkPeerAddresses(form)
+	for _, quotaForm := range form.All("budget") {
+		r.readQuota(quotaForm)
 	}
 	if n := len(r.Quotas.Limits); n == 0 || n > backendquota.MaxBudgets {
-		f.Fail("", "found %d budgets, wanted 1 to %d", n, backendquota.MaxBudgets)
+		form.Fail("", "found %d budgets, wanted 1 to %d", n, backendquota.MaxBudgets)
 	}
-	f.Done()
+	form.Done()
 }
 
 // readQuotaHosts reads the hosts whose agents keep the quota store. The only host of a fleet need not be named.
-func (r *specReader) readQuotaHosts(f *sexpr.Form) {
-	r.QuotaHosts = f.Words("ledger")
+func (r *specReader) readQuotaHosts(form *sexpr.Form) {
+	r.QuotaHosts = form.Words("ledger")
 	if len(r.QuotaHosts) == 0 && len(r.Hosts) == 1 {
 		r.QuotaHosts = []string{r.Hosts[0].Name}
 	}
 	if err := quorum.ValidateMembers(r.QuotaHosts); err != nil {
-		f.Fail("ledger", "%v", err)
+		form.Fail("ledger", "%v", err)
 	}
 	if len(r.QuotaHosts) == 0 {
-		f.Fail("ledger", "missing, wanted the hosts whose agents keep the quota store")
+		form.Fail("ledger", "missing, wanted the hosts whose agents keep the quota store")
 	}
 	for _, host := range r.QuotaHosts {
 		if r.Host(host) == nil {
-			f.Fail("ledger", "unknown host %q", host)
+			form.Fail("ledger", "unknown host %q", host)
 		}
 	}
 }
 
 // checkPeerAddresses reports the hosts of a larger fleet that the other agents can't reach.
-func (r *specReader) checkPeerAddresses(f *sexpr.Form) {
+func (r *specReader) checkPeerAddresses(form *sexpr.Form) {
 	if len(r.Hosts) == 1 {
 		return
 	}
 	for _, host := range r.Hosts {
 		if host.PeerAddress == "" {
 			r.attribute(SpecSubject{})
-			f.Fail("", "host %q has no (peer ADDRESS), which the hosts that share budgets need", host.Name)
+			form.Fail("", "host %q has no (peer ADDRESS), which the hosts that share budgets need", host.Name)
 			r.attribute(SpecSubject{Host: host.Name})
 		}
 	}
 }
 
 // readQuota reads a (budget ...) form.
-func (r *specReader) readQuota(f *sexpr.Form) {
+func (r *specReader) readQuota(form *sexpr.Form) {
 	r.attribute(SpecSubject{})
-	limit := quota.Limit{Name: quota.LimitName(readName(f))}
+	limit := quota.Limit{Name: quota.LimitName(readName(form))}
 	if r.Quotas.Lookup(limit.Name) != nil {
-		f.Fail("", "duplicate budget %q", limit.Name)
+		form.Fail("", "duplicate budget %q", limit.Name)
 	}
-	rate := f.Int("rate", 0, backendquota.MaxRate, 0)
-	count := f.Int("count", 0, backendquota.MaxRate, 0)
+	rate := form.Int("rate", 0, backendquota.MaxRate, 0)
+	count := form.Int("count", 0, backendquota.MaxRate, 0)
 	switch {
 	case rate > 0 && count == 0:
 		limit.Kind = quota.Rate
 		limit.Total = int64(rate)
-		r.readRate(f, &limit)
+		r.readRate(form, &limit)
 	case count > 0 && rate == 0:
 		limit.Kind = quota.Concurrency
 		limit.Total = int64(count)
-		if f.OneOf("alone", "no", "yes") == "yes" {
+		if form.OneOf("alone", "no", "yes") == "yes" {
 			limit.Reserved = int64(len(r.Hosts))
 		}
 	default:
-		f.Fail("", "wanted either (rate UNITS-A-SECOND) or (count UNITS)")
+		form.Fail("", "wanted either (rate UNITS-A-SECOND) or (count UNITS)")
 	}
-	f.Done()
+	form.Done()
 	if limit.Kind != "" {
 		if err, ok := errors.AsType[*quota.LimitError](limit.Validate()); ok {
-			f.Fail(err.Field, "%s", err.Reason)
+			form.Fail(err.Field, "%s", err.Reason)
 		}
 	}
 	r.attribute(SpecSubject{Quota: string(limit.Name)})
@@ -118,22 +118,22 @@
 }
 
 // readRate reads the fields of a rate quota.
-func (r *specReader) readRate(f *sexpr.Form, limit *quota.Limit) {
-	limit.Tenant = f.Text("tenant", "")
-	limit.Division = quota.Division(f.OneOf("divide",
+func (r *specReader) readRate(form *sexpr.Form, limit *quota.Limit) {
+	limit.Tenant = form.Text("tenant", "")
+	limit.Division = quota.Division(form.OneOf("divide",
 		string(quota.DivideByDemand), string(quota.DivideEvenly), string(quota.DivideByCapacity)))
-	limit.Step = int64(f.Int("step", 1, backendquota.MaxRate, 1))
-	limit.Lease = monotime.FromDuration(f.Span("lease", minLease, maxLease, defaultLease))
+	limit.Step = int64(form.Int("step", 1, backendquota.MaxRate, 1))
+	limit.Lease = monotime.FromDuration(form.Span("lease", minLease, maxLease, defaultLease))
 	margin := max(limit.Lease/leasePerClockMargin, quota.MinClockMargin(limit.Lease))
-	limit.ClockMargin = monotime.FromDuration(f.Span("margin", 0, maxClockMargin, margin.Duration()))
+	limit.ClockMargin = monotime.FromDuration(form.Span("margin", 0, maxClockMargin, margin.Duration()))
 	if limit.Tenant == "" {
-		f.Fail("tenant", "missing, wanted the tenant whose requests use the budget")
+		form.Fail("tenant", "missing, wanted the tenant whose requests use the budget")
 	}
-	floor := int64(f.Int("floor", 0, backendquota.MaxRate, 0))
-	groups := f.Words("groups")
+	floor := int64(form.Int("floor", 0, backendquota.MaxRate, 0))
+	groups := form.Words("groups")
 	for _, group := range groups {
 		if r.Group(group) == nil {
-			f.Fail("groups", "unknown group %q", group)
+			form.Fail("groups", "unknown group %q", group)
 		}
 	}
 	limit.Floors = map[quota.InstanceName]int64{}
@@ -143,19 +143,19 @@
 		}
 	}
 	limit.Weights = map[quota.InstanceName]int64{}
-	readPerInstance(f, "floors", 0, limit.Floors, limit.Floors)
-	readPerInstance(f, "weights", 1, limit.Floors, limit.Weights)
+	readPerInstance(form, "floors", 0, limit.Floors, limit.Floors)
+	readPerInstance(form, "weights", 1, limit.Floors, limit.Weights)
 }
 
 // readPerInstance reads a form such as (floors (n1 4) (n2 2)) into values. It may name the instances that are keys of
 // allowed.
-func readPerInstance(f *sexpr.Form, field string, minValue int64, allowed, values map[quota.InstanceName]int64) {
-	form := f.Field(field)
-	if form == nil {
+func readPerInstance(form *sexpr.Form, field string, minValue int64, allowed, values map[quota.InstanceName]int64) {
+	valuesForm := form.Field(field)
+	if valuesForm == nil {
 		return
 	}
 	for name := range allowed {
-		for _, entry := range form.All(string(name)) {
+		for _, entry := range valuesForm.All(string(name)) {
 			word := entry.Arg()
 			value, err := strconv.ParseInt(word, 10, 64)
 			if err != nil || value < minValue || value > backendquota.MaxRate {
@@ -167,27 +167,27 @@
 			entry.Done()
 		}
 	}
-	form.Done()
+	valuesForm.Done()
 }
 
 // readColdStart reads the (rise ...) form.
-func (r *specReader) readColdStart(f *sexpr.Form) {
-	r.ColdStartQuota = f.Text("budget", "")
+func (r *specReader) readColdStart(form *sexpr.Form) {
+	r.ColdStartQuota = form.Text("budget", "")
 	config := &coldstart.Config{
-		MinServing:        f.Share("least", 0, 1, defaultMinServing),
-		MaxFailures:       int64(f.Int("failures", 1, maxColdStartFailures, defaultColdStartFailures)),
-		SlowFactor:        f.Share("slow", 1, maxSlowFactor, defaultSlowFactor),
-		MaxRejected:       f.Share("refused", 0, 1, defaultMaxRejected),
-		InitialConcurrent: int64(f.Int("first", 0, maxInitialConcurrent, 0)),
+		MinServing:        form.Share("least", 0, 1, defaultMinServing),
+		MaxFailures:       int64(form.Int("failures", 1, maxColdStartFailures, defaultColdStartFailures)),
+		SlowFactor:        form.Share("slow", 1, maxSlowFactor, defaultSlowFactor),
+		MaxRejected:       form.Share("refused", 0, 1, defaultMaxRejected),
+		InitialConcurrent: int64(form.Int("first", 0, maxInitialConcurrent, 0)),
 	}
-	f.Done()
+	form.Done()
 	if !r.hasConcurrencyQuota(r.ColdStartQuota) {
-		f.Fail("budget", "this file has no budget %q with a count", r.ColdStartQuota)
+		form.Fail("budget", "this file has no budget %q with a count", r.ColdStartQuota)
 		return
 	}
 	limit := r.Quotas.Lookup(quota.LimitName(r.ColdStartQuota))
 	if limit.Reserved == 0 {
-		f.Fail("budget",
+		form.Fail("budget",
 			"budget %q has no (alone yes): a host that can't reach the quota store could never start an instance",
 			r.ColdStartQuota)
 	}
@@ -196,7 +196,7 @@
 		config.InitialConcurrent = min(defaultInitialConcurrent, config.MaxConcurrent)
 	}
 	if err, ok := errors.AsType[*coldstart.ConfigError](config.Validate()); ok {
-		f.Fail(err.Field, "%s", err.Reason)
+		form.Fail(err.Field, "%s", err.Reason)
 	}
 	r.ColdStart = config
 }
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -92,12 +92,12 @@
 }
 
 // readHosts reads the (host ...) forms.
-func (r *specReader) readHosts(f *sexpr.Form) {
-	for _, form := range f.All("host") {
-		r.readHost(form)
+func (r *specReader) readHosts(form *sexpr.Form) {
+	for _, hostForm := range form.All("host") {
+		r.readHost(hostForm)
 	}
 	if len(r.Hosts) == 0 {
-		f.Fail("", "found no host, wanted at least one")
+		form.Fail("", "found no host, wanted at least one")
 	}
 }
 
@@ -124,24 +124,24 @@
 }
 
 // checkInstanceCounts reports a fleet without instances, and hosts with more instances than one agent can manage.
-func (r *specReader) checkInstanceCounts(f *sexpr.Form, maxInstances int) {
+func (r *specReader) checkInstanceCounts(form *sexpr.Form, maxInstances int) {
 	if len(r.instances) == 0 {
-		f.Fail("", "found no instance, wanted at least one")
+		form.Fail("", "found no instance, wanted at least one")
 	}
 	r.attribute(SpecSubject{})
 	for _, host := range r.Hosts {
 		if n := len(r.InstancesOn(host.Name)); n > maxInstances {
-			f.Fail("", "host %q has %d instances, one agent manages at most %d", host.Name, n, maxInstances)
+			form.Fail("", "host %q has %d instances, one agent manages at most %d", host.Name, n, maxInstances)
 			r.attribute(SpecSubject{Host: host.Name})
 		}
 	}
 }
 
 // readName reads a form's only word as a name.
-func readName(f *sexpr.Form) string {
-	name := f.Arg()
+func readName(form *sexpr.Form) string {
+	name := form.Arg()
 	if err := CheckName(name); err != nil {
-		f.Fail("", "%v", err)
+		form.Fail("", "%v", err)
 	}
 	return name
 }
