--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -53,8 +53,8 @@
 	return err
 }
 
-// Rise begins or changes a cold start of the fleet. Errors are *agentapi.StatusError.
-func (a *Agent) Rise(ctx context.Context, c quota.ColdStartCommand) error {
+// ColdStart begins or changes a cold start of the fleet. Errors are *agentapi.StatusError.
+func (a *Agent) ColdStart(ctx context.Context, c quota.ColdStartCommand) error {
 	rejection, err := a.applyQuotaCommand(ctx, quota.Command{ColdStart: &c})
 	if err == nil && rejection != "" {
 		return &agentapi.StatusError{Status: http.StatusConflict, Text: rejection}
--- a/internal/agentapi/api.go
+++ b/internal/agentapi/api.go
@@ -86,8 +86,8 @@
 	Budgets(ctx context.Context) (Budgets, error)
 	// WriteOff ends what a name holds of quotas, on an operator's command.
 	WriteOff(ctx context.Context, name, by string) error
-	// Rise begins or changes a cold start of the fleet.
-	Rise(ctx context.Context, r quota.ColdStartCommand) error
+	// ColdStart begins or changes a cold start of the fleet.
+	ColdStart(ctx context.Context, r quota.ColdStartCommand) error
 	Members() []membership.Member
 }
 
--- a/internal/agentapi/api_test.go
+++ b/internal/agentapi/api_test.go
@@ -105,7 +105,7 @@
 	return m.record("write off %s %s", name, by)
 }
 
-func (m *fakeManager) Rise(_ context.Context, c quota.ColdStartCommand) error {
+func (m *fakeManager) ColdStart(_ context.Context, c quota.ColdStartCommand) error {
 	return m.record("rise %+v", c)
 }
 
@@ -198,7 +198,7 @@
 	if err := c.WriteOff(ctx, "n/1", "me"); err != nil {
 		t.Errorf("write off: %v", err)
 	}
-	if err := c.Rise(ctx, quota.ColdStartCommand{}); err != nil {
+	if err := c.ColdStart(ctx, quota.ColdStartCommand{}); err != nil {
 		t.Errorf("cold start: %v", err)
 	}
 	want := []string{"steer c?1 pause me & you", "history 3 9", "budgets", "write off n/1 me", fmt.Sprintf("rise %+v", quota.ColdStartCommand{})}
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -182,8 +182,8 @@
 	return c.call(ctx, http.MethodPost, path, nil, nil)
 }
 
-// Rise begins or changes a cold start of the fleet.
-func (c *Client) Rise(ctx context.Context, command quota.ColdStartCommand) error {
+// ColdStart begins or changes a cold start of the fleet.
+func (c *Client) ColdStart(ctx context.Context, command quota.ColdStartCommand) error {
 	return c.call(ctx, http.MethodPost, "/v1/rise", command, nil)
 }
 
--- a/internal/agentapi/client_test.go
+++ b/internal/agentapi/client_test.go
@@ -92,10 +92,10 @@
 		return elapsed
 	}
 	synctest.Test(t, func(t *testing.T) {
-		if elapsed := follow(t, "{}\n"); elapsed < streams*rejoinBackoff.Min/2 || elapsed > streams*rejoinBackoff.Min {
+		if elapsed := follow(t, "{}\n"); elapsed < streams*reconnectBackoff.Min/2 || elapsed > streams*reconnectBackoff.Min {
 			t.Errorf("%v after streams with an event", elapsed)
 		}
-		if elapsed := follow(t, ""); elapsed < streams*rejoinBackoff.Min || elapsed > streams*rejoinBackoff.Max {
+		if elapsed := follow(t, ""); elapsed < streams*reconnectBackoff.Min || elapsed > streams*reconnectBackoff.Max {
 			t.Errorf("%v after streams without one", elapsed)
 		}
 	})
@@ -128,7 +128,7 @@
 			textResponse(http.StatusOK, lastLine),
 		}}
 		_, elapsed, err := followTest(t, b, s.roundTrip)
-		if least := silenceFactor * b.CallTimeout; err != nil || elapsed < least || elapsed > least+rejoinBackoff.Max {
+		if least := maxSilenceCalls * b.CallTimeout; err != nil || elapsed < least || elapsed > least+reconnectBackoff.Max {
 			t.Errorf("%v: %v", elapsed, err)
 		}
 	})
@@ -143,7 +143,7 @@
 			context.AfterFunc(r.Context(), func() { _ = writer.CloseWithError(r.Context().Err()) })
 			go func() {
 				for range 5 {
-					time.Sleep((silenceFactor - 1) * b.CallTimeout)
+					time.Sleep((maxSilenceCalls - 1) * b.CallTimeout)
 					if _, err := io.WriteString(writer, "{}\n"); err != nil {
 						return
 					}
--- a/internal/agentapi/follow.go
+++ b/internal/agentapi/follow.go
@@ -15,11 +15,11 @@
 	"milletbarrow/internal/fleet"
 )
 
-// rejoinBackoff paces how a broken stream is joined again.
-var rejoinBackoff = backoff.Policy{Min: 50 * time.Millisecond, Max: 500 * time.Millisecond}
+// reconnectBackoff paces how a broken stream is joined again.
+var reconnectBackoff = backoff.Policy{Min: 50 * time.Millisecond, Max: 500 * time.Millisecond}
 
 const (
-	silenceFactor    = 4       // a stream that brings nothing for so many Bounds.Call is broken; the server sends a line each
+	maxSilenceCalls    = 4       // a stream that brings nothing for so many Bounds.Call is broken; the server sends a line each
 	maxRejectionBody = 4 << 10 // bytes
 )
 
@@ -36,7 +36,7 @@
 			return err
 		}
 		c.factory.mu.Lock()
-		pause := rejoinBackoff.Pause(attempt+1, c.factory.random)
+		pause := reconnectBackoff.Pause(attempt+1, c.factory.random)
 		c.factory.mu.Unlock()
 		select {
 		case <-time.After(pause):
@@ -58,7 +58,7 @@
 	if err != nil {
 		return true, err
 	}
-	maxSilence := silenceFactor * c.factory.bounds.CallTimeout
+	maxSilence := maxSilenceCalls * c.factory.bounds.CallTimeout
 	silence := time.AfterFunc(maxSilence, cancel)
 	defer silence.Stop()
 	response, err := c.http.Do(request)
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	most, err := parseMost(r)
+	most, err := parseLimit(r)
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 	if err := decodeBody(r, "a rise", coldStartFactor*int64(s.bounds.MessageSize), &command); err != nil {
 		return struct{}{}, err
 	}
-	return struct{}{}, s.manager.Rise(r.Context(), command)
+	return struct{}{}, s.manager.ColdStart(r.Context(), command)
 }
 
 // parseAfter reads the serial after which entries are wanted; 0 without one.
@@ -164,8 +164,8 @@
 	return after, nil
 }
 
-// parseMost reads how many entries are wanted.
-func parseMost(r *http.Request) (int, error) {
+// parseLimit reads how many entries are wanted.
+func parseLimit(r *http.Request) (int, error) {
 	text := r.URL.Query().Get("most")
 	if text == "" {
 		return defaultHistory, nil
--- a/internal/agentapi/stream.go
+++ b/internal/agentapi/stream.go
@@ -25,7 +25,7 @@
 		s.writeError(w, err)
 		return
 	}
-	if _, err := parseMost(r); err != nil { // it has no meaning here, and is checked all the same
+	if _, err := parseLimit(r); err != nil { // it has no meaning here, and is checked all the same
 		s.writeError(w, err)
 		return
 	}
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -97,7 +97,7 @@
 	return a.called("write off " + name + " by " + by)
 }
 
-func (a *fakeAgent) Rise(_ context.Context, r quota.ColdStartCommand) error {
+func (a *fakeAgent) ColdStart(_ context.Context, r quota.ColdStartCommand) error {
 	return a.called("cold start " + r.ID)
 }
 
--- a/internal/fleetclient/quotas.go
+++ b/internal/fleetclient/quotas.go
@@ -54,7 +54,7 @@
 
 // ColdStart begins a cold start at the quota leader, or resumes or ends one.
 func (c *Client) ColdStart(ctx context.Context, r quota.ColdStartCommand) error {
-	return c.askAny(func(agent *agentapi.Client) error { return agent.Rise(ctx, r) })
+	return c.askAny(func(agent *agentapi.Client) error { return agent.ColdStart(ctx, r) })
 }
 
 // HostMembers is one agent's view of the members, or why there is none.
