--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -91,7 +91,7 @@
 		return unusable(err)
 	}
 	defer func() { _ = store.Close() }() // each change is on the disk already
-	p, err := newAgentProcess(spec, host, dir, store, c.Bool("trust-directory"))
+	p, err := newAgentProcess(ctx, spec, host, dir, store, c.Bool("trust-directory"))
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 }
 
 func newAgentProcess(
-	spec *fleet.Spec, host *fleet.HostSpec, dir string, store agentstore.Store, trustDir bool,
+	ctx context.Context, spec *fleet.Spec, host *fleet.HostSpec, dir string, store agentstore.Store, trustDir bool,
 ) (*agentProcess, error) {
 	p := &agentProcess{bounds: limits.ForControl()}
 	executable, err := os.Executable()
@@ -145,7 +145,7 @@
 		}
 		options.Cluster = p.node
 	}
-	if p.listener, err = agentapi.Listen(host.AgentAddress); err != nil {
+	if p.listener, err = agentapi.Listen(ctx, host.AgentAddress); err != nil {
 		return nil, unusable(err)
 	}
 	if p.agent, err = agent.New(options); err != nil {
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -24,7 +24,7 @@
 	h.startAgent(nil)
 	bounds := limits.ForControl()
 	address := "unix:" + h.dir + "/a.sock"
-	l, err := agentapi.Listen(address)
+	l, err := agentapi.Listen(t.Context(), address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 			t.Errorf("%s: %v, want status %d", test.name, err, test.status)
 		}
 	}
-	if _, err := agentapi.Listen(address); err == nil {
+	if _, err := agentapi.Listen(t.Context(), address); err == nil {
 		t.Error("a second agent listens")
 	}
 }
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -27,27 +27,36 @@
 }
 
 func (e *UnreachableError) Error() string { return fmt.Sprintf("agent at %s: %v", e.Address, e.Err) }
+
+// Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// ClientFactory makes clients that share one retry budget. Requests are retried here and nowhere else.
+// ClientFactory makes clients that share a retry budget. No other package retries requests to agents.
 type ClientFactory struct {
 	bounds limits.Control
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	retryBudget backoff.RetryBudget
-	random      *rand.Rand // of the jitter
+	random      *rand.Rand // for the jitter of pauses
 }
 
-// NewClientFactory makes a factory; the seed is of the backoff's jitter.
+// jitterStream is the second half of the seed of the jitter.
+const jitterStream = 2
+
+// NewClientFactory returns a factory; the seed is for the jitter of pauses.
 func NewClientFactory(b limits.Control, seed uint64) *ClientFactory {
-	return &ClientFactory{bounds: b, random: rand.New(rand.NewPCG(seed, 2))}
+	return &ClientFactory{bounds: b, random: rand.New(rand.NewPCG(seed, jitterStream))}
 }
 
-// maxResponseFactor bounds a response, in Bounds.Message: a status lists many instances.
-const maxResponseFactor = 64
+const (
+	// maxResponseFactor bounds a response, in Bounds.MessageSize: a status lists many instances.
+	maxResponseFactor = 64
+	// attemptTimeoutCalls bounds an attempt, in Bounds.CallTimeout: the agent itself may take one.
+	attemptTimeoutCalls = 2
+)
 
-// Client makes requests to one agent. Its methods may be called from any goroutine. Each is retried where it got no
-// answer or 503; that is safe, as sending a request twice changes nothing. Errors are *UnreachableError, *StatusError,
+// Client makes requests to one agent. Its methods may be called from any goroutine. It retries a request that got no
+// response or status 503; that is safe, as all requests are idempotent. Errors are *UnreachableError, *StatusError,
 // or say that a response can't be decoded.
 type Client struct {
 	factory *ClientFactory
@@ -55,13 +64,13 @@
 	http    *http.Client
 }
 
-// Client returns a client of the agent at an address, in the form that fleet.CheckAddress accepts.
+// Client returns a client of the agent at an address that fleet.CheckAddress accepts.
 func (f *ClientFactory) Client(address string) *Client {
 	return &Client{factory: f, address: address, http: jsonhttp.Client(address, f.bounds)}
 }
 
-// pause returns how long to wait before an attempt, counted from 1; false: there is none.
-func (f *ClientFactory) pause(attempt int) (time.Duration, bool) {
+// pause returns how long to wait before an attempt, counted from 1, and whether the attempt is allowed.
+func (f *ClientFactory) pause(attempt int) (pause time.Duration, allowed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if attempt == 1 {
@@ -71,21 +80,29 @@
 	if attempt > f.bounds.Attempts || !f.retryBudget.AllowRetry() {
 		return 0, false
 	}
-	return backoff.Policy{Min: f.bounds.RetryBackoff, Max: f.bounds.RetryBackoffMax}.Pause(attempt, f.random), true
+	policy := backoff.Policy{Min: f.bounds.RetryBackoff, Max: f.bounds.RetryBackoffMax}
+	return policy.Pause(attempt, f.random), true
 }
 
-// call makes a request, and retries it while the budget allows.
+// reconnectPause returns how long to wait before a broken stream is connected again, for the n-th time in a row.
+func (f *ClientFactory) reconnectPause(n int) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return reconnectBackoff.Pause(n+1, f.random)
+}
+
+// call makes a request and retries it while the retry budget allows.
 func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
 	var last error
 	for attempt := 1; ; attempt++ {
-		pause, ok := c.factory.pause(attempt)
-		if !ok {
-			return &UnreachableError{c.address, last}
+		pause, allowed := c.factory.pause(attempt)
+		if !allowed {
+			return c.unreachable(last)
 		}
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
-			return &UnreachableError{c.address, errors.Join(ctx.Err(), last)}
+			return c.unreachable(errors.Join(ctx.Err(), last))
 		}
 		retryable, err := c.attempt(ctx, method, path, body, into)
 		if err == nil || !retryable {
@@ -95,19 +112,25 @@
 	}
 }
 
-// attempt makes a request once; retryable: another attempt may help.
+// unreachable returns the error of an agent that did not answer.
+func (c *Client) unreachable(err error) error {
+	return &UnreachableError{Address: c.address, Err: err}
+}
+
+// attempt makes a request once, and reports whether another attempt may succeed.
 func (c *Client) attempt(ctx context.Context, method, path string, body, into any) (retryable bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*c.factory.bounds.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeoutCalls*c.factory.bounds.CallTimeout)
 	defer cancel()
 	maxResponse := maxResponseFactor * int64(c.factory.bounds.MessageSize)
 	err = jsonhttp.Call(ctx, c.http, method, path, body, into, maxResponse)
 	if rejection, ok := errors.AsType[*jsonhttp.StatusError](err); ok {
-		return rejection.Code == http.StatusServiceUnavailable, newStatusError(rejection.Code, []byte(rejection.Message))
+		retryable = rejection.Code == http.StatusServiceUnavailable
+		return retryable, newStatusError(rejection.Code, []byte(rejection.Message))
 	}
 	return err != nil, err
 }
 
-// newStatusError reads the reason out of a response's body.
+// newStatusError returns the error of a rejection, with the reason from the body of its response.
 func newStatusError(status int, raw []byte) *StatusError {
 	var body errorBody
 	if json.Unmarshal(raw, &body) != nil || body.Error == "" {
@@ -123,7 +146,7 @@
 	return status, err
 }
 
-// Submit sends a command. Sent again it is the same command.
+// Submit submits a command. It is idempotent by the ID of the request.
 func (c *Client) Submit(ctx context.Context, r CommandRequest) (*fleet.Command, error) {
 	command := &fleet.Command{}
 	err := c.call(ctx, http.MethodPost, "/v1/commands", r, command)
@@ -140,7 +163,7 @@
 	return command, err
 }
 
-// Commands lists the commands that the agent knows, newest first.
+// Commands returns the commands that the agent knows, newest first.
 func (c *Client) Commands(ctx context.Context) ([]*fleet.Command, error) {
 	var commands []*fleet.Command
 	err := c.call(ctx, http.MethodGet, "/v1/commands", nil, &commands)
@@ -155,14 +178,15 @@
 	return command, err
 }
 
-// History returns the latest entries after a serial, at most so many.
-func (c *Client) History(ctx context.Context, after uint64, most int) ([]agentstore.Entry, error) {
+// History returns the latest entries after a serial, at most limit.
+func (c *Client) History(ctx context.Context, after uint64, limit int) ([]agentstore.Entry, error) {
 	var entries []agentstore.Entry
-	err := c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/history?after=%d&most=%d", after, most), nil, &entries)
+	path := fmt.Sprintf("/v1/history?after=%d&most=%d", after, limit)
+	err := c.call(ctx, http.MethodGet, path, nil, &entries)
 	return entries, err
 }
 
-// Budgets returns how the fleet's quotas stand.
+// Budgets returns the state of the fleet's quotas.
 func (c *Client) Budgets(ctx context.Context) (Budgets, error) {
 	var budgets Budgets
 	err := c.call(ctx, http.MethodGet, "/v1/budgets", nil, &budgets)
@@ -176,7 +200,7 @@
 	return members, err
 }
 
-// WriteOff has the quota store end what a name holds, on an operator's command.
+// WriteOff has the quota store end the leases and permits of a holder, at an operator's request.
 func (c *Client) WriteOff(ctx context.Context, name, by string) error {
 	path := "/v1/write-off/" + url.PathEscape(name) + "?by=" + url.QueryEscape(by)
 	return c.call(ctx, http.MethodPost, path, nil, nil)
--- a/internal/agentapi/client_test.go
+++ b/internal/agentapi/client_test.go
@@ -6,255 +6,18 @@
 	"fmt"
 	"io"
 	"net/http"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
-
-	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/fleet"
-	"milletbarrow/internal/limits"
 )
 
-// roundTripFunc is a transport without a network.
-type roundTripFunc func(*http.Request) (*http.Response, error)
-
-func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
-
-func newTransportClient(b limits.Control, transport roundTripFunc) *Client {
-	return &Client{factory: NewClientFactory(b, 1), address: "test", http: &http.Client{Transport: transport}}
-}
-
-func newResponse(status int, body io.Reader) *http.Response {
-	return &http.Response{StatusCode: status, Body: io.NopCloser(body)}
-}
-
-// blockUntil is a body that brings nothing until its context ends.
-type blockUntil struct{ ctx context.Context }
-
-func (b blockUntil) Read([]byte) (int, error) {
-	<-b.ctx.Done()
-	return 0, b.ctx.Err()
-}
-
-// sequence answers the n-th request, counted from 0, with the n-th response, and records the queries.
-type sequence struct {
-	responses []func(*http.Request) *http.Response
-	queries   []string
-}
-
-func (s *sequence) roundTrip(r *http.Request) (*http.Response, error) {
-	n := len(s.queries)
-	s.queries = append(s.queries, r.URL.RawQuery)
-	if n >= len(s.responses) {
-		return nil, errors.New("no further response")
-	}
-	return s.responses[n](r), nil
-}
-
-func textResponse(status int, text string) func(*http.Request) *http.Response {
-	return func(*http.Request) *http.Response { return newResponse(status, strings.NewReader(text)) }
-}
-
-// followTest follows all history until an event that has a command, which ends each of these tests, or a minute has
-// passed on the bubble's clock.
-func followTest(t *testing.T, b limits.Control, transport roundTripFunc) (events []StreamEvent, elapsed time.Duration, err error) {
-	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
-	defer cancel()
-	start := time.Now()
-	err = newTransportClient(b, transport).Follow(ctx, "", 0, func(e StreamEvent) bool {
-		events = append(events, e)
-		return e.Command == nil
-	})
-	return events, time.Since(start), err
-}
-
-const lastLine = `{"command":{"id":"last"}}` + "\n"
-
-// TestFollowPausesAnewAfterAnEvent: streams that break after an event are joined again after the shortest pause, however many
-// there are; those that bring nothing are joined after pauses that grow.
-func TestFollowPausesAnewAfterAnEvent(t *testing.T) {
-	const streams = 10
-	follow := func(t *testing.T, text string) time.Duration {
-		t.Helper()
-		s := &sequence{}
-		for range streams {
-			s.responses = append(s.responses, textResponse(http.StatusOK, text))
-		}
-		s.responses = append(s.responses, textResponse(http.StatusOK, lastLine))
-		_, elapsed, err := followTest(t, testBounds(), s.roundTrip)
-		if err != nil || len(s.queries) != streams+1 {
-			t.Errorf("%d streams: %v", len(s.queries), err)
-		}
-		return elapsed
-	}
-	synctest.Test(t, func(t *testing.T) {
-		if elapsed := follow(t, "{}\n"); elapsed < streams*reconnectBackoff.Min/2 || elapsed > streams*reconnectBackoff.Min {
-			t.Errorf("%v after streams with an event", elapsed)
-		}
-		if elapsed := follow(t, ""); elapsed < streams*reconnectBackoff.Min || elapsed > streams*reconnectBackoff.Max {
-			t.Errorf("%v after streams without one", elapsed)
-		}
-	})
-}
-
-// TestFollowEndsWithItsContext: the end of the context ends the wait for a stream, also between two of them.
-func TestFollowEndsWithItsContext(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		errAway := errors.New("away")
-		client := newTransportClient(testBounds(), func(*http.Request) (*http.Response, error) { return nil, errAway })
-		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-		defer cancel()
-		start := time.Now()
-		err := client.Follow(ctx, "", 0, func(StreamEvent) bool { return true })
-		if _, ok := errors.AsType[*UnreachableError](err); !ok || !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, errAway) {
-			t.Error(err)
-		}
-		if elapsed := time.Since(start); elapsed != time.Second {
-			t.Errorf("ended after %v", elapsed)
-		}
-	})
-}
-
-// TestSilentStreamIsJoinedAgain: a stream that brings nothing for four times Bounds.CallTimeout is broken, and joined again.
-func TestSilentStreamIsJoinedAgain(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		b := testBounds()
-		s := &sequence{responses: []func(*http.Request) *http.Response{
-			func(r *http.Request) *http.Response { return newResponse(http.StatusOK, blockUntil{r.Context()}) },
-			textResponse(http.StatusOK, lastLine),
-		}}
-		_, elapsed, err := followTest(t, b, s.roundTrip)
-		if least := maxSilenceCalls * b.CallTimeout; err != nil || elapsed < least || elapsed > least+reconnectBackoff.Max {
-			t.Errorf("%v: %v", elapsed, err)
-		}
-	})
-}
-
-// TestSlowStreamIsNotBroken: a stream whose lines come in time is read on, however long it lasts.
-func TestSlowStreamIsNotBroken(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		b := testBounds()
-		s := &sequence{responses: []func(*http.Request) *http.Response{func(r *http.Request) *http.Response {
-			reader, writer := io.Pipe()
-			context.AfterFunc(r.Context(), func() { _ = writer.CloseWithError(r.Context().Err()) })
-			go func() {
-				for range 5 {
-					time.Sleep((maxSilenceCalls - 1) * b.CallTimeout)
-					if _, err := io.WriteString(writer, "{}\n"); err != nil {
-						return
-					}
-				}
-				_, _ = io.WriteString(writer, lastLine)
-			}()
-			return newResponse(http.StatusOK, reader)
-		}}}
-		events, _, err := followTest(t, b, s.roundTrip)
-		if err != nil || len(events) != 6 || len(s.queries) != 1 {
-			t.Errorf("%d events of %d streams: %v", len(events), len(s.queries), err)
-		}
-	})
-}
-
-// TestFollowStatuses: 400 and 404 end it with their reason, of which 4 KB are read; any other status but 200 is no stream,
-// whatever its body has, and the stream is asked for again.
-func TestFollowStatuses(t *testing.T) {
-	long := strings.Repeat("x", maxRejectionBody)
-	for _, c := range []struct {
-		status       int
-		body, reason string // no reason: the stream is asked for again
-	}{
-		{http.StatusBadRequest, `{"error":"after: no number"}`, "after: no number"},
-		{http.StatusNotFound, `{"error":"unknown"}`, "unknown"},
-		{http.StatusNotFound, `{"error":"` + long + `"}`, "status 404"},
-		{http.StatusTooManyRequests, lastLine, ""},
-		{http.StatusInternalServerError, lastLine, ""},
-		{http.StatusNoContent, lastLine, ""},
-	} {
-		synctest.Test(t, func(t *testing.T) {
-			s := &sequence{responses: []func(*http.Request) *http.Response{
-				textResponse(c.status, c.body), textResponse(http.StatusOK, lastLine),
-			}}
-			events, _, err := followTest(t, testBounds(), s.roundTrip)
-			if c.reason == "" {
-				if err != nil || len(events) != 1 || len(s.queries) != 2 {
-					t.Errorf("status %d: %d events of %d streams: %v", c.status, len(events), len(s.queries), err)
-				}
-				return
-			}
-			rejection, ok := errors.AsType[*StatusError](err)
-			if !ok || rejection.Status != c.status || rejection.Text != c.reason || len(events) != 0 || len(s.queries) != 1 {
-				t.Errorf("status %d: %d events of %d streams: %v", c.status, len(events), len(s.queries), err)
-			}
-		})
-	}
-}
-
-// TestFollowMalformedLines: a line that is no JSON or too long breaks the stream and is no event; one below the bound is.
-func TestFollowMalformedLines(t *testing.T) {
-	b := testBounds()
-	b.MessageSize = 4 << 10
-	line := func(size int) string { return `{"entry":{"event":"` + strings.Repeat("x", size) + `"}}` + "\n" }
-	for _, c := range []struct {
-		name, text      string
-		events, streams int // with those of the last line
-	}{
-		{"no JSON", "<p>\n" + `{"serial":9}` + "\n", 1, 2},
-		{"too long", line(maxResponseFactor*b.MessageSize) + `{"serial":9}` + "\n", 1, 2},
-		{"long", line(maxResponseFactor*b.MessageSize/2) + lastLine, 2, 1},
-	} {
-		synctest.Test(t, func(t *testing.T) {
-			s := &sequence{responses: []func(*http.Request) *http.Response{
-				textResponse(http.StatusOK, c.text), textResponse(http.StatusOK, lastLine),
-			}}
-			events, _, err := followTest(t, b, s.roundTrip)
-			if err != nil || len(events) != c.events || len(s.queries) != c.streams {
-				t.Errorf("%s: %d events of %d streams: %v", c.name, len(events), len(s.queries), err)
-			}
-		})
-	}
-}
-
-// TestFollowAsksAfterTheLastSerial: a stream is joined again after the last serial that was read, also if lines without a
-// serial came after it.
-func TestFollowAsksAfterTheLastSerial(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		s := &sequence{responses: []func(*http.Request) *http.Response{
-			textResponse(http.StatusOK, `{"serial":5}`+"\n"+`{"gap":2}`+"\n"), textResponse(http.StatusOK, "{}\n"),
-			textResponse(http.StatusOK, lastLine),
-		}}
-		_, _, err := followTest(t, testBounds(), s.roundTrip)
-		want := []string{"after=0&command=", "after=5&command=", "after=5&command="}
-		if diff := cmp.Diff(want, s.queries); err != nil || diff != "" {
-			t.Error(err, diff)
-		}
-	})
-}
-
-// TestFollowEndsWithItsCommand: the line that has the command ended is the last, also if more lines or streams could come.
-func TestFollowEndsWithItsCommand(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		s := &sequence{responses: []func(*http.Request) *http.Response{
-			textResponse(http.StatusOK, `{"command":{"id":"c1","state":"`+string(fleet.CommandDone)+`"}}`+"\n"+`{"serial":9}`+"\n"),
-		}}
-		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
-		defer cancel()
-		events := 0
-		err := newTransportClient(testBounds(), s.roundTrip).Follow(ctx, "c1", 0, func(StreamEvent) bool {
-			events++
-			return true
-		})
-		if err != nil || events != 1 || len(s.queries) != 1 {
-			t.Errorf("%d events of %d streams: %v", events, len(s.queries), err)
-		}
-	})
-}
-
-// TestAttemptHasADeadline: an agent that does not answer costs twice Bounds.CallTimeout for each attempt, and no more.
-func TestAttemptHasADeadline(t *testing.T) {
+// TestAttemptHasDeadline holds that an attempt at an agent that does not answer takes twice Bounds.CallTimeout.
+func TestAttemptHasDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
 		attempts := 0
@@ -270,19 +33,25 @@
 		fillRetryBudget(client.factory)
 		start := time.Now()
 		_, err := client.Status(t.Context())
-		least := time.Duration(b.Attempts) * 2 * b.CallTimeout
 		elapsed := time.Since(start)
-		if !errors.Is(err, context.DeadlineExceeded) || attempts != b.Attempts || elapsed < least || elapsed > least+time.Duration(b.Attempts)*b.RetryBackoffMax {
-			t.Errorf("%d attempts in %v: %v", attempts, elapsed, err)
+		if !errors.Is(err, context.DeadlineExceeded) || attempts != b.Attempts {
+			t.Errorf("%d attempts: %v", attempts, err)
+		}
+		minimum := time.Duration(b.Attempts) * 2 * b.CallTimeout
+		maximum := minimum + time.Duration(b.Attempts)*b.RetryBackoffMax
+		if elapsed < minimum || elapsed > maximum {
+			t.Errorf("took %v, want %v to %v", elapsed, minimum, maximum)
 		}
 	})
 }
 
-// TestContextEndsThePause: a request whose context ends between two attempts is given up at once, with the cause of the last.
-func TestContextEndsThePause(t *testing.T) {
+// TestContextEndsPause holds that a request whose context ends between two attempts ends at once, with the error of the
+// last attempt.
+func TestContextEndsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
-		b.RetryBackoff, b.RetryBackoffMax = time.Minute, time.Minute
+		b.RetryBackoff = time.Minute
+		b.RetryBackoffMax = time.Minute
 		errAway := errors.New("away")
 		client := newTransportClient(b, func(*http.Request) (*http.Response, error) { return nil, errAway })
 		fillRetryBudget(client.factory)
@@ -290,22 +59,14 @@
 		defer cancel()
 		start := time.Now()
 		_, err := client.Status(ctx)
-		if _, ok := errors.AsType[*UnreachableError](err); !ok || !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, errAway) {
-			t.Error(err)
-		}
+		wantUnreachable(t, err, context.DeadlineExceeded, errAway)
 		if elapsed := time.Since(start); elapsed != time.Second {
-			t.Errorf("given up after %v", elapsed)
+			t.Errorf("ended after %v, want 1s", elapsed)
 		}
 	})
 }
 
-func fillRetryBudget(f *ClientFactory) {
-	for range 100 {
-		f.retryBudget.RecordAttempt()
-	}
-}
-
-// TestFirstAttemptsEarnRetries: requests that needed no retry allow others more of them.
+// TestFirstAttemptsEarnRetries holds that first attempts add to the retry budget.
 func TestFirstAttemptsEarnRetries(t *testing.T) {
 	retriesAfter := func(requests int) int {
 		factory := NewClientFactory(testBounds(), 1)
@@ -314,7 +75,7 @@
 		}
 		retries := 0
 		for {
-			if _, ok := factory.pause(2); !ok {
+			if _, allowed := factory.pause(2); !allowed {
 				return retries
 			}
 			retries++
@@ -325,8 +86,8 @@
 	}
 }
 
-// TestAttemptsHaveAMost: no request is attempted more often than Bounds.Attempts, whatever the retry budget has.
-func TestAttemptsHaveAMost(t *testing.T) {
+// TestAttemptsAreBounded holds that a request has at most Bounds.Attempts attempts, whatever the retry budget allows.
+func TestAttemptsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		attempts := 0
 		client := newTransportClient(testBounds(), func(*http.Request) (*http.Response, error) {
@@ -342,57 +103,123 @@
 	})
 }
 
-// TestResponseBound: a response of some dozen times Bounds.MessageSize is read, as a status lists many instances; one beyond
-// its bound is an error.
-func TestResponseBound(t *testing.T) {
+// TestResponseSizeIsBounded holds that a response of many times Bounds.MessageSize is read, as a status lists many
+// instances, and that one beyond maxResponseFactor is an error.
+func TestResponseSizeIsBounded(t *testing.T) {
+	b := testBounds()
+	b.MessageSize = 1 << 10
+	read := func(t *testing.T, size int) (Status, error) {
+		t.Helper()
+		text := `{"host":"` + strings.Repeat("x", size) + `"}`
+		return newTransportClient(b, textTransport(http.StatusOK, text)).Status(t.Context())
+	}
 	synctest.Test(t, func(t *testing.T) {
-		b := testBounds()
-		b.MessageSize = 1 << 10
-		for size, accepted := range map[int]bool{48 * b.MessageSize: true, 64 * b.MessageSize: false} {
-			text := `{"host":"` + strings.Repeat("x", size) + `"}`
-			client := newTransportClient(b, func(*http.Request) (*http.Response, error) {
-				return newResponse(http.StatusOK, strings.NewReader(text)), nil
-			})
-			status, err := client.Status(t.Context())
-			if read := err == nil && len(status.Host) == size; read != accepted || !accepted && !errors.Is(err, io.ErrUnexpectedEOF) {
-				t.Errorf("%d bytes: %v", size, err)
-			}
+		const accepted, rejected = 48, 64 // in MessageSize
+		status, err := read(t, accepted*b.MessageSize)
+		if err != nil || len(status.Host) != accepted*b.MessageSize {
+			t.Errorf("%d times the message size: %d bytes read, %v", accepted, len(status.Host), err)
+		}
+		if _, err := read(t, rejected*b.MessageSize); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("%d times the message size: %v, want ErrUnexpectedEOF", rejected, err)
 		}
 	})
 }
 
-// TestRejectionWithoutAReason: a rejection whose body names no reason has its status as text.
-func TestRejectionWithoutAReason(t *testing.T) {
+// TestRejectionWithoutReason holds that a rejection whose body has no reason has its status as text.
+func TestRejectionWithoutReason(t *testing.T) {
+	want := StatusError{Status: http.StatusBadGateway, Text: "status 502"}
 	for _, body := range []string{"", "<p>", "{}", `{"error":""}`, `{"error":3}`} {
-		client := newTransportClient(testBounds(), func(*http.Request) (*http.Response, error) {
-			return newResponse(http.StatusBadGateway, strings.NewReader(body)), nil
-		})
+		client := newTransportClient(testBounds(), textTransport(http.StatusBadGateway, body))
 		_, err := client.Status(t.Context())
-		if rejection, ok := errors.AsType[*StatusError](err); !ok || *rejection != (StatusError{http.StatusBadGateway, "status 502"}) {
-			t.Errorf("%q: %v", body, err)
+		if rejection, ok := errors.AsType[*StatusError](err); !ok || *rejection != want {
+			t.Errorf("%q: %v, want %+v", body, err, want)
 		}
 	}
 }
 
-// TestCommandErrors: a 404 alone says that the agent does not know the command; any other error comes as it is.
-func TestCommandErrors(t *testing.T) {
-	for status, unknown := range map[int]bool{http.StatusNotFound: true, http.StatusUnprocessableEntity: false} {
-		client := newTransportClient(testBounds(), func(*http.Request) (*http.Response, error) {
-			return newResponse(status, strings.NewReader(`{"error":"why"}`)), nil
-		})
+// TestUnknownCommand holds that status 404 means an unknown command, and that other statuses do not.
+func TestUnknownCommand(t *testing.T) {
+	request := func(status int) error {
+		client := newTransportClient(testBounds(), textTransport(status, `{"error":"why"}`))
 		_, err := client.Command(t.Context(), "c1")
-		rejection, ok := errors.AsType[*StatusError](err)
-		if errors.Is(err, fleet.ErrUnknownCommand) != unknown || !unknown && (!ok || rejection.Text != "why") {
-			t.Errorf("status %d: %v", status, err)
+		return err
+	}
+	if err := request(http.StatusNotFound); !errors.Is(err, fleet.ErrUnknownCommand) {
+		t.Errorf("status 404: %v, want ErrUnknownCommand", err)
+	}
+	err := request(http.StatusUnprocessableEntity)
+	rejection, ok := errors.AsType[*StatusError](err)
+	if !ok || rejection.Text != "why" || errors.Is(err, fleet.ErrUnknownCommand) {
+		t.Errorf("status 422: %v, want a StatusError with its reason", err)
+	}
+}
+
+// TestUnreachable holds that the error of an agent that does not listen has its address and cause, and that of a stream
+// whose context has ended too.
+func TestUnreachable(t *testing.T) {
+	address := "unix:" + filepath.Join(t.TempDir(), "none.sock")
+	c := newClient(t, address, testBounds())
+	_, err := c.Status(t.Context())
+	wantUnreachable(t, err, os.ErrNotExist)
+	if unreachable, ok := errors.AsType[*UnreachableError](err); ok && unreachable.Address != address {
+		t.Errorf("address %q, want %q", unreachable.Address, address)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	err = c.Follow(ctx, "", 0, func(StreamEvent) bool { return true })
+	wantUnreachable(t, err, context.Canceled)
+}
+
+// TestRetryBudget holds that many requests to an unreachable agent share few retries.
+func TestRetryBudget(t *testing.T) {
+	b := testBounds()
+	factory := NewClientFactory(b, 1)
+	attempts := 0
+	for range 100 {
+		for n := 1; ; n++ {
+			if _, allowed := factory.pause(n); !allowed {
+				break
+			}
+			attempts++
 		}
 	}
+	if attempts < 100 || attempts > 150 {
+		t.Errorf("%d attempts for 100 requests, want 100 to 150", attempts)
+	}
 }
 
-// entriesOf returns entries with the serials from 1 to n.
-func entriesOf(command string, n int) []agentstore.Entry {
-	entries := make([]agentstore.Entry, n)
-	for i := range entries {
-		entries[i] = agentstore.Entry{Serial: uint64(i + 1), HistoryEvent: fleet.HistoryEvent{CommandID: command, Event: fmt.Sprint(i + 1)}}
+// TestRejectionStatus holds that each kind of rejection has its status and text, and that only status 503 is retried.
+func TestRejectionStatus(t *testing.T) {
+	b := testBounds()
+	for _, test := range []struct {
+		name     string
+		err      error
+		status   int
+		requests int
+	}{
+		{"unknown command", fleet.ErrUnknownCommand, 404, 1},
+		{"conflicting id", fmt.Errorf("c1: %w", fleet.ErrIDConflict), 409, 1},
+		{"update in progress", fleet.ErrUpdateInProgress, 409, 1},
+		{"too many commands", fleet.ErrTooManyCommands, 429, 1},
+		{"invalid command", errors.New("names: none"), 422, 1},
+		{"invalid request", &StatusError{Status: 400, Text: "by: over 100 bytes"}, 400, 1},
+		{"busy", &StatusError{Status: 503, Text: "the agent is busy"}, 503, b.Attempts},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			m := newFakeManager()
+			m.err = test.err
+			address, _ := serve(t, m, b)
+			client := newClient(t, address, b)
+			fillRetryBudget(client.factory)
+			_, err := client.Submit(t.Context(), CommandRequest{ID: "c1"})
+			rejection, ok := errors.AsType[*StatusError](err)
+			if !ok || rejection.Status != test.status || rejection.Text != test.err.Error() {
+				t.Errorf("%v, want status %d and %q", err, test.status, test.err)
+			}
+			_, retried := errors.AsType[*UnreachableError](err)
+			if retried != (test.requests > 1) || len(m.requests) != test.requests {
+				t.Errorf("%d requests, want %d: %v", len(m.requests), test.requests, err)
+			}
+		})
 	}
-	return entries
 }
--- a/internal/agentapi/fanout.go
+++ b/internal/agentapi/fanout.go
@@ -8,11 +8,13 @@
 	"milletbarrow/internal/limits"
 )
 
-// FanOut calls do for each key, at most b.FanOut at a time, and returns the results in the order of the keys.
+// FanOut calls do for each key, at most b.FanOut at a time, and returns the values and the errors in the order of the
+// keys.
 func FanOut[K, V any](
 	ctx context.Context, b limits.Control, keys []K, do func(context.Context, K) (V, error),
 ) ([]V, []error) {
-	values, errs := make([]V, len(keys)), make([]error, len(keys))
+	values := make([]V, len(keys))
+	errs := make([]error, len(keys))
 	var group errgroup.Group
 	group.SetLimit(b.FanOut)
 	for i, key := range keys {
@@ -21,6 +23,6 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // errors are returned by key
+	_ = group.Wait() // do's errors are in errs
 	return values, errs
 }
--- a/internal/agentapi/follow.go
+++ b/internal/agentapi/follow.go
@@ -15,41 +15,46 @@
 	"milletbarrow/internal/fleet"
 )
 
-// reconnectBackoff paces how a broken stream is joined again.
-var reconnectBackoff = backoff.Policy{Min: 50 * time.Millisecond, Max: 500 * time.Millisecond}
+// Pauses before a broken stream is connected again.
+const (
+	minReconnectPause = 50 * time.Millisecond
+	maxReconnectPause = 500 * time.Millisecond
+)
+
+var reconnectBackoff = backoff.Policy{Min: minReconnectPause, Max: maxReconnectPause}
 
 const (
-	maxSilenceCalls    = 4       // a stream that brings nothing for so many Bounds.Call is broken; the server sends a line each
-	maxRejectionBody = 4 << 10 // bytes
+	// maxSilenceCalls is how long a stream without a line counts as connected, in Bounds.CallTimeout. The server sends
+	// a line every Bounds.CallTimeout.
+	maxSilenceCalls = 4
+	// maxRejectionBody is how much of the body of a rejection is read, in bytes.
+	maxRejectionBody = 4 << 10
 )
 
-// Follow gives take the events of a command's stream, or of all history if id is empty, from after a serial, until
-// the command has ended, take returns false, or ctx ends. A stream that breaks is joined again where it was left, for
-// as long as ctx lasts: an agent that is away for a while is no reason to give up.
-func (c *Client) Follow(ctx context.Context, id string, after uint64, take func(StreamEvent) bool) error {
-	for attempt := 1; ; attempt++ {
+// Follow calls handle for the events of a command's stream, or of the complete history if id is empty, that come
+// after a serial. It returns when the command has ended, handle returns false, or ctx ends. It reconnects a broken
+// stream from the last serial for as long as ctx lasts: an agent may be away for a while.
+func (c *Client) Follow(ctx context.Context, id string, after uint64, handle func(StreamEvent) bool) error {
+	for reconnects := 1; ; reconnects++ { // in a row, without an event
 		finished, err := c.readStream(ctx, id, &after, func(event StreamEvent) bool {
-			attempt = 1
-			return take(event)
+			reconnects = 1
+			return handle(event)
 		})
 		if finished {
 			return err
 		}
-		c.factory.mu.Lock()
-		pause := reconnectBackoff.Pause(attempt+1, c.factory.random)
-		c.factory.mu.Unlock()
 		select {
-		case <-time.After(pause):
+		case <-time.After(c.factory.reconnectPause(reconnects)):
 		case <-ctx.Done():
-			return &UnreachableError{c.address, errors.Join(ctx.Err(), err)}
+			return c.unreachable(errors.Join(ctx.Err(), err))
 		}
 	}
 }
 
-// readStream reads one stream to its end and moves after to the last serial that it read; finished: there is nothing
-// to join again for.
+// readStream connects a stream, reads it to its end, and moves after to the last serial that it read. It reports
+// whether Follow is finished; otherwise the stream broke.
 func (c *Client) readStream(
-	ctx context.Context, id string, after *uint64, take func(StreamEvent) bool,
+	ctx context.Context, id string, after *uint64, handle func(StreamEvent) bool,
 ) (finished bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,7 +72,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if status := response.StatusCode; status != http.StatusOK {
-		raw, _ := io.ReadAll(io.LimitReader(response.Body, maxRejectionBody)) // what can't be read has no reason
+		raw, _ := io.ReadAll(io.LimitReader(response.Body, maxRejectionBody)) // the reason; it may be missing
 		return status == http.StatusNotFound || status == http.StatusBadRequest, newStatusError(status, raw)
 	}
 	lines := bufio.NewScanner(response.Body)
@@ -79,7 +84,7 @@
 			return false, err
 		}
 		*after = max(*after, event.Serial)
-		if !take(event) || event.Command != nil && event.Command.State == fleet.CommandDone {
+		if !handle(event) || event.Command != nil && event.Command.State == fleet.CommandDone {
 			return true, nil
 		}
 	}
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -20,32 +20,46 @@
 	"milletbarrow/internal/limits"
 )
 
-// Bounds of a request for history.
+// Number of entries that a request for history may ask for.
 const (
 	defaultHistory = 1000
 	maxHistory     = 100_000
 )
 
-// coldStartFactor bounds the body of a cold start's request, in Bounds.Message: it may name each instance of the fleet.
+// coldStartFactor bounds the body of a cold start's request, in Bounds.MessageSize: it may name each instance of the
+// fleet.
 const coldStartFactor = 4
 
-// Listen listens on an agent's address: unix:PATH or a loopback address with a port.
-func Listen(address string) (net.Listener, error) {
+// readTimeoutCalls bounds the reading of a request, in Bounds.CallTimeout.
+const readTimeoutCalls = 2
+
+// Listen listens on an agent's address: unix:PATH, or a loopback address with a port.
+func Listen(ctx context.Context, address string) (net.Listener, error) {
 	if err := fleet.CheckAddress(address); err != nil {
 		return nil, err
 	}
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
-		return admin.Listen(context.Background(), path)
+		return admin.Listen(ctx, path)
 	}
-	return net.Listen("tcp", address)
+	var config net.ListenConfig
+	return config.Listen(ctx, "tcp", address)
 }
 
-// Serve answers requests on the listener until ctx ends, and closes it. An error means that the listener failed.
+// Serve answers requests on the listener until ctx ends, and closes the listener. It returns an error if the listener
+// fails.
 func Serve(ctx context.Context, l net.Listener, m Manager, b limits.Control) error {
-	s := &server{manager: m, bounds: b, streams: make(chan struct{}, b.Watchers), stopped: ctx.Done()}
+	s := &server{
+		manager: m,
+		bounds:  b,
+		streams: make(chan struct{}, b.Watchers),
+		stopped: ctx.Done(),
+	}
 	server := &http.Server{
-		Handler: s.handler(), ReadHeaderTimeout: b.CallTimeout, ReadTimeout: 2 * b.CallTimeout, IdleTimeout: b.IdleTimeout,
-		MaxHeaderBytes: b.MessageSize,
+		Handler:           s.handler(),
+		ReadHeaderTimeout: b.CallTimeout,
+		ReadTimeout:       readTimeoutCalls * b.CallTimeout,
+		IdleTimeout:       b.IdleTimeout,
+		MaxHeaderBytes:    b.MessageSize,
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
@@ -55,13 +69,15 @@
 	return nil
 }
 
+// server is the HTTP server of the API.
 type server struct {
 	manager Manager
 	bounds  limits.Control
-	streams chan struct{}   // one for each stream that is open
-	stopped <-chan struct{} // ends streams
+	streams chan struct{}   // holds a value for each open stream
+	stopped <-chan struct{} // ends the streams when it is closed
 }
 
+// handler returns the handler of all paths.
 func (s *server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", respond(s, func(*http.Request) (Status, error) { return s.manager.Status(), nil }))
@@ -88,13 +104,14 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		s.writeError(w, &StatusError{
 			Status: http.StatusNotFound,
-			Text:   fmt.Sprintf("%s %s: nothing here; this agent speaks version %d", r.Method, r.URL.Path, Version),
+			Text: fmt.Sprintf("%s %s: unknown path; this agent has version %d of the API",
+				r.Method, r.URL.Path, Version),
 		})
 	})
 	return mux
 }
 
-// respond makes a handler that writes what get returns.
+// respond returns a handler that writes the result of get.
 func respond[T any](s *server, get func(*http.Request) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		value, err := get(r)
@@ -102,23 +119,24 @@
 			s.writeError(w, err)
 			return
 		}
-		s.writeJSON(w, http.StatusOK, value)
+		_ = s.writeJSON(w, http.StatusOK, value) // fails if the client is gone
 	}
 }
 
-// decodeBody reads a request's body. A field that this agent does not know is an error: it must not be passed over.
-func decodeBody(r *http.Request, what string, maxBytes int64, into any) error {
+// decodeBody reads the body of a request; name names it in errors. An unknown field is an error: ignoring it could
+// change the meaning of the request.
+func decodeBody(r *http.Request, name string, maxBytes int64, into any) error {
 	body := json.NewDecoder(io.LimitReader(r.Body, maxBytes))
 	body.DisallowUnknownFields()
 	if err := body.Decode(into); err != nil {
-		return &StatusError{Status: http.StatusBadRequest, Text: "not " + what + ": " + err.Error()}
+		return &StatusError{Status: http.StatusBadRequest, Text: name + ": " + err.Error()}
 	}
 	return nil
 }
 
 func (s *server) submit(r *http.Request) (*fleet.Command, error) {
 	var request CommandRequest
-	if err := decodeBody(r, "an order", int64(s.bounds.MessageSize), &request); err != nil {
+	if err := decodeBody(r, "command request", int64(s.bounds.MessageSize), &request); err != nil {
 		return nil, err
 	}
 	return s.manager.Submit(request)
@@ -136,22 +154,22 @@
 	if err != nil {
 		return nil, err
 	}
-	most, err := parseLimit(r)
+	limit, err := parseLimit(r)
 	if err != nil {
 		return nil, err
 	}
-	return s.manager.History(after, most)
+	return s.manager.History(after, limit)
 }
 
 func (s *server) coldStart(r *http.Request) (struct{}, error) {
 	var command quota.ColdStartCommand
-	if err := decodeBody(r, "a rise", coldStartFactor*int64(s.bounds.MessageSize), &command); err != nil {
+	if err := decodeBody(r, "cold start request", coldStartFactor*int64(s.bounds.MessageSize), &command); err != nil {
 		return struct{}{}, err
 	}
 	return struct{}{}, s.manager.ColdStart(r.Context(), command)
 }
 
-// parseAfter reads the serial after which entries are wanted; 0 without one.
+// parseAfter returns the serial after which entries are requested; 0 without one.
 func parseAfter(r *http.Request) (uint64, error) {
 	text := r.URL.Query().Get("after")
 	if text == "" {
@@ -159,32 +177,37 @@
 	}
 	after, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, &StatusError{Status: http.StatusBadRequest, Text: fmt.Sprintf("after: %q is no number", text)}
+		return 0, &StatusError{
+			Status: http.StatusBadRequest,
+			Text:   fmt.Sprintf("after: found %q, expected a serial", text),
+		}
 	}
 	return after, nil
 }
 
-// parseLimit reads how many entries are wanted.
+// parseLimit returns how many entries are requested; defaultHistory without a number.
 func parseLimit(r *http.Request) (int, error) {
 	text := r.URL.Query().Get("most")
 	if text == "" {
 		return defaultHistory, nil
 	}
-	most, err := strconv.Atoi(text)
-	if err != nil || most < 1 || most > maxHistory {
+	limit, err := strconv.Atoi(text)
+	if err != nil || limit < 1 || limit > maxHistory {
 		return 0, &StatusError{
-			Status: http.StatusBadRequest, Text: fmt.Sprintf("most: %q is no number from 1 to %d", text, maxHistory),
+			Status: http.StatusBadRequest,
+			Text:   fmt.Sprintf("most: found %q, expected a number from 1 to %d", text, maxHistory),
 		}
 	}
-	return most, nil
+	return limit, nil
 }
 
-// errorBody is the body of a response that rejects a request.
+// errorBody is the body of a rejection.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// statusOf returns the HTTP status of an error; what the machine rejects for its content is unprocessable.
+// statusOf returns the HTTP status of an error. A command that the state machine rejects for its content is
+// unprocessable.
 func statusOf(err error) int {
 	if rejection, ok := errors.AsType[*StatusError](err); ok {
 		return rejection.Status
@@ -201,13 +224,13 @@
 }
 
 func (s *server) writeError(w http.ResponseWriter, err error) {
-	s.writeJSON(w, statusOf(err), errorBody{Error: err.Error()})
+	_ = s.writeJSON(w, statusOf(err), errorBody{Error: err.Error()}) // fails if the client is gone
 }
 
-// writeJSON writes a response. A client that does not read it is gone, which is no error of the server.
-func (s *server) writeJSON(w http.ResponseWriter, status int, value any) {
+// writeJSON writes a response. An error means that the client is gone.
+func (s *server) writeJSON(w http.ResponseWriter, status int, value any) error {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.bounds.CallTimeout))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value)
+	return json.NewEncoder(w).Encode(value)
 }
--- a/internal/agentapi/server_test.go
+++ b/internal/agentapi/server_test.go
@@ -2,13 +2,9 @@
 
 import (
 	"bufio"
-	"bytes"
-	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -19,46 +15,12 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/fleet"
 )
 
-// maxWait bounds what a test waits for that should come at once.
-const maxWait = 10 * time.Second
-
-func dial(t *testing.T, address string) net.Conn {
-	t.Helper()
-	conn, err := net.Dial("unix", strings.TrimPrefix(address, "unix:"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = conn.Close() })
-	return conn
-}
-
-func send(t *testing.T, conn net.Conn, text string) {
-	t.Helper()
-	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// readAll reads until the server closes the connection, for at most maxWait.
-func readAll(t *testing.T, conn net.Conn) string {
-	t.Helper()
-	if err := conn.SetReadDeadline(time.Now().Add(maxWait)); err != nil {
-		t.Fatal(err)
-	}
-	raw, err := io.ReadAll(conn)
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("the connection stays open")
-	}
-	return string(raw)
-}
-
 const statusRequest = "GET /v1/status HTTP/1.1\r\nHost: agent\r\n\r\n"
 
-// TestConnectionsAreBounded: beyond Bounds.Connections a connection waits until another is closed.
+// TestConnectionsAreBounded holds that beyond Bounds.Connections a connection waits until another one is closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	b := testBounds()
 	b.Connections = 1
@@ -82,8 +44,8 @@
 	}
 }
 
-// TestSlowRequests: a connection whose request does not come in time is closed, and one that is idle for too long.
-func TestSlowRequests(t *testing.T) {
+// TestSlowRequestIsClosed holds that the connection of a request that is not complete in time is closed.
+func TestSlowRequestIsClosed(t *testing.T) {
 	b := testBounds()
 	b.CallTimeout = 50 * time.Millisecond
 	address, _ := serve(t, newFakeManager(), b)
@@ -99,10 +61,11 @@
 	}
 }
 
-// TestIdleConnectionIsClosed: a connection without a request is closed after Bounds.IdleTimeout.
+// TestIdleConnectionIsClosed holds that a connection without a request is closed after Bounds.IdleTimeout.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	b := testBounds()
-	b.CallTimeout, b.IdleTimeout = 4*maxWait, 50*time.Millisecond
+	b.CallTimeout = 4 * maxWait
+	b.IdleTimeout = 50 * time.Millisecond
 	address, _ := serve(t, newFakeManager(), b)
 	conn := dial(t, address)
 	send(t, conn, statusRequest)
@@ -111,7 +74,7 @@
 	}
 }
 
-// TestHeaderSizeIsBounded: a header far beyond Bounds.MessageSize is rejected.
+// TestHeaderSizeIsBounded holds that a header far beyond Bounds.MessageSize is rejected.
 func TestHeaderSizeIsBounded(t *testing.T) {
 	b := testBounds()
 	b.MessageSize = 1 << 10
@@ -124,37 +87,50 @@
 	}
 }
 
-// TestColdStartBodyBound: a cold start's request may be some times as long as Bounds.MessageSize, and no longer.
-func TestColdStartBodyBound(t *testing.T) {
+// TestColdStartSizeIsBounded holds that the request of a cold start may have some times Bounds.MessageSize, and no
+// more.
+func TestColdStartSizeIsBounded(t *testing.T) {
 	b := testBounds()
 	b.MessageSize = 1 << 10
 	m := newFakeManager()
 	s := &server{manager: m, bounds: b}
-	for size, status := range map[int]int{
-		3 * b.MessageSize: http.StatusOK, 4 * b.MessageSize: http.StatusBadRequest,
+	for _, test := range []struct {
+		name   string
+		size   int
+		status int
+	}{
+		{"accepted", 3 * b.MessageSize, http.StatusOK},
+		{"too long", 4 * b.MessageSize, http.StatusBadRequest},
 	} {
-		response := httptest.NewRecorder()
-		body := strings.NewReader(`{"id":"` + strings.Repeat("x", size) + `"}`)
-		s.handler().ServeHTTP(response, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/v1/rise", body))
-		if response.Code != status {
-			t.Errorf("%d bytes: %d %s", size, response.Code, response.Body)
+		body := `{"id":"` + strings.Repeat("x", test.size) + `"}`
+		response := handle(t, s, http.MethodPost, "/v1/rise", body)
+		if response.Code != test.status {
+			t.Errorf("%s: status %d, want %d: %s", test.name, response.Code, test.status, response.Body)
 		}
 	}
 	if len(m.calls) != 1 {
-		t.Errorf("%d passed on", len(m.calls))
+		t.Errorf("calls of the manager %q, want one", m.calls)
 	}
 }
 
-// TestHistoryDefaults: without a serial and a count, history is read from its begin, a thousand entries; the largest count
-// is accepted.
+// handle has a server without a listener handle a request.
+func handle(t *testing.T, s *server, method, path, body string) *httptest.ResponseRecorder {
+	t.Helper()
+	response := httptest.NewRecorder()
+	request := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
+	s.handler().ServeHTTP(response, request)
+	return response
+}
+
+// TestHistoryDefaults holds that a request for history without parameters gets a thousand entries from the beginning,
+// and that the largest parameters are accepted.
 func TestHistoryDefaults(t *testing.T) {
 	m := newFakeManager()
 	s := &server{manager: m, bounds: testBounds()}
 	for _, query := range []string{"", "?most=1", "?most=100000&after=18446744073709551615"} {
-		response := httptest.NewRecorder()
-		s.handler().ServeHTTP(response, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/v1/history"+query, nil))
+		response := handle(t, s, http.MethodGet, "/v1/history"+query, "")
 		if response.Code != http.StatusOK {
-			t.Errorf("%q: %d %s", query, response.Code, response.Body)
+			t.Errorf("%q: status %d: %s", query, response.Code, response.Body)
 		}
 	}
 	want := []string{"history 0 1000", "history 0 1", "history 18446744073709551615 100000"}
@@ -163,42 +139,8 @@
 	}
 }
 
-// recordingWriter is a response that records the lines flushed and each deadline; writing fails after so many lines.
-type recordingWriter struct {
-	header    http.Header
-	buffered  bytes.Buffer
-	flushed   []string
-	deadlines []time.Time
-	failAfter int // lines flushed; below 0: never
-}
-
-var errGone = errors.New("client is gone")
-
-func newRecordingWriter(failAfter int) *recordingWriter {
-	return &recordingWriter{header: http.Header{}, failAfter: failAfter}
-}
-
-func (w *recordingWriter) Header() http.Header { return w.header }
-func (w *recordingWriter) WriteHeader(int)     {}
-
-func (w *recordingWriter) Write(text []byte) (int, error) { return w.buffered.Write(text) }
-
-func (w *recordingWriter) FlushError() error {
-	if w.failAfter >= 0 && len(w.flushed) >= w.failAfter {
-		return errGone
-	}
-	w.flushed = append(w.flushed, strings.TrimSpace(w.buffered.String()))
-	w.buffered.Reset()
-	return nil
-}
-
-func (w *recordingWriter) SetWriteDeadline(t time.Time) error {
-	w.deadlines = append(w.deadlines, t)
-	return nil
-}
-
-// TestResponseHasAWriteDeadline: a client that does not read a response in time does not hold the server.
-func TestResponseHasAWriteDeadline(t *testing.T) {
+// TestResponseHasWriteDeadline holds that a response has to be read within Bounds.CallTimeout.
+func TestResponseHasWriteDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
 		w := newRecordingWriter(-1)
@@ -210,127 +152,73 @@
 	})
 }
 
-// streamTo runs a stream until it ends, and returns how long it lasted on the bubble's clock. The stream's context ends after
-// a minute.
-func streamTo(t *testing.T, s *server, w http.ResponseWriter, query string) time.Duration {
-	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
-	defer cancel()
-	start := time.Now()
-	s.stream(w, httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/stream"+query, nil))
-	return time.Since(start)
-}
-
-func newStreamServer(m Manager, stopped <-chan struct{}) *server {
-	return &server{manager: m, bounds: testBounds(), streams: make(chan struct{}, 1), stopped: stopped}
-}
-
-// TestStreamEndsWithItsClient: a stream ends at once with its request, between two heartbeats, and leaves its place.
-func TestStreamEndsWithItsClient(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		s := newStreamServer(newFakeManager(), nil)
-		ctx, cancel := context.WithTimeout(t.Context(), s.bounds.CallTimeout/2)
-		defer cancel()
-		start := time.Now()
-		w := newRecordingWriter(1) // so that the stream ends at its second heartbeat at the latest
-		s.stream(w, httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/stream", nil))
-		if elapsed := time.Since(start); elapsed != s.bounds.CallTimeout/2 || len(s.streams) != 0 {
-			t.Errorf("ended after %v, %d places taken", elapsed, len(s.streams))
-		}
-	})
-}
-
-// TestStreamEndsWithItsServer: a stream ends at once when the server stops.
-func TestStreamEndsWithItsServer(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		stopped := make(chan struct{})
-		s := newStreamServer(newFakeManager(), stopped)
-		time.AfterFunc(s.bounds.CallTimeout/2, func() { close(stopped) })
-		if elapsed := streamTo(t, s, newRecordingWriter(-1), ""); elapsed != s.bounds.CallTimeout/2 {
-			t.Errorf("ended after %v", elapsed)
-		}
-	})
-}
-
-// TestStreamEndsWhenItCannotSend: a line that the client does not take ends the stream, whether a heartbeat or an entry or the
-// report of lost ones, and each line has its own deadline.
-func TestStreamEndsWhenItCannotSend(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		s := newStreamServer(newFakeManager(), nil)
-		w := newRecordingWriter(2)
-		if elapsed := streamTo(t, s, w, ""); elapsed != 3*s.bounds.CallTimeout || len(w.flushed) != 2 {
-			t.Errorf("ended after %v and the lines %q", elapsed, w.flushed)
+// TestMalformedRequests holds that malformed requests are rejected with a reason, and do not reach the manager.
+func TestMalformedRequests(t *testing.T) {
+	m := newFakeManager()
+	b := testBounds()
+	b.CallTimeout = maxWait // the test does not depend on time, and one body has a megabyte
+	address := freeLoopbackAddress(t)
+	serveAt(t, address, m, b)
+	long := `{"id":"` + strings.Repeat("x", b.MessageSize) + `"}`
+	for _, test := range []struct {
+		method string
+		path   string
+		body   string
+		status int
+		text   string
+	}{
+		{"GET", "/v2/status", "", 404, "GET /v2/status: unknown path; this agent has version 1 of the API"},
+		{"DELETE", "/v1/status", "", 404, "DELETE /v1/status: unknown path; this agent has version 1 of the API"},
+		{"POST", "/v1/commands", `{"id":"x","weight":3}`, 400, `command request: json: unknown field "weight"`},
+		{"POST", "/v1/commands", long, 400, "command request: unexpected EOF"},
+		{"POST", "/v1/commands", "", 400, "command request: EOF"},
+		{"POST", "/v1/rise", `{"weight":3}`, 400, `cold start request: json: unknown field "weight"`},
+		{"GET", "/v1/history?after=-1", "", 400, `after: found "-1", expected a serial`},
+		{"GET", "/v1/history?most=0", "", 400, `most: found "0", expected a number from 1 to 100000`},
+		{"GET", "/v1/history?most=100001", "", 400, `most: found "100001", expected a number from 1 to 100000`},
+		{"GET", "/v1/stream?after=x", "", 400, `after: found "x", expected a serial`},
+		{"GET", "/v1/stream?most=x", "", 400, `most: found "x", expected a number from 1 to 100000`},
+		{"GET", "/v1/stream?command=none", "", 404, fleet.ErrUnknownCommand.Error()},
+	} {
+		status, body := request(t, test.method, "http://"+address+test.path, test.body)
+		want, err := json.Marshal(errorBody{Error: test.text})
+		if err != nil {
+			t.Fatal(err)
 		}
-		end := time.Now()
-		want := []time.Time{end.Add(-s.bounds.CallTimeout), end, end.Add(s.bounds.CallTimeout)}
-		if diff := cmp.Diff(want, w.deadlines); diff != "" {
-			t.Error(diff)
+		if status != test.status || strings.TrimSpace(body) != string(want) {
+			t.Errorf("%s %s: status %d, %s, want %d, %s", test.method, test.path, status, body, test.status, want)
 		}
-	})
-	for _, lines := range []int{0, 1} { // the first line reports lost entries, the second is an entry
-		synctest.Test(t, func(t *testing.T) {
-			m := newFakeManager()
-			for range 4 {
-				m.add("c1", "e", false)
-			}
-			w := newRecordingWriter(lines)
-			if elapsed := streamTo(t, newStreamServer(m, nil), w, ""); elapsed != 0 || len(w.deadlines) != lines+1 {
-				t.Errorf("ended after %v and %d lines sent", elapsed, len(w.deadlines))
-			}
-		})
+	}
+	if len(m.requests)+len(m.calls) != 0 {
+		t.Errorf("reached the manager: %v %v", m.requests, m.calls)
 	}
 }
 
-// pagedManager returns a few entries at a time.
-type pagedManager struct {
-	*fakeManager
-	pageSize int
-}
-
-func (m *pagedManager) Entries(after uint64) ([]agentstore.Entry, uint64, <-chan struct{}) {
-	entries, lost, more := m.fakeManager.Entries(after)
-	return entries[:min(len(entries), m.pageSize)], lost, more
-}
-
-// TestStreamSendsAllPages: all entries that there are go out at once, however many the manager returns at a time, and those
-// that come later as they come.
-func TestStreamSendsAllPages(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		m := &pagedManager{fakeManager: newFakeManager(), pageSize: 2}
-		m.entries = entriesOf("c1", 7)
-		s := newStreamServer(m, nil)
-		time.AfterFunc(s.bounds.CallTimeout/2, func() { m.add("c1", "8", false) })
-		w := newRecordingWriter(6)
-		elapsed := streamTo(t, s, w, "?after=2")
-		got := make([]string, 0, len(w.flushed))
-		for _, line := range w.flushed {
-			var event StreamEvent
-			if err := json.Unmarshal([]byte(line), &event); err != nil {
-				t.Fatal(err)
-			}
-			got = append(got, fmt.Sprint(event.Serial))
-		}
-		if diff := cmp.Diff([]string{"3", "4", "5", "6", "7", "8"}, got); diff != "" || elapsed != s.bounds.CallTimeout {
-			t.Errorf("ended after %v: %s", elapsed, diff)
-		}
-	})
+// request makes a request and returns the status and the body of its response.
+func request(t *testing.T, method, url, body string) (status int, text string) {
+	t.Helper()
+	r, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := http.DefaultClient.Do(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return response.StatusCode, string(raw)
 }
 
-// TestStreamOfForgottenCommandEnds: a stream whose command the agent no longer has ends, without a last line.
-func TestStreamOfForgottenCommandEnds(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		m := newFakeManager()
-		m.commands["c1"] = &fleet.Command{ID: "c1"}
-		s := newStreamServer(m, nil)
-		time.AfterFunc(s.bounds.CallTimeout/2, func() {
-			m.mu.Lock()
-			delete(m.commands, "c1")
-			m.mu.Unlock()
-			m.add("other", "e", false)
-		})
-		w := newRecordingWriter(-1)
-		if elapsed := streamTo(t, s, w, "?command=c1"); elapsed != s.bounds.CallTimeout/2 || len(w.flushed) != 0 {
-			t.Errorf("ended after %v and the lines %q", elapsed, w.flushed)
+// TestListenIsLocal holds that an agent listens on no address that other machines reach.
+func TestListenIsLocal(t *testing.T) {
+	for _, address := range []string{"0.0.0.0:0", "example.org:80", "unix:relative", ""} {
+		if l, err := Listen(t.Context(), address); err == nil {
+			t.Errorf("listens on %q", address)
+			_ = l.Close()
 		}
-	})
+	}
 }
--- a/internal/agentapi/stream.go
+++ b/internal/agentapi/stream.go
@@ -8,10 +8,11 @@
 	"milletbarrow/internal/fleet"
 )
 
-var errTooManyStreams = &StatusError{Status: http.StatusTooManyRequests, Text: "too many watch already"}
+// errTooManyStreams rejects a stream beyond Bounds.Watchers.
+var errTooManyStreams = &StatusError{Status: http.StatusTooManyRequests, Text: "too many open streams"}
 
-// stream sends history entries as they come, all of them or those of one command, whose last line has its results.
-// It can be left at any time and joined again after the last serial that was read.
+// stream sends history entries as they come: all of them, or those of one command, whose last line has its results. A
+// client can reconnect after the last serial that it has read.
 func (s *server) stream(w http.ResponseWriter, r *http.Request) {
 	select {
 	case s.streams <- struct{}{}:
@@ -25,7 +26,7 @@
 		s.writeError(w, err)
 		return
 	}
-	if _, err := parseLimit(r); err != nil { // it has no meaning here, and is checked all the same
+	if _, err := parseLimit(r); err != nil { // a stream has no limit; an invalid one is rejected all the same
 		s.writeError(w, err)
 		return
 	}
@@ -36,8 +37,12 @@
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	stream := &streamWriter{
-		manager: s.manager, commandID: id, after: after,
-		encoder: json.NewEncoder(w), control: http.NewResponseController(w), timeout: s.bounds.CallTimeout,
+		manager:   s.manager,
+		commandID: id,
+		after:     after,
+		encoder:   json.NewEncoder(w),
+		control:   http.NewResponseController(w),
+		timeout:   s.bounds.CallTimeout,
 	}
 	heartbeat := time.NewTicker(s.bounds.CallTimeout)
 	defer heartbeat.Stop()
@@ -63,26 +68,27 @@
 // streamWriter sends one stream.
 type streamWriter struct {
 	manager   Manager
-	commandID string // empty: all history
-	after     uint64 // the last serial that was sent or passed over
+	commandID string // empty: the complete history
+	after     uint64 // the last serial that was sent or left out
 	encoder   *json.Encoder
 	control   *http.ResponseController
-	timeout   time.Duration // of sending one line
+	timeout   time.Duration // to send one line
 }
 
-// send writes one line; false: the client does not read it, and can join again.
+// send sends one line, and reports whether the client took it in time.
 func (s *streamWriter) send(event StreamEvent) bool {
-	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout)) // without one, writing fails with the connection
+	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout)) // after an error, writing fails too
 	return s.encoder.Encode(event) == nil && s.control.Flush() == nil
 }
 
-// sendNew sends all entries that there are. It returns a channel that is closed once there are more, and false at the
-// end of the stream.
+// sendNew sends the entries that the client lacks. It returns a channel that is closed at the next entry, and whether
+// the stream goes on.
 func (s *streamWriter) sendNew() (more <-chan struct{}, ok bool) {
 	for {
 		var command *fleet.Command
-		if s.commandID != "" { // read before the entries, so that none of them comes after the last line
-			if command = s.manager.Command(s.commandID); command == nil {
+		if s.commandID != "" { // read before the entries, so that its last entry comes before the last line
+			command = s.manager.Command(s.commandID)
+			if command == nil {
 				return nil, false
 			}
 		}
