--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,6 @@
-// Package process identifies processes by their pid and start time, so that a reused pid is never mistaken for the process that
-// had it before, and never signalled. It also reads the clock that all processes of one machine share across their restarts.
+// Package process identifies processes by their pid and start time, so that a reused pid is never taken for the
+// process that had it before, and never signalled. It also reads the clock that the processes of a machine share
+// across restarts.
 package process
 
 import (
@@ -13,76 +14,94 @@
 	"syscall"
 	"time"
 
-	"milletbarrow/monotime"
-
 	"golang.org/x/sys/unix"
+
+	"milletbarrow/monotime"
 )
 
 // ErrGone means that the process has ended, or that its pid now belongs to another one.
 var ErrGone = errors.New("the process is gone")
 
-// Identity identifies one process until the machine restarts.
+// Identity identifies one process until the machine is rebooted.
 type Identity struct {
-	PID   int    `json:"pid"`
-	Start uint64 `json:"start"` // start time in clock ticks since boot, field 22 of /proc/PID/stat
+	PID   int    `json:"pid"`   // 0: no process
+	Start uint64 `json:"start"` // start time in clock ticks since boot
 }
 
-// Zero reports whether it identifies no process.
+// Zero reports whether the identity is of no process.
 func (id Identity) Zero() bool { return id.PID == 0 }
 
+// String returns PID@START.
 func (id Identity) String() string { return fmt.Sprintf("%d@%d", id.PID, id.Start) }
 
-// Of returns the identity of the process that has the pid now; ErrGone if there is none, or it is a zombie.
+// Of returns the identity of the process that has the pid now. It returns ErrGone if there is none, or it is a zombie.
 func Of(pid int) (Identity, error) {
 	s, err := readStat(pid)
 	if err != nil {
 		return Identity{}, err
 	}
-	return Identity{pid, s.start}, nil
+	return Identity{PID: pid, Start: s.start}, nil
 }
 
-// processStat is what is used of /proc/PID/stat.
+// Indexes of the fields of /proc/PID/stat after the name. proc_pid_stat(5) numbers them from 3.
+const (
+	stateField      = 0
+	userTimeField   = 11
+	systemTimeField = 12
+	startTimeField  = 19
+	fieldsNeeded    = 20
+)
+
+// States of a process in /proc/PID/stat.
+const (
+	zombieState = 'Z'
+	deadState   = 'X'
+)
+
+// processStat has the used fields of /proc/PID/stat.
 type processStat struct {
-	start uint64
-	state byte
-	ticks uint64 // of processor time, user and system
+	start uint64 // start time in clock ticks since boot
+	ticks uint64 // CPU time in clock ticks, user and system
 }
 
-// readStat parses /proc/PID/stat, whose second field, the name, may contain anything, brackets too.
-func readStat(pid int) (s processStat, err error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+// readStat reads /proc/PID/stat. It returns ErrGone if the process has ended.
+func readStat(pid int) (processStat, error) {
+	path := fmt.Sprintf("/proc/%d/stat", pid)
+	text, err := os.ReadFile(path)
 	if err != nil {
-		return s, ErrGone
+		return processStat{}, ErrGone
 	}
-	nameEnd := bytes.LastIndexByte(text, ')')
+	nameEnd := bytes.LastIndexByte(text, ')') // the name, the second field, may contain any character
 	fields := strings.Fields(string(text[nameEnd+1:]))
-	if nameEnd < 0 || len(fields) < 20 {
-		return s, fmt.Errorf("/proc/%d/stat: %d fields", pid, len(fields))
+	if nameEnd < 0 || len(fields) < fieldsNeeded {
+		return processStat{}, fmt.Errorf("%s: %d fields after the name, expected %d", path, len(fields), fieldsNeeded)
 	}
-	if s.state = fields[0][0]; s.state == 'Z' || s.state == 'X' {
-		return s, ErrGone
+	if state := fields[stateField][0]; state == zombieState || state == deadState {
+		return processStat{}, ErrGone
 	}
-	s.start, err = strconv.ParseUint(fields[19], 10, 64)
-	user, _ := strconv.ParseUint(fields[11], 10, 64)
-	system, _ := strconv.ParseUint(fields[12], 10, 64)
-	s.ticks = user + system
-	return s, err
+	start, err := strconv.ParseUint(fields[startTimeField], 10, 64)
+	if err != nil {
+		return processStat{}, fmt.Errorf("%s: start time: %w", path, err)
+	}
+	user, _ := strconv.ParseUint(fields[userTimeField], 10, 64) // 0 if the kernel has another format
+	system, _ := strconv.ParseUint(fields[systemTimeField], 10, 64)
+	return processStat{start: start, ticks: user + system}, nil
 }
 
-// Alive reports whether the process still runs; a stopped one does, a zombie does not.
+// Alive reports whether the process runs. A stopped process does, a zombie does not.
 func (id Identity) Alive() bool {
 	s, err := readStat(id.PID)
 	return !id.Zero() && err == nil && s.start == id.Start
 }
 
-// Signal sends a signal to the process and to no other: the pidfd refers to one process, and the start time is checked after it
-// was opened. ErrGone if the process has ended.
+// Signal sends a signal to the process and to no other: the pidfd refers to one process, whose start time is checked
+// after it was opened. It returns ErrGone if the process has ended.
 func (id Identity) Signal(sig syscall.Signal) error {
 	if id.PID <= 1 {
 		return ErrGone
 	}
 	fd, err := unix.PidfdOpen(id.PID, 0)
-	if errors.Is(err, unix.ENOSYS) || errors.Is(err, unix.EPERM) { // an old kernel: the check alone
+	if errors.Is(err, unix.ENOSYS) || errors.Is(err, unix.EPERM) { // an old kernel: only the check
 		if !id.Alive() {
 			return ErrGone
 		}
@@ -91,7 +110,7 @@
 	if err != nil {
 		return ErrGone
 	}
-	defer func() { _ = unix.Close(fd) }()
+	defer func() { _ = unix.Close(fd) }() // nothing was written
 	if !id.Alive() {
 		return ErrGone
 	}
@@ -101,8 +120,8 @@
 	return nil
 }
 
-// KillGroup kills the process and the process group that it leads; a group's id is not reused while it has a member. ErrGone if
-// the leader has ended: then the group of that id may be another one.
+// KillGroup kills the process and the process group that it leads. It returns ErrGone if the process has ended: then
+// the id of the group may be reused, which it is not while the group has a member.
 func (id Identity) KillGroup() error {
 	if id.PID <= 1 || !id.Alive() {
 		return ErrGone
@@ -113,37 +132,44 @@
 	return nil
 }
 
-// CPU returns the CPU time that the process has used, in microseconds; 0 once it has ended.
+// microsPerTick is the length of a clock tick of /proc in microseconds: USER_HZ is 100 on Linux.
+const microsPerTick = 10_000
+
+// CPU returns the CPU time that the process has used, in microseconds; 0 after its end.
 func (id Identity) CPU() int64 {
 	s, err := readStat(id.PID)
 	if err != nil || s.start != id.Start {
 		return 0
 	}
-	return int64(s.ticks) * 10_000 // USER_HZ is 100 on Linux
+	return int64(s.ticks) * microsPerTick
 }
 
-// ResidentKB returns its resident memory in KB; 0 once it has ended.
+// ResidentKB returns the resident memory of the process in KB; 0 after its end.
 func (id Identity) ResidentKB() int64 {
+	const (
+		residentField = 1 // of /proc/PID/statm, in pages
+		bytesPerKB    = 1024
+	)
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", id.PID))
 	fields := strings.Fields(string(text))
-	if err != nil || len(fields) < 2 || !id.Alive() {
+	if err != nil || len(fields) <= residentField || !id.Alive() {
 		return 0
 	}
-	pages, _ := strconv.ParseInt(fields[1], 10, 64)
-	return pages * int64(os.Getpagesize()) / 1024
+	pages, _ := strconv.ParseInt(fields[residentField], 10, 64)
+	return pages * int64(os.Getpagesize()) / bytesPerKB
 }
 
-// Now returns the time since the machine was booted, in microseconds, including suspension. Setting the wall clock does not change
-// it, and all processes of the machine read the same.
+// Now returns the time since the boot of the machine, including suspension. Setting the wall clock does not change it,
+// and all processes of the machine read the same clock.
 func Now() monotime.Micros {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // on every Linux since 2.6.39
+		panic(err) // Linux has this clock since 2.6.39
 	}
 	return monotime.FromDuration(time.Duration(t.Nano()))
 }
 
-// Boot returns the id of this boot of the machine: times of Now, pids and identities of another boot are not valid in it.
+// Boot returns the id of this boot of the machine. Times of Now and identities are valid in one boot only.
 var Boot = sync.OnceValue(func() string {
 	raw, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -6,48 +6,67 @@
 	"os/exec"
 	"syscall"
 	"testing"
+
+	"milletbarrow/internal/fakes"
 )
 
-// TestIdentity: a process that has ended, a zombie and a reused pid get no signal.
-func TestIdentity(t *testing.T) {
-	cmd := exec.Command("sleep", "60")
+// startSleep starts a process that leads its own group and runs for a minute, unless it is killed.
+func startSleep(t *testing.T) (*exec.Cmd, Identity) {
+	t.Helper()
+	cmd := exec.CommandContext(t.Context(), "sleep", "60")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	id, err := Of(cmd.Process.Pid)
-	if err != nil || !id.Alive() || id.ResidentKB() == 0 {
-		t.Fatalf("%v: %v, alive %t", id, err, id.Alive())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cmd, id
+}
+
+// TestSignalsReachIdentifiedProcessOnly holds that a running process gets signals, and that one with a reused pid, a
+// zombie, one that has ended, and none get no signal.
+func TestSignalsReachIdentifiedProcessOnly(t *testing.T) {
+	cmd, id := startSleep(t)
+	if !id.Alive() || id.ResidentKB() == 0 {
+		t.Fatalf("%v: alive %t, %d KB", id, id.Alive(), id.ResidentKB())
 	}
-	other := Identity{id.PID, id.Start + 1}
+
+	other := Identity{PID: id.PID, Start: id.Start + 1}
 	if err := other.Signal(syscall.SIGKILL); !errors.Is(err, ErrGone) {
-		t.Errorf("a reused pid: %v", err)
+		t.Errorf("reused pid: %v, want ErrGone", err)
 	}
 	if err := other.KillGroup(); !errors.Is(err, ErrGone) || !id.Alive() {
-		t.Errorf("a reused group id: %v", err)
+		t.Errorf("reused group id: %v, alive %t, want ErrGone and alive", err, id.Alive())
 	}
+
 	if err := id.Signal(syscall.SIGSTOP); err != nil || !id.Alive() {
 		t.Errorf("stopped: %v, alive %t", err, id.Alive())
 	}
 	if err := id.KillGroup(); err != nil {
 		t.Error(err)
 	}
-	for id.Alive() { // it is a zombie soon: nobody has waited for it
-	}
+	fakes.Until(t, "the process is a zombie", func() bool { return !id.Alive() }) // nobody has reaped it
 	if _, err := os.Stat("/proc/self"); err != nil {
 		t.Fatal(err)
 	}
 	if err := id.Signal(syscall.SIGTERM); !errors.Is(err, ErrGone) {
-		t.Errorf("a zombie: %v", err)
+		t.Errorf("zombie: %v, want ErrGone", err)
 	}
-	cmd.Wait()
+
+	_ = cmd.Wait() // it was killed
 	if _, err := Of(id.PID); !errors.Is(err, ErrGone) {
-		t.Errorf("ended: %v", err)
+		t.Errorf("ended: %v, want ErrGone", err)
 	}
 	if err := (Identity{}).Signal(syscall.SIGKILL); !errors.Is(err, ErrGone) {
-		t.Errorf("none: %v", err)
+		t.Errorf("no process: %v, want ErrGone", err)
 	}
-	if a, b := Now(), Now(); a <= 0 || b < a || Boot() == "" {
-		t.Errorf("%d, %d, %q", a, b, Boot())
+}
+
+// TestClockAdvances holds that the clock does not go back, and that the boot has an id.
+func TestClockAdvances(t *testing.T) {
+	if first, second := Now(), Now(); first <= 0 || second < first || Boot() == "" {
+		t.Errorf("clock %d, then %d; boot %q", first, second, Boot())
 	}
 }
