--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -3,10 +3,13 @@
 import (
 	"context"
 	"net/http"
+	"strings"
 
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/cluster/membership"
 	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/internal/fleet"
+	"milletbarrow/monotime"
 )
 
 // Cluster is the state that the agents of a fleet share: the replicated quota store and the membership. cluster/node
@@ -83,3 +86,25 @@
 	}
 	return a.options.Cluster.Members()
 }
+
+// recordClusterEvents appends the events of the quota store to the history.
+func (a *Agent) recordClusterEvents() {
+	for {
+		select {
+		case event := <-a.options.Cluster.Events():
+			err := a.call(func(now monotime.Micros) {
+				a.addHistory(fleet.HistoryEvent{
+					At:    now,
+					Name:  event.Name,
+					Event: strings.TrimSpace(string(event.Limit) + " " + event.Kind),
+					Cause: event.Cause,
+				})
+			})
+			if err != nil {
+				return
+			}
+		default:
+			return
+		}
+	}
+}
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -11,7 +11,6 @@
 	"milletbarrow/internal/backend/admin"
 	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/quota"
-	"milletbarrow/internal/fleet"
 	"milletbarrow/internal/supervisor"
 	"milletbarrow/monotime"
 )
@@ -47,7 +46,7 @@
 type leaseRenewer struct {
 	agent            *Agent
 	clientByInstance map[string]*admin.Client
-	reportedExits    map[quota.ClientKey]bool // client keys whose exit the quota store knows
+	reportedExits    map[quota.ClientKey]bool // clients whose exit the quota store knows
 }
 
 // renewLeases renews the leases of this host's instances until ctx ends.
@@ -211,25 +210,3 @@
 		r.reportedExits[key] = true
 	}
 }
-
-// recordClusterEvents appends the events of the quota store to the history.
-func (a *Agent) recordClusterEvents() {
-	for {
-		select {
-		case event := <-a.options.Cluster.Events():
-			err := a.call(func(now monotime.Micros) {
-				a.addHistory(fleet.HistoryEvent{
-					At:    now,
-					Name:  event.Name,
-					Event: strings.TrimSpace(string(event.Limit) + " " + event.Kind),
-					Cause: event.Cause,
-				})
-			})
-			if err != nil {
-				return
-			}
-		default:
-			return
-		}
-	}
-}
--- a/internal/supervisor/api.go
+++ b/internal/supervisor/api.go
@@ -115,6 +115,7 @@
 	return o
 }
 
+// handler returns the handler of the supervisor's socket.
 func (s *supervisor) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/report", s.handleReport)
--- a/internal/supervisor/launch.go
+++ b/internal/supervisor/launch.go
@@ -32,8 +32,10 @@
 		return err
 	}
 	defer func() { _ = waiting.Close() }()
-	defer func() { _ = release.Close() }()                             // without the byte, the launcher ends at this
-	cmd := s.launcherCommand(context.WithoutCancel(ctx), log, waiting) // the instance drains after the end of ctx
+	defer func() { _ = release.Close() }() // without the byte, the launcher ends at this
+
+	ctx = context.WithoutCancel(ctx) // the instance drains after the end of ctx
+	cmd := s.launcherCommand(ctx, log, waiting)
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -43,9 +45,10 @@
 	}
 	if err := s.recordInstance(instance); err != nil { // without the record no supervisor could adopt the instance
 		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
-		_ = cmd.Wait() // reaps it; the kill is its only cause
+		_ = cmd.Wait() // it was killed
 		return err
 	}
+
 	if _, err := release.Write([]byte{1}); err != nil {
 		slog.Error("begin", "name", s.options.Name, "error", err.Error())
 	}
