--- a/internal/cluster/quotastore/assessment.go
+++ b/internal/cluster/quotastore/assessment.go
@@ -13,66 +13,84 @@
 )
 
 const (
-	// openElection is how long an election that this member voted in before it was started anew may still go on.
+	// openElection is how long an election may still go on that this member voted in before its restart.
 	openElection = 2*electionTimeout + heartbeatTimeout
+
 	// assessInterval is the time between two rounds of asking the other members.
 	assessInterval = 200 * time.Millisecond
+
+	// assessCallsPerTimeout is how many calls to other members fit into one call timeout.
+	assessCallsPerTimeout = 2
+
+	eventBehind = "ledger behind"
 )
 
-// assessEligibility finds out whether this directory may be an older copy, from the log positions of enough other members.
-// It goes on until enough have answered, and returns a zero value when ctx ends before.
+// assessEligibility finds out whether this directory may be an older copy, from the log positions of enough other
+// members. It goes on until enough have answered, and returns a zero value if ctx ends before.
 func (s *Store) assessEligibility(ctx context.Context) (quorum.Eligibility, error) {
 	own, err := s.log.position()
 	if err != nil {
-		return quorum.Eligibility{}, err
+		return quorum.Eligibility{}, fmt.Errorf("read the end of the quota store's log: %w", err)
 	}
 	members := s.members()
-	others := slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == s.config.Host })
+	others := slices.DeleteFunc(slices.Clone(members), func(member string) bool { return member == s.config.Host })
 	if len(others) == 0 || s.config.TrustDir {
 		return quorum.Assess(own, nil), nil
 	}
 	if !own.Empty() { // an election in which this member voted must be over when the others are asked
 		sleep(ctx, openElection)
 	}
-	heard := map[string]quorum.LogPosition{}
+	positionByHost := map[string]quorum.LogPosition{}
 	for ctx.Err() == nil {
-		s.askLogPositions(ctx, others, heard)
-		if quorum.EnoughResponses(len(members), len(heard)) {
-			return s.assess(own, heard), nil
+		s.askLogPositions(ctx, others, positionByHost)
+		if quorum.EnoughResponses(len(members), len(positionByHost)) {
+			return s.assess(own, positionByHost), nil
 		}
-		s.setStage("waiting", fmt.Sprintf("heard from %d of the group, which is too few to know that this directory is no older copy", len(heard)))
+		s.setStage(stageWaiting, fmt.Sprintf(
+			"heard from %d of %d others: too few to rule out that this directory is an older copy",
+			len(positionByHost), len(others)))
 		sleep(ctx, assessInterval)
 	}
 	return quorum.Eligibility{}, nil
 }
 
-// askLogPositions asks each of the other members once and stores the answers.
-func (s *Store) askLogPositions(ctx context.Context, others []string, heard map[string]quorum.LogPosition) {
+// askLogPositions asks each of the other members once and adds the answers to positionByHost.
+func (s *Store) askLogPositions(
+	ctx context.Context, others []string, positionByHost map[string]quorum.LogPosition,
+) {
 	for _, host := range others {
-		callCtx, cancel := context.WithTimeout(ctx, s.config.Bounds.CallTimeout/2)
-		var position quorum.LogPosition
-		if err := s.config.Transport.Call(callCtx, host, pathLogPosition, nil, &position); err == nil {
-			heard[host] = position
+		if position, err := s.askLogPosition(ctx, host); err == nil {
+			positionByHost[host] = position
 		}
-		cancel()
 	}
 }
 
-// assess judges this member's log by those of enough others, and reports the result.
-func (s *Store) assess(own quorum.LogPosition, heard map[string]quorum.LogPosition) quorum.Eligibility {
-	e := quorum.Assess(own, slices.Collect(maps.Values(heard)))
-	slog.Info("quota_store_position", "term", own.Term, "index", own.Index, "heard", len(heard), "behind", e.Behind,
-		"group_term", e.AdoptTerm, "group_index", e.RequiredLog.Index, "first", e.Bootstrap)
-	if e.Behind {
-		cause := fmt.Sprintf("has entry %d, the group %d: it votes for none that has less, until it has that", own.Index, e.RequiredLog.Index)
-		s.emit(quota.Event{Name: s.config.Host, Kind: "ledger behind", Cause: cause})
+func (s *Store) askLogPosition(ctx context.Context, host string) (position quorum.LogPosition, err error) {
+	ctx, cancel := context.WithTimeout(ctx, s.config.Bounds.CallTimeout/assessCallsPerTimeout)
+	defer cancel()
+	err = s.config.Transport.Call(ctx, host, pathLogPosition, nil, &position)
+	return position, err
+}
+
+// assess compares this member's log with those of enough others, and reports the result.
+func (s *Store) assess(own quorum.LogPosition, positionByHost map[string]quorum.LogPosition) quorum.Eligibility {
+	eligibility := quorum.Assess(own, slices.Collect(maps.Values(positionByHost)))
+	required := eligibility.RequiredLog.Index
+	slog.Info("quota_store_position",
+		"term", own.Term, "index", own.Index, "heard", len(positionByHost), "behind", eligibility.Behind,
+		"group_term", eligibility.AdoptTerm, "group_index", required, "first", eligibility.Bootstrap)
+	if eligibility.Behind {
+		cause := fmt.Sprintf(
+			"its log ends at entry %d, the group's at %d: until it has that, it votes only for members that do",
+			own.Index, required)
+		s.emit(quota.Event{Name: s.config.Host, Kind: eventBehind, Cause: cause})
 	}
-	return e
+	return eligibility
 }
 
 // sleep waits for a duration, or until ctx ends.
-func sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/cluster/quotastore/bench_test.go
+++ b/internal/cluster/quotastore/bench_test.go
@@ -13,8 +13,8 @@
 	"milletbarrow/monotime"
 )
 
-// BenchmarkRenew measures renewals a second through any member of a group, each of one host with ten backends and durable on
-// a majority's disks before it is answered.
+// BenchmarkRenew measures renewals a second through any member of a group, each of one host with ten backends and
+// durable on a majority's disks before it is answered.
 func BenchmarkRenew(b *testing.B) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	for _, n := range []int{1, 3, 5} {
--- a/internal/cluster/quotastore/boltstore.go
+++ b/internal/cluster/quotastore/boltstore.go
@@ -17,12 +17,18 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// boltStore is the consensus library's log and its few values, on bbolt: every write is durable before it returns.
+// boltStore stores the consensus library's log and its stable values in a bbolt file. Every write is durable when it
+// returns. It implements raft.LogStore and raft.StableStore and is safe for concurrent use.
 type boltStore struct {
 	db     *bbolt.DB
 	closed atomic.Bool
 }
 
+var (
+	_ raft.LogStore    = (*boltStore)(nil)
+	_ raft.StableStore = (*boltStore)(nil)
+)
+
 var (
 	logBucket    = []byte("log")
 	stableBucket = []byte("words")
@@ -35,103 +41,103 @@
 	lastVoteCandidateKey = []byte("LastVoteCand")
 )
 
-// unknownCandidate stands for the candidate of a vote that was forgotten; no host has this name.
+// unknownCandidate stands for the candidate of a vote that was lost; no host has this name.
 const unknownCandidate = "nobody: it may have voted before its directory was set back"
 
 const (
-	lockTimeout       = time.Second            // for another process to close the file
-	setRetryInterval  = 100 * time.Millisecond // between two attempts to write a value
-	setRetriesPerLine = 50                     // attempts for each line in the log
+	lockTimeout          = time.Second            // how long to wait for another process to close the file
+	setRetryInterval     = 100 * time.Millisecond // between two attempts to write a value
+	setAttemptsPerReport = 50                     // failed attempts for each line in the log
 )
 
-// openBoltStore opens or makes the file; another process that has it is waited for a little.
+// openBoltStore opens or creates a file. It waits for lockTimeout if another process has it open.
 func openBoltStore(path string) (*boltStore, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("open quota store %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		_, err1 := tx.CreateBucketIfNotExists(logBucket)
-		_, err2 := tx.CreateBucketIfNotExists(stableBucket)
-		return errors.Join(err1, err2)
+		_, logErr := tx.CreateBucketIfNotExists(logBucket)
+		_, stableErr := tx.CreateBucketIfNotExists(stableBucket)
+		return errors.Join(logErr, stableErr)
 	})
 	if err != nil {
 		_ = db.Close()
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("create buckets of quota store %s: %w", path, err)
 	}
 	return &boltStore{db: db}, nil
 }
 
+// Close closes the file, and ends the attempts of Set.
 func (s *boltStore) Close() error {
 	s.closed.Store(true)
 	return s.db.Close()
 }
 
-func key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// encodeUint64 encodes a number so that the order of keys is that of the numbers.
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+
+// FirstIndex implements raft.LogStore. It returns 0 for an empty log.
+func (s *boltStore) FirstIndex() (uint64, error) { return s.indexAt((*bbolt.Cursor).First) }
 
-// boundaryIndex is the index of the first or the last entry.
-func (s *boltStore) boundaryIndex(last bool) (n uint64, err error) {
+// LastIndex implements raft.LogStore. It returns 0 for an empty log.
+func (s *boltStore) LastIndex() (uint64, error) { return s.indexAt((*bbolt.Cursor).Last) }
+
+// indexAt returns the index of the log entry that seek moves to, or 0.
+func (s *boltStore) indexAt(seek func(*bbolt.Cursor) (key, value []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(logBucket).Cursor()
-		k, _ := c.First()
-		if last {
-			k, _ = c.Last()
-		}
-		if k != nil {
-			n = binary.BigEndian.Uint64(k)
+		if key, _ := seek(tx.Bucket(logBucket).Cursor()); key != nil {
+			index = binary.BigEndian.Uint64(key)
 		}
 		return nil
 	})
-	return n, err
+	return index, err
 }
 
-// FirstIndex is 0 for an empty log.
-func (s *boltStore) FirstIndex() (uint64, error) { return s.boundaryIndex(false) }
-
-// LastIndex is 0 for an empty log.
-func (s *boltStore) LastIndex() (uint64, error) { return s.boundaryIndex(true) }
-
-// GetLog reads one entry.
-func (s *boltStore) GetLog(index uint64, l *raft.Log) error {
+// GetLog implements raft.LogStore. It returns raft.ErrLogNotFound for an entry that is not stored.
+func (s *boltStore) GetLog(index uint64, entry *raft.Log) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
-		raw := tx.Bucket(logBucket).Get(key(index))
-		if raw == nil {
+		encoded := tx.Bucket(logBucket).Get(encodeUint64(index))
+		if encoded == nil {
 			return raft.ErrLogNotFound
 		}
-		return json.Unmarshal(raw, l)
+		return json.Unmarshal(encoded, entry)
 	})
 }
 
-// StoreLog writes one entry.
-func (s *boltStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+// StoreLog implements raft.LogStore.
+func (s *boltStore) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs writes all or none.
-func (s *boltStore) StoreLogs(logs []*raft.Log) error {
+// StoreLogs implements raft.LogStore. It stores all entries or none.
+func (s *boltStore) StoreLogs(entries []*raft.Log) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(logBucket)
-		for _, l := range logs {
-			raw, err := json.Marshal(l)
-			if err == nil {
-				err = b.Put(key(l.Index), raw)
-			}
+		bucket := tx.Bucket(logBucket)
+		for _, entry := range entries {
+			encoded, err := json.Marshal(entry)
 			if err != nil {
 				return err
 			}
+			if err := bucket.Put(encodeUint64(entry.Index), encoded); err != nil {
+				return err
+			}
 		}
 		return nil
 	})
-	if err == nil {
-		failpoint.CrashAt(failpoint.AfterStored)
+	if err != nil {
+		return err
 	}
-	return err
+	failpoint.CrashAt(failpoint.AfterStored)
+	return nil
 }
 
-// DeleteRange deletes entries, both ends included.
-func (s *boltStore) DeleteRange(from, to uint64) error {
+// DeleteRange implements raft.LogStore. It deletes the entries from first to last, both included.
+func (s *boltStore) DeleteRange(first, last uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(logBucket).Cursor()
-		for k, _ := c.Seek(key(from)); k != nil && bytes.Compare(k, key(to)) <= 0; k, _ = c.Next() {
-			if err := c.Delete(); err != nil {
+		cursor := tx.Bucket(logBucket).Cursor()
+		end := encodeUint64(last)
+		key, _ := cursor.Seek(encodeUint64(first))
+		for ; key != nil && bytes.Compare(key, end) <= 0; key, _ = cursor.Next() {
+			if err := cursor.Delete(); err != nil {
 				return err
 			}
 		}
@@ -139,59 +145,64 @@
 	})
 }
 
-// position is the member's term and the end of its log.
-func (s *boltStore) position() (p quorum.LogPosition, err error) {
-	if p.Term, err = s.GetUint64(currentTermKey); err != nil {
-		return p, err
+// position returns the member's term and the end of its log.
+func (s *boltStore) position() (quorum.LogPosition, error) {
+	term, err := s.GetUint64(currentTermKey)
+	if err != nil {
+		return quorum.LogPosition{}, err
 	}
-	if p.Index, err = s.LastIndex(); err != nil || p.Index == 0 {
-		return p, err
+	index, err := s.LastIndex()
+	if err != nil || index == 0 {
+		return quorum.LogPosition{Term: term}, err
 	}
 	var last raft.Log
-	err = s.GetLog(p.Index, &last)
-	p.LogTerm = last.Term
-	return p, err
+	err = s.GetLog(index, &last)
+	return quorum.LogPosition{Term: term, Index: index, LogTerm: last.Term}, err
 }
 
-// adoptTerm takes over a term of the group, with its vote used up: this member may have voted in it before its directory
-// was set back.
+// adoptTerm adopts a term of the group with its vote used up: this member may have voted in that term before its
+// directory was replaced by an older copy.
 func (s *boltStore) adoptTerm(term uint64) error {
-	return errors.Join(s.SetUint64(currentTermKey, term), s.SetUint64(lastVoteTermKey, term), s.Set(lastVoteCandidateKey, []byte(unknownCandidate)))
+	return errors.Join(
+		s.SetUint64(currentTermKey, term),
+		s.SetUint64(lastVoteTermKey, term),
+		s.Set(lastVoteCandidateKey, []byte(unknownCandidate)),
+	)
 }
 
-// Set writes a value. The library ends its process where a term can't be written; but an agent has other duties. So the
-// write is retried until the disk takes it: the library stands still meanwhile, which for its peers is a member that does
-// not answer.
-func (s *boltStore) Set(name, value []byte) error {
-	for n := 0; ; n++ {
-		err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stableBucket).Put(name, value) })
+// Set implements raft.StableStore. It retries a write until it succeeds or the store is closed, because the library
+// panics if a term can't be written and the agent has other duties. Until then the library blocks, and to its peers
+// this member does not answer.
+func (s *boltStore) Set(key, value []byte) error {
+	for attempt := 0; ; attempt++ {
+		err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stableBucket).Put(key, value) })
 		if err == nil || s.closed.Load() {
 			return err
 		}
-		if n%setRetriesPerLine == 0 {
+		if attempt%setAttemptsPerReport == 0 {
 			slog.Error("quota_store", "written", false, "error", err.Error())
 		}
 		time.Sleep(setRetryInterval)
 	}
 }
 
-// Get reads a value; none is empty. It is the caller's own.
-func (s *boltStore) Get(name []byte) (value []byte, err error) {
+// Get implements raft.StableStore. It returns an empty value for a key that is not stored. The caller owns the value.
+func (s *boltStore) Get(key []byte) (value []byte, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		value = bytes.Clone(tx.Bucket(stableBucket).Get(name))
+		value = bytes.Clone(tx.Bucket(stableBucket).Get(key))
 		return nil
 	})
 	return value, err
 }
 
-// SetUint64 is Set of a number.
-func (s *boltStore) SetUint64(name []byte, n uint64) error { return s.Set(name, key(n)) }
+// SetUint64 implements raft.StableStore. It writes as Set does.
+func (s *boltStore) SetUint64(key []byte, n uint64) error { return s.Set(key, encodeUint64(n)) }
 
-// GetUint64 is 0 for none.
-func (s *boltStore) GetUint64(name []byte) (uint64, error) {
-	raw, err := s.Get(name)
-	if err != nil || len(raw) != 8 {
+// GetUint64 implements raft.StableStore. It returns 0 for a key that is not stored.
+func (s *boltStore) GetUint64(key []byte) (uint64, error) {
+	encoded, err := s.Get(key)
+	if err != nil || len(encoded) != binary.Size(uint64(0)) {
 		return 0, err
 	}
-	return binary.BigEndian.Uint64(raw), nil
+	return binary.BigEndian.Uint64(encoded), nil
 }
--- a/internal/cluster/quotastore/election_test.go
+++ b/internal/cluster/quotastore/election_test.go
@@ -131,8 +131,8 @@
 	}}}
 }
 
-// TestLeaderKnowsEarlierGrants: a new leader answers nothing before the entries of earlier leaders are applied, and counts
-// the leases that these granted from then on.
+// TestLeaderKnowsEarlierGrants: a new leader answers nothing before the entries of earlier leaders are applied, and
+// counts the leases that these granted from then on.
 func TestLeaderKnowsEarlierGrants(t *testing.T) {
 	l, r, now := newFakeLeader()
 	fault := errors.New("no quorum")
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestTermLostWhileBeginning: a replica that is deposed and elected again while it begins to lead begins once more: what was
-// granted between the two terms may be missing.
+// TestTermLostWhileBeginning: a replica that is deposed and elected again while it begins to lead begins once more:
+// what was granted between the two terms may be missing.
 func TestTermLostWhileBeginning(t *testing.T) {
 	l, r, _ := newFakeLeader()
 	barriers := 0
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestLeaderNotReady: a leader that has not begun to lead answers no call, its own or another agent's, and names whom it
-// knows of.
+// TestLeaderNotReady: a leader that has not begun to lead answers no call, its own or another agent's, and names whom
+// it knows of.
 func TestLeaderNotReady(t *testing.T) {
 	l, r, _ := newFakeLeader()
 	mux := http.NewServeMux()
@@ -265,8 +265,8 @@
 	}
 }
 
-// TestOpenElectionIsAwaited: a member that has a log asks the others only when an election in which it may have voted is
-// over; one without a log asks at once.
+// TestOpenElectionIsAwaited: a member that has a log asks the others only when an election in which it may have voted
+// is over; one without a log asks at once.
 func TestOpenElectionIsAwaited(t *testing.T) {
 	for _, hasLog := range []bool{false, true} {
 		other := openTestStore(t, "h2", nil, "h1", "h2", "h3")
--- a/internal/cluster/quotastore/eligibility.go
+++ b/internal/cluster/quotastore/eligibility.go
@@ -10,37 +10,42 @@
 	"milletbarrow/internal/cluster/quorum"
 )
 
-// eligibilityTransport holds a member whose log is behind what it may have had from standing for election, and from voting
-// for others whose log is behind too; see package quorum.
+// eligibilityTransport keeps a member whose log may lack entries from standing for election, and from voting for others
+// whose log lacks them too; see package quorum. It is safe for concurrent use.
 type eligibilityTransport struct {
 	*raft.NetworkTransport
 	eligibility quorum.Eligibility
-	eligible    atomic.Bool   // once its log is far enough it stays so
-	calls       chan raft.RPC // that the library may handle
-	done        chan struct{} // closed by Close
-	closing     sync.Once
-	heartbeats  sync.RWMutex                // held for reading while one is handled
+	eligible    atomic.Bool                 // set for good once the log reaches eligibility.RequiredLog
+	calls       chan raft.RPC               // calls that the library may handle
+	done        chan struct{}               // closed by Close
+	closing     sync.Once                   // closes done
+	heartbeats  sync.RWMutex                // held for reading while a heartbeat is handled
 	lastLog     func() (term, index uint64) // of this member; called by several goroutines
 }
 
-var errIneligible = errors.New("this member's log is not as far as it has to be to take part")
+var errIneligible = errors.New("this member's log may lack entries: no part in elections until it has caught up")
 
 var (
 	_ raft.Transport   = (*eligibilityTransport)(nil)
 	_ raft.WithPreVote = (*eligibilityTransport)(nil)
 )
 
-func newEligibilityTransport(inner *raft.NetworkTransport, eligibility quorum.Eligibility, lastLog func() (term, index uint64)) *eligibilityTransport {
+func newEligibilityTransport(
+	inner *raft.NetworkTransport, eligibility quorum.Eligibility, lastLog func() (term, index uint64),
+) *eligibilityTransport {
 	t := &eligibilityTransport{
-		NetworkTransport: inner, eligibility: eligibility, lastLog: lastLog,
-		calls: make(chan raft.RPC), done: make(chan struct{}),
+		NetworkTransport: inner,
+		eligibility:      eligibility,
+		calls:            make(chan raft.RPC),
+		done:             make(chan struct{}),
+		lastLog:          lastLog,
 	}
 	t.eligible.Store(!eligibility.Behind)
-	go t.filter() // ends with Close
+	go t.filter()
 	return t
 }
 
-// filter hands on the calls that this member may handle. It ends with Close.
+// filter passes on the calls that this member may handle. It ends with Close.
 func (t *eligibilityTransport) filter() {
 	for {
 		select {
@@ -61,8 +66,8 @@
 	}
 }
 
-// SetHeartbeatHandler implements raft.Transport. The library handles heartbeats in the goroutines of connections, which may
-// write a term; Close waits for those.
+// SetHeartbeatHandler implements raft.Transport. The library handles heartbeats in the goroutines of connections, and
+// may write a term there; Close waits for them.
 func (t *eligibilityTransport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(call raft.RPC) {
 		t.heartbeats.RLock()
@@ -76,16 +81,16 @@
 	})
 }
 
-// Close ends the transport; the consensus library calls it as it shuts down. When it returns no heartbeat is handled any
-// more, so that the log can be closed: the library panics where a term can't be written.
+// Close closes the transport; the library calls it as it shuts down. No heartbeat is handled after it returns, so that
+// the log can be closed: the library panics if a term can't be written.
 func (t *eligibilityTransport) Close() error {
 	t.closing.Do(func() { close(t.done) })
-	t.heartbeats.Lock() // waits for those that are being handled
+	t.heartbeats.Lock() // waits for heartbeats that are being handled
 	defer t.heartbeats.Unlock()
 	return t.NetworkTransport.Close()
 }
 
-// satisfied reports whether the log is far enough by now.
+// satisfied reports whether this member's log reaches RequiredLog by now.
 func (t *eligibilityTransport) satisfied() bool {
 	if t.eligible.Load() {
 		return true
@@ -99,11 +104,11 @@
 
 // mayHandle reports whether a member that is not eligible yet may handle a call.
 func (t *eligibilityTransport) mayHandle(command any) bool {
-	switch q := command.(type) {
+	switch request := command.(type) {
 	case *raft.RequestVoteRequest:
-		return t.eligibility.Satisfied(q.LastLogTerm, q.LastLogIndex)
+		return t.eligibility.Satisfied(request.LastLogTerm, request.LastLogIndex)
 	case *raft.RequestPreVoteRequest:
-		return t.eligibility.Satisfied(q.LastLogTerm, q.LastLogIndex)
+		return t.eligibility.Satisfied(request.LastLogTerm, request.LastLogIndex)
 	case *raft.TimeoutNowRequest:
 		return false
 	}
@@ -114,17 +119,22 @@
 func (t *eligibilityTransport) Consumer() <-chan raft.RPC { return t.calls }
 
 // RequestVote implements raft.Transport.
-func (t *eligibilityTransport) RequestVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestVoteRequest, a *raft.RequestVoteResponse) error {
+func (t *eligibilityTransport) RequestVote(
+	id raft.ServerID, address raft.ServerAddress, request *raft.RequestVoteRequest, response *raft.RequestVoteResponse,
+) error {
 	if !t.satisfied() {
 		return errIneligible
 	}
-	return t.NetworkTransport.RequestVote(id, to, q, a)
+	return t.NetworkTransport.RequestVote(id, address, request, response)
 }
 
 // RequestPreVote implements raft.WithPreVote.
-func (t *eligibilityTransport) RequestPreVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestPreVoteRequest, a *raft.RequestPreVoteResponse) error {
+func (t *eligibilityTransport) RequestPreVote(
+	id raft.ServerID, address raft.ServerAddress,
+	request *raft.RequestPreVoteRequest, response *raft.RequestPreVoteResponse,
+) error {
 	if !t.satisfied() {
 		return errIneligible
 	}
-	return t.NetworkTransport.RequestPreVote(id, to, q, a)
+	return t.NetworkTransport.RequestPreVote(id, address, request, response)
 }
--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestCloseAwaitsHeartbeats: Close returns when no heartbeat is being handled, and none is handled after it: a handler writes
-// terms into a log that is closed next.
+// TestCloseAwaitsHeartbeats: Close returns when no heartbeat is being handled, and none is handled after it: a
+// handler writes terms into a log that is closed next.
 func TestCloseAwaitsHeartbeats(t *testing.T) {
 	inner, caller := tcpTransport(t), tcpTransport(t)
 	e := newEligibilityTransport(inner, quorum.Eligibility{}, func() (term, index uint64) { return 0, 0 })
--- a/internal/cluster/quotastore/forward.go
+++ b/internal/cluster/quotastore/forward.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"slices"
 
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/jsonhttp"
@@ -19,76 +18,97 @@
 	pathStatus      = "/ledger/view"
 )
 
-// notLeader is the answer of an agent that does not lead, with the host that it believes to.
+// notLeader is the answer of an agent that does not lead.
 type notLeader struct {
-	Leader string `json:"leader"`
+	Leader string `json:"leader"` // host that it believes to lead; empty: unknown
 }
 
-// Do has a command applied by whichever agent leads. After an error it may be applied all the same; ErrNoLeader is one of
-// those that it wraps where no agent answered as the leader.
-func (s *Store) Do(ctx context.Context, c quota.Command) (res quota.Result, err error) {
-	l := s.leadership()
-	if l.leads() {
-		return s.doAsLeader(l, c)
+// Do has the leader apply a command. After an error the command may still be applied. The error wraps ErrNoLeader if no
+// agent answered as the leader.
+func (s *Store) Do(ctx context.Context, command quota.Command) (result quota.Result, err error) {
+	current := s.leadership()
+	if current.leads() {
+		return s.doAsLeader(current, command)
 	}
-	err = s.forwardToLeader(ctx, l.leader, pathDo, c, &res)
-	return res, err
+	err = s.forwardToLeader(ctx, current.leader, pathDo, command, &result)
+	return result, err
 }
 
-// Status asks the leader, which makes sure that it still is one. Its errors are those of Do.
+// Status returns the status that the leader reports, after it has verified that it still leads. Its errors are those of
+// Do.
 func (s *Store) Status(ctx context.Context) (status quota.Status, err error) {
-	l := s.leadership()
-	if l.leads() {
-		return s.statusAsLeader(l)
+	current := s.leadership()
+	if current.leads() {
+		return s.statusAsLeader(current)
 	}
-	err = s.forwardToLeader(ctx, l.leader, pathStatus, nil, &status)
+	err = s.forwardToLeader(ctx, current.leader, pathStatus, nil, &status)
 	return status, err
 }
 
-// forwardToLeader calls one agent of the group after the other until one answers as the leader: first the likely leader,
-// then whom the last answer named, then those that were not called yet.
+// forwardToLeader calls the agents of the group one after another until one answers as the leader: first the likely
+// leader, then whom the last answer named, then those that were not called yet.
 func (s *Store) forwardToLeader(ctx context.Context, likely, path string, body, into any) error {
-	s.mu.Lock()
 	if likely == "" {
-		likely = s.lastLeader
+		likely = s.latestLeader()
 	}
-	s.mu.Unlock()
-	members := s.members()
-	called := map[string]bool{s.config.Host: true}
+	candidates := leaderCandidates{members: s.members(), called: map[string]bool{s.config.Host: true}}
 	var lastErr error
-	for next := likely; ctx.Err() == nil; {
-		if next == "" || called[next] {
-			i := slices.IndexFunc(members, func(m string) bool { return !called[m] })
-			if i < 0 {
-				break
-			}
-			next = members[i]
-		}
-		called[next] = true
-		err := s.call(ctx, next, path, body, into)
+	host, ok := candidates.next(likely)
+	for ok && ctx.Err() == nil {
+		err := s.call(ctx, host, path, body, into)
 		if err == nil {
-			s.mu.Lock()
-			s.lastLeader = next
-			s.mu.Unlock()
+			s.setLatestLeader(host)
 			return nil
 		}
-		lastErr = fmt.Errorf("%s: %w", next, err)
-		next = leaderNamedBy(err)
+		lastErr = fmt.Errorf("%s: %w", host, err)
+		host, ok = candidates.next(leaderNamedBy(err))
 	}
 	return errors.Join(ErrNoLeader, lastErr)
 }
 
+// leaderCandidates are the hosts that may lead.
+type leaderCandidates struct {
+	members []string
+	called  map[string]bool // by host
+}
+
+// next returns the host to call next, each of them once: the preferred one if it was not called yet, else the first
+// member that was not. ok is false if none is left.
+func (c *leaderCandidates) next(preferred string) (host string, ok bool) {
+	host = preferred
+	for i := 0; host == "" || c.called[host]; i++ {
+		if i == len(c.members) {
+			return "", false
+		}
+		host = c.members[i]
+	}
+	c.called[host] = true
+	return host, true
+}
+
 func (s *Store) call(ctx context.Context, host, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.Bounds.CallTimeout)
 	defer cancel()
 	return s.config.Transport.Call(ctx, host, path, body, into)
 }
 
-// leaderNamedBy returns the leader that an agent's answer names, empty for none.
+func (s *Store) latestLeader() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.lastLeader
+}
+
+func (s *Store) setLatestLeader(host string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastLeader = host
+}
+
+// leaderNamedBy returns the leader that an agent's answer names, or "".
 func leaderNamedBy(err error) string {
-	var other notLeader
+	var answer notLeader
 	if status, ok := errors.AsType[*jsonhttp.StatusError](err); ok && status.Code == http.StatusMisdirectedRequest {
-		_ = json.Unmarshal([]byte(status.Message), &other) // an answer that is cut short names none
+		_ = json.Unmarshal([]byte(status.Message), &answer) // an answer that was cut short names none
 	}
-	return other.Leader
+	return answer.Leader
 }
--- a/internal/cluster/quotastore/forward_test.go
+++ b/internal/cluster/quotastore/forward_test.go
@@ -34,8 +34,9 @@
 	return hosts
 }
 
-// newForwardingStore returns the store of h1, a member of the group of h1 to h4 that is not run. The agents of leaders, by
-// host, answer that another leads; one that leads by itself answers a result. A call of h1 to itself is recorded too.
+// newForwardingStore returns the store of h1, a member of the group of h1 to h4 that is not run. The agents of
+// leaders, by host, answer that another leads; one that leads by itself answers a result. A call of h1 to itself is
+// recorded too.
 func newForwardingStore(t *testing.T, leaders map[string]string) (*Store, *agentCalls) {
 	t.Helper()
 	calls, addresses := &agentCalls{}, map[string]string{}
@@ -61,7 +62,8 @@
 	return s, calls
 }
 
-// TestForwarding: an agent that does not lead names who does, and that one is called next; it is called first the next time.
+// TestForwarding: an agent that does not lead names who does, and that one is called next; it is called first the
+// next time.
 func TestForwarding(t *testing.T) {
 	s, calls := newForwardingStore(t, map[string]string{"h2": "h4", "h3": "", "h4": "h4"})
 	for _, want := range [][]string{{"h2", "h4"}, {"h4"}} {
@@ -75,7 +77,8 @@
 	}
 }
 
-// TestForwardingEnds: where agents name each other as the leader, each is called once, and the answer is that there is none.
+// TestForwardingEnds: where agents name each other as the leader, each is called once, and the answer is that there
+// is none.
 func TestForwardingEnds(t *testing.T) {
 	s, calls := newForwardingStore(t, map[string]string{"h2": "h3", "h3": "h2", "h4": "h1"})
 	if res, err := s.Do(context.Background(), quota.Command{}); !errors.Is(err, ErrNoLeader) {
--- a/internal/cluster/quotastore/handlers.go
+++ b/internal/cluster/quotastore/handlers.go
@@ -8,10 +8,10 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// maxCommandMessages is how many times the length of a message a command may have: it carries a whole host's requests.
+// maxCommandMessages bounds the size of a command, in maximum messages: it may contain the requests of a whole host.
 const maxCommandMessages = 16
 
-// RegisterHandlers answers the calls of other agents on mux.
+// RegisterHandlers registers the handlers for calls of other agents.
 func (s *Store) RegisterHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+pathLogPosition, s.handleLogPosition)
 	mux.HandleFunc("POST "+pathDo, s.handleDo)
@@ -28,36 +28,44 @@
 }
 
 func (s *Store) handleDo(w http.ResponseWriter, r *http.Request) {
-	var c quota.Command
+	var command quota.Command
 	body := io.LimitReader(r.Body, maxCommandMessages*int64(s.config.Bounds.MessageSize))
-	if err := json.NewDecoder(body).Decode(&c); err != nil {
+	if err := json.NewDecoder(body).Decode(&command); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	c.Config, c.Expire, c.Rebalance, c.FreezeGrowth = nil, nil, false, false // for the leader alone to say
-	l := s.leadership()
-	if !l.leads() {
-		writeNotLeader(w, l.leader)
+	clearLeaderFields(&command)
+	current := s.leadership()
+	if !current.leads() {
+		writeNotLeader(w, current.leader)
 		return
 	}
-	res, err := s.doAsLeader(l, c)
-	writeAnswer(w, res, err)
+	result, err := s.doAsLeader(current, command)
+	writeAnswer(w, result, err)
+}
+
+// clearLeaderFields clears the fields of a command that only the leader itself may set.
+func clearLeaderFields(command *quota.Command) {
+	command.Config = nil
+	command.Expire = nil
+	command.Rebalance = false
+	command.FreezeGrowth = false
 }
 
 func (s *Store) handleStatus(w http.ResponseWriter, _ *http.Request) {
-	l := s.leadership()
-	if !l.leads() {
-		writeNotLeader(w, l.leader)
+	current := s.leadership()
+	if !current.leads() {
+		writeNotLeader(w, current.leader)
 		return
 	}
-	status, err := s.statusAsLeader(l)
+	status, err := s.statusAsLeader(current)
 	writeAnswer(w, status, err)
 }
 
 // writeNotLeader names the host that this one believes to lead.
 func writeNotLeader(w http.ResponseWriter, leader string) {
 	w.WriteHeader(http.StatusMisdirectedRequest)
-	_ = json.NewEncoder(w).Encode(notLeader{leader}) // the caller sees a connection that breaks
+	writeJSON(w, notLeader{Leader: leader})
 }
 
 func writeAnswer(w http.ResponseWriter, answer any, err error) {
@@ -65,5 +73,12 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(answer) // the caller sees a connection that breaks
+	writeJSON(w, answer)
+}
+
+// writeJSON writes an answer. If that fails it aborts the response, so that the caller does not take it for complete.
+func writeJSON(w http.ResponseWriter, answer any) {
+	if err := json.NewEncoder(w).Encode(answer); err != nil {
+		panic(http.ErrAbortHandler)
+	}
 }
--- a/internal/cluster/quotastore/leader_test.go
+++ b/internal/cluster/quotastore/leader_test.go
@@ -14,8 +14,9 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// TestSoleReplicaRestarts: the only replica may have been started on an older copy of its directory; no grant grows until
-// the leases have expired that it may have granted, and commands of the leader are accepted from no other agent.
+// TestSoleReplicaRestarts: the only replica may have been started on an older copy of its directory; no grant grows
+// until the leases have expired that it may have granted, and commands of the leader are accepted from no other
+// agent.
 func TestSoleReplicaRestarts(t *testing.T) {
 	g := newGroup(t, 1)
 	g.config = &quota.Config{Version: 1, Limits: []quota.Limit{{
--- a/internal/cluster/quotastore/proposal.go
+++ b/internal/cluster/quotastore/proposal.go
@@ -11,10 +11,10 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// leadership is how a replica stands to the leader at one moment.
+// leadership is what a replica knows about the leader at one moment.
 type leadership struct {
-	replica      replica // nil unless this replica leads and has begun to
-	leader       string  // the leader's host as far as it is known, else empty
+	replica      replica // nil unless this replica leads and is ready
+	leader       string  // the leader's host; empty: unknown
 	growthFrozen bool    // no grant may grow
 }
 
@@ -28,77 +28,88 @@
 		return leadership{}
 	}
 	if !s.ready || s.replica.State() != raft.Leader {
-		_, id := s.replica.LeaderWithID()
-		return leadership{leader: string(id)}
+		_, leader := s.replica.LeaderWithID()
+		return leadership{leader: string(leader)}
+	}
+	return leadership{
+		replica:      s.replica,
+		leader:       s.config.Host,
+		growthFrozen: s.tracker.GrowthFrozen(s.config.Clock()),
 	}
-	return leadership{replica: s.replica, leader: s.config.Host, growthFrozen: s.tracker.GrowthFrozen(s.config.Clock())}
 }
 
-// doAsLeader has a command applied by this replica, which leads.
-func (s *Store) doAsLeader(l leadership, c quota.Command) (quota.Result, error) {
-	c.FreezeGrowth = l.growthFrozen
-	return s.propose(l.replica, c)
+// doAsLeader proposes a command to the group that this replica leads.
+func (s *Store) doAsLeader(current leadership, command quota.Command) (quota.Result, error) {
+	command.FreezeGrowth = current.growthFrozen
+	return s.propose(current.replica, command)
 }
 
-// statusAsLeader makes sure that this replica still leads before it answers: another may have been elected in a part of the
-// group that this one can't reach. It returns ErrNoLeader then.
-func (s *Store) statusAsLeader(l leadership) (quota.Status, error) {
-	if err := l.replica.VerifyLeader().Error(); err != nil {
+// statusAsLeader returns the status after it has verified that this replica still leads: a part of the group that it
+// can't reach may have elected another leader. Otherwise its error wraps ErrNoLeader.
+func (s *Store) statusAsLeader(current leadership) (quota.Status, error) {
+	if err := current.replica.VerifyLeader().Error(); err != nil {
 		return quota.Status{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
-	members := memberNames(l.replica.GetConfiguration().Configuration())
+	members := memberNames(current.replica.GetConfiguration().Configuration())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.config.Clock()
 	status := quota.Status{
-		Leader: s.config.Host, Term: l.replica.CurrentTerm(), Version: s.state.Config.Version, Members: members,
-		GrowthFrozen: s.tracker.GrowthFrozen(now), Limits: s.state.Usages(), ColdStarts: s.state.ColdStartStatuses(),
+		Leader:       s.config.Host,
+		Term:         current.replica.CurrentTerm(),
+		Version:      s.state.Config.Version,
+		Members:      members,
+		GrowthFrozen: s.tracker.GrowthFrozen(now),
+		Limits:       s.state.Usages(),
+		ColdStarts:   s.state.ColdStartStatuses(),
 	}
 	s.tracker.FillRemaining(now, s.state, status.Limits)
 	return status, nil
 }
 
-// propose has a command replicated and waits until it is applied here. It returns ErrNoLeader where the
-// group did not agree in time; the command may be applied all the same.
-func (s *Store) propose(r replica, c quota.Command) (quota.Result, error) {
-	raw, err := json.Marshal(c)
+// propose replicates a command and waits until it is applied here. Its error wraps ErrNoLeader if the group did not
+// agree in time; the command may still be applied then.
+func (s *Store) propose(leader replica, command quota.Command) (quota.Result, error) {
+	encoded, err := json.Marshal(command)
 	if err != nil {
-		return quota.Result{}, err
+		return quota.Result{}, fmt.Errorf("encode a command of the quota store: %w", err)
 	}
-	if failpoint.Enabled(failpoint.AnswerEarly) && c.Renew != nil {
-		return s.answerBeforeCommit(r, raw)
+	if failpoint.Enabled(failpoint.AnswerEarly) && command.Renew != nil {
+		return s.answerBeforeCommit(leader, encoded)
 	}
-	f := r.Apply(raw, applyTimeout)
-	if err := f.Error(); err != nil {
+	future := leader.Apply(encoded, applyTimeout)
+	if err := future.Error(); err != nil {
 		return quota.Result{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
-	res, ok := f.Response().(quota.Result)
+	result, ok := future.Response().(quota.Result)
 	if !ok {
-		return quota.Result{}, &responseError{f.Response()}
+		return quota.Result{}, &responseError{response: future.Response()}
 	}
 	failpoint.CrashAt(failpoint.AfterReplicated)
-	for _, e := range res.Events {
-		s.emit(e)
+	for _, event := range result.Events {
+		s.emit(event)
 	}
-	return res, nil
+	return result, nil
 }
 
-// responseError says that the state machine answered with something else than a result.
+// responseError is returned for a response of the state machine that is no result.
 type responseError struct{ response any }
 
-func (e *responseError) Error() string { return fmt.Sprintf("ledger: %v", e.response) }
+func (e *responseError) Error() string {
+	return fmt.Sprintf("quota store: the state machine returned %T, expected a result: %v", e.response, e.response)
+}
 
-// answerBeforeCommit is the fault failpoint.AnswerEarly: it answers from a copy of the state.
-func (s *Store) answerBeforeCommit(r replica, raw []byte) (res quota.Result, err error) {
+// answerBeforeCommit answers from a copy of the state. It implements the fault failpoint.AnswerEarly.
+func (s *Store) answerBeforeCommit(leader replica, encoded []byte) (quota.Result, error) {
 	before, err := s.snapshot()
 	if err != nil {
-		return res, err
+		return quota.Result{}, err
 	}
 	copied := &Store{}
 	if err := copied.restore(bytes.NewReader(before)); err != nil {
-		return res, err
+		return quota.Result{}, err
 	}
-	f := r.Apply(raw, applyTimeout)
-	go func() { _ = f.Error() }() // its outcome shows in the log alone; ends with applyTimeout
-	return copied.apply(raw), nil
+	future := leader.Apply(encoded, applyTimeout)
+	go func() { _ = future.Error() }() // ends after applyTimeout
+	return copied.apply(encoded), nil
 }
--- a/internal/cluster/quotastore/quotastore_test.go
+++ b/internal/cluster/quotastore/quotastore_test.go
@@ -153,7 +153,8 @@
 // answer is what the client saw of it; unknown where no answer came.
 type answer struct{ held, unknown bool }
 
-// permitModel is a concurrency limit of two as clients see it: its state lists who holds a permit for which acquisition.
+// permitModel is a concurrency limit of two as clients see it: its state lists who holds a permit for which
+// acquisition.
 var permitModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -177,8 +178,9 @@
 	},
 }
 
-// TestHistory has clients acquire and release permits through any store while links are cut, calls are doubled and stores
-// restart, and has the history that they saw checked for linearizability by a program that knows nothing of the store.
+// TestHistory has clients acquire and release permits through any store while links are cut, calls are doubled and
+// stores restart, and has the history that they saw checked for linearizability by a program that knows nothing of
+// the store.
 func TestHistory(t *testing.T) {
 	const nodes, clients, span = 5, 6, 12 * time.Second
 	g := newGroup(t, nodes)
@@ -195,8 +197,9 @@
 		all.Go(func() {
 			draw := rand.New(rand.NewPCG(uint64(c), 5))
 			name := fmt.Sprint("n", c)
-			// until retries with the same acquisition ID until the outcome is known. Calls without an answer are one operation
-			// with the call that brought it: they are the same to the store, and which of them took effect is not seen.
+			// until retries with the same acquisition ID until the outcome is known. Calls without an answer are one
+			// operation with the call that brought it: they are the same to the store, and which of them took effect
+			// is not seen.
 			until := func(in call) bool {
 				first := int64(-1)
 				for time.Since(began) < span {
--- a/internal/cluster/quotastore/raftnode.go
+++ b/internal/cluster/quotastore/raftnode.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"os"
@@ -20,46 +21,54 @@
 
 // Sizes of the replicated log.
 const (
-	snapshotThreshold = 4096 // entries since the last snapshot
-	trailingLogs      = 1024 // entries that are left after one
+	snapshotThreshold = 4096 // entries since the latest snapshot that cause another one
+	trailingLogs      = 1024 // entries that are retained after a snapshot
 	snapshotInterval  = 30 * time.Second
 	snapshotsRetained = 2
 	maxPooledConns    = 3 // to each other member
 )
 
-// startRaft starts this member of the group within what it is eligible for. Where it fails it leaves nothing behind.
+// startRaft starts this member of the group with what it is eligible for. If it fails it leaves no goroutine and no
+// listener behind.
 func (s *Store) startRaft(eligibility quorum.Eligibility) (*raft.Raft, error) {
 	if eligibility.AdoptTerm > 0 {
 		if err := s.log.adoptTerm(eligibility.AdoptTerm); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("quota store: adopt term %d: %w", eligibility.AdoptTerm, err)
 		}
 	}
 	logger := raftLogger()
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(s.config.Dir, snapshotsRetained, logger)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("quota store: open snapshots in %s: %w", s.config.Dir, err)
 	}
-	config := s.raftConfig(logger)
 	filtered := newEligibilityTransport(s.raftTransport(logger), eligibility, s.lastLogEntry)
-	if eligibility.Bootstrap {
-		err = raft.BootstrapCluster(config, s.log, s.log, snapshots, filtered, s.initialGroup())
-		if errors.Is(err, raft.ErrCantBootstrap) { // the log has a group already
-			err = nil
-		}
-	}
-	var r *raft.Raft
-	if err == nil {
-		r, err = raft.NewRaft(config, stateMachine{s}, s.log, s.log, snapshots, filtered)
-	}
+	node, err := s.newRaft(s.raftConfig(logger), snapshots, filtered, eligibility.Bootstrap)
 	if err != nil {
-		_ = filtered.Close() // ends its goroutines and the listener; the error is that of the start
-		return nil, err
+		_ = filtered.Close() // the error is that of the start
+		return nil, fmt.Errorf("quota store: start replication: %w", err)
 	}
+	s.setReplica(node)
+	s.setStage(stageMember, "")
+	return node, nil
+}
+
+// newRaft creates the node of the consensus library, after it has bootstrapped the group if that is asked for.
+func (s *Store) newRaft(
+	config *raft.Config, snapshots raft.SnapshotStore, filtered raft.Transport, bootstrap bool,
+) (*raft.Raft, error) {
+	if bootstrap {
+		err := raft.BootstrapCluster(config, s.log, s.log, snapshots, filtered, s.initialGroup())
+		if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // ErrCantBootstrap: the log already has a group
+			return nil, err
+		}
+	}
+	return raft.NewRaft(config, stateMachine{store: s}, s.log, s.log, snapshots, filtered)
+}
+
+func (s *Store) setReplica(node replica) {
 	s.mu.Lock()
-	s.replica = r
-	s.mu.Unlock()
-	s.setStage("member", "")
-	return r, nil
+	defer s.mu.Unlock()
+	s.replica = node
 }
 
 func raftLogger() hclog.Logger {
@@ -70,25 +79,37 @@
 }
 
 func (s *Store) raftConfig(logger hclog.Logger) *raft.Config {
-	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(s.config.Host)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = heartbeatTimeout, electionTimeout, leaderLeaseTimeout, commitTimeout
-	c.Logger, c.NoLegacyTelemetry, c.ShutdownOnRemove = logger, true, false
-	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = snapshotThreshold, trailingLogs, snapshotInterval
-	return c
+	config := raft.DefaultConfig()
+	config.LocalID = raft.ServerID(s.config.Host)
+	config.HeartbeatTimeout = heartbeatTimeout
+	config.ElectionTimeout = electionTimeout
+	config.LeaderLeaseTimeout = leaderLeaseTimeout
+	config.CommitTimeout = commitTimeout
+	config.SnapshotThreshold = snapshotThreshold
+	config.TrailingLogs = trailingLogs
+	config.SnapshotInterval = snapshotInterval
+	config.ShutdownOnRemove = false
+	config.NoLegacyTelemetry = true
+	config.Logger = logger
+	return config
 }
 
 func (s *Store) raftTransport(logger hclog.Logger) *raft.NetworkTransport {
 	return raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream:  streamLayer{s.config.Transport.Listener(transport.KindRaft), s.config.Transport},
-		MaxPool: maxPooledConns, Timeout: s.config.Bounds.CallTimeout, Logger: logger,
-		// No pipeline: where its reader gives up while its writer waits for room, the library (v1.8.0) waits for ever, and
-		// with it the end of that node. Entries are sent in batches anyway.
+		Stream: streamLayer{
+			Listener:  s.config.Transport.Listener(transport.KindRaft),
+			transport: s.config.Transport,
+		},
+		MaxPool: maxPooledConns,
+		Timeout: s.config.Bounds.CallTimeout,
+		Logger:  logger,
+		// Pipelining is off: if the reader of a pipeline gives up while its writer waits for space, the library
+		// (v1.8.0) blocks for ever and can't shut down. Entries are sent in batches anyway.
 		MaxRPCsInFlight: 1,
 	})
 }
 
-// initialGroup is the group that the fleet's file names.
+// initialGroup returns the group that the fleet's file names.
 func (s *Store) initialGroup() (group raft.Configuration) {
 	for _, host := range s.members() {
 		group.Servers = append(group.Servers, raft.Server{ID: raft.ServerID(host), Address: raft.ServerAddress(host)})
@@ -96,7 +117,7 @@
 	return group
 }
 
-// lastLogEntry returns the position of the last entry of this member's log; one that can't be read counts as none.
+// lastLogEntry returns the position of the last entry of this member's log. An unreadable log counts as empty.
 func (s *Store) lastLogEntry() (term, index uint64) {
 	position, err := s.log.position()
 	if err != nil {
@@ -105,15 +126,15 @@
 	return position.LogTerm, position.Index
 }
 
-// streamLayer has the consensus library use the transport between agents. Addresses are names of hosts.
+// streamLayer connects the consensus library to the transport between agents. Its addresses are names of hosts.
 type streamLayer struct {
 	net.Listener
 	transport *transport.Transport
 }
 
 // Dial implements raft.StreamLayer.
-func (l streamLayer) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func (l streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return l.transport.Dial(ctx, transport.KindRaft, string(to))
+	return l.transport.Dial(ctx, transport.KindRaft, string(address))
 }
--- a/internal/cluster/quotastore/raftnode_test.go
+++ b/internal/cluster/quotastore/raftnode_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestFailedStartLeavesNothing: where the consensus library can't start, the goroutine that filters its calls ends, also
-// while it looks at a call of an ineligible member.
+// TestFailedStartLeavesNothing: where the consensus library can't start, the goroutine that filters its calls ends,
+// also while it looks at a call of an ineligible member.
 func TestFailedStartLeavesNothing(t *testing.T) {
 	const filter, listen = "quotastore.(*eligibilityTransport).filter", "raft.(*NetworkTransport).listen"
 	waitForNone(t, filter)
@@ -79,7 +79,7 @@
 	if _, err := c.Write([]byte{1, 0x80}); err != nil { // the beginning of a request for a vote: an empty map
 		t.Fatal(err)
 	}
-	err = s.log.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Put(key(5), []byte("no entry")) })
+	err = s.log.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Put(encodeUint64(5), []byte("no entry")) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/quotastore/statemachine.go
+++ b/internal/cluster/quotastore/statemachine.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 
 	"github.com/hashicorp/raft"
@@ -10,61 +11,65 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// stateMachine is the state of a Store as the consensus library drives it.
+// stateMachine adapts a Store to the consensus library.
 type stateMachine struct{ store *Store }
 
 // Apply implements raft.FSM.
-func (m stateMachine) Apply(l *raft.Log) any { return m.store.apply(l.Data) }
+func (m stateMachine) Apply(entry *raft.Log) any { return m.store.apply(entry.Data) }
 
 // Snapshot implements raft.FSM.
 func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
-	raw, err := m.store.snapshot()
-	return encodedState(raw), err
+	encoded, err := m.store.snapshot()
+	return encodedState(encoded), err
 }
 
 // Restore implements raft.FSM.
-func (m stateMachine) Restore(from io.ReadCloser) error {
-	defer func() { _ = from.Close() }()
-	return m.store.restore(from)
+func (m stateMachine) Restore(snapshot io.ReadCloser) error {
+	defer func() { _ = snapshot.Close() }()
+	return m.store.restore(snapshot)
 }
 
 // encodedState is a snapshot of the state.
 type encodedState []byte
 
 // Persist implements raft.FSMSnapshot.
-func (s encodedState) Persist(to raft.SnapshotSink) error {
-	if _, err := to.Write(s); err != nil {
-		return errors.Join(err, to.Cancel())
+func (s encodedState) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		return errors.Join(err, sink.Cancel())
 	}
-	return to.Close()
+	return sink.Close()
 }
 
 // Release implements raft.FSMSnapshot.
 func (encodedState) Release() {}
 
-// apply applies a committed entry. One that can't be read is rejected: every replica does the same.
-func (s *Store) apply(raw []byte) quota.Result {
-	var c quota.Command
-	if err := json.Unmarshal(raw, &c); err != nil {
-		return quota.Result{Rejection: "not a command: " + err.Error()}
+// apply applies a committed entry. It rejects a malformed one, on every replica alike.
+func (s *Store) apply(entry []byte) quota.Result {
+	var command quota.Command
+	if err := json.Unmarshal(entry, &command); err != nil {
+		return quota.Result{Rejection: fmt.Sprintf("malformed command: %v", err)}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Apply(c)
+	return s.state.Apply(command)
 }
 
 // snapshot encodes the state.
 func (s *Store) snapshot() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return json.Marshal(s.state)
+	encoded, err := json.Marshal(s.state)
+	if err != nil {
+		return nil, fmt.Errorf("encode the quota store's state: %w", err)
+	}
+	return encoded, nil
 }
 
-// restore replaces the state by a snapshot.
-func (s *Store) restore(from io.Reader) error {
+// restore replaces the state by that of a snapshot.
+func (s *Store) restore(snapshot io.Reader) error {
 	state := quota.NewState()
-	if err := json.NewDecoder(from).Decode(state); err != nil {
-		return err
+	if err := json.NewDecoder(snapshot).Decode(state); err != nil {
+		return fmt.Errorf("decode a snapshot of the quota store: %w", err)
 	}
 	state.RebuildIndexes()
 	s.mu.Lock()
