--- a/internal/backend/degradation/recovery.go
+++ b/internal/backend/degradation/recovery.go
@@ -45,8 +45,8 @@
 	return change, false
 }
 
-// recoveryMayStart reports whether the exit of the level in force is met and no backoff or interval forbids to leave
-// it.
+// recoveryMayStart reports whether the exit of the level in force is met, and neither a backoff nor an interval delays
+// leaving it.
 func (c *Controller) recoveryMayStart(now monotime.Micros, level Level) bool {
 	_, exitMet := c.conditionMet(level.Exit, c.exitSince[c.level-1])
 	return exitMet && now >= c.noExitBefore && c.changeAllowed(now, c.level-1)
@@ -66,7 +66,7 @@
 
 // worsens reports whether a signal of the level's exit has risen to the middle between exit and entry, or is missing.
 func (c *Controller) worsens(level Level) bool {
-	const thresholds = 2 // entry and exit
+	const thresholds = 2 // averaged: entry and exit
 	for _, exit := range level.Exit.Terms {
 		entry, both := level.Enter.threshold(exit.Signal)
 		middle := (entry + exit.Value) / thresholds
