--- a/internal/backend/server/close.go
+++ b/internal/backend/server/close.go
@@ -5,35 +5,38 @@
 	"time"
 )
 
-// closeWriteIfDone closes a connection that is closing, once all is answered and written; c.mu is held. It is closed for writing
-// first: closed with unread input, the kernel would reset it, and the last answer could be lost.
+// closeWriteIfDone closes a connection that is closing for writing, once all its answers are written. It is not
+// closed for reading yet: the kernel resets a connection that is closed with unread input, and the last answer could
+// be lost. c.mu must be held.
 func (c *conn) closeWriteIfDone() {
-	if c.closing && !c.writeClosed && len(c.streams) == 0 && len(c.pending) == 0 && !c.writing {
-		if !c.released {
-			_ = syscall.Shutdown(c.fd, syscall.SHUT_WR)
-			time.AfterFunc(c.server.bounds.LingerTimeout, c.abort)
-		}
-		c.writeClosed = true
+	if !c.closing || c.writeClosed || !c.idle() {
+		return
 	}
+	if !c.released {
+		_ = syscall.Shutdown(c.fd, syscall.SHUT_WR)
+		time.AfterFunc(c.server.bounds.LingerTimeout, c.abort)
+	}
+	c.writeClosed = true
 }
 
-// shutdown closes the connection in both directions; c.mu is held. The poller then finds its end, and netpoll calls release.
-// Netpoll's own Close, called on the poller, would wait for the poller.
+// shutdown closes the connection in both directions. The poller then finds its end, and netpoll calls release.
+// Netpoll's own Close would wait for the poller, which may be the caller. c.mu must be held.
 func (c *conn) shutdown() {
 	if !c.readClosed && !c.released {
 		_ = syscall.Shutdown(c.fd, syscall.SHUT_RDWR)
 	}
-	c.writeClosed, c.readClosed = true, true
+	c.writeClosed = true
+	c.readClosed = true
 }
 
-// abort closes the connection whatever is open on it.
+// abort closes the connection, even with open streams or unwritten answers.
 func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.shutdown()
 }
 
-// closeWhenAnswered closes the connection once its open streams have been answered and the answers are written.
+// closeWhenAnswered closes the connection once its open streams are answered and the answers are written.
 func (c *conn) closeWhenAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,39 +48,40 @@
 func (c *conn) closeIfAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idle() && !c.unread() {
+	if c.idle() && !c.hasUnreadInput() {
 		c.closing = true
 		c.closeWriteIfDone()
 	}
 }
 
-// evictUnlessUnread closes a connection to make room, unless it has unread input.
-func (c *conn) evictUnlessUnread() bool {
+// evictUnlessUnread closes the connection and returns true, unless it has unread input.
+func (c *conn) evictUnlessUnread() (evicted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.unread() {
+	if c.hasUnreadInput() {
 		return false
 	}
 	c.shutdown()
 	return true
 }
 
-// unread reports whether the peer has sent bytes that have not been read, and may be an invocation. Input on a connection that is
-// closed for writing does not count. c.mu is held.
-func (c *conn) unread() bool { return !c.writeClosed && !c.released && unread(c.fd) }
+// hasUnreadInput reports whether the peer has sent bytes that have not been read and may be an invocation. A
+// connection that is closed for writing has none, as it answers nothing more. c.mu must be held.
+func (c *conn) hasUnreadInput() bool { return !c.writeClosed && !c.released && hasUnreadInput(c.fd) }
 
 // allAnswered reports whether all input has been read and answered, and the answers are written.
 func (c *conn) allAnswered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.idle() && !c.unread()
+	return c.idle() && !c.hasUnreadInput()
 }
 
-// release is called once the connection is closed: the callers of all open streams are gone.
+// release cancels all open streams. It is called once the connection is closed.
 func (c *conn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.writeClosed, c.released = true, true
+	c.writeClosed = true
+	c.released = true
 	for number, st := range c.streams {
 		delete(c.streams, number)
 		close(st.canceled)
--- a/internal/backend/server/drain.go
+++ b/internal/backend/server/drain.go
@@ -1,7 +1,7 @@
 package server
 
-// StopAccepting asks for no more invocations on every connection, and closes the listener once all connections in its accept
-// queue have been accepted.
+// StopAccepting sends GoAway on all connections, and closes the listener once the connections in its accept queue are
+// accepted.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	s.draining = true
@@ -14,14 +14,14 @@
 	}
 }
 
-// CloseAnswered closes, for writing, every connection on which all input is answered.
+// CloseAnswered closes each connection on which all input is answered, for writing.
 func (s *Server) CloseAnswered() {
 	for _, c := range s.all() {
 		c.closeIfAnswered()
 	}
 }
 
-// AllClosed reports whether every connection has been closed, for writing at least.
+// AllClosed reports whether no connection can answer any more input.
 func (s *Server) AllClosed() bool {
 	for _, c := range s.all() {
 		if !c.ignoresInput() {
@@ -41,5 +41,5 @@
 	return true
 }
 
-// Idle reports whether, besides, no invocation is in flight.
+// Idle reports whether all input is answered and no invocation is in flight.
 func (s *Server) Idle() bool { return s.AllAnswered() && s.inFlight.Load() == 0 }
--- a/internal/backend/server/evict.go
+++ b/internal/backend/server/evict.go
@@ -7,54 +7,58 @@
 	"time"
 )
 
-// retentionPriority orders connections by the cost of closing them, lowest first: see Server.evict. A connection that was just
-// opened may still send, and one that was just used may be used again.
+// retentionPriority orders connections by the cost of closing them, lowest first: see Server.evict.
 type retentionPriority int
 
+// The priorities.
 const (
-	neverValid retentionPriority = iota
-	resting
-	justOpened
-	justUsed
-	busy
-	leaving // closed, and only waits for the poller
+	neverValid retentionPriority = iota // has sent no valid frame, or is closed for writing
+	idleLong                            // idle for longer than IdleAge
+	justOpened                          // its peer may still send
+	justUsed                            // its peer may use it again
+	busy                                // has open streams or unwritten answers
+	closed                              // waits for the poller to find its end
 )
 
-// candidate is a connection that might be evicted, with its priority and since when it has it.
+// evictionDivisor bounds the connections that are evicted at once, as a part of all.
+const evictionDivisor = 32
+
+// candidate is a connection that might be evicted.
 type candidate struct {
 	*conn
+
 	priority retentionPriority
-	since    time.Time
+	since    time.Time // when it got this priority
 }
 
-// retention returns the priority of a connection, and since when it has it.
-func (c *conn) retention(now time.Time) (retentionPriority, time.Time) {
+// asCandidate returns the connection with its priority.
+func (c *conn) asCandidate(now time.Time) candidate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	bounds := &c.server.bounds
 	switch {
 	case c.readClosed:
-		return leaving, now
-	case c.writeClosed: // and waits for its peer's end
-		return neverValid, c.openedAt
-	case !c.sentValid && now.Sub(c.openedAt) > c.server.bounds.NewConnectionAge:
-		return neverValid, c.openedAt
+		return candidate{c, closed, now}
+	case c.writeClosed:
+		return candidate{c, neverValid, c.openedAt}
+	case !c.sentValid && now.Sub(c.openedAt) > bounds.NewConnectionAge:
+		return candidate{c, neverValid, c.openedAt}
 	case !c.sentValid:
-		return justOpened, c.openedAt
-	case c.idle() && now.Sub(c.lastUsed) > c.server.bounds.IdleAge:
-		return resting, c.lastUsed
+		return candidate{c, justOpened, c.openedAt}
+	case c.idle() && now.Sub(c.lastUsed) > bounds.IdleAge:
+		return candidate{c, idleLong, c.lastUsed}
 	case c.idle():
-		return justUsed, c.lastUsed
+		return candidate{c, justUsed, c.lastUsed}
 	}
-	return busy, now
+	return candidate{c, busy, now}
 }
 
-// byRetention lists all connections, those to evict first at the front.
-func (s *Server) byRetention(now time.Time) []candidate {
+// candidates returns all connections in the order of their eviction.
+func (s *Server) candidates(now time.Time) []candidate {
 	conns := s.all()
 	list := make([]candidate, 0, len(conns))
 	for _, c := range conns {
-		priority, since := c.retention(now)
-		list = append(list, candidate{c, priority, since})
+		list = append(list, c.asCandidate(now))
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), a.since.Compare(b.since))
@@ -62,25 +66,29 @@
 	return list
 }
 
-// full reports whether the bound on connections is reached, with so many more allowed that may be closing.
+// full reports whether the bound on connections is reached, with extra ones allowed beyond it.
 func (s *Server) full(extra int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) >= s.bounds.Connections+extra
 }
 
-// evict closes connections to make room, and reports whether there is or will be any: first those that never sent a valid frame,
-// then those idle for longest, several at once, as finding them costs time; else one just opened, else one just used. It
-// closes none with an open stream or unread input. So neither clients that connect by the hundred and send nothing, nor callers
+// evict closes connections to make capacity for a new one, and reports whether there is or will be any. It closes
+// those that never sent a valid frame first, then those idle for longest, several at once, as finding them costs
+// time. If there are none, it closes one that was just opened, or else one that was just used. It closes none with an
+// open stream or unread input. So neither clients that open hundreds of connections and send nothing, nor callers
 // that hold connections open forever, can exclude others.
 func (s *Server) evict(now time.Time) bool {
-	evicted, list := 0, s.byRetention(now)
-	firstLeaving := slices.IndexFunc(list, func(c candidate) bool { return c.priority == leaving })
-	if firstLeaving >= 0 && firstLeaving < s.bounds.Connections { // these make room: a burst must not evict one more for each new connection
+	list := s.candidates(now)
+	// A burst of new connections must not evict one more for each, while closed connections wait for the poller.
+	firstClosed := slices.IndexFunc(list, func(c candidate) bool { return c.priority == closed })
+	if firstClosed >= 0 && firstClosed < s.bounds.Connections {
 		return true
 	}
+	evicted := 0
 	for _, c := range list {
-		if c.priority >= busy || evicted > 0 && c.priority > resting || evicted > s.bounds.Connections/32 {
+		enough := evicted > 0 && c.priority > idleLong || evicted > s.bounds.Connections/evictionDivisor
+		if c.priority >= busy || enough {
 			break
 		}
 		if c.evictUnlessUnread() {
@@ -90,10 +98,10 @@
 	return evicted > 0
 }
 
-// Sweep checks all connections at intervals, until done is closed: it asks callers to leave those that are idle for longer than
-// the dispatcher wants, and closes those whose time is up.
+// Sweep checks all connections at intervals, until done is closed. It sends GoAway on those that are idle for longer
+// than the dispatcher's idle timeout, and closes those that have expired.
 func (s *Server) Sweep(done <-chan struct{}) {
-	s.lastSweep = time.Now() // the process may be stalled before the first sweep too
+	s.lastSweep = time.Now() // so that a stall before the first sweep is recognised
 	tick := time.NewTicker(s.bounds.SweepInterval)
 	defer tick.Stop()
 	for {
@@ -106,65 +114,89 @@
 	}
 }
 
-// sweep checks all connections once; idleTimeout is how long the dispatcher lets them be idle, 0 for any time.
+// sweep checks all connections once. idleTimeout is that of the dispatcher; 0: none.
 func (s *Server) sweep(idleTimeout time.Duration) {
 	now := time.Now()
-	if late := now.Sub(s.lastSweep) - s.bounds.SweepInterval; !s.lastSweep.IsZero() && late > s.bounds.SweepInterval {
-		for _, c := range s.all() { // the process was stalled: that time is not counted against the peers
-			c.extendDeadlines(late)
-		}
-	}
-	s.lastSweep = now
-	maxIdle := time.Duration(s.settings.Admission.IdleTimeout) * time.Microsecond
-	if maxIdle += s.bounds.FrameTimeout; s.settings.Admission.IdleTimeout <= 0 {
-		maxIdle = math.MaxInt64
-	}
+	s.forgiveStall(now)
+	maxIdle := s.maxIdle()
 	for _, c := range s.all() {
 		if since, idle := c.idleSince(); idle && idleTimeout > 0 && now.Sub(since) > idleTimeout {
 			c.sendGoAway()
 		}
 		c.expire(now, maxIdle)
 	}
-	// As the table fills, callers are asked to leave the connections idle for longest before one has to be closed: those who
-	// comply send nothing that crosses the close.
-	if open, _ := s.Counts(); open > s.bounds.ConnectionsHighWater {
-		for _, c := range s.byRetention(now) {
-			if c.priority == resting && open > s.bounds.ConnectionsHighWater {
-				c.sendGoAway()
-			}
-			open--
+	s.relieve(now)
+}
+
+// forgiveStall extends the deadlines of all connections if the process was stalled since the last sweep.
+func (s *Server) forgiveStall(now time.Time) {
+	late := now.Sub(s.lastSweep) - s.bounds.SweepInterval
+	if !s.lastSweep.IsZero() && late > s.bounds.SweepInterval {
+		for _, c := range s.all() {
+			c.extendDeadlines(late)
+		}
+	}
+	s.lastSweep = now
+}
+
+// maxIdle returns how long a connection may be idle before it is closed: longer than the deployment's callers leave
+// it so.
+func (s *Server) maxIdle() time.Duration {
+	configured := s.settings.Admission.IdleTimeout
+	if configured <= 0 {
+		return math.MaxInt64
+	}
+	return configured.Duration() + s.bounds.FrameTimeout
+}
+
+// relieve sends GoAway on the connections that are idle for longest, as many as exceed the high-water mark. If
+// callers leave these, none has to be closed, and no invocation crosses a close.
+func (s *Server) relieve(now time.Time) {
+	open, _ := s.Counts()
+	if open <= s.bounds.ConnectionsHighWater {
+		return
+	}
+	for _, c := range s.candidates(now) {
+		if c.priority == idleLong && open > s.bounds.ConnectionsHighWater {
+			c.sendGoAway()
 		}
+		open--
 	}
 }
 
-// expire closes a connection that has sent nothing valid, or not ended a frame, for too long, and one that is idle for longer
-// than the deployment's callers are; it releases a buffer that is not in use.
+// expire closes a connection on which no valid frame has arrived, or a frame has not ended, for FrameTimeout, and one
+// that is idle for longer than maxIdle. It releases the output buffer of an idle one.
 func (c *conn) expire(now time.Time, maxIdle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	b, idle := &c.server.bounds, c.idle()
+	bounds := &c.server.bounds
+	idle := c.idle()
 	switch {
 	case c.writeClosed || c.closing:
-	case !c.sentValid && now.Sub(c.openedAt) > b.FrameTimeout && !c.unread(): // with unread input the poller is behind
-		c.server.violations.Warn("silent", nil)
-		c.closing = true
-		c.closeWriteIfDone()
-	case !c.frameStart.IsZero() && now.Sub(c.frameStart) > b.FrameTimeout && !c.unread():
-		c.server.violations.Warn("unended", nil)
-		c.closing = true
-		c.closeWriteIfDone()
-	case idle && now.Sub(c.lastUsed) > maxIdle && !c.unread():
+	case !c.sentValid && now.Sub(c.openedAt) > bounds.FrameTimeout && !c.hasUnreadInput():
+		c.closeExpired("silent")
+	case !c.frameStart.IsZero() && now.Sub(c.frameStart) > bounds.FrameTimeout && !c.hasUnreadInput():
+		c.closeExpired("unended")
+	case idle && now.Sub(c.lastUsed) > maxIdle && !c.hasUnreadInput():
 		c.shutdown()
-	case idle && now.Sub(c.lastUsed) > b.SweepInterval:
+	case idle && now.Sub(c.lastUsed) > bounds.SweepInterval:
 		c.pending = nil
 	}
 }
 
+// closeExpired logs a violation of this kind and closes the connection once all is answered. c.mu must be held.
+func (c *conn) closeExpired(kind string) {
+	c.server.violations.Warn(kind, nil)
+	c.closing = true
+	c.closeWriteIfDone()
+}
+
 // extendDeadlines moves the times of a connection by a span during which the process was stalled.
 func (c *conn) extendDeadlines(span time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.openedAt, c.lastUsed = c.openedAt.Add(span), c.lastUsed.Add(span)
+	c.openedAt = c.openedAt.Add(span)
+	c.lastUsed = c.lastUsed.Add(span)
 	if !c.frameStart.IsZero() {
 		c.frameStart = c.frameStart.Add(span)
 	}
--- /dev/null
+++ b/internal/backend/server/idempotency_test.go
@@ -0,0 +1,185 @@
+package server
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"milletbarrow/internal/backend/frame"
+	"milletbarrow/internal/config"
+	"milletbarrow/internal/fakes"
+	"milletbarrow/internal/limits"
+	"milletbarrow/monotime"
+)
+
+// The result of one run is the answer to a repeat that arrives during the run, although the original's caller has
+// reset its connection, and to one that arrives after it. The connection to the executor breaks meanwhile.
+func TestRepeatsAreAnsweredByOneRun(t *testing.T) {
+	s := openServer(t, withIdempotencyKeys)
+	first, second := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
+	first.Send(fakes.Attempt(1, 1, "x"))
+	launch := s.nextLaunch(t)
+	second.Send(fakes.Attempt(1, 2, "x", "retry=1"))
+	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
+	resetOnClose(t, first)
+	_ = first.Close()
+	fakes.Until(t, "the original is abandoned", func() bool {
+		counts, _ := s.dispatcher.Counts()
+		return counts.Abandoned == 1
+	})
+	for len(s.fakeExecutor.Subscribes) > 0 {
+		<-s.fakeExecutor.Subscribes
+	}
+	s.fakeExecutor.Cut()
+	s.fakeExecutor.End(launch.ID, "complete", "the one result") // while the executor is disconnected
+	if f := second.Expect(); f.Code != succeeded || f.Body != "the one result" {
+		t.Errorf("the repeat during the run: %v, want the one result", f)
+	}
+	second.Send(fakes.Attempt(1, 3, "x", "retry=1")) // on the same stream number
+	if f := second.Expect(); f.Code != succeeded || f.Body != "the one result" {
+		t.Errorf("the repeat after the run: %v, want the one result", f)
+	}
+	if len(s.fakeExecutor.Launches) > 0 {
+		t.Errorf("launched again: %v", <-s.fakeExecutor.Launches)
+	}
+	fakes.Until(t, "nothing is in flight", func() bool { return s.inServer() == 0 && s.inDispatch() == 0 })
+}
+
+// If the original is canceled between its admission and its launch, its waiting repeat is throttled with a
+// Retry-After, as nothing ran, and the next attempt runs.
+func TestRepeatOfCanceledOriginalMayRetry(t *testing.T) {
+	s := openServer(t, withIdempotencyKeys)
+	admitted, resume := make(chan struct{}), make(chan struct{})
+	holdLaunch := func() {
+		admitted <- struct{}{}
+		<-resume
+	}
+	s.beforeLaunch.Store(&holdLaunch)
+	node := fakes.Dial(t, s.address)
+	node.Send(fakes.Attempt(1, 1, "x"))
+	fakes.Take(t, "the admission of the original", admitted)
+	s.beforeLaunch.Store(nil)
+	node.Send(fakes.Attempt(2, 2, "x", "retry=1"))
+	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
+	node.Send(cancelFrame(1))
+	node.Send(healthCheck(3))
+	node.Expect() // the cancel has been read
+	close(resume)
+	if f := node.Expect(); f.Stream != 2 || f.Code != throttled || f.Fields != "after=50" {
+		t.Errorf("the repeat: %v, want throttled after 50 ms", f)
+	}
+	node.Send(fakes.Attempt(4, 4, "x", "retry=1"))
+	if launch := s.endNextRun(t, "complete", "r"); launch.ID != "0000000000000004" {
+		t.Errorf("launched %v, want the next attempt", launch)
+	}
+	if f := node.Expect(); f.Stream != 4 || f.Code != succeeded {
+		t.Errorf("the next attempt: %v, want succeeded", f)
+	}
+}
+
+// An invocation without an idempotency key, or with one that is too long, is errored and does not run. Beyond the
+// bound on streams a repeat is errored, as another backend would run it again, and an original is throttled.
+func TestIdempotencyKeyIsRequired(t *testing.T) {
+	tr := fakes.NewTrace(t)
+	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
+		withIdempotencyKeys(b, settings)
+		b.Streams = 1
+	})
+	node := fakes.Dial(t, s.address)
+	sendAttempt := func(label string, stream uint32, key string, edits ...string) {
+		node.Send(fakes.Attempt(stream, int(stream), key, edits...))
+		tr.Say("%s: %v", label, node.Expect())
+	}
+	sendAttempt("no key", 1, "")
+	sendAttempt("key too long", 3, strings.Repeat("0123456789", 7))
+	node.Send(fakes.Attempt(5, 5, "x"))
+	launch := s.nextLaunch(t)
+	sendAttempt("a repeat beyond the bound", 6, "x", "retry=1")
+	sendAttempt("another key beyond the bound", 7, "y")
+	s.fakeExecutor.End(launch.ID, "error", "")
+	tr.Say("its run fails: %v", node.Expect())
+	sendAttempt("its repeat", 8, "x", "retry=1")
+	tr.Say("further launches %d", len(s.fakeExecutor.Launches))
+}
+
+// A client that copies the idempotency key of another's invocation, before it arrives or while it runs, does not get
+// its result. The other invocation and its repeat are answered as if there were no copy.
+func TestCopiedIdempotencyKey(t *testing.T) {
+	s := openServer(t, withIdempotencyKeys)
+	owner, copier := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
+	const copiersBody = "what it would like"
+	sendCopy := func(stream uint32, number int) {
+		fields := fakes.EncodeFields(fakes.DefaultFields(number, "class=post", "once=x")...)
+		copier.Send(fakes.EncodeFrame(byte(frame.KindInvocation), stream, fields+copiersBody))
+	}
+	expectRefusedCopy := func() {
+		t.Helper()
+		launch := s.nextLaunch(t)
+		if launch.Body != copiersBody {
+			t.Fatalf("launched %v, want the copy", launch)
+		}
+		s.fakeExecutor.Refuse(launch.ID)
+		if f := copier.Expect(); f.Code != errored || f.Body != "" {
+			t.Errorf("the copy: %v, want errored", f)
+		}
+	}
+	sendCopy(1, 1)
+	firstCopy := s.nextLaunch(t)
+	owner.Send(fakes.Attempt(1, 2, "x"))
+	own := s.nextLaunch(t)
+	s.fakeExecutor.Refuse(firstCopy.ID)
+	copier.Expect()
+	sendCopy(2, 3)
+	expectRefusedCopy()
+	s.fakeExecutor.End(own.ID, "complete", "r")
+	if f := owner.Expect(); f.Code != succeeded || f.Body != "r" {
+		t.Errorf("the owner's invocation: %v, want result r", f)
+	}
+	sendCopy(3, 4)
+	expectRefusedCopy()
+	sendCopy(4, 2) // with the owner's ID
+	if f := copier.Expect(); f.Stream != 4 || f.Code != errored || f.Body != "" {
+		t.Errorf("a copy with the owner's ID: %v, want errored", f)
+	}
+	owner.Send(fakes.Attempt(2, 5, "x", "retry=1"))
+	if f := owner.Expect(); f.Code != succeeded || f.Body != "r" {
+		t.Errorf("the owner's repeat: %v, want result r", f)
+	}
+}
+
+// A repeat that arrived in the last moment of its original's window is answered with the original's result, although
+// it is read later. One that arrived just after the expiry is an original and runs. Both frames state their arrival,
+// so the outcome does not depend on the speed of the test.
+func TestRepeatWindowCountsFromArrival(t *testing.T) {
+	const window = 100 * time.Millisecond
+	var slack time.Duration
+	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
+		withIdempotencyKeys(b, settings)
+		settings.Admission.Operations[1].RepeatWindow = monotime.FromDuration(window)
+		slack = settings.Admission.AnswerSlack.Duration()
+	})
+	node := fakes.Dial(t, s.address)
+	at := func(when time.Time) string { return fmt.Sprint("at=", when.UnixMilli()) }
+	arrived := time.Now()
+	node.Send(fakes.Attempt(1, 1, "x", at(arrived)))
+	s.endNextRun(t, "complete", "first")
+	node.Expect()
+	inside := arrived.Add(window)
+	outside := time.Now().Add(window + slack + 2*time.Millisecond)
+	fakes.Until(t, "the window is over", func() bool { return time.Now().After(outside) })
+	node.Send(fakes.Attempt(2, 2, "x", "retry=1", at(inside)))
+	if f := node.Expect(); f.Stream != 2 || f.Code != succeeded || f.Body != "first" {
+		t.Errorf("in the window: %v, want result first", f)
+	}
+	if n := len(s.fakeExecutor.Launches); n != 0 {
+		t.Errorf("in the window: %d launches, want none", n)
+	}
+	node.Send(fakes.Attempt(3, 3, "x", "retry=1", at(outside)))
+	if launch := s.endNextRun(t, "complete", "second"); launch.ID != "0000000000000003" {
+		t.Errorf("after the window: launched %v, want the third attempt", launch)
+	}
+	if f := node.Expect(); f.Stream != 3 || f.Code != succeeded || f.Body != "second" {
+		t.Errorf("after the window: %v, want result second", f)
+	}
+}
--- a/internal/backend/server/invocation.go
+++ b/internal/backend/server/invocation.go
@@ -12,21 +12,21 @@
 	"milletbarrow/internal/backend/frame"
 )
 
-// Errors of an invocation whose frame can be decoded.
+// Errors of an invocation that does not fit the settings.
 var (
-	errInvocationTooLong = errors.New("too long for an invocation")
+	errInvocationTooLong = errors.New("frame is too long for an invocation")
 	errUnknownOperation  = errors.New("unknown operation")
 	errUnknownTenant     = errors.New("unknown tenant")
-	errNoDeadline        = errors.New("no word of how long its caller waits")
-	errNoIdempotencyKey  = errors.New("no token, and a repeat must be known")
+	errNoDeadline        = errors.New(`field "wait" is missing: the deployment requires a deadline`)
+	errNoIdempotencyKey  = errors.New(`field "once" is missing or too long: the operation requires an idempotency key`)
 )
 
-// handleInvocation admits the invocation of a frame to a goroutine of its own, or answers it at once. It runs on the poller.
+// handleInvocation starts a goroutine for the invocation of a frame, or answers it at once. It runs on the poller.
 func (c *conn) handleInvocation(h frame.Header, payload []byte) {
 	s := c.server
 	if h.Stream == 0 {
 		c.reject("stream_0", nil)
-		c.send(func(to []byte) []byte { return frame.AppendError(to, "an invocation on stream 0") })
+		c.send(func(to []byte) []byte { return frame.AppendError(to, streamZeroText) })
 		return
 	}
 	inv, body, err := s.decodeInvocation(h, payload)
@@ -37,73 +37,88 @@
 	}
 	st := &stream{number: h.Stream, canceled: make(chan struct{})}
 	inv.CallerLeft = st.canceled
-	reused, opened, gone := c.openStream(st)
-	switch {
-	case gone: // nobody can be answered any more
-	case reused:
+	switch result := c.openStream(st); {
+	case result == connClosed:
+	case result == streamReused:
 		c.reject("stream_again", nil)
 		c.fail(h.Stream)
-	case !opened || !s.reserve():
-		// Beyond the bound of the connection or of the process: it did not run, and another backend may have capacity. Not for
-		// a repeat of an invocation that ran here: the other would run it again.
-		code := frame.Throttled
-		if s.dispatcher.IsRepeat(inv) {
-			code = frame.Errored
-		}
-		c.send(func(to []byte) []byte { return frame.AppendAnswer(to, h.Stream, code, 0, false, nil) })
-		c.closeStream(st)
-	default: // the body outlives the buffer that it was read into
-		go s.handle(c, st, inv, s.settings.Operations[inv.Operation], append([]byte(nil), body...))
+	case result == streamRefused || !s.reserve():
+		c.refuse(st, inv)
+	default:
+		body = append([]byte(nil), body...) // the buffer is reused
+		go s.handle(c, st, inv, s.settings.Operations[inv.Operation], body)
 	}
 }
 
-// decodeInvocation reads an invocation and checks it against the settings. The body is a slice of payload.
+// refuse answers an invocation beyond the bound of the connection or of the process. It has not run, and another
+// backend may have capacity: it is throttled. A repeat of an invocation that ran here is errored, as another backend
+// would run it again.
+func (c *conn) refuse(st *stream, inv dispatch.Invocation) {
+	code := frame.Throttled
+	if c.server.dispatcher.IsRepeat(inv) {
+		code = frame.Errored
+	}
+	c.send(func(to []byte) []byte { return frame.AppendAnswer(to, st.number, code, 0, false, nil) })
+	c.closeStream(st)
+}
+
+// decodeInvocation decodes an invocation and checks it against the settings. The body is a slice of payload.
 func (s *Server) decodeInvocation(h frame.Header, payload []byte) (inv dispatch.Invocation, body []byte, err error) {
 	in, err := frame.ReadInvocation(payload, s.bounds.BodySize)
-	op, tenant := s.operations[string(in.Operation)], s.tenants[string(in.Tenant)]
-	switch {
-	case h.Payload > len(payload):
-		err = errInvocationTooLong
-	case err != nil:
-	case op == 0:
-		err = errUnknownOperation
-	case tenant == 0 && len(s.tenants) > 0:
-		err = errUnknownTenant
-	case !in.HasCallerTimeout && !s.settings.DeadlineOptional:
-		err = errNoDeadline
-	case s.keyed(op-1) && (len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.IdempotencyKeySize):
-		err = errNoIdempotencyKey
+	if h.Payload > len(payload) { // the rest of the frame was skipped: err is of a truncated payload
+		return inv, nil, errInvocationTooLong
 	}
 	if err != nil {
 		return inv, nil, err
 	}
+	operation, known := s.operations[string(in.Operation)]
+	if !known {
+		return inv, nil, errUnknownOperation
+	}
+	tenant, known := s.tenants[string(in.Tenant)]
+	if !known && len(s.tenants) > 0 {
+		return inv, nil, errUnknownTenant
+	}
 	inv = dispatch.Invocation{
-		ID: string(in.ID), Operation: op - 1, Tenant: max(tenant-1, 0), Rank: in.Priority, MemoryKB: in.MemoryKB, Retry: in.Retry,
-		ExpectedWork: in.ExpectedWork, ArrivedAt: dispatch.FromWallClock(in.ArrivedAt), CallerTimeout: in.CallerTimeout,
+		ID:            string(in.ID),
+		Operation:     operation,
+		Tenant:        tenant,
+		Rank:          in.Priority,
+		MemoryKB:      in.MemoryKB,
+		Retry:         in.Retry,
+		ExpectedWork:  in.ExpectedWork,
+		ArrivedAt:     dispatch.FromWallClock(in.ArrivedAt),
+		CallerTimeout: in.CallerTimeout,
 	}
 	if !in.HasCallerTimeout {
-		inv.CallerTimeout = s.settings.Admission.Operations[op-1].ClientTimeout
+		if !s.settings.DeadlineOptional {
+			return inv, nil, errNoDeadline
+		}
+		inv.CallerTimeout = s.settings.Admission.Operations[operation].ClientTimeout
 	}
-	if s.keyed(op - 1) {
+	if s.keyed(operation) {
+		if len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.IdempotencyKeySize {
+			return inv, nil, errNoIdempotencyKey
+		}
 		inv.IdempotencyKey = idempotencyKey(in.IdempotencyKey, in.Body)
 	}
 	return inv, in.Body, nil
 }
 
-// keyed reports whether retries of an operation are recognised by an idempotency key.
+// keyed reports whether repeats of an operation are recognised by an idempotency key.
 func (s *Server) keyed(operation int) bool {
 	return s.settings.Admission.Operations[operation].RetrySafety == admission.IdempotencyKeyed
 }
 
-// idempotencyKey identifies the attempts of one invocation: by the key that they carry and their body. A bad client may copy the
-// key of another's invocation. With another body it is another invocation, which must neither get the other's result nor block
-// it; the executor refuses it.
+// idempotencyKey returns the key of an invocation's attempts, made of the key that they carry and of their body. A
+// client may copy the key of another's invocation. With another body it is another invocation, which must neither get
+// the other's result nor block it.
 func idempotencyKey(key, body []byte) string {
 	sum := sha256.Sum256(body)
 	return string(key) + string(sum[:])
 }
 
-// reserve counts an invocation as in flight, if there is capacity for it.
+// reserve counts an invocation as in flight and returns true, if there is capacity for it.
 func (s *Server) reserve() bool {
 	if s.inFlight.Add(1) > int64(s.bounds.Invocations) {
 		s.inFlight.Add(-1)
@@ -113,7 +128,7 @@
 	return true
 }
 
-// handle takes one invocation from its admission to its answer, and its run to its end.
+// handle takes one invocation through its admission to its answer, and its run to its end.
 func (s *Server) handle(c *conn, st *stream, inv dispatch.Invocation, operation string, body []byte) {
 	defer s.inFlight.Add(-1)
 	defer func() {
@@ -123,11 +138,11 @@
 		}
 	}()
 	select {
-	case <-st.canceled: // canceled as soon as it came; hundreds of these must not count as load or as first attempts
+	case <-st.canceled: // an invocation that is canceled at once must not count as load or as a first attempt
 		return
 	default:
 	}
-	response, ticket := s.dispatcher.Admit(inv)
+	response, request := s.dispatcher.Admit(inv)
 	if response.Verdict != dispatch.Admitted {
 		s.respond(c, st, response)
 		return
@@ -135,69 +150,69 @@
 	if hook := s.beforeLaunch.Load(); hook != nil {
 		(*hook)()
 	}
-	if s.endedBeforeLaunch(c, st, ticket) {
+	if s.endedBeforeLaunch(c, st, request) {
 		return
 	}
-	s.awaitRun(c, st, ticket, s.executor.Launch(inv.ID, operation, body))
+	s.awaitRun(c, st, request, s.executor.Launch(inv.ID, operation, body))
 }
 
-// endedBeforeLaunch reports whether an admitted invocation was canceled, or answered at its deadline, before its launch; it
-// is then complete, and is not launched.
-func (s *Server) endedBeforeLaunch(c *conn, st *stream, ticket *dispatch.Request) bool {
+// endedBeforeLaunch reports whether an admitted invocation was canceled, or answered at its deadline, before its
+// launch. It completes such an invocation, which must not be launched.
+func (s *Server) endedBeforeLaunch(c *conn, st *stream, request *dispatch.Request) bool {
 	select {
 	case <-st.canceled:
-		s.dispatcher.Complete(ticket, dispatch.Unrunnable, nil)
+		s.dispatcher.Complete(request, dispatch.Unrunnable, nil)
 		return true
 	default:
 	}
 	select {
-	case response := <-ticket.FinalResponse():
+	case response := <-request.FinalResponse():
 		s.respond(c, st, response)
-		s.dispatcher.Complete(ticket, dispatch.NeverRan, nil)
+		s.dispatcher.Complete(request, dispatch.NeverRan, nil)
 		return true
 	default:
 		return false
 	}
 }
 
-// awaitRun waits until the run has ended. The final response may come earlier, and the caller may leave: the run goes on then
+// awaitRun waits until the run has ended. If the final response comes earlier or the caller leaves, the run goes on
 // without a caller.
-func (s *Server) awaitRun(c *conn, st *stream, ticket *dispatch.Request, run *executor.Run) {
+func (s *Server) awaitRun(c *conn, st *stream, request *dispatch.Request, run *executor.Run) {
 	canceled := st.canceled
 	for {
 		select {
 		case outcome := <-run.Done():
-			s.completeRun(c, st, ticket, outcome)
+			s.completeRun(c, st, request, outcome)
 			return
-		case response := <-ticket.FinalResponse():
+		case response := <-request.FinalResponse():
 			s.respond(c, st, response)
 		case <-canceled:
 			canceled = nil
-			s.dispatcher.Abandon(ticket)
+			s.dispatcher.Abandon(request)
 		}
 	}
 }
 
-// completeRun reports the end of a run to the dispatcher, and answers the caller if no answer was given before.
-func (s *Server) completeRun(c *conn, st *stream, ticket *dispatch.Request, outcome executor.Outcome) {
+// completeRun reports the end of a run to the dispatcher, and answers the caller if it has not been answered.
+func (s *Server) completeRun(c *conn, st *stream, request *dispatch.Request, outcome executor.Outcome) {
 	if outcome.End == dispatch.Unrunnable {
 		c.reject("unrunnable", nil)
 	}
-	switch owed := s.dispatcher.Complete(ticket, outcome.End, outcome.Result); {
+	switch owed := s.dispatcher.Complete(request, outcome.End, outcome.Result); {
 	case owed && outcome.End == dispatch.RunSucceeded:
 		c.answer(st, frame.Succeeded, 0, false, outcome.Result)
 	case owed:
 		c.answer(st, frame.Errored, 0, false, nil)
-	default: // the final response was given before, perhaps just now
+	default: // the final response was given before, perhaps since the run ended
 		select {
-		case response := <-ticket.FinalResponse():
+		case response := <-request.FinalResponse():
 			s.respond(c, st, response)
 		default:
 		}
 	}
 }
 
-// respond passes the dispatcher's response on to the caller.
+// respond answers the caller with the dispatcher's response.
 func (s *Server) respond(c *conn, st *stream, response dispatch.Response) {
 	switch response.Verdict {
 	case dispatch.Throttled:
@@ -206,5 +221,6 @@
 		c.answer(st, frame.Errored, 0, false, nil)
 	case dispatch.Replayed:
 		c.answer(st, frame.Succeeded, 0, false, response.Result)
+	default: // Abandoned: the caller has left; Admitted is no final response
 	}
 }
--- a/internal/backend/server/listener.go
+++ b/internal/backend/server/listener.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"syscall"
@@ -10,43 +11,56 @@
 	"golang.org/x/sys/unix"
 )
 
-// listener accepts connections for netpoll. Netpoll's own listener closes its descriptor twice, and may close another file the
-// second time; neither it nor the kernel waits for the connections in the accept queue, which are reset at the close.
+// listener accepts connections for netpoll, in place of netpoll's own listener. That closes its descriptor twice, and
+// may close another file the second time. It also resets the connections in the accept queue when it is closed.
 type listener struct {
-	*net.TCPListener
+	net.Listener
+
 	fd int
 
-	mu     sync.Mutex // held while a connection is accepted, so that the descriptor stays ours meanwhile
+	mu     sync.Mutex // guards closed, and is held during accept, so that fd is not closed and reused meanwhile
 	closed bool
 }
 
 // errListenerClosed ends the accept loop.
 var errListenerClosed = errors.New("listener is closed")
 
-func newListener(tcp *net.TCPListener) (*listener, error) {
-	raw, err := tcp.SyscallConn()
+// newListener returns a listener that accepts the connections of l.
+func newListener(l net.Listener) (*listener, error) {
+	socket, ok := l.(syscall.Conn)
+	if !ok {
+		return nil, fmt.Errorf("listen on %s: %T has no descriptor", l.Addr(), l)
+	}
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	l := &listener{TCPListener: tcp}
-	return l, raw.Control(func(fd uintptr) { l.fd = int(fd) })
+	wrapped := &listener{Listener: l}
+	return wrapped, raw.Control(func(fd uintptr) { wrapped.fd = int(fd) })
 }
 
-// Fd is the descriptor that the poller waits on.
+// Fd returns the descriptor that the poller waits on.
 func (l *listener) Fd() int { return l.fd }
 
-// acceptedConn is a connection just accepted; netpoll asks it for no more than these.
+// acceptedConn is an accepted connection with those methods that netpoll calls.
 type acceptedConn struct {
 	net.Conn
-	fd            int
-	local, remote net.Addr
+
+	fd     int
+	local  net.Addr
+	remote net.Addr
 }
 
-func (c acceptedConn) Fd() int              { return c.fd }
-func (c acceptedConn) LocalAddr() net.Addr  { return c.local }
+// Fd returns the descriptor.
+func (c acceptedConn) Fd() int { return c.fd }
+
+// LocalAddr returns the address of this side.
+func (c acceptedConn) LocalAddr() net.Addr { return c.local }
+
+// RemoteAddr returns the address of the peer.
 func (c acceptedConn) RemoteAddr() net.Addr { return c.remote }
 
-// Accept takes one connection from the accept queue; it returns neither a connection nor an error if there is none.
+// Accept takes a connection from the accept queue. It returns nil and no error if the queue is empty.
 func (l *listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +74,7 @@
 	case err != nil:
 		return nil, err
 	}
-	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // as netpoll does for its own
+	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // as netpoll's listener does
 	c := acceptedConn{fd: fd, local: l.Addr(), remote: &net.TCPAddr{}}
 	if v4, ok := from.(*syscall.SockaddrInet4); ok {
 		c.remote = &net.TCPAddr{IP: v4.Addr[:], Port: v4.Port}
@@ -68,42 +82,46 @@
 	return c, nil
 }
 
-// closeWhenEmpty waits, for at most timeout, until the poller has accepted all connections in the accept queue, and closes the
-// listener: a caller whose connection was established may have written an invocation. Meanwhile the kernel drops the packets of
-// new connections, which are refused at their retransmission once the listener is closed.
+// acceptPoll is the interval between two checks of the accept queue before the listener closes.
+const acceptPoll = time.Millisecond
+
+// closeWhenEmpty closes the listener once the poller has accepted all connections in the accept queue, or after
+// timeout: the peer of an established connection may have sent an invocation. Meanwhile the kernel drops the packets
+// of new connections, so that these are refused when they retransmit after the close.
 func (l *listener) closeWhenEmpty(timeout time.Duration) error {
-	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0} // takes no bytes of any packet
-	_ = unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &dropAll})
-	for deadline := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) {
+	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0} // accept 0 bytes of each packet
+	filter := &unix.SockFprog{Len: 1, Filter: &dropAll}
+	_ = unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, filter)
+	for deadline := time.Now().Add(timeout); ; time.Sleep(acceptPoll) {
 		if done, err := l.closeIfEmpty(time.Now().After(deadline)); done {
 			return err
 		}
 	}
 }
 
-// closeIfEmpty closes the listener if its accept queue is empty, or anyway; done if it is closed.
-func (l *listener) closeIfEmpty(anyway bool) (done bool, err error) {
+// closeIfEmpty closes the listener if its accept queue is empty or force is true. done reports whether it is closed.
+func (l *listener) closeIfEmpty(force bool) (done bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return true, nil
 	}
-	if !anyway && readable(l.fd) {
+	if !force && readable(l.fd) {
 		return false, nil
 	}
 	l.closed = true
 	return true, l.Close()
 }
 
-// readable reports whether a socket has input, or a listening one a connection in its accept queue.
+// readable reports whether a socket has input or, if it listens, a connection in its accept queue.
 func readable(fd int) bool {
 	set := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	n, err := unix.Poll(set, 0)
 	return n > 0 && err == nil
 }
 
-// unread reports whether the peer has sent bytes that have not been read.
-func unread(fd int) bool {
+// hasUnreadInput reports whether the peer of a socket has sent bytes that have not been read.
+func hasUnreadInput(fd int) bool {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n > 0 && err == nil
--- a/internal/backend/server/read.go
+++ b/internal/backend/server/read.go
@@ -8,7 +8,16 @@
 	"milletbarrow/internal/backend/frame"
 )
 
-// read handles all input. Netpoll calls it on the poller, and would call it repeatedly for input left unread.
+// Texts of errors that belong to no stream. They are sent to the peer: they are part of the protocol.
+const (
+	unknownKindText = "unknown type"
+	streamZeroText  = "an invocation on stream 0"
+)
+
+// ignoreAfterFactor is the multiple of the bound on invalid frames after which no more frames are read.
+const ignoreAfterFactor = 2
+
+// read handles all input. Netpoll calls it on the poller, and would call it again for input left unread.
 func (c *conn) read() {
 	defer func() {
 		if r := recover(); r != nil {
@@ -16,12 +25,12 @@
 			c.abort()
 		}
 	}()
-	r := c.transport.Reader()
-	for n := r.Len(); n > 0; n = r.Len() {
-		b, err := r.Next(n)
+	reader := c.transport.Reader()
+	for n := reader.Len(); n > 0; n = reader.Len() {
+		input, err := reader.Next(n)
 		if err == nil {
-			c.feed(b)
-			err = r.Release()
+			c.feed(input)
+			err = reader.Release()
 		}
 		if err != nil {
 			c.abort()
@@ -30,57 +39,86 @@
 	}
 }
 
-// feed handles bytes, which are valid until it returns. It stores the beginning of a frame that is not complete, as far as the
-// frame can be an invocation.
-func (c *conn) feed(b []byte) {
+// feed handles input, which is valid until it returns. It stores the beginning of a frame that is not complete, as
+// far as the frame can be an invocation, and skips the rest of a frame that is longer.
+func (c *conn) feed(input []byte) {
 	handled := false
-	for len(b) > 0 && !c.ignoreInput {
+	for len(input) > 0 && !c.ignoreInput {
 		if c.skip > 0 {
-			n := min(c.skip, len(b))
+			n := min(c.skip, len(input))
 			c.skip -= n
-			b = b[n:]
+			input = input[n:]
 			continue
 		}
-		needed := frame.LengthSize
-		head := b
-		if len(c.partial) > 0 {
-			b = c.gather(b, needed)
-			head = c.partial
-		}
-		if len(head) >= needed {
-			size, err := frame.Length(head, c.server.bounds.FrameSize)
-			if err != nil {
-				c.framingLost(err)
-				return
-			}
-			needed = min(frame.LengthSize+size, frame.HeaderSize+c.server.bounds.InvocationFrameSize)
-			if len(c.partial) > 0 {
-				b = c.gather(b, needed)
-				head = c.partial
-			}
-			if len(head) >= needed {
-				c.skip = frame.LengthSize + size - needed
-				c.handleFrame(head[:needed])
-				handled = true
-				if len(c.partial) == 0 {
-					b = b[needed:]
-				} else if c.partial = c.partial[:0]; cap(c.partial) > c.server.bounds.PartialFrameBuffer {
-					c.partial = nil
-				}
-				continue
-			}
-		}
-		if len(c.partial) == 0 {
-			b = c.gather(b, len(b))
+		rest, complete, err := c.feedFrame(input)
+		if err != nil {
+			c.framingLost(err)
+			return
 		}
+		handled = handled || complete
+		input = rest
 	}
 	c.trackPartialFrame(handled)
 }
 
-// trackPartialFrame records when the frame that is not complete began. handled: frames before it were handled now.
+// feedFrame handles the first frame of partial and input and returns the input after it. If the frame is not
+// complete, it moves all input to partial.
+func (c *conn) feedFrame(input []byte) (rest []byte, complete bool, err error) {
+	if len(c.partial) > 0 {
+		return c.feedPartialFrame(input)
+	}
+	needed, skip, err := c.neededOf(input)
+	switch {
+	case err != nil:
+		return nil, false, err
+	case len(input) < needed:
+		return c.gather(input, len(input)), false, nil
+	}
+	c.skip = skip
+	c.handleFrame(input[:needed])
+	return input[needed:], true, nil
+}
+
+// feedPartialFrame is feedFrame for a frame whose beginning is in partial.
+func (c *conn) feedPartialFrame(input []byte) (rest []byte, complete bool, err error) {
+	input = c.gather(input, frame.LengthSize)
+	needed, skip, err := c.neededOf(c.partial)
+	if err != nil {
+		return nil, false, err
+	}
+	input = c.gather(input, needed)
+	if len(c.partial) < needed {
+		return input, false, nil
+	}
+	c.skip = skip
+	c.handleFrame(c.partial[:needed])
+	if c.partial = c.partial[:0]; cap(c.partial) > c.server.bounds.PartialFrameBuffer {
+		c.partial = nil
+	}
+	return input, true, nil
+}
+
+// neededOf returns how many bytes of a frame have to be there before it is handled, and how many after those are
+// skipped. begun is the beginning of the frame; without the whole length, the bytes of the length are needed.
+func (c *conn) neededOf(begun []byte) (needed, skip int, err error) {
+	if len(begun) < frame.LengthSize {
+		return frame.LengthSize, 0, nil
+	}
+	length, err := frame.Length(begun, c.server.bounds.FrameSize)
+	if err != nil {
+		return 0, 0, err
+	}
+	size := frame.LengthSize + length
+	needed = min(size, frame.HeaderSize+c.server.bounds.InvocationFrameSize)
+	return needed, size - needed, nil
+}
+
+// trackPartialFrame records when the frame that is not complete began, if there is one. handled reports whether frames
+// before it were handled just now: it has begun since.
 func (c *conn) trackPartialFrame(handled bool) {
 	within := len(c.partial) > 0 || c.skip > 0
-	if within == !c.frameStart.IsZero() && (!within || !handled) {
+	tracked := !c.frameStart.IsZero()
+	if within == tracked && (!within || !handled) {
 		return
 	}
 	c.mu.Lock()
@@ -91,46 +129,47 @@
 	}
 }
 
-// gather moves bytes to partial until it holds size of them, and returns the rest.
-func (c *conn) gather(b []byte, size int) []byte {
-	n := min(max(0, size-len(c.partial)), len(b))
-	c.partial = append(c.partial, b[:n]...)
-	return b[n:]
+// gather moves input to partial until that holds size bytes, and returns the rest.
+func (c *conn) gather(input []byte, size int) (rest []byte) {
+	n := min(max(0, size-len(c.partial)), len(input))
+	c.partial = append(c.partial, input[:n]...)
+	return input[n:]
 }
 
-// framingLost handles a length that no frame can have: the frames after it cannot be found. Invocations read before are answered,
-// then the connection closes.
+// framingLost handles a length that no frame can have: the frames after it cannot be found. Invocations read before are
+// answered, then the connection closes.
 func (c *conn) framingLost(err error) {
 	c.server.violations.Warn("frame_length", err)
-	c.ignoreInput, c.partial = true, nil
+	c.ignoreInput = true
+	c.partial = nil
 	c.send(func(to []byte) []byte { return frame.AppendError(to, err.Error()) })
 	c.closeWhenAnswered()
 }
 
-// reject counts an invalid frame, or an invocation that the executor does not know. It limits floods of them: a caller that
-// sends nothing else costs a bounded amount of CPU time, then its connection closes.
+// reject counts an invalid frame, or an invocation that the executor does not know. At the bound the connection
+// closes, so that a peer that sends nothing else costs a bounded amount of CPU time.
 func (c *conn) reject(kind string, err error) {
 	c.server.violations.Warn(kind, err)
 	c.mu.Lock()
 	c.invalid++
-	invalid, most := c.invalid, c.server.bounds.InvalidFrames
+	invalid := c.invalid
 	c.mu.Unlock()
-	if invalid == most {
+	if invalid == c.server.bounds.InvalidFrames {
 		c.server.violations.Warn("unfit", nil)
 		c.closeWhenAnswered()
 	}
 }
 
-// ignoresInput reports whether nothing on the connection can be answered any more, or so many frames were invalid that no further
-// one is read.
+// ignoresInput reports whether nothing on the connection can be answered any more, or so many frames were invalid
+// that no more are read.
 func (c *conn) ignoresInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.writeClosed || c.invalid >= 2*c.server.bounds.InvalidFrames
+	return c.writeClosed || c.invalid >= ignoreAfterFactor*c.server.bounds.InvalidFrames
 }
 
-// handleFrame handles one frame; b holds all of it, or the beginning of one that is too long. A panic is logged, and the stream
-// of the frame is answered.
+// handleFrame handles one frame, or the beginning of one that is too long to be an invocation. A panic is logged, and
+// the stream of the frame is answered.
 func (c *conn) handleFrame(b []byte) {
 	h := frame.ReadHeader(b)
 	defer func() {
@@ -150,16 +189,21 @@
 	case frame.KindCancel:
 		c.cancel(h.Stream)
 	case frame.KindHealthCheck:
-		good := c.server.healthy()
-		if err := frame.ReadFields(payload); err != nil || h.Payload > len(payload) {
-			c.reject("check", err)
-			good = false
-		} else {
-			c.openStream(nil)
-		}
-		c.send(func(to []byte) []byte { return frame.AppendHealthAnswer(to, h.Stream, good) })
-	default: // the meaning of its stream number is unknown, so no stream is touched
+		c.handleHealthCheck(h, payload)
+	default: // what its stream number means is unknown, so no stream is failed
 		c.reject("kind", nil)
-		c.send(func(to []byte) []byte { return frame.AppendError(to, "unknown type") })
+		c.send(func(to []byte) []byte { return frame.AppendError(to, unknownKindText) })
+	}
+}
+
+// handleHealthCheck answers a health check; the answer to an invalid one is bad.
+func (c *conn) handleHealthCheck(h frame.Header, payload []byte) {
+	good := c.server.healthy()
+	if err := frame.ReadFields(payload); err != nil || h.Payload > len(payload) {
+		c.reject("check", err)
+		good = false
+	} else {
+		c.countHealthCheck()
 	}
+	c.send(func(to []byte) []byte { return frame.AppendHealthAnswer(to, h.Stream, good) })
 }
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -1,11 +1,22 @@
-// Package server serves edge nodes: it owns the listener, their connections, the streams on them and health checks, and takes
-// each invocation from its frame through admission and its run on the executor to its one answer.
+// Package server serves edge nodes. It owns the listener, the connections and the streams on them, answers health
+// checks, and takes each invocation from its frame through admission and its run on the executor to its answer.
+//
+// Invariants, each with the test that holds it:
+//   - An invocation gets one answer, or none if its caller has left: TestAnswers, TestCancel,
+//     TestConnectionBreaksWithinResult.
+//   - An invalid frame ends its own stream and no other: TestInvalidFrames.
+//   - No connection with unread input or an open stream is closed or evicted because of a timeout:
+//     TestUnreadInputKeepsConnection, TestEvictionWhenFull.
+//   - Answers are written before their connection closes: TestSmallAnswersBeforeClose,
+//     TestLastAnswersBeforeUnreadInput.
+//   - No state is left of a connection that has ended: TestConnectionChurn, TestResetBeforeAnswer.
 package server
 
 import (
 	"bytes"
 	"context"
 	"errors"
+	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -21,94 +32,128 @@
 	"milletbarrow/internal/ratelimitlog"
 )
 
-// Server serves the edge nodes of one backend. Its methods may be called from several goroutines; Listen comes first, then Serve.
+// Server serves the edge nodes of one backend. Listen must be called first, then Serve; the other methods may be called
+// from any goroutine.
 type Server struct {
 	settings    *config.Settings
 	bounds      limits.Bounds
 	violations  *ratelimitlog.Logger
 	dispatcher  *dispatch.Dispatcher
 	executor    *executor.Client
-	operations  map[string]int // index of each name in the settings, from 1
-	tenants     map[string]int
+	operations  nameIndex // of the settings' operations
+	tenants     nameIndex // of the settings' tenants
 	listener    *listener
 	loop        netpoll.EventLoop
 	inFlight    atomic.Int64 // invocations that have a goroutine
-	unsentBytes atomic.Int64 // bytes of answers not yet written, on all connections
+	unsentBytes atomic.Int64 // answers not yet written, on all connections
 
-	mu        sync.Mutex
-	conns     map[*conn]struct{}
-	draining  bool
-	lastSweep time.Time // used by Sweep alone
+	mu       sync.Mutex // guards conns and draining
+	conns    map[*conn]struct{}
+	draining bool
 
-	beforeLaunch atomic.Pointer[func()] // tests stop handle there; nil outside them
-}
+	lastSweep time.Time // used by the goroutine of Sweep alone; zero: no sweep yet
 
-// connKey is the key of a conn in the context that netpoll hands on.
-type connKey struct{}
+	beforeLaunch atomic.Pointer[func()] // called between admission and launch; nil except in tests
+}
 
-// New makes a server with these settings and bounds; protocol violations of peers are logged to violations.
-func New(settings *config.Settings, bounds limits.Bounds, violations *ratelimitlog.Logger, d *dispatch.Dispatcher, e *executor.Client) *Server {
-	s := &Server{
-		settings: settings, bounds: bounds, dispatcher: d, executor: e, operations: map[string]int{}, tenants: map[string]int{},
-		conns: map[*conn]struct{}{}, violations: violations,
+// New returns a server. Protocol violations of peers are logged to violations.
+func New(
+	settings *config.Settings,
+	bounds limits.Bounds,
+	violations *ratelimitlog.Logger,
+	dispatcher *dispatch.Dispatcher,
+	executor *executor.Client,
+) *Server {
+	return &Server{
+		settings:   settings,
+		bounds:     bounds,
+		violations: violations,
+		dispatcher: dispatcher,
+		executor:   executor,
+		operations: indexNames(settings.Operations),
+		tenants:    indexNames(settings.Tenants),
+		conns:      map[*conn]struct{}{},
 	}
-	for n, name := range settings.Operations {
-		s.operations[name] = n + 1
-	}
-	for n, name := range settings.Tenants {
-		s.tenants[name] = n + 1
+}
+
+// nameIndex has the index of each name in a list of the settings.
+type nameIndex map[string]int
+
+func indexNames(names []string) nameIndex {
+	index := make(nameIndex, len(names))
+	for i, name := range names {
+		index[name] = i
 	}
-	return s
+	return index
 }
 
-// configureNetpoll guards the configuration of netpoll, of which a process has one.
+// connKey is the key of a conn in the context that netpoll passes to callbacks.
+type connKey struct{}
+
+// configureNetpoll protects the configuration of netpoll, which is one for the process.
 var configureNetpoll sync.Once
 
-// Listen opens the address and returns it with the port in use. The error is that of the listening socket or of the poller.
+// Listen opens the address and returns it with the port in use. It returns an error of the listening socket or of the
+// poller.
 func (s *Server) Listen(address string) (net.Addr, error) {
 	configureNetpoll.Do(func() {
 		_ = netpoll.Configure(netpoll.Config{
-			PollerNum: 1, BufferSize: s.bounds.ReadBuffer, LoggerOutput: netpollLog{s},
-			Runner: func(_ context.Context, f func()) { f() }, // on the poller, see conn
+			PollerNum:    1,
+			BufferSize:   s.bounds.ReadBuffer,
+			LoggerOutput: netpollLog{s},
+			Runner:       func(_ context.Context, f func()) { f() }, // on the poller: see conn
 		})
 	})
-	// The kernel's buffer of a connection that is read late is bounded too.
-	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
-		control := raw.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, s.bounds.ReceiveBuffer)
-		})
-		return errors.Join(control, err)
-	}}
-	l, err := lc.Listen(context.Background(), "tcp", address)
+	config := net.ListenConfig{Control: s.limitReceiveBuffer}
+	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if s.listener, err = newListener(l.(*net.TCPListener)); err != nil {
+	if s.listener, err = newListener(l); err != nil {
 		return nil, err
 	}
 	s.loop, err = netpoll.NewEventLoop(
-		func(ctx context.Context, _ netpoll.Connection) error {
-			ctx.Value(connKey{}).(*conn).read()
-			return nil
-		},
+		readConn,
 		netpoll.WithOnPrepare(s.accept),
 		netpoll.WithWriteTimeout(s.bounds.WriteTimeout),
 	)
 	return l.Addr(), err
 }
 
+// limitReceiveBuffer bounds the kernel's input buffer of a socket, which accepted connections inherit.
+func (s *Server) limitReceiveBuffer(_, _ string, raw syscall.RawConn) (err error) {
+	control := raw.Control(func(fd uintptr) {
+		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, s.bounds.ReceiveBuffer)
+	})
+	return errors.Join(control, err)
+}
+
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve() error { return s.loop.Serve(s.listener) }
 
-// accept registers a new connection; netpoll calls it on the poller.
+// readConn reads the input of a connection. Netpoll calls it on the poller, with the context that accept returned.
+func readConn(ctx context.Context, transport netpoll.Connection) error {
+	c, ok := ctx.Value(connKey{}).(*conn)
+	if !ok { // accept has refused the connection
+		return transport.Close()
+	}
+	c.read()
+	return nil
+}
+
+// accept registers a new connection. Netpoll calls it on the poller.
 func (s *Server) accept(transport netpoll.Connection) context.Context {
-	now := time.Now()
-	c := &conn{server: s, transport: transport, fd: transport.(netpoll.Conn).Fd(), streams: map[uint32]*stream{}, openedAt: now, lastUsed: now}
+	c, err := newConn(s, transport, time.Now())
+	if err != nil {
+		slog.Error("internal_error", "in", "accept", "text", err)
+		_ = transport.Close()
+		return context.Background()
+	}
 	ctx := context.WithValue(context.Background(), connKey{}, c)
 	crowded := false
 	if s.full(0) {
 		s.violations.Warn("connections", nil)
-		if crowded = !s.evict(now); s.full(s.bounds.ClosingConnections) {
+		if crowded = !s.evict(c.openedAt); s.full(s.bounds.ClosingConnections) {
 			_ = transport.Close()
 			return ctx
 		}
@@ -124,7 +169,7 @@
 		c.release()
 		return nil
 	})
-	if draining || crowded { // invocations that it has already sent are answered
+	if draining || crowded { // invocations that the peer has sent are still answered
 		c.sendGoAway()
 	}
 	return ctx
@@ -136,12 +181,13 @@
 // netpollLog receives netpoll's own log, which has a line for each connection that is reset.
 type netpollLog struct{ server *Server }
 
-func (r netpollLog) Write(line []byte) (int, error) {
-	r.server.violations.Warn("netpoll", errors.New(string(bytes.TrimSpace(line))))
+// Write logs a line as a protocol violation.
+func (l netpollLog) Write(line []byte) (int, error) {
+	l.server.violations.Warn("netpoll", errors.New(string(bytes.TrimSpace(line))))
 	return len(line), nil
 }
 
-// all lists the open connections.
+// all returns the open connections.
 func (s *Server) all() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +198,7 @@
 	return all
 }
 
-// Counts returns how many connections are open and how many invocations are in flight.
+// Counts returns the number of open connections and of invocations in flight.
 func (s *Server) Counts() (conns, inFlight int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/backend/server/write.go
+++ b/internal/backend/server/write.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"errors"
 	"syscall"
 
 	"milletbarrow/internal/backend/frame"
@@ -14,7 +15,7 @@
 	c.flush()
 }
 
-// append adds a frame to the pending output; c.mu is held.
+// append adds a frame to the pending output. c.mu must be held.
 func (c *conn) append(write func(to []byte) []byte) {
 	if c.writeClosed {
 		return
@@ -24,23 +25,24 @@
 	c.server.unsentBytes.Add(int64(len(c.pending) - before))
 }
 
-// flush writes the pending output as far as the socket takes it, and leaves the rest to a goroutine that waits. A peer that
-// reads nothing while it goes on sending is cut off. c.mu is held.
+// flush writes the pending output as far as the socket accepts it, and leaves the rest to a goroutine that waits. The
+// connection of a peer that goes on sending and does not read is closed. c.mu must be held.
 func (c *conn) flush() {
-	b := &c.server.bounds
+	bounds := &c.server.bounds
 	if c.writeClosed || len(c.pending) == 0 {
 		return
 	}
 	if c.writing {
-		if len(c.pending) > b.UnsentPerConnection || c.server.unsentBytes.Load() > b.UnsentTotal {
+		if len(c.pending) > bounds.UnsentPerConnection || c.server.unsentBytes.Load() > bounds.UnsentTotal {
 			c.server.violations.Warn("unread", nil)
 			c.shutdown()
 		}
 		return
 	}
 	n, err := syscall.Write(c.fd, c.pending)
-	switch n = max(n, 0); {
-	case err != nil && err != syscall.EAGAIN && err != syscall.EINTR:
+	n = max(n, 0) // it is -1 with an error
+	switch {
+	case err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR):
 		c.shutdown()
 		return
 	case n < len(c.pending):
@@ -54,25 +56,26 @@
 	c.closeWriteIfDone()
 }
 
-// recycle makes a written buffer available for the next answers; c.mu is held.
-func (c *conn) recycle(b []byte) {
-	c.server.unsentBytes.Add(-int64(len(b)))
-	if c.pending = nil; cap(b) <= c.server.bounds.OutputBuffer {
-		c.pending = b[:0]
+// recycle reuses a written buffer for the next answers, unless it is too large. c.mu must be held.
+func (c *conn) recycle(written []byte) {
+	c.server.unsentBytes.Add(-int64(len(written)))
+	c.pending = nil
+	if cap(written) <= c.server.bounds.OutputBuffer {
+		c.pending = written[:0]
 	}
 }
 
-// drainPending writes the output that the socket did not take at once, and waits for it.
+// drainPending writes the output that the socket did not accept at once, and waits for the socket.
 func (c *conn) drainPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.pending) > 0 && !c.writeClosed {
-		b := c.pending
+		sending := c.pending
 		c.pending = nil
 		c.mu.Unlock()
-		_, err := c.transport.Write(b)
+		_, err := c.transport.Write(sending)
 		c.mu.Lock()
-		c.server.unsentBytes.Add(-int64(len(b)))
+		c.server.unsentBytes.Add(-int64(len(sending)))
 		if err != nil {
 			c.shutdown()
 		}
@@ -81,13 +84,13 @@
 	c.closeWriteIfDone()
 }
 
-// sendGoAway asks the peer, once, to send no more invocations on this connection.
+// sendGoAway asks the peer to send no more invocations on this connection, once.
 func (c *conn) sendGoAway() {
 	c.mu.Lock()
-	asked := c.goAwaySent
+	sent := c.goAwaySent
 	c.goAwaySent = true
 	c.mu.Unlock()
-	if !asked {
+	if !sent {
 		c.send(frame.AppendGoAway)
 	}
 }
