--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FieldError reports a field that cannot be used.
+// FieldError reports a field that is invalid or not supported.
 type FieldError struct {
 	Field   string // its path in the configuration file, such as settings.classes[0].name
 	Problem string // what is wrong with its value
@@ -15,8 +15,12 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// DecodeError reports a configuration that could not be decoded: its JSON is malformed, or a value has the wrong type.
-type DecodeError struct{ Err error }
+// DecodeError reports a configuration that cannot be decoded: its JSON is malformed, or a value has the wrong type.
+type DecodeError struct {
+	Err error
+}
 
 func (e *DecodeError) Error() string { return "not a configuration: " + e.Err.Error() }
+
+// Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
-// Package config decodes and validates the platform's JSON for one backend: the settings object, which the simulator
-// hands to an instance at its start and the configuration file to a process, and that file itself (Backend). Keys of the
-// JSON are the platform's; keys that are not known are skipped.
+// Package config decodes and validates the platform's JSON for one backend: the settings object (Settings), which an
+// instance gets from the simulator or from a configuration file, and that file (Backend). Unknown keys are skipped. The
+// platform's words are mapped to the terms of this program in object.go and, for the file, in backend.go.
 package config
 
 import (
@@ -13,194 +13,130 @@
 // Settings is a decoded settings object.
 type Settings struct {
 	Admission        admission.Config
-	Operations       []string // names, by number
-	Tenants          []string // names, by number
+	Operations       []string // names, by index
+	Tenants          []string // names, by index
 	Gauges           []string // names, in the order of their values
-	DeadlineOptional bool     // frames may lack the time that their caller still waits: it is the client timeout then
-	IgnoredFields    []string // what the settings permit and this program has no way to do
-	choices          choices
+	DeadlineOptional bool     // invocations may lack a deadline, which is then the client timeout
+	IgnoredFields    []string // paths of the fields that permit what this program does not support
+
+	choices choices
 }
 
-// choices are the fields that validation needs as they are spelled.
+// choices are words of the settings that validation needs as they are spelled.
 type choices struct {
 	retrySafety     []string // by operation
 	dependency      string
 	preemption      string
 	advertisedValue string
 	valueBy         string
-	freshMs         float64
-}
-
-// object is the JSON form of Settings.
-type object struct {
-	Operations []struct {
-		Name             string  `json:"name"`
-		ObjectiveMs      float64 `json:"aim_ms"`
-		ObjectiveStretch float64 `json:"aim_stretch"`
-		ClientTimeoutMs  float64 `json:"deadline_ms"`
-		RetrySafety      string  `json:"repeat"`
-		RepeatWindowMs   float64 `json:"window_ms"`
-		LateValue        float64 `json:"late_value"`
-		Value            float64 `json:"worth"`
-	} `json:"classes"`
-	Tenants []struct {
-		Name           string  `json:"name"`
-		QuotaPerSecond float64 `json:"quota_per_s"`
-	} `json:"projects"`
-	Clients struct {
-		MarksRetry *bool `json:"marks_retry"` // absent: they are marked
-	} `json:"clients"`
-	OverQuotaValue  float64 `json:"over_share_worth"`
-	ValueBy         string  `json:"worth_by"`
-	FleetSize       int     `json:"fleet_size"`
-	BatchIntervalMs float64 `json:"round_ms"`
-	Limits          struct {
-		MaxRetryAfterMs float64 `json:"max_retry_after_ms"`
-		RetryAfter      bool    `json:"retry_after"`
-	} `json:"policy_limits"`
-	Rules struct {
-		AnswerSlackMs    float64 `json:"answer_slack_ms"`
-		WarmUpMs         float64 `json:"cold_ms"`
-		ColdSpeed        float64 `json:"cold_share"`
-		DrainGraceMs     float64 `json:"drain_grace_ms"`
-		CollapseAfterMs  float64 `json:"fall_ms"`
-		CollapseMultiple float64 `json:"fall_multiple"`
-	} `json:"invariants"`
-	Family struct {
-		Dependency            string    `json:"below"`
-		Callers               int       `json:"callers"`
-		CallQuota             float64   `json:"calls_out"`
-		CallQuotaWindowMs     float64   `json:"calls_over_ms"`
-		MakesCalls            []bool    `json:"class_calls"`
-		ValueWithoutCall      []float64 `json:"degraded_worth"`
-		FreshMs               float64   `json:"fresh_ms"`
-		IdleTimeoutMs         float64   `json:"idle_ms"`
-		JustStarted           bool      `json:"just_started"`
-		IdempotencyKeyKB      float64   `json:"key_kb"`
-		AbandonedCallLingerMs float64   `json:"linger_ms"`
-		MemLimitKB            float64   `json:"mem_limit_kb"`
-		Cores                 int       `json:"n_cores"`
-		Gauges                []string  `json:"own_stats"`
-		Preemption            string    `json:"preemption"`
-		PassesDeadline        *bool     `json:"passes_deadline"` // absent: they do
-		RunFactor             float64   `json:"run_factor"`
-		AdvertisedValue       string    `json:"say"`
-	} `json:"family_info"`
+	freshMs         float64 // how long results of reads may be cached, in milliseconds
 }
 
-var (
-	retrySafeties = map[string]admission.RetrySafety{
-		"idempotent": admission.Idempotent, "deduplicated": admission.IdempotencyKeyed, "at_most_once": admission.NonIdempotent,
-	}
-	preemptions = map[string]admission.Preemption{
-		"off": admission.NoPreemption, "discard": admission.PreemptionDiscards, "freeze": admission.PreemptionPauses,
-	}
-	advertisedValues = map[string]admission.AdvertisedValue{
-		"off":       admission.NothingAdvertised,
-		"floor":     admission.NothingAdvertised, // no decision here makes one
-		"allowance": admission.CallerAllowance, "weight": admission.TrafficWeight,
-	}
-)
-
-// UnmarshalJSON decodes a settings object; keys that it does not know are skipped.
+// UnmarshalJSON decodes a settings object. Unknown keys are skipped.
 func (s *Settings) UnmarshalJSON(raw []byte) error {
 	var o object
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return err
 	}
-	f := &o.Family
 	*s = Settings{
 		Admission:        o.deployment(),
-		Gauges:           f.Gauges,
-		DeadlineOptional: f.PassesDeadline != nil && !*f.PassesDeadline,
+		Gauges:           o.Family.Gauges,
+		DeadlineOptional: o.Family.PassesDeadline != nil && !*o.Family.PassesDeadline,
 		choices: choices{
-			dependency: f.Dependency, preemption: f.Preemption, advertisedValue: f.AdvertisedValue,
-			valueBy: o.ValueBy, freshMs: f.FreshMs,
+			dependency:      o.Family.Dependency,
+			preemption:      o.Family.Preemption,
+			advertisedValue: o.Family.AdvertisedValue,
+			valueBy:         o.ValueBy,
+			freshMs:         o.Family.FreshMs,
 		},
 	}
 	for _, tenant := range o.Tenants {
 		s.Admission.QuotaPerSecond = append(s.Admission.QuotaPerSecond, tenant.QuotaPerSecond)
 		s.Tenants = append(s.Tenants, tenant.Name)
 	}
-	for n, c := range o.Operations {
-		s.Admission.Operations = append(s.Admission.Operations, o.operation(n))
-		s.Operations = append(s.Operations, c.Name)
-		s.choices.retrySafety = append(s.choices.retrySafety, c.RetrySafety)
+	for i, operation := range o.Operations {
+		s.Admission.Operations = append(s.Admission.Operations, o.operation(i))
+		s.Operations = append(s.Operations, operation.Name)
+		s.choices.retrySafety = append(s.choices.retrySafety, operation.RetrySafety)
 	}
 	return nil
 }
 
-// deployment is the configuration of the backend, without operations and quotas.
+// deployment returns the configuration of the module, without operations and quotas.
 func (o *object) deployment() admission.Config {
-	f, r := &o.Family, &o.Rules
-	c := admission.Config{
+	family, rules := &o.Family, &o.Rules
+	cfg := admission.Config{
 		OverQuotaValue:      o.OverQuotaValue,
 		FleetSize:           o.FleetSize,
-		Callers:             f.Callers,
-		Cores:               f.Cores,
-		MemoryKB:            f.MemLimitKB,
-		RunFactor:           f.RunFactor,
-		IdempotencyKeyKB:    f.IdempotencyKeyKB,
-		JustStarted:         f.JustStarted,
-		Preemption:          preemptions[f.Preemption],
-		AdvertisedValue:     advertisedValues[f.AdvertisedValue],
-		AnswerSlack:         monotime.FromMilliseconds(r.AnswerSlackMs),
-		DrainGrace:          monotime.FromMilliseconds(r.DrainGraceMs),
-		ColdSpeed:           r.ColdSpeed,
-		WarmUp:              monotime.FromMilliseconds(r.WarmUpMs),
-		CollapseMultiple:    r.CollapseMultiple,
-		CollapseAfter:       monotime.FromMilliseconds(r.CollapseAfterMs),
-		SharedDependency:    f.Dependency == "one_for_all",
-		CallQuota:           f.CallQuota,
-		CallQuotaWindow:     monotime.FromMilliseconds(f.CallQuotaWindowMs),
-		AbandonedCallLinger: monotime.FromMilliseconds(f.AbandonedCallLingerMs),
+		Callers:             family.Callers,
+		Cores:               family.Cores,
+		MemoryKB:            family.MemLimitKB,
+		RunFactor:           family.RunFactor,
+		IdempotencyKeyKB:    family.IdempotencyKeyKB,
+		JustStarted:         family.JustStarted,
+		Preemption:          preemptions[family.Preemption],
+		AdvertisedValue:     advertisedValues[family.AdvertisedValue],
+		AnswerSlack:         monotime.FromMilliseconds(rules.AnswerSlackMs),
+		DrainGrace:          monotime.FromMilliseconds(rules.DrainGraceMs),
+		ColdSpeed:           rules.ColdSpeed,
+		WarmUp:              monotime.FromMilliseconds(rules.WarmUpMs),
+		CollapseMultiple:    rules.CollapseMultiple,
+		CollapseAfter:       monotime.FromMilliseconds(rules.CollapseAfterMs),
+		SharedDependency:    family.Dependency == sharedDependency,
+		CallQuota:           family.CallQuota,
+		CallQuotaWindow:     monotime.FromMilliseconds(family.CallQuotaWindowMs),
+		AbandonedCallLinger: monotime.FromMilliseconds(family.AbandonedCallLingerMs),
 		BatchInterval:       monotime.FromMilliseconds(o.BatchIntervalMs),
-		ValuePerWork:        o.ValueBy == "work",
+		ValuePerWork:        o.ValueBy == valuePerWork,
 		RetriesUnmarked:     o.Clients.MarksRetry != nil && !*o.Clients.MarksRetry,
-		IdleTimeout:         monotime.FromMilliseconds(f.IdleTimeoutMs),
+		IdleTimeout:         monotime.FromMilliseconds(family.IdleTimeoutMs),
 	}
 	if o.Limits.RetryAfter {
-		c.MaxRetryAfter = monotime.FromMilliseconds(o.Limits.MaxRetryAfterMs)
+		cfg.MaxRetryAfter = monotime.FromMilliseconds(o.Limits.MaxRetryAfterMs)
 	}
-	return c
+	return cfg
 }
 
-// operation is the class of that number; lists by class may be shorter than the classes.
-func (o *object) operation(n int) admission.Operation {
-	c := &o.Operations[n]
-	op := admission.Operation{
-		RetrySafety:      retrySafeties[c.RetrySafety],
-		Value:            c.Value,
-		Objective:        monotime.FromMilliseconds(c.ObjectiveMs),
-		ObjectiveStretch: c.ObjectiveStretch,
-		ClientTimeout:    monotime.FromMilliseconds(c.ClientTimeoutMs),
-		RepeatWindow:     monotime.FromMilliseconds(c.RepeatWindowMs),
-		LateValue:        c.LateValue,
+// operation returns the configuration of the operation with that index. Lists by operation may be shorter than the
+// list of operations.
+func (o *object) operation(index int) admission.Operation {
+	operation := &o.Operations[index]
+	cfg := admission.Operation{
+		RetrySafety:      retrySafeties[operation.RetrySafety],
+		Value:            operation.Value,
+		Objective:        monotime.FromMilliseconds(operation.ObjectiveMs),
+		ObjectiveStretch: operation.ObjectiveStretch,
+		ClientTimeout:    monotime.FromMilliseconds(operation.ClientTimeoutMs),
+		RepeatWindow:     monotime.FromMilliseconds(operation.RepeatWindowMs),
+		LateValue:        operation.LateValue,
 	}
-	if n < len(o.Family.MakesCalls) {
-		op.MakesCalls = o.Family.MakesCalls[n]
+	if index < len(o.Family.MakesCalls) {
+		cfg.MakesCalls = o.Family.MakesCalls[index]
 	}
-	if n < len(o.Family.ValueWithoutCall) {
-		op.ValueWithoutCall = o.Family.ValueWithoutCall[n]
+	if index < len(o.Family.ValueWithoutCall) {
+		cfg.ValueWithoutCall = o.Family.ValueWithoutCall[index]
 	}
-	return op
+	return cfg
 }
 
-// Reading makes a reading of raw values in the order of Gauges; a gauge that is not among them is -1.
+// Reading returns a reading of values in the order of Gauges. A gauge without a value is -1.
 func (s *Settings) Reading(values []float64) admission.Reading {
 	return Reading(s.Gauges, values)
 }
 
-// Reading makes a reading of raw values in the order of names; a gauge that is not among them is -1.
+// Reading returns a reading of values in the order of names. A gauge without a value is -1.
 func Reading(names []string, values []float64) admission.Reading {
-	r := admission.Reading{CoreUse: -1, OnCores: -1, MemoryShare: -1, Connections: -1}
-	byName := map[string]*float64{
-		"core_use": &r.CoreUse, "on_cores": &r.OnCores, "heap_share": &r.MemoryShare, "links": &r.Connections,
+	reading := admission.Reading{CoreUse: -1, OnCores: -1, MemoryShare: -1, Connections: -1}
+	gauges := map[string]*float64{
+		coreUseGauge:     &reading.CoreUse,
+		onCoresGauge:     &reading.OnCores,
+		memoryShareGauge: &reading.MemoryShare,
+		connectionsGauge: &reading.Connections,
 	}
-	for n, name := range names {
-		if to := byName[name]; to != nil && n < len(values) {
-			*to = values[n]
+	for i, name := range names {
+		if gauge := gauges[name]; gauge != nil && i < len(values) {
+			*gauge = values[i]
 		}
 	}
-	return r
+	return reading
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -1,15 +1,16 @@
 package config
 
 import (
-	"fmt"
+	"maps"
 	"math"
 	"net/netip"
 	"slices"
+	"strings"
 
 	"milletbarrow/admission"
 )
 
-// Limits of the numbers in a configuration file.
+// Bounds of the numbers in a configuration file.
 const (
 	maxStopMs   = 1e9
 	maxCores    = 1024
@@ -17,12 +18,13 @@
 	maxSockets  = 1e7
 )
 
+// validate returns an error unless this program can run with the configuration.
 func (b *Backend) validate() error {
 	if err := b.validateProcess(); err != nil {
 		return err
 	}
 	if b.Settings == nil {
-		return fieldError("settings", "missing")
+		return fieldError(settingsPath, "missing")
 	}
 	if err := b.Settings.validateSupported(); err != nil || b.Shadow == nil {
 		return err
@@ -30,169 +32,212 @@
 	return b.validateShadow()
 }
 
-// validateProcess checks the names, addresses and numbers outside the settings.
+// validateProcess checks the name, addresses and numbers outside the settings.
 func (b *Backend) validateProcess() error {
-	if b.Name == "" || !isWord(b.Name) {
-		return fieldError("name", "%q is not a word", b.Name)
+	if !isName(b.Name) {
+		return fieldError(namePath, "%q is not a name: expected printable ASCII without spaces and slashes", b.Name)
 	}
-	for _, a := range []struct{ field, address string }{
-		{"listen", b.Listen}, {"agent", b.Executor}, {"roster", b.Registry},
+	for _, field := range []struct {
+		path    string
+		address string
+	}{
+		{listenPath, b.Listen},
+		{executorPath, b.Executor},
+		{registryPath, b.Registry},
 	} {
-		if to, err := netip.ParseAddrPort(a.address); err != nil || to.Port() == 0 && a.field != "listen" {
-			return fieldError(a.field, "%q is not an address and a port", a.address)
+		parsed, err := netip.ParseAddrPort(field.address)
+		if err != nil || parsed.Port() == 0 && field.path != listenPath {
+			return fieldError(field.path, "%q is not an IP address and a port", field.address)
 		}
 	}
-	for _, n := range []struct {
-		field      string
-		value, max float64
+	for _, field := range []struct {
+		path  string
+		value float64
+		max   float64
 	}{
-		{"stop_ms", b.StopMs, maxStopMs}, {"limits.cores", b.Limits.Cores, maxCores},
-		{"limits.memory_mb", b.Limits.MemoryMB, maxMemoryMB},
-		{"limits.sockets", float64(b.Limits.Sockets), maxSockets},
+		{stopPath, b.StopMs, maxStopMs},
+		{coresPath, b.Limits.Cores, maxCores},
+		{memoryPath, b.Limits.MemoryMB, maxMemoryMB},
+		{socketsPath, float64(b.Limits.Sockets), maxSockets},
 	} {
-		if !(n.value > 0 && n.value <= n.max) {
-			return fieldError(n.field, "%v is not above 0 and at most %v", n.value, n.max)
+		if !(field.value > 0 && field.value <= field.max) {
+			return fieldError(field.path, "%v is not above 0 and at most %v", field.value, field.max)
 		}
 	}
 	return nil
 }
 
-// validateShadow checks that the same events can be given to an instance with the shadow settings.
+// validateShadow checks that the shadow settings are valid, and that the events of an instance have the same meaning
+// under them.
 func (b *Backend) validateShadow() error {
-	if err := b.Shadow.validate("watch"); err != nil {
+	if err := b.Shadow.validate(shadowPath); err != nil {
 		return err
 	}
 	shadow, settings := b.Shadow, b.Settings
 	switch {
 	case !slices.Equal(shadow.Operations, settings.Operations):
-		return fieldError("watch.classes", "%q, and settings.classes has %q", shadow.Operations, settings.Operations)
+		return fieldError(shadowPath+"."+operationsPath, "%q differs from the settings' %q",
+			shadow.Operations, settings.Operations)
 	case !slices.Equal(shadow.Tenants, settings.Tenants):
-		return fieldError("watch.projects", "%q, and settings.projects has %q", shadow.Tenants, settings.Tenants)
+		return fieldError(shadowPath+"."+tenantsPath, "%q differs from the settings' %q",
+			shadow.Tenants, settings.Tenants)
 	case shadow.Admission.Cores != settings.Admission.Cores:
-		return fieldError("watch.family_info.n_cores", "%d, and this machine has %d",
+		return fieldError(shadowPath+"."+hostCoresPath, "%d differs from the settings' %d",
 			shadow.Admission.Cores, settings.Admission.Cores)
 	}
 	return nil
 }
 
-// isWord: s can be one of several names on a line, or a part of a path, without quotes.
-func isWord(s string) bool {
-	return !slices.ContainsFunc([]byte(s), func(c byte) bool { return c <= ' ' || c >= 0x7f || c == '/' })
+// isName reports whether s can be one of several names on a line or a part of a path without quotes.
+func isName(s string) bool {
+	const lastPrintable = '~'
+	invalid := func(char byte) bool { return char <= ' ' || char > lastPrintable || char == '/' }
+	return s != "" && !slices.ContainsFunc([]byte(s), invalid)
 }
 
-// validateSupported refuses settings that no backend could use, and those that require what this program cannot do.
-// What they only permit, and frames and the executor's protocol have no way for, is left unused and named in
-// IgnoredFields: serving without it breaks nothing, while refusing to start serves nobody.
+// validateSupported returns an error for settings that are invalid, or require what this program does not support. What
+// they only permit, and frames and the executor's protocol cannot express, is switched off and listed in IgnoredFields.
 func (s *Settings) validateSupported() error {
-	if err := s.validate("settings"); err != nil {
+	if err := s.validate(settingsPath); err != nil {
 		return err
 	}
-	if s.choices.dependency != "off" && s.choices.dependency != "" {
-		return fieldError("settings.family_info.below", "%q, and calls below have no line here", s.choices.dependency)
+	if s.choices.dependency != choiceOff && s.choices.dependency != "" {
+		return fieldError(settingsPath+"."+dependencyPath, "%q is not supported: expected %s",
+			s.choices.dependency, choiceOff)
 	}
 	if s.choices.freshMs > 0 {
-		s.IgnoredFields = append(s.IgnoredFields, "family_info.fresh_ms")
+		s.IgnoredFields = append(s.IgnoredFields, freshPath)
 	}
-	if s.choices.advertisedValue != "" && s.choices.advertisedValue != "off" {
-		s.IgnoredFields = append(s.IgnoredFields, "family_info.say")
+	if s.choices.advertisedValue != "" && s.choices.advertisedValue != choiceOff {
+		s.IgnoredFields = append(s.IgnoredFields, advertisedValuePath)
 		s.Admission.AdvertisedValue = admission.NothingAdvertised
 	}
 	if s.Admission.Preemption != admission.NoPreemption {
-		s.IgnoredFields = append(s.IgnoredFields, "family_info.preemption")
+		s.IgnoredFields = append(s.IgnoredFields, preemptionPath)
 		s.Admission.Preemption = admission.NoPreemption
 	}
 	return nil
 }
 
-// validate refuses what no backend could use, or what contradicts itself; object names the settings in errors.
-func (s *Settings) validate(object string) error {
-	if err := s.validateDeployment(object); err != nil {
+// validate returns an error for settings that no backend could use. root is the path of the settings object.
+func (s *Settings) validate(root string) error {
+	if err := s.validateDeployment(root); err != nil {
 		return err
 	}
-	if err := s.validateChoices(object); err != nil {
+	if err := s.validateChoices(root); err != nil {
 		return err
 	}
-	for n := range s.Operations {
-		if err := s.validateOperation(object, n); err != nil {
+	for i := range s.Operations {
+		if err := s.validateOperation(root, i); err != nil {
 			return err
 		}
 	}
-	for n, name := range s.Tenants {
-		if name == "" || slices.Index(s.Tenants, name) != n {
-			return fieldError(fmt.Sprintf("%s.projects[%d].name", object, n), "%q is empty or stands twice", name)
+	for i, name := range s.Tenants {
+		if name == "" || slices.Index(s.Tenants, name) != i {
+			path := elementPath(root+"."+tenantsPath, i) + "." + nameField
+			return fieldError(path, "%q is empty or a duplicate", name)
 		}
 	}
 	return nil
 }
 
-func (s *Settings) validateDeployment(object string) error {
-	a := &s.Admission
+// validateDeployment checks the numbers of the deployment.
+func (s *Settings) validateDeployment(root string) error {
+	cfg := &s.Admission
 	switch {
-	case len(a.Operations) == 0:
-		return fieldError(object+".classes", "none")
-	case a.Cores < 1:
-		return fieldError(object+".family_info.n_cores", "%d", a.Cores)
-	case !(a.MemoryKB > 0):
-		return fieldError(object+".family_info.mem_limit_kb", "%v", a.MemoryKB)
-	case !(a.RunFactor >= 1) || math.IsInf(a.RunFactor, 0):
-		return fieldError(object+".family_info.run_factor", "%v", a.RunFactor)
-	case a.AnswerSlack <= 0:
-		return fieldError(object+".invariants.answer_slack_ms", "not above 0")
-	case !(a.CollapseMultiple >= 1):
-		return fieldError(object+".invariants.fall_multiple", "%v", a.CollapseMultiple)
+	case len(cfg.Operations) == 0:
+		return fieldError(root+"."+operationsPath, "empty: expected at least one")
+	case cfg.Cores < 1:
+		return fieldError(root+"."+hostCoresPath, "%d is below 1", cfg.Cores)
+	case !(cfg.MemoryKB > 0):
+		return fieldError(root+"."+memLimitPath, "%v is not above 0", cfg.MemoryKB)
+	case !(cfg.RunFactor >= 1) || math.IsInf(cfg.RunFactor, 0):
+		return fieldError(root+"."+runFactorPath, "%v is not a finite number of at least 1", cfg.RunFactor)
+	case cfg.AnswerSlack <= 0:
+		return fieldError(root+"."+answerSlackPath, "not above 0")
+	case !(cfg.CollapseMultiple >= 1):
+		return fieldError(root+"."+collapseMultiplePath, "%v is below 1", cfg.CollapseMultiple)
 	}
 	return nil
 }
 
-func (s *Settings) validateChoices(object string) error {
-	a, c := &s.Admission, &s.choices
+// validateChoices checks the words of the deployment.
+func (s *Settings) validateChoices(root string) error {
+	cfg, choices := &s.Admission, &s.choices
+	dependencies := []string{"", choiceOff, sharedDependency, tierDependency}
 	switch {
-	case c.valueBy != "" && c.valueBy != "request" && c.valueBy != "work":
-		return fieldError(object+".worth_by", "%q is neither request nor work", c.valueBy)
-	case c.preemption != "" && !has(preemptions, c.preemption):
-		return fieldError(object+".family_info.preemption", "%q is none of off, discard and freeze", c.preemption)
-	case c.advertisedValue != "" && !has(advertisedValues, c.advertisedValue):
-		return fieldError(object+".family_info.say", "%q is none of off, floor, allowance and weight", c.advertisedValue)
-	case !slices.Contains([]string{"", "off", "one_for_all", "tier"}, c.dependency):
-		return fieldError(object+".family_info.below", "%q is none of off, one_for_all and tier", c.dependency)
-	case a.SharedDependency && !(a.CallQuota > 0 && a.CallQuotaWindow > 0):
-		return fieldError(object+".family_info.calls_out", "%v over %v us, and one dependency serves all",
-			a.CallQuota, a.CallQuotaWindow)
+	case !slices.Contains([]string{"", valuePerRequest, valuePerWork}, choices.valueBy):
+		return fieldError(root+"."+valueByPath, "%q is not %s or %s", choices.valueBy, valuePerRequest, valuePerWork)
+	case choices.preemption != "" && !has(preemptions, choices.preemption):
+		return unknownWord(root+"."+preemptionPath, choices.preemption, preemptions)
+	case choices.advertisedValue != "" && !has(advertisedValues, choices.advertisedValue):
+		return unknownWord(root+"."+advertisedValuePath, choices.advertisedValue, advertisedValues)
+	case !slices.Contains(dependencies, choices.dependency):
+		return fieldError(root+"."+dependencyPath, "%q is not %s, %s or %s",
+			choices.dependency, choiceOff, sharedDependency, tierDependency)
+	case cfg.SharedDependency && !(cfg.CallQuota > 0 && cfg.CallQuotaWindow > 0):
+		return fieldError(root+"."+callQuotaPath,
+			"%v calls in %v us: a dependency shared by all requires a quota and a window above 0",
+			cfg.CallQuota, cfg.CallQuotaWindow)
 	}
 	return nil
 }
 
-func (s *Settings) validateOperation(object string, n int) error {
-	op, name, field := &s.Admission.Operations[n], s.Operations[n], fmt.Sprintf("%s.classes[%d]", object, n)
+// validateOperation checks the operation with that index.
+func (s *Settings) validateOperation(root string, index int) error {
+	operation := &s.Admission.Operations[index]
+	name := s.Operations[index]
+	path := elementPath(root+"."+operationsPath, index) + "."
+	keyed := operation.RetrySafety == admission.IdempotencyKeyed
+	switch {
+	case !isName(name):
+		return fieldError(path+nameField, "%q is not a name: expected printable ASCII without spaces and slashes", name)
+	case slices.Index(s.Operations, name) != index:
+		return fieldError(path+nameField, "duplicate name %q", name)
+	case operation.Objective <= 0:
+		return fieldError(path+objectiveField, "not above 0")
+	case operation.ClientTimeout <= 0:
+		return fieldError(path+clientTimeoutField, "not above 0")
+	case !has(retrySafeties, s.choices.retrySafety[index]):
+		return unknownWord(path+retrySafetyField, s.choices.retrySafety[index], retrySafeties)
+	case keyed && operation.RepeatWindow <= 0:
+		return fieldError(path+repeatWindowField, "not above 0, but %s requires a repeat window", name)
+	case keyed && !(s.Admission.IdempotencyKeyKB > 0):
+		return fieldError(root+"."+idempotencyKeyPath, "not above 0, but %s requires idempotency keys", name)
+	}
+	return s.validateOperationValue(root, index)
+}
+
+// validateOperationValue checks the values of the operation with that index, and whether it may make calls.
+func (s *Settings) validateOperationValue(root string, index int) error {
+	operation := &s.Admission.Operations[index]
+	path := elementPath(root+"."+operationsPath, index) + "."
 	switch {
-	case name == "" || !isWord(name):
-		return fieldError(field+".name", "%q is not a word", name)
-	case slices.Index(s.Operations, name) != n:
-		return fieldError(field+".name", "%q stands twice", name)
-	case op.Objective <= 0:
-		return fieldError(field+".aim_ms", "not above 0")
-	case op.ClientTimeout <= 0:
-		return fieldError(field+".deadline_ms", "not above 0")
-	case !has(retrySafeties, s.choices.retrySafety[n]):
-		return fieldError(field+".repeat", "%q is none of idempotent, deduplicated and at_most_once",
-			s.choices.retrySafety[n])
-	case op.RetrySafety == admission.IdempotencyKeyed && op.RepeatWindow <= 0:
-		return fieldError(field+".window_ms", "not above 0, and repeats are to be known")
-	case op.RetrySafety == admission.IdempotencyKeyed && !(s.Admission.IdempotencyKeyKB > 0):
-		return fieldError(object+".family_info.key_kb", "not above 0, and %s keeps keys", name)
-	case !(op.Value >= 0) || math.IsInf(op.Value, 0):
-		return fieldError(field+".worth", "%v", op.Value)
-	case !(op.LateValue >= 0 && op.LateValue <= 1):
-		return fieldError(field+".late_value", "%v is no part", op.LateValue)
-	case !(op.ValueWithoutCall >= 0 && op.ValueWithoutCall <= 1):
-		return fieldError(fmt.Sprintf("%s.family_info.degraded_worth[%d]", object, n), "%v is no part", op.ValueWithoutCall)
-	case op.MakesCalls && s.choices.dependency == "off":
-		return fieldError(fmt.Sprintf("%s.family_info.class_calls[%d]", object, n), "true, and nothing lies below")
+	case !(operation.Value >= 0) || math.IsInf(operation.Value, 0):
+		return fieldError(path+valueField, "%v is not a finite number of at least 0", operation.Value)
+	case !isShare(operation.LateValue):
+		return fieldError(path+lateValueField, "%v is not from 0 to 1", operation.LateValue)
+	case !isShare(operation.ValueWithoutCall):
+		return fieldError(elementPath(root+"."+valueWithoutCallPath, index),
+			"%v is not from 0 to 1", operation.ValueWithoutCall)
+	case operation.MakesCalls && s.choices.dependency == choiceOff:
+		return fieldError(elementPath(root+"."+makesCallsPath, index),
+			"true, but %s is %s", dependencyPath, choiceOff)
 	}
 	return nil
 }
 
-func has[V any](choices map[string]V, choice string) bool {
-	_, known := choices[choice]
+// isShare reports whether x is from 0 to 1.
+func isShare(x float64) bool { return x >= 0 && x <= 1 }
+
+// has reports whether a word is one of those that a map has.
+func has[V any](words map[string]V, word string) bool {
+	_, known := words[word]
 	return known
 }
+
+// unknownWord reports a field whose word is none of those that a map has.
+func unknownWord[V any](path, word string, words map[string]V) error {
+	known := slices.Sorted(maps.Keys(words))
+	return fieldError(path, "%q is not one of %s", word, strings.Join(known, ", "))
+}
