--- a/cmd/milletbarrow/check.go
+++ b/cmd/milletbarrow/check.go
@@ -12,24 +12,24 @@
 
 func checkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "tell whether a configuration can be used, without starting",
+		Name: "check", Usage: "check a configuration file without starting",
 		Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			b, err := readConfiguration(c)
 			if err == nil {
-				fmt.Printf("%s: can be used%s\n", b.Name, ignoredSettings(b))
+				fmt.Printf("%s: valid%s\n", b.Name, ignoredSettings(b))
 			}
 			return err
 		},
 	}
 }
 
-// ignoredSettings names the settings that this program does not use.
+// ignoredSettings lists the settings that this program does not support and ignores.
 func ignoredSettings(b *config.Backend) string {
 	if len(b.Settings.IgnoredFields) == 0 {
 		return ""
 	}
-	return "; left unused: settings." + strings.Join(b.Settings.IgnoredFields, ", settings.")
+	return "; ignored settings: settings." + strings.Join(b.Settings.IgnoredFields, ", settings.")
 }
 
 func versionCommand() *cli.Command {
