--- a/internal/agentapi/client_test.go
+++ b/internal/agentapi/client_test.go
@@ -203,6 +203,7 @@
 		{"too many commands", fleet.ErrTooManyCommands, 429, 1},
 		{"invalid command", errors.New("names: none"), 422, 1},
 		{"invalid request", &StatusError{Status: 400, Text: "by: over 100 bytes"}, 400, 1},
+		{"internal error", &StatusError{Status: 500, Text: "fault"}, 500, 1},
 		{"busy", &StatusError{Status: 503, Text: "the agent is busy"}, 503, b.Attempts},
 	} {
 		t.Run(test.name, func(t *testing.T) {
