--- a/internal/cluster/quotastore/handlers.go
+++ b/internal/cluster/quotastore/handlers.go
@@ -64,8 +64,7 @@
 
 // writeNotLeader names the host that this one believes to lead.
 func writeNotLeader(w http.ResponseWriter, leader string) {
-	w.WriteHeader(http.StatusMisdirectedRequest)
-	writeJSON(w, notLeader{Leader: leader})
+	writeJSON(w, http.StatusMisdirectedRequest, notLeader{Leader: leader})
 }
 
 func writeAnswer(w http.ResponseWriter, answer any, err error) {
@@ -73,12 +72,15 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	writeJSON(w, answer)
+	writeJSON(w, http.StatusOK, answer)
 }
 
-// writeJSON writes an answer. If that fails it aborts the response, so that the caller does not take it for complete.
-func writeJSON(w http.ResponseWriter, answer any) {
-	if err := json.NewEncoder(w).Encode(answer); err != nil {
-		panic(http.ErrAbortHandler)
+func writeJSON(w http.ResponseWriter, status int, answer any) {
+	encoded, err := json.Marshal(answer)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
 	}
+	w.WriteHeader(status)
+	_, _ = w.Write(append(encoded, '\n')) // the caller sees a broken connection
 }
