--- a/internal/cluster/quotastore/boltstore_test.go
+++ b/internal/cluster/quotastore/boltstore_test.go
@@ -2,28 +2,17 @@
 
 import (
 	"errors"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/raft"
 )
 
-func newBoltStore(t *testing.T) *boltStore {
-	t.Helper()
-	s, err := openBoltStore(filepath.Join(t.TempDir(), "ledger.db"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = s.Close() })
-	return s
-}
-
-// TestBoltLog: entries are deleted with both ends of a range, and one that is missing is an error of its own.
-func TestBoltLog(t *testing.T) {
+// TestDeletedRangeIncludesBothEnds, and a deleted entry is raft.ErrLogNotFound.
+func TestDeletedRangeIncludesBothEnds(t *testing.T) {
 	s := newBoltStore(t)
-	for i := uint64(1); i <= 5; i++ {
-		if err := s.StoreLog(&raft.Log{Index: i, Term: 1, Data: []byte{byte(i)}}); err != nil {
+	for index := uint64(1); index <= 5; index++ {
+		if err := s.StoreLog(&raft.Log{Index: index, Term: 1, Data: []byte{byte(index)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -31,57 +20,56 @@
 		t.Fatal(err)
 	}
 	if first, err := s.FirstIndex(); first != 4 || err != nil {
-		t.Errorf("the first entry is %d, %v, wanted 4", first, err)
+		t.Errorf("first index %d, %v, want 4", first, err)
 	}
 	if last, err := s.LastIndex(); last != 5 || err != nil {
-		t.Errorf("the last entry is %d, %v, wanted 5", last, err)
+		t.Errorf("last index %d, %v, want 5", last, err)
 	}
-	var l raft.Log
-	if err := s.GetLog(3, &l); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Errorf("a deleted entry: %v", err)
+	var entry raft.Log
+	if err := s.GetLog(3, &entry); !errors.Is(err, raft.ErrLogNotFound) {
+		t.Errorf("a deleted entry: %v, want ErrLogNotFound", err)
 	}
-	if err := s.GetLog(4, &l); err != nil || l.Data[0] != 4 {
-		t.Errorf("entry 4: %+v, %v", l, err)
+	if err := s.GetLog(4, &entry); err != nil || entry.Data[0] != 4 {
+		t.Errorf("entry 4: %+v, %v", entry, err)
 	}
 }
 
-// TestBoltSetRetries: a value that can't be written is retried until the store is closed, as the consensus library
-// would end the process else.
-func TestBoltSetRetries(t *testing.T) {
+// TestSetRetriesUntilClosed: the consensus library would panic otherwise.
+func TestSetRetriesUntilClosed(t *testing.T) {
 	s := newBoltStore(t)
 	if err := s.db.Close(); err != nil { // writes fail from here on
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- s.SetUint64([]byte("CurrentTerm"), 7) }()
+	go func() { done <- s.SetUint64(currentTermKey, 7) }()
 	select {
 	case err := <-done:
 		t.Fatalf("gave up: %v", err)
-	case <-time.After(300 * time.Millisecond):
+	case <-time.After(3 * setRetryInterval):
 	}
 	s.closed.Store(true)
 	select {
 	case err := <-done:
 		if err == nil {
-			t.Fatal("a closed store took a value")
+			t.Fatal("a closed store has written a value")
 		}
-	case <-time.After(10 * time.Second):
-		t.Fatal("a closed store is still written to")
+	case <-time.After(patience):
+		t.Fatal("goes on after the store was closed")
 	}
 }
 
-// TestBoltValuesAreCopies: a value that was read stays as it was, whatever is written after.
-func TestBoltValuesAreCopies(t *testing.T) {
+func TestReadValueStaysAsItWas(t *testing.T) {
 	s := newBoltStore(t)
-	if err := s.Set([]byte("k"), []byte("first")); err != nil {
+	key := []byte("k")
+	if err := s.Set(key, []byte("first")); err != nil {
 		t.Fatal(err)
 	}
-	value, err := s.Get([]byte("k"))
+	value, err := s.Get(key)
 	if err != nil || string(value) != "first" {
-		t.Fatalf("%q, %v", value, err)
+		t.Fatalf("%q, %v, want first", value, err)
 	}
-	for range 20 { // pages are used again after some transactions
-		if err := s.Set([]byte("k"), []byte("other")); err != nil {
+	for range 20 { // pages are reused after some transactions
+		if err := s.Set(key, []byte("other")); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/cluster/quotastore/compat_test.go
+++ b/internal/cluster/quotastore/compat_test.go
@@ -14,13 +14,13 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats: the answer of an agent that does not lead, as agents of an earlier release give it, is read and
-// written the same.
+// TestEarlierFormats: the answer of an agent of an earlier release that does not lead is read, and written in the same
+// form.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[notLeader](t, "notHere.json")
 }
 
-// copyEarlierStore copies the raft store of an earlier release, a snapshot with entries after it, into a directory.
+// copyEarlierStore copies the store of an earlier release, a snapshot with entries after it, into a directory.
 func copyEarlierStore(t *testing.T, dir string) {
 	t.Helper()
 	if err := os.CopyFS(dir, os.DirFS(compattest.File("."))); err != nil {
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestEarlierSnapshotAndLog: the snapshot of an earlier release with the log entries after it gives the ledger that
-// the release itself had then.
+// TestEarlierSnapshotAndLog: the snapshot of an earlier release with the log entries after it gives the state that the
+// release itself had then, byte for byte.
 func TestEarlierSnapshotAndLog(t *testing.T) {
 	dir := t.TempDir()
 	copyEarlierStore(t, dir)
@@ -39,40 +39,40 @@
 	}
 	list, err := snapshots.List()
 	if err != nil || len(list) != 1 {
-		t.Fatalf("%d snapshots: %v", len(list), err)
+		t.Fatalf("%d snapshots, %v, want 1", len(list), err)
 	}
 	_, content, err := snapshots.Open(list[0].ID)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer content.Close()
-	node := &Store{}
-	if err := node.restore(content); err != nil {
+	store := &Store{}
+	if err := store.restore(content); err != nil {
 		t.Fatal(err)
 	}
-	applyEntries(t, node, dir, list[0].Index)
-	ledger, err := node.snapshot()
+	applyEntriesAfter(t, store, dir, list[0].Index)
+	state, err := store.snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := compattest.Read(t, "truth.json"); !bytes.Equal(ledger, want) {
-		t.Errorf("the ledger was\n%s\nand is\n%s", want, ledger)
+	if want := compattest.Read(t, "truth.json"); !bytes.Equal(state, want) {
+		t.Errorf("the state was\n%s\nand is\n%s", want, state)
 	}
 }
 
-// applyEntries applies the commands of the log after an index.
-func applyEntries(t *testing.T, node *Store, dir string, after uint64) {
+// applyEntriesAfter applies the commands of a log after an index.
+func applyEntriesAfter(t *testing.T, store *Store, dir string, snapshotIndex uint64) {
 	t.Helper()
-	log, err := openBoltStore(filepath.Join(dir, "ledger.db"))
+	log, err := openBoltStore(filepath.Join(dir, databaseFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
 	last, err := log.LastIndex()
-	if err != nil || last <= after {
-		t.Fatalf("the log ends at %d, the snapshot at %d: %v", last, after, err)
+	if err != nil || last <= snapshotIndex {
+		t.Fatalf("the log ends at %d, the snapshot at %d: %v", last, snapshotIndex, err)
 	}
-	for index := after + 1; index <= last; index++ {
+	for index := snapshotIndex + 1; index <= last; index++ {
 		var entry raft.Log
 		if err := log.GetLog(index, &entry); err != nil {
 			t.Fatal(err)
@@ -85,26 +85,27 @@
 			t.Fatal(err)
 		}
 		compattest.SameJSON(t, "a log entry", entry.Data, command)
-		if result := node.apply(entry.Data); result.Rejection != "" {
+		if result := store.apply(entry.Data); result.Rejection != "" {
 			t.Errorf("entry %d: %s", index, result.Rejection)
 		}
 	}
 }
 
-// TestEarlierStoreServes: a node that starts on the store of an earlier release leads, and knows what is held.
+// TestEarlierStoreServes: a store that starts on the files of an earlier release leads, with the permits of then.
 func TestEarlierStoreServes(t *testing.T) {
-	group := newGroup(t, 1)
-	copyEarlierStore(t, filepath.Join(group.dir, "h1"))
-	group.start("h1")
-	defer group.stopAll()
-	view := group.view(10*time.Second, func(v quota.Status) bool { return v.Version == 2 })
+	g := newGroup(t, 1)
+	copyEarlierStore(t, filepath.Join(g.dir, "h1"))
+	g.start("h1")
+	t.Cleanup(g.stopAll)
+	hasVersion2 := func(status quota.Status) bool { return status.Version == 2 }
+	status := g.waitForStatus(10*time.Second, "version 2", hasVersion2)
 	held := 0
-	for _, use := range view.Limits {
-		if use.Limit == "out" {
-			held = len(use.Holders)
+	for _, usage := range status.Limits {
+		if usage.Limit == "out" {
+			held = len(usage.Holders)
 		}
 	}
-	if len(view.Limits) != 2 || held != 2 {
-		t.Errorf("%d budgets, and %d hold a unit of the count: %+v", len(view.Limits), held, view)
+	if len(status.Limits) != 2 || held != 2 {
+		t.Errorf("%d limits and %d permits, want 2 and 2: %+v", len(status.Limits), held, status)
 	}
 }
--- a/internal/cluster/quotastore/leader_test.go
+++ b/internal/cluster/quotastore/leader_test.go
@@ -1,88 +1,176 @@
 package quotastore
 
 import (
-	"bytes"
-	"context"
-	"encoding/json"
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"slices"
+	"strings"
 	"testing"
-	"time"
 
-	backendquota "milletbarrow/internal/backend/quota"
+	"github.com/hashicorp/raft"
+
 	"milletbarrow/internal/cluster/quota"
+	"milletbarrow/monotime"
 )
 
-// TestSoleReplicaRestarts: the only replica may have been started on an older copy of its directory; no grant grows
-// until the leases have expired that it may have granted, and commands of the leader are accepted from no other
-// agent.
-func TestSoleReplicaRestarts(t *testing.T) {
-	g := newGroup(t, 1)
-	g.config = &quota.Config{Version: 1, Limits: []quota.Limit{{
-		Name: "b", Kind: quota.Rate, Total: 10, Floors: map[quota.InstanceName]int64{"n": 3}, Division: quota.DivideEvenly, Step: 1,
-		Lease: 60_000_000, ClockMargin: 3_000_000, Tenant: "t",
-	}}}
-	g.start("h1")
-	defer g.stopAll()
-	if v := g.view(20*time.Second, anyLeader); v.GrowthFrozen {
-		t.Error("growth is frozen at the first start")
-	}
-	g.stop("h1")
-	g.start("h1")
-	if v := g.view(20*time.Second, anyLeader); !v.GrowthFrozen {
-		t.Error("growth is not frozen after a restart")
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	defer cancel()
-	renew := quota.Command{Renew: &quota.RenewCommand{Host: "h", Requests: []backendquota.LeaseRequest{
-		{Name: "n", Incarnation: "1", Number: 1, Usage: []backendquota.Usage{{Budget: "b"}}},
-	}}}
-	res, err := g.node("h1").Do(ctx, renew)
-	if err != nil || len(res.Answers) != 1 || res.Answers[0].Grants[0].Floor != 0 || res.Answers[0].Grants[0].Extra != 0 {
-		t.Errorf("granted while growth is frozen: %+v, %v", res, err)
-	}
-	other := *g.config
-	other.Version = 99
-	store := g.node("h1")
-	mux := http.NewServeMux()
-	store.RegisterHandlers(mux)
-	body, err := json.Marshal(quota.Command{Config: &other, Rebalance: true})
-	if err != nil {
-		t.Fatal(err)
+// TestNewLeaderAppliesEarlierEntriesFirst: it answers nothing before, and times the leases of earlier leaders from then
+// on.
+func TestNewLeaderAppliesEarlierEntriesFirst(t *testing.T) {
+	loop, fake, now := newFakeLeader()
+	fake.onBarrier = func() error { return errors.New("no quorum") }
+	for range 3 {
+		loop.tick()
+		if loop.store.leadership().leads() {
+			t.Fatal("leads though entries of earlier leaders may be missing")
+		}
+	}
+	if len(fake.applied) > 0 {
+		t.Fatalf("proposed before it leads: %+v", fake.applied)
+	}
+	config := rateConfig(monotime.Second)
+	fake.onBarrier = func() error { // the entries of the earlier leader arrive
+		if loop.store.leadership().leads() {
+			t.Error("leads before the entries of earlier leaders are applied")
+		}
+		loop.store.state.Apply(quota.Command{Config: config})
+		loop.store.state.Apply(renewal(1))
+		return nil
+	}
+	loop.tick()
+	if !loop.store.leadership().leads() {
+		t.Fatal("does not lead after the entries are applied")
+	}
+	if loop.store.state.Usages()[0].InForce == 0 {
+		t.Fatal("the test's lease is not in force")
+	}
+	*now += config.Limits[0].Lease + config.Limits[0].ClockMargin - 1
+	loop.tick()
+	if fake.expired() {
+		t.Error("a lease of the earlier leader expired early")
+	}
+	*now++
+	loop.tick()
+	if !fake.expired() {
+		t.Error("a lease of the earlier leader has not expired after its time and margin")
+	}
+}
+
+// TestLeaderBeginsAnewInEachTerm: what was granted between two terms of a replica may be missing.
+func TestLeaderBeginsAnewInEachTerm(t *testing.T) {
+	loop, fake, _ := newFakeLeader()
+	barriers := 0
+	fake.onBarrier = func() error {
+		barriers++
+		if barriers == 1 {
+			fake.become(raft.Leader, 3) // deposed and elected again while it begins to lead
+		}
+		return nil
+	}
+	loop.tick()
+	if loop.store.leadership().leads() {
+		t.Fatal("leads term 3 by what it knew in term 1")
+	}
+	loop.tick()
+	if leads := loop.store.leadership().leads(); !leads || barriers != 2 {
+		t.Errorf("leads: %v after %d barriers, want true after 2", leads, barriers)
+	}
+	fake.become(raft.Leader, 4) // deposed and elected again between two ticks
+	loop.tick()
+	if barriers != 3 {
+		t.Errorf("%d barriers in 3 terms", barriers)
+	}
+}
+
+func TestReelectedFollowerBeginsAnew(t *testing.T) {
+	loop, fake, _ := newFakeLeader()
+	loop.tick()
+	if !loop.store.leadership().leads() {
+		t.Fatal("does not lead")
 	}
-	answer := httptest.NewRecorder()
-	mux.ServeHTTP(answer, httptest.NewRequestWithContext(ctx, http.MethodPost, "/ledger/do", bytes.NewReader(body)))
-	if answer.Code != http.StatusOK {
-		t.Fatalf("status %d: %s", answer.Code, answer.Body)
+	fake.become(raft.Follower, 2)
+	if current := loop.store.leadership(); current.leads() || current.leader != "h2" {
+		t.Errorf("as a follower: %+v, want leader h2", current)
 	}
-	if v, err := store.Status(ctx); err != nil || v.Version != 1 {
-		t.Errorf("another agent set the configuration: version %d, %v", v.Version, err)
+	loop.tick()
+	fake.become(raft.Leader, 3)
+	if loop.store.leadership().leads() {
+		t.Error("leads term 3 before it has begun to")
+	}
+}
+
+func TestRejectedConfigIsProposedOnce(t *testing.T) {
+	loop, fake, _ := newFakeLeader()
+	invalid := rateConfig(monotime.Second)
+	invalid.Limits[0].Step = 0
+	loop.store.SetConfig(invalid, loop.store.members())
+	for range 5 {
+		loop.tick()
+	}
+	if len(fake.applied) != 1 || fake.applied[0].Config == nil {
+		t.Errorf("proposed %+v, want the configuration once", fake.applied)
+	}
+	loop.store.SetConfig(rateConfig(monotime.Second), loop.store.members()) // corrected
+	loop.tick()
+	if version := loop.store.state.Config.Version; version != 1 {
+		t.Errorf("version %d is in force, want 1", version)
+	}
+	applied := len(fake.applied)
+	loop.tick()
+	if len(fake.applied) != applied {
+		t.Errorf("proposed %+v with nothing due", fake.applied[applied:])
 	}
 }
 
-// TestOlderFileChangesNoMembers: an agent with an older file does not undo what a newer one configured.
 func TestOlderFileChangesNoMembers(t *testing.T) {
-	g := newGroup(t, 3)
-	newer := *g.config
-	newer.Version = 5
-	g.config = &newer
-	for _, n := range g.names {
-		g.start(n)
-	}
-	defer g.stopAll()
-	g.view(20*time.Second, func(v quota.Status) bool { return v.Version == 5 })
-	older := newer
-	older.Version = 4
-	for _, n := range g.names {
-		g.node(n).SetConfig(&older, g.names[:1])
-	}
-	time.Sleep(time.Second)
-	g.members = g.names
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-	defer cancel()
-	v, err := g.node("h1").Status(ctx)
-	if slices.Sort(v.Members); err != nil || !slices.Equal(v.Members, g.names) {
-		t.Errorf("members %v, %v", v.Members, err)
+	loop, fake, _ := newFakeLeader()
+	loop.store.SetConfig(permitConfig(5), []string{"h1", "h2", "h3"})
+	loop.tick()
+	if version := loop.store.state.Config.Version; version != 5 {
+		t.Fatalf("version %d is in force, want 5", version)
+	}
+	loop.store.SetConfig(permitConfig(4), []string{"h1"})
+	loop.tick()
+	if len(fake.changes) > 0 {
+		t.Errorf("an older file changed the members: %v", fake.changes)
+	}
+	loop.store.SetConfig(permitConfig(6), []string{"h1"})
+	loop.tick()
+	if want := []string{"remove h2"}; !slices.Equal(fake.changes, want) {
+		t.Errorf("a newer file: %v, want %v", fake.changes, want)
+	}
+}
+
+// TestUnreadyLeaderAnswersNoCall: a leader that has not begun to lead names the leader that it knows of.
+func TestUnreadyLeaderAnswersNoCall(t *testing.T) {
+	loop, fake, _ := newFakeLeader()
+	mux := http.NewServeMux()
+	loop.store.RegisterHandlers(mux)
+	for _, path := range []string{pathDo, pathStatus} {
+		answer := httptest.NewRecorder()
+		body := strings.NewReader("{}")
+		mux.ServeHTTP(answer, httptest.NewRequestWithContext(t.Context(), http.MethodPost, path, body))
+		text := strings.TrimSpace(answer.Body.String())
+		if answer.Code != http.StatusMisdirectedRequest || text != `{"leader":"h2"}` {
+			t.Errorf("%s: status %d, %s", path, answer.Code, text)
+		}
+	}
+	if len(fake.applied) > 0 {
+		t.Errorf("proposed %+v", fake.applied)
+	}
+}
+
+// TestDeposedLeaderReportsNoStatus holds also before the replica notices that it was deposed.
+func TestDeposedLeaderReportsNoStatus(t *testing.T) {
+	loop, fake, _ := newFakeLeader()
+	loop.tick()
+	status, err := loop.store.Status(t.Context())
+	if err != nil || status.Leader != "h1" || !slices.Equal(status.Members, []string{"h1", "h2", "h3"}) {
+		t.Fatalf("%+v, %v, want leader h1 of three members", status, err)
+	}
+	fake.verifyErr = raft.ErrLeadershipLost
+	status, err = loop.store.Status(t.Context())
+	if !errors.Is(err, ErrNoLeader) || !errors.Is(err, raft.ErrLeadershipLost) {
+		t.Errorf("a deposed leader: %+v, %v", status, err)
 	}
 }
--- /dev/null
+++ b/internal/cluster/quotastore/linearizability_test.go
@@ -0,0 +1,218 @@
+package quotastore
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+
+	"milletbarrow/internal/cluster/quota"
+)
+
+// permitCall is the input of an operation: the acquisition of a permit, or its release.
+type permitCall struct {
+	release         bool
+	name, acquireID string
+}
+
+func (c permitCall) command() quota.Command {
+	permit := &quota.PermitCommand{Limit: "out", Name: quota.InstanceName(c.name), Host: "h", AcquireID: c.acquireID}
+	if c.release {
+		return quota.Command{Release: permit}
+	}
+	return quota.Command{Acquire: permit}
+}
+
+// permitAnswer is the output of an operation as its client saw it.
+type permitAnswer struct {
+	held    bool
+	unknown bool // no answer came
+}
+
+// mustBe returns a value of the type that the model's operations have.
+func mustBe[T any](value any) T {
+	typed, ok := value.(T)
+	if !ok {
+		panic(fmt.Sprintf("%T in the model, expected %T", value, typed))
+	}
+	return typed
+}
+
+// permitModel is a limit of two permits as clients see it. Its state lists NAME/ID for each permit that is held.
+var permitModel = porcupine.Model{
+	Init: func() any { return "" },
+	Step: func(state, input, output any) (bool, any) {
+		call, answer := mustBe[permitCall](input), mustBe[permitAnswer](output)
+		held := strings.Fields(mustBe[string](state))
+		own := call.name + "/" + call.acquireID
+		i := slices.Index(held, own)
+		if call.release {
+			if i >= 0 {
+				held = slices.Delete(held, i, i+1)
+			}
+			return true, strings.Join(held, " ")
+		}
+		holdsOther := slices.ContainsFunc(held, func(permit string) bool {
+			return strings.HasPrefix(permit, call.name+"/") && permit != own
+		})
+		granted := i >= 0 || !holdsOther && len(held) < 2
+		if granted && i < 0 {
+			held = append(held, own)
+			slices.Sort(held)
+		}
+		return answer.unknown || answer.held == granted, strings.Join(held, " ")
+	},
+}
+
+// history records the operations of all clients.
+type history struct {
+	began time.Time
+
+	mu         sync.Mutex // guards operations
+	operations []porcupine.Operation
+}
+
+func (h *history) now() int64 { return int64(time.Since(h.began)) }
+
+func (h *history) add(operation porcupine.Operation) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.operations = append(h.operations, operation)
+}
+
+// permitClient acquires and releases permits through any store of a group.
+type permitClient struct {
+	id      int
+	group   *testGroup
+	history *history
+	span    time.Duration // how long it goes on
+	random  *rand.Rand
+}
+
+func (c *permitClient) run() {
+	name := fmt.Sprint("n", c.id)
+	for n := 0; ; n++ {
+		acquireID := fmt.Sprint(n)
+		if !c.retry(permitCall{name: name, acquireID: acquireID}) {
+			return
+		}
+		time.Sleep(time.Duration(c.random.IntN(20)) * time.Millisecond)
+		if !c.retry(permitCall{release: true, name: name, acquireID: acquireID}) {
+			return
+		}
+	}
+}
+
+// retry calls with the same acquisition ID until the call has succeeded, and reports whether it has. Calls without an
+// answer are one operation with the call that brought it: the store can't tell them apart, and which of them took
+// effect is not seen.
+func (c *permitClient) retry(call permitCall) bool {
+	unanswered := int64(-1) // when the first call without an answer began
+	for time.Since(c.history.began) < c.span {
+		node := c.group.node(c.group.names[c.random.IntN(len(c.group.names))])
+		if node == nil {
+			continue
+		}
+		operation := porcupine.Operation{ClientId: c.id, Input: call, Call: c.history.now()}
+		ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
+		result, err := node.Do(ctx, call.command())
+		cancel()
+		operation.Output = permitAnswer{held: result.Rejection == "" && !call.release}
+		operation.Return = c.history.now()
+		succeeded := err == nil && (call.release || result.Rejection == "")
+		switch {
+		case err != nil && unanswered < 0:
+			unanswered = operation.Call
+		case succeeded && unanswered >= 0:
+			operation.Call = unanswered
+		}
+		if succeeded || err == nil && unanswered < 0 {
+			c.history.add(operation)
+		}
+		if succeeded {
+			return true
+		}
+		time.Sleep(time.Duration(c.random.IntN(60)) * time.Millisecond)
+	}
+	if unanswered >= 0 { // it may take effect at any later time, or never
+		c.history.add(porcupine.Operation{
+			ClientId: c.id,
+			Input:    call,
+			Call:     unanswered,
+			Output:   permitAnswer{unknown: true},
+			Return:   int64(time.Hour),
+		})
+	}
+	return false
+}
+
+// injectFaults restarts stores, cuts links and duplicates calls until a time.
+func (g *testGroup) injectFaults(until time.Time) {
+	random := rand.New(rand.NewPCG(7, 7))
+	anyName := func() string { return g.names[random.IntN(len(g.names))] }
+	for i := 0; time.Now().Before(until); i++ {
+		from, to := anyName(), anyName()
+		duration := time.Duration(300+random.IntN(900)) * time.Millisecond
+		switch link := g.Link(from, to); {
+		case link == nil || i%4 == 3:
+			g.stop(from)
+			time.Sleep(duration / 2)
+			g.start(from)
+		case i%4 == 0:
+			g.Direction(from, to).Hold(true)
+			time.Sleep(duration)
+			g.Direction(from, to).Hold(false)
+		case i%4 == 1:
+			link.Duplicate(duration)
+			time.Sleep(duration)
+			link.Duplicate(0)
+		case i%4 == 2: // what the leader sends is lost, what others send to it arrives
+			leader := g.waitForStatus(10*time.Second, "a leader", hasLeader).Leader
+			g.Isolate(leader, true, false, true)
+			time.Sleep(2 * duration)
+			g.Isolate(leader, true, false, false)
+		}
+	}
+}
+
+// TestHistoryIsLinearizable holds for clients that acquire and release permits through any store, while links are cut,
+// calls are duplicated and stores restart. The checker knows nothing of the store.
+func TestHistoryIsLinearizable(t *testing.T) {
+	const clients, span = 6, 12 * time.Second
+	g := newGroup(t, 5)
+	g.startAll()
+	recorded := &history{began: time.Now()}
+	var tasks sync.WaitGroup
+	for id := range clients {
+		client := &permitClient{
+			id:      id,
+			group:   g,
+			history: recorded,
+			span:    span,
+			random:  rand.New(rand.NewPCG(uint64(id), 5)),
+		}
+		tasks.Go(client.run)
+	}
+	tasks.Go(func() { g.injectFaults(recorded.began.Add(span - 2*time.Second)) })
+	tasks.Wait()
+	held := 0
+	for _, operation := range recorded.operations {
+		if mustBe[permitAnswer](operation.Output).held {
+			held++
+		}
+	}
+	result := porcupine.CheckOperationsTimeout(permitModel, recorded.operations, time.Minute)
+	t.Logf("%d calls, %d permits acquired: %v", len(recorded.operations), held, result)
+	if result != porcupine.Ok {
+		t.Errorf("the history of %d calls is %v", len(recorded.operations), result)
+	}
+	if held < 20 {
+		t.Errorf("%d permits were acquired, want at least 20", held)
+	}
+}
--- a/internal/cluster/quotastore/raftnode_test.go
+++ b/internal/cluster/quotastore/raftnode_test.go
@@ -1,96 +1,96 @@
 package quotastore
 
 import (
-	"bytes"
-	"context"
-	"runtime"
 	"testing"
-	"time"
 
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
 
 	"milletbarrow/internal/cluster/quorum"
 	"milletbarrow/internal/cluster/transport"
-	"milletbarrow/internal/limits"
-	"milletbarrow/internal/process"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 10 * time.Second
-
-// openTestStore opens the store of a host on loopback; its transport runs, the store does not.
-func openTestStore(t *testing.T, host string, addresses map[string]string, members ...string) *Store {
-	t.Helper()
-	tr, err := transport.Listen(host, "127.0.0.1:0", addresses, limits.ForControl())
+// TestFailedStartLeavesNothing: if the consensus library can't start, the goroutine that filters its calls ends, also
+// while it looks at a call of an ineligible member.
+func TestFailedStartLeavesNothing(t *testing.T) {
+	const filter, listen = "quotastore.(*eligibilityTransport).filter", "raft.(*NetworkTransport).listen"
+	waitForNoGoroutineIn(t, filter)
+	waitForNoGoroutineIn(t, listen)
+	s := openTestStore(t, "h1", nil, "h1", "h2", "h3")
+	peer := openTestStore(t, "h2", map[string]string{"h1": s.config.Transport.Address()})
+	conn, err := peer.config.Transport.Dial(t.Context(), transport.KindRaft, "h1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		_ = tr.Run(ctx)
-	}()
-	s, err := Open(Config{
-		Host: host, Members: members, Dir: t.TempDir(), Transport: tr, Bounds: limits.ForControl(),
-		Clock: process.Now,
+	defer conn.Close()
+	if _, err := conn.Write([]byte{1, 0x80}); err != nil { // a request for a vote: an empty map
+		t.Fatal(err)
+	}
+	err = s.log.db.Update(func(tx *bbolt.Tx) error {
+		return tx.Bucket(logBucket).Put(encodeUint64(5), []byte("no entry"))
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() {
-		cancel()
-		<-ended
-		if s.log != nil {
-			_ = s.log.Close()
-		}
-	})
-	return s
-}
-
-// goroutinesIn counts the goroutines that run a function.
-func goroutinesIn(function string) int {
-	all := make([]byte, 1<<20)
-	return bytes.Count(all[:runtime.Stack(all, true)], []byte(function+"("))
-}
-
-func waitForNone(t *testing.T, function string) {
-	t.Helper()
-	for began := time.Now(); goroutinesIn(function) > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatalf("%d goroutines run %s", goroutinesIn(function), function)
-		}
+	required := quorum.Eligibility{Behind: true, RequiredLog: quorum.LogPosition{Term: 3, LogTerm: 3, Index: 9}}
+	if node, err := s.startRaft(required); err == nil {
+		_ = node.Shutdown().Error()
+		t.Fatal("started on an unreadable log")
+	}
+	waitForNoGoroutineIn(t, filter)
+	waitForNoGoroutineIn(t, listen)
+	if s.replica != nil {
+		t.Error("the store has a replica")
 	}
 }
 
-// TestFailedStartLeavesNothing: where the consensus library can't start, the goroutine that filters its calls ends,
-// also while it looks at a call of an ineligible member.
-func TestFailedStartLeavesNothing(t *testing.T) {
-	const filter, listen = "quotastore.(*eligibilityTransport).filter", "raft.(*NetworkTransport).listen"
-	waitForNone(t, filter)
-	waitForNone(t, listen)
+// TestAdoptedTermHasNoVoteLeft: a member on an older copy of its directory adopts the group's term, and votes for
+// nobody in it.
+func TestAdoptedTermHasNoVoteLeft(t *testing.T) {
 	s := openTestStore(t, "h1", nil, "h1", "h2", "h3")
-	peer := openTestStore(t, "h2", map[string]string{"h1": s.config.Transport.Address()})
-	c, err := peer.config.Transport.Dial(context.Background(), transport.KindRaft, "h1")
+	candidate := openTestStore(t, "h2", map[string]string{"h1": s.config.Transport.Address()})
+	group := raft.EncodeConfiguration(s.initialGroup())
+	err := s.log.StoreLog(&raft.Log{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: group})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if _, err := c.Write([]byte{1, 0x80}); err != nil { // the beginning of a request for a vote: an empty map
+	if err := s.log.SetUint64(currentTermKey, 1); err != nil {
 		t.Fatal(err)
 	}
-	err = s.log.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(logBucket).Put(encodeUint64(5), []byte("no entry")) })
+	node, err := s.startRaft(quorum.Eligibility{AdoptTerm: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
-	required := quorum.Eligibility{Behind: true, RequiredLog: quorum.LogPosition{Term: 3, LogTerm: 3, Index: 9}}
-	if r, err := s.startRaft(required); err == nil {
-		_ = r.Shutdown().Error()
-		t.Fatal("started on an unreadable log")
+	defer func() { _ = node.Shutdown().Error() }()
+	if term := node.CurrentTerm(); term != 7 {
+		t.Errorf("term %d, want 7", term)
 	}
-	waitForNone(t, filter)
-	waitForNone(t, listen)
-	if s.replica != nil {
-		t.Error("the store has a replica")
+	caller := candidate.raftTransport(hclog.NewNullLogger())
+	defer caller.Close()
+	vote := func(term uint64) bool {
+		t.Helper()
+		var response raft.RequestVoteResponse
+		request := &raft.RequestVoteRequest{
+			RPCHeader: raft.RPCHeader{
+				ProtocolVersion: raft.ProtocolVersionMax,
+				ID:              []byte("h2"),
+				Addr:            []byte("h2"),
+			},
+			Term:               term,
+			LastLogTerm:        6,
+			LastLogIndex:       20,
+			LeadershipTransfer: true,
+		}
+		if err := caller.RequestVote("h1", "h1", request, &response); err != nil {
+			t.Fatal(err)
+		}
+		return response.Granted
+	}
+	if vote(7) {
+		t.Error("votes in the term that it adopted")
+	}
+	if !vote(8) {
+		t.Error("does not vote in the next term")
 	}
 }
