--- a/internal/cluster/node/events.go
+++ b/internal/cluster/node/events.go
@@ -8,41 +8,54 @@
 )
 
 const (
-	// minEventInterval is the least time between two events of one kind and name: targets move with every report of demand.
+	// minEventInterval is the minimum time between two events of one kind, limit and name. Targets change with every
+	// report of demand.
 	minEventInterval = 2 * time.Second
-	maxQueuedEvents  = 256
-	maxEventKeys     = 10_000 // beyond them all are forgotten, and an event may come again early
+
+	// maxQueuedEvents bounds the events that wait to be read. Further ones are dropped.
+	maxQueuedEvents = 256
+
+	// maxEventKeys bounds the remembered times of events. Beyond it all are forgotten, and an event may repeat early.
+	maxEventKeys = 10_000
 )
 
-// eventKey is what events are spaced by.
-type eventKey struct{ limit, name, kind string }
+// eventKey identifies events of which too frequent ones are dropped.
+type eventKey struct {
+	limit quota.LimitName
+	name  string
+	kind  string
+}
 
-// eventFeed passes events to the agent's history. What comes too often is left out, and what is not read in time is lost:
-// it holds up nobody. It is safe for concurrent use.
+// eventFeed passes events to the agent's history. It never blocks: it drops events that come too often or are not read
+// in time. It is safe for concurrent use.
 type eventFeed struct {
 	events chan quota.Event
-	now    func() time.Time // a clock that only goes on
+	now    func() time.Time // monotonic
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards latestAt
 	latestAt map[eventKey]time.Time
 }
 
 func newEventFeed() *eventFeed {
-	return &eventFeed{events: make(chan quota.Event, maxQueuedEvents), now: time.Now, latestAt: map[eventKey]time.Time{}}
+	return &eventFeed{
+		events:   make(chan quota.Event, maxQueuedEvents),
+		now:      time.Now,
+		latestAt: map[eventKey]time.Time{},
+	}
 }
 
-// add passes an event on, unless one of its kind and name came within minEventInterval.
-func (f *eventFeed) add(e quota.Event) {
-	if !f.due(eventKey{string(e.Limit), e.Name, e.Kind}) {
+// add passes an event on, unless one with the same key was passed on within minEventInterval.
+func (f *eventFeed) add(event quota.Event) {
+	if !f.due(eventKey{limit: event.Limit, name: event.Name, kind: event.Kind}) {
 		return
 	}
 	select {
-	case f.events <- e:
+	case f.events <- event:
 	default:
 	}
 }
 
-// due reports whether an event may be passed on now, and notes that it is.
+// due reports whether an event may be passed on now, and records the time if so.
 func (f *eventFeed) due(key eventKey) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -1,10 +1,11 @@
-// Package node is one agent's part in what the agents of a fleet share: it opens the transport, the quota store and the
-// membership, runs them and ends them together. It decides nothing.
+// Package node combines what one agent shares with the other agents of a fleet: it opens the transport, the quota store
+// and the membership list, runs them and closes them together. It decides nothing itself.
 package node
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net/http"
 	"path/filepath"
 	"sync"
@@ -19,15 +20,24 @@
 	"milletbarrow/internal/process"
 )
 
-// soleAddress is where an agent listens that has no address for others, as it is the only one.
-const soleAddress = "127.0.0.1:0"
+const (
+	// loopbackAddress is the listening address of the only agent of a fleet, which has no peer address.
+	loopbackAddress = "127.0.0.1:0"
 
-// Config is what a Node is opened with.
+	// storeDirectory is the quota store's part of the agent's directory.
+	storeDirectory = "ledger"
+
+	// Timeouts of the server for calls of other agents, in call timeouts.
+	readCallTimeouts  = 2
+	writeCallTimeouts = 4
+)
+
+// Config configures a Node.
 type Config struct {
 	Spec     *fleet.Spec // with quotas
-	Host     string
-	Dir      string // the agent's own
-	TrustDir bool   // an operator says that the directory is no older copy
+	Host     string      // name of this agent's host
+	Dir      string      // the agent's own directory
+	TrustDir bool        // an operator says that the directory is no older copy
 	Bounds   limits.Control
 }
 
@@ -43,52 +53,74 @@
 // Open opens the listening address and the files of the quota store. Nothing is answered before Run, which also closes
 // them.
 func Open(config Config) (*Node, error) {
-	n := &Node{bounds: config.Bounds, events: newEventFeed()}
 	listen := config.Spec.Host(config.Host).PeerAddress
 	if listen == "" {
-		listen = soleAddress
+		listen = loopbackAddress
 	}
 	addresses, hosts := peers(config.Spec)
-	var err error
-	if n.transport, err = transport.Listen(config.Host, listen, addresses, config.Bounds); err != nil {
-		return nil, err
+	events := newEventFeed()
+	agents, err := transport.Listen(config.Host, listen, addresses, config.Bounds)
+	if err != nil {
+		return nil, fmt.Errorf("listen for other agents: %w", err)
 	}
-	if n.Store, err = openStore(config, n.transport, n.events.add); err != nil {
-		n.transport.Close()
+	store, err := openStore(config, agents, events.add)
+	if err != nil {
+		agents.Close()
 		return nil, err
 	}
-	n.members = membership.New(membership.Config{
-		Host: config.Host, Incarnation: uint64(time.Now().UnixMicro()), Hosts: hosts, Transport: n.transport, Bounds: config.Bounds,
-		Clock:    process.Now,
-		OnChange: func(m membership.Member) { n.events.add(quota.Event{Name: m.Host, Kind: "agent " + string(m.State)}) },
+	members := membership.New(membership.Config{
+		Host:        config.Host,
+		Incarnation: uint64(time.Now().UnixMicro()),
+		Hosts:       hosts,
+		Transport:   agents,
+		Bounds:      config.Bounds,
+		Clock:       process.Now,
+		OnChange:    func(member membership.Member) { events.add(memberEvent(member)) },
 	})
-	return n, nil
+	return &Node{
+		Store:     store,
+		bounds:    config.Bounds,
+		transport: agents,
+		members:   members,
+		events:    events,
+	}, nil
+}
+
+// memberEvent returns the event for a change of another agent's state.
+func memberEvent(member membership.Member) quota.Event {
+	return quota.Event{Name: member.Host, Kind: "agent " + string(member.State)}
 }
 
-func openStore(config Config, t *transport.Transport, onEvent func(quota.Event)) (*quotastore.Store, error) {
-	s, err := quotastore.Open(quotastore.Config{
-		Host: config.Host, Members: config.Spec.QuotaHosts, Dir: filepath.Join(config.Dir, "ledger"), TrustDir: config.TrustDir,
-		Transport: t, Bounds: config.Bounds, Clock: process.Now, OnEvent: onEvent,
+func openStore(config Config, agents *transport.Transport, onEvent func(quota.Event)) (*quotastore.Store, error) {
+	store, err := quotastore.Open(quotastore.Config{
+		Host:      config.Host,
+		Members:   config.Spec.QuotaHosts,
+		Dir:       filepath.Join(config.Dir, storeDirectory),
+		TrustDir:  config.TrustDir,
+		Transport: agents,
+		Bounds:    config.Bounds,
+		Clock:     process.Now,
+		OnEvent:   onEvent,
 	})
 	if err != nil {
 		return nil, err
 	}
-	s.SetConfig(config.Spec.Quotas, config.Spec.QuotaHosts)
-	return s, nil
+	store.SetConfig(config.Spec.Quotas, config.Spec.QuotaHosts)
+	return store, nil
 }
 
-// peers lists the addresses of all agents by host, and the hosts in the order of the fleet's file.
+// peers returns the addresses of all agents by host, and the hosts in the order of the fleet's file.
 func peers(spec *fleet.Spec) (addresses map[string]string, hosts []string) {
 	addresses = map[string]string{}
-	for _, h := range spec.Hosts {
-		addresses[h.Name] = h.PeerAddress
-		hosts = append(hosts, h.Name)
+	for _, host := range spec.Hosts {
+		addresses[host.Name] = host.PeerAddress
+		hosts = append(hosts, host.Name)
 	}
 	return addresses, hosts
 }
 
-// Run takes part until ctx ends, and returns when all that it started has ended. Where one part fails the others go on
-// until then.
+// Run takes part in the cluster until ctx ends, and returns once all that it started has ended. If one part fails the
+// others go on until then.
 func (n *Node) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	n.RegisterHandlers(mux)
@@ -105,23 +137,26 @@
 	return errors.Join(storeErr, membersErr)
 }
 
-// server answers the calls of other agents. It is closed with ctx, or with the listener as the transport ends.
+// server returns the server for calls of other agents. It is closed when ctx ends, or with its listener.
 func (n *Node) server(handler http.Handler) *http.Server {
-	call := n.bounds.CallTimeout
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: call, ReadTimeout: 2 * call, WriteTimeout: 4 * call, IdleTimeout: n.bounds.IdleTimeout,
-		MaxHeaderBytes: n.bounds.MessageSize,
+		Handler:           handler,
+		ReadHeaderTimeout: n.bounds.CallTimeout,
+		ReadTimeout:       readCallTimeouts * n.bounds.CallTimeout,
+		WriteTimeout:      writeCallTimeouts * n.bounds.CallTimeout,
+		IdleTimeout:       n.bounds.IdleTimeout,
+		MaxHeaderBytes:    n.bounds.MessageSize,
 	}
 }
 
-// UpdateAddresses takes the addresses of another configuration.
+// UpdateAddresses replaces the addresses of other agents by those of another fleet file.
 func (n *Node) UpdateAddresses(spec *fleet.Spec) {
 	addresses, _ := peers(spec)
 	n.transport.SetAddresses(addresses)
 }
 
-// Members lists all agents as this one judges them.
+// Members returns all agents with the states in which this one sees them.
 func (n *Node) Members() []membership.Member { return n.members.Members() }
 
-// Events are for the agent's history.
+// Events returns the events for the agent's history.
 func (n *Node) Events() <-chan quota.Event { return n.events.events }
