--- a/internal/compattest/compattest.go
+++ b/internal/compattest/compattest.go
@@ -20,47 +20,47 @@
 func File(name string) string { return filepath.Join("testdata", Release, name) }
 
 // Read returns the content of a file of the earlier release.
-func Read(t testing.TB, name string) []byte {
-	t.Helper()
+func Read(tb testing.TB, name string) []byte {
+	tb.Helper()
 	content, err := os.ReadFile(File(name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return content
 }
 
 // RoundTrip decodes the JSON of the earlier release into a T, encodes that again, and fails where the two differ in a
 // key, a type or a value. A field whose tag was changed, or whose name was changed without a tag, is lost on the way.
-func RoundTrip[T any](t testing.TB, name string) T {
-	t.Helper()
-	content := Read(t, name)
+func RoundTrip[T any](tb testing.TB, name string) T {
+	tb.Helper()
+	content := Read(tb, name)
 	var value T
 	if err := json.Unmarshal(content, &value); err != nil {
-		t.Fatalf("%s: %v", name, err)
+		tb.Fatalf("%s: %v", name, err)
 	}
-	SameJSON(t, name, content, value)
+	SameJSON(tb, name, content, value)
 	return value
 }
 
 // SameJSON fails unless value, once encoded, has the keys, types and values of the JSON in want.
-func SameJSON(t testing.TB, name string, want []byte, value any) {
-	t.Helper()
+func SameJSON(tb testing.TB, name string, want []byte, value any) {
+	tb.Helper()
 	got, err := json.Marshal(value)
 	if err != nil {
-		t.Fatalf("%s: %v", name, err)
+		tb.Fatalf("%s: %v", name, err)
 	}
-	if diff := cmp.Diff(decode(t, want), decode(t, got)); diff != "" {
-		t.Errorf("%s: the earlier release wrote (-), this one writes (+):\n%s", name, diff)
+	if diff := cmp.Diff(decode(tb, want), decode(tb, got)); diff != "" {
+		tb.Errorf("%s: the earlier release wrote (-), this one writes (+):\n%s", name, diff)
 	}
 }
 
 // decode keeps numbers as they are written, so that large ones compare exactly.
-func decode(t testing.TB, text []byte) (value any) {
-	t.Helper()
+func decode(tb testing.TB, text []byte) (value any) {
+	tb.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	if err := decoder.Decode(&value); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return value
 }
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -188,7 +188,7 @@
 	limit := r.Quotas.Lookup(quota.LimitName(r.ColdStartQuota))
 	if limit.Reserved == 0 {
 		form.Fail("quota",
-			"quota %q has no (reserve-per-host yes): a host that can't reach the quota store could never start an instance",
+			"quota %q has no (reserve-per-host yes): a host without the quota store could never start an instance",
 			r.ColdStartQuota)
 	}
 	config.MaxConcurrent = limit.Total - limit.Reserved
