--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -47,16 +47,16 @@
 
 func agentCommand() *cli.Command {
 	return &cli.Command{
-		Name: "agent", Usage: "manage the instances of one host until told to end; they go on after it",
+		Name: "agent", Usage: "manage the instances of one host; they keep running when the agent ends",
 		Description: "Examples:\n   milletbarrow agent --fleet fleet.sx --host h1 --dir /var/lib/milletbarrow\n" +
 			"   milletbarrow agent --fleet fleet.sx --host h1 --dir /var/lib/milletbarrow --record-anew\n\n" +
-			"SIGHUP has it read the fleet's file anew. docs/fleet.md tells what to do in trouble.",
+			"SIGHUP reloads the fleet's file. docs/fleet.md is the operators' page.",
 		Flags: []cli.Flag{
 			fleetFlag(), logFlag(),
-			&cli.StringFlag{Name: "host", Usage: "this host's `NAME` in the file", Required: true},
-			&cli.StringFlag{Name: "dir", Usage: "the agent's own `DIRECTORY`, on a disk that persists", Required: true},
-			&cli.BoolFlag{Name: "record-anew", Usage: "set a damaged record aside and adopt what runs"},
-			&cli.BoolFlag{Name: "trust-directory", Usage: "take part in the ledger without asking others: the directory is no older copy"},
+			&cli.StringFlag{Name: "host", Usage: "this host's `NAME` in the fleet's file", Required: true},
+			&cli.StringFlag{Name: "dir", Usage: "the agent's `DIRECTORY`, on a persistent disk", Required: true},
+			&cli.BoolFlag{Name: "record-anew", Usage: "set a corrupted store aside and adopt the running instances"},
+			&cli.BoolFlag{Name: "trust-directory", Usage: "join the quota store without confirmation by other agents: the directory is not an older copy"},
 		},
 		Action: runAgent,
 	}
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -20,7 +20,7 @@
 
 func degradationCommand() *cli.Command {
 	return &cli.Command{
-		Name: "degradation", Usage: "check, replay and pin levels of reduced service",
+		Name: "degradation", Usage: "check, replay and override degradation levels",
 		Commands: []*cli.Command{degradationCheckCommand(), degradationRecordCommand(), degradationReplayCommand(), degradationPinCommand()},
 	}
 }
@@ -37,7 +37,7 @@
 
 func degradationCheckCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "explain a policy in words, and refuse one that can't work", ArgsUsage: "FILE",
+		Name: "check", Usage: "validate a degradation policy and explain it in words", ArgsUsage: "FILE",
 		Description: "Example:\n   milletbarrow degradation check policy.sx --config n3.json",
 		Flags:       []cli.Flag{configFlag(), jsonFlag()},
 		Action:      checkDegradation,
@@ -69,10 +69,10 @@
 
 func degradationReplayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "replay", Usage: "play recorded signals through a policy, and draw level against signals", ArgsUsage: "FILE TRACE",
-		Description: "A trace has a line for each reading: microseconds, then the signals that are known, as queue=1.5.\n" +
+		Name: "replay", Usage: "replay recorded signals through a policy, and plot its levels", ArgsUsage: "FILE TRACE",
+		Description: "A trace has one line for each reading: its time in microseconds, then the known signals, such as queue=1.5.\n" +
 			"Example:\n   milletbarrow degradation replay policy.sx signals.txt --plot levels.svg",
-		Flags:  []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"}},
+		Flags:  []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)"}},
 		Action: replayDegradation,
 	}
 }
@@ -159,8 +159,8 @@
 		Description: "Example:\n   milletbarrow degradation record --socket n3.inspect --for 10m > signals.txt",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "socket", Usage: "the instance's admin `SOCKET`", Required: true},
-			&cli.DurationFlag{Name: "for", Usage: "so long", Value: time.Minute},
-			&cli.DurationFlag{Name: "every", Usage: "between two readings", Value: 100 * time.Millisecond},
+			&cli.DurationFlag{Name: "for", Usage: "duration", Value: time.Minute},
+			&cli.DurationFlag{Name: "every", Usage: "interval between two readings", Value: 100 * time.Millisecond},
 		},
 		Action: recordSignals,
 	}
@@ -195,15 +195,15 @@
 
 func degradationPinCommand() *cli.Command {
 	return &cli.Command{
-		Name: "pin", Usage: "hold one instance at a level for a while, by its admin socket", ArgsUsage: "LEVEL",
-		Description: "full is the level at which nothing is shed. The pin ends by itself.\n" +
+		Name: "pin", Usage: "override the degradation level of one instance for a limited time", ArgsUsage: "LEVEL",
+		Description: "full is the level that sheds nothing. The override expires by itself.\n" +
 			"Examples:\n   milletbarrow degradation pin --socket n3.inspect --for 10m --above no-reprints\n" +
 			"   milletbarrow degradation pin --socket n3.inspect --release",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "socket", Usage: "the instance's admin `SOCKET`", Required: true},
-			&cli.DurationFlag{Name: "for", Usage: "so long", Value: 10 * time.Minute},
-			&cli.BoolFlag{Name: "above", Usage: "let the signals go above it"},
-			&cli.BoolFlag{Name: "release", Usage: "let the signals decide again"},
+			&cli.DurationFlag{Name: "for", Usage: "duration", Value: 10 * time.Minute},
+			&cli.BoolFlag{Name: "above", Usage: "allow the signals to raise the level above it"},
+			&cli.BoolFlag{Name: "release", Usage: "end the override"},
 		},
 		Action: pinLevel,
 	}
--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -22,12 +22,12 @@
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
-		Name: "demo", Usage: "backends under an agent, with load, a burst and a release, from nothing; all of it ends and is cleaned up",
+		Name: "demo", Usage: "run a small fleet with an agent, load, a burst and a rolling update, then stop it and clean up",
 		Description: "Everything runs on loopback addresses of this machine.\nExample:\n   milletbarrow demo --for 30s --plot demo.svg",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "backends", Value: 4}, &cli.DurationFlag{Name: "for", Value: 30 * time.Second}, &cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png", Value: "demo.svg"},
-			&cli.BoolFlag{Name: "quiet", Usage: "no table while it runs"}, jsonFlag(),
+			&cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)", Value: "demo.svg"},
+			&cli.BoolFlag{Name: "quiet", Usage: "do not print a table while it runs"}, jsonFlag(),
 		},
 		Action: runDemo,
 	}
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -12,7 +12,7 @@
 
 func experimentCommand() *cli.Command {
 	return &cli.Command{
-		Name: "experiment", Usage: "try designs on modelled fleets: run, compare and plot experiments",
+		Name: "experiment", Usage: "run, compare and plot experiments on simulated fleets",
 		Description: "Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording\n" +
 			"   milletbarrow experiment compare docs/studies/wording.sx --dir /tmp/wording pool milletbarrow",
 		Commands: []*cli.Command{
@@ -51,11 +51,11 @@
 }
 
 func dirFlag() cli.Flag {
-	return &cli.StringFlag{Name: "dir", Usage: "the `PLACE` of the results", Required: true}
+	return &cli.StringFlag{Name: "dir", Usage: "the `DIRECTORY` of the results", Required: true}
 }
 
 func overFlag() cli.Flag {
-	return &cli.StringFlag{Name: "over", Usage: "sweep `NAME=VALUE,VALUE...` instead of what the file sweeps"}
+	return &cli.StringFlag{Name: "over", Usage: "sweep `NAME=VALUE,VALUE...` in place of the file's sweep"}
 }
 
 // loadExperiment reads a file, and the results of it that are stored.
@@ -78,5 +78,5 @@
 }
 
 func measureFlag() cli.Flag {
-	return &cli.StringFlag{Name: "measure", Usage: "the `FIGURE`: value, broken, attempts, wasted, changes, OPERATION.p99 ...", Value: "value"}
+	return &cli.StringFlag{Name: "measure", Usage: "the `MEASURE`: value, broken, attempts, wasted, changes, OPERATION.p99 ...", Value: "value"}
 }
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -29,11 +29,11 @@
 
 func experimentBenchmarkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "benchmark", Usage: "measure what a modelled day costs on one core as the fleet grows, and draw it", ArgsUsage: "FILE",
-		Description: "Of the file's first scenario, with all its policies. The dashed line grows as n log n from the first size on.\n" +
+		Name: "benchmark", Usage: "measure the simulation time of a day on one core by fleet size", ArgsUsage: "FILE",
+		Description: "It runs the file's first scenario with all of its policies. The dashed line of the plot is n log n.\n" +
 			"Example:\n   milletbarrow experiment benchmark docs/studies/size.sx --sizes 10,33,100,330,1000 --plot speed.svg",
 		Flags: []cli.Flag{
-			jsonFlag(), &cli.StringFlag{Name: "sizes", Value: "10,33,100,330"}, &cli.StringFlag{Name: "plot", Usage: "draw to a `FILE` that ends in .svg or .png"},
+			jsonFlag(), &cli.StringFlag{Name: "sizes", Value: "10,33,100,330"}, &cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)"},
 		},
 		Action: runBenchmark,
 	}
--- a/cmd/milletbarrow/experiment_replay.go
+++ b/cmd/milletbarrow/experiment_replay.go
@@ -14,11 +14,11 @@
 
 func experimentReplayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "replay", Usage: "play one day again and tell one invocation's or one host's course", ArgsUsage: "FILE",
+		Name: "replay", Usage: "replay one simulated day and print the events of one request or one host", ArgsUsage: "FILE",
 		Description: "Example:\n   milletbarrow experiment replay docs/studies/wording.sx --policy milletbarrow --seed 3 --invocation 1200",
 		Flags: []cli.Flag{
 			overFlag(), &cli.StringFlag{Name: "scenario"}, &cli.StringFlag{Name: "policy"}, &cli.Uint64Flag{Name: "seed"},
-			&cli.Uint64Flag{Name: "invocation", Usage: "its `NUMBER` in the day, from 1"}, &cli.IntFlag{Name: "host", Value: -1},
+			&cli.Uint64Flag{Name: "invocation", Usage: "`NUMBER` of the request in the day, from 1"}, &cli.IntFlag{Name: "host", Value: -1},
 			&cli.FloatFlag{Name: "at", Value: math.NaN()}, &cli.IntFlag{Name: "most", Usage: "lines", Value: 200},
 		},
 		Action: replayDay,
--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -19,13 +19,13 @@
 
 func experimentRunCommand() *cli.Command {
 	return &cli.Command{
-		Name: "run", Aliases: []string{"sweep"}, Usage: "play an experiment; what was interrupted goes on with the same call", ArgsUsage: "FILE",
-		Description: "Each run is kept in the place as soon as it ends. Ends with 3 where a rule was broken by the module.\n" +
+		Name: "run", Aliases: []string{"sweep"}, Usage: "run an experiment; the same call resumes one that was interrupted", ArgsUsage: "FILE",
+		Description: "Each result is stored as soon as its run ends. The exit code is 3 if the module broke a rule.\n" +
 			"Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording --over nodes.deaf=0,0.5,1",
 		Flags: []cli.Flag{
 			dirFlag(), overFlag(), jsonFlag(),
-			&cli.IntFlag{Name: "cores", Usage: "runs at once", Value: runtime.NumCPU()},
-			&cli.BoolFlag{Name: "quiet", Usage: "no progress"},
+			&cli.IntFlag{Name: "cores", Usage: "concurrent runs", Value: runtime.NumCPU()},
+			&cli.BoolFlag{Name: "quiet", Usage: "do not print progress"},
 		},
 		Action: runExperiment,
 	}
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -28,9 +28,9 @@
 
 func experimentValidateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "validate", Usage: "play scenarios in the model and over sockets on this machine, side by side", ArgsUsage: "FILE",
-		Description: "Slow hosts, bursts and releases are brought about on both. Ends with 3 where they lie apart by more than 0.05 of value or of the\n" +
-			"throttled share, or 20% of p99. Nothing else should run beside it.\nExample:\n   milletbarrow experiment validate docs/studies/twins.sx",
+		Name: "validate", Usage: "compare scenarios in the simulation and over sockets on this machine", ArgsUsage: "FILE",
+		Description: "Slow hosts, bursts and releases happen in both. The exit code is 3 if they differ by more than 0.05 in value or in\n" +
+			"the rejected share, or by 20% in p99. Other load on the machine changes the result.\nExample:\n   milletbarrow experiment validate docs/studies/twins.sx",
 		Flags:  []cli.Flag{jsonFlag(), &cli.BoolFlag{Name: "quiet"}, &cli.StringFlag{Name: "scenario"}, &cli.Uint64Flag{Name: "seed", Value: 1}},
 		Action: runValidation,
 	}
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -19,24 +19,24 @@
 	keep := &cli.StringFlag{Name: "keep", Usage: "keep what a failing trial left, in this `DIRECTORY`", Value: "trials"}
 	failpoint := &cli.StringFlag{Name: "failpoint", Aliases: []string{"plant"}, Usage: "a `FAULT` of the program itself, where it was built with -tags failpoint", Hidden: true}
 	return &cli.Command{
-		Name: "faults", Usage: "run agents, supervisors and backends of this program while parts of them fail, and check the outcome",
-		Description: "Real processes on this machine, links between them, a schedule of faults. docs/trial.md says how to read it. Exit codes:\n" +
-			"0 all held, 1 an error, 2 a file or word can't be used, 3 something did not hold.",
+		Name: "faults", Usage: "run real agents, supervisors and backends under injected faults, and check the outcome",
+		Description: "Faults are injected into processes on this machine and the links between them; see docs/trial.md. Exit codes:\n" +
+			"0 all checks passed, 1 error, 2 invalid file or argument, 3 a check failed.",
 		Commands: []*cli.Command{
 			{
-				Name: "run", Usage: "play schedules of faults from files, or drawn from seeds", ArgsUsage: "[FILE ...]",
+				Name: "run", Usage: "run schedules of faults from files, or random ones from seeds", ArgsUsage: "[FILE ...]",
 				Description: "Examples:\n   milletbarrow faults run internal/faultinjection/testdata/cold.sx\n   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
 				Flags: []cli.Flag{
-					keep, failpoint, jsonFlag(), &cli.BoolFlag{Name: "quiet", Usage: "no progress"},
-					&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the first one drawn"}, &cli.IntFlag{Name: "count", Usage: "so many are drawn"},
+					keep, failpoint, jsonFlag(), &cli.BoolFlag{Name: "quiet", Usage: "do not print progress"},
+					&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the first random schedule"}, &cli.IntFlag{Name: "count", Usage: "number of random schedules"},
 					&cli.IntFlag{Name: "hosts", Value: 5}, &cli.IntFlag{Name: "backends", Value: 20}, &cli.IntFlag{Name: "faults", Value: 24},
-					&cli.DurationFlag{Name: "span", Value: 40 * time.Second}, &cli.StringFlag{Name: "out", Usage: "add each verdict to this `FILE`, a line each"},
-					&cli.BoolFlag{Name: "stop", Usage: "end at the first that does not hold"},
+					&cli.DurationFlag{Name: "span", Value: 40 * time.Second}, &cli.StringFlag{Name: "out", Usage: "append each verdict to this `FILE`, one a line"},
+					&cli.BoolFlag{Name: "stop", Usage: "stop at the first failed schedule"},
 				},
 				Action: runSchedules,
 			},
 			{
-				Name: "replay", Usage: "play one schedule again, as it was kept", ArgsUsage: "FILE", Flags: []cli.Flag{keep, failpoint, jsonFlag()},
+				Name: "replay", Usage: "run a stored schedule again", ArgsUsage: "FILE", Flags: []cli.Flag{keep, failpoint, jsonFlag()},
 				Description: "Example:\n   milletbarrow faults replay trials/drawn-17/trial.sx",
 				Action: func(ctx context.Context, c *cli.Command) error {
 					t, err := readSchedule(c.Args().First())
@@ -47,19 +47,19 @@
 				},
 			},
 			{
-				Name: "shrink", Usage: "make a schedule that does not hold smaller, as long as it does not", ArgsUsage: "FILE",
+				Name: "shrink", Usage: "reduce a failing schedule as far as it still fails", ArgsUsage: "FILE",
 				Description: "Example:\n   milletbarrow faults shrink trials/drawn-17/trial.sx --within 30m > small.sx",
-				Flags:       []cli.Flag{keep, failpoint, &cli.DurationFlag{Name: "within", Value: time.Hour}, &cli.IntFlag{Name: "tries", Value: 2, Usage: "of each, as chance has a part in it"}},
+				Flags:       []cli.Flag{keep, failpoint, &cli.DurationFlag{Name: "within", Value: time.Hour}, &cli.IntFlag{Name: "tries", Value: 2, Usage: "attempts for each schedule, as failures may be random"}},
 				Action:      shrinkSchedule,
 			},
 			{
-				Name: "measure", Usage: "measure how shares are used as demand moves, hosts are lost and agents die",
-				Description: "Takes some minutes; leave the machine alone meanwhile. Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
+				Name: "measure", Usage: "measure the use of quotas while demand moves, hosts are lost and agents are killed",
+				Description: "It takes some minutes; other load on the machine changes the result. Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
 				Flags:       []cli.Flag{jsonFlag(), &cli.IntFlag{Name: "hosts", Value: 5}, &cli.IntFlag{Name: "backends", Value: 20}},
 				Action:      measureFaults,
 			},
 			{
-				Name: "report", Usage: "sum up verdicts that were kept by --out", ArgsUsage: "FILE",
+				Name: "report", Usage: "summarise the verdicts that --out stored", ArgsUsage: "FILE",
 				Description: "Example:\n   milletbarrow faults report trials.jsonl", Flags: []cli.Flag{jsonFlag()},
 				Action: reportVerdicts,
 			},
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -24,8 +24,8 @@
 func fleetCommand() *cli.Command {
 	return &cli.Command{
 		Name: "fleet", Usage: "start, drain, inspect and stop many instances through their agents",
-		Description: "Exit codes: 0 all as asked, 1 an error, 2 a file or word can't be used and nothing was changed,\n" +
-			"3 some instances came out other than asked for, 4 the time ran out, 5 an agent could not be reached.",
+		Description: "Exit codes: 0 success, 1 error, 2 invalid file or argument, nothing was changed, 3 some instances failed,\n" +
+			"4 timeout, 5 an agent is unreachable.",
 		Commands: []*cli.Command{
 			fleetCheckCommand(), lifecycleCommand(fleet.KindStart), lifecycleCommand(fleet.KindDrain), lifecycleCommand(fleet.KindStop),
 			lifecycleCommand(fleet.KindRestart), rollingUpdateCommand(), steerCommand("pause"), steerCommand("resume"),
@@ -38,20 +38,20 @@
 // commandMargin is how much longer than a command's own timeout its sender waits for the report.
 const commandMargin = 10 * time.Second
 
-func jsonFlag() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "print facts as JSON"} }
+func jsonFlag() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "print JSON"} }
 
 func selectionFlags() []cli.Flag {
 	return []cli.Flag{
 		fleetFlag(), jsonFlag(),
-		&cli.BoolFlag{Name: "all", Usage: "every instance but spares"},
+		&cli.BoolFlag{Name: "all", Usage: "all instances except spares"},
 		&cli.StringSliceFlag{Name: "group", Usage: "the instances of a `GROUP`"},
 		&cli.StringSliceFlag{Name: "label", Usage: "the instances with a `LABEL`"},
 		&cli.StringSliceFlag{Name: "host", Usage: "the instances of a `HOST`"},
-		&cli.StringFlag{Name: "id", Usage: "the command's `ID`; sent again with it, it is the same command"},
-		&cli.DurationFlag{Name: "within", Usage: "what has no result by then is late", Value: 5 * time.Minute},
-		&cli.BoolFlag{Name: "dry-run", Usage: "print what would be done, and do nothing"},
-		&cli.BoolFlag{Name: "wait", Usage: "stay until all have a result", Value: true},
-		&cli.BoolFlag{Name: "quiet", Usage: "no progress"},
+		&cli.StringFlag{Name: "id", Usage: "the command's `ID`; a repeat with the same ID is the same command"},
+		&cli.DurationFlag{Name: "within", Usage: "fail instances without a result after this duration", Value: 5 * time.Minute},
+		&cli.BoolFlag{Name: "dry-run", Usage: "print the steps without taking them"},
+		&cli.BoolFlag{Name: "wait", Usage: "wait until all instances have a result", Value: true},
+		&cli.BoolFlag{Name: "quiet", Usage: "do not print progress"},
 	}
 }
 
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -19,15 +19,15 @@
 
 func coldStartCommand() *cli.Command {
 	return &cli.Command{
-		Name: "cold-start", Usage: "bring a site up again: what is down starts at the pace that what comes back allows",
+		Name: "cold-start", Usage: "start all stopped instances of a site, at the pace that the registry and the dependencies allow",
 		ArgsUsage: "[instance ...]",
-		Description: "What serves stays as it is. The required minimum of each group starts first; limits are those of (cold-start ...) in the file. Given again with the\n" +
-			"same --id it joins what goes on, whichever tool began it.\n\nExamples:\n" +
+		Description: "Running instances are not touched. The required minimum of each group starts first. The limits are those of\n" +
+			"(cold-start ...) in the fleet's file. With the --id of a cold start that goes on, the command follows that.\n\nExamples:\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --dry-run\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all\n" +
-			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision go-on     (after it stopped, once its cause is mended)\n" +
-			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision end       (nobody is held back any more; fleet cancel ID ends the starts)",
-		Flags:  append(selectionFlags(), &cli.StringFlag{Name: "decision", Usage: "a `WORD` about the rise of --id: go-on or end"}),
+			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision go-on     (continue after a stop, once its cause is removed)\n" +
+			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision end       (end the limits; fleet cancel ID cancels the starts)",
+		Flags:  append(selectionFlags(), &cli.StringFlag{Name: "decision", Usage: "a `DECISION` about the cold start of --id: go-on or end"}),
 		Action: runColdStart,
 	}
 }
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -14,13 +14,13 @@
 
 func fleetHistoryCommand() *cli.Command {
 	return &cli.Command{
-		Name: "history", Usage: "show what was done, by whom, and why",
+		Name: "history", Usage: "print the history: what was done, by whom and why",
 		Description: "Examples:\n   milletbarrow fleet history --fleet fleet.sx --most 50\n" +
 			"   milletbarrow fleet history --fleet fleet.sx --name n3 --json\n\n" +
 			"Lines of several hosts are in the order of their wall clocks, which may differ.",
 		Flags: []cli.Flag{
-			fleetFlag(), jsonFlag(), &cli.IntFlag{Name: "most", Usage: "so many lines, the latest", Value: 200},
-			&cli.StringFlag{Name: "name", Usage: "of one `INSTANCE`"}, &cli.StringFlag{Name: "command", Usage: "of one command's `ID`"},
+			fleetFlag(), jsonFlag(), &cli.IntFlag{Name: "most", Usage: "number of lines, the latest ones", Value: 200},
+			&cli.StringFlag{Name: "name", Usage: "of this `INSTANCE` only"}, &cli.StringFlag{Name: "command", Usage: "of the command with this `ID` only"},
 		},
 		Action: showHistory,
 	}
@@ -57,7 +57,7 @@
 
 func fleetWatchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "watch", Usage: "follow one command to its end, or all that happens until interrupted", ArgsUsage: "[ID]",
+		Name: "watch", Usage: "follow one command until it ends, or all events until interrupted", ArgsUsage: "[ID]",
 		Description: "Examples:\n   milletbarrow fleet watch --fleet fleet.sx\n   milletbarrow fleet watch --fleet fleet.sx wave-20261201T160000-ab12cd34",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action:      watchCommand,
--- a/cmd/milletbarrow/fleet_lifecycle.go
+++ b/cmd/milletbarrow/fleet_lifecycle.go
@@ -10,16 +10,16 @@
 )
 
 var lifecycleUsage = map[fleet.CommandKind]string{
-	fleet.KindStart:   "have instances run, and wait until they are ready",
-	fleet.KindDrain:   "have instances leave in their window, and stay down",
-	fleet.KindStop:    "the same; with --now they are killed, and their callers get no answer",
-	fleet.KindRestart: "have instances leave and come up again, all at once",
+	fleet.KindStart:   "start instances and wait until they are ready",
+	fleet.KindDrain:   "drain instances within their shutdown window; they stay stopped",
+	fleet.KindStop:    "drain instances, or with --now kill them: requests in flight get no answer",
+	fleet.KindRestart: "drain and start instances again, all at once",
 }
 
 func lifecycleCommand(kind fleet.CommandKind) *cli.Command {
 	flags := selectionFlags()
 	if kind == fleet.KindStop {
-		flags = append(flags, &cli.BoolFlag{Name: "now", Usage: "kill at once: what they hold is lost"})
+		flags = append(flags, &cli.BoolFlag{Name: "now", Usage: "kill at once: requests in flight are lost"})
 	}
 	return &cli.Command{
 		Name: string(kind), Usage: lifecycleUsage[kind], ArgsUsage: "[instance ...]", Flags: flags,
--- a/cmd/milletbarrow/fleet_members.go
+++ b/cmd/milletbarrow/fleet_members.go
@@ -10,8 +10,8 @@
 
 func fleetMembersCommand() *cli.Command {
 	return &cli.Command{
-		Name: "members", Usage: "show which agents each agent thinks to be there",
-		Description: "A row an agent that was asked, a column an agent that it judges. Example:\n   milletbarrow fleet members --fleet fleet.sx",
+		Name: "members", Usage: "show which agents each agent considers alive",
+		Description: "There is a row for each agent that was polled and a column for each agent that it judges. Example:\n   milletbarrow fleet members --fleet fleet.sx",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action:      showMembers,
 	}
--- a/cmd/milletbarrow/fleet_quotas.go
+++ b/cmd/milletbarrow/fleet_quotas.go
@@ -16,10 +16,10 @@
 func fleetQuotasCommand() *cli.Command {
 	return &cli.Command{
 		Name: "quotas", Usage: "show who holds how much of the fleet's quotas, or write off a lost holder",
-		Description: "Any agent hands the question on to the one that leads the ledger. Examples:\n   milletbarrow fleet quotas --fleet fleet.sx\n" +
+		Description: "Any agent forwards the request to the leader of the quota store. Examples:\n   milletbarrow fleet quotas --fleet fleet.sx\n" +
 			"   milletbarrow fleet quotas --fleet fleet.sx --write-off n3     (its host is lost for good, its process runs no more)",
 		Flags: []cli.Flag{fleetFlag(), jsonFlag(), &cli.StringFlag{
-			Name: "write-off", Usage: "what this `NAME` holds is in force no more: you have made sure of it",
+			Name: "write-off", Usage: "release the leases of the holder with this `NAME`; its process must not be running",
 		}},
 		Action: showQuotas,
 	}
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -14,25 +14,25 @@
 
 func rollingUpdateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "rolling-update", Usage: "have instances leave and come up again a few at a time, within a budget",
+		Name: "rolling-update", Usage: "restart instances a few at a time, within limits",
 		ArgsUsage: "[instance ...]",
-		Description: "The terms are those of the file; flags replace them one by one.\n\nExamples:\n" +
+		Description: "The limits are those of the fleet's file; each flag replaces one.\n\nExamples:\n" +
 			"   milletbarrow fleet rolling-update --fleet fleet.sx --all --dry-run\n" +
 			"   milletbarrow fleet rolling-update --fleet fleet.sx --group counter --max-unavailable 4 --min-ready-share 0.8 --surge 1\n" +
 			"   milletbarrow fleet resume --fleet fleet.sx ID",
 		Flags: append(selectionFlags(),
-			&cli.IntFlag{Name: "max-unavailable", Usage: "instances out at once"},
-			&cli.IntFlag{Name: "min-ready", Usage: "so many of each group stay ready"},
-			&cli.FloatFlag{Name: "min-ready-share", Usage: "and this share of each group"},
-			&cli.StringFlag{Name: "order", Usage: "file, name or spread (over groups in turn)"},
-			&cli.IntFlag{Name: "surge", Usage: "spares of each group that are ready before the first leaves"},
-			&cli.IntFlag{Name: "max-failures", Usage: "more than so many pause the wave"},
-			&cli.DurationFlag{Name: "ready-within", Usage: "from a start to ready"},
-			&cli.DurationFlag{Name: "stall", Usage: "unable to go on for so long, it pauses"},
-			&cli.FloatFlag{Name: "rejected-share", Usage: "share of invocations throttled or errored that pauses it"},
-			&cli.DurationFlag{Name: "rejected-for", Usage: "if it lasts so long"},
-			&cli.IntFlag{Name: "max-hosts", Usage: "hosts that roll at once, where no budget says how many instances may be out", Value: 1},
-			&cli.StringFlag{Name: "budget", Usage: "a count of the fleet's file: each that is out holds a unit, over all hosts"},
+			&cli.IntFlag{Name: "max-unavailable", Usage: "maximum number of instances restarting at once"},
+			&cli.IntFlag{Name: "min-ready", Usage: "minimum number of ready instances in each group"},
+			&cli.FloatFlag{Name: "min-ready-share", Usage: "minimum share of ready instances in each group"},
+			&cli.StringFlag{Name: "order", Usage: "order of the instances: file, name or spread (alternating between groups)"},
+			&cli.IntFlag{Name: "surge", Usage: "spares of each group that start before its first instance restarts"},
+			&cli.IntFlag{Name: "max-failures", Usage: "number of failures beyond which the update pauses"},
+			&cli.DurationFlag{Name: "ready-within", Usage: "timeout from an instance's start to ready"},
+			&cli.DurationFlag{Name: "stall", Usage: "time without progress after which the update pauses"},
+			&cli.FloatFlag{Name: "rejected-share", Usage: "share of rejected or failed requests that pauses the update"},
+			&cli.DurationFlag{Name: "rejected-for", Usage: "time for which the share has to last"},
+			&cli.IntFlag{Name: "max-hosts", Usage: "hosts that update at once, unless a quota limits the instances over all hosts", Value: 1},
+			&cli.StringFlag{Name: "budget", Usage: "concurrency quota of the fleet's file: each restarting instance holds a unit of it, over all hosts"},
 		),
 		Action: runRollingUpdate,
 	}
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -12,7 +12,7 @@
 
 func fleetStatusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show how every instance stands, and which commands are open",
+		Name: "status", Usage: "show the state of each instance, and the open commands",
 		Description: "Examples:\n   milletbarrow fleet status --fleet fleet.sx\n   milletbarrow fleet status --fleet fleet.sx --json",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action:      showStatus,
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -11,9 +11,9 @@
 )
 
 var steerUsage = map[string]string{
-	"pause":  "have a wave release nothing more",
-	"resume": "have a paused wave go on, its failures forgiven",
-	"cancel": "end a command: what it began comes to its end, the rest stays as it is",
+	"pause":  "pause a rolling update: no further instance restarts",
+	"resume": "resume a paused rolling update and forget its failures",
+	"cancel": "cancel a command: steps in progress are completed, others are not begun",
 }
 
 func steerCommand(verb string) *cli.Command {
--- a/cmd/milletbarrow/limits.go
+++ b/cmd/milletbarrow/limits.go
@@ -13,7 +13,7 @@
 
 func limitsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "limits", Usage: "print the bounds that follow from a configuration", Flags: []cli.Flag{configFlag()},
+		Name: "limits", Usage: "print the limits that follow from a configuration", Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			b, err := readConfiguration(c)
 			if err == nil {
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -21,13 +21,13 @@
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "send a modelled day over sockets to backends on this machine", ArgsUsage: "FILE",
-		Description: "The day is a scenario of an experiment's file. Latency counts from when the day has an invocation. Ends with 3 where an answer\n" +
-			"came twice or nothing succeeded.\nExample:\n   milletbarrow load day.sx --to 127.0.0.1:5050 --to 127.0.0.1:5051",
+		Name: "load", Usage: "send a simulated day over sockets to backends on this machine", ArgsUsage: "FILE",
+		Description: "The day is a scenario of an experiment's file. Latency counts from the scheduled time of a request. The exit code is 3 if an answer\n" +
+			"arrived twice or no request succeeded.\nExample:\n   milletbarrow load day.sx --to 127.0.0.1:5050 --to 127.0.0.1:5051",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "to", Usage: "the `ADDRESS` of a backend; as often as there are", Required: true},
-			&cli.StringFlag{Name: "scenario", Usage: "the first one, if none is named"}, &cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.BoolFlag{Name: "quiet", Usage: "no progress"}, jsonFlag(),
+			&cli.StringSliceFlag{Name: "to", Usage: "the `ADDRESS` of a backend; may be repeated", Required: true},
+			&cli.StringFlag{Name: "scenario", Usage: "default: the first one"}, &cli.Uint64Flag{Name: "seed", Value: 1},
+			&cli.BoolFlag{Name: "quiet", Usage: "do not print progress"}, jsonFlag(),
 		},
 		Action: sendLoad,
 	}
@@ -111,13 +111,13 @@
 
 func fakeCommand() *cli.Command {
 	return &cli.Command{
-		Name: "fake", Usage: "play a system that backends need, on this machine",
+		Name: "fake", Usage: "run a fake of a system that backends need, on this machine",
 		Commands: []*cli.Command{{
-			Name: "executor", Usage: "an executor that really takes time", Description: "Example:\n   milletbarrow fake executor --listen 127.0.0.1:4400 --cores 2 --service-time 20ms",
+			Name: "executor", Usage: "run a fake executor that uses CPU time", Description: "Example:\n   milletbarrow fake executor --listen 127.0.0.1:4400 --cores 2 --service-time 20ms",
 			Flags: []cli.Flag{
 				&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0"}, &cli.IntFlag{Name: "cores", Value: 2}, &cli.FloatFlag{Name: "crowd", Value: 8},
-				&cli.DurationFlag{Name: "service-time", Value: 20 * time.Millisecond, Usage: "core time of a run whose body does not say work=MICROSECONDS"},
-				&cli.DurationFlag{Name: "warm-up", Usage: "a backend started anew finds its cores slow for so long"}, &cli.FloatFlag{Name: "warm-up-share", Value: 0.3},
+				&cli.DurationFlag{Name: "service-time", Value: 20 * time.Millisecond, Usage: "core time of a run whose body has no work=MICROSECONDS"},
+				&cli.DurationFlag{Name: "warm-up", Usage: "time for which the cores of a restarted backend are slow"}, &cli.FloatFlag{Name: "warm-up-share", Value: 0.3},
 			},
 			Action: runFakeExecutor,
 		}},
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -30,7 +30,7 @@
 func newApp() *cli.Command {
 	return &cli.Command{
 		Name:           "milletbarrow",
-		Usage:          "admission and scheduling for backends behind other people's balancers",
+		Usage:          "admission control and scheduling for backends behind other people's load balancers",
 		DefaultCommand: "serve",
 		Commands: []*cli.Command{
 			serveCommand(), checkCommand(), limitsCommand(), versionCommand(),
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -30,23 +30,23 @@
 
 func serveCommand() *cli.Command {
 	return &cli.Command{
-		Name: "serve", Usage: "run a backend until it is told to leave",
+		Name: "serve", Usage: "run a backend until SIGTERM",
 		Description: "Examples:\n   GW_CONFIG=config.json milletbarrow\n" +
 			"   milletbarrow serve --config config.json --log json --admin /run/n3.sock",
 		Flags: []cli.Flag{configFlag(), logFlag(), &cli.StringFlag{
 			Name: "admin", Usage: "serve the state on a Unix `SOCKET`; off by default",
 		}, &cli.StringFlag{
-			Name: "degradation", Usage: "reduce service by the policy in this `FILE`; off by default",
+			Name: "degradation", Usage: "degrade service by the policy in this `FILE`; off by default",
 		}, &cli.StringSliceFlag{
-			Name: "quota", Usage: "draw a tenant's work from a fleet-wide quota, as `BUDGET=TENANT`; off by default",
+			Name: "quota", Usage: "apply a fleet-wide quota to a tenant, as `QUOTA=TENANT`; off by default",
 		}, &cli.StringFlag{
-			Name: "stamps", Usage: "write down in this `DIRECTORY` what is held and drawn of budgets, for an audit",
+			Name: "stamps", Usage: "log leases and use of quotas in this `DIRECTORY`, for an audit",
 			Sources: cli.EnvVars("MILLETBARROW_STAMPS"), Hidden: true,
 		}, &cli.IntFlag{
-			Name: "trial-clock", Usage: "let the clock of leases run faster by so many millionths, as a trial", Hidden: true,
+			Name: "trial-clock", Usage: "run the clock of leases faster by so many parts per million, for tests", Hidden: true,
 			Sources: cli.EnvVars("MILLETBARROW_TRIAL_CLOCK"),
 		}, &cli.BoolFlag{
-			Name: "reports-fixed", Usage: "report to the register without chance or growing pauses, as a baseline", Hidden: true,
+			Name: "reports-fixed", Usage: "send load reports without jitter or backoff, as a baseline", Hidden: true,
 			Sources: cli.EnvVars("MILLETBARROW_REPORTS_FIXED"),
 		}},
 		Action: runServe,
