--- a/internal/backend/dispatch/errors.go
+++ b/internal/backend/dispatch/errors.go
@@ -13,13 +13,13 @@
 
 // UnknownTenantError reports a quota configuration with a tenant that the deployment does not have.
 type UnknownTenantError struct {
-	Configured map[string]string // budget by tenant
-	Known      []string          // the deployment's tenants
+	BudgetByTenant map[string]string // as configured
+	Known          []string          // the deployment's tenants
 }
 
 func (e *UnknownTenantError) Error() string {
 	return fmt.Sprintf("draw: %v has a tenant that the deployment does not have; its tenants are %v",
-		e.Configured, e.Known)
+		e.BudgetByTenant, e.Known)
 }
 
 // PanicError reports a panic of the decision module.
--- a/internal/backend/dispatch/helpers_test.go
+++ b/internal/backend/dispatch/helpers_test.go
@@ -157,9 +157,9 @@
 	}
 	now += 2 * monotime.Second
 	err = d.SetQuotas(QuotaConfig{
-		Holder:  holder,
-		Tenants: map[string]string{d.settings.Tenants[0]: "b"},
-		Clock:   func() monotime.Micros { return now },
+		Holder:         holder,
+		BudgetByTenant: map[string]string{d.settings.Tenants[0]: "b"},
+		Clock:          func() monotime.Micros { return now },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/backend/dispatch/quota.go
+++ b/internal/backend/dispatch/quota.go
@@ -18,11 +18,11 @@
 
 // QuotaConfig assigns the budgets from which tenants acquire units.
 type QuotaConfig struct {
-	Holder       *quota.Holder
-	Tenants      map[string]string      // budget by tenant
-	Clock        func() monotime.Micros // the clock of leases, which goes on while the host is suspended
-	MachineClock func() monotime.Micros // the clock of the log
-	Log          *quotalog.Log          // for an auditor; nil: none
+	Holder         *quota.Holder
+	BudgetByTenant map[string]string      // names; a tenant without a budget needs no units
+	Clock          func() monotime.Micros // the clock of leases, which goes on while the host is suspended
+	MachineClock   func() monotime.Micros // the clock of the log
+	Log            *quotalog.Log          // for an auditor; nil: none
 }
 
 // SetQuotas makes requests acquire units from their tenants' budgets from now on. It returns an *UnknownTenantError
@@ -38,13 +38,13 @@
 	found := 0
 	for i, tenant := range d.settings.Tenants {
 		state.budgetOfTenant[i] = noBudget
-		if budget, ok := cfg.Tenants[tenant]; ok {
+		if budget, ok := cfg.BudgetByTenant[tenant]; ok {
 			state.budgetOfTenant[i] = cfg.Holder.Index(budget)
 			found++
 		}
 	}
-	if found < len(cfg.Tenants) {
-		return &UnknownTenantError{Configured: cfg.Tenants, Known: d.settings.Tenants}
+	if found < len(cfg.BudgetByTenant) {
+		return &UnknownTenantError{BudgetByTenant: cfg.BudgetByTenant, Known: d.settings.Tenants}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/backend/executor/reader.go
+++ b/internal/backend/executor/reader.go
@@ -10,10 +10,11 @@
 // reader reads lines and results from a connection. What its methods return are slices of its buffer, valid until the
 // next call.
 type reader struct {
-	conn     net.Conn
-	buffer   []byte // holds the longest line and the longest result
-	from, to int    // buffer[from:to] has been read and not consumed
-	maxLine  int    // bytes, without CR LF
+	conn    net.Conn
+	buffer  []byte // holds the longest line and the longest result
+	from    int    // buffer[from:to] has been read and not consumed
+	to      int
+	maxLine int // bytes, without CR LF
 }
 
 // newReader returns a reader of lines and results up to these lengths in bytes, without CR LF.
