--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name: "cold-start", Usage: "bring a site up again: what is down starts at the pace that what comes back allows",
 		ArgsUsage: "[instance ...]",
-		Description: "What serves stays as it is. The least of each group comes first; terms are those of (rise ...) in the file. Given again with the\n" +
+		Description: "What serves stays as it is. The required minimum of each group starts first; limits are those of (cold-start ...) in the file. Given again with the\n" +
 			"same --id it joins what goes on, whichever tool began it.\n\nExamples:\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --dry-run\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all\n" +
@@ -38,7 +38,7 @@
 		return err
 	}
 	if client.Spec.ColdStart == nil {
-		return usagef("%s: has no (rise (budget COUNT))", c.String("fleet"))
+		return usagef("%s: has no (cold-start (quota COUNT))", c.String("fleet"))
 	}
 	all, err := selectInstances(c, client)
 	if err != nil {
@@ -59,7 +59,9 @@
 	}
 	r.Config = client.Spec.ColdStart
 	for _, in := range all {
-		r.Members = append(r.Members, coldstart.Member{Name: in.Name, Group: in.Group, Host: in.Host})
+		r.Members = append(r.Members, coldstart.Member{
+			Name: coldstart.MemberName(in.Name), Group: coldstart.GroupName(in.Group), Host: in.Host,
+		})
 	}
 	if c.Bool("dry-run") {
 		return previewColdStart(c, &r)
@@ -99,7 +101,7 @@
 		if i < s.Essential {
 			word = "the least of its group"
 		}
-		rows = append(rows, []string{strconv.Itoa(i + 1), m.Name, m.Host, m.Group, word})
+		rows = append(rows, []string{strconv.Itoa(i + 1), string(m.Name), m.Host, string(m.Group), word})
 	}
 	printTable(rows)
 	fmt.Printf("%d at once to begin with, %d at the most; those that are up stay so\nnothing was done\n", r.Config.InitialConcurrent, r.Config.MaxConcurrent)
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -55,6 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
+	warnings := formerSpecNames.Update(file, nodes)
 	errs := &sexpr.Errors{File: file}
 	forms := sexpr.Forms(nodes, errs)
 	if len(forms) != 1 || forms[0].Name != "fleet" {
@@ -66,6 +67,7 @@
 		Name:          form.Arg(),
 		Program:       form.Words("program"),
 		RollingUpdate: DefaultRollingUpdate(),
+		Warnings:      warnings,
 		instances:     map[string]*InstanceSpec{},
 	}
 	r := &specReader{Spec: spec, errs: errs}
@@ -74,30 +76,30 @@
 		r.readGroup(group, filepath.Dir(file))
 	}
 	r.checkInstanceCounts(form, bounds.Instances)
-	if update := form.Field("wave"); update != nil {
-		r.RollingUpdateQuota = update.Text("budget", "")
+	if update := form.Field("rolling-update"); update != nil {
+		r.RollingUpdateQuota = update.Text("quota", "")
 		r.RollingUpdate = readRollingUpdate(update, r.RollingUpdate)
 	}
-	if quotas := form.Field("budgets"); quotas != nil {
+	if quotas := form.Field("quotas"); quotas != nil {
 		r.readQuotas(quotas)
 	}
-	if coldStart := form.Field("rise"); coldStart != nil {
+	if coldStart := form.Field("cold-start"); coldStart != nil {
 		r.readColdStart(coldStart)
 	}
 	if r.RollingUpdateQuota != "" && !r.hasConcurrencyQuota(r.RollingUpdateQuota) {
-		form.Fail("wave", "this file has no budget %q with a count", r.RollingUpdateQuota)
+		form.Fail("rolling-update", "this file has no quota %q with a count", r.RollingUpdateQuota)
 	}
 	form.Done()
 	return spec, r.err()
 }
 
 // readHosts reads the (host ...) forms.
-func (r *specReader) readHosts(f *sexpr.Form) {
-	for _, form := range f.All("host") {
-		r.readHost(form)
+func (r *specReader) readHosts(form *sexpr.Form) {
+	for _, hostForm := range form.All("host") {
+		r.readHost(hostForm)
 	}
 	if len(r.Hosts) == 0 {
-		f.Fail("", "found no host, wanted at least one")
+		form.Fail("", "found no host, wanted at least one")
 	}
 }
 
@@ -124,24 +126,24 @@
 }
 
 // checkInstanceCounts reports a fleet without instances, and hosts with more instances than one agent can manage.
-func (r *specReader) checkInstanceCounts(f *sexpr.Form, maxInstances int) {
+func (r *specReader) checkInstanceCounts(form *sexpr.Form, maxInstances int) {
 	if len(r.instances) == 0 {
-		f.Fail("", "found no instance, wanted at least one")
+		form.Fail("", "found no instance, wanted at least one")
 	}
 	r.attribute(SpecSubject{})
 	for _, host := range r.Hosts {
 		if n := len(r.InstancesOn(host.Name)); n > maxInstances {
-			f.Fail("", "host %q has %d instances, one agent manages at most %d", host.Name, n, maxInstances)
+			form.Fail("", "host %q has %d instances, one agent manages at most %d", host.Name, n, maxInstances)
 			r.attribute(SpecSubject{Host: host.Name})
 		}
 	}
 }
 
-// readName reads a form's only word as a name, which stands in file names, paths and lines of words.
-func readName(f *sexpr.Form) string {
-	name := f.Arg()
+// readName reads a form's only word as a name.
+func readName(form *sexpr.Form) string {
+	name := form.Arg()
 	if err := CheckName(name); err != nil {
-		f.Fail("", "%v", err)
+		form.Fail("", "%v", err)
 	}
 	return name
 }
