--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -17,7 +17,7 @@
 
 const (
 	repositoryRoot = "../.."
-	eventsPage     = "docs/oncall.md"
+	eventsPage     = "docs/log-events.md"
 	eventsHeading  = "### Log events"
 )
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestEventsTable checks that the table of log events in docs/oncall.md names each event that the program writes, with
+// TestEventsTable checks that the table of log events in docs/log-events.md names each event that the program writes, with
 // its level and all its fields, and none that it does not write.
 func TestEventsTable(t *testing.T) {
 	allWritten := eventsOfSource(t)
