--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -13,8 +13,8 @@
 func experimentCommand() *cli.Command {
 	return &cli.Command{
 		Name: "experiment", Usage: "try designs on modelled fleets: run, compare and plot experiments",
-		Description: "Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording\n" +
-			"   milletbarrow experiment compare docs/studies/wording.sx --dir /tmp/wording pool milletbarrow",
+		Description: "Example:\n   milletbarrow experiment run docs/studies/deaf.sx --dir /tmp/deaf\n" +
+			"   milletbarrow experiment compare docs/studies/deaf.sx --dir /tmp/deaf pool milletbarrow",
 		Commands: []*cli.Command{
 			experimentCheckCommand(), experimentRunCommand(), experimentCompareCommand(), experimentPlotCommand(), experimentReplayCommand(), experimentPoliciesCommand(), experimentValidateCommand(), experimentBenchmarkCommand(), experimentColdStartCommand(),
 		},
--- a/cmd/milletbarrow/experiment_check.go
+++ b/cmd/milletbarrow/experiment_check.go
@@ -12,7 +12,7 @@
 func experimentCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name: "check", Usage: "read an experiment and tell what it would run", ArgsUsage: "FILE",
-		Description: "Example:\n   milletbarrow experiment check docs/studies/wording.sx", Flags: []cli.Flag{jsonFlag(), overFlag()},
+		Description: "Example:\n   milletbarrow experiment check docs/studies/deaf.sx", Flags: []cli.Flag{jsonFlag(), overFlag()},
 		Action: checkExperiment,
 	}
 }
--- a/cmd/milletbarrow/experiment_compare.go
+++ b/cmd/milletbarrow/experiment_compare.go
@@ -13,7 +13,7 @@
 	return &cli.Command{
 		Name: "compare", Usage: "the paired difference of two policies, with its interval", ArgsUsage: "FILE A B",
 		Description: "Days are paired by seed; the interval holds with a confidence of 0.95.\n" +
-			"Example:\n   milletbarrow experiment compare docs/studies/wording.sx --dir /tmp/wording --measure pay-post.value pool milletbarrow",
+			"Example:\n   milletbarrow experiment compare docs/studies/deaf.sx --dir /tmp/deaf --measure pay-post.value pool milletbarrow",
 		Flags:  []cli.Flag{dirFlag(), overFlag(), measureFlag(), jsonFlag()},
 		Action: comparePolicies,
 	}
--- a/cmd/milletbarrow/experiment_plot.go
+++ b/cmd/milletbarrow/experiment_plot.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name: "plot", Usage: "draw an experiment's results", ArgsUsage: "FILE",
 		Description: "What: sweep (the figure over what is swept), time, operations, tenants, latency, heat (of one policy).\n" +
-			"Example:\n   milletbarrow experiment plot docs/studies/wording.sx --dir /tmp/wording --what sweep --to wording.svg",
+			"Example:\n   milletbarrow experiment plot docs/studies/deaf.sx --dir /tmp/deaf --what sweep --to deaf.svg",
 		Flags: []cli.Flag{
 			dirFlag(), overFlag(), measureFlag(),
 			&cli.StringFlag{Name: "what", Value: "sweep"}, &cli.StringFlag{Name: "to", Usage: "a `FILE` that ends in .svg or .png", Required: true},
--- a/cmd/milletbarrow/experiment_replay.go
+++ b/cmd/milletbarrow/experiment_replay.go
@@ -15,7 +15,7 @@
 func experimentReplayCommand() *cli.Command {
 	return &cli.Command{
 		Name: "replay", Usage: "play one day again and tell one invocation's or one host's course", ArgsUsage: "FILE",
-		Description: "Example:\n   milletbarrow experiment replay docs/studies/wording.sx --policy milletbarrow --seed 3 --invocation 1200",
+		Description: "Example:\n   milletbarrow experiment replay docs/studies/deaf.sx --policy milletbarrow --seed 3 --invocation 1200",
 		Flags: []cli.Flag{
 			overFlag(), &cli.StringFlag{Name: "scenario"}, &cli.StringFlag{Name: "policy"}, &cli.Uint64Flag{Name: "seed"},
 			&cli.Uint64Flag{Name: "invocation", Usage: "its `NUMBER` in the day, from 1"}, &cli.IntFlag{Name: "host", Value: -1},
--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name: "run", Aliases: []string{"sweep"}, Usage: "play an experiment; what was interrupted goes on with the same call", ArgsUsage: "FILE",
 		Description: "Each run is kept in the place as soon as it ends. Ends with 3 where a rule was broken by the module.\n" +
-			"Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording --over nodes.deaf=0,0.5,1",
+			"Example:\n   milletbarrow experiment run docs/studies/deaf.sx --dir /tmp/deaf --over nodes.deaf=0,0.5,1",
 		Flags: []cli.Flag{
 			dirFlag(), overFlag(), jsonFlag(),
 			&cli.IntFlag{Name: "cores", Usage: "runs at once", Value: runtime.NumCPU()},
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -20,7 +20,7 @@
 	failpoint := &cli.StringFlag{Name: "failpoint", Aliases: []string{"plant"}, Usage: "a `FAULT` of the program itself, where it was built with -tags failpoint", Hidden: true}
 	return &cli.Command{
 		Name: "faults", Usage: "run agents, supervisors and backends of this program while parts of them fail, and check the outcome",
-		Description: "Real processes on this machine, links between them, a schedule of faults. docs/trial.md says how to read it. Exit codes:\n" +
+		Description: "Real processes on this machine, links between them, a schedule of faults. docs/fault-injection.md says how to read it. Exit codes:\n" +
 			"0 all held, 1 an error, 2 a file or word can't be used, 3 something did not hold.",
 		Commands: []*cli.Command{
 			{
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -10,7 +10,7 @@
 	CrashDirVariable = "MILLETBARROW_CRASH_POINTS" // the directory in which files name the points to crash at
 )
 
-// Faults. See docs/budget-design.md for what finds each of them.
+// Faults. See docs/quota-design.md for what finds each of them.
 const (
 	NoClockMargin      = "margin" // a lease is over without its margin for clocks that run apart
 	EarlyExpiry        = "early"  // a lease is over after half of its time
