--- a/cmd/milletbarrow/experiment_plot.go
+++ b/cmd/milletbarrow/experiment_plot.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name: "plot", Usage: "plot the results of an experiment", ArgsUsage: "FILE",
 		Description: "Plots: sweep (the measure by swept value), time, operations, tenants, latency, heat (of one policy).\n" +
-			"Example:\n   milletbarrow experiment plot docs/studies/wording.sx --dir /tmp/wording --what sweep --to wording.svg",
+			"Example:\n   milletbarrow experiment plot docs/studies/deaf.sx --dir /tmp/deaf --what sweep --to deaf.svg",
 		Flags: []cli.Flag{
 			dirFlag(), overFlag(), measureFlag(),
 			&cli.StringFlag{Name: "what", Value: "sweep"}, &cli.StringFlag{Name: "to", Usage: "plot to a `FILE` (.svg or .png)", Required: true},
--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -21,7 +21,7 @@
 	return &cli.Command{
 		Name: "run", Aliases: []string{"sweep"}, Usage: "run an experiment; the same call resumes one that was interrupted", ArgsUsage: "FILE",
 		Description: "Each result is stored as soon as its run ends. The exit code is 3 if the module broke a rule.\n" +
-			"Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording --over nodes.deaf=0,0.5,1",
+			"Example:\n   milletbarrow experiment run docs/studies/deaf.sx --dir /tmp/deaf --over nodes.deaf=0,0.5,1",
 		Flags: []cli.Flag{
 			dirFlag(), overFlag(), jsonFlag(),
 			&cli.IntFlag{Name: "cores", Usage: "concurrent runs", Value: runtime.NumCPU()},
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -20,7 +20,7 @@
 	failpoint := &cli.StringFlag{Name: "failpoint", Aliases: []string{"plant"}, Usage: "a `FAULT` of the program itself, where it was built with -tags failpoint", Hidden: true}
 	return &cli.Command{
 		Name: "faults", Usage: "run real agents, supervisors and backends under injected faults, and check the outcome",
-		Description: "Faults are injected into processes on this machine and the links between them; see docs/trial.md. Exit codes:\n" +
+		Description: "Faults are injected into processes on this machine and the links between them; see docs/fault-injection.md. Exit codes:\n" +
 			"0 all checks passed, 1 error, 2 invalid file or argument, 3 a check failed.",
 		Commands: []*cli.Command{
 			{
