--- a/internal/fleetclient/client.go
+++ b/internal/fleetclient/client.go
@@ -1,6 +1,6 @@
-// Package fleetclient runs fleet commands over many agents: it sends them, follows them, takes rolling updates from host
-// to host, and sums up their results. It decides by package fleet and speaks by package agentapi; it holds no state
-// beyond one command line.
+// Package fleetclient runs fleet commands on many agents: it submits commands, follows their progress, coordinates
+// rolling updates across hosts and aggregates the results. Package fleet makes the decisions and package agentapi makes
+// the calls. The package keeps no state after a command line ends.
 package fleetclient
 
 import (
@@ -19,131 +19,154 @@
 
 // Client calls the agents of a fleet. Its methods may be called concurrently.
 type Client struct {
-	Spec     *fleet.Spec
-	Caller   *agentapi.ClientFactory // makes the agents' clients, with one retry budget for all
-	Bounds   limits.Control
-	Operator string // who asks, for the agents' history
-	// OnProgress takes the events of the commands that are followed; may be nil. It is called by one goroutine at a time.
-	OnProgress func(host string, e agentapi.StreamEvent)
+	// Spec describes the fleet: its hosts, instances and agents' addresses.
+	Spec *fleet.Spec
+	// Caller creates the agents' clients, which share one retry budget.
+	Caller *agentapi.ClientFactory
+	// Bounds holds the timeouts and the concurrency limit of the calls.
+	Bounds limits.Control
+	// Operator is the name of the requester in the agents' history.
+	Operator string
+	// OnProgress receives the events of followed commands. Calls do not overlap. Nil drops the events.
+	OnProgress func(host string, event agentapi.StreamEvent)
 
-	progressMu sync.Mutex // held while OnProgress runs
+	// progressMu serializes the calls of OnProgress.
+	progressMu sync.Mutex
 }
 
-// NewID returns an id for a command: its kind, the time, and 32 random bits so that two clients do not meet.
+// idRandomBytes is the number of random bytes in a command id, which keep the ids of concurrent clients distinct.
+const idRandomBytes = 4
+
+// NewID returns a command id that consists of the kind, the time in UTC and random bytes in hexadecimal.
 func NewID(kind fleet.CommandKind, now time.Time) string {
-	var random [4]byte
+	var random [idRandomBytes]byte
 	_, _ = rand.Read(random[:]) // never fails
 	return fmt.Sprintf("%s-%s-%s", kind, now.UTC().Format("20060102T150405"), hex.EncodeToString(random[:]))
 }
 
-// ByHost groups instances by their hosts; hosts are in the file's order.
-func (c *Client) ByHost(all []*fleet.InstanceSpec) (hosts []string, names map[string][]string) {
-	names = map[string][]string{}
-	for _, instance := range all {
-		names[instance.Host] = append(names[instance.Host], instance.Name)
+// ByHost groups instances by host. It returns the hosts that have any of them, in the order of the fleet file, and the
+// instance names of each host.
+func (c *Client) ByHost(instances []*fleet.InstanceSpec) (hosts []string, namesByHost map[string][]string) {
+	namesByHost = map[string][]string{}
+	for _, instance := range instances {
+		namesByHost[instance.Host] = append(namesByHost[instance.Host], instance.Name)
 	}
-	for _, h := range c.Spec.Hosts {
-		if len(names[h.Name]) > 0 {
-			hosts = append(hosts, h.Name)
+	for _, host := range c.Spec.Hosts {
+		if len(namesByHost[host.Name]) > 0 {
+			hosts = append(hosts, host.Name)
 		}
 	}
-	return hosts, names
+	return hosts, namesByHost
 }
 
-// agent returns a client for a host's agent, to be closed.
+// agent returns a client of a host's agent. The caller closes it.
 func (c *Client) agent(host string) *agentapi.Client {
 	return c.Caller.Client(c.Spec.Host(host).AgentAddress)
 }
 
-// Execute sends a command to every host that has some of the instances and, if wait is set, follows it to its end
-// everywhere. ctx bounds it all.
-func (c *Client) Execute(ctx context.Context, request agentapi.CommandRequest, all []*fleet.InstanceSpec, wait bool) *Report {
-	hosts, names := c.ByHost(all)
-	r := &Report{ID: request.ID, Kind: request.Kind}
-	r.Hosts, _ = agentapi.FanOut(ctx, c.Bounds, hosts, func(ctx context.Context, host string) (HostReport, error) {
-		part := request
-		part.Instances = names[host]
-		return c.executeAt(ctx, host, part, wait), nil
+// Execute submits a command to every host that has any of the instances. If wait is set, it follows the command until
+// every host completes or pauses it, or until ctx ends.
+func (c *Client) Execute(
+	ctx context.Context, request agentapi.CommandRequest, instances []*fleet.InstanceSpec, wait bool,
+) *Report {
+	hosts, namesByHost := c.ByHost(instances)
+	report := &Report{ID: request.ID, Kind: request.Kind}
+	report.Hosts, _ = agentapi.FanOut(ctx, c.Bounds, hosts, func(ctx context.Context, host string) (HostReport, error) {
+		hostRequest := request
+		hostRequest.Instances = namesByHost[host]
+		return c.executeAt(ctx, host, hostRequest, wait), nil
 	})
-	r.count()
-	return r
+	report.count()
+	return report
 }
 
-// executeAt sends a command to one host and, if wait is set, follows it.
+// executeAt submits a command to one host and, if wait is set, follows it.
 func (c *Client) executeAt(ctx context.Context, host string, request agentapi.CommandRequest, wait bool) HostReport {
 	agent := c.agent(host)
 	defer agent.Close()
+	// The event stream begins after the last history entry that precedes the command.
 	serial := uint64(0)
-	if status, err := agent.Status(ctx); err == nil { // so that the stream begins where the command does
+	if status, err := agent.Status(ctx); err == nil {
 		serial = status.LastSerial
 	}
 	command, err := agent.Submit(ctx, request)
 	if err != nil {
 		return failedReport(host, err)
 	}
-	h := HostReport{Host: host, Command: command, Reached: true}
+	report := HostReport{Host: host, Command: command, Reached: true}
 	if wait && command.State != fleet.CommandDone {
-		c.follow(ctx, agent, &h, request.ID, serial)
+		c.follow(ctx, agent, &report, request.ID, serial)
 	}
-	return h
+	return report
 }
 
-// follow stays with a command until it ends or pauses by itself, and records how it stands then.
-func (c *Client) follow(ctx context.Context, agent *agentapi.Client, h *HostReport, id string, after uint64) {
-	err := agent.Follow(ctx, id, after, func(e agentapi.StreamEvent) bool {
-		c.progress(h.Host, e)
-		if e.Command != nil {
-			h.Command = e.Command
+// finalQueryCallTimeouts is the time limit of the last query of a command's state, in units of
+// limits.Control.CallTimeout.
+const finalQueryCallTimeouts = 2
+
+// follow waits until a command completes or pauses without a request, or until ctx ends. It records the command's last
+// state in the report.
+func (c *Client) follow(ctx context.Context, agent *agentapi.Client, report *HostReport, id string, after uint64) {
+	followErr := agent.Follow(ctx, id, after, func(event agentapi.StreamEvent) bool {
+		c.progress(report.Host, event)
+		if event.Command != nil {
+			report.Command = event.Command
 		}
-		return !pausedByItself(e)
+		return !isAutomaticPause(event)
 	})
-	if h.Command != nil && h.Command.State == fleet.CommandDone {
+	if report.Command != nil && report.Command.State == fleet.CommandDone {
 		return
 	}
-	// The stream ended first: ask how the command stands, also where the time has run out.
-	ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*c.Bounds.CallTimeout)
+	// The stream ended before the command did. The query outlives ctx, so that a report after a timeout is up to date.
+	queryCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalQueryCallTimeouts*c.Bounds.CallTimeout)
 	defer cancel()
-	command, errAsk := agent.Command(ask, id)
-	if errAsk != nil {
-		h.Reached, h.Error = false, errors.Join(err, errAsk).Error()
+	command, queryErr := agent.Command(queryCtx, id)
+	if queryErr != nil {
+		report.Reached = false
+		report.Error = errors.Join(followErr, queryErr).Error()
 		return
 	}
-	h.Command = command
+	report.Command = command
 }
 
-// pausedByItself reports whether a rolling update waits for a person: nobody should wait with it unseen.
-func pausedByItself(e agentapi.StreamEvent) bool { return e.Entry != nil && e.Entry.Event == "pause" }
+// isAutomaticPause reports whether an event says that a rolling update paused itself and needs an operator.
+func isAutomaticPause(event agentapi.StreamEvent) bool {
+	return event.Entry != nil && event.Entry.Event == "pause"
+}
 
-func (c *Client) progress(host string, e agentapi.StreamEvent) {
+// progress passes an event to OnProgress.
+func (c *Client) progress(host string, event agentapi.StreamEvent) {
 	if c.OnProgress == nil {
 		return
 	}
 	c.progressMu.Lock()
 	defer c.progressMu.Unlock()
-	c.OnProgress(host, e)
+	c.OnProgress(host, event)
 }
 
-// Watch follows one command at one host to its end, or, if id is empty, all that happens there until ctx ends.
+// Watch follows one command on one host until it ends or pauses. If id is empty, Watch follows all events of the host
+// until ctx ends.
 func (c *Client) Watch(ctx context.Context, host, id string) HostReport {
 	agent := c.agent(host)
 	defer agent.Close()
-	h := HostReport{Host: host, Reached: true}
+	report := HostReport{Host: host, Reached: true}
 	if id != "" {
 		command, err := agent.Command(ctx, id)
 		if err != nil {
 			return failedReport(host, err)
 		}
-		h.Command = command
-		c.follow(ctx, agent, &h, id, 0)
-		return h
+		report.Command = command
+		c.follow(ctx, agent, &report, id, 0)
+		return report
 	}
 	status, err := agent.Status(ctx)
 	if err != nil {
 		return failedReport(host, err)
 	}
-	_ = agent.Follow(ctx, "", status.LastSerial, func(e agentapi.StreamEvent) bool { // it ends with ctx
-		c.progress(host, e)
+	// The only error is the end of ctx, which is how a caller ends a watch.
+	_ = agent.Follow(ctx, "", status.LastSerial, func(event agentapi.StreamEvent) bool {
+		c.progress(host, event)
 		return true
 	})
-	return h
+	return report
 }
--- a/internal/fleetclient/queries.go
+++ b/internal/fleetclient/queries.go
@@ -9,55 +9,63 @@
 	"milletbarrow/internal/fleet"
 )
 
-// HostStatus is an agent's state, or why there is none.
+// HostStatus is the status of one host's agent, or the error of the query.
 type HostStatus struct {
 	Host   string           `json:"host"`
 	Error  string           `json:"error,omitempty"`
 	Status *agentapi.Status `json:"status,omitempty"`
 }
 
-// Status asks all hosts; one that gives no answer is in the list with its error.
+// Status queries the agents of all hosts. A host whose query fails is in the list with its error.
 func (c *Client) Status(ctx context.Context) []HostStatus {
-	all, _ := agentapi.FanOut(ctx, c.Bounds, c.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostStatus, error) {
-		agent := c.agent(h.Name)
+	query := func(ctx context.Context, host fleet.HostSpec) (HostStatus, error) {
+		agent := c.agent(host.Name)
 		defer agent.Close()
-		s, err := agent.Status(ctx)
+		status, err := agent.Status(ctx)
 		if err != nil {
-			return HostStatus{Host: h.Name, Error: err.Error()}, nil
+			return HostStatus{Host: host.Name, Error: err.Error()}, nil
 		}
-		return HostStatus{Host: h.Name, Status: &s}, nil
-	})
-	return all
+		return HostStatus{Host: host.Name, Status: &status}, nil
+	}
+	statuses, _ := agentapi.FanOut(ctx, c.Bounds, c.Spec.Hosts, query)
+	return statuses
 }
 
-// Entry is a line of history with its host.
+// Entry is an entry of one host's history.
 type Entry struct {
 	Host string `json:"host"`
 	agentapi.StreamEvent
 }
 
-// History returns the latest entries of all hosts' histories that keep selects, at most so many, in the order of their
-// wall clocks, which may differ between hosts. Hosts that gave no answer are in missing with their error.
-func (c *Client) History(ctx context.Context, most int, keep func(Entry) bool) (all []Entry, missing map[string]string) {
-	missing = map[string]string{}
-	parts, errs := agentapi.FanOut(ctx, c.Bounds, c.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) ([]Entry, error) {
-		agent := c.agent(h.Name)
+// History returns the latest entries of all hosts' histories for which keep returns true, at most limit of them, in the
+// order of their wall-clock times, which may differ between hosts. It returns the errors of failed queries by host.
+func (c *Client) History(
+	ctx context.Context, limit int, keep func(Entry) bool,
+) (entries []Entry, errorsByHost map[string]string) {
+	query := func(ctx context.Context, host fleet.HostSpec) ([]Entry, error) {
+		agent := c.agent(host.Name)
 		defer agent.Close()
-		lines, err := agent.History(ctx, 0, most)
-		var part []Entry
-		for _, e := range lines {
-			if entry := (Entry{h.Name, agentapi.StreamEvent{Entry: &e, Serial: e.Serial}}); keep(entry) {
-				part = append(part, entry)
+		history, err := agent.History(ctx, 0, limit)
+		var kept []Entry
+		for _, event := range history {
+			entry := Entry{
+				Host:        host.Name,
+				StreamEvent: agentapi.StreamEvent{Entry: &event, Serial: event.Serial},
+			}
+			if keep(entry) {
+				kept = append(kept, entry)
 			}
 		}
-		return part, err
-	})
-	for i, h := range c.Spec.Hosts {
+		return kept, err
+	}
+	histories, errs := agentapi.FanOut(ctx, c.Bounds, c.Spec.Hosts, query)
+	errorsByHost = map[string]string{}
+	for i, host := range c.Spec.Hosts {
 		if errs[i] != nil {
-			missing[h.Name] = errs[i].Error()
+			errorsByHost[host.Name] = errs[i].Error()
 		}
-		all = append(all, parts[i]...)
+		entries = append(entries, histories[i]...)
 	}
-	slices.SortStableFunc(all, func(a, b Entry) int { return cmp.Compare(a.Entry.UnixMicros, b.Entry.UnixMicros) })
-	return all[max(0, len(all)-most):], missing
+	slices.SortStableFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Entry.UnixMicros, b.Entry.UnixMicros) })
+	return entries[max(0, len(entries)-limit):], errorsByHost
 }
--- a/internal/fleetclient/quotas.go
+++ b/internal/fleetclient/quotas.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/cluster/membership"
@@ -10,7 +11,7 @@
 	"milletbarrow/internal/fleet"
 )
 
-// HostError reports an agent that gave no answer that counts.
+// HostError reports a call to one host's agent that failed without a decision of the quota leader.
 type HostError struct {
 	Host string
 	Err  error
@@ -21,59 +22,67 @@
 // Unwrap returns the cause.
 func (e *HostError) Unwrap() error { return e.Err }
 
-// askAny asks one agent after the other until one answers; they all forward to the same leader. An answer of a 4xx
-// status is one; else the error joins a *HostError for each.
-func (c *Client) askAny(ask func(*agentapi.Client) error) error {
+// callAny calls the agents in turn until one succeeds or rejects the call with a 4xx status: every agent forwards the
+// call to the same quota leader. If no agent does, the error joins a *HostError for each host.
+func (c *Client) callAny(call func(*agentapi.Client) error) error {
 	var errs []error
-	for _, h := range c.Spec.Hosts {
-		agent := c.agent(h.Name)
-		err := ask(agent)
+	for _, host := range c.Spec.Hosts {
+		agent := c.agent(host.Name)
+		err := call(agent)
 		agent.Close()
-		if r, no := errors.AsType[*agentapi.StatusError](err); err == nil || no && r.Status/100 == 4 {
+		if err == nil || isRejection(err) {
 			return err
 		}
-		errs = append(errs, &HostError{Host: h.Name, Err: err})
+		errs = append(errs, &HostError{Host: host.Name, Err: err})
 	}
 	return errors.Join(errs...)
 }
 
-// Budgets returns how the fleet's quotas stand.
-func (c *Client) Budgets(ctx context.Context) (b agentapi.Budgets, err error) {
-	err = c.askAny(func(agent *agentapi.Client) error {
+// isRejection reports whether an error is a response with a 4xx status.
+func isRejection(err error) bool {
+	response, ok := errors.AsType[*agentapi.StatusError](err)
+	return ok && response.Status >= http.StatusBadRequest && response.Status < http.StatusInternalServerError
+}
+
+// Budgets returns the state of the fleet's quotas.
+func (c *Client) Budgets(ctx context.Context) (agentapi.Budgets, error) {
+	var budgets agentapi.Budgets
+	err := c.callAny(func(agent *agentapi.Client) error {
 		var err error
-		b, err = agent.Budgets(ctx)
+		budgets, err = agent.Budgets(ctx)
 		return err
 	})
-	return b, err
+	return budgets, err
 }
 
-// WriteOff declares that what a holder has of the quotas is in force no more.
+// WriteOff declares that a holder no longer uses any of its quota leases and permits.
 func (c *Client) WriteOff(ctx context.Context, name string) error {
-	return c.askAny(func(agent *agentapi.Client) error { return agent.WriteOff(ctx, name, c.Operator) })
+	return c.callAny(func(agent *agentapi.Client) error { return agent.WriteOff(ctx, name, c.Operator) })
 }
 
-// ColdStart begins a cold start at the quota leader, or resumes or ends one.
-func (c *Client) ColdStart(ctx context.Context, r quota.ColdStartCommand) error {
-	return c.askAny(func(agent *agentapi.Client) error { return agent.ColdStart(ctx, r) })
+// ColdStart sends a command that starts, resumes or ends a cold start to the quota leader.
+func (c *Client) ColdStart(ctx context.Context, command quota.ColdStartCommand) error {
+	return c.callAny(func(agent *agentapi.Client) error { return agent.ColdStart(ctx, command) })
 }
 
-// HostMembers is one agent's view of the members, or why there is none.
+// HostMembers is one agent's view of the cluster members, or the error of the query.
 type HostMembers struct {
 	Host  string              `json:"host"`
 	Error string              `json:"error,omitempty"`
 	Seen  []membership.Member `json:"seen,omitempty"`
 }
 
-// Members asks every agent which members it sees.
+// Members queries every agent's view of the cluster members. A host whose query fails is in the list with its error.
 func (c *Client) Members(ctx context.Context) []HostMembers {
-	all, _ := agentapi.FanOut(ctx, c.Bounds, c.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (HostMembers, error) {
-		agent := c.agent(h.Name)
+	query := func(ctx context.Context, host fleet.HostSpec) (HostMembers, error) {
+		agent := c.agent(host.Name)
 		defer agent.Close()
 		seen, err := agent.Members(ctx)
 		if err != nil {
-			return HostMembers{Host: h.Name, Error: err.Error()}, nil
+			return HostMembers{Host: host.Name, Error: err.Error()}, nil
 		}
-		return HostMembers{Host: h.Name, Seen: seen}, nil
-	})
-	return all
+		return HostMembers{Host: host.Name, Seen: seen}, nil
+	}
+	members, _ := agentapi.FanOut(ctx, c.Bounds, c.Spec.Hosts, query)
+	return members
 }
--- a/internal/fleetclient/report.go
+++ b/internal/fleetclient/report.go
@@ -8,48 +8,58 @@
 	"milletbarrow/internal/fleet"
 )
 
-// HostReport is what came of a command at one agent.
+// HostReport is the result of a command on one host.
 type HostReport struct {
-	Host     string         `json:"host"`
-	Command  *fleet.Command `json:"command,omitempty"`
-	Error    string         `json:"error,omitempty"`
-	Reached  bool           `json:"reached"`
-	Rejected bool           `json:"refused,omitempty"` // the agent did not take it
-	Unknown  bool           `json:"-"`                 // the agent has no such command
+	Host string `json:"host"`
+	// Command is the last known state of the command; nil if the agent has not accepted it.
+	Command *fleet.Command `json:"command,omitempty"`
+	// Error is the reason why the command was rejected or the host not reached; empty if there is none.
+	Error string `json:"error,omitempty"`
+	// Reached is set if the agent answered.
+	Reached bool `json:"reached"`
+	// Rejected is set if the agent did not accept the command.
+	Rejected bool `json:"refused,omitempty"`
+	// Unknown is set if the agent has no command with this id.
+	Unknown bool `json:"-"`
 }
 
-// Report is what came of a command.
+// Report is the result of a command on all of its hosts.
 type Report struct {
-	ID     string                `json:"id"`
-	Kind   fleet.CommandKind     `json:"kind"`
-	Hosts  []HostReport          `json:"hosts"`
+	ID   string            `json:"id"`
+	Kind fleet.CommandKind `json:"kind"`
+	// Hosts are in the order of the fleet file.
+	Hosts []HostReport `json:"hosts"`
+	// Counts is the number of instances with each outcome.
 	Counts map[fleet.Outcome]int `json:"counts"`
-	Open   int                   `json:"open"` // instances without a result
-	Reason string                `json:"why,omitempty"`
+	// Open is the number of instances without an outcome.
+	Open int `json:"open"`
+	// Reason says why the command stopped before all hosts had begun or completed it; empty if it did not.
+	Reason string `json:"why,omitempty"`
 }
 
-// Verdict is how a report is to be read, worst first.
+// Verdict classifies a report. A greater verdict is worse.
 type Verdict int
 
 // The verdicts; docs/fleet.md gives the exit code of each.
 const (
-	VerdictSucceeded   Verdict = iota
-	VerdictPartial             // some came out other than asked for, or a host did not take the command
-	VerdictTimedOut            // the time ran out
-	VerdictUnreachable         // an agent could not be reached: what became of its instances is not known
+	VerdictSucceeded   Verdict = iota // every instance has the requested outcome or was skipped
+	VerdictPartial                    // an instance has another outcome, a host rejected the command, or it is paused
+	VerdictTimedOut                   // an instance timed out or has no outcome
+	VerdictUnreachable                // an agent could not be reached, so the state of its instances is unknown
 )
 
-// Verdict returns the worst verdict that a host or an instance stands for.
+// Verdict returns the worst verdict of all hosts and instances.
 func (r *Report) Verdict() Verdict {
 	verdict := VerdictSucceeded
-	paused := r.Reason != "" // it waits for a person: no time has run out
+	// A command that stopped or paused needs an operator; its open instances have not timed out.
+	paused := r.Reason != ""
 	for i := range r.Hosts {
-		h := &r.Hosts[i]
-		if !h.Reached {
+		host := &r.Hosts[i]
+		if !host.Reached {
 			return VerdictUnreachable
 		}
-		verdict = max(verdict, h.verdict())
-		paused = paused || h.Command != nil && h.Command.State == fleet.CommandPaused
+		verdict = max(verdict, host.verdict())
+		paused = paused || host.Command != nil && host.Command.State == fleet.CommandPaused
 	}
 	switch {
 	case paused:
@@ -60,7 +70,7 @@
 	return verdict
 }
 
-// verdict is that of one host that was reached.
+// verdict returns the worst verdict of one host, which was reached, and its instances.
 func (h *HostReport) verdict() Verdict {
 	if h.Rejected {
 		return VerdictPartial
@@ -80,7 +90,7 @@
 	return verdict
 }
 
-// OnlyKnown drops the hosts that never had the command from the report, and returns it.
+// OnlyKnown removes the hosts that do not know the command from the report, and returns the report.
 func (r *Report) OnlyKnown() *Report {
 	r.Hosts = slices.DeleteFunc(r.Hosts, func(h HostReport) bool { return h.Unknown })
 	if len(r.Hosts) == 0 {
@@ -90,21 +100,27 @@
 	return r
 }
 
-// count counts the outcomes of all hosts' commands.
+// count sets Counts and Open from the commands of all hosts.
 func (r *Report) count() {
-	var all []*fleet.Command
-	for _, h := range r.Hosts {
-		if h.Command != nil {
-			all = append(all, h.Command)
+	var commands []*fleet.Command
+	for _, host := range r.Hosts {
+		if host.Command != nil {
+			commands = append(commands, host.Command)
 		}
 	}
-	r.Counts, r.Open = fleet.CountOutcomes(all...)
+	r.Counts, r.Open = fleet.CountOutcomes(commands...)
 }
 
-// failedReport is the report of a host whose agent did not take the command, or could not be reached.
+// failedReport returns the report of a host whose agent rejected the command or could not be reached.
 func failedReport(host string, err error) HostReport {
 	unknown := errors.Is(err, fleet.ErrUnknownCommand)
-	_, answered := errors.AsType[*agentapi.StatusError](err)
-	answered = answered || unknown
-	return HostReport{Host: host, Error: err.Error(), Reached: answered, Rejected: answered, Unknown: unknown}
+	_, rejected := errors.AsType[*agentapi.StatusError](err)
+	answered := rejected || unknown
+	return HostReport{
+		Host:     host,
+		Error:    err.Error(),
+		Reached:  answered,
+		Rejected: answered,
+		Unknown:  unknown,
+	}
 }
--- a/internal/fleetclient/rollingupdate.go
+++ b/internal/fleetclient/rollingupdate.go
@@ -12,42 +12,57 @@
 	"milletbarrow/internal/process"
 )
 
-// progressIntervalBeats is how many beats of an agent pass between two looks at the hosts' progress.
-const progressIntervalBeats = 10
+// pollIntervalTicks is the time between two polls of the hosts' progress, in units of limits.Control.TickInterval.
+const pollIntervalTicks = 10
 
-// RollingUpdate takes a rolling update from host to host, with at most maxConcurrentHosts under way at once. The
-// command has the same id everywhere, so that a client that is started again with it goes on where the one before was.
+// RollingUpdate runs a rolling update on one host after the other, with at most maxConcurrentHosts in progress. The
+// command has the same id on all hosts, so that a client that restarts with this id resumes the update.
 func (c *Client) RollingUpdate(
-	ctx context.Context, request agentapi.CommandRequest, all []*fleet.InstanceSpec, maxConcurrentHosts int,
+	ctx context.Context, request agentapi.CommandRequest, instances []*fleet.InstanceSpec, maxConcurrentHosts int,
 ) *Report {
-	hosts, names := c.ByHost(all)
-	if len(hosts) == 1 || request.Budget != "" { // by a budget the agents keep the order among themselves
-		return c.Execute(ctx, request, all, true)
+	hosts, namesByHost := c.ByHost(instances)
+	// With a quota, the agents limit the update among themselves.
+	if len(hosts) == 1 || request.Budget != "" {
+		return c.Execute(ctx, request, instances, true)
 	}
-	u := &rollingUpdate{
-		client: c, request: request, hosts: hosts, names: names, reports: map[string]*HostReport{},
-		coordinator: &fleet.RolloutCoordinator{Hosts: hosts, Config: *request.RollingUpdate, MaxConcurrentHosts: maxConcurrentHosts},
+	update := &rollingUpdate{
+		client:      c,
+		request:     request,
+		hosts:       hosts,
+		namesByHost: namesByHost,
+		reports:     map[string]*HostReport{},
+		coordinator: &fleet.RolloutCoordinator{
+			Hosts:              hosts,
+			Config:             *request.RollingUpdate,
+			MaxConcurrentHosts: maxConcurrentHosts,
+		},
 	}
-	defer u.following.Wait()
-	reason := u.run(ctx)
-	return u.report(reason)
+	defer update.followers.Wait()
+	stopReason := update.run(ctx)
+	return update.report(stopReason)
 }
 
-// rollingUpdate is one under way over several hosts.
+// rollingUpdate is a rolling update in progress on several hosts.
 type rollingUpdate struct {
-	client      *Client
-	request     agentapi.CommandRequest
-	hosts       []string            // in the file's order
-	names       map[string][]string // instances by host
+	client  *Client
+	request agentapi.CommandRequest
+	// hosts are in the order of the fleet file.
+	hosts []string
+	// namesByHost holds the instance names of each host.
+	namesByHost map[string][]string
 	coordinator *fleet.RolloutCoordinator
-	following   sync.WaitGroup // goroutines that pass progress on; they end with the command or the context
+	// followers counts the goroutines that forward progress events. They end with the command or the context.
+	followers sync.WaitGroup
 
-	mu      sync.Mutex // guards reports
+	// mu guards reports.
+	mu sync.Mutex
+	// reports holds the last report of each host on which the update has begun.
 	reports map[string]*HostReport
 }
 
-// run goes on until all hosts are done, one has to stop it, or ctx ends. It returns why it stopped early.
-func (u *rollingUpdate) run(ctx context.Context) (reason string) {
+// run executes the update until all hosts have completed it, a host's failure stops it, or ctx ends. It returns the
+// reason of an early stop, or an empty string.
+func (u *rollingUpdate) run(ctx context.Context) (stopReason string) {
 	for {
 		step := u.coordinator.Next(process.Now(), u.progress(ctx))
 		for _, host := range step.Begin {
@@ -60,78 +75,86 @@
 		case step.StopReason != "":
 			return step.StopReason
 		case ctx.Err() != nil:
-			return "the time ran out"
+			return "timed out before all hosts completed the rolling update"
 		case step.Finished:
 			return ""
 		}
 		select {
-		case <-time.After(progressIntervalBeats * u.client.Bounds.TickInterval):
+		case <-time.After(pollIntervalTicks * u.client.Bounds.TickInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// begin sends the command to one host and passes its progress on; how it stands is asked for by progress.
+// begin submits the command to one host and forwards its progress events. The host's state comes from progress.
 func (u *rollingUpdate) begin(ctx context.Context, host string) error {
 	request := u.request
-	request.Instances = u.names[host]
+	request.Instances = u.namesByHost[host]
 	report := u.client.executeAt(ctx, host, request, false)
 	u.record(report)
 	if report.Command == nil {
 		return fmt.Errorf("host %s: %s", host, report.Error)
 	}
 	agent := u.client.agent(host)
-	u.following.Go(func() {
+	u.followers.Go(func() {
 		defer agent.Close()
-		_ = agent.Follow(ctx, request.ID, 0, func(e agentapi.StreamEvent) bool { // its events alone
-			u.client.progress(host, e)
-			return !pausedByItself(e)
+		// A failed stream loses progress events only: progress polls the command's state.
+		_ = agent.Follow(ctx, request.ID, 0, func(event agentapi.StreamEvent) bool {
+			u.client.progress(host, event)
+			return !isAutomaticPause(event)
 		})
 	})
 	return nil
 }
 
+// record replaces the report of a host.
 func (u *rollingUpdate) record(report HostReport) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.reports[report.Host] = &report
 }
 
-// progress asks all hosts how they stand.
+// progress polls the state of all hosts.
 func (u *rollingUpdate) progress(ctx context.Context) map[string]fleet.HostProgress {
-	bounds := u.client.Bounds
-	all, _ := agentapi.FanOut(ctx, bounds, u.hosts, func(ctx context.Context, host string) (fleet.HostProgress, error) {
-		progress, command := u.client.hostProgress(ctx, host, u.request, len(u.names[host]))
+	poll := func(ctx context.Context, host string) (fleet.HostProgress, error) {
+		progress, command := u.client.hostProgress(ctx, host, u.request, len(u.namesByHost[host]))
 		if command != nil {
 			u.record(HostReport{Host: host, Command: command, Reached: true})
 		}
 		return progress, nil
-	})
+	}
+	states, _ := agentapi.FanOut(ctx, u.client.Bounds, u.hosts, poll)
 	byHost := map[string]fleet.HostProgress{}
 	for i, host := range u.hosts {
-		byHost[host] = all[i]
+		byHost[host] = states[i]
 	}
 	return byHost
 }
 
-// report sums up the hosts that were begun, and names the others where the update stopped early.
-func (u *rollingUpdate) report(reason string) *Report {
-	r := &Report{ID: u.request.ID, Kind: u.request.Kind, Reason: reason}
+// report aggregates the reports of the hosts. If the update stopped early, a host on which it has not begun counts as
+// rejected.
+func (u *rollingUpdate) report(stopReason string) *Report {
+	aggregate := &Report{ID: u.request.ID, Kind: u.request.Kind, Reason: stopReason}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, host := range u.hosts {
 		switch report := u.reports[host]; {
 		case report != nil:
-			r.Hosts = append(r.Hosts, *report)
-		case reason != "":
-			r.Hosts = append(r.Hosts, HostReport{Host: host, Reached: true, Rejected: true, Error: "its wave was not begun"})
+			aggregate.Hosts = append(aggregate.Hosts, *report)
+		case stopReason != "":
+			aggregate.Hosts = append(aggregate.Hosts, HostReport{
+				Host:     host,
+				Reached:  true,
+				Rejected: true,
+				Error:    "the rolling update stopped before this host",
+			})
 		}
 	}
-	r.count()
-	return r
+	aggregate.count()
+	return aggregate
 }
 
-// hostProgress asks one host how it stands, and how its part of the command does; instances is how many that has.
+// hostProgress polls one host's status and its state of the command. The command covers that many of its instances.
 func (c *Client) hostProgress(
 	ctx context.Context, host string, request agentapi.CommandRequest, instances int,
 ) (progress fleet.HostProgress, command *fleet.Command) {
@@ -144,23 +167,34 @@
 		return progress, nil
 	}
 	progress.Reachable = true
-	for i := range status.Instances {
-		instance := &status.Instances[i]
-		if instance.DesiredUp && !instance.Spare {
-			progress.DesiredUp++
-		}
-		if instance.DesiredUp && instance.Settled {
-			progress.Ready++
-		}
-	}
+	progress.DesiredUp, progress.Ready = countDesiredUp(status.Instances)
 	command, err = agent.Command(ctx, request.ID)
 	if err != nil {
 		progress.Reachable = errors.Is(err, fleet.ErrUnknownCommand)
 		return progress, nil
 	}
 	progress.State, progress.Cause = command.State, command.Cause
-	if bad := command.Unsatisfied(); command.State == fleet.CommandDone && len(bad) > 0 {
-		progress.Failed, progress.Cause = true, fmt.Sprintf("%v", bad)
+	if failed := command.Unsatisfied(); command.State == fleet.CommandDone && len(failed) > 0 {
+		progress.Failed = true
+		progress.Cause = fmt.Sprint(failed)
 	}
 	return progress, command
 }
+
+// countDesiredUp returns the number of instances that should run, spares excluded, and the number of those, spares
+// included, that are settled.
+func countDesiredUp(instances []agentapi.Instance) (desiredUp, ready int) {
+	for i := range instances {
+		instance := &instances[i]
+		if !instance.DesiredUp {
+			continue
+		}
+		if !instance.Spare {
+			desiredUp++
+		}
+		if instance.Settled {
+			ready++
+		}
+	}
+	return desiredUp, ready
+}
