--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -5,9 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
-	"os"
-	"path/filepath"
+	"net/http"
 	"slices"
 	"strings"
 	"sync"
@@ -16,165 +14,22 @@
 
 	"milletbarrow/internal/agent/agentstore"
 	"milletbarrow/internal/agentapi"
-	"milletbarrow/internal/cluster/membership"
 	"milletbarrow/internal/cluster/quota"
 	"milletbarrow/internal/fleet"
-	"milletbarrow/internal/limits"
 )
 
-// fakeAgent is an agent whose commands end as soon as they come, or as its settle has it.
-type fakeAgent struct {
-	host   string
-	settle func(*fleet.Command) // sets results and state; nil: all succeed
-	budget error                // what quota calls end with
-
-	mu       sync.Mutex
-	commands map[string]*fleet.Command
-	history  []agentstore.Entry
-	more     chan struct{}
-	calls    []string // quota calls taken
-}
-
-func (a *fakeAgent) Status() agentapi.Status {
-	return agentapi.Status{Version: agentapi.Version, Host: a.host, Instances: []agentapi.Instance{
-		{Name: a.host + "1", DesiredUp: true, Settled: true}, {Name: a.host + "2", DesiredUp: true, Settled: true},
-	}}
-}
-
-func (a *fakeAgent) Submit(r agentapi.CommandRequest) (*fleet.Command, error) {
-	if r.ID == "refused" {
-		return nil, &agentapi.StatusError{Status: 409, Text: "not taken"}
-	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	c := &fleet.Command{
-		ID: r.ID, Kind: r.Kind, Names: r.Instances, RequestedBy: r.RequestedBy, State: fleet.CommandDone, Results: map[string]fleet.Result{},
-	}
-	if a.settle != nil {
-		a.settle(c)
-	} else {
-		for _, name := range r.Instances {
-			c.Results[name] = fleet.Result{Outcome: fleet.OutcomeSucceeded}
-		}
-	}
-	a.commands[r.ID] = c
-	return c, nil
-}
-
-func (a *fakeAgent) Steer(id, _, _ string) (*fleet.Command, error) { return a.Command(id), nil }
-
-func (a *fakeAgent) Command(id string) *fleet.Command {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.commands[id]
-}
-
-func (a *fakeAgent) Commands() []*fleet.Command { return nil }
-
-func (a *fakeAgent) Entries(after uint64) ([]agentstore.Entry, uint64, <-chan struct{}) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.history[min(int(after), len(a.history)):], 0, a.more
-}
-
-func (a *fakeAgent) History(after uint64, most int) ([]agentstore.Entry, error) {
-	entries, _, _ := a.Entries(after)
-	return entries[max(0, len(entries)-most):], nil
-}
-
-func (a *fakeAgent) called(what string) error {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.calls = append(a.calls, what)
-	return a.budget
-}
-
-func (a *fakeAgent) Budgets(context.Context) (agentapi.Budgets, error) {
-	return agentapi.Budgets{Host: a.host}, a.called("budgets")
-}
-
-func (a *fakeAgent) WriteOff(_ context.Context, name, by string) error {
-	return a.called("write off " + name + " by " + by)
-}
-
-func (a *fakeAgent) ColdStart(_ context.Context, r quota.ColdStartCommand) error {
-	return a.called("cold start " + r.ID)
-}
-
-func (a *fakeAgent) Members() []membership.Member { return []membership.Member{{}} }
-
-// fakeFleet serves an agent each for the hosts a, b and c, with instances a1, a2, b1 and so on; hosts in down have none.
-func fakeFleet(t *testing.T, down ...string) (*Client, map[string]*fakeAgent) {
-	t.Helper()
-	dir, err := os.MkdirTemp("", "fc") // a socket's path has to be short
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { os.RemoveAll(dir) })
-	var text strings.Builder
-	text.WriteString("(fleet test\n")
-	agents := map[string]*fakeAgent{}
-	ctx, cancel := context.WithCancel(context.Background())
-	var serving sync.WaitGroup
-	t.Cleanup(func() { cancel(); serving.Wait() })
-	bounds := limits.ForControl()
-	for _, host := range []string{"a", "b", "c"} {
-		socket := filepath.Join(dir, host+".sock")
-		fmt.Fprintf(&text, " (host %s (agent \"unix:%s\"))\n (group g%s (host %s) (config \"%%n.json\") (range %s 1 2))\n", host, socket, host, host, host)
-		if slices.Contains(down, host) {
-			continue
-		}
-		agents[host] = &fakeAgent{host: host, commands: map[string]*fleet.Command{}, more: make(chan struct{})}
-		l, err := net.Listen("unix", socket)
-		if err != nil {
-			t.Fatal(err)
-		}
-		serving.Go(func() {
-			if err := agentapi.Serve(ctx, l, agents[host], bounds); err != nil && ctx.Err() == nil {
-				t.Errorf("agent %s: %v", host, err)
-			}
-		})
-	}
-	text.WriteString(" (wave))\n")
-	spec, err := fleet.ReadSpec("fleet.sx", []byte(text.String()), bounds)
-	if err != nil {
-		t.Fatal(err)
-	}
-	bounds.CallTimeout, bounds.RetryBackoff, bounds.RetryBackoffMax = 500*time.Millisecond, time.Millisecond, time.Millisecond
-	return &Client{Spec: spec, Caller: agentapi.NewClientFactory(bounds, 1), Bounds: bounds, Operator: "tester"}, agents
-}
-
-func allInstances(t *testing.T, c *Client) []*fleet.InstanceSpec {
-	t.Helper()
-	all, err := c.Spec.Select(fleet.Selection{All: true})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return all
-}
-
-func request(id string, kind fleet.CommandKind, c *Client) agentapi.CommandRequest {
-	update := c.Spec.RollingUpdate
-	return agentapi.CommandRequest{ID: id, Kind: kind, TimeoutMicros: 5_000_000, RequestedBy: c.Operator, RollingUpdate: &update}
-}
-
-func hostsOf(r *Report) (hosts []string) {
-	for _, h := range r.Hosts {
-		hosts = append(hosts, h.Host)
-	}
-	return hosts
-}
-
-// TestExecute: every host gets its own instances, all results are counted, and hosts are in the file's order.
-func TestExecute(t *testing.T) {
+// TestExecuteSubmitsEachHostsInstances checks that every host receives its own instances, that the report counts all
+// outcomes, and that its hosts are in the order of the fleet file.
+func TestExecuteSubmitsEachHostsInstances(t *testing.T) {
 	c, agents := fakeFleet(t)
-	r := c.Execute(context.Background(), request("s1", fleet.KindStart, c), allInstances(t, c), true)
+	r := c.Execute(t.Context(), request("s1", fleet.KindStart, c), allInstances(t, c), true)
 	if got := hostsOf(r); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("hosts %v", got)
 	}
 	for host, agent := range agents {
-		if got := agent.commands["s1"]; !slices.Equal(got.Names, []string{host + "1", host + "2"}) || got.RequestedBy != "tester" {
-			t.Errorf("host %s got %+v", host, got)
+		got := agent.commands["s1"]
+		if !slices.Equal(got.Names, []string{host + "1", host + "2"}) || got.RequestedBy != "tester" {
+			t.Errorf("host %s received %+v", host, got)
 		}
 	}
 	if r.Counts[fleet.OutcomeSucceeded] != 6 || r.Open != 0 || r.Verdict() != VerdictSucceeded {
@@ -182,65 +37,80 @@
 	}
 }
 
-// TestUnreachableAndRejected: a host whose agent does not answer is not the same as one whose agent says no.
-func TestUnreachableAndRejected(t *testing.T) {
+// TestExecuteTellsUnreachableFromRejected checks that a report distinguishes an agent that does not answer from one
+// that rejects the command.
+func TestExecuteTellsUnreachableFromRejected(t *testing.T) {
 	c, _ := fakeFleet(t, "b")
-	r := c.Execute(context.Background(), request("s1", fleet.KindStart, c), allInstances(t, c), true)
+	r := c.Execute(t.Context(), request("s1", fleet.KindStart, c), allInstances(t, c), true)
 	if h := r.Hosts[1]; h.Reached || h.Rejected || h.Error == "" || r.Verdict() != VerdictUnreachable {
 		t.Errorf("unreachable: %+v, verdict %d", h, r.Verdict())
 	}
 	c, _ = fakeFleet(t)
-	r = c.Execute(context.Background(), request("refused", fleet.KindStart, c), allInstances(t, c), true)
-	if h := r.Hosts[1]; !h.Reached || !h.Rejected || h.Error != "not taken" || r.Verdict() != VerdictPartial {
+	r = c.Execute(t.Context(), request(rejectedID, fleet.KindStart, c), allInstances(t, c), true)
+	if h := r.Hosts[1]; !h.Reached || !h.Rejected || h.Error != "not accepted" || r.Verdict() != VerdictPartial {
 		t.Errorf("rejected: %+v, verdict %d", h, r.Verdict())
 	}
 }
 
-// TestVerdict: the worst of all hosts counts; a command that waits for a person has not timed out.
-func TestVerdict(t *testing.T) {
+// TestVerdictIsTheWorstOfAllHosts also checks that a command that waits for an operator has not timed out.
+func TestVerdictIsTheWorstOfAllHosts(t *testing.T) {
 	command := func(state fleet.CommandState, outcomes ...fleet.Outcome) HostReport {
-		c := &fleet.Command{State: state, Results: map[string]fleet.Result{}}
-		for i, o := range outcomes {
-			c.Results[fmt.Sprint("n", i)] = fleet.Result{Outcome: o}
+		command := &fleet.Command{State: state, Results: map[string]fleet.Result{}}
+		for i, outcome := range outcomes {
+			command.Results[fmt.Sprint("n", i)] = fleet.Result{Outcome: outcome}
 		}
-		return HostReport{Reached: true, Command: c}
-	}
-	done, failed := command(fleet.CommandDone, fleet.OutcomeSucceeded, fleet.OutcomeSkipped), command(fleet.CommandDone, fleet.OutcomeFailed)
-	late, paused := command(fleet.CommandDone, fleet.OutcomeTimedOut), command(fleet.CommandPaused)
-	for _, c := range []struct {
-		what string
-		r    Report
-		want Verdict
+		return HostReport{Reached: true, Command: command}
+	}
+	done := command(fleet.CommandDone, fleet.OutcomeSucceeded, fleet.OutcomeSkipped)
+	failed := command(fleet.CommandDone, fleet.OutcomeFailed)
+	timedOut := command(fleet.CommandDone, fleet.OutcomeTimedOut)
+	open := command(fleet.CommandOpen)
+	paused := command(fleet.CommandPaused)
+	rejected := HostReport{Reached: true, Rejected: true}
+	unreachable := HostReport{}
+	for _, test := range []struct {
+		name   string
+		report Report
+		want   Verdict
 	}{
 		{"all done", Report{Hosts: []HostReport{done, done}}, VerdictSucceeded},
 		{"one failed", Report{Hosts: []HostReport{failed, done}}, VerdictPartial},
-		{"one rejected", Report{Hosts: []HostReport{{Reached: true, Rejected: true}, done}}, VerdictPartial},
-		{"one late", Report{Hosts: []HostReport{late, failed, done}}, VerdictTimedOut},
-		{"one unreachable", Report{Hosts: []HostReport{late, {}, done}}, VerdictUnreachable},
-		{"open", Report{Hosts: []HostReport{command(fleet.CommandOpen)}, Open: 1}, VerdictTimedOut},
+		{"one rejected", Report{Hosts: []HostReport{rejected, done}}, VerdictPartial},
+		{"one timed out", Report{Hosts: []HostReport{timedOut, failed, done}}, VerdictTimedOut},
+		{"one unreachable", Report{Hosts: []HostReport{timedOut, unreachable, done}}, VerdictUnreachable},
+		{"open", Report{Hosts: []HostReport{open}, Open: 1}, VerdictTimedOut},
 		{"open and paused", Report{Hosts: []HostReport{paused}, Open: 1}, VerdictPartial},
-		{"open and stopped", Report{Hosts: []HostReport{command(fleet.CommandOpen)}, Open: 1, Reason: "host a can't be reached"}, VerdictPartial},
+		{"open and stopped", Report{Hosts: []HostReport{open}, Open: 1, Reason: "host a: unreachable"}, VerdictPartial},
 	} {
-		if got := c.r.Verdict(); got != c.want {
-			t.Errorf("%s: %d, want %d", c.what, got, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.report.Verdict(); got != test.want {
+				t.Errorf("verdict %d, want %d", got, test.want)
+			}
+		})
 	}
 }
 
-// TestReportForm: the JSON of a report, as fleet --json prints it.
-func TestReportForm(t *testing.T) {
-	r := Report{ID: "x", Kind: fleet.KindStart, Hosts: []HostReport{{Host: "a", Error: "no", Reached: true, Rejected: true}}, Reason: "why not"}
-	r.count()
-	raw, err := json.Marshal(&r)
-	const want = `{"id":"x","kind":"start","hosts":[{"host":"a","error":"no","reached":true,"refused":true}],"counts":{},"open":0,"why":"why not"}`
-	if err != nil || string(raw) != want {
-		t.Errorf("%s, %v\nwant %s", raw, err, want)
+// TestReportJSON checks the JSON of a report, which the fleet commands print with --json.
+func TestReportJSON(t *testing.T) {
+	report := Report{
+		ID:     "x",
+		Kind:   fleet.KindStart,
+		Hosts:  []HostReport{{Host: "a", Error: "no", Reached: true, Rejected: true}},
+		Reason: "why not",
+	}
+	report.count()
+	encoded, err := json.Marshal(&report)
+	const want = `{"id":"x","kind":"start",` +
+		`"hosts":[{"host":"a","error":"no","reached":true,"refused":true}],` +
+		`"counts":{},"open":0,"why":"why not"}`
+	if err != nil || string(encoded) != want {
+		t.Errorf("%s, %v\nwant %s", encoded, err, want)
 	}
 }
 
-// TestRollingUpdateGoesFromHostToHost: a host begins once the one before is done, and one that fails ends it; the
-// hosts after it are reported as not begun.
-func TestRollingUpdateGoesFromHostToHost(t *testing.T) {
+// TestRollingUpdateStopsAtFailedHost checks that a host begins after the one before has completed, that a failed host
+// stops the update, and that the report has the hosts on which it has not begun.
+func TestRollingUpdateStopsAtFailedHost(t *testing.T) {
 	c, agents := fakeFleet(t)
 	var mu sync.Mutex
 	var order []string
@@ -253,41 +123,39 @@
 			if host == "b" {
 				outcome = fleet.OutcomeFailed
 			}
-			for _, name := range command.Names {
-				command.Results[name] = fleet.Result{Outcome: outcome}
-			}
+			setOutcomes(command, outcome)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	r := c.RollingUpdate(ctx, request("u1", fleet.KindRollingUpdate, c), allInstances(t, c), 1)
 	if !slices.Equal(order, []string{"a", "b"}) {
 		t.Errorf("order %v, want a, b and no more", order)
 	}
-	if !strings.Contains(r.Reason, "host b") || r.Verdict() != VerdictPartial || !slices.Equal(hostsOf(r), []string{"a", "b", "c"}) {
-		t.Errorf("reason %q, verdict %d, hosts %v", r.Reason, r.Verdict(), hostsOf(r))
+	if !strings.Contains(r.Reason, "host b") || r.Verdict() != VerdictPartial {
+		t.Errorf("reason %q, verdict %d", r.Reason, r.Verdict())
+	}
+	if got := hostsOf(r); !slices.Equal(got, []string{"a", "b", "c"}) {
+		t.Errorf("hosts %v", got)
 	}
 	if last := r.Hosts[2]; !last.Rejected || !last.Reached || last.Command != nil {
-		t.Errorf("the host after it: %+v", last)
+		t.Errorf("host after the failed one: %+v", last)
 	}
 }
 
-// TestRollingUpdateByQuota: with a quota the agents keep the order among themselves, and all hosts get it at once.
-func TestRollingUpdateByQuota(t *testing.T) {
+// TestRollingUpdateWithQuotaBeginsOnAllHosts checks that all hosts receive an update with a quota at once, also if one
+// of them fails: the agents limit it among themselves.
+func TestRollingUpdateWithQuotaBeginsOnAllHosts(t *testing.T) {
 	c, agents := fakeFleet(t)
-	o := request("u1", fleet.KindRollingUpdate, c)
-	o.Budget = "out"
-	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	update := request("u1", fleet.KindRollingUpdate, c)
+	update.Budget = "out"
+	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	agents["a"].settle = func(command *fleet.Command) { // one that fails does not keep the others from beginning
-		for _, name := range command.Names {
-			command.Results[name] = fleet.Result{Outcome: fleet.OutcomeFailed}
-		}
-	}
-	r := c.RollingUpdate(ctx, o, allInstances(t, c), 1)
+	agents["a"].settle = func(command *fleet.Command) { setOutcomes(command, fleet.OutcomeFailed) }
+	r := c.RollingUpdate(ctx, update, allInstances(t, c), 1)
 	for host, agent := range agents {
 		if agent.commands["u1"] == nil {
-			t.Errorf("host %s has not got it", host)
+			t.Errorf("host %s has not received the update", host)
 		}
 	}
 	if r.Reason != "" || r.Verdict() != VerdictPartial {
@@ -295,11 +163,12 @@
 	}
 }
 
-// TestRollingUpdateStopsWhenTimeRunsOut: one that never ends is left when the context ends, and says so.
-func TestRollingUpdateStopsWhenTimeRunsOut(t *testing.T) {
+// TestRollingUpdateStopsAtTimeout checks that the end of the context stops an update whose first host never completes,
+// and that the report has a reason.
+func TestRollingUpdateStopsAtTimeout(t *testing.T) {
 	c, agents := fakeFleet(t)
 	agents["a"].settle = func(command *fleet.Command) { command.State = fleet.CommandOpen }
-	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	r := c.RollingUpdate(ctx, request("u1", fleet.KindRollingUpdate, c), allInstances(t, c), 1)
 	if r.Reason == "" || agents["b"].Command("u1") != nil {
@@ -307,18 +176,21 @@
 	}
 }
 
-// TestFollowEndsAtAPause: nobody waits with a command that waits for a person.
-func TestFollowEndsAtAPause(t *testing.T) {
+// TestFollowEndsAtAutomaticPause checks that the client does not wait for a command that waits for an operator.
+func TestFollowEndsAtAutomaticPause(t *testing.T) {
 	c, agents := fakeFleet(t)
 	agents["a"].settle = func(command *fleet.Command) { command.State = fleet.CommandPaused }
-	agents["a"].history = []agentstore.Entry{{Serial: 1, HistoryEvent: fleet.HistoryEvent{CommandID: "u1", Event: "pause"}}}
+	agents["a"].history = []agentstore.Entry{{
+		Serial:       1,
+		HistoryEvent: fleet.HistoryEvent{CommandID: "u1", Event: "pause"},
+	}}
 	var seen []string
 	c.OnProgress = func(host string, e agentapi.StreamEvent) {
 		if e.Entry != nil {
 			seen = append(seen, host+" "+e.Entry.Event)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	r := c.Execute(ctx, request("u1", fleet.KindRollingUpdate, c), allInstances(t, c)[:2], true)
 	if ctx.Err() != nil || r.Hosts[0].Command.State != fleet.CommandPaused || !slices.Contains(seen, "a pause") {
@@ -326,18 +198,23 @@
 	}
 }
 
-// TestOnlyKnown: hosts that never had a command are dropped; if none had it the report says so.
-func TestOnlyKnown(t *testing.T) {
+// TestOnlyKnownRemovesHostsWithoutTheCommand also checks that a report without hosts has a reason.
+func TestOnlyKnownRemovesHostsWithoutTheCommand(t *testing.T) {
 	c, agents := fakeFleet(t)
-	agents["b"].commands["x"] = &fleet.Command{ID: "x", State: fleet.CommandDone, Results: map[string]fleet.Result{"b1": {Outcome: fleet.OutcomeSucceeded}}}
+	agents["b"].commands["x"] = &fleet.Command{
+		ID:      "x",
+		State:   fleet.CommandDone,
+		Results: map[string]fleet.Result{"b1": {Outcome: fleet.OutcomeSucceeded}},
+	}
 	watch := func(id string) *Report {
-		r := &Report{ID: id}
+		report := &Report{ID: id}
 		for _, host := range []string{"a", "b", "c"} {
-			r.Hosts = append(r.Hosts, c.Watch(context.Background(), host, id))
+			report.Hosts = append(report.Hosts, c.Watch(t.Context(), host, id))
 		}
-		return r.OnlyKnown()
+		return report.OnlyKnown()
 	}
-	if r := watch("x"); !slices.Equal(hostsOf(r), []string{"b"}) || r.Reason != "" || r.Counts[fleet.OutcomeSucceeded] != 1 {
+	r := watch("x")
+	if !slices.Equal(hostsOf(r), []string{"b"}) || r.Reason != "" || r.Counts[fleet.OutcomeSucceeded] != 1 {
 		t.Errorf("known to b: %+v", r)
 	}
 	if r := watch("y"); len(r.Hosts) != 0 || r.Reason == "" || r.Verdict() != VerdictPartial {
@@ -345,23 +222,24 @@
 	}
 }
 
-// TestHistory: entries of all hosts by wall clock, the latest ones, with the hosts that are missing by name.
-func TestHistory(t *testing.T) {
+// TestHistoryMergesHostsByTime checks that History returns the latest entries of all hosts in the order of their times,
+// and the errors of the hosts whose query failed.
+func TestHistoryMergesHostsByTime(t *testing.T) {
 	c, agents := fakeFleet(t, "c")
-	entry := func(serial uint64, at int64, event string) agentstore.Entry {
-		return agentstore.Entry{Serial: serial, UnixMicros: at, HistoryEvent: fleet.HistoryEvent{Event: event}}
+	entry := func(serial uint64, unixMicros int64, event string) agentstore.Entry {
+		return agentstore.Entry{Serial: serial, UnixMicros: unixMicros, HistoryEvent: fleet.HistoryEvent{Event: event}}
 	}
 	agents["a"].history = []agentstore.Entry{entry(1, 10, "first"), entry(2, 40, "fourth")}
 	agents["b"].history = []agentstore.Entry{entry(1, 20, "second"), entry(2, 30, "third")}
-	events := func(most int, keep func(Entry) bool) (all []string) {
-		entries, missing := c.History(context.Background(), most, keep)
+	events := func(limit int, keep func(Entry) bool) (events []string) {
+		entries, missing := c.History(t.Context(), limit, keep)
 		if len(missing) != 1 || missing["c"] == "" {
 			t.Errorf("missing %v", missing)
 		}
 		for _, e := range entries {
-			all = append(all, e.Host+" "+e.Entry.Event)
+			events = append(events, e.Host+" "+e.Entry.Event)
 		}
-		return all
+		return events
 	}
 	every := func(Entry) bool { return true }
 	if got := events(10, every); !slices.Equal(got, []string{"a first", "b second", "b third", "a fourth"}) {
@@ -370,63 +248,70 @@
 	if got := events(2, every); !slices.Equal(got, []string{"b third", "a fourth"}) {
 		t.Errorf("the latest two: %v", got)
 	}
-	if got := events(10, func(e Entry) bool { return e.Host == "b" }); !slices.Equal(got, []string{"b second", "b third"}) {
+	ofHostB := func(e Entry) bool { return e.Host == "b" }
+	if got := events(10, ofHostB); !slices.Equal(got, []string{"b second", "b third"}) {
 		t.Errorf("of one host: %v", got)
 	}
 }
 
-// TestStatusAndMembersNameWhoIsMissing: a host that gives no answer is in the list, with its error.
-func TestStatusAndMembersNameWhoIsMissing(t *testing.T) {
+// TestStatusAndMembersListUnreachableHosts checks that a host whose query failed is in the list with its error.
+func TestStatusAndMembersListUnreachableHosts(t *testing.T) {
 	c, _ := fakeFleet(t, "b")
-	for i, s := range c.Status(context.Background()) {
+	for i, s := range c.Status(t.Context()) {
 		if missing := i == 1; (s.Status == nil) != missing || (s.Error != "") != missing {
 			t.Errorf("status %+v", s)
 		}
 	}
-	for i, m := range c.Members(context.Background()) {
+	for i, m := range c.Members(t.Context()) {
 		if missing := i == 1; (len(m.Seen) == 0) != missing || (m.Error != "") != missing {
 			t.Errorf("members %+v", m)
 		}
 	}
 }
 
-// TestAskAny: the first agent that answers counts, a "no" of status 4xx is an answer, and errors of all are joined.
-func TestAskAny(t *testing.T) {
+// TestQuotaCallsTryHostsInTurn checks that a quota call ends at the first agent that accepts or rejects it, and that
+// its error otherwise joins those of all hosts.
+func TestQuotaCallsTryHostsInTurn(t *testing.T) {
 	c, agents := fakeFleet(t, "a")
-	if err := c.WriteOff(context.Background(), "n3"); err != nil {
+	if err := c.WriteOff(t.Context(), "n3"); err != nil {
 		t.Fatal(err)
 	}
-	if got := agents["b"].calls; !slices.Equal(got, []string{"write off n3 by tester"}) || len(agents["c"].calls) != 0 {
-		t.Errorf("b %v, c %v", got, agents["c"].calls)
+	got := agents["b"].quotaCalls
+	if !slices.Equal(got, []string{"write off n3 by tester"}) || len(agents["c"].quotaCalls) != 0 {
+		t.Errorf("b %v, c %v", got, agents["c"].quotaCalls)
 	}
-	if b, err := c.Budgets(context.Background()); err != nil || b.Host != "b" {
+	if b, err := c.Budgets(t.Context()); err != nil || b.Host != "b" {
 		t.Errorf("budgets %+v, %v", b, err)
 	}
-	agents["b"].budget = &agentapi.StatusError{Status: 409, Text: "not so"}
-	err := c.ColdStart(context.Background(), quota.ColdStartCommand{ID: "r1"})
-	if status, ok := errors.AsType[*agentapi.StatusError](err); !ok || status.Status != 409 || len(agents["c"].calls) != 0 {
-		t.Errorf("a no: %v, c %v", err, agents["c"].calls)
+	agents["b"].quotaErr = &agentapi.StatusError{Status: http.StatusConflict, Text: "not accepted"}
+	err := c.ColdStart(t.Context(), quota.ColdStartCommand{ID: "r1"})
+	status, ok := errors.AsType[*agentapi.StatusError](err)
+	if !ok || status.Status != http.StatusConflict || len(agents["c"].quotaCalls) != 0 {
+		t.Errorf("rejection: %v, c %v", err, agents["c"].quotaCalls)
 	}
-	agents["b"].budget = &agentapi.StatusError{Status: 503, Text: "no leader"}
-	if err := c.WriteOff(context.Background(), "n4"); err != nil || len(agents["c"].calls) != 1 {
-		t.Errorf("after one without a leader: %v, c %v", err, agents["c"].calls)
+	agents["b"].quotaErr = &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: "no leader"}
+	if err := c.WriteOff(t.Context(), "n4"); err != nil || len(agents["c"].quotaCalls) != 1 {
+		t.Errorf("after an agent without a leader: %v, c %v", err, agents["c"].quotaCalls)
 	}
-	agents["c"].budget = agents["b"].budget
-	err = c.WriteOff(context.Background(), "n5")
+	agents["c"].quotaErr = agents["b"].quotaErr
+	err = c.WriteOff(t.Context(), "n5")
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok || len(joined.Unwrap()) != 3 {
-		t.Fatalf("none answers: %v", err)
+		t.Fatalf("no agent succeeds: %v", err)
 	}
 	for i, host := range []string{"a", "b", "c"} {
 		one, ok := errors.AsType[*HostError](joined.Unwrap()[i])
-		if !ok || one.Host != host || !strings.HasPrefix(one.Error(), host+": ") || !strings.Contains(err.Error(), one.Error()) {
-			t.Errorf("none answers: %v lacks %q", err, host)
+		if !ok || one.Host != host || !strings.HasPrefix(one.Error(), host+": ") {
+			t.Fatalf("error %d of %v is %v, want that of host %s", i, err, joined.Unwrap()[i], host)
+		}
+		if !strings.Contains(err.Error(), one.Error()) {
+			t.Errorf("error %v lacks %v", err, one)
 		}
 	}
 }
 
-// TestNewID: ids name the kind and the time, and two of them differ.
-func TestNewID(t *testing.T) {
+// TestNewIDIsDistinctAndValid checks that an id has the kind and the time and that two ids differ.
+func TestNewIDIsDistinctAndValid(t *testing.T) {
 	now := time.Date(2026, 12, 1, 16, 0, 0, 0, time.UTC)
 	first, second := NewID(fleet.KindStart, now), NewID(fleet.KindStart, now)
 	if !strings.HasPrefix(first, "start-20261201T160000-") || first == second || fleet.CheckName(first) != nil {
@@ -434,11 +319,11 @@
 	}
 }
 
-// TestAskedAgainWhenTheTimeRanOut: where following ends before the command does, the report has how it stands then.
-func TestAskedAgainWhenTheTimeRanOut(t *testing.T) {
+// TestExecuteQueriesStateAfterTimeout checks that the report has the last state of a command that outlives the context.
+func TestExecuteQueriesStateAfterTimeout(t *testing.T) {
 	c, agents := fakeFleet(t)
 	agents["a"].settle = func(command *fleet.Command) { command.State = fleet.CommandOpen }
-	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 	defer cancel()
 	time.AfterFunc(200*time.Millisecond, func() {
 		agents["a"].mu.Lock()
--- a/internal/fleetclient/compat_test.go
+++ b/internal/fleetclient/compat_test.go
@@ -8,7 +8,8 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON of an earlier release, with every field set, is decoded and encoded
+// unchanged.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Report](t, "Report.json")
 	compattest.RoundTrip[HostStatus](t, "HostStatus.json")
@@ -16,9 +17,9 @@
 	compattest.RoundTrip[HostMembers](t, "HostMembers.json")
 }
 
-// TestEarlierPrinted: what the fleet commands of an earlier release printed with --json, taken from three hosts with
-// budgets, is what the types that they print write now.
-func TestEarlierPrinted(t *testing.T) {
+// TestEarlierPrintedJSON checks that the --json output of the fleet commands of an earlier release, recorded
+// on three hosts with quotas, is decoded and encoded unchanged by the types that the commands print.
+func TestEarlierPrintedJSON(t *testing.T) {
 	for _, name := range []string{"status", "status-wave", "status-paused"} {
 		compattest.RoundTrip[[]HostStatus](t, "printed/"+name+".json")
 	}
