--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -52,11 +52,15 @@
 			"   milletbarrow agent --fleet fleet.sx --host h1 --dir /var/lib/milletbarrow --record-anew\n\n" +
 			"SIGHUP reloads the fleet's file. docs/fleet.md is the operators' page.",
 		Flags: []cli.Flag{
-			fleetFlag(), logFlag(),
+			fleetFlag(),
+			logFlag(),
 			&cli.StringFlag{Name: "host", Usage: "this host's `NAME` in the fleet's file", Required: true},
 			&cli.StringFlag{Name: "dir", Usage: "the agent's `DIRECTORY`, on a persistent disk", Required: true},
 			&cli.BoolFlag{Name: "record-anew", Usage: "set a corrupted store aside and adopt the running instances"},
-			&cli.BoolFlag{Name: "trust-directory", Usage: "join the quota store without confirmation by other agents: the directory is not an older copy"},
+			&cli.BoolFlag{
+				Name:  "trust-directory",
+				Usage: "join the quota store without confirmation by other agents: the directory is not an older copy",
+			},
 		},
 		Action: runAgent,
 	}
@@ -96,7 +100,17 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("agent", "fleet", spec.Name, "host", host.Name, "listen", host.AgentAddress, "instances", len(spec.InstancesOn(host.Name)))
+	slog.Info(
+		"agent",
+		"fleet",
+		spec.Name,
+		"host",
+		host.Name,
+		"listen",
+		host.AgentAddress,
+		"instances",
+		len(spec.InstancesOn(host.Name)),
+	)
 	p.run(ctx, terminate, hangup, func() (*fleet.Spec, error) { return readFleet(c) })
 	slog.Info("agent_end", "why", "told to; the instances go on")
 	return nil
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -20,8 +20,14 @@
 
 func degradationCommand() *cli.Command {
 	return &cli.Command{
-		Name: "degradation", Usage: "check, replay and override degradation levels",
-		Commands: []*cli.Command{degradationCheckCommand(), degradationRecordCommand(), degradationReplayCommand(), degradationPinCommand()},
+		Name:  "degradation",
+		Usage: "check, replay and override degradation levels",
+		Commands: []*cli.Command{
+			degradationCheckCommand(),
+			degradationRecordCommand(),
+			degradationReplayCommand(),
+			degradationPinCommand(),
+		},
 	}
 }
 
@@ -69,7 +75,9 @@
 
 func degradationReplayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "replay", Usage: "replay recorded signals through a policy, and plot its levels", ArgsUsage: "FILE TRACE",
+		Name:      "replay",
+		Usage:     "replay recorded signals through a policy, and plot its levels",
+		ArgsUsage: "FILE TRACE",
 		Description: "A trace has one line for each reading: its time in microseconds, then the known signals, such as queue=1.5.\n" +
 			"Example:\n   milletbarrow degradation replay policy.sx signals.txt --plot levels.svg",
 		Flags:  []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)"}},
@@ -97,8 +105,14 @@
 		return printJSON(levelChanges(policy, changes))
 	}
 	for _, change := range changes {
-		fmt.Printf("%9.3f s  %s to %s, collapse %t, %s\n", float64(change.At-trace[0].At)/1e6, policy.LevelName(change.From),
-			policy.LevelName(change.To), change.Collapse, change.Cause)
+		fmt.Printf(
+			"%9.3f s  %s to %s, collapse %t, %s\n",
+			float64(change.At-trace[0].At)/1e6,
+			policy.LevelName(change.From),
+			policy.LevelName(change.To),
+			change.Collapse,
+			change.Cause,
+		)
 	}
 	fmt.Printf("%d readings, %d changes\n", len(trace), len(changes))
 	return nil
@@ -219,6 +233,9 @@
 	ctx, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
 	defer cancel()
 	return p.Override(ctx, admin.Override{
-		Level: c.Args().First(), Duration: c.Duration("for").Microseconds(), By: "command line", AllowHigher: c.Bool("above"),
+		Level:       c.Args().First(),
+		Duration:    c.Duration("for").Microseconds(),
+		By:          "command line",
+		AllowHigher: c.Bool("above"),
 	})
 }
--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -22,12 +22,19 @@
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
-		Name: "demo", Usage: "run a small fleet with an agent, load, a burst and a rolling update, then stop it and clean up",
+		Name:        "demo",
+		Usage:       "run a small fleet with an agent, load, a burst and a rolling update, then stop it and clean up",
 		Description: "Everything runs on loopback addresses of this machine.\nExample:\n   milletbarrow demo --for 30s --plot demo.svg",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "backends", Value: 4}, &cli.DurationFlag{Name: "for", Value: 30 * time.Second}, &cli.Uint64Flag{Name: "seed", Value: 1},
+			&cli.IntFlag{
+				Name:  "backends",
+				Value: 4,
+			},
+			&cli.DurationFlag{Name: "for", Value: 30 * time.Second},
+			&cli.Uint64Flag{Name: "seed", Value: 1},
 			&cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)", Value: "demo.svg"},
-			&cli.BoolFlag{Name: "quiet", Usage: "do not print a table while it runs"}, jsonFlag(),
+			&cli.BoolFlag{Name: "quiet", Usage: "do not print a table while it runs"},
+			jsonFlag(),
 		},
 		Action: runDemo,
 	}
@@ -75,10 +82,15 @@
 	return func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 }
 
-// runOnSockets starts a scenario's fleet on this machine, sends its load, injects those of its faults that can be injected
-// here (slow hosts, a release; bursts are part of the load), and ends all that it began. twice counts the runs that were
-// launched twice.
-func runOnSockets(ctx context.Context, s *simulation.Scenario, seed uint64, say func(string, ...any)) (r *loadgen.Report, twice int, err error) {
+// runOnSockets starts a scenario's fleet on this machine, sends its load, injects those of its faults that can be
+// injected here (slow hosts, a release; bursts are part of the load), and ends all that it began. twice counts the
+// runs that were launched twice.
+func runOnSockets(
+	ctx context.Context,
+	s *simulation.Scenario,
+	seed uint64,
+	say func(string, ...any),
+) (r *loadgen.Report, twice int, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, 0, err
@@ -95,7 +107,12 @@
 		return nil, 0, err
 	}
 	tool := func(ctx context.Context, args ...string) error {
-		out, err := exec.CommandContext(ctx, self, append([]string{"fleet", args[0], "--fleet", site.FleetFile, "--all", "--quiet"}, args[1:]...)...).CombinedOutput()
+		out, err := exec.CommandContext(
+			ctx,
+			self,
+			append(
+				[]string{"fleet", args[0], "--fleet", site.FleetFile, "--all", "--quiet"},
+				args[1:]...)...).CombinedOutput()
 		if err != nil && ctx.Err() == nil {
 			return fmt.Errorf("fleet %s: %w: %s", args[0], err, out)
 		}
--- a/cmd/milletbarrow/errors.go
+++ b/cmd/milletbarrow/errors.go
@@ -72,8 +72,8 @@
 	outcomeUnreachable
 )
 
-// outcomeError reports how a command that was carried out came out, for scripts that go by the exit code. Without a cause
-// there is no text: the command has printed it already.
+// outcomeError reports how a command that was carried out came out, for scripts that go by the exit code. Without a
+// cause there is no text: the command has printed it already.
 type outcomeError struct {
 	outcome outcome
 	cause   error // nil: none
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -16,7 +16,15 @@
 		Description: "Example:\n   milletbarrow experiment run docs/studies/deaf.sx --dir /tmp/deaf\n" +
 			"   milletbarrow experiment compare docs/studies/deaf.sx --dir /tmp/deaf pool milletbarrow",
 		Commands: []*cli.Command{
-			experimentCheckCommand(), experimentRunCommand(), experimentCompareCommand(), experimentPlotCommand(), experimentReplayCommand(), experimentPoliciesCommand(), experimentValidateCommand(), experimentBenchmarkCommand(), experimentColdStartCommand(),
+			experimentCheckCommand(),
+			experimentRunCommand(),
+			experimentCompareCommand(),
+			experimentPlotCommand(),
+			experimentReplayCommand(),
+			experimentPoliciesCommand(),
+			experimentValidateCommand(),
+			experimentBenchmarkCommand(),
+			experimentColdStartCommand(),
 		},
 	}
 }
@@ -69,7 +77,11 @@
 		return nil, nil, nil, unusable(err)
 	}
 	if missing == len(cells) {
-		return nil, nil, nil, usagef("%s has none of the %d results: run the experiment first", c.String("dir"), missing)
+		return nil, nil, nil, usagef(
+			"%s has none of the %d results: run the experiment first",
+			c.String("dir"),
+			missing,
+		)
 	}
 	if missing > 0 {
 		fmt.Fprintf(os.Stderr, "%d of %d results are missing or can't be read\n", missing, len(cells))
@@ -78,5 +90,9 @@
 }
 
 func measureFlag() cli.Flag {
-	return &cli.StringFlag{Name: "measure", Usage: "the `MEASURE`: value, broken, attempts, wasted, changes, OPERATION.p99 ...", Value: "value"}
+	return &cli.StringFlag{
+		Name:  "measure",
+		Usage: "the `MEASURE`: value, broken, attempts, wasted, changes, OPERATION.p99 ...",
+		Value: "value",
+	}
 }
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -29,11 +29,15 @@
 
 func experimentBenchmarkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "benchmark", Usage: "measure the simulation time of a day on one core by fleet size", ArgsUsage: "FILE",
+		Name:      "benchmark",
+		Usage:     "measure the simulation time of a day on one core by fleet size",
+		ArgsUsage: "FILE",
 		Description: "It runs the file's first scenario with all of its policies. The dashed line of the plot is n log n.\n" +
 			"Example:\n   milletbarrow experiment benchmark docs/studies/size.sx --sizes 10,33,100,330,1000 --plot speed.svg",
 		Flags: []cli.Flag{
-			jsonFlag(), &cli.StringFlag{Name: "sizes", Value: "10,33,100,330"}, &cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)"},
+			jsonFlag(),
+			&cli.StringFlag{Name: "sizes", Value: "10,33,100,330"},
+			&cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)"},
 		},
 		Action: runBenchmark,
 	}
@@ -70,8 +74,12 @@
 			return unusable(err)
 		}
 		run := benchmarkRun{
-			Hosts: cell.Scenario.Hosts.Count, Policy: cell.Policy.Name, Seconds: time.Since(began).Seconds(), Events: r.Events, Asks: r.Requests,
-			HeapMB: heapMB(),
+			Hosts:   cell.Scenario.Hosts.Count,
+			Policy:  cell.Policy.Name,
+			Seconds: time.Since(began).Seconds(),
+			Events:  r.Events,
+			Asks:    r.Requests,
+			HeapMB:  heapMB(),
 		}
 		run.PerEvent = run.Seconds * 1e9 / math.Max(1, float64(run.Events))
 		all = append(all, run)
@@ -81,7 +89,13 @@
 			curves[run.Policy] = curve
 			order = append(order, run.Policy)
 		}
-		curve.X, curve.Y = append(curve.X, float64(run.Hosts)), append(curve.Y, experiment.Bootstrap([]float64{run.Seconds}))
+		curve.X, curve.Y = append(
+			curve.X,
+			float64(run.Hosts),
+		), append(
+			curve.Y,
+			experiment.Bootstrap([]float64{run.Seconds}),
+		)
 		fmt.Fprintf(os.Stderr, "%d of %d: %s, %d hosts, %.2f s\n", i+1, len(cells), run.Policy, run.Hosts, run.Seconds)
 	}
 	if to := c.String("plot"); to != "" {
@@ -100,7 +114,17 @@
 	w := newTabWriter()
 	fmt.Fprintln(w, "hosts\tpolicy\tseconds\tinvocations\tevents\tns by event\tMB so far")
 	for _, run := range all {
-		fmt.Fprintf(w, "%d\t%s\t%.2f\t%d\t%d\t%.0f\t%.0f\n", run.Hosts, run.Policy, run.Seconds, run.Asks, run.Events, run.PerEvent, run.HeapMB)
+		fmt.Fprintf(
+			w,
+			"%d\t%s\t%.2f\t%d\t%d\t%.0f\t%.0f\n",
+			run.Hosts,
+			run.Policy,
+			run.Seconds,
+			run.Asks,
+			run.Events,
+			run.PerEvent,
+			run.HeapMB,
+		)
 	}
 	return w.Flush()
 }
--- a/cmd/milletbarrow/experiment_check.go
+++ b/cmd/milletbarrow/experiment_check.go
@@ -11,9 +11,12 @@
 
 func experimentCheckCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "validate an experiment and print what it runs", ArgsUsage: "FILE",
-		Description: "Example:\n   milletbarrow experiment check docs/studies/deaf.sx", Flags: []cli.Flag{jsonFlag(), overFlag()},
-		Action: checkExperiment,
+		Name:        "check",
+		Usage:       "validate an experiment and print what it runs",
+		ArgsUsage:   "FILE",
+		Description: "Example:\n   milletbarrow experiment check docs/studies/deaf.sx",
+		Flags:       []cli.Flag{jsonFlag(), overFlag()},
+		Action:      checkExperiment,
 	}
 }
 
--- a/cmd/milletbarrow/experiment_cold_start.go
+++ b/cmd/milletbarrow/experiment_cold_start.go
@@ -12,10 +12,15 @@
 
 func experimentColdStartCommand() *cli.Command {
 	return &cli.Command{
-		Name: "cold-start", Usage: "simulate a cold start by each way of starting and reporting",
+		Name:  "cold-start",
+		Usage: "simulate a cold start by each way of starting and reporting",
 		Description: "The simulated registry refuses reports for ten seconds, and the dependency fails under overload. Example:\n" +
 			"   milletbarrow experiment cold-start --backends 330,1200,5000 --seeds 6",
-		Flags:  []cli.Flag{jsonFlag(), &cli.IntSliceFlag{Name: "backends", Value: coldstart.Sizes()}, &cli.IntFlag{Name: "seeds", Value: 6}},
+		Flags: []cli.Flag{
+			jsonFlag(),
+			&cli.IntSliceFlag{Name: "backends", Value: coldstart.Sizes()},
+			&cli.IntFlag{Name: "seeds", Value: 6},
+		},
 		Action: studyColdStart,
 	}
 }
@@ -30,7 +35,11 @@
 	if err := checkRange("seeds", c.Int("seeds"), 1, 1000); err != nil {
 		return err
 	}
-	rows, err := coldstart.Study(c.IntSlice("backends"), c.Int("seeds"), func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
+	rows, err := coldstart.Study(
+		c.IntSlice("backends"),
+		c.Int("seeds"),
+		func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) },
+	)
 	if err != nil {
 		return err
 	}
--- a/cmd/milletbarrow/experiment_compare.go
+++ b/cmd/milletbarrow/experiment_compare.go
@@ -11,7 +11,9 @@
 
 func experimentCompareCommand() *cli.Command {
 	return &cli.Command{
-		Name: "compare", Usage: "print the paired difference of two policies with its confidence interval", ArgsUsage: "FILE A B",
+		Name:      "compare",
+		Usage:     "print the paired difference of two policies with its confidence interval",
+		ArgsUsage: "FILE A B",
 		Description: "Days are paired by seed; the interval holds with a confidence of 0.95.\n" +
 			"Example:\n   milletbarrow experiment compare docs/studies/deaf.sx --dir /tmp/deaf --measure pay-post.value pool milletbarrow",
 		Flags:  []cli.Flag{dirFlag(), overFlag(), measureFlag(), jsonFlag()},
@@ -39,8 +41,19 @@
 	w := newTabWriter()
 	fmt.Fprintf(w, "scenario\tat\tdays\t%s\t%s\tdifference\tinterval\t\n", c.Args().Get(1), c.Args().Get(2))
 	for _, d := range all {
-		fmt.Fprintf(w, "%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n", d.Scenario, d.SweptValue, d.Paired.Samples, d.First.Mean, d.Second.Mean,
-			d.Paired.Mean, d.Paired.Low, d.Paired.High, d.Verdict)
+		fmt.Fprintf(
+			w,
+			"%s\t%g\t%d\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g\t%s\n",
+			d.Scenario,
+			d.SweptValue,
+			d.Paired.Samples,
+			d.First.Mean,
+			d.Second.Mean,
+			d.Paired.Mean,
+			d.Paired.Low,
+			d.Paired.High,
+			d.Verdict,
+		)
 	}
 	return w.Flush()
 }
--- a/cmd/milletbarrow/experiment_plot.go
+++ b/cmd/milletbarrow/experiment_plot.go
@@ -19,14 +19,30 @@
 
 func experimentPlotCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plot", Usage: "plot the results of an experiment", ArgsUsage: "FILE",
+		Name:      "plot",
+		Usage:     "plot the results of an experiment",
+		ArgsUsage: "FILE",
 		Description: "Plots: sweep (the measure by swept value), time, operations, tenants, latency, heat (of one policy).\n" +
 			"Example:\n   milletbarrow experiment plot docs/studies/deaf.sx --dir /tmp/deaf --what sweep --to deaf.svg",
 		Flags: []cli.Flag{
-			dirFlag(), overFlag(), measureFlag(),
-			&cli.StringFlag{Name: "what", Value: "sweep"}, &cli.StringFlag{Name: "to", Usage: "plot to a `FILE` (.svg or .png)", Required: true},
-			&cli.StringFlag{Name: "scenario", Usage: "default: the first one"}, &cli.StringFlag{Name: "policy", Usage: "policy of a heat map"},
-			&cli.Uint64Flag{Name: "seed", Usage: "default: the first one"}, &cli.FloatFlag{Name: "at", Usage: "swept value", Value: math.NaN()},
+			dirFlag(),
+			overFlag(),
+			measureFlag(),
+			&cli.StringFlag{
+				Name:  "what",
+				Value: "sweep",
+			},
+			&cli.StringFlag{Name: "to", Usage: "plot to a `FILE` (.svg or .png)", Required: true},
+			&cli.StringFlag{
+				Name:  "scenario",
+				Usage: "default: the first one",
+			},
+			&cli.StringFlag{Name: "policy", Usage: "policy of a heat map"},
+			&cli.Uint64Flag{
+				Name:  "seed",
+				Usage: "default: the first one",
+			},
+			&cli.FloatFlag{Name: "at", Usage: "swept value", Value: math.NaN()},
 		},
 		Action: plotExperiment,
 	}
@@ -81,10 +97,16 @@
 
 // selectDays selects the results of one scenario, seed and swept value, with their policies' names; no policy: all.
 func selectDays(
-	x *experiment.Experiment, cells []experiment.Cell, results []*simulation.Result, scenario, policy string, seed uint64, at float64,
+	x *experiment.Experiment,
+	cells []experiment.Cell,
+	results []*simulation.Result,
+	scenario, policy string,
+	seed uint64,
+	at float64,
 ) (names []string, days []*simulation.Result) {
 	for i, cell := range cells {
-		if results[i] != nil && cell.Scenario.Name == scenario && cell.Seed == seed && (x.SweptField == "" || cell.SweptValue == at) &&
+		if results[i] != nil && cell.Scenario.Name == scenario && cell.Seed == seed &&
+			(x.SweptField == "" || cell.SweptValue == at) &&
 			(policy == "" || policy == cell.Policy.Name) {
 			names, days = append(names, cell.Policy.Name), append(days, results[i])
 		}
--- a/cmd/milletbarrow/experiment_replay.go
+++ b/cmd/milletbarrow/experiment_replay.go
@@ -14,12 +14,22 @@
 
 func experimentReplayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "replay", Usage: "replay one simulated day and print the events of one request or one host", ArgsUsage: "FILE",
+		Name:        "replay",
+		Usage:       "replay one simulated day and print the events of one request or one host",
+		ArgsUsage:   "FILE",
 		Description: "Example:\n   milletbarrow experiment replay docs/studies/deaf.sx --policy milletbarrow --seed 3 --invocation 1200",
 		Flags: []cli.Flag{
-			overFlag(), &cli.StringFlag{Name: "scenario"}, &cli.StringFlag{Name: "policy"}, &cli.Uint64Flag{Name: "seed"},
-			&cli.Uint64Flag{Name: "invocation", Usage: "`NUMBER` of the request in the day, from 1"}, &cli.IntFlag{Name: "host", Value: -1},
-			&cli.FloatFlag{Name: "at", Value: math.NaN()}, &cli.IntFlag{Name: "most", Usage: "lines", Value: 200},
+			overFlag(),
+			&cli.StringFlag{Name: "scenario"},
+			&cli.StringFlag{Name: "policy"},
+			&cli.Uint64Flag{Name: "seed"},
+			&cli.Uint64Flag{
+				Name:  "invocation",
+				Usage: "`NUMBER` of the request in the day, from 1",
+			},
+			&cli.IntFlag{Name: "host", Value: -1},
+			&cli.FloatFlag{Name: "at", Value: math.NaN()},
+			&cli.IntFlag{Name: "most", Usage: "lines", Value: 200},
 		},
 		Action: replayDay,
 	}
@@ -33,7 +43,8 @@
 	}
 	i := slices.IndexFunc(cells, func(l experiment.Cell) bool {
 		return (c.String("scenario") == "" || c.String("scenario") == l.Scenario.Name) && (c.String("policy") == "" || c.String("policy") == l.Policy.Name) &&
-			(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) && (math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
+			(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) &&
+			(math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
 	})
 	if i < 0 {
 		return usagef("no such run in this experiment")
@@ -47,7 +58,14 @@
 	if err != nil {
 		return unusable(err)
 	}
-	fmt.Printf("%s, %s, seed %d, at %g: value %.4f\n", cell.Scenario.Name, cell.Policy.Name, cell.Seed, cell.SweptValue, r.Value())
+	fmt.Printf(
+		"%s, %s, seed %d, at %g: value %.4f\n",
+		cell.Scenario.Name,
+		cell.Policy.Name,
+		cell.Seed,
+		cell.SweptValue,
+		r.Value(),
+	)
 	for _, line := range tr.Lines {
 		fmt.Println(line)
 	}
--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -19,7 +19,10 @@
 
 func experimentRunCommand() *cli.Command {
 	return &cli.Command{
-		Name: "run", Aliases: []string{"sweep"}, Usage: "run an experiment; the same call resumes one that was interrupted", ArgsUsage: "FILE",
+		Name:      "run",
+		Aliases:   []string{"sweep"},
+		Usage:     "run an experiment; the same call resumes one that was interrupted",
+		ArgsUsage: "FILE",
 		Description: "Each result is stored as soon as its run ends. The exit code is 3 if the module broke a rule.\n" +
 			"Example:\n   milletbarrow experiment run docs/studies/deaf.sx --dir /tmp/deaf --over nodes.deaf=0,0.5,1",
 		Flags: []cli.Flag{
@@ -47,8 +50,18 @@
 	began := time.Now()
 	results, err := experiment.Run(ctx, x, store, c.Int("cores"), func(p experiment.Progress) {
 		if !c.Bool("quiet") {
-			fmt.Fprintf(os.Stderr, "%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n", p.Done, p.Total, p.Cached,
-				time.Since(began).Round(time.Second), p.Cell.Scenario.Name, p.Cell.Policy.Name, p.Cell.Seed, p.Result.Value())
+			fmt.Fprintf(
+				os.Stderr,
+				"%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n",
+				p.Done,
+				p.Total,
+				p.Cached,
+				time.Since(began).Round(time.Second),
+				p.Cell.Scenario.Name,
+				p.Cell.Policy.Name,
+				p.Cell.Seed,
+				p.Result.Value(),
+			)
 		}
 	})
 	if errors.Is(err, context.Canceled) {
@@ -83,8 +96,20 @@
 	fmt.Fprintln(w, "scenario\tat\tpolicy\tdays\tvalue\tinterval\ttries an ask\twasted ms an ask\trules broken")
 	broken := false
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%g\t%s\t%d\t%.4f\t%.4f to %.4f\t%.2f\t%.2f\t%s\n", r.Scenario, r.SweptValue, r.Policy, r.BilledShare.Samples, r.BilledShare.Mean,
-			r.BilledShare.Low, r.BilledShare.High, r.Attempts, r.WastedMicros/1000, r.BreachSummary())
+		fmt.Fprintf(
+			w,
+			"%s\t%g\t%s\t%d\t%.4f\t%.4f to %.4f\t%.2f\t%.2f\t%s\n",
+			r.Scenario,
+			r.SweptValue,
+			r.Policy,
+			r.BilledShare.Samples,
+			r.BilledShare.Mean,
+			r.BilledShare.Low,
+			r.BilledShare.High,
+			r.Attempts,
+			r.WastedMicros/1000,
+			r.BreachSummary(),
+		)
 		broken = broken || r.Policy == simulation.Module && r.BreachCount() > 0
 	}
 	if err := w.Flush(); err != nil {
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -28,10 +28,17 @@
 
 func experimentValidateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "validate", Usage: "compare scenarios in the simulation and over sockets on this machine", ArgsUsage: "FILE",
+		Name:      "validate",
+		Usage:     "compare scenarios in the simulation and over sockets on this machine",
+		ArgsUsage: "FILE",
 		Description: "Slow hosts, bursts and releases happen in both. The exit code is 3 if they differ by more than 0.05 in value or in\n" +
 			"the rejected share, or by 20% in p99. Other load on the machine changes the result.\nExample:\n   milletbarrow experiment validate docs/studies/twins.sx",
-		Flags:  []cli.Flag{jsonFlag(), &cli.BoolFlag{Name: "quiet"}, &cli.StringFlag{Name: "scenario"}, &cli.Uint64Flag{Name: "seed", Value: 1}},
+		Flags: []cli.Flag{
+			jsonFlag(),
+			&cli.BoolFlag{Name: "quiet"},
+			&cli.StringFlag{Name: "scenario"},
+			&cli.Uint64Flag{Name: "seed", Value: 1},
+		},
 		Action: runValidation,
 	}
 }
@@ -65,11 +72,24 @@
 
 func printValidation(all []validationResult) error {
 	t := newTabWriter()
-	fmt.Fprintln(t, "scenario\tvalue modelled\ton sockets\tthrottled modelled\ton sockets\tp99 ms modelled\ton sockets\twithin")
+	fmt.Fprintln(
+		t,
+		"scenario\tvalue modelled\ton sockets\tthrottled modelled\ton sockets\tp99 ms modelled\ton sockets\twithin",
+	)
 	apart := 0
 	for _, w := range all {
-		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%t\n", w.Scenario, w.Value[0], w.Value[1], w.Throttled[0], w.Throttled[1],
-			w.P99[0]/1000, w.P99[1]/1000, w.Within)
+		fmt.Fprintf(
+			t,
+			"%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%t\n",
+			w.Scenario,
+			w.Value[0],
+			w.Value[1],
+			w.Throttled[0],
+			w.Throttled[1],
+			w.P99[0]/1000,
+			w.P99[1]/1000,
+			w.Within,
+		)
 		if !w.Within {
 			apart++
 		}
@@ -84,7 +104,12 @@
 }
 
 // validateScenario plays one day in the model and on sockets.
-func validateScenario(ctx context.Context, c *cli.Command, s *simulation.Scenario, p *simulation.Policy) (*validationResult, error) {
+func validateScenario(
+	ctx context.Context,
+	c *cli.Command,
+	s *simulation.Scenario,
+	p *simulation.Policy,
+) (*validationResult, error) {
 	modelled, err := simulation.Play(s, p, c.Uint64("seed"), nil)
 	if err != nil {
 		return nil, unusable(err)
@@ -101,7 +126,8 @@
 		w.Value[n] = r.Value()
 		w.Throttled[n], w.P99[n] = throttledShareAndP99(r)
 	}
-	w.Within = math.Abs(w.Value[0]-w.Value[1]) <= maxShareDifference && math.Abs(w.Throttled[0]-w.Throttled[1]) <= maxShareDifference &&
+	w.Within = math.Abs(w.Value[0]-w.Value[1]) <= maxShareDifference &&
+		math.Abs(w.Throttled[0]-w.Throttled[1]) <= maxShareDifference &&
 		math.Abs(w.P99[0]-w.P99[1]) <= maxP99Difference*w.P99[1]
 	return w, nil
 }
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -17,26 +17,54 @@
 
 func faultsCommand() *cli.Command {
 	keep := &cli.StringFlag{Name: "keep", Usage: "keep what a failing trial left, in this `DIRECTORY`", Value: "trials"}
-	failpoint := &cli.StringFlag{Name: "failpoint", Aliases: []string{"plant"}, Usage: "a `FAULT` of the program itself, where it was built with -tags failpoint", Hidden: true}
+	failpoint := &cli.StringFlag{
+		Name:    "failpoint",
+		Aliases: []string{"plant"},
+		Usage:   "a `FAULT` of the program itself, where it was built with -tags failpoint",
+		Hidden:  true,
+	}
 	return &cli.Command{
-		Name: "faults", Usage: "run real agents, supervisors and backends under injected faults, and check the outcome",
+		Name:  "faults",
+		Usage: "run real agents, supervisors and backends under injected faults, and check the outcome",
 		Description: "Faults are injected into processes on this machine and the links between them; see docs/fault-injection.md. Exit codes:\n" +
 			"0 all checks passed, 1 error, 2 invalid file or argument, 3 a check failed.",
 		Commands: []*cli.Command{
 			{
-				Name: "run", Usage: "run schedules of faults from files, or random ones from seeds", ArgsUsage: "[FILE ...]",
+				Name:        "run",
+				Usage:       "run schedules of faults from files, or random ones from seeds",
+				ArgsUsage:   "[FILE ...]",
 				Description: "Examples:\n   milletbarrow faults run internal/faultinjection/testdata/cold.sx\n   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
 				Flags: []cli.Flag{
-					keep, failpoint, jsonFlag(), &cli.BoolFlag{Name: "quiet", Usage: "do not print progress"},
-					&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the first random schedule"}, &cli.IntFlag{Name: "count", Usage: "number of random schedules"},
-					&cli.IntFlag{Name: "hosts", Value: 5}, &cli.IntFlag{Name: "backends", Value: 20}, &cli.IntFlag{Name: "faults", Value: 24},
-					&cli.DurationFlag{Name: "span", Value: 40 * time.Second}, &cli.StringFlag{Name: "out", Usage: "append each verdict to this `FILE`, one a line"},
+					keep,
+					failpoint,
+					jsonFlag(),
+					&cli.BoolFlag{Name: "quiet", Usage: "do not print progress"},
+					&cli.Uint64Flag{
+						Name:  "seed",
+						Value: 1,
+						Usage: "seed of the first random schedule",
+					},
+					&cli.IntFlag{Name: "count", Usage: "number of random schedules"},
+					&cli.IntFlag{
+						Name:  "hosts",
+						Value: 5,
+					},
+					&cli.IntFlag{Name: "backends", Value: 20},
+					&cli.IntFlag{Name: "faults", Value: 24},
+					&cli.DurationFlag{
+						Name:  "span",
+						Value: 40 * time.Second,
+					},
+					&cli.StringFlag{Name: "out", Usage: "append each verdict to this `FILE`, one a line"},
 					&cli.BoolFlag{Name: "stop", Usage: "stop at the first failed schedule"},
 				},
 				Action: runSchedules,
 			},
 			{
-				Name: "replay", Usage: "run a stored schedule again", ArgsUsage: "FILE", Flags: []cli.Flag{keep, failpoint, jsonFlag()},
+				Name:        "replay",
+				Usage:       "run a stored schedule again",
+				ArgsUsage:   "FILE",
+				Flags:       []cli.Flag{keep, failpoint, jsonFlag()},
 				Description: "Example:\n   milletbarrow faults replay trials/drawn-17/trial.sx",
 				Action: func(ctx context.Context, c *cli.Command) error {
 					t, err := readSchedule(c.Args().First())
@@ -47,16 +75,32 @@
 				},
 			},
 			{
-				Name: "shrink", Usage: "reduce a failing schedule as far as it still fails", ArgsUsage: "FILE",
+				Name:        "shrink",
+				Usage:       "reduce a failing schedule as far as it still fails",
+				ArgsUsage:   "FILE",
 				Description: "Example:\n   milletbarrow faults shrink trials/drawn-17/trial.sx --within 30m > small.sx",
-				Flags:       []cli.Flag{keep, failpoint, &cli.DurationFlag{Name: "within", Value: time.Hour}, &cli.IntFlag{Name: "tries", Value: 2, Usage: "attempts for each schedule, as failures may be random"}},
-				Action:      shrinkSchedule,
+				Flags: []cli.Flag{
+					keep,
+					failpoint,
+					&cli.DurationFlag{Name: "within", Value: time.Hour},
+					&cli.IntFlag{
+						Name:  "tries",
+						Value: 2,
+						Usage: "attempts for each schedule, as failures may be random",
+					},
+				},
+				Action: shrinkSchedule,
 			},
 			{
-				Name: "measure", Usage: "measure the use of quotas while demand moves, hosts are lost and agents are killed",
+				Name:        "measure",
+				Usage:       "measure the use of quotas while demand moves, hosts are lost and agents are killed",
 				Description: "It takes some minutes; other load on the machine changes the result. Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
-				Flags:       []cli.Flag{jsonFlag(), &cli.IntFlag{Name: "hosts", Value: 5}, &cli.IntFlag{Name: "backends", Value: 20}},
-				Action:      measureFaults,
+				Flags: []cli.Flag{
+					jsonFlag(),
+					&cli.IntFlag{Name: "hosts", Value: 5},
+					&cli.IntFlag{Name: "backends", Value: 20},
+				},
+				Action: measureFaults,
 			},
 			{
 				Name: "report", Usage: "summarise the verdicts that --out stored", ArgsUsage: "FILE",
@@ -68,7 +112,10 @@
 }
 
 func measureFaults(ctx context.Context, c *cli.Command) error {
-	o, err := harnessOptions(c, &schedule.Schedule{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute})
+	o, err := harnessOptions(
+		c,
+		&schedule.Schedule{Name: "measure", Hosts: c.Int("hosts"), Backends: c.Int("backends"), Span: time.Minute},
+	)
 	if err != nil {
 		return err
 	}
@@ -102,11 +149,21 @@
 		}
 		all = append(all, t)
 	}
-	if c.Int("hosts") < 1 || c.Int("hosts") > schedule.MaxHosts || c.Int("backends") < 1 || c.Int("backends") > schedule.MaxBackends {
+	if c.Int("hosts") < 1 || c.Int("hosts") > schedule.MaxHosts || c.Int("backends") < 1 ||
+		c.Int("backends") > schedule.MaxBackends {
 		return usagef("trial: 1 to %d hosts, 1 to %d backends", schedule.MaxHosts, schedule.MaxBackends)
 	}
 	for n := range c.Int("count") {
-		all = append(all, schedule.Random(c.Uint64("seed")+uint64(n), c.Int("hosts"), c.Int("backends"), c.Int("faults"), c.Duration("span")))
+		all = append(
+			all,
+			schedule.Random(
+				c.Uint64("seed")+uint64(n),
+				c.Int("hosts"),
+				c.Int("backends"),
+				c.Int("faults"),
+				c.Duration("span"),
+			),
+		)
 	}
 	if len(all) == 0 {
 		return usagef("trial: name a file, or --count")
@@ -170,7 +227,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("within"))
 	defer cancel()
-	small, err := harness.Shrink(ctx, t, c.Int("tries"), func(t *schedule.Schedule) (harness.Options, error) { return harnessOptions(c, t) })
+	small, err := harness.Shrink(
+		ctx,
+		t,
+		c.Int("tries"),
+		func(t *schedule.Schedule) (harness.Options, error) { return harnessOptions(c, t) },
+	)
 	if err != nil {
 		return err
 	}
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -23,13 +23,25 @@
 
 func fleetCommand() *cli.Command {
 	return &cli.Command{
-		Name: "fleet", Usage: "start, drain, inspect and stop many instances through their agents",
+		Name:  "fleet",
+		Usage: "start, drain, inspect and stop many instances through their agents",
 		Description: "Exit codes: 0 success, 1 error, 2 invalid file or argument, nothing was changed, 3 some instances failed,\n" +
 			"4 timeout, 5 an agent is unreachable.",
 		Commands: []*cli.Command{
-			fleetCheckCommand(), lifecycleCommand(fleet.KindStart), lifecycleCommand(fleet.KindDrain), lifecycleCommand(fleet.KindStop),
-			lifecycleCommand(fleet.KindRestart), rollingUpdateCommand(), steerCommand("pause"), steerCommand("resume"),
-			steerCommand("cancel"), fleetStatusCommand(), fleetWatchCommand(), fleetHistoryCommand(), fleetQuotasCommand(), coldStartCommand(),
+			fleetCheckCommand(),
+			lifecycleCommand(fleet.KindStart),
+			lifecycleCommand(fleet.KindDrain),
+			lifecycleCommand(fleet.KindStop),
+			lifecycleCommand(fleet.KindRestart),
+			rollingUpdateCommand(),
+			steerCommand("pause"),
+			steerCommand("resume"),
+			steerCommand("cancel"),
+			fleetStatusCommand(),
+			fleetWatchCommand(),
+			fleetHistoryCommand(),
+			fleetQuotasCommand(),
+			coldStartCommand(),
 			fleetMembersCommand(),
 		},
 	}
@@ -42,13 +54,18 @@
 
 func selectionFlags() []cli.Flag {
 	return []cli.Flag{
-		fleetFlag(), jsonFlag(),
+		fleetFlag(),
+		jsonFlag(),
 		&cli.BoolFlag{Name: "all", Usage: "all instances except spares"},
 		&cli.StringSliceFlag{Name: "group", Usage: "the instances of a `GROUP`"},
 		&cli.StringSliceFlag{Name: "label", Usage: "the instances with a `LABEL`"},
 		&cli.StringSliceFlag{Name: "host", Usage: "the instances of a `HOST`"},
 		&cli.StringFlag{Name: "id", Usage: "the command's `ID`; a repeat with the same ID is the same command"},
-		&cli.DurationFlag{Name: "within", Usage: "fail instances without a result after this duration", Value: 5 * time.Minute},
+		&cli.DurationFlag{
+			Name:  "within",
+			Usage: "fail instances without a result after this duration",
+			Value: 5 * time.Minute,
+		},
 		&cli.BoolFlag{Name: "dry-run", Usage: "print the steps without taking them"},
 		&cli.BoolFlag{Name: "wait", Usage: "wait until all instances have a result", Value: true},
 		&cli.BoolFlag{Name: "quiet", Usage: "do not print progress"},
@@ -82,7 +99,15 @@
 		fmt.Fprintf(to, "%s: %d lines are no longer kept\n", host, l.LostEntries)
 	case l.Entry != nil:
 		e := l.Entry
-		fmt.Fprintf(to, "%s %-8s %-10s %-16s %s\n", time.UnixMicro(e.UnixMicros).UTC().Format("15:04:05.000"), host, e.Name, e.Event, e.Cause)
+		fmt.Fprintf(
+			to,
+			"%s %-8s %-10s %-16s %s\n",
+			time.UnixMicro(e.UnixMicros).UTC().Format("15:04:05.000"),
+			host,
+			e.Name,
+			e.Event,
+			e.Cause,
+		)
 	}
 }
 
@@ -123,10 +148,18 @@
 }
 
 // newCommandRequest makes the command that the flags ask for.
-func newCommandRequest(c *cli.Command, client *fleetclient.Client, kind fleet.CommandKind) (agentapi.CommandRequest, error) {
+func newCommandRequest(
+	c *cli.Command,
+	client *fleetclient.Client,
+	kind fleet.CommandKind,
+) (agentapi.CommandRequest, error) {
 	now := time.Now()
 	request := agentapi.CommandRequest{
-		ID: c.String("id"), Kind: kind, RequestedBy: client.Operator, RequestedUnixMicros: now.UnixMicro(), TimeoutMicros: c.Duration("within").Microseconds(),
+		ID:                  c.String("id"),
+		Kind:                kind,
+		RequestedBy:         client.Operator,
+		RequestedUnixMicros: now.UnixMicro(),
+		TimeoutMicros:       c.Duration("within").Microseconds(),
 	}
 	if request.ID == "" {
 		request.ID = fleetclient.NewID(kind, now)
@@ -156,8 +189,8 @@
 	return client, instances, request, err
 }
 
-// withCommandTimeout bounds how long this process waits for a command. Agents end it by its own timeout; the margin leaves them
-// time to say so.
+// withCommandTimeout bounds how long this process waits for a command. Agents end it by its own timeout; the margin
+// leaves them time to say so.
 func withCommandTimeout(ctx context.Context, request agentapi.CommandRequest) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, time.Duration(request.TimeoutMicros)*time.Microsecond+commandMargin)
 }
@@ -174,8 +207,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// finishCommand prints a report, and returns the outcome that it stands for. Where the caller did not wait for results it is no
-// error that some are missing.
+// finishCommand prints a report, and returns the outcome that it stands for. Where the caller did not wait for
+// results it is no error that some are missing.
 func finishCommand(c *cli.Command, r *fleetclient.Report, waited bool) error {
 	if c.Bool("json") {
 		if err := printJSON(r); err != nil {
--- a/cmd/milletbarrow/fleet_check.go
+++ b/cmd/milletbarrow/fleet_check.go
@@ -13,10 +13,15 @@
 
 func fleetCheckCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "validate a fleet's file, with --configs also the configurations that it names",
+		Name:        "check",
+		Usage:       "validate a fleet's file, with --configs also the configurations that it names",
 		Description: "Examples:\n   milletbarrow fleet check --fleet fleet.sx\n   milletbarrow fleet check --fleet fleet.sx --configs --json",
-		Flags:       []cli.Flag{fleetFlag(), jsonFlag(), &cli.BoolFlag{Name: "configs", Usage: "validate the instances' configurations too"}},
-		Action:      checkFleet,
+		Flags: []cli.Flag{
+			fleetFlag(),
+			jsonFlag(),
+			&cli.BoolFlag{Name: "configs", Usage: "validate the instances' configurations too"},
+		},
+		Action: checkFleet,
 	}
 }
 
@@ -42,6 +47,12 @@
 			Instances []*fleet.InstanceSpec
 		}{s, s.InstancesOn("")})
 	}
-	fmt.Printf("%s: valid: %d hosts, %d groups, %d instances\n", s.Name, len(s.Hosts), len(s.Groups), len(s.InstancesOn("")))
+	fmt.Printf(
+		"%s: valid: %d hosts, %d groups, %d instances\n",
+		s.Name,
+		len(s.Hosts),
+		len(s.Groups),
+		len(s.InstancesOn("")),
+	)
 	return nil
 }
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -19,7 +19,8 @@
 
 func coldStartCommand() *cli.Command {
 	return &cli.Command{
-		Name: "cold-start", Usage: "start all stopped instances of a site, at the pace that the registry and the dependencies allow",
+		Name:      "cold-start",
+		Usage:     "start all stopped instances of a site, at the pace that the registry and the dependencies allow",
 		ArgsUsage: "[instance ...]",
 		Description: "Running instances are not touched. The required minimum of each group starts first. The limits are those of\n" +
 			"(cold-start ...) in the fleet's file. With the --id of a cold start that goes on, the command follows that.\n\nExamples:\n" +
@@ -27,7 +28,10 @@
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision go-on     (continue after a stop, once its cause is removed)\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision end       (end the limits; fleet cancel ID cancels the starts)",
-		Flags:  append(selectionFlags(), &cli.StringFlag{Name: "decision", Usage: "a `DECISION` about the cold start of --id: go-on or end"}),
+		Flags: append(
+			selectionFlags(),
+			&cli.StringFlag{Name: "decision", Usage: "a `DECISION` about the cold start of --id: go-on or end"},
+		),
 		Action: runColdStart,
 	}
 }
@@ -49,7 +53,12 @@
 		return err
 	}
 	request.Budget = client.Spec.ColdStartQuota
-	r := quota.ColdStartCommand{Limit: quota.LimitName(request.Budget), ID: request.ID, By: client.Operator, Action: c.String("decision")}
+	r := quota.ColdStartCommand{
+		Limit:  quota.LimitName(request.Budget),
+		ID:     request.ID,
+		By:     client.Operator,
+		Action: c.String("decision"),
+	}
 	if r.Action != "" {
 		if err := client.ColdStart(ctx, r); err != nil {
 			return quotaCallError(err)
@@ -104,7 +113,11 @@
 		rows = append(rows, []string{strconv.Itoa(i + 1), string(m.Name), m.Host, string(m.Group), word})
 	}
 	printTable(rows)
-	fmt.Printf("%d at once to begin with, %d at the most; those that are up stay so\nnothing was done\n", r.Config.InitialConcurrent, r.Config.MaxConcurrent)
+	fmt.Printf(
+		"%d at once to begin with, %d at the most; those that are up stay so\nnothing was done\n",
+		r.Config.InitialConcurrent,
+		r.Config.MaxConcurrent,
+	)
 	return nil
 }
 
@@ -141,7 +154,17 @@
 	for _, g := range r.Groups {
 		sum.Ready, sum.Starting, sum.Failed, sum.Waiting = sum.Ready+g.Ready, sum.Starting+g.Starting, sum.Failed+g.Failed, sum.Waiting+g.Waiting
 	}
-	line := fmt.Sprintf("rise %s: %d warm, %d starting, %d waiting, %d failing; %d of %d at once (%s)", r.ID, sum.Ready, sum.Starting, sum.Waiting, sum.Failed, r.Concurrency, r.MaxConcurrent, r.Reason)
+	line := fmt.Sprintf(
+		"rise %s: %d warm, %d starting, %d waiting, %d failing; %d of %d at once (%s)",
+		r.ID,
+		sum.Ready,
+		sum.Starting,
+		sum.Waiting,
+		sum.Failed,
+		r.Concurrency,
+		r.MaxConcurrent,
+		r.Reason,
+	)
 	if r.HaltReason != "" {
 		line += "; stopped: " + r.HaltReason
 	}
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -19,8 +19,14 @@
 			"   milletbarrow fleet history --fleet fleet.sx --name n3 --json\n\n" +
 			"Lines of several hosts are in the order of their wall clocks, which may differ.",
 		Flags: []cli.Flag{
-			fleetFlag(), jsonFlag(), &cli.IntFlag{Name: "most", Usage: "number of lines, the latest ones", Value: 200},
-			&cli.StringFlag{Name: "name", Usage: "of this `INSTANCE` only"}, &cli.StringFlag{Name: "command", Usage: "of the command with this `ID` only"},
+			fleetFlag(),
+			jsonFlag(),
+			&cli.IntFlag{Name: "most", Usage: "number of lines, the latest ones", Value: 200},
+			&cli.StringFlag{
+				Name:  "name",
+				Usage: "of this `INSTANCE` only",
+			},
+			&cli.StringFlag{Name: "command", Usage: "of the command with this `ID` only"},
 		},
 		Action: showHistory,
 	}
@@ -57,7 +63,9 @@
 
 func fleetWatchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "watch", Usage: "follow one command until it ends, or all events until interrupted", ArgsUsage: "[ID]",
+		Name:        "watch",
+		Usage:       "follow one command until it ends, or all events until interrupted",
+		ArgsUsage:   "[ID]",
 		Description: "Examples:\n   milletbarrow fleet watch --fleet fleet.sx\n   milletbarrow fleet watch --fleet fleet.sx wave-20261201T160000-ab12cd34",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action:      watchCommand,
@@ -72,9 +80,14 @@
 	}
 	id := c.Args().First()
 	r := &fleetclient.Report{ID: id}
-	r.Hosts, _ = agentapi.FanOut(ctx, client.Bounds, client.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
-		return client.Watch(ctx, h.Name, id), nil
-	})
+	r.Hosts, _ = agentapi.FanOut(
+		ctx,
+		client.Bounds,
+		client.Spec.Hosts,
+		func(ctx context.Context, h fleet.HostSpec) (fleetclient.HostReport, error) {
+			return client.Watch(ctx, h.Name, id), nil
+		},
+	)
 	if id == "" {
 		return nil
 	}
--- a/cmd/milletbarrow/fleet_members.go
+++ b/cmd/milletbarrow/fleet_members.go
@@ -10,7 +10,8 @@
 
 func fleetMembersCommand() *cli.Command {
 	return &cli.Command{
-		Name: "members", Usage: "show which agents each agent considers alive",
+		Name:        "members",
+		Usage:       "show which agents each agent considers alive",
 		Description: "There is a row for each agent that was polled and a column for each agent that it judges. Example:\n   milletbarrow fleet members --fleet fleet.sx",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action:      showMembers,
@@ -38,7 +39,10 @@
 				row = append(row, h.Error)
 			}
 			for _, s := range h.Seen {
-				row = append(row, fmt.Sprintf("%s %v", s.State, (time.Duration(s.For)*time.Microsecond).Round(time.Second)))
+				row = append(
+					row,
+					fmt.Sprintf("%s %v", s.State, (time.Duration(s.For)*time.Microsecond).Round(time.Second)),
+				)
 			}
 			rows = append(rows, row)
 		}
--- a/cmd/milletbarrow/fleet_quotas.go
+++ b/cmd/milletbarrow/fleet_quotas.go
@@ -15,11 +15,13 @@
 
 func fleetQuotasCommand() *cli.Command {
 	return &cli.Command{
-		Name: "quotas", Usage: "show who holds how much of the fleet's quotas, or write off a lost holder",
+		Name:  "quotas",
+		Usage: "show who holds how much of the fleet's quotas, or write off a lost holder",
 		Description: "Any agent forwards the request to the leader of the quota store. Examples:\n   milletbarrow fleet quotas --fleet fleet.sx\n" +
 			"   milletbarrow fleet quotas --fleet fleet.sx --write-off n3     (its host is lost for good, its process runs no more)",
 		Flags: []cli.Flag{fleetFlag(), jsonFlag(), &cli.StringFlag{
-			Name: "write-off", Usage: "release the leases of the holder with this `NAME`; its process must not be running",
+			Name:  "write-off",
+			Usage: "release the leases of the holder with this `NAME`; its process must not be running",
 		}},
 		Action: showQuotas,
 	}
@@ -72,7 +74,21 @@
 		if u.Kind == quota.Concurrency {
 			unit = ""
 		}
-		rows = append(rows, []string{string(u.Limit), fmt.Sprintf("%d of %d%s", u.InForce, u.Total, unit), "", num(u.ReservedFloors), "", "", "", "", "", ""})
+		rows = append(
+			rows,
+			[]string{
+				string(u.Limit),
+				fmt.Sprintf("%d of %d%s", u.InForce, u.Total, unit),
+				"",
+				num(u.ReservedFloors),
+				"",
+				"",
+				"",
+				"",
+				"",
+				"",
+			},
+		)
 		for _, h := range u.Holders {
 			if u.Kind == quota.Concurrency {
 				rows = append(rows, []string{"", string(h.Name), h.Host, "", "1", "", "", "", "", h.AcquireID})
@@ -82,7 +98,21 @@
 			if h.Remaining > 0 {
 				until = (time.Duration(h.Remaining) * time.Microsecond).Round(100 * time.Millisecond).String()
 			}
-			rows = append(rows, []string{"", string(h.Name), h.Host, num(h.Floor), num(h.Extra), until, num(h.Demand), num(h.Drawn), num(h.Denied), ""})
+			rows = append(
+				rows,
+				[]string{
+					"",
+					string(h.Name),
+					h.Host,
+					num(h.Floor),
+					num(h.Extra),
+					until,
+					num(h.Demand),
+					num(h.Drawn),
+					num(h.Denied),
+					"",
+				},
+			)
 		}
 	}
 	printTable(rows)
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -20,19 +20,33 @@
 			"   milletbarrow fleet rolling-update --fleet fleet.sx --all --dry-run\n" +
 			"   milletbarrow fleet rolling-update --fleet fleet.sx --group counter --max-unavailable 4 --min-ready-share 0.8 --surge 1\n" +
 			"   milletbarrow fleet resume --fleet fleet.sx ID",
-		Flags: append(selectionFlags(),
+		Flags: append(
+			selectionFlags(),
 			&cli.IntFlag{Name: "max-unavailable", Usage: "maximum number of instances restarting at once"},
 			&cli.IntFlag{Name: "min-ready", Usage: "minimum number of ready instances in each group"},
 			&cli.FloatFlag{Name: "min-ready-share", Usage: "minimum share of ready instances in each group"},
-			&cli.StringFlag{Name: "order", Usage: "order of the instances: file, name or spread (alternating between groups)"},
+			&cli.StringFlag{
+				Name:  "order",
+				Usage: "order of the instances: file, name or spread (alternating between groups)",
+			},
 			&cli.IntFlag{Name: "surge", Usage: "spares of each group that start before its first instance restarts"},
 			&cli.IntFlag{Name: "max-failures", Usage: "number of failures beyond which the update pauses"},
 			&cli.DurationFlag{Name: "ready-within", Usage: "timeout from an instance's start to ready"},
 			&cli.DurationFlag{Name: "stall", Usage: "time without progress after which the update pauses"},
-			&cli.FloatFlag{Name: "rejected-share", Usage: "share of rejected or failed requests that pauses the update"},
+			&cli.FloatFlag{
+				Name:  "rejected-share",
+				Usage: "share of rejected or failed requests that pauses the update",
+			},
 			&cli.DurationFlag{Name: "rejected-for", Usage: "time for which the share has to last"},
-			&cli.IntFlag{Name: "max-hosts", Usage: "hosts that update at once, unless a quota limits the instances over all hosts", Value: 1},
-			&cli.StringFlag{Name: "budget", Usage: "concurrency quota of the fleet's file: each restarting instance holds a unit of it, over all hosts"},
+			&cli.IntFlag{
+				Name:  "max-hosts",
+				Usage: "hosts that update at once, unless a quota limits the instances over all hosts",
+				Value: 1,
+			},
+			&cli.StringFlag{
+				Name:  "budget",
+				Usage: "concurrency quota of the fleet's file: each restarting instance holds a unit of it, over all hosts",
+			},
 		),
 		Action: runRollingUpdate,
 	}
@@ -59,7 +73,10 @@
 	defer cancel()
 	if !c.Bool("wait") {
 		if hosts, _ := client.ByHost(instances); len(hosts) > 1 && request.Budget == "" {
-			return usagef("wait: a wave over %d hosts is taken from host to host by this command, which has to stay", len(hosts))
+			return usagef(
+				"wait: a wave over %d hosts is taken from host to host by this command, which has to stay",
+				len(hosts),
+			)
 		}
 		return finishCommand(c, client.Execute(ctx, request, instances, false), false)
 	}
@@ -90,7 +107,12 @@
 }
 
 // previewRollingUpdate prints a rolling update batch by batch, as it would go if all went well.
-func previewRollingUpdate(c *cli.Command, client *fleetclient.Client, instances []*fleet.InstanceSpec, config fleet.RollingUpdateConfig) error {
+func previewRollingUpdate(
+	c *cli.Command,
+	client *fleetclient.Client,
+	instances []*fleet.InstanceSpec,
+	config fleet.RollingUpdateConfig,
+) error {
 	hosts, names := client.ByHost(instances)
 	plans := map[string][]fleet.PlanStep{}
 	rows := [][]string{{"host", "batch", "instance", "group", "ready meanwhile", "must stay"}}
@@ -101,7 +123,10 @@
 		}
 		plans[h] = steps
 		for _, s := range steps {
-			rows = append(rows, []string{h, strconv.Itoa(s.Batch), s.Name, s.Group, strconv.Itoa(s.Ready), strconv.Itoa(s.MinReady)})
+			rows = append(
+				rows,
+				[]string{h, strconv.Itoa(s.Batch), s.Name, s.Group, strconv.Itoa(s.Ready), strconv.Itoa(s.MinReady)},
+			)
 		}
 	}
 	if c.Bool("json") {
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -12,7 +12,8 @@
 
 func fleetStatusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show the state of each instance, and the open commands",
+		Name:        "status",
+		Usage:       "show the state of each instance, and the open commands",
 		Description: "Examples:\n   milletbarrow fleet status --fleet fleet.sx\n   milletbarrow fleet status --fleet fleet.sx --json",
 		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
 		Action:      showStatus,
@@ -61,7 +62,21 @@
 				}
 			}
 			span := (time.Duration(in.PhaseAgeMicros) * time.Microsecond).Round(100 * time.Millisecond)
-			rows = append(rows, []string{in.Name, h.Host, in.Group, wanted, string(in.Phase), span.String(), pid, hand, level, in.Cause})
+			rows = append(
+				rows,
+				[]string{
+					in.Name,
+					h.Host,
+					in.Group,
+					wanted,
+					string(in.Phase),
+					span.String(),
+					pid,
+					hand,
+					level,
+					in.Cause,
+				},
+			)
 		}
 	}
 	printTable(rows)
@@ -73,7 +88,15 @@
 			fmt.Printf("host %s takes nothing new: %s\n", h.Host, h.Status.StoreError)
 		}
 		for _, cmd := range h.Status.OpenCommands {
-			fmt.Printf("host %s: %s %s, %d of %d done %s\n", h.Host, cmd.ID, cmd.State, len(cmd.Results), len(cmd.Names)+len(cmd.Spares), cmd.Cause)
+			fmt.Printf(
+				"host %s: %s %s, %d of %d done %s\n",
+				h.Host,
+				cmd.ID,
+				cmd.State,
+				len(cmd.Results),
+				len(cmd.Names)+len(cmd.Spares),
+				cmd.Cause,
+			)
 		}
 	}
 }
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -44,15 +44,20 @@
 		Error   string         `json:"error,omitempty"`
 	}
 	known, refused, away := 0, 0, 0
-	answers, errs := agentapi.FanOut(ctx, client.Bounds, client.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
-		agentClient := client.Caller.Client(h.AgentAddress)
-		defer agentClient.Close()
-		cmd, err := agentClient.Steer(ctx, id, verb, client.Operator)
-		if err != nil {
-			return answer{Host: h.Name, Error: err.Error()}, err
-		}
-		return answer{Host: h.Name, Command: cmd}, nil
-	})
+	answers, errs := agentapi.FanOut(
+		ctx,
+		client.Bounds,
+		client.Spec.Hosts,
+		func(ctx context.Context, h fleet.HostSpec) (answer, error) {
+			agentClient := client.Caller.Client(h.AgentAddress)
+			defer agentClient.Close()
+			cmd, err := agentClient.Steer(ctx, id, verb, client.Operator)
+			if err != nil {
+				return answer{Host: h.Name, Error: err.Error()}, err
+			}
+			return answer{Host: h.Name, Command: cmd}, nil
+		},
+	)
 	rows := [][]string{{"host", "state"}}
 	for i, a := range answers {
 		state := a.Error
--- a/cmd/milletbarrow/former_names.go
+++ b/cmd/milletbarrow/former_names.go
@@ -18,13 +18,18 @@
 	"fake farm":        "executor",
 }
 
-// formerFlags are the former names of flags, by the path of the command that has them. A supervisor goes on starting its
-// instance with the former ones: that may be a program of an earlier version.
+// formerFlags are the former names of flags, by the path of the command that has them. A supervisor goes on starting
+// its instance with the former ones: that may be a program of an earlier version.
 var formerFlags = map[string]map[string]string{
 	"serve": {"inspect": "admin", "levels": "degradation", "draw": "quota"},
 	"fleet rolling-update": {
-		"width": "max-unavailable", "least-count": "min-ready", "least-share": "min-ready-share", "failures": "max-failures",
-		"turned-away": "rejected-share", "turned-for": "rejected-for", "abreast": "max-hosts",
+		"width":       "max-unavailable",
+		"least-count": "min-ready",
+		"least-share": "min-ready-share",
+		"failures":    "max-failures",
+		"turned-away": "rejected-share",
+		"turned-for":  "rejected-for",
+		"abreast":     "max-hosts",
 	},
 	"fleet cold-start": {"say": "decision"},
 	"fake executor":    {"takes": "service-time", "cold": "warm-up", "cold-share": "warm-up-share"},
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -21,7 +21,9 @@
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "send a simulated day over sockets to backends on this machine", ArgsUsage: "FILE",
+		Name:      "load",
+		Usage:     "send a simulated day over sockets to backends on this machine",
+		ArgsUsage: "FILE",
 		Description: "The day is a scenario of an experiment's file. Latency counts from the scheduled time of a request. The exit code is 3 if an answer\n" +
 			"arrived twice or no request succeeded.\nExample:\n   milletbarrow load day.sx --to 127.0.0.1:5050 --to 127.0.0.1:5051",
 		Flags: []cli.Flag{
@@ -60,7 +62,12 @@
 	case errors.Is(err, context.Canceled):
 		return outcomef(outcomeTimedOut, "interrupted")
 	case r.DuplicateAnswers+r.UnknownResults > 0:
-		return outcomef(outcomePartial, "%d answers came twice, %d were of no run", r.DuplicateAnswers, r.UnknownResults)
+		return outcomef(
+			outcomePartial,
+			"%d answers came twice, %d were of no run",
+			r.DuplicateAnswers,
+			r.UnknownResults,
+		)
 	case r.Requests > 0 && r.Billed == 0:
 		return outcomef(outcomePartial, "nothing succeeded")
 	}
@@ -85,8 +92,15 @@
 }
 
 func progressLine(p loadgen.Snapshot) string {
-	return fmt.Sprintf("%4v  %7.0f/s  %6d open  last second billed %5.1f%%  throttled %5d  so far %5.1f%%", p.At, p.PerSecond, p.InFlight,
-		100*p.LastSecond.Billed/max(p.LastSecond.Offered, 1e-9), p.LastSecond.Throttled, 100*p.Value)
+	return fmt.Sprintf(
+		"%4v  %7.0f/s  %6d open  last second billed %5.1f%%  throttled %5d  so far %5.1f%%",
+		p.At,
+		p.PerSecond,
+		p.InFlight,
+		100*p.LastSecond.Billed/max(p.LastSecond.Offered, 1e-9),
+		p.LastSecond.Throttled,
+		100*p.Value,
+	)
 }
 
 func printLoad(r *loadgen.Report) {
@@ -98,29 +112,62 @@
 		if h, err := p.Histogram(); err == nil && h != nil {
 			p50, p99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 		}
-		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.1f\t%.1f", p.Name, p.Requests, p.Billed/max(p.Offered, 1e-9), float64(p.InTime)/max(1, float64(p.Requests)), p50, p99)
+		fmt.Fprintf(
+			w,
+			"%s\t%d\t%.3f\t%.3f\t%.1f\t%.1f",
+			p.Name,
+			p.Requests,
+			p.Billed/max(p.Offered, 1e-9),
+			float64(p.InTime)/max(1, float64(p.Requests)),
+			p50,
+			p99,
+		)
 		for _, n := range p.Outcomes {
 			fmt.Fprintf(w, "\t%d", n)
 		}
 		fmt.Fprintln(w)
 	}
 	_ = w.Flush() // standard output: nowhere else to say so
-	fmt.Printf("value %.4f, %d tries, %d answers came twice, %d of no run, %d not sent, the sender at most %v late\n", r.Value(), r.Attempts, r.DuplicateAnswers,
-		r.UnknownResults, r.Unsent, r.MaxLag.Round(time.Millisecond/10))
+	fmt.Printf(
+		"value %.4f, %d tries, %d answers came twice, %d of no run, %d not sent, the sender at most %v late\n",
+		r.Value(),
+		r.Attempts,
+		r.DuplicateAnswers,
+		r.UnknownResults,
+		r.Unsent,
+		r.MaxLag.Round(time.Millisecond/10),
+	)
 }
 
 func fakeCommand() *cli.Command {
 	return &cli.Command{
 		Name: "fake", Usage: "run a fake of a system that backends need, on this machine",
-		Commands: []*cli.Command{{
-			Name: "executor", Usage: "run a fake executor that uses CPU time", Description: "Example:\n   milletbarrow fake executor --listen 127.0.0.1:4400 --cores 2 --service-time 20ms",
-			Flags: []cli.Flag{
-				&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0"}, &cli.IntFlag{Name: "cores", Value: 2}, &cli.FloatFlag{Name: "crowd", Value: 8},
-				&cli.DurationFlag{Name: "service-time", Value: 20 * time.Millisecond, Usage: "core time of a run whose body has no work=MICROSECONDS"},
-				&cli.DurationFlag{Name: "warm-up", Usage: "time for which the cores of a restarted backend are slow"}, &cli.FloatFlag{Name: "warm-up-share", Value: 0.3},
+		Commands: []*cli.Command{
+			{
+				Name:        "executor",
+				Usage:       "run a fake executor that uses CPU time",
+				Description: "Example:\n   milletbarrow fake executor --listen 127.0.0.1:4400 --cores 2 --service-time 20ms",
+				Flags: []cli.Flag{
+					&cli.StringFlag{
+						Name:  "listen",
+						Value: "127.0.0.1:0",
+					},
+					&cli.IntFlag{Name: "cores", Value: 2},
+					&cli.FloatFlag{Name: "crowd", Value: 8},
+					&cli.DurationFlag{
+						Name:  "service-time",
+						Value: 20 * time.Millisecond,
+						Usage: "core time of a run whose body has no work=MICROSECONDS",
+					},
+					&cli.DurationFlag{
+						Name:  "warm-up",
+						Usage: "time for which the cores of a restarted backend are slow",
+					},
+					&cli.FloatFlag{Name: "warm-up-share", Value: 0.3},
+				},
+				Action: runFakeExecutor,
 			},
-			Action: runFakeExecutor,
-		}},
+		},
 	}
 }
 
@@ -130,7 +177,12 @@
 		return usagef("cores and crowd are at least 1, warm-up-share above 0")
 	}
 	y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
-		Cores: c.Int("cores"), CollapseMultiple: c.Float("crowd"), ServiceTime: c.Duration("service-time"), WarmUp: c.Duration("warm-up"), ColdSpeed: c.Float("warm-up-share"), MaxRuns: 10_000,
+		Cores:            c.Int("cores"),
+		CollapseMultiple: c.Float("crowd"),
+		ServiceTime:      c.Duration("service-time"),
+		WarmUp:           c.Duration("warm-up"),
+		ColdSpeed:        c.Float("warm-up-share"),
+		MaxRuns:          10_000,
 	})
 	if err != nil {
 		return unusable(err)
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -33,9 +33,20 @@
 		Usage:          "admission control and scheduling for backends behind other people's load balancers",
 		DefaultCommand: "serve",
 		Commands: []*cli.Command{
-			serveCommand(), checkCommand(), limitsCommand(), versionCommand(),
-			agentCommand(), supervisorCommand(), beginCommand(), fleetCommand(), degradationCommand(), experimentCommand(), loadCommand(),
-			fakeCommand(), faultsCommand(), demoCommand(),
+			serveCommand(),
+			checkCommand(),
+			limitsCommand(),
+			versionCommand(),
+			agentCommand(),
+			supervisorCommand(),
+			beginCommand(),
+			fleetCommand(),
+			degradationCommand(),
+			experimentCommand(),
+			loadCommand(),
+			fakeCommand(),
+			faultsCommand(),
+			demoCommand(),
 		},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // main ends the process
 	}
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -43,7 +43,9 @@
 			Name: "stamps", Usage: "log leases and use of quotas in this `DIRECTORY`, for an audit",
 			Sources: cli.EnvVars("MILLETBARROW_STAMPS"), Hidden: true,
 		}, &cli.IntFlag{
-			Name: "trial-clock", Usage: "run the clock of leases faster by so many parts per million, for tests", Hidden: true,
+			Name:    "trial-clock",
+			Usage:   "run the clock of leases faster by so many parts per million, for tests",
+			Hidden:  true,
 			Sources: cli.EnvVars("MILLETBARROW_TRIAL_CLOCK"),
 		}, &cli.BoolFlag{
 			Name: "reports-fixed", Usage: "send load reports without jitter or backoff, as a baseline", Hidden: true,
@@ -86,7 +88,8 @@
 	degradation string // the degradation policy
 }
 
-// backendProcess is a running backend: its parts, wired together. Its goroutines end with the context of run, or with the process.
+// backendProcess is a running backend: its parts, wired together. Its goroutines end with the context of run, or with
+// the process.
 type backendProcess struct {
 	config    *config.Backend
 	files     backendFiles
@@ -105,7 +108,13 @@
 // newBackend makes the parts, bounded as the configuration has it. Nothing is open yet.
 func newBackend(settings *config.Backend, files backendFiles, c *cli.Command) (*backendProcess, error) {
 	bounds := boundsOf(settings)
-	b := &backendProcess{config: settings, files: files, bounds: bounds, shutdown: newShutdown(settings), shadow: settings.Shadow}
+	b := &backendProcess{
+		config:   settings,
+		files:    files,
+		bounds:   bounds,
+		shutdown: newShutdown(settings),
+		shadow:   settings.Shadow,
+	}
 	policy, err := b.degradationPolicy()
 	if err != nil {
 		return nil, err
--- a/cmd/milletbarrow/serve_quota.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -35,7 +35,9 @@
 		return nil, err
 	}
 	cfg := &dispatch.QuotaConfig{
-		BudgetByTenant: tenants, Holder: quota.New(b.Name, agent.IncarnationID(self), quotas), MachineClock: process.Now,
+		BudgetByTenant: tenants,
+		Holder:         quota.New(b.Name, agent.IncarnationID(self), quotas),
+		MachineClock:   process.Now,
 		Clock: func() monotime.Micros {
 			now := process.Now()
 			return now + now/1000*monotime.Micros(clockDrift)/1000
--- a/cmd/milletbarrow/serve_reload.go
+++ b/cmd/milletbarrow/serve_reload.go
@@ -12,9 +12,9 @@
 	"milletbarrow/internal/config"
 )
 
-// reload reads the configuration again at each SIGHUP, until ctx ends, and applies the parts that can change: addresses,
-// the shadow configuration and the degradation policy. A file that can't be used changes nothing; it is read again a few
-// times, as it may be half written.
+// reload reads the configuration again at each SIGHUP, until ctx ends, and applies the parts that can change:
+// addresses, the shadow configuration and the degradation policy. A file that can't be used changes nothing; it is
+// read again a few times, as it may be half written.
 func (b *backendProcess) reload(ctx context.Context, hangup <-chan os.Signal) {
 	var retry <-chan time.Time
 	retries := 0
--- a/cmd/milletbarrow/serve_shutdown.go
+++ b/cmd/milletbarrow/serve_shutdown.go
@@ -14,8 +14,8 @@
 	"milletbarrow/monotime"
 )
 
-// shutdown is when this process ends. The notice may come more than once, by signal and on the admin socket; a later one
-// can only bring the times forward.
+// shutdown is when this process ends. The notice may come more than once, by signal and on the admin socket; a later
+// one can only bring the times forward.
 type shutdown struct {
 	grace, stop time.Duration // from the notice on
 	notified    chan struct{} // gets one at the first notice
@@ -35,7 +35,8 @@
 	}
 }
 
-// notify takes a notice that was first given a time ago, and has the dispatcher drain. by names its source, for the log.
+// notify takes a notice that was first given a time ago, and has the dispatcher drain. by names its source, for the
+// log.
 func (s *shutdown) notify(dispatcher *dispatch.Dispatcher, ago time.Duration, by string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +55,8 @@
 	}
 }
 
-// noticeResolution is by how much a later notice has to bring the stop forward, to be another one and not the same twice.
+// noticeResolution is by how much a later notice has to bring the stop forward, to be another one and not the same
+// twice.
 const noticeResolution = 5 * time.Millisecond
 
 // describe adds the shutdown, where it has begun, to the state that the admin socket serves.
--- a/cmd/milletbarrow/serve_state.go
+++ b/cmd/milletbarrow/serve_state.go
@@ -30,11 +30,45 @@
 	runtime.ReadMemStats(&memory)
 	connections, openStreams := b.server.Counts()
 	counts, inFlight := b.dispatcher.Counts()
-	slog.Info(event, "connections", connections, "open_streams", openStreams, "in_flight", inFlight,
-		"goroutines", runtime.NumGoroutine(), "heap_kb", memory.HeapAlloc>>10, "system_kb", memory.Sys>>10,
-		"collections", memory.NumGC, "arrived", counts.Arrived, "expired", counts.Expired, "started", counts.Started, "throttled", counts.Throttled,
-		"errored", counts.Errored, "abandoned", counts.Abandoned, "ticks", counts.Ticks, "ticks_without_sample", counts.Unsampled, "panics", counts.Panics,
-		"replayed", counts.Replayed, "cache_full", counts.CacheFull)
+	slog.Info(
+		event,
+		"connections",
+		connections,
+		"open_streams",
+		openStreams,
+		"in_flight",
+		inFlight,
+		"goroutines",
+		runtime.NumGoroutine(),
+		"heap_kb",
+		memory.HeapAlloc>>10,
+		"system_kb",
+		memory.Sys>>10,
+		"collections",
+		memory.NumGC,
+		"arrived",
+		counts.Arrived,
+		"expired",
+		counts.Expired,
+		"started",
+		counts.Started,
+		"throttled",
+		counts.Throttled,
+		"errored",
+		counts.Errored,
+		"abandoned",
+		counts.Abandoned,
+		"ticks",
+		counts.Ticks,
+		"ticks_without_sample",
+		counts.Unsampled,
+		"panics",
+		counts.Panics,
+		"replayed",
+		counts.Replayed,
+		"cache_full",
+		counts.CacheFull,
+	)
 	if differences, on := b.dispatcher.ShadowCounts(); on {
 		slog.Info("shadow_differences", "counts", differences.String())
 	}
@@ -45,9 +79,23 @@
 	connections, openStreams := b.server.Counts()
 	counts, inFlight := b.dispatcher.Counts()
 	state := admin.State{
-		Version: admin.Version, Name: b.config.Name, PID: os.Getpid(), Build: version(), Config: b.config.Hash, StartedAt: b.startedAt,
-		Ready: b.dispatcher.Healthy() && b.executor.Available(), Connections: connections, ServerInFlight: openStreams, InFlight: inFlight, Arrived: counts.Arrived,
-		Started: counts.Started, Throttled: counts.Throttled, Errored: counts.Errored, Abandoned: counts.Abandoned, Panics: counts.Panics,
+		Version:   admin.Version,
+		Name:      b.config.Name,
+		PID:       os.Getpid(),
+		Build:     version(),
+		Config:    b.config.Hash,
+		StartedAt: b.startedAt,
+		Ready: b.dispatcher.Healthy() &&
+			b.executor.Available(),
+		Connections:    connections,
+		ServerInFlight: openStreams,
+		InFlight:       inFlight,
+		Arrived:        counts.Arrived,
+		Started:        counts.Started,
+		Throttled:      counts.Throttled,
+		Errored:        counts.Errored,
+		Abandoned:      counts.Abandoned,
+		Panics:         counts.Panics,
 	}
 	if status, on := b.dispatcher.DegradationStatus(); on {
 		state.DegradationPolicy, state.Level, state.Depth = status.Policy, status.Level, status.Depth
--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -15,8 +15,8 @@
 	"milletbarrow/monotime"
 )
 
-// supervisorCommand runs a supervisor, which the agent starts beside each instance. Its name and flags, and those that it passes
-// to the instance, are spoken between versions: an agent of an earlier one starts it by them.
+// supervisorCommand runs a supervisor, which the agent starts beside each instance. Its name and flags, and those
+// that it passes to the instance, are spoken between versions: an agent of an earlier one starts it by them.
 func supervisorCommand() *cli.Command {
 	return &cli.Command{
 		Name: "keeper", Usage: "supervise one instance (started by the agent)", Hidden: true,
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo sets up all that is needed to see backends at work on one machine: fakes of the executors and the endpoint
-// registry, configurations and a fleet's file. It owns the directory and the fakes; what runs in it is started by the
-// command line.
+// Package demo sets up all that is needed to see backends at work on one machine: fakes of the executors and the
+// endpoint registry, configurations and a fleet's file. It owns the directory and the fakes; what runs in it is
+// started by the command line.
 package demo
 
 import (
@@ -20,20 +20,33 @@
 	s.Nodes.Count, s.Nodes.Subset = 4, 0
 	s.Load.Level = 0.75
 	s.Faults = []simulation.Fault{
-		{Kind: simulation.Burst, At: s.Duration / 4, Duration: s.Duration / 5, Factor: 2}, {Kind: simulation.Release, At: s.Duration * 11 / 20, BatchShare: 1 / float64(backends)},
+		{
+			Kind:     simulation.Burst,
+			At:       s.Duration / 4,
+			Duration: s.Duration / 5,
+			Factor:   2,
+		},
+		{Kind: simulation.Release, At: s.Duration * 11 / 20, BatchShare: 1 / float64(backends)},
 	}
 	return s
 }
 
 // Settings returns the platform's JSON object for a backend of a scenario.
 func Settings(s *simulation.Scenario) map[string]any {
-	repeats := map[admission.RetrySafety]string{admission.Idempotent: "idempotent", admission.NonIdempotent: "at_most_once"}
+	repeats := map[admission.RetrySafety]string{
+		admission.Idempotent:    "idempotent",
+		admission.NonIdempotent: "at_most_once",
+	}
 	classes := make([]map[string]any, 0, len(s.Operations))
 	projects := make([]map[string]any, 0, len(s.Tenants))
 	ms := func(m monotime.Micros) float64 { return float64(m) / 1000 }
 	for _, op := range s.Operations {
 		classes = append(classes, map[string]any{
-			"name": op.Name, "aim_ms": ms(op.Objective), "deadline_ms": ms(op.Timeout), "repeat": repeats[op.RetrySafety], "late_value": op.LateValue,
+			"name":        op.Name,
+			"aim_ms":      ms(op.Objective),
+			"deadline_ms": ms(op.Timeout),
+			"repeat":      repeats[op.RetrySafety],
+			"late_value":  op.LateValue,
 		})
 	}
 	for _, t := range s.Tenants {
@@ -44,12 +57,29 @@
 		"classes": classes, "projects": projects, "over_share_worth": 0.3, "fleet_size": h.Count, "round_ms": 5,
 		"policy_limits": map[string]any{"max_retry_after_ms": ms(h.MaxRetryAfter), "retry_after": h.MaxRetryAfter > 0},
 		"invariants": map[string]any{
-			"answer_slack_ms": ms(h.AnswerSlack), "cold_ms": ms(h.WarmUp), "cold_share": h.ColdSpeed, "drain_grace_ms": ms(h.DrainGrace),
-			"fall_ms": ms(h.CollapseAfter), "fall_multiple": h.CollapseMultiple,
+			"answer_slack_ms": ms(h.AnswerSlack),
+			"cold_ms":         ms(h.WarmUp),
+			"cold_share":      h.ColdSpeed,
+			"drain_grace_ms":  ms(h.DrainGrace),
+			"fall_ms":         ms(h.CollapseAfter),
+			"fall_multiple":   h.CollapseMultiple,
 		},
 		"family_info": map[string]any{
-			"below": "off", "callers": s.Nodes.Count, "idle_ms": ms(h.IdleTimeout), "just_started": false, "mem_limit_kb": h.MemoryKB, "n_cores": h.Cores,
-			"own_stats": []string{"core_use", "on_cores", "heap_share", "links"}, "preemption": "off", "run_factor": h.RunFactor, "say": "off",
+			"below":        "off",
+			"callers":      s.Nodes.Count,
+			"idle_ms":      ms(h.IdleTimeout),
+			"just_started": false,
+			"mem_limit_kb": h.MemoryKB,
+			"n_cores":      h.Cores,
+			"own_stats": []string{
+				"core_use",
+				"on_cores",
+				"heap_share",
+				"links",
+			},
+			"preemption": "off",
+			"run_factor": h.RunFactor,
+			"say":        "off",
 		},
 	}
 }
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -36,8 +36,8 @@
 	givenOut   map[string]bool // addresses that FreeAddress has returned
 }
 
-// freeAddressAttempts bounds how often FreeAddress draws again. A draw repeats one given out with a chance below a tenth
-// as long as fewer than a thousand are.
+// freeAddressAttempts bounds how often FreeAddress draws again. A draw repeats one given out with a chance below a
+// tenth as long as fewer than a thousand are.
 const freeAddressAttempts = 50
 
 // ErrNoFreeAddress means that no address was drawn that had not been given out before.
@@ -55,7 +55,13 @@
 	if err != nil {
 		return nil, err
 	}
-	site = &Site{Dir: dir, FleetFile: filepath.Join(dir, "fleet.sx"), reportedAt: map[string]time.Time{}, givenOut: map[string]bool{}, Loopback: Loopback()}
+	site = &Site{
+		Dir:        dir,
+		FleetFile:  filepath.Join(dir, "fleet.sx"),
+		reportedAt: map[string]time.Time{},
+		givenOut:   map[string]bool{},
+		Loopback:   Loopback(),
+	}
 	defer func() {
 		if err != nil {
 			_ = site.Close()
@@ -78,9 +84,9 @@
 	return site, site.writeFleetFile(program)
 }
 
-// FreeAddress returns an address of Loopback that it has not returned before and on which nothing listens yet. The kernel
-// draws at random and forgets what it drew: without the memory here a peer could get the address of a backend that is
-// still to start.
+// FreeAddress returns an address of Loopback that it has not returned before and on which nothing listens yet. The
+// kernel draws at random and forgets what it drew: without the memory here a peer could get the address of a backend
+// that is still to start.
 func (s *Site) FreeAddress() (string, error) {
 	for range freeAddressAttempts {
 		l, err := net.Listen("tcp", s.Loopback+":0")
@@ -123,8 +129,14 @@
 	s.Executors = append(s.Executors, executor)
 	name := fmt.Sprint("n", n)
 	raw, err := json.MarshalIndent(map[string]any{
-		"name": name, "listen": address, "agent": executor.Address, "roster": registry, "seed": fmt.Sprintf("%016x", n),
-		"stop_ms": float64(h.ExitTimeout) / 1000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": Settings(day),
+		"name":     name,
+		"listen":   address,
+		"agent":    executor.Address,
+		"roster":   registry,
+		"seed":     fmt.Sprintf("%016x", n),
+		"stop_ms":  float64(h.ExitTimeout) / 1000,
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+		"settings": Settings(day),
 	}, "", " ")
 	if err != nil {
 		return err
@@ -141,8 +153,13 @@
 	if program != "" {
 		program = fmt.Sprintf("(program %q)", program)
 	}
-	text := fmt.Sprintf("(fleet demo %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") (range n 1 %d) (settle 500ms))\n"+
-		" (rolling-update (max-unavailable 1) (min-ready-share 0.5)))\n", program, s.Dir, len(s.Names))
+	text := fmt.Sprintf(
+		"(fleet demo %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") (range n 1 %d) (settle 500ms))\n"+
+			" (rolling-update (max-unavailable 1) (min-ready-share 0.5)))\n",
+		program,
+		s.Dir,
+		len(s.Names),
+	)
 	return os.WriteFile(s.FleetFile, []byte(text), 0o600)
 }
 
@@ -156,7 +173,12 @@
 
 // InjectFault causes a Slow fault at its time and ends it, or runs a release; other kinds are ignored. runFleetCommand
 // runs a sub-command of fleet for all instances.
-func (s *Site) InjectFault(ctx context.Context, fault simulation.Fault, logf func(string, ...any), runFleetCommand func(context.Context, ...string) error) error {
+func (s *Site) InjectFault(
+	ctx context.Context,
+	fault simulation.Fault,
+	logf func(string, ...any),
+	runFleetCommand func(context.Context, ...string) error,
+) error {
 	wait := func(m monotime.Micros) bool {
 		select {
 		case <-time.After(time.Duration(m) * time.Microsecond):
@@ -170,7 +192,14 @@
 	}
 	if fault.Kind == simulation.Release {
 		logf("      a release begins: each backend leaves and comes up again, a few at a time")
-		return runFleetCommand(ctx, "wave", "--within", "3m", "--width", strconv.Itoa(max(1, int(fault.BatchShare*float64(len(s.Names))))))
+		return runFleetCommand(
+			ctx,
+			"wave",
+			"--within",
+			"3m",
+			"--width",
+			strconv.Itoa(max(1, int(fault.BatchShare*float64(len(s.Names))))),
+		)
 	}
 	affected := s.Executors[:int(math.Ceil(fault.Share*float64(len(s.Executors))))]
 	logf("      %d backends' cores are %g times slower", len(affected), fault.Factor)
--- a/internal/fakes/auto_executor.go
+++ b/internal/fakes/auto_executor.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// AutoExecutor is an executor that finishes runs by itself: each run takes ServiceTime on one of Cores cores. It remembers
-// which runs were started and when, and outlives its backend: the next backend begins with a new numbering of notices.
+// AutoExecutor is an executor that finishes runs by itself: each run takes ServiceTime on one of Cores cores. It
+// remembers which runs were started and when, and outlives its backend: the next backend begins with a new numbering
+// of notices.
 type AutoExecutor struct {
 	Address     string
 	ServiceTime time.Duration
@@ -107,7 +108,13 @@
 			if e.queueGauge > 0 {
 				queue = e.queueGauge
 			}
-			fmt.Fprintf(conn, "sampled %s %.3f %.3f 0.05 3\r\n", words[1], min(1, float64(e.busy)/float64(e.Cores)), queue)
+			fmt.Fprintf(
+				conn,
+				"sampled %s %.3f %.3f 0.05 3\r\n",
+				words[1],
+				min(1, float64(e.busy)/float64(e.Cores)),
+				queue,
+			)
 		case "launch":
 			size, _ := strconv.Atoi(words[3])
 			_, _ = io.CopyN(io.Discard, in, int64(size+2))
@@ -147,7 +154,14 @@
 		e.busy--
 		if e.launched[id] { // else a later incarnation of the backend has taken over
 			result := "result of " + id
-			notice := fmt.Sprintf("outcome %d %s complete %d %d\r\n%s\r\n", len(e.notices)+1, id, takes.Milliseconds(), len(result), result)
+			notice := fmt.Sprintf(
+				"outcome %d %s complete %d %d\r\n%s\r\n",
+				len(e.notices)+1,
+				id,
+				takes.Milliseconds(),
+				len(result),
+				result,
+			)
 			e.notices = append(e.notices, notice)
 			if e.conn != nil {
 				_, _ = io.WriteString(e.conn, notice)
--- a/internal/fakes/caller.go
+++ b/internal/fakes/caller.go
@@ -48,7 +48,15 @@
 // NewMixedCaller starts a caller that draws the operation of each request by its share. The order of draws depends on
 // from alone.
 func NewMixedCaller(address string, from int, every, wait time.Duration, mix []OperationShare) *Caller {
-	c := &Caller{address: address, from: from, every: every, wait: wait, mix: mix, stop: make(chan struct{}), done: make(chan struct{})}
+	c := &Caller{
+		address: address,
+		from:    from,
+		every:   every,
+		wait:    wait,
+		mix:     mix,
+		stop:    make(chan struct{}),
+		done:    make(chan struct{}),
+	}
 	go c.run()
 	return c
 }
@@ -68,7 +76,15 @@
 // caller's number, which keeps its request ids apart from those of others. It goes on sending for ignoresGoAway after
 // the backend asked for no more.
 func NewCaller(address string, from int, every, wait, ignoresGoAway time.Duration) *Caller {
-	c := &Caller{address: address, from: from, every: every, wait: wait, ignoresGoAway: ignoresGoAway, stop: make(chan struct{}), done: make(chan struct{})}
+	c := &Caller{
+		address:       address,
+		from:          from,
+		every:         every,
+		wait:          wait,
+		ignoresGoAway: ignoresGoAway,
+		stop:          make(chan struct{}),
+		done:          make(chan struct{}),
+	}
 	go c.run()
 	return c
 }
@@ -103,7 +119,13 @@
 
 // serveConnection uses one connection for as long as the backend allows. It reports whether the load has been stopped.
 func (c *Caller) serveConnection(conn net.Conn, tick <-chan time.Time) (over bool) {
-	t := &callerConn{caller: c, conn: conn, open: map[uint32]*SentRequest{}, goAway: make(chan struct{}), ended: make(chan struct{})}
+	t := &callerConn{
+		caller: c,
+		conn:   conn,
+		open:   map[uint32]*SentRequest{},
+		goAway: make(chan struct{}),
+		ended:  make(chan struct{}),
+	}
 	go t.read()
 	defer func() { _ = conn.Close() }()
 	over = t.send(tick)
@@ -210,7 +232,8 @@
 	return true
 }
 
-// awaitAnswers waits until no answer is outstanding or all are overdue, and a little longer, as an answer may come twice.
+// awaitAnswers waits until no answer is outstanding or all are overdue, and a little longer, as an answer may come
+// twice.
 func (t *callerConn) awaitAnswers() {
 	until := time.Now().Add(t.caller.wait + 200*time.Millisecond)
 	for time.Now().Before(until) {
--- a/internal/fakes/edge_node.go
+++ b/internal/fakes/edge_node.go
@@ -35,7 +35,9 @@
 func (f Frame) String() string {
 	switch f.Type {
 	case frameAnswer, frameHealthAnswer:
-		return strings.TrimSpace(fmt.Sprintf("%d stream %d code %d %s %.40q", f.Type, f.Stream, f.Code, f.Fields, f.Body))
+		return strings.TrimSpace(
+			fmt.Sprintf("%d stream %d code %d %s %.40q", f.Type, f.Stream, f.Code, f.Fields, f.Body),
+		)
 	}
 	return fmt.Sprintf("%d stream %d", f.Type, f.Stream)
 }
@@ -81,7 +83,11 @@
 
 // Invocation encodes the frame of a request whose id is that number.
 func Invocation(stream uint32, number int, edits ...string) string {
-	return EncodeFrame(frameInvocation, stream, EncodeFields(DefaultFields(number, edits...)...)+fmt.Sprint("body ", number))
+	return EncodeFrame(
+		frameInvocation,
+		stream,
+		EncodeFields(DefaultFields(number, edits...)...)+fmt.Sprint("body ", number),
+	)
 }
 
 // Attempt encodes the frame of one attempt at the operation post under an idempotency key; its body depends on the key
--- a/internal/fakes/timedexecutor/executor.go
+++ b/internal/fakes/timedexecutor/executor.go
@@ -1,6 +1,6 @@
-// Package timedexecutor is a fake of the executor whose runs take time: they share its cores evenly, and with more runs
-// than the cores bear all slow down, as in the simulation. It serves load tests and demos on one machine. It owns the runs
-// and the connections that backends open to it; which run begins is the backend's decision.
+// Package timedexecutor is a fake of the executor whose runs take time: they share its cores evenly, and with more
+// runs than the cores bear all slow down, as in the simulation. It serves load tests and demos on one machine. It
+// owns the runs and the connections that backends open to it; which run begins is the backend's decision.
 package timedexecutor
 
 import (
@@ -91,8 +91,15 @@
 		return nil, err
 	}
 	e := &Executor{
-		Address: listener.Addr().String(), config: config, listener: listener, conns: map[net.Conn]bool{}, launched: map[string]bool{}, launchedEver: map[string]bool{},
-		advancedAt: time.Now(), sampledAt: time.Now(), slowdown: 1,
+		Address:      listener.Addr().String(),
+		config:       config,
+		listener:     listener,
+		conns:        map[net.Conn]bool{},
+		launched:     map[string]bool{},
+		launchedEver: map[string]bool{},
+		advancedAt:   time.Now(),
+		sampledAt:    time.Now(),
+		slowdown:     1,
 	}
 	e.timer = time.AfterFunc(time.Hour, e.finishDue)
 	go func() {
@@ -131,8 +138,8 @@
 	e.setTimer()
 }
 
-// Counts returns how many runs have finished, how many are on the cores, and how many ids two incarnations of the backend
-// launched.
+// Counts returns how many runs have finished, how many are on the cores, and how many ids two incarnations of the
+// backend launched.
 func (e *Executor) Counts() (finished, running, launchedTwice int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -164,8 +171,8 @@
 	e.advancedAt = now
 }
 
-// setTimer sets the timer for the next run to finish, and a short one while the executor warms up, as its speed changes.
-// The caller holds e.mu.
+// setTimer sets the timer for the next run to finish, and a short one while the executor warms up, as its speed
+// changes. The caller holds e.mu.
 func (e *Executor) setTimer() {
 	if len(e.runs) == 0 || e.closed {
 		return
@@ -187,7 +194,16 @@
 		e.finished++
 		if e.launched[r.id] {
 			result := "result of " + r.id
-			e.sendNotice(fmt.Appendf(nil, " %s complete %.3f %d\r\n%s\r\n", r.id, float64(time.Since(r.startedAt).Microseconds())/1000, len(result), result))
+			e.sendNotice(
+				fmt.Appendf(
+					nil,
+					" %s complete %.3f %d\r\n%s\r\n",
+					r.id,
+					float64(time.Since(r.startedAt).Microseconds())/1000,
+					len(result),
+					result,
+				),
+			)
 		}
 	}
 	e.setTimer()
--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -1,6 +1,7 @@
-// Package checker judges a fault-injection trial by the draw logs that each backend process wrote itself: one machine, one
-// clock. It works out which grants were in force at every instant and what was drawn, and reports where that was more than
-// the quota's total. It shares no code with what it judges and trusts nothing but the logs; it does no I/O but reading them.
+// Package checker judges a fault-injection trial by the draw logs that each backend process wrote itself: one
+// machine, one clock. It works out which grants were in force at every instant and what was drawn, and reports where
+// that was more than the quota's total. It shares no code with what it judges and trusts nothing but the logs; it
+// does no I/O but reading them.
 //
 // All times are microseconds of the machine's boot clock (CLOCK_BOOTTIME), all spans are microseconds.
 package checker
@@ -67,7 +68,16 @@
 }
 
 func (b Breach) String() string {
-	return fmt.Sprintf("%s: %s: %d, at most %d may be, at %d for %d us, among %d", b.Quota, b.Rule, b.Found, b.Limit, b.At, b.Duration, len(b.Holders))
+	return fmt.Sprintf(
+		"%s: %s: %d, at most %d may be, at %d for %d us, among %d",
+		b.Quota,
+		b.Rule,
+		b.Found,
+		b.Limit,
+		b.At,
+		b.Duration,
+		len(b.Holders),
+	)
 }
 
 // maxBreaches is how many breaches a report holds; the others are counted.
--- a/internal/faultinjection/checker/drawlog.go
+++ b/internal/faultinjection/checker/drawlog.go
@@ -139,7 +139,10 @@
 		}
 		at = n[0]
 		quota := words[2]
-		p.grants[quota] = append(p.grants[quota], grant{at: at, epoch: uint64(n[1]), floor: n[2], extra: n[3], lease: n[4]})
+		p.grants[quota] = append(
+			p.grants[quota],
+			grant{at: at, epoch: uint64(n[1]), floor: n[2], extra: n[3], lease: n[4]},
+		)
 	case "drew":
 		n, err := numbers(words[1], words[2], words[4])
 		if err != nil {
--- a/internal/faultinjection/checker/draws.go
+++ b/internal/faultinjection/checker/draws.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// spanSteps and sampledEvery thin out the spans that are judged: of draws that begin within a spanSteps-th of a span of
-	// each other every sampledEvery-th begins one, as neighbours begin nearly the same span.
+	// spanSteps and sampledEvery thin out the spans that are judged: of draws that begin within a spanSteps-th of a
+	// span of each other every sampledEvery-th begins one, as neighbours begin nearly the same span.
 	spanSteps    = 50
 	sampledEvery = 8
 )
@@ -49,15 +49,24 @@
 	allowed := divideUp(limits.highest(r.Quota, begin, end)*length, million)
 	r.Excess = max(r.Excess, units-allowed)
 	if units > allowed+burst {
-		r.add(Breach{Quota: r.Quota, Rule: RuleUnitsDrawn, At: begin, Duration: length, Found: units, Limit: allowed + burst})
+		r.add(
+			Breach{
+				Quota:    r.Quota,
+				Rule:     RuleUnitsDrawn,
+				At:       begin,
+				Duration: length,
+				Found:    units,
+				Limit:    allowed + burst,
+			},
+		)
 	}
 }
 
 // divideUp is a quotient of positive numbers, rounded up.
 func divideUp(n, by int64) int64 { return (n + by - 1) / by }
 
-// UnitsDrawn is how many units of a quota were drawn between two times; of what was drawn between two entries of a log the
-// part that lies there.
+// UnitsDrawn is how many units of a quota were drawn between two times; of what was drawn between two entries of a
+// log the part that lies there.
 func UnitsDrawn(all []*Process, quota string, from, to int64) (units float64) {
 	for _, p := range all {
 		for _, d := range p.draws[quota] {
--- a/internal/faultinjection/checker/grants.go
+++ b/internal/faultinjection/checker/grants.go
@@ -54,7 +54,13 @@
 		r.Peak = max(r.Peak, part)
 		if sum > total {
 			r.add(Breach{
-				Quota: quota, Rule: RuleGrantsInForce, At: c.at, Duration: next - c.at, Found: sum, Limit: total, Holders: holders(inForce),
+				Quota:    quota,
+				Rule:     RuleGrantsInForce,
+				At:       c.at,
+				Duration: next - c.at,
+				Found:    sum,
+				Limit:    total,
+				Holders:  holders(inForce),
 			})
 		}
 	}
@@ -129,9 +135,15 @@
 // heldStep is the resolution of HeldSince, in microseconds.
 const heldStep = 5_000
 
-// HeldSince is the first time in a span from which the grants in force, but for those of the excluded backends, add up to
-// a number of units; ok is false if they do not before its end. Leases count by the machine's clock.
-func HeldSince(all []*Process, quota string, excluded map[string]bool, units int64, from, to int64) (at int64, ok bool) {
+// HeldSince is the first time in a span from which the grants in force, but for those of the excluded backends, add
+// up to a number of units; ok is false if they do not before its end. Leases count by the machine's clock.
+func HeldSince(
+	all []*Process,
+	quota string,
+	excluded map[string]bool,
+	units int64,
+	from, to int64,
+) (at int64, ok bool) {
 	for at = from; at < to; at += heldStep {
 		sum := int64(0)
 		for _, p := range all {
--- a/internal/faultinjection/checker/processes.go
+++ b/internal/faultinjection/checker/processes.go
@@ -13,7 +13,10 @@
 
 // peak is the highest count that the steps come to; at one time what is taken off goes first.
 func peak(steps []step) (highest int) {
-	slices.SortFunc(steps, func(a, b step) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.change, b.change)) })
+	slices.SortFunc(
+		steps,
+		func(a, b step) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.change, b.change)) },
+	)
 	count := 0
 	for _, s := range steps {
 		count += s.change
@@ -42,8 +45,8 @@
 	return peak(steps)
 }
 
-// MaxConcurrentStarts is how many processes at most had begun within a span of this length (microseconds): each is known to
-// have been starting for as long. One that ended before the span's end counts until then.
+// MaxConcurrentStarts is how many processes at most had begun within a span of this length (microseconds): each is
+// known to have been starting for as long. One that ended before the span's end counts until then.
 func MaxConcurrentStarts(all []*Process, span int64) int {
 	steps := make([]step, 0, 2*len(all))
 	for _, p := range all {
--- a/internal/faultinjection/coldstart/behavior.go
+++ b/internal/faultinjection/coldstart/behavior.go
@@ -1,6 +1,6 @@
-// Package coldstart judges a cold start by the calls that reached an endpoint registry: how many came while it took nothing,
-// how much they bunched once it did, and how long it took until the backends were listed. It does no I/O and reads no clock,
-// and knows nothing of how backends decide. All times are spans since the registry's phases began.
+// Package coldstart judges a cold start by the calls that reached an endpoint registry: how many came while it took
+// nothing, how much they bunched once it did, and how long it took until the backends were listed. It does no I/O and
+// reads no clock, and knows nothing of how backends decide. All times are spans since the registry's phases began.
 package coldstart
 
 import "time"
--- a/internal/faultinjection/coldstart/figures.go
+++ b/internal/faultinjection/coldstart/figures.go
@@ -41,8 +41,8 @@
 // nearlyAll is the share of backends whose listing is waited for.
 const nearlyAll = 0.95
 
-// Measure works the figures out of all calls, which it sorts. reportInterval is the mean time between two reports of one
-// backend; end is when the trial ended.
+// Measure works the figures out of all calls, which it sorts. reportInterval is the mean time between two reports of
+// one backend; end is when the trial ended.
 func Measure(calls []Call, behavior *RegistryBehavior, backends int, reportInterval, end time.Duration) (f Figures) {
 	f.Backends, f.Ordinary = backends, float64(backends)/reportInterval.Seconds()
 	slices.SortFunc(calls, func(a, b Call) int { return cmp.Compare(a.At, b.At) })
@@ -57,7 +57,8 @@
 	return f
 }
 
-// measureRefusing counts calls while it took nothing, from when the first was there on: what is not started calls nobody.
+// measureRefusing counts calls while it took nothing, from when the first was there on: what is not started calls
+// nobody.
 func (f *Figures) measureRefusing(calls []Call, back time.Duration) {
 	if len(calls) == 0 || calls[0].At >= back {
 		return
--- a/internal/faultinjection/harness/change_total.go
+++ b/internal/faultinjection/harness/change_total.go
@@ -9,8 +9,8 @@
 	"milletbarrow/internal/process"
 )
 
-// changeTotal gives a quota another total, in every host's file. A higher one may be granted from now on; a lower one counts
-// once no lease from before can be left.
+// changeTotal gives a quota another total, in every host's file. A higher one may be granted from now on; a lower one
+// counts once no lease from before can be left.
 func (harness *Harness) changeTotal(ctx context.Context, name string, units int) error {
 	version, units, err := harness.writeTotal(name, units)
 	if err != nil {
--- a/internal/faultinjection/harness/cleanup.go
+++ b/internal/faultinjection/harness/cleanup.go
@@ -17,7 +17,8 @@
 )
 
 // directoryVariable names, in the environment of every process that a trial began and that those began, the trial's
-// directory. Supervisors outlive their agent by design, so that neither the tree of processes nor a group holds all of them.
+// directory. Supervisors outlive their agent by design, so that neither the tree of processes nor a group holds all
+// of them.
 const directoryVariable = "MILLETBARROW_TRIAL_DIR"
 
 const (
@@ -68,8 +69,8 @@
 	return fmt.Sprintf("%d processes remain: %v", len(e.Processes), e.Processes)
 }
 
-// killRemaining kills what runs with the trial's directory in its environment, until nothing does: also a supervisor or a
-// backend that was begun as its agent was killed and is recorded nowhere. The error is a *RemainingError.
+// killRemaining kills what runs with the trial's directory in its environment, until nothing does: also a supervisor
+// or a backend that was begun as its agent was killed and is recorded nowhere. The error is a *RemainingError.
 func killRemaining(dir string) error {
 	for end := time.Now().Add(maxKilling); ; time.Sleep(killingPause) {
 		remaining := processesWith(directoryVariable + "=" + dir)
@@ -90,7 +91,11 @@
 	files, _ := filepath.Glob(environLayout) // the pattern is a constant
 	for _, file := range files {
 		environment, err := os.ReadFile(file)
-		if err != nil || !slices.ContainsFunc(bytes.Split(environment, []byte{0}), func(e []byte) bool { return string(e) == entry }) {
+		if err != nil ||
+			!slices.ContainsFunc(
+				bytes.Split(environment, []byte{0}),
+				func(e []byte) bool { return string(e) == entry },
+			) {
 			continue // it has ended, or is another user's
 		}
 		pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(file))) // the pattern has a number there
@@ -101,8 +106,8 @@
 	return all
 }
 
-// watchdogScript waits for the end of its input and kills all processes with an entry in their environment, until none is
-// left. It is a shell's, since what it has to outlive is this process.
+// watchdogScript waits for the end of its input and kills all processes with an entry in their environment, until
+// none is left. It is a shell's, since what it has to outlive is this process.
 const watchdogScript = `cat > /dev/null
 for round in $(seq 100); do
 	found=
--- a/internal/faultinjection/harness/cold_start.go
+++ b/internal/faultinjection/harness/cold_start.go
@@ -18,7 +18,17 @@
 	if harness.options.Schedule.ColdStart.MaxConcurrent > 0 {
 		command = "rise"
 	}
-	if _, err := harness.Tool(ctx, command, "--all", "--quiet", "--wait=false", "--id", "cold", "--within", "10m"); err != nil {
+	if _, err := harness.Tool(
+		ctx,
+		command,
+		"--all",
+		"--quiet",
+		"--wait=false",
+		"--id",
+		"cold",
+		"--within",
+		"10m",
+	); err != nil {
 		v.fail("%s: %v", command, err)
 	}
 }
@@ -33,7 +43,13 @@
 func (harness *Harness) judgeColdStart(v *Verdict, all []*checker.Process) {
 	c := harness.options.Schedule.ColdStart
 	reportInterval := limits.For(1, 192, 1024).ReportInterval // the bounds of the trial's backends
-	f := coldstart.Measure(harness.observed.Calls, &c.RegistryBehavior, len(harness.site.Names), reportInterval, harness.endedAt.Sub(harness.startedAt))
+	f := coldstart.Measure(
+		harness.observed.Calls,
+		&c.RegistryBehavior,
+		len(harness.site.Names),
+		reportInterval,
+		harness.endedAt.Sub(harness.startedAt),
+	)
 	f.Conns, f.Falls = harness.observed.MaxConnections, harness.observed.Falls
 	v.ColdStart = &f
 	for _, reason := range f.Violations(c.Bounds) {
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -55,7 +55,8 @@
 // MaxUnavailable is how many backends may be unavailable at once during a rolling update.
 const MaxUnavailable = 3
 
-// Harness is a trial with its processes. Its methods are called by one goroutine, but for faults, which run side by side.
+// Harness is a trial with its processes. Its methods are called by one goroutine, but for faults, which run side by
+// side.
 type Harness struct {
 	options  Options
 	site     *demo.Site
@@ -93,13 +94,21 @@
 
 // Tool runs a sub-command of fleet and returns what it prints. The error is a *ToolError.
 func (harness *Harness) Tool(ctx context.Context, args ...string) ([]byte, error) {
-	cmd := exec.CommandContext(ctx, harness.options.Program, append([]string{"fleet", args[0], "--fleet", harness.hosts[0].file}, args[1:]...)...)
+	cmd := exec.CommandContext(
+		ctx,
+		harness.options.Program,
+		append([]string{"fleet", args[0], "--fleet", harness.hosts[0].file}, args[1:]...)...)
 	cmd.Env = append(os.Environ(), directoryVariable+"="+harness.site.Dir)
 	var errs bytes.Buffer
 	cmd.Stderr = &errs
 	out, err := cmd.Output()
 	if err != nil {
-		return out, &ToolError{Command: args[0], Err: err, Stderr: string(bytes.TrimSpace(errs.Bytes())), Stdout: string(bytes.TrimSpace(out))}
+		return out, &ToolError{
+			Command: args[0],
+			Err:     err,
+			Stderr:  string(bytes.TrimSpace(errs.Bytes())),
+			Stdout:  string(bytes.TrimSpace(out)),
+		}
 	}
 	return out, nil
 }
@@ -114,7 +123,12 @@
 			return err
 		}
 	}
-	if err := harness.waitFor(ctx, 30*time.Second, "a leader of the ledger", func() bool { return harness.quotaState(ctx) != nil }); err != nil {
+	if err := harness.waitFor(
+		ctx,
+		30*time.Second,
+		"a leader of the ledger",
+		func() bool { return harness.quotaState(ctx) != nil },
+	); err != nil {
 		return err
 	}
 	from := int64(process.Now()) - limitsFrom.Microseconds()
@@ -143,7 +157,12 @@
 		v.fail("start: %v", err)
 		return v, harness.saveFailure(v)
 	}
-	harness.options.Logf("%d agents with %d backends stand ready after %v", len(harness.hosts), len(harness.site.Names), time.Since(began).Round(time.Millisecond))
+	harness.options.Logf(
+		"%d agents with %d backends stand ready after %v",
+		len(harness.hosts),
+		len(harness.site.Names),
+		time.Since(began).Round(time.Millisecond),
+	)
 	v.From = int64(process.Now())
 	if harness.registry != nil {
 		harness.startBackends(ctx, v)
--- a/internal/faultinjection/harness/inject.go
+++ b/internal/faultinjection/harness/inject.go
@@ -23,7 +23,13 @@
 // inject brings one fault about and takes it back.
 func (harness *Harness) inject(ctx context.Context, f schedule.Fault) error {
 	switch f.Kind {
-	case schedule.Cut, schedule.CutBoth, schedule.Delay, schedule.Stall, schedule.Slow, schedule.Reset, schedule.Duplicate:
+	case schedule.Cut,
+		schedule.CutBoth,
+		schedule.Delay,
+		schedule.Stall,
+		schedule.Slow,
+		schedule.Reset,
+		schedule.Duplicate:
 		harness.disturbLink(ctx, f)
 		return nil
 	case schedule.Minority:
@@ -62,7 +68,8 @@
 	return harness.startAgent(h)
 }
 
-// fullDisk lets the host's agent write nothing for a while; one that ends itself is started again, as an operator would.
+// fullDisk lets the host's agent write nothing for a while; one that ends itself is started again, as an operator
+// would.
 func (harness *Harness) fullDisk(ctx context.Context, h *host, span time.Duration) error {
 	if err := limitFiles(h.cmd.Process.Pid, true); err != nil {
 		return err
@@ -120,7 +127,14 @@
 
 // old kills an agent, and starts it on a copy of its quota store that was made some seconds before.
 func (harness *Harness) restoreStaleStore(ctx context.Context, h *host, after time.Duration) error {
-	at, copied := filepath.Join(h.dir, "ledger"), filepath.Join(harness.site.Dir, "copies", fmt.Sprint(h.name, "-", int64(process.Now())))
+	at, copied := filepath.Join(
+		h.dir,
+		"ledger",
+	), filepath.Join(
+		harness.site.Dir,
+		"copies",
+		fmt.Sprint(h.name, "-", int64(process.Now())),
+	)
 	// The copy is taken of a process that is stopped, so that it is one that a disk could hold.
 	_ = h.cmd.Process.Signal(syscall.SIGSTOP)
 	err := os.CopyFS(copied, os.DirFS(at))
--- a/internal/faultinjection/harness/inject_link.go
+++ b/internal/faultinjection/harness/inject_link.go
@@ -13,7 +13,10 @@
 	case schedule.Cut:
 		there.Hold(true)
 		pause(ctx, f.Duration)
-		harness.mesh.Reset(f.Target, f.Peer) // what was lost meanwhile is not delivered by a connection that was given up
+		harness.mesh.Reset(
+			f.Target,
+			f.Peer,
+		) // what was lost meanwhile is not delivered by a connection that was given up
 		there.Hold(false)
 	case schedule.CutBoth:
 		there.Hold(true)
--- a/internal/faultinjection/harness/measure.go
+++ b/internal/faultinjection/harness/measure.go
@@ -16,8 +16,8 @@
 	"milletbarrow/internal/process"
 )
 
-// Measures are how well quotas are used, with real processes: one that is divided by demand, and beside it one of the same
-// size that is divided evenly.
+// Measures are how well quotas are used, with real processes: one that is divided by demand, and beside it one of the
+// same size that is divided evenly.
 type Measures struct {
 	Hosts      int
 	Backends   int
@@ -63,7 +63,15 @@
 		return nil, err
 	}
 	defer func() { _ = harness.Close() }()
-	m = &Measures{Hosts: len(harness.hosts), Backends: n, Lease: harness.options.Lease, Margin: harness.options.Margin, Total: total, Moved: map[string][]float64{}, BeforeMove: map[string]float64{}}
+	m = &Measures{
+		Hosts:      len(harness.hosts),
+		Backends:   n,
+		Lease:      harness.options.Lease,
+		Margin:     harness.options.Margin,
+		Total:      total,
+		Moved:      map[string][]float64{},
+		BeforeMove: map[string]float64{},
+	}
 	if err := harness.Start(ctx); err != nil {
 		return nil, err
 	}
@@ -248,13 +256,38 @@
 
 // Print writes them for a person.
 func (m *Measures) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d hosts, %d backends, whole %d/s, lease %v, margin %v\n", m.Hosts, m.Backends, m.Total, m.Lease, m.Margin)
+	fmt.Fprintf(
+		w,
+		"%d hosts, %d backends, whole %d/s, lease %v, margin %v\n",
+		m.Hosts,
+		m.Backends,
+		m.Total,
+		m.Lease,
+		m.Margin,
+	)
 	for _, b := range divisions {
-		fmt.Fprintf(w, "divided by %s: with all demand at half of the backends %.2f of the whole is drawn; moved to the other half, 0.9 is drawn again after %.2f s (-1: never)\n",
-			b, m.BeforeMove[b], m.Moved[b])
+		fmt.Fprintf(
+			w,
+			"divided by %s: with all demand at half of the backends %.2f of the whole is drawn; moved to the other half, 0.9 is drawn again after %.2f s (-1: never)\n",
+			b,
+			m.BeforeMove[b],
+			m.Moved[b],
+		)
 	}
-	fmt.Fprintf(w, "a host is lost: others hold its shares after %.2f s (lease and margin are %.2f s)\n", m.Lost, (m.Lease + m.Margin).Seconds())
+	fmt.Fprintf(
+		w,
+		"a host is lost: others hold its shares after %.2f s (lease and margin are %.2f s)\n",
+		m.Lost,
+		(m.Lease + m.Margin).Seconds(),
+	)
 	for _, d := range m.Dead {
-		fmt.Fprintf(w, "%d agents dead: drawn %.2f by demand, %.2f even; the floors are %.2f\n", d.Agents, d.Drawn[byDemand], d.Drawn[evenly], float64(m.Backends)/float64(m.Total))
+		fmt.Fprintf(
+			w,
+			"%d agents dead: drawn %.2f by demand, %.2f even; the floors are %.2f\n",
+			d.Agents,
+			d.Drawn[byDemand],
+			d.Drawn[evenly],
+			float64(m.Backends)/float64(m.Total),
+		)
 	}
 }
--- a/internal/faultinjection/harness/play.go
+++ b/internal/faultinjection/harness/play.go
@@ -35,7 +35,12 @@
 	pause(ctx, harness.options.Schedule.Span-time.Since(start))
 
 	over := time.Now()
-	if err := harness.waitFor(ctx, maxRecovery, "whole shares after the last fault", func() bool { return harness.fullyGranted(ctx) }); err != nil {
+	if err := harness.waitFor(
+		ctx,
+		maxRecovery,
+		"whole shares after the last fault",
+		func() bool { return harness.fullyGranted(ctx) },
+	); err != nil {
 		v.fail("%v: %s", err, harness.describeState(ctx))
 	}
 	v.RecoverySeconds = time.Since(over).Seconds()
@@ -76,7 +81,10 @@
 		return loadResult{}
 	}
 	result, err := loadgen.Run(ctx, loadgen.Options{
-		Scenario: &harness.scenario, Seed: harness.options.Schedule.Seed, Backends: harness.site.Backends, Bounds: limits.ForLoad(),
+		Scenario: &harness.scenario,
+		Seed:     harness.options.Schedule.Seed,
+		Backends: harness.site.Backends,
+		Bounds:   limits.ForLoad(),
 	})
 	if ctx.Err() != nil { // it was cut off
 		err = nil
--- a/internal/faultinjection/harness/processes.go
+++ b/internal/faultinjection/harness/processes.go
@@ -54,7 +54,8 @@
 	return env
 }
 
-// clockSkew is by how many parts per million a host's lease clocks run fast: evenly spread from the slowest to the fastest.
+// clockSkew is by how many parts per million a host's lease clocks run fast: evenly spread from the slowest to the
+// fastest.
 func (harness *Harness) clockSkew(h *host) int {
 	last := len(harness.hosts) - 1
 	if last == 0 {
--- a/internal/faultinjection/harness/report.go
+++ b/internal/faultinjection/harness/report.go
@@ -27,20 +27,56 @@
 	if !v.OK {
 		word = "DID NOT HOLD"
 	}
-	fmt.Fprintf(w, "%s: %s; %.0f s, whole again after %.1f s, ledger's term %d, %d asks, %.3f billed", v.Name, word, v.Seconds, v.RecoverySeconds, v.Term, v.Requests, v.Value)
+	fmt.Fprintf(
+		w,
+		"%s: %s; %.0f s, whole again after %.1f s, ledger's term %d, %d asks, %.3f billed",
+		v.Name,
+		word,
+		v.Seconds,
+		v.RecoverySeconds,
+		v.Term,
+		v.Requests,
+		v.Value,
+	)
 	if v.RollingUpdateSeconds > 0 {
 		fmt.Fprintf(w, "; wave %.1f s, at most %d out", v.RollingUpdateSeconds, v.Unavailable)
 	}
 	fmt.Fprintln(w)
 	for _, r := range v.Reports {
-		fmt.Fprintf(w, "  %s: shares in force at most %.3f of the whole, %.3f over time, %.3f at the end; %d grants, %d units drawn, at most %d over the whole at once\n",
-			r.Quota, r.Peak, r.Mean, r.Last, r.Grants, r.Drawn, r.Excess)
+		fmt.Fprintf(
+			w,
+			"  %s: shares in force at most %.3f of the whole, %.3f over time, %.3f at the end; %d grants, %d units drawn, at most %d over the whole at once\n",
+			r.Quota,
+			r.Peak,
+			r.Mean,
+			r.Last,
+			r.Grants,
+			r.Drawn,
+			r.Excess,
+		)
 	}
 	if f := v.ColdStart; f != nil {
-		fmt.Fprintf(w, "  register: an ordinary second has %.0f calls; while it took nothing %.0f, at most %.0f; fullest tenth %.2f times the mean in the first second, %.2f once all were listed\n",
-			f.Ordinary, f.Refusing, f.Worst, f.First, f.Peak)
-		fmt.Fprintf(w, "  half listed after %.1f s, 95 in a hundred after %.1f s; %d connections, fell over %d times; %d lapses; at most %d starting at once; %d of %d listed at the end\n",
-			f.Half, f.Most, f.Conns, f.Falls, f.Lapsed, f.Starting, f.Listed, f.Backends)
+		fmt.Fprintf(
+			w,
+			"  register: an ordinary second has %.0f calls; while it took nothing %.0f, at most %.0f; fullest tenth %.2f times the mean in the first second, %.2f once all were listed\n",
+			f.Ordinary,
+			f.Refusing,
+			f.Worst,
+			f.First,
+			f.Peak,
+		)
+		fmt.Fprintf(
+			w,
+			"  half listed after %.1f s, 95 in a hundred after %.1f s; %d connections, fell over %d times; %d lapses; at most %d starting at once; %d of %d listed at the end\n",
+			f.Half,
+			f.Most,
+			f.Conns,
+			f.Falls,
+			f.Lapsed,
+			f.Starting,
+			f.Listed,
+			f.Backends,
+		)
 	}
 	for _, reason := range v.Reasons {
 		fmt.Fprintln(w, "  ", reason)
@@ -110,14 +146,33 @@
 	if r.Trials == 0 {
 		return
 	}
-	fmt.Fprintf(w, "shares in force: at most %.3f of the whole, %.3f over time; %d grants, %d units drawn, at most %d over the whole at once\n", r.Peak, r.Mean, r.Grants, r.Drawn, r.Excess)
-	fmt.Fprintf(w, "whole again after the last fault: half within %.1f s, all within %.1f s\n", r.RecoverySeconds[len(r.RecoverySeconds)/2], r.RecoverySeconds[len(r.RecoverySeconds)-1])
+	fmt.Fprintf(
+		w,
+		"shares in force: at most %.3f of the whole, %.3f over time; %d grants, %d units drawn, at most %d over the whole at once\n",
+		r.Peak,
+		r.Mean,
+		r.Grants,
+		r.Drawn,
+		r.Excess,
+	)
+	fmt.Fprintf(
+		w,
+		"whole again after the last fault: half within %.1f s, all within %.1f s\n",
+		r.RecoverySeconds[len(r.RecoverySeconds)/2],
+		r.RecoverySeconds[len(r.RecoverySeconds)-1],
+	)
 	var kinds []string
 	for _, k := range slices.Sorted(maps.Keys(r.Faults)) {
 		kinds = append(kinds, fmt.Sprintf("%s %d", k, r.Faults[k]))
 	}
 	fmt.Fprintln(w, "faults:", strings.Join(kinds, ", "))
 	if r.FirstFailed != "" {
-		fmt.Fprintf(w, "the first that did not hold was %s, number %d: %s\n", r.FirstFailed, r.FirstFailedAt, strings.Join(r.Reasons, "; "))
+		fmt.Fprintf(
+			w,
+			"the first that did not hold was %s, number %d: %s\n",
+			r.FirstFailed,
+			r.FirstFailedAt,
+			strings.Join(r.Reasons, "; "),
+		)
 	}
 }
--- a/internal/faultinjection/harness/rolling_update.go
+++ b/internal/faultinjection/harness/rolling_update.go
@@ -29,7 +29,12 @@
 	toolCtx, kill := context.WithTimeout(ctx, toolLifetime) // its end is SIGKILL to the tool
 	_, _ = harness.Tool(toolCtx, "wave", "--all", "--quiet", "--id", "w", "--within", "10m")
 	kill()
-	if err := harness.waitFor(ctx, maxRollingUpdate, "end of the wave", func() bool { return harness.noOpenCommands(ctx) }); err != nil {
+	if err := harness.waitFor(
+		ctx,
+		maxRollingUpdate,
+		"end of the wave",
+		func() bool { return harness.noOpenCommands(ctx) },
+	); err != nil {
 		v.fail("%v", err)
 	}
 	v.RollingUpdateSeconds = time.Since(began).Seconds()
--- a/internal/faultinjection/harness/shrink.go
+++ b/internal/faultinjection/harness/shrink.go
@@ -7,10 +7,15 @@
 	"milletbarrow/internal/faultinjection/schedule"
 )
 
-// Shrink takes faults out of a schedule that does not hold, as long as what is left does not. Each schedule is run for so
-// many attempts, as chance has a part in it. Where the context ends it returns the smallest found by then. The error is a
-// *HoldsError if the schedule itself holds in every attempt.
-func Shrink(ctx context.Context, s *schedule.Schedule, attempts int, options func(*schedule.Schedule) (Options, error)) (*schedule.Schedule, error) {
+// Shrink takes faults out of a schedule that does not hold, as long as what is left does not. Each schedule is run
+// for so many attempts, as chance has a part in it. Where the context ends it returns the smallest found by then. The
+// error is a *HoldsError if the schedule itself holds in every attempt.
+func Shrink(
+	ctx context.Context,
+	s *schedule.Schedule,
+	attempts int,
+	options func(*schedule.Schedule) (Options, error),
+) (*schedule.Schedule, error) {
 	if fails, err := failsOnce(ctx, s, attempts, options); err != nil || !fails {
 		return s, errors.Join(err, &HoldsError{s.Name, attempts})
 	}
@@ -24,7 +29,12 @@
 }
 
 // smallerThatFails is the first smaller schedule that does not hold; nil: there is none, or the context has ended.
-func smallerThatFails(ctx context.Context, s *schedule.Schedule, attempts int, options func(*schedule.Schedule) (Options, error)) (*schedule.Schedule, error) {
+func smallerThatFails(
+	ctx context.Context,
+	s *schedule.Schedule,
+	attempts int,
+	options func(*schedule.Schedule) (Options, error),
+) (*schedule.Schedule, error) {
 	for _, smaller := range s.Smaller() {
 		if ctx.Err() != nil {
 			return nil, nil
@@ -37,7 +47,12 @@
 }
 
 // failsOnce reports whether a schedule does not hold in one of some attempts.
-func failsOnce(ctx context.Context, s *schedule.Schedule, attempts int, options func(*schedule.Schedule) (Options, error)) (bool, error) {
+func failsOnce(
+	ctx context.Context,
+	s *schedule.Schedule,
+	attempts int,
+	options func(*schedule.Schedule) (Options, error),
+) (bool, error) {
 	for range attempts {
 		o, err := options(s)
 		if err != nil {
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -18,7 +18,13 @@
 // Open lays out files and links; no agent runs yet.
 func Open(o Options) (*Harness, error) {
 	o.setDefaults()
-	harness := &Harness{options: o, totals: map[string]int{}, limits: checker.Limits{}, faults: map[string]int{}, version: 1}
+	harness := &Harness{
+		options: o,
+		totals:  map[string]int{},
+		limits:  checker.Limits{},
+		faults:  map[string]int{},
+		version: 1,
+	}
 	harness.scenario = harness.makeScenario()
 	if err := harness.openSite(); err != nil {
 		return nil, err
@@ -39,7 +45,12 @@
 		registryAddress = harness.registry.Address
 	}
 	scenario := harness.scenario
-	if harness.site, err = demo.NewSiteWithRegistry(&scenario, harness.options.Program, registryAddress); err != nil && harness.registry != nil {
+	if harness.site, err = demo.NewSiteWithRegistry(
+		&scenario,
+		harness.options.Program,
+		registryAddress,
+	); err != nil &&
+		harness.registry != nil {
 		err = errors.Join(err, harness.registry.Close())
 	}
 	return err
@@ -92,7 +103,10 @@
 		sum += float64(b.Total)
 	}
 	for _, b := range harness.options.Quotas {
-		s.Tenants = append(s.Tenants, simulation.Tenant{Name: b.Tenant, Share: float64(b.Total) / sum, Quota: float64(b.Total)})
+		s.Tenants = append(
+			s.Tenants,
+			simulation.Tenant{Name: b.Tenant, Share: float64(b.Total) / sum, Quota: float64(b.Total)},
+		)
 		harness.totals[b.Name] = b.Total
 	}
 	if harness.options.ModifyLoad != nil {
@@ -109,7 +123,12 @@
 			return err
 		}
 		name := fmt.Sprint("h", i+1)
-		h := &host{name: name, dir: filepath.Join(harness.site.Dir, name), peer: peer, file: filepath.Join(harness.site.Dir, name+".sx")}
+		h := &host{
+			name: name,
+			dir:  filepath.Join(harness.site.Dir, name),
+			peer: peer,
+			file: filepath.Join(harness.site.Dir, name+".sx"),
+		}
 		h.agent = "unix:" + filepath.Join(harness.site.Dir, name+".sock")
 		if err := os.Mkdir(h.dir, 0o700); err != nil {
 			return err
@@ -136,19 +155,38 @@
 		}
 		for _, other := range harness.hosts {
 			if len(other.backends) > 0 {
-				fmt.Fprintf(&b, " (group g-%s (host %s) (config \"%%n.json\") (instances %s) (start-within 20s) (settle %v) (restart (most 100) (within 1m)))\n",
-					other.name, other.name, strings.Join(other.backends, " "), harness.options.SettleTime)
+				fmt.Fprintf(
+					&b,
+					" (group g-%s (host %s) (config \"%%n.json\") (instances %s) (start-within 20s) (settle %v) (restart (most 100) (within 1m)))\n",
+					other.name,
+					other.name,
+					strings.Join(other.backends, " "),
+					harness.options.SettleTime,
+				)
 			}
 		}
-		fmt.Fprintf(&b, " (rolling-update (max-unavailable 4) (min-ready-share 0) (stall-timeout 2m) (max-failures 100) (quota out))\n"+
-			" (quotas (version %d) (quota-store", harness.version)
+		fmt.Fprintf(
+			&b,
+			" (rolling-update (max-unavailable 4) (min-ready-share 0) (stall-timeout 2m) (max-failures 100) (quota out))\n"+
+				" (quotas (version %d) (quota-store",
+			harness.version,
+		)
 		for _, other := range harness.hosts {
 			fmt.Fprintf(&b, " %s", other.name)
 		}
 		b.WriteString(")\n")
 		for _, one := range harness.options.Quotas {
-			fmt.Fprintf(&b, "  (quota %s (rate %d) (tenant %s) (floor %d) (divide %s) (lease %v) (margin %v))\n",
-				one.Name, harness.totals[one.Name], one.Tenant, one.Floor, one.Division, harness.options.Lease, harness.options.Margin)
+			fmt.Fprintf(
+				&b,
+				"  (quota %s (rate %d) (tenant %s) (floor %d) (divide %s) (lease %v) (margin %v))\n",
+				one.Name,
+				harness.totals[one.Name],
+				one.Tenant,
+				one.Floor,
+				one.Division,
+				harness.options.Lease,
+				harness.options.Margin,
+			)
 		}
 		fmt.Fprintf(&b, "  (quota out (count %d))", MaxUnavailable)
 		if c := harness.options.Schedule.ColdStart; c != nil && c.MaxConcurrent > 0 {
--- a/internal/faultinjection/harness/verdict.go
+++ b/internal/faultinjection/harness/verdict.go
@@ -54,8 +54,8 @@
 	}
 	for _, b := range harness.options.Quotas {
 		r := checker.CheckGrants(all, b.Name, v.Limits, v.From, v.To)
-		// A holder may draw three tenths of a second of its share at once, and four units at the least; each may be stopped
-		// once in a draw.
+		// A holder may draw three tenths of a second of its share at once, and four units at the least; each may be
+		// stopped once in a draw.
 		most := int64(0)
 		for _, w := range v.Limits[b.Name] {
 			most = max(most, w.Units)
--- a/internal/faultinjection/proxy/direction.go
+++ b/internal/faultinjection/proxy/direction.go
@@ -1,6 +1,6 @@
-// Package proxy is what lies between two processes in a trial: links whose bytes can be held in one direction or both,
-// delayed, slowed, cut off in the middle of a message, and made to bring a call twice. It owns the connections it carries and
-// knows nothing of what they say, but for where a call begins.
+// Package proxy is what lies between two processes in a trial: links whose bytes can be held in one direction or
+// both, delayed, slowed, cut off in the middle of a message, and made to bring a call twice. It owns the connections
+// it carries and knows nothing of what they say, but for where a call begins.
 package proxy
 
 import (
@@ -26,7 +26,8 @@
 // NewDirection is one without faults.
 func NewDirection() *Direction { return &Direction{changed: make(chan struct{})} }
 
-// Hold stops all bytes until it is taken back; what is on its way then waits, as in a network that lost it and sends it again.
+// Hold stops all bytes until it is taken back; what is on its way then waits, as in a network that lost it and sends
+// it again.
 func (d *Direction) Hold(on bool) { d.change(func(f *faults) { f.held = on }) }
 
 // Delay lets each byte arrive later by a span; 0 takes it back.
--- a/internal/faultinjection/proxy/duplicate.go
+++ b/internal/faultinjection/proxy/duplicate.go
@@ -20,7 +20,8 @@
 	return bytes.Contains(carried[:min(len(carried), maxFirstLine)], callMark)
 }
 
-// Duplicate has calls that begin from now on come again later by a span, their second answer being read by nobody; 0 ends it.
+// Duplicate has calls that begin from now on come again later by a span, their second answer being read by nobody; 0
+// ends it.
 func (l *Link) Duplicate(later time.Duration) {
 	l.mu.Lock()
 	l.duplicate = later
--- a/internal/faultinjection/registry/registry.go
+++ b/internal/faultinjection/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry is a fake of the platform's endpoint registry that can be down, slow, refusing, silent, or fall over when
-// too many calls come at once. It records every call. It owns its listener; it decides nothing but what its phases say.
+// Package registry is a fake of the platform's endpoint registry that can be down, slow, refusing, silent, or fall
+// over when too many calls come at once. It records every call. It owns its listener; it decides nothing but what its
+// phases say.
 package registry
 
 import (
@@ -56,7 +57,12 @@
 
 // Start makes one listen at this address.
 func Start(address string, behavior coldstart.RegistryBehavior) (*Registry, error) {
-	r := &Registry{Address: address, behavior: behavior, closed: make(chan struct{}), random: rand.New(rand.NewPCG(1, 2))}
+	r := &Registry{
+		Address:  address,
+		behavior: behavior,
+		closed:   make(chan struct{}),
+		random:   rand.New(rand.NewPCG(1, 2)),
+	}
 	l, err := r.listen()
 	if err != nil {
 		return nil, err
--- a/internal/faultinjection/schedule/cold_start.go
+++ b/internal/faultinjection/schedule/cold_start.go
@@ -25,9 +25,12 @@
 
 func readColdStart(f *sexpr.Form) *ColdStart {
 	c := &ColdStart{
-		RegistryBehavior: coldstart.RegistryBehavior{MaxOpenCalls: f.Int("crowd", 0, 100_000, 0), RecoveryTime: f.Span("needs", 0, maxSpan, 5*time.Second)},
-		MaxConcurrent:    f.Int("rise", 0, 100_000, 0),
-		FixedReports:     f.OneOf("reports", pacedReports, fixedReports) == fixedReports,
+		RegistryBehavior: coldstart.RegistryBehavior{
+			MaxOpenCalls: f.Int("crowd", 0, 100_000, 0),
+			RecoveryTime: f.Span("needs", 0, maxSpan, 5*time.Second),
+		},
+		MaxConcurrent: f.Int("rise", 0, 100_000, 0),
+		FixedReports:  f.OneOf("reports", pacedReports, fixedReports) == fixedReports,
 	}
 	c.Phases = readPhases(f)
 	if sub := f.Field("bounds"); sub != nil {
@@ -73,9 +76,23 @@
 	if c.FixedReports {
 		reports = fixedReports
 	}
-	fmt.Fprintf(b, "\n  (cold (reports %s) (rise %d) (crowd %d) (needs %v)", reports, c.MaxConcurrent, c.MaxOpenCalls, c.RecoveryTime)
+	fmt.Fprintf(
+		b,
+		"\n  (cold (reports %s) (rise %d) (crowd %d) (needs %v)",
+		reports,
+		c.MaxConcurrent,
+		c.MaxOpenCalls,
+		c.RecoveryTime,
+	)
 	for _, p := range c.Phases {
-		fmt.Fprintf(b, "\n    (phase (from %v) (is %s) (takes %v) (advice %v))", p.From, p.Mode, p.ResponseTime, p.RetryAfter)
+		fmt.Fprintf(
+			b,
+			"\n    (phase (from %v) (is %s) (takes %v) (advice %v))",
+			p.From,
+			p.Mode,
+			p.ResponseTime,
+			p.RetryAfter,
+		)
 	}
 	fmt.Fprintf(b, "\n    (bounds (refusing %g) (first %g) (peak %g) (connections %d) (listed %v)))",
 		c.Refusing, c.First, c.Peak, c.Conns, time.Duration(c.Most*float64(time.Second)))
--- a/internal/faultinjection/schedule/fault.go
+++ b/internal/faultinjection/schedule/fault.go
@@ -9,7 +9,8 @@
 // Kind of a fault: its word in a schedule's file.
 type Kind string
 
-// The kinds. Those of a link name two hosts, the others a host, a backend or nobody. "For a while" is the fault's Duration.
+// The kinds. Those of a link name two hosts, the others a host, a backend or nobody. "For a while" is the fault's
+// Duration.
 const (
 	Cut            Kind = "cut"       // all bytes from one host to the other are held for a while; what was open is broken after it
 	CutBoth        Kind = "cut-both"  // in both directions
@@ -36,8 +37,25 @@
 // Kinds are those that every drawn schedule has at least once, in that order: all but CrashPoint.
 func Kinds() []Kind {
 	return []Kind{
-		Cut, CutBoth, Delay, Stall, Slow, Reset, Duplicate, KillAgent, StopAgent, KillLeader, Blackout, FullDisk, StaleStore,
-		StopBackend, KillBackend, KillSupervisor, BadStart, ChangeTotal, Minority,
+		Cut,
+		CutBoth,
+		Delay,
+		Stall,
+		Slow,
+		Reset,
+		Duplicate,
+		KillAgent,
+		StopAgent,
+		KillLeader,
+		Blackout,
+		FullDisk,
+		StaleStore,
+		StopBackend,
+		KillBackend,
+		KillSupervisor,
+		BadStart,
+		ChangeTotal,
+		Minority,
 	}
 }
 
--- a/internal/faultinjection/schedule/random.go
+++ b/internal/faultinjection/schedule/random.go
@@ -11,7 +11,8 @@
 const (
 	// randomStream tells the draws of schedules from others of the same seed.
 	randomStream = 27
-	// earliestFault and quietEnd, in milliseconds, leave time for a first look before and for what follows the last fault.
+	// earliestFault and quietEnd, in milliseconds, leave time for a first look before and for what follows the last
+	// fault.
 	earliestFault = 2000
 	quietEnd      = 4000
 	// maxBlackouts is how many faults that are hardest on the quota store are drawn beyond one of each.
@@ -24,7 +25,16 @@
 func Random(seed uint64, hosts, backends, faults int, span time.Duration) *Schedule {
 	r := rand.New(rand.NewPCG(seed, randomStream))
 	s := &Schedule{
-		Name: fmt.Sprint("drawn-", seed), Seed: seed, Hosts: hosts, Backends: backends, Span: span, Load: 0.3, Skew: 30_000,
+		Name: fmt.Sprint(
+			"drawn-",
+			seed,
+		),
+		Seed:     seed,
+		Hosts:    hosts,
+		Backends: backends,
+		Span:     span,
+		Load:     0.3,
+		Skew:     30_000,
 	}
 	kinds := Kinds()
 	for len(kinds) < faults {
--- a/internal/faultinjection/schedule/schedule.go
+++ b/internal/faultinjection/schedule/schedule.go
@@ -1,5 +1,5 @@
-// Package schedule says which faults are injected when in a trial: read from a file, drawn from a seed, written, and made
-// smaller. It does no I/O and reads no clock; all times are spans since the trial began.
+// Package schedule says which faults are injected when in a trial: read from a file, drawn from a seed, written, and
+// made smaller. It does no I/O and reads no clock; all times are spans since the trial began.
 package schedule
 
 import (
@@ -32,7 +32,17 @@
 // String is the schedule's file, which Read reads.
 func (s *Schedule) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "(trial %s (seed %d) (hosts %d) (backends %d) (span %v) (load %v) (skew %d)", s.Name, s.Seed, s.Hosts, s.Backends, s.Span, s.Load, s.Skew)
+	fmt.Fprintf(
+		&b,
+		"(trial %s (seed %d) (hosts %d) (backends %d) (span %v) (load %v) (skew %d)",
+		s.Name,
+		s.Seed,
+		s.Hosts,
+		s.Backends,
+		s.Span,
+		s.Load,
+		s.Skew,
+	)
 	if s.RollingUpdate > 0 {
 		fmt.Fprintf(&b, " (wave %v)", s.RollingUpdate)
 	}
--- a/internal/faultinjection/schedule/smaller.go
+++ b/internal/faultinjection/schedule/smaller.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Smaller lists schedules with fewer faults, largest cuts first: halves, quarters, and so on to each fault alone taken out.
+// Smaller lists schedules with fewer faults, largest cuts first: halves, quarters, and so on to each fault alone
+// taken out.
 func (s *Schedule) Smaller() (all []*Schedule) {
 	n := len(s.Faults)
 	for part := max(1, n/2); ; part /= 2 {
--- a/internal/plot/degradation.go
+++ b/internal/plot/degradation.go
@@ -1,5 +1,5 @@
-// Package plot draws results of experiments and replays of degradation policies, as SVG or PNG. Its functions write to the
-// writer they are given and may be called by several goroutines.
+// Package plot draws results of experiments and replays of degradation policies, as SVG or PNG. Its functions write
+// to the writer they are given and may be called by several goroutines.
 package plot
 
 import (
--- a/internal/plot/results.go
+++ b/internal/plot/results.go
@@ -71,8 +71,8 @@
 	maxLinearY = 50
 )
 
-// Curves draws a figure over the swept values, a line for each policy, with bars for the intervals. format is svg or png,
-// here and below.
+// Curves draws a figure over the swept values, a line for each policy, with bars for the intervals. format is svg or
+// png, here and below.
 func Curves(to io.Writer, title, over, measure string, curves []experiment.Curve, format string) error {
 	p := newPlot(title, over, measure)
 	var xs, ys []float64
@@ -147,7 +147,10 @@
 		var xy plotter.XYs
 		for i := 1; i < len(r.Seconds); i++ {
 			if offered := r.Seconds[i].Offered + r.Seconds[i-1].Offered; offered > 0 {
-				xy = append(xy, plotter.XY{X: float64(i + 1), Y: (r.Seconds[i].Billed + r.Seconds[i-1].Billed) / offered})
+				xy = append(
+					xy,
+					plotter.XY{X: float64(i + 1), Y: (r.Seconds[i].Billed + r.Seconds[i-1].Billed) / offered},
+				)
 			}
 		}
 		if len(xy) == 0 {
@@ -196,7 +199,14 @@
 
 // Breakdowns draws the billed part of the value of each operation, or tenant, a bar for each result. It returns
 // ErrNothingToDraw where the results have none.
-func Breakdowns(to io.Writer, title string, names []string, results []*simulation.Result, tenants bool, format string) error {
+func Breakdowns(
+	to io.Writer,
+	title string,
+	names []string,
+	results []*simulation.Result,
+	tenants bool,
+	format string,
+) error {
 	p := newPlot(title, "", "billed by offered")
 	p.Y.Min, p.Y.Max = 0, 1.15
 	wide := vg.Points(max(3, 180/float64(max(1, len(results)*4))))
@@ -260,7 +270,11 @@
 // ErrNothingToDraw where the result has no such state.
 func Heat(to io.Writer, title string, r *simulation.Result, format string) error {
 	if len(r.Heat) < 2 || len(r.Heat[0]) == 0 {
-		return fmt.Errorf("%w: no state of the hosts was kept (a fleet of %d is too large for it)", ErrNothingToDraw, r.Hosts)
+		return fmt.Errorf(
+			"%w: no state of the hosts was kept (a fleet of %d is too large for it)",
+			ErrNothingToDraw,
+			r.Hosts,
+		)
 	}
 	p := newPlot(title, "seconds", "host")
 	colors := moreland.SmoothBlueRed()
--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -138,7 +138,13 @@
 		}
 		r := s.Load.Recorded[st.replayed]
 		st.replayed++
-		a = Arrival{At: r.At, Node: st.rand.IntN(s.Nodes.Count), Operation: r.Operation, Tenant: r.Tenant, Work: float64(r.Work)}
+		a = Arrival{
+			At:        r.At,
+			Node:      st.rand.IntN(s.Nodes.Count),
+			Operation: r.Operation,
+			Tenant:    r.Tenant,
+			Work:      float64(r.Work),
+		}
 		st.hint(&a)
 		return a, true
 	}
@@ -155,13 +161,21 @@
 		}
 	}
 	a.Node = st.rand.IntN(s.Nodes.Count)
-	a.Operation = pick(st.rand.Float64()*st.cumulativeShares[len(st.cumulativeShares)-1], len(st.cumulativeShares), func(i int) float64 { return st.cumulativeShares[i] })
+	a.Operation = pick(
+		st.rand.Float64()*st.cumulativeShares[len(st.cumulativeShares)-1],
+		len(st.cumulativeShares),
+		func(i int) float64 { return st.cumulativeShares[i] },
+	)
 	if len(s.Tenants) > 0 {
 		sum, to := 0.0, 0.0
 		for i := range s.Tenants {
 			sum += s.tenantWeight(i, a.At)
 		}
-		a.Tenant = pick(st.rand.Float64()*sum, len(s.Tenants), func(i int) float64 { to += s.tenantWeight(i, a.At); return to })
+		a.Tenant = pick(
+			st.rand.Float64()*sum,
+			len(s.Tenants),
+			func(i int) float64 { to += s.tenantWeight(i, a.At); return to },
+		)
 	}
 	op := &s.Operations[a.Operation]
 	a.Work = float64(op.Work) * math.Exp(op.WorkSigma*st.rand.NormFloat64()-op.WorkSigma*op.WorkSigma/2)
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -24,7 +24,14 @@
 }
 
 func (b Breach) String() string {
-	return fmt.Sprintf("rule %d at %.3f s, host %d, invocation %s: %s", b.Rule, float64(b.At)/1e6, b.Host, b.Invocation, b.Description)
+	return fmt.Sprintf(
+		"rule %d at %.3f s, host %d, invocation %s: %s",
+		b.Rule,
+		float64(b.At)/1e6,
+		b.Host,
+		b.Invocation,
+		b.Description,
+	)
 }
 
 // maxBreaches is how many breaches a result describes; all are counted.
@@ -70,7 +77,9 @@
 	for i := range w.hosts {
 		h := &w.hosts[i]
 		for j := h.firstAttempt; h.up && j != none; j = w.attempts[j].next {
-			if att := &w.attempts[j]; att.answers == 0 && !att.callerGone && att.phase != phaseUnread && w.now > att.dueAt+w.scenario.Hosts.AnswerSlack && att.dueAt > 0 {
+			if att := &w.attempts[j]; att.answers == 0 && !att.callerGone && att.phase != phaseUnread &&
+				w.now > att.dueAt+w.scenario.Hosts.AnswerSlack &&
+				att.dueAt > 0 {
 				d.breach(w, 1, h, att, "its time is over and it has no answer")
 				att.dueAt = 0 // reported once
 			}
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -1,6 +1,7 @@
-// Package coldstart simulates how hundreds or thousands of backends come up together, with the code that decides it in
-// installations unchanged: registration/reportpacing for load reports, cluster/coldstart for starts, and fleet's backoff
-// between launches. The endpoint registry and a dependency that each start calls can both be overloaded and collapse.
+// Package coldstart simulates how hundreds or thousands of backends come up together, with the code that decides it
+// in installations unchanged: registration/reportpacing for load reports, cluster/coldstart for starts, and fleet's
+// backoff between launches. The endpoint registry and a dependency that each start calls can both be overloaded and
+// collapse.
 package coldstart
 
 import (
@@ -154,7 +155,13 @@
 		w.now = e.at
 		w.handle(e)
 	}
-	w.result.Figures = faultinjectioncoldstart.Measure(w.reports, &t.Registry, t.Backends, time.Duration(t.Reports.Interval)*time.Microsecond, t.Duration)
+	w.result.Figures = faultinjectioncoldstart.Measure(
+		w.reports,
+		&t.Registry,
+		t.Backends,
+		time.Duration(t.Reports.Interval)*time.Microsecond,
+		t.Duration,
+	)
 	w.result.Falls, w.result.Ready = w.registryCollapses, len(w.readyTimes)
 	w.result.HalfReadySeconds, w.result.MostReadySeconds = w.readyAt(0.5), w.readyAt(0.95)
 	return &w.result, nil
@@ -168,16 +175,26 @@
 	reports.Fixed = p.FixedReports
 	for n := range t.Backends {
 		name := fmt.Sprintf("n%05d", n)
-		w.backends = append(w.backends, backend{name: name, host: n % t.Hosts, pacer: reportpacing.New(reports, w.rand.Uint64())})
+		w.backends = append(
+			w.backends,
+			backend{name: name, host: n % t.Hosts, pacer: reportpacing.New(reports, w.rand.Uint64())},
+		)
 		members = append(members, coldstart.Member{
-			Name: coldstart.MemberName(name), Group: coldstart.GroupName(fmt.Sprint("g", n%3)), Host: fmt.Sprint("h", n%t.Hosts),
+			Name:  coldstart.MemberName(name),
+			Group: coldstart.GroupName(fmt.Sprint("g", n%3)),
+			Host:  fmt.Sprint("h", n%t.Hosts),
 		})
 	}
 	if p.MaxStarting < 0 {
 		bound := int64(-p.MaxStarting)
 		var err error
 		if w.coldStart, err = coldstart.New("r", coldstart.Config{
-			MaxConcurrent: bound, InitialConcurrent: min(2, bound), MinServing: 0.1, MaxFailures: 8, SlowFactor: 3, MaxRejected: 0.1,
+			MaxConcurrent:     bound,
+			InitialConcurrent: min(2, bound),
+			MinServing:        0.1,
+			MaxFailures:       8,
+			SlowFactor:        3,
+			MaxRejected:       0.1,
 		}, members); err != nil {
 			return nil, err
 		}
@@ -281,7 +298,12 @@
 		return
 	}
 	overload := max(1, float64(w.callsInFlight)/float64(w.config.Dependency.Concurrency))
-	w.schedule(time.Duration(float64(w.config.Dependency.Latency)*overload*overload), eventCallDone, index, b.callNumber)
+	w.schedule(
+		time.Duration(float64(w.config.Dependency.Latency)*overload*overload),
+		eventCallDone,
+		index,
+		b.callNumber,
+	)
 }
 
 // endStart ends a start. A failed one is relaunched after a backoff.
@@ -299,7 +321,12 @@
 			Ready: well, Took: monotime.FromDuration(w.now - b.startedAt), Cause: "the service below",
 		})
 		if w.coldStart.PauseNumber != no {
-			w.schedule(time.Duration(w.coldStart.Pause)*time.Microsecond, eventPauseOver, index, int(w.coldStart.PauseNumber))
+			w.schedule(
+				time.Duration(w.coldStart.Pause)*time.Microsecond,
+				eventPauseOver,
+				index,
+				int(w.coldStart.PauseNumber),
+			)
 		}
 	}
 	if !well {
@@ -337,7 +364,8 @@
 		w.registryDownUntil = w.now + r.RecoveryTime
 	}
 	takes := p.ResponseTime + time.Duration(w.rand.Int64N(int64(time.Millisecond)))
-	w.reports[call].Counted = p.Mode == faultinjectioncoldstart.Takes && w.now >= w.registryDownUntil || p.Mode == faultinjectioncoldstart.Half && w.rand.IntN(2) == 0
+	w.reports[call].Counted = p.Mode == faultinjectioncoldstart.Takes && w.now >= w.registryDownUntil ||
+		p.Mode == faultinjectioncoldstart.Half && w.rand.IntN(2) == 0
 	w.schedule(takes, eventReportAnswered, index, call)
 }
 
@@ -349,7 +377,11 @@
 	if c.Counted {
 		b.pacer.Succeeded(monotime.FromDuration(w.now), monotime.FromDuration(c.At))
 	} else {
-		b.pacer.Failed(monotime.FromDuration(w.now), reportpacing.Rejected, monotime.FromDuration(w.config.Registry.At(c.At).RetryAfter))
+		b.pacer.Failed(
+			monotime.FromDuration(w.now),
+			reportpacing.Rejected,
+			monotime.FromDuration(w.config.Registry.At(c.At).RetryAfter),
+		)
 	}
 	w.scheduleReport(index)
 }
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -22,12 +22,32 @@
 func Default(backends int) Config {
 	b := limits.For(1, 192, 1024)
 	return Config{
-		Backends: backends, Hosts: max(1, backends/30), StartDuration: time.Second, UncontendedStarts: 6, Duration: 120 * time.Second,
-		Registry:   coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.Refuses, ResponseTime: 10 * time.Millisecond}, {From: 10 * time.Second, Mode: coldstart.Takes, ResponseTime: 10 * time.Millisecond}}},
-		Dependency: Dependency{Latency: 200 * time.Millisecond, Concurrency: max(2, backends/30), CollapseAt: max(4, backends/10), Recovery: 5 * time.Second},
+		Backends:          backends,
+		Hosts:             max(1, backends/30),
+		StartDuration:     time.Second,
+		UncontendedStarts: 6,
+		Duration:          120 * time.Second,
+		Registry: coldstart.RegistryBehavior{
+			Phases: []coldstart.Phase{
+				{Mode: coldstart.Refuses, ResponseTime: 10 * time.Millisecond},
+				{From: 10 * time.Second, Mode: coldstart.Takes, ResponseTime: 10 * time.Millisecond},
+			},
+		},
+		Dependency: Dependency{
+			Latency:     200 * time.Millisecond,
+			Concurrency: max(2, backends/30),
+			CollapseAt:  max(4, backends/10),
+			Recovery:    5 * time.Second,
+		},
 		Reports: reportpacing.Config{
-			Interval: monotime.FromDuration(b.ReportInterval), TTL: monotime.FromDuration(b.RegistrationTTL), RetryMin: monotime.FromDuration(b.ReportRetryMin), RetryRefused: monotime.FromDuration(b.ReportRetryRefused), RetryInitial: monotime.FromDuration(b.ReportRetryInitial),
-			RetryMax: monotime.FromDuration(b.ReportRetryMax), RetryAfterMax: monotime.FromDuration(b.RetryAfterMax), InFlight: b.ReportsInFlight,
+			Interval:      monotime.FromDuration(b.ReportInterval),
+			TTL:           monotime.FromDuration(b.RegistrationTTL),
+			RetryMin:      monotime.FromDuration(b.ReportRetryMin),
+			RetryRefused:  monotime.FromDuration(b.ReportRetryRefused),
+			RetryInitial:  monotime.FromDuration(b.ReportRetryInitial),
+			RetryMax:      monotime.FromDuration(b.ReportRetryMax),
+			RetryAfterMax: monotime.FromDuration(b.RetryAfterMax),
+			InFlight:      b.ReportsInFlight,
 		},
 		RelaunchBackoff: fleet.DefaultConfig(limits.ForControl(), 1).RelaunchBackoff,
 	}
@@ -37,10 +57,28 @@
 // cold start alone, fixed bounds of concurrent starts, and the cold start.
 func Policies(backends int) []Policy {
 	return []Policy{
-		{Name: "at once, reports in step", FixedReports: true}, {Name: "at once", FixedReports: false}, {Name: "rise, reports in step", FixedReports: true, MaxStarting: -backends / 8},
-		{Name: "fixed, a 100th", MaxStarting: max(1, backends/100)}, {Name: "fixed, a 30th", MaxStarting: max(1, backends/30)},
-		{Name: "fixed, a 15th", MaxStarting: max(1, backends/15)}, {Name: "fixed, an 8th", MaxStarting: max(1, backends/8)},
-		{Name: "fixed, a 4th", MaxStarting: max(1, backends/4)}, {Name: "rise to an 8th", MaxStarting: -backends / 8}, {Name: "rise to a 4th", MaxStarting: -backends / 4},
+		{
+			Name:         "at once, reports in step",
+			FixedReports: true,
+		},
+		{Name: "at once", FixedReports: false},
+		{Name: "rise, reports in step", FixedReports: true, MaxStarting: -backends / 8},
+		{
+			Name:        "fixed, a 100th",
+			MaxStarting: max(1, backends/100),
+		},
+		{Name: "fixed, a 30th", MaxStarting: max(1, backends/30)},
+		{
+			Name:        "fixed, a 15th",
+			MaxStarting: max(1, backends/15),
+		},
+		{Name: "fixed, an 8th", MaxStarting: max(1, backends/8)},
+		{
+			Name:        "fixed, a 4th",
+			MaxStarting: max(1, backends/4),
+		},
+		{Name: "rise to an 8th", MaxStarting: -backends / 8},
+		{Name: "rise to a 4th", MaxStarting: -backends / 4},
 	}
 }
 
@@ -64,11 +102,28 @@
 	name string
 	of   func(*Result) float64
 }{
-	{"refusing", func(r *Result) float64 { return r.Refusing / r.Ordinary }}, {"first", func(r *Result) float64 { return r.First }},
-	{"peak", func(r *Result) float64 { return r.Peak }}, {"listed95_s", func(r *Result) float64 { return r.Most }},
-	{"warm50_s", func(r *Result) float64 { return r.HalfReadySeconds }}, {"warm95_s", func(r *Result) float64 { return r.MostReadySeconds }},
-	{"warm", func(r *Result) float64 { return float64(r.Ready) }}, {"below_fell", func(r *Result) float64 { return float64(r.DependencyCollapses) }},
-	{"below_calls", func(r *Result) float64 { return float64(r.DependencyCalls) }}, {"starting", func(r *Result) float64 { return float64(r.PeakStarting) }},
+	{
+		"refusing",
+		func(r *Result) float64 { return r.Refusing / r.Ordinary },
+	},
+	{"first", func(r *Result) float64 { return r.First }},
+	{"peak", func(r *Result) float64 { return r.Peak }},
+	{"listed95_s", func(r *Result) float64 { return r.Most }},
+	{
+		"warm50_s",
+		func(r *Result) float64 { return r.HalfReadySeconds },
+	},
+	{"warm95_s", func(r *Result) float64 { return r.MostReadySeconds }},
+	{
+		"warm",
+		func(r *Result) float64 { return float64(r.Ready) },
+	},
+	{"below_fell", func(r *Result) float64 { return float64(r.DependencyCollapses) }},
+	{
+		"below_calls",
+		func(r *Result) float64 { return float64(r.DependencyCalls) },
+	},
+	{"starting", func(r *Result) float64 { return float64(r.PeakStarting) }},
 }
 
 // Study plays all policies at all sizes, as many runs at once as there are cores. logf reports progress.
@@ -142,7 +197,10 @@
 
 // Print writes a study as a Markdown table.
 func Print(w io.Writer, rows []Row) {
-	fmt.Fprintln(w, "| backends | policy | calls while refused, of ordinary | fullest tenth after | once listed | 95 in 100 listed, s | half warm, s | 95 in 100 warm, s | warm at 120 s | below fell | calls below |")
+	fmt.Fprintln(
+		w,
+		"| backends | policy | calls while refused, of ordinary | fullest tenth after | once listed | 95 in 100 listed, s | half warm, s | 95 in 100 warm, s | warm at 120 s | below fell | calls below |",
+	)
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	cell := func(r *Row, name string, digits int) string {
 		f := r.Figures[name]
--- a/internal/simulation/dependency.go
+++ b/internal/simulation/dependency.go
@@ -13,9 +13,24 @@
 	h.inCalls++
 	dependency := &w.dependency
 	dependency.advance(w.now)
-	dependency.push(job{end: dependency.progress + float64(w.scenario.Dependency.Work), attempt: j, generation: att.generation, stage: uint8(att.callNumber)})
+	dependency.push(
+		job{
+			end:        dependency.progress + float64(w.scenario.Dependency.Work),
+			attempt:    j,
+			generation: att.generation,
+			stage:      uint8(att.callNumber),
+		},
+	)
 	w.updateDependency()
-	w.queue.push(event{at: w.now + max(within, 1), kind: evCallTimeout, subject: j, detail: int32(att.callNumber), generation: att.generation})
+	w.queue.push(
+		event{
+			at:         w.now + max(within, 1),
+			kind:       evCallTimeout,
+			subject:    j,
+			detail:     int32(att.callNumber),
+			generation: att.generation,
+		},
+	)
 }
 
 // updateDependency sets the speed of calls after their number changed, and schedules the next completion.
@@ -38,7 +53,8 @@
 	for len(dependency.jobs) > 0 && dependency.jobs[0].end <= dependency.progress+workEpsilon {
 		j := dependency.pop()
 		dependency.running--
-		if att := &w.attempts[j.attempt]; att.generation == j.generation && att.phase == phaseCalling && uint8(att.callNumber) == j.stage {
+		if att := &w.attempts[j.attempt]; att.generation == j.generation && att.phase == phaseCalling &&
+			uint8(att.callNumber) == j.stage {
 			w.endCall(j.attempt, admission.OK)
 		}
 	}
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -61,7 +61,8 @@
 	head, tail uint64
 }
 
-// Indexes of the lanes. Those of client timeouts follow from laneDue on, one for each of the first maxDueLanes operations.
+// Indexes of the lanes. Those of client timeouts follow from laneDue on, one for each of the first maxDueLanes
+// operations.
 const (
 	laneNet = iota
 	laneTick
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -110,7 +110,8 @@
 	}
 	unavailable, remaining := 0, 0
 	for k := range w.hosts {
-		if h := &w.hosts[k]; !h.up || h.draining || h.startedAt > fault.At && w.now < h.startedAt+w.scenario.Hosts.WarmUp/2 {
+		if h := &w.hosts[k]; !h.up || h.draining ||
+			h.startedAt > fault.At && w.now < h.startedAt+w.scenario.Hosts.WarmUp/2 {
 			unavailable++
 		}
 	}
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -86,14 +86,25 @@
 		if err != nil {
 			return err
 		}
-		h.degradation = &degradationState{controller: degradation.NewController(l), shedder: shedder, signals: degradation.NewSignalMeter(w.scenario.Hosts.Cores)}
+		h.degradation = &degradationState{
+			controller: degradation.NewController(l),
+			shedder:    shedder,
+			signals:    degradation.NewSignalMeter(w.scenario.Hosts.Cores),
+		}
 	}
 	if cold && w.scenario.Hosts.WarmUp > 0 {
 		h.warmUpSpeed = w.scenario.Hosts.ColdSpeed
 		if h.degradation != nil {
 			h.degradation.signals.SetWarmingUntil(w.now + w.scenario.Hosts.WarmUp)
 		}
-		w.queue.push(event{at: w.now + w.scenario.Hosts.WarmUp/warmUpSteps + 1, kind: evWarmUp, subject: h.number, generation: h.incarnation})
+		w.queue.push(
+			event{
+				at:         w.now + w.scenario.Hosts.WarmUp/warmUpSteps + 1,
+				kind:       evWarmUp,
+				subject:    h.number,
+				generation: h.incarnation,
+			},
+		)
 	}
 	w.startQuotas(h)
 	w.decide(h, admission.Opened{})
--- a/internal/simulation/host_actions.go
+++ b/internal/simulation/host_actions.go
@@ -62,7 +62,16 @@
 	case admission.CloseIdle:
 		h.idleTimeout = max(a.After, minIdleTimeout)
 	case admission.Wake:
-		w.queue.pushLane(laneTick, event{at: max(a.At-h.clockSkew, w.now+1), kind: evWake, subject: h.number, detail: int32(a.Token), generation: h.incarnation})
+		w.queue.pushLane(
+			laneTick,
+			event{
+				at:         max(a.At-h.clockSkew, w.now+1),
+				kind:       evWake,
+				subject:    h.number,
+				detail:     int32(a.Token),
+				generation: h.incarnation,
+			},
+		)
 	}
 }
 
@@ -91,7 +100,8 @@
 	}
 	att := &w.attempts[j]
 	att.retryAfter, att.dontRetry = min(a.RetryAfter, w.scenario.Hosts.MaxRetryAfter), a.DontRetry
-	if state := h.degradation; state != nil && att.answers == 0 && !att.shed { // what degradation sheds must not keep the level up
+	if state := h.degradation; state != nil && att.answers == 0 &&
+		!att.shed { // what degradation sheds must not keep the level up
 		state.signals.Count(w.now, degradation.Rejections)
 	}
 	w.answer(h, j, Throttled)
@@ -135,7 +145,8 @@
 // inFlightAttempt returns the attempt of that id that this incarnation of the host has in flight, or none.
 func (w *world) inFlightAttempt(h *host, id string) int32 {
 	j := w.attemptByID(id)
-	if j == none || w.attempts[j].host != h.number || w.attempts[j].incarnation != h.incarnation || !w.attempts[j].atHost {
+	if j == none || w.attempts[j].host != h.number || w.attempts[j].incarnation != h.incarnation ||
+		!w.attempts[j].atHost {
 		return none
 	}
 	return j
--- a/internal/simulation/host_agent.go
+++ b/internal/simulation/host_agent.go
@@ -35,20 +35,49 @@
 	for first := 0; first < len(w.hosts); first += hostsPerAgent {
 		agent := &hostAgent{firstHost: first}
 		n := min(hostsPerAgent, len(w.hosts)-first)
-		text := fmt.Sprintf("(fleet model (host a (agent \"unix:/a\")) (group g (host a) (config \"%%n\") (range h 1 %d) (settle 500ms) (start-within 60s) (restart (most 100) (within 1m))))", n)
+		text := fmt.Sprintf(
+			"(fleet model (host a (agent \"unix:/a\")) (group g (host a) (config \"%%n\") (range h 1 %d) (settle 500ms) (start-within 60s) (restart (most 100) (within 1m))))",
+			n,
+		)
 		spec, err := fleet.ReadSpec("model", []byte(text), limits.ForControl())
 		if err != nil {
 			return err
 		}
-		agent.machine = fleet.New(spec, "a", fleet.DefaultConfig(limits.ForControl(), w.policySeed), func(*fleet.InstanceSpec) fleet.ShutdownWindow {
-			return fleet.ShutdownWindow{Grace: w.scenario.Hosts.DrainGrace, ExitTimeout: w.scenario.Hosts.ExitTimeout}
-		})
+		agent.machine = fleet.New(
+			spec,
+			"a",
+			fleet.DefaultConfig(limits.ForControl(), w.policySeed),
+			func(*fleet.InstanceSpec) fleet.ShutdownWindow {
+				return fleet.ShutdownWindow{
+					Grace:       w.scenario.Hosts.DrainGrace,
+					ExitTimeout: w.scenario.Hosts.ExitTimeout,
+				}
+			},
+		)
 		for k := range n {
 			agent.names = append(agent.names, agentName(k))
 			w.hosts[first+k].managedByAgent = true
 		}
-		agent.incarnations, agent.notices, agent.observed = make([]string, n), make([]string, n), make([]fleet.Observation, n)
-		if err := w.submit(agent, &fleet.Command{ID: "start", Kind: fleet.KindStart, Names: agent.names, RequestedBy: "model", Deadline: 60_000_000}); err != nil {
+		agent.incarnations, agent.notices, agent.observed = make(
+			[]string,
+			n,
+		), make(
+			[]string,
+			n,
+		), make(
+			[]fleet.Observation,
+			n,
+		)
+		if err := w.submit(
+			agent,
+			&fleet.Command{
+				ID:          "start",
+				Kind:        fleet.KindStart,
+				Names:       agent.names,
+				RequestedBy: "model",
+				Deadline:    60_000_000,
+			},
+		); err != nil {
 			return err
 		}
 		w.agents = append(w.agents, agent)
@@ -73,7 +102,17 @@
 		config.MinReadyShare = max(0, 1-2*fault.BatchShare)
 		config.MaxFailures = len(agent.names)
 		agent.lostNotices = fault.LostNotices
-		if err := w.submit(agent, &fleet.Command{ID: fmt.Sprint("wave", i), Kind: fleet.KindRollingUpdate, Names: agent.names, RequestedBy: "model", Deadline: w.now + 3600*Second, Rollout: &config}); err != nil {
+		if err := w.submit(
+			agent,
+			&fleet.Command{
+				ID:          fmt.Sprint("wave", i),
+				Kind:        fleet.KindRollingUpdate,
+				Names:       agent.names,
+				RequestedBy: "model",
+				Deadline:    w.now + 3600*Second,
+				Rollout:     &config,
+			},
+		); err != nil {
 			w.result.RejectedReleases++
 		}
 	}
--- a/internal/simulation/host_completion.go
+++ b/internal/simulation/host_completion.go
@@ -17,7 +17,9 @@
 	waiters := w.attempts[j].waiters
 	w.attempts[j].waiters = nil
 	for _, k := range waiters {
-		if h.up && w.attempts[k].phase == phaseAwaitingResult && w.attempts[k].atHost && w.attempts[k].host == h.number && w.attempts[k].answers == 0 {
+		if h.up && w.attempts[k].phase == phaseAwaitingResult && w.attempts[k].atHost &&
+			w.attempts[k].host == h.number &&
+			w.attempts[k].answers == 0 {
 			w.reuse(h, k)
 		}
 	}
@@ -72,7 +74,14 @@
 			w.queue.pushLane(laneNet, event{at: w.now + d, kind: evAnswer, subject: j, generation: att.generation})
 		} else { // the answer is lost; for the node it is unanswered until its caller leaves
 			att.outcome = Reset
-			w.queue.push(event{at: max(w.now, att.dueAt) + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation})
+			w.queue.push(
+				event{
+					at:         max(w.now, att.dueAt) + w.scenario.Nodes.NetworkDelay,
+					kind:       evAnswer,
+					subject:    j,
+					generation: att.generation,
+				},
+			)
 		}
 	}
 	if att.phase == phaseQueued {
@@ -104,9 +113,13 @@
 	att.atHost = false
 	if att.callerGone && att.atNode && att.answers == 0 { // its node learns of the end by itself
 		att.outcome = Reset
-		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation})
+		w.queue.push(
+			event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation},
+		)
 	} else if att.callerGone && att.atNode {
-		w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation})
+		w.queue.push(
+			event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation},
+		)
 	}
 	if att.prev != none {
 		w.attempts[att.prev].next = att.next
@@ -134,7 +147,8 @@
 	if att.phase == phaseUnread {
 		return
 	}
-	if w.now >= att.dueAt && att.readAt < att.dueAt-w.scenario.Hosts.AnswerSlack { // the caller did not cancel: its time ran out
+	if w.now >= att.dueAt &&
+		att.readAt < att.dueAt-w.scenario.Hosts.AnswerSlack { // the caller did not cancel: its time ran out
 		w.audit.breach(w, 1, h, att, "its caller's time is over and it has no answer")
 	}
 	was := att.phase
--- a/internal/simulation/host_cores.go
+++ b/internal/simulation/host_cores.go
@@ -30,7 +30,9 @@
 		rate *= (capacity / running) * (capacity / running)
 		if h.overloadedAt == 0 {
 			h.overloadedAt = w.now
-			w.queue.push(event{at: w.now + s.CollapseAfter, kind: evOverload, subject: h.number, generation: h.incarnation})
+			w.queue.push(
+				event{at: w.now + s.CollapseAfter, kind: evOverload, subject: h.number, generation: h.incarnation},
+			)
 		}
 	} else {
 		h.overloadedAt = 0
@@ -74,7 +76,8 @@
 	for len(h.cores.jobs) > 0 && h.cores.jobs[0].end <= h.cores.progress+workEpsilon {
 		j := h.cores.pop()
 		att := &w.attempts[j.attempt]
-		if att.generation != j.generation || att.phase != phaseUnread && att.phase != phaseRunning || (att.phase == phaseUnread) != (j.stage == 0) {
+		if att.generation != j.generation || att.phase != phaseUnread && att.phase != phaseRunning ||
+			(att.phase == phaseUnread) != (j.stage == 0) {
 			continue // preempted meanwhile
 		}
 		h.cores.running--
--- a/internal/simulation/host_intake.go
+++ b/internal/simulation/host_intake.go
@@ -68,11 +68,19 @@
 		hint = monotime.Micros(req.work)
 	}
 	ev := admission.Arrived{
-		ID: att.id, Operation: int(req.operation), Tenant: int(req.tenant), Priority: op.Priority, Retry: att.retry,
-		ExpectedWork: hint, QueueTime: w.now - att.reachedAt, TimeLeft: max(1, att.dueAt-w.now), MemoryKB: w.scenario.Hosts.RequestKB,
+		ID:           att.id,
+		Operation:    int(req.operation),
+		Tenant:       int(req.tenant),
+		Priority:     op.Priority,
+		Retry:        att.retry,
+		ExpectedWork: hint,
+		QueueTime:    w.now - att.reachedAt,
+		TimeLeft:     max(1, att.dueAt-w.now),
+		MemoryKB:     w.scenario.Hosts.RequestKB,
 	}
 	if op.RetrySafety == admission.IdempotencyKeyed {
-		if id := h.resultsByRequest[req.number]; id != "" && h.cachedResults[id] != nil && h.cachedResults[id].expiresAt > w.now {
+		if id := h.resultsByRequest[req.number]; id != "" && h.cachedResults[id] != nil &&
+			h.cachedResults[id].expiresAt > w.now {
 			ev.RepeatOf = id
 		}
 	}
--- a/internal/simulation/host_lifecycle.go
+++ b/internal/simulation/host_lifecycle.go
@@ -22,14 +22,21 @@
 	memory := (h.memory + h.keyKB) / w.scenario.Hosts.MemoryKB
 	w.result.Readings++
 	w.decide(h, admission.Reading{
-		Token: token, CoreUse: use, OnCores: running, MemoryShare: memory, Connections: float64(h.connections) / float64(w.scenario.Hosts.Connections),
+		Token:       token,
+		CoreUse:     use,
+		OnCores:     running,
+		MemoryShare: memory,
+		Connections: float64(h.connections) / float64(w.scenario.Hosts.Connections),
 	})
 	if state := h.degradation; state != nil && h.up {
 		now := w.now
 		if h.draining {
 			state.signals.SetDraining()
 		}
-		if c, changed := state.controller.Update(now, state.signals.Signals(now, running+float64(h.queued), use, memory, true)); changed {
+		if c, changed := state.controller.Update(
+			now,
+			state.signals.Signals(now, running+float64(h.queued), use, memory, true),
+		); changed {
 			w.result.recordLevelChange(w, h, c)
 		}
 	}
@@ -42,7 +49,9 @@
 	h.warmUpSpeed = min(1, s.ColdSpeed+(1-s.ColdSpeed)*float64(w.now-h.startedAt)/float64(s.WarmUp))
 	w.updateCores(h)
 	if h.warmUpSpeed < 1 {
-		w.queue.push(event{at: w.now + s.WarmUp/warmUpSteps + 1, kind: evWarmUp, subject: h.number, generation: h.incarnation})
+		w.queue.push(
+			event{at: w.now + s.WarmUp/warmUpSteps + 1, kind: evWarmUp, subject: h.number, generation: h.incarnation},
+		)
 	}
 }
 
@@ -54,7 +63,14 @@
 		w.audit.breach(w, 4, h, nil, "it fell over under its crowd")
 		w.kill(h, Reset)
 	default:
-		w.queue.push(event{at: h.overloadedAt + w.scenario.Hosts.CollapseAfter, kind: evOverload, subject: h.number, generation: h.incarnation})
+		w.queue.push(
+			event{
+				at:         h.overloadedAt + w.scenario.Hosts.CollapseAfter,
+				kind:       evOverload,
+				subject:    h.number,
+				generation: h.incarnation,
+			},
+		)
 	}
 }
 
@@ -76,7 +92,14 @@
 		next := att.next
 		if att.atNode && att.answers == 0 || att.atNode && att.callerGone {
 			att.outcome = outcome
-			w.queue.push(event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation})
+			w.queue.push(
+				event{
+					at:         w.now + w.scenario.Nodes.NetworkDelay,
+					kind:       evAnswer,
+					subject:    j,
+					generation: att.generation,
+				},
+			)
 		}
 		att.atHost, att.waiters = false, att.waiters[:0]
 		if att.phase == phaseCalling {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -70,7 +70,13 @@
 	n.ignoresAdvice = float64(i) < w.scenario.Nodes.UnresponsiveShare*float64(w.scenario.Nodes.Count)
 	n.nextSlot = w.faultRand.IntN(pool)
 	w.refreshView(n)
-	w.queue.push(event{at: monotime.Micros(w.faultRand.Float64() * float64(w.scenario.Nodes.RefreshInterval)), kind: evRefresh, subject: i})
+	w.queue.push(
+		event{
+			at:      monotime.Micros(w.faultRand.Float64() * float64(w.scenario.Nodes.RefreshInterval)),
+			kind:    evRefresh,
+			subject: i,
+		},
+	)
 }
 
 // gcd returns the greatest common divisor.
@@ -121,7 +127,15 @@
 	}
 	h.connections++
 	sl.connected, sl.incarnation, sl.usedAt = true, h.incarnation, w.now
-	w.queue.push(event{at: w.now + h.idleTimeout, kind: evIdleCheck, subject: w.requests[att.request].node, detail: att.slot, generation: h.incarnation})
+	w.queue.push(
+		event{
+			at:         w.now + h.idleTimeout,
+			kind:       evIdleCheck,
+			subject:    w.requests[att.request].node,
+			detail:     att.slot,
+			generation: h.incarnation,
+		},
+	)
 	return true, true
 }
 
@@ -134,7 +148,15 @@
 	}
 	if rests := w.now - sl.usedAt; rests < h.idleTimeout || sl.inFlight > 0 {
 		if w.now < w.scenario.Duration || w.active > 0 {
-			w.queue.push(event{at: w.now + max(h.idleTimeout-rests, minIdleCheck), kind: evIdleCheck, subject: node, detail: k, generation: h.incarnation})
+			w.queue.push(
+				event{
+					at:         w.now + max(h.idleTimeout-rests, minIdleCheck),
+					kind:       evIdleCheck,
+					subject:    node,
+					detail:     k,
+					generation: h.incarnation,
+				},
+			)
 		}
 		return
 	}
--- a/internal/simulation/node_attempts.go
+++ b/internal/simulation/node_attempts.go
@@ -24,7 +24,8 @@
 	if w.policy.throttles(w.scenario) {
 		n.requested.add(w.now, s.ThrottleWindow, 1)
 		n.accepted.add(w.now, s.ThrottleWindow, 0)
-		// Client-side throttling by the share accepted recently, "Handling Overload", Site Reliability Engineering, 2016: K = 2.
+		// Client-side throttling by the share accepted recently, "Handling Overload", Site Reliability Engineering,
+		// 2016: K = 2.
 		if w.nodeRand.Float64() < (n.requested.sum-2*n.accepted.sum)/(n.requested.sum+1) {
 			w.retryOrEnd(i, ThrottledByNode)
 			return
@@ -32,7 +33,8 @@
 	}
 	k := w.chooseSlot(req, n)
 	op := &w.scenario.Operations[req.operation]
-	if op.RetrySafety == admission.IdempotencyKeyed && req.maybeRan { // only the host that may have run it knows the key
+	if op.RetrySafety == admission.IdempotencyKeyed &&
+		req.maybeRan { // only the host that may have run it knows the key
 		k = req.lastSlot
 		if !w.listed[n.slots[k].host] {
 			k = none
@@ -60,7 +62,9 @@
 	delay := w.networkDelay(req.node, sl.host)
 	if delay < 0 { // partitioned: the node finds out when the connection times out
 		att.outcome = Unreachable
-		w.queue.push(event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, generation: att.generation})
+		w.queue.push(
+			event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, generation: att.generation},
+		)
 		return
 	}
 	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evArriveAtHost, subject: j, generation: att.generation})
@@ -132,8 +136,10 @@
 	if req.openAttempts[0] != none || req.openAttempts[1] != none {
 		return // a hedged attempt is still open
 	}
-	safe := outcome == Throttled || outcome == Unreachable || outcome == ThrottledByNode || op.RetrySafety != admission.NonIdempotent
-	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts || outcome == ThrottledByNode {
+	safe := outcome == Throttled || outcome == Unreachable || outcome == ThrottledByNode ||
+		op.RetrySafety != admission.NonIdempotent
+	if !safe || req.retryForbidden && !n.ignoresAdvice || s.MaxAttempts > 0 && int(req.attempts) >= s.MaxAttempts ||
+		outcome == ThrottledByNode {
 		w.failRequest(i, outcome)
 		return
 	}
@@ -171,11 +177,19 @@
 	req := &w.requests[i]
 	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), outcome, w.now-req.arrivedAt, 0)
 	op := &w.scenario.Operations[req.operation]
-	if req.clientRetries < maxClientRetries && w.nodeRand.Float64() < w.scenario.Nodes.ClientRetryShare && (op.RetrySafety != admission.NonIdempotent || outcome == Throttled || outcome == ThrottledByNode) {
+	if req.clientRetries < maxClientRetries && w.nodeRand.Float64() < w.scenario.Nodes.ClientRetryShare &&
+		(op.RetrySafety != admission.NonIdempotent || outcome == Throttled || outcome == ThrottledByNode) {
 		req.clientRetries++
 		w.notifyHosts(req)
 		req.finished, req.retriesLater = true, true
-		w.queue.push(event{at: w.now + monotime.Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())), kind: evClientRetry, subject: i, generation: req.generation})
+		w.queue.push(
+			event{
+				at:         w.now + monotime.Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())),
+				kind:       evClientRetry,
+				subject:    i,
+				generation: req.generation,
+			},
+		)
 		return
 	}
 	w.closeRequest(i)
@@ -188,7 +202,14 @@
 			continue
 		}
 		if d := w.networkDelay(req.node, w.attempts[j].host); d >= 0 {
-			w.queue.push(event{at: w.now + d + w.scenario.Nodes.CancelDelay, kind: evCallerGone, subject: j, generation: w.attempts[j].generation})
+			w.queue.push(
+				event{
+					at:         w.now + d + w.scenario.Nodes.CancelDelay,
+					kind:       evCallerGone,
+					subject:    j,
+					generation: w.attempts[j].generation,
+				},
+			)
 		}
 	}
 }
@@ -216,11 +237,17 @@
 	req := &w.requests[k]
 	gen := req.generation
 	*req = old
-	req.generation, req.liveAttempts, req.finished, req.retriesLater, req.attempts, req.retryForbidden, req.openAttempts = gen, 0, false, false, 0, false, [2]int32{none, none}
+	req.generation, req.liveAttempts, req.finished, req.retriesLater, req.attempts, req.retryForbidden, req.openAttempts = gen, 0, false, false, 0, false, [2]int32{
+		none,
+		none,
+	}
 	req.arrivedAt, req.due = w.now, w.now+w.scenario.Operations[req.operation].Timeout
 	w.requests[i].retriesLater = false
 	w.releaseRequest(i)
 	w.result.ClientRetries++
-	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evClientTimeout, subject: k, generation: req.generation})
+	w.queue.pushLane(
+		laneDue+int(req.operation),
+		event{at: req.due, kind: evClientTimeout, subject: k, generation: req.generation},
+	)
 	w.startAttempt(k, false)
 }
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -12,8 +12,8 @@
 // QuotaSource says how a host gets its part of the tenants' quotas.
 type QuotaSource int
 
-// The sources. With GuessedQuotas the module divides by the fleet's size that it was configured with; with the others a quota
-// holder tells it whether a request is within its tenant's quota.
+// The sources. With GuessedQuotas the module divides by the fleet's size that it was configured with; with the others
+// a quota holder tells it whether a request is within its tenant's quota.
 const (
 	GuessedQuotas QuotaSource = iota
 	LeasedQuotas              // leases of cluster/quota's state machine, unchanged
@@ -65,8 +65,15 @@
 		}
 		quotas.limitIndex[i] = len(quotas.limitNames)
 		limit := quota.Limit{
-			Name: quota.LimitName("t" + fmt.Sprint(i)), Kind: quota.Rate, Total: int64(t.Quota), Division: quota.DivideByDemand, Step: 1, Lease: leaseDuration,
-			ClockMargin: leaseMargin, Tenant: t.Name, Floors: map[quota.InstanceName]int64{},
+			Name:        quota.LimitName("t" + fmt.Sprint(i)),
+			Kind:        quota.Rate,
+			Total:       int64(t.Quota),
+			Division:    quota.DivideByDemand,
+			Step:        1,
+			Lease:       leaseDuration,
+			ClockMargin: leaseMargin,
+			Tenant:      t.Name,
+			Floors:      map[quota.InstanceName]int64{},
 		}
 		floor := int64(floorShare * t.Quota / float64(len(w.hosts)))
 		for n := range w.hosts {
@@ -96,7 +103,10 @@
 	holder := backendquota.New(name, incarnation, names)
 	answer := backendquota.LeaseResponse{Name: name, Incarnation: incarnation, Number: holder.NewRequest(0).Number}
 	for _, limit := range all {
-		answer.Grants = append(answer.Grants, backendquota.Grant{Budget: string(limit.Name), Epoch: 1, Floor: limit.Total / parts})
+		answer.Grants = append(
+			answer.Grants,
+			backendquota.Grant{Budget: string(limit.Name), Epoch: 1, Floor: limit.Total / parts},
+		)
 	}
 	if err := holder.Apply(0, answer); err != nil {
 		panic(err) // the configuration was checked
@@ -134,7 +144,10 @@
 		var all []quota.Limit
 		for i, t := range w.scenario.Tenants {
 			if quotas.limitIndex[i] >= 0 {
-				all = append(all, quota.Limit{Name: quota.LimitName(quotas.limitNames[quotas.limitIndex[i]]), Total: int64(t.Quota)})
+				all = append(
+					all,
+					quota.Limit{Name: quota.LimitName(quotas.limitNames[quotas.limitIndex[i]]), Total: int64(t.Quota)},
+				)
 			}
 		}
 		quotas.holders[h.number] = fixedHolder(name, incarnation, all, int64(w.scenario.Hosts.fleetSize()))
@@ -142,7 +155,14 @@
 	}
 	quotas.holders[h.number] = backendquota.New(name, incarnation, quotas.limitNames)
 	// Renewals are spread over the interval, as of agents that were started at different times.
-	w.queue.push(event{at: w.now + 1 + monotime.Micros(h.number)*leaseRenewal/monotime.Micros(len(w.hosts)), kind: evLease, subject: h.number, generation: h.incarnation})
+	w.queue.push(
+		event{
+			at:         w.now + 1 + monotime.Micros(h.number)*leaseRenewal/monotime.Micros(len(w.hosts)),
+			kind:       evLease,
+			subject:    h.number,
+			generation: h.incarnation,
+		},
+	)
 }
 
 // fleetSize returns the size of the fleet that hosts are configured with.
@@ -159,7 +179,14 @@
 	quotas := w.quotas
 	if !w.quotaStoreCut || h.number >= w.partitionedHosts {
 		holder, now := quotas.holders[h.number], w.now
-		r := quotas.store.Apply(quota.Command{Renew: &quota.RenewCommand{Host: hostName(h.number), Requests: []backendquota.LeaseRequest{holder.NewRequest(now)}}})
+		r := quotas.store.Apply(
+			quota.Command{
+				Renew: &quota.RenewCommand{
+					Host:     hostName(h.number),
+					Requests: []backendquota.LeaseRequest{holder.NewRequest(now)},
+				},
+			},
+		)
 		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
 			_ = holder.Apply(now, r.Answers[0]) // a rejected answer leaves the leases as they are
 		}
@@ -180,7 +207,8 @@
 
 // releaseQuotas tells the quota store that a process has exited, as the agent of its host would.
 func (w *world) releaseQuotas(h *host) {
-	if quotas := w.quotas; quotas != nil && quotas.source == LeasedQuotas && (!w.quotaStoreCut || h.number >= w.partitionedHosts) {
+	if quotas := w.quotas; quotas != nil && quotas.source == LeasedQuotas &&
+		(!w.quotaStoreCut || h.number >= w.partitionedHosts) {
 		name := hostName(h.number)
 		key := quota.NewClientKey(quota.InstanceName(name), fmt.Sprint(h.incarnation))
 		quotas.store.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []quota.ClientKey{key}}})
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -94,7 +94,11 @@
 	if n := len(w.freeRequests); n > 0 {
 		i := w.freeRequests[n-1]
 		w.freeRequests = w.freeRequests[:n-1]
-		w.requests[i] = request{generation: w.requests[i].generation, openAttempts: [2]int32{none, none}, lastSlot: none}
+		w.requests[i] = request{
+			generation:   w.requests[i].generation,
+			openAttempts: [2]int32{none, none},
+			lastSlot:     none,
+		}
 		return i
 	}
 	w.requests = append(w.requests, request{openAttempts: [2]int32{none, none}, lastSlot: none})
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -100,9 +100,19 @@
 
 // NewResult returns the empty result of a day.
 func NewResult(s *Scenario, policy string, seed uint64) *Result {
-	r := &Result{Version: Version, Scenario: s.Name, Policy: policy, Seed: seed, Hosts: s.Hosts.Count, Nodes: s.Nodes.Count}
+	r := &Result{
+		Version:  Version,
+		Scenario: s.Name,
+		Policy:   policy,
+		Seed:     seed,
+		Hosts:    s.Hosts.Count,
+		Nodes:    s.Nodes.Count,
+	}
 	for _, op := range s.Operations {
-		r.Operations = append(r.Operations, Breakdown{Name: op.Name, histogram: hdrhistogram.New(minLatency, maxLatency, 2)})
+		r.Operations = append(
+			r.Operations,
+			Breakdown{Name: op.Name, histogram: hdrhistogram.New(minLatency, maxLatency, 2)},
+		)
 	}
 	for _, t := range s.Tenants {
 		r.Tenants = append(r.Tenants, Breakdown{Name: t.Name, histogram: hdrhistogram.New(minLatency, maxLatency, 2)})
@@ -138,7 +148,14 @@
 
 // RecordOutcome counts how a request ended, how long after it began, and what of its value was billed. One that its
 // caller sends again ends again.
-func (r *Result) RecordOutcome(s *Scenario, now monotime.Micros, operation, tenant int, outcome Outcome, took monotime.Micros, value float64) {
+func (r *Result) RecordOutcome(
+	s *Scenario,
+	now monotime.Micros,
+	operation, tenant int,
+	outcome Outcome,
+	took monotime.Micros,
+	value float64,
+) {
 	sec := r.secondAt(now)
 	r.Billed += value
 	sec.Billed += value
@@ -218,7 +235,10 @@
 func (r *Result) recordLevelChange(w *world, h *host, c degradation.Change) {
 	r.LevelChangeCount++
 	if len(r.LevelChanges) < maxLevelChanges {
-		r.LevelChanges = append(r.LevelChanges, LevelChange{At: w.now, Host: h.number, From: c.From, To: c.To, Collapse: c.Collapse, Cause: c.Cause})
+		r.LevelChanges = append(
+			r.LevelChanges,
+			LevelChange{At: w.now, Host: h.number, From: c.From, To: c.To, Collapse: c.Collapse, Cause: c.Cause},
+		)
 	}
 }
 
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,7 +1,8 @@
-// Package simulation is an event-driven simulation of what milletbarrow balances: hosts, edge nodes that can't be changed,
-// the callers behind them, an endpoint registry with a lag, and faults. Play runs one scenario with one policy on one seed,
-// event by event on one goroutine, and gives the same result to the byte wherever it runs. It does no I/O and reads no
-// clock. Whether the four rules are kept is judged here, from what happened, never by the policy.
+// Package simulation is an event-driven simulation of what milletbarrow balances: hosts, edge nodes that can't be
+// changed, the callers behind them, an endpoint registry with a lag, and faults. Play runs one scenario with one
+// policy on one seed, event by event on one goroutine, and gives the same result to the byte wherever it runs. It
+// does no I/O and reads no clock. Whether the four rules are kept is judged here, from what happened, never by the
+// policy.
 package simulation
 
 import (
@@ -164,20 +165,73 @@
 	return Scenario{
 		Name: "default", Duration: 30 * Second,
 		Hosts: HostConfig{
-			Count: 12, Cores: 2, SpeedSpread: 0.05, CollapseMultiple: 6, CollapseAfter: 5 * Second, ReadWork: 300, HandshakeWork: 400, MemoryKB: 256 << 10,
-			RequestKB: 64, RunFactor: 4, ColdSpeed: 0.3, WarmUp: 8 * Second, Connections: 512, IdleTimeout: 10 * Second,
-			DrainGrace: 2 * Second, ExitTimeout: 3200 * Millisecond, AnswerSlack: 60 * Millisecond, MaxRetryAfter: 2 * Second,
+			Count:            12,
+			Cores:            2,
+			SpeedSpread:      0.05,
+			CollapseMultiple: 6,
+			CollapseAfter:    5 * Second,
+			ReadWork:         300,
+			HandshakeWork:    400,
+			MemoryKB:         256 << 10,
+			RequestKB:        64,
+			RunFactor:        4,
+			ColdSpeed:        0.3,
+			WarmUp:           8 * Second,
+			Connections:      512,
+			IdleTimeout:      10 * Second,
+			DrainGrace:       2 * Second,
+			ExitTimeout:      3200 * Millisecond,
+			AnswerSlack:      60 * Millisecond,
+			MaxRetryAfter:    2 * Second,
 		},
 		Nodes: NodeConfig{
-			Count: 8, Subset: 8, MaxAttempts: 3, Backoff: 5 * Millisecond, UnresponsiveShare: 0.1, CancelDelay: 20 * Millisecond, NetworkDelay: 500,
-			ClientRetryDelay: 500 * Millisecond, RefreshInterval: Second, ThrottleWindow: 10 * Second,
+			Count:             8,
+			Subset:            8,
+			MaxAttempts:       3,
+			Backoff:           5 * Millisecond,
+			UnresponsiveShare: 0.1,
+			CancelDelay:       20 * Millisecond,
+			NetworkDelay:      500,
+			ClientRetryDelay:  500 * Millisecond,
+			RefreshInterval:   Second,
+			ThrottleWindow:    10 * Second,
 		},
 		Registry:   RegistryConfig{Lag: 2 * Second},
 		Dependency: DependencyConfig{Slots: 64, Work: 5 * Millisecond},
 		Operations: []Operation{
-			{Name: "reprint", Value: 1, Priority: 0.1, Share: 0.35, Work: 25 * Millisecond, WorkSigma: 0.8, Objective: Second, Timeout: 3 * Second, LateValue: 0.1},
-			{Name: "lookup", Value: 3, Priority: 0.4, Share: 0.4, Work: 15 * Millisecond, WorkSigma: 0.6, Objective: 500 * Millisecond, Timeout: 2 * Second, LateValue: 0.1},
-			{Name: "pay-post", Value: 10, Priority: 0.9, Share: 0.25, Work: 20 * Millisecond, WorkSigma: 0.5, Objective: Second, Timeout: 4 * Second, RetrySafety: admission.NonIdempotent},
+			{
+				Name:      "reprint",
+				Value:     1,
+				Priority:  0.1,
+				Share:     0.35,
+				Work:      25 * Millisecond,
+				WorkSigma: 0.8,
+				Objective: Second,
+				Timeout:   3 * Second,
+				LateValue: 0.1,
+			},
+			{
+				Name:      "lookup",
+				Value:     3,
+				Priority:  0.4,
+				Share:     0.4,
+				Work:      15 * Millisecond,
+				WorkSigma: 0.6,
+				Objective: 500 * Millisecond,
+				Timeout:   2 * Second,
+				LateValue: 0.1,
+			},
+			{
+				Name:        "pay-post",
+				Value:       10,
+				Priority:    0.9,
+				Share:       0.25,
+				Work:        20 * Millisecond,
+				WorkSigma:   0.5,
+				Objective:   Second,
+				Timeout:     4 * Second,
+				RetrySafety: admission.NonIdempotent,
+			},
 		},
 		Load: Load{Level: 0.8, PeakLevel: 1.2, Period: 5 * Second, Swing: 0.5},
 	}
@@ -199,18 +253,39 @@
 func (s *Scenario) AdmissionConfig(cold bool) admission.Config {
 	h := &s.Hosts
 	t := admission.Config{
-		OverQuotaValue: overQuotaValue, FleetSize: h.fleetSize(), Callers: s.Nodes.Count, Cores: h.Cores, MemoryKB: h.MemoryKB, RunFactor: h.RunFactor,
-		IdempotencyKeyKB: 0.2, JustStarted: cold, AnswerSlack: h.AnswerSlack, DrainGrace: h.DrainGrace, ColdSpeed: h.ColdSpeed, WarmUp: max(h.WarmUp, 1),
-		CollapseMultiple: h.CollapseMultiple, CollapseAfter: h.CollapseAfter, SharedDependency: true, CallQuota: float64(s.Dependency.Slots) / float64(h.Count),
-		CallQuotaWindow: Second, AbandonedCallLinger: s.Dependency.Work, MaxRetryAfter: h.MaxRetryAfter, IdleTimeout: h.IdleTimeout,
+		OverQuotaValue:      overQuotaValue,
+		FleetSize:           h.fleetSize(),
+		Callers:             s.Nodes.Count,
+		Cores:               h.Cores,
+		MemoryKB:            h.MemoryKB,
+		RunFactor:           h.RunFactor,
+		IdempotencyKeyKB:    0.2,
+		JustStarted:         cold,
+		AnswerSlack:         h.AnswerSlack,
+		DrainGrace:          h.DrainGrace,
+		ColdSpeed:           h.ColdSpeed,
+		WarmUp:              max(h.WarmUp, 1),
+		CollapseMultiple:    h.CollapseMultiple,
+		CollapseAfter:       h.CollapseAfter,
+		SharedDependency:    true,
+		CallQuota:           float64(s.Dependency.Slots) / float64(h.Count),
+		CallQuotaWindow:     Second,
+		AbandonedCallLinger: s.Dependency.Work,
+		MaxRetryAfter:       h.MaxRetryAfter,
+		IdleTimeout:         h.IdleTimeout,
 	}
 	if h.Preemptible {
 		t.Preemption = admission.PreemptionDiscards
 	}
 	for _, op := range s.Operations {
 		t.Operations = append(t.Operations, admission.Operation{
-			RetrySafety: op.RetrySafety, Objective: op.Objective, ClientTimeout: op.Timeout, RepeatWindow: 2 * op.Timeout,
-			LateValue: op.LateValue, MakesCalls: op.MakesCalls, ValueWithoutCall: op.ValueWithoutCall,
+			RetrySafety:      op.RetrySafety,
+			Objective:        op.Objective,
+			ClientTimeout:    op.Timeout,
+			RepeatWindow:     2 * op.Timeout,
+			LateValue:        op.LateValue,
+			MakesCalls:       op.MakesCalls,
+			ValueWithoutCall: op.ValueWithoutCall,
 		})
 	}
 	for _, tn := range s.Tenants {
--- a/internal/simulation/scenario_check.go
+++ b/internal/simulation/scenario_check.go
@@ -39,7 +39,14 @@
 func (s *Scenario) checkSurroundings() error {
 	switch {
 	case len(s.Operations) == 0 || len(s.Operations) > MaxNames || len(s.Tenants) > MaxNames:
-		return s.invalid("operation", "%d operations and %d tenants, wanted 1 to %d, and %d at the most", len(s.Operations), len(s.Tenants), MaxNames, MaxNames)
+		return s.invalid(
+			"operation",
+			"%d operations and %d tenants, wanted 1 to %d, and %d at the most",
+			len(s.Operations),
+			len(s.Tenants),
+			MaxNames,
+			MaxNames,
+		)
 	case s.Nodes.RefreshInterval <= 0 || s.Hosts.WarmUp < 0 || s.Nodes.NetworkDelay < 0:
 		return s.invalid("nodes.refresh", "a span that must lie above 0 does not")
 	case s.Load.Level < 0 || s.Load.Level > 100 || math.IsNaN(s.Load.Level):
@@ -63,7 +70,14 @@
 	for _, op := range s.Operations {
 		total += op.Share
 		if op.Work <= 0 || op.Objective <= 0 || op.Timeout < op.Objective || op.Share < 0 {
-			return s.invalid("operation "+op.Name, "work %d us, objective %d us, timeout %d us, share %g: work above 0, the objective within the timeout", op.Work, op.Objective, op.Timeout, op.Share)
+			return s.invalid(
+				"operation "+op.Name,
+				"work %d us, objective %d us, timeout %d us, share %g: work above 0, the objective within the timeout",
+				op.Work,
+				op.Objective,
+				op.Timeout,
+				op.Share,
+			)
 		}
 	}
 	if total <= 0 {
@@ -75,8 +89,16 @@
 // checkRecorded checks the recorded load.
 func (s *Scenario) checkRecorded() error {
 	for i, r := range s.Load.Recorded {
-		if r.Operation >= len(s.Operations) || r.Operation < 0 || r.Work <= 0 || i > 0 && r.At < s.Load.Recorded[i-1].At {
-			return s.invalid("load.recorded", "line %d: operation %d, work %d us, at %d us", i+1, r.Operation, r.Work, r.At)
+		if r.Operation >= len(s.Operations) || r.Operation < 0 || r.Work <= 0 ||
+			i > 0 && r.At < s.Load.Recorded[i-1].At {
+			return s.invalid(
+				"load.recorded",
+				"line %d: operation %d, work %d us, at %d us",
+				i+1,
+				r.Operation,
+				r.Work,
+				r.At,
+			)
 		}
 	}
 	return nil
@@ -86,7 +108,13 @@
 func (s *Scenario) checkFaults() error {
 	for _, fault := range s.Faults {
 		if fault.At < 0 || fault.At > s.Duration || fault.Share < 0 || fault.Share > 1 || fault.Factor < 0 {
-			return s.invalid("trouble "+fault.Kind.String(), "at %d us, share %g, factor %g", fault.At, fault.Share, fault.Factor)
+			return s.invalid(
+				"trouble "+fault.Kind.String(),
+				"at %d us, share %g, factor %g",
+				fault.At,
+				fault.Share,
+				fault.Factor,
+			)
 		}
 		if fault.Kind == TenantBurst && (fault.Tenant < 0 || fault.Tenant >= len(s.Tenants)) {
 			return s.invalid("trouble "+fault.Kind.String(), "tenant %d of %d", fault.Tenant, len(s.Tenants))
--- a/internal/simulation/scenario_file.go
+++ b/internal/simulation/scenario_file.go
@@ -51,7 +51,10 @@
 	}
 	for _, t := range f.All("tenant") {
 		s.Tenants = append(s.Tenants, Tenant{
-			Name: t.Arg(), Share: t.Share("share", 0, 1, 1), Quota: t.Share("quota", 0, 1e9, 0), HintFactor: t.Share("lies", 0, 1000, 1),
+			Name:       t.Arg(),
+			Share:      t.Share("share", 0, 1, 1),
+			Quota:      t.Share("quota", 0, 1e9, 0),
+			HintFactor: t.Share("lies", 0, 1000, 1),
 		})
 		t.Done()
 	}
@@ -111,7 +114,9 @@
 	n.CancelDelay = monotime.FromDuration(f.Span("word", noTime, time.Minute, span(n.CancelDelay)))
 	n.NetworkDelay = monotime.FromDuration(f.Span("net", noTime, time.Minute, span(n.NetworkDelay)))
 	n.ClientRetryShare = f.Share("behind", 0, 1, n.ClientRetryShare)
-	n.ClientRetryDelay = monotime.FromDuration(f.Span("behind-in", time.Millisecond, time.Hour, span(n.ClientRetryDelay)))
+	n.ClientRetryDelay = monotime.FromDuration(
+		f.Span("behind-in", time.Millisecond, time.Hour, span(n.ClientRetryDelay)),
+	)
 	n.RefreshInterval = monotime.FromDuration(f.Span("refresh", time.Millisecond, time.Hour, span(n.RefreshInterval)))
 	n.Throttles = f.OneOf("throttles", "no", "yes") == "yes"
 	f.Done()
@@ -120,14 +125,31 @@
 // readOperation reads (operation NAME ...).
 func readOperation(f *sexpr.Form) Operation {
 	o := Operation{
-		Name: f.Arg(), Value: f.Share("value", 0, 1e9, 1), Priority: f.Share("rank", 0, 1, 0.5), Share: f.Share("share", 0, 1, 1),
-		Work: monotime.FromDuration(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)), WorkSigma: f.Share("tail", 0, 3, 0.5),
+		Name:      f.Arg(),
+		Value:     f.Share("value", 0, 1e9, 1),
+		Priority:  f.Share("rank", 0, 1, 0.5),
+		Share:     f.Share("share", 0, 1, 1),
+		Work:      monotime.FromDuration(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)),
+		WorkSigma: f.Share("tail", 0, 3, 0.5),
 		Objective: monotime.FromDuration(f.Span("objective", time.Millisecond, time.Hour, time.Second)),
-		Timeout:   monotime.FromDuration(f.Span("timeout", time.Millisecond, time.Hour, 3*time.Second)), LateValue: f.Share("late-value", 0, 1, 0),
-		HintFactor: f.Share("hint", 0, 1000, 0), HintSigma: f.Share("hint-spread", 0, 3, 0), ValueWithoutCall: f.Share("skipped-value", 0, 1, 0),
-		MakesCalls: f.OneOf("calls", "no", "yes") == "yes",
+		Timeout:   monotime.FromDuration(f.Span("timeout", time.Millisecond, time.Hour, 3*time.Second)),
+		LateValue: f.Share("late-value", 0, 1, 0),
+		HintFactor: f.Share(
+			"hint",
+			0,
+			1000,
+			0,
+		),
+		HintSigma:        f.Share("hint-spread", 0, 3, 0),
+		ValueWithoutCall: f.Share("skipped-value", 0, 1, 0),
+		MakesCalls:       f.OneOf("calls", "no", "yes") == "yes",
 	}
-	o.RetrySafety = admission.RetrySafety(indexOf([]string{"idempotent", "tokened", "non-idempotent"}, f.OneOf("repeat", "idempotent", "tokened", "non-idempotent")))
+	o.RetrySafety = admission.RetrySafety(
+		indexOf(
+			[]string{"idempotent", "tokened", "non-idempotent"},
+			f.OneOf("repeat", "idempotent", "tokened", "non-idempotent"),
+		),
+	)
 	f.Done()
 	return o
 }
@@ -135,9 +157,18 @@
 // readFault reads (fault KIND ...).
 func readFault(f *sexpr.Form, s *Scenario) Fault {
 	t := Fault{
-		At: monotime.FromDuration(f.Span("at", noTime, day, noTime)), Duration: monotime.FromDuration(f.Span("for", noTime, day, 10*time.Second)), Share: f.Share("share", 0, 1, 0.25),
-		Factor: f.Share("factor", 0, 1e6, 2), BatchShare: f.Share("batch-share", 0, 1, 0.1), LostNotices: f.Share("lost", 0, 1, 0),
-		ByFleet: f.OneOf("by", "waves", "fleet") == "fleet",
+		At:       monotime.FromDuration(f.Span("at", noTime, day, noTime)),
+		Duration: monotime.FromDuration(f.Span("for", noTime, day, 10*time.Second)),
+		Share:    f.Share("share", 0, 1, 0.25),
+		Factor: f.Share(
+			"factor",
+			0,
+			1e6,
+			2,
+		),
+		BatchShare:  f.Share("batch-share", 0, 1, 0.1),
+		LostNotices: f.Share("lost", 0, 1, 0),
+		ByFleet:     f.OneOf("by", "waves", "fleet") == "fleet",
 	}
 	name := f.Arg()
 	k := indexOf(faultNames, name)
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -34,7 +34,13 @@
 		w.scenario.Operations[req.operation].Name, req.attempts, att.host, h.incarnation, step)
 	switch step {
 	case stepRead:
-		line += fmt.Sprintf(" after %d us, %d in hand, %d on the cores, hint %d us", w.now-att.reachedAt, h.inFlight, h.cores.running, req.hint)
+		line += fmt.Sprintf(
+			" after %d us, %d in hand, %d on the cores, hint %d us",
+			w.now-att.reachedAt,
+			h.inFlight,
+			h.cores.running,
+			req.hint,
+		)
 	case stepRun:
 		line += fmt.Sprintf(" after %d us in line, %d on the cores", w.now-att.readAt, h.cores.running)
 	case outcomeNames[Throttled]:
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -68,9 +68,22 @@
 // newWorld sets up a run at time 0.
 func newWorld(s *Scenario, p *Policy, seed uint64, tr *Trace) (*world, error) {
 	w := &world{
-		scenario: s, policy: p, trace: tr, policySeed: seed * 0x9e3779b97f4a7c15, dependencySlowdown: 1, stream: NewStream(s, seed),
-		faultRand: rand.New(rand.NewPCG(seed, 2)), nodeRand: rand.New(rand.NewPCG(seed, 3)),
-		listed: make([]bool, s.Hosts.Count), oracleLoad: make([]float64, s.Hosts.Count), oracleAt: -Second, partitionedNodes: map[int32]bool{}, grayHosts: map[int32]bool{},
+		scenario:           s,
+		policy:             p,
+		trace:              tr,
+		policySeed:         seed * 0x9e3779b97f4a7c15,
+		dependencySlowdown: 1,
+		stream:             NewStream(s, seed),
+		faultRand:          rand.New(rand.NewPCG(seed, 2)),
+		nodeRand:           rand.New(rand.NewPCG(seed, 3)),
+		listed: make(
+			[]bool,
+			s.Hosts.Count,
+		),
+		oracleLoad:       make([]float64, s.Hosts.Count),
+		oracleAt:         -Second,
+		partitionedNodes: map[int32]bool{},
+		grayHosts:        map[int32]bool{},
 	}
 	w.queue.lanes = make([]lane, laneDue+min(maxDueLanes, len(s.Operations)))
 	w.result = NewResult(s, p.Name, seed)
@@ -117,7 +130,10 @@
 func (w *world) run() {
 	last := w.scenario.Duration + w.scenario.Hosts.ExitTimeout + Second*60
 	for _, op := range w.scenario.Operations {
-		last = max(last, w.scenario.Duration+w.scenario.Hosts.ExitTimeout+4*(op.Timeout+w.scenario.Nodes.ClientRetryDelay*2)+60*Second)
+		last = max(
+			last,
+			w.scenario.Duration+w.scenario.Hosts.ExitTimeout+4*(op.Timeout+w.scenario.Nodes.ClientRetryDelay*2)+60*Second,
+		)
 	}
 	for {
 		e, found := w.queue.next()
@@ -146,11 +162,16 @@
 	i := w.newRequest()
 	req := &w.requests[i]
 	w.lastNumber++
-	req.number, req.arrivedAt, req.node, req.operation, req.tenant, req.work, req.hint = w.lastNumber, w.now, int32(c.Node), int16(c.Operation), int16(c.Tenant), c.Work, c.Hint
+	req.number, req.arrivedAt, req.node, req.operation, req.tenant, req.work, req.hint = w.lastNumber, w.now, int32(
+		c.Node,
+	), int16(c.Operation), int16(c.Tenant), c.Work, c.Hint
 	op := &s.Operations[req.operation]
 	req.due = w.now + op.Timeout
 	w.result.RecordRequest(s, w.now, c.Operation, c.Tenant)
-	w.queue.pushLane(laneDue+int(req.operation), event{at: req.due, kind: evClientTimeout, subject: i, generation: req.generation})
+	w.queue.pushLane(
+		laneDue+int(req.operation),
+		event{at: req.due, kind: evClientTimeout, subject: i, generation: req.generation},
+	)
 	w.startAttempt(i, false)
 	if h := s.Nodes.HedgeDelay; h > 0 && op.RetrySafety == admission.Idempotent {
 		w.queue.push(event{at: w.now + h, kind: evHedge, subject: i, generation: req.generation})
