--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -170,7 +170,9 @@
 		name := fmt.Sprintf("n%05d", n)
 		w.backends = append(w.backends, backend{name: name, host: n % t.Hosts, pacer: reportpacing.New(reports, w.rand.Uint64())})
 		members = append(members, coldstart.Member{
-			Name: coldstart.MemberName(name), Group: coldstart.GroupName(fmt.Sprint("g", n%3)), Host: fmt.Sprint("h", n%t.Hosts),
+			Name:  coldstart.MemberName(name),
+			Group: coldstart.GroupName(fmt.Sprint("g", n%3)),
+			Host:  fmt.Sprint("h", n%t.Hosts),
 		})
 	}
 	if p.MaxStarting < 0 {
