--- a/internal/cluster/quota/command.go
+++ b/internal/cluster/quota/command.go
@@ -1,7 +1,7 @@
 package quota
 
 import (
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/coldstart"
 )
 
@@ -24,8 +24,8 @@
 
 // RenewCommand contains the lease requests of one host's backends.
 type RenewCommand struct {
-	Host     string               `json:"host"`
-	Requests []quota.LeaseRequest `json:"asks"`
+	Host     string                      `json:"host"`
+	Requests []backendquota.LeaseRequest `json:"asks"`
 }
 
 // Expiry ends the extras of a client's grants up to an epoch, whose leases have expired.
--- a/internal/cluster/quota/division_test.go
+++ b/internal/cluster/quota/division_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 )
 
 func drawClaim(t *rapid.T) Claim {
@@ -58,11 +58,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			state := newTestState(b, rateConfig(int64(n)*10, n, 1, DivideByDemand))
 			for i := range n {
-				renewOne(state, "h", quota.LeaseRequest{
+				renewOne(state, "h", backendquota.LeaseRequest{
 					Name:        string(backendName(i)),
 					Incarnation: "a",
 					Number:      1,
-					Usage:       []quota.Usage{{Budget: string(testRate), Drawn: int64(i)}},
+					Usage:       []backendquota.Usage{{Budget: string(testRate), Drawn: int64(i)}},
 				})
 			}
 			for b.Loop() {
--- a/internal/cluster/quota/helpers_test.go
+++ b/internal/cluster/quota/helpers_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/monotime"
 )
 
@@ -47,8 +47,8 @@
 }
 
 // renewOne applies one lease request and returns its response.
-func renewOne(state *State, host string, request quota.LeaseRequest) quota.LeaseResponse {
-	command := Command{Renew: &RenewCommand{Host: host, Requests: []quota.LeaseRequest{request}}}
+func renewOne(state *State, host string, request backendquota.LeaseRequest) backendquota.LeaseResponse {
+	command := Command{Renew: &RenewCommand{Host: host, Requests: []backendquota.LeaseRequest{request}}}
 	return state.Apply(command).Answers[0]
 }
 
@@ -62,23 +62,23 @@
 func (c *testClient) key() ClientKey { return NewClientKey(InstanceName(c.backend), c.incarnation) }
 
 // renew sends a lease request for testRate.
-func (c *testClient) renew(state *State, freeze bool) quota.LeaseResponse {
+func (c *testClient) renew(state *State, freeze bool) backendquota.LeaseResponse {
 	c.number++
-	request := quota.LeaseRequest{
+	request := backendquota.LeaseRequest{
 		Name:        c.backend,
 		Incarnation: c.incarnation,
 		Number:      c.number,
-		Usage:       []quota.Usage{{Budget: string(testRate), Epoch: c.epoch}},
+		Usage:       []backendquota.Usage{{Budget: string(testRate), Epoch: c.epoch}},
 	}
 	command := Command{
 		FreezeGrowth: freeze,
-		Renew:        &RenewCommand{Host: c.host, Requests: []quota.LeaseRequest{request}},
+		Renew:        &RenewCommand{Host: c.host, Requests: []backendquota.LeaseRequest{request}},
 	}
 	return state.Apply(command).Answers[0]
 }
 
 // granted sends a lease request and returns the grant of testRate.
-func (c *testClient) granted(tb testing.TB, state *State, freeze bool) quota.Grant {
+func (c *testClient) granted(tb testing.TB, state *State, freeze bool) backendquota.Grant {
 	tb.Helper()
 	response := c.renew(state, freeze)
 	if len(response.Grants) != 1 {
@@ -105,7 +105,7 @@
 	state   *State
 	tracker LeaseTracker
 	now     monotime.Micros
-	holders map[InstanceName]*quota.Holder
+	holders map[InstanceName]*backendquota.Holder
 
 	// draws is how many units a holder tries to draw in 100 ms.
 	draws func(name InstanceName) int
@@ -116,7 +116,7 @@
 	f := &renewingFleet{
 		state:   newTestState(tb, config),
 		now:     monotime.Second,
-		holders: map[InstanceName]*quota.Holder{},
+		holders: map[InstanceName]*backendquota.Holder{},
 	}
 	f.tracker.BecomeLeader(f.now, f.state, false)
 	return f
@@ -124,7 +124,7 @@
 
 func (f *renewingFleet) join(names ...InstanceName) {
 	for _, name := range names {
-		f.holders[name] = quota.New(string(name), "1", []string{string(testRate)})
+		f.holders[name] = backendquota.New(string(name), "1", []string{string(testRate)})
 	}
 }
 
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/failpoint"
 	"milletbarrow/monotime"
 )
@@ -26,9 +26,9 @@
 
 // renewClient grants one client its targets, as far as they are available.
 func (s *State) renewClient(
-	host string, request *quota.LeaseRequest, freeze bool, result *Result,
-) quota.LeaseResponse {
-	response := quota.LeaseResponse{Name: request.Name, Incarnation: request.Incarnation, Number: request.Number}
+	host string, request *backendquota.LeaseRequest, freeze bool, result *Result,
+) backendquota.LeaseResponse {
+	response := backendquota.LeaseResponse{Name: request.Name, Incarnation: request.Incarnation, Number: request.Number}
 	response.Refusal = s.refusal(request, result)
 	if response.Refusal != "" {
 		return response
@@ -54,12 +54,12 @@
 	return response
 }
 
-func requestKey(request *quota.LeaseRequest) ClientKey {
+func requestKey(request *backendquota.LeaseRequest) ClientKey {
 	return NewClientKey(InstanceName(request.Name), request.Incarnation)
 }
 
 // clientOf returns the client that a request is from, and adds it if it is new.
-func (s *State) clientOf(host string, request *quota.LeaseRequest) *Client {
+func (s *State) clientOf(host string, request *backendquota.LeaseRequest) *Client {
 	key := requestKey(request)
 	if client := s.Clients[key]; client != nil {
 		return client
@@ -76,7 +76,7 @@
 }
 
 // refusal returns the reason why a request is granted nothing, or "".
-func (s *State) refusal(request *quota.LeaseRequest, result *Result) string {
+func (s *State) refusal(request *backendquota.LeaseRequest, result *Result) string {
 	key := requestKey(request)
 	client := s.Clients[key]
 	if client != nil && request.Number <= client.LastRequest {
@@ -103,7 +103,7 @@
 }
 
 // recordRegression records that this state granted an epoch and has lost it: its directory is an older copy.
-func (s *State) recordRegression(name string, usage *quota.Usage, result *Result) {
+func (s *State) recordRegression(name string, usage *backendquota.Usage, result *Result) {
 	result.addEvent(Event{
 		Limit: LimitName(usage.Budget),
 		Name:  name,
@@ -117,7 +117,7 @@
 // confirm records what a client reports about one limit: the epoch that it acts on, and its usage since its last
 // request. Grants before that epoch are no longer in force.
 func (s *State) confirm(
-	limit *Limit, client *Client, usage *quota.Usage, elapsed monotime.Micros, first bool,
+	limit *Limit, client *Client, usage *backendquota.Usage, elapsed monotime.Micros, first bool,
 ) *Allocation {
 	allocation := client.Allocations[limit.Name]
 	if allocation == nil {
@@ -158,7 +158,7 @@
 
 // grant grants a client a new lease. The sum in force never grows beyond the total: a lower total or a raised floor
 // takes effect as other clients confirm that they have less.
-func (s *State) grant(limit *Limit, client *Client, allocation *Allocation, freeze bool) quota.Grant {
+func (s *State) grant(limit *Limit, client *Client, allocation *Allocation, freeze bool) backendquota.Grant {
 	totals := s.totals[limit.Name]
 	current := allocation.maxExtra()
 	extra := min(allocation.Target, max(current, s.available(limit, allocation)))
@@ -181,7 +181,7 @@
 		ClockMargin: limit.ClockMargin,
 	}
 	s.setGrants(limit.Name, client, allocation, mergeOldest(append(slices.Clone(allocation.Grants), granted)))
-	return quota.Grant{
+	return backendquota.Grant{
 		Budget: string(limit.Name),
 		Epoch:  granted.Epoch,
 		Floor:  granted.Floor,
--- a/internal/cluster/quota/lease_test.go
+++ b/internal/cluster/quota/lease_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/monotime"
 )
 
@@ -208,13 +208,13 @@
 	})
 	t.Run("lease requests", func(t *testing.T) {
 		state := newTestState(t, config)
-		usage := []quota.Usage{{Budget: string(testRate)}}
-		request := quota.LeaseRequest{Name: "n0", Incarnation: "a", Number: 2, Clock: 5, Usage: usage}
+		usage := []backendquota.Usage{{Budget: string(testRate)}}
+		request := backendquota.LeaseRequest{Name: "n0", Incarnation: "a", Number: 2, Clock: 5, Usage: usage}
 		renewOne(state, "h", request)
 		if response := renewOne(state, "h", request); response.Refusal == "" || response.Grants != nil {
 			t.Fatalf("the same request was granted twice: %+v", response)
 		}
-		other := quota.LeaseRequest{Name: "n0", Incarnation: "b", Number: 1, Usage: usage}
+		other := backendquota.LeaseRequest{Name: "n0", Incarnation: "b", Number: 1, Usage: usage}
 		if response := renewOne(state, "h2", other); response.Refusal == "" {
 			t.Fatalf("two processes have the floor of one backend: %+v", response)
 		}
@@ -235,11 +235,11 @@
 	tracker := &LeaseTracker{}
 	tracker.BecomeLeader(1, state, false)
 	tracker.Tick(2, state)
-	response := renewOne(state, "h", quota.LeaseRequest{
+	response := renewOne(state, "h", backendquota.LeaseRequest{
 		Name:        "n0",
 		Incarnation: "a",
 		Number:      9,
-		Usage:       []quota.Usage{{Budget: string(testRate), Epoch: 900}},
+		Usage:       []backendquota.Usage{{Budget: string(testRate), Epoch: 900}},
 	})
 	if response.Refusal == "" || state.Serial <= 900 {
 		t.Fatalf("answered %+v, serial %d", response, state.Serial)
--- a/internal/cluster/quota/result.go
+++ b/internal/cluster/quota/result.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 )
 
 // Event is an entry for the agents' history.
@@ -31,12 +31,12 @@
 
 // Result is the outcome of a command.
 type Result struct {
-	Serial     uint64                `json:"serial"`            // of the command
-	Answers    []quota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
-	Rejection  string                `json:"no,omitempty"`      // why nothing was changed; empty: applied
-	Events     []Event               `json:"notes,omitempty"`
-	ClientKeys []ClientKey           `json:"lives,omitempty"` // of a renewal: all clients of its host
-	Permits    []Permit              `json:"out,omitempty"`   // of a renewal: all permits of its host
+	Serial     uint64                       `json:"serial"`            // of the command
+	Answers    []backendquota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
+	Rejection  string                       `json:"no,omitempty"`      // why nothing was changed; empty: applied
+	Events     []Event                      `json:"notes,omitempty"`
+	ClientKeys []ClientKey                  `json:"lives,omitempty"` // of a renewal: all clients of its host
+	Permits    []Permit                     `json:"out,omitempty"`   // of a renewal: all permits of its host
 }
 
 func (r *Result) reject(format string, args ...any) { r.Rejection = fmt.Sprintf(format, args...) }
--- a/internal/cluster/quota/state.go
+++ b/internal/cluster/quota/state.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/internal/cluster/coldstart"
 	"milletbarrow/monotime"
 )
@@ -65,7 +65,7 @@
 }
 
 // recordRequest records a client's latest lease request.
-func (c *Client) recordRequest(request *quota.LeaseRequest, serial uint64) {
+func (c *Client) recordRequest(request *backendquota.LeaseRequest, serial uint64) {
 	c.LastRequest = request.Number
 	c.Clock = request.Clock
 	c.LastSerial = serial
@@ -122,7 +122,7 @@
 func (a *Allocation) inForce() int64 { return a.maxFloor() + a.maxExtra() }
 
 // recordUsage records what the client reports to have drawn.
-func (a *Allocation) recordUsage(usage *quota.Usage) {
+func (a *Allocation) recordUsage(usage *backendquota.Usage) {
 	a.Drawn = usage.Drawn
 	a.Denied = usage.Denied
 	a.Idle = false
--- a/internal/cluster/quota/state_test.go
+++ b/internal/cluster/quota/state_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/monotime"
 )
 
@@ -31,7 +31,7 @@
 	drift     monotime.Micros // of the leader's clock, in thousandths
 	processes []*faultyProcess
 	requests  []inFlightRequest
-	responses []quota.LeaseResponse
+	responses []backendquota.LeaseResponse
 	totals    []configuredTotal // oldest first
 }
 
@@ -42,7 +42,7 @@
 
 // faultyProcess is one process of a backend.
 type faultyProcess struct {
-	*quota.Holder
+	*backendquota.Holder
 	backend     int
 	incarnation string
 	host        string
@@ -52,7 +52,7 @@
 
 type inFlightRequest struct {
 	host    string
-	message quota.LeaseRequest
+	message backendquota.LeaseRequest
 }
 
 func (p *faultyProcess) name() InstanceName { return backendName(p.backend) }
@@ -94,7 +94,7 @@
 		host:        fmt.Sprint("h", backend%3),
 		drift:       monotime.Micros(rapid.IntRange(-4000, 4000).Draw(f.t, "drift")),
 	}
-	p.Holder = quota.New(string(p.name()), p.incarnation, []string{string(testRate)})
+	p.Holder = backendquota.New(string(p.name()), p.incarnation, []string{string(testRate)})
 	f.processes = append(f.processes, p)
 }
 
@@ -136,8 +136,8 @@
 	f.responses = append(f.responses, f.renew(request))
 }
 
-func (f *faultyFleet) renew(request inFlightRequest) quota.LeaseResponse {
-	command := &RenewCommand{Host: request.host, Requests: []quota.LeaseRequest{request.message}}
+func (f *faultyFleet) renew(request inFlightRequest) backendquota.LeaseResponse {
+	command := &RenewCommand{Host: request.host, Requests: []backendquota.LeaseRequest{request.message}}
 	return f.apply(Command{Renew: command}).Answers[0]
 }
 
--- a/internal/cluster/quota/validate.go
+++ b/internal/cluster/quota/validate.go
@@ -3,14 +3,14 @@
 import (
 	"fmt"
 
-	"milletbarrow/internal/backend/quota"
+	backendquota "milletbarrow/internal/backend/quota"
 	"milletbarrow/monotime"
 )
 
 const (
 	clockDriftDivisor       = 100 // hosts' clocks may drift apart by one part in so many
 	minClockMargin          = 10 * monotime.Millisecond
-	maxRate           int64 = quota.MaxRate // units per second, or units
+	maxRate           int64 = backendquota.MaxRate // units per second, or units
 )
 
 // MinClockMargin returns the smallest valid ClockMargin for a lease. It covers the drift of the hosts' clocks and the
