--- a/internal/cluster/coldstart/outcome_test.go
+++ b/internal/cluster/coldstart/outcome_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// TestSlowStartDecreasesTheLimit: a start is slow if it takes more than SlowFactor times as long as its group's
-// fastest.
+// TestSlowStartDecreasesTheLimit checks that a start is slow if it takes more than SlowFactor times as long as its
+// group's fastest.
 func TestSlowStartDecreasesTheLimit(t *testing.T) {
 	s := newOneGroup(t, 8, "a", "b", "c", "d", "e")
 	for _, test := range []struct {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestLimitFollowsOutcomes: the limit doubles with each round of good starts, is halved once for all starts from before
-// a bad one, and the cold start halts after consecutive failures.
+// TestLimitFollowsOutcomes checks that the limit doubles with each round of good starts, is halved once for all
+// starts from before a bad one, and the cold start halts after consecutive failures.
 func TestLimitFollowsOutcomes(t *testing.T) {
 	s := newTestState(t, testConfig(64), testMembers(1, 200, 4))
 	ready := func(int) Outcome { return Outcome{Ready: true, Took: monotime.Second} }
--- a/internal/cluster/coldstart/request_test.go
+++ b/internal/cluster/coldstart/request_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestSilentMemberIsOvertaken: a waiting member that has stopped requesting delays others for a bounded number of
-// requests.
+// TestSilentMemberIsOvertaken checks that a waiting member that has stopped requesting delays others for a bounded
+// number of requests.
 func TestSilentMemberIsOvertaken(t *testing.T) {
 	s := newOneGroup(t, 1, "a", "b", "c")
 	mustStart(t, s, "c")
@@ -47,7 +47,8 @@
 	t.Fatalf("%s waits for %s for ever", waiting, silent)
 }
 
-// TestEssentialMembersStartFirst holds once all members have requested, in every group.
+// TestEssentialMembersStartFirst checks that no other member starts while an essential one of any group waits, once all
+// have requested.
 func TestEssentialMembersStartFirst(t *testing.T) {
 	s := newTestState(t, testConfig(4), testMembers(3, 8, 2))
 	if s.Essential != 6 {
--- a/internal/cluster/coldstart/state_test.go
+++ b/internal/cluster/coldstart/state_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestLimitHoldsAndAllMembersBecomeReady: whatever is requested and reported, no more members are starting than the
-// limit allows. Once faults end, every member that goes on requesting becomes ready.
+// TestLimitHoldsAndAllMembersBecomeReady checks that whatever is requested and reported, no more members are starting
+// than the limit allows. Once faults end, every member that goes on requesting becomes ready.
 func TestLimitHoldsAndAllMembersBecomeReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := int64(rapid.IntRange(1, 12).Draw(t, "most"))
--- a/internal/cluster/node/events_test.go
+++ b/internal/cluster/node/events_test.go
@@ -8,7 +8,8 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// TestEventsOfOneKeyAreSpaced by minEventInterval; events of other keys are not delayed by them.
+// TestEventsOfOneKeyAreSpaced checks that an event passes once in minEventInterval, and that it drops none of other
+// keys.
 func TestEventsOfOneKeyAreSpaced(t *testing.T) {
 	feed := newEventFeed()
 	now := time.Now()
@@ -41,7 +42,7 @@
 	}
 }
 
-// TestUnreadEventsBlockNobody, and what is remembered of events is bounded.
+// TestUnreadEventsBlockNobody also checks that what is remembered of events is bounded.
 func TestUnreadEventsBlockNobody(t *testing.T) {
 	feed := newEventFeed()
 	done := make(chan struct{})
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -41,8 +41,8 @@
 	return len(leaders) == 1
 }
 
-// TestNodesShareOneStore: nodes find each other and answer for one store through any of them. A node that has ended can
-// be started again at its address.
+// TestNodesShareOneStore checks that nodes find each other and answer for one store through any of them. A node that
+// has ended can be started again at its address.
 func TestNodesShareOneStore(t *testing.T) {
 	spec := newSpec(t, 3)
 	nodes := make([]*Node, len(spec.Hosts))
@@ -72,7 +72,8 @@
 	}
 }
 
-// TestUpdatedAddressesAreUsed by a node outside the store's group, which reaches the group only by them.
+// TestUpdatedAddressesAreUsed checks that a node outside the store's group reaches it at the addresses of the latest
+// file.
 func TestUpdatedAddressesAreUsed(t *testing.T) {
 	spec := newSpec(t, 2)
 	spec.QuotaHosts = spec.QuotaHosts[:1]
@@ -91,7 +92,7 @@
 	})
 }
 
-// TestSoleNodeLeadsOnLoopback: a node without a peer address is the only one.
+// TestSoleNodeLeadsOnLoopback checks that a node without a peer address leads alone.
 func TestSoleNodeLeadsOnLoopback(t *testing.T) {
 	spec := newSpec(t, 1)
 	spec.Hosts[0].PeerAddress = ""
@@ -108,7 +109,8 @@
 	})
 }
 
-// TestWaitingNodeEnds: a node that waits for the others of its group ends with its context, and its address is free.
+// TestWaitingNodeEnds checks that a node that waits for the others of its group ends with its context, and its
+// address is free.
 func TestWaitingNodeEnds(t *testing.T) {
 	spec, dir := newSpec(t, 3), t.TempDir()
 	node, stop := runNode(t, spec, "h1", dir)
@@ -118,7 +120,7 @@
 	stop()
 }
 
-// TestNothingGoesOnAfterRun: the address is free and connections of calls are closed.
+// TestNothingGoesOnAfterRun checks that the address is free and that connections of calls are closed.
 func TestNothingGoesOnAfterRun(t *testing.T) {
 	spec := newSpec(t, 1)
 	address := spec.Hosts[0].PeerAddress
--- a/internal/cluster/quota/coldstart_test.go
+++ b/internal/cluster/quota/coldstart_test.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestEachLeaderTimesPausesInFull: a new leader knows nothing of how long the former one has timed a pause.
+// TestEachLeaderTimesPausesInFull checks that a new leader does not count the time for which the former one has timed
+// a pause.
 func TestEachLeaderTimesPausesInFull(t *testing.T) {
 	state := newColdStartState(t)
 	state.Apply(Command{ColdStart: beginCommand("1")})
--- a/internal/cluster/quota/compat_test.go
+++ b/internal/cluster/quota/compat_test.go
@@ -6,7 +6,7 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats: JSON of an earlier release with every field set is read, and written in the same form.
+// TestEarlierFormats checks that JSON of an earlier release with every field set is read, and written in the same form.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Command](t, "Command.json")
 	compattest.RoundTrip[State](t, "Ledger.json")
--- a/internal/cluster/quota/division_test.go
+++ b/internal/cluster/quota/division_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestMaxMinFair: the parts are multiples of the step that add up to the pool, and no claim gets less than its demand
-// while another has more by weight.
+// TestMaxMinFair checks that the parts are multiples of the step that add up to the pool, and no claim gets less than
+// its demand while another has more by weight.
 func TestMaxMinFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := int64(rapid.IntRange(0, 10_000).Draw(t, "pool"))
--- a/internal/cluster/quota/imports_test.go
+++ b/internal/cluster/quota/imports_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestDecisionsImportNoClockAndNoIO: setting the wall clock changes no decision about quotas.
+// TestDecisionsImportNoClockAndNoIO checks that setting the wall clock can change no decision about quotas.
 func TestDecisionsImportNoClockAndNoIO(t *testing.T) {
 	for _, dir := range []string{".", "../quorum", "../../backend/quota"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
--- a/internal/cluster/quota/lease_test.go
+++ b/internal/cluster/quota/lease_test.go
@@ -8,7 +8,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestLeaseExpiresAfterItsTimeAndMargin also holds for a new leader, which times each lease from its own election.
+// TestLeaseExpiresAfterItsTimeAndMargin checks that a lease expires neither earlier nor later, also on a new leader,
+// which times each lease from its own election.
 func TestLeaseExpiresAfterItsTimeAndMargin(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 1, 0, DivideEvenly))
 	client := newTestClients(1)[0]
@@ -34,7 +35,8 @@
 	wantExpiry(tracker, 3*monotime.Second)
 }
 
-// TestSoleReplicaFreezesGrowth holds because a sole replica can't find out that its directory is an older copy.
+// TestSoleReplicaFreezesGrowth checks that only a sole replica freezes growth at its election: it can't find out that
+// its directory is an older copy.
 func TestSoleReplicaFreezesGrowth(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 1, 0, DivideEvenly))
 	for _, sole := range []bool{true, false} {
@@ -66,7 +68,8 @@
 	}
 }
 
-// TestRaisedFloorWaitsForOthers holds until the others have confirmed that they have less.
+// TestRaisedFloorWaitsForOthers checks that a raised floor grows only as far as others have confirmed that they have
+// less.
 func TestRaisedFloorWaitsForOthers(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 2, 0, DivideEvenly))
 	clients := newTestClients(2)
@@ -87,7 +90,7 @@
 	}
 }
 
-// TestMergedGrantCoversAllThatMayBeInForce holds for a client that never confirms a grant.
+// TestMergedGrantCoversAllThatMayBeInForce checks the oldest grant of a client that never confirms one.
 func TestMergedGrantCoversAllThatMayBeInForce(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 1, 0, DivideEvenly))
 	client := newTestClients(1)[0]
@@ -112,7 +115,7 @@
 	}
 }
 
-// TestConfirmedGrantStaysInForce holds until the client confirms a newer grant.
+// TestConfirmedGrantStaysInForce checks that a confirmed grant counts until the client confirms a newer one.
 func TestConfirmedGrantStaysInForce(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 2, 0, DivideEvenly))
 	clients := newTestClients(2)
@@ -229,7 +232,8 @@
 	})
 }
 
-// TestRegressedStateFreezesGrowth: a client that acts on a later epoch than the state has shows that the state lost it.
+// TestRegressedStateFreezesGrowth checks that growth is frozen after a client has acted on a later epoch than the
+// state has: the state has lost that epoch.
 func TestRegressedStateFreezesGrowth(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 2, 0, DivideEvenly))
 	tracker := &LeaseTracker{}
--- a/internal/cluster/quota/permit_test.go
+++ b/internal/cluster/quota/permit_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestPermits: reserved units are not granted, and only the host that acquired a permit releases it.
+// TestPermits checks that reserved units are not granted, and only the host that acquired a permit releases it.
 func TestPermits(t *testing.T) {
 	state := newTestState(t, Config{
 		Version: 1,
--- a/internal/cluster/quota/rebalance_test.go
+++ b/internal/cluster/quota/rebalance_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestQuotaFollowsDemand: quota that one backend no longer needs soon moves to another, and the targets settle while
-// demand is steady.
+// TestQuotaFollowsDemand checks that quota that one backend no longer needs soon moves to another, and the targets
+// settle while demand is steady.
 func TestQuotaFollowsDemand(t *testing.T) {
 	fleet := newRenewingFleet(t, rateConfig(200, 2, 1, DivideByDemand))
 	fleet.join("n0", "n1")
--- a/internal/cluster/quota/state_test.go
+++ b/internal/cluster/quota/state_test.go
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestGrantsInForceNeverExceedTheTotal holds however clocks differ and whatever messages are lost, late or duplicated.
-// Once faults end, the whole total is granted again.
+// TestGrantsInForceNeverExceedTheTotal checks the sum of grants while clocks differ and messages are lost, late or
+// duplicated, and that the whole total is granted again once faults end.
 func TestGrantsInForceNeverExceedTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFaultyFleet(t)
--- a/internal/cluster/quotastore/assessment_test.go
+++ b/internal/cluster/quotastore/assessment_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestOpenElectionIsAwaited: a member with a log asks the others only after an election that it may have voted in is
-// over. A new member asks at once.
+// TestOpenElectionIsAwaited checks that a member with a log asks the others only after an election that it may have
+// voted in is over. A new member asks at once.
 func TestOpenElectionIsAwaited(t *testing.T) {
 	for _, hasLog := range []bool{false, true} {
 		t.Run(fmt.Sprint("has a log: ", hasLog), func(t *testing.T) {
--- a/internal/cluster/quotastore/boltstore_test.go
+++ b/internal/cluster/quotastore/boltstore_test.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// TestDeletedRangeIncludesBothEnds, and a deleted entry is raft.ErrLogNotFound.
+// TestDeletedRangeIncludesBothEnds also checks that reading a deleted entry returns raft.ErrLogNotFound.
 func TestDeletedRangeIncludesBothEnds(t *testing.T) {
 	s := newBoltStore(t)
 	for index := uint64(1); index <= 5; index++ {
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestSetRetriesUntilClosed: the consensus library would panic otherwise.
+// TestSetRetriesUntilClosed checks that Set returns no error before the store is closed: the consensus library would
+// panic.
 func TestSetRetriesUntilClosed(t *testing.T) {
 	s := newBoltStore(t)
 	if err := s.db.Close(); err != nil { // writes fail from here on
--- a/internal/cluster/quotastore/compat_test.go
+++ b/internal/cluster/quotastore/compat_test.go
@@ -14,8 +14,8 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats: the answer of an agent of an earlier release that does not lead is read, and written in the same
-// form.
+// TestEarlierFormats checks that the answer of an agent of an earlier release that does not lead is read, and written
+// in the same form.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[notLeader](t, "notHere.json")
 }
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestEarlierSnapshotAndLog: the snapshot of an earlier release with the log entries after it gives the state that the
-// release itself had then, byte for byte.
+// TestEarlierSnapshotAndLog checks that the snapshot of an earlier release with the log entries after it gives the
+// state that the release itself had then, byte for byte.
 func TestEarlierSnapshotAndLog(t *testing.T) {
 	dir := t.TempDir()
 	copyEarlierStore(t, dir)
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestEarlierStoreServes: a store that starts on the files of an earlier release leads, with the permits of then.
+// TestEarlierStoreServes checks that a store that starts on the files of an earlier release leads, with the permits
+// of then.
 func TestEarlierStoreServes(t *testing.T) {
 	g := newGroup(t, 1)
 	copyEarlierStore(t, filepath.Join(g.dir, "h1"))
--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -17,8 +17,8 @@
 	RequiredLog: quorum.LogPosition{Term: 3, LogTerm: 3, Index: 9},
 }
 
-// TestIneligibleMemberTakesNoPartInElections: a member whose log may lack entries neither stands for election nor votes
-// for a candidate whose log lacks them too.
+// TestIneligibleMemberTakesNoPartInElections checks that a member whose log may lack entries neither stands for
+// election nor votes for a candidate whose log lacks them too.
 func TestIneligibleMemberTakesNoPartInElections(t *testing.T) {
 	ownIndex := uint64(5)
 	inner := newTCPTransport(t)
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestCloseWaitsForHeartbeats: a handler may write a term into the log, which is closed next. No heartbeat is handled
-// after Close.
+// TestCloseWaitsForHeartbeats checks that no heartbeat is handled when Close returns or after it. A handler may write
+// a term into the log, which is closed next.
 func TestCloseWaitsForHeartbeats(t *testing.T) {
 	inner, caller := newTCPTransport(t), newTCPTransport(t)
 	filtered := newEligibilityTransport(inner, quorum.Eligibility{}, func() (term, index uint64) { return 0, 0 })
--- a/internal/cluster/quotastore/forward_test.go
+++ b/internal/cluster/quotastore/forward_test.go
@@ -58,7 +58,8 @@
 	return s, calls
 }
 
-// TestNamedLeaderIsCalledNext: an agent that does not lead names the leader, which is called first the next time.
+// TestNamedLeaderIsCalledNext checks that an agent that does not lead names the leader, which is called first the
+// next time.
 func TestNamedLeaderIsCalledNext(t *testing.T) {
 	s, calls := newForwardingStore(t, map[string]string{"h2": "h4", "h3": "", "h4": "h4"})
 	for _, want := range [][]string{{"h2", "h4"}, {"h4"}} {
@@ -72,7 +73,7 @@
 	}
 }
 
-// TestEachAgentIsCalledOnce, also if agents name each other as the leader.
+// TestEachAgentIsCalledOnce checks that a command ends with ErrNoLeader if agents name each other as the leader.
 func TestEachAgentIsCalledOnce(t *testing.T) {
 	s, calls := newForwardingStore(t, map[string]string{"h2": "h3", "h3": "h2", "h4": "h1"})
 	if result, err := s.Do(t.Context(), quota.Command{}); !errors.Is(err, ErrNoLeader) {
--- a/internal/cluster/quotastore/group_test.go
+++ b/internal/cluster/quotastore/group_test.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// TestOlderCopyUndoesNothing: a member that starts on an older copy of its directory does not help to undo what the
-// copy lacks.
+// TestOlderCopyUndoesNothing checks that a member that starts on an older copy of its directory does not help to undo
+// what the copy lacks.
 func TestOlderCopyUndoesNothing(t *testing.T) {
 	g := newGroup(t, 3)
 	g.startAll()
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestMembersChangeWhileOneIsIsolated: a group grows from three members to five, and changes to three others.
+// TestMembersChangeWhileOneIsIsolated checks that a group grows from three members to five, and changes to three
+// others.
 func TestMembersChangeWhileOneIsIsolated(t *testing.T) {
 	const isolation = 3 * time.Second
 	g := newGroup(t, 5)
@@ -117,7 +118,7 @@
 	}
 }
 
-// TestOlderFileKeepsMembers: agents with an older fleet file do not undo what a newer one configured.
+// TestOlderFileKeepsMembers checks that agents with an older fleet file do not undo what a newer one configured.
 func TestOlderFileKeepsMembers(t *testing.T) {
 	g := newGroup(t, 3)
 	g.config = permitConfig(5)
@@ -134,8 +135,8 @@
 	}
 }
 
-// TestRestartedSoleReplicaFreezesGrowth until leases that it may have granted have expired: its directory may be an
-// older copy.
+// TestRestartedSoleReplicaFreezesGrowth checks that a sole replica grants nothing after a restart, as its directory may
+// be an older copy.
 func TestRestartedSoleReplicaFreezesGrowth(t *testing.T) {
 	g := newGroup(t, 1)
 	g.config = rateConfig(60 * monotime.Second)
@@ -158,7 +159,8 @@
 	}
 }
 
-// TestOtherAgentsSetNoConfiguration: a leader ignores the fields of a forwarded command that only it may set.
+// TestOtherAgentsSetNoConfiguration checks that a leader ignores the fields of a forwarded command that only it may
+// set.
 func TestOtherAgentsSetNoConfiguration(t *testing.T) {
 	g := newGroup(t, 1)
 	g.startAll()
--- a/internal/cluster/quotastore/leader_test.go
+++ b/internal/cluster/quotastore/leader_test.go
@@ -14,8 +14,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestNewLeaderAppliesEarlierEntriesFirst: it answers nothing before, and times the leases of earlier leaders from then
-// on.
+// TestNewLeaderAppliesEarlierEntriesFirst checks that a new leader answers nothing before, and times the leases of
+// earlier leaders from then on.
 func TestNewLeaderAppliesEarlierEntriesFirst(t *testing.T) {
 	loop, fake, now := newFakeLeader()
 	fake.onBarrier = func() error { return errors.New("no quorum") }
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestLeaderBeginsAnewInEachTerm: what was granted between two terms of a replica may be missing.
+// TestLeaderBeginsAnewInEachTerm checks that a replica applies the entries of other leaders between two terms of its
+// own.
 func TestLeaderBeginsAnewInEachTerm(t *testing.T) {
 	loop, fake, _ := newFakeLeader()
 	barriers := 0
@@ -141,7 +142,7 @@
 	}
 }
 
-// TestUnreadyLeaderAnswersNoCall: a leader that has not begun to lead names the leader that it knows of.
+// TestUnreadyLeaderAnswersNoCall checks that a leader that has not begun to lead names the leader that it knows of.
 func TestUnreadyLeaderAnswersNoCall(t *testing.T) {
 	loop, fake, _ := newFakeLeader()
 	mux := http.NewServeMux()
@@ -160,7 +161,7 @@
 	}
 }
 
-// TestDeposedLeaderReportsNoStatus holds also before the replica notices that it was deposed.
+// TestDeposedLeaderReportsNoStatus checks that a replica verifies that it leads, before it notices that it was deposed.
 func TestDeposedLeaderReportsNoStatus(t *testing.T) {
 	loop, fake, _ := newFakeLeader()
 	loop.tick()
--- a/internal/cluster/quotastore/linearizability_test.go
+++ b/internal/cluster/quotastore/linearizability_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestHistoryIsLinearizable holds for clients that acquire and release permits through any store, while links are cut,
-// calls are duplicated and stores restart. The checker knows nothing of the store.
+// TestHistoryIsLinearizable checks what clients see that acquire and release permits through any store, while links
+// are cut, calls are duplicated and stores restart. The checker knows nothing of the store.
 func TestHistoryIsLinearizable(t *testing.T) {
 	const clients, span = 6, 12 * time.Second
 	g := newGroup(t, 5)
--- a/internal/cluster/quotastore/raftnode_test.go
+++ b/internal/cluster/quotastore/raftnode_test.go
@@ -11,8 +11,8 @@
 	"milletbarrow/internal/cluster/transport"
 )
 
-// TestFailedStartLeavesNothing: if the consensus library can't start, the goroutine that filters its calls ends, also
-// while it looks at a call of an ineligible member.
+// TestFailedStartLeavesNothing checks that if the consensus library can't start, the goroutine that filters its calls
+// ends, also while it looks at a call of an ineligible member.
 func TestFailedStartLeavesNothing(t *testing.T) {
 	const filter, listen = "quotastore.(*eligibilityTransport).filter", "raft.(*NetworkTransport).listen"
 	waitForNoGoroutineIn(t, filter)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestAdoptedTermHasNoVoteLeft: a member on an older copy of its directory adopts the group's term, and votes for
-// nobody in it.
+// TestAdoptedTermHasNoVoteLeft checks that a member on an older copy of its directory adopts the group's term, and
+// votes for nobody in it.
 func TestAdoptedTermHasNoVoteLeft(t *testing.T) {
 	s := openTestStore(t, "h1", nil, "h1", "h2", "h3")
 	candidate := openTestStore(t, "h2", map[string]string{"h1": s.config.Transport.Address()})
