--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -194,10 +194,10 @@
 		logf("      a release begins: each backend leaves and comes up again, a few at a time")
 		return runFleetCommand(
 			ctx,
-			"wave",
+			"rolling-update",
 			"--within",
 			"3m",
-			"--width",
+			"--max-unavailable",
 			strconv.Itoa(max(1, int(fault.BatchShare*float64(len(s.Names))))),
 		)
 	}
