--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -141,60 +141,15 @@
 	return nil
 }
 
-// writeFiles writes each host's fleet's file: the same fleet, where others are reached by this host's own links.
+// writeFiles writes each host's file of the fleet. All describe the same fleet, but each reaches other hosts by links of
+// its own.
 func (harness *Harness) writeFiles() error {
-	for i, h := range harness.hosts {
+	for _, h := range harness.hosts {
 		var b strings.Builder
 		fmt.Fprintf(&b, "(fleet trial (program %q)\n", harness.options.Program)
-		for j, other := range harness.hosts {
-			at := other.peer
-			if j != i {
-				at = harness.mesh.Link(h.name, other.name).Address
-			}
-			fmt.Fprintf(&b, " (host %s (agent %q) (peer %q))\n", other.name, other.agent, at)
-		}
-		for _, other := range harness.hosts {
-			if len(other.backends) > 0 {
-				fmt.Fprintf(
-					&b,
-					" (group g-%s (host %s) (config \"%%n.json\") (instances %s) (start-within 20s) (settle %v) (restart (most 100) (within 1m)))\n",
-					other.name,
-					other.name,
-					strings.Join(other.backends, " "),
-					harness.options.SettleTime,
-				)
-			}
-		}
-		fmt.Fprintf(
-			&b,
-			" (rolling-update (max-unavailable 4) (min-ready-share 0) (stall-timeout 2m) (max-failures 100) (quota out))\n"+
-				" (quotas (version %d) (quota-store",
-			harness.version,
-		)
-		for _, other := range harness.hosts {
-			fmt.Fprintf(&b, " %s", other.name)
-		}
-		b.WriteString(")\n")
-		for _, one := range harness.options.Quotas {
-			fmt.Fprintf(
-				&b,
-				"  (quota %s (rate %d) (tenant %s) (floor %d) (divide %s) (lease %v) (margin %v))\n",
-				one.Name,
-				harness.totals[one.Name],
-				one.Tenant,
-				one.Floor,
-				one.Division,
-				harness.options.Lease,
-				harness.options.Margin,
-			)
-		}
-		fmt.Fprintf(&b, "  (quota out (count %d))", MaxUnavailable)
-		if c := harness.options.Schedule.ColdStart; c != nil && c.MaxConcurrent > 0 {
-			fmt.Fprintf(&b, "\n  (quota starts (count %d) (reserve-per-host yes)))\n"+
-				" (cold-start (quota starts) (initial-concurrent 2) (max-failures 8))", c.MaxConcurrent)
-		} else {
-			b.WriteString(")")
-		}
+		harness.writeHosts(&b, h)
+		harness.writeGroups(&b)
+		harness.writeQuotas(&b)
 		b.WriteString(")\n")
 		if err := os.WriteFile(h.file+".new", []byte(b.String()), 0o600); err != nil {
 			return err
@@ -205,3 +160,49 @@
 	}
 	return nil
 }
+
+// writeHosts writes the hosts as one of them reaches the others.
+func (harness *Harness) writeHosts(b *strings.Builder, from *host) {
+	for _, h := range harness.hosts {
+		peer := h.peer
+		if h != from {
+			peer = harness.mesh.Link(from.name, h.name).Address
+		}
+		fmt.Fprintf(b, " (host %s (agent %q) (peer %q))\n", h.name, h.agent, peer)
+	}
+}
+
+// writeGroups writes a group for each host with backends.
+func (harness *Harness) writeGroups(b *strings.Builder) {
+	const form = " (group g-%[1]s (host %[1]s) (config \"%%n.json\") (instances %[2]s)" +
+		" (start-within 20s) (settle %[3]v) (restart (max 100) (within 1m)))\n"
+	for _, h := range harness.hosts {
+		if len(h.backends) > 0 {
+			fmt.Fprintf(b, form, h.name, strings.Join(h.backends, " "), harness.options.SettleTime)
+		}
+	}
+}
+
+// writeQuotas writes the rolling update, the quotas and, if the schedule has one, the cold start.
+func (harness *Harness) writeQuotas(b *strings.Builder) {
+	b.WriteString(" (rolling-update (max-unavailable 4) (min-ready-share 0) (stall-timeout 2m) (max-failures 100)" +
+		" (quota out))\n")
+	fmt.Fprintf(b, " (quotas (version %d) (quota-store", harness.version)
+	for _, h := range harness.hosts {
+		fmt.Fprintf(b, " %s", h.name)
+	}
+	b.WriteString(")\n")
+	const form = "  (quota %s (rate %d) (tenant %s) (floor %d) (divide %s) (lease %v) (margin %v))\n"
+	options := &harness.options
+	for _, q := range options.Quotas {
+		total := harness.totals[q.Name]
+		fmt.Fprintf(b, form, q.Name, total, q.Tenant, q.Floor, q.Division, options.Lease, options.Margin)
+	}
+	fmt.Fprintf(b, "  (quota out (count %d))", MaxUnavailable)
+	if c := options.Schedule.ColdStart; c != nil && c.MaxConcurrent > 0 {
+		fmt.Fprintf(b, "\n  (quota starts (count %d) (reserve-per-host yes)))\n"+
+			" (cold-start (quota starts) (initial-concurrent 2) (max-failures 8))", c.MaxConcurrent)
+	} else {
+		b.WriteString(")")
+	}
+}
--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestEventsTable checks that the table of log events in docs/log-events.md names each event that the program writes, with
-// its level and all its fields, and none that it does not write.
+// TestEventsTable checks that the table of log events in docs/log-events.md names each event that the program writes,
+// with its level and all its fields, and none that it does not write.
 func TestEventsTable(t *testing.T) {
 	allWritten := eventsOfSource(t)
 	allDocumented := eventsOfPage(t)
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -34,19 +34,24 @@
 // Module is the name of the policy that is admission.Backend, unchanged.
 const Module = "milletbarrow"
 
-// Policies returns all policies: the module first, then the baselines, which serve nobody, and the oracle.
+// Policies returns all policies: the module first, then the baselines, which serve nobody, and the oracle. Descriptions
+// are part of the keys of stored results.
 func Policies() []Policy {
-	two, least, oracle := TwoChoices, LeastLoad, Oracle
-	short := pooled(func(*pool) {})
+	module := Policy{
+		Name:        Module,
+		Description: "the module, unchanged",
+		New:         func(t admission.Config, seed uint64) Decider { return admission.New(t, seed) },
+		Source:      "docs/design.md",
+	}
+	return slices.Concat([]Policy{module}, hostPolicies(), nodePolicies(), []Policy{oraclePolicy()})
+}
+
+// hostPolicies returns the baselines that decide on the hosts.
+func hostPolicies() []Policy {
 	return []Policy{
-		{
-			Name: Module, Description: "the module, unchanged",
-			New:    func(t admission.Config, seed uint64) Decider { return admission.New(t, seed) },
-			Source: "docs/design.md",
-		},
 		{
 			Name:        "pool",
-			New:         short,
+			New:         threadPool(),
 			Description: "a run a core, and a line of four a core, in turn",
 			Source:      "the ordinary thread pool",
 		},
@@ -57,8 +62,10 @@
 			Source:      "no admission",
 		},
 		{
-			Name: "fixed", New: pooled(func(p *pool) { p.concurrency, p.queueLimit = 4*p.config.Cores, 0 }),
-			Description: "four runs a core, no line", Source: "a fixed limit of concurrency",
+			Name:        "fixed",
+			New:         pooled(func(p *pool) { p.concurrency, p.queueLimit = 4*p.config.Cores, 0 }),
+			Description: "four runs a core, no line",
+			Source:      "a fixed limit of concurrency",
 		},
 		{
 			Name:        "aimd",
@@ -78,38 +85,53 @@
 			Description: "newest first once the line has not been empty for 100 ms; what waited longer than allowed is turned away",
 			Source:      "Nichols and Jacobson, Controlling Queue Delay, 2012; adaptive LIFO, Maurer, Fail at Scale, 2015",
 		},
+	}
+}
+
+// nodePolicies returns the baselines that decide on the nodes, in front of ordinary thread pools.
+func nodePolicies() []Policy {
+	twoChoices := TwoChoices
+	leastLoad := LeastLoad
+	return []Policy{
 		{
 			Name:        "client",
-			New:         short,
+			New:         threadPool(),
 			Throttles:   true,
 			Description: "pool, and nodes that throttle by the share accepted of late",
 			Source:      "Handling Overload, Site Reliability Engineering, 2016",
 		},
 		{
 			Name:        "two-choices",
-			New:         short,
-			Balance:     &two,
+			New:         threadPool(),
+			Balance:     &twoChoices,
 			Description: "pool, and nodes that take the emptier of two hosts",
 			Source:      "Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 1996",
 		},
 		{
 			Name:        "least-load",
-			New:         short,
-			Balance:     &least,
+			New:         threadPool(),
+			Balance:     &leastLoad,
 			Description: "pool, and nodes that weigh what they have open by how long it takes",
 			Source:      "weighted least load",
 		},
-		{
-			Name:        "oracle",
-			Balance:     &oracle,
-			KnowsWork:   true,
-			Description: "sees each host's true work 0.1 s late, and the work of what comes; by value for its work",
-			New:         pooled(func(p *pool) { p.queueLimit, p.byValue = 1<<20, true }),
-			Source:      "not to be had: what stands between the module and the possible",
-		},
 	}
 }
 
+func oraclePolicy() Policy {
+	balance := Oracle
+	return Policy{
+		Name:        "oracle",
+		Balance:     &balance,
+		KnowsWork:   true,
+		Description: "sees each host's true work 0.1 s late, and the work of what comes; by value for its work",
+		New:         pooled(func(p *pool) { p.queueLimit, p.byValue = 1<<20, true }),
+		Source:      "not to be had: what stands between the module and the possible",
+	}
+}
+
+// threadPool returns the ordinary thread pool with a short queue.
+func threadPool() func(admission.Config, uint64) Decider { return pooled(func(*pool) {}) }
+
 // PolicyNamed finds a policy by name. The error is an *UnknownPolicyError.
 func PolicyNamed(name string) (*Policy, error) {
 	all := Policies()
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -163,77 +163,90 @@
 // Default returns a small scenario. What an experiment's file leaves out is as here.
 func Default() Scenario {
 	return Scenario{
-		Name: "default", Duration: 30 * Second,
-		Hosts: HostConfig{
-			Count:            12,
-			Cores:            2,
-			SpeedSpread:      0.05,
-			CollapseMultiple: 6,
-			CollapseAfter:    5 * Second,
-			ReadWork:         300,
-			HandshakeWork:    400,
-			MemoryKB:         256 << 10,
-			RequestKB:        64,
-			RunFactor:        4,
-			ColdSpeed:        0.3,
-			WarmUp:           8 * Second,
-			Connections:      512,
-			IdleTimeout:      10 * Second,
-			DrainGrace:       2 * Second,
-			ExitTimeout:      3200 * Millisecond,
-			AnswerSlack:      60 * Millisecond,
-			MaxRetryAfter:    2 * Second,
-		},
-		Nodes: NodeConfig{
-			Count:             8,
-			Subset:            8,
-			MaxAttempts:       3,
-			Backoff:           5 * Millisecond,
-			UnresponsiveShare: 0.1,
-			CancelDelay:       20 * Millisecond,
-			NetworkDelay:      500,
-			ClientRetryDelay:  500 * Millisecond,
-			RefreshInterval:   Second,
-			ThrottleWindow:    10 * Second,
-		},
+		Name:       "default",
+		Duration:   30 * Second,
+		Hosts:      defaultHosts(),
+		Nodes:      defaultNodes(),
 		Registry:   RegistryConfig{Lag: 2 * Second},
 		Dependency: DependencyConfig{Slots: 64, Work: 5 * Millisecond},
-		Operations: []Operation{
-			{
-				Name:      "reprint",
-				Value:     1,
-				Priority:  0.1,
-				Share:     0.35,
-				Work:      25 * Millisecond,
-				WorkSigma: 0.8,
-				Objective: Second,
-				Timeout:   3 * Second,
-				LateValue: 0.1,
-			},
-			{
-				Name:      "lookup",
-				Value:     3,
-				Priority:  0.4,
-				Share:     0.4,
-				Work:      15 * Millisecond,
-				WorkSigma: 0.6,
-				Objective: 500 * Millisecond,
-				Timeout:   2 * Second,
-				LateValue: 0.1,
-			},
-			{
-				Name:        "pay-post",
-				Value:       10,
-				Priority:    0.9,
-				Share:       0.25,
-				Work:        20 * Millisecond,
-				WorkSigma:   0.5,
-				Objective:   Second,
-				Timeout:     4 * Second,
-				RetrySafety: admission.NonIdempotent,
-			},
+		Operations: defaultOperations(),
+		Load:       Load{Level: 0.8, PeakLevel: 1.2, Period: 5 * Second, Swing: 0.5},
+	}
+}
+
+func defaultHosts() HostConfig {
+	return HostConfig{
+		Count:            12,
+		Cores:            2,
+		SpeedSpread:      0.05,
+		CollapseMultiple: 6,
+		CollapseAfter:    5 * Second,
+		ReadWork:         300,
+		HandshakeWork:    400,
+		MemoryKB:         256 << 10,
+		RequestKB:        64,
+		RunFactor:        4,
+		ColdSpeed:        0.3,
+		WarmUp:           8 * Second,
+		Connections:      512,
+		IdleTimeout:      10 * Second,
+		DrainGrace:       2 * Second,
+		ExitTimeout:      3200 * Millisecond,
+		AnswerSlack:      60 * Millisecond,
+		MaxRetryAfter:    2 * Second,
+	}
+}
+
+func defaultNodes() NodeConfig {
+	return NodeConfig{
+		Count:             8,
+		Subset:            8,
+		MaxAttempts:       3,
+		Backoff:           5 * Millisecond,
+		UnresponsiveShare: 0.1,
+		CancelDelay:       20 * Millisecond,
+		NetworkDelay:      500,
+		ClientRetryDelay:  500 * Millisecond,
+		RefreshInterval:   Second,
+		ThrottleWindow:    10 * Second,
+	}
+}
+
+func defaultOperations() []Operation {
+	return []Operation{
+		{
+			Name:      "reprint",
+			Value:     1,
+			Priority:  0.1,
+			Share:     0.35,
+			Work:      25 * Millisecond,
+			WorkSigma: 0.8,
+			Objective: Second,
+			Timeout:   3 * Second,
+			LateValue: 0.1,
+		},
+		{
+			Name:      "lookup",
+			Value:     3,
+			Priority:  0.4,
+			Share:     0.4,
+			Work:      15 * Millisecond,
+			WorkSigma: 0.6,
+			Objective: 500 * Millisecond,
+			Timeout:   2 * Second,
+			LateValue: 0.1,
+		},
+		{
+			Name:        "pay-post",
+			Value:       10,
+			Priority:    0.9,
+			Share:       0.25,
+			Work:        20 * Millisecond,
+			WorkSigma:   0.5,
+			Objective:   Second,
+			Timeout:     4 * Second,
+			RetrySafety: admission.NonIdempotent,
 		},
-		Load: Load{Level: 0.8, PeakLevel: 1.2, Period: 5 * Second, Swing: 0.5},
 	}
 }
 
