--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -9,7 +9,6 @@
 package sexpr
 
 import (
-	"errors"
 	"fmt"
 	"strings"
 	"unicode/utf8"
@@ -23,45 +22,6 @@
 	MaxText  = 4 << 10
 )
 
-// Kind is the kind of a node.
-type Kind int
-
-// The kinds.
-const (
-	List Kind = iota
-	Word
-	Text
-)
-
-func (k Kind) String() string { return [...]string{"a list", "a word", "text"}[k] }
-
-// Place is a position in a file; both count from 1, columns in characters.
-type Place struct{ Line, Column int }
-
-// Node is a list, a word or text.
-type Node struct {
-	Place
-	Kind  Kind
-	Value string // of a word or text
-	Items []Node // of a list
-}
-
-// Error is one error in a file, with its position.
-type Error struct {
-	File string
-	Place
-	Field   string // the path of the field, such as fleet.group.settle; may be empty
-	Message string
-}
-
-func (e *Error) Error() string {
-	field := ""
-	if e.Field != "" {
-		field = e.Field + ": "
-	}
-	return fmt.Sprintf("%s:%d:%d: %s%s", e.File, e.Line, e.Column, field, e.Message)
-}
-
 // Parse parses all of src; file is its name in errors. The error is an *Error.
 func Parse(file string, src []byte) ([]Node, error) {
 	p := parser{file: file, src: src, at: Place{1, 1}}
@@ -203,52 +163,3 @@
 		}
 	}
 }
-
-// Quote formats text so that Parse reads it back: as a word where it can be one, else in quotes.
-func Quote(s string) string {
-	plain := s != "" && utf8.ValidString(s) && !strings.ContainsFunc(s, func(r rune) bool {
-		return r <= ' ' || r == 0x7f || strings.ContainsRune(`()";`, r)
-	})
-	if plain {
-		return s
-	}
-	return quoted(s)
-}
-
-func quoted(s string) string {
-	return `"` + strings.NewReplacer(`"`, `\"`, `\`, `\\`, "\n", `\n`, "\t", `\t`).Replace(s) + `"`
-}
-
-// String formats the node on one line, as Parse reads it.
-func (n Node) String() string {
-	switch n.Kind {
-	case Word:
-		return n.Value
-	case Text:
-		return quoted(n.Value)
-	}
-	parts := make([]string, len(n.Items))
-	for i, item := range n.Items {
-		parts[i] = item.String()
-	}
-	return "(" + strings.Join(parts, " ") + ")"
-}
-
-// Errors collects the errors of a file, so that all are reported together.
-type Errors struct {
-	File string
-	list []error
-}
-
-// maxErrors is how many errors are reported of one file.
-const maxErrors = 20
-
-// Add adds an error at a position; further ones than maxErrors are dropped.
-func (e *Errors) Add(at Place, field, format string, args ...any) {
-	if len(e.list) < maxErrors {
-		e.list = append(e.list, &Error{e.File, at, field, fmt.Sprintf(format, args...)})
-	}
-}
-
-// Err returns all errors joined, each an *Error; nil if there is none.
-func (e *Errors) Err() error { return errors.Join(e.list...) }
--- a/internal/sexpr/rename.go
+++ b/internal/sexpr/rename.go
@@ -1,6 +1,8 @@
 package sexpr
 
-import "fmt"
+import (
+	"fmt"
+)
 
 // FormerNames maps the former name of a form to its name of today, by the name of the form around it; the name around a
 // form of the file itself is empty. A name that stands for itself in another form is no former name there.
