--- a/internal/sexpr/errors.go
+++ b/internal/sexpr/errors.go
@@ -5,37 +5,45 @@
 	"fmt"
 )
 
-// Error is one error in a file, with its position.
+// Error is an error at a position in a file.
 type Error struct {
 	File string
 	Place
-	Field   string // the path of the field, such as fleet.group.settle; may be empty
+	// Field is the path of the field, such as fleet.group.settle; empty if the error concerns no field.
+	Field string
+	// Message says what was found and what was expected.
 	Message string
 }
 
 func (e *Error) Error() string {
-	field := ""
+	message := e.Message
 	if e.Field != "" {
-		field = e.Field + ": "
+		message = e.Field + ": " + message
 	}
-	return fmt.Sprintf("%s:%d:%d: %s%s", e.File, e.Line, e.Column, field, e.Message)
+	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, message)
 }
 
-// Errors collects the errors of a file, so that all are reported together.
+// maxErrors is the number of errors that are reported for one file.
+const maxErrors = 20
+
+// Errors collects the errors of a file, so that they are reported together.
 type Errors struct {
+	// File is the file's name in the errors.
 	File string
 	list []error
 }
 
-// maxErrors is how many errors are reported of one file.
-const maxErrors = 20
-
-// Add adds an error at a position; further ones than maxErrors are dropped.
+// Add adds an error at a position. It drops the errors after the first maxErrors.
 func (e *Errors) Add(at Place, field, format string, args ...any) {
 	if len(e.list) < maxErrors {
-		e.list = append(e.list, &Error{e.File, at, field, fmt.Sprintf(format, args...)})
+		e.list = append(e.list, &Error{
+			File:    e.File,
+			Place:   at,
+			Field:   field,
+			Message: fmt.Sprintf(format, args...),
+		})
 	}
 }
 
-// Err returns all errors joined, each an *Error; nil if there is none.
+// Err joins the errors, each of which is an *Error. It returns nil if there are none.
 func (e *Errors) Err() error { return errors.Join(e.list...) }
--- a/internal/sexpr/form.go
+++ b/internal/sexpr/form.go
@@ -1,6 +1,7 @@
 package sexpr
 
 import (
+	"maps"
 	"math"
 	"slices"
 	"strconv"
@@ -8,37 +9,48 @@
 	"time"
 )
 
-// Form decodes a list whose first word names it: (name argument... (field ...)...). A field that is missing has its default. One
-// that is malformed or out of range adds an error to the form's Errors, and decoding goes on with the default.
+// Form decodes a list whose first word is its name: (name argument... (field ...)...). A missing field has its default.
+// A field that is malformed or out of range adds an error to the form's Errors and is decoded as its default.
 type Form struct {
 	Place
-	Name   string
-	path   string
-	args   []Node
+	// Name is the first word of the list.
+	Name string
+	// path is the form's name after those of the forms around it, such as fleet.group.
+	path string
+	// args are the words and texts after the name.
+	args []Node
+	// fields are the lists after the name.
 	fields []Node
-	known  map[string]bool // names that were decoded, found or not
-	errs   *Errors
+	// known holds the names of the fields that were decoded, whether the form has them or not.
+	known map[string]bool
+	errs  *Errors
 }
 
-// Forms returns the nodes of a file as forms. A node that is not a list with a name is an error.
+// Forms returns the nodes of a file as forms. It adds an error for each node that is not a list with a name.
 func Forms(nodes []Node, errs *Errors) (forms []*Form) {
-	for _, n := range nodes {
-		if f := open(n, "", errs); f != nil {
-			forms = append(forms, f)
+	for _, node := range nodes {
+		if form := open(node, "", errs); form != nil {
+			forms = append(forms, form)
 		}
 	}
 	return forms
 }
 
-// open returns a node as a form; nil, and an error, if it is not a list with a name.
-func open(n Node, path string, errs *Errors) *Form {
-	if n.Kind != List || len(n.Items) == 0 || n.Items[0].Kind != Word {
-		errs.Add(n.Place, path, "found %v, wanted a list that begins with a word", n.Kind)
+// open returns a node as a form. If it is not a list with a name, open adds an error and returns nil.
+func open(node Node, path string, errs *Errors) *Form {
+	if !node.hasName() {
+		errs.Add(node.Place, path, "found %v, wanted a list that begins with a word", node.Kind)
 		return nil
 	}
-	f := &Form{Place: n.Place, Name: n.Items[0].Value, errs: errs, known: map[string]bool{}}
-	f.path = strings.TrimPrefix(path+"."+f.Name, ".")
-	for _, item := range n.Items[1:] {
+	name := node.Items[0].Value
+	f := &Form{
+		Place: node.Place,
+		Name:  name,
+		path:  strings.TrimPrefix(path+"."+name, "."),
+		known: map[string]bool{},
+		errs:  errs,
+	}
+	for _, item := range node.Items[1:] {
 		if item.Kind == List {
 			f.fields = append(f.fields, item)
 		} else {
@@ -48,21 +60,21 @@
 	return f
 }
 
-// Fail adds an error about the form, or about one of its fields.
+// Fail adds an error about one of the form's fields, or about the form itself if field is empty.
 func (f *Form) Fail(field, format string, args ...any) {
 	at, path := f.Place, f.path
 	if field != "" {
 		path += "." + field
-		for _, n := range f.fields {
-			if len(n.Items) > 0 && n.Items[0].Value == field {
-				at = n.Place
+		for _, node := range f.fields {
+			if len(node.Items) > 0 && node.Items[0].Value == field {
+				at = node.Place
 			}
 		}
 	}
 	f.errs.Add(at, path, format, args...)
 }
 
-// Args returns the form's words and texts; a number of them outside minimum and maximum is an error.
+// Args returns the form's words and texts. It adds an error if their number is not from minimum to maximum.
 func (f *Form) Args(minimum, maximum int) []string {
 	if n := len(f.args); n < minimum || n > maximum {
 		wanted := strconv.Itoa(minimum)
@@ -73,51 +85,51 @@
 		}
 		f.errs.Add(f.Place, f.path, "found %d words, wanted %s", n, wanted)
 	}
-	all := make([]string, len(f.args))
-	for i, n := range f.args {
-		all[i] = n.Value
+	args := make([]string, len(f.args))
+	for i, node := range f.args {
+		args[i] = node.Value
 	}
-	return all
+	return args
 }
 
-// Arg returns the form's only word or text; an empty one is an error.
+// Arg returns the form's only word or text. It adds an error if there is not exactly one or if it is empty.
 func (f *Form) Arg() string {
-	all := f.Args(1, 1)
-	if len(all) == 0 {
+	args := f.Args(1, 1)
+	if len(args) == 0 {
 		return ""
 	}
-	if all[0] == "" {
-		f.errs.Add(f.Place, f.path, "empty")
+	if args[0] == "" {
+		f.errs.Add(f.Place, f.path, "found an empty text, wanted a word or text")
 	}
-	return all[0]
+	return args[0]
 }
 
-// All returns each field of that name.
+// All returns the fields of that name in the order of the file.
 func (f *Form) All(name string) (forms []*Form) {
 	f.known[name] = true
-	for _, n := range f.fields {
-		if len(n.Items) > 0 && n.Items[0].Kind == Word && n.Items[0].Value == name {
-			if sub := open(n, f.path, f.errs); sub != nil {
-				forms = append(forms, sub)
-			}
+	for _, node := range f.fields {
+		if node.hasName() && node.Items[0].Value == name {
+			forms = append(forms, open(node, f.path, f.errs))
 		}
 	}
 	return forms
 }
 
-// Field returns the field of that name, nil if there is none. A second one is an error.
+// Field returns the first field of that name, or nil if there is none. It adds an error if there is a second one.
 func (f *Form) Field(name string) *Form {
-	all := f.All(name)
-	if len(all) == 0 {
+	fields := f.All(name)
+	if len(fields) == 0 {
 		return nil
 	}
-	if len(all) > 1 {
-		f.errs.Add(all[1].Place, all[1].path, "stands twice, first at %d:%d", all[0].Line, all[0].Column)
+	first := fields[0]
+	if len(fields) > 1 {
+		second := fields[1]
+		f.errs.Add(second.Place, second.path, "duplicate field, first at %d:%d", first.Line, first.Column)
 	}
-	return all[0]
+	return first
 }
 
-// leaf returns a field that has no fields itself.
+// leaf returns the field of that name, or nil if there is none. It adds an error if the field has fields of its own.
 func (f *Form) leaf(name string) *Form {
 	sub := f.Field(name)
 	if sub != nil {
@@ -126,7 +138,7 @@
 	return sub
 }
 
-// Text decodes a field of one word or text.
+// Text decodes a field that holds one word or text.
 func (f *Form) Text(name, fallback string) string {
 	if sub := f.leaf(name); sub != nil {
 		return sub.Arg()
@@ -134,7 +146,7 @@
 	return fallback
 }
 
-// Words decodes a field of one or more words; nil if there is none.
+// Words decodes a field that holds one or more words or texts. It returns nil if there is no such field.
 func (f *Form) Words(name string) []string {
 	if sub := f.leaf(name); sub != nil {
 		return sub.Args(1, math.MaxInt)
@@ -142,7 +154,7 @@
 	return nil
 }
 
-// OneOf decodes a field that holds one of these words; the first is the default.
+// OneOf decodes a field that holds one of these words. The first word is the default.
 func (f *Form) OneOf(name string, words ...string) string {
 	sub := f.leaf(name)
 	if sub == nil {
@@ -151,11 +163,12 @@
 	if word := sub.Arg(); slices.Contains(words, word) {
 		return word
 	}
-	sub.errs.Add(sub.Place, sub.path, "found %q, wanted one of %s", strings.Join(sub.Args(0, math.MaxInt), " "), strings.Join(words, ", "))
+	found := strings.Join(sub.Args(0, math.MaxInt), " ")
+	sub.errs.Add(sub.Place, sub.path, "found %q, wanted one of %s", found, strings.Join(words, ", "))
 	return words[0]
 }
 
-// Int decodes a field of an integer from minimum to maximum.
+// Int decodes a field that holds an integer from minimum to maximum.
 func (f *Form) Int(name string, minimum, maximum, fallback int) int {
 	sub := f.leaf(name)
 	if sub == nil {
@@ -170,7 +183,7 @@
 	return n
 }
 
-// Share decodes a field of a number from minimum to maximum.
+// Share decodes a field that holds a number from minimum to maximum.
 func (f *Form) Share(name string, minimum, maximum, fallback float64) float64 {
 	sub := f.leaf(name)
 	if sub == nil {
@@ -185,7 +198,7 @@
 	return x
 }
 
-// Span decodes a field of a duration such as 250ms or 1m30s, from minimum to maximum.
+// Span decodes a field that holds a duration such as 250ms or 1m30s, from minimum to maximum.
 func (f *Form) Span(name string, minimum, maximum, fallback time.Duration) time.Duration {
 	sub := f.leaf(name)
 	if sub == nil {
@@ -194,26 +207,24 @@
 	word := sub.Arg()
 	d, err := time.ParseDuration(word)
 	if err != nil || d < minimum || d > maximum {
-		sub.errs.Add(sub.Place, sub.path, "found %q, wanted a time from %v to %v, such as 250ms or 1m30s", word, minimum, maximum)
+		sub.errs.Add(sub.Place, sub.path,
+			"found %q, wanted a time from %v to %v, such as 250ms or 1m30s", word, minimum, maximum)
 		return fallback
 	}
 	return d
 }
 
-// Done adds an error for each field that was not decoded before: fields that nobody knows.
+// Done adds an error for each field whose name was not decoded before.
 func (f *Form) Done() {
-	for _, n := range f.fields {
-		if sub := open(n, f.path, f.errs); sub != nil && !f.known[sub.Name] {
-			known := make([]string, 0, len(f.known))
-			for name := range f.known {
-				known = append(known, name)
-			}
-			slices.Sort(known)
-			if len(known) == 0 {
-				f.errs.Add(sub.Place, sub.path, "no field can stand here")
-				continue
-			}
-			f.errs.Add(sub.Place, sub.path, "no such field; there are %s", strings.Join(known, ", "))
+	for _, node := range f.fields {
+		sub := open(node, f.path, f.errs)
+		switch {
+		case sub == nil || f.known[sub.Name]:
+		case len(f.known) == 0:
+			f.errs.Add(sub.Place, sub.path, "no field can stand here")
+		default:
+			names := slices.Sorted(maps.Keys(f.known))
+			f.errs.Add(sub.Place, sub.path, "no such field; there are %s", strings.Join(names, ", "))
 		}
 	}
 }
--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -1,11 +1,12 @@
-// Package sexpr parses configuration files written as S-expressions. Each node has its line and column, so that an error can say
-// where it is, what was found and what was wanted. It does no I/O and knows no file's meaning.
+// Package sexpr parses configuration files in the syntax of S-expressions and decodes their forms. Each node has its
+// line and column, so that an error names the position, what was found and what was expected. The package does no I/O
+// and defines no form of its own.
 //
 //	; a comment runs to the end of its line
 //	(group counter (instances n1 n2) (settle 2s) (label "front row"))
 //
-// A word is a sequence of characters other than space, brackets, quotes and semicolons. Text is in double quotes,
-// where \" \\ \n and \t are escapes.
+// A word is a sequence of characters other than white space, parentheses, quotes and semicolons. A text is in double
+// quotes, in which \" \\ \n and \t are escapes.
 package sexpr
 
 import (
@@ -14,19 +15,22 @@
 	"unicode/utf8"
 )
 
-// Limits of a file; beyond them Parse returns an error and no nodes. MaxBytes and MaxText are in bytes.
+// The limits of a file. Parse returns an error and no nodes for a file that exceeds one.
 const (
-	MaxBytes = 1 << 20
-	MaxDepth = 32
-	MaxNodes = 200_000
-	MaxText  = 4 << 10
+	MaxBytes = 1 << 20 // size of the file in bytes
+	MaxDepth = 32      // depth of nested lists
+	MaxNodes = 200_000 // number of lists, words and texts
+	MaxText  = 4 << 10 // size of a word or text in bytes
 )
 
-// Parse parses all of src; file is its name in errors. The error is an *Error.
+// deleteCharacter is the control character DEL.
+const deleteCharacter = 0x7f
+
+// Parse parses the content of a file. The name of the file appears in errors only. The error is an *Error.
 func Parse(file string, src []byte) ([]Node, error) {
-	p := parser{file: file, src: src, at: Place{1, 1}}
+	p := parser{file: file, src: src, at: Place{Line: 1, Column: 1}}
 	if len(src) > MaxBytes {
-		return nil, p.fail(p.at, "%d bytes, at most %d can be read", len(src), MaxBytes)
+		return nil, p.fail(p.at, "found %d bytes, wanted at most %d", len(src), MaxBytes)
 	}
 	nodes, err := p.list(0, Place{})
 	if err != nil {
@@ -35,20 +39,24 @@
 	return nodes, nil
 }
 
-// parser is at one position of a file.
+// parser reads a file from the start to the end.
 type parser struct {
-	file  string
-	src   []byte
-	next  int // offset of the next byte
-	at    Place
-	nodes int // parsed so far
+	file string
+	src  []byte
+	// next is the offset of the next character in src, in bytes.
+	next int
+	// at is the position of the next character.
+	at Place
+	// nodes is the number of nodes parsed so far.
+	nodes int
 }
 
+// fail returns an error at a position.
 func (p *parser) fail(at Place, format string, args ...any) error {
 	return &Error{File: p.file, Place: at, Message: fmt.Sprintf(format, args...)}
 }
 
-// peek returns the next character and its size in bytes, which is 0 at the end.
+// peek returns the next character and its size in bytes. The size is 0 at the end of the file.
 func (p *parser) peek() (r rune, size int) {
 	if p.next >= len(p.src) {
 		return 0, 0
@@ -56,86 +64,116 @@
 	return utf8.DecodeRune(p.src[p.next:])
 }
 
-// advance moves behind a character.
+// advance moves past a character of that size in bytes.
 func (p *parser) advance(r rune, size int) {
 	p.next += size
-	if p.at.Column++; r == '\n' {
-		p.at = Place{p.at.Line + 1, 1}
+	if r == '\n' {
+		p.at = Place{Line: p.at.Line + 1, Column: 1}
+	} else {
+		p.at.Column++
 	}
 }
 
-// list parses nodes up to the closing bracket, or at depth 0 up to the end.
+// skipBlank moves past white space and comments.
+func (p *parser) skipBlank() {
+	for {
+		r, size := p.peek()
+		switch {
+		case size > 0 && strings.ContainsRune(" \t\n\r", r):
+			p.advance(r, size)
+		case r == ';':
+			p.skipComment()
+		default:
+			return
+		}
+	}
+}
+
+// skipComment moves to the end of the line or of the file.
+func (p *parser) skipComment() {
+	for r, size := p.peek(); size > 0 && r != '\n'; r, size = p.peek() {
+		p.advance(r, size)
+	}
+}
+
+// list parses nodes up to the closing parenthesis of the list that was opened there, or at depth 0 up to the end of the
+// file.
 func (p *parser) list(depth int, opened Place) (nodes []Node, err error) {
 	for {
+		p.skipBlank()
 		r, size := p.peek()
-		start := p.at
 		switch {
 		case size == 0 && depth == 0:
 			return nodes, nil
 		case size == 0:
-			return nil, p.fail(start, "the file ends within the list that began at %d:%d", opened.Line, opened.Column)
+			return nil, p.fail(p.at, "the file ends within the list that began at %d:%d", opened.Line, opened.Column)
 		case r == ')' && depth == 0:
-			return nil, p.fail(start, "a closing bracket without an opening one")
+			return nil, p.fail(p.at, "found a closing parenthesis, wanted a list, a word or text")
 		case r == ')':
 			p.advance(r, size)
 			return nodes, nil
-		case r == ' ' || r == '\t' || r == '\n' || r == '\r':
-			p.advance(r, size)
-			continue
-		case r == ';':
-			for ; size > 0 && r != '\n'; r, size = p.peek() {
-				p.advance(r, size)
-			}
-			continue
-		}
-		if p.nodes++; p.nodes > MaxNodes {
-			return nil, p.fail(start, "more than %d words and lists", MaxNodes)
-		}
-		n := Node{Place: start}
-		switch r {
-		case '(':
-			if depth >= MaxDepth {
-				return nil, p.fail(start, "lists more than %d deep", MaxDepth)
-			}
-			p.advance(r, size)
-			n.Items, err = p.list(depth+1, start)
-		case '"':
-			n.Kind = Text
-			n.Value, err = p.text()
-		default:
-			n.Kind = Word
-			n.Value, err = p.word()
 		}
+		node, err := p.node(depth)
 		if err != nil {
 			return nil, err
 		}
-		nodes = append(nodes, n)
+		nodes = append(nodes, node)
+	}
+}
+
+// node parses one node, which the next character begins, in a list at that depth.
+func (p *parser) node(depth int) (node Node, err error) {
+	node.Place = p.at
+	p.nodes++
+	if p.nodes > MaxNodes {
+		return Node{}, p.fail(p.at, "found more than %d lists, words and texts", MaxNodes)
+	}
+	switch r, size := p.peek(); r {
+	case '(':
+		if depth >= MaxDepth {
+			return Node{}, p.fail(p.at, "found lists nested more than %d deep", MaxDepth)
+		}
+		p.advance(r, size)
+		node.Kind = List
+		node.Items, err = p.list(depth+1, node.Place)
+	case '"':
+		node.Kind = Text
+		node.Value, err = p.text()
+	default:
+		node.Kind = Word
+		node.Value, err = p.word()
 	}
+	return node, err
 }
 
-// word parses a word up to the character that ends it.
+// word parses a word up to the first character that cannot be part of one.
 func (p *parser) word() (string, error) {
-	start, from := p.at, p.next
+	start := p.at
+	first := p.next
 	for r, size := p.peek(); size > 0 && !strings.ContainsRune(" \t\r\n()\";", r); r, size = p.peek() {
-		if r < ' ' || r == 0x7f || r == utf8.RuneError && size == 1 {
-			return "", p.fail(p.at, "a character that can't stand in a word: %q", p.src[p.next])
+		if r < ' ' || r == deleteCharacter || isInvalidUTF8(r, size) {
+			return "", p.fail(p.at, "invalid character in a word: %q", p.src[p.next])
 		}
 		p.advance(r, size)
 	}
-	if p.next-from > MaxText {
-		return "", p.fail(start, "a word of %d bytes, at most %d can be read", p.next-from, MaxText)
+	word := p.src[first:p.next]
+	if len(word) > MaxText {
+		return "", p.fail(start, "found a word of %d bytes, wanted at most %d", len(word), MaxText)
 	}
-	return string(p.src[from:p.next]), nil
+	return string(word), nil
 }
 
-// escapes are the characters that stand for themselves or for white space after a backslash.
+// isInvalidUTF8 reports whether utf8.DecodeRune returned these values for an invalid encoding.
+func isInvalidUTF8(r rune, size int) bool { return r == utf8.RuneError && size == 1 }
+
+// escapes maps the character after a backslash to the character that the escape denotes.
 var escapes = map[rune]rune{'"': '"', '\\': '\\', 'n': '\n', 't': '\t'}
 
-// text parses a quoted text.
+// text parses a quoted text, whose opening quote is the next character.
 func (p *parser) text() (string, error) {
 	start := p.at
 	p.advance('"', 1)
-	var b strings.Builder
+	var content strings.Builder
 	for {
 		r, size := p.peek()
 		switch {
@@ -143,23 +181,36 @@
 			return "", p.fail(p.at, "the file ends within the text that began at %d:%d", start.Line, start.Column)
 		case r == '\n':
 			return "", p.fail(p.at, "the line ends within the text that began at %d:%d", start.Line, start.Column)
-		case r == utf8.RuneError && size == 1 || r < ' ' && r != '\t' || r == 0x7f:
-			return "", p.fail(p.at, "a character that can't stand in text: %q", p.src[p.next])
-		}
-		at := p.at
-		p.advance(r, size)
-		if r == '"' {
-			return b.String(), nil
+		case isInvalidUTF8(r, size) || r < ' ' && r != '\t' || r == deleteCharacter:
+			return "", p.fail(p.at, "invalid character in text: %q", p.src[p.next])
+		case r == '"':
+			p.advance(r, size)
+			return content.String(), nil
 		}
-		if r == '\\' {
-			c, size := p.peek()
-			if r = escapes[c]; r == 0 {
-				return "", p.fail(at, `\%c is no escape; \" \\ \n \t are`, c)
-			}
-			p.advance(c, size)
+		r, err := p.textCharacter()
+		if err != nil {
+			return "", err
 		}
-		if b.WriteRune(r); b.Len() > MaxText {
-			return "", p.fail(start, "text of more than %d bytes", MaxText)
+		content.WriteRune(r)
+		if content.Len() > MaxText {
+			return "", p.fail(start, "found text of more than %d bytes", MaxText)
 		}
 	}
 }
+
+// textCharacter parses one character of a text, or one escape.
+func (p *parser) textCharacter() (rune, error) {
+	start := p.at
+	r, size := p.peek()
+	p.advance(r, size)
+	if r != '\\' {
+		return r, nil
+	}
+	escape, size := p.peek()
+	denoted, known := escapes[escape]
+	if !known {
+		return 0, p.fail(start, `unknown escape \%c, wanted one of \" \\ \n \t`, escape)
+	}
+	p.advance(escape, size)
+	return denoted, nil
+}
--- a/internal/sexpr/rename_test.go
+++ b/internal/sexpr/rename_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func TestFormerNamesAreUpdatedByTheFormAround(t *testing.T) {
+// TestFormerNamesDependOnEnclosingForm checks that a name is replaced only within the form in which it is a former
+// name.
+func TestFormerNamesDependOnEnclosingForm(t *testing.T) {
 	names := FormerNames{
 		"":               {"ladder": "degradation"},
 		"degradation":    {"every": "change-interval"},
@@ -19,7 +21,7 @@
 		warnings []string
 	}{
 		{
-			name:   "a name of today",
+			name:   "current name",
 			source: "(degradation d (change-interval 1s))",
 			want:   "(degradation d (change-interval 1s))",
 		},
