--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-// command has the fields of all commands; each has some of them.
+// command is the union of the fields of all commands. Each command has some of them.
 type command struct {
 	Instance     int      `json:"i"`
 	ID           string   `json:"req,omitempty"`
@@ -24,15 +24,15 @@
 	Message      string   `json:"message,omitempty"`
 }
 
-// millis converts a time to the wire's milliseconds.
-func millis(t monotime.Micros) float64 { return float64(t) / 1000 }
+// milliseconds converts a time to the unit of the wire.
+func milliseconds(t monotime.Micros) float64 { return float64(t) / float64(monotime.Millisecond) }
 
-// writeLine encodes a message: an object with its name and fields.
+// writeLine encodes a message as an object whose only key is the message's name.
 func writeLine(w io.Writer, name string, body any) error {
 	return json.NewEncoder(w).Encode(map[string]any{name: body})
 }
 
-// WriteAction encodes one action of an instance as a line.
+// WriteAction encodes one action of an instance as a line. The error is an *UnknownActionError or that of the writer.
 func WriteAction(w io.Writer, instance int, action admission.Action) error {
 	switch a := action.(type) {
 	case admission.Start:
@@ -40,15 +40,20 @@
 	case admission.Stop:
 		return writeLine(w, "Halt", command{Instance: instance, ID: a.ID})
 	case admission.Throttle:
-		return writeLine(w, "Decline", command{Instance: instance, ID: a.ID, RetryAfterMs: millis(a.RetryAfter), DontRetry: a.DontRetry})
+		return writeLine(w, "Decline", command{
+			Instance:     instance,
+			ID:           a.ID,
+			RetryAfterMs: milliseconds(a.RetryAfter),
+			DontRetry:    a.DontRetry,
+		})
 	case admission.Fail:
 		return writeLine(w, "EndFailed", command{Instance: instance, ID: a.ID})
 	case admission.Call:
-		return writeLine(w, "CallDep", command{Instance: instance, ID: a.ID, TimeoutMs: millis(a.Timeout)})
+		return writeLine(w, "CallDep", command{Instance: instance, ID: a.ID, TimeoutMs: milliseconds(a.Timeout)})
 	case admission.SkipCall:
 		return writeLine(w, "Bypass", command{Instance: instance, ID: a.ID})
 	case admission.Remember:
-		return writeLine(w, "Keep", command{Instance: instance, ID: a.ID, ForMs: millis(a.For)})
+		return writeLine(w, "Keep", command{Instance: instance, ID: a.ID, ForMs: milliseconds(a.For)})
 	case admission.Forget:
 		return writeLine(w, "Forget", command{Instance: instance, ID: a.ID})
 	case admission.Reuse:
@@ -58,9 +63,9 @@
 	case admission.Advertise:
 		return writeLine(w, "Stamp", command{Instance: instance, Value: &a.Value})
 	case admission.CloseIdle:
-		return writeLine(w, "Idle", command{Instance: instance, ForMs: millis(a.After)})
+		return writeLine(w, "Idle", command{Instance: instance, ForMs: milliseconds(a.After)})
 	case admission.Wake:
-		at := millis(a.At)
+		at := milliseconds(a.At)
 		return writeLine(w, "After", command{Instance: instance, AtMs: &at, Token: &a.Token})
 	case admission.Log:
 		return writeLine(w, "WriteLog", command{Instance: instance, Message: a.Text})
@@ -68,12 +73,12 @@
 	return &UnknownActionError{Action: action}
 }
 
-// WriteFault encodes that the decision code of an instance has panicked.
+// WriteFault encodes a panic of an instance's decision code as a line.
 func WriteFault(w io.Writer, instance int, message string) error {
 	return writeLine(w, "BailOut", command{Instance: instance, Message: message})
 }
 
-// WriteYield encodes the end of the reply to a batch.
+// WriteYield encodes the end of the reply to a batch as a line.
 func WriteYield(w io.Writer, round int64) error {
 	return writeLine(w, "Yield", map[string]int64{"round": round})
 }
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -7,16 +7,20 @@
 	"milletbarrow/admission"
 )
 
-// Causes of a MessageError that have no details.
+// Causes of a MessageError without details.
 var (
+	// ErrUnknownMessage reports a message whose name the protocol does not define.
 	ErrUnknownMessage = errors.New("unknown message")
-	ErrNotObject      = errors.New("the fields are not an object")
+	// ErrNotObject reports a message whose fields are not a JSON object.
+	ErrNotObject = errors.New("the fields are not an object")
 )
 
-// MessageError says what is wrong with a message.
+// MessageError reports an invalid message.
 type MessageError struct {
-	Message string // its name on the wire
-	Err     error
+	// Message is the name of the message on the wire.
+	Message string
+	// Err is the cause.
+	Err error
 }
 
 func (e *MessageError) Error() string { return e.Message + ": " + e.Err.Error() }
@@ -24,7 +28,7 @@
 // Unwrap returns the cause.
 func (e *MessageError) Unwrap() error { return e.Err }
 
-// SyntaxError says that a line is not a JSON object.
+// SyntaxError reports a line that is not a JSON object.
 type SyntaxError struct{ Err error }
 
 func (e *SyntaxError) Error() string { return "not a JSON object: " + e.Err.Error() }
@@ -32,24 +36,25 @@
 // Unwrap returns the JSON decoder's error.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// NameCountError says that a line has no name or several instead of one.
+// NameCountError reports an object without exactly one key, which is the name of the message.
 type NameCountError struct{ Names int }
 
 func (e *NameCountError) Error() string {
 	return fmt.Sprintf("a message has one name, this has %d", e.Names)
 }
 
-// MissingFieldError names a field, or alternatives, that a message needs.
+// MissingFieldError reports a required field that is missing from a message. If several fields are required together,
+// Field names all of them.
 type MissingFieldError struct{ Field string }
 
 func (e *MissingFieldError) Error() string { return e.Field + " is missing" }
 
-// UnknownOutcomeError names a state_code that the protocol does not have.
+// UnknownOutcomeError reports a state_code that the protocol does not define.
 type UnknownOutcomeError struct{ Code string }
 
 func (e *UnknownOutcomeError) Error() string { return fmt.Sprintf("unknown state_code %q", e.Code) }
 
-// UnknownActionError names an action that has no line on the wire.
+// UnknownActionError reports an action that has no message on the wire.
 type UnknownActionError struct{ Action admission.Action }
 
 func (e *UnknownActionError) Error() string { return fmt.Sprintf("no line for action %T", e.Action) }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -1,5 +1,5 @@
-// Package simwire is the simulator's wire, in its willow-5ce1 dialect: it decodes lines into events of the decision
-// module and encodes the module's actions as lines. It decides nothing.
+// Package simwire implements the willow-5ce1 dialect of the simulator's protocol. It decodes lines into events of the
+// decision module and encodes the module's actions as lines. It makes no decisions.
 package simwire
 
 import (
@@ -11,32 +11,54 @@
 	"milletbarrow/monotime"
 )
 
+// Names of the messages on the wire.
+const (
+	messageSync         = "Sync"
+	messageCommit       = "Commit"
+	messageOpened       = "OpenInstance"
+	messageDetached     = "Detach"
+	messageDrainNotice  = "Sigterm"
+	messageTimer        = "Alarm"
+	messageArrived      = "Req"
+	messageFinished     = "Done"
+	messageCallerGone   = "TimedOutClient"
+	messageNeedsCall    = "WantsCall"
+	messageCallReturned = "Returned"
+)
+
 // InstanceOpened is the event that starts an instance.
 type InstanceOpened struct {
+	// Seed initializes the random numbers of the decision module.
 	Seed   uint64
 	Config admission.Config
-	Gauges []string // names, in the order of GaugeReading.Values
+	// Gauges are the names of the gauges, in the order of GaugeReading.Values.
+	Gauges []string
 }
 
-// InstanceDetached is the event that ends an instance without warning.
+// InstanceDetached is the event that ends an instance without a drain notice.
 type InstanceDetached struct{}
 
-// GaugeReading is a timer with raw gauge values, whose names InstanceOpened has given.
+// GaugeReading is the event of a timer that has fired, with the values of the gauges named by InstanceOpened.
 type GaugeReading struct {
 	Token  int64
 	Values []float64
 }
 
-// Message is one line of input: the clock line, an event, or the end of a batch.
+// Message is one line of input: the start of a batch (Sync), an event or the end of a batch (Commit).
 type Message struct {
-	Name     string          // as on the wire
-	At       monotime.Micros // of a Sync: the time of the events that follow
-	Round    int64           // of a Sync: the number of the batch
+	// Name is the name on the wire.
+	Name string
+	// At is the time of the events that follow a Sync; zero for other messages.
+	At monotime.Micros
+	// Round is the number of the batch that a Sync begins; zero for other messages.
+	Round int64
+	// Instance is the number of the instance that an event concerns; zero for Sync and Commit.
 	Instance int
-	Event    any // an admission.Event, InstanceOpened, InstanceDetached or GaugeReading; nil for Sync and Commit
+	// Event is an admission.Event, InstanceOpened, InstanceDetached or GaugeReading; nil for Sync and Commit.
+	Event any
 }
 
-// fields are those of all messages; each has some of them.
+// fields is the union of the fields of all messages. Each message has some of them.
 type fields struct {
 	Instance       *int             `json:"i"`
 	AtMs           *float64         `json:"at_time_ms"`
@@ -53,31 +75,36 @@
 	Operation      *int             `json:"service"`
 	TimeLeftMs     float64          `json:"time_budget_ms"`
 	RepeatOf       optionalString   `json:"earlier"`
-	Outcome        string           `json:"state_code"`
+	StateCode      string           `json:"state_code"`
 	DurationMs     float64          `json:"duration_ms"`
 	Token          *int64           `json:"token"`
 	Gauges         *[]float64       `json:"feedback"`
 }
 
-// optionalString is a string that may also come as null or as the number 0, meaning none.
+// optionalString is a string. On the wire, null or the number 0 stand for the empty string.
 type optionalString string
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (t *optionalString) UnmarshalJSON(raw []byte) error {
+func (s *optionalString) UnmarshalJSON(raw []byte) error {
 	if string(raw) == "null" || string(raw) == "0" {
 		return nil
 	}
-	return json.Unmarshal(raw, (*string)(t))
+	return json.Unmarshal(raw, (*string)(s))
 }
 
-// outcomes are by state_code.
+// outcomes maps each state_code to its outcome.
 var outcomes = map[string]admission.Outcome{
-	"Ok": admission.OK, "Failed": admission.Errored, "QueueFull": admission.QueueFull, "TimedOut": admission.TimedOut,
-	"ConnectError": admission.Unreachable, "ResetByPeer": admission.Reset, "Canceled": admission.Canceled,
-	"Ignored": admission.NeverRan,
+	"Ok":           admission.OK,
+	"Failed":       admission.Errored,
+	"QueueFull":    admission.QueueFull,
+	"TimedOut":     admission.TimedOut,
+	"ConnectError": admission.Unreachable,
+	"ResetByPeer":  admission.Reset,
+	"Canceled":     admission.Canceled,
+	"Ignored":      admission.NeverRan,
 }
 
-// Read decodes one line. An error names the message, where it has a name, and the field.
+// Read decodes one line. The error is a *SyntaxError, a *NameCountError or a *MessageError.
 func Read(line []byte) (Message, error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(line, &object); err != nil {
@@ -89,32 +116,28 @@
 	var msg Message
 	var body json.RawMessage
 	for name, raw := range object {
-		msg.Name, body = name, raw
+		msg.Name = name
+		body = raw
 	}
-	if b := bytes.TrimSpace(body); len(b) == 0 || b[0] != '{' {
+	if !bytes.HasPrefix(bytes.TrimSpace(body), []byte("{")) {
 		return msg, &MessageError{Message: msg.Name, Err: ErrNotObject}
 	}
 	var f fields
 	if err := json.Unmarshal(body, &f); err != nil {
 		return msg, &MessageError{Message: msg.Name, Err: err}
 	}
-	err := msg.decode(&f)
-	if err != nil {
-		err = &MessageError{Message: msg.Name, Err: err}
+	if err := msg.decode(&f); err != nil {
+		return msg, &MessageError{Message: msg.Name, Err: err}
 	}
-	return msg, err
+	return msg, nil
 }
 
-// decode sets the message's event, or the time of a Sync, from its fields.
+// decode sets the message's event, or the time and number of the batch, from its fields.
 func (msg *Message) decode(f *fields) error {
 	switch msg.Name {
-	case "Sync":
-		if f.AtMs == nil || f.Round == nil {
-			return &MissingFieldError{Field: "at_time_ms or round"}
-		}
-		msg.At, msg.Round = monotime.FromMilliseconds(*f.AtMs), *f.Round
-		return nil
-	case "Commit":
+	case messageSync:
+		return msg.decodeSync(f)
+	case messageCommit:
 		return nil
 	}
 	if f.Instance == nil {
@@ -123,7 +146,7 @@
 	msg.Instance = *f.Instance
 	var err error
 	switch msg.Name {
-	case "OpenInstance", "Detach", "Sigterm", "Alarm":
+	case messageOpened, messageDetached, messageDrainNotice, messageTimer:
 		msg.Event, err = f.instanceEvent(msg.Name)
 	default:
 		msg.Event, err = f.invocationEvent(msg.Name)
@@ -131,61 +154,109 @@
 	return err
 }
 
-// instanceEvent decodes an event of an instance.
+// decodeSync sets the time and number of the batch.
+func (msg *Message) decodeSync(f *fields) error {
+	if f.AtMs == nil || f.Round == nil {
+		return &MissingFieldError{Field: "at_time_ms or round"}
+	}
+	msg.At = monotime.FromMilliseconds(*f.AtMs)
+	msg.Round = *f.Round
+	return nil
+}
+
+// instanceEvent decodes an event that concerns an instance as a whole.
 func (f *fields) instanceEvent(name string) (any, error) {
 	switch name {
-	case "OpenInstance":
+	case messageOpened:
 		if f.Seed == nil || f.Settings == nil {
 			return nil, &MissingFieldError{Field: "init_seed or settings"}
 		}
 		return InstanceOpened{Seed: *f.Seed, Config: f.Settings.Admission, Gauges: f.Settings.Gauges}, nil
-	case "Detach":
+	case messageDetached:
 		return InstanceDetached{}, nil
-	case "Sigterm":
+	case messageDrainNotice:
 		return admission.DrainNotice{Left: monotime.FromMilliseconds(f.TimeLeftMs)}, nil
+	case messageTimer:
+		if f.Token == nil || f.Gauges == nil {
+			return nil, &MissingFieldError{Field: "token or feedback"}
+		}
+		return GaugeReading{Token: *f.Token, Values: *f.Gauges}, nil
 	}
-	if f.Token == nil || f.Gauges == nil {
-		return nil, &MissingFieldError{Field: "token or feedback"}
-	}
-	return GaugeReading{Token: *f.Token, Values: *f.Gauges}, nil
+	return nil, ErrUnknownMessage
 }
 
-// invocationEvent decodes what happens to an invocation.
-func (f *fields) invocationEvent(name string) (event admission.Event, err error) {
-	outcome, known := outcomes[f.Outcome]
+// invocationEvent decodes an event that concerns one invocation.
+func (f *fields) invocationEvent(name string) (admission.Event, error) {
+	var decode func() (admission.Event, error)
 	switch name {
-	case "Req":
+	case messageArrived:
 		if f.Operation == nil {
 			return nil, &MissingFieldError{Field: "service"}
 		}
-		event = admission.Arrived{
-			ID: f.ID, Operation: *f.Operation, Tenant: f.Tenant, Priority: f.Priority, Retry: f.Retry,
-			ExpectedWork: monotime.FromMilliseconds(f.ExpectedWorkMs), QueueTime: monotime.FromMilliseconds(f.QueueTimeMs),
-			TimeLeft: monotime.FromMilliseconds(f.TimeLeftMs), MemoryKB: f.MemoryKB, RepeatOf: string(f.RepeatOf),
-		}
-	case "Done":
-		event = admission.Finished{ID: f.ID, Outcome: outcome, Took: monotime.FromMilliseconds(f.DurationMs)}
-	case "TimedOutClient":
-		event = admission.CallerGone{ID: f.ID}
-	case "WantsCall":
-		event = admission.NeedsCall{ID: f.ID}
-	case "Returned":
-		event = admission.CallReturned{ID: f.ID, Outcome: outcome, Took: monotime.FromMilliseconds(f.DurationMs)}
+		decode = f.arrived
+	case messageFinished:
+		decode = f.finished
+	case messageCallerGone:
+		decode = func() (admission.Event, error) { return admission.CallerGone{ID: f.ID}, nil }
+	case messageNeedsCall:
+		decode = func() (admission.Event, error) { return admission.NeedsCall{ID: f.ID}, nil }
+	case messageCallReturned:
+		decode = f.callReturned
 	default:
 		return nil, ErrUnknownMessage
 	}
 	if f.ID == "" {
 		return nil, &MissingFieldError{Field: "req"}
 	}
-	if (name == "Done" || name == "Returned") && !known {
-		return nil, &UnknownOutcomeError{Code: f.Outcome}
+	return decode()
+}
+
+// arrived decodes the arrival of an invocation, whose operation is set.
+func (f *fields) arrived() (admission.Event, error) {
+	return admission.Arrived{
+		ID:           f.ID,
+		Operation:    *f.Operation,
+		Tenant:       f.Tenant,
+		Priority:     f.Priority,
+		Retry:        f.Retry,
+		ExpectedWork: monotime.FromMilliseconds(f.ExpectedWorkMs),
+		QueueTime:    monotime.FromMilliseconds(f.QueueTimeMs),
+		TimeLeft:     monotime.FromMilliseconds(f.TimeLeftMs),
+		MemoryKB:     f.MemoryKB,
+		RepeatOf:     string(f.RepeatOf),
+	}, nil
+}
+
+// finished decodes the end of an invocation.
+func (f *fields) finished() (admission.Event, error) {
+	outcome, err := f.outcome()
+	if err != nil {
+		return nil, err
+	}
+	return admission.Finished{ID: f.ID, Outcome: outcome, Took: monotime.FromMilliseconds(f.DurationMs)}, nil
+}
+
+// callReturned decodes the end of an invocation's call of a dependency.
+func (f *fields) callReturned() (admission.Event, error) {
+	outcome, err := f.outcome()
+	if err != nil {
+		return nil, err
+	}
+	return admission.CallReturned{ID: f.ID, Outcome: outcome, Took: monotime.FromMilliseconds(f.DurationMs)}, nil
+}
+
+// outcome decodes the state_code.
+func (f *fields) outcome() (admission.Outcome, error) {
+	outcome, known := outcomes[f.StateCode]
+	if !known {
+		return outcome, &UnknownOutcomeError{Code: f.StateCode}
 	}
-	return event, nil
+	return outcome, nil
 }
 
-// Reading names the values; a gauge that is not among names is -1.
+// Reading assigns the values to the gauges of these names. A gauge without a name among them has the value -1.
 func (g GaugeReading) Reading(names []string) admission.Reading {
-	r := config.Reading(names, g.Values)
-	r.Token = g.Token
-	return r
+	reading := config.Reading(names, g.Values)
+	reading.Token = g.Token
+	return reading
 }
