--- a/internal/simwire/message_test.go
+++ b/internal/simwire/message_test.go
@@ -6,9 +6,13 @@
 
 	"milletbarrow/admission"
 	"milletbarrow/internal/fakes"
+	"milletbarrow/monotime"
 )
 
-// FuzzRead: whatever a line holds, it is an error or a message with what its name calls for.
+// maxObjective is the greatest latency objective that a line can state.
+const maxObjective monotime.Micros = 1e15
+
+// FuzzRead checks that every line is an error or a message with the event that its name requires.
 func FuzzRead(f *testing.F) {
 	f.Add(`{"Sync":{"at_time_ms":8412.25,"round":12}}`)
 	f.Add(`{"Req":{"i":3,"req":"b96f57e15d3a91c4","hint_ms":12.0,"service":0,"waited_ms":1.85,"kb":24.5,"earlier":0}}`)
@@ -19,16 +23,17 @@
 		if err != nil || msg.Name == "Sync" || msg.Name == "Commit" {
 			return
 		}
-		switch e := msg.Event.(type) {
+		switch event := msg.Event.(type) {
 		case nil:
-			t.Fatalf("%q is read as %s with no event", line, msg.Name)
+			t.Fatalf("%q decodes to %s without an event", line, msg.Name)
 		case admission.Arrived:
-			if e.ID == "" {
-				t.Fatalf("%q has no id", line)
+			if event.ID == "" {
+				t.Fatalf("%q decodes to an arrival without an id", line)
 			}
 		case InstanceOpened:
-			if len(e.Config.Operations) != 0 && e.Config.Operations[0].Objective > 1e15 {
-				t.Fatalf("%q has a time that overflows", line)
+			operations := event.Config.Operations
+			if len(operations) != 0 && operations[0].Objective > maxObjective {
+				t.Fatalf("%q decodes to a latency objective of %d µs", line, operations[0].Objective)
 			}
 		}
 	})
