--- a/internal/loadgen/attempt.go
+++ b/internal/loadgen/attempt.go
@@ -7,76 +7,105 @@
 
 	"milletbarrow/internal/backend/frame"
 	"milletbarrow/internal/simulation"
+	"milletbarrow/monotime"
 )
 
+// Bounds of the fields of an invocation, as the protocol accepts them.
+const (
+	minCallerTimeout = monotime.Millisecond
+	minMemoryKB      = 0.1
+	maxMemoryKB      = 1999
+	maxPriority      = 0.9999
+)
+
+const decimal = 10 // base of numbers in a body
+
 // sendAttempt sends one attempt. The caller holds s.mu.
 func (s *sender) sendAttempt(req *Request) {
 	now := s.now()
-	b := s.views[req.Node].Choose(now, req)
-	if b < 0 {
+	backend := s.views[req.Node].Choose(now, req)
+	if backend == noBackend {
 		s.retryOrEnd(req, Response{Outcome: simulation.Unreachable})
 		return
 	}
-	retry := req.Attempts > 0
+	isRetry := req.Attempts > 0
 	req.Attempts++
-	req.LastBackend = b
+	req.LastBackend = backend
 	s.report.Attempts++
 	s.attempts++
+	s.connection(req.Node, backend).send(req, s.invocation(req, now, isRetry))
+}
+
+// invocation returns the frame of the latest attempt of a request. The caller holds s.mu.
+func (s *sender) invocation(req *Request, now monotime.Micros, isRetry bool) *frame.OutgoingInvocation {
 	op := &s.scenario.Operations[req.Operation]
 	invocation := &frame.OutgoingInvocation{
-		Operation: op.Name, ID: fmt.Sprintf("%016x", s.idBase+s.attempts), ArrivedAt: time.Now().UnixMilli(), CallerTimeout: max(1000, req.Due-now), Retry: retry, ExpectedWork: req.Hint,
-		MemoryKB: max(0.1, min(s.scenario.Hosts.RequestKB, 1999)), Priority: min(op.Priority, 0.9999), Body: strconv.AppendInt([]byte("work="), int64(req.Work), 10),
+		Operation:     op.Name,
+		ID:            fmt.Sprintf("%016x", s.idBase+s.attempts),
+		ArrivedAt:     time.Now().UnixMilli(),
+		CallerTimeout: max(minCallerTimeout, req.Due-now),
+		Retry:         isRetry,
+		ExpectedWork:  req.Hint,
+		MemoryKB:      max(minMemoryKB, min(s.scenario.Hosts.RequestKB, maxMemoryKB)),
+		Priority:      min(op.Priority, maxPriority),
+		Body:          strconv.AppendInt([]byte("work="), int64(req.Work), decimal),
 	}
 	if len(s.scenario.Tenants) > 0 {
 		invocation.Tenant = s.scenario.Tenants[req.Tenant].Name
 	}
-	c := s.connections[connectionKey{req.Node, b}]
-	if c == nil {
-		c = &connection{sender: s, node: req.Node, backend: b, unanswered: map[uint32]*sentAttempt{}}
-		s.connections[connectionKey{req.Node, b}] = c
-		go c.dial(s.options.Backends[b])
+	return invocation
+}
+
+// connection returns the open connection of a node to a backend, and opens one if there is none. The caller holds s.mu.
+func (s *sender) connection(node, backend int) *connection {
+	key := connectionKey{node: node, backend: backend}
+	if c := s.connections[key]; c != nil {
+		return c
 	}
-	c.send(req, invocation)
+	c := &connection{sender: s, key: key, unanswered: map[uint32]*sentAttempt{}}
+	s.connections[key] = c
+	go c.dial(s.options.Backends[backend])
+	return c
 }
 
-// handleResponse handles the end of an attempt. The caller holds s.mu.
-func (s *sender) handleResponse(req *Request, node, backend int, response Response) {
+// handleResponse records the outcome of an attempt of a node at a backend. The caller holds s.mu.
+func (s *sender) handleResponse(req *Request, from connectionKey, response Response) {
 	if req.Finished {
 		return
 	}
 	now := s.now()
 	if response.Outcome == simulation.Succeeded {
-		took := now - req.At
-		req.Finished = true
-		s.report.RecordOutcome(s.scenario, now, req.Operation, req.Tenant, simulation.Succeeded, took, EarnedValue(&s.scenario.Operations[req.Operation], took))
-		s.inFlight--
-		s.closeIfDone()
+		latency := now - req.At
+		value := EarnedValue(&s.scenario.Operations[req.Operation], latency)
+		s.finishRequest(req, now, simulation.Succeeded, latency, value)
 		return
 	}
-	s.views[node].RecordResponse(now, backend, response, s.ignoresAdvice[node])
+	s.views[from.node].RecordResponse(now, from.backend, response, s.ignoresAdvice[from.node])
 	s.retryOrEnd(req, response)
 }
 
-// retryOrEnd retries or ends a request after an attempt without success. The caller holds s.mu.
+// retryOrEnd retries or ends a request after a failed attempt. The caller holds s.mu.
 func (s *sender) retryOrEnd(req *Request, response Response) {
 	backoff, retry := Next(s.scenario, s.now(), req, response, s.ignoresAdvice[req.Node], s.rand)
 	if !retry {
 		s.endRequest(req, response.Outcome)
 		return
 	}
-	time.AfterFunc(time.Duration(backoff)*time.Microsecond, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if !req.Finished {
-			s.sendAttempt(req)
-		}
-	})
+	s.after(backoff, req, func() { s.sendAttempt(req) })
 }
 
 // endRequest ends a request without success. The caller holds s.mu.
-func (s *sender) endRequest(req *Request, out simulation.Outcome) {
+func (s *sender) endRequest(req *Request, outcome simulation.Outcome) {
+	now := s.now()
+	s.finishRequest(req, now, outcome, now-req.At, 0)
+}
+
+// finishRequest records the outcome of a request. The caller holds s.mu.
+func (s *sender) finishRequest(
+	req *Request, now monotime.Micros, outcome simulation.Outcome, latency monotime.Micros, value float64,
+) {
 	req.Finished = true
-	s.report.RecordOutcome(s.scenario, s.now(), req.Operation, req.Tenant, out, s.now()-req.At, 0)
+	s.report.RecordOutcome(s.scenario, now, req.Operation, req.Tenant, outcome, latency, value)
 	s.inFlight--
 	s.closeIfDone()
 }
--- a/internal/loadgen/connection.go
+++ b/internal/loadgen/connection.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"net"
 	"time"
 
@@ -9,28 +10,37 @@
 	"milletbarrow/internal/simulation"
 )
 
-// connection is one connection of one node to one backend. The sender's mutex guards it, but for the socket.
+const (
+	dialTimeout       = time.Second
+	maxFrameBytes     = 256 << 10
+	initialReadBuffer = 16 << 10 // bytes; doubled for a longer frame
+)
+
+// connection is one connection of one node to one backend. The sender's mutex guards it, except for reads and writes of
+// the socket. Its invariants:
+//   - at most one goroutine writes to the socket, and writing is set meanwhile (the race detector);
+//   - a connection that failed gets no further attempt (TestReportCountsWrongAnswers).
 type connection struct {
-	sender        *sender
-	node, backend int
-	conn          net.Conn
-	unanswered    map[uint32]*sentAttempt
-	lastStream    uint32
-	pending       []byte
-	writing       bool
-	closed        bool
-	goingAway     bool
-}
-
-// sentAttempt is an attempt that was sent, under its id.
+	sender     *sender
+	key        connectionKey
+	conn       net.Conn                // nil until dial succeeded
+	unanswered map[uint32]*sentAttempt // by stream
+	lastStream uint32                  // stream of the latest attempt; zero: none
+	pending    []byte                  // frames that no write has taken yet
+	writing    bool                    // a goroutine writes pending
+	closed     bool                    // failed or closed by the sender
+	goingAway  bool                    // the backend sent a go-away frame
+}
+
+// sentAttempt is an attempt that was sent, with its id.
 type sentAttempt struct {
 	request *Request
 	id      string
 }
 
-// dial opens the connection and sends what is pending.
+// dial opens the socket, starts writing pending frames, and reads until the connection ends.
 func (c *connection) dial(address string) {
-	conn, err := net.DialTimeout("tcp", address, time.Second)
+	conn, err := c.sender.dial(address)
 	c.sender.mu.Lock()
 	if err != nil || c.closed {
 		c.fail(simulation.Unreachable)
@@ -50,130 +60,167 @@
 func (c *connection) send(req *Request, invocation *frame.OutgoingInvocation) {
 	c.lastStream++
 	c.unanswered[c.lastStream] = &sentAttempt{request: req, id: invocation.ID}
-	req.OpenAttempts++
 	c.pending = frame.AppendInvocation(c.pending, c.lastStream, invocation)
 	c.flush()
 }
 
-// flush starts writing what is pending, without the mutex meanwhile. The caller holds it.
+// flush starts a goroutine that writes the pending frames, unless one does. The caller holds the sender's mutex.
 func (c *connection) flush() {
 	if c.writing || c.conn == nil || len(c.pending) == 0 {
 		return
 	}
 	c.writing = true
-	go func() {
-		for {
-			c.sender.mu.Lock()
-			out, conn := c.pending, c.conn
-			c.pending = nil
-			if len(out) == 0 || c.closed {
-				c.writing = false
-				c.sender.mu.Unlock()
-				return
-			}
-			c.sender.mu.Unlock()
-			if _, err := conn.Write(out); err != nil {
-				_ = conn.Close() // the reader handles the end
-			}
+	go c.write()
+}
+
+// write writes the pending frames until there are none or the connection is closed.
+func (c *connection) write() {
+	for {
+		out := c.takePending()
+		if out == nil {
+			return
+		}
+		if _, err := c.conn.Write(out); err != nil {
+			_ = c.conn.Close() // the reader handles the end
 		}
-	}()
+	}
+}
+
+// takePending returns the frames to write next; nil ends the writing.
+func (c *connection) takePending() []byte {
+	c.sender.mu.Lock()
+	defer c.sender.mu.Unlock()
+	out := c.pending
+	c.pending = nil
+	if len(out) == 0 || c.closed {
+		c.writing = false
+		return nil
+	}
+	return out
 }
 
 // read handles frames until the connection ends.
 func (c *connection) read(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	const most = 262_144
-	buffer, have := make([]byte, 16<<10), 0
+	buffer, filled := make([]byte, initialReadBuffer), 0
 	for {
-		n, err := conn.Read(buffer[have:])
-		have += n
-		c.sender.mu.Lock()
-		used := 0
-		for {
-			h, payload, took, bad := frame.SplitFrame(buffer[used:have], most)
-			if bad != nil {
-				err = bad
-			}
-			if took == 0 {
-				break
-			}
-			used += took
-			if bad := c.handleFrame(h, payload); bad != nil {
-				err = bad
-			}
+		n, readErr := conn.Read(buffer[filled:])
+		filled += n
+		used, ended := c.handleInput(buffer[:filled], readErr)
+		if ended {
+			return
 		}
-		have = copy(buffer, buffer[used:have])
-		if have == len(buffer) {
+		filled = copy(buffer, buffer[used:filled])
+		if filled == len(buffer) {
 			buffer = append(buffer, make([]byte, len(buffer))...)
 		}
-		if err != nil || c.goingAway && c.allAnswered() {
-			c.fail(simulation.Reset)
-			c.sender.mu.Unlock()
-			return
+	}
+}
+
+// handleInput handles the complete frames of the input and returns their size. After a read error, an invalid frame or
+// the last answer of a backend that goes away, it fails the connection and reports that it ended.
+func (c *connection) handleInput(input []byte, readErr error) (used int, ended bool) {
+	c.sender.mu.Lock()
+	defer c.sender.mu.Unlock()
+	err := readErr
+	for {
+		header, payload, size, splitErr := frame.SplitFrame(input[used:], maxFrameBytes)
+		if splitErr != nil {
+			err = splitErr
+		}
+		if size == 0 {
+			break
+		}
+		used += size
+		if frameErr := c.handleFrame(header, payload); frameErr != nil {
+			err = frameErr
 		}
-		c.sender.mu.Unlock()
 	}
+	if err != nil || c.goingAway && c.allAnswered() {
+		c.fail(simulation.Reset)
+		return used, true
+	}
+	return used, false
 }
 
-// allAnswered reports whether nothing is unanswered or pending. The caller holds the sender's mutex.
+// allAnswered reports whether no unfinished request awaits an answer and no frame is pending. The caller holds the
+// sender's mutex.
 func (c *connection) allAnswered() bool {
-	for _, x := range c.unanswered {
-		if !x.request.Finished {
+	for _, attempt := range c.unanswered {
+		if !attempt.request.Finished {
 			return false
 		}
 	}
 	return len(c.pending) == 0
 }
 
-// handleFrame handles one frame. The caller holds the sender's mutex.
-func (c *connection) handleFrame(h frame.Header, payload []byte) error {
-	switch h.Kind {
+// handleFrame handles one frame; other kinds than answer and go-away are ignored. The caller holds the sender's mutex.
+func (c *connection) handleFrame(header frame.Header, payload []byte) error {
+	switch header.Kind {
 	case frame.KindGoAway:
 		c.goingAway = true
-		if c.sender.connections[connectionKey{c.node, c.backend}] == c { // the next attempt opens another connection
-			delete(c.sender.connections, connectionKey{c.node, c.backend})
-		}
+		c.unregister() // the next attempt opens another connection
 	case frame.KindAnswer:
-		ans, err := frame.ReadAnswer(payload)
-		if err != nil {
-			return err
-		}
-		x := c.unanswered[h.Stream]
-		if x == nil {
-			if h.Stream > 0 && h.Stream <= c.lastStream { // a second answer
-				c.sender.report.DuplicateAnswers++
-			}
-			return nil
-		}
-		delete(c.unanswered, h.Stream)
-		x.request.OpenAttempts--
-		heard := Response{Outcome: simulation.Errored, RetryAfter: ans.RetryAfter, DontRetry: ans.DontRetry}
-		switch ans.Code {
-		case frame.Succeeded:
-			heard.Outcome = simulation.Succeeded
-			if !bytes.Equal(ans.Body, []byte("result of "+x.id)) {
-				c.sender.report.UnknownResults++
-			}
-		case frame.Throttled:
-			heard.Outcome = simulation.Throttled
+		return c.handleAnswer(header.Stream, payload)
+	default:
+	}
+	return nil
+}
+
+// handleAnswer records the answer to the attempt of a stream. The caller holds the sender's mutex.
+func (c *connection) handleAnswer(stream uint32, payload []byte) error {
+	answer, err := frame.ReadAnswer(payload)
+	if err != nil {
+		return fmt.Errorf("answer of stream %d: %w", stream, err)
+	}
+	attempt := c.unanswered[stream]
+	if attempt == nil {
+		if stream > 0 && stream <= c.lastStream {
+			c.sender.report.DuplicateAnswers++
 		}
-		c.sender.handleResponse(x.request, c.node, c.backend, heard)
+		return nil
+	}
+	delete(c.unanswered, stream)
+	response := Response{
+		Outcome:    outcomeOf(answer.Code),
+		RetryAfter: answer.RetryAfter,
+		DontRetry:  answer.DontRetry,
+	}
+	if response.Outcome == simulation.Succeeded && !bytes.Equal(answer.Body, []byte("result of "+attempt.id)) {
+		c.sender.report.UnknownResults++
 	}
+	c.sender.handleResponse(attempt.request, c.key, response)
 	return nil
 }
 
-// fail ends the connection; unanswered attempts end with the outcome. The caller holds the sender's mutex.
-func (c *connection) fail(out simulation.Outcome) {
+// outcomeOf returns the outcome of an attempt that was answered with the code.
+func outcomeOf(code frame.Code) simulation.Outcome {
+	switch code {
+	case frame.Succeeded:
+		return simulation.Succeeded
+	case frame.Throttled:
+		return simulation.Throttled
+	default:
+		return simulation.Errored
+	}
+}
+
+// unregister removes the connection from those that take new attempts. The caller holds the sender's mutex.
+func (c *connection) unregister() {
+	if c.sender.connections[c.key] == c {
+		delete(c.sender.connections, c.key)
+	}
+}
+
+// fail closes the connection; unanswered attempts end with the outcome. The caller holds the sender's mutex.
+func (c *connection) fail(outcome simulation.Outcome) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	if c.sender.connections[connectionKey{c.node, c.backend}] == c {
-		delete(c.sender.connections, connectionKey{c.node, c.backend})
-	}
-	for _, x := range c.unanswered {
-		x.request.OpenAttempts--
-		c.sender.handleResponse(x.request, c.node, c.backend, Response{Outcome: out})
+	c.unregister()
+	for _, attempt := range c.unanswered {
+		c.sender.handleResponse(attempt.request, c.key, Response{Outcome: outcome})
 	}
 	clear(c.unanswered)
 }
--- a/internal/loadgen/errors.go
+++ b/internal/loadgen/errors.go
@@ -5,12 +5,14 @@
 	"fmt"
 )
 
-// ErrNoBackend says that a load has no backend to be sent to.
-var ErrNoBackend = errors.New("load: no backend is named")
+// ErrNoBackend reports that Options.Backends is empty.
+var ErrNoBackend = errors.New("load: no backend is given, expected at least one loopback address")
 
-// AddressError names a backend whose address is not on loopback: load is sent to this machine alone.
-type AddressError struct{ Address string }
+// AddressError reports a backend whose address is not on loopback.
+type AddressError struct {
+	Address string // as given
+}
 
 func (e *AddressError) Error() string {
-	return fmt.Sprintf("load: %q is no loopback address: load goes to this machine alone", e.Address)
+	return fmt.Sprintf("load: backend %q is not HOST:PORT with a loopback address", e.Address)
 }
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,3 +1,7 @@
+// Package loadgen sends a scenario's day over sockets to real backends on this machine, in an open loop, with the
+// retries and backoff of the simulation's edge nodes, and records the same figures as the simulation. The decisions of
+// a node are in retry.go, which does no I/O and reads no clock. sender.go keeps the schedule, attempt.go sends attempts
+// and handles their outcomes, and connection.go owns the sockets.
 package loadgen
 
 import (
@@ -12,41 +16,42 @@
 // Options describe one load.
 type Options struct {
 	Scenario   *simulation.Scenario
-	Seed       uint64
-	Backends   []string // loopback addresses
+	Seed       uint64   // of the arrivals and of the backoff
+	Backends   []string // loopback addresses, host:port
 	Bounds     limits.Load
 	OnSnapshot func(Snapshot) // called every second; may be nil
 }
 
 // Snapshot is the state of a load while it runs.
 type Snapshot struct {
-	At          time.Duration
-	Requests    int
-	InFlight    int
-	Value       float64 // billed part of the value offered so far
+	At          time.Duration // since the start of the load, in whole seconds
+	Requests    int           // since the start of the load
+	InFlight    int           // requests without an outcome
+	Value       float64       // billed share of the value offered so far
 	LastSecond  simulation.SecondStats
-	Connections int
-	Lag         time.Duration // how late the sender itself has been at most
-	PerSecond   float64
+	Connections int           // open, or being opened
+	Lag         time.Duration // largest delay of a request behind its scheduled time
+	PerSecond   float64       // requests since the previous snapshot
 }
 
 // Report is the result of a load.
 type Report struct {
 	*simulation.Result
-	DuplicateAnswers int           `json:"doubles"` // second answers to an attempt
-	UnknownResults   int           `json:"strange"` // successes with a result that no run of theirs produced
-	Unsent           int           `json:"unsent"`  // requests beyond Bounds.Open
-	MaxLag           time.Duration `json:"late_ns"` // how late the sender itself was at most
+	DuplicateAnswers int           `json:"doubles"` // further answers to an answered attempt
+	UnknownResults   int           `json:"strange"` // successes with the body of another attempt
+	Unsent           int           `json:"unsent"`  // requests rejected at Bounds.InFlight
+	MaxLag           time.Duration `json:"late_ns"` // largest delay of a request behind its scheduled time
 }
 
 // Run sends the scenario's day to the backends, whose addresses must be on loopback (else the error is an
-// *AddressError). Latency counts from the time at which the day has the request, not from when it was sent, so that a
-// sender or backend that stalls does not hide what waited meanwhile. A load that is interrupted has a report too.
-func Run(ctx context.Context, o Options) (*Report, error) {
-	if err := o.check(); err != nil {
+// *AddressError). Latency counts from a request's scheduled time, not from when it was sent: a stall of the sender or
+// of a backend adds to the latency of each request that waited meanwhile. An interrupted load returns its report so far
+// beside the error of ctx.
+func Run(ctx context.Context, options Options) (*Report, error) {
+	if err := options.check(); err != nil {
 		return nil, err
 	}
-	s := newSender(o)
+	s := newSender(ctx, options)
 	defer s.closeConnections()
 	stop := make(chan struct{})
 	go s.reportProgress(stop)
@@ -55,7 +60,7 @@
 	return s.finishReport(), err
 }
 
-// check returns what makes a load impossible.
+// check returns an error if the scenario is invalid, no backend is given, or an address is not on loopback.
 func (o *Options) check() error {
 	if err := o.Scenario.Check(); err != nil {
 		return err
@@ -63,10 +68,10 @@
 	if len(o.Backends) == 0 {
 		return ErrNoBackend
 	}
-	for _, b := range o.Backends {
-		host, _, err := net.SplitHostPort(b)
+	for _, address := range o.Backends {
+		host, _, err := net.SplitHostPort(address)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-			return &AddressError{Address: b}
+			return &AddressError{Address: address}
 		}
 	}
 	return nil
--- a/internal/loadgen/progress.go
+++ b/internal/loadgen/progress.go
@@ -4,29 +4,43 @@
 	"time"
 )
 
-// reportProgress reports a snapshot each second until stop is closed.
+// snapshotInterval is the time between two snapshots.
+const snapshotInterval = time.Second
+
+// reportProgress passes a snapshot to Options.OnSnapshot once a second until stop is closed.
 func (s *sender) reportProgress(stop chan struct{}) {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	requests := 0
+	ticker := time.NewTicker(snapshotInterval)
+	defer ticker.Stop()
+	previousRequests := 0
 	for {
 		select {
 		case <-stop:
 			return
-		case <-tick.C:
-		}
-		s.mu.Lock()
-		p := Snapshot{
-			At: time.Since(s.startedAt).Round(time.Second), Requests: s.report.Requests, InFlight: s.inFlight, Value: s.report.Value(), Connections: len(s.connections), Lag: s.report.MaxLag,
-			PerSecond: float64(s.report.Requests - requests),
+		case <-ticker.C:
 		}
-		requests = s.report.Requests
-		if n := len(s.report.Seconds); n > 1 {
-			p.LastSecond = s.report.Seconds[n-2]
-		}
-		s.mu.Unlock()
+		snapshot := s.snapshot(previousRequests)
+		previousRequests = snapshot.Requests
 		if s.options.OnSnapshot != nil {
-			s.options.OnSnapshot(p)
+			s.options.OnSnapshot(snapshot)
 		}
 	}
 }
+
+// snapshot returns the present state of the load; previousRequests is the Requests of the previous snapshot.
+func (s *sender) snapshot(previousRequests int) Snapshot {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	snapshot := Snapshot{
+		At:          time.Since(s.startedAt).Round(time.Second),
+		Requests:    s.report.Requests,
+		InFlight:    s.inFlight,
+		Value:       s.report.Value(),
+		Connections: len(s.connections),
+		Lag:         s.report.MaxLag,
+		PerSecond:   float64(s.report.Requests - previousRequests),
+	}
+	if seconds := s.report.Seconds; len(seconds) > 1 {
+		snapshot.LastSecond = seconds[len(seconds)-2] // the last one is incomplete
+	}
+	return snapshot
+}
--- a/internal/loadgen/retry.go
+++ b/internal/loadgen/retry.go
@@ -1,6 +1,3 @@
-// Package loadgen sends a scenario's day over sockets, open loop, to real backends on this machine, with the attempts and
-// backoff of the simulation's edge nodes, and records the same figures. What a node does next is decided in retry.go,
-// which does no I/O and reads no clock; sender.go and connection.go send.
 package loadgen
 
 import (
@@ -12,25 +9,37 @@
 	"milletbarrow/monotime"
 )
 
+// noBackend stands for the index of a backend where there is none.
+const noBackend = -1
+
+// unreachableBackoff is how long a node avoids a backend whose connection failed.
+const unreachableBackoff = simulation.Second / 4
+
+// Bounds of the backoff before a retry.
+const (
+	minBackoff          = monotime.Millisecond
+	maxBackoffDoublings = 7
+	minJitterFactor     = 0.5 // the factor is drawn from here to one above
+)
+
 // Request is the state of one request at its caller.
 type Request struct {
 	simulation.Arrival
-	Number       int
-	Due          monotime.Micros
-	Attempts     int
-	LastBackend  int // backend of the latest attempt; -1: none
-	OpenAttempts int // unanswered attempts
-	Finished     bool
+	Due         monotime.Micros // end of the client timeout, on the clock of the load
+	Attempts    int             // sent so far
+	LastBackend int             // index of the backend of the latest attempt; noBackend before the first
+	Finished    bool            // the request has an outcome
 }
 
-// BackendView is what one node knows of the backends.
+// BackendView is one node's view of the backends.
 type BackendView struct {
-	AvoidUntil []monotime.Micros // by backend: it gets no attempt before
-	next       int
+	AvoidUntil []monotime.Micros // by index of the backend: it gets no retry before; zero: not avoided
+	next       int               // index of the backend of the latest choice
 }
 
-// Choose returns the backend of an attempt: round robin, without those that asked to be left alone, and without that of
-// the previous attempt while there are others. A first attempt is sent all the same. -1: no backend.
+// Choose returns the index of the backend for an attempt, in round robin. It skips avoided backends and, for a retry
+// with more than one backend, the backend of the previous attempt. If that skips all of them, a first attempt gets the
+// next backend nevertheless, and a retry gets noBackend.
 func (b *BackendView) Choose(now monotime.Micros, req *Request) int {
 	n := len(b.AvoidUntil)
 	for range n {
@@ -40,14 +49,14 @@
 		}
 	}
 	if req.Attempts > 0 {
-		return -1
+		return noBackend
 	}
 	b.next = (b.next + 1) % n
 	return b.next
 }
 
-// RecordResponse takes in a Retry-After, or that a backend could not be reached: it is avoided for as long. A node that
-// ignores advice honours no Retry-After.
+// RecordResponse avoids a backend that throttled for its Retry-After, and one whose connection failed for
+// unreachableBackoff. A node that ignores advice honours no Retry-After.
 func (b *BackendView) RecordResponse(now monotime.Micros, backend int, response Response, ignoresAdvice bool) {
 	switch response.Outcome {
 	case simulation.Throttled:
@@ -56,38 +65,53 @@
 		}
 	case simulation.Unreachable, simulation.Reset:
 		b.AvoidUntil[backend] = now + unreachableBackoff
+	default: // other outcomes tell nothing about the backend's capacity
 	}
 }
 
-// unreachableBackoff is how long a backend is avoided that could not be reached.
-const unreachableBackoff = simulation.Second / 4
-
 // Response is the outcome of an attempt.
 type Response struct {
 	Outcome    simulation.Outcome
-	RetryAfter monotime.Micros
-	DontRetry  bool
+	RetryAfter monotime.Micros // zero: none
+	DontRetry  bool            // the backend advises against a retry
 }
 
-// Next decides after an attempt without success whether the request is retried, and after which pause. A node that
-// ignores advice honours neither "don't retry" nor the growth of the backoff.
-func Next(s *simulation.Scenario, now monotime.Micros, req *Request, response Response, ignoresAdvice bool, random *rand.Rand) (backoff monotime.Micros, retry bool) {
-	op := &s.Operations[req.Operation]
-	ran := response.Outcome != simulation.Throttled && response.Outcome != simulation.Unreachable
-	if ran && op.RetrySafety == admission.NonIdempotent || response.DontRetry && !ignoresAdvice || s.Nodes.MaxAttempts > 0 && req.Attempts >= s.Nodes.MaxAttempts {
+// Next decides after a failed attempt whether the request is retried, and after which backoff. A node that ignores
+// advice honours neither "don't retry" nor the growth of the backoff.
+func Next(
+	scenario *simulation.Scenario,
+	now monotime.Micros,
+	req *Request,
+	response Response,
+	ignoresAdvice bool,
+	random *rand.Rand,
+) (backoff monotime.Micros, retry bool) {
+	if !mayRetry(scenario, req, response, ignoresAdvice) {
 		return 0, false
 	}
-	wait := float64(s.Nodes.Backoff)
+	wait := float64(scenario.Nodes.Backoff)
 	if !ignoresAdvice {
-		wait *= math.Exp2(float64(min(req.Attempts, 8) - 1))
+		wait *= math.Exp2(float64(min(req.Attempts-1, maxBackoffDoublings)))
 	}
-	backoff = max(1000, monotime.Micros(wait*(0.5+random.Float64())))
+	backoff = max(minBackoff, monotime.Micros(wait*(minJitterFactor+random.Float64())))
 	return backoff, now+backoff < req.Due
 }
 
-// EarnedValue returns the value billed for a success after that long.
-func EarnedValue(op *simulation.Operation, took monotime.Micros) float64 {
-	if took > op.Objective {
+// mayRetry reports whether the operation, the backend's advice and the limit on attempts allow a retry.
+func mayRetry(scenario *simulation.Scenario, req *Request, response Response, ignoresAdvice bool) bool {
+	mayHaveRun := response.Outcome != simulation.Throttled && response.Outcome != simulation.Unreachable
+	if mayHaveRun && scenario.Operations[req.Operation].RetrySafety == admission.NonIdempotent {
+		return false
+	}
+	if response.DontRetry && !ignoresAdvice {
+		return false
+	}
+	return scenario.Nodes.MaxAttempts <= 0 || req.Attempts < scenario.Nodes.MaxAttempts
+}
+
+// EarnedValue returns the value billed for a success with the given latency.
+func EarnedValue(op *simulation.Operation, latency monotime.Micros) float64 {
+	if latency > op.Objective {
 		return op.Value * op.LateValue
 	}
 	return op.Value
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"math/rand/v2"
+	"net"
 	"sync"
 	"time"
 
@@ -10,62 +11,89 @@
 	"milletbarrow/monotime"
 )
 
-// sender is the state of one load. mu guards all that changes.
+// backoffStream is the stream of the seed's random generator that draws the backoff.
+const backoffStream = 3
+
+// idSequenceBits is the part of an attempt's id that counts the attempts of one load.
+const idSequenceBits = 24
+
+// sender is the state of one load. Its invariants:
+//   - inFlight is the number of requests that are started and not Finished (TestReportCountsWrongAnswers);
+//   - a request has exactly one outcome in the report (TestReportCountsWrongAnswers);
+//   - connections holds no connection that failed or is going away (TestReportCountsWrongAnswers for the former).
 type sender struct {
 	options       Options
 	scenario      *simulation.Scenario
 	startedAt     time.Time
-	mu            sync.Mutex
-	report        *Report
-	views         []BackendView
-	ignoresAdvice []bool
-	rand          *rand.Rand
-	connections   map[connectionKey]*connection
-	inFlight      int
-	allDone       chan struct{}
-	sentAll       bool
-	idBase        uint64
-	attempts      uint64
+	ignoresAdvice []bool        // by index of the node
+	idBase        uint64        // added to the number of an attempt; keeps ids of successive loads apart
+	allDone       chan struct{} // closed once each request has an outcome
+	dial          func(address string) (net.Conn, error)
+
+	mu          sync.Mutex // guards the fields below, the requests, and the connections except for their sockets
+	report      *Report
+	views       []BackendView // by index of the node
+	rand        *rand.Rand    // draws the backoff
+	connections map[connectionKey]*connection
+	inFlight    int
+	sentAll     bool   // the first attempt of each request was sent
+	attempts    uint64 // sent so far
 }
 
-// connectionKey names the connection of a node to a backend, both by index.
-type connectionKey struct{ node, backend int }
+// connectionKey identifies the connection of a node to a backend, both by index.
+type connectionKey struct {
+	node    int
+	backend int
+}
 
-func newSender(o Options) *sender {
+func newSender(ctx context.Context, options Options) *sender {
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	// An interruption does not cancel dials, as the report would count them as unreachable backends.
+	dialContext := context.WithoutCancel(ctx)
 	s := &sender{
-		options: o, scenario: o.Scenario, report: &Report{Result: simulation.NewResult(o.Scenario, "sockets", o.Seed)}, rand: rand.New(rand.NewPCG(o.Seed, 3)),
-		connections: map[connectionKey]*connection{}, allDone: make(chan struct{}), idBase: uint64(time.Now().UnixNano()) << 24, startedAt: time.Now(),
+		options:     options,
+		scenario:    options.Scenario,
+		startedAt:   time.Now(),
+		idBase:      uint64(time.Now().UnixNano()) << idSequenceBits,
+		allDone:     make(chan struct{}),
+		report:      &Report{Result: simulation.NewResult(options.Scenario, "sockets", options.Seed)},
+		rand:        rand.New(rand.NewPCG(options.Seed, backoffStream)),
+		connections: map[connectionKey]*connection{},
+		dial: func(address string) (net.Conn, error) {
+			return dialer.DialContext(dialContext, "tcp", address)
+		},
 	}
-	nodes := &o.Scenario.Nodes
-	for n := range nodes.Count {
-		s.views = append(s.views, BackendView{AvoidUntil: make([]monotime.Micros, len(o.Backends)), next: n % len(o.Backends)})
-		s.ignoresAdvice = append(s.ignoresAdvice, float64(n) < nodes.UnresponsiveShare*float64(nodes.Count))
+	nodes := &options.Scenario.Nodes
+	backends := len(options.Backends)
+	for node := range nodes.Count {
+		s.views = append(s.views, BackendView{
+			AvoidUntil: make([]monotime.Micros, backends),
+			next:       node % backends,
+		})
+		s.ignoresAdvice = append(s.ignoresAdvice, float64(node) < nodes.UnresponsiveShare*float64(nodes.Count))
 	}
 	return s
 }
 
-// sendDay sends each request at its time and waits until all have ended.
+// sendDay starts each request at its scheduled time and waits until each has an outcome.
 func (s *sender) sendDay(ctx context.Context) error {
 	stream := simulation.NewStream(s.scenario, s.options.Seed)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for n := 1; ; n++ {
-		a, more := stream.Next()
+	for {
+		arrival, more := stream.Next()
 		if !more {
 			break
 		}
-		timer.Reset(time.Until(s.startedAt.Add(time.Duration(a.At) * time.Microsecond)))
+		timer.Reset(time.Until(s.startedAt.Add(arrival.At.Duration())))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		s.startRequest(a, n)
+		s.startRequest(arrival)
 	}
-	s.mu.Lock()
-	s.sentAll = true
-	s.closeIfDone()
-	s.mu.Unlock()
+	s.finishSending()
 	select {
 	case <-s.allDone:
 		return nil
@@ -74,10 +102,18 @@
 	}
 }
 
-// now returns the time of the day.
+// finishSending records that the day has no further request.
+func (s *sender) finishSending() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sentAll = true
+	s.closeIfDone()
+}
+
+// now returns the time since the start of the load.
 func (s *sender) now() monotime.Micros { return monotime.FromDuration(time.Since(s.startedAt)) }
 
-// finishReport completes the report.
+// finishReport completes the report and returns it.
 func (s *sender) finishReport() *Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +121,7 @@
 	return s.report
 }
 
-// closeIfDone closes allDone once all has been sent and answered. The caller holds s.mu.
+// closeIfDone closes allDone once all requests were started and each has an outcome. The caller holds s.mu.
 func (s *sender) closeIfDone() {
 	if s.sentAll && s.inFlight == 0 {
 		select {
@@ -96,31 +132,41 @@
 	}
 }
 
-// startRequest records a request and sends its first attempt.
-func (s *sender) startRequest(arrival simulation.Arrival, number int) {
+// startRequest records a request and sends its first attempt, unless too many are in flight.
+func (s *sender) startRequest(arrival simulation.Arrival) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.report.MaxLag = max(s.report.MaxLag, time.Duration(now-arrival.At)*time.Microsecond)
+	s.report.MaxLag = max(s.report.MaxLag, (now - arrival.At).Duration())
 	s.report.RecordRequest(s.scenario, arrival.At, arrival.Operation, arrival.Tenant)
 	if s.inFlight >= s.options.Bounds.InFlight {
 		s.report.Unsent++
-		s.report.RecordOutcome(s.scenario, now, arrival.Operation, arrival.Tenant, simulation.ThrottledByNode, 0, 0)
+		s.report.RecordOutcome(
+			s.scenario, now, arrival.Operation, arrival.Tenant, simulation.ThrottledByNode, 0, 0)
 		return
 	}
 	s.inFlight++
-	req := &Request{Arrival: arrival, Number: number, Due: arrival.At + s.scenario.Operations[arrival.Operation].Timeout, LastBackend: -1}
-	time.AfterFunc(time.Duration(req.Due-now)*time.Microsecond, func() {
+	req := &Request{
+		Arrival:     arrival,
+		Due:         arrival.At + s.scenario.Operations[arrival.Operation].Timeout,
+		LastBackend: noBackend,
+	}
+	s.after(req.Due-now, req, func() { s.endRequest(req, simulation.TimedOut) })
+	s.sendAttempt(req)
+}
+
+// after calls f with s.mu locked once the delay has passed, unless the request is finished by then.
+func (s *sender) after(delay monotime.Micros, req *Request, f func()) {
+	time.AfterFunc(delay.Duration(), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !req.Finished {
-			s.endRequest(req, simulation.TimedOut)
+			f()
 		}
 	})
-	s.sendAttempt(req)
 }
 
-// closeConnections closes all connections.
+// closeConnections closes the sockets of all connections.
 func (s *sender) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
