--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -11,9 +11,9 @@
 )
 
 var steerUsage = map[string]string{
-	"pause":  "have a wave release nothing more",
-	"resume": "have a paused wave go on, its failures forgiven",
-	"cancel": "end a command: what it began comes to its end, the rest stays as it is",
+	"pause":  "pause a rolling update: no further instance restarts",
+	"resume": "resume a paused rolling update and forget its failures",
+	"cancel": "cancel a command: steps in progress are completed, others are not begun",
 }
 
 func steerCommand(verb string) *cli.Command {
@@ -44,15 +44,20 @@
 		Error   string         `json:"error,omitempty"`
 	}
 	known, refused, away := 0, 0, 0
-	answers, errs := agentapi.FanOut(ctx, client.Bounds, client.Spec.Hosts, func(ctx context.Context, h fleet.HostSpec) (answer, error) {
-		agentClient := client.Caller.Client(h.AgentAddress)
-		defer agentClient.Close()
-		cmd, err := agentClient.Steer(ctx, id, verb, client.Operator)
-		if err != nil {
-			return answer{Host: h.Name, Error: err.Error()}, err
-		}
-		return answer{Host: h.Name, Command: cmd}, nil
-	})
+	answers, errs := agentapi.FanOut(
+		ctx,
+		client.Bounds,
+		client.Spec.Hosts,
+		func(ctx context.Context, h fleet.HostSpec) (answer, error) {
+			agentClient := client.Caller.Client(h.AgentAddress)
+			defer agentClient.Close()
+			cmd, err := agentClient.Steer(ctx, id, verb, client.Operator)
+			if err != nil {
+				return answer{Host: h.Name, Error: err.Error()}, err
+			}
+			return answer{Host: h.Name, Command: cmd}, nil
+		},
+	)
 	rows := [][]string{{"host", "state"}}
 	for i, a := range answers {
 		state := a.Error
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -30,12 +30,23 @@
 func newApp() *cli.Command {
 	return &cli.Command{
 		Name:           "milletbarrow",
-		Usage:          "admission and scheduling for backends behind other people's balancers",
+		Usage:          "admission control and scheduling for backends behind other people's load balancers",
 		DefaultCommand: "serve",
 		Commands: []*cli.Command{
-			serveCommand(), checkCommand(), limitsCommand(), versionCommand(),
-			agentCommand(), supervisorCommand(), beginCommand(), fleetCommand(), degradationCommand(), experimentCommand(), loadCommand(),
-			fakeCommand(), faultsCommand(), demoCommand(),
+			serveCommand(),
+			checkCommand(),
+			limitsCommand(),
+			versionCommand(),
+			agentCommand(),
+			supervisorCommand(),
+			beginCommand(),
+			fleetCommand(),
+			degradationCommand(),
+			experimentCommand(),
+			loadCommand(),
+			fakeCommand(),
+			faultsCommand(),
+			demoCommand(),
 		},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // main ends the process
 	}
