--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,4 +1,4 @@
-// Package jsonhttp makes calls with JSON over HTTP, over Unix sockets or TCP. It does not retry.
+// Package jsonhttp makes HTTP calls with JSON bodies over Unix sockets or TCP. It does not retry.
 package jsonhttp
 
 import (
@@ -14,37 +14,51 @@
 	"milletbarrow/internal/limits"
 )
 
-// StatusError is a response of a status other than 2xx.
+// The limits of one client.
+const (
+	maxConnections     = 4       // open connections
+	maxIdleConnections = 2       // open connections without a call
+	maxErrorBytes      = 4 << 10 // bytes read of the body of a response with an error status
+)
+
+// StatusError reports a response with a status other than 2xx.
 type StatusError struct {
-	Code    int
-	Message string // at most 4 KB
+	// Code is the HTTP status.
+	Code int
+	// Message is the start of the response's body, at most 4 KB, without white space around it.
+	Message string
 }
 
 func (s *StatusError) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Message) }
 
-// Client returns a client of one address: unix:PATH, or a host and a port. Connecting is bounded by b.CallTimeout; a call has no
-// other deadline than that of its context.
-func Client(address string, b limits.Control) *http.Client {
+// Client returns a client of one server, whose address is unix:PATH or HOST:PORT. bounds.CallTimeout limits the time to
+// connect. A call has no deadline other than that of its context.
+func Client(address string, bounds limits.Control) *http.Client {
 	network, target := "tcp", address
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		network, target = "unix", path
 	}
+	dialer := &net.Dialer{Timeout: bounds.CallTimeout}
 	return &http.Client{Transport: &http.Transport{
-		MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: b.IdleTimeout,
+		MaxConnsPerHost:     maxConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
+		IdleConnTimeout:     bounds.IdleTimeout,
+		DisableCompression:  true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return (&net.Dialer{Timeout: b.CallTimeout}).DialContext(ctx, network, target)
+			return dialer.DialContext(ctx, network, target)
 		},
 	}}
 }
 
-// Call makes one call; body and into may be nil. At most maxBytes of the response are read. A response of another status than 2xx
-// is a *StatusError.
+// Call sends one request with body encoded as JSON and decodes the response from JSON to into. If body is nil, the
+// request has no body; if into is nil, the body of the response is ignored. Call reads at most maxBytes of the
+// response. A response with a status other than 2xx is a *StatusError.
 func Call(ctx context.Context, c *http.Client, method, path string, body, into any, maxBytes int64) error {
 	var encoded []byte
 	if body != nil {
 		var err error
 		if encoded, err = json.Marshal(body); err != nil {
-			return err
+			return fmt.Errorf("encode request of %s %s: %w", method, path, err)
 		}
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://local"+path, bytes.NewReader(encoded))
@@ -55,16 +69,22 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
-	if response.StatusCode/100 != 2 {
-		text, _ := io.ReadAll(io.LimitReader(response.Body, 4<<10))
-		return &StatusError{response.StatusCode, string(bytes.TrimSpace(text))}
+	defer func() { _ = response.Body.Close() }()
+	if !isSuccess(response.StatusCode) {
+		// The status is reported also if the body cannot be read to its end.
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+		return &StatusError{Code: response.StatusCode, Message: string(bytes.TrimSpace(text))}
 	}
 	if into == nil {
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxBytes)).Decode(into); err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("decode response of %s %s: %w", method, path, err)
 	}
 	return nil
 }
+
+// isSuccess reports whether a status is 2xx.
+func isSuccess(status int) bool {
+	return status >= http.StatusOK && status < http.StatusMultipleChoices
+}
