--- a/internal/failpoint/disabled.go
+++ b/internal/failpoint/disabled.go
@@ -2,8 +2,8 @@
 
 package failpoint
 
-// Enabled reports whether the named fault is switched on; without the build tag it never is.
+// Enabled reports whether the named fault is enabled. Without the build tag it never is.
 func Enabled(string) bool { return false }
 
-// CrashAt ends this process if it was armed to crash at the named point; without the build tag it never does.
+// CrashAt kills this process if the named crash point is armed. Without the build tag it does nothing.
 func CrashAt(string) {}
--- a/internal/failpoint/disabled_test.go
+++ b/internal/failpoint/disabled_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestDisabled: a program without the tag has no faults, whatever its environment says.
-func TestDisabled(t *testing.T) {
+// TestEnvironmentIsIgnoredWithoutBuildTag checks that neither variable has an effect on a build without the tag.
+func TestEnvironmentIsIgnoredWithoutBuildTag(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv(FaultVariable, NoClockMargin)
 	t.Setenv(CrashDirVariable, dir)
@@ -22,6 +22,6 @@
 		t.Error("a fault is enabled without the build tag")
 	}
 	if _, err := os.Stat(armed); err != nil {
-		t.Errorf("the crash point was used: %v", err)
+		t.Errorf("the file of the crash point was removed: %v", err)
 	}
 }
--- a/internal/failpoint/enabled.go
+++ b/internal/failpoint/enabled.go
@@ -8,17 +8,17 @@
 	"syscall"
 )
 
-// active is the one fault of this process; read once, so that a fault lasts for as long as the process.
+// active is the name of the enabled fault, or empty. It is constant for the life of the process.
 var active = os.Getenv(FaultVariable)
 
-// Enabled reports whether the named fault is switched on.
+// Enabled reports whether the named fault is enabled.
 func Enabled(name string) bool { return active == name }
 
-// CrashAt kills this process if a file of that name lies in the directory of crash points. The file is removed first,
-// so that each file stands for one crash.
+// CrashAt kills this process if the named crash point is armed, that is, if the directory of crash points has a file of
+// that name. CrashAt removes the file before the crash, so that each file causes one crash.
 func CrashAt(name string) {
 	dir := os.Getenv(CrashDirVariable)
 	if dir != "" && os.Remove(filepath.Join(dir, name)) == nil {
-		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // to a process of its own this can't fail
+		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // a process may always signal itself
 	}
 }
--- a/internal/failpoint/enabled_test.go
+++ b/internal/failpoint/enabled_test.go
@@ -11,9 +11,13 @@
 	"testing"
 )
 
-// TestCrashAt has a process of its own die at a point, once for the file that arms it.
-func TestCrashAt(t *testing.T) {
-	if os.Getenv("FAILPOINT_TEST_CHILD") != "" {
+// childVariable is set in the environment of the process that crashes.
+const childVariable = "FAILPOINT_TEST_CHILD"
+
+// TestArmedCrashPointKillsProcessOnce checks that a child process dies by SIGKILL at an armed crash point, and that the
+// crash disarms the point.
+func TestArmedCrashPointKillsProcessOnce(t *testing.T) {
+	if os.Getenv(childVariable) != "" {
 		CrashAt(AfterStored)
 		return
 	}
@@ -22,14 +26,18 @@
 	if err := os.WriteFile(armed, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	child := exec.Command(os.Args[0], "-test.run=TestCrashAt")
-	child.Env = append(os.Environ(), "FAILPOINT_TEST_CHILD=1", CrashDirVariable+"="+dir)
+	child := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^"+t.Name()+"$")
+	child.Env = append(os.Environ(), childVariable+"=1", CrashDirVariable+"="+dir)
 	err := child.Run()
 	exit, ok := errors.AsType[*exec.ExitError](err)
-	if !ok || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-		t.Fatalf("the process ended with %v, wanted SIGKILL", err)
+	if !ok {
+		t.Fatalf("the child ended with %v, want SIGKILL", err)
+	}
+	status, ok := exit.Sys().(syscall.WaitStatus)
+	if !ok || status.Signal() != syscall.SIGKILL {
+		t.Fatalf("the child ended with %v, want SIGKILL", err)
 	}
 	if _, err := os.Stat(armed); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the point is armed still: %v", err)
+		t.Errorf("the crash point is still armed: %v", err)
 	}
 }
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -1,22 +1,25 @@
-// Package failpoint switches on faults of the program itself, which fault injection must find. A program that is built
-// without the tag "failpoint" has none: Enabled is then a constant, and the compiler drops what depends on it.
+// Package failpoint enables deliberate faults and crashes of the program, which fault injection has to detect. They
+// exist only in a build with the tag "failpoint". Without the tag, Enabled always returns false, and the compiler
+// removes the code that depends on it.
 //
-// The environment is read here alone, so that packages that decide without I/O can have failpoints too.
+// Only this package reads the variables of failpoints, so that packages without I/O can have failpoints.
 package failpoint
 
-// Environment variables of a program that is built with the tag.
+// Environment variables that a build with the tag reads.
 const (
-	FaultVariable    = "MILLETBARROW_FAILPOINT"    // the fault that is switched on, one of the names below
-	CrashDirVariable = "MILLETBARROW_CRASH_POINTS" // the directory in which files name the points to crash at
+	// FaultVariable holds the name of the enabled fault, one of the faults below.
+	FaultVariable = "MILLETBARROW_FAILPOINT"
+	// CrashDirVariable holds the directory of armed crash points. A file that is named after a crash point arms it.
+	CrashDirVariable = "MILLETBARROW_CRASH_POINTS"
 )
 
-// Faults. See docs/quota-design.md for what finds each of them.
+// Faults. docs/quota-design.md lists how fault injection detects each of them.
 const (
-	NoClockMargin      = "margin" // a lease is over without its margin for clocks that run apart
-	EarlyExpiry        = "early"  // a lease is over after half of its time
-	ForgetGrants       = "forget" // a new leader takes the grants of earlier ones for expired
-	FloorsCountedTwice = "floors" // floors are not set aside from what is divided
-	IgnoreEpoch        = "epoch"  // a lease response counts whichever request and epoch it belongs to
+	NoClockMargin      = "margin" // a lease expires without the margin for clock drift
+	EarlyExpiry        = "early"  // a lease expires after half of its time
+	ForgetGrants       = "forget" // a new leader treats the grants of earlier leaders as expired
+	FloorsCountedTwice = "floors" // floors are not subtracted from the divided quota
+	IgnoreEpoch        = "epoch"  // a lease response is accepted for any request and epoch
 	AnswerEarly        = "answer" // a lease is granted before it is replicated
 	IgnoreStartPermit  = "ignore" // an instance starts without a permit
 )
