--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -8,7 +8,6 @@
 
 	"milletbarrow/internal/sexpr"
 	"milletbarrow/internal/simulation"
-	"milletbarrow/monotime"
 )
 
 // Experiment is the content of an experiment's file: what is to be run.
@@ -38,51 +37,6 @@
 	Key        string  // the name of the stored result: the same for the same run, whatever else the file holds
 }
 
-// setSwept gives a scenario one value of the swept field. The error is an *UnsweepableError or a *simulation.ScenarioError.
-func setSwept(s *simulation.Scenario, over string, v float64) error {
-	count := int(v)
-	switch over {
-	case "":
-	case "load.at":
-		s.Load.Level = v
-	case "hosts.count":
-		s.Hosts.Count = count
-	case "nodes.count":
-		s.Nodes.Count = count
-	case "size": // hosts, with nodes, and what they share, in proportion
-		part := v / float64(s.Hosts.Count)
-		s.Nodes.Count = max(1, int(float64(s.Nodes.Count)*part+0.5))
-		s.Dependency.Slots = max(1, int(float64(s.Dependency.Slots)*part+0.5))
-		s.Hosts.Count = count
-		for i := range s.Tenants {
-			s.Tenants[i].Quota *= part
-		}
-	case "nodes.deaf":
-		s.Nodes.UnresponsiveShare = v
-	case "nodes.tries":
-		s.Nodes.MaxAttempts = count
-	case "nodes.subset":
-		s.Nodes.Subset = count
-	case "nodes.behind":
-		s.Nodes.ClientRetryShare = v
-	case "register.lag":
-		s.Registry.Lag = monotime.Micros(v * 1e6)
-	case "trouble.factor":
-		s.Faults = slices.Clone(s.Faults)
-		for i := range s.Faults {
-			s.Faults[i].Factor = v
-		}
-	case "trouble.share":
-		s.Faults = slices.Clone(s.Faults)
-		for i := range s.Faults {
-			s.Faults[i].Share = v
-		}
-	default:
-		return &UnsweepableError{Field: over}
-	}
-	return s.Check()
-}
-
 // Cells returns the runs of an experiment, in order of scenarios, values, seeds and policies. The error is that of a swept
 // value, or a *TooManyRunsError.
 func (x *Experiment) Cells() (cells []Cell, err error) {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -126,26 +126,6 @@
 	return all
 }
 
-// readSweep reads the swept field and its values.
-func (x *Experiment) readSweep(f *sexpr.Form) {
-	over := f.Field("over")
-	if over == nil {
-		return
-	}
-	x.SweptField = over.Arg()
-	for _, w := range over.Words("values") {
-		v, err := strconv.ParseFloat(w, 64)
-		if err != nil {
-			over.Fail("values", "found %q, wanted a number", w)
-		}
-		x.SweptValues = append(x.SweptValues, v)
-	}
-	over.Done()
-	if len(x.SweptValues) == 0 || len(x.SweptValues) > MaxValues {
-		over.Fail("values", "found %d, wanted 1 to %d", len(x.SweptValues), MaxValues)
-	}
-}
-
 // readRecorded reads the recorded load that a scenario names.
 func readRecorded(f *sexpr.Form, file, name string, s *simulation.Scenario) {
 	in, err := os.Open(filepath.Join(filepath.Dir(file), name))
--- a/internal/experiment/names.go
+++ b/internal/experiment/names.go
@@ -1,6 +1,8 @@
 package experiment
 
-import "milletbarrow/internal/sexpr"
+import (
+	"milletbarrow/internal/sexpr"
+)
 
 // formerNames has the names that the files of experiments used until December 2026. They are still read.
 var formerNames = sexpr.FormerNames{
