--- a/internal/experiment/comparison.go
+++ b/internal/experiment/comparison.go
@@ -6,14 +6,14 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Difference compares two policies on the same days.
+// Difference is the difference between the figures of two policies at one point, over the days of both.
 type Difference struct {
 	Scenario   string   `json:"scenario"`
-	SweptValue float64  `json:"at"`       // of the swept field
+	SweptValue float64  `json:"at"`       // zero if no field is swept
 	First      Estimate `json:"a"`        // figure of the first policy
-	Second     Estimate `json:"b"`        // figure of the second
-	Paired     Estimate `json:"b_less_a"` // second less first, day by day
-	Verdict    string   `json:"word"`
+	Second     Estimate `json:"b"`        // figure of the second policy
+	Paired     Estimate `json:"b_less_a"` // second minus first, day by day
+	Verdict    string   `json:"word"`     // which policy is better, or why none is shown to be
 }
 
 // point is a scenario with one value of the swept field.
@@ -22,62 +22,84 @@
 	value    float64
 }
 
-// pairedFigures are the figures of two policies, day by day.
-type pairedFigures struct{ first, second []float64 }
+// day is a point with a seed: two policies that play the same day get the same arrivals.
+type day struct {
+	point
+	seed uint64
+}
+
+// dayOf returns the day of a cell.
+func dayOf(c *Cell) day {
+	return day{
+		point: point{scenario: c.Scenario.Name, value: c.SweptValue},
+		seed:  c.Seed,
+	}
+}
+
+// pairedFigures are the figures of two policies. Values of the same index are of the same day.
+type pairedFigures struct {
+	first  []float64
+	second []float64
+}
 
-// Compare takes the days that both policies have played, pairs them by seed, and says for each scenario and swept value
-// whether a difference is shown. Results are in the order of cells; a missing one is nil.
+// Compare pairs the days that both policies played and returns the difference at each point, in the order of the cells.
+// Results are in the order of the cells; a missing one is nil.
 func Compare(cells []Cell, results []*simulation.Result, first, second string, m Measure) (all []Difference) {
 	pairs, order := pairByDay(cells, results, first, second, m)
 	for _, at := range order {
-		p := pairs[at]
-		differences := make([]float64, len(p.first))
-		for i := range differences {
-			differences[i] = p.second[i] - p.first[i]
-		}
-		d := Difference{
-			Scenario: at.scenario, SweptValue: at.value,
-			First: Bootstrap(p.first), Second: Bootstrap(p.second), Paired: Bootstrap(differences),
-		}
-		d.Verdict = verdict(d.Paired, m, first, second)
-		all = append(all, d)
+		figures := pairs[at]
+		paired := Bootstrap(figures.differences())
+		all = append(all, Difference{
+			Scenario:   at.scenario,
+			SweptValue: at.value,
+			First:      Bootstrap(figures.first),
+			Second:     Bootstrap(figures.second),
+			Paired:     paired,
+			Verdict:    verdict(paired, m, first, second),
+		})
 	}
 	return all
 }
 
-// pairByDay returns the figures of the days that both policies have played, and the points in the order of the cells.
-func pairByDay(cells []Cell, results []*simulation.Result, first, second string, m Measure) (pairs map[point]*pairedFigures, order []point) {
-	type day struct {
-		point
-		seed uint64
+// differences returns second minus first for each day.
+func (p *pairedFigures) differences() []float64 {
+	differences := make([]float64, len(p.first))
+	for i := range differences {
+		differences[i] = p.second[i] - p.first[i]
 	}
-	dayOf := func(c *Cell) day { return day{point{c.Scenario.Name, c.SweptValue}, c.Seed} }
-	ofFirst := map[day]float64{}
+	return differences
+}
+
+// pairByDay returns the figures of the days that both policies played, and the points in the order of the cells.
+func pairByDay(
+	cells []Cell, results []*simulation.Result, first, second string, m Measure,
+) (pairs map[point]*pairedFigures, order []point) {
+	figuresOfFirst := map[day]float64{}
 	for i := range cells {
-		if c := &cells[i]; results[i] != nil && c.Policy.Name == first {
-			ofFirst[dayOf(c)] = m.Value(results[i])
+		if results[i] != nil && cells[i].Policy.Name == first {
+			figuresOfFirst[dayOf(&cells[i])] = m.Value(results[i])
 		}
 	}
 	pairs = map[point]*pairedFigures{}
 	for i := range cells {
-		c := &cells[i]
-		d := dayOf(c)
-		x, ok := ofFirst[d]
-		if results[i] == nil || c.Policy.Name != second || !ok {
+		day := dayOf(&cells[i])
+		figureOfFirst, played := figuresOfFirst[day]
+		if results[i] == nil || cells[i].Policy.Name != second || !played {
 			continue
 		}
-		p := pairs[d.point]
-		if p == nil {
-			p = &pairedFigures{}
-			pairs[d.point] = p
-			order = append(order, d.point)
+		pair := pairs[day.point]
+		if pair == nil {
+			pair = &pairedFigures{}
+			pairs[day.point] = pair
+			order = append(order, day.point)
 		}
-		p.first, p.second = append(p.first, x), append(p.second, m.Value(results[i]))
+		pair.first = append(pair.first, figureOfFirst)
+		pair.second = append(pair.second, m.Value(results[i]))
 	}
 	return pairs, order
 }
 
-// verdict says what an interval shows.
+// verdict returns which policy the interval of the paired difference shows to be better, or why it shows none.
 func verdict(e Estimate, m Measure, first, second string) string {
 	switch {
 	case e.Samples == 0:
--- a/internal/experiment/curves.go
+++ b/internal/experiment/curves.go
@@ -1,43 +1,51 @@
 package experiment
 
 import (
+	"maps"
 	"slices"
 
 	"milletbarrow/internal/simulation"
 )
 
-// Curve is one policy's figure over the swept values.
+// Curve is the figure of one policy over the swept values. X and Y have the same length.
 type Curve struct {
 	Policy string
-	X      []float64
-	Y      []Estimate
+	X      []float64  // swept values, ascending
+	Y      []Estimate // estimate at each value of X
 }
 
-// Curves returns the figure of one scenario as a curve for each policy.
-func Curves(cells []Cell, results []*simulation.Result, scenario string, m Measure) (all []Curve) {
-	var order []string
-	points := map[string]map[float64][]float64{}
-	for i, c := range cells {
-		if results[i] == nil || c.Scenario.Name != scenario {
-			continue
-		}
-		if points[c.Policy.Name] == nil {
-			points[c.Policy.Name] = map[float64][]float64{}
-			order = append(order, c.Policy.Name)
+// policySamples are the figures of one policy by swept value.
+type policySamples struct {
+	policy  string
+	byValue map[float64][]float64
+}
+
+// Curves returns a curve for each policy of one scenario, in the order of the cells. Results are in the order of the
+// cells; a missing one is nil.
+func Curves(cells []Cell, results []*simulation.Result, scenario string, m Measure) (curves []Curve) {
+	for _, samples := range samplesByPolicy(cells, results, scenario, m) {
+		curve := Curve{Policy: samples.policy, X: slices.Sorted(maps.Keys(samples.byValue))}
+		for _, value := range curve.X {
+			curve.Y = append(curve.Y, Bootstrap(samples.byValue[value]))
 		}
-		at := points[c.Policy.Name]
-		at[c.SweptValue] = append(at[c.SweptValue], m.Value(results[i]))
+		curves = append(curves, curve)
 	}
-	for _, name := range order {
-		cv := Curve{Policy: name}
-		for x := range points[name] {
-			cv.X = append(cv.X, x)
+	return curves
+}
+
+func samplesByPolicy(cells []Cell, results []*simulation.Result, scenario string, m Measure) (all []policySamples) {
+	for i := range cells {
+		cell := &cells[i]
+		if results[i] == nil || cell.Scenario.Name != scenario {
+			continue
 		}
-		slices.Sort(cv.X)
-		for _, x := range cv.X {
-			cv.Y = append(cv.Y, Bootstrap(points[name][x]))
+		index := slices.IndexFunc(all, func(samples policySamples) bool { return samples.policy == cell.Policy.Name })
+		if index < 0 {
+			index = len(all)
+			all = append(all, policySamples{policy: cell.Policy.Name, byValue: map[float64][]float64{}})
 		}
-		all = append(all, cv)
+		byValue := all[index].byValue
+		byValue[cell.SweptValue] = append(byValue[cell.SweptValue], m.Value(results[i]))
 	}
 	return all
 }
--- a/internal/experiment/describe.go
+++ b/internal/experiment/describe.go
@@ -3,25 +3,21 @@
 import (
 	"fmt"
 	"strings"
+
+	"milletbarrow/internal/simulation"
+	"milletbarrow/monotime"
 )
 
-// Describe returns a text of what an experiment runs.
+// Describe returns a text for people that lists the scenarios, policies, seeds and swept values of an experiment with
+// the given number of runs.
 func (x *Experiment) Describe(cells int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "experiment %s: %d runs\n", x.Name, cells)
-	for _, s := range x.Scenarios {
-		fmt.Fprintf(&b, "  scenario %s: %d hosts of %d cores, %d nodes, %g s, %.0f invocations a second are all they can take\n", s.Name,
-			s.Hosts.Count, s.Hosts.Cores, s.Nodes.Count, float64(s.Duration)/1e6, s.Capacity())
-		for _, op := range s.Operations {
-			fmt.Fprintf(&b, "    operation %s: value %g, rank %g, %g of the load, work %g ms, objective %g ms, timeout %g ms\n", op.Name, op.Value, op.Priority,
-				op.Share, float64(op.Work)/1000, float64(op.Objective)/1000, float64(op.Timeout)/1000)
-		}
-		for _, t := range s.Faults {
-			fmt.Fprintf(&b, "    trouble %v at %g s for %g s\n", t.Kind, float64(t.At)/1e6, float64(t.Duration)/1e6)
-		}
-	}
-	for _, p := range x.Policies {
-		fmt.Fprintf(&b, "  policy %s: %s\n", p.Name, p.Description)
+	for i := range x.Scenarios {
+		describeScenario(&b, &x.Scenarios[i])
+	}
+	for _, policy := range x.Policies {
+		fmt.Fprintf(&b, "  policy %s: %s\n", policy.Name, policy.Description)
 	}
 	fmt.Fprintf(&b, "  seeds: %d of them, %d to %d\n", len(x.Seeds), x.Seeds[0], x.Seeds[len(x.Seeds)-1])
 	if x.SweptField != "" {
@@ -30,7 +26,25 @@
 	return b.String()
 }
 
-// Facts are what an experiment runs, for JSON.
+// describeScenario writes the lines of one scenario.
+func describeScenario(b *strings.Builder, s *simulation.Scenario) {
+	fmt.Fprintf(b, "  scenario %s: %d hosts of %d cores, %d nodes, %g s, "+
+		"%.0f invocations a second are all they can take\n",
+		s.Name, s.Hosts.Count, s.Hosts.Cores, s.Nodes.Count, s.Duration.Seconds(), s.Capacity())
+	for _, op := range s.Operations {
+		fmt.Fprintf(b, "    operation %s: value %g, rank %g, %g of the load, "+
+			"work %g ms, objective %g ms, timeout %g ms\n",
+			op.Name, op.Value, op.Priority, op.Share,
+			milliseconds(op.Work), milliseconds(op.Objective), milliseconds(op.Timeout))
+	}
+	for _, fault := range s.Faults {
+		fmt.Fprintf(b, "    trouble %v at %g s for %g s\n", fault.Kind, fault.At.Seconds(), fault.Duration.Seconds())
+	}
+}
+
+func milliseconds(m monotime.Micros) float64 { return float64(m) / float64(monotime.Millisecond) }
+
+// Facts are the contents of an experiment as they are printed as JSON.
 type Facts struct {
 	Name        string    `json:"name"`
 	Scenarios   []string  `json:"scenarios"`
@@ -41,16 +55,21 @@
 	Runs        int       `json:"runs"`
 }
 
-// Facts returns what an experiment runs.
+// Facts returns the contents of an experiment. It counts no runs if Cells fails, which Parse and Sweep rule out.
 func (x *Experiment) Facts() Facts {
-	f := Facts{Name: x.Name, Seeds: x.Seeds, SweptField: x.SweptField, SweptValues: x.SweptValues}
-	for _, s := range x.Scenarios {
-		f.Scenarios = append(f.Scenarios, s.Name)
+	cells, _ := x.Cells()
+	facts := Facts{
+		Name:        x.Name,
+		Seeds:       x.Seeds,
+		SweptField:  x.SweptField,
+		SweptValues: x.SweptValues,
+		Runs:        len(cells),
 	}
-	for _, p := range x.Policies {
-		f.Policies = append(f.Policies, p.Name)
+	for i := range x.Scenarios {
+		facts.Scenarios = append(facts.Scenarios, x.Scenarios[i].Name)
 	}
-	cells, _ := x.Cells()
-	f.Runs = len(cells)
-	return f
+	for i := range x.Policies {
+		facts.Policies = append(facts.Policies, x.Policies[i].Name)
+	}
+	return facts
 }
--- a/internal/experiment/errors.go
+++ b/internal/experiment/errors.go
@@ -8,19 +8,20 @@
 	"milletbarrow/internal/simulation"
 )
 
-// ErrLocked says that another process writes to the directory.
-var ErrLocked = errors.New("another run writes to this place")
+// ErrLocked reports that another process writes to the result directory.
+var ErrLocked = errors.New("result directory is locked by another run")
 
-// ErrOtherBuild says that the results in the directory are of another build.
-var ErrOtherBuild = errors.New("the results there are of another build: name another place, or remove it")
+// ErrOtherBuild reports that the results in the directory are of another build.
+var ErrOtherBuild = errors.New("results are of another build: choose another directory, or remove this one")
 
-// ErrDamaged says that a stored result is truncated or altered.
-var ErrDamaged = errors.New("cut short or altered")
+// ErrDamaged reports that a stored result is truncated or altered.
+var ErrDamaged = errors.New("result is truncated or altered")
 
-// ResultError says why a stored result can't be used. Err is or wraps ErrDamaged, a *VersionError, or what JSON reports.
+// ResultError reports a stored result that can't be used. Err wraps ErrDamaged, is a *VersionError, or is the error
+// of the JSON decoder.
 type ResultError struct {
-	File string
-	Err  error
+	File string // path
+	Err  error  // cause
 }
 
 func (e *ResultError) Error() string { return e.File + ": " + e.Err.Error() }
@@ -28,37 +29,49 @@
 // Unwrap returns the cause.
 func (e *ResultError) Unwrap() error { return e.Err }
 
-// VersionError says that a stored result has a newer form than this build reads.
-type VersionError struct{ Version int }
+// VersionError reports that a stored result has a newer format than this build reads.
+type VersionError struct {
+	Version int // of the result
+}
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("version %d, this build reads up to %d", e.Version, simulation.Version)
+	return fmt.Sprintf("result has version %d, expected at most %d", e.Version, simulation.Version)
 }
 
-// UnknownMeasureError names a figure that does not exist.
-type UnknownMeasureError struct{ Name string }
+// UnknownMeasureError reports a name that is no figure.
+type UnknownMeasureError struct {
+	Name string // as given
+}
 
 func (e *UnknownMeasureError) Error() string {
-	return fmt.Sprintf("no figure %q: value, priced, broken, attempts, wasted, changes, or OPERATION with .value, .in-time, .p50, .p99 or .%s",
+	return fmt.Sprintf("no figure %q: value, priced, broken, attempts, wasted, changes, "+
+		"or OPERATION with .value, .in-time, .p50, .p99 or .%s",
 		e.Name, strings.Join(simulation.Outcomes(), ", ."))
 }
 
-// SweepError says that a sweep can't be read from a text.
-type SweepError struct{ Text, Wanted string }
+// SweepError reports a text that is no sweep.
+type SweepError struct {
+	Text   string // the part that is invalid
+	Wanted string // what is expected in its place
+}
 
 func (e *SweepError) Error() string { return fmt.Sprintf("over: %q, wanted %s", e.Text, e.Wanted) }
 
-// UnsweepableError names a field that can't be swept.
-type UnsweepableError struct{ Field string }
+// UnsweepableError reports a field that can't be swept.
+type UnsweepableError struct {
+	Field string // as given
+}
 
 func (e *UnsweepableError) Error() string {
-	return fmt.Sprintf("%q can't be swept; load.at, size, hosts.count, nodes.count, nodes.deaf, nodes.tries, nodes.subset, nodes.behind, register.lag (seconds), trouble.factor and trouble.share can",
-		e.Field)
+	return fmt.Sprintf("%q can't be swept; load.at, size, hosts.count, nodes.count, nodes.deaf, nodes.tries, "+
+		"nodes.subset, nodes.behind, register.lag (seconds), trouble.factor and trouble.share can", e.Field)
 }
 
-// TooManyRunsError says that an experiment has more than MaxCells runs.
-type TooManyRunsError struct{ Runs int }
+// TooManyRunsError reports that an experiment has more than MaxCells runs.
+type TooManyRunsError struct {
+	Runs int // of the experiment
+}
 
 func (e *TooManyRunsError) Error() string {
-	return fmt.Sprintf("%d runs, wanted %d at the most", e.Runs, MaxCells)
+	return fmt.Sprintf("experiment has %d runs, expected at most %d", e.Runs, MaxCells)
 }
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"fmt"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,8 +13,9 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Read reads an experiment's file: any number of scenario and policy forms, and one (experiment NAME ...). Files that
-// it names are relative to its directory. Syntax errors are sexpr's, with line and column.
+// Read reads an experiment's file, which has any number of scenario and policy forms and one (experiment NAME ...).
+// Paths in the file are relative to its directory. Errors in the file are those of package sexpr, with line and
+// column.
 func Read(file string) (*Experiment, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -22,7 +24,7 @@
 	return Parse(file, src)
 }
 
-// Parse is Read for a file in memory; file is its name.
+// Parse parses the content of an experiment's file; file is its path. See Read.
 func Parse(file string, src []byte) (*Experiment, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
@@ -30,56 +32,60 @@
 	}
 	warnings := formerNames.Update(file, nodes)
 	errs := &sexpr.Errors{File: file}
-	d := readDefinitions(file, sexpr.Forms(nodes, errs))
-	if d.experiment == nil {
-		errs.Add(sexpr.Place{Line: 1, Column: 1}, "experiment", "there is none in this file")
+	definitions := readDefinitions(file, sexpr.Forms(nodes, errs))
+	form := definitions.experiment
+	if form == nil {
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "experiment", "missing, wanted one form (experiment NAME ...)")
 		return nil, errs.Err()
 	}
-	x := &Experiment{Name: d.experiment.Arg(), Warnings: warnings}
-	x.Scenarios = d.namedScenarios()
-	x.Policies = d.namedPolicies()
-	x.Seeds = readSeeds(d.experiment)
-	x.readSweep(d.experiment)
-	d.experiment.Done()
+	x := &Experiment{
+		Name:      form.Arg(),
+		Scenarios: definitions.namedScenarios(),
+		Policies:  definitions.namedPolicies(),
+		Seeds:     readSeeds(form),
+		Warnings:  warnings,
+	}
+	x.readSweep(form)
+	form.Done()
 	if err := errs.Err(); err != nil {
 		return nil, err
 	}
 	if _, err := x.Cells(); err != nil {
-		d.experiment.Fail("over", "%v", err)
+		form.Fail("over", "%v", err)
 	}
 	return x, errs.Err()
 }
 
-// definitions are the forms of one file: scenarios and policies by name, and the experiment itself.
+// scenarioName is the name of a scenario in an experiment's file.
+type scenarioName string
+
+// policyName is the name of a policy in an experiment's file.
+type policyName string
+
+// definitions are the forms of one file.
 type definitions struct {
-	scenarios  map[string]simulation.Scenario
+	scenarios  map[scenarioName]simulation.Scenario
 	order      []string // names of the scenarios, as in the file
-	policies   map[string]*simulation.Policy
-	experiment *sexpr.Form
+	policies   map[policyName]*simulation.Policy
+	experiment *sexpr.Form // nil: the file has none
 }
 
-// readDefinitions reads the forms of a file; what is wrong is added to their errors.
+// readDefinitions reads the forms of a file; errors are added to the forms.
 func readDefinitions(file string, forms []*sexpr.Form) *definitions {
-	d := &definitions{scenarios: map[string]simulation.Scenario{}, policies: map[string]*simulation.Policy{}}
+	d := &definitions{
+		scenarios: map[scenarioName]simulation.Scenario{},
+		policies:  map[policyName]*simulation.Policy{},
+	}
 	for _, f := range forms {
 		switch f.Name {
 		case "scenario":
-			recorded := f.Text("recorded", "")
-			s := simulation.ReadScenario(f)
-			if recorded != "" {
-				readRecorded(f, file, recorded, &s)
-			}
-			if _, twice := d.scenarios[s.Name]; twice {
-				f.Fail("", "scenario %s stands twice", s.Name)
-			}
-			d.scenarios[s.Name] = s
-			d.order = append(d.order, s.Name)
+			d.addScenario(f, file)
 		case "policy":
 			p := readPolicy(f, file)
-			d.policies[p.Name] = p
+			d.policies[policyName(p.Name)] = p
 		case "experiment":
 			if d.experiment != nil {
-				f.Fail("", "a file holds one experiment")
+				f.Fail("", "duplicate form, wanted one experiment in a file")
 			}
 			d.experiment = f
 		default:
@@ -89,34 +95,50 @@
 	return d
 }
 
-// namedScenarios returns the scenarios that the experiment names, else all of the file.
+// addScenario reads a scenario form and adds it.
+func (d *definitions) addScenario(f *sexpr.Form, file string) {
+	recorded := f.Text("recorded", "")
+	s := simulation.ReadScenario(f)
+	if recorded != "" {
+		readRecorded(f, file, recorded, &s)
+	}
+	name := scenarioName(s.Name)
+	if _, duplicate := d.scenarios[name]; duplicate {
+		f.Fail("", "duplicate scenario %s", s.Name)
+	}
+	d.scenarios[name] = s
+	d.order = append(d.order, s.Name)
+}
+
+// namedScenarios returns the scenarios that the experiment names, or all of the file if it names none.
 func (d *definitions) namedScenarios() (all []simulation.Scenario) {
 	names := d.experiment.Words("scenarios")
 	if len(names) == 0 {
 		names = d.order
 	}
-	for _, n := range names {
-		if s, ok := d.scenarios[n]; ok {
-			all = append(all, s)
-		} else {
-			d.experiment.Fail("scenarios", "%s is none of this file's", n)
+	for _, name := range names {
+		s, known := d.scenarios[scenarioName(name)]
+		if !known {
+			d.experiment.Fail("scenarios", "found %q, wanted a scenario of this file", name)
+			continue
 		}
+		all = append(all, s)
 	}
 	return all
 }
 
-// namedPolicies returns the policies that the experiment names, the file's own before the built-in ones; without names
-// the decision module alone.
+// namedPolicies returns the policies that the experiment names, or the decision module if it names none. A policy of
+// the file takes precedence over a built-in one of the same name.
 func (d *definitions) namedPolicies() (all []simulation.Policy) {
 	names := d.experiment.Words("policies")
 	if len(names) == 0 {
 		names = []string{simulation.Module}
 	}
-	for _, n := range names {
-		p := d.policies[n]
+	for _, name := range names {
+		p := d.policies[policyName(name)]
 		if p == nil {
 			var err error
-			if p, err = simulation.PolicyNamed(n); err != nil {
+			if p, err = simulation.PolicyNamed(name); err != nil {
 				d.experiment.Fail("policies", "%v", err)
 				continue
 			}
@@ -126,7 +148,7 @@
 	return all
 }
 
-// readRecorded reads the recorded load that a scenario names.
+// readRecorded reads the recorded load of a scenario from the file of that name.
 func readRecorded(f *sexpr.Form, file, name string, s *simulation.Scenario) {
 	in, err := os.Open(filepath.Join(filepath.Dir(file), name))
 	if err != nil {
@@ -141,7 +163,13 @@
 	s.Load.Shape = simulation.Replay
 }
 
-// readPolicy reads (policy NAME (base milletbarrow) (degradation "FILE") (balance two-choices)).
+// asScenario is the word of a policy that keeps the scenario's balancing.
+const asScenario = "as-scenario"
+
+// balanceWords are the words for simulation.Balance in a file, indexed by its values.
+var balanceWords = []string{"round-robin", "random", "two-choices", "least-load"}
+
+// readPolicy reads a form such as (policy NAME (base milletbarrow) (degradation "FILE") (balance two-choices)).
 func readPolicy(f *sexpr.Form, file string) *simulation.Policy {
 	name := f.Arg()
 	p, err := simulation.PolicyNamed(f.Text("base", simulation.Module))
@@ -159,34 +187,29 @@
 			f.Fail("degradation", "%v", err)
 		}
 	}
-	if b := f.OneOf("balance", "as-scenario", "round-robin", "random", "two-choices", "least-load"); b != "as-scenario" {
-		way := simulation.Balance(slices.Index([]string{"round-robin", "random", "two-choices", "least-load"}, b))
-		p.Balance = &way
+	if word := f.OneOf("balance", append([]string{asScenario}, balanceWords...)...); word != asScenario {
+		balance := simulation.Balance(slices.Index(balanceWords, word))
+		p.Balance = &balance
 	}
 	p.QuotaSource = simulation.QuotaSourceNamed(f.OneOf("shares", simulation.QuotaSourceNames()...))
 	f.Done()
 	return p
 }
 
-// readSeeds reads (seeds 1 2 7) or (seeds 1..20).
+// readSeeds reads the seeds of forms such as (seeds 1 2 7) or (seeds 1..20); without the field the only seed is 1.
 func readSeeds(f *sexpr.Form) (all []uint64) {
 	words := f.Words("seeds")
 	if len(words) == 0 {
 		return []uint64{1}
 	}
-	for _, w := range words {
-		first, last, isRange := strings.Cut(w, "..")
-		from, err := strconv.ParseUint(first, 10, 63)
-		to := from
-		if err == nil && isRange {
-			to, err = strconv.ParseUint(last, 10, 63)
-		}
-		if err != nil || to < from || to-from >= MaxSeeds {
-			f.Fail("seeds", "found %q, wanted a number or a range such as 1..20", w)
+	for _, word := range words {
+		first, last, err := parseSeedRange(word)
+		if err != nil || last < first || last-first >= MaxSeeds {
+			f.Fail("seeds", "found %q, wanted a number or a range such as 1..20", word)
 			return nil
 		}
-		for n := from; n <= to; n++ {
-			all = append(all, n)
+		for seed := first; seed <= last; seed++ {
+			all = append(all, seed)
 		}
 	}
 	if len(all) > MaxSeeds {
@@ -194,3 +217,24 @@
 	}
 	return all
 }
+
+// Form of a seed: at most 63 bits, so that a seed past the last one of a range does not overflow.
+const (
+	seedBase = 10
+	seedBits = 63
+)
+
+// parseSeedRange parses FIRST..LAST, or one number, which is both.
+func parseSeedRange(word string) (first, last uint64, err error) {
+	firstWord, lastWord, isRange := strings.Cut(word, "..")
+	if !isRange {
+		lastWord = firstWord
+	}
+	if first, err = strconv.ParseUint(firstWord, seedBase, seedBits); err != nil {
+		return 0, 0, fmt.Errorf("first seed: %w", err)
+	}
+	if last, err = strconv.ParseUint(lastWord, seedBase, seedBits); err != nil {
+		return 0, 0, fmt.Errorf("last seed: %w", err)
+	}
+	return first, last, nil
+}
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -10,54 +10,79 @@
 
 // Measure is a figure of a result.
 type Measure struct {
-	Name          string
-	Value         func(r *simulation.Result) float64 // NaN where a result does not have it
-	LowerIsBetter bool                               // a lower value is better
+	Name          string                             // as in MeasureNamed
+	Value         func(r *simulation.Result) float64 // NaN if the result does not have the figure
+	LowerIsBetter bool
 }
 
-// measures are the figures of a whole result, by name.
+// measures are the figures of a complete result, by name.
 var measures = map[string]Measure{
 	"value":    {Value: (*simulation.Result).Value},
-	"priced":   {Value: func(r *simulation.Result) float64 { return r.QuotaPriced / math.Max(r.Offered, minOffered) }},
-	"broken":   {Value: func(r *simulation.Result) float64 { return float64(r.BreachCount()) }, LowerIsBetter: true},
-	"changes":  {Value: func(r *simulation.Result) float64 { return float64(r.LevelChangeCount) }, LowerIsBetter: true},
-	"attempts": {Value: func(r *simulation.Result) float64 { return perRequest(float64(r.Attempts), r.Requests) }, LowerIsBetter: true},
-	"wasted":   {Value: func(r *simulation.Result) float64 { return perRequest(r.WastedMicros, r.Requests) }, LowerIsBetter: true},
+	"priced":   {Value: quotaPricedShare},
+	"broken":   {Value: breachCount, LowerIsBetter: true},
+	"changes":  {Value: levelChangeCount, LowerIsBetter: true},
+	"attempts": {Value: attemptsPerRequest, LowerIsBetter: true},
+	"wasted":   {Value: wastedMicrosPerRequest, LowerIsBetter: true},
+}
+
+func quotaPricedShare(r *simulation.Result) float64 {
+	return r.QuotaPriced / math.Max(r.Offered, minOffered)
+}
+
+func breachCount(r *simulation.Result) float64 { return float64(r.BreachCount()) }
+
+func levelChangeCount(r *simulation.Result) float64 { return float64(r.LevelChangeCount) }
+
+func attemptsPerRequest(r *simulation.Result) float64 {
+	return perRequest(float64(r.Attempts), r.Requests)
+}
+
+func wastedMicrosPerRequest(r *simulation.Result) float64 {
+	return perRequest(r.WastedMicros, r.Requests)
 }
 
 // breakdownMeasures are the figures of an operation or tenant, by name.
 var breakdownMeasures = map[string]func(b *simulation.Breakdown) float64{
 	"value":   func(b *simulation.Breakdown) float64 { return b.Billed / math.Max(b.Offered, minOffered) },
 	"in-time": func(b *simulation.Breakdown) float64 { return perRequest(float64(b.InTime), b.Requests) },
-	"p50":     func(b *simulation.Breakdown) float64 { return quantile(b, 50) },
-	"p99":     func(b *simulation.Breakdown) float64 { return quantile(b, 99) },
+	"p50":     func(b *simulation.Breakdown) float64 { return percentile(b, median) },
+	"p99":     func(b *simulation.Breakdown) float64 { return percentile(b, highPercentile) },
 }
 
-// minOffered stands for the offered value of a day without requests.
+// Percentiles of latency.
+const (
+	median         = 50
+	highPercentile = 99
+)
+
+// minOffered replaces the offered value of a day without requests, which would divide by zero.
 const minOffered = 1e-9
 
+// perRequest returns the total divided by the number of requests; a day without requests counts as one request.
 func perRequest(total float64, requests int) float64 { return total / math.Max(1, float64(requests)) }
 
-// MeasureNamed finds a figure by its name: value, priced, broken, attempts, wasted, changes, or one of an operation or
-// tenant: NAME.value, NAME.in-time, NAME.p50, NAME.p99, or NAME and an outcome. The error is an *UnknownMeasureError.
+// MeasureNamed returns the figure of a name: value, priced, broken, attempts, wasted, changes, or one of an operation
+// or tenant: NAME.value, NAME.in-time, NAME.p50, NAME.p99, or NAME and an outcome. The error is an
+// *UnknownMeasureError.
 func MeasureNamed(name string) (Measure, error) {
 	if m, known := measures[name]; known {
 		m.Name = name
 		return m, nil
 	}
-	part, figure, _ := strings.Cut(name, ".")
+	breakdown, figure, _ := strings.Cut(name, ".")
 	value, known := breakdownMeasures[figure]
-	if n := slices.Index(simulation.Outcomes(), figure); n >= 0 {
-		value, known = func(b *simulation.Breakdown) float64 { return b.OutcomeShare(n) }, true
+	if outcome := slices.Index(simulation.Outcomes(), figure); outcome >= 0 {
+		known = true
+		value = func(b *simulation.Breakdown) float64 { return b.OutcomeShare(outcome) }
 	}
 	if !known {
 		return Measure{Name: name}, &UnknownMeasureError{Name: name}
 	}
 	higherIsBetter := figure == "value" || figure == "in-time" || figure == "succeeded"
-	return Measure{Name: name, Value: ofBreakdown(part, value), LowerIsBetter: !higherIsBetter}, nil
+	return Measure{Name: name, Value: ofBreakdown(breakdown, value), LowerIsBetter: !higherIsBetter}, nil
 }
 
-// ofBreakdown returns the figure of the operation or tenant of that name; NaN where a result has none.
+// ofBreakdown returns the figure of the operation, else tenant, of that name; NaN if a result has neither.
 func ofBreakdown(name string, value func(b *simulation.Breakdown) float64) func(r *simulation.Result) float64 {
 	return func(r *simulation.Result) float64 {
 		for _, breakdowns := range [][]simulation.Breakdown{r.Operations, r.Tenants} {
@@ -71,11 +96,11 @@
 	}
 }
 
-// quantile returns a percentile of a breakdown's latencies, in microseconds; NaN where there are none.
-func quantile(p *simulation.Breakdown, q float64) float64 {
-	h, err := p.Histogram()
-	if err != nil || h == nil {
+// percentile returns a percentile of the breakdown's latencies, in microseconds; NaN without a histogram.
+func percentile(b *simulation.Breakdown, percent float64) float64 {
+	histogram, err := b.Histogram()
+	if err != nil || histogram == nil {
 		return math.NaN()
 	}
-	return float64(h.ValueAtQuantile(q))
+	return float64(histogram.ValueAtQuantile(percent))
 }
--- a/internal/experiment/names.go
+++ b/internal/experiment/names.go
@@ -1,10 +1,9 @@
 package experiment
 
-import (
-	"milletbarrow/internal/sexpr"
-)
+import "milletbarrow/internal/sexpr"
 
-// formerNames has the names that the files of experiments used until December 2026. They are still read.
+// formerNames maps the names that the files of experiments used until December 2026, which are still read, to the
+// present ones, by form.
 var formerNames = sexpr.FormerNames{
 	"policy": {
 		"ladder": "degradation",
--- a/internal/experiment/result_dir.go
+++ b/internal/experiment/result_dir.go
@@ -14,104 +14,155 @@
 	"milletbarrow/internal/simulation"
 )
 
-// ResultDir is the directory of an experiment's results, a file for each run, written completely or not at all, so that
-// an interrupted experiment can be continued. One process at a time may write to it.
+// Permissions and names of what a result directory has beside its results.
+const (
+	dirPermissions  os.FileMode = 0o755
+	filePermissions os.FileMode = 0o644
+
+	lockFile  = "lock"  // locked by the process that writes
+	buildFile = "build" // identifies the program that wrote the results
+
+	resultSuffix = ".run"
+)
+
+// MaxResultBytes is the size of the largest result that is read, before compression.
+const MaxResultBytes = 1 << 30
+
+// ResultDir is the directory of an experiment's results, with one file for each run. A file is written completely or
+// not at all, so that an interrupted experiment can be continued. At most one process writes to a directory.
 type ResultDir struct {
-	Dir     string
-	lock    *os.File
-	encoder *zstd.Encoder
+	Dir     string        // path
+	lock    *os.File      // nil: opened for reading
+	encoder *zstd.Encoder // nil: opened for reading
 }
 
-// OpenResultDir opens a directory for writing, and makes it if it is missing. build identifies the program: results of
-// one build are not continued by another. The error wraps ErrLocked or ErrOtherBuild where that is the cause.
+// OpenResultDir opens a directory for writing, and creates it if it is missing. build identifies the program: the
+// results of one build are not continued by another. The error wraps ErrLocked or ErrOtherBuild if one of these is the
+// cause.
 func OpenResultDir(dir, build string) (*ResultDir, error) {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, err
+	if err := os.MkdirAll(dir, dirPermissions); err != nil {
+		return nil, fmt.Errorf("result directory: %w", err)
 	}
-	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
+	lock, err := lockDir(dir)
 	if err != nil {
 		return nil, err
 	}
+	if err := claimBuild(dir, build); err != nil {
+		_ = lock.Close()
+		return nil, err
+	}
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	if err != nil {
+		_ = lock.Close()
+		return nil, fmt.Errorf("result encoder: %w", err)
+	}
+	return &ResultDir{Dir: dir, lock: lock, encoder: encoder}, nil
+}
+
+// lockDir locks a directory for writing until the returned file is closed.
+func lockDir(dir string) (*os.File, error) {
+	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, filePermissions)
+	if err != nil {
+		return nil, fmt.Errorf("lock of result directory: %w", err)
+	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
 		return nil, fmt.Errorf("%s: %w", dir, ErrLocked)
 	}
-	p := &ResultDir{Dir: dir, lock: lock}
-	was, err := os.ReadFile(filepath.Join(dir, "build"))
+	return lock, nil
+}
+
+// claimBuild records the build in a new directory, and checks it in one that has a build.
+func claimBuild(dir, build string) error {
+	path := filepath.Join(dir, buildFile)
+	recorded, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		err = os.WriteFile(filepath.Join(dir, "build"), []byte(build), 0o644)
-	case err == nil && string(was) != build:
-		err = fmt.Errorf("%s: %w", dir, ErrOtherBuild)
-	}
-	if err == nil {
-		p.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+		err = os.WriteFile(path, []byte(build), filePermissions)
+	case err == nil && string(recorded) != build:
+		return fmt.Errorf("%s: %w", dir, ErrOtherBuild)
 	}
 	if err != nil {
-		_ = lock.Close()
-		return nil, err
+		return fmt.Errorf("build of result directory: %w", err)
 	}
-	return p, nil
+	return nil
 }
 
 // Close unlocks the directory.
-func (p *ResultDir) Close() error {
-	return errors.Join(p.encoder.Close(), p.lock.Close())
+func (d *ResultDir) Close() error {
+	return errors.Join(d.encoder.Close(), d.lock.Close())
 }
 
 // path returns the file of a key.
-func (p *ResultDir) path(key string) string { return filepath.Join(p.Dir, key+".run") }
+func (d *ResultDir) path(key string) string { return filepath.Join(d.Dir, key+resultSuffix) }
 
 // Write stores a result under its key, completely or not at all.
-func (p *ResultDir) Write(key string, r *simulation.Result) error {
-	raw, err := json.Marshal(r)
+func (d *ResultDir) Write(key string, result *simulation.Result) error {
+	raw, err := json.Marshal(result)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode result: %w", err)
 	}
-	f, err := os.CreateTemp(p.Dir, "new-*")
+	file, err := os.CreateTemp(d.Dir, "new-*")
 	if err != nil {
-		return err
+		return fmt.Errorf("create result file: %w", err)
+	}
+	defer func() { _ = os.Remove(file.Name()) }()
+	_, err = file.Write(d.encoder.EncodeAll(raw, nil))
+	if err = errors.Join(err, file.Close()); err != nil {
+		return fmt.Errorf("write result file: %w", err)
 	}
-	defer func() { _ = os.Remove(f.Name()) }()
-	_, err = f.Write(p.encoder.EncodeAll(raw, nil))
-	if err = errors.Join(err, f.Close()); err != nil {
-		return err
+	if err := os.Rename(file.Name(), d.path(key)); err != nil {
+		return fmt.Errorf("publish result file: %w", err)
 	}
-	return os.Rename(f.Name(), p.path(key))
+	return nil
 }
 
-// MaxResultBytes is the size of the largest result that is read, before compression.
-const MaxResultBytes = 1 << 30
+// Load returns the result of a key. It returns false if the result is missing or can't be read.
+func (d *ResultDir) Load(key string) (*simulation.Result, bool) {
+	result, err := ReadResult(d.path(key))
+	return result, err == nil
+}
 
-// ReadResult reads one file of a result directory. The error is a *ResultError where the file is truncated, altered or
+// ReadResult reads one file of a result directory. The error is a *ResultError if the file is truncated, altered or
 // of a newer version.
-func ReadResult(file string) (*simulation.Result, error) {
-	in, err := os.Open(file)
+func ReadResult(path string) (*simulation.Result, error) {
+	file, err := os.Open(path)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("result: %w", err)
 	}
-	defer func() { _ = in.Close() }()
-	d, err := zstd.NewReader(in, zstd.WithDecoderMaxMemory(MaxResultBytes), zstd.WithDecoderConcurrency(1))
+	defer func() { _ = file.Close() }()
+	decoder, err := zstd.NewReader(file, zstd.WithDecoderMaxMemory(MaxResultBytes), zstd.WithDecoderConcurrency(1))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("result decoder: %w", err)
 	}
-	defer d.Close()
-	raw, err := io.ReadAll(d)
+	defer decoder.Close()
+	raw, err := io.ReadAll(decoder)
 	if err != nil {
-		return nil, &ResultError{File: file, Err: fmt.Errorf("%w: %w", ErrDamaged, err)}
+		return nil, &ResultError{File: path, Err: fmt.Errorf("%w: %w", ErrDamaged, err)}
 	}
-	r := &simulation.Result{}
-	if err := json.Unmarshal(raw, r); err != nil {
-		return nil, &ResultError{File: file, Err: err}
+	result := &simulation.Result{}
+	if err := json.Unmarshal(raw, result); err != nil {
+		return nil, &ResultError{File: path, Err: err}
 	}
-	if r.Version > simulation.Version {
-		return nil, &ResultError{File: file, Err: &VersionError{Version: r.Version}}
+	if result.Version > simulation.Version {
+		return nil, &ResultError{File: path, Err: &VersionError{Version: result.Version}}
 	}
-	return r, nil
+	return result, nil
 }
 
-// Load returns the result of a key, and whether it is there and readable.
-func (p *ResultDir) Load(key string) (*simulation.Result, bool) {
-	r, err := ReadResult(p.path(key))
-	return r, err == nil
+// Load reads the stored results of an experiment, in the order of its cells. A missing result is nil, and counted.
+func Load(x *Experiment, dir string) (results []*simulation.Result, missing int, err error) {
+	cells, err := x.Cells()
+	if err != nil {
+		return nil, 0, err
+	}
+	stored := &ResultDir{Dir: dir}
+	for i := range cells {
+		result, ok := stored.Load(cells[i].Key)
+		if !ok {
+			missing++
+		}
+		results = append(results, result)
+	}
+	return results, missing, nil
 }
--- a/internal/experiment/resultkey.go
+++ b/internal/experiment/resultkey.go
@@ -11,11 +11,11 @@
 	"milletbarrow/internal/simulation"
 )
 
-// resultKey names a run by everything that decides its result, so that the same run is found again. It is the name of
-// the file that stores the result, and must not change when a Go field is renamed.
+// resultKey returns a hash of everything that decides the result of a run. It names the file that stores the result,
+// and must not change when a Go field is renamed.
 func resultKey(c *Cell) string {
 	h := xxhash.New()
-	_, _ = fmt.Fprintf(h, "%d ", simulation.Version) // a hash takes all that is written
+	_, _ = fmt.Fprintf(h, "%d ", simulation.Version) // a hash never returns an error
 	printStable(h, reflect.ValueOf(c.Scenario))
 	_, _ = fmt.Fprintf(h, "|%s|%d|%v", c.Policy.Name+"|"+c.Policy.Description, c.Seed, c.SweptValue)
 	if p := c.Policy; p.Degradation != nil {
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// printStable prints a value as the verb %+v does, but a field with a JSON tag goes by the name in its tag. A field
-// that is renamed gets its former name as a tag, and the printed form stays.
+// printStable prints a value like the verb %+v, except that a field with a JSON tag is printed under the name in its
+// tag. A field that is renamed gets its former name as a tag, which keeps the printed form.
 func printStable(w io.Writer, v reflect.Value) {
 	if v.CanInterface() {
 		switch v.Interface().(type) {
@@ -71,7 +71,7 @@
 	_, _ = io.WriteString(w, "]")
 }
 
-// printedName returns the name that a field is printed by.
+// printedName returns the name of a field in its JSON tag, or its Go name without one.
 func printedName(f reflect.StructField) string {
 	if name, _, _ := strings.Cut(f.Tag.Get("json"), ","); name != "" {
 		return name
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,24 +10,32 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Progress is reported after each run.
+// Progress is the progress of a call of Run after one of its runs.
 type Progress struct {
-	Done, Total int // runs
-	Cached      int // of Done, found in the result directory
-	Cell        *Cell
-	Result      *simulation.Result
+	Done   int                // runs with a result
+	Total  int                // runs of the experiment
+	Cached int                // of Done, found in the result directory
+	Cell   *Cell              // the latest run
+	Result *simulation.Result // of Cell
 }
 
-// Run plays all cells of an experiment on that many cores, stores each result as it comes, and skips those that the
-// directory has. A call that was interrupted is continued by the same call. Results are in the order of the cells,
-// whatever the number of cores. dir may be nil: nothing is stored. onProgress may be nil; it is called by one goroutine
-// at a time.
-func Run(ctx context.Context, x *Experiment, dir *ResultDir, cores int, onProgress func(Progress)) ([]*simulation.Result, error) {
+// Run plays all cells of an experiment on the given number of cores. It stores each result at once and does not play
+// cells whose results the directory has, so that the same call continues one that was interrupted. Results are in the
+// order of the cells for any number of cores. Without dir (nil) nothing is stored. onProgress may be nil; it is
+// called by one goroutine at a time.
+func Run(
+	ctx context.Context, x *Experiment, dir *ResultDir, cores int, onProgress func(Progress),
+) ([]*simulation.Result, error) {
 	cells, err := x.Cells()
 	if err != nil {
 		return nil, err
 	}
-	r := &runner{dir: dir, results: make([]*simulation.Result, len(cells)), progress: Progress{Total: len(cells)}, onProgress: onProgress}
+	r := &runner{
+		dir:        dir,
+		onProgress: onProgress,
+		results:    make([]*simulation.Result, len(cells)),
+		progress:   Progress{Total: len(cells)},
+	}
 	group, groupContext := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, cores))
 	for i := range cells {
@@ -39,10 +47,11 @@
 				return err
 			}
 			result, cached, err := r.result(&cells[i])
-			if err == nil {
-				r.finish(i, &cells[i], result, cached)
+			if err != nil {
+				return err
 			}
-			return err
+			r.finish(i, &cells[i], result, cached)
+			return nil
 		})
 	}
 	if err := group.Wait(); err != nil {
@@ -53,34 +62,34 @@
 
 // runner collects the results of one call of Run.
 type runner struct {
-	dir        *ResultDir // nil: nothing is stored
-	onProgress func(Progress)
+	dir        *ResultDir     // nil: nothing is stored
+	onProgress func(Progress) // nil: none
 
-	mu       sync.Mutex
+	mu       sync.Mutex           // guards the fields below, and calls of onProgress
 	results  []*simulation.Result // in the order of the cells
 	progress Progress
 }
 
-// result returns the stored result of a cell, else plays and stores it.
-func (r *runner) result(c *Cell) (result *simulation.Result, cached bool, err error) {
+// result returns the stored result of a cell, or plays the cell and stores the result.
+func (r *runner) result(cell *Cell) (result *simulation.Result, cached bool, err error) {
 	if r.dir != nil {
-		if result, ok := r.dir.Load(c.Key); ok {
+		if result, ok := r.dir.Load(cell.Key); ok {
 			return result, true, nil
 		}
 	}
-	if result, err = simulation.Play(&c.Scenario, c.Policy, c.Seed, nil); err != nil {
+	if result, err = simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, nil); err != nil {
 		return nil, false, err
 	}
 	if r.dir != nil {
-		if err := r.dir.Write(c.Key, result); err != nil {
-			return nil, false, fmt.Errorf("result of %s: %w", c.Key, err)
+		if err := r.dir.Write(cell.Key, result); err != nil {
+			return nil, false, fmt.Errorf("result of %s: %w", cell.Key, err)
 		}
 	}
 	return result, false, nil
 }
 
 // finish records the result of the i-th cell and reports the progress.
-func (r *runner) finish(i int, c *Cell, result *simulation.Result, cached bool) {
+func (r *runner) finish(i int, cell *Cell, result *simulation.Result, cached bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results[i] = result
@@ -88,25 +97,9 @@
 	if cached {
 		r.progress.Cached++
 	}
-	r.progress.Cell, r.progress.Result = c, result
+	r.progress.Cell = cell
+	r.progress.Result = result
 	if r.onProgress != nil {
 		r.onProgress(r.progress)
 	}
 }
-
-// Load reads the stored results of an experiment. A missing one is nil, and counted.
-func Load(x *Experiment, dir string) (results []*simulation.Result, missing int, err error) {
-	cells, err := x.Cells()
-	if err != nil {
-		return nil, 0, err
-	}
-	p := &ResultDir{Dir: dir}
-	for _, c := range cells {
-		r, ok := p.Load(c.Key)
-		if !ok {
-			missing++
-		}
-		results = append(results, r)
-	}
-	return results, missing, nil
-}
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -7,19 +7,19 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Row is one line of an experiment's table: all days of one scenario, swept value and policy.
+// Row is one row of an experiment's table, over the days of one scenario, swept value and policy.
 type Row struct {
 	Scenario       string   `json:"scenario"`
-	SweptValue     float64  `json:"at"`
+	SweptValue     float64  `json:"at"` // zero if no field is swept
 	Policy         string   `json:"policy"`
-	BilledShare    Estimate `json:"value"`
-	Attempts       float64  `json:"attempts"`
-	WastedMicros   float64  `json:"wasted_us"`
-	BreachesByRule [5]int   `json:"rules"`
-	FirstBreach    string   `json:"first_breach,omitempty"`
+	BilledShare    Estimate `json:"value"`                  // billed part of the offered value
+	Attempts       float64  `json:"attempts"`               // per request, mean of the days
+	WastedMicros   float64  `json:"wasted_us"`              // per request, mean of the days
+	BreachesByRule [5]int   `json:"rules"`                  // indexed by rule, 1 to 4; sum of the days
+	FirstBreach    string   `json:"first_breach,omitempty"` // with its seed; empty: none
 }
 
-// BreachCount returns the number of breaches.
+// BreachCount returns the number of breaches of all rules.
 func (r *Row) BreachCount() (n int) {
 	for _, c := range r.BreachesByRule {
 		n += c
@@ -27,7 +27,7 @@
 	return n
 }
 
-// BreachSummary says which rules were broken and how often; "-" where all were kept.
+// BreachSummary returns each broken rule with its number of breaches, or "-" if there are none.
 func (r *Row) BreachSummary() string {
 	var words []string
 	for rule, n := range r.BreachesByRule {
@@ -41,42 +41,51 @@
 	return strings.Join(words, ", ")
 }
 
+// rowKey identifies a row of the table.
+type rowKey struct {
+	scenario string
+	policy   string
+	value    float64
+}
+
 // Summary returns the table of an experiment, in the order of its cells. Results are in the same order; a missing one
 // is nil.
 func Summary(cells []Cell, results []*simulation.Result) (rows []Row) {
-	type at struct {
-		scenario, policy string
-		value            float64
-	}
-	places := map[at]int{}
-	values := map[int][]float64{}
-	for i, c := range cells {
-		r := results[i]
-		if r == nil {
+	indexes := map[rowKey]int{}
+	var billedShares [][]float64 // by row and day
+	for i := range cells {
+		cell, result := &cells[i], results[i]
+		if result == nil {
 			continue
 		}
-		k := at{c.Scenario.Name, c.Policy.Name, c.SweptValue}
-		n, ok := places[k]
-		if !ok {
-			n = len(rows)
-			places[k] = n
-			rows = append(rows, Row{Scenario: k.scenario, SweptValue: k.value, Policy: k.policy})
-		}
-		row := &rows[n]
-		values[n] = append(values[n], r.Value())
-		row.Attempts += float64(r.Attempts) / max(1, float64(r.Requests))
-		row.WastedMicros += r.WastedMicros / max(1, float64(r.Requests))
-		for rule, broken := range r.BreachesByRule {
-			row.BreachesByRule[rule] += broken
-		}
-		if len(r.Breaches) > 0 && row.FirstBreach == "" {
-			row.FirstBreach = fmt.Sprintf("seed %d: %v", c.Seed, r.Breaches[0])
+		key := rowKey{scenario: cell.Scenario.Name, policy: cell.Policy.Name, value: cell.SweptValue}
+		index, known := indexes[key]
+		if !known {
+			index = len(rows)
+			indexes[key] = index
+			rows = append(rows, Row{Scenario: key.scenario, SweptValue: key.value, Policy: key.policy})
+			billedShares = append(billedShares, nil)
 		}
+		rows[index].add(cell.Seed, result)
+		billedShares[index] = append(billedShares[index], result.Value())
 	}
-	for n := range rows {
-		rows[n].BilledShare = Bootstrap(values[n])
-		rows[n].Attempts /= float64(len(values[n]))
-		rows[n].WastedMicros /= float64(len(values[n]))
+	for i := range rows {
+		days := float64(len(billedShares[i]))
+		rows[i].BilledShare = Bootstrap(billedShares[i])
+		rows[i].Attempts /= days
+		rows[i].WastedMicros /= days
 	}
 	return rows
 }
+
+// add adds the figures of one day to the sums of the row.
+func (r *Row) add(seed uint64, result *simulation.Result) {
+	r.Attempts += perRequest(float64(result.Attempts), result.Requests)
+	r.WastedMicros += perRequest(result.WastedMicros, result.Requests)
+	for rule, breaches := range result.BreachesByRule {
+		r.BreachesByRule[rule] += breaches
+	}
+	if len(result.Breaches) > 0 && r.FirstBreach == "" {
+		r.FirstBreach = fmt.Sprintf("seed %d: %v", seed, result.Breaches[0])
+	}
+}
