--- a/internal/experiment/comparison_test.go
+++ b/internal/experiment/comparison_test.go
@@ -3,37 +3,61 @@
 import (
 	"testing"
 
+	"milletbarrow/internal/fakes"
 	"milletbarrow/internal/simulation"
 )
 
-// TestDaysArePairedByScenarioValueAndSeed: days whose names and values read the same when joined ("s" at 12, "s1" at 2)
-// are different days.
+// TestVerdicts records the verdicts on policies that differ, on two of the same kind, and on missing figures.
+func TestVerdicts(t *testing.T) {
+	trace := fakes.NewTrace(t)
+	x := parse(t, `(scenario day (for 1s) (hosts (count 3)) (nodes (count 2)) (load (at 1.4)))
+(policy again (base pool)) (experiment small (policies milletbarrow pool again two-choices) (seeds 1..8))`)
+	cells := cellsOf(t, x)
+	results := run(t, x, nil, 4)
+	for _, test := range []struct{ first, second, measure string }{
+		{"pool", "milletbarrow", "value"},
+		{"pool", "again", "value"},
+		{"milletbarrow", "pool", "attempts"},
+		{"pool", "two-choices", "pay-post.p99"},
+		{"milletbarrow", "pool", "pay-post.throttled"},
+		{"milletbarrow", "pool", "none.value"},
+		{"milletbarrow", "nobody", "value"},
+	} {
+		for _, d := range Compare(cells, results, test.first, test.second, measure(t, test.measure)) {
+			trace.Say("%s of %s and %s: %s", test.measure, test.first, test.second, d.Verdict)
+		}
+	}
+	_, err := MeasureNamed("colour")
+	trace.Say("%v", err)
+}
+
+// TestDaysArePairedByScenarioValueAndSeed compares days whose names and values are equal when joined: "s" at 12 and
+// "s1" at 2.
 func TestDaysArePairedByScenarioValueAndSeed(t *testing.T) {
-	pool, module := &simulation.Policy{Name: "pool"}, &simulation.Policy{Name: simulation.Module}
 	var cells []Cell
 	var results []*simulation.Result
-	for _, day := range []struct {
-		scenario           string
-		value              float64
-		ofPool, difference float64
-	}{{"s", 12, 0.25, 0.5}, {"s1", 2, 0.75, 0.125}} {
-		for _, c := range []struct {
-			policy *simulation.Policy
-			billed float64
-		}{{pool, day.ofPool}, {module, day.ofPool + day.difference}} {
-			cells = append(cells, Cell{Scenario: simulation.Scenario{Name: day.scenario}, Policy: c.policy, Seed: 1, SweptValue: day.value})
-			results = append(results, &simulation.Result{Offered: 1, Billed: c.billed})
-		}
+	add := func(scenario string, value float64, policy string, billed float64) {
+		cells = append(cells, Cell{
+			Scenario:   simulation.Scenario{Name: scenario},
+			Policy:     &simulation.Policy{Name: policy},
+			Seed:       1,
+			SweptValue: value,
+		})
+		results = append(results, &simulation.Result{Offered: 1, Billed: billed})
+	}
+	// All days of the first policy come before those of the second, as if policies were swept one after the other.
+	add("s", 12, "pool", 0.25)
+	add("s1", 2, "pool", 0.75)
+	add("s", 12, simulation.Module, 0.75)
+	add("s1", 2, simulation.Module, 0.875)
+	all := Compare(cells, results, "pool", simulation.Module, measure(t, "value"))
+	if len(all) != 2 {
+		t.Fatalf("%d differences, want 2: %+v", len(all), all)
 	}
-	// All days of the first policy come before those of the second, as when policies are swept one after the other.
-	cells[1], cells[2] = cells[2], cells[1]
-	results[1], results[2] = results[2], results[1]
-	value, err := MeasureNamed("value")
-	if err != nil {
-		t.Fatal(err)
+	if all[0].Scenario != "s" || all[0].Paired.Mean != 0.5 {
+		t.Errorf("first difference %+v, want 0.5 of s", all[0])
 	}
-	all := Compare(cells, results, "pool", simulation.Module, value)
-	if len(all) != 2 || all[0].Scenario != "s" || all[0].Paired.Mean != 0.5 || all[1].Scenario != "s1" || all[1].Paired.Mean != 0.125 {
-		t.Errorf("%+v", all)
+	if all[1].Scenario != "s1" || all[1].Paired.Mean != 0.125 {
+		t.Errorf("second difference %+v, want 0.125 of s1", all[1])
 	}
 }
--- a/internal/experiment/compat_test.go
+++ b/internal/experiment/compat_test.go
@@ -1,9 +1,7 @@
 package experiment
 
 import (
-	"context"
 	"crypto/sha256"
-	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
@@ -13,87 +11,61 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that the JSON of an earlier release, with each field set, is read and written alike.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Facts](t, "Facts.json")
 	compattest.RoundTrip[Row](t, "Row.json")
 	compattest.RoundTrip[Difference](t, "Difference.json")
 }
 
-// TestEarlierResults: the results that an earlier release left are found under the same file names, read, and
-// summed up and compared to the same figures.
+// TestEarlierResults checks that the stored results of an earlier release are found under the same file names, and that
+// their summary and comparison have the same figures.
 func TestEarlierResults(t *testing.T) {
-	x, err := Read(compattest.File("experiment.sx"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	cells, err := x.Cells()
-	if err != nil {
-		t.Fatal(err)
-	}
+	x := read(t, compattest.File("experiment.sx"))
+	cells := cellsOf(t, x)
 	results, missing, err := Load(x, compattest.File("results"))
 	if err != nil || missing > 0 {
-		t.Fatalf("%d of %d results are not found: the names of their files follow from the printed form of scenario, policy and degradation policy: %v",
+		t.Fatalf("%d of %d results are not found: "+
+			"file names follow from the printed form of scenario, policy and degradation policy: %v",
 			missing, len(cells), err)
 	}
-	compattest.SameJSON(t, "lab-check.json", compattest.Read(t, "lab-check.json"), x.Facts())
-	compattest.SameJSON(t, "lab-run.json", compattest.Read(t, "lab-run.json"), Summary(cells, results))
-	value, err := MeasureNamed("value")
-	if err != nil {
-		t.Fatal(err)
+	sameJSON := func(file string, value any) {
+		t.Helper()
+		compattest.SameJSON(t, file, compattest.Read(t, file), value)
 	}
-	compattest.SameJSON(t, "lab-compare.json", compattest.Read(t, "lab-compare.json"), Compare(cells, results, "pool", "milletbarrow", value))
+	sameJSON("lab-check.json", x.Facts())
+	sameJSON("lab-run.json", Summary(cells, results))
+	sameJSON("lab-compare.json", Compare(cells, results, "pool", "milletbarrow", measure(t, "value")))
 }
 
-// TestEarlierResultsAgain: played again, each run gives the result that the earlier release wrote.
+// TestEarlierResultsAgain checks that each run, played again, gives the result of the earlier release.
 func TestEarlierResultsAgain(t *testing.T) {
-	x, err := Read(compattest.File("experiment.sx"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	x := read(t, compattest.File("experiment.sx"))
 	earlier, _, err := Load(x, compattest.File("results"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Run(context.Background(), x, nil, 2, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
+	again := run(t, x, nil, 2)
 	for i := range earlier {
 		if earlier[i] == nil {
 			t.Errorf("result %d of the earlier release is not found", i)
 			continue
 		}
-		text, err := json.Marshal(earlier[i])
-		if err != nil {
-			t.Fatal(err)
-		}
-		compattest.SameJSON(t, again[i].Scenario+" "+again[i].Policy, text, again[i])
+		name := again[i].Scenario + " " + again[i].Policy
+		compattest.SameJSON(t, name, []byte(encode(t, earlier[i])), again[i])
 	}
 }
 
-// TestEarlierSimulations: twelve simulated days under four policies, two seeds each, end with the results of the
-// earlier release to the byte. dozen.sha256 holds the SHA-256 of each result's JSON as that release wrote it.
+// TestEarlierSimulations checks that twelve simulated days under four policies, with two seeds each, give the results
+// of the earlier release to the byte. dozen.sha256 has the SHA-256 of each result's JSON of that release.
 func TestEarlierSimulations(t *testing.T) {
-	x, err := Read(compattest.File("dozen.sx"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	cells, err := x.Cells()
-	if err != nil {
-		t.Fatal(err)
-	}
-	results, err := Run(context.Background(), x, nil, 2, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
+	x := read(t, compattest.File("dozen.sx"))
+	cells := cellsOf(t, x)
+	results := run(t, x, nil, 2)
 	lines := make([]string, 0, len(cells))
 	for i, cell := range cells {
-		text, err := json.Marshal(results[i])
-		if err != nil {
-			t.Fatal(err)
-		}
-		lines = append(lines, fmt.Sprintf("%s %s %d %x", cell.Scenario.Name, cell.Policy.Name, cell.Seed, sha256.Sum256(text)))
+		sum := sha256.Sum256([]byte(encode(t, results[i])))
+		lines = append(lines, fmt.Sprintf("%s %s %d %x", cell.Scenario.Name, cell.Policy.Name, cell.Seed, sum))
 	}
 	want := strings.Split(strings.TrimSpace(string(compattest.Read(t, "dozen.sha256"))), "\n")
 	if diff := cmp.Diff(want, lines); diff != "" {
--- a/internal/experiment/names_test.go
+++ b/internal/experiment/names_test.go
@@ -15,19 +15,19 @@
 	"milletbarrow/internal/simulation"
 )
 
-// experimentWithAllNames uses every name of today that has a former one.
+// experimentWithAllNames uses each present name that has a former one.
 const experimentWithAllNames = `(experiment e (scenarios s) (policies p) (seeds 1))
 (policy p (degradation "testdata/6251f7b/steady.sx"))
 (scenario s (for 20s) (hosts (count 4) (reported-fleet-size 9)) (nodes (count 3) (attempts 2))
   (fault release (at 2s) (batch-share 0.3)))`
 
-// decodedPolicy is what a file says of a policy.
+// decodedPolicy is the content of a policy form, without the functions of its base.
 type decodedPolicy struct {
 	Name        string
 	Degradation *degradation.Policy
 }
 
-// decoded is what a file says, without the code of its policies.
+// decoded is the content of an experiment's file, without the functions of its policies.
 type decoded struct {
 	Name        string
 	Scenarios   []simulation.Scenario
@@ -61,18 +61,19 @@
 	})
 }
 
-// The studies as release 6251f7b had them decode to the values of today's.
+// TestStudiesOfEarlierReleaseDecodeAlike checks that the studies of release 6251f7b decode to the same values as the
+// present ones.
 func TestStudiesOfEarlierReleaseDecodeAlike(t *testing.T) {
-	const earlier = "testdata/6251f7b"
-	files, err := filepath.Glob(earlier + "/*.sx")
+	const earlierDir = "testdata/6251f7b"
+	files, err := filepath.Glob(earlierDir + "/*.sx")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
-	encode := func(path string) (string, bool) {
+	decode := func(path string) (string, bool) {
 		x, err := Read(path)
 		if err != nil {
 			if strings.Contains(err.Error(), "wanted scenario, policy or experiment") {
-				return "", false // a degradation policy, which the studies name
+				return "", false // a degradation policy that a study refers to
 			}
 			t.Fatal(err)
 		}
@@ -84,12 +85,12 @@
 	}
 	compared := 0
 	for _, file := range files {
-		before, isExperiment := encode(file)
+		earlier, isExperiment := decode(file)
 		if !isExperiment {
 			continue
 		}
-		today, _ := encode(filepath.Join("../../docs/studies", filepath.Base(file)))
-		if diff := cmp.Diff(before, today); diff != "" {
+		present, _ := decode(filepath.Join("../../docs/studies", filepath.Base(file)))
+		if diff := cmp.Diff(earlier, present); diff != "" {
 			t.Errorf("%s: %s", file, diff)
 		}
 		compared++
@@ -97,7 +98,7 @@
 	if compared == 0 {
 		t.Error("no experiment was compared")
 	}
-	if _, err := os.Stat(filepath.Join(earlier, "quarter.sx")); err != nil {
+	if _, err := os.Stat(filepath.Join(earlierDir, "quarter.sx")); err != nil {
 		t.Error(err)
 	}
 }
