--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -12,11 +12,19 @@
 
 func experimentCommand() *cli.Command {
 	return &cli.Command{
-		Name: "experiment", Usage: "try designs on modelled fleets: run, compare and plot experiments",
-		Description: "Example:\n   milletbarrow experiment run docs/studies/wording.sx --dir /tmp/wording\n" +
-			"   milletbarrow experiment compare docs/studies/wording.sx --dir /tmp/wording pool milletbarrow",
+		Name: "experiment", Usage: "run, compare and plot experiments on simulated fleets",
+		Description: "Example:\n   milletbarrow experiment run docs/studies/deaf.sx --dir /tmp/deaf\n" +
+			"   milletbarrow experiment compare docs/studies/deaf.sx --dir /tmp/deaf pool milletbarrow",
 		Commands: []*cli.Command{
-			experimentCheckCommand(), experimentRunCommand(), experimentCompareCommand(), experimentPlotCommand(), experimentReplayCommand(), experimentPoliciesCommand(), experimentValidateCommand(), experimentBenchmarkCommand(), experimentColdStartCommand(),
+			experimentCheckCommand(),
+			experimentRunCommand(),
+			experimentCompareCommand(),
+			experimentPlotCommand(),
+			experimentReplayCommand(),
+			experimentPoliciesCommand(),
+			experimentValidateCommand(),
+			experimentBenchmarkCommand(),
+			experimentColdStartCommand(),
 		},
 	}
 }
@@ -51,11 +59,11 @@
 }
 
 func dirFlag() cli.Flag {
-	return &cli.StringFlag{Name: "dir", Usage: "the `PLACE` of the results", Required: true}
+	return &cli.StringFlag{Name: "dir", Usage: "the `DIRECTORY` of the results", Required: true}
 }
 
 func overFlag() cli.Flag {
-	return &cli.StringFlag{Name: "over", Usage: "sweep `NAME=VALUE,VALUE...` instead of what the file sweeps"}
+	return &cli.StringFlag{Name: "over", Usage: "sweep `NAME=VALUE,VALUE...` in place of the file's sweep"}
 }
 
 // loadExperiment reads a file, and the results of it that are stored.
@@ -69,7 +77,11 @@
 		return nil, nil, nil, unusable(err)
 	}
 	if missing == len(cells) {
-		return nil, nil, nil, usagef("%s has none of the %d results: run the experiment first", c.String("dir"), missing)
+		return nil, nil, nil, usagef(
+			"%s has none of the %d results: run the experiment first",
+			c.String("dir"),
+			missing,
+		)
 	}
 	if missing > 0 {
 		fmt.Fprintf(os.Stderr, "%d of %d results are missing or can't be read\n", missing, len(cells))
@@ -78,5 +90,9 @@
 }
 
 func measureFlag() cli.Flag {
-	return &cli.StringFlag{Name: "measure", Usage: "the `FIGURE`: value, broken, attempts, wasted, changes, OPERATION.p99 ...", Value: "value"}
+	return &cli.StringFlag{
+		Name:  "measure",
+		Usage: "the `MEASURE`: value, broken, attempts, wasted, changes, OPERATION.p99 ...",
+		Value: "value",
+	}
 }
--- a/cmd/milletbarrow/limits.go
+++ b/cmd/milletbarrow/limits.go
@@ -13,7 +13,7 @@
 
 func limitsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "limits", Usage: "print the bounds that follow from a configuration", Flags: []cli.Flag{configFlag()},
+		Name: "limits", Usage: "print the limits that follow from a configuration", Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			b, err := readConfiguration(c)
 			if err == nil {
@@ -24,8 +24,8 @@
 	}
 }
 
-// printedBounds are the names under which bounds are printed, where those differ from the fields' names: the output keeps the
-// names of earlier releases.
+// printedBounds are the names under which bounds are printed, where those differ from the fields' names: the output
+// keeps the names of earlier releases.
 var printedBounds = map[string]string{
 	"ConnectionsHighWater": "Roomy",
 	"ClosingConnections":   "Leaving",
