--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -65,7 +65,7 @@
 // definitions are the forms of one file.
 type definitions struct {
 	scenarios  map[scenarioName]simulation.Scenario
-	order      []string // names of the scenarios, as in the file
+	order      []string // names of the scenarios, in the order of the file
 	policies   map[policyName]*simulation.Policy
 	experiment *sexpr.Form // nil: the file has none
 }
--- a/internal/loadgen/attempt.go
+++ b/internal/loadgen/attempt.go
@@ -56,7 +56,8 @@
 	return invocation
 }
 
-// connection returns the open connection of a node to a backend, and opens one if there is none. The caller holds s.mu.
+// connection returns the connection of a node to a backend that takes new attempts, and opens one if there is none. The
+// caller holds s.mu.
 func (s *sender) connection(node, backend int) *connection {
 	key := connectionKey{node: node, backend: backend}
 	if c := s.connections[key]; c != nil {
--- a/internal/loadgen/retry.go
+++ b/internal/loadgen/retry.go
@@ -33,7 +33,7 @@
 
 // BackendView is one node's view of the backends.
 type BackendView struct {
-	AvoidUntil []monotime.Micros // by index of the backend: it gets no retry before; zero: not avoided
+	AvoidUntil []monotime.Micros // by index of the backend; zero: not avoided
 	next       int               // index of the backend of the latest choice
 }
 
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -25,17 +25,17 @@
 	options       Options
 	scenario      *simulation.Scenario
 	startedAt     time.Time
-	ignoresAdvice []bool        // by index of the node
-	idBase        uint64        // added to the number of an attempt; keeps ids of successive loads apart
-	allDone       chan struct{} // closed once each request has an outcome
-	dial          func(address string) (net.Conn, error)
+	ignoresAdvice []bool                                 // by index of the node
+	idBase        uint64                                 // added to the number of an attempt; keeps ids of successive loads apart
+	allDone       chan struct{}                          // closed once each request has an outcome
+	dial          func(address string) (net.Conn, error) // not cancelled by an interruption
 
 	mu          sync.Mutex // guards the fields below, the requests, and the connections except for their sockets
 	report      *Report
 	views       []BackendView // by index of the node
 	rand        *rand.Rand    // draws the backoff
 	connections map[connectionKey]*connection
-	inFlight    int
+	inFlight    int    // requests without an outcome
 	sentAll     bool   // the first attempt of each request was sent
 	attempts    uint64 // sent so far
 }
