--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -26,7 +26,7 @@
 	scenario      *simulation.Scenario
 	startedAt     time.Time
 	ignoresAdvice []bool                                 // by index of the node
-	idBase        uint64                                 // added to the number of an attempt; keeps ids of successive loads apart
+	idBase        uint64                                 // plus the number of an attempt is its id; differs per load
 	allDone       chan struct{}                          // closed once each request has an outcome
 	dial          func(address string) (net.Conn, error) // not cancelled by an interruption
 
