--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -20,11 +20,22 @@
 	"milletbarrow/internal/simulation"
 )
 
+// Accepted sizes and durations of a demo.
+const (
+	maxDemoBackends = 40
+	minDemoDuration = 4 * time.Second
+	maxDemoDuration = time.Hour
+)
+
+// demoStopTimeout bounds the shutdown of a demo's fleet.
+const demoStopTimeout = 15 * time.Second
+
 func demoCommand() *cli.Command {
 	return &cli.Command{
-		Name:        "demo",
-		Usage:       "run a small fleet with an agent, load, a burst and a rolling update, then stop it and clean up",
-		Description: "Everything runs on loopback addresses of this machine.\nExample:\n   milletbarrow demo --for 30s --plot demo.svg",
+		Name:  "demo",
+		Usage: "run a small fleet with an agent, load, a burst and a rolling update, then stop it and clean up",
+		Description: "Everything runs on loopback addresses of this machine.\n" +
+			"Example:\n   milletbarrow demo --for 30s --plot demo.svg",
 		Flags: []cli.Flag{
 			&cli.IntFlag{
 				Name:  "backends",
@@ -41,14 +52,18 @@
 }
 
 func runDemo(ctx context.Context, c *cli.Command) error {
-	if n := c.Int("backends"); n < 1 || n > 40 || c.Duration("for") < 4*time.Second || c.Duration("for") > time.Hour {
-		return usagef("demo: 1 to 40 backends, for 4s to 1h")
+	backends, duration := c.Int("backends"), c.Duration("for")
+	if backends < 1 || backends > maxDemoBackends || duration < minDemoDuration || duration > maxDemoDuration {
+		return usagef(
+			"demo: %d backends for %v: expected 1 to %d backends for %v to %v",
+			backends, duration, maxDemoBackends, minDemoDuration, maxDemoDuration,
+		)
 	}
 	format, err := plotFormat("--plot", c.String("plot"))
 	if err != nil {
 		return err
 	}
-	s := demo.Scenario(c.Int("backends"), c.Duration("for"))
+	s := demo.Scenario(backends, duration)
 	say := progressPrinter(c)
 	r, twice, err := runOnSockets(ctx, &s, c.Uint64("seed"), say)
 	if err != nil {
@@ -68,9 +83,9 @@
 		printLoad(r)
 	}
 	if twice+r.DuplicateAnswers+r.UnknownResults > 0 {
-		return outcomef(outcomePartial, "%d runs were launched twice, %d answers came twice", twice, r.DuplicateAnswers)
+		return outcomef(outcomePartial, "%d requests were run twice, %d answers were duplicates", twice, r.DuplicateAnswers)
 	}
-	say("drawn to %s", c.String("plot"))
+	say("plot written to %s", c.String("plot"))
 	return err
 }
 
@@ -82,9 +97,9 @@
 	return func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 }
 
-// runOnSockets starts a scenario's fleet on this machine, sends its load, injects those of its faults that can be
-// injected here (slow hosts, a release; bursts are part of the load), and ends all that it began. twice counts the
-// runs that were launched twice.
+// runOnSockets starts a scenario's fleet on this machine, sends its load, injects its slow hosts and rolling updates,
+// and stops the fleet again. Bursts are part of the load; other faults are not injected. twice counts the requests
+// that were run twice.
 func runOnSockets(
 	ctx context.Context,
 	s *simulation.Scenario,
@@ -106,31 +121,27 @@
 	if err := agent.Start(); err != nil {
 		return nil, 0, err
 	}
-	tool := func(ctx context.Context, args ...string) error {
-		out, err := exec.CommandContext(
-			ctx,
-			self,
-			append(
-				[]string{"fleet", args[0], "--fleet", site.FleetFile, "--all", "--quiet"},
-				args[1:]...)...).CombinedOutput()
+	runFleet := func(ctx context.Context, args ...string) error {
+		words := append([]string{"fleet", args[0], "--fleet", site.FleetFile, "--all", "--quiet"}, args[1:]...)
+		out, err := exec.CommandContext(ctx, self, words...).CombinedOutput()
 		if err != nil && ctx.Err() == nil {
 			return fmt.Errorf("fleet %s: %w: %s", args[0], err, out)
 		}
 		return nil
 	}
-	defer func() { // all that was started ends, also where the demo is interrupted
+	defer func() { // not bound to ctx: the fleet stops also after an interrupt
 		say("stopping and cleaning up")
-		err = errors.Join(err, tool(context.Background(), "stop", "--within", "15s"))
+		err = errors.Join(err, runFleet(context.Background(), "stop", "--within", demoStopTimeout.String()))
 		_ = agent.Process.Signal(syscall.SIGTERM)
 		_ = agent.Wait()
 	}()
 	say("starting %d backends under an agent, in %s", len(site.Backends), site.Dir)
-	if err := tool(ctx, "start", "--within", "20s"); err != nil {
+	if err := runFleet(ctx, "start", "--within", "20s"); err != nil {
 		return nil, 0, err
 	}
 	faults, faultsContext := errgroup.WithContext(ctx)
-	for _, t := range s.Faults {
-		faults.Go(func() error { return site.InjectFault(faultsContext, t, say, tool) })
+	for _, fault := range s.Faults {
+		faults.Go(func() error { return site.InjectFault(faultsContext, fault, say, runFleet) })
 	}
 	r, err = loadgen.Run(ctx, loadgen.Options{
 		Scenario: s, Seed: seed, Backends: site.Backends, Bounds: limits.ForLoad(),
--- a/cmd/milletbarrow/errors.go
+++ b/cmd/milletbarrow/errors.go
@@ -13,18 +13,18 @@
 // Exit codes; docs/fleet.md explains them.
 const (
 	exitError       = 1 // any error that has no code of its own
-	exitUnusable    = 2 // a file or a word of the command line can't be used; nothing was changed
-	exitSome        = 3 // some instances came out other than asked for
-	exitLate        = 4 // the time ran out before all had a result
-	exitUnreachable = 5 // some agents could not be reached
+	exitUnusable    = 2 // invalid file or argument; nothing was changed
+	exitSome        = 3 // some instances failed, or a check failed
+	exitLate        = 4 // timeout before all instances had a result
+	exitUnreachable = 5 // some agents are unreachable
 )
 
 var (
-	errNoConfig       = errors.New("config: no file is named, by GW_CONFIG or --config")
+	errNoConfig       = errors.New("config: no file is given by GW_CONFIG or --config")
 	errEventLoopEnded = errors.New("listen: the event loop has ended")
 )
 
-// usageError reports that a file or a word of the command line can't be used; nothing was changed.
+// usageError reports an invalid file or argument; nothing was changed.
 type usageError struct {
 	cause error // its text names the flag, argument or file
 }
@@ -33,7 +33,7 @@
 
 func (e *usageError) Unwrap() error { return e.cause }
 
-// unusable marks an error, unless it is nil, as one of what the caller gave.
+// unusable wraps an error in a usageError; nil stays nil.
 func unusable(err error) error {
 	if err == nil {
 		return nil
@@ -41,7 +41,7 @@
 	return &usageError{cause: err}
 }
 
-// usagef makes a usage error of a text.
+// usagef returns a usageError with a formatted text.
 func usagef(format string, args ...any) error {
 	return &usageError{cause: fmt.Errorf(format, args...)}
 }
@@ -49,30 +49,30 @@
 // checkRange returns a usage error unless the value of a flag is from least to most.
 func checkRange(flag string, value, least, most int) error {
 	if value < least || value > most {
-		return usagef("%s: %d is not from %d to %d", flag, value, least, most)
+		return usagef("%s: %d is out of range: expected %d to %d", flag, value, least, most)
 	}
 	return nil
 }
 
-// unknownCommandError reports a word that is no sub-command.
+// unknownCommandError reports an unknown sub-command.
 type unknownCommandError struct {
 	word string
 }
 
 func (e *unknownCommandError) Error() string {
-	return fmt.Sprintf("%q is no command; help lists them", e.word)
+	return fmt.Sprintf("unknown command %q; help lists the commands", e.word)
 }
 
-// outcome says how a command that was carried out came out other than asked for.
+// outcome classifies the failure of a command that was carried out.
 type outcome int
 
 const (
-	outcomePartial outcome = iota // some came out other than asked for, or a check did not hold
+	outcomePartial outcome = iota // some instances failed, or a check failed
 	outcomeTimedOut
 	outcomeUnreachable
 )
 
-// outcomeError reports how a command that was carried out came out, for scripts that go by the exit code. Without a
+// outcomeError reports the failure of a command that was carried out; its outcome determines the exit code. Without a
 // cause there is no text: the command has printed it already.
 type outcomeError struct {
 	outcome outcome
@@ -88,12 +88,12 @@
 
 func (e *outcomeError) Unwrap() error { return e.cause }
 
-// outcomef makes an outcome error of a text.
+// outcomef returns an outcomeError with a formatted text.
 func outcomef(o outcome, format string, args ...any) error {
 	return &outcomeError{outcome: o, cause: fmt.Errorf(format, args...)}
 }
 
-// exitCode is the code with which the program ends after an error.
+// exitCode returns the exit code of the program for an error.
 func exitCode(err error) int {
 	if err == nil {
 		return 0
--- a/cmd/milletbarrow/errors_test.go
+++ b/cmd/milletbarrow/errors_test.go
@@ -24,13 +24,13 @@
 		text string
 	}{
 		"none":                       {nil, 0, ""},
-		"any":                        {errNoConfig, 1, "config: no file is named, by GW_CONFIG or --config"},
-		"no such command":            {&unknownCommandError{word: "dance"}, 1, `"dance" is no command; help lists them`},
+		"any":                        {errNoConfig, 1, "config: no file is given by GW_CONFIG or --config"},
+		"no such command":            {&unknownCommandError{word: "dance"}, 1, `unknown command "dance"; help lists the commands`},
 		"usage":                      {unusable(missing), 2, "open /nowhere: file does not exist"},
 		"usage, wrapped":             {fmt.Errorf("x: %w", usagef("id: %w", missing)), 2, "x: id: open /nowhere: file does not exist"},
 		"usage, joined":              {errors.Join(usagef("a"), nil), 2, "a"},
 		"usage of a program's error": {unusable(failed), 2, "exit status 5"},
-		"out of range":               {checkRange("most", 0, 1, 100_000), 2, "most: 0 is not from 1 to 100000"},
+		"out of range":               {checkRange("most", 0, 1, 100_000), 2, "most: 0 is out of range: expected 1 to 100000"},
 		"partial":                    {&outcomeError{outcome: outcomePartial}, 3, ""},
 		"partial, with a text":       {outcomef(outcomePartial, "%d of %d", 1, 2), 3, "1 of 2"},
 		"timed out":                  {&outcomeError{outcome: outcomeTimedOut}, 4, ""},
--- a/cmd/milletbarrow/experiment_cold_start.go
+++ b/cmd/milletbarrow/experiment_cold_start.go
@@ -10,11 +10,19 @@
 	"milletbarrow/internal/simulation/coldstart"
 )
 
+// Accepted sizes of a cold-start study.
+const (
+	minColdStartBackends = 10
+	maxColdStartBackends = 20_000
+	maxColdStartSeeds    = 1000
+)
+
 func experimentColdStartCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "cold-start",
 		Usage: "simulate a cold start by each way of starting and reporting",
-		Description: "The simulated registry refuses reports for ten seconds, and the dependency fails under overload. Example:\n" +
+		Description: "The simulated registry refuses reports for ten seconds, and the dependency fails under overload.\n" +
+			"Example:\n" +
 			"   milletbarrow experiment cold-start --backends 330,1200,5000 --seeds 6",
 		Flags: []cli.Flag{
 			jsonFlag(),
@@ -25,14 +33,14 @@
 	}
 }
 
-// studyColdStart plays cold starts, and prints a row of each way.
+// studyColdStart simulates cold starts, and prints a row for each way of starting and reporting.
 func studyColdStart(_ context.Context, c *cli.Command) error {
 	for _, n := range c.IntSlice("backends") {
-		if err := checkRange("backends", n, 10, 20_000); err != nil {
+		if err := checkRange("backends", n, minColdStartBackends, maxColdStartBackends); err != nil {
 			return err
 		}
 	}
-	if err := checkRange("seeds", c.Int("seeds"), 1, 1000); err != nil {
+	if err := checkRange("seeds", c.Int("seeds"), 1, maxColdStartSeeds); err != nil {
 		return err
 	}
 	rows, err := coldstart.Study(
--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -52,7 +52,7 @@
 		if !c.Bool("quiet") {
 			fmt.Fprintf(
 				os.Stderr,
-				"%d of %d (%d kept), %v: %s %s seed %d: value %.3f\n",
+				"%d of %d (%d cached), %v: %s %s seed %d: value %.3f\n",
 				p.Done,
 				p.Total,
 				p.Cached,
@@ -65,7 +65,7 @@
 		}
 	})
 	if errors.Is(err, context.Canceled) {
-		return outcomef(outcomeTimedOut, "interrupted; the same call goes on")
+		return outcomef(outcomeTimedOut, "interrupted; the same call resumes")
 	}
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 	return printSummary(experiment.Summary(cells, results))
 }
 
-// buildID names this program by its content: results of one build must not be continued by another.
+// buildID names this program by its content: a build does not resume the results of another.
 func buildID() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -116,7 +116,7 @@
 		return err
 	}
 	if broken {
-		return outcomef(outcomePartial, "a rule was broken")
+		return outcomef(outcomePartial, "the module broke a rule")
 	}
 	return nil
 }
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -31,8 +31,9 @@
 		Name:      "validate",
 		Usage:     "compare scenarios in the simulation and over sockets on this machine",
 		ArgsUsage: "FILE",
-		Description: "Slow hosts, bursts and releases happen in both. The exit code is 3 if they differ by more than 0.05 in value or in\n" +
-			"the rejected share, or by 20% in p99. Other load on the machine changes the result.\nExample:\n   milletbarrow experiment validate docs/studies/twins.sx",
+		Description: "Slow hosts, bursts and releases happen in both. The exit code is 3 if they differ by more than 0.05 in\n" +
+			"value or in the rejected share, or by 20% in p99. Other load on the machine changes the result.\n" +
+			"Example:\n   milletbarrow experiment validate docs/studies/twins.sx",
 		Flags: []cli.Flag{
 			jsonFlag(),
 			&cli.BoolFlag{Name: "quiet"},
@@ -98,7 +99,7 @@
 		return err
 	}
 	if apart > 0 {
-		return outcomef(outcomePartial, "%d of %d days lie apart", apart, len(all))
+		return outcomef(outcomePartial, "%d of %d days differ by more than the tolerance", apart, len(all))
 	}
 	return nil
 }
@@ -119,7 +120,7 @@
 		return nil, err
 	}
 	if n := twice + measured.DuplicateAnswers + measured.UnknownResults; n > 0 {
-		return nil, outcomef(outcomePartial, "%s: %d answers or runs came twice", s.Name, n)
+		return nil, outcomef(outcomePartial, "%s: %d answers or runs were duplicates", s.Name, n)
 	}
 	w := &validationResult{Scenario: s.Name}
 	for n, r := range []*simulation.Result{modelled, measured.Result} {
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -26,14 +26,16 @@
 	return &cli.Command{
 		Name:  "faults",
 		Usage: "run real agents, supervisors and backends under injected faults, and check the outcome",
-		Description: "Faults are injected into processes on this machine and the links between them; see docs/fault-injection.md. Exit codes:\n" +
+		Description: "Faults are injected into processes on this machine and the links between them;\n" +
+			"see docs/fault-injection.md. Exit codes:\n" +
 			"0 all checks passed, 1 error, 2 invalid file or argument, 3 a check failed.",
 		Commands: []*cli.Command{
 			{
-				Name:        "run",
-				Usage:       "run schedules of faults from files, or random ones from seeds",
-				ArgsUsage:   "[FILE ...]",
-				Description: "Examples:\n   milletbarrow faults run internal/faultinjection/testdata/cold.sx\n   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
+				Name:      "run",
+				Usage:     "run schedules of faults from files, or random ones from seeds",
+				ArgsUsage: "[FILE ...]",
+				Description: "Examples:\n   milletbarrow faults run internal/faultinjection/testdata/cold.sx\n" +
+					"   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
 				Flags: []cli.Flag{
 					keep,
 					failpoint,
@@ -92,9 +94,10 @@
 				Action: shrinkSchedule,
 			},
 			{
-				Name:        "measure",
-				Usage:       "measure the use of quotas while demand moves, hosts are lost and agents are killed",
-				Description: "It takes some minutes; other load on the machine changes the result. Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
+				Name:  "measure",
+				Usage: "measure the use of quotas while demand moves, hosts are lost and agents are killed",
+				Description: "It takes some minutes; other load on the machine changes the result.\n" +
+					"Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
 				Flags: []cli.Flag{
 					jsonFlag(),
 					&cli.IntFlag{Name: "hosts", Value: 5},
@@ -151,7 +154,7 @@
 	}
 	if c.Int("hosts") < 1 || c.Int("hosts") > schedule.MaxHosts || c.Int("backends") < 1 ||
 		c.Int("backends") > schedule.MaxBackends {
-		return usagef("trial: 1 to %d hosts, 1 to %d backends", schedule.MaxHosts, schedule.MaxBackends)
+		return usagef("faults: expected 1 to %d hosts and 1 to %d backends", schedule.MaxHosts, schedule.MaxBackends)
 	}
 	for n := range c.Int("count") {
 		all = append(
@@ -166,7 +169,7 @@
 		)
 	}
 	if len(all) == 0 {
-		return usagef("trial: name a file, or --count")
+		return usagef("faults: expected a FILE or --count")
 	}
 	return playSchedules(ctx, c, all)
 }
@@ -211,11 +214,11 @@
 			return errors.Join(err, ctx.Err())
 		}
 		if failed > 0 && c.Bool("stop") {
-			return outcomef(outcomePartial, "%s did not hold, after %d", t.Name, i+1)
+			return outcomef(outcomePartial, "%s failed, schedule %d in this run", t.Name, i+1)
 		}
 	}
 	if failed > 0 {
-		return outcomef(outcomePartial, "%d of %d did not hold", failed, len(all))
+		return outcomef(outcomePartial, "%d of %d schedules failed", failed, len(all))
 	}
 	return nil
 }
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -96,7 +96,7 @@
 func printEvent(to *os.File, host string, l agentapi.StreamEvent) {
 	switch {
 	case l.LostEntries > 0:
-		fmt.Fprintf(to, "%s: %d lines are no longer kept\n", host, l.LostEntries)
+		fmt.Fprintf(to, "%s: %d older lines are no longer stored\n", host, l.LostEntries)
 	case l.Entry != nil:
 		e := l.Entry
 		fmt.Fprintf(
@@ -207,33 +207,38 @@
 	return strings.Join(parts, ", ")
 }
 
-// finishCommand prints a report, and returns the outcome that it stands for. Where the caller did not wait for
-// results it is no error that some are missing.
+// printReport prints a row for each instance of a command, and its counts.
+func printReport(r *fleetclient.Report) {
+	rows := [][]string{{"instance", "host", "result", "cause"}}
+	for _, host := range r.Hosts {
+		if host.Command == nil {
+			rows = append(rows, []string{"-", host.Host, "not taken", host.Error})
+			continue
+		}
+		for _, name := range append(host.Command.Names, host.Command.Spares...) {
+			result, ended := host.Command.Results[name]
+			if !ended {
+				result.Outcome, result.Cause = fleet.Outcome(host.Command.State), host.Command.Cause
+			}
+			rows = append(rows, []string{name, host.Host, string(result.Outcome), result.Cause})
+		}
+	}
+	printTable(rows)
+	fmt.Printf("command %s: %s\n", r.ID, formatCounts(r.Counts))
+	if r.Reason != "" {
+		fmt.Println("stopped:", r.Reason)
+	}
+}
+
+// finishCommand prints a report, and returns an error unless the command succeeded. If the caller did not wait,
+// missing results are no error.
 func finishCommand(c *cli.Command, r *fleetclient.Report, waited bool) error {
 	if c.Bool("json") {
 		if err := printJSON(r); err != nil {
 			return err
 		}
 	} else {
-		rows := [][]string{{"instance", "host", "result", "cause"}}
-		for _, h := range r.Hosts {
-			if h.Command == nil {
-				rows = append(rows, []string{"-", h.Host, "not taken", h.Error})
-				continue
-			}
-			for _, n := range append(h.Command.Names, h.Command.Spares...) {
-				res, over := h.Command.Results[n]
-				if !over {
-					res.Outcome, res.Cause = fleet.Outcome(h.Command.State), h.Command.Cause
-				}
-				rows = append(rows, []string{n, h.Host, string(res.Outcome), res.Cause})
-			}
-		}
-		printTable(rows)
-		fmt.Printf("command %s: %s\n", r.ID, formatCounts(r.Counts))
-		if r.Reason != "" {
-			fmt.Println("stopped:", r.Reason)
-		}
+		printReport(r)
 	}
 	verdict := r.Verdict()
 	if !waited && verdict == fleetclient.VerdictTimedOut {
@@ -246,6 +251,7 @@
 		return &outcomeError{outcome: outcomeTimedOut}
 	case fleetclient.VerdictUnreachable:
 		return &outcomeError{outcome: outcomeUnreachable}
+	default:
+		return nil
 	}
-	return nil
 }
--- a/cmd/milletbarrow/fleet_check.go
+++ b/cmd/milletbarrow/fleet_check.go
@@ -13,9 +13,10 @@
 
 func fleetCheckCommand() *cli.Command {
 	return &cli.Command{
-		Name:        "check",
-		Usage:       "validate a fleet's file, with --configs also the configurations that it names",
-		Description: "Examples:\n   milletbarrow fleet check --fleet fleet.sx\n   milletbarrow fleet check --fleet fleet.sx --configs --json",
+		Name:  "check",
+		Usage: "validate a fleet's file, with --configs also the configurations that it names",
+		Description: "Examples:\n   milletbarrow fleet check --fleet fleet.sx\n" +
+			"   milletbarrow fleet check --fleet fleet.sx --configs --json",
 		Flags: []cli.Flag{
 			fleetFlag(),
 			jsonFlag(),
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -22,12 +22,14 @@
 		Name:      "cold-start",
 		Usage:     "start all stopped instances of a site, at the pace that the registry and the dependencies allow",
 		ArgsUsage: "[instance ...]",
-		Description: "Running instances are not touched. The required minimum of each group starts first. The limits are those of\n" +
-			"(cold-start ...) in the fleet's file. With the --id of a cold start that goes on, the command follows that.\n\nExamples:\n" +
+		Description: "Running instances are not touched. The required minimum of each group starts first. The limits are\n" +
+			"those of (cold-start ...) in the fleet's file. With the --id of a running cold start, the command follows it.\n" +
+			"--decision go-on continues a halted cold start once its cause is removed. --decision end lifts the limits;\n" +
+			"fleet cancel ID cancels the starts.\n\nExamples:\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --dry-run\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all\n" +
-			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision go-on     (continue after a stop, once its cause is removed)\n" +
-			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision end       (end the limits; fleet cancel ID cancels the starts)",
+			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision go-on\n" +
+			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision end",
 		Flags: append(
 			selectionFlags(),
 			&cli.StringFlag{Name: "decision", Usage: "a `DECISION` about the cold start of --id: go-on or end"},
@@ -36,13 +38,14 @@
 	}
 }
 
+// runColdStart starts the stopped instances of a site, or with --decision decides on a halted cold start.
 func runColdStart(ctx context.Context, c *cli.Command) error {
 	client, err := newFleetClient(c)
 	if err != nil {
 		return err
 	}
 	if client.Spec.ColdStart == nil {
-		return usagef("%s: has no (cold-start (quota COUNT))", c.String("fleet"))
+		return usagef("%s: (cold-start (quota COUNT)) is missing", c.String("fleet"))
 	}
 	all, err := selectInstances(c, client)
 	if err != nil {
@@ -78,10 +81,10 @@
 	ctx, cancel := withCommandTimeout(ctx, request)
 	defer cancel()
 	if err := client.ColdStart(ctx, r); err != nil {
-		if no, ok := errors.AsType[*agentapi.StatusError](err); ok && no.Status/100 == 4 {
+		if rejected, ok := errors.AsType[*agentapi.StatusError](err); ok && rejectedRequest(rejected) {
 			return quotaCallError(err)
 		}
-		fmt.Fprintf(os.Stderr, "the ledger can't be reached (%v): each host goes on by one start at a time\n", err)
+		fmt.Fprintf(os.Stderr, "quota store unreachable (%v): each host starts one instance at a time\n", err)
 	}
 	shown := make(chan struct{})
 	showing, stop := context.WithCancel(ctx)
@@ -106,15 +109,15 @@
 	}
 	rows := [][]string{{"place", "instance", "host", "group", ""}}
 	for i, m := range s.Members {
-		word := ""
+		reason := ""
 		if i < s.Essential {
-			word = "the least of its group"
+			reason = "required minimum of its group"
 		}
-		rows = append(rows, []string{strconv.Itoa(i + 1), string(m.Name), m.Host, string(m.Group), word})
+		rows = append(rows, []string{strconv.Itoa(i + 1), string(m.Name), m.Host, string(m.Group), reason})
 	}
 	printTable(rows)
 	fmt.Printf(
-		"%d at once to begin with, %d at the most; those that are up stay so\nnothing was done\n",
+		"starts at once: %d at first, at most %d; running instances are not touched\nnothing was done\n",
 		r.Config.InitialConcurrent,
 		r.Config.MaxConcurrent,
 	)
@@ -152,10 +155,13 @@
 func coldStartLine(r *quota.ColdStartStatus) string {
 	var sum coldstart.GroupStatus
 	for _, g := range r.Groups {
-		sum.Ready, sum.Starting, sum.Failed, sum.Waiting = sum.Ready+g.Ready, sum.Starting+g.Starting, sum.Failed+g.Failed, sum.Waiting+g.Waiting
+		sum.Ready += g.Ready
+		sum.Starting += g.Starting
+		sum.Failed += g.Failed
+		sum.Waiting += g.Waiting
 	}
 	line := fmt.Sprintf(
-		"rise %s: %d warm, %d starting, %d waiting, %d failing; %d of %d at once (%s)",
+		"cold start %s: %d ready, %d starting, %d waiting, %d failed; %d of at most %d at once (%s)",
 		r.ID,
 		sum.Ready,
 		sum.Starting,
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -12,6 +12,9 @@
 	"milletbarrow/internal/fleetclient"
 )
 
+// maxHistoryLines is the largest number of lines that fleet history prints.
+const maxHistoryLines = 100_000
+
 func fleetHistoryCommand() *cli.Command {
 	return &cli.Command{
 		Name: "history", Usage: "print the history: what was done, by whom and why",
@@ -38,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	if err := checkRange("most", c.Int("most"), 1, 100_000); err != nil {
+	if err := checkRange("most", c.Int("most"), 1, maxHistoryLines); err != nil {
 		return err
 	}
 	name, command := c.String("name"), c.String("command")
@@ -52,7 +55,7 @@
 			printEvent(os.Stdout, e.Host, e.StreamEvent)
 		}
 		for host, why := range missing {
-			fmt.Printf("missing: all of host %s: %s\n", host, why)
+			fmt.Printf("host %s: history is missing: %s\n", host, why)
 		}
 	}
 	if err == nil && len(missing) > 0 {
@@ -63,12 +66,13 @@
 
 func fleetWatchCommand() *cli.Command {
 	return &cli.Command{
-		Name:        "watch",
-		Usage:       "follow one command until it ends, or all events until interrupted",
-		ArgsUsage:   "[ID]",
-		Description: "Examples:\n   milletbarrow fleet watch --fleet fleet.sx\n   milletbarrow fleet watch --fleet fleet.sx wave-20261201T160000-ab12cd34",
-		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
-		Action:      watchCommand,
+		Name:      "watch",
+		Usage:     "follow one command until it ends, or all events until interrupted",
+		ArgsUsage: "[ID]",
+		Description: "Examples:\n   milletbarrow fleet watch --fleet fleet.sx\n" +
+			"   milletbarrow fleet watch --fleet fleet.sx wave-20261201T160000-ab12cd34",
+		Flags:  []cli.Flag{fleetFlag(), jsonFlag()},
+		Action: watchCommand,
 	}
 }
 
--- a/cmd/milletbarrow/fleet_quotas.go
+++ b/cmd/milletbarrow/fleet_quotas.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 	"time"
 
@@ -17,8 +18,10 @@
 	return &cli.Command{
 		Name:  "quotas",
 		Usage: "show who holds how much of the fleet's quotas, or write off a lost holder",
-		Description: "Any agent forwards the request to the leader of the quota store. Examples:\n   milletbarrow fleet quotas --fleet fleet.sx\n" +
-			"   milletbarrow fleet quotas --fleet fleet.sx --write-off n3     (its host is lost for good, its process runs no more)",
+		Description: "Any agent forwards the request to the leader of the quota store. Examples:\n" +
+			"   milletbarrow fleet quotas --fleet fleet.sx\n" +
+			"   milletbarrow fleet quotas --fleet fleet.sx --write-off n3     (its host is lost for good,\n" +
+			"                                                                 its process runs no more)",
 		Flags: []cli.Flag{fleetFlag(), jsonFlag(), &cli.StringFlag{
 			Name:  "write-off",
 			Usage: "release the leases of the holder with this `NAME`; its process must not be running",
@@ -34,13 +37,13 @@
 		return err
 	}
 	if client.Spec.Quotas == nil {
-		return usagef("%s: has no budgets", c.String("fleet"))
+		return usagef("%s: the fleet has no quotas", c.String("fleet"))
 	}
 	if name := c.String("write-off"); name != "" {
 		if err := client.WriteOff(ctx, name); err != nil {
 			return quotaCallError(err)
 		}
-		fmt.Printf("%s holds nothing any more\n", name)
+		fmt.Printf("%s: all leases are released\n", name)
 		return nil
 	}
 	b, err := client.Budgets(ctx)
@@ -54,21 +57,29 @@
 	return nil
 }
 
-// quotaCallError says why a call about quotas failed: it was refused, or no agent that could answer was reached.
+// quotaCallError classifies the error of a quota call: rejected by an agent, or no agent reachable.
 func quotaCallError(err error) error {
-	if r, ok := errors.AsType[*agentapi.StatusError](err); ok && r.Status/100 == 4 {
+	if r, ok := errors.AsType[*agentapi.StatusError](err); ok && rejectedRequest(r) {
 		return unusable(err)
 	}
 	return &outcomeError{outcome: outcomeUnreachable, cause: err}
 }
 
+// rejectedRequest reports whether an agent rejected a request as invalid (HTTP status 4xx).
+func rejectedRequest(e *agentapi.StatusError) bool {
+	return e.Status >= http.StatusBadRequest && e.Status < http.StatusInternalServerError
+}
+
+// printQuotas prints the leader, then each quota with its holders, then the cold starts.
 func printQuotas(b *agentapi.Budgets) {
-	fmt.Printf("ledger: %s leads %v, term %d, terms of version %d\n", b.Leader, b.Members, b.Term, b.Version)
+	fmt.Printf("quota store: leader %s, members %v, term %d, config version %d\n", b.Leader, b.Members, b.Term, b.Version)
 	if b.GrowthFrozen {
-		fmt.Println("nothing grows now: shares may be in force that this ledger was made to forget")
+		fmt.Println("grants do not grow: leases that the quota store has lost may still be in force")
 	}
-	rows := [][]string{{"budget", "holder", "host", "floor", "extra", "until", "wants", "drawn", "denied", "for"}}
-	num := func(n int64) string { return strconv.FormatInt(n, 10) }
+	rows := [][]string{{
+		"quota", "holder", "host", "floor", "extra", "expires in", "demand", "drawn", "denied", "acquisition",
+	}}
+	decimal := func(n int64) string { return strconv.FormatInt(n, 10) }
 	for _, u := range b.Limits {
 		unit := "/s"
 		if u.Kind == quota.Concurrency {
@@ -80,7 +91,7 @@
 				string(u.Limit),
 				fmt.Sprintf("%d of %d%s", u.InForce, u.Total, unit),
 				"",
-				num(u.ReservedFloors),
+				decimal(u.ReservedFloors),
 				"",
 				"",
 				"",
@@ -96,7 +107,7 @@
 			}
 			until := "-"
 			if h.Remaining > 0 {
-				until = (time.Duration(h.Remaining) * time.Microsecond).Round(100 * time.Millisecond).String()
+				until = (time.Duration(h.Remaining) * time.Microsecond).Round(printedResolution).String()
 			}
 			rows = append(
 				rows,
@@ -104,12 +115,12 @@
 					"",
 					string(h.Name),
 					h.Host,
-					num(h.Floor),
-					num(h.Extra),
+					decimal(h.Floor),
+					decimal(h.Extra),
 					until,
-					num(h.Demand),
-					num(h.Drawn),
-					num(h.Denied),
+					decimal(h.Demand),
+					decimal(h.Drawn),
+					decimal(h.Denied),
 					"",
 				},
 			)
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -40,39 +40,43 @@
 	return err
 }
 
+// printedResolution is the precision of durations in tables.
+const printedResolution = 100 * time.Millisecond
+
+// printStatus prints a row for each instance, then store errors and open commands.
 func printStatus(all []fleetclient.HostStatus) {
-	rows := [][]string{{"instance", "host", "group", "wanted", "seen", "for", "pid", "in hand", "level", "cause"}}
+	rows := [][]string{{"instance", "host", "group", "desired", "phase", "for", "pid", "in flight", "level", "cause"}}
 	for _, h := range all {
 		if h.Status == nil {
 			rows = append(rows, []string{"-", h.Host, "-", "-", "unknown", "-", "-", "-", "-", h.Error})
 			continue
 		}
 		for _, in := range h.Status.Instances {
-			wanted, pid, hand, level := "down", "-", "-", "-"
+			desired, pid, inFlight, level := "down", "-", "-", "-"
 			if in.DesiredUp {
-				wanted = "up"
+				desired = "up"
 			}
 			if in.PID != 0 {
 				pid = fmt.Sprint(in.PID)
 			}
 			if in.State != nil {
-				hand = fmt.Sprint(in.State.InFlight)
+				inFlight = fmt.Sprint(in.State.InFlight)
 				if in.State.Level != "" {
 					level = in.State.Level
 				}
 			}
-			span := (time.Duration(in.PhaseAgeMicros) * time.Microsecond).Round(100 * time.Millisecond)
+			age := (time.Duration(in.PhaseAgeMicros) * time.Microsecond).Round(printedResolution)
 			rows = append(
 				rows,
 				[]string{
 					in.Name,
 					h.Host,
 					in.Group,
-					wanted,
+					desired,
 					string(in.Phase),
-					span.String(),
+					age.String(),
 					pid,
-					hand,
+					inFlight,
 					level,
 					in.Cause,
 				},
@@ -85,7 +89,7 @@
 			continue
 		}
 		if h.Status.StoreError != "" {
-			fmt.Printf("host %s takes nothing new: %s\n", h.Host, h.Status.StoreError)
+			fmt.Printf("host %s accepts no commands: store error: %s\n", h.Host, h.Status.StoreError)
 		}
 		for _, cmd := range h.Status.OpenCommands {
 			fmt.Printf(
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -24,8 +24,9 @@
 		Name:      "load",
 		Usage:     "send a simulated day over sockets to backends on this machine",
 		ArgsUsage: "FILE",
-		Description: "The day is a scenario of an experiment's file. Latency counts from the scheduled time of a request. The exit code is 3 if an answer\n" +
-			"arrived twice or no request succeeded.\nExample:\n   milletbarrow load day.sx --to 127.0.0.1:5050 --to 127.0.0.1:5051",
+		Description: "The day is a scenario of an experiment's file. Latency counts from the scheduled time of a request.\n" +
+			"The exit code is 3 if an answer arrived twice or no request succeeded.\n" +
+			"Example:\n   milletbarrow load day.sx --to 127.0.0.1:5050 --to 127.0.0.1:5051",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "to", Usage: "the `ADDRESS` of a backend; may be repeated", Required: true},
 			&cli.StringFlag{Name: "scenario", Usage: "default: the first one"}, &cli.Uint64Flag{Name: "seed", Value: 1},
@@ -64,20 +65,20 @@
 	case r.DuplicateAnswers+r.UnknownResults > 0:
 		return outcomef(
 			outcomePartial,
-			"%d answers came twice, %d were of no run",
+			"%d answers were duplicates, %d answers were of unknown runs",
 			r.DuplicateAnswers,
 			r.UnknownResults,
 		)
 	case r.Requests > 0 && r.Billed == 0:
-		return outcomef(outcomePartial, "nothing succeeded")
+		return outcomef(outcomePartial, "no request succeeded")
 	}
 	return err
 }
 
-// readScenario reads a scenario of an experiment's file: the named one, or the first.
+// readScenario returns a scenario of an experiment file: the one called name, or the first if name is empty.
 func readScenario(file, name string) (*simulation.Scenario, error) {
 	if file == "" {
-		return nil, usagef("no file is named")
+		return nil, usagef("no scenario file is given")
 	}
 	x, err := experiment.Read(file)
 	if err != nil {
@@ -88,24 +89,29 @@
 			return &x.Scenarios[i], nil
 		}
 	}
-	return nil, usagef("scenario %q is none of %s", name, file)
+	return nil, usagef("%s: unknown scenario %q", file, name)
 }
 
+// minOffered keeps the billed share finite while nothing is offered.
+const minOffered = 1e-9
+
+// progressLine formats the progress of a load in one line.
 func progressLine(p loadgen.Snapshot) string {
 	return fmt.Sprintf(
-		"%4v  %7.0f/s  %6d open  last second billed %5.1f%%  throttled %5d  so far %5.1f%%",
+		"%4v  %7.0f/s  %6d in flight  last second billed %5.1f%%  throttled %5d  so far %5.1f%%",
 		p.At,
 		p.PerSecond,
 		p.InFlight,
-		100*p.LastSecond.Billed/max(p.LastSecond.Offered, 1e-9),
+		100*p.LastSecond.Billed/max(p.LastSecond.Offered, minOffered),
 		p.LastSecond.Throttled,
 		100*p.Value,
 	)
 }
 
+// printLoad prints the report of a load as a table with a line of totals.
 func printLoad(r *loadgen.Report) {
 	w := newTabWriter()
-	fmt.Fprintf(w, "operation\tasks\tbilled\tin time\tp50 ms\tp99 ms\t%s\n", strings.Join(simulation.Outcomes(), "\t"))
+	fmt.Fprintf(w, "operation\trequests\tbilled\tin time\tp50 ms\tp99 ms\t%s\n", strings.Join(simulation.Outcomes(), "\t"))
 	for i := range r.Operations {
 		p := &r.Operations[i]
 		p50, p99 := 0.0, 0.0
@@ -117,7 +123,7 @@
 			"%s\t%d\t%.3f\t%.3f\t%.1f\t%.1f",
 			p.Name,
 			p.Requests,
-			p.Billed/max(p.Offered, 1e-9),
+			p.Billed/max(p.Offered, minOffered),
 			float64(p.InTime)/max(1, float64(p.Requests)),
 			p50,
 			p99,
@@ -127,9 +133,9 @@
 		}
 		fmt.Fprintln(w)
 	}
-	_ = w.Flush() // standard output: nowhere else to say so
+	_ = w.Flush() // an error of standard output can be reported nowhere
 	fmt.Printf(
-		"value %.4f, %d tries, %d answers came twice, %d of no run, %d not sent, the sender at most %v late\n",
+		"value %.4f, %d attempts, %d duplicate answers, %d answers of unknown runs, %d not sent, sender lag at most %v\n",
 		r.Value(),
 		r.Attempts,
 		r.DuplicateAnswers,
@@ -171,24 +177,27 @@
 	}
 }
 
+// maxFakeRuns bounds the concurrent runs of a fake executor.
+const maxFakeRuns = 10_000
+
 // runFakeExecutor serves until it is interrupted.
 func runFakeExecutor(ctx context.Context, c *cli.Command) error {
 	if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("warm-up-share") <= 0 {
-		return usagef("cores and crowd are at least 1, warm-up-share above 0")
+		return usagef("fake executor: --cores and --crowd have to be at least 1, --warm-up-share above 0")
 	}
-	y, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
+	executor, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
 		Cores:            c.Int("cores"),
 		CollapseMultiple: c.Float("crowd"),
 		ServiceTime:      c.Duration("service-time"),
 		WarmUp:           c.Duration("warm-up"),
 		ColdSpeed:        c.Float("warm-up-share"),
-		MaxRuns:          10_000,
+		MaxRuns:          maxFakeRuns,
 	})
 	if err != nil {
 		return unusable(err)
 	}
-	defer y.Close()
-	fmt.Println(y.Address)
+	defer executor.Close()
+	fmt.Println(executor.Address)
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
