--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -1,24 +1,33 @@
-// Package checker judges a fault-injection trial by the draw logs that each backend process wrote itself: one
-// machine, one clock. It works out which grants were in force at every instant and what was drawn, and reports where
-// that was more than the quota's total. It shares no code with what it judges and trusts nothing but the logs; it
-// does no I/O but reading them.
+// Package checker judges a fault-injection trial by the draw logs that the backend processes wrote. All processes run
+// on one machine and share its clock. The package computes the grants in force at every instant and the units drawn,
+// and reports each breach of a quota's total. It shares no code with the program that it judges, relies on the logs
+// alone, and does no I/O besides reading them.
 //
-// All times are microseconds of the machine's boot clock (CLOCK_BOOTTIME), all spans are microseconds.
+// All times are microseconds of the machine's boot clock (CLOCK_BOOTTIME); all durations are microseconds.
+//
+// Invariants that the package checks:
+//   - At no instant do the grants in force add up to more than the total (CheckGrants, TestBreachesOfTotal).
+//   - In no span are more units drawn than the total allows plus the burst (CheckDraws, TestDrawsWithinSpans).
 package checker
 
 import "fmt"
 
-// Total is what the grants of a quota may add up to from a time on. A lower total is added with the time from which no
-// holder can be left that was granted units under the higher one.
+const (
+	microsecondsPerSecond int64 = 1_000_000
+	partsPerMillion       int64 = 1_000_000
+)
+
+// Total limits the sum of a quota's grants from a time on. A lower total applies from the time at which every grant
+// made under the higher total has expired.
 type Total struct {
 	From  int64 // microseconds
-	Units int64
+	Units int64 // units per second; 0: the quota is not judged
 }
 
-// Limits are the totals of each quota by its name, sorted by From.
+// Limits maps the name of a quota to its totals, sorted by From.
 type Limits map[string][]Total
 
-// at is the total of a quota that is in force at a time; 0: none yet.
+// at returns the total of a quota that is in force at a time, or 0 before the first total.
 func (l Limits) at(quota string, at int64) (units int64) {
 	for _, total := range l[quota] {
 		if total.From <= at {
@@ -28,7 +37,7 @@
 	return units
 }
 
-// highest is the highest total of a quota that is in force at any time of a span, its end excluded.
+// highest returns the highest total of a quota that is in force at any time of a span, its end excluded.
 func (l Limits) highest(quota string, from, to int64) int64 {
 	units := l.at(quota, from)
 	for _, total := range l[quota] {
@@ -39,18 +48,18 @@
 	return units
 }
 
-// Breach is one instant, or one span, in which something was more than its limit.
+// Breach is a span of time in which a rule was broken.
 type Breach struct {
 	Quota    string   `json:"budget"`
 	Rule     Rule     `json:"what"`
-	At       int64    `json:"at_us"`
-	Duration int64    `json:"for_us"`
-	Found    int64    `json:"found"`         // units
-	Limit    int64    `json:"most"`          // units
-	Holders  []Holder `json:"who,omitempty"` // those with units in force then, by name
+	At       int64    `json:"at_us"`         // start of the span, microseconds
+	Duration int64    `json:"for_us"`        // microseconds
+	Found    int64    `json:"found"`         // units per second in force, or units drawn, by rule
+	Limit    int64    `json:"most"`          // highest allowed value of Found
+	Holders  []Holder `json:"who,omitempty"` // processes with units in force, sorted by name; nil for RuleUnitsDrawn
 }
 
-// Rule names what a breach broke.
+// Rule names the invariant that a breach violates.
 type Rule string
 
 // The rules.
@@ -59,17 +68,18 @@
 	RuleUnitsDrawn    Rule = "units drawn"     // in no span more units drawn than the total allows
 )
 
-// Holder is one process with the units it may draw.
+// Holder is a process that has units of a quota in force.
 type Holder struct {
-	Name  string `json:"name"`
+	Name  string `json:"name"`  // of the backend
 	Epoch uint64 `json:"epoch"` // of its latest grant
-	Floor int64  `json:"floor"` // without a lease
-	Extra int64  `json:"extra"` // by its lease
+	Floor int64  `json:"floor"` // units per second granted without a lease
+	Extra int64  `json:"extra"` // units per second granted by a lease; 0: no lease in force
 }
 
+// String describes the breach in one line.
 func (b Breach) String() string {
 	return fmt.Sprintf(
-		"%s: %s: %d, at most %d may be, at %d for %d us, among %d",
+		"%s: %s: %d, limit %d, at %d for %d us, %d holders",
 		b.Quota,
 		b.Rule,
 		b.Found,
@@ -80,22 +90,23 @@
 	)
 }
 
-// maxBreaches is how many breaches a report holds; the others are counted.
-const maxBreaches = 10
+// maxBreaches limits the breaches that a report holds; further breaches are only counted.
+const maxBreaches int = 10
 
-// Report is what was found of one quota.
+// Report is the judgment of one quota.
 type Report struct {
 	Quota    string   `json:"budget"`
-	Breaches []Breach `json:"breaches,omitempty"` // the first ones
-	Count    int      `json:"count"`              // of all breaches
-	Peak     float64  `json:"most"`               // the highest sum of grants in force, as a part of the total
+	Breaches []Breach `json:"breaches,omitempty"` // the first maxBreaches
+	Count    int      `json:"count"`              // all breaches
+	Peak     float64  `json:"most"`               // highest sum of grants in force, as a fraction of the total
 	Drawn    int64    `json:"drawn"`              // units
-	Mean     float64  `json:"mean"`               // grants in force over time, as a part of the total
-	Last     float64  `json:"last"`               // grants in force at the end, as a part of the total
-	Excess   int64    `json:"over"`               // units drawn over the total in the worst span, burst included
-	Grants   int      `json:"grants"`
+	Mean     float64  `json:"mean"`               // time average of grants in force, as a fraction of the total
+	Last     float64  `json:"last"`               // grants in force at the end, as a fraction of the total
+	Excess   int64    `json:"over"`               // units drawn above the total in the worst span, burst included
+	Grants   int      `json:"grants"`             // entries that report a grant
 }
 
+// add records a breach.
 func (r *Report) add(b Breach) {
 	r.Count++
 	if len(r.Breaches) < maxBreaches {
--- a/internal/faultinjection/checker/drawlog_test.go
+++ b/internal/faultinjection/checker/drawlog_test.go
@@ -32,12 +32,13 @@
 	}
 	var order *OrderError
 	if err := read("clock 5 0\nhere 4\n"); !errors.As(err, &order) || order.Previous != 5 || order.Time != 4 || err.Line != 2 ||
-		err.Error() != "n1: line 2: time goes back from 5 to 4" {
+		err.Error() != "n1: line 2: entry time 4 us is before the previous entry's 5 us" {
 		t.Errorf("an earlier time: %v", err)
 	}
 	for _, log := range []string{"went 5\n", "\n", "clock 5\n", "here 5 6\n", "have 1 b 2 3 4\n", "drew 1 2 b 3 4\n"} {
 		var entry *EntryError
-		if err := read(log); !errors.As(err, &entry) || err.Error() != `n1: line 1: "`+strings.TrimSpace(log)+`" is no stamp` {
+		if err := read(log); !errors.As(err, &entry) || err.Error() != `n1: line 1: "`+strings.TrimSpace(log)+`" is not a draw log entry: `+
+			"expected clock, here, have or drew with its fields" {
 			t.Errorf("%q: %v", log, err)
 		}
 	}
--- a/internal/faultinjection/checker/draws.go
+++ b/internal/faultinjection/checker/draws.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// spanSteps and sampledEvery thin out the spans that are judged: of draws that begin within a spanSteps-th of a
-	// span of each other every sampledEvery-th begins one, as neighbours begin nearly the same span.
-	spanSteps    = 50
-	sampledEvery = 8
+	// spanSteps sets how close draws count as neighbours: within length/spanSteps of the draw before.
+	spanSteps int64 = 50
+	// sampledEvery thins out the judged spans: of neighbours, every sampledEvery-th draw begins one, as the spans of
+	// neighbours hold nearly the same draws.
+	sampledEvery int = 8
 )
 
-// CheckDraws judges what was drawn: in no span of these lengths (microseconds) more units than the total allows and the
-// burst. What was drawn between two entries of a log counts for a span that holds both.
+// CheckDraws adds a breach for each span of the given lengths (microseconds) in which more units were drawn than the
+// total allows plus the burst (units). A draw counts for the spans that contain it completely.
 func (r *Report) CheckDraws(all []*Process, limits Limits, burst int64, lengths ...int64) {
 	var draws []draw
-	for _, p := range all {
-		for _, d := range p.draws[r.Quota] {
+	for _, process := range all {
+		for _, d := range process.draws[r.Quota] {
 			draws = append(draws, d)
 			r.Drawn += d.units
 		}
@@ -25,7 +26,8 @@
 	slices.SortFunc(draws, func(a, b draw) int { return cmp.Compare(a.from, b.from) })
 	for _, length := range lengths {
 		for i := range draws {
-			if i > 0 && draws[i].from-draws[i-1].from < length/spanSteps && i%sampledEvery != 0 {
+			isNeighbour := i > 0 && draws[i].from-draws[i-1].from < length/spanSteps
+			if isNeighbour && i%sampledEvery != 0 {
 				continue
 			}
 			r.checkSpan(draws[i:], limits, burst, length)
@@ -33,7 +35,7 @@
 	}
 }
 
-// checkSpan judges the span that begins with the first draw.
+// checkSpan judges the span that begins with the first of the draws, which are sorted by their start.
 func (r *Report) checkSpan(draws []draw, limits Limits, burst, length int64) {
 	begin := draws[0].from
 	end := begin + length
@@ -46,7 +48,7 @@
 			units += d.units
 		}
 	}
-	allowed := divideUp(limits.highest(r.Quota, begin, end)*length, million)
+	allowed := divideUp(limits.highest(r.Quota, begin, end)*length, microsecondsPerSecond)
 	r.Excess = max(r.Excess, units-allowed)
 	if units > allowed+burst {
 		r.add(
@@ -62,16 +64,16 @@
 	}
 }
 
-// divideUp is a quotient of positive numbers, rounded up.
-func divideUp(n, by int64) int64 { return (n + by - 1) / by }
+// divideUp returns the quotient of two positive numbers, rounded up.
+func divideUp(dividend, divisor int64) int64 { return (dividend + divisor - 1) / divisor }
 
-// UnitsDrawn is how many units of a quota were drawn between two times; of what was drawn between two entries of a
-// log the part that lies there.
+// UnitsDrawn returns the units of a quota that were drawn between two times. A draw that lies partly in that span
+// counts in proportion.
 func UnitsDrawn(all []*Process, quota string, from, to int64) (units float64) {
-	for _, p := range all {
-		for _, d := range p.draws[quota] {
-			if in := min(to, d.to) - max(from, d.from); in > 0 {
-				units += float64(d.units) * float64(in) / float64(d.to-d.from)
+	for _, process := range all {
+		for _, d := range process.draws[quota] {
+			if overlap := min(to, d.to) - max(from, d.from); overlap > 0 {
+				units += float64(d.units) * float64(overlap) / float64(d.to-d.from)
 			}
 		}
 	}
--- a/internal/faultinjection/checker/grants.go
+++ b/internal/faultinjection/checker/grants.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// million is how many parts Process.PPM counts in, and how many microseconds a second has.
-const million = 1_000_000
-
-// change is a change of what is in force.
+// change is a change of the grants in force or of the total.
 type change struct {
-	at           int64
-	floor, extra int64 // units that are added, negative where they end
-	holder       int   // index of the process; noHolder where the total changes
-	granted      bool  // a grant begins
-	epoch        uint64
+	at      int64  // microseconds
+	floor   int64  // units per second added; negative at the end of a grant
+	extra   int64  // units per second added; negative at the end of a lease
+	holder  int    // index of the process; noHolder for a change of the total
+	granted bool   // whether a grant begins
+	epoch   uint64 // of the grant that begins
 }
 
-const noHolder = -1
+const noHolder int = -1
 
-// CheckGrants judges one quota between two times: at no instant may the grants in force add up to more than the total.
-// Peak and breaches are those of the complete logs, Mean and Last those of the span.
+// CheckGrants judges one quota: at no instant may the grants in force add up to more than the total. Peak and breaches
+// cover the complete logs; Mean and Last cover the span between the two times.
 func CheckGrants(all []*Process, quota string, limits Limits, from, to int64) Report {
 	r := Report{Quota: quota}
-	for _, p := range all {
-		r.Grants += len(p.grants[quota])
+	for _, process := range all {
+		r.Grants += len(process.grants[quota])
 	}
 	changes := grantChanges(all, quota, limits)
-	sum, area, span := int64(0), 0.0, int64(0)
+	sum := int64(0)  // units per second in force
+	area := 0.0      // integral of the fraction in force over the judged time
+	span := int64(0) // judged time, microseconds
 	inForce := map[int]*Holder{}
 	for i, c := range changes {
 		sum += c.floor + c.extra
@@ -45,13 +45,13 @@
 		if total == 0 {
 			continue
 		}
-		part := float64(sum) / float64(total)
-		if lasts := min(next, to) - max(c.at, from); lasts > 0 {
-			area += part * float64(lasts)
-			span += lasts
-			r.Last = part
+		fraction := float64(sum) / float64(total)
+		if duration := min(next, to) - max(c.at, from); duration > 0 {
+			area += fraction * float64(duration)
+			span += duration
+			r.Last = fraction
 		}
-		r.Peak = max(r.Peak, part)
+		r.Peak = max(r.Peak, fraction)
 		if sum > total {
 			r.add(Breach{
 				Quota:    quota,
@@ -70,27 +70,27 @@
 	return r
 }
 
-// grantChanges are the changes of what is in force, in order of time. Those of one instant are judged together.
+// grantChanges returns all changes of a quota's grants and total, in order of time.
 func grantChanges(all []*Process, quota string, limits Limits) []change {
 	var changes []change
-	for i, p := range all {
-		grants := p.grants[quota]
-		for j, g := range grants {
-			end := p.Last
-			if j+1 < len(grants) {
-				end = grants[j+1].at
+	for holder, process := range all {
+		grants := process.grants[quota]
+		for i, g := range grants {
+			end := process.Last
+			if i+1 < len(grants) {
+				end = grants[i+1].at
 			}
 			if end <= g.at {
 				continue
 			}
 			changes = append(changes,
-				change{at: g.at, floor: g.floor, holder: i, granted: true, epoch: g.epoch},
-				change{at: end, floor: -g.floor, holder: i})
-			leaseEnd := min(end, p.leaseEnd(g))
+				change{at: g.at, floor: g.floor, holder: holder, granted: true, epoch: g.epoch},
+				change{at: end, floor: -g.floor, holder: holder})
+			leaseEnd := min(end, process.leaseEnd(g))
 			if g.extra > 0 && leaseEnd > g.at {
 				changes = append(changes,
-					change{at: g.at, extra: g.extra, holder: i, granted: true, epoch: g.epoch},
-					change{at: leaseEnd, extra: -g.extra, holder: i})
+					change{at: g.at, extra: g.extra, holder: holder, granted: true, epoch: g.epoch},
+					change{at: leaseEnd, extra: -g.extra, holder: holder})
 			}
 		}
 	}
@@ -101,13 +101,13 @@
 	return changes
 }
 
-// leaseEnd is when a grant's lease ends on the machine's clock. It runs on the holder's own clock, which was set to run
-// faster or slower than the machine's.
+// leaseEnd returns the time by the machine's clock at which a grant's lease expires. The lease runs by the process's
+// lease clock, which may be set to run faster or slower.
 func (p *Process) leaseEnd(g grant) int64 {
-	return g.at + g.lease*million/(million+p.PPM)
+	return g.at + g.lease*partsPerMillion/(partsPerMillion+p.PPM)
 }
 
-// apply takes one change into what its process has in force.
+// apply applies a change to the units that its process has in force.
 func apply(inForce map[int]*Holder, all []*Process, c change) {
 	h := inForce[c.holder]
 	if h == nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// holders are those that have anything in force, by name.
+// holders returns the processes with units in force, sorted by name.
 func holders(inForce map[int]*Holder) (all []Holder) {
 	for _, h := range inForce {
 		if h.Floor+h.Extra > 0 {
@@ -133,10 +133,11 @@
 }
 
 // heldStep is the resolution of HeldSince, in microseconds.
-const heldStep = 5_000
+const heldStep int64 = 5_000
 
-// HeldSince is the first time in a span from which the grants in force, but for those of the excluded backends, add
-// up to a number of units; ok is false if they do not before its end. Leases count by the machine's clock.
+// HeldSince returns the first time in a span at which the grants in force, without those of the excluded backends, add
+// up to the given units per second. It returns false if they stay below until the end of the span. It ignores the skew
+// of lease clocks.
 func HeldSince(
 	all []*Process,
 	quota string,
@@ -146,9 +147,9 @@
 ) (at int64, ok bool) {
 	for at = from; at < to; at += heldStep {
 		sum := int64(0)
-		for _, p := range all {
-			if !excluded[p.Name] {
-				sum += p.heldAt(quota, at)
+		for _, process := range all {
+			if !excluded[process.Name] {
+				sum += process.heldAt(quota, at)
 			}
 		}
 		if sum >= units {
@@ -158,11 +159,12 @@
 	return 0, false
 }
 
-// heldAt is how many units of a quota the process has in force at a time; leases count by the machine's clock.
+// heldAt returns the units per second of a quota that the process has in force at a time. It ignores the skew of the
+// lease clock.
 func (p *Process) heldAt(quota string, at int64) (units int64) {
 	grants := p.grants[quota]
-	later, _ := slices.BinarySearchFunc(grants, at, func(g grant, t int64) int {
-		if g.at <= t {
+	later, _ := slices.BinarySearchFunc(grants, at, func(g grant, time int64) int {
+		if g.at <= time {
 			return -1
 		}
 		return 1
--- a/internal/faultinjection/checker/processes.go
+++ b/internal/faultinjection/checker/processes.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// step is a time at which a count changes.
+// step is a change of a count at a time.
 type step struct {
-	at     int64
-	change int
+	at     int64 // microseconds
+	change int   // 1 or -1
 }
 
-// peak is the highest count that the steps come to; at one time what is taken off goes first.
+// peak returns the highest count that the steps add up to. Of the steps of one time, decrements apply first.
 func peak(steps []step) (highest int) {
 	slices.SortFunc(
 		steps,
@@ -25,36 +25,36 @@
 	return highest
 }
 
-// MaxUnavailable is how many backends had no process at once, at the most: from a process's last entry, where that lies
-// between two times, to the first one of its successor.
+// MaxUnavailable returns the highest number of backends that had no process at the same time. A backend is unavailable
+// from the last entry of a process to the first entry of its successor; only outages that begin between the two times
+// count.
 func MaxUnavailable(all []*Process, from, to int64) int {
 	byName := map[string][]*Process{}
-	for _, p := range all {
-		byName[p.Name] = append(byName[p.Name], p)
+	for _, process := range all {
+		byName[process.Name] = append(byName[process.Name], process)
 	}
 	var steps []step
 	for _, incarnations := range byName {
 		slices.SortFunc(incarnations, func(a, b *Process) int { return cmp.Compare(a.First, b.First) })
 		for i := 1; i < len(incarnations); i++ {
-			ended, back := incarnations[i-1].Last, incarnations[i].First
-			if back > ended && ended >= from && ended <= to {
-				steps = append(steps, step{ended, 1}, step{back, -1})
+			ended := incarnations[i-1].Last
+			restarted := incarnations[i].First
+			if restarted > ended && ended >= from && ended <= to {
+				steps = append(steps, step{at: ended, change: 1}, step{at: restarted, change: -1})
 			}
 		}
 	}
 	return peak(steps)
 }
 
-// MaxConcurrentStarts is how many processes at most had begun within a span of this length (microseconds): each is
-// known to have been starting for as long. One that ended before the span's end counts until then.
-func MaxConcurrentStarts(all []*Process, span int64) int {
-	steps := make([]step, 0, 2*len(all))
-	for _, p := range all {
-		end := p.First + span
-		if p.Last < end { // it died on the way, or wrote nothing since: no longer than it is known to have run
-			end = p.Last
-		}
-		steps = append(steps, step{p.First, 1}, step{end, -1})
+// MaxConcurrentStarts returns the highest number of processes that were starting at the same time. A process counts as
+// starting for the given duration (microseconds) after its first entry, or until its last entry if that is earlier.
+func MaxConcurrentStarts(all []*Process, duration int64) int {
+	const stepsPerStart int = 2 // begin and end
+	steps := make([]step, 0, stepsPerStart*len(all))
+	for _, process := range all {
+		end := min(process.First+duration, process.Last)
+		steps = append(steps, step{at: process.First, change: 1}, step{at: end, change: -1})
 	}
 	return peak(steps)
 }
