--- a/internal/faultinjection/checker/compat_test.go
+++ b/internal/faultinjection/checker/compat_test.go
@@ -7,14 +7,15 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
-func TestEarlierFormats(t *testing.T) {
+// TestReportKeepsEarlierFormat verifies that a report of an earlier release, with each field set, is read and written
+// back unchanged.
+func TestReportKeepsEarlierFormat(t *testing.T) {
 	compattest.RoundTrip[Report](t, "Report.json")
 }
 
-// TestEarlierDrawLogs: draw logs that processes of an earlier release wrote are read, and judged as that release
-// judged them: within the limits that were in force, and beyond tighter ones.
-func TestEarlierDrawLogs(t *testing.T) {
+// TestEarlierDrawLogsAreJudgedAlike verifies that draw logs of an earlier release lead to that release's reports, both
+// with the limits that were in force and with tighter ones that are breached.
+func TestEarlierDrawLogsAreJudgedAlike(t *testing.T) {
 	all, err := ReadAll(compattest.File("stamps"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faultinjection/checker/imports_test.go
+++ b/internal/faultinjection/checker/imports_test.go
@@ -9,11 +9,20 @@
 	"testing"
 )
 
-// TestSharesNoCode: the checker imports the standard library alone, and of that nothing that could run the program. With
-// code of the program in it, one fault could be on both sides and stay unseen.
+// TestSharesNoCode verifies that the checker imports only some packages of the standard library. Code shared with the
+// program could hide a fault from the checker.
 func TestSharesNoCode(t *testing.T) {
 	allowed := map[string]bool{
-		"bufio": true, "cmp": true, "errors": true, "fmt": true, "io": true, "os": true, "path/filepath": true, "slices": true, "strconv": true, "strings": true,
+		"bufio":         true,
+		"cmp":           true,
+		"errors":        true,
+		"fmt":           true,
+		"io":            true,
+		"os":            true,
+		"path/filepath": true,
+		"slices":        true,
+		"strconv":       true,
+		"strings":       true,
 	}
 	files, err := os.ReadDir(".")
 	if err != nil {
@@ -31,11 +40,11 @@
 		}
 		for _, spec := range parsed.Imports {
 			if path, err := strconv.Unquote(spec.Path.Value); err != nil || !allowed[path] {
-				t.Errorf("%s imports %s: the checker goes by the logs alone", file.Name(), spec.Path.Value)
+				t.Errorf("%s imports %s, which is not an allowed package", file.Name(), spec.Path.Value)
 			}
 		}
 	}
 	if read < 5 {
-		t.Errorf("%d files were looked at", read)
+		t.Errorf("got %d files, want 5 or more", read)
 	}
 }
