--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -16,13 +16,6 @@
 )
 
 func faultsCommand() *cli.Command {
-	keep := &cli.StringFlag{Name: "keep", Usage: "keep what a failing trial left, in this `DIRECTORY`", Value: "trials"}
-	failpoint := &cli.StringFlag{
-		Name:    "failpoint",
-		Aliases: []string{"plant"},
-		Usage:   "a `FAULT` of the program itself, where it was built with -tags failpoint",
-		Hidden:  true,
-	}
 	return &cli.Command{
 		Name:  "faults",
 		Usage: "run real agents, supervisors and backends under injected faults, and check the outcome",
@@ -30,88 +23,132 @@
 			"see docs/fault-injection.md. Exit codes:\n" +
 			"0 all checks passed, 1 error, 2 invalid file or argument, 3 a check failed.",
 		Commands: []*cli.Command{
-			{
-				Name:      "run",
-				Usage:     "run schedules of faults from files, or random ones from seeds",
-				ArgsUsage: "[FILE ...]",
-				Description: "Examples:\n   milletbarrow faults run internal/faultinjection/testdata/cold.sx\n" +
-					"   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
-				Flags: []cli.Flag{
-					keep,
-					failpoint,
-					jsonFlag(),
-					&cli.BoolFlag{Name: "quiet", Usage: "do not print progress"},
-					&cli.Uint64Flag{
-						Name:  "seed",
-						Value: 1,
-						Usage: "seed of the first random schedule",
-					},
-					&cli.IntFlag{Name: "count", Usage: "number of random schedules"},
-					&cli.IntFlag{
-						Name:  "hosts",
-						Value: 5,
-					},
-					&cli.IntFlag{Name: "backends", Value: 20},
-					&cli.IntFlag{Name: "faults", Value: 24},
-					&cli.DurationFlag{
-						Name:  "span",
-						Value: 40 * time.Second,
-					},
-					&cli.StringFlag{Name: "out", Usage: "append each verdict to this `FILE`, one a line"},
-					&cli.BoolFlag{Name: "stop", Usage: "stop at the first failed schedule"},
-				},
-				Action: runSchedules,
-			},
-			{
-				Name:        "replay",
-				Usage:       "run a stored schedule again",
-				ArgsUsage:   "FILE",
-				Flags:       []cli.Flag{keep, failpoint, jsonFlag()},
-				Description: "Example:\n   milletbarrow faults replay trials/drawn-17/trial.sx",
-				Action: func(ctx context.Context, c *cli.Command) error {
-					t, err := readSchedule(c.Args().First())
-					if err != nil {
-						return err
-					}
-					return playSchedules(ctx, c, []*schedule.Schedule{t})
-				},
-			},
-			{
-				Name:        "shrink",
-				Usage:       "reduce a failing schedule as far as it still fails",
-				ArgsUsage:   "FILE",
-				Description: "Example:\n   milletbarrow faults shrink trials/drawn-17/trial.sx --within 30m > small.sx",
-				Flags: []cli.Flag{
-					keep,
-					failpoint,
-					&cli.DurationFlag{Name: "within", Value: time.Hour},
-					&cli.IntFlag{
-						Name:  "tries",
-						Value: 2,
-						Usage: "attempts for each schedule, as failures may be random",
-					},
-				},
-				Action: shrinkSchedule,
-			},
-			{
-				Name:  "measure",
-				Usage: "measure the use of quotas while demand moves, hosts are lost and agents are killed",
-				Description: "It takes some minutes; other load on the machine changes the result.\n" +
-					"Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
-				Flags: []cli.Flag{
-					jsonFlag(),
-					&cli.IntFlag{Name: "hosts", Value: 5},
-					&cli.IntFlag{Name: "backends", Value: 20},
-				},
-				Action: measureFaults,
-			},
-			{
-				Name: "report", Usage: "summarise the verdicts that --out stored", ArgsUsage: "FILE",
-				Description: "Example:\n   milletbarrow faults report trials.jsonl", Flags: []cli.Flag{jsonFlag()},
-				Action: reportVerdicts,
+			faultsRunCommand(),
+			faultsReplayCommand(),
+			faultsShrinkCommand(),
+			faultsMeasureCommand(),
+			faultsReportCommand(),
+		},
+	}
+}
+
+// Defaults of random schedules.
+const (
+	defaultFaultHosts    = 5
+	defaultFaultBackends = 20
+	defaultFaults        = 24
+	defaultFaultSpan     = 40 * time.Second
+)
+
+// defaultShrinkAttempts is the default number of attempts for each schedule, as failures may be random.
+const defaultShrinkAttempts = 2
+
+func keepFlag() cli.Flag {
+	return &cli.StringFlag{
+		Name:  "keep",
+		Usage: "keep what a failing trial left, in this `DIRECTORY`",
+		Value: "trials",
+	}
+}
+
+func failpointFlag() cli.Flag {
+	return &cli.StringFlag{
+		Name:    "failpoint",
+		Aliases: []string{"plant"},
+		Usage:   "a `FAULT` of the program itself, where it was built with -tags failpoint",
+		Hidden:  true,
+	}
+}
+
+func faultsRunCommand() *cli.Command {
+	return &cli.Command{
+		Name:      "run",
+		Usage:     "run schedules of faults from files, or random ones from seeds",
+		ArgsUsage: "[FILE ...]",
+		Description: "Examples:\n   milletbarrow faults run internal/faultinjection/testdata/cold.sx\n" +
+			"   milletbarrow faults run --seed 1 --count 200 --hosts 9 --backends 120 --out trials.jsonl",
+		Flags: []cli.Flag{
+			keepFlag(),
+			failpointFlag(),
+			jsonFlag(),
+			&cli.BoolFlag{Name: "quiet", Usage: "do not print progress"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the first random schedule"},
+			&cli.IntFlag{Name: "count", Usage: "number of random schedules"},
+			&cli.IntFlag{Name: "hosts", Value: defaultFaultHosts},
+			&cli.IntFlag{Name: "backends", Value: defaultFaultBackends},
+			&cli.IntFlag{Name: "faults", Value: defaultFaults},
+			&cli.DurationFlag{Name: "span", Value: defaultFaultSpan},
+			&cli.StringFlag{Name: "out", Usage: "append each verdict to this `FILE`, one a line"},
+			&cli.BoolFlag{Name: "stop", Usage: "stop at the first failed schedule"},
+		},
+		Action: runSchedules,
+	}
+}
+
+func faultsReplayCommand() *cli.Command {
+	return &cli.Command{
+		Name:        "replay",
+		Usage:       "run a stored schedule again",
+		ArgsUsage:   "FILE",
+		Description: "Example:\n   milletbarrow faults replay trials/drawn-17/trial.sx",
+		Flags:       []cli.Flag{keepFlag(), failpointFlag(), jsonFlag()},
+		Action:      replaySchedule,
+	}
+}
+
+func faultsShrinkCommand() *cli.Command {
+	return &cli.Command{
+		Name:        "shrink",
+		Usage:       "reduce a failing schedule as far as it still fails",
+		ArgsUsage:   "FILE",
+		Description: "Example:\n   milletbarrow faults shrink trials/drawn-17/trial.sx --within 30m > small.sx",
+		Flags: []cli.Flag{
+			keepFlag(),
+			failpointFlag(),
+			&cli.DurationFlag{Name: "within", Value: time.Hour},
+			&cli.IntFlag{
+				Name:  "tries",
+				Value: defaultShrinkAttempts,
+				Usage: "attempts for each schedule, as failures may be random",
 			},
 		},
+		Action: shrinkSchedule,
+	}
+}
+
+func faultsMeasureCommand() *cli.Command {
+	return &cli.Command{
+		Name:  "measure",
+		Usage: "measure the use of quotas while demand moves, hosts are lost and agents are killed",
+		Description: "It takes some minutes; other load on the machine changes the result.\n" +
+			"Example:\n   milletbarrow faults measure --hosts 5 --backends 20",
+		Flags: []cli.Flag{
+			jsonFlag(),
+			&cli.IntFlag{Name: "hosts", Value: defaultFaultHosts},
+			&cli.IntFlag{Name: "backends", Value: defaultFaultBackends},
+		},
+		Action: measureFaults,
+	}
+}
+
+func faultsReportCommand() *cli.Command {
+	return &cli.Command{
+		Name:        "report",
+		Usage:       "summarise the verdicts that --out stored",
+		ArgsUsage:   "FILE",
+		Description: "Example:\n   milletbarrow faults report trials.jsonl",
+		Flags:       []cli.Flag{jsonFlag()},
+		Action:      reportVerdicts,
+	}
+}
+
+// replaySchedule runs the stored schedule that the command line names.
+func replaySchedule(ctx context.Context, c *cli.Command) error {
+	t, err := readSchedule(c.Args().First())
+	if err != nil {
+		return err
 	}
+	return playSchedules(ctx, c, []*schedule.Schedule{t})
 }
 
 func measureFaults(ctx context.Context, c *cli.Command) error {
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -8,6 +8,7 @@
 
 	"milletbarrow/internal/agentapi"
 	"milletbarrow/internal/fleet"
+	"milletbarrow/internal/fleetclient"
 )
 
 var steerUsage = map[string]string{
@@ -25,6 +26,23 @@
 	}
 }
 
+// steerResult is one host's result of a steering command, as --json prints it.
+type steerResult struct {
+	Host    string         `json:"host"`
+	Command *fleet.Command `json:"command,omitempty"` // nil: see Error
+	Error   string         `json:"error,omitempty"`
+
+	err error // nil: the host knows the command
+}
+
+// state returns the state of the command on this host, or the error.
+func (r *steerResult) state() string {
+	if r.Command != nil {
+		return string(r.Command.State)
+	}
+	return r.Error
+}
+
 // steer sends the verb to every agent. Agents that do not know the command do not count.
 func steer(ctx context.Context, c *cli.Command, verb string) error {
 	client, err := newFleetClient(c)
@@ -38,52 +56,64 @@
 	if n := c.Args().Len(); n != 1 {
 		return usagef("wanted the id of one command: %d are given", n)
 	}
-	type answer struct {
-		Host    string         `json:"host"`
-		Command *fleet.Command `json:"command,omitempty"`
-		Error   string         `json:"error,omitempty"`
+	results := steerAll(ctx, client, id, verb)
+	if c.Bool("json") {
+		err = printJSON(results)
+	} else {
+		printSteerResults(results)
+	}
+	if err != nil {
+		return err
 	}
-	known, refused, away := 0, 0, 0
-	answers, errs := agentapi.FanOut(
+	return steerOutcome(results, id)
+}
+
+// steerAll sends the verb to the agents of all hosts at once, and returns a result for each host.
+func steerAll(ctx context.Context, client *fleetclient.Client, id, verb string) []steerResult {
+	results, _ := agentapi.FanOut(
 		ctx,
 		client.Bounds,
 		client.Spec.Hosts,
-		func(ctx context.Context, h fleet.HostSpec) (answer, error) {
-			agentClient := client.Caller.Client(h.AgentAddress)
+		func(ctx context.Context, host fleet.HostSpec) (steerResult, error) {
+			agentClient := client.Caller.Client(host.AgentAddress)
 			defer agentClient.Close()
-			cmd, err := agentClient.Steer(ctx, id, verb, client.Operator)
+			command, err := agentClient.Steer(ctx, id, verb, client.Operator)
 			if err != nil {
-				return answer{Host: h.Name, Error: err.Error()}, err
+				return steerResult{Host: host.Name, Error: err.Error(), err: err}, err
 			}
-			return answer{Host: h.Name, Command: cmd}, nil
+			return steerResult{Host: host.Name, Command: command}, nil
 		},
 	)
-	rows := [][]string{{"host", "state"}}
-	for i, a := range answers {
-		state := a.Error
-		_, lost := errors.AsType[*agentapi.UnreachableError](errs[i])
+	return results
+}
+
+func printSteerResults(results []steerResult) {
+	rows := make([][]string, 0, 1+len(results))
+	rows = append(rows, []string{"host", "state"})
+	for i := range results {
+		rows = append(rows, []string{results[i].Host, results[i].state()})
+	}
+	printTable(rows)
+}
+
+// steerOutcome returns nil if an agent knows the command, and no agent was unreachable or rejected the verb.
+func steerOutcome(results []steerResult, id string) error {
+	known, rejected, unreachable := 0, 0, 0
+	for i := range results {
+		_, lost := errors.AsType[*agentapi.UnreachableError](results[i].err)
 		switch {
-		case a.Command != nil:
-			state = string(a.Command.State)
+		case results[i].Command != nil:
 			known++
 		case lost:
-			away++
-		case a.Error != fleet.ErrUnknownCommand.Error():
-			refused++
+			unreachable++
+		case results[i].Error != fleet.ErrUnknownCommand.Error():
+			rejected++
 		}
-		rows = append(rows, []string{a.Host, state})
-	}
-	if c.Bool("json") {
-		err = printJSON(answers)
-	} else {
-		printTable(rows)
 	}
 	switch {
-	case err != nil:
-		return err
-	case away > 0:
+	case unreachable > 0:
 		return &outcomeError{outcome: outcomeUnreachable}
-	case refused > 0:
+	case rejected > 0:
 		return &outcomeError{outcome: outcomePartial}
 	case known > 0:
 		return nil
