--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -18,6 +18,11 @@
 	"milletbarrow/monotime"
 )
 
+const (
+	defaultReadingInterval  = 100 * time.Millisecond
+	defaultOverrideDuration = 10 * time.Minute
+)
+
 func degradationCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "degradation",
@@ -78,7 +83,8 @@
 		Name:      "replay",
 		Usage:     "replay recorded signals through a policy, and plot its levels",
 		ArgsUsage: "FILE TRACE",
-		Description: "A trace has one line for each reading: its time in microseconds, then the known signals, such as queue=1.5.\n" +
+		Description: "A trace has one line for each reading: its time in microseconds, then the known signals,\n" +
+			"such as queue=1.5.\n" +
 			"Example:\n   milletbarrow degradation replay policy.sx signals.txt --plot levels.svg",
 		Flags:  []cli.Flag{jsonFlag(), &cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)"}},
 		Action: replayDegradation,
@@ -107,7 +113,7 @@
 	for _, change := range changes {
 		fmt.Printf(
 			"%9.3f s  %s to %s, collapse %t, %s\n",
-			float64(change.At-trace[0].At)/1e6,
+			(change.At - trace[0].At).Seconds(),
 			policy.LevelName(change.From),
 			policy.LevelName(change.To),
 			change.Collapse,
@@ -145,7 +151,7 @@
 	if err := plot.Levels(&drawing, policy, points, format); err != nil {
 		return err
 	}
-	return os.WriteFile(file, drawing.Bytes(), 0o644)
+	return os.WriteFile(file, drawing.Bytes(), plotFileMode)
 }
 
 // levelChange is a change of level as --json prints it.
@@ -174,7 +180,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "socket", Usage: "the instance's admin `SOCKET`", Required: true},
 			&cli.DurationFlag{Name: "for", Usage: "duration", Value: time.Minute},
-			&cli.DurationFlag{Name: "every", Usage: "interval between two readings", Value: 100 * time.Millisecond},
+			&cli.DurationFlag{Name: "every", Usage: "interval between two readings", Value: defaultReadingInterval},
 		},
 		Action: recordSignals,
 	}
@@ -186,20 +192,20 @@
 	defer p.Close()
 	every := c.Duration("every")
 	if every < time.Millisecond {
-		return usagef("every: %v is under a millisecond", every)
+		return usagef("every: %v is below 1ms", every)
 	}
 	last := int64(0)
 	for end := time.Now().Add(c.Duration("for")); time.Now().Before(end); time.Sleep(every) {
-		ask, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
-		s, err := p.State(ask)
+		call, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
+		s, err := p.State(call)
 		cancel()
 		if err != nil {
 			return err
 		}
 		if s.DegradationPolicy == "" {
-			return usagef("socket: this instance has no degradation policy, and measures nothing")
+			return usagef("socket: this instance has no degradation policy, and measures no signals")
 		}
-		if s.SignalsAt > last { // a reading that was printed already says nothing new
+		if s.SignalsAt > last { // not printed yet
 			last = s.SignalsAt
 			fmt.Println(s.SignalsAt, s.Signals)
 		}
@@ -215,7 +221,7 @@
 			"   milletbarrow degradation pin --socket n3.inspect --release",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "socket", Usage: "the instance's admin `SOCKET`", Required: true},
-			&cli.DurationFlag{Name: "for", Usage: "duration", Value: 10 * time.Minute},
+			&cli.DurationFlag{Name: "for", Usage: "duration", Value: defaultOverrideDuration},
 			&cli.BoolFlag{Name: "above", Usage: "allow the signals to raise the level above it"},
 			&cli.BoolFlag{Name: "release", Usage: "end the override"},
 		},
@@ -223,7 +229,7 @@
 	}
 }
 
-// pinLevel holds an instance at a level, or releases it.
+// pinLevel overrides the level of an instance, or ends the override.
 func pinLevel(ctx context.Context, c *cli.Command) error {
 	if name := c.Args().First(); (name == "") != c.Bool("release") {
 		return usagef("wanted a level, or --release")
--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -27,6 +27,11 @@
 	maxDemoDuration = time.Hour
 )
 
+const (
+	defaultDemoBackends = 4
+	defaultDemoDuration = 30 * time.Second
+)
+
 // demoStopTimeout bounds the shutdown of a demo's fleet.
 const demoStopTimeout = 15 * time.Second
 
@@ -39,9 +44,9 @@
 		Flags: []cli.Flag{
 			&cli.IntFlag{
 				Name:  "backends",
-				Value: 4,
+				Value: defaultDemoBackends,
 			},
-			&cli.DurationFlag{Name: "for", Value: 30 * time.Second},
+			&cli.DurationFlag{Name: "for", Value: defaultDemoDuration},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 			&cli.StringFlag{Name: "plot", Usage: "plot to a `FILE` (.svg or .png)", Value: "demo.svg"},
 			&cli.BoolFlag{Name: "quiet", Usage: "do not print a table while it runs"},
@@ -83,7 +88,12 @@
 		printLoad(r)
 	}
 	if twice+r.DuplicateAnswers+r.UnknownResults > 0 {
-		return outcomef(outcomePartial, "%d requests were run twice, %d answers were duplicates", twice, r.DuplicateAnswers)
+		return outcomef(
+			outcomePartial,
+			"%d requests were run twice, %d answers were duplicates",
+			twice,
+			r.DuplicateAnswers,
+		)
 	}
 	say("plot written to %s", c.String("plot"))
 	return err
@@ -117,7 +127,8 @@
 		return nil, 0, err
 	}
 	defer func() { err = errors.Join(err, site.Close()) }()
-	agent := exec.Command(self, "agent", "--fleet", site.FleetFile, "--host", "h1", "--dir", site.Dir)
+	words := []string{"agent", "--fleet", site.FleetFile, "--host", "h1", "--dir", site.Dir}
+	agent := exec.CommandContext(context.WithoutCancel(ctx), self, words...) // ended below by SIGTERM
 	if err := agent.Start(); err != nil {
 		return nil, 0, err
 	}
@@ -131,7 +142,7 @@
 	}
 	defer func() { // not bound to ctx: the fleet stops also after an interrupt
 		say("stopping and cleaning up")
-		err = errors.Join(err, runFleet(context.Background(), "stop", "--within", demoStopTimeout.String()))
+		err = errors.Join(err, runFleet(context.WithoutCancel(ctx), "stop", "--within", demoStopTimeout.String()))
 		_ = agent.Process.Signal(syscall.SIGTERM)
 		_ = agent.Wait()
 	}()
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -7,6 +7,7 @@
 	"math"
 	"os"
 	"runtime"
+	"slices"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -23,7 +24,7 @@
 	Seconds  float64 `json:"seconds"`
 	Events   uint64  `json:"events"`
 	Asks     int     `json:"asks"`
-	HeapMB   float64 `json:"heap_mb"` // what the runtime had from the system, the most so far
+	HeapMB   float64 `json:"heap_mb"` // heap memory taken from the system so far
 	PerEvent float64 `json:"ns_by_event"`
 }
 
@@ -32,8 +33,10 @@
 		Name:      "benchmark",
 		Usage:     "measure the simulation time of a day on one core by fleet size",
 		ArgsUsage: "FILE",
-		Description: "It runs the file's first scenario with all of its policies. The dashed line of the plot is n log n.\n" +
-			"Example:\n   milletbarrow experiment benchmark docs/studies/size.sx --sizes 10,33,100,330,1000 --plot speed.svg",
+		Description: "It runs the file's first scenario with all of its policies. " +
+			"The dashed line of the plot is n log n.\n" +
+			"Example:\n   milletbarrow experiment benchmark docs/studies/size.sx " +
+			"--sizes 10,33,100,330,1000 --plot speed.svg",
 		Flags: []cli.Flag{
 			jsonFlag(),
 			&cli.StringFlag{Name: "sizes", Value: "10,33,100,330"},
@@ -43,6 +46,7 @@
 	}
 }
 
+// runBenchmark simulates the first scenario of a file at each fleet size with each policy, on one core.
 func runBenchmark(_ context.Context, c *cli.Command) error {
 	x, err := experiment.Read(c.Args().First())
 	if err == nil {
@@ -63,44 +67,18 @@
 		return unusable(err)
 	}
 	runtime.GOMAXPROCS(1)
-	var all []benchmarkRun
-	curves := map[string]*experiment.Curve{}
-	var order []string
+	all := make([]benchmarkRun, 0, len(cells))
 	for i := range cells {
-		cell := &cells[i]
-		began := time.Now()
-		r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, nil)
+		run, err := benchmarkCell(&cells[i])
 		if err != nil {
-			return unusable(err)
-		}
-		run := benchmarkRun{
-			Hosts:   cell.Scenario.Hosts.Count,
-			Policy:  cell.Policy.Name,
-			Seconds: time.Since(began).Seconds(),
-			Events:  r.Events,
-			Asks:    r.Requests,
-			HeapMB:  heapMB(),
+			return err
 		}
-		run.PerEvent = run.Seconds * 1e9 / math.Max(1, float64(run.Events))
 		all = append(all, run)
-		curve := curves[run.Policy]
-		if curve == nil {
-			curve = &experiment.Curve{Policy: run.Policy}
-			curves[run.Policy] = curve
-			order = append(order, run.Policy)
-		}
-		curve.X, curve.Y = append(
-			curve.X,
-			float64(run.Hosts),
-		), append(
-			curve.Y,
-			experiment.Bootstrap([]float64{run.Seconds}),
-		)
 		fmt.Fprintf(os.Stderr, "%d of %d: %s, %d hosts, %.2f s\n", i+1, len(cells), run.Policy, run.Hosts, run.Seconds)
 	}
 	if to := c.String("plot"); to != "" {
 		title := "seconds on one core of this machine, " + x.Scenarios[0].Name
-		if err := plotBenchmark(to, format, title, order, curves); err != nil {
+		if err := plotBenchmark(to, format, title, benchmarkCurves(all)); err != nil {
 			return err
 		}
 	}
@@ -110,6 +88,40 @@
 	return printBenchmark(all)
 }
 
+// benchmarkCell simulates one day, and returns its cost.
+func benchmarkCell(cell *experiment.Cell) (benchmarkRun, error) {
+	began := time.Now()
+	r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, nil)
+	if err != nil {
+		return benchmarkRun{}, unusable(err)
+	}
+	run := benchmarkRun{
+		Hosts:   cell.Scenario.Hosts.Count,
+		Policy:  cell.Policy.Name,
+		Seconds: time.Since(began).Seconds(),
+		Events:  r.Events,
+		Asks:    r.Requests,
+		HeapMB:  heapMB(),
+	}
+	run.PerEvent = run.Seconds * float64(time.Second/time.Nanosecond) / math.Max(1, float64(run.Events))
+	return run, nil
+}
+
+// benchmarkCurves returns a curve of seconds by hosts for each policy, in the order of their first runs.
+func benchmarkCurves(runs []benchmarkRun) []experiment.Curve {
+	var curves []experiment.Curve
+	for _, run := range runs {
+		i := slices.IndexFunc(curves, func(curve experiment.Curve) bool { return curve.Policy == run.Policy })
+		if i < 0 {
+			i = len(curves)
+			curves = append(curves, experiment.Curve{Policy: run.Policy})
+		}
+		curves[i].X = append(curves[i].X, float64(run.Hosts))
+		curves[i].Y = append(curves[i].Y, experiment.Bootstrap([]float64{run.Seconds}))
+	}
+	return curves
+}
+
 func printBenchmark(all []benchmarkRun) error {
 	w := newTabWriter()
 	fmt.Fprintln(w, "hosts\tpolicy\tseconds\tinvocations\tevents\tns by event\tMB so far")
@@ -129,14 +141,10 @@
 	return w.Flush()
 }
 
-// plotBenchmark draws the policies' curves in order, with a guide that grows as n log n from the first size on.
-func plotBenchmark(to, format, title string, order []string, curves map[string]*experiment.Curve) error {
-	drawn := make([]experiment.Curve, 0, len(order)+1)
-	for _, name := range order {
-		drawn = append(drawn, *curves[name])
-	}
-	guide := experiment.Curve{Policy: "n log n", X: drawn[0].X}
-	first := drawn[0].Y[0].Mean / (guide.X[0] * math.Log(guide.X[0]+1))
+// plotBenchmark plots the curves of the policies, with a guide that grows as n log n from the first size on.
+func plotBenchmark(to, format, title string, curves []experiment.Curve) error {
+	guide := experiment.Curve{Policy: "n log n", X: curves[0].X}
+	first := curves[0].Y[0].Mean / (guide.X[0] * math.Log(guide.X[0]+1))
 	for _, n := range guide.X {
 		guide.Y = append(guide.Y, experiment.Bootstrap([]float64{first * n * math.Log(n+1)}))
 	}
@@ -144,13 +152,15 @@
 	if err != nil {
 		return unusable(err)
 	}
-	err = plot.Curves(f, title, "hosts", "seconds", append(drawn, guide), format)
+	err = plot.Curves(f, title, "hosts", "seconds", append(curves, guide), format)
 	return errors.Join(err, f.Close())
 }
 
-// heapMB is how much memory the heap has taken from the system so far, in MB.
+const bytesPerMB = 1 << 20
+
+// heapMB returns the memory that the heap has taken from the system so far, in MB.
 func heapMB() float64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return float64(m.HeapSys) / (1 << 20)
+	return float64(m.HeapSys) / bytesPerMB
 }
--- a/cmd/milletbarrow/experiment_cold_start.go
+++ b/cmd/milletbarrow/experiment_cold_start.go
@@ -17,17 +17,20 @@
 	maxColdStartSeeds    = 1000
 )
 
+const defaultColdStartSeeds = 6
+
 func experimentColdStartCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "cold-start",
 		Usage: "simulate a cold start by each way of starting and reporting",
-		Description: "The simulated registry refuses reports for ten seconds, and the dependency fails under overload.\n" +
+		Description: "The simulated registry refuses reports for ten seconds, and the dependency fails under\n" +
+			"overload.\n" +
 			"Example:\n" +
 			"   milletbarrow experiment cold-start --backends 330,1200,5000 --seeds 6",
 		Flags: []cli.Flag{
 			jsonFlag(),
 			&cli.IntSliceFlag{Name: "backends", Value: coldstart.Sizes()},
-			&cli.IntFlag{Name: "seeds", Value: 6},
+			&cli.IntFlag{Name: "seeds", Value: defaultColdStartSeeds},
 		},
 		Action: studyColdStart,
 	}
--- a/cmd/milletbarrow/experiment_compare.go
+++ b/cmd/milletbarrow/experiment_compare.go
@@ -15,12 +15,19 @@
 		Usage:     "print the paired difference of two policies with its confidence interval",
 		ArgsUsage: "FILE A B",
 		Description: "Days are paired by seed; the interval holds with a confidence of 0.95.\n" +
-			"Example:\n   milletbarrow experiment compare docs/studies/deaf.sx --dir /tmp/deaf --measure pay-post.value pool milletbarrow",
+			"Example:\n   milletbarrow experiment compare docs/studies/deaf.sx --dir /tmp/deaf " +
+			"--measure pay-post.value pool milletbarrow",
 		Flags:  []cli.Flag{dirFlag(), overFlag(), measureFlag(), jsonFlag()},
 		Action: comparePolicies,
 	}
 }
 
+// Positions of the policies on the command line, after FILE.
+const (
+	firstPolicyArg  = 1
+	secondPolicyArg = 2
+)
+
 // comparePolicies prints the paired differences of two policies.
 func comparePolicies(_ context.Context, c *cli.Command) error {
 	_, cells, results, err := loadExperiment(c)
@@ -31,15 +38,16 @@
 	if err != nil {
 		return unusable(err)
 	}
-	all := experiment.Compare(cells, results, c.Args().Get(1), c.Args().Get(2), m)
+	first, second := c.Args().Get(firstPolicyArg), c.Args().Get(secondPolicyArg)
+	all := experiment.Compare(cells, results, first, second, m)
 	if len(all) == 0 {
-		return usagef("no day was played by both %q and %q", c.Args().Get(1), c.Args().Get(2))
+		return usagef("no day was played by both %q and %q", first, second)
 	}
 	if c.Bool("json") {
 		return printJSON(all)
 	}
 	w := newTabWriter()
-	fmt.Fprintf(w, "scenario\tat\tdays\t%s\t%s\tdifference\tinterval\t\n", c.Args().Get(1), c.Args().Get(2))
+	fmt.Fprintf(w, "scenario\tat\tdays\t%s\t%s\tdifference\tinterval\t\n", first, second)
 	for _, d := range all {
 		fmt.Fprintf(
 			w,
--- a/cmd/milletbarrow/experiment_plot.go
+++ b/cmd/milletbarrow/experiment_plot.go
@@ -22,8 +22,10 @@
 		Name:      "plot",
 		Usage:     "plot the results of an experiment",
 		ArgsUsage: "FILE",
-		Description: "Plots: sweep (the measure by swept value), time, operations, tenants, latency, heat (of one policy).\n" +
-			"Example:\n   milletbarrow experiment plot docs/studies/deaf.sx --dir /tmp/deaf --what sweep --to deaf.svg",
+		Description: "Plots: sweep (the measure by swept value), time, " +
+			"operations, tenants, latency, heat (of one policy).\n" +
+			"Example:\n   milletbarrow experiment plot docs/studies/deaf.sx --dir /tmp/deaf " +
+			"--what sweep --to deaf.svg",
 		Flags: []cli.Flag{
 			dirFlag(),
 			overFlag(),
@@ -86,7 +88,10 @@
 	})
 }
 
-// plotFormat is the format that a plot's file name asks for: svg or png. The flag is named in the error.
+// plotFileMode lets everyone read a plot.
+const plotFileMode = 0o644
+
+// plotFormat returns the format that a plot's file name asks for: svg or png. The flag is named in the error.
 func plotFormat(flag, file string) (string, error) {
 	format := strings.TrimPrefix(filepath.Ext(file), ".")
 	if format != "svg" && format != "png" {
@@ -114,17 +119,17 @@
 	return names, days
 }
 
-// replaceFile writes a complete file in the place of another, or leaves that as it was.
+// replaceFile replaces a file by a complete one; on an error the former one stays.
 func replaceFile(to string, write func(io.Writer) error) error {
 	f, err := os.CreateTemp(filepath.Dir(to), ".plot-*")
 	if err != nil {
 		return unusable(err)
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // where it became the plot it is gone
+	defer func() { _ = os.Remove(f.Name()) }() // no such file after the rename
 	if err = errors.Join(write(f), f.Close()); err != nil {
 		return err
 	}
-	if err := os.Chmod(f.Name(), 0o644); err != nil {
+	if err := os.Chmod(f.Name(), plotFileMode); err != nil {
 		return err
 	}
 	return os.Rename(f.Name(), to)
--- a/cmd/milletbarrow/experiment_replay.go
+++ b/cmd/milletbarrow/experiment_replay.go
@@ -14,10 +14,11 @@
 
 func experimentReplayCommand() *cli.Command {
 	return &cli.Command{
-		Name:        "replay",
-		Usage:       "replay one simulated day and print the events of one request or one host",
-		ArgsUsage:   "FILE",
-		Description: "Example:\n   milletbarrow experiment replay docs/studies/deaf.sx --policy milletbarrow --seed 3 --invocation 1200",
+		Name:      "replay",
+		Usage:     "replay one simulated day and print the events of one request or one host",
+		ArgsUsage: "FILE",
+		Description: "Example:\n   milletbarrow experiment replay docs/studies/deaf.sx " +
+			"--policy milletbarrow --seed 3 --invocation 1200",
 		Flags: []cli.Flag{
 			overFlag(),
 			&cli.StringFlag{Name: "scenario"},
@@ -29,20 +30,23 @@
 			},
 			&cli.IntFlag{Name: "host", Value: -1},
 			&cli.FloatFlag{Name: "at", Value: math.NaN()},
-			&cli.IntFlag{Name: "most", Usage: "lines", Value: 200},
+			&cli.IntFlag{Name: "most", Usage: "lines", Value: defaultReplayLines},
 		},
 		Action: replayDay,
 	}
 }
 
-// replayDay plays one day again, and prints the course of a request or a host.
+const defaultReplayLines = 200
+
+// replayDay simulates one day again, and prints the events of a request or a host.
 func replayDay(_ context.Context, c *cli.Command) error {
 	_, cells, err := readCells(c)
 	if err != nil {
 		return err
 	}
 	i := slices.IndexFunc(cells, func(l experiment.Cell) bool {
-		return (c.String("scenario") == "" || c.String("scenario") == l.Scenario.Name) && (c.String("policy") == "" || c.String("policy") == l.Policy.Name) &&
+		return (c.String("scenario") == "" || c.String("scenario") == l.Scenario.Name) &&
+			(c.String("policy") == "" || c.String("policy") == l.Policy.Name) &&
 			(c.Uint64("seed") == 0 || c.Uint64("seed") == l.Seed) &&
 			(math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
 	})
@@ -70,10 +74,10 @@
 		fmt.Println(line)
 	}
 	if tr.Omitted > 0 {
-		fmt.Printf("and %d lines more: --most\n", tr.Omitted)
+		fmt.Printf("%d more lines are omitted; --most prints more\n", tr.Omitted)
 	}
 	for _, b := range r.Breaches {
-		fmt.Println("broken:", b)
+		fmt.Println("rule broken:", b)
 	}
 	return nil
 }
--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -107,7 +107,7 @@
 			r.BilledShare.Low,
 			r.BilledShare.High,
 			r.Attempts,
-			r.WastedMicros/1000,
+			r.WastedMicros/microsPerMillisecond,
 			r.BreachSummary(),
 		)
 		broken = broken || r.Policy == simulation.Module && r.BreachCount() > 0
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -31,8 +31,9 @@
 		Name:      "validate",
 		Usage:     "compare scenarios in the simulation and over sockets on this machine",
 		ArgsUsage: "FILE",
-		Description: "Slow hosts, bursts and releases happen in both. The exit code is 3 if they differ by more than 0.05 in\n" +
-			"value or in the rejected share, or by 20% in p99. Other load on the machine changes the result.\n" +
+		Description: "Slow hosts, bursts and releases happen in both. The exit code is 3 if they differ by more\n" +
+			"than 0.05 in value or in the rejected share, or by 20% in p99. " +
+			"Other load on the machine changes the result.\n" +
 			"Example:\n   milletbarrow experiment validate docs/studies/twins.sx",
 		Flags: []cli.Flag{
 			jsonFlag(),
@@ -87,8 +88,8 @@
 			w.Value[1],
 			w.Throttled[0],
 			w.Throttled[1],
-			w.P99[0]/1000,
-			w.P99[1]/1000,
+			w.P99[0]/microsPerMillisecond,
+			w.P99[1]/microsPerMillisecond,
 			w.Within,
 		)
 		if !w.Within {
@@ -133,16 +134,18 @@
 	return w, nil
 }
 
+// throttledShareAndP99 returns the throttled share of all requests, and the mean p99 in microseconds, weighted by
+// successes.
 func throttledShareAndP99(r *simulation.Result) (share, p99 float64) {
-	asks, weight := 0, 0.0
+	requests, weight := 0, 0.0
 	for i := range r.Operations {
 		p := &r.Operations[i]
-		asks += p.Requests
+		requests += p.Requests
 		share += float64(p.Outcomes[simulation.Throttled])
 		if h, err := p.Histogram(); err == nil && h != nil {
-			p99 += float64(h.ValueAtQuantile(99)) * float64(h.TotalCount())
+			p99 += float64(h.ValueAtQuantile(p99Percent)) * float64(h.TotalCount())
 			weight += float64(h.TotalCount())
 		}
 	}
-	return share / max(1, float64(asks)), p99 / max(1, weight)
+	return share / max(1, float64(requests)), p99 / max(1, weight)
 }
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -25,8 +25,8 @@
 	return &cli.Command{
 		Name:  "fleet",
 		Usage: "start, drain, inspect and stop many instances through their agents",
-		Description: "Exit codes: 0 success, 1 error, 2 invalid file or argument, nothing was changed, 3 some instances failed,\n" +
-			"4 timeout, 5 an agent is unreachable.",
+		Description: "Exit codes: 0 success, 1 error, 2 invalid file or argument, nothing was changed,\n" +
+			"3 some instances failed, 4 timeout, 5 an agent is unreachable.",
 		Commands: []*cli.Command{
 			fleetCheckCommand(),
 			lifecycleCommand(fleet.KindStart),
@@ -47,6 +47,9 @@
 	}
 }
 
+// defaultCommandTimeout is the default of --within.
+const defaultCommandTimeout = 5 * time.Minute
+
 // commandMargin is how much longer than a command's own timeout its sender waits for the report.
 const commandMargin = 10 * time.Second
 
@@ -64,7 +67,7 @@
 		&cli.DurationFlag{
 			Name:  "within",
 			Usage: "fail instances without a result after this duration",
-			Value: 5 * time.Minute,
+			Value: defaultCommandTimeout,
 		},
 		&cli.BoolFlag{Name: "dry-run", Usage: "print the steps without taking them"},
 		&cli.BoolFlag{Name: "wait", Usage: "wait until all instances have a result", Value: true},
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -22,10 +22,10 @@
 		Name:      "cold-start",
 		Usage:     "start all stopped instances of a site, at the pace that the registry and the dependencies allow",
 		ArgsUsage: "[instance ...]",
-		Description: "Running instances are not touched. The required minimum of each group starts first. The limits are\n" +
-			"those of (cold-start ...) in the fleet's file. With the --id of a running cold start, the command follows it.\n" +
-			"--decision go-on continues a halted cold start once its cause is removed. --decision end lifts the limits;\n" +
-			"fleet cancel ID cancels the starts.\n\nExamples:\n" +
+		Description: "Running instances are not touched. The required minimum of each group starts first.\n" +
+			"The limits are those of (cold-start ...) in the fleet's file. With the --id of a running cold start,\n" +
+			"the command follows it. --decision go-on continues a halted cold start once its cause is removed.\n" +
+			"--decision end lifts the limits; fleet cancel ID cancels the starts.\n\nExamples:\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --dry-run\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all\n" +
 			"   milletbarrow fleet cold-start --fleet fleet.sx --all --id ID --decision go-on\n" +
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -12,6 +12,8 @@
 	"milletbarrow/internal/fleetclient"
 )
 
+const defaultHistoryLines = 200
+
 // maxHistoryLines is the largest number of lines that fleet history prints.
 const maxHistoryLines = 100_000
 
@@ -24,7 +26,7 @@
 		Flags: []cli.Flag{
 			fleetFlag(),
 			jsonFlag(),
-			&cli.IntFlag{Name: "most", Usage: "number of lines, the latest ones", Value: 200},
+			&cli.IntFlag{Name: "most", Usage: "number of lines, the latest ones", Value: defaultHistoryLines},
 			&cli.StringFlag{
 				Name:  "name",
 				Usage: "of this `INSTANCE` only",
--- a/cmd/milletbarrow/fleet_members.go
+++ b/cmd/milletbarrow/fleet_members.go
@@ -10,11 +10,12 @@
 
 func fleetMembersCommand() *cli.Command {
 	return &cli.Command{
-		Name:        "members",
-		Usage:       "show which agents each agent considers alive",
-		Description: "There is a row for each agent that was polled and a column for each agent that it judges. Example:\n   milletbarrow fleet members --fleet fleet.sx",
-		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
-		Action:      showMembers,
+		Name:  "members",
+		Usage: "show which agents each agent considers alive",
+		Description: "There is a row for each agent that was polled and a column for each agent that it judges.\n" +
+			"Example:\n   milletbarrow fleet members --fleet fleet.sx",
+		Flags:  []cli.Flag{fleetFlag(), jsonFlag()},
+		Action: showMembers,
 	}
 }
 
@@ -28,7 +29,7 @@
 	if c.Bool("json") {
 		err = printJSON(all)
 	} else {
-		head := []string{"asked"}
+		head := []string{"polled"}
 		for _, h := range client.Spec.Hosts {
 			head = append(head, h.Name)
 		}
--- a/cmd/milletbarrow/fleet_quotas.go
+++ b/cmd/milletbarrow/fleet_quotas.go
@@ -72,14 +72,19 @@
 
 // printQuotas prints the leader, then each quota with its holders, then the cold starts.
 func printQuotas(b *agentapi.Budgets) {
-	fmt.Printf("quota store: leader %s, members %v, term %d, config version %d\n", b.Leader, b.Members, b.Term, b.Version)
+	fmt.Printf(
+		"quota store: leader %s, members %v, term %d, config version %d\n",
+		b.Leader,
+		b.Members,
+		b.Term,
+		b.Version,
+	)
 	if b.GrowthFrozen {
 		fmt.Println("grants do not grow: leases that the quota store has lost may still be in force")
 	}
 	rows := [][]string{{
 		"quota", "holder", "host", "floor", "extra", "expires in", "demand", "drawn", "denied", "acquisition",
 	}}
-	decimal := func(n int64) string { return strconv.FormatInt(n, 10) }
 	for _, u := range b.Limits {
 		unit := "/s"
 		if u.Kind == quota.Concurrency {
@@ -91,7 +96,7 @@
 				string(u.Limit),
 				fmt.Sprintf("%d of %d%s", u.InForce, u.Total, unit),
 				"",
-				decimal(u.ReservedFloors),
+				strconv.FormatInt(u.ReservedFloors, 10),
 				"",
 				"",
 				"",
@@ -101,29 +106,7 @@
 			},
 		)
 		for _, h := range u.Holders {
-			if u.Kind == quota.Concurrency {
-				rows = append(rows, []string{"", string(h.Name), h.Host, "", "1", "", "", "", "", h.AcquireID})
-				continue
-			}
-			until := "-"
-			if h.Remaining > 0 {
-				until = (time.Duration(h.Remaining) * time.Microsecond).Round(printedResolution).String()
-			}
-			rows = append(
-				rows,
-				[]string{
-					"",
-					string(h.Name),
-					h.Host,
-					decimal(h.Floor),
-					decimal(h.Extra),
-					until,
-					decimal(h.Demand),
-					decimal(h.Drawn),
-					decimal(h.Denied),
-					"",
-				},
-			)
+			rows = append(rows, holderRow(u.Kind, &h))
 		}
 	}
 	printTable(rows)
@@ -131,3 +114,27 @@
 		fmt.Println(coldStartLine(&r))
 	}
 }
+
+// holderRow returns the row of one holder of a quota.
+func holderRow(kind quota.Kind, h *quota.HolderUsage) []string {
+	if kind == quota.Concurrency {
+		return []string{"", string(h.Name), h.Host, "", "1", "", "", "", "", h.AcquireID}
+	}
+	decimal := func(n int64) string { return strconv.FormatInt(n, 10) }
+	expiresIn := "-"
+	if h.Remaining > 0 {
+		expiresIn = (time.Duration(h.Remaining) * time.Microsecond).Round(printedResolution).String()
+	}
+	return []string{
+		"",
+		string(h.Name),
+		h.Host,
+		decimal(h.Floor),
+		decimal(h.Extra),
+		expiresIn,
+		decimal(h.Demand),
+		decimal(h.Drawn),
+		decimal(h.Denied),
+		"",
+	}
+}
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -18,7 +18,8 @@
 		ArgsUsage: "[instance ...]",
 		Description: "The limits are those of the fleet's file; each flag replaces one.\n\nExamples:\n" +
 			"   milletbarrow fleet rolling-update --fleet fleet.sx --all --dry-run\n" +
-			"   milletbarrow fleet rolling-update --fleet fleet.sx --group counter --max-unavailable 4 --min-ready-share 0.8 --surge 1\n" +
+			"   milletbarrow fleet rolling-update --fleet fleet.sx --group counter " +
+			"--max-unavailable 4 --min-ready-share 0.8 --surge 1\n" +
 			"   milletbarrow fleet resume --fleet fleet.sx ID",
 		Flags: append(
 			selectionFlags(),
@@ -44,8 +45,9 @@
 				Value: 1,
 			},
 			&cli.StringFlag{
-				Name:  "budget",
-				Usage: "concurrency quota of the fleet's file: each restarting instance holds a unit of it, over all hosts",
+				Name: "budget",
+				Usage: "concurrency quota of the fleet's file: each restarting instance holds a unit of it, " +
+					"over all hosts",
 			},
 		),
 		Action: runRollingUpdate,
@@ -74,7 +76,7 @@
 	if !c.Bool("wait") {
 		if hosts, _ := client.ByHost(instances); len(hosts) > 1 && request.Budget == "" {
 			return usagef(
-				"wait: a wave over %d hosts is taken from host to host by this command, which has to stay",
+				"wait: this command moves a rolling update over %d hosts from host to host, and has to wait for it",
 				len(hosts),
 			)
 		}
@@ -83,19 +85,31 @@
 	return finishCommand(c, client.RollingUpdate(ctx, request, instances, c.Int("max-hosts")), true)
 }
 
-// rollingUpdateConfig is the fleet file's configuration with what the flags set in its place.
+// rollingUpdateConfig returns the configuration of the fleet file, with the settings that the flags replace.
 func rollingUpdateConfig(c *cli.Command, w fleet.RollingUpdateConfig) fleet.RollingUpdateConfig {
-	for name, to := range map[string]*int{"max-unavailable": &w.MaxInProgress, "min-ready": &w.MinReady, "surge": &w.Surge, "max-failures": &w.MaxFailures} {
+	for name, to := range map[string]*int{
+		"max-unavailable": &w.MaxInProgress,
+		"min-ready":       &w.MinReady,
+		"surge":           &w.Surge,
+		"max-failures":    &w.MaxFailures,
+	} {
 		if c.IsSet(name) {
 			*to = c.Int(name)
 		}
 	}
-	for name, to := range map[string]*float64{"min-ready-share": &w.MinReadyShare, "rejected-share": &w.MaxRejectedShare} {
+	for name, to := range map[string]*float64{
+		"min-ready-share": &w.MinReadyShare,
+		"rejected-share":  &w.MaxRejectedShare,
+	} {
 		if c.IsSet(name) {
 			*to = c.Float(name)
 		}
 	}
-	for name, to := range map[string]*monotime.Micros{"ready-within": &w.ReadyWithin, "stall": &w.StallTimeout, "rejected-for": &w.RejectionTolerance} {
+	for name, to := range map[string]*monotime.Micros{
+		"ready-within": &w.ReadyWithin,
+		"stall":        &w.StallTimeout,
+		"rejected-for": &w.RejectionTolerance,
+	} {
 		if c.IsSet(name) {
 			*to = monotime.FromDuration(c.Duration(name))
 		}
--- a/cmd/milletbarrow/fleet_status.go
+++ b/cmd/milletbarrow/fleet_status.go
@@ -12,11 +12,12 @@
 
 func fleetStatusCommand() *cli.Command {
 	return &cli.Command{
-		Name:        "status",
-		Usage:       "show the state of each instance, and the open commands",
-		Description: "Examples:\n   milletbarrow fleet status --fleet fleet.sx\n   milletbarrow fleet status --fleet fleet.sx --json",
-		Flags:       []cli.Flag{fleetFlag(), jsonFlag()},
-		Action:      showStatus,
+		Name:  "status",
+		Usage: "show the state of each instance, and the open commands",
+		Description: "Examples:\n   milletbarrow fleet status --fleet fleet.sx\n" +
+			"   milletbarrow fleet status --fleet fleet.sx --json",
+		Flags:  []cli.Flag{fleetFlag(), jsonFlag()},
+		Action: showStatus,
 	}
 }
 
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -24,7 +24,8 @@
 		Name:      "load",
 		Usage:     "send a simulated day over sockets to backends on this machine",
 		ArgsUsage: "FILE",
-		Description: "The day is a scenario of an experiment's file. Latency counts from the scheduled time of a request.\n" +
+		Description: "The day is a scenario of an experiment's file.\n" +
+			"Latency counts from the scheduled time of a request.\n" +
 			"The exit code is 3 if an answer arrived twice or no request succeeded.\n" +
 			"Example:\n   milletbarrow load day.sx --to 127.0.0.1:5050 --to 127.0.0.1:5051",
 		Flags: []cli.Flag{
@@ -92,6 +93,15 @@
 	return nil, usagef("%s: unknown scenario %q", file, name)
 }
 
+// Units and quantiles of printed figures.
+const (
+	percent              = 100
+	medianPercent        = 50
+	p99Percent           = 99
+	microsPerMillisecond = 1000
+	lagResolution        = 100 * time.Microsecond
+)
+
 // minOffered keeps the billed share finite while nothing is offered.
 const minOffered = 1e-9
 
@@ -102,21 +112,23 @@
 		p.At,
 		p.PerSecond,
 		p.InFlight,
-		100*p.LastSecond.Billed/max(p.LastSecond.Offered, minOffered),
+		percent*p.LastSecond.Billed/max(p.LastSecond.Offered, minOffered),
 		p.LastSecond.Throttled,
-		100*p.Value,
+		percent*p.Value,
 	)
 }
 
 // printLoad prints the report of a load as a table with a line of totals.
 func printLoad(r *loadgen.Report) {
 	w := newTabWriter()
-	fmt.Fprintf(w, "operation\trequests\tbilled\tin time\tp50 ms\tp99 ms\t%s\n", strings.Join(simulation.Outcomes(), "\t"))
+	outcomes := strings.Join(simulation.Outcomes(), "\t")
+	fmt.Fprintf(w, "operation\trequests\tbilled\tin time\tp50 ms\tp99 ms\t%s\n", outcomes)
 	for i := range r.Operations {
 		p := &r.Operations[i]
 		p50, p99 := 0.0, 0.0
 		if h, err := p.Histogram(); err == nil && h != nil {
-			p50, p99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
+			p50, p99 = float64(h.ValueAtQuantile(medianPercent)), float64(h.ValueAtQuantile(p99Percent))
+			p50, p99 = p50/microsPerMillisecond, p99/microsPerMillisecond
 		}
 		fmt.Fprintf(
 			w,
@@ -135,41 +147,51 @@
 	}
 	_ = w.Flush() // an error of standard output can be reported nowhere
 	fmt.Printf(
-		"value %.4f, %d attempts, %d duplicate answers, %d answers of unknown runs, %d not sent, sender lag at most %v\n",
+		"value %.4f, %d attempts, %d duplicate answers, %d answers of unknown runs, %d not sent, "+
+			"sender lag at most %v\n",
 		r.Value(),
 		r.Attempts,
 		r.DuplicateAnswers,
 		r.UnknownResults,
 		r.Unsent,
-		r.MaxLag.Round(time.Millisecond/10),
+		r.MaxLag.Round(lagResolution),
 	)
 }
 
+// Defaults of a fake executor.
+const (
+	defaultFakeCores        = 2
+	defaultCollapseMultiple = 8.0 // runs a core
+	defaultFakeServiceTime  = 20 * time.Millisecond
+	defaultColdSpeed        = 0.3 // share of full speed
+)
+
 func fakeCommand() *cli.Command {
 	return &cli.Command{
 		Name: "fake", Usage: "run a fake of a system that backends need, on this machine",
 		Commands: []*cli.Command{
 			{
-				Name:        "executor",
-				Usage:       "run a fake executor that uses CPU time",
-				Description: "Example:\n   milletbarrow fake executor --listen 127.0.0.1:4400 --cores 2 --service-time 20ms",
+				Name:  "executor",
+				Usage: "run a fake executor that uses CPU time",
+				Description: "Example:\n   milletbarrow fake executor " +
+					"--listen 127.0.0.1:4400 --cores 2 --service-time 20ms",
 				Flags: []cli.Flag{
 					&cli.StringFlag{
 						Name:  "listen",
 						Value: "127.0.0.1:0",
 					},
-					&cli.IntFlag{Name: "cores", Value: 2},
-					&cli.FloatFlag{Name: "crowd", Value: 8},
+					&cli.IntFlag{Name: "cores", Value: defaultFakeCores},
+					&cli.FloatFlag{Name: "crowd", Value: defaultCollapseMultiple},
 					&cli.DurationFlag{
 						Name:  "service-time",
-						Value: 20 * time.Millisecond,
+						Value: defaultFakeServiceTime,
 						Usage: "core time of a run whose body has no work=MICROSECONDS",
 					},
 					&cli.DurationFlag{
 						Name:  "warm-up",
 						Usage: "time for which the cores of a restarted backend are slow",
 					},
-					&cli.FloatFlag{Name: "warm-up-share", Value: 0.3},
+					&cli.FloatFlag{Name: "warm-up-share", Value: defaultColdSpeed},
 				},
 				Action: runFakeExecutor,
 			},
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -207,12 +207,13 @@
 
 // start starts the parts' goroutines. What the backend can't go on without is sent to failed.
 func (b *backendProcess) start(ctx context.Context, hangup, notice <-chan os.Signal) (failed <-chan error) {
-	failures := make(chan error, 2) // one each of the admin socket and the listener
-	if b.files.admin != "" {        // before the rest, so that the supervisor sees the instance come up
+	const sources = 2 // the admin socket and the listener
+	failures := make(chan error, sources)
+	if b.files.admin != "" { // before the rest, so that the supervisor sees the instance come up
 		b.startedAt = process.Now()
 		go func() {
 			if err := admin.Serve(ctx, b.files.admin, limits.ForControl(), b.adminInstance()); err != nil {
-				failures <- fmt.Errorf("inspect: %w", err)
+				failures <- fmt.Errorf("admin socket: %w", err)
 			}
 		}()
 	}
--- a/cmd/milletbarrow/serve_quota.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -19,6 +19,9 @@
 	"milletbarrow/monotime"
 )
 
+// quotaLogMode lets only the owner read the log of quota use.
+const quotaLogMode = 0o600
+
 // quotaConfig reads from the command line which tenants draw from which fleet-wide quotas; nil where none does.
 func quotaConfig(c *cli.Command, b *config.Backend) (*dispatch.QuotaConfig, error) {
 	assignments := c.StringSlice("quota")
@@ -45,7 +48,7 @@
 	}
 	if dir := c.String("stamps"); dir != "" {
 		path := filepath.Join(dir, b.Name+"."+strconv.Itoa(os.Getpid()))
-		file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_EXCL, 0o600)
+		file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_EXCL, quotaLogMode)
 		if err != nil {
 			return nil, unusable(err)
 		}
--- a/cmd/milletbarrow/serve_shutdown.go
+++ b/cmd/milletbarrow/serve_shutdown.go
@@ -47,7 +47,8 @@
 	}
 	s.graceEndsAt, s.stopAt = graceEndsAt, stopAt
 	s.graceEndsClock, s.stopClock = clock+monotime.FromDuration(s.grace-ago), clock+monotime.FromDuration(s.stop-ago)
-	slog.Info("drain", "stop_ms", float64((s.stop-ago).Microseconds())/1000, "by", by, "ago_ms", ago.Milliseconds())
+	stopMillis := float64((s.stop - ago).Microseconds()) / microsPerMillisecond
+	slog.Info("drain", "stop_ms", stopMillis, "by", by, "ago_ms", ago.Milliseconds())
 	dispatcher.Drain(monotime.FromDuration(s.stop-ago), monotime.FromDuration(s.grace-ago))
 	if !s.draining {
 		s.draining = true
@@ -64,7 +65,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
-		state.Ready, state.Draining, state.GraceEnds, state.StopBy = false, true, s.graceEndsClock, s.stopClock
+		state.Ready = false
+		state.Draining = true
+		state.GraceEnds = s.graceEndsClock
+		state.StopBy = s.stopClock
 	}
 }
 
@@ -83,7 +87,8 @@
 	closing := func() time.Time { _, stop := s.times(); return stop.Add(-bounds.ExitMargin) }
 	last := func() time.Time { _, stop := s.times(); return stop.Add(-bounds.ExitMarginUnwritten) }
 	idleChecks := 0 // in a row
-	for now := time.Now(); now.Before(closing()) || now.Before(last()) && (!server.AllClosed() || !server.AllAnswered()); now = time.Now() {
+	for now := time.Now(); now.Before(closing()) ||
+		now.Before(last()) && (!server.AllClosed() || !server.AllAnswered()); now = time.Now() {
 		if !now.Before(closing()) { // callers still connected by now learn that nothing more comes
 			server.CloseAnswered()
 		}
--- a/cmd/milletbarrow/serve_state.go
+++ b/cmd/milletbarrow/serve_state.go
@@ -10,6 +10,8 @@
 	"milletbarrow/internal/backend/admin"
 )
 
+const bytesPerKB = 1 << 10
+
 // logStates logs the counts at intervals, until ctx ends.
 func (b *backendProcess) logStates(ctx context.Context) {
 	ticker := time.NewTicker(b.bounds.LogInterval)
@@ -41,9 +43,9 @@
 		"goroutines",
 		runtime.NumGoroutine(),
 		"heap_kb",
-		memory.HeapAlloc>>10,
+		memory.HeapAlloc/bytesPerKB,
 		"system_kb",
-		memory.Sys>>10,
+		memory.Sys/bytesPerKB,
 		"collections",
 		memory.NumGC,
 		"arrived",
@@ -98,9 +100,13 @@
 		Panics:         counts.Panics,
 	}
 	if status, on := b.dispatcher.DegradationStatus(); on {
-		state.DegradationPolicy, state.Level, state.Depth = status.Policy, status.Level, status.Depth
-		state.Shed, state.Changes = status.Shed, status.Changes
-		state.SignalsAt, state.Signals = int64(status.At), status.Signals.String()
+		state.DegradationPolicy = status.Policy
+		state.Level = status.Level
+		state.Depth = status.Depth
+		state.Shed = status.Shed
+		state.Changes = status.Changes
+		state.SignalsAt = int64(status.At)
+		state.Signals = status.Signals.String()
 	}
 	if differences, on := b.dispatcher.ShadowCounts(); on {
 		state.ShadowCounts = differences.Map()
--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -31,6 +31,9 @@
 	}
 }
 
+// supervisorHeapGrowth is the percentage by which the heap grows between collections: memory before speed.
+const supervisorHeapGrowth = 50
+
 // runSupervisor supervises one instance until it has ended.
 func runSupervisor(ctx context.Context, c *cli.Command) error {
 	end, err := startLog(c)
@@ -39,7 +42,7 @@
 	}
 	defer end()
 	runtime.GOMAXPROCS(1) // there are as many of these as instances, and nearly always they sleep
-	debug.SetGCPercent(50)
+	debug.SetGCPercent(supervisorHeapGrowth)
 	self, err := os.Executable()
 	if err != nil {
 		return err
