--- a/cmd/milletbarrow/backend_test.go
+++ b/cmd/milletbarrow/backend_test.go
@@ -49,34 +49,45 @@
 }
 
 // configFile writes a complete configuration; edit replaces text in it.
-func configFile(t testing.TB, listen, agent, registry string, edit ...string) string {
+func configFile(tb testing.TB, listen, agent, registry string, edit ...string) string {
+	tb.Helper()
 	text := strings.NewReplacer(edit...).Replace(fmt.Sprintf(`{"name":"n3","listen":"%s","agent":"%s","roster":"%s",
 		"seed":"8c1f30d27a5be964","stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"more":{},
 		"settings":%s}`, listen, agent, registry, fakes.Settings))
-	file := filepath.Join(t.TempDir(), "config.json")
+	file := filepath.Join(tb.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return file
 }
 
-func prepare(t testing.TB, edit ...string) *backend {
-	l, err := net.Listen("tcp", demo.Loopback()+":0") // stays free: no outgoing connection uses this address
+func prepare(tb testing.TB, edit ...string) *backend {
+	tb.Helper()
+	// The address stays free after Close: no outgoing connection uses it.
+	l, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", demo.Loopback()+":0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	l.Close()
-	b := &backend{t: t, executor: fakes.NewScriptedExecutor(t), address: l.Addr().String(), stop: 1500 * time.Millisecond}
+	b := &backend{
+		t:        tb,
+		executor: fakes.NewScriptedExecutor(tb),
+		address:  l.Addr().String(),
+		stop:     1500 * time.Millisecond,
+	}
 	var registry string
-	registry, b.reports = fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	b.config = configFile(t, b.address, b.executor.Address, registry, edit...)
+	registry, b.reports = fakes.NewRegistry(tb, func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusNoContent)
+	})
+	b.config = configFile(tb, b.address, b.executor.Address, registry, edit...)
 	return b
 }
 
-// prepareWindow prepares a backend whose grace and stop come so long after the notice: where a test has more to do within them
-// than a busy machine does in the usual 300 ms and 1.5 s.
-func prepareWindow(t testing.TB, grace, stop time.Duration, edit ...string) *backend {
-	b := prepare(t, append(edit, `"drain_grace_ms":300`, fmt.Sprintf(`"drain_grace_ms":%d`, grace.Milliseconds()),
+// prepareWindow prepares a backend whose grace and stop come so long after the notice: where a test has more to do
+// within them than a busy machine does in the usual 300 ms and 1.5 s.
+func prepareWindow(tb testing.TB, grace, stop time.Duration, edit ...string) *backend {
+	tb.Helper()
+	b := prepare(tb, append(edit, `"drain_grace_ms":300`, fmt.Sprintf(`"drain_grace_ms":%d`, grace.Milliseconds()),
 		`"stop_ms":1500`, fmt.Sprintf(`"stop_ms":%d`, stop.Milliseconds()))...)
 	b.stop = stop
 	return b
@@ -98,7 +109,7 @@
 // ready waits until a health check is answered with good.
 func (b *backend) ready() *backend {
 	fakes.Until(b.t, "it is healthy", func() bool {
-		c, err := net.Dial("tcp", b.address)
+		c, err := (&net.Dialer{}).DialContext(b.t.Context(), "tcp", b.address)
 		if err != nil {
 			return false
 		}
@@ -116,8 +127,8 @@
 	return since
 }
 
-// watchStalls begins to measure by how much this process is held up, as it is on a busy machine; end tells the longest time. What a
-// test sees of another process it may see so much later than it was.
+// watchStalls begins to measure by how much this process is held up, as it is on a busy machine; end tells the
+// longest time. What a test sees of another process it may see so much later than it was.
 func watchStalls() (end func() time.Duration) {
 	const interval = time.Millisecond
 	done, longest := make(chan struct{}), make(chan time.Duration)
--- a/cmd/milletbarrow/degradation_bench_test.go
+++ b/cmd/milletbarrow/degradation_bench_test.go
@@ -63,6 +63,7 @@
 
 // serveBills starts a backend with its executor.
 func (w servingMode) serve(t *testing.T) (*backend, *fakes.AutoExecutor) {
+	t.Helper()
 	b := prepare(t, lookClasses, billClasses)
 	executor := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
 	raw, err := os.ReadFile(b.config)
@@ -86,6 +87,7 @@
 
 // changes reads the changes of level from the log.
 func (b *backend) changes(t *testing.T) (all [][]string, at []time.Time) {
+	t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, m := range levelLine.FindAllStringSubmatch(b.log.String(), -1) {
@@ -98,8 +100,8 @@
 	return all, at
 }
 
-// TestLevelsSlowQuarter: two of eight backends are slowed, 8.8 and 2.6 times, at full load; the share of value that succeeds in
-// time, for each serving mode.
+// TestLevelsSlowQuarter: two of eight backends are slowed, 8.8 and 2.6 times, at full load; the share of value that
+// succeeds in time, for each serving mode.
 func TestLevelsSlowQuarter(t *testing.T) {
 	if os.Getenv("LEVELS") != "slow" {
 		t.Skip("an experiment of two minutes: LEVELS=slow")
--- a/cmd/milletbarrow/degradation_test.go
+++ b/cmd/milletbarrow/degradation_test.go
@@ -15,8 +15,9 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestDegradation: a backend with a degradation policy: full cores bring the level, its operation is throttled on arrival while the
-// other is served, all of it is seen on the inspection socket, and a person can hold another level for a while.
+// TestDegradation: a backend with a degradation policy: full cores bring the level, its operation is throttled on
+// arrival while the other is served, all of it is seen on the inspection socket, and a person can hold another level
+// for a while.
 func TestDegradation(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	dir, err := os.MkdirTemp("", "mb")
@@ -98,7 +99,7 @@
 	signals, broken := write("signals.txt", trace.String()), write("broken.txt", "5 queue=1\n5 queue=1\n")
 	site := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	say := func(args ...string) {
-		out, err := exec.Command(program, append([]string{"levels"}, args...)...).CombinedOutput()
+		out, err := exec.CommandContext(t.Context(), program, append([]string{"levels"}, args...)...).CombinedOutput()
 		tr.Say("%s", strings.ReplaceAll(fmt.Sprintf("$ levels %s\n%s%v", strings.Join(args, " "), out, err), dir, "DIR"))
 	}
 	say("check", good)
@@ -109,7 +110,7 @@
 	say("replay", good, broken)
 	say("replay", good, signals, "--plot", filepath.Join(dir, "x.gif"))
 	say("pin", "--socket", filepath.Join(dir, "none"))
-	if out, err := exec.Command(program, "levels", "check", good, "--config", site).CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), program, "levels", "check", good, "--config", site).CombinedOutput(); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
 	if raw, err := os.ReadFile(filepath.Join(dir, "x.svg")); err != nil || !bytes.Contains(raw, []byte("</svg>")) {
--- a/cmd/milletbarrow/errors_test.go
+++ b/cmd/milletbarrow/errors_test.go
@@ -13,11 +13,11 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// TestExitCodes: each kind of error ends the program with its code and prints its cause's text and nothing else; what it
-// wraps stays within reach.
+// TestExitCodes: each kind of error ends the program with its code and prints its cause's text and nothing else; what
+// it wraps stays within reach.
 func TestExitCodes(t *testing.T) {
 	missing := &fs.PathError{Op: "open", Path: "/nowhere", Err: fs.ErrNotExist}
-	failed := exec.Command("sh", "-c", "exit 5").Run()
+	failed := exec.CommandContext(t.Context(), "sh", "-c", "exit 5").Run()
 	for name, test := range map[string]struct {
 		err  error
 		code int
--- a/cmd/milletbarrow/experiment_test.go
+++ b/cmd/milletbarrow/experiment_test.go
@@ -15,7 +15,7 @@
 // TestDemo: from nothing to a drawn day, with a burst and a release in it, and nothing is left behind.
 func TestDemo(t *testing.T) {
 	dir := t.TempDir()
-	cmd := exec.Command(program, "demo", "--backends", "3", "--for", "6s", "--quiet", "--json", "--plot", filepath.Join(dir, "demo.svg"))
+	cmd := exec.CommandContext(t.Context(), program, "demo", "--backends", "3", "--for", "6s", "--quiet", "--json", "--plot", filepath.Join(dir, "demo.svg"))
 	cmd.Env = append(os.Environ(), "TMPDIR="+dir)
 	out, err := cmd.Output()
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	say := func(args ...string) {
 		t.Helper()
-		cmd := exec.Command(program, append([]string{"lab"}, args...)...)
+		cmd := exec.CommandContext(t.Context(), program, append([]string{"lab"}, args...)...)
 		var errs strings.Builder
 		cmd.Stderr = &errs
 		out, _ := cmd.Output()
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -47,8 +47,8 @@
 	return table
 }
 
-// TestFaultsDrawn is the bounded part of fault injection: five agents, twenty backends under load, at least one fault of each
-// kind.
+// TestFaultsDrawn is the bounded part of fault injection: five agents, twenty backends under load, at least one fault
+// of each kind.
 func TestFaultsDrawn(t *testing.T) {
 	v := runSchedule(t, program, "", schedule.Random(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
 	if !v.OK {
@@ -72,16 +72,17 @@
 	}
 }
 
-// TestFaultsColdStart starts sixty backends at once beside a registry that refuses, and a site that comes up by a cold start while agents
-// die and a host is cut off.
+// TestFaultsColdStart starts sixty backends at once beside a registry that refuses, and a site that comes up by a
+// cold start while agents die and a host is cut off.
 func TestFaultsColdStart(t *testing.T) {
 	for _, name := range []string{"cold.sx", "cold-rise.sx"} {
 		if v := runSchedule(t, program, "", storedSchedule(t, name)); !v.OK {
 			t.Errorf("%s did not hold: %v", name, v.Reasons)
 		}
 	}
-	// Without jitter and backoff the same is caught by each of its figures. On a busy machine processes start one after the
-	// other, which spreads their reports; stopped for longer than a report's interval and continued at once all are in step.
+	// Without jitter and backoff the same is caught by each of its figures. On a busy machine processes start one
+	// after the other, which spreads their reports; stopped for longer than a report's interval and continued at once
+	// all are in step.
 	table := storedSchedule(t, "cold-fixed.sx")
 	table.Span = 12 * time.Second
 	for n := range table.Backends {
--- a/cmd/milletbarrow/fleet_bench_test.go
+++ b/cmd/milletbarrow/fleet_bench_test.go
@@ -26,6 +26,7 @@
 //	go test ./cmd/milletbarrow -run xxx -bench Idle -benchtime 1x
 
 func (h *testFleet) up(b *testing.B) *agentapi.Client {
+	b.Helper()
 	h.startAgent()
 	fakes.Until(b, "the agent answers", func() bool { return h.status().Status != nil })
 	h.must("start", "--all", "--quiet", "--within", "60s")
@@ -38,6 +39,7 @@
 
 // heard reads from the instances' logs when each last heard the notice.
 func (h *testFleet) heard(b *testing.B) (all []time.Time) {
+	b.Helper()
 	for _, n := range h.names {
 		raw, err := os.ReadFile(filepath.Join(h.dir, "keepers", n+".log"))
 		found := drainLine.FindAllStringSubmatch(string(raw), -1)
--- a/cmd/milletbarrow/fleet_rolling_update_test.go
+++ b/cmd/milletbarrow/fleet_rolling_update_test.go
@@ -18,9 +18,10 @@
 	"milletbarrow/internal/fleetclient"
 )
 
-// TestRollingUpdateThroughAgentCrashes shows the fleet at work end to end: forty instances under load, a rolling update of
-// all of them, the agent killed again and again at seeded moments, one instance that ignores the signal, and one
-// that is stopped. Every answer, every launch and every stop is checked against what callers, executors and supervisors saw.
+// TestRollingUpdateThroughAgentCrashes shows the fleet at work end to end: forty instances under load, a rolling
+// update of all of them, the agent killed again and again at seeded moments, one instance that ignores the signal,
+// and one that is stopped. Every answer, every launch and every stop is checked against what callers, executors and
+// supervisors saw.
 func TestRollingUpdateThroughAgentCrashes(t *testing.T) {
 	const many, width, seed = 40, 8, 20261201
 	grace, stop := 2*time.Second, 3200*time.Millisecond
@@ -102,6 +103,7 @@
 
 // checkReport: the client reports of each instance what its supervisor saw.
 func checkReport(t *testing.T, h *testFleet, r *fleetclient.Report, incarnations map[string][]*incarnation) {
+	t.Helper()
 	results := r.Hosts[0].Command.Results
 	for _, n := range h.names {
 		all := incarnations[n]
@@ -124,6 +126,7 @@
 
 // checkStops: every incarnation that got a shutdown notice ended within its window.
 func checkStops(t *testing.T, incarnations map[string][]*incarnation, stop time.Duration) {
+	t.Helper()
 	const busy = 300 * time.Millisecond // by which a busy machine may see it late
 	for n, all := range incarnations {
 		if l := all[0]; l.notified.IsZero() || l.ended.IsZero() || l.ended.Sub(l.notified) > stop+busy {
@@ -132,8 +135,9 @@
 	}
 }
 
-// checkAnswers: each invocation has exactly one final answer in time, but for those that the stopped instance held, and the few
-// of an incarnation's last moments that, it is believed, a starved process had not read when it ended: from outside the two look alike.
+// checkAnswers: each invocation has exactly one final answer in time, but for those that the stopped instance held,
+// and the few of an incarnation's last moments that, it is believed, a starved process had not read when it ended:
+// from outside the two look alike.
 func checkAnswers(t *testing.T, by map[string][]*fakes.SentRequest, incarnations map[string][]*incarnation, stopped time.Time) {
 	const busy, lastMoments = 500 * time.Millisecond, 300 * time.Millisecond
 	killed := incarnations["n23"][0].ended
@@ -210,6 +214,7 @@
 
 // checkBudget: by the supervisors' own logs never more were out at once than the rolling update may take.
 func checkBudget(t *testing.T, incarnations map[string][]*incarnation, ready map[string][]time.Time, width int) {
+	t.Helper()
 	type edge struct {
 		at  time.Time
 		out int
--- a/cmd/milletbarrow/fleet_steer_test.go
+++ b/cmd/milletbarrow/fleet_steer_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestSteerWantsOneCommand: the commands that act on a fleet command take one id, and name what is wrong with any other.
+// TestSteerWantsOneCommand: the commands that act on a fleet command take one id, and name what is wrong with any
+// other.
 func TestSteerWantsOneCommand(t *testing.T) {
 	for _, name := range []string{"pause", "resume", "cancel"} {
 		for _, c := range []struct {
@@ -18,7 +19,7 @@
 			{[]string{"a/b"}, "milletbarrow: wanted the id of one command: "},
 		} {
 			args := append([]string{"fleet", name, "--fleet", "../../deploy/fleet.sx"}, c.ids...)
-			out, err := exec.Command(program, args...).CombinedOutput()
+			out, err := exec.CommandContext(t.Context(), program, args...).CombinedOutput()
 			exit, ok := errors.AsType[*exec.ExitError](err)
 			if !ok || exit.ExitCode() != exitUnusable || !strings.HasPrefix(string(out), c.want) || strings.Contains(string(out), "%!") {
 				t.Errorf("%v: %v, %q", args, err, out)
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -14,8 +14,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestFleetCommands: two hosts with an agent each; what the tool prints and ends with when all is well, when an argument
-// is wrong, when an agent is away, and when a rolling update goes from host to host or stops at one.
+// TestFleetCommands: two hosts with an agent each; what the tool prints and ends with when all is well, when an
+// argument is wrong, when an agent is away, and when a rolling update goes from host to host or stops at one.
 func TestFleetCommands(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	h := newTestFleet(t, 4, "(settle 100ms)", "", "", `"drain_grace_ms":300`, `"drain_grace_ms":301`, `"stop_ms":1500`, `"stop_ms":4001`)
--- a/cmd/milletbarrow/former_names_test.go
+++ b/cmd/milletbarrow/former_names_test.go
@@ -76,12 +76,13 @@
 	}
 }
 
-// TestFormerNamesRun runs the program by each former name of a sub-command and of a flag: it does what today's name does.
+// TestFormerNamesRun runs the program by each former name of a sub-command and of a flag: it does what today's name
+// does.
 func TestFormerNamesRun(t *testing.T) {
 	run := func(args ...string) (string, int) {
 		t.Helper()
 		var out bytes.Buffer
-		c := exec.Command(program, args...)
+		c := exec.CommandContext(t.Context(), program, args...)
 		c.Stdout, c.Stderr = &out, &out
 		err := c.Run()
 		if exit, ok := errors.AsType[*exec.ExitError](err); ok {
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"debug/elf"
 	"fmt"
 	"os"
@@ -26,7 +27,7 @@
 		panic(err)
 	}
 	program = filepath.Join(dir, "milletbarrow")
-	build := exec.Command("sh", "-c", strings.Replace(deployed("build"), "-o bin/", "-o '"+dir+"/'", 1))
+	build := exec.CommandContext(context.Background(), "sh", "-c", strings.Replace(deployed("build"), "-o bin/", "-o '"+dir+"/'", 1))
 	build.Dir = "../.."
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
@@ -77,21 +78,21 @@
 			from, to = "unchanged", "unchanged"
 		}
 		file := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", from, to)
-		out, err := exec.Command(program, "check", "--config", file).CombinedOutput()
+		out, err := exec.CommandContext(t.Context(), program, "check", "--config", file).CombinedOutput()
 		tr.Say("check %s: %v, %s", edit, err, strings.TrimSpace(string(out)))
 		if err != nil { // serve says the same and opens nothing
-			cmd := exec.Command(program)
+			cmd := exec.CommandContext(t.Context(), program)
 			cmd.Env = append(os.Environ(), "GW_CONFIG="+file)
 			if again, err := cmd.CombinedOutput(); err == nil || !bytes.Equal(again, out) {
 				tr.Say("  serve: %v, %s", err, again)
 			}
 		}
 	}
-	out, err := exec.Command(program, "version").CombinedOutput()
+	out, err := exec.CommandContext(t.Context(), program, "version").CombinedOutput()
 	tr.Say("version: %v, well formed %t", err, regexp.MustCompile(`^milletbarrow revision \w+, go`).Match(out))
-	out, err = exec.Command(program, "check", "--config", "/nowhere").CombinedOutput()
+	out, err = exec.CommandContext(t.Context(), program, "check", "--config", "/nowhere").CombinedOutput()
 	tr.Say("no file: %v, %s", err, out)
-	out, err = exec.Command(program, "dance").CombinedOutput()
+	out, err = exec.CommandContext(t.Context(), program, "dance").CombinedOutput()
 	tr.Say("no such command: %v, %s", err, out)
 }
 
@@ -99,7 +100,7 @@
 func TestLimits(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	file := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
-	out, err := exec.Command(program, "limits", "--config", file).CombinedOutput()
+	out, err := exec.CommandContext(t.Context(), program, "limits", "--config", file).CombinedOutput()
 	tr.Say("%s%v", out, err)
 	for field := range printedBounds {
 		if _, ok := reflect.TypeFor[limits.Bounds]().FieldByName(field); !ok {
@@ -113,7 +114,7 @@
 	for _, args := range [][]string{
 		{"levels", "check", "../../deploy/degradation.sx"}, {"fleet", "check", "--fleet", "../../deploy/fleet.sx"},
 	} {
-		if out, err := exec.Command(program, args...).CombinedOutput(); err != nil {
+		if out, err := exec.CommandContext(t.Context(), program, args...).CombinedOutput(); err != nil {
 			t.Errorf("%v: %v: %s", args, err, out)
 		}
 	}
@@ -122,7 +123,7 @@
 // fleet check prints a line for each former name in a fleet's file, with its place and the name of today.
 func TestFleetCheckPrintsFormerNames(t *testing.T) {
 	const file = "../../internal/fleet/testdata/6251f7b/fleet.sx"
-	out, err := exec.Command(program, "fleet", "check", "--fleet", file).CombinedOutput()
+	out, err := exec.CommandContext(t.Context(), program, "fleet", "check", "--fleet", file).CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
--- a/cmd/milletbarrow/serve_races_test.go
+++ b/cmd/milletbarrow/serve_races_test.go
@@ -17,7 +17,8 @@
 
 // Races of the built program: each of these tests forces one unfavourable order of events.
 
-// TestNoticeBeforeTheGreeting: the executor greets during the drain. What arrives after the grace is not run all the same.
+// TestNoticeBeforeTheGreeting: the executor greets during the drain. What arrives after the grace is not run all the
+// same.
 func TestNoticeBeforeTheGreeting(t *testing.T) {
 	b := prepareWindow(t, 300*time.Millisecond, 4*time.Second)
 	b.executor.With(func(state, _ *string) { *state = "" })
@@ -61,8 +62,8 @@
 	}
 }
 
-// TestStoppedWithinAFrame: the process is stopped for longer than a frame may take, with half of one read. The rest comes
-// when it goes on, and is answered.
+// TestStoppedWithinAFrame: the process is stopped for longer than a frame may take, with half of one read. The rest
+// comes when it goes on, and is answered.
 func TestStoppedWithinAFrame(t *testing.T) {
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
@@ -83,9 +84,9 @@
 	}
 }
 
-// TestShortStop: the stop comes before the grace is over. Callers send without pause until they are asked for no more, and
-// for as long after it as may cross; each gets an answer, and the connection ends without a reset. Where the test itself was
-// held up, so that its callers went on for longer than that, it is played again.
+// TestShortStop: the stop comes before the grace is over. Callers send without pause until they are asked for no
+// more, and for as long after it as may cross; each gets an answer, and the connection ends without a reset. Where
+// the test itself was held up, so that its callers went on for longer than that, it is played again.
 func TestShortStop(t *testing.T) {
 	const attempts, maxStall = 5, 50 * time.Millisecond
 	for range attempts {
@@ -105,6 +106,7 @@
 
 // shortStop plays a stop before the end of the grace once.
 func shortStop(t *testing.T) error {
+	t.Helper()
 	b := prepare(t, `"stop_ms":1500`, `"stop_ms":280`, `"deadline_ms":5000`, `"deadline_ms":300`, `"aim_ms":2000`, `"aim_ms":150`).start().ready()
 	c, err := net.Dial("tcp", b.address)
 	if err != nil {
@@ -202,9 +204,9 @@
 	}
 }
 
-// TestRepeatsDuringTheDrain: an operation known by its tokens. Its first caller has reset its connection, SIGTERM comes, a
-// repeat within the grace and the executor's link breaks: one run, whose result the repeat gets; a repeat after the grace is
-// errored, not throttled, and the process ends in order.
+// TestRepeatsDuringTheDrain: an operation known by its tokens. Its first caller has reset its connection, SIGTERM
+// comes, a repeat within the grace and the executor's link breaks: one run, whose result the repeat gets; a repeat
+// after the grace is errored, not throttled, and the process ends in order.
 func TestRepeatsDuringTheDrain(t *testing.T) {
 	b := prepareWindow(t, 1500*time.Millisecond, 4*time.Second,
 		`"at_most_once"`, `"deduplicated","window_ms":5000`, `"run_factor"`, `"key_kb":20,"run_factor"`).start().ready()
@@ -238,9 +240,9 @@
 	}
 }
 
-// TestHalfAFrameAtTheShutdown: SIGTERM finds connections within a frame. Where the rest comes before the grace is over it is
-// run, where it comes after it there is one final answer, and where it never comes nothing waits for it. A connection that
-// is made during the drain is served, and asked for no more when the grace is over.
+// TestHalfAFrameAtTheShutdown: SIGTERM finds connections within a frame. Where the rest comes before the grace is
+// over it is run, where it comes after it there is one final answer, and where it never comes nothing waits for it. A
+// connection that is made during the drain is served, and asked for no more when the grace is over.
 func TestHalfAFrameAtTheShutdown(t *testing.T) {
 	// A frame may take two seconds: the grace ends in the middle of them.
 	b := prepareWindow(t, time.Second, 3500*time.Millisecond).start().ready()
@@ -296,8 +298,8 @@
 	}
 }
 
-// TestRestartBeforeTheExecutor: killed and started again at once, while the executor comes up late. Health is bad and work is
-// throttled until the executor has greeted, and then the new process takes work.
+// TestRestartBeforeTheExecutor: killed and started again at once, while the executor comes up late. Health is bad and
+// work is throttled until the executor has greeted, and then the new process takes work.
 func TestRestartBeforeTheExecutor(t *testing.T) {
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
--- a/cmd/milletbarrow/shadow_test.go
+++ b/cmd/milletbarrow/shadow_test.go
@@ -13,8 +13,8 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestMigration walks the steps of docs/migration.md and back, as an operator would: what callers and the executor see is
-// the same whatever is watched, what differs is counted, and what cannot be used changes nothing.
+// TestMigration walks the steps of docs/migration.md and back, as an operator would: what callers and the executor
+// see is the same whatever is watched, what differs is counted, and what cannot be used changes nothing.
 func TestMigration(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	old := fakes.Settings
@@ -108,7 +108,7 @@
 			configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", `"more":{}`, `"watch":`+edited),
 			configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fakes.Settings, edited),
 		} {
-			out, err := exec.Command(program, "check", "--config", file).CombinedOutput()
+			out, err := exec.CommandContext(t.Context(), program, "check", "--config", file).CombinedOutput()
 			tr.Say("%s: %v, %s", to, err, strings.TrimSpace(string(out)))
 		}
 	}
--- a/cmd/milletbarrow/testfleet_test.go
+++ b/cmd/milletbarrow/testfleet_test.go
@@ -37,32 +37,45 @@
 }
 
 // newTestFleet writes the files of a fleet; group is what its one group has besides the instances, program starts them.
-func newTestFleet(t testing.TB, many int, group, rollingUpdate, program string, edit ...string) *testFleet {
+func newTestFleet(tb testing.TB, many int, group, rollingUpdate, program string, edit ...string) *testFleet {
+	tb.Helper()
 	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
 	if err != nil {
-		t.Fatal(err)
-	}
-	h := &testFleet{t: t, dir: dir, file: filepath.Join(dir, "fleet.sx"), executors: map[string]*fakes.AutoExecutor{}, at: map[string]string{}}
-	t.Cleanup(h.clear)
-	registry, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+		tb.Fatal(err)
+	}
+	h := &testFleet{
+		t:         tb,
+		dir:       dir,
+		file:      filepath.Join(dir, "fleet.sx"),
+		executors: map[string]*fakes.AutoExecutor{},
+		at:        map[string]string{},
+	}
+	tb.Cleanup(h.clear)
+	registry, _ := fakes.NewRegistry(tb, func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusNoContent)
+	})
 	taken := make([]net.Listener, 0, many)
 	for n := range many {
-		l, err := net.Listen("tcp", demo.Loopback()+":0")
+		l, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", demo.Loopback()+":0")
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		taken = append(taken, l)
 		name := fmt.Sprint("n", n+1)
-		executor := fakes.NewAutoExecutor(t, 20*time.Millisecond, 2)
+		executor := fakes.NewAutoExecutor(tb, 20*time.Millisecond, 2)
 		h.executors[name], h.at[name] = executor, l.Addr().String()
 		h.names = append(h.names, name)
-		raw, err := os.ReadFile(configFile(t, l.Addr().String(), executor.Address, registry, append(edit, `"drain_grace_ms":300`, `"drain_grace_ms":2000`,
-			`"stop_ms":1500`, `"stop_ms":3200`, `"name":"n3"`, `"name":"`+name+`"`)...))
+		changes := slices.Concat(edit, []string{
+			`"drain_grace_ms":300`, `"drain_grace_ms":2000`,
+			`"stop_ms":1500`, `"stop_ms":3200`,
+			`"name":"n3"`, `"name":"` + name + `"`,
+		})
+		raw, err := os.ReadFile(configFile(tb, l.Addr().String(), executor.Address, registry, changes...))
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, name+".json"), raw, 0o600)
 		}
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	for _, l := range taken {
@@ -74,7 +87,7 @@
 	text := fmt.Sprintf("(fleet test %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") %s (range n 1 %d))\n (wave %s))\n",
 		program, dir, group, many, rollingUpdate)
 	if err := os.WriteFile(h.file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return h
 }
