--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -21,9 +21,9 @@
 // TestExecuteSubmitsEachHostsInstances checks that every host receives its own instances, that the report counts all
 // outcomes, and that its hosts are in the order of the fleet file.
 func TestExecuteSubmitsEachHostsInstances(t *testing.T) {
-	c, agents := fakeFleet(t)
-	r := c.Execute(t.Context(), request("s1", fleet.KindStart, c), allInstances(t, c), true)
-	if got := hostsOf(r); !slices.Equal(got, []string{"a", "b", "c"}) {
+	client, agents := fakeFleet(t)
+	report := client.Execute(t.Context(), request("s1", fleet.KindStart, client), allInstances(t, client), true)
+	if got := hostsOf(report); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("hosts %v", got)
 	}
 	for host, agent := range agents {
@@ -32,23 +32,26 @@
 			t.Errorf("host %s received %+v", host, got)
 		}
 	}
-	if r.Counts[fleet.OutcomeSucceeded] != 6 || r.Open != 0 || r.Verdict() != VerdictSucceeded {
-		t.Errorf("report %+v, verdict %d", r, r.Verdict())
+	if report.Counts[fleet.OutcomeSucceeded] != 6 || report.Open != 0 || report.Verdict() != VerdictSucceeded {
+		t.Errorf("report %+v, verdict %d", report, report.Verdict())
 	}
 }
 
 // TestExecuteTellsUnreachableFromRejected checks that a report distinguishes an agent that does not answer from one
 // that rejects the command.
 func TestExecuteTellsUnreachableFromRejected(t *testing.T) {
-	c, _ := fakeFleet(t, "b")
-	r := c.Execute(t.Context(), request("s1", fleet.KindStart, c), allInstances(t, c), true)
-	if h := r.Hosts[1]; h.Reached || h.Rejected || h.Error == "" || r.Verdict() != VerdictUnreachable {
-		t.Errorf("unreachable: %+v, verdict %d", h, r.Verdict())
+	client, _ := fakeFleet(t, "b")
+	report := client.Execute(t.Context(), request("s1", fleet.KindStart, client), allInstances(t, client), true)
+	if h := report.Hosts[1]; h.Reached || h.Rejected || h.Error == "" || report.Verdict() != VerdictUnreachable {
+		t.Errorf("unreachable: %+v, verdict %d", h, report.Verdict())
 	}
-	c, _ = fakeFleet(t)
-	r = c.Execute(t.Context(), request(rejectedID, fleet.KindStart, c), allInstances(t, c), true)
-	if h := r.Hosts[1]; !h.Reached || !h.Rejected || h.Error != "not accepted" || r.Verdict() != VerdictPartial {
-		t.Errorf("rejected: %+v, verdict %d", h, r.Verdict())
+	client, _ = fakeFleet(t)
+	report = client.Execute(t.Context(), request(rejectedID, fleet.KindStart, client), allInstances(t, client), true)
+	if h := report.Hosts[1]; !h.Reached || !h.Rejected || h.Error != "not accepted" {
+		t.Errorf("rejected: %+v", h)
+	}
+	if report.Verdict() != VerdictPartial {
+		t.Errorf("rejected: verdict %d", report.Verdict())
 	}
 }
 
@@ -111,7 +114,7 @@
 // TestRollingUpdateStopsAtFailedHost checks that a host begins after the one before has completed, that a failed host
 // stops the update, and that the report has the hosts on which it has not begun.
 func TestRollingUpdateStopsAtFailedHost(t *testing.T) {
-	c, agents := fakeFleet(t)
+	client, agents := fakeFleet(t)
 	var mu sync.Mutex
 	var order []string
 	for host, agent := range agents {
@@ -128,17 +131,17 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	r := c.RollingUpdate(ctx, request("u1", fleet.KindRollingUpdate, c), allInstances(t, c), 1)
+	report := client.RollingUpdate(ctx, request("u1", fleet.KindRollingUpdate, client), allInstances(t, client), 1)
 	if !slices.Equal(order, []string{"a", "b"}) {
 		t.Errorf("order %v, want a, b and no more", order)
 	}
-	if !strings.Contains(r.Reason, "host b") || r.Verdict() != VerdictPartial {
-		t.Errorf("reason %q, verdict %d", r.Reason, r.Verdict())
+	if !strings.Contains(report.Reason, "host b") || report.Verdict() != VerdictPartial {
+		t.Errorf("reason %q, verdict %d", report.Reason, report.Verdict())
 	}
-	if got := hostsOf(r); !slices.Equal(got, []string{"a", "b", "c"}) {
+	if got := hostsOf(report); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("hosts %v", got)
 	}
-	if last := r.Hosts[2]; !last.Rejected || !last.Reached || last.Command != nil {
+	if last := report.Hosts[2]; !last.Rejected || !last.Reached || last.Command != nil {
 		t.Errorf("host after the failed one: %+v", last)
 	}
 }
@@ -146,61 +149,61 @@
 // TestRollingUpdateWithQuotaBeginsOnAllHosts checks that all hosts receive an update with a quota at once, also if one
 // of them fails: the agents limit it among themselves.
 func TestRollingUpdateWithQuotaBeginsOnAllHosts(t *testing.T) {
-	c, agents := fakeFleet(t)
-	update := request("u1", fleet.KindRollingUpdate, c)
+	client, agents := fakeFleet(t)
+	update := request("u1", fleet.KindRollingUpdate, client)
 	update.Budget = "out"
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	agents["a"].settle = func(command *fleet.Command) { setOutcomes(command, fleet.OutcomeFailed) }
-	r := c.RollingUpdate(ctx, update, allInstances(t, c), 1)
+	report := client.RollingUpdate(ctx, update, allInstances(t, client), 1)
 	for host, agent := range agents {
 		if agent.commands["u1"] == nil {
 			t.Errorf("host %s has not received the update", host)
 		}
 	}
-	if r.Reason != "" || r.Verdict() != VerdictPartial {
-		t.Errorf("reason %q, verdict %d", r.Reason, r.Verdict())
+	if report.Reason != "" || report.Verdict() != VerdictPartial {
+		t.Errorf("reason %q, verdict %d", report.Reason, report.Verdict())
 	}
 }
 
 // TestRollingUpdateStopsAtTimeout checks that the end of the context stops an update whose first host never completes,
 // and that the report has a reason.
 func TestRollingUpdateStopsAtTimeout(t *testing.T) {
-	c, agents := fakeFleet(t)
+	client, agents := fakeFleet(t)
 	agents["a"].settle = func(command *fleet.Command) { command.State = fleet.CommandOpen }
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	r := c.RollingUpdate(ctx, request("u1", fleet.KindRollingUpdate, c), allInstances(t, c), 1)
-	if r.Reason == "" || agents["b"].Command("u1") != nil {
-		t.Errorf("reason %q, host b %+v", r.Reason, agents["b"].Command("u1"))
+	report := client.RollingUpdate(ctx, request("u1", fleet.KindRollingUpdate, client), allInstances(t, client), 1)
+	if report.Reason == "" || agents["b"].Command("u1") != nil {
+		t.Errorf("reason %q, host b %+v", report.Reason, agents["b"].Command("u1"))
 	}
 }
 
 // TestFollowEndsAtAutomaticPause checks that the client does not wait for a command that waits for an operator.
 func TestFollowEndsAtAutomaticPause(t *testing.T) {
-	c, agents := fakeFleet(t)
+	client, agents := fakeFleet(t)
 	agents["a"].settle = func(command *fleet.Command) { command.State = fleet.CommandPaused }
 	agents["a"].history = []agentstore.Entry{{
 		Serial:       1,
 		HistoryEvent: fleet.HistoryEvent{CommandID: "u1", Event: "pause"},
 	}}
 	var seen []string
-	c.OnProgress = func(host string, e agentapi.StreamEvent) {
+	client.OnProgress = func(host string, e agentapi.StreamEvent) {
 		if e.Entry != nil {
 			seen = append(seen, host+" "+e.Entry.Event)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	r := c.Execute(ctx, request("u1", fleet.KindRollingUpdate, c), allInstances(t, c)[:2], true)
-	if ctx.Err() != nil || r.Hosts[0].Command.State != fleet.CommandPaused || !slices.Contains(seen, "a pause") {
-		t.Errorf("%+v, seen %v, %v", r.Hosts[0], seen, ctx.Err())
+	report := client.Execute(ctx, request("u1", fleet.KindRollingUpdate, client), allInstances(t, client)[:2], true)
+	if ctx.Err() != nil || report.Hosts[0].Command.State != fleet.CommandPaused || !slices.Contains(seen, "a pause") {
+		t.Errorf("%+v, seen %v, %v", report.Hosts[0], seen, ctx.Err())
 	}
 }
 
 // TestOnlyKnownRemovesHostsWithoutTheCommand also checks that a report without hosts has a reason.
 func TestOnlyKnownRemovesHostsWithoutTheCommand(t *testing.T) {
-	c, agents := fakeFleet(t)
+	client, agents := fakeFleet(t)
 	agents["b"].commands["x"] = &fleet.Command{
 		ID:      "x",
 		State:   fleet.CommandDone,
@@ -209,30 +212,34 @@
 	watch := func(id string) *Report {
 		report := &Report{ID: id}
 		for _, host := range []string{"a", "b", "c"} {
-			report.Hosts = append(report.Hosts, c.Watch(t.Context(), host, id))
+			report.Hosts = append(report.Hosts, client.Watch(t.Context(), host, id))
 		}
 		return report.OnlyKnown()
 	}
-	r := watch("x")
-	if !slices.Equal(hostsOf(r), []string{"b"}) || r.Reason != "" || r.Counts[fleet.OutcomeSucceeded] != 1 {
-		t.Errorf("known to b: %+v", r)
+	report := watch("x")
+	if !slices.Equal(hostsOf(report), []string{"b"}) || report.Reason != "" {
+		t.Errorf("known to b: %+v", report)
+	}
+	if report.Counts[fleet.OutcomeSucceeded] != 1 {
+		t.Errorf("known to b: counts %v", report.Counts)
 	}
-	if r := watch("y"); len(r.Hosts) != 0 || r.Reason == "" || r.Verdict() != VerdictPartial {
-		t.Errorf("known to none: %+v", r)
+	report = watch("y")
+	if len(report.Hosts) != 0 || report.Reason == "" || report.Verdict() != VerdictPartial {
+		t.Errorf("known to none: %+v", report)
 	}
 }
 
 // TestHistoryMergesHostsByTime checks that History returns the latest entries of all hosts in the order of their times,
 // and the errors of the hosts whose query failed.
 func TestHistoryMergesHostsByTime(t *testing.T) {
-	c, agents := fakeFleet(t, "c")
+	client, agents := fakeFleet(t, "c")
 	entry := func(serial uint64, unixMicros int64, event string) agentstore.Entry {
 		return agentstore.Entry{Serial: serial, UnixMicros: unixMicros, HistoryEvent: fleet.HistoryEvent{Event: event}}
 	}
 	agents["a"].history = []agentstore.Entry{entry(1, 10, "first"), entry(2, 40, "fourth")}
 	agents["b"].history = []agentstore.Entry{entry(1, 20, "second"), entry(2, 30, "third")}
 	events := func(limit int, keep func(Entry) bool) (events []string) {
-		entries, missing := c.History(t.Context(), limit, keep)
+		entries, missing := client.History(t.Context(), limit, keep)
 		if len(missing) != 1 || missing["c"] == "" {
 			t.Errorf("missing %v", missing)
 		}
@@ -256,13 +263,13 @@
 
 // TestStatusAndMembersListUnreachableHosts checks that a host whose query failed is in the list with its error.
 func TestStatusAndMembersListUnreachableHosts(t *testing.T) {
-	c, _ := fakeFleet(t, "b")
-	for i, s := range c.Status(t.Context()) {
+	client, _ := fakeFleet(t, "b")
+	for i, s := range client.Status(t.Context()) {
 		if missing := i == 1; (s.Status == nil) != missing || (s.Error != "") != missing {
 			t.Errorf("status %+v", s)
 		}
 	}
-	for i, m := range c.Members(t.Context()) {
+	for i, m := range client.Members(t.Context()) {
 		if missing := i == 1; (len(m.Seen) == 0) != missing || (m.Error != "") != missing {
 			t.Errorf("members %+v", m)
 		}
@@ -272,29 +279,29 @@
 // TestQuotaCallsTryHostsInTurn checks that a quota call ends at the first agent that accepts or rejects it, and that
 // its error otherwise joins those of all hosts.
 func TestQuotaCallsTryHostsInTurn(t *testing.T) {
-	c, agents := fakeFleet(t, "a")
-	if err := c.WriteOff(t.Context(), "n3"); err != nil {
+	client, agents := fakeFleet(t, "a")
+	if err := client.WriteOff(t.Context(), "n3"); err != nil {
 		t.Fatal(err)
 	}
 	got := agents["b"].quotaCalls
 	if !slices.Equal(got, []string{"write off n3 by tester"}) || len(agents["c"].quotaCalls) != 0 {
 		t.Errorf("b %v, c %v", got, agents["c"].quotaCalls)
 	}
-	if b, err := c.Budgets(t.Context()); err != nil || b.Host != "b" {
+	if b, err := client.Budgets(t.Context()); err != nil || b.Host != "b" {
 		t.Errorf("budgets %+v, %v", b, err)
 	}
 	agents["b"].quotaErr = &agentapi.StatusError{Status: http.StatusConflict, Text: "not accepted"}
-	err := c.ColdStart(t.Context(), quota.ColdStartCommand{ID: "r1"})
+	err := client.ColdStart(t.Context(), quota.ColdStartCommand{ID: "r1"})
 	status, ok := errors.AsType[*agentapi.StatusError](err)
 	if !ok || status.Status != http.StatusConflict || len(agents["c"].quotaCalls) != 0 {
 		t.Errorf("rejection: %v, c %v", err, agents["c"].quotaCalls)
 	}
 	agents["b"].quotaErr = &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: "no leader"}
-	if err := c.WriteOff(t.Context(), "n4"); err != nil || len(agents["c"].quotaCalls) != 1 {
+	if err := client.WriteOff(t.Context(), "n4"); err != nil || len(agents["c"].quotaCalls) != 1 {
 		t.Errorf("after an agent without a leader: %v, c %v", err, agents["c"].quotaCalls)
 	}
 	agents["c"].quotaErr = agents["b"].quotaErr
-	err = c.WriteOff(t.Context(), "n5")
+	err = client.WriteOff(t.Context(), "n5")
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok || len(joined.Unwrap()) != 3 {
 		t.Fatalf("no agent succeeds: %v", err)
@@ -321,7 +328,7 @@
 
 // TestExecuteQueriesStateAfterTimeout checks that the report has the last state of a command that outlives the context.
 func TestExecuteQueriesStateAfterTimeout(t *testing.T) {
-	c, agents := fakeFleet(t)
+	client, agents := fakeFleet(t)
 	agents["a"].settle = func(command *fleet.Command) { command.State = fleet.CommandOpen }
 	ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 	defer cancel()
@@ -330,8 +337,8 @@
 		defer agents["a"].mu.Unlock()
 		agents["a"].commands["u1"] = &fleet.Command{ID: "u1", State: fleet.CommandOpen, Cause: "changed since"}
 	})
-	r := c.Execute(ctx, request("u1", fleet.KindStart, c), allInstances(t, c)[:2], true)
-	if h := r.Hosts[0]; h.Command == nil || h.Command.Cause != "changed since" || !h.Reached {
+	report := client.Execute(ctx, request("u1", fleet.KindStart, client), allInstances(t, client)[:2], true)
+	if h := report.Hosts[0]; h.Command == nil || h.Command.Cause != "changed since" || !h.Reached {
 		t.Errorf("%+v", h)
 	}
 }
--- a/internal/fleetclient/helpers_test.go
+++ b/internal/fleetclient/helpers_test.go
@@ -187,9 +187,9 @@
 }
 
 // allInstances returns every instance of the fleet file.
-func allInstances(t *testing.T, c *Client) []*fleet.InstanceSpec {
+func allInstances(t *testing.T, client *Client) []*fleet.InstanceSpec {
 	t.Helper()
-	instances, err := c.Spec.Select(fleet.Selection{All: true})
+	instances, err := client.Spec.Select(fleet.Selection{All: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,13 +197,13 @@
 }
 
 // request returns a command request of the client's operator, without instances.
-func request(id string, kind fleet.CommandKind, c *Client) agentapi.CommandRequest {
-	update := c.Spec.RollingUpdate
+func request(id string, kind fleet.CommandKind, client *Client) agentapi.CommandRequest {
+	update := client.Spec.RollingUpdate
 	return agentapi.CommandRequest{
 		ID:            id,
 		Kind:          kind,
 		TimeoutMicros: (5 * time.Second).Microseconds(),
-		RequestedBy:   c.Operator,
+		RequestedBy:   client.Operator,
 		RollingUpdate: &update,
 	}
 }
