--- a/internal/faultinjection/schedule/cold_start.go
+++ b/internal/faultinjection/schedule/cold_start.go
@@ -9,27 +9,36 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// ColdStart is the beginning of a trial in which all backends are started at once.
+// ColdStart describes a trial that begins with the start of all backends.
 type ColdStart struct {
 	coldstart.RegistryBehavior
 	coldstart.Bounds
-	FixedReports  bool // backends report without jitter or backoff, as a baseline
-	MaxConcurrent int  // backends that may start at once over all hosts, by a cold start; 0: all are started at once
+	FixedReports  bool // whether backends report without jitter or backoff, as a baseline
+	MaxConcurrent int  // backends on all hosts that may start at the same time; 0: all
 }
 
-// Words of (reports ...).
+// Values of the field reports.
 const (
-	pacedReports = "paced"
-	fixedReports = "fixed"
+	pacedReports string = "paced"
+	fixedReports string = "fixed"
+)
+
+const (
+	maxOpenCalls        int           = 100_000
+	maxConcurrentStarts int           = 100_000
+	defaultRecoveryTime time.Duration = 5 * time.Second
+	maxResponseTime     time.Duration = time.Minute
+	maxRatio            float64       = 100  // of call rates
+	maxConnections      int           = 1000 // per backend
 )
 
 func readColdStart(f *sexpr.Form) *ColdStart {
 	c := &ColdStart{
 		RegistryBehavior: coldstart.RegistryBehavior{
-			MaxOpenCalls: f.Int("crowd", 0, 100_000, 0),
-			RecoveryTime: f.Span("needs", 0, maxSpan, 5*time.Second),
+			MaxOpenCalls: f.Int("crowd", 0, maxOpenCalls, 0),
+			RecoveryTime: f.Span("needs", 0, maxSpan, defaultRecoveryTime),
 		},
-		MaxConcurrent: f.Int("rise", 0, 100_000, 0),
+		MaxConcurrent: f.Int("rise", 0, maxConcurrentStarts, 0),
 		FixedReports:  f.OneOf("reports", pacedReports, fixedReports) == fixedReports,
 	}
 	c.Phases = readPhases(f)
@@ -45,12 +54,12 @@
 	for _, sub := range f.All("phase") {
 		p := coldstart.Phase{
 			From:         sub.Span("from", 0, maxSpan, 0),
-			ResponseTime: sub.Span("takes", 0, time.Minute, 0),
+			ResponseTime: sub.Span("takes", 0, maxResponseTime, 0),
 			RetryAfter:   sub.Span("advice", 0, maxSpan, 0),
 			Mode:         coldstart.Mode(sub.OneOf("is", coldstart.Modes()...)),
 		}
 		if p.From <= previous {
-			sub.Fail("from", "%v is not after the phase before", p.From)
+			sub.Fail("from", "%v is not after the previous phase's start", p.From)
 		}
 		previous = p.From
 		sub.Done()
@@ -61,38 +70,27 @@
 
 func readBounds(f *sexpr.Form) coldstart.Bounds {
 	b := coldstart.Bounds{
-		Refusing: f.Share("refusing", 0, 100, 0),
-		First:    f.Share("first", 0, 100, 0),
-		Peak:     f.Share("peak", 0, 100, 0),
-		Conns:    f.Int("connections", 0, 1000, 0),
+		Refusing: f.Share("refusing", 0, maxRatio, 0),
+		First:    f.Share("first", 0, maxRatio, 0),
+		Peak:     f.Share("peak", 0, maxRatio, 0),
+		Conns:    f.Int("connections", 0, maxConnections, 0),
 		Most:     f.Span("listed", 0, maxSpan, 0).Seconds(),
 	}
 	f.Done()
 	return b
 }
 
+// write appends the cold start's form in a schedule's file.
 func (c *ColdStart) write(b *strings.Builder) {
 	reports := pacedReports
 	if c.FixedReports {
 		reports = fixedReports
 	}
-	fmt.Fprintf(
-		b,
-		"\n  (cold (reports %s) (rise %d) (crowd %d) (needs %v)",
-		reports,
-		c.MaxConcurrent,
-		c.MaxOpenCalls,
-		c.RecoveryTime,
-	)
+	fmt.Fprintf(b, "\n  (cold (reports %s) (rise %d) (crowd %d) (needs %v)",
+		reports, c.MaxConcurrent, c.MaxOpenCalls, c.RecoveryTime)
 	for _, p := range c.Phases {
-		fmt.Fprintf(
-			b,
-			"\n    (phase (from %v) (is %s) (takes %v) (advice %v))",
-			p.From,
-			p.Mode,
-			p.ResponseTime,
-			p.RetryAfter,
-		)
+		fmt.Fprintf(b, "\n    (phase (from %v) (is %s) (takes %v) (advice %v))",
+			p.From, p.Mode, p.ResponseTime, p.RetryAfter)
 	}
 	fmt.Fprintf(b, "\n    (bounds (refusing %g) (first %g) (peak %g) (connections %d) (listed %v)))",
 		c.Refusing, c.First, c.Peak, c.Conns, time.Duration(c.Most*float64(time.Second)))
--- a/internal/faultinjection/schedule/fault.go
+++ b/internal/faultinjection/schedule/fault.go
@@ -6,35 +6,42 @@
 	"time"
 )
 
-// Kind of a fault: its word in a schedule's file.
+// Kind is the kind of a fault, written as its word in a schedule's file.
 type Kind string
 
-// The kinds. Those of a link name two hosts, the others a host, a backend or nobody. "For a while" is the fault's
-// Duration.
+// Kinds of faults on the link from one host to another.
 const (
-	Cut            Kind = "cut"       // all bytes from one host to the other are held for a while; what was open is broken after it
-	CutBoth        Kind = "cut-both"  // in both directions
-	Delay          Kind = "delay"     // bytes from one host to the other arrive later by Offset
-	Stall          Kind = "stall"     // bytes are held for a while, then delivered
-	Slow           Kind = "slow"      // Value bytes a second
-	Reset          Kind = "reset"     // every connection between them, now
-	Duplicate      Kind = "twice"     // calls from one to the other come again, later by Offset
-	KillAgent      Kind = "kill"      // SIGKILL, started again after a while
-	StopAgent      Kind = "stop"      // SIGSTOP for a while
-	KillLeader     Kind = "leader"    // SIGKILL to whichever agent leads, started again after a while
-	Blackout       Kind = "blackout"  // SIGKILL to all agents, started again after a while
-	FullDisk       Kind = "full"      // an agent's files can't grow for a while
-	StaleStore     Kind = "old"       // an agent is killed and comes back on an earlier copy of its quota store
-	StopBackend    Kind = "freeze"    // SIGSTOP for a while
-	KillBackend    Kind = "death"     // SIGKILL
-	KillSupervisor Kind = "orphan"    // SIGKILL to a backend's supervisor
-	BadStart       Kind = "bad-start" // SIGKILL to a backend whose configuration can't be read for a while
-	ChangeTotal    Kind = "whole"     // the total of a quota becomes Value, in the file of every host
-	CrashPoint     Kind = "point"     // an agent dies at a point of its program, where it was built with failpoints
-	Minority       Kind = "minority"  // a host and the next are cut off from all others
+	Cut       Kind = "cut"      // holds all bytes for Duration, then breaks the connections that were open
+	CutBoth   Kind = "cut-both" // is Cut in both directions
+	Delay     Kind = "delay"    // delivers bytes later by Offset for Duration
+	Stall     Kind = "stall"    // holds bytes for Duration, then delivers them
+	Slow      Kind = "slow"     // limits the link to Value bytes per second for Duration
+	Reset     Kind = "reset"    // breaks every connection at once
+	Duplicate Kind = "twice"    // repeats calls after Offset for Duration
 )
 
-// Kinds are those that every drawn schedule has at least once, in that order: all but CrashPoint.
+// Kinds of faults of agents and hosts.
+const (
+	KillAgent  Kind = "kill"     // sends SIGKILL and restarts the agent after Duration
+	StopAgent  Kind = "stop"     // sends SIGSTOP for Duration
+	KillLeader Kind = "leader"   // is KillAgent for the leader
+	Blackout   Kind = "blackout" // is KillAgent for all agents
+	FullDisk   Kind = "full"     // prevents the growth of an agent's files for Duration
+	StaleStore Kind = "old"      // kills an agent and restarts it with an earlier copy of its quota store
+	CrashPoint Kind = "point"    // ends an agent at a failpoint, if it was built with failpoints
+	Minority   Kind = "minority" // isolates a host and the next one from all others for Duration
+)
+
+// Kinds of faults of backends and quotas.
+const (
+	StopBackend    Kind = "freeze"    // sends SIGSTOP for Duration
+	KillBackend    Kind = "death"     // sends SIGKILL
+	KillSupervisor Kind = "orphan"    // sends SIGKILL to a backend's supervisor
+	BadStart       Kind = "bad-start" // sends SIGKILL and makes the backend's configuration unreadable for Duration
+	ChangeTotal    Kind = "whole"     // sets the total of a quota to Value in the files of all hosts
+)
+
+// Kinds returns the kinds that every drawn schedule contains, in the order of drawing: all but CrashPoint.
 func Kinds() []Kind {
 	return []Kind{
 		Cut,
@@ -59,19 +66,19 @@
 	}
 }
 
-// Fault is one of them.
+// Fault is one fault of a schedule.
 type Fault struct {
 	At       time.Duration // since the trial began
-	Duration time.Duration
+	Duration time.Duration // 0: the fault has no duration
 	Kind     Kind
-	Target   string        // a host or a backend, as the kind has it
-	Peer     string        // of a link: the other host
-	Offset   time.Duration // Delay, Duplicate
-	Value    int           // Slow: bytes a second; ChangeTotal: the new total
-	Name     string        // ChangeTotal: the quota; CrashPoint: the point
+	Target   string        // host or backend, by kind; empty: the kind has none
+	Peer     string        // the host at the other end of a link; empty: the kind has none
+	Offset   time.Duration // delay of Delay and Duplicate; 0: none
+	Value    int           // bytes per second of Slow, or the new total of ChangeTotal; 0: none
+	Name     string        // quota of ChangeTotal, or failpoint of CrashPoint; empty: the kind has none
 }
 
-// String is the fault's form in a schedule's file.
+// String returns the fault's form in a schedule's file.
 func (f Fault) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "(%s (at %v)", f.Kind, f.At)
@@ -92,16 +99,39 @@
 	return b.String() + ")"
 }
 
-// target is what a name in a fault's form stands for: the word of error texts.
+// target is the type of a name in a fault's form, as error texts give it.
 type target string
 
 const (
 	hostTarget    target = "host"
 	backendTarget target = "backend"
-	nameTarget    target = "word" // of a quota or a crash point
+	nameTarget    target = "word" // a quota or a failpoint
+)
+
+// Prefixes of numbered names.
+const (
+	hostPrefix    string = "h"
+	backendPrefix string = "n"
 )
 
-// targets are the names that a fault of the kind has in its form, in that order.
+func numberedName(prefix string, number int) string { return fmt.Sprint(prefix, number) }
+
+// withTargets returns the fault with the given names in the fields of its kind's targets, which are equally many.
+func (f Fault) withTargets(names []string) Fault {
+	for i, target := range f.Kind.targets() {
+		switch {
+		case target == nameTarget:
+			f.Name = names[i]
+		case i == 0:
+			f.Target = names[i]
+		default:
+			f.Peer = names[i]
+		}
+	}
+	return f
+}
+
+// targets returns the types of the names in the form of a fault of the kind, in that order.
 func (k Kind) targets() []target {
 	switch k {
 	case Cut, CutBoth, Delay, Stall, Slow, Reset, Duplicate:
@@ -114,6 +144,8 @@
 		return []target{nameTarget}
 	case CrashPoint:
 		return []target{hostTarget, nameTarget}
+	case KillLeader, Blackout:
+		return nil
 	}
 	return nil
 }
--- a/internal/faultinjection/schedule/random.go
+++ b/internal/faultinjection/schedule/random.go
@@ -8,94 +8,130 @@
 	"time"
 )
 
+// randomStream separates the draws of schedules from other draws with the same seed.
+const randomStream uint64 = 27
+
 const (
-	// randomStream tells the draws of schedules from others of the same seed.
-	randomStream = 27
-	// earliestFault and quietEnd, in milliseconds, leave time for a first look before and for what follows the last
-	// fault.
-	earliestFault = 2000
-	quietEnd      = 4000
-	// maxBlackouts is how many faults that are hardest on the quota store are drawn beyond one of each.
-	maxBlackouts = 3
-	// randomQuota is the quota of the standard ones whose total is changed.
-	randomQuota = "acme"
+	// earliestFault is the time before the first fault, in milliseconds.
+	earliestFault int = 2000
+	// quietEnd is the time after the last fault in which its effects can end, in milliseconds.
+	quietEnd int = 4000
 )
 
-// Random makes a schedule from a seed: each kind at least once, then more of any, until there are so many.
+const (
+	// maxBlackouts limits the faults of kinds Blackout and StaleStore together, as no others strain the quota store
+	// more.
+	maxBlackouts int = 3
+	// randomQuota is the quota whose total ChangeTotal changes.
+	randomQuota string = "acme"
+	// randomLoad is the load as a fraction of the backends' capacity.
+	randomLoad float64 = 0.3
+	// randomSkew is the largest skew of lease clocks, in parts per million.
+	randomSkew int = 30_000
+)
+
+// bounds is a range of integers, both ends included. The zero value stands for an unused field.
+type bounds struct {
+	minimum int
+	maximum int
+}
+
+func (b bounds) draw(r *rand.Rand) int { return b.minimum + r.IntN(b.maximum-b.minimum+1) }
+
+func (b bounds) drawMilliseconds(r *rand.Rand) time.Duration {
+	return time.Duration(b.draw(r)) * time.Millisecond
+}
+
+// faultBounds limits the drawn fields of a fault.
+type faultBounds struct {
+	duration bounds // milliseconds
+	offset   bounds // milliseconds
+	value    bounds // bytes per second for Slow, the new total for ChangeTotal
+}
+
+// randomBounds lists the drawn fields of each kind. A kind without an entry has no field to draw.
+var randomBounds = map[Kind]faultBounds{
+	Cut:         {duration: bounds{500, 6000}},
+	CutBoth:     {duration: bounds{500, 6000}},
+	Stall:       {duration: bounds{500, 6000}},
+	Delay:       {duration: bounds{1000, 5000}, offset: bounds{20, 900}},
+	Slow:        {duration: bounds{1000, 5000}, value: bounds{500, 5499}},
+	Duplicate:   {duration: bounds{1000, 4000}, offset: bounds{2000, 10_000}},
+	KillAgent:   {duration: bounds{100, 4000}},
+	StaleStore:  {duration: bounds{100, 4000}},
+	StopAgent:   {duration: bounds{300, 6000}},
+	FullDisk:    {duration: bounds{1000, 4000}},
+	Minority:    {duration: bounds{2000, 7000}},
+	KillLeader:  {duration: bounds{100, 3000}},
+	Blackout:    {duration: bounds{100, 3000}},
+	StopBackend: {duration: bounds{200, 5000}},
+	BadStart:    {duration: bounds{500, 2500}},
+	ChangeTotal: {value: bounds{60, 259}},
+}
+
+// Random draws a schedule from a seed: one fault of each kind, then further faults of any kind up to the given number.
 func Random(seed uint64, hosts, backends, faults int, span time.Duration) *Schedule {
 	r := rand.New(rand.NewPCG(seed, randomStream))
 	s := &Schedule{
-		Name: fmt.Sprint(
-			"drawn-",
-			seed,
-		),
+		Name:     fmt.Sprint("drawn-", seed),
 		Seed:     seed,
 		Hosts:    hosts,
 		Backends: backends,
 		Span:     span,
-		Load:     0.3,
-		Skew:     30_000,
+		Load:     randomLoad,
+		Skew:     randomSkew,
 	}
 	kinds := Kinds()
 	for len(kinds) < faults {
 		kinds = append(kinds, Kinds()[r.IntN(len(Kinds()))])
 	}
+	times := bounds{
+		minimum: earliestFault,
+		maximum: max(earliestFault+1, int(span.Milliseconds())-quietEnd),
+	}
 	blackouts := 0
 	for i, kind := range kinds {
-		at := randomSpan(r, earliestFault, max(earliestFault+1, int(span.Milliseconds())-quietEnd))
+		at := times.drawMilliseconds(r)
 		if kind == Blackout || kind == StaleStore {
-			if blackouts++; blackouts > maxBlackouts && i >= len(Kinds()) {
+			blackouts++
+			if blackouts > maxBlackouts && i >= len(Kinds()) {
 				kind = StopBackend
 			}
 		}
-		s.Faults = append(s.Faults, randomFault(r, kind, at, hosts, backends))
+		s.Faults = append(s.Faults, s.randomFault(r, kind, at))
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return s
 }
 
-// randomSpan draws a span of milliseconds, both ends included.
-func randomSpan(r *rand.Rand, from, to int) time.Duration {
-	return time.Duration(from+r.IntN(to-from+1)) * time.Millisecond
-}
-
-// randomFault draws where one fault happens and how long it lasts.
-func randomFault(r *rand.Rand, kind Kind, at time.Duration, hosts, backends int) Fault {
-	f := Fault{Kind: kind, At: at}
-	ms := func(from, to int) time.Duration { return randomSpan(r, from, to) }
-	first := r.IntN(hosts)
-	second := (first + 1 + r.IntN(max(1, hosts-1))) % hosts
-	host, peer := fmt.Sprint("h", first+1), fmt.Sprint("h", second+1)
-	backend := fmt.Sprint("n", r.IntN(backends)+1)
-	switch kind {
-	case Cut, CutBoth, Stall:
-		f.Target, f.Peer, f.Duration = host, peer, ms(500, 6000)
-	case Delay:
-		f.Target, f.Peer, f.Duration, f.Offset = host, peer, ms(1000, 5000), ms(20, 900)
-	case Slow:
-		f.Target, f.Peer, f.Duration, f.Value = host, peer, ms(1000, 5000), 500+r.IntN(5000)
-	case Reset:
-		f.Target, f.Peer = host, peer
-	case Duplicate:
-		f.Target, f.Peer, f.Duration, f.Offset = host, peer, ms(1000, 4000), ms(2000, 10_000)
-	case KillAgent, StaleStore:
-		f.Target, f.Duration = host, ms(100, 4000)
-	case StopAgent:
-		f.Target, f.Duration = host, ms(300, 6000)
-	case FullDisk:
-		f.Target, f.Duration = host, ms(1000, 4000)
-	case Minority:
-		f.Target, f.Duration = host, ms(2000, 7000)
-	case KillLeader, Blackout:
-		f.Duration = ms(100, 3000)
-	case StopBackend:
-		f.Target, f.Duration = backend, ms(200, 5000)
-	case KillBackend, KillSupervisor:
-		f.Target = backend
-	case BadStart:
-		f.Target, f.Duration = backend, ms(500, 2500)
-	case ChangeTotal:
-		f.Name, f.Value = randomQuota, 60+r.IntN(200)
+// randomFault draws the targets and the other fields of one fault. It draws two hosts and a backend for every kind, so
+// that a seed's later draws do not depend on the kind's targets.
+func (s *Schedule) randomFault(r *rand.Rand, kind Kind, at time.Duration) Fault {
+	host := r.IntN(s.Hosts)
+	peer := (host + 1 + r.IntN(max(1, s.Hosts-1))) % s.Hosts
+	backend := r.IntN(s.Backends)
+	hosts := []string{numberedName(hostPrefix, host+1), numberedName(hostPrefix, peer+1)}
+	var names []string
+	for i, target := range kind.targets() {
+		switch target {
+		case hostTarget:
+			names = append(names, hosts[i])
+		case backendTarget:
+			names = append(names, numberedName(backendPrefix, backend+1))
+		case nameTarget:
+			names = append(names, randomQuota)
+		}
+	}
+	f := Fault{Kind: kind, At: at}.withTargets(names)
+	limits := randomBounds[kind]
+	if limits.duration != (bounds{}) {
+		f.Duration = limits.duration.drawMilliseconds(r)
+	}
+	if limits.offset != (bounds{}) {
+		f.Offset = limits.offset.drawMilliseconds(r)
+	}
+	if limits.value != (bounds{}) {
+		f.Value = limits.value.draw(r)
 	}
 	return f
 }
--- a/internal/faultinjection/schedule/read.go
+++ b/internal/faultinjection/schedule/read.go
@@ -10,7 +10,23 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// Read reads a schedule's file. The error joins all that is wrong, each an *sexpr.Error with its place.
+const (
+	maxSeed  int     = 1 << 62
+	maxLoad  float64 = 4       // fraction of the backends' capacity
+	maxSkew  int     = 45_000  // parts per million
+	maxValue int     = 1 << 30 // bytes per second, or units of a total
+)
+
+// Defaults of fields that a file omits.
+const (
+	defaultSeed     int           = 1
+	defaultHosts    int           = 5
+	defaultBackends int           = 20
+	defaultSpan     time.Duration = time.Minute
+	defaultLoad     float64       = 0.3
+)
+
+// Read reads a schedule's file. The error joins an *sexpr.Error with its place for each fault in the file.
 func Read(file string, src []byte) (*Schedule, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
@@ -19,7 +35,7 @@
 	errs := &sexpr.Errors{File: file}
 	forms := sexpr.Forms(nodes, errs)
 	if len(forms) != 1 || forms[0].Name != "trial" {
-		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "wanted one list that begins with trial")
+		errs.Add(sexpr.Place{Line: 1, Column: 1}, "", "expected exactly one list that begins with trial")
 		return nil, errs.Err()
 	}
 	return readTrial(forms[0]), errs.Err()
@@ -28,12 +44,12 @@
 func readTrial(f *sexpr.Form) *Schedule {
 	s := &Schedule{
 		Name:          f.Arg(),
-		Seed:          uint64(f.Int("seed", 0, 1<<62, 1)),
-		Hosts:         f.Int("hosts", 1, MaxHosts, 5),
-		Backends:      f.Int("backends", 1, MaxBackends, 20),
-		Span:          f.Span("span", time.Second, maxSpan, time.Minute),
-		Load:          f.Share("load", 0, 4, 0.3),
-		Skew:          f.Int("skew", 0, 45_000, 0),
+		Seed:          uint64(f.Int("seed", 0, maxSeed, defaultSeed)),
+		Hosts:         f.Int("hosts", 1, MaxHosts, defaultHosts),
+		Backends:      f.Int("backends", 1, MaxBackends, defaultBackends),
+		Span:          f.Span("span", time.Second, maxSpan, defaultSpan),
+		Load:          f.Share("load", 0, maxLoad, defaultLoad),
+		Skew:          f.Int("skew", 0, maxSkew, 0),
 		RollingUpdate: f.Span("wave", 0, maxSpan, 0),
 	}
 	for _, kind := range append(Kinds(), CrashPoint) {
@@ -55,7 +71,7 @@
 		At:       form.Span("at", 0, maxSpan, 0),
 		Duration: form.Span("for", 0, maxSpan, 0),
 		Offset:   form.Span("by", 0, maxSpan, 0),
-		Value:    form.Int("to", 0, 1<<30, 0),
+		Value:    form.Int("to", 0, maxValue, 0),
 	}
 	targets := form.All("on")
 	names := make([]string, 0, len(targets))
@@ -64,13 +80,13 @@
 		on.Done()
 	}
 	if s.checkTargets(kind, names, form) {
-		f.setTargets(names)
+		f = f.withTargets(names)
 	}
 	form.Done()
 	return f
 }
 
-// checkTargets notes with the form what is wrong with the names of a fault; false: something is.
+// checkTargets reports whether the names are valid targets of the kind, and adds an error to the form if not.
 func (s *Schedule) checkTargets(kind Kind, names []string, form *sexpr.Form) bool {
 	targets := kind.targets()
 	if len(names) != len(targets) {
@@ -78,39 +94,25 @@
 		for _, target := range targets {
 			words = append(words, string(target))
 		}
-		form.Fail("on", "found %d of them, wanted %d: %s", len(names), len(targets), strings.Join(words, ", "))
+		form.Fail("on", "number of names is %d, expected %d: %s", len(names), len(targets), strings.Join(words, ", "))
 		return false
 	}
 	for i, target := range targets {
 		switch {
-		case target == hostTarget && !isNumbered(names[i], "h", s.Hosts):
-			form.Fail("on", "%q is no host from h1 to h%d", names[i], s.Hosts)
+		case target == hostTarget && !isNumbered(names[i], hostPrefix, s.Hosts):
+			form.Fail("on", "unknown host %q, expected h1 to h%d", names[i], s.Hosts)
 			return false
-		case target == backendTarget && !isNumbered(names[i], "n", s.Backends):
-			form.Fail("on", "%q is no backend from n1 to n%d", names[i], s.Backends)
+		case target == backendTarget && !isNumbered(names[i], backendPrefix, s.Backends):
+			form.Fail("on", "unknown backend %q, expected n1 to n%d", names[i], s.Backends)
 			return false
 		}
 	}
 	return true
 }
 
-// isNumbered reports whether a name is a prefix and a number from 1 to the last, written as the harness writes it.
-func isNumbered(name, prefix string, last int) bool {
-	number, found := strings.CutPrefix(name, prefix)
-	n, err := strconv.Atoi(number)
-	return found && err == nil && n >= 1 && n <= last && strconv.Itoa(n) == number
-}
-
-// setTargets takes names that are as many as the kind has.
-func (f *Fault) setTargets(names []string) {
-	for i, target := range f.Kind.targets() {
-		switch {
-		case target == nameTarget:
-			f.Name = names[i]
-		case i == 0:
-			f.Target = names[i]
-		default:
-			f.Peer = names[i]
-		}
-	}
+// isNumbered reports whether a name is the prefix and a number from 1 to maximum without sign or leading zeros.
+func isNumbered(name, prefix string, maximum int) bool {
+	digits, found := strings.CutPrefix(name, prefix)
+	number, err := strconv.Atoi(digits)
+	return found && err == nil && number >= 1 && number <= maximum && strconv.Itoa(number) == digits
 }
--- a/internal/faultinjection/schedule/schedule_test.go
+++ b/internal/faultinjection/schedule/schedule_test.go
@@ -31,15 +31,15 @@
 
 func TestUnusableSchedules(t *testing.T) {
 	for text, wanted := range map[string]string{
-		"(trial a (cut (at 1s) (on h1)))":           "t.sx:1:23: trial.cut.on: found 1 of them, wanted 2: host, host",
-		"(trial a (kill (at 1s) (on h9)))":          `"h9" is no host from h1 to h5`,
-		"(trial a (death (at 1s) (on h1)))":         `"h1" is no backend from n1 to n20`,
+		"(trial a (cut (at 1s) (on h1)))":           "t.sx:1:23: trial.cut.on: number of names is 1, expected 2: host, host",
+		"(trial a (kill (at 1s) (on h9)))":          `unknown host "h9", expected h1 to h5`,
+		"(trial a (death (at 1s) (on h1)))":         `unknown backend "h1", expected n1 to n20`,
 		"(trial a (backends 0))":                    `found "0", wanted a whole number from 1 to 400`,
 		"(trial a (quake (at 1s)))":                 "no such field",
-		"(trial a (leader (at 1s) (on h1)))":        "found 1 of them, wanted 0",
+		"(trial a (leader (at 1s) (on h1)))":        "number of names is 1, expected 0",
 		"(trial a (stall (at 2h) (on h1) (on h2)))": "wanted a time from 0s to 1h0m0s",
-		"(fleet a)": "wanted one list that begins with trial",
-		"(trial a (point (at 1s) (on h1) (for 1s)))": "wanted 2: host, word",
+		"(fleet a)": "expected exactly one list that begins with trial",
+		"(trial a (point (at 1s) (on h1) (for 1s)))": "expected 2: host, word",
 	} {
 		if _, err := Read("t.sx", []byte(text)); err == nil || !strings.Contains(err.Error(), wanted) {
 			t.Errorf("%s: %v, wanted %q", text, err, wanted)
@@ -93,8 +93,8 @@
 		{cold("(phase (is half) (takes 1m))"), cold("(phase (is half) (takes 61s))"), "trial.cold.phase.takes"},
 		{cold("(phase (is refuses) (advice 1h))"), cold("(phase (is refuses) (advice 3601s))"), "trial.cold.phase.advice"},
 		{cold("(phase (is silent))"), cold("(phase (is asleep))"), "trial.cold.phase.is"},
-		{cold("(phase (is down)) (phase (from 1ns) (is takes))"), cold("(phase (is down)) (phase (from 0s) (is takes))"), "trial.cold.phase.from: 0s is not after the phase before"},
-		{cold("(phase (from 0s) (is down))"), cold("(phase (from 2s) (is down)) (phase (from 1s) (is takes))"), "1s is not after the phase before"},
+		{cold("(phase (is down)) (phase (from 1ns) (is takes))"), cold("(phase (is down)) (phase (from 0s) (is takes))"), "trial.cold.phase.from: 0s is not after the previous phase's start"},
+		{cold("(phase (from 0s) (is down))"), cold("(phase (from 2s) (is down)) (phase (from 1s) (is takes))"), "1s is not after the previous phase's start"},
 		{cold("(bounds (refusing 100) (first 100) (peak 100) (connections 1000) (listed 1h))"), cold("(bounds (refusing 101))"), "trial.cold.bounds.refusing"},
 		{cold("(bounds)"), cold("(bounds (first 101))"), "trial.cold.bounds.first"},
 		{cold("(bounds)"), cold("(bounds (peak 101))"), "trial.cold.bounds.peak"},
@@ -106,8 +106,8 @@
 		{"(trial a (kill (on h1)))", "(trial a (kill (on h1) (till 3s)))", "no such field"},
 		{"(trial a (kill (on h1)))", "(trial a (kill (on h1 (at 1s))))", "no field can stand here"},
 		{"(trial a)", "(trial a (till 3s))", "no such field"},
-		{"(trial a)", "(trial a) (trial b)", "wanted one list that begins with trial"},
-		{"(trial a)", "", "wanted one list that begins with trial"},
+		{"(trial a)", "(trial a) (trial b)", "expected exactly one list that begins with trial"},
+		{"(trial a)", "", "expected exactly one list that begins with trial"},
 		{"(trial a)", "(trial)", "found 0 words, wanted 1"},
 	} {
 		if _, err := Read("t.sx", []byte(c.good)); err != nil {
--- a/internal/faultinjection/schedule/smaller.go
+++ b/internal/faultinjection/schedule/smaller.go
@@ -2,17 +2,19 @@
 
 import "slices"
 
-// Smaller lists schedules with fewer faults, largest cuts first: halves, quarters, and so on to each fault alone
-// taken out.
-func (s *Schedule) Smaller() (all []*Schedule) {
-	n := len(s.Faults)
-	for part := max(1, n/2); ; part /= 2 {
-		for from := 0; from < n; from += part {
+// Smaller returns copies of the schedule that each lack one run of faults. Those that lack half of the faults come
+// first, then a quarter, and so on to those that lack a single fault.
+func (s *Schedule) Smaller() []*Schedule {
+	const divisor int = 2
+	var all []*Schedule
+	count := len(s.Faults)
+	for removed := max(1, count/divisor); ; removed /= divisor {
+		for from := 0; from < count; from += removed {
 			smaller := *s
-			smaller.Faults = slices.Concat(s.Faults[:from], s.Faults[min(n, from+part):])
+			smaller.Faults = slices.Concat(s.Faults[:from], s.Faults[min(count, from+removed):])
 			all = append(all, &smaller)
 		}
-		if part <= 1 {
+		if removed <= 1 {
 			return all
 		}
 	}
