--- a/internal/faultinjection/schedule/schedule_test.go
+++ b/internal/faultinjection/schedule/schedule_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// TestRandomRoundTrip verifies that a drawn schedule is the same after it is written and read, and has each kind.
 func TestRandomRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		drawn := Random(seed, 5, 20, 24, 40*time.Second)
@@ -17,20 +18,21 @@
 			t.Fatalf("seed %d: %v\n%v", seed, err, drawn)
 		}
 		if !reflect.DeepEqual(drawn, read) {
-			t.Fatalf("seed %d: written\n%vread\n%v", seed, drawn, read)
+			t.Fatalf("seed %d: drawn\n%vread\n%v", seed, drawn, read)
 		}
 		kinds := map[Kind]bool{}
 		for _, f := range drawn.Faults {
 			kinds[f.Kind] = true
 		}
 		if len(kinds) != len(Kinds()) {
-			t.Fatalf("seed %d has %d kinds of %d", seed, len(kinds), len(Kinds()))
+			t.Fatalf("seed %d: got %d kinds, want %d", seed, len(kinds), len(Kinds()))
 		}
 	}
 }
 
-func TestUnusableSchedules(t *testing.T) {
-	for text, wanted := range map[string]string{
+// TestInvalidSchedulesAreRejected verifies that Read rejects invalid schedules and names the cause.
+func TestInvalidSchedulesAreRejected(t *testing.T) {
+	for text, want := range map[string]string{
 		"(trial a (cut (at 1s) (on h1)))":           "t.sx:1:23: trial.cut.on: number of names is 1, expected 2: host, host",
 		"(trial a (kill (at 1s) (on h9)))":          `unknown host "h9", expected h1 to h5`,
 		"(trial a (death (at 1s) (on h1)))":         `unknown backend "h1", expected n1 to n20`,
@@ -41,86 +43,268 @@
 		"(fleet a)": "expected exactly one list that begins with trial",
 		"(trial a (point (at 1s) (on h1) (for 1s)))": "expected 2: host, word",
 	} {
-		if _, err := Read("t.sx", []byte(text)); err == nil || !strings.Contains(err.Error(), wanted) {
-			t.Errorf("%s: %v, wanted %q", text, err, wanted)
+		if _, err := Read("t.sx", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
 }
 
+// TestSmaller verifies that the first smaller schedule lacks half of the faults and the last one lacks one.
 func TestSmaller(t *testing.T) {
 	drawn := Random(1, 5, 20, 24, time.Minute)
 	all := drawn.Smaller()
 	if n := len(all[0].Faults); n != 12 {
-		t.Errorf("the first has %d faults of 24", n)
+		t.Errorf("the first smaller schedule has %d faults, want 12", n)
 	}
 	if n := len(all[len(all)-1].Faults); n != 23 || len(all) < 24 {
-		t.Errorf("the last of %d has %d faults of 24", len(all), n)
+		t.Errorf("the last of %d smaller schedules has %d faults, want 24 or more schedules and 23 faults", len(all), n)
 	}
-	if (&Schedule{Faults: drawn.Faults[:1]}).Smaller()[0].Faults == nil && len((&Schedule{Faults: drawn.Faults[:1]}).Smaller()) != 1 {
-		t.Error("one fault alone can be taken out once")
+	single := &Schedule{Faults: drawn.Faults[:1]}
+	if shrunk := single.Smaller(); len(shrunk) != 1 || len(shrunk[0].Faults) != 0 {
+		t.Errorf("a schedule with one fault has the smaller ones %v, want one without faults", shrunk)
 	}
 }
 
-// TestBounds: of each field the first and last value that can be used, and the one beyond.
+// TestBounds verifies the first and last valid value of each field and the values beyond them.
 func TestBounds(t *testing.T) {
 	cold := func(text string) string { return "(trial a (cold " + text + "))" }
-	for _, c := range []struct{ good, bad, wanted string }{
-		{"(trial a (hosts 1))", "(trial a (hosts 0))", "trial.hosts: found \"0\", wanted a whole number from 1 to 15"},
-		{"(trial a (hosts 15))", "(trial a (hosts 16))", "trial.hosts"},
-		{"(trial a (backends 400))", "(trial a (backends 401))", "trial.backends"},
-		{"(trial a (seed 0))", "(trial a (seed -1))", "trial.seed"},
-		{"(trial a (seed 4611686018427387904))", "(trial a (seed 4611686018427387905))", "trial.seed"},
-		{"(trial a (span 1s))", "(trial a (span 999ms))", "trial.span: found \"999ms\", wanted a time from 1s to 1h0m0s"},
-		{"(trial a (span 1h))", "(trial a (span 3601s))", "trial.span"},
-		{"(trial a (load 0))", "(trial a (load -0.1))", "trial.load"},
-		{"(trial a (load 4))", "(trial a (load 4.1))", "trial.load"},
-		{"(trial a (skew 0))", "(trial a (skew -1))", "trial.skew"},
-		{"(trial a (skew 45000))", "(trial a (skew 45001))", "trial.skew"},
-		{"(trial a (wave 1h))", "(trial a (wave 3601s))", "trial.wave"},
-		{"(trial a (wave 0s))", "(trial a (wave -1s))", "trial.wave"},
-		{"(trial a (blackout (at 1h)))", "(trial a (blackout (at 3601s)))", "trial.blackout.at"},
-		{"(trial a (blackout (for 1h)))", "(trial a (blackout (for 3601s)))", "trial.blackout.for"},
-		{"(trial a (delay (on h1) (on h2) (by 1h)))", "(trial a (delay (on h1) (on h2) (by 3601s)))", "trial.delay.by"},
-		{"(trial a (whole (on acme) (to 1073741824)))", "(trial a (whole (on acme) (to 1073741825)))", "trial.whole.to"},
-		{"(trial a (whole (on acme) (to 0)))", "(trial a (whole (on acme) (to -1)))", "trial.whole.to"},
-		{cold("(crowd 100000)"), cold("(crowd 100001)"), "trial.cold.crowd"},
-		{cold("(crowd 0)"), cold("(crowd -1)"), "trial.cold.crowd"},
-		{cold("(needs 1h)"), cold("(needs 3601s)"), "trial.cold.needs"},
-		{cold("(rise 100000)"), cold("(rise 100001)"), "trial.cold.rise"},
-		{cold("(rise 0)"), cold("(rise -1)"), "trial.cold.rise"},
-		{cold("(reports fixed)"), cold("(reports never)"), "trial.cold.reports"},
-		{cold("(phase (from 1h) (is down))"), cold("(phase (from 3601s) (is down))"), "trial.cold.phase.from"},
-		{cold("(phase (is half) (takes 1m))"), cold("(phase (is half) (takes 61s))"), "trial.cold.phase.takes"},
-		{cold("(phase (is refuses) (advice 1h))"), cold("(phase (is refuses) (advice 3601s))"), "trial.cold.phase.advice"},
-		{cold("(phase (is silent))"), cold("(phase (is asleep))"), "trial.cold.phase.is"},
-		{cold("(phase (is down)) (phase (from 1ns) (is takes))"), cold("(phase (is down)) (phase (from 0s) (is takes))"), "trial.cold.phase.from: 0s is not after the previous phase's start"},
-		{cold("(phase (from 0s) (is down))"), cold("(phase (from 2s) (is down)) (phase (from 1s) (is takes))"), "1s is not after the previous phase's start"},
-		{cold("(bounds (refusing 100) (first 100) (peak 100) (connections 1000) (listed 1h))"), cold("(bounds (refusing 101))"), "trial.cold.bounds.refusing"},
-		{cold("(bounds)"), cold("(bounds (first 101))"), "trial.cold.bounds.first"},
-		{cold("(bounds)"), cold("(bounds (peak 101))"), "trial.cold.bounds.peak"},
-		{cold("(bounds)"), cold("(bounds (connections 1001))"), "trial.cold.bounds.connections"},
-		{cold("(bounds)"), cold("(bounds (listed 3601s))"), "trial.cold.bounds.listed"},
-		{cold("(bounds)"), cold("(bounds (most 1))"), "no such field"},
-		{cold(""), cold("(pace 1)"), "no such field"},
-		{cold("(phase (is down))"), cold("(phase (is down) (till 3s))"), "no such field"},
-		{"(trial a (kill (on h1)))", "(trial a (kill (on h1) (till 3s)))", "no such field"},
-		{"(trial a (kill (on h1)))", "(trial a (kill (on h1 (at 1s))))", "no field can stand here"},
-		{"(trial a)", "(trial a (till 3s))", "no such field"},
-		{"(trial a)", "(trial a) (trial b)", "expected exactly one list that begins with trial"},
-		{"(trial a)", "", "expected exactly one list that begins with trial"},
-		{"(trial a)", "(trial)", "found 0 words, wanted 1"},
+	for _, c := range []struct{ valid, invalid, want string }{
+		{
+			valid:   "(trial a (hosts 1))",
+			invalid: "(trial a (hosts 0))",
+			want:    "trial.hosts: found \"0\", wanted a whole number from 1 to 15",
+		},
+		{
+			valid:   "(trial a (hosts 15))",
+			invalid: "(trial a (hosts 16))",
+			want:    "trial.hosts",
+		},
+		{
+			valid:   "(trial a (backends 400))",
+			invalid: "(trial a (backends 401))",
+			want:    "trial.backends",
+		},
+		{
+			valid:   "(trial a (seed 0))",
+			invalid: "(trial a (seed -1))",
+			want:    "trial.seed",
+		},
+		{
+			valid:   "(trial a (seed 4611686018427387904))",
+			invalid: "(trial a (seed 4611686018427387905))",
+			want:    "trial.seed",
+		},
+		{
+			valid:   "(trial a (span 1s))",
+			invalid: "(trial a (span 999ms))",
+			want:    "trial.span: found \"999ms\", wanted a time from 1s to 1h0m0s",
+		},
+		{
+			valid:   "(trial a (span 1h))",
+			invalid: "(trial a (span 3601s))",
+			want:    "trial.span",
+		},
+		{
+			valid:   "(trial a (load 0))",
+			invalid: "(trial a (load -0.1))",
+			want:    "trial.load",
+		},
+		{
+			valid:   "(trial a (load 4))",
+			invalid: "(trial a (load 4.1))",
+			want:    "trial.load",
+		},
+		{
+			valid:   "(trial a (skew 0))",
+			invalid: "(trial a (skew -1))",
+			want:    "trial.skew",
+		},
+		{
+			valid:   "(trial a (skew 45000))",
+			invalid: "(trial a (skew 45001))",
+			want:    "trial.skew",
+		},
+		{
+			valid:   "(trial a (wave 1h))",
+			invalid: "(trial a (wave 3601s))",
+			want:    "trial.wave",
+		},
+		{
+			valid:   "(trial a (wave 0s))",
+			invalid: "(trial a (wave -1s))",
+			want:    "trial.wave",
+		},
+		{
+			valid:   "(trial a (blackout (at 1h)))",
+			invalid: "(trial a (blackout (at 3601s)))",
+			want:    "trial.blackout.at",
+		},
+		{
+			valid:   "(trial a (blackout (for 1h)))",
+			invalid: "(trial a (blackout (for 3601s)))",
+			want:    "trial.blackout.for",
+		},
+		{
+			valid:   "(trial a (delay (on h1) (on h2) (by 1h)))",
+			invalid: "(trial a (delay (on h1) (on h2) (by 3601s)))",
+			want:    "trial.delay.by",
+		},
+		{
+			valid:   "(trial a (whole (on acme) (to 1073741824)))",
+			invalid: "(trial a (whole (on acme) (to 1073741825)))",
+			want:    "trial.whole.to",
+		},
+		{
+			valid:   "(trial a (whole (on acme) (to 0)))",
+			invalid: "(trial a (whole (on acme) (to -1)))",
+			want:    "trial.whole.to",
+		},
+		{
+			valid:   cold("(crowd 100000)"),
+			invalid: cold("(crowd 100001)"),
+			want:    "trial.cold.crowd",
+		},
+		{
+			valid:   cold("(crowd 0)"),
+			invalid: cold("(crowd -1)"),
+			want:    "trial.cold.crowd",
+		},
+		{
+			valid:   cold("(needs 1h)"),
+			invalid: cold("(needs 3601s)"),
+			want:    "trial.cold.needs",
+		},
+		{
+			valid:   cold("(rise 100000)"),
+			invalid: cold("(rise 100001)"),
+			want:    "trial.cold.rise",
+		},
+		{
+			valid:   cold("(rise 0)"),
+			invalid: cold("(rise -1)"),
+			want:    "trial.cold.rise",
+		},
+		{
+			valid:   cold("(reports fixed)"),
+			invalid: cold("(reports never)"),
+			want:    "trial.cold.reports",
+		},
+		{
+			valid:   cold("(phase (from 1h) (is down))"),
+			invalid: cold("(phase (from 3601s) (is down))"),
+			want:    "trial.cold.phase.from",
+		},
+		{
+			valid:   cold("(phase (is half) (takes 1m))"),
+			invalid: cold("(phase (is half) (takes 61s))"),
+			want:    "trial.cold.phase.takes",
+		},
+		{
+			valid:   cold("(phase (is refuses) (advice 1h))"),
+			invalid: cold("(phase (is refuses) (advice 3601s))"),
+			want:    "trial.cold.phase.advice",
+		},
+		{
+			valid:   cold("(phase (is silent))"),
+			invalid: cold("(phase (is asleep))"),
+			want:    "trial.cold.phase.is",
+		},
+		{
+			valid:   cold("(phase (is down)) (phase (from 1ns) (is takes))"),
+			invalid: cold("(phase (is down)) (phase (from 0s) (is takes))"),
+			want:    "trial.cold.phase.from: 0s is not after the previous phase's start",
+		},
+		{
+			valid:   cold("(phase (from 0s) (is down))"),
+			invalid: cold("(phase (from 2s) (is down)) (phase (from 1s) (is takes))"),
+			want:    "1s is not after the previous phase's start",
+		},
+		{
+			valid:   cold("(bounds (refusing 100) (first 100) (peak 100) (connections 1000) (listed 1h))"),
+			invalid: cold("(bounds (refusing 101))"),
+			want:    "trial.cold.bounds.refusing",
+		},
+		{
+			valid:   cold("(bounds)"),
+			invalid: cold("(bounds (first 101))"),
+			want:    "trial.cold.bounds.first",
+		},
+		{
+			valid:   cold("(bounds)"),
+			invalid: cold("(bounds (peak 101))"),
+			want:    "trial.cold.bounds.peak",
+		},
+		{
+			valid:   cold("(bounds)"),
+			invalid: cold("(bounds (connections 1001))"),
+			want:    "trial.cold.bounds.connections",
+		},
+		{
+			valid:   cold("(bounds)"),
+			invalid: cold("(bounds (listed 3601s))"),
+			want:    "trial.cold.bounds.listed",
+		},
+		{
+			valid:   cold("(bounds)"),
+			invalid: cold("(bounds (most 1))"),
+			want:    "no such field",
+		},
+		{
+			valid:   cold(""),
+			invalid: cold("(pace 1)"),
+			want:    "no such field",
+		},
+		{
+			valid:   cold("(phase (is down))"),
+			invalid: cold("(phase (is down) (till 3s))"),
+			want:    "no such field",
+		},
+		{
+			valid:   "(trial a (kill (on h1)))",
+			invalid: "(trial a (kill (on h1) (till 3s)))",
+			want:    "no such field",
+		},
+		{
+			valid:   "(trial a (kill (on h1)))",
+			invalid: "(trial a (kill (on h1 (at 1s))))",
+			want:    "no field can stand here",
+		},
+		{
+			valid:   "(trial a)",
+			invalid: "(trial a (till 3s))",
+			want:    "no such field",
+		},
+		{
+			valid:   "(trial a)",
+			invalid: "(trial a) (trial b)",
+			want:    "expected exactly one list that begins with trial",
+		},
+		{
+			valid:   "(trial a)",
+			invalid: "",
+			want:    "expected exactly one list that begins with trial",
+		},
+		{
+			valid:   "(trial a)",
+			invalid: "(trial)",
+			want:    "found 0 words, wanted 1",
+		},
 	} {
-		if _, err := Read("t.sx", []byte(c.good)); err != nil {
-			t.Errorf("%s: %v", c.good, err)
+		if _, err := Read("t.sx", []byte(c.valid)); err != nil {
+			t.Errorf("%s: %v", c.valid, err)
 		}
-		if _, err := Read("t.sx", []byte(c.bad)); err == nil || !strings.Contains(err.Error(), c.wanted) {
-			t.Errorf("%s: %v, wanted %q", c.bad, err, c.wanted)
+		if _, err := Read("t.sx", []byte(c.invalid)); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v, want %q", c.invalid, err, c.want)
 		}
 	}
 }
 
-// TestTargets: each kind names as many hosts and backends of the trial as it acts on, and keeps their order.
+// TestTargets verifies that each kind takes the hosts and backends that it acts on, in order, and no others.
 func TestTargets(t *testing.T) {
+	invalidNames := map[target][]string{
+		hostTarget:    {"h4", "h0", "n1", "h", "acme", "h-1", "hh1", "h01", "h+1", "hn1", "1", "\"\""},
+		backendTarget: {"n10", "n0", "h1", "n", "acme", "n-1", "nn1", "n01", "n+1", "hn1", "1", "\"\""},
+	}
 	for _, kind := range append(Kinds(), CrashPoint) {
 		names := make([]string, 0, 2)
 		for _, word := range kind.targets() {
@@ -129,7 +313,7 @@
 		if len(names) == 2 && names[1] == "h3" {
 			names[1] = "h1"
 		}
-		read := func(names []string) (Fault, error) {
+		readFault := func(names []string) (Fault, error) {
 			text := "(trial a (hosts 3) (backends 9) (" + string(kind)
 			for _, name := range names {
 				text += " (on " + name + ")"
@@ -140,32 +324,34 @@
 			}
 			return s.Faults[0], nil
 		}
-		f, err := read(names)
+		f, err := readFault(names)
 		if got := strings.Fields(f.Target + " " + f.Peer + " " + f.Name); err != nil || !slices.Equal(got, names) {
-			t.Errorf("%s on %q: read as on %q, %v", kind, names, got, err)
+			t.Errorf("%s on %q: got targets %q, error %v", kind, names, got, err)
 		}
-		if _, err := read(append(slices.Clone(names), "h1")); err == nil {
-			t.Errorf("%s: one name too many was read", kind)
+		if _, err := readFault(append(slices.Clone(names), "h1")); err == nil {
+			t.Errorf("%s: an extra name was accepted", kind)
 		}
 		for i, word := range kind.targets() {
-			if _, err := read(slices.Delete(slices.Clone(names), i, i+1)); err == nil {
-				t.Errorf("%s: one name too few was read", kind)
+			if _, err := readFault(slices.Delete(slices.Clone(names), i, i+1)); err == nil {
+				t.Errorf("%s: a missing name was accepted", kind)
 			}
-			bad := map[target][]string{hostTarget: {"h4", "h0", "n1", "h", "acme", "h-1", "hh1", "h01", "h+1", "hn1", "1", "\"\""}, backendTarget: {"n10", "n0", "h1", "n", "acme", "n-1", "nn1", "n01", "n+1", "hn1", "1", "\"\""}}[word]
-			for _, name := range bad {
+			for _, name := range invalidNames[word] {
 				wrong := slices.Clone(names)
 				wrong[i] = name
-				if _, err := read(wrong); err == nil {
-					t.Errorf("%s on %q was read", kind, wrong)
+				if _, err := readFault(wrong); err == nil {
+					t.Errorf("%s on %q was accepted", kind, wrong)
 				}
 			}
 		}
 	}
 }
 
-// TestReadOrder: faults come in order of time, those of one time in the order of kinds; what is left out has its default.
+// TestReadOrder verifies that faults are sorted by time and then by kind, and that omitted fields have their defaults.
 func TestReadOrder(t *testing.T) {
-	s, err := Read("t.sx", []byte("(trial a (kill (at 2s) (on h1)) (cut (at 2s) (on h1) (on h2)) (point (at 1s) (on h1) (on stored)))"))
+	s, err := Read("t.sx", []byte(`(trial a
+		(kill (at 2s) (on h1))
+		(cut (at 2s) (on h1) (on h2))
+		(point (at 1s) (on h1) (on stored)))`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,42 +361,48 @@
 		{Kind: KillAgent, At: 2 * time.Second, Target: "h1"},
 	}}
 	if !reflect.DeepEqual(s, want) {
-		t.Errorf("read\n%vwanted\n%v", s, want)
+		t.Errorf("got\n%vwant\n%v", s, want)
 	}
 	s, err = Read("t.sx", []byte("(trial a (cold))"))
-	if err != nil || s.ColdStart.RecoveryTime != 5*time.Second || s.ColdStart.FixedReports || s.ColdStart.MaxConcurrent != 0 {
-		t.Errorf("a cold start's defaults: %+v, %v", s.ColdStart, err)
+	if err != nil || s.ColdStart.RecoveryTime != 5*time.Second ||
+		s.ColdStart.FixedReports || s.ColdStart.MaxConcurrent != 0 {
+		t.Errorf("defaults of a cold start: %+v, error %v", s.ColdStart, err)
 	}
 }
 
-// TestRandomBounds: drawn faults begin and end so that a trial has time before and after them, and the faults that stop the
-// quota store are not drawn without bound.
+// TestRandomBounds verifies that drawn faults leave time before and after them, are sorted by time, and hold a limited
+// number of faults that stop the quota store.
 func TestRandomBounds(t *testing.T) {
 	for seed := range uint64(20) {
 		s := Random(seed, 1, 1, 120, 10*time.Second)
 		hard := 0
 		for _, f := range s.Faults {
 			if f.At < 2*time.Second || f.At > 6*time.Second {
-				t.Errorf("seed %d: %v, wanted from 2 s on, 4 s before the end", seed, f)
+				t.Errorf("seed %d: %v, want a time from 2 s after the start to 4 s before the end", seed, f)
 			}
 			if f.Kind == Blackout || f.Kind == StaleStore {
 				hard++
 			}
 		}
 		if hard > 3 || len(s.Faults) != 120 {
-			t.Errorf("seed %d: %d blackouts and stale stores, at most three; %d faults", seed, hard, len(s.Faults))
+			t.Errorf(
+				"seed %d: got %d blackouts and stale stores and %d faults, want at most 3 and 120",
+				seed,
+				hard,
+				len(s.Faults),
+			)
 		}
 		if !slices.IsSortedFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) }) {
-			t.Errorf("seed %d: not in order of time: %v", seed, s)
+			t.Errorf("seed %d: not sorted by time: %v", seed, s)
 		}
 		if _, err := Read("t.sx", []byte(Random(seed, 2, 1, 19, time.Second).String())); err != nil {
-			t.Errorf("seed %d: a span shorter than the quiet end: %v", seed, err)
+			t.Errorf("seed %d: a span shorter than quietEnd: %v", seed, err)
 		}
 	}
 }
 
-// TestSmallerKeepsTheRest: each smaller schedule lacks one run of faults and is otherwise the same; the original stays.
-func TestSmallerKeepsTheRest(t *testing.T) {
+// TestSmallerKeepsOtherFields verifies that smaller schedules differ only in their faults, and that the original stays.
+func TestSmallerKeepsOtherFields(t *testing.T) {
 	drawn := Random(3, 5, 20, 21, time.Minute)
 	before := drawn.String()
 	for _, smaller := range drawn.Smaller() {
@@ -221,9 +413,9 @@
 		}
 	}
 	if drawn.String() != before {
-		t.Error("the schedule itself has changed")
+		t.Error("the original schedule has changed")
 	}
 	if all := (&Schedule{}).Smaller(); len(all) != 0 {
-		t.Errorf("%d smaller schedules of one without faults", len(all))
+		t.Errorf("got %d smaller schedules of one without faults, want none", len(all))
 	}
 }
