--- a/internal/faultinjection/schedule/read.go
+++ b/internal/faultinjection/schedule/read.go
@@ -94,7 +94,7 @@
 		for _, target := range targets {
 			words = append(words, string(target))
 		}
-		form.Fail("on", "number of names is %d, expected %d: %s", len(names), len(targets), strings.Join(words, ", "))
+		form.Fail("on", "names: %d, expected %d: %s", len(names), len(targets), strings.Join(words, ", "))
 		return false
 	}
 	for i, target := range targets {
