--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -76,10 +76,10 @@
 	Extra int64  `json:"extra"` // units per second granted by a lease; 0: no lease in force
 }
 
-// String describes the breach in one line.
+// String describes the breach in one line. Stored verdicts contain this text.
 func (b Breach) String() string {
 	return fmt.Sprintf(
-		"%s: %s: %d, limit %d, at %d for %d us, %d holders",
+		"%s: %s: %d, at most %d may be, at %d for %d us, among %d",
 		b.Quota,
 		b.Rule,
 		b.Found,
