--- a/internal/faultinjection/registry/registry.go
+++ b/internal/faultinjection/registry/registry.go
@@ -1,9 +1,14 @@
-// Package registry is a fake of the platform's endpoint registry that can be down, slow, refusing, silent, or fall
-// over when too many calls come at once. It records every call. It owns its listener; it decides nothing but what its
-// phases say.
+// Package registry is a fake of the platform's endpoint registry for fault-injection trials. By its phases it accepts
+// load reports, rejects them, does not respond, or is down; it collapses when too many calls are open at once. It
+// records every call.
+//
+// Invariants:
+//   - Every call that has ended since Begin is recorded once, up to maxCalls (TestAcceptsAndRejects).
+//   - A collapsed registry accepts no report until its recovery time has passed (TestCollapsesUnderOpenCalls).
 package registry
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -18,78 +23,86 @@
 	"milletbarrow/internal/faultinjection/coldstart"
 )
 
-// Registry is a running fake. Its methods may be called by several goroutines.
+// Registry is a running fake. Its methods are safe for concurrent use.
 type Registry struct {
-	Address  string // host:port it listens at
+	Address  string // host:port of the listener
 	behavior coldstart.RegistryBehavior
+	closed   chan struct{} // closed by Close
 
-	mu           sync.Mutex
-	began        time.Time // of the phases; zero: it behaves as in the first instant
-	observations Observations
-	openCalls    int
-	openConns    int
-	fallenUntil  time.Time
-	server       *http.Server
-	closed       chan struct{}
-	random       *rand.Rand
+	mu             sync.Mutex // guards the fields below
+	began          time.Time  // start of the phases; zero: behaves as at the start of the first phase
+	observations   Observations
+	openCalls      int
+	openConns      int
+	collapsedUntil time.Time // zero: has not collapsed
+	server         *http.Server
+	random         *rand.Rand // decides which reports a phase of mode Half rejects
 }
 
-// Observations are what the registry saw since its phases began.
+// Observations holds what the registry observed since its phases began.
 type Observations struct {
-	Calls          []coldstart.Call // in the order of their ends, the first maxCalls
-	MaxConnections int              // open at once
-	Falls          int              // times that it fell over
+	Calls          []coldstart.Call // the first maxCalls, in the order of their ends
+	MaxConnections int              // highest number of open connections
+	Falls          int              // number of collapses
 }
 
 const (
-	// maxCalls is how many calls are recorded.
-	maxCalls = 1_000_000
-	// maxBody is how many bytes of a report are read.
-	maxBody = 1 << 10
-	// readTimeout is for one request.
-	readTimeout = 5 * time.Second
-	// reopenPause is between two attempts to listen again.
-	reopenPause = 10 * time.Millisecond
+	maxCalls      int           = 1_000_000 // recorded
+	maxBody       int64         = 1 << 10   // bytes read of a report
+	readTimeout   time.Duration = 5 * time.Second
+	reopenBackoff time.Duration = 10 * time.Millisecond
+	rejectOneIn   int           = 2 // reports, in a phase of mode Half
 )
 
-// offReport is the body of a report by which a backend leaves.
-const offReport = `{"duty":"off"}`
+// Seeds of the random rejections.
+const (
+	randomSeed   uint64 = 1
+	randomStream uint64 = 2
+)
+
+// offReport is the body of the report with which a backend leaves the registry.
+const offReport string = `{"duty":"off"}`
 
-// Start makes one listen at this address.
+// Start starts a registry that listens at the address and behaves as at the start of its first phase until Begin.
 func Start(address string, behavior coldstart.RegistryBehavior) (*Registry, error) {
 	r := &Registry{
 		Address:  address,
 		behavior: behavior,
 		closed:   make(chan struct{}),
-		random:   rand.New(rand.NewPCG(1, 2)),
+		random:   rand.New(rand.NewPCG(randomSeed, randomStream)),
 	}
-	l, err := r.listen()
+	listener, err := r.listen()
 	if err != nil {
 		return nil, err
 	}
-	r.Address = l.Addr().String()
-	r.serveOn(l)
+	r.Address = listener.Addr().String()
+	r.serveOn(listener)
 	return r, nil
 }
 
 func (r *Registry) listen() (net.Listener, error) {
-	l, err := net.Listen("tcp", r.Address)
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", r.Address)
 	if err != nil {
-		return nil, fmt.Errorf("register: %w", err)
+		return nil, fmt.Errorf("endpoint registry: %w", err)
 	}
-	return l, nil
+	return listener, nil
 }
 
-// serveOn serves on a listener until the server is closed.
-func (r *Registry) serveOn(l net.Listener) {
+// serveOn starts a server on the listener, which serves until it is closed.
+func (r *Registry) serveOn(listener net.Listener) {
+	server := &http.Server{
+		Handler:     http.HandlerFunc(r.serve),
+		ReadTimeout: readTimeout,
+		ConnState:   r.countConnection,
+	}
 	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), ReadTimeout: readTimeout, ConnState: r.countConnection}
-	server := r.server
-	go func() { _ = server.Serve(l) }()
+	r.server = server
+	r.mu.Unlock()
+	go func() { _ = server.Serve(listener) }()
 }
 
-// countConnection is the server's hook for the states of connections.
+// countConnection counts open connections; the server calls it when the state of a connection changes.
 func (r *Registry) countConnection(_ net.Conn, state http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,35 +112,42 @@
 		r.observations.MaxConnections = max(r.observations.MaxConnections, r.openConns)
 	case http.StateClosed, http.StateHijacked:
 		r.openConns--
+	case http.StateActive, http.StateIdle:
 	}
 }
 
-// Begin has the phases run from now on, and forgets what was observed before.
+// Begin starts the phases and discards earlier observations.
 func (r *Registry) Begin() {
-	r.mu.Lock()
-	r.began, r.observations = time.Now(), Observations{MaxConnections: r.openConns}
-	began := r.began
-	r.mu.Unlock()
-	for _, p := range r.behavior.Phases {
-		if p.Mode != coldstart.Down {
+	began := time.Now()
+	r.resetObservations(began)
+	for _, phase := range r.behavior.Phases {
+		if phase.Mode != coldstart.Down {
 			continue
 		}
-		time.AfterFunc(time.Until(began.Add(p.From)), r.shut)
-		time.AfterFunc(time.Until(began.Add(r.behavior.Until(p.From))), r.reopen)
+		time.AfterFunc(time.Until(began.Add(phase.From)), r.closeServer)
+		time.AfterFunc(time.Until(began.Add(r.behavior.Until(phase.From))), r.reopen)
 	}
 }
 
-// reopen listens again. Nobody's calls begin at its address, but a port may linger.
+// resetObservations discards the observations and sets the start of the phases.
+func (r *Registry) resetObservations(began time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.began = began
+	r.observations = Observations{MaxConnections: r.openConns}
+}
+
+// reopen listens again after a phase of mode Down. It retries, as the system may not release the port at once.
 func (r *Registry) reopen() {
 	for !r.isClosed() {
-		l, err := r.listen()
+		listener, err := r.listen()
 		if err == nil {
-			r.serveOn(l)
+			r.serveOn(listener)
 			return
 		}
 		select {
 		case <-r.closed:
-		case <-time.After(reopenPause):
+		case <-time.After(reopenBackoff):
 		}
 	}
 }
@@ -141,23 +161,26 @@
 	}
 }
 
-// shut closes the listener and all connections.
-func (r *Registry) shut() {
+// closeServer closes the listener and all connections.
+func (r *Registry) closeServer() {
+	_ = r.currentServer().Close()
+}
+
+func (r *Registry) currentServer() *http.Server {
 	r.mu.Lock()
-	s := r.server
-	r.mu.Unlock()
-	_ = s.Close()
+	defer r.mu.Unlock()
+	return r.server
 }
 
-// answer is what becomes of one call.
-type answer struct {
-	phase  coldstart.Phase
-	broken bool // it has fallen over
-	refuse bool
+// response is how the registry responds to one call.
+type response struct {
+	phase     coldstart.Phase
+	collapsed bool // whether the connection is broken without a response
+	rejected  bool
 }
 
-// begin counts a call and decides by the phase what becomes of it.
-func (r *Registry) begin(name string) (coldstart.Call, answer) {
+// beginCall counts a call and decides by the phase how to respond.
+func (r *Registry) beginCall(name string) (coldstart.Call, response) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,21 +190,31 @@
 	}
 	sinceBegin := now.Sub(began)
 	phase := r.behavior.At(sinceBegin)
-	a := answer{
-		phase:  phase,
-		broken: now.Before(r.fallenUntil),
-		refuse: phase.Mode == coldstart.Refuses || phase.Mode == coldstart.Half && r.random.IntN(2) == 0,
+	reply := response{
+		phase:     phase,
+		collapsed: now.Before(r.collapsedUntil),
+		rejected:  r.rejects(phase.Mode),
 	}
 	r.openCalls++
-	if r.behavior.MaxOpenCalls > 0 && r.openCalls > r.behavior.MaxOpenCalls && !a.broken {
+	overloaded := r.behavior.MaxOpenCalls > 0 && r.openCalls > r.behavior.MaxOpenCalls
+	if overloaded && !reply.collapsed {
 		r.observations.Falls++
-		r.fallenUntil, a.broken = now.Add(r.behavior.RecoveryTime), true
+		r.collapsedUntil = now.Add(r.behavior.RecoveryTime)
+		reply.collapsed = true
 	}
-	return coldstart.Call{Name: name, At: sinceBegin}, a
+	return coldstart.Call{Name: name, At: sinceBegin}, reply
 }
 
-// end records a call.
-func (r *Registry) end(call coldstart.Call) {
+// rejects decides whether a report is rejected in a mode. The caller holds mu.
+func (r *Registry) rejects(mode coldstart.Mode) bool {
+	if mode == coldstart.Half {
+		return r.random.IntN(rejectOneIn) == 0
+	}
+	return mode == coldstart.Refuses
+}
+
+// endCall records a call.
+func (r *Registry) endCall(call coldstart.Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.openCalls--
@@ -190,16 +223,16 @@
 	}
 }
 
-// serve answers one report as the phase has it.
+// serve handles one load report as the current phase prescribes.
 func (r *Registry) serve(w http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(io.LimitReader(request.Body, maxBody))
-	call, a := r.begin(filepath.Base(request.URL.Path))
+	call, reply := r.beginCall(filepath.Base(request.URL.Path))
 	call.Off = string(body) == offReport
-	defer func() { r.end(call) }()
-	if a.broken {
+	defer func() { r.endCall(call) }()
+	if reply.collapsed {
 		panic(http.ErrAbortHandler)
 	}
-	if a.phase.Mode == coldstart.Silent {
+	if reply.phase.Mode == coldstart.Silent {
 		select {
 		case <-request.Context().Done():
 		case <-r.closed:
@@ -207,13 +240,13 @@
 		panic(http.ErrAbortHandler)
 	}
 	select {
-	case <-time.After(a.phase.ResponseTime):
+	case <-time.After(reply.phase.ResponseTime):
 	case <-request.Context().Done():
 		return
 	}
-	if a.refuse {
-		if a.phase.RetryAfter > 0 {
-			w.Header().Set("Retry-After", strconv.Itoa(int(a.phase.RetryAfter/time.Second)))
+	if reply.rejected {
+		if reply.phase.RetryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.Itoa(int(reply.phase.RetryAfter/time.Second)))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -222,7 +255,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Observed is what was observed since Begin.
+// Observed returns the observations since Begin.
 func (r *Registry) Observed() Observations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,11 +264,11 @@
 	return observed
 }
 
-// Close ends it.
+// Close stops the registry and closes all connections.
 func (r *Registry) Close() error {
 	close(r.closed)
-	r.mu.Lock()
-	s := r.server
-	r.mu.Unlock()
-	return s.Close()
+	if err := r.currentServer().Close(); err != nil {
+		return fmt.Errorf("endpoint registry: %w", err)
+	}
+	return nil
 }
