--- a/internal/faultinjection/registry/registry_test.go
+++ b/internal/faultinjection/registry/registry_test.go
@@ -14,6 +14,7 @@
 	"milletbarrow/internal/faultinjection/coldstart"
 )
 
+// start starts a registry that is closed at the end of the test.
 func start(t *testing.T, behavior coldstart.RegistryBehavior) *Registry {
 	t.Helper()
 	r, err := Start("127.0.0.1:0", behavior)
@@ -24,20 +25,29 @@
 	return r
 }
 
+// reply is the registry's response to a report.
+type reply struct {
+	status     int
+	retryAfter string // header; empty: none
+}
+
 // report sends one report over a connection of its own.
-func report(ctx context.Context, r *Registry, name, body string) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+r.Address+"/v1/"+name, strings.NewReader(body))
+func report(ctx context.Context, r *Registry, name, body string) (reply, error) {
+	url := "http://" + r.Address + "/v1/" + name
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, strings.NewReader(body))
 	if err != nil {
-		return nil, err
+		return reply{}, err
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
-	if err == nil {
-		_ = response.Body.Close()
+	if err != nil {
+		return reply{}, err
 	}
-	return response, err
+	_ = response.Body.Close()
+	return reply{status: response.StatusCode, retryAfter: response.Header.Get("Retry-After")}, nil
 }
 
+// eventually waits for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
@@ -47,62 +57,75 @@
 	}
 }
 
-// TestTakesAndRefuses: before the phases begin it behaves as in their first instant; a refusal has its advice and does not
-// count; each call since they began is recorded.
-func TestTakesAndRefuses(t *testing.T) {
-	r := start(t, coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.Takes}, {From: 1, Mode: coldstart.Refuses, ResponseTime: 30 * time.Millisecond, RetryAfter: 7 * time.Second}}})
-	if response, err := report(t.Context(), r, "n1", `{"duty":"on"}`); err != nil || response.StatusCode != http.StatusNoContent {
-		t.Fatalf("before its phases: %v, %v", response, err)
+// TestAcceptsAndRejects verifies that the registry behaves as in its first phase before Begin, that a rejection has a
+// Retry-After and does not count, and that each call since Begin is recorded.
+func TestAcceptsAndRejects(t *testing.T) {
+	r := start(
+		t,
+		coldstart.RegistryBehavior{
+			Phases: []coldstart.Phase{
+				{Mode: coldstart.Takes},
+				{From: 1, Mode: coldstart.Refuses, ResponseTime: 30 * time.Millisecond, RetryAfter: 7 * time.Second},
+			},
+		},
+	)
+	if response, err := report(
+		t.Context(),
+		r,
+		"n1",
+		`{"duty":"on"}`,
+	); err != nil || response.status != http.StatusNoContent {
+		t.Fatalf("before the phases: %+v, %v", response, err)
 	}
 	if calls := r.Observed().Calls; len(calls) != 1 || calls[0].Name != "n1" || !calls[0].Counted || calls[0].Off {
 		t.Errorf("recorded %+v", calls)
 	}
 	r.Begin()
 	if calls := r.Observed().Calls; len(calls) != 0 {
-		t.Errorf("from before its phases: %+v", calls)
+		t.Errorf("calls from before the phases: %+v", calls)
 	}
 	began := time.Now()
 	response, err := report(t.Context(), r, "n2", offReport)
-	if err != nil || response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") != "7" {
-		t.Fatalf("refusing: %v, %v", response, err)
+	if err != nil || response.status != http.StatusServiceUnavailable || response.retryAfter != "7" {
+		t.Fatalf("rejection: %+v, %v", response, err)
 	}
 	if took := time.Since(began); took < 30*time.Millisecond {
-		t.Errorf("refused after %v, wanted 30 ms", took)
+		t.Errorf("rejected after %v, want 30 ms or more", took)
 	}
 	if calls := r.Observed().Calls; len(calls) != 1 || calls[0].Name != "n2" || calls[0].Counted || !calls[0].Off {
 		t.Errorf("recorded %+v", calls)
 	}
 }
 
-// TestHalf: about every second report is refused, without advice.
+// TestHalf verifies that about every second report is rejected, without a Retry-After.
 func TestHalf(t *testing.T) {
 	r := start(t, coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.Half}}})
 	r.Begin()
-	taken := 0
+	accepted := 0
 	for range 100 {
 		response, err := report(t.Context(), r, "n1", "")
-		if err != nil || response.Header.Get("Retry-After") != "" {
-			t.Fatalf("%v, %v", response, err)
+		if err != nil || response.retryAfter != "" {
+			t.Fatalf("report: %+v, %v", response, err)
 		}
-		if response.StatusCode == http.StatusNoContent {
-			taken++
+		if response.status == http.StatusNoContent {
+			accepted++
 		}
 	}
-	if taken < 25 || taken > 75 {
-		t.Errorf("%d of 100 were taken", taken)
+	if accepted < 25 || accepted > 75 {
+		t.Errorf("%d of 100 reports were accepted, want 25 to 75", accepted)
 	}
 }
 
-// TestSilent: a call is never answered, and ends with its caller or with the registry.
+// TestSilent verifies that a call gets no response, and ends with its caller or with the registry.
 func TestSilent(t *testing.T) {
 	r := start(t, coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.Silent}}})
 	r.Begin()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := report(ctx, r, "n1", ""); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("silent: %v", err)
+		t.Errorf("error is %v, want DeadlineExceeded", err)
 	}
-	eventually(t, "record of a call whose caller left", func() bool { return len(r.Observed().Calls) == 1 })
+	eventually(t, "record of the cancelled call", func() bool { return len(r.Observed().Calls) == 1 })
 	ended := make(chan error, 1)
 	go func() {
 		_, err := report(t.Context(), r, "n2", "")
@@ -116,18 +139,22 @@
 	if err := r.Close(); err != nil {
 		t.Error(err)
 	}
-	r.closed = make(chan struct{}) // its end is once more in the clean-up
+	r.closed = make(chan struct{}) // the cleanup closes it again
 	if err := <-ended; err == nil {
-		t.Error("answered at the end")
+		t.Error("the call got a response when the registry closed")
 	}
 }
 
-// TestDown: nobody listens while it is down and its connections are closed; then it listens at the same address.
+// TestDown verifies that a registry that is down closes its connections and does not listen, and that it listens at
+// the same address afterwards.
 func TestDown(t *testing.T) {
 	r := start(t, coldstart.RegistryBehavior{Phases: []coldstart.Phase{
-		{Mode: coldstart.Takes}, {From: 50 * time.Millisecond, Mode: coldstart.Down}, {From: 400 * time.Millisecond, Mode: coldstart.Takes},
+		{Mode: coldstart.Takes},
+		{From: 50 * time.Millisecond, Mode: coldstart.Down},
+		{From: 400 * time.Millisecond, Mode: coldstart.Takes},
 	}})
-	conn, err := net.Dial("tcp", r.Address)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp", r.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,24 +162,27 @@
 	r.Begin()
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("an open connection: %v", err)
+		t.Errorf("reading an open connection: %v, want EOF", err)
 	}
 	if _, err := report(t.Context(), r, "n1", ""); err == nil {
-		t.Error("taken while it was down")
+		t.Error("report accepted while the registry was down")
 	}
-	eventually(t, "report once it is back", func() bool {
+	eventually(t, "accepted report after the outage", func() bool {
 		response, err := report(t.Context(), r, "n1", "")
-		return err == nil && response.StatusCode == http.StatusNoContent
+		return err == nil && response.status == http.StatusNoContent
 	})
 }
 
-// TestFallsOver: beyond so many open calls it takes nothing until it has recovered.
-func TestFallsOver(t *testing.T) {
+// TestCollapsesUnderOpenCalls verifies that too many open calls make the registry collapse, and that it accepts no
+// report until it has recovered.
+func TestCollapsesUnderOpenCalls(t *testing.T) {
 	r := start(t, coldstart.RegistryBehavior{
-		Phases: []coldstart.Phase{{Mode: coldstart.Takes, ResponseTime: 100 * time.Millisecond}}, MaxOpenCalls: 3, RecoveryTime: 300 * time.Millisecond,
+		Phases:       []coldstart.Phase{{Mode: coldstart.Takes, ResponseTime: 100 * time.Millisecond}},
+		MaxOpenCalls: 3,
+		RecoveryTime: 300 * time.Millisecond,
 	})
 	r.Begin()
-	send := func(calls int) (taken int) {
+	send := func(calls int) (accepted int) {
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		for range calls {
@@ -160,29 +190,29 @@
 				response, err := report(t.Context(), r, "n1", "")
 				mu.Lock()
 				defer mu.Unlock()
-				if err == nil && response.StatusCode == http.StatusNoContent {
-					taken++
+				if err == nil && response.status == http.StatusNoContent {
+					accepted++
 				}
 			})
 		}
 		all.Wait()
-		return taken
+		return accepted
 	}
-	if taken := send(3); taken != 3 || r.Observed().Falls != 0 {
-		t.Errorf("three at once: %d taken, fell over %d times", taken, r.Observed().Falls)
+	if accepted := send(3); accepted != 3 || r.Observed().Falls != 0 {
+		t.Errorf("3 calls at once: %d accepted, %d collapses, want 3 and none", accepted, r.Observed().Falls)
 	}
-	for r.Observed().Falls == 0 { // until more than three were open at once, however busy the machine is
+	for r.Observed().Falls == 0 { // until more than three calls were open at once
 		send(12)
 	}
 	falls := r.Observed().Falls
 	r.mu.Lock()
-	fallenUntil := r.fallenUntil
+	collapsedUntil := r.collapsedUntil
 	r.mu.Unlock()
-	if _, err := report(t.Context(), r, "n1", ""); err == nil && time.Now().Before(fallenUntil) {
-		t.Error("taken before it recovered")
+	if _, err := report(t.Context(), r, "n1", ""); err == nil && time.Now().Before(collapsedUntil) {
+		t.Error("report accepted before the recovery")
 	}
-	eventually(t, "report once it has recovered", func() bool { return send(1) == 1 })
+	eventually(t, "accepted report after the recovery", func() bool { return send(1) == 1 })
 	if observed := r.Observed(); observed.Falls < falls || observed.MaxConnections < 4 {
-		t.Errorf("fell over %d times, %d connections at most", observed.Falls, observed.MaxConnections)
+		t.Errorf("got %d collapses and up to %d connections", observed.Falls, observed.MaxConnections)
 	}
 }
