--- a/internal/faultinjection/proxy/direction.go
+++ b/internal/faultinjection/proxy/direction.go
@@ -1,6 +1,11 @@
-// Package proxy is what lies between two processes in a trial: links whose bytes can be held in one direction or
-// both, delayed, slowed, cut off in the middle of a message, and made to bring a call twice. It owns the connections
-// it carries and knows nothing of what they say, but for where a call begins.
+// Package proxy provides TCP proxies between the processes of a fault-injection trial. A link can hold, delay or slow
+// the bytes of each direction, reset its connections, and repeat calls. The package owns the connections that it
+// carries and does not interpret their content, except to recognize the start of a call.
+//
+// Invariants:
+//   - A held direction delivers no byte, and all bytes once it is released (TestHold, TestHeldDial).
+//   - A call is repeated at most once (TestDuplicate).
+//   - Close ends all connections, even held ones (TestCloseWhileHeld).
 package proxy
 
 import (
@@ -8,34 +13,35 @@
 	"time"
 )
 
-// Direction is one direction between two hosts. All links between them share it. Its methods may be called by several
-// goroutines.
+// Direction holds the faults of one direction between two hosts. All links between the hosts share it. Its methods are
+// safe for concurrent use.
 type Direction struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	faults  faults
-	changed chan struct{} // closed at each change of the faults
+	changed chan struct{} // closed and replaced at each change of the faults
 }
 
-// faults are those of one direction.
+// faults holds the faults of one direction.
 type faults struct {
-	held  bool
-	delay time.Duration
-	rate  int // bytes a second; 0: without bound
+	held  bool          // whether bytes wait until the direction is released
+	delay time.Duration // 0: none
+	rate  int           // bytes per second; 0: unlimited
 }
 
-// NewDirection is one without faults.
+// NewDirection returns a direction without faults.
 func NewDirection() *Direction { return &Direction{changed: make(chan struct{})} }
 
-// Hold stops all bytes until it is taken back; what is on its way then waits, as in a network that lost it and sends
-// it again.
+// Hold starts or stops holding all bytes, including those in flight. They are delivered after the release, as by a
+// network that retransmits lost packets.
 func (d *Direction) Hold(on bool) { d.change(func(f *faults) { f.held = on }) }
 
-// Delay lets each byte arrive later by a span; 0 takes it back.
-func (d *Direction) Delay(by time.Duration) { d.change(func(f *faults) { f.delay = by }) }
+// Delay delivers each byte later by the delay; 0 ends the fault.
+func (d *Direction) Delay(delay time.Duration) { d.change(func(f *faults) { f.delay = delay }) }
 
-// Slow bounds bytes a second; 0 takes it back.
+// Slow limits the rate in bytes per second; 0 ends the fault.
 func (d *Direction) Slow(rate int) { d.change(func(f *faults) { f.rate = rate }) }
 
+// change changes the faults and notifies the waiting connections.
 func (d *Direction) change(set func(*faults)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,7 +50,7 @@
 	d.changed = make(chan struct{})
 }
 
-// current are the faults now, and a channel that is closed once they change.
+// current returns the faults and a channel that is closed when they change.
 func (d *Direction) current() (faults, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/faultinjection/proxy/duplicate.go
+++ b/internal/faultinjection/proxy/duplicate.go
@@ -2,50 +2,46 @@
 
 import (
 	"bytes"
-	"net"
+	"io"
 	"time"
 )
 
 const (
-	maxCall       = 256 << 10 // bytes of a connection that are recorded to be brought again, about
-	maxFirstLine  = 128       // bytes in which callMark is looked for
-	answerTimeout = 2 * time.Second
+	maxCall         int           = 256 << 10 // bytes recorded of a connection, after which recording stops
+	maxFirstLine    int           = 128       // bytes of a connection that are searched for callMark
+	responseTimeout time.Duration = 2 * time.Second
 )
 
-// callMark is in the first line of a conversation between agents.
+// callMark is the part of a connection's first line that identifies a call between agents.
 var callMark = []byte(" call ")
 
-// isCall reports whether what a connection carried began with a call.
+// isCall reports whether the bytes of a connection begin with a call.
 func isCall(carried []byte) bool {
 	return bytes.Contains(carried[:min(len(carried), maxFirstLine)], callMark)
 }
 
-// Duplicate has calls that begin from now on come again later by a span, their second answer being read by nobody; 0
-// ends it.
-func (l *Link) Duplicate(later time.Duration) {
+// Duplicate repeats each call that begins from now on, with the given delay after the call has ended. The response to
+// the repeated call is discarded. A delay of 0 ends the fault.
+func (l *Link) Duplicate(delay time.Duration) {
 	l.mu.Lock()
-	l.duplicate = later
+	l.duplicateDelay = delay
 	l.mu.Unlock()
-	l.Reset() // connections that are open would go on as they were
+	l.Reset() // ends connections that are not recorded
 }
 
-// repeat brings what a connection carried a second time.
-func (l *Link) repeat(carried []byte, later time.Duration) {
+// repeat sends the recorded bytes of a connection again, after a delay.
+func (l *Link) repeat(recorded []byte, delay time.Duration) {
 	select {
-	case <-time.After(later):
+	case <-time.After(delay):
 	case <-l.closed:
 		return
 	}
-	conn, err := net.DialTimeout("tcp", l.target, dialTimeout)
+	conn, err := l.dial()
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(answerTimeout))
-	_, _ = conn.Write(carried)
-	for b := make([]byte, 4096); ; { // the answer is read and dropped
-		if _, err := conn.Read(b); err != nil {
-			return
-		}
-	}
+	_ = conn.SetDeadline(time.Now().Add(responseTimeout))
+	_, _ = conn.Write(recorded)
+	_, _ = io.Copy(io.Discard, conn)
 }
--- a/internal/faultinjection/proxy/link.go
+++ b/internal/faultinjection/proxy/link.go
@@ -2,65 +2,83 @@
 
 import (
 	"bytes"
+	"context"
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"time"
 )
 
-// Link is a listener on this machine whose connections go to an address in two directions. Its methods may be called by
-// several goroutines.
+// Link is a proxy that listens on the loopback address and forwards each connection to a target. Its methods are safe
+// for concurrent use.
 type Link struct {
-	Address  string     // host:port to be dialled in place of the other
-	target   string     // host:port that it dials
-	out      *Direction // from who dials
-	in       *Direction // to who dials
-	listener net.Listener
-
-	mu          sync.Mutex
-	connections map[*connection]bool
-	duplicate   time.Duration // calls that begin now come again so much later; 0: they do not
-	duplicates  sync.WaitGroup
-	closed      chan struct{}
+	Address    string     // host:port of the listener
+	target     string     // host:port of the target
+	out        *Direction // from the client to the target
+	in         *Direction // from the target to the client
+	listener   net.Listener
+	closed     chan struct{}  // closed by Close
+	duplicates sync.WaitGroup // running repetitions of calls
+
+	mu             sync.Mutex // guards the fields below
+	connections    map[*connection]bool
+	duplicateDelay time.Duration // delay of the repetition of calls that begin now; 0: calls are not repeated
 }
 
 const (
-	dialTimeout = time.Second
-	acceptPause = 10 * time.Millisecond // after an error, such as too many open files
-	readSize    = 16 << 10
-	maxPieces   = 64 // read and not yet written, of one direction of one connection; beyond, who writes waits
+	dialTimeout   time.Duration = time.Second
+	acceptBackoff time.Duration = 10 * time.Millisecond // after an error, such as too many open files
+	readSize      int           = 16 << 10              // bytes
+	maxPieces     int           = 64                    // read but not yet written, in one direction of a connection
 )
 
-// Open opens a link to an address.
+// Open opens a link to the target address.
 func Open(target string, out, in *Direction) (*Link, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("link to %s: %w", target, err)
 	}
 	l := &Link{
-		Address: listener.Addr().String(), target: target, out: out, in: in, listener: listener,
-		connections: map[*connection]bool{}, closed: make(chan struct{}),
+		Address:     listener.Addr().String(),
+		target:      target,
+		out:         out,
+		in:          in,
+		listener:    listener,
+		closed:      make(chan struct{}),
+		connections: map[*connection]bool{},
 	}
 	go l.accept()
 	return l, nil
 }
 
-// accept takes connections until the listener is closed.
+// dial opens a connection to the target.
+func (l *Link) dial() (net.Conn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(context.Background(), "tcp", l.target)
+	if err != nil {
+		return nil, fmt.Errorf("link to %s: %w", l.target, err)
+	}
+	return conn, nil
+}
+
+// accept accepts connections until the listener is closed.
 func (l *Link) accept() {
 	for {
-		near, err := l.listener.Accept()
+		client, err := l.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptBackoff)
 			continue
 		}
-		go l.carry(near)
+		go l.carry(client)
 	}
 }
 
-// Close ends the link and all it carries.
+// Close closes the link and all its connections.
 func (l *Link) Close() {
 	_ = l.listener.Close()
 	close(l.closed)
@@ -68,7 +86,8 @@
 	l.duplicates.Wait()
 }
 
-// Reset breaks every connection, wherever in a message it is. One that is still being dialled is not carried yet.
+// Reset resets every established connection, even within a message. It does not affect connections whose target is
+// still being dialled.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,18 +96,18 @@
 	}
 }
 
-// connection is one that the link carries.
+// connection is a client's connection with its counterpart to the target.
 type connection struct {
-	near net.Conn // to who dialled
-	far  net.Conn // to the target
+	client net.Conn
+	target net.Conn
 }
 
 func (c *connection) reset() {
-	reset(c.near)
-	reset(c.far)
+	reset(c.client)
+	reset(c.target)
 }
 
-// reset closes a connection so that its other end sees it broken.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -96,48 +115,57 @@
 	_ = conn.Close()
 }
 
-// carry dials the target for a connection and copies both directions until it ends.
-func (l *Link) carry(near net.Conn) {
-	if faults, changed := l.out.current(); faults.held { // its first packet does not arrive
+// carry dials the target for a client and copies both directions until the connection ends.
+func (l *Link) carry(client net.Conn) {
+	if faults, changed := l.out.current(); faults.held { // the client's first packet does not arrive
 		select {
 		case <-changed:
 		case <-l.closed:
 		}
 	}
-	far, err := net.DialTimeout("tcp", l.target, dialTimeout)
+	target, err := l.dial()
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	c := &connection{near, far}
-	l.mu.Lock()
-	l.connections[c] = true
-	duplicate := l.duplicate
-	l.mu.Unlock()
+	c := &connection{client: client, target: target}
+	duplicateDelay := l.add(c)
 	var recorded *bytes.Buffer
-	if duplicate > 0 {
+	if duplicateDelay > 0 {
 		recorded = &bytes.Buffer{}
 	}
-	var both sync.WaitGroup
-	both.Go(func() { l.pump(near, far, l.out, recorded) })
-	both.Go(func() { l.pump(far, near, l.in, nil) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.pump(client, target, l.out, recorded) })
+	directions.Go(func() { l.pump(target, client, l.in, nil) })
+	directions.Wait()
 	c.reset()
-	l.mu.Lock()
-	delete(l.connections, c)
-	l.mu.Unlock()
+	l.remove(c)
 	if recorded != nil && isCall(recorded.Bytes()) {
-		l.duplicates.Go(func() { l.repeat(recorded.Bytes(), duplicate) })
+		l.duplicates.Go(func() { l.repeat(recorded.Bytes(), duplicateDelay) })
 	}
 }
 
-// piece is what one read brought.
+// add registers a connection and returns the delay of its repetition.
+func (l *Link) add(c *connection) (duplicateDelay time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.connections[c] = true
+	return l.duplicateDelay
+}
+
+func (l *Link) remove(c *connection) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.connections, c)
+}
+
+// piece holds the bytes of one read.
 type piece struct {
 	bytes []byte
-	at    time.Time
+	at    time.Time // of the read
 }
 
-// pump copies one direction of one connection; what it records is nil, or the first maxCall bytes.
+// pump copies one direction of a connection. Unless recorded is nil, it also records about the first maxCall bytes.
 func (l *Link) pump(from, to net.Conn, direction *Direction, recorded *bytes.Buffer) {
 	pieces := make(chan piece, maxPieces)
 	go l.read(from, pieces)
@@ -156,19 +184,19 @@
 	if tcp, ok := to.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	for range pieces { // what is read must not block its reader
+	for range pieces { // unblocks the reader
 	}
 }
 
-// read reads until the connection or the link ends, and closes the channel.
+// read sends the bytes of a connection to the channel until the connection or the link ends, then closes the channel.
 func (l *Link) read(from net.Conn, pieces chan<- piece) {
 	defer close(pieces)
 	for {
-		b := make([]byte, readSize)
-		n, err := from.Read(b)
-		if n > 0 {
+		buffer := make([]byte, readSize)
+		size, err := from.Read(buffer)
+		if size > 0 {
 			select {
-			case pieces <- piece{b[:n], time.Now()}:
+			case pieces <- piece{bytes: buffer[:size], at: time.Now()}:
 			case <-l.closed:
 				return
 			}
@@ -179,7 +207,7 @@
 	}
 }
 
-// await returns once the faults of a direction let a piece pass; false where the link was closed meanwhile.
+// await waits until the faults of the direction allow a piece to pass. It returns false if the link is closed first.
 func (l *Link) await(p piece, direction *Direction) bool {
 	for {
 		faults, changed := direction.current()
--- a/internal/faultinjection/proxy/mesh.go
+++ b/internal/faultinjection/proxy/mesh.go
@@ -1,18 +1,25 @@
 package proxy
 
-// Mesh is a link from each of some hosts to each other, by name.
+// Mesh connects each host to every other host by a link.
 type Mesh struct {
-	Names      []string
+	Names      []string // of the hosts
 	directions map[route]*Direction
 	links      map[route]*Link
 }
 
-// route is from one host to another, by name.
-type route struct{ from, to string }
+// route is the pair of hosts of a direction or link.
+type route struct {
+	from string // name of the sending or dialling host
+	to   string // name of the other host
+}
 
-// NewMesh opens all links; addresses are the hosts' own, in the order of names.
+// NewMesh opens the links between all hosts. The hosts' own addresses are in the order of their names.
 func NewMesh(names, addresses []string) (*Mesh, error) {
-	m := &Mesh{Names: names, directions: map[route]*Direction{}, links: map[route]*Link{}}
+	m := &Mesh{
+		Names:      names,
+		directions: map[route]*Direction{},
+		links:      map[route]*Link{},
+	}
 	for _, from := range names {
 		for _, to := range names {
 			m.directions[route{from, to}] = NewDirection()
@@ -34,13 +41,13 @@
 	return m, nil
 }
 
-// Direction is the direction from one host to another; all links between them share it.
+// Direction returns the direction from one host to another. All links between the two hosts share it.
 func (m *Mesh) Direction(from, to string) *Direction { return m.directions[route{from, to}] }
 
-// Link is what a host dials to reach another; nil to itself.
+// Link returns the link that a host dials to reach another host, or nil for the host itself.
 func (m *Mesh) Link(from, to string) *Link { return m.links[route{from, to}] }
 
-// Addresses are those by which a host reaches the others, by their names.
+// Addresses returns the addresses that a host dials to reach the others, by their names.
 func (m *Mesh) Addresses(from string) map[string]string {
 	addresses := map[string]string{}
 	for _, to := range m.Names {
@@ -51,7 +58,7 @@
 	return addresses
 }
 
-// Isolate holds all that a host sends, all that it receives, or both; on false takes that back.
+// Isolate starts or stops holding the bytes that a host sends, receives, or both.
 func (m *Mesh) Isolate(name string, sends, receives, on bool) {
 	for _, other := range m.Names {
 		if sends {
@@ -63,7 +70,7 @@
 	}
 }
 
-// Reset breaks all that is open between two hosts.
+// Reset resets all connections between two hosts.
 func (m *Mesh) Reset(a, b string) {
 	for _, link := range []*Link{m.Link(a, b), m.Link(b, a)} {
 		if link != nil {
@@ -72,7 +79,7 @@
 	}
 }
 
-// Close ends all links.
+// Close closes all links.
 func (m *Mesh) Close() {
 	for _, link := range m.links {
 		link.Close()
