--- a/internal/faultinjection/proxy/proxy_test.go
+++ b/internal/faultinjection/proxy/proxy_test.go
@@ -12,16 +12,19 @@
 	"time"
 )
 
-// server is a target that notes what each of its connections brought, and answers the first bytes of each.
+// server is a target that records the bytes of each connection and responds to each read.
 type server struct {
 	net.Listener
-	mu       sync.Mutex
-	received []string
+
+	mu       sync.Mutex // guards received
+	received []string   // by connection, in the order of their beginning
 }
 
+// newServer starts a server that is closed at the end of the test.
 func newServer(t *testing.T) *server {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,18 +56,22 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.WriteString(conn, "answer"); err != nil {
+		if _, err := io.WriteString(conn, response); err != nil {
 			return
 		}
 	}
 }
 
+// all returns the bytes of each connection.
 func (s *server) all() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.received)
 }
 
+// response is what the server sends for each read.
+const response = "answer"
+
 // eventually waits for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
@@ -75,7 +82,7 @@
 	}
 }
 
-// testLink is a link to a server.
+// testLink is a link to a server, with the directions between them.
 type testLink struct {
 	*Link
 	t       *testing.T
@@ -83,28 +90,50 @@
 	out, in *Direction
 }
 
+// newTestLink opens a link that is closed at the end of the test.
 func newTestLink(t *testing.T) testLink {
 	t.Helper()
-	s, out, in := newServer(t), NewDirection(), NewDirection()
-	link, err := Open(s.Addr().String(), out, in)
+	l := openTestLink(t)
+	t.Cleanup(l.Close)
+	return l
+}
+
+// openTestLink opens a link that the test closes.
+func openTestLink(t *testing.T) testLink {
+	t.Helper()
+	server := newServer(t)
+	out := NewDirection()
+	in := NewDirection()
+	link, err := Open(server.Addr().String(), out, in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(link.Close)
-	return testLink{link, t, s, out, in}
+	return testLink{
+		Link:   link,
+		t:      t,
+		server: server,
+		out:    out,
+		in:     in,
+	}
 }
 
-func (l testLink) dial() net.Conn {
+// ioTimeout limits each read of a connection of the test.
+const ioTimeout = 20 * time.Second
+
+// connect dials the link.
+func (l testLink) connect() net.Conn {
 	l.t.Helper()
-	conn, err := net.Dial("tcp", l.Address)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(l.t.Context(), "tcp", l.Address)
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	l.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	conn.SetDeadline(time.Now().Add(ioTimeout))
 	return conn
 }
 
+// write sends a text to the server.
 func (l testLink) write(conn net.Conn, text string) {
 	l.t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -112,31 +141,31 @@
 	}
 }
 
-// answer reads the server's answer and tells how long it took.
-func (l testLink) answer(conn net.Conn) time.Duration {
+// awaitResponse reads the server's response and returns how long it took.
+func (l testLink) awaitResponse(conn net.Conn) time.Duration {
 	l.t.Helper()
 	began := time.Now()
-	b := make([]byte, len("answer"))
-	if _, err := io.ReadFull(conn, b); err != nil || string(b) != "answer" {
+	b := make([]byte, len(response))
+	if _, err := io.ReadFull(conn, b); err != nil || string(b) != response {
 		l.t.Fatalf("read %q, %v", b, err)
 	}
 	return time.Since(began)
 }
 
-// idle reports whether the link carries nothing.
+// idle reports whether the link has no connections.
 func (l testLink) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.connections) == 0
 }
 
-// quiet fails if anything can be read within a moment.
-func (l testLink) quiet(conn net.Conn) {
+// expectNothing fails the test if bytes arrive within 50 ms.
+func (l testLink) expectNothing(conn net.Conn) {
 	l.t.Helper()
 	conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	defer conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+	defer conn.SetReadDeadline(time.Now().Add(ioTimeout))
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || !errors.Is(err, syscall.EAGAIN) && !isTimeout(err) {
-		l.t.Errorf("read %d bytes, %v, wanted nothing yet", n, err)
+		l.t.Errorf("read %d bytes, error %v, want a timeout", n, err)
 	}
 }
 
@@ -145,178 +174,194 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// TestHold: what is held in a direction arrives once it is taken back, and the other direction goes on.
+// TestHold verifies that held bytes arrive after the release, and that the other direction is not affected.
 func TestHold(t *testing.T) {
 	l := newTestLink(t)
-	conn := l.dial()
+	conn := l.connect()
 	l.write(conn, "one")
-	l.answer(conn)
+	l.awaitResponse(conn)
 
 	l.in.Hold(true)
 	l.write(conn, "two")
-	eventually(t, "arrival while only answers are held", func() bool { return slices.Equal(l.server.all(), []string{"onetwo"}) })
-	l.quiet(conn)
+	eventually(t, "arrival while only responses are held", func() bool {
+		return slices.Equal(l.server.all(), []string{"onetwo"})
+	})
+	l.expectNothing(conn)
 	l.in.Hold(false)
-	l.answer(conn)
+	l.awaitResponse(conn)
 
 	l.out.Hold(true)
 	l.write(conn, "three")
-	l.quiet(conn)
+	l.expectNothing(conn)
 	if got := l.server.all(); !slices.Equal(got, []string{"onetwo"}) {
-		t.Errorf("arrived though it was held: %q", got)
+		t.Errorf("bytes arrived while held: %q", got)
 	}
 	l.out.Hold(false)
-	l.answer(conn)
+	l.awaitResponse(conn)
 }
 
-// TestHeldDial: a connection that is dialled while the direction is held reaches nobody before.
+// TestHeldDial verifies that a connection that is dialled while the direction is held reaches the server only after
+// the release.
 func TestHeldDial(t *testing.T) {
 	l := newTestLink(t)
 	l.out.Hold(true)
-	conn := l.dial()
+	conn := l.connect()
 	l.write(conn, "one")
-	l.quiet(conn)
+	l.expectNothing(conn)
 	if got := l.server.all(); len(got) > 0 {
-		t.Errorf("connected though it was held: %q", got)
+		t.Errorf("connected while held: %q", got)
 	}
 	l.out.Hold(false)
-	l.answer(conn)
+	l.awaitResponse(conn)
 }
 
-// TestDelayAndSlow: bytes are late by the delay of their direction, or by their number.
+// TestDelayAndSlow verifies the delays of both directions and the limit of the rate, and that a changed delay applies
+// to bytes in flight.
 func TestDelayAndSlow(t *testing.T) {
 	l := newTestLink(t)
-	conn := l.dial()
+	conn := l.connect()
 	l.out.Delay(60 * time.Millisecond)
 	l.in.Delay(50 * time.Millisecond)
 	l.write(conn, "one")
-	if took := l.answer(conn); took < 110*time.Millisecond {
-		t.Errorf("an answer after %v, wanted 110 ms at the least", took)
+	if took := l.awaitResponse(conn); took < 110*time.Millisecond {
+		t.Errorf("response after %v, want 110 ms or more", took)
 	}
 	l.out.Delay(0)
 	l.in.Delay(0)
 	l.out.Slow(100)
 	l.write(conn, "ten bytes!")
-	if took := l.answer(conn); took < 90*time.Millisecond {
-		t.Errorf("ten bytes at a hundred a second took %v", took)
+	if took := l.awaitResponse(conn); took < 90*time.Millisecond {
+		t.Errorf("10 bytes at 100 bytes per second took %v, want 90 ms or more", took)
 	}
 	l.out.Slow(0)
 	l.out.Delay(time.Hour)
 	l.write(conn, "three")
-	l.quiet(conn)
-	l.out.Delay(0) // what is on its way goes by the new delay
-	l.answer(conn)
+	l.expectNothing(conn)
+	l.out.Delay(0) // applies to bytes in flight too
+	l.awaitResponse(conn)
 }
 
-// TestReset: every connection is broken, and new ones are carried.
+// TestReset verifies that a reset breaks every connection, and that new ones work.
 func TestReset(t *testing.T) {
 	l := newTestLink(t)
-	conn := l.dial()
+	conn := l.connect()
 	l.write(conn, "one")
-	l.answer(conn)
+	l.awaitResponse(conn)
 	l.Reset()
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("after a reset: %v", err)
+		t.Errorf("after a reset: error %v, want ECONNRESET", err)
 	}
-	again := l.dial()
+	again := l.connect()
 	l.write(again, "two")
-	l.answer(again)
+	l.awaitResponse(again)
 	again.Close()
-	eventually(t, "end of what was carried", l.idle)
+	eventually(t, "removal of the connection", l.idle)
 }
 
-// TestNobodyListens: a connection to a target that is down is reset.
-func TestNobodyListens(t *testing.T) {
+// TestUnreachableTarget verifies that a connection to a target that is down is reset.
+func TestUnreachableTarget(t *testing.T) {
 	l := newTestLink(t)
 	l.server.Close()
-	conn, err := net.Dial("tcp", l.Address)
-	if err == nil { // else the reset came as it was opened
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp", l.Address)
+	if err == nil { // otherwise the reset arrived while dialling
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(20 * time.Second))
+		conn.SetDeadline(time.Now().Add(ioTimeout))
 		_, err = conn.Read(make([]byte, 1))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("target that is down: error %v, want ECONNRESET", err)
 	}
 }
 
-// TestDuplicate: a call comes again after it, anything else and any other time does not.
+// TestDuplicate verifies that a call is repeated after its end, and that other connections and calls after the fault
+// are not.
 func TestDuplicate(t *testing.T) {
 	l := newTestLink(t)
-	say := func(text string) {
-		conn := l.dial()
+	exchange := func(text string) {
+		conn := l.connect()
 		l.write(conn, text)
-		l.answer(conn)
+		l.awaitResponse(conn)
 		conn.Close()
 	}
-	kept := l.dial()
-	l.write(kept, "before call 0")
-	l.answer(kept)
+	earlier := l.connect()
+	l.write(earlier, "before call 0")
+	l.awaitResponse(earlier)
 	l.Duplicate(20 * time.Millisecond)
-	if _, err := kept.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a connection from before: %v", err)
+	if _, err := earlier.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("connection from before the fault: error %v, want ECONNRESET", err)
 	}
 	began := time.Now()
-	say("a call 1")
-	say("gossip 2")
-	eventually(t, "second call", func() bool {
+	exchange("a call 1")
+	exchange("gossip 2")
+	eventually(t, "repeated call", func() bool {
 		return slices.Equal(l.server.all(), []string{"before call 0", "a call 1", "gossip 2", "a call 1"})
 	})
 	if took := time.Since(began); took < 20*time.Millisecond {
-		t.Errorf("the second call came after %v, wanted 20 ms after the first", took)
+		t.Errorf("the repeated call arrived after %v, want 20 ms or more", took)
 	}
 	l.Duplicate(0)
-	say("a call 3")
+	exchange("a call 3")
 	l.duplicates.Wait()
 	if got := l.server.all(); len(got) != 5 {
-		t.Errorf("%q, wanted no more than one a call 3", got)
+		t.Errorf("got %q, want \"a call 3\" once", got)
 	}
 }
 
-// TestDuplicateIsBounded: of a long call about the first maxCall bytes come again; a call is one by its first line.
+// TestDuplicateIsBounded verifies that about the first maxCall bytes of a long call are repeated, and that a call is
+// recognized by its first line.
 func TestDuplicateIsBounded(t *testing.T) {
 	l := newTestLink(t)
 	l.Duplicate(time.Millisecond)
-	conn := l.dial()
+	conn := l.connect()
 	go func() { _, _ = io.Copy(io.Discard, conn) }()
 	l.write(conn, "a call "+strings.Repeat("x", 2*maxCall))
-	eventually(t, "arrival of a long call", func() bool { return len(l.server.all()) == 1 && len(l.server.all()[0]) == 2*maxCall+len("a call ") })
+	eventually(t, "arrival of a long call", func() bool {
+		all := l.server.all()
+		return len(all) == 1 && len(all[0]) == 2*maxCall+len("a call ")
+	})
 	conn.Close()
-	eventually(t, "second call", func() bool { all := l.server.all(); return len(all) == 2 && len(all[1]) >= maxCall })
+	eventually(t, "repeated call", func() bool {
+		all := l.server.all()
+		return len(all) == 2 && len(all[1]) >= maxCall
+	})
 	l.duplicates.Wait()
 	if size := len(l.server.all()[1]); size > maxCall+readSize {
-		t.Errorf("%d bytes came again, at most %d and a read may", size, maxCall)
+		t.Errorf("%d bytes were repeated, want at most %d and one read", size, maxCall)
 	}
 	if isCall([]byte(strings.Repeat("x", maxFirstLine)+" call ")) || !isCall([]byte("a call 1")) {
-		t.Error("a call is not known by its first line")
+		t.Error("isCall does not go by the first line")
 	}
 }
 
-// TestMesh: hosts reach each other by links of their own; one can be cut off in one direction or both.
+// TestMesh verifies that hosts reach each other by links of their own, that one can be isolated in one direction or
+// both, and that a reset affects one pair of hosts.
 func TestMesh(t *testing.T) {
 	names := []string{"h1", "h2", "h3"}
 	servers := make([]*server, 0, len(names))
 	addresses := make([]string, 0, len(names))
 	for range names {
 		s := newServer(t)
-		servers, addresses = append(servers, s), append(addresses, s.Addr().String())
+		servers = append(servers, s)
+		addresses = append(addresses, s.Addr().String())
 	}
 	m, err := NewMesh(names, addresses)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Close)
-	if m.Link("h1", "h1") != nil || len(m.Addresses("h1")) != 2 || m.Addresses("h1")["h3"] != m.Link("h1", "h3").Address {
-		t.Errorf("h1 reaches %v", m.Addresses("h1"))
+	reached := m.Addresses("h1")
+	if m.Link("h1", "h1") != nil || len(reached) != 2 || reached["h3"] != m.Link("h1", "h3").Address {
+		t.Errorf("h1 reaches %v, want h2 and h3 by their links", reached)
 	}
 	connect := func(from, to int) (testLink, net.Conn) {
 		l := testLink{Link: m.Link(names[from], names[to]), t: t, server: servers[to]}
-		conn := l.dial()
+		conn := l.connect()
 		l.write(conn, names[from])
 		return l, conn
 	}
 	l, conn := connect(0, 2)
-	l.answer(conn)
+	l.awaitResponse(conn)
 	if got := servers[2].all(); !slices.Equal(got, []string{"h1"}) || len(servers[1].all()) > 0 {
 		t.Errorf("h3 received %q, h2 %q", got, servers[1].all())
 	}
@@ -325,53 +370,48 @@
 		outLink, out := connect(0, 1)
 		inLink, in := connect(1, 0)
 		restLink, rest := connect(1, 2)
-		restLink.answer(rest)
-		outLink.quiet(out) // in both directions an answer has to come back
-		inLink.quiet(in)
+		restLink.awaitResponse(rest)
+		outLink.expectNothing(out) // a response needs both directions
+		inLink.expectNothing(in)
 		m.Isolate("h1", c.sends, c.receives, false)
-		outLink.answer(out)
-		inLink.answer(in)
+		outLink.awaitResponse(out)
+		inLink.awaitResponse(in)
 	}
 	thereLink, there := connect(0, 1)
 	backLink, back := connect(1, 0)
 	otherLink, other := connect(1, 2)
-	thereLink.answer(there)
-	backLink.answer(back)
-	otherLink.answer(other)
+	thereLink.awaitResponse(there)
+	backLink.awaitResponse(back)
+	otherLink.awaitResponse(other)
 	m.Reset("h1", "h2")
 	for _, conn := range []net.Conn{there, back} {
 		var err error
-		for b := make([]byte, 16); err == nil; { // an answer may have come before
+		for b := make([]byte, 16); err == nil; { // a response may have arrived before
 			_, err = conn.Read(b)
 		}
 		if !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("between h1 and h2: %v", err)
+			t.Errorf("connection between h1 and h2: error %v, want ECONNRESET", err)
 		}
 	}
 	otherLink.write(other, "on")
-	otherLink.answer(other)
+	otherLink.awaitResponse(other)
 }
 
-// TestCloseWhileHeld: a link ends at once, whatever it holds back.
+// TestCloseWhileHeld verifies that Close ends a connection whose bytes are held.
 func TestCloseWhileHeld(t *testing.T) {
-	s, out, in := newServer(t), NewDirection(), NewDirection()
-	link, err := Open(s.Addr().String(), out, in)
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := testLink{link, t, s, out, in}
-	conn := l.dial()
+	l := openTestLink(t)
+	conn := l.connect()
 	l.write(conn, "a call 1")
-	l.answer(conn)
-	out.Hold(true)
+	l.awaitResponse(conn)
+	l.out.Hold(true)
 	l.write(conn, "held")
-	link.Close()
+	l.Close()
 	var readErr error
 	for b := make([]byte, 16); readErr == nil; {
 		_, readErr = conn.Read(b)
 	}
 	if isTimeout(readErr) {
-		t.Errorf("open after its link's end: %v", readErr)
+		t.Errorf("connection is open after Close: %v", readErr)
 	}
-	eventually(t, "end of what was held", l.idle)
+	eventually(t, "removal of the held connection", l.idle)
 }
