--- a/internal/faultinjection/coldstart/behavior.go
+++ b/internal/faultinjection/coldstart/behavior.go
@@ -1,68 +1,70 @@
-// Package coldstart judges a cold start by the calls that reached an endpoint registry: how many came while it took
-// nothing, how much they bunched once it did, and how long it took until the backends were listed. It does no I/O and
-// reads no clock, and knows nothing of how backends decide. All times are spans since the registry's phases began.
+// Package coldstart judges a cold start by the calls that reached an endpoint registry: the rate of calls while the
+// registry accepted no reports, the bursts after its recovery, and the time until the backends were listed. It does no
+// I/O, reads no clock and does not depend on the code under test. All times are durations since the registry's phases
+// began.
 package coldstart
 
 import "time"
 
-// Mode is how a registry behaves for a while: its word in a schedule's file.
+// Mode is the behavior of a registry in a phase, written as its word in a schedule's file.
 type Mode string
 
 // The modes.
 const (
-	Takes   Mode = "takes"   // each report counts, after the response time
-	Refuses Mode = "refuses" // 503, after the response time
-	Half    Mode = "half"    // every second one by chance is refused
-	Silent  Mode = "silent"  // it accepts connections and never answers
-	Down    Mode = "down"    // nobody listens
+	Takes   Mode = "takes"   // accepts each report after the response time
+	Refuses Mode = "refuses" // rejects each report with status 503 after the response time
+	Half    Mode = "half"    // rejects each report with a probability of one half
+	Silent  Mode = "silent"  // accepts connections and never responds
+	Down    Mode = "down"    // does not listen
 )
 
-// Modes lists their words.
+// Modes returns the words of all modes.
 func Modes() []string {
 	return []string{string(Takes), string(Refuses), string(Half), string(Silent), string(Down)}
 }
 
-// Phase is a mode that begins at a time.
+// Phase is a period in which a registry behaves by one mode. It lasts until the next phase.
 type Phase struct {
-	From         time.Duration
+	From         time.Duration // start of the phase
 	Mode         Mode
-	ResponseTime time.Duration
-	RetryAfter   time.Duration // with a refusal; 0: none
+	ResponseTime time.Duration // 0: responds at once
+	RetryAfter   time.Duration // header of a rejection; 0: none
 }
 
-// RegistryBehavior is how a fake of an endpoint registry behaves.
+// RegistryBehavior describes how a fake of an endpoint registry behaves.
 type RegistryBehavior struct {
-	Phases       []Phase       // by From; before the first it takes all at once
-	MaxOpenCalls int           // beyond so many open calls it falls over; 0: it never does
-	RecoveryTime time.Duration // for which it takes nothing after it fell over
+	Phases       []Phase       // sorted by From; before the first phase, all reports are accepted at once
+	MaxOpenCalls int           // limit above which the registry collapses; 0: it never collapses
+	RecoveryTime time.Duration // time after a collapse in which no report is accepted
 }
 
-// At is the phase of a time.
-func (b *RegistryBehavior) At(t time.Duration) Phase {
+// At returns the phase of a time.
+func (b *RegistryBehavior) At(at time.Duration) Phase {
 	phase := Phase{Mode: Takes}
 	for _, next := range b.Phases {
-		if next.From <= t {
+		if next.From <= at {
 			phase = next
 		}
 	}
 	return phase
 }
 
-// lastPhase is how long the last phase lasts.
-const lastPhase = time.Hour
+// lastPhaseDuration is the duration of the last phase, longer than any trial.
+const lastPhaseDuration time.Duration = time.Hour
 
-// Until is when the phase ends that begins then.
+// Until returns the end of the phase that begins at the given time.
 func (b *RegistryBehavior) Until(from time.Duration) time.Duration {
-	for _, p := range b.Phases {
-		if p.From > from {
-			return p.From
+	for _, phase := range b.Phases {
+		if phase.From > from {
+			return phase.From
 		}
 	}
-	return from + lastPhase
+	return from + lastPhaseDuration
 }
 
-// Returned is when it takes reports for good: the last phase's beginning; ever is false if that one does not take them.
-func (b *RegistryBehavior) Returned() (at time.Duration, ever bool) {
+// Returned returns the start of the last phase, from which on the registry accepts all reports. It returns false if the
+// last phase does not accept them.
+func (b *RegistryBehavior) Returned() (at time.Duration, ok bool) {
 	if len(b.Phases) == 0 {
 		return 0, true
 	}
--- a/internal/faultinjection/coldstart/bounds.go
+++ b/internal/faultinjection/coldstart/bounds.go
@@ -2,16 +2,17 @@
 
 import "fmt"
 
-// Bounds are what a cold start has to keep to; what is 0 is not judged. The fields are those of Figures.
+// Bounds holds the highest allowed values of fields of Figures. A bound of 0 is not checked.
 type Bounds struct {
-	Refusing float64 // as a part of Ordinary
-	First    float64
-	Peak     float64
-	Conns    int // for each backend
-	Most     float64
+	Refusing float64 // as a fraction of Figures.Ordinary
+	First    float64 // ratio of call rates
+	Peak     float64 // ratio of call rates
+	Conns    int     // connections per backend
+	Most     float64 // seconds
 }
 
-// Violations lists what was not kept to.
+// Violations returns one line for each bound that the figures exceed, and for each collapse, lapsed or missing entry.
+// Stored verdicts contain these lines.
 func (f *Figures) Violations(b Bounds) (all []string) {
 	add := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	if b.Refusing > 0 && f.Refusing > b.Refusing*f.Ordinary {
--- a/internal/faultinjection/coldstart/figures.go
+++ b/internal/faultinjection/coldstart/figures.go
@@ -7,103 +7,114 @@
 	"time"
 )
 
-// Call is one report that reached the endpoint registry.
+// Call is one load report that reached the endpoint registry.
 type Call struct {
-	Name    string
-	At      time.Duration // since its phases began
-	Counted bool          // it was taken
-	Off     bool          // by it the backend left
+	Name    string        // of the backend
+	At      time.Duration // since the registry's phases began
+	Counted bool          // whether the registry accepted the report
+	Off     bool          // whether the backend left the registry with it
 }
 
-// Figures are what was measured of a cold start. "Its return" is when the registry takes reports for good.
+// Figures holds the measurements of a cold start. The registry's return is the time from which on it accepts all
+// reports.
 type Figures struct {
 	Backends  int     `json:"backends"`
-	Ordinary  float64 `json:"ordinary_per_s"` // calls a second if each backend reports as it usually does
-	Refusing  float64 `json:"refusing_per_s"` // while it took nothing, in the mean
-	Worst     float64 `json:"refusing_worst"` // and in the fullest second of it
-	First     float64 `json:"peak_first"`     // the fullest tenth of the first second after its return, over the ordinary mean
-	Peak      float64 `json:"peak"`           // and of all tenths once all were listed, over their mean
-	Half      float64 `json:"half_listed_s"`  // from its return, or from the start, whichever was later
-	Most      float64 `json:"most_listed_s"`  // 95 in a hundred
-	Conns     int     `json:"connections"`    // open at once, at the most
-	Falls     int     `json:"falls"`          // times that it fell over
-	Lapsed    int     `json:"lapsed"`         // entries that went though their backends were there, once listed
-	Listed    int     `json:"listed"`         // at the end
+	Ordinary  float64 `json:"ordinary_per_s"` // calls per second if every backend reports at its usual interval
+	Refusing  float64 `json:"refusing_per_s"` // mean calls per second from the first call to the return
+	Worst     float64 `json:"refusing_worst"` // calls in the busiest second before the return
+	First     float64 `json:"peak_first"`     // busiest tenth of the first second after the return, over the ordinary rate
+	Peak      float64 `json:"peak"`           // busiest tenth of a second after all were listed, over the mean of these
+	Half      float64 `json:"half_listed_s"`  // seconds from the return until half of the backends were listed; -1: never
+	Most      float64 `json:"most_listed_s"`  // seconds from the return until 95% were listed; -1: never
+	Conns     int     `json:"connections"`    // highest number of open connections
+	Falls     int     `json:"falls"`          // collapses of the registry
+	Lapsed    int     `json:"lapsed"`         // entries that expired after they were listed, although the backend ran
+	Listed    int     `json:"listed"`         // entries at the end
 	LapsedFor float64 `json:"lapsed_longest_s"`
-	Starting  int     `json:"starting"` // processes at once that had begun and could not be warm yet
+	Starting  int     `json:"starting"` // highest number of processes that were starting at the same time
 }
 
-// Lapse is how long an entry stands after its last report.
-const Lapse = 3 * time.Second
+// Lapse is the time after the last report at which an entry expires.
+const Lapse time.Duration = 3 * time.Second
 
-const tenth = 100 * time.Millisecond
+const (
+	tenth           time.Duration = time.Second / 10
+	tenthsPerSecond float64       = 10
+	// firstStep is the distance of the overlapping tenths that are examined in the first second.
+	firstStep time.Duration = tenth / 4
+)
 
-// nearlyAll is the share of backends whose listing is waited for.
-const nearlyAll = 0.95
+// Fractions of the backends of Figures.Half and Figures.Most.
+const (
+	halfListed float64 = 0.5
+	mostListed float64 = 0.95
+)
 
-// Measure works the figures out of all calls, which it sorts. reportInterval is the mean time between two reports of
-// one backend; end is when the trial ended.
+// Measure computes the figures from all calls, which it sorts. reportInterval is the mean interval of one backend's
+// reports; end is the end of the trial.
 func Measure(calls []Call, behavior *RegistryBehavior, backends int, reportInterval, end time.Duration) (f Figures) {
-	f.Backends, f.Ordinary = backends, float64(backends)/reportInterval.Seconds()
+	f.Backends = backends
+	f.Ordinary = float64(backends) / reportInterval.Seconds()
 	slices.SortFunc(calls, func(a, b Call) int { return cmp.Compare(a.At, b.At) })
-	back, ever := behavior.Returned()
-	if !ever {
-		back = end
+	returned, ok := behavior.Returned()
+	if !ok {
+		returned = end
 	}
-	f.measureRefusing(calls, back)
-	f.measureListed(calls, back)
-	f.measureBunching(calls, back, end)
-	f.measureLapses(calls, back, end)
+	f.measureRefusing(calls, returned)
+	f.measureListed(calls, returned)
+	f.measureBursts(calls, returned, end)
+	f.measureLapses(calls, returned, end)
 	return f
 }
 
-// measureRefusing counts calls while it took nothing, from when the first was there on: what is not started calls
-// nobody.
-func (f *Figures) measureRefusing(calls []Call, back time.Duration) {
-	if len(calls) == 0 || calls[0].At >= back {
+// measureRefusing measures the calls before the registry's return. It begins with the first call, as backends that have
+// not started send none.
+func (f *Figures) measureRefusing(calls []Call, returned time.Duration) {
+	if len(calls) == 0 || calls[0].At >= returned {
 		return
 	}
 	from := calls[0].At
-	f.Refusing = float64(count(calls, from, back)) / (back - from).Seconds()
-	for at := from; at+time.Second <= back; at += tenth {
+	f.Refusing = float64(count(calls, from, returned)) / (returned - from).Seconds()
+	for at := from; at+time.Second <= returned; at += tenth {
 		f.Worst = max(f.Worst, float64(count(calls, at, at+time.Second)))
 	}
 }
 
-// measureListed finds when backends had their first report taken.
-func (f *Figures) measureListed(calls []Call, back time.Duration) {
+// measureListed measures when the registry accepted the first report of each backend.
+func (f *Figures) measureListed(calls []Call, returned time.Duration) {
 	counted := map[string]bool{}
 	var listed []time.Duration
 	for _, c := range calls {
-		if c.Counted && !c.Off && c.At >= back && !counted[c.Name] {
+		if c.Counted && !c.Off && c.At >= returned && !counted[c.Name] {
 			counted[c.Name] = true
-			listed = append(listed, c.At-back)
+			listed = append(listed, c.At-returned)
 		}
 	}
-	f.Half, f.Most = nth(listed, f.Backends, 0.5), nth(listed, f.Backends, nearlyAll)
+	f.Half = timeListed(listed, f.Backends, halfListed)
+	f.Most = timeListed(listed, f.Backends, mostListed)
 }
 
-// measureBunching finds the fullest tenths of a second after its return.
-func (f *Figures) measureBunching(calls []Call, back, end time.Duration) {
-	for at := back; at < back+time.Second; at += tenth / 4 {
-		f.First = max(f.First, float64(count(calls, at, at+tenth))/(f.Ordinary/10))
+// measureBursts measures the busiest tenths of a second after the registry's return.
+func (f *Figures) measureBursts(calls []Call, returned, end time.Duration) {
+	for at := returned; at < returned+time.Second; at += firstStep {
+		f.First = max(f.First, float64(count(calls, at, at+tenth))/(f.Ordinary/tenthsPerSecond))
 	}
 	if f.Most < 0 {
 		return
 	}
-	// Once nearly all are listed; tenths that do not overlap, as chance is counted by them.
-	from := back + time.Duration(f.Most*float64(time.Second)) + Lapse
-	mean := float64(count(calls, from, end)) / ((end - from).Seconds() * 10)
+	// These tenths do not overlap, so that a burst by chance counts once.
+	from := returned + time.Duration(f.Most*float64(time.Second)) + Lapse
+	mean := float64(count(calls, from, end)) / ((end - from).Seconds() * tenthsPerSecond)
 	for at := from; at+tenth <= end; at += tenth {
 		f.Peak = max(f.Peak, float64(count(calls, at, at+tenth))/mean)
 	}
 }
 
-// measureLapses counts gaps between reports that were taken that were longer than an entry stands.
-func (f *Figures) measureLapses(calls []Call, back, end time.Duration) {
+// measureLapses measures intervals between accepted reports that are longer than Lapse.
+func (f *Figures) measureLapses(calls []Call, returned, end time.Duration) {
 	last := map[string]time.Duration{}
 	for _, c := range calls {
-		if !c.Counted || c.At < back {
+		if !c.Counted || c.At < returned {
 			continue
 		}
 		if previous, ok := last[c.Name]; ok && c.At-previous > Lapse {
@@ -119,20 +130,25 @@
 	}
 }
 
-// nth is when a share of all backends had come, -1 if they never did.
-func nth(sorted []time.Duration, backends int, share float64) float64 {
-	n := int(math.Ceil(share * float64(backends)))
-	if n > len(sorted) || n < 1 {
+// timeListed returns the seconds until a fraction of all backends was listed, or -1 if that never happened.
+func timeListed(listed []time.Duration, backends int, fraction float64) float64 {
+	needed := int(math.Ceil(fraction * float64(backends)))
+	if needed > len(listed) || needed < 1 {
 		return -1
 	}
-	return sorted[n-1].Seconds()
+	return listed[needed-1].Seconds()
 }
 
-// count is how many calls fell into a span; they are sorted.
+// count returns the number of calls in a span, its end excluded. The calls are sorted by time.
 func count(calls []Call, from, to time.Duration) int {
-	at := func(t time.Duration) int {
-		n, _ := slices.BinarySearchFunc(calls, t, func(c Call, t time.Duration) int { return cmp.Compare(c.At, t) })
-		return n
+	before := func(end time.Duration) int {
+		index, _ := slices.BinarySearchFunc(calls, end, func(c Call, at time.Duration) int {
+			return cmp.Compare(
+				c.At,
+				at,
+			)
+		})
+		return index
 	}
-	return at(to) - at(from)
+	return before(to) - before(from)
 }
