--- a/internal/faultinjection/harness/errors.go
+++ b/internal/faultinjection/harness/errors.go
@@ -6,48 +6,60 @@
 	"time"
 )
 
-// ErrNoLeader means that no agent led the quota store when a fault was to hit its leader.
+// ErrNoLeader reports that no agent led the quota store when a fault on its leader was due.
 var ErrNoLeader = errors.New("nobody leads")
 
-// ToolError is a fleet sub-command that failed.
+// ToolError reports a fleet sub-command that failed.
 type ToolError struct {
-	Command        string
-	Stderr, Stdout string
-	Err            error
+	Command string // with its arguments
+	Stderr  string
+	Stdout  string
+	Err     error
 }
 
+// Error names the sub-command and the cause, and quotes the output.
 func (e *ToolError) Error() string {
 	return fmt.Sprintf("fleet %s: %v: %s %s", e.Command, e.Err, e.Stderr, e.Stdout)
 }
 
+// Unwrap returns the cause.
 func (e *ToolError) Unwrap() error { return e.Err }
 
-// WaitError is a condition that did not become true in time.
+// WaitError reports a condition that did not become true within the time limit.
 type WaitError struct {
 	Condition string
 	Limit     time.Duration
 }
 
+// Error names the condition and the limit.
 func (e *WaitError) Error() string { return fmt.Sprintf("no %s within %v", e.Condition, e.Limit) }
 
-// CrashPointError is an agent that did not come to the point at which it was to die.
-type CrashPointError struct{ Host, Point string }
+// CrashPointError reports an agent that did not reach the failpoint at which it was to end.
+type CrashPointError struct {
+	Host  string
+	Point string
+}
 
+// Error names the host and the failpoint.
 func (e *CrashPointError) Error() string {
 	return fmt.Sprintf("%s did not come to %q", e.Host, e.Point)
 }
 
-// UnknownQuotaError is a fault on a quota that the trial does not have.
-type UnknownQuotaError struct{ Name string }
+// UnknownQuotaError reports a fault on a quota that the trial does not have.
+type UnknownQuotaError struct {
+	Name string // of the quota
+}
 
+// Error names the quota.
 func (e *UnknownQuotaError) Error() string { return fmt.Sprintf("no budget %q", e.Name) }
 
-// HoldsError is a schedule that was to be made smaller and held in every attempt.
+// HoldsError reports a schedule that cannot be shrunk, as no attempt at it failed.
 type HoldsError struct {
-	Schedule string
+	Schedule string // name
 	Attempts int
 }
 
+// Error names the schedule and the number of attempts.
 func (e *HoldsError) Error() string {
 	return fmt.Sprintf("%s holds in %d tries: there is nothing to make smaller", e.Schedule, e.Attempts)
 }
--- a/internal/faultinjection/harness/inject_link.go
+++ b/internal/faultinjection/harness/inject_link.go
@@ -6,17 +6,15 @@
 	"milletbarrow/internal/faultinjection/schedule"
 )
 
-// disturbLink injects a fault between two hosts, and takes it back.
+// disturbLink injects a fault between two hosts for its duration, and ends it.
 func (harness *Harness) disturbLink(ctx context.Context, f schedule.Fault) {
-	there, back := harness.mesh.Direction(f.Target, f.Peer), harness.mesh.Direction(f.Peer, f.Target)
+	there := harness.mesh.Direction(f.Target, f.Peer)
+	back := harness.mesh.Direction(f.Peer, f.Target)
 	switch f.Kind {
 	case schedule.Cut:
 		there.Hold(true)
 		pause(ctx, f.Duration)
-		harness.mesh.Reset(
-			f.Target,
-			f.Peer,
-		) // what was lost meanwhile is not delivered by a connection that was given up
+		harness.mesh.Reset(f.Target, f.Peer) // so that held bytes are lost
 		there.Hold(false)
 	case schedule.CutBoth:
 		there.Hold(true)
@@ -44,24 +42,29 @@
 		pause(ctx, f.Duration)
 		harness.mesh.Link(f.Target, f.Peer).Duplicate(0)
 		pause(ctx, f.Offset)
+	default: // kinds that do not concern a link
 	}
 }
 
-// cutOffMinority cuts a host and the next off from all others.
+// minHostsForPair is the number of hosts from which on a host and the next one are a minority.
+const minHostsForPair int = 4
+
+// cutOffMinority isolates a host, and the next one if there are enough hosts, from all others.
 func (harness *Harness) cutOffMinority(ctx context.Context, f schedule.Fault) {
-	a := index(f.Target)
-	few := map[int]bool{a: true, (a + 1) % len(harness.hosts): len(harness.hosts) > 3}
-	each := func(do func(a, b string)) {
+	first := index(f.Target)
+	next := (first + 1) % len(harness.hosts)
+	isolated := map[int]bool{first: true, next: len(harness.hosts) >= minHostsForPair}
+	forEachRoute := func(do func(a, b string)) {
 		for i := range harness.hosts {
 			for j := range harness.hosts {
-				if i != j && few[i] != few[j] {
+				if i != j && isolated[i] != isolated[j] {
 					do(harness.hosts[i].name, harness.hosts[j].name)
 				}
 			}
 		}
 	}
-	each(func(a, b string) { harness.mesh.Direction(a, b).Hold(true) })
+	forEachRoute(func(a, b string) { harness.mesh.Direction(a, b).Hold(true) })
 	pause(ctx, f.Duration)
-	each(harness.mesh.Reset)
-	each(func(a, b string) { harness.mesh.Direction(a, b).Hold(false) })
+	forEachRoute(harness.mesh.Reset)
+	forEachRoute(func(a, b string) { harness.mesh.Direction(a, b).Hold(false) })
 }
--- a/internal/faultinjection/harness/shrink.go
+++ b/internal/faultinjection/harness/shrink.go
@@ -7,51 +7,59 @@
 	"milletbarrow/internal/faultinjection/schedule"
 )
 
-// Shrink takes faults out of a schedule that does not hold, as long as what is left does not. Each schedule is run
-// for so many attempts, as chance has a part in it. Where the context ends it returns the smallest found by then. The
-// error is a *HoldsError if the schedule itself holds in every attempt.
+// OptionsFunc returns the options of a trial of the schedule.
+type OptionsFunc func(*schedule.Schedule) (Options, error)
+
+// Shrink removes faults from a failing schedule as long as the rest still fails. It runs each schedule for up to the
+// given number of attempts, as failures may be intermittent. When the context ends, it returns the smallest failing
+// schedule found by then. It returns a *HoldsError if the schedule itself holds in every attempt.
 func Shrink(
 	ctx context.Context,
 	s *schedule.Schedule,
 	attempts int,
-	options func(*schedule.Schedule) (Options, error),
+	options OptionsFunc,
 ) (*schedule.Schedule, error) {
 	if fails, err := failsOnce(ctx, s, attempts, options); err != nil || !fails {
-		return s, errors.Join(err, &HoldsError{s.Name, attempts})
+		return s, errors.Join(err, &HoldsError{Schedule: s.Name, Attempts: attempts})
 	}
 	for {
-		smaller, err := smallerThatFails(ctx, s, attempts, options)
-		if smaller == nil || err != nil {
+		smaller, found, err := smallerThatFails(ctx, s, attempts, options)
+		if !found || err != nil {
 			return s, err
 		}
 		s = smaller
 	}
 }
 
-// smallerThatFails is the first smaller schedule that does not hold; nil: there is none, or the context has ended.
+// smallerThatFails returns the first smaller schedule that fails. found is false if there is none or the context has
+// ended.
 func smallerThatFails(
 	ctx context.Context,
 	s *schedule.Schedule,
 	attempts int,
-	options func(*schedule.Schedule) (Options, error),
-) (*schedule.Schedule, error) {
+	options OptionsFunc,
+) (smaller *schedule.Schedule, found bool, err error) {
 	for _, smaller := range s.Smaller() {
-		if ctx.Err() != nil {
-			return nil, nil
+		if isDone(ctx) {
+			return nil, false, nil
 		}
-		if fails, err := failsOnce(ctx, smaller, attempts, options); err != nil || fails {
-			return smaller, err
+		fails, err := failsOnce(ctx, smaller, attempts, options)
+		if err != nil {
+			return nil, false, err
+		}
+		if fails {
+			return smaller, true, nil
 		}
 	}
-	return nil, nil
+	return nil, false, nil
 }
 
-// failsOnce reports whether a schedule does not hold in one of some attempts.
+// failsOnce reports whether a schedule fails in one of the attempts.
 func failsOnce(
 	ctx context.Context,
 	s *schedule.Schedule,
 	attempts int,
-	options func(*schedule.Schedule) (Options, error),
+	options OptionsFunc,
 ) (bool, error) {
 	for range attempts {
 		o, err := options(s)
@@ -62,9 +70,11 @@
 		if err != nil {
 			return false, err
 		}
-		if !v.OK && ctx.Err() == nil {
+		if !v.OK && !isDone(ctx) {
 			return true, nil
 		}
 	}
 	return false, nil
 }
+
+func isDone(ctx context.Context) bool { return ctx.Err() != nil }
