--- a/internal/faultinjection/harness/inject.go
+++ b/internal/faultinjection/harness/inject.go
@@ -14,13 +14,13 @@
 	"milletbarrow/internal/process"
 )
 
-// index of a host by its name, of a backend by its own.
+// index returns the index of a host or backend by its name, which is a letter and a number from 1 on.
 func index(name string) int {
-	n, _ := strconv.Atoi(name[1:])
-	return n - 1
+	number, _ := strconv.Atoi(name[1:])
+	return number - 1
 }
 
-// inject brings one fault about and takes it back.
+// inject injects one fault for its duration, and ends it.
 func (harness *Harness) inject(ctx context.Context, f schedule.Fault) error {
 	switch f.Kind {
 	case schedule.Cut,
@@ -47,7 +47,13 @@
 			return ErrNoLeader
 		}
 		f.Target = s.Leader
+	default: // faults of one agent
 	}
+	return harness.disturbAgent(ctx, f)
+}
+
+// disturbAgent injects a fault into one host's agent.
+func (harness *Harness) disturbAgent(ctx context.Context, f schedule.Fault) error {
 	h := harness.hosts[index(f.Target)]
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,19 +68,20 @@
 		return harness.crashAt(h, f)
 	case schedule.StaleStore:
 		return harness.restoreStaleStore(ctx, h, f.Duration)
+	default: // KillAgent and KillLeader
+		h.killAgent()
+		pause(ctx, f.Duration)
+		return harness.startAgent(h)
 	}
-	h.killAgent()
-	pause(ctx, f.Duration)
-	return harness.startAgent(h)
 }
 
-// fullDisk lets the host's agent write nothing for a while; one that ends itself is started again, as an operator
-// would.
-func (harness *Harness) fullDisk(ctx context.Context, h *host, span time.Duration) error {
+// fullDisk prevents the host's agent from writing for a duration. If the agent ends, it is restarted, as by an
+// operator.
+func (harness *Harness) fullDisk(ctx context.Context, h *host, duration time.Duration) error {
 	if err := limitFiles(h.cmd.Process.Pid, true); err != nil {
 		return err
 	}
-	pause(ctx, span)
+	pause(ctx, duration)
 	select {
 	case <-h.ended:
 		return harness.startAgent(h)
@@ -83,30 +90,37 @@
 	}
 }
 
-// minCrashWait is how long an agent is waited for at the least until it comes to a crash point. It passes one within a
-// lease on a machine with time for it.
-const minCrashWait = 30 * time.Second
+// minCrashWait is the least time to wait until an agent reaches a failpoint. On an idle machine, it reaches one within
+// a lease.
+const minCrashWait time.Duration = 30 * time.Second
+
+// Permissions of the harness's files.
+const (
+	directoryMode os.FileMode = 0o700
+	fileMode      os.FileMode = 0o600
+)
 
-// crashAt has the host's agent die at a named point of its code, and starts it again.
+// crashAt makes the host's agent end at a failpoint, and restarts it.
 func (harness *Harness) crashAt(h *host, f schedule.Fault) error {
 	dir := filepath.Join(harness.site.Dir, "points", h.name)
-	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(filepath.Join(dir, f.Name), nil, 0o600)); err != nil {
+	marker := filepath.Join(dir, f.Name)
+	if err := errors.Join(os.MkdirAll(dir, directoryMode), os.WriteFile(marker, nil, fileMode)); err != nil {
 		return err
 	}
 	select {
 	case <-h.ended:
 	case <-time.After(max(f.Duration, minCrashWait)):
-		_ = os.Remove(filepath.Join(dir, f.Name))
-		if !h.hasEnded() { // else it came to the point at the last moment
-			return &CrashPointError{h.name, f.Name}
+		_ = os.Remove(marker)
+		if !h.hasEnded() { // it may have reached the failpoint meanwhile
+			return &CrashPointError{Host: h.name, Point: f.Name}
 		}
 	}
 	harness.options.Logf("%s died at %q", h.name, f.Name)
 	return harness.startAgent(h)
 }
 
-// blackout kills all agents at once.
-func (harness *Harness) blackout(ctx context.Context, gone time.Duration) error {
+// blackout kills all agents at once, and restarts them after a duration.
+func (harness *Harness) blackout(ctx context.Context, duration time.Duration) error {
 	for _, h := range harness.hosts {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -117,7 +131,7 @@
 	for _, h := range harness.hosts {
 		<-h.ended
 	}
-	pause(ctx, gone)
+	pause(ctx, duration)
 	errs := make([]error, 0, len(harness.hosts))
 	for _, h := range harness.hosts {
 		errs = append(errs, harness.startAgent(h))
@@ -125,26 +139,23 @@
 	return errors.Join(errs...)
 }
 
-// old kills an agent, and starts it on a copy of its quota store that was made some seconds before.
-func (harness *Harness) restoreStaleStore(ctx context.Context, h *host, after time.Duration) error {
-	at, copied := filepath.Join(
-		h.dir,
-		"ledger",
-	), filepath.Join(
-		harness.site.Dir,
-		"copies",
-		fmt.Sprint(h.name, "-", int64(process.Now())),
-	)
-	// The copy is taken of a process that is stopped, so that it is one that a disk could hold.
+// minStoreAge is the least age of the copy that restoreStaleStore restores.
+const minStoreAge time.Duration = 3 * time.Second
+
+// restoreStaleStore copies an agent's quota store, kills the agent later, and restarts it with the copy.
+func (harness *Harness) restoreStaleStore(ctx context.Context, h *host, delay time.Duration) error {
+	store := filepath.Join(h.dir, "ledger")
+	copied := filepath.Join(harness.site.Dir, "copies", fmt.Sprint(h.name, "-", int64(process.Now())))
+	// The agent is stopped meanwhile, so that the copy is a state that its disk could hold after a crash.
 	_ = h.cmd.Process.Signal(syscall.SIGSTOP)
-	err := os.CopyFS(copied, os.DirFS(at))
+	err := os.CopyFS(copied, os.DirFS(store))
 	_ = h.cmd.Process.Signal(syscall.SIGCONT)
 	if err != nil {
 		return err
 	}
-	pause(ctx, 3*time.Second+after)
+	pause(ctx, minStoreAge+delay)
 	h.killAgent()
-	if err := errors.Join(os.RemoveAll(at), os.CopyFS(at, os.DirFS(copied))); err != nil {
+	if err := errors.Join(os.RemoveAll(store), os.CopyFS(store, os.DirFS(copied))); err != nil {
 		return err
 	}
 	return harness.startAgent(h)
