--- a/internal/faultinjection/harness/inject_backend.go
+++ b/internal/faultinjection/harness/inject_backend.go
@@ -12,40 +12,49 @@
 	"milletbarrow/internal/process"
 )
 
-// disturbBackend injects a fault into one backend's processes, by what its supervisor recorded.
+// disturbBackend injects a fault into one backend's processes, which its supervisor recorded.
 func (harness *Harness) disturbBackend(ctx context.Context, f schedule.Fault) error {
-	n := index(f.Target)
-	h := harness.hosts[n%len(harness.hosts)]
-	l := harness.processesOf(h, f.Target)
-	config := filepath.Join(harness.site.Dir, f.Target+".json")
+	h := harness.hosts[index(f.Target)%len(harness.hosts)]
+	processes := harness.processesOf(h, f.Target)
 	switch f.Kind {
 	case schedule.StopBackend:
-		if err := l.Backend.Signal(syscall.SIGSTOP); err != nil {
+		if err := processes.Backend.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
 		pause(ctx, f.Duration)
-		if err := l.Backend.Signal(syscall.SIGCONT); !errors.Is(err, process.ErrGone) {
+		if err := processes.Backend.Signal(syscall.SIGCONT); !errors.Is(err, process.ErrGone) {
 			return err
 		}
 	case schedule.KillBackend:
-		return l.Backend.Signal(syscall.SIGKILL)
+		return processes.Backend.Signal(syscall.SIGKILL)
 	case schedule.KillSupervisor:
-		return l.Supervisor.Signal(syscall.SIGKILL)
+		return processes.Supervisor.Signal(syscall.SIGKILL)
 	case schedule.BadStart:
-		if err := os.Rename(config, config+".away"); err != nil {
-			return err
-		}
-		err := l.Backend.Signal(syscall.SIGKILL)
-		pause(ctx, f.Duration)
-		if errBack := os.Rename(config+".away", config); errBack != nil {
-			return errBack
-		}
-		// Given up by its agent: an operator asks for it again, as often as it takes.
-		errAgain := harness.waitFor(ctx, time.Minute, "start of "+f.Target, func() bool {
-			_, err := harness.Tool(ctx, "start", f.Target, "--quiet", "--wait=false", "--within", "30s")
-			return err == nil
-		})
-		return errors.Join(err, errAgain)
+		return harness.failStart(ctx, f, processes.Backend)
+	default: // kinds that do not concern a backend
 	}
 	return nil
 }
+
+// restartLimit is the time in which a backend has to accept its restart after a failed start.
+const restartLimit time.Duration = time.Minute
+
+// failStart kills a backend whose configuration file is absent for the fault's duration, and restarts it.
+func (harness *Harness) failStart(ctx context.Context, f schedule.Fault, backend process.Identity) error {
+	config := filepath.Join(harness.site.Dir, f.Target+".json")
+	hidden := config + ".away"
+	if err := os.Rename(config, hidden); err != nil {
+		return err
+	}
+	killErr := backend.Signal(syscall.SIGKILL)
+	pause(ctx, f.Duration)
+	if err := os.Rename(hidden, config); err != nil {
+		return err
+	}
+	// The agent may have given up, so the start is requested until it is accepted.
+	startErr := harness.waitFor(ctx, restartLimit, "start of "+f.Target, func() bool {
+		_, err := harness.Tool(ctx, "start", f.Target, "--quiet", "--wait=false", "--within", "30s")
+		return err == nil
+	})
+	return errors.Join(killErr, startErr)
+}
