--- a/internal/faultinjection/checker/draws_test.go
+++ b/internal/faultinjection/checker/draws_test.go
@@ -59,114 +59,119 @@
 	}
 }
 
+// total10 limits the quota b to 10 units per second.
+var total10 = Limits{"b": {{0, 10}}}
+
+// drawsWithinSpans lists logs with the breaches in spans of 500 ms.
+var drawsWithinSpans = []struct {
+	name     string
+	totals   Limits
+	log      string
+	burst    int64
+	breaches int
+	excess   int64
+}{
+	{
+		name:     "the total and the burst",
+		totals:   total10,
+		log:      "clock 1 0\ndrew 1000 500000 b 12\n",
+		burst:    7,
+		breaches: 0,
+		excess:   7,
+	},
+	{
+		name:     "one more",
+		totals:   total10,
+		log:      "clock 1 0\ndrew 1000 500000 b 13\n",
+		burst:    7,
+		breaches: 1,
+		excess:   8,
+	},
+	{
+		name:     "to the last instant of the span",
+		totals:   total10,
+		log:      "clock 1 0\ndrew 1000 501000 b 13\n",
+		burst:    7,
+		breaches: 1,
+		excess:   8,
+	},
+	{
+		name:     "an instant beyond the span",
+		totals:   total10,
+		log:      "clock 1 0\ndrew 1000 501001 b 13\n",
+		burst:    7,
+		breaches: 0,
+		excess:   0,
+	},
+	{
+		name:     "from the last instant of the span",
+		totals:   total10,
+		log:      "clock 1 0\ndrew 1000 2000 b 6\ndrew 500999 501000 b 6\n",
+		burst:    0,
+		breaches: 2,
+		excess:   7,
+	},
+	{
+		name:     "begun as the span ends",
+		totals:   total10,
+		log:      "clock 1 0\ndrew 1000 2000 b 5\ndrew 501000 501000 b 5\n",
+		burst:    0,
+		breaches: 0,
+		excess:   0,
+	},
+	{
+		name:     "the allowed units are rounded up",
+		totals:   Limits{"b": {{0, 11}}},
+		log:      "clock 1 0\ndrew 1000 500000 b 6\n",
+		burst:    0,
+		breaches: 0,
+		excess:   0,
+	},
+	{
+		name:     "a higher total that begins in the span",
+		totals:   Limits{"b": {{0, 10}, {300_000, 30}}},
+		log:      "clock 1 0\ndrew 1000 500000 b 15\n",
+		burst:    0,
+		breaches: 0,
+		excess:   0,
+	},
+	{
+		name:     "a higher total that ends in the span",
+		totals:   Limits{"b": {{0, 30}, {300_000, 10}}},
+		log:      "clock 1 0\ndrew 1000 500000 b 15\n",
+		burst:    0,
+		breaches: 0,
+		excess:   0,
+	},
+	{
+		name:     "a higher total that begins with the span's end",
+		totals:   Limits{"b": {{0, 10}, {501_000, 30}}},
+		log:      "clock 1 0\ndrew 1000 501000 b 15\n",
+		burst:    0,
+		breaches: 1,
+		excess:   10,
+	},
+	{
+		name:     "a lower total in force",
+		totals:   Limits{"b": {{0, 30}, {1000, 10}}},
+		log:      "clock 1 0\ndrew 1000 500000 b 15\n",
+		burst:    0,
+		breaches: 1,
+		excess:   10,
+	},
+	{
+		name:     "a draw of another quota",
+		totals:   total10,
+		log:      "clock 1 0\ndrew 1000 500000 c 60\n",
+		burst:    0,
+		breaches: 0,
+		excess:   0,
+	},
+}
+
 // TestDrawsWithinSpans verifies which draws count for a span, and that one unit above total and burst is a breach.
 func TestDrawsWithinSpans(t *testing.T) {
-	limits := Limits{"b": {{0, 10}}}
-	for _, c := range []struct {
-		name     string
-		totals   Limits
-		log      string
-		burst    int64
-		breaches int
-		excess   int64
-	}{
-		{
-			name:     "the total and the burst",
-			totals:   limits,
-			log:      "clock 1 0\ndrew 1000 500000 b 12\n",
-			burst:    7,
-			breaches: 0,
-			excess:   7,
-		},
-		{
-			name:     "one more",
-			totals:   limits,
-			log:      "clock 1 0\ndrew 1000 500000 b 13\n",
-			burst:    7,
-			breaches: 1,
-			excess:   8,
-		},
-		{
-			name:     "to the last instant of the span",
-			totals:   limits,
-			log:      "clock 1 0\ndrew 1000 501000 b 13\n",
-			burst:    7,
-			breaches: 1,
-			excess:   8,
-		},
-		{
-			name:     "an instant beyond the span",
-			totals:   limits,
-			log:      "clock 1 0\ndrew 1000 501001 b 13\n",
-			burst:    7,
-			breaches: 0,
-			excess:   0,
-		},
-		{
-			name:     "from the last instant of the span",
-			totals:   limits,
-			log:      "clock 1 0\ndrew 1000 2000 b 6\ndrew 500999 501000 b 6\n",
-			burst:    0,
-			breaches: 2,
-			excess:   7,
-		},
-		{
-			name:     "begun as the span ends",
-			totals:   limits,
-			log:      "clock 1 0\ndrew 1000 2000 b 5\ndrew 501000 501000 b 5\n",
-			burst:    0,
-			breaches: 0,
-			excess:   0,
-		},
-		{
-			name:     "the allowed units are rounded up",
-			totals:   Limits{"b": {{0, 11}}},
-			log:      "clock 1 0\ndrew 1000 500000 b 6\n",
-			burst:    0,
-			breaches: 0,
-			excess:   0,
-		},
-		{
-			name:     "a higher total that begins in the span",
-			totals:   Limits{"b": {{0, 10}, {300_000, 30}}},
-			log:      "clock 1 0\ndrew 1000 500000 b 15\n",
-			burst:    0,
-			breaches: 0,
-			excess:   0,
-		},
-		{
-			name:     "a higher total that ends in the span",
-			totals:   Limits{"b": {{0, 30}, {300_000, 10}}},
-			log:      "clock 1 0\ndrew 1000 500000 b 15\n",
-			burst:    0,
-			breaches: 0,
-			excess:   0,
-		},
-		{
-			name:     "a higher total that begins with the span's end",
-			totals:   Limits{"b": {{0, 10}, {501_000, 30}}},
-			log:      "clock 1 0\ndrew 1000 501000 b 15\n",
-			burst:    0,
-			breaches: 1,
-			excess:   10,
-		},
-		{
-			name:     "a lower total in force",
-			totals:   Limits{"b": {{0, 30}, {1000, 10}}},
-			log:      "clock 1 0\ndrew 1000 500000 b 15\n",
-			burst:    0,
-			breaches: 1,
-			excess:   10,
-		},
-		{
-			name:     "a draw of another quota",
-			totals:   limits,
-			log:      "clock 1 0\ndrew 1000 500000 c 60\n",
-			burst:    0,
-			breaches: 0,
-			excess:   0,
-		},
-	} {
+	for _, c := range drawsWithinSpans {
 		t.Run(c.name, func(t *testing.T) {
 			r := Report{Quota: "b"}
 			r.CheckDraws(processes(t, c.log), c.totals, c.burst, 500_000)
--- a/internal/faultinjection/checker/grants_test.go
+++ b/internal/faultinjection/checker/grants_test.go
@@ -92,176 +92,179 @@
 	}
 }
 
-// TestBreachesOfTotal verifies that grants up to the total are no breach, and that one unit more is a breach for as
-// long as it is in force.
-func TestBreachesOfTotal(t *testing.T) {
-	limits := Limits{"b": {{0, 10}}}
-	for _, c := range []struct {
-		name     string
-		logs     []string
-		breaches []Breach
-	}{
-		{
-			name: "grants at the total",
-			logs: []string{
-				"clock 1 0\nhave 100 b 1 4 0 0\nhere 900\n",
-				"clock 1 0\nhave 200 b 1 6 0 0\nhere 800\n",
-			},
-			breaches: nil,
+// totalBreaches lists logs with the breaches of a total of 10.
+var totalBreaches = []struct {
+	name     string
+	logs     []string
+	breaches []Breach
+}{
+	{
+		name: "grants at the total",
+		logs: []string{
+			"clock 1 0\nhave 100 b 1 4 0 0\nhere 900\n",
+			"clock 1 0\nhave 200 b 1 6 0 0\nhere 800\n",
 		},
-		{
-			name: "one unit above the total",
-			logs: []string{"clock 1 0\nhave 100 b 1 4 0 0\nhere 900\n", "clock 1 0\nhave 200 b 2 7 0 0\nhere 800\n"},
-			breaches: []Breach{
-				{Quota: "b", Rule: RuleGrantsInForce, At: 200, Duration: 600, Found: 11, Limit: 10, Holders: []Holder{
-					{Name: "n1", Epoch: 1, Floor: 4}, {Name: "n2", Epoch: 2, Floor: 7}}},
-			},
+		breaches: nil,
+	},
+	{
+		name: "one unit above the total",
+		logs: []string{"clock 1 0\nhave 100 b 1 4 0 0\nhere 900\n", "clock 1 0\nhave 200 b 2 7 0 0\nhere 800\n"},
+		breaches: []Breach{
+			{Quota: "b", Rule: RuleGrantsInForce, At: 200, Duration: 600, Found: 11, Limit: 10, Holders: []Holder{
+				{Name: "n1", Epoch: 1, Floor: 4}, {Name: "n2", Epoch: 2, Floor: 7}}},
 		},
-		{
-			name: "one unit above the total after another grant",
-			logs: []string{
-				"clock 1 0\nhave 100 b 1 4 0 0\nhave 300 b 5 5 0 0\nhere 900\n",
-				"clock 1 0\nhave 200 b 2 6 0 0\nhere 800\n",
-			},
-			breaches: []Breach{
-				{Quota: "b", Rule: RuleGrantsInForce, At: 300, Duration: 500, Found: 11, Limit: 10, Holders: []Holder{
-					{Name: "n1", Epoch: 5, Floor: 5}, {Name: "n2", Epoch: 2, Floor: 6}}},
-			},
+	},
+	{
+		name: "one unit above the total after another grant",
+		logs: []string{
+			"clock 1 0\nhave 100 b 1 4 0 0\nhave 300 b 5 5 0 0\nhere 900\n",
+			"clock 1 0\nhave 200 b 2 6 0 0\nhere 800\n",
 		},
-		{
-			name: "an ended grant is not listed",
-			logs: []string{
-				"clock 1 0\nhave 10 b 3 9 0 0\nhave 20 b 4 0 0 0\nhere 900\n",
-				"clock 1 0\nhave 200 b 2 4 7 100\nhere 800\n",
-			},
-			breaches: []Breach{
-				{
-					Quota:    "b",
-					Rule:     RuleGrantsInForce,
-					At:       200,
-					Duration: 100,
-					Found:    11,
-					Limit:    10,
-					Holders:  []Holder{{Name: "n2", Epoch: 2, Floor: 4, Extra: 7}},
-				},
-			},
+		breaches: []Breach{
+			{Quota: "b", Rule: RuleGrantsInForce, At: 300, Duration: 500, Found: 11, Limit: 10, Holders: []Holder{
+				{Name: "n1", Epoch: 5, Floor: 5}, {Name: "n2", Epoch: 2, Floor: 6}}},
 		},
-		{
-			name: "an epoch outlasts its lease",
-			logs: []string{"clock 1 0\nhave 100 b 7 4 1 50\nhere 900\n", "clock 1 0\nhave 200 b 2 7 0 0\nhere 800\n"},
-			breaches: []Breach{
-				{Quota: "b", Rule: RuleGrantsInForce, At: 200, Duration: 600, Found: 11, Limit: 10, Holders: []Holder{
-					{Name: "n1", Epoch: 7, Floor: 4}, {Name: "n2", Epoch: 2, Floor: 7}}},
-			},
+	},
+	{
+		name: "an ended grant is not listed",
+		logs: []string{
+			"clock 1 0\nhave 10 b 3 9 0 0\nhave 20 b 4 0 0 0\nhere 900\n",
+			"clock 1 0\nhave 200 b 2 4 7 100\nhere 800\n",
 		},
-		{
-			name: "an epoch replaced at the same instant",
-			logs: []string{"clock 1 0\nhave 100 b 7 20 0 0\nhave 100 b 8 11 0 0\nhere 900\n"},
-			breaches: []Breach{
-				{
-					Quota:    "b",
-					Rule:     RuleGrantsInForce,
-					At:       100,
-					Duration: 800,
-					Found:    11,
-					Limit:    10,
-					Holders:  []Holder{{Name: "n1", Epoch: 8, Floor: 11}},
-				},
+		breaches: []Breach{
+			{
+				Quota:    "b",
+				Rule:     RuleGrantsInForce,
+				At:       200,
+				Duration: 100,
+				Found:    11,
+				Limit:    10,
+				Holders:  []Holder{{Name: "n2", Epoch: 2, Floor: 4, Extra: 7}},
 			},
 		},
-		{
-			name: "an empty lease does not split a breach",
-			logs: []string{"clock 1 0\nhave 100 b 1 11 0 50\nhere 900\n"},
-			breaches: []Breach{
-				{
-					Quota:    "b",
-					Rule:     RuleGrantsInForce,
-					At:       100,
-					Duration: 800,
-					Found:    11,
-					Limit:    10,
-					Holders:  []Holder{{Name: "n1", Epoch: 1, Floor: 11}},
-				},
-			},
+	},
+	{
+		name: "an epoch outlasts its lease",
+		logs: []string{"clock 1 0\nhave 100 b 7 4 1 50\nhere 900\n", "clock 1 0\nhave 200 b 2 7 0 0\nhere 800\n"},
+		breaches: []Breach{
+			{Quota: "b", Rule: RuleGrantsInForce, At: 200, Duration: 600, Found: 11, Limit: 10, Holders: []Holder{
+				{Name: "n1", Epoch: 7, Floor: 4}, {Name: "n2", Epoch: 2, Floor: 7}}},
 		},
-		{
-			name: "a grant without duration does not split a breach",
-			logs: []string{"clock 1 0\nhave 100 b 1 11 0 0\nhere 900\n", "clock 1 0\nhave 500 b 1 1 0 0\n"},
-			breaches: []Breach{
-				{
-					Quota:    "b",
-					Rule:     RuleGrantsInForce,
-					At:       100,
-					Duration: 800,
-					Found:    11,
-					Limit:    10,
-					Holders:  []Holder{{Name: "n1", Epoch: 1, Floor: 11}},
-				},
+	},
+	{
+		name: "an epoch replaced at the same instant",
+		logs: []string{"clock 1 0\nhave 100 b 7 20 0 0\nhave 100 b 8 11 0 0\nhere 900\n"},
+		breaches: []Breach{
+			{
+				Quota:    "b",
+				Rule:     RuleGrantsInForce,
+				At:       100,
+				Duration: 800,
+				Found:    11,
+				Limit:    10,
+				Holders:  []Holder{{Name: "n1", Epoch: 8, Floor: 11}},
 			},
 		},
-		{
-			name: "a negative lease hides no breach",
-			logs: []string{
-				"clock 1 0\nhave 100 b 1 0 10 -50\nhere 900\n",
-				"clock 1 0\nhave 60 b 2 11 0 0\nhave 90 b 3 0 0 0\nhere 900\n",
-			},
-			breaches: []Breach{
-				{
-					Quota:    "b",
-					Rule:     RuleGrantsInForce,
-					At:       60,
-					Duration: 30,
-					Found:    11,
-					Limit:    10,
-					Holders:  []Holder{{Name: "n2", Epoch: 2, Floor: 11}},
-				},
+	},
+	{
+		name: "an empty lease does not split a breach",
+		logs: []string{"clock 1 0\nhave 100 b 1 11 0 50\nhere 900\n"},
+		breaches: []Breach{
+			{
+				Quota:    "b",
+				Rule:     RuleGrantsInForce,
+				At:       100,
+				Duration: 800,
+				Found:    11,
+				Limit:    10,
+				Holders:  []Holder{{Name: "n1", Epoch: 1, Floor: 11}},
 			},
 		},
-		{
-			name: "a lease beyond the last entry",
-			logs: []string{
-				"clock 1 0\nhave 100 b 1 0 8 5000\nhere 400\n",
-				"clock 1 0\nhave 401 b 1 0 8 5000\nhere 900\n",
+	},
+	{
+		name: "a grant without duration does not split a breach",
+		logs: []string{"clock 1 0\nhave 100 b 1 11 0 0\nhere 900\n", "clock 1 0\nhave 500 b 1 1 0 0\n"},
+		breaches: []Breach{
+			{
+				Quota:    "b",
+				Rule:     RuleGrantsInForce,
+				At:       100,
+				Duration: 800,
+				Found:    11,
+				Limit:    10,
+				Holders:  []Holder{{Name: "n1", Epoch: 1, Floor: 11}},
 			},
-			breaches: nil,
 		},
-		{
-			name: "a lease beyond the next grant",
-			logs: []string{
-				"clock 1 0\nhave 100 b 1 0 8 5000\nhave 300 b 2 0 0 0\nhere 900\n",
-				"clock 1 0\nhave 300 b 1 0 8 5000\nhere 900\n",
-			},
-			breaches: nil,
+	},
+	{
+		name: "a negative lease hides no breach",
+		logs: []string{
+			"clock 1 0\nhave 100 b 1 0 10 -50\nhere 900\n",
+			"clock 1 0\nhave 60 b 2 11 0 0\nhave 90 b 3 0 0 0\nhere 900\n",
 		},
-		{
-			name:     "a grant without duration",
-			logs:     []string{"clock 1 0\nhave 100 b 1 11 11 500\nhave 100 b 1 1 1 500\nhere 900\n"},
-			breaches: nil,
+		breaches: []Breach{
+			{
+				Quota:    "b",
+				Rule:     RuleGrantsInForce,
+				At:       60,
+				Duration: 30,
+				Found:    11,
+				Limit:    10,
+				Holders:  []Holder{{Name: "n2", Epoch: 2, Floor: 11}},
+			},
 		},
-		{
-			name:     "an expired lease",
-			logs:     []string{"clock 1 0\nhave 100 b 1 1 10 0\nhere 900\n"},
-			breaches: nil,
+	},
+	{
+		name: "a lease beyond the last entry",
+		logs: []string{
+			"clock 1 0\nhave 100 b 1 0 8 5000\nhere 400\n",
+			"clock 1 0\nhave 401 b 1 0 8 5000\nhere 900\n",
 		},
-		{
-			name:     "a grant as the last entry",
-			logs:     []string{"clock 1 0\nhave 100 b 1 11 11 500\n"},
-			breaches: nil,
+		breaches: nil,
+	},
+	{
+		name: "a lease beyond the next grant",
+		logs: []string{
+			"clock 1 0\nhave 100 b 1 0 8 5000\nhave 300 b 2 0 0 0\nhere 900\n",
+			"clock 1 0\nhave 300 b 1 0 8 5000\nhere 900\n",
 		},
-		{
-			name: "handover at one instant",
-			logs: []string{
-				"clock 1 0\nhave 100 b 1 9 0 0\nhave 300 b 2 0 0 0\nhere 900\n",
-				"clock 1 0\nhave 300 b 2 9 0 0\nhere 900\n",
-			},
-			breaches: nil,
+		breaches: nil,
+	},
+	{
+		name:     "a grant without duration",
+		logs:     []string{"clock 1 0\nhave 100 b 1 11 11 500\nhave 100 b 1 1 1 500\nhere 900\n"},
+		breaches: nil,
+	},
+	{
+		name:     "an expired lease",
+		logs:     []string{"clock 1 0\nhave 100 b 1 1 10 0\nhere 900\n"},
+		breaches: nil,
+	},
+	{
+		name:     "a grant as the last entry",
+		logs:     []string{"clock 1 0\nhave 100 b 1 11 11 500\n"},
+		breaches: nil,
+	},
+	{
+		name: "handover at one instant",
+		logs: []string{
+			"clock 1 0\nhave 100 b 1 9 0 0\nhave 300 b 2 0 0 0\nhere 900\n",
+			"clock 1 0\nhave 300 b 2 9 0 0\nhere 900\n",
 		},
-		{
-			name:     "grants of another quota",
-			logs:     []string{"clock 1 0\nhave 100 b 1 9 0 0\nhave 200 c 1 9 0 0\nhere 900\n"},
-			breaches: nil,
-		},
-	} {
+		breaches: nil,
+	},
+	{
+		name:     "grants of another quota",
+		logs:     []string{"clock 1 0\nhave 100 b 1 9 0 0\nhave 200 c 1 9 0 0\nhere 900\n"},
+		breaches: nil,
+	},
+}
+
+// TestBreachesOfTotal verifies that grants up to the total are no breach, and that one unit more is a breach for as
+// long as it is in force.
+func TestBreachesOfTotal(t *testing.T) {
+	limits := Limits{"b": {{0, 10}}}
+	for _, c := range totalBreaches {
 		t.Run(c.name, func(t *testing.T) {
 			r := CheckGrants(processes(t, c.logs...), "b", limits, 0, 1000)
 			if !reflect.DeepEqual(
--- a/internal/faultinjection/checker/processes_test.go
+++ b/internal/faultinjection/checker/processes_test.go
@@ -20,107 +20,110 @@
 	}
 }
 
-// TestUnavailableSpans verifies that a backend counts as unavailable between two of its processes, if the outage began
-// in the span.
-func TestUnavailableSpans(t *testing.T) {
-	for _, c := range []struct {
-		name     string
-		logs     []string // of n1, n2, n1, n2
-		from, to int64
-		most     int
-	}{
-		{
-			name: "overlapping",
-			logs: []string{
-				"clock 1 0\nhere 100\n",
-				"clock 1 0\nhere 200\n",
-				"clock 300 0\nhere 900\n",
-				"clock 300 0\nhere 900\n",
-			},
-			from: 0,
-			to:   1000,
-			most: 2,
+// unavailableSpans lists logs of the backends n1, n2, n1 and n2 with the highest number unavailable.
+var unavailableSpans = []struct {
+	name     string
+	logs     []string // of n1, n2, n1, n2
+	from, to int64
+	most     int
+}{
+	{
+		name: "overlapping",
+		logs: []string{
+			"clock 1 0\nhere 100\n",
+			"clock 1 0\nhere 200\n",
+			"clock 300 0\nhere 900\n",
+			"clock 300 0\nhere 900\n",
 		},
-		{
-			name: "one returns as the other ends",
-			logs: []string{
-				"clock 1 0\nhere 100\n",
-				"clock 1 0\nhere 200\n",
-				"clock 200 0\nhere 900\n",
-				"clock 300 0\nhere 900\n",
-			},
-			from: 0,
-			to:   1000,
-			most: 1,
-		},
-		{
-			name: "successors before the ends",
-			logs: []string{
-				"clock 1 0\nhere 100\n",
-				"clock 1 0\nhere 200\n",
-				"clock 90 0\nhere 900\n",
-				"clock 150 0\nhere 900\n",
-			},
-			from: 0,
-			to:   1000,
-			most: 0,
+		from: 0,
+		to:   1000,
+		most: 2,
+	},
+	{
+		name: "one returns as the other ends",
+		logs: []string{
+			"clock 1 0\nhere 100\n",
+			"clock 1 0\nhere 200\n",
+			"clock 200 0\nhere 900\n",
+			"clock 300 0\nhere 900\n",
 		},
-		{
-			name: "one successor before an end, one after",
-			logs: []string{
-				"clock 1 0\nhere 200\n",
-				"clock 1 0\nhere 100\n",
-				"clock 90 0\nhere 900\n",
-				"clock 150 0\nhere 900\n",
-			},
-			from: 0,
-			to:   1000,
-			most: 1,
+		from: 0,
+		to:   1000,
+		most: 1,
+	},
+	{
+		name: "successors before the ends",
+		logs: []string{
+			"clock 1 0\nhere 100\n",
+			"clock 1 0\nhere 200\n",
+			"clock 90 0\nhere 900\n",
+			"clock 150 0\nhere 900\n",
 		},
-		{
-			name: "an outage that began before the span",
-			logs: []string{
-				"clock 1 0\nhere 100\n",
-				"clock 1 0\nhere 200\n",
-				"clock 300 0\nhere 900\n",
-				"clock 300 0\nhere 900\n",
-			},
-			from: 200,
-			to:   1000,
-			most: 1,
+		from: 0,
+		to:   1000,
+		most: 0,
+	},
+	{
+		name: "one successor before an end, one after",
+		logs: []string{
+			"clock 1 0\nhere 200\n",
+			"clock 1 0\nhere 100\n",
+			"clock 90 0\nhere 900\n",
+			"clock 150 0\nhere 900\n",
 		},
-		{
-			name: "an outage that began after the span",
-			logs: []string{
-				"clock 1 0\nhere 100\n",
-				"clock 1 0\nhere 200\n",
-				"clock 300 0\nhere 900\n",
-				"clock 300 0\nhere 900\n",
-			},
-			from: 0,
-			to:   100,
-			most: 1,
+		from: 0,
+		to:   1000,
+		most: 1,
+	},
+	{
+		name: "an outage that began before the span",
+		logs: []string{
+			"clock 1 0\nhere 100\n",
+			"clock 1 0\nhere 200\n",
+			"clock 300 0\nhere 900\n",
+			"clock 300 0\nhere 900\n",
 		},
-		{
-			name: "logs in another order",
-			logs: []string{
-				"clock 300 0\nhere 900\n",
-				"clock 300 0\nhere 900\n",
-				"clock 1 0\nhere 100\n",
-				"clock 1 0\nhere 200\n",
-			},
-			from: 0,
-			to:   1000,
-			most: 2,
+		from: 200,
+		to:   1000,
+		most: 1,
+	},
+	{
+		name: "an outage that began after the span",
+		logs: []string{
+			"clock 1 0\nhere 100\n",
+			"clock 1 0\nhere 200\n",
+			"clock 300 0\nhere 900\n",
+			"clock 300 0\nhere 900\n",
 		},
-		{
-			name: "no successors",
-			logs: []string{"clock 1 0\nhere 100\n", "clock 1 0\nhere 200\n"},
-			from: 0,
-			to:   1000,
-			most: 0,
+		from: 0,
+		to:   100,
+		most: 1,
+	},
+	{
+		name: "logs in another order",
+		logs: []string{
+			"clock 300 0\nhere 900\n",
+			"clock 300 0\nhere 900\n",
+			"clock 1 0\nhere 100\n",
+			"clock 1 0\nhere 200\n",
 		},
-	} {
+		from: 0,
+		to:   1000,
+		most: 2,
+	},
+	{
+		name: "no successors",
+		logs: []string{"clock 1 0\nhere 100\n", "clock 1 0\nhere 200\n"},
+		from: 0,
+		to:   1000,
+		most: 0,
+	},
+}
+
+// TestUnavailableSpans verifies that a backend counts as unavailable between two of its processes, if the outage began
+// in the span.
+func TestUnavailableSpans(t *testing.T) {
+	for _, c := range unavailableSpans {
 		t.Run(c.name, func(t *testing.T) {
 			all := make([]*Process, 0, len(c.logs))
 			for i, log := range c.logs {
--- a/internal/faultinjection/schedule/schedule_test.go
+++ b/internal/faultinjection/schedule/schedule_test.go
@@ -65,231 +65,238 @@
 	}
 }
 
+// cold returns a trial with fields of a cold start.
+func cold(fields string) string {
+	return "(trial a (cold " + fields + "))"
+}
+
+// fieldBounds lists forms with a valid value of a field and the same forms with an invalid one.
+var fieldBounds = []struct{ valid, invalid, want string }{
+	{
+		valid:   "(trial a (hosts 1))",
+		invalid: "(trial a (hosts 0))",
+		want:    "trial.hosts: found \"0\", wanted a whole number from 1 to 15",
+	},
+	{
+		valid:   "(trial a (hosts 15))",
+		invalid: "(trial a (hosts 16))",
+		want:    "trial.hosts",
+	},
+	{
+		valid:   "(trial a (backends 400))",
+		invalid: "(trial a (backends 401))",
+		want:    "trial.backends",
+	},
+	{
+		valid:   "(trial a (seed 0))",
+		invalid: "(trial a (seed -1))",
+		want:    "trial.seed",
+	},
+	{
+		valid:   "(trial a (seed 4611686018427387904))",
+		invalid: "(trial a (seed 4611686018427387905))",
+		want:    "trial.seed",
+	},
+	{
+		valid:   "(trial a (span 1s))",
+		invalid: "(trial a (span 999ms))",
+		want:    "trial.span: found \"999ms\", wanted a time from 1s to 1h0m0s",
+	},
+	{
+		valid:   "(trial a (span 1h))",
+		invalid: "(trial a (span 3601s))",
+		want:    "trial.span",
+	},
+	{
+		valid:   "(trial a (load 0))",
+		invalid: "(trial a (load -0.1))",
+		want:    "trial.load",
+	},
+	{
+		valid:   "(trial a (load 4))",
+		invalid: "(trial a (load 4.1))",
+		want:    "trial.load",
+	},
+	{
+		valid:   "(trial a (skew 0))",
+		invalid: "(trial a (skew -1))",
+		want:    "trial.skew",
+	},
+	{
+		valid:   "(trial a (skew 45000))",
+		invalid: "(trial a (skew 45001))",
+		want:    "trial.skew",
+	},
+	{
+		valid:   "(trial a (wave 1h))",
+		invalid: "(trial a (wave 3601s))",
+		want:    "trial.wave",
+	},
+	{
+		valid:   "(trial a (wave 0s))",
+		invalid: "(trial a (wave -1s))",
+		want:    "trial.wave",
+	},
+	{
+		valid:   "(trial a (blackout (at 1h)))",
+		invalid: "(trial a (blackout (at 3601s)))",
+		want:    "trial.blackout.at",
+	},
+	{
+		valid:   "(trial a (blackout (for 1h)))",
+		invalid: "(trial a (blackout (for 3601s)))",
+		want:    "trial.blackout.for",
+	},
+	{
+		valid:   "(trial a (delay (on h1) (on h2) (by 1h)))",
+		invalid: "(trial a (delay (on h1) (on h2) (by 3601s)))",
+		want:    "trial.delay.by",
+	},
+	{
+		valid:   "(trial a (whole (on acme) (to 1073741824)))",
+		invalid: "(trial a (whole (on acme) (to 1073741825)))",
+		want:    "trial.whole.to",
+	},
+	{
+		valid:   "(trial a (whole (on acme) (to 0)))",
+		invalid: "(trial a (whole (on acme) (to -1)))",
+		want:    "trial.whole.to",
+	},
+	{
+		valid:   cold("(crowd 100000)"),
+		invalid: cold("(crowd 100001)"),
+		want:    "trial.cold.crowd",
+	},
+	{
+		valid:   cold("(crowd 0)"),
+		invalid: cold("(crowd -1)"),
+		want:    "trial.cold.crowd",
+	},
+	{
+		valid:   cold("(needs 1h)"),
+		invalid: cold("(needs 3601s)"),
+		want:    "trial.cold.needs",
+	},
+	{
+		valid:   cold("(rise 100000)"),
+		invalid: cold("(rise 100001)"),
+		want:    "trial.cold.rise",
+	},
+	{
+		valid:   cold("(rise 0)"),
+		invalid: cold("(rise -1)"),
+		want:    "trial.cold.rise",
+	},
+	{
+		valid:   cold("(reports fixed)"),
+		invalid: cold("(reports never)"),
+		want:    "trial.cold.reports",
+	},
+	{
+		valid:   cold("(phase (from 1h) (is down))"),
+		invalid: cold("(phase (from 3601s) (is down))"),
+		want:    "trial.cold.phase.from",
+	},
+	{
+		valid:   cold("(phase (is half) (takes 1m))"),
+		invalid: cold("(phase (is half) (takes 61s))"),
+		want:    "trial.cold.phase.takes",
+	},
+	{
+		valid:   cold("(phase (is refuses) (advice 1h))"),
+		invalid: cold("(phase (is refuses) (advice 3601s))"),
+		want:    "trial.cold.phase.advice",
+	},
+	{
+		valid:   cold("(phase (is silent))"),
+		invalid: cold("(phase (is asleep))"),
+		want:    "trial.cold.phase.is",
+	},
+	{
+		valid:   cold("(phase (is down)) (phase (from 1ns) (is takes))"),
+		invalid: cold("(phase (is down)) (phase (from 0s) (is takes))"),
+		want:    "trial.cold.phase.from: 0s is not after the previous phase's start",
+	},
+	{
+		valid:   cold("(phase (from 0s) (is down))"),
+		invalid: cold("(phase (from 2s) (is down)) (phase (from 1s) (is takes))"),
+		want:    "1s is not after the previous phase's start",
+	},
+	{
+		valid:   cold("(bounds (refusing 100) (first 100) (peak 100) (connections 1000) (listed 1h))"),
+		invalid: cold("(bounds (refusing 101))"),
+		want:    "trial.cold.bounds.refusing",
+	},
+	{
+		valid:   cold("(bounds)"),
+		invalid: cold("(bounds (first 101))"),
+		want:    "trial.cold.bounds.first",
+	},
+	{
+		valid:   cold("(bounds)"),
+		invalid: cold("(bounds (peak 101))"),
+		want:    "trial.cold.bounds.peak",
+	},
+	{
+		valid:   cold("(bounds)"),
+		invalid: cold("(bounds (connections 1001))"),
+		want:    "trial.cold.bounds.connections",
+	},
+	{
+		valid:   cold("(bounds)"),
+		invalid: cold("(bounds (listed 3601s))"),
+		want:    "trial.cold.bounds.listed",
+	},
+	{
+		valid:   cold("(bounds)"),
+		invalid: cold("(bounds (most 1))"),
+		want:    "no such field",
+	},
+	{
+		valid:   cold(""),
+		invalid: cold("(pace 1)"),
+		want:    "no such field",
+	},
+	{
+		valid:   cold("(phase (is down))"),
+		invalid: cold("(phase (is down) (till 3s))"),
+		want:    "no such field",
+	},
+	{
+		valid:   "(trial a (kill (on h1)))",
+		invalid: "(trial a (kill (on h1) (till 3s)))",
+		want:    "no such field",
+	},
+	{
+		valid:   "(trial a (kill (on h1)))",
+		invalid: "(trial a (kill (on h1 (at 1s))))",
+		want:    "no field can stand here",
+	},
+	{
+		valid:   "(trial a)",
+		invalid: "(trial a (till 3s))",
+		want:    "no such field",
+	},
+	{
+		valid:   "(trial a)",
+		invalid: "(trial a) (trial b)",
+		want:    "expected exactly one list that begins with trial",
+	},
+	{
+		valid:   "(trial a)",
+		invalid: "",
+		want:    "expected exactly one list that begins with trial",
+	},
+	{
+		valid:   "(trial a)",
+		invalid: "(trial)",
+		want:    "found 0 words, wanted 1",
+	},
+}
+
 // TestBounds verifies the first and last valid value of each field and the values beyond them.
 func TestBounds(t *testing.T) {
-	cold := func(text string) string { return "(trial a (cold " + text + "))" }
-	for _, c := range []struct{ valid, invalid, want string }{
-		{
-			valid:   "(trial a (hosts 1))",
-			invalid: "(trial a (hosts 0))",
-			want:    "trial.hosts: found \"0\", wanted a whole number from 1 to 15",
-		},
-		{
-			valid:   "(trial a (hosts 15))",
-			invalid: "(trial a (hosts 16))",
-			want:    "trial.hosts",
-		},
-		{
-			valid:   "(trial a (backends 400))",
-			invalid: "(trial a (backends 401))",
-			want:    "trial.backends",
-		},
-		{
-			valid:   "(trial a (seed 0))",
-			invalid: "(trial a (seed -1))",
-			want:    "trial.seed",
-		},
-		{
-			valid:   "(trial a (seed 4611686018427387904))",
-			invalid: "(trial a (seed 4611686018427387905))",
-			want:    "trial.seed",
-		},
-		{
-			valid:   "(trial a (span 1s))",
-			invalid: "(trial a (span 999ms))",
-			want:    "trial.span: found \"999ms\", wanted a time from 1s to 1h0m0s",
-		},
-		{
-			valid:   "(trial a (span 1h))",
-			invalid: "(trial a (span 3601s))",
-			want:    "trial.span",
-		},
-		{
-			valid:   "(trial a (load 0))",
-			invalid: "(trial a (load -0.1))",
-			want:    "trial.load",
-		},
-		{
-			valid:   "(trial a (load 4))",
-			invalid: "(trial a (load 4.1))",
-			want:    "trial.load",
-		},
-		{
-			valid:   "(trial a (skew 0))",
-			invalid: "(trial a (skew -1))",
-			want:    "trial.skew",
-		},
-		{
-			valid:   "(trial a (skew 45000))",
-			invalid: "(trial a (skew 45001))",
-			want:    "trial.skew",
-		},
-		{
-			valid:   "(trial a (wave 1h))",
-			invalid: "(trial a (wave 3601s))",
-			want:    "trial.wave",
-		},
-		{
-			valid:   "(trial a (wave 0s))",
-			invalid: "(trial a (wave -1s))",
-			want:    "trial.wave",
-		},
-		{
-			valid:   "(trial a (blackout (at 1h)))",
-			invalid: "(trial a (blackout (at 3601s)))",
-			want:    "trial.blackout.at",
-		},
-		{
-			valid:   "(trial a (blackout (for 1h)))",
-			invalid: "(trial a (blackout (for 3601s)))",
-			want:    "trial.blackout.for",
-		},
-		{
-			valid:   "(trial a (delay (on h1) (on h2) (by 1h)))",
-			invalid: "(trial a (delay (on h1) (on h2) (by 3601s)))",
-			want:    "trial.delay.by",
-		},
-		{
-			valid:   "(trial a (whole (on acme) (to 1073741824)))",
-			invalid: "(trial a (whole (on acme) (to 1073741825)))",
-			want:    "trial.whole.to",
-		},
-		{
-			valid:   "(trial a (whole (on acme) (to 0)))",
-			invalid: "(trial a (whole (on acme) (to -1)))",
-			want:    "trial.whole.to",
-		},
-		{
-			valid:   cold("(crowd 100000)"),
-			invalid: cold("(crowd 100001)"),
-			want:    "trial.cold.crowd",
-		},
-		{
-			valid:   cold("(crowd 0)"),
-			invalid: cold("(crowd -1)"),
-			want:    "trial.cold.crowd",
-		},
-		{
-			valid:   cold("(needs 1h)"),
-			invalid: cold("(needs 3601s)"),
-			want:    "trial.cold.needs",
-		},
-		{
-			valid:   cold("(rise 100000)"),
-			invalid: cold("(rise 100001)"),
-			want:    "trial.cold.rise",
-		},
-		{
-			valid:   cold("(rise 0)"),
-			invalid: cold("(rise -1)"),
-			want:    "trial.cold.rise",
-		},
-		{
-			valid:   cold("(reports fixed)"),
-			invalid: cold("(reports never)"),
-			want:    "trial.cold.reports",
-		},
-		{
-			valid:   cold("(phase (from 1h) (is down))"),
-			invalid: cold("(phase (from 3601s) (is down))"),
-			want:    "trial.cold.phase.from",
-		},
-		{
-			valid:   cold("(phase (is half) (takes 1m))"),
-			invalid: cold("(phase (is half) (takes 61s))"),
-			want:    "trial.cold.phase.takes",
-		},
-		{
-			valid:   cold("(phase (is refuses) (advice 1h))"),
-			invalid: cold("(phase (is refuses) (advice 3601s))"),
-			want:    "trial.cold.phase.advice",
-		},
-		{
-			valid:   cold("(phase (is silent))"),
-			invalid: cold("(phase (is asleep))"),
-			want:    "trial.cold.phase.is",
-		},
-		{
-			valid:   cold("(phase (is down)) (phase (from 1ns) (is takes))"),
-			invalid: cold("(phase (is down)) (phase (from 0s) (is takes))"),
-			want:    "trial.cold.phase.from: 0s is not after the previous phase's start",
-		},
-		{
-			valid:   cold("(phase (from 0s) (is down))"),
-			invalid: cold("(phase (from 2s) (is down)) (phase (from 1s) (is takes))"),
-			want:    "1s is not after the previous phase's start",
-		},
-		{
-			valid:   cold("(bounds (refusing 100) (first 100) (peak 100) (connections 1000) (listed 1h))"),
-			invalid: cold("(bounds (refusing 101))"),
-			want:    "trial.cold.bounds.refusing",
-		},
-		{
-			valid:   cold("(bounds)"),
-			invalid: cold("(bounds (first 101))"),
-			want:    "trial.cold.bounds.first",
-		},
-		{
-			valid:   cold("(bounds)"),
-			invalid: cold("(bounds (peak 101))"),
-			want:    "trial.cold.bounds.peak",
-		},
-		{
-			valid:   cold("(bounds)"),
-			invalid: cold("(bounds (connections 1001))"),
-			want:    "trial.cold.bounds.connections",
-		},
-		{
-			valid:   cold("(bounds)"),
-			invalid: cold("(bounds (listed 3601s))"),
-			want:    "trial.cold.bounds.listed",
-		},
-		{
-			valid:   cold("(bounds)"),
-			invalid: cold("(bounds (most 1))"),
-			want:    "no such field",
-		},
-		{
-			valid:   cold(""),
-			invalid: cold("(pace 1)"),
-			want:    "no such field",
-		},
-		{
-			valid:   cold("(phase (is down))"),
-			invalid: cold("(phase (is down) (till 3s))"),
-			want:    "no such field",
-		},
-		{
-			valid:   "(trial a (kill (on h1)))",
-			invalid: "(trial a (kill (on h1) (till 3s)))",
-			want:    "no such field",
-		},
-		{
-			valid:   "(trial a (kill (on h1)))",
-			invalid: "(trial a (kill (on h1 (at 1s))))",
-			want:    "no field can stand here",
-		},
-		{
-			valid:   "(trial a)",
-			invalid: "(trial a (till 3s))",
-			want:    "no such field",
-		},
-		{
-			valid:   "(trial a)",
-			invalid: "(trial a) (trial b)",
-			want:    "expected exactly one list that begins with trial",
-		},
-		{
-			valid:   "(trial a)",
-			invalid: "",
-			want:    "expected exactly one list that begins with trial",
-		},
-		{
-			valid:   "(trial a)",
-			invalid: "(trial)",
-			want:    "found 0 words, wanted 1",
-		},
-	} {
+	for _, c := range fieldBounds {
 		if _, err := Read("t.sx", []byte(c.valid)); err != nil {
 			t.Errorf("%s: %v", c.valid, err)
 		}
