--- a/internal/fleet/accept_command.go
+++ b/internal/fleet/accept_command.go
@@ -6,7 +6,7 @@
 	"milletbarrow/monotime"
 )
 
-// acceptCommand adds a new command. A command that is known with the same content changes nothing.
+// acceptCommand adds a new command. A repeated command with the same ID and content changes nothing.
 func (m *Machine) acceptCommand(now monotime.Micros, received *Command) error {
 	if err := received.validate(); err != nil {
 		return err
@@ -77,7 +77,7 @@
 	}
 }
 
-// addCommand numbers an accepted command and makes it known.
+// addCommand assigns an accepted command its sequence number and adds it to the open commands.
 func (m *Machine) addCommand(now monotime.Micros, command *Command) {
 	m.lastSequence++
 	command.Sequence = m.lastSequence
@@ -88,9 +88,9 @@
 		fmt.Sprintf("%s of %d, asked by %s", command.Kind, len(command.Names), command.RequestedBy))
 }
 
-// assignInstance makes a command the one that waits for the instance. A later command for the same instance supersedes
-// the earlier one there. An instance that was notified exits all the same; if it is desired up it is launched again
-// afterwards.
+// assignInstance assigns an instance to a command. A later command for the same instance supersedes the earlier one
+// there. A shutdown notice can't be withdrawn: a notified instance exits even if the later command wants it up, and is
+// launched again afterwards.
 func (m *Machine) assignInstance(now monotime.Micros, command *Command, inst *Instance) {
 	if command.Kind == KindRollingUpdate && !inst.DesiredUp {
 		m.recordResult(now, command, inst.Name, OutcomeSkipped, causeNotDesiredUp)
@@ -110,24 +110,24 @@
 	case KindRestart:
 		m.restartInstance(now, inst)
 	case KindColdStart: // advanceColdStart starts the instance once it holds a unit
-		if inst.DesiredUp && inst.runsUndisturbed() {
+		if inst.DesiredUp && inst.servesNormally() {
 			m.recordResult(now, command, inst.Name, OutcomeUnchanged, "")
 			inst.reportAlreadyRunning(command)
 		}
-	case KindRollingUpdate: // releaseInstances restarts the instance in its turn
+	case KindRollingUpdate: // restartNextInstances restarts the instance in its turn
 	}
 }
 
-// assignStart has an instance launched unless it runs undisturbed.
+// assignStart has an instance launched unless it already serves.
 func (m *Machine) assignStart(now monotime.Micros, command *Command, inst *Instance) {
-	if inst.DesiredUp && inst.runsUndisturbed() {
+	if inst.DesiredUp && inst.servesNormally() {
 		m.recordResult(now, command, inst.Name, OutcomeUnchanged, "")
 		return
 	}
 	inst.requestLaunch(now)
 }
 
-// assignStop has an instance exit unless it is down; with Immediate it is killed at once.
+// assignStop shuts an instance down unless it is down already; with Immediate it is killed at once.
 func (m *Machine) assignStop(now monotime.Micros, command *Command, inst *Instance) {
 	inst.DesiredUp = false
 	inst.RestartPending = false
@@ -144,7 +144,7 @@
 	}
 }
 
-// restartInstance has an instance exit, if it runs, and launched again.
+// restartInstance shuts an instance down, if it runs, and has it launched again.
 func (m *Machine) restartInstance(now monotime.Micros, inst *Instance) {
 	inst.requestLaunch(now)
 	if !inst.Phase.Down() {
--- a/internal/fleet/adoption.go
+++ b/internal/fleet/adoption.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Margins that keep the IDs of an adopted instance's actions above those of the actions that were lost with the store.
+// Margins that keep the action IDs of an adopted instance from repeating those that were lost with the store.
 const (
 	adoptedCountMargin  = 1 << 10
 	adoptedCountUnknown = 1 << 20 // if the incarnation's ID does not end in a count
 )
 
-// AdoptUnrecorded returns the state of an instance that the store does not know, from its supervisor's record. It
-// serves after the loss of the store, while the supervisors' files are intact. The instance is desired up unless it was
+// AdoptUnrecorded reconstructs the state of an instance that is missing from the store from its supervisor's record.
+// It is used after the store was lost while the supervisors' files are intact. The instance is desired up unless it was
 // notified. ok is false if no process is known to run.
 func AdoptUnrecorded(name string, record SupervisorRecord) (inst Instance, ok bool) {
 	if record.State != RecordRead || record.Ended {
--- a/internal/fleet/adoption_test.go
+++ b/internal/fleet/adoption_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// TestOnlyRecordedRunningInstancesAreAdopted checks that an instance is adopted only by a record that was read and has
-// no end, that it is desired up unless it was notified, and that the IDs of its actions do not come again.
+// TestOnlyRecordedRunningInstancesAreAdopted checks that an instance is adopted only from a readable record without an
+// exit, that it is desired up unless it was notified, and that the IDs of earlier actions are not used again.
 func TestOnlyRecordedRunningInstancesAreAdopted(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -70,9 +70,9 @@
 	return actions[0].Incarnation
 }
 
-// TestUnrecordedObservation checks that the exit of an incarnation that nobody recorded is ignored while its launch is
-// pending, and counts after that.
-func TestUnrecordedObservation(t *testing.T) {
+// TestUnrecordedExitIsIgnoredWhileLaunchIsPending checks that the exit of an incarnation that no supervisor recorded is
+// ignored while its launch is pending, and ends the incarnation after that.
+func TestUnrecordedExitIsIgnoredWhileLaunchIsPending(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	incarnation := launchA(t, host)
 	exited := InstanceObserved{
@@ -82,18 +82,19 @@
 	}
 	decide(t, host, exited)
 	if inst, _ := host.m.Instance("a"); inst.Incarnation != incarnation || inst.Phase != PhaseStarting {
-		t.Fatalf("an incarnation that is being launched has ended: %+v", inst)
+		t.Fatalf("an unrecorded exit ended an incarnation whose launch is pending: %+v", inst)
 	}
 	decide(t, host, InstanceObserved{
 		Name: "a", Observation: Observation{Incarnation: incarnation, Phase: PhaseReady},
 	})
 	decide(t, host, exited)
 	if inst, _ := host.m.Instance("a"); inst.Incarnation != "" || inst.Phase != PhaseFailed {
-		t.Errorf("an incarnation that nobody recorded has not ended: %+v", inst)
+		t.Errorf("an unrecorded exit did not end an incarnation that was launched: %+v", inst)
 	}
 }
 
-// TestRecordedExitCountsDuringLaunch checks that an exit that a supervisor recorded counts while the launch is pending.
+// TestRecordedExitCountsDuringLaunch checks that an exit that a supervisor recorded ends the incarnation while its
+// launch is pending.
 func TestRecordedExitCountsDuringLaunch(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	incarnation := launchA(t, host)
@@ -105,8 +106,8 @@
 	}
 }
 
-// TestRunningInstancesThatAnotherSpecOmitsAreListed checks that running instances that another spec does not name for
-// the host are listed in the order of the present spec.
+// TestRunningInstancesThatAnotherSpecOmitsAreListed checks that running instances that another spec does not list for
+// the host are reported in the order of the current spec.
 func TestRunningInstancesThatAnotherSpecOmitsAreListed(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
@@ -133,7 +134,8 @@
 	}
 }
 
-// TestOnlyLaunchesAndAcquisitionsStartNew checks which actions wait until the state can be stored.
+// TestOnlyLaunchesAndAcquisitionsStartNew checks which actions wait until the state can be stored: launches without
+// adoption and acquisitions of units.
 func TestOnlyLaunchesAndAcquisitionsStartNew(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/fleet/apply_observation.go
+++ b/internal/fleet/apply_observation.go
@@ -51,8 +51,8 @@
 	m.markInstanceChanged(inst)
 }
 
-// acknowledgeActions compares the pending action with what the supervisor has taken. A supervisor that took over from
-// another may not know the notice; it gets the same one again.
+// acknowledgeActions marks the pending action as carried out if the observation shows its effect. A supervisor that
+// replaced another one may not know the notice; it gets the same notice again.
 func (m *Machine) acknowledgeActions(now monotime.Micros, inst *Instance, observed Observation) {
 	noticeTaken := inst.LastAction == ActionNotify && observed.NoticeID == inst.NoticeID
 	if inst.ActionPending && (inst.LastAction == ActionLaunch || noticeTaken) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// applyPhase moves the instance into the phase observed and sets the phase's deadline.
+// applyPhase moves the instance into the observed phase and sets the phase's deadline.
 func (m *Machine) applyPhase(now monotime.Micros, inst *Instance, observed Observation) {
 	switch observed.Phase {
 	case PhaseStarting, PhaseReady, PhaseUnready:
@@ -77,10 +77,10 @@
 		if observed.Orphaned && !inst.launchPending() { // a new supervisor adopts it
 			m.issueAction(now, inst, ActionLaunch, causeSupervisorGone)
 		}
-	default: // the instance leaves, whoever notified it
-		wasLeaving := inst.Phase.leaving()
+	default: // the instance is shutting down, whether or not this agent notified it
+		wasShuttingDown := inst.Phase.shuttingDown()
 		inst.setPhase(now, observed.Phase, observed.Cause)
-		if inst.PhaseDeadline == 0 || inst.NoticeID == "" && !wasLeaving {
+		if inst.PhaseDeadline == 0 || inst.NoticeID == "" && !wasShuttingDown {
 			inst.PhaseDeadline = m.exitDeadline(now, inst)
 		}
 	}
@@ -88,7 +88,7 @@
 
 // applyRunning moves an instance that was not notified into a phase in which it runs.
 func (m *Machine) applyRunning(now monotime.Micros, inst *Instance, observed Observation) {
-	if inst.NoticeID != "" { // the notice is on its way, or the instance has not reacted yet
+	if inst.NoticeID != "" { // the notice has not arrived, or the instance has not reacted yet
 		return
 	}
 	inst.setPhase(now, observed.Phase, observed.Cause)
@@ -100,7 +100,7 @@
 	}
 }
 
-// handleExit closes an incarnation.
+// handleExit ends an incarnation and decides whether the instance is launched again.
 func (m *Machine) handleExit(now monotime.Micros, inst *Instance, exit Exit) {
 	notified := inst.NoticeID != "" || inst.KillAttempts > 0
 	giveUpReason := inst.GiveUpReason
@@ -126,7 +126,7 @@
 	m.markInstanceChanged(inst)
 }
 
-// delayRelaunch counts a launch that came to nothing and puts off the next one.
+// delayRelaunch counts a failed incarnation and delays the next launch by the backoff.
 func (m *Machine) delayRelaunch(now monotime.Micros, inst *Instance) {
 	inst.Attempts++
 	pause := m.config.RelaunchBackoff.Pause(inst.Attempts+1, m.random)
--- a/internal/fleet/cold_start.go
+++ b/internal/fleet/cold_start.go
@@ -8,26 +8,26 @@
 	"milletbarrow/monotime"
 )
 
-// Bounds of a host's part in a cold start.
+// Per-host bounds of a cold start.
 const (
 	maxPendingUnitRequests = 2 // instances that request a unit at once
-	// standaloneAfter is the time without an answer of the quota store after which a host goes on with the one unit
-	// that is reserved for it.
+	// standaloneAfter is the time without an answer from the quota store after which a host starts instances with the
+	// one unit that is reserved for it.
 	standaloneAfter = 5 * monotime.Second
 )
 
-// coldStartStep is what advanceColdStart does with one instance.
+// coldStartStep is the next step of one instance in a cold start.
 type coldStartStep int
 
 const (
 	coldStartSkip            coldStartStep = iota // nothing: it is not down, or the command begins nothing new
 	coldStartAwaitUnit                            // its request for a unit is pending
 	coldStartBegin                                // it holds a unit
-	coldStartBeginStandalone                      // the quota store is silent; it starts with the host's reserved unit
+	coldStartBeginStandalone                      // the quota store does not answer; the host's reserved unit is used
 )
 
 // advanceColdStart starts the instances of this host that are down: each requests a unit, starts once it holds one, and
-// keeps it until it has settled or is given up. The quota store decides which hosts get units first.
+// keeps it until it has settled or its launches are exhausted. The quota store decides which hosts get units first.
 func (m *Machine) advanceColdStart(now monotime.Micros, command *Command) {
 	pending := 0
 	standalone := m.standaloneStartInProgress(now)
@@ -82,7 +82,7 @@
 	if command.State != CommandOpen || !inst.Phase.Down() {
 		return coldStartSkip
 	}
-	if m.holdsUnit(now, command, inst) || failpoint.Enabled(failpoint.IgnoreStartPermit) {
+	if m.ensureUnit(now, command, inst) || failpoint.Enabled(failpoint.IgnoreStartPermit) {
 		return coldStartBegin
 	}
 	quotaSilent := m.quotaSilentSince != 0 && now-m.quotaSilentSince >= standaloneAfter
@@ -92,7 +92,7 @@
 	return coldStartAwaitUnit
 }
 
-// beginColdStart starts an instance that may start now.
+// beginColdStart starts an instance that holds a unit, or uses the host's reserved one.
 func (m *Machine) beginColdStart(now monotime.Micros, command *Command, inst *Instance) {
 	command.InProgress[inst.Name] = true
 	m.restartInstance(now, inst)
@@ -110,8 +110,8 @@
 	return outcome
 }
 
-// reportAlreadyRunning makes the quota store learn of an instance that serves and never requested a unit: the instance
-// releases a unit that it did not hold.
+// reportAlreadyRunning reports to the quota store an instance that serves without ever having requested a unit. The
+// report is the release of a unit, which the instance is therefore marked as holding.
 func (inst *Instance) reportAlreadyRunning(command *Command) {
 	if command.Kind != KindColdStart || inst.Unit.RequestID != "" {
 		return
--- a/internal/fleet/cold_start_test.go
+++ b/internal/fleet/cold_start_test.go
@@ -9,10 +9,10 @@
 	"milletbarrow/monotime"
 )
 
-// TestColdStart checks that, whichever agents restart or can't reach the quota store, no more instances of all hosts
-// start at once than the quota has units; and that after the faults all are ready, the cold start is done, and no unit
-// is held.
-func TestColdStart(t *testing.T) {
+// TestColdStartKeepsItsQuotaUnderFaults checks that, while agents restart, crash or lose the quota store, no more
+// instances of all hosts start at once than the quota has units; and that after the faults all are ready, the cold
+// start is done, no unit is held, and an instance that served before was not launched again.
+func TestColdStartKeepsItsQuotaUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "hosts")
 		each := rapid.IntRange(1, 6).Draw(t, "each")
@@ -56,8 +56,8 @@
 	})
 }
 
-// injectFault restarts an agent, has one crash, changes a partition, or has an instance crash that is starting. Each
-// instance crashes once at most.
+// injectFault restarts an agent, makes one crash before its next actions, toggles a partition, or crashes an instance
+// that is starting. Each instance crashes at most once.
 func injectFault(t *rapid.T, fleet *simulatedFleet, crashed map[string]bool) {
 	host := rapid.SampledFrom(fleet.hosts).Draw(t, "host")
 	switch rapid.IntRange(0, 3).Draw(t, "fault") {
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestColdStartWithoutQuotaStore checks that hosts which can't reach the quota store start their instances one at a
-// time.
-func TestColdStartWithoutQuotaStore(t *testing.T) {
+// TestColdStartWithoutQuotaStoreStartsOneInstanceAHostAtATime checks that hosts that can't reach the quota store wait
+// for standaloneAfter and then start their instances one at a time.
+func TestColdStartWithoutQuotaStoreStartsOneInstanceAHostAtATime(t *testing.T) {
 	fleet := newSimulatedFleet(t, 3, 4, 9)
 	for _, host := range fleet.hosts {
 		fleet.partitioned[host] = true
@@ -86,7 +86,7 @@
 	fleet.coldStart("r")
 	fleet.advance(4 * second)
 	if ready := fleet.readyCount(); ready != 0 {
-		t.Errorf("%d instances started before the quota store counts as silent", ready)
+		t.Errorf("%d instances started before the quota store counted as silent", ready)
 	}
 	fleet.advance(40 * second)
 	if ready := fleet.readyCount(); ready != 12 || fleet.maxStarting > 3 {
@@ -94,8 +94,9 @@
 	}
 }
 
-// TestOldQuotaSilenceIsIgnored checks that a silence of the quota store an hour ago does not let a host start alone.
-func TestOldQuotaSilenceIsIgnored(t *testing.T) {
+// TestQuotaSilenceFromBeforeAPauseInRequestsIsIgnored checks that a silence of the quota store before an hour without
+// requests does not let a host start instances with its reserved unit at once.
+func TestQuotaSilenceFromBeforeAPauseInRequestsIsIgnored(t *testing.T) {
 	fleet := newSimulatedFleet(t, 1, 2, 3)
 	host := fleet.hosts[0]
 	fleet.partitioned[host] = true
@@ -106,7 +107,7 @@
 	fleet.coldStart("now")
 	fleet.advance(2 * second)
 	if ready := fleet.readyCount(); ready != 0 {
-		t.Errorf("%d started alone after two seconds", ready)
+		t.Errorf("%d started with the reserved unit after two seconds", ready)
 	}
 	fleet.advance(30 * second)
 	if ready := fleet.readyCount(); ready != 2 {
@@ -114,7 +115,7 @@
 	}
 }
 
-// TestColdStartHaltsAfterFailures checks that a cold start whose instances all fail halts with a reason, and goes on
+// TestColdStartHaltsAfterFailures checks that a cold start whose instances all fail halts with a reason, and continues
 // when an operator resumes it.
 func TestColdStartHaltsAfterFailures(t *testing.T) {
 	fleet := newSimulatedFleet(t, 3, 10, 12)
@@ -136,7 +137,7 @@
 	}})
 	fleet.advance(120 * second)
 	if ready := fleet.readyCount(); ready < 20 {
-		t.Errorf("%d are ready after the cause is gone, want at least 20: %+v",
+		t.Errorf("%d are ready after the cold start was resumed, want at least 20: %+v",
 			ready, fleet.quotas.ColdStartStatuses())
 	}
 }
--- a/internal/fleet/command.go
+++ b/internal/fleet/command.go
@@ -7,17 +7,17 @@
 	"milletbarrow/monotime"
 )
 
-// CommandKind is what a command does with its instances.
+// CommandKind is the operation that a command performs on its instances.
 type CommandKind string
 
 // The kinds of commands. A restart and a rolling update end with the instance ready again.
 const (
 	KindStart         CommandKind = "start"
 	KindDrain         CommandKind = "drain"
-	KindStop          CommandKind = "stop" // as KindDrain; it may be Immediate
+	KindStop          CommandKind = "stop" // as KindDrain, with the option Immediate
 	KindRestart       CommandKind = "restart"
 	KindRollingUpdate CommandKind = "wave"
-	KindColdStart     CommandKind = "rise" // starts what is down, in the order of the fleet's cold start
+	KindColdStart     CommandKind = "rise" // starts the instances that are down, each once it holds a unit
 )
 
 // CommandKinds lists all kinds.
@@ -25,17 +25,17 @@
 	return []CommandKind{KindStart, KindDrain, KindStop, KindRestart, KindRollingUpdate, KindColdStart}
 }
 
-// Command is a request for a set of instances, with its progress.
+// Command is an operation on a set of instances, with its progress.
 type Command struct {
-	// The request. It stays as it was received, but a rolling update puts Names into its order.
+	// The request. It is not changed after it was received, except that a rolling update sorts Names into its order.
 
 	ID          string               `json:"id"`
 	Kind        CommandKind          `json:"kind"`
 	Names       []string             `json:"names"`            // of the instances
-	RequestedBy string               `json:"by"`               // user or program, for people
-	RequestedAt int64                `json:"asked_unix_us"`    // wall clock, microseconds since 1970, for people
-	Deadline    monotime.Micros      `json:"due"`              // an instance without a result then: OutcomeTimedOut
-	Immediate   bool                 `json:"now,omitempty"`    // KindStop: kill at once; in-flight work is lost
+	RequestedBy string               `json:"by"`               // user or program; informational
+	RequestedAt int64                `json:"asked_unix_us"`    // wall clock, microseconds since 1970; informational
+	Deadline    monotime.Micros      `json:"due"`              // instances without a result then get OutcomeTimedOut
+	Immediate   bool                 `json:"now,omitempty"`    // KindStop: kill at once; requests in flight are lost
 	Rollout     *RollingUpdateConfig `json:"terms,omitempty"`  // KindRollingUpdate; nil: another kind
 	Quota       string               `json:"budget,omitempty"` // each instance in progress holds a unit; empty: none
 
@@ -52,8 +52,8 @@
 	Spares         []string          `json:"spares,omitempty"` // instances that a rolling update with surge uses
 	Stage          Stage             `json:"stage,omitempty"`  // of a rolling update
 	InProgress     map[string]bool   `json:"out,omitempty"`    // by instance name: restarting, not back in service
-	BlockedSince   monotime.Micros   `json:"stuck,omitempty"`  // no instance may restart since; 0: one may
-	RejectingSince monotime.Micros   `json:"turned,omitempty"` // too many rejections since; 0: not so
+	BlockedSince   monotime.Micros   `json:"stuck,omitempty"`  // no instance may restart since; 0: not blocked
+	RejectingSince monotime.Micros   `json:"turned,omitempty"` // MaxRejectedShare exceeded since; 0: it is not
 }
 
 // CommandState is the progress of a command as a whole.
@@ -80,7 +80,7 @@
 // Outcome of a command for one instance.
 type Outcome string
 
-// The outcomes of a command for one instance. After a kill, callers of the instance may have lost responses.
+// The outcomes of a command for one instance. After a kill, clients of the instance may have lost responses.
 const (
 	OutcomeSucceeded  Outcome = "done"
 	OutcomeUnchanged  Outcome = "already"    // the instance was in the requested state before
@@ -89,7 +89,7 @@
 	OutcomeSuperseded Outcome = "superseded" // a later command took the instance over
 	OutcomeTimedOut   Outcome = "late"       // the command's deadline passed first
 	OutcomeCancelled  Outcome = "cancelled"  // the command was cancelled first
-	OutcomeSkipped    Outcome = "skipped"    // a rolling update met an instance that is not desired up
+	OutcomeSkipped    Outcome = "skipped"    // the instance of a rolling update is not desired up
 )
 
 // Satisfied reports whether the instance is in the state that the command requested.
@@ -97,14 +97,14 @@
 	return o == OutcomeSucceeded || o == OutcomeUnchanged || o == OutcomeKilled
 }
 
-// Result is the end of a command for one instance.
+// Result is the outcome of a command for one instance.
 type Result struct {
 	Outcome Outcome         `json:"outcome"`
-	Cause   string          `json:"cause,omitempty"` // empty: Outcome says everything
+	Cause   string          `json:"cause,omitempty"` // empty: there is nothing to add to Outcome
 	At      monotime.Micros `json:"at"`
 }
 
-// validate returns a *FieldError if the command is unusable whatever the state of the instances.
+// validate returns a *FieldError if the command is invalid regardless of the state of the instances.
 func (c *Command) validate() error {
 	if err := CheckName(c.ID); err != nil {
 		return &FieldError{Field: "id", Reason: err.Error(), Err: err}
@@ -122,7 +122,7 @@
 		return fieldErrorf("terms", "required with kind %q, and allowed with no other", KindRollingUpdate)
 	}
 	if c.Kind == KindColdStart && c.Quota == "" {
-		return fieldErrorf("budget", "missing, wanted a budget with a count from the fleet's file")
+		return fieldErrorf("budget", "missing, wanted the name of a quota with a count in the fleet's file")
 	}
 	if c.Quota != "" && !c.usesUnits() {
 		return fieldErrorf("budget", "not allowed with kind %q", c.Kind)
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// equivalent reports whether two commands request the same. Who requested them, and when, does not count.
+// equivalent reports whether two commands request the same operation. It ignores who requested them and when.
 func (c *Command) equivalent(other *Command) bool {
 	sameRollout := c.Rollout == other.Rollout ||
 		c.Rollout != nil && other.Rollout != nil && *c.Rollout == *other.Rollout
@@ -144,7 +144,7 @@
 		slices.Equal(c.Names, other.Names)
 }
 
-// clone returns a copy that shares no map with the command.
+// clone returns a copy whose maps are independent of the command's.
 func (c *Command) clone() *Command {
 	copied := *c
 	copied.Results = cloneMap(c.Results)
@@ -159,7 +159,7 @@
 	return copied
 }
 
-// instanceNames lists the command's instances, with its spares.
+// instanceNames lists the command's instances, including its spares.
 func (c *Command) instanceNames() []string { return append(slices.Clone(c.Names), c.Spares...) }
 
 // hasResult reports whether the command has ended for an instance.
@@ -173,7 +173,7 @@
 	return !slices.ContainsFunc(c.Names, func(name string) bool { return !c.hasResult(name) })
 }
 
-// unresolved lists the instances, with the spares, that have no result yet.
+// unresolved lists the instances, including the spares, that have no result yet.
 func (c *Command) unresolved() (names []string) {
 	for _, name := range c.instanceNames() {
 		if !c.hasResult(name) {
--- a/internal/fleet/command_scenarios_test.go
+++ b/internal/fleet/command_scenarios_test.go
@@ -13,14 +13,14 @@
 		(instances a b) (spares x))
 	(wave (least-share 0.5) (stall 10s)))`
 
-// scenarioHost is a host with twoInstances whose course is traced.
+// scenarioHost is a host with twoInstances whose commands are traced.
 type scenarioHost struct {
 	*simulatedHost
 	trace *fakes.Trace
 }
 
-// report prints the state of a command and of its instances.
-func (host *scenarioHost) report(id string) {
+// traceState prints the state of a command and of its instances.
+func (host *scenarioHost) traceState(id string) {
 	command := host.m.Command(id)
 	if command == nil {
 		host.trace.Say("  %s: not known", id)
@@ -35,18 +35,18 @@
 	}
 }
 
-// try gives a command and prints its error.
-func (host *scenarioHost) try(id string, kind CommandKind, within monotime.Micros, names ...string) {
+// traceCommand gives the machine a command and prints its error.
+func (host *scenarioHost) traceCommand(id string, kind CommandKind, within monotime.Micros, names ...string) {
 	host.trace.Say("  %v", host.command(id, kind, within, names...))
 }
 
-// commandScenario is a course of commands and faults.
+// commandScenario is a sequence of commands and faults.
 type commandScenario struct {
 	name string
 	run  func(*scenarioHost)
 }
 
-// TestCommandScenarios compares what commands do under each kind of fault with the stored trace.
+// TestCommandScenarios compares the results of commands under each kind of fault with the stored trace.
 func TestCommandScenarios(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	for _, scenarios := range [][]commandScenario{
@@ -62,24 +62,24 @@
 var startStopScenarios = []commandScenario{
 	{"started, started again, drained", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
-		host.report("up")
+		host.traceState("up")
 		host.mustCommand("up2", KindStart, second, "a", "b")
-		host.report("up2")
+		host.traceState("up2")
 		host.mustCommand("down", KindDrain, 10*second, "a", "b")
 		host.advance(4*second, nil)
-		host.report("down")
+		host.traceState("down")
 		host.mustCommand("down2", KindStop, 10*second, "a")
-		host.report("down2")
+		host.traceState("down2")
 	}},
 	{"the same command twice, and another with its id", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
-		host.try("r", KindRestart, 20*second, "a")
-		host.try("r", KindRestart, 20*second, "a")
-		host.try("r", KindDrain, 20*second, "a")
+		host.traceCommand("r", KindRestart, 20*second, "a")
+		host.traceCommand("r", KindRestart, 20*second, "a")
+		host.traceCommand("r", KindDrain, 20*second, "a")
 		host.advance(8*second, nil)
-		host.try("r", KindRestart, 20*second, "a")
+		host.traceCommand("r", KindRestart, 20*second, "a")
 		host.advance(8*second, nil)
-		host.report("r")
+		host.traceState("r")
 	}},
 	{"a later command supersedes an earlier one; a notified instance exits all the same", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
@@ -87,8 +87,8 @@
 		host.advance(second/2, nil)
 		host.mustCommand("s", KindStart, 10*second, "a")
 		host.advance(6*second, nil)
-		host.report("d")
-		host.report("s")
+		host.traceState("d")
+		host.traceState("s")
 	}},
 }
 
@@ -98,7 +98,7 @@
 		host.fakes["a"].unresponsive = true
 		host.mustCommand("d", KindRestart, 20*second, "a")
 		host.advance(6*second, nil)
-		host.report("d")
+		host.traceState("d")
 	}},
 	{"the instance crashes while draining", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
@@ -106,7 +106,7 @@
 		host.advance(second, nil)
 		host.fakes["a"].exit(Exit{Code: -1, Signal: "killed", DrainTime: second})
 		host.advance(second, nil)
-		host.report("d")
+		host.traceState("d")
 	}},
 	{"the instance crashes until its launch budget is used up; a command launches it again", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
@@ -114,23 +114,23 @@
 			host.fakes["a"].exit(Exit{Code: 3})
 			host.advance(3*second, nil)
 		}
-		host.report("up")
+		host.traceState("up")
 		host.mustCommand("again", KindStart, 10*second, "a")
 		host.advance(2*second, nil)
-		host.report("again")
+		host.traceState("again")
 	}},
 	{"the instance does not become ready", func(host *scenarioHost) {
 		host.fakes["a"].neverReady = true
 		host.mustCommand("up", KindStart, 30*second, "a", "b")
 		host.advance(12*second, nil)
-		host.report("up")
+		host.traceState("up")
 	}},
 	{"the instance can't be launched", func(host *scenarioHost) {
 		host.dropAction = dropKind(ActionLaunch)
 		host.mustCommand("up", KindStart, 30*second, "a")
 		inst, _ := host.m.Instance("a")
 		host.mustApply(ActionFailed{Name: "a", ActionID: inst.ActionID, Cause: "no such program", Final: true})
-		host.report("up")
+		host.traceState("up")
 	}},
 	{"an immediate stop kills the instance", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
@@ -139,7 +139,7 @@
 			Deadline: host.now + 9*second, Immediate: true,
 		}})
 		host.advance(second, nil)
-		host.report("k")
+		host.traceState("k")
 	}},
 }
 
@@ -151,20 +151,20 @@
 		host.advance(second, nil)
 		host.trace.Say("  supervised %t, notified %t", host.fakes["a"].supervised, host.fakes["a"].noticeID != "")
 		host.advance(4*second, nil)
-		host.report("d")
+		host.traceState("d")
 	}},
 	{"no notice arrives within the shutdown window, and the agent kills the instance", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
 		host.dropAction = dropKind(ActionNotify)
 		host.mustCommand("d", KindDrain, 20*second, "a")
 		host.advance(6*second, nil)
-		host.report("d")
+		host.traceState("d")
 	}},
 	{"the deadline passes before the exit is observed; the instance exits all the same", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
 		host.mustCommand("d", KindDrain, second, "a")
 		host.advance(4*second, func(name string) bool { return name == "a" })
-		host.report("d")
+		host.traceState("d")
 		host.trace.Say("  alive %t", host.fakes["a"].alive)
 	}},
 }
@@ -172,34 +172,34 @@
 var rollingUpdateScenarios = []commandScenario{
 	{"a rolling update with invalid instances or impossible settings", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
-		host.try("w", KindRollingUpdate, 60*second, "a", "x")
-		host.try("w", KindRollingUpdate, 60*second, "a", "a")
-		host.try("w", KindRollingUpdate, 60*second, "c")
-		host.try("w", KindRollingUpdate, 0, "a")
-		host.try("-w", KindRollingUpdate, second, "a")
+		host.traceCommand("w", KindRollingUpdate, 60*second, "a", "x")
+		host.traceCommand("w", KindRollingUpdate, 60*second, "a", "a")
+		host.traceCommand("w", KindRollingUpdate, 60*second, "c")
+		host.traceCommand("w", KindRollingUpdate, 0, "a")
+		host.traceCommand("-w", KindRollingUpdate, second, "a")
 		host.spec.RollingUpdate.MinReady = 2
-		host.try("w", KindRollingUpdate, 60*second, "a")
+		host.traceCommand("w", KindRollingUpdate, 60*second, "a")
 		host.spec.RollingUpdate.Surge = 1
-		host.try("w", KindRollingUpdate, 60*second, "a", "b")
-		host.try("w2", KindRollingUpdate, 60*second, "a", "b")
+		host.traceCommand("w", KindRollingUpdate, 60*second, "a", "b")
+		host.traceCommand("w2", KindRollingUpdate, 60*second, "a", "b")
 		host.advance(20*second, nil)
-		host.report("w")
+		host.traceState("w")
 	}},
 	{"a rolling update pauses at an instance that does not become ready, and resumes", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
 		host.fakes["a"].neverReady = true
 		host.mustCommand("w", KindRollingUpdate, 120*second, "a", "b")
 		host.advance(15*second, nil)
-		host.report("w")
+		host.traceState("w")
 		host.fakes["a"].neverReady = false
 		host.mustApply(CommandControl{CommandID: "w", Verb: VerbResume, RequestedBy: "test"})
 		host.advance(15*second, nil)
-		host.report("w") // b may not restart: a is down, and half of two must stay ready
+		host.traceState("w") // b must not restart: a is down, and half of two must stay ready
 		host.mustCommand("a-up", KindStart, 20*second, "a")
 		host.advance(4*second, nil)
 		host.mustApply(CommandControl{CommandID: "w", Verb: VerbResume, RequestedBy: "test"})
 		host.advance(15*second, nil)
-		host.report("w")
+		host.traceState("w")
 	}},
 	{"a cancelled rolling update completes the restart in progress and begins no other", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
@@ -210,7 +210,7 @@
 		}
 		host.trace.Say("  %v, %v, %v", cancel("w"), cancel("v"), cancel("up"))
 		host.advance(6*second, nil)
-		host.report("w")
+		host.traceState("w")
 	}},
 	{"a drain takes an instance out of a rolling update, which waits for its minimum", func(host *scenarioHost) {
 		startAll(host.simulatedHost)
@@ -218,8 +218,8 @@
 		host.advance(second, nil)
 		host.mustCommand("d", KindDrain, 20*second, "b")
 		host.advance(9*second, nil)
-		host.report("w")
-		host.report("d")
+		host.traceState("w")
+		host.traceState("d")
 	}},
 }
 
@@ -245,6 +245,6 @@
 				Incarnation: host.fakes["b"].incarnation, Phase: PhaseReady, Invocations: 100 * n, Rejected: 80 * n,
 			}})
 		}
-		host.report("w")
+		host.traceState("w")
 	}},
 }
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -8,7 +8,7 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats checks that JSON from an earlier release, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON from an earlier release, with each field set, survives a round trip unchanged.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Observation](t, "Sight.json")
 	compattest.RoundTrip[Instance](t, "Instance.json")
@@ -70,8 +70,8 @@
 
 const storedHistoryEvent = `{"at":1,"name":"a","command":"c","event":"taken","cause":"w"}`
 
-// TestStoredForm checks that the bytes that an agent stores are read and written the same.
-func TestStoredForm(t *testing.T) {
+// TestStoredFormIsReadAndWrittenTheSame checks that the bytes that an agent stores survive a round trip unchanged.
+func TestStoredFormIsReadAndWrittenTheSame(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		text string
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -8,26 +8,26 @@
 	"milletbarrow/monotime"
 )
 
-// Config holds the machine's own limits and pauses.
+// Config holds the machine's limits and delays.
 type Config struct {
-	// KillDelay is the time after an instance's ExitTimeout until the agent itself kills it, and the unit of the
-	// pause between two kills.
+	// KillDelay is the time from an instance's ExitTimeout until the agent itself kills the instance, and the unit of
+	// the pause between two kills.
 	KillDelay           monotime.Micros
-	ResendBackoff       backoff.Policy // between attempts at an action that was not taken
+	ResendBackoff       backoff.Policy // between attempts at an action that was not acknowledged
 	RelaunchBackoff     backoff.Policy // after an incarnation that ended by itself
-	MaxFinishedCommands int            // finished commands that are remembered; the oldest are forgotten
-	MaxOpenCommands     int            // commands that may be open at once; a further one is rejected
+	MaxFinishedCommands int            // finished commands that are kept; the oldest are forgotten
+	MaxOpenCommands     int            // commands that may be open at once; further ones are rejected
 	JitterSeed          uint64         // seeds the jitter of all pauses
 }
 
 const (
 	defaultKillDelay = 500 * time.Millisecond
-	// The launch of a process costs its host more than the resend of an action.
-	relaunchMinFactor = 2  // of the pauses between resends
-	relaunchMaxFactor = 10 // of the longest pause between resends
+	// Launching a process costs its host more than resending an action, so its pauses are longer.
+	relaunchMinFactor = 2  // multiple of the shortest pause between resends
+	relaunchMaxFactor = 10 // multiple of the longest pause between resends
 )
 
-// DefaultConfig returns the configuration of an agent with the given bounds.
+// DefaultConfig returns the default configuration for an agent with the given bounds.
 func DefaultConfig(bounds limits.Control, seed uint64) Config {
 	return Config{
 		KillDelay:     monotime.FromDuration(defaultKillDelay),
--- a/internal/fleet/control_command.go
+++ b/internal/fleet/control_command.go
@@ -27,7 +27,7 @@
 	case control.Verb == VerbResume && command.State == CommandPaused:
 		command.resume()
 	case control.Verb == VerbPause, control.Verb == VerbResume:
-		return nil // the command is in the requested state, or cancelled
+		return nil // the command already is in the requested state, or it is cancelled
 	default:
 		return &VerbError{control.Verb}
 	}
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// cancel ends a command for the instances that it has not begun with. Instances in progress and spares come back first.
+// cancel ends a command for the instances that it has not begun with. A rolling update first completes the restarts in
+// progress and stops its spares.
 func (m *Machine) cancel(now monotime.Micros, command *Command, cause string) {
 	command.setState(CommandCancelled, cause)
 	for _, name := range command.unresolved() {
@@ -48,13 +49,13 @@
 	}
 }
 
-// setState enters a state for a cause.
+// setState sets the state of the command as a whole, and its cause.
 func (c *Command) setState(state CommandState, cause string) {
 	c.State = state
 	c.Cause = cause
 }
 
-// resume reopens a paused command and forgets what could pause it at once again.
+// resume reopens a paused command and resets the counters that would pause it again at once.
 func (c *Command) resume() {
 	c.setState(CommandOpen, "")
 	c.Failures = 0
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -6,45 +6,45 @@
 	"milletbarrow/monotime"
 )
 
-// RolloutCoordinator decides in which order the agents of many hosts begin their rolling updates. Each agent keeps the
-// minimum of its own groups, the coordinator that of the fleet. It needs no storage: commands have the same ID at every
-// agent, so that a restarted coordinator learns the progress from the agents.
+// RolloutCoordinator decides in which order the agents of many hosts begin their rolling updates. Each agent enforces
+// the minimum of its own groups, the coordinator that of the fleet. It needs no storage: commands have the same ID at
+// every agent, so a restarted coordinator learns the progress from the agents.
 type RolloutCoordinator struct {
 	Hosts              []string // in the file's order
 	Config             RollingUpdateConfig
 	MaxConcurrentHosts int             // hosts that update at once; below 1 counts as 1
-	blockedSince       monotime.Micros // since when the fleet's minimum lets no host begin; 0: one can
+	blockedSince       monotime.Micros // the fleet's minimum has let no host begin since; 0: it lets one
 }
 
 // HostProgress is the known progress of a host in a rollout.
 type HostProgress struct {
 	Reachable      bool
 	State          CommandState // of the host's command; empty: it has none yet
-	Failed         bool         // some instance is not as the command wanted it
+	Failed         bool         // some instance is not in the state that the command requested
 	Cause          string       // of State or Failed; empty: none
 	Ready          int          // instances ready now
 	DesiredUp      int          // instances desired up
-	MaxUnavailable int          // instances that the host's update takes out at once at most
+	MaxUnavailable int          // instances that the host's update takes out of service at once at most
 }
 
 // RolloutStep is the next step of a rollout.
 type RolloutStep struct {
 	Begin      []string // hosts whose updates begin now
-	Finished   bool     // nothing is left to begin or to wait for
-	StopReason string   // why the rollout stops although hosts are left; empty: it goes on
+	Finished   bool     // there is nothing left to begin or to wait for
+	StopReason string   // why the rollout stops before all hosts are done; empty: it goes on
 }
 
 // rolloutTally sums up the progress of all hosts.
 type rolloutTally struct {
 	waiting   []string // hosts without a command, in the file's order
 	updating  int      // hosts whose update is in progress
-	ready     int      // instances, less those that the updates in progress may still take out
+	ready     int      // instances, less those that updates in progress may still take out of service
 	desiredUp int      // instances
 }
 
-// Next decides which updates begin. A host that is unreachable, or whose update is paused or failed, stops the rollout:
-// a fault on one host must not spread to the next. If the fleet's minimum lets no host begin for Config.StallTimeout,
-// the rollout stops too; until then instances that have just become ready may settle.
+// Next decides which updates begin. A host that is unreachable, or whose update is paused or failed, stops the rollout,
+// so that a faulty release does not spread to further hosts. If the fleet's minimum lets no host begin for
+// Config.StallTimeout, the rollout stops too; until then instances that have just become ready may settle.
 func (r *RolloutCoordinator) Next(now monotime.Micros, progress map[string]HostProgress) RolloutStep {
 	for _, name := range r.Hosts {
 		if host := progress[name]; host.stopsRollout() {
@@ -64,7 +64,7 @@
 		if !host.Reachable {
 			if tally.updating == 0 {
 				step.Finished = true
-				step.StopReason = fmt.Sprintf("host %s can't be reached", name)
+				step.StopReason = fmt.Sprintf("host %s is unreachable", name)
 			}
 			return step
 		}
@@ -82,7 +82,7 @@
 	return step
 }
 
-// stopsRollout reports whether the host's update failed, or needs an operator.
+// stopsRollout reports whether the host's update failed, was cancelled, or waits for an operator.
 func (p HostProgress) stopsRollout() bool {
 	return p.State == CommandDone && p.Failed || p.State == CommandPaused || p.State == CommandCancelled
 }
@@ -98,9 +98,9 @@
 		case "":
 			tally.waiting = append(tally.waiting, name)
 		case CommandDone:
-		default: // instances that the update may still take out count as out
-			alreadyOut := host.DesiredUp - host.Ready
-			tally.ready -= max(0, host.MaxUnavailable-alreadyOut)
+		default: // instances that the update may still take out of service count as unavailable
+			unavailable := host.DesiredUp - host.Ready
+			tally.ready -= max(0, host.MaxUnavailable-unavailable)
 			tally.updating++
 		}
 	}
@@ -117,6 +117,6 @@
 	if now-r.blockedSince < r.Config.StallTimeout {
 		return ""
 	}
-	return fmt.Sprintf("host %s would take %d out, with %d ready of %d in the fleet and %d to stay",
+	return fmt.Sprintf("host %s would take %d out of service: %d of %d in the fleet are ready, and %d must stay ready",
 		name, host.MaxUnavailable, tally.ready, tally.desiredUp, r.Config.minReady(tally.desiredUp))
 }
--- a/internal/fleet/coordinator_test.go
+++ b/internal/fleet/coordinator_test.go
@@ -7,7 +7,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// hostInState returns the progress of a host with ten instances, all ready, of which an update takes out three at once.
+// hostInState returns the progress of a host with ten instances, all ready, of which an update takes three out of
+// service at once.
 func hostInState(state CommandState) HostProgress {
 	return HostProgress{Reachable: true, State: state, Ready: 10, DesiredUp: 10, MaxUnavailable: 3}
 }
@@ -26,8 +27,8 @@
 	}
 }
 
-// TestRolloutCoordinator compares the steps of a rollout with the stored trace: a fault on one host does not spread to
-// the next, and the fleet's minimum holds over all hosts.
+// TestRolloutCoordinator compares the steps of a rollout with the stored trace: a failed, paused or unreachable host
+// stops the rollout, and the fleet's minimum holds over all hosts.
 func TestRolloutCoordinator(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	coordinator := testCoordinator("a", "b", "c")
@@ -53,11 +54,12 @@
 	return fmt.Sprintf("{Begin:%v Over:%t Why:%s}", step.Begin, step.Finished, step.StopReason)
 }
 
-// TestRunningHostCountsAsUnavailable checks that instances that a host's update may still take out count as out.
+// TestRunningHostCountsAsUnavailable checks that instances that a host's update may still take out of service count as
+// unavailable.
 func TestRunningHostCountsAsUnavailable(t *testing.T) {
 	coordinator := testCoordinator("a", "b")
 	step := coordinator.Next(100, map[string]HostProgress{"a": hostInState(CommandOpen), "b": hostInState("")})
 	if len(step.Begin) != 0 {
-		t.Errorf("%v begins: then 6 of 20 may be out, and at most 4 may", step.Begin)
+		t.Errorf("%v begins: 6 of 20 instances could be unavailable at once, want at most 4", step.Begin)
 	}
 }
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -9,7 +9,7 @@
 // Causes of a rejected command. Decide returns them inside a CommandError.
 var (
 	ErrIDConflict = errors.New("another command with this id was accepted before")
-	// ErrUnknownCommand keeps its text: command-line clients of other releases compare it.
+	// ErrUnknownCommand has a fixed text: command-line clients of other releases compare it.
 	ErrUnknownCommand   = errors.New("no such command")
 	ErrTooManyCommands  = errors.New("too many open commands")
 	ErrUpdateInProgress = errors.New("another rolling update is open: cancel it or wait for its end")
@@ -23,12 +23,12 @@
 	ErrUpdateNeverEnds = errors.New("the rolling update would never end with these settings")
 )
 
-// CommandError reports a rejected operation on a command. Its text is that of Err.
+// CommandError reports a rejected operation on a command. Its message is that of Err.
 type CommandError struct {
 	Operation string // OperationAccept or the verb of CommandControl
 	CommandID string
-	Instance  string // the instance at fault; empty: no single one
-	Group     string // the group at fault; empty: no single one
+	Instance  string // the invalid instance; empty: the error is not about a single one
+	Group     string // the invalid group; empty: the error is not about a single one
 	Err       error  // the cause
 }
 
@@ -55,7 +55,7 @@
 type FieldError struct {
 	Field  string // its JSON name; "least" for least_count and least_share together
 	Reason string
-	Err    error // the cause; nil: Reason is complete
+	Err    error // the underlying error; nil: there is none
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
@@ -92,7 +92,7 @@
 	return fmt.Sprintf("%q is neither unix:PATH nor 127.x.x.x:PORT", e.Address)
 }
 
-// SelectionError reports a word of a selection that matches nothing.
+// SelectionError reports a word of a selection that matches no instance.
 type SelectionError struct {
 	Kind  string // "instance", "group", "label" or "host"
 	Word  string
@@ -103,14 +103,14 @@
 	return fmt.Sprintf("%s %q matches nothing in fleet %s", e.Kind, e.Word, e.Fleet)
 }
 
-// SpecError reports one fault of a fleet's file. Its text is that of Err.
+// SpecError reports one error in a fleet's file. Its message is that of Err.
 type SpecError struct {
 	SpecSubject
-	Err error // a *sexpr.Error with the place and the path of the field
+	Err error // a *sexpr.Error with the position and the path of the field
 }
 
-// SpecSubject names the host, group, instance or quota that has a fault. The fields that do not apply are empty; all
-// are empty if the fault is the fleet's own.
+// SpecSubject names the host, group, instance or quota that an error is about. The fields that do not apply are empty;
+// all are empty if the error is about the fleet as a whole.
 type SpecSubject struct {
 	Host     string
 	Group    string
@@ -120,5 +120,5 @@
 
 func (e *SpecError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error with the place and the path of the field.
+// Unwrap returns the error with the position and the path of the field.
 func (e *SpecError) Unwrap() error { return e.Err }
--- a/internal/fleet/errors_test.go
+++ b/internal/fleet/errors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// startA returns a start command for instance a.
+// startA returns a command that starts instance a.
 func startA() Command {
 	return Command{ID: "c", Kind: KindStart, Names: []string{"a"}}
 }
@@ -23,10 +23,10 @@
 type commandErrorCase struct {
 	name     string
 	command  Command
-	change   func(*Command) // nil: command stays as it is
+	change   func(*Command) // makes command invalid; nil: it already is
 	field    string
-	instance string // empty: the error names none
-	group    string // empty: the error names none
+	instance string // that the error names; empty: none
+	group    string // that the error names; empty: none
 	text     string
 }
 
@@ -36,8 +36,8 @@
 		text: `id: invalid name "../x", wanted at most 40 letters, digits, . - _, not beginning with . or -`,
 	},
 	{
-		name: "unknown kind", command: startA(), change: func(c *Command) { c.Kind = "dance" }, field: "kind",
-		text: `kind: "dance" is not one of [start drain stop restart wave rise]`,
+		name: "unknown kind", command: startA(), change: func(c *Command) { c.Kind = "reboot" }, field: "kind",
+		text: `kind: "reboot" is not one of [start drain stop restart wave rise]`,
 	},
 	{
 		name: "no instance", command: startA(), change: func(c *Command) { c.Names = nil }, field: "names",
@@ -68,7 +68,7 @@
 	},
 	{
 		name: "cold start without a quota", command: startA(), change: func(c *Command) { c.Kind = KindColdStart },
-		field: "budget", text: "budget: missing, wanted a budget with a count from the fleet's file",
+		field: "budget", text: "budget: missing, wanted the name of a quota with a count in the fleet's file",
 	},
 	{
 		name: "start with a quota", command: startA(), change: func(c *Command) { c.Quota = "q" }, field: "budget",
@@ -80,7 +80,7 @@
 	},
 }
 
-// rolloutErrorCases have a fault in the configuration of the rolling update.
+// rolloutErrorCases are rolling updates with an invalid configuration.
 var rolloutErrorCases = []commandErrorCase{
 	{
 		name: "none in progress", command: updateA(func(config *RollingUpdateConfig) { config.MaxInProgress = 0 }),
@@ -136,9 +136,9 @@
 	},
 }
 
-// TestCommandErrors checks that a rejected command names the field, the instance or the group that is wrong, in the
-// fields of its error and in its text.
-func TestCommandErrors(t *testing.T) {
+// TestCommandErrorsNameTheInvalidPart checks that the error of a rejected command names the invalid field, instance or
+// group, in its fields and in its message.
+func TestCommandErrorsNameTheInvalidPart(t *testing.T) {
 	for _, test := range slices.Concat(commandErrorCases, rolloutErrorCases) {
 		t.Run(test.name, func(t *testing.T) {
 			host := newHost(t, readTestSpec(t, twoInstances))
@@ -167,13 +167,14 @@
 	}
 }
 
-// control gives the host's machine a control of a command and returns its error.
+// control pauses, resumes or cancels a command and returns the machine's error.
 func control(host *simulatedHost, id string, verb Verb) error {
 	_, _, err := host.m.Decide(host.now, CommandControl{CommandID: id, Verb: verb, RequestedBy: "test"})
 	return err
 }
 
-// TestRejectedControlsHaveTypedErrors checks the errors of pause, resume and cancel where they are not possible.
+// TestRejectedControlsHaveTypedErrors checks the errors of pause, resume and cancel for commands that do not allow
+// them.
 func TestRejectedControlsHaveTypedErrors(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.mustCommand("open", KindStart, 20*second, "a")
@@ -202,20 +203,20 @@
 	}
 }
 
-// TestUnknownVerbIsRejected checks that an operation that does not exist has an error of its own.
+// TestUnknownVerbIsRejected checks that an unknown operation on a command is rejected with a *VerbError.
 func TestUnknownVerbIsRejected(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	host.spec.RollingUpdate.MinReadyShare = 0
 	host.mustCommand("w", KindRollingUpdate, 20*second, "a")
-	const want = `unknown operation "dance", wanted pause, resume or cancel`
-	unknown, ok := errors.AsType[*VerbError](control(host, "w", "dance"))
-	if !ok || unknown.Verb != "dance" || unknown.Error() != want {
+	const want = `unknown operation "restart", wanted pause, resume or cancel`
+	unknown, ok := errors.AsType[*VerbError](control(host, "w", "restart"))
+	if !ok || unknown.Verb != "restart" || unknown.Error() != want {
 		t.Errorf("%v, want %q", unknown, want)
 	}
 }
 
-// TestInvalidNamesAreInTheirErrors checks the errors of names and addresses.
+// TestInvalidNamesAreInTheirErrors checks that the errors of invalid names and addresses contain them.
 func TestInvalidNamesAreInTheirErrors(t *testing.T) {
 	if bad, ok := errors.AsType[*NameError](CheckName("-x")); !ok || bad.Name != "-x" {
 		t.Errorf("CheckName: %v, want a *NameError", bad)
@@ -237,7 +238,8 @@
 	}
 }
 
-// TestUnmatchedSelectionsAreRejected checks that a word of a selection that matches nothing is in its error.
+// TestUnmatchedSelectionsAreRejected checks that the error of a selection names its word that matches no instance, and
+// that an empty selection is rejected.
 func TestUnmatchedSelectionsAreRejected(t *testing.T) {
 	spec := readTestSpec(t, twoInstances)
 	unmatched := []string{"z"}
--- a/internal/fleet/history.go
+++ b/internal/fleet/history.go
@@ -2,16 +2,16 @@
 
 import "milletbarrow/monotime"
 
-// HistoryEvent is an entry of the history that people read.
+// HistoryEvent is an entry of the history that the agent stores and shows to operators.
 type HistoryEvent struct {
 	At        monotime.Micros `json:"at"`
 	Name      string          `json:"name,omitempty"`    // of the instance; empty: a command's event
-	CommandID string          `json:"command,omitempty"` // empty: no command waited for the instance
+	CommandID string          `json:"command,omitempty"` // empty: the instance was assigned to no command
 	Event     string          `json:"event"`             // a phase, an action kind, a verb or a constant below
 	Cause     string          `json:"cause,omitempty"`
 }
 
-// Events of the history besides phases, action kinds and verbs. They are stored and shown as they are.
+// Events of the history besides phases, action kinds and verbs. Their texts are stored and must not change.
 const (
 	eventAccepted           = "taken"
 	eventPaused             = "pause"
@@ -26,21 +26,21 @@
 	eventActionFailedSuffix = " not taken" // an ActionKind precedes
 )
 
-// Causes of phases, actions and results. They are stored and shown as they are.
+// Causes of phases, actions and results. Their texts are stored and must not change.
 const (
-	causeRequested      = "asked for"
-	causeResent         = "again"
-	causeNotDesiredUp   = "it is not wanted up"
-	causeNotInSpec      = "the fleet's file no longer names it"
-	causeRebooted       = "the machine was started anew"
-	causeDeadlinePassed = "the command's time is over"
-	causeSupervisorGone = "its keeper is gone"
-	causeSupervisorMute = "its keeper does not answer"
-	causeKillDeadline   = "not gone by the end of its window"
-	causeAgentRestarted = "the agent was started"
-	causeRestart        = "to come up again"
-	causeLeavesByItself = "asked for while it leaves by itself"
-	causeUnobservable   = "asked for while it can't be seen"
+	causeRequested             = "asked for"
+	causeResent                = "again"
+	causeNotDesiredUp          = "it is not wanted up"
+	causeNotInSpec             = "the fleet's file no longer names it"
+	causeRebooted              = "the machine was started anew"
+	causeDeadlinePassed        = "the command's time is over"
+	causeSupervisorGone        = "its keeper is gone"
+	causeSupervisorSilent      = "its keeper does not answer"
+	causeKillDeadline          = "not gone by the end of its window"
+	causeAgentRestarted        = "the agent was started"
+	causeRestart               = "to come up again"
+	causeRequestedWhileExiting = "asked for while it leaves by itself"
+	causeRequestedUnobserved   = "asked for while it can't be seen"
 )
 
 // recordEvent adds an event of an instance to the history.
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -2,7 +2,7 @@
 
 import "milletbarrow/monotime"
 
-// Phase is the observed part of an instance's life, from its launch to its exit.
+// Phase is the observed stage of an instance's lifecycle, from its launch to its exit.
 type Phase string
 
 // The phases. The desired state is separate: Instance.DesiredUp.
@@ -10,27 +10,27 @@
 	PhaseAbsent       Phase = "absent"   // never started
 	PhaseStarting     Phase = "starting" // launched, not ready yet
 	PhaseReady        Phase = "ready"    // passes its health checks
-	PhaseUnready      Phase = "unready"  // was ready, and fails its health checks without having been notified
+	PhaseUnready      Phase = "unready"  // was ready, and fails its health checks though it was not notified
 	PhaseDraining     Phase = "draining" // notified, within its grace period
-	PhaseStopping     Phase = "stopping" // its grace period is over; it answers the requests in flight
-	PhaseUnresponsive Phase = "deaf"     // notified without a reaction; killed before its grace period ends
+	PhaseStopping     Phase = "stopping" // past its grace period; completes the requests in flight
+	PhaseUnresponsive Phase = "deaf"     // does not react to its notice; killed before its grace period ends
 	PhaseExited       Phase = "gone"     // exited after it was notified
-	PhaseFailed       Phase = "failed"   // exited by itself, could not be launched, or did not become ready
-	PhaseUnknown      Phase = "unknown"  // can't be observed; it may well run
+	PhaseFailed       Phase = "failed"   // exited unexpectedly, could not be launched, or did not become ready
+	PhaseUnknown      Phase = "unknown"  // can't be observed; may still run
 )
 
-// leaving reports whether the instance is shutting down.
-func (p Phase) leaving() bool {
+// shuttingDown reports whether the instance is in one of the phases of its shutdown.
+func (p Phase) shuttingDown() bool {
 	return p == PhaseDraining || p == PhaseStopping || p == PhaseUnresponsive
 }
 
 // Down reports whether no process of the instance is left.
 func (p Phase) Down() bool { return p == PhaseAbsent || p == PhaseExited || p == PhaseFailed }
 
-// fullService is the degradation level of an instance that serves without degradation.
+// fullService is the degradation level of an instance that is not degraded.
 const fullService = "full"
 
-// unknownInvocations is the value of Instance.Invocations from a restart of the agent to the first observation.
+// unknownInvocations is the value of Instance.Invocations after a restart of the agent until the first observation.
 const unknownInvocations = -1
 
 // Instance is the desired and the observed state of an instance. The agent stores the fields with a JSON name.
@@ -39,31 +39,31 @@
 	Group string `json:"group"`
 	Spare bool   `json:"spare,omitempty"` // runs only while a rolling update with surge needs it
 
-	// The desired state, and the action that leads to it.
+	// The desired state, and the latest action.
 
 	DesiredUp      bool       `json:"up"`
-	RestartPending bool       `json:"recycle,omitempty"` // it has to exit and to be launched again
-	CommandID      string     `json:"task,omitempty"`    // the command that waits for it; empty: none
+	RestartPending bool       `json:"recycle,omitempty"` // it has to exit and be launched again
+	CommandID      string     `json:"task,omitempty"`    // the command that it is assigned to; empty: none
 	ActionCount    int        `json:"serial"`            // actions issued for it so far
 	ActionID       string     `json:"step,omitempty"`    // of the latest action; empty: none yet
 	LastAction     ActionKind `json:"doing,omitempty"`   // of the latest action
 	ActionPending  bool       `json:"pending,omitempty"` // the latest action is not known to have been carried out
 
-	// The present incarnation, and the launch of the next one.
+	// The current incarnation, and the launch of the next one.
 
 	Incarnation       string          `json:"run,omitempty"`      // ID of its launch; empty: no process
 	NoticeID          string          `json:"told,omitempty"`     // ID of the shutdown notice; empty: not notified
 	NotifiedAt        monotime.Micros `json:"told_at,omitempty"`  // when NoticeID was issued; 0: not notified
 	PhaseDeadline     monotime.Micros `json:"deadline,omitempty"` // 0: none; never 0 after a notice
-	GiveUpReason      string          `json:"gave_up,omitempty"`  // of a notice to an instance that is desired up
+	GiveUpReason      string          `json:"gave_up,omitempty"`  // why it was notified though desired up; empty: no
 	LaunchesExhausted bool            `json:"spent,omitempty"`    // no further launch until a command requests one
 	LaunchRequested   bool            `json:"free,omitempty"`     // the next launch is not counted by LaunchBudget
 	KillAttempts      int             `json:"kills,omitempty"`    // in this incarnation
-	LastExit          Exit            `json:"last"`               // of the incarnation before
+	LastExit          Exit            `json:"last"`               // of the previous incarnation
 	LaunchBudget      LaunchBudget    `json:"budget"`             // of launches that no command requested
 	Unit              Unit            `json:"unit,omitzero"`      // of a concurrency quota of the fleet
-	UnitRequests      int             `json:"turns,omitempty"`    // unit requests so far
-	Attempts          int             `json:"tries,omitempty"`    // at the pending action, or failed launches in a row
+	UnitRequests      int             `json:"turns,omitempty"`    // requests for a unit so far
+	Attempts          int             `json:"tries,omitempty"`    // resends of the action, or failed launches in a row
 	NextAttemptAt     monotime.Micros `json:"next,omitempty"`     // earliest resend or launch
 
 	// The observed state.
@@ -89,7 +89,7 @@
 	ExitTimeout monotime.Micros // the instance has to have exited by then
 }
 
-// setPhase enters a phase, or updates the cause of the present one.
+// setPhase enters a phase, or updates the cause of the current one.
 func (inst *Instance) setPhase(now monotime.Micros, phase Phase, cause string) {
 	if inst.Phase != phase {
 		inst.Phase = phase
@@ -103,8 +103,8 @@
 	}
 }
 
-// requestLaunch requests a launch, which follows as soon as the instance is down. It is not counted by LaunchBudget,
-// which starts anew.
+// requestLaunch requests a launch, which follows as soon as the instance is down. LaunchBudget does not count it and is
+// reset.
 func (inst *Instance) requestLaunch(now monotime.Micros) {
 	inst.DesiredUp = true
 	inst.LaunchesExhausted = false
@@ -116,21 +116,21 @@
 	}
 }
 
-// requestRelaunch requests the launch that completes a restart, without a pause.
+// requestRelaunch requests the launch that completes a restart, without a delay.
 func (inst *Instance) requestRelaunch(now monotime.Micros) {
 	inst.LaunchRequested = true
 	inst.NextAttemptAt = now
 	inst.Attempts = 0
 }
 
-// abandonLaunch forgets an incarnation whose process was never started.
+// abandonLaunch clears an incarnation whose process was never started.
 func (inst *Instance) abandonLaunch() {
 	inst.Incarnation = ""
 	inst.ActionPending = false
 	inst.PhaseDeadline = 0
 }
 
-// clearIncarnation forgets the notice, the kills and the deadline of an incarnation that has ended.
+// clearIncarnation clears the notice, the kills and the deadline of an incarnation that has ended.
 func (inst *Instance) clearIncarnation() {
 	inst.Incarnation = ""
 	inst.NoticeID = ""
@@ -141,7 +141,7 @@
 	inst.KillAttempts = 0
 }
 
-// clearObservations forgets what was observed of an incarnation that has ended.
+// clearObservations clears the observations of an incarnation that has ended.
 func (inst *Instance) clearObservations() {
 	inst.Invocations = 0
 	inst.Rejected = 0
@@ -156,8 +156,8 @@
 	inst.NextAttemptAt = now
 }
 
-// resetAfterReboot forgets the process, which a reboot of the host has ended. If the instance is desired up, it is
-// launched at once.
+// resetAfterReboot clears the incarnation, whose process a reboot of the host has ended. If the instance is desired up,
+// it is launched at once.
 func (inst *Instance) resetAfterReboot(now monotime.Micros) {
 	inst.clearIncarnation()
 	inst.RestartPending = false
@@ -183,27 +183,27 @@
 	return inst.Phase == PhaseReady && now-inst.ReadySince >= inst.group.Settle
 }
 
-// available reports whether a rolling update may count the instance as serving.
+// available reports whether the instance counts towards the minimum that a rolling update keeps ready.
 func (inst *Instance) available(now monotime.Micros) bool {
 	return inst.DesiredUp && !inst.RestartPending && inst.NoticeID == "" && inst.Settled(now)
 }
 
-// backInService reports whether an instance serves again, or is down as desired.
+// backInService reports whether the instance serves again, or is down as desired.
 func (inst *Instance) backInService(now monotime.Micros) bool {
 	return inst.available(now) || !inst.DesiredUp && inst.Phase.Down()
 }
 
-// runsUndisturbed reports whether the instance is ready and has neither been notified nor to restart.
-func (inst *Instance) runsUndisturbed() bool {
+// servesNormally reports whether the instance is ready, was not notified and has no restart pending.
+func (inst *Instance) servesNormally() bool {
 	return inst.Phase == PhaseReady && !inst.RestartPending && inst.NoticeID == ""
 }
 
-// failedForGood reports whether the instance is down and is not launched again without a command.
+// failedForGood reports whether the instance has failed and will not be launched again without a command.
 func (inst *Instance) failedForGood() bool {
 	return inst.Phase == PhaseFailed && inst.LaunchesExhausted
 }
 
-// shouldNotify reports whether the instance has to exit and has not been notified.
+// shouldNotify reports whether the instance has to exit and was not notified yet.
 func (inst *Instance) shouldNotify() bool {
 	return inst.NoticeID == "" && (!inst.DesiredUp || inst.RestartPending)
 }
--- a/internal/fleet/interleavings_test.go
+++ b/internal/fleet/interleavings_test.go
@@ -9,16 +9,16 @@
 	"milletbarrow/monotime"
 )
 
-// TestInterleavings checks the machine's invariants under commands, controls, crashes, lost actions and late
-// observations in any order, and that every command ends once the faults are over.
-func TestInterleavings(t *testing.T) {
+// TestInvariantsHoldUnderInterleavedFaults checks the machine's invariants under commands, controls, crashes, lost
+// actions and late observations in any order, and that every command ends once the faults are over.
+func TestInvariantsHoldUnderInterleavedFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := newHost(t, readTestSpec(t, drawFleet(t)))
 		random := newRandom(rapid.Uint64().Draw(t, "seed"))
 		checker := newInvariantChecker(t, host)
 		host.check = checker.check
 		host.dropAction = func(Action) bool { return random.IntN(10) == 0 }
-		blind := func(string) bool { return random.IntN(5) == 0 }
+		isHidden := func(string) bool { return random.IntN(5) == 0 }
 		startAll(host)
 		names := host.m.Names()
 		drawFake := func(t *rapid.T) *fakeInstance {
@@ -69,7 +69,7 @@
 				host.now += monotime.Micros(rapid.IntRange(0, 30).Draw(t, "seconds")) * second
 			},
 			"time": func(t *rapid.T) {
-				host.advance(monotime.Micros(rapid.IntRange(1, 40).Draw(t, "steps"))*stepTime, blind)
+				host.advance(monotime.Micros(rapid.IntRange(1, 40).Draw(t, "steps"))*stepTime, isHidden)
 			},
 		})
 		host.dropAction = nil
@@ -79,7 +79,7 @@
 	})
 }
 
-// drawFleet draws the text of a fleet with one or two groups.
+// drawFleet draws the file of a fleet with one or two groups.
 func drawFleet(t *rapid.T) string {
 	groups := rapid.IntRange(1, 2).Draw(t, "groups")
 	each := rapid.IntRange(1, 4).Draw(t, "each")
@@ -108,7 +108,7 @@
 	}
 }
 
-// commandInstance is one instance of a command.
+// commandInstance identifies one instance of a command.
 type commandInstance struct {
 	commandID string
 	name      string
@@ -118,7 +118,7 @@
 type invariantChecker struct {
 	t          *rapid.T
 	host       *simulatedHost
-	results    map[commandInstance]Result // as first seen
+	results    map[commandInstance]Result // as first recorded
 	restarting map[commandInstance]bool   // notified by a rolling update, without a result
 }
 
@@ -131,7 +131,7 @@
 	}
 }
 
-// check fails the test if an invariant is broken.
+// check fails the test if an invariant is violated.
 func (c *invariantChecker) check(actions []Action) {
 	c.checkInstances()
 	c.checkResults()
@@ -146,7 +146,7 @@
 	}
 }
 
-// checkInstances checks that a notified instance has a deadline, and that one without an incarnation is down.
+// checkInstances checks that each notified instance has a deadline, and that each one without an incarnation is down.
 func (c *invariantChecker) checkInstances() {
 	for _, name := range c.host.m.Names() {
 		inst, _ := c.host.m.Instance(name)
@@ -173,8 +173,8 @@
 	}
 }
 
-// checkRestart checks that a rolling update may notify the instance: it keeps its bound on restarts in progress and the
-// minimum of the group.
+// checkRestart checks that the rolling update that notifies the instance keeps its bound on restarts in progress and
+// the minimum of the group.
 func (c *invariantChecker) checkRestart(command *Command, inst Instance) {
 	c.restarting[commandInstance{command.ID, inst.Name}] = true
 	inProgress := 0
--- a/internal/fleet/invariants_test.go
+++ b/internal/fleet/invariants_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestFailureOfAnotherActionIsIgnored checks that only the pending action can fail.
+// TestFailureOfAnotherActionIsIgnored checks that a failure changes nothing if it is of an older action, or of one that
+// was carried out.
 func TestFailureOfAnotherActionIsIgnored(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.dropAction = dropKind(ActionLaunch)
@@ -23,14 +24,14 @@
 	host = newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	before = storedForm(t, host.m.instances["a"])
-	taken := host.m.instances["a"].ActionID
-	decide(t, host, ActionFailed{Name: "a", ActionID: taken, Cause: "after it was taken", Final: true})
+	carriedOut := host.m.instances["a"].ActionID
+	decide(t, host, ActionFailed{Name: "a", ActionID: carriedOut, Cause: "after it was carried out", Final: true})
 	if after := storedForm(t, host.m.instances["a"]); after != before {
-		t.Errorf("the failure of an action that was taken changed\n%s to\n%s", before, after)
+		t.Errorf("the failure of an action that was carried out changed\n%s to\n%s", before, after)
 	}
 }
 
-// TestReleaseOfAnotherUnitIsIgnored checks that the confirmation of an older release leaves the present unit alone.
+// TestReleaseOfAnotherUnitIsIgnored checks that the confirmation of an older release does not clear the current unit.
 func TestReleaseOfAnotherUnitIsIgnored(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	held := Unit{Quota: "updates", RequestID: "r.a.2", CommandID: "r", Held: true}
@@ -56,25 +57,26 @@
 		t.Errorf("%+v became %+v", requested, got)
 	}
 	if len(actions) != 1 || actions[0].Kind != ActionReleaseUnit || actions[0].ID != "r.a.1" {
-		t.Errorf("the stray unit is not released: %+v", actions)
+		t.Errorf("the unit of the abandoned request is not released: %+v", actions)
 	}
 }
 
-// TestUnitStaysHeldUntilBackInService checks that an unused unit is released once its instance is ready, not before.
+// TestUnitStaysHeldUntilBackInService checks that a unit whose command is gone is released once its instance is ready,
+// and not before.
 func TestUnitStaysHeldUntilBackInService(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	host.mustCommand("up", KindStart, 60*second, "a")
 	host.m.instances["a"].Unit = Unit{Quota: "updates", RequestID: "r.a.1", CommandID: "gone", Held: true}
 	if actions := decide(t, host, Tick{}); len(actions) != 0 {
-		t.Errorf("%+v while it starts", actions)
+		t.Errorf("%+v while the instance starts, want no action", actions)
 	}
 	host.advance(2*second, nil)
 	if host.m.instances["a"].Unit.NextRequestAt == 0 {
-		t.Error("its unit was not released after it became ready")
+		t.Error("the unit was not released after the instance became ready")
 	}
 }
 
-// TestResultIsRecordedOnce checks that a result after the first one changes nothing.
+// TestResultIsRecordedOnce checks that a second result for an instance changes nothing.
 func TestResultIsRecordedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		outcomes := []Outcome{
@@ -115,8 +117,9 @@
 	}
 }
 
-// TestRestoreAfterReboot checks that after a reboot, which no process survives, what is desired up is launched again.
-func TestRestoreAfterReboot(t *testing.T) {
+// TestRebootRelaunchesInstancesThatAreDesiredUp checks that after a reboot of the host, which no process survives, the
+// instances that are desired up are launched again.
+func TestRebootRelaunchesInstancesThatAreDesiredUp(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	host.m = New(host.spec, host.name, testConfig(), testWindow)
@@ -135,7 +138,8 @@
 	}
 }
 
-// TestRestoreRenewsPendingNotice checks that the shutdown window of a notice that may be lost runs from its resend.
+// TestRestoreRenewsPendingNotice checks that after a restart of the agent the shutdown window of a notice that may be
+// lost starts anew, as the notice is sent again.
 func TestRestoreRenewsPendingNotice(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
@@ -151,7 +155,8 @@
 	}
 }
 
-// TestCountsFromBeforeRestartAreNotAdded checks that the first counts after a restart of the agent are a baseline only.
+// TestCountsFromBeforeRestartAreNotAdded checks that the first counts after a restart of the agent only serve as the
+// baseline of later ones.
 func TestCountsFromBeforeRestartAreNotAdded(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
@@ -194,7 +199,7 @@
 	inst := host.m.instances["a"]
 	host.now = inst.NextAttemptAt - 1
 	if actions := decide(t, host, Tick{}); len(actions) != 0 {
-		t.Errorf("before the end of the pause: %+v", actions)
+		t.Errorf("before the end of the pause: %+v, want no action", actions)
 	}
 	host.now++
 	actions := decide(t, host, Tick{})
@@ -210,11 +215,11 @@
 	inst := host.m.instances["a"]
 	crashed := Observation{Incarnation: inst.Incarnation, Phase: PhaseExited, Exit: Exit{Code: 3}}
 	if actions := decide(t, host, InstanceObserved{Name: "a", Observation: crashed}); len(actions) != 0 {
-		t.Errorf("at once: %+v", actions)
+		t.Errorf("at once: %+v, want no action", actions)
 	}
 	host.now = inst.NextAttemptAt - 1
 	if actions := decide(t, host, Tick{}); len(actions) != 0 {
-		t.Errorf("before the end of the pause: %+v", actions)
+		t.Errorf("before the end of the pause: %+v, want no action", actions)
 	}
 	host.now++
 	if actions := decide(t, host, Tick{}); len(actions) != 1 || actions[0].Kind != ActionLaunch {
@@ -222,9 +227,9 @@
 	}
 }
 
-// TestUnseenInstanceIsNotReleased checks that a rolling update waits for an instance that can't be observed, even
-// without a minimum for its group.
-func TestUnseenInstanceIsNotReleased(t *testing.T) {
+// TestUnobservableInstanceIsNotRestarted checks that a rolling update waits for an instance that can't be observed,
+// even without a minimum for its group.
+func TestUnobservableInstanceIsNotRestarted(t *testing.T) {
 	host := newHost(t, readTestSpec(t, twoInstances))
 	startAll(host)
 	host.spec.RollingUpdate.MinReadyShare = 0
--- a/internal/fleet/launch_budget.go
+++ b/internal/fleet/launch_budget.go
@@ -7,9 +7,9 @@
 )
 
 // LaunchBudget allows a number of launches within a sliding window. It keeps an instance that fails at once from being
-// launched for ever, and many such instances from taking the host's capacity from the others.
+// launched indefinitely, and many such instances from starving the other instances of the host.
 type LaunchBudget struct {
-	MaxAttempts int               `json:"Most"`   // launches within Window; 0: none is allowed
+	MaxAttempts int               `json:"Most"`   // launches allowed within Window; may be 0
 	Window      monotime.Micros   `json:"Within"` // length of the sliding window
 	Attempts    []monotime.Micros `json:"Spent"`  // times of the launches within Window, at most MaxAttempts
 }
--- a/internal/fleet/launch_budget_test.go
+++ b/internal/fleet/launch_budget_test.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-// TestLaunchBudget checks that a budget bounds the launches within its window.
+// TestLaunchBudget checks that a budget never allows more than MaxAttempts launches within its window.
 func TestLaunchBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 100
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -8,28 +8,28 @@
 	"milletbarrow/monotime"
 )
 
-// Machine decides for all instances of one host. It is not safe for concurrent use.
+// Machine is the state machine of all instances of one host. It is not safe for concurrent use.
 type Machine struct {
 	config Config
 	random *rand.Rand
 
-	instanceNames    []string              // in the file's order
+	instanceNames    []string              // in the order of the fleet's file
 	instances        map[string]*Instance  // by instance name
 	groups           map[string]*GroupSpec // by group name
 	commands         map[string]*Command   // by command ID
 	openCommands     []*Command            // by Sequence
 	finishedCommands []string              // IDs, oldest first
-	lastSequence     int                   // of the latest command; 0: none yet
+	lastSequence     int                   // of the latest command; 0: there is none yet
 
 	rejections        rejectionRate
-	quotaSilentSince  monotime.Micros // unit requests have no answer since then; 0: the latest has one
+	quotaSilentSince  monotime.Micros // unit requests have had no answer since; 0: the latest has one
 	lastUnitRequestAt monotime.Micros
 
-	actions []Action       // of the present call of Decide
-	history []HistoryEvent // of the present call of Decide
+	actions []Action       // of the current call of Decide
+	history []HistoryEvent // of the current call of Decide
 
-	changedInstances map[string]bool // by instance name: to be stored
-	changedCommands  map[string]bool // by command ID: to be stored, or to be forgotten
+	changedInstances map[string]bool // by instance name; returned by Changes
+	changedCommands  map[string]bool // by command ID, also of forgotten commands; returned by Changes
 }
 
 // New returns a machine for the instances of a host; window returns the shutdown window of an instance.
@@ -64,7 +64,7 @@
 
 func (m *Machine) markCommandChanged(command *Command) { m.changedCommands[command.ID] = true }
 
-// Names lists the names of the instances in the file's order.
+// Names lists the names of the instances in the order of the fleet's file.
 func (m *Machine) Names() []string { return slices.Clone(m.instanceNames) }
 
 // Idle reports whether no command is open and no instance waits for a deadline, an action, a unit or a launch.
@@ -95,7 +95,7 @@
 	return *known, true
 }
 
-// Command returns a copy of a command, or nil if it is unknown or forgotten.
+// Command returns a copy of a command, or nil if it is unknown or was forgotten.
 func (m *Machine) Command(id string) *Command {
 	if command := m.commands[id]; command != nil {
 		return command.clone()
@@ -113,7 +113,7 @@
 }
 
 // Decide applies an event and returns the actions to carry out, in order, and the new entries of the history. Both are
-// valid until the next call. The error is a *CommandError; the event has then changed nothing.
+// valid until the next call. The error is a *CommandError; the rejected event has changed nothing.
 func (m *Machine) Decide(now monotime.Micros, event Event) (actions []Action, history []HistoryEvent, err error) {
 	m.actions = m.actions[:0]
 	m.history = m.history[:0]
@@ -124,14 +124,14 @@
 			m.advanceRollingUpdate(now, command)
 		case KindColdStart:
 			m.advanceColdStart(now, command)
-		case KindStart, KindDrain, KindStop, KindRestart: // advance and reconcile serve them
+		case KindStart, KindDrain, KindStop, KindRestart: // advance handles them
 		}
 	}
 	m.closeFinishedCommands(now)
 	return m.actions, m.history, err
 }
 
-// handleEvent applies an event to the command or the instance that it names.
+// handleEvent applies an event to the commands and instances that it affects.
 func (m *Machine) handleEvent(now monotime.Micros, event Event) error {
 	switch e := event.(type) {
 	case CommandReceived:
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// advanceAll ends the commands whose deadline has passed and advances all instances.
+// advanceAll expires the commands whose deadline has passed and advances all instances.
 func (m *Machine) advanceAll(now monotime.Micros) {
 	for _, command := range slices.Clone(m.openCommands) {
 		if now >= command.Deadline {
@@ -181,12 +181,12 @@
 	}
 }
 
-// advance takes the next step of one instance and of the command that waits for it.
+// advance takes the next step of one instance and of the command that it is assigned to.
 func (m *Machine) advance(now monotime.Micros, inst *Instance) {
 	m.resolveCommand(now, inst)
 	m.reconcile(now, inst)
 	m.resolveCommand(now, inst)
-	m.returnUnit(now, inst)
+	m.releaseUnneededUnit(now, inst)
 }
 
 // handleActionFailed records that the pending action could not be carried out. A failed launch ends its incarnation.
--- a/internal/fleet/names.go
+++ b/internal/fleet/names.go
@@ -15,8 +15,8 @@
 	loopbackPrefix = "127."
 )
 
-// CheckName returns a *NameError unless a host, group, instance or command can have the name: letters, digits, dots,
-// dashes and underscores, up to maxNameLength of them, not beginning with a dot or a dash.
+// CheckName returns a *NameError unless the name is valid for a host, group, instance or command: at most maxNameLength
+// letters, digits, dots, dashes and underscores, not beginning with a dot or a dash.
 func CheckName(name string) error {
 	if name == "" || len(name) > maxNameLength || name[0] == '.' || name[0] == '-' {
 		return &NameError{name}
--- a/internal/fleet/observation.go
+++ b/internal/fleet/observation.go
@@ -6,11 +6,11 @@
 	"milletbarrow/monotime"
 )
 
-// Observation is the state of an instance that its supervisor reported, or that the agent found in its place.
+// Observation is the state of an instance as its supervisor reported it, or as the agent found it without a report.
 type Observation struct {
 	Incarnation string `json:"run"`              // the incarnation that was observed
 	Phase       Phase  `json:"phase"`            // any but PhaseAbsent and PhaseFailed
-	NoticeID    string `json:"told"`             // the shutdown notice that the supervisor has taken; empty: none
+	NoticeID    string `json:"told"`             // the shutdown notice that the supervisor has accepted; empty: none
 	Cause       string `json:"cause,omitempty"`  // of Phase
 	Orphaned    bool   `json:"orphan,omitempty"` // PhaseUnknown: the instance runs and its supervisor does not
 	Exit        Exit   `json:"end"`              // PhaseExited
@@ -21,14 +21,14 @@
 	Detail      Detail `json:"detail,omitempty"` // from a supervisor of another release; empty: none
 }
 
-// Detail is a JSON value of a form that this release does not know; empty: none. It is passed on unchanged. It is a
-// string, so that observations can be compared.
+// Detail is a JSON value whose form this release does not know; empty: none. It is passed on unchanged. It is a string
+// so that observations stay comparable.
 type Detail string
 
 // MarshalJSON returns the value unchanged.
 func (d Detail) MarshalJSON() ([]byte, error) { return []byte(d), nil }
 
-// UnmarshalJSON accepts any value; null is none.
+// UnmarshalJSON accepts any value; null counts as none.
 func (d *Detail) UnmarshalJSON(raw []byte) error {
 	if *d = Detail(raw); *d == "null" {
 		*d = ""
@@ -36,11 +36,11 @@
 	return nil
 }
 
-// Exit is the end of an incarnation.
+// Exit describes how an incarnation ended.
 type Exit struct {
 	Code       int             `json:"code"`             // exit code; -1 if a signal ended it
 	Signal     string          `json:"signal,omitempty"` // the signal that ended it
-	KillReason string          `json:"killed,omitempty"` // why supervisor or agent killed it; empty: not killed
+	KillReason string          `json:"killed,omitempty"` // why the supervisor or the agent killed it; empty: not killed
 	Unobserved bool            `json:"unseen,omitempty"` // no supervisor read the exit code
 	Uptime     monotime.Micros `json:"lived,omitempty"`  // from the launch to the exit; 0: not known
 	DrainTime  monotime.Micros `json:"after,omitempty"`  // from the notice to the exit; 0: no notice
--- a/internal/fleet/plan_bench_test.go
+++ b/internal/fleet/plan_bench_test.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-// BenchmarkPlan measures one planning step of a rolling update over all instances of a host that is otherwise idle.
+// BenchmarkPlan measures one step of a rolling update over all instances of a host that is otherwise idle.
 func BenchmarkPlan(b *testing.B) {
 	const (
 		start    monotime.Micros = 1 << 40
@@ -31,7 +31,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				clear(command.InProgress)
-				restored := m.instances[command.Names[i%len(command.Names)]] // as if it were back
+				restored := m.instances[command.Names[i%len(command.Names)]] // as if its restart were complete
 				restored.RestartPending = false
 				restored.NoticeID = ""
 				restored.Phase = PhaseReady
--- a/internal/fleet/preview.go
+++ b/internal/fleet/preview.go
@@ -2,18 +2,18 @@
 
 import "milletbarrow/monotime"
 
-// PlanStep is one instance of a plan: the batch in which it would be restarted, and how many of its group would be
-// ready meanwhile.
+// PlanStep is one instance of a plan: the batch in which it would be restarted, and how many instances of its group
+// would be ready meanwhile.
 type PlanStep struct {
 	Name     string `json:"name"`
 	Group    string `json:"group"`
 	Batch    int    `json:"batch"` // counted from 1
-	Ready    int    `json:"ready"` // of its group, with this batch out
-	MinReady int    `json:"least"` // of its group
+	Ready    int    `json:"ready"` // of its group, without this batch
+	MinReady int    `json:"least"` // that the update keeps ready in its group
 }
 
-// The simulated course of a preview. Its times have no meaning beyond their order: a round is longer than any settle
-// time, and all rounds end before the deadline.
+// The simulated times of a preview. Only their order matters: a round is longer than any settle time, and all rounds
+// end before the deadline.
 const (
 	previewCommandID                   = "preview"
 	previewIncarnation                 = "preview"
@@ -22,8 +22,9 @@
 	previewRound       monotime.Micros = 1 << 40
 )
 
-// Preview simulates a rolling update without any process: every instance counts as up and ready, and each batch
-// becomes ready again. Its error is a *CommandError if the update would be rejected, or ErrUpdateNeverEnds.
+// Preview simulates a rolling update without any process: at first every instance is up and ready, and each batch that
+// is restarted becomes ready again. The error is a *CommandError if the update would be rejected, or
+// ErrUpdateNeverEnds.
 func Preview(spec *Spec, host string, names []string, config RollingUpdateConfig) ([]PlanStep, error) {
 	m := newPreviewMachine(spec, host)
 	command := &Command{
@@ -47,7 +48,7 @@
 		now += previewRound
 		m.completeBatch(now)
 		now += previewRound
-		_, _, _ = m.Decide(now, Tick{}) // a tick gives no error
+		_, _, _ = m.Decide(now, Tick{}) // Decide returns no error for a tick
 	}
 	return steps, ErrUpdateNeverEnds
 }
@@ -67,7 +68,8 @@
 	return m
 }
 
-// maxPreviewBatches bounds the batches of an update that ends: each instance leaves and returns, spares start and stop.
+// maxPreviewBatches bounds the batches of an update that ends: each instance exits and is launched again, and spares
+// start and stop.
 func (m *Machine) maxPreviewBatches(names []string) int {
 	const (
 		batchesPerName     = 2
@@ -77,7 +79,7 @@
 	return batchesPerName*len(names) + batchesPerInstance*len(m.instanceNames) + extraBatches
 }
 
-// planSteps lists the instances that are in progress.
+// planSteps lists the instances of the batch that is in progress.
 func (m *Machine) planSteps(now monotime.Micros, command *Command, batch int) (steps []PlanStep) {
 	counts := m.groupCounts(now)
 	for _, name := range command.Names {
@@ -96,7 +98,7 @@
 	return steps
 }
 
-// completeBatch has all notified instances exit and all others become ready.
+// completeBatch simulates the exit of all notified instances, and all others becoming ready.
 func (m *Machine) completeBatch(now monotime.Micros) {
 	for _, name := range m.instanceNames {
 		inst := m.instances[name]
@@ -109,7 +111,7 @@
 	}
 }
 
-// observe reports a phase of an instance to the machine. An observation gives no error.
+// observe reports a phase of an instance to the machine. Decide returns no error for an observation.
 func (m *Machine) observe(now monotime.Micros, inst *Instance, phase Phase) {
 	observed := Observation{Incarnation: inst.Incarnation, Phase: phase}
 	_, _, _ = m.Decide(now, InstanceObserved{Name: inst.Name, Observation: observed})
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -9,9 +9,9 @@
 // maxKillDelayFactor bounds the pause between two kills, as a multiple of Config.KillDelay.
 const maxKillDelayFactor = 20
 
-// reconcile takes the next action from the observed state to the desired one, if one is due.
+// reconcile issues the next action that brings the observed state to the desired one, if one is due.
 func (m *Machine) reconcile(now monotime.Micros, inst *Instance) {
-	if inst.ActionPending && now >= inst.NextAttemptAt { // it was lost, or the agent died before it carried it out
+	if inst.ActionPending && now >= inst.NextAttemptAt { // it was lost, or the agent crashed before carrying it out
 		m.resendAction(now, inst)
 	}
 	switch inst.Phase {
@@ -22,16 +22,16 @@
 		m.reconcileRunning(now, inst)
 	case PhaseDraining, PhaseStopping, PhaseUnresponsive:
 		if inst.shouldNotify() {
-			m.issueAction(now, inst, ActionNotify, causeLeavesByItself)
+			m.issueAction(now, inst, ActionNotify, causeRequestedWhileExiting)
 		}
 	case PhaseUnknown:
-		if inst.shouldNotify() { // the notice does not wait until the instance can be observed
-			m.issueAction(now, inst, ActionNotify, causeUnobservable)
+		if inst.shouldNotify() { // the notice must not wait until the instance can be observed again
+			m.issueAction(now, inst, ActionNotify, causeRequestedUnobserved)
 			inst.setPhase(now, PhaseUnknown, inst.Cause)
 		}
 	}
-	leaving := inst.NoticeID != "" || inst.Phase.leaving()
-	if leaving && inst.PhaseDeadline != 0 && now >= inst.PhaseDeadline {
+	shuttingDown := inst.NoticeID != "" || inst.Phase.shuttingDown()
+	if shuttingDown && inst.PhaseDeadline != 0 && now >= inst.PhaseDeadline {
 		m.issueAction(now, inst, ActionKill, causeKillDeadline)
 	}
 }
@@ -56,7 +56,7 @@
 	m.issueAction(now, inst, ActionLaunch, cause)
 }
 
-// giveUp stops the launches of an instance until a command asks for one.
+// giveUp stops the launches of an instance until a command requests one.
 func (m *Machine) giveUp(now monotime.Micros, inst *Instance) {
 	inst.LaunchesExhausted = true
 	inst.setPhase(now, PhaseFailed, fmt.Sprintf("%s; launched %d times within %d s and stays down until asked for",
@@ -79,7 +79,7 @@
 	}
 }
 
-// issueAction issues a new action. A launch that adopts no incarnation begins a new one.
+// issueAction issues a new action. A launch begins a new incarnation unless it adopts the running one.
 func (m *Machine) issueAction(now monotime.Micros, inst *Instance, kind ActionKind, cause string) {
 	inst.ActionCount++
 	inst.ActionID = fmt.Sprintf("%s.%d", inst.Name, inst.ActionCount)
@@ -99,14 +99,14 @@
 	case ActionKill:
 		inst.KillAttempts++
 		inst.PhaseDeadline = now + m.config.KillDelay*monotime.Micros(min(inst.KillAttempts, maxKillDelayFactor))
-	case ActionAcquireUnit, ActionReleaseUnit: // unit.go issues them; they leave the instance as it is
+	case ActionAcquireUnit, ActionReleaseUnit: // issued by requestUnit and releaseUnit instead
 	}
 	m.markInstanceChanged(inst)
 	m.emitAction(inst, cause)
 	m.recordEvent(now, inst, string(kind), cause)
 }
 
-// beginIncarnation names the incarnation after the action that launches it.
+// beginIncarnation begins an incarnation, which takes the ID of the action that launches it.
 func (m *Machine) beginIncarnation(now monotime.Micros, inst *Instance, cause string) {
 	inst.Incarnation = inst.ActionID
 	inst.Invocations = 0
@@ -115,14 +115,14 @@
 	inst.setPhase(now, PhaseStarting, cause)
 }
 
-// resendAction emits the pending action again and puts off the next attempt.
+// resendAction emits the pending action again and schedules the next attempt.
 func (m *Machine) resendAction(now monotime.Micros, inst *Instance) {
 	inst.Attempts++
 	inst.NextAttemptAt = now + m.resendPause(inst.Attempts)
 	m.emitAction(inst, causeResent)
 }
 
-// resendPause returns the pause before the next attempt at an action that was sent again so many times.
+// resendPause returns the pause before the next attempt at an action that was sent again resends times.
 func (m *Machine) resendPause(resends int) monotime.Micros {
 	const firstRetry = 2 // the backoff counts the first attempt as 1
 	return monotime.FromDuration(m.config.ResendBackoff.Pause(firstRetry+resends, m.random))
@@ -146,8 +146,8 @@
 	return now + inst.shutdown.ExitTimeout + m.config.KillDelay
 }
 
-// readinessTimeout returns how long the instance may take from its launch to ready: the rolling update's value if one
-// restarts it, else its group's.
+// readinessTimeout returns how long the instance may take from its launch until it is ready: the value of the rolling
+// update that restarts it, if there is one, else its group's.
 func (m *Machine) readinessTimeout(inst *Instance) monotime.Micros {
 	command := m.commands[inst.CommandID]
 	if command != nil && command.Kind == KindRollingUpdate && command.Rollout.ReadyWithin > 0 {
--- a/internal/fleet/rejection_rate.go
+++ b/internal/fleet/rejection_rate.go
@@ -6,8 +6,8 @@
 	"milletbarrow/monotime"
 )
 
-// rejectionRate is the share of recent invocations that were rejected, over all instances of the host. Older counts
-// lose weight exponentially.
+// rejectionRate is the share of recent invocations that were rejected, over all instances of the host. Its counts decay
+// exponentially.
 type rejectionRate struct {
 	at          monotime.Micros // when the counts were last decayed
 	invocations float64         // decayed count
@@ -15,7 +15,7 @@
 }
 
 const (
-	rejectionDecay = 2 * monotime.Second // a count loses weight by a factor of e in this time
+	rejectionDecay = 2 * monotime.Second // time in which a count decays by a factor of e
 	minInvocations = 20                  // below this decayed count the share is not known
 )
 
--- a/internal/fleet/resolve_command.go
+++ b/internal/fleet/resolve_command.go
@@ -2,7 +2,7 @@
 
 import "milletbarrow/monotime"
 
-// resolveCommand records the result for the command that waits for an instance, once there is one.
+// resolveCommand records the result of an instance for the command that it is assigned to, once there is one.
 func (m *Machine) resolveCommand(now monotime.Micros, inst *Instance) {
 	command := m.commands[inst.CommandID]
 	if command == nil {
@@ -27,7 +27,7 @@
 func (m *Machine) resolveStart(now monotime.Micros, command *Command, inst *Instance) {
 	switch {
 	case command.Kind == KindColdStart && !inst.DesiredUp: // its start has not begun
-	case inst.runsUndisturbed() && (command.Kind == KindStart || inst.Settled(now)):
+	case inst.servesNormally() && (command.Kind == KindStart || inst.Settled(now)):
 		m.recordResult(now, command, inst.Name, OutcomeSucceeded, "")
 		inst.reportAlreadyRunning(command)
 	case inst.failedForGood():
@@ -48,7 +48,7 @@
 	}
 }
 
-// resolveRestart ends a restart or a rolling update for an instance that is up again, or that failed for good.
+// resolveRestart ends a restart or a rolling update for an instance that serves again, or that failed for good.
 func (m *Machine) resolveRestart(now monotime.Micros, command *Command, inst *Instance) {
 	if command.Kind == KindRollingUpdate && !command.InProgress[inst.Name] && !inst.Spare {
 		return // its restart has not begun
@@ -62,7 +62,7 @@
 	switch {
 	case inst.failedForGood():
 		m.recordResult(now, command, inst.Name, OutcomeFailed, inst.Cause)
-	case !inst.runsUndisturbed() || inst.Spare:
+	case !inst.servesNormally() || inst.Spare:
 	case command.Kind == KindRollingUpdate && !inst.Settled(now):
 	case inst.LastExit.KillReason != "":
 		m.recordResult(now, command, inst.Name, OutcomeKilled, "up again; before, "+inst.LastExit.String())
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -6,10 +6,10 @@
 	"milletbarrow/monotime"
 )
 
-// groupCount counts the instances of a group, for the minimum of a rolling update.
+// groupCount counts the instances of a group, to enforce the minimum of a rolling update.
 type groupCount struct {
-	desiredUp int // without spares
-	available int // with spares
+	desiredUp int // excluding spares
+	available int // including spares
 }
 
 // groupCounts counts the instances of each group, by its name.
@@ -31,7 +31,8 @@
 	return counts
 }
 
-// planRollingUpdate prepares a rolling update, or says why none is possible with its configuration.
+// planRollingUpdate sets the order, the spares and the first stage of a rolling update. It returns an error if another
+// one is open, or if the update could not be carried out with its configuration.
 func (m *Machine) planRollingUpdate(now monotime.Micros, command *Command) error {
 	for _, other := range m.openCommands {
 		if other.Kind == KindRollingUpdate && other.State != CommandDone {
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// planSpares lists the spares of a group that the update starts first. Its error is a *CommandError.
+// planSpares lists the spares of a group that the update starts before it restarts instances. Its error is a
+// *CommandError.
 func (m *Machine) planSpares(config *RollingUpdateConfig, group string) ([]string, error) {
 	var spares []string
 	for _, name := range m.groups[group].Instances {
@@ -79,7 +81,7 @@
 	return spares, nil
 }
 
-// checkMinReady returns a *CommandError if no instance of a group could ever leave.
+// checkMinReady returns a *CommandError if the minimum would never let an instance of the group restart.
 func checkMinReady(config *RollingUpdateConfig, group string, desiredUp, spares int) error {
 	minReady := config.minReady(desiredUp)
 	if desiredUp == 0 || desiredUp+spares-1 >= minReady {
@@ -90,13 +92,14 @@
 		group, desiredUp, spares, minReady)}
 }
 
-// advanceRollingUpdate takes the next steps of an update: spares start, instances restart as they may, spares stop.
+// advanceRollingUpdate takes the next steps of an update: it starts the spares, restarts instances as its bounds allow,
+// and stops the spares.
 func (m *Machine) advanceRollingUpdate(now monotime.Micros, command *Command) {
 	if command.Stage == StageStartSpares && !m.startSpares(now, command) {
 		return
 	}
 	if command.Stage == StageRolling {
-		m.releaseInstances(now, command)
+		m.restartNextInstances(now, command)
 		if len(command.InProgress) > 0 || !command.allResolved() {
 			return
 		}
@@ -134,7 +137,7 @@
 	return true
 }
 
-// stopSpares has the spares shut down.
+// stopSpares shuts the spares down.
 func (m *Machine) stopSpares(now monotime.Micros, command *Command) {
 	for _, name := range command.Spares {
 		inst := m.instances[name]
@@ -147,7 +150,7 @@
 	}
 }
 
-// stopSpare has a spare shut down. nil, and an instance that the spec no longer has as a spare, are ignored.
+// stopSpare shuts a spare down. It ignores nil, and an instance that the spec no longer lists as a spare.
 func (m *Machine) stopSpare(inst *Instance) {
 	if inst != nil && inst.Spare && inst.DesiredUp {
 		inst.DesiredUp = false
@@ -155,8 +158,8 @@
 	}
 }
 
-// releaseInstances restarts as many instances as MaxInProgress, the group's minimum and the quota allow.
-func (m *Machine) releaseInstances(now monotime.Micros, command *Command) {
+// restartNextInstances restarts as many instances as MaxInProgress, the groups' minimums and the quota allow.
+func (m *Machine) restartNextInstances(now monotime.Micros, command *Command) {
 	for _, name := range command.Names {
 		if inst := m.instances[name]; command.InProgress[name] && inst != nil {
 			m.resolveCommand(now, inst)
@@ -167,7 +170,7 @@
 	}
 	blocked := false
 	requested := 0
-	var counts map[string]*groupCount // by group; counted at the first use
+	var counts map[string]*groupCount // by group; nil until an instance may restart
 	for _, name := range command.Names {
 		if len(command.InProgress)+requested >= command.Rollout.MaxInProgress {
 			blocked = false
@@ -184,19 +187,19 @@
 		if counts == nil {
 			counts = m.groupCounts(now)
 		}
-		switch m.tryRelease(now, command, inst, counts[inst.Group]) {
-		case released:
-		case releaseBlocked:
+		switch m.tryRestart(now, command, inst, counts[inst.Group]) {
+		case restartBegun:
+		case restartBlocked:
 			blocked = true
-		case releaseAwaitsUnit:
+		case restartAwaitsUnit:
 			requested++
 		}
 	}
-	command.noteBlocked(now, blocked && len(command.InProgress)+requested == 0)
+	command.updateBlockedSince(now, blocked && len(command.InProgress)+requested == 0)
 }
 
-// noteBlocked keeps since when the update is blocked.
-func (c *Command) noteBlocked(now monotime.Micros, blocked bool) {
+// updateBlockedSince records when the update became blocked, and clears the time once it is not blocked.
+func (c *Command) updateBlockedSince(now monotime.Micros, blocked bool) {
 	switch {
 	case !blocked:
 		c.BlockedSince = 0
@@ -205,35 +208,35 @@
 	}
 }
 
-// releaseDecision is the result of tryRelease.
-type releaseDecision int
+// restartDecision is the result of tryRestart.
+type restartDecision int
 
 const (
-	released          releaseDecision = iota
-	releaseBlocked                    // by the group's minimum, or because the instance can't be observed
-	releaseAwaitsUnit                 // a unit of the quota is requested; others of the fleet may hold them all
+	restartBegun      restartDecision = iota
+	restartBlocked                    // by the group's minimum, or because the instance can't be observed
+	restartAwaitsUnit                 // it waits for a unit of the quota, which other hosts share
 )
 
-// tryRelease restarts an instance if its group's minimum and the quota allow it. While its unit is awaited, count has
-// it as out already.
-func (m *Machine) tryRelease(now monotime.Micros, command *Command, inst *Instance, count *groupCount) releaseDecision {
+// tryRestart restarts an instance if its group's minimum and the quota allow it. An instance that waits for a unit is
+// no longer counted as available in count.
+func (m *Machine) tryRestart(now monotime.Micros, command *Command, inst *Instance, count *groupCount) restartDecision {
 	cost := 0
 	if inst.available(now) {
 		cost = 1
 	}
 	if count.available-cost < command.Rollout.minReady(count.desiredUp) {
-		return releaseBlocked
+		return restartBlocked
 	}
-	if inst.Phase == PhaseUnknown { // it may be ready although it is not counted
-		return releaseBlocked
+	if inst.Phase == PhaseUnknown { // it may be ready although it does not count as available
+		return restartBlocked
 	}
 	count.available -= cost
-	if !m.holdsUnit(now, command, inst) {
-		return releaseAwaitsUnit
+	if !m.ensureUnit(now, command, inst) {
+		return restartAwaitsUnit
 	}
 	command.InProgress[inst.Name] = true
 	m.restartInstance(now, inst)
 	m.markCommandChanged(command)
 	m.advance(now, inst)
-	return released
+	return restartBegun
 }
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -19,11 +19,11 @@
 	MinReadyShare      float64         `json:"least_share"`  // of those desired up in each group, 0 to 1; 0: no bound
 	Order              string          `json:"order"`        // OrderFile, OrderName or OrderSpread
 	Surge              int             `json:"surge"`        // spares of each group ready before an instance leaves
-	MaxFailures        int             `json:"failures"`     // failed instances; more pause the update
+	MaxFailures        int             `json:"failures"`     // tolerated failed instances; more pause the update
 	ReadyWithin        monotime.Micros `json:"ready_within"` // from launch to ready; 0: the group's StartWithin
-	StallTimeout       monotime.Micros `json:"stall"`        // blocked for so long, the update pauses; above 0
+	StallTimeout       monotime.Micros `json:"stall"`        // an update that is blocked for so long pauses; above 0
 	MaxRejectedShare   float64         `json:"turned_away"`  // share of rejected invocations, above 0; 1: no bound
-	RejectionTolerance monotime.Micros `json:"turned_for"`   // a greater share for so long pauses the update
+	RejectionTolerance monotime.Micros `json:"turned_for"`   // MaxRejectedShare exceeded for so long pauses the update
 }
 
 // The orders of a rolling update.
@@ -33,7 +33,7 @@
 	OrderSpread = "spread" // one instance of each group in turn
 )
 
-// Values of a careful update.
+// Defaults of a rolling update. They favor availability over speed.
 const (
 	defaultMinReadyShare      = 0.75
 	defaultStallTimeout       = time.Minute
@@ -43,7 +43,8 @@
 // maxRolloutCount bounds the counts of a rolling update.
 const maxRolloutCount = 10_000
 
-// DefaultRollingUpdate returns a careful update: one instance at a time, three quarters ready, no failure.
+// DefaultRollingUpdate returns the default configuration: one instance at a time, three quarters of each group ready,
+// and no failure tolerated.
 func DefaultRollingUpdate() RollingUpdateConfig {
 	return RollingUpdateConfig{
 		MaxInProgress:      1,
@@ -55,7 +56,7 @@
 	}
 }
 
-// Check returns a *FieldError for the first field that can't be used.
+// Check returns a *FieldError for the first invalid field.
 func (c RollingUpdateConfig) Check() error {
 	switch {
 	case c.MaxInProgress < 1 || c.MaxInProgress > maxRolloutCount:
@@ -82,16 +83,16 @@
 	return nil
 }
 
-// minReady returns how many instances of a group must stay ready if so many are desired up.
+// minReady returns how many instances of a group must stay ready if desiredUp of them are desired up.
 func (c RollingUpdateConfig) minReady(desiredUp int) int {
-	const roundingError = 1e-9 // a product such as 0.07*100 may exceed the whole number by so much
+	const roundingError = 1e-9 // a product such as 0.07*100 may exceed the exact integer by so much
 	return max(c.MinReady, int(math.Ceil(c.MinReadyShare*float64(desiredUp)-roundingError)))
 }
 
 // isShare reports whether x is from 0 to 1; NaN is not.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
-// readRollingUpdate reads the (rolling-update ...) form; a field that it lacks stays as in config.
+// readRollingUpdate reads the (rolling-update ...) form; missing fields keep their values in config.
 func readRollingUpdate(form *sexpr.Form, config RollingUpdateConfig) RollingUpdateConfig {
 	span := func(name string, missing monotime.Micros) monotime.Micros {
 		return monotime.FromDuration(form.Span(name, 0, maxSpan, missing.Duration()))
--- a/internal/fleet/rolling_update_pause.go
+++ b/internal/fleet/rolling_update_pause.go
@@ -6,13 +6,13 @@
 	"milletbarrow/monotime"
 )
 
-// pauseIfNeeded pauses an update that should not go on, and reports whether it did.
+// pauseIfNeeded pauses an update that exceeds one of its bounds, and reports whether it did.
 func (m *Machine) pauseIfNeeded(now monotime.Micros, command *Command) bool {
 	if command.State != CommandOpen {
 		return false
 	}
 	share, known := m.rejections.share(now)
-	command.noteRejecting(now, known && share > command.Rollout.MaxRejectedShare)
+	command.updateRejectingSince(now, known && share > command.Rollout.MaxRejectedShare)
 	reason := m.pauseReason(now, command, share)
 	if reason == "" {
 		return false
@@ -23,8 +23,8 @@
 	return true
 }
 
-// noteRejecting keeps since when too many invocations are rejected.
-func (c *Command) noteRejecting(now monotime.Micros, rejecting bool) {
+// updateRejectingSince records since when the rejected share exceeds its bound, and clears the time once it does not.
+func (c *Command) updateRejectingSince(now monotime.Micros, rejecting bool) {
 	switch {
 	case !rejecting:
 		c.RejectingSince = 0
@@ -33,7 +33,7 @@
 	}
 }
 
-// pauseReason returns why an update has to pause; empty: it goes on. share is the present share of rejections.
+// pauseReason returns why an update has to pause; empty: it goes on. share is the current share of rejections.
 func (m *Machine) pauseReason(now monotime.Micros, command *Command, share float64) string {
 	config := command.Rollout
 	if command.Failures > config.MaxFailures {
@@ -51,7 +51,7 @@
 	return ""
 }
 
-// lastFailure names the instance that failed last, with the cause.
+// lastFailure returns the instance that failed last and the cause of its failure.
 func (c *Command) lastFailure() string {
 	last := ""
 	lastAt := monotime.Micros(-1)
@@ -65,7 +65,7 @@
 	return last + " " + c.Results[last].Cause
 }
 
-// blockedReason says which instance or group blocks the update.
+// blockedReason returns which instance or group blocks the update.
 func (m *Machine) blockedReason(now monotime.Micros, command *Command) string {
 	for _, name := range command.Names {
 		inst := m.instances[name]
--- a/internal/fleet/selection.go
+++ b/internal/fleet/selection.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Selection selects the instances that match any of its lists.
+// Selection selects the instances that match any entry of its lists.
 type Selection struct {
 	All    bool     `json:"all,omitempty"` // all instances but spares
 	Names  []string `json:"names,omitempty"`
@@ -11,7 +11,7 @@
 	Hosts  []string `json:"hosts,omitempty"`
 }
 
-// Kinds of the words of a selection, as SelectionError names them.
+// Kinds of selectors, as SelectionError names them.
 const (
 	selectInstance = "instance"
 	selectGroup    = "group"
@@ -58,9 +58,9 @@
 	return all
 }
 
-// Select lists the selected instances in the file's order, each once. A spare is selected by its name alone. The
-// error is ErrEmptySelection or, for a word that matches nothing, a *SelectionError, so that a misspelt name is
-// noticed.
+// Select lists the selected instances in the order of the fleet's file, each once. A spare is selected only by its own
+// name. The error is ErrEmptySelection or, for a word that matches no instance, a *SelectionError, so that a misspelt
+// name does not go unnoticed.
 func (s *Spec) Select(selection Selection) ([]*InstanceSpec, error) {
 	if selection.Empty() {
 		return nil, ErrEmptySelection
--- a/internal/fleet/silence.go
+++ b/internal/fleet/silence.go
@@ -2,11 +2,11 @@
 
 import "milletbarrow/monotime"
 
-// maxMissedPolls is the number of missed polls in a row from which a supervisor's silence counts. A supervisor that is
-// starting or ending answers none.
+// maxMissedPolls is the number of consecutive missed polls from which a supervisor counts as silent. A supervisor that
+// is starting or exiting answers no poll, so a few missed ones mean nothing.
 const maxMissedPolls = 8
 
-// RecordState tells whether an agent could read the record of a supervisor.
+// RecordState is the result of reading the record of a supervisor.
 type RecordState int
 
 // The states of a supervisor's record.
@@ -21,38 +21,38 @@
 	State           RecordState
 	Cause           string          // RecordUnreadable: the error
 	Incarnation     string          // the incarnation recorded
-	Ended           bool            // the incarnation is over
+	Ended           bool            // the incarnation has ended
 	Exit            Exit            // Ended: of the incarnation
-	NoticeID        string          // the shutdown notice that the supervisor has taken; empty: none
-	NotifiedAt      monotime.Micros // when it took NoticeID
-	SupervisorAlive bool            // the process that wrote the record runs
+	NoticeID        string          // the shutdown notice that the supervisor has accepted; empty: none
+	NotifiedAt      monotime.Micros // when the supervisor accepted NoticeID
+	SupervisorAlive bool            // the supervisor process that wrote the record runs
 	InstanceAlive   bool            // the process of the instance runs
 }
 
-// SupervisorSilence is the knowledge about an incarnation whose supervisor does not answer.
+// SupervisorSilence is what the agent knows about an incarnation whose supervisor does not answer.
 type SupervisorSilence struct {
 	Incarnation string // the incarnation polled
-	MissedPolls int    // in a row
+	MissedPolls int    // consecutive
 	Record      SupervisorRecord
 }
 
-// SilenceVerdict is the meaning of a supervisor's silence.
+// SilenceVerdict is the conclusion drawn from a supervisor's silence.
 type SilenceVerdict struct {
-	Decided     bool        // false: it is too early to say, Observation is empty
+	Decided     bool        // false: it is too early for a conclusion, and Observation is empty
 	Observation Observation // of the incarnation polled
 	// Recorded is false if no supervisor ever recorded the incarnation. While its launch is pending, that does not
 	// prove that it has ended.
 	Recorded bool
 }
 
-// Ended reports whether the verdict is final: the incarnation was there and is over.
+// Ended reports whether the verdict is final: the incarnation was recorded and has ended.
 func (v SilenceVerdict) Ended() bool {
 	return v.Decided && v.Recorded && v.Observation.Phase == PhaseExited
 }
 
-// Interpret returns the meaning of a supervisor's silence. It is a pure function of what the agent found. A recorded
-// end counts at once; any other verdict takes maxMissedPolls missed polls in a row. An incarnation whose record can't
-// be read, or whose supervisor runs without answering, is PhaseUnknown, which is not PhaseExited.
+// Interpret returns the conclusion from a supervisor's silence. A recorded exit counts at once; any other verdict takes
+// maxMissedPolls consecutive missed polls. An incarnation whose record can't be read, or whose supervisor runs without
+// answering, is PhaseUnknown and not PhaseExited: its process may still run.
 func (s SupervisorSilence) Interpret() SilenceVerdict {
 	recorded := s.Record.State == RecordRead && s.Record.Incarnation == s.Incarnation
 	if recorded && s.Record.Ended {
@@ -73,7 +73,7 @@
 	switch {
 	case s.Record.SupervisorAlive:
 		observation.Phase = PhaseUnknown
-		observation.Cause = causeSupervisorMute
+		observation.Cause = causeSupervisorSilent
 	case s.Record.InstanceAlive:
 		observation.Phase = PhaseUnknown
 		observation.Cause = causeSupervisorGone
@@ -85,7 +85,7 @@
 	return s.verdict(observation)
 }
 
-// verdict returns a decided verdict about the incarnation that was polled.
+// verdict returns a decided verdict on the incarnation that was polled.
 func (s SupervisorSilence) verdict(observation Observation) SilenceVerdict {
 	observation.Incarnation = s.Incarnation
 	return SilenceVerdict{Decided: true, Observation: observation, Recorded: true}
--- a/internal/fleet/silence_test.go
+++ b/internal/fleet/silence_test.go
@@ -26,7 +26,7 @@
 	undecided = SilenceVerdict{Recorded: true}
 )
 
-// silenceCases have the verdict on incarnation a.1 for each content of the record.
+// silenceCases are the verdicts on incarnation a.1 by the content of its supervisor's record.
 var silenceCases = []struct {
 	name   string
 	missed int
@@ -114,8 +114,8 @@
 	},
 }
 
-// TestSupervisorSilence checks the verdict on incarnation a.1 for each content of the record.
-func TestSupervisorSilence(t *testing.T) {
+// TestSilenceVerdictFollowsTheRecord checks the verdict on incarnation a.1 for each content of its supervisor's record.
+func TestSilenceVerdictFollowsTheRecord(t *testing.T) {
 	for _, test := range silenceCases {
 		t.Run(test.name, func(t *testing.T) {
 			silence := SupervisorSilence{Incarnation: "a.1", MissedPolls: test.missed, Record: test.record}
@@ -127,7 +127,7 @@
 }
 
 // TestSilenceNeverEndsLiveInstance checks that no verdict is final while a process of the incarnation runs, unless its
-// supervisor recorded the end, and that every verdict is about the incarnation polled.
+// supervisor recorded the exit, and that every verdict is about the incarnation polled.
 func TestSilenceNeverEndsLiveInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
--- a/internal/fleet/simulated_fleet_test.go
+++ b/internal/fleet/simulated_fleet_test.go
@@ -12,22 +12,22 @@
 // startsQuota is the concurrency quota of cold starts in a simulated fleet.
 const startsQuota = "starts"
 
-// simulatedFleet is some hosts and one quota store, from which each host may be partitioned.
+// simulatedFleet is a set of hosts and one quota store. Each host may be partitioned from the quota store.
 type simulatedFleet struct {
 	spec        *Spec
 	quotas      *quota.State
 	leases      quota.LeaseTracker
 	hosts       []*simulatedHost
 	partitioned map[*simulatedHost]bool
-	replies     map[*simulatedHost][]Event // of the quota store, not delivered yet
-	coldStarted map[string]bool            // by instance name: it was down when a cold start began
-	maxStarting int                        // the most instances of a cold start that ever were not settled at once
+	replies     map[*simulatedHost][]Event // of the quota store; not delivered yet
+	coldStarted map[string]bool            // by instance name; true: down when a cold start began
+	maxStarting int                        // maximum of startingCount so far
 }
 
-func newSimulatedFleet(t tester, hosts, each, units int) *simulatedFleet {
+func newSimulatedFleet(t tester, hosts, perHost, units int) *simulatedFleet {
 	t.Helper()
 	fleet := &simulatedFleet{
-		spec:        readTestSpec(t, coldStartFleet(hosts, each, units)),
+		spec:        readTestSpec(t, coldStartFleet(hosts, perHost, units)),
 		quotas:      quota.NewState(),
 		partitioned: map[*simulatedHost]bool{},
 		replies:     map[*simulatedHost][]Event{},
@@ -42,8 +42,9 @@
 	return fleet
 }
 
-// coldStartFleet writes a fleet with one group of each instances a host, and a quota of so many units for cold starts.
-func coldStartFleet(hosts, each, units int) string {
+// coldStartFleet returns the file of a fleet with one group of perHost instances on each host, and a quota for cold
+// starts.
+func coldStartFleet(hosts, perHost, units int) string {
 	var text strings.Builder
 	quotaHosts := ""
 	for n := 1; n <= hosts; n++ {
@@ -52,9 +53,9 @@
 	}
 	for group := range hosts {
 		fmt.Fprintf(&text, ` (group g%d (host h%d) (config "%%n.json") (start-within 5s) (settle 1s)`, group, group+1)
-		fmt.Fprintf(&text, ` (range g%d-n 1 %d) (restart (most 3) (within 1m)))`, group, each)
+		fmt.Fprintf(&text, ` (range g%d-n 1 %d) (restart (most 3) (within 1m)))`, group, perHost)
 	}
-	if hosts == 2 { // two hosts can't form a quorum group
+	if hosts == 2 { // a quorum group can't have two members
 		quotaHosts = " h1"
 	}
 	fmt.Fprintf(&text, " (budgets (ledger%s) (budget %s (count %d) (alone yes)))", quotaHosts, startsQuota, units)
@@ -62,7 +63,7 @@
 	return "(fleet f" + text.String() + ")"
 }
 
-// handleUnit carries out an action on a unit at the quota store. It reports whether the action is one on a unit.
+// handleUnit sends an action on a unit to the quota store. It reports whether the action is one on a unit.
 func (fleet *simulatedFleet) handleUnit(host *simulatedHost, action Action) bool {
 	if action.Kind != ActionAcquireUnit && action.Kind != ActionReleaseUnit {
 		return false
--- a/internal/fleet/simulated_host_test.go
+++ b/internal/fleet/simulated_host_test.go
@@ -17,10 +17,10 @@
 	stepTime = 100 * monotime.Millisecond // between two observations of a simulated host
 	testSeed = 7
 
-	testGrace        = 2 * second
-	testExitTimeout  = 3200 * monotime.Millisecond
-	testDrainTime    = 2500 * monotime.Millisecond // of an instance that reacts to its notice
-	maxKeptSightings = 200                         // bounds simulatedHost.pastObservations
+	testGrace           = 2 * second
+	testExitTimeout     = 3200 * monotime.Millisecond
+	testDrainTime       = 2500 * monotime.Millisecond // of an instance that reacts to its notice
+	maxPastObservations = 200                         // bound of simulatedHost.pastObservations
 )
 
 // tester is a test or a property under test.
@@ -30,22 +30,22 @@
 	Fatalf(string, ...any)
 }
 
-// fakeInstance is the real state of an instance, whatever the machine has observed of it.
+// fakeInstance is the actual state of an instance, which may differ from what the machine has observed.
 type fakeInstance struct {
 	alive        bool
 	supervised   bool
 	ready        bool
-	unresponsive bool // it does not react to notices
+	unresponsive bool // does not react to notices
 	neverReady   bool
 	incarnation  string
 	noticeID     string          // empty: not notified
 	since        monotime.Micros // start of the incarnation
 	notifiedAt   monotime.Micros
-	exitState    Exit
+	lastExit     Exit
 }
 
-// simulatedHost replaces the supervisors and instances of a host. It carries out every action once by its ID, as
-// supervisors do.
+// simulatedHost simulates the agent, the supervisors and the instances of a host. It carries out each action ID once,
+// as supervisors do.
 type simulatedHost struct {
 	t                tester
 	name             string
@@ -57,10 +57,10 @@
 	executed         map[string]bool    // by action ID
 	launches         map[string]int     // by instance name
 	saved            Snapshot           // the stored state
-	dropAction       func(Action) bool  // reports whether the action gets lost; nil: none does
+	dropAction       func(Action) bool  // reports whether the action is lost; nil: none is
 	check            func([]Action)     // checks the actions of each event; nil: nothing
-	crashNext        bool               // the agent dies between storing the state and carrying out the actions
-	pastObservations []InstanceObserved // some of them of incarnations that have ended
+	crashNext        bool               // crash the agent after it stores the state, before it acts
+	pastObservations []InstanceObserved // may include incarnations that have ended
 }
 
 func readTestSpec(t tester, text string) *Spec {
@@ -103,7 +103,7 @@
 	return host
 }
 
-// apply gives the machine an event, stores what has changed, and carries out the actions.
+// apply gives the machine an event, stores the changes, and carries out the actions.
 func (host *simulatedHost) apply(event Event) error {
 	actions, _, err := host.m.Decide(host.now, event)
 	actions = slices.Clone(actions)
@@ -124,7 +124,7 @@
 	return err
 }
 
-// mustApply gives the machine an event that has to be accepted.
+// mustApply gives the machine an event and fails the test if it is rejected.
 func (host *simulatedHost) mustApply(event Event) {
 	host.t.Helper()
 	if err := host.apply(event); err != nil {
@@ -132,22 +132,22 @@
 	}
 }
 
-// save stores what has changed.
+// save stores the changes of the machine.
 func (host *simulatedHost) save() {
 	changed, forgotten := host.m.Changes()
 	for _, inst := range changed.Instances {
-		host.saved.Instances = put(host.saved.Instances, inst, func(inst Instance) string { return inst.Name })
+		host.saved.Instances = upsert(host.saved.Instances, inst, func(inst Instance) string { return inst.Name })
 	}
 	for _, command := range changed.Commands {
-		host.saved.Commands = put(host.saved.Commands, command, func(command *Command) string { return command.ID })
+		host.saved.Commands = upsert(host.saved.Commands, command, func(command *Command) string { return command.ID })
 	}
 	host.saved.Commands = slices.DeleteFunc(host.saved.Commands, func(command *Command) bool {
 		return slices.Contains(forgotten, command.ID)
 	})
 }
 
-// put replaces the value with the same key, or appends a new one.
-func put[T any](all []T, value T, key func(T) string) []T {
+// upsert replaces the value with the same key, or appends a new one.
+func upsert[T any](all []T, value T, key func(T) string) []T {
 	for i := range all {
 		if key(all[i]) == key(value) {
 			all[i] = value
@@ -157,7 +157,7 @@
 	return append(all, value)
 }
 
-// restart replaces the machine as a restart of the agent does: what was not stored is lost.
+// restart replaces the machine by one restored from the stored state, as a restart of the agent does.
 func (host *simulatedHost) restart() {
 	host.m = New(host.spec, host.name, testConfig(), testWindow)
 	host.m.Restore(host.now, Snapshot{Instances: host.saved.Instances, Commands: host.saved.Commands}, false)
@@ -175,7 +175,7 @@
 		host.launch(fake, action)
 	case ActionNotify:
 		if fake.incarnation != action.Incarnation || !fake.alive || !fake.supervised {
-			return // nobody takes the notice, and it is sent again
+			return // no supervisor accepts the notice, so it is sent again
 		}
 		host.executed[action.ID] = true
 		if fake.noticeID != "" && fake.noticeID != action.ID {
@@ -189,7 +189,7 @@
 			host.executed[action.ID] = true
 			fake.exit(Exit{Code: -1, KillReason: action.Cause})
 		}
-	case ActionAcquireUnit, ActionReleaseUnit: // dropAction takes those that a test handles
+	case ActionAcquireUnit, ActionReleaseUnit: // tests that need them handle them by dropAction
 	}
 }
 
@@ -215,25 +215,26 @@
 	}
 }
 
-// exit ends the process.
+// exit ends the process of the instance.
 func (fake *fakeInstance) exit(exit Exit) {
 	fake.alive = false
 	fake.ready = false
-	fake.exitState = exit
+	fake.lastExit = exit
 }
 
-// advance lets time pass and reports observations to the machine, but for those of instances that blind hides.
-func (host *simulatedHost) advance(span monotime.Micros, blind func(name string) bool) {
+// advance lets time pass and reports observations to the machine, except those of instances for which hidden returns
+// true; nil hides none.
+func (host *simulatedHost) advance(span monotime.Micros, hidden func(name string) bool) {
 	for end := host.now + span; host.now < end; {
 		host.now += min(end-host.now, stepTime)
 		for _, name := range host.m.Names() {
 			fake := host.fakes[name]
 			fake.update(host.now, host.startupTime)
-			if fake.incarnation == "" || blind != nil && blind(name) {
+			if fake.incarnation == "" || hidden != nil && hidden(name) {
 				continue
 			}
 			observed := InstanceObserved{Name: name, Observation: fake.observe(host.now)}
-			if len(host.pastObservations) < maxKeptSightings {
+			if len(host.pastObservations) < maxPastObservations {
 				host.pastObservations = append(host.pastObservations, observed)
 			}
 			host.mustApply(observed)
@@ -265,7 +266,7 @@
 	switch {
 	case !fake.alive:
 		observation.Phase = PhaseExited
-		observation.Exit = fake.exitState
+		observation.Exit = fake.lastExit
 	case !fake.supervised:
 		observation.Phase = PhaseUnknown
 		observation.Orphaned = true
@@ -299,7 +300,7 @@
 	return host.apply(CommandReceived{command})
 }
 
-// mustCommand gives the machine a command that has to be accepted.
+// mustCommand gives the machine a command and fails the test if it is rejected.
 func (host *simulatedHost) mustCommand(id string, kind CommandKind, within monotime.Micros, names ...string) {
 	host.t.Helper()
 	if err := host.command(id, kind, within, names...); err != nil {
@@ -307,7 +308,7 @@
 	}
 }
 
-// startAll starts all instances but the spares, and waits until they have settled.
+// startAll starts all instances except the spares, and waits until they have settled.
 func startAll(host *simulatedHost) {
 	host.t.Helper()
 	host.mustCommand("up", KindStart, 60*second, host.nonSpares()...)
@@ -323,13 +324,13 @@
 	return names
 }
 
-// groupsOf writes a fleet of some groups of so many instances on one host.
-func groupsOf(groups, each, spares int, update string) string {
+// groupsOf returns the file of a fleet with groups of perGroup instances on one host.
+func groupsOf(groups, perGroup, spares int, update string) string {
 	var text strings.Builder
 	text.WriteString(`(fleet f (host h1 (agent "unix:/tmp/h1"))`)
 	for group := range groups {
 		fmt.Fprintf(&text, ` (group g%d (config "%%n.json") (start-within 5s) (settle 1s) (range g%d-n 1 %d)`,
-			group, group, each)
+			group, group, perGroup)
 		if spares > 0 {
 			text.WriteString(" (spares")
 			for spare := range spares {
@@ -342,12 +343,12 @@
 	return text.String() + " (wave " + update + "))"
 }
 
-// dropKind loses all actions of a kind.
+// dropKind returns a dropAction that loses all actions of a kind.
 func dropKind(kind ActionKind) func(Action) bool {
 	return func(action Action) bool { return action.Kind == kind }
 }
 
-// decide gives the machine an event without carrying out its actions.
+// decide gives the machine an event and returns its actions without carrying them out.
 func decide(t *testing.T, host *simulatedHost, event Event) []Action {
 	t.Helper()
 	actions, _, err := host.m.Decide(host.now, event)
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -13,9 +13,9 @@
 	Commands  []*Command `json:"commands"`
 }
 
-// Restore sets the state of a new machine from a snapshot. rebooted reports that the host was rebooted since, which has
-// ended all processes. Instances that the spec no longer names are left out; forgotten lists those of them that may
-// still run.
+// Restore sets the state of a new machine from a snapshot. rebooted reports that the host was rebooted since the
+// snapshot, which has ended all processes. Instances that the spec no longer names are left out; forgotten lists those
+// of them that may still run.
 func (m *Machine) Restore(now monotime.Micros, s Snapshot, rebooted bool) (forgotten []Instance) {
 	for _, stored := range s.Instances {
 		inst := m.instances[stored.Name]
@@ -34,7 +34,7 @@
 	return forgotten
 }
 
-// restoreInstance sets the state of an instance from the store. The fields that the spec sets stay.
+// restoreInstance sets the state of an instance from the store, except for the fields that come from the spec.
 func (m *Machine) restoreInstance(now monotime.Micros, inst *Instance, stored Instance, rebooted bool) {
 	fromSpec := *inst
 	*inst = stored
@@ -54,7 +54,7 @@
 	}
 }
 
-// renewPendingDeadline has the deadline of a launch or a notice that may not have arrived run from now on.
+// renewPendingDeadline restarts the deadline of a launch or a notice that may not have arrived, as it is sent again.
 func (m *Machine) renewPendingDeadline(now monotime.Micros, inst *Instance) {
 	if inst.launchPending() && inst.Incarnation == inst.ActionID {
 		inst.PhaseDeadline = now + m.readinessTimeout(inst)
@@ -67,7 +67,8 @@
 	}
 }
 
-// restoreCommand adds a command from the store and ends it for instances that it can't reach any more.
+// restoreCommand adds a command from the store. It ends the command for instances that are no longer in the spec and,
+// after a reboot, for all that had no result.
 func (m *Machine) restoreCommand(now monotime.Micros, command *Command, rebooted bool) {
 	if command.Results == nil {
 		command.Results = map[string]Result{}
@@ -107,8 +108,8 @@
 	return changed, forgotten
 }
 
-// RunningUnnamed lists the instances that may run and that another spec does not name for the host, in the order of
-// this spec. An agent with the other spec would not manage them.
+// RunningUnnamed lists the instances that may run and that another spec does not list for the host, in the order of
+// the current spec. An agent with the other spec would not manage them.
 func (m *Machine) RunningUnnamed(s *Spec, host string) (names []string) {
 	for _, name := range m.instanceNames {
 		if named := s.Instance(name); m.instances[name].Incarnation != "" && (named == nil || named.Host != host) {
@@ -118,7 +119,7 @@
 	return names
 }
 
-// Snapshot returns the present state, complete, for Restore.
+// Snapshot returns the complete current state for Restore.
 func (m *Machine) Snapshot() (snapshot Snapshot) {
 	for _, name := range m.instanceNames {
 		snapshot.Instances = append(snapshot.Instances, *m.instances[name])
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -10,25 +10,25 @@
 	"milletbarrow/monotime"
 )
 
-// Spec is a fleet as its file describes it. Its tags are the names that fleet check --json prints.
+// Spec is a fleet as its file describes it. Its JSON names are those that fleet check --json prints.
 type Spec struct {
 	Name               string
-	Program            []string // command of an instance, without serve and its flags; empty: this program
+	Program            []string // command of an instance, without serve and its flags; empty: the agent's own
 	Hosts              []HostSpec
 	Groups             []GroupSpec
 	RollingUpdate      RollingUpdateConfig `json:"Wave"`       // default of rolling updates
 	RollingUpdateQuota string              `json:"WaveBudget"` // each instance in progress holds a unit; empty: none
-	ColdStart          *coldstart.Config   `json:"Rise"`       // nil: a cold start is rejected
-	ColdStartQuota     string              `json:"RiseBudget"` // each instance holds a unit of it until it is settled
+	ColdStart          *coldstart.Config   `json:"Rise"`       // nil: cold starts are rejected
+	ColdStartQuota     string              `json:"RiseBudget"` // each starting instance holds a unit until settled
 	Quotas             *quota.Config       `json:"Budgets"`    // nil: no quotas are shared
-	QuotaHosts         []string            `json:"Ledger"`     // hosts whose agents keep the quota store
+	QuotaHosts         []string            `json:"Ledger"`     // hosts whose agents replicate the quota store
 
-	Warnings []sexpr.Warning `json:"-"` // former names in the file
+	Warnings []sexpr.Warning `json:"-"` // about former names in the file
 
 	instances map[string]*InstanceSpec // by instance name
 }
 
-// HostSpec is a machine with an agent.
+// HostSpec is a host on which an agent runs.
 type HostSpec struct {
 	Name         string
 	AgentAddress string `json:"Agent"` // unix:PATH or loopback ADDRESS:PORT
@@ -40,17 +40,17 @@
 	Name        string
 	Host        string
 	StartWithin monotime.Micros // from an instance's launch to ready
-	// Settle is the time for which an instance has to be ready before it counts as available: caches warm up and
-	// endpoint lists are updated meanwhile.
+	// Settle is the time for which an instance has to be ready before it counts as available, while its caches warm up
+	// and endpoint lists are updated.
 	Settle          monotime.Micros
 	MaxLaunches     int             `json:"Launches"` // launches within LaunchWindow that no command requested
 	LaunchWindow    monotime.Micros `json:"Within"`
 	Labels          []string
 	DegradationFile string   `json:"Levels"` // path of the degradation policy; empty: none
-	Instances       []string // in the file's order, spares last
+	Instances       []string // in the order of the fleet's file, spares last
 }
 
-// InstanceSpec is one instance.
+// InstanceSpec is one instance as the fleet's file describes it.
 type InstanceSpec struct {
 	Name            string
 	Host            string
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// InstancesOn lists a host's instances in the file's order; those of all hosts if host is empty.
+// InstancesOn lists a host's instances, or those of all hosts if host is empty, in the order of the fleet's file.
 func (s *Spec) InstancesOn(host string) (all []*InstanceSpec) {
 	for _, group := range s.Groups {
 		if host != "" && group.Host != host {
@@ -97,5 +97,5 @@
 	return all
 }
 
-// sortedKeys lists a map's keys in order, so that the same events always give the same actions.
+// sortedKeys lists a map's keys in sorted order, so that the same events always lead to the same actions.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/fleet/spec_errors_test.go
+++ b/internal/fleet/spec_errors_test.go
@@ -13,14 +13,14 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// specErrorsOf reads a fleet's file and returns its errors.
+// specErrorsOf reads a fleet's file that is invalid and returns its errors.
 func specErrorsOf(t *testing.T, text string) (all []*SpecError) {
 	t.Helper()
 	_, err := ReadSpec("fleet.sx", []byte(text), limits.ForControl())
 	return specErrors(t, err)
 }
 
-// specErrors splits the error of ReadSpec.
+// specErrors returns the errors that an error of ReadSpec joins.
 func specErrors(t *testing.T, err error) (all []*SpecError) {
 	t.Helper()
 	joined, ok := err.(interface{ Unwrap() []error })
@@ -37,8 +37,8 @@
 	return all
 }
 
-// TestSpecErrorsNameTheirSubject checks that each error of a fleet's file names the host, group, instance or quota that
-// is wrong, and the field.
+// TestSpecErrorsNameTheirSubject checks that each error of a fleet's file names the invalid host, group, instance or
+// quota, and the field.
 func TestSpecErrorsNameTheirSubject(t *testing.T) {
 	const hosts = `(host h1 (agent "unix:/a") (peer 127.0.0.1:1)) (host h2 (agent x) (peer 127.0.0.1:2) (colour red))`
 	const group1 = `(group g1 (host h1) (config "%n") (instances a b) (settle never))`
@@ -51,11 +51,11 @@
 	all := specErrorsOf(t, `(fleet f `+hosts+group1+group2+quotas+`(wave (width 0)) (rise (budget q1)) (colour red))`)
 	got := make([]subject, 0, len(all))
 	for _, e := range all {
-		place, ok := errors.AsType[*sexpr.Error](e)
-		if !ok || e.Error() != place.Error() {
-			t.Fatalf("%v does not hold its place: %v", e, place)
+		position, ok := errors.AsType[*sexpr.Error](e)
+		if !ok || e.Error() != position.Error() {
+			t.Fatalf("%v does not contain its position: %v", e, position)
 		}
-		got = append(got, subject{e.SpecSubject, strings.TrimPrefix(place.Field, "fleet.")})
+		got = append(got, subject{e.SpecSubject, strings.TrimPrefix(position.Field, "fleet.")})
 	}
 	want := []subject{
 		{SpecSubject{Host: "h2"}, "host.colour"},
@@ -99,7 +99,8 @@
 	}
 }
 
-// TestManySpecErrorsKeepTheirSubjects checks that each error has its own subject, also beyond the bound on errors.
+// TestManySpecErrorsKeepTheirSubjects checks that each error has its own subject even if the file has more errors than
+// are reported.
 func TestManySpecErrorsKeepTheirSubjects(t *testing.T) {
 	duplicates := strings.Repeat(" a", 30)
 	all := specErrorsOf(t, `(fleet f (host h1 (agent "unix:/a"))`+
@@ -114,15 +115,15 @@
 	}
 }
 
-// TestUnparsedSpecIsReportedWithItsPlace checks the error of a file that is not an S-expression.
-func TestUnparsedSpecIsReportedWithItsPlace(t *testing.T) {
+// TestUnparsedSpecIsReportedWithItsPosition checks that a file that can't be parsed is reported with its position.
+func TestUnparsedSpecIsReportedWithItsPosition(t *testing.T) {
 	_, err := ReadSpec("fleet.sx", []byte("(fleet"), limits.ForControl())
 	if _, ok := errors.AsType[*sexpr.Error](err); !ok {
 		t.Errorf("%v, want a *sexpr.Error", err)
 	}
 }
 
-// TestSpecErrors compares all errors of some files, selections and plans with the stored trace.
+// TestSpecErrors compares the errors of invalid files and the results of selections and previews with the stored trace.
 func TestSpecErrors(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	const host = `(host h1 (agent "unix:/a"))`
--- a/internal/fleet/spec_group.go
+++ b/internal/fleet/spec_group.go
@@ -10,7 +10,7 @@
 	"milletbarrow/monotime"
 )
 
-// Values of a group whose (group ...) form does not set them.
+// Defaults of the (group ...) form.
 const (
 	defaultStartWithin  = 30 * time.Second
 	defaultSettle       = time.Second
@@ -19,13 +19,13 @@
 )
 
 const (
-	maxLaunchesLimit = 1000   // bound of (restart (most N))
+	maxLaunchesLimit = 1000   // bound of (restart (max N))
 	maxRange         = 10_000 // bound of the instances of one range
 
-	namePlaceholder = "%n" // stands for the instance's name in a configuration's path
+	namePlaceholder = "%n" // replaced by the instance's name in a configuration's path
 )
 
-// readGroup reads a (group ...) form; dir is the directory at which relative paths start.
+// readGroup reads a (group ...) form; relative paths in it are relative to dir.
 func (r *specReader) readGroup(form *sexpr.Form, dir string) {
 	r.attribute(SpecSubject{})
 	group := GroupSpec{
@@ -78,7 +78,7 @@
 	return filepath.Join(dir, path)
 }
 
-// addInstances adds the instances that a field of a group names.
+// addInstances adds the instances that a field of a group lists.
 func (r *specReader) addInstances(form *sexpr.Form, group *GroupSpec, config, field string, names []string) {
 	r.attribute(SpecSubject{Group: group.Name})
 	for _, name := range names {
--- a/internal/fleet/spec_names.go
+++ b/internal/fleet/spec_names.go
@@ -2,7 +2,8 @@
 
 import "milletbarrow/internal/sexpr"
 
-// formerSpecNames has the names that a fleet's file used until December 2026. They are still read.
+// formerSpecNames maps the names that a fleet's file used until December 2026 to the current ones. Files with the
+// former names are still accepted, with a warning.
 var formerSpecNames = sexpr.FormerNames{
 	"fleet": {
 		"budgets": "quotas",
--- a/internal/fleet/spec_names_test.go
+++ b/internal/fleet/spec_names_test.go
@@ -12,7 +12,7 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// specWithAllNames uses every name of today that has a former one.
+// specWithAllNames uses every current name that has a former one.
 const specWithAllNames = `(fleet f
   (host h1 (agent "unix:/a") (peer "127.0.0.1:7171"))
   (quotas (version 2) (quota-store h1)
@@ -24,7 +24,9 @@
   (cold-start (quota q2) (min-serving-share 0.6) (max-failures 4) (slow-factor 3) (rejected-share 0.2)
     (initial-concurrent 1)))`
 
-func TestFormerNamesInFleetFile(t *testing.T) {
+// TestFormerNamesInFleetFileAreRead checks that each former name in a fleet's file is read as the current one, with a
+// warning.
+func TestFormerNamesInFleetFileAreRead(t *testing.T) {
 	compattest.FormerNames(t, formerSpecNames, specWithAllNames, func(src []byte) (any, []sexpr.Warning, error) {
 		spec, err := ReadSpec("fleet.sx", src, limits.ForControl())
 		if err != nil {
@@ -34,7 +36,8 @@
 	})
 }
 
-// The example of a fleet of release 6251f7b decodes to the value of today's.
+// TestExampleOfEarlierReleaseDecodesAlike checks that the example of release 6251f7b decodes to the same value as the
+// current example, and that only the earlier one leads to warnings.
 func TestExampleOfEarlierReleaseDecodesAlike(t *testing.T) {
 	read := func(path string) *Spec {
 		text, err := os.ReadFile(path)
@@ -54,11 +57,12 @@
 		}
 		return string(text)
 	}
-	earlier, today := read("testdata/6251f7b/fleet.sx"), read("../../deploy/fleet.sx")
-	if diff := cmp.Diff(encode(earlier), encode(today)); diff != "" {
+	earlier, current := read("testdata/6251f7b/fleet.sx"), read("../../deploy/fleet.sx")
+	if diff := cmp.Diff(encode(earlier), encode(current)); diff != "" {
 		t.Error(diff)
 	}
-	if len(earlier.Warnings) == 0 || len(today.Warnings) != 0 {
-		t.Errorf("%d warnings about the earlier file, %d about today's", len(earlier.Warnings), len(today.Warnings))
+	if len(earlier.Warnings) == 0 || len(current.Warnings) != 0 {
+		t.Errorf("%d warnings about the earlier file, %d about the current one",
+			len(earlier.Warnings), len(current.Warnings))
 	}
 }
--- a/internal/fleet/spec_quotas.go
+++ b/internal/fleet/spec_quotas.go
@@ -22,7 +22,7 @@
 	maxLease            = time.Hour
 	defaultLease        = 3 * time.Second
 	maxClockMargin      = time.Hour
-	leasePerClockMargin = 20 // the default margin is this part of a lease, but at least quota.MinClockMargin
+	leasePerClockMargin = 20 // the default margin is a lease divided by this, but at least quota.MinClockMargin
 )
 
 // Bounds and defaults of the (cold-start ...) form.
@@ -37,7 +37,8 @@
 	defaultInitialConcurrent = 2
 )
 
-// readQuotas reads the (quotas ...) form: the quotas that the fleet shares, and the hosts that keep their store.
+// readQuotas reads the (quotas ...) form: the quotas that the fleet shares, and the hosts that replicate the quota
+// store.
 func (r *specReader) readQuotas(form *sexpr.Form) {
 	r.Quotas = &quota.Config{Version: uint64(form.Int("version", 1, maxQuotaVersion, 1))}
 	r.readQuotaHosts(form)
@@ -51,7 +52,8 @@
 	form.Done()
 }
 
-// readQuotaHosts reads the hosts whose agents keep the quota store. The only host of a fleet need not be named.
+// readQuotaHosts reads the hosts whose agents replicate the quota store. In a fleet of one host, that host is the
+// default.
 func (r *specReader) readQuotaHosts(form *sexpr.Form) {
 	r.QuotaHosts = form.Words("quota-store")
 	if len(r.QuotaHosts) == 0 && len(r.Hosts) == 1 {
@@ -70,7 +72,7 @@
 	}
 }
 
-// checkPeerAddresses reports the hosts of a larger fleet that the other agents can't reach.
+// checkPeerAddresses reports the hosts without a peer address, if the fleet has more than one host.
 func (r *specReader) checkPeerAddresses(form *sexpr.Form) {
 	if len(r.Hosts) == 1 {
 		return
@@ -147,8 +149,8 @@
 	readPerInstance(form, "weights", 1, limit.Floors, limit.Weights)
 }
 
-// readPerInstance reads a form such as (floors (n1 4) (n2 2)) into values. It may name the instances that are keys of
-// allowed.
+// readPerInstance reads a form such as (floors (n1 4) (n2 2)) into values. Only the instances that are keys of allowed
+// are accepted.
 func readPerInstance(form *sexpr.Form, field string, minValue int64, allowed, values map[quota.InstanceName]int64) {
 	valuesForm := form.Field(field)
 	if valuesForm == nil {
--- a/internal/fleet/spec_reader.go
+++ b/internal/fleet/spec_reader.go
@@ -9,17 +9,17 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// Bounds of the times in a fleet's file.
+// Bounds of the durations in a fleet's file.
 const (
 	minSpan = time.Millisecond
 	maxSpan = 24 * time.Hour
 )
 
-// specReader reads a fleet's file into its Spec.
+// specReader reads a fleet's file into the embedded Spec.
 type specReader struct {
 	*Spec
 	errs     *sexpr.Errors
-	subjects []SpecSubject // of the errors found so far, in their order
+	subjects []SpecSubject // of the errors found so far, in the same order
 }
 
 // attribute sets the subject of the errors found since its last call.
@@ -38,7 +38,7 @@
 	return joined.Unwrap()
 }
 
-// err joins a *SpecError for each error found.
+// err returns the errors found, each as a *SpecError, joined; nil if there are none.
 func (r *specReader) err() error {
 	r.attribute(SpecSubject{})
 	errs := r.found()
@@ -48,8 +48,8 @@
 	return errors.Join(errs...)
 }
 
-// ReadSpec reads a fleet's file. file is its name in errors; relative paths in it start at its directory. The error is
-// an *sexpr.Error if src is no S-expression; else it joins a *SpecError for each fault found.
+// ReadSpec reads a fleet's file. file is its path, which errors contain; paths in it are relative to its directory. The
+// error is a *sexpr.Error if src can't be parsed as S-expressions; else it joins a *SpecError for each error found.
 func ReadSpec(file string, src []byte, bounds limits.Control) (*Spec, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
@@ -125,7 +125,7 @@
 	r.Hosts = append(r.Hosts, host)
 }
 
-// checkInstanceCounts reports a fleet without instances, and hosts with more instances than one agent can manage.
+// checkInstanceCounts reports a fleet without instances, and hosts with more than maxInstances instances.
 func (r *specReader) checkInstanceCounts(form *sexpr.Form, maxInstances int) {
 	if len(r.instances) == 0 {
 		form.Fail("", "found no instance, wanted at least one")
@@ -139,7 +139,7 @@
 	}
 }
 
-// readName reads a form's only word as a name.
+// readName reads the only argument of a form as a name.
 func readName(form *sexpr.Form) string {
 	name := form.Arg()
 	if err := CheckName(name); err != nil {
--- a/internal/fleet/unit.go
+++ b/internal/fleet/unit.go
@@ -7,22 +7,22 @@
 	"milletbarrow/monotime"
 )
 
-// Unit is one unit of a concurrency quota of the whole fleet. An instance holds it while a rolling update or a cold
-// start has the instance in progress, and releases it once it is observed ready, not when the command has a result for
-// it: an instance that does not come back counts until an operator releases its unit.
+// Unit is one unit of a concurrency quota of the whole fleet. An instance holds it while it is in progress in a rolling
+// update or a cold start, and releases it once it is back in service, not when the command has a result for it: an
+// instance that does not come back counts against the quota until an operator releases its unit.
 type Unit struct {
 	Quota         string          `json:"budget,omitempty"`
-	RequestID     string          `json:"turn,omitempty"` // empty: none is requested
+	RequestID     string          `json:"turn,omitempty"` // empty: no unit is requested or held
 	CommandID     string          `json:"for,omitempty"`  // the command that needs it
-	Held          bool            `json:"held,omitempty"` // false: it is requested
-	NextRequestAt monotime.Micros `json:"next,omitempty"` // no call to the quota store before
+	Held          bool            `json:"held,omitempty"` // false: it is only requested
+	NextRequestAt monotime.Micros `json:"next,omitempty"` // earliest next call to the quota store
 	DenialCause   string          `json:"why,omitempty"`  // of the latest denial; empty: none since the last grant
 
-	Standalone bool            `json:"alone,omitempty"` // the unit reserved for this host: the quota store is silent
-	StartedAt  monotime.Micros `json:"began,omitempty"` // KindColdStart: start of the launch that uses it; 0: not begun
+	Standalone bool            `json:"alone,omitempty"` // this host's reserved unit, as the quota store is silent
+	StartedAt  monotime.Micros `json:"began,omitempty"` // KindColdStart: when the start using it began; 0: not begun
 }
 
-// HeldUnit is a unit that, for the quota store, an instance holds.
+// HeldUnit is a unit that the quota store records as held by an instance.
 type HeldUnit struct {
 	Name      string `json:"name"` // of the instance
 	Quota     string `json:"budget"`
@@ -30,19 +30,19 @@
 }
 
 const (
-	// unitRetryDelay is the time between two calls about one unit. When all units of a quota are held, the next is
-	// released within seconds.
+	// unitRetryDelay is the minimum time between two calls about one unit. When all units of a quota are held, the next
+	// one is released within seconds.
 	unitRetryDelay = 300 * monotime.Millisecond
-	// maxUnitRetryJitter bounds the random addition to unitRetryDelay, so that hosts do not call together.
+	// maxUnitRetryJitter bounds the jitter added to unitRetryDelay, which keeps hosts from calling in step.
 	maxUnitRetryJitter = unitRetryDelay / 2
-	// maxRequestGap bounds the pause between two requests over which a silence of the quota store continues: a longer
-	// time without requests shows nothing.
+	// maxRequestGap is the longest pause between two requests that still counts as one silence of the quota store.
+	// While nothing is requested, the lack of answers is no evidence that the store is unreachable.
 	maxRequestGap = 10 * unitRetryDelay
 )
 
-// holdsUnit reports whether an instance holds a unit for a command, if the command needs one. If it holds none, one is
-// requested.
-func (m *Machine) holdsUnit(now monotime.Micros, command *Command, inst *Instance) bool {
+// ensureUnit reports whether an instance holds the unit that a command needs, or the command needs none. If the
+// instance holds none, it requests one.
+func (m *Machine) ensureUnit(now monotime.Micros, command *Command, inst *Instance) bool {
 	if command.Quota == "" || inst.Unit.Held && inst.Unit.CommandID == command.ID {
 		return true
 	}
@@ -55,7 +55,7 @@
 	return false
 }
 
-// newUnitRequest gives an instance a request for a unit with an ID of its own.
+// newUnitRequest creates a request for a unit with a new ID. requestUnit sends it.
 func (m *Machine) newUnitRequest(command *Command, inst *Instance) {
 	inst.UnitRequests++
 	inst.Unit = Unit{
@@ -71,7 +71,7 @@
 func (m *Machine) requestUnit(now monotime.Micros, inst *Instance) {
 	jitter := monotime.Micros(m.random.Int64N(int64(maxUnitRetryJitter)))
 	inst.Unit.NextRequestAt = now + unitRetryDelay + jitter
-	// A silence during which nothing was requested shows nothing about the quota store.
+	// A time without requests does not count as silence of the quota store.
 	if m.quotaSilentSince == 0 || now-m.lastUnitRequestAt > maxRequestGap {
 		m.quotaSilentSince = now
 	}
@@ -96,13 +96,14 @@
 // usesUnits reports whether the instances of the command may hold units of a quota.
 func (c *Command) usesUnits() bool { return c.Kind == KindRollingUpdate || c.Kind == KindColdStart }
 
-// returnUnit releases a unit that is no longer needed.
-func (m *Machine) returnUnit(now monotime.Micros, inst *Instance) {
+// releaseUnneededUnit releases the unit of an instance once its command no longer needs it and the instance is back in
+// service, or its cold start has failed.
+func (m *Machine) releaseUnneededUnit(now monotime.Micros, inst *Instance) {
 	unit := &inst.Unit
 	if unit.RequestID == "" || m.unitNeeded(inst) {
 		return
 	}
-	if !unit.Held && !unit.Standalone { // if it is granted after all, the quota store's list shows it
+	if !unit.Held && !unit.Standalone { // if it is granted nevertheless, handleUnitsListed releases it
 		*unit = Unit{}
 		m.markInstanceChanged(inst)
 		return
@@ -132,9 +133,9 @@
 	switch {
 	case unit.RequestID != answer.RequestID:
 		if answer.Granted {
-			m.returnStrayUnit(now, inst, answer.HeldUnit)
+			m.releaseAbandonedUnit(now, inst, answer.HeldUnit)
 		}
-	case unit.Standalone: // the start began meanwhile
+	case unit.Standalone: // the start began before the answer arrived
 		unit.Held = answer.Granted
 	case answer.Granted:
 		unit.grant(now)
@@ -155,19 +156,22 @@
 	u.DenialCause = ""
 }
 
-// deny forgets a request. The next attempt gets an ID of its own, as another call with this ID may yet arrive.
+// deny drops a request. The next attempt uses a new ID, because a repeated call with this ID may still arrive at the
+// quota store.
 func (u *Unit) deny(cause string) {
 	*u = Unit{NextRequestAt: u.NextRequestAt, DenialCause: cause}
 }
 
-// returnStrayUnit releases a unit held for a request that nobody remembers, once the instance is back in service.
-func (m *Machine) returnStrayUnit(now monotime.Micros, inst *Instance, stray HeldUnit) {
+// releaseAbandonedUnit releases a unit that is held for a request the instance has dropped, if the instance is back in
+// service.
+func (m *Machine) releaseAbandonedUnit(now monotime.Micros, inst *Instance, abandoned HeldUnit) {
 	if inst.backInService(now) {
-		m.releaseUnit(now, inst, Unit{Quota: stray.Quota, RequestID: stray.RequestID, Held: true})
+		m.releaseUnit(now, inst, Unit{Quota: abandoned.Quota, RequestID: abandoned.RequestID, Held: true})
 	}
 }
 
-// handleUnitReleased forgets a unit that the quota store took back. Another request may have begun meanwhile.
+// handleUnitReleased clears a unit that the quota store has released, unless the instance has begun another request
+// meanwhile.
 func (m *Machine) handleUnitReleased(now monotime.Micros, released UnitReleased) {
 	m.quotaSilentSince = 0
 	inst := m.instances[released.Name]
@@ -179,12 +183,12 @@
 	m.markInstanceChanged(inst)
 }
 
-// handleUnitsListed releases the units that the quota store lists and no instance remembers.
+// handleUnitsListed releases the units that the quota store lists and that belong to no current request.
 func (m *Machine) handleUnitsListed(now monotime.Micros, listed UnitsListed) {
 	for _, held := range listed.Units {
 		inst := m.instances[held.Name]
 		if inst != nil && inst.Unit.RequestID != held.RequestID {
-			m.returnStrayUnit(now, inst, held)
+			m.releaseAbandonedUnit(now, inst, held)
 		}
 	}
 }
