--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -13,7 +13,7 @@
 	Hosts              []string // in the file's order
 	Config             RollingUpdateConfig
 	MaxConcurrentHosts int             // hosts that update at once; below 1 counts as 1
-	blockedSince       monotime.Micros // the fleet's minimum has let no host begin since; 0: it lets one
+	blockedSince       monotime.Micros // the fleet's minimum has let no host begin since; 0: a host can
 }
 
 // HostProgress is the known progress of a host in a rollout.
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -170,7 +170,7 @@
 	}
 	blocked := false
 	requested := 0
-	var counts map[string]*groupCount // by group; nil until an instance may restart
+	var counts map[string]*groupCount // by group; counted when first needed
 	for _, name := range command.Names {
 		if len(command.InProgress)+requested >= command.Rollout.MaxInProgress {
 			blocked = false
