--- a/internal/cluster/coldstart/config.go
+++ b/internal/cluster/coldstart/config.go
@@ -8,10 +8,10 @@
 	maxSlowFactor float64 = 1000
 )
 
-// Config sets the bounds of a cold start.
+// Config is the configuration of a cold start.
 type Config struct {
-	MaxConcurrent     int64 `json:"most"`  // members that may be starting at once, over all hosts
-	InitialConcurrent int64 `json:"first"` // the concurrency limit at the beginning
+	MaxConcurrent     int64 `json:"most"`  // members that may start at once, over all hosts
+	InitialConcurrent int64 `json:"first"` // concurrency limit when the cold start begins
 
 	// MinServing is the fraction of each group, from 0 to 1, that is essential and starts before all other members.
 	MinServing float64 `json:"least"`
@@ -19,18 +19,18 @@
 	// MaxFailures is the number of consecutive failures that halts the cold start.
 	MaxFailures int64 `json:"failures"`
 
-	// SlowFactor lowers the concurrency limit after a start that takes so many times as long as the fastest of its
-	// group.
+	// SlowFactor is the greatest ratio of a start's duration to the shortest in its group that does not lower the
+	// concurrency limit.
 	SlowFactor float64 `json:"slow"`
 
-	// MaxRejected lowers the concurrency limit after a start during which a greater fraction of the calls to
-	// dependencies or to the registry was rejected, from 0 to 1.
+	// MaxRejected is the greatest fraction, from 0 to 1, of calls to dependencies or to the registry that may be
+	// rejected during a start without lowering the concurrency limit.
 	MaxRejected float64 `json:"refused"`
 }
 
 // ConfigError is returned by Config.Validate for a field that is invalid.
 type ConfigError struct {
-	Field  string // as the fleet's file names it
+	Field  string // name of the field in JSON
 	Reason string
 }
 
@@ -42,7 +42,7 @@
 	case c.MaxConcurrent < 1 || c.MaxConcurrent > maxCount:
 		return invalid("most", "%d is not from 1 to %d", c.MaxConcurrent, maxCount)
 	case c.InitialConcurrent < 1 || c.InitialConcurrent > c.MaxConcurrent:
-		return invalid("first", "%d is not from 1 to %d, the most at once", c.InitialConcurrent, c.MaxConcurrent)
+		return invalid("first", "%d is not from 1 to %d, the value of most", c.InitialConcurrent, c.MaxConcurrent)
 	case !(c.MinServing >= 0 && c.MinServing <= 1): // negated to reject NaN, here and below
 		return invalid("least", "%g is not from 0 to 1", c.MinServing)
 	case c.MaxFailures < 1 || c.MaxFailures > maxCount:
--- a/internal/cluster/coldstart/helpers_test.go
+++ b/internal/cluster/coldstart/helpers_test.go
@@ -16,11 +16,11 @@
 	}
 }
 
-// testMembers returns members of so many groups and so many in each group, spread over hosts.
-func testMembers(groups, each, hosts int) []Member {
-	members := make([]Member, 0, groups*each)
+// testMembers returns perGroup members in each of the given number of groups, spread over hosts.
+func testMembers(groups, perGroup, hosts int) []Member {
+	members := make([]Member, 0, groups*perGroup)
 	for group := range groups {
-		for n := range each {
+		for n := range perGroup {
 			members = append(members, Member{
 				Name:  MemberName(fmt.Sprintf("g%d-%02d", group, n)),
 				Group: GroupName(fmt.Sprint("g", group)),
@@ -40,8 +40,8 @@
 	return s
 }
 
-// newOneGroup returns a cold start of members of one group on one host.
-func newOneGroup(tb testing.TB, maxConcurrent int64, names ...MemberName) *State {
+// newSingleGroupState returns a cold start of members of one group on one host.
+func newSingleGroupState(tb testing.TB, maxConcurrent int64, names ...MemberName) *State {
 	tb.Helper()
 	members := make([]Member, 0, len(names))
 	for _, name := range names {
@@ -58,8 +58,8 @@
 	}
 }
 
-// startRound requests a start for each pending member in order, reports an outcome for each that may start, and returns
-// their number. i counts them.
+// startRound requests a start for each pending member in order, reports an outcome for each that was granted, and
+// returns their number. outcome is called with the index of a granted start.
 func startRound(s *State, outcome func(i int) Outcome) int {
 	var started []MemberName
 	for _, member := range s.Members {
--- a/internal/cluster/coldstart/order.go
+++ b/internal/cluster/coldstart/order.go
@@ -13,24 +13,23 @@
 	Host  string     `json:"host"`
 }
 
-// candidate is a member with what decides its place in the order.
+// candidate is a member with the values that determine its place in the order.
 type candidate struct {
 	Member
 	hostIndex int  // among the members of its group on its host
-	index     int  // in its group, which takes its members from each host in turn
+	index     int  // in its group, whose members are taken from each host in turn
 	groupSize int  // members
 	essential bool // its group needs it to serve
 }
 
-// compareProgress orders candidates by the progress that their groups have made once they are ready:
-// (index+1)/groupSize.
+// compareProgress orders candidates by the fraction of their group that is ready once they are: (index+1)/groupSize.
 func (c *candidate) compareProgress(other *candidate) int {
 	return cmp.Compare((c.index+1)*other.groupSize, (other.index+1)*c.groupSize)
 }
 
 // orderMembers returns the members in their order of starting, and how many of them are essential. Essential members
-// come first. Both parts take members from each group in turn, and each group from each host, so that no group and no
-// host gets far ahead.
+// come first. Essential and other members alike are taken from each group in turn, and within a group from each host,
+// so that the progress of groups and of hosts stays even.
 func orderMembers(minServing float64, members []Member) (order []Member, essential int) {
 	candidates := spreadOverHosts(members)
 	for i := range candidates {
@@ -53,7 +52,7 @@
 	return order, essential
 }
 
-// spreadOverHosts returns the members ordered by group, with each group taking its members from each host in turn.
+// spreadOverHosts returns the members ordered by group, and within a group taken from each host in turn.
 func spreadOverHosts(members []Member) []candidate {
 	type groupOnHost struct {
 		group GroupName
--- a/internal/cluster/coldstart/outcome.go
+++ b/internal/cluster/coldstart/outcome.go
@@ -11,54 +11,54 @@
 const (
 	percent = 100 // in 1
 
-	decreaseDivisor int64 = 2 // of the concurrency limit
+	decreaseDivisor int64 = 2 // a decrease divides the concurrency limit by it
 
-	pauseAfterFailures int64   = 2 // consecutive ones
+	pauseAfterFailures int64   = 2 // consecutive failures that begin a pause
 	minPause                   = 2 * time.Second
 	maxPause                   = time.Minute
 	pauseMultiplier    float64 = 2
-	maxPauseSteps      int64   = 1000 // the pause has reached maxPause long before
+	maxPauseSteps      int64   = 1000 // the pause reaches maxPause after far fewer failures
 )
 
-// Outcome is how the start of a member ended.
+// Outcome is the result of a member's start.
 type Outcome struct {
 	Ready bool            `json:"warm"`
 	Took  monotime.Micros `json:"took_us,omitempty"` // until it was ready; 0: unknown
 
-	// Rejected is the fraction of calls to dependencies and to the registry that the member's host saw rejected
-	// meanwhile.
+	// Rejected is the fraction of calls to dependencies and to the registry that were rejected on the member's host
+	// during the start.
 	Rejected float64 `json:"refused,omitempty"`
 
 	Cause string `json:"cause,omitempty"` // of a failure
 }
 
-// Report records the outcome of a start. A bad outcome halves the limit, once for all starts from before. A good one
-// raises it by one, and after the first decrease by one for each round of starts. change tells how the limit changed,
-// or is empty.
+// Report records the outcome of a start. A bad outcome halves the concurrency limit, once for all starts granted before
+// the decrease. A good one raises it by one; after the first decrease, a whole round of good starts raises it by one.
+// change describes the change of the limit; it is empty if there is none.
 func (s *State) Report(name MemberName, outcome Outcome) (change string) {
 	start, starting := s.Starting[name]
 	if !starting {
-		if s.Pending(name) && outcome.Ready { // it started without a request, as its host could not reach the leader
+		if s.Pending(name) && outcome.Ready { // started without permission: its host could not reach the leader
 			s.markReady(name)
 		}
 		return ""
 	}
 	delete(s.Starting, name)
-	before := s.Limit()
+	limitBefore := s.Limit()
 	s.adjustLimit(name, start, outcome)
 	group := s.groupOf(name)
 	if fastest := s.Fastest[group]; outcome.Ready && outcome.Took > 0 && (fastest == 0 || outcome.Took < fastest) {
 		s.Fastest[group] = outcome.Took
 	}
-	if now := s.Limit(); now != before {
-		return fmt.Sprintf("%d may be under way, from %d: %s", now, before, s.Reason)
+	if limitAfter := s.Limit(); limitAfter != limitBefore {
+		return fmt.Sprintf("%d may be under way, from %d: %s", limitAfter, limitBefore, s.Reason)
 	}
 	return ""
 }
 
 func (s *State) groupOf(name MemberName) GroupName { return s.Members[s.position[name]].Group }
 
-// adjustLimit raises or lowers the concurrency limit by the outcome of a start.
+// adjustLimit raises or lowers the concurrency limit according to the outcome of a start.
 func (s *State) adjustLimit(name MemberName, start RunningStart, outcome Outcome) {
 	group := s.groupOf(name)
 	fastest := s.Fastest[group]
@@ -79,15 +79,15 @@
 	}
 }
 
-// markReady counts a member as ready, which ends a row of failures.
+// markReady counts a member as ready, which resets the count of consecutive failures.
 func (s *State) markReady(name MemberName) {
 	s.Ready[name] = true
 	delete(s.Failed, name)
 	s.clearFailures()
 }
 
-// recordFailure counts a failed start, unless it failed together with others. Consecutive failures pause the cold start
-// and finally halt it.
+// recordFailure records a failed start. It counts as another consecutive failure only if it lowers the limit: starts
+// that fail together count once. Consecutive failures pause the cold start and finally halt it.
 func (s *State) recordFailure(name MemberName, start RunningStart, cause string) {
 	s.Failed[name] = cause
 	if !s.decrease(start, fmt.Sprintf("%s did not come up: %s", name, cause)) {
@@ -103,21 +103,22 @@
 	}
 }
 
-// increase raises the limit after a good start, up to the configured one.
+// increase raises the limit after a good start, up to MaxConcurrent.
 func (s *State) increase() {
-	most := s.Config.MaxConcurrent * limitScale
-	if s.ScaledLimit >= most {
+	maxScaledLimit := s.Config.MaxConcurrent * limitScale
+	if s.ScaledLimit >= maxScaledLimit {
 		return
 	}
 	step := limitScale
 	if s.SlowIncrease {
 		step = max(1, limitScale*limitScale/s.ScaledLimit)
 	}
-	s.ScaledLimit = min(most, s.ScaledLimit+step)
+	s.ScaledLimit = min(maxScaledLimit, s.ScaledLimit+step)
 	s.Reason = "starts come up well"
 }
 
-// decrease halves the limit, and reports whether it did. It does not for starts from before the latest decrease.
+// decrease halves the limit and reports whether it did. Starts granted before the latest decrease do not lower the
+// limit again, as they were granted under the higher one.
 func (s *State) decrease(start RunningStart, cause string) bool {
 	if start.Number <= s.DecreasedAt {
 		return false
@@ -129,11 +130,11 @@
 	return true
 }
 
-// pauseDuration returns the duration of the pause after so many failures beyond pauseAfterFailures. A dependency may
-// recover only without any load: one start at a time could keep it overloaded for ever.
+// pauseDuration returns the duration of a pause after the given number of failures beyond pauseAfterFailures. Lowering
+// the limit to one start at a time is not enough: an overloaded dependency may recover only without any load.
 func pauseDuration(failures int64) monotime.Micros {
-	growth := backoff.Exponential{Initial: minPause, Max: maxPause, Multiplier: pauseMultiplier}
-	return monotime.FromDuration(growth.Interval(int(min(failures, maxPauseSteps)) + 1))
+	schedule := backoff.Exponential{Initial: minPause, Max: maxPause, Multiplier: pauseMultiplier}
+	return monotime.FromDuration(schedule.Interval(int(min(failures, maxPauseSteps)) + 1))
 }
 
 func (s *State) beginPause(duration monotime.Micros) {
@@ -141,7 +142,8 @@
 	s.PauseNumber++
 }
 
-// EndPause ends the pause of that number, once the leader has timed it by its own clock.
+// EndPause ends the pause with the given number, unless another one has begun since. The leader calls it when the
+// duration has passed by its clock.
 func (s *State) EndPause(number uint64) {
 	if number == s.PauseNumber {
 		s.Pause = 0
--- a/internal/cluster/coldstart/outcome_test.go
+++ b/internal/cluster/coldstart/outcome_test.go
@@ -20,7 +20,7 @@
 // TestSlowStartDecreasesTheLimit checks that a start is slow if it takes more than SlowFactor times as long as its
 // group's fastest.
 func TestSlowStartDecreasesTheLimit(t *testing.T) {
-	s := newOneGroup(t, 8, "a", "b", "c", "d", "e")
+	s := newSingleGroupState(t, 8, "a", "b", "c", "d", "e")
 	for _, test := range []struct {
 		name      MemberName
 		took      monotime.Micros
@@ -39,8 +39,8 @@
 	}
 }
 
-func TestLimitGrowsNoFurtherThanConfigured(t *testing.T) {
-	s := newOneGroup(t, 2, "a", "b")
+func TestLimitDoesNotGrowBeyondMaxConcurrent(t *testing.T) {
+	s := newSingleGroupState(t, 2, "a", "b")
 	s.ScaledLimit = 2*limitScale - 1
 	mustStart(t, s, "a")
 	s.Report("a", Outcome{Ready: true, Took: 1000})
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestLimitFollowsOutcomes checks that the limit doubles with each round of good starts, is halved once for all
-// starts from before a bad one, and the cold start halts after consecutive failures.
+// TestLimitFollowsOutcomes checks that the limit doubles with each round of good starts before the first decrease, that
+// starts granted before a decrease halve it only once, and that the cold start halts after consecutive failures.
 func TestLimitFollowsOutcomes(t *testing.T) {
 	s := newTestState(t, testConfig(64), testMembers(1, 200, 4))
 	ready := func(int) Outcome { return Outcome{Ready: true, Took: monotime.Second} }
@@ -66,7 +66,7 @@
 	before := s.ScaledLimit
 	startRound(s, ready)
 	if s.ScaledLimit <= before || s.ScaledLimit > before+1100 {
-		t.Fatalf("a good round after a decrease: limit from %d to %d, want one more", before, s.ScaledLimit)
+		t.Fatalf("a good round after a decrease: limit from %d to %d, want an increase by about one", before, s.ScaledLimit)
 	}
 	failUntilHalted(t, s)
 	if started := startRound(s, ready); started != 0 {
@@ -74,17 +74,17 @@
 	}
 	s.Resume()
 	if started := startRound(s, ready); started != 2 {
-		t.Fatalf("%d started after an operator resumed it, want 2", started)
+		t.Fatalf("%d started after Resume, want 2", started)
 	}
 }
 
-// failUntilHalted lets every start fail, and checks the limit and the pauses up to the halt.
+// failUntilHalted reports a failure of every start, and checks the limit and the pauses until the cold start halts.
 func failUntilHalted(t *testing.T, s *State) {
 	t.Helper()
 	limit, pause := s.ScaledLimit, monotime.Micros(0)
 	last := s.Members[len(s.Members)-1].Name
 	for i := range testConfig(1).MaxFailures {
-		started := startRound(s, func(int) Outcome { return Outcome{Cause: "its configuration can't be read"} })
+		started := startRound(s, func(int) Outcome { return Outcome{Cause: "invalid configuration"} })
 		halted := s.HaltReason != ""
 		if started == 0 || !halted && s.ScaledLimit > limit {
 			t.Fatalf("failure %d: %d started, limit from %d to %d", i, started, limit, s.ScaledLimit)
@@ -93,7 +93,7 @@
 			t.Fatalf("started during a pause: %s", reason)
 		}
 		if !halted && i > 0 && s.Pause <= pause {
-			t.Fatalf("failure %d: a pause of %d us after one of %d us", i, s.Pause, pause)
+			t.Fatalf("failure %d: pause of %d us, not longer than the former one of %d us", i, s.Pause, pause)
 		}
 		limit = s.ScaledLimit
 		pause = s.Pause
@@ -104,6 +104,6 @@
 		s.EndPause(s.PauseNumber)
 	}
 	if s.HaltReason == "" {
-		t.Fatal("not halted, though every start fails")
+		t.Fatalf("not halted after %d consecutive failures", testConfig(1).MaxFailures)
 	}
 }
--- a/internal/cluster/coldstart/request.go
+++ b/internal/cluster/coldstart/request.go
@@ -6,11 +6,12 @@
 	"milletbarrow/monotime"
 )
 
-// requestWindow is the number of requests after which a waiting member no longer delays others. Its agent may be dead.
+// requestWindow is the number of requests by other members after which a waiting member that has not repeated its own
+// no longer delays them, as its agent may have failed.
 const requestWindow uint64 = 64
 
-// RequestStart decides whether a member may start now, and counts it as starting if so. Otherwise reason tells what it
-// waits for. Among the members that requested recently, the first in order start first.
+// RequestStart decides whether a member may start now, and counts it as starting if so. Otherwise reason is what it
+// waits for. Of the members that requested recently, those first in the order start first.
 func (s *State) RequestStart(name MemberName) (ok bool, reason string) {
 	position, isMember := s.position[name]
 	switch {
@@ -54,8 +55,8 @@
 	s.Starting[name] = RunningStart{Number: s.Starts}
 }
 
-// waitingAhead returns the number of waiting members before a position, and the first of them. It removes members that
-// have stopped requesting.
+// waitingAhead returns the number of waiting members before a position, and the first of them. It removes members
+// that have not requested within requestWindow.
 func (s *State) waitingAhead(position int) (ahead int64, first MemberName) {
 	firstPosition := position
 	for name, request := range s.LastRequest {
--- a/internal/cluster/coldstart/request_test.go
+++ b/internal/cluster/coldstart/request_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestNothingStartsDuringAPause(t *testing.T) {
-	s := newOneGroup(t, 4, "a", "b", "c")
+	s := newSingleGroupState(t, 4, "a", "b", "c")
 	for range pauseAfterFailures {
 		mustStart(t, s, "a")
 		s.Report("a", Outcome{Cause: "x"})
@@ -19,8 +19,8 @@
 	mustStart(t, s, "b")
 }
 
-func TestFullLimitIsTheReason(t *testing.T) {
-	s := newOneGroup(t, 1, "a", "b")
+func TestRequestAtTheLimitIsRejectedWithTheLimitAsReason(t *testing.T) {
+	s := newSingleGroupState(t, 1, "a", "b")
 	mustStart(t, s, "a")
 	if ok, reason := s.RequestStart("b"); ok || !strings.Contains(reason, "1 are starting, the limit is 1") {
 		t.Fatalf("with a full limit: %v, reason %q", ok, reason)
@@ -30,7 +30,7 @@
 // TestSilentMemberIsOvertaken checks that a waiting member that has stopped requesting delays others for a bounded
 // number of requests.
 func TestSilentMemberIsOvertaken(t *testing.T) {
-	s := newOneGroup(t, 1, "a", "b", "c")
+	s := newSingleGroupState(t, 1, "a", "b", "c")
 	mustStart(t, s, "c")
 	silent, waiting := s.Members[0].Name, s.Members[1].Name
 	s.RequestStart(silent) // waits while c is starting
@@ -44,11 +44,11 @@
 		}
 		return
 	}
-	t.Fatalf("%s waits for %s for ever", waiting, silent)
+	t.Fatalf("%s still waits for %s after %d requests", waiting, silent, 2*requestWindow)
 }
 
-// TestEssentialMembersStartFirst checks that no other member starts while an essential one of any group waits, once all
-// have requested.
+// TestEssentialMembersStartFirst checks that no other member starts while an essential one of any group waits, from the
+// second round of requests on: in the first, the other members request before the essential ones.
 func TestEssentialMembersStartFirst(t *testing.T) {
 	s := newTestState(t, testConfig(4), testMembers(3, 8, 2))
 	if s.Essential != 6 {
@@ -56,7 +56,7 @@
 	}
 	for round := 0; !s.Done(); round++ {
 		var started []MemberName
-		others := 0
+		othersStarted := 0
 		for i, member := range slices.Backward(s.Members) { // the last in order request first
 			if !s.Pending(member.Name) {
 				continue
@@ -66,7 +66,7 @@
 			}
 			started = append(started, member.Name)
 			if i >= s.Essential {
-				others++
+				othersStarted++
 			}
 		}
 		if len(started) == 0 {
@@ -74,7 +74,7 @@
 		}
 		for _, member := range s.Members[:s.Essential] {
 			_, starting := s.Starting[member.Name]
-			if round > 0 && others > 0 && !starting && !s.Ready[member.Name] {
+			if round > 0 && othersStarted > 0 && !starting && !s.Ready[member.Name] {
 				t.Errorf("round %d: %s waits while %v start", round, member.Name, started)
 			}
 		}
--- a/internal/cluster/coldstart/state_test.go
+++ b/internal/cluster/coldstart/state_test.go
@@ -10,23 +10,23 @@
 	"milletbarrow/monotime"
 )
 
-func TestDuplicateNamesAreRejected(t *testing.T) {
+func TestDuplicateMemberNamesAreRejected(t *testing.T) {
 	member := Member{Name: "a", Group: "g", Host: "h"}
 	if _, err := New("r", testConfig(4), []Member{member, member}); !errors.Is(err, ErrDuplicateMember) {
 		t.Fatalf("error %v, want ErrDuplicateMember", err)
 	}
 }
 
-// randomStart is a cold start with random requests and outcomes.
-type randomStart struct {
-	t        *rapid.T
-	state    *State
-	most     int64               // configured
-	starting map[MemberName]bool // as the test counts them
+// randomColdStart is a cold start with random requests and outcomes.
+type randomColdStart struct {
+	t             *rapid.T
+	state         *State
+	maxConcurrent int64               // configured
+	starting      map[MemberName]bool // as the test counts them
 }
 
 // step lets a random member request a start, or reports the outcome of its start.
-func (r *randomStart) step() {
+func (r *randomColdStart) step() {
 	name := rapid.SampledFrom(r.state.Members).Draw(r.t, "member").Name
 	if r.starting[name] {
 		r.state.Report(name, Outcome{
@@ -46,18 +46,18 @@
 	}
 }
 
-// check checks that the limit is within its bounds and holds.
-func (r *randomStart) check() {
-	if starting := len(r.state.Starting); int64(starting) > r.most || starting != len(r.starting) {
-		r.t.Fatalf("%d members are starting, at most %d may; the test counts %d", starting, r.most, len(r.starting))
+// check checks that the limit is within its bounds, and that no more members are starting than the maximum.
+func (r *randomColdStart) check() {
+	if starting := len(r.state.Starting); int64(starting) > r.maxConcurrent || starting != len(r.starting) {
+		r.t.Fatalf("%d members are starting, at most %d may; the test counts %d", starting, r.maxConcurrent, len(r.starting))
 	}
-	if limit := r.state.Limit(); limit < 1 || limit > r.most {
-		r.t.Fatalf("limit %d, want 1 to %d", limit, r.most)
+	if limit := r.state.Limit(); limit < 1 || limit > r.maxConcurrent {
+		r.t.Fatalf("limit %d, want 1 to %d", limit, r.maxConcurrent)
 	}
 }
 
-// reload encodes the state, and now and then goes on with the decoded one.
-func (r *randomStart) reload() {
+// reload encodes the state, and in one of ten calls replaces it by the decoded one.
+func (r *randomColdStart) reload() {
 	encoded, err := json.Marshal(r.state)
 	if err != nil {
 		r.t.Fatal(err)
@@ -72,8 +72,8 @@
 	r.state.RebuildIndex()
 }
 
-// recover lets all members request in turn and become ready, without faults.
-func (r *randomStart) recover() {
+// recover requests starts for all members in turn and reports success, until the cold start is done.
+func (r *randomColdStart) recover() {
 	r.state.Resume()
 	for range 200 * len(r.state.Members) {
 		r.state.EndPause(r.state.PauseNumber)
@@ -94,18 +94,18 @@
 	}
 }
 
-// TestLimitHoldsAndAllMembersBecomeReady checks that whatever is requested and reported, no more members are starting
-// than the limit allows. Once faults end, every member that goes on requesting becomes ready.
+// TestLimitHoldsAndAllMembersBecomeReady checks that no more members are starting than the maximum, for any sequence of
+// requests and reports. Once faults end, every member that keeps requesting becomes ready.
 func TestLimitHoldsAndAllMembersBecomeReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := int64(rapid.IntRange(1, 12).Draw(t, "most"))
+		maxConcurrent := int64(rapid.IntRange(1, 12).Draw(t, "most"))
 		groups := rapid.IntRange(1, 4).Draw(t, "groups")
-		each := rapid.IntRange(1, 12).Draw(t, "each")
-		state, err := New("r", testConfig(most), testMembers(groups, each, 3))
+		perGroup := rapid.IntRange(1, 12).Draw(t, "each")
+		state, err := New("r", testConfig(maxConcurrent), testMembers(groups, perGroup, 3))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &randomStart{t: t, state: state, most: most, starting: map[MemberName]bool{}}
+		r := &randomColdStart{t: t, state: state, maxConcurrent: maxConcurrent, starting: map[MemberName]bool{}}
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
 			r.step()
 			r.check()
--- a/internal/cluster/coldstart/status.go
+++ b/internal/cluster/coldstart/status.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// GroupStatus counts the members of one group by their state.
+// GroupStatus holds the number of members of one group in each state.
 type GroupStatus struct {
 	Group    GroupName `json:"group"`
 	Ready    int       `json:"warm"`
@@ -14,7 +14,7 @@
 	Waiting  int       `json:"waiting"`
 }
 
-// Groups counts the members of all groups, ordered by name.
+// Groups returns the status of all groups, ordered by name.
 func (s *State) Groups() []GroupStatus {
 	byGroup := map[GroupName]*GroupStatus{}
 	for _, member := range s.Members {
--- a/internal/cluster/quorum/eligibility_test.go
+++ b/internal/cluster/quorum/eligibility_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestEnoughResponses(t *testing.T) {
+func TestResponsesFromHalfTheGroupAreEnough(t *testing.T) {
 	for _, test := range []struct {
 		groupSize, responses int
 		want                 bool
@@ -64,20 +64,20 @@
 
 func TestMemberThatVotedIsNotEmpty(t *testing.T) {
 	if (LogPosition{Term: 1}).Empty() {
-		t.Error("a member that has voted, without a log entry, is empty")
+		t.Error("a member with a term and no log entry is empty")
 	}
 	if !(LogPosition{}).Empty() {
 		t.Error("a new member is not empty")
 	}
 }
 
-// TestLostEntriesAreDetected simulates the log of a group: majorities commit entries, then one member is set back to an
-// older copy of its directory.
+// TestLostEntriesAreDetected simulates the logs of a group: random majorities commit entries, then member 0 restarts
+// from an older copy of its data directory.
 func TestLostEntriesAreDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		groupSize := rapid.IntRange(3, 7).Draw(t, "group size")
 		logs := make([]LogPosition, groupSize)
-		var restored, committed LogPosition // restored is the copy of member 0
+		var restored, committed LogPosition // restored is the older copy of member 0's log
 		term := uint64(1)
 		for step := range rapid.IntRange(1, 20).Draw(t, "steps") {
 			if rapid.IntRange(0, 3).Draw(t, "election") == 0 {
@@ -103,19 +103,19 @@
 		}
 		eligibility := Assess(restored, positions)
 		if isBehind(restored.LogTerm, restored.Index, committed) && !eligibility.Behind {
-			t.Fatalf("the log ends at %+v, %+v was committed, and it counts as complete: %+v",
+			t.Fatalf("the log ends at %+v although %+v was committed, but is not behind: %+v",
 				restored, committed, eligibility)
 		}
 		if eligibility.Bootstrap && committed.Index > 0 {
-			t.Fatal("bootstraps a group that has committed entries")
+			t.Fatal("may bootstrap a group that has committed entries")
 		}
 		if eligibility.AdoptTerm < committed.Term && restored.Term < committed.Term {
-			t.Fatalf("term %d was reached, may vote in term %d", committed.Term, eligibility.AdoptTerm)
+			t.Fatalf("term %d was reached, but the member adopts only term %d", committed.Term, eligibility.AdoptTerm)
 		}
 	})
 }
 
-// integers returns the integers from first up to end, without end.
+// integers returns the integers from first to end, excluding end.
 func integers(first, end int) []int {
 	all := make([]int, 0, end-first)
 	for i := first; i < end; i++ {
--- a/internal/cluster/quorum/members.go
+++ b/internal/cluster/quorum/members.go
@@ -9,11 +9,11 @@
 // minReplicatedMembers is the smallest group that tolerates the failure of a member.
 const minReplicatedMembers = 3
 
-// ErrTwoMembers is returned by ValidateMembers for a group of two. Neither member can commit alone, so that two
-// tolerate no more failures than one.
+// ErrTwoMembers is returned by ValidateMembers for a group of two. Neither member can commit alone, so that a group of
+// two tolerates no more failures than a group of one.
 var ErrTwoMembers = errors.New("a group of two tolerates no failure: name one member, or at least three")
 
-// DuplicateMemberError is returned by ValidateMembers for a member that is named twice.
+// DuplicateMemberError is returned by ValidateMembers for a member that is listed more than once.
 type DuplicateMemberError struct{ Host string }
 
 func (e *DuplicateMemberError) Error() string { return fmt.Sprintf("duplicate member %q", e.Host) }
@@ -31,14 +31,15 @@
 	return nil
 }
 
-// Change is one step from one group to another. Either Add or Remove names a member; both are empty if no step is left.
+// Change adds or removes one member of a group: either Add or Remove is set. The zero value is no change.
 type Change struct {
 	Add    string
 	Remove string
 }
 
-// NextChange returns the next step from the present members of a group to the wanted ones. Additions come first, so
-// that the group is never smaller than before and after; the leader is removed last. A group is never emptied.
+// NextChange returns the next change from the present members of a group to the wanted ones, or the zero value. Members
+// are added before others are removed, so that the group is never smaller than before or after; the leader is removed
+// last. Nothing is changed if no members are wanted.
 func NextChange(present, wanted []string, leader string) Change {
 	if len(wanted) == 0 {
 		return Change{}
--- a/internal/cluster/quorum/members_test.go
+++ b/internal/cluster/quorum/members_test.go
@@ -32,13 +32,13 @@
 	}
 }
 
-func TestValidateMembers(t *testing.T) {
+func TestGroupsOfTwoAndDuplicateMembersAreRejected(t *testing.T) {
 	if err := ValidateMembers([]string{"a", "b"}); !errors.Is(err, ErrTwoMembers) {
 		t.Errorf("two members: %v, want ErrTwoMembers", err)
 	}
 	err := ValidateMembers([]string{"a", "b", "a"})
 	if duplicate, ok := errors.AsType[*DuplicateMemberError](err); !ok || duplicate.Host != "a" {
-		t.Errorf("a twice: %v, want a DuplicateMemberError for a", err)
+		t.Errorf("duplicate a: %v, want a DuplicateMemberError for a", err)
 	}
 	if err := ValidateMembers([]string{"a"}); err != nil {
 		t.Errorf("one member: %v, want none", err)
--- a/internal/cluster/quorum/quorum.go
+++ b/internal/cluster/quorum/quorum.go
@@ -1,17 +1,17 @@
-// Package quorum decides what a member of the quota store's group may do after its process has restarted, when its
-// directory may be an older copy that lacks votes and log entries. It also decides in which order the members of a
-// group are changed. It does no I/O and reads no clock. The consensus library does the replication itself.
+// Package quorum decides what a member of the quota store's consensus group may do after its process has restarted,
+// when its data directory may be an older copy that lacks votes and log entries. It also determines the order of
+// membership changes. It does no I/O and reads no clock. Replication itself is left to the consensus library.
 //
-// What one member lost, others still have: a quorum of the group commits each entry and elects each leader. A member
-// that hears from enough others, so that one of them was in each quorum that it took part in, learns of a term and a
-// log that cover what it may have lost. Until its own log reaches that far it does not stand for election, and votes
-// only for candidates whose log does. In that term it votes for nobody, as it may have voted already.
+// What one member has lost, others still have, as each entry is committed and each leader elected by a quorum. A member
+// that hears from enough others learns of a term and a log that cover what it may have lost: at least one of them was
+// in each quorum that the member took part in. Until its own log reaches that log, it does not stand for election, and
+// votes only for candidates whose log does. In that term it does not vote, as it may have voted already.
 //
 // Invariants:
 //   - A member that lost a committed entry is behind, and never bootstraps a group that has committed entries
 //     (TestLostEntriesAreDetected).
 //   - A member that lost its vote adopts a term in which its vote is used up (TestLostEntriesAreDetected).
-//   - A group changes by one member at a time and is never smaller in between than before and after
+//   - A group changes by one member at a time and is never smaller during a change than before or after it
 //     (TestAdditionsComeFirstAndTheLeaderIsRemovedLast).
 package quorum
 
@@ -22,7 +22,7 @@
 	LogTerm uint64 `json:"log_term"` // of the last log entry; 0: the log is empty
 }
 
-// Empty reports whether the member has never been part of a group.
+// Empty reports whether the member is new: it has neither a term nor a log entry.
 func (p LogPosition) Empty() bool { return p.Term == 0 && p.Index == 0 }
 
 // isBehind reports whether a log that ends with the given entry lacks an entry that another log has.
@@ -31,16 +31,16 @@
 }
 
 // EnoughResponses reports whether a member has heard from enough others of its group to assess its own log: at least
-// half of the group, so that one of them was in each quorum that the member was in itself.
+// half of the group, so that at least one of them was in each quorum that the member itself was in.
 func EnoughResponses(groupSize, responses int) bool {
-	silent := groupSize - responses // with the member itself
+	silent := groupSize - responses // including the member itself
 	return groupSize == 1 || responses >= silent
 }
 
-// Eligibility is what a member may do after a restart.
+// Eligibility is what a member may do after its process has restarted.
 type Eligibility struct {
-	Bootstrap   bool        // no member has a log: the group begins
-	AdoptTerm   uint64      // term to adopt with its vote used up; 0: the member keeps its own
+	Bootstrap   bool        // neither it nor any member that responded has a term or a log: it may start the group
+	AdoptTerm   uint64      // term to adopt as one in which it has voted; 0: the member keeps its own term
 	RequiredLog LogPosition // the member's log has to reach this before it takes part in elections
 	Behind      bool        // the member's log does not reach RequiredLog yet
 }
--- a/internal/cluster/quota/apply.go
+++ b/internal/cluster/quota/apply.go
@@ -34,7 +34,7 @@
 		s.writeOff(command.WriteOff, &result)
 	}
 	if command.ColdStart != nil {
-		s.coldStart(command.ColdStart, &result)
+		s.applyColdStart(command.ColdStart, &result)
 	}
 	for _, pause := range command.ElapsedPauses {
 		s.endPause(pause)
--- a/internal/cluster/quota/coldstart.go
+++ b/internal/cluster/quota/coldstart.go
@@ -7,7 +7,7 @@
 )
 
 // coldStart applies a command about the cold start under one limit.
-func (s *State) coldStart(command *ColdStartCommand, result *Result) {
+func (s *State) applyColdStart(command *ColdStartCommand, result *Result) {
 	limit := s.Config.Lookup(command.Limit)
 	current := s.ColdStarts[command.Limit]
 	switch {
@@ -45,15 +45,15 @@
 	config := *command.Config
 	config.MaxConcurrent = min(config.MaxConcurrent, limit.grantable())
 	config.InitialConcurrent = min(config.InitialConcurrent, config.MaxConcurrent)
-	start, err := coldstart.New(command.ID, config, command.Members)
+	coldStart, err := coldstart.New(command.ID, config, command.Members)
 	if err != nil {
 		result.Rejection = err.Error()
 		return
 	}
 	for name := range s.Permits[command.Limit] { // these were starting before
-		start.AddStarting(coldstart.MemberName(name))
+		coldStart.AddStarting(coldstart.MemberName(name))
 	}
-	s.ColdStarts[command.Limit] = start
+	s.ColdStarts[command.Limit] = coldStart
 	cause := fmt.Sprintf("%s of %d, asked by %s", command.ID, len(command.Members), command.By)
 	result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartBegan, Cause: cause})
 }
@@ -61,51 +61,51 @@
 // requestStart reports whether the cold start under a limit lets an instance start now. Instances that are not part
 // of a cold start may always start.
 func (s *State) requestStart(command *PermitCommand, result *Result) bool {
-	start := s.pendingColdStart(command)
-	if start == nil {
+	coldStart := s.pendingColdStart(command)
+	if coldStart == nil {
 		return true
 	}
-	ok, reason := start.RequestStart(coldstart.MemberName(command.Name))
+	ok, reason := coldStart.RequestStart(coldstart.MemberName(command.Name))
 	result.Rejection = reason
 	return ok
 }
 
 // pendingColdStart returns the cold start that an instance still has to start in, or nil.
 func (s *State) pendingColdStart(command *PermitCommand) *coldstart.State {
-	start := s.ColdStarts[command.Limit]
-	if start == nil || !start.Pending(coldstart.MemberName(command.Name)) {
+	coldStart := s.ColdStarts[command.Limit]
+	if coldStart == nil || !coldStart.Pending(coldstart.MemberName(command.Name)) {
 		return nil
 	}
-	return start
+	return coldStart
 }
 
 // reportStart reports to the cold start how the start ended that a released permit was for.
 func (s *State) reportStart(command *PermitCommand, result *Result) {
-	start := s.pendingColdStart(command)
-	if start == nil {
+	coldStart := s.pendingColdStart(command)
+	if coldStart == nil {
 		return
 	}
 	name := coldstart.MemberName(command.Name)
 	if command.Outcome == nil {
-		start.WriteOff(name)
+		coldStart.WriteOff(name)
 		return
 	}
-	haltReasonBefore := start.HaltReason
-	if change := start.Report(name, *command.Outcome); change != "" {
+	haltReasonBefore := coldStart.HaltReason
+	if change := coldStart.Report(name, *command.Outcome); change != "" {
 		result.addEvent(Event{Limit: command.Limit, Name: string(name), Kind: eventConcurrencyAdjusted, Cause: change})
 	}
-	if start.HaltReason != haltReasonBefore {
-		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartHalted, Cause: start.HaltReason})
+	if coldStart.HaltReason != haltReasonBefore {
+		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartHalted, Cause: coldStart.HaltReason})
 	}
-	if start.Done() {
-		cause := fmt.Sprintf("%d of %d are up", len(start.Ready), len(start.Members))
+	if coldStart.Done() {
+		cause := fmt.Sprintf("%d of %d are up", len(coldStart.Ready), len(coldStart.Members))
 		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartDone, Cause: cause})
 	}
 }
 
 // endPause ends a pause that the leader has timed, unless the cold start is another one by now.
 func (s *State) endPause(pause ElapsedPause) {
-	if start := s.ColdStarts[pause.Limit]; start != nil && start.ID == pause.ID {
-		start.EndPause(pause.Number)
+	if coldStart := s.ColdStarts[pause.Limit]; coldStart != nil && coldStart.ID == pause.ID {
+		coldStart.EndPause(pause.Number)
 	}
 }
--- a/internal/cluster/quota/coldstart_test.go
+++ b/internal/cluster/quota/coldstart_test.go
@@ -36,7 +36,7 @@
 	return command
 }
 
-func TestColdStartCommandRejections(t *testing.T) {
+func TestInvalidColdStartCommandsAreRejected(t *testing.T) {
 	without := func(change func(*ColdStartCommand)) *ColdStartCommand {
 		command := beginCommand("1")
 		change(command)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestColdStartLeavesReservedPermitsFree(t *testing.T) {
+func TestColdStartConcurrencyExcludesReservedPermits(t *testing.T) {
 	state := newColdStartState(t)
 	state.Apply(Command{ColdStart: beginCommand("1")})
 	if most := state.ColdStartStatuses()[0].MaxConcurrent; most != 3 {
--- a/internal/cluster/quota/division.go
+++ b/internal/cluster/quota/division.go
@@ -30,10 +30,10 @@
 // demand while another has less than its own. What exceeds all demand is divided by weight, to serve bursts. The parts
 // never add up to more than the pool. MaxMinFair takes O(n log n).
 func MaxMinFair(pool, step int64, claims []Claim) []int64 {
-	parts := make([]int64, len(claims)) // in steps until the end
-	left := max(0, pool) / step
-	if left == 0 || len(claims) == 0 {
-		return parts
+	shares := make([]int64, len(claims)) // in steps until the end
+	remaining := max(0, pool) / step
+	if remaining == 0 || len(claims) == 0 {
+		return shares
 	}
 	order := orderByDemand(pool, step, claims)
 	weights := int64(0)
@@ -45,11 +45,11 @@
 	for ; met < len(order); met++ { // meet the claims that demand no more than their part of what is left
 		i := order[met]
 		demand := claims[i].steps(pool, step)
-		if demand > left*claims[i].Weight/unmetWeights {
+		if demand > remaining*claims[i].Weight/unmetWeights {
 			break
 		}
-		parts[i] = demand
-		left -= demand
+		shares[i] = demand
+		remaining -= demand
 		unmetWeights -= claims[i].Weight
 	}
 	unmet := order[met:]
@@ -57,11 +57,11 @@
 		unmet = order
 		unmetWeights = weights
 	}
-	spread(left, unmetWeights, unmet, claims, parts)
-	for i := range parts {
-		parts[i] *= step
+	distributeByWeight(remaining, unmetWeights, unmet, claims, shares)
+	for i := range shares {
+		shares[i] *= step
 	}
-	return parts
+	return shares
 }
 
 // orderByDemand returns the indices of claims, ordered by demand per unit of weight.
@@ -80,46 +80,46 @@
 
 // spread adds steps to the parts at the given indices by weight and rounds up the largest remainders. weights is the
 // sum of their weights.
-func spread(steps, weights int64, indices []int, claims []Claim, parts []int64) {
-	left := steps
+func distributeByWeight(steps, weights int64, indices []int, claims []Claim, shares []int64) {
+	remaining := steps
 	remainders := make([]int64, len(claims))
 	for _, i := range indices {
 		exact := steps * claims[i].Weight
-		parts[i] += exact / weights
-		left -= exact / weights
+		shares[i] += exact / weights
+		remaining -= exact / weights
 		remainders[i] = exact % weights
 	}
-	if left == 0 {
+	if remaining == 0 {
 		return
 	}
 	byRemainder := slices.Clone(indices)
 	slices.SortStableFunc(byRemainder, func(a, b int) int { return cmp.Compare(remainders[b], remainders[a]) })
-	for _, i := range byRemainder[:left] { // left is less than len(indices)
-		parts[i]++
+	for _, i := range byRemainder[:remaining] { // left is less than len(indices)
+		shares[i]++
 	}
 }
 
 // Stabilize replaces the parts that would hardly change by the current ones, so that a division does not oscillate with
 // every report of demand. If the result would exceed the pool, it returns the parts unchanged.
-func Stabilize(pool, step int64, claims []Claim, parts []int64) []int64 {
-	stable := slices.Clone(parts)
+func Stabilize(pool, step int64, claims []Claim, shares []int64) []int64 {
+	stable := slices.Clone(shares)
 	sum := int64(0)
-	for i, part := range parts {
+	for i, share := range shares {
 		current := claims[i].Current
-		change := max(part-current, current-part)
+		change := max(share-current, current-share)
 		if current > 0 && change <= max(step, current/hysteresisDivisor) {
 			stable[i] = current
 		}
 		sum += stable[i]
 	}
-	left := max(0, pool) - sum
-	if left < 0 {
-		return parts
+	remaining := max(0, pool) - sum
+	if remaining < 0 {
+		return shares
 	}
-	for i, part := range parts { // small growth is granted as far as the pool allows
-		if more := min(left, part-stable[i]); more > 0 {
+	for i, share := range shares { // small growth is granted as far as the pool allows
+		if more := min(remaining, share-stable[i]); more > 0 {
 			stable[i] += more
-			left -= more
+			remaining -= more
 		}
 	}
 	return stable
--- a/internal/cluster/quota/division_test.go
+++ b/internal/cluster/quota/division_test.go
@@ -16,19 +16,19 @@
 	}
 }
 
-// TestMaxMinFair checks that the parts are multiples of the step that add up to the pool, and no claim gets less than
+// TestMaxMinFairSharesMeetDemandByWeightAndUseTheWholePool checks that the parts are multiples of the step that add up to the pool, and no claim gets less than
 // its demand while another has more by weight.
-func TestMaxMinFair(t *testing.T) {
+func TestMaxMinFairSharesMeetDemandByWeightAndUseTheWholePool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := int64(rapid.IntRange(0, 10_000).Draw(t, "pool"))
 		step := int64(rapid.IntRange(1, 9).Draw(t, "step"))
 		claims := rapid.SliceOfN(rapid.Custom(drawClaim), 1, 12).Draw(t, "claims")
-		parts := MaxMinFair(pool, step, claims)
+		shares := MaxMinFair(pool, step, claims)
 		sum, demanded := int64(0), int64(0)
-		for i, part := range parts {
-			sum += part
-			if part < 0 || part%step != 0 {
-				t.Fatalf("part %d is not a multiple of step %d", part, step)
+		for i, share := range shares {
+			sum += share
+			if share < 0 || share%step != 0 {
+				t.Fatalf("part %d is not a multiple of step %d", share, step)
 			}
 			demand := claims[i].Demand
 			if demand < 0 {
@@ -43,10 +43,10 @@
 			return
 		}
 		for i, a := range claims {
-			unmet := a.Demand < 0 || parts[i] < a.Demand
+			unmet := a.Demand < 0 || shares[i] < a.Demand
 			for j, b := range claims {
-				if unmet && (parts[i]+step)*b.Weight < (parts[j]-step)*a.Weight {
-					t.Fatalf("%+v has only %d, %+v has %d", a, parts[i], b, parts[j])
+				if unmet && (shares[i]+step)*b.Weight < (shares[j]-step)*a.Weight {
+					t.Fatalf("%+v has only %d, %+v has %d", a, shares[i], b, shares[j])
 				}
 			}
 		}
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -34,7 +34,7 @@
 		return response
 	}
 	key := requestKey(request)
-	client := s.clientOf(host, request)
+	client := s.findOrAddClient(host, request)
 	elapsed := request.Clock - client.Clock
 	first := client.LastRequest == 0
 	s.setHost(key, client, host)
@@ -59,7 +59,7 @@
 }
 
 // clientOf returns the client that a request is from, and adds it if it is new.
-func (s *State) clientOf(host string, request *backendquota.LeaseRequest) *Client {
+func (s *State) findOrAddClient(host string, request *backendquota.LeaseRequest) *Client {
 	key := requestKey(request)
 	if client := s.Clients[key]; client != nil {
 		return client
@@ -167,8 +167,8 @@
 	}
 	floor := limit.Floors[client.Name]
 	if inForce := totals.floorInForce[client.Name]; floor > inForce {
-		rest := totals.inForce - inForce + max(0, extra-current)
-		floor = max(inForce, min(floor, limit.Total-rest))
+		othersInForce := totals.inForce - inForce + max(0, extra-current)
+		floor = max(inForce, min(floor, limit.Total-othersInForce))
 		if freeze {
 			floor = inForce
 		}
@@ -213,10 +213,10 @@
 	defer s.removeIfUnused(expiry.ClientKey)
 	allocation := client.Allocations[expiry.Limit]
 	grants := slices.Clone(allocation.Grants)
-	lost := int64(0)
+	expiredExtra := int64(0)
 	for i := range grants {
 		if grants[i].Epoch <= expiry.Epoch {
-			lost = max(lost, grants[i].Extra)
+			expiredExtra = max(expiredExtra, grants[i].Extra)
 			grants[i].Extra = 0
 		}
 	}
@@ -225,12 +225,12 @@
 		return // a later grant is in force
 	}
 	allocation.becomeIdle()
-	if lost > 0 {
+	if expiredExtra > 0 {
 		result.addEvent(Event{
 			Limit: expiry.Limit,
 			Name:  string(client.Name),
 			Kind:  eventGrantEnded,
-			Cause: fmt.Sprintf("%d units a second: the lease of epoch %d has expired", lost, expiry.Epoch),
+			Cause: fmt.Sprintf("%d units a second: the lease of epoch %d has expired", expiredExtra, expiry.Epoch),
 		})
 	}
 }
--- a/internal/cluster/quota/lease_test.go
+++ b/internal/cluster/quota/lease_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestNothingGrowsWhileFrozen(t *testing.T) {
+func TestGrantsDoNotGrowWhileGrowthIsFrozen(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 1, 2, DivideEvenly))
 	client := newTestClients(1)[0]
 	if grant := client.granted(t, state, true); grant.Floor != 0 || grant.Extra != 0 {
--- a/internal/cluster/quota/pause.go
+++ b/internal/cluster/quota/pause.go
@@ -13,14 +13,14 @@
 func (t *LeaseTracker) ElapsedPauses(now monotime.Micros, state *State) []ElapsedPause {
 	var elapsed []ElapsedPause
 	for _, limit := range sortedKeys(state.ColdStarts) {
-		start := state.ColdStarts[limit]
-		if start.Pause == 0 {
+		coldStart := state.ColdStarts[limit]
+		if coldStart.Pause == 0 {
 			delete(t.pauses, limit)
 			continue
 		}
-		pause := ElapsedPause{Limit: limit, ID: start.ID, Number: start.PauseNumber}
+		pause := ElapsedPause{Limit: limit, ID: coldStart.ID, Number: coldStart.PauseNumber}
 		if seen, known := t.pauses[limit]; known && seen.ElapsedPause == pause {
-			if now-seen.since >= start.Pause {
+			if now-seen.since >= coldStart.Pause {
 				elapsed = append(elapsed, pause)
 			}
 			continue
--- a/internal/cluster/quota/permit.go
+++ b/internal/cluster/quota/permit.go
@@ -71,8 +71,8 @@
 			continue
 		}
 		revoked++
-		if start := s.ColdStarts[limit]; start != nil {
-			start.WriteOff(coldstart.MemberName(name))
+		if coldStart := s.ColdStarts[limit]; coldStart != nil {
+			coldStart.WriteOff(coldstart.MemberName(name))
 		}
 		s.removePermit(limit, name, permit.AcquireID)
 		result.addEvent(Event{Limit: limit, Name: string(name), Kind: eventPermitEnded, Cause: cause})
--- a/internal/cluster/quota/permit_test.go
+++ b/internal/cluster/quota/permit_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestPermits checks that reserved units are not granted, and only the host that acquired a permit releases it.
-func TestPermits(t *testing.T) {
+// TestPermitsExcludeReservedOnesAndAreReleasedOnlyByTheirHost checks that reserved units are not granted, and only the host that acquired a permit releases it.
+func TestPermitsExcludeReservedOnesAndAreReleasedOnlyByTheirHost(t *testing.T) {
 	state := newTestState(t, Config{
 		Version: 1,
 		Limits:  []Limit{{Name: testPermits, Kind: Concurrency, Total: 3, Reserved: 1}},
--- a/internal/cluster/quota/rebalance.go
+++ b/internal/cluster/quota/rebalance.go
@@ -68,13 +68,13 @@
 				continue
 			}
 			claimants = append(claimants, claimant{backend: name, allocation: allocation})
-			claims = append(claims, claimOf(limit, name, allocation))
+			claims = append(claims, newClaim(limit, name, allocation))
 		}
 	}
 	return claimants, claims
 }
 
-func claimOf(limit *Limit, name InstanceName, allocation *Allocation) Claim {
+func newClaim(limit *Limit, name InstanceName, allocation *Allocation) Claim {
 	claim := Claim{Demand: unlimitedDemand, Weight: 1, Current: allocation.Target}
 	switch limit.Division {
 	case DivideByDemand:
--- a/internal/cluster/quota/rebalance_test.go
+++ b/internal/cluster/quota/rebalance_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestOverstatedDemandTakesNothingThatOthersNeed(t *testing.T) {
+func TestOverstatedDemandTakesNoQuotaThatOthersNeed(t *testing.T) {
 	fleet := newRenewingFleet(t, rateConfig(100, 5, 1, DivideByDemand))
 	fleet.join("n0", "n1", "n2", "n3", "n4")
 	fleet.draws = func(name InstanceName) int {
--- a/internal/cluster/quota/state.go
+++ b/internal/cluster/quota/state.go
@@ -29,7 +29,7 @@
 //   - A raised floor waits until other clients have less (TestRaisedFloorWaitsForOthers).
 //   - At most one process of an instance has a floor; a duplicate of a command changes nothing
 //     (TestDuplicateCommandsChangeNothing).
-//   - Permits held never exceed the total less the reserved ones, and only their own host releases them (TestPermits).
+//   - Permits held never exceed the total less the reserved ones, and only their own host releases them (TestPermitsExcludeReservedOnesAndAreReleasedOnlyByTheirHost).
 //   - The size is bounded (TestClientsAreBounded).
 type State struct {
 	// Serial is the number of the latest command, unless regressions raised it. Grants take it as their epoch.
@@ -152,8 +152,8 @@
 	s.totals = map[LimitName]*rateTotals{}
 	s.byName = map[InstanceName][]ClientKey{}
 	s.byHost = map[string]map[ClientKey]bool{}
-	for _, start := range s.ColdStarts {
-		start.RebuildIndex()
+	for _, coldStart := range s.ColdStarts {
+		coldStart.RebuildIndex()
 	}
 	for _, key := range sortedKeys(s.Clients) {
 		client := s.Clients[key]
--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -115,17 +115,17 @@
 // ColdStartStatuses returns the state of all cold starts, ordered by limit.
 func (s *State) ColdStartStatuses() (statuses []ColdStartStatus) {
 	for _, limit := range sortedKeys(s.ColdStarts) {
-		start := s.ColdStarts[limit]
+		coldStart := s.ColdStarts[limit]
 		statuses = append(statuses, ColdStartStatus{
 			Limit:         limit,
-			ID:            start.ID,
-			Concurrency:   start.Limit(),
-			MaxConcurrent: start.Config.MaxConcurrent,
-			Reason:        start.Reason,
-			HaltReason:    start.HaltReason,
-			Done:          start.Done(),
-			Starts:        start.Starts,
-			Groups:        start.Groups(),
+			ID:            coldStart.ID,
+			Concurrency:   coldStart.Limit(),
+			MaxConcurrent: coldStart.Config.MaxConcurrent,
+			Reason:        coldStart.Reason,
+			HaltReason:    coldStart.HaltReason,
+			Done:          coldStart.Done(),
+			Starts:        coldStart.Starts,
+			Groups:        coldStart.Groups(),
 		})
 	}
 	return statuses
