--- a/internal/cluster/coldstart/outcome_test.go
+++ b/internal/cluster/coldstart/outcome_test.go
@@ -66,7 +66,7 @@
 	before := s.ScaledLimit
 	startRound(s, ready)
 	if s.ScaledLimit <= before || s.ScaledLimit > before+1100 {
-		t.Fatalf("a good round after a decrease: limit from %d to %d, want an increase by about one", before, s.ScaledLimit)
+		t.Fatalf("a good round after a decrease: limit from %d to %d, want one more", before, s.ScaledLimit)
 	}
 	failUntilHalted(t, s)
 	if started := startRound(s, ready); started != 0 {
--- a/internal/cluster/coldstart/state.go
+++ b/internal/cluster/coldstart/state.go
@@ -58,8 +58,8 @@
 	// ScaledLimit is the concurrency limit, in thousandths of a member.
 	ScaledLimit int64 `json:"pace"`
 
-	// DecreasedAt is the value of Starts at the latest decrease of the limit; 0: none. Outcomes of starts granted before
-	// do not lower the limit again.
+	// DecreasedAt is the value of Starts at the latest decrease of the limit; 0: none. Outcomes of starts granted
+	// before do not lower the limit again.
 	DecreasedAt uint64 `json:"cut"`
 
 	// SlowIncrease is set by the first decrease. From then on a whole round of good starts raises the limit by one.
--- a/internal/cluster/coldstart/state_test.go
+++ b/internal/cluster/coldstart/state_test.go
@@ -49,7 +49,8 @@
 // check checks that the limit is within its bounds, and that no more members are starting than the maximum.
 func (r *randomColdStart) check() {
 	if starting := len(r.state.Starting); int64(starting) > r.maxConcurrent || starting != len(r.starting) {
-		r.t.Fatalf("%d members are starting, at most %d may; the test counts %d", starting, r.maxConcurrent, len(r.starting))
+		r.t.Fatalf("%d members are starting, at most %d may; the test counts %d",
+			starting, r.maxConcurrent, len(r.starting))
 	}
 	if limit := r.state.Limit(); limit < 1 || limit > r.maxConcurrent {
 		r.t.Fatalf("limit %d, want 1 to %d", limit, r.maxConcurrent)
--- a/internal/cluster/quota/apply.go
+++ b/internal/cluster/quota/apply.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Apply applies a command. Its result depends on the command and the state alone, so that all replicas agree.
+// Apply applies a command. The result depends only on the command and the state, so that all replicas agree.
 func (s *State) Apply(command Command) Result {
 	s.Serial++
 	result := Result{Serial: s.Serial}
@@ -15,7 +15,7 @@
 	for _, expiry := range command.Expire {
 		s.expire(expiry, &result)
 	}
-	if command.Rebalance { // after the expiries, so that expired quota is granted at once
+	if command.Rebalance { // after the expiries, so that expired quota is redistributed at once
 		s.rebalance(&result)
 	}
 	if command.Exited != nil {
@@ -63,7 +63,7 @@
 	s.rebalance(result)
 }
 
-// rejectOldConfig rejects a configuration that is not newer, unless it is the one in force.
+// rejectOldConfig rejects a configuration whose version is not higher, unless it equals the one in force.
 func (s *State) rejectOldConfig(config *Config, result *Result) {
 	switch {
 	case config.Version < s.Config.Version:
@@ -73,7 +73,7 @@
 	}
 }
 
-// reportLimitChange adds an event for a limit that is new or has another total.
+// reportLimitChange adds an event if a limit is new or its total has changed.
 func (s *State) reportLimitChange(limit *Limit, result *Result) {
 	event := Event{Limit: limit.Name, Kind: eventLimitChanged}
 	previous := s.Config.Lookup(limit.Name)
@@ -88,10 +88,10 @@
 	result.addEvent(event)
 }
 
-// writeOff revokes all grants and permits of a backend, whichever host it is on.
+// writeOff revokes all grants and permits of a backend on any host.
 func (s *State) writeOff(command *WriteOffCommand, result *Result) {
 	cause := "written off by " + command.By
-	keys := slices.Clone(s.byName[command.Name]) // revokeAll changes the index
+	keys := slices.Clone(s.byName[command.Name]) // revokeAll modifies the index
 	for _, key := range keys {
 		s.revokeAll(key, cause, result)
 	}
--- a/internal/cluster/quota/coldstart.go
+++ b/internal/cluster/quota/coldstart.go
@@ -6,7 +6,7 @@
 	"milletbarrow/internal/cluster/coldstart"
 )
 
-// coldStart applies a command about the cold start under one limit.
+// applyColdStart applies a command about the cold start under one concurrency limit.
 func (s *State) applyColdStart(command *ColdStartCommand, result *Result) {
 	limit := s.Config.Lookup(command.Limit)
 	current := s.ColdStarts[command.Limit]
@@ -20,7 +20,7 @@
 	case command.Action == actionResume:
 		current.Resume()
 		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartResumed, Cause: "by " + command.By})
-	case command.Action == actionEnd: // permits that are held are released as usual
+	case command.Action == actionEnd: // permits in use are released as usual
 		delete(s.ColdStarts, command.Limit)
 		result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartEnded, Cause: "by " + command.By})
 	default:
@@ -50,7 +50,7 @@
 		result.Rejection = err.Error()
 		return
 	}
-	for name := range s.Permits[command.Limit] { // these were starting before
+	for name := range s.Permits[command.Limit] { // these instances are starting already
 		coldStart.AddStarting(coldstart.MemberName(name))
 	}
 	s.ColdStarts[command.Limit] = coldStart
@@ -58,8 +58,8 @@
 	result.addEvent(Event{Limit: command.Limit, Kind: eventColdStartBegan, Cause: cause})
 }
 
-// requestStart reports whether the cold start under a limit lets an instance start now. Instances that are not part
-// of a cold start may always start.
+// requestStart reports whether the cold start under a limit allows an instance to start now. An instance that is not
+// part of a cold start may always start.
 func (s *State) requestStart(command *PermitCommand, result *Result) bool {
 	coldStart := s.pendingColdStart(command)
 	if coldStart == nil {
@@ -70,7 +70,7 @@
 	return ok
 }
 
-// pendingColdStart returns the cold start that an instance still has to start in, or nil.
+// pendingColdStart returns the cold start in which an instance is not ready yet, or nil.
 func (s *State) pendingColdStart(command *PermitCommand) *coldstart.State {
 	coldStart := s.ColdStarts[command.Limit]
 	if coldStart == nil || !coldStart.Pending(coldstart.MemberName(command.Name)) {
@@ -79,7 +79,7 @@
 	return coldStart
 }
 
-// reportStart reports to the cold start how the start ended that a released permit was for.
+// reportStart reports the outcome of the start that a released permit was for to the cold start.
 func (s *State) reportStart(command *PermitCommand, result *Result) {
 	coldStart := s.pendingColdStart(command)
 	if coldStart == nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// endPause ends a pause that the leader has timed, unless the cold start is another one by now.
+// endPause ends a pause whose duration has passed, unless another cold start has replaced its own since.
 func (s *State) endPause(pause ElapsedPause) {
 	if coldStart := s.ColdStarts[pause.Limit]; coldStart != nil && coldStart.ID == pause.ID {
 		coldStart.EndPause(pause.Number)
--- a/internal/cluster/quota/coldstart_test.go
+++ b/internal/cluster/quota/coldstart_test.go
@@ -63,7 +63,7 @@
 		},
 		{
 			"unknown action", true,
-			&ColdStartCommand{Limit: testPermits, ID: "1", Action: "dance"}, `verb: "dance" is not one of go-on, end`,
+			&ColdStartCommand{Limit: testPermits, ID: "1", Action: "pause"}, `verb: "pause" is not one of go-on, end`,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -87,15 +87,15 @@
 	}
 }
 
-// TestEachLeaderTimesPausesInFull checks that a new leader does not count the time for which the former one has timed
-// a pause.
+// TestEachLeaderTimesPausesInFull checks that a new leader does not count the part of a pause that the former leader
+// has timed, as their clocks can't be compared.
 func TestEachLeaderTimesPausesInFull(t *testing.T) {
 	state := newColdStartState(t)
 	state.Apply(Command{ColdStart: beginCommand("1")})
 	permit := func(name InstanceName, id string) *PermitCommand {
 		return &PermitCommand{Limit: testPermits, Name: name, Host: "h", AcquireID: id}
 	}
-	for _, id := range []string{"1", "2"} { // two failures in a row begin a pause
+	for _, id := range []string{"1", "2"} { // two consecutive failures begin a pause
 		if rejection := state.Apply(Command{Acquire: permit("a", id)}).Rejection; rejection != "" {
 			t.Fatal(rejection)
 		}
@@ -108,7 +108,7 @@
 		t.Fatalf("after two failures: rejection %q, want a pause", rejection)
 	}
 
-	const firstSeen, secondSeen = 1000, 500 * monotime.Second // by clocks of their own
+	const firstSeen, secondSeen = 1000, 500 * monotime.Second // each by its own clock
 	pause := state.ColdStarts[testPermits].Pause
 	first, second := &LeaseTracker{}, &LeaseTracker{}
 	first.BecomeLeader(0, state, false)
--- a/internal/cluster/quota/command.go
+++ b/internal/cluster/quota/command.go
@@ -5,7 +5,7 @@
 	"milletbarrow/internal/cluster/coldstart"
 )
 
-// Command is one entry of the replicated log. State.Apply applies the fields that are set, in an order of its own.
+// Command is one entry of the replicated log. State.Apply applies the fields that are set, in a fixed order.
 type Command struct {
 	Config        *Config           `json:"terms,omitempty"`
 	Renew         *RenewCommand     `json:"renew,omitempty"`
@@ -18,7 +18,7 @@
 	ElapsedPauses []ElapsedPause    `json:"rested,omitempty"` // of cold starts, timed by the leader
 	Rebalance     bool              `json:"divide,omitempty"` // set by the leader when a rebalance is due
 
-	// FreezeGrowth forbids grants to grow, because grants that this state has lost may still be in force.
+	// FreezeGrowth prevents grants from growing, because grants that this state has lost may still be in force.
 	FreezeGrowth bool `json:"hold,omitempty"`
 }
 
@@ -28,14 +28,14 @@
 	Requests []backendquota.LeaseRequest `json:"asks"`
 }
 
-// Expiry ends the extras of a client's grants up to an epoch, whose leases have expired.
+// Expiry ends the extras of a client's grants up to an epoch, as their leases have expired.
 type Expiry struct {
 	Limit     LimitName `json:"budget"`
 	ClientKey ClientKey `json:"key"`
 	Epoch     uint64    `json:"epoch"`
 }
 
-// ExitCommand reports processes that have exited. Clients on other hosts than Host are ignored.
+// ExitCommand reports the processes on one host that have exited. Clients on other hosts are ignored.
 type ExitCommand struct {
 	Host       string      `json:"host"`
 	ClientKeys []ClientKey `json:"lives"`
@@ -52,8 +52,8 @@
 	Outcome *coldstart.Outcome `json:"end,omitempty"`
 }
 
-// WriteOffCommand is an operator's statement that a backend's grants and permits are no longer in use because its host
-// is lost for good.
+// WriteOffCommand revokes a backend's grants and permits. An operator issues it to confirm that they are no longer in
+// use because the backend's host is permanently lost.
 type WriteOffCommand struct {
 	Name InstanceName `json:"name"`
 	By   string       `json:"by"`
@@ -77,7 +77,7 @@
 	actionEnd    = "end"
 )
 
-// ElapsedPause identifies a pause of a cold start whose duration has passed.
+// ElapsedPause is a pause of a cold start whose duration has passed.
 type ElapsedPause struct {
 	Limit  LimitName `json:"budget"`
 	ID     string    `json:"id"` // of the cold start
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -1,8 +1,9 @@
-// Package quota divides limits of a fleet among its backends. Config lists the limits. State is the replicated state
-// machine that records which backend holds how much of each limit, and under which lease. LeaseTracker runs on the
-// leader alone and decides when a lease has expired.
+// Package quota divides the limits of a fleet among its backends. Config lists the limits. State is the replicated
+// state machine that records how much of each limit each backend holds, and under which lease. LeaseTracker runs only
+// on the leader and decides when a lease has expired.
 //
-// The package does no I/O and reads no clock. Equal commands in equal order make equal states on every replica.
+// The package does no I/O and reads no clock. The same commands in the same order result in the same state on every
+// replica.
 package quota
 
 import (
@@ -12,29 +13,29 @@
 	"milletbarrow/monotime"
 )
 
-// Kind is what a limit counts.
+// Kind is the kind of usage that a limit bounds.
 type Kind string
 
 const (
-	// Rate limits units per second. It is divided into quotas that backends draw from.
+	// Rate bounds units per second. It is divided into quotas that backends draw from.
 	Rate Kind = "rate"
-	// Concurrency limits units in use at once. Each unit is a permit that one instance holds.
+	// Concurrency bounds units in use at once. Each unit is a permit that one instance holds.
 	Concurrency Kind = "count"
 )
 
-// Division is the rule that divides the part of a rate above the floors.
+// Division is the rule by which the units of a rate above the floors are divided among backends.
 type Division string
 
 const (
-	// DivideEvenly gives every backend the same part.
+	// DivideEvenly gives all backends equal shares.
 	DivideEvenly Division = "even"
-	// DivideByCapacity gives every backend a part in proportion to its weight.
+	// DivideByCapacity gives backends shares in proportion to their weights.
 	DivideByCapacity Division = "capacity"
-	// DivideByDemand is max-min fair: no backend gets more than its demand while another has less than its own.
+	// DivideByDemand is max-min fair: no backend gets more than its demand while another one's demand is unmet.
 	DivideByDemand Division = "demand"
 )
 
-// Limit is the most that a fleet may use of one resource, with the rule that divides it.
+// Limit is the maximum that a fleet may use of one resource, and the rule for dividing it.
 type Limit struct {
 	Name LimitName `json:"name"`
 	Kind Kind      `json:"kind"`
@@ -42,39 +43,39 @@
 	// Total is in units per second for a Rate, in units for Concurrency.
 	Total int64 `json:"whole"`
 
-	// Floors has the units per second of a Rate that each backend may draw without a lease. Only the backends named
-	// here, also with 0, may draw at all.
+	// Floors holds the units per second of a Rate that each backend may draw without a lease. Only backends listed
+	// here, with a floor of 0 or more, may draw at all.
 	Floors map[InstanceName]int64 `json:"floors,omitempty"`
 
 	// Division applies to a Rate.
 	Division Division `json:"divide,omitempty"`
 
-	// Weights applies to DivideByCapacity. A backend that is missing has weight 1.
+	// Weights applies to DivideByCapacity. A backend that is not listed has weight 1.
 	Weights map[InstanceName]int64 `json:"weight,omitempty"`
 
-	// Step is the smallest number of units per second of a Rate that is moved between backends; at least 1.
+	// Step is the granularity in units per second in which a Rate is divided; at least 1.
 	Step int64 `json:"step,omitempty"`
 
 	// Lease is how long a backend may draw above its floor without renewing its lease on a Rate.
 	Lease monotime.Micros `json:"lease_us,omitempty"`
 
-	// ClockMargin bounds the drift between two hosts' clocks during one lease.
+	// ClockMargin is the greatest assumed drift between two hosts' clocks during one lease.
 	ClockMargin monotime.Micros `json:"margin_us,omitempty"`
 
 	// Tenant is the tenant whose requests draw from a Rate.
 	Tenant string `json:"tenant,omitempty"`
 
-	// Reserved is the number of permits of a Concurrency limit that hosts may use without acquiring them, one each; 0
-	// means that every permit has to be acquired.
+	// Reserved is the number of permits of a Concurrency limit that are set aside for hosts, which may use one each
+	// without acquiring it; 0: every permit must be acquired.
 	Reserved int64 `json:"aside,omitempty"`
 }
 
 // grantable returns the number of permits that may be acquired.
 func (l *Limit) grantable() int64 { return l.Total - l.Reserved }
 
-// Config holds all limits of a fleet. A higher version replaces a lower one.
+// Config holds all limits of a fleet. A configuration replaces one of a lower version.
 type Config struct {
-	Version uint64  `json:"version"` // 0: none was applied yet
+	Version uint64  `json:"version"` // 0: none has been applied yet
 	Limits  []Limit `json:"budgets"`
 }
 
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// DrawSpecs returns LIMIT=TENANT for each limit that a backend draws from.
+// DrawSpecs returns a string LIMIT=TENANT for each limit that a backend draws from.
 func (c *Config) DrawSpecs(backend InstanceName) []string {
 	var specs []string
 	for i := range c.Limits {
--- a/internal/cluster/quota/config_test.go
+++ b/internal/cluster/quota/config_test.go
@@ -24,10 +24,10 @@
 			state := newTestState(t, configOf(5, 10))
 			result := state.Apply(Command{Config: &test.config})
 			if (result.Rejection != "") != test.rejected {
-				t.Errorf("rejection %q, want one: %v", result.Rejection, test.rejected)
+				t.Errorf("rejection %q, want a rejection: %v", result.Rejection, test.rejected)
 			}
 			if state.Config.Version != 5 || state.Config.Limits[0].Total != 10 {
-				t.Errorf("in force is %+v", state.Config)
+				t.Errorf("configuration in force: %+v, want version 5 with total 10", state.Config)
 			}
 		})
 	}
--- a/internal/cluster/quota/demand.go
+++ b/internal/cluster/quota/demand.go
@@ -5,11 +5,12 @@
 const (
 	maxDemand int64 = 1 << 40 // units per second; keeps the arithmetic within int64
 
-	// Denied units count for at most this many times the client's quota, and one part in so many of the total.
+	// A client's denied units count at most as maxDeniedQuotas times its quota, plus 1/maxDeniedOfTotalDivisor of the
+	// total.
 	maxDeniedQuotas         int64 = 2
 	maxDeniedOfTotalDivisor int64 = 8
 
-	smoothingDivisor int64 = 2 // an estimate moves by one part in so many of its difference to the observation
+	smoothingDivisor int64 = 2 // an estimate moves by 1/smoothingDivisor of its difference to the observation
 )
 
 // demandSample is the usage of one client of one rate over a duration.
@@ -21,15 +22,15 @@
 	duration monotime.Micros
 }
 
-// estimateDemand smooths a demand, in units per second, with a new sample. Denied units count up to a bound, whatever
-// the client reports.
+// estimateDemand updates a smoothed demand, in units per second, with a new sample. Denied units count only up to a
+// bound, so that a client can't claim everything by overstating its demand.
 func estimateDemand(previous int64, sample demandSample) int64 {
 	if sample.duration <= 0 || sample.drawn < 0 || sample.denied < 0 {
 		return previous
 	}
 	maxDenied := maxDeniedQuotas*sample.quota + sample.total/maxDeniedOfTotalDivisor + 1
 	observed := min(maxDemand, sample.perSecond(sample.drawn)+min(sample.perSecond(sample.denied), maxDenied))
-	// Differences are rounded up, so that a demand that has ended reaches 0.
+	// Differences are rounded up, so that the estimate reaches 0 once there is no demand.
 	if observed >= previous {
 		return previous + (observed-previous+smoothingDivisor-1)/smoothingDivisor
 	}
--- a/internal/cluster/quota/division.go
+++ b/internal/cluster/quota/division.go
@@ -5,20 +5,22 @@
 	"slices"
 )
 
-// unlimitedDemand is the Demand of a claim to as much as there is.
+// unlimitedDemand is the Demand of a claim without an upper bound.
 const unlimitedDemand int64 = -1
 
-// hysteresisDivisor is the part of a claim's current part, one in so many, by which a new part has to differ.
+// hysteresisDivisor sets the hysteresis of Stabilize: a new share replaces the current one only if they differ by more
+// than a step and by more than 1/hysteresisDivisor of the current one.
 const hysteresisDivisor int64 = 16
 
 // Claim is one backend's demand for quota above its floor, in units per second.
 type Claim struct {
-	Demand  int64 // below 0: as much as there is
+	Demand  int64 // below 0: unlimited
 	Weight  int64 // 1 or more
-	Current int64 // part in the latest division; 0: none
+	Current int64 // share in the latest division; 0: none
 }
 
-// steps returns a claim's demand in steps, rounded up; more than the whole pool if the demand is unlimited.
+// steps returns a claim's demand in steps, rounded up. A demand of the pool or more counts as one step more than the
+// pool has.
 func (c *Claim) steps(pool, step int64) int64 {
 	if c.Demand >= 0 && c.Demand < pool {
 		return (c.Demand + step - 1) / step
@@ -26,9 +28,9 @@
 	return pool/step + 1
 }
 
-// MaxMinFair divides a pool among claims in multiples of step, max-min fair by weight: no claim gets more than its
-// demand while another has less than its own. What exceeds all demand is divided by weight, to serve bursts. The parts
-// never add up to more than the pool. MaxMinFair takes O(n log n).
+// MaxMinFair divides a pool among claims in multiples of step, by weighted max-min fairness: no claim gets more than
+// its demand while another one's demand is unmet. What exceeds all demand is divided by weight, so that there is room
+// for bursts. The shares never add up to more than the pool. MaxMinFair takes O(n log n).
 func MaxMinFair(pool, step int64, claims []Claim) []int64 {
 	shares := make([]int64, len(claims)) // in steps until the end
 	remaining := max(0, pool) / step
@@ -42,7 +44,7 @@
 	}
 	unmetWeights := weights
 	met := 0
-	for ; met < len(order); met++ { // meet the claims that demand no more than their part of what is left
+	for ; met < len(order); met++ { // meet the claims that demand no more than their share of what remains
 		i := order[met]
 		demand := claims[i].steps(pool, step)
 		if demand > remaining*claims[i].Weight/unmetWeights {
@@ -78,8 +80,8 @@
 	return order
 }
 
-// spread adds steps to the parts at the given indices by weight and rounds up the largest remainders. weights is the
-// sum of their weights.
+// distributeByWeight adds steps to the shares at the given indices by weight, with the largest remainder method.
+// weights is the sum of their weights.
 func distributeByWeight(steps, weights int64, indices []int, claims []Claim, shares []int64) {
 	remaining := steps
 	remainders := make([]int64, len(claims))
@@ -99,8 +101,9 @@
 	}
 }
 
-// Stabilize replaces the parts that would hardly change by the current ones, so that a division does not oscillate with
-// every report of demand. If the result would exceed the pool, it returns the parts unchanged.
+// Stabilize applies hysteresis: it keeps the current share of a claim whose new share differs little, so that shares do
+// not oscillate with every report of demand. Small increases are granted as far as the pool allows. If the result would
+// exceed the pool, Stabilize returns the new shares unchanged.
 func Stabilize(pool, step int64, claims []Claim, shares []int64) []int64 {
 	stable := slices.Clone(shares)
 	sum := int64(0)
@@ -116,7 +119,7 @@
 	if remaining < 0 {
 		return shares
 	}
-	for i, share := range shares { // small growth is granted as far as the pool allows
+	for i, share := range shares { // grant small increases from what is left of the pool
 		if more := min(remaining, share-stable[i]); more > 0 {
 			stable[i] += more
 			remaining -= more
--- a/internal/cluster/quota/division_test.go
+++ b/internal/cluster/quota/division_test.go
@@ -9,6 +9,7 @@
 	backendquota "milletbarrow/internal/backend/quota"
 )
 
+// drawClaim draws a claim with a limited or unlimited demand.
 func drawClaim(t *rapid.T) Claim {
 	return Claim{
 		Demand: int64(rapid.IntRange(-1, 3000).Draw(t, "demand")),
@@ -16,9 +17,9 @@
 	}
 }
 
-// TestMaxMinFairSharesMeetDemandByWeightAndUseTheWholePool checks that the parts are multiples of the step that add up to the pool, and no claim gets less than
-// its demand while another has more by weight.
-func TestMaxMinFairSharesMeetDemandByWeightAndUseTheWholePool(t *testing.T) {
+// TestMaxMinFairSharesMeetDemandByWeight checks that the shares are multiples of the step that add up to the pool, and
+// that no claim gets less than its demand while another has more by weight.
+func TestMaxMinFairSharesMeetDemandByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := int64(rapid.IntRange(0, 10_000).Draw(t, "pool"))
 		step := int64(rapid.IntRange(1, 9).Draw(t, "step"))
@@ -28,7 +29,7 @@
 		for i, share := range shares {
 			sum += share
 			if share < 0 || share%step != 0 {
-				t.Fatalf("part %d is not a multiple of step %d", share, step)
+				t.Fatalf("share %d is not a multiple of step %d", share, step)
 			}
 			demand := claims[i].Demand
 			if demand < 0 {
@@ -37,7 +38,7 @@
 			demanded += (demand + step - 1) / step * step
 		}
 		if total := pool / step * step; sum != total {
-			t.Fatalf("parts add up to %d, want %d", sum, total)
+			t.Fatalf("shares add up to %d, want %d", sum, total)
 		}
 		if demanded <= pool {
 			return
@@ -46,7 +47,7 @@
 			unmet := a.Demand < 0 || shares[i] < a.Demand
 			for j, b := range claims {
 				if unmet && (shares[i]+step)*b.Weight < (shares[j]-step)*a.Weight {
-					t.Fatalf("%+v has only %d, %+v has %d", a, shares[i], b, shares[j])
+					t.Fatalf("unmet %+v has only %d, %+v has %d", a, shares[i], b, shares[j])
 				}
 			}
 		}
--- a/internal/cluster/quota/helpers_test.go
+++ b/internal/cluster/quota/helpers_test.go
@@ -52,7 +52,7 @@
 	return state.Apply(command).Answers[0]
 }
 
-// testClient is one process that sends lease requests, numbered and with the epoch that it confirms.
+// testClient is one process that sends numbered lease requests, each of which confirms an epoch.
 type testClient struct {
 	backend, incarnation, host string
 	number                     uint64
@@ -100,14 +100,14 @@
 	return clients
 }
 
-// renewingFleet is a state with a leader's tracker and holders that all renew every 100 ms, without faults.
+// renewingFleet simulates a leader's state and tracker, and holders that all renew every 100 ms, without faults.
 type renewingFleet struct {
 	state   *State
 	tracker LeaseTracker
 	now     monotime.Micros
 	holders map[InstanceName]*backendquota.Holder
 
-	// draws is how many units a holder tries to draw in 100 ms.
+	// draws returns the number of units that a holder tries to draw in 100 ms.
 	draws func(name InstanceName) int
 }
 
@@ -122,13 +122,14 @@
 	return f
 }
 
+// join adds a holder for each of the given backends.
 func (f *renewingFleet) join(names ...InstanceName) {
 	for _, name := range names {
 		f.holders[name] = backendquota.New(string(name), "1", []string{string(testRate)})
 	}
 }
 
-// run lets intervals of 100 ms pass. In each of them every holder draws and renews.
+// run simulates intervals of 100 ms. In each of them every holder draws and renews.
 func (f *renewingFleet) run(intervals int) {
 	for range intervals {
 		f.now += 100 * monotime.Millisecond
@@ -144,7 +145,7 @@
 	}
 }
 
-// quotas returns what each holder may draw, in units per second, and the sum.
+// quotas returns the units per second that each holder may draw, and their sum.
 func (f *renewingFleet) quotas() (sum int64, byName map[InstanceName]int64) {
 	byName = map[InstanceName]int64{}
 	for name, holder := range f.holders {
--- a/internal/cluster/quota/imports_test.go
+++ b/internal/cluster/quota/imports_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestDecisionsImportNoClockAndNoIO checks that setting the wall clock can change no decision about quotas.
+// TestDecisionsImportNoClockAndNoIO checks the imports of the packages that decide about quotas. If they read a clock,
+// setting the wall clock could change a decision.
 func TestDecisionsImportNoClockAndNoIO(t *testing.T) {
 	for _, dir := range []string{".", "../quorum", "../../backend/quota"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
--- a/internal/cluster/quota/lease.go
+++ b/internal/cluster/quota/lease.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// renewClient grants one client its targets, as far as they are available.
+// renewClient answers one lease request with grants of the client's targets, as far as they are available.
 func (s *State) renewClient(
 	host string, request *backendquota.LeaseRequest, freeze bool, result *Result,
 ) backendquota.LeaseResponse {
@@ -58,7 +58,7 @@
 	return NewClientKey(InstanceName(request.Name), request.Incarnation)
 }
 
-// clientOf returns the client that a request is from, and adds it if it is new.
+// findOrAddClient returns the client that sent a request, and adds it if it is new.
 func (s *State) findOrAddClient(host string, request *backendquota.LeaseRequest) *Client {
 	key := requestKey(request)
 	if client := s.Clients[key]; client != nil {
@@ -75,7 +75,7 @@
 	return client
 }
 
-// refusal returns the reason why a request is granted nothing, or "".
+// refusal returns the reason for which a request is refused, or "".
 func (s *State) refusal(request *backendquota.LeaseRequest, result *Result) string {
 	key := requestKey(request)
 	client := s.Clients[key]
@@ -83,7 +83,7 @@
 		return fmt.Sprintf("lease request %d is not newer than %d, the latest received",
 			request.Number, client.LastRequest)
 	}
-	// A floor belongs to one process at a time. Extras of several processes are counted until they expire.
+	// A floor may be in force at one process at a time. Extras of several processes count until they expire.
 	for _, otherKey := range s.byName[InstanceName(request.Name)] {
 		if other := s.Clients[otherKey]; otherKey != key && other.hasFloor() {
 			return fmt.Sprintf("%s has its floor as %s at %s: that process must end, or be written off",
@@ -102,7 +102,8 @@
 	return ""
 }
 
-// recordRegression records that this state granted an epoch and has lost it: its directory is an older copy.
+// recordRegression records that this state has lost an epoch that it once granted, as when a replica restarts from an
+// older copy of its data directory. Serial skips past that epoch, so that no epoch is granted twice.
 func (s *State) recordRegression(name string, usage *backendquota.Usage, result *Result) {
 	result.addEvent(Event{
 		Limit: LimitName(usage.Budget),
@@ -114,8 +115,8 @@
 	s.Regressions++
 }
 
-// confirm records what a client reports about one limit: the epoch that it acts on, and its usage since its last
-// request. Grants before that epoch are no longer in force.
+// confirm records a client's report about one limit: the epoch that it acts on, and its usage since its last request.
+// Grants before that epoch are no longer in force.
 func (s *State) confirm(
 	limit *Limit, client *Client, usage *backendquota.Usage, elapsed monotime.Micros, first bool,
 ) *Allocation {
@@ -128,7 +129,7 @@
 		return grant.Epoch < usage.Epoch
 	})
 	s.setGrants(limit.Name, client, allocation, confirmed)
-	if !first { // the usage before the first request has no duration
+	if !first { // the duration of the usage before the first request is unknown
 		floor := limit.Floors[client.Name]
 		demand := estimateDemand(allocation.Demand+floor, demandSample{
 			quota:    allocation.maxFloor() + allocation.maxExtra(),
@@ -146,7 +147,8 @@
 	return allocation
 }
 
-// available returns the units per second that a client may have above its floor while all others keep their grants.
+// available returns the units per second above its floor that may be granted to a client while all other grants stay in
+// force.
 func (s *State) available(limit *Limit, allocation *Allocation) int64 {
 	totals := s.totals[limit.Name]
 	floors := totals.reservedFloors
@@ -157,7 +159,7 @@
 }
 
 // grant grants a client a new lease. The sum in force never grows beyond the total: a lower total or a raised floor
-// takes effect as other clients confirm that they have less.
+// takes effect only as other clients confirm lower grants.
 func (s *State) grant(limit *Limit, client *Client, allocation *Allocation, freeze bool) backendquota.Grant {
 	totals := s.totals[limit.Name]
 	current := allocation.maxExtra()
@@ -190,8 +192,8 @@
 	}
 }
 
-// mergeOldest merges the oldest grants into the next one until maxGrants are left. The merged grant covers all that may
-// be in force.
+// mergeOldest merges the oldest grant into the next one until maxGrants are left. The merged grant has the maximum of
+// each value, so that it covers whatever may be in force.
 func mergeOldest(grants []Grant) []Grant {
 	for len(grants) > maxGrants {
 		oldest, next := &grants[0], &grants[1]
@@ -204,7 +206,7 @@
 	return grants
 }
 
-// expire ends the extras of a client's grants up to an epoch. Floors do not expire.
+// expire ends the extras of a client's grants up to an epoch. Floors don't expire.
 func (s *State) expire(expiry Expiry, result *Result) {
 	client := s.Clients[expiry.ClientKey]
 	if client == nil || client.Allocations[expiry.Limit] == nil {
@@ -235,7 +237,7 @@
 	}
 }
 
-// removeIfUnused deletes a client that has nothing in force and is not its instance's latest process.
+// removeIfUnused deletes a client that has no grant in force and is not its instance's latest process.
 func (s *State) removeIfUnused(key ClientKey) {
 	client := s.Clients[key]
 	if client == nil || s.latestClient(client.Name) == key {
@@ -268,7 +270,7 @@
 	s.remove(key)
 }
 
-// removeExited deletes the clients whose exit was reported by their own host.
+// removeExited deletes clients that their own host reports to have exited.
 func (s *State) removeExited(command *ExitCommand, result *Result) {
 	for _, key := range command.ClientKeys {
 		if client := s.Clients[key]; client != nil && client.Host == command.Host {
--- a/internal/cluster/quota/lease_test.go
+++ b/internal/cluster/quota/lease_test.go
@@ -8,8 +8,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestLeaseExpiresAfterItsTimeAndMargin checks that a lease expires neither earlier nor later, also on a new leader,
-// which times each lease from its own election.
+// TestLeaseExpiresAfterItsTimeAndMargin checks that a lease expires neither earlier nor later than after its duration
+// and margin, and that a leader that is elected again times it anew.
 func TestLeaseExpiresAfterItsTimeAndMargin(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 1, 0, DivideEvenly))
 	client := newTestClients(1)[0]
@@ -20,7 +20,7 @@
 		t.Helper()
 		for _, at := range []monotime.Micros{from, from + testLease, from + testLease + testMargin - 1} {
 			if expired, _ := tracker.Tick(at, state); len(expired) != 0 {
-				t.Fatalf("%d us after it was first seen: expired %v, lease and margin are %d us",
+				t.Fatalf("%d us after the lease was first seen: expired %v, lease and margin are %d us",
 					at-from, expired, testLease+testMargin)
 			}
 		}
@@ -31,12 +31,12 @@
 	tracker := &LeaseTracker{}
 	tracker.BecomeLeader(5, state, false)
 	wantExpiry(tracker, 1000)
-	tracker.BecomeLeader(3*monotime.Second, state, false) // elected again: its former term must not count
+	tracker.BecomeLeader(3*monotime.Second, state, false) // elected again: the time of its former term must not count
 	wantExpiry(tracker, 3*monotime.Second)
 }
 
-// TestSoleReplicaFreezesGrowth checks that only a sole replica freezes growth at its election: it can't find out that
-// its directory is an older copy.
+// TestSoleReplicaFreezesGrowth checks that a sole replica, and no other, freezes growth at its election: it can't
+// detect that its data directory is an older copy.
 func TestSoleReplicaFreezesGrowth(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 1, 0, DivideEvenly))
 	for _, sole := range []bool{true, false} {
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestRaisedFloorWaitsForOthers checks that a raised floor grows only as far as others have confirmed that they have
-// less.
+// TestRaisedFloorWaitsForOthers checks that a raised floor takes effect only as far as other clients have confirmed
+// lower grants.
 func TestRaisedFloorWaitsForOthers(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 2, 0, DivideEvenly))
 	clients := newTestClients(2)
@@ -83,14 +83,15 @@
 	raised.Limits[0].Floors["n1"] = 6
 	state.Apply(Command{Config: &raised})
 	if grant := clients[1].granted(t, state, false); grant.Floor != 0 {
-		t.Fatalf("all 10 units are in force elsewhere, and a floor of %d was granted", grant.Floor)
+		t.Fatalf("a floor of %d was granted while another client has all 10 units", grant.Floor)
 	}
 	if inForce := state.Usages()[0].InForce; inForce > 10 {
 		t.Fatalf("%d units of 10 are in force", inForce)
 	}
 }
 
-// TestMergedGrantCoversAllThatMayBeInForce checks the oldest grant of a client that never confirms one.
+// TestMergedGrantCoversAllThatMayBeInForce checks that the oldest grant of a client that never confirms one keeps the
+// highest values of the grants merged into it.
 func TestMergedGrantCoversAllThatMayBeInForce(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 1, 0, DivideEvenly))
 	client := newTestClients(1)[0]
@@ -107,7 +108,7 @@
 	}
 	grants := client.allocation(state).Grants
 	if len(grants) != maxGrants {
-		t.Fatalf("%d grants are remembered, want %d", len(grants), maxGrants)
+		t.Fatalf("%d grants are kept, want %d", len(grants), maxGrants)
 	}
 	if grant := grants[0]; grant.Extra != 10 || grant.Lease != testLease || grant.ClockMargin != testMargin {
 		t.Fatalf("merged into %+v: 10 units for %d us with a margin of %d us may be in force",
@@ -125,13 +126,13 @@
 	clients[1].renew(state, false)
 	state.Apply(Command{Rebalance: true})
 	if grant := clients[0].granted(t, state, false); grant.Extra != 5 { // its response may be lost
-		t.Fatalf("granted %+v, want half", grant)
+		t.Fatalf("granted %+v, want extra 5", grant)
 	}
 	if inForce := clients[0].allocation(state).maxExtra(); inForce != 10 {
 		t.Fatalf("%d units count as in force, the client acts on 10", inForce)
 	}
 	if grant := clients[1].granted(t, state, false); grant.Extra != 0 {
-		t.Fatalf("%d units were granted twice", grant.Extra)
+		t.Fatalf("%d units were granted that the other client may still draw", grant.Extra)
 	}
 }
 
@@ -163,10 +164,10 @@
 	}
 }
 
-func TestUnnamedBackendIsGrantedNothing(t *testing.T) {
+func TestBackendWithoutAFloorEntryIsGrantedNothing(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 1, 2, DivideEvenly))
-	stranger := &testClient{backend: "stranger", incarnation: "a", host: "h"}
-	if grants := stranger.renew(state, false).Grants; len(grants) != 0 {
+	unlisted := &testClient{backend: "unlisted", incarnation: "a", host: "h"}
+	if grants := unlisted.renew(state, false).Grants; len(grants) != 0 {
 		t.Fatalf("granted %+v", grants)
 	}
 }
@@ -201,7 +202,7 @@
 		}
 		state.Apply(Command{Release: permit("n0", "w1")})
 		if result := state.Apply(acquire); result.Rejection == "" {
-			t.Fatal("a duplicate of a released acquisition holds a permit")
+			t.Fatal("a duplicate of a released acquisition was granted a permit")
 		}
 		state.Apply(Command{Acquire: permit("n0", "w2")})
 		state.Apply(Command{Release: permit("n0", "w1")})
@@ -232,8 +233,8 @@
 	})
 }
 
-// TestRegressedStateFreezesGrowth checks that growth is frozen after a client has acted on a later epoch than the
-// state has: the state has lost that epoch.
+// TestRegressedStateFreezesGrowth checks that growth is frozen after a client has reported a later epoch than the
+// state's latest: the state has lost grants, as after a restart from an older copy of the data directory.
 func TestRegressedStateFreezesGrowth(t *testing.T) {
 	state := newTestState(t, rateConfig(10, 2, 0, DivideEvenly))
 	tracker := &LeaseTracker{}
--- a/internal/cluster/quota/lease_tracker.go
+++ b/internal/cluster/quota/lease_tracker.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// rebalancesPerLease is how often the rates are rebalanced within the shortest lease.
+	// rebalancesPerLease is the number of rebalances within the shortest lease.
 	rebalancesPerLease = 4
-	// trackedGrantSlack is how many grants that no longer exist are tracked before they are removed.
+	// trackedGrantSlack is the number of grants beyond twice the possible ones that may be tracked before obsolete ones
+	// are removed.
 	trackedGrantSlack = 64
 	// earlyExpiryDivisor shortens leases under the fail point EarlyExpiry.
 	earlyExpiryDivisor = 2
 )
 
 // LeaseTracker times leases by the leader's clock. It decides when a lease has expired and when to rebalance. It is
-// local to the leader and never replicated: a new leader times every grant that it finds anew, from its own election.
+// local to the leader and not replicated: a new leader times every existing grant in full again, from its own election.
 // It is not safe for concurrent use.
 //
 // Invariants:
 //   - A lease does not expire before its duration and margin have passed since the first Tick after its grant
 //     (TestLeaseExpiresAfterItsTimeAndMargin).
-//   - Nothing grows while a grant that the state has lost may be in force (TestSoleReplicaFreezesGrowth,
+//   - No grant grows while one that the state has lost may be in force (TestSoleReplicaFreezesGrowth,
 //     TestRegressedStateFreezesGrowth).
-//   - A pause elapses no earlier on a new leader than on the former one (TestEachLeaderTimesPausesInFull).
+//   - Each leader times a pause in full, whatever a former leader has timed (TestEachLeaderTimesPausesInFull).
 type LeaseTracker struct {
 	firstSeen     map[grantRef]monotime.Micros // when this leader first saw a grant
 	lastRebalance monotime.Micros              // 0: none since the election
-	frozenUntil   monotime.Micros              // no grant may grow before; 0: never frozen
+	frozenUntil   monotime.Micros              // no grant may grow before; 0: not frozen since the election
 	regressions   uint64                       // State.Regressions as last seen
 	pauses        map[LimitName]runningPause   // of cold starts
-	scanned       bool                         // the grants from before the election were seen
+	scanned       bool                         // grants from before the election have been seen
 }
 
 // grantRef identifies a grant.
@@ -43,9 +44,9 @@
 	epoch     uint64
 }
 
-// BecomeLeader resets the tracker at an election. A sole replica may run on an older copy of its directory without
-// noticing, as there is no other replica to compare with. It freezes growth until every lease that it may have
-// granted and lost has expired.
+// BecomeLeader resets the tracker at an election. A sole replica can't detect that it runs on an older copy of its data
+// directory, as there is no other replica to compare with. It freezes growth until every lease that it may have granted
+// and lost has expired.
 func (t *LeaseTracker) BecomeLeader(now monotime.Micros, state *State, soleReplica bool) {
 	*t = LeaseTracker{firstSeen: map[grantRef]monotime.Micros{}, regressions: state.Regressions}
 	if soleReplica {
@@ -66,9 +67,9 @@
 // GrowthFrozen reports whether no grant may grow now, because grants that the state has lost may be in force.
 func (t *LeaseTracker) GrowthFrozen(now monotime.Micros) bool { return now < t.frozenUntil }
 
-// Tick returns the leases that have expired and whether to rebalance. Call it after each command and at regular
-// intervals: a lease is timed from the first Tick after its grant. The holder times it from before its request, so that
-// it stops drawing before the lease expires here, however late the response arrives.
+// Tick returns the leases that have expired and whether to rebalance. It must be called after each command and at
+// regular intervals: a lease is timed from the first Tick after its grant. The holder times it from before its request,
+// so that it stops drawing before the lease expires here, even if the response arrives late.
 func (t *LeaseTracker) Tick(now monotime.Micros, state *State) (expired []Expiry, rebalance bool) {
 	if state.Regressions != t.regressions {
 		t.regressions = state.Regressions
@@ -93,7 +94,7 @@
 			for i, grant := range allocation.Grants {
 				newest := i == len(allocation.Grants)-1
 				if grant.Extra == 0 && (allocation.Idle || !newest) {
-					continue // its expiry would change nothing
+					continue // its expiry would have no effect
 				}
 				if t.expired(now, grantRef{limit, key, grant.Epoch}, grant) {
 					expired = append(expired, Expiry{Limit: limit, ClientKey: key, Epoch: grant.Epoch})
@@ -111,7 +112,7 @@
 	return expired
 }
 
-// expired reports whether a grant has expired, and starts to time one that is new.
+// expired reports whether a grant has expired. It begins to time a grant that it has not seen before.
 func (t *LeaseTracker) expired(now monotime.Micros, ref grantRef, grant Grant) bool {
 	seen, known := t.firstSeen[ref]
 	if !known {
@@ -133,7 +134,7 @@
 	return interval
 }
 
-// validFor returns how long a grant counts as in force: its lease and the margin for clock drift.
+// validFor returns the time for which a grant counts as in force: its lease and the margin for clock drift.
 func validFor(grant Grant) monotime.Micros {
 	switch {
 	case failpoint.Enabled(failpoint.NoClockMargin):
@@ -144,7 +145,7 @@
 	return grant.Lease + grant.ClockMargin
 }
 
-// sweep removes grants that the state no longer has, once there are many of them.
+// sweep stops tracking grants that the state no longer has, once there are many of them.
 func (t *LeaseTracker) sweep(state *State) {
 	maxCurrent := 0
 	for _, client := range state.Clients {
--- a/internal/cluster/quota/names.go
+++ b/internal/cluster/quota/names.go
@@ -3,7 +3,7 @@
 // LimitName is the name of a Limit, unique within a Config.
 type LimitName string
 
-// InstanceName is the name of a backend instance. It stays the same when the instance's process restarts.
+// InstanceName is the name of a backend instance. It does not change when the instance's process restarts.
 type InstanceName string
 
 // ClientKey identifies one process that draws from rates, by its instance and its incarnation.
--- a/internal/cluster/quota/pause.go
+++ b/internal/cluster/quota/pause.go
@@ -2,14 +2,14 @@
 
 import "milletbarrow/monotime"
 
-// runningPause is a pause of a cold start with the time at which this leader first saw it.
+// runningPause is a pause of a cold start and the time at which this leader first saw it.
 type runningPause struct {
 	ElapsedPause
 	since monotime.Micros
 }
 
 // ElapsedPauses returns the pauses of cold starts whose duration has passed. Each leader times a pause in full by its
-// own clock, from when it first saw the pause.
+// own clock, from the time at which it first saw the pause.
 func (t *LeaseTracker) ElapsedPauses(now monotime.Micros, state *State) []ElapsedPause {
 	var elapsed []ElapsedPause
 	for _, limit := range sortedKeys(state.ColdStarts) {
--- a/internal/cluster/quota/permit.go
+++ b/internal/cluster/quota/permit.go
@@ -15,7 +15,7 @@
 	Epoch     uint64       `json:"epoch"` // serial of the command that acquired it
 }
 
-// acquire grants an instance one permit of a concurrency limit.
+// acquire grants an instance one permit of a concurrency limit, or rejects the command.
 func (s *State) acquire(command *PermitCommand, result *Result) {
 	limit := s.Config.Lookup(command.Limit)
 	if limit == nil || limit.Kind != Concurrency {
@@ -49,12 +49,12 @@
 	}
 }
 
-// matches reports whether a permit was acquired by the same acquisition from the same host.
+// matches reports whether a permit was acquired with this command's AcquireID from its host.
 func (c *PermitCommand) matches(permit Permit) bool {
 	return permit.AcquireID == c.AcquireID && permit.Host == c.Host
 }
 
-// release ends a permit. The outcome is reported to the cold start even if the permit is no longer held.
+// release releases a permit. The outcome is reported to the cold start even if the permit is no longer held.
 func (s *State) release(command *PermitCommand, result *Result) {
 	if held, has := s.Permits[command.Limit][command.Name]; has && command.matches(held) {
 		s.removePermit(command.Limit, command.Name, held.AcquireID)
@@ -62,7 +62,7 @@
 	s.reportStart(command, result)
 }
 
-// revokePermits ends all permits of an instance and returns their number.
+// revokePermits revokes all permits of an instance and returns their number.
 func (s *State) revokePermits(name InstanceName, cause string, result *Result) int {
 	revoked := 0
 	for _, limit := range sortedKeys(s.Permits) {
@@ -80,7 +80,7 @@
 	return revoked
 }
 
-// removePermit deletes a permit and remembers its acquisition, so that a late duplicate of it acquires nothing.
+// removePermit deletes a permit and records its AcquireID, so that a late duplicate of the acquisition is rejected.
 func (s *State) removePermit(limit LimitName, name InstanceName, acquireID string) {
 	delete(s.Permits[limit], name)
 	key := newPermitKey(limit, name)
--- a/internal/cluster/quota/permit_test.go
+++ b/internal/cluster/quota/permit_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestPermitsExcludeReservedOnesAndAreReleasedOnlyByTheirHost checks that reserved units are not granted, and only the host that acquired a permit releases it.
-func TestPermitsExcludeReservedOnesAndAreReleasedOnlyByTheirHost(t *testing.T) {
+// TestPermitsAreBoundedAndReleasedOnlyByTheirHost checks that reserved permits are not granted, and that
+// only the host that acquired a permit releases it.
+func TestPermitsAreBoundedAndReleasedOnlyByTheirHost(t *testing.T) {
 	state := newTestState(t, Config{
 		Version: 1,
 		Limits:  []Limit{{Name: testPermits, Kind: Concurrency, Total: 3, Reserved: 1}},
--- a/internal/cluster/quota/rebalance.go
+++ b/internal/cluster/quota/rebalance.go
@@ -6,16 +6,16 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// demandHeadroomDivisor adds one part in so many to a demand, so that it has room to grow until the next rebalance.
+// demandHeadroomDivisor adds 1/demandHeadroomDivisor to a demand, as room for growth until the next rebalance.
 const demandHeadroomDivisor int64 = 8
 
-// claimant is the allocation of a client that takes part in a division.
+// claimant is a backend that takes part in a division, with the allocation of its latest process.
 type claimant struct {
 	backend    InstanceName
 	allocation *Allocation
 }
 
-// rebalance computes the targets of all rates. Grants follow as clients renew their leases.
+// rebalance recomputes the targets of all rates. Grants follow the targets as clients renew their leases.
 func (s *State) rebalance(result *Result) {
 	for i := range s.Config.Limits {
 		if limit := &s.Config.Limits[i]; limit.Kind == Rate {
@@ -78,7 +78,7 @@
 	claim := Claim{Demand: unlimitedDemand, Weight: 1, Current: allocation.Target}
 	switch limit.Division {
 	case DivideByDemand:
-		headroom := (allocation.Demand + demandHeadroomDivisor - 1) / demandHeadroomDivisor // 0 without demand
+		headroom := (allocation.Demand + demandHeadroomDivisor - 1) / demandHeadroomDivisor // 0 if there is no demand
 		claim.Demand = allocation.Demand + headroom
 	case DivideByCapacity:
 		if weight := limit.Weights[name]; weight > 0 {
--- a/internal/cluster/quota/rebalance_test.go
+++ b/internal/cluster/quota/rebalance_test.go
@@ -9,7 +9,7 @@
 		if name == "n0" {
 			return 5000
 		}
-		return 2 // 20 units per second, the even part of five backends
+		return 2 // 20 units per second, an equal share of the total
 	}
 	fleet.run(50)
 	sum, byName := fleet.quotas()
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestQuotaFollowsDemand checks that quota that one backend no longer needs soon moves to another, and the targets
-// settle while demand is steady.
+// TestQuotaFollowsDemand checks that quota that one backend no longer needs moves to another within three leases, and
+// that quotas stay nearly constant while demand is steady.
 func TestQuotaFollowsDemand(t *testing.T) {
 	fleet := newRenewingFleet(t, rateConfig(200, 2, 1, DivideByDemand))
 	fleet.join("n0", "n1")
@@ -37,12 +37,12 @@
 	}
 	fleet.run(60)
 	if _, byName := fleet.quotas(); byName["n0"] < 180 {
-		t.Errorf("n0 demands everything: %v, want at least 180", byName)
+		t.Errorf("all demand is at n0: %v, want at least 180 there", byName)
 	}
 	busy = "n1"
 	fleet.run(30)
 	if _, byName := fleet.quotas(); byName["n1"] < 198 {
-		t.Errorf("three leases after demand moved to n1: %v, want at least 198", byName)
+		t.Errorf("three leases after demand moved to n1: %v, want at least 198 there", byName)
 	}
 	_, before := fleet.quotas()
 	moved := int64(0)
@@ -70,7 +70,7 @@
 			}
 		}
 		fleet.run(20)
-		const absentFloors = 17 // of the backends that never joined
+		const absentFloors = 17 // of the backends that never join
 		if sum, _ := fleet.quotas(); sum != 1000-absentFloors {
 			t.Errorf("%d units are granted to 203 backends, want %d", sum, 1000-absentFloors)
 		}
@@ -78,7 +78,7 @@
 			delete(fleet.holders, backendName(i))
 		}
 		fleet.run(40)
-		const lostFloors = 100 // stay reserved, as nobody reported an exit
+		const lostFloors = 100 // stay reserved, as no exit was reported
 		if sum, _ := fleet.quotas(); sum != 1000-absentFloors-lostFloors {
 			t.Errorf("%d units are granted after half were lost, want %d", sum, 1000-absentFloors-lostFloors)
 		}
--- a/internal/cluster/quota/result.go
+++ b/internal/cluster/quota/result.go
@@ -6,10 +6,10 @@
 	backendquota "milletbarrow/internal/backend/quota"
 )
 
-// Event is an entry for the agents' history.
+// Event is an entry of the history that agents keep.
 type Event struct {
 	Limit LimitName `json:"budget"`
-	Name  string    `json:"name,omitempty"` // of an instance, or of a host of the store's group; empty: neither
+	Name  string    `json:"name,omitempty"` // of an instance, or of a host that replicates the state; empty: neither
 	Kind  string    `json:"event"`
 	Cause string    `json:"cause,omitempty"`
 }
@@ -32,11 +32,11 @@
 // Result is the outcome of a command.
 type Result struct {
 	Serial     uint64                       `json:"serial"`            // of the command
-	Answers    []backendquota.LeaseResponse `json:"answers,omitempty"` // of a renewal, in the order of its requests
-	Rejection  string                       `json:"no,omitempty"`      // why nothing was changed; empty: applied
+	Answers    []backendquota.LeaseResponse `json:"answers,omitempty"` // to a renewal, in the order of its requests
+	Rejection  string                       `json:"no,omitempty"`      // reason; empty: not rejected
 	Events     []Event                      `json:"notes,omitempty"`
-	ClientKeys []ClientKey                  `json:"lives,omitempty"` // of a renewal: all clients of its host
-	Permits    []Permit                     `json:"out,omitempty"`   // of a renewal: all permits of its host
+	ClientKeys []ClientKey                  `json:"lives,omitempty"` // after a renewal: all clients on the host
+	Permits    []Permit                     `json:"out,omitempty"`   // after a renewal: all permits of the host
 }
 
 func (r *Result) reject(format string, args ...any) { r.Rejection = fmt.Sprintf(format, args...) }
--- a/internal/cluster/quota/state.go
+++ b/internal/cluster/quota/state.go
@@ -12,9 +12,9 @@
 
 // Bounds of a State.
 const (
-	maxGrants      = 6      // unconfirmed grants of one client and limit; older ones are merged into the next
-	maxReleasedIDs = 8      // released acquisitions remembered per instance, so that late duplicates acquire nothing
-	maxClients     = 50_000 // further clients are granted nothing
+	maxGrants      = 6      // kept per client and limit; beyond that, the oldest are merged
+	maxReleasedIDs = 8      // kept per instance and limit, so that late duplicates of acquisitions are rejected
+	maxClients     = 50_000 // requests of further clients are refused
 	maxPermits     = 50_000 // of one limit
 )
 
@@ -22,32 +22,36 @@
 // not safe for concurrent use.
 //
 // Invariants:
-//   - The grants in force of a rate never exceed its total, however clocks differ and whatever messages are lost, late
-//     or duplicated; once faults end, the whole total is granted (TestGrantsInForceNeverExceedTheTotal).
+//   - The sum of a rate's grants in force never exceeds its total while clocks drift by no more than the margin, even
+//     if messages are lost, late or duplicated; once faults end, the whole total is granted
+//     (TestGrantsInForceNeverExceedTheTotal).
 //   - A grant that its holder may act on counts as in force (TestConfirmedGrantStaysInForce,
 //     TestExpiryKeepsLaterGrants, TestMergedGrantCoversAllThatMayBeInForce).
-//   - A raised floor waits until other clients have less (TestRaisedFloorWaitsForOthers).
-//   - At most one process of an instance has a floor; a duplicate of a command changes nothing
+//   - A raised floor takes effect only as other clients confirm lower grants (TestRaisedFloorWaitsForOthers).
+//   - At most one process of an instance has a floor in force; a duplicate of a command has no effect
 //     (TestDuplicateCommandsChangeNothing).
-//   - Permits held never exceed the total less the reserved ones, and only their own host releases them (TestPermitsExcludeReservedOnesAndAreReleasedOnlyByTheirHost).
-//   - The size is bounded (TestClientsAreBounded).
+//   - No permit is granted while the total less the reserved ones are held, and only their own host releases them
+//     (TestPermitsAreBoundedAndReleasedOnlyByTheirHost).
+//   - The number of clients is bounded (TestClientsAreBounded).
 type State struct {
-	// Serial is the number of the latest command, unless regressions raised it. Grants take it as their epoch.
+	// Serial is incremented by each command, and raised past the epochs that regressions reveal. It is the epoch of the
+	// grants that a command makes.
 	Serial  uint64                                `json:"serial"`
 	Config  Config                                `json:"terms"`
 	Clients map[ClientKey]*Client                 `json:"lives"`
 	Permits map[LimitName]map[InstanceName]Permit `json:"counts"`
 
-	// ReleasedIDs has the AcquireIDs of the latest permits that an instance released, oldest first.
+	// ReleasedIDs holds the AcquireIDs of the latest permits that an instance released, oldest first.
 	ReleasedIDs map[PermitKey][]string `json:"ended"`
 
-	// ColdStarts has the cold start under each concurrency limit, also after its end.
+	// ColdStarts holds the cold start under each concurrency limit. One that is done stays until a command ends it or
+	// begins another.
 	ColdStarts map[LimitName]*coldstart.State `json:"rises,omitempty"`
 
-	// Regressions counts the epochs that clients reported and this state had lost.
+	// Regressions counts the reports of epochs that this state had lost.
 	Regressions uint64 `json:"forgot"`
 
-	// RebuildIndexes derives these fields from the others.
+	// The following fields are derived from the others by RebuildIndexes.
 	totals map[LimitName]*rateTotals
 	byName map[InstanceName][]ClientKey
 	byHost map[string]map[ClientKey]bool // by host name
@@ -81,14 +85,14 @@
 	return false
 }
 
-// Allocation is one client's part of one rate.
+// Allocation is one client's share of one rate.
 type Allocation struct {
-	Grants []Grant `json:"grants,omitempty"` // oldest first; the client acts on none older than the first
+	Grants []Grant `json:"grants,omitempty"` // oldest first; the client no longer acts on earlier ones
 	Drawn  int64   `json:"drawn"`            // units since the client's start, as it reported
 	Denied int64   `json:"denied"`           // units since the client's start, as it reported
 	Demand int64   `json:"want"`             // smoothed, in units per second above the floor
 	Target int64   `json:"target"`           // of the latest division, in units per second above the floor
-	Idle   bool    `json:"quiet,omitempty"`  // its lease has expired: it takes part in no division
+	Idle   bool    `json:"quiet,omitempty"`  // its lease has expired; it is left out of divisions
 }
 
 // Grant is a lease that its holder may still act on.
@@ -128,7 +132,7 @@
 	a.Idle = false
 }
 
-// becomeIdle takes the allocation out of further divisions, until the client's next request.
+// becomeIdle excludes the allocation from divisions until the client's next request.
 func (a *Allocation) becomeIdle() {
 	a.Demand = 0
 	a.Target = 0
@@ -147,7 +151,7 @@
 	return s
 }
 
-// RebuildIndexes must be called on a decoded state before any other method.
+// RebuildIndexes rebuilds what is not encoded. It must be called on a decoded state before any other method.
 func (s *State) RebuildIndexes() {
 	s.totals = map[LimitName]*rateTotals{}
 	s.byName = map[InstanceName][]ClientKey{}
@@ -165,7 +169,7 @@
 	}
 }
 
-// rates returns the rates that are configured or that a client still has an allocation of.
+// rates returns the rates that are configured or of which a client still has an allocation.
 func (s *State) rates() map[LimitName]bool {
 	rates := map[LimitName]bool{}
 	for i := range s.Config.Limits {
@@ -191,7 +195,8 @@
 	client.Host = host
 }
 
-// latestClient returns the process of an instance that sent the latest request. Older ones are granted nothing more.
+// latestClient returns the process of an instance that sent the latest request. Only it takes part in
+// divisions; the targets of other processes become 0.
 func (s *State) latestClient(name InstanceName) ClientKey {
 	keys := s.byName[name]
 	if len(keys) == 1 {
@@ -208,7 +213,7 @@
 	return latest
 }
 
-// remove deletes a client that has nothing in force.
+// remove deletes a client that has no grant in force.
 func (s *State) remove(key ClientKey) {
 	client := s.Clients[key]
 	delete(s.byHost[client.Host], key)
@@ -221,5 +226,5 @@
 	s.byName[client.Name] = rest
 }
 
-// sortedKeys returns a map's keys in order, so that all replicas act in the same order.
+// sortedKeys returns a map's keys in ascending order, so that all replicas process them in the same order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/cluster/quota/state_test.go
+++ b/internal/cluster/quota/state_test.go
@@ -15,13 +15,12 @@
 	maxInFlight   = 8  // lease requests of a faultyFleet
 	maxProcesses  = 20 // of a faultyFleet
 	tickInterval  = 100 * monotime.Millisecond
-	settlingTime  = 4 * monotime.Second // after it no lease from before a lower total is in force
+	settlingTime  = 4 * monotime.Second // after it, no grant from before a change of the total is in force
 	maxTotals     = 3
-	recentAnswers = 12 // a late response is one of the latest so many
+	recentAnswers = 12 // a late response is one of this many latest ones
 )
 
-// faultyFleet simulates holders with clocks of their own, a leader with its tracker, and messages that are lost, late
-// or duplicated.
+// faultyFleet simulates holders and a leader, all with drifting clocks, and messages that are lost, late or duplicated.
 type faultyFleet struct {
 	t         *rapid.T
 	config    Config
@@ -145,7 +144,7 @@
 	f.apply(Command{Exited: &ExitCommand{Host: host, ClientKeys: []ClientKey{p.key()}}})
 }
 
-// actions returns what may happen, for rapid's state machine tests; "" runs after each of them.
+// actions returns the actions of a rapid state machine test; "" is run after each of them.
 func (f *faultyFleet) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"request": func(*rapid.T) {
@@ -169,7 +168,7 @@
 			if n := len(f.responses); n > 0 {
 				response := f.responses[rapid.IntRange(max(0, n-recentAnswers), n-1).Draw(t, "response")]
 				for _, p := range f.running() {
-					_ = p.Apply(p.clock(f.now), response) // all but the one that it is for reject it
+					_ = p.Apply(p.clock(f.now), response) // all but its addressee reject it
 				}
 			}
 		},
@@ -207,7 +206,7 @@
 	}
 }
 
-// changeTotal configures another total and ticks until leases granted under the former one have expired.
+// changeTotal configures another total and ticks until the leases granted under the former one have expired.
 func (f *faultyFleet) changeTotal(pool int64) {
 	floors := int64(0)
 	for _, floor := range f.config.Limits[0].Floors {
@@ -225,7 +224,8 @@
 	}
 }
 
-// check compares what the processes may draw, by their own account, with the total.
+// check compares the sum that the processes may draw, by their own clocks, with the total. It also compares the
+// incrementally updated totals of the state with recomputed ones.
 func (f *faultyFleet) check() {
 	sum := int64(0)
 	floors := map[InstanceName]int64{}
@@ -241,17 +241,17 @@
 	if total := f.highestTotal(); sum > total {
 		f.t.Fatalf("at %d grants in force add up to %d, the total is %d", f.now, sum, total)
 	}
-	kept := *f.state.totals[testRate]
+	incremental := *f.state.totals[testRate]
 	f.state.recount(testRate)
 	recounted := *f.state.totals[testRate]
-	if kept.inForce != recounted.inForce || kept.reservedFloors != recounted.reservedFloors ||
-		kept.extras != recounted.extras {
-		f.t.Fatalf("totals are %+v, recounted %+v", kept, recounted)
+	if incremental.inForce != recounted.inForce || incremental.reservedFloors != recounted.reservedFloors ||
+		incremental.extras != recounted.extras {
+		f.t.Fatalf("incremental totals %+v, recounted %+v", incremental, recounted)
 	}
 }
 
-// highestTotal returns the highest total under which grants may be in force now: the present one, and former ones until
-// their leases have expired.
+// highestTotal returns the highest total under which grants may be in force now: the present one, or a former one whose
+// leases may not have expired yet.
 func (f *faultyFleet) highestTotal() int64 {
 	latest := len(f.totals) - 1
 	highest := f.totals[latest].units
@@ -261,7 +261,7 @@
 	return highest
 }
 
-// recover lets time pass without faults, with all exits reported.
+// recover simulates 60 ticks without faults, in which all exits are reported and all running processes renew.
 func (f *faultyFleet) recover() {
 	for range 60 {
 		f.now += tickInterval
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestGrantsInForceNeverExceedTheTotal checks the sum of grants while clocks differ and messages are lost, late or
-// duplicated, and that the whole total is granted again once faults end.
+// TestGrantsInForceNeverExceedTheTotal checks the sum of grants in force while clocks drift and messages are lost, late
+// or duplicated, and that the whole total is granted again once faults end.
 func TestGrantsInForceNeverExceedTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFaultyFleet(t)
--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -5,7 +5,7 @@
 	"milletbarrow/monotime"
 )
 
-// Usage is the state of one limit.
+// Usage is the usage of one limit.
 type Usage struct {
 	Limit          LimitName     `json:"budget"`
 	Kind           Kind          `json:"kind"`
@@ -15,7 +15,8 @@
 	Holders        []HolderUsage `json:"holders,omitempty"`
 }
 
-// HolderUsage is one holder's part of a limit. The holder of a permit has Name, Host, Epoch and AcquireID alone.
+// HolderUsage is one holder's usage of a limit. For the holder of a permit, only Name, Host, Epoch and AcquireID are
+// set.
 type HolderUsage struct {
 	Name        InstanceName    `json:"name"`
 	Incarnation string          `json:"life,omitempty"`
@@ -42,20 +43,20 @@
 	ColdStarts   []ColdStartStatus `json:"rises,omitempty"`
 }
 
-// ColdStartStatus is the state of one cold start.
+// ColdStartStatus is the status of one cold start.
 type ColdStartStatus struct {
 	Limit         LimitName               `json:"budget"`
 	ID            string                  `json:"id"`
-	Concurrency   int64                   `json:"pace"` // how many members may be starting at once now
+	Concurrency   int64                   `json:"pace"` // the present limit of members starting at once
 	MaxConcurrent int64                   `json:"most"`
-	Reason        string                  `json:"cause"`            // of the present concurrency
+	Reason        string                  `json:"cause"`            // of the present limit
 	HaltReason    string                  `json:"halted,omitempty"` // empty: not halted
 	Done          bool                    `json:"over"`
-	Starts        uint64                  `json:"starts"` // granted up to now
+	Starts        uint64                  `json:"starts"` // total number granted
 	Groups        []coldstart.GroupStatus `json:"groups"`
 }
 
-// Usages returns the state of all limits, in the order of the configuration.
+// Usages returns the usage of all limits, in the order of the configuration.
 func (s *State) Usages() (usages []Usage) {
 	for i := range s.Config.Limits {
 		limit := &s.Config.Limits[i]
@@ -112,7 +113,7 @@
 	return holders
 }
 
-// ColdStartStatuses returns the state of all cold starts, ordered by limit.
+// ColdStartStatuses returns the status of all cold starts, ordered by limit.
 func (s *State) ColdStartStatuses() (statuses []ColdStartStatus) {
 	for _, limit := range sortedKeys(s.ColdStarts) {
 		coldStart := s.ColdStarts[limit]
--- a/internal/cluster/quota/totals.go
+++ b/internal/cluster/quota/totals.go
@@ -9,7 +9,7 @@
 	eligible       []InstanceName // backends that may draw, ordered by name
 }
 
-// recount computes the totals of one rate anew.
+// recount recomputes the totals of one rate from all clients.
 func (s *State) recount(limitName LimitName) {
 	totals := &rateTotals{floorInForce: map[InstanceName]int64{}}
 	for _, client := range s.Clients {
--- a/internal/cluster/quota/validate.go
+++ b/internal/cluster/quota/validate.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	clockDriftDivisor       = 100 // hosts' clocks may drift apart by one part in so many
+	clockDriftDivisor       = 100 // two hosts' clocks may drift apart by 1/clockDriftDivisor of the elapsed time
 	minClockMargin          = 10 * monotime.Millisecond
 	maxRate           int64 = backendquota.MaxRate // units per second, or units
 )
@@ -21,7 +21,7 @@
 
 // LimitError is returned by Limit.Validate for a field that is invalid.
 type LimitError struct {
-	Field  string // as the fleet's file names it; empty: the limit itself
+	Field  string // name of the field in the fleet's file; empty: the limit itself
 	Reason string
 }
 
