--- a/internal/cluster/quota/division_test.go
+++ b/internal/cluster/quota/division_test.go
@@ -9,6 +9,7 @@
 	backendquota "milletbarrow/internal/backend/quota"
 )
 
+// drawClaim draws a claim with a limited or unlimited demand.
 func drawClaim(t *rapid.T) Claim {
 	return Claim{
 		Demand: int64(rapid.IntRange(-1, 3000).Draw(t, "demand")),
@@ -16,19 +17,19 @@
 	}
 }
 
-// TestMaxMinFair checks that the parts are multiples of the step that add up to the pool, and no claim gets less than
-// its demand while another has more by weight.
-func TestMaxMinFair(t *testing.T) {
+// TestMaxMinFairSharesMeetDemandByWeight checks that the shares are multiples of the step that add up to the pool, and
+// that no claim gets less than its demand while another has more by weight.
+func TestMaxMinFairSharesMeetDemandByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := int64(rapid.IntRange(0, 10_000).Draw(t, "pool"))
 		step := int64(rapid.IntRange(1, 9).Draw(t, "step"))
 		claims := rapid.SliceOfN(rapid.Custom(drawClaim), 1, 12).Draw(t, "claims")
-		parts := MaxMinFair(pool, step, claims)
+		shares := MaxMinFair(pool, step, claims)
 		sum, demanded := int64(0), int64(0)
-		for i, part := range parts {
-			sum += part
-			if part < 0 || part%step != 0 {
-				t.Fatalf("part %d is not a multiple of step %d", part, step)
+		for i, share := range shares {
+			sum += share
+			if share < 0 || share%step != 0 {
+				t.Fatalf("share %d is not a multiple of step %d", share, step)
 			}
 			demand := claims[i].Demand
 			if demand < 0 {
@@ -37,16 +38,16 @@
 			demanded += (demand + step - 1) / step * step
 		}
 		if total := pool / step * step; sum != total {
-			t.Fatalf("parts add up to %d, want %d", sum, total)
+			t.Fatalf("shares add up to %d, want %d", sum, total)
 		}
 		if demanded <= pool {
 			return
 		}
 		for i, a := range claims {
-			unmet := a.Demand < 0 || parts[i] < a.Demand
+			unmet := a.Demand < 0 || shares[i] < a.Demand
 			for j, b := range claims {
-				if unmet && (parts[i]+step)*b.Weight < (parts[j]-step)*a.Weight {
-					t.Fatalf("%+v has only %d, %+v has %d", a, parts[i], b, parts[j])
+				if unmet && (shares[i]+step)*b.Weight < (shares[j]-step)*a.Weight {
+					t.Fatalf("unmet %+v has only %d, %+v has %d", a, shares[i], b, shares[j])
 				}
 			}
 		}
