--- a/admission/action.go
+++ b/admission/action.go
@@ -2,7 +2,7 @@
 
 import "milletbarrow/monotime"
 
-// Action is what is to be done: one of the types of this file.
+// Action is an instruction to the caller of Decide: one of the types of this file.
 type Action any
 
 // Start runs a waiting request, or resumes a paused one.
@@ -10,73 +10,73 @@
 	ID string
 }
 
-// Stop takes a run off the cores. It is no answer.
+// Stop ends or pauses a run, see Config.Preemption. It does not answer the request.
 type Stop struct {
 	ID string
 }
 
-// Throttle answers that a request is rejected and has had no effect.
+// Throttle answers that a request has been rejected and had no effect.
 type Throttle struct {
 	ID         string
-	RetryAfter monotime.Micros // the caller sends nothing to this backend for so long; 0: no advice
-	DontRetry  bool            // the caller does not retry at another backend either
+	RetryAfter monotime.Micros // how long the caller sends nothing to this backend; 0: not specified
+	DontRetry  bool            // the caller does not retry on another backend either
 }
 
-// Fail answers with an error.
+// Fail answers a request with an error.
 type Fail struct {
 	ID string
 }
 
-// Call makes the call to the dependency that a run waits for.
+// Call makes the dependency call that a run is waiting for.
 type Call struct {
 	ID      string
 	Timeout monotime.Micros
 }
 
-// SkipCall resumes a run without its call.
+// SkipCall resumes a run without its dependency call.
 type SkipCall struct {
 	ID string
 }
 
-// Remember enters a request into the table of idempotency keys.
+// Remember adds a request to the idempotency key table.
 type Remember struct {
 	ID  string
 	For monotime.Micros // from now on
 }
 
-// Forget removes a request from the table of idempotency keys.
+// Forget removes a request from the idempotency key table.
 type Forget struct {
 	ID string
 }
 
-// Reuse answers a repeat with the result of the request that it repeats, once that has ended.
+// Reuse answers a repeated request with the result of the original, once that has ended.
 type Reuse struct {
 	ID string
 }
 
-// SetHealth sets how health checks are answered from now on.
+// SetHealth sets the result of health checks from now on.
 type SetHealth struct {
 	Good      bool
-	FromStore bool // checks are answered by Good alone, without work of their own
+	FromStore bool // checks return Good without running a probe
 }
 
-// Advertise sends callers a value; Config.AdvertisedValue is its meaning.
+// Advertise sends a value to callers; Config.AdvertisedValue defines its meaning.
 type Advertise struct {
 	Value float64
 }
 
-// CloseIdle closes, from now on, each connection that has carried nothing for so long.
+// CloseIdle sets the idle timeout of connections from now on.
 type CloseIdle struct {
 	After monotime.Micros
 }
 
-// Wake asks for a Reading.
+// Wake requests a Reading at a time.
 type Wake struct {
 	At    monotime.Micros
 	Token int64 // repeated in the Reading
 }
 
-// Log adds a line to the operator's report.
+// Log writes a line to the operator's log.
 type Log struct {
 	Text string
 }
--- a/admission/advertise.go
+++ b/admission/advertise.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// minAdvertised is the least traffic weight, and the value while unhealthy.
-	minAdvertised = 0.05
-	// advertisedChange is the relative change from which a value is sent again.
-	advertisedChange = 0.05
-	// minQueuePerCore is the run queue per core below which a backend counts as empty.
+	// minAdvertisedValue is the lowest traffic weight, and the value of either kind while unhealthy.
+	minAdvertisedValue = 0.05
+	// minAdvertisedChange is the relative change above which a new value is sent.
+	minAdvertisedChange = 0.05
+	// minQueuePerCore is the run queue per core below which a backend counts as idle.
 	minQueuePerCore = 0.1
 )
 
-// advertise sends the advertised value when it has changed enough.
+// advertise sends the advertised value when it has changed by more than minAdvertisedChange.
 func (b *Backend) advertise(now monotime.Micros, out []Action) []Action {
 	cores := float64(b.config.Cores)
 	queuePerCore := max(b.runQueue()/cores, minQueuePerCore)
@@ -27,14 +27,14 @@
 		allowance := cores * highestThresholdPerCore / float64(b.config.Callers)
 		value = allowance * min(1, lowestThresholdPerCore/queuePerCore) / b.slowdown(now)
 	case TrafficWeight:
-		value = max(minAdvertised, min(1, busyCoreUse/queuePerCore)/b.slowdown(now))
+		value = max(minAdvertisedValue, min(1, busyCoreUse/queuePerCore)/b.slowdown(now))
 	}
 	if now < b.health.unhealthyUntil {
-		value = minAdvertised
+		value = minAdvertisedValue
 	}
-	if math.Abs(value-b.advertised) <= advertisedChange*max(value, b.advertised) {
+	if math.Abs(value-b.lastAdvertised) <= minAdvertisedChange*max(value, b.lastAdvertised) {
 		return out
 	}
-	b.advertised = value
+	b.lastAdvertised = value
 	return append(out, Advertise{Value: value})
 }
--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -3,53 +3,54 @@
 import "milletbarrow/monotime"
 
 const (
-	// maxWaitingMemory is the share of the memory from which nothing more is admitted.
-	maxWaitingMemory = 0.90
-	// timelyReadDivisor: a request counts as read in time within its latency objective divided by this.
+	// maxAdmitMemoryShare is the share of the memory above which no request is admitted.
+	maxAdmitMemoryShare = 0.90
+	// timelyReadDivisor defines a timely read: the request was queued for less than its latency objective divided by
+	// this.
 	timelyReadDivisor = 2
 )
 
-// arrive counts a request that has been read, and admits or answers it.
-func (b *Backend) arrive(now monotime.Micros, arrived *Arrived, out []Action) []Action {
+// handleArrived records a request that has been read, and admits or answers it.
+func (b *Backend) handleArrived(now monotime.Micros, arrived *Arrived, out []Action) []Action {
 	op := &b.config.Operations[arrived.Operation]
 	arrived.Retry = arrived.Retry || b.config.RetriesUnmarked && b.hasUnusualDeadline(now, arrived, op)
-	b.countArrival(now, arrived, op)
+	b.recordArrival(now, arrived, op)
 	req := b.newRequest(now, arrived, op)
 	b.inFlight.add(req)
 
-	late := req.arrivedAt > b.drainStartedAt+b.config.DrainGrace || now >= b.answerBy()
-	if arrived.RepeatOf != "" && op.RetrySafety == IdempotencyKeyed { // a repeat never runs again
+	late := req.arrivedAt > b.drainStartedAt+b.config.DrainGrace || now >= b.drainDeadline()
+	if arrived.RepeatOf != "" && op.RetrySafety == IdempotencyKeyed { // a repeated request is never run
 		if late || req.deadline <= now {
-			return b.abandon(now, req, append(out, Fail{ID: req.id}))
+			return b.endRequest(now, req, append(out, Fail{ID: req.id}))
 		}
-		b.setPhase(req, reusing)
+		b.setPhase(req, reusingResult)
 		return append(out, Reuse{ID: req.id})
 	}
-	if late || arrived.ShedFor > 0 || b.memory() > maxWaitingMemory*b.config.MemoryKB {
+	if late || arrived.ShedFor > 0 || b.memoryKB() > maxAdmitMemoryShare*b.config.MemoryKB {
 		return b.reject(now, req, out, false)
 	}
 
 	b.applyQuota(now, req, arrived.Quota)
-	if b.missesObjective(now, req, b.waitingCoreTime(now, op.Value)-b.expectedCost(now, req)) {
+	if b.missesObjective(now, req, b.queuedCoreTime(now, op.Value)-b.expectedCost(now, req)) {
 		return b.reject(now, req, out, b.callMissesObjective(now, req))
 	}
 	if b.busy() && b.runQueue() > b.threshold(now, req.priority) {
 		return b.reject(now, req, out, false)
 	}
 	if op.RetrySafety == IdempotencyKeyed {
-		if b.memory()+b.config.IdempotencyKeyKB > maxWaitingMemory*b.config.MemoryKB {
+		if b.memoryKB()+b.config.IdempotencyKeyKB > maxAdmitMemoryShare*b.config.MemoryKB {
 			return b.reject(now, req, out, false)
 		}
-		out = b.remember(now, req, out)
+		out = b.rememberKey(now, req, out)
 	}
 	b.admit(now, req)
 	return out
 }
 
-// countArrival counts a request among the arrivals and for the backend's health.
-func (b *Backend) countArrival(now monotime.Micros, arrived *Arrived, op *Operation) {
+// recordArrival updates the arrival statistics and the health state.
+func (b *Backend) recordArrival(now monotime.Micros, arrived *Arrived, op *Operation) {
 	b.arrivals.recent.add(now, 1)
-	b.arrivals.usual.add(now, 1)
+	b.arrivals.baseline.add(now, 1)
 	if arrived.Retry {
 		b.arrivals.retries.add(now, 1)
 	}
@@ -60,11 +61,11 @@
 	}
 }
 
-// admit leaves a request in its operation's queue.
+// admit counts a request that stays in its operation's queue.
 func (b *Backend) admit(now monotime.Micros, req *request) {
 	if req.tenant < len(b.admittedByTenant) {
 		b.admittedByTenant[req.tenant].add(now, 1)
 	}
 	req.admitted = true
-	b.load.admittedSince++
+	b.load.admittedSinceReading++
 }
--- a/admission/arrival_stats.go
+++ b/admission/arrival_stats.go
@@ -1,20 +1,20 @@
 package admission
 
-// arrivalStats counts the requests that have been read.
+// arrivalStats counts the requests read.
 type arrivalStats struct {
-	recent    decayingSum // all, over retryWindow
-	retries   decayingSum // marked or recognised as retries, over retryWindow
-	throttled decayingSum // rejected, over retryWindow
-	usual     decayingSum // all, over learningWindow
+	recent    decayingSum // all, over arrivalWindow
+	retries   decayingSum // marked or recognised as retries, over arrivalWindow
+	throttled decayingSum // rejected, over arrivalWindow
+	baseline  decayingSum // all, over baselineWindow
 
-	deadlines [deadlineGroups]deadlineGroup // the most frequent deadlines, where retries are not marked
+	deadlines [deadlineGroups]deadlineGroup // the most frequent deadlines, if retries are not marked
 }
 
 func newArrivalStats() arrivalStats {
 	return arrivalStats{
-		recent:    newDecayingSum(retryWindow),
-		retries:   newDecayingSum(retryWindow),
-		throttled: newDecayingSum(retryWindow),
-		usual:     newDecayingSum(learningWindow),
+		recent:    newDecayingSum(arrivalWindow),
+		retries:   newDecayingSum(arrivalWindow),
+		throttled: newDecayingSum(arrivalWindow),
+		baseline:  newDecayingSum(baselineWindow),
 	}
 }
--- a/admission/backend.go
+++ b/admission/backend.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// maxReadingInterval is the longest time between two readings of the gauges.
+	// maxReadingInterval is the longest interval between two gauge readings.
 	maxReadingInterval = 20 * monotime.Millisecond
-	// minReadingInterval bounds the cost of readings where AnswerSlack is short.
+	// minReadingInterval limits the cost of readings where AnswerSlack is short.
 	minReadingInterval = monotime.Millisecond
-	// readingsPerAnswerSlack leaves time for an answer that a reading brings about.
+	// readingsPerAnswerSlack is the number of reading intervals in AnswerSlack, so that an answer that results from a
+	// reading is sent within the slack.
 	readingsPerAnswerSlack = 3
 
-	// readingToken is the token of the only Wake that is ever in force.
+	// readingToken is the token of every Wake; at most one is pending.
 	readingToken int64 = 1
-	// never is a time that does not come.
+	// never is later than any time that occurs.
 	never monotime.Micros = 1 << 60
 )
 
-// Backend decides for one backend process. It is for one goroutine at a time.
+// Backend makes the decisions of one backend process. It is not safe for concurrent use.
 //
 // A request is rejected when the cores are busy and the smoothed run queue is above a threshold that rises with the
 // request's priority. Its caller is told not to retry elsewhere while many of the recent arrivals were retries.
@@ -32,26 +33,26 @@
 	openedAt        monotime.Micros
 	nextReadingAt   monotime.Micros
 	drainStartedAt  monotime.Micros // never unless draining
-	stopAt          monotime.Micros // when the process is stopped; never unless draining
+	stopAt          monotime.Micros // when the process will be stopped; never unless draining
 
 	inFlight         requestTable
-	remembered       map[string]*rememberedKey // by request ID
-	costs            []runCost                 // by operation
-	admittedByTenant []decayingSum             // requests, over recentWindow
+	idempotencyKeys  map[string]*idempotencyKey // by request ID
+	costs            []runCost                  // by operation
+	admittedByTenant []decayingSum              // requests, over recentWindow
 
 	arrivals arrivalStats
-	load     load
+	load     loadStats
 	runs     runStats
 	calls    callStats
 	health   healthState
 	idle     idleConnectionState
 
-	advertised  float64   // the value sent last
-	coreTimeDue []float64 // scratch space of expire: core time of the waiting requests passed, by operation
+	lastAdvertised float64   // the last value sent
+	coreTimeAhead  []float64 // used within expire: core time of the waiting requests checked so far, by operation
 }
 
-// New returns a backend whose first event is to be Opened. Backends with the same seed, configuration and events decide
-// alike.
+// New returns a backend whose first event must be Opened. Backends with the same seed, configuration and events make
+// the same decisions.
 func New(config Config, seed uint64) *Backend {
 	config.Cores = max(config.Cores, 1)
 	config.FleetSize = max(config.FleetSize, 1)
@@ -65,17 +66,17 @@
 		drainStartedAt:   never,
 		stopAt:           never,
 		inFlight:         requestTable{byID: map[string]*request{}},
-		remembered:       map[string]*rememberedKey{},
+		idempotencyKeys:  map[string]*idempotencyKey{},
 		costs:            newRunCosts(len(config.Operations)),
 		admittedByTenant: newDecayingSums(len(config.QuotaPerSecond), recentWindow),
 		arrivals:         newArrivalStats(),
 		runs:             newRunStats(),
 		calls:            newCallStats(config.CallQuotaWindow),
-		coreTimeDue:      make([]float64, len(config.Operations)),
+		coreTimeAhead:    make([]float64, len(config.Operations)),
 	}
 }
 
-// withKnownValues copies operations. A value that is unknown, or billed for each unit of work, counts as 1.
+// withKnownValues copies operations. An unknown value, or one that is billed for each unit of work, counts as 1.
 func withKnownValues(operations []Operation, valuePerWork bool) []Operation {
 	operations = slices.Clone(operations)
 	for i := range operations {
@@ -86,60 +87,61 @@
 	return operations
 }
 
-// Decide takes an event at a time that never goes back, and appends the actions that follow from it to out. An event
-// about a request that is not in flight changes nothing.
+// Decide handles an event and appends the resulting actions to out. Times must not decrease from one event to the next.
+// An event about a request that is not in flight has no effect.
 func (b *Backend) Decide(now monotime.Micros, event Event, out []Action) []Action {
 	switch event := event.(type) {
 	case Opened:
-		return b.open(now, out)
+		return b.handleOpened(now, out)
 	case Arrived:
-		out = b.arrive(now, &event, out)
+		out = b.handleArrived(now, &event, out)
 	case Launched:
 		if req := b.inFlight.byID[event.ID]; req != nil && req.phase == waiting {
 			b.start(req)
 		}
 	case Finished:
-		out = b.finish(now, event, out)
+		out = b.handleFinished(now, event, out)
 	case CallerGone:
 		if req := b.inFlight.byID[event.ID]; req != nil {
-			out = b.abandon(now, req, out)
+			out = b.endRequest(now, req, out)
 		}
 	case NeedsCall:
 		if req := b.inFlight.byID[event.ID]; req != nil && !req.answered {
-			out = b.needsCall(now, req, out)
+			out = b.handleNeedsCall(now, req, out)
 		}
 	case CallReturned:
-		out = b.callReturned(now, event, out)
+		out = b.handleCallReturned(now, event, out)
 	case DrainNotice:
-		out = b.drain(now, event, out)
+		out = b.handleDrainNotice(now, event, out)
 	case Reading:
 		if now < b.nextReadingAt {
-			return out // of a Wake that an earlier incarnation asked for
+			return out // from a Wake of an earlier incarnation
 		}
-		out = b.readGauges(now, event, out)
-		out = b.wake(now, out)
+		out = b.handleReading(now, event, out)
+		out = b.scheduleReading(now, out)
 	}
 	out = b.startCalls(now, out)
 	return b.startRuns(now, out)
 }
 
-func (b *Backend) open(now monotime.Micros, out []Action) []Action {
+// handleOpened starts the backend as healthy and requests the first reading.
+func (b *Backend) handleOpened(now monotime.Micros, out []Action) []Action {
 	b.openedAt = now
 	b.load.readAt = now
-	b.health.good = true
+	b.health.healthy = true
 	b.health.lastProgressAt = now
-	return b.wake(now, append(out, SetHealth{Good: true, FromStore: true}))
+	return b.scheduleReading(now, append(out, SetHealth{Good: true, FromStore: true}))
 }
 
-// wake asks for the next reading.
-func (b *Backend) wake(now monotime.Micros, out []Action) []Action {
+// scheduleReading requests the next reading.
+func (b *Backend) scheduleReading(now monotime.Micros, out []Action) []Action {
 	b.nextReadingAt = now + b.readingInterval
 	return append(out, Wake{At: b.nextReadingAt, Token: readingToken})
 }
 
-// drain begins the graceful shutdown. What the stop leaves no time for is answered at once, as the stop may come before
-// the next reading.
-func (b *Backend) drain(now monotime.Micros, notice DrainNotice, out []Action) []Action {
+// handleDrainNotice starts the graceful shutdown. Requests that cannot end before the stop are answered at once, since
+// the stop may come before the next reading.
+func (b *Backend) handleDrainNotice(now monotime.Micros, notice DrainNotice, out []Action) []Action {
 	b.drainStartedAt = now
 	b.stopAt = now + notice.Left
 	out = b.checkHealth(now, out)
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -7,7 +7,7 @@
 	"milletbarrow/monotime"
 )
 
-// BenchmarkStream measures one arrival, the end of a run and their part of the readings, with all cores busy:
+// BenchmarkStream measures one arrival, one end of a run and the readings in between, with all cores busy:
 //
 //	go test ./admission -run xxx -bench Stream
 func BenchmarkStream(b *testing.B) {
@@ -15,7 +15,7 @@
 		for _, hints := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d/hints=%t", inFlight, hints), func(b *testing.B) {
 				s := newStream(inFlight, hints)
-				for range 4000 { // until it has learnt what a run takes
+				for range 4000 { // until the cost estimate has settled
 					s.step(true, true)
 				}
 				for len(s.backend.inFlight.all) < inFlight {
@@ -24,7 +24,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					for len(s.backend.inFlight.all) >= inFlight {
-						s.step(false, true) // while nothing runs yet, this brings the next reading nearer
+						s.step(false, true) // while nothing runs yet, this advances the time to the next reading
 					}
 					s.step(true, false)
 				}
@@ -36,15 +36,15 @@
 // streamCores is the number of cores of a stream's backend.
 const streamCores = 2
 
-// stream feeds a backend with arrivals and the ends of its runs.
+// stream passes arrivals and ends of runs to a backend.
 type stream struct {
 	backend       *Backend
 	now           monotime.Micros
 	nextReadingAt monotime.Micros
 	actions       []Action
-	ids           []string // used in turn
+	ids           []string // used in rotation
 	arrived       int
-	hints         bool     // arrivals tell their expected work
+	hints         bool     // arrivals state their expected work
 	running       []string // in order of start
 }
 
@@ -73,7 +73,7 @@
 	return s
 }
 
-// decide gives an event to the backend and notes which requests start.
+// decide passes an event to the backend and stores the IDs of started requests.
 func (s *stream) decide(event Event) {
 	s.actions = s.backend.Decide(s.now, event, s.actions[:0])
 	for _, action := range s.actions {
@@ -83,7 +83,8 @@
 	}
 }
 
-// step lets half a millisecond go by, with a reading where it is due, an arrival and the end of the oldest run.
+// step advances the time by half a millisecond, with a reading if one is due, and optionally an arrival and the end of
+// the oldest run.
 func (s *stream) step(arrives, ends bool) {
 	s.now += monotime.Millisecond / 2
 	if s.now >= s.nextReadingAt {
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -7,68 +7,69 @@
 )
 
 const (
-	// maxCallAttempts is the number of attempts of one call, at most.
+	// maxCallAttempts limits the attempts of one call.
 	maxCallAttempts = 3
-	// callRetryBudget is the ratio of retried calls to first calls, at most.
+	// callRetryBudget limits the ratio of retries to first attempts.
 	callRetryBudget = 0.10
-	// slowCallRatio is the ratio of a call's recent to its usual duration from which fewer calls are made.
+	// slowCallRatio is the ratio of recent to baseline call duration above which the call limit is reduced.
 	slowCallRatio = 2.0
-	// maxWaitingCallsPerCore is the number of requests per core that may wait to make their call.
+	// maxWaitingCallsPerCore limits the requests per core that wait to make their call.
 	maxWaitingCallsPerCore = 2.0
-	// callQuotaUse is the share of the quota of mean calls in flight that is used.
+	// callQuotaUse is the share of callLimit up to which the mean number of calls in flight may rise.
 	callQuotaUse = 0.9
-	// A call times out after this many of its usual durations plus this part of the latency objective.
+	// The timeout of a call is its baseline duration times callTimeoutRatio, plus the latency objective divided by
+	// callTimeoutObjectiveDivisor.
 	callTimeoutRatio            = 8
 	callTimeoutObjectiveDivisor = 8
 	// minCallTimeout is the shortest timeout of a call.
 	minCallTimeout = monotime.Millisecond
 )
 
-// maxCalls returns the part of the call quota that is used: the slower calls are, the less. A dependency that is
-// overloaded, hangs or is unreachable shows here alike.
-func (b *Backend) maxCalls(now monotime.Micros) float64 {
-	return b.config.CallQuota * min(1, slowCallRatio*b.calls.usual(now)/b.calls.recent(now))
+// callLimit returns the limit on the mean number of calls in flight: the call quota, reduced as calls slow down. It
+// responds in the same way whether the dependency is overloaded, hangs or is unreachable.
+func (b *Backend) callLimit(now monotime.Micros) float64 {
+	return b.config.CallQuota * min(1, slowCallRatio*b.calls.baselineDuration(now)/b.calls.recentDuration(now))
 }
 
-// maxCallsAtOnce returns maxCalls as a number of calls, at least 1.
-func (b *Backend) maxCallsAtOnce(now monotime.Micros) float64 {
-	return max(1, math.Floor(b.maxCalls(now)))
+// concurrentCallLimit returns callLimit as a whole number of calls, at least 1.
+func (b *Backend) concurrentCallLimit(now monotime.Micros) float64 {
+	return max(1, math.Floor(b.callLimit(now)))
 }
 
-// expectedCallTime returns how long a new request of the operation would be at its call, in microseconds, with the
-// requests that wait before it. A call that may be skipped takes no time.
+// expectedCallTime returns the expected duration of the call of a new request of the operation, including the wait
+// behind earlier requests, in microseconds. A call that may be skipped counts as 0.
 func (b *Backend) expectedCallTime(now monotime.Micros, op *Operation) float64 {
 	if !op.MakesCalls || op.ValueWithoutCall > 0 {
 		return 0
 	}
-	return b.calls.recent(now) * (1 + b.count(atCall)/b.maxCallsAtOnce(now))
+	return b.calls.recentDuration(now) * (1 + b.count(callPending)/b.concurrentCallLimit(now))
 }
 
-// needsCall takes a run off the cores until its call has returned.
-func (b *Backend) needsCall(now monotime.Micros, req *request, out []Action) []Action {
-	b.setPhase(req, atCall)
+// handleNeedsCall pauses a run until its call has returned.
+func (b *Backend) handleNeedsCall(now monotime.Micros, req *request, out []Action) []Action {
+	b.setPhase(req, callPending)
 	req.nextCallAt = now
-	req.callNeededAt = b.runs.clock
-	b.load.startedSince--
-	if b.count(atCall) > maxWaitingCallsPerCore*float64(b.config.Cores) {
+	req.pauseVirtualTime = b.runs.virtualTime
+	b.load.startedSinceReading--
+	if b.count(callPending) > maxWaitingCallsPerCore*float64(b.config.Cores) {
 		out = b.giveUpCall(now, req, out)
 	}
 	return out
 }
 
-// startCalls makes the calls that runs wait for, in order of arrival, within this backend's call quota.
+// startCalls makes pending calls in order of arrival, within this backend's call quota.
 func (b *Backend) startCalls(now monotime.Micros, out []Action) []Action {
 	b.calls.dropLingering(now)
-	if b.inFlight.counts[atCall] == 0 {
+	if b.inFlight.counts[callPending] == 0 {
 		return out
 	}
-	limit := b.maxCalls(now)
-	calls := b.count(inCall) + float64(len(b.calls.lingering))
+	limit := b.callLimit(now)
+	calls := b.count(callInFlight) + float64(len(b.calls.lingering))
 	for _, req := range b.inFlight.all {
-		if req.phase != atCall || req.answered || req.nextCallAt > now {
+		if req.phase != callPending || req.answered || req.nextCallAt > now {
 			continue
 		}
-		if b.config.SharedDependency && b.callQuotaIsUsed(now, calls, limit) {
+		if b.config.SharedDependency && b.callQuotaExhausted(now, calls, limit) {
 			break
 		}
 		out = append(out, b.startCall(now, req))
@@ -77,8 +78,8 @@
 	return out
 }
 
-// callQuotaIsUsed reports whether another call would exceed the limit, at once or in the mean.
-func (b *Backend) callQuotaIsUsed(now monotime.Micros, calls, limit float64) bool {
+// callQuotaExhausted reports whether the calls in flight, now or in the mean, have reached the limit.
+func (b *Backend) callQuotaExhausted(now monotime.Micros, calls, limit float64) bool {
 	inFlightTime := &b.calls.inFlightTime
 	return calls >= max(1, math.Floor(limit)) ||
 		inFlightTime.read(now) > callQuotaUse*limit*inFlightTime.timeConstant
@@ -86,32 +87,32 @@
 
 // startCall makes the next attempt of a request's call.
 func (b *Backend) startCall(now monotime.Micros, req *request) Action {
-	b.calls.countAttempt(now, req.callAttempts > 0)
+	b.calls.recordAttempt(now, req.callAttempts > 0)
 	req.callAttempts++
-	b.setPhase(req, inCall)
-	timeout := min(req.deadline, b.answerBy()) - now
+	b.setPhase(req, callInFlight)
+	timeout := min(req.deadline, b.drainDeadline()) - now
 	if b.calls.succeeded.read(now) > 0 {
-		usual := monotime.Micros(callTimeoutRatio * b.calls.usual(now))
-		timeout = min(timeout, usual+req.op.Objective/callTimeoutObjectiveDivisor)
+		baseline := monotime.Micros(callTimeoutRatio * b.calls.baselineDuration(now))
+		timeout = min(timeout, baseline+req.op.Objective/callTimeoutObjectiveDivisor)
 	}
 	return Call{ID: req.id, Timeout: max(timeout, minCallTimeout)}
 }
 
-// callReturned resumes a run after its call, retries the call, or gives it up.
-func (b *Backend) callReturned(now monotime.Micros, event CallReturned, out []Action) []Action {
+// handleCallReturned resumes a run after its call, or schedules a retry of the call, or gives the call up.
+func (b *Backend) handleCallReturned(now monotime.Micros, event CallReturned, out []Action) []Action {
 	req := b.inFlight.byID[event.ID]
-	if req == nil || req.phase != inCall {
+	if req == nil || req.phase != callInFlight {
 		return out
 	}
 	if event.Outcome == OK {
-		b.calls.succeed(now, event.Took)
+		b.calls.recordSuccess(now, event.Took)
 		b.resume(req)
 		return out
 	}
 	if event.Outcome == TimedOut {
 		b.calls.linger(now + b.config.AbandonedCallLinger)
 	}
-	b.setPhase(req, atCall)
+	b.setPhase(req, callPending)
 	if req.answered {
 		return out
 	}
@@ -122,30 +123,30 @@
 	return b.giveUpCall(now, req, out)
 }
 
-// mayRetryCall reports whether a call that failed is safe to repeat, and within its attempts and the retry budget.
+// mayRetryCall reports whether a failed call is safe to repeat and within both the attempt limit and the retry budget.
 func (b *Backend) mayRetryCall(now monotime.Micros, req *request) bool {
 	return req.op.RetrySafety == Idempotent && req.callAttempts < maxCallAttempts &&
-		b.calls.retried.read(now)+1 <= callRetryBudget*b.calls.first.read(now)
+		b.calls.retries.read(now)+1 <= callRetryBudget*b.calls.firstAttempts.read(now)
 }
 
-// resume puts a run back on the cores. Its time off them does not count as core time.
+// resume continues a run after a call. The duration of the call does not count as core time.
 func (b *Backend) resume(req *request) {
 	b.setPhase(req, running)
-	b.load.startedSince++
+	b.load.startedSinceReading++
 	req.callAttempts = 0
-	req.startedAt += b.runs.clock - req.callNeededAt
+	req.startVirtualTime += b.runs.virtualTime - req.pauseVirtualTime
 }
 
-// giveUpCall skips a call where that is allowed. Otherwise it ends the request: with a throttle where a retry is
-// safe, else with an error.
+// giveUpCall skips a call if that is allowed. Otherwise it ends the request: with a throttle if a retry is safe, else
+// with an error.
 func (b *Backend) giveUpCall(now monotime.Micros, req *request, out []Action) []Action {
 	switch {
 	case req.op.ValueWithoutCall > 0:
 		b.resume(req)
 		return append(out, SkipCall{ID: req.id})
 	case req.op.RetrySafety == Idempotent:
-		return b.abandon(now, req, append(out, Throttle{ID: req.id, DontRetry: true}))
+		return b.endRequest(now, req, append(out, Throttle{ID: req.id, DontRetry: true}))
 	default:
-		return b.abandon(now, req, append(out, Fail{ID: req.id}))
+		return b.endRequest(now, req, append(out, Fail{ID: req.id}))
 	}
 }
--- a/admission/decaying_sum.go
+++ b/admission/decaying_sum.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// retryWindow is the recent past over which shares of arrivals, as of retries, are taken.
-	retryWindow = 4 * monotime.Second
-	// recentWindow is the recent past of runs, calls and tenants.
+	// arrivalWindow is the time constant of the counts of arrivals, retries and rejections.
+	arrivalWindow = 4 * monotime.Second
+	// recentWindow is the time constant of the recent statistics of runs, calls and tenants.
 	recentWindow = 2 * monotime.Second
-	// learningWindow is the past over which an operation's cost is learnt.
-	learningWindow = 20 * monotime.Second
+	// baselineWindow is the time constant of the baselines: operation costs, the arrival rate and deadlines.
+	baselineWindow = 20 * monotime.Second
 )
 
-// decayingSum is a sum whose terms decay exponentially with their age.
+// decayingSum is an exponentially decaying sum.
 type decayingSum struct {
 	sum          float64
 	timeConstant float64         // microseconds
-	updatedAt    monotime.Micros // time of sum
+	updatedAt    monotime.Micros // the time for which sum is valid
 }
 
 func newDecayingSum(timeConstant monotime.Micros) decayingSum {
@@ -34,7 +34,7 @@
 	return sums
 }
 
-// read returns the sum at a time.
+// read decays the sum to the given time and returns it.
 func (d *decayingSum) read(now monotime.Micros) float64 {
 	if now > d.updatedAt {
 		d.sum *= math.Exp(-float64(now-d.updatedAt) / d.timeConstant)
@@ -47,7 +47,7 @@
 	d.sum = d.read(now) + term
 }
 
-// subtract takes a term back that was added not long ago. The sum stays at least 0.
+// subtract removes a recently added term. The sum never falls below 0.
 func (d *decayingSum) subtract(now monotime.Micros, term float64) {
 	d.sum = max(0, d.read(now)-term)
 }
--- a/admission/event.go
+++ b/admission/event.go
@@ -2,34 +2,34 @@
 
 import "milletbarrow/monotime"
 
-// Event is what happened: one of the types of this file.
+// Event is an input of Decide: one of the types of this file.
 type Event any
 
 // Opened is the first event of a backend.
 type Opened struct{}
 
-// Arrived reports that a request has been read. It is in flight from now on, and owed one final answer.
+// Arrived reports that a request has been read. From then on it is in flight and must get exactly one final answer.
 type Arrived struct {
-	ID           string          // of this attempt; never used again
+	ID           string          // of this attempt; unique
 	Operation    int             // index into Config.Operations
-	Tenant       int             // index into Config.QuotaPerSecond; beyond its end: no tenant
+	Tenant       int             // index into Config.QuotaPerSecond; past its end: no tenant
 	Priority     float64         // 0 (lowest) to 1
 	Retry        bool            // marked by the caller as a retry or a hedged request
 	ExpectedWork monotime.Micros // on a standard core; 0: unknown
-	QueueTime    monotime.Micros // since it reached the host, before it was read
-	TimeLeft     monotime.Micros // until its caller's deadline; 0: unknown, see Operation.ClientTimeout
+	QueueTime    monotime.Micros // from reaching the host until it was read
+	TimeLeft     monotime.Micros // until the caller's deadline; 0: unknown, see Operation.ClientTimeout
 	MemoryKB     float64         // while it waits
-	RepeatOf     string          // ID of the remembered request with the same idempotency key; "": none
-	ShedFor      monotime.Micros // graceful degradation sheds it, for at most so long; 0: it is not shed
-	Quota        QuotaStanding   // how it relates to its tenant's lease of a fleet-wide quota
+	RepeatOf     string          // ID of the stored request with the same idempotency key; "": none
+	ShedFor      monotime.Micros // longest time for which graceful degradation sheds it; 0: not shed
+	Quota        QuotaStanding   // relation to the tenant's lease of a fleet-wide quota
 }
 
-// QuotaStanding says whether a request is within what its tenant may use of this backend.
+// QuotaStanding specifies whether a request is within its tenant's quota at this backend.
 type QuotaStanding int8
 
-// The standings.
+// The quota standings.
 const (
-	QuotaUnknown QuotaStanding = iota // no lease tells: it is estimated from Config.QuotaPerSecond and FleetSize
+	QuotaUnknown QuotaStanding = iota // there is no lease: estimated from Config.QuotaPerSecond and FleetSize
 	WithinQuota
 	OverQuota
 )
@@ -39,56 +39,56 @@
 	ID string
 }
 
-// Outcome is how a run, or a call to the dependency, ended.
+// Outcome is the result of a run or of a call to the dependency.
 type Outcome int
 
-// The outcomes. QueueFull, Unreachable, NeverRan and Unrunnable prove that nothing ran.
+// The outcomes. After QueueFull, Unreachable, NeverRan and Unrunnable it is certain that nothing ran.
 const (
 	OK          Outcome = iota
-	Errored             // it ended with an error
+	Errored             // the run or call ended with an error
 	QueueFull           // the dependency refused the call
 	TimedOut            // the call timed out and may still be at the dependency
-	Unreachable         // the dependency could not be reached
+	Unreachable         // no connection to the dependency
 	Reset               // the connection broke during the call
-	Canceled            // the run was stopped, or its caller had left
+	Canceled            // the run was stopped, or its caller had disconnected
 	NeverRan            // the executor did not start it
-	Unrunnable          // the executor knows no such request: it was no caller's work
+	Unrunnable          // unknown to the executor: not sent by a caller
 )
 
-// Finished reports that a run, or the answer of a Reuse, has ended.
+// Finished reports that a run, or the answer to a Reuse, has ended.
 type Finished struct {
 	ID      string
 	Outcome Outcome
-	Took    monotime.Micros // since the action that began it
+	Took    monotime.Micros // since the Start or Reuse
 }
 
-// CallerGone reports that the caller no longer waits: no answer is owed.
+// CallerGone reports that the caller has disconnected: no answer is needed.
 type CallerGone struct {
 	ID string
 }
 
-// NeedsCall reports that a run waits for a call to the dependency.
+// NeedsCall reports that a run is waiting for a call to the dependency.
 type NeedsCall struct {
 	ID string
 }
 
-// CallReturned reports how a call to the dependency ended.
+// CallReturned reports the end of a call to the dependency.
 type CallReturned struct {
 	ID      string
 	Outcome Outcome
-	Took    monotime.Micros // since its Call
+	Took    monotime.Micros // since the Call
 }
 
-// DrainNotice begins a graceful shutdown.
+// DrainNotice starts the graceful shutdown.
 type DrainNotice struct {
 	Left monotime.Micros // until the process is stopped
 }
 
-// Reading is the expiry of a Wake, with the gauges of that moment. A gauge that the deployment lacks is -1.
+// Reading reports that the time of a Wake has come, with the current gauges. A gauge that is not available is -1.
 type Reading struct {
 	Token       int64   // of the Wake
 	CoreUse     float64 // share of the cores in use, 0 to 1
-	OnCores     float64 // tasks that run or wait for a core
+	OnCores     float64 // number of tasks that run or wait for a core
 	MemoryShare float64 // share of the memory limit in use, 0 to 1
 	Connections float64 // open connections
 }
--- a/admission/finish.go
+++ b/admission/finish.go
@@ -2,8 +2,8 @@
 
 import "milletbarrow/monotime"
 
-// finish ends a run or a reuse, and learns from what the run took.
-func (b *Backend) finish(now monotime.Micros, event Finished, out []Action) []Action {
+// handleFinished ends a run or a reuse and updates the run statistics.
+func (b *Backend) handleFinished(now monotime.Micros, event Finished, out []Action) []Action {
 	req := b.inFlight.byID[event.ID]
 	if req == nil {
 		return out
@@ -12,10 +12,10 @@
 	case OK:
 		b.health.lastProgressAt = now
 	case Unrunnable:
-		return b.discount(now, req, out)
+		return b.undoArrival(now, req, out)
 	default:
 	}
-	if req.phase == inCall {
+	if req.phase == callInFlight {
 		b.calls.linger(now + b.config.AbandonedCallLinger)
 	}
 	if req.phase.hasStarted() {
@@ -27,9 +27,9 @@
 	return b.remove(req, out)
 }
 
-// discount removes a request as if it had never been read: what no caller sent counts neither as load nor as a first
-// attempt.
-func (b *Backend) discount(now monotime.Micros, req *request, out []Action) []Action {
+// undoArrival removes a request that no caller sent and reverses its recent arrival counts: it must count neither as
+// load nor as a first attempt.
+func (b *Backend) undoArrival(now monotime.Micros, req *request, out []Action) []Action {
 	b.arrivals.recent.subtract(now, 1)
 	if req.retry {
 		b.arrivals.retries.subtract(now, 1)
@@ -37,23 +37,23 @@
 	if req.tenant < len(b.admittedByTenant) {
 		b.admittedByTenant[req.tenant].subtract(now, 1)
 	}
-	b.load.startedSince--
+	b.load.startedSinceReading--
 	return b.remove(req, out)
 }
 
-// endRun takes a run off the cores, and learns what its operation costs if it succeeded.
+// endRun updates the statistics at the end of a run; a successful run also updates its operation's cost estimate.
 func (b *Backend) endRun(now monotime.Micros, req *request, outcome Outcome) {
-	b.load.startedSince--
+	b.load.startedSinceReading--
 	if req.phase != running {
 		b.resume(req)
 	}
-	spent := max(1, b.runs.clock-req.startedAt)
-	expected := req.units * req.cost.perUnit(now)
+	coreTime := max(1, b.runs.virtualTime-req.startVirtualTime)
+	expected := req.units * req.cost.coreTimePerUnit(now)
 	if outcome == OK {
-		req.cost.coreTime.add(now, spent)
+		req.cost.coreTime.add(now, coreTime)
 		req.cost.units.add(now, req.units)
 	} else {
-		expected = min(expected, spent) // it may have been cut short
+		expected = min(expected, coreTime) // the run may have been cut short
 	}
 	b.runs.expected.add(now, expected)
 	b.runs.ended.add(now, 1)
--- a/admission/health.go
+++ b/admission/health.go
@@ -3,49 +3,49 @@
 import "milletbarrow/monotime"
 
 const (
-	// A backend whose cores are full is stuck after minStuckTime, or stuckRuns usual runs if that is longer, without
-	// progress,
-	minStuckTime = 2 * monotime.Second
-	stuckRuns    = 8
-	// if it also reads requests at less than stuckReadRate of its usual rate.
-	stuckReadRate = 0.5
-	// unhealthyTime is how long a backend that was stuck stays unhealthy.
-	unhealthyTime = 3 * monotime.Second
-	// minEndedRuns bounds the mean duration of a run while hardly any has ended.
+	// A backend with full cores counts as stuck after minStuckDuration, or the mean run duration times
+	// stuckRunDurations if that is longer, without progress,
+	minStuckDuration  = 2 * monotime.Second
+	stuckRunDurations = 8
+	// if it also reads requests at less than stuckReadRateShare of its baseline rate.
+	stuckReadRateShare = 0.5
+	// unhealthyDuration is how long a backend stays unhealthy after it was stuck.
+	unhealthyDuration = 3 * monotime.Second
+	// minEndedRuns avoids division by zero in the mean run duration while hardly any run has ended.
 	minEndedRuns = 0.01
 )
 
-// healthState is how health checks are answered, and what that rests on.
+// healthState is the health status and the measurements that determine it.
 type healthState struct {
-	good           bool
+	healthy        bool
 	lastProgressAt monotime.Micros // when a run last succeeded or a request was last read in time
 	lastLateReadAt monotime.Micros // when a request was last read late
 	unhealthyUntil monotime.Micros
 }
 
-// checkHealth fails health checks while the backend drains or was stuck of late. Being slow to find it stuck is meant:
-// each backend that leaves the endpoint list sends its load to the others, until all are unhealthy.
+// checkHealth fails health checks while the backend drains or was recently stuck. Detection is slow on purpose: each
+// backend that leaves the endpoint list shifts its load to the others, until all of them are unhealthy.
 func (b *Backend) checkHealth(now monotime.Micros, out []Action) []Action {
 	if b.isStuck(now) {
-		b.health.unhealthyUntil = now + unhealthyTime
+		b.health.unhealthyUntil = now + unhealthyDuration
 	}
-	good := now >= b.health.unhealthyUntil && !b.draining()
-	if good == b.health.good {
+	healthy := now >= b.health.unhealthyUntil && !b.draining()
+	if healthy == b.health.healthy {
 		return out
 	}
-	b.health.good = good
-	return append(out, SetHealth{Good: good, FromStore: true})
+	b.health.healthy = healthy
+	return append(out, SetHealth{Good: healthy, FromStore: true})
 }
 
-// isStuck reports whether full cores have made no progress for long, while requests are read late and few of them. An
-// overload that makes progress, or has the backend read more than usual, is not a fault of this backend.
+// isStuck reports whether full cores have made no progress for too long while requests are read late and at a low rate.
+// An overload during which the backend makes progress or maintains its read rate is not a fault of the backend.
 func (b *Backend) isStuck(now monotime.Micros) bool {
-	usualRun := b.runs.expected.read(now) / max(b.runs.ended.read(now), minEndedRuns)
-	readRate := b.arrivals.recent.read(now) / float64(retryWindow)
-	usualReadRate := b.arrivals.usual.read(now) / float64(learningWindow)
-	stuckTime := max(minStuckTime, monotime.Micros(stuckRuns*usualRun))
+	meanRun := b.runs.expected.read(now) / max(b.runs.ended.read(now), minEndedRuns)
+	readRate := b.arrivals.recent.read(now) / float64(arrivalWindow)
+	baselineReadRate := b.arrivals.baseline.read(now) / float64(baselineWindow)
+	stuckDuration := max(minStuckDuration, monotime.Micros(stuckRunDurations*meanRun))
 	return b.coresFull() &&
 		b.health.lastLateReadAt > b.health.lastProgressAt &&
-		readRate < stuckReadRate*usualReadRate &&
-		now > b.health.lastProgressAt+stuckTime
+		readRate < stuckReadRateShare*baselineReadRate &&
+		now > b.health.lastProgressAt+stuckDuration
 }
--- a/admission/idle_connections_test.go
+++ b/admission/idle_connections_test.go
@@ -8,16 +8,16 @@
 	"milletbarrow/monotime"
 )
 
-// Idle connections of sparse callers are closed early; frequent callers, and few callers, keep theirs.
-func TestIdleConnectionsOfSparseCallers(t *testing.T) {
-	few := newTrace(t, func(config *Config) {
+// Idle connections of many infrequent callers are closed early; those of frequent callers or of few callers are not.
+func TestIdleConnectionsOfInfrequentCallersAreClosedEarly(t *testing.T) {
+	fewCallers := newTrace(t, func(config *Config) {
 		config.Callers = 32
 		config.FleetSize = 300
 		config.IdleTimeout = 30 * monotime.Second
 	})
-	few.pass(6000, 0.5, 1)
-	if text := few.text.String(); strings.Contains(text, "CloseIdle") {
-		t.Errorf("connections of 16 callers per core are closed early:\n%s", text)
+	fewCallers.advance(6000, 0.5, 1)
+	if text := fewCallers.text.String(); strings.Contains(text, "CloseIdle") {
+		t.Errorf("idle connections of 16 callers per core were closed early:\n%s", text)
 	}
 	tr := newTrace(t, func(config *Config) {
 		config.Callers = 40
@@ -27,15 +27,15 @@
 	for _, every := range []monotime.Micros{500, 60, 500} {
 		tr.note(fmt.Sprintf("40 callers, a request every %d ms", every))
 		for end := tr.now + 12*monotime.Second; tr.now < end; {
-			tr.b.arrivals.recent.add(tr.now, 1)
-			tr.pass(every, 0.5, 1)
+			tr.backend.arrivals.recent.add(tr.now, 1)
+			tr.advance(every, 0.5, 1)
 		}
 	}
-	tr.check()
+	tr.compare()
 }
 
-// In saturation idle connections stay open, as new ones would hardly bring a request that is admitted.
-func TestSaturationLeavesConnectionsOpen(t *testing.T) {
+// In saturation idle connections stay open, because requests on new connections would rarely be admitted.
+func TestSaturationKeepsIdleConnectionsOpen(t *testing.T) {
 	tr := newTrace(t, func(config *Config) {
 		config.Callers = 400
 		config.FleetSize = 300
@@ -47,24 +47,24 @@
 			if n < throttled {
 				arrived.ShedFor = monotime.Millisecond
 			}
-			tr.b.Decide(tr.now, arrived, nil)
-			tr.b.Decide(tr.now, Finished{ID: arrived.ID, Outcome: OK}, nil)
+			tr.backend.Decide(tr.now, arrived, nil)
+			tr.backend.Decide(tr.now, Finished{ID: arrived.ID, Outcome: OK}, nil)
 		}
-		tr.pass(200, 1, 1)
+		tr.advance(200, 1, 1)
 	}
-	tr.note("sparse callers")
-	tr.pass(3000, 1, 4)
-	tr.note("eight in ten requests are rejected, then ten tasks occupy the cores: neither is saturation")
+	tr.note("infrequent callers")
+	tr.advance(3000, 1, 4)
+	tr.note("80% of the requests are rejected, then ten tasks occupy the cores: neither is saturation")
 	for range 5 {
 		readFor200ms(16, 20)
 	}
-	tr.pass(30_000, 1, 10)
-	tr.pass(10_000, 1, 1)
-	tr.note("eight requests, all rejected, are too few for saturation")
+	tr.advance(30_000, 1, 10)
+	tr.advance(10_000, 1, 1)
+	tr.note("eight requests, all rejected: too few for saturation")
 	readFor200ms(8, 8)
-	tr.pass(30_000, 1, 1)
-	tr.note("nineteen of twenty requests are rejected: saturation; then none for more than a minute")
+	tr.advance(30_000, 1, 1)
+	tr.note("19 of 20 requests are rejected: saturation; then no request for more than a minute")
 	readFor200ms(19, 20)
-	tr.pass(70_000, 1, 1)
-	tr.check()
+	tr.advance(70_000, 1, 1)
+	tr.compare()
 }
--- a/admission/random.go
+++ b/admission/random.go
@@ -12,7 +12,7 @@
 	pcgRotationMask         = 31
 )
 
-// random returns the next value of the backend's random sequence, at least 0 and less than 1.
+// random returns the next pseudo-random number in [0, 1).
 func (b *Backend) random() float64 {
 	state := b.randomState*pcgMultiplier + pcgIncrement
 	b.randomState = state
--- a/admission/reading.go
+++ b/admission/reading.go
@@ -9,22 +9,22 @@
 // queueSmoothing is the time constant of the smoothed run queue.
 const queueSmoothing = 200 * monotime.Millisecond
 
-// load is the latest reading of the gauges, and the changes that are known since.
-type load struct {
-	readAt  monotime.Micros
-	onCores float64 // tasks that run or wait for a core
-	coreUse float64 // share of the cores in use, 0 to 1
-	queue   float64 // smoothed run queue: tasks on the cores and requests that wait
+// loadStats is the latest gauge reading and the changes known since.
+type loadStats struct {
+	readAt           monotime.Micros
+	measuredRunnable float64 // number of tasks that run or wait for a core
+	coreUse          float64 // share of the cores in use, 0 to 1
+	smoothedQueue    float64 // smoothed run queue: runnable tasks and waiting requests
 
-	admittedSince float64 // requests admitted since, less those of them that are over
-	startedSince  float64 // runs that came to the cores since, less those that left them
+	admittedSinceReading float64 // requests admitted since the reading, minus admitted requests that ended
+	startedSinceReading  float64 // runs that became runnable since the reading, minus those that no longer are
 }
 
 // runnable returns the number of tasks that run or wait for a core.
-func (l *load) runnable() float64 { return l.onCores + l.startedSince }
+func (l *loadStats) runnable() float64 { return l.measuredRunnable + l.startedSinceReading }
 
-// readGauges takes a reading and decides what the passing of time brings about.
-func (b *Backend) readGauges(now monotime.Micros, reading Reading, out []Action) []Action {
+// handleReading updates the statistics from a reading and makes the decisions that depend on time.
+func (b *Backend) handleReading(now monotime.Micros, reading Reading, out []Action) []Action {
 	b.accountRuns(now, reading)
 	b.accountCalls(now)
 	b.updateLoad(now, reading)
@@ -35,43 +35,43 @@
 	return b.closeIdle(now, out)
 }
 
-// accountRuns attributes the time since the last reading to the runs.
+// accountRuns adds the time since the last reading to the run statistics.
 func (b *Backend) accountRuns(now monotime.Micros, reading Reading) {
 	elapsed := float64(now - b.load.readAt)
-	meanOnCores := (b.load.onCores + reading.OnCores) / 2 //nolint:mnd // the mean of two
-	perRun := elapsed / max(1, meanOnCores/float64(b.config.Cores))
-	b.runs.clock += perRun
+	meanRunnable := (b.load.measuredRunnable + reading.OnCores) / 2 //nolint:mnd // the mean of two
+	perRun := elapsed / max(1, meanRunnable/float64(b.config.Cores))
+	b.runs.virtualTime += perRun
 	b.runs.coreTime.add(now, perRun*b.count(running))
 	b.runs.unfinished = 0
 	for _, req := range b.inFlight.all {
 		if req.phase == running {
-			b.runs.unfinished += min(b.runs.clock-req.startedAt, req.units*req.cost.perUnit(now))
+			b.runs.unfinished += min(b.runs.virtualTime-req.startVirtualTime, req.units*req.cost.coreTimePerUnit(now))
 		}
 	}
 }
 
-// accountCalls attributes the time since the last reading to the calls.
+// accountCalls adds the time since the last reading to the call statistics.
 func (b *Backend) accountCalls(now monotime.Micros) {
 	elapsed := float64(now - b.load.readAt)
-	b.calls.inFlightTime.add(now, (b.count(inCall)+float64(len(b.calls.lingering)))*elapsed)
-	b.calls.spent.add(now, b.count(inCall)*elapsed)
+	b.calls.inFlightTime.add(now, (b.count(callInFlight)+float64(len(b.calls.lingering)))*elapsed)
+	b.calls.recentTime.add(now, b.count(callInFlight)*elapsed)
 }
 
-// updateLoad takes the gauges. One that the deployment lacks is replaced by what is known here.
+// updateLoad updates the load from the gauges. A gauge that is not available is replaced by an estimate.
 func (b *Backend) updateLoad(now monotime.Micros, reading Reading) {
 	elapsed := float64(now - b.load.readAt)
 	b.load.readAt = now
 	b.load.coreUse = reading.CoreUse
 	if reading.CoreUse < 0 {
-		b.load.coreUse = 1 // the run queue alone says whether the cores are busy
+		b.load.coreUse = 1 // the run queue alone decides whether the cores are busy
 	}
-	b.load.onCores = reading.OnCores
+	b.load.measuredRunnable = reading.OnCores
 	if reading.OnCores < 0 {
-		b.load.onCores = b.count(running)
+		b.load.measuredRunnable = b.count(running)
 	}
-	b.load.queue += b.load.admittedSince // known without smoothing
-	target := b.load.onCores + b.count(waiting)
-	b.load.queue += (target - b.load.queue) * (1 - math.Exp(-elapsed/float64(queueSmoothing)))
-	b.load.admittedSince = 0
-	b.load.startedSince = 0
+	b.load.smoothedQueue += b.load.admittedSinceReading // counted exactly, so not smoothed
+	target := b.load.measuredRunnable + b.count(waiting)
+	b.load.smoothedQueue += (target - b.load.smoothedQueue) * (1 - math.Exp(-elapsed/float64(queueSmoothing)))
+	b.load.admittedSinceReading = 0
+	b.load.startedSinceReading = 0
 }
--- a/admission/request.go
+++ b/admission/request.go
@@ -2,58 +2,56 @@
 
 import "milletbarrow/monotime"
 
-// phase is the state of a request in flight.
+// phase is the execution state of a request in flight.
 type phase int
 
 const (
-	waiting   phase = iota // for a start
-	running                // on the cores
-	atCall                 // off the cores, its call has not been made
-	inCall                 // off the cores, the dependency works on its call
-	reusing                // its answer is the result of another request
-	numPhases              // the number of phases
+	waiting       phase = iota // to be started
+	running                    // on the cores
+	callPending                // paused until its dependency call can be made
+	callInFlight               // paused while its dependency call is in flight
+	reusingResult              // to be answered with the result of another request
+	numPhases                  // the number of phases
 )
 
-// hasStarted reports whether a request of this phase has started and not ended. It takes its running memory then.
-func (p phase) hasStarted() bool { return p != waiting && p != reusing }
+// hasStarted reports whether a request in this phase has started and not ended, so that it takes its running memory.
+func (p phase) hasStarted() bool { return p != waiting && p != reusingResult }
 
 // request is a request in flight.
 type request struct {
 	id        string
-	sequence  int // in order of arrival
+	sequence  int // position in order of arrival
 	operation int // index into Config.Operations
 	op        *Operation
-	cost      *runCost // of the operation
+	cost      *runCost // shared by the operation's requests
 	tenant    int
 	retry     bool
 
-	priority float64 // 0 to 1, lowered beyond the tenant's quota
+	priority float64 // 0 to 1, adjusted by the tenant's quota
 	memoryKB float64 // while it waits
-	units    float64 // of work: the expected work, or 1 where that is unknown
+	units    float64 // units of work: the expected work, or 1 if unknown
 
-	arrivedAt     monotime.Micros // at the host
-	deadline      monotime.Micros // of its caller
-	objective     monotime.Micros // end of its latency objective, at most the deadline
+	arrivedAt     monotime.Micros // when it reached the host
+	deadline      monotime.Micros // the caller's
+	objective     monotime.Micros // end of the latency objective, no later than the deadline
 	minRetryAfter monotime.Micros
 
 	phase    phase
 	admitted bool
-	answered bool // no answer is owed any more; it only has to leave the cores
+	answered bool // no answer is needed any more; in flight until its run ends
 
-	startedAt       float64         // runStats.clock at the start, plus what the clock advanced during calls
-	stopRequestedAt monotime.Micros // latest Stop; 0: none
+	startVirtualTime float64         // runStats.virtualTime at the start, plus its advance during calls
+	stopRequestedAt  monotime.Micros // when Stop was last sent; 0: never
 
-	callAttempts int             // of the present call
-	callNeededAt float64         // runStats.clock when it last left the cores for a call
-	nextCallAt   monotime.Micros // end of the backoff before the next attempt
+	callAttempts     int             // attempts of the current call
+	pauseVirtualTime float64         // runStats.virtualTime when it last paused for a call
+	nextCallAt       monotime.Micros // end of the backoff before the next attempt
 }
 
-const (
-	// firstCostShare is the share of the latency objective that an operation's first run is expected to take on a core.
-	firstCostShare = 1.0 / 8
-)
+// priorCostShare is the expected core time of an operation's first run, as a share of its latency objective.
+const priorCostShare = 1.0 / 8
 
-// newRequest returns a request as it has been read; it is not in flight yet.
+// newRequest returns the request of an arrival. It is not in the request table yet.
 func (b *Backend) newRequest(now monotime.Micros, arrived *Arrived, op *Operation) *request {
 	arrivedAt := now - arrived.QueueTime
 	deadline := now + arrived.TimeLeft
@@ -82,9 +80,9 @@
 		objective:     min(deadline, arrivedAt+op.Objective+stretch),
 		minRetryAfter: max(arrived.QueueTime, arrived.ShedFor),
 	}
-	if req.cost.units.sum == 0 { // nothing learnt yet: an estimate that the first runs outweigh
+	if req.cost.units.sum == 0 { // no estimate yet: a prior that the first runs outweigh
 		req.cost.units.add(now, units)
-		req.cost.coreTime.add(now, max(float64(arrived.ExpectedWork), firstCostShare*float64(op.Objective)))
+		req.cost.coreTime.add(now, max(float64(arrived.ExpectedWork), priorCostShare*float64(op.Objective)))
 	}
 	return req
 }
--- a/admission/threshold.go
+++ b/admission/threshold.go
@@ -3,27 +3,27 @@
 import "milletbarrow/monotime"
 
 const (
-	// busyCoreUse is the share of the cores in use from which they count as busy.
+	// busyCoreUse is the share of the cores in use at or above which they count as busy.
 	busyCoreUse = 0.85
 
-	// The threshold of the lowest and of the highest priority is this many runs per core,
+	// The thresholds of the lowest and of the highest priority, in tasks per core,
 	lowestThresholdPerCore  = 1.0
 	highestThresholdPerCore = 2.5
-	// and this many more whatever the number of cores, as the queue of few cores varies more by chance.
+	// plus a constant, because the queue of a host with few cores varies more.
 	lowestThresholdBurst  = 2.0
 	highestThresholdBurst = 4.0
 )
 
-// busy reports whether CPU use is above busyCoreUse and the run queue is at least as long as the number of cores.
+// busy reports whether CPU use is at least busyCoreUse and all cores have a runnable task.
 func (b *Backend) busy() bool { return b.load.coreUse >= busyCoreUse && b.coresFull() }
 
-// coresFull reports whether there are at least as many runs on the cores as cores.
+// coresFull reports whether there are at least as many runnable tasks as cores.
 func (b *Backend) coresFull() bool { return b.load.runnable() >= float64(b.config.Cores) }
 
-// runQueue returns the smoothed run queue, corrected by the requests admitted and ended since the last reading.
-func (b *Backend) runQueue() float64 { return b.load.queue + b.load.admittedSince }
+// runQueue returns the smoothed run queue plus the net change by admitted and ended requests since the last reading.
+func (b *Backend) runQueue() float64 { return b.load.smoothedQueue + b.load.admittedSinceReading }
 
-// threshold returns the run queue above which a request of this priority, 0 to 1, is rejected while the cores are busy.
+// threshold returns the run queue above which a request of the given priority is rejected while the cores are busy.
 func (b *Backend) threshold(now monotime.Micros, priority float64) float64 {
 	cores := float64(b.config.Cores)
 	lowest := min(lowestThresholdPerCore*cores+lowestThresholdBurst, b.maxRuns(now))
--- a/admission/trace_test.go
+++ b/admission/trace_test.go
@@ -10,12 +10,12 @@
 	"milletbarrow/monotime"
 )
 
-// trace gives events to one backend and records them with the actions that follow.
+// trace passes events to one backend and records them with the resulting actions.
 type trace struct {
-	t    *testing.T
-	b    *Backend
-	now  monotime.Micros
-	text strings.Builder
+	t       *testing.T
+	backend *Backend
+	now     monotime.Micros
+	text    strings.Builder
 }
 
 // The operations of a trace's backend.
@@ -25,7 +25,7 @@
 	nonIdempotentOperation
 )
 
-// newTrace returns the trace of a backend of two cores, opened at 1 s. edit may change its configuration.
+// newTrace returns the trace of a backend with two cores that is opened at 1 s. edit may change its configuration.
 func newTrace(t *testing.T, edit func(*Config)) *trace {
 	t.Helper()
 	operation := Operation{
@@ -59,12 +59,12 @@
 	if edit != nil {
 		edit(&config)
 	}
-	tr := &trace{t: t, b: New(config, 7), now: monotime.Second}
-	tr.do(Opened{})
+	tr := &trace{t: t, backend: New(config, 7), now: monotime.Second}
+	tr.record(Opened{})
 	return tr
 }
 
-// arrival returns the arrival of a request of 100 ms of work and priority 0.9.
+// arrival returns the arrival of a request with 100 ms of expected work and priority 0.9.
 func arrival(id string, operation int, edits ...func(*Arrived)) Arrived {
 	arrived := Arrived{
 		ID:           id,
@@ -80,20 +80,20 @@
 	return arrived
 }
 
-// retry marks an arrival as a retry.
-func retry(arrived *Arrived) { arrived.Retry = true }
+// asRetry marks an arrival as a retry.
+func asRetry(arrived *Arrived) { arrived.Retry = true }
 
 // withTimeLeft sets the time until an arrival's deadline.
 func withTimeLeft(left monotime.Micros) func(*Arrived) {
 	return func(arrived *Arrived) { arrived.TimeLeft = left }
 }
 
-// withQueueTime sets the time for which an arrival stood unread.
+// withQueueTime sets the time for which an arrival waited to be read.
 func withQueueTime(queueTime monotime.Micros) func(*Arrived) {
 	return func(arrived *Arrived) { arrived.QueueTime = queueTime }
 }
 
-// withShedFor sheds an arrival for a time.
+// withShedFor marks an arrival as shed by graceful degradation for a time.
 func withShedFor(span monotime.Micros) func(*Arrived) {
 	return func(arrived *Arrived) { arrived.ShedFor = span }
 }
@@ -103,13 +103,13 @@
 	return func(arrived *Arrived) { arrived.MemoryKB = kb }
 }
 
-// repeatOf marks an arrival as a repeat of another request.
+// repeatOf marks an arrival as a repeat of the request with the given ID.
 func repeatOf(id string) func(*Arrived) {
 	return func(arrived *Arrived) { arrived.RepeatOf = id }
 }
 
-// do decides one event and records it. A reading without actions other than its Wake is left out.
-func (tr *trace) do(event Event) {
+// record passes one event to the backend and records it. Readings without actions other than Wake are omitted.
+func (tr *trace) record(event Event) {
 	actions := tr.decide(event)
 	if _, isReading := event.(Reading); isReading && len(actions) == 0 {
 		return
@@ -133,15 +133,15 @@
 
 func typeName(value any) string { return strings.TrimPrefix(fmt.Sprintf("%T", value), "admission.") }
 
-// decide returns the actions of one event other than Wake.
+// decide passes one event to the backend and returns the actions other than Wake.
 func (tr *trace) decide(event Event) []Action {
-	return slices.DeleteFunc(tr.b.Decide(tr.now, event, nil), func(action Action) bool {
+	return slices.DeleteFunc(tr.backend.Decide(tr.now, event, nil), func(action Action) bool {
 		_, isWake := action.(Wake)
 		return isWake
 	})
 }
 
-// expect fails the test unless the event leads to exactly these actions.
+// expect fails the test unless the event results in exactly these actions.
 func (tr *trace) expect(event Event, want ...Action) {
 	tr.t.Helper()
 	if got := tr.decide(event); !slices.Equal(got, want) {
@@ -149,40 +149,40 @@
 	}
 }
 
-// note records a comment.
+// note adds a comment to the record.
 func (tr *trace) note(text string) { fmt.Fprintf(&tr.text, "# %s\n", text) }
 
-// arrive decides and records an arrival.
+// arrive records the arrival of a request with the given priority.
 func (tr *trace) arrive(id string, operation int, priority float64, edits ...func(*Arrived)) {
 	arrived := arrival(id, operation)
 	arrived.Priority = priority
 	for _, edit := range edits {
 		edit(&arrived)
 	}
-	tr.do(arrived)
+	tr.record(arrived)
 }
 
-// arriveAndEnd decides a small request of the lowest priority, and its end, without a record.
+// arriveAndEnd passes the arrival and the end of a small request of the lowest priority without recording them.
 func (tr *trace) arriveAndEnd(id string, timeLeft monotime.Micros) {
-	tr.b.Decide(tr.now, Arrived{ID: id, TimeLeft: timeLeft, MemoryKB: 1}, nil)
-	tr.b.Decide(tr.now, Finished{ID: id, Outcome: OK}, nil)
+	tr.backend.Decide(tr.now, Arrived{ID: id, TimeLeft: timeLeft, MemoryKB: 1}, nil)
+	tr.backend.Decide(tr.now, Finished{ID: id, Outcome: OK}, nil)
 }
 
-// finish ends a run after 100 ms.
+// finish records the end of a run after 100 ms.
 func (tr *trace) finish(id string, outcome Outcome) {
-	tr.do(Finished{ID: id, Outcome: outcome, Took: 100 * monotime.Millisecond})
+	tr.record(Finished{ID: id, Outcome: outcome, Took: 100 * monotime.Millisecond})
 }
 
-// pass lets time go by, in milliseconds, with the gauges as given.
-func (tr *trace) pass(milliseconds monotime.Micros, coreUse, onCores float64) {
+// advance advances the time, in milliseconds, with readings of the given gauges.
+func (tr *trace) advance(milliseconds monotime.Micros, coreUse, onCores float64) {
 	for end := tr.now + milliseconds*monotime.Millisecond; tr.now < end; {
-		tr.now = min(end, tr.now+tr.b.readingInterval)
-		tr.do(Reading{Token: readingToken, CoreUse: coreUse, OnCores: onCores})
+		tr.now = min(end, tr.now+tr.backend.readingInterval)
+		tr.record(Reading{Token: readingToken, CoreUse: coreUse, OnCores: onCores})
 	}
 }
 
-// check compares the record with the one in testdata that has the test's name.
-func (tr *trace) check() {
+// compare compares the record with the golden file of the test in testdata.
+func (tr *trace) compare() {
 	tr.t.Helper()
 	fakes.Compare(tr.t, tr.text.String())
 }
--- a/admission/unmarked_retry.go
+++ b/admission/unmarked_retry.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// deadlineGroups is the number of different deadlines that are told apart.
+	// deadlineGroups is the number of distinct deadlines that are counted.
 	deadlineGroups = 6
-	// sameDeadline is the difference, in client timeouts, below which two deadlines are the same.
+	// sameDeadline is the difference, as a share of the client timeout, below which two deadlines count as equal.
 	sameDeadline = 0.01
-	// usualDeadlineShare is the share of arrivals from which a deadline is taken for that of first attempts.
+	// usualDeadlineShare is the share of arrivals at or above which a deadline is attributed to first attempts.
 	usualDeadlineShare = 0.15
 )
 
-// deadlineGroup counts the requests with one deadline.
+// deadlineGroup counts the requests with the same deadline.
 type deadlineGroup struct {
-	deadline float64     // from arrival, in client timeouts
-	count    decayingSum // over learningWindow
+	deadline float64     // counted from arrival, as a share of the client timeout
+	count    decayingSum // over baselineWindow
 }
 
-// hasUnusualDeadline stands in for the retry mark where callers set none: first attempts all have the same time left
-// until their deadline, and a retry has what remains of it.
+// hasUnusualDeadline recognises retries of callers that do not mark them: first attempts share a few common times until
+// their deadline, while a retry has only the remainder of one.
 func (b *Backend) hasUnusualDeadline(now monotime.Micros, arrived *Arrived, op *Operation) bool {
 	groups := &b.arrivals.deadlines
 	for i := range groups {
@@ -32,13 +32,13 @@
 	group := nearestGroup(groups, deadline)
 	if math.Abs(group.deadline-deadline) >= sameDeadline {
 		group = smallestGroup(groups, group)
-		*group = deadlineGroup{deadline: deadline, count: newDecayingSum(learningWindow)}
+		*group = deadlineGroup{deadline: deadline, count: newDecayingSum(baselineWindow)}
 	}
 	group.count.add(now, 1)
-	return arrived.TimeLeft > 0 && group.count.sum < usualDeadlineShare*b.arrivals.usual.read(now)
+	return arrived.TimeLeft > 0 && group.count.sum < usualDeadlineShare*b.arrivals.baseline.read(now)
 }
 
-// nearestGroup returns the group whose deadline is nearest; of equals, the first.
+// nearestGroup returns the group with the nearest deadline; on a tie, the first.
 func nearestGroup(groups *[deadlineGroups]deadlineGroup, deadline float64) *deadlineGroup {
 	nearest := &groups[0]
 	for i := range groups {
@@ -49,7 +49,7 @@
 	return nearest
 }
 
-// smallestGroup returns the group with the lowest count; of equals, preferred or else the first.
+// smallestGroup returns the group with the lowest count; on a tie, preferred or else the first.
 func smallestGroup(groups *[deadlineGroups]deadlineGroup, preferred *deadlineGroup) *deadlineGroup {
 	smallest := preferred
 	for i := range groups {
--- a/monotime/monotime.go
+++ b/monotime/monotime.go
@@ -1,5 +1,5 @@
-// Package monotime has the program's unit of time: whole microseconds of a monotonic clock. Every package that
-// decides takes time as a Micros; a time.Duration is converted once, where it enters or leaves.
+// Package monotime defines the program's unit of time: whole microseconds of a monotonic clock. All decision packages
+// take time as Micros; a time.Duration is converted once, at the boundary.
 package monotime
 
 import (
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Micros is a point on a monotonic clock, or a span between two of them, in whole microseconds. Which clock it
-// is belongs to the package that reads it: the host's (process.Now), the dispatcher's (dispatch.Now) or a
-// simulation's. Points of different clocks are never compared. It is stored and sent as an integer.
+// Micros is a time on a monotonic clock, or the difference between two such times, in whole microseconds. The package
+// that reads the clock determines which one it is: the host's (process.Now), the dispatcher's (dispatch.Now) or a
+// simulation's. Times of different clocks must not be compared. It is stored and sent as an integer.
 type Micros int64
 
 // Units of time.
@@ -18,14 +18,14 @@
 	Second      Micros = 1_000_000
 )
 
-// maxMilliseconds bounds FromMilliseconds, so that two results can be added without overflow.
+// maxMilliseconds limits FromMilliseconds, so that the sum of two results does not overflow.
 const maxMilliseconds = 1e12
 
 // FromDuration converts a duration, truncating it to whole microseconds.
 func FromDuration(d time.Duration) Micros { return Micros(d.Microseconds()) }
 
-// FromMilliseconds converts milliseconds, rounding to the nearest microsecond. Values beyond 1e12 ms either way
-// are cut off there.
+// FromMilliseconds converts milliseconds, rounding to the nearest microsecond. Values are clamped to the range from
+// -1e12 ms to 1e12 ms.
 func FromMilliseconds(ms float64) Micros {
 	const microsPerMillisecond = float64(Millisecond)
 	limit := maxMilliseconds * microsPerMillisecond
