--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -18,15 +18,15 @@
 	req := b.newRequest(now, arrived, op)
 	b.inFlight.add(req)
 
-	late := req.arrivedAt > b.drainStartedAt+b.config.DrainGrace || now >= b.drainDeadline()
+	pastDrain := req.arrivedAt > b.drainStartedAt+b.config.DrainGrace || now >= b.drainDeadline()
 	if arrived.RepeatOf != "" && op.RetrySafety == IdempotencyKeyed { // a repeated request is never run
-		if late || req.deadline <= now {
+		if pastDrain || req.deadline <= now {
 			return b.endRequest(now, req, append(out, Fail{ID: req.id}))
 		}
 		b.setPhase(req, reusingResult)
 		return append(out, Reuse{ID: req.id})
 	}
-	if late || arrived.ShedFor > 0 || b.memoryKB() > maxAdmitMemoryShare*b.config.MemoryKB {
+	if pastDrain || arrived.ShedFor > 0 || b.memoryKB() > maxAdmitMemoryShare*b.config.MemoryKB {
 		return b.reject(now, req, out, false)
 	}
 
--- a/admission/arrival_test.go
+++ b/admission/arrival_test.go
@@ -36,7 +36,7 @@
 	for n := range 9 {
 		tr.arrive(fmt.Sprint("first", n), idempotentOperation, 0)
 	}
-	tr.note("a retry share of 10% is at the limit, the next retry exceeds it; retries are treated as first attempts are")
+	tr.note("a 10% share of retries is at the limit, the next retry exceeds it, for first attempts and retries alike")
 	tr.arrive("retry0", idempotentOperation, 0, asRetry)
 	tr.arrive("retry1", idempotentOperation, 0, asRetry)
 	tr.compare()
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -87,7 +87,7 @@
 	tr.compare()
 }
 
-// A run whose caller has disconnected makes no call, and counts as running until it has ended.
+// A run whose caller no longer waits makes no call, and counts as running until it has ended.
 func TestAnsweredRunMakesNoCall(t *testing.T) {
 	tr := newTrace(t, nil)
 	tr.expect(arrival("gone", idempotentOperation), Start{"gone"})
--- a/admission/deadlines_test.go
+++ b/admission/deadlines_test.go
@@ -7,7 +7,7 @@
 	"milletbarrow/monotime"
 )
 
-// Each request is answered by its deadline in every phase, and a run whose caller has disconnected is stopped.
+// Each request is answered by its deadline in every phase, and a run whose caller no longer waits is stopped.
 func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
 	tr := newTrace(t, func(config *Config) { config.Preemption = PreemptionDiscards })
 	shortDeadline := withTimeLeft(300 * monotime.Millisecond)
--- a/admission/event.go
+++ b/admission/event.go
@@ -50,7 +50,7 @@
 	TimedOut            // the call timed out and may still be at the dependency
 	Unreachable         // no connection to the dependency
 	Reset               // the connection broke during the call
-	Canceled            // the run was stopped, or its caller had disconnected
+	Canceled            // the run was stopped, or its caller no longer waited
 	NeverRan            // the executor did not start it
 	Unrunnable          // unknown to the executor: not sent by a caller
 )
@@ -62,7 +62,7 @@
 	Took    monotime.Micros // since the Start or Reuse
 }
 
-// CallerGone reports that the caller has disconnected: no answer is needed.
+// CallerGone reports that the caller no longer waits for an answer: none is needed.
 type CallerGone struct {
 	ID string
 }
--- a/admission/finish.go
+++ b/admission/finish.go
@@ -55,6 +55,6 @@
 	} else {
 		expected = min(expected, coreTime) // the run may have been cut short
 	}
-	b.runs.expected.add(now, expected)
+	b.runs.expectedCoreTime.add(now, expected)
 	b.runs.ended.add(now, 1)
 }
--- a/admission/health.go
+++ b/admission/health.go
@@ -3,11 +3,11 @@
 import "milletbarrow/monotime"
 
 const (
-	// A backend with full cores counts as stuck after minStuckDuration, or the mean run duration times
-	// stuckRunDurations if that is longer, without progress,
-	minStuckDuration  = 2 * monotime.Second
-	stuckRunDurations = 8
-	// if it also reads requests at less than stuckReadRateShare of its baseline rate.
+	// A backend with full cores counts as stuck if it has made no progress for minStuckDuration, or for
+	// stuckRunDurations times the mean run duration if that is longer, and reads requests at less than
+	// stuckReadRateShare of its baseline rate.
+	minStuckDuration   = 2 * monotime.Second
+	stuckRunDurations  = 8
 	stuckReadRateShare = 0.5
 	// unhealthyDuration is how long a backend stays unhealthy after it was stuck.
 	unhealthyDuration = 3 * monotime.Second
@@ -40,7 +40,7 @@
 // isStuck reports whether full cores have made no progress for too long while requests are read late and at a low rate.
 // An overload during which the backend makes progress or maintains its read rate is not a fault of the backend.
 func (b *Backend) isStuck(now monotime.Micros) bool {
-	meanRun := b.runs.expected.read(now) / max(b.runs.ended.read(now), minEndedRuns)
+	meanRun := b.runs.expectedCoreTime.read(now) / max(b.runs.ended.read(now), minEndedRuns)
 	readRate := b.arrivals.recent.read(now) / float64(arrivalWindow)
 	baselineReadRate := b.arrivals.baseline.read(now) / float64(baselineWindow)
 	stuckDuration := max(minStuckDuration, monotime.Micros(stuckRunDurations*meanRun))
--- a/admission/idempotency_test.go
+++ b/admission/idempotency_test.go
@@ -55,7 +55,7 @@
 	for op, id := range map[int]string{idempotentOperation: "idempotent", nonIdempotentOperation: "non-idempotent"} {
 		out := tr.decide(arrival(id, op, repeatOf("first")))
 		if slices.Contains(out, Action(Reuse{id})) {
-			t.Errorf("%s: %+v", id, out)
+			t.Errorf("%s request: actions %+v, want no Reuse", id, out)
 		}
 		tr.decide(Finished{ID: id, Outcome: OK})
 	}
--- a/admission/idle_connections.go
+++ b/admission/idle_connections.go
@@ -29,7 +29,7 @@
 
 // idleConnectionState holds whether idle connections are closed early.
 type idleConnectionState struct {
-	closing        bool
+	closingEarly   bool
 	saturatedUntil monotime.Micros
 }
 
@@ -41,10 +41,10 @@
 		b.idle.saturatedUntil = now + saturationHold
 	}
 	closing := b.hasInfrequentCallers(now) && now >= b.idle.saturatedUntil
-	if now-b.openedAt < minRateObservation || !b.mayCloseIdle() || b.idle.closing == closing {
+	if now-b.openedAt < minRateObservation || !b.mayCloseIdle() || b.idle.closingEarly == closing {
 		return out
 	}
-	b.idle.closing = closing
+	b.idle.closingEarly = closing
 	if closing {
 		return append(out, CloseIdle{After: earlyIdleTimeout})
 	}
@@ -63,7 +63,7 @@
 	window := float64(arrivalWindow)
 	rate := max(1, b.arrivals.recent.read(now)) / (window * (1 - math.Exp(-age/window))) // requests per microsecond
 	interval := float64(b.config.Callers) / rate
-	if b.idle.closing {
+	if b.idle.closingEarly {
 		return interval > float64(infrequentExitInterval)
 	}
 	return interval > float64(infrequentInterval)
--- a/admission/reading.go
+++ b/admission/reading.go
@@ -42,10 +42,11 @@
 	perRun := elapsed / max(1, meanRunnable/float64(b.config.Cores))
 	b.runs.virtualTime += perRun
 	b.runs.coreTime.add(now, perRun*b.count(running))
-	b.runs.unfinished = 0
+	b.runs.unfinishedCoreTime = 0
 	for _, req := range b.inFlight.all {
 		if req.phase == running {
-			b.runs.unfinished += min(b.runs.virtualTime-req.startVirtualTime, req.units*req.cost.coreTimePerUnit(now))
+			expected := req.units * req.cost.coreTimePerUnit(now)
+			b.runs.unfinishedCoreTime += min(b.runs.virtualTime-req.startVirtualTime, expected)
 		}
 	}
 }
--- a/admission/reject.go
+++ b/admission/reject.go
@@ -7,8 +7,8 @@
 	// and for the highest priority.
 	lowestRetryLimit  = 0.10
 	highestRetryLimit = 0.50
-	// recognisedRetryRatio is the ratio of unmarked retries that hasUnusualDeadline recognises.
-	recognisedRetryRatio = 0.5
+	// recognisedRetryShare is the share of unmarked retries that hasUnusualDeadline recognises.
+	recognisedRetryShare = 0.5
 
 	// minRetryAfter is the shortest Retry-After.
 	minRetryAfter = 50 * monotime.Millisecond
@@ -38,7 +38,7 @@
 func (b *Backend) retryLimit(priority float64) float64 {
 	limit := lowestRetryLimit + (highestRetryLimit-lowestRetryLimit)*priority
 	if b.config.RetriesUnmarked {
-		limit *= recognisedRetryRatio
+		limit *= recognisedRetryShare
 	}
 	return limit
 }
@@ -50,7 +50,7 @@
 		return b.config.MaxRetryAfter
 	}
 	excess := max(1, b.runQueue()-b.threshold(now, req.priority)) / float64(b.config.Cores)
-	meanRun := (b.runs.expected.read(now) + b.expectedCost(now, req)) / (b.runs.ended.read(now) + 1)
+	meanRun := (b.runs.expectedCoreTime.read(now) + b.expectedCost(now, req)) / (b.runs.ended.read(now) + 1)
 	jitter := retryAfterJitterFrom + retryAfterJitterRange*b.random()
 	wait := monotime.Micros(excess * meanRun * b.slowdown(now) * jitter)
 	return min(max(wait, req.minRetryAfter, minRetryAfter), b.config.MaxRetryAfter)
--- a/admission/run_cost.go
+++ b/admission/run_cost.go
@@ -7,18 +7,18 @@
 
 // runStats compares the core time of runs with what was expected of them. Core times are in microseconds.
 type runStats struct {
-	virtualTime float64     // core time that one continuous run would have received since the start
-	coreTime    decayingSum // of all runs, ended or not, over recentWindow
-	expected    decayingSum // of the runs that ended, over recentWindow
-	ended       decayingSum // number of the runs that ended, over recentWindow
-	unfinished  float64     // of the runs that have not ended, each limited to the expected
+	virtualTime        float64     // core time that one continuous run would have received since the start
+	coreTime           decayingSum // of all runs, ended or not, over recentWindow
+	expectedCoreTime   decayingSum // expected core time of the runs that ended, over recentWindow
+	ended              decayingSum // number of runs that ended, over recentWindow
+	unfinishedCoreTime float64     // core time of the runs that have not ended, each limited to the expected
 }
 
 func newRunStats() runStats {
 	return runStats{
-		coreTime: newDecayingSum(recentWindow),
-		expected: newDecayingSum(recentWindow),
-		ended:    newDecayingSum(recentWindow),
+		coreTime:         newDecayingSum(recentWindow),
+		expectedCoreTime: newDecayingSum(recentWindow),
+		ended:            newDecayingSum(recentWindow),
 	}
 }
 
@@ -70,9 +70,9 @@
 // included.
 func (b *Backend) slowdown(now monotime.Micros) float64 {
 	prior := float64(slowdownPriorPerCore) * float64(b.config.Cores)
-	expected := b.runs.expected.read(now)
+	expected := b.runs.expectedCoreTime.read(now)
 	if b.count(waiting) <= 1 { // without a queue, runs within their expected cost are no sign of a slowdown
-		expected += b.runs.unfinished
+		expected += b.runs.unfinishedCoreTime
 	}
 	return max(1, (b.runs.coreTime.read(now)+prior)/(expected+prior))
 }
--- a/admission/threshold.go
+++ b/admission/threshold.go
@@ -6,12 +6,12 @@
 	// busyCoreUse is the share of the cores in use at or above which they count as busy.
 	busyCoreUse = 0.85
 
-	// The thresholds of the lowest and of the highest priority, in tasks per core,
+	// The run queue thresholds of the lowest and of the highest priority are a number of tasks per core plus a
+	// constant, because the queue of a host with few cores varies more.
 	lowestThresholdPerCore  = 1.0
 	highestThresholdPerCore = 2.5
-	// plus a constant, because the queue of a host with few cores varies more.
-	lowestThresholdBurst  = 2.0
-	highestThresholdBurst = 4.0
+	lowestThresholdBurst    = 2.0
+	highestThresholdBurst   = 4.0
 )
 
 // busy reports whether CPU use is at least busyCoreUse and all cores have a runnable task.
