--- a/internal/backend/dispatch/admit.go
+++ b/internal/backend/dispatch/admit.go
@@ -8,20 +8,20 @@
 	"milletbarrow/monotime"
 )
 
-// freshTickTimeout is how long an arrival waits for a tick after a stall, in units of the timeout of a sample: the
-// tick may have to request a second sample.
-const freshTickTimeout = 2
+// freshTickTimeoutFactor is the longest wait of an arrival for a tick after a stall, as a multiple of SampleTimeout.
+// The tick may have to request a second sample.
+const freshTickTimeoutFactor = 2
 
-// Admit passes a request to the module and blocks until it is to run, is answered without a run, or its caller has
-// left. The request returned is nil unless the verdict is Admitted; then Complete must be called once the run has
-// ended.
+// Admit submits a request to the decision module and blocks until the request is admitted, rejected or answered from
+// the result cache, or its caller cancels it. The returned request is nil unless the verdict is Admitted; the server
+// must then call Complete when the run has ended.
 func (d *Dispatcher) Admit(inv Invocation) (Response, *Request) {
 	d.awaitFreshTick()
 	req := d.register(inv)
 	var resp Response
 	select {
 	case resp = <-req.responses:
-	case <-inv.CallerLeft:
+	case <-inv.Canceled:
 		d.Abandon(req)
 		resp = <-req.responses
 	}
@@ -31,7 +31,8 @@
 	return resp, req
 }
 
-// Abandon reports that the caller has left. A run goes on, and Complete must still be called.
+// Abandon reports that the caller has canceled a request. A run in progress continues, and Complete must still be
+// called.
 func (d *Dispatcher) Abandon(req *Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,13 +42,13 @@
 	}
 }
 
-// Complete reports how a run ended and its result, which may be cached. owed reports whether the caller is still to be
-// answered: it is false if the final response has been given, or the caller has left.
-func (d *Dispatcher) Complete(req *Request, outcome Outcome, result []byte) (owed bool) {
+// Complete reports the outcome of a run and its result, which may be cached. answerDue reports whether the caller still
+// expects an answer: it is false if the request has had its final response or was canceled.
+func (d *Dispatcher) Complete(req *Request, outcome Outcome, result []byte) (answerDue bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	owed = !req.answered
-	if owed && outcome == RunSucceeded {
+	answerDue = !req.answered
+	if answerDue && outcome == RunSucceeded {
 		d.countSuccess(req)
 	}
 	req.answered = true
@@ -57,12 +58,13 @@
 	delete(d.inFlight, req.id)
 	d.recordResult(req, outcome, result)
 	_ = d.decide(Now(), admission.Finished{ID: req.id, Outcome: moduleOutcomes[outcome]})
-	return owed
+	return answerDue
 }
 
-// awaitFreshTick waits for the next tick if the last one is older than StallThreshold. A process that was suspended
-// finds many arrivals at once, while the ends of runs and the new gauges are still unread on the executor's
-// connection. The next sample follows those ends, so that the arrivals are not decided on outdated gauges.
+// awaitFreshTick waits for the next tick if the last one is older than StallThreshold. When a suspended process
+// resumes, it reads many arrivals at once, while completed runs and new gauges are still unread on the executor's
+// connection. The executor sends the next sample after those completions, so waiting for it avoids decisions on
+// outdated gauges.
 func (d *Dispatcher) awaitFreshTick() {
 	d.mu.Lock()
 	if d.backend == nil || Now()-d.lastTick <= monotime.FromDuration(d.bounds.StallThreshold) {
@@ -74,7 +76,7 @@
 	}
 	tickDone := d.tickDone
 	d.mu.Unlock()
-	timeout := time.NewTimer(freshTickTimeout * d.bounds.SampleTimeout)
+	timeout := time.NewTimer(freshTickTimeoutFactor * d.bounds.SampleTimeout)
 	defer timeout.Stop()
 	select {
 	case <-tickDone:
@@ -82,7 +84,7 @@
 	}
 }
 
-// register rejects a request early, or adds it to those in flight and passes it to the module.
+// register rejects a request early, or adds it to the requests in flight and submits it to the module.
 func (d *Dispatcher) register(inv Invocation) *Request {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +92,8 @@
 	req := d.newRequest(&inv)
 	keyed := d.identify(&inv, req)
 	if resp, rejected := d.rejectEarly(now, &inv, req, keyed); rejected {
-		// It is not in flight: when its caller leaves, no other request with the same ID may end.
+		// The request is not in flight. Mark it as answered, so that canceling it does not end another request with
+		// the same ID.
 		req.answered = true
 		req.responses <- resp
 		return req
@@ -100,14 +103,14 @@
 	if req.deadline <= now {
 		d.counts.Expired++
 	}
-	req.shedAdvice = d.shedAdvice(&inv, req)
+	req.shedRetryAfter = d.shedRetryAfter(&inv, req)
 	if err := d.decide(now, arrival(now, &inv, req, d.acquireUnit(&inv, req))); err != nil {
 		d.respond(req, Response{Verdict: Errored})
 	}
 	return req
 }
 
-// arrival returns the event of a request that is passed to the module.
+// arrival returns the module's event for the arrival of a request.
 func arrival(now monotime.Micros, inv *Invocation, req *Request, standing admission.QuotaStanding) admission.Arrived {
 	return admission.Arrived{
 		ID:           inv.ID,
@@ -118,20 +121,20 @@
 		ExpectedWork: inv.ExpectedWork,
 		MemoryKB:     inv.MemoryKB,
 		RepeatOf:     req.original,
-		ShedFor:      req.shedAdvice,
-		QueueTime:    max(0, now-inv.ArrivedAt), // ArrivedAt is later than now if the wall clock was set back
-		TimeLeft:     max(1, req.deadline-now),  // 0 would mean that there is no deadline
+		ShedFor:      req.shedRetryAfter,
+		QueueTime:    max(0, now-inv.ArrivedAt), // ArrivedAt is in the future if the wall clock was set back
+		TimeLeft:     max(1, req.deadline-now),  // 0 would mean no deadline
 		Quota:        standing,
 	}
 }
 
-// newRequest returns a request that is not yet in flight.
+// newRequest returns a request that has not been added to those in flight.
 func (d *Dispatcher) newRequest(inv *Invocation) *Request {
 	req := &Request{
-		id:          inv.ID,
-		deadline:    inv.ArrivedAt + inv.CallerTimeout,
-		drawnBudget: noBudget,
-		responses:   make(chan Response, maxResponses),
+		id:         inv.ID,
+		deadline:   inv.ArrivedAt + inv.CallerTimeout,
+		unitBudget: noBudget,
+		responses:  make(chan Response, maxResponses),
 	}
 	if operations := d.settings.Admission.Operations; inv.Operation < len(operations) {
 		req.objectiveAt = inv.ArrivedAt + operations[inv.Operation].Objective
@@ -139,12 +142,12 @@
 	return req
 }
 
-// rejectEarly returns the response to a request that is rejected without a decision of the module.
+// rejectEarly returns the response to a request that the dispatcher rejects without consulting the module.
 func (d *Dispatcher) rejectEarly(
 	now monotime.Micros, inv *Invocation, req *Request, keyed bool,
 ) (resp Response, rejected bool) {
 	retryElsewhere := Response{Verdict: Throttled, RetryAfter: d.settings.Admission.MaxRetryAfter}
-	if req.original != "" { // the original ran here or may still run: no other backend may run it too
+	if req.original != "" { // the original ran here or may still run, so no other backend may run it as well
 		retryElsewhere = Response{Verdict: Errored}
 	}
 	switch {
@@ -155,28 +158,28 @@
 	case d.betweenGraceEnds(min(now, inv.ArrivedAt)):
 		return retryElsewhere, true
 	case keyed && (inv.IdempotencyKey == "" || now-inv.ArrivedAt > d.maxReadDelay()):
-		// Its original cannot be determined: there is no key, or the original may have been evicted.
+		// The original cannot be determined: there is no key, or the original may have been evicted.
 		return Response{Verdict: Errored}, true
-	case keyed && req.original == "" && !d.results.HasCapacity(): // its result could not be cached for its repeats
+	case keyed && req.original == "" && !d.results.HasCapacity(): // no room to cache the result for repeats
 		d.counts.CacheFull++
 		return retryElsewhere, true
 	}
 	return Response{}, false
 }
 
-// isDuplicateID reports whether another request with this ID is in flight or in the result cache. IDs are unique for
-// each attempt, so this is an error of the caller; it must neither end the other request nor evict its result.
+// isDuplicateID reports whether another request with this ID is in flight or in the result cache. Each attempt must
+// have a unique ID, so a duplicate is the caller's error. It must neither end the other request nor evict its result.
 func (d *Dispatcher) isDuplicateID(id string) bool {
 	return d.inFlight[id] != nil || d.results != nil && d.results.Contains(id)
 }
 
-// betweenGraceEnds reports whether a request arrived after the grace period, and before the module's own one ends; see
-// Drain.
+// betweenGraceEnds reports whether a request arrived after the end of the dispatcher's grace period and before the end
+// of the module's; see Drain.
 func (d *Dispatcher) betweenGraceEnds(arrivedAt monotime.Micros) bool {
 	return d.graceEnd != 0 && d.graceEnd <= arrivedAt && arrivedAt <= d.moduleGraceEnd
 }
 
-// respond gives a request its final response, once.
+// respond sends the final response to a request, unless it has had one.
 func (d *Dispatcher) respond(req *Request, resp Response) {
 	if req.answered {
 		return
@@ -195,12 +198,12 @@
 	}
 }
 
-// countResponse counts a final response.
+// countResponse counts a final response by verdict.
 func (d *Dispatcher) countResponse(req *Request, verdict Verdict) {
 	switch verdict {
 	case Throttled:
 		d.counts.Throttled++
-		if req.shedAdvice == 0 {
+		if req.shedRetryAfter == 0 {
 			d.degradation.count(degradation.Rejections)
 		}
 	case Errored:
@@ -210,6 +213,6 @@
 	case Replayed:
 		d.counts.Replayed++
 		d.countSuccess(req)
-	default: // Admitted is no final response
+	default: // Admitted is not a final response
 	}
 }
--- a/internal/backend/dispatch/admit_test.go
+++ b/internal/backend/dispatch/admit_test.go
@@ -49,7 +49,7 @@
 		d.Tick([]float64{1, 20, 0.1, 1})
 		attempts++
 		inv := newInvocation(fmt.Sprint("f", attempts))
-		inv.CallerLeft = leftCaller // so that it does not wait in the queue
+		inv.Canceled = leftCaller // so that it does not wait in the queue
 		if resp, req = d.Admit(inv); req != nil {
 			d.Complete(req, NeverRan, nil)
 		}
@@ -66,7 +66,7 @@
 	d := open(t)
 	d.Tick([]float64{1, 2.4, 0.1, 1}) // the cores are full, and the queue is short
 	inv := newInvocation("a")
-	inv.CallerLeft = leftCaller
+	inv.Canceled = leftCaller
 	resp, req := d.Admit(inv)
 	sayResponse(tr, "its caller left at once", resp, req, d)
 	d = open(t)
@@ -112,7 +112,7 @@
 	_, first := d.Admit(newInvocation("a"))
 	for range 50 {
 		again := newInvocation("a")
-		again.CallerLeft = leftCaller
+		again.Canceled = leftCaller
 		if resp, req := d.Admit(again); resp.Verdict != Errored || req != nil || requestsInFlight(d) != 1 {
 			t.Fatalf("verdict %d, in flight %d", resp.Verdict, requestsInFlight(d))
 		}
@@ -129,7 +129,7 @@
 	response := admitAsync(t, d, newInvocation("a"))
 	for range 50 { // the rejection and the caller's leaving may be seen in either order
 		again := newInvocation("a")
-		again.CallerLeft = leftCaller
+		again.Canceled = leftCaller
 		if resp, _ := d.Admit(again); resp.Verdict != Errored {
 			t.Fatalf("%+v", resp)
 		}
--- a/internal/backend/dispatch/degradation.go
+++ b/internal/backend/dispatch/degradation.go
@@ -11,7 +11,7 @@
 	"milletbarrow/monotime"
 )
 
-// degradationState is the part of a Dispatcher that exists with a degradation policy. Dispatcher.mu guards it.
+// degradationState is the state of graceful degradation under a policy. Dispatcher.mu guards it.
 type degradationState struct {
 	policy        *degradation.Policy
 	controller    *degradation.Controller
@@ -19,22 +19,24 @@
 	meter         *degradation.SignalMeter
 	recentChanges []degradation.Change // oldest first
 	shedCount     int                  // requests shed since the start
-	signalsAt     monotime.Micros      // when signals was measured, on degradationNow's clock; 0: not yet
-	signals       degradation.Signals  // the latest
+	signalsAt     monotime.Micros      // when signals was measured, on degradationNow's clock; 0: never
+	signals       degradation.Signals  // the latest measurement
 }
 
-// maxRecentChanges bounds the changes of the level that the status lists.
+// maxRecentChanges is the maximum number of level changes in the status.
 const maxRecentChanges = 16
 
-// minShedAdvice is the Retry-After of a request that a level sheds. A caller applies it to the backend as a whole, so a
-// longer one would also keep away requests that are not shed.
-const minShedAdvice monotime.Micros = 1
+// minShedRetryAfter is the minimum Retry-After of a shed request. A caller applies a Retry-After to the whole backend,
+// so a longer one would also hold back requests that the level does not shed.
+const minShedRetryAfter monotime.Micros = 1
 
-// degradationNow returns the time of the degradation controller, which adjustments of the wall clock do not change.
+// degradationNow returns the time of the degradation controller's clock. Adjustments of the wall clock do not affect
+// it.
 func degradationNow() monotime.Micros { return process.Now() }
 
-// SetDegradationPolicy puts a policy in force, or replaces the present one and leaves its level in force. It returns a
-// *degradation.UnknownNameError if the policy names an operation or a tenant that the deployment does not have.
+// SetDegradationPolicy applies a policy. If it replaces an earlier policy, the level in force, the counts and the
+// recent changes are preserved. It returns a *degradation.UnknownNameError if the policy names an operation or a tenant
+// that the deployment does not have.
 func (d *Dispatcher) SetDegradationPolicy(policy *degradation.Policy) error {
 	shedder, err := degradation.NewShedder(policy, d.settings.Operations, d.settings.Tenants, d.seed)
 	if err != nil {
@@ -56,8 +58,9 @@
 	return nil
 }
 
-// shedAdvice returns the minimum Retry-After of a request that the level in force sheds, or 0 if it does not shed it.
-func (d *Dispatcher) shedAdvice(inv *Invocation, req *Request) monotime.Micros {
+// shedRetryAfter returns the minimum Retry-After of a request that the level in force sheds, or 0 if the request is not
+// shed. Repeats are never shed.
+func (d *Dispatcher) shedRetryAfter(inv *Invocation, req *Request) monotime.Micros {
 	state := d.degradation
 	if state == nil {
 		return 0
@@ -68,7 +71,7 @@
 	if req.original == "" &&
 		state.shedder.ShouldShed(level, depth, inv.Operation, inv.Tenant, inv.Rank, inv.ExpectedWork) {
 		state.shedCount++
-		return minShedAdvice
+		return minShedRetryAfter
 	}
 	state.meter.Count(now, degradation.Arrivals)
 	if inv.Retry {
@@ -77,7 +80,7 @@
 	return 0
 }
 
-// countSuccess counts a successful answer, and counts it as late if it missed the latency objective.
+// countSuccess counts a successful answer, also as a late one if it missed the latency objective.
 func (d *Dispatcher) countSuccess(req *Request) {
 	d.degradation.count(degradation.Successes)
 	if Now() > req.objectiveAt {
@@ -85,7 +88,7 @@
 	}
 }
 
-// count counts an event of a request that is not shed. A nil state counts nothing.
+// count increments a counter for a request that was not shed. It does nothing on a nil state.
 func (state *degradationState) count(counter degradation.Counter) {
 	if state != nil {
 		state.meter.Count(degradationNow(), counter)
@@ -103,7 +106,7 @@
 		state.meter.SetDraining()
 	}
 	demand := reading.OnCores
-	if demand >= 0 { // queued requests demand a core too, and the executor knows only of runs
+	if demand >= 0 { // queued requests also need a core, and the executor reports only tasks that run
 		demand += float64(d.queued())
 	}
 	state.signals = state.meter.Signals(now, demand, reading.CoreUse, reading.MemoryShare, len(d.gauges) > 0)
@@ -113,7 +116,7 @@
 	}
 }
 
-// queued returns the number of requests that wait to be started.
+// queued returns the number of requests in flight that have neither started nor been answered.
 func (d *Dispatcher) queued() (n int) {
 	for _, req := range d.inFlight {
 		if !req.running && !req.answered {
@@ -123,7 +126,7 @@
 	return n
 }
 
-// recordChange logs a change of the level and adds it to the recent ones.
+// recordChange logs a level change and adds it to the recent changes.
 func (state *degradationState) recordChange(change degradation.Change) {
 	state.recentChanges = append(state.recentChanges, change)
 	if len(state.recentChanges) > maxRecentChanges {
@@ -139,17 +142,17 @@
 
 // DegradationStatus is the state of graceful degradation.
 type DegradationStatus struct {
-	Policy  string              // name of the policy
+	Policy  string              // name of the policy in force
 	Level   string              // name of the level in force
 	Number  int                 // number of the level in force; 0: full service
-	Depth   float64             // part of the level's load that is shed, 0 to 1
+	Depth   float64             // share of the level's load that is shed, 0 to 1
 	Shed    int                 // requests shed since the start
-	Changes []string            // the latest changes of the level, oldest first
+	Changes []string            // the latest level changes, oldest first
 	At      monotime.Micros     // when Signals was measured, on the clock of process.Now
 	Signals degradation.Signals // unsmoothed
 }
 
-// DegradationStatus returns the state of graceful degradation; ok is false without a policy.
+// DegradationStatus returns the state of graceful degradation. ok is false if no policy is in force.
 func (d *Dispatcher) DegradationStatus() (status DegradationStatus, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,8 +176,8 @@
 	return status, true
 }
 
-// OverrideLevel puts the level of that name in force for duration, on behalf of the operator by; see
-// degradation.Controller.Override. An error is ErrNoPolicy or a *degradation.OverrideError.
+// OverrideLevel forces the level with the given name for a duration. by names the operator; for allowAbove see
+// degradation.Controller.Override. The error is ErrNoPolicy or a *degradation.OverrideError.
 func (d *Dispatcher) OverrideLevel(name string, duration time.Duration, by string, allowAbove bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -194,7 +197,7 @@
 	}
 }
 
-// ClearOverride ends an override, so that the signals determine the level again.
+// ClearOverride ends an override: the signals determine the level again.
 func (d *Dispatcher) ClearOverride() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/backend/dispatch/degradation_test.go
+++ b/internal/backend/dispatch/degradation_test.go
@@ -47,7 +47,7 @@
 		d.Tick(idleGauges)
 		inv := newInvocation(fmt.Sprint("p", Now()))
 		inv.Operation = 1
-		inv.CallerLeft = leftCaller
+		inv.Canceled = leftCaller
 		resp, req := d.Admit(inv)
 		if req != nil {
 			d.Complete(req, RunSucceeded, nil)
@@ -102,7 +102,7 @@
 	shedSecondOperation(t, d)
 	left := make(chan struct{})
 	inv := newInvocation("a")
-	inv.CallerLeft = left
+	inv.Canceled = left
 	response := admitAsync(t, d, inv)
 	d.mu.Lock()
 	queued := d.queued()
--- a/internal/backend/dispatch/dispatcher.go
+++ b/internal/backend/dispatch/dispatcher.go
@@ -1,12 +1,12 @@
-// Package dispatch serialises events into the decision module and carries out the actions that it returns. A
-// Dispatcher owns the requests in flight, the lock around the module and the clock of decisions. It decides nothing
-// itself and does no I/O.
+// Package dispatch serializes events to the decision module and carries out the actions that the module returns. A
+// Dispatcher owns the requests in flight, the lock around the module and the clock that decisions use. It leaves
+// admission decisions to the module, except for early rejections, and does no I/O.
 //
-// Invariants, each with the test that holds it:
+// Invariants, each with the tests that check it:
 //   - A request starts at most once and gets one final response: TestRequestIsAnsweredOnce.
-//   - Every request is answered, even if the module loses it: TestOverdueRequestIsAnswered,
+//   - Every request is answered, even if the module drops it: TestOverdueRequestIsAnswered,
 //     TestTickAnswersOverdueRequests.
-//   - A request with the ID of another one in flight or cached changes nothing:
+//   - A request with the ID of a request in flight or in the result cache does not affect that request:
 //     TestAbandonedDuplicateLeavesRunningRequest, TestAbandonedDuplicateLeavesQueuedRequest,
 //     TestDuplicateOfCachedIDIsRejected.
 //   - A quota unit is refunded unless its request ran: TestQuotaUnitIsRefundedUnlessRun.
@@ -28,45 +28,45 @@
 // Dispatcher serves one backend. Its methods may be called from any goroutine.
 type Dispatcher struct {
 	settings *config.Settings
-	seed     uint64 // of the module's and the shedder's random draws
+	seed     uint64 // of the random numbers of the module and the shedder
 	bounds   limits.Bounds
 
 	// mu guards all fields below, what they point to (the decision module, the result cache, the degradation
-	// controller, the quota holder, the shadow) and the fields of each Request. Unexported methods expect it to be
-	// held, except Admit's helpers awaitFreshTick and register, which lock it.
+	// controller, the quota holder, the shadow) and the fields of each Request. Unexported methods require the caller
+	// to hold it, except awaitFreshTick and register, which Admit calls and which lock it themselves.
 	mu sync.Mutex
 
 	backend  *admission.Backend  // the decision module; nil until Open
 	inFlight map[string]*Request // by request ID
-	actions  []admission.Action  // of the latest decision; the slice is reused
+	actions  []admission.Action  // from the latest decision; the slice is reused
 	counts   Counts
 
-	// State that the module sets by its actions.
-	nextTick    monotime.Micros // 0: the module has set no time
-	timerToken  int64           // passed back with the next reading
-	healthy     bool            // how health checks are to be answered
-	idleTimeout monotime.Micros // of connections; the configured timeout or more: the callers close them
+	// State that the module sets through its actions.
+	nextTick    monotime.Micros // 0: the module has not set a time
+	timerToken  int64           // returned to the module with the next reading
+	healthy     bool            // whether health checks succeed
+	idleTimeout monotime.Micros // of connections; at the configured timeout or above, callers close them
 
-	// Opening.
-	startedCold bool            // the executor was warming up at Open
-	openedAt    monotime.Micros // the time of Open that the module was given
+	// State of Open.
+	startedCold bool            // the executor was still warming up at Open
+	openedAt    monotime.Micros // opening time that was passed to the module
 
 	// Graceful shutdown; see Drain.
 	draining       bool
-	stopAt         monotime.Micros // the process is stopped then; 0: not draining
-	graceEnd       monotime.Micros // later arrivals do not run; 0: not draining
-	moduleGraceEnd monotime.Micros // the end of the module's own grace period; 0: the module has had no notice
+	stopAt         monotime.Micros // when the process will be stopped; 0: not draining
+	graceEnd       monotime.Micros // later arrivals are rejected; 0: not draining
+	moduleGraceEnd monotime.Micros // end of the module's own grace period; 0: the module has not been notified
 
 	// Gauges and ticks.
 	gauges   []float64       // the latest sample; empty: unknown
-	gaugesAt monotime.Micros // when the latest sample came; 0: none yet
-	lastTick monotime.Micros // or Open, until the first tick
-	tickDone chan struct{}   // closed at the next tick; nil while no arrival waits for it
+	gaugesAt monotime.Micros // when the latest sample was received; 0: none yet
+	lastTick monotime.Micros // time of the latest tick; until the first tick, of Open
+	tickDone chan struct{}   // closed at the next tick; nil if no arrival waits for it
 
 	// Repeats of requests with an idempotency key.
-	results          *idempotency.Table // nil if no operation is keyed
+	results          *idempotency.Table // nil if no operation uses idempotency keys
 	readyRepeats     []string           // IDs of repeats whose original has ended
-	answeringRepeats bool               // answerRepeats is running; it must not be re-entered
+	answeringRepeats bool               // answerRepeats is running and must not be re-entered
 
 	degradation *degradationState // nil without a degradation policy
 	quotas      *quotaState       // nil without fleet-wide quotas
@@ -75,20 +75,20 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Arrived   int // requests passed to the module
-	Expired   int // arrived requests whose deadline had passed before
+	Arrived   int // requests submitted to the module
+	Expired   int // of those, requests whose deadline had already passed
 	Started   int
 	Throttled int
 	Errored   int
-	Abandoned int // requests whose caller left before the answer
+	Abandoned int // requests that the caller canceled before the answer
 	Replayed  int // requests answered with the result of an earlier run
-	CacheFull int // requests throttled because the result cache was full
+	CacheFull int // requests rejected because the result cache was full
 	Ticks     int
 	Unsampled int // ticks without a fresh sample of the gauges
 	Panics    int // of the module
 }
 
-// New returns a dispatcher that throttles everything until Open.
+// New returns a dispatcher that throttles all requests until Open.
 func New(settings *config.Settings, seed uint64, bounds limits.Bounds) *Dispatcher {
 	d := &Dispatcher{settings: settings, seed: seed, bounds: bounds, inFlight: map[string]*Request{}}
 	for _, op := range settings.Admission.Operations {
@@ -99,9 +99,10 @@
 	return d
 }
 
-// Open starts to admit requests: the executor is ready, and started that long ago, warming up (cold) or warm. Later
-// calls change nothing. The time since the start matters only for a cold executor, as the part of the warm-up that is
-// over. For a warm one the module opens now: it must not conclude that no request arrived since the executor started.
+// Open begins to admit requests once the executor is ready; later calls have no effect. cold reports whether the
+// executor is still warming up, and ago is the time since it started. ago matters only for a cold executor, as the
+// elapsed part of the warm-up. With a warm executor the module opens now; otherwise it would conclude that no request
+// arrived since the executor started.
 func (d *Dispatcher) Open(cold bool, ago monotime.Micros) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,37 +121,38 @@
 	d.openedAt = Now() - min(ago, cfg.WarmUp)
 	d.startShadow()
 	_ = d.decide(d.openedAt, admission.Opened{})
-	if d.draining { // the shutdown notice came before the executor was ready
+	if d.draining { // the shutdown notice arrived before the executor was ready
 		d.notifyModule(Now())
 	}
 }
 
-// moduleConfig adapts settings for the module.
+// moduleConfig returns the module's configuration for these settings.
 func (d *Dispatcher) moduleConfig(settings *config.Settings) admission.Config {
 	cfg := settings.Admission
 	cfg.JustStarted = d.startedCold
-	// The setting is about the executor's memory; results are cached in this process, in a table that is bounded.
+	// The setting is a size in the executor's memory, but results are cached in this process, in a bounded table.
 	cfg.IdempotencyKeyKB = 0
-	// The notice may arrive late, and the grace period must not end later for that.
+	// The notice may arrive with a delay, which must not postpone the end of the grace period.
 	cfg.DrainGrace = max(0, cfg.DrainGrace-monotime.FromDuration(d.bounds.NoticeDelay))
 	return cfg
 }
 
-// Counts returns the totals since the start, and the number of requests in flight.
+// Counts returns the totals since the start and the number of requests in flight.
 func (d *Dispatcher) Counts() (counts Counts, inFlight int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.counts, len(d.inFlight)
 }
 
-// Healthy reports whether health checks are to be answered with good.
+// Healthy reports whether health checks succeed.
 func (d *Dispatcher) Healthy() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.backend != nil && d.healthy && !d.draining
 }
 
-// IdleTimeout returns how long a connection may be idle before the server closes it; 0 leaves that to the callers.
+// IdleTimeout returns how long a connection may be idle before the server closes it. 0 means that the server closes no
+// idle connections and leaves that to the callers.
 func (d *Dispatcher) IdleTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/backend/dispatch/errors.go
+++ b/internal/backend/dispatch/errors.go
@@ -5,32 +5,32 @@
 	"fmt"
 )
 
-// ErrNoPolicy is the error of an override while no degradation policy is in force.
+// ErrNoPolicy is returned by OverrideLevel if no degradation policy is in force.
 var ErrNoPolicy = errors.New("no degradation policy is in force")
 
-// ErrNoQuotas is the error of a lease response where no fleet-wide quota is configured.
+// ErrNoQuotas is returned by ApplyQuotaResponse if no fleet-wide quota is configured.
 var ErrNoQuotas = errors.New("no fleet-wide quota is configured")
 
-// UnknownTenantError reports a quota configuration with a tenant that the deployment does not have.
+// UnknownTenantError reports that a quota configuration names a tenant that the deployment does not have.
 type UnknownTenantError struct {
-	BudgetByTenant map[string]string // as configured
+	BudgetByTenant map[string]string // as configured: budget by tenant
 	Known          []string          // the deployment's tenants
 }
 
 func (e *UnknownTenantError) Error() string {
-	return fmt.Sprintf("draw: %v has a tenant that the deployment does not have; its tenants are %v",
+	return fmt.Sprintf("quota: %v names a tenant that the deployment does not have; its tenants are %v",
 		e.BudgetByTenant, e.Known)
 }
 
 // PanicError reports a panic of the decision module.
 type PanicError struct {
-	Value any // that panic was called with
+	Value any // argument of panic
 }
 
-// Error returns the text of the panic's value; the log line names the event.
+// Error returns the text of the panic's value. The event that the module was processing is logged separately.
 func (e *PanicError) Error() string { return fmt.Sprint(e.Value) }
 
-// Unwrap returns the value of the panic if that is an error, such as a runtime.Error; otherwise nil.
+// Unwrap returns the panic's value if it is an error, such as a runtime.Error, and otherwise nil.
 func (e *PanicError) Unwrap() error {
 	err, _ := e.Value.(error)
 	return err
--- a/internal/backend/dispatch/module.go
+++ b/internal/backend/dispatch/module.go
@@ -9,8 +9,8 @@
 	"milletbarrow/monotime"
 )
 
-// decide passes an event to the module and carries out the actions that it returns. A panic in the module is logged and
-// returned as a *PanicError; requests in flight remain in flight and are answered when they are overdue.
+// decide sends an event to the module and carries out the actions that the module returns. A panic in the module is
+// logged and returned as a *PanicError. Requests in flight stay in flight and are answered when they are overdue.
 func (d *Dispatcher) decide(now monotime.Micros, event admission.Event) (err error) {
 	if d.backend == nil {
 		return nil
@@ -45,7 +45,7 @@
 			d.respond(req, Response{Verdict: Errored})
 		}
 	case admission.Remember:
-		d.remember(a)
+		d.addToCache(a)
 	case admission.Forget:
 		d.readyRepeats = append(d.readyRepeats, d.results.Forget(a.ID)...)
 	case admission.Reuse:
@@ -59,13 +59,13 @@
 		d.nextTick, d.timerToken = a.At, a.Token
 	case admission.Log:
 		slog.Info("module", "text", a.Text)
-	default: // the configuration refuses deployments that would need another action
+	default: // unreachable: the configuration rejects deployments that need other actions
 		slog.Error("internal_error", "in", fmt.Sprintf("%T", action),
 			"text", "the dispatcher does not support this action")
 	}
 }
 
-// setHealth sets how health checks are answered, and logs a change.
+// setHealth sets whether health checks succeed, and logs a change.
 func (d *Dispatcher) setHealth(good bool) {
 	if d.healthy != good {
 		d.healthy = good
@@ -73,7 +73,7 @@
 	}
 }
 
-// start admits a queued request to run.
+// start admits a request, at most once and only if it has not been answered.
 func (d *Dispatcher) start(id string) {
 	if req := d.inFlight[id]; req != nil && !req.running && !req.answered {
 		req.running = true
--- a/internal/backend/dispatch/quota.go
+++ b/internal/backend/dispatch/quota.go
@@ -7,26 +7,26 @@
 	"milletbarrow/monotime"
 )
 
-// quotaState is the part of a Dispatcher that exists with fleet-wide quotas. Dispatcher.mu guards it.
+// quotaState is the state of fleet-wide quotas. Dispatcher.mu guards it.
 type quotaState struct {
 	holder         *quota.Holder
 	clock          func() monotime.Micros
 	machineClock   func() monotime.Micros
-	budgetOfTenant []int         // index of the holder's budget by index of the tenant, or noBudget
-	log            *quotalog.Log // nil: none
+	budgetOfTenant []int         // tenant index to the holder's budget index or noBudget
+	log            *quotalog.Log // nil: no log
 }
 
-// QuotaConfig assigns the budgets from which tenants acquire units.
+// QuotaConfig configures the budgets from which tenants acquire units.
 type QuotaConfig struct {
 	Holder         *quota.Holder
-	BudgetByTenant map[string]string      // names; a tenant without a budget needs no units
-	Clock          func() monotime.Micros // the clock of leases, which goes on while the host is suspended
-	MachineClock   func() monotime.Micros // the clock of the log
-	Log            *quotalog.Log          // for an auditor; nil: none
+	BudgetByTenant map[string]string      // budget name by tenant name; a tenant without a budget needs no units
+	Clock          func() monotime.Micros // for leases; it advances while the host is suspended
+	MachineClock   func() monotime.Micros // for the records of the log
+	Log            *quotalog.Log          // for an auditor; nil: no log
 }
 
-// SetQuotas makes requests acquire units from their tenants' budgets from now on. It returns an *UnknownTenantError
-// if the deployment lacks a tenant of cfg.
+// SetQuotas enables fleet-wide quotas: from now on, requests acquire units from their tenants' budgets. It returns an
+// *UnknownTenantError if cfg names a tenant that the deployment does not have.
 func (d *Dispatcher) SetQuotas(cfg QuotaConfig) error {
 	state := &quotaState{
 		holder:         cfg.Holder,
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// acquireUnit acquires a unit of the tenant's budget for a request, unless a degradation level sheds it or it is a
-// repeat.
+// acquireUnit acquires a unit of the tenant's budget for a request. A request that a degradation level sheds and a
+// repeat need no unit.
 func (d *Dispatcher) acquireUnit(inv *Invocation, req *Request) admission.QuotaStanding {
 	state := d.quotas
-	if state == nil || req.shedAdvice > 0 || req.original != "" {
+	if state == nil || req.shedRetryAfter > 0 || req.original != "" {
 		return admission.QuotaUnknown
 	}
 	if inv.Tenant < 0 || inv.Tenant >= len(state.budgetOfTenant) {
@@ -69,19 +69,19 @@
 	if !state.holder.TryAcquire(state.clock(), budget) {
 		return admission.OverQuota
 	}
-	req.drawnBudget = budget
+	req.unitBudget = budget
 	return admission.WithinQuota
 }
 
-// refundUnit returns the unit of a request that did not run to its tenant's budget.
+// refundUnit returns the unit of a request that did not run to the budget it was acquired from.
 func (d *Dispatcher) refundUnit(req *Request) {
-	if req.drawnBudget >= 0 {
-		d.quotas.holder.Refund(d.quotas.clock(), req.drawnBudget)
-		req.drawnBudget = noBudget
+	if req.unitBudget >= 0 {
+		d.quotas.holder.Refund(d.quotas.clock(), req.unitBudget)
+		req.unitBudget = noBudget
 	}
 }
 
-// QuotaRequest returns a request to renew the leases; ok is false without fleet-wide quotas.
+// QuotaRequest returns a request to renew the leases. ok is false without fleet-wide quotas.
 func (d *Dispatcher) QuotaRequest() (request quota.LeaseRequest, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,8 +91,8 @@
 	return d.quotas.holder.NewRequest(d.quotas.clock()), true
 }
 
-// ApplyQuotaResponse applies the grants of a response. If the holder refuses the response, nothing changes; if the
-// log fails, the grants are in force all the same.
+// ApplyQuotaResponse applies the grants of a lease response. If the holder rejects the response, nothing changes. If
+// only writing the log fails, the error is returned and the grants are in force nevertheless.
 func (d *Dispatcher) ApplyQuotaResponse(response quota.LeaseResponse) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,23 +100,23 @@
 	if state == nil {
 		return ErrNoQuotas
 	}
-	at := state.machineClock() // read before the holder's clock, so that the log shows no lease longer than it is
+	at := state.machineClock() // read before the holder's clock, so that the log never overstates a lease
 	now := state.clock()
 	if err := state.holder.Apply(now, response); err != nil {
 		return err
 	}
-	return state.recordHeld(at, now)
+	return state.recordGrants(at, now)
 }
 
-// recordHeld logs the grants in force.
-func (state *quotaState) recordHeld(at, now monotime.Micros) error {
+// recordGrants writes the grants in force to the quota log.
+func (state *quotaState) recordGrants(at, now monotime.Micros) error {
 	if state.log == nil {
 		return nil
 	}
-	return state.log.RecordHeld(at, now, state.holder.Status(now))
+	return state.log.RecordGrants(at, now, state.holder.Status(now))
 }
 
-// ReleaseQuotas releases all grants: this process acquires no more units.
+// ReleaseQuotas releases all grants. This process acquires no more units.
 func (d *Dispatcher) ReleaseQuotas() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,11 +125,11 @@
 		at := state.machineClock()
 		now := state.clock()
 		state.holder.Release(now)
-		_ = state.recordHeld(at, now) // the process exits; the auditor sees that the log ends
+		_ = state.recordGrants(at, now) // the process is exiting; the auditor sees that the log ends
 	}
 }
 
-// QuotaStatus returns the grants in force; nil without fleet-wide quotas.
+// QuotaStatus returns the grants in force, or nil without fleet-wide quotas.
 func (d *Dispatcher) QuotaStatus() []quota.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +139,7 @@
 	return d.quotas.holder.Status(d.quotas.clock())
 }
 
-// LogQuotaUse logs the units acquired since the last call, if there is a log.
+// LogQuotaUse writes the units acquired since the last call to the quota log, if there is one.
 func (d *Dispatcher) LogQuotaUse() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,10 +148,10 @@
 	}
 }
 
-// recordUse logs the units acquired so far.
+// recordUse writes the units acquired since the last record to the quota log.
 func (state *quotaState) recordUse(now monotime.Micros) {
 	if state.log != nil {
-		// An auditor is not needed to serve: an error of its log is ignored.
-		_ = state.log.RecordDrawn(state.machineClock(), state.holder.Status(now))
+		// The log is only for the auditor: an error must not affect service, so it is ignored.
+		_ = state.log.RecordUse(state.machineClock(), state.holder.Status(now))
 	}
 }
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -74,7 +74,7 @@
 func TestBudgetOfUnknownTenantIsRefused(t *testing.T) {
 	d := withQuota(t, open(t))
 	err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, BudgetByTenant: map[string]string{"nobody": "b"}})
-	const want = "draw: map[nobody:b] has a tenant that the deployment does not have; its tenants are [acme zenith]"
+	const want = "quota: map[nobody:b] names a tenant that the deployment does not have; its tenants are [acme zenith]"
 	if unknown := (*UnknownTenantError)(nil); !errors.As(err, &unknown) || err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
 	}
--- a/internal/backend/dispatch/replay.go
+++ b/internal/backend/dispatch/replay.go
@@ -6,20 +6,20 @@
 	"milletbarrow/monotime"
 )
 
-// identify sets the idempotency key of a request and finds the original that it repeats. It returns false if the
-// operation is not keyed.
+// identify sets the idempotency key of a request and looks up the original that it repeats. keyed reports whether the
+// operation uses idempotency keys.
 func (d *Dispatcher) identify(inv *Invocation, req *Request) (keyed bool) {
 	operations := d.settings.Admission.Operations
 	if inv.Operation >= len(operations) || operations[inv.Operation].RetrySafety != admission.IdempotencyKeyed {
 		return false
 	}
 	req.key = idempotency.Key{Operation: inv.Operation, Tenant: inv.Tenant, Token: inv.IdempotencyKey}
-	arrivedAt := min(inv.ArrivedAt, Now()) // ArrivedAt is later than now if the wall clock was set back
+	arrivedAt := min(inv.ArrivedAt, Now()) // ArrivedAt is in the future if the wall clock was set back
 	req.original = d.results.Find(req.key, arrivedAt)
 	return true
 }
 
-// IsRepeat reports whether a request repeats one in the result cache.
+// IsRepeat reports whether a request repeats a request in the result cache.
 func (d *Dispatcher) IsRepeat(inv Invocation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -27,8 +27,8 @@
 	return d.identify(&inv, &req) && req.original != ""
 }
 
-// maxReadDelay returns the longest time from a request's arrival until it is read. The caller of one that is read
-// later has given up.
+// maxReadDelay returns the longest useful delay between the arrival of a request and the time it is read. A request
+// that is read later has timed out at its caller.
 func (d *Dispatcher) maxReadDelay() (longest monotime.Micros) {
 	for _, op := range d.settings.Admission.Operations {
 		longest = max(longest, op.ClientTimeout)
@@ -36,15 +36,15 @@
 	return longest + d.settings.Admission.AnswerSlack
 }
 
-// remember adds a request to the result cache for as long as the module wants, plus AnswerSlack for the difference
+// addToCache adds a request to the result cache for the time that the module sets, plus AnswerSlack for the difference
 // between the caller's clock and this one.
-func (d *Dispatcher) remember(a admission.Remember) {
+func (d *Dispatcher) addToCache(a admission.Remember) {
 	if req := d.inFlight[a.ID]; req != nil {
 		d.results.Remember(a.ID, req.key, Now()+a.For+d.settings.Admission.AnswerSlack)
 	}
 }
 
-// awaitOriginal lets a repeat wait for its original, or marks it as ready to be answered if that has ended.
+// awaitOriginal makes a repeat wait for its original, or marks the repeat as ready if the original has ended.
 func (d *Dispatcher) awaitOriginal(id string) {
 	req := d.inFlight[id]
 	if req == nil || req.answered {
@@ -55,8 +55,8 @@
 	}
 }
 
-// recordResult caches how a run ended, for its repeats. A request that never ran is evicted, so that its next repeat
-// runs.
+// recordResult caches the outcome of a run for its repeats. A request that never ran is evicted, so that the next
+// request with its key runs.
 func (d *Dispatcher) recordResult(req *Request, outcome Outcome, result []byte) {
 	switch {
 	case req.key.Token == "":
@@ -67,8 +67,9 @@
 	}
 }
 
-// answerRepeats answers the repeats whose original has ended, including those that become ready while it runs. decide
-// calls it after carrying out the module's actions, and it calls decide itself: the inner call returns at once.
+// answerRepeats answers the repeats whose original has ended, including those that become ready meanwhile. decide calls
+// answerRepeats after carrying out the module's actions, and answerRepeats calls decide; the nested call of
+// answerRepeats returns immediately.
 func (d *Dispatcher) answerRepeats() {
 	if d.answeringRepeats {
 		return
@@ -85,9 +86,9 @@
 	d.readyRepeats = nil
 }
 
-// answerRepeat answers a repeat with the original's result. Without a result the repeat fails, since the original may
-// have taken effect. If the original never ran, the caller is advised to retry soon: what kept it from running has
-// passed, or its caller left.
+// answerRepeat answers a repeat with the original's result. If there is no result, the repeat fails, because the
+// original may have taken effect. If the original never ran, the response tells the caller to retry after a short
+// delay: the condition that prevented the run has passed, or the original was canceled.
 func (d *Dispatcher) answerRepeat(req *Request) {
 	resp := Response{Verdict: Errored}
 	outcome := admission.Errored
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -72,7 +72,7 @@
 	tickUntilRead(t, d, fullCores)
 	left := make(chan struct{})
 	inv := keyedInvocation("a", "x")
-	inv.CallerLeft = left
+	inv.Canceled = left
 	first := admitAsync(t, d, inv)
 	waiting := admitAsync(t, d, keyedInvocation("b", "x"))
 	if len(first) > 0 || len(waiting) > 0 {
@@ -182,7 +182,7 @@
 	d.Admit(keyedInvocation("a", "x"))
 	left := make(chan struct{})
 	inv := keyedInvocation("b", "x")
-	inv.CallerLeft = left
+	inv.Canceled = left
 	response := admitAsync(t, d, inv)
 	close(left)
 	if resp := fakes.Take(t, "the response of the repeat", response); resp.Verdict != Abandoned {
--- a/internal/backend/dispatch/request.go
+++ b/internal/backend/dispatch/request.go
@@ -12,36 +12,36 @@
 	Operation      int             // index into the settings' operations
 	Tenant         int             // index into the settings' tenants
 	Rank           float64         // priority of the caller's user, 0 to below 1
-	MemoryKB       float64         // memory that the request occupies, in KB
-	Retry          bool            // its caller marked it as a retry
+	MemoryKB       float64         // memory that the request needs, in KB
+	Retry          bool            // the caller marked it as a retry
 	ExpectedWork   monotime.Micros // CPU time on a standard core; 0: unknown
-	ArrivedAt      monotime.Micros // when it reached the host, on the dispatcher's clock
-	CallerTimeout  monotime.Micros // how long its caller waits for the answer, from ArrivedAt
-	CallerLeft     <-chan struct{} // closed once the caller is known to have left
-	IdempotencyKey string          // identifies repeats of a keyed operation; "": none
+	ArrivedAt      monotime.Micros // when the request reached the host, on the dispatcher's clock
+	CallerTimeout  monotime.Micros // how long the caller waits for the answer, from ArrivedAt
+	Canceled       <-chan struct{} // closed when the caller cancels the request or its connection is closed
+	IdempotencyKey string          // shared by a request and its repeats; "": none
 }
 
-// Verdict is the decision on a request.
+// Verdict is the result of admission, or the kind of a final response.
 type Verdict int
 
-// The verdicts. All but Admitted are final.
+// The verdicts. All except Admitted are final.
 const (
-	Admitted  Verdict = iota // the request is to run
-	Throttled                // rejected; RetryAfter and DontRetry advise the caller
+	Admitted  Verdict = iota // the request may run
+	Throttled                // rejected; RetryAfter and DontRetry tell the caller whether and when to retry
 	Errored                  // failed
-	Abandoned                // the caller has left; no answer is owed
+	Abandoned                // canceled by the caller; no answer is sent
 	Replayed                 // answered with the result of an earlier request with the same idempotency key
 )
 
-// Response is a verdict with what the caller is to be answered.
+// Response is a verdict with the content of the answer to the caller.
 type Response struct {
 	Verdict    Verdict
-	RetryAfter monotime.Micros // how long the caller sends nothing to this backend; 0: no advice
+	RetryAfter monotime.Micros // how long the caller must send nothing to this backend; 0: not set
 	DontRetry  bool            // the caller must not retry on another backend either
-	Result     []byte          // result of the earlier run, if the verdict is Replayed
+	Result     []byte          // result of the earlier run; set if the verdict is Replayed
 }
 
-// Outcome is how a run ended.
+// Outcome is the outcome of a run.
 type Outcome int
 
 // The outcomes of a run.
@@ -53,7 +53,7 @@
 	Unrunnable // the executor does not know the operation
 )
 
-// moduleOutcomes maps outcomes to those of the decision module.
+// moduleOutcomes maps outcomes to the decision module's outcomes.
 var moduleOutcomes = [...]admission.Outcome{
 	RunSucceeded: admission.OK,
 	RunErrored:   admission.Errored,
@@ -62,25 +62,25 @@
 	Unrunnable:   admission.Unrunnable,
 }
 
-// maxResponses bounds the responses to a request: Admitted and a final one.
+// maxResponses is the maximum number of responses to a request: Admitted and a final one.
 const maxResponses = 2
 
-// noBudget is the index of a budget where there is none.
+// noBudget stands for no budget where a budget index is expected.
 const noBudget = -1
 
 // Request is a request in flight.
 type Request struct {
-	id          string
-	deadline    monotime.Micros // the caller waits no longer
-	objectiveAt monotime.Micros // a later answer misses the latency objective
-	responses   chan Response   // Admitted, if it is, and the final response
-	shedAdvice  monotime.Micros // minimum Retry-After of the degradation level that sheds it; 0: not shed
-	drawnBudget int             // index of the budget that a unit was acquired from, or noBudget
-	key         idempotency.Key // zero unless the operation is keyed
-	original    string          // ID of the request that it repeats; "": it is no repeat
-	running     bool
-	answered    bool // the final response has been given, or none is owed
+	id             string
+	deadline       monotime.Micros // the caller does not wait beyond this time
+	objectiveAt    monotime.Micros // an answer after this time misses the latency objective
+	responses      chan Response   // Admitted, if the request is admitted, and the final response
+	shedRetryAfter monotime.Micros // minimum Retry-After if a degradation level sheds it; 0: not shed
+	unitBudget     int             // index of the budget that its unit was acquired from, or noBudget
+	key            idempotency.Key // zero unless the operation uses idempotency keys
+	original       string          // ID of the request that it repeats; "": not a repeat
+	running        bool
+	answered       bool // the final response has been sent, or none is needed
 }
 
-// FinalResponse returns the channel of the final response. It stays empty if the run ends first.
+// FinalResponse returns the channel of the final response. Nothing is sent on it if the run ends first.
 func (r *Request) FinalResponse() <-chan Response { return r.responses }
--- a/internal/backend/dispatch/sampler.go
+++ b/internal/backend/dispatch/sampler.go
@@ -11,12 +11,13 @@
 type sampler struct {
 	bounds  *limits.Bounds
 	timer   *time.Timer
-	done    <-chan struct{} // closed when the ticks are to end
+	done    <-chan struct{} // closed to end the ticks
 	request func() bool     // requests a sample and reports whether one is expected
 	samples <-chan []float64
 }
 
-// wait waits for a sample at most for timeout; gauges is nil if none came. stopped reports whether done was closed.
+// wait waits for a sample until the timeout. gauges is nil if no sample was received; stopped reports whether done was
+// closed.
 func (s *sampler) wait(timeout time.Duration, samples <-chan []float64) (gauges []float64, stopped bool) {
 	s.timer.Reset(timeout)
 	select {
@@ -28,7 +29,8 @@
 	return gauges, stopped
 }
 
-// sample requests a sample and returns it. If none comes in time it returns one that came since the last tick, or nil.
+// sample requests a sample and returns it. If the sample does not arrive in time, it returns one that has arrived since
+// the last tick, or nil.
 func (s *sampler) sample() (gauges []float64, stopped bool) {
 	select {
 	case gauges = <-s.samples:
@@ -40,7 +42,7 @@
 			return nil, true
 		}
 		if Now()-requestedAt > monotime.FromDuration(s.bounds.StallThreshold) {
-			continue // the process was suspended while it waited: the sample is out of date
+			continue // the process was suspended during the wait, so the sample is outdated
 		}
 		if newer != nil {
 			gauges = newer
--- a/internal/backend/dispatch/shadow.go
+++ b/internal/backend/dispatch/shadow.go
@@ -7,14 +7,14 @@
 	"milletbarrow/monotime"
 )
 
-// shadowState is the part of a Dispatcher that exists with a shadow configuration. Dispatcher.mu guards it.
+// shadowState is the state of the evaluation of a shadow configuration. Dispatcher.mu guards it.
 type shadowState struct {
 	settings  *config.Settings
 	evaluator *shadow.Evaluator // nil until Open
 }
 
-// SetShadow starts to count the decisions that another configuration would have made differently; nil ends that. No
-// action of the shadow is carried out. Requests that are in flight now are not compared.
+// SetShadow starts counting the decisions that another configuration would have made differently; nil ends the count.
+// No action of the shadow is carried out. Requests that are already in flight are not compared.
 func (d *Dispatcher) SetShadow(settings *config.Settings) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -23,26 +23,27 @@
 		return
 	}
 	d.shadow = &shadowState{settings: settings}
-	if d.backend != nil && !d.draining { // a process that shuts down starts no evaluation
+	if d.backend != nil && !d.draining { // no evaluation is started during a shutdown
 		d.startShadow()
 	}
 }
 
-// startShadow opens the shadow module, if one is configured, with the opening time and warm-up of the primary.
+// startShadow opens the shadow module, if one is configured, with the opening time and the warm-up of the primary
+// module.
 func (d *Dispatcher) startShadow() {
 	if state := d.shadow; state != nil {
 		state.evaluator = shadow.New(d.moduleConfig(state.settings), d.seed, d.openedAt)
 	}
 }
 
-// observeShadow passes an event, with the actions that the module decided on, to the shadow.
+// observeShadow sends an event and the primary module's actions to the shadow module for comparison.
 func (d *Dispatcher) observeShadow(now monotime.Micros, event admission.Event) {
 	if d.shadow != nil && d.shadow.evaluator != nil {
 		d.shadow.evaluator.Observe(now, event, d.actions)
 	}
 }
 
-// ShadowCounts returns the differences counted; ok is false without a shadow configuration.
+// ShadowCounts returns the differences counted so far. ok is false without a shadow configuration.
 func (d *Dispatcher) ShadowCounts() (counts shadow.Counts, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/backend/dispatch/ticker.go
+++ b/internal/backend/dispatch/ticker.go
@@ -8,18 +8,20 @@
 	"milletbarrow/monotime"
 )
 
-// Parts of the setting AnswerSlack, which is the time by which an answer may miss its deadline.
+// Fractions of the setting AnswerSlack, the time by which an answer may miss its deadline.
 const (
-	defaultTicksPerSlack = 3 // ticks in the slack where the module sets no time for them
+	defaultTicksPerSlack = 3 // ticks per slack while the module sets no tick time
 
-	// A request is overdue when its deadline is past by overdueNumerator/overdueDenominator of the slack.
+	// A request is overdue when more than overdueNumerator/overdueDenominator of the slack has passed since its
+	// deadline.
 	overdueNumerator   = 2
 	overdueDenominator = 3
 )
 
-// RunTicks ticks until done is closed. Before each tick it requests a sample of the gauges and waits up to
-// SampleTimeout for it; without one the tick uses the latest gauges. requestSample reports whether a sample is
-// expected. It is false while an earlier sample is late, so that a silent executor does not delay the ticks.
+// RunTicks runs the ticks until done is closed. Before each tick it requests a sample of the gauges and waits for it up
+// to SampleTimeout; without a sample the tick uses the latest gauges. requestSample reports whether a sample is
+// expected. It returns false while an earlier sample is late, so that an unresponsive executor does not delay the
+// ticks.
 func (d *Dispatcher) RunTicks(done <-chan struct{}, requestSample func() bool, sampled <-chan []float64) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -37,7 +39,8 @@
 	}
 }
 
-// Tick passes the gauges to the module, nil if they are unknown, and returns the time of the next tick.
+// Tick sends a reading of the gauges to the module, answers overdue requests and returns the time of the next tick.
+// gauges is nil without a new sample.
 func (d *Dispatcher) Tick(gauges []float64) monotime.Micros {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,12 +70,12 @@
 	return d.nextTick
 }
 
-// tickInterval returns the time between ticks where the module sets none.
+// tickInterval returns the time between ticks while the module sets no tick time.
 func (d *Dispatcher) tickInterval() monotime.Micros {
 	return d.settings.Admission.AnswerSlack / defaultTicksPerSlack
 }
 
-// updateGauges stores a sample. Without one the latest gauges remain valid for SampleMaxAge.
+// updateGauges stores a sample. Without a new sample the latest gauges remain valid for SampleMaxAge.
 func (d *Dispatcher) updateGauges(now monotime.Micros, gauges []float64) {
 	if gauges != nil {
 		d.gauges = append(d.gauges[:0], gauges...)
@@ -85,8 +88,8 @@
 	}
 }
 
-// answerOverdue answers requests whose deadline is well past. The module answers each in time, so these were lost by a
-// defect.
+// answerOverdue answers the requests that are overdue. The module answers every request in time, so an overdue request
+// means that a defect dropped it.
 func (d *Dispatcher) answerOverdue(now monotime.Micros) {
 	overdueAfter := d.settings.Admission.AnswerSlack * overdueNumerator / overdueDenominator
 	for _, req := range d.inFlight {
--- a/internal/backend/quotalog/log.go
+++ b/internal/backend/quotalog/log.go
@@ -1,6 +1,6 @@
-// Package quotalog records the leases of a holder of quotas and its use of them, one line a record, for an auditor.
-// It is off by default. Times are of the machine's clock, in microseconds, even if the holder's own clock is made to
-// run faster.
+// Package quotalog records the leases of a quota holder and the units acquired under them, one record per line, for an
+// auditor. The log is off by default. Times are readings of the machine's clock in microseconds, even if the holder's
+// own clock is configured to run faster.
 package quotalog
 
 import (
@@ -15,32 +15,32 @@
 // Log writes the records of one process. It is not safe for concurrent use.
 type Log struct {
 	out    *bufio.Writer
-	since  monotime.Micros // end of the span that the last RecordDrawn covered
-	logged []int64         // by budget index: the units drawn that are recorded
+	since  monotime.Micros // end of the period covered by the last RecordUse
+	logged []int64         // by budget index: units acquired that have been recorded
 }
 
-// New returns a log that writes to w; each call ends with a complete line there. The first line is "clock TIME PPM":
-// how much faster the holder's own clock runs, in parts per million. If it cannot be written, the next record returns
-// the error.
+// New returns a log that writes to w; after each call, w ends with a complete line. The first line is "clock TIME PPM",
+// where PPM is how much faster the holder's own clock runs, in parts per million. If that line cannot be written, the
+// next record returns the error.
 func New(w io.Writer, at monotime.Micros, ppm int) *Log {
 	l := &Log{out: bufio.NewWriter(w), since: at}
 	l.printf("clock %d %d\n", at, ppm)
-	_ = l.flush() // the next flush returns the error again
+	_ = l.flush() // bufio.Writer keeps the error, so the next flush returns it
 	return l
 }
 
-// RecordHeld records the grants in force: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT". LEFT is how long the extra
-// lasts, on the holder's own clock, whose time is now.
-func (l *Log) RecordHeld(at, now monotime.Micros, budgets []quota.Status) error {
+// RecordGrants records the grants in force: "have TIME BUDGET EPOCH FLOOR EXTRA LEFT". LEFT is the time until EXTRA
+// expires, on the holder's own clock, whose time is now.
+func (l *Log) RecordGrants(at, now monotime.Micros, budgets []quota.Status) error {
 	for _, b := range budgets {
 		l.printf("have %d %s %d %d %d %d\n", at, b.Budget, b.Epoch, b.Floor, b.Extra, max(0, b.Until-now))
 	}
 	return l.flush()
 }
 
-// RecordDrawn records the units acquired since the last time: "drew FROM TO BUDGET UNITS", or "here TIME" if there are
-// none.
-func (l *Log) RecordDrawn(at monotime.Micros, budgets []quota.Status) error {
+// RecordUse records the units acquired since the last call: "drew FROM TO BUDGET UNITS" for each budget, or "here TIME"
+// if there are none.
+func (l *Log) RecordUse(at monotime.Micros, budgets []quota.Status) error {
 	if missing := len(budgets) - len(l.logged); missing > 0 {
 		l.logged = append(l.logged, make([]int64, missing)...)
 	}
@@ -59,7 +59,7 @@
 	return l.flush()
 }
 
-// printf adds to the buffered lines. Its error is returned by the next flush.
+// printf appends to the buffer. The next flush returns its error.
 func (l *Log) printf(format string, args ...any) { _, _ = fmt.Fprintf(l.out, format, args...) }
 
 // flush writes the buffered lines.
--- a/internal/backend/quotalog/log_test.go
+++ b/internal/backend/quotalog/log_test.go
@@ -23,10 +23,10 @@
 		{Budget: "b", Epoch: 1},
 	}
 	for _, err := range []error{
-		l.RecordHeld(20, 50, budgets),
-		l.RecordDrawn(30, budgets),
-		l.RecordDrawn(40, budgets),
-		l.RecordHeld(45, 100, budgets[:1]),
+		l.RecordGrants(20, 50, budgets),
+		l.RecordUse(30, budgets),
+		l.RecordUse(40, budgets),
+		l.RecordGrants(45, 100, budgets[:1]),
 	} {
 		if err != nil {
 			t.Fatal(err)
@@ -54,9 +54,9 @@
 		want   string
 	}{
 		{"new", func() error { return nil }, "clock 10 0\n"},
-		{"held", func() error { return l.RecordHeld(20, 20, budgets) }, "have 20 a 1 0 0 0\n"},
-		{"drawn", func() error { return l.RecordDrawn(30, budgets) }, "drew 10 30 a 2\n"},
-		{"nothing drawn", func() error { return l.RecordDrawn(40, nil) }, "here 40\n"},
+		{"held", func() error { return l.RecordGrants(20, 20, budgets) }, "have 20 a 1 0 0 0\n"},
+		{"drawn", func() error { return l.RecordUse(30, budgets) }, "drew 10 30 a 2\n"},
+		{"nothing drawn", func() error { return l.RecordUse(40, nil) }, "here 40\n"},
 	} {
 		if err := step.record(); err != nil || text.String() != step.want {
 			t.Errorf("%s: got %q, %v; want %q", step.name, text.String(), err, step.want)
@@ -84,7 +84,7 @@
 		{70, []quota.Status{drawnFrom("a", 4), drawnFrom("c", 5)}, "here 70\n"},
 		{80, []quota.Status{drawnFrom("a", 7), drawnFrom("c", 6)}, "drew 70 80 a 1\ndrew 70 80 c 1\n"},
 	} {
-		if err := l.RecordDrawn(step.at, step.budgets); err != nil || text.String() != step.want {
+		if err := l.RecordUse(step.at, step.budgets); err != nil || text.String() != step.want {
 			t.Errorf("at %d: got %q, %v; want %q", step.at, text.String(), err, step.want)
 		}
 		text.Reset()
@@ -100,10 +100,10 @@
 
 // TestWriteErrorIsReturnedByNextRecord checks that what cannot be written is reported with the next record.
 func TestWriteErrorIsReturnedByNextRecord(t *testing.T) {
-	if err := New(fullDisk{}, 10, 0).RecordDrawn(20, nil); !errors.Is(err, errFull) {
+	if err := New(fullDisk{}, 10, 0).RecordUse(20, nil); !errors.Is(err, errFull) {
 		t.Errorf("RecordDrawn: error %v", err)
 	}
-	if err := New(fullDisk{}, 10, 0).RecordHeld(20, 20, nil); !errors.Is(err, errFull) {
+	if err := New(fullDisk{}, 10, 0).RecordGrants(20, 20, nil); !errors.Is(err, errFull) {
 		t.Errorf("RecordHeld: error %v", err)
 	}
 }
--- a/internal/backend/server/invocation.go
+++ b/internal/backend/server/invocation.go
@@ -36,7 +36,7 @@
 		return
 	}
 	st := &stream{number: h.Stream, canceled: make(chan struct{})}
-	inv.CallerLeft = st.canceled
+	inv.Canceled = st.canceled
 	switch result := c.openStream(st); {
 	case result == connClosed:
 	case result == streamReused:
--- a/internal/backend/server/invocation_test.go
+++ b/internal/backend/server/invocation_test.go
@@ -128,7 +128,7 @@
 			ArrivedAt:     dispatch.Now(),
 			CallerTimeout: 4 * monotime.Second,
 			MemoryKB:      1,
-			CallerLeft:    st.canceled,
+			Canceled:      st.canceled,
 		}
 		s.handle(nil, st, invocation, "look", nil)
 	}
