--- a/internal/backend/registration/deregistration.go
+++ b/internal/backend/registration/deregistration.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// deregistrationBackoffFactor is the growth of the pause from one deregistration to the next.
+// deregistrationBackoffFactor is the factor by which the pause between deregistrations grows.
 const deregistrationBackoffFactor = 2
 
-// deregistration is the progress of a backend's deregistration.
+// deregistration is the state of a backend's deregistration.
 //
 // Invariants:
 //   - At most one deregistration is in flight (TestDeregistersAtNewAddress).
-//   - It is complete only once a deregistration was accepted that started after all reports had ended, at the latest
-//     address (TestDeregistrationOvertakesReport, TestDeregistersAtNewAddress, TestDeregistersUntilAccepted).
+//   - It is complete only once the registry at the latest address has accepted a deregistration that was sent after all
+//     reports had ended (TestDeregistrationOvertakesReport, TestDeregistersAtNewAddress, TestDeregistersUntilAccepted).
 //   - It is never complete after a report without a response (TestDeregistersAgainAfterReportWithoutResponse).
 type deregistration struct {
-	inFlight        bool // a deregistration was sent and has not ended
-	needed          bool // another one is needed: the last one failed, a report ended after it, or the address changed
-	mayBeCounted    bool // a report ended without a response: the registry may count it at any time
-	reportsInFlight int
+	inFlight          bool // a deregistration is in flight
+	needed            bool // another one is needed: the last one failed, a report ended since, or the address changed
+	reportUnconfirmed bool // a report ended without a response: the registry may still accept it at any time
+	reportsInFlight   int
 }
 
 // complete reports whether no further deregistration is needed.
 func (d *deregistration) complete() bool {
-	return !d.inFlight && !d.needed && !d.mayBeCounted && d.reportsInFlight == 0
+	return !d.inFlight && !d.needed && !d.reportUnconfirmed && d.reportsInFlight == 0
 }
 
-// mayStart reports whether another deregistration is to be sent now.
-func (d *deregistration) mayStart() bool { return (d.needed || d.mayBeCounted) && !d.inFlight }
+// mayStart reports whether to send another deregistration now.
+func (d *deregistration) mayStart() bool { return (d.needed || d.reportUnconfirmed) && !d.inFlight }
 
 // started records that a deregistration was sent.
 func (d *deregistration) started() {
@@ -48,20 +48,20 @@
 func (d *deregistration) reportEnded(err error) {
 	d.reportsInFlight--
 	d.needed = true
-	d.mayBeCounted = d.mayBeCounted || err != nil && !wasNotCounted(err)
+	d.reportUnconfirmed = d.reportUnconfirmed || err != nil && !cannotBeAccepted(err)
 }
 
-// deregisterUntilAccepted deregisters the backend, with backoff, until the registry has accepted it at its latest
-// address. A report in flight may arrive after the deregistration and would register the backend again: it is repeated
-// once that report has ended. If a report ended without a response, the registry may still count it at any time, and
-// the deregistration is repeated for as long as the process runs.
+// deregisterUntilAccepted sends deregistrations, with backoff, until the registry at the latest address has accepted
+// one. A report in flight may reach the registry after the deregistration and would register the backend again, so the
+// deregistration is repeated once that report has ended. If a report ended without a response, the registry may still
+// accept it at any time, and the deregistration is repeated for as long as the process runs.
 func (r *Reporter) deregisterUntilAccepted(ctx context.Context, reports *sync.WaitGroup, reportsInFlight int) {
 	progress := deregistration{reportsInFlight: reportsInFlight}
 	results := make(chan error, 1)
 	send := func() {
 		progress.started()
 		reports.Go(func() {
-			_, err := r.report(ctx, dutyOff)
+			_, err := r.report(ctx, outOfService)
 			results <- err
 		})
 	}
@@ -91,7 +91,7 @@
 	}
 }
 
-// jittered draws a pause between half of a pause and one and a half of it.
+// jittered returns a random pause between 0.5 and 1.5 times the given one.
 func jittered(pause time.Duration) time.Duration {
 	const half = 2
 	return pause/half + rand.N(pause)
--- a/internal/backend/registration/errors.go
+++ b/internal/backend/registration/errors.go
@@ -5,12 +5,12 @@
 	"net/http"
 )
 
-// StatusError is a response of the registry other than 204 No Content: the registry has read the report and did not
-// count it.
+// StatusError reports a response of the registry other than 204 No Content: the registry has received the report and
+// rejected it.
 type StatusError struct {
 	Code int // the HTTP status
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("endpoint registry: status %d, wanted %d", e.Code, http.StatusNoContent)
+	return fmt.Sprintf("endpoint registry responded with status %d, expected %d", e.Code, http.StatusNoContent)
 }
--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -1,5 +1,5 @@
-// Package registration sends a backend's load reports to the endpoint registry, so that the backend is in the endpoint
-// list of the edge nodes, and deregisters it at shutdown. Package reportpacing decides when a report is due.
+// Package registration sends a backend's load reports to the endpoint registry, which keep the backend in the endpoint
+// list of the edge nodes, and deregisters the backend at shutdown. Package reportpacing decides when a report is due.
 package registration
 
 import (
@@ -19,41 +19,41 @@
 	"milletbarrow/monotime"
 )
 
-// fixedInFlightFactor is the ratio of reports in flight with fixed pacing to those with jitter and backoff.
+// fixedInFlightFactor is the factor by which fixed pacing raises the maximum number of reports in flight.
 const fixedInFlightFactor = 2
 
-// Reporter sends load reports when its pacer has them due. A report does not wait for the one before: a registry that
-// responds more slowly than the report interval must not lose the entry. Run is called once; Deregister and SetAddress
-// may be called from any goroutine.
+// Reporter sends load reports at the times that its pacer sets. A report does not wait for the previous one to end, so
+// that the entry does not expire if the registry responds more slowly than the report interval. Run must be called only
+// once; Deregister and SetAddress may be called from any goroutine.
 type Reporter struct {
 	path           string // of the registry's entry
 	bounds         limits.Bounds
 	client         *http.Client
-	pacer          *reportpacing.Pacer // used by Run alone
+	pacer          *reportpacing.Pacer // used only by Run
 	startedAt      time.Time           // origin of the pacer's clock
 	deregister     chan struct{}       // closed by Deregister
 	deregisterOnce sync.Once
 	addressChanged chan struct{} // wakes Run
-	results        chan result   // has capacity for all reports in flight
+	results        chan result   // with capacity for all reports in flight
 
 	mu      sync.Mutex // guards address and failing
 	address string     // host and port of the registry
-	failing bool       // the last report that ended has failed
+	failing bool       // the last report to end has failed
 }
 
-// result is the result of a report that has ended.
+// result is the result of a load report.
 type result struct {
 	startedAt  monotime.Micros
-	err        error         // nil: the registry has counted the report
+	err        error         // nil: the registry has accepted the report
 	retryAfter time.Duration // the registry's Retry-After; 0: none
 }
 
-// New returns a reporter for the backend of that name; address is the registry's host and port. fixed turns jitter and
-// backoff off: for comparison.
+// New returns a reporter for the backend with the given name. address is the registry's host and port. fixed turns off
+// jitter and backoff, for comparison.
 func New(address, name string, bounds limits.Bounds, fixed bool) *Reporter {
 	pacing := pacingConfig(bounds, fixed)
-	// The seed differs between processes: backends that start at the same time may have the same seed in their
-	// settings.
+	// The seed must differ between processes. It is not taken from the settings, where backends that start at the same
+	// time may have the same seed.
 	seed := rand.Uint64() ^ xxhash.Sum64String(name)
 	return &Reporter{
 		path:           "/roster/" + url.PathEscape(name),
@@ -88,14 +88,14 @@
 	return config
 }
 
-// now returns the pacer's time: that since the reporter was made.
+// now returns the time on the pacer's clock, which is the time since New.
 func (r *Reporter) now() monotime.Micros { return monotime.FromDuration(time.Since(r.startedAt)) }
 
-// Deregister makes Run deregister the backend at once and return when the registry has accepted that. Further calls do
-// nothing.
+// Deregister makes Run deregister the backend immediately and return once the registry has accepted that. Further calls
+// have no effect.
 func (r *Reporter) Deregister() { r.deregisterOnce.Do(func() { close(r.deregister) }) }
 
-// SetAddress changes the registry's address; the next report, sent at once, goes there.
+// SetAddress changes the registry's address and makes Run restart the pacing of reports for the new address.
 func (r *Reporter) SetAddress(address string) {
 	r.mu.Lock()
 	same := r.address == address
@@ -107,11 +107,11 @@
 	r.client.CloseIdleConnections()
 	select {
 	case r.addressChanged <- struct{}{}:
-	default: // Run is to be woken already
+	default: // a wake-up of Run is already pending
 	}
 }
 
-// Run sends reports until the registry has accepted a deregistration, or the context ends, and then waits for the
+// Run sends reports until the registry has accepted a deregistration or the context is canceled, and then waits for the
 // reports in flight.
 func (r *Reporter) Run(ctx context.Context) {
 	defer r.client.CloseIdleConnections()
@@ -134,7 +134,7 @@
 			r.pacer.Started(now)
 			inFlight++
 			reports.Go(func() {
-				retryAfter, err := r.report(ctx, dutyOn)
+				retryAfter, err := r.report(ctx, inService)
 				r.results <- result{startedAt: now, err: err, retryAfter: retryAfter}
 			})
 		case ended := <-r.results:
@@ -152,8 +152,8 @@
 	}
 }
 
-// pace passes the result of a report on to the pacer. Results of reports to a former address say nothing about the
-// present one.
+// pace passes the result of a report to the pacer. The results of reports to a former address are ignored, as they say
+// nothing about the current one.
 func (r *Reporter) pace(ended result, addressSince monotime.Micros) {
 	switch now := r.now(); {
 	case ended.startedAt < addressSince:
@@ -165,10 +165,10 @@
 	}
 }
 
-// report makes one report, and logs when reports begin to fail or to succeed. retryAfter is the registry's Retry-After,
-// 0 if it gave none.
-func (r *Reporter) report(ctx context.Context, duty duty) (retryAfter time.Duration, err error) {
-	retryAfter, err = r.put(ctx, duty)
+// report sends one report, and logs when reports begin to fail or to succeed again. retryAfter is the registry's
+// Retry-After, 0 if there was none.
+func (r *Reporter) report(ctx context.Context, state availability) (retryAfter time.Duration, err error) {
+	retryAfter, err = r.put(ctx, state)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if failed := err != nil; failed != r.failing && ctx.Err() == nil {
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -246,14 +246,14 @@
 	r := newReporter(address, testBounds())
 	for n, step := range []struct{ status, lines int }{{204, 0}, {503, 1}, {503, 1}, {204, 2}, {204, 2}} {
 		statuses <- step.status
-		_, _ = r.report(t.Context(), dutyOn)
+		_, _ = r.report(t.Context(), inService)
 		if lines := strings.Count(text.String(), "\n"); lines != step.lines {
 			t.Errorf("%d lines after report %d, want %d: %s", lines, n, step.lines, text.String())
 		}
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := r.report(ended, dutyOn); err == nil || strings.Count(text.String(), "\n") != 2 {
+	if _, err := r.report(ended, inService); err == nil || strings.Count(text.String(), "\n") != 2 {
 		t.Errorf("a report that was cut off: %v, log %s", err, text.String())
 	}
 }
--- a/internal/backend/registration/reportpacing/pacer.go
+++ b/internal/backend/registration/reportpacing/pacer.go
@@ -1,5 +1,6 @@
-// Package reportpacing decides when a backend's next load report to the registry is due: with jitter, with backoff
-// while reports fail, and never so late that one failure loses the entry. It does no I/O and reads no clock.
+// Package reportpacing decides when a backend's next load report to the registry is due. It applies jitter, and backoff
+// while reports fail, but never delays a report so much that a single failure lets the registry's entry expire. It does
+// no I/O and reads no clock.
 package reportpacing
 
 import (
@@ -10,63 +11,63 @@
 )
 
 const (
-	// The delay after a report that counts is drawn from five to nine sevenths of the interval. Three such delays fit
-	// into the TTL, so that one lost report does not lose the entry.
+	// The delay after an accepted report is uniform between 5/7 and 9/7 of the interval. Three such delays fit into the
+	// TTL, so that the entry does not expire if one report is lost.
 	sevenths            = 7
 	minIntervalSevenths = 5
 	jitterSevenths      = 4
 
-	// retryGrowth is the growth of the bound of a retry delay from one failure to the next.
+	// retryGrowth is the factor by which the upper bound of the retry delay grows with each failure.
 	retryGrowth = 1.5
-	// retryAfterJitterDivisor is the ratio of a Retry-After to the jitter that is added to it.
+	// retryAfterJitterDivisor is the ratio of a Retry-After to the maximum jitter that is added to it.
 	retryAfterJitterDivisor = 2
-	// renewalMargin is the time before the entry expires by which a report has to arrive.
+	// renewalMargin is how long before the entry expires the next report must be due, so that it arrives in time.
 	renewalMargin = 300 * monotime.Millisecond
 )
 
-// Config is the configuration of one backend's reports.
+// Config configures the pacing of one backend's reports.
 type Config struct {
-	Interval      monotime.Micros // mean time between two reports
-	TTL           monotime.Micros // time after its last report when the registry drops an entry
+	Interval      monotime.Micros // mean time between reports
+	TTL           monotime.Micros // time after its last report at which the registry removes an entry
 	RetryMin      monotime.Micros // shortest delay after a failed report
-	RetryRefused  monotime.Micros // longest delay while connections are refused, which cost the registry nothing
-	RetryInitial  monotime.Micros // longest delay after the first failure of another kind
+	RetryRefused  monotime.Micros // longest delay after a refused connection, which costs the registry nothing
+	RetryInitial  monotime.Micros // longest delay after the first failure of any other kind
 	RetryMax      monotime.Micros // longest delay after any number of failures
-	RetryAfterMax monotime.Micros // longest Retry-After that is honoured
-	InFlight      int             // largest number of reports in flight
-	Fixed         bool            // no jitter and no backoff: for comparison
+	RetryAfterMax monotime.Micros // upper limit of the registry's Retry-After
+	InFlight      int             // maximum number of reports in flight
+	Fixed         bool            // no jitter and no backoff, for comparison
 }
 
-// Failure is how a report failed.
+// Failure is the kind of a report's failure.
 type Failure int
 
 // The kinds of failure.
 const (
 	Refused  Failure = iota // the connection was refused
-	Rejected                // another response than the one that counts, or a broken connection
-	TimedOut                // no response in time
+	Rejected                // an error response or a broken connection
+	TimedOut                // no response within the timeout
 )
 
 // Pacer paces the reports of one backend. It is not safe for concurrent use.
 //
 // Invariants, unless pacing is fixed:
 //   - At most InFlight reports are in flight (TestReportsInFlightAreBounded, TestSilentRegistryBoundsCallsInFlight).
-//   - No single failure delays the next report until the entry has expired (TestEntryIsRenewedInTime).
+//   - No single failure delays the next report beyond the expiry of the entry (TestEntryIsRenewedInTime).
 //   - No report is due before the registry's Retry-After is over (TestEntryIsRenewedInTime).
 //   - No delay without a Retry-After is longer than RetryMax (TestRejectingRegistryIsNotFlooded).
 type Pacer struct {
-	config      Config
-	random      *rand.Rand
-	growth      backoff.Exponential // of the bound of retry delays
-	failures    int                 // in a row
-	inFlight    int                 // reports
-	due         monotime.Micros     // when the next report is due
-	lastCounted monotime.Micros     // start of the last report that the registry has counted
-	registered  bool                // a report was counted since Start
+	config       Config
+	random       *rand.Rand
+	growth       backoff.Exponential // upper bound of retry delays
+	failures     int                 // consecutive
+	inFlight     int                 // reports in flight
+	due          monotime.Micros     // when the next report is due
+	lastAccepted monotime.Micros     // start of the latest report that the registry has accepted
+	registered   bool                // a report has been accepted since Start
 }
 
-// New returns a pacer. The seed has to differ between processes, or backends that start at the same time would report
-// at the same times.
+// New returns a pacer. The seed must differ between processes, or backends that start at the same time would report at
+// the same times.
 func New(config Config, seed uint64) *Pacer {
 	return &Pacer{
 		config: config,
@@ -79,12 +80,12 @@
 	}
 }
 
-// uniform draws from 0 to bound, both included.
+// uniform returns a random duration from 0 to bound, inclusive.
 func (p *Pacer) uniform(bound monotime.Micros) monotime.Micros {
 	return monotime.Micros(p.random.Int64N(int64(max(0, bound)) + 1))
 }
 
-// interval draws the delay after a report that counts.
+// interval returns a random delay for the report after an accepted one.
 func (p *Pacer) interval() monotime.Micros {
 	interval := p.config.Interval
 	if p.config.Fixed {
@@ -93,7 +94,7 @@
 	return interval*minIntervalSevenths/sevenths + p.uniform(interval*jitterSevenths/sevenths)
 }
 
-// Start makes the first report due, or the first to another address of the registry.
+// Start schedules the first report to the registry, also after a change of the registry's address.
 func (p *Pacer) Start(now monotime.Micros) {
 	p.failures = 0
 	p.registered = false
@@ -108,8 +109,8 @@
 	return p.due, p.inFlight < p.config.InFlight
 }
 
-// Started records that a report was sent. If the one before is still in flight, the registry is slow, and the next is
-// delayed as after a failure.
+// Started records that a report was sent. If an earlier report is still in flight, the registry is slow, and the next
+// report is delayed as after a failure.
 func (p *Pacer) Started(now monotime.Micros) {
 	overlaps := p.inFlight > 0
 	p.inFlight++
@@ -119,18 +120,18 @@
 	}
 }
 
-// Succeeded records that a report, sent at startedAt, was counted.
+// Succeeded records that the registry accepted the report sent at startedAt.
 func (p *Pacer) Succeeded(now, startedAt monotime.Micros) {
 	p.inFlight--
-	p.lastCounted = max(p.lastCounted, startedAt)
+	p.lastAccepted = max(p.lastAccepted, startedAt)
 	p.registered = true
 	p.failures = 0
-	if next := now + p.interval(); !p.config.Fixed && p.due > next { // a longer retry delay is over
+	if next := now + p.interval(); !p.config.Fixed && p.due > next { // cancel a longer retry delay
 		p.due = next
 	}
 }
 
-// Failed records that a report failed. retryAfter is the registry's Retry-After, 0 if it gave none.
+// Failed records that a report failed. retryAfter is the registry's Retry-After, 0 if there was none.
 func (p *Pacer) Failed(now monotime.Micros, failure Failure, retryAfter monotime.Micros) {
 	p.inFlight--
 	if p.config.Fixed {
@@ -141,24 +142,24 @@
 	}
 	delay := p.retryDelay(now, failure)
 	retryAfter = min(retryAfter, p.config.RetryAfterMax)
-	if retryAfter > 0 { // with jitter, as other backends got the same one
+	if retryAfter > 0 { // add jitter, as other backends may have received the same value
 		delay = retryAfter + p.uniform(max(p.config.Interval, retryAfter/retryAfterJitterDivisor))
 	}
 	p.due = now + delay
 }
 
-// Abandoned records the end of a report that was sent before the latest Start.
+// Abandoned records the end of a report that was sent before the latest Start and whose result is ignored.
 func (p *Pacer) Abandoned() { p.inFlight-- }
 
-// retryDelay draws a delay below a bound that grows with each failure: full jitter. While the entry exists, the next
-// attempt is made in time to renew it, unless it is too late for that.
+// retryDelay returns a random delay between RetryMin and a bound that grows with each failure (full jitter). While the
+// entry exists, the bound ensures that the next report renews it in time, unless it is too late for that.
 func (p *Pacer) retryDelay(now monotime.Micros, failure Failure) monotime.Micros {
 	p.failures++
 	bound := monotime.FromDuration(p.growth.Interval(p.failures))
 	if failure == Refused {
 		bound = min(bound, p.config.RetryRefused)
 	}
-	if left := p.lastCounted + p.config.TTL - renewalMargin - now; p.registered && left > renewalMargin {
+	if left := p.lastAccepted + p.config.TTL - renewalMargin - now; p.registered && left > renewalMargin {
 		bound = min(bound, left)
 	}
 	return max(p.config.RetryMin, p.uniform(bound))
--- a/internal/backend/registration/reportpacing/pacer_test.go
+++ b/internal/backend/registration/reportpacing/pacer_test.go
@@ -172,8 +172,8 @@
 	p.Started(second)
 	p.Succeeded(1100*millisecond, second)
 	p.Succeeded(1200*millisecond, 0)
-	if p.lastCounted != second {
-		t.Errorf("the newest report that counts is that of %d us", p.lastCounted)
+	if p.lastAccepted != second {
+		t.Errorf("the newest report that counts is that of %d us", p.lastAccepted)
 	}
 }
 
--- a/internal/backend/registration/request.go
+++ b/internal/backend/registration/request.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// spareConns is the number of connections beside those of the reports in flight, for deregistrations.
+	// spareConns is the number of connections for deregistrations, in addition to those of the reports in flight.
 	spareConns = 2
 	// idleReportIntervals is the number of report intervals after which an idle connection is closed.
 	idleReportIntervals = 4
-	// retryAfterBits bounds the seconds of a Retry-After, so that they fit into a time.Duration.
+	// retryAfterBits limits the size of a Retry-After in seconds, so that it fits into a time.Duration.
 	retryAfterBits = 31
 )
 
-// duty is what a load report says of the backend.
-type duty string
+// availability is the state of the backend in a load report.
+type availability string
 
-// The duties.
+// The states of a backend, as load reports encode them.
 const (
-	dutyOn  duty = "on"  // the backend is to be in the endpoint list
-	dutyOff duty = "off" // the backend is to be removed from it
+	inService    availability = "on"  // the registry must list the backend
+	outOfService availability = "off" // the registry must remove the backend from the endpoint list
 )
 
 // loadReport is the body of a load report.
 type loadReport struct {
-	Duty duty `json:"duty"`
+	Availability availability `json:"duty"`
 }
 
-// newClient returns the client for reports of which a number may be in flight.
+// newClient returns an HTTP client for up to inFlight concurrent reports.
 func newClient(bounds limits.Bounds, inFlight int) *http.Client {
 	return &http.Client{
 		Timeout:       bounds.ReportTimeout,
@@ -55,11 +55,12 @@
 	}
 }
 
-// put makes the registry call of one report. The error is a *StatusError, or that of the call.
-func (r *Reporter) put(ctx context.Context, duty duty) (retryAfter time.Duration, err error) {
-	body, err := json.Marshal(loadReport{Duty: duty})
+// put sends one report to the registry. The error is a *StatusError if the registry rejected the report, or otherwise
+// the error of the call.
+func (r *Reporter) put(ctx context.Context, state availability) (retryAfter time.Duration, err error) {
+	body, err := json.Marshal(loadReport{Availability: state})
 	if err != nil {
-		return 0, fmt.Errorf("load report: %w", err)
+		return 0, fmt.Errorf("encode load report: %w", err)
 	}
 	r.mu.Lock()
 	target := "http://" + r.address + r.path
@@ -73,7 +74,7 @@
 		return 0, err // a *url.Error names the method and the target
 	}
 	defer func() { _ = response.Body.Close() }()
-	// The connection is used again only once the body has been read.
+	// The connection can be reused only if the body has been read to its end.
 	_, _ = io.CopyN(io.Discard, response.Body, int64(r.bounds.LineSize))
 	if response.StatusCode != http.StatusNoContent {
 		return parseRetryAfter(response.Header.Get("Retry-After"), time.Now()), &StatusError{Code: response.StatusCode}
@@ -81,8 +82,8 @@
 	return 0, nil
 }
 
-// parseRetryAfter returns the delay that a Retry-After header asks for, in seconds or as a date (RFC 9110, 10.2.3). It
-// returns 0 for a header that cannot be read.
+// parseRetryAfter returns the delay of a Retry-After header, which gives seconds or a date (RFC 9110, section 10.2.3).
+// It returns 0 for a missing or invalid header.
 func parseRetryAfter(header string, now time.Time) time.Duration {
 	if seconds, err := strconv.ParseUint(header, 10, retryAfterBits); err == nil {
 		return time.Duration(seconds) * time.Second
@@ -93,7 +94,7 @@
 	return 0
 }
 
-// failureOf returns how a report with this error failed.
+// failureOf classifies the error of a report.
 func failureOf(err error) reportpacing.Failure {
 	var netError net.Error
 	switch {
@@ -105,9 +106,9 @@
 	return reportpacing.Rejected
 }
 
-// wasNotCounted reports whether the registry cannot count a report with this error any more: it has rejected the
-// report, or was not reached.
-func wasNotCounted(err error) bool {
+// cannotBeAccepted reports whether a report with this error can no longer be accepted, because the registry rejected it
+// or refused the connection.
+func cannotBeAccepted(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) || errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/internal/backend/registration/request_test.go
+++ b/internal/backend/registration/request_test.go
@@ -32,7 +32,7 @@
 			if got := failureOf(test.err); got != test.failure {
 				t.Errorf("failure %d, want %d", got, test.failure)
 			}
-			if got := wasNotCounted(test.err); got != test.wasNotCounted {
+			if got := cannotBeAccepted(test.err); got != test.wasNotCounted {
 				t.Errorf("was not counted %t, want %t", got, test.wasNotCounted)
 			}
 		})
@@ -41,11 +41,11 @@
 
 // TestRejectedReportReturnsStatusError checks that the response of a registry that rejects a report is a *StatusError.
 func TestRejectedReportReturnsStatusError(t *testing.T) {
-	const wantText = "endpoint registry: status 418, wanted 204"
+	const wantText = "endpoint registry responded with status 418, expected 204"
 	address, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "no", http.StatusTeapot)
 	})
-	_, err := newReporter(address, testBounds()).report(t.Context(), dutyOn)
+	_, err := newReporter(address, testBounds()).report(t.Context(), inService)
 	var status *StatusError
 	if !errors.As(err, &status) || status.Code != http.StatusTeapot || err.Error() != wantText {
 		t.Errorf("error %v, want %s", err, wantText)
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,12 +1,13 @@
-// Package backoff computes the pauses between attempts. It is pure: randomness goes in, a duration comes out, and
-// nothing sleeps here. The pauses grow as those of github.com/cenkalti/backoff/v5.
+// Package backoff computes the pauses between attempts. It only computes durations, from a source of randomness that
+// the caller provides, and never sleeps. The pauses grow like those of github.com/cenkalti/backoff/v5.
 //
-// Callers use a grown interval differently:
+// Callers apply jitter differently:
 //
 //   - The agent's actions and the calls to agents use Policy: half of the pause is fixed, half is random.
-//   - A cold start uses Exponential without jitter for its pause after failures, as one leader counts it for all hosts.
-//   - Load reports draw below an interval of Exponential and bound it by the time until the registry drops the entry;
-//     package registration/reportpacing does that.
+//   - A cold start uses Exponential without jitter for its pause after failures, as a single leader times it for all
+//     hosts.
+//   - Load reports use full jitter below an interval of Exponential, bounded by the time until the registry removes the
+//     entry; see package registration/reportpacing.
 package backoff
 
 import (
@@ -16,14 +17,14 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Exponential is an interval that grows by a factor up to a maximum.
+// Exponential is an interval that grows exponentially up to a maximum.
 type Exponential struct {
 	Initial    time.Duration // above 0
-	Max        time.Duration // bounds the interval
+	Max        time.Duration // upper bound of the interval
 	Multiplier float64       // above 1
 }
 
-// Interval returns the n-th interval, counted from 1. A smaller n counts as 1.
+// Interval returns the n-th interval, counted from 1. An n below 1 is treated as 1.
 func (e Exponential) Interval(n int) time.Duration {
 	growth := backoff.ExponentialBackOff{InitialInterval: e.Initial, Multiplier: e.Multiplier, MaxInterval: e.Max}
 	interval := growth.NextBackOff()
@@ -33,21 +34,21 @@
 	return interval
 }
 
-// growthFactor is the factor by which the pauses of a Policy grow.
+// growthFactor is the factor by which the pauses of a Policy grow from attempt to attempt.
 const growthFactor = 2
 
-// jitterDivisor is the part of an interval that is random: one half.
+// jitterDivisor is the ratio of an interval to its random part: half of the interval is random.
 const jitterDivisor = 2
 
-// Policy spaces the attempts of one operation. The first attempt has no pause; the pauses before the others double and
-// have jitter, so that operations that failed together are not repeated together.
+// Policy determines the pauses between the attempts of one operation. There is no pause before the first attempt. The
+// pauses before the others double and have jitter, so that operations that failed together are not retried together.
 type Policy struct {
-	Min time.Duration // before jitter, of the first pause; whole microseconds
-	Max time.Duration // before jitter, of the longest pause; whole microseconds
+	Min time.Duration // first pause before jitter; whole microseconds
+	Max time.Duration // longest pause before jitter; whole microseconds
 }
 
-// Pause returns the pause before an attempt, counted from 1. It is 0 before the first attempt; else it is drawn between
-// half of the interval and all of it, in whole microseconds.
+// Pause returns the pause before an attempt, counted from 1. It is 0 before the first attempt, and otherwise random
+// between half of the interval and the whole interval, in whole microseconds.
 func (p Policy) Pause(attempt int, random *rand.Rand) time.Duration {
 	if attempt <= 1 {
 		return 0
