--- a/internal/backend/dispatch/admit_test.go
+++ b/internal/backend/dispatch/admit_test.go
@@ -9,21 +9,21 @@
 	"milletbarrow/monotime"
 )
 
-// A request that runs, is a duplicate, is abandoned, overdue, lost by a panic or shed gets its verdict, and leaves
-// nothing in flight.
+// Each request gets the verdict for its case and does not stay in flight: one that runs, a duplicate, a canceled or
+// overdue one, one whose decision panics, and one that is throttled.
 func TestEachRequestGetsItsVerdict(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	resp, req := d.Admit(newInvocation("a"))
-	sayResponse(tr, "idle cores", resp, req, d)
+	traceResponse(tr, "idle cores", resp, req, d)
 	same, none := d.Admit(newInvocation("a"))
-	sayResponse(tr, "a duplicate of an ID in flight", same, none, d)
-	tr.Say("its run succeeds: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+	traceResponse(tr, "a duplicate of an ID in flight", same, none, d)
+	tr.Say("its run succeeds: answer due %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
 	_, req = d.Admit(newInvocation("b"))
 	d.Abandon(req)
-	tr.Say("the caller left: final response %s", responseText(<-req.FinalResponse()))
-	tr.Say("its run succeeds: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+	tr.Say("canceled by its caller: final response %s", responseText(<-req.FinalResponse()))
+	tr.Say("its run succeeds: answer due %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
 	early := newInvocation("c")
 	early.ArrivedAt -= 3_900 * monotime.Millisecond // its deadline is in 100 ms; its run goes on
@@ -34,14 +34,15 @@
 	lateBy := Now() - (early.ArrivedAt + early.CallerTimeout)
 	tr.Say("due while it runs: final response %s, too late %t",
 		responseText(<-req.FinalResponse()), lateBy > d.settings.Admission.AnswerSlack)
-	tr.Say("its run succeeds after all: owed %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
+	tr.Say("its run succeeds after all: answer due %t, in flight %d",
+		d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
 	panics := newInvocation("d")
 	panics.Operation = 99 // out of range of the module's operations
 	resp, req = d.Admit(panics)
-	sayResponse(tr, "a panic in the module", resp, req, d)
+	traceResponse(tr, "a panic in the module", resp, req, d)
 	resp, req = d.Admit(newInvocation("e"))
-	sayResponse(tr, "the next after it", resp, req, d)
+	traceResponse(tr, "the next after it", resp, req, d)
 	d.Complete(req, RunErrored, nil)
 
 	attempts := 0
@@ -49,26 +50,26 @@
 		d.Tick([]float64{1, 20, 0.1, 1})
 		attempts++
 		inv := newInvocation(fmt.Sprint("f", attempts))
-		inv.Canceled = leftCaller // so that it does not wait in the queue
+		inv.Canceled = canceledCaller // so that Admit does not wait while it is queued
 		if resp, req = d.Admit(inv); req != nil {
 			d.Complete(req, NeverRan, nil)
 		}
 		return resp.Verdict == Throttled
 	})
-	sayResponse(tr, "the queue is beyond the threshold", resp, req, d)
+	traceResponse(tr, "the queue is beyond the threshold", resp, req, d)
 	d.Drain(5*monotime.Second, 300*monotime.Millisecond)
 	tr.Say("draining: healthy %t", d.Healthy())
 }
 
-// No request stays in flight whose caller has left or did not wait.
+// A request that its caller canceled, or whose deadline passed before it arrived, does not stay in flight.
 func TestExpiredAndAbandonedRequestsLeaveNothingInFlight(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	d.Tick([]float64{1, 2.4, 0.1, 1}) // the cores are full, and the queue is short
 	inv := newInvocation("a")
-	inv.Canceled = leftCaller
+	inv.Canceled = canceledCaller
 	resp, req := d.Admit(inv)
-	sayResponse(tr, "its caller left at once", resp, req, d)
+	traceResponse(tr, "canceled at once", resp, req, d)
 	d = open(t)
 	for _, timeout := range []monotime.Micros{0, -5 * monotime.Second, 1 << 55} {
 		inv := newInvocation(fmt.Sprint("timeout", timeout))
@@ -77,7 +78,7 @@
 		for req != nil && timeout <= 0 && len(req.FinalResponse()) == 0 {
 			d.Tick(nil)
 		}
-		sayResponse(tr, fmt.Sprint("caller timeout ", timeout), resp, req, d)
+		traceResponse(tr, fmt.Sprint("caller timeout ", timeout), resp, req, d)
 		if req != nil {
 			d.Complete(req, RunSucceeded, nil)
 		}
@@ -85,12 +86,12 @@
 	inv = newInvocation("future")
 	inv.ArrivedAt += 60 * monotime.Second
 	resp, req = d.Admit(inv)
-	sayResponse(tr, "arrived a minute ahead", resp, req, d)
+	traceResponse(tr, "arrived a minute ahead", resp, req, d)
 	d.Complete(req, RunSucceeded, nil)
 	tr.Say("in flight %d", requestsInFlight(d))
 }
 
-// A request gets one final response and starts once.
+// A request starts at most once and gets exactly one final response.
 func TestRequestIsAnsweredOnce(t *testing.T) {
 	d := open(t)
 	_, req := d.Admit(newInvocation("a"))
@@ -105,31 +106,31 @@
 	}
 }
 
-// A request with the ID of a running one, whose caller leaves, does not end the running one. The rejection and the
-// caller's leaving are simultaneous and may be seen in either order: fifty attempts see both.
+// Canceling a duplicate of a running request does not end the running request. Admit may see the rejection of the
+// duplicate and its cancellation in either order; fifty attempts cover both orders.
 func TestAbandonedDuplicateLeavesRunningRequest(t *testing.T) {
 	d := open(t)
 	_, first := d.Admit(newInvocation("a"))
 	for range 50 {
 		again := newInvocation("a")
-		again.Canceled = leftCaller
+		again.Canceled = canceledCaller
 		if resp, req := d.Admit(again); resp.Verdict != Errored || req != nil || requestsInFlight(d) != 1 {
 			t.Fatalf("verdict %d, in flight %d", resp.Verdict, requestsInFlight(d))
 		}
 	}
 	if !d.Complete(first, RunSucceeded, nil) || requestsInFlight(d) != 0 {
-		t.Errorf("the first request is owed no answer, or is still in flight: %d", requestsInFlight(d))
+		t.Errorf("the first request expects no answer, or is still in flight: %d", requestsInFlight(d))
 	}
 }
 
-// A queued request still starts after others with its ID have arrived and their callers have left.
+// A queued request still starts after duplicates of its ID have arrived and been canceled.
 func TestAbandonedDuplicateLeavesQueuedRequest(t *testing.T) {
 	d := open(t)
 	tickUntilRead(t, d, fullCores)
 	response := admitAsync(t, d, newInvocation("a"))
-	for range 50 { // the rejection and the caller's leaving may be seen in either order
+	for range 50 { // the rejection and the cancellation may be seen in either order
 		again := newInvocation("a")
-		again.Canceled = leftCaller
+		again.Canceled = canceledCaller
 		if resp, _ := d.Admit(again); resp.Verdict != Errored {
 			t.Fatalf("%+v", resp)
 		}
@@ -143,7 +144,7 @@
 	}
 }
 
-// A request with the ID of one whose result is cached is rejected, and the result stays cached.
+// A request with the ID of a request in the result cache is rejected, and the cached result is kept.
 func TestDuplicateOfCachedIDIsRejected(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
@@ -156,7 +157,7 @@
 	}
 }
 
-// The module is never passed a negative queue time, nor a deadline that is not in the future.
+// The queue time of the module's arrival event is never negative, and its time left is always positive.
 func TestArrivalTimesAreClamped(t *testing.T) {
 	const now = 10 * monotime.Second
 	for _, test := range []struct {
@@ -183,7 +184,7 @@
 	}
 }
 
-// After a stall, arrivals wait for the next tick and its gauges, but no longer than the timeout.
+// After a stall, an arrival waits for the next tick, but no longer than the timeout.
 func TestArrivalAfterStallAwaitsTick(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
--- a/internal/backend/dispatch/clock_test.go
+++ b/internal/backend/dispatch/clock_test.go
@@ -7,9 +7,9 @@
 	"milletbarrow/monotime"
 )
 
-// The dispatcher's clock is monotonic: adjustments of the wall clock do not change it.
+// The dispatcher's clock is monotonic: adjustments of the wall clock do not affect it.
 func TestClockIsMonotonic(t *testing.T) {
-	//nolint:staticcheck // Equal would not see the monotonic reading
+	//nolint:staticcheck // Equal ignores the monotonic reading
 	if clockStart == clockStart.Round(0) {
 		t.Error("clockStart has no monotonic reading: adjusting the wall clock would change the dispatcher's clock")
 	}
@@ -17,7 +17,7 @@
 	if wall := monotime.Micros(time.Now().UnixMicro()); Now() < wall-hour || Now() > wall+hour {
 		t.Errorf("the dispatcher's clock is %d, the wall clock %d", Now(), wall)
 	}
-	clockBase += hour // as if the wall clock had been set back by an hour since the start
+	clockBase += hour // simulates that the wall clock was set back by an hour since the start
 	defer func() { clockBase -= hour }()
 	arrivedAt := monotime.Micros(time.Now().UnixMicro()) - 5*monotime.Millisecond
 	waited := Now() - FromWallClock(arrivedAt)
--- a/internal/backend/dispatch/degradation_test.go
+++ b/internal/backend/dispatch/degradation_test.go
@@ -11,8 +11,8 @@
 	"milletbarrow/monotime"
 )
 
-// A level sheds the operations of its rules on arrival, with a Retry-After, and nothing else. An operator may
-// override the level, and a policy with an unknown operation is refused.
+// A level sheds the operations of its rules on arrival, with a Retry-After, and no other operations. An operator can
+// override the level. A policy that names an unknown operation is rejected.
 func TestLevelShedsWhatItsRulesName(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
@@ -31,23 +31,23 @@
 		inv := newInvocation(label)
 		inv.Operation = operation
 		resp, req := d.Admit(inv)
-		sayResponse(tr, label, resp, req, d)
+		traceResponse(tr, label, resp, req, d)
 		if req != nil {
 			d.Complete(req, RunSucceeded, nil)
 		}
 	}
 	d.Tick(idleGauges)
 	admit("full service: look", 0)
-	d.Tick([]float64{1, 30, 0.1, 1}) // 15 tasks for each core
+	d.Tick([]float64{1, 30, 0.1, 1}) // 15 tasks per core
 	status, _ := d.DegradationStatus()
 	tr.Say("level %s, %d changes", status.Level, len(status.Changes))
-	d.Tick(idleGauges) // the module admits again; the level stays
+	d.Tick(idleGauges) // the module admits again; the level does not change
 	d.Tick(idleGauges)
 	fakes.Until(t, "the queue is empty", func() bool {
 		d.Tick(idleGauges)
 		inv := newInvocation(fmt.Sprint("p", Now()))
 		inv.Operation = 1
-		inv.Canceled = leftCaller
+		inv.Canceled = canceledCaller
 		resp, req := d.Admit(inv)
 		if req != nil {
 			d.Complete(req, RunSucceeded, nil)
@@ -59,7 +59,7 @@
 	tr.Say("%v", d.OverrideLevel("nothing", time.Second, "test", false))
 	tr.Say("%v", d.OverrideLevel("full", time.Minute, "test", false))
 	d.Tick(idleGauges)
-	admit("held at full service: look", 0)
+	admit("overridden to full service: look", 0)
 	tr.Say("%v", d.OverrideLevel("half", time.Minute, "test", false))
 	d.Tick(idleGauges)
 	shed := 0
@@ -80,7 +80,7 @@
 	tr.Say("%s: half of a hundred are shed %t", status.Level, shed >= 49 && shed <= 51)
 }
 
-// A level that sheds an operation does not shed repeats of requests that have run.
+// A level that sheds an operation does not shed repeats of requests that ran.
 func TestRepeatIsNotShed(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
@@ -95,20 +95,20 @@
 	}
 }
 
-// The queue signal counts queued requests as well as the tasks on the executor's cores.
+// The queue signal includes queued requests in addition to the tasks on the executor's cores.
 func TestQueueSignalCountsQueuedRequests(t *testing.T) {
 	d := open(t)
 	tickUntilRead(t, d, fullCores)
 	shedSecondOperation(t, d)
-	left := make(chan struct{})
+	canceled := make(chan struct{})
 	inv := newInvocation("a")
-	inv.Canceled = left
+	inv.Canceled = canceled
 	response := admitAsync(t, d, inv)
 	d.mu.Lock()
 	queued := d.queued()
 	d.updateLevel(admission.Reading{OnCores: 3, CoreUse: 0.5, MemoryShare: 0.1})
 	d.mu.Unlock()
-	close(left)
+	close(canceled)
 	fakes.Take(t, "the response", response)
 	want := float64(3+queued) / float64(d.settings.Admission.Cores)
 	if status, _ := d.DegradationStatus(); queued != 1 || status.Signals[degradation.Queue] != want {
@@ -116,7 +116,7 @@
 	}
 }
 
-// A new policy changes neither the level in force nor the counts.
+// Replacing the policy keeps the level in force, the counts and the recent changes.
 func TestReplacedPolicyLeavesLevelAndCounts(t *testing.T) {
 	d := open(t)
 	shedSecondOperation(t, d)
@@ -130,7 +130,7 @@
 	}
 }
 
-// Only the latest changes are stored, up to maxRecentChanges.
+// At most maxRecentChanges level changes are kept, and these are the latest.
 func TestRecentChangesAreBounded(t *testing.T) {
 	d := open(t)
 	shedSecondOperation(t, d)
--- a/internal/backend/dispatch/dispatcher_test.go
+++ b/internal/backend/dispatch/dispatcher_test.go
@@ -11,22 +11,22 @@
 	"milletbarrow/monotime"
 )
 
-// Until Open the backend is unhealthy and throttles every request.
+// Until Open, the dispatcher is unhealthy and throttles all requests.
 func TestUnhealthyAndThrottlingUntilOpen(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	unopened := New(&config.Settings{}, 1, limits.For(1, 192, 1024))
 	resp, req := unopened.Admit(newInvocation("a"))
-	sayResponse(tr, "not open", resp, req, unopened)
+	traceResponse(tr, "not open", resp, req, unopened)
 	tr.Say("healthy %t, next tick %t", unopened.Healthy(), unopened.Tick(nil) > 0)
 	unopened.Drain(monotime.Millisecond, monotime.Millisecond)
 	d := open(t)
 	tr.Say("open: healthy %t", d.Healthy())
 	_, req = d.Admit(newInvocation("b"))
 	d.Open(true, 0) // the executor's next connection
-	tr.Say("opened again: owed %t, healthy %t", d.Complete(req, RunSucceeded, nil), d.Healthy())
+	tr.Say("opened again: answer due %t, healthy %t", d.Complete(req, RunSucceeded, nil), d.Healthy())
 }
 
-// A second Open changes neither the module nor the opening that it was given.
+// A second call of Open changes neither the module nor its opening time.
 func TestSecondOpenChangesNothing(t *testing.T) {
 	d := open(t)
 	module, openedAt := d.backend, d.openedAt
@@ -36,7 +36,7 @@
 	}
 }
 
-// The module's opening is at most a warm-up ago.
+// The module's opening time is at most the length of the warm-up in the past.
 func TestOpeningIsAtMostAWarmUpAgo(t *testing.T) {
 	d := open(t)
 	d.backend = nil
@@ -46,7 +46,7 @@
 	}
 }
 
-// With a warm executor the module opens now, however long ago the executor started.
+// With a warm executor, the opening time is now, regardless of when the executor started.
 func TestWarmExecutorOpensNow(t *testing.T) {
 	d := open(t)
 	d.backend = nil
@@ -56,7 +56,7 @@
 	}
 }
 
-// The server closes idle connections only if the module's timeout is below the configured one.
+// IdleTimeout is set only if the module's idle timeout is below the configured one.
 func TestIdleTimeoutIsSetOnlyBelowConfigured(t *testing.T) {
 	d := open(t)
 	configured := d.settings.Admission.IdleTimeout
--- a/internal/backend/dispatch/drain_test.go
+++ b/internal/backend/dispatch/drain_test.go
@@ -7,29 +7,29 @@
 	"milletbarrow/monotime"
 )
 
-// A notice that came late ends the grace period as early as one in time, and a second notice may end it earlier.
+// The grace period ends as early with a delayed notice as with a timely one, and a second notice can end it earlier.
 func TestGraceEndsAtEarliestEnd(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
 	d.Drain(5*monotime.Second, 300*monotime.Millisecond)
 	resp, req := d.Admit(newInvocation("within the grace period"))
-	sayResponse(tr, "within the grace period", resp, req, d)
+	traceResponse(tr, "within the grace period", resp, req, d)
 	d.Complete(req, RunSucceeded, nil)
 	d.Drain(4*monotime.Second, 0)
 	resp, req = d.Admit(newInvocation("after it"))
-	sayResponse(tr, "after a notice that ends it", resp, req, d)
+	traceResponse(tr, "after a notice that ends it", resp, req, d)
 	fakes.Until(t, "the module's grace period is over", func() bool { return Now() > d.moduleGraceEnd })
 	inv := newInvocation("read late")
 	inv.ArrivedAt = d.moduleGraceEnd - 20*monotime.Millisecond
 	resp, req = d.Admit(inv)
-	sayResponse(tr, "read late", resp, req, d)
+	traceResponse(tr, "read late", resp, req, d)
 	late := open(t)
 	late.Drain(4*monotime.Second, -100*monotime.Millisecond)
 	resp, req = late.Admit(newInvocation("a"))
-	sayResponse(tr, "notice received after its grace period", resp, req, late)
+	traceResponse(tr, "notice received after its grace period", resp, req, late)
 }
 
-// With an executor that becomes ready during a graceful shutdown, nothing is admitted after the grace period.
+// If the executor becomes ready during a graceful shutdown, no request is admitted after the grace period.
 func TestGraceAppliesToLateExecutor(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := newDispatcher(t, fakes.Settings, nil)
@@ -37,19 +37,20 @@
 	start := Now()
 	d.Open(false, 0)
 	resp, req := d.Admit(newInvocation("a"))
-	sayResponse(tr, "within the grace period", resp, req, d)
+	traceResponse(tr, "within the grace period", resp, req, d)
 	d.Complete(req, RunSucceeded, nil)
 	fakes.Until(t, "the grace period is over", func() bool { return Now() > start+100*monotime.Millisecond })
 	resp, req = d.Admit(newInvocation("b"))
-	sayResponse(tr, "after it", resp, req, d)
+	traceResponse(tr, "after it", resp, req, d)
 	fakes.Until(t, "the module's grace period is over", func() bool {
 		return Now() > start+400*monotime.Millisecond
 	})
 	resp, req = d.Admit(newInvocation("c"))
-	sayResponse(tr, "after the end of the module's grace period", resp, req, d)
+	traceResponse(tr, "after the end of the module's grace period", resp, req, d)
 }
 
-// A second notice never extends the grace period, and a draining backend is unhealthy whatever the module sets.
+// A second notice never extends the grace period, and a draining backend is unhealthy even if the module sets it
+// healthy.
 func TestSecondNoticeNeverExtendsGrace(t *testing.T) {
 	d := open(t)
 	d.Drain(5*monotime.Second, 100*monotime.Millisecond)
@@ -64,7 +65,7 @@
 	}
 }
 
-// The module's grace period is shorter than the configured one by the delay that a notice may have, and never negative.
+// The module's grace period is the configured one less the maximum delay of a notice, and never negative.
 func TestModuleGraceIsShorterByNoticeDelay(t *testing.T) {
 	d := open(t)
 	delay := monotime.FromDuration(d.bounds.NoticeDelay)
@@ -89,7 +90,7 @@
 	}
 }
 
-// The dispatcher rejects, without the module, only what arrives between its end of the grace period and the module's.
+// The dispatcher itself rejects only requests that arrive between its own end of the grace period and the module's.
 func TestRejectsBetweenGraceEnds(t *testing.T) {
 	d := open(t)
 	d.Drain(5*monotime.Second, 100*monotime.Millisecond)
--- a/internal/backend/dispatch/helpers_test.go
+++ b/internal/backend/dispatch/helpers_test.go
@@ -24,7 +24,7 @@
 	return d
 }
 
-// newDispatcher returns a dispatcher that is not open yet. adjust changes its bounds; nil leaves them as they are.
+// newDispatcher returns a dispatcher that is not open yet. adjust may change its bounds; nil keeps the defaults.
 func newDispatcher(t *testing.T, settingsText string, adjust func(*limits.Bounds)) *Dispatcher {
 	t.Helper()
 	var settings config.Settings
@@ -38,8 +38,8 @@
 	return New(&settings, 1, bounds)
 }
 
-// openKeyed returns an open dispatcher whose second operation has idempotency keys with a repeat window of windowMS
-// milliseconds. adjust changes its bounds; nil leaves them as they are.
+// openKeyed returns an open dispatcher whose second operation uses idempotency keys with a repeat window of windowMS
+// milliseconds. adjust may change its bounds; nil keeps the defaults.
 func openKeyed(t *testing.T, windowMS string, adjust func(*limits.Bounds)) *Dispatcher {
 	t.Helper()
 	keyed := strings.NewReplacer(
@@ -71,25 +71,27 @@
 	return inv
 }
 
+// requestsInFlight returns the number of requests in flight.
 func requestsInFlight(d *Dispatcher) int {
 	_, n := d.Counts()
 	return n
 }
 
-// leftCaller is the CallerLeft of a caller that has left.
-var leftCaller = func() <-chan struct{} {
-	left := make(chan struct{})
-	close(left)
-	return left
+// canceledCaller is the Canceled channel of an invocation that its caller has canceled.
+var canceledCaller = func() <-chan struct{} {
+	canceled := make(chan struct{})
+	close(canceled)
+	return canceled
 }()
 
-// Gauges are: share of the cores in use, tasks that run or wait for a core, share of the memory in use, connections.
+// A sample of the gauges has: share of the cores in use, tasks that run or wait for a core, share of the memory in use,
+// number of connections.
 var (
 	idleGauges = []float64{0.1, 0, 0.1, 1}
 	fullCores  = []float64{0.5, 3, 0.1, 1} // no core is free, and the queue is short
 )
 
-// tickUntilRead ticks with these gauges until the module, which does not read them at each tick, has done so.
+// tickUntilRead ticks with these gauges until the module has read them, which it does not do at every tick.
 func tickUntilRead(t *testing.T, d *Dispatcher, gauges []float64) {
 	t.Helper()
 	start := Now()
@@ -99,8 +101,8 @@
 	})
 }
 
-// silenceModule replaces the module by one that answers nothing and sets no timer.
-func silenceModule(d *Dispatcher) { d.backend = &admission.Backend{} }
+// disableModule replaces the module with one that returns no actions.
+func disableModule(d *Dispatcher) { d.backend = &admission.Backend{} }
 
 // admitAsync admits an invocation on another goroutine, waits until it is in flight or answered, and returns the
 // channel of its response.
@@ -118,6 +120,7 @@
 	return response
 }
 
+// policyOf returns the degradation policy of an S-expression.
 func policyOf(t *testing.T, text string) *degradation.Policy {
 	t.Helper()
 	policy, _, err := degradation.ParsePolicy("l", []byte(text))
@@ -127,7 +130,7 @@
 	return policy
 }
 
-// shedSecondOperation puts a policy in force that sheds every request of the second operation.
+// shedSecondOperation applies a policy that sheds all requests of the second operation.
 func shedSecondOperation(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	policy := policyOf(t, `(ladder l (level no-post (shed (operations post)) (enter (queue 900)) (exit (queue 800))))`)
@@ -140,7 +143,8 @@
 	d.Tick(idleGauges)
 }
 
-// withQuota gives the first tenant of a dispatcher four quota units. Its clock stands still, so there will be no more.
+// withQuota gives the first tenant of a dispatcher four quota units. The clock of the leases is constant, so that the
+// tenant gets no further units.
 func withQuota(t *testing.T, d *Dispatcher) *Dispatcher {
 	t.Helper()
 	holder := quota.New("n", "1", []string{"b"})
@@ -181,7 +185,7 @@
 	}
 }
 
-// queueGaugeOfFirstSample runs the ticks until one has had a sample, and returns that sample's tasks on the cores.
+// queueGaugeOfFirstSample runs the ticks until one has a sample, and returns the number of tasks in that sample.
 func queueGaugeOfFirstSample(
 	t *testing.T, d *Dispatcher, requestSample func() bool, sampled <-chan []float64,
 ) float64 {
@@ -195,13 +199,13 @@
 	return d.gauges[1]
 }
 
-// sayResponse adds a line about the response to a request to a trace.
-func sayResponse(tr *fakes.Trace, label string, resp Response, req *Request, d *Dispatcher) {
+// traceResponse adds a line with the response to a request to a trace.
+func traceResponse(tr *fakes.Trace, label string, resp Response, req *Request, d *Dispatcher) {
 	tr.Say("%s: verdict %d, retry-after %t, don't retry %t, admitted %t, in flight %d",
 		label, resp.Verdict, resp.RetryAfter > 0, resp.DontRetry, req != nil, requestsInFlight(d))
 }
 
-// responseText prints each field of a response.
+// responseText returns the text of all fields of a response.
 func responseText(r Response) string {
 	return fmt.Sprintf("{Verdict:%d RetryAfter:%d DontRetry:%t Result:%v}",
 		r.Verdict, r.RetryAfter, r.DontRetry, r.Result)
--- a/internal/backend/dispatch/module_test.go
+++ b/internal/backend/dispatch/module_test.go
@@ -8,7 +8,8 @@
 	"milletbarrow/admission"
 )
 
-// A panic of the module is returned as an error with the text of its value, which it wraps if that is an error.
+// A panic in the module is returned as a *PanicError with the text of the panic's value. It wraps the value if that is
+// an error.
 func TestModulePanicIsReturnedAsError(t *testing.T) {
 	d := open(t)
 	err := d.decide(Now(), admission.Arrived{ID: "a", Operation: 99}) // out of range of the module's operations
--- a/internal/backend/dispatch/quota_test.go
+++ b/internal/backend/dispatch/quota_test.go
@@ -12,13 +12,13 @@
 	"milletbarrow/monotime"
 )
 
-// The unit of a request is refunded if it is throttled, if the executor did not run it or does not know it, but not
-// if it ran. A repeat acquires none.
+// The unit of a request is refunded if the request was throttled, or if the executor did not start it or does not know
+// its operation, but not if it ran. A repeat acquires no unit.
 func TestQuotaUnitIsRefundedUnlessRun(t *testing.T) {
 	d := withQuota(t, open(t))
 	for n := range 8 { // more than there are units
 		big := newInvocation(fmt.Sprint("big", n))
-		big.MemoryKB = 1 << 40 // more than there is
+		big.MemoryKB = 1 << 40 // more than the host has
 		if resp, _ := d.Admit(big); resp.Verdict != Throttled {
 			t.Fatalf("%s: verdict %d", big.ID, resp.Verdict)
 		}
@@ -49,7 +49,7 @@
 	fakes.Take(t, "the response of the repeat", waiting)
 }
 
-// A request that a level sheds acquires no unit, nor does one of an unknown tenant.
+// A request that a level sheds acquires no unit, and neither does a request of an unknown tenant.
 func TestShedRequestAcquiresNoUnit(t *testing.T) {
 	d := withQuota(t, open(t))
 	shedSecondOperation(t, d)
@@ -70,7 +70,7 @@
 	}
 }
 
-// A budget for a tenant that the deployment does not have is refused.
+// A budget for a tenant that the deployment does not have is rejected.
 func TestBudgetOfUnknownTenantIsRefused(t *testing.T) {
 	d := withQuota(t, open(t))
 	err := d.SetQuotas(QuotaConfig{Holder: d.quotas.holder, BudgetByTenant: map[string]string{"nobody": "b"}})
@@ -80,7 +80,7 @@
 	}
 }
 
-// ReleaseQuotas logs the units acquired before it logs the release.
+// ReleaseQuotas records the acquired units before it records the release.
 func TestUseIsLoggedBeforeRelease(t *testing.T) {
 	d := withQuota(t, open(t))
 	var records strings.Builder
--- a/internal/backend/dispatch/replay_test.go
+++ b/internal/backend/dispatch/replay_test.go
@@ -10,46 +10,46 @@
 )
 
 // A repeat is answered with its original's result if there is one. Otherwise it fails if the original may have taken
-// effect, and may retry if the original never ran.
+// effect, and is throttled with a Retry-After if the original never ran.
 func TestRepeatIsAnsweredWithOriginalsResult(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := openKeyed(t, "5000", nil)
-	sayVerdict := func(label string, resp Response, req *Request) {
+	traceVerdict := func(label string, resp Response, req *Request) {
 		tr.Say("%s: verdict %d, result %q, admitted %t, in flight %d",
 			label, resp.Verdict, resp.Result, req != nil, requestsInFlight(d))
 	}
 	resp, first := d.Admit(keyedInvocation("a", "x"))
-	sayVerdict("the first", resp, first)
+	traceVerdict("the first", resp, first)
 	waiting := admitAsync(t, d, keyedInvocation("b", "x"))
 	resp, other := d.Admit(keyedInvocation("c", "y"))
-	sayVerdict("another key", resp, other)
+	traceVerdict("another key", resp, other)
 	d.Complete(other, RunErrored, nil)
 	inv := keyedInvocation("d", "x")
 	inv.Tenant = 1
 	resp, otherTenants := d.Admit(inv)
-	sayVerdict("another tenant's with the same key", resp, otherTenants)
+	traceVerdict("another tenant's with the same key", resp, otherTenants)
 	d.Complete(otherTenants, RunSucceeded, []byte("the other tenant's"))
 	d.Abandon(first)
-	tr.Say("its caller has left, its run ends: owed %t", d.Complete(first, RunSucceeded, []byte("r")))
-	sayVerdict("the repeat that waited", fakes.Take(t, "the response of the repeat", waiting), nil)
+	tr.Say("canceled by its caller, its run ends: answer due %t", d.Complete(first, RunSucceeded, []byte("r")))
+	traceVerdict("the repeat that waited", fakes.Take(t, "the response of the repeat", waiting), nil)
 	resp, none := d.Admit(keyedInvocation("e", "x"))
-	sayVerdict("a repeat after the end", resp, none)
+	traceVerdict("a repeat after the end", resp, none)
 	resp, none = d.Admit(keyedInvocation("f", "y"))
-	sayVerdict("a repeat of a request that failed", resp, none)
+	traceVerdict("a repeat of a request that failed", resp, none)
 	resp, none = d.Admit(keyedInvocation("d", ""))
-	sayVerdict("no key", resp, none)
+	traceVerdict("no key", resp, none)
 	old := keyedInvocation("h", "z")
 	old.ArrivedAt -= d.maxReadDelay() + monotime.Millisecond
 	old.CallerTimeout += d.maxReadDelay() + monotime.Millisecond
 	resp, none = d.Admit(old)
-	sayVerdict("so old that its original may have been evicted", resp, none)
+	traceVerdict("so old that its original may have been evicted", resp, none)
 
 	_, first = d.Admit(keyedInvocation("i", "v"))
 	waiting = admitAsync(t, d, keyedInvocation("j", "v"))
 	d.Complete(first, NeverRan, nil)
-	sayVerdict("a repeat of a request that never ran", fakes.Take(t, "the response of the repeat", waiting), nil)
+	traceVerdict("a repeat of a request that never ran", fakes.Take(t, "the response of the repeat", waiting), nil)
 	resp, first = d.Admit(keyedInvocation("k", "v"))
-	sayVerdict("and the next", resp, first)
+	traceVerdict("and the next", resp, first)
 	d.Complete(first, RunSucceeded, []byte("v"))
 
 	_, first = d.Admit(keyedInvocation("l", "u"))
@@ -60,25 +60,26 @@
 		d.Tick([]float64{0.5, 1, 0, 0})
 		return len(waiting) > 0
 	})
-	sayVerdict("a repeat whose deadline is before the end", <-waiting, nil)
+	traceVerdict("a repeat whose deadline is before the end", <-waiting, nil)
 	d.Complete(first, RunSucceeded, []byte("u"))
 	c, _ := d.Counts()
 	tr.Say("started %d, replayed %d, errored %d, cached %d", c.Started, c.Replayed, c.Errored, d.results.Len())
 }
 
-// If the caller of a queued request leaves, its waiting repeat is advised to retry, and the next repeat runs.
+// If the caller of a queued request cancels it, a waiting repeat is throttled with a Retry-After, and the next repeat
+// runs.
 func TestRepeatOfAbandonedQueuedRequestMayRetry(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	tickUntilRead(t, d, fullCores)
-	left := make(chan struct{})
+	canceled := make(chan struct{})
 	inv := keyedInvocation("a", "x")
-	inv.Canceled = left
+	inv.Canceled = canceled
 	first := admitAsync(t, d, inv)
 	waiting := admitAsync(t, d, keyedInvocation("b", "x"))
 	if len(first) > 0 || len(waiting) > 0 {
 		t.Fatal("the original or its repeat does not wait")
 	}
-	close(left)
+	close(canceled)
 	if resp := fakes.Take(t, "the response of the original", first); resp.Verdict != Abandoned {
 		t.Errorf("the original: %+v, want verdict Abandoned", resp)
 	}
@@ -92,13 +93,13 @@
 	}
 }
 
-// A request with the key of another one is its repeat if it arrived within the window, even if it is read later;
-// after that it is an original.
+// A request is a repeat if it arrived within the window of an earlier request with its key, even if it is read later.
+// After the window it is an original.
 func TestRepeatWindowCountsFromArrival(t *testing.T) {
 	d := openKeyed(t, "20", nil)
 	_, first := d.Admit(keyedInvocation("a", "x"))
 	d.Complete(first, RunSucceeded, []byte("r"))
-	const pastWindow = 120 * monotime.Millisecond // the window and the slack
+	const pastWindow = 120 * monotime.Millisecond // the window plus the slack
 	completedAt := Now()
 	fakes.Until(t, "the window is over", func() bool { return Now() > completedAt+pastWindow })
 	d.Tick([]float64{0, 0, 0, 0})
@@ -107,7 +108,7 @@
 	if resp, _ := d.Admit(readLate); resp.Verdict != Replayed || string(resp.Result) != "r" {
 		t.Errorf("arrived in the window and read after it: %+v, want result r", resp)
 	}
-	ahead := keyedInvocation("b2", "x") // as if the wall clock had been set back
+	ahead := keyedInvocation("b2", "x") // as after the wall clock was set back
 	ahead.ArrivedAt = Now() + 60*monotime.Second
 	resp, second := d.Admit(ahead)
 	if second == nil {
@@ -132,8 +133,8 @@
 	}
 }
 
-// While the result cache is full, new keyed requests are throttled with a Retry-After; repeats of cached ones are
-// answered.
+// While the result cache is full, new requests with a key are throttled with a Retry-After, and repeats of cached
+// requests are answered.
 func TestFullResultCacheRejectsNewWork(t *testing.T) {
 	d := openKeyed(t, "5000", func(bounds *limits.Bounds) {
 		bounds.IdempotencyCacheSize = 3 << 10
@@ -161,7 +162,7 @@
 	}
 }
 
-// Cached results take none of the executor's memory, whatever size the settings give for them.
+// Cached results do not count against the executor's memory, regardless of the size that the settings give for them.
 func TestCachedResultsTakeNoExecutorMemory(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	d.settings.Admission.IdempotencyKeyKB = d.settings.Admission.MemoryKB / 3
@@ -176,15 +177,15 @@
 	}
 }
 
-// A repeat that is answered before its original ends is no longer one of its waiters.
+// A repeat that is answered before its original ends is removed from the original's waiters.
 func TestAnsweredRepeatStopsWaiting(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	d.Admit(keyedInvocation("a", "x"))
-	left := make(chan struct{})
+	canceled := make(chan struct{})
 	inv := keyedInvocation("b", "x")
-	inv.Canceled = left
+	inv.Canceled = canceled
 	response := admitAsync(t, d, inv)
-	close(left)
+	close(canceled)
 	if resp := fakes.Take(t, "the response of the repeat", response); resp.Verdict != Abandoned {
 		t.Fatalf("%+v, want verdict Abandoned", resp)
 	}
@@ -193,7 +194,7 @@
 	}
 }
 
-// Reuse of a request that has been answered, and whose run goes on, does not mark it as a repeat to be answered.
+// A Reuse action for a request that was answered while its run continues does not mark it as a ready repeat.
 func TestAnsweredRequestIsNoRepeat(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, req := d.Admit(keyedInvocation("a", "x"))
@@ -203,12 +204,12 @@
 	}
 }
 
-// answerRepeats skips repeats that have been answered or are not in flight; the module gets no event for them.
+// answerRepeats skips repeats that were answered or are not in flight, and sends the module no event for them.
 func TestOnlyOpenRepeatsAreAnswered(t *testing.T) {
 	d := openKeyed(t, "5000", nil)
 	_, req := d.Admit(keyedInvocation("a", "x"))
 	d.Abandon(req)
-	d.actions = []admission.Action{admission.Log{Text: "none decided since"}}
+	d.actions = []admission.Action{admission.Log{Text: "from the previous decision"}}
 	d.readyRepeats = []string{"not in flight", "a"}
 	d.answerRepeats()
 	if len(d.readyRepeats) != 0 || len(d.actions) != 1 || len(req.responses) != 1 {
--- a/internal/backend/dispatch/shadow_test.go
+++ b/internal/backend/dispatch/shadow_test.go
@@ -6,7 +6,8 @@
 	"milletbarrow/monotime"
 )
 
-// A shadow that is set later opens as cold as the primary did. A process that shuts down starts none.
+// A shadow that is set after Open opens with the opening time and warm-up of the primary. None is started during a
+// shutdown.
 func TestShadowOpensLikePrimary(t *testing.T) {
 	d := open(t)
 	d.backend = nil // so that Open opens it again
--- a/internal/backend/dispatch/ticker_test.go
+++ b/internal/backend/dispatch/ticker_test.go
@@ -12,7 +12,7 @@
 	"milletbarrow/monotime"
 )
 
-// Ticks go on while no sample comes, and answer requests by their deadline.
+// Ticks continue without samples, and requests are answered by their deadline.
 func TestTicksGoOnWithoutSamples(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	d := open(t)
@@ -32,7 +32,7 @@
 	tr.Say("sample requested %t", requested > 0)
 }
 
-// A sample that came too late for its tick is used by the next one, if no newer sample comes.
+// A sample that arrives too late for its tick is used by the next tick if there is no newer sample.
 func TestLateSampleIsUsedByNextTick(t *testing.T) {
 	sampled := make(chan []float64, 1)
 	sampled <- []float64{0.5, 7, 0.1, 1}
@@ -42,7 +42,7 @@
 	}
 }
 
-// A sample that comes after a stall is discarded, and another one is requested.
+// A sample received after a stall is discarded, and another one is requested.
 func TestSampleIsRequestedAgainAfterStall(t *testing.T) {
 	d := open(t)
 	d.bounds.SampleTimeout = 10 * time.Second
@@ -57,7 +57,7 @@
 			sampled <- []float64{0.5, 7, 0.1, 1}
 			return true
 		}
-		d.bounds.StallThreshold = time.Minute // so that a busy machine causes no further stall
+		d.bounds.StallThreshold = time.Minute // so that load on the test machine does not cause another stall
 		select {
 		case sampled <- []float64{0.5, 8, 0.1, 1}:
 		default:
@@ -70,7 +70,7 @@
 	}
 }
 
-// Without samples the latest gauges remain valid for SampleMaxAge, and are then unknown.
+// Without new samples, the latest gauges remain valid for SampleMaxAge and are then unknown.
 func TestOldGaugesBecomeUnknown(t *testing.T) {
 	d := open(t)
 	d.Tick(fullCores)
@@ -84,23 +84,24 @@
 	}
 }
 
-// The next tick is in the future although the module sets no timer.
+// The next tick is in the future even if the module sets no timer.
 func TestNextTickIsInTheFuture(t *testing.T) {
 	d := open(t)
-	silenceModule(d)
+	disableModule(d)
 	start := Now()
 	if next := d.Tick(fullCores); next <= start {
 		t.Errorf("next tick %d us after this one", next-start)
 	}
 }
 
-// A request that the module has lost is answered once it is overdue; one that has been answered gets no second answer.
+// A request that the module has dropped is answered once it is overdue. A request that was answered before gets no
+// second answer.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	d := open(t)
 	_, lost := d.Admit(newInvocation("lost"))
 	_, abandoned := d.Admit(newInvocation("abandoned"))
 	d.Abandon(abandoned)
-	silenceModule(d)
+	disableModule(d)
 	var logged bytes.Buffer
 	defer log.SetOutput(log.Writer())
 	defer slog.SetDefault(slog.Default())
@@ -123,7 +124,7 @@
 func TestTickAnswersOverdueRequests(t *testing.T) {
 	d := open(t)
 	_, lost := d.Admit(newInvocation("lost"))
-	silenceModule(d)
+	disableModule(d)
 	lost.deadline -= 10 * monotime.Second
 	d.Tick(fullCores)
 	if len(lost.responses) != 1 {
--- a/internal/backend/quotalog/log_test.go
+++ b/internal/backend/quotalog/log_test.go
@@ -9,13 +9,13 @@
 	"milletbarrow/monotime"
 )
 
-// drawnFrom returns the status of a budget of which units were drawn.
+// drawnFrom returns the status of a budget from which units have been acquired.
 func drawnFrom(budget string, units int64) quota.Status {
 	return quota.Status{Budget: budget, Drawn: units}
 }
 
-// TestLines checks the lines of a log, as an auditor reads them.
-func TestLines(t *testing.T) {
+// TestRecordsHaveLineFormat checks the lines that an auditor reads.
+func TestRecordsHaveLineFormat(t *testing.T) {
 	var text strings.Builder
 	l := New(&text, 10, 200)
 	budgets := []quota.Status{
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestEachCallEndsWithACompleteLine checks that after New and after each record, all of its lines are written.
+// TestEachCallEndsWithACompleteLine checks that New and each record write complete lines before they return.
 func TestEachCallEndsWithACompleteLine(t *testing.T) {
 	var text strings.Builder
 	budgets := []quota.Status{{Budget: "a", Epoch: 1, Drawn: 2}}
@@ -54,9 +54,9 @@
 		want   string
 	}{
 		{"new", func() error { return nil }, "clock 10 0\n"},
-		{"held", func() error { return l.RecordGrants(20, 20, budgets) }, "have 20 a 1 0 0 0\n"},
-		{"drawn", func() error { return l.RecordUse(30, budgets) }, "drew 10 30 a 2\n"},
-		{"nothing drawn", func() error { return l.RecordUse(40, nil) }, "here 40\n"},
+		{"grants", func() error { return l.RecordGrants(20, 20, budgets) }, "have 20 a 1 0 0 0\n"},
+		{"units acquired", func() error { return l.RecordUse(30, budgets) }, "drew 10 30 a 2\n"},
+		{"no units acquired", func() error { return l.RecordUse(40, nil) }, "here 40\n"},
 	} {
 		if err := step.record(); err != nil || text.String() != step.want {
 			t.Errorf("%s: got %q, %v; want %q", step.name, text.String(), err, step.want)
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDrawnUnitsAreRecordedOnce checks that each unit is in one line, and that a line's span begins at the end of
-// that of the line before it, also when budgets come or are absent for a while, or a count falls.
+// TestDrawnUnitsAreRecordedOnce checks that each unit is recorded once and that each period begins where the previous
+// one ended, also if budgets are added or temporarily missing, or a count decreases.
 func TestDrawnUnitsAreRecordedOnce(t *testing.T) {
 	var text strings.Builder
 	l := New(&text, 10, 0)
@@ -98,7 +98,7 @@
 
 func (fullDisk) Write([]byte) (int, error) { return 0, errFull }
 
-// TestWriteErrorIsReturnedByNextRecord checks that what cannot be written is reported with the next record.
+// TestWriteErrorIsReturnedByNextRecord checks that the next record returns the error of a failed write in New.
 func TestWriteErrorIsReturnedByNextRecord(t *testing.T) {
 	if err := New(fullDisk{}, 10, 0).RecordUse(20, nil); !errors.Is(err, errFull) {
 		t.Errorf("RecordDrawn: error %v", err)
--- a/internal/backend/registration/deregistration_test.go
+++ b/internal/backend/registration/deregistration_test.go
@@ -15,8 +15,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestDeregistrationOvertakesReport checks that the deregistration is repeated after a report that the registry handles
-// after the first deregistration.
+// TestDeregistrationOvertakesReport checks that the deregistration is repeated if the registry handles an earlier
+// report after the first deregistration.
 func TestDeregistrationOvertakesReport(t *testing.T) {
 	bodies := make(chan string, 16)     // in the order in which the registry handles them
 	received := make(chan struct{}, 16) // one for each request
@@ -26,12 +26,12 @@
 	serve(t, listener, func(w http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		received <- struct{}{}
-		isOff := strings.Contains(string(body), "off")
-		if !isOff {
+		isDeregistration := strings.Contains(string(body), "off")
+		if !isDeregistration {
 			<-deregistered
 		}
 		bodies <- string(body)
-		if isOff {
+		if isDeregistration {
 			closeOnce()
 		}
 		w.WriteHeader(http.StatusNoContent)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestDeregistersUntilAccepted checks that the deregistration is repeated until the registry accepts it, also if its
-// address changes meanwhile, and that nothing is sent after that.
+// TestDeregistersUntilAccepted checks that the deregistration is repeated until the registry accepts it, even if its
+// address changes meanwhile, and that nothing is sent afterwards.
 func TestDeregistersUntilAccepted(t *testing.T) {
 	responses := make(chan int, 100)
 	address, reports := fakes.NewRegistry(t, respondWith(responses))
@@ -73,21 +73,21 @@
 	}
 	r.SetAddress(newAddress)
 	for range 10 {
-		responses <- http.StatusServiceUnavailable // for all that was in flight there
+		responses <- http.StatusServiceUnavailable // for the calls that were in flight to the former address
 	}
 	if report := fakes.Take(t, "a deregistration at the new address", newReports); report != reportOff {
 		t.Errorf("the new registry received %s, want %s", report, reportOff)
 	}
 	fakes.Take(t, "the end of Run", done)
-	if !nothingWithin(newReports) {
-		t.Error("something is sent after the deregistration was accepted")
+	if !receivesNothing(newReports) {
+		t.Error("a report was sent after the deregistration was accepted")
 	}
 }
 
-// TestDeregistersAgainAfterReportWithoutResponse checks that after a report in flight has ended without a response, so
-// that the registry may count it at any time, the deregistration is repeated, though accepted, until the process ends.
+// TestDeregistersAgainAfterReportWithoutResponse checks that after a report has ended without a response, accepted
+// deregistrations are repeated until the process ends, because the registry may still accept that report at any time.
 func TestDeregistersAgainAfterReportWithoutResponse(t *testing.T) {
-	broken := make(chan struct{}) // closed when the calls in flight break
+	broken := make(chan struct{}) // closed to break the calls in flight
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
 		select {
 		case <-broken:
@@ -106,18 +106,18 @@
 	done := run(ctx, r)
 	fakes.Take(t, "a report", reports)
 	r.Deregister()
-	takeOff(t, reports)
-	close(broken) // neither call has a response; further ones are accepted
+	awaitDeregistration(t, reports)
+	close(broken) // neither call gets a response; later calls are accepted
 	for range 10 {
-		takeOff(t, reports)
+		awaitDeregistration(t, reports)
 	}
 	cancel()
 	fakes.Take(t, "the end of Run", done)
 }
 
-// TestDeregistersAtNewAddress checks that if the registry's address changes while a deregistration is in flight, which
-// the former registry accepts, the backend is deregistered at the new one as well, once that call has ended and not
-// beside it.
+// TestDeregistersAtNewAddress checks that if the registry's address changes while a deregistration is in flight, and
+// the former registry accepts that one, the backend is also deregistered at the new address, but only after the first
+// call has ended.
 func TestDeregistersAtNewAddress(t *testing.T) {
 	release := make(chan struct{})
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -133,13 +133,13 @@
 	r.pacer = reportpacing.New(reportpacing.Config{Interval: monotime.FromDuration(time.Hour)}, 1)
 	done := run(t.Context(), r)
 	r.Deregister()
-	takeOff(t, reports)
+	awaitDeregistration(t, reports)
 	r.SetAddress(newAddress)
 	fakes.Until(t, "Run has seen the change", func() bool { return len(r.addressChanged) == 0 })
-	if !nothingWithin(newReports) {
-		t.Error("a second call is made while the first is in flight")
+	if !receivesNothing(newReports) {
+		t.Error("a second call was made while the first was in flight")
 	}
 	close(release)
-	takeOff(t, newReports)
+	awaitDeregistration(t, newReports)
 	fakes.Take(t, "the end of Run", done)
 }
--- a/internal/backend/registration/helpers_test.go
+++ b/internal/backend/registration/helpers_test.go
@@ -17,15 +17,15 @@
 	reportOff = `PUT /roster/n3 {"duty":"off"}`
 )
 
-// testBounds returns the bounds of a small deployment.
+// testBounds returns the limits of a small deployment.
 func testBounds() limits.Bounds { return limits.For(1, 192, 1024) }
 
-// newReporter returns a reporter of backend n3 with jitter and backoff.
+// newReporter returns a reporter for backend n3 with jitter and backoff.
 func newReporter(address string, bounds limits.Bounds) *Reporter {
 	return New(address, "n3", bounds, false)
 }
 
-// run runs a reporter until the context ends or it has deregistered; done is closed then.
+// run runs a reporter on another goroutine. done is closed when Run returns.
 func run(ctx context.Context, r *Reporter) (done chan struct{}) {
 	done = make(chan struct{})
 	go func() {
@@ -35,23 +35,23 @@
 	return done
 }
 
-// isFailing reports whether the last report that ended has failed.
+// isFailing reports whether the last report to end has failed.
 func isFailing(r *Reporter) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.failing
 }
 
-// takeOff returns once a deregistration is received.
-func takeOff(t *testing.T, reports <-chan string) {
+// awaitDeregistration reads reports until it receives a deregistration.
+func awaitDeregistration(t *testing.T, reports <-chan string) {
 	t.Helper()
 	for report := ""; report != reportOff; {
 		report = fakes.Take(t, "a deregistration", reports)
 	}
 }
 
-// nothingWithin reports whether nothing is received for 100 ms.
-func nothingWithin(reports <-chan string) bool {
+// receivesNothing reports whether no report is received for 100 ms.
+func receivesNothing(reports <-chan string) bool {
 	select {
 	case <-reports:
 		return false
@@ -60,11 +60,11 @@
 	}
 }
 
-// accept responds to a report with the status that counts.
+// accept responds with the status of an accepted report.
 func accept(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 
-// respondWith returns a handler that responds with the statuses in the order of the reports. A report whose caller has
-// given up takes none, and does not keep the registry from closing.
+// respondWith returns a handler that responds to each report with the next status. A report whose caller has canceled
+// it uses no status and does not prevent the registry from closing.
 func respondWith(statuses <-chan int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -75,7 +75,7 @@
 	}
 }
 
-// listen listens on an address on loopback.
+// listen listens on a loopback address.
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
@@ -85,7 +85,7 @@
 	return listener
 }
 
-// refusingAddress returns an address on loopback at which nobody listens.
+// refusingAddress returns a loopback address that refuses connections.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	listener := listen(t, "127.0.0.1:0")
--- a/internal/backend/registration/reporter_test.go
+++ b/internal/backend/registration/reporter_test.go
@@ -17,8 +17,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestReportsContinueHoweverOneEnds checks that reports go on whatever the registry responds, that the last report is a
-// deregistration, and that it is repeated where the registry has not accepted it.
+// TestReportsContinueHoweverOneEnds checks that reports continue regardless of the registry's responses, that the last
+// report is a deregistration, and that the deregistration is repeated until the registry accepts it.
 func TestReportsContinueHoweverOneEnds(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -26,7 +26,7 @@
 		accepts       bool // deregistrations
 		neverResponds bool
 	}{
-		{name: "counts reports", handler: accept, accepts: true},
+		{name: "accepts reports", handler: accept, accepts: true},
 		{name: "closes connections", handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Connection", "close")
 			w.WriteHeader(http.StatusNoContent)
@@ -64,7 +64,7 @@
 					t.Errorf("received %s, want %s", report, reportOn)
 				}
 			}
-			if test.neverResponds && !nothingWithin(reports) {
+			if test.neverResponds && !receivesNothing(reports) {
 				t.Errorf("more than %d reports are in flight", wantReports)
 			}
 			r.Deregister()
@@ -72,7 +72,7 @@
 			last := ""
 			if !test.accepts {
 				for range 3 {
-					takeOff(t, reports)
+					awaitDeregistration(t, reports)
 				}
 				last = reportOff
 				cancel()
@@ -88,43 +88,43 @@
 	}
 }
 
-// TestTwoUnansweredReportsKeepTheEntry checks that after two reports in a row that are accepted and never answered, the
-// next comes before the entry expires.
+// TestTwoUnansweredReportsKeepTheEntry checks that after two consecutive reports without a response, the next report is
+// sent before the entry expires.
 func TestTwoUnansweredReportsKeepTheEntry(t *testing.T) {
 	bounds := testBounds()
 	release := make(chan struct{})
 	var received atomic.Int32
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
-		if n := received.Add(1); n == 2 || n == 3 { // reports are sent one after the other
+		if n := received.Add(1); n == 2 || n == 3 { // reports arrive in the order in which they are sent
 			<-release
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := run(ctx, newReporter(address, bounds))
-	fakes.Take(t, "the report that counts", reports)
-	countedAt := time.Now()
-	fakes.Take(t, "the first that is never answered", reports)
-	fakes.Take(t, "the second", reports)
-	fakes.Take(t, "the next", reports)
-	if late := time.Since(countedAt); late > bounds.RegistrationTTL {
-		t.Errorf("the next came after %v, the entry had expired", late)
+	fakes.Take(t, "the accepted report", reports)
+	acceptedAt := time.Now()
+	fakes.Take(t, "the first report without a response", reports)
+	fakes.Take(t, "the second report without a response", reports)
+	fakes.Take(t, "the next report", reports)
+	if late := time.Since(acceptedAt); late > bounds.RegistrationTTL {
+		t.Errorf("the next report was sent after %v, when the entry had expired", late)
 	}
 	close(release)
 	cancel()
 	fakes.Take(t, "the end of Run", done)
 }
 
-// TestReturningRegistryIsReportedToSoon checks that a registry that returns gets a report soon, not only after the
-// report interval.
-func TestReturningRegistryIsReportedToSoon(t *testing.T) {
+// TestRecoveredRegistryGetsReportSoon checks that a registry that becomes reachable again gets a report after a retry
+// delay instead of the report interval.
+func TestRecoveredRegistryGetsReportSoon(t *testing.T) {
 	const retryDelay = 10 * monotime.Millisecond
 	address := refusingAddress(t)
 	bounds := testBounds()
 	bounds.ReportInterval = time.Hour
 	bounds.ReportRetryRefused = retryDelay.Duration()
 	r := newReporter(address, bounds)
-	pacing := reportpacing.Config{ // without an interval, so that the first report is due at once
+	pacing := reportpacing.Config{ // no interval, so that the first report is due immediately
 		RetryInitial: retryDelay,
 		RetryMax:     retryDelay,
 		RetryRefused: retryDelay,
@@ -146,8 +146,8 @@
 	fakes.Take(t, "the end of Run", done)
 }
 
-// TestUnreachableRegistryBlocksNothing checks that Run ends with its context though the registry refuses connections.
-func TestUnreachableRegistryBlocksNothing(t *testing.T) {
+// TestRunEndsWhileRegistryIsUnreachable checks that Run ends with its context even if the registry refuses connections.
+func TestRunEndsWhileRegistryIsUnreachable(t *testing.T) {
 	r := newReporter(refusingAddress(t), testBounds())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := run(ctx, r)
@@ -157,7 +157,8 @@
 	fakes.Take(t, "the end of Run", done)
 }
 
-// TestNextReportWaitsForRetryAfter checks that the report after a Retry-After is not sent before it is over.
+// TestNextReportWaitsForRetryAfter checks that the next report is not sent before the registry's Retry-After has
+// passed.
 func TestNextReportWaitsForRetryAfter(t *testing.T) {
 	address, reports := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1")
@@ -174,15 +175,15 @@
 	startedAt := time.Now()
 	fakes.Take(t, "the next report", reports)
 	if after := time.Since(startedAt); after < 900*time.Millisecond {
-		t.Errorf("the next report came after %v, Retry-After is 1 s", after)
+		t.Errorf("the next report was sent after %v, Retry-After is 1 s", after)
 	}
 	r.Deregister()
 	cancel()
 	fakes.Take(t, "the end of Run", done)
 }
 
-// TestSetAddressWakesRunOnce checks that another address wakes Run, also if it is to be woken already, and that the
-// same address does not.
+// TestSetAddressWakesRunOnce checks that a new address wakes Run, that a pending wake-up does not block SetAddress, and
+// that an unchanged address does not wake Run.
 func TestSetAddressWakesRunOnce(t *testing.T) {
 	r := newReporter("127.0.0.1:1", testBounds())
 	r.SetAddress("127.0.0.1:1")
@@ -190,15 +191,15 @@
 		t.Error("the same address counts as a change")
 	}
 	r.SetAddress("127.0.0.1:2")
-	r.SetAddress("127.0.0.1:3") // returns though Run has not seen the one before
+	r.SetAddress("127.0.0.1:3") // must not block while the previous change is pending
 	if len(r.addressChanged) != 1 {
-		t.Errorf("%d changes wait for Run, want 1", len(r.addressChanged))
+		t.Errorf("%d changes are pending, want 1", len(r.addressChanged))
 	}
 }
 
-// TestPacingConfig checks that fixed pacing retries at the interval of deregistrations, and has twice as many reports
-// in flight.
-func TestPacingConfig(t *testing.T) {
+// TestFixedPacingRaisesReportsInFlight checks that fixed pacing retries after the retry interval of deregistrations and
+// allows twice as many reports in flight.
+func TestFixedPacingRaisesReportsInFlight(t *testing.T) {
 	bounds := testBounds()
 	paced := pacingConfig(bounds, false)
 	if paced.Fixed || paced.RetryMin != monotime.FromDuration(bounds.ReportRetryMin) ||
@@ -212,8 +213,7 @@
 	}
 }
 
-// TestResultOfFormerAddressIsAbandoned checks that the failure of a report to a former address does not delay the next
-// report.
+// TestResultOfFormerAddressIsAbandoned checks that a failed report to a former address does not delay the next report.
 func TestResultOfFormerAddressIsAbandoned(t *testing.T) {
 	const addressSince = 10
 	r := newReporter("127.0.0.1:1", testBounds())
@@ -226,18 +226,18 @@
 	before, _ := r.pacer.Due()
 	r.pace(failedAt(0), addressSince)
 	if after, _ := r.pacer.Due(); after != before {
-		t.Errorf("the next report was due at %d us, and is now at %d us", before, after)
+		t.Errorf("the next report was due at %d us and is now due at %d us", before, after)
 	}
 	r.pacer.Started(20)
 	r.pace(failedAt(20), addressSince)
 	if after, _ := r.pacer.Due(); after < monotime.FromDuration(testBounds().RetryAfterMax) {
-		t.Errorf("after a failure at the present address, the next report is due at %d us", after)
+		t.Errorf("after a failure at the current address, the next report is due at %d us", after)
 	}
 }
 
-// TestReportsAreLoggedAtAChange checks that a line is logged when reports begin to fail, and one when they succeed
-// again, but none for a report that the end of the process has cut off.
-func TestReportsAreLoggedAtAChange(t *testing.T) {
+// TestReportsAreLoggedOnChange checks that one line is logged when reports begin to fail and one when they succeed
+// again, but none for a report that is canceled because the process ends.
+func TestReportsAreLoggedOnChange(t *testing.T) {
 	var text bytes.Buffer
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(logging.Handler(&text, logging.Text)))
@@ -254,6 +254,6 @@
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := r.report(ended, inService); err == nil || strings.Count(text.String(), "\n") != 2 {
-		t.Errorf("a report that was cut off: %v, log %s", err, text.String())
+		t.Errorf("canceled report: %v, log %s", err, text.String())
 	}
 }
--- a/internal/backend/registration/reportpacing/delay_test.go
+++ b/internal/backend/registration/reportpacing/delay_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestFirstReportIsJittered checks that the first reports of backends that start at the same time are spread over the
-// interval, and that fixed pacing sends them at once.
+// interval, and that fixed pacing sends them immediately.
 func TestFirstReportIsJittered(t *testing.T) {
 	config := testConfig()
 	start := func(p *Pacer) monotime.Micros {
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestStartForgetsFailures checks that after Start, failures at a former address do not count.
-func TestStartForgetsFailures(t *testing.T) {
+// TestStartResetsFailures checks that after Start, failures at a former address do not affect the delay.
+func TestStartResetsFailures(t *testing.T) {
 	config := testConfig()
 	config.RetryInitial = second
 	config.RetryMax = 60 * second
@@ -39,23 +39,23 @@
 	}
 }
 
-// TestStartForgetsEntry checks that after Start, the entry at a former address does not bound the delay.
-func TestStartForgetsEntry(t *testing.T) {
+// TestStartIgnoresFormerEntry checks that after Start, the entry at a former address does not limit the delay.
+func TestStartIgnoresFormerEntry(t *testing.T) {
 	const movedAt = 2 * second // a second before the entry at the former address would expire
 	config := testConfig()
 	_, longest := delayRange(config, func(p *Pacer) monotime.Micros {
-		countReport(p, 0)
+		acceptReport(p, 0)
 		p.Start(movedAt)
 		rejectReports(p, movedAt, 1)
 		return movedAt
 	})
 	if longest < config.TTL-movedAt {
-		t.Errorf("the entry at a former address bounds the delay to %d us", longest)
+		t.Errorf("the entry at a former address limits the delay to %d us", longest)
 	}
 }
 
-// TestOverlappingReportsBackOff checks that while the report before is still in flight, the next is delayed as after a
-// failure, and that fixed pacing keeps its interval.
+// TestOverlappingReportsBackOff checks that if a report is sent while an earlier one is still in flight, the next
+// report is delayed as after a failure, and that fixed pacing keeps its interval.
 func TestOverlappingReportsBackOff(t *testing.T) {
 	config := testConfig()
 	overlap := func(p *Pacer) monotime.Micros {
@@ -75,11 +75,11 @@
 	}
 }
 
-// TestSuccessEndsBackoff checks that once a report counts, the next is due after the usual interval, and the next
-// failure is a first one.
+// TestSuccessEndsBackoff checks that after an accepted report, the next report is due after the usual interval, and
+// that the next failure is treated as the first.
 func TestSuccessEndsBackoff(t *testing.T) {
 	config := testConfig()
-	config.TTL = 1 << 40 // so that the entry does not bound the delays
+	config.TTL = 1 << 40 // so that the entry does not limit the delays
 	config.RetryInitial = second
 	config.RetryMax = 60 * second
 	succeed := func(p *Pacer) monotime.Micros {
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestRetryAfterIsBoundedAndSpread checks that a Retry-After is honoured up to RetryAfterMax, and that backends that
-// got it at the same time do not report again at the same time.
+// TestRetryAfterIsBoundedAndSpread checks that a Retry-After is honored up to RetryAfterMax, and that backends that
+// received it at the same time do not report again at the same time.
 func TestRetryAfterIsBoundedAndSpread(t *testing.T) {
 	config := testConfig()
 	for _, test := range []struct {
@@ -131,7 +131,7 @@
 
 // TestRefusedConnectionsAreRetriedSoon checks that the delay after a refused connection is at most RetryRefused.
 func TestRefusedConnectionsAreRetriedSoon(t *testing.T) {
-	const failures = 20 // after which the bound is RetryMax
+	const failures = 20 // enough for the bound to reach RetryMax
 	config := testConfig()
 	_, longest := delayRange(config, func(p *Pacer) monotime.Micros {
 		rejectReports(p, 0, failures)
@@ -144,7 +144,7 @@
 	}
 }
 
-// TestEntryBoundsRetryDelay checks that the delay after a failure is bounded by the time left until the entry expires,
+// TestEntryBoundsRetryDelay checks that the delay after a failure is limited by the time left until the entry expires,
 // unless there is no entry or it is too late to renew it.
 func TestEntryBoundsRetryDelay(t *testing.T) {
 	config := testConfig()
@@ -157,7 +157,7 @@
 	}
 	failAtAge := func(age monotime.Micros) func(p *Pacer) monotime.Micros {
 		return func(p *Pacer) monotime.Micros {
-			countReport(p, 0)
+			acceptReport(p, 0)
 			rejectReports(p, age, 1)
 			return age
 		}
@@ -170,7 +170,8 @@
 	}
 }
 
-// TestRetryDelayIsAtLeastRetryMin checks that a failure delays by RetryMin at least, also where all bounds are shorter.
+// TestRetryDelayIsAtLeastRetryMin checks that the delay after a failure is at least RetryMin, even if the upper bounds
+// are shorter.
 func TestRetryDelayIsAtLeastRetryMin(t *testing.T) {
 	config := testConfig()
 	config.RetryInitial = config.RetryMin / 10
--- a/internal/backend/registration/reportpacing/growth_test.go
+++ b/internal/backend/registration/reportpacing/growth_test.go
@@ -10,12 +10,12 @@
 	shared "milletbarrow/internal/backoff"
 )
 
-// TestDelayBoundsGrowAsTheLibrarysIntervals checks that the bound of the delays grows from failure to failure as the
-// interval of the backoff library does from call to call.
-func TestDelayBoundsGrowAsTheLibrarysIntervals(t *testing.T) {
+// TestIntervalsMatchBackoffLibrary checks that the bound of the retry delays grows with each failure as the interval of
+// the backoff library grows with each call.
+func TestIntervalsMatchBackoffLibrary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		initial := time.Duration(rapid.Int64Range(1, 10_000_000).Draw(t, "first")) * time.Microsecond
-		maxInterval := time.Duration(rapid.Int64Range(1, 100_000_000).Draw(t, "most")) * time.Microsecond
+		initial := time.Duration(rapid.Int64Range(1, 10_000_000).Draw(t, "initial")) * time.Microsecond
+		maxInterval := time.Duration(rapid.Int64Range(1, 100_000_000).Draw(t, "max")) * time.Microsecond
 		library := &backoff.ExponentialBackOff{
 			InitialInterval: initial,
 			Multiplier:      1.5,
--- a/internal/backend/registration/reportpacing/helpers_test.go
+++ b/internal/backend/registration/reportpacing/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "milletbarrow/monotime"
 
-// Times of the tests.
+// Units of time in the tests.
 const (
 	second      = monotime.Second
 	millisecond = monotime.Millisecond
@@ -26,7 +26,7 @@
 const pacers = 200
 
 // delayRange returns the shortest and the longest delay before the next report of pacers with different seeds. prepare
-// brings each pacer to the moment of interest, and returns that moment.
+// brings a pacer into the state to test, and returns the time from which the delay is measured.
 func delayRange(config Config, prepare func(p *Pacer) (now monotime.Micros)) (shortest, longest monotime.Micros) {
 	for seed := range uint64(pacers) {
 		p := New(config, seed)
@@ -42,7 +42,7 @@
 	return shortest, longest
 }
 
-// rejectReports has a number of reports rejected, all at one time.
+// rejectReports records reports that are sent and rejected at the same time.
 func rejectReports(p *Pacer, now monotime.Micros, reports int) {
 	for range reports {
 		p.Started(now)
@@ -50,8 +50,8 @@
 	}
 }
 
-// countReport has one report sent and counted at one time.
-func countReport(p *Pacer, now monotime.Micros) {
+// acceptReport records a report that is sent and accepted at the same time.
+func acceptReport(p *Pacer, now monotime.Micros) {
 	p.Started(now)
 	p.Succeeded(now, now)
 }
--- a/internal/backend/registration/reportpacing/pacer_test.go
+++ b/internal/backend/registration/reportpacing/pacer_test.go
@@ -8,8 +8,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestEntryIsRenewedInTime checks that no single failure loses the entry, that a report is due once none is in flight,
-// and that the registry's Retry-After is honoured.
+// TestEntryIsRenewedInTime checks that the entry does not expire after a single failure, that a report may be sent if
+// none is in flight, and that the registry's Retry-After is honored.
 func TestEntryIsRenewedInTime(t *testing.T) {
 	config := testConfig()
 	rapid.Check(t, func(t *rapid.T) {
@@ -20,8 +20,8 @@
 			t.Fatalf("the first report is due after %d us", at-now)
 		}
 		failedBefore := false
-		lastCounted := monotime.Micros(0) // 0: none yet
-		notBefore := monotime.Micros(0)   // end of the Retry-After; 0: none
+		lastAccepted := monotime.Micros(0) // 0: none yet
+		notBefore := monotime.Micros(0)    // end of the Retry-After; 0: none
 		for range 60 {
 			at, mayReport := p.Due()
 			if !mayReport {
@@ -31,8 +31,8 @@
 				t.Fatalf("due %d us before the registry's Retry-After is over", notBefore-at)
 			}
 			now = max(now, at)
-			if lastCounted > 0 && notBefore == 0 && now > lastCounted+config.TTL {
-				t.Fatalf("the entry expired %d us before the report", now-lastCounted-config.TTL)
+			if lastAccepted > 0 && notBefore == 0 && now > lastAccepted+config.TTL {
+				t.Fatalf("the entry expired %d us before the report", now-lastAccepted-config.TTL)
 			}
 			p.Started(now)
 			startedAt := now
@@ -48,14 +48,14 @@
 				continue
 			}
 			failedBefore = false
-			lastCounted = startedAt
+			lastAccepted = startedAt
 			p.Succeeded(now, startedAt)
 		}
 	})
 }
 
-// TestTwoUnansweredReportsKeepTheEntry checks that the entry is renewed in time though two reports in a row are never
-// answered.
+// TestTwoUnansweredReportsKeepTheEntry checks that the entry is renewed in time even if two consecutive reports get no
+// response.
 func TestTwoUnansweredReportsKeepTheEntry(t *testing.T) {
 	config := testConfig()
 	rapid.Check(t, func(t *rapid.T) {
@@ -77,7 +77,7 @@
 }
 
 // TestRejectingRegistryIsNotFlooded checks that while the registry rejects all reports, the backends together make at
-// most half as many calls as usual in each second from the third on, and no delay is longer than RetryMax.
+// most half of the usual number of calls in each second from the third on, and that no delay exceeds RetryMax.
 func TestRejectingRegistryIsNotFlooded(t *testing.T) {
 	const backends, seconds = 300, 30
 	config := testConfig()
@@ -103,19 +103,19 @@
 	usual := backends * int(second) / int(config.Interval)
 	for s, n := range calls[2:] {
 		if n > usual/2 {
-			t.Errorf("second %d: %d calls, %d are usual", s+2, n, usual)
+			t.Errorf("second %d: %d calls, the usual number is %d", s+2, n, usual)
 		}
 	}
 }
 
-// TestSilentRegistryBoundsCallsInFlight checks that one backend has at most InFlight calls open to a registry that
+// TestSilentRegistryBoundsCallsInFlight checks that a backend has at most InFlight calls in flight to a registry that
 // never responds.
 func TestSilentRegistryBoundsCallsInFlight(t *testing.T) {
 	const timeout = 2800 * millisecond
 	config := testConfig()
 	p := New(config, 7)
 	p.Start(0)
-	var startedAt []monotime.Micros // of the calls in flight, the oldest first
+	var startedAt []monotime.Micros // of the calls in flight, oldest first
 	for now := monotime.Micros(0); now < 30*second; now += millisecond {
 		for len(startedAt) > 0 && now-startedAt[0] >= timeout {
 			startedAt = startedAt[1:]
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestReportsInFlightAreBounded checks that with InFlight reports in flight none may be sent until one has ended,
-// however it ends.
+// TestReportsInFlightAreBounded checks that with InFlight reports in flight, no further report may be sent until one
+// has ended, regardless of its result.
 func TestReportsInFlightAreBounded(t *testing.T) {
 	config := testConfig()
 	for _, test := range []struct {
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestOlderReportDoesNotAgeTheEntry checks that the entry lasts from the newest report that counts, though reports end
-// in another order than they were sent.
-func TestOlderReportDoesNotAgeTheEntry(t *testing.T) {
+// TestOlderReportDoesNotShortenEntryLifetime checks that the lifetime of the entry counts from the latest accepted
+// report, even if reports end in a different order than they were sent.
+func TestOlderReportDoesNotShortenEntryLifetime(t *testing.T) {
 	p := New(testConfig(), 1)
 	p.Start(0)
 	p.Started(0)
@@ -173,13 +173,13 @@
 	p.Succeeded(1100*millisecond, second)
 	p.Succeeded(1200*millisecond, 0)
 	if p.lastAccepted != second {
-		t.Errorf("the newest report that counts is that of %d us", p.lastAccepted)
+		t.Errorf("the latest accepted report was sent at %d us", p.lastAccepted)
 	}
 }
 
-// TestFixedPacing checks that fixed pacing repeats a failed report after RetryMin, and after a timeout, which takes
-// longer than that, sends the next report at the interval.
-func TestFixedPacing(t *testing.T) {
+// TestFixedPacingRetriesAfterRetryMin checks that fixed pacing sends the next report RetryMin after a failure. After a
+// timeout, which takes longer than RetryMin, the next report is sent at the usual interval.
+func TestFixedPacingRetriesAfterRetryMin(t *testing.T) {
 	config := testConfig()
 	config.Fixed = true
 	p := New(config, 1)
--- a/internal/backend/registration/request_test.go
+++ b/internal/backend/registration/request_test.go
@@ -14,14 +14,14 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestErrorsAreClassified checks how the error of a report counts for the pacer, and whether the registry may still
-// count the report.
+// TestErrorsAreClassified checks the kind of failure for each error of a report, and whether the registry may still
+// accept the report.
 func TestErrorsAreClassified(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		err           error
-		failure       reportpacing.Failure
-		wasNotCounted bool
+		name             string
+		err              error
+		failure          reportpacing.Failure
+		cannotBeAccepted bool
 	}{
 		{"timeout", &net.OpError{Op: "read", Err: context.DeadlineExceeded}, reportpacing.TimedOut, false},
 		{"connection refused", &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}, reportpacing.Refused, true},
@@ -32,14 +32,14 @@
 			if got := failureOf(test.err); got != test.failure {
 				t.Errorf("failure %d, want %d", got, test.failure)
 			}
-			if got := cannotBeAccepted(test.err); got != test.wasNotCounted {
-				t.Errorf("was not counted %t, want %t", got, test.wasNotCounted)
+			if got := cannotBeAccepted(test.err); got != test.cannotBeAccepted {
+				t.Errorf("cannot be accepted %t, want %t", got, test.cannotBeAccepted)
 			}
 		})
 	}
 }
 
-// TestRejectedReportReturnsStatusError checks that the response of a registry that rejects a report is a *StatusError.
+// TestRejectedReportReturnsStatusError checks that a report that the registry rejects returns a *StatusError.
 func TestRejectedReportReturnsStatusError(t *testing.T) {
 	const wantText = "endpoint registry responded with status 418, expected 204"
 	address, _ := fakes.NewRegistry(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -52,7 +52,8 @@
 	}
 }
 
-func TestParseRetryAfter(t *testing.T) {
+// TestRetryAfterIsParsedAsSecondsOrDate checks that invalid headers and past dates yield no delay.
+func TestRetryAfterIsParsedAsSecondsOrDate(t *testing.T) {
 	now := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	for _, test := range []struct {
 		name   string
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
+// seeded returns a source of random numbers with the given seed.
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-// formerPause returns the pause by the rule, in microseconds, that fleet and agentapi had before this package.
+// formerPause returns the pause in microseconds by the rule that fleet and agentapi used before this package.
 func formerPause(shortest, longest int64, attempt int, random *rand.Rand) int64 {
 	if attempt <= 1 {
 		return 0
@@ -23,8 +24,8 @@
 	return interval/2 + random.Int64N(interval/2+1)
 }
 
-// TestPauseIsUnchanged checks that the pauses are those of the former rule, draw for draw.
-func TestPauseIsUnchanged(t *testing.T) {
+// TestPauseMatchesFormerRule checks that with the same random numbers, each pause equals that of the former rule.
+func TestPauseMatchesFormerRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shortest := rapid.Int64Range(1, 10_000_000).Draw(t, "min")
 		longest := rapid.Int64Range(1, 100_000_000).Draw(t, "max")
@@ -44,9 +45,9 @@
 	})
 }
 
-// TestPauseBounds checks that there is no pause before the first attempt, and that the others are between half of
-// the shortest interval and the longest one.
-func TestPauseBounds(t *testing.T) {
+// TestPauseIsBetweenHalfMinAndMax checks that there is no pause before the first attempt, and that all others are
+// between half of Min and Max.
+func TestPauseIsBetweenHalfMinAndMax(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := Policy{Min: time.Duration(rapid.IntRange(2, 1000).Draw(t, "min")) * time.Microsecond}
 		policy.Max = policy.Min * time.Duration(rapid.IntRange(1, 100).Draw(t, "max"))
@@ -65,8 +66,8 @@
 	})
 }
 
-// TestRetryBudget checks that 1000 attempts allow the free retries and 100 more.
-func TestRetryBudget(t *testing.T) {
+// TestRetryBudgetIsShareOfAttempts checks that 1000 attempts allow the free retries and 100 more.
+func TestRetryBudgetIsShareOfAttempts(t *testing.T) {
 	var budget RetryBudget
 	retries := 0
 	for range 1000 {
