--- a/internal/backend/degradation/change.go
+++ b/internal/backend/degradation/change.go
@@ -6,24 +6,24 @@
 	"milletbarrow/monotime"
 )
 
-// Change is one change of the level, as it is logged and recorded.
+// Change is a transition of the level in force, as it is logged and recorded.
 type Change struct {
 	At       monotime.Micros
 	From     int     // number of the former level; 0 is full service, 1 the mildest level
 	To       int     // number of the new level
-	Cause    string  // the terms that were met, or who overrides the level
-	Collapse bool    // true if the change did not wait for ChangeInterval
-	Signals  Signals // smoothed
+	Cause    string  // the terms that were met, or the operator of the override
+	Collapse bool    // the transition did not wait for ChangeInterval
+	Signals  Signals // smoothed values at the transition
 }
 
-// String prints a change as operators see it.
+// String formats a change for operators and traces.
 func (c Change) String() string {
 	return fmt.Sprintf("%d to %d, collapse %t, %s; %v", c.From, c.To, c.Collapse, c.Cause, c.Signals)
 }
 
-// changeAllowed reports whether the level may change to another: none of the levels between them was entered or left
-// within ChangeInterval, and the present one has been in force for its MinDuration. Time under a stronger level counts:
-// after a recovery the next ones follow as fast as their exits and ramps allow.
+// changeAllowed reports whether the controller may change to level to: no level on the way was entered or left within
+// ChangeInterval, and a level to be left has been in force for its MinDuration. Time spent below a stronger level
+// counts towards MinDuration, so that successive recoveries are limited only by their exit conditions and ramps.
 func (c *Controller) changeAllowed(now monotime.Micros, to int) bool {
 	for level := min(c.level, to) + 1; level <= max(c.level, to); level++ {
 		if at := c.changedAt[level]; at != 0 && now-at < c.policy.ChangeInterval {
@@ -33,7 +33,7 @@
 	return to > c.level || now-c.enteredAt[c.level] >= c.policy.Levels[c.level-1].MinDuration
 }
 
-// changeLevel puts another level in force.
+// changeLevel puts level to in force and updates the times and the backoff that depend on the transition.
 func (c *Controller) changeLevel(now monotime.Micros, to int, cause string, collapse bool) Change {
 	change := Change{At: now, From: c.level, To: to, Cause: cause, Collapse: collapse, Signals: c.smoothed}
 	for level := min(c.level, to) + 1; level <= max(c.level, to); level++ {
@@ -49,9 +49,9 @@
 		c.backoff = 0
 	}
 	c.level = to
-	c.leavingSince = 0
-	c.noExitBefore = now
-	if relapse { // a collapse may enter the level again at once, but it is not left again so soon
+	c.rampStartedAt = 0
+	c.earliestRecovery = now
+	if relapse { // a collapse may re-enter a level without delay, so the delay applies to the next recovery
 		c.extendBackoff(now)
 	}
 	return change
--- a/internal/backend/degradation/collapse_test.go
+++ b/internal/backend/degradation/collapse_test.go
@@ -7,16 +7,16 @@
 )
 
 // steepPolicy has levels so far apart that a collapse of one level is not met by the entry of the level above it.
-const steepPolicy = `(ladder steep (every 60s) (ramp 0s) (smooth (queue 0s) (late 0s))
+const widelySpacedPolicy = `(ladder steep (every 60s) (ramp 0s) (smooth (queue 0s) (late 0s))
 	(level a (shed) (enter (queue 1)) (exit (queue 0.5)))
 	(level b (shed) (enter (all (queue 4) (retries 0))) (exit (queue 2)))
 	(level c (shed) (enter (late 0.5)) (exit (late 0.2))))`
 
 // recentlyChanged returns a controller of steepPolicy at the first level whose stronger levels were just left, and the
 // time of that.
-func recentlyChanged(t *testing.T) (c *Controller, now monotime.Micros) {
+func newRecentlyChangedController(t *testing.T) (c *Controller, now monotime.Micros) {
 	t.Helper()
-	c = NewController(mustParse(t, steepPolicy))
+	c = NewController(mustParse(t, widelySpacedPolicy))
 	for _, level := range []int{3, 1} {
 		now += second
 		if err := c.Override(now, level, now+100*second, "test", false); err != nil {
@@ -45,7 +45,7 @@
 		{name: "level beyond the next", queue: 1, late: 0.5, want: 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, now := recentlyChanged(t)
+			c, now := newRecentlyChangedController(t)
 			signals := queueSignals(test.queue)
 			signals[Late] = test.late
 			signals[Retries] = 0
--- a/internal/backend/degradation/condition.go
+++ b/internal/backend/degradation/condition.go
@@ -7,45 +7,45 @@
 	"milletbarrow/monotime"
 )
 
-// collapseFactor is the ratio of a signal to the next level's entry from which the change does not wait for
-// ChangeInterval.
+// collapseFactor is the ratio of a signal to its entry threshold of the next level from which the transition does not
+// wait for ChangeInterval.
 const collapseFactor = 1.5
 
-// trackTerms records since when each term holds. A term of a missing signal does not hold.
-func (c *Controller) trackTerms(now monotime.Micros) {
+// updateTermTimes records since when each term of each condition holds. A term of a missing signal does not hold.
+func (c *Controller) updateTermTimes(now monotime.Micros) {
 	for n, level := range c.policy.Levels {
 		for i, term := range level.Enter.Terms {
-			trackSince(&c.entrySince[n][i], now, c.smoothed[term.Signal] >= term.Value)
+			updateHeldSince(&c.entryHeldSince[n][i], now, c.smoothed[term.Signal] >= term.Value)
 		}
 		for i, term := range level.Exit.Terms {
-			trackSince(&c.exitSince[n][i], now, c.smoothed[term.Signal] < term.Value)
+			updateHeldSince(&c.exitHeldSince[n][i], now, c.smoothed[term.Signal] < term.Value)
 		}
 	}
 }
 
-// trackSince updates the time since when a term holds; 0 means that it does not.
-func trackSince(since *monotime.Micros, now monotime.Micros, holds bool) {
+// updateHeldSince updates the start of the time for which a term holds; 0 means that it does not hold.
+func updateHeldSince(heldSince *monotime.Micros, now monotime.Micros, holds bool) {
 	if !holds {
-		*since = 0
-	} else if *since == 0 {
-		*since = now
+		*heldSince = 0
+	} else if *heldSince == 0 {
+		*heldSince = now
 	}
 }
 
-// clearTerms discards the times since when terms hold.
-func (c *Controller) clearTerms() {
-	for n := range c.entrySince {
-		clear(c.entrySince[n])
-		clear(c.exitSince[n])
+// resetTermTimes marks all terms as not holding.
+func (c *Controller) resetTermTimes() {
+	for n := range c.entryHeldSince {
+		clear(c.entryHeldSince[n])
+		clear(c.exitHeldSince[n])
 	}
 }
 
-// conditionMet reports whether a condition is met, and returns its terms that are. since has the time since when each
-// term holds.
-func (c *Controller) conditionMet(condition Condition, since []monotime.Micros) (terms string, met bool) {
+// conditionMet reports whether a condition is met, and formats the terms that are met. heldSince has the time since
+// when each term holds.
+func (c *Controller) conditionMet(condition Condition, heldSince []monotime.Micros) (terms string, met bool) {
 	var metTerms []string
 	for i, term := range condition.Terms {
-		if since[i] != 0 && c.lastUpdate-since[i] >= term.For {
+		if heldSince[i] != 0 && c.lastUpdate-heldSince[i] >= term.For {
 			metTerms = append(metTerms, fmt.Sprintf("%s %.3g", term.Signal, c.smoothed[term.Signal]))
 		}
 	}
@@ -55,18 +55,18 @@
 	return "", false
 }
 
-// strongestEntered returns the strongest level whose entry is met and the terms that are, or the present level if no
-// stronger one is entered.
+// strongestEntered returns the strongest level whose entry condition is met, with the terms that are met. It returns
+// the level in force if no stronger one qualifies.
 func (c *Controller) strongestEntered() (level int, terms string) {
 	for n := len(c.policy.Levels) - 1; n >= c.level; n-- {
-		if terms, met := c.conditionMet(c.policy.Levels[n].Enter, c.entrySince[n]); met {
+		if terms, met := c.conditionMet(c.policy.Levels[n].Enter, c.entryHeldSince[n]); met {
 			return n + 1, terms
 		}
 	}
 	return c.level, ""
 }
 
-// isCollapse reports whether a signal is at least collapseFactor times the next level's entry.
+// isCollapse reports whether a signal is at least collapseFactor times its entry threshold of the next level.
 func (c *Controller) isCollapse() bool {
 	if c.level == len(c.policy.Levels) {
 		return false
--- a/internal/backend/degradation/controller_test.go
+++ b/internal/backend/degradation/controller_test.go
@@ -82,7 +82,7 @@
 	s = newScenario(t, trace,
 		"a host that comes back in the middle of a step knows nothing, and is there within the entry's span")
 	s.runUntil(10*second, queueSignals(2.5))
-	s.controller = NewController(mustParse(t, billsPolicy))
+	s.controller = NewController(mustParse(t, billingPolicy))
 	warmingUp := queueSignals(2.5)
 	warmingUp[WarmingUp] = 1
 	s.runUntil(11*second, warmingUp)
@@ -90,7 +90,7 @@
 
 	s = newScenario(t, trace, "another ladder while a level is in force")
 	s.runUntil(10*second, queueSignals(2.5))
-	renamed := strings.Replace(billsPolicy, "half-lookups", "most-lookups", 1)
+	renamed := strings.Replace(billingPolicy, "half-lookups", "most-lookups", 1)
 	s.controller = s.controller.WithPolicy(mustParse(t, renamed))
 	s.runUntil(11*second, queueSignals(2.5))
 	s.runUntil(12*second, queueSignals(2.5))
@@ -98,7 +98,7 @@
 
 // TestEarlierReadingsAreIgnored checks that a reading that is no later than the last one changes nothing.
 func TestEarlierReadingsAreIgnored(t *testing.T) {
-	c := NewController(mustParse(t, billsPolicy))
+	c := NewController(mustParse(t, billingPolicy))
 	c.Update(10*second, queueSignals(1))
 	for _, at := range []monotime.Micros{10 * second, 9 * second, 1} {
 		if c.Update(at, queueSignals(9)); c.Smoothed()[Queue] != 1 || c.lastUpdate != 10*second {
@@ -110,7 +110,7 @@
 // TestGapRestartsSmoothingAndTerms checks that after a gap in the readings smoothing starts anew, as do the times since
 // when terms hold.
 func TestGapRestartsSmoothingAndTerms(t *testing.T) {
-	c := NewController(mustParse(t, billsPolicy))
+	c := NewController(mustParse(t, billingPolicy))
 	c.Update(second, queueSignals(1.6))
 	if change, changed := c.Update(10*second, queueSignals(9)); changed || c.Smoothed()[Queue] != 9 {
 		t.Errorf("after the gap: queue %v, %v", c.Smoothed()[Queue], change)
@@ -157,7 +157,7 @@
 
 func BenchmarkUpdate(b *testing.B) {
 	const interval = 20 * monotime.Millisecond
-	controller := NewController(mustParse(b, billsPolicy))
+	controller := NewController(mustParse(b, billingPolicy))
 	b.ReportAllocs()
 	for now := monotime.Micros(1); b.Loop(); now += interval {
 		controller.Update(now, queueSignals(1.3))
--- a/internal/backend/degradation/errors.go
+++ b/internal/backend/degradation/errors.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// OverrideError reports an override of the level that was refused.
+// OverrideError reports an invalid override of the level.
 type OverrideError struct {
-	Field   string // of the override: level or until
+	Field   string // the invalid field of the override: level or until
 	Problem string // what is wrong with its value
 }
 
 func (e *OverrideError) Error() string { return e.Field + ": " + e.Problem }
 
-// overrideError builds an OverrideError; format and args make its problem.
-func overrideError(field, format string, args ...any) error {
+// newOverrideError returns an OverrideError whose Problem is formatted from format and args.
+func newOverrideError(field, format string, args ...any) error {
 	return &OverrideError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// UnknownNameError reports a rule of a policy that names an operation or a tenant that the deployment does not have.
+// UnknownNameError reports a rule that names an operation or a tenant that the deployment does not have.
 type UnknownNameError struct {
-	Level string // name of the level whose rule it is
+	Level string // level that the rule belongs to
 	Kind  string // operation or tenant
 	Name  string // the unknown name
 }
@@ -28,7 +28,7 @@
 
 // TraceError reports a line of a trace that cannot be read.
 type TraceError struct {
-	File    string // as it was named to ReadTrace
+	File    string // the name passed to ReadTrace
 	Line    int    // from 1
 	Problem string // what is wrong with the line
 }
--- a/internal/backend/degradation/explain.go
+++ b/internal/backend/degradation/explain.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-const percent = 100 // in 1
+// percent converts a fraction to a percentage.
+const percent = 100
 
-// Explain describes in words what the policy does.
+// Explain describes the policy in sentences for operators.
 func (p *Policy) Explain() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "degradation %s: %d levels; ", p.Name, len(p.Levels))
@@ -25,7 +26,7 @@
 	return b.String()
 }
 
-// describe describes a condition whose terms compare in one way, such as "below".
+// describe formats a condition; comparison is how its terms compare signal and value, such as "below".
 func (c Condition) describe(comparison string) string {
 	parts := make([]string, 0, len(c.Terms))
 	for _, term := range c.Terms {
@@ -41,7 +42,7 @@
 	return strings.Join(parts, ", and ")
 }
 
-// describe describes the requests that a rule sheds.
+// describe formats the set of requests that the rule sheds.
 func (r Rule) describe() string {
 	parts := []string{"all requests"}
 	if r.Share < 1 {
--- a/internal/backend/degradation/helpers_test.go
+++ b/internal/backend/degradation/helpers_test.go
@@ -10,7 +10,7 @@
 const second = monotime.Second
 
 // billsPolicy is a policy of three levels whose entries are a queue of 1.5, 2 and 3.
-const billsPolicy = `(ladder bills (every 60s) (ramp 20s) (pins 10m) (smooth (queue 1s))
+const billingPolicy = `(ladder bills (every 60s) (ramp 20s) (pins 10m) (smooth (queue 1s))
 	(level no-reprints
 		(shed (operations reprint))
 		(enter (any (queue 1.5 2s) (late 0.1 2s)))
@@ -74,7 +74,7 @@
 func newScenario(t *testing.T, trace *fakes.Trace, title string) *scenario {
 	t.Helper()
 	trace.Say("%s", title)
-	return &scenario{trace: trace, controller: NewController(mustParse(t, billsPolicy))}
+	return &scenario{trace: trace, controller: NewController(mustParse(t, billingPolicy))}
 }
 
 // runUntil updates the controller with the same signals ten times a second up to a time, and prints the changes and the
--- a/internal/backend/degradation/meter.go
+++ b/internal/backend/degradation/meter.go
@@ -6,65 +6,65 @@
 	"milletbarrow/monotime"
 )
 
-// Counter names an event that a SignalMeter counts.
+// Counter identifies a kind of event that a SignalMeter counts.
 type Counter int
 
 // The counters.
 const (
-	Arrivals        Counter = iota // arrived requests, without those that a level sheds
+	Arrivals        Counter = iota // arrived requests, except those that a level sheds
 	RetriedArrivals                // arrivals that are retries
-	Rejections                     // arrivals that the admission control throttled
+	Rejections                     // arrivals that admission control throttled
 	Successes                      // successful responses
 	LateSuccesses                  // successful responses that missed their latency objective
 	counterCount
 )
 
 const (
-	// countTimeConstant is the time in which a count decays by a factor of e.
+	// countTimeConstant is the time constant of the exponential decay of the counts.
 	countTimeConstant = monotime.Second
-	// minDenominator is the smallest decayed count that a fraction is computed of.
+	// minDenominator is the smallest decayed count that is used as the denominator of a fraction.
 	minDenominator = 4.0
 )
 
-// SignalMeter measures the signals from counted events and the executor's gauges. Counts decay exponentially; a
-// fraction of too small a count is missing. It is not safe for concurrent use.
+// SignalMeter computes the signals from counted events and the executor's gauges. Counts decay exponentially. A
+// fraction whose denominator is too small is missing. It is not safe for concurrent use.
 type SignalMeter struct {
 	counts       [counterCount]float64
-	decayedAt    monotime.Micros // time that the counts are of
-	cores        float64         // of the executor, at least 1
+	decayedAt    monotime.Micros // time up to which the counts have decayed
+	cores        float64         // number of the executor's cores, at least 1
 	warmingUntil monotime.Micros // end of the executor's warm-up; 0: not warming up
 	draining     bool            // a graceful shutdown has begun
 }
 
-// NewSignalMeter returns a meter for an executor with a number of cores; less than 1 counts as 1.
+// NewSignalMeter returns a meter for an executor with the given number of cores; less than 1 is taken as 1.
 func NewSignalMeter(cores int) *SignalMeter { return &SignalMeter{cores: float64(max(1, cores))} }
 
-// decay reduces the counts by the time since the last event.
+// decay applies the decay of the counts since decayedAt.
 func (m *SignalMeter) decay(now monotime.Micros) {
 	if now <= m.decayedAt {
 		return
 	}
-	keep := math.Exp(-float64(now-m.decayedAt) / float64(countTimeConstant))
+	factor := math.Exp(-float64(now-m.decayedAt) / float64(countTimeConstant))
 	for i := range m.counts {
-		m.counts[i] *= keep
+		m.counts[i] *= factor
 	}
 	m.decayedAt = now
 }
 
-// Count counts an event.
+// Count adds one event to a counter.
 func (m *SignalMeter) Count(now monotime.Micros, counter Counter) {
 	m.decay(now)
 	m.counts[counter]++
 }
 
-// SetWarmingUntil sets until when the executor warms up.
+// SetWarmingUntil sets the end of the executor's warm-up.
 func (m *SignalMeter) SetWarmingUntil(until monotime.Micros) { m.warmingUntil = until }
 
-// SetDraining records that a graceful shutdown has begun.
+// SetDraining marks the start of a graceful shutdown.
 func (m *SignalMeter) SetDraining() { m.draining = true }
 
-// Signals returns the signals of now. onCores counts requests; coreUse and memory are fractions. A gauge below 0 is
-// missing, as are all three unless they are known.
+// Signals returns the signals at now. The gauges are onCores, the number of requests that occupy a core or wait for
+// one, and the fractions coreUse and memory. A negative gauge is missing; if known is false, all three are.
 func (m *SignalMeter) Signals(now monotime.Micros, onCores, coreUse, memory float64, known bool) Signals {
 	m.decay(now)
 	gauge := func(value float64) float64 {
@@ -77,7 +77,7 @@
 		Queue:      gauge(onCores) / m.cores,
 		Cores:      gauge(coreUse),
 		Rejected:   m.fraction(Rejections, Arrivals),
-		Infeasible: Missing, // the admission control does not report why it throttles
+		Infeasible: Missing, // admission control does not report its reason for throttling
 		Late:       m.fraction(LateSuccesses, Successes),
 		Retries:    m.fraction(RetriedArrivals, Arrivals),
 		Memory:     gauge(memory),
@@ -87,7 +87,7 @@
 	}
 }
 
-// fraction returns the ratio of two counts, at most 1, or Missing if the total is below minDenominator.
+// fraction returns the ratio of part to total, at most 1, or Missing if total is below minDenominator.
 func (m *SignalMeter) fraction(part, total Counter) float64 {
 	if m.counts[total] < minDenominator {
 		return Missing
--- a/internal/backend/degradation/names.go
+++ b/internal/backend/degradation/names.go
@@ -2,7 +2,7 @@
 
 import "milletbarrow/internal/sexpr"
 
-// policySignalNames has the names of the signals in policies. Traces and printed output use those of signalNames.
+// policySignalNames are the names of the signals in policy files. Traces and printed output use signalNames.
 var policySignalNames = [signalCount]string{
 	Queue:      "queue",
 	Cores:      "cores",
@@ -16,17 +16,18 @@
 	Draining:   "draining",
 }
 
-// policyName returns the signal's name in policies and in texts about them.
+// policyName returns the signal's name in policy files and in messages about them.
 func (s Signal) policyName() string { return policySignalNames[s] }
 
-// formerSignalNames has the names of signals that policies used until December 2026.
+// formerSignalNames maps the signal names that policy files used until December 2026 to the current ones.
 var formerSignalNames = map[string]string{
 	"cold":     "warming-up",
 	"hopeless": "infeasible",
 	"turned":   "rejected",
 }
 
-// formerPolicyNames has the names that policies used until December 2026. They are still read.
+// formerPolicyNames maps the names that policy files used until December 2026 to the current ones, by enclosing form.
+// They are still accepted.
 var formerPolicyNames = sexpr.FormerNames{
 	"": {
 		"ladder": "degradation",
--- a/internal/backend/degradation/oscillation_test.go
+++ b/internal/backend/degradation/oscillation_test.go
@@ -12,7 +12,7 @@
 
 // oscillatingLoad returns the changes during ten minutes of load that oscillates about a mean with a period in seconds,
 // with noise, and with retries that follow each recovery for some seconds.
-func oscillatingLoad(policy *Policy, meanLoad, period float64, seed uint64) (changes []Change) {
+func changesUnderOscillatingLoad(policy *Policy, meanLoad, period float64, seed uint64) (changes []Change) {
 	const interval = 20 * monotime.Millisecond
 	controller := NewController(policy)
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -34,12 +34,12 @@
 // TestLoadAtABoundaryDoesNotOscillate checks that under load about each entry, with many periods and seeds, no level
 // changes more than once a minute, and each change has its cause.
 func TestLoadAtABoundaryDoesNotOscillate(t *testing.T) {
-	policy := mustParse(t, billsPolicy)
+	policy := mustParse(t, billingPolicy)
 	runs, maxChanges, total, collapses := 0, 0, 0, 0
 	for _, meanLoad := range []float64{1.1, 1.5, 2, 3} {
 		for _, period := range []float64{0.5, 3, 10, 30, 59, 120} {
 			for seed := range uint64(8) {
-				changes := oscillatingLoad(policy, meanLoad, period, seed)
+				changes := changesUnderOscillatingLoad(policy, meanLoad, period, seed)
 				checkChanges(t, policy, changes)
 				runs++
 				total += len(changes)
@@ -88,7 +88,7 @@
 // ChangeInterval, a level is not left before its MinDuration, and recovery leaves one level at a time.
 func TestControllerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		policy := mustParse(t, billsPolicy)
+		policy := mustParse(t, billingPolicy)
 		controller := NewController(policy)
 		now := monotime.Micros(0)
 		var changes []Change
--- a/internal/backend/degradation/override_test.go
+++ b/internal/backend/degradation/override_test.go
@@ -11,7 +11,7 @@
 func TestOverrideBounds(t *testing.T) {
 	const now = 100 * second
 	const maxOverride = 600 * second // of billsPolicy
-	c := NewController(mustParse(t, billsPolicy))
+	c := NewController(mustParse(t, billingPolicy))
 	for _, test := range []struct {
 		name    string
 		level   int
--- a/internal/backend/degradation/parse.go
+++ b/internal/backend/degradation/parse.go
@@ -9,7 +9,7 @@
 	"milletbarrow/monotime"
 )
 
-// Defaults and bounds of a policy file's fields.
+// Defaults and bounds of the fields of a policy file.
 const (
 	defaultChangeInterval = time.Minute
 	defaultRecoveryRamp   = 20 * time.Second
@@ -17,14 +17,14 @@
 	maxMaxOverride        = 24 * time.Hour
 	defaultSmoothing      = time.Second
 	defaultMinDuration    = time.Minute
-	maxSpan               = time.Hour // of the other durations
+	maxDuration           = time.Hour // of all durations except max-override
 	minRuleShare          = 0.01
-	maxTermValue          = 1000 // largest value that a term may compare a signal with
-	maxTermArgs           = 2    // a value and a duration
+	maxTermValue          = 1000 // largest threshold of a term
+	maxTermArgs           = 2    // threshold and duration
 )
 
-// ParsePolicy parses and validates a policy, the S-expression (degradation ...); file is its name in errors. The error
-// joins all faults that were found. A warning names each former name in the file, which is still read.
+// ParsePolicy parses and validates a policy, the S-expression (degradation ...). Errors and warnings name the source as
+// file. The error joins all problems found. Each former name in the file is accepted with a warning.
 func ParsePolicy(file string, src []byte) (*Policy, []sexpr.Warning, error) {
 	nodes, err := sexpr.Parse(file, src)
 	if err != nil {
@@ -46,8 +46,8 @@
 func parsePolicyForm(f *sexpr.Form) *Policy {
 	policy := &Policy{
 		Name:           f.Arg(),
-		ChangeInterval: monotime.FromDuration(f.Span("change-interval", time.Second, maxSpan, defaultChangeInterval)),
-		RecoveryRamp:   monotime.FromDuration(f.Span("recovery-ramp", 0, maxSpan, defaultRecoveryRamp)),
+		ChangeInterval: monotime.FromDuration(f.Span("change-interval", time.Second, maxDuration, defaultChangeInterval)),
+		RecoveryRamp:   monotime.FromDuration(f.Span("recovery-ramp", 0, maxDuration, defaultRecoveryRamp)),
 		MaxOverride:    monotime.FromDuration(f.Span("max-override", time.Second, maxMaxOverride, defaultMaxOverride)),
 	}
 	for s := range policy.Smoothing {
@@ -55,7 +55,7 @@
 	}
 	if smoothing := f.Field("smoothing"); smoothing != nil {
 		for s, name := range policySignalNames {
-			policy.Smoothing[s] = monotime.FromDuration(smoothing.Span(name, 0, maxSpan, defaultSmoothing))
+			policy.Smoothing[s] = monotime.FromDuration(smoothing.Span(name, 0, maxDuration, defaultSmoothing))
 		}
 		smoothing.Done()
 	}
@@ -74,7 +74,7 @@
 	level := Level{
 		Name:        f.Arg(),
 		place:       f.Place,
-		MinDuration: monotime.FromDuration(f.Span("min-duration", time.Second, maxSpan, defaultMinDuration)),
+		MinDuration: monotime.FromDuration(f.Span("min-duration", time.Second, maxDuration, defaultMinDuration)),
 		Enter:       parseCondition(f, "enter"),
 		Exit:        parseCondition(f, "exit"),
 	}
@@ -83,7 +83,7 @@
 			Operations: rule.Words("operations"),
 			Tenants:    rule.Words("tenants"),
 			RankBelow:  rule.Share("priority-below", 0, 1, 1),
-			CostAbove:  monotime.FromDuration(rule.Span("cost-above", 0, maxSpan, 0)),
+			CostAbove:  monotime.FromDuration(rule.Span("cost-above", 0, maxDuration, 0)),
 			Share:      rule.Share("share", minRuleShare, 1, 1),
 		})
 		rule.Done()
@@ -95,8 +95,8 @@
 	return level
 }
 
-// parseCondition parses a condition field such as (enter (any (queue 1.8 2s) (late 0.1 2s))), or with all, or with one
-// term alone.
+// parseCondition parses a condition field: a single term, such as (exit (queue 1.2)), or terms combined by any or all,
+// such as (enter (any (queue 1.8 2s) (late 0.1 2s))).
 func parseCondition(f *sexpr.Form, name string) (c Condition) {
 	condition := f.Field(name)
 	if condition == nil {
@@ -125,7 +125,7 @@
 	return c
 }
 
-// parseTerm parses a term such as (queue 1.8) or (queue 1.8 2s).
+// parseTerm parses a term: a signal, a threshold and optionally a duration, such as (queue 1.8) or (queue 1.8 2s).
 func parseTerm(f *sexpr.Form, signal Signal) Term {
 	args := f.Args(1, maxTermArgs)
 	term := Term{Signal: signal}
@@ -135,11 +135,11 @@
 			strings.Join(args, " "), maxTermValue)
 	}
 	if len(args) == maxTermArgs {
-		span, err := time.ParseDuration(args[1])
-		if err != nil || span < 0 || span > maxSpan {
-			f.Fail("", "found %q, wanted a duration from 0 to %v", args[1], maxSpan)
+		duration, err := time.ParseDuration(args[1])
+		if err != nil || duration < 0 || duration > maxDuration {
+			f.Fail("", "found %q, wanted a duration from 0 to %v", args[1], maxDuration)
 		}
-		term.For = monotime.FromDuration(span)
+		term.For = monotime.FromDuration(duration)
 	}
 	f.Done()
 	return term
--- a/internal/backend/degradation/policy.go
+++ b/internal/backend/degradation/policy.go
@@ -1,5 +1,6 @@
-// Package degradation is graceful degradation: a Controller derives from measured signals which level of a Policy is in
-// force, and a Shedder which requests that level sheds. It does no I/O and has no clock: times are passed in.
+// Package degradation implements graceful degradation: a Controller derives from measured signals which level of a
+// Policy is in force, and a Shedder decides which requests that level sheds. The package does no I/O and reads no
+// clock: times are passed in.
 package degradation
 
 import (
@@ -12,58 +13,58 @@
 // fullService is the name of level 0, at which nothing is shed.
 const fullService = "full"
 
-// Bounds of a policy file; ParsePolicy refuses a larger one.
+// Bounds of a policy file; ParsePolicy rejects a larger one.
 const (
 	MaxLevels = 8  // levels of a policy
 	MaxRules  = 16 // rules of a level
 	MaxTerms  = 8  // terms of a condition
 )
 
-// Policy is an ordered list of levels of reduced service, the mildest first. Its tags are the names in printed output,
-// by which stored results of experiments are found.
+// Policy is an ordered list of levels of reduced service, the mildest first. The JSON names of its fields are part of
+// the keys under which results of experiments are stored, and must not change.
 type Policy struct {
 	Name           string
 	Levels         []Level                      // by number, from 1
-	Smoothing      [signalCount]monotime.Micros `json:"Smooth"` // by signal: time constant of its smoothing; 0: none
-	ChangeInterval monotime.Micros              `json:"Every"`  // shortest time between changes of a level
-	RecoveryRamp   monotime.Micros              `json:"Ramp"`   // duration of leaving a level; 0: at once
-	MaxOverride    monotime.Micros              `json:"Pins"`   // longest override by an operator
+	Smoothing      [signalCount]monotime.Micros `json:"Smooth"` // by signal: time constant of the smoothing; 0: none
+	ChangeInterval monotime.Micros              `json:"Every"`  // shortest time between two changes of a level
+	RecoveryRamp   monotime.Micros              `json:"Ramp"`   // time over which a level is left; 0: at once
+	MaxOverride    monotime.Micros              `json:"Pins"`   // longest duration of an override
 }
 
-// Level is one level of reduced service. What milder levels shed is shed too.
+// Level is one level of reduced service. Its rules apply in addition to those of all milder levels.
 type Level struct {
 	Name        string
-	Enter       Condition       // the level is entered if it is met
-	Exit        Condition       // the level is left if it is met
+	Enter       Condition       // the level is entered when it is met
+	Exit        Condition       // the level is left when it is met
 	MinDuration monotime.Micros `json:"Stay"` // shortest time in force
 	Shed        []Rule
 	place       sexpr.Place // in the policy file
 }
 
-// Condition is met if all of its terms hold, or any of them.
+// Condition is met if all of its terms hold or, with Any, if at least one does.
 type Condition struct {
-	Any   bool // true if one term suffices
+	Any   bool // one term suffices
 	Terms []Term
 }
 
-// Term holds once a signal has been beyond a value for a time without interruption: at or above it in an entry, below
-// it in an exit.
+// Term compares a signal with a threshold. It holds once the signal has been at or above Value (in an entry condition)
+// or below it (in an exit condition) for a time without interruption.
 type Term struct {
 	Signal Signal
 	Value  float64
 	For    monotime.Micros // 0: at once
 }
 
-// Rule sheds requests that match all of its fields.
+// Rule sheds a share of the requests that match all of its other fields.
 type Rule struct {
 	Operations []string        // empty: all
 	Tenants    []string        // empty: all
-	RankBelow  float64         // 1: all ranks
-	CostAbove  monotime.Micros // expected work; 0: any
-	Share      float64         // fraction to shed, above 0, at most 1
+	RankBelow  float64         // upper bound of the priority, exclusive; 1: all
+	CostAbove  monotime.Micros // lower bound of the expected work, inclusive; 0: all
+	Share      float64         // fraction to shed, above 0 and at most 1
 }
 
-// LevelName returns the name of a level by its number.
+// LevelName returns the name of the level with a number, 0 for full service.
 func (p *Policy) LevelName(number int) string {
 	if number == 0 {
 		return fullService
@@ -71,23 +72,23 @@
 	return p.Levels[number-1].Name
 }
 
-// levelNumber returns the number of the level with a name, or 0 if there is none.
+// levelNumber returns the number of the level with a name, or 0 if the policy has none.
 func (p *Policy) levelNumber(name string) int {
 	return slices.IndexFunc(p.Levels, func(level Level) bool { return level.Name == name }) + 1
 }
 
-// SignalsUsed returns the signals that the conditions compare, each once.
-func (p *Policy) SignalsUsed() (all []Signal) {
+// SignalsUsed returns the signals that the policy's conditions use, without duplicates.
+func (p *Policy) SignalsUsed() (used []Signal) {
 	for s := range signalCount {
 		usesSignal := func(level Level) bool { return level.Enter.uses(s) || level.Exit.uses(s) }
 		if slices.ContainsFunc(p.Levels, usesSignal) {
-			all = append(all, s)
+			used = append(used, s)
 		}
 	}
-	return all
+	return used
 }
 
-// threshold returns the value that the first term with a signal compares it with; ok is false if there is none.
+// threshold returns the threshold of the first term for a signal; ok is false if there is no such term.
 func (c Condition) threshold(s Signal) (value float64, ok bool) {
 	for _, term := range c.Terms {
 		if term.Signal == s {
@@ -97,7 +98,7 @@
 	return 0, false
 }
 
-// uses reports whether a term compares the signal.
+// uses reports whether any term compares the signal.
 func (c Condition) uses(s Signal) bool {
 	_, ok := c.threshold(s)
 	return ok
--- a/internal/backend/degradation/policy_test.go
+++ b/internal/backend/degradation/policy_test.go
@@ -10,7 +10,7 @@
 // with the recorded ones.
 func TestPoliciesAreExplainedOrRejected(t *testing.T) {
 	trace := fakes.NewTrace(t)
-	trace.Say("%s", mustParse(t, billsPolicy).Explain())
+	trace.Say("%s", mustParse(t, billingPolicy).Explain())
 	for _, text := range []string{
 		"(ladder x)",
 		"(steps x)",
@@ -28,6 +28,6 @@
 		_, _, err := ParsePolicy("l", []byte(text))
 		trace.Say("%s\n%v", text, err)
 	}
-	_, err := NewShedder(mustParse(t, billsPolicy), []string{"reprint"}, nil, 1)
+	_, err := NewShedder(mustParse(t, billingPolicy), []string{"reprint"}, nil, 1)
 	trace.Say("%v", err)
 }
--- a/internal/backend/degradation/replay.go
+++ b/internal/backend/degradation/replay.go
@@ -2,15 +2,15 @@
 
 import "milletbarrow/monotime"
 
-// ReplayPoint is the controller's state after one reading.
+// ReplayPoint is the state of a controller after one reading of a trace.
 type ReplayPoint struct {
 	At       monotime.Micros
-	Level    int     // in force; 0 is full service
+	Level    int     // in force; 0: full service
 	Depth    float64 // see Controller.Depth
 	Smoothed Signals
 }
 
-// Replay runs a trace through a new controller. It returns the state after each reading, and the changes of the level.
+// Replay runs a trace through a new controller. It returns the state after each reading and the changes of level.
 func Replay(policy *Policy, trace []Reading) (points []ReplayPoint, changes []Change) {
 	controller := NewController(policy)
 	for _, reading := range trace {
--- a/internal/backend/degradation/shedder.go
+++ b/internal/backend/degradation/shedder.go
@@ -7,34 +7,34 @@
 	"milletbarrow/monotime"
 )
 
-// shedderStream is the second seed of a Shedder's random numbers, which keeps them apart from those of other parts with
-// the same seed.
+// shedderStream is the second PCG seed of a Shedder. It makes the random numbers independent of those that other
+// packages derive from the same first seed.
 const shedderStream = 3
 
-// Shedder decides which requests a level sheds. The number of requests shed follows the fraction closely at any time,
-// while chance decides which: no caller is shed each time, and none is always spared. It is not safe for concurrent
-// use.
+// Shedder decides which requests a level sheds. For each operation it keeps the number of requests shed close to the
+// requested fraction by carrying over the deficit, and compares the deficit with a random number, so that no caller
+// with a regular pattern is always or never shed. It is not safe for concurrent use.
 type Shedder struct {
-	rules [][]compiledRule // by level
-	debt  []float64        // by operation: requests fewer than its fraction that were shed, above -1 and below 1
-	pcg   rand.PCG
+	rules   [][]compiledRule // by level
+	deficit []float64        // by operation: requests due to be shed minus requests shed, above -1 and below 1
+	pcg     rand.PCG
 }
 
-// compiledRule is a Rule with names replaced by indices.
+// compiledRule is a Rule with indices in place of names.
 type compiledRule struct {
 	operations []bool          // by index; nil: all
 	tenants    []bool          // by index; nil: all
-	rankBelow  float64         // 1: all ranks
-	costAbove  monotime.Micros // expected work; 0: any
-	share      float64         // fraction to shed, above 0, at most 1
+	rankBelow  float64         // upper bound of the priority, exclusive; 1: all
+	costAbove  monotime.Micros // lower bound of the expected work, inclusive; 0: all
+	share      float64         // fraction to shed, above 0 and at most 1
 }
 
-// NewShedder returns a shedder for the operations and tenants of a deployment. A name in the policy that is none of
-// them is an *UnknownNameError, as its rule could never match.
+// NewShedder returns a shedder for the operations and tenants of a deployment. It returns an *UnknownNameError if the
+// policy names any other operation or tenant, as such a rule could never match.
 func NewShedder(policy *Policy, operations, tenants []string, seed uint64) (*Shedder, error) {
 	shedder := &Shedder{
-		debt: make([]float64, len(operations)),
-		pcg:  *rand.NewPCG(seed, shedderStream),
+		deficit: make([]float64, len(operations)),
+		pcg:     *rand.NewPCG(seed, shedderStream),
 	}
 	for _, level := range policy.Levels {
 		rules, err := compileRules(level, operations, tenants)
@@ -46,7 +46,7 @@
 	return shedder, nil
 }
 
-// compileRules compiles the rules of a level. An error is an *UnknownNameError.
+// compileRules resolves the names in the rules of a level. An error is an *UnknownNameError.
 func compileRules(level Level, operations, tenants []string) ([]compiledRule, error) {
 	rules := make([]compiledRule, 0, len(level.Shed))
 	for _, rule := range level.Shed {
@@ -69,8 +69,8 @@
 	return rules, nil
 }
 
-// indexSet marks the indices of names in all; nil stands for all of them if there are no names. unknown is the first
-// name that is not in all.
+// indexSet returns the set of the indices of names in all, or nil, which stands for the full set, if names is empty.
+// unknown is the first name that is not in all, or "".
 func indexSet(names, all []string) (set []bool, unknown string) {
 	if len(names) == 0 {
 		return nil, ""
@@ -86,7 +86,7 @@
 	return set, ""
 }
 
-// matches reports whether the rule sheds requests of this kind.
+// matches reports whether the rule applies to a request with these properties.
 func (r *compiledRule) matches(operation, tenant int, rank float64, cost monotime.Micros) bool {
 	return (r.operations == nil || r.operations[operation]) &&
 		rank < r.rankBelow &&
@@ -94,9 +94,9 @@
 		(r.tenants == nil || tenant < len(r.tenants) && r.tenants[tenant])
 }
 
-// ShedFraction returns the fraction of requests of one kind that a level sheds; depth is that of the level, see
-// Controller.Depth. Operations and tenants are indices of the names given to NewShedder; a tenant beyond them matches
-// no rule that names tenants.
+// ShedFraction returns the fraction of requests with the given properties that a level sheds; depth is that of
+// Controller.Depth. Operation and tenant are indices into the names passed to NewShedder. A tenant index beyond them
+// matches no rule that names tenants.
 func (s *Shedder) ShedFraction(level int, depth float64, operation, tenant int, rank float64, cost monotime.Micros,
 
 ) float64 {
@@ -116,7 +116,7 @@
 	return fraction
 }
 
-// ShouldShed decides whether to shed one request. Its parameters are those of ShedFraction.
+// ShouldShed decides whether to shed one request. The parameters are those of ShedFraction.
 func (s *Shedder) ShouldShed(level int, depth float64, operation, tenant int, rank float64, cost monotime.Micros) bool {
 	if level == 0 {
 		return false
@@ -125,20 +125,20 @@
 	if fraction <= 0 || fraction >= 1 {
 		return fraction > 0
 	}
-	debt := &s.debt[operation]
-	*debt += fraction
-	if *debt > s.uniform() {
-		*debt--
+	deficit := &s.deficit[operation]
+	*deficit += fraction
+	if *deficit > s.uniform() {
+		*deficit--
 		return true
 	}
 	return false
 }
 
-// uniform draws a number from 0 to 1, without 1.
+// uniform returns a random number in [0, 1).
 func (s *Shedder) uniform() float64 {
 	const (
 		mantissaBits = 53 // of a float64
-		surplusBits  = 64 - mantissaBits
+		unusedBits   = 64 - mantissaBits
 	)
-	return float64(s.pcg.Uint64()>>surplusBits) / (1 << mantissaBits)
+	return float64(s.pcg.Uint64()>>unusedBits) / (1 << mantissaBits)
 }
--- a/internal/backend/degradation/shedder_test.go
+++ b/internal/backend/degradation/shedder_test.go
@@ -16,16 +16,16 @@
 )
 
 // newBillsShedder returns the shedder of billsPolicy.
-func newBillsShedder(t tester) *Shedder {
+func newBillingShedder(t tester) *Shedder {
 	t.Helper()
-	return mustMakeShedder(t, billsPolicy, []string{"reprint", "lookup", "pay"}, []string{"acme"}, 7)
+	return mustMakeShedder(t, billingPolicy, []string{"reprint", "lookup", "pay"}, []string{"acme"}, 7)
 }
 
 // TestShedRequestsFollowTheFraction checks that the number of requests shed is within one of the fraction at any time,
 // and that chance decides which.
 func TestShedRequestsFollowTheFraction(t *testing.T) {
 	const requests = 100_000
-	shedder := newBillsShedder(t)
+	shedder := newBillingShedder(t)
 	shed, repeats := 0, 0
 	last := false
 	for n := 1; n <= requests; n++ {
@@ -49,7 +49,7 @@
 // TestShedFractionOfLevels checks which fraction of which operation each level sheds, and that requests that no rule
 // names are not shed.
 func TestShedFractionOfLevels(t *testing.T) {
-	shedder := newBillsShedder(t)
+	shedder := newBillingShedder(t)
 	for _, test := range []struct {
 		name      string
 		level     int
@@ -77,7 +77,7 @@
 }
 
 func TestShouldShedDoesNotAllocate(t *testing.T) {
-	shedder := newBillsShedder(t)
+	shedder := newBillingShedder(t)
 	if n := testing.AllocsPerRun(1000, func() { shedder.ShouldShed(3, 0.5, lookup, 0, 0.7, 0) }); n != 0 {
 		t.Errorf("%v allocations a decision", n)
 	}
@@ -156,7 +156,7 @@
 }
 
 func BenchmarkShouldShed(b *testing.B) {
-	shedder := newBillsShedder(b)
+	shedder := newBillingShedder(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		shedder.ShouldShed(3, 0.5, lookup, 0, 0.7, 0)
--- a/internal/backend/degradation/trace.go
+++ b/internal/backend/degradation/trace.go
@@ -11,22 +11,22 @@
 	"milletbarrow/monotime"
 )
 
-// Reading is one line of a trace of signals.
+// Reading is one line of a trace: the signals at one time.
 type Reading struct {
 	At      monotime.Micros
 	Signals Signals
 }
 
 const (
-	// MaxTraceReadings is the length of the longest trace that ReadTrace accepts.
+	// MaxTraceReadings is the largest number of readings that ReadTrace accepts.
 	MaxTraceReadings = 2_000_000
-	// maxSignalValue is the largest value of a signal that ReadTrace accepts.
+	// maxSignalValue is the largest signal value that ReadTrace accepts.
 	maxSignalValue = 1e9
-	// traceDigits is the number of significant digits of a signal in a trace.
+	// traceDigits is the number of significant digits of signal values in a trace.
 	traceDigits = 6
 )
 
-// WriteReading writes one line: the time in microseconds, then each known signal as name=value.
+// WriteReading writes a reading as one line: the time in microseconds, followed by each known signal as name=value.
 func WriteReading(w io.Writer, r Reading) error {
 	var line strings.Builder
 	line.WriteString(strconv.FormatInt(int64(r.At), 10))
@@ -40,9 +40,9 @@
 	return err
 }
 
-// ReadTrace reads a trace; file is its name in errors. Times must increase. Signals that a line leaves out are missing.
-// An error is a *TraceError, or that of the reader.
-func ReadTrace(file string, in io.Reader) (all []Reading, err error) {
+// ReadTrace reads a trace, which errors name as file. Times must increase. Signals that a line omits are missing. Empty
+// lines and lines that begin with a semicolon are skipped. An error is a *TraceError, or that of the reader.
+func ReadTrace(file string, in io.Reader) (trace []Reading, err error) {
 	lines := bufio.NewScanner(in)
 	last := monotime.Micros(-1)
 	for number := 1; lines.Scan(); number++ {
@@ -51,20 +51,20 @@
 			continue
 		}
 		reading, problem := parseReading(words, last)
-		if problem == "" && len(all) == MaxTraceReadings {
+		if problem == "" && len(trace) == MaxTraceReadings {
 			problem = fmt.Sprintf("trace exceeds %d readings", MaxTraceReadings)
 		}
 		if problem != "" {
 			return nil, &TraceError{File: file, Line: number, Problem: problem}
 		}
-		all = append(all, reading)
+		trace = append(trace, reading)
 		last = reading.At
 	}
-	return all, lines.Err()
+	return trace, lines.Err()
 }
 
-// parseReading parses the words of one line, the reading after that of time last. problem says what is wrong with the
-// line, and is empty if nothing is.
+// parseReading parses the words of one line. Its time must be after last, that of the previous reading. problem
+// describes what is wrong with the line, or is empty.
 func parseReading(words []string, last monotime.Micros) (reading Reading, problem string) {
 	at, err := strconv.ParseInt(words[0], 10, 64)
 	if err != nil || at < 0 || monotime.Micros(at) <= last {
--- a/internal/backend/degradation/validate.go
+++ b/internal/backend/degradation/validate.go
@@ -6,13 +6,15 @@
 	"milletbarrow/internal/sexpr"
 )
 
-// minHysteresis is the least distance of an exit from the entry by the same signal, as a fraction of the entry.
+// minHysteresis is the least distance between the exit and entry thresholds of a signal, as a fraction of the entry
+// threshold.
 const minHysteresis = 0.1
 
-// failFunc reports a fault of a level.
+// failFunc reports an invalid setting of a level.
 type failFunc func(format string, args ...any)
 
-// validate reports levels that cannot work: duplicate names, exits without hysteresis, entries out of order.
+// validate reports levels with duplicate or reserved names, too little hysteresis, entry conditions that do not require
+// overload, or entry thresholds out of order.
 func (p *Policy) validate(errs *sexpr.Errors) {
 	seen := map[string]bool{}
 	for i := range p.Levels {
@@ -35,15 +37,15 @@
 	}
 }
 
-// validateExit reports an exit that makes the level oscillate.
+// validateExit reports an exit condition that would make the level oscillate.
 func (l *Level) validateExit(fail failFunc) {
-	shared := false
+	sharesSignal := false
 	for _, exit := range l.Exit.Terms {
-		entry, both := l.Enter.threshold(exit.Signal)
-		if !both {
+		entry, inEntry := l.Enter.threshold(exit.Signal)
+		if !inEntry {
 			continue
 		}
-		shared = true
+		sharesSignal = true
 		maxExit := (1 - minHysteresis) * entry
 		switch {
 		case exit.Value >= entry:
@@ -54,12 +56,12 @@
 				exit.Signal.policyName(), exit.Value, entry, maxExit)
 		}
 	}
-	if !shared && len(l.Enter.Terms) > 0 && len(l.Exit.Terms) > 0 {
+	if !sharesSignal && len(l.Enter.Terms) > 0 && len(l.Exit.Terms) > 0 {
 		fail("exit: compares no signal of the entry: the level would be left and entered again at once")
 	}
 }
 
-// validateEntry reports an entry that needs no overload.
+// validateEntry reports an entry condition that is met without overload, during each start or shutdown.
 func (l *Level) validateEntry(fail failFunc) {
 	needsOverload := slices.ContainsFunc(l.Enter.Terms, func(term Term) bool {
 		return term.Signal != WarmingUp && term.Signal != Draining
@@ -70,10 +72,11 @@
 	}
 }
 
-// validateOrder reports an entry below that of the next milder level, which could then not be reached.
+// validateOrder reports an entry threshold below that of the next milder level, which would make that level
+// unreachable.
 func (l *Level) validateOrder(milder *Level, fail failFunc) {
 	for _, term := range l.Enter.Terms {
-		if entry, both := milder.Enter.threshold(term.Signal); both && term.Value < entry {
+		if entry, inMilder := milder.Enter.threshold(term.Signal); inMilder && term.Value < entry {
 			fail("enter: %s at %v is below the entry of the milder level %s, wanted at least %v",
 				term.Signal.policyName(), term.Value, milder.Name, entry)
 		}
--- a/internal/backend/idempotency/table.go
+++ b/internal/backend/idempotency/table.go
@@ -1,12 +1,12 @@
-// Package idempotency is the cache of results by idempotency key. It stores invocations and how their runs ended, so
-// that a repeat is answered with the result of its original. It decides nothing and has no clock.
+// Package idempotency is a cache of results by idempotency key. It stores invocations and the outcomes of their runs,
+// so that a repeat can be answered with the result of its original. It makes no admission decisions and reads no clock.
 //
-// Invariants, which TestTableMatchesModel holds for any order of calls unless another test is named:
+// Invariants, checked for any order of calls by TestTableMatchesModel unless another test is named:
 //   - usedBytes is the sum over all entries, and at most maxBytes; see also TestCapacityIsInBytes.
-//   - Each entry stands in byKey and byID.
+//   - Each entry is indexed by both byKey and byID.
 //   - An entry whose run has ended has no waiters, and each waiter is returned once.
-//   - An expired entry is not found, and is stored until no repeat that arrived in time can be unread:
-//     TestRepeatArrivedInTimeIsFoundUntilEviction.
+//   - A request that arrives after the expiry of an entry does not find it. The entry stays cached until no request
+//     that arrived before the expiry can still be unread: TestRepeatArrivedInTimeIsFoundUntilEviction.
 package idempotency
 
 import (
@@ -15,41 +15,41 @@
 	"milletbarrow/monotime"
 )
 
-// Key identifies the attempts of one operation. It contains the tenant, so that no tenant is answered with another's
-// result.
+// Key identifies all attempts of one request. It includes the tenant, so that no tenant is answered with the result of
+// another.
 type Key struct {
 	Operation int    // index into the settings' operations
 	Tenant    int    // index into the settings' tenants
 	Token     string // the idempotency key that the caller sent
 }
 
-// entryBytes estimates the memory of an entry without its result: two places in maps, its strings, and its waiters.
+// entryBytes is an estimate of the memory of an entry without its result: two map slots, its strings and its waiters.
 const entryBytes = 1 << 10
 
-// Table is a cache of bounded size. Remember may be called only while HasCapacity returns true. A Table is not safe for
+// Table is a cache of bounded size. Remember may be called only while HasCapacity returns true. It is not safe for
 // concurrent use.
 type Table struct {
 	maxBytes     int
-	maxResult    int // bytes of the longest result
-	usedBytes    int // what entries occupy or, until their runs have ended, reserve
+	maxResult    int // largest size of a result in bytes
+	usedBytes    int // occupied by entries, including what they reserve until their runs have ended
 	byKey        map[Key]*entry
 	byID         map[string]*entry // by ID of the invocation
-	lastEviction monotime.Micros   // 0: never
+	lastEviction monotime.Micros   // time of the last eviction; 0: none
 }
 
-// entry is a cached invocation. Until its run has ended, the longest result's bytes are reserved for it.
+// entry is a cached invocation. Until its run has ended, it reserves maxResult bytes for the result.
 type entry struct {
 	id        string
 	key       Key
-	expiresAt monotime.Micros // a request with the same key that arrives later is no repeat
-	completed bool            // its run has ended
+	expiresAt monotime.Micros // a request with the same key that arrives later is not a repeat
+	completed bool            // the run has ended
 	succeeded bool
-	result    []byte   // nil unless it succeeded
-	waiters   []string // IDs of repeats that wait for its run to end
+	result    []byte   // nil unless the run succeeded
+	waiters   []string // IDs of repeats that wait for the run to end
 }
 
 // New returns a table of at most maxBytes, for results of at most maxResult bytes. The IDs passed to its methods are
-// those of invocations; an ID must not be added twice.
+// IDs of invocations; an ID must not be added twice.
 func New(maxBytes, maxResult int) *Table {
 	return &Table{
 		maxBytes:  maxBytes,
@@ -59,17 +59,16 @@
 	}
 }
 
-// HasCapacity reports whether one more invocation can be added.
+// HasCapacity reports whether one more invocation, with a result of the largest size, can be added.
 func (t *Table) HasCapacity() bool { return t.usedBytes+entryBytes+t.maxResult <= t.maxBytes }
 
-// Contains reports whether the invocation with that ID is cached.
+// Contains reports whether the invocation with an ID is cached.
 func (t *Table) Contains(id string) bool { return t.byID[id] != nil }
 
 // Len returns the number of cached invocations.
 func (t *Table) Len() int { return len(t.byID) }
 
-// Find returns the ID of the original of a request with this key that reached the host at arrivedAt; "" if there is
-// none.
+// Find returns the ID of the original of a request with key that reached the host at arrivedAt, or "" if there is none.
 func (t *Table) Find(key Key, arrivedAt monotime.Micros) string {
 	if e := t.byKey[key]; e != nil && arrivedAt <= e.expiresAt {
 		return e.id
@@ -88,7 +87,7 @@
 	t.usedBytes += entryBytes + t.maxResult
 }
 
-// Forget removes an invocation that never ran, and returns the IDs of the repeats that waited for it.
+// Forget removes an invocation that never ran and returns the IDs of the repeats that waited for it.
 func (t *Table) Forget(id string) (waiters []string) {
 	e := t.byID[id]
 	if e == nil {
@@ -108,8 +107,8 @@
 	}
 }
 
-// Complete stores how the run of an invocation ended and returns the IDs of the repeats that waited for it. The
-// result is not copied; the result of a run that failed is dropped.
+// Complete stores the outcome of the run of an invocation and returns the IDs of the repeats that waited for it. It
+// does not copy the result, and drops that of a failed run.
 func (t *Table) Complete(id string, succeeded bool, result []byte) (waiters []string) {
 	e := t.byID[id]
 	if e == nil || e.completed {
@@ -127,8 +126,8 @@
 	return waiters
 }
 
-// AddWaiter adds a repeat to those that wait for the run of their original to end. completed reports that the run has
-// ended, or the original is not cached: the repeat was not added.
+// AddWaiter adds a repeat to the waiters of its original, the invocation with that ID. If completed is true, the repeat
+// was not added, because the run has ended or the original is not cached.
 func (t *Table) AddWaiter(id, repeat string) (completed bool) {
 	e := t.byID[id]
 	if e == nil || e.completed {
@@ -138,16 +137,16 @@
 	return false
 }
 
-// RemoveWaiter removes a repeat that has been answered before its original's run ended.
+// RemoveWaiter removes a repeat that was answered before the run of its original ended.
 func (t *Table) RemoveWaiter(id, repeat string) {
 	if e := t.byID[id]; e != nil {
 		e.waiters = slices.DeleteFunc(e.waiters, func(r string) bool { return r == repeat })
 	}
 }
 
-// Result returns the result of an invocation. ok reports whether its run succeeded, remembered whether the invocation
-// is cached at all.
-func (t *Table) Result(id string) (result []byte, ok, remembered bool) {
+// Result returns the result of an invocation. succeeded reports whether its run succeeded, and cached whether the
+// invocation is cached at all.
+func (t *Table) Result(id string) (result []byte, succeeded, cached bool) {
 	e := t.byID[id]
 	if e == nil {
 		return nil, false, false
@@ -155,9 +154,9 @@
 	return e.result, e.succeeded, true
 }
 
-// EvictExpired removes invocations that no request read from now on can repeat: a request read now reached the host
-// at most maxQueueTime ago. It removes those whose run has not ended too. A call within interval of the last eviction
-// does nothing.
+// EvictExpired removes the invocations that no request read from now on can repeat, given that such a request reached
+// the host at most maxQueueTime ago. It also removes those whose runs have not ended. A call within interval of the
+// previous eviction does nothing.
 func (t *Table) EvictExpired(now, maxQueueTime, interval monotime.Micros) {
 	if now < t.lastEviction+interval {
 		return
--- a/internal/backend/quota/errors.go
+++ b/internal/backend/quota/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Reasons for which a holder refuses a LeaseResponse; a ResponseError wraps one of them.
+// Reasons for which a Holder rejects a LeaseResponse. A ResponseError wraps one of them.
 var (
 	ErrWrongHolder    = errors.New("response for another process")
 	ErrUnknownRequest = errors.New("response to a request that is not pending")
@@ -14,10 +14,10 @@
 	ErrOutOfBounds    = errors.New("grant out of bounds")
 )
 
-// ResponseError reports a LeaseResponse that was refused, and changed nothing.
+// ResponseError reports a LeaseResponse that was rejected as a whole.
 type ResponseError struct {
-	Reason error  // one of the reasons above
-	Detail string // the field that is wrong, and its value; the text of the error
+	Reason error  // one of the errors above
+	Detail string // the text of the error: the invalid field and its value
 }
 
 func (e *ResponseError) Error() string { return e.Detail }
@@ -25,7 +25,7 @@
 // Unwrap returns the reason.
 func (e *ResponseError) Unwrap() error { return e.Reason }
 
-// refuse builds a ResponseError; format and args make its detail.
-func refuse(reason error, format string, args ...any) error {
+// newResponseError returns a ResponseError whose Detail is formatted from format and args.
+func newResponseError(reason error, format string, args ...any) error {
 	return &ResponseError{Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/backend/quota/token_bucket.go
+++ b/internal/backend/quota/token_bucket.go
@@ -2,30 +2,30 @@
 
 import "milletbarrow/monotime"
 
-// Sizes of token buckets. A rate in units per second times a span in microseconds is an amount in micro-units.
+// Sizes of token buckets. A rate in units per second times a duration in microseconds yields an amount in micro-units.
 const (
 	microUnits    = 1_000_000                  // micro-units per unit
-	burst         = 300 * monotime.Millisecond // a bucket holds what its rate yields in this time,
-	minBurstUnits = 4                          // but at least this many units, as requests arrive at random
+	burst         = 300 * monotime.Millisecond // a bucket holds what its rate yields in this time
+	minBurstUnits = 4                          // minimum size, which absorbs random arrivals at low rates
 )
 
-// tokenBucket is the part of one budget that a holder may use. It is filled at the rate of its grant.
+// tokenBucket limits acquisitions of one budget to the holder's grant. It is refilled at the rate of the grant.
 //
 // Invariants:
-//   - Extra is above 0 only while filledAt lies before leaseEnd (TestLeaseEnd, TestLeaseEndAtResponse,
+//   - Extra is above 0 only while refilledAt is before leaseEnd (TestLeaseEnd, TestLeaseEndAtResponse,
 //     TestLeaseEndAfterClockBack).
-//   - tokens lies between 0 and the bucket's size (TestBucketNeverOverfull).
+//   - tokens is between 0 and the bucket's size (TestBucketNeverOverfull).
 type tokenBucket struct {
 	Grant
-	leaseEnd monotime.Micros
-	tokens   int64           // micro-units
-	filledAt monotime.Micros // time that tokens is of
-	drawn    int64           // units acquired, without those refunded
-	denied   int64           // units
-	refunded int64           // units that no later acquisition has used up yet
+	leaseEnd   monotime.Micros
+	tokens     int64           // micro-units
+	refilledAt monotime.Micros // time up to which tokens has been refilled
+	drawn      int64           // units acquired, without those refunded
+	denied     int64           // units
+	refunded   int64           // units that were returned and not yet acquired again
 }
 
-// tryAcquire takes one unit, or reports false if the bucket does not hold one now.
+// tryAcquire takes one unit and returns true, or returns false if the bucket holds less than one.
 func (b *tokenBucket) tryAcquire(now monotime.Micros) bool {
 	b.refill(now)
 	if b.tokens < microUnits {
@@ -41,7 +41,7 @@
 	return true
 }
 
-// refund puts one unit back that was acquired, as far as the bucket holds it.
+// refund puts back one acquired unit, up to the size of the bucket.
 func (b *tokenBucket) refund(now monotime.Micros) {
 	b.refill(now)
 	if b.refunded < b.drawn {
@@ -50,10 +50,10 @@
 	}
 }
 
-// refill adds tokens up to now: at floor and extra during the lease, at the floor alone after it. What the extra left
-// unused expires with it, as a bucket holds no more than its present rate allows.
+// refill adds the tokens due at now, at the rate of floor and extra during the lease and of the floor alone after it.
+// The bucket shrinks when the lease ends, so that tokens in excess of the floor's bucket expire with the extra.
 func (b *tokenBucket) refill(now monotime.Micros) {
-	if now <= b.filledAt {
+	if now <= b.refilledAt {
 		return
 	}
 	if b.Extra > 0 && now >= b.leaseEnd {
@@ -63,26 +63,27 @@
 	b.refillAt(now, b.Floor+b.Extra)
 }
 
-// refillAt adds tokens at a rate up to a time. A full bucket takes no more, so nothing overflows.
+// refillAt adds the tokens that a rate yields up to a time. If that would fill the bucket, they are not computed, so
+// that a long pause cannot overflow.
 func (b *tokenBucket) refillAt(to monotime.Micros, rate int64) {
 	size := bucketSize(rate)
-	if span := int64(to - b.filledAt); rate == 0 || span > size/rate {
+	if elapsed := int64(to - b.refilledAt); rate == 0 || elapsed > size/rate {
 		b.tokens = size
 	} else {
-		b.tokens = min(size, b.tokens+span*rate)
+		b.tokens = min(size, b.tokens+elapsed*rate)
 	}
-	b.filledAt = to
+	b.refilledAt = to
 }
 
-// applyGrant replaces the grant. What the former one has yielded up to now stays, as far as the new bucket holds it.
+// applyGrant replaces the grant. Tokens that the previous grant has yielded are kept, up to the size of the new bucket.
 func (b *tokenBucket) applyGrant(now monotime.Micros, grant Grant, leaseEnd monotime.Micros) {
 	b.refill(now)
 	if leaseEnd <= now {
-		grant.Extra = 0 // the lease expired before the response came
+		grant.Extra = 0 // the lease expired before the response arrived
 	}
 	b.Grant = grant
 	b.leaseEnd = leaseEnd
-	b.filledAt = now
+	b.refilledAt = now
 	b.tokens = min(b.tokens, bucketSize(grant.Floor+grant.Extra))
 }
 
@@ -94,7 +95,7 @@
 	b.leaseEnd = now
 }
 
-// status returns the budget as it is now.
+// status returns the state of the budget at now.
 func (b *tokenBucket) status(now monotime.Micros) Status {
 	b.refill(now)
 	return Status{
@@ -108,7 +109,7 @@
 	}
 }
 
-// bucketSize returns how many micro-units a bucket of that rate holds. Without a rate it holds nothing.
+// bucketSize returns the size in micro-units of a bucket with that rate, 0 if the rate is 0.
 func bucketSize(rate int64) int64 {
 	if rate == 0 {
 		return 0
@@ -116,6 +117,6 @@
 	return max(minBurstUnits*microUnits, rate*int64(burst))
 }
 
-// BurstUnits returns how many units a holder of that rate may acquire above what the rate yields in any span: a full
-// bucket.
+// BurstUnits returns how many units a holder may acquire, during any time, in excess of what its rate yields in that
+// time: the size of its bucket, rounded up.
 func BurstUnits(rate int64) int64 { return (bucketSize(rate) + microUnits - 1) / microUnits }
--- a/internal/backend/shadow/compare.go
+++ b/internal/backend/shadow/compare.go
@@ -7,17 +7,17 @@
 	"milletbarrow/monotime"
 )
 
-// compare counts the differences between the actions of both sides on one event. arrived is the ID of the request if
+// compare counts the differences between the actions of both sides on one event. arrivedID is the ID of the request if
 // the event is an arrival, otherwise "".
-func (e *Evaluator) compare(arrived string, actions [sideCount][]admission.Action) {
-	onPrimary, onShadow := firstStarted(actions[primary]), firstStarted(actions[shadow])
-	if onPrimary != "" && onShadow != "" && onPrimary != onShadow {
+func (e *Evaluator) compare(arrivedID string, actions [sideCount][]admission.Action) {
+	primaryStart, shadowStart := firstStarted(actions[primary]), firstStarted(actions[shadow])
+	if primaryStart != "" && shadowStart != "" && primaryStart != shadowStart {
 		e.count(StartOrder)
 	}
 	for s := range sideCount {
-		others := actions[s.other()]
+		otherActions := actions[s.other()]
 		for _, action := range actions[s] {
-			e.compareAction(s, action, others)
+			e.compareAction(s, action, otherActions)
 			id, final := finalAnswer(action)
 			if !final || !e.unanswered[id] {
 				continue
@@ -25,7 +25,8 @@
 			if s == shadow {
 				e.unanswered[id] = false
 			}
-			if difference, differs := compareAnswers(action, finalAnswerTo(id, others), s, id == arrived); differs {
+			otherAnswer := finalAnswerTo(id, otherActions)
+			if difference, differs := compareAnswers(action, otherAnswer, s, id == arrivedID); differs {
 				e.count(difference)
 			}
 		}
@@ -33,34 +34,34 @@
 	e.compareState()
 }
 
-// count counts a difference.
+// count adds one difference to the totals.
 func (e *Evaluator) count(d Difference) { e.counts.ByDifference[d]++ }
 
-// compareAction records the state that an action sets, and counts an action that the other side has not decided on.
-func (e *Evaluator) compareAction(s side, action admission.Action, others []admission.Action) {
-	both := slices.Contains(others, action)
+// compareAction records the state that an action sets, and counts an action that the other side did not take.
+func (e *Evaluator) compareAction(s side, action admission.Action, otherActions []admission.Action) {
+	inBoth := slices.Contains(otherActions, action)
 	switch a := action.(type) {
 	case admission.SetHealth:
 		e.healthy[s] = a.Good
 	case admission.CloseIdle:
 		e.idleTimeout[s] = a.After
 	case admission.Advertise:
-		if !both {
+		if !inBoth {
 			e.count(AdvertisedValue)
 		}
 	case admission.Stop:
-		if !both {
+		if !inBoth {
 			e.count(Preemption)
 		}
 	case admission.Reuse:
-		if !both {
+		if !inBoth {
 			e.count(Replay)
 		}
 	}
 }
 
-// compareState counts a state that differs. It then sets the shadow's state to the primary's, so that the difference is
-// counted once until one of them changes.
+// compareState counts each state in which the sides differ. It then sets the shadow's state to the primary's, so that a
+// difference is counted once until one of the sides changes its state.
 func (e *Evaluator) compareState() {
 	if e.healthy[primary] != e.healthy[shadow] {
 		e.count(Health)
@@ -72,11 +73,11 @@
 	}
 }
 
-// compareAnswers compares the final answer of side s with the other side's, which is nil if it has none. Two answers
-// are compared once, when s is the shadow.
+// compareAnswers compares the final answer of side s with that of the other side, which is nil if that side gave none.
+// If both sides answer, the answers are compared only when s is the shadow, so that a difference is counted once.
 func compareAnswers(answer, other admission.Action, s side, onArrival bool) (d Difference, differs bool) {
 	switch {
-	case other != nil: // both have answered; see below
+	case other != nil: // both sides answer: compared below
 	case onArrival && s == primary:
 		return OnlyShadowAdmits, true
 	case onArrival:
@@ -98,10 +99,10 @@
 		exceedsByHalf(otherThrottle.RetryAfter, throttle.RetryAfter)
 }
 
-// exceedsByHalf reports whether a is longer than b by more than half of b.
+// exceedsByHalf reports whether a is more than one and a half times b.
 func exceedsByHalf(a, b monotime.Micros) bool { return a > b*3/2 }
 
-// firstStarted returns the ID of the request that is started first, or "".
+// firstStarted returns the ID of the first request that the actions start, or "" if they start none.
 func firstStarted(actions []admission.Action) string {
 	for _, action := range actions {
 		if start, ok := action.(admission.Start); ok {
@@ -111,7 +112,7 @@
 	return ""
 }
 
-// finalAnswerTo returns the final answer to a request, or nil if there is none among actions.
+// finalAnswerTo returns the final answer to a request among actions, or nil if there is none.
 func finalAnswerTo(id string, actions []admission.Action) admission.Action {
 	for _, action := range actions {
 		if to, final := finalAnswer(action); final && to == id {
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// finalAnswer returns the ID of the request to which an action is the final answer; final is false if it is none.
+// finalAnswer returns the ID of the request that an action answers finally; final is false for any other action.
 func finalAnswer(action admission.Action) (id string, final bool) {
 	switch a := action.(type) {
 	case admission.Throttle:
--- a/internal/backend/shadow/compare_test.go
+++ b/internal/backend/shadow/compare_test.go
@@ -116,7 +116,7 @@
 		},
 		{"hundreds of callers", func(cfg *admission.Config) { cfg.Callers = 3 }, unchanged, idleTicks},
 	} {
-		p := newPair(config(test.ofPrimary), config(test.ofShadow))
+		p := newPair(testConfig(test.ofPrimary), testConfig(test.ofShadow))
 		test.events(p)
 		tr.Say("%s: %v", test.name, p.evaluator.Counts())
 	}
--- a/internal/backend/shadow/difference.go
+++ b/internal/backend/shadow/difference.go
@@ -5,28 +5,28 @@
 	"strings"
 )
 
-// Difference is a kind of difference between the shadow's decisions and the primary's.
+// Difference is a kind of difference between the decisions of the shadow and those of the primary.
 type Difference int
 
-// The kinds of difference. Health, IdleTimeout and AdvertisedValue are counted once for each change, the others once
-// for each request and event.
+// The kinds of difference. Health, IdleTimeout and AdvertisedValue are counted once per change, the others once per
+// request and event.
 const (
 	OnlyShadowAdmits  Difference = iota // the primary rejects the request on arrival, the shadow does not
 	OnlyShadowRejects                   // the shadow rejects the request on arrival, the primary does not
-	RetryElsewhere                      // both throttle the request; only one advises a retry on another backend
-	RetryAfter                          // both throttle the request; the Retry-Afters differ by more than half
-	StartOrder                          // the first request to be started is another one
-	OnlyShadowGivesUp                   // the shadow answers the request without a run after its arrival
-	OnlyShadowKeeps                     // the primary answers the request without a run after its arrival
-	Preemption                          // only one stops a run
-	Replay                              // only one answers with the result of an earlier run
-	Health                              // health checks are answered differently
+	RetryElsewhere                      // both throttle the request; only one allows a retry on another backend
+	RetryAfter                          // both throttle the request; the Retry-After values differ by more than half
+	StartOrder                          // the sides start different requests first
+	OnlyShadowGivesUp                   // the shadow rejects the request after its arrival, the primary does not
+	OnlyShadowKeeps                     // the primary rejects the request after its arrival, the shadow does not
+	Preemption                          // only one side stops a run
+	Replay                              // only one side answers with the result of an earlier run
+	Health                              // the sides answer health checks differently
 	IdleTimeout                         // the idle timeouts of connections differ
-	AdvertisedValue                     // the advertised values differ, or only one advertises a value
+	AdvertisedValue                     // the advertised values differ, or only one side advertises a value
 	differenceCount
 )
 
-// Names of the counts in logs and on the admin socket.
+// Names of the other counts in logs and on the admin socket.
 const (
 	arrivalsName = "arrivals"
 	panicsName   = "faults"
@@ -51,14 +51,14 @@
 // String returns the name in logs and on the admin socket.
 func (d Difference) String() string { return differenceNames[d] }
 
-// Counts are totals since the start of the shadow.
+// Counts are the totals since the shadow was started.
 type Counts struct {
 	ByDifference [differenceCount]int
-	Arrivals     int // requests that both modules decided on
-	Panics       int // of the shadow; after the first it decides nothing more
+	Arrivals     int // requests that arrived at both modules
+	Panics       int // of the shadow, which is stopped after the first
 }
 
-// Map returns the arrivals, the panics and the differences that are not 0, by name.
+// Map returns the arrivals, the panics and the nonzero counts of differences, by name.
 func (c Counts) Map() map[string]int {
 	counts := map[string]int{arrivalsName: c.Arrivals, panicsName: c.Panics}
 	for d, n := range c.ByDifference {
--- a/internal/backend/shadow/evaluator.go
+++ b/internal/backend/shadow/evaluator.go
@@ -1,12 +1,12 @@
-// Package shadow evaluates another configuration beside the one in force. A second decision module, the shadow, gets
-// every event of the first, the primary, and the differences between their decisions are counted. No action of the
-// shadow is carried out. The package does no I/O and has no clock.
+// Package shadow evaluates a candidate configuration in parallel with the one in force. A second decision module, the
+// shadow, receives every event that the first, the primary, receives, and the differences between their decisions are
+// counted. Actions of the shadow are not carried out. The package does no I/O and reads no clock.
 //
-// Invariants, each with the test that holds it:
-//   - A shadow with the primary's configuration differs in nothing, and no request is left at the end:
+// Invariants, each with the test that checks it:
+//   - A shadow with the primary's configuration never differs from it, and no request stays unanswered at the end:
 //     TestEqualConfigurationsNeverDiffer.
 //   - Each answer is compared once: TestEachAnswerIsComparedOnce.
-//   - A state that differs is counted once until both sides agree again: TestDifferentStateIsCountedOnce.
+//   - A difference in state is counted once until both sides agree again: TestDifferentStateIsCountedOnce.
 //   - A request runs for the shadow only if the primary has started it: TestShadowStartsNothingItself.
 package shadow
 
@@ -15,7 +15,7 @@
 	"milletbarrow/monotime"
 )
 
-// side is one of the two modules, as an index.
+// side identifies one of the two modules; it is used as an index.
 type side int
 
 const (
@@ -27,23 +27,23 @@
 // other returns the other side.
 func (s side) other() side { return sideCount - 1 - s }
 
-// Evaluator is a shadow module with the counts of its differences. It is not safe for concurrent use.
+// Evaluator runs a shadow module and counts its differences from the primary. It is not safe for concurrent use.
 type Evaluator struct {
 	module  *admission.Backend // nil after a panic
-	actions []admission.Action // of the shadow's latest decision; the slice is reused
+	actions []admission.Action // of the shadow's latest decision; reused by the next one
 
-	// unanswered has the requests in flight that the primary has not answered, by ID. The value is true while the
-	// shadow has not answered the request either. It is nil after a panic.
+	// unanswered contains the IDs of the requests in flight that the primary has not answered. The value is true while
+	// the shadow has not answered the request either. The map is nil after a panic.
 	unanswered map[string]bool
 
 	counts      Counts
 	healthy     [sideCount]bool            // as each side last set it
 	idleTimeout [sideCount]monotime.Micros // as each side last set it
-	timerToken  int64                      // of the shadow's timer; passed back with the next reading
+	timerToken  int64                      // of the shadow's timer, to be passed with the next reading
 }
 
-// New starts a shadow with another configuration. now is the time at which the primary opened, or a later one; requests
-// that the primary has in flight then are not compared.
+// New starts a shadow with the configuration cfg. now is not before the time at which the primary was opened. Requests
+// that the primary has in flight at now are not compared.
 func New(cfg admission.Config, seed uint64, now monotime.Micros) *Evaluator {
 	cfg.ConfirmStarts = true
 	e := &Evaluator{
@@ -56,10 +56,11 @@
 	return e
 }
 
-// Counts returns the totals so far.
+// Counts returns the totals since New.
 func (e *Evaluator) Counts() Counts { return e.counts }
 
-// Observe passes an event of the primary to the shadow and counts the differences between the actions of both.
+// Observe passes an event to the shadow and counts the differences between its actions and those of the primary. After
+// a panic of the shadow it does nothing.
 func (e *Evaluator) Observe(now monotime.Micros, event admission.Event, actions []admission.Action) {
 	if _, opened := event.(admission.Opened); opened || e.counts.Panics > 0 {
 		return
@@ -71,19 +72,19 @@
 			e.module = nil
 		}
 	}()
-	arrived := ""
+	arrivedID := ""
 	switch ev := event.(type) {
 	case admission.Arrived:
-		arrived = ev.ID
-		e.unanswered[arrived] = true
+		arrivedID = ev.ID
+		e.unanswered[arrivedID] = true
 		e.counts.Arrivals++
 	case admission.Reading:
 		ev.Token = e.timerToken
 		event = ev
 	}
 	e.decide(now, event)
-	e.compare(arrived, [sideCount][]admission.Action{actions, e.actions})
-	e.follow(now, actions)
+	e.compare(arrivedID, [sideCount][]admission.Action{actions, e.actions})
+	e.applyPrimaryActions(now, actions)
 	switch ev := event.(type) {
 	case admission.Finished:
 		delete(e.unanswered, ev.ID)
@@ -92,9 +93,9 @@
 	}
 }
 
-// follow adapts the shadow to the primary's actions, which are carried out: a request that the primary started runs
-// for the shadow too, and one that the primary answered ends for both.
-func (e *Evaluator) follow(now monotime.Micros, actions []admission.Action) {
+// applyPrimaryActions updates the shadow for the primary's actions, which are carried out: a request that the primary
+// starts also runs for the shadow, and one that the primary answers ends for both.
+func (e *Evaluator) applyPrimaryActions(now monotime.Micros, actions []admission.Action) {
 	for _, action := range actions {
 		if start, ok := action.(admission.Start); ok {
 			e.decide(now, admission.Launched(start))
@@ -108,7 +109,7 @@
 	}
 }
 
-// decide passes an event to the shadow's module.
+// decide passes an event to the shadow's module and stores its actions and timer token.
 func (e *Evaluator) decide(now monotime.Micros, event admission.Event) {
 	e.actions = e.module.Decide(now, event, e.actions[:0])
 	for _, action := range e.actions {
--- a/internal/backend/shadow/evaluator_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		advertised := []admission.AdvertisedValue{admission.NothingAdvertised, admission.TrafficWeight}
 		preemptions := []admission.Preemption{admission.NoPreemption, admission.PreemptionPauses}
-		ofPrimary := config(func(cfg *admission.Config) {
+		ofPrimary := testConfig(func(cfg *admission.Config) {
 			cfg.RetriesUnmarked = rapid.Bool().Draw(t, "retries unmarked")
 			cfg.AdvertisedValue = rapid.SampledFrom(advertised).Draw(t, "advertised value")
 			cfg.Preemption = rapid.SampledFrom(preemptions).Draw(t, "preemption")
@@ -24,7 +24,7 @@
 		ofShadow := ofPrimary
 		equal := rapid.Bool().Draw(t, "equal")
 		if !equal {
-			ofShadow = config(func(cfg *admission.Config) {
+			ofShadow = testConfig(func(cfg *admission.Config) {
 				cfg.RetriesUnmarked = true
 				cfg.AdvertisedValue = admission.TrafficWeight
 				cfg.Preemption = admission.PreemptionPauses
@@ -47,8 +47,8 @@
 
 // A panic of the shadow is counted; the shadow is dropped and the primary goes on.
 func TestShadowDecidesNothingAfterPanic(t *testing.T) {
-	withoutSecondOperation := config(func(cfg *admission.Config) { cfg.Operations = cfg.Operations[:1] })
-	p := newPair(config(nil), withoutSecondOperation)
+	withoutSecondOperation := testConfig(func(cfg *admission.Config) { cfg.Operations = cfg.Operations[:1] })
+	p := newPair(testConfig(nil), withoutSecondOperation)
 	for n := range 3 {
 		p.observe(admission.Arrived{ID: requestID(n), Operation: 1, MemoryKB: 30, TimeLeft: 4 * monotime.Second})
 	}
@@ -85,7 +85,7 @@
 func BenchmarkObserve(b *testing.B) {
 	for _, shadowed := range []bool{false, true} {
 		b.Run(fmt.Sprint("shadow=", shadowed), func(b *testing.B) {
-			p := newPair(config(nil), config(nil))
+			p := newPair(testConfig(nil), testConfig(nil))
 			p.unrecorded = true
 			if !shadowed {
 				p.evaluator.counts.Panics = 1 // the evaluator ignores events after a panic
--- a/internal/backend/shadow/helpers_test.go
+++ b/internal/backend/shadow/helpers_test.go
@@ -11,7 +11,7 @@
 )
 
 // config returns the configuration of a small deployment. adjust changes it; nil leaves it as it is.
-func config(adjust func(*admission.Config)) admission.Config {
+func testConfig(adjust func(*admission.Config)) admission.Config {
 	cfg := admission.Config{
 		Operations: []admission.Operation{
 			{
@@ -55,7 +55,7 @@
 )
 
 // newEvaluator returns a shadow of the small deployment, without a primary.
-func newEvaluator() *Evaluator { return New(config(nil), testSeed, testStart) }
+func newEvaluator() *Evaluator { return New(testConfig(nil), testSeed, testStart) }
 
 // pair is a primary module with a shadow, on a simulated clock.
 type pair struct {
