--- a/internal/backend/degradation/compat_test.go
+++ b/internal/backend/degradation/compat_test.go
@@ -11,14 +11,15 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats checks that JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON written by an earlier release, with each field set, is decoded and encoded again
+// without a difference.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Policy](t, "Ladder.json")
 }
 
-// TestEarlierTrace checks that a trace recorded by an earlier release is read, written back the same to the byte, and
-// replays through that release's policy to the same levels at the same times.
-func TestEarlierTrace(t *testing.T) {
+// TestEarlierTraceReplaysAlike checks that a trace recorded by an earlier release is written again byte for byte, and
+// that its replay with that release's policy yields the same levels at the same times.
+func TestEarlierTraceReplaysAlike(t *testing.T) {
 	policy, _, err := ParsePolicy("ladder.sx", compattest.Read(t, "ladder.sx"))
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +37,7 @@
 		}
 	}
 	if !bytes.Equal(written.Bytes(), recorded) {
-		t.Error("the trace is not written as it was read")
+		t.Error("the trace differs after it was read and written again")
 	}
 	var replayed strings.Builder
 	points, changes := Replay(policy, trace)
@@ -48,6 +49,6 @@
 	}
 	want := strings.Split(string(compattest.Read(t, "replay.txt")), "\n")
 	if diff := cmp.Diff(want, strings.Split(replayed.String(), "\n")); diff != "" {
-		t.Errorf("replayed by the earlier release (-), and now (+):\n%s", diff)
+		t.Errorf("replay by the earlier release (-), and by this one (+):\n%s", diff)
 	}
 }
--- a/internal/backend/degradation/errors.go
+++ b/internal/backend/degradation/errors.go
@@ -10,8 +10,8 @@
 
 func (e *OverrideError) Error() string { return e.Field + ": " + e.Problem }
 
-// newOverrideError returns an OverrideError whose Problem is formatted from format and args.
-func newOverrideError(field, format string, args ...any) error {
+// overrideError returns an OverrideError whose Problem is formatted from format and args.
+func overrideError(field, format string, args ...any) error {
 	return &OverrideError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/backend/degradation/meter_test.go
+++ b/internal/backend/degradation/meter_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestUnknownSignalsAreMissing checks that fractions of too few events are missing, as are gauges that are unknown or
-// below 0.
+// TestUnknownSignalsAreMissing checks that fractions of too few events are missing, and so are gauges that are unknown
+// or negative.
 func TestUnknownSignalsAreMissing(t *testing.T) {
 	m := NewSignalMeter(2)
 	m.SetWarmingUntil(2 * second)
--- a/internal/backend/degradation/override.go
+++ b/internal/backend/degradation/override.go
@@ -22,10 +22,10 @@
 func (c *Controller) Override(now monotime.Micros, level int, until monotime.Micros, operator string, allowAbove bool,
 ) error {
 	if level < 0 || level > len(c.policy.Levels) {
-		return newOverrideError("level", "%d is not from 0 to %d", level, len(c.policy.Levels))
+		return overrideError("level", "%d is not from 0 to %d", level, len(c.policy.Levels))
 	}
 	if until <= now || until-now > c.policy.MaxOverride {
-		return newOverrideError("until", "not within the next %d s", c.policy.MaxOverride/monotime.Second)
+		return overrideError("until", "not within the next %d s", c.policy.MaxOverride/monotime.Second)
 	}
 	c.override = levelOverride{
 		level:      level,
--- a/internal/backend/degradation/override_test.go
+++ b/internal/backend/degradation/override_test.go
@@ -7,10 +7,11 @@
 	"milletbarrow/monotime"
 )
 
-// TestOverrideBounds checks that an override names a level of the policy and ends in the future, within MaxOverride.
-func TestOverrideBounds(t *testing.T) {
+// TestOverrideOutOfBoundsIsRefused checks that an override is refused unless its level is one of the policy and its end
+// is in the future, within MaxOverride.
+func TestOverrideOutOfBoundsIsRefused(t *testing.T) {
 	const now = 100 * second
-	const maxOverride = 600 * second // of billsPolicy
+	const maxOverride = 600 * second // of billingPolicy
 	c := NewController(mustParse(t, billingPolicy))
 	for _, test := range []struct {
 		name    string
@@ -22,13 +23,13 @@
 		{"full service", 0, now + second, true},
 		{"strongest level", 3, now + second, true},
 		{"level beyond the strongest", 4, now + second, false},
-		{"ended in the past", 1, now - 1, false},
+		{"ends in the past", 1, now - 1, false},
 		{"ends now", 1, now, false},
-		{"longest", 1, now + maxOverride, true},
-		{"longer than the longest", 1, now + maxOverride + 1, false},
+		{"longest duration", 1, now + maxOverride, true},
+		{"longer than the longest duration", 1, now + maxOverride + 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			err := c.Override(now, test.level, test.until, "test", false)
+			err := c.Override(now, test.level, test.until, "operator", false)
 			if (err == nil) != test.allowed {
 				t.Fatalf("error %v, allowed %t", err, test.allowed)
 			}
--- a/internal/backend/degradation/parse.go
+++ b/internal/backend/degradation/parse.go
@@ -17,7 +17,7 @@
 	maxMaxOverride        = 24 * time.Hour
 	defaultSmoothing      = time.Second
 	defaultMinDuration    = time.Minute
-	maxDuration           = time.Hour // of all durations except max-override
+	maxSpan               = time.Hour // of all durations except max-override
 	minRuleShare          = 0.01
 	maxTermValue          = 1000 // largest threshold of a term
 	maxTermArgs           = 2    // threshold and duration
@@ -46,8 +46,8 @@
 func parsePolicyForm(f *sexpr.Form) *Policy {
 	policy := &Policy{
 		Name:           f.Arg(),
-		ChangeInterval: monotime.FromDuration(f.Span("change-interval", time.Second, maxDuration, defaultChangeInterval)),
-		RecoveryRamp:   monotime.FromDuration(f.Span("recovery-ramp", 0, maxDuration, defaultRecoveryRamp)),
+		ChangeInterval: monotime.FromDuration(f.Span("change-interval", time.Second, maxSpan, defaultChangeInterval)),
+		RecoveryRamp:   monotime.FromDuration(f.Span("recovery-ramp", 0, maxSpan, defaultRecoveryRamp)),
 		MaxOverride:    monotime.FromDuration(f.Span("max-override", time.Second, maxMaxOverride, defaultMaxOverride)),
 	}
 	for s := range policy.Smoothing {
@@ -55,7 +55,7 @@
 	}
 	if smoothing := f.Field("smoothing"); smoothing != nil {
 		for s, name := range policySignalNames {
-			policy.Smoothing[s] = monotime.FromDuration(smoothing.Span(name, 0, maxDuration, defaultSmoothing))
+			policy.Smoothing[s] = monotime.FromDuration(smoothing.Span(name, 0, maxSpan, defaultSmoothing))
 		}
 		smoothing.Done()
 	}
@@ -74,7 +74,7 @@
 	level := Level{
 		Name:        f.Arg(),
 		place:       f.Place,
-		MinDuration: monotime.FromDuration(f.Span("min-duration", time.Second, maxDuration, defaultMinDuration)),
+		MinDuration: monotime.FromDuration(f.Span("min-duration", time.Second, maxSpan, defaultMinDuration)),
 		Enter:       parseCondition(f, "enter"),
 		Exit:        parseCondition(f, "exit"),
 	}
@@ -83,7 +83,7 @@
 			Operations: rule.Words("operations"),
 			Tenants:    rule.Words("tenants"),
 			RankBelow:  rule.Share("priority-below", 0, 1, 1),
-			CostAbove:  monotime.FromDuration(rule.Span("cost-above", 0, maxDuration, 0)),
+			CostAbove:  monotime.FromDuration(rule.Span("cost-above", 0, maxSpan, 0)),
 			Share:      rule.Share("share", minRuleShare, 1, 1),
 		})
 		rule.Done()
@@ -136,8 +136,8 @@
 	}
 	if len(args) == maxTermArgs {
 		duration, err := time.ParseDuration(args[1])
-		if err != nil || duration < 0 || duration > maxDuration {
-			f.Fail("", "found %q, wanted a duration from 0 to %v", args[1], maxDuration)
+		if err != nil || duration < 0 || duration > maxSpan {
+			f.Fail("", "found %q, wanted a duration from 0 to %v", args[1], maxSpan)
 		}
 		term.For = monotime.FromDuration(duration)
 	}
--- a/internal/backend/degradation/policy_test.go
+++ b/internal/backend/degradation/policy_test.go
@@ -6,8 +6,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestPoliciesAreExplainedOrRejected compares the explanation of a policy, and the errors of policies that cannot work,
-// with the recorded ones.
+// TestPoliciesAreExplainedOrRejected compares the explanation of a policy and the errors of invalid policies with the
+// recorded ones. The invalid policies use former names; errors have the current ones.
 func TestPoliciesAreExplainedOrRejected(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	trace.Say("%s", mustParse(t, billingPolicy).Explain())
--- a/internal/backend/degradation/signal.go
+++ b/internal/backend/degradation/signal.go
@@ -14,7 +14,7 @@
 const (
 	Queue      Signal = iota // requests that occupy a core or wait for one, per core
 	Cores                    // fraction of the cores in use
-	Rejected                 // fraction of the arrivals, except those that a level sheds, that admission control throttles
+	Rejected                 // of the arrivals that no level sheds, the fraction that admission control throttles
 	Infeasible               // fraction of the arrivals rejected because they could not meet their deadline
 	Late                     // fraction of the successful responses that miss their latency objective
 	Retries                  // fraction of the arrivals that are retries
--- a/internal/backend/degradation/trace_test.go
+++ b/internal/backend/degradation/trace_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// writeTrace returns a trace as text.
-func writeTrace(t *testing.T, trace []Reading) string {
+// formatTrace returns the text of a trace.
+func formatTrace(t *testing.T, trace []Reading) string {
 	t.Helper()
 	var text strings.Builder
 	for _, reading := range trace {
@@ -18,7 +18,7 @@
 	return text.String()
 }
 
-// FuzzReadTrace checks that a trace that was read is written and read back unchanged.
+// FuzzReadTrace checks that any trace that can be read is unchanged after it is written and read again.
 func FuzzReadTrace(f *testing.F) {
 	f.Add("1 queue=2 late=0.5\n; note\n5 cores=1\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -26,19 +26,20 @@
 		if err != nil {
 			return
 		}
-		written := writeTrace(t, first)
+		written := formatTrace(t, first)
 		second, err := ReadTrace("t", strings.NewReader(written))
 		if err != nil || len(second) != len(first) {
-			t.Fatalf("%v: %q", err, written)
+			t.Fatalf("%d readings of %q, error %v; want %d", len(second), written, err, len(first))
 		}
-		if rewritten := writeTrace(t, second); rewritten != written {
-			t.Fatalf("%q became %q", written, rewritten)
+		if rewritten := formatTrace(t, second); rewritten != written {
+			t.Fatalf("%q was written again as %q", written, rewritten)
 		}
 	})
 }
 
-// TestUnreadableTraceLines checks that the error of a line that cannot be read names file, line and what was found.
-func TestUnreadableTraceLines(t *testing.T) {
+// TestUnreadableTraceLineIsReportedWithPosition checks that the error about an invalid line has the file, the line
+// number and what was found.
+func TestUnreadableTraceLineIsReportedWithPosition(t *testing.T) {
 	const (
 		wantTime   = "wanted microseconds above those of the line before"
 		wantSignal = "wanted SIGNAL=VALUE with a value from 0 to 1e+09; signals are " +
--- a/internal/backend/idempotency/model_test.go
+++ b/internal/backend/idempotency/model_test.go
@@ -10,33 +10,34 @@
 
 const (
 	modelBytes     = 10 * entryBytes
-	modelWindow    = 100 // microseconds from an invocation to its expiry
-	modelQueueTime = 50  // the longest time in microseconds that a request may be unread
+	modelWindow    = 100 // time from an invocation to its expiry, in microseconds
+	modelQueueTime = 50  // longest time that a request may be unread, in microseconds
 )
 
-// model is a table with what it has to contain.
+// model is a table together with its expected contents.
 type model struct {
 	*rapid.T
 
 	table   *Table
 	entries map[string]*modelEntry // by ID
 	now     monotime.Micros
-	nextID  int // IDs are numbers
+	nextID  int // IDs are consecutive numbers
 }
 
-// modelEntry is an invocation that the table has to contain.
+// modelEntry is an invocation that the table is expected to contain.
 type modelEntry struct {
 	key       Key
 	expiresAt monotime.Micros
 	completed bool
-	waiters   map[string]bool
+	waiters   map[string]bool // by ID of the repeat
 }
 
+// newModel returns an empty table with its model.
 func newModel(t *rapid.T) *model {
 	return &model{T: t, table: New(modelBytes, entryBytes), entries: map[string]*modelEntry{}}
 }
 
-// step calls a method of the table that is drawn, and checks what it returns.
+// step calls a randomly drawn method of the table and checks its result.
 func (m *model) step() {
 	known := m.ids()
 	switch call := rapid.IntRange(0, 5).Draw(m.T, "call"); {
@@ -62,7 +63,7 @@
 	}
 }
 
-// ids returns the IDs of the entries in ascending order.
+// ids returns the IDs of the expected entries in ascending order.
 func (m *model) ids() []string {
 	var ids []string
 	for n := range m.nextID {
@@ -73,14 +74,14 @@
 	return ids
 }
 
-// newID returns an ID that has not been used.
+// newID returns an unused ID.
 func (m *model) newID() string {
 	id := fmt.Sprint(m.nextID)
 	m.nextID++
 	return id
 }
 
-// findOrRemember looks for the original of a request that arrives now, and adds the request if there is none.
+// findOrRemember looks up the original of a request that arrives now, and adds the request if there is none.
 func (m *model) findOrRemember() {
 	key := Key{
 		Operation: rapid.IntRange(0, 1).Draw(m.T, "operation"),
@@ -89,7 +90,7 @@
 	}
 	if found := m.table.Find(key, m.now); found != "" {
 		if e := m.entries[found]; e == nil || e.key != key || m.now > e.expiresAt {
-			m.Fatalf("found %q for %v", found, key)
+			m.Fatalf("Find(%v) = %q, which is expired, not cached or of another key", key, found)
 		}
 		return
 	}
@@ -98,7 +99,7 @@
 			continue
 		}
 		if m.now <= e.expiresAt {
-			m.Fatalf("%s is cached and not found", id)
+			m.Fatalf("%s is cached and not expired, but was not found", id)
 		}
 		delete(m.entries, id) // Remember replaces it
 	}
@@ -108,6 +109,7 @@
 	m.table.Remember(id, key, expiresAt)
 }
 
+// complete ends the run of an invocation, possibly for the second time.
 func (m *model) complete(id string) {
 	e := m.entries[id]
 	succeeded := rapid.Bool().Draw(m.T, "succeeded")
@@ -116,11 +118,12 @@
 	m.checkWaiters("Complete", e, waiters)
 	e.completed = true
 	e.waiters = map[string]bool{}
-	if _, ok, remembered := m.table.Result(id); first && ok != succeeded || !remembered {
-		m.Fatalf("Result: ok %t, remembered %t for a run that succeeded %t", ok, remembered, succeeded)
+	if _, ok, cached := m.table.Result(id); first && ok != succeeded || !cached {
+		m.Fatalf("Result: succeeded %t, cached %t; want %t, true", ok, cached, succeeded)
 	}
 }
 
+// addWaiter adds a new repeat of an invocation.
 func (m *model) addWaiter(id string) {
 	e := m.entries[id]
 	repeat := "r" + m.newID()
@@ -133,7 +136,7 @@
 	}
 }
 
-// removeWaiter removes any one waiter.
+// removeWaiter removes one waiter of an invocation, if it has any.
 func (m *model) removeWaiter(id string) {
 	for waiter := range m.entries[id].waiters {
 		m.table.RemoveWaiter(id, waiter)
@@ -142,7 +145,7 @@
 	}
 }
 
-// checkWaiters checks the waiters that a method returned for an entry.
+// checkWaiters checks that a method returned exactly the expected waiters of an entry.
 func (m *model) checkWaiters(method string, e *modelEntry, waiters []string) {
 	if len(waiters) != len(e.waiters) {
 		m.Fatalf("%s returned the waiters %v, want %v", method, waiters, e.waiters)
@@ -154,18 +157,19 @@
 	}
 }
 
-// checkTable checks the table's invariants.
+// checkTable checks the invariants of the table.
 func (m *model) checkTable() {
 	table := m.table
 	if table.usedBytes > modelBytes || table.usedBytes < 0 || table.Len() != len(m.entries) {
-		m.Fatalf("%d bytes of %d, %d entries, want %d", table.usedBytes, modelBytes, table.Len(), len(m.entries))
+		m.Fatalf("%d of %d bytes used by %d entries, want %d entries",
+			table.usedBytes, modelBytes, table.Len(), len(m.entries))
 	}
 	if len(table.byKey) != len(table.byID) {
-		m.Fatalf("%d keys, %d IDs", len(table.byKey), len(table.byID))
+		m.Fatalf("%d keys, but %d IDs", len(table.byKey), len(table.byID))
 	}
 	for id, e := range table.byID {
 		if table.byKey[e.key] != e {
-			m.Fatalf("%s is not the entry under its key %v", id, e.key)
+			m.Fatalf("entry %s is not the one under its key %v", id, e.key)
 		}
 	}
 }
--- a/internal/backend/idempotency/table_test.go
+++ b/internal/backend/idempotency/table_test.go
@@ -9,8 +9,9 @@
 	"milletbarrow/monotime"
 )
 
-// For any order of calls the table stays within its bytes and releases all of them, finds the invocations that are
-// cached and not expired and no others, has each entry under its key, and returns each waiter once.
+// TestTableMatchesModel checks for any order of calls that the table stays within its size and releases all bytes,
+// finds exactly the invocations that are cached and not expired, indexes each entry by its key, and returns each waiter
+// once.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -21,41 +22,43 @@
 		}
 		m.table.EvictExpired(m.now+1000, 0, 0)
 		if m.table.usedBytes != 0 || m.table.Len() != 0 || len(m.table.byKey) != 0 {
-			t.Fatalf("after the eviction of everything: %d bytes, %d entries, %d keys; want none",
+			t.Fatalf("after all entries have expired: %d bytes, %d entries, %d keys; want none",
 				m.table.usedBytes, m.table.Len(), len(m.table.byKey))
 		}
 	})
 }
 
-// A repeat that reached the host before the expiry is found when it is read later, until its original is evicted.
+// TestRepeatArrivedInTimeIsFoundUntilEviction checks that a repeat that reached the host before the expiry but is read
+// after it is still found, until its original is evicted.
 func TestRepeatArrivedInTimeIsFoundUntilEviction(t *testing.T) {
 	table, key := New(1<<20, 100), Key{Token: "x"}
 	table.Remember("a", key, 100)
 	table.EvictExpired(140, 50, 0)
 	if got := table.Find(key, 100); got != "a" {
-		t.Errorf("arrived at the expiry: found %q, want a", got)
+		t.Errorf("arrived at the time of expiry: found %q, want a", got)
 	}
 	if got := table.Find(key, 101); got != "" {
-		t.Errorf("arrived after the expiry: found %q, want none", got)
+		t.Errorf("arrived after the time of expiry: found %q, want none", got)
 	}
 	if table.EvictExpired(151, 50, 0); table.Len() != 0 {
-		t.Error("cached although no repeat that arrived in time can be unread")
+		t.Error("still cached, although no repeat that arrived in time can be unread")
 	}
 }
 
-// An entry needs its own bytes and, until its run has ended, those of the longest result.
+// TestCapacityIsInBytes checks that an entry occupies its own bytes and those of its result, and reserves the bytes of
+// the largest result until its run has ended.
 func TestCapacityIsInBytes(t *testing.T) {
-	const longest = 100
+	const maxResult = 100
 	for _, test := range []struct {
 		name     string
 		maxBytes int
 		want     int
 	}{
-		{"a byte too few for two", 2*(entryBytes+longest) - 1, 1},
-		{"enough for two", 2 * (entryBytes + longest), 2},
+		{"one byte too few for two entries", 2*(entryBytes+maxResult) - 1, 1},
+		{"enough for two entries", 2 * (entryBytes + maxResult), 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			table := New(test.maxBytes, longest)
+			table := New(test.maxBytes, maxResult)
 			n := 0
 			for ; table.HasCapacity(); n++ {
 				table.Remember(fmt.Sprint(n), Key{Token: fmt.Sprint(n)}, 0)
@@ -70,26 +73,26 @@
 		succeeded bool
 		wantBytes int
 	}{
-		{"succeeded", true, entryBytes + longest/2},
+		{"succeeded", true, entryBytes + maxResult/2},
 		{"failed", false, entryBytes},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			table := New(1<<20, longest)
+			table := New(1<<20, maxResult)
 			table.Remember("a", Key{}, 0)
-			table.Complete("a", test.succeeded, make([]byte, longest/2))
+			table.Complete("a", test.succeeded, make([]byte, maxResult/2))
 			if table.usedBytes != test.wantBytes {
 				t.Errorf("%d bytes used, want %d", table.usedBytes, test.wantBytes)
 			}
-			result, ok, remembered := table.Result("a")
-			if ok != test.succeeded || (result != nil) != test.succeeded || !remembered {
-				t.Errorf("Result() = %v, %t, %t", result, ok, remembered)
+			result, succeeded, cached := table.Result("a")
+			if succeeded != test.succeeded || (result != nil) != test.succeeded || !cached {
+				t.Errorf("Result() = %v, %t, %t; want succeeded %t, cached", result, succeeded, cached, test.succeeded)
 			}
 		})
 	}
 }
 
-// Expired entries are evicted at most once an interval.
-func TestEvictionInterval(t *testing.T) {
+// TestEvictionRunsOncePerInterval checks that a call within the interval of the last eviction evicts nothing.
+func TestEvictionRunsOncePerInterval(t *testing.T) {
 	table := New(1<<20, 100)
 	table.EvictExpired(1000, 0, 100)
 	table.Remember("a", Key{}, 1000)
--- a/internal/backend/quota/compat_test.go
+++ b/internal/backend/quota/compat_test.go
@@ -6,7 +6,8 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats checks that JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON written by an earlier release, with each field set, is decoded and encoded again
+// without a difference.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[LeaseRequest](t, "Ask.json")
 	compattest.RoundTrip[LeaseResponse](t, "Answer.json")
--- a/internal/backend/quota/errors.go
+++ b/internal/backend/quota/errors.go
@@ -25,7 +25,7 @@
 // Unwrap returns the reason.
 func (e *ResponseError) Unwrap() error { return e.Reason }
 
-// newResponseError returns a ResponseError whose Detail is formatted from format and args.
-func newResponseError(reason error, format string, args ...any) error {
+// responseError returns a ResponseError whose Detail is formatted from format and args.
+func responseError(reason error, format string, args ...any) error {
 	return &ResponseError{Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/backend/quota/helpers_test.go
+++ b/internal/backend/quota/helpers_test.go
@@ -8,20 +8,20 @@
 
 const second = monotime.Second
 
-// start is when the holders of most tests are granted their first lease.
+// start is the time of the first grant in most tests.
 const start = second
 
-// Identity of the holder and its only budget in these tests.
+// Identity and only budget of the holder in most tests.
 const (
 	testName        = "n"
 	testIncarnation = "1"
 	testBudget      = "b"
 )
 
-// newHolder returns a holder of testBudget without a grant.
+// newHolder returns a holder of testBudget that has no grant.
 func newHolder() *Holder { return New(testName, testIncarnation, []string{testBudget}) }
 
-// responseTo returns the response with grants to a request.
+// responseTo returns a response to a request, with the given grants.
 func responseTo(request LeaseRequest, grants ...Grant) LeaseResponse {
 	return LeaseResponse{
 		Name:        request.Name,
@@ -31,7 +31,7 @@
 	}
 }
 
-// grantNow has a holder request and apply a grant of testBudget at one time.
+// grantNow lets a holder request a grant of testBudget and apply it without delay.
 func grantNow(tb testing.TB, h *Holder, now monotime.Micros, grant Grant) {
 	tb.Helper()
 	grant.Budget = testBudget
@@ -40,7 +40,7 @@
 	}
 }
 
-// newGrantedHolder returns a holder with a grant of testBudget from start on.
+// newGrantedHolder returns a holder with a grant of testBudget that was requested and applied at start.
 func newGrantedHolder(tb testing.TB, floor, extra int64, lease monotime.Micros) *Holder {
 	tb.Helper()
 	h := newHolder()
@@ -48,7 +48,7 @@
 	return h
 }
 
-// acquireAll acquires units at one time until one is denied.
+// acquireAll acquires units at one time until one is denied, and returns their number.
 func acquireAll(h *Holder, now monotime.Micros) (units int64) {
 	for h.TryAcquire(now, 0) {
 		units++
--- a/internal/backend/quota/holder.go
+++ b/internal/backend/quota/holder.go
@@ -32,10 +32,11 @@
 //
 // Invariants:
 //   - The units acquired never exceed the yield of floor and lease plus a full bucket (TestAcquireWithinGrant).
-//   - The epoch of a budget's grant only increases (TestRefusedResponses).
+//   - The epoch of a budget's grant only increases (TestInvalidResponseIsRefused).
 //   - A response is applied completely or not at all (TestResponseIsRefusedCompletely).
 //   - Request numbers only increase (TestRequestNumbersGrow).
-//   - Nothing is acquired before the first grant or after Release (TestAcquireWithinGrant, TestRelease).
+//   - Nothing is acquired before the first grant or after Release (TestAcquireWithinGrant,
+//     TestReleaseGivesUpGrantAtOnce).
 type Holder struct {
 	name        string
 	incarnation string           // identifies this run of the process
@@ -91,7 +92,7 @@
 // of bounds.
 func (h *Holder) Apply(now monotime.Micros, response LeaseResponse) error {
 	if response.Name != h.name || response.Incarnation != h.incarnation {
-		return newResponseError(ErrWrongHolder, "response for %s, incarnation %s: this is %s, incarnation %s",
+		return responseError(ErrWrongHolder, "response for %s, incarnation %s: this is %s, incarnation %s",
 			response.Name, response.Incarnation, h.name, h.incarnation)
 	}
 	requestedAt, pending := h.requestedAt(response.Number)
@@ -99,7 +100,7 @@
 	case failpoint.Enabled(failpoint.IgnoreEpoch):
 		requestedAt = now // injected fault: the lease runs from the response
 	case !pending:
-		return newResponseError(ErrUnknownRequest, "response to request %d, which is not pending", response.Number)
+		return responseError(ErrUnknownRequest, "response to request %d, which is not pending", response.Number)
 	}
 	for i := range response.Grants {
 		if err := h.checkGrant(&response.Grants[i]); err != nil {
@@ -125,18 +126,18 @@
 func (h *Holder) checkGrant(grant *Grant) error {
 	i := h.Index(grant.Budget)
 	if i < 0 {
-		return newResponseError(ErrUnknownBudget, "unknown budget %q", grant.Budget)
+		return responseError(ErrUnknownBudget, "unknown budget %q", grant.Budget)
 	}
 	if epoch := h.buckets[i].Epoch; grant.Epoch <= epoch && !failpoint.Enabled(failpoint.IgnoreEpoch) {
-		return newResponseError(ErrStaleEpoch, "budget %s: epoch %d, wanted above %d", grant.Budget, grant.Epoch, epoch)
+		return responseError(ErrStaleEpoch, "budget %s: epoch %d, wanted above %d", grant.Budget, grant.Epoch, epoch)
 	}
 	switch {
 	case grant.Floor < 0 || grant.Floor > MaxRate:
-		return newResponseError(ErrOutOfBounds, "budget %s: floor %d, wanted 0 to %d", grant.Budget, grant.Floor, MaxRate)
+		return responseError(ErrOutOfBounds, "budget %s: floor %d, wanted 0 to %d", grant.Budget, grant.Floor, MaxRate)
 	case grant.Extra < 0 || grant.Extra > MaxRate:
-		return newResponseError(ErrOutOfBounds, "budget %s: extra %d, wanted 0 to %d", grant.Budget, grant.Extra, MaxRate)
+		return responseError(ErrOutOfBounds, "budget %s: extra %d, wanted 0 to %d", grant.Budget, grant.Extra, MaxRate)
 	case grant.Lease < 0:
-		return newResponseError(ErrOutOfBounds, "budget %s: lease of %d us, wanted at least 0", grant.Budget, grant.Lease)
+		return responseError(ErrOutOfBounds, "budget %s: lease of %d us, wanted at least 0", grant.Budget, grant.Lease)
 	}
 	return nil
 }
--- a/internal/backend/quota/holder_test.go
+++ b/internal/backend/quota/holder_test.go
@@ -9,7 +9,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestAcquireWithinGrant checks that a holder acquires no more than floor and lease yield, and a full bucket.
+// TestAcquireWithinGrant checks that a holder acquires no unit before its first grant and, with refunds and a delayed
+// response, no more than the yield of floor and lease plus a full bucket.
 func TestAcquireWithinGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floor := int64(rapid.IntRange(0, 500).Draw(t, "floor"))
@@ -42,23 +43,23 @@
 				acquired--
 			}
 			if counted := h.Status(now)[0].Drawn; counted < acquired {
-				t.Fatalf("%d counted as acquired, %d were", counted, acquired)
+				t.Fatalf("%d units counted as acquired, want at least %d", counted, acquired)
 			}
 			leased := max(0, min(now, leaseEnd)-grantedAt)
 			yield := (int64(now-grantedAt)*floor + int64(leased)*extra) / microUnits
 			if limit := yield + BurstUnits(floor+extra) + 1; acquired > limit {
-				t.Fatalf("acquired %d, at most %d are allowed", acquired, limit)
+				t.Fatalf("%d units acquired, want at most %d", acquired, limit)
 			}
 			if s := h.Status(now)[0]; now >= leaseEnd && s.Extra != 0 {
-				t.Fatalf("extra in force %d us after its lease", now-leaseEnd)
+				t.Fatalf("extra still in force %d us after the end of its lease", now-leaseEnd)
 			}
 		}
 	})
 }
 
-// TestRefusedResponses checks that a response that may not be applied changes nothing, and that the error has the
-// reason.
-func TestRefusedResponses(t *testing.T) {
+// TestInvalidResponseIsRefused checks that a response that may not be applied changes nothing, and that the error wraps
+// the reason.
+func TestInvalidResponseIsRefused(t *testing.T) {
 	h := newHolder()
 	request := h.NewRequest(10)
 	inForce := Grant{Budget: testBudget, Epoch: 7, Floor: 1, Extra: 5, Lease: 1000}
@@ -67,7 +68,7 @@
 	}
 	for _, test := range []struct {
 		name   string
-		change func(response *LeaseResponse, grant *Grant) // of a response that may be applied
+		change func(response *LeaseResponse, grant *Grant) // makes a valid response invalid
 		reason error
 		text   string
 	}{
@@ -107,7 +108,7 @@
 			ErrOutOfBounds, "budget b: extra -9, wanted 0 to 100000000",
 		},
 		{
-			"too large an extra",
+			"extra above the bound",
 			func(_ *LeaseResponse, grant *Grant) { grant.Extra = MaxRate + 1 },
 			ErrOutOfBounds, "budget b: extra 100000001, wanted 0 to 100000000",
 		},
@@ -117,7 +118,7 @@
 			ErrOutOfBounds, "budget b: floor -1, wanted 0 to 100000000",
 		},
 		{
-			"too large a floor",
+			"floor above the bound",
 			func(_ *LeaseResponse, grant *Grant) { grant.Floor = MaxRate + 1 },
 			ErrOutOfBounds, "budget b: floor 100000001, wanted 0 to 100000000",
 		},
@@ -133,17 +134,18 @@
 			test.change(&response, &grant)
 			response.Grants = []Grant{grant}
 			if err := h.Apply(30, response); !errors.Is(err, test.reason) || err.Error() != test.text {
-				t.Errorf("error %v, want %s", err, test.text)
+				t.Errorf("error %v, want %s (%v)", err, test.text, test.reason)
 			}
 			if s := h.Status(30)[0]; s.Extra != 5 || s.Epoch != 7 {
-				t.Fatalf("the refused response changed the grant: %+v", s)
+				t.Fatalf("refused response changed the grant: %+v", s)
 			}
 		})
 	}
 }
 
-// TestForgottenRequests checks that a response to a request with maxPending later ones is refused.
-func TestForgottenRequests(t *testing.T) {
+// TestResponseToOldRequestIsRefused checks that a response is refused once more than maxPending later requests were
+// made.
+func TestResponseToOldRequestIsRefused(t *testing.T) {
 	h := newHolder()
 	request := h.NewRequest(10)
 	for range maxPending + 1 {
@@ -155,7 +157,7 @@
 	}
 }
 
-// TestNothingIsAcquiredAfterRelease checks that a unit that the floor would have yielded is not acquired.
+// TestNothingIsAcquiredAfterRelease checks that the floor yields no units after the release.
 func TestNothingIsAcquiredAfterRelease(t *testing.T) {
 	h := newHolder()
 	grantNow(t, h, 10, Grant{Epoch: 7, Floor: 1, Extra: 5, Lease: 1000})
@@ -164,8 +166,7 @@
 	}
 }
 
-// TestResponseIsRefusedCompletely checks that one grant that may not be applied keeps all grants of its response from
-// being applied.
+// TestResponseIsRefusedCompletely checks that no grant of a response is applied if one of them may not be.
 func TestResponseIsRefusedCompletely(t *testing.T) {
 	h := New(testName, testIncarnation, []string{"a", "b"})
 	valid := Grant{Budget: "a", Epoch: 1, Floor: 1, Extra: 9, Lease: 1000}
@@ -174,18 +175,19 @@
 		t.Fatal(err)
 	}
 	if s := h.Status(20)[0]; s.Epoch != 0 || s.Floor != 0 || s.Extra != 0 {
-		t.Errorf("a part of a refused response was applied: %+v", s)
+		t.Errorf("refused response was partly applied: %+v", s)
 	}
 }
 
-// TestRequestNumbersGrow checks that each request has a higher number than all before it.
+// TestRequestNumbersGrow checks that each request has a higher number than the one before it, also after requests are
+// no longer pending.
 func TestRequestNumbersGrow(t *testing.T) {
 	h := New(testName, testIncarnation, nil)
 	last := uint64(0)
 	for range 3 * maxPending {
 		number := h.NewRequest(start).Number
 		if number <= last {
-			t.Fatalf("request %d after %d", number, last)
+			t.Fatalf("request number %d follows %d", number, last)
 		}
 		last = number
 	}
--- a/internal/backend/quota/messages.go
+++ b/internal/backend/quota/messages.go
@@ -23,7 +23,7 @@
 type LeaseRequest struct {
 	Name        string          `json:"name"`     // of the holder
 	Incarnation string          `json:"life"`     // of the process; a restarted process is a different holder
-	Number      uint64          `json:"number"`   // increases with each request; a later request replaces all earlier ones
+	Number      uint64          `json:"number"`   // increases with each request; the latest one replaces all others
 	Clock       monotime.Micros `json:"clock_us"` // the holder's, to compute rates; not comparable across holders
 	Usage       []Usage         `json:"known,omitempty"`
 }
--- a/internal/backend/quota/token_bucket.go
+++ b/internal/backend/quota/token_bucket.go
@@ -12,8 +12,8 @@
 // tokenBucket limits acquisitions of one budget to the holder's grant. It is refilled at the rate of the grant.
 //
 // Invariants:
-//   - Extra is above 0 only while refilledAt is before leaseEnd (TestLeaseEnd, TestLeaseEndAtResponse,
-//     TestLeaseEndAfterClockBack).
+//   - Extra is above 0 only while refilledAt is before leaseEnd (TestExtraEndsWithLease,
+//     TestExtraIsDroppedIfLeaseEndedBeforeResponse, TestExtraEndsWithLeaseAfterClockBack).
 //   - tokens is between 0 and the bucket's size (TestBucketNeverOverfull).
 type tokenBucket struct {
 	Grant
--- a/internal/backend/shadow/evaluator_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -10,21 +10,21 @@
 	"milletbarrow/monotime"
 )
 
-// For any events, a shadow with the primary's configuration never differs from it. A shadow with any configuration
-// does not panic, and has no unanswered request at the end.
+// TestEqualConfigurationsNeverDiffer checks for any events that a shadow with the primary's configuration never differs
+// from it, and that a shadow with another configuration does not panic and has no unanswered request at the end.
 func TestEqualConfigurationsNeverDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		advertised := []admission.AdvertisedValue{admission.NothingAdvertised, admission.TrafficWeight}
 		preemptions := []admission.Preemption{admission.NoPreemption, admission.PreemptionPauses}
-		ofPrimary := testConfig(func(cfg *admission.Config) {
+		primaryConfig := testConfig(func(cfg *admission.Config) {
 			cfg.RetriesUnmarked = rapid.Bool().Draw(t, "retries unmarked")
 			cfg.AdvertisedValue = rapid.SampledFrom(advertised).Draw(t, "advertised value")
 			cfg.Preemption = rapid.SampledFrom(preemptions).Draw(t, "preemption")
 		})
-		ofShadow := ofPrimary
+		shadowConfig := primaryConfig
 		equal := rapid.Bool().Draw(t, "equal")
 		if !equal {
-			ofShadow = testConfig(func(cfg *admission.Config) {
+			shadowConfig = testConfig(func(cfg *admission.Config) {
 				cfg.RetriesUnmarked = true
 				cfg.AdvertisedValue = admission.TrafficWeight
 				cfg.Preemption = admission.PreemptionPauses
@@ -33,7 +33,7 @@
 				cfg.MemoryKB /= float64(rapid.IntRange(1, 100).Draw(t, "memory"))
 			})
 		}
-		p := newPair(ofPrimary, ofShadow)
+		p := newModulePair(primaryConfig, shadowConfig)
 		p.runRandomEvents(t)
 		counts := p.evaluator.Counts()
 		if equal && counts.ByDifference != (Counts{}).ByDifference {
@@ -45,22 +45,24 @@
 	})
 }
 
-// A panic of the shadow is counted; the shadow is dropped and the primary goes on.
+// TestShadowDecidesNothingAfterPanic checks that a panic of the shadow is counted, that the shadow is then released,
+// and that the primary is not affected.
 func TestShadowDecidesNothingAfterPanic(t *testing.T) {
 	withoutSecondOperation := testConfig(func(cfg *admission.Config) { cfg.Operations = cfg.Operations[:1] })
-	p := newPair(testConfig(nil), withoutSecondOperation)
+	p := newModulePair(testConfig(nil), withoutSecondOperation)
 	for n := range 3 {
 		p.observe(admission.Arrived{ID: requestID(n), Operation: 1, MemoryKB: 30, TimeLeft: 4 * monotime.Second})
 	}
 	if c := p.evaluator.Counts(); c.Panics != 1 || c.Arrivals != 1 || len(p.running) != 2 {
-		t.Errorf("%v, %d run; want 1 panic, 1 arrival, 2", c, len(p.running))
+		t.Errorf("%v, %d running; want 1 panic, 1 arrival, 2 running", c, len(p.running))
 	}
 	if p.evaluator.module != nil || p.evaluator.unanswered != nil {
-		t.Error("the shadow's module or its requests are still referenced")
+		t.Error("the shadow's module or its requests are still referenced after the panic")
 	}
 }
 
-// The shadow does not run a request that the primary has not started: it starts the same one again.
+// TestShadowStartsNothingItself checks that a request that the primary has not started does not run for the shadow,
+// which proposes to start the same one again.
 func TestShadowStartsNothingItself(t *testing.T) {
 	e := newEvaluator()
 	for n := range 2 {
@@ -72,21 +74,21 @@
 	}
 }
 
-// The primary's Opened event is not passed to the shadow, which New has opened.
+// TestOpenedIsNotPassedOn checks that the primary's Opened event is not passed to the shadow, which New has opened.
 func TestOpenedIsNotPassedOn(t *testing.T) {
 	e := newEvaluator()
-	e.actions = []admission.Action{admission.Log{Text: "none decided since"}}
+	e.actions = []admission.Action{admission.Log{Text: "before the event"}}
 	if e.Observe(testStart+monotime.Second, admission.Opened{}, nil); len(e.actions) != 1 {
 		t.Errorf("the shadow decided %v", e.actions)
 	}
 }
 
-// BenchmarkObserve measures two events with about ten requests in flight, without a shadow and with one.
+// BenchmarkObserve measures the cost of two events with about ten requests in flight, with and without a shadow.
 func BenchmarkObserve(b *testing.B) {
 	for _, shadowed := range []bool{false, true} {
 		b.Run(fmt.Sprint("shadow=", shadowed), func(b *testing.B) {
-			p := newPair(testConfig(nil), testConfig(nil))
-			p.unrecorded = true
+			p := newModulePair(testConfig(nil), testConfig(nil))
+			p.ignoreStarts = true
 			if !shadowed {
 				p.evaluator.counts.Panics = 1 // the evaluator ignores events after a panic
 			}
--- a/internal/backend/shadow/helpers_test.go
+++ b/internal/backend/shadow/helpers_test.go
@@ -10,7 +10,7 @@
 	"milletbarrow/monotime"
 )
 
-// config returns the configuration of a small deployment. adjust changes it; nil leaves it as it is.
+// testConfig returns the configuration of a small deployment, changed by adjust unless that is nil.
 func testConfig(adjust func(*admission.Config)) admission.Config {
 	cfg := admission.Config{
 		Operations: []admission.Operation{
@@ -54,38 +54,39 @@
 	testStart = monotime.Second // the time at which a module opens
 )
 
-// newEvaluator returns a shadow of the small deployment, without a primary.
+// newEvaluator returns a shadow with the configuration of testConfig, without a primary.
 func newEvaluator() *Evaluator { return New(testConfig(nil), testSeed, testStart) }
 
-// pair is a primary module with a shadow, on a simulated clock.
-type pair struct {
-	primary    *admission.Backend
-	evaluator  *Evaluator
-	now        monotime.Micros
-	running    []string // IDs of the requests that the primary has started
-	unrecorded bool     // running stays empty, for benchmarks
+// modulePair is a primary module with a shadow, on a simulated clock.
+type modulePair struct {
+	primary      *admission.Backend
+	evaluator    *Evaluator
+	now          monotime.Micros
+	running      []string // IDs of the requests that the primary has started
+	ignoreStarts bool     // leaves running empty, for benchmarks
 }
 
-func newPair(ofPrimary, ofShadow admission.Config) *pair {
-	p := &pair{primary: admission.New(ofPrimary, testSeed), now: testStart}
-	p.evaluator = New(ofShadow, testSeed, p.now)
+// newModulePair opens a primary module and its shadow.
+func newModulePair(primaryConfig, shadowConfig admission.Config) *modulePair {
+	p := &modulePair{primary: admission.New(primaryConfig, testSeed), now: testStart}
+	p.evaluator = New(shadowConfig, testSeed, p.now)
 	p.observe(admission.Opened{})
 	return p
 }
 
-// observe passes an event to both modules.
-func (p *pair) observe(event admission.Event) {
+// observe passes an event to both modules and records the requests that the primary starts.
+func (p *modulePair) observe(event admission.Event) {
 	actions := p.primary.Decide(p.now, event, nil)
 	for _, action := range actions {
-		if start, ok := action.(admission.Start); ok && !p.unrecorded {
+		if start, ok := action.(admission.Start); ok && !p.ignoreStarts {
 			p.running = append(p.running, start.ID)
 		}
 	}
 	p.evaluator.Observe(p.now, event, actions)
 }
 
-// arrive passes an arrival to both modules, a millisecond later.
-func (p *pair) arrive(number, operation int, timeLeft monotime.Micros) {
+// arrive advances the clock by a millisecond and passes an arrival to both modules.
+func (p *modulePair) arrive(number, operation int, timeLeft monotime.Micros) {
 	p.now += monotime.Millisecond
 	p.observe(admission.Arrived{
 		ID:        requestID(number),
@@ -96,23 +97,24 @@
 	})
 }
 
+// requestID returns the ID of the request with a number.
 func requestID(number int) string { return fmt.Sprint("i", number) }
 
-// finish ends a run.
-func (p *pair) finish(id string, outcome admission.Outcome) {
+// finish passes the end of a run to both modules.
+func (p *modulePair) finish(id string, outcome admission.Outcome) {
 	p.running = slices.DeleteFunc(p.running, func(other string) bool { return other == id })
 	p.observe(admission.Finished{ID: id, Outcome: outcome, Took: 1})
 }
 
-// finishAll ends all runs with success, and those that are started meanwhile.
-func (p *pair) finishAll() {
+// finishAll ends all runs with success, including those that are started as a result.
+func (p *modulePair) finishAll() {
 	for len(p.running) > 0 {
 		p.finish(p.running[0], admission.OK)
 	}
 }
 
-// tick passes a reading to both modules, 20 ms later.
-func (p *pair) tick(onCores float64) {
+// tick advances the clock by 20 ms and passes a reading to both modules.
+func (p *modulePair) tick(onCores float64) {
 	p.now += 20 * monotime.Millisecond
 	p.observe(admission.Reading{
 		Token:       1,
@@ -123,8 +125,8 @@
 	})
 }
 
-// fillQueue fills the cores and the queue.
-func (p *pair) fillQueue() {
+// fillQueue passes enough arrivals to fill the cores and the queue.
+func (p *modulePair) fillQueue() {
 	p.tick(2)
 	for n := range 12 {
 		p.arrive(n, n%2, 2_250*monotime.Millisecond)
@@ -133,8 +135,8 @@
 	p.tick(8)
 }
 
-// runRandomEvents passes drawn events to both modules, and then readings until every deadline has passed.
-func (p *pair) runRandomEvents(t *rapid.T) {
+// runRandomEvents passes random events to both modules, followed by readings until every deadline has passed.
+func (p *modulePair) runRandomEvents(t *rapid.T) {
 	arrived := 0
 	p.now += 10 * monotime.Millisecond
 	for range rapid.IntRange(20, 200).Draw(t, "events") {
