--- a/internal/backend/shadow/evaluator.go
+++ b/internal/backend/shadow/evaluator.go
@@ -59,8 +59,8 @@
 // Counts returns the totals since New.
 func (e *Evaluator) Counts() Counts { return e.counts }
 
-// Observe passes an event to the shadow and counts the differences between its actions and those of the primary. After
-// a panic of the shadow it does nothing.
+// Observe passes an event to the shadow and counts the differences between its actions and those of the primary. It
+// ignores Opened, as New has opened the shadow, and does nothing after a panic of the shadow.
 func (e *Evaluator) Observe(now monotime.Micros, event admission.Event, actions []admission.Action) {
 	if _, opened := event.(admission.Opened); opened || e.counts.Panics > 0 {
 		return
