--- a/internal/backend/shadow/difference.go
+++ b/internal/backend/shadow/difference.go
@@ -16,8 +16,8 @@
 	RetryElsewhere                      // both throttle the request; only one allows a retry on another backend
 	RetryAfter                          // both throttle the request; the Retry-After values differ by more than half
 	StartOrder                          // the sides start different requests first
-	OnlyShadowGivesUp                   // the shadow throttles or fails the request after its arrival, the primary does not
-	OnlyShadowKeeps                     // the primary throttles or fails the request after its arrival, the shadow does not
+	OnlyShadowGivesUp                   // the shadow throttles or fails the request later, the primary does not
+	OnlyShadowKeeps                     // the primary throttles or fails the request later, the shadow does not
 	Preemption                          // only one side stops a run
 	Replay                              // only one side answers with the result of an earlier run
 	Health                              // the sides answer health checks differently
