--- a/internal/backend/degradation/policy_test.go
+++ b/internal/backend/degradation/policy_test.go
@@ -6,11 +6,11 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestPoliciesAreExplainedOrRejected compares the explanation of a policy, and the errors of policies that cannot work,
-// with the recorded ones.
+// TestPoliciesAreExplainedOrRejected compares the explanation of a policy and the errors of invalid policies with the
+// recorded ones. The invalid policies use former names; errors have the current ones.
 func TestPoliciesAreExplainedOrRejected(t *testing.T) {
 	trace := fakes.NewTrace(t)
-	trace.Say("%s", mustParse(t, billsPolicy).Explain())
+	trace.Say("%s", mustParse(t, billingPolicy).Explain())
 	for _, text := range []string{
 		"(ladder x)",
 		"(steps x)",
@@ -28,6 +28,6 @@
 		_, _, err := ParsePolicy("l", []byte(text))
 		trace.Say("%s\n%v", text, err)
 	}
-	_, err := NewShedder(mustParse(t, billsPolicy), []string{"reprint"}, nil, 1)
+	_, err := NewShedder(mustParse(t, billingPolicy), []string{"reprint"}, nil, 1)
 	trace.Say("%v", err)
 }
