--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -11,8 +11,8 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// start performs an action in its own goroutine, which ends with ctx.
-func (a *Agent) start(ctx context.Context, action fleet.Action) {
+// startAction performs an action in a goroutine of its own, which ends when ctx is done.
+func (a *Agent) startAction(ctx context.Context, action fleet.Action) {
 	switch action.Kind {
 	case fleet.ActionAcquireUnit:
 		a.tasks.Go(func() { a.acquireUnit(ctx, action) })
@@ -21,19 +21,19 @@
 	case fleet.ActionLaunch:
 		a.watchLaunched(action)
 		spec := a.loop.spec
-		a.tasks.Go(func() { a.launchWhenFree(ctx, spec, action) })
+		a.tasks.Go(func() { a.launchWhenSlotFree(ctx, spec, action) })
 	default:
 		a.tasks.Go(func() { a.deliver(ctx, action) })
 	}
 }
 
-// reportFailure reports to the loop that an action was not performed. It is final if another attempt would not help.
+// reportFailure posts to the loop that an action failed. With final set, the machine does not retry the action.
 func (a *Agent) reportFailure(action fleet.Action, err error, final bool) {
 	a.post(fleet.ActionFailed{Name: action.Name, ActionID: action.ID, Cause: err.Error(), Final: final})
 }
 
-// deliver gives a shutdown notice or a kill to the supervisor. If the supervisor does not take it, the agent signals
-// the instance: a stopped supervisor must not keep a notice from its instance.
+// deliver sends a shutdown notice or a kill to the supervisor. If the request fails, the agent signals the instance
+// itself, so that a supervisor that hangs does not keep the instance running.
 func (a *Agent) deliver(ctx context.Context, action fleet.Action) {
 	client := supervisor.NewClient(a.options.Dir, action.Name, a.options.Bounds)
 	defer client.Close()
@@ -43,12 +43,12 @@
 		Action:      action.Kind,
 		Cause:       action.Cause,
 	})
-	if err == nil || ctx.Err() != nil { // when the agent ends, the action stays pending for the next one
+	if err == nil || ctx.Err() != nil { // after a stop the action stays pending; the next agent sends it again
 		return
 	}
 	state, stateErr := supervisor.ReadState(supervisor.PathsOf(a.options.Dir, action.Name).State)
 	if stateErr != nil || state.Incarnation != action.Incarnation || state.Ended {
-		return // the incarnation has ended, which its watcher reports
+		return // the incarnation has ended; its watcher reports the exit
 	}
 	slog.Warn("supervisor", "name", action.Name, "step", action.ID, "error", err.Error())
 	if action.Kind == fleet.ActionKill {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent manages the instances of one host. It feeds events to the state machine of package fleet, saves the
-// machine's decisions before it acts on them, and performs its actions through supervisors, which outlive it. It
-// decides nothing about instances; it owns the store, the launch of supervisors and the history.
+// Package agent manages the instances of one host. It passes events to the state machine of package fleet, saves the
+// machine's decisions before it acts on them, and performs the resulting actions through supervisors, which keep
+// running when the agent stops. All decisions about instances are made by the state machine; this package owns the
+// store, the launch of supervisors and the history.
 package agent
 
 import (
@@ -17,14 +18,14 @@
 // Options configure an agent.
 type Options struct {
 	Spec       *fleet.Spec
-	Host       string           // the name of this host in Spec
-	Dir        string           // a directory of this agent alone
-	Executable []string         // command line of this program, without a sub-command
-	Build      string           // version of the build, for people
-	Seed       uint64           // of the jitter of backoffs
-	Bounds     limits.Control   // of time, memory and parallelism
-	Store      agentstore.Store // the caller closes it after Run
-	Cluster    Cluster          // nil: the fleet has no quotas
+	Host       string           // name of this host in Spec
+	Dir        string           // data directory, not shared with another agent
+	Executable []string         // command line that runs this program, without a subcommand
+	Build      string           // version of the build, for display only
+	Seed       uint64           // seed of the backoff jitter
+	Bounds     limits.Control   // limits on time, memory and parallelism
+	Store      agentstore.Store // closed by the caller after Run has returned
+	Cluster    Cluster          // nil if the fleet has no quotas
 }
 
 // Agent manages the instances of one host. Its methods may be called from any goroutine.
@@ -32,35 +33,36 @@
 	options   Options
 	startedAt monotime.Micros
 
-	calls       chan func(now monotime.Micros) // functions that the loop runs
-	stopped     chan struct{}                  // closed when the loop has ended
-	launchSlots chan struct{}                  // holds a value for each supervisor that is being started
+	calls       chan func(now monotime.Micros) // functions to run in the loop's goroutine
+	stopped     chan struct{}                  // closed when the loop has returned
+	launchSlots chan struct{}                  // semaphore: one value for each launch in progress
 	tasks       sync.WaitGroup                 // goroutines that Run waits for
 
 	loop loopState
 	feed historyFeed
 }
 
-// loopState belongs to the goroutine of Run, and to New before it. Other goroutines reach it through Agent.calls.
+// loopState is owned by the goroutine of Run, and by New before Run. Other goroutines access it through Agent.calls.
 type loopState struct {
 	spec              *fleet.Spec
 	machine           *fleet.Machine
 	watcherByInstance map[string]*watcher
-	reportByInstance  map[string]*supervisor.Report // latest of the running incarnation; none: its supervisor is silent
+	reportByInstance  map[string]*supervisor.Report // on the running incarnation; nil while its supervisor is silent
 
-	storeErr   error             // why the store can't be written; nil: it can
-	unsaved    agentstore.Change // decided and not written yet
-	nextSerial uint64            // of the next history entry
+	storeErr   error             // error of the last write; nil if it succeeded
+	unsaved    agentstore.Change // changes decided on and not written yet
+	nextSerial uint64            // serial of the next history entry
 
-	actions     []fleet.Action     // decided since the last flush
-	unpublished []agentstore.Entry // history since the last flush
-	waiters     []chan struct{}    // closed by the next flush: callers that wait for their result to be saved
+	actions     []fleet.Action     // actions decided on since the last flush
+	unpublished []agentstore.Entry // history entries since the last flush
+	waiters     []chan struct{}    // one for each caller that waits for a save; closed by the next flush
 }
 
-// callBacklog is the number of calls that may wait for the loop.
+// callBacklog is the capacity of the queue of calls to the loop.
 const callBacklog = 256
 
-// New restores the saved state and adopts the running instances. After an error nothing has changed on the host.
+// New restores the saved state and adopts the running instances. If it returns an error, nothing on the host has
+// changed.
 func New(o Options) (*Agent, error) {
 	saved, err := o.Store.Load()
 	if err != nil {
--- a/internal/agent/agentstore/bolt.go
+++ b/internal/agent/agentstore/bolt.go
@@ -15,53 +15,54 @@
 )
 
 const (
-	// closeTimeout is how long Close waits for calls in progress.
+	// closeTimeout bounds how long Close waits for calls in progress.
 	closeTimeout = time.Second
-	// lockTimeout is how long Open waits for an agent that is about to end.
+	// lockTimeout bounds how long Open waits for the file lock of an agent that is shutting down.
 	lockTimeout = 500 * time.Millisecond
 )
 
-// Modes of what Open creates: others on the host can't read commands and who requested them.
+// Permissions of the files and directories that Open creates. Other users of the host must not be able to read commands
+// and who requested them.
 const (
 	directoryMode os.FileMode = 0o700
 	fileMode      os.FileMode = 0o600
 )
 
-// Names below the agent's directory.
+// Names inside the agent's directory.
 const (
 	fileName = "record.db"
-	// supervisorDirectory has the files of the supervisors; package supervisor uses the same name.
+	// supervisorDirectory contains the supervisors' files. The name must match the one in package supervisor.
 	supervisorDirectory = "keepers"
 )
 
-// boltStore keeps the state in a bbolt file.
+// boltStore implements Store with a bbolt file.
 type boltStore struct {
 	db           *bbolt.DB
 	path         string
-	historyLimit int // entries
-	// faulted is set once reading the file has faulted. bbolt's locks may then be held forever, so that no later call
-	// may wait for them.
+	historyLimit int // maximum number of history entries
+	// faulted is set after a page fault while reading the file. bbolt's locks may then never be released, so later
+	// calls fail at once instead of waiting for them.
 	faulted atomic.Bool
 }
 
 // Path returns the path of the store's file in an agent's directory.
 func Path(dir string) string { return filepath.Join(dir, fileName) }
 
-// Open opens the store in dir, which it creates if necessary, and keeps at most historyLimit entries of history. It
-// waits up to lockTimeout for another agent to close it. Errors are ErrLocked, ErrCorrupt, ErrNewerFormat, or those of
-// the file system.
+// Open opens the store in dir and creates the directory and the file if necessary. The store keeps at most historyLimit
+// history entries. Open waits up to lockTimeout for another agent to close the store. It returns ErrLocked, ErrCorrupt,
+// ErrNewerFormat, or an error of the file system.
 func Open(dir string, historyLimit int) (Store, error) {
 	if err := os.MkdirAll(filepath.Join(dir, supervisorDirectory), directoryMode); err != nil {
 		return nil, err
 	}
 	s := &boltStore{path: Path(dir), historyLimit: historyLimit}
-	if _, err := guardFaults(ErrCorrupt, s.open); err != nil {
+	if _, err := recoverFaults(ErrCorrupt, s.open); err != nil {
 		return nil, s.wrap(err)
 	}
 	return s, nil
 }
 
-// open opens the file, checks that it can be read, and creates what it lacks.
+// open opens the file, checks that its content can be read, and creates missing buckets.
 func (s *boltStore) open() error {
 	db, err := bbolt.Open(s.path, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -69,17 +70,17 @@
 	}
 	s.db = db
 	if _, err := s.load(); err != nil {
-		_ = s.close() // the error of load says more
+		_ = s.close() // the error of load is the cause
 		return err
 	}
 	if err := db.Update(initialize); err != nil {
-		_ = s.close() // as above
+		_ = s.close() // the error of Update is the cause
 		return err
 	}
 	return nil
 }
 
-// openError tells a held lock and an error of the file system from a corrupted file.
+// openError maps an error of bbolt.Open to ErrLocked, an error of the file system, or ErrCorrupt.
 func openError(err error) error {
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return ErrLocked
@@ -90,9 +91,9 @@
 	return fmt.Errorf("%w: %w", ErrCorrupt, err)
 }
 
-// guardFaults calls f and reports whether it faulted; then the error wraps kind. bbolt maps the pages of the file, and
-// reading a page faults if the file was truncated before it.
-func guardFaults(kind error, f func() error) (faulted bool, err error) {
+// recoverFaults calls f and turns a page fault in it into an error that wraps kind. bbolt maps the file into memory,
+// and accessing a page beyond the end of a truncated file faults.
+func recoverFaults(kind error, f func() error) (faulted bool, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -103,7 +104,7 @@
 	return false, f()
 }
 
-// wrap adds the path of the store to an error; nil stays nil.
+// wrap adds the path of the store to a non-nil error.
 func (s *boltStore) wrap(err error) error {
 	if err == nil {
 		return nil
@@ -115,8 +116,8 @@
 
 func (s *boltStore) close() error {
 	closed := make(chan error, 1)
-	go func() { // blocks forever if a fault left a lock held; closing a truncated file may fault too
-		_, err := guardFaults(ErrNotClosed, s.db.Close)
+	go func() { // never returns if a fault left a lock held; closing a truncated file may fault, too
+		_, err := recoverFaults(ErrNotClosed, s.db.Close)
 		closed <- err
 	}()
 	timeout := time.NewTimer(closeTimeout)
@@ -139,7 +140,7 @@
 		return State{}, errFaulted
 	}
 	var state State
-	faulted, err := guardFaults(ErrCorrupt, func() error {
+	faulted, err := recoverFaults(ErrCorrupt, func() error {
 		return s.db.View(func(tx *bbolt.Tx) error { return readState(tx, &state) })
 	})
 	if faulted {
@@ -148,8 +149,8 @@
 	return state, err
 }
 
-// errFaulted answers calls after one that faulted.
-var errFaulted = fmt.Errorf("%w: reading it faulted before", ErrCorrupt)
+// errFaulted is returned by all calls after one that faulted.
+var errFaulted = fmt.Errorf("%w: an earlier read of the file faulted", ErrCorrupt)
 
 func (s *boltStore) Save(c Change) error {
 	if s.faulted.Load() {
@@ -158,7 +159,7 @@
 	return s.wrap(s.db.Update(func(tx *bbolt.Tx) error { return writeChange(tx, &c, s.historyLimit) }))
 }
 
-// SetAside renames a corrupted store, so that the agent can begin a new one, and returns its new path.
+// SetAside renames the file of a corrupted store, so that the agent can create a new one, and returns the new path.
 func SetAside(dir string, now time.Time) (string, error) {
 	to := Path(dir) + now.UTC().Format(".20060102T150405.damaged")
 	return to, os.Rename(Path(dir), to)
--- a/internal/agent/agentstore/corruption_test.go
+++ b/internal/agent/agentstore/corruption_test.go
@@ -116,7 +116,7 @@
 		{"Load again", loadError, ErrCorrupt},
 		{"Close", s.Close, ErrNotClosed},
 	} {
-		if err := returnsInTime(t, test.name, test.call); !errors.Is(err, test.want) {
+		if err := callWithTimeout(t, test.name, test.call); !errors.Is(err, test.want) {
 			t.Errorf("%s: %v, want %v", test.name, err, test.want)
 		}
 	}
--- a/internal/agent/agentstore/format.go
+++ b/internal/agent/agentstore/format.go
@@ -9,25 +9,24 @@
 	"go.etcd.io/bbolt"
 )
 
-// formatVersion is the version of the file's format. Files of older versions are read: the fields that they lack are
-// zero.
+// formatVersion is the version of the file format. Files of older versions can be read; fields that they lack are zero.
 const formatVersion uint32 = 1
 
-// versionSize is the size of the stored version, in bytes.
+// versionSize is the size of the stored version in bytes.
 const versionSize = 4
 
-// Names of buckets and keys in the file.
+// Names of the buckets and keys in the file.
 var (
 	metaBucket      = []byte("meta")
-	instancesBucket = []byte("instances") // by name
-	commandsBucket  = []byte("commands")  // by id
-	intentsBucket   = []byte("intents")   // by id
-	historyBucket   = []byte("history")   // by serial, big-endian
-	versionKey      = []byte("version")   // in metaBucket: formatVersion, big-endian
-	bootKey         = []byte("boot")      // in metaBucket: State.BootID
+	instancesBucket = []byte("instances") // key: name of the instance
+	commandsBucket  = []byte("commands")  // key: ID of the command
+	intentsBucket   = []byte("intents")   // key: ID of the command
+	historyBucket   = []byte("history")   // key: serial, big-endian
+	versionKey      = []byte("version")   // key in metaBucket; value: formatVersion, big-endian
+	bootKey         = []byte("boot")      // key in metaBucket; value: State.BootID
 )
 
-// initialize creates the buckets that a new or older file lacks, and writes the version.
+// initialize creates the buckets that a new file or one of an older format lacks, and writes the version.
 func initialize(tx *bbolt.Tx) error {
 	for _, name := range [][]byte{metaBucket, instancesBucket, commandsBucket, intentsBucket, historyBucket} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -37,11 +36,11 @@
 	return tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, formatVersion))
 }
 
-// readState reads the complete state into an empty one.
+// readState reads the complete state into a zero State.
 func readState(tx *bbolt.Tx, state *State) error {
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
-		return nil // a new file
+		return nil // the file is new
 	}
 	if err := checkVersion(meta.Get(versionKey)); err != nil {
 		return err
@@ -65,11 +64,11 @@
 	return nil
 }
 
-// readBucket appends the values of a bucket to a list, in the order of their keys.
+// readBucket appends the decoded values of a bucket to a list, in key order.
 func readBucket[V any](tx *bbolt.Tx, name []byte, list *[]V) error {
 	bucket := tx.Bucket(name)
 	if bucket == nil {
-		return nil // the build that wrote the file did not know it
+		return nil // the file was written by a build that did not have this bucket
 	}
 	return bucket.ForEach(func(key, raw []byte) error {
 		var value V
@@ -81,7 +80,7 @@
 	})
 }
 
-// writeChange writes a change and keeps the newest historyLimit entries of history.
+// writeChange writes a change and trims the history to its newest historyLimit entries.
 func writeChange(tx *bbolt.Tx, c *Change, historyLimit int) error {
 	var errs []error
 	if c.BootID != "" {
@@ -94,7 +93,7 @@
 	return errors.Join(errs...)
 }
 
-// writeCommands writes the commands and intents of a change.
+// writeCommands writes and deletes the commands and intents of a change.
 func writeCommands(tx *bbolt.Tx, c *Change) error {
 	var errs []error
 	for _, command := range c.Commands {
@@ -112,7 +111,7 @@
 	return errors.Join(errs...)
 }
 
-// appendHistory writes new entries and deletes those that are beyond the limit.
+// appendHistory writes new entries and deletes the oldest ones beyond the limit.
 func appendHistory(tx *bbolt.Tx, entries []Entry, limit int) error {
 	if len(entries) == 0 {
 		return nil
@@ -133,7 +132,7 @@
 	return errors.Join(errs...)
 }
 
-// putJSON writes a value as JSON.
+// putJSON stores a value as JSON under a key of a bucket.
 func putJSON(tx *bbolt.Tx, bucket, key []byte, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
--- a/internal/agent/agentstore/helpers_test.go
+++ b/internal/agent/agentstore/helpers_test.go
@@ -126,7 +126,7 @@
 }
 
 // returnsInTime returns the error of a call, and fails the test if it does not return.
-func returnsInTime(t *testing.T, name string, call func() error) error {
+func callWithTimeout(t *testing.T, name string, call func() error) error {
 	t.Helper()
 	result := make(chan error, 1)
 	go func() { result <- call() }()
--- a/internal/agent/cluster.go
+++ b/internal/agent/cluster.go
@@ -12,24 +12,24 @@
 	"milletbarrow/monotime"
 )
 
-// Cluster is the state that the agents of a fleet share: the replicated quota store and the membership. cluster/node
-// implements it. Its methods may be called from any goroutine.
+// Cluster gives access to the state that the agents of a fleet share: the replicated quota store and the membership.
+// It is implemented by cluster/node. Its methods may be called concurrently.
 type Cluster interface {
-	// Do has the leader apply a command. After an error the command may or may not have been applied.
+	// Do sends a command to the leader, which applies it. After an error the command may or may not have been applied.
 	Do(context.Context, quota.Command) (quota.Result, error)
-	// Status returns the leader's state of the quotas.
+	// Status returns the state of the quotas at the leader.
 	Status(context.Context) (quota.Status, error)
-	// SetConfig proposes a changed configuration and the hosts that replicate the quota store.
+	// SetConfig proposes a new configuration and the set of hosts that replicate the quota store.
 	SetConfig(c *quota.Config, hosts []string)
 	// Stage returns this agent's role in the quota store.
 	Stage() string
-	// Members returns the agents that this one believes to be alive.
+	// Members returns the agents that this one considers alive.
 	Members() []membership.Member
-	// Events brings events of the quota store for the history.
+	// Events returns the channel of quota store events to be recorded in the history.
 	Events() <-chan quota.Event
 }
 
-// Budgets returns the leader's state of the quotas.
+// Budgets returns the state of the quotas at the leader, and this agent's role in the quota store.
 func (a *Agent) Budgets(ctx context.Context) (agentapi.Budgets, error) {
 	if a.options.Cluster == nil {
 		return agentapi.Budgets{}, errNoQuotas
@@ -45,8 +45,8 @@
 	return b, nil
 }
 
-// WriteOff has the quota store end the leases and permits of a holder, at an operator's request. It returns a
-// *WriteOffError if the quota store rejects that; other errors are *agentapi.StatusError.
+// WriteOff revokes the leases and permits of a holder in the quota store, at an operator's request. It returns a
+// *WriteOffError if the quota store rejects the write-off; other errors are *agentapi.StatusError.
 func (a *Agent) WriteOff(ctx context.Context, name, by string) error {
 	command := &quota.WriteOffCommand{Name: quota.InstanceName(name), By: by}
 	rejection, err := a.applyQuotaCommand(ctx, quota.Command{WriteOff: command})
@@ -56,7 +56,7 @@
 	return err
 }
 
-// ColdStart begins or changes a cold start of the fleet. Errors are *agentapi.StatusError.
+// ColdStart starts or changes a cold start of the fleet. Errors are *agentapi.StatusError.
 func (a *Agent) ColdStart(ctx context.Context, c quota.ColdStartCommand) error {
 	rejection, err := a.applyQuotaCommand(ctx, quota.Command{ColdStart: &c})
 	if err == nil && rejection != "" {
@@ -65,7 +65,8 @@
 	return err
 }
 
-// applyQuotaCommand has the leader apply a command and returns why the quota store rejected it; empty: it did not.
+// applyQuotaCommand sends a command to the leader. rejection is the reason why the quota store rejected the command;
+// empty if it was applied.
 func (a *Agent) applyQuotaCommand(ctx context.Context, c quota.Command) (rejection string, err error) {
 	if a.options.Cluster == nil {
 		return "", errNoQuotas
@@ -79,7 +80,7 @@
 	return result.Rejection, nil
 }
 
-// Members returns the agents that this one believes to be alive; nil without a cluster.
+// Members returns the agents that this one considers alive; nil without a cluster.
 func (a *Agent) Members() []membership.Member {
 	if a.options.Cluster == nil {
 		return nil
@@ -87,7 +88,7 @@
 	return a.options.Cluster.Members()
 }
 
-// recordClusterEvents appends the events of the quota store to the history.
+// recordClusterEvents appends the pending events of the quota store to the history.
 func (a *Agent) recordClusterEvents() {
 	for {
 		select {
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -10,13 +10,13 @@
 	"milletbarrow/monotime"
 )
 
-// Limits of a request.
+// Limits of the fields of a request.
 const (
 	maxTimeout           = 24 * time.Hour
 	maxRequestedByLength = 100 // bytes
 )
 
-// Submit returns a command once it is accepted and saved. A repeated request is the same command.
+// Submit accepts a command and returns it after it has been saved. A repeated request returns the existing command.
 func (a *Agent) Submit(r agentapi.CommandRequest) (*fleet.Command, error) {
 	if err := checkRequest(&r); err != nil {
 		return nil, err
@@ -35,7 +35,7 @@
 	return command, nil
 }
 
-// checkRequest checks the fields of a request that the machine does not check.
+// checkRequest validates the fields of a request that the state machine does not validate.
 func checkRequest(r *agentapi.CommandRequest) error {
 	if r.TimeoutMicros <= 0 || r.TimeoutMicros > maxTimeout.Microseconds() {
 		return &agentapi.StatusError{
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// accept has the machine decide on a request, in the loop. It saves the intent first, unless the request was accepted
-// before.
+// accept passes a request to the state machine. It saves the command as an intent first, unless the command is known
+// already. It must run in the loop.
 func (a *Agent) accept(now monotime.Micros, r agentapi.CommandRequest) (*fleet.Command, error) {
 	if a.loop.machine.Command(r.ID) == nil {
 		if err := a.saveIntent(now, r); err != nil {
@@ -68,7 +68,7 @@
 	return a.loop.machine.Command(r.ID), nil
 }
 
-// newCommand returns the command that a request asks for.
+// newCommand converts a request to a command.
 func newCommand(now monotime.Micros, r agentapi.CommandRequest) *fleet.Command {
 	return &fleet.Command{
 		ID:          r.ID,
@@ -99,22 +99,22 @@
 	return command, rejected
 }
 
-// Command returns a copy of a command; nil if it is unknown or the loop does not answer in time.
+// Command returns a copy of a command; nil if it is unknown or the loop does not respond in time.
 func (a *Agent) Command(id string) *fleet.Command {
 	var command *fleet.Command
 	err := a.call(func(monotime.Micros) { command = a.loop.machine.Command(id) })
 	if err != nil {
-		return nil // the command may not be saved
+		return nil // command may be set, but is not known to be saved
 	}
 	return command
 }
 
-// Commands returns copies of all commands, newest first; nil if the loop does not answer in time.
+// Commands returns copies of all commands, newest first; nil if the loop does not respond in time.
 func (a *Agent) Commands() []*fleet.Command {
 	var all []*fleet.Command
 	err := a.call(func(monotime.Micros) { all = a.loop.machine.Commands() })
 	if err != nil {
-		return nil // as above
+		return nil // as in Command
 	}
 	return all
 }
--- a/internal/agent/configcheck.go
+++ b/internal/agent/configcheck.go
@@ -10,14 +10,14 @@
 	"milletbarrow/monotime"
 )
 
-// The shutdown window of an instance whose configuration can't be read, counted from the notice.
+// Defaults for the shutdown window of an instance whose configuration can't be read. Both are measured from the notice.
 const (
 	defaultGrace       = 2 * monotime.Second
 	defaultExitTimeout = 3 * monotime.Second
 )
 
-// ReadShutdownWindow reads an instance's shutdown window from its configuration. With an error it returns
-// defaultGrace and defaultExitTimeout.
+// ReadShutdownWindow reads an instance's shutdown window from its configuration file. If that fails, it returns the
+// default window together with the error.
 func ReadShutdownWindow(file string) (fleet.ShutdownWindow, error) {
 	backend, err := config.Read(file)
 	if err != nil {
@@ -29,8 +29,8 @@
 	}, nil
 }
 
-// CheckConfigs reads the configuration of each instance of a host. The error joins a *ConfigError or
-// *ListenConflictError for each that can't be used.
+// CheckConfigs validates the configuration of each instance of a host. The error joins a *ConfigError for each
+// configuration that can't be used and a *ListenConflictError for each address that two instances share.
 func CheckConfigs(s *fleet.Spec, host string) error {
 	var errs []error
 	instanceByAddress := map[string]string{}
@@ -51,7 +51,8 @@
 	return errors.Join(errs...)
 }
 
-// checkDegradationPolicy returns why an instance can't use its degradation policy. An empty file name means none.
+// checkDegradationPolicy checks that an instance can use its degradation policy. An instance without a policy has an
+// empty file name.
 func checkDegradationPolicy(file string, backend *config.Backend) error {
 	if file == "" {
 		return nil
@@ -64,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	const seed = 1 // any: the shedder is not used
+	const seed = 1 // arbitrary: the shedder is discarded
 	_, err = degradation.NewShedder(policy, backend.Settings.Operations, backend.Settings.Tenants, seed)
 	return err
 }
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -9,33 +9,33 @@
 )
 
 var (
-	// errStopped answers a call that comes after the end of the loop, or whose result is not saved by then.
+	// errStopped is returned for a call that the loop did not run, or whose result it did not save, before it ended.
 	errStopped = unavailable("the agent is shutting down")
-	// errBusy answers a call that the loop did not take in time.
+	// errBusy is returned for a call that found no room in the loop's queue in time.
 	errBusy = unavailable("the agent is busy")
-	// errNotSavedInTime answers a call that the loop took and whose result is not saved in time.
+	// errNotSavedInTime is returned for a queued call whose result was not saved in time.
 	errNotSavedInTime = unavailable("the agent is busy and may still execute the request: poll for its result")
-	// errNoQuotas answers calls about quotas in a fleet without quotas.
+	// errNoQuotas is returned for calls about quotas if the fleet has none.
 	errNoQuotas = &agentapi.StatusError{
 		Status: http.StatusUnprocessableEntity,
 		Text:   "the fleet file configures no budgets",
 	}
 )
 
-// unavailable returns a rejection of a request that may be accepted when it is sent again.
+// unavailable returns a status 503 error, after which the client may retry.
 func unavailable(text string) *agentapi.StatusError {
 	return &agentapi.StatusError{Status: http.StatusServiceUnavailable, Text: text}
 }
 
-// UnnamedInstanceError reports an instance that runs on this host and is not named in the fleet file.
+// UnnamedInstanceError reports an instance that runs on this host but is missing from the fleet file.
 type UnnamedInstanceError struct{ Instance string }
 
 func (e *UnnamedInstanceError) Error() string {
 	return "instance " + e.Instance + " runs on this host and is not named in the fleet file: drain it first"
 }
 
-// ActionError reports an action that could not be performed. Its text is that of the cause: the history and the log
-// lines that show it have the instance and the action in fields of their own.
+// ActionError reports an action that could not be performed. Its text is that of the cause only, because the history
+// and the log lines that show it have separate fields for the instance and the action.
 type ActionError struct {
 	Action   fleet.ActionKind
 	Instance string
@@ -47,10 +47,10 @@
 // Unwrap returns the cause.
 func (e *ActionError) Unwrap() error { return e.Err }
 
-// SupervisorExitError reports a supervisor that exited without taking charge of its incarnation.
+// SupervisorExitError reports a supervisor that exited before it recorded that it supervises its incarnation.
 type SupervisorExitError struct {
 	Code       int
-	LastOutput string // the last line of its log
+	LastOutput string // last line of its log
 }
 
 func (e *SupervisorExitError) Error() string {
@@ -60,7 +60,7 @@
 // ConfigError reports an instance whose configuration can't be used.
 type ConfigError struct {
 	Instance string
-	Err      error // names the file; for an instance's own configuration a *ConfigFileError
+	Err      error // names the file; a *ConfigFileError if the instance's own configuration can't be used
 }
 
 func (e *ConfigError) Error() string { return e.Instance + ": " + e.Err.Error() }
@@ -68,7 +68,7 @@
 // Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// ConfigFileError reports an instance's own configuration that can't be read or used.
+// ConfigFileError reports a configuration file of an instance that can't be read or is invalid.
 type ConfigFileError struct {
 	File string
 	Err  error
@@ -79,7 +79,7 @@
 // Unwrap returns the cause.
 func (e *ConfigFileError) Unwrap() error { return e.Err }
 
-// WriteOffError reports that the quota store rejected the write-off of a holder. Its text is the reason.
+// WriteOffError reports that the quota store rejected the write-off of a holder. Its text is the reason only.
 type WriteOffError struct {
 	Holder string
 	Reason string
@@ -89,8 +89,8 @@
 
 // ListenConflictError reports two instances of one host that are configured to listen on the same address.
 type ListenConflictError struct {
-	First   string // instance
-	Second  string // instance
+	First   string // name of an instance
+	Second  string // name of the other instance
 	Address string
 }
 
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -367,7 +367,7 @@
 }
 
 // until waits for a condition, as long as the host's timing says.
-func (h *testHost) until(condition string, met func() bool) {
+func (h *testHost) waitUntil(condition string, met func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(h.timing.wait); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -377,13 +377,13 @@
 }
 
 // done reports whether a command has ended.
-func (h *testHost) done(id string) bool {
+func (h *testHost) commandDone(id string) bool {
 	c := h.agent.Command(id)
 	return c != nil && c.State == fleet.CommandDone
 }
 
 // result waits for a command's end and returns the command.
-func (h *testHost) result(id string) *fleet.Command {
+func (h *testHost) waitForCommand(id string) *fleet.Command {
 	h.t.Helper()
 	var c *fleet.Command
 	fakes.Until(h.t, id+" has ended", func() bool {
@@ -406,7 +406,7 @@
 // traceResults waits for a command's end and adds its results to a trace.
 func (h *testHost) traceResults(trace *fakes.Trace, id string) {
 	h.t.Helper()
-	c := h.result(id)
+	c := h.waitForCommand(id)
 	for _, name := range c.Names {
 		r := c.Results[name]
 		trace.Say("%s %s: %s, %s", id, name, r.Outcome, r.Cause)
@@ -472,7 +472,7 @@
 }
 
 // reloadIdle has an agent whose loop does not run reload a fleet file. It starts no action.
-func reloadIdle(t *testing.T, a *Agent, s *fleet.Spec) error {
+func reloadIdleAgent(t *testing.T, a *Agent, s *fleet.Spec) error {
 	t.Helper()
 	result := make(chan error, 1)
 	go func() { result <- a.Reload(s) }()
--- a/internal/agent/history.go
+++ b/internal/agent/history.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	maxCachedEntries = 4096 // history entries that a feed holds
-	maxEntriesAtOnce = 256  // history entries that Entries returns
+	maxCachedEntries  = 4096 // history entries held by a feed
+	maxEntriesPerCall = 256  // history entries returned by one call of Entries
 )
 
-// historyFeed holds the latest history entries for clients that follow the history.
+// historyFeed caches the latest history entries for clients that follow the history.
 type historyFeed struct {
-	mu      sync.Mutex         // guards the fields below
-	entries []agentstore.Entry // oldest first
-	more    chan struct{}      // closed at the next entry
+	mu       sync.Mutex         // guards the fields below
+	entries  []agentstore.Entry // oldest first
+	appended chan struct{}      // closed when the next entries are published
 }
 
 func newHistoryFeed(saved []agentstore.Entry) historyFeed {
 	return historyFeed{
-		entries: slices.Clone(saved[max(0, len(saved)-maxCachedEntries):]),
-		more:    make(chan struct{}),
+		entries:  slices.Clone(saved[max(0, len(saved)-maxCachedEntries):]),
+		appended: make(chan struct{}),
 	}
 }
 
-// publish adds entries and wakes the clients that wait for more. The entries are saved, unless the store can't be
-// written.
+// publish adds entries and wakes up the clients that wait for new ones. The entries have been saved, unless the store
+// can't be written.
 func (f *historyFeed) publish(entries []agentstore.Entry) {
 	if len(entries) == 0 {
 		return
@@ -42,13 +42,14 @@
 	if over := len(f.entries) - maxCachedEntries; over > 0 {
 		f.entries = slices.Clone(f.entries[over:])
 	}
-	close(f.more)
-	f.more = make(chan struct{})
+	close(f.appended)
+	f.appended = make(chan struct{})
 }
 
-// after returns the first entries after a serial, how many before them the feed no longer holds, and a channel that is
-// closed at the next entry.
-func (f *historyFeed) after(serial uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{}) {
+// after returns up to maxEntriesPerCall cached entries that follow a serial, the number of entries between the serial
+// and the first cached one, which the feed no longer holds, and a channel that is closed when the next entries are
+// published.
+func (f *historyFeed) after(serial uint64) (entries []agentstore.Entry, lost uint64, appended <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.entries) > 0 && f.entries[0].Serial > serial+1 {
@@ -57,12 +58,12 @@
 	first, _ := slices.BinarySearchFunc(f.entries, serial+1, func(e agentstore.Entry, s uint64) int {
 		return cmp.Compare(e.Serial, s)
 	})
-	end := min(len(f.entries), first+maxEntriesAtOnce)
-	return slices.Clone(f.entries[first:end]), lost, f.more
+	end := min(len(f.entries), first+maxEntriesPerCall)
+	return slices.Clone(f.entries[first:end]), lost, f.appended
 }
 
-// addHistory appends an event to the history, with its serial and the wall-clock time. The next flush saves and
-// publishes it.
+// addHistory appends an event to the history with the next serial and the wall-clock time, and logs it. The next flush
+// saves and publishes the entry.
 func (a *Agent) addHistory(event fleet.HistoryEvent) {
 	entry := agentstore.Entry{
 		Serial:       a.loop.nextSerial,
@@ -72,20 +73,20 @@
 	a.loop.nextSerial++
 	unsaved := &a.loop.unsaved
 	unsaved.History = append(unsaved.History, entry)
-	if over := len(unsaved.History) - a.options.Bounds.HistoryEntries; over > 0 { // the store has failed for long
+	if over := len(unsaved.History) - a.options.Bounds.HistoryEntries; over > 0 { // writes have failed for a long time
 		unsaved.History = unsaved.History[over:]
 	}
 	a.loop.unpublished = append(a.loop.unpublished, entry)
 	slog.Info("fleet", "what", event.Event, "name", event.Name, "command", event.CommandID, "cause", event.Cause)
 }
 
-// Entries returns the first cached entries after a serial, how many before them are no longer cached, and a channel
-// that is closed at the next entry.
-func (a *Agent) Entries(after uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{}) {
+// Entries returns the first cached entries that follow a serial, the number of entries between the serial and the first
+// cached one, which are no longer cached, and a channel that is closed when the next entries are published.
+func (a *Agent) Entries(after uint64) (entries []agentstore.Entry, lost uint64, appended <-chan struct{}) {
 	return a.feed.after(after)
 }
 
-// History reads the latest entries after a serial from the store, at most limit.
+// History reads from the store the latest entries that follow a serial, at most limit.
 func (a *Agent) History(after uint64, limit int) ([]agentstore.Entry, error) {
 	saved, err := a.options.Store.Load()
 	if err != nil {
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -27,9 +27,9 @@
 		first   uint64
 		entries int
 	}{
-		{"from the beginning", 0, 10, 11, maxEntriesAtOnce},
-		{"some missed", 5, 5, 11, maxEntriesAtOnce},
-		{"none missed", 10, 0, 11, maxEntriesAtOnce},
+		{"from the beginning", 0, 10, 11, maxEntriesPerCall},
+		{"some missed", 5, 5, 11, maxEntriesPerCall},
+		{"none missed", 10, 0, 11, maxEntriesPerCall},
 		{"the last one", published - 1, 0, published, 1},
 	} {
 		entries, lost, _ := feed.after(test.after)
--- a/internal/agent/incarnation.go
+++ b/internal/agent/incarnation.go
@@ -7,11 +7,11 @@
 	"milletbarrow/internal/process"
 )
 
-// IncarnationID returns the id by which the quota store knows a process: its boot id, pid and start time.
+// IncarnationID returns the ID that identifies a process in the quota store: its boot ID, PID and start time.
 func IncarnationID(id process.Identity) string { return fmt.Sprintf("%s/%s", process.Boot(), id) }
 
-// incarnationAlive reports whether a process of this machine runs. An id that can't be parsed counts as alive: the
-// leases of a running process must not be ended.
+// incarnationAlive reports whether a process of this machine is running. An ID that can't be parsed counts as alive,
+// because the leases of a running process must not be revoked.
 func incarnationAlive(incarnationID string) bool {
 	boot, identity, found := strings.Cut(incarnationID, "/")
 	var id process.Identity
--- a/internal/agent/launch.go
+++ b/internal/agent/launch.go
@@ -13,24 +13,24 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// ExitSupervisorRunning is the exit code of a supervisor that found another one running.
+// ExitSupervisorRunning is the exit code of a supervisor that found another supervisor of its instance running.
 const ExitSupervisorRunning = 6
 
 const (
-	// supervisorLogFraction divides Bounds.LogFileSize: a supervisor's log is rotated at the result.
-	supervisorLogFraction = 16
-	// maxLastLine is how much of the last line of a supervisor's log the history shows, in bytes.
+	// supervisorLogDivisor sets the size at which a supervisor's log is rotated: Bounds.LogFileSize divided by it.
+	supervisorLogDivisor = 16
+	// maxLastLine bounds the part of the last line of a supervisor's log that goes into the history, in bytes.
 	maxLastLine = 300
-	// logMode keeps the log from others on the host.
+	// logMode makes the log unreadable for other users of the host.
 	logMode os.FileMode = 0o600
 	// supervisorLogSuffix is appended to the path of the instance's log.
 	supervisorLogSuffix = ".keeper"
-	// supervisorCommand is the sub-command that runs a supervisor. Other releases use it too.
+	// supervisorCommand is the subcommand that runs a supervisor. It must stay the same across releases.
 	supervisorCommand = "keeper"
 )
 
-// launchWhenFree launches once fewer than Bounds.ParallelStarts launches are in progress.
-func (a *Agent) launchWhenFree(ctx context.Context, spec *fleet.Spec, action fleet.Action) {
+// launchWhenSlotFree waits until fewer than Bounds.ParallelStarts launches are in progress, then performs the launch.
+func (a *Agent) launchWhenSlotFree(ctx context.Context, spec *fleet.Spec, action fleet.Action) {
 	select {
 	case a.launchSlots <- struct{}{}:
 	case <-ctx.Done():
@@ -43,13 +43,13 @@
 	}
 }
 
-// launch starts a supervisor, unless one supervises the incarnation already or the incarnation has ended. The error is
-// an *ActionError; another attempt would not help.
+// launch starts a supervisor, unless the incarnation has a running supervisor or has ended. Errors are of type
+// *ActionError and not worth a retry.
 func (a *Agent) launch(ctx context.Context, spec *fleet.Spec, action fleet.Action) error {
 	paths := supervisor.PathsOf(a.options.Dir, action.Name)
 	state, err := supervisor.ReadState(paths.State)
 	if err == nil && state.Incarnation == action.Incarnation && (state.Ended || state.Supervisor.Alive()) {
-		return nil // the action is a repetition
+		return nil // the launch was performed before
 	}
 	failed := func(err error) error {
 		return &ActionError{Action: action.Kind, Instance: action.Name, Err: err}
@@ -68,16 +68,16 @@
 	cmd := exec.CommandContext(ctx, a.options.Executable[0], args...)
 	cmd.Stdout = log
 	cmd.Stderr = log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // signals to the agent's session do not reach it
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true} // keeps signals to the agent's session from the supervisor
 	if err := cmd.Start(); err != nil {
 		return failed(err)
 	}
-	// This goroutine runs as long as the supervisor, which outlives the agent: Run does not wait for it.
+	// Not one of a.tasks: the goroutine runs as long as the supervisor, which may outlive the agent.
 	go a.reapSupervisor(cmd, action, paths.State, logPath)
 	return nil
 }
 
-// supervisorArgs returns the arguments of a supervisor.
+// supervisorArgs returns the command-line arguments of a supervisor.
 func (a *Agent) supervisorArgs(spec *fleet.Spec, action fleet.Action) ([]string, error) {
 	in := spec.Instance(action.Name)
 	window, err := ReadShutdownWindow(in.ConfigFile)
@@ -107,28 +107,28 @@
 	return slices.Concat(args, []string{"--"}, spec.Program), nil
 }
 
-// openSupervisorLog opens the log of an instance's supervisors, and rotates it if it is too long.
+// openSupervisorLog opens the log of an instance's supervisors and rotates it if it is too large.
 func (a *Agent) openSupervisorLog(path string) (*os.File, error) {
-	if info, err := os.Stat(path); err == nil && info.Size() > a.options.Bounds.LogFileSize/supervisorLogFraction {
-		_ = os.Rename(path, path+".1") // after an error the log grows, which must not keep the instance down
+	if info, err := os.Stat(path); err == nil && info.Size() > a.options.Bounds.LogFileSize/supervisorLogDivisor {
+		_ = os.Rename(path, path+".1") // a log that can't be rotated must not prevent the launch
 	}
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, logMode)
 }
 
-// reapSupervisor waits for a supervisor's exit and reports a failure if it never took charge of its incarnation.
+// reapSupervisor waits until a supervisor exits, and reports a failed launch if it did not record its incarnation.
 func (a *Agent) reapSupervisor(cmd *exec.Cmd, action fleet.Action, statePath, logPath string) {
-	_ = cmd.Wait() // the exit code says more
+	_ = cmd.Wait() // the exit code has all that is needed
 	code := cmd.ProcessState.ExitCode()
 	if code == 0 || code == ExitSupervisorRunning {
 		return
 	}
 	if state, err := supervisor.ReadState(statePath); err == nil && state.Incarnation == action.Incarnation {
-		return // it took charge; the watcher reads the state
+		return // it supervised the incarnation; the watcher reports the state file
 	}
 	a.reportFailure(action, &SupervisorExitError{Code: code, LastOutput: lastLine(logPath)}, false)
 }
 
-// lastLine returns the last line of a file, cut to maxLastLine; empty if the file can't be read.
+// lastLine returns the last line of a file, truncated to maxLastLine; empty if the file can't be read.
 func lastLine(path string) string {
 	raw, _ := os.ReadFile(path)
 	raw = bytes.TrimSpace(raw)
--- a/internal/agent/launch_test.go
+++ b/internal/agent/launch_test.go
@@ -10,7 +10,7 @@
 )
 
 // launchOf returns the action that launches an incarnation of instance a.
-func launchOf(incarnation string) fleet.Action {
+func launchAction(incarnation string) fleet.Action {
 	return fleet.Action{Kind: fleet.ActionLaunch, Name: "a", Incarnation: incarnation}
 }
 
@@ -22,7 +22,7 @@
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
 	}
-	err := a.launch(t.Context(), a.loop.spec, launchOf("a.1"))
+	err := a.launch(t.Context(), a.loop.spec, launchAction("a.1"))
 	failed, ok := errors.AsType[*ActionError](err)
 	if !ok || failed.Instance != "a" || failed.Action != fleet.ActionLaunch {
 		t.Fatalf("%v, want an ActionError of the launch of a", err)
@@ -41,10 +41,10 @@
 func TestLaunchOfEndedIncarnation(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	writeState(t, a.options.Dir, supervisor.State{Name: "a", Incarnation: "a.1", Ended: true})
-	if err := a.launch(t.Context(), a.loop.spec, launchOf("a.1")); err != nil {
+	if err := a.launch(t.Context(), a.loop.spec, launchAction("a.1")); err != nil {
 		t.Errorf("the ended incarnation was launched again: %v", err)
 	}
-	err := a.launch(t.Context(), a.loop.spec, launchOf("a.2")) // fails: there is no such program
+	err := a.launch(t.Context(), a.loop.spec, launchAction("a.2")) // fails: there is no such program
 	failed, ok := errors.AsType[*ActionError](err)
 	if !ok || failed.Instance != "a" || failed.Action != fleet.ActionLaunch || !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v, want an ActionError of the launch of a", err)
--- a/internal/agent/leases.go
+++ b/internal/agent/leases.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// maxLease is the longest lease that renewals are paced by.
-	maxLease = 4 * monotime.Second
-	// renewalsPerLease is the number of renewals during the shortest lease, so that one or two may be lost.
+	// maxPacingLease is the upper bound of the lease duration that the renewal interval is derived from.
+	maxPacingLease = 4 * monotime.Second
+	// renewalsPerLease is the number of renewals within the shortest lease, so that one or two may fail.
 	renewalsPerLease = 4
-	// renewalRoundPauses is how long a round of renewals may take, in pauses between renewals.
-	renewalRoundPauses = 2
-	// instanceCallFraction divides Bounds.CallTimeout: a call of an instance may take the result, so that a stopped
-	// instance does not delay the others.
-	instanceCallFraction = 8
-	// maxShownRefusals is the number of refused requests that a log line names.
-	maxShownRefusals = 3
-	// maxReportedExits is the number of client keys that a renewer remembers as reported.
+	// maxRoundIntervals is the timeout of a round of renewals, in renewal intervals.
+	maxRoundIntervals = 2
+	// instanceCallDivisor sets the timeout of a call to an instance: Bounds.CallTimeout divided by it. It is short so
+	// that a stopped instance does not delay the others.
+	instanceCallDivisor = 8
+	// maxLoggedRefusals is the maximum number of refused requests in a log line.
+	maxLoggedRefusals = 3
+	// maxReportedExits bounds the client keys that a renewer remembers as reported.
 	maxReportedExits = 10_000
 )
 
-// renewalPause returns the time between two renewals.
-func renewalPause(c *quota.Config) time.Duration {
-	lease := maxLease
+// renewalInterval returns the time between two renewals: a fraction of the shortest lease of a rate limit.
+func renewalInterval(c *quota.Config) time.Duration {
+	lease := maxPacingLease
 	for _, limit := range c.Limits {
 		if limit.Kind == quota.Rate {
 			lease = min(lease, limit.Lease)
@@ -42,14 +42,14 @@
 	return (lease / renewalsPerLease).Duration()
 }
 
-// leaseRenewer renews the leases of this host's instances. It belongs to one goroutine.
+// leaseRenewer renews the leases of this host's instances. It is not safe for concurrent use.
 type leaseRenewer struct {
 	agent            *Agent
 	clientByInstance map[string]*admin.Client
-	reportedExits    map[quota.ClientKey]bool // clients whose exit the quota store knows
+	reportedExits    map[quota.ClientKey]bool // clients whose exit was reported to the quota store
 }
 
-// renewLeases renews the leases of this host's instances until ctx ends.
+// renewLeases renews the leases of this host's instances until ctx is done.
 func (a *Agent) renewLeases(ctx context.Context) {
 	r := &leaseRenewer{
 		agent:            a,
@@ -60,16 +60,16 @@
 	lastProblem := ""
 	for {
 		names, config := a.leaseHolders()
-		pause := renewalPause(config)
-		round, cancel := context.WithTimeout(ctx, renewalRoundPauses*pause)
-		problem := r.renew(round, names)
+		interval := renewalInterval(config)
+		roundCtx, cancel := context.WithTimeout(ctx, maxRoundIntervals*interval)
+		problem := r.renew(roundCtx, names)
 		cancel()
 		if problem != lastProblem {
 			slog.Info("quota_leases", "renewed", problem == "", "why", problem)
 			lastProblem = problem
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(interval):
 		case <-ctx.Done():
 			return
 		}
@@ -78,7 +78,7 @@
 }
 
 // leaseHolders returns the names of the instances that have an incarnation, and the quotas of the fleet file. It
-// returns no names and no quotas if the loop does not answer or the file has no quotas.
+// returns no names and an empty configuration if the loop does not respond or the file has no quotas.
 func (a *Agent) leaseHolders() ([]string, *quota.Config) {
 	var names []string
 	var config *quota.Config
@@ -96,14 +96,13 @@
 	return names, config
 }
 
-// close closes the clients of the instances.
 func (r *leaseRenewer) close() {
 	for _, client := range r.clientByInstance {
 		client.Close()
 	}
 }
 
-// client returns the client of an instance.
+// client returns the admin client of an instance and creates it if necessary.
 func (r *leaseRenewer) client(name string) *admin.Client {
 	client := r.clientByInstance[name]
 	if client == nil {
@@ -113,8 +112,9 @@
 	return client
 }
 
-// forEach calls do for each instance, with its index in names, at most Bounds.FanOut at a time.
-func (r *leaseRenewer) forEach(
+// forEachInstance calls do concurrently for each instance, with its index in names. At most Bounds.FanOut calls run
+// at a time.
+func (r *leaseRenewer) forEachInstance(
 	ctx context.Context, names []string, do func(ctx context.Context, i int, c *admin.Client),
 ) {
 	bounds := r.agent.options.Bounds
@@ -125,7 +125,7 @@
 		calls.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(ctx, bounds.CallTimeout/instanceCallFraction)
+			ctx, cancel := context.WithTimeout(ctx, bounds.CallTimeout/instanceCallDivisor)
 			defer cancel()
 			do(ctx, i, client)
 		})
@@ -133,8 +133,8 @@
 	calls.Wait()
 }
 
-// renew sends the lease requests of all instances to the quota store in one command, and gives the instances its
-// responses. It returns what went wrong; empty: nothing.
+// renew sends the lease requests of all instances to the quota store in one command, and distributes its responses to
+// the instances. It returns a description of the failure, empty on success.
 func (r *leaseRenewer) renew(ctx context.Context, names []string) (problem string) {
 	requests := r.collectRequests(ctx, names)
 	command := &quota.RenewCommand{Host: r.agent.options.Host}
@@ -153,10 +153,10 @@
 	return refusals(result.Answers)
 }
 
-// collectRequests gets the lease request of each instance. It is zero for an instance that does not answer.
+// collectRequests queries the lease request of each instance. It is zero for an instance that does not respond.
 func (r *leaseRenewer) collectRequests(ctx context.Context, names []string) []backendquota.LeaseRequest {
 	requests := make([]backendquota.LeaseRequest, len(names))
-	r.forEach(ctx, names, func(ctx context.Context, i int, c *admin.Client) {
+	r.forEachInstance(ctx, names, func(ctx context.Context, i int, c *admin.Client) {
 		if request, err := c.QuotaRequest(ctx); err == nil && request.Name == names[i] {
 			requests[i] = request
 		}
@@ -164,22 +164,22 @@
 	return requests
 }
 
-// distribute gives each instance the response to its own request.
+// distribute sends each instance the granted response to its own request.
 func (r *leaseRenewer) distribute(
 	ctx context.Context, names []string, requests []backendquota.LeaseRequest, responses []backendquota.LeaseResponse,
 ) {
-	r.forEach(ctx, names, func(ctx context.Context, i int, c *admin.Client) {
+	r.forEachInstance(ctx, names, func(ctx context.Context, i int, c *admin.Client) {
 		at := slices.IndexFunc(responses, func(response backendquota.LeaseResponse) bool {
 			return response.Name == names[i] && response.Incarnation == requests[i].Incarnation
 		})
 		if at < 0 || responses[at].Refusal != "" {
 			return
 		}
-		_ = c.ApplyLease(ctx, responses[at]) // after an error, the next renewal makes up for it
+		_ = c.ApplyLease(ctx, responses[at]) // after an error the next round renews the lease
 	})
 }
 
-// refusals returns the names of the first instances whose requests were refused, with the reasons.
+// refusals returns the names of the first maxLoggedRefusals instances whose requests were refused, with the reasons.
 func refusals(responses []backendquota.LeaseResponse) string {
 	var refused []string
 	for _, response := range responses {
@@ -187,10 +187,10 @@
 			refused = append(refused, response.Name+": "+response.Refusal)
 		}
 	}
-	return strings.Join(refused[:min(len(refused), maxShownRefusals)], "; ")
+	return strings.Join(refused[:min(len(refused), maxLoggedRefusals)], "; ")
 }
 
-// reportExits reports to the quota store the clients of this host whose processes have exited.
+// reportExits reports to the quota store those of this host's clients whose processes have exited.
 func (r *leaseRenewer) reportExits(ctx context.Context, clientKeys []quota.ClientKey) {
 	command := &quota.ExitCommand{Host: r.agent.options.Host}
 	for _, key := range clientKeys {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -9,14 +9,14 @@
 	"milletbarrow/monotime"
 )
 
-// idleFactor lengthens the pause between ticks while no command or action is in progress.
+// idleFactor multiplies the tick interval while no command or action is in progress.
 const idleFactor = 10
 
-// Run manages the instances until ctx ends, and returns when its goroutines have ended. Instances and their
+// Run manages the instances until ctx is done, and returns after its goroutines have ended. Instances and their
 // supervisors keep running.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.tasks.Wait()
-	defer close(a.stopped) // runs first: it ends tasks that wait for the loop
+	defer close(a.stopped) // runs before tasks.Wait and unblocks tasks that wait for the loop
 	a.watchInstances(ctx)
 	if a.options.Cluster != nil {
 		a.tasks.Go(func() { a.renewLeases(ctx) })
@@ -31,7 +31,7 @@
 			return
 		case call := <-a.calls:
 			a.runCalls(call)
-			if a.loop.machine != watched { // the call was a reload
+			if a.loop.machine != watched { // a reload replaced the machine
 				a.watchInstances(ctx)
 				watched = a.loop.machine
 			}
@@ -44,7 +44,7 @@
 	}
 }
 
-// runCalls runs a call and all that wait behind it, so that one write saves their decisions.
+// runCalls runs a call and all queued ones, so that their decisions are saved with one write.
 func (a *Agent) runCalls(call func(monotime.Micros)) {
 	now := process.Now()
 	call(now)
@@ -66,8 +66,8 @@
 	return a.options.Bounds.TickInterval
 }
 
-// decide feeds an event to the machine and keeps the resulting actions and history for flush. The error says why a
-// command was rejected.
+// decide passes an event to the machine and queues the resulting actions and history for the next flush. The error is
+// the reason why a command was rejected.
 func (a *Agent) decide(now monotime.Micros, ev fleet.Event) error {
 	actions, events, err := a.loop.machine.Decide(now, ev)
 	a.loop.actions = append(a.loop.actions, actions...)
@@ -77,10 +77,10 @@
 	return err
 }
 
-// handle feeds an event to the machine for which no caller waits.
+// handle passes an event to the machine for which no caller awaits an error.
 func (a *Agent) handle(now monotime.Micros, ev fleet.Event) { _ = a.decide(now, ev) }
 
-// post has the loop handle an event, unless the loop has ended.
+// post queues an event for the loop. The event is dropped if the loop has ended.
 func (a *Agent) post(ev fleet.Event) {
 	select {
 	case <-a.stopped:
@@ -88,9 +88,9 @@
 	}
 }
 
-// flush saves the decisions since the last flush, answers the callers that wait for it, then starts the actions. While
-// the store can't be written, actions that start something new are left out; a shutdown notice or a kill must not wait
-// for a disk.
+// flush saves the decisions since the last flush, wakes up the callers that wait for it, then starts the actions. While
+// the store can't be written, actions that start something new are skipped; shutdown notices and kills are not, as they
+// must not be delayed by a failing disk.
 func (a *Agent) flush(ctx context.Context) {
 	a.save()
 	for _, waiter := range a.loop.waiters {
@@ -101,16 +101,16 @@
 	a.loop.actions = nil
 	for _, action := range actions {
 		if a.loop.storeErr != nil && action.StartsNew() {
-			continue // it stays pending, and the machine returns it again
+			continue // the action stays pending, and the machine returns it again
 		}
-		a.start(ctx, action)
+		a.startAction(ctx, action)
 	}
 	a.feed.publish(a.loop.unpublished)
 	a.loop.unpublished = nil
 }
 
-// call runs f in the loop and waits until the state that f read or changed is saved: no caller may get a result that
-// the next agent would not know. Errors are *agentapi.StatusError; after one f may still run.
+// call runs f in the loop and waits until the state that f read or changed is saved, so that no caller gets a result
+// that is lost if the agent restarts. Errors are *agentapi.StatusError; after an error f may still run later.
 func (a *Agent) call(f func(now monotime.Micros)) error {
 	saved := make(chan struct{})
 	timeout := time.NewTimer(a.options.Bounds.CallTimeout)
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -93,14 +93,14 @@
 		{"down", fleet.KindDrain},
 	}
 	for _, command := range commands {
-		h.until(command.id+" is accepted", func() bool { // a client sends it until then
+		h.waitUntil(command.id+" is accepted", func() bool { // a client sends it until then
 			restartAfterCrash()
 			_, err := h.submit(command.id, command.kind)
 			return err == nil
 		})
-		h.until(command.id+" has ended", func() bool {
+		h.waitUntil(command.id+" has ended", func() bool {
 			restartAfterCrash()
-			return h.done(command.id)
+			return h.commandDone(command.id)
 		})
 	}
 	if crashed != nil {
@@ -130,7 +130,7 @@
 	h := newTestHost(t, "a", "deaf")
 	h.startAgent(nil)
 	h.mustSubmit("up", fleet.KindStart)
-	h.result("up")
+	h.waitForCommand("up")
 
 	before := h.supervisorState("a")
 	before.Supervisor.Signal(syscall.SIGKILL)
@@ -151,7 +151,7 @@
 	})
 	h.supervisorState("deaf").Supervisor.Signal(syscall.SIGKILL)
 	h.supervisorState("a").Supervisor.Signal(syscall.SIGKILL)
-	wantOutcomes(t, h.result("down"), map[string]fleet.Outcome{
+	wantOutcomes(t, h.waitForCommand("down"), map[string]fleet.Outcome{
 		"a":    fleet.OutcomeSucceeded,
 		"deaf": fleet.OutcomeKilled,
 	})
@@ -166,7 +166,7 @@
 	h := newTestHost(t, "a", "deaf")
 	h.startAgent(nil)
 	h.mustSubmit("up", fleet.KindStart)
-	h.result("up")
+	h.waitForCommand("up")
 	h.mustSubmit("down", fleet.KindDrain)
 	fakes.Until(t, "the notices are recorded", func() bool {
 		return h.supervisorState("a").NoticeID != "" && h.supervisorState("deaf").NoticeID != ""
@@ -179,7 +179,7 @@
 		})
 	}
 	h.startAgent(nil)
-	wantOutcomes(t, h.result("down"), map[string]fleet.Outcome{
+	wantOutcomes(t, h.waitForCommand("down"), map[string]fleet.Outcome{
 		"a":    fleet.OutcomeSucceeded,
 		"deaf": fleet.OutcomeKilled,
 	})
@@ -191,7 +191,7 @@
 	h.spec = h.readSpec("a", "b")
 	h.startAgent(nil)
 	h.mustSubmit("up", fleet.KindStart, "a", "b")
-	h.result("up")
+	h.waitForCommand("up")
 	err := h.agent.Reload(h.readSpec("a", "c"))
 	if err == nil || !strings.Contains(err.Error(), "instance b runs on this host") {
 		t.Fatalf("without b: %v, want an error that names it", err)
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	h.mustSubmit("more", fleet.KindStart, "a", "b", "c")
-	c := h.result("more")
+	c := h.waitForCommand("more")
 	if c.Results["c"].Outcome != fleet.OutcomeSucceeded || c.Results["a"].Outcome == fleet.OutcomeFailed {
 		t.Errorf("results %+v", c.Results)
 	}
--- a/internal/agent/restore.go
+++ b/internal/agent/restore.go
@@ -10,7 +10,7 @@
 	"milletbarrow/monotime"
 )
 
-// restore restores the saved state into a new machine and decides on the intents that the previous agent left.
+// restore creates a machine from the saved state and passes it the intents that the previous agent did not decide on.
 func (a *Agent) restore(saved *agentstore.State) error {
 	rebooted := saved.BootID != "" && saved.BootID != process.Boot()
 	if saved.BootID != process.Boot() {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// newMachine returns the machine of this host's instances, without state.
+// newMachine returns a machine for this host's instances that has no state yet.
 func (a *Agent) newMachine(s *fleet.Spec) *fleet.Machine {
 	config := fleet.DefaultConfig(a.options.Bounds, a.options.Seed)
 	return fleet.New(s, a.options.Host, config, func(in *fleet.InstanceSpec) fleet.ShutdownWindow {
@@ -42,7 +42,7 @@
 	})
 }
 
-// adoptUnrecorded adds to the saved state the running instances that it lacks.
+// adoptUnrecorded adds running instances that are missing from the saved state to it.
 func (a *Agent) adoptUnrecorded(saved *agentstore.State) {
 	for _, in := range a.loop.spec.InstancesOn(a.options.Host) {
 		recorded := slices.ContainsFunc(saved.Instances, func(s fleet.Instance) bool { return s.Name == in.Name })
@@ -53,13 +53,13 @@
 		if !running {
 			continue
 		}
-		slog.Warn("adopt", "name", in.Name, "run", adopted.Incarnation, "why", "the store does not have it")
+		slog.Warn("adopt", "name", in.Name, "run", adopted.Incarnation, "why", "the instance is missing from the store")
 		saved.Instances = append(saved.Instances, adopted)
 	}
 }
 
-// Reload puts a changed fleet file into use. If it does not name an instance that runs here, it changes nothing and
-// returns an *UnnamedInstanceError. Other errors are *agentapi.StatusError.
+// Reload switches to a changed fleet file. If the file does not name an instance that is running here, Reload changes
+// nothing and returns an *UnnamedInstanceError. Other errors are *agentapi.StatusError.
 func (a *Agent) Reload(s *fleet.Spec) error {
 	var rejected error
 	err := a.call(func(now monotime.Micros) {
@@ -72,7 +72,7 @@
 		machine.Restore(now, a.loop.machine.Snapshot(), rebooted)
 		a.loop.machine = machine
 		a.loop.spec = s
-		clear(a.loop.reportByInstance) // the new machine has observed nothing yet
+		clear(a.loop.reportByInstance) // the new machine has no observations yet
 		if a.options.Cluster != nil && s.Quotas != nil {
 			a.options.Cluster.SetConfig(s.Quotas, s.QuotaHosts)
 		}
--- a/internal/agent/save.go
+++ b/internal/agent/save.go
@@ -11,7 +11,7 @@
 	"milletbarrow/monotime"
 )
 
-// save writes the unsaved changes. After an error they stay unsaved, and are written together with later ones.
+// save writes the unsaved changes. After an error they are kept and written together with later ones.
 func (a *Agent) save() {
 	snapshot, deleted := a.loop.machine.Changes()
 	mergeChange(&a.loop.unsaved, agentstore.Change{Snapshot: snapshot, DeletedCommands: deleted})
@@ -25,7 +25,7 @@
 	}
 }
 
-// setStoreErr records why the store can't be written, nil if it can, and logs when that changes.
+// setStoreErr records the result of a write, and logs when writes begin to fail and when they succeed again.
 func (l *loopState) setStoreErr(err error) {
 	switch {
 	case err != nil && l.storeErr == nil:
@@ -36,8 +36,8 @@
 	l.storeErr = err
 }
 
-// mergeChange adds a later change to one that is not written yet: the later state of an instance or command replaces
-// the earlier one, and a deleted command is not written.
+// mergeChange merges a later change into one that is not written yet. The later state of an instance or command
+// replaces the earlier one, and commands that were deleted since are removed from the commands to write.
 func mergeChange(to *agentstore.Change, later agentstore.Change) {
 	for _, in := range later.Instances {
 		to.Instances = replaceOrAppend(to.Instances, in, func(o fleet.Instance) bool { return o.Name == in.Name })
@@ -51,7 +51,8 @@
 	})
 }
 
-// replaceOrAppend replaces the first item of the list that is the same, or appends the item if there is none.
+// replaceOrAppend replaces the first item of the list for which same returns true, or appends the item if there is
+// none.
 func replaceOrAppend[T any](list []T, item T, same func(T) bool) []T {
 	if i := slices.IndexFunc(list, same); i >= 0 {
 		list[i] = item
@@ -60,7 +61,8 @@
 	return append(list, item)
 }
 
-// saveIntent saves a command before the machine decides on it. A command that can't be saved is rejected.
+// saveIntent saves a command before the machine decides on it. The error rejects the command: it can't be saved, or the
+// last write failed.
 func (a *Agent) saveIntent(now monotime.Micros, r agentapi.CommandRequest) error {
 	if a.loop.storeErr == nil {
 		a.loop.setStoreErr(a.options.Store.Save(agentstore.Change{Intent: newCommand(now, r)}))
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -10,8 +10,8 @@
 	"milletbarrow/monotime"
 )
 
-// Status returns the state of the agent and its instances. If the loop does not answer in time, StoreError says so and
-// there are no instances.
+// Status returns the state of the agent and its instances. If the loop does not respond in time, StoreError has the
+// reason and the list of instances is empty.
 func (a *Agent) Status() agentapi.Status {
 	now := process.Now()
 	s := agentapi.Status{
@@ -22,7 +22,7 @@
 		MonotonicMicros: int64(now),
 		UptimeMicros:    int64(now - a.startedAt),
 	}
-	complete := s // a copy, as the loop may still write to it after an error of call
+	complete := s // a copy: the loop may still write to it after call returned an error
 	err := a.call(func(now monotime.Micros) { a.loop.addStatus(now, &complete) })
 	if err != nil {
 		s.StoreError = err.Error()
@@ -31,7 +31,7 @@
 	return complete
 }
 
-// addStatus adds to a status what the loop owns.
+// addStatus fills in the parts of a status that the loop owns.
 func (l *loopState) addStatus(now monotime.Micros, s *agentapi.Status) {
 	s.Fleet = l.spec.Name
 	s.LastSerial = l.nextSerial - 1
@@ -49,7 +49,7 @@
 	}
 }
 
-// instanceStatus joins the machine's state of an instance with the latest report of its supervisor, which may be nil.
+// instanceStatus combines the machine's state of an instance with its supervisor's latest report, which may be nil.
 func instanceStatus(now monotime.Micros, in fleet.Instance, report *supervisor.Report) agentapi.Instance {
 	s := agentapi.Instance{
 		Name:           in.Name,
--- a/internal/agent/store_failure_test.go
+++ b/internal/agent/store_failure_test.go
@@ -40,7 +40,7 @@
 		return disk
 	})
 	h.mustSubmit("up", fleet.KindStart)
-	h.result("up")
+	h.waitForCommand("up")
 	h.mustSubmit("down", fleet.KindDrain, "a")
 	disk.full.Store(true)
 
@@ -49,7 +49,7 @@
 	if !ok || rejection.Status != http.StatusServiceUnavailable || !strings.Contains(err.Error(), "no space left") {
 		t.Errorf("a command on a full disk: %v", err)
 	}
-	wantOutcomes(t, h.result("down"), map[string]fleet.Outcome{"a": fleet.OutcomeSucceeded})
+	wantOutcomes(t, h.waitForCommand("down"), map[string]fleet.Outcome{"a": fleet.OutcomeSucceeded})
 	if s := h.agent.Status(); s.StoreError == "" || h.agent.Command("more") != nil {
 		t.Errorf("store error %q, rejected command %v", s.StoreError, h.agent.Command("more"))
 	}
@@ -59,7 +59,7 @@
 	if _, err := h.submit("more", fleet.KindDrain, "b"); err != nil {
 		t.Error(err)
 	}
-	h.result("more")
+	h.waitForCommand("more")
 	h.stopAgent()
 	h.startAgent(nil)
 	if c := h.agent.Command("down"); c == nil || c.State != fleet.CommandDone {
@@ -73,7 +73,7 @@
 	h := newTestHost(t, "a", "b")
 	h.startAgent(nil)
 	h.mustSubmit("up", fleet.KindStart)
-	h.result("up")
+	h.waitForCommand("up")
 	before := h.supervisorState("a")
 	h.stopAgent()
 	if err := os.Truncate(agentstore.Path(h.dir), 9000); err != nil {
@@ -91,7 +91,7 @@
 		return in[0].Phase == fleet.PhaseReady && in[1].Phase == fleet.PhaseReady && in[0].DesiredUp
 	})
 	h.mustSubmit("again", fleet.KindRestart, "a")
-	h.result("again")
+	h.waitForCommand("again")
 	after, _ := supervisor.ReadState(supervisor.PathsOf(h.dir, "a").State)
 	if after.Incarnation == before.Incarnation || after.Instance == before.Instance {
 		t.Errorf("not restarted: %+v after %+v", after, before)
--- a/internal/agent/units.go
+++ b/internal/agent/units.go
@@ -7,8 +7,8 @@
 	"milletbarrow/internal/fleet"
 )
 
-// acquireUnit requests a unit from the quota store. It reports nothing if the store does not answer: the machine then
-// requests it again with the same request id.
+// acquireUnit requests a unit from the quota store. If the store does not respond, acquireUnit posts nothing, and the
+// machine repeats the request with the same request ID.
 func (a *Agent) acquireUnit(ctx context.Context, action fleet.Action) {
 	held := fleet.HeldUnit{Name: action.Name, Quota: action.Unit.Quota, RequestID: action.ID}
 	if a.options.Cluster == nil {
@@ -22,10 +22,10 @@
 	a.post(fleet.UnitAcquired{HeldUnit: held, Granted: result.Rejection == "", Cause: result.Rejection})
 }
 
-// releaseUnit returns a unit to the quota store. If the store does not answer, the machine releases it again.
+// releaseUnit returns a unit to the quota store. If the store does not respond, the machine repeats the release.
 func (a *Agent) releaseUnit(ctx context.Context, action fleet.Action) {
 	if a.options.Cluster == nil {
-		a.acquireUnit(ctx, action) // reports that there are no quotas
+		a.acquireUnit(ctx, action) // posts that there are no quotas
 		return
 	}
 	command := a.permitCommand(action)
@@ -35,7 +35,8 @@
 	}
 }
 
-// doUnitCommand has the quota store apply a command. It waits longer than a client's call: no client waits for it.
+// doUnitCommand sends a command to the quota store. Its timeout is longer than that of a client's call, because no
+// client waits for it.
 func (a *Agent) doUnitCommand(ctx context.Context, c quota.Command) (quota.Result, error) {
 	const callTimeouts = 2
 	ctx, cancel := context.WithTimeout(ctx, callTimeouts*a.options.Bounds.CallTimeout)
@@ -43,7 +44,7 @@
 	return a.options.Cluster.Do(ctx, c)
 }
 
-// permitCommand returns the command that acquires or releases the unit of an action.
+// permitCommand returns the quota command that acquires or releases the unit of an action.
 func (a *Agent) permitCommand(action fleet.Action) *quota.PermitCommand {
 	return &quota.PermitCommand{
 		Limit:     quota.LimitName(action.Unit.Quota),
@@ -53,7 +54,7 @@
 	}
 }
 
-// reportHeldUnits reports to the loop the units that this host's instances hold, by the quota store.
+// reportHeldUnits posts to the loop the units that this host's instances hold according to the quota store.
 func (a *Agent) reportHeldUnits(permits []quota.Permit) {
 	if len(permits) == 0 {
 		return
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -11,17 +11,17 @@
 	"milletbarrow/monotime"
 )
 
-// watcher says which incarnation of an instance is watched.
+// watcher has the incarnation of an instance whose supervisor is to be polled.
 type watcher struct {
-	name string // of the instance
+	name string // name of the instance
 
 	mu          sync.Mutex    // guards the fields below
-	incarnation string        // empty: none
-	changed     chan struct{} // closed at the next restart
+	incarnation string        // empty if none is watched
+	changed     chan struct{} // closed by the next setIncarnation
 }
 
-// restart has an incarnation watched, from its first report on.
-func (w *watcher) restart(incarnation string) {
+// setIncarnation sets the incarnation to watch, beginning with its current report even if it was watched before.
+func (w *watcher) setIncarnation(incarnation string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.incarnation = incarnation
@@ -31,14 +31,14 @@
 	w.changed = make(chan struct{})
 }
 
-// current returns the incarnation that is watched, and a channel that is closed at the next restart.
+// current returns the incarnation to watch, and a channel that is closed by the next setIncarnation.
 func (w *watcher) current() (incarnation string, changed <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.incarnation, w.changed
 }
 
-// watchInstances has each instance of the machine watched, from its first report on.
+// watchInstances watches each instance of the machine, beginning with its current report. It must run in the loop.
 func (a *Agent) watchInstances(ctx context.Context) {
 	for _, name := range a.loop.machine.Names() {
 		in, _ := a.loop.machine.Instance(name)
@@ -47,25 +47,25 @@
 			w = &watcher{name: name}
 			a.loop.watcherByInstance[name] = w
 		}
-		w.restart(in.Incarnation)
+		w.setIncarnation(in.Incarnation)
 		if !known {
 			a.tasks.Go(func() { a.watch(ctx, w) })
 		}
 	}
 }
 
-// watchLaunched has the incarnation of a launch watched, unless it is already. It belongs to the loop.
+// watchLaunched watches the incarnation of a launch, unless it is watched already. It must run in the loop.
 func (a *Agent) watchLaunched(action fleet.Action) {
 	w := a.loop.watcherByInstance[action.Name]
 	if w == nil {
 		return
 	}
 	if incarnation, _ := w.current(); incarnation != action.Incarnation {
-		w.restart(action.Incarnation)
+		w.setIncarnation(action.Incarnation)
 	}
 }
 
-// watch polls the supervisor of an instance until ctx ends, and gives the loop its reports.
+// watch polls the supervisor of an instance until ctx is done, and posts its reports to the loop.
 func (a *Agent) watch(ctx context.Context, w *watcher) {
 	client := supervisor.NewClient(a.options.Dir, w.name, a.options.Bounds)
 	defer client.Close()
@@ -81,17 +81,17 @@
 	}
 }
 
-// noSerial asks a supervisor for its present report: the serials of reports begin at 0.
+// noSerial requests the current report of a supervisor without waiting for a change: serials of reports start at 0.
 const noSerial = -1
 
-// watchIncarnation polls the supervisor of an incarnation until the incarnation has ended, changed is closed, or ctx
-// ends.
+// watchIncarnation polls the supervisor of an incarnation until the incarnation has ended, changed is closed, or ctx is
+// done.
 func (a *Agent) watchIncarnation(
 	ctx context.Context, client *supervisor.Client, name, incarnation string, changed <-chan struct{},
 ) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	a.tasks.Go(func() { // ends a long poll
+	a.tasks.Go(func() { // cancels a long poll
 		select {
 		case <-changed:
 			cancel()
@@ -99,13 +99,13 @@
 		}
 	})
 	serial := noSerial
-	missedPolls := 0 // in a row
+	missedPolls := 0 // consecutive
 	for ctx.Err() == nil {
 		report, err := client.Report(ctx, serial)
 		if err == nil && report.Observation.Incarnation == incarnation {
 			missedPolls = 0
 			serial = report.Serial
-			a.observe(ctx, fleet.InstanceObserved{Name: name, Observation: report.Observation}, &report)
+			a.postObservation(ctx, fleet.InstanceObserved{Name: name, Observation: report.Observation}, &report)
 			if report.Observation.Phase == fleet.PhaseExited {
 				return
 			}
@@ -115,17 +115,17 @@
 			return
 		}
 		missedPolls++
-		serial = noSerial // the next answer may come from another supervisor, which has serials of its own
-		if a.observeSilence(ctx, name, incarnation, missedPolls) {
+		serial = noSerial // the next report may come from another supervisor, with its own serials
+		if a.handleMissedPoll(ctx, name, incarnation, missedPolls) {
 			return
 		}
 		a.pauseAfterMissedPoll(ctx, missedPolls)
 	}
 }
 
-// observeSilence gives the loop what the silence of a supervisor means, once that is known, and reports whether the
-// incarnation has ended.
-func (a *Agent) observeSilence(ctx context.Context, name, incarnation string, missedPolls int) (ended bool) {
+// handleMissedPoll interprets the silence of a supervisor and, if that allows a conclusion, posts it to the loop as an
+// observation. It reports whether the incarnation has ended.
+func (a *Agent) handleMissedPoll(ctx context.Context, name, incarnation string, missedPolls int) (ended bool) {
 	verdict := fleet.SupervisorSilence{
 		Incarnation: incarnation,
 		MissedPolls: missedPolls,
@@ -137,12 +137,12 @@
 			Observation: verdict.Observation,
 			Unrecorded:  !verdict.Recorded,
 		}
-		a.observe(ctx, observed, nil)
+		a.postObservation(ctx, observed, nil)
 	}
 	return verdict.Ended()
 }
 
-// pauseAfterMissedPoll waits longer after each further missed poll, up to Bounds.IdlePollInterval.
+// pauseAfterMissedPoll waits for a time that grows with each consecutive missed poll, up to Bounds.IdlePollInterval.
 func (a *Agent) pauseAfterMissedPoll(ctx context.Context, missedPolls int) {
 	pause := min(a.options.Bounds.PollInterval*time.Duration(missedPolls), a.options.Bounds.IdlePollInterval)
 	select {
@@ -151,9 +151,9 @@
 	}
 }
 
-// observe gives the loop an observation, with the supervisor's report that it comes from; nil: the supervisor is
-// silent.
-func (a *Agent) observe(ctx context.Context, observed fleet.InstanceObserved, report *supervisor.Report) {
+// postObservation posts an observation to the loop, with the supervisor's report that it is taken from; nil if the
+// supervisor is silent.
+func (a *Agent) postObservation(ctx context.Context, observed fleet.InstanceObserved, report *supervisor.Report) {
 	select {
 	case <-ctx.Done():
 	case a.calls <- func(now monotime.Micros) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// supervisorRecord reads the state file of an instance's supervisor, and looks whether its processes run.
+// supervisorRecord reads the state file of an instance's supervisor and checks whether the processes in it are running.
 func (a *Agent) supervisorRecord(name string) fleet.SupervisorRecord {
 	state, err := supervisor.ReadState(supervisor.PathsOf(a.options.Dir, name).State)
 	switch {
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -24,7 +24,7 @@
 		Exit:        fleet.Exit{Unobserved: true},
 	}
 	for _, recorded := range []bool{false, true} {
-		a.observe(t.Context(), fleet.InstanceObserved{Name: "a", Observation: exited, Unrecorded: !recorded}, nil)
+		a.postObservation(t.Context(), fleet.InstanceObserved{Name: "a", Observation: exited, Unrecorded: !recorded}, nil)
 		(<-a.calls)(process.Now())
 		if in, _ := a.loop.machine.Instance("a"); (in.Incarnation == "") != recorded {
 			t.Errorf("recorded %t: %+v", recorded, in)
@@ -39,7 +39,7 @@
 	incarnation := launchByCommand(t, a).Incarnation
 	observe := func(o fleet.Observation, report *supervisor.Report) {
 		t.Helper()
-		a.observe(t.Context(), fleet.InstanceObserved{Name: "a", Observation: o}, report)
+		a.postObservation(t.Context(), fleet.InstanceObserved{Name: "a", Observation: o}, report)
 		(<-a.calls)(process.Now())
 	}
 	report := func(incarnation string, phase fleet.Phase, pid int) {
@@ -69,7 +69,7 @@
 	want("supervisor silent", noPID)
 	report(incarnation, fleet.PhaseReady, 70)
 	want("report after the silence", 70)
-	if err := reloadIdle(t, a, a.loop.spec); err != nil {
+	if err := reloadIdleAgent(t, a, a.loop.spec); err != nil {
 		t.Fatal(err)
 	}
 	want("reload", noPID)
