--- a/internal/agent/agentstore/compat_test.go
+++ b/internal/agent/agentstore/compat_test.go
@@ -7,14 +7,16 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats holds that JSON that an earlier release wrote, with each field set, is read and written the same.
-func TestEarlierFormats(t *testing.T) {
+// TestEntryOfEarlierReleaseRoundTrips checks that a history entry that an earlier release wrote, with each field set,
+// is read and written back unchanged.
+func TestEntryOfEarlierReleaseRoundTrips(t *testing.T) {
 	compattest.RoundTrip[Entry](t, "Entry.json")
 }
 
-// TestEarlierRecord holds that the store of an agent of an earlier release, with instances that run, commands and
-// history, is read completely. record.json is what that release itself read out of the same file.
-func TestEarlierRecord(t *testing.T) {
+// TestStoreOfEarlierReleaseIsReadCompletely checks that the store of an agent of an earlier release, with running
+// instances, commands and history, is read completely. record.json is the content as that release read it from the same
+// file.
+func TestStoreOfEarlierReleaseIsReadCompletely(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(Path(dir), compattest.Read(t, "record.db"), fileMode); err != nil {
 		t.Fatal(err)
--- a/internal/agent/agentstore/corruption_test.go
+++ b/internal/agent/agentstore/corruption_test.go
@@ -11,9 +11,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// TestTruncatedFile holds that a file that is truncated anywhere is either read completely or reported as corrupted: it
-// ends no process, and no state is invented.
-func TestTruncatedFile(t *testing.T) {
+// TestTruncatedFileIsReadCompletelyOrReportedAsCorrupted checks that a file truncated at any offset is either read
+// completely or reported as corrupted. The process must not crash, and Load must not return a partial or wrong state.
+func TestTruncatedFileIsReadCompletelyOrReportedAsCorrupted(t *testing.T) {
 	dir := t.TempDir()
 	want := fillStore(t, dir, 60)
 	complete, err := os.ReadFile(Path(dir))
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	read, corrupted := 0, 0
-	const step = 997 // odd, so that a page is cut at any offset
+	const step = 997 // odd, so that truncations fall at varying offsets within a page
 	for size := 1; size < len(complete); size += step {
 		truncated := t.TempDir()
 		if err := os.WriteFile(Path(truncated), complete[:size], fileMode); err != nil {
@@ -42,13 +42,14 @@
 		corrupted++
 	}
 	if corrupted == 0 {
-		t.Error("no truncation corrupted the file")
+		t.Error("no truncated file was reported as corrupted")
 	}
 	t.Logf("%d bytes: %d truncated files read, %d corrupted", len(complete), read, corrupted)
 }
 
-// TestCorruptedContent holds that a file with valid pages and invalid content is reported as corrupted.
-func TestCorruptedContent(t *testing.T) {
+// TestInvalidContentIsReportedAsCorrupted checks that a file with valid pages but invalid content is reported as
+// corrupted.
+func TestInvalidContentIsReportedAsCorrupted(t *testing.T) {
 	put := func(bucket []byte, value string) func(*bbolt.Tx) error {
 		return func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put([]byte("x"), []byte(value)) }
 	}
@@ -66,7 +67,7 @@
 			editFile(t, dir, change)
 			_, err := Open(dir, testHistoryLimit)
 			if !errors.Is(err, ErrCorrupt) || strings.Contains(err.Error(), "runtime error") {
-				t.Fatalf("%v, want ErrCorrupt without a fault", err)
+				t.Fatalf("%v, want ErrCorrupt that is not caused by a fault", err)
 			}
 			if prefix := "agent store " + Path(dir) + ": corrupted: "; !strings.HasPrefix(err.Error(), prefix) {
 				t.Errorf("%q, want the prefix %q", err, prefix)
@@ -75,9 +76,9 @@
 	}
 }
 
-// TestFaultWhileReading holds that Load returns an error, and the process goes on, if the file was truncated to its
-// meta pages while the store was open.
-func TestFaultWhileReading(t *testing.T) {
+// TestLoadOfFileTruncatedWhileOpenReturnsError checks that Load returns an error and the process keeps running if the
+// file was truncated to its meta pages while the store was open: access to the mapped pages beyond them faults.
+func TestLoadOfFileTruncatedWhileOpenReturnsError(t *testing.T) {
 	dir := t.TempDir()
 	fillStore(t, dir, 60)
 	s, err := Open(dir, testHistoryLimit)
@@ -88,12 +89,13 @@
 	if _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("%v, want ErrCorrupt", err)
 	}
-	_ = s.Close() // its error does not matter here: closing may fault too
+	_ = s.Close() // the error is irrelevant here: closing may fault as well
 }
 
-// TestEmptiedFile holds that Load reports a corrupted store if the file was truncated to nothing while it was open, and
-// that later calls return: neither the agent's loop nor its end waits for locks that the fault left held.
-func TestEmptiedFile(t *testing.T) {
+// TestCallsReturnAfterFileIsEmptiedWhileOpen checks that Load reports a corrupted store if the file was truncated to
+// zero bytes while open, and that later calls return. The fault leaves locks of bbolt held, which must block neither
+// the loop nor the shutdown of the agent.
+func TestCallsReturnAfterFileIsEmptiedWhileOpen(t *testing.T) {
 	dir := t.TempDir()
 	fillStore(t, dir, 60)
 	s, err := Open(dir, testHistoryLimit)
@@ -123,11 +125,11 @@
 	if _, err := SetAside(dir, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	save(t, openStore(t, dir), Change{BootID: "b3"}) // the store that is not closed does not lock the new one
+	save(t, openStore(t, dir), Change{BootID: "b3"}) // the store that could not be closed does not lock the new file
 }
 
-// TestSystemErrorIsNotCorruption holds that an error of the file system is not reported as a corrupted store, which an
-// operator would set aside.
+// TestSystemErrorIsNotCorruption checks that an error of the file system is not reported as a corrupted store, because
+// an operator would set such a store aside.
 func TestSystemErrorIsNotCorruption(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(Path(dir), directoryMode); err != nil {
--- a/internal/agent/agentstore/helpers_test.go
+++ b/internal/agent/agentstore/helpers_test.go
@@ -15,10 +15,10 @@
 	"milletbarrow/internal/fleet"
 )
 
-// testHistoryLimit is the number of history entries that the tests' stores keep.
+// testHistoryLimit is the history limit of the stores in tests.
 const testHistoryLimit = 50
 
-// openStore opens the store in dir until the end of the test.
+// openStore opens the store in dir and closes it at the end of the test.
 func openStore(t *testing.T, dir string) Store {
 	t.Helper()
 	s, err := Open(dir, testHistoryLimit)
@@ -47,7 +47,7 @@
 	return state
 }
 
-// fillStore saves a number of changes to a store in dir, closes it, and returns its state.
+// fillStore saves a number of changes to the store in dir, closes it, and returns the state saved.
 func fillStore(t *testing.T, dir string, changes int) State {
 	t.Helper()
 	s, err := Open(dir, testHistoryLimit)
@@ -63,8 +63,8 @@
 	return load(t, s)
 }
 
-// numberedChange returns the n-th change of fillStore: it writes one of 20 instances and one of 30 commands, appends a
-// history entry, and deletes a command or completes an intent now and then.
+// numberedChange returns the n-th change of fillStore. Each change writes one of 20 instances and one of 30 commands
+// and appends a history entry; every second one completes an intent and every seventh one deletes a command.
 func numberedChange(n int) Change {
 	event := fleet.HistoryEvent{Event: "taken", Cause: strings.Repeat("x", 100)}
 	c := Change{
@@ -92,7 +92,7 @@
 	return c
 }
 
-// diffStates returns how two states differ; empty: they do not.
+// diffStates returns a diff of two states, empty if they are equal.
 func diffStates(t *testing.T, want, got State) string {
 	t.Helper()
 	lines := func(s State) []string {
@@ -105,7 +105,7 @@
 	return cmp.Diff(lines(want), lines(got))
 }
 
-// editFile changes the file of a closed store.
+// editFile modifies the file of a closed store in a bbolt transaction.
 func editFile(t *testing.T, dir string, change func(*bbolt.Tx) error) {
 	t.Helper()
 	db, err := bbolt.Open(Path(dir), fileMode, nil)
@@ -117,7 +117,7 @@
 	}
 }
 
-// truncateFile truncates the file of a store.
+// truncateFile truncates the file of the store in dir.
 func truncateFile(t *testing.T, dir string, size int) {
 	t.Helper()
 	if err := os.Truncate(Path(dir), int64(size)); err != nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// returnsInTime returns the error of a call, and fails the test if it does not return.
+// callWithTimeout returns the error of a call, and fails the test if the call does not return in time.
 func callWithTimeout(t *testing.T, name string, call func() error) error {
 	t.Helper()
 	result := make(chan error, 1)
@@ -134,7 +134,7 @@
 	case err := <-result:
 		return err
 	case <-time.After(4 * closeTimeout):
-		t.Fatalf("%s does not return", name)
+		t.Fatalf("%s did not return in time", name)
 		return nil
 	}
 }
--- a/internal/agent/agentstore/store_test.go
+++ b/internal/agent/agentstore/store_test.go
@@ -13,8 +13,8 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestSavedStateSurvivesRestart holds that the saved state is there after a restart, with the history within its limit,
-// and that a second agent can't open the store.
+// TestSavedStateSurvivesRestart checks that the saved state is read back after the store was closed and opened again,
+// with the history within its limit, and that a second agent can't open the store meanwhile.
 func TestSavedStateSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	want := fillStore(t, dir, 100)
@@ -27,12 +27,12 @@
 		t.Fatal(diff)
 	}
 	if _, err := Open(dir, testHistoryLimit); !errors.Is(err, ErrLocked) {
-		t.Fatalf("a second agent: %v, want ErrLocked", err)
+		t.Fatalf("open by a second agent: %v, want ErrLocked", err)
 	}
 }
 
-// TestOlderFormat holds that a file of an older build, which lacks a bucket and fields, is read.
-func TestOlderFormat(t *testing.T) {
+// TestFileOfOlderBuildIsRead checks that a file of an older build is read although it lacks a bucket and some fields.
+func TestFileOfOlderBuildIsRead(t *testing.T) {
 	dir := t.TempDir()
 	fillStore(t, dir, 3)
 	editFile(t, dir, func(tx *bbolt.Tx) error {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestNewerFormat holds that a file of a newer build is reported and left as it is.
-func TestNewerFormat(t *testing.T) {
+// TestFileOfNewerBuildIsReportedAndUnchanged checks that a file of a newer build is reported as such and not modified.
+func TestFileOfNewerBuildIsReportedAndUnchanged(t *testing.T) {
 	dir := t.TempDir()
 	fillStore(t, dir, 3)
 	editFile(t, dir, func(tx *bbolt.Tx) error {
@@ -65,12 +65,13 @@
 		t.Errorf("%q, want %q", err, text)
 	}
 	if after, err := os.ReadFile(Path(dir)); err != nil || string(after) != string(before) {
-		t.Errorf("the file changed: %v", err)
+		t.Errorf("the file was modified: %v", err)
 	}
 }
 
-// TestPrivateFiles holds that others on the host read neither the store nor the files of the supervisors.
-func TestPrivateFiles(t *testing.T) {
+// TestFilesAreUnreadableForOtherUsers checks that other users of the host have no access to the store and the
+// supervisors' files.
+func TestFilesAreUnreadableForOtherUsers(t *testing.T) {
 	dir := t.TempDir()
 	openStore(t, dir)
 	for _, path := range []string{Path(dir), filepath.Join(dir, supervisorDirectory)} {
@@ -84,8 +85,9 @@
 	}
 }
 
-// TestDeletions holds that deleted commands and completed intents go, and that all else stays.
-func TestDeletions(t *testing.T) {
+// TestSaveDeletesOnlyNamedCommandsAndIntents checks that a change deletes the commands and completed intents that it
+// names, and no others.
+func TestSaveDeletesOnlyNamedCommandsAndIntents(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	save(t, s, Change{
 		Snapshot: fleet.Snapshot{Commands: []*fleet.Command{{ID: "c1"}, {ID: "c2"}}},
@@ -99,8 +101,8 @@
 	}
 }
 
-// TestBootIDStays holds that a change without a boot keeps the stored one.
-func TestBootIDStays(t *testing.T) {
+// TestChangeWithoutBootIDKeepsStoredOne checks that a change without a boot ID keeps the stored one.
+func TestChangeWithoutBootIDKeepsStoredOne(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	save(t, s, Change{BootID: "b1"})
 	if state := save(t, s, Change{Intent: &fleet.Command{ID: "i"}}); state.BootID != "b1" {
@@ -108,7 +110,7 @@
 	}
 }
 
-// TestFailedSaveWritesNothing holds that a change of which one part can't be written leaves the state unchanged.
+// TestFailedSaveWritesNothing checks that a change leaves the state unmodified if one part of it can't be written.
 func TestFailedSaveWritesNothing(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	before := save(t, s, Change{
@@ -132,8 +134,8 @@
 	}
 }
 
-// TestEmptyChange holds that a change is empty only if no part of it would write anything.
-func TestEmptyChange(t *testing.T) {
+// TestChangeIsEmptyOnlyWithoutAnyPart checks that a change is empty only if none of its parts writes anything.
+func TestChangeIsEmptyOnlyWithoutAnyPart(t *testing.T) {
 	if c := (Change{}); !c.Empty() {
 		t.Error("the zero change is not empty")
 	}
@@ -152,9 +154,9 @@
 	}
 }
 
-// TestSetAside holds that a store that was set aside is found under a name with the time, unchanged, and that a new
-// store can begin.
-func TestSetAside(t *testing.T) {
+// TestSetAsideKeepsFileAndAllowsNewStore checks that a store that was set aside keeps its content under a name with the
+// time in UTC, and that a new store can be created in its place.
+func TestSetAsideKeepsFileAndAllowsNewStore(t *testing.T) {
 	dir := t.TempDir()
 	fillStore(t, dir, 3)
 	before, err := os.ReadFile(Path(dir))
@@ -166,9 +168,9 @@
 		t.Fatalf("%s: %v", aside, err)
 	}
 	if after, err := os.ReadFile(aside); err != nil || string(after) != string(before) {
-		t.Errorf("the file that was set aside changed: %v", err)
+		t.Errorf("the file that was set aside was modified: %v", err)
 	}
 	if state := load(t, openStore(t, dir)); len(state.Instances)+len(state.History) != 0 {
-		t.Errorf("the new store has %+v", state)
+		t.Errorf("the new store is not empty: %+v", state)
 	}
 }
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -16,9 +16,10 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestConcurrentClients holds, over the agent's socket, that two clients with the same command get one command, that a
-// client that follows it and reconnects gets every history entry once, and that invalid requests are rejected.
-func TestConcurrentClients(t *testing.T) {
+// TestConcurrentClientsShareCommand checks over the agent's socket that two clients that submit the same command get
+// one command, that a client that follows it and reconnects receives every history entry once, and that invalid
+// requests are rejected.
+func TestConcurrentClientsShareCommand(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	h := newTestHost(t, "a", "b")
 	h.startAgent(nil)
@@ -36,14 +37,14 @@
 	defer client.Close()
 
 	submitTwice(t, client, h.names)
-	c := followWithReconnects(t, client, "same")
+	command := followWithReconnects(t, client, "same")
 	trace.Say("%s: %d commands, results %s %s",
-		c.State, len(h.agent.Commands()), c.Results["a"].Outcome, c.Results["b"].Outcome)
+		command.State, len(h.agent.Commands()), command.Results["a"].Outcome, command.Results["b"].Outcome)
 	traceRejections(t, trace, client, h.names)
 
-	_, err = clients.Client("unix:" + h.dir + "/nobody.sock").Status(ctx)
+	_, err = clients.Client("unix:" + h.dir + "/none.sock").Status(ctx)
 	_, unreachable := errors.AsType[*agentapi.UnreachableError](err)
-	trace.Say("nobody there: %t", unreachable)
+	trace.Say("no agent listens: unreachable %t", unreachable)
 
 	raw := jsonhttp.Client(address, bounds)
 	for _, test := range []struct {
@@ -61,11 +62,11 @@
 		}
 	}
 	if _, err := agentapi.Listen(t.Context(), address); err == nil {
-		t.Error("a second agent listens")
+		t.Error("a second agent can listen on the same address")
 	}
 }
 
-// submitTwice submits the command "same" for two requesters at once.
+// submitTwice submits the command "same" concurrently for two requesters.
 func submitTwice(t *testing.T, client *agentapi.Client, names []string) {
 	t.Helper()
 	request := func(by string) agentapi.CommandRequest {
@@ -78,7 +79,7 @@
 		}
 	}
 	first, second := request("one"), request("two")
-	second.RequestedUnixMicros = time.Now().Add(-time.Hour).UnixMicro() // its wall clock is wrong
+	second.RequestedUnixMicros = time.Now().Add(-time.Hour).UnixMicro() // this requester's wall clock is wrong
 	var submits sync.WaitGroup
 	for _, r := range []agentapi.CommandRequest{first, second} {
 		submits.Go(func() {
@@ -91,7 +92,7 @@
 }
 
 // followWithReconnects follows a command to its end and reconnects after each history entry. It fails the test unless
-// each entry came once and in order.
+// each entry arrives once and in order.
 func followWithReconnects(t *testing.T, client *agentapi.Client, id string) *fleet.Command {
 	t.Helper()
 	var serials []uint64
@@ -112,12 +113,12 @@
 		}
 	}
 	if !slices.IsSorted(serials) || len(slices.Compact(slices.Clone(serials))) != len(serials) {
-		t.Errorf("entries came out of order or twice: %v", serials)
+		t.Errorf("entries arrived out of order or more than once: %v", serials)
 	}
 	return ended
 }
 
-// traceRejections adds to a trace why invalid requests are rejected. The command "same" has ended.
+// traceRejections submits invalid requests and adds the errors to a trace. The command "same" must have ended.
 func traceRejections(t *testing.T, trace *fakes.Trace, client *agentapi.Client, names []string) {
 	t.Helper()
 	const timeout = 1_000_000
--- a/internal/agent/cluster_test.go
+++ b/internal/agent/cluster_test.go
@@ -9,9 +9,9 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// TestWriteOffErrors holds that a rejection by the quota store names the holder, and that a quota store that is missing
-// or does not answer is another error.
-func TestWriteOffErrors(t *testing.T) {
+// TestWriteOffRejectionNamesHolder checks that a rejection by the quota store is a WriteOffError that names the holder,
+// and that other errors are returned if there is no quota store or it does not respond.
+func TestWriteOffRejectionNamesHolder(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	if err := a.WriteOff(t.Context(), "n1", "test"); !errors.Is(err, errNoQuotas) {
 		t.Errorf("without quotas: %v, want errNoQuotas", err)
@@ -34,6 +34,6 @@
 	err = a.WriteOff(t.Context(), "n1", "test")
 	status, ok := errors.AsType[*agentapi.StatusError](err)
 	if !ok || status.Status != http.StatusServiceUnavailable || status.Text != "no leader" {
-		t.Errorf("no answer: %v, want status 503", err)
+		t.Errorf("no response: %v, want status 503", err)
 	}
 }
--- a/internal/agent/commands_test.go
+++ b/internal/agent/commands_test.go
@@ -10,13 +10,14 @@
 	"milletbarrow/internal/agentapi"
 )
 
-// TestRequestLimits holds that timeouts of more than a day and overlong names of requesters are rejected.
-func TestRequestLimits(t *testing.T) {
+// TestRequestsBeyondLimitsAreRejected checks that requests with a timeout that is missing or longer than a day, or with
+// an overlong requester name, are rejected.
+func TestRequestsBeyondLimitsAreRejected(t *testing.T) {
 	day := maxTimeout.Microseconds()
 	for _, test := range []struct {
 		name    string
 		request agentapi.CommandRequest
-		text    string // of the rejection; empty: it is accepted
+		text    string // error text; empty if the request is accepted
 	}{
 		{
 			name:    "shortest timeout, longest name",
--- a/internal/agent/configcheck_test.go
+++ b/internal/agent/configcheck_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestConfigErrors holds that of a host's configurations, each one that can't be used is reported with its instance and
-// file, and two that listen on one address with both instances.
-func TestConfigErrors(t *testing.T) {
+// TestUnusableConfigsAreReported checks that each unusable configuration of a host is reported with its instance and
+// file, and that two instances with the same listen address are reported together.
+func TestUnusableConfigsAreReported(t *testing.T) {
 	h := newTestHost(t, "a", "b", "c", "d")
 	if err := CheckConfigs(h.spec, "h1"); err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	errs := joined.Unwrap()
 	conflict, ok := errors.AsType[*ListenConflictError](errs[0])
 	if !ok || conflict.First != "a" || conflict.Second != "b" {
-		t.Errorf("%v, want a conflict of a and b", errs[0])
+		t.Errorf("%v, want a listen conflict of a and b", errs[0])
 	}
 	for i, name := range []string{"c", "d"} {
 		err := errs[i+1]
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -30,8 +30,8 @@
 	"milletbarrow/monotime"
 )
 
-// TestMain runs the tests, or one of the processes that they start: this program is also their supervisors, launchers
-// and instances.
+// TestMain runs the tests, or one of the processes that they start: the test binary also acts as supervisor, launcher
+// and instance.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 {
 		switch os.Args[1] {
@@ -53,7 +53,7 @@
 	m.Run()
 }
 
-// flagValue returns the value of a flag of this process; empty if it has none.
+// flagValue returns the value of a command-line flag of this process; empty if it is not set.
 func flagValue(name string) string {
 	i := slices.Index(os.Args, "--"+name)
 	if i < 0 || i+1 >= len(os.Args) {
@@ -62,7 +62,7 @@
 	return os.Args[i+1]
 }
 
-// supervisorMain is the process of a supervisor.
+// supervisorMain is the main function of a supervisor process.
 func supervisorMain() {
 	grace, _ := time.ParseDuration(flagValue("grace"))
 	exitTimeout, _ := time.ParseDuration(flagValue("stop"))
@@ -89,26 +89,27 @@
 	os.Exit(0)
 }
 
-// Times of an instance process, from the shutdown notice on.
+// Times of an instance process, measured from the shutdown notice.
 const (
 	instanceGrace    = 300 * time.Millisecond
 	instanceExitTime = 400 * time.Millisecond
 )
 
-// instanceProcess is the state of an instance process, which serves nothing but its admin socket. Its name says which
-// fault it has.
+// instanceProcess is the state of an instance process, which serves only its admin socket. The prefix of its name
+// selects the fault that it simulates: ignoring (ignores notices), exiting (exits at the notice with an error), unready
+// (never becomes ready), crashing (exits at its start with an error) or flooding (writes to its log continuously).
 type instanceProcess struct {
 	name       string
-	notifiedAt atomic.Int64  // of the first shutdown notice, in microseconds of process.Now; 0: none
+	notifiedAt atomic.Int64  // time of the first shutdown notice, in microseconds of process.Now; 0 if none
 	notified   chan struct{} // closed at the first shutdown notice
 }
 
-// hasFault reports whether the instance's name says that it has a fault.
+// hasFault reports whether the instance simulates a fault.
 func (p *instanceProcess) hasFault(fault string) bool { return strings.HasPrefix(p.name, fault) }
 
-// drain takes a shutdown notice; the first one counts.
+// drain handles a shutdown notice. Only the first notice has an effect.
 func (p *instanceProcess) drain(sinceNotice time.Duration) {
-	if p.hasFault("deaf") {
+	if p.hasFault("ignoring") {
 		return
 	}
 	if p.notifiedAt.CompareAndSwap(0, int64(process.Now())-sinceNotice.Microseconds()) {
@@ -116,9 +117,9 @@
 	}
 }
 
-// state is the answer to a health check.
+// state returns the response to a health check.
 func (p *instanceProcess) state() admin.State {
-	s := admin.State{Ready: !p.hasFault("never"), PID: os.Getpid()}
+	s := admin.State{Ready: !p.hasFault("unready"), PID: os.Getpid()}
 	if at := monotime.Micros(p.notifiedAt.Load()); at != 0 {
 		s.Ready = false
 		s.Draining = true
@@ -127,7 +128,7 @@
 	return s
 }
 
-// floodLog writes to the log without end.
+// floodLog writes to the log continuously.
 func floodLog() {
 	line := strings.Repeat("x", 1000) + "\n"
 	for range time.Tick(50 * time.Microsecond) {
@@ -135,16 +136,16 @@
 	}
 }
 
-// instanceMain is the process of an instance.
+// instanceMain is the main function of an instance process.
 func instanceMain(config, socket string) {
 	p := &instanceProcess{
 		name:     strings.TrimSuffix(filepath.Base(config), ".json"),
 		notified: make(chan struct{}),
 	}
-	if p.hasFault("crashes") {
+	if p.hasFault("crashing") {
 		os.Exit(3)
 	}
-	if p.hasFault("talks") {
+	if p.hasFault("flooding") {
 		go floodLog()
 	}
 	terminate := make(chan os.Signal, 4)
@@ -162,7 +163,7 @@
 		})
 	}()
 	<-p.notified
-	if p.hasFault("dies") {
+	if p.hasFault("exiting") {
 		os.Exit(7)
 	}
 	elapsed := process.Now() - monotime.Micros(p.notifiedAt.Load())
@@ -170,48 +171,48 @@
 	os.Exit(0)
 }
 
-// hostTiming is the time limits of a test host.
+// hostTiming has the time limits of a test host.
 type hostTiming struct {
-	startWithin time.Duration // from a launch to ready
-	grace       time.Duration // from a shutdown notice, by the instances' configuration
-	exitTimeout time.Duration // from a shutdown notice, by the instances' configuration
-	command     time.Duration // timeout of commands
-	wait        time.Duration // of the test for a condition
+	startTimeout   time.Duration // from launch to ready
+	grace          time.Duration // from a shutdown notice, by the instances' configuration
+	exitTimeout    time.Duration // from a shutdown notice, by the instances' configuration
+	commandTimeout time.Duration // timeout of submitted commands
+	waitTimeout    time.Duration // how long the test waits for a condition
 }
 
 var (
-	// shortTiming is for tests of what happens when a time limit passes.
+	// shortTiming is for tests in which time limits expire.
 	shortTiming = hostTiming{
-		startWithin: time.Second,
-		grace:       300 * time.Millisecond,
-		exitTimeout: 600 * time.Millisecond,
-		command:     30 * time.Second,
-		wait:        10 * time.Second,
-	}
-	// longTiming is for tests that do not depend on time limits: an instance that gets no CPU time for seconds on a
-	// busy machine is neither given up nor killed. What takes its usual time is not slowed down.
+		startTimeout:   time.Second,
+		grace:          300 * time.Millisecond,
+		exitTimeout:    600 * time.Millisecond,
+		commandTimeout: 30 * time.Second,
+		waitTimeout:    10 * time.Second,
+	}
+	// longTiming is for tests in which no time limit may expire: an instance that gets no CPU time for seconds on a
+	// busy machine is neither given up nor killed. The limits do not slow down an instance that responds normally.
 	longTiming = hostTiming{
-		startWithin: time.Minute,
-		grace:       30 * time.Second,
-		exitTimeout: time.Minute,
-		command:     4 * time.Minute,
-		wait:        2 * time.Minute,
+		startTimeout:   time.Minute,
+		grace:          30 * time.Second,
+		exitTimeout:    time.Minute,
+		commandTimeout: 4 * time.Minute,
+		waitTimeout:    2 * time.Minute,
 	}
 )
 
-// testHost is the host of an agent, which may be stopped and started again. Instances and supervisors are processes.
+// testHost is a host with an agent that can be stopped and started again. Instances and supervisors are real processes.
 type testHost struct {
 	t      *testing.T
 	timing hostTiming
 	dir    string
-	file   string // path of the fleet file, for errors
+	file   string // path of the fleet file, used in error messages only
 	spec   *fleet.Spec
-	names  []string // of the instances
+	names  []string // names of the instances
 
-	// Of the running agent.
+	// State of the running agent.
 	agent   *Agent
 	store   agentstore.Store
-	cancel  context.CancelFunc // nil: no agent runs
+	cancel  context.CancelFunc // nil if no agent is running
 	stopped chan struct{}      // closed when the agent's Run has returned
 }
 
@@ -234,10 +235,10 @@
 	return h
 }
 
-// configFile returns the path of an instance's configuration.
+// configFile returns the path of an instance's configuration file.
 func (h *testHost) configFile(name string) string { return filepath.Join(h.dir, name+".json") }
 
-// config returns the configuration of an instance.
+// config returns the content of an instance's configuration file.
 func (h *testHost) config(name string, port int) []byte {
 	grace := fmt.Sprintf(`"drain_grace_ms":%d`, h.timing.grace.Milliseconds())
 	settings := strings.Replace(fakes.Settings, `"drain_grace_ms":300`, grace, 1)
@@ -247,13 +248,13 @@
 		"settings":%s}`, name, port, h.timing.exitTimeout.Milliseconds(), settings)
 }
 
-// readSpec returns the spec of a fleet of this host with the instances.
+// readSpec returns the spec of a fleet that consists of this host with the given instances.
 func (h *testHost) readSpec(names ...string) *fleet.Spec {
 	h.t.Helper()
 	text := fmt.Sprintf(`(fleet f (host h1 (agent "unix:%s/a.sock"))
 		(group g (config "%%n.json") (start-within %s) (settle 50ms)
 			(restart (most 2) (within 30s)) (instances %s))
-		(wave (width 1) (least-share 0)))`, h.dir, h.timing.startWithin, strings.Join(names, " "))
+		(wave (width 1) (least-share 0)))`, h.dir, h.timing.startTimeout, strings.Join(names, " "))
 	s, err := fleet.ReadSpec(h.file, []byte(text), limits.ForControl())
 	if err != nil {
 		h.t.Fatal(err)
@@ -261,20 +262,20 @@
 	return s
 }
 
-// cleanUp stops the agent and kills the processes of this host.
+// cleanUp stops the agent and kills all processes of this host.
 func (h *testHost) cleanUp() {
 	h.stopAgent()
 	fakes.Until(h.t, "the processes of the host have ended", func() bool {
 		running := h.processes()
 		for _, id := range running {
-			_ = id.Signal(syscall.SIGKILL) // it may have ended since
+			_ = id.Signal(syscall.SIGKILL) // the process may have ended by now
 		}
 		return len(running) == 0
 	})
 }
 
-// processes returns the supervisors, launchers and instances of this host: all other processes whose command line names
-// its directory.
+// processes returns the supervisors, launchers and instances of this host: all processes except this one whose command
+// line contains the host's directory.
 func (h *testHost) processes() []process.Identity {
 	files, err := filepath.Glob("/proc/[0-9]*/cmdline")
 	if err != nil {
@@ -295,7 +296,7 @@
 	return running
 }
 
-// startAgent starts an agent. wrap, unless it is nil, replaces the agent's store.
+// startAgent starts an agent. If wrap is not nil, the agent uses the store that wrap returns.
 func (h *testHost) startAgent(wrap func(agentstore.Store) agentstore.Store) {
 	h.t.Helper()
 	bounds := limits.ForControl()
@@ -330,7 +331,7 @@
 	}()
 }
 
-// stopAgent stops the agent if one runs. Instances keep running.
+// stopAgent stops the agent if one is running. Instances keep running.
 func (h *testHost) stopAgent() {
 	if h.cancel != nil {
 		h.cancel()
@@ -340,7 +341,7 @@
 	}
 }
 
-// submit submits a command on the instances; without names, on all of the host.
+// submit submits a command for the named instances, or for all instances of the host if names is empty.
 func (h *testHost) submit(id string, kind fleet.CommandKind, names ...string) (*fleet.Command, error) {
 	if len(names) == 0 {
 		names = h.names
@@ -350,7 +351,7 @@
 		Kind:          kind,
 		Instances:     names,
 		RequestedBy:   "test",
-		TimeoutMicros: h.timing.command.Microseconds(),
+		TimeoutMicros: h.timing.commandTimeout.Microseconds(),
 	}
 	if kind == fleet.KindRollingUpdate {
 		request.RollingUpdate = &h.spec.RollingUpdate
@@ -358,7 +359,7 @@
 	return h.agent.Submit(request)
 }
 
-// mustSubmit submits a command that has to be accepted.
+// mustSubmit submits a command and fails the test if it is rejected.
 func (h *testHost) mustSubmit(id string, kind fleet.CommandKind, names ...string) {
 	h.t.Helper()
 	if _, err := h.submit(id, kind, names...); err != nil {
@@ -366,23 +367,23 @@
 	}
 }
 
-// until waits for a condition, as long as the host's timing says.
+// waitUntil waits for a condition, and fails the test if it is not met within the host's timeout.
 func (h *testHost) waitUntil(condition string, met func() bool) {
 	h.t.Helper()
-	for end := time.Now().Add(h.timing.wait); !met(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(h.timing.waitTimeout); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			h.t.Fatalf("waited %v in vain until %s", h.timing.wait, condition)
+			h.t.Fatalf("timed out after %v waiting until %s", h.timing.waitTimeout, condition)
 		}
 	}
 }
 
-// done reports whether a command has ended.
+// commandDone reports whether a command has ended.
 func (h *testHost) commandDone(id string) bool {
 	c := h.agent.Command(id)
 	return c != nil && c.State == fleet.CommandDone
 }
 
-// result waits for a command's end and returns the command.
+// waitForCommand waits until a command has ended, and returns it.
 func (h *testHost) waitForCommand(id string) *fleet.Command {
 	h.t.Helper()
 	var c *fleet.Command
@@ -403,7 +404,7 @@
 	return s
 }
 
-// traceResults waits for a command's end and adds its results to a trace.
+// traceResults waits until a command has ended, and adds its results to a trace.
 func (h *testHost) traceResults(trace *fakes.Trace, id string) {
 	h.t.Helper()
 	c := h.waitForCommand(id)
@@ -413,7 +414,7 @@
 	}
 }
 
-// wantOutcomes fails the test unless the command's results have these outcomes, by instance.
+// wantOutcomes checks the outcomes of a command's results, by instance.
 func wantOutcomes(t *testing.T, c *fleet.Command, want map[string]fleet.Outcome) {
 	t.Helper()
 	for name, outcome := range want {
@@ -423,9 +424,9 @@
 	}
 }
 
-// memoryStore is a store without a file. It fails while err is set.
+// memoryStore is an in-memory store. Save fails while err is set.
 type memoryStore struct {
-	state agentstore.State // what Load returns
+	state agentstore.State // returned by Load
 	err   error
 	saved []agentstore.Change
 }
@@ -440,14 +441,14 @@
 	return s.err
 }
 
-// storeFunc is a store that calls a function to save.
+// storeFunc is a store whose Save calls a function.
 type storeFunc func(agentstore.Change) error
 
 func (f storeFunc) Load() (agentstore.State, error) { return agentstore.State{}, nil }
 func (f storeFunc) Save(c agentstore.Change) error  { return f(c) }
 func (f storeFunc) Close() error                    { return nil }
 
-// newIdleAgent returns an agent of instances a and b whose loop does not run.
+// newIdleAgent returns an agent with instances a and b whose loop is not running.
 func newIdleAgent(t *testing.T, store *memoryStore) (*Agent, error) {
 	t.Helper()
 	h := newTestHost(t, "a", "b")
@@ -471,7 +472,7 @@
 	return a
 }
 
-// reloadIdle has an agent whose loop does not run reload a fleet file. It starts no action.
+// reloadIdleAgent reloads the fleet file of an agent whose loop is not running. It starts no actions.
 func reloadIdleAgent(t *testing.T, a *Agent, s *fleet.Spec) error {
 	t.Helper()
 	result := make(chan error, 1)
@@ -482,7 +483,8 @@
 	return <-result
 }
 
-// launchByCommand has an agent whose loop does not run launch instance a, and returns its state.
+// launchByCommand submits a command that launches instance a, to an agent whose loop is not running. It returns the
+// instance's state.
 func launchByCommand(t *testing.T, a *Agent) fleet.Instance {
 	t.Helper()
 	command := &fleet.Command{ID: "c1", Kind: fleet.KindStart, Names: []string{"a"}, Deadline: farDeadline}
@@ -493,10 +495,10 @@
 	return in
 }
 
-// farDeadline is later than any test.
+// farDeadline is a deadline that no test reaches.
 const farDeadline monotime.Micros = 1 << 60
 
-// statusOf returns the status of an agent's first instance; the agent's loop does not run.
+// statusOf returns the status of the first instance of an agent whose loop is not running.
 func statusOf(a *Agent) agentapi.Instance {
 	var s agentapi.Status
 	a.loop.addStatus(process.Now(), &s)
@@ -517,7 +519,7 @@
 	}
 }
 
-// fakeCluster answers each command with a result or an error.
+// fakeCluster returns the same result and error for each command.
 type fakeCluster struct {
 	Cluster
 	result quota.Result
--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -6,9 +6,9 @@
 	"milletbarrow/internal/agent/agentstore"
 )
 
-// TestHistoryFeed holds that a client that joins late learns how many entries it has missed, and gets the others in
-// parts.
-func TestHistoryFeed(t *testing.T) {
+// TestHistoryFeedReportsLostEntriesAndReturnsBatches checks that a client that joins late gets the number of entries
+// that it has missed, and the cached ones in batches.
+func TestHistoryFeedReportsLostEntriesAndReturnsBatches(t *testing.T) {
 	feed := newHistoryFeed(nil)
 	_, _, more := feed.after(0)
 	const published = maxCachedEntries + 10
@@ -18,7 +18,7 @@
 	select {
 	case <-more:
 	default:
-		t.Error("the waiting client was not woken")
+		t.Error("the waiting client was not woken up")
 	}
 	for _, test := range []struct {
 		name    string
--- a/internal/agent/incarnation_test.go
+++ b/internal/agent/incarnation_test.go
@@ -7,8 +7,9 @@
 	"milletbarrow/internal/process"
 )
 
-// TestIncarnationAlive holds that only a process that is known to have ended counts as ended.
-func TestIncarnationAlive(t *testing.T) {
+// TestOnlyKnownEndedIncarnationIsNotAlive checks that a process counts as ended only if it is known to have ended: an
+// ID that can't be parsed counts as alive.
+func TestOnlyKnownEndedIncarnationIsNotAlive(t *testing.T) {
 	self, err := process.Of(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -16,16 +16,17 @@
 	"milletbarrow/monotime"
 )
 
-// TestFaultyInstances shows the results of commands on instances with each kind of fault, as real processes.
-func TestFaultyInstances(t *testing.T) {
+// TestCommandResultsOfFaultyInstances checks the results of commands on real instance processes, one for each kind of
+// fault. A flooded log must stay within its size limit.
+func TestCommandResultsOfFaultyInstances(t *testing.T) {
 	trace := fakes.NewTrace(t)
-	h := newTestHost(t, "well", "deaf", "dies", "never", "crashes", "talks")
+	h := newTestHost(t, "healthy", "ignoring", "exiting", "unready", "crashing", "flooding")
 	h.startAgent(nil)
-	h.mustSubmit("up", fleet.KindStart)
-	h.traceResults(trace, "up")
-	h.mustSubmit("down", fleet.KindDrain)
-	h.traceResults(trace, "down")
-	log := supervisor.PathsOf(h.dir, "talks").Log
+	h.mustSubmit("start", fleet.KindStart)
+	h.traceResults(trace, "start")
+	h.mustSubmit("drain", fleet.KindDrain)
+	h.traceResults(trace, "drain")
+	log := supervisor.PathsOf(h.dir, "flooding").Log
 	for _, path := range []string{log, log + ".1"} {
 		if info, err := os.Stat(path); err == nil && info.Size() > 3*limits.ForControl().LogFileSize {
 			t.Errorf("%s has %d bytes", path, info.Size())
@@ -33,11 +34,11 @@
 	}
 }
 
-// crashingStore is a store at whose n-th write the agent crashes, before the write or after it.
+// crashingStore is a store that simulates a crash of the agent right before or after one of its writes.
 type crashingStore struct {
 	agentstore.Store
-	writesLeft int
-	afterWrite bool
+	writesLeft int           // the agent crashes at the write that makes it 0
+	afterWrite bool          // crash after the write, not before it
 	crashed    chan struct{} // closed at the crash
 }
 
@@ -47,28 +48,28 @@
 		return s.Store.Save(c)
 	}
 	if s.afterWrite {
-		_ = s.Store.Save(c) // the agent crashes before it learns of an error
+		_ = s.Store.Save(c) // the agent crashes before it can see an error
 	}
 	close(s.crashed)
-	runtime.Goexit() // ends the loop, which has not started its actions
+	runtime.Goexit() // ends the loop before it starts the saved actions
 	return nil
 }
 
-// TestCrashAtEveryWrite holds that after a crash of the agent at any write, before or after it, the next agent finishes
-// what was begun: every instance has the incarnations that the commands ask for, and no more.
-func TestCrashAtEveryWrite(t *testing.T) {
+// TestCommandsSurviveCrash checks that if the agent crashes before or after any write, the next agent completes the
+// commands: every instance is launched as often as the commands require, and no more.
+func TestCommandsSurviveCrash(t *testing.T) {
 	for n := 1; n <= 14; n++ {
 		for _, afterWrite := range []bool{false, true} {
 			t.Run(fmt.Sprintf("write%d/done=%t", n, afterWrite), func(t *testing.T) {
 				t.Parallel()
-				crashAtWrite(t, n, afterWrite)
+				checkCrashAtWrite(t, n, afterWrite)
 			})
 		}
 	}
 }
 
-// crashAtWrite runs three commands with an agent that crashes at its n-th write, and checks their results.
-func crashAtWrite(t *testing.T, n int, afterWrite bool) {
+// checkCrashAtWrite runs three commands with an agent that crashes at its n-th write, and checks their results.
+func checkCrashAtWrite(t *testing.T, n int, afterWrite bool) {
 	t.Helper()
 	h := newTimedHost(t, longTiming, "a", "b")
 	crashed := make(chan struct{})
@@ -88,12 +89,12 @@
 		id   string
 		kind fleet.CommandKind
 	}{
-		{"up", fleet.KindStart},
+		{"start", fleet.KindStart},
 		{"update", fleet.KindRollingUpdate},
-		{"down", fleet.KindDrain},
+		{"drain", fleet.KindDrain},
 	}
 	for _, command := range commands {
-		h.waitUntil(command.id+" is accepted", func() bool { // a client sends it until then
+		h.waitUntil(command.id+" is accepted", func() bool { // a client retries until then
 			restartAfterCrash()
 			_, err := h.submit(command.id, command.kind)
 			return err == nil
@@ -104,7 +105,7 @@
 		})
 	}
 	if crashed != nil {
-		t.Errorf("the agent did not crash: there is no write %d", n)
+		t.Errorf("the agent did not crash: it made fewer than %d writes", n)
 	}
 	for _, command := range commands {
 		for name, r := range h.agent.Command(command.id).Results {
@@ -124,13 +125,13 @@
 	}
 }
 
-// TestSupervisorCrash holds that another supervisor adopts the instance of one that crashed: a serving instance goes on
-// serving, and one that drains keeps its notice.
-func TestSupervisorCrash(t *testing.T) {
-	h := newTestHost(t, "a", "deaf")
+// TestInstanceOfCrashedSupervisorIsAdopted checks that after the crash of a supervisor another one adopts its instance.
+// A serving instance keeps serving, and a draining one keeps its notice.
+func TestInstanceOfCrashedSupervisorIsAdopted(t *testing.T) {
+	h := newTestHost(t, "a", "ignoring")
 	h.startAgent(nil)
-	h.mustSubmit("up", fleet.KindStart)
-	h.waitForCommand("up")
+	h.mustSubmit("start", fleet.KindStart)
+	h.waitForCommand("start")
 
 	before := h.supervisorState("a")
 	before.Supervisor.Signal(syscall.SIGKILL)
@@ -145,31 +146,32 @@
 		t.Fatalf("%+v became %+v", before, s)
 	}
 
-	h.mustSubmit("down", fleet.KindDrain)
+	h.mustSubmit("drain", fleet.KindDrain)
 	fakes.Until(t, "the notices are recorded", func() bool {
-		return h.supervisorState("deaf").NoticeID != "" && h.supervisorState("a").NoticeID != ""
+		return h.supervisorState("ignoring").NoticeID != "" && h.supervisorState("a").NoticeID != ""
 	})
-	h.supervisorState("deaf").Supervisor.Signal(syscall.SIGKILL)
+	h.supervisorState("ignoring").Supervisor.Signal(syscall.SIGKILL)
 	h.supervisorState("a").Supervisor.Signal(syscall.SIGKILL)
-	wantOutcomes(t, h.waitForCommand("down"), map[string]fleet.Outcome{
-		"a":    fleet.OutcomeSucceeded,
-		"deaf": fleet.OutcomeKilled,
+	wantOutcomes(t, h.waitForCommand("drain"), map[string]fleet.Outcome{
+		"a":        fleet.OutcomeSucceeded,
+		"ignoring": fleet.OutcomeKilled,
 	})
-	if h.supervisorState("deaf").Instance.Alive() {
-		t.Error("the deaf instance still runs")
+	if h.supervisorState("ignoring").Instance.Alive() {
+		t.Error("the instance that ignores notices is still running")
 	}
 }
 
-// TestDrainWithoutAgent holds that an instance with a shutdown notice exits within its window while no agent runs.
-func TestDrainWithoutAgent(t *testing.T) {
+// TestNotifiedInstanceExitsWithoutAgent checks that an instance that has received a shutdown notice exits within its
+// shutdown window while no agent is running.
+func TestNotifiedInstanceExitsWithoutAgent(t *testing.T) {
 	const maxDrainTime = 900 * monotime.Millisecond
-	h := newTestHost(t, "a", "deaf")
+	h := newTestHost(t, "a", "ignoring")
 	h.startAgent(nil)
-	h.mustSubmit("up", fleet.KindStart)
-	h.waitForCommand("up")
-	h.mustSubmit("down", fleet.KindDrain)
+	h.mustSubmit("start", fleet.KindStart)
+	h.waitForCommand("start")
+	h.mustSubmit("drain", fleet.KindDrain)
 	fakes.Until(t, "the notices are recorded", func() bool {
-		return h.supervisorState("a").NoticeID != "" && h.supervisorState("deaf").NoticeID != ""
+		return h.supervisorState("a").NoticeID != "" && h.supervisorState("ignoring").NoticeID != ""
 	})
 	h.stopAgent()
 	for _, name := range h.names {
@@ -179,28 +181,29 @@
 		})
 	}
 	h.startAgent(nil)
-	wantOutcomes(t, h.waitForCommand("down"), map[string]fleet.Outcome{
-		"a":    fleet.OutcomeSucceeded,
-		"deaf": fleet.OutcomeKilled,
+	wantOutcomes(t, h.waitForCommand("drain"), map[string]fleet.Outcome{
+		"a":        fleet.OutcomeSucceeded,
+		"ignoring": fleet.OutcomeKilled,
 	})
 }
 
-// TestReload holds that a changed fleet file adds instances, and is rejected if it does not name one that runs.
-func TestReload(t *testing.T) {
+// TestReloadRejectsOmittedRunningInstance checks that a reload with a fleet file that omits a running instance is
+// rejected, and that a reload can add instances.
+func TestReloadRejectsOmittedRunningInstance(t *testing.T) {
 	h := newTestHost(t, "a", "b", "c")
 	h.spec = h.readSpec("a", "b")
 	h.startAgent(nil)
-	h.mustSubmit("up", fleet.KindStart, "a", "b")
-	h.waitForCommand("up")
+	h.mustSubmit("start", fleet.KindStart, "a", "b")
+	h.waitForCommand("start")
 	err := h.agent.Reload(h.readSpec("a", "c"))
 	if err == nil || !strings.Contains(err.Error(), "instance b runs on this host") {
-		t.Fatalf("without b: %v, want an error that names it", err)
+		t.Fatalf("reload without b: %v, want an error that names it", err)
 	}
 	if err := h.agent.Reload(h.readSpec("a", "b", "c")); err != nil {
 		t.Fatal(err)
 	}
-	h.mustSubmit("more", fleet.KindStart, "a", "b", "c")
-	c := h.waitForCommand("more")
+	h.mustSubmit("start-all", fleet.KindStart, "a", "b", "c")
+	c := h.waitForCommand("start-all")
 	if c.Results["c"].Outcome != fleet.OutcomeSucceeded || c.Results["a"].Outcome == fleet.OutcomeFailed {
 		t.Errorf("results %+v", c.Results)
 	}
--- a/internal/agent/restore_test.go
+++ b/internal/agent/restore_test.go
@@ -11,14 +11,14 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// runningInstance returns the saved state of an instance that runs.
+// runningInstance returns the saved state of a running instance.
 func runningInstance(name string) fleet.Instance {
 	return fleet.Instance{Name: name, DesiredUp: true, Incarnation: name + ".1", Phase: fleet.PhaseReady}
 }
 
-// TestUnnamedInstanceStopsStart holds that an agent does not start while an instance runs that its fleet file does not
-// name.
-func TestUnnamedInstanceStopsStart(t *testing.T) {
+// TestUnnamedInstancePreventsStart checks that an agent does not start while an instance is running that is missing
+// from its fleet file.
+func TestUnnamedInstancePreventsStart(t *testing.T) {
 	store := &memoryStore{}
 	store.state.BootID = process.Boot()
 	store.state.Instances = []fleet.Instance{runningInstance("z")}
@@ -31,12 +31,12 @@
 	}
 }
 
-// TestReboot holds that incarnations of another boot have ended, also those of instances that the fleet file does not
-// name. The state of a store without a boot is of the present one.
-func TestReboot(t *testing.T) {
+// TestRebootEndsIncarnations checks that incarnations of an earlier boot count as ended, including those of instances
+// that are missing from the fleet file. A saved state without a boot ID counts as one of the current boot.
+func TestRebootEndsIncarnations(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		boot  string // of the saved state
+		boot  string // boot ID in the saved state
 		ended bool
 	}{
 		{"another boot", "another", true},
@@ -52,19 +52,19 @@
 				t.Errorf("instance %+v, want ended %t", in, test.ended)
 			}
 			if test.boot != process.Boot() && a.loop.unsaved.BootID != process.Boot() {
-				t.Errorf("boot to save %q, want the present one", a.loop.unsaved.BootID)
+				t.Errorf("boot ID to save %q, want the current one", a.loop.unsaved.BootID)
 			}
 			store.state.Instances[0].Name = "z"
 			if _, err := newIdleAgent(t, store); (err == nil) != test.ended {
-				t.Errorf("with an instance that is not named: %v", err)
+				t.Errorf("with an instance that is missing from the fleet file: %v", err)
 			}
 		})
 	}
 }
 
-// TestIntentsAreDecidedOnce holds that an agent decides on a command that the previous one accepted and did not decide
-// on, and completes its intent.
-func TestIntentsAreDecidedOnce(t *testing.T) {
+// TestRestoreDecidesOnIntents checks that an agent decides on a command that the previous agent accepted without
+// deciding on it, and completes its intent.
+func TestRestoreDecidesOnIntents(t *testing.T) {
 	store := &memoryStore{}
 	store.state.Intents = []*fleet.Command{
 		{ID: "c1", Kind: fleet.KindStart, Names: []string{"a"}, Deadline: farDeadline},
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestUnrecordedInstancesAreAdopted holds that of the instances that the store lacks, those whose supervisors recorded
-// no exit are adopted, and that the ids of their actions are not reused.
+// TestUnrecordedInstancesAreAdopted checks that of the instances that are missing from the store, those without a
+// recorded exit are adopted, and that their action IDs are not reused.
 func TestUnrecordedInstancesAreAdopted(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	dir := a.options.Dir
@@ -92,7 +92,7 @@
 		t.Errorf("adopted %+v", in)
 	}
 	if in.ActionCount <= 7+100 {
-		t.Errorf("action count %d, want one far above that of its incarnation", in.ActionCount)
+		t.Errorf("action count %d, want it far above the number of the incarnation", in.ActionCount)
 	}
 	a.adoptUnrecorded(&saved)
 	if len(saved.Instances) != 1 {
--- a/internal/agent/save_test.go
+++ b/internal/agent/save_test.go
@@ -12,9 +12,9 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestUnwritableStore holds that with a store that can't be written nothing is launched and no unit is acquired, that
-// adoptions go on, and that the unsaved changes are written later.
-func TestUnwritableStore(t *testing.T) {
+// TestUnwritableStoreDelaysOnlyNewWork checks that while the store can't be written, nothing is launched and no unit is
+// acquired, but adoptions proceed, and that the unsaved changes are written once the store recovers.
+func TestUnwritableStoreDelaysOnlyNewWork(t *testing.T) {
 	store := &memoryStore{err: syscall.ENOSPC}
 	a := mustNewIdleAgent(t, store)
 	ctx := t.Context()
@@ -27,18 +27,18 @@
 	a.loop.actions = []fleet.Action{{Kind: fleet.ActionLaunch, Name: "a", ID: "a.1", Incarnation: "a.1"}}
 	a.flush(ctx)
 	if watched() == "a.1" {
-		t.Error("launched although nothing can be saved")
+		t.Error("an instance was launched although the store can't be written")
 	}
 	a.loop.actions = []fleet.Action{{Kind: fleet.ActionAcquireUnit, Name: "a", ID: "u1"}}
 	a.flush(ctx)
 	a.loop.actions = []fleet.Action{{Kind: fleet.ActionLaunch, Name: "a", ID: "a.3", Incarnation: "a.2", Adopt: true}}
 	a.flush(ctx)
 	if watched() != "a.2" {
-		t.Error("the adoption waits for the store")
+		t.Error("the adoption was delayed by the store")
 	}
 	a.tasks.Wait()
-	if n := len(a.calls); n != 1 { // the adoption failed: there is no such program
-		t.Errorf("%d actions were performed, want the adoption alone", n)
+	if n := len(a.calls); n != 1 { // the failed adoption: its program does not exist
+		t.Errorf("%d actions were performed, want only the adoption", n)
 	}
 	if a.loop.storeErr == nil || len(a.loop.unsaved.History) == 0 {
 		t.Fatalf("store error %v, unsaved %+v", a.loop.storeErr, a.loop.unsaved)
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestFlushSavesFirst holds that a flush saves before it starts actions and answers callers.
-func TestFlushSavesFirst(t *testing.T) {
+// TestFlushSavesBeforeActionsAndAnswers checks that a flush saves before it starts actions and answers callers.
+func TestFlushSavesBeforeActionsAndAnswers(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	waiter := make(chan struct{})
 	answered := func() bool {
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestNoIntentAfterFailedWrite holds that commands are rejected, and no intent is written, while the last write has
-// failed.
-func TestNoIntentAfterFailedWrite(t *testing.T) {
+// TestCommandIsRejectedAfterFailedWrite checks that commands are rejected without an attempt to write their intents
+// while the last write has failed.
+func TestCommandIsRejectedAfterFailedWrite(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	a.loop.storeErr = syscall.ENOSPC
 	request := agentapi.CommandRequest{
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestMergeChange holds that the later state of an instance or command replaces the earlier one, and that a deleted
-// command is not written.
-func TestMergeChange(t *testing.T) {
+// TestMergeChangeKeepsLatestStateAndDropsDeletedCommands checks that the later state of an instance or command replaces
+// the earlier one, and that a deleted command is not written.
+func TestMergeChangeKeepsLatestStateAndDropsDeletedCommands(t *testing.T) {
 	var to agentstore.Change
 	change := func(phase fleet.Phase) agentstore.Change {
 		return agentstore.Change{Snapshot: fleet.Snapshot{
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -8,9 +8,9 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// TestUnrecordedObservation holds that while a launch is in progress, the end of an incarnation that no supervisor has
-// recorded counts for nothing.
-func TestUnrecordedObservation(t *testing.T) {
+// TestUnrecordedExitIsIgnoredDuringLaunch checks that while a launch is in progress, an exit of the incarnation is
+// ignored unless a supervisor has recorded it.
+func TestUnrecordedExitIsIgnoredDuringLaunch(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	launchByCommand(t, a)
 	a.handle(process.Now(), fleet.Tick{})
@@ -24,7 +24,8 @@
 		Exit:        fleet.Exit{Unobserved: true},
 	}
 	for _, recorded := range []bool{false, true} {
-		a.postObservation(t.Context(), fleet.InstanceObserved{Name: "a", Observation: exited, Unrecorded: !recorded}, nil)
+		observed := fleet.InstanceObserved{Name: "a", Observation: exited, Unrecorded: !recorded}
+		a.postObservation(t.Context(), observed, nil)
 		(<-a.calls)(process.Now())
 		if in, _ := a.loop.machine.Instance("a"); (in.Incarnation == "") != recorded {
 			t.Errorf("recorded %t: %+v", recorded, in)
@@ -32,8 +33,8 @@
 	}
 }
 
-// TestStatusShowsLatestReport holds that the status names the processes of the latest report about the running
-// incarnation, and none while the supervisor is silent, after the exit, or between a reload and the next report.
+// TestStatusShowsLatestReport checks that the status shows the PIDs of the latest report on the running incarnation,
+// and none while the supervisor is silent, after the exit, or between a reload and the next report.
 func TestStatusShowsLatestReport(t *testing.T) {
 	a := mustNewIdleAgent(t, &memoryStore{})
 	incarnation := launchByCommand(t, a).Incarnation
@@ -64,7 +65,7 @@
 	report(incarnation, fleet.PhaseReady, 50)
 	want("later report", 50)
 	report("a.0", fleet.PhaseReady, 60)
-	want("report about another incarnation", 50)
+	want("report on another incarnation", 50)
 	observe(fleet.Observation{Incarnation: incarnation, Phase: fleet.PhaseUnknown}, nil)
 	want("supervisor silent", noPID)
 	report(incarnation, fleet.PhaseReady, 70)
