--- a/internal/agent/agentstore/bolt.go
+++ b/internal/agent/agentstore/bolt.go
@@ -149,7 +149,7 @@
 	return state, err
 }
 
-// errFaulted is returned by all calls after one that faulted.
+// errFaulted is returned by Load and Save after a call that faulted.
 var errFaulted = fmt.Errorf("%w: an earlier read of the file faulted", ErrCorrupt)
 
 func (s *boltStore) Save(c Change) error {
