--- a/internal/agent/history_test.go
+++ b/internal/agent/history_test.go
@@ -6,9 +6,9 @@
 	"milletbarrow/internal/agent/agentstore"
 )
 
-// TestHistoryFeed holds that a client that joins late learns how many entries it has missed, and gets the others in
-// parts.
-func TestHistoryFeed(t *testing.T) {
+// TestHistoryFeedReportsLostEntriesAndReturnsBatches checks that a client that joins late gets the number of entries
+// that it has missed, and the cached ones in batches.
+func TestHistoryFeedReportsLostEntriesAndReturnsBatches(t *testing.T) {
 	feed := newHistoryFeed(nil)
 	_, _, more := feed.after(0)
 	const published = maxCachedEntries + 10
@@ -18,7 +18,7 @@
 	select {
 	case <-more:
 	default:
-		t.Error("the waiting client was not woken")
+		t.Error("the waiting client was not woken up")
 	}
 	for _, test := range []struct {
 		name    string
@@ -27,9 +27,9 @@
 		first   uint64
 		entries int
 	}{
-		{"from the beginning", 0, 10, 11, maxEntriesAtOnce},
-		{"some missed", 5, 5, 11, maxEntriesAtOnce},
-		{"none missed", 10, 0, 11, maxEntriesAtOnce},
+		{"from the beginning", 0, 10, 11, maxEntriesPerCall},
+		{"some missed", 5, 5, 11, maxEntriesPerCall},
+		{"none missed", 10, 0, 11, maxEntriesPerCall},
 		{"the last one", published - 1, 0, published, 1},
 	} {
 		entries, lost, _ := feed.after(test.after)
