--- a/internal/agentapi/api_test.go
+++ b/internal/agentapi/api_test.go
@@ -11,9 +11,9 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestClientCallsManager holds that each method of the client calls the manager's with its arguments, and returns its
-// result.
-func TestClientCallsManager(t *testing.T) {
+// TestClientMethodsPassArgumentsAndResults checks that each client method calls the corresponding method of the
+// manager with its arguments and returns its result.
+func TestClientMethodsPassArgumentsAndResults(t *testing.T) {
 	m := newFakeManager()
 	m.commands["a/b c"] = &fleet.Command{ID: "a/b c"}
 	address, _ := serve(t, m, testBounds())
@@ -63,14 +63,14 @@
 	if err := c.ColdStart(ctx, quota.ColdStartCommand{}); err != nil {
 		t.Errorf("cold start: %v", err)
 	}
-	want := []string{
+	wantCalls := []string{
 		"steer c?1 pause me & you",
 		"history 3 9",
 		"budgets",
 		"write off n/1 me",
 		fmt.Sprintf("cold start %+v", quota.ColdStartCommand{}),
 	}
-	if diff := cmp.Diff(want, m.calls); diff != "" {
+	if diff := cmp.Diff(wantCalls, m.calls); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/agentapi/client_test.go
+++ b/internal/agentapi/client_test.go
@@ -16,8 +16,9 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestAttemptHasDeadline holds that an attempt at an agent that does not answer takes twice Bounds.CallTimeout.
-func TestAttemptHasDeadline(t *testing.T) {
+// TestUnansweredAttemptEndsAtDeadline checks that an attempt ends after twice limits.Control.CallTimeout if the
+// agent does not answer.
+func TestUnansweredAttemptEndsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
 		attempts := 0
@@ -45,54 +46,55 @@
 	})
 }
 
-// TestContextEndsPause holds that a request whose context ends between two attempts ends at once, with the error of the
-// last attempt.
-func TestContextEndsPause(t *testing.T) {
+// TestContextEndDuringRetryDelayEndsRequest checks that a request whose context ends between two attempts ends at
+// once, with the error of the last attempt.
+func TestContextEndDuringRetryDelayEndsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
 		b.RetryBackoff = time.Minute
 		b.RetryBackoffMax = time.Minute
-		errAway := errors.New("away")
-		client := newTransportClient(b, func(*http.Request) (*http.Response, error) { return nil, errAway })
+		errRefused := errors.New("connection refused")
+		client := newTransportClient(b, func(*http.Request) (*http.Response, error) { return nil, errRefused })
 		fillRetryBudget(client.factory)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		start := time.Now()
 		_, err := client.Status(ctx)
-		wantUnreachable(t, err, context.DeadlineExceeded, errAway)
+		wantUnreachable(t, err, context.DeadlineExceeded, errRefused)
 		if elapsed := time.Since(start); elapsed != time.Second {
 			t.Errorf("ended after %v, want 1s", elapsed)
 		}
 	})
 }
 
-// TestFirstAttemptsEarnRetries holds that first attempts add to the retry budget.
-func TestFirstAttemptsEarnRetries(t *testing.T) {
+// TestFirstAttemptsAddToRetryBudget checks that first attempts add to the retry budget.
+func TestFirstAttemptsAddToRetryBudget(t *testing.T) {
 	retriesAfter := func(requests int) int {
 		factory := NewClientFactory(testBounds(), 1)
 		for range requests {
-			factory.pause(1)
+			factory.attemptDelay(1)
 		}
 		retries := 0
 		for {
-			if _, allowed := factory.pause(2); !allowed {
+			if _, allowed := factory.attemptDelay(2); !allowed {
 				return retries
 			}
 			retries++
 		}
 	}
-	if few, many := retriesAfter(0), retriesAfter(100); many != few+10 {
-		t.Errorf("%d retries without a request, %d after 100", few, many)
+	if initial, later := retriesAfter(0), retriesAfter(100); later != initial+10 {
+		t.Errorf("%d retries without a request, %d after 100 requests", initial, later)
 	}
 }
 
-// TestAttemptsAreBounded holds that a request has at most Bounds.Attempts attempts, whatever the retry budget allows.
+// TestAttemptsAreBounded checks that a request has at most limits.Control.Attempts attempts, whatever the retry budget
+// allows.
 func TestAttemptsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		attempts := 0
 		client := newTransportClient(testBounds(), func(*http.Request) (*http.Response, error) {
 			attempts++
-			return nil, errors.New("away")
+			return nil, errors.New("connection refused")
 		})
 		for range 10 {
 			fillRetryBudget(client.factory)
@@ -103,8 +105,8 @@
 	})
 }
 
-// TestResponseSizeIsBounded holds that a response of many times Bounds.MessageSize is read, as a status lists many
-// instances, and that one beyond maxResponseFactor is an error.
+// TestResponseSizeIsBounded checks that a response of many times limits.Control.MessageSize is read, because a status
+// lists many instances, and that one beyond maxResponseFactor is an error.
 func TestResponseSizeIsBounded(t *testing.T) {
 	b := testBounds()
 	b.MessageSize = 1 << 10
@@ -125,8 +127,9 @@
 	})
 }
 
-// TestRejectionWithoutReason holds that a rejection whose body has no reason has its status as text.
-func TestRejectionWithoutReason(t *testing.T) {
+// TestRejectionWithoutReasonNamesStatus checks that the error text of a rejection without a reason in its body
+// is the status.
+func TestRejectionWithoutReasonNamesStatus(t *testing.T) {
 	want := StatusError{Status: http.StatusBadGateway, Text: "status 502"}
 	for _, body := range []string{"", "<p>", "{}", `{"error":""}`, `{"error":3}`} {
 		client := newTransportClient(testBounds(), textTransport(http.StatusBadGateway, body))
@@ -137,8 +140,9 @@
 	}
 }
 
-// TestUnknownCommand holds that status 404 means an unknown command, and that other statuses do not.
-func TestUnknownCommand(t *testing.T) {
+// TestStatus404MeansUnknownCommand checks that status 404 is reported as an unknown command, and that other
+// statuses are not.
+func TestStatus404MeansUnknownCommand(t *testing.T) {
 	request := func(status int) error {
 		client := newTransportClient(testBounds(), textTransport(status, `{"error":"why"}`))
 		_, err := client.Command(t.Context(), "c1")
@@ -154,9 +158,9 @@
 	}
 }
 
-// TestUnreachable holds that the error of an agent that does not listen has its address and cause, and that of a stream
-// whose context has ended too.
-func TestUnreachable(t *testing.T) {
+// TestUnreachableErrorHasAddressAndCause checks that the error for an agent that does not listen has its address
+// and cause, and that the error for a stream whose context has ended has its cause.
+func TestUnreachableErrorHasAddressAndCause(t *testing.T) {
 	address := "unix:" + filepath.Join(t.TempDir(), "none.sock")
 	c := newClient(t, address, testBounds())
 	_, err := c.Status(t.Context())
@@ -170,14 +174,15 @@
 	wantUnreachable(t, err, context.Canceled)
 }
 
-// TestRetryBudget holds that many requests to an unreachable agent share few retries.
-func TestRetryBudget(t *testing.T) {
+// TestRetriesToUnreachableAgentAreBounded checks that many requests to an unreachable agent share a small retry
+// budget.
+func TestRetriesToUnreachableAgentAreBounded(t *testing.T) {
 	b := testBounds()
 	factory := NewClientFactory(b, 1)
 	attempts := 0
 	for range 100 {
 		for n := 1; ; n++ {
-			if _, allowed := factory.pause(n); !allowed {
+			if _, allowed := factory.attemptDelay(n); !allowed {
 				break
 			}
 			attempts++
@@ -188,8 +193,9 @@
 	}
 }
 
-// TestRejectionStatus holds that each kind of rejection has its status and text, and that only status 503 is retried.
-func TestRejectionStatus(t *testing.T) {
+// TestRejectionHasStatusAndOnly503IsRetried checks that each kind of rejection keeps its status and text, and that
+// only status 503 is retried.
+func TestRejectionHasStatusAndOnly503IsRetried(t *testing.T) {
 	b := testBounds()
 	for _, test := range []struct {
 		name     string
@@ -203,7 +209,7 @@
 		{"too many commands", fleet.ErrTooManyCommands, 429, 1},
 		{"invalid command", errors.New("names: none"), 422, 1},
 		{"invalid request", &StatusError{Status: 400, Text: "by: over 100 bytes"}, 400, 1},
-		{"internal error", &StatusError{Status: 500, Text: "fault"}, 500, 1},
+		{"internal error", &StatusError{Status: 500, Text: "internal error"}, 500, 1},
 		{"busy", &StatusError{Status: 503, Text: "the agent is busy"}, 503, b.Attempts},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/agentapi/compat_test.go
+++ b/internal/agentapi/compat_test.go
@@ -6,7 +6,7 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats holds that JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[CommandRequest](t, "Order.json")
 	compattest.RoundTrip[Status](t, "Status.json")
--- a/internal/agentapi/fanout.go
+++ b/internal/agentapi/fanout.go
@@ -8,8 +8,8 @@
 	"milletbarrow/internal/limits"
 )
 
-// FanOut calls do for each key, at most b.FanOut at a time, and returns the values and the errors in the order of the
-// keys.
+// FanOut calls do for each key, with at most b.FanOut calls at a time. It returns the values and the errors in the
+// order of the keys.
 func FanOut[K, V any](
 	ctx context.Context, b limits.Control, keys []K, do func(context.Context, K) (V, error),
 ) ([]V, []error) {
@@ -23,6 +23,6 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // do's errors are in errs
+	_ = group.Wait() // always nil: the errors of do are in errs
 	return values, errs
 }
--- a/internal/agentapi/fanout_test.go
+++ b/internal/agentapi/fanout_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// TestFanOut holds that the results come in the order of the keys, and that as many calls run at a time as allowed, and
-// no more.
-func TestFanOut(t *testing.T) {
+// TestFanOutKeepsOrderAndLimitsConcurrency checks that results are in the order of the keys, and that the maximum
+// number of concurrent calls is reached and not exceeded.
+func TestFanOutKeepsOrderAndLimitsConcurrency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const failingKey = 4
 		b := testBounds()
 		b.FanOut = 3
-		var mu sync.Mutex // guards the counts
+		var mu sync.Mutex // guards running and maxRunning
 		running, maxRunning := 0, 0
 		count := func(change int) {
 			mu.Lock()
@@ -28,9 +28,9 @@
 		values, errs := FanOut(t.Context(), b, keys, func(_ context.Context, key int) (int, error) {
 			count(1)
 			defer count(-1)
-			time.Sleep(time.Millisecond) // by the fake clock: all calls that may run have begun
+			time.Sleep(time.Millisecond) // fake clock: by then all calls that may run concurrently have started
 			if key == failingKey {
-				return 0, errors.New("fails")
+				return 0, errors.New("call failed")
 			}
 			return 10 * key, nil
 		})
--- a/internal/agentapi/follow.go
+++ b/internal/agentapi/follow.go
@@ -15,27 +15,28 @@
 	"milletbarrow/internal/fleet"
 )
 
-// Pauses before a broken stream is connected again.
+// Bounds of the delay before a broken stream is reconnected.
 const (
-	minReconnectPause = 50 * time.Millisecond
-	maxReconnectPause = 500 * time.Millisecond
+	minReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay = 500 * time.Millisecond
 )
 
-var reconnectBackoff = backoff.Policy{Min: minReconnectPause, Max: maxReconnectPause}
+var reconnectBackoff = backoff.Policy{Min: minReconnectDelay, Max: maxReconnectDelay}
 
 const (
-	// maxSilenceCalls is how long a stream without a line counts as connected, in Bounds.CallTimeout. The server sends
-	// a line every Bounds.CallTimeout.
-	maxSilenceCalls = 4
-	// maxRejectionBody is how much of the body of a rejection is read, in bytes.
+	// maxSilenceFactor is how long a stream without a line counts as connected, as a multiple of
+	// limits.Control.CallTimeout. The server sends at least one line per CallTimeout.
+	maxSilenceFactor = 4
+	// maxRejectionBody is how many bytes of the body of a rejection are read.
 	maxRejectionBody = 4 << 10
 )
 
-// Follow calls handle for the events of a command's stream, or of the complete history if id is empty, that come
-// after a serial. It returns when the command has ended, handle returns false, or ctx ends. It reconnects a broken
-// stream from the last serial for as long as ctx lasts: an agent may be away for a while.
+// Follow calls handle for each event after a serial in a command's stream, or in the complete history if id is empty.
+// It returns when the command is done, handle returns false, the agent rejects the request with status 400 or 404, or
+// ctx ends. It reconnects a broken stream after the last serial read, without a limit on reconnects: an agent may be
+// down for a while.
 func (c *Client) Follow(ctx context.Context, id string, after uint64, handle func(StreamEvent) bool) error {
-	for reconnects := 1; ; reconnects++ { // in a row, without an event
+	for reconnects := 1; ; reconnects++ { // consecutive reconnects without an event
 		finished, err := c.readStream(ctx, id, &after, func(event StreamEvent) bool {
 			reconnects = 1
 			return handle(event)
@@ -44,15 +45,15 @@
 			return err
 		}
 		select {
-		case <-time.After(c.factory.reconnectPause(reconnects)):
+		case <-time.After(c.factory.reconnectDelay(reconnects)):
 		case <-ctx.Done():
 			return c.unreachable(errors.Join(ctx.Err(), err))
 		}
 	}
 }
 
-// readStream connects a stream, reads it to its end, and moves after to the last serial that it read. It reports
-// whether Follow is finished; otherwise the stream broke.
+// readStream opens a stream, reads it to its end, and advances after to the last serial read. It reports whether Follow
+// is finished; if not, the stream broke.
 func (c *Client) readStream(
 	ctx context.Context, id string, after *uint64, handle func(StreamEvent) bool,
 ) (finished bool, err error) {
@@ -63,9 +64,9 @@
 	if err != nil {
 		return true, err
 	}
-	maxSilence := maxSilenceCalls * c.factory.bounds.CallTimeout
-	silence := time.AfterFunc(maxSilence, cancel)
-	defer silence.Stop()
+	maxSilence := maxSilenceFactor * c.factory.bounds.CallTimeout
+	silenceTimer := time.AfterFunc(maxSilence, cancel)
+	defer silenceTimer.Stop()
 	response, err := c.http.Do(request)
 	if err != nil {
 		return false, err
@@ -78,7 +79,7 @@
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, maxResponseFactor*c.factory.bounds.MessageSize)
 	for lines.Scan() {
-		silence.Reset(maxSilence)
+		silenceTimer.Reset(maxSilence)
 		var event StreamEvent
 		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
 			return false, err
--- a/internal/agentapi/follow_test.go
+++ b/internal/agentapi/follow_test.go
@@ -17,9 +17,9 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestFollowCommand holds that a command's stream reports lost entries, brings the command's entries in order, and ends
-// with the command.
-func TestFollowCommand(t *testing.T) {
+// TestFollowReportsLossAndEndsWithCommandDone checks that a command's stream reports lost entries, has the command's
+// entries in order, and ends with the command.
+func TestFollowReportsLossAndEndsWithCommandDone(t *testing.T) {
 	m := newFakeManager()
 	m.commands["c1"] = &fleet.Command{ID: "c1"}
 	for range 3 {
@@ -49,8 +49,9 @@
 	}
 }
 
-// TestFollowReconnects holds that a stream goes on after a restart of its agent, and that each entry comes once.
-func TestFollowReconnects(t *testing.T) {
+// TestFollowResumesAfterAgentRestart checks that a stream resumes after a restart of its agent, and that each entry is
+// handled once.
+func TestFollowResumesAfterAgentRestart(t *testing.T) {
 	m := newFakeManager()
 	for range 3 {
 		m.add("c1", "e", false)
@@ -75,8 +76,8 @@
 	}
 }
 
-// TestFollowUnknownCommand holds that the stream of an unknown command is an error.
-func TestFollowUnknownCommand(t *testing.T) {
+// TestFollowOfUnknownCommandFails checks that following an unknown command is an error.
+func TestFollowOfUnknownCommandFails(t *testing.T) {
 	address, _ := serve(t, newFakeManager(), testBounds())
 	err := newClient(t, address, testBounds()).Follow(t.Context(), "none", 0, func(StreamEvent) bool { return true })
 	if rejection, ok := errors.AsType[*StatusError](err); !ok || rejection.Status != http.StatusNotFound {
@@ -102,13 +103,13 @@
 // lastLine is the event that ends followHistory.
 const lastLine = `{"command":{"id":"last"}}` + "\n"
 
-// TestEventResetsReconnectBackoff holds that streams that break after an event are connected again after the shortest
-// pause, and those without an event after growing pauses.
+// TestEventResetsReconnectBackoff checks that streams that break after an event are reconnected after the minimum
+// delay, and those without an event after growing delays.
 func TestEventResetsReconnectBackoff(t *testing.T) {
 	const streams = 10
 	follow := func(t *testing.T, text string) time.Duration {
 		t.Helper()
-		s := &sequence{}
+		s := &scriptedTransport{}
 		for range streams {
 			s.responses = append(s.responses, textResponse(http.StatusOK, text))
 		}
@@ -120,7 +121,7 @@
 		return elapsed
 	}
 	synctest.Test(t, func(t *testing.T) {
-		const shortest, longest = streams * minReconnectPause, streams * maxReconnectPause
+		const shortest, longest = streams * minReconnectDelay, streams * maxReconnectDelay
 		if elapsed := follow(t, "{}\n"); elapsed < shortest/2 || elapsed > shortest {
 			t.Errorf("%v with events, want %v to %v", elapsed, shortest/2, shortest)
 		}
@@ -130,40 +131,42 @@
 	})
 }
 
-// TestFollowEndsWithContext holds that the end of the context ends the pause between two streams.
+// TestFollowEndsWithContext checks that the end of the context ends the delay before a reconnect.
 func TestFollowEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		errAway := errors.New("away")
-		client := newTransportClient(testBounds(), func(*http.Request) (*http.Response, error) { return nil, errAway })
+		errRefused := errors.New("connection refused")
+		refuse := func(*http.Request) (*http.Response, error) { return nil, errRefused }
+		client := newTransportClient(testBounds(), refuse)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		start := time.Now()
 		err := client.Follow(ctx, "", 0, func(StreamEvent) bool { return true })
-		wantUnreachable(t, err, context.DeadlineExceeded, errAway)
+		wantUnreachable(t, err, context.DeadlineExceeded, errRefused)
 		if elapsed := time.Since(start); elapsed != time.Second {
 			t.Errorf("ended after %v, want 1s", elapsed)
 		}
 	})
 }
 
-// TestSilentStreamIsReconnected holds that a stream without a line for maxSilenceCalls times Bounds.CallTimeout is
-// connected again.
+// TestSilentStreamIsReconnected checks that a stream without a line for maxSilenceFactor times
+// limits.Control.CallTimeout is reconnected.
 func TestSilentStreamIsReconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
 		silent := func(r *http.Request) *http.Response {
 			return newResponse(http.StatusOK, blockUntil{r.Context()})
 		}
-		s := &sequence{responses: []respondFunc{silent, textResponse(http.StatusOK, lastLine)}}
+		s := &scriptedTransport{responses: []respondFunc{silent, textResponse(http.StatusOK, lastLine)}}
 		_, elapsed, err := followHistory(t, b, s.roundTrip)
-		maxSilence := maxSilenceCalls * b.CallTimeout
-		if err != nil || elapsed < maxSilence || elapsed > maxSilence+maxReconnectPause {
-			t.Errorf("%v, want %v and a pause: %v", elapsed, maxSilence, err)
+		maxSilence := maxSilenceFactor * b.CallTimeout
+		if err != nil || elapsed < maxSilence || elapsed > maxSilence+maxReconnectDelay {
+			t.Errorf("%v, want %v and a reconnect delay: %v", elapsed, maxSilence, err)
 		}
 	})
 }
 
-// TestSlowStreamStaysConnected holds that a stream whose lines come in time stays connected, however long it lasts.
+// TestSlowStreamStaysConnected checks that a stream whose lines arrive in time stays connected, however long it
+// lasts.
 func TestSlowStreamStaysConnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
@@ -172,7 +175,7 @@
 			context.AfterFunc(r.Context(), func() { _ = writer.CloseWithError(r.Context().Err()) })
 			go func() {
 				for range 5 {
-					time.Sleep((maxSilenceCalls - 1) * b.CallTimeout) // by the fake clock
+					time.Sleep((maxSilenceFactor - 1) * b.CallTimeout) // of the fake clock
 					if _, err := io.WriteString(writer, "{}\n"); err != nil {
 						return
 					}
@@ -181,7 +184,7 @@
 			}()
 			return newResponse(http.StatusOK, reader)
 		}
-		s := &sequence{responses: []respondFunc{slow}}
+		s := &scriptedTransport{responses: []respondFunc{slow}}
 		events, _, err := followHistory(t, b, s.roundTrip)
 		if err != nil || len(events) != 6 || len(s.queries) != 1 {
 			t.Errorf("%d events of %d streams: %v", len(events), len(s.queries), err)
@@ -189,9 +192,9 @@
 	})
 }
 
-// TestFollowRejections holds that status 400 and 404 end a stream with their reason, of which maxRejectionBody bytes
-// are read.
-func TestFollowRejections(t *testing.T) {
+// TestFollowEndsAtRejectionWithReason checks that Follow ends at status 400 and 404 with the reason in the body, of
+// which maxRejectionBody bytes are read.
+func TestFollowEndsAtRejectionWithReason(t *testing.T) {
 	long := strings.Repeat("x", maxRejectionBody)
 	for _, test := range []struct {
 		status int
@@ -203,7 +206,7 @@
 		{http.StatusNotFound, `{"error":"` + long + `"}`, "status 404"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &sequence{responses: []respondFunc{
+			s := &scriptedTransport{responses: []respondFunc{
 				textResponse(test.status, test.body),
 				textResponse(http.StatusOK, lastLine),
 			}}
@@ -219,14 +222,14 @@
 	}
 }
 
-// TestFollowReconnectsAfterStatus holds that a stream of any other status than 200 is connected again, and that its
-// body brings no events.
-func TestFollowReconnectsAfterStatus(t *testing.T) {
+// TestFollowReconnectsAfterOtherStatus checks that a stream is reconnected after other statuses than 200, 400 and
+// 404, and that the body of such a response has no events.
+func TestFollowReconnectsAfterOtherStatus(t *testing.T) {
 	for _, status := range []int{
 		http.StatusTooManyRequests, http.StatusInternalServerError, http.StatusNoContent,
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &sequence{responses: []respondFunc{
+			s := &scriptedTransport{responses: []respondFunc{
 				textResponse(status, lastLine),
 				textResponse(http.StatusOK, lastLine),
 			}}
@@ -238,24 +241,24 @@
 	}
 }
 
-// TestFollowMalformedLines holds that a stream is connected again after a line that is not JSON or is too long, and
-// that a line below the bound is an event.
-func TestFollowMalformedLines(t *testing.T) {
+// TestFollowReconnectsAfterMalformedLine checks that a stream is reconnected after a line that is not JSON or is too
+// long, and that a line within the size limit is an event.
+func TestFollowReconnectsAfterMalformedLine(t *testing.T) {
 	b := testBounds()
 	b.MessageSize = 4 << 10
 	line := func(size int) string { return `{"entry":{"event":"` + strings.Repeat("x", size) + `"}}` + "\n" }
 	for _, test := range []struct {
 		name    string
 		text    string
-		events  int // with lastLine
-		streams int // with that of lastLine
+		events  int // including lastLine
+		streams int // including the one with lastLine
 	}{
 		{"not JSON", "<p>\n" + `{"serial":9}` + "\n", 1, 2},
 		{"too long", line(maxResponseFactor*b.MessageSize) + `{"serial":9}` + "\n", 1, 2},
 		{"long", line(maxResponseFactor*b.MessageSize/2) + lastLine, 2, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &sequence{responses: []respondFunc{
+			s := &scriptedTransport{responses: []respondFunc{
 				textResponse(http.StatusOK, test.text),
 				textResponse(http.StatusOK, lastLine),
 			}}
@@ -267,11 +270,11 @@
 	}
 }
 
-// TestFollowReconnectsAfterLastSerial holds that a stream is connected again after the last serial that was read,
-// also if lines without a serial came after it.
+// TestFollowReconnectsAfterLastSerial checks that a stream is reconnected after the last serial that was read, also if
+// lines without a serial follow it.
 func TestFollowReconnectsAfterLastSerial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sequence{responses: []respondFunc{
+		s := &scriptedTransport{responses: []respondFunc{
 			textResponse(http.StatusOK, `{"serial":5}`+"\n"+`{"gap":2}`+"\n"),
 			textResponse(http.StatusOK, "{}\n"),
 			textResponse(http.StatusOK, lastLine),
@@ -284,11 +287,12 @@
 	})
 }
 
-// TestFollowEndsWithCommand holds that the event of the ended command is the last one, even if more lines follow.
-func TestFollowEndsWithCommand(t *testing.T) {
+// TestFollowEndsAtCommandDoneEvent checks that the event with the finished command is the last one handled, even if
+// more lines follow.
+func TestFollowEndsAtCommandDoneEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := `{"command":{"id":"c1","state":"` + string(fleet.CommandDone) + `"}}`
-		s := &sequence{responses: []respondFunc{
+		s := &scriptedTransport{responses: []respondFunc{
 			textResponse(http.StatusOK, ended+"\n"+`{"serial":9}`+"\n"),
 		}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/internal/agentapi/helpers_test.go
+++ b/internal/agentapi/helpers_test.go
@@ -22,13 +22,13 @@
 	"milletbarrow/internal/limits"
 )
 
-// fakeManager records requests, and answers as its fields say.
+// fakeManager is a Manager that records calls and returns the values of its fields.
 type fakeManager struct {
-	err error // of requests that can be rejected
+	err error // returned by the methods that can reject a request
 
 	mu       sync.Mutex // guards the fields below
 	requests []CommandRequest
-	calls    []string // of other methods
+	calls    []string // of methods other than Submit
 	commands map[string]*fleet.Command
 	entries  []agentstore.Entry
 	more     chan struct{} // closed at the next entry
@@ -46,7 +46,7 @@
 	return m.err
 }
 
-// add appends an entry of a command, and ends the command if it is done.
+// add appends an entry of a command, and marks the command as done if done is set.
 func (m *fakeManager) add(command, event string, done bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,15 +79,15 @@
 
 func (m *fakeManager) Commands() []*fleet.Command { return []*fleet.Command{{ID: "c2"}, {ID: "c1"}} }
 
-// Entries no longer has the first two entries.
+// Entries returns the entries after a serial. The first two entries are no longer cached.
 func (m *fakeManager) Entries(after uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	const forgotten = 2
-	if after < forgotten && len(m.entries) > forgotten {
-		lost = forgotten - after
+	const evicted = 2
+	if after < evicted && len(m.entries) > evicted {
+		lost = evicted - after
 	}
-	return m.entries[min(max(int(after), forgotten), len(m.entries)):], lost, m.more
+	return m.entries[min(max(int(after), evicted), len(m.entries)):], lost, m.more
 }
 
 func (m *fakeManager) History(after uint64, limit int) ([]agentstore.Entry, error) {
@@ -108,7 +108,7 @@
 
 func (m *fakeManager) Members() []membership.Member { return []membership.Member{{}} }
 
-// testBounds returns the bounds of production with short times.
+// testBounds returns the production bounds with short times.
 func testBounds() limits.Control {
 	b := limits.ForControl()
 	b.CallTimeout = 300 * time.Millisecond
@@ -163,7 +163,7 @@
 	return l.Addr().String()
 }
 
-// newEntry returns a history entry of a command.
+// newEntry returns a history entry for a command.
 func newEntry(serial int, command, event string) agentstore.Entry {
 	return agentstore.Entry{
 		Serial:       uint64(serial),
@@ -171,7 +171,7 @@
 	}
 }
 
-// entriesOf returns entries with the serials from 1 to n.
+// entriesOf returns entries for a command with the serials 1 to n.
 func entriesOf(command string, n int) []agentstore.Entry {
 	entries := make([]agentstore.Entry, n)
 	for i := range entries {
@@ -180,17 +180,17 @@
 	return entries
 }
 
-// fillRetryBudget makes retries available.
+// fillRetryBudget records enough attempts that the retry budget allows retries.
 func fillRetryBudget(f *ClientFactory) {
 	for range 100 {
 		f.retryBudget.RecordAttempt()
 	}
 }
 
-// maxWait is how long a test waits for an event that should come at once.
+// maxWait is how long a test waits for an event that should happen at once.
 const maxWait = 10 * time.Second
 
-// dial connects to a Unix socket until the end of the test.
+// dial connects to a Unix socket. The connection is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -217,17 +217,17 @@
 	}
 	raw, err := io.ReadAll(conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("the connection stays open")
+		t.Error("the server did not close the connection")
 	}
 	return string(raw)
 }
 
-// roundTripFunc is a transport without a network.
+// roundTripFunc is an HTTP transport that calls a function.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// newTransportClient returns a client whose requests go to a function.
+// newTransportClient returns a client that sends its requests to a transport function.
 func newTransportClient(b limits.Control, transport roundTripFunc) *Client {
 	return &Client{factory: NewClientFactory(b, 1), address: "test", http: &http.Client{Transport: transport}}
 }
@@ -236,7 +236,7 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(body)}
 }
 
-// blockUntil is a body without content that blocks until its context ends.
+// blockUntil is a response body without content, whose Read blocks until its context ends.
 type blockUntil struct{ ctx context.Context }
 
 func (b blockUntil) Read([]byte) (int, error) {
@@ -244,8 +244,8 @@
 	return 0, b.ctx.Err()
 }
 
-// sequence answers each request with the next of its responses, and records the queries.
-type sequence struct {
+// scriptedTransport answers each request with the next of its responses, and records the queries.
+type scriptedTransport struct {
 	responses []respondFunc
 	queries   []string
 }
@@ -253,7 +253,7 @@
 // respondFunc returns the response to a request.
 type respondFunc func(*http.Request) *http.Response
 
-func (s *sequence) roundTrip(r *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) roundTrip(r *http.Request) (*http.Response, error) {
 	n := len(s.queries)
 	s.queries = append(s.queries, r.URL.RawQuery)
 	if n >= len(s.responses) {
@@ -267,17 +267,17 @@
 	return func(*http.Request) *http.Response { return newResponse(status, strings.NewReader(text)) }
 }
 
-// recordingWriter is a response that records the flushed lines and the deadlines. Flushing fails after a number of
+// recordingWriter is a response writer that records flushed lines and write deadlines. Flushing fails after failAfter
 // lines.
 type recordingWriter struct {
 	header    http.Header
 	buffered  bytes.Buffer
 	flushed   []string
 	deadlines []time.Time
-	failAfter int // number of lines; below 0: never
+	failAfter int // negative: never
 }
 
-var errGone = errors.New("client is gone")
+var errGone = errors.New("client has disconnected")
 
 func newRecordingWriter(failAfter int) *recordingWriter {
 	return &recordingWriter{header: http.Header{}, failAfter: failAfter}
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -20,20 +20,20 @@
 	"milletbarrow/internal/limits"
 )
 
-// Number of entries that a request for history may ask for.
+// Default and maximum number of entries in the response to a history request.
 const (
 	defaultHistory = 1000
 	maxHistory     = 100_000
 )
 
-// coldStartFactor bounds the body of a cold start's request, in Bounds.MessageSize: it may name each instance of the
-// fleet.
-const coldStartFactor = 4
+// maxColdStartFactor is the maximum size of a cold start request, as a multiple of limits.Control.MessageSize: the
+// request may name every instance of the fleet.
+const maxColdStartFactor = 4
 
-// readTimeoutCalls bounds the reading of a request, in Bounds.CallTimeout.
-const readTimeoutCalls = 2
+// readTimeoutFactor is the timeout for reading a request, as a multiple of limits.Control.CallTimeout.
+const readTimeoutFactor = 2
 
-// Listen listens on an agent's address: unix:PATH, or a loopback address with a port.
+// Listen listens on an agent's address, which is unix:PATH or a loopback address with a port.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	if err := fleet.CheckAddress(address); err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 	return config.Listen(ctx, "tcp", address)
 }
 
-// Serve answers requests on the listener until ctx ends, and closes the listener. It returns an error if the listener
+// Serve serves the API on a listener until ctx ends, and closes the listener. It returns an error if the listener
 // fails.
 func Serve(ctx context.Context, l net.Listener, m Manager, b limits.Control) error {
 	s := &server{
@@ -57,7 +57,7 @@
 	server := &http.Server{
 		Handler:           s.handler(),
 		ReadHeaderTimeout: b.CallTimeout,
-		ReadTimeout:       readTimeoutCalls * b.CallTimeout,
+		ReadTimeout:       readTimeoutFactor * b.CallTimeout,
 		IdleTimeout:       b.IdleTimeout,
 		MaxHeaderBytes:    b.MessageSize,
 	}
@@ -69,15 +69,15 @@
 	return nil
 }
 
-// server is the HTTP server of the API.
+// server handles the HTTP requests of the API.
 type server struct {
 	manager Manager
 	bounds  limits.Control
-	streams chan struct{}   // holds a value for each open stream
-	stopped <-chan struct{} // ends the streams when it is closed
+	streams chan struct{}   // semaphore with one value for each open stream
+	stopped <-chan struct{} // closed to end all streams
 }
 
-// handler returns the handler of all paths.
+// handler returns the handler for all paths.
 func (s *server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", respond(s, func(*http.Request) (Status, error) { return s.manager.Status(), nil }))
@@ -111,7 +111,7 @@
 	return mux
 }
 
-// respond returns a handler that writes the result of get.
+// respond returns a handler that responds with the result of get.
 func respond[T any](s *server, get func(*http.Request) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		value, err := get(r)
@@ -119,16 +119,16 @@
 			s.writeError(w, err)
 			return
 		}
-		_ = s.writeJSON(w, http.StatusOK, value) // fails if the client is gone
+		_ = s.writeJSON(w, http.StatusOK, value) // fails only if the client has disconnected
 	}
 }
 
-// decodeBody reads the body of a request; name names it in errors. An unknown field is an error: ignoring it could
-// change the meaning of the request.
+// decodeBody decodes the body of a request, which errors call name. An unknown field is an error, because ignoring it
+// could change the meaning of the request.
 func decodeBody(r *http.Request, name string, maxBytes int64, into any) error {
-	body := json.NewDecoder(io.LimitReader(r.Body, maxBytes))
-	body.DisallowUnknownFields()
-	if err := body.Decode(into); err != nil {
+	decoder := json.NewDecoder(io.LimitReader(r.Body, maxBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		return &StatusError{Status: http.StatusBadRequest, Text: name + ": " + err.Error()}
 	}
 	return nil
@@ -163,13 +163,13 @@
 
 func (s *server) coldStart(r *http.Request) (struct{}, error) {
 	var command quota.ColdStartCommand
-	if err := decodeBody(r, "cold start request", coldStartFactor*int64(s.bounds.MessageSize), &command); err != nil {
+	if err := decodeBody(r, "cold start request", maxColdStartFactor*int64(s.bounds.MessageSize), &command); err != nil {
 		return struct{}{}, err
 	}
 	return struct{}{}, s.manager.ColdStart(r.Context(), command)
 }
 
-// parseAfter returns the serial after which entries are requested; 0 without one.
+// parseAfter returns the serial after which entries are requested, or 0 if the request has none.
 func parseAfter(r *http.Request) (uint64, error) {
 	text := r.URL.Query().Get("after")
 	if text == "" {
@@ -185,7 +185,7 @@
 	return after, nil
 }
 
-// parseLimit returns how many entries are requested; defaultHistory without a number.
+// parseLimit returns how many entries are requested, or defaultHistory if the request has no number.
 func parseLimit(r *http.Request) (int, error) {
 	text := r.URL.Query().Get("most")
 	if text == "" {
@@ -201,13 +201,13 @@
 	return limit, nil
 }
 
-// errorBody is the body of a rejection.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// statusOf returns the HTTP status of an error. A command that the state machine rejects for its content is
-// unprocessable.
+// statusOf returns the HTTP status for an error. Errors without a status of their own get 422, such as those of
+// commands that the state machine rejects because of their content.
 func statusOf(err error) int {
 	if rejection, ok := errors.AsType[*StatusError](err); ok {
 		return rejection.Status
@@ -224,10 +224,11 @@
 }
 
 func (s *server) writeError(w http.ResponseWriter, err error) {
-	_ = s.writeJSON(w, statusOf(err), errorBody{Error: err.Error()}) // fails if the client is gone
+	_ = s.writeJSON(w, statusOf(err), errorBody{Error: err.Error()}) // fails only if the client has disconnected
 }
 
-// writeJSON writes a response. An error means that the client is gone.
+// writeJSON writes a response, which the client must read within limits.Control.CallTimeout. An error means that the
+// client has disconnected or is too slow.
 func (s *server) writeJSON(w http.ResponseWriter, status int, value any) error {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.bounds.CallTimeout))
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/agentapi/server_test.go
+++ b/internal/agentapi/server_test.go
@@ -20,7 +20,8 @@
 
 const statusRequest = "GET /v1/status HTTP/1.1\r\nHost: agent\r\n\r\n"
 
-// TestConnectionsAreBounded holds that beyond Bounds.Connections a connection waits until another one is closed.
+// TestConnectionsAreBounded checks that a connection beyond limits.Control.Connections waits until another one is
+// closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	b := testBounds()
 	b.Connections = 1
@@ -35,16 +36,16 @@
 	_ = second.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	lines := bufio.NewReader(second)
 	if line, err := lines.ReadString('\n'); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("served beside the first: %q %v", line, err)
+		t.Errorf("served while the first connection is open: %q %v", line, err)
 	}
 	_ = first.Close()
 	_ = second.SetReadDeadline(time.Now().Add(maxWait))
 	if line, err := lines.ReadString('\n'); err != nil || strings.TrimSpace(line) != "HTTP/1.1 200 OK" {
-		t.Errorf("after the first: %q %v", line, err)
+		t.Errorf("after the first connection was closed: %q %v", line, err)
 	}
 }
 
-// TestSlowRequestIsClosed holds that the connection of a request that is not complete in time is closed.
+// TestSlowRequestIsClosed checks that a connection is closed if its request is not complete in time.
 func TestSlowRequestIsClosed(t *testing.T) {
 	b := testBounds()
 	b.CallTimeout = 50 * time.Millisecond
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestIdleConnectionIsClosed holds that a connection without a request is closed after Bounds.IdleTimeout.
+// TestIdleConnectionIsClosed checks that an idle connection is closed after limits.Control.IdleTimeout.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	b := testBounds()
 	b.CallTimeout = 4 * maxWait
@@ -74,7 +75,7 @@
 	}
 }
 
-// TestHeaderSizeIsBounded holds that a header far beyond Bounds.MessageSize is rejected.
+// TestHeaderSizeIsBounded checks that a header far beyond limits.Control.MessageSize is rejected.
 func TestHeaderSizeIsBounded(t *testing.T) {
 	b := testBounds()
 	b.MessageSize = 1 << 10
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestColdStartSizeIsBounded holds that the request of a cold start may have some times Bounds.MessageSize, and no
-// more.
+// TestColdStartSizeIsBounded checks that a cold start request may exceed limits.Control.MessageSize, but not by more
+// than maxColdStartFactor.
 func TestColdStartSizeIsBounded(t *testing.T) {
 	b := testBounds()
 	b.MessageSize = 1 << 10
@@ -113,7 +114,7 @@
 	}
 }
 
-// handle has a server without a listener handle a request.
+// handle passes a request to the handler of a server without a listener, and returns the response.
 func handle(t *testing.T, s *server, method, path, body string) *httptest.ResponseRecorder {
 	t.Helper()
 	response := httptest.NewRecorder()
@@ -122,9 +123,9 @@
 	return response
 }
 
-// TestHistoryDefaults holds that a request for history without parameters gets a thousand entries from the beginning,
-// and that the largest parameters are accepted.
-func TestHistoryDefaults(t *testing.T) {
+// TestHistoryAcceptsDefaultAndLargestParameters checks that a history request without parameters asks for the latest
+// 1000 entries of the complete history, and that the largest parameters are accepted.
+func TestHistoryAcceptsDefaultAndLargestParameters(t *testing.T) {
 	m := newFakeManager()
 	s := &server{manager: m, bounds: testBounds()}
 	for _, query := range []string{"", "?most=1", "?most=100000&after=18446744073709551615"} {
@@ -139,7 +140,7 @@
 	}
 }
 
-// TestResponseHasWriteDeadline holds that a response has to be read within Bounds.CallTimeout.
+// TestResponseHasWriteDeadline checks that the client has limits.Control.CallTimeout to read a response.
 func TestResponseHasWriteDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := testBounds()
@@ -152,11 +153,12 @@
 	})
 }
 
-// TestMalformedRequests holds that malformed requests are rejected with a reason, and do not reach the manager.
-func TestMalformedRequests(t *testing.T) {
+// TestMalformedRequestsAreRejected checks that malformed requests are rejected with a reason and do not reach
+// the manager.
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	m := newFakeManager()
 	b := testBounds()
-	b.CallTimeout = maxWait // the test does not depend on time, and one body has a megabyte
+	b.CallTimeout = maxWait // long, because one body has a megabyte and no case depends on time
 	address := freeLoopbackAddress(t)
 	serveAt(t, address, m, b)
 	long := `{"id":"` + strings.Repeat("x", b.MessageSize) + `"}`
@@ -194,7 +196,7 @@
 	}
 }
 
-// request makes a request and returns the status and the body of its response.
+// request sends a request, and returns the status and the body of the response.
 func request(t *testing.T, method, url, body string) (status int, text string) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -213,8 +215,8 @@
 	return response.StatusCode, string(raw)
 }
 
-// TestListenIsLocal holds that an agent listens on no address that other machines reach.
-func TestListenIsLocal(t *testing.T) {
+// TestListenRejectsNonLocalAddress checks that an agent does not listen on addresses that other hosts can reach.
+func TestListenRejectsNonLocalAddress(t *testing.T) {
 	for _, address := range []string{"0.0.0.0:0", "example.org:80", "unix:relative", ""} {
 		if l, err := Listen(t.Context(), address); err == nil {
 			t.Errorf("listens on %q", address)
--- a/internal/agentapi/stream.go
+++ b/internal/agentapi/stream.go
@@ -8,11 +8,11 @@
 	"milletbarrow/internal/fleet"
 )
 
-// errTooManyStreams rejects a stream beyond Bounds.Watchers.
+// errTooManyStreams rejects a stream beyond limits.Control.Watchers.
 var errTooManyStreams = &StatusError{Status: http.StatusTooManyRequests, Text: "too many open streams"}
 
-// stream sends history entries as they come: all of them, or those of one command, whose last line has its results. A
-// client can reconnect after the last serial that it has read.
+// stream sends history entries as they are added: either all entries or those of one command. The last line of a
+// command's stream has the command with its results. A client can reconnect after the last serial that it has read.
 func (s *server) stream(w http.ResponseWriter, r *http.Request) {
 	select {
 	case s.streams <- struct{}{}:
@@ -26,7 +26,7 @@
 		s.writeError(w, err)
 		return
 	}
-	if _, err := parseLimit(r); err != nil { // a stream has no limit; an invalid one is rejected all the same
+	if _, err := parseLimit(r); err != nil { // a stream ignores the limit, but an invalid one is rejected
 		s.writeError(w, err)
 		return
 	}
@@ -65,28 +65,28 @@
 	}
 }
 
-// streamWriter sends one stream.
+// streamWriter writes the lines of one stream.
 type streamWriter struct {
 	manager   Manager
 	commandID string // empty: the complete history
-	after     uint64 // the last serial that was sent or left out
+	after     uint64 // the last serial that was sent or skipped
 	encoder   *json.Encoder
 	control   *http.ResponseController
-	timeout   time.Duration // to send one line
+	timeout   time.Duration // for writing one line
 }
 
-// send sends one line, and reports whether the client took it in time.
+// send writes one line, and reports whether the client read it in time.
 func (s *streamWriter) send(event StreamEvent) bool {
-	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout)) // after an error, writing fails too
+	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout)) // if this fails, so does writing
 	return s.encoder.Encode(event) == nil && s.control.Flush() == nil
 }
 
-// sendNew sends the entries that the client lacks. It returns a channel that is closed at the next entry, and whether
-// the stream goes on.
+// sendNew sends the entries after the last serial sent. It returns a channel that is closed when the next entry is
+// added, and whether the stream continues.
 func (s *streamWriter) sendNew() (more <-chan struct{}, ok bool) {
 	for {
 		var command *fleet.Command
-		if s.commandID != "" { // read before the entries, so that its last entry comes before the last line
+		if s.commandID != "" { // read before the entries, so that its last entry is sent before the last line
 			command = s.manager.Command(s.commandID)
 			if command == nil {
 				return nil, false
--- a/internal/agentapi/stream_test.go
+++ b/internal/agentapi/stream_test.go
@@ -19,8 +19,8 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestHeartbeat holds that a stream without entries brings empty lines.
-func TestHeartbeat(t *testing.T) {
+// TestStreamWithoutEntriesSendsHeartbeats checks that a stream without entries consists of empty events.
+func TestStreamWithoutEntriesSendsHeartbeats(t *testing.T) {
 	address, _ := serve(t, newFakeManager(), testBounds())
 	heartbeats := 0
 	err := newClient(t, address, testBounds()).Follow(t.Context(), "", 0, func(e StreamEvent) bool {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestStreamsAreBounded holds that a stream beyond Bounds.Watchers is rejected, and that one is accepted once another
-// has ended.
+// TestStreamsAreBounded checks that a stream beyond limits.Control.Watchers is rejected, and that one is accepted once
+// another has ended.
 func TestStreamsAreBounded(t *testing.T) {
 	b := testBounds()
 	b.Watchers = 1
@@ -68,7 +68,7 @@
 	})
 }
 
-// streamTo sends a stream until it ends, at most for a minute, and returns its duration by the fake clock.
+// streamTo serves a stream until it ends, for at most a minute, and returns its duration by the fake clock.
 func streamTo(t *testing.T, s *server, w http.ResponseWriter, query string) time.Duration {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -78,7 +78,7 @@
 	return time.Since(start)
 }
 
-// newStreamServer returns a server without a listener that allows one stream.
+// newStreamServer returns a server without a listener that allows one stream at a time.
 func newStreamServer(m Manager, stopped <-chan struct{}) *server {
 	return &server{
 		manager: m,
@@ -88,15 +88,15 @@
 	}
 }
 
-// TestStreamEndsWithClient holds that a stream ends at once with its request, between two heartbeats, and allows
-// another one.
+// TestStreamEndsWithClient checks that a stream ends as soon as its request does, even between two heartbeats, and
+// then frees its place for another one.
 func TestStreamEndsWithClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStreamServer(newFakeManager(), nil)
 		ctx, cancel := context.WithTimeout(t.Context(), s.bounds.CallTimeout/2)
 		defer cancel()
 		start := time.Now()
-		w := newRecordingWriter(1) // ends the stream at its second heartbeat at the latest
+		w := newRecordingWriter(1) // makes the stream end at its second heartbeat at the latest
 		s.stream(w, httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/stream", nil))
 		if elapsed := time.Since(start); elapsed != s.bounds.CallTimeout/2 || len(s.streams) != 0 {
 			t.Errorf("ended after %v, %d streams are open", elapsed, len(s.streams))
@@ -104,7 +104,7 @@
 	})
 }
 
-// TestStreamEndsWithServer holds that a stream ends at once when the server stops.
+// TestStreamEndsWithServer checks that a stream ends at once when the server stops.
 func TestStreamEndsWithServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stopped := make(chan struct{})
@@ -116,8 +116,8 @@
 	})
 }
 
-// TestStreamEndsAtFailedHeartbeat holds that a heartbeat that the client does not read ends the stream, and that each
-// line has its own deadline.
+// TestStreamEndsAtFailedHeartbeat checks that a stream ends at a heartbeat that the client does not read, and that
+// each line has its own write deadline.
 func TestStreamEndsAtFailedHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStreamServer(newFakeManager(), nil)
@@ -133,8 +133,8 @@
 	})
 }
 
-// TestStreamEndsAtFailedLine holds that a report of lost entries or an entry that the client does not read ends the
-// stream.
+// TestStreamEndsAtFailedLine checks that a stream ends at a report of lost entries or an entry that the client does
+// not read.
 func TestStreamEndsAtFailedLine(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestStreamSendsAllPages holds that all present entries are sent at once, however many the manager returns at a time,
-// and later ones as they come.
+// TestStreamSendsAllPages checks that all existing entries are sent at once, even if the manager returns them in
+// several pages, and later entries when they are added.
 func TestStreamSendsAllPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &pagedManager{fakeManager: newFakeManager(), pageSize: 2}
@@ -182,8 +182,8 @@
 	})
 }
 
-// TestStreamOfDeletedCommandEnds holds that the stream of a command that the agent has deleted ends without a last
-// line.
+// TestStreamOfDeletedCommandEnds checks that the stream of a command ends without a last line once the agent has
+// deleted the command.
 func TestStreamOfDeletedCommandEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newFakeManager()
