--- a/internal/agentapi/api.go
+++ b/internal/agentapi/api.go
@@ -24,7 +24,7 @@
 	Kind                fleet.CommandKind          `json:"kind"`
 	Instances           []string                   `json:"names"`
 	RequestedBy         string                     `json:"by"`
-	RequestedUnixMicros int64                      `json:"asked_unix_us"` // by the client's wall clock; for display only
+	RequestedUnixMicros int64                      `json:"asked_unix_us"` // by the client's wall clock, for display
 	TimeoutMicros       int64                      `json:"within_us"`     // from its arrival, by the agent's clock
 	Immediate           bool                       `json:"now,omitempty"`
 	RollingUpdate       *fleet.RollingUpdateConfig `json:"terms,omitempty"` // nil for other kinds of command
--- a/internal/agentapi/server.go
+++ b/internal/agentapi/server.go
@@ -163,7 +163,8 @@
 
 func (s *server) coldStart(r *http.Request) (struct{}, error) {
 	var command quota.ColdStartCommand
-	if err := decodeBody(r, "cold start request", maxColdStartFactor*int64(s.bounds.MessageSize), &command); err != nil {
+	maxBytes := maxColdStartFactor * int64(s.bounds.MessageSize)
+	if err := decodeBody(r, "cold start request", maxBytes, &command); err != nil {
 		return struct{}{}, err
 	}
 	return struct{}{}, s.manager.ColdStart(r.Context(), command)
