--- a/internal/supervisor/api.go
+++ b/internal/supervisor/api.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// longPollTimeout is how long a request for a report may wait for a change.
+	// longPollTimeout is how long a report request may wait for a change.
 	longPollTimeout = 10 * time.Second
-	// requestTimeout bounds a request with its response, of which a long poll is the longest.
+	// requestTimeout is the timeout for reading a request and for writing its response. It exceeds longPollTimeout.
 	requestTimeout = 2 * longPollTimeout
-	// arrivalsInterval is the least time between two reports that differ in the number of arrivals alone.
+	// arrivalsInterval is the minimum time between two published reports that differ only in the number of arrivals.
 	arrivalsInterval = monotime.Second
 )
 
-// Report is what a supervisor reports about its instance. Agents of other releases read its JSON.
+// Report is a supervisor's report on its instance. Agents of other releases read it as JSON.
 type Report struct {
 	Version     int               `json:"version"`
-	Serial      int               `json:"serial"` // grows with each change that is published
+	Serial      int               `json:"serial"` // increases with each published change
 	Observation fleet.Observation `json:"sight"`
-	State       *admin.State      `json:"state,omitempty"` // the instance's latest answer; nil: none yet
+	State       *admin.State      `json:"state,omitempty"` // the instance's latest response; nil: none yet
 	Record      State             `json:"life"`
 }
 
-// ActionRequest is a request of the agent to perform an action. Agents of other releases write its JSON.
+// ActionRequest is an agent's request to perform an action. Agents of other releases write it as JSON.
 type ActionRequest struct {
 	ActionID    string           `json:"step"`
 	Incarnation string           `json:"run"`
 	Action      fleet.ActionKind `json:"what"`  // fleet.ActionNotify or fleet.ActionKill
-	Cause       string           `json:"cause"` // of a kill
+	Cause       string           `json:"cause"` // why the instance is killed; only for fleet.ActionKill
 }
 
-// reportKey has the parts of a report whose change is published at once.
+// reportKey has the parts of a report of which each change is published at once.
 type reportKey struct {
 	phase    fleet.Phase
 	cause    string
@@ -48,15 +48,15 @@
 	level    string
 }
 
-// publishedReport is what the waiting requests were last woken for.
+// publishedReport has the parts of the latest published report with which the next one is compared.
 type publishedReport struct {
 	reportKey
 	arrivals int
 	at       monotime.Micros
 }
 
-// publishIfChanged publishes the report if its key has changed, or its number of arrivals and arrivalsInterval has
-// passed. The caller holds s.mu.
+// publishIfChanged publishes the report if its key has changed, or if its number of arrivals has changed and
+// arrivalsInterval has passed. The caller holds s.mu.
 func (s *supervisor) publishIfChanged(now monotime.Micros) {
 	phase, cause := s.monitor.Phase(now)
 	current := publishedReport{
@@ -75,14 +75,14 @@
 	}
 }
 
-// publish wakes the requests that wait for a change of the report. The caller holds s.mu.
+// publish increases the serial of the report and wakes the requests that wait for a change. The caller holds s.mu.
 func (s *supervisor) publish() {
 	s.serial++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// report returns the present report, and a channel that is closed at its next change.
+// report returns the current report, and a channel that is closed at the next change.
 func (s *supervisor) report() (Report, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	}, s.changed
 }
 
-// observation returns what the agent's state machine gets to know of the instance. The caller holds s.mu.
+// observation returns the observation of the instance for the agent's state machine. The caller holds s.mu.
 func (s *supervisor) observation(now monotime.Micros) fleet.Observation {
 	o := fleet.Observation{Incarnation: s.record.Incarnation, NoticeID: s.record.NoticeID}
 	if s.record.Ended {
@@ -115,7 +115,7 @@
 	return o
 }
 
-// handler returns the handler of the supervisor's socket.
+// handler returns the HTTP handler for the supervisor's socket.
 func (s *supervisor) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/report", s.handleReport)
@@ -123,10 +123,10 @@
 	return mux
 }
 
-// handleReport answers with the first report whose serial is above the parameter "after", or with the present one
+// handleReport responds with the first report whose serial exceeds the parameter "after", or with the current report
 // after longPollTimeout.
 func (s *supervisor) handleReport(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.Atoi(r.URL.Query().Get("after")) // not a number: answered as 0
+	after, _ := strconv.Atoi(r.URL.Query().Get("after")) // 0 if it is not a number
 	timeout := time.NewTimer(longPollTimeout)
 	defer timeout.Stop()
 	report, changed := s.report()
@@ -144,11 +144,12 @@
 	if err := json.NewEncoder(w).Encode(report); err != nil || report.Observation.Phase != fleet.PhaseExited {
 		return
 	}
-	_ = http.NewResponseController(w).Flush() // the response goes out in any case, at the latest when this returns
+	_ = http.NewResponseController(w).Flush() // without it, the response is sent when this function returns
 	s.markExitFetched()
 }
 
-// handleAction performs a notice or a kill. It rejects other actions, and those on another incarnation.
+// handleAction performs a requested shutdown notice or kill. It rejects other actions, and actions on another
+// incarnation.
 func (s *supervisor) handleAction(w http.ResponseWriter, r *http.Request) {
 	var request ActionRequest
 	body := io.LimitReader(r.Body, int64(s.options.Bounds.MessageSize))
@@ -163,7 +164,7 @@
 	}
 	switch request.Action {
 	case fleet.ActionNotify:
-		_ = s.takeNotice(request.ActionID) // the error is logged, and the instance is notified all the same
+		_ = s.acceptNotice(request.ActionID) // the error is logged, and the instance is notified all the same
 	case fleet.ActionKill:
 		s.kill(request.Cause)
 	default:
--- a/internal/supervisor/api_test.go
+++ b/internal/supervisor/api_test.go
@@ -13,9 +13,9 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestActionRequests holds that requests for another incarnation and unknown actions change nothing, and that of two
-// notices the first one is recorded.
-func TestActionRequests(t *testing.T) {
+// TestInvalidAndRepeatedActionRequestsChangeNothing checks that requests on another incarnation, unknown actions and
+// malformed requests change nothing, and that the first of two notices is recorded.
+func TestInvalidAndRepeatedActionRequestsChangeNothing(t *testing.T) {
 	s := newClaimedSupervisor(t)
 	send := func(body string) int {
 		w := httptest.NewRecorder()
@@ -31,7 +31,7 @@
 	}{
 		{"notice for another incarnation", `{"step":"s0","run":"r1","what":"tell"}`, http.StatusConflict, ""},
 		{"kill of another incarnation", `{"step":"s0","run":"r1","what":"kill"}`, http.StatusConflict, ""},
-		{"unknown action", `{"step":"s0","run":"r2","what":"dance"}`, http.StatusBadRequest, ""},
+		{"unknown action", `{"step":"s0","run":"r2","what":"unknown"}`, http.StatusBadRequest, ""},
 		{"incomplete JSON", `{"step":`, http.StatusBadRequest, ""},
 		{"first notice", `{"step":"s1","run":"r2","what":"tell"}`, http.StatusAccepted, "s1"},
 		{"second notice", `{"step":"s2","run":"r2","what":"tell"}`, http.StatusAccepted, "s1"},
@@ -46,7 +46,8 @@
 	}
 }
 
-// TestReportWaitsForChange holds that a request for a report newer than the present one waits for a change and gets it.
+// TestReportWaitsForChange checks that a request for a report newer than the current one waits for the next change
+// and gets that report.
 func TestReportWaitsForChange(t *testing.T) {
 	s := newClaimedSupervisor(t)
 	server := httptest.NewServer(s.handler())
@@ -67,10 +68,10 @@
 	short, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if r, err := get(short, "0"); err == nil {
-		t.Fatalf("a report without a change: %+v", r)
+		t.Fatalf("got a report without a change: %+v", r)
 	}
 	if r, err := get(t.Context(), "-1"); err != nil || r.Serial != 0 || r.Record.Incarnation != "r2" {
-		t.Fatalf("the present report: %+v, %v", r, err)
+		t.Fatalf("current report: %+v, %v", r, err)
 	}
 	time.AfterFunc(20*time.Millisecond, func() { s.recordExit(fleet.Exit{Code: 7}) })
 	r, err := get(t.Context(), "0")
--- a/internal/supervisor/claim.go
+++ b/internal/supervisor/claim.go
@@ -8,8 +8,8 @@
 	"milletbarrow/internal/process"
 )
 
-// claim decides by the state file whether the incarnation can be started or adopted, and records this supervisor as
-// the one in charge. It writes nothing if the incarnation has ended already: then s.record.Ended is set.
+// claim checks by the state file whether the incarnation can be started or adopted, and records this process there as
+// its supervisor. If the incarnation has already ended, claim sets s.record.Ended and writes nothing.
 func (s *supervisor) claim() error {
 	o := s.options
 	self, err := process.Of(os.Getpid())
@@ -24,14 +24,14 @@
 	running := !previous.Ended && previous.Instance.Alive()
 	switch {
 	case sameIncarnation && running && !o.Adopt:
-		return s.conflict(fmt.Sprintf("runs as process %v without a supervisor; expected a request to adopt it",
+		return s.conflict(fmt.Sprintf("already runs as process %v without a supervisor: adopt it instead",
 			previous.Instance))
 	case sameIncarnation:
 		s.record = previous
 		s.monitor.NoticeID = previous.NoticeID
 		s.monitor.NotifiedAt = previous.NotifiedAt
 	case o.Adopt:
-		return s.conflict("no such incarnation to adopt")
+		return s.conflict("the state file has no such incarnation to adopt")
 	case running:
 		return s.conflict(fmt.Sprintf("incarnation %s still runs as process %v",
 			previous.Incarnation, previous.Instance))
@@ -45,7 +45,7 @@
 	return s.record.write(s.paths.State)
 }
 
-// conflict returns the error of a claim that the state file does not allow.
+// conflict returns the error for a claim that the state file does not allow.
 func (s *supervisor) conflict(reason string) error {
 	return &StateConflictError{Name: s.options.Name, Incarnation: s.options.Incarnation, Reason: reason}
 }
--- a/internal/supervisor/claim_test.go
+++ b/internal/supervisor/claim_test.go
@@ -8,9 +8,9 @@
 	"milletbarrow/internal/process"
 )
 
-// TestClaim holds that no incarnation is started while another one runs, that none is adopted that does not exist, and
-// that one that has ended is not started again.
-func TestClaim(t *testing.T) {
+// TestClaimAllowsOneRunningIncarnation checks that no incarnation is started while another one runs, that an
+// incarnation that the state file does not have is not adopted, and that one that has ended is not started again.
+func TestClaimAllowsOneRunningIncarnation(t *testing.T) {
 	alive := self(t)
 	gone := process.Identity{PID: alive.PID, Start: alive.Start + 1}
 	for _, test := range []struct {
@@ -19,7 +19,7 @@
 		adopt    bool
 		conflict bool
 		ended    bool
-		instance process.Identity // of the record after the claim
+		instance process.Identity // in the record after the claim
 	}{
 		{
 			name: "no state file",
@@ -41,7 +41,7 @@
 			conflict: true,
 		},
 		{
-			name:     "another incarnation is gone",
+			name:     "process of another incarnation is gone",
 			previous: &State{Name: "n1", Incarnation: "r1", Instance: gone},
 		},
 		{
@@ -49,24 +49,24 @@
 			previous: &State{Name: "n1", Incarnation: "r1", Instance: alive, Ended: true},
 		},
 		{
-			name:     "it runs without a supervisor",
+			name:     "already running without a supervisor",
 			previous: &State{Name: "n1", Incarnation: "r2", Instance: alive},
 			conflict: true,
 		},
 		{
-			name:     "it runs, to adopt",
+			name:     "running, to adopt",
 			previous: &State{Name: "n1", Incarnation: "r2", Instance: alive},
 			adopt:    true,
 			instance: alive,
 		},
 		{
-			name:     "it has ended",
+			name:     "already ended",
 			previous: &State{Name: "n1", Incarnation: "r2", Instance: alive, Ended: true},
 			ended:    true,
 			instance: alive,
 		},
 		{
-			name:     "it was never started",
+			name:     "claimed but never started",
 			previous: &State{Name: "n1", Incarnation: "r2"},
 		},
 	} {
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestClaimKeepsTheNotice holds that a supervisor that adopts an instance counts from the notice that the previous
-// supervisor took.
-func TestClaimKeepsTheNotice(t *testing.T) {
+// TestAdoptionKeepsRecordedNotice checks that a supervisor that adopts an instance counts from the notice that the
+// previous supervisor recorded.
+func TestAdoptionKeepsRecordedNotice(t *testing.T) {
 	previous := &State{
 		Name: "n1", Incarnation: "r2", Instance: self(t), NoticeID: "s1", NotifiedAt: 5 * second,
 	}
@@ -108,11 +108,12 @@
 		t.Errorf("notified by %q at %d", s.monitor.NoticeID, s.monitor.NotifiedAt)
 	}
 	if s.monitor.RecordNotice(6*second, "s2") {
-		t.Error("a second notice was taken")
+		t.Error("a second notice was recorded as the first")
 	}
 }
 
-// TestLockIsExclusive holds that one supervisor at a time has the lock, and the next one can take it after its release.
+// TestLockIsExclusive checks that only one supervisor at a time holds the lock, and that another one can acquire it
+// after its release.
 func TestLockIsExclusive(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n1.lock")
 	first, err := lock(path)
--- a/internal/supervisor/client.go
+++ b/internal/supervisor/client.go
@@ -9,18 +9,18 @@
 	"milletbarrow/internal/limits"
 )
 
-// Client calls the supervisor of one instance. It may be used by several goroutines.
+// Client calls the supervisor of one instance. It is safe for concurrent use.
 type Client struct {
 	http   *http.Client
 	bounds limits.Control
 }
 
-// NewClient returns a client for the supervisor of the named instance, under the agent's directory.
+// NewClient returns a client for the supervisor of the named instance. dir is the agent's directory.
 func NewClient(dir, name string, b limits.Control) *Client {
 	return &Client{http: jsonhttp.Client("unix:"+PathsOf(dir, name).Socket, b), bounds: b}
 }
 
-// Report waits for a report whose serial is above after, and returns the present one after longPollTimeout.
+// Report returns the first report whose serial exceeds after, or the current report after longPollTimeout.
 func (c *Client) Report(ctx context.Context, after int) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, longPollTimeout+c.bounds.CallTimeout)
 	defer cancel()
@@ -30,7 +30,7 @@
 	return r, err
 }
 
-// Request has the supervisor perform an action. It returns within limits.Control.CallTimeout.
+// Request requests the supervisor to perform an action. It returns within limits.Control.CallTimeout.
 func (c *Client) Request(ctx context.Context, r ActionRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, c.bounds.CallTimeout)
 	defer cancel()
--- a/internal/supervisor/compat_test.go
+++ b/internal/supervisor/compat_test.go
@@ -11,7 +11,7 @@
 	"milletbarrow/internal/process"
 )
 
-// TestEarlierFormats holds that JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON that an earlier release wrote, with each field set, is read and written the same.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Report](t, "Report.json")
 	compattest.RoundTrip[ActionRequest](t, "Order.json")
@@ -19,7 +19,7 @@
 	compattest.RoundTrip[State](t, "state.json")
 }
 
-// stateOfBoot copies the state file of an earlier release, as if written in the given boot of the machine.
+// stateOfBoot returns a copy of an earlier release's state file with the given boot ID.
 func stateOfBoot(t *testing.T, boot string) (file string, content []byte) {
 	t.Helper()
 	written := compattest.Read(t, "state.json")
@@ -37,9 +37,9 @@
 	return file, content
 }
 
-// TestEarlierState holds that the state file of an earlier release is read: in the same boot of the machine its
-// instance runs, and in a later one it has ended.
-func TestEarlierState(t *testing.T) {
+// TestStateFileOfEarlierReleaseIsRead checks that the state file of an earlier release is read: its instance runs
+// if the host was not rebooted since, and has ended otherwise.
+func TestStateFileOfEarlierReleaseIsRead(t *testing.T) {
 	file, content := stateOfBoot(t, process.Boot())
 	state, err := ReadState(file)
 	if err != nil {
--- a/internal/supervisor/doc.go
+++ b/internal/supervisor/doc.go
@@ -1,4 +1,4 @@
-// Package supervisor is the process beside each instance that outlives the agent. It starts the instance, passes the
-// shutdown notice on, enforces the shutdown window, and records how the instance ended. Monitor decides; it does no
-// I/O and reads no clock.
+// Package supervisor implements the supervisor process of an instance, which keeps running while the agent is down or
+// restarts. It starts the instance, forwards the shutdown notice to it, enforces the shutdown window, and records how
+// the instance ended. Monitor makes the decisions; it does no I/O and reads no clock.
 package supervisor
--- a/internal/supervisor/errors.go
+++ b/internal/supervisor/errors.go
@@ -6,17 +6,17 @@
 )
 
 var (
-	// ErrNoState reports that no supervisor has written a state file: no instance was started.
+	// ErrNoState reports that there is no state file: no supervisor has started the instance.
 	ErrNoState = errors.New("no supervisor has written its state")
-	// ErrLocked reports that another supervisor is in charge of the instance.
+	// ErrLocked reports that another supervisor holds the lock of the instance.
 	ErrLocked = errors.New("another supervisor holds the instance")
 	// ErrNoCommand reports that WaitAndExec was called without a command.
 	ErrNoCommand = errors.New("no command to execute")
-	// ErrSupervisorGone reports that the supervisor ended before it had recorded the launcher's process.
+	// ErrSupervisorGone reports that the supervisor ended before it recorded the launcher's process.
 	ErrSupervisorGone = errors.New("the supervisor ended before it recorded this process")
 )
 
-// SocketPathError reports a socket whose path is longer than the system allows.
+// SocketPathError reports a socket path that is longer than the system allows.
 type SocketPathError struct{ Path string }
 
 func (e *SocketPathError) Error() string {
@@ -37,10 +37,10 @@
 // Unwrap returns the cause.
 func (e *StateFileError) Unwrap() error { return e.Err }
 
-// VersionError reports a format version that a newer build wrote.
+// VersionError reports a format version that only newer builds can read.
 type VersionError struct {
 	Version int // found
-	Known   int // the latest that this build reads
+	Known   int // the latest version that this build reads
 }
 
 func (e *VersionError) Error() string {
@@ -50,7 +50,7 @@
 // StateConflictError reports that the state file does not allow a supervisor to start or adopt an incarnation.
 type StateConflictError struct {
 	Name        string // of the instance
-	Incarnation string // the incarnation that was to be started or adopted
+	Incarnation string // to be started or adopted
 	Reason      string
 }
 
--- a/internal/supervisor/exit.go
+++ b/internal/supervisor/exit.go
@@ -9,14 +9,14 @@
 	"milletbarrow/monotime"
 )
 
-// exitFetchTimeout is how long a supervisor stays after the exit, so that a waiting agent learns of it at once.
-// Later the agent reads it from the state file.
+// exitFetchTimeout is how long a supervisor keeps running after the exit of its instance, so that a waiting agent gets
+// the report of the exit at once. After that, the agent reads the exit from the state file.
 const exitFetchTimeout = 500 * time.Millisecond
 
 // killedExitCode is the exit code of an instance that was killed.
 const killedExitCode = -1
 
-// recordExit writes to the state file how the instance ended.
+// recordExit records in the state file how the instance ended, and publishes the report.
 func (s *supervisor) recordExit(exit fleet.Exit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,7 @@
 	}
 	s.record.Ended = true
 	s.record.End = exit
-	_ = s.writeRecord() // writeRecord logs the error; callers of the socket learn of the exit
+	_ = s.writeRecord() // the error is logged; the report has the exit all the same
 	slog.Info("ended", "name", s.options.Name, "run", s.options.Incarnation, "how", exit.String(),
 		"after_ms", exit.DrainTime/monotime.Millisecond)
 	s.publish()
@@ -43,11 +43,11 @@
 	s.exitFetchedOnce.Do(func() { close(s.exitFetched) })
 }
 
-// awaitExitFetched waits until an agent has fetched the report of the exit, at most for exitFetchTimeout.
+// awaitExitFetched waits until an agent has fetched the report of the exit, for at most exitFetchTimeout.
 func (s *supervisor) awaitExitFetched() {
 	select {
 	case <-s.exitFetched:
-		time.Sleep(s.options.Bounds.PollInterval) // the response is on its way
+		time.Sleep(s.options.Bounds.PollInterval) // until the response has been sent
 	case <-time.After(exitFetchTimeout):
 	}
 }
--- a/internal/supervisor/exit_test.go
+++ b/internal/supervisor/exit_test.go
@@ -6,9 +6,9 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestExitOfKilledInstance holds that an instance that was killed has no exit code of its own, and that the state file
-// has the cause.
-func TestExitOfKilledInstance(t *testing.T) {
+// TestKilledInstanceIsRecordedWithCause checks that the exit of a killed instance is recorded with exit code -1 and
+// with the cause of the kill.
+func TestKilledInstanceIsRecordedWithCause(t *testing.T) {
 	s := newClaimedSupervisor(t)
 	s.kill("test")
 	s.recordExit(fleet.Exit{Unobserved: true})
--- a/internal/supervisor/health_check.go
+++ b/internal/supervisor/health_check.go
@@ -7,15 +7,15 @@
 	"milletbarrow/internal/process"
 )
 
-// healthChecks runs one health check at a time, each in a goroutine of its own, which ends within
-// Bounds.IdlePollInterval: an unresponsive instance must not block the main loop.
+// healthChecks runs health checks, one at a time. Each runs in its own goroutine, which ends within
+// limits.Control.IdlePollInterval, so that an unresponsive instance does not block the main loop.
 type healthChecks struct {
-	results   chan Observation // has room for one, so that the goroutine never blocks
+	results   chan Observation // has capacity 1, so that the goroutine never blocks
 	running   bool
-	startedAt time.Time // the latest check; zero: none yet
+	startedAt time.Time // start of the latest check; zero: none yet
 }
 
-// start starts a health check unless one is running or the latest one was started less than interval ago.
+// start starts a health check, unless one is running or the latest one started less than interval ago.
 func (h *healthChecks) start(ctx context.Context, s *supervisor, interval time.Duration) {
 	if h.running || time.Since(h.startedAt) < interval {
 		return
@@ -25,7 +25,7 @@
 	go func() { h.results <- s.checkHealth(ctx) }()
 }
 
-// checkHealth asks the instance for its state.
+// checkHealth requests the instance's state. An instance that does not respond yields an Observation without a state.
 func (s *supervisor) checkHealth(ctx context.Context) Observation {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Bounds.IdlePollInterval)
 	defer cancel()
@@ -36,7 +36,7 @@
 	return Observation{State: &state}
 }
 
-// observe gives the monitor the outcome of a health check.
+// observe passes the outcome of a health check to the monitor, and keeps the state for reports.
 func (s *supervisor) observe(o Observation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/supervisor/helpers_test.go
+++ b/internal/supervisor/helpers_test.go
@@ -17,11 +17,11 @@
 	millisecond = monotime.Millisecond
 )
 
-// usual is the shutdown window of the tests.
-var usual = fleet.ShutdownWindow{Grace: 2 * second, ExitTimeout: 3200 * millisecond}
+// testWindow is the shutdown window in tests.
+var testWindow = fleet.ShutdownWindow{Grace: 2 * second, ExitTimeout: 3200 * millisecond}
 
-// newTestSupervisor returns a supervisor for incarnation "r2" of instance "n1". The state file holds previous; nil:
-// there is none.
+// newTestSupervisor returns a supervisor for incarnation "r2" of instance "n1". The state file has previous as its
+// content; nil: there is no state file.
 func newTestSupervisor(t *testing.T, previous *State, adopt bool) *supervisor {
 	t.Helper()
 	dir := t.TempDir()
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	s := newSupervisor(Options{
-		Dir: dir, Name: "n1", Incarnation: "r2", Adopt: adopt, Window: usual, Bounds: limits.ForControl(),
+		Dir: dir, Name: "n1", Incarnation: "r2", Adopt: adopt, Window: testWindow, Bounds: limits.ForControl(),
 	})
 	if previous != nil {
 		if err := previous.write(s.paths.State); err != nil {
@@ -49,7 +49,7 @@
 	return s
 }
 
-// self returns the identity of the test's process.
+// self returns the identity of the test process.
 func self(t *testing.T) process.Identity {
 	t.Helper()
 	id, err := process.Of(os.Getpid())
--- a/internal/supervisor/lock.go
+++ b/internal/supervisor/lock.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// lock locks the instance for this process, which holds the lock until it closes the file or ends. It returns
+// lock acquires the lock of an instance, which is held until the file is closed or this process ends. It returns
 // ErrLocked, wrapped, if another process holds the lock.
 func lock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
--- a/internal/supervisor/logfile_test.go
+++ b/internal/supervisor/logfile_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestRotateLog holds that a log file of the largest size is copied and truncated, and that a shorter one stays.
-func TestRotateLog(t *testing.T) {
+// TestLogFileIsRotatedAtSizeLimit checks that a log file that has reached limits.Control.LogFileSize is copied and
+// truncated, and that a shorter one is not.
+func TestLogFileIsRotatedAtSizeLimit(t *testing.T) {
 	s := newTestSupervisor(t, nil, false)
 	s.options.Bounds.LogFileSize = 10
 	for _, test := range []struct {
@@ -15,7 +16,7 @@
 		previous string // the previous log file afterwards; empty: none
 	}{
 		{"short", "short", ""},
-		{"largest size", "0123456789", "0123456789"},
+		{"at the size limit", "0123456789", "0123456789"},
 	} {
 		if err := os.WriteFile(s.paths.Log, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -6,22 +6,23 @@
 	"milletbarrow/monotime"
 )
 
-// Time limits of a shutdown, counted from its notice unless noted.
+// Time limits of a shutdown, counted from the shutdown notice unless stated otherwise.
 const (
-	// acknowledgeTimeout is how long an instance may take to acknowledge the signal. After that it is notified on its
-	// admin socket too, every socketNoticeInterval.
+	// acknowledgeTimeout is how long an instance may take to acknowledge the signal. After that it is also notified on
+	// its admin socket, every socketNoticeInterval.
 	acknowledgeTimeout   = 250 * monotime.Millisecond
 	socketNoticeInterval = 200 * monotime.Millisecond
-	// lateNoticeAllowance is by how much later than the notice an instance may begin its grace: its module shortens
-	// the grace by that much (limits.Bounds.NoticeDelay).
+	// lateNoticeAllowance is how long after the notice an instance may start its grace period. The instance shortens
+	// the grace period that it uses by as much (limits.Bounds.NoticeDelay).
 	lateNoticeAllowance = 100 * monotime.Millisecond
-	// killLead is how long before the end of its grace an unresponsive instance is killed: a kill takes time.
-	killLead = 150 * monotime.Millisecond
-	// silenceTimeout is how long after its last answer an instance counts as silent.
+	// killMargin is how long before the end of its grace period an unresponsive instance is killed, because a kill
+	// takes time.
+	killMargin = 150 * monotime.Millisecond
+	// silenceTimeout is how long after its last response an instance counts as silent.
 	silenceTimeout = 1500 * monotime.Millisecond
 )
 
-// Causes of kills and phases. They are stored and sent to agents of other releases.
+// Causes of kills and phases. They are stored, and sent to agents of other releases: their texts must not change.
 const (
 	causeNoticeNotAcknowledged = "deaf to the notice"
 	causeExitTimeout           = "not ended by its stop"
@@ -31,48 +32,49 @@
 	causeHealthCheckFails      = "health checks are answered with bad"
 )
 
-// Action is what the monitor has the supervisor do to the instance.
+// Action is an action on the instance that the monitor decides and the supervisor performs.
 type Action int
 
 // The actions.
 const (
-	SignalShutdown Action = iota // give the shutdown notice by SIGTERM
-	NotifySocket                 // give the notice on the admin socket, with the time since it was first given
+	SignalShutdown Action = iota // send SIGTERM, which is the shutdown notice
+	NotifySocket                 // send the notice to the admin socket, with the time since the first notice
 	KillGroup                    // kill the instance's process group
 )
 
 // Observation is the outcome of one health check of the instance.
 type Observation struct {
-	State *admin.State // nil: the instance did not answer
+	State *admin.State // nil: the instance did not respond
 }
 
-// Monitor decides when one incarnation of an instance is notified and killed. It is not safe for concurrent use.
+// Monitor decides when an incarnation of an instance is notified of its shutdown and when it is killed. It is not safe
+// for concurrent use.
 //
-// Its invariants, each with the tests that hold it:
-//   - An instance admits nothing later than lateNoticeAllowance after its grace, has exited shortly after its exit
-//     timeout, and is not killed if it obeys the notice: TestShutdownWindowIsKept.
-//   - Only the first notice counts: TestMonitorTrace, TestClaimKeepsTheNotice. The signal is sent once:
-//     TestShutdownIsSignalledOnce.
+// Its invariants, with the tests that check each of them:
+//   - An instance admits no request later than lateNoticeAllowance after its grace period, has exited shortly after its
+//     exit timeout, and is not killed if it obeys the notice: TestShutdownWindowIsKept.
+//   - Only the first notice counts: TestMonitorTraceForEachInstanceFault, TestAdoptionKeepsRecordedNotice. The signal
+//     is sent once: TestShutdownIsSignalledOnce.
 //   - Notices on the admin socket are at least socketNoticeInterval apart: TestSocketNoticesAreSpaced.
-//   - The first cause of a kill stays, and the kill is repeated until the exit: TestFirstKillCauseStays.
-//   - An instance that was ready is never starting again: TestOnceReadyIsNeverStarting.
-//   - An instance that drains without a notice is killed at its exit timeout and not before:
+//   - The first cause of a kill is kept, and the kill is repeated until the exit: TestFirstKillCauseStays.
+//   - An instance that has been ready does not return to the starting phase: TestOnceReadyIsNeverStarting.
+//   - An instance that drains without a notice is killed at its exit timeout and not earlier:
 //     TestDrainWithoutNoticeEndsAtExitTimeout, TestDrainingAfterNoticeCountsFromNotice.
 type Monitor struct {
 	Window     fleet.ShutdownWindow
-	NoticeID   string          // the action that brought the shutdown notice; empty: no notice
+	NoticeID   string          // ID of the action that delivered the shutdown notice; empty: no notice
 	NotifiedAt monotime.Micros // valid with NoticeID
 	KillCause  string          // why the instance was killed; empty: it was not
 
 	signalSent       bool            // SignalShutdown was returned
 	socketNotifiedAt monotime.Micros // the latest notice on the admin socket; 0: none
 	wasReady         bool            // the instance has been ready at least once
-	lastState        *admin.State    // the latest answer; nil: none yet
-	lastStateAt      monotime.Micros // when lastState came
-	drainingSince    monotime.Micros // when it began to drain without a notice; 0: it did not
+	lastState        *admin.State    // from the latest response; nil: none yet
+	lastStateAt      monotime.Micros // when lastState was observed
+	drainingSince    monotime.Micros // when the instance began to drain without a notice; 0: it has not
 }
 
-// RecordNotice takes a shutdown notice and reports whether it is the first one; later ones change nothing.
+// RecordNotice records a shutdown notice and reports whether it is the first one. Later notices change nothing.
 func (m *Monitor) RecordNotice(now monotime.Micros, id string) bool {
 	if m.NoticeID != "" {
 		return false
@@ -82,14 +84,14 @@
 	return true
 }
 
-// RequestKill records that the instance is to be killed. The first cause stays.
+// RequestKill records that the instance is to be killed. The cause of the first request is kept.
 func (m *Monitor) RequestKill(cause string) {
 	if m.KillCause == "" {
 		m.KillCause = cause
 	}
 }
 
-// Observe takes the outcome of a health check.
+// Observe records the outcome of a health check.
 func (m *Monitor) Observe(now monotime.Micros, o Observation) {
 	if o.State == nil {
 		return
@@ -102,13 +104,13 @@
 	}
 }
 
-// acknowledged reports whether the instance drains, by its latest answer, within the window of the notice.
+// acknowledged reports whether the instance, by its latest response, drains within the window of the notice.
 func (m *Monitor) acknowledged() bool {
 	return m.lastState != nil && m.lastState.Draining &&
 		m.lastState.GraceEnds <= m.NotifiedAt+m.Window.Grace+lateNoticeAllowance
 }
 
-// shutdownStart returns when the shutdown began, by notice or by the instance itself; 0: it has not.
+// shutdownStart returns when the shutdown began, by a notice or by the instance itself, or 0 if it has not begun.
 func (m *Monitor) shutdownStart() monotime.Micros {
 	if m.NoticeID != "" {
 		return m.NotifiedAt
@@ -116,11 +118,11 @@
 	return m.drainingSince
 }
 
-// NextActions returns the actions that are due, in their order. The caller performs them, and calls it after every
-// observation and at intervals that are short beside the time limits.
+// NextActions returns the actions that are due, in the order in which the caller must perform them. The caller calls it
+// after every observation, and at intervals that are short compared to the time limits.
 func (m *Monitor) NextActions(now monotime.Micros) (actions []Action) {
 	if m.KillCause != "" {
-		return []Action{KillGroup} // until the instance has exited
+		return []Action{KillGroup} // repeated until the instance has exited
 	}
 	if m.NoticeID == "" && m.drainingSince == 0 {
 		return nil
@@ -132,9 +134,9 @@
 	}
 	acknowledged := m.NoticeID == "" || m.acknowledged()
 	switch {
-	case !acknowledged && elapsed >= m.Window.Grace-killLead:
-		// It would admit requests after its grace, whose callers may be gone. That is worse than the loss of those in
-		// flight.
+	case !acknowledged && elapsed >= m.Window.Grace-killMargin:
+		// The instance would admit requests after its grace period, whose callers may be gone. That is worse than
+		// losing the requests in flight.
 		m.KillCause = causeNoticeNotAcknowledged
 		return append(actions, KillGroup)
 	case elapsed >= m.Window.ExitTimeout:
@@ -148,7 +150,7 @@
 	return actions
 }
 
-// Phase returns the instance's phase and its cause; empty: the phase needs none.
+// Phase returns the instance's phase and its cause, which is empty for phases without one.
 func (m *Monitor) Phase(now monotime.Micros) (phase fleet.Phase, cause string) {
 	start := m.shutdownStart()
 	silent := m.lastState == nil || now-m.lastStateAt > silenceTimeout
--- a/internal/supervisor/monitor_invariants_test.go
+++ b/internal/supervisor/monitor_invariants_test.go
@@ -11,10 +11,10 @@
 	"milletbarrow/monotime"
 )
 
-// TestFirstKillCauseStays holds that of two requests to kill the first one's cause stays, and that the kill is repeated
-// until the exit.
+// TestFirstKillCauseStays checks that the cause of the first of two kill requests is kept, and that the kill is
+// repeated until the exit.
 func TestFirstKillCauseStays(t *testing.T) {
-	m := &Monitor{Window: usual}
+	m := &Monitor{Window: testWindow}
 	m.RequestKill("first cause")
 	m.RequestKill("second cause")
 	if m.KillCause != "first cause" {
@@ -22,14 +22,14 @@
 	}
 	for now := monotime.Micros(0); now < second; now += 100 * millisecond {
 		if actions := m.NextActions(now); !slices.Equal(actions, []Action{KillGroup}) {
-			t.Fatalf("at %d: %v, want the kill again", now, actions)
+			t.Fatalf("at %d: %v, want a repeated kill", now, actions)
 		}
 	}
 }
 
-// TestOnceReadyIsNeverStarting holds that an instance that was ready is unready afterwards, not starting.
+// TestOnceReadyIsNeverStarting checks that an instance that is no longer ready is unready, not starting.
 func TestOnceReadyIsNeverStarting(t *testing.T) {
-	m := &Monitor{Window: usual}
+	m := &Monitor{Window: testWindow}
 	m.Observe(second, ready())
 	m.Observe(2*second, Observation{State: &admin.State{}})
 	if phase, _ := m.Phase(2 * second); phase != fleet.PhaseUnready {
@@ -37,10 +37,10 @@
 	}
 }
 
-// TestUnreadyAfterSilenceTimeout holds that an instance is silent later than silenceTimeout after its last answer, and
-// not before.
+// TestUnreadyAfterSilenceTimeout checks that an instance is unready later than silenceTimeout after its last response,
+// and not earlier.
 func TestUnreadyAfterSilenceTimeout(t *testing.T) {
-	m := &Monitor{Window: usual}
+	m := &Monitor{Window: testWindow}
 	m.Observe(second, ready())
 	for _, test := range []struct {
 		name  string
@@ -48,19 +48,19 @@
 		want  fleet.Phase
 	}{
 		{"at the timeout", silenceTimeout, fleet.PhaseReady},
-		{"later", silenceTimeout + 1, fleet.PhaseUnready},
+		{"after the timeout", silenceTimeout + 1, fleet.PhaseUnready},
 	} {
-		m.Observe(second+test.after, Observation{}) // no answer
+		m.Observe(second+test.after, Observation{}) // no response
 		if phase, _ := m.Phase(second + test.after); phase != test.want {
 			t.Errorf("%s: %s, want %s", test.name, phase, test.want)
 		}
 	}
 }
 
-// TestUnresponsiveAfterAcknowledgeTimeout holds that an instance that does not acknowledge a notice is unresponsive
-// after acknowledgeTimeout and not before.
+// TestUnresponsiveAfterAcknowledgeTimeout checks that an instance that does not acknowledge a notice is
+// unresponsive from acknowledgeTimeout on and not earlier.
 func TestUnresponsiveAfterAcknowledgeTimeout(t *testing.T) {
-	m := &Monitor{Window: usual}
+	m := &Monitor{Window: testWindow}
 	m.Observe(second, ready())
 	m.RecordNotice(second, "s1")
 	if phase, _ := m.Phase(second + acknowledgeTimeout - 1); phase != fleet.PhaseDraining {
@@ -71,16 +71,16 @@
 	}
 }
 
-// TestShutdownIsSignalledOnce holds that the signal is sent once, however often the monitor is asked for actions.
+// TestShutdownIsSignalledOnce checks that the signal is sent once, however often the monitor is called.
 func TestShutdownIsSignalledOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &Monitor{Window: usual}
+		m := &Monitor{Window: testWindow}
 		m.RecordNotice(second, "s1")
 		signals := 0
 		nextStep := func() monotime.Micros { return monotime.Micros(rapid.IntRange(1000, 200_000).Draw(t, "step")) }
-		for now := second; now < second+usual.ExitTimeout; now += nextStep() {
+		for now := second; now < second+testWindow.ExitTimeout; now += nextStep() {
 			if rapid.Bool().Draw(t, "answers") {
-				m.Observe(now, draining(second+usual.Grace))
+				m.Observe(now, draining(second+testWindow.Grace))
 			}
 			for _, a := range m.NextActions(now) {
 				if a == SignalShutdown {
@@ -94,14 +94,14 @@
 	})
 }
 
-// TestSocketNoticesAreSpaced holds that notices on the admin socket begin at acknowledgeTimeout, are at least
-// socketNoticeInterval apart, and go on.
+// TestSocketNoticesAreSpaced checks that notices on the admin socket start at acknowledgeTimeout, are at least
+// socketNoticeInterval apart, and are repeated.
 func TestSocketNoticesAreSpaced(t *testing.T) {
 	const step = 10 * millisecond
-	m := &Monitor{Window: usual}
+	m := &Monitor{Window: testWindow}
 	m.RecordNotice(second, "s1")
 	var notices []monotime.Micros
-	for now := second; now < second+usual.Grace-killLead; now += step {
+	for now := second; now < second+testWindow.Grace-killMargin; now += step {
 		if slices.Contains(m.NextActions(now), NotifySocket) {
 			notices = append(notices, now)
 		}
@@ -116,44 +116,44 @@
 	}
 }
 
-// TestDrainWithoutNoticeEndsAtExitTimeout holds that an instance that drains without a notice is left alone until its
-// exit timeout, counted from the start of its grace as it first reported it, and is killed then.
+// TestDrainWithoutNoticeEndsAtExitTimeout checks that an instance that drains without a notice is killed at its exit
+// timeout and not earlier. The timeout counts from the start of the grace period as the instance first reported it.
 func TestDrainWithoutNoticeEndsAtExitTimeout(t *testing.T) {
 	const (
 		start    = 10 * second
 		observed = start + 600*millisecond
 	)
-	m := &Monitor{Window: usual}
+	m := &Monitor{Window: testWindow}
 	m.Observe(9*second, ready())
-	m.Observe(observed, draining(start+usual.Grace))
-	if phase, _ := m.Phase(start + usual.Grace - 1); phase != fleet.PhaseDraining {
-		t.Errorf("within its grace: %s, want %s", phase, fleet.PhaseDraining)
+	m.Observe(observed, draining(start+testWindow.Grace))
+	if phase, _ := m.Phase(start + testWindow.Grace - 1); phase != fleet.PhaseDraining {
+		t.Errorf("within its grace period: %s, want %s", phase, fleet.PhaseDraining)
 	}
-	if phase, _ := m.Phase(start + usual.Grace); phase != fleet.PhaseStopping {
-		t.Errorf("after its grace: %s, want %s", phase, fleet.PhaseStopping)
+	if phase, _ := m.Phase(start + testWindow.Grace); phase != fleet.PhaseStopping {
+		t.Errorf("after its grace period: %s, want %s", phase, fleet.PhaseStopping)
 	}
-	for now := observed; now < start+usual.ExitTimeout; now += 50 * millisecond {
-		m.Observe(now, draining(start+usual.Grace+second)) // a later report does not move the start
+	for now := observed; now < start+testWindow.ExitTimeout; now += 50 * millisecond {
+		m.Observe(now, draining(start+testWindow.Grace+second)) // a later report does not move the start
 		if actions := m.NextActions(now); len(actions) > 0 {
-			t.Fatalf("%d us after its grace began: %v, want no action", now-start, actions)
+			t.Fatalf("%d us after the start of its grace period: %v, want no action", now-start, actions)
 		}
 	}
-	if actions := m.NextActions(start + usual.ExitTimeout); !slices.Equal(actions, []Action{KillGroup}) {
+	if actions := m.NextActions(start + testWindow.ExitTimeout); !slices.Equal(actions, []Action{KillGroup}) {
 		t.Errorf("at its exit timeout: %v, want a kill", actions)
 	}
 }
 
-// TestDrainingAfterNoticeCountsFromNotice holds that after a notice the window counts from it, whatever the instance
-// reports.
+// TestDrainingAfterNoticeCountsFromNotice checks that after a notice the shutdown window counts from the notice,
+// whatever the instance reports.
 func TestDrainingAfterNoticeCountsFromNotice(t *testing.T) {
-	m := &Monitor{Window: usual}
+	m := &Monitor{Window: testWindow}
 	m.RecordNotice(second, "s1")
 	m.NextActions(second)
-	m.Observe(second+50*millisecond, draining(second+usual.Grace))
+	m.Observe(second+50*millisecond, draining(second+testWindow.Grace))
 	if m.drainingSince != 0 {
 		t.Errorf("counts as draining without a notice since %d", m.drainingSince)
 	}
-	if phase, _ := m.Phase(second + usual.Grace); phase != fleet.PhaseStopping {
+	if phase, _ := m.Phase(second + testWindow.Grace); phase != fleet.PhaseStopping {
 		t.Errorf("phase %s, want %s", phase, fleet.PhaseStopping)
 	}
 }
--- a/internal/supervisor/monitor_test.go
+++ b/internal/supervisor/monitor_test.go
@@ -11,28 +11,28 @@
 	"milletbarrow/monotime"
 )
 
-// endLead is how long before its exit timeout the fake instance exits by itself.
-const endLead = 30 * millisecond
+// exitMargin is how long before its exit timeout the fake instance exits by itself.
+const exitMargin = 30 * millisecond
 
-// fakeInstance is an instance with the faults that a monitor has to handle.
+// fakeInstance simulates an instance with the faults that a monitor must handle.
 type fakeInstance struct {
 	ignoresSignal bool
 	ignoresSocket bool
-	neverExits    bool                       // by itself
-	signalsAtOnce bool                       // it handles a signal when it comes; else at its next health check
-	stopped       func(monotime.Micros) bool // reports whether the process is stopped at a time
+	neverExits    bool                       // does not exit by itself
+	signalsAtOnce bool                       // handles a signal when it arrives rather than at the next health check
+	stopped       func(monotime.Micros) bool // reports whether the process is suspended at a time
 	readyAt       monotime.Micros
 
 	signalPending bool
-	graceEnds     monotime.Micros // 0: it has no notice
+	graceEnds     monotime.Micros // 0: it was not notified
 	exited        bool
 	exitedAt      monotime.Micros
 	socketNotices []monotime.Micros
 }
 
-// drain begins the grace of a notice that was given before; the earliest end of several notices counts.
+// drain starts the grace period of a notice that was sent sinceNotice ago. Of several notices the earliest end counts.
 func (f *fakeInstance) drain(now, sinceNotice monotime.Micros) {
-	if end := now - sinceNotice + usual.Grace; f.graceEnds == 0 || end < f.graceEnds {
+	if end := now - sinceNotice + testWindow.Grace; f.graceEnds == 0 || end < f.graceEnds {
 		f.graceEnds = end
 	}
 }
@@ -43,7 +43,7 @@
 	f.exitedAt = now
 }
 
-// perform takes an action of its monitor.
+// perform performs an action of the monitor on the instance.
 func (f *fakeInstance) perform(now monotime.Micros, m *Monitor, a Action) {
 	switch a {
 	case SignalShutdown:
@@ -61,7 +61,7 @@
 	}
 }
 
-// handleSignal handles a pending signal, unless the instance ignores it or is stopped.
+// handleSignal handles a pending signal, unless the instance ignores it or is suspended.
 func (f *fakeInstance) handleSignal(now monotime.Micros) {
 	if f.signalPending && !f.ignoresSignal && !f.stopped(now) {
 		f.signalPending = false
@@ -69,13 +69,13 @@
 	}
 }
 
-// check answers a health check.
+// check returns the outcome of a health check.
 func (f *fakeInstance) check(now monotime.Micros) Observation {
 	f.handleSignal(now)
 	if f.stopped(now) {
 		return Observation{}
 	}
-	if f.graceEnds != 0 && !f.neverExits && now >= f.graceEnds-usual.Grace+usual.ExitTimeout-endLead {
+	if f.graceEnds != 0 && !f.neverExits && now >= f.graceEnds-testWindow.Grace+testWindow.ExitTimeout-exitMargin {
 		f.exit(now)
 	}
 	s := admin.State{Ready: now >= f.readyAt && f.graceEnds == 0}
@@ -86,39 +86,41 @@
 	return Observation{State: &s}
 }
 
-// admits reports whether it would admit a request that arrives now.
+// admits reports whether the instance would admit a request that arrives now.
 func (f *fakeInstance) admits(now monotime.Micros) bool {
 	return !f.exited && !f.stopped(now) && (f.graceEnds == 0 || now < f.graceEnds)
 }
 
 func never(monotime.Micros) bool { return false }
 
-// TestMonitorTrace shows the phases and the end of an instance with each kind of fault.
-func TestMonitorTrace(t *testing.T) {
+// TestMonitorTraceForEachInstanceFault compares the phases and the end of an instance with each kind of fault with a
+// golden trace.
+func TestMonitorTraceForEachInstanceFault(t *testing.T) {
 	const notifiedAt = 10 * second
 	trace := fakes.NewTrace(t)
 	for _, test := range []struct {
 		name     string // a line of the trace
 		instance fakeInstance
 	}{
-		{"hears the signal", fakeInstance{stopped: never}},
-		{"is deaf to the signal, hears its socket", fakeInstance{ignoresSignal: true, stopped: never}},
-		{"is deaf to both", fakeInstance{ignoresSignal: true, ignoresSocket: true, stopped: never}},
-		{"is stopped for good", fakeInstance{
+		{"acknowledges the signal", fakeInstance{stopped: never}},
+		{"ignores the signal, acknowledges on its socket", fakeInstance{ignoresSignal: true, stopped: never}},
+		{"ignores the signal and its socket", fakeInstance{ignoresSignal: true, ignoresSocket: true, stopped: never}},
+		{"is suspended for good", fakeInstance{
 			stopped: func(now monotime.Micros) bool { return now > 9*second },
 		}},
-		{"is stopped for a second", fakeInstance{
+		{"is suspended for a second", fakeInstance{
 			stopped: func(now monotime.Micros) bool { return now > notifiedAt-1 && now < notifiedAt+second },
 		}},
-		{"hears, and stays beyond its stop", fakeInstance{neverExits: true, stopped: never}},
+		{"acknowledges, and does not exit by itself", fakeInstance{neverExits: true, stopped: never}},
 	} {
 		f := test.instance
-		m := &Monitor{Window: usual}
+		m := &Monitor{Window: testWindow}
 		trace.Say("%s", test.name)
 		last := fleet.Phase("")
 		for now := monotime.Micros(0); now < 20*second && !f.exited; now += 25 * millisecond {
 			if now == notifiedAt {
-				trace.Say("  told: %t, again: %t", m.RecordNotice(now, "s1"), m.RecordNotice(now, "s2"))
+				recorded, recordedAgain := m.RecordNotice(now, "s1"), m.RecordNotice(now, "s2")
+				trace.Say("  first notice recorded: %t, second: %t", recorded, recordedAgain)
 			}
 			m.Observe(now, f.check(now))
 			if f.exited {
@@ -132,13 +134,14 @@
 				last = phase
 			}
 		}
-		trace.Say("  gone %t after %.3f s, said %d times, killed %q",
+		trace.Say("  exited: %t after %.3f s, notices on the socket: %d, killed: %q",
 			f.exited, (f.exitedAt - notifiedAt).Seconds(), len(f.socketNotices), m.KillCause)
 	}
 }
 
-// TestShutdownWindowIsKept holds that, whatever an instance does, it admits nothing later than lateNoticeAllowance
-// after its grace, has exited shortly after its exit timeout, and is killed only if it did not obey the notice.
+// TestShutdownWindowIsKept checks that, whatever an instance does, it admits no request later than
+// lateNoticeAllowance after its grace period, has exited shortly after its exit timeout, and is killed only if it did
+// not obey the notice.
 func TestShutdownWindowIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stoppedFrom := monotime.Micros(rapid.IntRange(0, 40).Draw(t, "stopped from")) * 100 * millisecond
@@ -150,7 +153,7 @@
 			signalsAtOnce: rapid.Bool().Draw(t, "handles signals at once"),
 			stopped:       func(now monotime.Micros) bool { return now >= stoppedFrom && now < stoppedUntil },
 		}
-		m := &Monitor{Window: usual}
+		m := &Monitor{Window: testWindow}
 		notifiedAt := monotime.Micros(rapid.IntRange(1, 40).Draw(t, "notified at")) * 100 * millisecond
 		nextStep := func() monotime.Micros { return monotime.Micros(rapid.IntRange(1000, 40_000).Draw(t, "step")) }
 		for now := monotime.Micros(0); now < 12*second && !f.exited; now += nextStep() {
@@ -163,19 +166,20 @@
 					f.perform(now, m, a)
 				}
 			}
-			if m.NoticeID != "" && now > m.NotifiedAt+usual.Grace+lateNoticeAllowance && f.admits(now) {
+			if m.NoticeID != "" && now > m.NotifiedAt+testWindow.Grace+lateNoticeAllowance && f.admits(now) {
 				t.Fatalf("admits requests %d us after the notice: %+v, %+v", now-m.NotifiedAt, f, m)
 			}
 		}
-		if !f.exited || f.exitedAt > m.NotifiedAt+usual.ExitTimeout+50*millisecond {
+		if !f.exited || f.exitedAt > m.NotifiedAt+testWindow.ExitTimeout+50*millisecond {
 			t.Fatalf("not exited in time: %+v, %+v", f, m)
 		}
-		// It counts its exit timeout from when it handled the notice: later than endLead, it exits after the monitor's.
-		notifiedInTime := f.graceEnds != 0 && f.graceEnds-usual.Grace-m.NotifiedAt < endLead
+		// The instance counts its exit timeout from when it handled the notice. If it handled it later than exitMargin,
+		// it would exit after the exit timeout of the monitor.
+		notifiedInTime := f.graceEnds != 0 && f.graceEnds-testWindow.Grace-m.NotifiedAt < exitMargin
 		neverStopped := stoppedUntil <= stoppedFrom
 		obeys := !f.neverExits && neverStopped && !f.ignoresSignal && (f.signalsAtOnce || notifiedInTime)
 		if obeys && m.KillCause != "" {
-			t.Fatalf("killed without need: %s", m.KillCause)
+			t.Fatalf("killed although it obeyed the notice: %s", m.KillCause)
 		}
 	})
 }
--- a/internal/supervisor/paths.go
+++ b/internal/supervisor/paths.go
@@ -5,21 +5,22 @@
 	"path/filepath"
 )
 
-// Paths are the files of one instance's supervisor.
+// Paths are the paths of the files of one instance and its supervisor.
 type Paths struct {
 	State  string // the supervisor's state file
 	Socket string // the supervisor's socket
 	Admin  string // the instance's admin socket
 	Log    string // the instance's standard output and standard error
-	Lock   string // held by the supervisor in charge
+	Lock   string // locked by the running supervisor
 }
 
 const (
-	// supervisorDirectory is below the agent's directory. Other releases use the same name.
+	// supervisorDirectory is a subdirectory of the agent's directory. Other releases use the same name.
 	supervisorDirectory = "keepers"
-	// maxSocketPath is the longest path of a Unix socket, in bytes: the size of sun_path less its closing zero.
+	// maxSocketPath is the maximum length of a Unix socket path in bytes: the size of sun_path less its terminating
+	// zero.
 	maxSocketPath = 107
-	// fileMode keeps files from others on the host.
+	// fileMode keeps other users of the host from reading the files.
 	fileMode os.FileMode = 0o600
 )
 
@@ -37,7 +38,7 @@
 
 // Check returns a *SocketPathError if the paths of the sockets are too long for the system.
 func (p Paths) Check() error {
-	if len(p.Admin) > maxSocketPath { // the longer one of the two
+	if len(p.Admin) > maxSocketPath { // the longer of the two socket paths
 		return &SocketPathError{Path: p.Admin}
 	}
 	return nil
--- a/internal/supervisor/shutdown.go
+++ b/internal/supervisor/shutdown.go
@@ -10,15 +10,15 @@
 	"milletbarrow/monotime"
 )
 
-// actionTarget is what an action needs to know, copied so that it is performed without the lock.
+// actionTarget has the parameters of an action, copied so that it can be performed without holding the lock.
 type actionTarget struct {
 	instance    process.Identity
-	killCause   string          // empty: no kill was decided on
-	sinceNotice monotime.Micros // time since the shutdown notice was taken
+	killCause   string          // empty: no kill
+	sinceNotice monotime.Micros // time since the shutdown notice
 }
 
-// actionTarget returns the target of actions that are decided on now, without the time of the notice. The caller
-// holds s.mu.
+// actionTarget returns the target of actions that are performed now; the caller sets sinceNotice. The caller holds
+// s.mu.
 func (s *supervisor) actionTarget() actionTarget {
 	return actionTarget{instance: s.record.Instance, killCause: s.monitor.KillCause}
 }
@@ -35,11 +35,11 @@
 	}
 }
 
-// notifySocket gives the shutdown notice on the instance's admin socket.
+// notifySocket sends the shutdown notice to the instance's admin socket.
 func (s *supervisor) notifySocket(ctx context.Context, sinceNotice monotime.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Bounds.IdlePollInterval)
 	defer cancel()
-	_ = s.instance.Drain(ctx, sinceNotice.Duration()) // the monitor repeats it until it is acknowledged
+	_ = s.instance.Drain(ctx, sinceNotice.Duration()) // the monitor repeats the notice until it is acknowledged
 }
 
 // killGroup kills the instance and its process group.
@@ -50,16 +50,17 @@
 	s.logSignalError(err)
 }
 
-// logSignalError logs why the instance could not be signalled, unless it has exited.
+// logSignalError logs why a signal could not be sent, unless the reason is that the instance has exited.
 func (s *supervisor) logSignalError(err error) {
 	if err != nil && !errors.Is(err, process.ErrGone) {
 		slog.Error("signal", "name", s.options.Name, "error", err.Error())
 	}
 }
 
-// takeNotice takes the shutdown notice and writes it to the state file before the instance is notified. After an
-// error, which is logged, the file lacks it; the instance is notified all the same.
-func (s *supervisor) takeNotice(id string) error {
+// acceptNotice records the shutdown notice in the state file before the instance is notified, so that a supervisor that
+// takes over counts from the same notice. If the write fails, the error is logged, and the instance is notified all
+// the same.
+func (s *supervisor) acceptNotice(id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.monitor.RecordNotice(process.Now(), id) {
@@ -85,7 +86,7 @@
 	return err
 }
 
-// kill kills the instance at once.
+// kill kills the instance at once, without waiting for the main loop.
 func (s *supervisor) kill(cause string) {
 	s.mu.Lock()
 	s.monitor.RequestKill(cause)
--- a/internal/supervisor/state.go
+++ b/internal/supervisor/state.go
@@ -11,27 +11,30 @@
 	"milletbarrow/monotime"
 )
 
-// State is the content of the state file. By it another supervisor can take over, and the agent can tell what became of
-// an incarnation whose supervisor is gone. Other releases read the file: its fields keep their JSON names.
+// State is the content of the state file. From the file another supervisor can adopt the instance, and the agent can
+// tell how an incarnation ended whose supervisor is gone. Other releases read the file, so its fields keep their JSON
+// names.
 type State struct {
 	Version     int              `json:"version"` // stateVersion of the build that wrote it
 	Name        string           `json:"name"`    // of the instance
 	Incarnation string           `json:"run"`
-	Boot        string           `json:"boot"`              // the boot of the machine that identities and times are of
-	Supervisor  process.Identity `json:"keeper"`            // zero: the machine was rebooted
-	Instance    process.Identity `json:"instance"`          // zero: not started yet, or the machine was rebooted
-	StartedAt   monotime.Micros  `json:"began"`             // when the incarnation was claimed for the first time
-	NoticeID    string           `json:"told,omitempty"`    // the action of the shutdown notice; empty: no notice
+	Boot        string           `json:"boot"`              // boot of the host in which identities and times are valid
+	Supervisor  process.Identity `json:"keeper"`            // zero: the host was rebooted
+	Instance    process.Identity `json:"instance"`          // zero: not started yet, or the host was rebooted
+	StartedAt   monotime.Micros  `json:"began"`             // when the incarnation was first claimed
+	NoticeID    string           `json:"told,omitempty"`    // ID of the shutdown notice's action; empty: no notice
 	NotifiedAt  monotime.Micros  `json:"told_at,omitempty"` // valid with NoticeID
 	Ended       bool             `json:"ended,omitempty"`
 	End         fleet.Exit       `json:"end"` // valid with Ended
 }
 
-// stateVersion is the format version of the state file and of reports. A file of a newer version is left as it is.
+// stateVersion is the format version of the state file and of reports. A state file of a newer version is an error and
+// is not overwritten.
 const stateVersion = 1
 
-// ReadState reads a supervisor's state file. In a file from before a reboot of the machine the incarnation has ended,
-// and no processes are named. Errors are ErrNoState, *StateFileError, or those of the file system.
+// ReadState reads a supervisor's state file. If the file was written before the latest reboot of the host, the returned
+// state says that the incarnation has ended, and has no processes. Errors are ErrNoState, *StateFileError, or those of
+// the file system.
 func ReadState(path string) (State, error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -53,7 +56,7 @@
 	return s, nil
 }
 
-// endedByReboot returns the state after a reboot of the machine, which ended the instance and its supervisor.
+// endedByReboot returns the state after a reboot of the host, which ended the instance and its supervisor.
 func (s State) endedByReboot() State {
 	s.Ended = true
 	s.End = fleet.Exit{Unobserved: true}
@@ -62,8 +65,8 @@
 	return s
 }
 
-// write replaces the state file atomically. It does not sync the file: a crash of the machine ends all the processes
-// that the file is about.
+// write replaces the state file atomically. It does not sync the file, because a crash of the host ends all processes
+// that the file describes.
 func (s State) write(path string) error {
 	s.Version = stateVersion
 	s.Boot = process.Boot()
@@ -71,9 +74,9 @@
 	if err != nil {
 		return fmt.Errorf("encode supervisor state: %w", err)
 	}
-	next := path + ".next"
-	if err := os.WriteFile(next, raw, fileMode); err != nil {
+	temporary := path + ".next"
+	if err := os.WriteFile(temporary, raw, fileMode); err != nil {
 		return err
 	}
-	return os.Rename(next, path)
+	return os.Rename(temporary, path)
 }
--- a/internal/supervisor/state_test.go
+++ b/internal/supervisor/state_test.go
@@ -11,9 +11,9 @@
 	"milletbarrow/internal/process"
 )
 
-// TestReadState holds that a newer version and a corrupted file are errors, that a missing file is ErrNoState, and that
-// a file from before a reboot has ended and names no processes.
-func TestReadState(t *testing.T) {
+// TestReadStateRejectsNewerAndCorruptedFiles checks that a newer version and a corrupted file are errors, that a
+// missing file is ErrNoState, and that after a reboot the incarnation has ended and has no processes.
+func TestReadStateRejectsNewerAndCorruptedFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n1.json")
 	write := func(s State) {
 		t.Helper()
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestSocketPathLimit holds that a directory whose sockets have too long a path is rejected, and one a byte shorter is
-// not.
-func TestSocketPathLimit(t *testing.T) {
+// TestSocketPathLengthIsBounded checks that a directory is rejected if its socket paths are too long, and accepted if
+// they are one byte shorter.
+func TestSocketPathLengthIsBounded(t *testing.T) {
 	dir := "/" + strings.Repeat("d", maxSocketPath-len("//keepers/n1.inspect"))
 	if err := PathsOf(dir, "n1").Check(); err != nil {
 		t.Errorf("longest path: %v", err)
@@ -81,8 +81,9 @@
 	}
 }
 
-// TestWaitAndExecWithoutCommand holds that a launcher without a command fails and does not wait for its byte.
-func TestWaitAndExecWithoutCommand(t *testing.T) {
+// TestWaitAndExecWithoutCommandFails checks that a launcher without a command fails and does not wait to be
+// released.
+func TestWaitAndExecWithoutCommandFails(t *testing.T) {
 	if err := WaitAndExec(nil); !errors.Is(err, ErrNoCommand) || err.Error() != "no command to execute" {
 		t.Errorf("%v, want ErrNoCommand", err)
 	}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -22,11 +22,11 @@
 	Dir         string               // the agent's directory
 	Name        string               // of the instance
 	Incarnation string               // the incarnation to start or to adopt
-	Adopt       bool                 // supervise an instance that runs already, and start nothing
-	Launcher    []string             // command line that calls WaitAndExec with the arguments appended to it
+	Adopt       bool                 // supervise an instance that is already running, and start none
+	Launcher    []string             // command line that calls WaitAndExec with the arguments that are appended
 	Command     []string             // command line of the instance; --inspect SOCKET is appended
-	Env         []string             // added to the supervisor's own environment
-	Window      fleet.ShutdownWindow // the instance's
+	Env         []string             // added to the environment of the supervisor
+	Window      fleet.ShutdownWindow // of the instance
 	Bounds      limits.Control
 }
 
@@ -39,34 +39,35 @@
 	mu            sync.Mutex // guards monitor and the fields up to lastPublished
 	monitor       Monitor
 	record        State           // as last written to the state file
-	lastState     *admin.State    // the instance's latest answer; nil: none yet
-	serial        int             // of the report; grows with each change
-	changed       chan struct{}   // closed at the next change of the report
-	lastPublished publishedReport // the report that had the latest serial
+	lastState     *admin.State    // the instance's latest response; nil: none yet
+	serial        int             // of the report; increases with each published change
+	changed       chan struct{}   // closed at the next published change
+	lastPublished publishedReport // the latest published report
 
 	exitFetched     chan struct{} // closed once an agent has fetched the report of the exit
 	exitFetchedOnce sync.Once     // closes exitFetched
 
-	wake chan struct{} // makes the main loop take a step at once
+	wake chan struct{} // makes the main loop call step at once
 }
 
-// signalBacklog is how many signals to the supervisor may wait for the main loop.
-const signalBacklog = 4
+// signalBufferSize is how many signals to the supervisor are buffered for the main loop.
+const signalBufferSize = 4
 
-// Run supervises one incarnation from its start to its end. It returns ErrLocked if another supervisor has the
-// instance, and a *StateConflictError if the state file does not allow the start or the adoption.
+// Run supervises one incarnation until it has ended. It returns ErrLocked, wrapped, if another supervisor holds the
+// lock of the instance, and a *StateConflictError if the state file does not allow the incarnation to be started or
+// adopted.
 func Run(ctx context.Context, o Options) error {
 	s := newSupervisor(o)
-	held, err := lock(s.paths.Lock)
+	lockFile, err := lock(s.paths.Lock)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = held.Close() }() // the lock ends with the process in any case
+	defer func() { _ = lockFile.Close() }() // the end of the process releases the lock in any case
 	if err := s.claim(); err != nil {
 		return err
 	}
 	if s.record.Ended {
-		return nil // the same launch was requested twice, and the incarnation has ended since
+		return nil // the same launch was requested again after the incarnation had ended
 	}
 	s.instance = admin.NewClient(s.paths.Admin, o.Bounds)
 	defer s.instance.Close()
@@ -82,7 +83,7 @@
 	} else if err := s.launch(ctx, exited); err != nil {
 		return err
 	}
-	signals := make(chan os.Signal, signalBacklog)
+	signals := make(chan os.Signal, signalBufferSize)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	s.supervise(ctx, signals, exited)
@@ -101,7 +102,7 @@
 	}
 }
 
-// serve opens the supervisor's socket. stop closes it and waits for the server's goroutine to end.
+// serve serves the supervisor's socket. stop closes it and waits until the server's goroutine has ended.
 func (s *supervisor) serve(ctx context.Context) (stop func(), err error) {
 	l, err := admin.Listen(ctx, s.paths.Socket)
 	if err != nil {
@@ -123,15 +124,16 @@
 		}
 	})
 	return func() {
-		_ = server.Close() // later callers find the exit in the state file
+		_ = server.Close() // agents that call later read the exit from the state file
 		serving.Wait()
 	}, nil
 }
 
-// supervise polls the instance's health and performs the monitor's actions until the instance has exited.
+// supervise is the main loop. It checks the instance's health and performs the monitor's actions until the instance has
+// exited.
 func (s *supervisor) supervise(ctx context.Context, signals <-chan os.Signal, exited <-chan fleet.Exit) {
-	cancelled := ctx.Done()
-	ctx = context.WithoutCancel(ctx) // the instance drains after the end of ctx, and is supervised while it does
+	ctxDone := ctx.Done()
+	ctx = context.WithoutCancel(ctx) // the instance drains after ctx has ended, and is supervised until it exits
 	checks := healthChecks{results: make(chan Observation, 1)}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -144,11 +146,11 @@
 		case o := <-checks.results:
 			checks.running = false
 			s.observe(o)
-		case <-signals: // a signal to the supervisor shuts the instance down
-			_ = s.takeNotice("signal") // the error is logged, and the instance is notified all the same
-		case <-cancelled:
-			cancelled = nil
-			_ = s.takeNotice("context") // as above
+		case <-signals: // a signal to the supervisor shuts down the instance
+			_ = s.acceptNotice("signal") // the error is logged, and the instance is notified all the same
+		case <-ctxDone:
+			ctxDone = nil                 // it is handled once
+			_ = s.acceptNotice("context") // as above
 		case <-s.wake:
 		case <-timer.C:
 		}
