--- a/internal/backend/admin/client.go
+++ b/internal/backend/admin/client.go
@@ -28,18 +28,18 @@
 	return state, err
 }
 
-// Drain asks the instance to drain and exit. ago is the time since the first notice.
+// Drain sends the instance a shutdown notice: it drains and exits. ago is the time since the first notice.
 func (c *Client) Drain(ctx context.Context, ago time.Duration) error {
 	return c.post(ctx, drainPath, Notice{Ago: ago.Microseconds()})
 }
 
-// Override puts a level of graceful degradation in force, or ends an override.
+// Override forces a level of graceful degradation, or ends an override.
 func (c *Client) Override(ctx context.Context, override Override) error {
 	return c.post(ctx, overridePath, override)
 }
 
-// QuotaRequest returns the instance's request for leases of fleet-wide quotas. A lease is valid from the time of the
-// request.
+// QuotaRequest returns the instance's request for leases of fleet-wide quotas. The term of a lease starts at the time
+// of the request.
 func (c *Client) QuotaRequest(ctx context.Context) (request quota.LeaseRequest, err error) {
 	err = c.get(ctx, quotaPath, &request)
 	return request, err
@@ -50,15 +50,15 @@
 	return c.post(ctx, quotaPath, response)
 }
 
-// Close closes idle connections.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// get decodes the response to a GET call into a message.
+// get sends a GET request and decodes the response body into a message.
 func (c *Client) get(ctx context.Context, path string, into any) error {
 	return jsonhttp.Call(ctx, c.client, http.MethodGet, path, nil, into, int64(c.bounds.MessageSize))
 }
 
-// post sends a message. The response has no body.
+// post sends a message in a POST request. The response has no body.
 func (c *Client) post(ctx context.Context, path string, message any) error {
 	return jsonhttp.Call(ctx, c.client, http.MethodPost, path, message, nil, 0)
 }
--- a/internal/backend/admin/server.go
+++ b/internal/backend/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin is the admin socket of one instance. It serves the instance's state, and receives shutdown notices,
-// overrides of the degradation level and quota leases from the supervisor and the agent on the same host. It is a Unix
-// socket, off unless configured, and takes no part in handling invocations.
+// Package admin implements the admin socket of one instance: HTTP on a Unix socket. It serves the instance's state, and
+// receives shutdown notices, overrides of the degradation level and quota leases from the supervisor and the agent on
+// the same host. It is disabled unless configured, and is not involved in handling invocations.
 package admin
 
 import (
@@ -18,25 +18,26 @@
 	"milletbarrow/internal/limits"
 )
 
-// Errors of Listen, which wraps them with the socket's path.
+// Errors that Listen returns, wrapped with the socket's path.
 var (
 	ErrSocketInUse = errors.New("socket is in use by another process")
 	ErrNotSocket   = errors.New("file exists and is not a socket")
 )
 
-// socketMode lets only the user of the process connect.
+// socketMode is the file mode of the socket: only the user of the process may connect.
 const socketMode = 0o600
 
-// Instance is the backend that a socket serves. None of its functions may block.
+// Instance has the functions of the backend that handle the calls. None of them may block.
 type Instance struct {
 	State        func() State
-	Drain        func(ago time.Duration) // called for each notice, with the time since the first one
+	Drain        func(ago time.Duration) // called for each notice, with the time since the first notice
 	Override     func(Override) error
-	QuotaRequest func() (request quota.LeaseRequest, ok bool) // ok is false without fleet-wide quotas
+	QuotaRequest func() (request quota.LeaseRequest, ok bool) // ok is false if no fleet-wide quota is configured
 	ApplyLease   func(quota.LeaseResponse) error
 }
 
-// Serve serves the socket at path until ctx ends. It returns an error of Listen or of the listener.
+// Serve serves the socket at path until ctx is done, and then returns nil. Any error is from Listen or from accepting
+// connections.
 func Serve(ctx context.Context, path string, bounds limits.Control, instance Instance) error {
 	listener, err := Listen(ctx, path)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// handler routes the calls to the instance.
+// handler returns the HTTP handler that routes the calls to the instance.
 func handler(bounds limits.Control, instance Instance) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+statePath, func(w http.ResponseWriter, _ *http.Request) {
@@ -85,7 +86,7 @@
 	return mux
 }
 
-// writeJSON writes a response with a message.
+// writeJSON writes a message as the JSON body of a response.
 func writeJSON(w http.ResponseWriter, message any) {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -93,11 +94,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(append(body, '\n')) // the caller may have gone
+	_, _ = w.Write(append(body, '\n')) // the client may have disconnected
 }
 
-// handleMessage returns a handler that decodes the message of a call and passes it to apply. The status of a response
-// is 202, or errorStatus if the message is not JSON or apply refuses it.
+// handleMessage returns a handler that decodes the message of a request and passes it to apply. The status of the
+// response is 202, or errorStatus if the message is not valid JSON or apply returns an error.
 func handleMessage[T any](bounds limits.Control, errorStatus int, apply func(T) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var message T
@@ -113,11 +114,11 @@
 	}
 }
 
-// Listen opens a Unix socket to which only this user may connect. It replaces the socket of a process that was
-// killed. It returns ErrSocketInUse if a process still accepts connections there, ErrNotSocket if path is a file of
-// another kind.
+// Listen opens a Unix socket to which only this user may connect. It replaces a stale socket that a killed process has
+// left behind. It returns ErrSocketInUse if a process still accepts connections there, and ErrNotSocket if path is
+// another type of file.
 func Listen(ctx context.Context, path string) (net.Listener, error) {
-	// A cancelled attempt to connect must not be taken for a socket that nobody accepts connections on.
+	// With a canceled ctx, the attempt to connect would fail, and a socket in use would be taken for a stale one.
 	ctx = context.WithoutCancel(ctx)
 	var dialer net.Dialer
 	if conn, err := dialer.DialContext(ctx, "unix", path); err == nil {
@@ -127,7 +128,7 @@
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket == 0 {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotSocket)
 	}
-	_ = os.Remove(path) // it may not exist
+	_ = os.Remove(path) // the file may not exist
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "unix", path)
 	if err != nil {
--- a/internal/backend/frame/client_test.go
+++ b/internal/backend/frame/client_test.go
@@ -30,10 +30,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !agree(&sent, &received) {
+		if !sameInvocation(&sent, &received) {
 			t.Fatalf("wrote %+v, read %+v", sent, received)
 		}
-		checkAnswer(t, sent.Body)
+		checkAnswerRoundTrip(t, sent.Body)
 	})
 }
 
@@ -53,7 +53,7 @@
 }
 
 // agree reports whether an invocation was received as it was sent.
-func agree(sent *OutgoingInvocation, received *Invocation) bool {
+func sameInvocation(sent *OutgoingInvocation, received *Invocation) bool {
 	return string(received.Operation) == sent.Operation &&
 		string(received.ID) == sent.ID &&
 		string(received.Tenant) == sent.Tenant &&
@@ -67,7 +67,7 @@
 }
 
 // checkAnswer writes an answer with this body and reads it.
-func checkAnswer(t *rapid.T, body []byte) {
+func checkAnswerRoundTrip(t *rapid.T, body []byte) {
 	retryAfter := monotime.Micros(rapid.Int64Range(0, 1e6).Draw(t, "retry after")) * monotime.Millisecond
 	dontRetry := rapid.Bool().Draw(t, "don't retry")
 	_, payload, _, err := SplitFrame(AppendAnswer(nil, 7, Throttled, retryAfter, dontRetry, body), maxLength)
--- a/internal/backend/frame/errors.go
+++ b/internal/backend/frame/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors of the payload of a frame. Those of a field are wrapped in a *FieldError.
+// Decoding errors of a payload. Errors of a single field are wrapped in a *FieldError.
 var (
 	ErrTruncated      = errors.New("payload is truncated")
 	ErrMissingField   = errors.New("missing")
@@ -15,26 +15,26 @@
 	ErrOutOfRange     = errors.New("out of range")
 )
 
-// LengthError reports a length that no frame can have. The frames after it cannot be found.
+// LengthError reports a frame length outside the allowed range. The start of the next frame is then unknown.
 type LengthError struct {
-	Length uint32 // bytes, as read
+	Length uint32 // the decoded length, in bytes
 }
 
-// Error returns a text that the server also sends to the peer: it is part of the protocol.
+// Error returns the text that the server also sends to the peer, which makes it part of the protocol.
 func (e *LengthError) Error() string { return fmt.Sprintf("frame length %d", e.Length) }
 
 // FieldError reports an error in one field of a frame.
 type FieldError struct {
-	Field string // its name in the frame
+	Field string // name of the field on the wire
 	Err   error
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("field %.20q: %v", e.Field, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// BodySizeError reports an invocation whose body is too long.
+// BodySizeError reports an invocation whose body exceeds the limit.
 type BodySizeError struct {
 	Size  int // bytes
 	Limit int // bytes
--- a/internal/backend/frame/fields.go
+++ b/internal/backend/frame/fields.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-// Names of the fields of an invocation.
+// Wire names of the fields of an invocation.
 const (
 	fieldOperation      = "class"
 	fieldID             = "id"
@@ -20,47 +20,47 @@
 	fieldExpectedWork   = "cost" // milliseconds
 	fieldMemory         = "kb"
 	fieldPriority       = "rank"
-	fieldKey            = "key" // not used by the backend
+	fieldKey            = "key" // ignored by the backend
 	fieldIdempotencyKey = "once"
 )
 
-// Names of the fields of an answer.
+// Wire names of the fields of an answer.
 const (
 	fieldRetryAfter = "after" // milliseconds
 	fieldDontRetry  = "last"
 )
 
-// trueValue is the value of a field that is a flag.
+// trueValue is the value of a flag field that is set.
 const trueValue = "1"
 
 const (
-	countSize      = 1 // bytes of the number of fields
-	nameLengthSize = 1 // bytes of the length of a name
-	valueSizeSize  = 2 // bytes of the length of a value
-	maxDigits      = 32
-	decimal        = 10
-	floatBits      = 64
+	fieldCountSize  = 1 // bytes that encode the number of fields
+	nameLengthSize  = 1 // bytes that encode the length of a name
+	valueLengthSize = 2 // bytes that encode the length of a value
+	maxNumberDigits = 32
+	decimalBase     = 10
+	floatBits       = 64
 )
 
-// maxMicros is the longest time that a field can state, about a thousand years. Longer ones are cut off there.
+// maxMicros limits a time or duration in a field to about a thousand years. Longer ones are reduced to it.
 const maxMicros = 1 << 55
 
-// eachField calls do for each field and returns the bytes after the last one. An error is ErrTruncated, or a
+// forEachField calls do for each field and returns the bytes after the last field. Any error is ErrTruncated, or a
 // *FieldError that wraps the error of do.
-func eachField(p []byte, do func(name, value []byte) error) ([]byte, error) {
-	if len(p) < countSize {
+func forEachField(p []byte, do func(name, value []byte) error) ([]byte, error) {
+	if len(p) < fieldCountSize {
 		return nil, ErrTruncated
 	}
 	count := int(p[0])
-	p = p[countSize:]
+	p = p[fieldCountSize:]
 	for range count {
-		if len(p) < nameLengthSize || len(p) < nameLengthSize+int(p[0])+valueSizeSize {
+		if len(p) < nameLengthSize || len(p) < nameLengthSize+int(p[0])+valueLengthSize {
 			return nil, ErrTruncated
 		}
 		name := p[nameLengthSize : nameLengthSize+int(p[0])]
 		p = p[nameLengthSize+len(name):]
 		size := int(binary.BigEndian.Uint16(p))
-		p = p[valueSizeSize:]
+		p = p[valueLengthSize:]
 		if len(p) < size {
 			return nil, ErrTruncated
 		}
@@ -72,34 +72,36 @@
 	return p, nil
 }
 
-// ReadFields checks the fields of a frame that has no body.
+// ReadFields validates the encoding of the fields of a frame that has no body.
 func ReadFields(p []byte) error {
-	_, err := eachField(p, func(_, _ []byte) error { return nil })
+	_, err := forEachField(p, func(_, _ []byte) error { return nil })
 	return err
 }
 
 // fieldWriter appends fields to a frame and counts them.
 type fieldWriter struct {
-	frame   []byte
-	countAt int // index of the number of fields
+	frame       []byte
+	countOffset int // index of the number of fields in frame
 }
 
-// beginFields appends a number of fields of 0.
-func beginFields(to []byte) fieldWriter { return fieldWriter{frame: append(to, 0), countAt: len(to)} }
+// beginFields appends a field count of 0 and returns a writer that adds fields after it.
+func beginFields(to []byte) fieldWriter {
+	return fieldWriter{frame: append(to, 0), countOffset: len(to)}
+}
 
-// add appends a field.
+// add appends a field and increments the field count.
 func (w *fieldWriter) add(name string, value []byte) {
 	w.frame = append(w.frame, byte(len(name)))
 	w.frame = append(w.frame, name...)
 	w.frame = binary.BigEndian.AppendUint16(w.frame, uint16(len(value)))
 	w.frame = append(w.frame, value...)
-	w.frame[w.countAt]++
+	w.frame[w.countOffset]++
 }
 
-// number parses decimal digits with at most one point. An error is ErrNotNumber, or ErrOutOfRange for a number above
-// maximum.
-func number(value []byte, maximum float64) (float64, error) {
-	if len(value) == 0 || len(value) > maxDigits {
+// parseNumber parses decimal digits with at most one decimal point. Any error is ErrNotNumber, or ErrOutOfRange for a
+// number above maximum.
+func parseNumber(value []byte, maximum float64) (float64, error) {
+	if len(value) == 0 || len(value) > maxNumberDigits {
 		return 0, ErrNotNumber
 	}
 	for _, char := range value {
@@ -117,8 +119,8 @@
 	return x, nil
 }
 
-// millis parses a time in milliseconds.
-func millis(value []byte) (monotime.Micros, error) {
-	ms, err := number(value, math.Inf(1))
+// parseMillis parses a time or duration in milliseconds.
+func parseMillis(value []byte) (monotime.Micros, error) {
+	ms, err := parseNumber(value, math.Inf(1))
 	return monotime.Micros(math.Round(min(ms*float64(monotime.Millisecond), maxMicros))), err
 }
--- a/internal/backend/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -1,8 +1,9 @@
-// Package frame encodes and decodes the binary frames of edge nodes. It works on byte slices and does no I/O; decoded
-// values are slices of the input.
+// Package frame encodes and decodes the binary frames of the protocol between edge nodes and backends. It works on byte
+// slices and does no I/O; decoded values are subslices of the input.
 //
-// A frame is a length, a kind, a stream number and a payload. The length counts the bytes after itself. Payloads begin
-// with fields, each a name and a value: see fields.go. Integers are big-endian.
+// A frame consists of a length, a kind, a stream number and a payload. The length is the number of bytes that follow
+// it. Payloads of invocations, answers and health checks contain a list of fields, each a name and a value: see
+// fields.go. Integers are big-endian.
 package frame
 
 import (
@@ -12,7 +13,7 @@
 // Kind is the type of a frame.
 type Kind byte
 
-// The frame types.
+// The kinds of frames.
 const (
 	KindInvocation   Kind = 10
 	KindAnswer       Kind = 11
@@ -22,12 +23,12 @@
 	KindGoAway       Kind = 30
 )
 
-// Sizes in bytes of the parts of a header.
+// Sizes of the parts of a header, in bytes.
 const (
-	// LengthSize is the size of what Length decodes.
+	// LengthSize is the size of the length, which Length decodes.
 	LengthSize = 4
 
-	// HeaderSize is the size of what ReadHeader decodes, which includes the length.
+	// HeaderSize is the size of the header, including the length, which ReadHeader decodes.
 	HeaderSize = LengthSize + kindSize + streamSize
 
 	kindSize   = 1
@@ -35,14 +36,14 @@
 	minLength  = HeaderSize - LengthSize
 )
 
-// Header is the fixed beginning of a frame.
+// Header is the fixed-size header of a frame.
 type Header struct {
 	Kind    Kind
-	Stream  uint32 // 0: the frame belongs to no stream
-	Payload int    // bytes that follow the header
+	Stream  uint32 // 0: the frame applies to the connection
+	Payload int    // number of bytes after the header
 }
 
-// Length decodes the length of a frame: the number of bytes that follow the length itself. An error is a *LengthError.
+// Length decodes the length of a frame: the number of bytes after the length itself. Any error is a *LengthError.
 func Length(b []byte, maxLength int) (int, error) {
 	n := binary.BigEndian.Uint32(b)
 	if n < minLength || int64(n) > int64(maxLength) {
@@ -51,7 +52,7 @@
 	return int(n), nil
 }
 
-// ReadHeader decodes a header whose length Length has checked.
+// ReadHeader decodes a header. The length must have been validated by Length.
 func ReadHeader(b []byte) Header {
 	return Header{
 		Kind:    Kind(b[LengthSize]),
@@ -60,22 +61,22 @@
 	}
 }
 
-// AppendGoAway appends a frame that asks the edge node to send no more invocations on its connection.
+// AppendGoAway appends a frame that tells the edge node to send no more invocations on the connection.
 func AppendGoAway(to []byte) []byte {
-	to, start := begin(to, KindGoAway, 0)
-	return end(to, start)
+	to, start := beginFrame(to, KindGoAway, 0)
+	return endFrame(to, start)
 }
 
-// begin appends a header without its length, and returns where the frame starts.
-func begin(to []byte, kind Kind, stream uint32) ([]byte, int) {
+// beginFrame appends a header with a length of 0, and returns the index at which the frame starts.
+func beginFrame(to []byte, kind Kind, stream uint32) ([]byte, int) {
 	start := len(to)
 	to = binary.BigEndian.AppendUint32(to, 0)
 	to = append(to, byte(kind))
 	return binary.BigEndian.AppendUint32(to, stream), start
 }
 
-// end sets the length of the frame that starts at start and ends with to.
-func end(to []byte, start int) []byte {
+// endFrame sets the length of the frame that starts at index start and extends to the end of to.
+func endFrame(to []byte, start int) []byte {
 	binary.BigEndian.PutUint32(to[start:], uint32(len(to)-start-LengthSize))
 	return to
 }
--- a/internal/backend/frame/invocation.go
+++ b/internal/backend/frame/invocation.go
@@ -12,24 +12,24 @@
 	idSize      = 16   // hex digits
 )
 
-// Invocation is the payload of an invocation's frame, in slices of that frame.
+// Invocation is the decoded payload of an invocation's frame. Its slices refer to the payload.
 type Invocation struct {
 	Operation        []byte
-	ID               []byte          // unique for each attempt
+	ID               []byte          // unique per attempt
 	Tenant           []byte          // empty: not given
-	IdempotencyKey   []byte          // the same in all attempts of a request; empty: not given
-	ArrivedAt        monotime.Micros // when it reached the host, Unix time
-	CallerTimeout    monotime.Micros // how long its caller waits, from ArrivedAt
+	IdempotencyKey   []byte          // the same for all attempts of a request; empty: not given
+	ArrivedAt        monotime.Micros // when it arrived at the host, Unix time
+	CallerTimeout    monotime.Micros // how long the caller waits for the answer, from ArrivedAt
 	HasCallerTimeout bool            // CallerTimeout is given
-	Retry            bool            // its caller marked it as a retry
-	HasKey           bool            // the field key is given; the backend does not use it
-	ExpectedWork     monotime.Micros // on one core; 0: not given
+	Retry            bool            // the caller has marked it as a retry
+	HasKey           bool            // the field "key" is given; the backend ignores its value
+	ExpectedWork     monotime.Micros // CPU time on one core; 0: not given
 	MemoryKB         float64
 	Priority         float64 // 0 to below 1
 	Body             []byte
 }
 
-// fieldSet is a set of fields, to find duplicate and missing ones.
+// fieldSet is a bit set of fields, to detect duplicate and missing ones.
 type fieldSet uint16
 
 const (
@@ -47,7 +47,7 @@
 	hasIdempotencyKey
 )
 
-// requiredFields are the fields without which an invocation is refused. The deployment's settings may require others.
+// requiredFields are the fields without which an invocation is rejected. The deployment's settings may require others.
 var requiredFields = [...]struct {
 	bit  fieldSet
 	name string
@@ -59,12 +59,12 @@
 	{hasPriority, fieldPriority},
 }
 
-// ReadInvocation decodes the payload of an invocation's frame; its slices are of p. Unknown fields are skipped. An
-// error is ErrTruncated, a *FieldError or a *BodySizeError.
+// ReadInvocation decodes the payload p of an invocation's frame; the slices of the result refer to p. Unknown fields
+// are ignored. Any error is ErrTruncated, a *FieldError or a *BodySizeError.
 func ReadInvocation(p []byte, maxBody int) (Invocation, error) {
 	var inv Invocation
 	var seen fieldSet
-	body, err := eachField(p, func(name, value []byte) error {
+	body, err := forEachField(p, func(name, value []byte) error {
 		bit, err := inv.setField(name, value)
 		if err == nil && seen&bit != 0 {
 			err = ErrDuplicateField
@@ -87,7 +87,7 @@
 	return inv, nil
 }
 
-// setField decodes one field and returns its bit; 0 for an unknown field.
+// setField decodes one field and returns its bit in a fieldSet; 0 for an unknown field.
 func (inv *Invocation) setField(name, value []byte) (bit fieldSet, err error) {
 	switch string(name) {
 	case fieldOperation:
@@ -96,34 +96,34 @@
 	case fieldID:
 		bit = hasID
 		inv.ID = value
-		if !isID(value) {
+		if !isInvocationID(value) {
 			err = ErrInvalidID
 		}
 	case fieldArrivedAt:
 		bit = hasArrivedAt
-		inv.ArrivedAt, err = millis(value)
+		inv.ArrivedAt, err = parseMillis(value)
 	case fieldEdgeNode:
 		bit = hasEdgeNode
-		_, err = number(value, math.MaxUint32)
+		_, err = parseNumber(value, math.MaxUint32)
 	case fieldTenant:
 		bit = hasTenant
 		inv.Tenant = value
 	case fieldCallerTimeout:
 		bit = hasCallerTimeout
 		inv.HasCallerTimeout = true
-		inv.CallerTimeout, err = millis(value)
+		inv.CallerTimeout, err = parseMillis(value)
 	case fieldRetry:
 		bit = hasRetry
 		inv.Retry = string(value) == trueValue
 	case fieldExpectedWork:
 		bit = hasExpectedWork
-		inv.ExpectedWork, err = millis(value)
+		inv.ExpectedWork, err = parseMillis(value)
 	case fieldMemory:
 		bit = hasMemory
-		inv.MemoryKB, err = memory(value)
+		inv.MemoryKB, err = parseMemoryKB(value)
 	case fieldPriority:
 		bit = hasPriority
-		inv.Priority, err = priority(value)
+		inv.Priority, err = parsePriority(value)
 	case fieldKey:
 		bit, inv.HasKey = hasKey, true
 	case fieldIdempotencyKey:
@@ -133,26 +133,26 @@
 	return bit, err
 }
 
-// memory parses a number of kilobytes between 0 and maxMemoryKB.
-func memory(value []byte) (float64, error) {
-	kb, err := number(value, maxMemoryKB)
+// parseMemoryKB parses a number of kilobytes between 0 and maxMemoryKB, both exclusive.
+func parseMemoryKB(value []byte) (float64, error) {
+	kb, err := parseNumber(value, maxMemoryKB)
 	if err == nil && (kb == 0 || kb == maxMemoryKB) {
 		err = ErrOutOfRange
 	}
 	return kb, err
 }
 
-// priority parses a priority from 0 to below maxPriority.
-func priority(value []byte) (float64, error) {
-	x, err := number(value, maxPriority)
+// parsePriority parses a priority from 0 to below maxPriority.
+func parsePriority(value []byte) (float64, error) {
+	x, err := parseNumber(value, maxPriority)
 	if err == nil && x == maxPriority {
 		err = ErrOutOfRange
 	}
 	return x, err
 }
 
-// isID reports whether an ID has the form that the executor's line protocol can carry.
-func isID(id []byte) bool {
+// isInvocationID reports whether id consists of 16 hex digits, so that a line of the executor's protocol can carry it.
+func isInvocationID(id []byte) bool {
 	for _, char := range id {
 		if (char < '0' || char > '9') && (char < 'a' || char > 'f') && (char < 'A' || char > 'F') {
 			return false
--- a/internal/backend/frame/invocation_test.go
+++ b/internal/backend/frame/invocation_test.go
@@ -132,7 +132,7 @@
 		validTimes := inv.ArrivedAt >= 0 && inv.CallerTimeout >= 0 && inv.ExpectedWork >= 0
 		validNumbers := inv.MemoryKB > 0 && inv.MemoryKB < 2000 && inv.Priority >= 0 && inv.Priority < 1
 		validBody := len(inv.Body) <= maxBody && bytes.HasSuffix(payload, inv.Body)
-		if !isID(inv.ID) || !validTimes || !validNumbers || !validBody {
+		if !isInvocationID(inv.ID) || !validTimes || !validNumbers || !validBody {
 			t.Fatalf("accepted: %s", formatInvocation(inv, err))
 		}
 	})
--- a/internal/backend/server/close.go
+++ b/internal/backend/server/close.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// closeWriteIfDone closes a connection that is closing for writing, once all its answers are written. It is not
-// closed for reading yet: the kernel resets a connection that is closed with unread input, and the last answer could
-// be lost. c.mu must be held.
+// closeWriteIfDone shuts down the write side of a closing connection once all its answers are written. The read side
+// stays open for up to LingerTimeout: the kernel resets a connection that is closed with unread input, and the last answer
+// could be lost. c.mu must be held.
 func (c *conn) closeWriteIfDone() {
 	if !c.closing || c.writeClosed || !c.idle() {
 		return
@@ -19,8 +19,9 @@
 	c.writeClosed = true
 }
 
-// shutdown closes the connection in both directions. The poller then finds its end, and netpoll calls release.
-// Netpoll's own Close would wait for the poller, which may be the caller. c.mu must be held.
+// shutdown shuts down both directions of the connection. The poller then detects the end of the connection, and netpoll
+// calls release. Netpoll's own Close is not used: it would wait for the poller, and shutdown may run on the poller.
+// c.mu must be held.
 func (c *conn) shutdown() {
 	if !c.readClosed && !c.released {
 		_ = syscall.Shutdown(c.fd, syscall.SHUT_RDWR)
@@ -29,14 +30,14 @@
 	c.readClosed = true
 }
 
-// abort closes the connection, even with open streams or unwritten answers.
+// abort closes the connection at once, even with open streams or unwritten answers.
 func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.shutdown()
 }
 
-// closeWhenAnswered closes the connection once its open streams are answered and the answers are written.
+// closeWhenAnswered closes the connection once all open streams are answered and the answers are written.
 func (c *conn) closeWhenAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,18 +66,20 @@
 	return true
 }
 
-// hasUnreadInput reports whether the peer has sent bytes that have not been read and may be an invocation. A
-// connection that is closed for writing has none, as it answers nothing more. c.mu must be held.
-func (c *conn) hasUnreadInput() bool { return !c.writeClosed && !c.released && hasUnreadInput(c.fd) }
+// hasUnreadInput reports whether the socket has unread input that may contain an invocation. It returns false for a
+// connection that is closed for writing, as nothing can be answered on it. c.mu must be held.
+func (c *conn) hasUnreadInput() bool {
+	return !c.writeClosed && !c.released && socketHasUnreadInput(c.fd)
+}
 
-// allAnswered reports whether all input has been read and answered, and the answers are written.
+// allAnswered reports whether all input has been read and answered, and all answers are written.
 func (c *conn) allAnswered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idle() && !c.hasUnreadInput()
 }
 
-// release cancels all open streams. It is called once the connection is closed.
+// release cancels all open streams and drops the pending output. It is called once the connection is closed.
 func (c *conn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -38,11 +38,11 @@
 			if !s.AllClosed() {
 				t.Fatal("the connection is not closed")
 			}
-			release := s.holdPoller(t)
+			release := s.blockPoller(t)
 			node.Send(test.after)
 			awaitUnreadInput(t, c)
 			release()
-			fakes.Until(t, "the input is read", func() bool { return !hasUnreadInput(c.fd) })
+			fakes.Until(t, "the input is read", func() bool { return !socketHasUnreadInput(c.fd) })
 			if test.answered {
 				node.Expect()
 			}
@@ -53,8 +53,8 @@
 			other := fakes.Dial(t, s.address)
 			other.Send(healthCheck(1))
 			other.Expect()
-			if s.inServer() != 0 || s.inDispatch() != 0 || len(s.fakeExecutor.Launches) != 0 {
-				t.Errorf("%d in flight, %d launched; want none", s.inServer(), len(s.fakeExecutor.Launches))
+			if s.serverInFlight() != 0 || s.dispatcherInFlight() != 0 || len(s.fakeExecutor.Launches) != 0 {
+				t.Errorf("%d in flight, %d launched; want none", s.serverInFlight(), len(s.fakeExecutor.Launches))
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 	if got := c.openStream(&stream{number: 1, canceled: make(chan struct{})}); got != connClosed {
 		t.Errorf("openStream() = %d, want connClosed", got)
 	}
-	s.expectNothingLeft(t, 0)
+	s.awaitIdle(t, 0)
 }
 
 // A peer that resets its connection within a frame, while its invocation runs, or before it reads the answer disturbs
--- a/internal/backend/server/drain_test.go
+++ b/internal/backend/server/drain_test.go
@@ -28,7 +28,7 @@
 	tr.Say("%v", node.Expect())
 	fakes.Until(t, "the server is idle", s.Idle)
 	fakes.Until(t, "new connections are refused", func() bool { return connect(t, s.address) != nil })
-	tr.Say("connections left: %d", len(s.all()))
+	tr.Say("connections left: %d", len(s.openConnections()))
 }
 
 // connect opens a connection, closes it, and returns the error of opening it.
@@ -46,7 +46,7 @@
 // connections are refused.
 func TestAcceptQueueIsServedBeforeClose(t *testing.T) {
 	s := openServer(t, nil)
-	release := s.holdPoller(t)
+	release := s.blockPoller(t)
 	nodes := make([]*fakes.EdgeNode, 0, 5)
 	for n := range 5 {
 		node := fakes.Dial(t, s.address)
@@ -83,7 +83,7 @@
 		_, idle := c.idleSince()
 		return idle
 	})
-	release := s.holdPoller(t)
+	release := s.blockPoller(t)
 	node.Send(fakes.Invocation(1, 1))
 	awaitUnreadInput(t, c)
 	if s.AllAnswered() {
--- a/internal/backend/server/evict.go
+++ b/internal/backend/server/evict.go
@@ -7,87 +7,88 @@
 	"time"
 )
 
-// retentionPriority orders connections by the cost of closing them, lowest first: see Server.evict.
+// retentionPriority orders connections by the cost of closing them. Those with the lowest are evicted first: see
+// Server.evict.
 type retentionPriority int
 
-// The priorities.
+// The priorities, in ascending order.
 const (
-	neverValid retentionPriority = iota // has sent no valid frame, or is closed for writing
-	idleLong                            // idle for longer than IdleAge
-	justOpened                          // its peer may still send
-	justUsed                            // its peer may use it again
-	busy                                // has open streams or unwritten answers
-	closed                              // waits for the poller to find its end
+	neverValid     retentionPriority = iota // no valid frame for NewConnectionAge, or closed for writing
+	longIdle                                // idle for longer than IdleAge
+	recentlyOpened                          // has not sent a valid frame yet, but may still do so
+	recentlyUsed                            // idle for up to IdleAge: the peer may use it again
+	busy                                    // has open streams or unwritten answers
+	closed                                  // shut down, and the poller has yet to detect it
 )
 
-// evictionDivisor bounds the connections that are evicted at once, as a part of all.
+// evictionDivisor limits how many connections are evicted at once: the limit on connections divided by it, plus one.
 const evictionDivisor = 32
 
-// candidate is a connection that might be evicted.
-type candidate struct {
+// evictionCandidate is a connection with its priority for eviction.
+type evictionCandidate struct {
 	*conn
 
 	priority retentionPriority
-	since    time.Time // when it got this priority
+	since    time.Time // start of the state behind the priority; the oldest is evicted first
 }
 
-// asCandidate returns the connection with its priority.
-func (c *conn) asCandidate(now time.Time) candidate {
+// asEvictionCandidate returns the connection with its current priority.
+func (c *conn) asEvictionCandidate(now time.Time) evictionCandidate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	bounds := &c.server.bounds
 	switch {
 	case c.readClosed:
-		return candidate{c, closed, now}
+		return evictionCandidate{c, closed, now}
 	case c.writeClosed:
-		return candidate{c, neverValid, c.openedAt}
+		return evictionCandidate{c, neverValid, c.openedAt}
 	case !c.sentValid && now.Sub(c.openedAt) > bounds.NewConnectionAge:
-		return candidate{c, neverValid, c.openedAt}
+		return evictionCandidate{c, neverValid, c.openedAt}
 	case !c.sentValid:
-		return candidate{c, justOpened, c.openedAt}
+		return evictionCandidate{c, recentlyOpened, c.openedAt}
 	case c.idle() && now.Sub(c.lastUsed) > bounds.IdleAge:
-		return candidate{c, idleLong, c.lastUsed}
+		return evictionCandidate{c, longIdle, c.lastUsed}
 	case c.idle():
-		return candidate{c, justUsed, c.lastUsed}
+		return evictionCandidate{c, recentlyUsed, c.lastUsed}
 	}
-	return candidate{c, busy, now}
+	return evictionCandidate{c, busy, now}
 }
 
-// candidates returns all connections in the order of their eviction.
-func (s *Server) candidates(now time.Time) []candidate {
-	conns := s.all()
-	list := make([]candidate, 0, len(conns))
+// evictionCandidates returns all connections, sorted in the order of eviction.
+func (s *Server) evictionCandidates(now time.Time) []evictionCandidate {
+	conns := s.openConnections()
+	list := make([]evictionCandidate, 0, len(conns))
 	for _, c := range conns {
-		list = append(list, c.asCandidate(now))
+		list = append(list, c.asEvictionCandidate(now))
 	}
-	slices.SortFunc(list, func(a, b candidate) int {
+	slices.SortFunc(list, func(a, b evictionCandidate) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), a.since.Compare(b.since))
 	})
 	return list
 }
 
-// full reports whether the bound on connections is reached, with extra ones allowed beyond it.
-func (s *Server) full(extra int) bool {
+// atConnectionLimit reports whether the number of connections has reached the limit plus extra.
+func (s *Server) atConnectionLimit(extra int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) >= s.bounds.Connections+extra
 }
 
-// evict closes connections to make capacity for a new one, and reports whether there is or will be any. It closes
-// those that never sent a valid frame first, then those idle for longest, several at once, as finding them costs
-// time. If there are none, it closes one that was just opened, or else one that was just used. It closes none with an
-// open stream or unread input. So neither clients that open hundreds of connections and send nothing, nor callers
-// that hold connections open forever, can exclude others.
+// evict closes connections to make capacity for a new one, and reports whether there is or will be any. It first closes
+// those without a valid frame, then those idle for longest. It closes several at once, because sorting all connections
+// is expensive. If there are none of these, it closes one that was recently opened, or else one that was recently used.
+// It never closes one with an open stream or unread input. Therefore neither clients that open hundreds of connections
+// and send nothing, nor callers that keep connections open indefinitely, can lock out others.
 func (s *Server) evict(now time.Time) bool {
-	list := s.candidates(now)
-	// A burst of new connections must not evict one more for each, while closed connections wait for the poller.
-	firstClosed := slices.IndexFunc(list, func(c candidate) bool { return c.priority == closed })
+	list := s.evictionCandidates(now)
+	// While closed connections wait for the poller, a burst of new connections must not evict one more for each.
+	firstClosed := slices.IndexFunc(list, func(c evictionCandidate) bool { return c.priority == closed })
 	if firstClosed >= 0 && firstClosed < s.bounds.Connections {
 		return true
 	}
 	evicted := 0
 	for _, c := range list {
-		enough := evicted > 0 && c.priority > idleLong || evicted > s.bounds.Connections/evictionDivisor
+		enough := evicted > 0 && c.priority > longIdle || evicted > s.bounds.Connections/evictionDivisor
 		if c.priority >= busy || enough {
 			break
 		}
@@ -98,10 +99,10 @@
 	return evicted > 0
 }
 
-// Sweep checks all connections at intervals, until done is closed. It sends GoAway on those that are idle for longer
-// than the dispatcher's idle timeout, and closes those that have expired.
+// Sweep checks all connections every SweepInterval until done is closed. It sends GoAway on those idle for longer than
+// the dispatcher's idle timeout, and closes those that have expired.
 func (s *Server) Sweep(done <-chan struct{}) {
-	s.lastSweep = time.Now() // so that a stall before the first sweep is recognised
+	s.lastSweep = time.Now() // to detect a stall before the first sweep
 	tick := time.NewTicker(s.bounds.SweepInterval)
 	defer tick.Stop()
 	for {
@@ -114,33 +115,34 @@
 	}
 }
 
-// sweep checks all connections once. idleTimeout is that of the dispatcher; 0: none.
+// sweep checks all connections once. idleTimeout is the dispatcher's idle timeout; 0: none.
 func (s *Server) sweep(idleTimeout time.Duration) {
 	now := time.Now()
-	s.forgiveStall(now)
+	s.compensateStall(now)
 	maxIdle := s.maxIdle()
-	for _, c := range s.all() {
+	for _, c := range s.openConnections() {
 		if since, idle := c.idleSince(); idle && idleTimeout > 0 && now.Sub(since) > idleTimeout {
 			c.sendGoAway()
 		}
-		c.expire(now, maxIdle)
+		c.closeIfExpired(now, maxIdle)
 	}
-	s.relieve(now)
+	s.reduceIdleConnections(now)
 }
 
-// forgiveStall extends the deadlines of all connections if the process was stalled since the last sweep.
-func (s *Server) forgiveStall(now time.Time) {
+// compensateStall extends the deadlines of all connections by the delay of this sweep, if the process was stalled since
+// the previous one.
+func (s *Server) compensateStall(now time.Time) {
 	late := now.Sub(s.lastSweep) - s.bounds.SweepInterval
 	if !s.lastSweep.IsZero() && late > s.bounds.SweepInterval {
-		for _, c := range s.all() {
+		for _, c := range s.openConnections() {
 			c.extendDeadlines(late)
 		}
 	}
 	s.lastSweep = now
 }
 
-// maxIdle returns how long a connection may be idle before it is closed: longer than the deployment's callers leave
-// it so.
+// maxIdle returns how long a connection may be idle before it is closed. It exceeds the idle timeout of the
+// deployment's callers.
 func (s *Server) maxIdle() time.Duration {
 	configured := s.settings.Admission.IdleTimeout
 	if configured <= 0 {
@@ -149,24 +151,24 @@
 	return configured.Duration() + s.bounds.FrameTimeout
 }
 
-// relieve sends GoAway on the connections that are idle for longest, as many as exceed the high-water mark. If
-// callers leave these, none has to be closed, and no invocation crosses a close.
-func (s *Server) relieve(now time.Time) {
+// reduceIdleConnections sends GoAway on the connections idle for longest, as many as exceed the high-water mark. If the
+// callers close these, the server does not have to, and no invocation is sent on a connection that is being closed.
+func (s *Server) reduceIdleConnections(now time.Time) {
 	open, _ := s.Counts()
 	if open <= s.bounds.ConnectionsHighWater {
 		return
 	}
-	for _, c := range s.candidates(now) {
-		if c.priority == idleLong && open > s.bounds.ConnectionsHighWater {
+	for _, c := range s.evictionCandidates(now) {
+		if c.priority == longIdle && open > s.bounds.ConnectionsHighWater {
 			c.sendGoAway()
 		}
 		open--
 	}
 }
 
-// expire closes a connection on which no valid frame has arrived, or a frame has not ended, for FrameTimeout, and one
-// that is idle for longer than maxIdle. It releases the output buffer of an idle one.
-func (c *conn) expire(now time.Time, maxIdle time.Duration) {
+// closeIfExpired closes a connection that has sent no valid frame within FrameTimeout, that has not completed a frame
+// within FrameTimeout, or that is idle for longer than maxIdle. It releases the output buffer of an idle connection.
+func (c *conn) closeIfExpired(now time.Time, maxIdle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	bounds := &c.server.bounds
@@ -184,14 +186,15 @@
 	}
 }
 
-// closeExpired logs a violation of this kind and closes the connection once all is answered. c.mu must be held.
+// closeExpired logs a violation of the given kind, and closes the connection once all open streams are answered.
+// c.mu must be held.
 func (c *conn) closeExpired(kind string) {
 	c.server.violations.Warn(kind, nil)
 	c.closing = true
 	c.closeWriteIfDone()
 }
 
-// extendDeadlines moves the times of a connection by a span during which the process was stalled.
+// extendDeadlines moves the activity times of a connection forward by span, during which the process was stalled.
 func (c *conn) extendDeadlines(span time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/server/evict_test.go
+++ b/internal/backend/server/evict_test.go
@@ -59,7 +59,7 @@
 	s.sweep(time.Nanosecond)
 	s.fakeExecutor.End(launch.ID, "complete", "r")
 	tr.Say("swept while busy: %v", busy.Expect())
-	s.expectNothingLeft(t, 2)
+	s.awaitIdle(t, 2)
 	s.sweep(time.Nanosecond)
 	s.sweep(time.Nanosecond)
 	tr.Say("swept while idle: %v", busy.Expect())
@@ -78,7 +78,7 @@
 	node.Expect()
 	fakes.Dial(t, s.address)
 	s.awaitConnections(t, 2)
-	release := s.holdPoller(t)
+	release := s.blockPoller(t)
 	for range 5 {
 		if !s.evict(time.Now()) {
 			t.Error("evict() = false, want true")
@@ -176,7 +176,7 @@
 			default:
 				awaitFrameStart(t, c)
 			}
-			release := s.holdPoller(t)
+			release := s.blockPoller(t)
 			node.Send(test.unread)
 			awaitUnreadInput(t, c)
 			start := time.Now()
--- a/internal/backend/server/helpers_test.go
+++ b/internal/backend/server/helpers_test.go
@@ -89,7 +89,7 @@
 	t.Cleanup(func() {
 		cancel()
 		s.StopAccepting()
-		for _, c := range s.all() {
+		for _, c := range s.openConnections() {
 			c.abort()
 		}
 	})
@@ -106,13 +106,13 @@
 }
 
 // inDispatch returns the number of invocations in flight at the dispatcher.
-func (s *testServer) inDispatch() int {
+func (s *testServer) dispatcherInFlight() int {
 	_, n := s.dispatcher.Counts()
 	return n
 }
 
 // inServer returns the number of invocations in flight at the server.
-func (s *testServer) inServer() int {
+func (s *testServer) serverInFlight() int {
 	_, n := s.Counts()
 	return n
 }
@@ -130,7 +130,7 @@
 func (s *testServer) onlyConn(tb testing.TB) *conn {
 	tb.Helper()
 	s.awaitConnections(tb, 1)
-	return s.all()[0]
+	return s.openConnections()[0]
 }
 
 // dialOne connects an edge node and returns it with the server's connection, which must be the only one.
@@ -155,21 +155,21 @@
 }
 
 // expectNothingLeft ends all runs and waits until nothing is in flight, and so many connections are open.
-func (s *testServer) expectNothingLeft(tb testing.TB, connections int) {
+func (s *testServer) awaitIdle(tb testing.TB, connections int) {
 	tb.Helper()
 	fakes.Until(tb, "nothing is in flight", func() bool {
 		for len(s.fakeExecutor.Launches) > 0 {
 			s.endNextRun(tb, "complete", "nobody waits")
 		}
 		n, inServer := s.Counts()
-		nothing := inServer == 0 && s.inDispatch() == 0 && s.unsentBytes.Load() == 0 && s.Idle()
+		nothing := inServer == 0 && s.dispatcherInFlight() == 0 && s.unsentBytes.Load() == 0 && s.Idle()
 		return n == connections && nothing
 	})
 }
 
 // holdPoller blocks the poller until release is called. Input that arrives meanwhile stays unread in the sockets, as
 // when the process is stalled. The poller blocks at the locked listener, to which a new connection brings it.
-func (s *testServer) holdPoller(tb testing.TB) (release func()) {
+func (s *testServer) blockPoller(tb testing.TB) (release func()) {
 	tb.Helper()
 	s.listener.mu.Lock()
 	var dialer net.Dialer
@@ -194,5 +194,5 @@
 // awaitUnreadInput waits until a connection has unread input.
 func awaitUnreadInput(tb testing.TB, c *conn) {
 	tb.Helper()
-	fakes.Until(tb, "the input has arrived", func() bool { return hasUnreadInput(c.fd) })
+	fakes.Until(tb, "the input has arrived", func() bool { return socketHasUnreadInput(c.fd) })
 }
--- a/internal/backend/server/idempotency_test.go
+++ b/internal/backend/server/idempotency_test.go
@@ -21,7 +21,7 @@
 	first.Send(fakes.Attempt(1, 1, "x"))
 	launch := s.nextLaunch(t)
 	second.Send(fakes.Attempt(1, 2, "x", "retry=1"))
-	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
+	fakes.Until(t, "the repeat waits", func() bool { return s.dispatcherInFlight() == 2 })
 	resetOnClose(t, first)
 	_ = first.Close()
 	fakes.Until(t, "the original is abandoned", func() bool {
@@ -43,7 +43,9 @@
 	if len(s.fakeExecutor.Launches) > 0 {
 		t.Errorf("launched again: %v", <-s.fakeExecutor.Launches)
 	}
-	fakes.Until(t, "nothing is in flight", func() bool { return s.inServer() == 0 && s.inDispatch() == 0 })
+	fakes.Until(t, "nothing is in flight", func() bool {
+		return s.serverInFlight() == 0 && s.dispatcherInFlight() == 0
+	})
 }
 
 // If the original is canceled between its admission and its launch, its waiting repeat is throttled with a
@@ -61,7 +63,7 @@
 	fakes.Take(t, "the admission of the original", admitted)
 	s.beforeLaunch.Store(nil)
 	node.Send(fakes.Attempt(2, 2, "x", "retry=1"))
-	fakes.Until(t, "the repeat waits", func() bool { return s.inDispatch() == 2 })
+	fakes.Until(t, "the repeat waits", func() bool { return s.dispatcherInFlight() == 2 })
 	node.Send(cancelFrame(1))
 	node.Send(healthCheck(3))
 	node.Expect() // the cancel has been read
--- a/internal/backend/server/invocation.go
+++ b/internal/backend/server/invocation.go
@@ -12,7 +12,7 @@
 	"milletbarrow/internal/backend/frame"
 )
 
-// Errors of an invocation that does not fit the settings.
+// Errors of an invocation that the settings do not allow.
 var (
 	errInvocationTooLong = errors.New("frame is too long for an invocation")
 	errUnknownOperation  = errors.New("unknown operation")
@@ -21,51 +21,52 @@
 	errNoIdempotencyKey  = errors.New(`field "once" is missing or too long: the operation requires an idempotency key`)
 )
 
-// handleInvocation starts a goroutine for the invocation of a frame, or answers it at once. It runs on the poller.
+// handleInvocation decodes an invocation and starts a goroutine that serves it, or answers it directly. It runs on the
+// poller.
 func (c *conn) handleInvocation(h frame.Header, payload []byte) {
 	s := c.server
 	if h.Stream == 0 {
-		c.reject("stream_0", nil)
-		c.send(func(to []byte) []byte { return frame.AppendError(to, streamZeroText) })
+		c.countInvalidFrame("stream_0", nil)
+		c.sendFrame(func(to []byte) []byte { return frame.AppendError(to, streamZeroText) })
 		return
 	}
 	inv, body, err := s.decodeInvocation(h, payload)
 	if err != nil {
-		c.reject("invocation", err)
-		c.fail(h.Stream)
+		c.countInvalidFrame("invocation", err)
+		c.failStream(h.Stream)
 		return
 	}
 	st := &stream{number: h.Stream, canceled: make(chan struct{})}
 	inv.Canceled = st.canceled
 	switch result := c.openStream(st); {
 	case result == connClosed:
-	case result == streamReused:
-		c.reject("stream_again", nil)
-		c.fail(h.Stream)
-	case result == streamRefused || !s.reserve():
-		c.refuse(st, inv)
+	case result == streamAlreadyOpen:
+		c.countInvalidFrame("stream_again", nil)
+		c.failStream(h.Stream)
+	case result == streamRejected || !s.reserveInFlight():
+		c.rejectOverLimit(st, inv)
 	default:
-		body = append([]byte(nil), body...) // the buffer is reused
-		go s.handle(c, st, inv, s.settings.Operations[inv.Operation], body)
+		body = append([]byte(nil), body...) // the read buffer is reused
+		go s.serveInvocation(c, st, inv, s.settings.Operations[inv.Operation], body)
 	}
 }
 
-// refuse answers an invocation beyond the bound of the connection or of the process. It has not run, and another
-// backend may have capacity: it is throttled. A repeat of an invocation that ran here is errored, as another backend
-// would run it again.
-func (c *conn) refuse(st *stream, inv dispatch.Invocation) {
+// rejectOverLimit answers an invocation beyond the limit of the connection or of the process. The answer is Throttled,
+// as the invocation has not run and another backend may have capacity. For a repeat of an invocation that ran here it
+// is Errored, as another backend would run it a second time.
+func (c *conn) rejectOverLimit(st *stream, inv dispatch.Invocation) {
 	code := frame.Throttled
 	if c.server.dispatcher.IsRepeat(inv) {
 		code = frame.Errored
 	}
-	c.send(func(to []byte) []byte { return frame.AppendAnswer(to, st.number, code, 0, false, nil) })
-	c.closeStream(st)
+	c.sendFrame(func(to []byte) []byte { return frame.AppendAnswer(to, st.number, code, 0, false, nil) })
+	c.removeStream(st)
 }
 
-// decodeInvocation decodes an invocation and checks it against the settings. The body is a slice of payload.
+// decodeInvocation decodes an invocation and checks it against the settings. The body is a subslice of payload.
 func (s *Server) decodeInvocation(h frame.Header, payload []byte) (inv dispatch.Invocation, body []byte, err error) {
 	in, err := frame.ReadInvocation(payload, s.bounds.BodySize)
-	if h.Payload > len(payload) { // the rest of the frame was skipped: err is of a truncated payload
+	if h.Payload > len(payload) { // the rest of the frame was skipped: err is only a consequence
 		return inv, nil, errInvocationTooLong
 	}
 	if err != nil {
@@ -96,7 +97,7 @@
 		}
 		inv.CallerTimeout = s.settings.Admission.Operations[operation].ClientTimeout
 	}
-	if s.keyed(operation) {
+	if s.requiresIdempotencyKey(operation) {
 		if len(in.IdempotencyKey) == 0 || len(in.IdempotencyKey) > s.bounds.IdempotencyKeySize {
 			return inv, nil, errNoIdempotencyKey
 		}
@@ -105,21 +106,21 @@
 	return inv, in.Body, nil
 }
 
-// keyed reports whether repeats of an operation are recognised by an idempotency key.
-func (s *Server) keyed(operation int) bool {
+// requiresIdempotencyKey reports whether repeats of an operation are detected by an idempotency key.
+func (s *Server) requiresIdempotencyKey(operation int) bool {
 	return s.settings.Admission.Operations[operation].RetrySafety == admission.IdempotencyKeyed
 }
 
-// idempotencyKey returns the key of an invocation's attempts, made of the key that they carry and of their body. A
-// client may copy the key of another's invocation. With another body it is another invocation, which must neither get
-// the other's result nor block it.
+// idempotencyKey returns the key by which attempts of an invocation are matched: the key on the wire with a hash of the
+// body. A client may copy the key of another client's invocation. With a different body it is a different invocation,
+// which must neither get the other's result nor block it.
 func idempotencyKey(key, body []byte) string {
 	sum := sha256.Sum256(body)
 	return string(key) + string(sum[:])
 }
 
-// reserve counts an invocation as in flight and returns true, if there is capacity for it.
-func (s *Server) reserve() bool {
+// reserveInFlight counts an invocation as in flight. It returns false if the limit of the process is reached.
+func (s *Server) reserveInFlight() bool {
 	if s.inFlight.Add(1) > int64(s.bounds.Invocations) {
 		s.inFlight.Add(-1)
 		s.violations.Warn("invocations", nil)
@@ -128,17 +129,17 @@
 	return true
 }
 
-// handle takes one invocation through its admission to its answer, and its run to its end.
-func (s *Server) handle(c *conn, st *stream, inv dispatch.Invocation, operation string, body []byte) {
+// serveInvocation admits, launches and answers one invocation. It returns when the run has ended.
+func (s *Server) serveInvocation(c *conn, st *stream, inv dispatch.Invocation, operation string, body []byte) {
 	defer s.inFlight.Add(-1)
 	defer func() {
 		if r := recover(); r != nil {
 			slog.Error("internal_error", "in", "carry", "id", inv.ID, "text", r, "stack", string(debug.Stack()))
-			c.answer(st, frame.Errored, 0, false, nil)
+			c.answerStream(st, frame.Errored, 0, false, nil)
 		}
 	}()
 	select {
-	case <-st.canceled: // an invocation that is canceled at once must not count as load or as a first attempt
+	case <-st.canceled: // canceled before admission: it must not count as load or as a first attempt
 		return
 	default:
 	}
@@ -157,7 +158,7 @@
 }
 
 // endedBeforeLaunch reports whether an admitted invocation was canceled, or answered at its deadline, before its
-// launch. It completes such an invocation, which must not be launched.
+// launch. It completes such an invocation; the caller must not launch it.
 func (s *Server) endedBeforeLaunch(c *conn, st *stream, request *dispatch.Request) bool {
 	select {
 	case <-st.canceled:
@@ -175,8 +176,8 @@
 	}
 }
 
-// awaitRun waits until the run has ended. If the final response comes earlier or the caller leaves, the run goes on
-// without a caller.
+// awaitRun waits for the end of a run. If the final response is given earlier, or the caller cancels or disconnects,
+// the run continues without a caller.
 func (s *Server) awaitRun(c *conn, st *stream, request *dispatch.Request, run *executor.Run) {
 	canceled := st.canceled
 	for {
@@ -193,17 +194,17 @@
 	}
 }
 
-// completeRun reports the end of a run to the dispatcher, and answers the caller if it has not been answered.
+// completeRun reports the end of a run to the dispatcher, and answers the caller unless that was done before.
 func (s *Server) completeRun(c *conn, st *stream, request *dispatch.Request, outcome executor.Outcome) {
 	if outcome.End == dispatch.Unrunnable {
-		c.reject("unrunnable", nil)
-	}
-	switch owed := s.dispatcher.Complete(request, outcome.End, outcome.Result); {
-	case owed && outcome.End == dispatch.RunSucceeded:
-		c.answer(st, frame.Succeeded, 0, false, outcome.Result)
-	case owed:
-		c.answer(st, frame.Errored, 0, false, nil)
-	default: // the final response was given before, perhaps since the run ended
+		c.countInvalidFrame("unrunnable", nil)
+	}
+	switch answerDue := s.dispatcher.Complete(request, outcome.End, outcome.Result); {
+	case answerDue && outcome.End == dispatch.RunSucceeded:
+		c.answerStream(st, frame.Succeeded, 0, false, outcome.Result)
+	case answerDue:
+		c.answerStream(st, frame.Errored, 0, false, nil)
+	default: // the final response was given earlier, possibly just after the run ended
 		select {
 		case response := <-request.FinalResponse():
 			s.respond(c, st, response)
@@ -212,15 +213,15 @@
 	}
 }
 
-// respond answers the caller with the dispatcher's response.
+// respond sends the dispatcher's response to the caller.
 func (s *Server) respond(c *conn, st *stream, response dispatch.Response) {
 	switch response.Verdict {
 	case dispatch.Throttled:
-		c.answer(st, frame.Throttled, response.RetryAfter, response.DontRetry, nil)
+		c.answerStream(st, frame.Throttled, response.RetryAfter, response.DontRetry, nil)
 	case dispatch.Errored:
-		c.answer(st, frame.Errored, 0, false, nil)
+		c.answerStream(st, frame.Errored, 0, false, nil)
 	case dispatch.Replayed:
-		c.answer(st, frame.Succeeded, 0, false, response.Result)
-	default: // Abandoned: the caller has left; Admitted is no final response
+		c.answerStream(st, frame.Succeeded, 0, false, response.Result)
+	default: // Abandoned: the caller has canceled or disconnected; Admitted is not a final response
 	}
 }
--- a/internal/backend/server/invocation_test.go
+++ b/internal/backend/server/invocation_test.go
@@ -34,7 +34,7 @@
 	tr.Say("largest body unchanged %t, largest result %d", launch.Body == largest, len(node.Expect().Body))
 	node.Send(fakes.Invocation(10, 10, "wait=0"), fakes.Invocation(11, 11, "at=1"))
 	tr.Say("past their deadlines: %d %d", node.Expect().Code, node.Expect().Code)
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
 // A caller that has left gets no answer, and its invocation does not run if it was still queued.
@@ -47,7 +47,7 @@
 	node.Send(cancelFrame(1), healthCheck(2))
 	tr.Say("canceled while it runs: %v", node.Expect())
 	s.fakeExecutor.End(launch.ID, "complete", "too late")
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 	node.Send(cancelFrame(1), healthCheck(3))
 	tr.Say("canceled once answered: %v", node.Expect())
 
@@ -55,13 +55,13 @@
 	before := s.fakeExecutor.Samples()
 	fakes.Until(t, "two ticks have used the gauges", func() bool { return s.fakeExecutor.Samples() >= before+3 })
 	node.Send(fakes.Invocation(4, 4))
-	fakes.Until(t, "the invocation is queued", func() bool { return s.inDispatch() == 1 })
+	fakes.Until(t, "the invocation is queued", func() bool { return s.dispatcherInFlight() == 1 })
 	node.Send(cancelFrame(4))
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 	node.Send(fakes.Invocation(5, 5), fakes.Invocation(6, 6)[:40])
-	fakes.Until(t, "the invocation is queued", func() bool { return s.inDispatch() == 1 })
+	fakes.Until(t, "the invocation is queued", func() bool { return s.dispatcherInFlight() == 1 })
 	_ = node.Close()
-	s.expectNothingLeft(t, 0)
+	s.awaitIdle(t, 0)
 	tr.Say("launches of queued ones: %d", len(s.fakeExecutor.Launches))
 }
 
@@ -83,7 +83,7 @@
 	tr.Say("the 41st of the process: %v", second.Expect())
 	_ = first.Close()
 	_ = second.Close()
-	s.expectNothingLeft(t, 0)
+	s.awaitIdle(t, 0)
 }
 
 // An invocation without a deadline is errored, unless the settings make deadlines optional. Then its deadline is the
@@ -122,7 +122,7 @@
 	st := &stream{number: 1, canceled: make(chan struct{})}
 	close(st.canceled)
 	for n := range 300 {
-		s.reserve()
+		s.reserveInFlight()
 		invocation := dispatch.Invocation{
 			ID:            fmt.Sprint(n),
 			ArrivedAt:     dispatch.Now(),
@@ -130,12 +130,12 @@
 			MemoryKB:      1,
 			Canceled:      st.canceled,
 		}
-		s.handle(nil, st, invocation, "look", nil)
+		s.serveInvocation(nil, st, invocation, "look", nil)
 	}
 	if counts, _ := s.dispatcher.Counts(); counts.Arrived != 0 || len(s.fakeExecutor.Launches) != 0 {
 		t.Errorf("%+v, %d launches; want none", counts, len(s.fakeExecutor.Launches))
 	}
-	s.expectNothingLeft(t, 0)
+	s.awaitIdle(t, 0)
 }
 
 // An invocation whose deadline passes between its admission and its launch is errored and does not run.
@@ -153,11 +153,11 @@
 	if f := node.Expect(); f.Code != errored {
 		t.Errorf("%v, want errored", f)
 	}
-	fakes.Until(t, "the invocation is complete", func() bool { return s.inServer() == 0 })
+	fakes.Until(t, "the invocation is complete", func() bool { return s.serverInFlight() == 0 })
 	if len(s.fakeExecutor.Launches) > 0 {
 		t.Error("the invocation was launched")
 	}
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
 // If the connection to the executor breaks within a notice or a result, the caller gets the complete result that the
@@ -197,5 +197,5 @@
 	if f := node.Expect(); f.Stream != 9 {
 		t.Errorf("before the health check: %v, want nothing", f)
 	}
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
--- a/internal/backend/server/listener.go
+++ b/internal/backend/server/listener.go
@@ -11,25 +11,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// listener accepts connections for netpoll, in place of netpoll's own listener. That closes its descriptor twice, and
-// may close another file the second time. It also resets the connections in the accept queue when it is closed.
+// listener accepts connections for netpoll. It replaces netpoll's own listener, which closes its file descriptor twice
+// and so may close an unrelated file the second time. Netpoll's listener also resets the connections in the accept
+// queue when it is closed.
 type listener struct {
 	net.Listener
 
 	fd int
 
-	mu     sync.Mutex // guards closed, and is held during accept, so that fd is not closed and reused meanwhile
+	mu     sync.Mutex // guards closed; held during accept, so that fd is not closed and reused meanwhile
 	closed bool
 }
 
-// errListenerClosed ends the accept loop.
+// errListenerClosed is the error of Accept after the listener is closed. It ends the accept loop.
 var errListenerClosed = errors.New("listener is closed")
 
 // newListener returns a listener that accepts the connections of l.
 func newListener(l net.Listener) (*listener, error) {
 	socket, ok := l.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("listen on %s: %T has no descriptor", l.Addr(), l)
+		return nil, fmt.Errorf("listen on %s: %T has no file descriptor", l.Addr(), l)
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -39,10 +40,10 @@
 	return wrapped, raw.Control(func(fd uintptr) { wrapped.fd = int(fd) })
 }
 
-// Fd returns the descriptor that the poller waits on.
+// Fd returns the file descriptor that the poller waits on.
 func (l *listener) Fd() int { return l.fd }
 
-// acceptedConn is an accepted connection with those methods that netpoll calls.
+// acceptedConn is an accepted connection. It implements only those methods of net.Conn that netpoll calls.
 type acceptedConn struct {
 	net.Conn
 
@@ -51,13 +52,13 @@
 	remote net.Addr
 }
 
-// Fd returns the descriptor.
+// Fd returns the file descriptor.
 func (c acceptedConn) Fd() int { return c.fd }
 
-// LocalAddr returns the address of this side.
+// LocalAddr returns the local address.
 func (c acceptedConn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr returns the address of the peer.
+// RemoteAddr returns the address of the peer, which is empty unless it is an IPv4 address.
 func (c acceptedConn) RemoteAddr() net.Addr { return c.remote }
 
 // Accept takes a connection from the accept queue. It returns nil and no error if the queue is empty.
@@ -82,17 +83,17 @@
 	return c, nil
 }
 
-// acceptPoll is the interval between two checks of the accept queue before the listener closes.
-const acceptPoll = time.Millisecond
+// acceptPollInterval is the interval between two checks of the accept queue before the listener closes.
+const acceptPollInterval = time.Millisecond
 
 // closeWhenEmpty closes the listener once the poller has accepted all connections in the accept queue, or after
-// timeout: the peer of an established connection may have sent an invocation. Meanwhile the kernel drops the packets
-// of new connections, so that these are refused when they retransmit after the close.
+// timeout. The peer of a connection in the queue may already have sent an invocation. Meanwhile a socket filter drops
+// the packets of new connections, which are refused when their SYN is retransmitted after the close.
 func (l *listener) closeWhenEmpty(timeout time.Duration) error {
-	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0} // accept 0 bytes of each packet
+	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0} // keep 0 bytes of each packet
 	filter := &unix.SockFprog{Len: 1, Filter: &dropAll}
 	_ = unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, filter)
-	for deadline := time.Now().Add(timeout); ; time.Sleep(acceptPoll) {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(acceptPollInterval) {
 		if done, err := l.closeIfEmpty(time.Now().After(deadline)); done {
 			return err
 		}
@@ -106,22 +107,22 @@
 	if l.closed {
 		return true, nil
 	}
-	if !force && readable(l.fd) {
+	if !force && isReadable(l.fd) {
 		return false, nil
 	}
 	l.closed = true
 	return true, l.Close()
 }
 
-// readable reports whether a socket has input or, if it listens, a connection in its accept queue.
-func readable(fd int) bool {
+// isReadable reports whether a socket has input or, if it is a listening socket, a connection in its accept queue.
+func isReadable(fd int) bool {
 	set := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	n, err := unix.Poll(set, 0)
 	return n > 0 && err == nil
 }
 
-// hasUnreadInput reports whether the peer of a socket has sent bytes that have not been read.
-func hasUnreadInput(fd int) bool {
+// socketHasUnreadInput reports whether the receive buffer of a socket contains data.
+func socketHasUnreadInput(fd int) bool {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n > 0 && err == nil
--- a/internal/backend/server/read.go
+++ b/internal/backend/server/read.go
@@ -8,17 +8,18 @@
 	"milletbarrow/internal/backend/frame"
 )
 
-// Texts of errors that belong to no stream. They are sent to the peer: they are part of the protocol.
+// Texts of errors of the connection. They are sent to the peer, which makes them part of the protocol.
 const (
 	unknownKindText = "unknown type"
 	streamZeroText  = "an invocation on stream 0"
 )
 
-// ignoreAfterFactor is the multiple of the bound on invalid frames after which no more frames are read.
-const ignoreAfterFactor = 2
+// ignoreInputFactor is the multiple of the limit on invalid frames at which no more frames are read.
+const ignoreInputFactor = 2
 
-// read handles all input. Netpoll calls it on the poller, and would call it again for input left unread.
-func (c *conn) read() {
+// readInput reads and handles all available input. Netpoll calls it on the poller, and calls it again if input is left
+// unread.
+func (c *conn) readInput() {
 	defer func() {
 		if r := recover(); r != nil {
 			slog.Error("internal_error", "in", "read", "text", r, "stack", string(debug.Stack()))
@@ -29,7 +30,7 @@
 	for n := reader.Len(); n > 0; n = reader.Len() {
 		input, err := reader.Next(n)
 		if err == nil {
-			c.feed(input)
+			c.parseInput(input)
 			err = reader.Release()
 		}
 		if err != nil {
@@ -39,20 +40,20 @@
 	}
 }
 
-// feed handles input, which is valid until it returns. It stores the beginning of a frame that is not complete, as
-// far as the frame can be an invocation, and skips the rest of a frame that is longer.
-func (c *conn) feed(input []byte) {
+// parseInput handles the frames in input, which is only valid until it returns. It buffers an incomplete frame, up to
+// the maximum size of an invocation, and skips the rest of a longer frame.
+func (c *conn) parseInput(input []byte) {
 	handled := false
 	for len(input) > 0 && !c.ignoreInput {
-		if c.skip > 0 {
-			n := min(c.skip, len(input))
-			c.skip -= n
+		if c.skipBytes > 0 {
+			n := min(c.skipBytes, len(input))
+			c.skipBytes -= n
 			input = input[n:]
 			continue
 		}
-		rest, complete, err := c.feedFrame(input)
+		rest, complete, err := c.parseFrame(input)
 		if err != nil {
-			c.framingLost(err)
+			c.handleFramingError(err)
 			return
 		}
 		handled = handled || complete
@@ -61,46 +62,46 @@
 	c.trackPartialFrame(handled)
 }
 
-// feedFrame handles the first frame of partial and input and returns the input after it. If the frame is not
-// complete, it moves all input to partial.
-func (c *conn) feedFrame(input []byte) (rest []byte, complete bool, err error) {
-	if len(c.partial) > 0 {
-		return c.feedPartialFrame(input)
+// parseFrame handles the first frame, whose beginning may be in partialFrame, and returns the input after it. If the
+// frame is incomplete, it moves all input to partialFrame.
+func (c *conn) parseFrame(input []byte) (rest []byte, complete bool, err error) {
+	if len(c.partialFrame) > 0 {
+		return c.parsePartialFrame(input)
 	}
-	needed, skip, err := c.neededOf(input)
+	needed, skip, err := c.requiredBytes(input)
 	switch {
 	case err != nil:
 		return nil, false, err
 	case len(input) < needed:
-		return c.gather(input, len(input)), false, nil
+		return c.bufferPartialFrame(input, len(input)), false, nil
 	}
-	c.skip = skip
+	c.skipBytes = skip
 	c.handleFrame(input[:needed])
 	return input[needed:], true, nil
 }
 
-// feedPartialFrame is feedFrame for a frame whose beginning is in partial.
-func (c *conn) feedPartialFrame(input []byte) (rest []byte, complete bool, err error) {
-	input = c.gather(input, frame.LengthSize)
-	needed, skip, err := c.neededOf(c.partial)
+// parsePartialFrame does the work of parseFrame for a frame whose beginning is in partialFrame.
+func (c *conn) parsePartialFrame(input []byte) (rest []byte, complete bool, err error) {
+	input = c.bufferPartialFrame(input, frame.LengthSize)
+	needed, skip, err := c.requiredBytes(c.partialFrame)
 	if err != nil {
 		return nil, false, err
 	}
-	input = c.gather(input, needed)
-	if len(c.partial) < needed {
+	input = c.bufferPartialFrame(input, needed)
+	if len(c.partialFrame) < needed {
 		return input, false, nil
 	}
-	c.skip = skip
-	c.handleFrame(c.partial[:needed])
-	if c.partial = c.partial[:0]; cap(c.partial) > c.server.bounds.PartialFrameBuffer {
-		c.partial = nil
+	c.skipBytes = skip
+	c.handleFrame(c.partialFrame[:needed])
+	if c.partialFrame = c.partialFrame[:0]; cap(c.partialFrame) > c.server.bounds.PartialFrameBuffer {
+		c.partialFrame = nil
 	}
 	return input, true, nil
 }
 
-// neededOf returns how many bytes of a frame have to be there before it is handled, and how many after those are
-// skipped. begun is the beginning of the frame; without the whole length, the bytes of the length are needed.
-func (c *conn) neededOf(begun []byte) (needed, skip int, err error) {
+// requiredBytes returns how many bytes of a frame must be read before it can be handled, and how many after those are
+// to be skipped. begun has the bytes read so far; while the length is incomplete, only the length is required.
+func (c *conn) requiredBytes(begun []byte) (needed, skip int, err error) {
 	if len(begun) < frame.LengthSize {
 		return frame.LengthSize, 0, nil
 	}
@@ -113,46 +114,46 @@
 	return needed, size - needed, nil
 }
 
-// trackPartialFrame records when the frame that is not complete began, if there is one. handled reports whether frames
-// before it were handled just now: it has begun since.
+// trackPartialFrame records when the incomplete frame began, if there is one. handled reports whether the same input
+// completed other frames before it: then the incomplete frame has begun now.
 func (c *conn) trackPartialFrame(handled bool) {
-	within := len(c.partial) > 0 || c.skip > 0
+	incomplete := len(c.partialFrame) > 0 || c.skipBytes > 0
 	tracked := !c.frameStart.IsZero()
-	if within == tracked && (!within || !handled) {
+	if incomplete == tracked && (!incomplete || !handled) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.frameStart = time.Time{}
-	if within {
+	if incomplete {
 		c.frameStart = time.Now()
 	}
 }
 
-// gather moves input to partial until that holds size bytes, and returns the rest.
-func (c *conn) gather(input []byte, size int) (rest []byte) {
-	n := min(max(0, size-len(c.partial)), len(input))
-	c.partial = append(c.partial, input[:n]...)
+// bufferPartialFrame appends input to partialFrame until that has size bytes, and returns the rest of the input.
+func (c *conn) bufferPartialFrame(input []byte, size int) (rest []byte) {
+	n := min(max(0, size-len(c.partialFrame)), len(input))
+	c.partialFrame = append(c.partialFrame, input[:n]...)
 	return input[n:]
 }
 
-// framingLost handles a length that no frame can have: the frames after it cannot be found. Invocations read before are
-// answered, then the connection closes.
-func (c *conn) framingLost(err error) {
+// handleFramingError handles an invalid frame length, after which the start of the next frame is unknown. Invocations
+// read before it are answered, then the connection closes.
+func (c *conn) handleFramingError(err error) {
 	c.server.violations.Warn("frame_length", err)
 	c.ignoreInput = true
-	c.partial = nil
-	c.send(func(to []byte) []byte { return frame.AppendError(to, err.Error()) })
+	c.partialFrame = nil
+	c.sendFrame(func(to []byte) []byte { return frame.AppendError(to, err.Error()) })
 	c.closeWhenAnswered()
 }
 
-// reject counts an invalid frame, or an invocation that the executor does not know. At the bound the connection
-// closes, so that a peer that sends nothing else costs a bounded amount of CPU time.
-func (c *conn) reject(kind string, err error) {
+// countInvalidFrame logs and counts an invalid frame, or an invocation of an operation unknown to the executor. At the
+// limit the connection closes, so that a peer that sends only invalid frames uses a bounded amount of CPU time.
+func (c *conn) countInvalidFrame(kind string, err error) {
 	c.server.violations.Warn(kind, err)
 	c.mu.Lock()
-	c.invalid++
-	invalid := c.invalid
+	c.invalidFrames++
+	invalid := c.invalidFrames
 	c.mu.Unlock()
 	if invalid == c.server.bounds.InvalidFrames {
 		c.server.violations.Warn("unfit", nil)
@@ -160,22 +161,22 @@
 	}
 }
 
-// ignoresInput reports whether nothing on the connection can be answered any more, or so many frames were invalid
-// that no more are read.
+// ignoresInput reports whether the connection is closed for writing, or so many frames were invalid that no more are
+// read.
 func (c *conn) ignoresInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.writeClosed || c.invalid >= ignoreAfterFactor*c.server.bounds.InvalidFrames
+	return c.writeClosed || c.invalidFrames >= ignoreInputFactor*c.server.bounds.InvalidFrames
 }
 
-// handleFrame handles one frame, or the beginning of one that is too long to be an invocation. A panic is logged, and
-// the stream of the frame is answered.
+// handleFrame handles one frame, or the beginning of one that is too long for an invocation. If it panics, the panic is
+// logged and the stream of the frame is answered with Errored.
 func (c *conn) handleFrame(b []byte) {
 	h := frame.ReadHeader(b)
 	defer func() {
 		if r := recover(); r != nil {
 			slog.Error("internal_error", "in", "frame", "text", r, "stack", string(debug.Stack()))
-			c.fail(h.Stream)
+			c.failStream(h.Stream)
 		}
 	}()
 	payload := b[frame.HeaderSize:]
@@ -187,23 +188,23 @@
 	case frame.KindInvocation:
 		c.handleInvocation(h, payload)
 	case frame.KindCancel:
-		c.cancel(h.Stream)
+		c.cancelStream(h.Stream)
 	case frame.KindHealthCheck:
 		c.handleHealthCheck(h, payload)
-	default: // what its stream number means is unknown, so no stream is failed
-		c.reject("kind", nil)
-		c.send(func(to []byte) []byte { return frame.AppendError(to, unknownKindText) })
+	default: // the meaning of the stream number is unknown, so no stream is failed
+		c.countInvalidFrame("kind", nil)
+		c.sendFrame(func(to []byte) []byte { return frame.AppendError(to, unknownKindText) })
 	}
 }
 
-// handleHealthCheck answers a health check; the answer to an invalid one is bad.
+// handleHealthCheck answers a health check. The answer to an invalid one is unhealthy.
 func (c *conn) handleHealthCheck(h frame.Header, payload []byte) {
-	good := c.server.healthy()
+	healthy := c.server.healthy()
 	if err := frame.ReadFields(payload); err != nil || h.Payload > len(payload) {
-		c.reject("check", err)
-		good = false
+		c.countInvalidFrame("check", err)
+		healthy = false
 	} else {
-		c.countHealthCheck()
+		c.recordHealthCheck()
 	}
-	c.send(func(to []byte) []byte { return frame.AppendHealthAnswer(to, h.Stream, good) })
+	c.sendFrame(func(to []byte) []byte { return frame.AppendHealthAnswer(to, h.Stream, healthy) })
 }
--- a/internal/backend/server/read_test.go
+++ b/internal/backend/server/read_test.go
@@ -12,7 +12,7 @@
 )
 
 // sendBytes sends a text byte by byte.
-func sendBytes(node *fakes.EdgeNode, text string) {
+func sendByteByByte(node *fakes.EdgeNode, text string) {
 	for _, char := range []byte(text) {
 		node.Send(string([]byte{char}))
 	}
@@ -24,7 +24,7 @@
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
 	withField := fakes.EncodeFrame(byte(frame.KindHealthCheck), 1, fakes.EncodeFields("a=b"))
-	sendBytes(node, withField+fakes.Invocation(2, 2)+healthCheck(3))
+	sendByteByByte(node, withField+fakes.Invocation(2, 2)+healthCheck(3))
 	launch := s.nextLaunch(t)
 	tr.Say("byte by byte: %v, %v, %+v", node.Expect(), node.Expect(), launch)
 	s.fakeExecutor.End(launch.ID, "complete", "r")
@@ -39,7 +39,7 @@
 			t.Errorf("answer %d: %v, want stream %d", stream, f, stream)
 		}
 	}
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
 // Each form of an invocation that the protocol allows runs, whether it is sent at once, byte by byte, or cut in the
@@ -79,12 +79,12 @@
 			send func(text string)
 		}{
 			{"at once", func(text string) { node.Send(text) }},
-			{"byte by byte", func(text string) { sendBytes(node, text) }},
-			{"cut in the length", func(text string) { sendCut(node, text, 2) }},
-			{"cut at the header and in a name", func(text string) { sendCut(node, text, 9, 14) }},
-			{"cut in a value", func(text string) { sendCut(node, text, 30, 31) }},
-			{"cut in the body", func(text string) { sendCut(node, text, len(text)-1) }},
-			{"each byte of the header", func(text string) { sendCut(node, text, 1, 2, 3, 4, 5, 6, 7, 8, 9) }},
+			{"byte by byte", func(text string) { sendByteByByte(node, text) }},
+			{"cut in the length", func(text string) { sendFragments(node, text, 2) }},
+			{"cut at the header and in a name", func(text string) { sendFragments(node, text, 9, 14) }},
+			{"cut in a value", func(text string) { sendFragments(node, text, 30, 31) }},
+			{"cut in the body", func(text string) { sendFragments(node, text, len(text)-1) }},
+			{"each byte of the header", func(text string) { sendFragments(node, text, 1, 2, 3, 4, 5, 6, 7, 8, 9) }},
 		} {
 			number++
 			stream := uint32(number)
@@ -97,11 +97,11 @@
 			}
 		}
 	}
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
 // sendCut sends a text in pieces that end at these indices.
-func sendCut(node *fakes.EdgeNode, text string, cuts ...int) {
+func sendFragments(node *fakes.EdgeNode, text string, cuts ...int) {
 	start := 0
 	for _, cut := range cuts {
 		node.Send(text[start:cut])
@@ -146,7 +146,7 @@
 	s.fakeExecutor.End(valid.ID, "complete", "nobody can tell whose")
 	node.Send(healthCheck(13))
 	tr.Say("a health check after them: %v", node.Expect())
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
 // After an invalid length nothing more is read. Invocations read before are answered, then the connection closes.
@@ -162,7 +162,7 @@
 		tr.Say("  %v", node.Expect())
 		_, err := node.Next()
 		tr.Say("  then %v", err)
-		s.expectNothingLeft(t, 1)
+		s.awaitIdle(t, 1)
 	}
 	other.Send(healthCheck(1))
 	tr.Say("the other connection: %v", other.Expect())
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -1,15 +1,15 @@
-// Package server serves edge nodes. It owns the listener, the connections and the streams on them, answers health
-// checks, and takes each invocation from its frame through admission and its run on the executor to its answer.
+// Package server serves edge nodes. It manages the listener, the connections and their streams, answers health checks,
+// passes each invocation to the dispatcher for admission and to the executor for its run, and sends the answer.
 //
-// Invariants, each with the test that holds it:
-//   - An invocation gets one answer, or none if its caller has left: TestAnswers, TestCancel,
+// Invariants, each with the tests that verify it:
+//   - An invocation gets one answer, or none if its caller has canceled or disconnected: TestAnswers, TestCancel,
 //     TestConnectionBreaksWithinResult.
 //   - An invalid frame ends its own stream and no other: TestInvalidFrames.
 //   - No connection with unread input or an open stream is closed or evicted because of a timeout:
 //     TestUnreadInputKeepsConnection, TestEvictionWhenFull.
 //   - Answers are written before their connection closes: TestSmallAnswersBeforeClose,
 //     TestLastAnswersBeforeUnreadInput.
-//   - No state is left of a connection that has ended: TestConnectionChurn, TestResetBeforeAnswer.
+//   - The state of a closed connection is released: TestConnectionChurn, TestResetBeforeAnswer.
 package server
 
 import (
@@ -40,23 +40,23 @@
 	violations  *ratelimitlog.Logger
 	dispatcher  *dispatch.Dispatcher
 	executor    *executor.Client
-	operations  nameIndex // of the settings' operations
-	tenants     nameIndex // of the settings' tenants
+	operations  nameIndex // operations of the settings
+	tenants     nameIndex // tenants of the settings
 	listener    *listener
 	loop        netpoll.EventLoop
-	inFlight    atomic.Int64 // invocations that have a goroutine
-	unsentBytes atomic.Int64 // answers not yet written, on all connections
+	inFlight    atomic.Int64 // invocations served by a goroutine
+	unsentBytes atomic.Int64 // size of the unwritten answers of all connections
 
 	mu       sync.Mutex // guards conns and draining
 	conns    map[*conn]struct{}
 	draining bool
 
-	lastSweep time.Time // used by the goroutine of Sweep alone; zero: no sweep yet
+	lastSweep time.Time // accessed by the goroutine of Sweep only; zero: no sweep yet
 
-	beforeLaunch atomic.Pointer[func()] // called between admission and launch; nil except in tests
+	beforeLaunch atomic.Pointer[func()] // test hook, called between admission and launch; nil: none
 }
 
-// New returns a server. Protocol violations of peers are logged to violations.
+// New returns a server. It logs protocol violations of peers to violations.
 func New(
 	settings *config.Settings,
 	bounds limits.Bounds,
@@ -76,9 +76,10 @@
 	}
 }
 
-// nameIndex has the index of each name in a list of the settings.
+// nameIndex maps each name of a list in the settings to its index.
 type nameIndex map[string]int
 
+// indexNames returns the index of a list of names.
 func indexNames(names []string) nameIndex {
 	index := make(nameIndex, len(names))
 	for i, name := range names {
@@ -87,20 +88,20 @@
 	return index
 }
 
-// connKey is the key of a conn in the context that netpoll passes to callbacks.
+// connKey is the context key of the conn that netpoll passes to callbacks.
 type connKey struct{}
 
-// configureNetpoll protects the configuration of netpoll, which is one for the process.
+// configureNetpoll guards the configuration of netpoll, which is global to the process.
 var configureNetpoll sync.Once
 
-// Listen opens the address and returns it with the port in use. It returns an error of the listening socket or of the
-// poller.
+// Listen listens on the address, and returns the address with the actual port. Any error is from the listening socket
+// or from the poller.
 func (s *Server) Listen(address string) (net.Addr, error) {
 	configureNetpoll.Do(func() {
 		_ = netpoll.Configure(netpoll.Config{
 			PollerNum:    1,
 			BufferSize:   s.bounds.ReadBuffer,
-			LoggerOutput: netpollLog{s},
+			LoggerOutput: netpollLogger{s},
 			Runner:       func(_ context.Context, f func()) { f() }, // on the poller: see conn
 		})
 	})
@@ -120,7 +121,7 @@
 	return l.Addr(), err
 }
 
-// limitReceiveBuffer bounds the kernel's input buffer of a socket, which accepted connections inherit.
+// limitReceiveBuffer limits the kernel's receive buffer of the listening socket. Accepted connections inherit it.
 func (s *Server) limitReceiveBuffer(_, _ string, raw syscall.RawConn) (err error) {
 	control := raw.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, s.bounds.ReceiveBuffer)
@@ -131,17 +132,18 @@
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve() error { return s.loop.Serve(s.listener) }
 
-// readConn reads the input of a connection. Netpoll calls it on the poller, with the context that accept returned.
+// readConn handles the input of a connection. Netpoll calls it on the poller, with the context that accept returned.
 func readConn(ctx context.Context, transport netpoll.Connection) error {
 	c, ok := ctx.Value(connKey{}).(*conn)
-	if !ok { // accept has refused the connection
+	if !ok { // accept has rejected the connection
 		return transport.Close()
 	}
-	c.read()
+	c.readInput()
 	return nil
 }
 
-// accept registers a new connection. Netpoll calls it on the poller.
+// accept registers a new connection, and evicts others if the limit on connections is reached. Netpoll calls it on the
+// poller.
 func (s *Server) accept(transport netpoll.Connection) context.Context {
 	c, err := newConn(s, transport, time.Now())
 	if err != nil {
@@ -150,10 +152,10 @@
 		return context.Background()
 	}
 	ctx := context.WithValue(context.Background(), connKey{}, c)
-	crowded := false
-	if s.full(0) {
+	overLimit := false
+	if s.atConnectionLimit(0) {
 		s.violations.Warn("connections", nil)
-		if crowded = !s.evict(c.openedAt); s.full(s.bounds.ClosingConnections) {
+		if overLimit = !s.evict(c.openedAt); s.atConnectionLimit(s.bounds.ClosingConnections) {
 			_ = transport.Close()
 			return ctx
 		}
@@ -169,26 +171,26 @@
 		c.release()
 		return nil
 	})
-	if draining || crowded { // invocations that the peer has sent are still answered
+	if draining || overLimit { // invocations that the peer has already sent are still answered
 		c.sendGoAway()
 	}
 	return ctx
 }
 
-// healthy reports whether health checks are answered with good.
+// healthy reports whether health checks are answered as healthy.
 func (s *Server) healthy() bool { return s.dispatcher.Healthy() && s.executor.Available() }
 
-// netpollLog receives netpoll's own log, which has a line for each connection that is reset.
-type netpollLog struct{ server *Server }
+// netpollLogger receives the log of netpoll, which writes a line for each connection that is reset.
+type netpollLogger struct{ server *Server }
 
 // Write logs a line as a protocol violation.
-func (l netpollLog) Write(line []byte) (int, error) {
+func (l netpollLogger) Write(line []byte) (int, error) {
 	l.server.violations.Warn("netpoll", errors.New(string(bytes.TrimSpace(line))))
 	return len(line), nil
 }
 
-// all returns the open connections.
-func (s *Server) all() []*conn {
+// openConnections returns the open connections.
+func (s *Server) openConnections() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*conn, 0, len(s.conns))
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -60,7 +60,7 @@
 		node := fakes.Dial(t, s.address)
 		start := time.Now()
 		go func() { _, _ = node.Write([]byte(test.sends)) }()
-		code := s.refuseUntilAnswered(node)
+		code := s.refuseLaunchesUntilAnswer(node)
 		tr.Say("%s: in time %t, succeeded %t", test.name, time.Since(start) < 3*time.Second, code == succeeded)
 		for len(s.fakeExecutor.Launches) > 0 {
 			s.fakeExecutor.Refuse(s.nextLaunch(t).ID)
@@ -78,12 +78,12 @@
 		_ = node.Close()
 		s.awaitConnections(t, 1)
 	}
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
 // refuseUntilAnswered lets the executor refuse all launches until a connection's first answer, whose code it returns,
 // or its end, for which it returns 0.
-func (s *testServer) refuseUntilAnswered(node *fakes.EdgeNode) (code byte) {
+func (s *testServer) refuseLaunchesUntilAnswer(node *fakes.EdgeNode) (code byte) {
 	closed := make(chan struct{})
 	codes := make(chan byte, 10_000)
 	go func() {
@@ -115,7 +115,7 @@
 		node.Send(fakes.Invocation(1, 10_000+n), fakes.Invocation(2, 50_000+n)[:9+n%30])
 		_ = node.Close()
 	}
-	s.expectNothingLeft(t, 0)
+	s.awaitIdle(t, 0)
 	fakes.Until(t, "the connections' goroutines have ended", func() bool {
 		return runtime.NumGoroutine() <= before+4
 	})
--- a/internal/backend/server/write.go
+++ b/internal/backend/server/write.go
@@ -7,16 +7,16 @@
 	"milletbarrow/internal/backend/frame"
 )
 
-// send writes a frame.
-func (c *conn) send(write func(to []byte) []byte) {
+// sendFrame appends a frame to the pending output and writes it.
+func (c *conn) sendFrame(write func(to []byte) []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.append(write)
+	c.appendFrame(write)
 	c.flush()
 }
 
-// append adds a frame to the pending output. c.mu must be held.
-func (c *conn) append(write func(to []byte) []byte) {
+// appendFrame appends a frame to the pending output, unless the connection is closed for writing. c.mu must be held.
+func (c *conn) appendFrame(write func(to []byte) []byte) {
 	if c.writeClosed {
 		return
 	}
@@ -25,8 +25,8 @@
 	c.server.unsentBytes.Add(int64(len(c.pending) - before))
 }
 
-// flush writes the pending output as far as the socket accepts it, and leaves the rest to a goroutine that waits. The
-// connection of a peer that goes on sending and does not read is closed. c.mu must be held.
+// flush writes as much of the pending output as the socket accepts, and starts a goroutine that writes the rest. It
+// closes the connection of a peer that keeps sending without reading. c.mu must be held.
 func (c *conn) flush() {
 	bounds := &c.server.bounds
 	if c.writeClosed || len(c.pending) == 0 {
@@ -40,7 +40,7 @@
 		return
 	}
 	n, err := syscall.Write(c.fd, c.pending)
-	n = max(n, 0) // it is -1 with an error
+	n = max(n, 0) // n is -1 if there is an error
 	switch {
 	case err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR):
 		c.shutdown()
@@ -49,15 +49,15 @@
 		c.server.unsentBytes.Add(-int64(n))
 		c.pending = c.pending[:copy(c.pending, c.pending[n:])]
 		c.writing = true
-		go c.drainPending()
+		go c.writePending()
 		return
 	}
-	c.recycle(c.pending)
+	c.reuseBuffer(c.pending)
 	c.closeWriteIfDone()
 }
 
-// recycle reuses a written buffer for the next answers, unless it is too large. c.mu must be held.
-func (c *conn) recycle(written []byte) {
+// reuseBuffer keeps a written buffer for the next answers, unless it is too large. c.mu must be held.
+func (c *conn) reuseBuffer(written []byte) {
 	c.server.unsentBytes.Add(-int64(len(written)))
 	c.pending = nil
 	if cap(written) <= c.server.bounds.OutputBuffer {
@@ -65,8 +65,8 @@
 	}
 }
 
-// drainPending writes the output that the socket did not accept at once, and waits for the socket.
-func (c *conn) drainPending() {
+// writePending writes the output that the socket did not accept immediately. It blocks until the socket accepts it.
+func (c *conn) writePending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.pending) > 0 && !c.writeClosed {
@@ -84,13 +84,13 @@
 	c.closeWriteIfDone()
 }
 
-// sendGoAway asks the peer to send no more invocations on this connection, once.
+// sendGoAway tells the peer, once per connection, to send no more invocations on it.
 func (c *conn) sendGoAway() {
 	c.mu.Lock()
 	sent := c.goAwaySent
 	c.goAwaySent = true
 	c.mu.Unlock()
 	if !sent {
-		c.send(frame.AppendGoAway)
+		c.sendFrame(frame.AppendGoAway)
 	}
 }
--- a/internal/backend/server/write_test.go
+++ b/internal/backend/server/write_test.go
@@ -33,7 +33,7 @@
 	if f := other.Expect(); f.Code != succeeded {
 		t.Errorf("the other connection: %v, want succeeded", f)
 	}
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
 // Many small answers, each written on its own, all arrive before the end of a connection that is closed with unread
@@ -128,7 +128,7 @@
 	})
 	node, c := s.dialOne(t)
 	const length = 32 << 20 // more than the sockets of both sides hold
-	c.send(func(to []byte) []byte { return append(to, make([]byte, length)...) })
+	c.sendFrame(func(to []byte) []byte { return append(to, make([]byte, length)...) })
 	fakes.Until(t, "a writer waits with nothing else pending", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/ratelimitlog/logger.go
+++ b/internal/ratelimitlog/logger.go
@@ -1,4 +1,4 @@
-// Package ratelimitlog logs protocol violations of peers at a bounded rate, so that they cannot fill the log.
+// Package ratelimitlog logs protocol violations of peers at a limited rate, so that a peer cannot flood the log.
 package ratelimitlog
 
 import (
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Logger counts violations by kind. It logs at most one line of each kind per interval, with the count since the line
-// before. It is safe for concurrent use.
+// Logger counts violations by kind. It logs at most one line of each kind per interval, with the count since the
+// previous line. It is safe for concurrent use.
 type Logger struct {
 	interval time.Duration
 
@@ -19,17 +19,18 @@
 
 // kindCounter counts the violations of one kind.
 type kindCounter struct {
-	count    int       // since the last line
-	loggedAt time.Time // of the last line; zero: none yet
+	count    int       // since the previous line
+	loggedAt time.Time // time of the previous line; zero: none yet
 }
 
-// New returns a logger with this interval between two lines of a kind.
+// New returns a logger with the given minimum interval between two lines of a kind.
 func New(interval time.Duration) *Logger {
 	return &Logger{interval: interval, kinds: map[string]*kindCounter{}}
 }
 
-// Warn counts a violation, and logs it with the error, which may be nil, if a line of its kind is due. There have to be
-// few kinds, never chosen by a peer, as they stay in memory.
+// Warn counts a violation, and logs it with err, which may be nil, if the interval since the previous line of its kind
+// has passed. Kinds are never evicted from memory: their number must be small, and a peer must not be able to choose
+// them.
 func (l *Logger) Warn(kind string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
