--- a/internal/backend/admin/compat_test.go
+++ b/internal/backend/admin/compat_test.go
@@ -6,7 +6,7 @@
 	"milletbarrow/internal/compattest"
 )
 
-// JSON with each field set that an earlier release wrote is decoded and encoded without a difference.
+// JSON from an earlier release, with every field set, is decoded and encoded without a difference.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[State](t, "State.json")
 	compattest.RoundTrip[Override](t, "Pin.json")
--- a/internal/backend/admin/server_test.go
+++ b/internal/backend/admin/server_test.go
@@ -16,7 +16,7 @@
 	"milletbarrow/internal/limits"
 )
 
-// serveInstance serves an instance on a socket of its own until the test ends, and returns a client of it.
+// serveInstance serves an instance on a new socket until the test ends, and returns a client for it.
 func serveInstance(t *testing.T, instance Instance) *Client {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "admin")
@@ -27,7 +27,7 @@
 			t.Errorf("Serve ended with %v", err)
 		}
 	})
-	fakes.Until(t, "the socket is served", func() bool { // its file exists before it accepts connections
+	fakes.Until(t, "the socket is served", func() bool { // the file exists before the socket accepts connections
 		var dialer net.Dialer
 		conn, err := dialer.DialContext(t.Context(), "unix", path)
 		if err != nil {
@@ -59,8 +59,8 @@
 	return listener
 }
 
-// leaveSocket closes a listener and leaves its socket in the file system, as a killed process does.
-func leaveSocket(t *testing.T, listener net.Listener) {
+// leaveStaleSocket closes a listener without removing its socket file, as a killed process does.
+func leaveStaleSocket(t *testing.T, listener net.Listener) {
 	t.Helper()
 	unix, ok := listener.(*net.UnixListener)
 	if !ok {
@@ -70,14 +70,14 @@
 	_ = unix.Close()
 }
 
-// Each call is passed to the instance, and its response or error is returned.
-func TestCallsReachTheInstance(t *testing.T) {
+// Each call is forwarded to the instance, and the client gets its response or error.
+func TestCallsAreForwardedToInstance(t *testing.T) {
 	var drained time.Duration
-	refused := errors.New("no such level")
+	rejected := errors.New("no such level")
 	client := serveInstance(t, Instance{
 		State:        func() State { return State{Version: Version, Name: "n3", InFlight: 7} },
 		Drain:        func(ago time.Duration) { drained = ago },
-		Override:     func(Override) error { return refused },
+		Override:     func(Override) error { return rejected },
 		QuotaRequest: func() (quota.LeaseRequest, bool) { return quota.LeaseRequest{Name: "n3"}, true },
 		ApplyLease:   func(quota.LeaseResponse) error { return nil },
 	})
@@ -88,7 +88,7 @@
 		t.Errorf("drained with a notice of %v ago, %v; want an hour", drained, err)
 	}
 	if err := client.Override(t.Context(), Override{Level: "x"}); statusOf(err) != http.StatusUnprocessableEntity {
-		t.Errorf("a refused override: %v, want status 422", err)
+		t.Errorf("a rejected override: %v, want status 422", err)
 	}
 	if request, err := client.QuotaRequest(t.Context()); err != nil || request.Name != "n3" {
 		t.Errorf("QuotaRequest() = %+v, %v", request, err)
@@ -98,9 +98,9 @@
 	}
 }
 
-// A notice of the future, or of more than an hour ago, is refused and not passed to the instance.
+// A notice from the future, or from more than an hour ago, is rejected and not forwarded to the instance.
 func TestNoticeOutOfRangeIsRefused(t *testing.T) {
-	client := serveInstance(t, Instance{Drain: func(time.Duration) { t.Error("the notice was passed on") }})
+	client := serveInstance(t, Instance{Drain: func(time.Duration) { t.Error("the notice was forwarded") }})
 	for _, test := range []struct {
 		name string
 		ago  time.Duration
@@ -116,8 +116,8 @@
 	}
 }
 
-// An instance without fleet-wide quotas has no quota request.
-func TestNoQuotaRequestWithoutQuotas(t *testing.T) {
+// An instance without fleet-wide quotas responds to a quota request with status 404.
+func TestQuotaRequestWithoutQuotasIsNotFound(t *testing.T) {
 	client := serveInstance(t, Instance{
 		QuotaRequest: func() (request quota.LeaseRequest, ok bool) { return request, false },
 	})
@@ -126,14 +126,14 @@
 	}
 }
 
-// The socket of a killed process is replaced, and only this user may connect.
+// The stale socket of a killed process is replaced, and the socket's mode lets only this user connect.
 func TestSocketOfKilledProcessIsReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
 	first := listen(t, path)
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
 		t.Errorf("mode %v, %v; want %o", info.Mode(), err, socketMode)
 	}
-	leaveSocket(t, first)
+	leaveStaleSocket(t, first)
 	_ = listen(t, path).Close()
 }
 
@@ -148,7 +148,8 @@
 	}
 }
 
-// A cancelled context is no sign that nobody accepts connections on a socket.
+// A socket in use is not replaced when Listen is called with a canceled context: the attempt to connect fails then,
+// which does not mean that the socket is stale.
 func TestSocketInUseIsNotReplacedAfterCancel(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
 	listener := listen(t, path)
@@ -160,7 +161,7 @@
 	}
 }
 
-// A file of another kind is not replaced.
+// A file that is not a socket is not replaced.
 func TestFileIsNotReplaced(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, []byte("text"), 0o644); err != nil {
--- a/internal/backend/frame/client_test.go
+++ b/internal/backend/frame/client_test.go
@@ -11,9 +11,8 @@
 	"milletbarrow/monotime"
 )
 
-// A backend reads the invocation that a caller has written, and a caller reads the backend's answer. A truncated
-// frame is not taken for a complete one.
-func TestCallerAndBackendAgree(t *testing.T) {
+// An invocation and an answer are decoded as they were encoded, and a truncated frame is reported as incomplete.
+func TestInvocationAndAnswerRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := drawInvocation(t)
 		text := AppendInvocation(nil, 7, &sent)
@@ -37,6 +36,7 @@
 	})
 }
 
+// drawInvocation draws a random valid invocation.
 func drawInvocation(t *rapid.T) OutgoingInvocation {
 	return OutgoingInvocation{
 		Operation:     rapid.StringMatching(`[a-z-]{1,20}`).Draw(t, "operation"),
@@ -52,7 +52,7 @@
 	}
 }
 
-// agree reports whether an invocation was received as it was sent.
+// sameInvocation reports whether the decoded invocation equals the sent one.
 func sameInvocation(sent *OutgoingInvocation, received *Invocation) bool {
 	return string(received.Operation) == sent.Operation &&
 		string(received.ID) == sent.ID &&
@@ -66,7 +66,7 @@
 		bytes.Equal(received.Body, sent.Body)
 }
 
-// checkAnswer writes an answer with this body and reads it.
+// checkAnswerRoundTrip encodes a random answer with the given body, and checks that it is decoded unchanged.
 func checkAnswerRoundTrip(t *rapid.T, body []byte) {
 	retryAfter := monotime.Micros(rapid.Int64Range(0, 1e6).Draw(t, "retry after")) * monotime.Millisecond
 	dontRetry := rapid.Bool().Draw(t, "don't retry")
@@ -81,7 +81,7 @@
 	}
 }
 
-// A Retry-After that is not a time in milliseconds is refused.
+// A Retry-After that is not a duration in milliseconds is rejected.
 func TestInvalidRetryAfterIsRefused(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -104,7 +104,7 @@
 	}
 }
 
-// No payload makes ReadAnswer panic, and the body of an answer is within its payload.
+// ReadAnswer does not panic on any payload, and the body of an answer is never longer than its payload.
 func FuzzReadAnswer(f *testing.F) {
 	f.Add([]byte{1, 0})
 	f.Add([]byte{2, 1, 5, 'a', 'f', 't', 'e', 'r', 0, 1, 'x'})
--- a/internal/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -8,8 +8,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// Lengths and headers are decoded, and answers encoded, as the protocol has them.
-func TestLengthsAndAnswers(t *testing.T) {
+// Lengths and headers are decoded, and answers are encoded, as the protocol specifies.
+func TestLengthsAndAnswersMatchProtocol(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, n := range []uint32{0, 4, 5, maxLength, maxLength + 1, 1<<32 - 1} {
 		length, err := Length(binary.BigEndian.AppendUint32(nil, n), maxLength)
--- a/internal/backend/frame/helpers_test.go
+++ b/internal/backend/frame/helpers_test.go
@@ -11,7 +11,7 @@
 	maxLength = 262_144
 )
 
-// formatInvocation prints what ReadInvocation returned.
+// formatInvocation formats the results of ReadInvocation.
 func formatInvocation(inv Invocation, err error) string {
 	if err != nil {
 		return "error: " + err.Error()
@@ -21,11 +21,12 @@
 		inv.MemoryKB, inv.Priority, inv.Body)
 }
 
-// invocationFields encodes the fields of a valid invocation with these edits, as in fakes.DefaultFields.
+// invocationFields encodes the fields of a valid invocation with the given edits; see fakes.DefaultFields.
 func invocationFields(edits ...string) string {
 	return fakes.EncodeFields(defaultFields(edits...)...)
 }
 
+// defaultFields returns the fields of a valid invocation with the given edits; see fakes.DefaultFields.
 func defaultFields(edits ...string) []string {
 	return fakes.DefaultFields(0xa1, append([]string{"at=1764576000123"}, edits...)...)
 }
--- a/internal/backend/frame/invocation_test.go
+++ b/internal/backend/frame/invocation_test.go
@@ -11,8 +11,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// Each field of an invocation is decoded, or refused by its value; required fields must be there.
-func TestReadInvocation(t *testing.T) {
+// Each field of an invocation is decoded, invalid values are rejected, and required fields must be present.
+func TestReadInvocationDecodesOrRejectsFields(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, test := range []struct {
 		name  string
@@ -23,7 +23,7 @@
 		{"key", []string{"key=7f3a9c21e0b4d655"}},
 		{"no expected work", []string{"cost="}},
 		{"no tenant", []string{"tenant="}},
-		{"unknown field", []string{"hue=red"}},
+		{"unknown field", []string{"unknown=value"}},
 		{"wait of zero", []string{"wait=0"}},
 		{"huge wait", []string{"wait=99999999999999999999"}},
 		{"no class", []string{"class="}},
@@ -63,8 +63,8 @@
 	tr.Say("truncated at each byte of %d: %v", len(complete), truncated)
 }
 
-// The error of an invocation that cannot be decoded says what is wrong, and with which field.
-func TestReadInvocationErrors(t *testing.T) {
+// The error of an invalid invocation has its cause and the name of the field.
+func TestReadInvocationReportsFieldAndCause(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		edit  string
@@ -80,7 +80,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			payload := []byte(invocationFields(test.edit))
 			_, err := ReadInvocation(payload, maxBody)
-			clear(payload) // the error must not refer to the buffer, which is reused
+			clear(payload) // the error must not refer to the payload, whose buffer is reused
 			var field *FieldError
 			if !errors.As(err, &field) || field.Field != test.field || !errors.Is(err, test.want) {
 				t.Errorf("%v, want field %s, %v", err, test.field, test.want)
@@ -102,7 +102,7 @@
 	}
 }
 
-// A valid invocation is decoded without an allocation.
+// A valid invocation is decoded without allocations.
 func TestReadInvocationAllocatesNothing(t *testing.T) {
 	payload := []byte(invocationFields() + "body")
 	if n := testing.AllocsPerRun(100, func() {
@@ -114,7 +114,7 @@
 	}
 }
 
-// An accepted invocation consists of slices of its payload and is within the bounds of the protocol.
+// ReadInvocation does not modify the payload, and an accepted invocation is within the limits of the protocol.
 func FuzzReadInvocation(f *testing.F) {
 	complete := invocationFields("retry=1", "key=k")
 	f.Add([]byte(complete + "body"))
--- a/internal/backend/server/close.go
+++ b/internal/backend/server/close.go
@@ -6,8 +6,8 @@
 )
 
 // closeWriteIfDone shuts down the write side of a closing connection once all its answers are written. The read side
-// stays open for up to LingerTimeout: the kernel resets a connection that is closed with unread input, and the last answer
-// could be lost. c.mu must be held.
+// stays open for up to LingerTimeout: the kernel resets a connection that is closed with unread input, and the last
+// answer could be lost. c.mu must be held.
 func (c *conn) closeWriteIfDone() {
 	if !c.closing || c.writeClosed || !c.idle() {
 		return
--- a/internal/backend/server/close_test.go
+++ b/internal/backend/server/close_test.go
@@ -12,15 +12,15 @@
 	"milletbarrow/internal/limits"
 )
 
-// Invocations that are read after their connection has been closed for writing, idle or within a frame, are not
-// launched and open no stream. The caller reads the end of the connection, not a reset.
+// Invocations that are read after their connection has been closed for writing are not launched and open no stream. The
+// caller reads EOF, not a connection reset. The close happens while the connection is idle or within a frame.
 func TestInvocationAfterCloseIsIgnored(t *testing.T) {
 	complete := fakes.Invocation(1, 1)
 	for _, test := range []struct {
 		name     string
-		before   string // what is sent before the close
-		after    string // what is sent after it
-		answered bool   // what is sent before is answered
+		before   string // sent before the close
+		after    string // sent after the close
+		answered bool   // the input before the close is answered
 	}{
 		{"idle", healthCheck(9), complete + fakes.Invocation(2, 2), true},
 		{"within a frame", complete[:40], complete[40:] + fakes.Invocation(2, 2), false},
@@ -29,7 +29,7 @@
 			s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = time.Minute })
 			node, c := s.dialOne(t)
 			node.Send(test.before)
-			fakes.Until(t, "what was sent is read and answered", func() bool {
+			fakes.Until(t, "the input before the close is handled", func() bool {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return (c.sentValid || !c.frameStart.IsZero()) && c.idle()
@@ -49,7 +49,7 @@
 			if f, err := node.Next(); !errors.Is(err, io.EOF) {
 				t.Errorf("after the close: %v, %v; want io.EOF", f, err)
 			}
-			// Once the poller serves another connection, it has handled the input.
+			// Once the poller has served another connection, it has handled the input of this one.
 			other := fakes.Dial(t, s.address)
 			other.Send(healthCheck(1))
 			other.Expect()
@@ -60,7 +60,7 @@
 	}
 }
 
-// A connection that is closed after an invocation was read, and before its stream is opened, opens no stream.
+// A connection that is closed between the read of an invocation and the opening of its stream opens no stream.
 func TestClosedConnectionOpensNoStream(t *testing.T) {
 	s := openServer(t, nil)
 	_, c := s.dialOne(t)
@@ -71,20 +71,20 @@
 	s.awaitIdle(t, 0)
 }
 
-// A peer that resets its connection within a frame, while its invocation runs, or before it reads the answer disturbs
-// no other connection, and leaves nothing.
-func TestResetBeforeAnswer(t *testing.T) {
+// A peer that resets its connection within a frame, while its invocation runs, or before it reads the answer does not
+// affect other connections, and the state of its connection is released.
+func TestResetBeforeAnswerReleasesState(t *testing.T) {
 	s := openServer(t, nil)
 	other := fakes.Dial(t, s.address)
 	for n, test := range []struct {
 		name   string
-		before func(node *fakes.EdgeNode, invocation string) // what precedes the reset
+		before func(node *fakes.EdgeNode, invocation string) // actions before the reset
 	}{
 		{"within a frame", func(node *fakes.EdgeNode, invocation string) { node.Send(invocation[:40]) }},
 		{"running", func(node *fakes.EdgeNode, invocation string) {
 			node.Send(invocation)
 			launch := s.nextLaunch(t)
-			t.Cleanup(func() { s.fakeExecutor.End(launch.ID, "complete", "nobody waits") })
+			t.Cleanup(func() { s.fakeExecutor.End(launch.ID, "complete", "unused result") })
 		}},
 		{"answered and not read", func(node *fakes.EdgeNode, invocation string) {
 			node.Send(invocation)
--- a/internal/backend/server/drain_test.go
+++ b/internal/backend/server/drain_test.go
@@ -10,9 +10,9 @@
 	"milletbarrow/internal/fakes"
 )
 
-// StopAccepting sends GoAway on each connection. Invocations that cross it are still answered, and new connections are
-// refused.
-func TestStopAccepting(t *testing.T) {
+// StopAccepting sends GoAway on each connection. Invocations sent before the peer reads it are still answered, and new
+// connections are refused.
+func TestStopAcceptingSendsGoAwayAndRefusesConnections(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
@@ -21,7 +21,7 @@
 	s.StopAccepting()
 	tr.Say("%v", node.Expect())
 	node.Send(fakes.Invocation(2, 2))
-	s.endNextRun(t, "complete", "crossing")
+	s.endNextRun(t, "complete", "sent before GoAway was read")
 	tr.Say("%v", node.Expect())
 	tr.Say("idle %t", s.Idle())
 	s.fakeExecutor.End(first.ID, "complete", "r")
@@ -31,7 +31,7 @@
 	tr.Say("connections left: %d", len(s.openConnections()))
 }
 
-// connect opens a connection, closes it, and returns the error of opening it.
+// connect tries to connect, closes the connection, and returns the error of connecting.
 func connect(tb testing.TB, address string) error {
 	tb.Helper()
 	var dialer net.Dialer
@@ -42,8 +42,8 @@
 	return err
 }
 
-// The invocations on connections that are in the accept queue when the listener closes are answered. Later
-// connections are refused.
+// Invocations on connections that wait in the accept queue when StopAccepting is called are answered. Later connections
+// are refused.
 func TestAcceptQueueIsServedBeforeClose(t *testing.T) {
 	s := openServer(t, nil)
 	release := s.blockPoller(t)
@@ -73,8 +73,8 @@
 	}
 }
 
-// CloseAnswered leaves an idle connection open on which an invocation is unread, and the invocation is answered.
-func TestCloseAnsweredSparesUnreadInput(t *testing.T) {
+// CloseAnswered does not close an idle connection with an unread invocation, and the invocation is answered.
+func TestCloseAnsweredKeepsConnectionWithUnreadInput(t *testing.T) {
 	s := openServer(t, nil)
 	node, c := s.dialOne(t)
 	node.Send(healthCheck(9))
--- a/internal/backend/server/evict_test.go
+++ b/internal/backend/server/evict_test.go
@@ -11,9 +11,10 @@
 	"milletbarrow/monotime"
 )
 
-// Above the bound, a new connection evicts one without a valid frame, or else an idle one, and never one with an open
-// invocation. If all have one, a few new connections are accepted and sent GoAway, and the rest are closed.
-func TestEvictionWhenFull(t *testing.T) {
+// At the connection limit, a new connection evicts one without a valid frame, or else an idle one, and never one with
+// an open stream. If all have open streams, up to ClosingConnections new ones are accepted and get GoAway, and further
+// ones are closed.
+func TestEvictionAtConnectionLimitSparesBusyConnections(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) {
 		b.Connections = 2
@@ -28,31 +29,31 @@
 	idle.Send(healthCheck(1))
 	tr.Say("a third connection: %v", idle.Expect())
 	_, err := silent.Next()
-	tr.Say("the one without a frame ends: %t", err != nil)
+	tr.Say("the connection without a frame ends: %t", err != nil)
 	s.awaitConnections(t, 2)
 
-	alsoBusy := fakes.Dial(t, s.address)
-	alsoBusy.Send(healthCheck(1))
-	tr.Say("a fourth: %v", alsoBusy.Expect())
+	secondBusy := fakes.Dial(t, s.address)
+	secondBusy.Send(healthCheck(1))
+	tr.Say("a fourth connection: %v", secondBusy.Expect())
 	_, err = idle.Next()
-	tr.Say("the idle one ends: %t", err != nil)
+	tr.Say("the idle connection ends: %t", err != nil)
 	s.awaitConnections(t, 2)
-	alsoBusy.Send(fakes.Invocation(2, 2))
+	secondBusy.Send(fakes.Invocation(2, 2))
 	secondLaunch := s.nextLaunch(t)
 
-	crowded := fakes.Dial(t, s.address) // it may send an invocation before it can be closed
-	crowded.Send(fakes.Invocation(5, 5))
-	tr.Say("a fifth, both others are busy: %v", crowded.Expect())
-	crowdedLaunch := s.nextLaunch(t)
+	overLimit := fakes.Dial(t, s.address) // its invocation may arrive before the server can close it
+	overLimit.Send(fakes.Invocation(5, 5))
+	tr.Say("a fifth connection, both others are busy: %v", overLimit.Expect())
+	overLimitLaunch := s.nextLaunch(t)
 	_, err = fakes.Dial(t, s.address).Next()
-	tr.Say("a sixth ends, all others are busy: %t", err != nil)
-	s.fakeExecutor.End(crowdedLaunch.ID, "complete", "r")
-	tr.Say("the fifth: %v", crowded.Expect())
-	_ = crowded.Close()
+	tr.Say("a sixth connection ends, all others are busy: %t", err != nil)
+	s.fakeExecutor.End(overLimitLaunch.ID, "complete", "r")
+	tr.Say("the fifth connection: %v", overLimit.Expect())
+	_ = overLimit.Close()
 	s.awaitConnections(t, 2)
 	s.fakeExecutor.End(launch.ID, "complete", "r")
 	s.fakeExecutor.End(secondLaunch.ID, "complete", "r")
-	tr.Say("the busy ones: %v, %v", busy.Expect(), alsoBusy.Expect())
+	tr.Say("the busy connections: %v, %v", busy.Expect(), secondBusy.Expect())
 
 	busy.Send(fakes.Invocation(2, 3))
 	launch = s.nextLaunch(t)
@@ -67,10 +68,10 @@
 	s.awaitConnections(t, 1)
 	late := fakes.Dial(t, s.address)
 	late.Send(healthCheck(1))
-	tr.Say("below the bound again: %v", late.Expect())
+	tr.Say("below the limit again: %v", late.Expect())
 }
 
-// While connections that are closed wait for the poller, no open connection is evicted for new ones.
+// While closed connections wait for the poller, no open connection is evicted for a new one.
 func TestNoEvictionWhileClosedConnectionsWait(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.Connections = 2 })
 	node := fakes.Dial(t, s.address)
@@ -92,9 +93,9 @@
 	}
 }
 
-// Above the high-water mark GoAway is sent on the connections that are idle for longest. At the bound they are closed,
-// several at once if there are many.
-func TestGoAwayAboveHighWaterMark(t *testing.T) {
+// Above the high-water mark, GoAway is sent on the connections idle for longest. At the connection limit these are
+// closed, several at once if there are many.
+func TestIdleConnectionsGetGoAwayAboveHighWaterMark(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) {
 		b.Connections = 64
@@ -110,16 +111,16 @@
 	s.sweep(0)
 	tr.Say("the two idle for longest: %v, %v", nodes[0].Expect(), nodes[1].Expect())
 	nodes[2].Send(healthCheck(2))
-	tr.Say("the third: %v", nodes[2].Expect())
+	tr.Say("the third connection: %v", nodes[2].Expect())
 	late := fakes.Dial(t, s.address)
 	late.Send(healthCheck(1))
-	tr.Say("one more: %v", late.Expect())
+	tr.Say("one more connection: %v", late.Expect())
 	s.awaitConnections(t, 62)
 	_, err := nodes[1].Next()
-	tr.Say("the second: %v", err)
+	tr.Say("the second connection: %v", err)
 }
 
-// A connection that is idle for longer than the deployment's callers leave it so is closed; a busy one is not.
+// A connection that is idle for longer than the callers' idle timeout is closed; a busy one is not.
 func TestConnectionIdleTooLongIsClosed(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
@@ -137,14 +138,14 @@
 		return n == 1
 	})
 	_, err := idle.Next()
-	tr.Say("the idle one: %v", err)
+	tr.Say("the idle connection: %v", err)
 	s.fakeExecutor.End(launch.ID, "complete", "r")
-	tr.Say("the busy one: %v", busy.Expect())
+	tr.Say("the busy connection: %v", busy.Expect())
 }
 
-// A connection with an unread invocation is neither expired nor evicted, although its timeouts have passed, as when the
-// process was stalled.
-func TestUnreadInputKeepsConnection(t *testing.T) {
+// A connection with an unread invocation is neither expired nor evicted after its timeouts have passed, as happens when
+// the process was stalled.
+func TestUnreadInputPreventsClose(t *testing.T) {
 	shortTimeouts := func(b *limits.Bounds, settings *config.Settings) {
 		b.FrameTimeout = time.Millisecond
 		b.IdleAge = 0
@@ -156,8 +157,8 @@
 	invocation := fakes.Invocation(1, 1)
 	for _, test := range []struct {
 		name   string
-		read   string // what is sent and read before
-		unread string // what is sent and not read
+		read   string // sent, and read before the poller is blocked
+		unread string // sent while the poller is blocked
 		closes func(*testServer)
 	}{
 		{"without a frame", "", invocation, sweep},
--- a/internal/backend/server/helpers_test.go
+++ b/internal/backend/server/helpers_test.go
@@ -17,7 +17,7 @@
 	"milletbarrow/monotime"
 )
 
-// Result codes as the fake edge node reads them.
+// Result codes as the fake edge node decodes them.
 const (
 	succeeded = byte(frame.Succeeded)
 	throttled = byte(frame.Throttled)
@@ -29,10 +29,10 @@
 	return fakes.EncodeFrame(byte(frame.KindHealthCheck), stream, fakes.EncodeFields())
 }
 
-// cancelFrame returns the frame by which a caller cancels an invocation.
+// cancelFrame returns the frame that cancels an invocation.
 func cancelFrame(stream uint32) string { return fakes.EncodeFrame(byte(frame.KindCancel), stream, "") }
 
-// resetOnClose makes the close of an edge node's connection a reset.
+// resetOnClose makes the close of an edge node's connection send a TCP reset.
 func resetOnClose(t *testing.T, node *fakes.EdgeNode) {
 	t.Helper()
 	conn, ok := node.Conn.(*net.TCPConn)
@@ -44,7 +44,7 @@
 	}
 }
 
-// expectAnswer returns the next frame that is no GoAway.
+// expectAnswer returns the next frame that is not a GoAway.
 func expectAnswer(node *fakes.EdgeNode) fakes.Frame {
 	f := node.Expect()
 	for f.Type == byte(frame.KindGoAway) {
@@ -61,8 +61,8 @@
 	address      string
 }
 
-// openServer starts a server and waits until it is healthy. adjust changes its bounds and settings; nil leaves them
-// as they are.
+// openServer starts a server and waits until it is healthy. adjust may change the default bounds and settings; nil
+// keeps them.
 func openServer(t *testing.T, adjust func(*limits.Bounds, *config.Settings)) *testServer {
 	t.Helper()
 	var settings config.Settings
@@ -117,7 +117,7 @@
 	return n
 }
 
-// awaitConnections waits until so many connections are open.
+// awaitConnections waits until the given number of connections is open.
 func (s *testServer) awaitConnections(tb testing.TB, want int) {
 	tb.Helper()
 	fakes.Until(tb, "the expected number of connections is open", func() bool {
@@ -126,7 +126,7 @@
 	})
 }
 
-// onlyConn waits until one connection is open, and returns it.
+// onlyConn waits until exactly one connection is open, and returns it.
 func (s *testServer) onlyConn(tb testing.TB) *conn {
 	tb.Helper()
 	s.awaitConnections(tb, 1)
@@ -146,7 +146,7 @@
 	return fakes.Take(tb, "a launch", s.fakeExecutor.Launches)
 }
 
-// endNextRun ends the next run that is launched.
+// endNextRun waits for the next launch and ends its run.
 func (s *testServer) endNextRun(tb testing.TB, end, result string) fakes.Launch {
 	tb.Helper()
 	launch := s.nextLaunch(tb)
@@ -154,21 +154,21 @@
 	return launch
 }
 
-// expectNothingLeft ends all runs and waits until nothing is in flight, and so many connections are open.
+// awaitIdle ends all runs, and waits until nothing is in flight and the given number of connections is open.
 func (s *testServer) awaitIdle(tb testing.TB, connections int) {
 	tb.Helper()
 	fakes.Until(tb, "nothing is in flight", func() bool {
 		for len(s.fakeExecutor.Launches) > 0 {
-			s.endNextRun(tb, "complete", "nobody waits")
+			s.endNextRun(tb, "complete", "unused result")
 		}
 		n, inServer := s.Counts()
-		nothing := inServer == 0 && s.dispatcherInFlight() == 0 && s.unsentBytes.Load() == 0 && s.Idle()
-		return n == connections && nothing
+		idle := inServer == 0 && s.dispatcherInFlight() == 0 && s.unsentBytes.Load() == 0 && s.Idle()
+		return n == connections && idle
 	})
 }
 
-// holdPoller blocks the poller until release is called. Input that arrives meanwhile stays unread in the sockets, as
-// when the process is stalled. The poller blocks at the locked listener, to which a new connection brings it.
+// blockPoller blocks the poller until release is called. Input that arrives meanwhile stays unread in the sockets, as
+// when the process is stalled. The poller blocks when it accepts the new connection, as the listener is locked.
 func (s *testServer) blockPoller(tb testing.TB) (release func()) {
 	tb.Helper()
 	s.listener.mu.Lock()
--- a/internal/backend/server/idempotency_test.go
+++ b/internal/backend/server/idempotency_test.go
@@ -13,8 +13,8 @@
 	"milletbarrow/monotime"
 )
 
-// The result of one run is the answer to a repeat that arrives during the run, although the original's caller has
-// reset its connection, and to one that arrives after it. The connection to the executor breaks meanwhile.
+// A repeat that arrives during the run of the original and one that arrives after it are both answered with the result
+// of that run. Meanwhile the original's caller resets its connection, and the connection to the executor breaks.
 func TestRepeatsAreAnsweredByOneRun(t *testing.T) {
 	s := openServer(t, withIdempotencyKeys)
 	first, second := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
@@ -32,13 +32,13 @@
 		<-s.fakeExecutor.Subscribes
 	}
 	s.fakeExecutor.Cut()
-	s.fakeExecutor.End(launch.ID, "complete", "the one result") // while the executor is disconnected
-	if f := second.Expect(); f.Code != succeeded || f.Body != "the one result" {
-		t.Errorf("the repeat during the run: %v, want the one result", f)
+	s.fakeExecutor.End(launch.ID, "complete", "the result of the run") // while the executor is disconnected
+	if f := second.Expect(); f.Code != succeeded || f.Body != "the result of the run" {
+		t.Errorf("the repeat during the run: %v, want the result of the run", f)
 	}
 	second.Send(fakes.Attempt(1, 3, "x", "retry=1")) // on the same stream number
-	if f := second.Expect(); f.Code != succeeded || f.Body != "the one result" {
-		t.Errorf("the repeat after the run: %v, want the one result", f)
+	if f := second.Expect(); f.Code != succeeded || f.Body != "the result of the run" {
+		t.Errorf("the repeat after the run: %v, want the result of the run", f)
 	}
 	if len(s.fakeExecutor.Launches) > 0 {
 		t.Errorf("launched again: %v", <-s.fakeExecutor.Launches)
@@ -48,8 +48,8 @@
 	})
 }
 
-// If the original is canceled between its admission and its launch, its waiting repeat is throttled with a
-// Retry-After, as nothing ran, and the next attempt runs.
+// If the original is canceled between its admission and its launch, its waiting repeat is throttled with a Retry-After,
+// because nothing has run, and the next attempt runs.
 func TestRepeatOfCanceledOriginalMayRetry(t *testing.T) {
 	s := openServer(t, withIdempotencyKeys)
 	admitted, resume := make(chan struct{}), make(chan struct{})
@@ -80,8 +80,8 @@
 	}
 }
 
-// An invocation without an idempotency key, or with one that is too long, is errored and does not run. Beyond the
-// bound on streams a repeat is errored, as another backend would run it again, and an original is throttled.
+// An invocation whose idempotency key is missing or too long is errored and does not run. Beyond the limit on streams a
+// repeat is errored, as another backend would run it again, and an original is throttled.
 func TestIdempotencyKeyIsRequired(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
@@ -97,28 +97,28 @@
 	sendAttempt("key too long", 3, strings.Repeat("0123456789", 7))
 	node.Send(fakes.Attempt(5, 5, "x"))
 	launch := s.nextLaunch(t)
-	sendAttempt("a repeat beyond the bound", 6, "x", "retry=1")
-	sendAttempt("another key beyond the bound", 7, "y")
+	sendAttempt("a repeat beyond the limit", 6, "x", "retry=1")
+	sendAttempt("another key beyond the limit", 7, "y")
 	s.fakeExecutor.End(launch.ID, "error", "")
 	tr.Say("its run fails: %v", node.Expect())
 	sendAttempt("its repeat", 8, "x", "retry=1")
 	tr.Say("further launches %d", len(s.fakeExecutor.Launches))
 }
 
-// A client that copies the idempotency key of another's invocation, before it arrives or while it runs, does not get
-// its result. The other invocation and its repeat are answered as if there were no copy.
-func TestCopiedIdempotencyKey(t *testing.T) {
+// A client that copies the idempotency key of another client's invocation, before it arrives or while it runs, does not
+// get its result. The copied invocation and its repeat are answered as if there were no copy.
+func TestCopiedIdempotencyKeyGetsNoResult(t *testing.T) {
 	s := openServer(t, withIdempotencyKeys)
 	owner, copier := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
-	const copiersBody = "what it would like"
+	const copyBody = "a different body"
 	sendCopy := func(stream uint32, number int) {
 		fields := fakes.EncodeFields(fakes.DefaultFields(number, "class=post", "once=x")...)
-		copier.Send(fakes.EncodeFrame(byte(frame.KindInvocation), stream, fields+copiersBody))
+		copier.Send(fakes.EncodeFrame(byte(frame.KindInvocation), stream, fields+copyBody))
 	}
 	expectRefusedCopy := func() {
 		t.Helper()
 		launch := s.nextLaunch(t)
-		if launch.Body != copiersBody {
+		if launch.Body != copyBody {
 			t.Fatalf("launched %v, want the copy", launch)
 		}
 		s.fakeExecutor.Refuse(launch.ID)
@@ -150,9 +150,9 @@
 	}
 }
 
-// A repeat that arrived in the last moment of its original's window is answered with the original's result, although
-// it is read later. One that arrived just after the expiry is an original and runs. Both frames state their arrival,
-// so the outcome does not depend on the speed of the test.
+// A repeat that arrived at the end of its original's repeat window is answered with the original's result, even if it
+// is read later. One that arrived just after the window is a new original and runs. Both frames contain their time of
+// arrival, so the outcome does not depend on the speed of the test.
 func TestRepeatWindowCountsFromArrival(t *testing.T) {
 	const window = 100 * time.Millisecond
 	var slack time.Duration
@@ -172,10 +172,10 @@
 	fakes.Until(t, "the window is over", func() bool { return time.Now().After(outside) })
 	node.Send(fakes.Attempt(2, 2, "x", "retry=1", at(inside)))
 	if f := node.Expect(); f.Stream != 2 || f.Code != succeeded || f.Body != "first" {
-		t.Errorf("in the window: %v, want result first", f)
+		t.Errorf("within the window: %v, want result first", f)
 	}
 	if n := len(s.fakeExecutor.Launches); n != 0 {
-		t.Errorf("in the window: %d launches, want none", n)
+		t.Errorf("within the window: %d launches, want none", n)
 	}
 	node.Send(fakes.Attempt(3, 3, "x", "retry=1", at(outside)))
 	if launch := s.endNextRun(t, "complete", "second"); launch.ID != "0000000000000003" {
--- a/internal/backend/server/invocation_test.go
+++ b/internal/backend/server/invocation_test.go
@@ -14,8 +14,8 @@
 	"milletbarrow/monotime"
 )
 
-// Health checks are answered, and invocations with the outcome of their runs and the executor's result.
-func TestAnswers(t *testing.T) {
+// Health checks are answered, and an invocation is answered with the outcome of its run and the executor's result.
+func TestAnswerReflectsRunOutcome(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
@@ -37,8 +37,8 @@
 	s.awaitIdle(t, 1)
 }
 
-// A caller that has left gets no answer, and its invocation does not run if it was still queued.
-func TestCancel(t *testing.T) {
+// A caller that has canceled or disconnected gets no answer, and its invocation does not run if it was still queued.
+func TestCanceledInvocationIsNotAnswered(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
@@ -46,12 +46,12 @@
 	launch := s.nextLaunch(t)
 	node.Send(cancelFrame(1), healthCheck(2))
 	tr.Say("canceled while it runs: %v", node.Expect())
-	s.fakeExecutor.End(launch.ID, "complete", "too late")
+	s.fakeExecutor.End(launch.ID, "complete", "unused result")
 	s.awaitIdle(t, 1)
 	node.Send(cancelFrame(1), healthCheck(3))
 	tr.Say("canceled once answered: %v", node.Expect())
 
-	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no core is free
+	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no idle core
 	before := s.fakeExecutor.Samples()
 	fakes.Until(t, "two ticks have used the gauges", func() bool { return s.fakeExecutor.Samples() >= before+3 })
 	node.Send(fakes.Invocation(4, 4))
@@ -62,10 +62,10 @@
 	fakes.Until(t, "the invocation is queued", func() bool { return s.dispatcherInFlight() == 1 })
 	_ = node.Close()
 	s.awaitIdle(t, 0)
-	tr.Say("launches of queued ones: %d", len(s.fakeExecutor.Launches))
+	tr.Say("launches of queued invocations: %d", len(s.fakeExecutor.Launches))
 }
 
-// Invocations beyond the bound of a connection, or of the process, are throttled.
+// Invocations beyond the limit of a connection, or of the process, are throttled.
 func TestInvocationsBeyondBoundsAreThrottled(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
@@ -86,9 +86,9 @@
 	s.awaitIdle(t, 0)
 }
 
-// An invocation without a deadline is errored, unless the settings make deadlines optional. Then its deadline is the
-// operation's client timeout, by which it is answered although its run does not end.
-func TestMissingDeadline(t *testing.T) {
+// An invocation without a deadline is errored, unless the settings make deadlines optional. Then the operation's client
+// timeout is its deadline, by which it is answered even if its run has not ended.
+func TestMissingDeadlineIsErroredUnlessOptional(t *testing.T) {
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
 	node.Send(fakes.Invocation(1, 1, "wait="))
@@ -116,8 +116,8 @@
 	}
 }
 
-// An invocation that is canceled before its admission reaches neither the dispatcher nor the executor.
-func TestCanceledBeforeAdmission(t *testing.T) {
+// An invocation that is canceled before its admission is passed neither to the dispatcher nor to the executor.
+func TestCanceledBeforeAdmissionIsNotAdmitted(t *testing.T) {
 	s := openServer(t, nil)
 	st := &stream{number: 1, canceled: make(chan struct{})}
 	close(st.canceled)
@@ -139,7 +139,7 @@
 }
 
 // An invocation whose deadline passes between its admission and its launch is errored and does not run.
-func TestDueBeforeLaunchDoesNotRun(t *testing.T) {
+func TestDeadlineBeforeLaunchPreventsRun(t *testing.T) {
 	s := openServer(t, nil)
 	awaitDeadline := func() {
 		fakes.Until(t, "the dispatcher has errored the invocation", func() bool {
@@ -160,9 +160,9 @@
 	s.awaitIdle(t, 1)
 }
 
-// If the connection to the executor breaks within a notice or a result, the caller gets the complete result that the
-// next connection brings. A result without CR LF is answered as errored. There is one answer in each case.
-func TestConnectionBreaksWithinResult(t *testing.T) {
+// If the connection to the executor breaks within a notice or a result, the caller gets the complete result from the
+// next connection. An invocation whose result does not end in CR LF is errored. There is one answer in each case.
+func TestExecutorReconnectWithinResultGivesOneAnswer(t *testing.T) {
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
 	for n, test := range []struct {
--- a/internal/backend/server/read_test.go
+++ b/internal/backend/server/read_test.go
@@ -11,15 +11,15 @@
 	"milletbarrow/internal/fakes"
 )
 
-// sendBytes sends a text byte by byte.
+// sendByteByByte sends each byte of a text in a separate write.
 func sendByteByByte(node *fakes.EdgeNode, text string) {
 	for _, char := range []byte(text) {
 		node.Send(string([]byte{char}))
 	}
 }
 
-// Frames are read alike whether they arrive byte by byte or all at once.
-func TestFramesInPieces(t *testing.T) {
+// Frames are handled the same whether they arrive byte by byte or all at once.
+func TestFragmentedFramesAreHandled(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
@@ -42,13 +42,13 @@
 	s.awaitIdle(t, 1)
 }
 
-// Each form of an invocation that the protocol allows runs, whether it is sent at once, byte by byte, or cut in the
-// middle of its length, of a name, of a value or of its body.
-func TestEachFormOfInvocationRuns(t *testing.T) {
+// An invocation in every encoding that the protocol allows runs, whether it is sent at once, byte by byte, or split
+// within its length, a name, a value or its body.
+func TestEveryValidInvocationEncodingRuns(t *testing.T) {
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
 	number := 0
-	for _, form := range []struct {
+	for _, encoding := range []struct {
 		name    string
 		payload func(number int) string
 	}{
@@ -59,7 +59,7 @@
 			return fakes.EncodeFields(fields...) + "body"
 		}},
 		{"unknown fields", func(n int) string {
-			unknown := []string{"colour=green", "x=", "=" + strings.Repeat("v", 300)}
+			unknown := []string{"unknown=value", "x=", "=" + strings.Repeat("v", 300)}
 			return fakes.EncodeFields(append(fakes.DefaultFields(n), unknown...)...) + "body"
 		}},
 		{"required fields alone", func(n int) string {
@@ -74,33 +74,33 @@
 		{"empty body", func(n int) string { return fakes.EncodeFields(fakes.DefaultFields(n)...) }},
 		{"binary body", func(n int) string { return fakes.EncodeFields(fakes.DefaultFields(n)...) + "\x00\r\n\xff" }},
 	} {
-		for _, pieces := range []struct {
+		for _, fragmentation := range []struct {
 			name string
 			send func(text string)
 		}{
 			{"at once", func(text string) { node.Send(text) }},
 			{"byte by byte", func(text string) { sendByteByByte(node, text) }},
-			{"cut in the length", func(text string) { sendFragments(node, text, 2) }},
-			{"cut at the header and in a name", func(text string) { sendFragments(node, text, 9, 14) }},
-			{"cut in a value", func(text string) { sendFragments(node, text, 30, 31) }},
-			{"cut in the body", func(text string) { sendFragments(node, text, len(text)-1) }},
+			{"split in the length", func(text string) { sendFragments(node, text, 2) }},
+			{"split at the header and in a name", func(text string) { sendFragments(node, text, 9, 14) }},
+			{"split in a value", func(text string) { sendFragments(node, text, 30, 31) }},
+			{"split in the body", func(text string) { sendFragments(node, text, len(text)-1) }},
 			{"each byte of the header", func(text string) { sendFragments(node, text, 1, 2, 3, 4, 5, 6, 7, 8, 9) }},
 		} {
 			number++
 			stream := uint32(number)
-			pieces.send(fakes.EncodeFrame(byte(frame.KindInvocation), stream, form.payload(number)))
+			fragmentation.send(fakes.EncodeFrame(byte(frame.KindInvocation), stream, encoding.payload(number)))
 			launch := s.endNextRun(t, "complete", "r")
 			f := node.Expect()
 			answered := f.Stream == stream && f.Code == succeeded && f.Body == "r"
 			if !answered || launch.ID != fmt.Sprintf("%016x", number) {
-				t.Errorf("%s, %s: %v, launched %v", form.name, pieces.name, f, launch)
+				t.Errorf("%s, %s: %v, launched %v", encoding.name, fragmentation.name, f, launch)
 			}
 		}
 	}
 	s.awaitIdle(t, 1)
 }
 
-// sendCut sends a text in pieces that end at these indices.
+// sendFragments sends a text in fragments that end at the given indices.
 func sendFragments(node *fakes.EdgeNode, text string, cuts ...int) {
 	start := 0
 	for _, cut := range cuts {
@@ -110,8 +110,8 @@
 	node.Send(text[start:])
 }
 
-// An invalid frame of a valid length ends its stream and no other.
-func TestInvalidFrames(t *testing.T) {
+// An invalid frame with a valid length ends its own stream and no other.
+func TestInvalidFrameEndsOnlyItsStream(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
@@ -143,20 +143,21 @@
 		node.Send(test.frame)
 		tr.Say("%s: %v", test.name, node.Expect())
 	}
-	s.fakeExecutor.End(valid.ID, "complete", "nobody can tell whose")
+	s.fakeExecutor.End(valid.ID, "complete", "result of two open streams")
 	node.Send(healthCheck(13))
 	tr.Say("a health check after them: %v", node.Expect())
 	s.awaitIdle(t, 1)
 }
 
-// After an invalid length nothing more is read. Invocations read before are answered, then the connection closes.
-func TestFramingLost(t *testing.T) {
+// After an invalid length, no more input is handled. Invocations read before it are answered, then the connection
+// closes.
+func TestInvalidLengthClosesConnectionAfterAnswers(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
 	other := fakes.Dial(t, s.address)
 	for n, length := range []string{"\x00\x00\x00\x04", "\x00\x04\x00\x01", "\xff\xff\xff\xff"} {
 		node := fakes.Dial(t, s.address)
-		node.Send(fakes.Invocation(1, 2*n+1), length, "whatever", fakes.Invocation(2, 2*n+2))
+		node.Send(fakes.Invocation(1, 2*n+1), length, "ignored", fakes.Invocation(2, 2*n+2))
 		tr.Say("length %x: %v", length, node.Expect())
 		s.endNextRun(t, "complete", "still answered")
 		tr.Say("  %v", node.Expect())
@@ -168,8 +169,8 @@
 	tr.Say("the other connection: %v", other.Expect())
 }
 
-// A connection on which too many invalid frames were sent closes once all is answered. A valid invocation that arrives
-// meanwhile is throttled and does not run.
+// A connection with too many invalid frames closes once all open streams are answered. A valid invocation that arrives
+// before the close is throttled and does not run.
 func TestValidInvocationAfterInvalidFramesIsThrottled(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
@@ -183,15 +184,15 @@
 		}
 	}
 	node.Send(fakes.Invocation(99, 99))
-	tr.Say("a valid one: %v", node.Expect())
+	tr.Say("a valid invocation: %v", node.Expect())
 	s.fakeExecutor.End(first.ID, "complete", "r")
-	tr.Say("the first: %v", node.Expect())
+	tr.Say("the first invocation: %v", node.Expect())
 	_, err := node.Next()
 	tr.Say("then %v", err)
 	tr.Say("unread launches %d", len(s.fakeExecutor.Launches))
 }
 
-// The time during which the process was stalled is not counted against the peer of a frame that is not complete.
+// The time during which the process was stalled does not count towards the timeout of an incomplete frame.
 func TestStallDoesNotExpireFrame(t *testing.T) {
 	s := openServer(t, nil)
 	node, c := s.dialOne(t)
@@ -200,7 +201,7 @@
 	awaitFrameStart(t, c)
 	s.sweep(0)
 	stalled := s.bounds.FrameTimeout + time.Second
-	c.extendDeadlines(-stalled) // as if the frame had begun, and the last sweep been made, that long ago
+	c.extendDeadlines(-stalled) // as if the frame had begun, and the last sweep had run, that long ago
 	s.lastSweep = s.lastSweep.Add(-stalled)
 	s.sweep(0)
 	node.Send(complete[30:])
--- a/internal/backend/server/server.go
+++ b/internal/backend/server/server.go
@@ -2,14 +2,16 @@
 // passes each invocation to the dispatcher for admission and to the executor for its run, and sends the answer.
 //
 // Invariants, each with the tests that verify it:
-//   - An invocation gets one answer, or none if its caller has canceled or disconnected: TestAnswers, TestCancel,
-//     TestConnectionBreaksWithinResult.
-//   - An invalid frame ends its own stream and no other: TestInvalidFrames.
+//   - An invocation gets one answer, or none if its caller has canceled or disconnected:
+//     TestAnswerReflectsRunOutcome, TestCanceledInvocationIsNotAnswered,
+//     TestExecutorReconnectWithinResultGivesOneAnswer.
+//   - An invalid frame ends its own stream and no other: TestInvalidFrameEndsOnlyItsStream.
 //   - No connection with unread input or an open stream is closed or evicted because of a timeout:
-//     TestUnreadInputKeepsConnection, TestEvictionWhenFull.
-//   - Answers are written before their connection closes: TestSmallAnswersBeforeClose,
-//     TestLastAnswersBeforeUnreadInput.
-//   - The state of a closed connection is released: TestConnectionChurn, TestResetBeforeAnswer.
+//     TestUnreadInputPreventsClose, TestEvictionAtConnectionLimitSparesBusyConnections.
+//   - Answers are written before their connection closes: TestSmallAnswersArriveBeforeClose,
+//     TestAnswersArriveDespiteUnreadInput.
+//   - The state of a closed connection is released: TestConnectionChurnReleasesState,
+//     TestResetBeforeAnswerReleasesState.
 package server
 
 import (
--- a/internal/backend/server/server_test.go
+++ b/internal/backend/server/server_test.go
@@ -12,9 +12,9 @@
 	"milletbarrow/internal/limits"
 )
 
-// A caller that sends invalid frames, invocations that cannot run, floods, or nothing is answered or its connection
-// closed in time, and disturbs no other connection.
-func TestMisbehavingCallerDisturbsNoOther(t *testing.T) {
+// A caller that sends invalid frames, invocations that cannot run, a flood of frames, or nothing is answered or
+// disconnected in time, and does not affect other connections.
+func TestMisbehavingCallerDoesNotAffectOthers(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) {
 		b.FrameTimeout = 150 * time.Millisecond
@@ -81,8 +81,8 @@
 	s.awaitIdle(t, 1)
 }
 
-// refuseUntilAnswered lets the executor refuse all launches until a connection's first answer, whose code it returns,
-// or its end, for which it returns 0.
+// refuseLaunchesUntilAnswer makes the executor refuse all launches until the first answer on a connection, whose code
+// it returns. If the connection ends first, it returns 0.
 func (s *testServer) refuseLaunchesUntilAnswer(node *fakes.EdgeNode) (code byte) {
 	closed := make(chan struct{})
 	codes := make(chan byte, 10_000)
@@ -105,8 +105,8 @@
 	}
 }
 
-// After thousands of connections, many reset within a frame or while their invocation runs, nothing is left.
-func TestConnectionChurn(t *testing.T) {
+// After thousands of connections that are reset within a frame or while their invocation runs, no state is left.
+func TestConnectionChurnReleasesState(t *testing.T) {
 	s := openServer(t, nil)
 	before := runtime.NumGoroutine()
 	for n := range 2000 {
--- a/internal/backend/server/write_test.go
+++ b/internal/backend/server/write_test.go
@@ -17,8 +17,8 @@
 	"milletbarrow/internal/limits"
 )
 
-// A peer that goes on sending and does not read is cut off, and stalls no other connection.
-func TestPeerThatDoesNotReadIsCutOff(t *testing.T) {
+// A peer that keeps sending without reading is disconnected, and does not stall other connections.
+func TestPeerThatDoesNotReadIsDisconnected(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.UnsentPerConnection = 1 << 20 })
 	slow, other := fakes.Dial(t, s.address), fakes.Dial(t, s.address)
 	healthChecks := []byte(strings.Repeat(healthCheck(1), 4000))
@@ -36,9 +36,9 @@
 	s.awaitIdle(t, 1)
 }
 
-// Many small answers, each written on its own, all arrive before the end of a connection that is closed with unread
-// input. The kernel delays none of them, as accepted sockets have TCP_NODELAY set.
-func TestSmallAnswersBeforeClose(t *testing.T) {
+// Many small answers, each written separately, all arrive before the end of a connection that is closed with unread
+// input. The kernel does not delay them, because accepted sockets have TCP_NODELAY set.
+func TestSmallAnswersArriveBeforeClose(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
 		b.LingerTimeout = time.Minute
 		settings.Admission.Cores = 64
@@ -62,10 +62,10 @@
 	expectAnswersAndEnd(t, node, count, "r")
 }
 
-// invalidLength is input after which a connection closes once all is answered.
+// invalidLength is input with an invalid frame length, after which the connection closes once all is answered.
 const invalidLength = "\x00\x00\x00\x01xxxx"
 
-// expectAnswersAndEnd reads until the end of a connection, and checks the number of answers with this result before it.
+// expectAnswersAndEnd reads until the end of a connection, and checks the number of answers with the given result.
 func expectAnswersAndEnd(t *testing.T, node *fakes.EdgeNode, want int, result string) {
 	t.Helper()
 	answers := 0
@@ -80,9 +80,9 @@
 	}
 }
 
-// All answers reach a peer that goes on sending and does not read yet while its connection ends. If the connection were
-// closed at once, the kernel would reset it and drop the answers in flight.
-func TestLastAnswersBeforeUnreadInput(t *testing.T) {
+// All answers reach a peer that keeps sending, and has not read yet, while the server closes its connection. If the
+// socket were closed at once with unread input, the kernel would reset it and drop the answers in flight.
+func TestAnswersArriveDespiteUnreadInput(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) { b.LingerTimeout = 5 * time.Second })
 	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
 	smallBuffer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
@@ -105,7 +105,7 @@
 	}
 	c := s.onlyConn(t)
 	node.Send(invalidLength)
-	fakes.Until(t, "all is written", func() bool {
+	fakes.Until(t, "all answers are written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.writeClosed
@@ -118,8 +118,8 @@
 	expectAnswersAndEnd(t, node, count, result)
 }
 
-// A connection that is to close while a goroutine waits for its socket, with nothing else pending, stays open for
-// writing until the answers are written, and the peer reads them all.
+// A connection that closes while a goroutine waits to write its last output stays open for writing until that is
+// written, and the peer reads all of it.
 func TestCloseWaitsForWriter(t *testing.T) {
 	s := openServer(t, func(b *limits.Bounds, _ *config.Settings) {
 		b.UnsentPerConnection = 64 << 20
--- a/internal/ratelimitlog/logger_test.go
+++ b/internal/ratelimitlog/logger_test.go
@@ -14,8 +14,7 @@
 
 var timeField = regexp.MustCompile(`time=\S+ `)
 
-// TestOneLinePerInterval checks that a thousand violations of a kind make one line, and that the next line has their
-// count.
+// A thousand violations of one kind within the interval produce one line, and the next line has the count since then.
 func TestOneLinePerInterval(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	var text bytes.Buffer
