--- a/internal/backend/server/invocation_test.go
+++ b/internal/backend/server/invocation_test.go
@@ -14,8 +14,8 @@
 	"milletbarrow/monotime"
 )
 
-// Health checks are answered, and invocations with the outcome of their runs and the executor's result.
-func TestAnswers(t *testing.T) {
+// Health checks are answered, and an invocation is answered with the outcome of its run and the executor's result.
+func TestAnswerReflectsRunOutcome(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
@@ -34,11 +34,11 @@
 	tr.Say("largest body unchanged %t, largest result %d", launch.Body == largest, len(node.Expect().Body))
 	node.Send(fakes.Invocation(10, 10, "wait=0"), fakes.Invocation(11, 11, "at=1"))
 	tr.Say("past their deadlines: %d %d", node.Expect().Code, node.Expect().Code)
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
-// A caller that has left gets no answer, and its invocation does not run if it was still queued.
-func TestCancel(t *testing.T) {
+// A caller that has canceled or disconnected gets no answer, and its invocation does not run if it was still queued.
+func TestCanceledInvocationIsNotAnswered(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
@@ -46,26 +46,26 @@
 	launch := s.nextLaunch(t)
 	node.Send(cancelFrame(1), healthCheck(2))
 	tr.Say("canceled while it runs: %v", node.Expect())
-	s.fakeExecutor.End(launch.ID, "complete", "too late")
-	s.expectNothingLeft(t, 1)
+	s.fakeExecutor.End(launch.ID, "complete", "unused result")
+	s.awaitIdle(t, 1)
 	node.Send(cancelFrame(1), healthCheck(3))
 	tr.Say("canceled once answered: %v", node.Expect())
 
-	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no core is free
+	s.fakeExecutor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // no idle core
 	before := s.fakeExecutor.Samples()
 	fakes.Until(t, "two ticks have used the gauges", func() bool { return s.fakeExecutor.Samples() >= before+3 })
 	node.Send(fakes.Invocation(4, 4))
-	fakes.Until(t, "the invocation is queued", func() bool { return s.inDispatch() == 1 })
+	fakes.Until(t, "the invocation is queued", func() bool { return s.dispatcherInFlight() == 1 })
 	node.Send(cancelFrame(4))
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 	node.Send(fakes.Invocation(5, 5), fakes.Invocation(6, 6)[:40])
-	fakes.Until(t, "the invocation is queued", func() bool { return s.inDispatch() == 1 })
+	fakes.Until(t, "the invocation is queued", func() bool { return s.dispatcherInFlight() == 1 })
 	_ = node.Close()
-	s.expectNothingLeft(t, 0)
-	tr.Say("launches of queued ones: %d", len(s.fakeExecutor.Launches))
+	s.awaitIdle(t, 0)
+	tr.Say("launches of queued invocations: %d", len(s.fakeExecutor.Launches))
 }
 
-// Invocations beyond the bound of a connection, or of the process, are throttled.
+// Invocations beyond the limit of a connection, or of the process, are throttled.
 func TestInvocationsBeyondBoundsAreThrottled(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	s := openServer(t, func(b *limits.Bounds, settings *config.Settings) {
@@ -83,12 +83,12 @@
 	tr.Say("the 41st of the process: %v", second.Expect())
 	_ = first.Close()
 	_ = second.Close()
-	s.expectNothingLeft(t, 0)
+	s.awaitIdle(t, 0)
 }
 
-// An invocation without a deadline is errored, unless the settings make deadlines optional. Then its deadline is the
-// operation's client timeout, by which it is answered although its run does not end.
-func TestMissingDeadline(t *testing.T) {
+// An invocation without a deadline is errored, unless the settings make deadlines optional. Then the operation's client
+// timeout is its deadline, by which it is answered even if its run has not ended.
+func TestMissingDeadlineIsErroredUnlessOptional(t *testing.T) {
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
 	node.Send(fakes.Invocation(1, 1, "wait="))
@@ -116,13 +116,13 @@
 	}
 }
 
-// An invocation that is canceled before its admission reaches neither the dispatcher nor the executor.
-func TestCanceledBeforeAdmission(t *testing.T) {
+// An invocation that is canceled before its admission is passed neither to the dispatcher nor to the executor.
+func TestCanceledBeforeAdmissionIsNotAdmitted(t *testing.T) {
 	s := openServer(t, nil)
 	st := &stream{number: 1, canceled: make(chan struct{})}
 	close(st.canceled)
 	for n := range 300 {
-		s.reserve()
+		s.reserveInFlight()
 		invocation := dispatch.Invocation{
 			ID:            fmt.Sprint(n),
 			ArrivedAt:     dispatch.Now(),
@@ -130,16 +130,16 @@
 			MemoryKB:      1,
 			Canceled:      st.canceled,
 		}
-		s.handle(nil, st, invocation, "look", nil)
+		s.serveInvocation(nil, st, invocation, "look", nil)
 	}
 	if counts, _ := s.dispatcher.Counts(); counts.Arrived != 0 || len(s.fakeExecutor.Launches) != 0 {
 		t.Errorf("%+v, %d launches; want none", counts, len(s.fakeExecutor.Launches))
 	}
-	s.expectNothingLeft(t, 0)
+	s.awaitIdle(t, 0)
 }
 
 // An invocation whose deadline passes between its admission and its launch is errored and does not run.
-func TestDueBeforeLaunchDoesNotRun(t *testing.T) {
+func TestDeadlineBeforeLaunchPreventsRun(t *testing.T) {
 	s := openServer(t, nil)
 	awaitDeadline := func() {
 		fakes.Until(t, "the dispatcher has errored the invocation", func() bool {
@@ -153,16 +153,16 @@
 	if f := node.Expect(); f.Code != errored {
 		t.Errorf("%v, want errored", f)
 	}
-	fakes.Until(t, "the invocation is complete", func() bool { return s.inServer() == 0 })
+	fakes.Until(t, "the invocation is complete", func() bool { return s.serverInFlight() == 0 })
 	if len(s.fakeExecutor.Launches) > 0 {
 		t.Error("the invocation was launched")
 	}
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
 
-// If the connection to the executor breaks within a notice or a result, the caller gets the complete result that the
-// next connection brings. A result without CR LF is answered as errored. There is one answer in each case.
-func TestConnectionBreaksWithinResult(t *testing.T) {
+// If the connection to the executor breaks within a notice or a result, the caller gets the complete result from the
+// next connection. An invocation whose result does not end in CR LF is errored. There is one answer in each case.
+func TestExecutorReconnectWithinResultGivesOneAnswer(t *testing.T) {
 	s := openServer(t, nil)
 	node := fakes.Dial(t, s.address)
 	for n, test := range []struct {
@@ -197,5 +197,5 @@
 	if f := node.Expect(); f.Stream != 9 {
 		t.Errorf("before the health check: %v, want nothing", f)
 	}
-	s.expectNothingLeft(t, 1)
+	s.awaitIdle(t, 1)
 }
