--- a/internal/cluster/membership/address_test.go
+++ b/internal/cluster/membership/address_test.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// TestHostsHaveTheirOwnAddresses checks that the address of a host, or its name, leads back to it.
-func TestHostsHaveTheirOwnAddresses(t *testing.T) {
+// TestHostAddressRoundTrips checks that the address of a host, or its name, leads back to it.
+func TestHostAddressRoundTrips(t *testing.T) {
 	hosts := hostList{"h1", "h2"}
 	for _, host := range hosts {
 		for _, address := range []memberlist.Address{
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestUnknownAddresses checks that an address that stands for no host is an *UnknownMemberError.
-func TestUnknownAddresses(t *testing.T) {
-	const problem = " stands for no agent of the configuration"
+// TestUnknownAddressIsAnError checks that an address that stands for no host is an *UnknownMemberError.
+func TestUnknownAddressIsAnError(t *testing.T) {
+	const problem = " belongs to no configured agent"
 	hosts := hostList{"h1", "h2"}
 	for _, test := range []struct {
 		name    string
--- a/internal/cluster/membership/delegate.go
+++ b/internal/cluster/membership/delegate.go
@@ -9,7 +9,8 @@
 // incarnationBytes is the length of the metadata: the incarnation as a big-endian integer.
 const incarnationBytes = 8
 
-// metadataDelegate is the library's delegate: it announces this agent's incarnation and exchanges no further state.
+// metadataDelegate implements memberlist.Delegate. It announces this agent's incarnation as the node's metadata and
+// exchanges no other state.
 type metadataDelegate struct {
 	incarnation uint64
 }
@@ -31,7 +32,7 @@
 // MergeRemoteState implements memberlist.Delegate.
 func (metadataDelegate) MergeRemoteState([]byte, bool) {}
 
-// eventDelegate is the library's event delegate: it updates a List.
+// eventDelegate implements memberlist.EventDelegate. It applies the library's events to a List.
 type eventDelegate struct {
 	list *List
 }
--- a/internal/cluster/membership/helpers_test.go
+++ b/internal/cluster/membership/helpers_test.go
@@ -18,8 +18,8 @@
 	"milletbarrow/monotime"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 10 * time.Second
+// waitTimeout is how long a test waits for what has to happen.
+const waitTimeout = 10 * time.Second
 
 // waitUntil polls a condition, and fails the test if it is not met in time. It returns how long that took.
 func waitUntil(t *testing.T, within time.Duration, condition string, met func() bool) time.Duration {
@@ -35,15 +35,15 @@
 	}
 }
 
-// listOnTestClock is a List of agent h1, which judges h1 to h4 and is not run.
-type listOnTestClock struct {
+// fakeClockList is a List of agent h1, which judges h1 to h4 and is not run.
+type fakeClockList struct {
 	*List
 	now      monotime.Micros // of the list's clock
 	reported []Member        // to Config.OnChange
 }
 
-func newListOnTestClock() *listOnTestClock {
-	l := &listOnTestClock{}
+func newFakeClockList() *fakeClockList {
+	l := &fakeClockList{}
 	l.List = New(Config{
 		Host:     "h1",
 		Hosts:    []string{"h1", "h2", "h3", "h4"},
@@ -53,8 +53,8 @@
 	return l
 }
 
-// nodeOf returns the library's node of an agent.
-func nodeOf(host string, incarnation uint64) *memberlist.Node {
+// newLibraryNode returns the library's node of an agent.
+func newLibraryNode(host string, incarnation uint64) *memberlist.Node {
 	return &memberlist.Node{Name: host, Meta: binary.BigEndian.AppendUint64(nil, incarnation)}
 }
 
@@ -82,18 +82,18 @@
 // accept accepts one connection, or fails the test.
 func accept(t *testing.T, listener *net.TCPListener) net.Conn {
 	t.Helper()
-	_ = listener.SetDeadline(time.Now().Add(patience))
+	_ = listener.SetDeadline(time.Now().Add(waitTimeout))
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	return conn
 }
 
-// newMeshOfH1 returns the transport of h1, whose peer h2 is at an address of the test's, until the test ends.
-func newMeshOfH1(t *testing.T, peer string, bounds limits.Control) *meshTransport {
+// newMeshTransportOfH1 returns the transport of h1, whose peer h2 is at an address of the test's, until the test ends.
+func newMeshTransportOfH1(t *testing.T, peer string, bounds limits.Control) *meshTransport {
 	t.Helper()
 	agentTransport, err := transport.Listen("h1", "127.0.0.1:0", map[string]string{"h2": peer}, bounds)
 	if err != nil {
@@ -215,9 +215,9 @@
 	return c.deaths
 }
 
-// waitUntilAllOthers waits until all agents but one judge that one so that a condition holds, and returns how long that
+// waitUntilOthersSee waits until all agents but one judge that one so that a condition holds, and returns how long that
 // took.
-func (c *cluster) waitUntilAllOthers(name string, within time.Duration, condition string, holds func(Member) bool,
+func (c *cluster) waitUntilOthersSee(name string, within time.Duration, condition string, holds func(Member) bool,
 ) time.Duration {
 	c.t.Helper()
 	return waitUntil(c.t, within, fmt.Sprintf("all others judge %s %s", name, condition), func() bool {
@@ -233,8 +233,8 @@
 	})
 }
 
-// waitUntilJudged waits until all other agents judge one to be in a state, and returns how long that took.
-func (c *cluster) waitUntilJudged(name string, state State, within time.Duration) time.Duration {
+// waitForState waits until all other agents judge one to be in a state, and returns how long that took.
+func (c *cluster) waitForState(name string, state State, within time.Duration) time.Duration {
 	c.t.Helper()
-	return c.waitUntilAllOthers(name, within, string(state), func(m Member) bool { return m.State == state })
+	return c.waitUntilOthersSee(name, within, string(state), func(m Member) bool { return m.State == state })
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership tracks which agents are alive: the memberlist library judges each by its own probes and by those
-// of other agents on its behalf, so that one bad link makes no agent dead. The package owns the traffic for this. Its
-// judgements are no promises: no quota and no permit is granted because of one.
+// Package membership detects which agents are alive. The memberlist library probes each agent directly and through
+// other agents, so that one faulty link does not mark an agent as dead. The package owns the traffic for this.
+//
+// The states are not authoritative: no quota and no permit is granted because of them.
 package membership
 
 import (
@@ -19,57 +20,57 @@
 	"milletbarrow/monotime"
 )
 
-// State is the state of an agent, as this one judges it.
+// State is the state of an agent as observed by the local agent.
 type State string
 
-// The states.
+// The states of an agent.
 const (
 	Alive   State = "alive"
 	Suspect State = "suspected" // not used by any release: the library (v0.7.0) does not report suspicion
 	Dead    State = "gone"
-	Unknown State = "unheard" // nothing was heard of the agent since this one started
+	Unknown State = "unheard" // no information about the agent since the local agent started
 )
 
 const (
-	probeInterval    = 500 * time.Millisecond
-	probeTimeout     = 200 * time.Millisecond
-	gossipInterval   = 100 * time.Millisecond
-	pushPullInterval = 5 * time.Second // between exchanges of the whole list with one agent
-	streamTimeout    = time.Second
-	reclaimAfter     = time.Second // after which a dead agent may return at another address
-	rejoinInterval   = time.Second // between two rounds of joining absent agents
-
-	// indirectChecks is the number of other agents that probe an agent that does not respond.
+	probeInterval       = 500 * time.Millisecond
+	probeTimeout        = 200 * time.Millisecond
+	gossipInterval      = 100 * time.Millisecond
+	pushPullInterval    = 5 * time.Second // between full state exchanges with one agent
+	streamTimeout       = time.Second
+	deadNodeReclaimTime = time.Second // after which a dead agent may rejoin at another address
+	rejoinInterval      = time.Second // between two attempts to join absent agents
+
+	// indirectChecks is the number of other agents that probe an unresponsive agent.
 	indirectChecks = 3
-	// suspicionMult is the time before a suspect is dead, in probe intervals.
+	// suspicionMult scales the time until a suspected agent is marked as dead, in probe intervals.
 	suspicionMult = 4
 )
 
-// Member is one agent, as this one judges it.
+// Member is the state of one agent as observed by the local agent.
 type Member struct {
 	Host        string          `json:"host"`
 	State       State           `json:"state"`
-	Incarnation uint64          `json:"incarnation,omitempty"` // of the agent's process; 0: nothing was heard of it
+	Incarnation uint64          `json:"incarnation,omitempty"` // of the agent's process; 0: unknown
 	For         monotime.Micros `json:"for_us"`                // time in this state
 }
 
 // Config is the configuration of a List.
 type Config struct {
-	Host        string   // of this agent
-	Incarnation uint64   // of this agent's process
-	Hosts       []string // of all agents, in the same order at each
+	Host        string   // of the local agent
+	Incarnation uint64   // of the local agent's process
+	Hosts       []string // of all agents; all agents must use the same order
 	Transport   *transport.Transport
 	Bounds      limits.Control
 	Clock       func() monotime.Micros
 	OnChange    func(Member) // called for each change of an agent's state; must not block; may be nil
 }
 
-// List is one agent's judgement of all agents. It is safe for concurrent use.
+// List is the local agent's view of all agents. It is safe for concurrent use.
 //
 // Invariants:
 //   - Each change of an agent's state or incarnation is reported once (TestChangesAreReportedOnce).
-//   - It has exactly the agents that the configuration names (TestChangesAreReportedOnce).
-//   - Once Run has returned, no goroutine of the traffic goes on (TestRunEndsAllGoroutines,
+//   - It contains exactly the configured agents (TestChangesAreReportedOnce).
+//   - Once Run has returned, no goroutine that it started is running (TestRunEndsAllGoroutines,
 //     TestShutdownEndsAllGoroutines).
 type List struct {
 	config Config
@@ -78,14 +79,14 @@
 	members map[string]memberRecord // by host
 }
 
-// memberRecord is what a List stores of one agent.
+// memberRecord is the stored state of one agent.
 type memberRecord struct {
 	state       State
-	incarnation uint64 // 0: nothing was heard of the agent
+	incarnation uint64 // 0: unknown
 	changedAt   monotime.Micros
 }
 
-// New returns a list in which nothing was heard of any agent.
+// New returns a list in which the state of each agent is Unknown.
 func New(config Config) *List {
 	l := &List{config: config, members: map[string]memberRecord{}}
 	for _, host := range config.Hosts {
@@ -94,8 +95,8 @@
 	return l
 }
 
-// Run takes part in the membership until ctx ends. It joins absent agents again and again, as after a partition nobody
-// else would. It owns all goroutines of the traffic; they have ended when it returns.
+// Run participates in the membership protocol until ctx ends. It retries joining absent agents, because nothing else
+// would reconnect them after a partition. All goroutines that it started have ended when it returns.
 func (l *List) Run(ctx context.Context) error {
 	mesh := newMeshTransport(ctx, l.config)
 	list, err := memberlist.Create(l.libraryConfig(mesh))
@@ -103,7 +104,7 @@
 		_ = mesh.Shutdown() // never fails
 		return fmt.Errorf("membership: %w", err)
 	}
-	defer func() { _ = list.Shutdown() }() // fails only if the transport's Shutdown does, which never fails
+	defer func() { _ = list.Shutdown() }() // fails only if the transport's Shutdown fails, which it never does
 	ticker := time.NewTicker(rejoinInterval)
 	defer ticker.Stop()
 	for {
@@ -122,11 +123,11 @@
 		if ctx.Err() != nil {
 			return
 		}
-		_, _ = list.Join([]string{host + "/" + hosts.address(host).String()}) // retried in the next round
+		_, _ = list.Join([]string{host + "/" + hosts.address(host).String()}) // retried after rejoinInterval
 	}
 }
 
-// libraryConfig returns the library's configuration.
+// libraryConfig returns the configuration of the memberlist library.
 func (l *List) libraryConfig(mesh *meshTransport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = l.config.Host
@@ -140,14 +141,14 @@
 	c.GossipInterval = gossipInterval
 	c.PushPullInterval = pushPullInterval
 	c.TCPTimeout = streamTimeout
-	c.DisableTcpPings = true // they would go over the same streams as datagrams, and prove nothing more
+	c.DisableTcpPings = true // datagrams go over TCP too, so that these pings would add no information
 	c.EnableCompression = false
 	c.Logger = log.New(io.Discard, "", 0)
-	c.DeadNodeReclaimTime = reclaimAfter
+	c.DeadNodeReclaimTime = deadNodeReclaimTime
 	return c
 }
 
-// absent returns the hosts of the other agents that are dead or of which nothing was heard.
+// absent returns the hosts of the other agents that are dead or unknown.
 func (l *List) absent() (hosts []string) {
 	for _, m := range l.Members() {
 		if m.Host != l.config.Host && (m.State == Dead || m.State == Unknown) {
@@ -157,8 +158,8 @@
 	return hosts
 }
 
-// update updates the state of one agent, and reports a change. Agents that the configuration does not name are ignored.
-// The library calls it with the lock held that guards the node.
+// update sets the state of one agent and reports a change to OnChange. Agents that are not configured are ignored. The
+// library calls it with the lock held that guards the node.
 func (l *List) update(node *memberlist.Node, state State) {
 	now := l.config.Clock()
 	record := memberRecord{state: state, changedAt: now}
@@ -170,8 +171,8 @@
 	}
 }
 
-// replace stores the record of an agent, and reports whether the configuration names the agent and its state or
-// incarnation has changed.
+// replace stores the record of a configured agent and reports whether its state or incarnation has changed. For any
+// other agent it returns false.
 func (l *List) replace(host string, record memberRecord) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +184,7 @@
 	return true
 }
 
-// Members returns all agents as this one judges them, in the order of Config.Hosts.
+// Members returns the states of all agents as observed by the local agent, in the order of Config.Hosts.
 func (l *List) Members() []Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -28,7 +28,7 @@
 	c.startAll()
 	defer c.stopAll()
 	for _, name := range c.Names {
-		c.waitUntilJudged(name, Alive, joinLimit)
+		c.waitForState(name, Alive, joinLimit)
 	}
 
 	c.Direction("h1", "h2").Hold(true)
@@ -45,19 +45,19 @@
 	c.Direction("h2", "h1").Hold(false)
 
 	c.Isolate("h3", true, true, true)
-	t.Logf("cut off from all: dead after %v", c.waitUntilJudged("h3", Dead, changeLimit))
+	t.Logf("cut off from all: dead after %v", c.waitForState("h3", Dead, changeLimit))
 	c.Isolate("h3", true, true, false)
-	t.Logf("connected again: alive after %v", c.waitUntilJudged("h3", Alive, changeLimit))
+	t.Logf("connected again: alive after %v", c.waitForState("h3", Alive, changeLimit))
 	c.Isolate("h4", true, false, true)
-	t.Logf("what it sends is lost: dead after %v", c.waitUntilJudged("h4", Dead, changeLimit))
+	t.Logf("what it sends is lost: dead after %v", c.waitForState("h4", Dead, changeLimit))
 	c.Isolate("h4", true, false, false)
-	c.waitUntilJudged("h4", Alive, changeLimit)
+	c.waitForState("h4", Alive, changeLimit)
 
 	const newIncarnation = 55
 	c.stop("h5")
 	time.Sleep(restartDuration)
 	c.start(4, newIncarnation)
-	c.waitUntilAllOthers("h5", joinLimit, "alive in its new incarnation", func(m Member) bool {
+	c.waitUntilOthersSee("h5", joinLimit, "alive in its new incarnation", func(m Member) bool {
 		return m.Incarnation == newIncarnation && m.State == Alive
 	})
 }
@@ -67,8 +67,8 @@
 	const joinLimit = 20 * time.Second
 	c := newCluster(t, 2)
 	c.startAll()
-	c.waitUntilJudged("h1", Alive, joinLimit)
-	c.waitUntilJudged("h2", Alive, joinLimit)
+	c.waitForState("h1", Alive, joinLimit)
+	c.waitForState("h2", Alive, joinLimit)
 	c.stopAll()
 	var stacks string
 	defer func() {
@@ -76,7 +76,7 @@
 			t.Logf("goroutines:\n%s", stacks)
 		}
 	}()
-	waitUntil(t, patience, "no goroutine goes on", func() bool {
+	waitUntil(t, waitTimeout, "no goroutine goes on", func() bool {
 		buffer := make([]byte, 1<<20)
 		stacks = string(buffer[:runtime.Stack(buffer, true)])
 		return !strings.Contains(stacks, "memberlist.(*Memberlist)") && !strings.Contains(stacks, "membership.(*")
@@ -86,7 +86,7 @@
 // TestChangesAreReportedOnce checks that a change of state or incarnation is reported once, with its time, and that an
 // agent that the configuration does not name is ignored.
 func TestChangesAreReportedOnce(t *testing.T) {
-	l := newListOnTestClock()
+	l := newFakeClockList()
 	events := eventDelegate{list: l.List}
 	for _, step := range []struct {
 		at     monotime.Micros
@@ -94,14 +94,14 @@
 		node   *memberlist.Node
 		want   string // what is reported
 	}{
-		{5, events.NotifyJoin, nodeOf("h2", 1), "[{h2 alive 1 5}]"},
-		{6, events.NotifyJoin, nodeOf("h2", 1), "[]"},
-		{7, events.NotifyJoin, nodeOf("stranger", 1), "[]"},
-		{8, events.NotifyLeave, nodeOf("h2", 1), "[{h2 gone 1 8}]"},
-		{9, events.NotifyJoin, nodeOf("h2", 1), "[{h2 alive 1 9}]"},
-		{10, events.NotifyUpdate, nodeOf("h2", 2), "[{h2 alive 2 10}]"}, // restarted without being judged dead
-		{11, events.NotifyUpdate, nodeOf("h2", 2), "[]"},
-		{12, events.NotifyLeave, nodeOf("h3", 9), "[{h3 gone 9 12}]"},
+		{5, events.NotifyJoin, newLibraryNode("h2", 1), "[{h2 alive 1 5}]"},
+		{6, events.NotifyJoin, newLibraryNode("h2", 1), "[]"},
+		{7, events.NotifyJoin, newLibraryNode("stranger", 1), "[]"},
+		{8, events.NotifyLeave, newLibraryNode("h2", 1), "[{h2 gone 1 8}]"},
+		{9, events.NotifyJoin, newLibraryNode("h2", 1), "[{h2 alive 1 9}]"},
+		{10, events.NotifyUpdate, newLibraryNode("h2", 2), "[{h2 alive 2 10}]"}, // restarted without being judged dead
+		{11, events.NotifyUpdate, newLibraryNode("h2", 2), "[]"},
+		{12, events.NotifyLeave, newLibraryNode("h3", 9), "[{h3 gone 9 12}]"},
 	} {
 		l.now = step.at
 		l.reported = nil
@@ -120,14 +120,14 @@
 // TestAbsentAgentsAreJoined checks that agents that are dead or of which nothing was heard are joined, but neither
 // those that are alive nor this agent itself.
 func TestAbsentAgentsAreJoined(t *testing.T) {
-	l := newListOnTestClock()
+	l := newFakeClockList()
 	events := eventDelegate{list: l.List}
 	if got := l.absent(); !slices.Equal(got, []string{"h2", "h3", "h4"}) {
 		t.Errorf("at first %v", got)
 	}
-	events.NotifyJoin(nodeOf("h2", 1))
-	events.NotifyJoin(nodeOf("h3", 1))
-	events.NotifyLeave(nodeOf("h3", 1))
+	events.NotifyJoin(newLibraryNode("h2", 1))
+	events.NotifyJoin(newLibraryNode("h3", 1))
+	events.NotifyLeave(newLibraryNode("h3", 1))
 	if got := l.absent(); !slices.Equal(got, []string{"h3", "h4"}) {
 		t.Errorf("with one alive, one dead and one of which nothing was heard: %v", got)
 	}
--- a/internal/cluster/membership/mesh_transport.go
+++ b/internal/cluster/membership/mesh_transport.go
@@ -15,12 +15,12 @@
 
 const (
 	maxPacketBytes    = 64 << 10 // of a datagram
-	maxPendingPackets = 64       // datagrams that the library has not read; with more, connections are not read
+	maxPendingPackets = 64       // datagrams queued for the library; while the queue is full, connections are not read
 )
 
 // meshTransport carries the library's datagrams and streams over the agents' transport. All its goroutines end with the
-// context that it was made with, or with Shutdown. It implements memberlist.NodeAwareTransport, whose methods have no
-// context; therefore it holds one.
+// context passed to newMeshTransport, or with Shutdown. It stores a context because it implements
+// memberlist.NodeAwareTransport, whose methods take none.
 type meshTransport struct {
 	config  Config
 	hosts   hostList
@@ -29,13 +29,13 @@
 
 	ctx    context.Context // ends the goroutines
 	cancel context.CancelFunc
-	tasks  sync.WaitGroup // the goroutines
+	tasks  sync.WaitGroup // all goroutines
 
-	mu      sync.Mutex               // guards senders, and that no sender starts after Shutdown
+	mu      sync.Mutex               // guards senders, and prevents the start of a sender after Shutdown
 	senders map[string]*packetSender // by host of the peer
 }
 
-// newMeshTransport returns a transport that accepts datagrams and streams.
+// newMeshTransport returns a transport and starts to accept datagrams and streams.
 func newMeshTransport(ctx context.Context, config Config) *meshTransport {
 	ctx, cancel := context.WithCancel(ctx)
 	t := &meshTransport{
@@ -48,11 +48,11 @@
 		senders: map[string]*packetSender{},
 	}
 	t.tasks.Go(func() { t.accept(transport.KindPacket, t.readPackets) })
-	t.tasks.Go(func() { t.accept(transport.KindStream, t.passStream) })
+	t.tasks.Go(func() { t.accept(transport.KindStream, t.deliverStream) })
 	return t
 }
 
-// accept handles each connection of one kind in a goroutine of its own.
+// accept accepts connections of one kind and handles each in its own goroutine.
 func (t *meshTransport) accept(kind transport.Kind, handle func(net.Conn)) {
 	listener := t.config.Transport.Listener(kind)
 	stop := context.AfterFunc(t.ctx, func() { _ = listener.Close() })
@@ -86,8 +86,8 @@
 	}
 }
 
-// passStream passes a connection to the library, which closes it.
-func (t *meshTransport) passStream(conn net.Conn) {
+// deliverStream passes a connection to the library, which becomes responsible for closing it.
+func (t *meshTransport) deliverStream(conn net.Conn) {
 	select {
 	case t.streams <- conn:
 	case <-t.ctx.Done():
@@ -120,7 +120,7 @@
 	return time.Now(), nil
 }
 
-// sender returns the sender of datagrams to a host, or nil after the end.
+// sender returns the sender of datagrams to a host, or nil after Shutdown.
 func (t *meshTransport) sender(host string) *packetSender {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,7 +158,7 @@
 	return t.config.Transport.Dial(ctx, transport.KindStream, host)
 }
 
-// Shutdown implements memberlist.Transport: it ends all goroutines and waits for them.
+// Shutdown implements memberlist.Transport. It stops all goroutines and waits until they have ended.
 func (t *meshTransport) Shutdown() error {
 	t.mu.Lock()
 	t.cancel()
--- a/internal/cluster/membership/mesh_transport_test.go
+++ b/internal/cluster/membership/mesh_transport_test.go
@@ -17,10 +17,10 @@
 // largePacket is the length of datagrams of which a few dozen fill the system's buffers.
 const largePacket = 60_000
 
-// TestUnknownAndClosedDestinations checks that datagrams and streams to no agent are errors, as are datagrams after the
+// TestSendingToUnknownHostOrAfterShutdownFails checks that datagrams and streams to no agent are errors, as are datagrams after the
 // end.
-func TestUnknownAndClosedDestinations(t *testing.T) {
-	mesh := newMeshOfH1(t, listenAsPeer(t).Addr().String(), limits.ForControl())
+func TestSendingToUnknownHostOrAfterShutdownFails(t *testing.T) {
+	mesh := newMeshTransportOfH1(t, listenAsPeer(t).Addr().String(), limits.ForControl())
 	if _, err := mesh.WriteTo(nil, "127.0.0.1:9"); !errors.As(err, new(*UnknownMemberError)) {
 		t.Errorf("datagram: error %v", err)
 	}
@@ -37,7 +37,7 @@
 // that breaks each is not dialed more often than minDialInterval allows.
 func TestBrokenConnectionIsReplaced(t *testing.T) {
 	listener := listenAsPeer(t)
-	mesh := newMeshOfH1(t, listener.Addr().String(), limits.ForControl())
+	mesh := newMeshTransportOfH1(t, listener.Addr().String(), limits.ForControl())
 	accepted := make(chan net.Conn, 1000)
 	go func() {
 		for {
@@ -51,7 +51,7 @@
 	}()
 	to := mesh.hosts.address("h2").String()
 	start := time.Now()
-	waitUntil(t, patience, "a broken connection is replaced twice", func() bool {
+	waitUntil(t, waitTimeout, "a broken connection is replaced twice", func() bool {
 		if _, err := mesh.WriteTo([]byte("x"), to); err != nil {
 			t.Fatal(err)
 		}
@@ -62,11 +62,11 @@
 	}
 }
 
-// TestPacketIsCopied checks that what a caller writes into its buffer after WriteTo does not change the datagram, and
+// TestWriteToCopiesThePacket checks that what a caller writes into its buffer after WriteTo does not change the datagram, and
 // that the connection is closed with the transport.
-func TestPacketIsCopied(t *testing.T) {
+func TestWriteToCopiesThePacket(t *testing.T) {
 	listener := listenAsPeer(t)
-	mesh := newMeshOfH1(t, listener.Addr().String(), limits.ForControl())
+	mesh := newMeshTransportOfH1(t, listener.Addr().String(), limits.ForControl())
 	packet := []byte("before")
 	if _, err := mesh.WriteTo(packet, mesh.hosts.address("h2").String()); err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("a full queue blocks its caller")
 	}
 	for i := range maxQueuedPackets {
@@ -115,7 +115,7 @@
 // what is sent then arrives over another, each datagram complete.
 func TestUnreadConnectionIsReplaced(t *testing.T) {
 	listener := listenAsPeer(t)
-	mesh := newMeshOfH1(t, listener.Addr().String(), limits.ForControl())
+	mesh := newMeshTransportOfH1(t, listener.Addr().String(), limits.ForControl())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	sent := make(chan error, 1)
@@ -154,7 +154,7 @@
 func TestShutdownEndsAllGoroutines(t *testing.T) {
 	bounds := limits.ForControl()
 	bounds.CallTimeout = time.Hour // no time limit ends them
-	mesh := newMeshOfH1(t, listenAsPeer(t).Addr().String(), bounds)
+	mesh := newMeshTransportOfH1(t, listenAsPeer(t).Addr().String(), bounds)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ran := make(chan error, 1)
@@ -168,7 +168,7 @@
 	waitForDatagrams := func(n int) {
 		t.Helper()
 		condition := fmt.Sprintf("%d datagrams came in", n)
-		waitUntil(t, patience, condition, func() bool { return len(mesh.packets) >= n })
+		waitUntil(t, waitTimeout, condition, func() bool { return len(mesh.packets) >= n })
 	}
 	sendFrames := func(kind transport.Kind, count int) {
 		t.Helper()
@@ -200,7 +200,7 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("a goroutine goes on")
 	}
 	cancel()
--- a/internal/cluster/membership/packet_sender.go
+++ b/internal/cluster/membership/packet_sender.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// minDialInterval is the shortest time between two dials of a peer; datagrams in between are lost.
+	// minDialInterval is the minimum time between two dials of a peer; datagrams in between are dropped.
 	minDialInterval = 200 * time.Millisecond
-	// maxQueuedPackets is the number of datagrams queued for one peer; further ones are lost.
+	// maxQueuedPackets is the maximum number of datagrams queued for one peer; further ones are dropped.
 	maxQueuedPackets = 64
-	// packetTimeoutDivisor is the ratio of the time limit of a call to that of a datagram.
+	// packetTimeoutDivisor is the ratio of the time limit of a call to that of sending a datagram.
 	packetTimeoutDivisor = 4
 )
 
-// packetSender sends datagrams to one peer over one connection, which it replaces when it breaks. All methods but
-// enqueue are for the goroutine of run.
+// packetSender sends datagrams to one peer over one connection, which it replaces after an error. All methods except
+// enqueue must be called from the goroutine of run.
 type packetSender struct {
 	host      string // of the peer
 	transport *transport.Transport
 	timeout   time.Duration // of one dial, and of one datagram
 	queue     chan []byte
 
-	conn     net.Conn  // nil: none is open
+	conn     net.Conn  // nil: not connected
 	dialedAt time.Time // start of the last dial
 }
 
-// newPacketSender returns a sender to a peer, whose run is not started.
+// newPacketSender returns a sender to a peer. The caller has to start run.
 func newPacketSender(config Config, host string) *packetSender {
 	return &packetSender{
 		host:      host,
@@ -60,13 +60,14 @@
 	}
 }
 
-// send writes one datagram. It is lost if the peer cannot be reached.
+// send writes one datagram, or drops it if the peer cannot be reached.
 func (s *packetSender) send(ctx context.Context, packet []byte) {
 	if s.conn == nil && !s.connect(ctx) {
 		return
 	}
 	conn := s.conn
-	_ = conn.SetWriteDeadline(time.Now().Add(s.timeout)) // fails only for a closed connection, as the write does
+	// SetWriteDeadline fails only for a closed connection, on which the write fails too.
+	_ = conn.SetWriteDeadline(time.Now().Add(s.timeout))
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetWriteDeadline(time.Now()) })
 	defer stop()
 	if transport.WriteFrame(conn, packet) != nil {
@@ -74,8 +75,7 @@
 	}
 }
 
-// connect dials the peer, unless the last dial is less than minDialInterval ago, and reports whether a connection is
-// open.
+// connect dials the peer, unless the last dial was within minDialInterval, and reports whether a connection is open.
 func (s *packetSender) connect(ctx context.Context) bool {
 	if time.Since(s.dialedAt) <= minDialInterval {
 		return false
--- a/internal/cluster/node/events.go
+++ b/internal/cluster/node/events.go
@@ -8,43 +8,45 @@
 )
 
 const (
-	// minEventInterval is the shortest time between two events of one key: targets move with each report of demand.
+	// minEventInterval is the minimum time between two events with the same key: targets change with each report of
+	// demand.
 	minEventInterval = 2 * time.Second
-	// maxQueuedEvents is the number of events that wait for the agent's history; further ones are lost.
+	// maxQueuedEvents is the maximum number of events queued for the agent's history; further ones are dropped.
 	maxQueuedEvents = 256
-	// maxEventKeys is the number of keys that are remembered. Beyond it all are forgotten, and an event may come early.
+	// maxEventKeys is the number of keys whose times are stored. Beyond it all are cleared, so that an event may pass
+	// before its interval has elapsed.
 	maxEventKeys = 10_000
 )
 
-// eventKey identifies the events that are spaced by minEventInterval.
+// eventKey identifies events that share one rate limit of minEventInterval.
 type eventKey struct {
 	limit quota.LimitName
 	name  string // of an instance or a host; empty: neither
 	kind  string
 }
 
-// eventFeed passes events to the agent's history. It leaves out events that come too often and loses those that are not
-// read in time: it blocks no caller. It is safe for concurrent use.
+// eventFeed queues events for the agent's history. It drops events of a key that come too often, and events that do not
+// fit into the queue, so that it never blocks its caller. It is safe for concurrent use.
 type eventFeed struct {
 	events chan quota.Event
 	now    func() time.Time // a monotonic clock
 
-	mu       sync.Mutex // guards passedAt
-	passedAt map[eventKey]time.Time
+	mu         sync.Mutex // guards lastPassed
+	lastPassed map[eventKey]time.Time
 }
 
-// newEventFeed returns a feed on the system's clock.
+// newEventFeed returns a feed that uses the system clock.
 func newEventFeed() *eventFeed {
 	return &eventFeed{
-		events:   make(chan quota.Event, maxQueuedEvents),
-		now:      time.Now,
-		passedAt: map[eventKey]time.Time{},
+		events:     make(chan quota.Event, maxQueuedEvents),
+		now:        time.Now,
+		lastPassed: map[eventKey]time.Time{},
 	}
 }
 
-// add passes an event on, unless one of the same key was passed within minEventInterval.
+// add queues an event, unless one with the same key was queued within minEventInterval.
 func (f *eventFeed) add(e quota.Event) {
-	if !f.mayPass(eventKey{limit: e.Limit, name: e.Name, kind: e.Kind}) {
+	if !f.allow(eventKey{limit: e.Limit, name: e.Name, kind: e.Kind}) {
 		return
 	}
 	select {
@@ -53,17 +55,17 @@
 	}
 }
 
-// mayPass reports whether an event may be passed on now, and if so records the time.
-func (f *eventFeed) mayPass(key eventKey) bool {
+// allow reports whether an event with a key may be queued now, and if so records the time.
+func (f *eventFeed) allow(key eventKey) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if len(f.passedAt) > maxEventKeys {
-		clear(f.passedAt)
+	if len(f.lastPassed) > maxEventKeys {
+		clear(f.lastPassed)
 	}
-	if last, known := f.passedAt[key]; known && now.Sub(last) < minEventInterval {
+	if last, known := f.lastPassed[key]; known && now.Sub(last) < minEventInterval {
 		return false
 	}
-	f.passedAt[key] = now
+	f.lastPassed[key] = now
 	return true
 }
--- a/internal/cluster/node/events_test.go
+++ b/internal/cluster/node/events_test.go
@@ -55,13 +55,13 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("events that nobody reads block")
 	}
 	if n := len(feed.events); n != maxQueuedEvents {
 		t.Errorf("%d events wait, want %d", n, maxQueuedEvents)
 	}
-	if n := len(feed.passedAt); n > maxEventKeys+1 {
+	if n := len(feed.lastPassed); n > maxEventKeys+1 {
 		t.Errorf("%d keys are remembered, want at most %d", n, maxEventKeys+1)
 	}
 	if event := <-feed.events; event.Name != "0" {
--- a/internal/cluster/node/helpers_test.go
+++ b/internal/cluster/node/helpers_test.go
@@ -13,8 +13,8 @@
 	"milletbarrow/internal/limits"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 30 * time.Second
+// waitTimeout is how long a test waits for what has to happen.
+const waitTimeout = 30 * time.Second
 
 // listen listens on an address on loopback.
 func listen(t *testing.T, address string) net.Listener {
@@ -26,8 +26,8 @@
 	return listener
 }
 
-// wantFree fails the test unless an address is free to listen on.
-func wantFree(t *testing.T, address string) {
+// wantAddressFree fails the test unless an address is free to listen on.
+func wantAddressFree(t *testing.T, address string) {
 	t.Helper()
 	_ = listen(t, address).Close()
 }
@@ -68,7 +68,7 @@
 				t.Errorf("%s: %v", host, err)
 			}
 			ended <- nil // end may be called again
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Errorf("%s goes on after its context has ended", host)
 		}
 	}
@@ -81,8 +81,8 @@
 	t.Helper()
 	const pollInterval = 10 * time.Millisecond
 	for start := time.Now(); !met(); time.Sleep(pollInterval) {
-		if time.Since(start) > patience {
-			t.Fatalf("not within %v: %s", patience, condition)
+		if time.Since(start) > waitTimeout {
+			t.Fatalf("not within %v: %s", waitTimeout, condition)
 		}
 	}
 }
--- a/internal/cluster/node/node.go
+++ b/internal/cluster/node/node.go
@@ -1,5 +1,5 @@
-// Package node is one agent's part in the cluster of a fleet's agents: it opens the transport, the quota store and the
-// membership, runs them and ends them together. It decides nothing.
+// Package node runs one agent's member of the cluster of a fleet's agents. It opens the transport, the quota store and
+// the membership list, and runs and stops them together. It contains no logic of its own.
 package node
 
 import (
@@ -21,12 +21,12 @@
 )
 
 const (
-	// soleAddress is the listening address of an agent without an address for others, as it is the only one.
-	soleAddress = "127.0.0.1:0"
-	// storeDir is the directory of the quota store in the agent's own.
+	// singleAgentAddress is the listening address of the only agent of a fleet, which has no configured peer address.
+	singleAgentAddress = "127.0.0.1:0"
+	// storeDir is the directory of the quota store within the agent's directory.
 	storeDir = "ledger"
 
-	// Time limits of a call from another agent, in call timeouts.
+	// Time limits of handling a call from another agent, as multiples of the call timeout.
 	readTimeoutFactor  = 2
 	writeTimeoutFactor = 4
 )
@@ -35,12 +35,12 @@
 type Config struct {
 	Spec     *fleet.Spec // with quotas
 	Host     string      // of this agent
-	Dir      string      // the agent's own
+	Dir      string      // the agent's directory
 	TrustDir bool        // an operator confirms that the directory is not an older copy
 	Bounds   limits.Control
 }
 
-// Node is one agent's part in the cluster. It is safe for concurrent use.
+// Node is one agent's member of the cluster. It is safe for concurrent use.
 type Node struct {
 	*quotastore.Store
 	bounds    limits.Control
@@ -49,16 +49,17 @@
 	events    *eventFeed
 }
 
-// Open opens the listening address and the files of the quota store. Run serves other agents, and closes both.
+// Open opens the listening address and the files of the quota store. Run serves the other agents, and closes both when
+// it returns.
 func Open(config Config) (*Node, error) {
 	listen := config.Spec.Host(config.Host).PeerAddress
 	if listen == "" {
-		listen = soleAddress
+		listen = singleAgentAddress
 	}
 	addresses, hosts := peers(config.Spec)
 	agentTransport, err := transport.Listen(config.Host, listen, addresses, config.Bounds)
 	if err != nil {
-		return nil, fmt.Errorf("agent's address for other agents: %w", err)
+		return nil, fmt.Errorf("listen for other agents: %w", err)
 	}
 	events := newEventFeed()
 	store, err := openStore(config, agentTransport, events.add)
@@ -84,7 +85,7 @@
 	}, nil
 }
 
-// openStore opens the quota store under the spec's configuration.
+// openStore opens the quota store with the configuration of the spec.
 func openStore(config Config, t *transport.Transport, onEvent func(quota.Event)) (*quotastore.Store, error) {
 	store, err := quotastore.Open(quotastore.Config{
 		Host:      config.Host,
@@ -103,12 +104,12 @@
 	return store, nil
 }
 
-// memberEvent returns the event of a change of another agent's state.
+// memberEvent returns the event for a change of an agent's state.
 func memberEvent(m membership.Member) quota.Event {
 	return quota.Event{Name: m.Host, Kind: "agent " + string(m.State)}
 }
 
-// peers returns the addresses of all agents by host, and the hosts in the order of the fleet's file.
+// peers returns the addresses of all agents by host, and the hosts in the order of the fleet file.
 func peers(spec *fleet.Spec) (addresses map[string]string, hosts []string) {
 	addresses = map[string]string{}
 	for _, host := range spec.Hosts {
@@ -118,8 +119,8 @@
 	return addresses, hosts
 }
 
-// Run takes part in the cluster until ctx ends, and returns when all that it started has ended. If one part fails, the
-// others go on until then.
+// Run participates in the cluster until ctx ends, and returns once everything that it started has ended. If one
+// component fails, the others keep running until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	n.RegisterHandlers(mux)
@@ -127,7 +128,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	var tasks sync.WaitGroup
-	tasks.Go(func() { _ = n.transport.Run(ctx) }) // ends only with ctx, without an error
+	tasks.Go(func() { _ = n.transport.Run(ctx) }) // returns only when ctx ends, without an error
 	tasks.Go(func() { _ = server.Serve(n.transport.Listener(transport.KindCall)) })
 	var membersErr error
 	tasks.Go(func() { membersErr = n.members.Run(ctx) })
@@ -136,7 +137,8 @@
 	return errors.Join(storeErr, membersErr)
 }
 
-// server returns the server of other agents' calls. It is closed with ctx, or with the listener as the transport ends.
+// server returns the HTTP server for calls from other agents. It ends with the context of Run, or when the transport
+// closes its listener.
 func (n *Node) server(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -148,14 +150,14 @@
 	}
 }
 
-// UpdateAddresses replaces the addresses of the other agents by those of another configuration.
+// UpdateAddresses replaces the addresses of the other agents with those in a spec.
 func (n *Node) UpdateAddresses(spec *fleet.Spec) {
 	addresses, _ := peers(spec)
 	n.transport.SetAddresses(addresses)
 }
 
-// Members returns all agents as this one judges them.
+// Members returns the states of all agents as observed by this one.
 func (n *Node) Members() []membership.Member { return n.members.Members() }
 
-// Events returns the events for the agent's history.
+// Events returns the channel of events for the agent's history.
 func (n *Node) Events() <-chan quota.Event { return n.events.events }
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -20,16 +20,16 @@
 	"milletbarrow/internal/limits"
 )
 
-// allJudgeAllAlive reports whether each node judges all agents alive.
-func allJudgeAllAlive(nodes []*Node) bool {
+// allSeeAllAlive reports whether each node judges all agents alive.
+func allSeeAllAlive(nodes []*Node) bool {
 	isNotAlive := func(state membership.State) bool { return state != membership.Alive }
 	return !slices.ContainsFunc(nodes, func(n *Node) bool {
 		return slices.ContainsFunc(memberStates(n), isNotAlive)
 	})
 }
 
-// allNameOneLeader reports whether all nodes name the same leader of a store of three members.
-func allNameOneLeader(nodes []*Node) bool {
+// allReportOneLeader reports whether all nodes name the same leader of a store of three members.
+func allReportOneLeader(nodes []*Node) bool {
 	leaders := map[string]bool{}
 	for _, n := range nodes {
 		status, err := storeStatus(n)
@@ -41,9 +41,9 @@
 	return len(leaders) == 1
 }
 
-// TestThreeNodes checks that nodes on loopback find each other, that any of them gives access to one store, and that
+// TestThreeNodesFormAClusterAndOneRejoins checks that nodes on loopback find each other, that any of them gives access to one store, and that
 // one that has ended can be started again at its address.
-func TestThreeNodes(t *testing.T) {
+func TestThreeNodesFormAClusterAndOneRejoins(t *testing.T) {
 	spec := newSpec(t, 3)
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	nodes := make([]*Node, 3)
@@ -51,9 +51,9 @@
 	for i, host := range spec.Hosts {
 		nodes[i], ends[i] = runNode(t, spec, host.Name, dirs[i])
 	}
-	waitUntil(t, "all judge all alive", func() bool { return allJudgeAllAlive(nodes) })
-	waitUntil(t, "all name one leader", func() bool { return allNameOneLeader(nodes) })
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	waitUntil(t, "all judge all alive", func() bool { return allSeeAllAlive(nodes) })
+	waitUntil(t, "all name one leader", func() bool { return allReportOneLeader(nodes) })
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	acquire := quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: "n", Host: "h1", AcquireID: "1"}}
 	if result, err := nodes[0].Do(ctx, acquire); err != nil || result.Rejection != "" {
@@ -65,16 +65,16 @@
 		return memberStates(nodes[0])[2] == membership.Dead && memberStates(nodes[1])[2] == membership.Dead
 	})
 	nodes[2], _ = runNode(t, spec, "h3", dirs[2])
-	waitUntil(t, "all judge all alive again", func() bool { return allJudgeAllAlive(nodes) })
-	waitUntil(t, "all name one leader again", func() bool { return allNameOneLeader(nodes) })
+	waitUntil(t, "all judge all alive again", func() bool { return allSeeAllAlive(nodes) })
+	waitUntil(t, "all name one leader again", func() bool { return allReportOneLeader(nodes) })
 	if status, err := storeStatus(nodes[2]); err != nil || status.Limits[0].InForce != 1 {
 		t.Errorf("the permit is not held: %+v, %v", status, err)
 	}
 }
 
-// TestUpdateAddresses checks that a node outside the store's group reaches it at the addresses of the latest
+// TestUpdateAddressesMakesStoreReachable checks that a node outside the store's group reaches it at the addresses of the latest
 // configuration.
-func TestUpdateAddresses(t *testing.T) {
+func TestUpdateAddressesMakesStoreReachable(t *testing.T) {
 	spec := newSpec(t, 2)
 	spec.QuotaHosts = spec.QuotaHosts[:1]
 	runNode(t, spec, "h1", t.TempDir())
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.WriteString(conn, call); err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 		_, end := runNode(t, spec, "h1", t.TempDir())
 		conn, in := openCall(t, address)
 		end()
-		wantFree(t, address)
+		wantAddressFree(t, address)
 		_ = conn.SetDeadline(time.Now().Add(time.Second))
 		if _, err := in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatalf("the connection of a call is open: %v", err)
@@ -167,7 +167,7 @@
 	if _, err := Open(Config{Spec: spec, Host: "h1", Dir: dir, Bounds: limits.ForControl()}); err == nil {
 		t.Fatal("opened without a directory")
 	}
-	wantFree(t, spec.Hosts[0].PeerAddress)
+	wantAddressFree(t, spec.Hosts[0].PeerAddress)
 }
 
 // TestOpenNamesTakenAddress checks that the error of an address that is in use names it.
--- a/internal/cluster/quotastore/assessment.go
+++ b/internal/cluster/quotastore/assessment.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// openElection is how long an election may still go on that this member voted in before its restart.
-	openElection = 2*electionTimeout + heartbeatTimeout
+	// pendingElectionTimeout bounds the remaining duration of an election in which this member voted before its restart.
+	pendingElectionTimeout = 2*electionTimeout + heartbeatTimeout
 
-	// assessInterval is the time between two rounds of asking the other members.
+	// assessInterval is the time between two rounds of requests for the other members' log positions.
 	assessInterval = 200 * time.Millisecond
 
-	// assessCallsPerTimeout is how many calls to other members fit into one call timeout.
-	assessCallsPerTimeout = 2
+	// assessCallTimeoutDivisor is the ratio of the time limit of a call to that of a log position request.
+	assessCallTimeoutDivisor = 2
 
 	eventBehind = "ledger behind"
 )
 
-// assessEligibility finds out whether this directory may be an older copy, from the log positions of enough other
-// members. It goes on until enough have answered, and returns a zero value if ctx ends before.
+// assessEligibility determines from the log positions of the other members whether this directory may be an older
+// copy. It polls until enough members have responded, and returns a zero value if ctx ends first.
 func (s *Store) assessEligibility(ctx context.Context) (quorum.Eligibility, error) {
 	own, err := s.log.position()
 	if err != nil {
@@ -37,42 +37,42 @@
 	if len(others) == 0 || s.config.TrustDir {
 		return quorum.Assess(own, nil), nil
 	}
-	if !own.Empty() { // an election in which this member voted must be over when the others are asked
-		sleep(ctx, openElection)
+	if !own.Empty() { // an election in which this member voted must end before the others report their positions
+		sleep(ctx, pendingElectionTimeout)
 	}
 	positionByHost := map[string]quorum.LogPosition{}
 	for ctx.Err() == nil {
-		s.askLogPositions(ctx, others, positionByHost)
+		s.fetchLogPositions(ctx, others, positionByHost)
 		if quorum.EnoughResponses(len(members), len(positionByHost)) {
 			return s.assess(own, positionByHost), nil
 		}
 		s.setStage(stageWaiting, fmt.Sprintf(
-			"heard from %d of %d others: too few to rule out that this directory is an older copy",
+			"%d of %d other members responded: too few to rule out that this directory is an older copy",
 			len(positionByHost), len(others)))
 		sleep(ctx, assessInterval)
 	}
 	return quorum.Eligibility{}, nil
 }
 
-// askLogPositions asks each of the other members once and adds the answers to positionByHost.
-func (s *Store) askLogPositions(
+// fetchLogPositions requests the log position of each other member once and adds the responses to positionByHost.
+func (s *Store) fetchLogPositions(
 	ctx context.Context, others []string, positionByHost map[string]quorum.LogPosition,
 ) {
 	for _, host := range others {
-		if position, err := s.askLogPosition(ctx, host); err == nil {
+		if position, err := s.fetchLogPosition(ctx, host); err == nil {
 			positionByHost[host] = position
 		}
 	}
 }
 
-func (s *Store) askLogPosition(ctx context.Context, host string) (position quorum.LogPosition, err error) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.Bounds.CallTimeout/assessCallsPerTimeout)
+func (s *Store) fetchLogPosition(ctx context.Context, host string) (position quorum.LogPosition, err error) {
+	ctx, cancel := context.WithTimeout(ctx, s.config.Bounds.CallTimeout/assessCallTimeoutDivisor)
 	defer cancel()
 	err = s.config.Transport.Call(ctx, host, pathLogPosition, nil, &position)
 	return position, err
 }
 
-// assess compares this member's log with those of enough others, and reports the result.
+// assess compares this member's log with those of the members that responded, and logs the result.
 func (s *Store) assess(own quorum.LogPosition, positionByHost map[string]quorum.LogPosition) quorum.Eligibility {
 	eligibility := quorum.Assess(own, slices.Collect(maps.Values(positionByHost)))
 	required := eligibility.RequiredLog.Index
--- a/internal/cluster/quotastore/boltstore.go
+++ b/internal/cluster/quotastore/boltstore.go
@@ -17,7 +17,7 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// boltStore stores the consensus library's log and its stable values in a bbolt file. Every write is durable when it
+// boltStore stores the Raft library's log and its stable values in a bbolt file. Every write is durable when it
 // returns. It implements raft.LogStore and raft.StableStore and is safe for concurrent use.
 type boltStore struct {
 	db     *bbolt.DB
@@ -41,16 +41,17 @@
 	lastVoteCandidateKey = []byte("LastVoteCand")
 )
 
-// unknownCandidate stands for the candidate of a vote that was lost; no host has this name.
+// unknownCandidate is stored as the candidate of a vote that may have been lost with a newer directory. No host can
+// have this name.
 const unknownCandidate = "nobody: it may have voted before its directory was set back"
 
 const (
-	lockTimeout          = time.Second            // how long to wait for another process to close the file
-	setRetryInterval     = 100 * time.Millisecond // between two attempts to write a value
-	setAttemptsPerReport = 50                     // failed attempts for each line in the log
+	lockTimeout           = time.Second            // how long to wait for another process to close the file
+	setRetryInterval      = 100 * time.Millisecond // between two attempts to write a value
+	setAttemptsPerLogLine = 50                     // failed attempts per log line
 )
 
-// openBoltStore opens or creates a file. It waits for lockTimeout if another process has it open.
+// openBoltStore opens or creates a file. If another process has it open, it waits for at most lockTimeout.
 func openBoltStore(path string) (*boltStore, error) {
 	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -68,13 +69,13 @@
 	return &boltStore{db: db}, nil
 }
 
-// Close closes the file, and ends the attempts of Set.
+// Close closes the file and stops the retries of Set.
 func (s *boltStore) Close() error {
 	s.closed.Store(true)
 	return s.db.Close()
 }
 
-// encodeUint64 encodes a number so that the order of keys is that of the numbers.
+// encodeUint64 encodes a number as big-endian, so that keys sort in the order of the numbers.
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 // FirstIndex implements raft.LogStore. It returns 0 for an empty log.
@@ -83,7 +84,7 @@
 // LastIndex implements raft.LogStore. It returns 0 for an empty log.
 func (s *boltStore) LastIndex() (uint64, error) { return s.indexAt((*bbolt.Cursor).Last) }
 
-// indexAt returns the index of the log entry that seek moves to, or 0.
+// indexAt returns the index of the log entry that seek moves to, or 0 if there is none.
 func (s *boltStore) indexAt(seek func(*bbolt.Cursor) (key, value []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if key, _ := seek(tx.Bucket(logBucket).Cursor()); key != nil {
@@ -160,8 +161,8 @@
 	return quorum.LogPosition{Term: term, Index: index, LogTerm: last.Term}, err
 }
 
-// adoptTerm adopts a term of the group with its vote used up: this member may have voted in that term before its
-// directory was replaced by an older copy.
+// adoptTerm stores a term of the group and marks this member's vote in it as cast: the member may have voted in that
+// term before its directory was replaced by an older copy.
 func (s *boltStore) adoptTerm(term uint64) error {
 	return errors.Join(
 		s.SetUint64(currentTermKey, term),
@@ -170,16 +171,16 @@
 	)
 }
 
-// Set implements raft.StableStore. It retries a write until it succeeds or the store is closed, because the library
-// panics if a term can't be written and the agent has other duties. Until then the library blocks, and to its peers
-// this member does not answer.
+// Set implements raft.StableStore. It retries a write until it succeeds or the store is closed: the library panics if a
+// term can't be written, which would end the whole agent. Meanwhile the library blocks, and this member is unresponsive
+// to its peers.
 func (s *boltStore) Set(key, value []byte) error {
 	for attempt := 0; ; attempt++ {
 		err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stableBucket).Put(key, value) })
 		if err == nil || s.closed.Load() {
 			return err
 		}
-		if attempt%setAttemptsPerReport == 0 {
+		if attempt%setAttemptsPerLogLine == 0 {
 			slog.Error("quota_store", "written", false, "error", err.Error())
 		}
 		time.Sleep(setRetryInterval)
--- a/internal/cluster/quotastore/boltstore_test.go
+++ b/internal/cluster/quotastore/boltstore_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestSetRetriesUntilClosed checks that Set returns no error before the store is closed: the consensus library would
+// TestSetRetriesUntilClosed checks that Set returns no error before the store is closed: the Raft library would
 // panic.
 func TestSetRetriesUntilClosed(t *testing.T) {
 	s := newBoltStore(t)
@@ -54,12 +54,12 @@
 		if err == nil {
 			t.Fatal("a closed store has written a value")
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("goes on after the store was closed")
 	}
 }
 
-func TestReadValueStaysAsItWas(t *testing.T) {
+func TestReadValueIsNotChangedByLaterWrites(t *testing.T) {
 	s := newBoltStore(t)
 	key := []byte("k")
 	if err := s.Set(key, []byte("first")); err != nil {
--- a/internal/cluster/quotastore/compat_test.go
+++ b/internal/cluster/quotastore/compat_test.go
@@ -17,7 +17,7 @@
 // TestEarlierFormats checks that the answer of an agent of an earlier release that does not lead is read, and written
 // in the same form.
 func TestEarlierFormats(t *testing.T) {
-	compattest.RoundTrip[notLeader](t, "notHere.json")
+	compattest.RoundTrip[notLeaderResponse](t, "notHere.json")
 }
 
 // copyEarlierStore copies the store of an earlier release, a snapshot with entries after it, into a directory.
--- a/internal/cluster/quotastore/eligibility.go
+++ b/internal/cluster/quotastore/eligibility.go
@@ -10,17 +10,17 @@
 	"milletbarrow/internal/cluster/quorum"
 )
 
-// eligibilityTransport keeps a member whose log may lack entries from standing for election, and from voting for others
-// whose log lacks them too; see package quorum. It is safe for concurrent use.
+// eligibilityTransport prevents a member whose log may lack entries from standing for election, and from voting for
+// candidates whose logs lack them too; see package quorum. It is safe for concurrent use.
 type eligibilityTransport struct {
 	*raft.NetworkTransport
 	eligibility quorum.Eligibility
-	eligible    atomic.Bool                 // set for good once the log reaches eligibility.RequiredLog
-	calls       chan raft.RPC               // calls that the library may handle
+	eligible    atomic.Bool                 // set permanently once the log reaches eligibility.RequiredLog
+	calls       chan raft.RPC               // RPCs passed to the library
 	done        chan struct{}               // closed by Close
-	closing     sync.Once                   // closes done
-	heartbeats  sync.RWMutex                // held for reading while a heartbeat is handled
-	lastLog     func() (term, index uint64) // of this member; called by several goroutines
+	closeOnce   sync.Once                   // closes done
+	heartbeatMu sync.RWMutex                // read-locked while a heartbeat is handled
+	lastLog     func() (term, index uint64) // of this member's log; safe for concurrent use
 }
 
 var errIneligible = errors.New("this member's log may lack entries: no part in elections until it has caught up")
@@ -45,12 +45,12 @@
 	return t
 }
 
-// filter passes on the calls that this member may handle. It ends with Close.
+// filter passes the RPCs that this member may handle to the library. It returns after Close.
 func (t *eligibilityTransport) filter() {
 	for {
 		select {
 		case call := <-t.NetworkTransport.Consumer():
-			if !t.satisfied() && !t.mayHandle(call.Command) {
+			if !t.caughtUp() && !t.allowedWhileBehind(call.Command) {
 				call.Respond(nil, errIneligible)
 				continue
 			}
@@ -66,12 +66,12 @@
 	}
 }
 
-// SetHeartbeatHandler implements raft.Transport. The library handles heartbeats in the goroutines of connections, and
-// may write a term there; Close waits for them.
+// SetHeartbeatHandler implements raft.Transport. The library handles heartbeats in the goroutines of connections, where
+// it may store a term; Close waits for them.
 func (t *eligibilityTransport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(call raft.RPC) {
-		t.heartbeats.RLock()
-		defer t.heartbeats.RUnlock()
+		t.heartbeatMu.RLock()
+		defer t.heartbeatMu.RUnlock()
 		select {
 		case <-t.done:
 			call.Respond(nil, raft.ErrTransportShutdown)
@@ -81,17 +81,17 @@
 	})
 }
 
-// Close closes the transport; the library calls it as it shuts down. No heartbeat is handled after it returns, so that
-// the log can be closed: the library panics if a term can't be written.
+// Close closes the transport; the library calls it on shutdown. No heartbeat is handled after it returns, so that the
+// log can be closed: the library panics if a term can't be written.
 func (t *eligibilityTransport) Close() error {
-	t.closing.Do(func() { close(t.done) })
-	t.heartbeats.Lock() // waits for heartbeats that are being handled
-	defer t.heartbeats.Unlock()
+	t.closeOnce.Do(func() { close(t.done) })
+	t.heartbeatMu.Lock() // waits for heartbeats in progress
+	defer t.heartbeatMu.Unlock()
 	return t.NetworkTransport.Close()
 }
 
-// satisfied reports whether this member's log reaches RequiredLog by now.
-func (t *eligibilityTransport) satisfied() bool {
+// caughtUp reports whether this member's log has reached RequiredLog.
+func (t *eligibilityTransport) caughtUp() bool {
 	if t.eligible.Load() {
 		return true
 	}
@@ -102,8 +102,8 @@
 	return false
 }
 
-// mayHandle reports whether a member that is not eligible yet may handle a call.
-func (t *eligibilityTransport) mayHandle(command any) bool {
+// allowedWhileBehind reports whether a member that has not caught up yet may handle an RPC.
+func (t *eligibilityTransport) allowedWhileBehind(command any) bool {
 	switch request := command.(type) {
 	case *raft.RequestVoteRequest:
 		return t.eligibility.Satisfied(request.LastLogTerm, request.LastLogIndex)
@@ -122,7 +122,7 @@
 func (t *eligibilityTransport) RequestVote(
 	id raft.ServerID, address raft.ServerAddress, request *raft.RequestVoteRequest, response *raft.RequestVoteResponse,
 ) error {
-	if !t.satisfied() {
+	if !t.caughtUp() {
 		return errIneligible
 	}
 	return t.NetworkTransport.RequestVote(id, address, request, response)
@@ -133,7 +133,7 @@
 	id raft.ServerID, address raft.ServerAddress,
 	request *raft.RequestPreVoteRequest, response *raft.RequestPreVoteResponse,
 ) error {
-	if !t.satisfied() {
+	if !t.caughtUp() {
 		return errIneligible
 	}
 	return t.NetworkTransport.RequestPreVote(id, address, request, response)
--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -40,12 +40,12 @@
 		t.Errorf("handled the request of a candidate that lacks an entry: %v", err)
 	}
 	ownIndex = 9
-	if !filtered.satisfied() {
+	if !filtered.caughtUp() {
 		t.Error("a log that has the required entry is not satisfied")
 	}
 }
 
-func TestCallsThatAnIneligibleMemberMayHandle(t *testing.T) {
+func TestIneligibleMemberRejectsElectionCallsOnly(t *testing.T) {
 	filtered := newEligibilityTransport(newTCPTransport(t), requiresEntry9, func() (term, index uint64) { return 3, 5 })
 	t.Cleanup(func() { _ = filtered.Close() })
 	for _, test := range []struct {
@@ -61,7 +61,7 @@
 		{"entries", &raft.AppendEntriesRequest{}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := filtered.mayHandle(test.command); got != test.want {
+			if got := filtered.allowedWhileBehind(test.command); got != test.want {
 				t.Errorf("%T: %v, want %v", test.command, got, test.want)
 			}
 		})
--- a/internal/cluster/quotastore/forward.go
+++ b/internal/cluster/quotastore/forward.go
@@ -18,13 +18,13 @@
 	pathStatus      = "/ledger/view"
 )
 
-// notLeader is the answer of an agent that does not lead.
-type notLeader struct {
-	Leader string `json:"leader"` // host that it believes to lead; empty: unknown
+// notLeaderResponse is the response of an agent that is not the leader.
+type notLeaderResponse struct {
+	Leader string `json:"leader"` // host of the presumed leader; empty: unknown
 }
 
-// Do has the leader apply a command. After an error the command may still be applied. The error wraps ErrNoLeader if no
-// agent answered as the leader.
+// Do submits a command to the leader. After an error the command may still be applied. The error wraps ErrNoLeader if
+// no agent responded as the leader.
 func (s *Store) Do(ctx context.Context, command quota.Command) (result quota.Result, err error) {
 	current := s.leadership()
 	if current.leads() {
@@ -34,8 +34,7 @@
 	return result, err
 }
 
-// Status returns the status that the leader reports, after it has verified that it still leads. Its errors are those of
-// Do.
+// Status returns the leader's status, after the leader has verified its leadership. Its errors are those of Do.
 func (s *Store) Status(ctx context.Context) (status quota.Status, err error) {
 	current := s.leadership()
 	if current.leads() {
@@ -45,35 +44,35 @@
 	return status, err
 }
 
-// forwardToLeader calls the agents of the group one after another until one answers as the leader: first the likely
-// leader, then whom the last answer named, then those that were not called yet.
-func (s *Store) forwardToLeader(ctx context.Context, likely, path string, body, into any) error {
-	if likely == "" {
-		likely = s.latestLeader()
+// forwardToLeader calls the agents of the group one after another until one responds as the leader: first the presumed
+// leader, then the host that the last response named, then the members that were not called yet.
+func (s *Store) forwardToLeader(ctx context.Context, presumed, path string, body, response any) error {
+	if presumed == "" {
+		presumed = s.leaderHint()
 	}
 	candidates := leaderCandidates{members: s.members(), called: map[string]bool{s.config.Host: true}}
 	var lastErr error
-	host, ok := candidates.next(likely)
+	host, ok := candidates.next(presumed)
 	for ok && ctx.Err() == nil {
-		err := s.call(ctx, host, path, body, into)
+		err := s.call(ctx, host, path, body, response)
 		if err == nil {
-			s.setLatestLeader(host)
+			s.setLeaderHint(host)
 			return nil
 		}
 		lastErr = fmt.Errorf("%s: %w", host, err)
-		host, ok = candidates.next(leaderNamedBy(err))
+		host, ok = candidates.next(leaderFromError(err))
 	}
 	return errors.Join(ErrNoLeader, lastErr)
 }
 
-// leaderCandidates are the hosts that may lead.
+// leaderCandidates tracks which hosts of the group were called in search of the leader.
 type leaderCandidates struct {
 	members []string
 	called  map[string]bool // by host
 }
 
-// next returns the host to call next, each of them once: the preferred one if it was not called yet, else the first
-// member that was not. ok is false if none is left.
+// next returns the host to call next: the preferred one if it was not called yet, otherwise the first member that was
+// not. It returns no host twice; ok is false if none is left.
 func (c *leaderCandidates) next(preferred string) (host string, ok bool) {
 	host = preferred
 	for i := 0; host == "" || c.called[host]; i++ {
@@ -86,29 +85,31 @@
 	return host, true
 }
 
-func (s *Store) call(ctx context.Context, host, path string, body, into any) error {
+func (s *Store) call(ctx context.Context, host, path string, body, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.Bounds.CallTimeout)
 	defer cancel()
-	return s.config.Transport.Call(ctx, host, path, body, into)
+	return s.config.Transport.Call(ctx, host, path, body, response)
 }
 
-func (s *Store) latestLeader() string {
+// leaderHint returns the host that last responded as the leader, or "".
+// leaderHint returns the host that last responded as the leader, or "".
+func (s *Store) leaderHint() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastLeader
 }
 
-func (s *Store) setLatestLeader(host string) {
+func (s *Store) setLeaderHint(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastLeader = host
 }
 
-// leaderNamedBy returns the leader that an agent's answer names, or "".
-func leaderNamedBy(err error) string {
-	var answer notLeader
+// leaderFromError returns the leader that is named in an agent's notLeaderResponse, or "".
+func leaderFromError(err error) string {
+	var response notLeaderResponse
 	if status, ok := errors.AsType[*jsonhttp.StatusError](err); ok && status.Code == http.StatusMisdirectedRequest {
-		_ = json.Unmarshal([]byte(status.Message), &answer) // an answer that was cut short names none
+		_ = json.Unmarshal([]byte(status.Message), &response) // a truncated response names no leader
 	}
-	return answer.Leader
+	return response.Leader
 }
--- a/internal/cluster/quotastore/forward_test.go
+++ b/internal/cluster/quotastore/forward_test.go
@@ -23,8 +23,8 @@
 	c.hosts = append(c.hosts, host)
 }
 
-// take returns the calls since the last take.
-func (c *callLog) take() []string {
+// drain returns the calls since the last take.
+func (c *callLog) drain() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hosts := c.hosts
@@ -32,7 +32,7 @@
 	return hosts
 }
 
-// newForwardingStore returns the store of h1 in the group of h1 to h4, which does not run. leaderNamedBy has the leader
+// newForwardingStore returns the store of h1 in the group of h1 to h4, which does not run. leaderFromError has the leader
 // that each other agent names; an agent that names itself answers with a result. The log records the calls to all four.
 func newForwardingStore(t *testing.T, leaderNamedBy map[string]string) (*Store, *callLog) {
 	t.Helper()
@@ -44,10 +44,10 @@
 		serveCalls(t, agent, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			calls.add(host)
 			if leader != host {
-				writeNotLeader(w, leader)
+				writeNotLeaderResponse(w, leader)
 				return
 			}
-			writeAnswer(w, quota.Result{Serial: 7}, nil)
+			writeResponse(w, quota.Result{Serial: 7}, nil)
 		}))
 	}
 	for host, leader := range leaderNamedBy {
@@ -67,7 +67,7 @@
 		if err != nil || result.Serial != 7 {
 			t.Fatalf("%+v, %v, want serial 7", result, err)
 		}
-		if got := calls.take(); !slices.Equal(got, want) {
+		if got := calls.drain(); !slices.Equal(got, want) {
 			t.Errorf("called %v, want %v", got, want)
 		}
 	}
@@ -79,7 +79,7 @@
 	if result, err := s.Do(t.Context(), quota.Command{}); !errors.Is(err, ErrNoLeader) {
 		t.Errorf("%+v, %v, want ErrNoLeader", result, err)
 	}
-	if got, want := calls.take(), []string{"h2", "h3", "h4"}; !slices.Equal(got, want) {
+	if got, want := calls.drain(), []string{"h2", "h3", "h4"}; !slices.Equal(got, want) {
 		t.Errorf("called %v, want %v", got, want)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -87,7 +87,7 @@
 	if _, err := s.Status(ctx); !errors.Is(err, ErrNoLeader) {
 		t.Errorf("after the context's end: %v, want ErrNoLeader", err)
 	}
-	if got := calls.take(); len(got) > 0 {
+	if got := calls.drain(); len(got) > 0 {
 		t.Errorf("called %v after the context's end", got)
 	}
 }
--- a/internal/cluster/quotastore/group_test.go
+++ b/internal/cluster/quotastore/group_test.go
@@ -20,8 +20,8 @@
 func mustAcquire(t *testing.T, store *Store, name quota.InstanceName) {
 	t.Helper()
 	command := quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: name, Host: "h", AcquireID: "1"}}
-	waitFor(t, patience, "the permit is acquired", func() bool {
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+	waitFor(t, waitTimeout, "the permit is acquired", func() bool {
+		ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 		defer cancel()
 		result, err := store.Do(ctx, command)
 		if err == nil && result.Rejection != "" {
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestOtherAgentsSetNoConfiguration checks that a leader ignores the fields of a forwarded command that only it may
+// TestForwardedCommandCannotSetConfiguration checks that a leader ignores the fields of a forwarded command that only it may
 // set.
-func TestOtherAgentsSetNoConfiguration(t *testing.T) {
+func TestForwardedCommandCannotSetConfiguration(t *testing.T) {
 	g := newGroup(t, 1)
 	g.startAll()
 	body, err := json.Marshal(quota.Command{Config: permitConfig(99), Rebalance: true})
--- a/internal/cluster/quotastore/handlers.go
+++ b/internal/cluster/quotastore/handlers.go
@@ -8,10 +8,11 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// maxCommandMessages bounds the size of a command, in maximum messages: it may contain the requests of a whole host.
+// maxCommandMessages bounds the size of a command as a multiple of the message size limit: a command may contain the
+// requests of all instances of a host.
 const maxCommandMessages = 16
 
-// RegisterHandlers registers the handlers for calls of other agents.
+// RegisterHandlers registers the handlers of calls from other agents.
 func (s *Store) RegisterHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+pathLogPosition, s.handleLogPosition)
 	mux.HandleFunc("POST "+pathDo, s.handleDo)
@@ -24,7 +25,7 @@
 		return
 	}
 	position, err := s.log.position()
-	writeAnswer(w, position, err)
+	writeResponse(w, position, err)
 }
 
 func (s *Store) handleDo(w http.ResponseWriter, r *http.Request) {
@@ -34,18 +35,18 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	clearLeaderFields(&command)
+	clearLeaderOnlyFields(&command)
 	current := s.leadership()
 	if !current.leads() {
-		writeNotLeader(w, current.leader)
+		writeNotLeaderResponse(w, current.leader)
 		return
 	}
 	result, err := s.doAsLeader(current, command)
-	writeAnswer(w, result, err)
+	writeResponse(w, result, err)
 }
 
-// clearLeaderFields clears the fields of a command that only the leader itself may set.
-func clearLeaderFields(command *quota.Command) {
+// clearLeaderOnlyFields clears the fields of a command that only the leader itself may set.
+func clearLeaderOnlyFields(command *quota.Command) {
 	command.Config = nil
 	command.Expire = nil
 	command.Rebalance = false
@@ -55,32 +56,32 @@
 func (s *Store) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	current := s.leadership()
 	if !current.leads() {
-		writeNotLeader(w, current.leader)
+		writeNotLeaderResponse(w, current.leader)
 		return
 	}
 	status, err := s.statusAsLeader(current)
-	writeAnswer(w, status, err)
+	writeResponse(w, status, err)
 }
 
-// writeNotLeader names the host that this one believes to lead.
-func writeNotLeader(w http.ResponseWriter, leader string) {
-	writeJSON(w, http.StatusMisdirectedRequest, notLeader{Leader: leader})
+// writeNotLeaderResponse responds with the host of the presumed leader.
+func writeNotLeaderResponse(w http.ResponseWriter, leader string) {
+	writeJSON(w, http.StatusMisdirectedRequest, notLeaderResponse{Leader: leader})
 }
 
-func writeAnswer(w http.ResponseWriter, answer any, err error) {
+func writeResponse(w http.ResponseWriter, response any, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, response)
 }
 
-func writeJSON(w http.ResponseWriter, status int, answer any) {
-	encoded, err := json.Marshal(answer)
+func writeJSON(w http.ResponseWriter, status int, response any) {
+	encoded, err := json.Marshal(response)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(append(encoded, '\n')) // the caller sees a broken connection
+	_, _ = w.Write(append(encoded, '\n')) // on an error the caller sees a broken connection
 }
--- a/internal/cluster/quotastore/helpers_test.go
+++ b/internal/cluster/quotastore/helpers_test.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	patience     = 10 * time.Second // how long a test waits for a condition that needs no election
+	waitTimeout  = 10 * time.Second // how long a test waits for a condition that needs no election
 	pollInterval = 10 * time.Millisecond
 )
 
@@ -357,8 +357,8 @@
 	return future{}
 }
 
-// become makes the replica lead, or follow, in a term.
-func (r *fakeReplica) become(state raft.RaftState, term uint64) {
+// setState makes the replica lead, or follow, in a term.
+func (r *fakeReplica) setState(state raft.RaftState, term uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = state
@@ -382,8 +382,8 @@
 			Bounds:  limits.ForControl(),
 			Clock:   func() monotime.Micros { return *now },
 		},
-		state:         quota.NewState(),
-		wantedMembers: members,
+		state:          quota.NewState(),
+		desiredMembers: members,
 	}
 	fake = &fakeReplica{store: s, state: raft.Leader, term: 1}
 	for _, member := range members {
@@ -394,7 +394,7 @@
 	return &leaderLoop{store: s, replica: fake}, fake, now
 }
 
-// newTCPTransport returns a transport of the consensus library on loopback.
+// newTCPTransport returns a transport of the Raft library on loopback.
 func newTCPTransport(t *testing.T) *raft.NetworkTransport {
 	t.Helper()
 	logger := hclog.New(&hclog.LoggerOptions{Output: io.Discard})
@@ -419,7 +419,7 @@
 // waitForNoGoroutineIn waits until no goroutine runs a function.
 func waitForNoGoroutineIn(t *testing.T, function string) {
 	t.Helper()
-	waitFor(t, patience, "no goroutine runs "+function, func() bool {
+	waitFor(t, waitTimeout, "no goroutine runs "+function, func() bool {
 		stacks := make([]byte, 1<<20)
 		stacks = stacks[:runtime.Stack(stacks, true)]
 		return !bytes.Contains(stacks, []byte(function+"("))
--- a/internal/cluster/quotastore/leader.go
+++ b/internal/cluster/quotastore/leader.go
@@ -13,13 +13,13 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// Kinds of the leader's events.
+// Kinds of events that the leader emits.
 const (
 	eventElected = "leader"
 	eventMembers = "group"
 )
 
-// replica is the part of the consensus library that a Store uses; *raft.Raft implements it.
+// replica is the part of the Raft library that a Store uses; *raft.Raft implements it.
 type replica interface {
 	State() raft.RaftState
 	CurrentTerm() uint64
@@ -28,7 +28,7 @@
 	// VerifyLeader succeeds once a quorum has confirmed this leader.
 	VerifyLeader() raft.Future
 
-	// Barrier succeeds once all entries before it are applied to the state.
+	// Barrier succeeds once all preceding entries are applied to the state.
 	Barrier(timeout time.Duration) raft.Future
 
 	Apply(command []byte, timeout time.Duration) raft.ApplyFuture
@@ -37,15 +37,15 @@
 	RemoveServer(id raft.ServerID, previous uint64, timeout time.Duration) raft.IndexFuture
 }
 
-// leaderLoop has the duties of the group's leader: it expires leases, rebalances, applies new configurations and
-// changes the members of the group. It is for one goroutine.
+// leaderLoop performs the periodic tasks of the group's leader: it expires leases, rebalances limits, proposes new
+// configurations and changes the members of the group. It is not safe for concurrent use.
 type leaderLoop struct {
 	store   *Store
 	replica replica
-	term    uint64 // in which this replica has begun to lead; 0: it does not lead
+	term    uint64 // for which beginTerm has succeeded; 0: this replica does not lead
 }
 
-// run ticks until ctx ends.
+// run calls tick every trackerInterval until ctx ends.
 func (l *leaderLoop) run(ctx context.Context) {
 	ticker := time.NewTicker(trackerInterval)
 	defer ticker.Stop()
@@ -66,17 +66,17 @@
 		return
 	}
 	if term := l.replica.CurrentTerm(); term != l.term {
-		if err := l.begin(term); err != nil {
-			return // retried with the next tick
+		if err := l.beginTerm(term); err != nil {
+			return // retried on the next tick
 		}
 	}
-	l.proposeDue()
+	l.proposeDueCommand()
 	l.changeMembers()
 }
 
-// begin begins to lead in a term. The replica becomes ready once it has applied all entries of earlier leaders, unless
-// it has lost the term meanwhile.
-func (l *leaderLoop) begin(term uint64) error {
+// beginTerm prepares this replica to lead in a term. The replica becomes ready once it has applied all entries of
+// earlier leaders, unless the term has changed meanwhile.
+func (l *leaderLoop) beginTerm(term uint64) error {
 	l.store.setReady(false)
 	if err := l.replica.Barrier(applyTimeout).Error(); err != nil {
 		return err
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// becomeLeader resets the tracker. The replica is ready if it still leads afterwards.
+// becomeLeader resets the lease tracker. The replica is ready if it still leads afterwards.
 func (s *Store) becomeLeader(soleReplica bool, stillLeads func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,29 +96,29 @@
 	s.ready = stillLeads()
 }
 
-// proposeDue proposes what is due by the leader's clock and its fleet file.
-func (l *leaderLoop) proposeDue() {
+// proposeDueCommand proposes the changes that are due according to the leader's clock and its fleet file.
+func (l *leaderLoop) proposeDueCommand() {
 	command, due := l.store.dueCommand()
 	if !due {
 		return
 	}
 	result, err := l.store.propose(l.replica, command)
 	if err != nil || result.Rejection == "" || command.Config == nil {
-		return // after an error it is due again with the next tick
+		return // after an error the command is due again on the next tick
 	}
 	slog.Warn("budgets", "used", false, "why", result.Rejection)
-	l.store.dropWantedConfig()
+	l.store.discardDesiredConfig()
 }
 
-// dropWantedConfig forgets a configuration that the state has rejected, so that it is not proposed with every tick.
-func (s *Store) dropWantedConfig() {
+// discardDesiredConfig discards a configuration that the state has rejected, so that it is not proposed on every tick.
+func (s *Store) discardDesiredConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wantedConfig = nil
+	s.desiredConfig = nil
 }
 
-// dueCommand returns the expiries, the rebalance, the elapsed pauses and the configuration that are due. due is false
-// if there are none.
+// dueCommand returns a command with the lease expiries, the rebalance, the elapsed pauses and the configuration that
+// are due. due is false if nothing is.
 func (s *Store) dueCommand() (command quota.Command, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,22 +127,23 @@
 	command.Expire = expired
 	command.Rebalance = rebalance && s.state.Config.Version > 0
 	command.ElapsedPauses = s.tracker.ElapsedPauses(now, s.state)
-	if s.wantedConfig != nil && s.wantedConfig.Version > s.state.Config.Version {
-		command.Config = s.wantedConfig
+	if s.desiredConfig != nil && s.desiredConfig.Version > s.state.Config.Version {
+		command.Config = s.desiredConfig
 	}
 	due = len(command.Expire) > 0 || command.Rebalance || len(command.ElapsedPauses) > 0 || command.Config != nil
 	return command, due
 }
 
-// changeMembers takes one step towards the wanted members. A step that fails is retried with the next tick.
+// changeMembers adds or removes one member, towards the members that the fleet file names. A failed change is retried
+// on the next tick.
 func (l *leaderLoop) changeMembers() {
-	wanted, outdated := l.store.wantedGroup()
+	desired, outdated := l.store.desiredGroup()
 	configuration := l.replica.GetConfiguration()
 	if outdated || configuration.Error() != nil {
 		return
 	}
 	present := memberNames(configuration.Configuration())
-	change := quorum.NextChange(present, wanted, l.store.config.Host)
+	change := quorum.NextChange(present, desired, l.store.config.Host)
 	switch {
 	case change.Add != "":
 		id, address := raft.ServerID(change.Add), raft.ServerAddress(change.Add)
@@ -157,12 +158,12 @@
 	}
 }
 
-// wantedGroup returns the wanted members. outdated reports that they are from an older fleet file than the
-// configuration in force, and must not undo a newer one.
-func (s *Store) wantedGroup() (members []string, outdated bool) {
+// desiredGroup returns the members that the fleet file names. outdated reports that the file is older than the
+// configuration in force, and must not revert it.
+func (s *Store) desiredGroup() (members []string, outdated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.wantedMembers), s.wantedVersion < s.state.Config.Version
+	return slices.Clone(s.desiredMembers), s.desiredVersion < s.state.Config.Version
 }
 
 // memberNames returns the hosts of a group's members.
--- a/internal/cluster/quotastore/leader_test.go
+++ b/internal/cluster/quotastore/leader_test.go
@@ -64,7 +64,7 @@
 	fake.onBarrier = func() error {
 		barriers++
 		if barriers == 1 {
-			fake.become(raft.Leader, 3) // deposed and elected again while it begins to lead
+			fake.setState(raft.Leader, 3) // deposed and elected again while it begins to lead
 		}
 		return nil
 	}
@@ -76,7 +76,7 @@
 	if leads := loop.store.leadership().leads(); !leads || barriers != 2 {
 		t.Errorf("leads: %v after %d barriers, want true after 2", leads, barriers)
 	}
-	fake.become(raft.Leader, 4) // deposed and elected again between two ticks
+	fake.setState(raft.Leader, 4) // deposed and elected again between two ticks
 	loop.tick()
 	if barriers != 3 {
 		t.Errorf("%d barriers in 3 terms", barriers)
@@ -89,12 +89,12 @@
 	if !loop.store.leadership().leads() {
 		t.Fatal("does not lead")
 	}
-	fake.become(raft.Follower, 2)
+	fake.setState(raft.Follower, 2)
 	if current := loop.store.leadership(); current.leads() || current.leader != "h2" {
 		t.Errorf("as a follower: %+v, want leader h2", current)
 	}
 	loop.tick()
-	fake.become(raft.Leader, 3)
+	fake.setState(raft.Leader, 3)
 	if loop.store.leadership().leads() {
 		t.Error("leads term 3 before it has begun to")
 	}
--- a/internal/cluster/quotastore/linearizability_test.go
+++ b/internal/cluster/quotastore/linearizability_test.go
@@ -15,13 +15,13 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// permitCall is the input of an operation: the acquisition of a permit, or its release.
-type permitCall struct {
+// permitInput is the input of an operation: the acquisition of a permit, or its release.
+type permitInput struct {
 	release         bool
 	name, acquireID string
 }
 
-func (c permitCall) command() quota.Command {
+func (c permitInput) command() quota.Command {
 	permit := &quota.PermitCommand{Limit: "out", Name: quota.InstanceName(c.name), Host: "h", AcquireID: c.acquireID}
 	if c.release {
 		return quota.Command{Release: permit}
@@ -29,14 +29,14 @@
 	return quota.Command{Acquire: permit}
 }
 
-// permitAnswer is the output of an operation as its client saw it.
-type permitAnswer struct {
+// permitOutput is the output of an operation as its client saw it.
+type permitOutput struct {
 	held    bool
 	unknown bool // no answer came
 }
 
-// mustBe returns a value of the type that the model's operations have.
-func mustBe[T any](value any) T {
+// mustCast returns a value of the type that the model's operations have.
+func mustCast[T any](value any) T {
 	typed, ok := value.(T)
 	if !ok {
 		panic(fmt.Sprintf("%T in the model, expected %T", value, typed))
@@ -48,8 +48,8 @@
 var permitModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		call, answer := mustBe[permitCall](input), mustBe[permitAnswer](output)
-		held := strings.Fields(mustBe[string](state))
+		call, answer := mustCast[permitInput](input), mustCast[permitOutput](output)
+		held := strings.Fields(mustCast[string](state))
 		own := call.name + "/" + call.acquireID
 		i := slices.Index(held, own)
 		if call.release {
@@ -88,22 +88,22 @@
 
 // permitClient acquires and releases permits through any store of a group.
 type permitClient struct {
-	id      int
-	group   *testGroup
-	history *history
-	span    time.Duration // how long it goes on
-	random  *rand.Rand
+	id       int
+	group    *testGroup
+	history  *history
+	duration time.Duration // how long it goes on
+	random   *rand.Rand
 }
 
 func (c *permitClient) run() {
 	name := fmt.Sprint("n", c.id)
 	for n := 0; ; n++ {
 		acquireID := fmt.Sprint(n)
-		if !c.retry(permitCall{name: name, acquireID: acquireID}) {
+		if !c.retry(permitInput{name: name, acquireID: acquireID}) {
 			return
 		}
 		time.Sleep(time.Duration(c.random.IntN(20)) * time.Millisecond)
-		if !c.retry(permitCall{release: true, name: name, acquireID: acquireID}) {
+		if !c.retry(permitInput{release: true, name: name, acquireID: acquireID}) {
 			return
 		}
 	}
@@ -112,9 +112,9 @@
 // retry calls with the same acquisition ID until the call has succeeded, and reports whether it has. Calls without an
 // answer are one operation with the call that brought it: the store can't tell them apart, and which of them took
 // effect is not seen.
-func (c *permitClient) retry(call permitCall) bool {
+func (c *permitClient) retry(call permitInput) bool {
 	unanswered := int64(-1) // when the first call without an answer began
-	for time.Since(c.history.began) < c.span {
+	for time.Since(c.history.began) < c.duration {
 		node := c.group.node(c.group.names[c.random.IntN(len(c.group.names))])
 		if node == nil {
 			continue
@@ -123,7 +123,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 		result, err := node.Do(ctx, call.command())
 		cancel()
-		operation.Output = permitAnswer{held: result.Rejection == "" && !call.release}
+		operation.Output = permitOutput{held: result.Rejection == "" && !call.release}
 		operation.Return = c.history.now()
 		succeeded := err == nil && (call.release || result.Rejection == "")
 		switch {
@@ -145,7 +145,7 @@
 			ClientId: c.id,
 			Input:    call,
 			Call:     unanswered,
-			Output:   permitAnswer{unknown: true},
+			Output:   permitOutput{unknown: true},
 			Return:   int64(time.Hour),
 		})
 	}
@@ -191,11 +191,11 @@
 	var tasks sync.WaitGroup
 	for id := range clients {
 		client := &permitClient{
-			id:      id,
-			group:   g,
-			history: recorded,
-			span:    span,
-			random:  rand.New(rand.NewPCG(uint64(id), 5)),
+			id:       id,
+			group:    g,
+			history:  recorded,
+			duration: span,
+			random:   rand.New(rand.NewPCG(uint64(id), 5)),
 		}
 		tasks.Go(client.run)
 	}
@@ -203,7 +203,7 @@
 	tasks.Wait()
 	held := 0
 	for _, operation := range recorded.operations {
-		if mustBe[permitAnswer](operation.Output).held {
+		if mustCast[permitOutput](operation.Output).held {
 			held++
 		}
 	}
--- a/internal/cluster/quotastore/proposal.go
+++ b/internal/cluster/quotastore/proposal.go
@@ -11,14 +11,14 @@
 	"milletbarrow/internal/failpoint"
 )
 
-// leadership is what a replica knows about the leader at one moment.
+// leadership is a snapshot of what a replica knows about the leader.
 type leadership struct {
 	replica      replica // nil unless this replica leads and is ready
 	leader       string  // the leader's host; empty: unknown
-	growthFrozen bool    // no grant may grow
+	growthFrozen bool    // grants must not increase
 }
 
-// leads reports whether this replica may answer as the leader.
+// leads reports whether this replica may respond as the leader.
 func (l leadership) leads() bool { return l.replica != nil }
 
 func (s *Store) leadership() leadership {
@@ -44,8 +44,8 @@
 	return s.propose(current.replica, command)
 }
 
-// statusAsLeader returns the status after it has verified that this replica still leads: a part of the group that it
-// can't reach may have elected another leader. Otherwise its error wraps ErrNoLeader.
+// statusAsLeader verifies that this replica still leads and returns the status: a part of the group that it can't reach
+// may have elected another leader. If the verification fails, its error wraps ErrNoLeader.
 func (s *Store) statusAsLeader(current leadership) (quota.Status, error) {
 	if err := current.replica.VerifyLeader().Error(); err != nil {
 		return quota.Status{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
@@ -67,15 +67,15 @@
 	return status, nil
 }
 
-// propose replicates a command and waits until it is applied here. Its error wraps ErrNoLeader if the group did not
-// agree in time; the command may still be applied then.
+// propose replicates a command and waits until it is applied on this replica. Its error wraps ErrNoLeader if the
+// command was not committed in time; it may still be applied later.
 func (s *Store) propose(leader replica, command quota.Command) (quota.Result, error) {
 	encoded, err := json.Marshal(command)
 	if err != nil {
 		return quota.Result{}, fmt.Errorf("encode a command of the quota store: %w", err)
 	}
 	if failpoint.Enabled(failpoint.AnswerEarly) && command.Renew != nil {
-		return s.answerBeforeCommit(leader, encoded)
+		return s.respondBeforeCommit(leader, encoded)
 	}
 	future := leader.Apply(encoded, applyTimeout)
 	if err := future.Error(); err != nil {
@@ -92,15 +92,16 @@
 	return result, nil
 }
 
-// responseError is returned for a response of the state machine that is no result.
+// responseError reports a response of the state machine that is not a quota.Result.
 type responseError struct{ response any }
 
 func (e *responseError) Error() string {
 	return fmt.Sprintf("quota store: the state machine returned %T, expected a result: %v", e.response, e.response)
 }
 
-// answerBeforeCommit answers from a copy of the state. It implements the fault failpoint.AnswerEarly.
-func (s *Store) answerBeforeCommit(leader replica, encoded []byte) (quota.Result, error) {
+// respondBeforeCommit returns the result of a command on a copy of the state, without waiting for the commit. It
+// implements the fault failpoint.AnswerEarly.
+func (s *Store) respondBeforeCommit(leader replica, encoded []byte) (quota.Result, error) {
 	before, err := s.snapshot()
 	if err != nil {
 		return quota.Result{}, err
--- a/internal/cluster/quotastore/quotastore.go
+++ b/internal/cluster/quotastore/quotastore.go
@@ -1,8 +1,9 @@
-// Package quotastore replicates the state of package quota between the agents of a group. The consensus library stores
-// every command on the disks of a majority before it is answered. Any agent can be asked; it forwards to the leader.
+// Package quotastore replicates the state of package quota between the agents of a group. The Raft library stores every
+// command on the disks of a majority before the caller gets its result. Any agent accepts commands and forwards them to
+// the leader.
 //
-// The package owns the files, the traffic of the group and the leader's clock. Package quota decides what is granted,
-// package quorum who may vote.
+// The package owns the files, the network traffic of the group and the leader's timers. Package quota decides what is
+// granted, package quorum which members may vote.
 package quotastore
 
 import (
@@ -22,8 +23,8 @@
 	"milletbarrow/monotime"
 )
 
-// Times of the group. A leader that hears from no quorum for leaderLeaseTimeout steps down. An election takes one to
-// two electionTimeout.
+// Timing of the group. A leader that loses contact with a quorum for leaderLeaseTimeout steps down. An election takes
+// one to two times electionTimeout.
 const (
 	heartbeatTimeout   = 500 * time.Millisecond
 	electionTimeout    = 500 * time.Millisecond
@@ -39,11 +40,11 @@
 	fileMode      os.FileMode = 0o600
 )
 
-// Stages of a member that has not joined the group's replication, and of one that has.
+// Stages of an agent that joins the group. stageMember means that Raft has started, stageFailed that its start failed.
 const (
 	stageOutside  = "outside the group"
 	stageStarting = "starting"
-	stageWaiting  = "waiting" // for enough other members to answer
+	stageWaiting  = "waiting" // for responses of enough other members
 	stageMember   = "member"
 	stageFailed   = ""
 )
@@ -51,51 +52,51 @@
 // Config configures a Store.
 type Config struct {
 	Host      string   // name of this agent's host
-	Members   []string // hosts of the group, as the fleet's file names them
-	Dir       string   // for this store alone; created if it is missing
-	TrustDir  bool     // an operator says that the directory is no older copy
+	Members   []string // hosts of the group, as named in the fleet file
+	Dir       string   // used by this store alone; created if it is missing
+	TrustDir  bool     // an operator confirms that the directory is not an older copy
 	Transport *transport.Transport
 	Bounds    limits.Control
 	Clock     func() monotime.Micros // monotonic, of this host
 	OnEvent   func(quota.Event)      // receives events for the leader's history; must not block; nil: none
 }
 
-// Store is one agent's replica, or its client if the agent is outside the group. It is safe for concurrent use.
+// Store is one agent's replica, or a client of the group if the agent is not a member. It is safe for concurrent use.
 //
 // Invariants:
-//   - A replica answers as the leader only after it has applied all entries of earlier leaders, in its present term
+//   - A replica responds as the leader only after it has applied all entries of earlier leaders in its current term
 //     (TestNewLeaderAppliesEarlierEntriesFirst, TestLeaderBeginsAnewInEachTerm, TestReelectedFollowerBeginsAnew).
 //   - A leader that can't reach a quorum reports no status (TestDeposedLeaderReportsNoStatus).
-//   - A member on an older copy of its directory does not help to undo what the copy lacks
+//   - A member on an older copy of its directory does not help to discard committed entries that the copy lacks
 //     (TestOlderCopyUndoesNothing, TestIneligibleMemberTakesNoPartInElections, TestAdoptedTermHasNoVoteLeft).
-//   - Clients see a linearizable history of permits (TestHistoryIsLinearizable).
+//   - The history of permits is linearizable to clients (TestHistoryIsLinearizable).
 type Store struct {
 	config Config
 	log    *boltStore // nil outside the group
 
-	mu            sync.Mutex // guards the fields below, and the state and the tracker themselves
-	replica       replica    // nil until this member has joined the replication
-	state         *quota.State
-	tracker       quota.LeaseTracker
-	ready         bool // this replica leads, has applied all entries of earlier leaders, and its tracker has begun
-	wantedConfig  *quota.Config
-	wantedMembers []string // of the fleet's file
-	wantedVersion uint64   // of the fleet's file; 0: none yet
-	lastLeader    string   // host that answered last as the leader; empty: none yet
-	stage         string
+	mu             sync.Mutex // guards the fields below, and the state and the tracker themselves
+	replica        replica    // nil until Raft has started on this member
+	state          *quota.State
+	tracker        quota.LeaseTracker
+	ready          bool // this replica leads, has applied all entries of earlier leaders and has reset its tracker
+	desiredConfig  *quota.Config
+	desiredMembers []string // of the fleet file
+	desiredVersion uint64   // of the fleet file; 0: none yet
+	lastLeader     string   // host that last responded as the leader; empty: none yet
+	stage          string
 }
 
 // ErrNoLeader is returned while no quorum of the group can be reached, or before the group has elected a leader.
 var ErrNoLeader = errors.New("no leader of the quota store can be reached")
 
-// Open opens this host's side of the store. A host outside the group stores nothing and asks the others. Run closes
-// what Open opened.
+// Open opens the store of this host. A host outside the group stores nothing and forwards all calls to the members. Run
+// closes the files that Open opened.
 func Open(config Config) (*Store, error) {
 	s := &Store{
-		config:        config,
-		state:         quota.NewState(),
-		wantedMembers: config.Members,
-		stage:         stageOutside,
+		config:         config,
+		state:          quota.NewState(),
+		desiredMembers: config.Members,
+		stage:          stageOutside,
 	}
 	if !slices.Contains(config.Members, config.Host) {
 		return s, nil
@@ -112,7 +113,8 @@
 	return s, nil
 }
 
-// Run takes part in the group until ctx ends, or until this member fails to start. It closes the files as it returns.
+// Run participates in the group until ctx ends, or until this member fails to start. It closes the files when it
+// returns.
 func (s *Store) Run(ctx context.Context) error {
 	if s.log == nil {
 		<-ctx.Done()
@@ -134,14 +136,14 @@
 	return nil
 }
 
-// setReady sets whether this replica may answer as the leader.
+// setReady sets whether this replica may respond as the leader.
 func (s *Store) setReady(ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ready = ready
 }
 
-// setStage records the stage of this member and logs a change.
+// setStage sets the stage of this member and logs a change.
 func (s *Store) setStage(stage, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,24 +159,25 @@
 	}
 }
 
-// SetConfig sets the configuration and the members that the fleet's file names now. Only a leader acts on them, and
-// only if their version is not below the one in force.
+// SetConfig sets the desired configuration and members, from the latest fleet file. Only a leader applies them, and
+// only if their version is not lower than the one in force.
 func (s *Store) SetConfig(config *quota.Config, members []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wantedConfig = config
-	s.wantedMembers = members
-	s.wantedVersion = config.Version
+	s.desiredConfig = config
+	s.desiredMembers = members
+	s.desiredVersion = config.Version
 }
 
-// members returns the hosts of the group as the latest fleet file names them.
+// members returns the hosts of the group, as named in the latest fleet file.
 func (s *Store) members() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.wantedMembers)
+	return slices.Clone(s.desiredMembers)
 }
 
-// Stage returns the state of this member as the consensus library names it, or why it has not joined the replication.
+// Stage returns the Raft state of this member as the library names it or, before Raft has started, the stage of the
+// start.
 func (s *Store) Stage() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/quotastore/raftnode.go
+++ b/internal/cluster/quotastore/raftnode.go
@@ -16,20 +16,20 @@
 	"milletbarrow/internal/cluster/transport"
 )
 
-// raftLogVariable is the environment variable that has the consensus library log to standard error.
-const raftLogVariable = "MILLETBARROW_RAFT_LOG"
+// raftLogEnv is the environment variable that has the Raft library log to standard error.
+const raftLogEnv = "MILLETBARROW_RAFT_LOG"
 
-// Sizes of the replicated log.
+// Settings of the replicated log and of its connections.
 const (
-	snapshotThreshold = 4096 // entries since the latest snapshot that cause another one
+	snapshotThreshold = 4096 // entries since the latest snapshot that trigger another one
 	trailingLogs      = 1024 // entries that are retained after a snapshot
 	snapshotInterval  = 30 * time.Second
 	snapshotsRetained = 2
 	maxPooledConns    = 3 // to each other member
 )
 
-// startRaft starts this member of the group with what it is eligible for. If it fails it leaves no goroutine and no
-// listener behind.
+// startRaft starts Raft on this member, restricted to what its eligibility allows. If it fails, it leaves no goroutine
+// and no listener behind.
 func (s *Store) startRaft(eligibility quorum.Eligibility) (*raft.Raft, error) {
 	if eligibility.AdoptTerm > 0 {
 		if err := s.log.adoptTerm(eligibility.AdoptTerm); err != nil {
@@ -44,7 +44,7 @@
 	filtered := newEligibilityTransport(s.raftTransport(logger), eligibility, s.lastLogEntry)
 	node, err := s.newRaft(s.raftConfig(logger), snapshots, filtered, eligibility.Bootstrap)
 	if err != nil {
-		_ = filtered.Close() // the error is that of the start
+		_ = filtered.Close() // the start's error is returned
 		return nil, fmt.Errorf("quota store: start replication: %w", err)
 	}
 	s.setReplica(node)
@@ -52,13 +52,13 @@
 	return node, nil
 }
 
-// newRaft creates the node of the consensus library, after it has bootstrapped the group if that is asked for.
+// newRaft creates the node of the Raft library. If bootstrap is set, it bootstraps the group first.
 func (s *Store) newRaft(
 	config *raft.Config, snapshots raft.SnapshotStore, filtered raft.Transport, bootstrap bool,
 ) (*raft.Raft, error) {
 	if bootstrap {
 		err := raft.BootstrapCluster(config, s.log, s.log, snapshots, filtered, s.initialGroup())
-		if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // ErrCantBootstrap: the log already has a group
+		if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // ErrCantBootstrap: the log already contains a group
 			return nil, err
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 func raftLogger() hclog.Logger {
-	if os.Getenv(raftLogVariable) != "" {
+	if os.Getenv(raftLogEnv) != "" {
 		return hclog.New(&hclog.LoggerOptions{Output: os.Stderr, Level: hclog.Info})
 	}
 	return hclog.New(&hclog.LoggerOptions{Output: io.Discard, Level: hclog.Off})
@@ -104,12 +104,12 @@
 		Timeout: s.config.Bounds.CallTimeout,
 		Logger:  logger,
 		// Pipelining is off: if the reader of a pipeline gives up while its writer waits for space, the library
-		// (v1.8.0) blocks for ever and can't shut down. Entries are sent in batches anyway.
+		// (v1.8.0) blocks forever and can't shut down. Entries are sent in batches even without it.
 		MaxRPCsInFlight: 1,
 	})
 }
 
-// initialGroup returns the group that the fleet's file names.
+// initialGroup returns the group that is named in the fleet file.
 func (s *Store) initialGroup() (group raft.Configuration) {
 	for _, host := range s.members() {
 		group.Servers = append(group.Servers, raft.Server{ID: raft.ServerID(host), Address: raft.ServerAddress(host)})
@@ -126,7 +126,7 @@
 	return position.LogTerm, position.Index
 }
 
-// streamLayer connects the consensus library to the transport between agents. Its addresses are names of hosts.
+// streamLayer connects the Raft library to the transport between agents. Its addresses are host names.
 type streamLayer struct {
 	net.Listener
 	transport *transport.Transport
--- a/internal/cluster/quotastore/raftnode_test.go
+++ b/internal/cluster/quotastore/raftnode_test.go
@@ -11,9 +11,9 @@
 	"milletbarrow/internal/cluster/transport"
 )
 
-// TestFailedStartLeavesNothing checks that if the consensus library can't start, the goroutine that filters its calls
+// TestFailedStartLeavesNoGoroutine checks that if the Raft library can't start, the goroutine that filters its calls
 // ends, also while it looks at a call of an ineligible member.
-func TestFailedStartLeavesNothing(t *testing.T) {
+func TestFailedStartLeavesNoGoroutine(t *testing.T) {
 	const filter, listen = "quotastore.(*eligibilityTransport).filter", "raft.(*NetworkTransport).listen"
 	waitForNoGoroutineIn(t, filter)
 	waitForNoGoroutineIn(t, listen)
--- a/internal/cluster/quotastore/statemachine.go
+++ b/internal/cluster/quotastore/statemachine.go
@@ -11,7 +11,7 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// stateMachine adapts a Store to the consensus library.
+// stateMachine adapts a Store to the Raft library's state machine interface.
 type stateMachine struct{ store *Store }
 
 // Apply implements raft.FSM.
@@ -29,7 +29,7 @@
 	return m.store.restore(snapshot)
 }
 
-// encodedState is a snapshot of the state.
+// encodedState is a snapshot of the state as JSON.
 type encodedState []byte
 
 // Persist implements raft.FSMSnapshot.
@@ -43,7 +43,7 @@
 // Release implements raft.FSMSnapshot.
 func (encodedState) Release() {}
 
-// apply applies a committed entry. It rejects a malformed one, on every replica alike.
+// apply applies a committed entry. It rejects a malformed one, identically on every replica.
 func (s *Store) apply(entry []byte) quota.Result {
 	var command quota.Command
 	if err := json.Unmarshal(entry, &command); err != nil {
--- a/internal/cluster/quotastore/statemachine_test.go
+++ b/internal/cluster/quotastore/statemachine_test.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-func TestRestoredStateHasItsTotals(t *testing.T) {
+func TestRestoreRebuildsTotals(t *testing.T) {
 	original, restored := &Store{state: quota.NewState()}, &Store{}
 	original.state.Apply(quota.Command{Config: rateConfig(monotime.Second)})
 	original.state.Apply(renewal(1))
--- a/internal/cluster/transport/call.go
+++ b/internal/cluster/transport/call.go
@@ -8,16 +8,16 @@
 	"milletbarrow/internal/jsonhttp"
 )
 
-// Bounds of the calls to one agent.
+// Limits of the calls to one agent.
 const (
 	maxCallConns     = 8
 	maxIdleCallConns = 4
-	// maxResponseMessages is the length of the longest response, in messages of the longest length.
+	// maxResponseMessages is the length limit of a response, as a multiple of the message size limit.
 	maxResponseMessages = 16
 )
 
-// Call posts body as JSON to another agent, once, and decodes its response into response. Its errors are those of Dial
-// and of jsonhttp.Call; after any but a *jsonhttp.StatusError the call may have been handled.
+// Call posts body as JSON to another agent, without retries, and decodes the response into response. Its errors are
+// those of Dial and of jsonhttp.Call. After any error but a *jsonhttp.StatusError the call may have been handled.
 func (t *Transport) Call(ctx context.Context, to, path string, body, response any) error {
 	maxBytes := maxResponseMessages * int64(t.limits.MessageSize)
 	return jsonhttp.Call(ctx, t.client(to), http.MethodPost, path, body, response, maxBytes)
--- a/internal/cluster/transport/call_test.go
+++ b/internal/cluster/transport/call_test.go
@@ -20,9 +20,9 @@
 	return func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "%q", text) }
 }
 
-// TestCallsShareAConnection checks that bodies and responses arrive, that a status is an error of its own, and that
+// TestSequentialCallsShareOneConnection checks that bodies and responses arrive, that a status is an error of its own, and that
 // calls one after the other share a connection.
-func TestCallsShareAConnection(t *testing.T) {
+func TestSequentialCallsShareOneConnection(t *testing.T) {
 	to, from := runPair(t, testLimits())
 	listener := serveCalls(t, to, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/refused" {
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestBrokenCallIsNotRepeated checks that a connection that breaks before its response is an error, and that the next
+// TestCallOnBrokenConnectionIsNotRetried checks that a connection that breaks before its response is an error, and that the next
 // call opens another.
-func TestBrokenCallIsNotRepeated(t *testing.T) {
+func TestCallOnBrokenConnectionIsNotRetried(t *testing.T) {
 	to, from := runPair(t, testLimits())
 	var calls atomic.Int32
 	listener := serveCalls(t, to, func(w http.ResponseWriter, _ *http.Request) {
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestCallEndsWithItsContext checks that a call to a peer that accepts the connection and is silent ends with its
+// TestCallToSilentPeerEndsWithItsContext checks that a call to a peer that accepts the connection and is silent ends with its
 // context.
-func TestCallEndsWithItsContext(t *testing.T) {
+func TestCallToSilentPeerEndsWithItsContext(t *testing.T) {
 	silent, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0") // the system accepts connections
 	if err != nil {
 		t.Fatal(err)
@@ -89,13 +89,13 @@
 	if err := agent.Call(ctx, "h2", "/x", nil, nil); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("the call ended with %v", err)
 	}
-	if took := time.Since(start); took > patience {
+	if took := time.Since(start); took > waitTimeout {
 		t.Errorf("the call took %v", took)
 	}
 }
 
-// TestResponseLengthIsBounded checks that a response beyond its bound is an error.
-func TestResponseLengthIsBounded(t *testing.T) {
+// TestResponseBeyondLimitIsAnError checks that a response beyond its bound is an error.
+func TestResponseBeyondLimitIsAnError(t *testing.T) {
 	bounds := testLimits()
 	bounds.MessageSize = 10
 	for _, test := range []struct {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestSetAddresses checks that calls go to the new address, and that an open connection stays open.
-func TestSetAddresses(t *testing.T) {
+// TestSetAddressesRedirectsCallsAndKeepsStreams checks that calls go to the new address, and that an open connection stays open.
+func TestSetAddressesRedirectsCallsAndKeepsStreams(t *testing.T) {
 	before, from := runPair(t, testLimits())
 	after, _ := runTransport(t, "h1", nil, testLimits())
 	serveCalls(t, before, respondWith("before"))
--- a/internal/cluster/transport/dial.go
+++ b/internal/cluster/transport/dial.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// UnknownPeerError reports an agent without a known address.
+// UnknownPeerError reports an agent whose address is not known.
 type UnknownPeerError struct {
-	Name string // of the agent
+	Name string // name of the agent
 }
 
 func (e *UnknownPeerError) Error() string { return fmt.Sprintf("peer %q: no known address", e.Name) }
 
-// Dial opens a connection of a kind to another agent; ctx bounds the dialing alone. An error is an *UnknownPeerError
-// for an agent without an address, and otherwise the system's, which is not wrapped: the memberlist library looks for
-// a *net.OpError.
+// Dial opens a connection of a kind to another agent; ctx applies to the dialing only. For an agent without a known
+// address it returns an *UnknownPeerError. Errors of the network are returned unwrapped, because the memberlist library
+// checks for a *net.OpError.
 func (t *Transport) Dial(ctx context.Context, kind Kind, to string) (net.Conn, error) {
 	t.mu.Lock()
 	address := t.addresses[to]
--- a/internal/cluster/transport/dial_test.go
+++ b/internal/cluster/transport/dial_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestUnknownPeer checks that an agent without an address cannot be reached, and that the error names it.
-func TestUnknownPeer(t *testing.T) {
+// TestDialingUnknownPeerFails checks that an agent without an address cannot be reached, and that the error names it.
+func TestDialingUnknownPeerFails(t *testing.T) {
 	const wantText = `peer "h9": no known address`
 	agent, _ := runTransport(t, "h1", nil, testLimits())
 	_, err := agent.Dial(t.Context(), KindRaft, "h9")
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestDialIsBounded checks that dialing a peer that accepts no connection ends with its context, and without one after
+// TestDialEndsWithItsContextOrTimeout checks that dialing a peer that accepts no connection ends with its context, and without one after
 // CallTimeout.
-func TestDialIsBounded(t *testing.T) {
+func TestDialEndsWithItsContextOrTimeout(t *testing.T) {
 	bounds := testLimits()
 	agent, _ := runTransport(t, "h1", map[string]string{"h2": unresponsiveAddress(t)}, bounds)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -10,21 +10,21 @@
 const (
 	// headerBytes is the length of a frame's header: the length of the message, most significant byte first.
 	headerBytes = 3
-	// uint32Bytes is the length of the integer that a header is the end of.
+	// uint32Bytes is the length of a uint32, whose last headerBytes bytes are the header.
 	uint32Bytes = 4
 )
 
-// FrameTooLongError reports a frame that is longer than its reader accepts.
+// FrameTooLongError reports a frame whose message exceeds the reader's limit.
 type FrameTooLongError struct {
-	Length int // bytes of the message
-	Max    int // bytes that the reader accepts
+	Length int // length of the message in bytes
+	Max    int // limit of the reader in bytes
 }
 
 func (e *FrameTooLongError) Error() string {
-	return fmt.Sprintf("message of %d bytes, wanted at most %d", e.Length, e.Max)
+	return fmt.Sprintf("message of %d bytes exceeds the limit of %d bytes", e.Length, e.Max)
 }
 
-// WriteFrame writes one message of less than 16 MiB to a stream, in one write.
+// WriteFrame writes one message, which must be shorter than 16 MiB, with a single call of Write.
 func WriteFrame(w io.Writer, message []byte) error {
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
 	frame = append(frame[uint32Bytes-headerBytes:], message...)
@@ -32,8 +32,8 @@
 	return err
 }
 
-// ReadFrame reads one message of at most maxLength bytes; it returns a *FrameTooLongError for a longer one, and
-// io.EOF if the stream ends before it. After an error the stream cannot be read further.
+// ReadFrame reads one message of at most maxLength bytes. It returns a *FrameTooLongError for a longer one, and io.EOF
+// if the stream ends before the frame. After an error the stream is not usable.
 func ReadFrame(r *bufio.Reader, maxLength int) ([]byte, error) {
 	var header [uint32Bytes]byte
 	if _, err := io.ReadFull(r, header[uint32Bytes-headerBytes:]); err != nil {
--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestFrameTooLong checks that a frame beyond the reader's bound is a *FrameTooLongError.
-func TestFrameTooLong(t *testing.T) {
+// TestFrameBeyondLimitIsAnError checks that a frame beyond the reader's bound is a *FrameTooLongError.
+func TestFrameBeyondLimitIsAnError(t *testing.T) {
 	_, err := ReadFrame(bufio.NewReader(strings.NewReader("\x00\x00\x05hello")), 4)
 	tooLong, ok := errors.AsType[*FrameTooLongError](err)
 	if !ok || tooLong.Length != 5 || tooLong.Max != 4 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestTruncatedFrame checks that a frame that breaks off is io.ErrUnexpectedEOF.
-func TestTruncatedFrame(t *testing.T) {
+// TestTruncatedFrameIsAnError checks that a frame that breaks off is io.ErrUnexpectedEOF.
+func TestTruncatedFrameIsAnError(t *testing.T) {
 	_, err := ReadFrame(bufio.NewReader(strings.NewReader("\x00\x00\x05hell")), 5)
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("error %v, want %v", err, io.ErrUnexpectedEOF)
--- a/internal/cluster/transport/greeting.go
+++ b/internal/cluster/transport/greeting.go
@@ -12,27 +12,27 @@
 const (
 	protocolVersion = "milletbarrow/1"
 	greetingFields  = 4   // version, kind, to and from
-	maxGreeting     = 128 // bytes, without the line feed
+	maxGreeting     = 128 // bytes before the line feed
 )
 
-// errGreeting reports a first line that is not a greeting of this version.
-var errGreeting = errors.New("not a greeting of protocol " + protocolVersion)
+// errGreeting reports a first line that is not a greeting of this protocol version.
+var errGreeting = errors.New("first line is not a greeting of protocol " + protocolVersion)
 
 // greeting is the first line of each connection.
 type greeting struct {
 	kind Kind
-	to   string // name of the agent that the connection is for
+	to   string // name of the agent that is dialed
 	from string // name of the agent that dials
 }
 
-// String returns the line, with its line feed.
+// String returns the greeting as a line, including the line feed.
 func (g greeting) String() string {
 	return fmt.Sprintf("%s %s %s %s\n", protocolVersion, g.kind, g.to, g.from)
 }
 
-// writeGreeting writes the first line of a connection.
+// writeGreeting writes the greeting to a connection before the deadline.
 func writeGreeting(conn net.Conn, deadline time.Time, g greeting) error {
-	_ = conn.SetWriteDeadline(deadline) // fails only for a closed connection, as the write does
+	_ = conn.SetWriteDeadline(deadline) // fails only for a closed connection, on which the write fails too
 	if _, err := io.WriteString(conn, g.String()); err != nil {
 		return err
 	}
@@ -40,9 +40,10 @@
 	return nil
 }
 
-// readGreeting reads the first line byte by byte, as what follows belongs to the connection's next reader.
+// readGreeting reads the greeting from a connection. It reads byte by byte, because the bytes after the greeting belong
+// to the connection's consumer.
 func readGreeting(conn net.Conn, deadline time.Time) (greeting, error) {
-	_ = conn.SetReadDeadline(deadline) // fails only for a closed connection, as the read does
+	_ = conn.SetReadDeadline(deadline) // fails only for a closed connection, on which the read fails too
 	line := make([]byte, 0, maxGreeting)
 	for next := make([]byte, 1); len(line) < maxGreeting; {
 		if _, err := io.ReadFull(conn, next); err != nil {
--- a/internal/cluster/transport/greeting_test.go
+++ b/internal/cluster/transport/greeting_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestInvalidGreetingsAreClosed checks that a connection is closed unless its greeting is for the agent's own name, a
+// TestInvalidGreetingClosesTheConnection checks that a connection is closed unless its greeting is for the agent's own name, a
 // known kind and this version.
-func TestInvalidGreetingsAreClosed(t *testing.T) {
+func TestInvalidGreetingClosesTheConnection(t *testing.T) {
 	agent, _ := runTransport(t, "h1", nil, testLimits())
 	for _, test := range []struct{ name, line string }{
 		{"another version", "milletbarrow/2 raft h1 h2\n"},
@@ -45,16 +45,16 @@
 	if peer := in.RemoteAddr(); peer.String() != "h2" || peer.Network() != "peer" {
 		t.Errorf("the peer is %s %s", peer.Network(), peer)
 	}
-	boundReadsAndWrites(in)
+	setTestDeadline(in)
 	got := make([]byte, len(rest))
 	if _, err := io.ReadFull(in, got); err != nil || string(got) != rest {
 		t.Errorf("after the greeting came %q, %v", got, err)
 	}
 }
 
-// TestGreetingTimeout checks that a connection that does not greet in time is closed, and that the time limit ends with
+// TestConnectionWithoutGreetingIsClosedAfterTimeout checks that a connection that does not greet in time is closed, and that the time limit ends with
 // the greeting.
-func TestGreetingTimeout(t *testing.T) {
+func TestConnectionWithoutGreetingIsClosedAfterTimeout(t *testing.T) {
 	bounds := testLimits()
 	agent, _ := runTransport(t, "h1", nil, bounds)
 	start := time.Now()
--- a/internal/cluster/transport/helpers_test.go
+++ b/internal/cluster/transport/helpers_test.go
@@ -13,8 +13,8 @@
 	"milletbarrow/internal/limits"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 5 * time.Second
+// waitTimeout is how long a test waits for what has to happen.
+const waitTimeout = 5 * time.Second
 
 // testLimits returns the service's own limits with a short time limit for a call.
 func testLimits() limits.Control {
@@ -41,7 +41,7 @@
 				t.Errorf("Run: %v", err)
 			}
 			ended <- nil // end may be called again
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Error("Run goes on after its context has ended")
 		}
 	}
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	boundReadsAndWrites(conn)
+	setTestDeadline(conn)
 	return conn
 }
 
@@ -112,9 +112,9 @@
 	return conn
 }
 
-// boundReadsAndWrites bounds how long a test reads from a connection or writes to it. It replaces the deadlines that
+// setTestDeadline bounds how long a test reads from a connection or writes to it. It replaces the deadlines that
 // the transport may have left on it.
-func boundReadsAndWrites(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(patience)) }
+func setTestDeadline(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(waitTimeout)) }
 
 // send writes text to a connection, or fails the test.
 func send(t *testing.T, conn net.Conn, text string) {
@@ -137,7 +137,7 @@
 	case conn := <-accepted:
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("no connection came in")
 		return nil
 	}
@@ -148,7 +148,7 @@
 	t.Helper()
 	const pollInterval = time.Millisecond
 	for start := time.Now(); len(agent.queues[kind].conns) == 0; time.Sleep(pollInterval) {
-		if time.Since(start) > patience {
+		if time.Since(start) > waitTimeout {
 			t.Fatal("the connection is not pending")
 		}
 	}
--- a/internal/cluster/transport/listener.go
+++ b/internal/cluster/transport/listener.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxPendingConns is the number of connections of one kind that wait to be accepted without a time limit.
+// maxPendingConns is the capacity of the accept queue of one kind. Queued connections wait without a time limit.
 const maxPendingConns = 16
 
-// peerAddr is an agent's name as a network address.
+// peerAddr is the name of an agent, as a net.Addr.
 type peerAddr string
 
 // Network implements net.Addr.
@@ -28,15 +28,16 @@
 // RemoteAddr returns the name of the agent at the other end.
 func (c *peerConn) RemoteAddr() net.Addr { return c.remote }
 
-// listenerQueue is the net.Listener of one kind of connection.
+// listenerQueue is the net.Listener for one kind of connection, with its accept queue.
 //
-// Invariant: once it is closed, no connection stays in the queue (TestClosedListener).
+// Invariant: once it is closed, no connection remains in the queue
+// (TestClosedListenerClosesPendingAndLaterConnections).
 type listenerQueue struct {
 	addr   peerAddr // the agent's own name
 	conns  chan net.Conn
 	closed chan struct{} // closed by Close
 
-	mu       sync.Mutex // guards isClosed, and orders offers before or after Close
+	mu       sync.Mutex // guards isClosed, and orders each offer before or after Close
 	isClosed bool
 }
 
@@ -49,10 +50,10 @@
 	}
 }
 
-// offer queues a connection for Accept and reports whether it did. It does not if the queue stays full for the given
-// time, the listener is closed, or ctx ends.
-func (q *listenerQueue) offer(ctx context.Context, conn net.Conn, within time.Duration) bool {
-	deadline := time.NewTimer(within)
+// offer queues a connection for Accept and reports whether it was queued. It gives up if the queue stays full for the
+// given time, the listener is closed, or ctx ends.
+func (q *listenerQueue) offer(ctx context.Context, conn net.Conn, timeout time.Duration) bool {
+	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 	select {
 	case q.conns <- conn:
@@ -75,7 +76,7 @@
 	}
 }
 
-// Close implements net.Listener. It closes the connections that nobody has accepted.
+// Close implements net.Listener. It closes the connections that were not accepted.
 func (q *listenerQueue) Close() error {
 	q.mu.Lock()
 	if !q.isClosed {
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// closePendingIfClosed closes the connections in the queue of a closed listener, with one that was queued while it was
-// being closed.
+// closePendingIfClosed closes the connections in the queue of a closed listener. Both Close and offer call it, so that
+// a connection that is queued during Close is closed as well.
 func (q *listenerQueue) closePendingIfClosed() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -1,9 +1,9 @@
-// Package transport carries the traffic between agents: one listening address for each agent, and several protocols
-// over it. It does not know what is transported.
+// Package transport carries the traffic between agents. Each agent listens at one address, over which several protocols
+// are multiplexed. The package is independent of their content.
 //
-// The first line of a connection, the greeting, names the protocol version, the kind of the connection, the agent
-// that it is for and the agent that dials. It names the peers; it does not authenticate them, and addresses are
-// expected to be on loopback.
+// The first line of a connection, the greeting, contains the protocol version, the kind of the connection, the name of
+// the agent that is dialed and that of the agent that dials. Names are not authenticated; addresses are expected to be
+// on loopback.
 package transport
 
 import (
@@ -17,21 +17,21 @@
 	"milletbarrow/internal/limits"
 )
 
-// Kind is the protocol that a connection is for.
+// Kind is the protocol of a connection.
 type Kind string
 
-// The kinds.
+// The protocols that share an agent's address.
 const (
-	KindRaft   Kind = "raft"   // RPCs of the consensus library
+	KindRaft   Kind = "raft"   // RPCs of the Raft library
 	KindPacket Kind = "packet" // datagrams of the membership library
 	KindStream Kind = "stream" // streams of the membership library
 	KindCall   Kind = "call"   // HTTP calls between agents
 )
 
-// connectionsPerClient is the number of connections that a listener holds open for each client that the limits allow.
+// connectionsPerClient is the number of open connections that a listener allows for each client within the limits.
 const connectionsPerClient = 4
 
-// Transport is one agent's side of the traffic. It is safe for concurrent use.
+// Transport is one agent's endpoint: its listener and its connections to other agents. It is safe for concurrent use.
 type Transport struct {
 	Self     string // the agent's name
 	limits   limits.Control
@@ -39,12 +39,12 @@
 	queues   map[Kind]*listenerQueue
 
 	mu        sync.Mutex              // guards addresses and clients
-	addresses map[string]string       // by name of the agent: where this agent reaches it
+	addresses map[string]string       // dial addresses by name of the agent
 	clients   map[string]*http.Client // by name of the agent
 }
 
-// Listen opens this agent's address. addresses are those of the other agents, by name. Connections wait until Run
-// accepts them. The caller has to end it by Run or Close.
+// Listen listens at this agent's address. addresses maps the names of the other agents to their dial addresses.
+// Connections are accepted once Run is called. The caller has to call Run or Close to release the address.
 func Listen(self, address string, addresses map[string]string, bounds limits.Control) (*Transport, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(context.Background(), "tcp", address) // binding an address does not block
@@ -76,12 +76,12 @@
 // Address returns the address at which this agent listens.
 func (t *Transport) Address() string { return t.listener.Addr().String() }
 
-// Listener returns the listener for connections of one kind. It is closed when Run ends. If the caller closes it
-// before, further connections of its kind are closed.
+// Listener returns the listener for connections of one kind. It is closed when Run returns. If the caller closes it
+// earlier, pending and later connections of its kind are closed.
 func (t *Transport) Listener(kind Kind) net.Listener { return t.queues[kind] }
 
-// Run accepts connections until ctx ends. When it returns, the address is free and connections that no one has accepted
-// from a Listener are closed; those that were accepted belong to the caller of Accept.
+// Run accepts connections until ctx ends. When it returns, the address is free and the connections that were not
+// accepted from a Listener are closed. Accepted connections belong to the caller of Accept.
 func (t *Transport) Run(ctx context.Context) error {
 	var greetings sync.WaitGroup
 	defer t.Close()
@@ -93,7 +93,7 @@
 	})
 	defer func() {
 		if !stop() {
-			<-closed // Accept fails a moment before the address is free
+			<-closed // Accept may return before the address is free
 		}
 	}()
 	for {
@@ -102,14 +102,15 @@
 			return nil
 		}
 		if err != nil { // most likely out of file descriptors
-			wait(ctx, t.limits.RetryBackoff)
+			sleep(ctx, t.limits.RetryBackoff)
 			continue
 		}
 		greetings.Go(func() { t.dispatch(ctx, conn) })
 	}
 }
 
-// Close releases what Listen opened. Run does so as it ends; Close is for a Transport that is not run.
+// Close releases the resources that Listen acquired. Run does so before it returns; Close is for a Transport that is
+// not run.
 func (t *Transport) Close() {
 	_ = t.listener.Close()
 	for _, queue := range t.queues {
@@ -122,8 +123,8 @@
 	}
 }
 
-// dispatch reads a connection's greeting and passes the connection to the listener of its kind. It closes the
-// connection if the greeting is not for this agent, or nobody accepts the connection in time.
+// dispatch reads a connection's greeting and queues the connection for the listener of its kind. It closes the
+// connection if the greeting is invalid or not for this agent, or if the queue stays full.
 func (t *Transport) dispatch(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	accepted := false
@@ -143,8 +144,8 @@
 	accepted = queue.offer(ctx, &peerConn{Conn: conn, remote: peerAddr(greeting.from)}, t.limits.CallTimeout)
 }
 
-// wait sleeps for a duration, or until ctx ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleep sleeps for a duration, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -15,7 +15,7 @@
 	conns := make([]net.Conn, 0, maxPendingConns+1)
 	for range maxPendingConns + 1 {
 		conn := dialKind(t, from, KindPacket)
-		boundReadsAndWrites(conn)
+		setTestDeadline(conn)
 		conns = append(conns, conn)
 	}
 	dialKind(t, from, KindStream)
@@ -30,7 +30,7 @@
 	}
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("no connection was closed, though one more waits than may")
 	}
 	for range maxPendingConns {
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestRunEnds checks that when Run has ended, its address is free, connections that nobody accepted are closed, and
+// TestRunFreesAddressAndClosesPendingConnections checks that when Run has ended, its address is free, connections that nobody accepted are closed, and
 // those that were accepted stay open. It ends also while as many connections are open as may be.
-func TestRunEnds(t *testing.T) {
+func TestRunFreesAddressAndClosesPendingConnections(t *testing.T) {
 	bounds := testLimits()
 	bounds.Connections = 1
 	bounds.CallTimeout = time.Minute // for greetings
@@ -76,12 +76,12 @@
 	_ = again.Close()
 }
 
-// TestClosedListener checks that after its consumer closes a listener, connections of its kind are closed: those that
+// TestClosedListenerClosesPendingAndLaterConnections checks that after its consumer closes a listener, connections of its kind are closed: those that
 // wait and those that come later.
-func TestClosedListener(t *testing.T) {
+func TestClosedListenerClosesPendingAndLaterConnections(t *testing.T) {
 	to, from := runPair(t, testLimits())
 	pending := dialKind(t, from, KindRaft)
-	boundReadsAndWrites(pending)
+	setTestDeadline(pending)
 	waitForPending(t, to, KindRaft)
 	if err := to.Listener(KindRaft).Close(); err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 	wantClosed(t, pending)
 	for range 20 { // a select chooses at random between the queue's capacity and its end
 		conn := dialKind(t, from, KindRaft)
-		boundReadsAndWrites(conn)
+		setTestDeadline(conn)
 		wantClosed(t, conn)
 	}
 }
