--- a/internal/cluster/membership/mesh_transport_test.go
+++ b/internal/cluster/membership/mesh_transport_test.go
@@ -17,8 +17,8 @@
 // largePacket is the length of datagrams of which a few dozen fill the system's buffers.
 const largePacket = 60_000
 
-// TestSendingToUnknownHostOrAfterShutdownFails checks that datagrams and streams to no agent are errors, as are datagrams after the
-// end.
+// TestSendingToUnknownHostOrAfterShutdownFails checks that datagrams and streams to no agent are errors, as are
+// datagrams after the end.
 func TestSendingToUnknownHostOrAfterShutdownFails(t *testing.T) {
 	mesh := newMeshTransportOfH1(t, listenAsPeer(t).Addr().String(), limits.ForControl())
 	if _, err := mesh.WriteTo(nil, "127.0.0.1:9"); !errors.As(err, new(*UnknownMemberError)) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestWriteToCopiesThePacket checks that what a caller writes into its buffer after WriteTo does not change the datagram, and
-// that the connection is closed with the transport.
+// TestWriteToCopiesThePacket checks that what a caller writes into its buffer after WriteTo does not change the
+// datagram, and that the connection is closed with the transport.
 func TestWriteToCopiesThePacket(t *testing.T) {
 	listener := listenAsPeer(t)
 	mesh := newMeshTransportOfH1(t, listener.Addr().String(), limits.ForControl())
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -41,8 +41,8 @@
 	return len(leaders) == 1
 }
 
-// TestThreeNodesFormAClusterAndOneRejoins checks that nodes on loopback find each other, that any of them gives access to one store, and that
-// one that has ended can be started again at its address.
+// TestThreeNodesFormAClusterAndOneRejoins checks that nodes on loopback find each other, that any of them gives access
+// to one store, and that one that has ended can be started again at its address.
 func TestThreeNodesFormAClusterAndOneRejoins(t *testing.T) {
 	spec := newSpec(t, 3)
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestUpdateAddressesMakesStoreReachable checks that a node outside the store's group reaches it at the addresses of the latest
-// configuration.
+// TestUpdateAddressesMakesStoreReachable checks that a node outside the store's group reaches it at the addresses of
+// the latest configuration.
 func TestUpdateAddressesMakesStoreReachable(t *testing.T) {
 	spec := newSpec(t, 2)
 	spec.QuotaHosts = spec.QuotaHosts[:1]
--- a/internal/cluster/quotastore/assessment.go
+++ b/internal/cluster/quotastore/assessment.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// pendingElectionTimeout bounds the remaining duration of an election in which this member voted before its restart.
+	// pendingElectionTimeout bounds the remaining duration of an election in which this member voted before its
+	// restart.
 	pendingElectionTimeout = 2*electionTimeout + heartbeatTimeout
 
 	// assessInterval is the time between two rounds of requests for the other members' log positions.
--- a/internal/cluster/quotastore/assessment_test.go
+++ b/internal/cluster/quotastore/assessment_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// TestOpenElectionIsAwaited checks that a member with a log asks the others only after an election that it may have
-// voted in is over. A new member asks at once.
-func TestOpenElectionIsAwaited(t *testing.T) {
+// TestAssessmentWaitsForPendingElection checks that a member with a log requests the positions of the others only after
+// an election in which it may have voted has ended. A new member requests them immediately.
+func TestAssessmentWaitsForPendingElection(t *testing.T) {
 	for _, hasLog := range []bool{false, true} {
 		t.Run(fmt.Sprint("has a log: ", hasLog), func(t *testing.T) {
 			members := []string{"h1", "h2", "h3"}
-			asked := make(chan time.Time, 100)
+			requested := make(chan time.Time, 100)
 			addresses := map[string]string{}
 			for _, host := range members[1:] {
 				other := openTestStore(t, host, nil, members...)
 				mux := http.NewServeMux()
 				other.RegisterHandlers(mux)
 				serveCalls(t, other, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					asked <- time.Now()
+					requested <- time.Now()
 					mux.ServeHTTP(w, r)
 				}))
 				addresses[host] = other.config.Transport.Address()
@@ -35,9 +35,9 @@
 			if _, err := s.assessEligibility(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			waited := (<-asked).Sub(began)
+			waited := (<-requested).Sub(began)
 			if awaited := waited >= 2*electionTimeout+heartbeatTimeout; awaited != hasLog {
-				t.Errorf("the others were asked after %v; an election takes up to %v",
+				t.Errorf("first request after %v; an election takes up to %v",
 					waited, 2*electionTimeout+heartbeatTimeout)
 			}
 		})
--- a/internal/cluster/quotastore/bench_test.go
+++ b/internal/cluster/quotastore/bench_test.go
@@ -13,9 +13,9 @@
 	"milletbarrow/monotime"
 )
 
-const benchRequests = 10 // of each renewal
+const benchRequests = 10 // lease requests in each renewal
 
-// hostRenewal returns a renewal of one host with benchRequests backends.
+// hostRenewal returns a renewal for benchRequests backends of one host.
 func hostRenewal(host int, number uint64) quota.Command {
 	command := &quota.RenewCommand{Host: fmt.Sprint("h", host)}
 	for i := range benchRequests {
@@ -30,8 +30,8 @@
 	return quota.Command{Renew: command}
 }
 
-// BenchmarkRenew measures renewals per second through all members of a group. Each is for one host with ten backends,
-// and is durable on a majority's disks before it is answered.
+// BenchmarkRenew measures renewals per second through all members of a group. Each renewal is for one host with ten
+// backends, and is durable on the disks of a majority before the call returns.
 func BenchmarkRenew(b *testing.B) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	for _, members := range []int{1, 3, 5} {
--- a/internal/cluster/quotastore/boltstore_test.go
+++ b/internal/cluster/quotastore/boltstore_test.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// TestDeletedRangeIncludesBothEnds also checks that reading a deleted entry returns raft.ErrLogNotFound.
-func TestDeletedRangeIncludesBothEnds(t *testing.T) {
+// TestDeleteRangeDeletesBothEnds also checks that reading a deleted entry returns raft.ErrLogNotFound.
+func TestDeleteRangeDeletesBothEnds(t *testing.T) {
 	s := newBoltStore(t)
 	for index := uint64(1); index <= 5; index++ {
 		if err := s.StoreLog(&raft.Log{Index: index, Term: 1, Data: []byte{byte(index)}}); err != nil {
@@ -27,15 +27,15 @@
 	}
 	var entry raft.Log
 	if err := s.GetLog(3, &entry); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Errorf("a deleted entry: %v, want ErrLogNotFound", err)
+		t.Errorf("read of a deleted entry: error %v, want ErrLogNotFound", err)
 	}
 	if err := s.GetLog(4, &entry); err != nil || entry.Data[0] != 4 {
 		t.Errorf("entry 4: %+v, %v", entry, err)
 	}
 }
 
-// TestSetRetriesUntilClosed checks that Set returns no error before the store is closed: the Raft library would
-// panic.
+// TestSetRetriesUntilClosed checks that Set does not return an error before the store is closed, because the Raft
+// library would panic.
 func TestSetRetriesUntilClosed(t *testing.T) {
 	s := newBoltStore(t)
 	if err := s.db.Close(); err != nil { // writes fail from here on
@@ -45,17 +45,17 @@
 	go func() { done <- s.SetUint64(currentTermKey, 7) }()
 	select {
 	case err := <-done:
-		t.Fatalf("gave up: %v", err)
+		t.Fatalf("Set returned before the store was closed: %v", err)
 	case <-time.After(3 * setRetryInterval):
 	}
 	s.closed.Store(true)
 	select {
 	case err := <-done:
 		if err == nil {
-			t.Fatal("a closed store has written a value")
+			t.Fatal("Set on a closed store returned no error")
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("goes on after the store was closed")
+		t.Fatal("Set did not return after the store was closed")
 	}
 }
 
@@ -69,12 +69,12 @@
 	if err != nil || string(value) != "first" {
 		t.Fatalf("%q, %v, want first", value, err)
 	}
-	for range 20 { // pages are reused after some transactions
+	for range 20 { // bbolt reuses pages after some transactions
 		if err := s.Set(key, []byte("other")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if string(value) != "first" {
-		t.Errorf("the value that was read is %q now", value)
+		t.Errorf("the value read earlier has changed to %q", value)
 	}
 }
--- a/internal/cluster/quotastore/compat_test.go
+++ b/internal/cluster/quotastore/compat_test.go
@@ -14,13 +14,13 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats checks that the answer of an agent of an earlier release that does not lead is read, and written
-// in the same form.
+// TestEarlierFormats checks that a notLeaderResponse of an earlier release can be decoded, and is encoded in the same
+// form.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[notLeaderResponse](t, "notHere.json")
 }
 
-// copyEarlierStore copies the store of an earlier release, a snapshot with entries after it, into a directory.
+// copyEarlierStore copies the store of an earlier release, a snapshot followed by log entries, into a directory.
 func copyEarlierStore(t *testing.T, dir string) {
 	t.Helper()
 	if err := os.CopyFS(dir, os.DirFS(compattest.File("."))); err != nil {
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestEarlierSnapshotAndLog checks that the snapshot of an earlier release with the log entries after it gives the
-// state that the release itself had then, byte for byte.
+// TestEarlierSnapshotAndLog checks that the snapshot and the subsequent log entries of an earlier release result in the
+// state that the release itself reached, byte for byte.
 func TestEarlierSnapshotAndLog(t *testing.T) {
 	dir := t.TempDir()
 	copyEarlierStore(t, dir)
@@ -56,11 +56,11 @@
 		t.Fatal(err)
 	}
 	if want := compattest.Read(t, "truth.json"); !bytes.Equal(state, want) {
-		t.Errorf("the state was\n%s\nand is\n%s", want, state)
+		t.Errorf("state\n%s\nwant\n%s", state, want)
 	}
 }
 
-// applyEntriesAfter applies the commands of a log after an index.
+// applyEntriesAfter applies the commands in a log that follow an index.
 func applyEntriesAfter(t *testing.T, store *Store, dir string, snapshotIndex uint64) {
 	t.Helper()
 	log, err := openBoltStore(filepath.Join(dir, databaseFile))
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestEarlierStoreServes checks that a store that starts on the files of an earlier release leads, with the permits
-// of then.
+// TestEarlierStoreServes checks that a store that starts on the files of an earlier release becomes leader and still
+// holds the release's permits.
 func TestEarlierStoreServes(t *testing.T) {
 	g := newGroup(t, 1)
 	copyEarlierStore(t, filepath.Join(g.dir, "h1"))
--- a/internal/cluster/quotastore/eligibility_test.go
+++ b/internal/cluster/quotastore/eligibility_test.go
@@ -11,14 +11,14 @@
 	"milletbarrow/internal/cluster/quorum"
 )
 
-// requiresEntry9 is the eligibility of a member that needs entry 9 of term 3.
+// requiresEntry9 is the eligibility of a member whose log must reach entry 9 of term 3.
 var requiresEntry9 = quorum.Eligibility{
 	Behind:      true,
 	RequiredLog: quorum.LogPosition{Term: 3, LogTerm: 3, Index: 9},
 }
 
-// TestIneligibleMemberTakesNoPartInElections checks that a member whose log may lack entries neither stands for
-// election nor votes for a candidate whose log lacks them too.
+// TestIneligibleMemberTakesNoPartInElections checks that a member whose log may lack entries neither requests votes nor
+// votes for a candidate whose log lacks them too.
 func TestIneligibleMemberTakesNoPartInElections(t *testing.T) {
 	ownIndex := uint64(5)
 	inner := newTCPTransport(t)
@@ -27,21 +27,21 @@
 	var vote raft.RequestVoteResponse
 	err := filtered.RequestVote("x", inner.LocalAddr(), &raft.RequestVoteRequest{}, &vote)
 	if !errors.Is(err, errIneligible) {
-		t.Errorf("requested a vote: %v", err)
+		t.Errorf("RequestVote of an ineligible member: error %v, want errIneligible", err)
 	}
 	var preVote raft.RequestPreVoteResponse
 	err = filtered.RequestPreVote("x", inner.LocalAddr(), &raft.RequestPreVoteRequest{}, &preVote)
 	if !errors.Is(err, errIneligible) {
-		t.Errorf("requested a pre-vote: %v", err)
+		t.Errorf("RequestPreVote of an ineligible member: error %v, want errIneligible", err)
 	}
 	request := &raft.RequestVoteRequest{LastLogTerm: 3, LastLogIndex: 8}
 	err = newTCPTransport(t).RequestVote("x", inner.LocalAddr(), request, &vote)
 	if err == nil || !strings.Contains(err.Error(), errIneligible.Error()) {
-		t.Errorf("handled the request of a candidate that lacks an entry: %v", err)
+		t.Errorf("vote request of a candidate that lacks an entry: error %v, want errIneligible", err)
 	}
 	ownIndex = 9
 	if !filtered.caughtUp() {
-		t.Error("a log that has the required entry is not satisfied")
+		t.Error("a member whose log has the required entry does not count as caught up")
 	}
 }
 
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestCloseWaitsForHeartbeats checks that no heartbeat is handled when Close returns or after it. A handler may write
-// a term into the log, which is closed next.
+// TestCloseWaitsForHeartbeats checks that no heartbeat is handled when Close returns or after it. The log is closed
+// next, and a heartbeat handler that can't store a term in it makes the library panic.
 func TestCloseWaitsForHeartbeats(t *testing.T) {
 	inner, caller := newTCPTransport(t), newTCPTransport(t)
 	filtered := newEligibilityTransport(inner, quorum.Eligibility{}, func() (term, index uint64) { return 0, 0 })
@@ -87,25 +87,25 @@
 		request := &raft.AppendEntriesRequest{RPCHeader: header, Term: 7}
 		return caller.AppendEntries("x", inner.LocalAddr(), request, &response)
 	}
-	answered, closed := make(chan error, 1), make(chan error, 1)
-	go func() { answered <- heartbeat() }()
+	responded, closed := make(chan error, 1), make(chan error, 1)
+	go func() { responded <- heartbeat() }()
 	<-entered
 	go func() { closed <- filtered.Close() }()
 	<-filtered.done
 	select {
 	case err := <-closed:
 		close(release)
-		t.Fatalf("closed while a heartbeat is handled: %v", err)
+		t.Fatalf("Close returned while a heartbeat was being handled: %v", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	close(release)
-	if err := <-answered; err != nil {
+	if err := <-responded; err != nil {
 		t.Error(err)
 	}
 	if err := <-closed; err != nil {
 		t.Error(err)
 	}
 	if err := heartbeat(); err == nil || handled != 1 {
-		t.Errorf("after Close: %v, %d heartbeats were handled, want an error and 1", err, handled)
+		t.Errorf("heartbeat after Close: error %v, %d heartbeats handled, want an error and 1", err, handled)
 	}
 }
--- a/internal/cluster/quotastore/forward_test.go
+++ b/internal/cluster/quotastore/forward_test.go
@@ -23,7 +23,7 @@
 	c.hosts = append(c.hosts, host)
 }
 
-// drain returns the calls since the last take.
+// drain returns the calls since the last drain.
 func (c *callLog) drain() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,13 +32,14 @@
 	return hosts
 }
 
-// newForwardingStore returns the store of h1 in the group of h1 to h4, which does not run. leaderFromError has the leader
-// that each other agent names; an agent that names itself answers with a result. The log records the calls to all four.
-func newForwardingStore(t *testing.T, leaderNamedBy map[string]string) (*Store, *callLog) {
+// newForwardingStore returns the store of h1 in the group of h1 to h4, which is not run. reportedLeaders maps each
+// other agent to the leader that it reports; an agent that reports itself responds with a result. The log records the
+// calls to all four agents.
+func newForwardingStore(t *testing.T, reportedLeaders map[string]string) (*Store, *callLog) {
 	t.Helper()
 	calls := &callLog{}
 	addresses := map[string]string{}
-	answer := func(agent *Store, leader string) {
+	serve := func(agent *Store, leader string) {
 		host := agent.config.Host
 		addresses[host] = agent.config.Transport.Address()
 		serveCalls(t, agent, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -50,22 +51,22 @@
 			writeResponse(w, quota.Result{Serial: 7}, nil)
 		}))
 	}
-	for host, leader := range leaderNamedBy {
-		answer(openTestStore(t, host, nil), leader)
+	for host, leader := range reportedLeaders {
+		serve(openTestStore(t, host, nil), leader)
 	}
 	s := openTestStore(t, "h1", addresses, "h1", "h2", "h3", "h4")
-	answer(s, "")
+	serve(s, "")
 	return s, calls
 }
 
-// TestNamedLeaderIsCalledNext checks that an agent that does not lead names the leader, which is called first the
-// next time.
-func TestNamedLeaderIsCalledNext(t *testing.T) {
+// TestReportedLeaderIsCalledNext checks that the leader that another agent reports is called next, and that the next
+// command goes to it directly.
+func TestReportedLeaderIsCalledNext(t *testing.T) {
 	s, calls := newForwardingStore(t, map[string]string{"h2": "h4", "h3": "", "h4": "h4"})
 	for _, want := range [][]string{{"h2", "h4"}, {"h4"}} {
 		result, err := s.Do(t.Context(), quota.Command{})
 		if err != nil || result.Serial != 7 {
-			t.Fatalf("%+v, %v, want serial 7", result, err)
+			t.Fatalf("result %+v, error %v, want serial 7", result, err)
 		}
 		if got := calls.drain(); !slices.Equal(got, want) {
 			t.Errorf("called %v, want %v", got, want)
@@ -73,11 +74,12 @@
 	}
 }
 
-// TestEachAgentIsCalledOnce checks that a command ends with ErrNoLeader if agents name each other as the leader.
+// TestEachAgentIsCalledOnce checks that a command fails with ErrNoLeader, after one call to each agent, if the agents
+// report each other as the leader. With a context that has ended, no agent is called.
 func TestEachAgentIsCalledOnce(t *testing.T) {
 	s, calls := newForwardingStore(t, map[string]string{"h2": "h3", "h3": "h2", "h4": "h1"})
 	if result, err := s.Do(t.Context(), quota.Command{}); !errors.Is(err, ErrNoLeader) {
-		t.Errorf("%+v, %v, want ErrNoLeader", result, err)
+		t.Errorf("result %+v, error %v, want ErrNoLeader", result, err)
 	}
 	if got, want := calls.drain(), []string{"h2", "h3", "h4"}; !slices.Equal(got, want) {
 		t.Errorf("called %v, want %v", got, want)
@@ -85,9 +87,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := s.Status(ctx); !errors.Is(err, ErrNoLeader) {
-		t.Errorf("after the context's end: %v, want ErrNoLeader", err)
+		t.Errorf("with a canceled context: error %v, want ErrNoLeader", err)
 	}
 	if got := calls.drain(); len(got) > 0 {
-		t.Errorf("called %v after the context's end", got)
+		t.Errorf("called %v with a canceled context", got)
 	}
 }
--- a/internal/cluster/quotastore/group_test.go
+++ b/internal/cluster/quotastore/group_test.go
@@ -16,7 +16,7 @@
 	"milletbarrow/monotime"
 )
 
-// mustAcquire acquires a permit through a store, which may have to be retried until the group has a leader.
+// mustAcquire acquires a permit through a store. It retries until the group has a leader.
 func mustAcquire(t *testing.T, store *Store, name quota.InstanceName) {
 	t.Helper()
 	command := quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: name, Host: "h", AcquireID: "1"}}
@@ -31,9 +31,10 @@
 	})
 }
 
-// TestOlderCopyUndoesNothing checks that a member that starts on an older copy of its directory does not help to undo
-// what the copy lacks.
-func TestOlderCopyUndoesNothing(t *testing.T) {
+// TestMemberOnOlderCopyDoesNotDiscardPermit checks that a member that starts on an older copy of its directory does not
+// elect a leader without the committed entries that the copy lacks: together with a member that never had them it is a
+// majority.
+func TestMemberOnOlderCopyDoesNotDiscardPermit(t *testing.T) {
 	g := newGroup(t, 3)
 	g.startAll()
 	g.stop("h3")
@@ -41,7 +42,7 @@
 	if err := os.CopyFS(copied, os.DirFS(filepath.Join(g.dir, "h3"))); err != nil {
 		t.Fatal(err)
 	}
-	// h3 comes back and h2 is stopped: h1 and h3 commit the permit.
+	// h3 is restarted and h2 stopped, so that h1 and h3 commit the permit.
 	g.start("h3")
 	waitFor(t, 15*time.Second, "h3 has caught up", func() bool {
 		stage := g.node("h3").Stage()
@@ -58,7 +59,7 @@
 		t.Fatal(err)
 	}
 	g.stop("h1")
-	// h2 never had the permit, h3 has lost it: they are a majority, and must not go on without h1.
+	// h2 never had the permit and h3 has lost it. They are a majority, but must not elect a leader without h1.
 	g.start("h2")
 	g.start("h3")
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -69,7 +70,7 @@
 			}
 			status, err := g.node(name).statusAsLeader(current)
 			if err == nil && len(status.Limits) > 0 && status.Limits[0].InForce == 0 {
-				t.Fatalf("%s leads a store that has lost a permit", name)
+				t.Fatalf("%s leads although its state lacks a committed permit", name)
 			}
 		}
 	}
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestMembersChangeWhileOneIsIsolated checks that a group grows from three members to five, and changes to three
-// others.
+// TestMembersChangeWhileOneIsIsolated checks that a group grows from three members to five while a follower is isolated
+// for some time, and then changes to three other members.
 func TestMembersChangeWhileOneIsIsolated(t *testing.T) {
 	const isolation = 3 * time.Second
 	g := newGroup(t, 5)
@@ -95,7 +96,7 @@
 		for _, name := range g.names {
 			node := g.node(name)
 			node.SetConfig(g.config, members)
-			if slices.Contains(members, name) && node.log == nil { // the agent of a new member has to be restarted
+			if slices.Contains(members, name) && node.log == nil { // an agent becomes a member only by a restart
 				g.stop(name)
 				g.start(name)
 			}
@@ -118,8 +119,9 @@
 	}
 }
 
-// TestOlderFileKeepsMembers checks that agents with an older fleet file do not undo what a newer one configured.
-func TestOlderFileKeepsMembers(t *testing.T) {
+// TestOlderFleetFileDoesNotChangeMembers checks that agents with an older fleet file do not revert the members of a
+// newer one.
+func TestOlderFleetFileDoesNotChangeMembers(t *testing.T) {
 	g := newGroup(t, 3)
 	g.config = permitConfig(5)
 	g.startAll()
@@ -135,13 +137,13 @@
 	}
 }
 
-// TestRestartedSoleReplicaFreezesGrowth checks that a sole replica grants nothing after a restart, as its directory may
-// be an older copy.
+// TestRestartedSoleReplicaFreezesGrowth checks that a sole replica grants nothing after a restart, because its
+// directory may be an older copy.
 func TestRestartedSoleReplicaFreezesGrowth(t *testing.T) {
 	g := newGroup(t, 1)
 	g.config = rateConfig(60 * monotime.Second)
 	if status := g.startAll(); status.GrowthFrozen {
-		t.Error("growth is frozen at the first start")
+		t.Error("growth is frozen after the first start")
 	}
 	g.stop("h1")
 	g.start("h1")
@@ -155,12 +157,12 @@
 		t.Fatalf("%+v, %v, want one grant", result, err)
 	}
 	if grant := result.Answers[0].Grants[0]; grant.Floor != 0 || grant.Extra != 0 {
-		t.Errorf("granted while growth is frozen: %+v", grant)
+		t.Errorf("grant %+v while growth is frozen, want none", grant)
 	}
 }
 
-// TestForwardedCommandCannotSetConfiguration checks that a leader ignores the fields of a forwarded command that only it may
-// set.
+// TestForwardedCommandCannotSetConfiguration checks that a leader ignores the fields of a forwarded command that only
+// the leader itself may set.
 func TestForwardedCommandCannotSetConfiguration(t *testing.T) {
 	g := newGroup(t, 1)
 	g.startAll()
@@ -171,11 +173,11 @@
 	store := g.node("h1")
 	mux := http.NewServeMux()
 	store.RegisterHandlers(mux)
-	answer := httptest.NewRecorder()
+	recorder := httptest.NewRecorder()
 	request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, pathDo, bytes.NewReader(body))
-	mux.ServeHTTP(answer, request)
-	if answer.Code != http.StatusOK {
-		t.Fatalf("status %d: %s", answer.Code, answer.Body)
+	mux.ServeHTTP(recorder, request)
+	if recorder.Code != http.StatusOK {
+		t.Fatalf("status %d: %s", recorder.Code, recorder.Body)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
--- a/internal/cluster/quotastore/helpers_test.go
+++ b/internal/cluster/quotastore/helpers_test.go
@@ -29,11 +29,11 @@
 )
 
 const (
-	waitTimeout  = 10 * time.Second // how long a test waits for a condition that needs no election
+	waitTimeout  = 10 * time.Second // for conditions that require no election
 	pollInterval = 10 * time.Millisecond
 )
 
-// waitFor fails the test unless a condition comes true in time.
+// waitFor polls a condition and fails the test if it does not hold in time.
 func waitFor(tb testing.TB, within time.Duration, condition string, holds func() bool) {
 	tb.Helper()
 	for began := time.Now(); !holds(); time.Sleep(pollInterval) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// testGroup is a group of stores in this process, with links between them that a test can cut.
+// testGroup is a group of stores in this process. A test can interrupt the links between them.
 type testGroup struct {
 	*proxy.Mesh
 	tb        testing.TB
@@ -51,14 +51,15 @@
 	names     []string          // of all hosts
 	addresses map[string]string // by host
 	config    *quota.Config
-	members   []string // of the group as the fleet file names them
+	members   []string // of the group, as named in the fleet file
 
 	mu    sync.Mutex // guards the fields below
 	nodes map[string]*Store
 	stops map[string]func()
 }
 
-// newGroup returns a group of the hosts h1, h2, ... that are not started yet. It has a limit of two permits.
+// newGroup returns a group of the hosts h1, h2, ..., none of which is started. Its configuration has one limit of two
+// permits.
 func newGroup(tb testing.TB, n int) *testGroup {
 	tb.Helper()
 	g := &testGroup{
@@ -72,7 +73,7 @@
 	addresses := make([]string, 0, n)
 	for i := range n {
 		name := fmt.Sprint("h", i+1)
-		// No outgoing connection takes an address of this network, so that it stays free.
+		// No outgoing connection uses a local address of this network, so that the port stays free.
 		l, err := new(net.ListenConfig).Listen(tb.Context(), "tcp", fmt.Sprintf("127.0.27.%d:0", i+1))
 		if err != nil {
 			tb.Fatal(err)
@@ -92,7 +93,8 @@
 	return g
 }
 
-// listen opens a host's address, which may take a moment to be free again after the host was stopped.
+// listen listens at a host's address. It retries, because the address may not be free immediately after the host was
+// stopped.
 func (g *testGroup) listen(name string) (*transport.Transport, error) {
 	for attempt := 1; ; attempt++ {
 		t, err := transport.Listen(name, g.addresses[name], g.Addresses(name), limits.ForControl())
@@ -103,7 +105,7 @@
 	}
 }
 
-// start starts a host. It may be called by other goroutines than that of the test.
+// start starts a host. It may be called from goroutines other than the test's.
 func (g *testGroup) start(name string) {
 	t, err := g.listen(name)
 	if err != nil {
@@ -141,7 +143,7 @@
 	}
 }
 
-// startAll starts all hosts, until the end of the test, and waits for a leader.
+// startAll starts all hosts, which are stopped at the end of the test, and waits for a leader.
 func (g *testGroup) startAll() quota.Status {
 	g.tb.Helper()
 	for _, name := range g.names {
@@ -175,7 +177,7 @@
 	return g.nodes[name]
 }
 
-// waitForStatus waits until a status that some host reports meets a condition.
+// waitForStatus waits until the status from any host meets a condition, and returns that status.
 func (g *testGroup) waitForStatus(
 	within time.Duration, condition string, meets func(quota.Status) bool,
 ) (status quota.Status) {
@@ -198,7 +200,7 @@
 
 func hasLeader(status quota.Status) bool { return status.Leader != "" && status.Version > 0 }
 
-// serial returns the serial of the latest command that a host has applied.
+// serial returns the serial number of the latest command that the replica has applied.
 func (s *Store) serial() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,7 +240,7 @@
 	}}}}
 }
 
-// openTestStore opens the store of a host on loopback. Its transport runs, the store does not.
+// openTestStore opens the store of a host on loopback. Its transport is run, but not the store.
 func openTestStore(t *testing.T, host string, addresses map[string]string, members ...string) *Store {
 	t.Helper()
 	tr, err := transport.Listen(host, "127.0.0.1:0", addresses, limits.ForControl())
@@ -280,14 +282,14 @@
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// fakeReplica is a replica whose elections a test decides. It applies commands to the store at once.
+// fakeReplica is a replica whose Raft state and term are set by the test. It applies commands to the store immediately.
 type fakeReplica struct {
 	store *Store
 
 	servers   []raft.Server
-	onBarrier func() error // called by Barrier; nil: it succeeds
-	verifyErr error        // of VerifyLeader
-	changes   []string     // calls that change the members
+	onBarrier func() error // called by Barrier; nil: Barrier succeeds
+	verifyErr error        // returned by VerifyLeader
+	changes   []string     // calls of AddVoter and RemoveServer
 
 	mu      sync.Mutex // guards the fields below
 	state   raft.RaftState
@@ -295,7 +297,7 @@
 	applied []quota.Command
 }
 
-// future is a result that is there.
+// future is a completed future.
 type future struct {
 	err           error
 	response      any
@@ -357,7 +359,7 @@
 	return future{}
 }
 
-// setState makes the replica lead, or follow, in a term.
+// setState sets the Raft state and the term.
 func (r *fakeReplica) setState(state raft.RaftState, term uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -370,8 +372,8 @@
 	return slices.ContainsFunc(r.applied, func(command quota.Command) bool { return len(command.Expire) > 0 })
 }
 
-// newFakeLeader returns the store of h1 with a replica of three members, which leads term 1 and has not begun to, and a
-// clock that the test sets.
+// newFakeLeader returns the leader loop and the replica of h1, in a group of three members, and the clock of its store.
+// The replica was elected in term 1, but the loop has not begun the term yet.
 func newFakeLeader() (loop *leaderLoop, fake *fakeReplica, now *monotime.Micros) {
 	now = new(monotime.Micros)
 	members := []string{"h1", "h2", "h3"}
@@ -394,7 +396,7 @@
 	return &leaderLoop{store: s, replica: fake}, fake, now
 }
 
-// newTCPTransport returns a transport of the Raft library on loopback.
+// newTCPTransport returns the Raft library's own TCP transport on loopback.
 func newTCPTransport(t *testing.T) *raft.NetworkTransport {
 	t.Helper()
 	logger := hclog.New(&hclog.LoggerOptions{Output: io.Discard})
@@ -416,7 +418,7 @@
 	return s
 }
 
-// waitForNoGoroutineIn waits until no goroutine runs a function.
+// waitForNoGoroutineIn waits until no goroutine has a function on its stack.
 func waitForNoGoroutineIn(t *testing.T, function string) {
 	t.Helper()
 	waitFor(t, waitTimeout, "no goroutine runs "+function, func() bool {
--- a/internal/cluster/quotastore/leader_test.go
+++ b/internal/cluster/quotastore/leader_test.go
@@ -14,22 +14,22 @@
 	"milletbarrow/monotime"
 )
 
-// TestNewLeaderAppliesEarlierEntriesFirst checks that a new leader answers nothing before, and times the leases of
-// earlier leaders from then on.
+// TestNewLeaderAppliesEarlierEntriesFirst checks that a new leader does not respond as the leader before it has applied
+// the entries of earlier leaders, and that it measures the duration of their leases from that time.
 func TestNewLeaderAppliesEarlierEntriesFirst(t *testing.T) {
 	loop, fake, now := newFakeLeader()
 	fake.onBarrier = func() error { return errors.New("no quorum") }
 	for range 3 {
 		loop.tick()
 		if loop.store.leadership().leads() {
-			t.Fatal("leads though entries of earlier leaders may be missing")
+			t.Fatal("leads although entries of earlier leaders may be missing")
 		}
 	}
 	if len(fake.applied) > 0 {
-		t.Fatalf("proposed before it leads: %+v", fake.applied)
+		t.Fatalf("proposed before it is ready to lead: %+v", fake.applied)
 	}
 	config := rateConfig(monotime.Second)
-	fake.onBarrier = func() error { // the entries of the earlier leader arrive
+	fake.onBarrier = func() error { // applies the entries of the earlier leader
 		if loop.store.leadership().leads() {
 			t.Error("leads before the entries of earlier leaders are applied")
 		}
@@ -42,48 +42,48 @@
 		t.Fatal("does not lead after the entries are applied")
 	}
 	if loop.store.state.Usages()[0].InForce == 0 {
-		t.Fatal("the test's lease is not in force")
+		t.Fatal("the lease of this test is not in force")
 	}
 	*now += config.Limits[0].Lease + config.Limits[0].ClockMargin - 1
 	loop.tick()
 	if fake.expired() {
-		t.Error("a lease of the earlier leader expired early")
+		t.Error("a lease of the earlier leader expired before its duration and margin had elapsed")
 	}
 	*now++
 	loop.tick()
 	if !fake.expired() {
-		t.Error("a lease of the earlier leader has not expired after its time and margin")
+		t.Error("a lease of the earlier leader did not expire after its duration and margin")
 	}
 }
 
-// TestLeaderBeginsAnewInEachTerm checks that a replica applies the entries of other leaders between two terms of its
-// own.
-func TestLeaderBeginsAnewInEachTerm(t *testing.T) {
+// TestLeaderRepeatsBarrierInEachTerm checks that a replica that leads two terms applies the entries of the leaders in
+// between before it leads again.
+func TestLeaderRepeatsBarrierInEachTerm(t *testing.T) {
 	loop, fake, _ := newFakeLeader()
 	barriers := 0
 	fake.onBarrier = func() error {
 		barriers++
 		if barriers == 1 {
-			fake.setState(raft.Leader, 3) // deposed and elected again while it begins to lead
+			fake.setState(raft.Leader, 3) // deposed and reelected during beginTerm
 		}
 		return nil
 	}
 	loop.tick()
 	if loop.store.leadership().leads() {
-		t.Fatal("leads term 3 by what it knew in term 1")
+		t.Fatal("leads term 3 after the barrier of term 1 only")
 	}
 	loop.tick()
 	if leads := loop.store.leadership().leads(); !leads || barriers != 2 {
 		t.Errorf("leads: %v after %d barriers, want true after 2", leads, barriers)
 	}
-	fake.setState(raft.Leader, 4) // deposed and elected again between two ticks
+	fake.setState(raft.Leader, 4) // deposed and reelected between two ticks
 	loop.tick()
 	if barriers != 3 {
-		t.Errorf("%d barriers in 3 terms", barriers)
+		t.Errorf("%d barriers in 3 terms, want 3", barriers)
 	}
 }
 
-func TestReelectedFollowerBeginsAnew(t *testing.T) {
+func TestReelectedFollowerLeadsOnlyAfterBarrier(t *testing.T) {
 	loop, fake, _ := newFakeLeader()
 	loop.tick()
 	if !loop.store.leadership().leads() {
@@ -96,7 +96,7 @@
 	loop.tick()
 	fake.setState(raft.Leader, 3)
 	if loop.store.leadership().leads() {
-		t.Error("leads term 3 before it has begun to")
+		t.Error("leads term 3 before its barrier")
 	}
 }
 
@@ -119,11 +119,11 @@
 	applied := len(fake.applied)
 	loop.tick()
 	if len(fake.applied) != applied {
-		t.Errorf("proposed %+v with nothing due", fake.applied[applied:])
+		t.Errorf("proposed %+v although nothing is due", fake.applied[applied:])
 	}
 }
 
-func TestOlderFileChangesNoMembers(t *testing.T) {
+func TestOlderFleetFileProposesNoMemberChange(t *testing.T) {
 	loop, fake, _ := newFakeLeader()
 	loop.store.SetConfig(permitConfig(5), []string{"h1", "h2", "h3"})
 	loop.tick()
@@ -133,35 +133,37 @@
 	loop.store.SetConfig(permitConfig(4), []string{"h1"})
 	loop.tick()
 	if len(fake.changes) > 0 {
-		t.Errorf("an older file changed the members: %v", fake.changes)
+		t.Errorf("changes with an older fleet file: %v, want none", fake.changes)
 	}
 	loop.store.SetConfig(permitConfig(6), []string{"h1"})
 	loop.tick()
 	if want := []string{"remove h2"}; !slices.Equal(fake.changes, want) {
-		t.Errorf("a newer file: %v, want %v", fake.changes, want)
+		t.Errorf("changes with a newer fleet file: %v, want %v", fake.changes, want)
 	}
 }
 
-// TestUnreadyLeaderAnswersNoCall checks that a leader that has not begun to lead names the leader that it knows of.
-func TestUnreadyLeaderAnswersNoCall(t *testing.T) {
+// TestUnreadyLeaderRedirectsCalls checks that a leader that is not ready does not handle calls, and responds with the
+// leader that it knows of.
+func TestUnreadyLeaderRedirectsCalls(t *testing.T) {
 	loop, fake, _ := newFakeLeader()
 	mux := http.NewServeMux()
 	loop.store.RegisterHandlers(mux)
 	for _, path := range []string{pathDo, pathStatus} {
-		answer := httptest.NewRecorder()
+		recorder := httptest.NewRecorder()
 		body := strings.NewReader("{}")
-		mux.ServeHTTP(answer, httptest.NewRequestWithContext(t.Context(), http.MethodPost, path, body))
-		text := strings.TrimSpace(answer.Body.String())
-		if answer.Code != http.StatusMisdirectedRequest || text != `{"leader":"h2"}` {
-			t.Errorf("%s: status %d, %s", path, answer.Code, text)
+		mux.ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodPost, path, body))
+		text := strings.TrimSpace(recorder.Body.String())
+		if recorder.Code != http.StatusMisdirectedRequest || text != `{"leader":"h2"}` {
+			t.Errorf("%s: status %d, %s", path, recorder.Code, text)
 		}
 	}
 	if len(fake.applied) > 0 {
-		t.Errorf("proposed %+v", fake.applied)
+		t.Errorf("proposed %+v, want nothing", fake.applied)
 	}
 }
 
-// TestDeposedLeaderReportsNoStatus checks that a replica verifies that it leads, before it notices that it was deposed.
+// TestDeposedLeaderReportsNoStatus checks that a replica verifies its leadership before it reports a status: it may not
+// have noticed yet that it was deposed.
 func TestDeposedLeaderReportsNoStatus(t *testing.T) {
 	loop, fake, _ := newFakeLeader()
 	loop.tick()
@@ -172,6 +174,6 @@
 	fake.verifyErr = raft.ErrLeadershipLost
 	status, err = loop.store.Status(t.Context())
 	if !errors.Is(err, ErrNoLeader) || !errors.Is(err, raft.ErrLeadershipLost) {
-		t.Errorf("a deposed leader: %+v, %v", status, err)
+		t.Errorf("status of a deposed leader: %+v, error %v, want ErrNoLeader and ErrLeadershipLost", status, err)
 	}
 }
--- a/internal/cluster/quotastore/linearizability_test.go
+++ b/internal/cluster/quotastore/linearizability_test.go
@@ -15,7 +15,7 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// permitInput is the input of an operation: the acquisition of a permit, or its release.
+// permitInput is the input of an operation: it acquires or releases a permit.
 type permitInput struct {
 	release         bool
 	name, acquireID string
@@ -29,26 +29,26 @@
 	return quota.Command{Acquire: permit}
 }
 
-// permitOutput is the output of an operation as its client saw it.
+// permitOutput is the output of an operation as observed by its client.
 type permitOutput struct {
 	held    bool
-	unknown bool // no answer came
+	unknown bool // no response was received
 }
 
-// mustCast returns a value of the type that the model's operations have.
+// mustCast converts a value of the model to the type that it must have.
 func mustCast[T any](value any) T {
 	typed, ok := value.(T)
 	if !ok {
-		panic(fmt.Sprintf("%T in the model, expected %T", value, typed))
+		panic(fmt.Sprintf("value of type %T in the model, expected %T", value, typed))
 	}
 	return typed
 }
 
-// permitModel is a limit of two permits as clients see it. Its state lists NAME/ID for each permit that is held.
+// permitModel is the sequential specification of a limit of two permits. Its state lists NAME/ID for each held permit.
 var permitModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		call, answer := mustCast[permitInput](input), mustCast[permitOutput](output)
+		call, result := mustCast[permitInput](input), mustCast[permitOutput](output)
 		held := strings.Fields(mustCast[string](state))
 		own := call.name + "/" + call.acquireID
 		i := slices.Index(held, own)
@@ -66,7 +66,7 @@
 			held = append(held, own)
 			slices.Sort(held)
 		}
-		return answer.unknown || answer.held == granted, strings.Join(held, " ")
+		return result.unknown || result.held == granted, strings.Join(held, " ")
 	},
 }
 
@@ -86,12 +86,12 @@
 	h.operations = append(h.operations, operation)
 }
 
-// permitClient acquires and releases permits through any store of a group.
+// permitClient repeatedly acquires and releases a permit, through random stores of a group.
 type permitClient struct {
 	id       int
 	group    *testGroup
 	history  *history
-	duration time.Duration // how long it goes on
+	duration time.Duration // how long it runs
 	random   *rand.Rand
 }
 
@@ -109,11 +109,11 @@
 	}
 }
 
-// retry calls with the same acquisition ID until the call has succeeded, and reports whether it has. Calls without an
-// answer are one operation with the call that brought it: the store can't tell them apart, and which of them took
-// effect is not seen.
+// retry repeats a call with the same acquisition ID until it succeeds, and reports whether it did. Calls without a
+// response are recorded as one operation with the later call that succeeded: the store can't distinguish them, and it
+// is not observable which of them took effect.
 func (c *permitClient) retry(call permitInput) bool {
-	unanswered := int64(-1) // when the first call without an answer began
+	unanswered := int64(-1) // start of the first call without a response; -1: none
 	for time.Since(c.history.began) < c.duration {
 		node := c.group.node(c.group.names[c.random.IntN(len(c.group.names))])
 		if node == nil {
@@ -140,7 +140,7 @@
 		}
 		time.Sleep(time.Duration(c.random.IntN(60)) * time.Millisecond)
 	}
-	if unanswered >= 0 { // it may take effect at any later time, or never
+	if unanswered >= 0 { // the call may take effect at any later time, or never
 		c.history.add(porcupine.Operation{
 			ClientId: c.id,
 			Input:    call,
@@ -152,12 +152,12 @@
 	return false
 }
 
-// injectFaults restarts stores, cuts links and duplicates calls until a time.
+// injectFaults restarts stores, interrupts links and duplicates calls until a given time.
 func (g *testGroup) injectFaults(until time.Time) {
 	random := rand.New(rand.NewPCG(7, 7))
-	anyName := func() string { return g.names[random.IntN(len(g.names))] }
+	randomName := func() string { return g.names[random.IntN(len(g.names))] }
 	for i := 0; time.Now().Before(until); i++ {
-		from, to := anyName(), anyName()
+		from, to := randomName(), randomName()
 		duration := time.Duration(300+random.IntN(900)) * time.Millisecond
 		switch link := g.Link(from, to); {
 		case link == nil || i%4 == 3:
@@ -172,7 +172,7 @@
 			link.Duplicate(duration)
 			time.Sleep(duration)
 			link.Duplicate(0)
-		case i%4 == 2: // what the leader sends is lost, what others send to it arrives
+		case i%4 == 2: // the leader can receive but not send
 			leader := g.waitForStatus(10*time.Second, "a leader", hasLeader).Leader
 			g.Isolate(leader, true, false, true)
 			time.Sleep(2 * duration)
@@ -181,8 +181,9 @@
 	}
 }
 
-// TestHistoryIsLinearizable checks what clients see that acquire and release permits through any store, while links
-// are cut, calls are duplicated and stores restart. The checker knows nothing of the store.
+// TestHistoryIsLinearizable checks the history of clients that acquire and release permits through any store while
+// links are interrupted, calls are duplicated and stores restart. The checker uses permitModel only, which is
+// independent of the store.
 func TestHistoryIsLinearizable(t *testing.T) {
 	const clients, span = 6, 12 * time.Second
 	g := newGroup(t, 5)
@@ -210,7 +211,7 @@
 	result := porcupine.CheckOperationsTimeout(permitModel, recorded.operations, time.Minute)
 	t.Logf("%d calls, %d permits acquired: %v", len(recorded.operations), held, result)
 	if result != porcupine.Ok {
-		t.Errorf("the history of %d calls is %v", len(recorded.operations), result)
+		t.Errorf("linearizability check of %d calls: %v, want Ok", len(recorded.operations), result)
 	}
 	if held < 20 {
 		t.Errorf("%d permits were acquired, want at least 20", held)
--- a/internal/cluster/quotastore/quotastore.go
+++ b/internal/cluster/quotastore/quotastore.go
@@ -65,10 +65,12 @@
 //
 // Invariants:
 //   - A replica responds as the leader only after it has applied all entries of earlier leaders in its current term
-//     (TestNewLeaderAppliesEarlierEntriesFirst, TestLeaderBeginsAnewInEachTerm, TestReelectedFollowerBeginsAnew).
+//     (TestNewLeaderAppliesEarlierEntriesFirst, TestLeaderRepeatsBarrierInEachTerm,
+//     TestReelectedFollowerLeadsOnlyAfterBarrier).
 //   - A leader that can't reach a quorum reports no status (TestDeposedLeaderReportsNoStatus).
 //   - A member on an older copy of its directory does not help to discard committed entries that the copy lacks
-//     (TestOlderCopyUndoesNothing, TestIneligibleMemberTakesNoPartInElections, TestAdoptedTermHasNoVoteLeft).
+//     (TestMemberOnOlderCopyDoesNotDiscardPermit, TestIneligibleMemberTakesNoPartInElections,
+//     TestMemberGrantsNoVoteInAdoptedTerm).
 //   - The history of permits is linearizable to clients (TestHistoryIsLinearizable).
 type Store struct {
 	config Config
--- a/internal/cluster/quotastore/raftnode_test.go
+++ b/internal/cluster/quotastore/raftnode_test.go
@@ -11,8 +11,8 @@
 	"milletbarrow/internal/cluster/transport"
 )
 
-// TestFailedStartLeavesNoGoroutine checks that if the Raft library can't start, the goroutine that filters its calls
-// ends, also while it looks at a call of an ineligible member.
+// TestFailedStartLeavesNoGoroutine checks that if the Raft library fails to start, the goroutine that filters its RPCs
+// ends, even while a vote request to this ineligible member is pending.
 func TestFailedStartLeavesNoGoroutine(t *testing.T) {
 	const filter, listen = "quotastore.(*eligibilityTransport).filter", "raft.(*NetworkTransport).listen"
 	waitForNoGoroutineIn(t, filter)
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := conn.Write([]byte{1, 0x80}); err != nil { // a request for a vote: an empty map
+	if _, err := conn.Write([]byte{1, 0x80}); err != nil { // a vote request: an empty msgpack map
 		t.Fatal(err)
 	}
 	err = s.log.db.Update(func(tx *bbolt.Tx) error {
@@ -36,18 +36,18 @@
 	required := quorum.Eligibility{Behind: true, RequiredLog: quorum.LogPosition{Term: 3, LogTerm: 3, Index: 9}}
 	if node, err := s.startRaft(required); err == nil {
 		_ = node.Shutdown().Error()
-		t.Fatal("started on an unreadable log")
+		t.Fatal("startRaft succeeded with an unreadable log")
 	}
 	waitForNoGoroutineIn(t, filter)
 	waitForNoGoroutineIn(t, listen)
 	if s.replica != nil {
-		t.Error("the store has a replica")
+		t.Error("the store has a replica after a failed start")
 	}
 }
 
-// TestAdoptedTermHasNoVoteLeft checks that a member on an older copy of its directory adopts the group's term, and
-// votes for nobody in it.
-func TestAdoptedTermHasNoVoteLeft(t *testing.T) {
+// TestMemberGrantsNoVoteInAdoptedTerm checks that a member on an older copy of its directory adopts the group's term
+// and grants no vote in it, as it may have voted already.
+func TestMemberGrantsNoVoteInAdoptedTerm(t *testing.T) {
 	s := openTestStore(t, "h1", nil, "h1", "h2", "h3")
 	candidate := openTestStore(t, "h2", map[string]string{"h1": s.config.Transport.Address()})
 	group := raft.EncodeConfiguration(s.initialGroup())
@@ -88,9 +88,9 @@
 		return response.Granted
 	}
 	if vote(7) {
-		t.Error("votes in the term that it adopted")
+		t.Error("the member grants a vote in the adopted term")
 	}
 	if !vote(8) {
-		t.Error("does not vote in the next term")
+		t.Error("the member grants no vote in the next term")
 	}
 }
--- a/internal/cluster/quotastore/statemachine_test.go
+++ b/internal/cluster/quotastore/statemachine_test.go
@@ -14,7 +14,7 @@
 	original.state.Apply(renewal(1))
 	want := original.state.Usages()[0].InForce
 	if want == 0 {
-		t.Fatal("nothing is in force in the original")
+		t.Fatal("the original state has no units in force")
 	}
 	encoded, err := original.snapshot()
 	if err != nil {
@@ -24,6 +24,6 @@
 		t.Fatal(err)
 	}
 	if got := restored.state.Usages()[0].InForce; got != want {
-		t.Errorf("%d units are in force after a restore, want %d", got, want)
+		t.Errorf("%d units in force after a restore, want %d", got, want)
 	}
 }
--- a/internal/cluster/transport/call_test.go
+++ b/internal/cluster/transport/call_test.go
@@ -20,8 +20,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "%q", text) }
 }
 
-// TestSequentialCallsShareOneConnection checks that bodies and responses arrive, that a status is an error of its own, and that
-// calls one after the other share a connection.
+// TestSequentialCallsShareOneConnection checks that sequential calls reuse one connection, that bodies and responses
+// are transferred, and that an error status is returned as a *jsonhttp.StatusError.
 func TestSequentialCallsShareOneConnection(t *testing.T) {
 	to, from := runPair(t, testLimits())
 	listener := serveCalls(t, to, func(w http.ResponseWriter, r *http.Request) {
@@ -41,15 +41,15 @@
 	err := from.Call(t.Context(), "h1", "/refused", nil, nil)
 	status, ok := errors.AsType[*jsonhttp.StatusError](err)
 	if !ok || status.Code != http.StatusConflict || status.Message != "no" {
-		t.Errorf("a refused call: error %v", err)
+		t.Errorf("rejected call: error %v, want status 409 with message no", err)
 	}
 	if n := listener.accepted.Load(); n != 1 {
-		t.Errorf("%d connections for calls one after the other", n)
+		t.Errorf("%d connections for sequential calls, want 1", n)
 	}
 }
 
-// TestCallOnBrokenConnectionIsNotRetried checks that a connection that breaks before its response is an error, and that the next
-// call opens another.
+// TestCallOnBrokenConnectionIsNotRetried checks that a call fails, without a retry, if its connection is closed before
+// the response, and that the next call opens a new connection.
 func TestCallOnBrokenConnectionIsNotRetried(t *testing.T) {
 	to, from := runPair(t, testLimits())
 	var calls atomic.Int32
@@ -60,24 +60,24 @@
 		fmt.Fprint(w, "true")
 	})
 	if err := from.Call(t.Context(), "h1", "/x", 1, nil); err == nil {
-		t.Error("a call whose connection broke has no error")
+		t.Error("a call whose connection was closed returned no error")
 	}
 	var response bool
 	if err := from.Call(t.Context(), "h1", "/x", 1, &response); err != nil || !response {
-		t.Errorf("the call after it: %v, %v", response, err)
+		t.Errorf("the next call: response %v, error %v", response, err)
 	}
 	if n := calls.Load(); n != 2 {
-		t.Errorf("2 calls were made %d times", n)
+		t.Errorf("%d requests for 2 calls", n)
 	}
 	if n := listener.accepted.Load(); n != 2 {
 		t.Errorf("%d connections, want 2", n)
 	}
 }
 
-// TestCallToSilentPeerEndsWithItsContext checks that a call to a peer that accepts the connection and is silent ends with its
-// context.
+// TestCallToSilentPeerEndsWithItsContext checks that a call to a peer that accepts the connection but never responds
+// ends with its context.
 func TestCallToSilentPeerEndsWithItsContext(t *testing.T) {
-	silent, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0") // the system accepts connections
+	silent, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0") // the kernel accepts connections
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,14 +87,14 @@
 	defer cancel()
 	start := time.Now()
 	if err := agent.Call(ctx, "h2", "/x", nil, nil); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("the call ended with %v", err)
+		t.Errorf("error %v, want %v", err, context.DeadlineExceeded)
 	}
 	if took := time.Since(start); took > waitTimeout {
 		t.Errorf("the call took %v", took)
 	}
 }
 
-// TestResponseBeyondLimitIsAnError checks that a response beyond its bound is an error.
+// TestResponseBeyondLimitIsAnError checks that a call fails if its response exceeds the length limit.
 func TestResponseBeyondLimitIsAnError(t *testing.T) {
 	bounds := testLimits()
 	bounds.MessageSize = 10
@@ -118,7 +118,8 @@
 	}
 }
 
-// TestSetAddressesRedirectsCallsAndKeepsStreams checks that calls go to the new address, and that an open connection stays open.
+// TestSetAddressesRedirectsCallsAndKeepsStreams checks that calls after SetAddresses go to the new address, and that
+// open connections stay open.
 func TestSetAddressesRedirectsCallsAndKeepsStreams(t *testing.T) {
 	before, from := runPair(t, testLimits())
 	after, _ := runTransport(t, "h1", nil, testLimits())
@@ -135,6 +136,6 @@
 	}
 	send(t, stream, "x")
 	if _, err := in.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a stream opened before: %v", err)
+		t.Errorf("stream opened before SetAddresses: %v", err)
 	}
 }
--- a/internal/cluster/transport/dial_test.go
+++ b/internal/cluster/transport/dial_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestDialingUnknownPeerFails checks that an agent without an address cannot be reached, and that the error names it.
+// TestDialingUnknownPeerFails checks that Dial and Call to an agent without an address return an error that names it.
 func TestDialingUnknownPeerFails(t *testing.T) {
 	const wantText = `peer "h9": no known address`
 	agent, _ := runTransport(t, "h1", nil, testLimits())
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestDialEndsWithItsContextOrTimeout checks that dialing a peer that accepts no connection ends with its context, and without one after
-// CallTimeout.
+// TestDialEndsWithItsContextOrTimeout checks that dialing a peer that does not accept connections ends with the
+// context, or after CallTimeout if the context has not ended.
 func TestDialEndsWithItsContextOrTimeout(t *testing.T) {
 	bounds := testLimits()
 	agent, _ := runTransport(t, "h1", map[string]string{"h2": unresponsiveAddress(t)}, bounds)
@@ -36,19 +36,19 @@
 	start := time.Now()
 	_, err := agent.Dial(ctx, KindRaft, "h2")
 	if !errors.Is(err, context.Canceled) && !strings.Contains(fmt.Sprint(err), "operation was canceled") {
-		t.Errorf("a dial that was canceled: error %v", err)
+		t.Errorf("canceled dial: error %v, want a cancellation", err)
 	}
 	if took := time.Since(start); took >= bounds.CallTimeout {
-		t.Errorf("the dial took %v after it was canceled", took)
+		t.Errorf("the canceled dial took %v", took)
 	}
 	_, err = agent.Dial(t.Context(), KindRaft, "h2")
 	if netErr, ok := errors.AsType[net.Error](err); !ok || !netErr.Timeout() {
-		t.Errorf("a dial that is not accepted: error %v", err)
+		t.Errorf("dial of an unresponsive peer: error %v, want a timeout", err)
 	}
 }
 
-// unresponsiveAddress returns an address at which the system neither accepts nor refuses a connection, as its accept
-// queue is full.
+// unresponsiveAddress returns an address at which the kernel neither accepts nor refuses connections, because the
+// accept queue is full.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -79,6 +79,6 @@
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	t.Fatal("the system accepts connections beyond the accept queue")
+	t.Fatal("the kernel accepts connections beyond the accept queue")
 	return ""
 }
--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestFramesArriveAsSent checks that messages arrive as they were sent, and that the end of the stream is io.EOF.
-func TestFramesArriveAsSent(t *testing.T) {
+// TestReadFrameReturnsWrittenMessages checks that ReadFrame returns the messages of WriteFrame unchanged, and io.EOF at
+// the end of the stream.
+func TestReadFrameReturnsWrittenMessages(t *testing.T) {
 	long := strings.Repeat("m", 70_000)
 	messages := []string{"", "one", long}
 	var sent strings.Builder
@@ -25,20 +26,20 @@
 		}
 	}
 	if _, err := ReadFrame(in, 1); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: error %v", err)
+		t.Errorf("at the end of the stream: error %v, want io.EOF", err)
 	}
 }
 
-// TestFrameBeyondLimitIsAnError checks that a frame beyond the reader's bound is a *FrameTooLongError.
+// TestFrameBeyondLimitIsAnError checks that ReadFrame returns a *FrameTooLongError for a frame beyond its limit.
 func TestFrameBeyondLimitIsAnError(t *testing.T) {
 	_, err := ReadFrame(bufio.NewReader(strings.NewReader("\x00\x00\x05hello")), 4)
 	tooLong, ok := errors.AsType[*FrameTooLongError](err)
 	if !ok || tooLong.Length != 5 || tooLong.Max != 4 {
-		t.Errorf("error %v, want a frame of 5 bytes where 4 are read", err)
+		t.Errorf("error %v, want a *FrameTooLongError with length 5 and limit 4", err)
 	}
 }
 
-// TestTruncatedFrameIsAnError checks that a frame that breaks off is io.ErrUnexpectedEOF.
+// TestTruncatedFrameIsAnError checks that ReadFrame returns io.ErrUnexpectedEOF for a truncated frame.
 func TestTruncatedFrameIsAnError(t *testing.T) {
 	_, err := ReadFrame(bufio.NewReader(strings.NewReader("\x00\x00\x05hell")), 5)
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/cluster/transport/greeting_test.go
+++ b/internal/cluster/transport/greeting_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestInvalidGreetingClosesTheConnection checks that a connection is closed unless its greeting is for the agent's own name, a
-// known kind and this version.
+// TestInvalidGreetingClosesTheConnection checks that a connection is closed unless its greeting has the current
+// protocol version, a known kind and the name of the dialed agent.
 func TestInvalidGreetingClosesTheConnection(t *testing.T) {
 	agent, _ := runTransport(t, "h1", nil, testLimits())
 	for _, test := range []struct{ name, line string }{
@@ -30,30 +30,30 @@
 	}
 	for kind, queue := range agent.queues {
 		if n := len(queue.conns); n > 0 {
-			t.Errorf("%d connections of kind %s came in", n, kind)
+			t.Errorf("%d connections of kind %s were queued, want 0", n, kind)
 		}
 	}
 }
 
-// TestBytesAfterGreetingAreKept checks that a connection has the name of its peer, and that nothing that follows its
-// greeting is lost.
+// TestBytesAfterGreetingAreKept checks that the bytes after a greeting are left to the consumer of the connection,
+// whose remote address is the name of the peer.
 func TestBytesAfterGreetingAreKept(t *testing.T) {
 	const rest = "what follows"
 	agent, _ := runTransport(t, "h1", nil, testLimits())
 	send(t, dialRaw(t, agent.Address()), "milletbarrow/1 raft h1 h2\n"+rest)
 	in := acceptFrom(t, agent.Listener(KindRaft))
 	if peer := in.RemoteAddr(); peer.String() != "h2" || peer.Network() != "peer" {
-		t.Errorf("the peer is %s %s", peer.Network(), peer)
+		t.Errorf("remote address %s %s, want peer h2", peer.Network(), peer)
 	}
 	setTestDeadline(in)
 	got := make([]byte, len(rest))
 	if _, err := io.ReadFull(in, got); err != nil || string(got) != rest {
-		t.Errorf("after the greeting came %q, %v", got, err)
+		t.Errorf("after the greeting: %q, error %v, want %q", got, err, rest)
 	}
 }
 
-// TestConnectionWithoutGreetingIsClosedAfterTimeout checks that a connection that does not greet in time is closed, and that the time limit ends with
-// the greeting.
+// TestConnectionWithoutGreetingIsClosedAfterTimeout checks that a connection without a greeting is closed after
+// CallTimeout, and that the time limit does not apply after the greeting.
 func TestConnectionWithoutGreetingIsClosedAfterTimeout(t *testing.T) {
 	bounds := testLimits()
 	agent, _ := runTransport(t, "h1", nil, bounds)
@@ -64,11 +64,11 @@
 	in := acceptFrom(t, agent.Listener(KindPacket))
 	wantClosed(t, silent)
 	if took := time.Since(start); took < bounds.CallTimeout {
-		t.Errorf("closed after %v, a greeting may take %v", took, bounds.CallTimeout)
+		t.Errorf("closed after %v, before the greeting timeout of %v", took, bounds.CallTimeout)
 	}
-	time.Sleep(bounds.CallTimeout) // the greeted one is idle for longer than a greeting may take
+	time.Sleep(bounds.CallTimeout) // longer than the greeting timeout
 	send(t, greeted, "x")
 	if _, err := in.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a connection that is idle after its greeting: %v", err)
+		t.Errorf("read from a connection that was idle after its greeting: %v", err)
 	}
 }
--- a/internal/cluster/transport/helpers_test.go
+++ b/internal/cluster/transport/helpers_test.go
@@ -13,17 +13,17 @@
 	"milletbarrow/internal/limits"
 )
 
-// waitTimeout is how long a test waits for what has to happen.
+// waitTimeout is how long a test waits for an expected event.
 const waitTimeout = 5 * time.Second
 
-// testLimits returns the service's own limits with a short time limit for a call.
+// testLimits returns the production limits with a short call timeout.
 func testLimits() limits.Control {
 	bounds := limits.ForControl()
 	bounds.CallTimeout = 200 * time.Millisecond
 	return bounds
 }
 
-// runTransport listens on loopback and accepts until the test or the returned function ends it.
+// runTransport runs a transport on loopback until the end of the test, or until the returned function is called.
 func runTransport(t *testing.T, self string, addresses map[string]string, bounds limits.Control) (*Transport, func()) {
 	t.Helper()
 	transport, err := Listen(self, "127.0.0.1:0", addresses, bounds)
@@ -40,9 +40,9 @@
 			if err != nil {
 				t.Errorf("Run: %v", err)
 			}
-			ended <- nil // end may be called again
+			ended <- nil // for a second call of end
 		case <-time.After(waitTimeout):
-			t.Error("Run goes on after its context has ended")
+			t.Error("Run did not return after its context ended")
 		}
 	}
 	t.Cleanup(end)
@@ -57,7 +57,7 @@
 	return h1, h2
 }
 
-// countingListener counts the connections that it accepted.
+// countingListener counts accepted connections.
 type countingListener struct {
 	net.Listener
 	accepted atomic.Int32
@@ -72,7 +72,7 @@
 	return conn, err
 }
 
-// serveCalls serves the calls to an agent until the test ends.
+// serveCalls serves calls to an agent until the end of the test.
 func serveCalls(t *testing.T, agent *Transport, handler http.HandlerFunc) *countingListener {
 	t.Helper()
 	listener := &countingListener{Listener: agent.Listener(KindCall)}
@@ -89,7 +89,7 @@
 	return listener
 }
 
-// dialRaw connects without a greeting.
+// dialRaw opens a connection without sending a greeting.
 func dialRaw(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
@@ -101,7 +101,7 @@
 	return conn
 }
 
-// dialKind opens a connection of a kind to h1.
+// dialKind opens a connection of one kind to h1.
 func dialKind(t *testing.T, from *Transport, kind Kind) net.Conn {
 	t.Helper()
 	conn, err := from.Dial(t.Context(), kind, "h1")
@@ -112,8 +112,8 @@
 	return conn
 }
 
-// setTestDeadline bounds how long a test reads from a connection or writes to it. It replaces the deadlines that
-// the transport may have left on it.
+// setTestDeadline sets a deadline for reads and writes of a test. It replaces deadlines that the transport may have
+// left on the connection.
 func setTestDeadline(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(waitTimeout)) }
 
 // send writes text to a connection, or fails the test.
@@ -124,7 +124,7 @@
 	}
 }
 
-// acceptFrom accepts one connection of a listener, or fails the test.
+// acceptFrom accepts one connection from a listener, or fails the test.
 func acceptFrom(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
 	accepted := make(chan net.Conn, 1)
@@ -138,23 +138,23 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
 	case <-time.After(waitTimeout):
-		t.Fatal("no connection came in")
+		t.Fatal("no connection was accepted in time")
 		return nil
 	}
 }
 
-// waitForPending waits until a connection of a kind came in that nobody has accepted.
+// waitForPending waits until a connection of one kind is queued but not accepted.
 func waitForPending(t *testing.T, agent *Transport, kind Kind) {
 	t.Helper()
 	const pollInterval = time.Millisecond
 	for start := time.Now(); len(agent.queues[kind].conns) == 0; time.Sleep(pollInterval) {
 		if time.Since(start) > waitTimeout {
-			t.Fatal("the connection is not pending")
+			t.Fatal("no connection was queued in time")
 		}
 	}
 }
 
-// wantClosed reads until the other end closes the connection.
+// wantClosed fails the test unless the peer closes the connection in time.
 func wantClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_, err := conn.Read(make([]byte, 1))
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestFullQueueDelaysNoOtherKind checks that if nobody accepts one kind, its further connections are closed after a
-// time, and no other kind waits.
-func TestFullQueueDelaysNoOtherKind(t *testing.T) {
+// TestFullQueueDoesNotDelayOtherKinds checks that while the accept queue of one kind is full, an additional connection
+// of that kind is closed after a timeout, and connections of other kinds are accepted.
+func TestFullQueueDoesNotDelayOtherKinds(t *testing.T) {
 	to, from := runPair(t, testLimits())
 	conns := make([]net.Conn, 0, maxPendingConns+1)
 	for range maxPendingConns + 1 {
@@ -31,22 +31,23 @@
 	select {
 	case <-closed:
 	case <-time.After(waitTimeout):
-		t.Fatal("no connection was closed, though one more waits than may")
+		t.Fatal("no connection was closed, although the accept queue is full")
 	}
 	for range maxPendingConns {
 		acceptFrom(t, to.Listener(KindPacket))
 	}
 	if n := len(closed); n > 0 {
-		t.Errorf("%d connections more were closed", n)
+		t.Errorf("%d more connections were closed, want 0", n)
 	}
 }
 
-// TestRunFreesAddressAndClosesPendingConnections checks that when Run has ended, its address is free, connections that nobody accepted are closed, and
-// those that were accepted stay open. It ends also while as many connections are open as may be.
+// TestRunFreesAddressAndClosesPendingConnections checks that when Run has returned, the address is free, pending
+// connections are closed, and accepted connections stay open. Run returns even while the limit of open connections is
+// reached.
 func TestRunFreesAddressAndClosesPendingConnections(t *testing.T) {
 	bounds := testLimits()
 	bounds.Connections = 1
-	bounds.CallTimeout = time.Minute // for greetings
+	bounds.CallTimeout = time.Minute // greetings do not time out
 	agent, end := runTransport(t, "h1", nil, bounds)
 	address := agent.Address()
 	greeting := dialRaw(t, address)
@@ -58,16 +59,16 @@
 	send(t, pending, "milletbarrow/1 raft h1 h2\n")
 	waitForPending(t, agent, KindRaft)
 	dialRaw(t, address)
-	dialRaw(t, address) // one more than may be open: Run waits for one to end
+	dialRaw(t, address) // exceeds the limit, so that Run blocks until a connection is closed
 	end()
 	wantClosed(t, greeting)
 	wantClosed(t, pending)
 	send(t, in, "x")
 	if _, err := accepted.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a connection that was accepted: %v", err)
+		t.Errorf("read from an accepted connection: %v", err)
 	}
 	if _, err := agent.Listener(KindRaft).Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Accept after the end: %v", err)
+		t.Errorf("Accept after Run returned: error %v, want net.ErrClosed", err)
 	}
 	again, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
 	if err != nil {
@@ -76,8 +77,8 @@
 	_ = again.Close()
 }
 
-// TestClosedListenerClosesPendingAndLaterConnections checks that after its consumer closes a listener, connections of its kind are closed: those that
-// wait and those that come later.
+// TestClosedListenerClosesPendingAndLaterConnections checks that when its consumer closes a listener, pending and later
+// connections of its kind are closed.
 func TestClosedListenerClosesPendingAndLaterConnections(t *testing.T) {
 	to, from := runPair(t, testLimits())
 	pending := dialKind(t, from, KindRaft)
@@ -87,7 +88,7 @@
 		t.Fatal(err)
 	}
 	wantClosed(t, pending)
-	for range 20 { // a select chooses at random between the queue's capacity and its end
+	for range 20 { // select chooses randomly between queueing and the closed channel
 		conn := dialKind(t, from, KindRaft)
 		setTestDeadline(conn)
 		wantClosed(t, conn)
