--- a/internal/cluster/membership/address_test.go
+++ b/internal/cluster/membership/address_test.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// TestHostAddressRoundTrips checks that the address of a host, or its name, leads back to it.
+// TestHostAddressRoundTrips checks that a host is found by its placeholder address and by its name.
 func TestHostAddressRoundTrips(t *testing.T) {
 	hosts := hostList{"h1", "h2"}
 	for _, host := range hosts {
@@ -16,13 +16,13 @@
 			{Addr: "10.0.0.1:99", Name: host},
 		} {
 			if got, err := hosts.host(address); got != host || err != nil {
-				t.Errorf("%+v is %q, %v, want %s", address, got, err, host)
+				t.Errorf("host of %+v: %q, error %v, want %s", address, got, err, host)
 			}
 		}
 	}
 }
 
-// TestUnknownAddressIsAnError checks that an address that stands for no host is an *UnknownMemberError.
+// TestUnknownAddressIsAnError checks that an address that belongs to no host is an *UnknownMemberError.
 func TestUnknownAddressIsAnError(t *testing.T) {
 	const problem = " belongs to no configured agent"
 	hosts := hostList{"h1", "h2"}
@@ -36,8 +36,8 @@
 		{"no port", memberlist.Address{Addr: "no port"}, "membership: address no port" + problem},
 		{
 			"unknown name",
-			memberlist.Address{Addr: "127.0.0.1:3", Name: "stranger"},
-			"membership: address stranger (127.0.0.1:3)" + problem,
+			memberlist.Address{Addr: "127.0.0.1:3", Name: "h9"},
+			"membership: address h9 (127.0.0.1:3)" + problem,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/cluster/membership/compat_test.go
+++ b/internal/cluster/membership/compat_test.go
@@ -6,7 +6,7 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats checks that JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON of an earlier release, with each field set, is decoded and encoded to the same.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Member](t, "Seen.json")
 }
--- a/internal/cluster/membership/helpers_test.go
+++ b/internal/cluster/membership/helpers_test.go
@@ -18,10 +18,10 @@
 	"milletbarrow/monotime"
 )
 
-// waitTimeout is how long a test waits for what has to happen.
+// waitTimeout is how long a test waits for an expected event.
 const waitTimeout = 10 * time.Second
 
-// waitUntil polls a condition, and fails the test if it is not met in time. It returns how long that took.
+// waitUntil polls a condition and fails the test if it is not met in time. It returns how long that took.
 func waitUntil(t *testing.T, within time.Duration, condition string, met func() bool) time.Duration {
 	t.Helper()
 	const pollInterval = time.Millisecond
@@ -35,11 +35,11 @@
 	}
 }
 
-// fakeClockList is a List of agent h1, which judges h1 to h4 and is not run.
+// fakeClockList is the List of agent h1 in a cluster of h1 to h4, with a clock that the test sets. It is not run.
 type fakeClockList struct {
 	*List
-	now      monotime.Micros // of the list's clock
-	reported []Member        // to Config.OnChange
+	now      monotime.Micros // time of the list's clock
+	reported []Member        // arguments of Config.OnChange
 }
 
 func newFakeClockList() *fakeClockList {
@@ -53,12 +53,12 @@
 	return l
 }
 
-// newLibraryNode returns the library's node of an agent.
+// newLibraryNode returns an agent as the memberlist library reports it.
 func newLibraryNode(host string, incarnation uint64) *memberlist.Node {
 	return &memberlist.Node{Name: host, Meta: binary.BigEndian.AppendUint64(nil, incarnation)}
 }
 
-// listenOn listens on an address on loopback until the test ends.
+// listenOn listens at an address on loopback until the end of the test.
 func listenOn(t *testing.T, address string) *net.TCPListener {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
@@ -73,7 +73,7 @@
 	return tcpListener
 }
 
-// listenAsPeer listens at a peer's address, without an agent behind it.
+// listenAsPeer listens at the address of a peer that runs no agent.
 func listenAsPeer(t *testing.T) *net.TCPListener {
 	t.Helper()
 	return listenOn(t, "127.0.0.1:0")
@@ -92,7 +92,8 @@
 	return conn
 }
 
-// newMeshTransportOfH1 returns the transport of h1, whose peer h2 is at an address of the test's, until the test ends.
+// newMeshTransportOfH1 returns the transport of h1, whose peer h2 has the given address. It is shut down at the end of
+// the test.
 func newMeshTransportOfH1(t *testing.T, peer string, bounds limits.Control) *meshTransport {
 	t.Helper()
 	agentTransport, err := transport.Listen("h1", "127.0.0.1:0", map[string]string{"h2": peer}, bounds)
@@ -110,7 +111,7 @@
 	return mesh
 }
 
-// cluster is some agents in this process, with links between them that a test can cut.
+// cluster is a cluster of agents in this process. A test can interrupt the links between them.
 type cluster struct {
 	*proxy.Mesh
 	t         *testing.T
@@ -119,10 +120,10 @@
 	stops     map[string]func() // of running agents, by name
 
 	mu     sync.Mutex // guards deaths
-	deaths int        // how often an agent judged another dead
+	deaths int        // number of reports that an agent is dead
 }
 
-// newCluster returns a cluster of agents h1, h2 and so on, none of which runs.
+// newCluster returns a cluster of agents h1, h2 and so on, none of which is started.
 func newCluster(t *testing.T, size int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, lists: map[string]*List{}, stops: map[string]func(){}}
@@ -141,12 +142,12 @@
 	c.Mesh = mesh
 	t.Cleanup(c.Close)
 	for _, listener := range listeners {
-		_ = listener.Close() // the agents listen there
+		_ = listener.Close() // frees the address for the agent
 	}
 	return c
 }
 
-// start runs one agent.
+// start starts one agent, until stop or stopAll is called.
 func (c *cluster) start(i int, incarnation uint64) {
 	c.t.Helper()
 	name := c.Names[i]
@@ -178,7 +179,7 @@
 	}
 }
 
-// startAll runs all agents, with incarnations from 1.
+// startAll starts all agents, with incarnations from 1.
 func (c *cluster) startAll() {
 	c.t.Helper()
 	for i := range c.Names {
@@ -208,19 +209,19 @@
 	}
 }
 
-// deathCount returns how often an agent judged another dead.
+// deathCount returns how often an agent reported another as dead.
 func (c *cluster) deathCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.deaths
 }
 
-// waitUntilOthersSee waits until all agents but one judge that one so that a condition holds, and returns how long that
-// took.
+// waitUntilOthersSee waits until a condition holds for the state of one agent as observed by each of the others, and
+// returns how long that took.
 func (c *cluster) waitUntilOthersSee(name string, within time.Duration, condition string, holds func(Member) bool,
 ) time.Duration {
 	c.t.Helper()
-	return waitUntil(c.t, within, fmt.Sprintf("all others judge %s %s", name, condition), func() bool {
+	return waitUntil(c.t, within, fmt.Sprintf("all others observe %s as %s", name, condition), func() bool {
 		count := 0
 		for by, list := range c.lists {
 			for _, member := range list.Members() {
@@ -233,7 +234,7 @@
 	})
 }
 
-// waitForState waits until all other agents judge one to be in a state, and returns how long that took.
+// waitForState waits until all other agents observe one agent in a state, and returns how long that took.
 func (c *cluster) waitForState(name string, state State, within time.Duration) time.Duration {
 	c.t.Helper()
 	return c.waitUntilOthersSee(name, within, string(state), func(m Member) bool { return m.State == state })
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -13,15 +13,16 @@
 	"milletbarrow/monotime"
 )
 
-// TestOneBadLinkMakesNoAgentDead checks that a link that is cut, in one direction or both, makes no agent dead, that an
-// agent that is cut off from all is dead until it is back, and that a restarted agent is judged by its new incarnation.
-func TestOneBadLinkMakesNoAgentDead(t *testing.T) {
+// TestOnlyIsolatedAgentIsReportedDead checks that no agent is reported as dead while one link is interrupted, in one
+// direction or both, that an agent without any link is dead until it is reconnected, and that a restarted agent is
+// alive with its new incarnation.
+func TestOnlyIsolatedAgentIsReportedDead(t *testing.T) {
 	const (
 		joinLimit   = 20 * time.Second
 		changeLimit = 30 * time.Second
-		// cutDuration is longer than the others take to judge an agent dead that is cut off from all.
-		cutDuration = 4 * time.Second
-		// restartDuration is shorter than that.
+		// interruption is longer than the others need to detect that an isolated agent is dead.
+		interruption = 4 * time.Second
+		// restartDuration is shorter than the others need to detect that an agent is dead.
 		restartDuration = 300 * time.Millisecond
 	)
 	c := newCluster(t, 5)
@@ -32,24 +33,24 @@
 	}
 
 	c.Direction("h1", "h2").Hold(true)
-	time.Sleep(cutDuration)
+	time.Sleep(interruption)
 	if n := c.deathCount(); n > 0 {
-		t.Errorf("one direction between h1 and h2 was cut, and %d times an agent was judged dead", n)
+		t.Errorf("with the link from h1 to h2 interrupted: %d reports of a dead agent, want 0", n)
 	}
 	c.Direction("h2", "h1").Hold(true)
-	time.Sleep(cutDuration)
+	time.Sleep(interruption)
 	if n := c.deathCount(); n > 0 {
-		t.Errorf("the link between h1 and h2 was cut, and %d times an agent was judged dead", n)
+		t.Errorf("with the link between h1 and h2 interrupted: %d reports of a dead agent, want 0", n)
 	}
 	c.Direction("h1", "h2").Hold(false)
 	c.Direction("h2", "h1").Hold(false)
 
 	c.Isolate("h3", true, true, true)
-	t.Logf("cut off from all: dead after %v", c.waitForState("h3", Dead, changeLimit))
+	t.Logf("isolated: dead after %v", c.waitForState("h3", Dead, changeLimit))
 	c.Isolate("h3", true, true, false)
-	t.Logf("connected again: alive after %v", c.waitForState("h3", Alive, changeLimit))
+	t.Logf("reconnected: alive after %v", c.waitForState("h3", Alive, changeLimit))
 	c.Isolate("h4", true, false, true)
-	t.Logf("what it sends is lost: dead after %v", c.waitForState("h4", Dead, changeLimit))
+	t.Logf("unable to send: dead after %v", c.waitForState("h4", Dead, changeLimit))
 	c.Isolate("h4", true, false, false)
 	c.waitForState("h4", Alive, changeLimit)
 
@@ -57,12 +58,13 @@
 	c.stop("h5")
 	time.Sleep(restartDuration)
 	c.start(4, newIncarnation)
-	c.waitUntilOthersSee("h5", joinLimit, "alive in its new incarnation", func(m Member) bool {
+	c.waitUntilOthersSee("h5", joinLimit, "alive with its new incarnation", func(m Member) bool {
 		return m.Incarnation == newIncarnation && m.State == Alive
 	})
 }
 
-// TestRunEndsAllGoroutines checks that once lists have ended, no goroutine of the library or of the traffic goes on.
+// TestRunEndsAllGoroutines checks that after Run has returned, no goroutine of the library or of this package is
+// running.
 func TestRunEndsAllGoroutines(t *testing.T) {
 	const joinLimit = 20 * time.Second
 	c := newCluster(t, 2)
@@ -76,7 +78,7 @@
 			t.Logf("goroutines:\n%s", stacks)
 		}
 	}()
-	waitUntil(t, waitTimeout, "no goroutine goes on", func() bool {
+	waitUntil(t, waitTimeout, "all goroutines have ended", func() bool {
 		buffer := make([]byte, 1<<20)
 		stacks = string(buffer[:runtime.Stack(buffer, true)])
 		return !strings.Contains(stacks, "memberlist.(*Memberlist)") && !strings.Contains(stacks, "membership.(*")
@@ -84,7 +86,7 @@
 }
 
 // TestChangesAreReportedOnce checks that a change of state or incarnation is reported once, with its time, and that an
-// agent that the configuration does not name is ignored.
+// agent that is not configured is ignored.
 func TestChangesAreReportedOnce(t *testing.T) {
 	l := newFakeClockList()
 	events := eventDelegate{list: l.List}
@@ -92,14 +94,14 @@
 		at     monotime.Micros
 		notify func(*memberlist.Node)
 		node   *memberlist.Node
-		want   string // what is reported
+		want   string // reported members
 	}{
 		{5, events.NotifyJoin, newLibraryNode("h2", 1), "[{h2 alive 1 5}]"},
 		{6, events.NotifyJoin, newLibraryNode("h2", 1), "[]"},
-		{7, events.NotifyJoin, newLibraryNode("stranger", 1), "[]"},
+		{7, events.NotifyJoin, newLibraryNode("h9", 1), "[]"},
 		{8, events.NotifyLeave, newLibraryNode("h2", 1), "[{h2 gone 1 8}]"},
 		{9, events.NotifyJoin, newLibraryNode("h2", 1), "[{h2 alive 1 9}]"},
-		{10, events.NotifyUpdate, newLibraryNode("h2", 2), "[{h2 alive 2 10}]"}, // restarted without being judged dead
+		{10, events.NotifyUpdate, newLibraryNode("h2", 2), "[{h2 alive 2 10}]"}, // restarted before it was found dead
 		{11, events.NotifyUpdate, newLibraryNode("h2", 2), "[]"},
 		{12, events.NotifyLeave, newLibraryNode("h3", 9), "[{h3 gone 9 12}]"},
 	} {
@@ -117,18 +119,18 @@
 	}
 }
 
-// TestAbsentAgentsAreJoined checks that agents that are dead or of which nothing was heard are joined, but neither
-// those that are alive nor this agent itself.
-func TestAbsentAgentsAreJoined(t *testing.T) {
+// TestDeadAndUnknownAgentsAreAbsent checks that the agents to join are the dead and the unknown ones, without those
+// that are alive and the local agent.
+func TestDeadAndUnknownAgentsAreAbsent(t *testing.T) {
 	l := newFakeClockList()
 	events := eventDelegate{list: l.List}
 	if got := l.absent(); !slices.Equal(got, []string{"h2", "h3", "h4"}) {
-		t.Errorf("at first %v", got)
+		t.Errorf("absent after the start: %v, want h2, h3 and h4", got)
 	}
 	events.NotifyJoin(newLibraryNode("h2", 1))
 	events.NotifyJoin(newLibraryNode("h3", 1))
 	events.NotifyLeave(newLibraryNode("h3", 1))
 	if got := l.absent(); !slices.Equal(got, []string{"h3", "h4"}) {
-		t.Errorf("with one alive, one dead and one of which nothing was heard: %v", got)
+		t.Errorf("absent with h2 alive, h3 dead and h4 unknown: %v, want h3 and h4", got)
 	}
 }
--- a/internal/cluster/membership/mesh_transport_test.go
+++ b/internal/cluster/membership/mesh_transport_test.go
@@ -14,27 +14,27 @@
 	"milletbarrow/internal/limits"
 )
 
-// largePacket is the length of datagrams of which a few dozen fill the system's buffers.
+// largePacket is the length of a datagram. A few dozen of them fill the socket buffers.
 const largePacket = 60_000
 
-// TestSendingToUnknownHostOrAfterShutdownFails checks that datagrams and streams to no agent are errors, as are
-// datagrams after the end.
+// TestSendingToUnknownHostOrAfterShutdownFails checks that datagrams and streams to an address without an agent return
+// errors, as do datagrams after Shutdown.
 func TestSendingToUnknownHostOrAfterShutdownFails(t *testing.T) {
 	mesh := newMeshTransportOfH1(t, listenAsPeer(t).Addr().String(), limits.ForControl())
 	if _, err := mesh.WriteTo(nil, "127.0.0.1:9"); !errors.As(err, new(*UnknownMemberError)) {
-		t.Errorf("datagram: error %v", err)
+		t.Errorf("datagram to an unknown address: error %v, want an *UnknownMemberError", err)
 	}
 	if _, err := mesh.DialTimeout("127.0.0.1:9", time.Second); !errors.As(err, new(*UnknownMemberError)) {
-		t.Errorf("stream: error %v", err)
+		t.Errorf("stream to an unknown address: error %v, want an *UnknownMemberError", err)
 	}
 	_ = mesh.Shutdown()
 	if _, err := mesh.WriteTo(nil, mesh.hosts.address("h2").String()); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("datagram after the end: error %v", err)
+		t.Errorf("datagram after Shutdown: error %v, want net.ErrClosed", err)
 	}
 }
 
-// TestBrokenConnectionIsReplaced checks that datagrams go over a new connection after one has broken, and that a peer
-// that breaks each is not dialed more often than minDialInterval allows.
+// TestBrokenConnectionIsReplaced checks that a closed connection is replaced, and that a peer that closes each
+// connection is not dialed more often than minDialInterval allows.
 func TestBrokenConnectionIsReplaced(t *testing.T) {
 	listener := listenAsPeer(t)
 	mesh := newMeshTransportOfH1(t, listener.Addr().String(), limits.ForControl())
@@ -51,7 +51,7 @@
 	}()
 	to := mesh.hosts.address("h2").String()
 	start := time.Now()
-	waitUntil(t, waitTimeout, "a broken connection is replaced twice", func() bool {
+	waitUntil(t, waitTimeout, "a closed connection is replaced twice", func() bool {
 		if _, err := mesh.WriteTo([]byte("x"), to); err != nil {
 			t.Fatal(err)
 		}
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestWriteToCopiesThePacket checks that what a caller writes into its buffer after WriteTo does not change the
-// datagram, and that the connection is closed with the transport.
+// TestWriteToCopiesThePacket checks that the caller may reuse its buffer after WriteTo, and that Shutdown closes the
+// connection.
 func TestWriteToCopiesThePacket(t *testing.T) {
 	listener := listenAsPeer(t)
 	mesh := newMeshTransportOfH1(t, listener.Addr().String(), limits.ForControl())
@@ -71,24 +71,23 @@
 	if _, err := mesh.WriteTo(packet, mesh.hosts.address("h2").String()); err != nil {
 		t.Fatal(err)
 	}
-	copy(packet, "after!") // the connection is not open yet
+	copy(packet, "after!") // not sent yet, as the connection is not open
 	in := bufio.NewReader(accept(t, listener))
 	if _, err := in.ReadString('\n'); err != nil { // the greeting
 		t.Fatal(err)
 	}
 	if got, err := transport.ReadFrame(in, maxPacketBytes); err != nil || string(got) != "before" {
-		t.Errorf("sent %q, %v", got, err)
+		t.Errorf("received %q, error %v, want before", got, err)
 	}
 	_ = mesh.Shutdown()
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the end the connection is open: %v", err)
+		t.Errorf("read after Shutdown: error %v, want io.EOF", err)
 	}
 }
 
-// TestFullQueueDropsDatagrams checks that datagrams beyond a full queue are dropped, and that their caller does not
-// wait.
+// TestFullQueueDropsDatagrams checks that datagrams are dropped while the queue is full, without blocking the caller.
 func TestFullQueueDropsDatagrams(t *testing.T) {
-	sender := newPacketSender(Config{Bounds: limits.ForControl()}, "h2") // not run: nothing leaves its queue
+	sender := newPacketSender(Config{Bounds: limits.ForControl()}, "h2") // not run, so that its queue is not drained
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -99,20 +98,20 @@
 	select {
 	case <-done:
 	case <-time.After(waitTimeout):
-		t.Fatal("a full queue blocks its caller")
+		t.Fatal("enqueue blocks while the queue is full")
 	}
 	for i := range maxQueuedPackets {
 		if packet := <-sender.queue; packet[0] != byte(i) {
-			t.Fatalf("datagram %d is in place %d", packet[0], i)
+			t.Fatalf("datagram %d at position %d", packet[0], i)
 		}
 	}
 	if n := len(sender.queue); n > 0 {
-		t.Errorf("%d datagrams more are queued", n)
+		t.Errorf("%d more datagrams are queued, want 0", n)
 	}
 }
 
-// TestUnreadConnectionIsReplaced checks that a connection whose peer reads nothing is given up after a time, and that
-// what is sent then arrives over another, each datagram complete.
+// TestUnreadConnectionIsReplaced checks that a connection is replaced after a timeout if its peer does not read, and
+// that complete datagrams are sent over the new connection.
 func TestUnreadConnectionIsReplaced(t *testing.T) {
 	listener := listenAsPeer(t)
 	mesh := newMeshTransportOfH1(t, listener.Addr().String(), limits.ForControl())
@@ -121,7 +120,7 @@
 	sent := make(chan error, 1)
 	go func() { sent <- sendPackets(ctx, mesh) }()
 
-	accept(t, listener) // nobody reads it
+	accept(t, listener) // is not read
 	in := bufio.NewReader(accept(t, listener))
 	if greeting, err := in.ReadString('\n'); err != nil || greeting != "milletbarrow/1 packet h2 h1\n" {
 		t.Fatalf("greeting %q, %v", greeting, err)
@@ -135,7 +134,7 @@
 	}
 }
 
-// sendPackets sends large datagrams to h2, one a millisecond, until ctx ends.
+// sendPackets sends a large datagram to h2 every millisecond, until ctx ends.
 func sendPackets(ctx context.Context, mesh *meshTransport) error {
 	for {
 		if _, err := mesh.WriteTo(make([]byte, largePacket), mesh.hosts.address("h2").String()); err != nil {
@@ -149,11 +148,11 @@
 	}
 }
 
-// TestShutdownEndsAllGoroutines checks that all goroutines end, whatever they wait for: a peer that reads nothing, the
-// library, a connection.
+// TestShutdownEndsAllGoroutines checks that Shutdown ends all goroutines, including those that are blocked on a peer
+// that does not read, on the library, or on a connection.
 func TestShutdownEndsAllGoroutines(t *testing.T) {
 	bounds := limits.ForControl()
-	bounds.CallTimeout = time.Hour // no time limit ends them
+	bounds.CallTimeout = time.Hour // so that no timeout ends the goroutines
 	mesh := newMeshTransportOfH1(t, listenAsPeer(t).Addr().String(), bounds)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -167,7 +166,7 @@
 	defer peer.Close()
 	waitForDatagrams := func(n int) {
 		t.Helper()
-		condition := fmt.Sprintf("%d datagrams came in", n)
+		condition := fmt.Sprintf("%d datagrams were received", n)
 		waitUntil(t, waitTimeout, condition, func() bool { return len(mesh.packets) >= n })
 	}
 	sendFrames := func(kind transport.Kind, count int) {
@@ -184,8 +183,8 @@
 		}
 	}
 	sendFrames(transport.KindPacket, 1)
-	waitForDatagrams(1) // its reader waits for the next one from here on
-	// Nobody reads the channels for the library in this test.
+	waitForDatagrams(1) // from here on its reader is blocked on the connection
+	// In this test, nothing reads the library's channels.
 	sendFrames(transport.KindPacket, 2*maxPendingPackets)
 	sendFrames(transport.KindStream, 2*maxPendingPackets)
 	for range 1000 {
@@ -201,7 +200,7 @@
 	select {
 	case <-ended:
 	case <-time.After(waitTimeout):
-		t.Fatal("a goroutine goes on")
+		t.Fatal("Shutdown did not return in time")
 	}
 	cancel()
 	if err := <-ran; err != nil {
--- a/internal/cluster/node/events_test.go
+++ b/internal/cluster/node/events_test.go
@@ -8,9 +8,9 @@
 	"milletbarrow/internal/cluster/quota"
 )
 
-// TestEventsOfOneKeyAreSpaced checks that an event of one key passes once in minEventInterval, and that others pass at
-// once.
-func TestEventsOfOneKeyAreSpaced(t *testing.T) {
+// TestEventsAreRateLimitedPerKey checks that events with the same key pass at most once per minEventInterval, and that
+// events with other keys pass immediately.
+func TestEventsAreRateLimitedPerKey(t *testing.T) {
 	feed := newEventFeed()
 	now := time.Now()
 	feed.now = func() time.Time { return now }
@@ -27,24 +27,24 @@
 		{Limit: "l", Name: "n", Kind: "j"},
 	} {
 		if !passes(event) {
-			t.Errorf("%+v was left out", event)
+			t.Errorf("%+v was dropped", event)
 		}
 	}
 	second := first
 	second.Cause = "2"
 	now = now.Add(minEventInterval - time.Nanosecond)
 	if passes(second) {
-		t.Error("an event passed before the interval was over")
+		t.Error("an event passed before the interval had elapsed")
 	}
 	now = now.Add(time.Nanosecond)
 	if !passes(second) {
-		t.Error("an event did not pass after the interval")
+		t.Error("an event was dropped after the interval had elapsed")
 	}
 }
 
-// TestUnreadEventsBlockNobody checks that a history that is not read blocks no caller, that the first events are kept
-// for it, and that the number of remembered keys is bounded.
-func TestUnreadEventsBlockNobody(t *testing.T) {
+// TestUnreadEventsDoNotBlockCallers checks that callers are not blocked if the events are not read, that the oldest
+// events are retained, and that the number of stored keys is limited.
+func TestUnreadEventsDoNotBlockCallers(t *testing.T) {
 	feed := newEventFeed()
 	done := make(chan struct{})
 	go func() {
@@ -56,15 +56,15 @@
 	select {
 	case <-done:
 	case <-time.After(waitTimeout):
-		t.Fatal("events that nobody reads block")
+		t.Fatal("add blocks while events are not read")
 	}
 	if n := len(feed.events); n != maxQueuedEvents {
-		t.Errorf("%d events wait, want %d", n, maxQueuedEvents)
+		t.Errorf("%d events are queued, want %d", n, maxQueuedEvents)
 	}
 	if n := len(feed.lastPassed); n > maxEventKeys+1 {
-		t.Errorf("%d keys are remembered, want at most %d", n, maxEventKeys+1)
+		t.Errorf("%d keys are stored, want at most %d", n, maxEventKeys+1)
 	}
 	if event := <-feed.events; event.Name != "0" {
-		t.Errorf("the first event is %s, want 0", event.Name)
+		t.Errorf("the first queued event is %s, want 0", event.Name)
 	}
 }
--- a/internal/cluster/node/helpers_test.go
+++ b/internal/cluster/node/helpers_test.go
@@ -13,10 +13,10 @@
 	"milletbarrow/internal/limits"
 )
 
-// waitTimeout is how long a test waits for what has to happen.
+// waitTimeout is how long a test waits for an expected event.
 const waitTimeout = 30 * time.Second
 
-// listen listens on an address on loopback.
+// listen listens at an address on loopback.
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
@@ -26,13 +26,13 @@
 	return listener
 }
 
-// wantAddressFree fails the test unless an address is free to listen on.
+// wantAddressFree fails the test if it cannot listen at an address.
 func wantAddressFree(t *testing.T, address string) {
 	t.Helper()
 	_ = listen(t, address).Close()
 }
 
-// newSpec returns a fleet of hosts h1, h2 and so on with free addresses, all of which keep the quota store.
+// newSpec returns a fleet of hosts h1, h2 and so on with free addresses. All are members of the quota store.
 func newSpec(t *testing.T, size int) *fleet.Spec {
 	t.Helper()
 	spec := &fleet.Spec{Quotas: &quota.Config{
@@ -40,7 +40,7 @@
 		Limits:  []quota.Limit{{Name: "out", Kind: quota.Concurrency, Total: 2}},
 	}}
 	for i := 1; i <= size; i++ {
-		// No connection is dialed from this address, so that the port stays free.
+		// No outgoing connection uses this local address, so that the port stays free.
 		listener := listen(t, fmt.Sprintf("127.0.29.%d:0", i))
 		defer func() { _ = listener.Close() }()
 		name := fmt.Sprint("h", i)
@@ -50,7 +50,7 @@
 	return spec
 }
 
-// runNode opens and runs a host's node until the test or the returned function ends it.
+// runNode opens a host's node and runs it until the end of the test, or until the returned function is called.
 func runNode(t *testing.T, spec *fleet.Spec, host, dir string) (*Node, func()) {
 	t.Helper()
 	n, err := Open(Config{Spec: spec, Host: host, Dir: dir, Bounds: limits.ForControl()})
@@ -67,16 +67,16 @@
 			if err != nil {
 				t.Errorf("%s: %v", host, err)
 			}
-			ended <- nil // end may be called again
+			ended <- nil // for a second call of end
 		case <-time.After(waitTimeout):
-			t.Errorf("%s goes on after its context has ended", host)
+			t.Errorf("%s: Run did not return after its context ended", host)
 		}
 	}
 	t.Cleanup(end)
 	return n, end
 }
 
-// waitUntil polls a condition, and fails the test if it is not met in time.
+// waitUntil polls a condition and fails the test if it is not met in time.
 func waitUntil(t *testing.T, condition string, met func() bool) {
 	t.Helper()
 	const pollInterval = 10 * time.Millisecond
@@ -87,20 +87,20 @@
 	}
 }
 
-// storeStatus returns the status of the quota store, as a node returns it within a second.
+// storeStatus returns the status of the quota store from a node, with a timeout of a second.
 func storeStatus(n *Node) (quota.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return n.Status(ctx)
 }
 
-// leads reports whether a node says that a host leads the quota store.
+// leads reports whether a node's status names a host as the leader of the quota store.
 func leads(n *Node, host string) bool {
 	status, err := storeStatus(n)
 	return err == nil && status.Leader == host
 }
 
-// memberStates returns the states of all agents, as a node judges them.
+// memberStates returns the states of all agents as observed by a node.
 func memberStates(n *Node) (all []membership.State) {
 	for _, member := range n.Members() {
 		all = append(all, member.State)
--- a/internal/cluster/node/node_test.go
+++ b/internal/cluster/node/node_test.go
@@ -20,7 +20,7 @@
 	"milletbarrow/internal/limits"
 )
 
-// allSeeAllAlive reports whether each node judges all agents alive.
+// allSeeAllAlive reports whether each node observes all agents as alive.
 func allSeeAllAlive(nodes []*Node) bool {
 	isNotAlive := func(state membership.State) bool { return state != membership.Alive }
 	return !slices.ContainsFunc(nodes, func(n *Node) bool {
@@ -28,7 +28,7 @@
 	})
 }
 
-// allReportOneLeader reports whether all nodes name the same leader of a store of three members.
+// allReportOneLeader reports whether all nodes report the same leader of a store of three members.
 func allReportOneLeader(nodes []*Node) bool {
 	leaders := map[string]bool{}
 	for _, n := range nodes {
@@ -41,8 +41,8 @@
 	return len(leaders) == 1
 }
 
-// TestThreeNodesFormAClusterAndOneRejoins checks that nodes on loopback find each other, that any of them gives access
-// to one store, and that one that has ended can be started again at its address.
+// TestThreeNodesFormAClusterAndOneRejoins checks that nodes on loopback discover each other, that each of them provides
+// access to the same store, and that a stopped node can be restarted at its address.
 func TestThreeNodesFormAClusterAndOneRejoins(t *testing.T) {
 	spec := newSpec(t, 3)
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
@@ -51,29 +51,29 @@
 	for i, host := range spec.Hosts {
 		nodes[i], ends[i] = runNode(t, spec, host.Name, dirs[i])
 	}
-	waitUntil(t, "all judge all alive", func() bool { return allSeeAllAlive(nodes) })
-	waitUntil(t, "all name one leader", func() bool { return allReportOneLeader(nodes) })
+	waitUntil(t, "all observe all as alive", func() bool { return allSeeAllAlive(nodes) })
+	waitUntil(t, "all report one leader", func() bool { return allReportOneLeader(nodes) })
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	acquire := quota.Command{Acquire: &quota.PermitCommand{Limit: "out", Name: "n", Host: "h1", AcquireID: "1"}}
 	if result, err := nodes[0].Do(ctx, acquire); err != nil || result.Rejection != "" {
-		t.Fatalf("a permit: %+v, %v", result, err)
+		t.Fatalf("acquire a permit: %+v, error %v", result, err)
 	}
 
 	ends[2]()
-	waitUntil(t, "the others judge the one that ended dead", func() bool {
+	waitUntil(t, "the others observe the stopped node as dead", func() bool {
 		return memberStates(nodes[0])[2] == membership.Dead && memberStates(nodes[1])[2] == membership.Dead
 	})
 	nodes[2], _ = runNode(t, spec, "h3", dirs[2])
-	waitUntil(t, "all judge all alive again", func() bool { return allSeeAllAlive(nodes) })
-	waitUntil(t, "all name one leader again", func() bool { return allReportOneLeader(nodes) })
+	waitUntil(t, "all observe all as alive after the restart", func() bool { return allSeeAllAlive(nodes) })
+	waitUntil(t, "all report one leader after the restart", func() bool { return allReportOneLeader(nodes) })
 	if status, err := storeStatus(nodes[2]); err != nil || status.Limits[0].InForce != 1 {
-		t.Errorf("the permit is not held: %+v, %v", status, err)
+		t.Errorf("status %+v, error %v, want one permit in force", status, err)
 	}
 }
 
-// TestUpdateAddressesMakesStoreReachable checks that a node outside the store's group reaches it at the addresses of
-// the latest configuration.
+// TestUpdateAddressesMakesStoreReachable checks that a node outside the store's group uses the addresses of the latest
+// configuration to reach it.
 func TestUpdateAddressesMakesStoreReachable(t *testing.T) {
 	spec := newSpec(t, 2)
 	spec.QuotaHosts = spec.QuotaHosts[:1]
@@ -83,39 +83,41 @@
 	former.Hosts[0].PeerAddress = ""
 	client, _ := runNode(t, &former, "h2", t.TempDir())
 	if status, err := storeStatus(client); err == nil {
-		t.Fatalf("the store is reached without an address: %+v", status)
+		t.Fatalf("the store is reached without the address of its member: %+v", status)
 	}
 	client.UpdateAddresses(spec)
 	waitUntil(t, "the store is reached from outside the group", func() bool { return leads(client, "h1") })
 }
 
-// TestSoleNodeLeads checks that a node without an address for others listens on loopback and leads alone.
-func TestSoleNodeLeads(t *testing.T) {
+// TestSingleNodeListensOnLoopbackAndLeads checks that a single node without a peer address listens on loopback and
+// leads.
+func TestSingleNodeListensOnLoopbackAndLeads(t *testing.T) {
 	spec := newSpec(t, 1)
 	spec.Hosts[0].PeerAddress = ""
 	n, _ := runNode(t, spec, "h1", t.TempDir())
 	if address := n.transport.Address(); !strings.HasPrefix(address, "127.0.0.1:") {
-		t.Errorf("it listens at %s", address)
+		t.Errorf("listening at %s, want 127.0.0.1", address)
 	}
-	waitUntil(t, "it leads", func() bool { return leads(n, "h1") })
-	waitUntil(t, "it judges itself alive", func() bool {
+	waitUntil(t, "the node leads", func() bool { return leads(n, "h1") })
+	waitUntil(t, "the node observes itself as alive", func() bool {
 		return slices.Equal(memberStates(n), []membership.State{membership.Alive})
 	})
 }
 
-// TestRunEndsWithoutQuorum checks that a node that waits for the others of its group ends with its context, and that
-// its address is free then.
+// TestRunEndsWithoutQuorum checks that Run returns with its context while the node waits for the other members of its
+// group, and that the node's address is free afterwards.
 func TestRunEndsWithoutQuorum(t *testing.T) {
 	spec := newSpec(t, 3)
 	dir := t.TempDir()
 	n, end := runNode(t, spec, "h1", dir)
-	waitUntil(t, "it waits for others", func() bool { return n.Stage() == "waiting" })
+	waitUntil(t, "the node waits for other members", func() bool { return n.Stage() == "waiting" })
 	end()
 	_, end = runNode(t, spec, "h1", dir)
 	end()
 }
 
-// openCall makes one call to a node by hand and returns its connection, with a reader at the end of the response.
+// openCall makes one call to a node over a raw connection. It returns the connection, with a reader positioned after
+// the response.
 func openCall(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	const call = "milletbarrow/1 call h1 h2\n" +
@@ -139,9 +141,9 @@
 	return conn, in
 }
 
-// TestRunEndsCompletely checks that when Run has returned, the node's address is free and connections of calls are
-// closed.
-func TestRunEndsCompletely(t *testing.T) {
+// TestRunFreesAddressAndClosesCalls checks that when Run has returned, the node's address is free and the connections
+// of calls are closed.
+func TestRunFreesAddressAndClosesCalls(t *testing.T) {
 	spec := newSpec(t, 1)
 	address := spec.Hosts[0].PeerAddress
 	for range 10 {
@@ -151,33 +153,33 @@
 		wantAddressFree(t, address)
 		_ = conn.SetDeadline(time.Now().Add(time.Second))
 		if _, err := in.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("the connection of a call is open: %v", err)
+			t.Fatalf("the connection of a call is still open: %v", err)
 		}
 		_ = conn.Close()
 	}
 }
 
-// TestFailedOpenFreesAddress checks that a node that cannot be opened leaves its address free.
+// TestFailedOpenFreesAddress checks that Open frees the node's address if it fails.
 func TestFailedOpenFreesAddress(t *testing.T) {
 	spec := newSpec(t, 1)
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "ledger"), nil, 0o600); err != nil { // where a directory has to be
+	if err := os.WriteFile(filepath.Join(dir, "ledger"), nil, 0o600); err != nil { // a file in place of the directory
 		t.Fatal(err)
 	}
 	if _, err := Open(Config{Spec: spec, Host: "h1", Dir: dir, Bounds: limits.ForControl()}); err == nil {
-		t.Fatal("opened without a directory")
+		t.Fatal("Open succeeded without a store directory")
 	}
 	wantAddressFree(t, spec.Hosts[0].PeerAddress)
 }
 
-// TestOpenNamesTakenAddress checks that the error of an address that is in use names it.
-func TestOpenNamesTakenAddress(t *testing.T) {
+// TestOpenErrorNamesAddressInUse checks that the error of Open for an address that is in use names the address.
+func TestOpenErrorNamesAddressInUse(t *testing.T) {
 	listener := listen(t, "127.0.0.1:0")
 	defer func() { _ = listener.Close() }()
 	address := listener.Addr().String()
 	spec := &fleet.Spec{Hosts: []fleet.HostSpec{{Name: "h1", PeerAddress: address}}, QuotaHosts: []string{"h1"}}
 	_, err := Open(Config{Spec: spec, Host: "h1", Dir: t.TempDir(), Bounds: limits.ForControl()})
 	if err == nil || !strings.Contains(err.Error(), address) {
-		t.Errorf("error %v, want one that names %s", err, address)
+		t.Errorf("error %v, want an error that contains %s", err, address)
 	}
 }
