--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestOnlyIsolatedAgentIsReportedDead checks that no agent is reported as dead while one link is interrupted, in one
-// direction or both, that an agent without any link is dead until it is reconnected, and that a restarted agent is
-// alive with its new incarnation.
+// direction or both, that an agent that is isolated, or can't send to any other, is dead until it is reconnected, and
+// that a restarted agent is alive with its new incarnation.
 func TestOnlyIsolatedAgentIsReportedDead(t *testing.T) {
 	const (
 		joinLimit   = 20 * time.Second
