--- a/internal/cluster/quotastore/statemachine_test.go
+++ b/internal/cluster/quotastore/statemachine_test.go
@@ -8,13 +8,13 @@
 	"milletbarrow/monotime"
 )
 
-func TestRestoredStateHasItsTotals(t *testing.T) {
+func TestRestoreRebuildsTotals(t *testing.T) {
 	original, restored := &Store{state: quota.NewState()}, &Store{}
 	original.state.Apply(quota.Command{Config: rateConfig(monotime.Second)})
 	original.state.Apply(renewal(1))
 	want := original.state.Usages()[0].InForce
 	if want == 0 {
-		t.Fatal("nothing is in force in the original")
+		t.Fatal("the original state has no units in force")
 	}
 	encoded, err := original.snapshot()
 	if err != nil {
@@ -24,6 +24,6 @@
 		t.Fatal(err)
 	}
 	if got := restored.state.Usages()[0].InForce; got != want {
-		t.Errorf("%d units are in force after a restore, want %d", got, want)
+		t.Errorf("%d units in force after a restore, want %d", got, want)
 	}
 }
