--- a/internal/simulation/coldstart/coldstart_test.go
+++ b/internal/simulation/coldstart/coldstart_test.go
@@ -5,28 +5,30 @@
 	"testing"
 )
 
-// TestRun: one seed gives one result; the cold start brings all backends up and spares the dependency, which all starts
-// at once never get past; no more start at once than the policy allows.
-func TestRun(t *testing.T) {
+// TestColdStartReadiesAllBackendsAndSparesDependency checks that a seed gives one result, that the cold start makes all
+// backends ready with at most one collapse of the dependency, and that no more backends start at once than the policy
+// allows. With all starts at once the dependency collapses, and some backends never become ready.
+func TestColdStartReadiesAllBackendsAndSparesDependency(t *testing.T) {
 	const n = 330
 	run := func(p Policy) *Result {
-		c, err := Run(Default(n), p, 3)
+		result, err := Run(Default(n), p, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c
+		return result
 	}
-	up := run(Policy{MaxStarting: -40})
-	if again := run(Policy{MaxStarting: -40}); !reflect.DeepEqual(up, again) {
-		t.Error("one seed gave two results")
+	coldStart := run(Policy{MaxStarting: -40})
+	if again := run(Policy{MaxStarting: -40}); !reflect.DeepEqual(coldStart, again) {
+		t.Error("two runs with the same seed differ")
 	}
-	if up.Ready != n || up.DependencyCollapses > 1 || up.PeakStarting > 40 || up.Falls > 0 || up.Listed != n {
-		t.Errorf("cold start: %+v", up)
+	if coldStart.Ready != n || coldStart.DependencyCollapses > 1 || coldStart.PeakStarting > 40 || coldStart.Falls > 0 ||
+		coldStart.Listed != n {
+		t.Errorf("cold start: %+v", coldStart)
 	}
-	if all := run(Policy{FixedReports: true}); all.DependencyCollapses == 0 || all.Ready == n {
-		t.Errorf("all starts at once spare the dependency: %+v", all)
+	if unlimited := run(Policy{FixedReports: true}); unlimited.DependencyCollapses == 0 || unlimited.Ready == n {
+		t.Errorf("unlimited concurrent starts did not overload the dependency: %+v", unlimited)
 	}
-	if one := run(Policy{MaxStarting: 3}); one.PeakStarting != 3 || one.DependencyCollapses > 0 {
-		t.Errorf("three concurrent starts: %+v", one)
+	if limited := run(Policy{MaxStarting: 3}); limited.PeakStarting != 3 || limited.DependencyCollapses > 0 {
+		t.Errorf("three concurrent starts: %+v", limited)
 	}
 }
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -1,6 +1,6 @@
-// Package coldstart simulates how hundreds or thousands of backends come up together, with the code that decides it
-// in installations unchanged: registration/reportpacing for load reports, cluster/coldstart for starts, and fleet's
-// backoff between launches. The endpoint registry and a dependency that each start calls can both be overloaded and
+// Package coldstart simulates the simultaneous start of hundreds or thousands of backends. It uses the code of
+// installations, unchanged: registration/reportpacing for load reports, cluster/coldstart for starts, and the backoff
+// of fleet between launches. The endpoint registry and a dependency that each start calls can be overloaded and
 // collapse.
 package coldstart
 
@@ -17,18 +17,18 @@
 	"milletbarrow/monotime"
 )
 
-// Policy is how backends start and report.
+// Policy is how backends start and send load reports.
 type Policy struct {
-	Name         string // in the tables of studies
+	Name         string // name in the tables of studies; part of stored results
 	FixedReports bool   // report at fixed intervals, without jitter and backoff
-	MaxStarting  int    // concurrent starts; 0: no bound; -n: by the cluster's cold start, up to n
+	MaxStarting  int    // limit of concurrent starts; 0: none; -n: set by cluster/coldstart, at most n
 }
 
-// Config describes the installation that comes up.
+// Config describes the installation that starts.
 type Config struct {
 	Backends, Hosts   int
-	StartDuration     time.Duration // of a start on an idle host; with more than UncontendedStarts each takes longer
-	UncontendedStarts int           // concurrent starts of a host that do not slow each other down
+	StartDuration     time.Duration // on an idle host; longer with more than UncontendedStarts at once
+	UncontendedStarts int           // concurrent starts on a host that do not slow each other down
 	Registry          faultinjectioncoldstart.RegistryBehavior
 	Dependency        Dependency
 	Duration          time.Duration // simulated time
@@ -38,45 +38,45 @@
 
 // Dependency is the service that each start calls once.
 type Dependency struct {
-	Latency     time.Duration // of a call, up to Concurrency calls at once
-	Concurrency int           // beyond it each call takes longer, by the square of the excess
-	CollapseAt  int           // concurrent calls beyond which it collapses and loses all of them; 0: it never does
-	Recovery    time.Duration // it recovers after so long without a call
+	Latency     time.Duration // of a call, with up to Concurrency calls at once
+	Concurrency int           // with more concurrent calls, latency grows by the square of the excess
+	CollapseAt  int           // with more concurrent calls it collapses and all calls fail; 0: never
+	Recovery    time.Duration // it recovers after this time without a call
 }
 
-// Result is the outcome of one run.
+// Result is the result of one simulated cold start.
 type Result struct {
 	faultinjectioncoldstart.Figures
 	HalfReadySeconds, MostReadySeconds float64 // seconds until 50% and 95% of the backends are ready; -1: never
-	Ready                              int     // backends ready at the end
+	Ready                              int     // number of backends ready at the end
 	DependencyCollapses                int
 	DependencyCalls                    int
 	PeakStarting                       int // highest number of concurrent starts
 }
 
-// event is scheduled by time, then by sequence.
+// event is a scheduled event. Events are executed by time, then by sequence.
 type event struct {
 	at        time.Duration
 	kind      eventKind
 	index     int // of the backend
-	reference int // depends on the kind: a timer, a call, a report or a pause, by number
+	reference int // number of the timer, call, report or pause, depending on the kind
 	sequence  int
 }
 
-// eventKind says what an event is.
+// eventKind is the kind of an event.
 type eventKind int
 
 const (
 	eventStart          eventKind = iota // a backend tries to start
 	eventCall                            // a start calls the dependency
-	eventCallDone                        // the dependency has answered
-	eventReady                           // a start has succeeded
-	eventReportDue                       // a backend's report timer
-	eventReportAnswered                  // the registry has answered a report
-	eventPauseOver                       // a pause of the cold start has ended
+	eventCallDone                        // the dependency answers a call
+	eventReady                           // a start succeeds
+	eventReportDue                       // a backend's report timer expires
+	eventReportAnswered                  // the registry answers a report
+	eventPauseOver                       // a pause of the cold start ends
 )
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events with the earliest on top. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -96,7 +96,7 @@
 	return x
 }
 
-// backend is the state of one backend.
+// backend is the state of a backend.
 type backend struct {
 	name        string
 	host        int
@@ -105,12 +105,12 @@
 	failures    int
 	starting    bool
 	ready       bool
-	reportTimer int  // number of its latest report timer; earlier ones are ignored
-	calling     bool // its call to the dependency is in flight
-	callNumber  int  // of its latest call to the dependency
+	reportTimer int  // number of the latest report timer; earlier timers are ignored
+	calling     bool // the call to the dependency is in flight
+	callNumber  int  // number of the latest call to the dependency
 }
 
-// run is the state of one run.
+// run is the state of one simulated cold start.
 type run struct {
 	config       Config
 	policy       Policy
@@ -123,72 +123,73 @@
 	starting     int
 	coldStart    *coldstart.State
 
-	reportsInFlight   int // at the endpoint registry
+	reportsInFlight   int // reports that the endpoint registry has not answered
 	registryDownUntil time.Duration
 	reports           []faultinjectioncoldstart.Call
 	registryCollapses int
 
-	callsInFlight       int           // to the dependency
-	dependencyDownUntil time.Duration // unless it is called before
+	callsInFlight       int           // calls that the dependency has not answered
+	dependencyDownUntil time.Duration // extended by each call before it
 	result              Result
 	readyTimes          []time.Duration
 }
 
-// Delays of a backend's attempts to start: the first, and those after the policy has refused one.
+// Delays of a backend's attempts to start. The first follows within maxInitialDelay. After a refusal by the policy the
+// next follows after startRetryDelay, plus a random part of startRetryJitter.
 const (
-	maxFirstStart  = 50 * time.Millisecond
-	startPoll      = 300 * time.Millisecond
-	startPollRange = 150 * time.Millisecond
+	maxInitialDelay  = 50 * time.Millisecond
+	startRetryDelay  = 300 * time.Millisecond
+	startRetryJitter = 150 * time.Millisecond
 )
 
-// Run plays one cold start. The same configuration, policy and seed give the same result.
-func Run(t Config, p Policy, seed uint64) (*Result, error) {
-	w, err := newRun(t, p, seed)
+// Run simulates one cold start. The result depends on the configuration, the policy and the seed only.
+func Run(config Config, p Policy, seed uint64) (*Result, error) {
+	r, err := newRun(config, p, seed)
 	if err != nil {
 		return nil, err
 	}
-	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(event)
-		if e.at > t.Duration {
+	for len(r.queue) > 0 {
+		e := heap.Pop(&r.queue).(event)
+		if e.at > config.Duration {
 			break
 		}
-		w.now = e.at
-		w.handle(e)
+		r.now = e.at
+		r.handle(e)
 	}
-	w.result.Figures = faultinjectioncoldstart.Measure(
-		w.reports,
-		&t.Registry,
-		t.Backends,
-		time.Duration(t.Reports.Interval)*time.Microsecond,
-		t.Duration,
+	r.result.Figures = faultinjectioncoldstart.Measure(
+		r.reports,
+		&config.Registry,
+		config.Backends,
+		time.Duration(config.Reports.Interval)*time.Microsecond,
+		config.Duration,
 	)
-	w.result.Falls, w.result.Ready = w.registryCollapses, len(w.readyTimes)
-	w.result.HalfReadySeconds, w.result.MostReadySeconds = w.readyAt(0.5), w.readyAt(0.95)
-	return &w.result, nil
+	r.result.Falls, r.result.Ready = r.registryCollapses, len(r.readyTimes)
+	r.result.HalfReadySeconds, r.result.MostReadySeconds = r.readyAt(0.5), r.readyAt(0.95)
+	return &r.result, nil
 }
 
-// newRun sets up all backends, each of which tries to start within maxFirstStart.
-func newRun(t Config, p Policy, seed uint64) (*run, error) {
-	w := &run{config: t, policy: p, rand: rand.New(rand.NewPCG(seed, 28)), startsByHost: make([]int, t.Hosts)}
-	members := make([]coldstart.Member, 0, t.Backends)
-	reports := t.Reports
+// newRun sets up a run in which each backend tries to start within maxInitialDelay.
+func newRun(config Config, p Policy, seed uint64) (*run, error) {
+	r := &run{config: config, policy: p, rand: rand.New(rand.NewPCG(seed, 28)), startsByHost: make([]int, config.Hosts)}
+	members := make([]coldstart.Member, 0, config.Backends)
+	reports := config.Reports
 	reports.Fixed = p.FixedReports
-	for n := range t.Backends {
+	for n := range config.Backends {
 		name := fmt.Sprintf("n%05d", n)
-		w.backends = append(
-			w.backends,
-			backend{name: name, host: n % t.Hosts, pacer: reportpacing.New(reports, w.rand.Uint64())},
+		r.backends = append(
+			r.backends,
+			backend{name: name, host: n % config.Hosts, pacer: reportpacing.New(reports, r.rand.Uint64())},
 		)
 		members = append(members, coldstart.Member{
 			Name:  coldstart.MemberName(name),
 			Group: coldstart.GroupName(fmt.Sprint("g", n%3)),
-			Host:  fmt.Sprint("h", n%t.Hosts),
+			Host:  fmt.Sprint("h", n%config.Hosts),
 		})
 	}
 	if p.MaxStarting < 0 {
 		bound := int64(-p.MaxStarting)
 		var err error
-		if w.coldStart, err = coldstart.New("r", coldstart.Config{
+		if r.coldStart, err = coldstart.New("r", coldstart.Config{
 			MaxConcurrent:     bound,
 			InitialConcurrent: min(2, bound),
 			MinServing:        0.1,
@@ -199,189 +200,187 @@
 			return nil, err
 		}
 	}
-	for i := range w.backends {
-		w.schedule(time.Duration(w.rand.Int64N(int64(maxFirstStart))), eventStart, i, 0)
+	for i := range r.backends {
+		r.schedule(time.Duration(r.rand.Int64N(int64(maxInitialDelay))), eventStart, i, 0)
 	}
-	return w, nil
+	return r, nil
 }
 
-// readyAt returns when a share of the backends was ready, in seconds; -1: never.
-func (w *run) readyAt(share float64) float64 {
-	n := int(share*float64(len(w.backends)) + 0.999)
-	if n > len(w.readyTimes) {
+// readyAt returns the time at which a share of the backends was ready, in seconds, or -1 if that never happened.
+func (r *run) readyAt(share float64) float64 {
+	n := int(share*float64(len(r.backends)) + 0.999)
+	if n > len(r.readyTimes) {
 		return -1
 	}
-	return w.readyTimes[n-1].Seconds()
+	return r.readyTimes[n-1].Seconds()
 }
 
-// schedule adds an event after a delay.
-func (w *run) schedule(after time.Duration, kind eventKind, index, reference int) {
-	w.sequence++
-	heap.Push(&w.queue, event{at: w.now + after, kind: kind, index: index, reference: reference, sequence: w.sequence})
+// schedule schedules an event after a delay.
+func (r *run) schedule(after time.Duration, kind eventKind, index, reference int) {
+	r.sequence++
+	heap.Push(&r.queue, event{at: r.now + after, kind: kind, index: index, reference: reference, sequence: r.sequence})
 }
 
-// micros converts a duration to whole microseconds.
-
 // handle executes one event.
-func (w *run) handle(e event) {
-	b := &w.backends[e.index]
+func (r *run) handle(e event) {
+	b := &r.backends[e.index]
 	switch e.kind {
 	case eventStart:
-		w.start(e.index)
+		r.start(e.index)
 	case eventCall:
-		w.callDependency(e.index)
+		r.callDependency(e.index)
 	case eventCallDone:
-		if !b.calling || b.callNumber != e.reference { // it was lost in a collapse
+		if !b.calling || b.callNumber != e.reference { // the call failed in a collapse
 			return
 		}
 		b.calling = false
-		w.callsInFlight--
-		w.schedule(w.config.StartDuration/4, eventReady, e.index, 0)
+		r.callsInFlight--
+		r.schedule(r.config.StartDuration/4, eventReady, e.index, 0)
 	case eventReady:
-		w.endStart(e.index, true)
+		r.endStart(e.index, true)
 	case eventReportDue:
 		if e.reference == b.reportTimer {
-			w.report(e.index)
+			r.report(e.index)
 		}
 	case eventPauseOver:
-		w.coldStart.EndPause(uint64(e.reference))
+		r.coldStart.EndPause(uint64(e.reference))
 	case eventReportAnswered:
-		w.reportAnswered(e.index, e.reference)
+		r.reportAnswered(e.index, e.reference)
 	}
 }
 
-// start starts a backend if the policy allows it; else it tries again a little later, as agents do.
-func (w *run) start(index int) {
-	b := &w.backends[index]
-	may := true
+// start starts a backend if the policy allows it. Otherwise it schedules the next attempt, as agents do.
+func (r *run) start(index int) {
+	b := &r.backends[index]
+	allowed := true
 	switch {
-	case w.policy.MaxStarting > 0:
-		may = w.starting < w.policy.MaxStarting
-	case w.coldStart != nil:
-		may, _ = w.coldStart.RequestStart(coldstart.MemberName(b.name))
+	case r.policy.MaxStarting > 0:
+		allowed = r.starting < r.policy.MaxStarting
+	case r.coldStart != nil:
+		allowed, _ = r.coldStart.RequestStart(coldstart.MemberName(b.name))
 	}
-	if !may {
-		w.schedule(startPoll+time.Duration(w.rand.Int64N(int64(startPollRange))), eventStart, index, 0)
+	if !allowed {
+		r.schedule(startRetryDelay+time.Duration(r.rand.Int64N(int64(startRetryJitter))), eventStart, index, 0)
 		return
 	}
-	b.starting, b.startedAt = true, w.now
-	w.starting++
-	w.startsByHost[b.host]++
-	w.result.PeakStarting = max(w.result.PeakStarting, w.starting)
-	slower := max(1, float64(w.startsByHost[b.host])/float64(w.config.UncontendedStarts))
-	takes := time.Duration(float64(w.config.StartDuration) * (0.5 + w.rand.Float64()*0.5) * slower)
-	w.schedule(takes, eventCall, index, 0)
+	b.starting, b.startedAt = true, r.now
+	r.starting++
+	r.startsByHost[b.host]++
+	r.result.PeakStarting = max(r.result.PeakStarting, r.starting)
+	slowdown := max(1, float64(r.startsByHost[b.host])/float64(r.config.UncontendedStarts))
+	duration := time.Duration(float64(r.config.StartDuration) * (0.5 + r.rand.Float64()*0.5) * slowdown)
+	r.schedule(duration, eventCall, index, 0)
 }
 
-// callDependency sends the call of a start to the dependency.
-func (w *run) callDependency(index int) {
-	b := &w.backends[index]
-	w.result.DependencyCalls++
-	if w.now < w.dependencyDownUntil { // and down for longer, as it was called again
-		w.dependencyDownUntil = w.now + w.config.Dependency.Recovery
-		w.endStart(index, false)
+// callDependency sends the call of a starting backend to the dependency.
+func (r *run) callDependency(index int) {
+	b := &r.backends[index]
+	r.result.DependencyCalls++
+	if r.now < r.dependencyDownUntil { // a call delays the recovery
+		r.dependencyDownUntil = r.now + r.config.Dependency.Recovery
+		r.endStart(index, false)
 		return
 	}
-	w.callsInFlight++
+	r.callsInFlight++
 	b.callNumber++
 	b.calling = true
-	if w.config.Dependency.CollapseAt > 0 && w.callsInFlight > w.config.Dependency.CollapseAt {
-		w.result.DependencyCollapses++
-		w.dependencyDownUntil = w.now + w.config.Dependency.Recovery
-		for i := range w.backends {
-			if o := &w.backends[i]; o.calling {
-				o.calling = false
-				w.endStart(i, false)
+	if r.config.Dependency.CollapseAt > 0 && r.callsInFlight > r.config.Dependency.CollapseAt {
+		r.result.DependencyCollapses++
+		r.dependencyDownUntil = r.now + r.config.Dependency.Recovery
+		for i := range r.backends {
+			if other := &r.backends[i]; other.calling {
+				other.calling = false
+				r.endStart(i, false)
 			}
 		}
-		w.callsInFlight = 0
+		r.callsInFlight = 0
 		return
 	}
-	overload := max(1, float64(w.callsInFlight)/float64(w.config.Dependency.Concurrency))
-	w.schedule(
-		time.Duration(float64(w.config.Dependency.Latency)*overload*overload),
+	overload := max(1, float64(r.callsInFlight)/float64(r.config.Dependency.Concurrency))
+	r.schedule(
+		time.Duration(float64(r.config.Dependency.Latency)*overload*overload),
 		eventCallDone,
 		index,
 		b.callNumber,
 	)
 }
 
-// endStart ends a start. A failed one is relaunched after a backoff.
-func (w *run) endStart(index int, well bool) {
-	b := &w.backends[index]
+// endStart ends a start. A backend that failed to start is relaunched after a backoff.
+func (r *run) endStart(index int, succeeded bool) {
+	b := &r.backends[index]
 	if !b.starting {
 		return
 	}
 	b.starting = false
-	w.starting--
-	w.startsByHost[b.host]--
-	if w.coldStart != nil {
-		no := w.coldStart.PauseNumber
-		w.coldStart.Report(coldstart.MemberName(b.name), coldstart.Outcome{
-			Ready: well, Took: monotime.FromDuration(w.now - b.startedAt), Cause: "the service below",
+	r.starting--
+	r.startsByHost[b.host]--
+	if r.coldStart != nil {
+		pauseNumber := r.coldStart.PauseNumber
+		r.coldStart.Report(coldstart.MemberName(b.name), coldstart.Outcome{
+			Ready: succeeded, Took: monotime.FromDuration(r.now - b.startedAt), Cause: "the dependency failed",
 		})
-		if w.coldStart.PauseNumber != no {
-			w.schedule(
-				time.Duration(w.coldStart.Pause)*time.Microsecond,
+		if r.coldStart.PauseNumber != pauseNumber {
+			r.schedule(
+				time.Duration(r.coldStart.Pause)*time.Microsecond,
 				eventPauseOver,
 				index,
-				int(w.coldStart.PauseNumber),
+				int(r.coldStart.PauseNumber),
 			)
 		}
 	}
-	if !well {
+	if !succeeded {
 		b.failures++
-		w.schedule(w.config.RelaunchBackoff.Pause(b.failures+1, w.rand), eventStart, index, 0)
+		r.schedule(r.config.RelaunchBackoff.Pause(b.failures+1, r.rand), eventStart, index, 0)
 		return
 	}
 	b.ready = true
-	w.readyTimes = append(w.readyTimes, w.now)
-	b.pacer.Start(monotime.FromDuration(w.now))
-	w.scheduleReport(index)
+	r.readyTimes = append(r.readyTimes, r.now)
+	b.pacer.Start(monotime.FromDuration(r.now))
+	r.scheduleReport(index)
 }
 
-// scheduleReport sets a backend's report timer by its pacer.
-func (w *run) scheduleReport(index int) {
-	b := &w.backends[index]
+// scheduleReport schedules the report timer of a backend for the time that its pacer sets.
+func (r *run) scheduleReport(index int) {
+	b := &r.backends[index]
 	b.reportTimer++
 	if at, room := b.pacer.Due(); room {
-		w.schedule(max(0, time.Duration(at)*time.Microsecond-w.now), eventReportDue, index, b.reportTimer)
+		r.schedule(max(0, time.Duration(at)*time.Microsecond-r.now), eventReportDue, index, b.reportTimer)
 	}
 }
 
 // report sends a load report to the endpoint registry.
-func (w *run) report(index int) {
-	b := &w.backends[index]
-	b.pacer.Started(monotime.FromDuration(w.now))
-	w.scheduleReport(index)
-	r := &w.config.Registry
-	p := r.At(w.now)
-	w.reports = append(w.reports, faultinjectioncoldstart.Call{Name: b.name, At: w.now})
-	call := len(w.reports) - 1
-	w.reportsInFlight++
-	if r.MaxOpenCalls > 0 && w.reportsInFlight > r.MaxOpenCalls && w.now >= w.registryDownUntil {
-		w.registryCollapses++
-		w.registryDownUntil = w.now + r.RecoveryTime
+func (r *run) report(index int) {
+	b := &r.backends[index]
+	b.pacer.Started(monotime.FromDuration(r.now))
+	r.scheduleReport(index)
+	registry := &r.config.Registry
+	phase := registry.At(r.now)
+	r.reports = append(r.reports, faultinjectioncoldstart.Call{Name: b.name, At: r.now})
+	call := len(r.reports) - 1
+	r.reportsInFlight++
+	if registry.MaxOpenCalls > 0 && r.reportsInFlight > registry.MaxOpenCalls && r.now >= r.registryDownUntil {
+		r.registryCollapses++
+		r.registryDownUntil = r.now + registry.RecoveryTime
 	}
-	takes := p.ResponseTime + time.Duration(w.rand.Int64N(int64(time.Millisecond)))
-	w.reports[call].Counted = p.Mode == faultinjectioncoldstart.Takes && w.now >= w.registryDownUntil ||
-		p.Mode == faultinjectioncoldstart.Half && w.rand.IntN(2) == 0
-	w.schedule(takes, eventReportAnswered, index, call)
+	duration := phase.ResponseTime + time.Duration(r.rand.Int64N(int64(time.Millisecond)))
+	r.reports[call].Counted = phase.Mode == faultinjectioncoldstart.Takes && r.now >= r.registryDownUntil ||
+		phase.Mode == faultinjectioncoldstart.Half && r.rand.IntN(2) == 0
+	r.schedule(duration, eventReportAnswered, index, call)
 }
 
 // reportAnswered passes the registry's answer to a backend's pacer.
-func (w *run) reportAnswered(index, call int) {
-	b := &w.backends[index]
-	w.reportsInFlight--
-	c := &w.reports[call]
+func (r *run) reportAnswered(index, call int) {
+	b := &r.backends[index]
+	r.reportsInFlight--
+	c := &r.reports[call]
 	if c.Counted {
-		b.pacer.Succeeded(monotime.FromDuration(w.now), monotime.FromDuration(c.At))
+		b.pacer.Succeeded(monotime.FromDuration(r.now), monotime.FromDuration(c.At))
 	} else {
 		b.pacer.Failed(
-			monotime.FromDuration(w.now),
+			monotime.FromDuration(r.now),
 			reportpacing.Rejected,
-			monotime.FromDuration(w.config.Registry.At(c.At).RetryAfter),
+			monotime.FromDuration(r.config.Registry.At(c.At).RetryAfter),
 		)
 	}
-	w.scheduleReport(index)
+	r.scheduleReport(index)
 }
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -17,10 +17,11 @@
 	"milletbarrow/monotime"
 )
 
-// Default returns a typical installation: a registry that rejects reports for ten seconds, and a dependency that
-// collapses when a tenth of all backends call it at once and recovers after five seconds without a call.
+// Default returns the configuration of a typical installation. Its registry rejects reports for the first ten seconds.
+// Its dependency collapses when more than a tenth of all backends call it at once, and recovers after five seconds
+// without a call.
 func Default(backends int) Config {
-	b := limits.For(1, 192, 1024)
+	bounds := limits.For(1, 192, 1024)
 	return Config{
 		Backends:          backends,
 		Hosts:             max(1, backends/30),
@@ -40,21 +41,21 @@
 			Recovery:    5 * time.Second,
 		},
 		Reports: reportpacing.Config{
-			Interval:      monotime.FromDuration(b.ReportInterval),
-			TTL:           monotime.FromDuration(b.RegistrationTTL),
-			RetryMin:      monotime.FromDuration(b.ReportRetryMin),
-			RetryRefused:  monotime.FromDuration(b.ReportRetryRefused),
-			RetryInitial:  monotime.FromDuration(b.ReportRetryInitial),
-			RetryMax:      monotime.FromDuration(b.ReportRetryMax),
-			RetryAfterMax: monotime.FromDuration(b.RetryAfterMax),
-			InFlight:      b.ReportsInFlight,
+			Interval:      monotime.FromDuration(bounds.ReportInterval),
+			TTL:           monotime.FromDuration(bounds.RegistrationTTL),
+			RetryMin:      monotime.FromDuration(bounds.ReportRetryMin),
+			RetryRefused:  monotime.FromDuration(bounds.ReportRetryRefused),
+			RetryInitial:  monotime.FromDuration(bounds.ReportRetryInitial),
+			RetryMax:      monotime.FromDuration(bounds.ReportRetryMax),
+			RetryAfterMax: monotime.FromDuration(bounds.RetryAfterMax),
+			InFlight:      bounds.ReportsInFlight,
 		},
 		RelaunchBackoff: fleet.DefaultConfig(limits.ForControl(), 1).RelaunchBackoff,
 	}
 }
 
-// Policies returns the policies that a study compares for that many backends: the former behaviour, each part of the
-// cold start alone, fixed bounds of concurrent starts, and the cold start.
+// Policies returns the policies that a study compares for a number of backends: no cold start, each part of the cold
+// start alone, fixed limits of concurrent starts, and the cold start. The names are part of stored results.
 func Policies(backends int) []Policy {
 	return []Policy{
 		{
@@ -82,7 +83,7 @@
 	}
 }
 
-// Row is one policy at one size, over all seeds.
+// Row is the result of one policy for one number of backends, over all seeds.
 type Row struct {
 	Backends int               `json:"backends"`
 	Policy   string            `json:"policy"`
@@ -90,15 +91,15 @@
 	Seeds    int               `json:"seeds"`
 }
 
-// Figure is a mean with half the width of its 95% confidence interval.
+// Figure is a mean and half the width of its 95% confidence interval.
 type Figure struct {
 	Mean         float64 `json:"mean"`
 	HalfInterval float64 `json:"half"`
-	Never        int     `json:"out,omitempty"` // runs in which it was never reached
+	Never        int     `json:"out,omitempty"` // number of runs that never reached the state
 }
 
-// measures are the figures of a study, by their names in JSON.
-var measures = []struct {
+// studyFigures are the figures of a study, with their names in JSON.
+var studyFigures = []struct {
 	name string
 	of   func(*Result) float64
 }{
@@ -126,7 +127,7 @@
 	{"starting", func(r *Result) float64 { return float64(r.PeakStarting) }},
 }
 
-// Study plays all policies at all sizes, as many runs at once as there are cores. logf reports progress.
+// Study simulates all policies for all sizes, with as many concurrent runs as there are cores. logf reports progress.
 func Study(sizes []int, seeds int, logf func(string, ...any)) (rows []Row, err error) {
 	for _, n := range sizes {
 		for _, p := range Policies(n) {
@@ -141,7 +142,7 @@
 	return rows, nil
 }
 
-// studyPolicy plays one policy at one size on seeds from 1.
+// studyPolicy simulates one policy for one number of backends with seeds from 1.
 func studyPolicy(backends int, p Policy, seeds int) (Row, error) {
 	results := make([]*Result, seeds)
 	var group errgroup.Group
@@ -156,7 +157,7 @@
 		return Row{}, err
 	}
 	row := Row{Backends: backends, Policy: p.Name, Seeds: seeds, Figures: map[string]Figure{}}
-	for _, m := range measures {
+	for _, m := range studyFigures {
 		values := make([]float64, 0, seeds)
 		for _, result := range results {
 			values = append(values, m.of(result))
@@ -166,31 +167,33 @@
 	return row, nil
 }
 
-// studentT95 is Student's t for a two-sided 95% interval, by degrees of freedom from 1.
+// studentT95 holds the quantiles of Student's t for a two-sided 95% interval, by degrees of freedom from 1.
 var studentT95 = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}
 
-// estimate returns the mean of the values that are not negative, which stand for never.
-func estimate(all []float64) (f Figure) {
-	var v []float64
-	for _, x := range all {
-		if x < 0 {
+// estimate returns the mean of the values that are not negative. A negative value stands for never.
+func estimate(values []float64) (f Figure) {
+	var reached []float64
+	for _, value := range values {
+		if value < 0 {
 			f.Never++
 		} else {
-			v = append(v, x)
+			reached = append(reached, value)
 		}
 	}
-	if len(v) == 0 {
+	if len(reached) == 0 {
 		return f
 	}
-	for _, x := range v {
-		f.Mean += x / float64(len(v))
+	for _, value := range reached {
+		f.Mean += value / float64(len(reached))
 	}
-	if len(v) > 1 {
+	if len(reached) > 1 {
 		sum := 0.0
-		for _, x := range v {
-			sum += (x - f.Mean) * (x - f.Mean)
+		for _, value := range reached {
+			sum += (value - f.Mean) * (value - f.Mean)
 		}
-		f.HalfInterval = studentT95[min(len(v)-1, len(studentT95))-1] * math.Sqrt(sum/float64(len(v)-1)/float64(len(v)))
+		freedom := len(reached) - 1
+		f.HalfInterval = studentT95[min(freedom, len(studentT95))-1] *
+			math.Sqrt(sum/float64(freedom)/float64(len(reached)))
 	}
 	return f
 }
@@ -199,7 +202,9 @@
 func Print(w io.Writer, rows []Row) {
 	fmt.Fprintln(
 		w,
-		"| backends | policy | calls while refused, of ordinary | fullest tenth after | once listed | 95 in 100 listed, s | half warm, s | 95 in 100 warm, s | warm at 120 s | below fell | calls below |",
+		"| backends | policy | calls while rejected, of usual rate | busiest tenth of a second after, of usual rate "+
+			"| busiest tenth once all listed, of mean | 95% listed, s | 50% ready, s | 95% ready, s "+
+			"| ready at 120 s | dependency collapses | dependency calls |",
 	)
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	cell := func(r *Row, name string, digits int) string {
@@ -215,15 +220,18 @@
 	for i := range rows {
 		r := &rows[i]
 		fmt.Fprintf(w, "| %d | %s |", r.Backends, r.Policy)
-		for _, c := range []struct {
+		for _, column := range []struct {
 			name   string
 			digits int
-		}{{"refusing", 2}, {"first", 2}, {"peak", 2}, {"listed95_s", 1}, {"warm50_s", 1}, {"warm95_s", 1}, {"warm", 0}, {"below_fell", 1}, {"below_calls", 0}} {
-			fmt.Fprintf(w, " %s |", cell(r, c.name, c.digits))
+		}{
+			{"refusing", 2}, {"first", 2}, {"peak", 2}, {"listed95_s", 1}, {"warm50_s", 1}, {"warm95_s", 1},
+			{"warm", 0}, {"below_fell", 1}, {"below_calls", 0},
+		} {
+			fmt.Fprintf(w, " %s |", cell(r, column.name, column.digits))
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// Sizes returns the numbers of backends of the recorded studies.
+// Sizes returns the numbers of backends in the recorded studies.
 func Sizes() []int { return slices.Clone([]int{330, 1200, 5000}) }
