--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -7,29 +7,29 @@
 	"milletbarrow/monotime"
 )
 
-// Arrival is one request of a day as its caller sends it.
+// Arrival is one request of the simulated day, as its caller sends it.
 type Arrival struct {
-	At                      monotime.Micros // when it is sent
+	At                      monotime.Micros // time at which it is sent
 	Node, Operation, Tenant int
 	Work                    float64         // core time, microseconds
-	Hint                    monotime.Micros // expected work sent along; 0: none
+	Hint                    monotime.Micros // expected work, sent with the request; 0: none
 }
 
-// Stream generates the requests of a day, in order of time: open loop, and the same for the same scenario and seed,
-// whatever the answers are. The simulation plays it; the load generator sends it over sockets. A Stream is for one
-// goroutine.
+// Stream generates the requests of a day in order of time. It is open loop: its requests depend on the scenario and the
+// seed only, not on the answers. The simulation runs it, and the load generator sends it over sockets. A Stream must
+// not be used by several goroutines at once.
 type Stream struct {
 	scenario         *Scenario
 	rand             *rand.Rand
 	nextAt           float64
-	maxRate          float64         // highest rate of the day, in requests a microsecond
-	cumulativeShares []float64       // of the operations, cumulative
-	burstUntil       monotime.Micros // of a bursty load: when the present phase ends
+	maxRate          float64         // upper bound of the rate over the day, in requests per microsecond
+	cumulativeShares []float64       // by operation: sum of the shares up to and including it
+	burstUntil       monotime.Micros // end of the current phase of a bursty load
 	burstOn          bool
-	replayed         int // requests of a recorded load so far
+	replayed         int // number of requests of a recorded load returned so far
 }
 
-// NewStream starts the stream of a scenario's day.
+// NewStream returns the stream of requests of a scenario, from the start of the day.
 func NewStream(s *Scenario, seed uint64) *Stream {
 	st := &Stream{scenario: s, rand: rand.New(rand.NewPCG(seed, 1)), maxRate: s.Capacity() / 1e6 * s.peakLevel()}
 	sum := 0.0
@@ -40,29 +40,29 @@
 	return st
 }
 
-// peakLevel returns an upper bound of the load over the day, as a part of capacity.
+// peakLevel returns an upper bound of the load over the day, as a fraction of capacity.
 func (s *Scenario) peakLevel() float64 {
-	top := s.Load.Level
+	peak := s.Load.Level
 	switch s.Load.Shape {
 	case Ramp, Step, DueDate:
-		top = max(s.Load.Level, s.Load.PeakLevel)
+		peak = max(s.Load.Level, s.Load.PeakLevel)
 	case Wave, Bursty:
-		top = s.Load.Level * (1 + s.Load.Swing)
+		peak = s.Load.Level * (1 + s.Load.Swing)
 	}
-	for _, t := range s.Faults {
-		if t.Kind == Burst || t.Kind == TenantBurst {
-			top *= max(1, t.Factor)
+	for _, fault := range s.Faults {
+		if fault.Kind == Burst || fault.Kind == TenantBurst {
+			peak *= max(1, fault.Factor)
 		}
 	}
-	return top
+	return peak
 }
 
-// activeAt reports whether the fault lasts at that time.
+// activeAt reports whether the fault is in effect at a time.
 func (fault *Fault) activeAt(now monotime.Micros) bool {
 	return now >= fault.At && now < fault.At+max(fault.Duration, 1)
 }
 
-// tenantWeight returns a tenant's share of the load at a time, with its bursts; the shares need not add up to 1.
+// tenantWeight returns a tenant's share of the load at a time, bursts included. The shares need not add up to 1.
 func (s *Scenario) tenantWeight(tenant int, now monotime.Micros) float64 {
 	x := s.Tenants[tenant].Share
 	for i := range s.Faults {
@@ -73,15 +73,15 @@
 	return x
 }
 
-// level returns the load at a time, as a part of capacity.
+// level returns the load at a time, as a fraction of capacity.
 func (st *Stream) level(now monotime.Micros) float64 {
 	l := &st.scenario.Load
-	x, part := l.Level, float64(now)/float64(st.scenario.Duration)
+	x, elapsed := l.Level, float64(now)/float64(st.scenario.Duration)
 	switch l.Shape {
 	case Ramp:
-		x += (l.PeakLevel - l.Level) * part
+		x += (l.PeakLevel - l.Level) * elapsed
 	case Step:
-		if part >= 1.0/3 && part < 2.0/3 {
+		if elapsed >= 1.0/3 && elapsed < 2.0/3 {
 			x = l.PeakLevel
 		}
 	case Wave:
@@ -97,10 +97,10 @@
 			x *= 1 - l.Swing
 		}
 	case DueDate:
-		if part < 2.0/3 {
-			x += (l.PeakLevel - l.Level) * part * 1.5
+		if elapsed < 2.0/3 {
+			x += (l.PeakLevel - l.Level) * elapsed * 1.5
 		} else {
-			x = l.PeakLevel - (l.PeakLevel-l.Level)*(part-2.0/3)*3
+			x = l.PeakLevel - (l.PeakLevel-l.Level)*(elapsed-2.0/3)*3
 		}
 	}
 	for i := range st.scenario.Faults {
@@ -109,27 +109,27 @@
 		}
 	}
 	if len(st.scenario.Tenants) > 0 { // a tenant's burst adds to the total load
-		usual, present := 0.0, 0.0
+		base, current := 0.0, 0.0
 		for i, t := range st.scenario.Tenants {
-			usual, present = usual+t.Share, present+st.scenario.tenantWeight(i, now)
+			base, current = base+t.Share, current+st.scenario.tenantWeight(i, now)
 		}
-		x *= present / max(usual, 1e-9)
+		x *= current / max(base, 1e-9)
 	}
 	return x
 }
 
-// pick returns the first of n indexes whose upper bound lies above x, else the last.
-func pick(x float64, n int, upTo func(int) float64) int {
+// pickIndex returns the first of n indexes whose upper bound is greater than x, or the last index if there is none.
+func pickIndex(x float64, n int, upperBound func(int) float64) int {
 	for i := range n {
-		if x < upTo(i) {
+		if x < upperBound(i) {
 			return i
 		}
 	}
 	return n - 1
 }
 
-// Next returns the next request, and false at the end of the day. A Poisson stream of the highest rate is thinned to
-// the rate of the moment.
+// Next returns the next request, or false at the end of the day. Arrivals are a Poisson process of the highest rate,
+// thinned to the current rate.
 func (st *Stream) Next() (a Arrival, more bool) {
 	s := st.scenario
 	if s.Load.Shape == Replay {
@@ -145,7 +145,7 @@
 			Tenant:    r.Tenant,
 			Work:      float64(r.Work),
 		}
-		st.hint(&a)
+		st.setHint(&a)
 		return a, true
 	}
 	if st.maxRate <= 0 {
@@ -153,7 +153,7 @@
 	}
 	for {
 		st.nextAt += st.rand.ExpFloat64() / st.maxRate
-		if st.nextAt >= float64(s.Duration) { // also where it is infinite
+		if st.nextAt >= float64(s.Duration) { // true also for +Inf
 			return a, false
 		}
 		if a.At = monotime.Micros(st.nextAt); st.rand.Float64()*st.maxRate <= st.level(a.At)*s.Capacity()/1e6 {
@@ -161,38 +161,38 @@
 		}
 	}
 	a.Node = st.rand.IntN(s.Nodes.Count)
-	a.Operation = pick(
+	a.Operation = pickIndex(
 		st.rand.Float64()*st.cumulativeShares[len(st.cumulativeShares)-1],
 		len(st.cumulativeShares),
 		func(i int) float64 { return st.cumulativeShares[i] },
 	)
 	if len(s.Tenants) > 0 {
-		sum, to := 0.0, 0.0
+		sum, cumulative := 0.0, 0.0
 		for i := range s.Tenants {
 			sum += s.tenantWeight(i, a.At)
 		}
-		a.Tenant = pick(
+		a.Tenant = pickIndex(
 			st.rand.Float64()*sum,
 			len(s.Tenants),
-			func(i int) float64 { to += s.tenantWeight(i, a.At); return to },
+			func(i int) float64 { cumulative += s.tenantWeight(i, a.At); return cumulative },
 		)
 	}
 	op := &s.Operations[a.Operation]
 	a.Work = float64(op.Work) * math.Exp(op.WorkSigma*st.rand.NormFloat64()-op.WorkSigma*op.WorkSigma/2)
-	st.hint(&a)
+	st.setHint(&a)
 	return a, true
 }
 
-// hint draws the expected work that is sent along, and keeps the work within bounds.
-func (st *Stream) hint(a *Arrival) {
+// setHint draws the expected work that is sent with the request, and limits the work to its bounds.
+func (st *Stream) setHint(a *Arrival) {
 	op := &st.scenario.Operations[a.Operation]
-	lie := op.HintFactor * math.Exp(op.HintSigma*st.rand.NormFloat64())
+	factor := op.HintFactor * math.Exp(op.HintSigma*st.rand.NormFloat64())
 	a.Work = min(max(a.Work, 50), 60e6)
 	if op.HintFactor <= 0 {
 		return
 	}
 	if len(st.scenario.Tenants) > 0 && st.scenario.Tenants[a.Tenant].HintFactor > 0 {
-		lie *= st.scenario.Tenants[a.Tenant].HintFactor
+		factor *= st.scenario.Tenants[a.Tenant].HintFactor
 	}
-	a.Hint = max(1, monotime.Micros(a.Work*lie))
+	a.Hint = max(1, monotime.Micros(a.Work*factor))
 }
--- a/internal/simulation/balance.go
+++ b/internal/simulation/balance.go
@@ -4,44 +4,44 @@
 	"math"
 )
 
-// chooseSlot returns the slot for an attempt, or none where the list is empty or all of its hosts are to be avoided for
-// now.
+// chooseSlot returns the slot of the host that an attempt is sent to, or none if the node's endpoint list is empty or
+// all of its hosts must be avoided at present.
 func (w *world) chooseSlot(req *request, n *node) int32 {
-	v := n.view
-	if len(v) == 0 {
+	view := n.view
+	if len(view) == 0 {
 		return none
 	}
 	usable := func(k int32) bool {
-		return n.slots[k].avoidUntil <= w.now && (k != req.lastSlot || len(v) == 1)
+		return n.slots[k].avoidUntil <= w.now && (k != req.lastSlot || len(view) == 1)
 	}
 	if k := w.balancedSlot(n, usable); k != none {
 		return k
 	}
-	for range v { // round robin, also where the balancing policy found nothing
+	for range view { // round robin, also as a fallback if the balancing policy found no usable host
 		n.nextSlot++
-		if k := v[n.nextSlot%len(v)]; usable(k) {
+		if k := view[n.nextSlot%len(view)]; usable(k) {
 			return k
 		}
 	}
-	if req.attempts == 0 { // a first attempt is sent even to a host that asked to stay away
+	if req.attempts == 0 { // a first attempt is sent even if all hosts must be avoided
 		n.nextSlot++
-		return v[n.nextSlot%len(v)]
+		return view[n.nextSlot%len(view)]
 	}
 	return none
 }
 
-// balancedSlot returns the choice of the node's balancing policy, or none.
+// balancedSlot returns the slot that the balancing policy chooses, or none.
 func (w *world) balancedSlot(n *node, usable func(int32) bool) int32 {
-	v := n.view
+	view := n.view
 	switch w.policy.balance(w.scenario) {
 	case Random:
 		for range 4 {
-			if k := v[w.nodeRand.IntN(len(v))]; usable(k) {
+			if k := view[w.nodeRand.IntN(len(view))]; usable(k) {
 				return k
 			}
 		}
 	case TwoChoices:
-		x, y := v[w.nodeRand.IntN(len(v))], v[w.nodeRand.IntN(len(v))]
+		x, y := view[w.nodeRand.IntN(len(view))], view[w.nodeRand.IntN(len(view))]
 		if !usable(x) || usable(y) && n.slots[y].inFlight < n.slots[x].inFlight {
 			x = y
 		}
@@ -56,25 +56,27 @@
 	return none
 }
 
-// leastLoad returns the usable host with the least expected wait; ties go to the first from a random index on.
+// leastLoad returns the slot of the usable host with the lowest expected wait. The scan starts at a random index; the
+// first of equal hosts is chosen.
 func (w *world) leastLoad(n *node, usable func(int32) bool) int32 {
-	v := n.view
+	view := n.view
 	best, least := none, 0.0
-	from := w.nodeRand.IntN(len(v))
-	for i := range v {
-		k := v[(from+i)%len(v)]
-		if load := float64(n.slots[k].inFlight+1) * n.slots[k].latency; usable(k) && (best == none || load < least) {
+	from := w.nodeRand.IntN(len(view))
+	for i := range view {
+		k := view[(from+i)%len(view)]
+		load := float64(n.slots[k].inFlight+1) * n.slots[k].latency
+		if usable(k) && (best == none || load < least) {
 			best, least = k, load
 		}
 	}
 	return best
 }
 
-// oracleDelay is the age of the oracle's knowledge.
+// oracleDelay is the interval at which the oracle samples the hosts.
 const oracleDelay = 100 * Millisecond
 
-// leastTrueLoad returns what an oracle would choose: the host with the least work in flight by its speed, as it was 0.1
-// s ago. The oracle knows what it has sent since.
+// leastTrueLoad returns the slot of the host with the fewest attempts in flight, relative to its speed, at the latest
+// sample of all hosts. Attempts sent since then are added.
 func (w *world) leastTrueLoad(n *node) int32 {
 	if w.now >= w.oracleAt+oracleDelay {
 		w.oracleAt = w.now
--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-// dayOfSize is a typical day of 60 s at a size, with two thirds as many nodes as hosts.
+// dayOfSize returns a typical day of 60 s with a number of hosts, and two thirds as many nodes.
 func dayOfSize(hosts int) Scenario {
 	day := Default()
 	day.Duration = 60 * Second
@@ -22,7 +22,7 @@
 	return day
 }
 
-// BenchmarkDay plays 60 s at several sizes with the module and with the plain pool, whose own cost is small:
+// BenchmarkDay simulates 60 s at several sizes, with the module and with the thread pool, whose own cost is small:
 //
 //	go test ./internal/simulation -run xxx -bench Day -benchtime 1x
 func BenchmarkDay(b *testing.B) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// idlePolicy starts all and decides nothing: what is measured is the simulation's own time.
+// idlePolicy starts each request on arrival, so that only the time of the simulation itself is measured.
 type idlePolicy struct{}
 
 func (idlePolicy) Decide(now monotime.Micros, ev admission.Event, out []admission.Action) []admission.Action {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// BenchmarkBare is the simulation with a policy that takes no time:
+// BenchmarkBare measures the simulation with a policy that takes almost no time:
 //
 //	go test ./internal/simulation -run xxx -bench Bare -benchtime 1x
 func BenchmarkBare(b *testing.B) {
--- a/internal/simulation/dependency.go
+++ b/internal/simulation/dependency.go
@@ -5,8 +5,8 @@
 	"milletbarrow/monotime"
 )
 
-// startCall sends a run's call to the shared dependency.
-func (w *world) startCall(h *host, j int32, within monotime.Micros) {
+// startCall sends the call of a run to the shared dependency.
+func (w *world) startCall(h *host, j int32, timeout monotime.Micros) {
 	att := &w.attempts[j]
 	att.phase = phaseCalling
 	att.callNumber++
@@ -24,7 +24,7 @@
 	w.updateDependency()
 	w.queue.push(
 		event{
-			at:         w.now + max(within, 1),
+			at:         w.now + max(timeout, 1),
 			kind:       evCallTimeout,
 			subject:    j,
 			detail:     int32(att.callNumber),
@@ -33,7 +33,8 @@
 	)
 }
 
-// updateDependency sets the speed of calls after their number changed, and schedules the next completion.
+// updateDependency sets the rate at which calls progress after their number or the speed of the dependency changed, and
+// schedules the next completion.
 func (w *world) updateDependency() {
 	dependency := &w.dependency
 	dependency.rate = 1 / w.dependencySlowdown
@@ -45,7 +46,7 @@
 	}
 }
 
-// completeCalls ends the calls that are due.
+// completeCalls ends the calls whose work is done.
 func (w *world) completeCalls() {
 	dependency := &w.dependency
 	dependency.completionAt = 0
@@ -61,7 +62,7 @@
 	w.updateDependency()
 }
 
-// endCall delivers the result of a call to the policy and resumes or ends the run.
+// endCall reports the outcome of a call to the policy, and resumes or ends the run.
 func (w *world) endCall(j int32, outcome admission.Outcome) {
 	att := &w.attempts[j]
 	h := &w.hosts[att.host]
@@ -79,12 +80,12 @@
 	att = &w.attempts[j]
 	if outcome == admission.OK && att.phase == phaseBeforeCall {
 		w.resumeRun(h, j)
-	} else if att.answers > 0 && att.phase == phaseBeforeCall { // it was answered meanwhile: the run ends
+	} else if att.answers > 0 && att.phase == phaseBeforeCall { // it was answered during the call: end the run
 		w.finishRun(h, j, admission.Errored)
 	}
 }
 
-// resumeRun puts a run back on the cores after its call.
+// resumeRun continues a run on the cores after its call.
 func (w *world) resumeRun(h *host, j int32) {
 	w.attempts[j].phase = phaseRunning
 	w.putOnCores(h, j)
--- a/internal/simulation/dispatch.go
+++ b/internal/simulation/dispatch.go
@@ -4,7 +4,7 @@
 	"milletbarrow/admission"
 )
 
-// handle executes one event. Each group of events has a function of its own; an event belongs to one of them.
+// handle executes one event. Events of hosts, and of requests and attempts, are handled by hostEvent and attemptEvent.
 func (w *world) handle(e *event) {
 	if w.hostEvent(e) || w.attemptEvent(e) {
 		return
@@ -41,10 +41,10 @@
 	}
 }
 
-// hostEvent executes an event of one host, unless that host's process has ended since it was scheduled. It reports
-// whether the event is of this group.
+// hostEvent executes an event of a host, and reports whether the event is of this group. An event of a process is
+// dropped if that process has ended since it was scheduled.
 func (w *world) hostEvent(e *event) bool {
-	var do func(h *host)
+	var handler func(h *host)
 	switch e.kind {
 	case evCores:
 		if h := &w.hosts[e.subject]; h.cores.generation == e.generation {
@@ -55,15 +55,15 @@
 		w.restart(&w.hosts[e.subject])
 		return true
 	case evWake:
-		do = func(h *host) { w.readGauges(h, int64(e.detail)) }
+		handler = func(h *host) { w.readGauges(h, int64(e.detail)) }
 	case evWarmUp:
-		do = w.warmUp
+		handler = w.warmUp
 	case evOverload:
-		do = w.checkOverload
+		handler = w.checkOverload
 	case evExit:
-		do = w.exitProcess
+		handler = w.exitProcess
 	case evLease:
-		do = func(h *host) {
+		handler = func(h *host) {
 			if w.now < w.scenario.Duration {
 				w.renewLeases(h)
 			}
@@ -72,13 +72,13 @@
 		return false
 	}
 	if h := &w.hosts[e.subject]; h.incarnation == e.generation && h.up {
-		do(h)
+		handler(h)
 	}
 	return true
 }
 
-// attemptEvent executes an event of one request or attempt, unless its index was reused since. It reports whether the
-// event is of this group.
+// attemptEvent executes an event of a request or an attempt, and reports whether the event is of this group. The event
+// is dropped if the index of its request or attempt was reused since it was scheduled.
 func (w *world) attemptEvent(e *event) bool {
 	switch e.kind {
 	case evArriveAtHost, evAnswer, evCallerGone, evCallTimeout:
@@ -99,11 +99,11 @@
 func (w *world) handleAttempt(e *event) {
 	switch e.kind {
 	case evArriveAtHost:
-		w.reachHost(e.subject)
+		w.arriveAtHost(e.subject)
 	case evAnswer:
 		w.receiveAnswer(e.subject)
 	case evCallerGone:
-		w.callerLeft(e.subject)
+		w.handleCallerGone(e.subject)
 	case evCallTimeout:
 		if att := &w.attempts[e.subject]; att.phase == phaseCalling && att.callNumber == uint32(e.detail) {
 			w.endCall(e.subject, admission.TimedOut)
@@ -116,7 +116,7 @@
 	req := &w.requests[e.subject]
 	switch {
 	case e.kind == evClientRetry:
-		w.repeatRequest(e.subject)
+		w.resendRequest(e.subject)
 	case req.finished:
 	case e.kind == evClientTimeout:
 		w.failRequest(e.subject, TimedOut)
@@ -127,5 +127,5 @@
 	}
 }
 
-// sameAttempt reports whether the attempt of an event is still the same.
+// sameAttempt reports whether the index of an event's attempt has not been reused since the event was scheduled.
 func (w *world) sameAttempt(e *event) bool { return w.attempts[e.subject].generation == e.generation }
--- a/internal/simulation/errors.go
+++ b/internal/simulation/errors.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// ScenarioError says which field makes a scenario impossible to play, and why.
+// ScenarioError is returned for a scenario that can't be simulated. It names the invalid field.
 type ScenarioError struct {
 	Scenario string
-	Field    string // as in experiment files, such as "hosts.count"
+	Field    string // name as in experiment files, such as "hosts.count"
 	Reason   string
 }
 
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("scenario %s: %s: %s", e.Scenario, e.Field, e.Reason)
 }
 
-// UnknownPolicyError names a policy that does not exist.
+// UnknownPolicyError is returned for the name of a policy that does not exist.
 type UnknownPolicyError struct {
 	Name  string
 	Known []string
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("no policy %q, there are %s", e.Name, strings.Join(e.Known, ", "))
 }
 
-// RecordedError says what is wrong with a line of a recorded load. Line and Column count from 1.
+// RecordedError is returned for an invalid line of a recorded load. Line and Column count from 1.
 type RecordedError struct {
 	File         string
 	Line, Column int
--- a/internal/simulation/errors_test.go
+++ b/internal/simulation/errors_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestErrorTypes: callers can tell a bad scenario, an unknown policy and a bad recorded load apart, and find the place.
-func TestErrorTypes(t *testing.T) {
+// TestErrorsNameInvalidFieldPolicyAndLine checks that callers can distinguish an invalid scenario, an unknown policy
+// and an invalid recorded load by type, and that the errors contain the field, the name and the line.
+func TestErrorsNameInvalidFieldPolicyAndLine(t *testing.T) {
 	day := shortDay()
 	day.Hosts.Count = 0
 	var scenario *ScenarioError
@@ -23,7 +24,7 @@
 	in := "# microseconds operation tenant work\n10 lookup - 500\n20 unknown - 500\n"
 	if _, err := ReadRecorded("load.txt", strings.NewReader(in), &day); !errors.As(err, &recorded) || recorded.Line != 3 || recorded.Column != 1 {
 		t.Errorf("ReadRecorded: %#v", err)
-	} else if want := `load.txt:3:1: operation "unknown" is none of the scenario's`; err.Error() != want {
+	} else if want := `load.txt:3:1: the scenario has no operation "unknown"`; err.Error() != want {
 		t.Errorf("%v, wanted %s", err, want)
 	}
 }
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -2,31 +2,31 @@
 
 import "milletbarrow/monotime"
 
-// eventKind says what an event is. Events of one time are executed in the order in which they were scheduled. Comments
-// name the event's subject and detail.
+// eventKind is the kind of an event. The comments of the kinds name the event's subject and the meaning of its detail.
+// Events at the same time are executed in the order in which they were scheduled.
 type eventKind uint8
 
 const (
 	evArrival       eventKind = iota // the next request arrives
 	evArriveAtHost                   // the attempt reaches its host
 	evCores                          // the host's cores may complete some work
-	evWake                           // the host's policy asked for a reading; detail: its token
+	evWake                           // the host's policy requested a reading of the gauges; detail: its token
 	evAnswer                         // the attempt's answer reaches its node
-	evClientTimeout                  // the request's client timeout
+	evClientTimeout                  // the client timeout of the request expires
 	evRetry                          // the request is retried
-	evHedge                          // the request is hedged, if it is unanswered
+	evHedge                          // the request is hedged, if it is still unanswered
 	evCallerGone                     // the attempt's host is notified that the caller has left
 	evDependency                     // the dependency may complete a call
-	evCallTimeout                    // the attempt's call times out; detail: its number
+	evCallTimeout                    // the attempt's call to the dependency times out; detail: its number
 	evRefresh                        // the node polls the endpoint registry
-	evListed                         // the endpoint registry lists the host (detail 1) or removes it (0)
-	evIdleCheck                      // the node's connection may have been idle for too long; detail: the slot
-	evWarmUp                         // the host's speed rises while it warms up
-	evOverload                       // the host may have been overloaded for too long
-	evFault                          // the fault begins
+	evListed                         // the endpoint registry adds the host (detail 1) or removes it (0)
+	evIdleCheck                      // the node checks a connection for its idle timeout; detail: the slot
+	evWarmUp                         // the host's speed rises by a step of its warm-up
+	evOverload                       // the host is checked for a lasting overload
+	evFault                          // the fault starts
 	evFaultOver                      // the fault ends
-	evExit                           // the host's process exits after a shutdown notice
-	evRestart                        // the host's process is started again
+	evExit                           // the host's process is stopped after its shutdown notice
+	evRestart                        // the host's process is restarted
 	evSampleSecond                   // the state of the fleet is recorded
 	evLease                          // the host renews its quota leases
 	evLeaseExpiry                    // the quota store expires leases
@@ -34,35 +34,35 @@
 	evAgent                          // the agent polls its hosts
 )
 
-// event is kept at 32 bytes, as millions of them are queued.
+// event is a scheduled event. It is kept at 32 bytes because millions of events are queued.
 type event struct {
 	at              monotime.Micros
-	seq             uint64
+	sequence        uint64
 	subject, detail int32
 	generation      uint32
 	kind            eventKind
 }
 
-// before reports whether an event is executed before another.
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+// before reports whether e is executed before o.
+func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.sequence < o.sequence }
 
-// queue holds the scheduled events. Most events come after one of a few fixed delays (the network's, a client's
-// timeout, a tick) and so are scheduled in order of time: these go into lanes, which need no sorting. The rest goes
-// into a heap of four children a node: fewer levels, and siblings share cache lines.
+// queue holds the scheduled events. Most events follow after one of a few fixed delays (the network delay, a client
+// timeout, a tick), so that events of one delay are scheduled in order of time; they are kept in FIFO lanes, which need
+// no sorting. All other events are kept in a 4-ary heap, which has fewer levels than a binary one and whose siblings
+// share cache lines.
 type queue struct {
-	heap  []event
-	lanes []lane
-	seq   uint64
+	heap     []event
+	lanes    []lane
+	sequence uint64
 }
 
-// lane is a ring buffer of events in order of time.
+// lane is a FIFO ring buffer of events in order of time.
 type lane struct {
 	ring       []event // its length is a power of two
 	head, tail uint64
 }
 
-// Indexes of the lanes. Those of client timeouts follow from laneDue on, one for each of the first maxDueLanes
-// operations.
+// Indexes of the lanes. Client timeouts have one lane for each of the first maxDueLanes operations, from laneDue on.
 const (
 	laneNet = iota
 	laneTick
@@ -70,7 +70,7 @@
 	maxDueLanes = 6
 )
 
-// pushLane schedules an event in a lane, or in the heap where it would not be the lane's last.
+// pushLane schedules an event in a lane, or in the heap if the lane does not exist or ends with a later event.
 func (q *queue) pushLane(n int, e event) {
 	if n >= len(q.lanes) {
 		q.push(e)
@@ -83,20 +83,20 @@
 		return
 	}
 	if l.tail-l.head == uint64(len(l.ring)) {
-		wider := make([]event, max(64, 2*len(l.ring)))
+		grown := make([]event, max(64, 2*len(l.ring)))
 		for i := l.head; i < l.tail; i++ {
-			wider[i&uint64(len(wider)-1)] = l.ring[i&mask]
+			grown[i&uint64(len(grown)-1)] = l.ring[i&mask]
 		}
-		l.ring = wider
+		l.ring = grown
 		mask = uint64(len(l.ring) - 1)
 	}
-	q.seq++
-	e.seq = q.seq
+	q.sequence++
+	e.sequence = q.sequence
 	l.ring[l.tail&mask] = e
 	l.tail++
 }
 
-// next removes the earliest event; false where there is none.
+// next removes and returns the earliest event, or returns false if there is none.
 func (q *queue) next() (event, bool) {
 	best, from := (*event)(nil), -1
 	if len(q.heap) > 0 {
@@ -123,22 +123,22 @@
 
 // push schedules an event in the heap.
 func (q *queue) push(e event) {
-	q.seq++
-	e.seq = q.seq
+	q.sequence++
+	e.sequence = q.sequence
 	q.heap = append(q.heap, e)
 	h, i := q.heap, len(q.heap)-1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(&h[up]) {
+		parent := (i - 1) / 4
+		if !e.before(&h[parent]) {
 			break
 		}
-		h[i] = h[up]
-		i = up
+		h[i] = h[parent]
+		i = parent
 	}
 	h[i] = e
 }
 
-// pop removes the earliest event of the heap, which must not be empty.
+// pop removes and returns the earliest event of the heap, which must not be empty.
 func (q *queue) pop() event {
 	h := q.heap
 	top, last := h[0], h[len(h)-1]
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -7,22 +7,24 @@
 	"milletbarrow/monotime"
 )
 
-// randomHosts draws a share of the hosts, at least one where the share is above 0.
+// randomHosts draws a share of the hosts at random, at least one host if the share is above 0.
 func (w *world) randomHosts(share float64) []int32 {
 	n := int(math.Ceil(share * float64(len(w.hosts))))
-	all := w.faultRand.Perm(len(w.hosts))
-	some := make([]int32, 0, n)
-	for _, i := range all[:n] {
-		some = append(some, int32(i))
+	permutation := w.faultRand.Perm(len(w.hosts))
+	hosts := make([]int32, 0, n)
+	for _, i := range permutation[:n] {
+		hosts = append(hosts, int32(i))
 	}
-	return some
+	return hosts
 }
 
-// beginFault begins a fault; bursts are part of the load. The affected hosts are drawn by a generator of its own, so
-// that they are the same for all policies.
+// beginFault starts a fault. Bursts of load are applied by Stream instead. The affected hosts are drawn from a separate
+// random generator, so that they are the same for all policies.
 func (w *world) beginFault(i int) {
 	fault := &w.scenario.Faults[i]
-	over := func() { w.queue.push(event{at: w.now + max(fault.Duration, 1), kind: evFaultOver, subject: int32(i)}) }
+	scheduleEnd := func() {
+		w.queue.push(event{at: w.now + max(fault.Duration, 1), kind: evFaultOver, subject: int32(i)})
+	}
 	switch fault.Kind {
 	case Death:
 		w.killShare(fault)
@@ -30,13 +32,13 @@
 		for _, n := range w.randomHosts(fault.Share) {
 			w.setSpeed(&w.hosts[n], max(fault.Factor, 1))
 		}
-		over()
+		scheduleEnd()
 	case Gray:
 		w.grayDelay = monotime.Micros(fault.Factor * float64(w.scenario.Nodes.NetworkDelay))
 		for _, n := range w.randomHosts(fault.Share) {
 			w.grayHosts[n] = true
 		}
-		over()
+		scheduleEnd()
 	case NoisyNeighbour:
 		for _, n := range w.randomHosts(fault.Share) {
 			h := &w.hosts[n]
@@ -44,16 +46,16 @@
 			h.coreShare = 1 / max(fault.Factor, 1)
 			w.updateCores(h)
 		}
-		over()
+		scheduleEnd()
 	case Partition:
 		w.partitionShare(fault)
-		over()
+		scheduleEnd()
 	case AgentUnavailable:
 		w.agentsUnavailable = true
-		over()
+		scheduleEnd()
 	case DependencySlow:
 		w.setDependencySpeed(max(fault.Factor, 1e-3))
-		over()
+		scheduleEnd()
 	case Release:
 		if fault.ByFleet {
 			w.startFleetRelease(i)
@@ -63,7 +65,7 @@
 	}
 }
 
-// killShare kills a share of the hosts; each restarts when the fault is over.
+// killShare kills a share of the hosts. Each restarts when the fault is over.
 func (w *world) killShare(fault *Fault) {
 	for _, n := range w.randomHosts(fault.Share) {
 		if h := &w.hosts[n]; h.up {
@@ -74,37 +76,38 @@
 	}
 }
 
-// partitionShare cuts a share of the edge nodes from half of the hosts, and those hosts from the quota store.
+// partitionShare partitions a share of the edge nodes from half of the hosts, and those hosts from the quota store.
 func (w *world) partitionShare(fault *Fault) {
 	n := int(math.Ceil(fault.Share * float64(len(w.nodes))))
 	for _, k := range w.faultRand.Perm(len(w.nodes))[:n] {
 		w.partitionedNodes[int32(k)] = true
 	}
-	w.partitionedHosts, w.quotaStoreCut = int32(len(w.hosts)+1)/2, true
+	w.partitionedHosts, w.quotaStorePartitioned = int32(len(w.hosts)+1)/2, true
 }
 
 // setSpeed changes the slowdown of a host's cores; 1 is full speed.
-func (w *world) setSpeed(h *host, slower float64) {
+func (w *world) setSpeed(h *host, slowdown float64) {
 	w.advanceCores(h)
-	h.slowdown = slower
+	h.slowdown = slowdown
 	w.updateCores(h)
 }
 
 // setDependencySpeed changes the slowdown of the dependency; 1 is full speed.
-func (w *world) setDependencySpeed(slower float64) {
+func (w *world) setDependencySpeed(slowdown float64) {
 	w.dependency.advance(w.now)
-	w.dependencySlowdown = slower
+	w.dependencySlowdown = slowdown
 	w.updateDependency()
 }
 
-// releasePoll is how often a release looks whether the next batch can begin.
+// releasePoll is the interval at which a release checks whether the next batch can start.
 const releasePoll = Second / 4
 
-// continueRelease drains the next batch of hosts. The event of a release repeats while some hosts are left.
+// continueRelease drains as many hosts as the batch size allows, and schedules itself again until the release is over.
+// Restarted hosts count as unavailable for the first half of their warm-up.
 func (w *world) continueRelease(i int) {
 	fault := &w.scenario.Faults[i]
 	batch := max(1, int(fault.BatchShare*float64(len(w.hosts))))
-	if w.agentsUnavailable { // no further batch begins; hosts that were notified still leave
+	if w.agentsUnavailable { // no host is notified now; hosts that were notified still exit
 		w.queue.push(event{at: w.now + releasePoll, kind: evFault, subject: int32(i)})
 		return
 	}
@@ -132,7 +135,7 @@
 	}
 }
 
-// sendNotice sends a host its shutdown notice. A lost one never reaches the process, which is stopped all the same.
+// sendNotice sends a shutdown notice to a host. A lost notice never reaches the process, which is stopped nevertheless.
 func (w *world) sendNotice(h *host, lost bool) {
 	h.noticedAt, h.exitsAt = w.now, w.now+w.scenario.Hosts.ExitTimeout
 	w.queue.push(event{at: h.exitsAt, kind: evExit, subject: h.number, generation: h.incarnation})
@@ -142,13 +145,13 @@
 	}
 	h.draining = true
 	w.decide(h, admission.DrainNotice{Left: w.scenario.Hosts.ExitTimeout})
-	if h.healthy { // also where the policy does not report its health as bad
+	if h.healthy { // the registry removes the host even if the policy does not report bad health
 		h.healthy = false
 		w.queue.push(event{at: w.now + w.scenario.Registry.Lag, kind: evListed, subject: h.number, detail: 0})
 	}
 }
 
-// endFault ends a fault.
+// endFault reverts the effect of a fault.
 func (w *world) endFault(i int) {
 	fault := &w.scenario.Faults[i]
 	switch fault.Kind {
@@ -171,7 +174,7 @@
 		}
 	case Partition:
 		clear(w.partitionedNodes)
-		w.quotaStoreCut = false
+		w.quotaStorePartitioned = false
 	case AgentUnavailable:
 		w.agentsUnavailable = false
 	case DependencySlow:
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -6,53 +6,53 @@
 	"milletbarrow/monotime"
 )
 
-// Decider decides for one incarnation of one host: admission.Backend, unchanged, or a baseline that speaks the same
-// events and actions. It appends its actions to out.
+// Decider makes the decisions of one incarnation of a host. It is admission.Backend, unchanged, or a baseline that uses
+// the same events and actions. Decide appends its actions to out.
 type Decider interface {
 	Decide(now monotime.Micros, ev admission.Event, out []admission.Action) []admission.Action
 }
 
-// host is one backend machine and the process on it.
+// host is a backend machine and its process.
 type host struct {
 	number      int32
 	incarnation uint32
 	up          bool
 	policy      Decider
 
-	cores            sharedWork
-	baseSpeed        float64 // speed of the machine, about 1
-	slowdown         float64 // factor of a Slow fault; 1: none
-	coreShare        float64 // share of the cores that other processes leave
-	warmUpSpeed      float64 // speed by slow start, up to 1
-	startedAt        monotime.Micros
-	firstAttempt     int32 // head of the list of attempts in flight, the latest first
-	inFlight         int
-	queued           int
-	running          int // runs on the cores
-	reading          int
-	inCalls          int
-	memory           float64
-	keyKB            float64
-	connections      int
-	idleTimeout      monotime.Micros
-	healthy          bool
-	draining         bool
-	noticedAt        monotime.Micros // when the shutdown notice came
-	exitsAt          monotime.Micros
-	overloadedAt     monotime.Micros // since when it has been overloaded; 0: it is not
-	busyMicros       float64
-	busyUpdatedAt    monotime.Micros
-	busyAtReading    float64 // busyMicros at the last reading
-	readingAt        monotime.Micros
-	busyAtSecond     float64 // busyMicros at the last full second
-	clockSkew        monotime.Micros
-	managedByAgent   bool // a hostAgent starts and stops it
-	cachedResults    map[string]*cachedResult
-	resultsByRequest map[uint64]string
-	degradation      *degradationState
+	cores             sharedWork
+	baseSpeed         float64 // speed of the machine; the mean is 1
+	slowdown          float64 // slowdown by a Slow fault; 1: none
+	coreShare         float64 // share of the cores that other processes leave unused
+	warmUpSpeed       float64 // speed during warm-up, up to 1
+	startedAt         monotime.Micros
+	firstAttempt      int32 // head of the list of attempts in flight, newest first
+	inFlight          int
+	queued            int
+	running           int // number of runs on the cores
+	reading           int
+	inCalls           int
+	memory            float64
+	idempotencyKeysKB float64
+	connections       int
+	idleTimeout       monotime.Micros
+	healthy           bool
+	draining          bool
+	noticedAt         monotime.Micros // time of the shutdown notice
+	exitsAt           monotime.Micros
+	overloadedAt      monotime.Micros // start of the present overload; 0: not overloaded
+	busyMicros        float64
+	busyUpdatedAt     monotime.Micros
+	busyAtReading     float64 // busyMicros at the last reading of the gauges
+	readingAt         monotime.Micros
+	busyAtSecond      float64 // busyMicros at the last full second
+	clockSkew         monotime.Micros
+	managedByAgent    bool // a hostAgent starts and stops the process
+	cachedResults     map[string]*cachedResult
+	resultsByRequest  map[uint64]string
+	degradation       *degradationState
 }
 
-// cachedResult is the result of a request with an idempotency key, or its pending run.
+// cachedResult is the result of a request with an idempotency key. Its run may still be pending.
 type cachedResult struct {
 	expiresAt monotime.Micros
 	ended     bool
@@ -60,14 +60,14 @@
 	attempt   int32
 }
 
-// degradationState is the graceful degradation of one host.
+// degradationState is the state of graceful degradation on one host.
 type degradationState struct {
 	controller *degradation.Controller
 	shedder    *degradation.Shedder
 	signals    *degradation.SignalMeter
 }
 
-// startProcess starts the next incarnation of a host. A cold one warms up.
+// startProcess starts the next incarnation of a host. A cold process starts slowly and warms up.
 func (w *world) startProcess(h *host, cold bool) error {
 	h.incarnation++
 	w.result.Incarnations++
@@ -81,13 +81,13 @@
 	h.cachedResults, h.resultsByRequest = nil, nil
 	seed := w.policySeed ^ uint64(h.number)<<20 ^ uint64(h.incarnation)
 	h.policy = w.policy.New(w.scenario.AdmissionConfig(cold), seed)
-	if l := w.policy.Degradation; l != nil {
-		shedder, err := degradation.NewShedder(l, w.scenario.operationNames(), w.scenario.tenantNames(), seed)
+	if policy := w.policy.Degradation; policy != nil {
+		shedder, err := degradation.NewShedder(policy, w.scenario.operationNames(), w.scenario.tenantNames(), seed)
 		if err != nil {
 			return err
 		}
 		h.degradation = &degradationState{
-			controller: degradation.NewController(l),
+			controller: degradation.NewController(policy),
 			shedder:    shedder,
 			signals:    degradation.NewSignalMeter(w.scenario.Hosts.Cores),
 		}
--- a/internal/simulation/host_agent.go
+++ b/internal/simulation/host_agent.go
@@ -8,9 +8,9 @@
 	"milletbarrow/internal/limits"
 )
 
-// hostAgent is an agent that runs fleet.Machine unchanged: it releases its hosts by rolling update and starts them
-// again. It observes them as an agent does, with a delay, and not at all while agents are unavailable. Slices are by
-// host, from firstHost on.
+// hostAgent is an agent that runs fleet.Machine, unchanged, to start its hosts and to release them by rolling update.
+// It observes its hosts periodically, as a real agent does, and not at all while agents are unavailable. The slices are
+// indexed by host, from firstHost on.
 type hostAgent struct {
 	machine      *fleet.Machine
 	firstHost    int // index of its first host
@@ -18,25 +18,26 @@
 	notices      []string
 	observed     []fleet.Observation
 	names        []string
-	lostNotices  float64 // share of its shutdown notices
+	lostNotices  float64 // share of the shutdown notices that are lost
 }
 
-// Hosts of one agent, and how often it polls them.
+// Maximum number of hosts of one agent, and the interval at which it polls them.
 const (
 	hostsPerAgent = 500
 	agentPeriod   = 25 * Millisecond
 )
 
-// agentName returns the name of an agent's k-th instance, as in its fleet's file.
+// agentName returns the name of the k-th instance of an agent, as in its fleet file.
 func agentName(k int) string { return fmt.Sprintf("h%d", k+1) }
 
-// startAgents starts as many agents as the hosts need, for a release that is decided by fleet.Machine.
+// startAgents starts an agent for each hostsPerAgent hosts. It is used if fleet.Machine decides a release.
 func (w *world) startAgents() error {
 	for first := 0; first < len(w.hosts); first += hostsPerAgent {
 		agent := &hostAgent{firstHost: first}
 		n := min(hostsPerAgent, len(w.hosts)-first)
 		text := fmt.Sprintf(
-			"(fleet model (host a (agent \"unix:/a\")) (group g (host a) (config \"%%n\") (range h 1 %d) (settle 500ms) (start-within 60s) (restart (most 100) (within 1m))))",
+			"(fleet model (host a (agent \"unix:/a\")) (group g (host a) (config \"%%n\") (range h 1 %d) "+
+				"(settle 500ms) (start-within 60s) (restart (most 100) (within 1m))))",
 			n,
 		)
 		spec, err := fleet.ReadSpec("model", []byte(text), limits.ForControl())
@@ -58,16 +59,8 @@
 			agent.names = append(agent.names, agentName(k))
 			w.hosts[first+k].managedByAgent = true
 		}
-		agent.incarnations, agent.notices, agent.observed = make(
-			[]string,
-			n,
-		), make(
-			[]string,
-			n,
-		), make(
-			[]fleet.Observation,
-			n,
-		)
+		agent.incarnations, agent.notices = make([]string, n), make([]string, n)
+		agent.observed = make([]fleet.Observation, n)
 		if err := w.submit(
 			agent,
 			&fleet.Command{
@@ -86,14 +79,14 @@
 	return nil
 }
 
-// submit passes a command to an agent's machine.
+// submit passes a command to the machine of an agent.
 func (w *world) submit(agent *hostAgent, command *fleet.Command) error {
-	steps, _, err := agent.machine.Decide(w.now, fleet.CommandReceived{Command: command})
-	w.carryOut(agent, slices.Clone(steps))
+	actions, _, err := agent.machine.Decide(w.now, fleet.CommandReceived{Command: command})
+	w.executeActions(agent, slices.Clone(actions))
 	return err
 }
 
-// startFleetRelease has all agents begin a rolling update. Its batch is a share of each agent's hosts.
+// startFleetRelease starts a rolling update on all agents. The batch size is a share of each agent's hosts.
 func (w *world) startFleetRelease(i int) {
 	fault := &w.scenario.Faults[i]
 	for _, agent := range w.agents {
@@ -118,7 +111,7 @@
 	}
 }
 
-// tickAgent passes an agent its observations and a tick.
+// tickAgent passes changed observations and a tick to the machine of an agent.
 func (w *world) tickAgent(i int32) {
 	agent := w.agents[i]
 	if w.now < w.scenario.Duration || w.active > 0 {
@@ -130,40 +123,47 @@
 	now := w.now
 	for k := range agent.names {
 		h := &w.hosts[agent.firstHost+k]
-		s := fleet.Observation{Phase: fleet.PhaseReady, Incarnation: agent.incarnations[k], NoticeID: agent.notices[k]}
+		observation := fleet.Observation{
+			Phase:       fleet.PhaseReady,
+			Incarnation: agent.incarnations[k],
+			NoticeID:    agent.notices[k],
+		}
 		switch {
 		case !h.up:
-			s.Phase = fleet.PhaseExited
+			observation.Phase = fleet.PhaseExited
 		case agent.notices[k] != "":
-			s.Phase = fleet.PhaseDraining
+			observation.Phase = fleet.PhaseDraining
 		case !h.healthy:
-			s.Phase = fleet.PhaseUnready
+			observation.Phase = fleet.PhaseUnready
 		}
-		if s == agent.observed[k] || s.Incarnation == "" {
+		if observation == agent.observed[k] || observation.Incarnation == "" {
 			continue
 		}
-		agent.observed[k] = s
-		steps, _, _ := agent.machine.Decide(now, fleet.InstanceObserved{Name: agent.names[k], Observation: s})
-		w.carryOut(agent, slices.Clone(steps))
+		agent.observed[k] = observation
+		actions, _, _ := agent.machine.Decide(
+			now,
+			fleet.InstanceObserved{Name: agent.names[k], Observation: observation},
+		)
+		w.executeActions(agent, slices.Clone(actions))
 	}
-	steps, _, _ := agent.machine.Decide(now, fleet.Tick{})
-	w.carryOut(agent, slices.Clone(steps))
+	actions, _, _ := agent.machine.Decide(now, fleet.Tick{})
+	w.executeActions(agent, slices.Clone(actions))
 }
 
-// carryOut performs the actions of an agent's machine.
-func (w *world) carryOut(agent *hostAgent, steps []fleet.Action) {
-	for _, s := range steps {
-		k := slices.Index(agent.names, s.Name)
+// executeActions performs the actions that the machine of an agent returned.
+func (w *world) executeActions(agent *hostAgent, actions []fleet.Action) {
+	for _, action := range actions {
+		k := slices.Index(agent.names, action.Name)
 		h := &w.hosts[agent.firstHost+k]
-		switch s.Kind {
+		switch action.Kind {
 		case fleet.ActionLaunch:
-			if !s.Adopt && agent.incarnations[k] != s.Incarnation {
-				agent.incarnations[k], agent.notices[k] = s.Incarnation, ""
+			if !action.Adopt && agent.incarnations[k] != action.Incarnation {
+				agent.incarnations[k], agent.notices[k] = action.Incarnation, ""
 				w.restart(h)
 			}
 		case fleet.ActionNotify:
-			if agent.notices[k] != s.ID && h.up {
-				agent.notices[k] = s.ID
+			if agent.notices[k] != action.ID && h.up {
+				agent.notices[k] = action.ID
 				w.sendNotice(h, w.faultRand.Float64() < agent.lostNotices)
 			}
 		case fleet.ActionKill:
--- a/internal/simulation/host_completion.go
+++ b/internal/simulation/host_completion.go
@@ -4,15 +4,16 @@
 	"milletbarrow/admission"
 )
 
-// finishRun tells the policy that a run has ended and releases the attempt.
+// finishRun reports the end of a run to the policy, removes the attempt from its host, and answers the requests that
+// wait for its result.
 func (w *world) finishRun(h *host, j int32, outcome admission.Outcome) {
 	att := &w.attempts[j]
-	id, took := att.id, w.now-att.readAt
+	id, duration := att.id, w.now-att.readAt
 	h.memory -= w.scenario.Hosts.RequestKB * (w.scenario.Hosts.RunFactor - 1)
-	att.phase, att.finishing = phaseAwaitingResult, true // off the cores; still in flight while the policy decides
-	w.decide(h, admission.Finished{ID: id, Outcome: outcome, Took: took})
+	att.phase, att.finishing = phaseAwaitingResult, true // still in flight while the policy decides
+	w.decide(h, admission.Finished{ID: id, Outcome: outcome, Took: duration})
 	if h.up && w.attempts[j].atHost && w.attempts[j].id == id {
-		w.leaveHost(h, j)
+		w.removeFromHost(h, j)
 	}
 	waiters := w.attempts[j].waiters
 	w.attempts[j].waiters = nil
@@ -20,12 +21,12 @@
 		if h.up && w.attempts[k].phase == phaseAwaitingResult && w.attempts[k].atHost &&
 			w.attempts[k].host == h.number &&
 			w.attempts[k].answers == 0 {
-			w.reuse(h, k)
+			w.reuseResult(h, k)
 		}
 	}
 }
 
-// preempt takes a run off the cores before its end.
+// preempt stops a run before its end.
 func (w *world) preempt(h *host, j int32) {
 	att := &w.attempts[j]
 	w.advanceCores(h)
@@ -36,8 +37,8 @@
 	w.finishRun(h, j, admission.Canceled)
 }
 
-// reuse answers a repeated request with the result of the earlier one, at once or when that ends.
-func (w *world) reuse(h *host, j int32) {
+// reuseResult answers a repeated request with the result of the earlier one, immediately or when the earlier run ends.
+func (w *world) reuseResult(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
 	cached := h.cachedResults[h.resultsByRequest[req.number]]
@@ -58,11 +59,11 @@
 	att.finishing = true
 	w.decide(h, admission.Finished{ID: id, Outcome: admission.OK, Took: 1})
 	if h.up && w.attempts[j].atHost && w.attempts[j].id == id {
-		w.leaveHost(h, j)
+		w.removeFromHost(h, j)
 	}
 }
 
-// answer sends the answer of a policy. The audit checks here that it is the only one.
+// answer sends an answer to the node. The audit checks that it is the attempt's only one.
 func (w *world) answer(h *host, j int32, outcome Outcome) {
 	att := &w.attempts[j]
 	w.audit.checkAnswer(w, h, att)
@@ -72,7 +73,7 @@
 		att.outcome = outcome
 		if d := w.networkDelay(w.requests[att.request].node, h.number); d >= 0 {
 			w.queue.pushLane(laneNet, event{at: w.now + d, kind: evAnswer, subject: j, generation: att.generation})
-		} else { // the answer is lost; for the node it is unanswered until its caller leaves
+		} else { // the answer is lost; the node sees a failed connection after the client timeout
 			att.outcome = Reset
 			w.queue.push(
 				event{
@@ -85,19 +86,19 @@
 		}
 	}
 	if att.phase == phaseQueued {
-		w.leaveHost(h, j)
+		w.removeFromHost(h, j)
 	}
 }
 
-// dropWaiter releases a repeated request that was answered before the result it waits for.
-func (w *world) dropWaiter(h *host, j int32) {
+// releaseWaiter removes a repeated request from its host if it was answered before the result that it waits for.
+func (w *world) releaseWaiter(h *host, j int32) {
 	if att := &w.attempts[j]; att.phase == phaseAwaitingResult && att.atHost && !att.finishing {
-		w.leaveHost(h, j)
+		w.removeFromHost(h, j)
 	}
 }
 
-// leaveHost removes an attempt from its host.
-func (w *world) leaveHost(h *host, j int32) {
+// removeFromHost removes an attempt from its host.
+func (w *world) removeFromHost(h *host, j int32) {
 	att := &w.attempts[j]
 	if !att.atHost {
 		return
@@ -109,9 +110,9 @@
 	if att.phase != phaseUnread && att.readAt > 0 {
 		h.memory -= w.scenario.Hosts.RequestKB
 	}
-	w.audit.checkLeave(w, h, att)
+	w.audit.checkRemoval(w, h, att)
 	att.atHost = false
-	if att.callerGone && att.atNode && att.answers == 0 { // its node learns of the end by itself
+	if att.callerGone && att.atNode && att.answers == 0 { // the node sees a closed connection, as no answer was sent
 		att.outcome = Reset
 		w.queue.push(
 			event{at: w.now + w.scenario.Nodes.NetworkDelay, kind: evAnswer, subject: j, generation: att.generation},
@@ -133,27 +134,27 @@
 	w.freeAttempt(j)
 }
 
-// callerLeft notifies a host that the caller of an attempt has left.
-func (w *world) callerLeft(j int32) {
+// handleCallerGone notifies a host that the caller of an attempt has left.
+func (w *world) handleCallerGone(j int32) {
 	att := &w.attempts[j]
 	h := &w.hosts[att.host]
 	if !att.atHost || att.callerGone || att.incarnation != h.incarnation || !h.up {
 		return
 	}
 	if att.answers > 0 {
-		return // the notification crossed the answer
+		return // the answer was sent before the notification arrived
 	}
 	att.callerGone = true
 	if att.phase == phaseUnread {
 		return
 	}
-	if w.now >= att.dueAt &&
-		att.readAt < att.dueAt-w.scenario.Hosts.AnswerSlack { // the caller did not cancel: its time ran out
+	// The caller did not cancel: its timeout expired.
+	if w.now >= att.dueAt && att.readAt < att.dueAt-w.scenario.Hosts.AnswerSlack {
 		w.audit.breach(w, 1, h, att, "its caller's time is over and it has no answer")
 	}
-	was := att.phase
+	previousPhase := att.phase
 	w.decide(h, admission.CallerGone{ID: att.id})
-	if h.up && w.attempts[j].atHost && (was == phaseQueued || was == phaseAwaitingResult) {
-		w.leaveHost(h, j)
+	if h.up && w.attempts[j].atHost && (previousPhase == phaseQueued || previousPhase == phaseAwaitingResult) {
+		w.removeFromHost(h, j)
 	}
 }
--- a/internal/simulation/host_cores.go
+++ b/internal/simulation/host_cores.go
@@ -8,7 +8,8 @@
 	"milletbarrow/monotime"
 )
 
-// advanceCores brings the cores up to now. Call it before their load or speed changes, and updateCores after.
+// advanceCores accounts for the work done on a host's cores since the last call. It must be called before the load or
+// speed of the cores changes, and updateCores after.
 func (w *world) advanceCores(h *host) {
 	n := min(float64(h.cores.running), float64(w.scenario.Hosts.Cores))
 	h.busyMicros += n * float64(w.now-h.busyUpdatedAt)
@@ -16,8 +17,8 @@
 	h.cores.advance(w.now)
 }
 
-// updateCores sets the speed of each job and schedules the next completion, after the load or speed of the cores
-// changed.
+// updateCores sets the rate at which jobs progress and schedules the next completion, after the load or speed of the
+// cores changed.
 func (w *world) updateCores(h *host) {
 	s := &w.scenario.Hosts
 	n, cores := float64(h.cores.running), float64(s.Cores)
@@ -25,7 +26,8 @@
 	if n > cores {
 		rate *= cores / n
 	}
-	// With more runs than the host bears, its throughput falls. Reading does not count: one request is read at a time.
+	// Throughput falls when there are more runs than CollapseMultiple a core. Reading does not count as a run: one
+	// request is read at a time.
 	if capacity, running := s.CollapseMultiple*cores, float64(h.running); running > capacity {
 		rate *= (capacity / running) * (capacity / running)
 		if h.overloadedAt == 0 {
@@ -45,9 +47,10 @@
 	w.scheduleCompletion(&h.cores, evCores, h.number)
 }
 
-// scheduleCompletion schedules the next completion of shared work. One that is scheduled too early finds nothing and
-// looks again; that is cheaper than to schedule anew at each change.
-func (w *world) scheduleCompletion(s *sharedWork, k eventKind, who int32) {
+// scheduleCompletion schedules the next completion of shared work, unless an earlier event is scheduled already. An
+// event that comes before the completion finds no finished job and is scheduled again, which is cheaper than
+// rescheduling at each change.
+func (w *world) scheduleCompletion(s *sharedWork, kind eventKind, subject int32) {
 	for len(s.jobs) > 0 && s.jobs[0].attempt != none && w.attempts[s.jobs[0].attempt].generation != s.jobs[0].generation {
 		s.pop()
 	}
@@ -60,12 +63,12 @@
 	}
 	s.generation++
 	s.completionAt = at
-	w.queue.push(event{at: at, kind: k, subject: who, generation: s.generation})
+	w.queue.push(event{at: at, kind: kind, subject: subject, generation: s.generation})
 }
 
-const workEpsilon = 1e-3 // microseconds of work that count as done
+const workEpsilon = 1e-3 // remaining work that counts as done, in microseconds
 
-// completeWork ends the jobs on a host's cores that are due.
+// completeWork ends the finished jobs on a host's cores.
 func (w *world) completeWork(h *host) {
 	h.cores.completionAt = 0
 	if !h.up {
@@ -78,13 +81,13 @@
 		att := &w.attempts[j.attempt]
 		if att.generation != j.generation || att.phase != phaseUnread && att.phase != phaseRunning ||
 			(att.phase == phaseUnread) != (j.stage == 0) {
-			continue // preempted meanwhile
+			continue // it was preempted
 		}
 		h.cores.running--
 		if j.stage == 0 {
-			w.requestRead(h, j.attempt)
+			w.completeRead(h, j.attempt)
 		} else {
-			w.runCompleted(h, j.attempt)
+			w.completeRun(h, j.attempt)
 		}
 		if !h.up || h.incarnation != incarnation {
 			return
@@ -93,7 +96,7 @@
 	w.updateCores(h)
 }
 
-// putOnCores puts a run, or the half of it after its call, on the cores.
+// putOnCores puts a run on the cores. A run that makes a call is put on them twice, with half of its work each time.
 func (w *world) putOnCores(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
@@ -107,8 +110,8 @@
 	w.updateCores(h)
 }
 
-// runCompleted handles a run whose work is done: up to its call, or all of it.
-func (w *world) runCompleted(h *host, j int32) {
+// completeRun handles a run whose work on the cores is done, either up to its call or all of it.
+func (w *world) completeRun(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
 	h.running--
--- a/internal/simulation/host_intake.go
+++ b/internal/simulation/host_intake.go
@@ -6,19 +6,19 @@
 	"milletbarrow/monotime"
 )
 
-// reachHost delivers an attempt to its host, which has to read it.
-func (w *world) reachHost(j int32) {
+// arriveAtHost delivers an attempt to its host, which starts to read it.
+func (w *world) arriveAtHost(j int32) {
 	att := &w.attempts[j]
 	h := &w.hosts[att.host]
 	req := &w.requests[att.request]
 	networkDelay := w.scenario.Nodes.NetworkDelay
 	if !h.up {
-		w.reject(j, Unreachable, networkDelay)
+		w.failInNetwork(j, Unreachable, networkDelay)
 		return
 	}
 	connectionOpened, ok := w.connect(att, h)
 	if !ok {
-		w.reject(j, Unreachable, networkDelay)
+		w.failInNetwork(j, Unreachable, networkDelay)
 		return
 	}
 	att.incarnation = h.incarnation
@@ -39,26 +39,26 @@
 	w.updateCores(h)
 }
 
-// reject ends an attempt by the network, not by the process.
-func (w *world) reject(j int32, outcome Outcome, after monotime.Micros) {
+// failInNetwork ends an attempt that the network failed to deliver.
+func (w *world) failInNetwork(j int32, outcome Outcome, after monotime.Micros) {
 	att := &w.attempts[j]
 	att.outcome = outcome
 	w.queue.push(event{at: w.now + after, kind: evAnswer, subject: j, generation: att.generation})
 }
 
-// requestRead passes a request that has been read to the policy.
-func (w *world) requestRead(h *host, j int32) {
+// completeRead passes a request that was read to the policy.
+func (w *world) completeRead(h *host, j int32) {
 	att := &w.attempts[j]
 	req := &w.requests[att.request]
 	op := &w.scenario.Operations[req.operation]
 	h.reading--
-	if att.callerGone { // cancelled before it was read
+	if att.callerGone { // the caller left before the request was read
 		w.updateCores(h)
-		w.leaveHost(h, j)
+		w.removeFromHost(h, j)
 		return
 	}
 	att.phase, att.readAt = phaseQueued, w.now
-	att.dueAt = max(att.dueAt, w.now) // what is read too late is due at once
+	att.dueAt = max(att.dueAt, w.now) // a request that is read too late is due immediately
 	h.queued++
 	h.memory += w.scenario.Hosts.RequestKB
 	w.updateCores(h)
@@ -93,13 +93,13 @@
 		att.quotaDrawn = ev.Quota == admission.WithinQuota
 	}
 	w.decide(h, ev)
-	if h.memory+h.keyKB > w.scenario.Hosts.MemoryKB {
+	if h.memory+h.idempotencyKeysKB > w.scenario.Hosts.MemoryKB {
 		w.audit.breach(w, 4, h, att, "memory ran out")
 		w.kill(h, Reset)
 	}
 }
 
-// shouldShed asks a host's degradation whether it sheds a request, and counts one that it does not.
+// shouldShed reports whether graceful degradation sheds a request. It counts the arrival of a request that is not shed.
 func (w *world) shouldShed(h *host, req *request, att *attempt, priority float64) bool {
 	state, now := h.degradation, w.now
 	level, depth := state.controller.Level(), state.controller.Depth(now)
--- a/internal/simulation/host_lifecycle.go
+++ b/internal/simulation/host_lifecycle.go
@@ -4,26 +4,26 @@
 	"milletbarrow/admission"
 )
 
-// Delays of a host's next process, and the steps in which a cold one reaches full speed.
+// Delays after which a host's process is restarted, and the number of steps in which a cold one reaches full speed.
 const (
 	crashRestart   = 3 * Second
 	releaseRestart = 200 * Millisecond
 	warmUpSteps    = 20
 )
 
-// readGauges passes a reading of the host's gauges to its policy and its degradation.
+// readGauges passes a reading of the host's gauges to its policy and to graceful degradation.
 func (w *world) readGauges(h *host, token int64) {
 	w.advanceCores(h)
 	w.updateCores(h)
-	span := max(1, float64(w.now-h.readingAt))
-	use := (h.busyMicros - h.busyAtReading) / span / float64(w.scenario.Hosts.Cores)
+	elapsed := max(1, float64(w.now-h.readingAt))
+	coreUse := (h.busyMicros - h.busyAtReading) / elapsed / float64(w.scenario.Hosts.Cores)
 	h.busyAtReading, h.readingAt = h.busyMicros, w.now
 	running := float64(h.cores.running)
-	memory := (h.memory + h.keyKB) / w.scenario.Hosts.MemoryKB
+	memory := (h.memory + h.idempotencyKeysKB) / w.scenario.Hosts.MemoryKB
 	w.result.Readings++
 	w.decide(h, admission.Reading{
 		Token:       token,
-		CoreUse:     use,
+		CoreUse:     coreUse,
 		OnCores:     running,
 		MemoryShare: memory,
 		Connections: float64(h.connections) / float64(w.scenario.Hosts.Connections),
@@ -33,16 +33,16 @@
 		if h.draining {
 			state.signals.SetDraining()
 		}
-		if c, changed := state.controller.Update(
+		if change, changed := state.controller.Update(
 			now,
-			state.signals.Signals(now, running+float64(h.queued), use, memory, true),
+			state.signals.Signals(now, running+float64(h.queued), coreUse, memory, true),
 		); changed {
-			w.result.recordLevelChange(w, h, c)
+			w.result.recordLevelChange(w, h, change)
 		}
 	}
 }
 
-// warmUp raises the speed of a cold host by a step.
+// warmUp raises the speed of a warming host by one step.
 func (w *world) warmUp(h *host) {
 	s := &w.scenario.Hosts
 	w.advanceCores(h)
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkOverload kills a host that has been overloaded for too long.
+// checkOverload crashes a host that has been overloaded for CollapseAfter.
 func (w *world) checkOverload(h *host) {
 	switch {
 	case h.overloadedAt == 0:
@@ -74,13 +74,13 @@
 	}
 }
 
-// kill crashes a host's process with everything in flight; it restarts cold.
+// kill crashes a host's process, and everything in flight is lost. The process restarts cold.
 func (w *world) kill(h *host, outcome Outcome) {
 	w.terminate(h, outcome)
 	w.queue.push(event{at: w.now + crashRestart, kind: evRestart, subject: h.number})
 }
 
-// terminate ends a host's process and everything in flight on it.
+// terminate ends a host's process and all attempts in flight on it.
 func (w *world) terminate(h *host, outcome Outcome) {
 	w.releaseQuotas(h)
 	w.advanceCores(h)
@@ -105,7 +105,7 @@
 		if att.phase == phaseCalling {
 			att.callNumber++
 		}
-		att.phase = phaseUnread // of no incarnation any more; not phaseEnded, or it would not be freed
+		att.phase = phaseUnread // not phaseEnded: freeAttempt would skip it
 		w.freeAttempt(j)
 		j = next
 	}
@@ -113,7 +113,7 @@
 	w.queue.push(event{at: w.now + w.scenario.Registry.Lag, kind: evListed, subject: h.number, detail: 0})
 }
 
-// exitProcess stops a process at the end of its shutdown window.
+// exitProcess stops a process when the exit timeout after its shutdown notice has passed.
 func (w *world) exitProcess(h *host) {
 	for j := h.firstAttempt; j != none; j = w.attempts[j].next {
 		if att := &w.attempts[j]; att.answers == 0 && !att.callerGone && att.phase != phaseUnread && !h.noticeLost() {
@@ -121,7 +121,7 @@
 		}
 	}
 	w.terminate(h, Reset)
-	if !h.managedByAgent { // else its agent restarts it
+	if !h.managedByAgent { // otherwise its agent restarts it
 		w.queue.push(event{at: w.now + releaseRestart, kind: evRestart, subject: h.number})
 	}
 }
@@ -129,7 +129,7 @@
 // noticeLost reports whether the shutdown notice never reached the process.
 func (h *host) noticeLost() bool { return !h.draining }
 
-// restart starts a host's process again, if it is down.
+// restart starts a host's process if it is down.
 func (w *world) restart(h *host) {
 	if h.up {
 		return
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -6,53 +6,54 @@
 	"milletbarrow/monotime"
 )
 
-// node is an edge node: it knows some hosts, holds connections to them and sends attempts.
+// node is an edge node. It knows some of the hosts, holds connections to them and sends attempts.
 type node struct {
 	slots           []slot
-	view            []int32 // indexes of the slots that are on its endpoint list
-	registryVersion uint32  // as of its last poll
+	view            []int32 // indexes of the slots of the hosts on its endpoint list
+	registryVersion uint32  // at its last poll
 	nextSlot        int
 	ignoresAdvice   bool
-	requested       decayingSum // for client-side throttling, as is accepted
+	requested       decayingSum // requests and accepted requests, for client-side throttling
 	accepted        decayingSum
 }
 
-// slot is what a node knows of one host.
+// slot is the state that a node keeps for one host.
 type slot struct {
 	host        int32
 	inFlight    int32
-	incarnation uint32 // of the process to which the connection leads
+	incarnation uint32 // of the process at the other end of the connection
 	connected   bool
 	usedAt      monotime.Micros
 	avoidUntil  monotime.Micros
 	latency     float64 // moving average of the time to an answer, in microseconds
 }
 
-// decayingSum is a sum whose past decays exponentially.
+// decayingSum is a sum that decays exponentially over time.
 type decayingSum struct {
 	sum       float64
 	updatedAt monotime.Micros
 }
 
-// add decays the sum by the time since the last call and adds x.
-func (d *decayingSum) add(now, over monotime.Micros, x float64) {
+// add decays the sum by the time since the last call, with the given time constant, and adds x.
+func (d *decayingSum) add(now, timeConstant monotime.Micros, x float64) {
 	if now > d.updatedAt {
-		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(over))
+		d.sum *= math.Exp(-float64(now-d.updatedAt) / float64(timeConstant))
 		d.updatedAt = now
 	}
 	d.sum += x
 }
 
-// initialLatency stands for the latency of a host that has not answered yet, in microseconds; minIdleCheck is the least
-// time between two checks of an idle connection.
+// initialLatency is the assumed latency of a host that has not answered yet, in microseconds. minIdleCheck is the
+// shortest interval between two checks of an idle connection.
 const (
 	initialLatency = 20_000
 	minIdleCheck   = Second / 4
 )
 
-// placeNode gives a node its hosts: every n-th along a ring, so that all hosts are known to about as many nodes, and
-// twice as many as it uses, so that it has others when some leave the endpoint registry.
-func (w *world) placeNode(i int32) {
+// initNode assigns a node its hosts. It takes every n-th host of a ring, so that each host is known to about the same
+// number of nodes, and twice as many hosts as it uses, so that it has replacements for hosts that leave the endpoint
+// registry.
+func (w *world) initNode(i int32) {
 	n, h := &w.nodes[i], w.scenario.Hosts.Count
 	size := w.scenario.Nodes.Subset
 	if size <= 0 || size > h {
@@ -87,7 +88,7 @@
 	return a
 }
 
-// refreshNode lets a node poll the endpoint registry, and schedules its next poll.
+// refreshNode polls the endpoint registry for a node and schedules the next poll.
 func (w *world) refreshNode(i int32) {
 	if w.now >= w.scenario.Duration && w.active == 0 {
 		return
@@ -98,7 +99,7 @@
 	w.queue.push(event{at: w.now + w.scenario.Nodes.RefreshInterval, kind: evRefresh, subject: i})
 }
 
-// refreshView takes a node's endpoint list from the registry.
+// refreshView updates a node's endpoint list from the registry.
 func (w *world) refreshView(n *node) {
 	n.registryVersion = w.registryVersion
 	size := w.scenario.Nodes.Subset
@@ -113,8 +114,7 @@
 	}
 }
 
-// connect opens the connection that an attempt needs, or reuses the present one. ok is false where the host has no
-// connection left.
+// connect reuses the node's connection to a host, or opens one. ok is false if the host accepts no further connection.
 func (w *world) connect(att *attempt, h *host) (opened, ok bool) {
 	n := &w.nodes[w.requests[att.request].node]
 	sl := &n.slots[att.slot]
@@ -146,11 +146,11 @@
 	if !sl.connected || sl.incarnation != h.incarnation || !h.up {
 		return
 	}
-	if rests := w.now - sl.usedAt; rests < h.idleTimeout || sl.inFlight > 0 {
+	if idle := w.now - sl.usedAt; idle < h.idleTimeout || sl.inFlight > 0 {
 		if w.now < w.scenario.Duration || w.active > 0 {
 			w.queue.push(
 				event{
-					at:         w.now + max(h.idleTimeout-rests, minIdleCheck),
+					at:         w.now + max(h.idleTimeout-idle, minIdleCheck),
 					kind:       evIdleCheck,
 					subject:    node,
 					detail:     k,
--- a/internal/simulation/node_attempts.go
+++ b/internal/simulation/node_attempts.go
@@ -9,14 +9,14 @@
 
 // Parameters of the edge nodes and callers.
 const (
-	latencyWeight      = 0.1 // of a new latency in the moving average
+	latencyWeight      = 0.1 // weight of a new latency in the moving average
 	minBackoff         = Millisecond
-	maxDoublings       = 8      // of the backoff, counted from the first attempt
-	maxClientRetries   = 3      // how often a caller sends a request again
-	unreachableBackoff = Second // how long a host is avoided that could not be reached
+	maxDoublings       = 8      // doublings of the backoff, counted from the first attempt
+	maxClientRetries   = 3      // times that a caller sends a request again
+	unreachableBackoff = Second // time for which an unreachable host is avoided
 )
 
-// startAttempt sends one attempt of a request. A retry is marked as such.
+// startAttempt sends an attempt of a request. retry marks it as a retry.
 func (w *world) startAttempt(i int32, retry bool) {
 	req := &w.requests[i]
 	n := &w.nodes[req.node]
@@ -34,7 +34,7 @@
 	k := w.chooseSlot(req, n)
 	op := &w.scenario.Operations[req.operation]
 	if op.RetrySafety == admission.IdempotencyKeyed &&
-		req.maybeRan { // only the host that may have run it knows the key
+		req.mayHaveRun { // only the host that may have run it has the key
 		k = req.lastSlot
 		if !w.listed[n.slots[k].host] {
 			k = none
@@ -51,7 +51,8 @@
 	h := &w.hosts[sl.host]
 	j := w.newAttempt(op.RetrySafety == admission.IdempotencyKeyed)
 	att := &w.attempts[j]
-	att.request, att.host, att.slot, att.incarnation, att.retry, att.atNode, att.prev, att.next = i, sl.host, k, h.incarnation, retry, true, none, none
+	att.request, att.host, att.slot, att.incarnation = i, sl.host, k, h.incarnation
+	att.retry, att.atNode, att.prev, att.next = retry, true, none, none
 	if req.openAttempts[0] == none {
 		req.openAttempts[0] = j
 	} else {
@@ -60,7 +61,7 @@
 	sl.inFlight++
 	w.result.Attempts++
 	delay := w.networkDelay(req.node, sl.host)
-	if delay < 0 { // partitioned: the node finds out when the connection times out
+	if delay < 0 { // the node is partitioned from the host: its connection times out
 		att.outcome = Unreachable
 		w.queue.push(
 			event{at: min(w.now+Second, max(req.due-1, w.now)), kind: evAnswer, subject: j, generation: att.generation},
@@ -70,7 +71,7 @@
 	w.queue.pushLane(laneNet, event{at: w.now + delay, kind: evArriveAtHost, subject: j, generation: att.generation})
 }
 
-// networkDelay returns how long a message takes between a node and a host; negative: it never arrives.
+// networkDelay returns the delay of a message between a node and a host. It is negative if the message never arrives.
 func (w *world) networkDelay(node, host int32) monotime.Micros {
 	if len(w.partitionedNodes) > 0 && host < w.partitionedHosts && w.partitionedNodes[node] {
 		return -1
@@ -82,7 +83,7 @@
 	return d
 }
 
-// receiveAnswer handles the end of an attempt at its node: an answer, or a connection that failed.
+// receiveAnswer handles the end of an attempt at its node: an answer or a failed connection.
 func (w *world) receiveAnswer(j int32) {
 	att := &w.attempts[j]
 	i := att.request
@@ -115,9 +116,9 @@
 		return
 	case Errored:
 		n.accepted.add(w.now, w.scenario.Nodes.ThrottleWindow, 1)
-		req.maybeRan = true
+		req.mayHaveRun = true
 	case Reset:
-		req.maybeRan = true
+		req.mayHaveRun = true
 	case Throttled:
 		if !n.ignoresAdvice {
 			sl.avoidUntil = max(sl.avoidUntil, w.now+retryAfter)
@@ -127,14 +128,14 @@
 	w.retryOrEnd(i, outcome)
 }
 
-// retryOrEnd decides whether a request is retried after an attempt without success.
+// retryOrEnd retries a request after an attempt without success, or ends it.
 func (w *world) retryOrEnd(i int32, outcome Outcome) {
 	req := &w.requests[i]
 	n := &w.nodes[req.node]
 	op := &w.scenario.Operations[req.operation]
 	s := &w.scenario.Nodes
 	if req.openAttempts[0] != none || req.openAttempts[1] != none {
-		return // a hedged attempt is still open
+		return // the other of two hedged attempts is still open
 	}
 	safe := outcome == Throttled || outcome == Unreachable || outcome == ThrottledByNode ||
 		op.RetrySafety != admission.NonIdempotent
@@ -168,11 +169,11 @@
 		value *= op.ValueWithoutCall
 	}
 	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), Succeeded, took, value)
-	w.result.QuotaPriced += value * w.quotaPrice(int(req.tenant))
+	w.result.QuotaPriced += value * w.quotaValueFactor(int(req.tenant))
 	w.closeRequest(i)
 }
 
-// failRequest ends a request without success. Its caller may send it again.
+// failRequest ends a request without success. The caller may send it again.
 func (w *world) failRequest(i int32, outcome Outcome) {
 	req := &w.requests[i]
 	w.result.RecordOutcome(w.scenario, w.now, int(req.operation), int(req.tenant), outcome, w.now-req.arrivedAt, 0)
@@ -181,7 +182,7 @@
 		(op.RetrySafety != admission.NonIdempotent || outcome == Throttled || outcome == ThrottledByNode) {
 		req.clientRetries++
 		w.notifyHosts(req)
-		req.finished, req.retriesLater = true, true
+		req.finished, req.clientWillRetry = true, true
 		w.queue.push(
 			event{
 				at:         w.now + monotime.Micros(float64(w.scenario.Nodes.ClientRetryDelay)*(0.5+w.nodeRand.Float64())),
@@ -195,7 +196,7 @@
 	w.closeRequest(i)
 }
 
-// notifyHosts notifies the hosts of open attempts, with a delay, that the caller has left.
+// notifyHosts notifies the hosts of a request's open attempts, after a delay, that the caller has left.
 func (w *world) notifyHosts(req *request) {
 	for _, j := range req.openAttempts {
 		if j == none || w.scenario.Nodes.CancelDelay < 0 {
@@ -214,7 +215,7 @@
 	}
 }
 
-// closeRequest ends a request for good.
+// closeRequest ends a request that its caller does not send again.
 func (w *world) closeRequest(i int32) {
 	req := &w.requests[i]
 	w.notifyHosts(req)
@@ -222,27 +223,26 @@
 	w.releaseRequest(i)
 }
 
-// releaseRequest frees an ended request once no attempt of it is left.
+// releaseRequest frees a finished request that no attempt refers to.
 func (w *world) releaseRequest(i int32) {
-	if req := &w.requests[i]; req.finished && !req.retriesLater && req.liveAttempts == 0 {
-		req.finished = false // so that it is freed once
+	if req := &w.requests[i]; req.finished && !req.clientWillRetry && req.liveAttempts == 0 {
+		req.finished = false // so that it is freed only once
 		w.freeRequest(i)
 	}
 }
 
-// repeatRequest sends a caller's request again, without a retry mark: for the node it is a first attempt.
-func (w *world) repeatRequest(i int32) {
-	old := w.requests[i]
+// resendRequest sends a caller's request again. It has no retry mark, as the node sees a new request.
+func (w *world) resendRequest(i int32) {
+	previous := w.requests[i]
 	k := w.newRequest()
 	req := &w.requests[k]
-	gen := req.generation
-	*req = old
-	req.generation, req.liveAttempts, req.finished, req.retriesLater, req.attempts, req.retryForbidden, req.openAttempts = gen, 0, false, false, 0, false, [2]int32{
-		none,
-		none,
-	}
+	generation := req.generation
+	*req = previous
+	req.generation, req.liveAttempts, req.attempts = generation, 0, 0
+	req.finished, req.clientWillRetry, req.retryForbidden = false, false, false
+	req.openAttempts = [2]int32{none, none}
 	req.arrivedAt, req.due = w.now, w.now+w.scenario.Operations[req.operation].Timeout
-	w.requests[i].retriesLater = false
+	w.requests[i].clientWillRetry = false
 	w.releaseRequest(i)
 	w.result.ClientRetries++
 	w.queue.pushLane(
--- a/internal/simulation/pool.go
+++ b/internal/simulation/pool.go
@@ -8,47 +8,47 @@
 	"milletbarrow/monotime"
 )
 
-// pooled returns a constructor of a thread pool baseline, with a run a core and a queue of four a core unless shape
-// changes that.
-func pooled(shape func(*pool)) func(admission.Config, uint64) Decider {
-	return func(t admission.Config, _ uint64) Decider {
-		p := &pool{config: t, runsByID: map[string]*pooledRun{}, drainingAt: never, stopAt: never}
-		p.tick = max(min(20*Millisecond, t.AnswerSlack/3), Millisecond)
-		p.concurrency, p.queueLimit = t.Cores, 4*t.Cores
-		shape(p)
+// newPool returns the constructor of a baseline that is a thread pool. It runs one request per core and queues four per
+// core, unless configure changes that.
+func newPool(configure func(*pool)) func(admission.Config, uint64) Decider {
+	return func(config admission.Config, _ uint64) Decider {
+		p := &pool{config: config, runsByID: map[string]*pooledRun{}, drainingAt: never, stopAt: never}
+		p.tick = max(min(20*Millisecond, config.AnswerSlack/3), Millisecond)
+		p.concurrency, p.queueLimit = config.Cores, 4*config.Cores
+		configure(p)
 		return p
 	}
 }
 
 // Parameters of the baselines.
 const (
-	overloadedDelayFactor = 20 // targetDelay is shorter by it while the queue does not empty
+	overloadedDelayFactor = 20 // divisor of targetDelay while the queue does not empty
 	shortTermWeight       = 0.1
 	longTermWeight        = 0.002
-	gradientTolerance     = 1.5 // increase of the duration of runs that leaves the limit as it is
+	gradientTolerance     = 1.5 // factor by which runs may take longer before the limit falls
 	minGradient           = 0.5
 	gradientSmoothing     = 0.2
 )
 
-// never is a time that does not come.
+// never is a time after the end of any simulation.
 const never = monotime.Micros(1 << 60)
 
-// pool is the common part of the baselines. It keeps the four rules as the module does, as a comparison with a policy
-// that breaks them would mean nothing.
+// pool is the common part of the baselines that decide on hosts. It keeps the four rules as the module does, because a
+// comparison with a policy that breaks them would be meaningless.
 type pool struct {
 	config                  admission.Config
-	concurrency, queueLimit int // bounds of running and of queue
-	adapt                   func(p *pool, now monotime.Micros, took monotime.Micros, late bool)
-	targetDelay             monotime.Micros // of controlled delay; 0: first in, first out
-	byValue                 bool            // order by priority for its work
+	concurrency, queueLimit int // limits of running and len(queue)
+	adapt                   func(p *pool, now monotime.Micros, duration monotime.Micros, late bool)
+	targetDelay             monotime.Micros // target of controlled delay (CoDel); 0: the queue is FIFO
+	byValue                 bool            // the queue is ordered by priority per work
 	runsByID                map[string]*pooledRun
 	queue                   []*pooledRun
 	runs                    []*pooledRun
 	running                 int
 	tick                    monotime.Micros
 	drainingAt, stopAt      monotime.Micros
-	queueEmptyAt            monotime.Micros // when the queue was empty last
-	longTerm, shortTerm     float64         // moving averages of the duration of runs
+	queueEmptyAt            monotime.Micros // last time at which the queue was empty
+	longTerm, shortTerm     float64         // moving averages of the duration of runs, in microseconds
 	estimate                float64         // the concurrency limit before rounding
 	successes               int
 }
@@ -103,7 +103,7 @@
 	return p.startNext(now, out)
 }
 
-// lastAnswerAt returns when the last answers are sent before the process exits.
+// lastAnswerAt returns the time at which the last answers are sent before the process exits.
 func (p *pool) lastAnswerAt() monotime.Micros { return p.stopAt - 3*p.tick }
 
 // arrive queues or rejects a request.
@@ -124,19 +124,20 @@
 	return out
 }
 
-// remove forgets a request.
+// remove removes a request from the pool.
 func (p *pool) remove(j *pooledRun) {
 	delete(p.runsByID, j.id)
-	is := func(o *pooledRun) bool { return o == j }
-	p.runs = slices.DeleteFunc(p.runs, is)
+	same := func(o *pooledRun) bool { return o == j }
+	p.runs = slices.DeleteFunc(p.runs, same)
 	if j.running {
 		p.running--
 	} else {
-		p.queue = slices.DeleteFunc(p.queue, is)
+		p.queue = slices.DeleteFunc(p.queue, same)
 	}
 }
 
-// startNext starts what may run: first in, first out; the newest first under controlled delay; or by value.
+// startNext starts queued requests up to the concurrency limit: in order of arrival, newest first under controlled
+// delay while the queue does not empty, or by value.
 func (p *pool) startNext(now monotime.Micros, out []admission.Action) []admission.Action {
 	for p.running < p.concurrency && len(p.queue) > 0 {
 		k := 0
@@ -167,21 +168,22 @@
 	return out
 }
 
-// expire answers what can wait no longer. Under controlled delay that is also what has waited for targetDelay, or for a
-// twentieth of it while the queue does not empty.
+// expire answers requests whose deadline is near. Under controlled delay it also rejects requests that have waited for
+// targetDelay, or for a twentieth of it while the queue does not empty.
 func (p *pool) expire(now monotime.Micros, out []admission.Action) []admission.Action {
 	for _, j := range slices.Clone(p.runs) {
 		allowed := p.targetDelay
 		if now-p.queueEmptyAt > p.targetDelay {
 			allowed = p.targetDelay / overloadedDelayFactor
 		}
-		due := now+p.tick >= min(j.dueAt, p.lastAnswerAt())
+		expired := now+p.tick >= min(j.dueAt, p.lastAnswerAt())
 		switch {
 		case j.answered:
-		case j.running && due:
+		case j.running && expired:
 			j.answered = true
 			out = append(out, admission.Fail{ID: j.id})
-		case !j.running && (due || p.targetDelay > 0 && now-j.arrivedAt > allowed || p.byValue && now+j.work > j.objectiveAt):
+		case !j.running && (expired || p.targetDelay > 0 && now-j.arrivedAt > allowed ||
+			p.byValue && now+j.work > j.objectiveAt):
 			p.remove(j)
 			out = append(out, admission.Throttle{ID: j.id})
 		}
@@ -189,12 +191,13 @@
 	return out
 }
 
-// maxConcurrency returns the number of runs beyond which a host collapses, with a margin; no limit grows past it.
+// maxConcurrency returns the upper bound of an adaptive limit: 80% of the number of runs beyond which a host slows
+// down.
 func (p *pool) maxConcurrency() float64 {
 	return 0.8 * p.config.CollapseMultiple * float64(p.config.Cores)
 }
 
-// adaptAIMD changes the limit by additive increase and multiplicative decrease.
+// adaptAIMD adapts the concurrency limit by additive increase and multiplicative decrease.
 func adaptAIMD(p *pool, _, _ monotime.Micros, late bool) {
 	if late {
 		p.concurrency = max(p.config.Cores, p.concurrency*9/10)
@@ -204,20 +207,20 @@
 	}
 }
 
-// adaptGradient changes the limit by the ratio of the long-term to the recent duration of runs.
-func adaptGradient(p *pool, _, took monotime.Micros, _ bool) {
-	x := float64(took)
+// adaptGradient adapts the concurrency limit by the ratio of the long-term to the recent duration of runs.
+func adaptGradient(p *pool, _, duration monotime.Micros, _ bool) {
+	x := float64(duration)
 	if p.longTerm == 0 {
 		p.longTerm, p.shortTerm, p.estimate = x, x, float64(p.concurrency)
 	}
 	p.shortTerm += (x - p.shortTerm) * shortTermWeight
 	p.longTerm += (x - p.longTerm) * longTermWeight
-	if p.longTerm > 2*p.shortTerm { // recovers faster from a long overload
+	if p.longTerm > 2*p.shortTerm { // speeds up recovery from a long overload
 		p.longTerm *= 0.95
 	}
-	g := max(minGradient, min(1, gradientTolerance*p.longTerm/p.shortTerm))
+	gradient := max(minGradient, min(1, gradientTolerance*p.longTerm/p.shortTerm))
 	if p.running >= p.concurrency/2 {
-		p.estimate = p.estimate*(1-gradientSmoothing) + gradientSmoothing*(p.estimate*g+math.Sqrt(p.estimate))
+		p.estimate = p.estimate*(1-gradientSmoothing) + gradientSmoothing*(p.estimate*gradient+math.Sqrt(p.estimate))
 	}
 	p.concurrency = int(max(float64(p.config.Cores), min(p.estimate, p.maxConcurrency())))
 }
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -9,27 +9,27 @@
 	"milletbarrow/monotime"
 )
 
-// QuotaSource says how a host gets its part of the tenants' quotas.
+// QuotaSource is the way in which hosts get their shares of the tenants' quotas.
 type QuotaSource int
 
-// The sources. With GuessedQuotas the module divides by the fleet's size that it was configured with; with the others
-// a quota holder tells it whether a request is within its tenant's quota.
+// The quota sources. With GuessedQuotas the policy divides the quotas by the configured size of the fleet. With the
+// others a quota holder decides whether a request is within its tenant's quota.
 const (
 	GuessedQuotas QuotaSource = iota
-	LeasedQuotas              // leases of cluster/quota's state machine, unchanged
-	EvenQuotas                // an even part by the configured size of the fleet, whoever is up
-	GlobalQuotas              // one count for all hosts, without delay: an oracle's
+	LeasedQuotas              // leases from the state machine of cluster/quota, unchanged
+	EvenQuotas                // an even share by the configured size of the fleet, however many hosts are up
+	GlobalQuotas              // one counter for all hosts, without delay, as for an oracle
 )
 
 var quotaSourceNames = []string{"guess", "divided", "even", "whole"}
 
-// QuotaSourceNamed finds a source by its word in experiment files; -1 where there is none.
+// QuotaSourceNamed returns the source with a word of experiment files, or -1 if there is none.
 func QuotaSourceNamed(name string) QuotaSource { return QuotaSource(indexOf(quotaSourceNames, name)) }
 
-// QuotaSourceNames returns the words of experiment files, in the order of the constants.
+// QuotaSourceNames returns the words of the sources in experiment files, in the order of the constants.
 func QuotaSourceNames() []string { return quotaSourceNames }
 
-// Configuration of the simulated quota store: a lease as installations have it, and a floor as a part of an even share.
+// Configuration of the simulated quota store: leases as in installations, and a floor as a fraction of an even share.
 const (
 	leaseDuration = 3 * Second
 	leaseMargin   = leaseDuration / 20
@@ -37,22 +37,22 @@
 	floorShare    = 0.2
 )
 
-// quotaState is what hosts draw from on a day with a QuotaSource other than GuessedQuotas.
+// quotaState holds the quotas that hosts draw from, with a QuotaSource other than GuessedQuotas.
 type quotaState struct {
 	source     QuotaSource
 	store      *quota.State
 	tracker    quota.LeaseTracker
 	holders    []*backendquota.Holder // by host
-	global     *backendquota.Holder   // of GlobalQuotas
-	limitIndex []int                  // by tenant: index of its limit in a holder, or -1
+	global     *backendquota.Holder   // shared by all hosts, with GlobalQuotas
+	limitIndex []int                  // by tenant: index of its limit in a holder; -1: no limit
 	limitNames []string
 }
 
-// hostName returns a host's name at the quota store.
+// hostName returns the name of a host in the quota store.
 func hostName(n int32) string { return fmt.Sprint("n", n) }
 
-// openQuotas sets up the quota store or the holders of the day.
-func (w *world) openQuotas() {
+// initQuotas sets up the quota store or the shared holder.
+func (w *world) initQuotas() {
 	if w.policy.QuotaSource == GuessedQuotas || len(w.scenario.Tenants) == 0 {
 		return
 	}
@@ -94,46 +94,46 @@
 	}
 }
 
-// fixedHolder returns a holder of a fixed part of each limit, without a lease.
-func fixedHolder(name, incarnation string, all []quota.Limit, parts int64) *backendquota.Holder {
-	names := make([]string, 0, len(all))
-	for _, limit := range all {
+// fixedHolder returns a holder of a fixed share of each limit, one of the given number of parts, without a lease.
+func fixedHolder(name, incarnation string, limits []quota.Limit, parts int64) *backendquota.Holder {
+	names := make([]string, 0, len(limits))
+	for _, limit := range limits {
 		names = append(names, string(limit.Name))
 	}
 	holder := backendquota.New(name, incarnation, names)
 	answer := backendquota.LeaseResponse{Name: name, Incarnation: incarnation, Number: holder.NewRequest(0).Number}
-	for _, limit := range all {
+	for _, limit := range limits {
 		answer.Grants = append(
 			answer.Grants,
 			backendquota.Grant{Budget: string(limit.Name), Epoch: 1, Floor: limit.Total / parts},
 		)
 	}
 	if err := holder.Apply(0, answer); err != nil {
-		panic(err) // the configuration was checked
+		panic(err) // can't happen: the configuration was checked
 	}
 	return holder
 }
 
-// quotaPrice returns the factor by which a success of a tenant counts now: 1 within its quota over all hosts,
-// overQuotaValue beyond it, whatever the policy knew of it.
-func (w *world) quotaPrice(tenant int) float64 {
+// quotaValueFactor returns the factor for the value of a tenant's success: 1 within its quota over all hosts, otherwise
+// overQuotaValue. It does not depend on the policy's count.
+func (w *world) quotaValueFactor(tenant int) float64 {
 	if len(w.scenario.Tenants) == 0 || w.scenario.Tenants[tenant].Quota < 1 {
 		return 1
 	}
-	if w.pricing == nil {
-		var all []quota.Limit
+	if w.pricingHolder == nil {
+		var limits []quota.Limit
 		for i, t := range w.scenario.Tenants {
-			all = append(all, quota.Limit{Name: quota.LimitName(fmt.Sprint(i)), Total: int64(t.Quota)})
+			limits = append(limits, quota.Limit{Name: quota.LimitName(fmt.Sprint(i)), Total: int64(t.Quota)})
 		}
-		w.pricing = fixedHolder("all", "price", all, 1)
+		w.pricingHolder = fixedHolder("all", "price", limits, 1)
 	}
-	if w.pricing.TryAcquire(w.now, tenant) {
+	if w.pricingHolder.TryAcquire(w.now, tenant) {
 		return 1
 	}
 	return overQuotaValue
 }
 
-// startQuotas gives a host's new process its quota holder.
+// startQuotas sets up the quota holder of a host's new process.
 func (w *world) startQuotas(h *host) {
 	quotas := w.quotas
 	if quotas == nil || quotas.source == GlobalQuotas {
@@ -141,20 +141,20 @@
 	}
 	name, incarnation := hostName(h.number), fmt.Sprint(h.incarnation)
 	if quotas.source == EvenQuotas {
-		var all []quota.Limit
+		var limits []quota.Limit
 		for i, t := range w.scenario.Tenants {
 			if quotas.limitIndex[i] >= 0 {
-				all = append(
-					all,
+				limits = append(
+					limits,
 					quota.Limit{Name: quota.LimitName(quotas.limitNames[quotas.limitIndex[i]]), Total: int64(t.Quota)},
 				)
 			}
 		}
-		quotas.holders[h.number] = fixedHolder(name, incarnation, all, int64(w.scenario.Hosts.fleetSize()))
+		quotas.holders[h.number] = fixedHolder(name, incarnation, limits, int64(w.scenario.Hosts.fleetSize()))
 		return
 	}
 	quotas.holders[h.number] = backendquota.New(name, incarnation, quotas.limitNames)
-	// Renewals are spread over the interval, as of agents that were started at different times.
+	// Renewals are spread over the interval, as if the agents were started at different times.
 	w.queue.push(
 		event{
 			at:         w.now + 1 + monotime.Micros(h.number)*leaseRenewal/monotime.Micros(len(w.hosts)),
@@ -165,7 +165,7 @@
 	)
 }
 
-// fleetSize returns the size of the fleet that hosts are configured with.
+// fleetSize returns the fleet size that the hosts are configured with.
 func (h *HostConfig) fleetSize() int {
 	if h.ReportedFleetSize > 0 {
 		return h.ReportedFleetSize
@@ -173,13 +173,13 @@
 	return h.Count
 }
 
-// renewLeases renews a host's leases, where it can reach the quota store. The duration of the call, a thousandth of a
-// lease, is left out.
+// renewLeases renews a host's leases if the host can reach the quota store. The duration of the call, about a
+// thousandth of a lease, is ignored.
 func (w *world) renewLeases(h *host) {
 	quotas := w.quotas
-	if !w.quotaStoreCut || h.number >= w.partitionedHosts {
+	if !w.quotaStorePartitioned || h.number >= w.partitionedHosts {
 		holder, now := quotas.holders[h.number], w.now
-		r := quotas.store.Apply(
+		response := quotas.store.Apply(
 			quota.Command{
 				Renew: &quota.RenewCommand{
 					Host:     hostName(h.number),
@@ -187,35 +187,35 @@
 				},
 			},
 		)
-		if len(r.Answers) > 0 && r.Answers[0].Refusal == "" {
-			_ = holder.Apply(now, r.Answers[0]) // a rejected answer leaves the leases as they are
+		if len(response.Answers) > 0 && response.Answers[0].Refusal == "" {
+			_ = holder.Apply(now, response.Answers[0]) // a rejected answer leaves the leases unchanged
 		}
 	}
 	w.queue.push(event{at: w.now + leaseRenewal, kind: evLease, subject: h.number, generation: h.incarnation})
 }
 
-// expireLeases lets the quota store expire leases and divide anew.
+// expireLeases expires leases in the quota store and divides the quotas again.
 func (w *world) expireLeases() {
 	quotas := w.quotas
-	if over, divide := quotas.tracker.Tick(w.now, quotas.store); divide || len(over) > 0 {
-		quotas.store.Apply(quota.Command{Expire: over, Rebalance: divide})
+	if expired, divide := quotas.tracker.Tick(w.now, quotas.store); divide || len(expired) > 0 {
+		quotas.store.Apply(quota.Command{Expire: expired, Rebalance: divide})
 	}
 	if w.now < w.scenario.Duration {
 		w.queue.push(event{at: w.now + leaseRenewal/4, kind: evLeaseExpiry})
 	}
 }
 
-// releaseQuotas tells the quota store that a process has exited, as the agent of its host would.
+// releaseQuotas reports the exit of a process to the quota store, as the agent of its host does.
 func (w *world) releaseQuotas(h *host) {
 	if quotas := w.quotas; quotas != nil && quotas.source == LeasedQuotas &&
-		(!w.quotaStoreCut || h.number >= w.partitionedHosts) {
+		(!w.quotaStorePartitioned || h.number >= w.partitionedHosts) {
 		name := hostName(h.number)
 		key := quota.NewClientKey(quota.InstanceName(name), fmt.Sprint(h.incarnation))
 		quotas.store.Apply(quota.Command{Exited: &quota.ExitCommand{Host: name, ClientKeys: []quota.ClientKey{key}}})
 	}
 }
 
-// drawQuota takes a unit of the tenant's quota for a request that a host has just read.
+// drawQuota draws a unit of the tenant's quota for a request that a host has read.
 func (w *world) drawQuota(h *host, tenant int) admission.QuotaStanding {
 	holder, i := w.holderFor(h, tenant)
 	if holder == nil {
@@ -229,7 +229,7 @@
 	return admission.OverQuota
 }
 
-// refundQuota returns the unit that was drawn for a request that never ran.
+// refundQuota returns the quota unit that was drawn for a request that never ran.
 func (w *world) refundQuota(h *host, att *attempt) {
 	if !att.quotaDrawn {
 		return
@@ -240,7 +240,8 @@
 	}
 }
 
-// holderFor returns what a host draws a tenant's units from and the index of the limit there; nil where there is none.
+// holderFor returns the holder from which a host draws a tenant's quota and the index of the limit in it. The holder is
+// nil if there is none.
 func (w *world) holderFor(h *host, tenant int) (*backendquota.Holder, int) {
 	quotas := w.quotas
 	if quotas == nil || quotas.limitIndex[tenant] < 0 {
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -6,26 +6,26 @@
 	"milletbarrow/monotime"
 )
 
-// request is what one caller wants. It may take several attempts and, where the caller sends it again, several entries
+// request is one request of a caller. It may take several attempts and, if the caller sends it again, several entries
 // in world.requests.
 type request struct {
-	number         uint64 // in the day, from 1; the same when the caller sends it again
-	node           int32
-	operation      int16
-	tenant         int16
-	attempts       int32
-	clientRetries  uint8
-	finished       bool
-	retriesLater   bool // its caller will send it again
-	maybeRan       bool // an attempt may have run without an answer
-	retryForbidden bool
-	openAttempts   [2]int32 // unanswered attempts, or none
-	liveAttempts   int32    // attempts that still refer to it, also runs that nobody waits for
-	generation     uint32
-	arrivedAt, due monotime.Micros
-	work           float64 // core time, microseconds
-	hint           monotime.Micros
-	lastSlot       int32 // slot of the latest attempt
+	number          uint64 // number in the day, from 1; kept when the caller sends the request again
+	node            int32
+	operation       int16
+	tenant          int16
+	attempts        int32
+	clientRetries   uint8
+	finished        bool
+	clientWillRetry bool // its caller sends it again later
+	mayHaveRun      bool // an attempt without an answer may have run
+	retryForbidden  bool
+	openAttempts    [2]int32 // indexes of unanswered attempts, or none
+	liveAttempts    int32    // attempts that refer to it, including runs whose caller has left
+	generation      uint32
+	arrivedAt, due  monotime.Micros
+	work            float64 // core time, microseconds
+	hint            monotime.Micros
+	lastSlot        int32 // slot of the latest attempt
 }
 
 // phase is the progress of an attempt.
@@ -48,28 +48,28 @@
 	request                  int32
 	host                     int32
 	slot                     int32
-	incarnation              uint32 // of the host, when it arrived
+	incarnation              uint32 // of the host, at its arrival
 	generation               uint32
 	phase                    phase
 	answers                  uint8
 	outcome                  Outcome
-	callerGone               bool // its host was notified that the caller has left
+	callerGone               bool // its host was notified that the caller left
 	retry                    bool
 	callSkipped              bool
-	shed                     bool // by graceful degradation
-	finishing                bool // the policy is being told of its end
+	shed                     bool // graceful degradation sheds it
+	finishing                bool // its end is being reported to the policy
 	called                   bool
-	quotaDrawn               bool // a unit of its tenant's quota was drawn
-	atHost, atNode           bool // who still refers to it
+	quotaDrawn               bool // a unit of its tenant's quota was drawn for it
+	atHost, atNode           bool // whether the host and the node refer to it
 	prev, next               int32
 	reachedAt, readAt, dueAt monotime.Micros
 	callNumber               uint32
 	retryAfter               monotime.Micros
 	dontRetry                bool
-	waiters                  []int32 // repeated requests that wait for its result
+	waiters                  []int32 // attempts of repeated requests that wait for its result
 }
 
-// Outcome is how an attempt or a request ended, as the node sees it.
+// Outcome is the result of an attempt or a request, as the node sees it.
 type Outcome uint8
 
 // The outcomes.
@@ -77,8 +77,8 @@
 	Succeeded Outcome = iota
 	Throttled
 	Errored
-	Unreachable     // no connection: nothing ran
-	Reset           // the connection ended: it may have run
+	Unreachable     // no connection: it did not run
+	Reset           // the connection was closed: it may have run
 	TimedOut        // no answer within the client timeout
 	ThrottledByNode // throttled by the node itself
 	outcomeCount
@@ -105,14 +105,14 @@
 	return int32(len(w.requests) - 1)
 }
 
-// freeRequest makes an index available again.
+// freeRequest releases the index of a request.
 func (w *world) freeRequest(i int32) {
 	w.active--
 	w.requests[i].generation++
 	w.freeRequests = append(w.freeRequests, i)
 }
 
-// newAttempt returns the index of a new attempt. Its id begins with the index; a unique one is never used again.
+// newAttempt returns the index of a new attempt. Its id starts with the index; a unique id is never used again.
 func (w *world) newAttempt(unique bool) int32 {
 	w.active++
 	var i int32
@@ -126,14 +126,14 @@
 		i = int32(len(w.attempts) - 1)
 		w.attempts[i].id = fmt.Sprintf("%d", i)
 	}
-	if unique { // a host that caches by id must not meet it again
+	if unique { // hosts cache results by id
 		w.lastUniqueID++
 		w.attempts[i].id = fmt.Sprintf("%d.%d", i, w.lastUniqueID)
 	}
 	return i
 }
 
-// freeAttempt makes an attempt's index available again once neither host nor node refers to it.
+// freeAttempt releases the index of an attempt unless its host or node still refers to it.
 func (w *world) freeAttempt(i int32) {
 	if att := &w.attempts[i]; !att.atHost && !att.atNode && att.phase != phaseEnded {
 		att.phase = phaseEnded
@@ -145,7 +145,7 @@
 	}
 }
 
-// attemptByID returns the attempt that a policy names, or none.
+// attemptByID returns the attempt with an id of a policy's action, or none.
 func (w *world) attemptByID(id string) int32 {
 	n := 0
 	for i := 0; i < len(id) && id[i] != '.'; i++ {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -9,11 +9,11 @@
 	"milletbarrow/monotime"
 )
 
-// Version is the version of the stored form of a Result. A reader rejects a newer one.
+// Version is the version of the stored form of a Result. Readers reject newer versions.
 const Version = 1
 
-// Result is the outcome of one run. Values are billed values, times are microseconds. A request that its caller sends
-// again counts once in Requests and Offered.
+// Result is the result of one simulated day. Values are billed values and times are microseconds. A request that its
+// caller sends again counts once in Requests and Offered.
 type Result struct {
 	Version  int    `json:"version"`
 	Scenario string `json:"scenario"`
@@ -23,16 +23,16 @@
 	Nodes    int    `json:"nodes"`
 
 	Offered          float64 `json:"offered"` // value of all requests
-	Billed           float64 `json:"billed"`  // value of those that succeeded, late ones in part
+	Billed           float64 `json:"billed"`  // value of requests that succeeded; late ones count in part
 	Requests         int     `json:"asks"`
 	ClientRetries    int     `json:"anew"`
 	Attempts         int     `json:"attempts"`
 	Runs             int     `json:"runs"`
-	WastedMicros     float64 `json:"wasted_us"`        // core time of runs that nobody waited for, microseconds
-	Shed             int     `json:"shed"`             // by graceful degradation
-	WithinQuota      int     `json:"within,omitempty"` // requests read within their tenant's quota, where hosts draw from one
+	WastedMicros     float64 `json:"wasted_us"`        // core time of runs answered before their end, microseconds
+	Shed             int     `json:"shed"`             // requests shed by graceful degradation
+	WithinQuota      int     `json:"within,omitempty"` // requests within their tenant's quota, if hosts draw from one
 	OverQuota        int     `json:"beyond,omitempty"`
-	QuotaPriced      float64 `json:"priced,omitempty"` // billed, reduced beyond a tenant's quota over all hosts
+	QuotaPriced      float64 `json:"priced,omitempty"` // Billed, reduced for successes beyond a tenant's quota
 	Deaths           int     `json:"deaths"`
 	Incarnations     int     `json:"lives"`             // processes started, over all hosts
 	RejectedReleases int     `json:"refused,omitempty"` // releases that fleet.Machine rejected
@@ -44,7 +44,7 @@
 	Operations       []Breakdown   `json:"operations"`
 	Tenants          []Breakdown   `json:"tenants,omitempty"`
 	Seconds          []SecondStats `json:"seconds"`
-	Heat             [][]byte      `json:"heat,omitempty"` // by second and host: cores in use in percent, or Down
+	Heat             [][]byte      `json:"heat,omitempty"` // by second and host: core use in percent, or Down
 	LevelChanges     []LevelChange `json:"levels,omitempty"`
 	LevelChangeCount int           `json:"level_changes"`
 	BreachesByRule   [5]int        `json:"rules"` // indexed by rule, 1 to 4
@@ -54,31 +54,31 @@
 // Down marks a host without a process in Result.Heat.
 const Down = 255
 
-// Breakdown is the outcome of the requests of one operation or tenant.
+// Breakdown is the result of the requests of one operation or tenant.
 type Breakdown struct {
 	Name     string            `json:"name"`
 	Offered  float64           `json:"offered"`
 	Billed   float64           `json:"billed"`
 	Requests int               `json:"asks"`
 	InTime   int               `json:"in_time"`
-	Outcomes [outcomeCount]int `json:"ends"`              // indexed as the names of Outcomes
+	Outcomes [outcomeCount]int `json:"ends"`              // in the order of Outcomes()
 	Latency  []byte            `json:"latency,omitempty"` // of successes, in microseconds: a compressed HdrHistogram V2
 
 	histogram *hdrhistogram.Histogram
 }
 
-// Outcomes returns the names of outcomes, in the order of Breakdown.Outcomes.
+// Outcomes returns the names of the outcomes, in the order of Breakdown.Outcomes.
 func Outcomes() []string { return outcomeNames[:] }
 
-// SecondStats is what happened in one second of the day.
+// SecondStats is the result of one second of the day.
 type SecondStats struct {
 	Offered   float64 `json:"offered"`
 	Billed    float64 `json:"billed"` // by the second of the success
 	Requests  int     `json:"asks"`
-	Throttled int     `json:"throttled"` // requests that ended so
+	Throttled int     `json:"throttled"` // requests that ended throttled
 	Lost      int     `json:"lost"`
 	Attempts  int     `json:"attempts"`
-	CoreUse   float64 `json:"use"` // mean over the hosts, 0 to 1
+	CoreUse   float64 `json:"use"` // mean over the hosts that are up, 0 to 1
 	HostsUp   int     `json:"up"`
 }
 
@@ -93,7 +93,7 @@
 
 const (
 	maxLevelChanges = 2000
-	maxHeatBytes    = 4 << 20 // beyond it a result has no heat map
+	maxHeatBytes    = 4 << 20 // a larger heat map is omitted
 	minLatency      = 1       // microseconds
 	maxLatency      = 3_600_000_000
 )
@@ -120,7 +120,7 @@
 	return r
 }
 
-// secondAt returns the entry of a time's second.
+// secondAt returns the entry of the second that contains a time.
 func (r *Result) secondAt(now monotime.Micros) *SecondStats {
 	i := int(now / Second)
 	for len(r.Seconds) <= i {
@@ -129,15 +129,15 @@
 	return &r.Seconds[i]
 }
 
-// RecordRequest counts a request that a caller sends, at a time of the day. operation and tenant are indexes of the
-// scenario's.
+// RecordRequest counts a request that a caller sends. now is the time of the day; operation and tenant are indexes into
+// the scenario's.
 func (r *Result) RecordRequest(s *Scenario, now monotime.Micros, operation, tenant int) {
 	v := s.Operations[operation].Value
 	r.Requests++
 	r.Offered += v
-	sec := r.secondAt(now)
-	sec.Requests++
-	sec.Offered += v
+	second := r.secondAt(now)
+	second.Requests++
+	second.Offered += v
 	r.Operations[operation].Requests++
 	r.Operations[operation].Offered += v
 	if len(r.Tenants) > 0 {
@@ -146,32 +146,32 @@
 	}
 }
 
-// RecordOutcome counts how a request ended, how long after it began, and what of its value was billed. One that its
-// caller sends again ends again.
+// RecordOutcome counts the end of a request, with its outcome, its duration and its billed value. A request that its
+// caller sends again is counted at each end.
 func (r *Result) RecordOutcome(
 	s *Scenario,
 	now monotime.Micros,
 	operation, tenant int,
 	outcome Outcome,
-	took monotime.Micros,
+	duration monotime.Micros,
 	value float64,
 ) {
-	sec := r.secondAt(now)
+	second := r.secondAt(now)
 	r.Billed += value
-	sec.Billed += value
+	second.Billed += value
 	switch outcome {
 	case Throttled, ThrottledByNode:
-		sec.Throttled++
+		second.Throttled++
 	case TimedOut:
-		sec.Lost++
+		second.Lost++
 	}
-	count := func(p *Breakdown) {
-		p.Billed += value
-		p.Outcomes[outcome]++
+	count := func(b *Breakdown) {
+		b.Billed += value
+		b.Outcomes[outcome]++
 		if outcome == Succeeded {
-			_ = p.histogram.RecordValue(int64(max(took, minLatency)))
-			if took <= s.Operations[operation].Objective {
-				p.InTime++
+			_ = b.histogram.RecordValue(int64(max(duration, minLatency)))
+			if duration <= s.Operations[operation].Objective {
+				b.InTime++
 			}
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 }
 
-// Close encodes the latencies. Call it once, at the end.
+// Close encodes the latencies. It must be called once, at the end.
 func (r *Result) Close() {
 	for _, parts := range [][]Breakdown{r.Operations, r.Tenants} {
 		for i := range parts {
@@ -192,23 +192,23 @@
 	}
 }
 
-// recordSecond records the state of the fleet in the second that has ended.
+// recordSecond records the state of the fleet at the end of a second.
 func (r *Result) recordSecond(w *world) {
 	w.audit.checkOverdue(w)
 	i := int(w.now/Second) - 1
 	for len(r.Seconds) <= i {
 		r.Seconds = append(r.Seconds, SecondStats{})
 	}
-	sec := &r.Seconds[i]
-	heat := len(w.hosts)*int(w.scenario.Duration/Second+1) <= maxHeatBytes
+	second := &r.Seconds[i]
+	recordHeat := len(w.hosts)*int(w.scenario.Duration/Second+1) <= maxHeatBytes
 	var row []byte
-	if heat {
+	if recordHeat {
 		row = make([]byte, len(w.hosts))
 	}
 	for k := range w.hosts {
 		h := &w.hosts[k]
 		if !h.up {
-			if heat {
+			if recordHeat {
 				row[k] = Down
 			}
 			continue
@@ -216,43 +216,51 @@
 		w.advanceCores(h)
 		use := (h.busyMicros - h.busyAtSecond) / float64(Second) / float64(w.scenario.Hosts.Cores)
 		h.busyAtSecond = h.busyMicros
-		sec.HostsUp++
-		sec.CoreUse += use
-		if heat {
+		second.HostsUp++
+		second.CoreUse += use
+		if recordHeat {
 			row[k] = byte(min(100, use*100+0.5))
 		}
 	}
-	if sec.HostsUp > 0 {
-		sec.CoreUse /= float64(sec.HostsUp)
+	if second.HostsUp > 0 {
+		second.CoreUse /= float64(second.HostsUp)
 	}
-	sec.Attempts = r.Attempts
-	if heat {
+	second.Attempts = r.Attempts
+	if recordHeat {
 		r.Heat = append(r.Heat, row)
 	}
 }
 
-// recordLevelChange records a change of a host's degradation level.
-func (r *Result) recordLevelChange(w *world, h *host, c degradation.Change) {
+// recordLevelChange counts a change of a host's degradation level and records it if it is one of the first
+// maxLevelChanges.
+func (r *Result) recordLevelChange(w *world, h *host, change degradation.Change) {
 	r.LevelChangeCount++
 	if len(r.LevelChanges) < maxLevelChanges {
 		r.LevelChanges = append(
 			r.LevelChanges,
-			LevelChange{At: w.now, Host: h.number, From: c.From, To: c.To, Collapse: c.Collapse, Cause: c.Cause},
+			LevelChange{
+				At:       w.now,
+				Host:     h.number,
+				From:     change.From,
+				To:       change.To,
+				Collapse: change.Collapse,
+				Cause:    change.Cause,
+			},
 		)
 	}
 }
 
-// finish completes a result at the end of a run.
+// finish completes the result at the end of the day.
 func (r *Result) finish(w *world) {
 	w.audit.checkOverdue(w)
-	for i := len(r.Seconds) - 1; i > 0; i-- { // from a running sum to the count of each second
+	for i := len(r.Seconds) - 1; i > 0; i-- { // turns the running sums into counts per second
 		r.Seconds[i].Attempts = max(0, r.Seconds[i].Attempts-r.Seconds[i-1].Attempts)
 	}
 	r.Close()
 	r.BreachesByRule, r.Breaches = w.audit.Counts, w.audit.First
 }
 
-// Value returns the billed part of the offered value, 0 to 1.
+// Value returns the billed fraction of the offered value, 0 to 1.
 func (r *Result) Value() float64 {
 	if r.Offered == 0 {
 		return 0
@@ -260,7 +268,7 @@
 	return r.Billed / r.Offered
 }
 
-// BreachCount returns the number of all breaches.
+// BreachCount returns the number of breaches of all rules.
 func (r *Result) BreachCount() (n int) {
 	for _, c := range r.BreachesByRule {
 		n += c
@@ -268,26 +276,26 @@
 	return n
 }
 
-// Histogram decodes the latencies of successes, in microseconds; nil where there are none.
-func (p *Breakdown) Histogram() (*hdrhistogram.Histogram, error) {
-	if len(p.Latency) == 0 {
+// Histogram decodes the latencies of successes, in microseconds. It returns nil if there are none.
+func (b *Breakdown) Histogram() (*hdrhistogram.Histogram, error) {
+	if len(b.Latency) == 0 {
 		return nil, nil
 	}
-	h, err := hdrhistogram.Decode(p.Latency)
+	h, err := hdrhistogram.Decode(b.Latency)
 	if err != nil {
-		return nil, fmt.Errorf("latencies of %s: %w", p.Name, err)
+		return nil, fmt.Errorf("latencies of %s: %w", b.Name, err)
 	}
 	return h, nil
 }
 
-// OutcomeShare returns the share of requests that ended with outcome n.
-func (p *Breakdown) OutcomeShare(n int) float64 {
+// OutcomeShare returns the share of the outcomes that are outcome n.
+func (b *Breakdown) OutcomeShare(n int) float64 {
 	total := 0
-	for _, c := range p.Outcomes {
+	for _, c := range b.Outcomes {
 		total += c
 	}
 	if total == 0 {
 		return 0
 	}
-	return float64(p.Outcomes[n]) / float64(total)
+	return float64(b.Outcomes[n]) / float64(total)
 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,8 +1,8 @@
-// Package simulation is an event-driven simulation of what milletbarrow balances: hosts, edge nodes that can't be
-// changed, the callers behind them, an endpoint registry with a lag, and faults. Play runs one scenario with one
-// policy on one seed, event by event on one goroutine, and gives the same result to the byte wherever it runs. It
-// does no I/O and reads no clock. Whether the four rules are kept is judged here, from what happened, never by the
-// policy.
+// Package simulation is a discrete-event simulation of the system that milletbarrow balances: hosts, edge nodes that
+// can't be changed, the callers behind them, an endpoint registry with a lag, and faults. Play simulates a scenario
+// with a policy and a seed, event by event on one goroutine. Its result is the same to the byte on all machines. The
+// package does no I/O and reads no clock. It checks the four rules against the simulated events, never against reports
+// of the policy; see Audit.
 package simulation
 
 import (
@@ -16,11 +16,11 @@
 	Second      monotime.Micros = 1_000_000
 )
 
-// Scenario describes one day: hosts, edge nodes, load and faults. The names in its tags are those by which stored
-// results are found (see experiment.ResultDir); they never change.
+// Scenario describes one simulated day: hosts, edge nodes, load and faults. Its field names and tags are part of the
+// keys of stored results (see experiment.ResultDir) and must not change.
 type Scenario struct {
 	Name       string
-	Duration   monotime.Micros `json:"For"` // how long requests arrive; afterwards those in flight may end
+	Duration   monotime.Micros `json:"For"` // time during which requests arrive; those in flight may end later
 	Hosts      HostConfig
 	Nodes      NodeConfig
 	Registry   RegistryConfig   `json:"Register"`
@@ -31,58 +31,58 @@
 	Faults     []Fault `json:"Troubles"`
 }
 
-// HostConfig describes the backends, which are alike but for their speed.
+// HostConfig describes the hosts. They differ only in speed.
 type HostConfig struct {
 	Count             int
-	ReportedFleetSize int `json:"Told"` // the fleet's size that hosts are configured with; 0: Count
+	ReportedFleetSize int `json:"Told"` // fleet size that the hosts are configured with; 0: Count
 	Cores             int
 	SpeedSpread       float64         `json:"Spread"`    // a host's speed lies within 1 ± SpeedSpread
-	CollapseMultiple  float64         `json:"Crowd"`     // runs a core beyond which all slow down by the square of the excess
-	CollapseAfter     monotime.Micros `json:"FallOver"`  // a host that is overloaded for so long crashes
+	CollapseMultiple  float64         `json:"Crowd"`     // runs per core beyond which throughput falls by the square
+	CollapseAfter     monotime.Micros `json:"FallOver"`  // a host crashes after an overload of this duration
 	ReadWork          monotime.Micros `json:"Read"`      // core time to read one request
 	HandshakeWork     monotime.Micros `json:"Handshake"` // core time to open a connection
 	MemoryKB          float64         // for queued and running requests; a host that exceeds it crashes
-	RequestKB         float64         `json:"HeldKB"` // of one queued request
-	RunFactor         float64         // a running request takes so many times as much
-	ColdSpeed         float64         `json:"ColdShare"` // speed of a cold process, of 1
-	WarmUp            monotime.Micros `json:"ColdFor"`   // time to full speed, linear
-	Connections       int             // open at once; a further one is rejected unread
-	IdleTimeout       monotime.Micros `json:"IdleFor"`    // an idle connection is closed after so long
-	DrainGrace        monotime.Micros `json:"Grace"`      // requests that arrive so long after a shutdown notice are not run
-	ExitTimeout       monotime.Micros `json:"Stop"`       // the process is stopped so long after the notice
-	AnswerSlack       monotime.Micros `json:"Slack"`      // an answer may be late by so much
-	MaxRetryAfter     monotime.Micros `json:"RetryAfter"` // the longest Retry-After that is passed on; 0: none is
-	Preemptible       bool            `json:"Stoppable"`  // runs can be taken off the cores
+	RequestKB         float64         `json:"HeldKB"` // memory of one queued request
+	RunFactor         float64         // memory of a running request, relative to RequestKB
+	ColdSpeed         float64         `json:"ColdShare"` // speed of a cold process, relative to 1
+	WarmUp            monotime.Micros `json:"ColdFor"`   // time from ColdSpeed to full speed, linear
+	Connections       int             // maximum of open connections; further ones are rejected
+	IdleTimeout       monotime.Micros `json:"IdleFor"`    // an idle connection is closed after this time
+	DrainGrace        monotime.Micros `json:"Grace"`      // requests that arrive later after the notice are not run
+	ExitTimeout       monotime.Micros `json:"Stop"`       // the process is stopped this long after the notice
+	AnswerSlack       monotime.Micros `json:"Slack"`      // an answer may be late by this much
+	MaxRetryAfter     monotime.Micros `json:"RetryAfter"` // the longest Retry-After that is sent; 0: none
+	Preemptible       bool            `json:"Stoppable"`  // runs can be preempted
 }
 
 // NodeConfig describes the edge nodes and the callers behind them.
 type NodeConfig struct {
 	Count             int
-	Subset            int             // hosts that one node uses; 0: all
-	Balance           Balance         // how it chooses a host
-	MaxAttempts       int             `json:"Tries"`    // of one request; 0: until its client timeout
-	Backoff           monotime.Micros `json:"Pause"`    // before the first retry, with jitter; it doubles with each
-	UnresponsiveShare float64         `json:"Deaf"`     // share of the nodes that honour neither "don't retry" nor Retry-After
-	HedgeDelay        monotime.Micros `json:"Hedge"`    // a hedged attempt is sent after so long, for idempotent operations; 0: never
-	CancelDelay       monotime.Micros `json:"Word"`     // the host is notified so late that a caller has left; negative: never
+	Subset            int             // number of hosts that a node uses; 0: all
+	Balance           Balance         // how a node chooses a host
+	MaxAttempts       int             `json:"Tries"`    // per request; 0: no limit before its client timeout
+	Backoff           monotime.Micros `json:"Pause"`    // before the first retry, with jitter; doubles each time
+	UnresponsiveShare float64         `json:"Deaf"`     // share of the nodes that ignore "don't retry" and Retry-After
+	HedgeDelay        monotime.Micros `json:"Hedge"`    // an idempotent request is hedged after this time; 0: never
+	CancelDelay       monotime.Micros `json:"Word"`     // delay of the notice that a caller has left; negative: none
 	NetworkDelay      monotime.Micros `json:"Net"`      // one way
-	ClientRetryShare  float64         `json:"Behind"`   // share of the callers that send a failed request again, without a retry mark
-	ClientRetryDelay  monotime.Micros `json:"BehindIn"` // mean delay of that
-	RefreshInterval   monotime.Micros `json:"Refresh"`  // between two polls of the endpoint registry
+	ClientRetryShare  float64         `json:"Behind"`   // share of the callers that resend a failed request, unmarked
+	ClientRetryDelay  monotime.Micros `json:"BehindIn"` // mean delay before it is sent again
+	RefreshInterval   monotime.Micros `json:"Refresh"`  // interval between polls of the endpoint registry
 	Throttles         bool            // client-side throttling by the share accepted recently (baseline)
 	ThrottleWindow    monotime.Micros `json:"Window"` // time constant of that share
 }
 
-// Balance is how an edge node chooses among its hosts. Its String is the word of experiment files.
+// Balance is how an edge node chooses among its hosts. String returns its word in experiment files.
 type Balance int
 
-// The balancing policies. All but Oracle know only what this node has in flight itself.
+// The balancing policies. All but Oracle know only the attempts that the node itself has in flight.
 const (
 	RoundRobin Balance = iota
 	Random
-	TwoChoices // of two drawn, the one with fewer in flight
-	LeastLoad  // fewest in flight, weighted by the recent latency
-	Oracle     // the least true load, as it was a moment ago
+	TwoChoices // the one with fewer in flight of two random hosts
+	LeastLoad  // the lowest number in flight, weighted by recent latency
+	Oracle     // the lowest true load, by a recent sample
 )
 
 var balanceNames = []string{"round-robin", "random", "two-choices", "least-load", "oracle"}
@@ -91,76 +91,76 @@
 
 // RegistryConfig describes the endpoint registry.
 type RegistryConfig struct {
-	Lag monotime.Micros // a change of a host's health is listed so late
+	Lag monotime.Micros // delay from a change of a host's health to the endpoint list
 }
 
-// DependencyConfig describes the dependency that operations with calls share.
+// DependencyConfig describes the shared dependency of the operations that make calls.
 type DependencyConfig struct {
-	Slots int             // calls worked on at once; more share them evenly
-	Work  monotime.Micros // duration of a call without contention
+	Slots int             // calls processed at full speed at once; more calls share the slots evenly
+	Work  monotime.Micros // duration of a call at full speed
 }
 
 // Operation is one kind of request.
 type Operation struct {
 	Name             string
-	Value            float64         // billed for a success within the objective
+	Value            float64         // value of a success within the objective
 	Priority         float64         `json:"Rank"`
-	Share            float64         // of all requests
+	Share            float64         // share of all requests
 	Work             monotime.Micros // mean core time of a run
 	WorkSigma        float64         `json:"Tail"` // sigma of the lognormal distribution of work; 0: constant
 	Objective        monotime.Micros
 	Timeout          monotime.Micros
 	LateValue        float64
 	RetrySafety      admission.RetrySafety `json:"Repeat"`
-	HintFactor       float64               `json:"Hint"`       // the expected work sent along is the work times this; 0: none is sent
+	HintFactor       float64               `json:"Hint"`       // expected work sent, relative to the work; 0: none
 	HintSigma        float64               `json:"HintSpread"` // sigma of a further lognormal factor
 	MakesCalls       bool                  `json:"Calls"`
 	ValueWithoutCall float64               `json:"SkippedValue"`
 }
 
-// Tenant is one part of the callers.
+// Tenant is one tenant of the callers.
 type Tenant struct {
 	Name       string
-	Share      float64 // of all requests
-	Quota      float64 // requests a second, over all hosts; 0: none
-	HintFactor float64 `json:"Lies"` // its hints are multiplied by this; 0 means 1
+	Share      float64 // share of all requests
+	Quota      float64 // requests per second, over all hosts; 0: none
+	HintFactor float64 `json:"Lies"` // factor of the expected work that its requests send; 0 means 1
 }
 
-// Load describes the rate of requests over the day, open loop. Levels are parts of capacity: all cores at full speed,
-// reading included.
+// Load describes the rate of requests over the day, open loop. Levels are fractions of capacity, which is the rate that
+// all cores can read and run at full speed.
 type Load struct {
 	Level     float64 `json:"At"` // at the start, or the mean
 	Shape     Shape
-	PeakLevel float64         `json:"To"` // at the end of a ramp or on top of a step
-	Period    monotime.Micros // of waves and bursts
-	Swing     float64         // of waves and bursts: relative amplitude
+	PeakLevel float64         `json:"To"` // at the end of a ramp, in the step or at the peak of DueDate
+	Period    monotime.Micros // of Wave and Bursty
+	Swing     float64         // of Wave and Bursty: relative amplitude
 	Recorded  []Recorded
 }
 
-// Shape is the course of the load over the day.
+// Shape is the shape of the load over the day.
 type Shape int
 
 // The shapes.
 const (
 	Steady  Shape = iota
 	Ramp          // linear from Level to PeakLevel
-	Step          // PeakLevel in the middle third, else Level
+	Step          // PeakLevel in the middle third of the day, otherwise Level
 	Wave          // a sine with Period and Swing
-	Bursty        // on and off for exponential times with a mean of Period, by Swing up and down
-	DueDate       // rises to PeakLevel at two thirds of the day, and falls off
+	Bursty        // alternates between 1+Swing and 1-Swing times Level, for exponential times of mean Period
+	DueDate       // rises to PeakLevel at two thirds of the day, then falls to Level
 	Replay        // Load.Recorded
 )
 
 var shapeNames = []string{"steady", "ramp", "step", "wave", "bursty", "due-date", "replay"}
 
-// Recorded is one request of a recorded load. Operation and tenant are indexes of the scenario's.
+// Recorded is one request of a recorded load. Operation and Tenant are indexes into the scenario's.
 type Recorded struct {
 	At                monotime.Micros
 	Operation, Tenant int
 	Work              monotime.Micros
 }
 
-// Default returns a small scenario. What an experiment's file leaves out is as here.
+// Default returns a small scenario. It has the defaults of experiment files.
 func Default() Scenario {
 	return Scenario{
 		Name:       "default",
@@ -250,7 +250,7 @@
 	}
 }
 
-// Capacity returns how many requests a second all hosts can read and run, at full speed.
+// Capacity returns the number of requests per second that all hosts can read and run at full speed.
 func (s *Scenario) Capacity() float64 {
 	mean, total := 0.0, 0.0
 	for _, op := range s.Operations {
@@ -262,10 +262,10 @@
 // overQuotaValue is the value of a request beyond its tenant's quota, relative to one within it.
 const overQuotaValue = 0.3
 
-// AdmissionConfig returns the configuration of a host's policy; cold for a process that replaces another.
+// AdmissionConfig returns the configuration of a host's policy. cold is true for a process that replaces another.
 func (s *Scenario) AdmissionConfig(cold bool) admission.Config {
 	h := &s.Hosts
-	t := admission.Config{
+	config := admission.Config{
 		OverQuotaValue:      overQuotaValue,
 		FleetSize:           h.fleetSize(),
 		Callers:             s.Nodes.Count,
@@ -288,10 +288,10 @@
 		IdleTimeout:         h.IdleTimeout,
 	}
 	if h.Preemptible {
-		t.Preemption = admission.PreemptionDiscards
+		config.Preemption = admission.PreemptionDiscards
 	}
 	for _, op := range s.Operations {
-		t.Operations = append(t.Operations, admission.Operation{
+		config.Operations = append(config.Operations, admission.Operation{
 			RetrySafety:      op.RetrySafety,
 			Objective:        op.Objective,
 			ClientTimeout:    op.Timeout,
@@ -301,8 +301,8 @@
 			ValueWithoutCall: op.ValueWithoutCall,
 		})
 	}
-	for _, tn := range s.Tenants {
-		t.QuotaPerSecond = append(t.QuotaPerSecond, tn.Quota)
+	for _, tenant := range s.Tenants {
+		config.QuotaPerSecond = append(config.QuotaPerSecond, tenant.Quota)
 	}
-	return t
+	return config
 }
--- a/internal/simulation/scenario_file.go
+++ b/internal/simulation/scenario_file.go
@@ -15,19 +15,22 @@
 )
 
 const (
-	day    = 24 * time.Hour
-	noTime = time.Duration(0)
+	day          = 24 * time.Hour
+	zeroDuration = time.Duration(0)
 )
 
-func span(m monotime.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+// toDuration converts a simulated duration.
+func toDuration(m monotime.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+
+// indexOf returns the index of a name, or -1.
 func indexOf(names []string, s string) int { return slices.Index(names, s) }
 
-// ReadScenario reads the form (scenario NAME (hosts ...) (nodes ...) ...). What it leaves out is as in Default; what is
-// wrong is added to the form's errors.
+// ReadScenario reads the form (scenario NAME (hosts ...) (nodes ...) ...). Omitted fields are as in Default. Errors are
+// added to the form's errors.
 func ReadScenario(f *sexpr.Form) Scenario {
 	s := Default()
 	s.Name = f.Arg()
-	s.Duration = monotime.FromDuration(f.Span("for", time.Millisecond, day, span(s.Duration)))
+	s.Duration = monotime.FromDuration(f.Span("for", time.Millisecond, day, toDuration(s.Duration)))
 	if h := f.Field("hosts"); h != nil {
 		readHosts(h, &s.Hosts)
 	}
@@ -35,12 +38,14 @@
 		readNodes(n, &s.Nodes)
 	}
 	if r := f.Field("register"); r != nil {
-		s.Registry.Lag = monotime.FromDuration(r.Span("lag", noTime, time.Hour, span(s.Registry.Lag)))
+		s.Registry.Lag = monotime.FromDuration(r.Span("lag", zeroDuration, time.Hour, toDuration(s.Registry.Lag)))
 		r.Done()
 	}
 	if b := f.Field("below"); b != nil {
 		s.Dependency.Slots = b.Int("slots", 1, 1_000_000, s.Dependency.Slots)
-		s.Dependency.Work = monotime.FromDuration(b.Span("work", noTime, time.Minute, span(s.Dependency.Work)))
+		s.Dependency.Work = monotime.FromDuration(
+			b.Span("work", zeroDuration, time.Minute, toDuration(s.Dependency.Work)),
+		)
 		b.Done()
 	}
 	if all := f.All("operation"); len(all) > 0 {
@@ -62,7 +67,7 @@
 		s.Load.Level = l.Share("at", 0, 100, s.Load.Level)
 		s.Load.PeakLevel = l.Share("to", 0, 100, s.Load.PeakLevel)
 		s.Load.Shape = Shape(indexOf(shapeNames, l.OneOf("shape", shapeNames[:Replay]...)))
-		s.Load.Period = monotime.FromDuration(l.Span("period", time.Millisecond, day, span(s.Load.Period)))
+		s.Load.Period = monotime.FromDuration(l.Span("period", time.Millisecond, day, toDuration(s.Load.Period)))
 		s.Load.Swing = l.Share("swing", 0, 1, s.Load.Swing)
 		l.Done()
 	}
@@ -84,20 +89,20 @@
 	h.Cores = f.Int("cores", 1, 1024, h.Cores)
 	h.SpeedSpread = f.Share("spread", 0, 0.9, h.SpeedSpread)
 	h.CollapseMultiple = f.Share("crowd", 1, 1000, h.CollapseMultiple)
-	h.CollapseAfter = monotime.FromDuration(f.Span("fall-over", time.Millisecond, day, span(h.CollapseAfter)))
-	h.ReadWork = monotime.FromDuration(f.Span("read", noTime, time.Second, span(h.ReadWork)))
-	h.HandshakeWork = monotime.FromDuration(f.Span("handshake", noTime, time.Second, span(h.HandshakeWork)))
+	h.CollapseAfter = monotime.FromDuration(f.Span("fall-over", time.Millisecond, day, toDuration(h.CollapseAfter)))
+	h.ReadWork = monotime.FromDuration(f.Span("read", zeroDuration, time.Second, toDuration(h.ReadWork)))
+	h.HandshakeWork = monotime.FromDuration(f.Span("handshake", zeroDuration, time.Second, toDuration(h.HandshakeWork)))
 	h.MemoryKB = mb * f.Share("memory", 1, 1<<20, h.MemoryKB/mb)
 	h.RequestKB = f.Share("held", 0, 1<<20, h.RequestKB)
 	h.RunFactor = f.Share("run-factor", 1, 1000, h.RunFactor)
 	h.ColdSpeed = f.Share("cold-share", 0.01, 1, h.ColdSpeed)
-	h.WarmUp = monotime.FromDuration(f.Span("cold-for", noTime, time.Hour, span(h.WarmUp)))
+	h.WarmUp = monotime.FromDuration(f.Span("cold-for", zeroDuration, time.Hour, toDuration(h.WarmUp)))
 	h.Connections = f.Int("connections", 1, 1_000_000, h.Connections)
-	h.IdleTimeout = monotime.FromDuration(f.Span("idle-for", time.Millisecond, day, span(h.IdleTimeout)))
-	h.DrainGrace = monotime.FromDuration(f.Span("grace", noTime, time.Hour, span(h.DrainGrace)))
-	h.ExitTimeout = monotime.FromDuration(f.Span("stop", time.Millisecond, time.Hour, span(h.ExitTimeout)))
-	h.AnswerSlack = monotime.FromDuration(f.Span("slack", time.Millisecond, time.Minute, span(h.AnswerSlack)))
-	h.MaxRetryAfter = monotime.FromDuration(f.Span("retry-after", noTime, time.Hour, span(h.MaxRetryAfter)))
+	h.IdleTimeout = monotime.FromDuration(f.Span("idle-for", time.Millisecond, day, toDuration(h.IdleTimeout)))
+	h.DrainGrace = monotime.FromDuration(f.Span("grace", zeroDuration, time.Hour, toDuration(h.DrainGrace)))
+	h.ExitTimeout = monotime.FromDuration(f.Span("stop", time.Millisecond, time.Hour, toDuration(h.ExitTimeout)))
+	h.AnswerSlack = monotime.FromDuration(f.Span("slack", time.Millisecond, time.Minute, toDuration(h.AnswerSlack)))
+	h.MaxRetryAfter = monotime.FromDuration(f.Span("retry-after", zeroDuration, time.Hour, toDuration(h.MaxRetryAfter)))
 	h.Preemptible = f.OneOf("stoppable", "no", "yes") == "yes"
 	f.Done()
 }
@@ -108,64 +113,56 @@
 	n.Subset = f.Int("subset", 0, MaxHosts, n.Subset)
 	n.Balance = Balance(indexOf(balanceNames, f.OneOf("balance", balanceNames[:Oracle]...)))
 	n.MaxAttempts = f.Int("attempts", 0, 1000, n.MaxAttempts)
-	n.Backoff = monotime.FromDuration(f.Span("pause", noTime, time.Minute, span(n.Backoff)))
+	n.Backoff = monotime.FromDuration(f.Span("pause", zeroDuration, time.Minute, toDuration(n.Backoff)))
 	n.UnresponsiveShare = f.Share("deaf", 0, 1, n.UnresponsiveShare)
-	n.HedgeDelay = monotime.FromDuration(f.Span("hedge", noTime, time.Minute, span(n.HedgeDelay)))
-	n.CancelDelay = monotime.FromDuration(f.Span("word", noTime, time.Minute, span(n.CancelDelay)))
-	n.NetworkDelay = monotime.FromDuration(f.Span("net", noTime, time.Minute, span(n.NetworkDelay)))
+	n.HedgeDelay = monotime.FromDuration(f.Span("hedge", zeroDuration, time.Minute, toDuration(n.HedgeDelay)))
+	n.CancelDelay = monotime.FromDuration(f.Span("word", zeroDuration, time.Minute, toDuration(n.CancelDelay)))
+	n.NetworkDelay = monotime.FromDuration(f.Span("net", zeroDuration, time.Minute, toDuration(n.NetworkDelay)))
 	n.ClientRetryShare = f.Share("behind", 0, 1, n.ClientRetryShare)
 	n.ClientRetryDelay = monotime.FromDuration(
-		f.Span("behind-in", time.Millisecond, time.Hour, span(n.ClientRetryDelay)),
+		f.Span("behind-in", time.Millisecond, time.Hour, toDuration(n.ClientRetryDelay)),
+	)
+	n.RefreshInterval = monotime.FromDuration(
+		f.Span("refresh", time.Millisecond, time.Hour, toDuration(n.RefreshInterval)),
 	)
-	n.RefreshInterval = monotime.FromDuration(f.Span("refresh", time.Millisecond, time.Hour, span(n.RefreshInterval)))
 	n.Throttles = f.OneOf("throttles", "no", "yes") == "yes"
 	f.Done()
 }
 
 // readOperation reads (operation NAME ...).
 func readOperation(f *sexpr.Form) Operation {
-	o := Operation{
-		Name:      f.Arg(),
-		Value:     f.Share("value", 0, 1e9, 1),
-		Priority:  f.Share("rank", 0, 1, 0.5),
-		Share:     f.Share("share", 0, 1, 1),
-		Work:      monotime.FromDuration(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)),
-		WorkSigma: f.Share("tail", 0, 3, 0.5),
-		Objective: monotime.FromDuration(f.Span("objective", time.Millisecond, time.Hour, time.Second)),
-		Timeout:   monotime.FromDuration(f.Span("timeout", time.Millisecond, time.Hour, 3*time.Second)),
-		LateValue: f.Share("late-value", 0, 1, 0),
-		HintFactor: f.Share(
-			"hint",
-			0,
-			1000,
-			0,
-		),
+	operation := Operation{
+		Name:             f.Arg(),
+		Value:            f.Share("value", 0, 1e9, 1),
+		Priority:         f.Share("rank", 0, 1, 0.5),
+		Share:            f.Share("share", 0, 1, 1),
+		Work:             monotime.FromDuration(f.Span("work", time.Microsecond, time.Minute, 20*time.Millisecond)),
+		WorkSigma:        f.Share("tail", 0, 3, 0.5),
+		Objective:        monotime.FromDuration(f.Span("objective", time.Millisecond, time.Hour, time.Second)),
+		Timeout:          monotime.FromDuration(f.Span("timeout", time.Millisecond, time.Hour, 3*time.Second)),
+		LateValue:        f.Share("late-value", 0, 1, 0),
+		HintFactor:       f.Share("hint", 0, 1000, 0),
 		HintSigma:        f.Share("hint-spread", 0, 3, 0),
 		ValueWithoutCall: f.Share("skipped-value", 0, 1, 0),
 		MakesCalls:       f.OneOf("calls", "no", "yes") == "yes",
 	}
-	o.RetrySafety = admission.RetrySafety(
+	operation.RetrySafety = admission.RetrySafety(
 		indexOf(
 			[]string{"idempotent", "tokened", "non-idempotent"},
 			f.OneOf("repeat", "idempotent", "tokened", "non-idempotent"),
 		),
 	)
 	f.Done()
-	return o
+	return operation
 }
 
 // readFault reads (fault KIND ...).
 func readFault(f *sexpr.Form, s *Scenario) Fault {
-	t := Fault{
-		At:       monotime.FromDuration(f.Span("at", noTime, day, noTime)),
-		Duration: monotime.FromDuration(f.Span("for", noTime, day, 10*time.Second)),
-		Share:    f.Share("share", 0, 1, 0.25),
-		Factor: f.Share(
-			"factor",
-			0,
-			1e6,
-			2,
-		),
+	fault := Fault{
+		At:          monotime.FromDuration(f.Span("at", zeroDuration, day, zeroDuration)),
+		Duration:    monotime.FromDuration(f.Span("for", zeroDuration, day, 10*time.Second)),
+		Share:       f.Share("share", 0, 1, 0.25),
+		Factor:      f.Share("factor", 0, 1e6, 2),
 		BatchShare:  f.Share("batch-share", 0, 1, 0.1),
 		LostNotices: f.Share("lost", 0, 1, 0),
 		ByFleet:     f.OneOf("by", "waves", "fleet") == "fleet",
@@ -176,23 +173,23 @@
 		f.Fail("", "found %q, wanted one of %s", name, strings.Join(faultNames, ", "))
 		k = 0
 	}
-	t.Kind = FaultKind(k)
+	fault.Kind = FaultKind(k)
 	if tenant := f.Text("tenant", ""); tenant != "" {
-		if t.Tenant = indexOf(s.tenantNames(), tenant); t.Tenant < 0 {
-			f.Fail("tenant", "%q is none of the scenario's", tenant)
-			t.Tenant = 0
+		if fault.Tenant = indexOf(s.tenantNames(), tenant); fault.Tenant < 0 {
+			f.Fail("tenant", "the scenario has no tenant %q", tenant)
+			fault.Tenant = 0
 		}
 	}
 	f.Done()
-	return t
+	return fault
 }
 
-// MaxRecorded is the highest number of lines of a recorded load.
+// MaxRecorded is the maximum number of lines of a recorded load.
 const MaxRecorded = 20_000_000
 
-// ReadRecorded reads a recorded load: a line for each request, in order of time, as "MICROSECONDS OPERATION TENANT
-// WORK", with "-" for no tenant and the work in microseconds. Operations and tenants must be the scenario's. An error
-// is a *RecordedError, or the reader's.
+// ReadRecorded reads a recorded load. Each line is one request, in order of time, in the form "MICROSECONDS OPERATION
+// TENANT WORK", with "-" for no tenant and the work in microseconds. Operations and tenants must be the scenario's. An
+// error is a *RecordedError or an error of the reader.
 func ReadRecorded(file string, in io.Reader, s *Scenario) (all []Recorded, err error) {
 	ops, tenants := s.operationNames(), s.tenantNames()
 	lines := bufio.NewScanner(in)
@@ -211,18 +208,18 @@
 		r := Recorded{Operation: indexOf(ops, words[1])}
 		us, err := strconv.ParseInt(words[0], 10, 64)
 		if err != nil || us < 0 || len(all) > 0 && monotime.Micros(us) < all[len(all)-1].At {
-			return nil, fail(at, "found %q, wanted microseconds, not before the line above", words[0])
+			return nil, fail(at, "found %q, wanted microseconds, not less than in the line above", words[0])
 		}
 		work, err := strconv.ParseInt(words[3], 10, 64)
 		if err != nil || work <= 0 || work > 60e6 {
-			return nil, fail(at, "found %q, wanted a work of 1 to 60,000,000 microseconds", words[3])
+			return nil, fail(at, "found %q, wanted 1 to 60,000,000 microseconds of work", words[3])
 		}
 		if r.Operation < 0 {
-			return nil, fail(at, "operation %q is none of the scenario's", words[1])
+			return nil, fail(at, "the scenario has no operation %q", words[1])
 		}
 		if words[2] != "-" {
 			if r.Tenant = indexOf(tenants, words[2]); r.Tenant < 0 {
-				return nil, fail(at, "tenant %q is none of the scenario's", words[2])
+				return nil, fail(at, "the scenario has no tenant %q", words[2])
 			}
 		}
 		if len(all) >= MaxRecorded {
--- a/internal/simulation/shared_work.go
+++ b/internal/simulation/shared_work.go
@@ -2,23 +2,23 @@
 
 import "milletbarrow/monotime"
 
-// sharedWork is work that shares a resource evenly. All jobs progress alike, so it is enough to know the progress of
-// one that has been present since the start, and for each job the progress at which it ends.
+// sharedWork is a set of jobs that share a resource evenly (processor sharing). All jobs progress at the same rate, so
+// one total suffices: the progress that a job would have made since the start. Each job has the total at which it ends.
 type sharedWork struct {
-	progress     float64 // of a job present since the start, in microseconds at full speed
-	rate         float64 // progress per microsecond, at present
+	progress     float64 // of a job present since the start, in microseconds of work
+	rate         float64 // current progress per microsecond
 	updatedAt    monotime.Micros
-	jobs         []job // heap, the first to end on top
-	running      int   // jobs that were not preempted
+	jobs         []job // binary heap, the first to end on top
+	running      int   // number of jobs that were not preempted
 	completionAt monotime.Micros
 	generation   uint32
 }
 
-// job is one piece of work of an attempt.
+// job is the work of an attempt until its next event.
 type job struct {
 	end        float64
 	attempt    int32
-	generation uint32 // of the attempt when it was added; another by now: preempted
+	generation uint32 // of the attempt when the job was added; if it differs now, the job was preempted
 	stage      uint8
 }
 
@@ -34,17 +34,17 @@
 	s.jobs = append(s.jobs, j)
 	h, i := s.jobs, len(s.jobs)-1
 	for i > 0 {
-		up := (i - 1) / 2
-		if h[up].end <= j.end {
+		parent := (i - 1) / 2
+		if h[parent].end <= j.end {
 			break
 		}
-		h[i] = h[up]
-		i = up
+		h[i] = h[parent]
+		i = parent
 	}
 	h[i] = j
 }
 
-// pop removes the job that ends first; there must be one.
+// pop removes and returns the job that ends first. There must be a job.
 func (s *sharedWork) pop() job {
 	h := s.jobs
 	top, last := h[0], h[len(h)-1]
@@ -52,18 +52,18 @@
 	s.jobs = h
 	i := 0
 	for len(h) > 0 {
-		c := 2*i + 1
-		if c >= len(h) {
+		child := 2*i + 1
+		if child >= len(h) {
 			break
 		}
-		if c+1 < len(h) && h[c+1].end < h[c].end {
-			c++
+		if child+1 < len(h) && h[child+1].end < h[child].end {
+			child++
 		}
-		if last.end <= h[c].end {
+		if last.end <= h[child].end {
 			break
 		}
-		h[i] = h[c]
-		i = c
+		h[i] = h[child]
+		i = child
 	}
 	if len(h) > 0 {
 		h[i] = last
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -15,6 +15,7 @@
 	"milletbarrow/monotime"
 )
 
+// play returns the result of a scenario.
 func play(t testing.TB, s *Scenario, p *Policy, seed uint64) *Result {
 	t.Helper()
 	r, err := Play(s, p, seed, nil)
@@ -24,6 +25,7 @@
 	return r
 }
 
+// module returns the policy that uses admission.Backend.
 func module(t testing.TB) *Policy {
 	t.Helper()
 	p, err := PolicyNamed(Module)
@@ -33,7 +35,7 @@
 	return p
 }
 
-// shortDay is a day of a few seconds, for tests of single aspects.
+// shortDay returns a scenario of a few seconds.
 func shortDay() Scenario {
 	day := Default()
 	day.Duration = 6 * Second
@@ -41,24 +43,25 @@
 	return day
 }
 
-// TestDays compares what each policy does on one day with the golden file, to the last digit: the simulation may not
-// change unnoticed.
-func TestDays(t *testing.T) {
+// TestPoliciesOnOneDayMatchGoldenFile compares the result of each policy with the golden file, to the last digit. It
+// guards against unintended changes of the simulation, which would make results incomparable with stored ones.
+func TestPoliciesOnOneDayMatchGoldenFile(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	day := shortDay()
 	day.Load.Level = 1.1
 	day.Faults = []Fault{{Kind: Slow, At: 2 * Second, Duration: Second, Share: 0.25, Factor: 4}, {Kind: Release, At: 3 * Second, BatchShare: 0.3}}
 	for _, p := range Policies() {
 		r := play(t, &day, &p, 7)
-		tr.Say("%-12s value %.6f attempts %d runs %d events %d rules %v", p.Name, r.Value(), r.Attempts, r.Runs, r.Events, r.BreachesByRule)
+		tr.Say("%-12s value %.6f attempts %d runs %d events %d breaches by rule %v", p.Name, r.Value(), r.Attempts, r.Runs, r.Events, r.BreachesByRule)
 		for _, op := range r.Operations {
-			tr.Say("    %-9s asks %d in time %d ends %v", op.Name, op.Requests, op.InTime, op.Outcomes)
+			tr.Say("    %-9s requests %d in time %d outcomes %v", op.Name, op.Requests, op.InTime, op.Outcomes)
 		}
 	}
 }
 
-// TestSameSeedSameResult: the same scenario, policy and seed give the same bytes; another seed does not.
-func TestSameSeedSameResult(t *testing.T) {
+// TestPlayGivesSameBytesForSameSeed checks that the same scenario, policy and seed give the same bytes, and another
+// seed does not.
+func TestPlayGivesSameBytesForSameSeed(t *testing.T) {
 	day := shortDay()
 	day.Nodes.ClientRetryShare, day.Nodes.HedgeDelay = 0.5, 200*Millisecond
 	day.Faults = []Fault{{Kind: Death, At: 2 * Second, Duration: Second, Share: 0.5}}
@@ -70,15 +73,16 @@
 		return raw
 	}
 	if a, b := text(3), text(3); !bytes.Equal(a, b) {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 	if a, b := text(3), text(4); bytes.Equal(a, b) {
-		t.Error("two seeds give the same day")
+		t.Error("runs with different seeds are equal")
 	}
 }
 
-// TestPoliciesMeetTheSameLoad: what is requested does not depend on which policy answers.
-func TestPoliciesMeetTheSameLoad(t *testing.T) {
+// TestOfferedLoadIsIndependentOfPolicy checks that the requests of a day do not depend on the policy, as results could
+// not be compared otherwise.
+func TestOfferedLoadIsIndependentOfPolicy(t *testing.T) {
 	day := shortDay()
 	day.Load.Shape = Bursty
 	a := play(t, &day, module(t), 5)
@@ -89,7 +93,8 @@
 	}
 }
 
-// TestModuleKeepsRulesUnderFaults: the module keeps the four rules under each fault, alone and with others.
+// TestModuleKeepsRulesUnderFaults checks that the module keeps the four rules under each fault, in combination with
+// others.
 func TestModuleKeepsRulesUnderFaults(t *testing.T) {
 	kinds := []Fault{
 		{Kind: Death, Duration: Second, Share: 0.5}, {Kind: Slow, Duration: 2 * Second, Share: 0.5, Factor: 8}, {Kind: Gray, Duration: 2 * Second, Share: 0.5, Factor: 200},
@@ -116,23 +121,24 @@
 	}
 }
 
-// TestReleaseByFleet: a release by fleet.Machine takes every host through one new incarnation, with never more down
-// than the batch and those that crashed, also where agents are unavailable for a while and notices are lost.
-func TestReleaseByFleet(t *testing.T) {
+// TestFleetReleaseReplacesEveryHostWithinBatchSize checks that a release by fleet.Machine restarts each host once and
+// that no more hosts than the batch size are down at once, although agents are unavailable for a while and shutdown
+// notices are lost.
+func TestFleetReleaseReplacesEveryHostWithinBatchSize(t *testing.T) {
 	for seed := range uint64(4) {
 		day := shortDay()
 		day.Duration, day.Hosts.Count, day.Load.Level = 30*Second, 10, 0.4
 		day.Faults = []Fault{{Kind: Release, At: 2 * Second, BatchShare: 0.2, ByFleet: true, LostNotices: float64(seed) * 0.1}, {Kind: AgentUnavailable, At: 5 * Second, Duration: 4 * Second}}
 		r := play(t, &day, module(t), seed)
 		for sec, row := range r.Heat {
-			out := 0
+			down := 0
 			for _, use := range row {
 				if use == Down {
-					out++
+					down++
 				}
 			}
-			if out > 2 {
-				t.Errorf("seed %d: %d are down at %d s, two may be", seed, out, sec+1)
+			if down > 2 {
+				t.Errorf("seed %d: %d hosts are down at %d s, wanted at most 2", seed, down, sec+1)
 			}
 		}
 		if r.Incarnations != 20 || r.BreachCount() > 0 || r.RejectedReleases > 0 {
@@ -141,26 +147,28 @@
 	}
 }
 
-// alteredBackend plants a fault in the module's decisions.
-type alteredBackend struct {
+// alteredDecider changes the decisions of the module. It calls alter with each event before the decision, and with a
+// nil event and the actions after it. If alter returns no event, the module does not see the event.
+type alteredDecider struct {
 	*admission.Backend
 	alter func(now monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
 }
 
-func (f alteredBackend) Decide(now monotime.Micros, ev admission.Event, out []admission.Action) []admission.Action {
-	ev, more := f.alter(now, ev, out)
+func (d alteredDecider) Decide(now monotime.Micros, ev admission.Event, out []admission.Action) []admission.Action {
+	ev, more := d.alter(now, ev, out)
 	if ev == nil {
 		return more
 	}
-	out = f.Backend.Decide(now, ev, out)
-	_, out = f.alter(now, nil, out)
+	out = d.Backend.Decide(now, ev, out)
+	_, out = d.alter(now, nil, out)
 	return out
 }
 
-// TestAuditFindsPlantedFaults: the audit finds each kind of breach, planted in the module's own decisions.
-func TestAuditFindsPlantedFaults(t *testing.T) {
+// TestAuditDetectsAlteredDecisions checks that the audit detects breaches of each rule that altered decisions of the
+// module cause.
+func TestAuditDetectsAlteredDecisions(t *testing.T) {
 	runs := map[string]bool{}
-	faults := []struct {
+	tests := []struct {
 		name  string
 		rule  int
 		alter func(now monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action)
@@ -173,19 +181,19 @@
 			}
 			return ev, out
 		}},
-		{"a lost answer", 1, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"a missing answer", 1, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			if ev != nil {
 				return ev, out
 			}
 			return ev, slices.DeleteFunc(out, func(act admission.Action) bool { _, throttles := act.(admission.Throttle); return throttles })
 		}},
-		{"a run that came after the grace", 3, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"a run of a request that arrived after the grace period", 3, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			if _, notice := ev.(admission.DrainNotice); notice {
 				return nil, out
 			}
 			return ev, out
 		}},
-		{"a throttle for what runs", 2, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"a rejection of a running request", 2, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			for _, act := range out {
 				if a, ok := act.(admission.Start); ok && ev == nil && !runs[a.ID] {
 					runs[a.ID] = true
@@ -194,28 +202,31 @@
 			}
 			return ev, out
 		}},
-		{"all that comes is started", 4, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
+		{"every request is started", 4, func(_ monotime.Micros, ev admission.Event, out []admission.Action) (admission.Event, []admission.Action) {
 			if a, ok := ev.(admission.Arrived); ok {
 				return nil, append(out, admission.Start{ID: a.ID})
 			}
 			return ev, out
 		}},
 	}
-	for _, f := range faults {
+	for _, test := range tests {
 		day := shortDay()
 		day.Load.Level = 1.5
 		day.Hosts.CollapseAfter = Second
 		day.Faults = []Fault{{Kind: Release, At: Second, BatchShare: 0.5}}
-		p := &Policy{Name: f.name, New: func(t admission.Config, seed uint64) Decider { return alteredBackend{admission.New(t, seed), f.alter} }}
-		if r := play(t, &day, p, 1); r.BreachesByRule[f.rule] == 0 {
-			t.Errorf("%s: rule %d was to be seen broken: %v %v", f.name, f.rule, r.BreachesByRule, r.Breaches)
+		p := &Policy{Name: test.name, New: func(config admission.Config, seed uint64) Decider {
+			return alteredDecider{admission.New(config, seed), test.alter}
+		}}
+		if r := play(t, &day, p, 1); r.BreachesByRule[test.rule] == 0 {
+			t.Errorf("%s: no breach of rule %d was found: %v %v", test.name, test.rule, r.BreachesByRule, r.Breaches)
 		}
 	}
 }
 
-// TestProcessorSharingMean: with one core, no reading and no limit, the mean duration of a run is that of a
-// processor-sharing queue, work / (1 - load), whatever the spread of the work.
-func TestProcessorSharingMean(t *testing.T) {
+// TestMeanRunDurationMatchesProcessorSharing compares the mean duration of runs with the theory. With one core, no time
+// to read requests and no concurrency limit it must be that of a processor-sharing queue, work / (1 - load), whatever
+// the distribution of the work.
+func TestMeanRunDurationMatchesProcessorSharing(t *testing.T) {
 	none, err := PolicyNamed("none")
 	if err != nil {
 		t.Fatal(err)
@@ -235,30 +246,31 @@
 			}
 			want := 20_000 / (1 - load)
 			if got := h.Mean(); math.Abs(got-want) > 0.06*want {
-				t.Errorf("spread %g, load %g: %.0f us in the mean, the queue's is %.0f", tail, load, got, want)
+				t.Errorf("sigma of work %g, load %g: the mean is %.0f us, wanted %.0f", tail, load, got, want)
 			}
 		}
 	}
 }
 
-// TestEdgeCases: days at the bounds of what a scenario can be.
-func TestEdgeCases(t *testing.T) {
+// TestScenariosAtLimitsEndOrAreRejected checks that scenarios at the limits end with every request answered or failed,
+// and that scenarios beyond them are rejected with the invalid field.
+func TestScenariosAtLimitsEndOrAreRejected(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	day := shortDay()
 	day.Load.Level = 0
 	r := play(t, &day, module(t), 1)
-	tr.Say("without arrivals: %d asks, %d broken", r.Requests, r.BreachCount())
+	tr.Say("without arrivals: %d requests, %d breaches", r.Requests, r.BreachCount())
 
 	day = shortDay()
 	day.Faults = []Fault{{Kind: Death, At: 3 * Second, Duration: Second, Share: 1}}
 	r = play(t, &day, module(t), 1)
-	tr.Say("all hosts die with everything in hand: %d deaths, every ask ended: %t, broken %d", r.Deaths, countOutcomes(r) == r.Requests, r.BreachCount())
+	tr.Say("all hosts crash with requests in flight: %d deaths, every request ended: %t, %d breaches", r.Deaths, countOutcomes(r) == r.Requests, r.BreachCount())
 
 	day = shortDay()
 	day.Duration, day.Hosts.Count, day.Nodes.Count, day.Load.Level = 2*Second, 10_000, 50, 0.01
 	day.Faults = []Fault{{Kind: Death, At: Second, Duration: Second / 2, Share: 1}}
 	r = play(t, &day, module(t), 1)
-	tr.Say("10,000 die at once: %d deaths, every ask ended: %t, up at the end of the day: %d", r.Deaths, countOutcomes(r) == r.Requests, r.Seconds[1].HostsUp)
+	tr.Say("10,000 hosts crash at once: %d deaths, every request ended: %t, up at the end of the day: %d", r.Deaths, countOutcomes(r) == r.Requests, r.Seconds[1].HostsUp)
 
 	for _, alter := range []func(*Scenario){
 		func(s *Scenario) { s.Hosts.MemoryKB = 1 }, func(s *Scenario) { s.Operations = nil }, func(s *Scenario) { s.Hosts.DrainGrace = s.Hosts.ExitTimeout },
@@ -272,6 +284,7 @@
 	}
 }
 
+// countOutcomes returns the number of outcomes of all operations.
 func countOutcomes(r *Result) (n int) {
 	for _, op := range r.Operations {
 		for _, c := range op.Outcomes {
@@ -281,12 +294,12 @@
 	return n
 }
 
-// TestEventQueueOrder: events are returned by time, and those of one time in the order in which they were scheduled,
-// whichever way they were queued.
-func TestEventQueueOrder(t *testing.T) {
+// TestEventQueueReturnsEventsInScheduledOrder checks that events are returned by time, and events at the same time in
+// the order in which they were scheduled, both from the heap and from lanes.
+func TestEventQueueReturnsEventsInScheduledOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue{lanes: make([]lane, 3)}
-		now, put := monotime.Micros(0), 0
+		now, queued := monotime.Micros(0), 0
 		var last event
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "put") {
@@ -296,30 +309,31 @@
 				} else {
 					q.push(e)
 				}
-				put++
+				queued++
 				continue
 			}
 			e, ok := q.next()
-			if ok != (put > 0) {
-				t.Fatalf("%d are in it, next says %t", put, ok)
+			if ok != (queued > 0) {
+				t.Fatalf("%d events are queued, next returned %t", queued, ok)
 			}
 			if !ok {
 				continue
 			}
-			put--
+			queued--
 			if e.at < now {
-				t.Fatalf("an event of %d at %d", e.at, now)
+				t.Fatalf("an event at %d was returned at %d", e.at, now)
 			}
-			if e.at == last.at && e.seq < last.seq {
-				t.Fatalf("%v after %v", e, last)
+			if e.at == last.at && e.sequence < last.sequence {
+				t.Fatalf("%v was returned after %v", e, last)
 			}
 			now, last = e.at, e
 		}
 	})
 }
 
-// TestEveryRequestEnds: whatever breaks, each request ends once, values add up, and seconds add up to the day.
-func TestEveryRequestEnds(t *testing.T) {
+// TestEveryRequestEndsUnderFaults checks that under any faults each request ends once, that the values per second add
+// up to those of the day, and that the module keeps the four rules.
+func TestEveryRequestEndsUnderFaults(t *testing.T) {
 	all := Policies()
 	rapid.Check(t, func(t *rapid.T) {
 		day := shortDay()
@@ -360,25 +374,27 @@
 	})
 }
 
-// TestReplayed: a trace tells the course of one request.
-func TestReplayed(t *testing.T) {
+// TestTraceRecordsStepsOfRequest checks the lines of a trace of one request, and that a trace of one host is limited to
+// MaxLines.
+func TestTraceRecordsStepsOfRequest(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	day := shortDay()
 	day.Load.Level = 1.5
-	course := &Trace{Request: 900, Host: -1, MaxLines: 20}
-	if _, err := Play(&day, module(t), 2, course); err != nil {
+	requestTrace := &Trace{Request: 900, Host: -1, MaxLines: 20}
+	if _, err := Play(&day, module(t), 2, requestTrace); err != nil {
 		t.Fatal(err)
 	}
-	for _, line := range course.Lines {
+	for _, line := range requestTrace.Lines {
 		tr.Say("%s", line)
 	}
-	few := &Trace{Host: 1, MaxLines: 3}
-	if _, err := Play(&day, module(t), 2, few); err != nil {
+	hostTrace := &Trace{Host: 1, MaxLines: 3}
+	if _, err := Play(&day, module(t), 2, hostTrace); err != nil {
 		t.Fatal(err)
 	}
-	tr.Say("%d lines of host 1, and more: %t", len(few.Lines), few.Omitted > 0)
+	tr.Say("%d lines of host 1, and more: %t", len(hostTrace.Lines), hostTrace.Omitted > 0)
 }
 
+// ExamplePlay simulates two seconds with the thread pool baseline.
 func ExamplePlay() {
 	day := Default()
 	day.Duration, day.Load.Level = 2*Second, 0.5
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-// world is the state of one run. Requests and attempts refer to each other by index.
+// world is the state of one simulated day. Requests and attempts refer to each other by index.
 type world struct {
 	scenario           *Scenario
 	policy             *Policy
@@ -21,26 +21,26 @@
 	freeRequests       []int32
 	freeAttempts       []int32
 	listed             []bool // by host: whether the endpoint registry lists it
-	registryVersion    uint32 // counts changes of listed
+	registryVersion    uint32 // number of changes of listed
 	dependency         sharedWork
-	dependencySlowdown float64 // 1: full speed
+	dependencySlowdown float64 // by a DependencySlow fault; 1: full speed
 
-	stream            *Stream // has a generator of its own, so that all policies meet the same load
-	nextArrival       Arrival
-	faultRand         *rand.Rand // of faults
-	nodeRand          *rand.Rand // of edge nodes
-	lastNumber        uint64
-	agentsUnavailable bool
-	partitionedNodes  map[int32]bool
-	partitionedHosts  int32         // hosts with lower indexes are cut off from partitionedNodes
-	quotaStoreCut     bool          // and those hosts from the quota store
-	pricing           *quota.Holder // for quotaPrice; nil until it is needed
-	quotas            *quotaState   // nil with GuessedQuotas
-	grayDelay         monotime.Micros
-	grayHosts         map[int32]bool
+	stream                *Stream // has its own random generator, so that the load is the same for all policies
+	nextArrival           Arrival
+	faultRand             *rand.Rand // for faults and the placement of nodes
+	nodeRand              *rand.Rand // for decisions of edge nodes and callers
+	lastRequestNumber     uint64
+	agentsUnavailable     bool
+	partitionedNodes      map[int32]bool
+	partitionedHosts      int32         // hosts with lower indexes are partitioned from partitionedNodes
+	quotaStorePartitioned bool          // the same hosts are partitioned from the quota store
+	pricingHolder         *quota.Holder // for quotaValueFactor; nil until its first use
+	quotas                *quotaState   // nil with GuessedQuotas
+	grayDelay             monotime.Micros
+	grayHosts             map[int32]bool
 
-	agents     []*hostAgent // of releases that fleet.Machine decides
-	oracleLoad []float64    // by host: what the oracle knows of it
+	agents     []*hostAgent // for releases that fleet.Machine decides
+	oracleLoad []float64    // by host: load as the oracle knows it
 	oracleAt   monotime.Micros
 
 	audit        Audit
@@ -48,11 +48,11 @@
 	policySeed   uint64
 	trace        *Trace
 	lastUniqueID uint64
-	active       int // attempts and requests in use
+	active       int // number of attempts and requests in use
 }
 
-// Play plays a scenario with a policy on a seed. The same three give the same result to the byte. tr may be nil. A
-// scenario that can't be played is a *ScenarioError.
+// Play simulates a scenario with a policy and a seed. The result depends on these three only, to the byte. tr may be
+// nil. If the scenario can't be simulated, the error is a *ScenarioError.
 func Play(s *Scenario, p *Policy, seed uint64, tr *Trace) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	return w.result, nil
 }
 
-// newWorld sets up a run at time 0.
+// newWorld sets up a simulation at time 0.
 func newWorld(s *Scenario, p *Policy, seed uint64, tr *Trace) (*world, error) {
 	w := &world{
 		scenario:           s,
@@ -76,27 +76,24 @@
 		stream:             NewStream(s, seed),
 		faultRand:          rand.New(rand.NewPCG(seed, 2)),
 		nodeRand:           rand.New(rand.NewPCG(seed, 3)),
-		listed: make(
-			[]bool,
-			s.Hosts.Count,
-		),
-		oracleLoad:       make([]float64, s.Hosts.Count),
-		oracleAt:         -Second,
-		partitionedNodes: map[int32]bool{},
-		grayHosts:        map[int32]bool{},
+		listed:             make([]bool, s.Hosts.Count),
+		oracleLoad:         make([]float64, s.Hosts.Count),
+		oracleAt:           -Second,
+		partitionedNodes:   map[int32]bool{},
+		grayHosts:          map[int32]bool{},
 	}
 	w.queue.lanes = make([]lane, laneDue+min(maxDueLanes, len(s.Operations)))
 	w.result = NewResult(s, p.Name, seed)
 	w.hosts = make([]host, s.Hosts.Count)
 	speeds := rand.New(rand.NewPCG(seed, 4))
-	for _, t := range s.Faults { // clocks are wrong all day or not at all, as no process reads one that can be set
-		if t.Kind == ClockSkew {
-			for _, n := range w.randomHosts(t.Share) {
-				w.hosts[n].clockSkew = monotime.Micros(t.Factor * 1e6)
+	for _, fault := range s.Faults { // applied once, as processes read no clock that can be set during the day
+		if fault.Kind == ClockSkew {
+			for _, n := range w.randomHosts(fault.Share) {
+				w.hosts[n].clockSkew = monotime.Micros(fault.Factor * 1e6)
 			}
 		}
 	}
-	w.openQuotas()
+	w.initQuotas()
 	for i := range w.hosts {
 		h := &w.hosts[i]
 		h.number, h.baseSpeed, h.slowdown, h.coreShare = int32(i), 1+s.Hosts.SpeedSpread*(2*speeds.Float64()-1), 1, 1
@@ -106,8 +103,8 @@
 		}
 		w.listed[i] = true
 	}
-	for _, t := range s.Faults {
-		if t.Kind == Release && t.ByFleet && w.agents == nil {
+	for _, fault := range s.Faults {
+		if fault.Kind == Release && fault.ByFleet && w.agents == nil {
 			if err := w.startAgents(); err != nil {
 				return nil, err
 			}
@@ -115,18 +112,18 @@
 	}
 	w.nodes = make([]node, s.Nodes.Count)
 	for i := range w.nodes {
-		w.placeNode(int32(i))
+		w.initNode(int32(i))
 	}
 	w.scheduleArrival()
-	for i, t := range s.Faults {
-		w.queue.push(event{at: t.At, kind: evFault, subject: int32(i)})
+	for i, fault := range s.Faults {
+		w.queue.push(event{at: fault.At, kind: evFault, subject: int32(i)})
 	}
 	w.queue.push(event{at: Second, kind: evSampleSecond})
 	return w, nil
 }
 
-// run executes event after event. After the day it ends once nothing is open, or when nothing can be open any more; the
-// audit checks what is in flight then.
+// run executes the events in order. After the end of the day it stops when no request is open, or at the time by which
+// all should have ended. The audit then checks the attempts that are still in flight.
 func (w *world) run() {
 	last := w.scenario.Duration + w.scenario.Hosts.ExitTimeout + Second*60
 	for _, op := range w.scenario.Operations {
@@ -155,19 +152,18 @@
 	}
 }
 
-// handleArrival starts the request that was scheduled last.
+// handleArrival starts the request that scheduleArrival scheduled.
 func (w *world) handleArrival() {
-	s, c := w.scenario, w.nextArrival
+	s, arrival := w.scenario, w.nextArrival
 	w.scheduleArrival()
 	i := w.newRequest()
 	req := &w.requests[i]
-	w.lastNumber++
-	req.number, req.arrivedAt, req.node, req.operation, req.tenant, req.work, req.hint = w.lastNumber, w.now, int32(
-		c.Node,
-	), int16(c.Operation), int16(c.Tenant), c.Work, c.Hint
+	w.lastRequestNumber++
+	req.number, req.arrivedAt, req.work, req.hint = w.lastRequestNumber, w.now, arrival.Work, arrival.Hint
+	req.node, req.operation, req.tenant = int32(arrival.Node), int16(arrival.Operation), int16(arrival.Tenant)
 	op := &s.Operations[req.operation]
 	req.due = w.now + op.Timeout
-	w.result.RecordRequest(s, w.now, c.Operation, c.Tenant)
+	w.result.RecordRequest(s, w.now, arrival.Operation, arrival.Tenant)
 	w.queue.pushLane(
 		laneDue+int(req.operation),
 		event{at: req.due, kind: evClientTimeout, subject: i, generation: req.generation},
