--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -27,6 +27,7 @@
 	Description string          `json:"what"`
 }
 
+// String returns the breach as a line of a report.
 func (b Breach) String() string {
 	return fmt.Sprintf(
 		"rule %d at %.3f s, host %d, invocation %s: %s",
--- a/internal/simulation/errors.go
+++ b/internal/simulation/errors.go
@@ -12,6 +12,7 @@
 	Reason   string
 }
 
+// Error implements error.
 func (e *ScenarioError) Error() string {
 	return fmt.Sprintf("scenario %s: %s: %s", e.Scenario, e.Field, e.Reason)
 }
@@ -22,6 +23,7 @@
 	Known []string
 }
 
+// Error implements error.
 func (e *UnknownPolicyError) Error() string {
 	return fmt.Sprintf("no policy %q, there are %s", e.Name, strings.Join(e.Known, ", "))
 }
@@ -33,6 +35,7 @@
 	Reason       string
 }
 
+// Error implements error.
 func (e *RecordedError) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Reason)
 }
--- a/internal/simulation/fault_config.go
+++ b/internal/simulation/fault_config.go
@@ -37,4 +37,5 @@
 	"death", "slow", "gray", "release", "burst", "tenant-burst", "neighbour", "cut", "agent-gone", "below-slow", "skew",
 }
 
+// String returns the word of the kind in experiment files.
 func (k FaultKind) String() string { return faultNames[k] }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -87,6 +87,7 @@
 
 var balanceNames = []string{"round-robin", "random", "two-choices", "least-load", "oracle"}
 
+// String returns the word of the balancing policy in experiment files.
 func (b Balance) String() string { return balanceNames[b] }
 
 // RegistryConfig describes the endpoint registry.
