--- a/internal/backend/executor/client.go
+++ b/internal/backend/executor/client.go
@@ -1,18 +1,21 @@
-// Package executor is the client of the executor that runs invocations. It speaks the executor's line protocol over one
-// connection, which it opens again whenever it is lost, and holds the runs in flight.
+// Package executor is the client of the executor that runs invocations. It implements the executor's line protocol over
+// one connection, reconnects whenever that is lost, and tracks the runs in flight.
 //
-// A connection goes through these states. It is connected, and subscribes to the notices after the last one read;
-// greeted by the executor; and synced, once the first sample requested after the greeting has arrived, which follows
-// all earlier notices. Launches are sent only on a synced connection. While the connection in use is synced, a new
-// one replaces it once it is greeted, or when the one in use ends.
+// Notices are the numbered messages of the executor: outcomes of runs, and remarks. A connection has these states:
+//   - connected: the client has subscribed to the notices after the last one read;
+//   - greeted: the executor has sent its greeting;
+//   - synced: the first sample requested after the greeting has arrived. It follows all earlier notices.
 //
-// Invariants, each with the test that holds it:
+// Launches are sent only on a synced connection. While the connection in use is synced, a new one replaces it once
+// the new one is greeted or the one in use ends.
+//
+// Invariants, each with the test that checks it:
 //   - Each run ends once, with its own result, however often its outcome arrives:
-//     TestBrokenConnectionsAndRepeatedNotices.
+//     TestRunsEndOnceDespiteBrokenConnectionsAndRepeatedNotices.
 //   - A launch that the executor has not read is sent again on the next synced connection:
 //     TestRunsSurviveLostConnection.
 //   - No launch is sent before the connection is synced: TestLaunchWaitsUntilSynced.
-//   - A notice that cannot be parsed ends its run alone, and is not read again: TestUnreadableNoticeEndsItsRun.
+//   - A notice that cannot be parsed ends only its own run, and is not read again: TestUnreadableNoticeEndsItsRun.
 //   - Only the sample requested last on the connection in use is delivered: TestUnrequestedSamplesAreIgnored.
 package executor
 
@@ -35,7 +38,7 @@
 	done      chan Outcome
 }
 
-// Outcome is how a run ended, with its result.
+// Outcome states how a run ended, with its result.
 type Outcome struct {
 	End    dispatch.Outcome
 	Result []byte
@@ -50,26 +53,26 @@
 	violations     *ratelimitlog.Logger
 	onGreeting     func(cold bool, ago monotime.Micros)
 	samples        chan []float64 // holds at most the latest sample
-	addressChanged chan struct{}  // holds a value after a change that Run has not noticed
+	addressChanged chan struct{}  // holds a value after a change that Run has not handled
 
 	mu sync.Mutex // guards all fields below
 
-	address  string
-	writable *sync.Cond // signalled when pending, conn or next changes; its lock is mu
-	pending  []byte     // commands to be written on conn
+	address    string
+	writerWake *sync.Cond // signalled when unsent, conn or next changes; its lock is mu
+	unsent     []byte     // commands to be written on conn
 
-	// Connections. Each has a goroutine that reads and one that writes.
+	// Connections. Each has a reading and a writing goroutine.
 	conn      net.Conn  // the connection in use; nil: none
-	previous  net.Conn  // the one that conn replaced, read until conn is greeted; nil: none
-	next      net.Conn  // subscribed, and to replace conn; nil unless conn is synced
+	previous  net.Conn  // replaced by conn and read until conn is greeted; nil: none
+	next      net.Conn  // subscribed and about to replace conn; nil unless conn is synced
 	nextSince time.Time // when next was connected
 
 	// State of conn.
 	synced    bool      // all notices of earlier connections have been read
-	lastInput time.Time // when something was last read, or conn began to be used
+	lastInput time.Time // when input was last read, or conn came into use
 	sampling  sampling
 
-	everGreeted bool            // the executor has sent a greeting on any connection
+	everGreeted bool            // some connection has been greeted
 	lastSynced  time.Time       // when a synced connection was last replaced or lost; zero: never
 	lastNotice  uint64          // number of the last notice read; 0: none
 	runs        map[string]*Run // runs in flight, by ID
@@ -99,7 +102,7 @@
 		samples:        make(chan []float64, 1),
 		addressChanged: make(chan struct{}, 1),
 	}
-	c.writable = sync.NewCond(&c.mu)
+	c.writerWake = sync.NewCond(&c.mu)
 	return c
 }
 
@@ -117,11 +120,11 @@
 
 // sendLaunch queues the launch of a run. c.mu must be held.
 func (c *Client) sendLaunch(run *Run) {
-	c.pending = appendLaunch(c.pending, run.id, run.operation, run.body)
-	c.writable.Signal()
+	c.unsent = appendLaunch(c.unsent, run.id, run.operation, run.body)
+	c.writerWake.Signal()
 }
 
-// finish ends a run. It ignores runs that are not in flight.
+// finish ends a run with an outcome. It ignores runs that are not in flight.
 func (c *Client) finish(id string, end Outcome) {
 	c.mu.Lock()
 	run := c.runs[id]
@@ -159,22 +162,22 @@
 	c.sampling.tag++
 	c.sampling.pending = true
 	c.sampling.requestedAt = time.Now()
-	c.pending = appendSample(c.pending, c.sampling.tag)
-	c.writable.Signal()
+	c.unsent = appendSample(c.unsent, c.sampling.tag)
+	c.writerWake.Signal()
 }
 
 // Samples returns the channel of the samples. It holds at most the latest one.
 func (c *Client) Samples() <-chan []float64 { return c.samples }
 
 // Available reports whether there is a synced connection, or was one less than ExecutorAbsence ago. A short loss ends
-// no run, but callers act for seconds on a failed health check.
+// no run, whereas callers avoid the instance for seconds after a failed health check.
 func (c *Client) Available() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.synced || time.Since(c.lastSynced) < c.bounds.ExecutorAbsence
 }
 
-// SetAddress changes the address of the executor. The connection in use goes on while a new one is opened.
+// SetAddress changes the address of the executor. The connection in use stays in use meanwhile.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	same := c.address == address
@@ -185,7 +188,7 @@
 	}
 	select {
 	case c.addressChanged <- struct{}{}:
-	default: // Run has not noticed the last change yet
+	default: // Run has not handled the last change yet
 	}
 }
 
--- a/internal/backend/executor/client_test.go
+++ b/internal/backend/executor/client_test.go
@@ -7,7 +7,7 @@
 	"milletbarrow/internal/fakes"
 )
 
-// A run ends with the outcome and the result that the executor sends for its ID.
+// A run ends with the outcome and the result that the executor sends for its ID, however they are split into segments.
 func TestRunEndsWithItsOutcome(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	executor := fakes.NewScriptedExecutor(t)
@@ -49,7 +49,7 @@
 	fakes.Take(t, "the first connection", executor.Subscribes)
 	client.Launch(runID(1), "look", nil)
 	client.mu.Lock()
-	pending := string(client.pending)
+	pending := string(client.unsent)
 	client.mu.Unlock()
 	if pending != "" || len(executor.Launches) != 0 {
 		t.Errorf("before the greeting: commands %q, %d launches; want none", pending, len(executor.Launches))
@@ -58,9 +58,9 @@
 	fakes.Take(t, "the launch", executor.Launches)
 }
 
-// A sample that does not arrive is requested again after SampleMaxAge. If the first one arrives after all, it is not
-// taken for the second. RequestSample never blocks.
-func TestSampleIsRequestedAgain(t *testing.T) {
+// A sample that does not arrive is requested again after SampleMaxAge. If the first one then arrives late, it is not
+// delivered as the second. RequestSample never blocks.
+func TestLateSampleIsRequestedAgain(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	executor := fakes.NewScriptedExecutor(t)
 	client := connectSynced(t, executor)
@@ -94,7 +94,7 @@
 	if gauges := fakes.Take(t, "a sample", client.Samples()); gauges[1] != 2 {
 		t.Errorf("sample %v, want the second", gauges)
 	}
-	client.handleSample(nil, notice{kind: sampled, tag: []byte(sampleTag(2)), gauges: []float64{9}})
+	client.handleSample(nil, message{kind: sampled, tag: []byte(sampleTag(2)), gauges: []float64{9}})
 	if len(client.Samples()) != 0 {
 		t.Error("a sample on a connection that is not in use was delivered")
 	}
--- a/internal/backend/executor/connection.go
+++ b/internal/backend/executor/connection.go
@@ -10,48 +10,48 @@
 )
 
 const (
-	// silenceChecks is how often a connection is checked within ExecutorSilence.
-	silenceChecks = 2
+	// silenceChecksPerTimeout is the number of checks for silence in each period of ExecutorSilence.
+	silenceChecksPerTimeout = 2
 
-	// redialGrowth is the factor by which the backoff between two attempts to connect grows.
-	redialGrowth = 2
+	// redialBackoffFactor multiplies the backoff after each failed attempt to connect.
+	redialBackoffFactor = 2
 )
 
-// connectionEnd is the reason for opening another connection.
-type connectionEnd struct {
-	reason  endReason
+// redialCause describes why another connection is opened.
+type redialCause struct {
+	reason  redialReason
 	greeted bool  // the executor sent a greeting on the connection, if it was lost
 	err     error // why the connection was lost or could not be opened
 }
 
-// endReason is the kind of reason for opening another connection.
-type endReason int
+// redialReason is the reason for opening another connection.
+type redialReason int
 
-// The reasons. After addressChanged and silent the connection goes on until the new one replaces it.
+// The reasons. After addressChanged and connectionSilent the connection stays in use until the new one replaces it.
 const (
-	lost           endReason = iota // the connection has ended or could not be opened
-	addressChanged                  // the executor's address has changed
-	silent                          // nothing is received, although the connection is open at this side
+	connectionLost   redialReason = iota // the connection has ended or could not be opened
+	addressChanged                       // the executor's address has changed
+	connectionSilent                     // no input, although the connection is open on this side
 )
 
 // Run keeps a connection open until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	silenceCheck := time.NewTicker(c.bounds.ExecutorSilence / silenceChecks)
+	silenceCheck := time.NewTicker(c.bounds.ExecutorSilence / silenceChecksPerTimeout)
 	defer silenceCheck.Stop()
 	backoff := c.bounds.RedialMin
 	lossLogged := false // since the last greeting
 	for ctx.Err() == nil {
-		end := c.connect(ctx, silenceCheck.C)
-		switch end.reason {
+		cause := c.connect(ctx, silenceCheck.C)
+		switch cause.reason {
 		case addressChanged:
 			backoff = c.bounds.RedialMin
 			continue
-		case silent:
+		case connectionSilent:
 			slog.Warn("executor_silent")
 			continue
-		case lost:
+		case connectionLost:
 		}
-		if end.greeted {
+		if cause.greeted {
 			backoff = c.bounds.RedialMin
 			lossLogged = false
 		}
@@ -59,32 +59,33 @@
 			return
 		}
 		if !lossLogged {
-			slog.Warn("executor_lost", "runs", c.runsInFlight(), "reason", fmt.Sprint(end.err))
+			slog.Warn("executor_lost", "runs", c.runsInFlight(), "reason", fmt.Sprint(cause.err))
 			lossLogged = true
 		}
 		backoff = c.waitToRedial(ctx, backoff)
 	}
 }
 
-// connect opens a connection and follows it until another one is to be opened.
-func (c *Client) connect(ctx context.Context, silenceCheck <-chan time.Time) connectionEnd {
+// connect opens and serves a connection, and returns once another one has to be opened. The connection may still be in
+// use then.
+func (c *Client) connect(ctx context.Context, silenceCheck <-chan time.Time) redialCause {
 	dialer := net.Dialer{Timeout: c.bounds.DialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", c.currentAddress())
 	if err != nil {
-		return connectionEnd{reason: lost, err: err}
+		return redialCause{reason: connectionLost, err: err}
 	}
 	subscription := c.subscribe(conn)
-	ended := make(chan connectionEnd, 1)
+	ended := make(chan redialCause, 1)
 	go func() { ended <- c.serve(ctx, conn, subscription) }()
 	for {
 		select {
-		case end := <-ended:
-			return end
+		case cause := <-ended:
+			return cause
 		case <-c.addressChanged:
-			return connectionEnd{reason: addressChanged}
+			return redialCause{reason: addressChanged}
 		case <-silenceCheck:
-			if c.isSilent() {
-				return connectionEnd{reason: silent}
+			if c.isUnresponsive() {
+				return redialCause{reason: connectionSilent}
 			}
 		}
 	}
@@ -94,7 +95,7 @@
 func (c *Client) waitToRedial(ctx context.Context, backoff time.Duration) (next time.Duration) {
 	select {
 	case <-time.After(backoff):
-		return min(redialGrowth*backoff, c.bounds.RedialMax)
+		return min(redialBackoffFactor*backoff, c.bounds.RedialMax)
 	case <-c.addressChanged:
 		return c.bounds.RedialMin
 	case <-ctx.Done():
@@ -102,10 +103,10 @@
 	}
 }
 
-// isSilent reports whether nothing has been received for ExecutorSilence on the connection in use, although a sample
-// or a greeting is expected, nor on the next one, if there is one. It is false before the first greeting on any
-// connection, as the executor may start late.
-func (c *Client) isSilent() bool {
+// isUnresponsive reports whether the connection in use has had no input for ExecutorSilence, although a sample or a
+// greeting is due, and the next one, if there is one, was opened longer ago than that. It is false before the first
+// greeting on any connection, as the executor may start late.
+func (c *Client) isUnresponsive() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	expected := c.sampling.pending || c.everGreeted && !c.synced
@@ -115,9 +116,9 @@
 	return c.next == nil || time.Since(c.nextSince) > c.bounds.ExecutorSilence
 }
 
-// subscribe registers a new connection, and returns the command that is to be written on it first, which subscribes to
-// the notices after the last one read. While the connection in use is synced, launches are still sent on that until the
-// new one is greeted: a greeting may be late or never come.
+// subscribe registers a new connection and returns the first command for it: the subscription to the notices after the
+// last one read. While the connection in use is synced, it carries launches until the new one is greeted, as a greeting
+// may be late or never arrive.
 func (c *Client) subscribe(conn net.Conn) (subscription []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,20 +135,20 @@
 	return appendSubscribe(nil, c.lastNotice)
 }
 
-// takeOver makes conn the connection in use. The one before is read until this one is greeted; a notice counts once
-// by its number, whichever connection it arrives on. Launches that were not written are sent again once conn is
+// takeOver makes conn the connection in use. Its predecessor is read until conn is greeted;
+// notices are deduplicated by number across connections. Launches that were not written are sent again once conn is
 // synced. c.mu must be held.
 func (c *Client) takeOver(conn net.Conn) {
 	if c.previous != nil {
 		_ = c.previous.Close()
 	}
 	c.previous = c.conn
-	c.use(conn)
+	c.setCurrent(conn)
 }
 
-// use makes conn, which may be nil, the connection in use, and drops the commands that were not written. c.mu must be
-// held.
-func (c *Client) use(conn net.Conn) {
+// setCurrent makes conn, which may be nil, the connection in use, and drops the commands that were not written. c.mu
+// must be held.
+func (c *Client) setCurrent(conn net.Conn) {
 	if c.synced {
 		c.lastSynced = time.Now()
 	}
@@ -158,12 +159,12 @@
 	c.synced = false
 	c.sampling.pending = false
 	c.lastInput = time.Now()
-	c.pending = c.pending[:0]
-	c.writable.Broadcast()
+	c.unsent = c.unsent[:0]
+	c.writerWake.Broadcast()
 }
 
 // serve reads from and writes to a connection until it ends.
-func (c *Client) serve(ctx context.Context, conn net.Conn, subscription []byte) connectionEnd {
+func (c *Client) serve(ctx context.Context, conn net.Conn, subscription []byte) redialCause {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	var writer sync.WaitGroup
@@ -172,7 +173,7 @@
 	c.remove(conn)
 	_ = conn.Close()
 	writer.Wait()
-	return connectionEnd{reason: lost, greeted: greeted, err: err}
+	return redialCause{reason: connectionLost, greeted: greeted, err: err}
 }
 
 // remove removes a connection that has ended. The next one, if there is one, replaces the connection in use.
@@ -182,36 +183,36 @@
 	switch conn {
 	case c.next:
 		c.next = nil
-		c.writable.Broadcast()
+		c.writerWake.Broadcast()
 	case c.conn:
-		c.use(c.next)
+		c.setCurrent(c.next)
 	case c.previous:
 		c.previous = nil
 	}
 }
 
-// write writes the subscription, and then pending commands while conn is in use.
+// write writes the subscription, and then the unsent commands while conn is in use.
 func (c *Client) write(conn net.Conn, subscription []byte) {
 	if _, err := conn.Write(subscription); err != nil {
-		_ = conn.Close() // its reader ends
+		_ = conn.Close() // ends its reader
 		return
 	}
 	var sending []byte
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		for c.next == conn || c.conn == conn && len(c.pending) == 0 {
-			c.writable.Wait()
+		for c.next == conn || c.conn == conn && len(c.unsent) == 0 {
+			c.writerWake.Wait()
 		}
 		if c.conn != conn {
 			return
 		}
-		sending, c.pending = c.pending, sending[:0]
+		sending, c.unsent = c.unsent, sending[:0]
 		c.mu.Unlock()
 		_, err := conn.Write(sending)
 		c.mu.Lock()
 		if err != nil {
-			_ = conn.Close() // its reader ends
+			_ = conn.Close() // ends its reader
 			return
 		}
 	}
--- a/internal/backend/executor/connection_test.go
+++ b/internal/backend/executor/connection_test.go
@@ -39,7 +39,7 @@
 
 // Connections break within a notice or a result, with commands unread, or before the greeting; notices arrive twice
 // under one number, with remarks between. Each run ends once, with its own result.
-func TestBrokenConnectionsAndRepeatedNotices(t *testing.T) {
+func TestRunsEndOnceDespiteBrokenConnectionsAndRepeatedNotices(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	executor := fakes.NewScriptedExecutor(t)
 	client := connectSynced(t, executor)
@@ -84,7 +84,7 @@
 }
 
 // Until the executor at a new address has greeted, launches are sent on the connection in use. If that ends first,
-// the new one replaces it. Two changes of the address in a row leave one connection.
+// the new one replaces it. Two successive changes of the address leave one connection.
 func TestConnectionInUseServesUntilNextIsGreeted(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	executor := fakes.NewScriptedExecutor(t)
@@ -128,7 +128,7 @@
 	tr.Say("%q, runs in flight %d", result, client.runsInFlight())
 }
 
-// If the new address refuses connections, runs go on over the connection in use, and a change back to the former
+// If the new address refuses connections, runs continue on the connection in use, and a change back to the former
 // address leaves one connection.
 func TestRefusedAddressLeavesConnectionInUse(t *testing.T) {
 	executor := fakes.NewScriptedExecutor(t)
@@ -149,7 +149,7 @@
 	runWhileAvailable(runID(2))
 }
 
-// A synced connection that stays open and on which nothing is received is replaced; runs go on.
+// A synced connection that stays open without input is replaced; runs continue.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	executor := fakes.NewScriptedExecutor(t)
 	client := connectSynced(t, executor)
@@ -168,8 +168,8 @@
 	checkEndedOnce(t, executor, run)
 }
 
-// A connection that is accepted and not greeted is replaced, if the executor has greeted before, alone or beside a
-// silent connection. A run that is launched meanwhile is sent once.
+// A connection that is accepted and not greeted is replaced if the executor has sent a greeting before, whether it is
+// the only connection or there is another one without input. A run that is launched meanwhile is sent once.
 func TestConnectionWithoutGreetingIsReplaced(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -218,16 +218,16 @@
 	client := connect(t, executor)
 	fakes.Take(t, "the first connection", executor.Subscribes)
 	start := time.Now()
-	fakes.Until(t, "the connection has been checked after ExecutorSilence", func() bool {
+	fakes.Until(t, "the connection has been checked for silence", func() bool {
 		return time.Since(start) > client.bounds.ExecutorSilence*8/5
 	})
-	if len(executor.Subscribes) != 0 || client.isSilent() {
-		t.Errorf("%d further connections, silent %t; want 0, false", len(executor.Subscribes), client.isSilent())
+	if len(executor.Subscribes) != 0 || client.isUnresponsive() {
+		t.Errorf("%d further connections, silent %t; want 0, false", len(executor.Subscribes), client.isUnresponsive())
 	}
 }
 
 // A connection on which each sample arrives too late to be delivered is not silent.
-func TestLateSamplesKeepTheConnection(t *testing.T) {
+func TestConnectionWithLateSamplesIsNotReplaced(t *testing.T) {
 	executor := fakes.NewScriptedExecutor(t)
 	client := connectSynced(t, executor)
 	executor.With(answerNoSample)
--- a/internal/backend/executor/errors.go
+++ b/internal/backend/executor/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Violations of the protocol by the executor. Each ends the connection, as the end of the line or result is not known.
+// Protocol violations by the executor. Each ends the connection, as the position of the next line is not known.
 var (
 	errNoCRLF           = errors.New("CR LF is missing at the end")
 	errWordCount        = errors.New("too few or too many words")
@@ -24,9 +24,9 @@
 	return fmt.Sprintf("line exceeds %d bytes without CR LF", e.limit)
 }
 
-// valueError reports a word with a value that the protocol does not have.
+// valueError reports a word whose value the protocol does not define.
 type valueError struct {
-	position string // the line's first word and the meaning of the word
+	position string // the line's first word and the role of the invalid word
 	value    string
 }
 
@@ -40,6 +40,6 @@
 	err  error
 }
 
-func (e *lineError) Error() string { return fmt.Sprintf("cannot read %.60q: %v", e.line, e.err) }
+func (e *lineError) Error() string { return fmt.Sprintf("cannot parse line %.60q: %v", e.line, e.err) }
 
 func (e *lineError) Unwrap() error { return e.err }
--- a/internal/backend/executor/helpers_test.go
+++ b/internal/backend/executor/helpers_test.go
@@ -51,7 +51,7 @@
 	return run
 }
 
-// runOnce launches a run, lets the executor act, and adds a line about the run's outcome to a trace.
+// runOnce launches a run, calls act, and adds a line with the run's outcome to a trace.
 func runOnce(tr *fakes.Trace, client *Client, executor *fakes.ScriptedExecutor, id, label string, act func()) {
 	run := launch(tr, client, executor, id)
 	act()
@@ -60,7 +60,7 @@
 		label, outcome.End, len(outcome.Result), outcome.Result, client.runsInFlight())
 }
 
-// Scripts of the fake executor.
+// Behaviours of the fake executor, as arguments of With.
 
 func answerNoSample(_, gauges *string) { *gauges = "" }
 
--- a/internal/backend/executor/notices.go
+++ b/internal/backend/executor/notices.go
@@ -9,7 +9,7 @@
 	"milletbarrow/internal/backend/dispatch"
 )
 
-// read handles notices until the connection ends or a line cannot be parsed. greeted reports whether a greeting
+// read handles messages until the connection ends or a line cannot be parsed. greeted reports whether a greeting
 // arrived.
 func (c *Client) read(conn net.Conn) (greeted bool, err error) {
 	r := newReader(conn, c.bounds.LineSize, c.bounds.ResultSize)
@@ -19,26 +19,26 @@
 		if err != nil {
 			return greeted, err
 		}
-		n, err := parse(line, gauges[:0])
+		m, err := parse(line, gauges[:0])
 		if err != nil {
-			if n.kind == outcome {
-				c.failUnreadable(n.number, string(n.id))
+			if m.kind == outcome {
+				c.failMalformed(m.number, string(m.id))
 			}
 			return greeted, &lineError{line: string(line), err: err}
 		}
-		switch n.kind {
+		switch m.kind {
 		case greeting:
 			greeted = true
-			c.handleGreeting(conn, n)
+			c.handleGreeting(conn, m)
 		case sampled:
-			gauges = n.gauges
-			c.handleSample(conn, n)
+			gauges = m.gauges
+			c.handleSample(conn, m)
 		case refusal:
-			c.handleRefusal(n)
+			c.handleRefusal(m)
 		case remark:
-			c.handleRemark(n)
+			c.handleRemark(m)
 		case outcome:
-			if err := c.handleOutcome(r, n); err != nil {
+			if err := c.handleOutcome(r, m); err != nil {
 				return greeted, err
 			}
 		}
@@ -46,10 +46,10 @@
 }
 
 // handleGreeting makes conn the connection in use, and closes the one that it replaces. It requests a sample, which
-// follows the notices that the executor has stored.
-func (c *Client) handleGreeting(conn net.Conn, n notice) {
-	slog.Info("executor_up", "cold", n.cold, "ago_us", n.elapsed)
-	c.onGreeting(n.cold, n.elapsed)
+// the executor sends after the notices that it has stored.
+func (c *Client) handleGreeting(conn net.Conn, m message) {
+	slog.Info("executor_up", "cold", m.cold, "ago_us", m.elapsed)
+	c.onGreeting(m.cold, m.elapsed)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.everGreeted = true
@@ -66,21 +66,21 @@
 }
 
 // handleSample delivers the sample requested last. The first one on a connection follows all notices of earlier
-// connections: the connection is synced. An older sample, or one on a connection not in use, is ignored.
-func (c *Client) handleSample(conn net.Conn, n notice) {
+// connections: the connection is then synced. An older sample, or one on a connection not in use, is ignored.
+func (c *Client) handleSample(conn net.Conn, m message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != conn {
 		return
 	}
 	c.lastInput = time.Now()
-	if string(n.tag) != sampleTag(c.sampling.tag) {
+	if string(m.tag) != sampleTag(c.sampling.tag) {
 		return
 	}
 	c.sampling.pending = false
 	if !c.synced {
 		c.synced = true
-		for _, run := range c.runs { // the executor ignores the launches that it has read before
+		for _, run := range c.runs { // the executor ignores launches that it has already read
 			c.sendLaunch(run)
 		}
 	}
@@ -88,48 +88,48 @@
 	case <-c.samples:
 	default:
 	}
-	c.samples <- append([]float64(nil), n.gauges...) // nil if the sample has no gauges
+	c.samples <- append([]float64(nil), m.gauges...) // nil if the sample has no gauges
 }
 
 // handleRefusal ends the run whose launch was refused.
-func (c *Client) handleRefusal(n notice) {
-	id := string(n.id)
-	c.violations.Warn("executor_refusal", fmt.Errorf("%.20q %.20q", n.command, id))
-	if string(n.command) == launchWord {
+func (c *Client) handleRefusal(m message) {
+	id := string(m.id)
+	c.violations.Warn("executor_refusal", fmt.Errorf("%.20q %.20q", m.command, id))
+	if string(m.command) == launchWord {
 		c.finish(id, Outcome{End: dispatch.Unrunnable})
 	}
 }
 
-// handleRemark counts a numbered remark if it is the next notice.
-func (c *Client) handleRemark(n notice) {
+// handleRemark records the number of a remark if it is that of the next notice.
+func (c *Client) handleRemark(m message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n.number == c.lastNotice+1 {
+	if m.number == c.lastNotice+1 {
 		c.lastNotice++
 	}
 }
 
-// handleOutcome reads the result that follows an outcome, and ends its run unless the notice has been counted before.
-func (c *Client) handleOutcome(r *reader, n notice) error {
-	id := string(n.id) // copied, as reading the result changes the buffer
-	end := Outcome{End: n.end}
+// handleOutcome reads the result that follows an outcome, and ends its run unless the notice is a repeat.
+func (c *Client) handleOutcome(r *reader, m message) error {
+	id := string(m.id) // copied, as reading the result changes the buffer
+	end := Outcome{End: m.end}
 	var err error
-	if n.length <= c.bounds.ResultSize {
-		end.Result, err = r.result(n.length)
+	if m.length <= c.bounds.ResultSize {
+		end.Result, err = r.result(m.length)
 	} else {
-		tooLong := fmt.Errorf("%.20q: result of %d bytes exceeds %d", id, n.length, c.bounds.ResultSize)
+		tooLong := fmt.Errorf("%.20q: result of %d bytes exceeds %d", id, m.length, c.bounds.ResultSize)
 		c.violations.Warn("executor_result", tooLong)
 		end.End = dispatch.RunErrored
-		err = r.discard(n.length)
+		err = r.discard(m.length)
 	}
 	if err != nil {
 		return err
 	}
 	if !r.consumeCRLF() {
-		c.failUnreadable(n.number, id)
-		return fmt.Errorf("result of %d bytes: %w", n.length, errNoCRLF)
+		c.failMalformed(m.number, id)
+		return fmt.Errorf("result of %d bytes: %w", m.length, errNoCRLF)
 	}
-	if c.countNotice(r.conn, n.number) {
+	if c.countNotice(r.conn, m.number) {
 		end.Result = append([]byte(nil), end.Result...) // the reader's buffer is reused
 		c.finish(id, end)
 	}
@@ -137,7 +137,7 @@
 }
 
 // countNotice records the number of a notice that was read on conn, and reports whether it is new. The executor
-// stores each notice until the next subscription, so that it may arrive on two connections. conn is nil if the notice
+// stores notices until the next subscription, so that one may arrive on two connections. conn is nil if the notice
 // could not be parsed.
 func (c *Client) countNotice(conn net.Conn, number uint64) (isNew bool) {
 	c.mu.Lock()
@@ -150,9 +150,9 @@
 	return isNew
 }
 
-// failUnreadable ends the run of a notice that cannot be parsed except for its number and the run's ID. The notice is
-// counted, so that the next connection does not bring it again.
-func (c *Client) failUnreadable(number uint64, id string) {
+// failMalformed ends the run of a notice of which only the number and the run's ID can be parsed. It records the
+// number, so that the executor does not send the notice again on the next connection.
+func (c *Client) failMalformed(number uint64, id string) {
 	if number != 0 && c.countNotice(nil, number) {
 		c.finish(id, Outcome{End: dispatch.RunErrored})
 	}
--- a/internal/backend/executor/notices_test.go
+++ b/internal/backend/executor/notices_test.go
@@ -8,8 +8,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// A line that cannot be parsed ends the connection. It ends the run that it names, if it names one, and no other, and
-// is not read again on the next connection.
+// A line that cannot be parsed ends the connection and the run that it names, if it names one, but no other run. It is
+// not read again on the next connection.
 func TestUnreadableNoticeEndsItsRun(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	executor := fakes.NewScriptedExecutor(t)
@@ -20,8 +20,8 @@
 		text     string // ID stands for the run's ID
 		numbered bool   // the text is a notice; %d stands for its number
 	}{
-		{"unknown first word", "garbage\r\n", false},
-		{"unknown end", "outcome %d ID melted 3 0\r\n\r\n", true},
+		{"unknown first word", "unsupported\r\n", false},
+		{"unknown end", "outcome %d ID unsupported 3 0\r\n\r\n", true},
 		{"result without CR LF", "outcome %d ID complete 3 2\r\nabXX", true},
 		{"line too long", strings.Repeat("x", 3000), false},
 		{"gauge that is no number", "sampled t1 x\r\n", false},
@@ -41,14 +41,14 @@
 		}
 		tr.Say("  end %d", fakes.Take(t, "the outcome", run.Done()).End)
 	}
-	executor.End(runID(0xb0), "complete", "unharmed")
+	executor.End(runID(0xb0), "complete", "its own")
 	result := fakes.Take(t, "the outcome of the other run", other.Done()).Result
 	tr.Say("the other run: %q, runs in flight %d", result, client.runsInFlight())
 }
 
-// A result without CR LF ends its run also if the buffer is moved between reading the notice and its result, as after a
-// large result in the same segment.
-func TestUnreadableResultInFullBuffer(t *testing.T) {
+// A result without CR LF ends its run even if the buffered input is moved between reading the notice and its result,
+// which happens after a large result in the same segment.
+func TestUnreadableResultInFullBufferEndsItsRun(t *testing.T) {
 	executor := fakes.NewScriptedExecutor(t)
 	client := connectSynced(t, executor)
 	first := launch(t, client, executor, runID(1))
@@ -66,7 +66,7 @@
 	}
 }
 
-// A numbered remark is counted as a notice: the next connection subscribes to the notices after it.
+// A numbered remark is a notice: the next connection subscribes to the notices after it.
 func TestNumberedRemarkIsCounted(t *testing.T) {
 	executor := fakes.NewScriptedExecutor(t)
 	client := connectSynced(t, executor)
--- a/internal/backend/executor/protocol.go
+++ b/internal/backend/executor/protocol.go
@@ -13,7 +13,7 @@
 const (
 	greetingWord = "greeting" // first line of a connection: state, milliseconds since the start
 	coldWord     = "chilly"   // state of an executor that is warming up
-	warmWord     = "hot"      // state of any other
+	warmWord     = "hot"      // state of an executor that has warmed up
 	outcomeWord  = "outcome"  // end of a run: number, ID, end, milliseconds, length; then the result
 	sampledWord  = "sampled"  // sample: tag, gauges
 	refusalWord  = "refusal"  // refused command: command, ID
@@ -43,32 +43,32 @@
 	"unknown":   dispatch.NeverRan,
 }
 
-// kind is the kind of a line from the executor.
-type kind int
+// messageKind is the kind of a message.
+type messageKind int
 
 const (
-	remark kind = iota
+	remark messageKind = iota
 	greeting
 	outcome
 	sampled
 	refusal
 )
 
-// notice is a line from the executor. Its byte slices are parts of the line.
-type notice struct {
-	kind    kind
+// message is a parsed line from the executor. Its byte slices refer to the line.
+type message struct {
+	kind    messageKind
 	number  uint64           // of an outcome or a remark; 0: it has none
 	id      []byte           // of the run of an outcome or a refusal
-	command []byte           // that a refusal is about
-	cold    bool             // the executor that greets is warming up
-	elapsed monotime.Micros  // since the executor's start for a greeting, the run's time for an outcome
+	command []byte           // the refused one
+	cold    bool             // of a greeting: the executor is warming up
+	elapsed monotime.Micros  // of a greeting: since the executor's start; of an outcome: duration of the run
 	end     dispatch.Outcome // of the run of an outcome
 	length  int              // bytes of the result that follows an outcome
 	tag     []byte           // of a sample
 	gauges  []float64        // of a sample
 }
 
-// words are the words of a line that have not been parsed.
+// words is the part of a line that has not been parsed.
 type words struct{ rest []byte }
 
 // next returns the next word, or an empty one if none is left.
@@ -78,97 +78,97 @@
 }
 
 // parse parses a line without its CR LF. If it fails for an outcome whose number and ID can be parsed, those are set
-// in n. Gauges are appended to buffer.
-func parse(line []byte, buffer []float64) (n notice, err error) {
+// in m. Gauges are appended to buffer.
+func parse(line []byte, buffer []float64) (m message, err error) {
 	if bytes.ContainsAny(line, "\r\n\x00") {
-		return n, errControlCharacter
+		return m, errControlCharacter
 	}
 	w := words{line}
 	switch word := w.next(); string(word) {
 	case greetingWord:
-		err = parseGreeting(&w, &n)
+		err = parseGreeting(&w, &m)
 	case outcomeWord:
-		err = parseOutcome(&w, &n)
+		err = parseOutcome(&w, &m)
 	case sampledWord:
-		err = parseSampled(&w, &n, buffer)
+		err = parseSampled(&w, &m, buffer)
 	case refusalWord:
-		err = parseRefusal(&w, &n)
-	case remarkWord: // its number may be missing, and its text is any words
-		n.kind = remark
-		n.number, _ = parseNumber(w.next())
-		return n, nil
+		err = parseRefusal(&w, &m)
+	case remarkWord: // its number is optional and its text free
+		m.kind = remark
+		m.number, _ = parseNumber(w.next())
+		return m, nil
 	default:
-		return n, &valueError{"first word", string(word)}
+		return m, &valueError{"first word", string(word)}
 	}
 	if err == nil && len(w.rest) > 0 {
 		err = errWordCount
 	}
-	return n, err
+	return m, err
 }
 
 // parseGreeting parses the state of the executor and the time since its start.
-func parseGreeting(w *words, n *notice) (err error) {
-	n.kind = greeting
+func parseGreeting(w *words, m *message) (err error) {
+	m.kind = greeting
 	switch state := w.next(); string(state) {
 	case coldWord:
-		n.cold = true
+		m.cold = true
 	case warmWord:
 	default:
 		return &valueError{"greeting: state", string(state)}
 	}
-	n.elapsed, err = parseElapsed(w.next())
+	m.elapsed, err = parseElapsed(w.next())
 	return err
 }
 
 // parseOutcome parses how a run ended, and the length of the result that follows.
-func parseOutcome(w *words, n *notice) (err error) {
-	n.kind = outcome
-	if n.number, err = parseNumber(w.next()); err != nil || n.number == 0 {
-		n.number = 0
+func parseOutcome(w *words, m *message) (err error) {
+	m.kind = outcome
+	if m.number, err = parseNumber(w.next()); err != nil || m.number == 0 {
+		m.number = 0
 		return errNoNoticeNumber
 	}
-	if n.id = w.next(); len(n.id) == 0 {
+	if m.id = w.next(); len(m.id) == 0 {
 		return errWordCount
 	}
 	word := w.next()
 	end, known := outcomeOf[string(word)]
-	if n.end = end; !known {
+	if m.end = end; !known {
 		return &valueError{"outcome: end", string(word)}
 	}
-	if n.elapsed, err = parseElapsed(w.next()); err != nil {
+	if m.elapsed, err = parseElapsed(w.next()); err != nil {
 		return err
 	}
-	if n.length, err = strconv.Atoi(string(w.next())); err != nil || n.length < 0 {
-		n.length = 0
+	if m.length, err = strconv.Atoi(string(w.next())); err != nil || m.length < 0 {
+		m.length = 0
 		return errNoLength
 	}
 	return nil
 }
 
 // parseSampled parses the tag of a sample and its gauges, which are appended to buffer.
-func parseSampled(w *words, n *notice, buffer []float64) error {
-	n.kind = sampled
-	n.gauges = buffer
-	n.tag = w.next()
+func parseSampled(w *words, m *message, buffer []float64) error {
+	m.kind = sampled
+	m.gauges = buffer
+	m.tag = w.next()
 	for len(w.rest) > 0 {
 		gauge, err := strconv.ParseFloat(string(w.next()), numberBits)
 		if err != nil || math.IsNaN(gauge) || math.IsInf(gauge, 0) {
 			return errGaugeNotNumber
 		}
-		n.gauges = append(n.gauges, gauge)
+		m.gauges = append(m.gauges, gauge)
 	}
-	if len(n.tag) == 0 {
+	if len(m.tag) == 0 {
 		return errWordCount
 	}
 	return nil
 }
 
 // parseRefusal parses the command that was refused and the ID of its run.
-func parseRefusal(w *words, n *notice) error {
-	n.kind = refusal
-	n.command = w.next()
-	n.id = w.next()
-	if len(n.id) == 0 {
+func parseRefusal(w *words, m *message) error {
+	m.kind = refusal
+	m.command = w.next()
+	m.id = w.next()
+	if len(m.id) == 0 {
 		return errWordCount
 	}
 	return nil
--- a/internal/backend/executor/protocol_test.go
+++ b/internal/backend/executor/protocol_test.go
@@ -7,8 +7,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// Each kind of line is parsed into its fields or refused, and commands are formatted.
-func TestParseLine(t *testing.T) {
+// Each kind of line is parsed into its fields or rejected, and commands are formatted.
+func TestLinesAreParsedOrRejected(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, line := range []string{
 		"greeting chilly 120",
@@ -23,7 +23,7 @@
 		"outcome 10 9b1f03aa5c7e2d41 unknown 0 0",
 		"outcome 0 a error 3 0",
 		"outcome x a error 3 0",
-		"outcome 11 a melted 3 0",
+		"outcome 11 a unsupported 3 0",
 		"outcome 12 a error 3 -1",
 		"outcome 13 a error x 0",
 		"outcome 14 a error 3",
@@ -33,35 +33,35 @@
 		"sampled",
 		"refusal launch 9b1f03aa5c7e2d41",
 		"refusal launch",
-		"aside 15 all is well",
+		"aside 15 free text",
 		"aside nothing",
 		"",
-		"shout 1",
+		"unsupported 1",
 		"greeting hot 1\r",
 		"outcome  7 a error 3 0",
 	} {
-		n, err := parse([]byte(line), nil)
+		m, err := parse([]byte(line), nil)
 		tr.Say("%-48q kind %d number %d id %q command %q cold %t elapsed %d end %d length %d tag %q gauges %v error %v",
-			line, n.kind, n.number, n.id, n.command, n.cold, n.elapsed, n.end, n.length, n.tag, n.gauges, err)
+			line, m.kind, m.number, m.id, m.command, m.cold, m.elapsed, m.end, m.length, m.tag, m.gauges, err)
 	}
 	tr.Say("%q", appendLaunch(nil, "9b1f03aa5c7e2d41", "look", []byte("a\r\nb")))
 	tr.Say("%q %q", appendSubscribe(nil, 12), appendSample(nil, 3))
 }
 
-// A line is refused, or its numbers are in range and an outcome has a number and an ID.
+// A line is rejected, or its numbers are in range and an outcome has a number and an ID.
 func FuzzParseLine(f *testing.F) {
 	f.Add([]byte("outcome 7 9b1f03aa5c7e2d41 complete 18.5 40"))
 	f.Add([]byte("sampled t5 0.62 3 0.41 120"))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		n, err := parse(line, nil)
-		if err == nil && (n.length < 0 || n.elapsed < 0 || n.kind == outcome && (n.number == 0 || len(n.id) == 0)) {
-			t.Fatalf("%q parsed as %+v", line, n)
+		m, err := parse(line, nil)
+		if err == nil && (m.length < 0 || m.elapsed < 0 || m.kind == outcome && (m.number == 0 || len(m.id) == 0)) {
+			t.Fatalf("%q parsed as %+v", line, m)
 		}
 	})
 }
 
 // The error of a line that cannot be parsed is one of the package's, or a *valueError with the word.
-func TestParseErrors(t *testing.T) {
+func TestParseErrorsAreTyped(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		line string
@@ -84,9 +84,9 @@
 		line string
 		want valueError
 	}{
-		{"first word", "shout 1", valueError{"first word", "shout"}},
+		{"first word", "unsupported 1", valueError{"first word", "unsupported"}},
 		{"state", "greeting warm 1", valueError{"greeting: state", "warm"}},
-		{"end", "outcome 11 a melted 3 0", valueError{"outcome: end", "melted"}},
+		{"end", "outcome 11 a unsupported 3 0", valueError{"outcome: end", "unsupported"}},
 		{"time", "outcome 13 a error x 0", valueError{"time in milliseconds", "x"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/backend/executor/reader.go
+++ b/internal/backend/executor/reader.go
@@ -7,35 +7,34 @@
 	"net"
 )
 
-// reader reads lines and results from a connection. What its methods return are slices of its buffer, valid until the
-// next call.
+// reader reads lines and results from a connection. Its methods return slices of its buffer, valid until the next call.
 type reader struct {
 	conn    net.Conn
 	buffer  []byte // holds the longest line and the longest result
-	from    int    // buffer[from:to] has been read and not consumed
-	to      int
+	start   int    // buffer[start:end] has been read and not consumed
+	end     int
 	maxLine int // bytes, without CR LF
 }
 
 // newReader returns a reader of lines and results up to these lengths in bytes, without CR LF.
 func newReader(conn net.Conn, maxLine, maxResult int) *reader {
-	const lineEnds = 2 // one of the line, one of the result
+	const lineEnds = 2 // of the line and of the result
 	return &reader{conn: conn, buffer: make([]byte, maxLine+maxResult+lineEnds*len(crlf)), maxLine: maxLine}
 }
 
 // buffered returns what has been read and not consumed.
-func (r *reader) buffered() []byte { return r.buffer[r.from:r.to] }
+func (r *reader) buffered() []byte { return r.buffer[r.start:r.end] }
 
-// fill reads until so many bytes are buffered.
+// fill reads until that many bytes are buffered.
 func (r *reader) fill(needed int) error {
-	if r.from+needed > len(r.buffer) {
-		r.to = copy(r.buffer, r.buffered())
-		r.from = 0
+	if r.start+needed > len(r.buffer) {
+		r.end = copy(r.buffer, r.buffered())
+		r.start = 0
 	}
-	for r.to-r.from < needed {
-		n, err := r.conn.Read(r.buffer[r.to:])
-		r.to += n
-		if err != nil && r.to-r.from < needed {
+	for r.end-r.start < needed {
+		n, err := r.conn.Read(r.buffer[r.end:])
+		r.end += n
+		if err != nil && r.end-r.start < needed {
 			return err
 		}
 	}
@@ -51,7 +50,7 @@
 			end += searched
 			break
 		}
-		searched = r.to - r.from
+		searched = r.end - r.start
 		if searched > r.maxLine {
 			return nil, &lineLengthError{limit: r.maxLine}
 		}
@@ -59,11 +58,11 @@
 			return nil, err
 		}
 	}
-	text := r.buffer[r.from : r.from+end]
+	text := r.buffer[r.start : r.start+end]
 	if end == 0 || text[end-1] != '\r' {
 		return nil, fmt.Errorf("line %.40q: %w", text, errNoCRLF)
 	}
-	r.from += end + 1
+	r.start += end + 1
 	return text[:end-1], nil
 }
 
@@ -72,15 +71,15 @@
 	if err := r.fill(length + len(crlf)); err != nil {
 		return nil, err
 	}
-	result := r.buffer[r.from : r.from+length]
-	r.from += length
+	result := r.buffer[r.start : r.start+length]
+	r.start += length
 	return result, nil
 }
 
 // discard skips a result of that length, which may be longer than the buffer, and buffers the CR LF after it.
 func (r *reader) discard(length int) error {
-	unread := length - (r.to - r.from)
-	r.from = min(r.from+length, r.to)
+	unread := length - (r.end - r.start)
+	r.start = min(r.start+length, r.end)
 	if unread > 0 {
 		if _, err := io.CopyN(io.Discard, r.conn, int64(unread)); err != nil {
 			return err
@@ -93,7 +92,7 @@
 func (r *reader) consumeCRLF() bool {
 	found := bytes.HasPrefix(r.buffered(), []byte(crlf))
 	if found {
-		r.from += len(crlf)
+		r.start += len(crlf)
 	}
 	return found
 }
--- a/internal/backend/executor/reader_test.go
+++ b/internal/backend/executor/reader_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// readerOf returns a reader of a connection that carries text and then ends.
+// readerOf returns a reader of a connection whose peer sends text and closes it.
 func readerOf(t *testing.T, text string) *reader {
 	t.Helper()
 	local, remote := net.Pipe()
@@ -20,7 +20,7 @@
 	return newReader(local, 10, 10)
 }
 
-// A line beyond the limit is refused without waiting for its end.
+// A line beyond the limit is rejected without waiting for its end.
 func TestLineLengthIsLimited(t *testing.T) {
 	_, err := readerOf(t, strings.Repeat("x", 12)).line()
 	var tooLong *lineLengthError
@@ -29,7 +29,7 @@
 	}
 }
 
-// A connection that ends within a result to be skipped is an error.
+// discard returns an error if the connection ends within the result.
 func TestDiscardReportsEndOfConnection(t *testing.T) {
 	if err := readerOf(t, strings.Repeat("x", 50)).discard(100); !errors.Is(err, io.EOF) {
 		t.Errorf("%v, want io.EOF", err)
