--- a/internal/config/backend.go
+++ b/internal/config/backend.go
@@ -24,7 +24,7 @@
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"` // of the process
 	Settings *Settings `json:"settings"`
-	Shadow   *Settings `json:"watch"` // evaluated beside Settings without effect; nil: none
+	Shadow   *Settings `json:"watch"` // evaluated along with Settings, without effect; nil: none
 	Hash     string    `json:"-"`     // of the file as it was read, 16 hex digits
 }
 
@@ -44,7 +44,7 @@
 	shadowPath   = "watch"
 )
 
-// Seed is the seed of a random number generator. In the file it is a string of hex digits.
+// Seed is the seed of a random number generator. In the file it is a string of hexadecimal digits.
 type Seed uint64
 
 // UnmarshalJSON decodes a string of up to 16 hex digits.
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Read decodes and validates the configuration file at path. An error is one of the file system, or as in Parse.
+// Read decodes and validates the configuration file at path. An error is that of the file system, or as for Parse.
 func Read(path string) (*Backend, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 // ImmutableChanges returns the names of the fields that differ in a later configuration but cannot change while the
-// process runs. The addresses of the executor and of the registry, and the shadow settings, can.
+// process runs. The addresses of the executor and the registry and the shadow settings may change.
 func (b *Backend) ImmutableChanges(later *Backend) (fields []string) {
 	for _, field := range []struct {
 		name string
--- a/internal/config/backend_test.go
+++ b/internal/config/backend_test.go
@@ -12,7 +12,7 @@
 	"seed":"8c1f30d27a5be964","stop_ms":1500,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 	"settings":` + fakes.Settings + `}`
 
-// A configuration is refused, or its operations, tenants and numbers are valid.
+// A configuration is rejected, or its operations, tenants and numbers are valid.
 func FuzzParse(f *testing.F) {
 	if _, err := Parse([]byte(completeFile)); err != nil {
 		f.Fatal(err)
@@ -43,7 +43,7 @@
 
 // Changes of each field are listed, except of the addresses of the executor and the registry and of the shadow
 // settings.
-func TestImmutableChanges(t *testing.T) {
+func TestChangesOfImmutableFieldsAreListed(t *testing.T) {
 	first, err := Parse([]byte(completeFile))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -10,7 +10,7 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// fieldError reports a field by its path; format and args make the problem.
+// fieldError returns a *FieldError for the field with that path; format and args make its Problem.
 func fieldError(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -6,8 +6,8 @@
 	"milletbarrow/admission"
 )
 
-// object is the JSON form of Settings. Its keys are the platform's; times are in milliseconds.
-type object struct {
+// settingsObject is the JSON form of Settings, with the keys that the platform defines. Times are in milliseconds.
+type settingsObject struct {
 	Operations []struct {
 		Name             string  `json:"name"`
 		ObjectiveMs      float64 `json:"aim_ms"`
@@ -97,7 +97,7 @@
 // elementPath returns the path of an element of a list.
 func elementPath(list string, index int) string { return fmt.Sprintf("%s[%d]", list, index) }
 
-// choiceOff is the word for a choice that is switched off.
+// choiceOff is the word for an option that is disabled.
 const choiceOff = "off"
 
 // retrySafeties maps the words of retrySafetyField.
@@ -117,7 +117,7 @@
 // advertisedValues maps the words of advertisedValuePath.
 var advertisedValues = map[string]admission.AdvertisedValue{
 	choiceOff:   admission.NothingAdvertised,
-	"floor":     admission.NothingAdvertised, // the module does not compute it
+	"floor":     admission.NothingAdvertised, // floors are not computed by the module
 	"allowance": admission.CallerAllowance,
 	"weight":    admission.TrafficWeight,
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,13 +16,13 @@
 	Operations       []string // names, by index
 	Tenants          []string // names, by index
 	Gauges           []string // names, in the order of their values
-	DeadlineOptional bool     // invocations may lack a deadline, which is then the client timeout
-	IgnoredFields    []string // paths of the fields that permit what this program does not support
+	DeadlineOptional bool     // invocations without a deadline are valid; the client timeout then applies
+	IgnoredFields    []string // paths of fields that enable unsupported optional features
 
 	choices choices
 }
 
-// choices are words of the settings that validation needs as they are spelled.
+// choices are words of the settings that validation needs in their original spelling.
 type choices struct {
 	retrySafety     []string // by operation
 	dependency      string
@@ -34,12 +34,12 @@
 
 // UnmarshalJSON decodes a settings object. Unknown keys are skipped.
 func (s *Settings) UnmarshalJSON(raw []byte) error {
-	var o object
+	var o settingsObject
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return err
 	}
 	*s = Settings{
-		Admission:        o.deployment(),
+		Admission:        o.admissionConfig(),
 		Gauges:           o.Family.Gauges,
 		DeadlineOptional: o.Family.PassesDeadline != nil && !*o.Family.PassesDeadline,
 		choices: choices{
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// deployment returns the configuration of the module, without operations and quotas.
-func (o *object) deployment() admission.Config {
+// admissionConfig returns the configuration of the admission module, without operations and quotas.
+func (o *settingsObject) admissionConfig() admission.Config {
 	family, rules := &o.Family, &o.Rules
 	cfg := admission.Config{
 		OverQuotaValue:      o.OverQuotaValue,
@@ -97,9 +97,9 @@
 	return cfg
 }
 
-// operation returns the configuration of the operation with that index. Lists by operation may be shorter than the
-// list of operations.
-func (o *object) operation(index int) admission.Operation {
+// operation returns the configuration of the operation at index. The per-operation lists may be shorter than the list
+// of operations.
+func (o *settingsObject) operation(index int) admission.Operation {
 	operation := &o.Operations[index]
 	cfg := admission.Operation{
 		RetrySafety:      retrySafeties[operation.RetrySafety],
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -12,7 +12,7 @@
 	"milletbarrow/monotime"
 )
 
-// allSettings has each key of the settings with a value of its own.
+// allSettings has each key of the settings with a distinct value.
 const allSettings = `{
 	"classes": [
 		{
@@ -100,7 +100,7 @@
 }
 
 // Deadlines are optional only if the settings state that callers do not pass them.
-func TestDeadlineOptional(t *testing.T) {
+func TestDeadlineIsOptionalIfCallersPassNone(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		field string
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// validateShadow checks that the shadow settings are valid, and that the events of an instance have the same meaning
-// under them.
+// validateShadow checks that the shadow settings are valid, and that they agree with the settings on what the events of
+// an instance refer to: operations, tenants and cores.
 func (b *Backend) validateShadow() error {
 	if err := b.Shadow.validate(shadowPath); err != nil {
 		return err
@@ -88,15 +88,16 @@
 	return nil
 }
 
-// isName reports whether s can be one of several names on a line or a part of a path without quotes.
+// isName reports whether s can be used unquoted in a list of names separated by spaces and as a path component.
 func isName(s string) bool {
 	const lastPrintable = '~'
 	invalid := func(char byte) bool { return char <= ' ' || char > lastPrintable || char == '/' }
 	return s != "" && !slices.ContainsFunc([]byte(s), invalid)
 }
 
-// validateSupported returns an error for settings that are invalid, or require what this program does not support. What
-// they only permit, and frames and the executor's protocol cannot express, is switched off and listed in IgnoredFields.
+// validateSupported returns an error for settings that are invalid or require a feature that this program does not
+// support. Optional features that frames and the executor's protocol cannot express are disabled and listed in
+// IgnoredFields.
 func (s *Settings) validateSupported() error {
 	if err := s.validate(settingsPath); err != nil {
 		return err
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// validate returns an error for settings that no backend could use. root is the path of the settings object.
+// validate returns an error for settings that are invalid for any backend. root is the path of the settings object.
 func (s *Settings) validate(root string) error {
 	if err := s.validateDeployment(root); err != nil {
 		return err
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// validateDeployment checks the numbers of the deployment.
+// validateDeployment checks the numbers that apply to all operations.
 func (s *Settings) validateDeployment(root string) error {
 	cfg := &s.Admission
 	switch {
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// validateChoices checks the words of the deployment.
+// validateChoices checks the words that apply to all operations.
 func (s *Settings) validateChoices(root string) error {
 	cfg, choices := &s.Admission, &s.choices
 	dependencies := []string{"", choiceOff, sharedDependency, tierDependency}
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// validateOperation checks the operation with that index.
+// validateOperation checks the operation at index.
 func (s *Settings) validateOperation(root string, index int) error {
 	operation := &s.Admission.Operations[index]
 	name := s.Operations[index]
@@ -208,7 +209,7 @@
 	return s.validateOperationValue(root, index)
 }
 
-// validateOperationValue checks the values of the operation with that index, and whether it may make calls.
+// validateOperationValue checks the values of the operation at index, and whether it may make calls.
 func (s *Settings) validateOperationValue(root string, index int) error {
 	operation := &s.Admission.Operations[index]
 	path := elementPath(root+"."+operationsPath, index) + "."
@@ -227,16 +228,16 @@
 	return nil
 }
 
-// isShare reports whether x is from 0 to 1.
+// isShare reports whether x is in the range from 0 to 1.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
-// has reports whether a word is one of those that a map has.
+// has reports whether a word is a key of words.
 func has[V any](words map[string]V, word string) bool {
 	_, known := words[word]
 	return known
 }
 
-// unknownWord reports a field whose word is none of those that a map has.
+// unknownWord returns an error for the field with that path, whose word is not a key of words.
 func unknownWord[V any](path, word string, words map[string]V) error {
 	known := slices.Sorted(maps.Keys(words))
 	return fieldError(path, "%q is not one of %s", word, strings.Join(known, ", "))
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -124,8 +124,8 @@
 	{`"zenith"`, `""`, `settings.projects[1].name: "" is empty or a duplicate`},
 }
 
-// An invalid configuration is refused, with the field, its value and what is expected.
-func TestInvalidConfigurationIsRefused(t *testing.T) {
+// An invalid configuration is rejected, with the field, its value and what is expected.
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	for _, test := range invalidConfigurations {
 		t.Run(test.new, func(t *testing.T) {
 			_, err := Parse([]byte(edited(t, completeFile, test.old, test.new)))
@@ -140,15 +140,16 @@
 	}
 }
 
-// Port 0 is valid to listen on.
-func TestAnyPortToListenOn(t *testing.T) {
+// Port 0 lets the system choose the port to listen on.
+func TestListenPortZeroIsValid(t *testing.T) {
 	if _, err := Parse([]byte(edited(t, completeFile, "127.0.0.1:1", "127.0.0.1:0"))); err != nil {
 		t.Error(err)
 	}
 }
 
-// A configuration that is no JSON object, or has a value of the wrong type, is a *DecodeError and no *FieldError.
-func TestUndecodableConfigurationIsRefused(t *testing.T) {
+// Parse returns a *DecodeError and no *FieldError for a configuration that is not a JSON object or has a value of the
+// wrong type.
+func TestUndecodableConfigurationIsDecodeError(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		text string
@@ -176,8 +177,9 @@
 	}
 }
 
-// Shadow settings are refused unless events have the same meaning under them. They may name what is not supported.
-func TestShadowSettings(t *testing.T) {
+// Shadow settings are rejected if they are invalid, or if they differ in operations, tenants or cores, as events would
+// then have another meaning. They may enable unsupported features.
+func TestShadowSettingsWithOtherEventsAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		old  string // part of the settings
 		new  string // its replacement in the shadow settings
@@ -214,8 +216,8 @@
 	}
 }
 
-// Settings that permit what is not supported are listed and switched off when a configuration file is parsed.
-func TestUnsupportedPermissionsAreIgnored(t *testing.T) {
+// Parsing a configuration file disables and lists the optional features that are not supported.
+func TestUnsupportedOptionsAreDisabledAndListed(t *testing.T) {
 	text := edited(t, completeFile, `"preemption":"off"`, `"preemption":"freeze","fresh_ms":200`)
 	b, err := Parse([]byte(edited(t, text, `"say":"off"`, `"say":"weight"`)))
 	if err != nil {
@@ -231,8 +233,9 @@
 	}
 }
 
-// Settings that are decoded on their own, as for the simulator, keep what a configuration file would have switched off.
-func TestDecodedSettingsIgnoreNothing(t *testing.T) {
+// Settings that are decoded without a configuration file, as for the simulator, keep the options that parsing such a
+// file disables.
+func TestSettingsDecodedAloneKeepUnsupportedOptions(t *testing.T) {
 	var s Settings
 	if err := json.Unmarshal([]byte(edited(t, fakes.Settings, `"say":"off"`, `"say":"weight"`)), &s); err != nil {
 		t.Fatal(err)
