--- a/internal/failpoint/enabled.go
+++ b/internal/failpoint/enabled.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// active is the name of the enabled fault, or empty. It is constant for the life of the process.
+// active is the name of the enabled fault, or empty. It does not change while the process runs.
 var active = os.Getenv(FaultVariable)
 
 // Enabled reports whether the named fault is enabled.
@@ -19,6 +19,6 @@
 func CrashAt(name string) {
 	dir := os.Getenv(CrashDirVariable)
 	if dir != "" && os.Remove(filepath.Join(dir, name)) == nil {
-		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // a process may always signal itself
+		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // cannot fail: a process may signal itself
 	}
 }
--- a/internal/failpoint/enabled_test.go
+++ b/internal/failpoint/enabled_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// childVariable is set in the environment of the process that crashes.
+// childVariable marks the process that is to crash, by its environment.
 const childVariable = "FAILPOINT_TEST_CHILD"
 
 // TestArmedCrashPointKillsProcessOnce checks that a child process dies by SIGKILL at an armed crash point, and that the
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -2,21 +2,21 @@
 // exist only in a build with the tag "failpoint". Without the tag, Enabled always returns false, and the compiler
 // removes the code that depends on it.
 //
-// Only this package reads the variables of failpoints, so that packages without I/O can have failpoints.
+// Only this package reads the environment variables, so that packages without I/O can have failpoints.
 package failpoint
 
-// Environment variables that a build with the tag reads.
+// Environment variables, read only by a build with the tag.
 const (
 	// FaultVariable holds the name of the enabled fault, one of the faults below.
 	FaultVariable = "MILLETBARROW_FAILPOINT"
-	// CrashDirVariable holds the directory of armed crash points. A file that is named after a crash point arms it.
+	// CrashDirVariable holds the directory of armed crash points. A file with the name of a crash point arms it.
 	CrashDirVariable = "MILLETBARROW_CRASH_POINTS"
 )
 
 // Faults. docs/quota-design.md lists how fault injection detects each of them.
 const (
 	NoClockMargin      = "margin" // a lease expires without the margin for clock drift
-	EarlyExpiry        = "early"  // a lease expires after half of its time
+	EarlyExpiry        = "early"  // a lease expires after half of its term
 	ForgetGrants       = "forget" // a new leader treats the grants of earlier leaders as expired
 	FloorsCountedTwice = "floors" // floors are not subtracted from the divided quota
 	IgnoreEpoch        = "epoch"  // a lease response is accepted for any request and epoch
--- a/internal/jsonhttp/helpers_test.go
+++ b/internal/jsonhttp/helpers_test.go
@@ -14,10 +14,10 @@
 	"milletbarrow/internal/limits"
 )
 
-// testMaxBytes is the number of bytes that a test's call reads of a response.
+// testMaxBytes is the maximum number of bytes that a test's call reads from a response.
 const testMaxBytes = 1000
 
-// testBounds returns the bounds of production with a short time to connect.
+// testBounds returns the production bounds with a shorter connect timeout.
 func testBounds() limits.Control {
 	bounds := limits.ForControl()
 	bounds.CallTimeout = 300 * time.Millisecond
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -14,11 +14,11 @@
 	"milletbarrow/internal/limits"
 )
 
-// The limits of one client.
+// Limits of one client.
 const (
 	maxConnections     = 4       // open connections
-	maxIdleConnections = 2       // open connections without a call
-	maxErrorBytes      = 4 << 10 // bytes read of the body of a response with an error status
+	maxIdleConnections = 2       // of these, without a call
+	maxErrorBytes      = 4 << 10 // bytes read from the body of a response with an error status
 )
 
 // StatusError reports a response with a status other than 2xx.
@@ -52,7 +52,7 @@
 
 // Call sends one request with body encoded as JSON and decodes the response from JSON to into. If body is nil, the
 // request has no body; if into is nil, the body of the response is ignored. Call reads at most maxBytes of the
-// response. A response with a status other than 2xx is a *StatusError.
+// response. For a status other than 2xx it returns a *StatusError.
 func Call(ctx context.Context, c *http.Client, method, path string, body, into any, maxBytes int64) error {
 	var encoded []byte
 	if body != nil {
@@ -71,7 +71,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if !isSuccess(response.StatusCode) {
-		// The status is reported also if the body cannot be read to its end.
+		// The status is reported even if the body cannot be read completely.
 		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 		return &StatusError{Code: response.StatusCode, Message: string(bytes.TrimSpace(text))}
 	}
--- a/internal/jsonhttp/jsonhttp_test.go
+++ b/internal/jsonhttp/jsonhttp_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestInvalidResponseIsAnError checks responses that are not JSON or hold a value of another type.
+// TestInvalidResponseIsAnError checks responses that are not JSON or have a value of another type.
 func TestInvalidResponseIsAnError(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestEachSuccessStatusIsDecoded checks a 2xx status other than 200.
-func TestEachSuccessStatusIsDecoded(t *testing.T) {
+// TestResponseWithOtherSuccessStatusIsDecoded checks a 2xx status other than 200.
+func TestResponseWithOtherSuccessStatusIsDecoded(t *testing.T) {
 	client := newClient(t, serve(t, respond(http.StatusCreated, "3")))
 	var got int
 	if err := Call(t.Context(), client, http.MethodPost, "/", nil, &got, testMaxBytes); err != nil || got != 3 {
@@ -125,7 +125,7 @@
 	}
 }
 
-// TestIgnoredBodyMayBeInvalid checks that a body is not decoded without a value to decode it into.
+// TestIgnoredBodyMayBeInvalid checks that the body is not decoded if there is no value to decode it into.
 func TestIgnoredBodyMayBeInvalid(t *testing.T) {
 	for _, text := range []string{"", "<p>"} {
 		client := newClient(t, serve(t, respond(http.StatusOK, text)))
@@ -160,7 +160,7 @@
 	}
 }
 
-// TestMissingSocketIsAnError checks that a call of a socket that does not exist has the system's error.
+// TestMissingSocketIsAnError checks that a call to a socket that does not exist returns the system's error.
 func TestMissingSocketIsAnError(t *testing.T) {
 	client := newClient(t, "unix:"+filepath.Join(t.TempDir(), "none.sock"))
 	err := Call(t.Context(), client, http.MethodGet, "/", nil, nil, testMaxBytes)
@@ -169,7 +169,8 @@
 	}
 }
 
-// TestSequentialCallsShareConnection also checks that a body that is not decoded does not occupy a connection.
+// TestSequentialCallsShareConnection checks that sequential calls use one connection, and that a body that is not
+// decoded does not keep its connection busy.
 func TestSequentialCallsShareConnection(t *testing.T) {
 	address, connections := serveCounted(t, respond(http.StatusOK, "1"))
 	client := newClient(t, address)
--- a/internal/limits/control.go
+++ b/internal/limits/control.go
@@ -18,7 +18,7 @@
 	FanOut           int           // agents that the command-line tool calls at the same time
 	Attempts         int           // of one call to one agent
 	RetryBackoff     time.Duration // before the second attempt; it doubles, with jitter
-	RetryBackoffMax  time.Duration // bounds the pause before an attempt
+	RetryBackoffMax  time.Duration // the longest pause before an attempt
 	LogFileSize      int64         // bytes of one instance's log file; the current and the previous file exist
 	LogCheckInterval time.Duration // between two checks of a log file's size
 	PollInterval     time.Duration // between two polls of an instance that is expected to change
@@ -27,7 +27,7 @@
 	TickInterval     time.Duration // between two checks of an agent for deadlines that have passed
 }
 
-// Bounds of the control sockets. The fields of Control with these names describe them.
+// Bounds of the control sockets. They are described at the fields of Control with the same names.
 const (
 	controlConnections = 64
 	messageSize        = 1 << 20
@@ -79,10 +79,10 @@
 
 // Load bounds the load generator.
 type Load struct {
-	InFlight int // invocations sent and not answered; further ones are counted and not sent
+	InFlight int // invocations sent and not answered; further ones are counted, but not sent
 }
 
-// loadInFlight is the bound of one machine.
+// loadInFlight is Load.InFlight for one machine.
 const loadInFlight = 100_000
 
 // ForLoad returns the bounds for one machine.
--- a/internal/limits/instance.go
+++ b/internal/limits/instance.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Bounds of the log of each program.
+// Bounds of each program's log.
 const (
-	LogLines = 4096            // lines queued for the log's reader; further ones are dropped and counted
-	LogEnd   = 2 * time.Second // a program that exits waits no longer until the lines are read
+	LogLines        = 4096            // lines queued for the log's reader; further ones are dropped and counted
+	LogFlushTimeout = 2 * time.Second // for writing the queued lines when the program exits
 )
 
 // Bounds are the limits of one backend process.
@@ -22,9 +22,9 @@
 	Heap                 int64 // bytes; the soft memory limit of the garbage collector
 	HeapGrowth           int   // percent between two collections while the heap is below Heap (GOGC)
 	Connections          int   // open connections of edge nodes
-	ConnectionsHighWater int   // with more open connections, those idle for longest get a GOAWAY
+	ConnectionsHighWater int   // above it, the connections idle for longest get a GOAWAY
 	ClosingConnections   int   // connections that may exceed Connections while they are being closed
-	Invocations          int   // invocations read and not answered, or answered and running on the executor
+	Invocations          int   // invocations read and not answered, or answered and still running on the executor
 
 	// Messages.
 
@@ -46,14 +46,14 @@
 
 	// The executor.
 
-	SampleTimeout   time.Duration // a tick waits no longer for its sample
+	SampleTimeout   time.Duration // for the sample of a tick
 	SampleMaxAge    time.Duration // older gauges are not used
-	StallThreshold  time.Duration // without a tick for this time the process was stalled and its gauges are stale
+	StallThreshold  time.Duration // after this time without a tick the process was stalled and its gauges are stale
 	DialTimeout     time.Duration // of one attempt to connect
 	RedialMin       time.Duration // between the first two attempts to connect; it doubles
-	RedialMax       time.Duration // bounds the time between two attempts
-	ExecutorSilence time.Duration // a connection without input for this time, though polled, is replaced
-	ExecutorAbsence time.Duration // without a connection for this time health checks fail
+	RedialMax       time.Duration // the longest time between two attempts
+	ExecutorSilence time.Duration // a connection that has no input for this time, despite requests, is replaced
+	ExecutorAbsence time.Duration // after this time without a connection health checks fail
 
 	// The endpoint registry.
 
@@ -62,21 +62,21 @@
 	ReportRetryMin     time.Duration // the shortest pause after a failed report
 	ReportRetryRefused time.Duration // the longest pause while connections to the registry are refused
 	ReportRetryInitial time.Duration // the longest pause after the first failure; it grows with each
-	ReportRetryMax     time.Duration // bounds the longest pause
-	RetryAfterMax      time.Duration // the longest Retry-After of the registry that is honoured
+	ReportRetryMax     time.Duration // upper bound of the longest pause
+	RetryAfterMax      time.Duration // the longest Retry-After of the registry that is observed
 	RegistrationTTL    time.Duration // from an entry's last report until the registry drops it
-	ReportTimeout      time.Duration // of one report; close to RegistrationTTL, as a late report still counts
-	ReportsInFlight    int           // reports without an answer; two may hang beside the one that renews the entry
+	ReportTimeout      time.Duration // of one report; close to RegistrationTTL, as a late report still renews the entry
+	ReportsInFlight    int           // reports without a response; two may be stuck while a third one renews the entry
 
 	// Edge nodes.
 
-	BindTimeout        time.Duration // for attempts to bind an address that a process just killed still holds
+	BindTimeout        time.Duration // for attempts to bind an address that a killed process still holds
 	BindRetry          time.Duration // between two attempts to bind
 	WriteTimeout       time.Duration // a peer that reads nothing for this time is disconnected
 	SweepInterval      time.Duration // between two checks of all connections and of the idempotency cache
-	NewConnectionAge   time.Duration // a younger connection without a frame may still send one
+	NewConnectionAge   time.Duration // a younger connection that has sent no frame may still send one
 	IdleAge            time.Duration // a connection unused for longer is idle and may be evicted
-	LingerTimeout      time.Duration // a connection closed for writing waits no longer for its peer to close
+	LingerTimeout      time.Duration // from closing a connection for writing to closing it if the peer does not
 	AcceptQueueTimeout time.Duration // for emptying the accept queue before the listener closes
 	FrameTimeout       time.Duration // for a connection's first frame, and the rest of any frame; below 3 s
 
@@ -84,15 +84,15 @@
 
 	ReplayRetryAfter    time.Duration // Retry-After for a repeat whose first attempt did not run
 	LogInterval         time.Duration // between two log lines on the state, or on protocol errors of one kind
-	NoticeDelay         time.Duration // by which a shutdown notice may be late; it shortens the grace period used
-	ReloadRetry         time.Duration // between two attempts to read a file that may be half written
+	NoticeDelay         time.Duration // by which a shutdown notice may be late; subtracted from the grace period
+	ReloadRetry         time.Duration // between two attempts to read a file that may be partly written
 	ReloadAttempts      int           // attempts to read a file on reload
 	RejectBeforeStop    time.Duration // from the first rejection to the stop, so that late requests are answered
 	ExitMargin          time.Duration // from the exit of a process that has answered all to the stop
 	ExitMarginUnwritten time.Duration // from the exit of a process with unwritten answers to the stop
 }
 
-// Terms of the bounds that For computes.
+// Terms in the computation of For.
 const (
 	bytesPerMB = 1 << 20
 
@@ -108,13 +108,14 @@
 	reservedDescriptors     = 24       // for the executor, the registry, the pollers and the standard streams
 	closingConnections      = 12       // connections being closed at the same time
 	bytesPerInvocation      = 16 << 10 // goroutine, body, result, and the answer until it is written
-	bytesPerConnection      = 20 << 10 // netpoll's buffer and ours, with a partial frame
+	bytesPerConnection      = 20 << 10 // buffers of netpoll and of this program, with a partial frame
 	invocationFrameOverhead = 8 << 10  // bytes of an invocation's frame beside its body
 	answerOverhead          = 256      // bytes of an answer beside its result
 	answersPerStream        = 2        // unread answers on a connection for each of its streams
 )
 
-// Bounds that do not depend on the size of a process. The fields of Bounds with these names describe them.
+// Bounds that do not depend on the size of a process. They are described at the fields of Bounds with the same names,
+// which have min or max as a suffix.
 const (
 	heapGrowth = 100
 
@@ -133,22 +134,22 @@
 	sampleTimeout   = 20 * time.Millisecond
 	sampleMaxAge    = 300 * time.Millisecond
 	stallThreshold  = 60 * time.Millisecond
-	shortestRedial  = 20 * time.Millisecond
-	longestRedial   = 100 * time.Millisecond
+	minRedial       = 20 * time.Millisecond
+	maxRedial       = 100 * time.Millisecond
 	executorAbsence = time.Second
 	executorSilence = 2 * time.Second
 	dialTimeout     = time.Second
 
-	reportInterval      = 700 * time.Millisecond
-	deregisterRetry     = 150 * time.Millisecond
-	shortestReportRetry = 20 * time.Millisecond
-	reportRetryRefused  = 1400 * time.Millisecond
-	reportRetryInitial  = 2800 * time.Millisecond
-	longestReportRetry  = 4200 * time.Millisecond
-	retryAfterMax       = 30 * time.Second
-	registrationTTL     = 3 * time.Second
-	reportTimeout       = 2800 * time.Millisecond
-	reportsInFlight     = 3
+	reportInterval     = 700 * time.Millisecond
+	deregisterRetry    = 150 * time.Millisecond
+	minReportRetry     = 20 * time.Millisecond
+	reportRetryRefused = 1400 * time.Millisecond
+	reportRetryInitial = 2800 * time.Millisecond
+	maxReportRetry     = 4200 * time.Millisecond
+	retryAfterMax      = 30 * time.Second
+	registrationTTL    = 3 * time.Second
+	reportTimeout      = 2800 * time.Millisecond
+	reportsInFlight    = 3
 
 	bindTimeout        = 5 * time.Second
 	bindRetry          = 20 * time.Millisecond
@@ -191,17 +192,17 @@
 		SampleTimeout:       sampleTimeout,
 		SampleMaxAge:        sampleMaxAge,
 		StallThreshold:      stallThreshold,
-		RedialMin:           shortestRedial,
-		RedialMax:           longestRedial,
+		RedialMin:           minRedial,
+		RedialMax:           maxRedial,
 		ExecutorAbsence:     executorAbsence,
 		ExecutorSilence:     executorSilence,
 		DialTimeout:         dialTimeout,
 		ReportInterval:      reportInterval,
 		DeregisterRetry:     deregisterRetry,
-		ReportRetryMin:      shortestReportRetry,
+		ReportRetryMin:      minReportRetry,
 		ReportRetryRefused:  reportRetryRefused,
 		ReportRetryInitial:  reportRetryInitial,
-		ReportRetryMax:      longestReportRetry,
+		ReportRetryMax:      maxReportRetry,
 		RetryAfterMax:       retryAfterMax,
 		RegistrationTTL:     registrationTTL,
 		ReportTimeout:       reportTimeout,
@@ -229,8 +230,8 @@
 // For computes the bounds of a process from its share of cores, its memory in MB and its limit of file descriptors.
 func For(cores, memoryMB float64, descriptors int) Bounds {
 	b := fixed()
-	// One more than the cores: the poller of edge connections blocks inside a system call, and goroutines that
-	// become runnable meanwhile should not wait until the runtime has retaken its processor.
+	// One more than the cores: the poller of edge connections blocks in a system call, and goroutines that become
+	// runnable meanwhile should not wait until the runtime has retaken its processor.
 	b.Processors = int(math.Ceil(cores)) + 1
 	memory := memoryMB * bytesPerMB
 	b.Heap = int64(memory * heapEighths / eighths)
--- a/internal/limits/instance_test.go
+++ b/internal/limits/instance_test.go
@@ -6,9 +6,9 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestBounds checks that a process of any size can serve connections and invocations, and that its bounds fit within
-// its size. It compares the bounds with the stored trace.
-func TestBounds(t *testing.T) {
+// TestBoundsFitProcessSize checks that the bounds of a process fit within its size, and compares them with the
+// stored trace.
+func TestBoundsFitProcessSize(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	for _, size := range []struct {
 		cores       float64
--- a/internal/limits/listener.go
+++ b/internal/limits/listener.go
@@ -5,13 +5,14 @@
 	"sync"
 )
 
-// LimitListener bounds the open connections of a listener. At the maximum, Accept waits until one is closed. Accept
+// LimitListener returns a listener with at most maxOpen open connections. At the maximum, Accept waits until one is
+// closed. Accept
 // returns net.ErrClosed once the listener is closed.
 func LimitListener(l net.Listener, maxOpen int) net.Listener {
 	return &limitedListener{Listener: l, slots: make(chan struct{}, maxOpen), closed: make(chan struct{})}
 }
 
-// limitedListener takes a slot for each connection that it accepts.
+// limitedListener acquires a slot for each connection that it accepts.
 type limitedListener struct {
 	net.Listener
 	slots  chan struct{} // has an element for each open connection
@@ -38,11 +39,11 @@
 	return l.Listener.Close()
 }
 
-// limitedConn returns its slot when it is closed for the first time.
+// limitedConn releases its slot when it is closed for the first time.
 type limitedConn struct {
 	net.Conn
 	slots chan struct{} // of the listener
-	once  sync.Once     // returns the slot
+	once  sync.Once     // releases the slot
 }
 
 func (c *limitedConn) Close() error {
--- a/internal/limits/listener_test.go
+++ b/internal/limits/listener_test.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	acceptWait     = 10 * time.Second      // for an Accept that has to return
+	acceptWait     = 10 * time.Second      // within which an Accept has to return
 	noAcceptPeriod = 50 * time.Millisecond // within which an Accept beyond the maximum must not return
 )
 
-// accepted starts an Accept and returns its result.
-func accepted(l net.Listener) <-chan error {
+// acceptAsync starts an Accept and returns a channel that receives its error.
+func acceptAsync(l net.Listener) <-chan error {
 	result := make(chan error, 1)
 	go func() {
 		_, err := l.Accept()
@@ -56,8 +56,8 @@
 	}
 }
 
-// mustWait fails if an Accept returns although the maximum of connections is open.
-func mustWait(t *testing.T, result <-chan error) {
+// expectBlocked fails if an Accept returns although the maximum of connections is open.
+func expectBlocked(t *testing.T, result <-chan error) {
 	t.Helper()
 	select {
 	case err := <-result:
@@ -77,15 +77,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := accepted(l)
-	mustWait(t, second)
+	second := acceptAsync(l)
+	expectBlocked(t, second)
 	_ = first.Close()
 	_ = first.Close()
 	if err := waitFor(t, second); err != nil {
 		t.Fatalf("the second connection: %v", err)
 	}
-	third := accepted(l)
-	mustWait(t, third)
+	third := acceptAsync(l)
+	expectBlocked(t, third)
 	_ = l.Close()
 	_ = l.Close()
 	if err := waitFor(t, third); !errors.Is(err, net.ErrClosed) {
--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -21,7 +21,7 @@
 	eventsHeading  = "### Log events"
 )
 
-// levels of the functions and methods of slog that write an event.
+// levels maps the functions and methods of slog that write an event to their level.
 var levels = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warn", "Error": "error"}
 
 // logEvent identifies one row of the table: an event has a row for each of its levels.
@@ -30,7 +30,7 @@
 	level string
 }
 
-// String returns the event as messages name it.
+// String returns the event's name and level for error messages.
 func (e logEvent) String() string { return e.name + " at " + e.level }
 
 // eventFields has the fields that lines of an event can have.
@@ -89,7 +89,7 @@
 	}
 }
 
-// fieldList returns the names as a cell of the table has them.
+// fieldList formats the names as a cell of the table.
 func fieldList(names map[string]bool) string {
 	quoted := make([]string, 0, len(names))
 	for _, name := range slices.Sorted(maps.Keys(names)) {
@@ -142,7 +142,7 @@
 	return all
 }
 
-// eventsOfSource returns the events that all Go files but tests write.
+// eventsOfSource returns the events that the Go files other than tests write.
 func eventsOfSource(t *testing.T) events {
 	t.Helper()
 	all := events{}
@@ -239,7 +239,8 @@
 	}
 }
 
-// slogLevel returns the level of a call to slog, or to a logger made in place, and "" for any other call.
+// slogLevel returns the level of a call to slog, or to a logger that the same expression creates, and "" for any other
+// call.
 func slogLevel(call *ast.CallExpr) string {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging is the log of all programs: one line per event, as key=value text or JSON. Logging never blocks:
-// lines wait in a bounded queue for a writer, and are dropped and counted when it is full.
+// Package logging sets up the log of all programs: one line per event, as key=value text or JSON. Logging never blocks:
+// lines are queued for a writing goroutine, and are dropped and counted while the bounded queue is full.
 package logging
 
 import (
@@ -14,7 +14,7 @@
 // Format is the format of lines.
 type Format string
 
-// The formats.
+// Formats of the log.
 const (
 	Text Format = "text" // key=value, with quoted values if needed
 	JSON Format = "json" // one object per line, with the same keys
@@ -29,8 +29,8 @@
 	return "", fmt.Errorf("log format: found %q, wanted %s or %s", s, Text, JSON)
 }
 
-// Handler returns a handler that writes each event to w in one Write: its time in UTC and its name first. It writes no
-// level, as the name implies it. Errors of w are ignored.
+// Handler returns a handler that writes each event to w in one Write, beginning with its time in UTC and its name. It
+// omits the level, which the name implies. Errors of w are ignored.
 func Handler(w io.Writer, format Format) slog.Handler {
 	options := &slog.HandlerOptions{ReplaceAttr: replaceAttr}
 	if format == JSON {
@@ -39,8 +39,8 @@
 	return slog.NewTextHandler(w, options)
 }
 
-// replaceAttr drops the level of a record, names its message "event" and converts its time to UTC. A field of the same
-// name as level or time stays as it is.
+// replaceAttr drops the level of a record, names its message "event" and converts its time to UTC. A field
+// whose name is that of the level or the time is not changed.
 func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
@@ -61,8 +61,8 @@
 }
 
 // Start sends the program's log to w, through a queue of limits.LogLines. While w blocks, further lines are dropped and
-// counted; the event log_dropped has their count once the queue is empty. end writes queued lines, for limits.LogEnd at
-// most. Call it once, at the end of the program, as lines after it are lost.
+// counted; the event log_dropped has their count once the queue is empty. end writes the queued lines, within
+// limits.LogFlushTimeout. It must be called once, at the end of the program: later lines are lost.
 func Start(w io.Writer, format Format) (end func()) {
 	q := newLineQueue(format)
 	slog.SetDefault(slog.New(Handler(q, format)))
@@ -71,7 +71,7 @@
 		close(q.closing)
 		select {
 		case <-q.written:
-		case <-time.After(limits.LogEnd):
+		case <-time.After(limits.LogFlushTimeout):
 		}
 	}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -30,14 +30,14 @@
 	return w.text.Write(p)
 }
 
-// TestUnreadLogDropsLines checks that logging does not block though nobody reads, and that each dropped line is counted
-// once.
-func TestUnreadLogDropsLines(t *testing.T) {
+// TestLinesAreDroppedAndCountedIfLogBlocks checks that logging does not block while the writer does, and that each
+// dropped line is counted once.
+func TestLinesAreDroppedAndCountedIfLogBlocks(t *testing.T) {
 	const logged = 3 * limits.LogLines
 	w := &blockedWriter{unblock: make(chan struct{})}
 	end := Start(w, Text)
 	for i := range logged {
-		slog.Info("one", "i", i) // returns, though nobody reads
+		slog.Info("test event", "i", i) // returns although the writer blocks
 	}
 	close(w.unblock)
 	end()
@@ -48,7 +48,7 @@
 			t.Fatalf("line without an event: %q", line)
 		}
 		count := 0
-		if strings.HasPrefix(event, "one ") {
+		if strings.HasPrefix(event, "\"test event\" ") {
 			written++
 		} else if _, err := fmt.Sscanf(event, "log_dropped count=%d", &count); err == nil {
 			dropped += count
@@ -61,12 +61,13 @@
 
 var timestamp = regexp.MustCompile(`\d{4}-[^" ]*Z`)
 
-// TestFormats compares the same event in both formats with what is recorded, and which formats a flag may name.
-func TestFormats(t *testing.T) {
+// TestEachFormatWritesAllFields compares one event in both formats, and the values that ParseFormat accepts, with
+// the stored trace.
+func TestEachFormatWritesAllFields(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	for _, format := range []Format{Text, JSON} {
 		var line bytes.Buffer
-		slog.New(Handler(&line, format)).Warn("level", "level", "no-look", "text", "two words", "n", 3)
+		slog.New(Handler(&line, format)).Warn("level", "level", "rejecting", "text", "two words", "n", 3)
 		trace.Say("%s", timestamp.ReplaceAllString(strings.TrimSpace(line.String()), "T"))
 		if format == JSON && !json.Valid(line.Bytes()) {
 			t.Error("the line is not valid JSON")
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -9,9 +9,9 @@
 	"milletbarrow/internal/limits"
 )
 
-// lineQueue holds lines for the goroutine that writes them.
+// lineQueue queues lines for the goroutine that writes them.
 //
-// Invariant: each line is written, or counted as dropped, once (TestUnreadLogDropsLines).
+// Invariant: each line is either written or counted as dropped, once (TestLinesAreDroppedAndCountedIfLogBlocks).
 type lineQueue struct {
 	format  Format
 	lines   chan []byte
@@ -22,7 +22,7 @@
 	dropped int        // lines, since the last log_dropped
 }
 
-// newLineQueue returns an empty queue, whose run is not started.
+// newLineQueue returns an empty queue. The caller starts run.
 func newLineQueue(format Format) *lineQueue {
 	return &lineQueue{
 		format:  format,
@@ -32,7 +32,7 @@
 	}
 }
 
-// Write queues a copy of the line, as handlers reuse their buffer, or counts it as dropped. It never blocks.
+// Write queues a copy of the line, as handlers reuse their buffers, or counts it as dropped. It never blocks.
 func (q *lineQueue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- bytes.Clone(line):
@@ -44,7 +44,7 @@
 	return len(line), nil
 }
 
-// run writes lines until closing, and then those still queued.
+// run writes lines until the queue is closing, and then those still queued.
 func (q *lineQueue) run(w io.Writer) {
 	defer close(q.written)
 	for {
--- a/internal/process/compat_test.go
+++ b/internal/process/compat_test.go
@@ -6,7 +6,7 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats holds that JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats checks that JSON of an earlier release, with each field set, is decoded and encoded unchanged.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Identity](t, "Identity.json")
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,6 +1,6 @@
-// Package process identifies processes by their pid and start time, so that a reused pid is never taken for the
-// process that had it before, and never signalled. It also reads the clock that the processes of a machine share
-// across restarts.
+// Package process identifies processes by their pid and start time, so that a process with a reused pid is neither
+// mistaken for the former one nor signalled. It also reads the clock that all processes of a machine share and that
+// continues across their restarts.
 package process
 
 import (
@@ -28,13 +28,13 @@
 	Start uint64 `json:"start"` // start time in clock ticks since boot
 }
 
-// Zero reports whether the identity is of no process.
+// Zero reports whether the identity is empty, that is, of no process.
 func (id Identity) Zero() bool { return id.PID == 0 }
 
 // String returns PID@START.
 func (id Identity) String() string { return fmt.Sprintf("%d@%d", id.PID, id.Start) }
 
-// Of returns the identity of the process that has the pid now. It returns ErrGone if there is none, or it is a zombie.
+// Of returns the identity of the process that currently has the pid, or ErrGone if there is none or it is a zombie.
 func Of(pid int) (Identity, error) {
 	s, err := readStat(pid)
 	if err != nil {
@@ -58,7 +58,7 @@
 	deadState   = 'X'
 )
 
-// processStat has the used fields of /proc/PID/stat.
+// processStat has those fields of /proc/PID/stat that this package uses.
 type processStat struct {
 	start uint64 // start time in clock ticks since boot
 	ticks uint64 // CPU time in clock ticks, user and system
@@ -83,25 +83,25 @@
 	if err != nil {
 		return processStat{}, fmt.Errorf("%s: start time: %w", path, err)
 	}
-	user, _ := strconv.ParseUint(fields[userTimeField], 10, 64) // 0 if the kernel has another format
+	user, _ := strconv.ParseUint(fields[userTimeField], 10, 64) // 0 if the format is unknown
 	system, _ := strconv.ParseUint(fields[systemTimeField], 10, 64)
 	return processStat{start: start, ticks: user + system}, nil
 }
 
-// Alive reports whether the process runs. A stopped process does, a zombie does not.
+// Alive reports whether the process exists. It is true for a stopped process and false for a zombie.
 func (id Identity) Alive() bool {
 	s, err := readStat(id.PID)
 	return !id.Zero() && err == nil && s.start == id.Start
 }
 
-// Signal sends a signal to the process and to no other: the pidfd refers to one process, whose start time is checked
-// after it was opened. It returns ErrGone if the process has ended.
+// Signal sends a signal to the process and to no other: a pidfd refers to one process, whose start time is checked
+// after the pidfd is opened. It returns ErrGone if the process has ended.
 func (id Identity) Signal(sig syscall.Signal) error {
 	if id.PID <= 1 {
 		return ErrGone
 	}
 	fd, err := unix.PidfdOpen(id.PID, 0)
-	if errors.Is(err, unix.ENOSYS) || errors.Is(err, unix.EPERM) { // an old kernel: only the check
+	if errors.Is(err, unix.ENOSYS) || errors.Is(err, unix.EPERM) { // old kernel: checks the start time only
 		if !id.Alive() {
 			return ErrGone
 		}
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// KillGroup kills the process and the process group that it leads. It returns ErrGone if the process has ended: then
-// the id of the group may be reused, which it is not while the group has a member.
+// KillGroup kills the process and the process group that it leads. It returns ErrGone if the process has ended, as the
+// group's id may then be reused; the kernel does not reuse it while the group has a member.
 func (id Identity) KillGroup() error {
 	if id.PID <= 1 || !id.Alive() {
 		return ErrGone
@@ -159,17 +159,17 @@
 	return pages * int64(os.Getpagesize()) / bytesPerKB
 }
 
-// Now returns the time since the boot of the machine, including suspension. Setting the wall clock does not change it,
-// and all processes of the machine read the same clock.
+// Now returns the time since the boot of the machine, including suspension. It does not depend on the wall clock,
+// and is the same for all processes of the machine.
 func Now() monotime.Micros {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has this clock since 2.6.39
+		panic(err) // every Linux since 2.6.39 has this clock
 	}
 	return monotime.FromDuration(time.Duration(t.Nano()))
 }
 
-// Boot returns the id of this boot of the machine. Times of Now and identities are valid in one boot only.
+// Boot returns the id of the machine's current boot. Times of Now and identities are valid in one boot only.
 var Boot = sync.OnceValue(func() string {
 	raw, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -10,7 +10,7 @@
 	"milletbarrow/internal/fakes"
 )
 
-// startSleep starts a process that leads its own group and runs for a minute, unless it is killed.
+// startSleep starts a process that leads its own process group and runs for a minute unless it is killed.
 func startSleep(t *testing.T) (*exec.Cmd, Identity) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), "sleep", "60")
@@ -25,8 +25,8 @@
 	return cmd, id
 }
 
-// TestSignalsReachIdentifiedProcessOnly holds that a running process gets signals, and that one with a reused pid, a
-// zombie, one that has ended, and none get no signal.
+// TestSignalsReachIdentifiedProcessOnly checks that a running process gets signals, and that a process with a reused
+// pid, a zombie, a process that has ended and the empty identity get none.
 func TestSignalsReachIdentifiedProcessOnly(t *testing.T) {
 	cmd, id := startSleep(t)
 	if !id.Alive() || id.ResidentKB() == 0 {
@@ -47,7 +47,7 @@
 	if err := id.KillGroup(); err != nil {
 		t.Error(err)
 	}
-	fakes.Until(t, "the process is a zombie", func() bool { return !id.Alive() }) // nobody has reaped it
+	fakes.Until(t, "the process is a zombie", func() bool { return !id.Alive() }) // it has not been reaped
 	if _, err := os.Stat("/proc/self"); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestClockAdvances holds that the clock does not go back, and that the boot has an id.
+// TestClockAdvances checks that the clock does not go back, and that the boot has an id.
 func TestClockAdvances(t *testing.T) {
 	if first, second := Now(), Now(); first <= 0 || second < first || Boot() == "" {
 		t.Errorf("clock %d, then %d; boot %q", first, second, Boot())
