--- a/internal/faultinjection/schedule/schedule_test.go
+++ b/internal/faultinjection/schedule/schedule_test.go
@@ -270,7 +270,7 @@
 	{
 		valid:   "(trial a (kill (on h1)))",
 		invalid: "(trial a (kill (on h1 (at 1s))))",
-		want:    "no field can stand here",
+		want:    "fields are not allowed here",
 	},
 	{
 		valid:   "(trial a)",
--- a/internal/sexpr/errors.go
+++ b/internal/sexpr/errors.go
@@ -23,17 +23,17 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, message)
 }
 
-// maxErrors is the number of errors that are reported for one file.
+// maxErrors is the maximum number of errors that are reported for one file.
 const maxErrors = 20
 
-// Errors collects the errors of a file, so that they are reported together.
+// Errors collects the errors of a file, to report them together.
 type Errors struct {
 	// File is the file's name in the errors.
 	File string
 	list []error
 }
 
-// Add adds an error at a position. It drops the errors after the first maxErrors.
+// Add adds an error at a position. Only the first maxErrors are kept.
 func (e *Errors) Add(at Place, field, format string, args ...any) {
 	if len(e.list) < maxErrors {
 		e.list = append(e.list, &Error{
--- a/internal/sexpr/form.go
+++ b/internal/sexpr/form.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// Form decodes a list whose first word is its name: (name argument... (field ...)...). A missing field has its default.
-// A field that is malformed or out of range adds an error to the form's Errors and is decoded as its default.
+// Form decodes a list whose first word is its name: (name argument... (field ...)...). Decoding a
+// missing field returns the default. Decoding a field that is malformed or out of range adds an error to the form's
+// Errors and returns the default.
 type Form struct {
 	Place
 	// Name is the first word of the list.
 	Name string
-	// path is the form's name after those of the forms around it, such as fleet.group.
+	// path is the form's name, preceded by the names of the enclosing forms, such as fleet.group.
 	path string
 	// args are the words and texts after the name.
 	args []Node
 	// fields are the lists after the name.
 	fields []Node
-	// known holds the names of the fields that were decoded, whether the form has them or not.
+	// known holds the names of the fields that callers have decoded, whether the form has them or not.
 	known map[string]bool
 	errs  *Errors
 }
@@ -29,15 +30,15 @@
 // Forms returns the nodes of a file as forms. It adds an error for each node that is not a list with a name.
 func Forms(nodes []Node, errs *Errors) (forms []*Form) {
 	for _, node := range nodes {
-		if form := open(node, "", errs); form != nil {
+		if form := newForm(node, "", errs); form != nil {
 			forms = append(forms, form)
 		}
 	}
 	return forms
 }
 
-// open returns a node as a form. If it is not a list with a name, open adds an error and returns nil.
-func open(node Node, path string, errs *Errors) *Form {
+// newForm returns a node as a form. If the node is not a list with a name, newForm adds an error and returns nil.
+func newForm(node Node, path string, errs *Errors) *Form {
 	if !node.hasName() {
 		errs.Add(node.Place, path, "found %v, wanted a list that begins with a word", node.Kind)
 		return nil
@@ -104,12 +105,12 @@
 	return args[0]
 }
 
-// All returns the fields of that name in the order of the file.
+// All returns the fields of that name, in the order of the file.
 func (f *Form) All(name string) (forms []*Form) {
 	f.known[name] = true
 	for _, node := range f.fields {
 		if node.hasName() && node.Items[0].Value == name {
-			forms = append(forms, open(node, f.path, f.errs))
+			forms = append(forms, newForm(node, f.path, f.errs))
 		}
 	}
 	return forms
@@ -129,8 +130,9 @@
 	return first
 }
 
-// leaf returns the field of that name, or nil if there is none. It adds an error if the field has fields of its own.
-func (f *Form) leaf(name string) *Form {
+// fieldWithoutFields returns the field of that name, or nil if there is none. It adds an error for each field that
+// the field has itself.
+func (f *Form) fieldWithoutFields(name string) *Form {
 	sub := f.Field(name)
 	if sub != nil {
 		sub.Done()
@@ -140,7 +142,7 @@
 
 // Text decodes a field that holds one word or text.
 func (f *Form) Text(name, fallback string) string {
-	if sub := f.leaf(name); sub != nil {
+	if sub := f.fieldWithoutFields(name); sub != nil {
 		return sub.Arg()
 	}
 	return fallback
@@ -148,7 +150,7 @@
 
 // Words decodes a field that holds one or more words or texts. It returns nil if there is no such field.
 func (f *Form) Words(name string) []string {
-	if sub := f.leaf(name); sub != nil {
+	if sub := f.fieldWithoutFields(name); sub != nil {
 		return sub.Args(1, math.MaxInt)
 	}
 	return nil
@@ -156,7 +158,7 @@
 
 // OneOf decodes a field that holds one of these words. The first word is the default.
 func (f *Form) OneOf(name string, words ...string) string {
-	sub := f.leaf(name)
+	sub := f.fieldWithoutFields(name)
 	if sub == nil {
 		return words[0]
 	}
@@ -170,7 +172,7 @@
 
 // Int decodes a field that holds an integer from minimum to maximum.
 func (f *Form) Int(name string, minimum, maximum, fallback int) int {
-	sub := f.leaf(name)
+	sub := f.fieldWithoutFields(name)
 	if sub == nil {
 		return fallback
 	}
@@ -185,7 +187,7 @@
 
 // Share decodes a field that holds a number from minimum to maximum.
 func (f *Form) Share(name string, minimum, maximum, fallback float64) float64 {
-	sub := f.leaf(name)
+	sub := f.fieldWithoutFields(name)
 	if sub == nil {
 		return fallback
 	}
@@ -200,7 +202,7 @@
 
 // Span decodes a field that holds a duration such as 250ms or 1m30s, from minimum to maximum.
 func (f *Form) Span(name string, minimum, maximum, fallback time.Duration) time.Duration {
-	sub := f.leaf(name)
+	sub := f.fieldWithoutFields(name)
 	if sub == nil {
 		return fallback
 	}
@@ -214,14 +216,14 @@
 	return d
 }
 
-// Done adds an error for each field whose name was not decoded before.
+// Done adds an error for each field that was not decoded. Callers call it after decoding the fields that they know.
 func (f *Form) Done() {
 	for _, node := range f.fields {
-		sub := open(node, f.path, f.errs)
+		sub := newForm(node, f.path, f.errs)
 		switch {
 		case sub == nil || f.known[sub.Name]:
 		case len(f.known) == 0:
-			f.errs.Add(sub.Place, sub.path, "no field can stand here")
+			f.errs.Add(sub.Place, sub.path, "fields are not allowed here")
 		default:
 			names := slices.Sorted(maps.Keys(f.known))
 			f.errs.Add(sub.Place, sub.path, "no such field; there are %s", strings.Join(names, ", "))
--- a/internal/sexpr/node.go
+++ b/internal/sexpr/node.go
@@ -8,7 +8,7 @@
 // Kind is the syntactic kind of a node.
 type Kind int
 
-// The kinds of nodes.
+// Kinds of nodes.
 const (
 	List Kind = iota
 	Word
--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -15,7 +15,7 @@
 	"unicode/utf8"
 )
 
-// The limits of a file. Parse returns an error and no nodes for a file that exceeds one.
+// Limits of a file. Parse returns an error and no nodes for a file that exceeds one of them.
 const (
 	MaxBytes = 1 << 20 // size of the file in bytes
 	MaxDepth = 32      // depth of nested lists
@@ -39,12 +39,12 @@
 	return nodes, nil
 }
 
-// parser reads a file from the start to the end.
+// parser is the state of parsing one file.
 type parser struct {
 	file string
 	src  []byte
-	// next is the offset of the next character in src, in bytes.
-	next int
+	// offset is the offset of the next character in src, in bytes.
+	offset int
 	// at is the position of the next character.
 	at Place
 	// nodes is the number of nodes parsed so far.
@@ -58,15 +58,15 @@
 
 // peek returns the next character and its size in bytes. The size is 0 at the end of the file.
 func (p *parser) peek() (r rune, size int) {
-	if p.next >= len(p.src) {
+	if p.offset >= len(p.src) {
 		return 0, 0
 	}
-	return utf8.DecodeRune(p.src[p.next:])
+	return utf8.DecodeRune(p.src[p.offset:])
 }
 
-// advance moves past a character of that size in bytes.
+// advance consumes the next character, which has that size in bytes.
 func (p *parser) advance(r rune, size int) {
-	p.next += size
+	p.offset += size
 	if r == '\n' {
 		p.at = Place{Line: p.at.Line + 1, Column: 1}
 	} else {
@@ -74,7 +74,7 @@
 	}
 }
 
-// skipBlank moves past white space and comments.
+// skipBlank skips white space and comments.
 func (p *parser) skipBlank() {
 	for {
 		r, size := p.peek()
@@ -89,14 +89,14 @@
 	}
 }
 
-// skipComment moves to the end of the line or of the file.
+// skipComment skips the rest of the line.
 func (p *parser) skipComment() {
 	for r, size := p.peek(); size > 0 && r != '\n'; r, size = p.peek() {
 		p.advance(r, size)
 	}
 }
 
-// list parses nodes up to the closing parenthesis of the list that was opened there, or at depth 0 up to the end of the
+// list parses nodes up to the closing parenthesis of the list that begins at opened, or at depth 0 up to the end of the
 // file.
 func (p *parser) list(depth int, opened Place) (nodes []Node, err error) {
 	for {
@@ -121,7 +121,7 @@
 	}
 }
 
-// node parses one node, which the next character begins, in a list at that depth.
+// node parses the node that begins at the next character, in a list at that depth.
 func (p *parser) node(depth int) (node Node, err error) {
 	node.Place = p.at
 	p.nodes++
@@ -149,14 +149,14 @@
 // word parses a word up to the first character that cannot be part of one.
 func (p *parser) word() (string, error) {
 	start := p.at
-	first := p.next
+	first := p.offset
 	for r, size := p.peek(); size > 0 && !strings.ContainsRune(" \t\r\n()\";", r); r, size = p.peek() {
 		if r < ' ' || r == deleteCharacter || isInvalidUTF8(r, size) {
-			return "", p.fail(p.at, "invalid character in a word: %q", p.src[p.next])
+			return "", p.fail(p.at, "invalid character in a word: %q", p.src[p.offset])
 		}
 		p.advance(r, size)
 	}
-	word := p.src[first:p.next]
+	word := p.src[first:p.offset]
 	if len(word) > MaxText {
 		return "", p.fail(start, "found a word of %d bytes, wanted at most %d", len(word), MaxText)
 	}
@@ -182,7 +182,7 @@
 		case r == '\n':
 			return "", p.fail(p.at, "the line ends within the text that began at %d:%d", start.Line, start.Column)
 		case isInvalidUTF8(r, size) || r < ' ' && r != '\t' || r == deleteCharacter:
-			return "", p.fail(p.at, "invalid character in text: %q", p.src[p.next])
+			return "", p.fail(p.at, "invalid character in text: %q", p.src[p.offset])
 		case r == '"':
 			p.advance(r, size)
 			return content.String(), nil
--- a/internal/sexpr/rename.go
+++ b/internal/sexpr/rename.go
@@ -1,8 +1,6 @@
 package sexpr
 
-import (
-	"fmt"
-)
+import "fmt"
 
 // FormerNames maps the former names of forms to their current names, by the current name of the enclosing form. The
 // enclosing name of a top-level form is empty.
@@ -23,13 +21,13 @@
 	return fmt.Sprintf("%s:%d:%d: %q is a former name: write %q", w.File, w.Line, w.Column, w.Former, w.Name)
 }
 
-// Update replaces the former names in the nodes of a file by the current names. It returns a warning for each, in the
-// order of the file.
+// Update replaces the former names in the nodes of a file by the current names. It returns a warning for
+// each, in the order of the file.
 func (names FormerNames) Update(file string, nodes []Node) []Warning {
 	return names.update(file, "", nodes, nil)
 }
 
-// update is Update for the nodes within one enclosing form, whose warnings it appends to those before.
+// update is Update for the nodes of one enclosing form. It appends the warnings to those given.
 func (names FormerNames) update(file, enclosing string, nodes []Node, warnings []Warning) []Warning {
 	for _, node := range nodes {
 		if !node.hasName() {
