--- a/internal/backend/executor/client.go
+++ b/internal/backend/executor/client.go
@@ -51,15 +51,15 @@
 type Client struct {
 	bounds         limits.Bounds
 	violations     *ratelimitlog.Logger
-	onGreeting     func(cold bool, ago monotime.Micros)
+	onGreeting     func(cold bool, uptime monotime.Micros)
 	samples        chan []float64 // holds at most the latest sample
 	addressChanged chan struct{}  // holds a value after a change that Run has not handled
 
 	mu sync.Mutex // guards all fields below
 
-	address    string
-	writerWake *sync.Cond // signalled when unsent, conn or next changes; its lock is mu
-	unsent     []byte     // commands to be written on conn
+	address       string
+	outputChanged *sync.Cond // signalled when unsent, conn or next changes; its lock is mu
+	unsent        []byte     // commands to be written on conn
 
 	// Connections. Each has a reading and a writing goroutine.
 	conn      net.Conn  // the connection in use; nil: none
@@ -91,7 +91,7 @@
 	address string,
 	bounds limits.Bounds,
 	violations *ratelimitlog.Logger,
-	onGreeting func(cold bool, ago monotime.Micros),
+	onGreeting func(cold bool, uptime monotime.Micros),
 ) *Client {
 	c := &Client{
 		address:        address,
@@ -102,7 +102,7 @@
 		samples:        make(chan []float64, 1),
 		addressChanged: make(chan struct{}, 1),
 	}
-	c.writerWake = sync.NewCond(&c.mu)
+	c.outputChanged = sync.NewCond(&c.mu)
 	return c
 }
 
@@ -121,7 +121,7 @@
 // sendLaunch queues the launch of a run. c.mu must be held.
 func (c *Client) sendLaunch(run *Run) {
 	c.unsent = appendLaunch(c.unsent, run.id, run.operation, run.body)
-	c.writerWake.Signal()
+	c.outputChanged.Signal()
 }
 
 // finish ends a run with an outcome. It ignores runs that are not in flight.
@@ -163,7 +163,7 @@
 	c.sampling.pending = true
 	c.sampling.requestedAt = time.Now()
 	c.unsent = appendSample(c.unsent, c.sampling.tag)
-	c.writerWake.Signal()
+	c.outputChanged.Signal()
 }
 
 // Samples returns the channel of the samples. It holds at most the latest one.
--- a/internal/backend/executor/connection.go
+++ b/internal/backend/executor/connection.go
@@ -130,15 +130,15 @@
 		c.next = conn
 		c.nextSince = time.Now()
 	} else {
-		c.takeOver(conn)
+		c.replaceCurrent(conn)
 	}
 	return appendSubscribe(nil, c.lastNotice)
 }
 
-// takeOver makes conn the connection in use. Its predecessor is read until conn is greeted;
+// replaceCurrent makes conn the connection in use. Its predecessor is read until conn is greeted, as
 // notices are deduplicated by number across connections. Launches that were not written are sent again once conn is
 // synced. c.mu must be held.
-func (c *Client) takeOver(conn net.Conn) {
+func (c *Client) replaceCurrent(conn net.Conn) {
 	if c.previous != nil {
 		_ = c.previous.Close()
 	}
@@ -160,7 +160,7 @@
 	c.sampling.pending = false
 	c.lastInput = time.Now()
 	c.unsent = c.unsent[:0]
-	c.writerWake.Broadcast()
+	c.outputChanged.Broadcast()
 }
 
 // serve reads from and writes to a connection until it ends.
@@ -183,7 +183,7 @@
 	switch conn {
 	case c.next:
 		c.next = nil
-		c.writerWake.Broadcast()
+		c.outputChanged.Broadcast()
 	case c.conn:
 		c.setCurrent(c.next)
 	case c.previous:
@@ -202,7 +202,7 @@
 	defer c.mu.Unlock()
 	for {
 		for c.next == conn || c.conn == conn && len(c.unsent) == 0 {
-			c.writerWake.Wait()
+			c.outputChanged.Wait()
 		}
 		if c.conn != conn {
 			return
--- a/internal/backend/executor/notices.go
+++ b/internal/backend/executor/notices.go
@@ -54,7 +54,7 @@
 	defer c.mu.Unlock()
 	c.everGreeted = true
 	if c.next == conn {
-		c.takeOver(conn)
+		c.replaceCurrent(conn)
 	}
 	if c.conn != conn {
 		return
