--- a/internal/experiment/comparison.go
+++ b/internal/experiment/comparison.go
@@ -6,14 +6,14 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Difference is the difference between the figures of two policies at one point, over the days of both.
+// Difference compares a metric of two policies at one point, over the runs that both have.
 type Difference struct {
 	Scenario   string   `json:"scenario"`
 	SweptValue float64  `json:"at"`       // zero if no field is swept
-	First      Estimate `json:"a"`        // figure of the first policy
-	Second     Estimate `json:"b"`        // figure of the second policy
-	Paired     Estimate `json:"b_less_a"` // second minus first, day by day
-	Verdict    string   `json:"word"`     // which policy is better, or why none is shown to be
+	First      Estimate `json:"a"`        // metric of the first policy
+	Second     Estimate `json:"b"`        // metric of the second policy
+	Paired     Estimate `json:"b_less_a"` // second minus first, over pairs of runs with the same workload
+	Verdict    string   `json:"word"`     // which policy is better, or why neither is shown to be
 }
 
 // point is a scenario with one value of the swept field.
@@ -22,38 +22,38 @@
 	value    float64
 }
 
-// day is a point with a seed: two policies that play the same day get the same arrivals.
-type day struct {
+// workload is a point with a seed. Runs of two policies with the same workload receive the same arrivals.
+type workload struct {
 	point
 	seed uint64
 }
 
-// dayOf returns the day of a cell.
-func dayOf(c *Cell) day {
-	return day{
+// workloadOf returns the workload of a cell.
+func workloadOf(c *Cell) workload {
+	return workload{
 		point: point{scenario: c.Scenario.Name, value: c.SweptValue},
 		seed:  c.Seed,
 	}
 }
 
-// pairedFigures are the figures of two policies. Values of the same index are of the same day.
-type pairedFigures struct {
+// pairedValues are the values of a metric for two policies. Values of the same index have the same workload.
+type pairedValues struct {
 	first  []float64
 	second []float64
 }
 
-// Compare pairs the days that both policies played and returns the difference at each point, in the order of the cells.
-// Results are in the order of the cells; a missing one is nil.
+// Compare pairs the runs of two policies by workload and returns the difference at each point, in the order of the
+// cells. Results are in the order of the cells; a missing one is nil. Runs without a counterpart are left out.
 func Compare(cells []Cell, results []*simulation.Result, first, second string, m Measure) (all []Difference) {
-	pairs, order := pairByDay(cells, results, first, second, m)
+	pairs, order := pairByWorkload(cells, results, first, second, m)
 	for _, at := range order {
-		figures := pairs[at]
-		paired := Bootstrap(figures.differences())
+		values := pairs[at]
+		paired := Bootstrap(values.differences())
 		all = append(all, Difference{
 			Scenario:   at.scenario,
 			SweptValue: at.value,
-			First:      Bootstrap(figures.first),
-			Second:     Bootstrap(figures.second),
+			First:      Bootstrap(values.first),
+			Second:     Bootstrap(values.second),
 			Paired:     paired,
 			Verdict:    verdict(paired, m, first, second),
 		})
@@ -61,8 +61,8 @@
 	return all
 }
 
-// differences returns second minus first for each day.
-func (p *pairedFigures) differences() []float64 {
+// differences returns second minus first for each pair of runs.
+func (p *pairedValues) differences() []float64 {
 	differences := make([]float64, len(p.first))
 	for i := range differences {
 		differences[i] = p.second[i] - p.first[i]
@@ -70,36 +70,37 @@
 	return differences
 }
 
-// pairByDay returns the figures of the days that both policies played, and the points in the order of the cells.
-func pairByDay(
+// pairByWorkload returns the values for the workloads that both policies ran, and the points in the order of the cells.
+func pairByWorkload(
 	cells []Cell, results []*simulation.Result, first, second string, m Measure,
-) (pairs map[point]*pairedFigures, order []point) {
-	figuresOfFirst := map[day]float64{}
+) (pairs map[point]*pairedValues, order []point) {
+	valuesOfFirst := map[workload]float64{}
 	for i := range cells {
 		if results[i] != nil && cells[i].Policy.Name == first {
-			figuresOfFirst[dayOf(&cells[i])] = m.Value(results[i])
+			valuesOfFirst[workloadOf(&cells[i])] = m.Value(results[i])
 		}
 	}
-	pairs = map[point]*pairedFigures{}
+	pairs = map[point]*pairedValues{}
 	for i := range cells {
-		day := dayOf(&cells[i])
-		figureOfFirst, played := figuresOfFirst[day]
-		if results[i] == nil || cells[i].Policy.Name != second || !played {
+		key := workloadOf(&cells[i])
+		valueOfFirst, known := valuesOfFirst[key]
+		if results[i] == nil || cells[i].Policy.Name != second || !known {
 			continue
 		}
-		pair := pairs[day.point]
+		pair := pairs[key.point]
 		if pair == nil {
-			pair = &pairedFigures{}
-			pairs[day.point] = pair
-			order = append(order, day.point)
+			pair = &pairedValues{}
+			pairs[key.point] = pair
+			order = append(order, key.point)
 		}
-		pair.first = append(pair.first, figureOfFirst)
+		pair.first = append(pair.first, valueOfFirst)
 		pair.second = append(pair.second, m.Value(results[i]))
 	}
 	return pairs, order
 }
 
-// verdict returns which policy the interval of the paired difference shows to be better, or why it shows none.
+// verdict returns which policy is better according to the confidence interval of the paired difference, or why neither
+// is shown to be. Stored comparisons contain these texts.
 func verdict(e Estimate, m Measure, first, second string) string {
 	switch {
 	case e.Samples == 0:
--- a/internal/experiment/comparison_test.go
+++ b/internal/experiment/comparison_test.go
@@ -7,8 +7,9 @@
 	"milletbarrow/internal/simulation"
 )
 
-// TestVerdicts records the verdicts on policies that differ, on two of the same kind, and on missing figures.
-func TestVerdicts(t *testing.T) {
+// TestCompareGivesVerdictAtEachPoint records the verdicts on policies that differ, on two equal policies,
+// and on missing metrics and policies.
+func TestCompareGivesVerdictAtEachPoint(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	x := parse(t, `(scenario day (for 1s) (hosts (count 3)) (nodes (count 2)) (load (at 1.4)))
 (policy again (base pool)) (experiment small (policies milletbarrow pool again two-choices) (seeds 1..8))`)
@@ -31,9 +32,9 @@
 	trace.Say("%v", err)
 }
 
-// TestDaysArePairedByScenarioValueAndSeed compares days whose names and values are equal when joined: "s" at 12 and
-// "s1" at 2.
-func TestDaysArePairedByScenarioValueAndSeed(t *testing.T) {
+// TestComparePairsRunsByScenarioValueAndSeed compares two points whose scenario and value are equal when
+// concatenated, "s" at 12 and "s1" at 2, which a concatenated key would confuse.
+func TestComparePairsRunsByScenarioValueAndSeed(t *testing.T) {
 	var cells []Cell
 	var results []*simulation.Result
 	add := func(scenario string, value float64, policy string, billed float64) {
@@ -45,7 +46,7 @@
 		})
 		results = append(results, &simulation.Result{Offered: 1, Billed: billed})
 	}
-	// All days of the first policy come before those of the second, as if policies were swept one after the other.
+	// All runs of the first policy come before those of the second, unlike in the order of Cells.
 	add("s", 12, "pool", 0.25)
 	add("s1", 2, "pool", 0.75)
 	add("s", 12, simulation.Module, 0.75)
--- a/internal/experiment/compat_test.go
+++ b/internal/experiment/compat_test.go
@@ -11,21 +11,21 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats checks that the JSON of an earlier release, with each field set, is read and written alike.
+// TestEarlierFormats checks that JSON of an earlier release, with each field set, is decoded and encoded to the same.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Facts](t, "Facts.json")
 	compattest.RoundTrip[Row](t, "Row.json")
 	compattest.RoundTrip[Difference](t, "Difference.json")
 }
 
-// TestEarlierResults checks that the stored results of an earlier release are found under the same file names, and that
-// their summary and comparison have the same figures.
-func TestEarlierResults(t *testing.T) {
+// TestResultsOfEarlierReleaseAreFound checks that the stored results of an earlier release are found under the same
+// file names, and that their summary and comparison are the same.
+func TestResultsOfEarlierReleaseAreFound(t *testing.T) {
 	x := read(t, compattest.File("experiment.sx"))
 	cells := cellsOf(t, x)
 	results, missing, err := Load(x, compattest.File("results"))
 	if err != nil || missing > 0 {
-		t.Fatalf("%d of %d results are not found: "+
+		t.Fatalf("%d of %d results are missing: "+
 			"file names follow from the printed form of scenario, policy and degradation policy: %v",
 			missing, len(cells), err)
 	}
@@ -38,27 +38,27 @@
 	sameJSON("lab-compare.json", Compare(cells, results, "pool", "milletbarrow", measure(t, "value")))
 }
 
-// TestEarlierResultsAgain checks that each run, played again, gives the result of the earlier release.
-func TestEarlierResultsAgain(t *testing.T) {
+// TestRunsReproduceResultsOfEarlierRelease checks that each run gives the stored result of the earlier release.
+func TestRunsReproduceResultsOfEarlierRelease(t *testing.T) {
 	x := read(t, compattest.File("experiment.sx"))
 	earlier, _, err := Load(x, compattest.File("results"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := run(t, x, nil, 2)
+	results := run(t, x, nil, 2)
 	for i := range earlier {
 		if earlier[i] == nil {
-			t.Errorf("result %d of the earlier release is not found", i)
+			t.Errorf("result %d of the earlier release is missing", i)
 			continue
 		}
-		name := again[i].Scenario + " " + again[i].Policy
-		compattest.SameJSON(t, name, []byte(encode(t, earlier[i])), again[i])
+		name := results[i].Scenario + " " + results[i].Policy
+		compattest.SameJSON(t, name, []byte(encode(t, earlier[i])), results[i])
 	}
 }
 
-// TestEarlierSimulations checks that twelve simulated days under four policies, with two seeds each, give the results
-// of the earlier release to the byte. dozen.sha256 has the SHA-256 of each result's JSON of that release.
-func TestEarlierSimulations(t *testing.T) {
+// TestRunsReproduceHashesOfEarlierRelease checks that twelve scenarios under four policies, with two seeds each, give
+// results that are byte for byte those of the earlier release. dozen.sha256 has the SHA-256 of the JSON of each.
+func TestRunsReproduceHashesOfEarlierRelease(t *testing.T) {
 	x := read(t, compattest.File("dozen.sx"))
 	cells := cellsOf(t, x)
 	results := run(t, x, nil, 2)
@@ -69,6 +69,6 @@
 	}
 	want := strings.Split(strings.TrimSpace(string(compattest.Read(t, "dozen.sha256"))), "\n")
 	if diff := cmp.Diff(want, lines); diff != "" {
-		t.Errorf("scenario, policy, seed and hash of the earlier release (-), and now (+):\n%s", diff)
+		t.Errorf("scenario, policy, seed and hash (-earlier release +got):\n%s", diff)
 	}
 }
--- a/internal/experiment/curves.go
+++ b/internal/experiment/curves.go
@@ -7,14 +7,14 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Curve is the figure of one policy over the swept values. X and Y have the same length.
+// Curve is a metric of one policy over the swept values. X and Y have the same length.
 type Curve struct {
 	Policy string
 	X      []float64  // swept values, ascending
 	Y      []Estimate // estimate at each value of X
 }
 
-// policySamples are the figures of one policy by swept value.
+// policySamples are the values of a metric for one policy, by swept value.
 type policySamples struct {
 	policy  string
 	byValue map[float64][]float64
@@ -33,6 +33,7 @@
 	return curves
 }
 
+// samplesByPolicy returns the samples of each policy of one scenario, in the order of the cells.
 func samplesByPolicy(cells []Cell, results []*simulation.Result, scenario string, m Measure) (all []policySamples) {
 	for i := range cells {
 		cell := &cells[i]
--- a/internal/experiment/describe.go
+++ b/internal/experiment/describe.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-// Describe returns a text for people that lists the scenarios, policies, seeds and swept values of an experiment with
+// Describe returns a human-readable listing of the scenarios, policies, seeds and swept values of an experiment with
 // the given number of runs.
 func (x *Experiment) Describe(cells int) string {
 	var b strings.Builder
@@ -19,9 +19,9 @@
 	for _, policy := range x.Policies {
 		fmt.Fprintf(&b, "  policy %s: %s\n", policy.Name, policy.Description)
 	}
-	fmt.Fprintf(&b, "  seeds: %d of them, %d to %d\n", len(x.Seeds), x.Seeds[0], x.Seeds[len(x.Seeds)-1])
+	fmt.Fprintf(&b, "  seeds: %d, from %d to %d\n", len(x.Seeds), x.Seeds[0], x.Seeds[len(x.Seeds)-1])
 	if x.SweptField != "" {
-		fmt.Fprintf(&b, "  over %s: %v\n", x.SweptField, x.SweptValues)
+		fmt.Fprintf(&b, "  sweep over %s: %v\n", x.SweptField, x.SweptValues)
 	}
 	return b.String()
 }
@@ -29,22 +29,22 @@
 // describeScenario writes the lines of one scenario.
 func describeScenario(b *strings.Builder, s *simulation.Scenario) {
 	fmt.Fprintf(b, "  scenario %s: %d hosts of %d cores, %d nodes, %g s, "+
-		"%.0f invocations a second are all they can take\n",
+		"capacity %.0f invocations per second\n",
 		s.Name, s.Hosts.Count, s.Hosts.Cores, s.Nodes.Count, s.Duration.Seconds(), s.Capacity())
 	for _, op := range s.Operations {
-		fmt.Fprintf(b, "    operation %s: value %g, rank %g, %g of the load, "+
+		fmt.Fprintf(b, "    operation %s: value %g, priority %g, %g of the load, "+
 			"work %g ms, objective %g ms, timeout %g ms\n",
 			op.Name, op.Value, op.Priority, op.Share,
 			milliseconds(op.Work), milliseconds(op.Objective), milliseconds(op.Timeout))
 	}
 	for _, fault := range s.Faults {
-		fmt.Fprintf(b, "    trouble %v at %g s for %g s\n", fault.Kind, fault.At.Seconds(), fault.Duration.Seconds())
+		fmt.Fprintf(b, "    fault %v at %g s for %g s\n", fault.Kind, fault.At.Seconds(), fault.Duration.Seconds())
 	}
 }
 
 func milliseconds(m monotime.Micros) float64 { return float64(m) / float64(monotime.Millisecond) }
 
-// Facts are the contents of an experiment as they are printed as JSON.
+// Facts is the summary of an experiment that is printed as JSON.
 type Facts struct {
 	Name        string    `json:"name"`
 	Scenarios   []string  `json:"scenarios"`
@@ -55,7 +55,7 @@
 	Runs        int       `json:"runs"`
 }
 
-// Facts returns the contents of an experiment. It counts no runs if Cells fails, which Parse and Sweep rule out.
+// Facts returns the summary of an experiment. Runs is zero if Cells fails, which Parse and Sweep rule out.
 func (x *Experiment) Facts() Facts {
 	cells, _ := x.Cells()
 	facts := Facts{
--- a/internal/experiment/errors.go
+++ b/internal/experiment/errors.go
@@ -11,11 +11,11 @@
 // ErrLocked reports that another process writes to the result directory.
 var ErrLocked = errors.New("result directory is locked by another run")
 
-// ErrOtherBuild reports that the results in the directory are of another build.
-var ErrOtherBuild = errors.New("results are of another build: choose another directory, or remove this one")
+// ErrOtherBuild reports that the results in the directory were written by another build.
+var ErrOtherBuild = errors.New("results were written by another build: choose another directory, or remove this one")
 
-// ErrDamaged reports that a stored result is truncated or altered.
-var ErrDamaged = errors.New("result is truncated or altered")
+// ErrDamaged reports that a stored result is truncated or corrupted.
+var ErrDamaged = errors.New("result is truncated or corrupted")
 
 // ResultError reports a stored result that can't be used. Err wraps ErrDamaged, is a *VersionError, or is the error
 // of the JSON decoder.
@@ -38,24 +38,26 @@
 	return fmt.Sprintf("result has version %d, expected at most %d", e.Version, simulation.Version)
 }
 
-// UnknownMeasureError reports a name that is no figure.
+// UnknownMeasureError reports a name that is not that of a metric.
 type UnknownMeasureError struct {
 	Name string // as given
 }
 
 func (e *UnknownMeasureError) Error() string {
-	return fmt.Sprintf("no figure %q: value, priced, broken, attempts, wasted, changes, "+
-		"or OPERATION with .value, .in-time, .p50, .p99 or .%s",
+	return fmt.Sprintf("unknown metric %q: expected value, priced, broken, attempts, wasted, changes, "+
+		"or the name of an operation or tenant followed by .value, .in-time, .p50, .p99 or .%s",
 		e.Name, strings.Join(simulation.Outcomes(), ", ."))
 }
 
-// SweepError reports a text that is no sweep.
+// SweepError reports a sweep that can't be parsed.
 type SweepError struct {
 	Text   string // the part that is invalid
 	Wanted string // what is expected in its place
 }
 
-func (e *SweepError) Error() string { return fmt.Sprintf("over: %q, wanted %s", e.Text, e.Wanted) }
+func (e *SweepError) Error() string {
+	return fmt.Sprintf("over: found %q, wanted %s", e.Text, e.Wanted)
+}
 
 // UnsweepableError reports a field that can't be swept.
 type UnsweepableError struct {
@@ -63,8 +65,8 @@
 }
 
 func (e *UnsweepableError) Error() string {
-	return fmt.Sprintf("%q can't be swept; load.at, size, hosts.count, nodes.count, nodes.deaf, nodes.tries, "+
-		"nodes.subset, nodes.behind, register.lag (seconds), trouble.factor and trouble.share can", e.Field)
+	return fmt.Sprintf("field %q can't be swept: expected load.at, size, hosts.count, nodes.count, nodes.deaf, "+
+		"nodes.tries, nodes.subset, nodes.behind, register.lag (in seconds), trouble.factor or trouble.share", e.Field)
 }
 
 // TooManyRunsError reports that an experiment has more than MaxCells runs.
--- a/internal/experiment/errors_test.go
+++ b/internal/experiment/errors_test.go
@@ -7,15 +7,16 @@
 	"milletbarrow/internal/simulation"
 )
 
-// TestErrorTypes checks that callers can tell why a sweep, a figure or the size of an experiment is refused.
-func TestErrorTypes(t *testing.T) {
+// TestInvalidExperimentErrorsAreTyped checks that callers can tell why a sweep, a metric or the size of an
+// experiment is rejected.
+func TestInvalidExperimentErrorsAreTyped(t *testing.T) {
 	x := parse(t, smallExperiment)
 	var sweepErr *SweepError
 	if err := x.Sweep("load.at"); !errors.As(err, &sweepErr) || sweepErr.Text != "load.at" {
 		t.Errorf("sweep without values: %#v", err)
 	}
 	if err := x.Sweep("load.at=one"); !errors.As(err, &sweepErr) || sweepErr.Text != "one" {
-		t.Errorf("sweep over a word: %#v", err)
+		t.Errorf("sweep over a text that is no number: %#v", err)
 	}
 	var unsweepableErr *UnsweepableError
 	if err := x.Sweep("colour=1"); !errors.As(err, &unsweepableErr) || unsweepableErr.Field != "colour" {
--- a/internal/experiment/estimate.go
+++ b/internal/experiment/estimate.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Estimate is a mean with its confidence interval; all three are NaN without samples.
+// Estimate is a mean with its confidence interval. Mean and bounds are NaN without samples.
 type Estimate struct {
 	Mean    float64 `json:"mean"`
 	Low     float64 `json:"low"`  // lower bound of the interval
@@ -20,7 +20,7 @@
 	bootstrapSeed  = 1
 	confidence     = 0.95 // probability that the interval covers the mean
 	tails          = 2    // of the interval, each of the same probability
-	minPairs       = 5    // days; no difference is claimed with fewer
+	minPairs       = 5    // paired runs; no difference is claimed with fewer
 )
 
 // Bootstrap returns the mean of values with its 95% confidence interval by the percentile bootstrap. The same values
--- a/internal/experiment/estimate_test.go
+++ b/internal/experiment/estimate_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestIntervalCoversTheMean checks that about 95% of the intervals cover a known mean. With as few as twelve values it
-// is a little less.
-func TestIntervalCoversTheMean(t *testing.T) {
+// TestBootstrapIntervalCoversMean checks that about 95% of the intervals cover a known mean. The percentile bootstrap
+// covers it slightly less often with only twelve values.
+func TestBootstrapIntervalCoversMean(t *testing.T) {
 	const (
 		mean      = 3
 		intervals = 300
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
 // Package experiment plans, runs and evaluates experiments on simulated fleets. An experiment runs each scenario with
 // each swept value, seed and policy; policies are compared by paired differences with their confidence intervals.
-// run.go spreads the runs over cores and result_dir.go stores their results. Package simulation plays the runs.
+// run.go distributes the runs over cores and result_dir.go stores their results. Package simulation executes the runs.
 package experiment
 
 import (
@@ -21,7 +21,7 @@
 	Warnings    []sexpr.Warning // one for each former name in the file
 }
 
-// Bounds of an experiment.
+// Limits of the size of an experiment.
 const (
 	MaxSeeds  = 1000    // seeds
 	MaxValues = 100     // swept values
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -62,7 +62,7 @@
 // policyName is the name of a policy in an experiment's file.
 type policyName string
 
-// definitions are the forms of one file.
+// definitions holds the contents of one file.
 type definitions struct {
 	scenarios  map[scenarioName]simulation.Scenario
 	order      []string // names of the scenarios, in the order of the file
@@ -70,7 +70,7 @@
 	experiment *sexpr.Form // nil: the file has none
 }
 
-// readDefinitions reads the forms of a file; errors are added to the forms.
+// readDefinitions reads the forms of a file and reports errors on the forms.
 func readDefinitions(file string, forms []*sexpr.Form) *definitions {
 	d := &definitions{
 		scenarios: map[scenarioName]simulation.Scenario{},
@@ -85,7 +85,7 @@
 			d.policies[policyName(p.Name)] = p
 		case "experiment":
 			if d.experiment != nil {
-				f.Fail("", "duplicate form, wanted one experiment in a file")
+				f.Fail("", "duplicate form, wanted one experiment per file")
 			}
 			d.experiment = f
 		default:
@@ -163,11 +163,11 @@
 	s.Load.Shape = simulation.Replay
 }
 
-// asScenario is the word of a policy that keeps the scenario's balancing.
+// asScenario is the value of a policy's balance field that keeps the balancing of the scenario.
 const asScenario = "as-scenario"
 
-// balanceWords are the words for simulation.Balance in a file, indexed by its values.
-var balanceWords = []string{"round-robin", "random", "two-choices", "least-load"}
+// balanceNames are the names of simulation.Balance values in a file, indexed by the value.
+var balanceNames = []string{"round-robin", "random", "two-choices", "least-load"}
 
 // readPolicy reads a form such as (policy NAME (base milletbarrow) (degradation "FILE") (balance two-choices)).
 func readPolicy(f *sexpr.Form, file string) *simulation.Policy {
@@ -187,8 +187,8 @@
 			f.Fail("degradation", "%v", err)
 		}
 	}
-	if word := f.OneOf("balance", append([]string{asScenario}, balanceWords...)...); word != asScenario {
-		balance := simulation.Balance(slices.Index(balanceWords, word))
+	if word := f.OneOf("balance", append([]string{asScenario}, balanceNames...)...); word != asScenario {
+		balance := simulation.Balance(slices.Index(balanceNames, word))
 		p.Balance = &balance
 	}
 	p.QuotaSource = simulation.QuotaSourceNamed(f.OneOf("shares", simulation.QuotaSourceNames()...))
@@ -213,12 +213,12 @@
 		}
 	}
 	if len(all) > MaxSeeds {
-		f.Fail("seeds", "found %d, wanted %d at the most", len(all), MaxSeeds)
+		f.Fail("seeds", "found %d, wanted at most %d", len(all), MaxSeeds)
 	}
 	return all
 }
 
-// Form of a seed: at most 63 bits, so that a seed past the last one of a range does not overflow.
+// Syntax of a seed: a decimal number of at most 63 bits, so that incrementing the last seed of a range can't overflow.
 const (
 	seedBase = 10
 	seedBits = 63
--- a/internal/experiment/file_test.go
+++ b/internal/experiment/file_test.go
@@ -6,8 +6,9 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestErrors records the error of each file, with its place and field, and the description of a valid experiment.
-func TestErrors(t *testing.T) {
+// TestParseReportsPlaceOfErrors records the errors of invalid files, with place and field, and the description of a
+// valid experiment.
+func TestParseReportsPlaceOfErrors(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	for _, text := range []string{
 		`(experiment)`,
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -45,7 +45,7 @@
 	return cells
 }
 
-// run plays an experiment without progress; dir may be nil.
+// run executes an experiment without reporting progress; dir may be nil.
 func run(t *testing.T, x *Experiment, dir *ResultDir, cores int) []*simulation.Result {
 	t.Helper()
 	results, err := Run(context.Background(), x, dir, cores, nil)
@@ -55,7 +55,7 @@
 	return results
 }
 
-// openResultDir opens a result directory of build "b", which the test closes.
+// openResultDir opens a result directory of build "b". The caller closes it.
 func openResultDir(t *testing.T, path string) *ResultDir {
 	t.Helper()
 	dir, err := OpenResultDir(path, "b")
@@ -73,7 +73,7 @@
 	}
 }
 
-// measure returns the figure of a name.
+// measure returns the metric of a name.
 func measure(t *testing.T, name string) Measure {
 	t.Helper()
 	m, err := MeasureNamed(name)
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -8,14 +8,14 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Measure is a figure of a result.
+// Measure is a metric of a result.
 type Measure struct {
 	Name          string                             // as in MeasureNamed
-	Value         func(r *simulation.Result) float64 // NaN if the result does not have the figure
+	Value         func(r *simulation.Result) float64 // NaN if the result does not have the metric
 	LowerIsBetter bool
 }
 
-// measures are the figures of a complete result, by name.
+// measures are the metrics of a complete result, by name.
 var measures = map[string]Measure{
 	"value":    {Value: (*simulation.Result).Value},
 	"priced":   {Value: quotaPricedShare},
@@ -41,7 +41,7 @@
 	return perRequest(r.WastedMicros, r.Requests)
 }
 
-// breakdownMeasures are the figures of an operation or tenant, by name.
+// breakdownMeasures are the metrics of an operation or tenant, by name.
 var breakdownMeasures = map[string]func(b *simulation.Breakdown) float64{
 	"value":   func(b *simulation.Breakdown) float64 { return b.Billed / math.Max(b.Offered, minOffered) },
 	"in-time": func(b *simulation.Breakdown) float64 { return perRequest(float64(b.InTime), b.Requests) },
@@ -55,13 +55,13 @@
 	highPercentile = 99
 )
 
-// minOffered replaces the offered value of a day without requests, which would divide by zero.
+// minOffered replaces the offered value of a run without requests, to avoid a division by zero.
 const minOffered = 1e-9
 
-// perRequest returns the total divided by the number of requests; a day without requests counts as one request.
+// perRequest returns the total divided by the number of requests; a run without requests counts as one request.
 func perRequest(total float64, requests int) float64 { return total / math.Max(1, float64(requests)) }
 
-// MeasureNamed returns the figure of a name: value, priced, broken, attempts, wasted, changes, or one of an operation
+// MeasureNamed returns the metric of a name: value, priced, broken, attempts, wasted, changes, or one of an operation
 // or tenant: NAME.value, NAME.in-time, NAME.p50, NAME.p99, or NAME and an outcome. The error is an
 // *UnknownMeasureError.
 func MeasureNamed(name string) (Measure, error) {
@@ -69,20 +69,20 @@
 		m.Name = name
 		return m, nil
 	}
-	breakdown, figure, _ := strings.Cut(name, ".")
-	value, known := breakdownMeasures[figure]
-	if outcome := slices.Index(simulation.Outcomes(), figure); outcome >= 0 {
+	breakdown, metric, _ := strings.Cut(name, ".")
+	value, known := breakdownMeasures[metric]
+	if outcome := slices.Index(simulation.Outcomes(), metric); outcome >= 0 {
 		known = true
 		value = func(b *simulation.Breakdown) float64 { return b.OutcomeShare(outcome) }
 	}
 	if !known {
 		return Measure{Name: name}, &UnknownMeasureError{Name: name}
 	}
-	higherIsBetter := figure == "value" || figure == "in-time" || figure == "succeeded"
+	higherIsBetter := metric == "value" || metric == "in-time" || metric == "succeeded"
 	return Measure{Name: name, Value: ofBreakdown(breakdown, value), LowerIsBetter: !higherIsBetter}, nil
 }
 
-// ofBreakdown returns the figure of the operation, else tenant, of that name; NaN if a result has neither.
+// ofBreakdown applies value to the operation, else the tenant, of that name; NaN if a result has neither.
 func ofBreakdown(name string, value func(b *simulation.Breakdown) float64) func(r *simulation.Result) float64 {
 	return func(r *simulation.Result) float64 {
 		for _, breakdowns := range [][]simulation.Breakdown{r.Operations, r.Tenants} {
--- a/internal/experiment/names.go
+++ b/internal/experiment/names.go
@@ -2,8 +2,8 @@
 
 import "milletbarrow/internal/sexpr"
 
-// formerNames maps the names that the files of experiments used until December 2026, which are still read, to the
-// present ones, by form.
+// formerNames maps names that experiment files used until December 2026, and that are still accepted, to the current
+// ones, by form.
 var formerNames = sexpr.FormerNames{
 	"policy": {
 		"ladder": "degradation",
--- a/internal/experiment/names_test.go
+++ b/internal/experiment/names_test.go
@@ -15,13 +15,13 @@
 	"milletbarrow/internal/simulation"
 )
 
-// experimentWithAllNames uses each present name that has a former one.
+// experimentWithAllNames uses each current name that has a former one.
 const experimentWithAllNames = `(experiment e (scenarios s) (policies p) (seeds 1))
 (policy p (degradation "testdata/6251f7b/steady.sx"))
 (scenario s (for 20s) (hosts (count 4) (reported-fleet-size 9)) (nodes (count 3) (attempts 2))
   (fault release (at 2s) (batch-share 0.3)))`
 
-// decodedPolicy is the content of a policy form, without the functions of its base.
+// decodedPolicy is the content of a policy form, without the functions of its base, which can't be compared.
 type decodedPolicy struct {
 	Name        string
 	Degradation *degradation.Policy
@@ -51,7 +51,7 @@
 	return d
 }
 
-func TestFormerNamesInExperiment(t *testing.T) {
+func TestFormerNamesDecodeAsCurrentNames(t *testing.T) {
 	compattest.FormerNames(t, formerNames, experimentWithAllNames, func(src []byte) (any, []sexpr.Warning, error) {
 		x, err := Parse("experiment.sx", src)
 		if err != nil {
@@ -61,9 +61,9 @@
 	})
 }
 
-// TestStudiesOfEarlierReleaseDecodeAlike checks that the studies of release 6251f7b decode to the same values as the
-// present ones.
-func TestStudiesOfEarlierReleaseDecodeAlike(t *testing.T) {
+// TestExperimentFilesOfEarlierReleaseDecodeAlike checks that the experiment files of release 6251f7b decode to the
+// same values as the current ones.
+func TestExperimentFilesOfEarlierReleaseDecodeAlike(t *testing.T) {
 	const earlierDir = "testdata/6251f7b"
 	files, err := filepath.Glob(earlierDir + "/*.sx")
 	if err != nil || len(files) == 0 {
@@ -73,7 +73,7 @@
 		x, err := Read(path)
 		if err != nil {
 			if strings.Contains(err.Error(), "wanted scenario, policy or experiment") {
-				return "", false // a degradation policy that a study refers to
+				return "", false // a degradation policy that an experiment refers to
 			}
 			t.Fatal(err)
 		}
@@ -89,14 +89,14 @@
 		if !isExperiment {
 			continue
 		}
-		present, _ := decode(filepath.Join("../../docs/studies", filepath.Base(file)))
-		if diff := cmp.Diff(earlier, present); diff != "" {
-			t.Errorf("%s: %s", file, diff)
+		current, _ := decode(filepath.Join("../../docs/studies", filepath.Base(file)))
+		if diff := cmp.Diff(earlier, current); diff != "" {
+			t.Errorf("%s (-earlier +current):\n%s", file, diff)
 		}
 		compared++
 	}
 	if compared == 0 {
-		t.Error("no experiment was compared")
+		t.Error("no experiments were compared")
 	}
 	if _, err := os.Stat(filepath.Join(earlierDir, "quarter.sx")); err != nil {
 		t.Error(err)
--- a/internal/experiment/result_dir.go
+++ b/internal/experiment/result_dir.go
@@ -14,7 +14,7 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Permissions and names of what a result directory has beside its results.
+// Permissions and names of the files of a result directory.
 const (
 	dirPermissions  os.FileMode = 0o755
 	filePermissions os.FileMode = 0o644
@@ -25,20 +25,19 @@
 	resultSuffix = ".run"
 )
 
-// MaxResultBytes is the size of the largest result that is read, before compression.
+// MaxResultBytes limits the uncompressed size of a result that is read.
 const MaxResultBytes = 1 << 30
 
-// ResultDir is the directory of an experiment's results, with one file for each run. A file is written completely or
-// not at all, so that an interrupted experiment can be continued. At most one process writes to a directory.
+// ResultDir is the directory of an experiment's results, with one file for each run. Files are written atomically, so
+// that an interrupted experiment can be resumed. At most one process writes to a directory.
 type ResultDir struct {
 	Dir     string        // path
 	lock    *os.File      // nil: opened for reading
 	encoder *zstd.Encoder // nil: opened for reading
 }
 
-// OpenResultDir opens a directory for writing, and creates it if it is missing. build identifies the program: the
-// results of one build are not continued by another. The error wraps ErrLocked or ErrOtherBuild if one of these is the
-// cause.
+// OpenResultDir opens a directory for writing, and creates it if it is missing. build identifies the program: an
+// experiment is not resumed by another build. The error wraps ErrLocked or ErrOtherBuild if one of these is the cause.
 func OpenResultDir(dir, build string) (*ResultDir, error) {
 	if err := os.MkdirAll(dir, dirPermissions); err != nil {
 		return nil, fmt.Errorf("result directory: %w", err)
@@ -47,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := claimBuild(dir, build); err != nil {
+	if err := checkBuild(dir, build); err != nil {
 		_ = lock.Close()
 		return nil, err
 	}
@@ -72,8 +71,8 @@
 	return lock, nil
 }
 
-// claimBuild records the build in a new directory, and checks it in one that has a build.
-func claimBuild(dir, build string) error {
+// checkBuild records the build in a new directory, and compares it with the recorded build in an existing one.
+func checkBuild(dir, build string) error {
 	path := filepath.Join(dir, buildFile)
 	recorded, err := os.ReadFile(path)
 	switch {
@@ -96,7 +95,7 @@
 // path returns the file of a key.
 func (d *ResultDir) path(key string) string { return filepath.Join(d.Dir, key+resultSuffix) }
 
-// Write stores a result under its key, completely or not at all.
+// Write stores a result under its key, atomically.
 func (d *ResultDir) Write(key string, result *simulation.Result) error {
 	raw, err := json.Marshal(result)
 	if err != nil {
@@ -112,7 +111,7 @@
 		return fmt.Errorf("write result file: %w", err)
 	}
 	if err := os.Rename(file.Name(), d.path(key)); err != nil {
-		return fmt.Errorf("publish result file: %w", err)
+		return fmt.Errorf("rename result file: %w", err)
 	}
 	return nil
 }
@@ -123,7 +122,7 @@
 	return result, err == nil
 }
 
-// ReadResult reads one file of a result directory. The error is a *ResultError if the file is truncated, altered or
+// ReadResult reads one file of a result directory. The error is a *ResultError if the file is truncated, corrupted or
 // of a newer version.
 func ReadResult(path string) (*simulation.Result, error) {
 	file, err := os.Open(path)
--- a/internal/experiment/result_dir_test.go
+++ b/internal/experiment/result_dir_test.go
@@ -8,14 +8,14 @@
 	"milletbarrow/internal/simulation"
 )
 
-// TestResultDirHasOneWriterAndOneBuild checks that a directory is not opened while another run writes to it, nor by
-// another build.
+// TestResultDirHasOneWriterAndOneBuild checks that a directory can't be opened while another process writes to it, nor
+// by another build.
 func TestResultDirHasOneWriterAndOneBuild(t *testing.T) {
 	path := t.TempDir()
 	dir := openResultDir(t, path)
 	write(t, dir, "k", &simulation.Result{Version: simulation.Version})
 	if _, err := OpenResultDir(path, "b"); !errors.Is(err, ErrLocked) {
-		t.Errorf("second run: %v, want %v", err, ErrLocked)
+		t.Errorf("second writer: %v, want %v", err, ErrLocked)
 	}
 	if err := dir.Close(); err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestNewerVersionIsRefused(t *testing.T) {
+func TestLoadRejectsResultOfNewerVersion(t *testing.T) {
 	dir := openResultDir(t, t.TempDir())
 	defer dir.Close()
 	write(t, dir, "k", &simulation.Result{Version: simulation.Version + 1})
@@ -37,8 +37,9 @@
 	}
 }
 
-// TestResultErrors checks that a truncated result and one of a newer version are told apart, with the file's name.
-func TestResultErrors(t *testing.T) {
+// TestReadResultErrorsAreTyped checks that errors distinguish a truncated result from one of a newer version, and
+// name the file.
+func TestReadResultErrorsAreTyped(t *testing.T) {
 	dir := openResultDir(t, t.TempDir())
 	defer dir.Close()
 	const scenario = "a day with a name of some length"
--- a/internal/experiment/resultkey.go
+++ b/internal/experiment/resultkey.go
@@ -11,8 +11,8 @@
 	"milletbarrow/internal/simulation"
 )
 
-// resultKey returns a hash of everything that decides the result of a run. It names the file that stores the result,
-// and must not change when a Go field is renamed.
+// resultKey returns a hash of all inputs that determine the result of a run. It is the name of the file that stores the
+// result, and must not change when a Go field is renamed.
 func resultKey(c *Cell) string {
 	h := xxhash.New()
 	_, _ = fmt.Fprintf(h, "%d ", simulation.Version) // a hash never returns an error
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -19,10 +19,10 @@
 	Result *simulation.Result // of Cell
 }
 
-// Run plays all cells of an experiment on the given number of cores. It stores each result at once and does not play
-// cells whose results the directory has, so that the same call continues one that was interrupted. Results are in the
-// order of the cells for any number of cores. Without dir (nil) nothing is stored. onProgress may be nil; it is
-// called by one goroutine at a time.
+// Run executes all cells of an experiment on the given number of cores. It stores each result when its run ends and
+// skips cells whose results are already stored, so that repeating an interrupted call resumes the experiment. Results
+// are in the order of the cells for any number of cores. If dir is nil, nothing is stored. onProgress may be nil; calls
+// of it do not overlap.
 func Run(
 	ctx context.Context, x *Experiment, dir *ResultDir, cores int, onProgress func(Progress),
 ) ([]*simulation.Result, error) {
@@ -70,7 +70,7 @@
 	progress Progress
 }
 
-// result returns the stored result of a cell, or plays the cell and stores the result.
+// result returns the stored result of a cell, or executes the cell and stores the result.
 func (r *runner) result(cell *Cell) (result *simulation.Result, cached bool, err error) {
 	if r.dir != nil {
 		if result, ok := r.dir.Load(cell.Key); ok {
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -10,8 +10,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSameOnAnyCores checks that the results depend neither on the number of cores nor on whether they were stored.
-func TestSameOnAnyCores(t *testing.T) {
+// TestRunGivesSameResultsOnAnyNumberOfCores checks that results depend neither on the number of cores nor on
+// whether they were stored.
+func TestRunGivesSameResultsOnAnyNumberOfCores(t *testing.T) {
 	x := parse(t, smallExperiment)
 	want := encode(t, run(t, x, nil, 1))
 	dir := openResultDir(t, t.TempDir())
@@ -48,10 +49,10 @@
 	}
 }
 
-// TestInterruptedExperimentIsContinued checks that an interrupted experiment has its results stored, that the next call
-// plays only the missing runs and the one whose file is truncated, and that it gives the results of an uninterrupted
-// call.
-func TestInterruptedExperimentIsContinued(t *testing.T) {
+// TestRunResumesInterruptedExperiment checks that an interrupted experiment has stored its finished results, that the
+// next call executes only the missing runs and the one whose file is truncated, and that its results are those of an
+// uninterrupted call.
+func TestRunResumesInterruptedExperiment(t *testing.T) {
 	x, path := parse(t, smallExperiment), t.TempDir()
 	dir := openResultDir(t, path)
 	interruptAfter(t, 5, x, dir)
@@ -60,11 +61,11 @@
 	}
 	stored, err := filepath.Glob(filepath.Join(path, "*.run"))
 	if err != nil || len(stored) < 5 || len(stored) > 6 {
-		t.Fatalf("%d results stored after five runs: %v", len(stored), err)
+		t.Fatalf("%d results are stored after five runs: %v", len(stored), err)
 	}
 	truncate(t, stored[0])
 	if _, err := ReadResult(stored[0]); err == nil {
-		t.Error("a truncated file is read as if it were complete")
+		t.Error("a truncated file is read without an error")
 	}
 	wantMissing := smallRuns - len(stored) + 1
 	if _, missing, err := Load(x, path); err != nil || missing != wantMissing {
@@ -72,13 +73,13 @@
 	}
 	dir = openResultDir(t, path)
 	defer dir.Close()
-	played := 0
-	results, err := Run(context.Background(), x, dir, 2, func(p Progress) { played = p.Done - p.Cached })
-	if err != nil || played != wantMissing {
-		t.Errorf("%d runs were played, want %d: %v", played, wantMissing, err)
+	executed := 0
+	results, err := Run(context.Background(), x, dir, 2, func(p Progress) { executed = p.Done - p.Cached })
+	if err != nil || executed != wantMissing {
+		t.Errorf("%d runs were executed, want %d: %v", executed, wantMissing, err)
 	}
 	if diff := cmp.Diff(encode(t, run(t, x, nil, 4)), encode(t, results)); diff != "" {
-		t.Errorf("results of an uninterrupted call (-) and of the continued one (+):\n%s", diff)
+		t.Errorf("results (-uninterrupted call +resumed call):\n%s", diff)
 	}
 }
 
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -7,19 +7,19 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Row is one row of an experiment's table, over the days of one scenario, swept value and policy.
+// Row is one row of an experiment's table, over the runs with one scenario, swept value and policy.
 type Row struct {
 	Scenario       string   `json:"scenario"`
 	SweptValue     float64  `json:"at"` // zero if no field is swept
 	Policy         string   `json:"policy"`
 	BilledShare    Estimate `json:"value"`                  // billed part of the offered value
-	Attempts       float64  `json:"attempts"`               // per request, mean of the days
-	WastedMicros   float64  `json:"wasted_us"`              // per request, mean of the days
-	BreachesByRule [5]int   `json:"rules"`                  // indexed by rule, 1 to 4; sum of the days
-	FirstBreach    string   `json:"first_breach,omitempty"` // with its seed; empty: none
+	Attempts       float64  `json:"attempts"`               // per request, mean over the runs
+	WastedMicros   float64  `json:"wasted_us"`              // per request, mean over the runs
+	BreachesByRule [5]int   `json:"rules"`                  // indexed by rule, 1 to 4; sum over the runs
+	FirstBreach    string   `json:"first_breach,omitempty"` // with the seed of its run; empty: none
 }
 
-// BreachCount returns the number of breaches of all rules.
+// BreachCount returns the number of breaches, over all rules.
 func (r *Row) BreachCount() (n int) {
 	for _, c := range r.BreachesByRule {
 		n += c
@@ -52,7 +52,7 @@
 // is nil.
 func Summary(cells []Cell, results []*simulation.Result) (rows []Row) {
 	indexes := map[rowKey]int{}
-	var billedShares [][]float64 // by row and day
+	var billedShares [][]float64 // by row and run
 	for i := range cells {
 		cell, result := &cells[i], results[i]
 		if result == nil {
@@ -70,15 +70,15 @@
 		billedShares[index] = append(billedShares[index], result.Value())
 	}
 	for i := range rows {
-		days := float64(len(billedShares[i]))
+		runs := float64(len(billedShares[i]))
 		rows[i].BilledShare = Bootstrap(billedShares[i])
-		rows[i].Attempts /= days
-		rows[i].WastedMicros /= days
+		rows[i].Attempts /= runs
+		rows[i].WastedMicros /= runs
 	}
 	return rows
 }
 
-// add adds the figures of one day to the sums of the row.
+// add adds the metrics of one run to the sums of the row.
 func (r *Row) add(seed uint64, result *simulation.Result) {
 	r.Attempts += perRequest(float64(result.Attempts), result.Requests)
 	r.WastedMicros += perRequest(result.WastedMicros, result.Requests)
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -10,7 +10,7 @@
 	"milletbarrow/monotime"
 )
 
-// sweepableFields has a setter for each field that an experiment can sweep, by the name of the field in a file.
+// sweepableFields has a setter for each field that an experiment can sweep, by its name in a file.
 var sweepableFields = map[string]func(s *simulation.Scenario, value float64){
 	"load.at":        func(s *simulation.Scenario, value float64) { s.Load.Level = value },
 	"size":           resize,
@@ -74,12 +74,12 @@
 	return s.Check()
 }
 
-// Sweep replaces the swept field and values of the file by those of NAME=VALUE,VALUE... The error is a *SweepError, or
-// that of Cells.
+// Sweep replaces the swept field and values of the file with those of a text NAME=VALUE,VALUE... The error is a
+// *SweepError, or that of Cells.
 func (x *Experiment) Sweep(text string) error {
 	name, list, ok := strings.Cut(text, "=")
 	if !ok {
-		return &SweepError{Text: text, Wanted: "NAME=VALUE,VALUE"}
+		return &SweepError{Text: text, Wanted: "NAME=VALUE,VALUE..."}
 	}
 	x.SweptField = name
 	x.SweptValues = nil
