--- a/cmd/simadapter/errors.go
+++ b/cmd/simadapter/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// lineError says at which line of the input the adapter stopped, counted from 1.
+// lineError reports the line of the input, counted from 1, at which the adapter stopped.
 type lineError struct {
 	line int
 	err  error
@@ -12,19 +12,20 @@
 
 func (e *lineError) Unwrap() error { return e.err }
 
-// truncatedBatchError says that the input ended before the Commit of a batch.
+// truncatedBatchError reports that the input ended before the Commit of a batch.
 type truncatedBatchError struct{ round int64 }
 
 func (e *truncatedBatchError) Error() string {
-	return fmt.Sprintf("the input ends within batch %d", e.round)
+	return fmt.Sprintf("input ends before the Commit of batch %d", e.round)
 }
 
-// misplacedMessageError names a message that may not come at this point of a batch.
-type misplacedMessageError struct{ message string }
+// unexpectedMessageError reports a message that is not allowed at this point: a Sync within a batch, or any other
+// message outside one.
+type unexpectedMessageError struct{ message string }
 
-func (e *misplacedMessageError) Error() string { return e.message + " out of place" }
+func (e *unexpectedMessageError) Error() string { return e.message + " is not allowed here" }
 
-// notOpenError names a message for an instance that is not open.
+// notOpenError reports a message for an instance that is not open.
 type notOpenError struct {
 	message  string
 	instance int
@@ -34,7 +35,7 @@
 	return fmt.Sprintf("%s: instance %d is not open", e.message, e.instance)
 }
 
-// panicError is a panic of the decision module.
+// panicError reports a panic of the decision module.
 type panicError struct{ value any }
 
 func (e *panicError) Error() string { return fmt.Sprint(e.value) }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
 // Command simadapter runs instances of the decision module for the simulator, on standard input and output. It exits
-// with 1 and a message on standard error at the first line that it cannot use.
+// with 1 and a message on standard error at the first invalid line.
 package main
 
 import (
@@ -28,16 +28,16 @@
 	gauges  []string
 }
 
-// adapter has the open instances and the reply to the present batch.
+// adapter holds the open instances and the reply to the current batch.
 type adapter struct {
 	instances map[int]*instance
 	actions   []admission.Action
 	reply     bytes.Buffer
-	clock     simwire.Message // the Sync of the present or the last batch
+	clock     simwire.Message // the Sync of the current or the last batch
 	inBatch   bool
 }
 
-// serve answers batches until the input ends. A reply is written completely or not at all.
+// serve answers batches until the input ends. A reply is written as a whole, at the Commit of its batch.
 func serve(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, 1<<20)
 	a := &adapter{instances: map[int]*instance{}}
@@ -62,14 +62,14 @@
 	}
 }
 
-// handle takes one line of input; the last of a batch has the reply written.
+// handle processes one line of input. The Commit of a batch writes the reply.
 func (a *adapter) handle(line []byte, out io.Writer) error {
 	msg, err := simwire.Read(line)
 	switch {
 	case err != nil:
 		return err
 	case (msg.Name == "Sync") == a.inBatch:
-		return &misplacedMessageError{msg.Name}
+		return &unexpectedMessageError{msg.Name}
 	case msg.Name == "Sync":
 		a.clock, a.inBatch = msg, true
 		a.reply.Reset()
@@ -82,11 +82,11 @@
 		_, err := out.Write(a.reply.Bytes())
 		return err
 	}
-	return a.event(a.clock.At, msg)
+	return a.handleEvent(a.clock.At, msg)
 }
 
-// event gives an event to its instance and adds what that decides to the reply.
-func (a *adapter) event(now monotime.Micros, msg simwire.Message) error {
+// handleEvent passes an event to its instance and appends the resulting actions to the reply.
+func (a *adapter) handleEvent(now monotime.Micros, msg simwire.Message) error {
 	inst := a.instances[msg.Instance]
 	if inst == nil {
 		if _, opens := msg.Event.(simwire.InstanceOpened); !opens {
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// decide stores the actions that follow from an event; a panic of the module becomes an error.
+// decide stores the actions that result from an event. It returns a panic of the module as an error, so that one faulty
+// instance does not end the others.
 func (a *adapter) decide(inst *instance, now monotime.Micros, event admission.Event) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -9,8 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestConversations plays each input of testdata and compares what is written and said.
-func TestConversations(t *testing.T) {
+// TestServeAnswersRecordedInput feeds each input of testdata to the adapter and compares the output with the recorded
+// one.
+func TestServeAnswersRecordedInput(t *testing.T) {
 	for _, name := range []string{"day", "incarnations"} {
 		in, err := os.ReadFile("testdata/" + name + ".in")
 		if err != nil {
@@ -36,24 +37,25 @@
 	end  = `{"Commit":{}}` + "\n"
 )
 
-func TestBadInput(t *testing.T) {
+// TestServeRejectsInvalidInput checks the error for each kind of invalid input, and that no part of a reply is written.
+func TestServeRejectsInvalidInput(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
 		{sync + "nonsense\n", "line 2: not a JSON object: invalid character 'o' in literal null (expecting 'u')"},
 		{sync + `{"Launched":{"i":3}}`, "line 2: Launched: unknown message"},
 		{sync + `{"Alarm":{"i":3,"token":"x"}}`,
 			"line 2: Alarm: json: cannot unmarshal string into Go struct field fields.token of type int64"},
-		{sync + `{"Alarm":[]}`, "line 2: Alarm: the fields are not an object"},
+		{sync + `{"Alarm":[]}`, "line 2: Alarm: fields are not a JSON object"},
 		{sync + `{"Done":{"i":3,"req":"0f","state_code":"Fine"}}`, `line 2: Done: unknown state_code "Fine"`},
 		{sync + `{"Done":{"i":3,"req":"0f","state_code":"Ok"}}`, "line 2: Done: instance 3 is not open"},
-		{sync + `{"A":{},"B":{}}`, "line 2: a message has one name, this has 2"},
-		{sync + sync, "line 2: Sync out of place"},
-		{end, "line 1: Commit out of place"},
-		{sync + open, "line 3: the input ends within batch 1"},
+		{sync + `{"A":{},"B":{}}`, "line 2: expected one message name, found 2"},
+		{sync + sync, "line 2: Sync is not allowed here"},
+		{end, "line 1: Commit is not allowed here"},
+		{sync + open, "line 3: input ends before the Commit of batch 1"},
 	} {
 		var out bytes.Buffer
 		err := serve(strings.NewReader(c.in), &out)
 		if err == nil || out.Len() > 0 {
-			t.Errorf("%q: accepted, or half answered: %q", c.in, out.String())
+			t.Errorf("%q: got error %v and output %q, want an error and no output", c.in, err, out.String())
 			continue
 		}
 		if diff := cmp.Diff(c.want, err.Error()); diff != "" {
@@ -62,10 +64,12 @@
 	}
 }
 
-func TestPanicIsDeclared(t *testing.T) {
+// TestModulePanicIsReportedAsBailOut checks that a panic of the decision module is reported to the simulator, and does
+// not end the adapter.
+func TestModulePanicIsReportedAsBailOut(t *testing.T) {
 	var out bytes.Buffer
-	bad := `{"Req":{"i":3,"req":"0f","service":8}}` + "\n"
-	if err := serve(strings.NewReader(sync+open+bad+end), &out); err != nil {
+	invalid := `{"Req":{"i":3,"req":"0f","service":8}}` + "\n"
+	if err := serve(strings.NewReader(sync+open+invalid+end), &out); err != nil {
 		t.Fatal(err)
 	}
 	want := `{"BailOut":{"i":3,"message":"runtime error: index out of range [8] with length 1"}}`
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -8,7 +8,7 @@
 	"milletbarrow/monotime"
 )
 
-// command is the union of the fields of all commands. Each command has some of them.
+// command is the union of the fields of all commands. Each command uses some of them.
 type command struct {
 	Instance     int      `json:"i"`
 	ID           string   `json:"req,omitempty"`
@@ -73,7 +73,7 @@
 	return &UnknownActionError{Action: action}
 }
 
-// WriteFault encodes a panic of an instance's decision code as a line.
+// WriteFault encodes a panic of an instance's decision module as a line.
 func WriteFault(w io.Writer, instance int, message string) error {
 	return writeLine(w, "BailOut", command{Instance: instance, Message: message})
 }
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -12,7 +12,7 @@
 	// ErrUnknownMessage reports a message whose name the protocol does not define.
 	ErrUnknownMessage = errors.New("unknown message")
 	// ErrNotObject reports a message whose fields are not a JSON object.
-	ErrNotObject = errors.New("the fields are not an object")
+	ErrNotObject = errors.New("fields are not a JSON object")
 )
 
 // MessageError reports an invalid message.
@@ -40,7 +40,7 @@
 type NameCountError struct{ Names int }
 
 func (e *NameCountError) Error() string {
-	return fmt.Sprintf("a message has one name, this has %d", e.Names)
+	return fmt.Sprintf("expected one message name, found %d", e.Names)
 }
 
 // MissingFieldError reports a required field that is missing from a message. If several fields are required together,
@@ -57,4 +57,4 @@
 // UnknownActionError reports an action that has no message on the wire.
 type UnknownActionError struct{ Action admission.Action }
 
-func (e *UnknownActionError) Error() string { return fmt.Sprintf("no line for action %T", e.Action) }
+func (e *UnknownActionError) Error() string { return fmt.Sprintf("action %T has no message", e.Action) }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -58,7 +58,7 @@
 	Event any
 }
 
-// fields is the union of the fields of all messages. Each message has some of them.
+// fields is the union of the fields of all messages. Each message uses some of them.
 type fields struct {
 	Instance       *int             `json:"i"`
 	AtMs           *float64         `json:"at_time_ms"`
@@ -81,7 +81,7 @@
 	Gauges         *[]float64       `json:"feedback"`
 }
 
-// optionalString is a string. On the wire, null or the number 0 stand for the empty string.
+// optionalString is a string that is empty if the wire has null or the number 0.
 type optionalString string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -254,7 +254,7 @@
 	return outcome, nil
 }
 
-// Reading assigns the values to the gauges of these names. A gauge without a name among them has the value -1.
+// Reading returns the values by gauge; names are those of the values, in order. A gauge that is not named is -1.
 func (g GaugeReading) Reading(names []string) admission.Reading {
 	reading := config.Reading(names, g.Values)
 	reading.Token = g.Token
