--- a/internal/plot/degradation.go
+++ b/internal/plot/degradation.go
@@ -1,5 +1,5 @@
-// Package plot draws results of experiments and replays of degradation policies, as SVG or PNG. Its functions write
-// to the writer they are given and may be called by several goroutines.
+// Package plot draws results of experiments and replays of degradation policies, as SVG or PNG. Its functions are safe
+// for concurrent use.
 package plot
 
 import (
@@ -16,8 +16,8 @@
 	"milletbarrow/monotime"
 )
 
-// maxPoints is the number of points of one line; a longer trace is thinned evenly.
-const maxPoints = 4000
+// targetPoints determines the downsampling of a long trace: a line has fewer than twice as many points.
+const targetPoints = 4000
 
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x77, B: 0xb4, A: 255}, color.RGBA{R: 0xd6, G: 0x27, B: 0x28, A: 255},
@@ -25,23 +25,23 @@
 	color.RGBA{R: 0x8c, G: 0x56, B: 0x4b, A: 255}, color.RGBA{R: 0x7f, G: 0x7f, B: 0x7f, A: 255},
 }
 
-// Levels draws a replay of a degradation policy: the level as steps, and the smoothed signals that it uses, over
-// seconds. Format is svg or png.
-func Levels(to io.Writer, l *degradation.Policy, points []degradation.ReplayPoint, format string) error {
+// Levels draws a replay of a degradation policy over time: the level as steps, and the smoothed signals that the policy
+// uses. format is svg or png.
+func Levels(to io.Writer, policy *degradation.Policy, points []degradation.ReplayPoint, format string) error {
 	p := plot.New()
-	p.Title.Text = "ladder " + l.Name
+	p.Title.Text = "degradation policy " + policy.Name
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "level, signals"
 	p.Legend.Top = true
-	stride := max(1, len(points)/maxPoints)
-	var shown []degradation.ReplayPoint
+	stride := max(1, len(points)/targetPoints)
+	var sampled []degradation.ReplayPoint
 	for i := 0; i < len(points); i += stride {
-		shown = append(shown, points[i])
+		sampled = append(sampled, points[i])
 	}
-	if err := addLevel(p, shown); err != nil {
+	if err := addLevel(p, sampled); err != nil {
 		return err
 	}
-	for n, s := range l.SignalsUsed() {
-		if err := addSignal(p, shown, s, palette[n%len(palette)]); err != nil {
+	for n, s := range policy.SignalsUsed() {
+		if err := addSignal(p, sampled, s, palette[n%len(palette)]); err != nil {
 			return err
 		}
 	}
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// addSignal draws one signal. Where it is missing (NaN) there is a gap: each known stretch is a line of its own.
+// addSignal draws one signal. Missing values (NaN) are gaps: each segment of known values is a line of its own.
 func addSignal(p *plot.Plot, points []degradation.ReplayPoint, s degradation.Signal, c color.Color) error {
-	var stretch plotter.XYs
-	named := false
+	var segment plotter.XYs
+	inLegend := false
 	flush := func() error {
-		known := stretch
-		stretch = nil
+		known := segment
+		segment = nil
 		if len(known) < 2 {
 			return nil
 		}
@@ -85,15 +85,15 @@
 		}
 		line.Color = c
 		p.Add(line)
-		if !named {
+		if !inLegend {
 			p.Legend.Add(s.String(), line)
-			named = true
+			inLegend = true
 		}
 		return nil
 	}
 	for _, point := range points {
 		if v := point.Smoothed[s]; !math.IsNaN(v) {
-			stretch = append(stretch, plotter.XY{X: secondsAfter(points, point.At), Y: v})
+			segment = append(segment, plotter.XY{X: secondsAfter(points, point.At), Y: v})
 		} else if err := flush(); err != nil {
 			return err
 		}
--- a/internal/plot/errors.go
+++ b/internal/plot/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrNothingToDraw says that the data have nothing of what a plot shows.
+// ErrNothingToDraw reports that the data contain nothing that the plot shows.
 var ErrNothingToDraw = errors.New("nothing to draw")
--- a/internal/plot/results.go
+++ b/internal/plot/results.go
@@ -28,7 +28,7 @@
 	return err
 }
 
-// legendOffset is how far right of the axes the legend stands, and legendWide the room for it.
+// legendOffset is the distance of the legend to the right of the axes, and legendWidth the space reserved for it.
 const (
 	legendOffset = 3 * vg.Centimeter
 	legendWidth  = 3.2 * vg.Centimeter
@@ -44,7 +44,7 @@
 	return p
 }
 
-// lineStyle returns the colour and the dashes of the n-th line.
+// lineStyle returns the colour and the dashes of the n-th line. Lines after the first len(palette) are dashed.
 func lineStyle(n int) (color.Color, []vg.Length) {
 	var dashes []vg.Length
 	if n >= len(palette) {
@@ -65,14 +65,14 @@
 	return nil
 }
 
-// An axis is logarithmic where it spans more than these factors.
+// Ratios of the greatest to the least value above which an axis is logarithmic.
 const (
 	maxLinearX = 20
 	maxLinearY = 50
 )
 
-// Curves draws a figure over the swept values, a line for each policy, with bars for the intervals. format is svg or
-// png, here and below.
+// Curves draws a metric over the swept values, with a line for each policy and error bars for the confidence intervals.
+// In this and the following functions, format is svg or png.
 func Curves(to io.Writer, title, over, measure string, curves []experiment.Curve, format string) error {
 	p := newPlot(title, over, measure)
 	var xs, ys []float64
@@ -94,7 +94,8 @@
 	return write(p, to, format)
 }
 
-// setScale makes an axis logarithmic where its values are positive and span more than a factor.
+// setScale makes an axis logarithmic if its values are positive and the ratio of the greatest to the least exceeds
+// maxLinear.
 func setScale(axis *plot.Axis, values []float64, maxLinear float64) {
 	if len(values) == 0 {
 		return
@@ -139,9 +140,9 @@
 	return nil
 }
 
-// Times draws the billed part of the value offered, over the seconds of the day, a line for each result.
+// Times draws the billed share of the offered value over the simulated time, with a line for each result.
 func Times(to io.Writer, title string, names []string, results []*simulation.Result, format string) error {
-	p := newPlot(title, "seconds", "billed by offered, over 2 s")
+	p := newPlot(title, "seconds", "billed share of offered value (2 s window)")
 	p.Y.Min, p.Y.Max = 0, 1.1
 	for n, r := range results {
 		var xy plotter.XYs
@@ -163,15 +164,15 @@
 	return write(p, to, format)
 }
 
-// Latencies draws the latency at each percentile, a line for each breakdown. It returns ErrNothingToDraw where there
-// are no latencies.
-func Latencies(to io.Writer, title string, names []string, parts []*simulation.Breakdown, format string) error {
-	p := newPlot(title, "percentile (of 1 in so many slower ones)", "milliseconds")
+// Latencies draws the latency at each percentile, with a line for each breakdown. The error is ErrNothingToDraw if
+// there are no latencies.
+func Latencies(to io.Writer, title string, names []string, breakdowns []*simulation.Breakdown, format string) error {
+	p := newPlot(title, "percentile, as 1 / (1 - quantile)", "milliseconds")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	drawn := 0
-	for n, part := range parts {
-		h, err := part.Histogram()
+	for n, breakdown := range breakdowns {
+		h, err := breakdown.Histogram()
 		if err != nil {
 			return err
 		}
@@ -179,9 +180,9 @@
 			continue
 		}
 		var xy plotter.XYs
-		for one := 1.25; one <= float64(h.TotalCount()); one *= 1.25 {
-			ms := float64(h.ValueAtQuantile(100*(1-1/one))) / 1000
-			xy = append(xy, plotter.XY{X: one, Y: max(ms, 0.001)})
+		for tailRatio := 1.25; tailRatio <= float64(h.TotalCount()); tailRatio *= 1.25 { // one in that many is slower
+			ms := float64(h.ValueAtQuantile(100*(1-1/tailRatio))) / 1000
+			xy = append(xy, plotter.XY{X: tailRatio, Y: max(ms, 0.001)})
 		}
 		if len(xy) < 2 {
 			continue
@@ -197,8 +198,8 @@
 	return write(p, to, format)
 }
 
-// Breakdowns draws the billed part of the value of each operation, or tenant, a bar for each result. It returns
-// ErrNothingToDraw where the results have none.
+// Breakdowns draws the billed share of the offered value of each operation, or tenant, with a bar for each result. The
+// error is ErrNothingToDraw if a result has none.
 func Breakdowns(
 	to io.Writer,
 	title string,
@@ -207,31 +208,31 @@
 	tenants bool,
 	format string,
 ) error {
-	p := newPlot(title, "", "billed by offered")
+	p := newPlot(title, "", "billed share of offered value")
 	p.Y.Min, p.Y.Max = 0, 1.15
-	wide := vg.Points(max(3, 180/float64(max(1, len(results)*4))))
+	barWidth := vg.Points(max(3, 180/float64(max(1, len(results)*4))))
 	var labels []string
 	for n, r := range results {
-		parts := r.Operations
+		breakdowns := r.Operations
 		if tenants {
-			parts = r.Tenants
+			breakdowns = r.Tenants
 		}
-		var v plotter.Values
+		var shares plotter.Values
 		labels = nil
-		for _, part := range parts {
-			v = append(v, part.Billed/max(part.Offered, 1e-9))
-			labels = append(labels, part.Name)
+		for _, breakdown := range breakdowns {
+			shares = append(shares, breakdown.Billed/max(breakdown.Offered, 1e-9))
+			labels = append(labels, breakdown.Name)
 		}
-		if len(v) == 0 {
-			return fmt.Errorf("%w: no such parts", ErrNothingToDraw)
+		if len(shares) == 0 {
+			return fmt.Errorf("%w: result has no such breakdown", ErrNothingToDraw)
 		}
-		bars, err := plotter.NewBarChart(v, wide)
+		bars, err := plotter.NewBarChart(shares, barWidth)
 		if err != nil {
 			return err
 		}
 		bars.Color, _ = lineStyle(n)
 		bars.LineStyle.Width = 0
-		bars.Offset = wide * vg.Length(float64(n)-float64(len(results)-1)/2)
+		bars.Offset = barWidth * vg.Length(float64(n)-float64(len(results)-1)/2)
 		p.Add(bars)
 		p.Legend.Add(names[n], bars)
 	}
@@ -239,21 +240,29 @@
 	return write(p, to, format)
 }
 
-// heatGrid is the state of a fleet as a grid: seconds across, hosts up.
+// heatGrid is the core use of a fleet as a plotter.GridXYZ, with a column for each second and a row for one or more
+// hosts.
 type heatGrid struct {
-	rows        [][]byte
-	hostsPerRow int // hosts in one row of the picture
+	use         [][]byte // by second and host, in percent, or simulation.Down
+	hostsPerRow int      // hosts that share a row; the row has their mean
 }
 
+// Dims implements plotter.GridXYZ.
 func (h heatGrid) Dims() (c, r int) {
-	return len(h.rows), (len(h.rows[0]) + h.hostsPerRow - 1) / h.hostsPerRow
+	return len(h.use), (len(h.use[0]) + h.hostsPerRow - 1) / h.hostsPerRow
 }
+
+// X implements plotter.GridXYZ.
 func (h heatGrid) X(c int) float64 { return float64(c) + 0.5 }
+
+// Y implements plotter.GridXYZ.
 func (h heatGrid) Y(r int) float64 { return float64(r * h.hostsPerRow) }
+
+// Z returns the mean use of the running hosts of a row; NaN if none is running.
 func (h heatGrid) Z(c, r int) float64 {
 	sum, n := 0.0, 0.0
-	for k := r * h.hostsPerRow; k < min((r+1)*h.hostsPerRow, len(h.rows[c])); k++ {
-		if v := h.rows[c][k]; v != simulation.Down {
+	for k := r * h.hostsPerRow; k < min((r+1)*h.hostsPerRow, len(h.use[c])); k++ {
+		if v := h.use[c][k]; v != simulation.Down {
 			sum, n = sum+float64(v), n+1
 		}
 	}
@@ -263,15 +272,15 @@
 	return sum / n
 }
 
-// maxHeatRows is the number of rows of a heat map; with more hosts a row is the mean of several.
+// maxHeatRows bounds the rows of a heat map. With more hosts, a row is the mean of several.
 const maxHeatRows = 200
 
-// Heat draws the use of each host's cores, second by second; a host without a process is white. It returns
-// ErrNothingToDraw where the result has no such state.
+// Heat draws the core use of each host for each second; a host without a running process is white. The error is
+// ErrNothingToDraw if the result has no such data.
 func Heat(to io.Writer, title string, r *simulation.Result, format string) error {
 	if len(r.Heat) < 2 || len(r.Heat[0]) == 0 {
 		return fmt.Errorf(
-			"%w: no state of the hosts was kept (a fleet of %d is too large for it)",
+			"%w: result has no core use per host (not recorded for large fleets, this one has %d hosts)",
 			ErrNothingToDraw,
 			r.Hosts,
 		)
