--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo sets up all that is needed to see backends at work on one machine: fakes of the executors and the
-// endpoint registry, configurations and a fleet's file. It owns the directory and the fakes; what runs in it is
-// started by the command line.
+// Package demo sets up an environment for running backends on one machine: fakes of the executors and the endpoint
+// registry, configurations and a fleet file. It owns the directory and the fakes; the command line starts the agent and
+// backends in it.
 package demo
 
 import (
@@ -11,10 +11,11 @@
 	"milletbarrow/monotime"
 )
 
-// Scenario returns the demo's day for that many backends: a load near their capacity, with a burst and a release.
-func Scenario(backends int, span time.Duration) simulation.Scenario {
+// Scenario returns the demo's scenario for a number of backends and a duration: a load near their capacity, with a
+// burst and a rolling update.
+func Scenario(backends int, duration time.Duration) simulation.Scenario {
 	s := simulation.Default()
-	s.Name, s.Duration = "demo", monotime.FromDuration(span)
+	s.Name, s.Duration = "demo", monotime.FromDuration(duration)
 	s.Hosts.Count, s.Hosts.Cores, s.Hosts.SpeedSpread, s.Hosts.ReadWork, s.Hosts.HandshakeWork = backends, 2, 0, 0, 0
 	s.Hosts.WarmUp, s.Hosts.ColdSpeed = 2*simulation.Second, 0.5
 	s.Nodes.Count, s.Nodes.Subset = 4, 0
@@ -31,43 +32,46 @@
 	return s
 }
 
-// Settings returns the platform's JSON object for a backend of a scenario.
+// Settings returns the settings of a backend of a scenario, as the JSON object that the platform sends.
 func Settings(s *simulation.Scenario) map[string]any {
-	repeats := map[admission.RetrySafety]string{
+	retrySafetyNames := map[admission.RetrySafety]string{
 		admission.Idempotent:    "idempotent",
 		admission.NonIdempotent: "at_most_once",
 	}
-	classes := make([]map[string]any, 0, len(s.Operations))
-	projects := make([]map[string]any, 0, len(s.Tenants))
-	ms := func(m monotime.Micros) float64 { return float64(m) / 1000 }
+	operations := make([]map[string]any, 0, len(s.Operations))
+	tenants := make([]map[string]any, 0, len(s.Tenants))
+	milliseconds := func(m monotime.Micros) float64 { return float64(m) / 1000 }
 	for _, op := range s.Operations {
-		classes = append(classes, map[string]any{
+		operations = append(operations, map[string]any{
 			"name":        op.Name,
-			"aim_ms":      ms(op.Objective),
-			"deadline_ms": ms(op.Timeout),
-			"repeat":      repeats[op.RetrySafety],
+			"aim_ms":      milliseconds(op.Objective),
+			"deadline_ms": milliseconds(op.Timeout),
+			"repeat":      retrySafetyNames[op.RetrySafety],
 			"late_value":  op.LateValue,
 		})
 	}
 	for _, t := range s.Tenants {
-		projects = append(projects, map[string]any{"name": t.Name, "quota_per_s": t.Quota})
+		tenants = append(tenants, map[string]any{"name": t.Name, "quota_per_s": t.Quota})
 	}
 	h := &s.Hosts
 	return map[string]any{
-		"classes": classes, "projects": projects, "over_share_worth": 0.3, "fleet_size": h.Count, "round_ms": 5,
-		"policy_limits": map[string]any{"max_retry_after_ms": ms(h.MaxRetryAfter), "retry_after": h.MaxRetryAfter > 0},
+		"classes": operations, "projects": tenants, "over_share_worth": 0.3, "fleet_size": h.Count, "round_ms": 5,
+		"policy_limits": map[string]any{
+			"max_retry_after_ms": milliseconds(h.MaxRetryAfter),
+			"retry_after":        h.MaxRetryAfter > 0,
+		},
 		"invariants": map[string]any{
-			"answer_slack_ms": ms(h.AnswerSlack),
-			"cold_ms":         ms(h.WarmUp),
+			"answer_slack_ms": milliseconds(h.AnswerSlack),
+			"cold_ms":         milliseconds(h.WarmUp),
 			"cold_share":      h.ColdSpeed,
-			"drain_grace_ms":  ms(h.DrainGrace),
-			"fall_ms":         ms(h.CollapseAfter),
+			"drain_grace_ms":  milliseconds(h.DrainGrace),
+			"fall_ms":         milliseconds(h.CollapseAfter),
 			"fall_multiple":   h.CollapseMultiple,
 		},
 		"family_info": map[string]any{
 			"below":        "off",
 			"callers":      s.Nodes.Count,
-			"idle_ms":      ms(h.IdleTimeout),
+			"idle_ms":      milliseconds(h.IdleTimeout),
 			"just_started": false,
 			"mem_limit_kb": h.MemoryKB,
 			"n_cores":      h.Cores,
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -21,37 +21,38 @@
 	"milletbarrow/monotime"
 )
 
-// Site is a fleet set up in a directory of its own, with fakes of the executors and the endpoint registry.
+// Site is a fleet in a temporary directory, with fakes of the executors and the endpoint registry.
 type Site struct {
 	Dir       string
-	FleetFile string // path of the fleet's file
+	FleetFile string // path of the fleet file
 	Backends  []string
 	Names     []string
 	Executors []*timedexecutor.Executor
-	Loopback  string // a loopback address that no outgoing connection uses: a free port stays free until it is used
+	Loopback  string // a loopback address that is no source of outgoing connections, which could take a free port
 
 	registry   *http.Server
 	mu         sync.Mutex
 	reportedAt map[string]time.Time
-	givenOut   map[string]bool // addresses that FreeAddress has returned
+	allocated  map[string]bool // addresses that FreeAddress has returned
 }
 
-// freeAddressAttempts bounds how often FreeAddress draws again. A draw repeats one given out with a chance below a
-// tenth as long as fewer than a thousand are.
+// freeAddressAttempts bounds the attempts of FreeAddress. With fewer than 1,000 allocated addresses, an attempt yields
+// an allocated one with a probability below 0.1.
 const freeAddressAttempts = 50
 
-// ErrNoFreeAddress means that no address was drawn that had not been given out before.
+// ErrNoFreeAddress reports that all attempts yielded addresses that were already allocated.
 var ErrNoFreeAddress = errors.New("no free address")
 
-// NewSite writes all files and starts the fakes. program is the milletbarrow that agents run; empty: the running one.
-// Close ends the fakes and removes the files.
+// NewSite writes all files and starts the fakes. program is the milletbarrow executable that agents run; if empty, the
+// running one. Close stops the fakes and removes the files.
 func NewSite(s *simulation.Scenario, program string) (*Site, error) {
 	return NewSiteWithRegistry(s, program, "")
 }
 
-// NewSiteWithRegistry is NewSite with an endpoint registry at that address instead of a fake.
+// NewSiteWithRegistry is like NewSite, but uses the endpoint registry at the given address. If registry is empty, it
+// starts the fake.
 func NewSiteWithRegistry(s *simulation.Scenario, program, registry string) (site *Site, err error) {
-	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
+	dir, err := os.MkdirTemp("", "mb") // short, as the paths of sockets in it have a limited length
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +60,7 @@
 		Dir:        dir,
 		FleetFile:  filepath.Join(dir, "fleet.sx"),
 		reportedAt: map[string]time.Time{},
-		givenOut:   map[string]bool{},
+		allocated:  map[string]bool{},
 		Loopback:   Loopback(),
 	}
 	defer func() {
@@ -84,9 +85,9 @@
 	return site, site.writeFleetFile(program)
 }
 
-// FreeAddress returns an address of Loopback that it has not returned before and on which nothing listens yet. The
-// kernel draws at random and forgets what it drew: without the memory here a peer could get the address of a backend
-// that is still to start.
+// FreeAddress returns an unused address of Loopback that it has not returned before. The kernel chooses ports at random
+// and may choose a closed one again: without the record of allocated addresses, a peer could get the address of a
+// backend that has not started yet.
 func (s *Site) FreeAddress() (string, error) {
 	for range freeAddressAttempts {
 		l, err := net.Listen("tcp", s.Loopback+":0")
@@ -97,15 +98,15 @@
 		if err := l.Close(); err != nil {
 			return "", err
 		}
-		if !s.givenOut[address] {
-			s.givenOut[address] = true
+		if !s.allocated[address] {
+			s.allocated[address] = true
 			return address, nil
 		}
 	}
-	return "", fmt.Errorf("%w at %s, of which %d are given out", ErrNoFreeAddress, s.Loopback, len(s.givenOut))
+	return "", fmt.Errorf("%w at %s: %d are allocated", ErrNoFreeAddress, s.Loopback, len(s.allocated))
 }
 
-// startRegistry starts the fake of the endpoint registry and returns its address.
+// startRegistry starts the fake endpoint registry and returns its address.
 func (s *Site) startRegistry() (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,9 +117,9 @@
 	return l.Addr().String(), nil
 }
 
-// addBackend starts the executor of the n-th backend, from 1, and writes the backend's file.
-func (s *Site) addBackend(day *simulation.Scenario, n int, address, registry string) error {
-	h := &day.Hosts
+// addBackend starts the executor of the n-th backend, counted from 1, and writes the backend's configuration.
+func (s *Site) addBackend(scenario *simulation.Scenario, n int, address, registry string) error {
+	h := &scenario.Hosts
 	executor, err := timedexecutor.Start("127.0.0.1:0", timedexecutor.Config{
 		Cores: h.Cores, CollapseMultiple: h.CollapseMultiple, ServiceTime: 20 * time.Millisecond,
 		WarmUp: time.Duration(h.WarmUp) * time.Microsecond, ColdSpeed: h.ColdSpeed, MaxRuns: 10_000,
@@ -136,7 +137,7 @@
 		"seed":     fmt.Sprintf("%016x", n),
 		"stop_ms":  float64(h.ExitTimeout) / 1000,
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"settings": Settings(day),
+		"settings": Settings(scenario),
 	}, "", " ")
 	if err != nil {
 		return err
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// writeFleetFile writes the fleet's file: one host with all backends.
+// writeFleetFile writes the fleet file, which has all backends on one host.
 func (s *Site) writeFleetFile(program string) error {
 	if program != "" {
 		program = fmt.Sprintf("(program %q)", program)
@@ -165,14 +166,15 @@
 
 var loopbackCount atomic.Int32
 
-// Loopback returns another loopback address at each call, which no outgoing connection uses.
+// Loopback returns a loopback address that is no source of outgoing connections. Successive calls return different
+// addresses. They depend on the process id, so that processes that run at the same time rarely share one.
 func Loopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 2+loopbackCount.Add(1)%250)
 }
 
-// InjectFault causes a Slow fault at its time and ends it, or runs a release; other kinds are ignored. runFleetCommand
-// runs a sub-command of fleet for all instances.
+// InjectFault waits for the time of a fault and injects it: a Slow fault for its duration, or a Release as a rolling
+// update. It ignores other kinds. runFleetCommand runs a subcommand of fleet for all instances.
 func (s *Site) InjectFault(
 	ctx context.Context,
 	fault simulation.Fault,
@@ -191,7 +193,7 @@
 		return nil
 	}
 	if fault.Kind == simulation.Release {
-		logf("      a release begins: each backend leaves and comes up again, a few at a time")
+		logf("      starting a rolling update: backends restart, a few at a time")
 		return runFleetCommand(
 			ctx,
 			"rolling-update",
@@ -202,7 +204,7 @@
 		)
 	}
 	affected := s.Executors[:int(math.Ceil(fault.Share*float64(len(s.Executors))))]
-	logf("      %d backends' cores are %g times slower", len(affected), fault.Factor)
+	logf("      slowing the cores of %d backends by a factor of %g", len(affected), fault.Factor)
 	for _, executor := range affected {
 		executor.Slow(fault.Factor)
 	}
@@ -213,7 +215,7 @@
 	return nil
 }
 
-// handleReport takes load reports as the endpoint registry does.
+// handleReport accepts load reports as the endpoint registry does. Duty off removes the backend.
 func (s *Site) handleReport(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(io.LimitReader(r.Body, 1<<10))
 	s.mu.Lock()
@@ -239,7 +241,7 @@
 	return n
 }
 
-// Close ends the fakes and removes the directory.
+// Close stops the fakes and removes the directory.
 func (s *Site) Close() error {
 	for _, executor := range s.Executors {
 		executor.Close()
--- a/internal/demo/site_test.go
+++ b/internal/demo/site_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestFreeAddressIsNeverRepeated draws so many addresses that drawing without a memory repeats some: over 100 of 2,000
-// out of the 28,232 ports that Linux draws from by default. Backends' addresses count as given out.
+// TestFreeAddressIsNeverRepeated allocates 2,000 addresses. Without a record of allocated ones, more than 100 of them
+// would be repeated, as Linux has 28,232 ephemeral ports by default. The addresses of backends count as allocated.
 func TestFreeAddressIsNeverRepeated(t *testing.T) {
 	scenario := Scenario(20, time.Second)
 	site, err := NewSite(&scenario, "")
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if seen[address] {
-			t.Fatalf("%s was given out before", address)
+			t.Fatalf("%s was returned before", address)
 		}
 		seen[address] = true
 	}
