--- a/internal/compattest/compattest.go
+++ b/internal/compattest/compattest.go
@@ -1,6 +1,6 @@
-// Package compattest helps tests to show that data written by an earlier release is still read, and that what is
-// written now has the same keys, types and values. The data stands in testdata/68176ef of the package that reads it;
-// the directory is named after the commit whose program wrote it. Such files are never written anew.
+// Package compattest checks compatibility with data that an earlier release wrote: the data must still decode, and must
+// encode with the same keys, types and values. The data is in testdata/68176ef of the package that reads it; the
+// directory is named after the commit whose program wrote the files. These files are never regenerated.
 package compattest
 
 import (
@@ -29,8 +29,8 @@
 	return content
 }
 
-// RoundTrip decodes the JSON of the earlier release into a T, encodes that again, and fails where the two differ in a
-// key, a type or a value. A field whose tag was changed, or whose name was changed without a tag, is lost on the way.
+// RoundTrip decodes the JSON of the earlier release into a T, encodes it again, and fails the test if the two differ in
+// a key, a type or a value. A field whose tag changed, or whose name changed without a tag, is lost in the round trip.
 func RoundTrip[T any](tb testing.TB, name string) T {
 	tb.Helper()
 	content := Read(tb, name)
@@ -42,7 +42,7 @@
 	return value
 }
 
-// SameJSON fails unless value, once encoded, has the keys, types and values of the JSON in want.
+// SameJSON fails the test unless the encoded value has the keys, types and values of the JSON in want.
 func SameJSON(tb testing.TB, name string, want []byte, value any) {
 	tb.Helper()
 	got, err := json.Marshal(value)
@@ -50,11 +50,11 @@
 		tb.Fatalf("%s: %v", name, err)
 	}
 	if diff := cmp.Diff(decode(tb, want), decode(tb, got)); diff != "" {
-		tb.Errorf("%s: the earlier release wrote (-), this one writes (+):\n%s", name, diff)
+		tb.Errorf("%s: JSON differs from the earlier release (-earlier +current):\n%s", name, diff)
 	}
 }
 
-// decode keeps numbers as they are written, so that large ones compare exactly.
+// decode decodes JSON and keeps numbers as text, so that large ones compare exactly.
 func decode(tb testing.TB, text []byte) (value any) {
 	tb.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
--- a/internal/fakes/auto_executor.go
+++ b/internal/fakes/auto_executor.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// AutoExecutor is an executor that finishes runs by itself: each run takes ServiceTime on one of Cores cores. It
-// remembers which runs were started and when, and outlives its backend: the next backend begins with a new numbering
-// of notices.
+// AutoExecutor is a fake executor that finishes runs by itself: each run takes ServiceTime on one of Cores cores. It
+// records which runs were started and when. It keeps running when its backend restarts; notices are then numbered from
+// 1 again.
 type AutoExecutor struct {
 	Address     string
 	ServiceTime time.Duration
@@ -22,11 +22,11 @@
 
 	mu            sync.Mutex
 	started       map[string]time.Time
-	launchedTwice int // launches of an id that an earlier incarnation of the backend had launched: the effect would happen twice
+	launchedTwice int // launches of an id that an earlier backend incarnation launched, which repeat the effect
 	conn          net.Conn
 	notices       []string
-	queueGauge    float64         // the reported queue length, whatever is true; 0: the true one
-	slow          float64         // the factor by which runs take longer; 0: they do not
+	reportedQueue float64         // reported queue length; 0: the actual one
+	slowdown      float64         // multiplies the duration of runs; 0: no slowdown
 	launched      map[string]bool // run ids launched since the last "subscribe 0"
 	busy          int
 	waiting       []string
@@ -34,13 +34,13 @@
 }
 
 // NewAutoExecutor starts an executor on a loopback address and closes it at the end of the test.
-func NewAutoExecutor(t testing.TB, takes time.Duration, cores int) *AutoExecutor {
+func NewAutoExecutor(t testing.TB, serviceTime time.Duration, cores int) *AutoExecutor {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := &AutoExecutor{
-		Address: listener.Addr().String(), ServiceTime: takes, Cores: cores, started: map[string]time.Time{},
+		Address: listener.Addr().String(), ServiceTime: serviceTime, Cores: cores, started: map[string]time.Time{},
 		launched: map[string]bool{}, listener: listener,
 	}
 	t.Cleanup(func() { _ = listener.Close() })
@@ -56,22 +56,23 @@
 	return e
 }
 
-// Slow makes runs that begin from now on take factor times as long.
+// Slow multiplies the duration of runs that begin from now on by factor.
 func (e *AutoExecutor) Slow(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = factor
+	e.slowdown = factor
 }
 
-// OverrideQueueGauge makes the executor report that queue length, in runs, whatever is true.
+// OverrideQueueGauge makes the executor report the given queue length, in runs, instead of the actual one.
 func (e *AutoExecutor) OverrideQueueGauge(queue float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.queueGauge = max(0.001, queue)
+	e.reportedQueue = max(0.001, queue)
 }
 
-// Started returns when each run was started, by id, and how many ids two incarnations of the backend launched.
-func (e *AutoExecutor) Started() (at map[string]time.Time, twice int) {
+// Started returns the start time of each run by id, and the number of launches of an id that an earlier incarnation of
+// the backend had launched.
+func (e *AutoExecutor) Started() (at map[string]time.Time, launchedTwice int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	at = make(map[string]time.Time, len(e.started))
@@ -95,7 +96,7 @@
 		switch words[0] {
 		case "subscribe":
 			after, _ := strconv.Atoi(words[1])
-			if after == 0 { // a backend that has just started
+			if after == 0 { // a new backend
 				e.notices, e.launched, e.waiting = nil, map[string]bool{}, nil
 			}
 			e.conn = conn
@@ -105,8 +106,8 @@
 			}
 		case "sample":
 			queue := float64(e.busy + len(e.waiting))
-			if e.queueGauge > 0 {
-				queue = e.queueGauge
+			if e.reportedQueue > 0 {
+				queue = e.reportedQueue
 			}
 			fmt.Fprintf(
 				conn,
@@ -138,27 +139,27 @@
 		e.waiting = append(e.waiting, id)
 		return
 	}
-	e.run(id)
+	e.startOnCore(id)
 }
 
-// run puts a run on a core and sends its notice at the end. The caller holds e.mu.
-func (e *AutoExecutor) run(id string) {
+// startOnCore starts a run on a core and sends its notice at the end. The caller holds e.mu.
+func (e *AutoExecutor) startOnCore(id string) {
 	e.busy++
-	takes := e.ServiceTime
-	if e.slow > 0 {
-		takes = time.Duration(float64(takes) * e.slow)
+	duration := e.ServiceTime
+	if e.slowdown > 0 {
+		duration = time.Duration(float64(duration) * e.slowdown)
 	}
-	time.AfterFunc(takes, func() {
+	time.AfterFunc(duration, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.busy--
-		if e.launched[id] { // else a later incarnation of the backend has taken over
+		if e.launched[id] { // otherwise a later incarnation of the backend has subscribed
 			result := "result of " + id
 			notice := fmt.Sprintf(
 				"outcome %d %s complete %d %d\r\n%s\r\n",
 				len(e.notices)+1,
 				id,
-				takes.Milliseconds(),
+				duration.Milliseconds(),
 				len(result),
 				result,
 			)
@@ -170,7 +171,7 @@
 		if len(e.waiting) > 0 && e.busy < e.Cores {
 			next := e.waiting[0]
 			e.waiting = e.waiting[1:]
-			e.run(next)
+			e.startOnCore(next)
 		}
 	})
 }
--- a/internal/fakes/caller.go
+++ b/internal/fakes/caller.go
@@ -8,63 +8,65 @@
 	"time"
 )
 
-// SentRequest is the course of one request as its caller saw it.
+// SentRequest is the record of one request as its caller saw it.
 type SentRequest struct {
 	ID          string
 	Operation   string
-	At, Due     time.Time // when it was written, and by when it has to be answered
+	At, Due     time.Time // when it was written, and the end of the client timeout
 	Answers     int
 	Code        byte
 	Answered    time.Time
-	WrongResult bool // it succeeded with a result that no run of it produced
+	WrongResult bool // it succeeded with a result other than that of its own run
 	Broken      bool // the connection ended before the answer
-	NeverSent   bool // it crossed the backend's own close of the connection, or was not written completely
+	NeverSent   bool // the request was not written completely, as the backend had closed the connection
 }
 
 // Caller is an edge node that sends requests to one backend at a fixed rate, reconnects whenever it has to, and
-// records the course of each request.
+// records each request.
 type Caller struct {
 	address       string
-	from          int
-	every         time.Duration
-	wait          time.Duration
-	mix           []OperationShare
-	ignoresGoAway time.Duration // how long it goes on sending after a go-away frame
-	stop          chan struct{}
-	done          chan struct{}
+	callerNumber  int // part of its requests' ids
+	interval      time.Duration
+	timeout       time.Duration
+	operationMix  []OperationShare
+	ignoresGoAway time.Duration // how long it keeps sending after a go-away frame
+	stop          chan struct{} // closed to end the load
+	done          chan struct{} // closed once run has returned
 
-	mu   sync.Mutex
-	all  []*SentRequest
-	next int
+	mu       sync.Mutex
+	requests []*SentRequest
+	sent     int // requests so far, part of their ids
 }
 
-// OperationShare is an operation's share of a load, 0 to 1, and the priority of its requests, 0 to 1.
+// OperationShare is an operation's share of a load and the priority of its requests, both 0 to 1.
 type OperationShare struct {
 	Operation string
 	Share     float64
 	Priority  float64
 }
 
-// NewMixedCaller starts a caller that draws the operation of each request by its share. The order of draws depends on
-// from alone.
-func NewMixedCaller(address string, from int, every, wait time.Duration, mix []OperationShare) *Caller {
+// NewMixedCaller starts a caller that draws the operation of each request at random by its share. callerNumber seeds
+// the random generator.
+func NewMixedCaller(
+	address string, callerNumber int, interval, timeout time.Duration, operationMix []OperationShare,
+) *Caller {
 	c := &Caller{
-		address: address,
-		from:    from,
-		every:   every,
-		wait:    wait,
-		mix:     mix,
-		stop:    make(chan struct{}),
-		done:    make(chan struct{}),
+		address:      address,
+		callerNumber: callerNumber,
+		interval:     interval,
+		timeout:      timeout,
+		operationMix: operationMix,
+		stop:         make(chan struct{}),
+		done:         make(chan struct{}),
 	}
 	go c.run()
 	return c
 }
 
-// draw draws the operation of a request. Without a mix there is one operation, of medium priority.
-func (c *Caller) draw(r *rand.Rand) OperationShare {
+// drawOperation draws the operation of a request. Without a mix, all requests have one operation of medium priority.
+func (c *Caller) drawOperation(r *rand.Rand) OperationShare {
 	x := r.Float64()
-	for _, p := range c.mix {
+	for _, p := range c.operationMix {
 		if x -= p.Share; x < 0 {
 			return p
 		}
@@ -72,15 +74,15 @@
 	return OperationShare{Operation: "look", Priority: 0.5}
 }
 
-// NewCaller starts a caller that sends a request every interval and waits for each answer up to wait. from is the
-// caller's number, which keeps its request ids apart from those of others. It goes on sending for ignoresGoAway after
-// the backend asked for no more.
-func NewCaller(address string, from int, every, wait, ignoresGoAway time.Duration) *Caller {
+// NewCaller starts a caller that sends a request every interval and waits up to timeout for each answer. callerNumber
+// distinguishes its request ids from those of other callers. The caller keeps sending for ignoresGoAway after the
+// backend's go-away frame.
+func NewCaller(address string, callerNumber int, interval, timeout, ignoresGoAway time.Duration) *Caller {
 	c := &Caller{
 		address:       address,
-		from:          from,
-		every:         every,
-		wait:          wait,
+		callerNumber:  callerNumber,
+		interval:      interval,
+		timeout:       timeout,
 		ignoresGoAway: ignoresGoAway,
 		stop:          make(chan struct{}),
 		done:          make(chan struct{}),
@@ -89,19 +91,19 @@
 	return c
 }
 
-// Stop ends the load, waits for outstanding answers, and returns the course of all requests.
+// Stop ends the load, waits for outstanding answers, and returns all requests.
 func (c *Caller) Stop() []*SentRequest {
 	close(c.stop)
 	<-c.done
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.all
+	return c.requests
 }
 
-// run sends on one connection after the other until the load is stopped.
+// run opens connections one after the other and sends on them until the load is stopped.
 func (c *Caller) run() {
 	defer close(c.done)
-	tick := time.NewTicker(c.every)
+	tick := time.NewTicker(c.interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -113,49 +115,49 @@
 			if c.serveConnection(conn, tick.C) {
 				return
 			}
-		} // a refused connection proves that nothing ran
+		} // no request was sent on a refused connection
 	}
 }
 
-// serveConnection uses one connection for as long as the backend allows. It reports whether the load has been stopped.
-func (c *Caller) serveConnection(conn net.Conn, tick <-chan time.Time) (over bool) {
-	t := &callerConn{
-		caller: c,
-		conn:   conn,
-		open:   map[uint32]*SentRequest{},
-		goAway: make(chan struct{}),
-		ended:  make(chan struct{}),
+// serveConnection sends on one connection until the backend ends it, and reports whether the load has been stopped.
+func (c *Caller) serveConnection(conn net.Conn, tick <-chan time.Time) (stopped bool) {
+	cc := &callerConn{
+		caller:   c,
+		conn:     conn,
+		byStream: map[uint32]*SentRequest{},
+		goAway:   make(chan struct{}),
+		ended:    make(chan struct{}),
 	}
-	go t.read()
+	go cc.read()
 	defer func() { _ = conn.Close() }()
-	over = t.send(tick)
-	t.awaitAnswers()
+	stopped = cc.send(tick)
+	cc.awaitAnswers()
 	_ = conn.Close()
-	<-t.ended
+	<-cc.ended
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range t.open {
-		s.Broken = s.Answers == 0 && !s.NeverSent && t.endedAt.Before(s.Due)
+	for _, s := range cc.byStream {
+		s.Broken = s.Answers == 0 && !s.NeverSent && cc.endedAt.Before(s.Due)
 	}
-	return over
+	return stopped
 }
 
 // callerConn is one connection of a Caller: a reader, and a writer that follows the ticks.
 type callerConn struct {
-	caller  *Caller
-	conn    net.Conn
-	open    map[uint32]*SentRequest // by stream, guarded by the caller's mutex
-	goAway  chan struct{}           // closed at the backend's go-away frame
-	ended   chan struct{}           // closed when nothing more can be read
-	endedAt time.Time               // set before ended is closed
+	caller   *Caller
+	conn     net.Conn
+	byStream map[uint32]*SentRequest // by stream, guarded by the caller's mutex
+	goAway   chan struct{}           // closed at the backend's go-away frame
+	ended    chan struct{}           // closed when nothing more can be read
+	endedAt  time.Time               // set before ended is closed
 }
 
-// read notes answers until the connection ends.
-func (t *callerConn) read() {
-	defer close(t.ended)
-	defer func() { t.endedAt = time.Now() }()
-	n := NewEdgeNode(nil, t.conn)
-	asked := false
+// read records answers until the connection ends.
+func (cc *callerConn) read() {
+	defer close(cc.ended)
+	defer func() { cc.endedAt = time.Now() }()
+	n := NewEdgeNode(nil, cc.conn)
+	goingAway := false
 	for {
 		f, err := n.Next()
 		if err != nil {
@@ -163,45 +165,45 @@
 		}
 		switch f.Type {
 		case frameGoAway:
-			if !asked {
-				asked = true
-				close(t.goAway)
+			if !goingAway {
+				goingAway = true
+				close(cc.goAway)
 			}
 		case frameAnswer:
-			t.caller.mu.Lock()
-			if s := t.open[f.Stream]; s != nil {
+			cc.caller.mu.Lock()
+			if s := cc.byStream[f.Stream]; s != nil {
 				s.Answers++
 				s.Code, s.Answered = f.Code, time.Now()
 				s.WrongResult = f.Code == succeeded && f.Body != "result of "+s.ID
 			}
-			t.caller.mu.Unlock()
+			cc.caller.mu.Unlock()
 		}
 	}
 }
 
-// send sends one request a tick until the load is stopped (then over is true), the connection ends, or the backend
-// asked for no more and the time for which the caller ignores that has passed.
-func (t *callerConn) send(tick <-chan time.Time) (over bool) {
-	c := t.caller
-	random := rand.New(rand.NewPCG(uint64(c.from), uint64(c.next)))
-	noMore := t.goAway
-	var enough <-chan time.Time
+// send sends one request per tick until the load is stopped (stopped is then true), the connection ends, or
+// ignoresGoAway has passed since the backend's go-away frame.
+func (cc *callerConn) send(tick <-chan time.Time) (stopped bool) {
+	c := cc.caller
+	random := rand.New(rand.NewPCG(uint64(c.callerNumber), uint64(c.sent)))
+	goAway := cc.goAway
+	var deadline <-chan time.Time
 	for stream := uint32(1); ; {
 		select {
 		case <-c.stop:
 			return true
-		case <-noMore:
-			noMore = nil
+		case <-goAway:
+			goAway = nil
 			if c.ignoresGoAway == 0 {
 				return false
 			}
-			enough = time.After(c.ignoresGoAway)
-		case <-enough:
+			deadline = time.After(c.ignoresGoAway)
+		case <-deadline:
 			return false
-		case <-t.ended:
+		case <-cc.ended:
 			return false
 		case <-tick:
-			if !t.sendOne(stream, random) {
+			if !cc.sendOne(stream, random) {
 				return false
 			}
 			stream++
@@ -210,20 +212,20 @@
 }
 
 // sendOne writes one request. It reports whether the connection took all of it.
-func (t *callerConn) sendOne(stream uint32, random *rand.Rand) bool {
-	c := t.caller
+func (cc *callerConn) sendOne(stream uint32, random *rand.Rand) bool {
+	c := cc.caller
 	c.mu.Lock()
-	c.next++
-	number := c.from<<24 + c.next
-	operation := c.draw(random)
+	c.sent++
+	number := c.callerNumber<<24 + c.sent
+	operation := c.drawOperation(random)
 	s := &SentRequest{ID: fmt.Sprintf("%016x", number), Operation: operation.Operation, At: time.Now()}
-	s.Due = s.At.Add(c.wait)
-	t.open[stream] = s
-	c.all = append(c.all, s)
+	s.Due = s.At.Add(c.timeout)
+	cc.byStream[stream] = s
+	c.requests = append(c.requests, s)
 	c.mu.Unlock()
-	text := Invocation(stream, number, fmt.Sprint("wait=", c.wait.Milliseconds()), fmt.Sprint("from=", c.from),
+	text := Invocation(stream, number, fmt.Sprint("wait=", c.timeout.Milliseconds()), fmt.Sprint("from=", c.callerNumber),
 		"class="+operation.Operation, fmt.Sprintf("rank=%.4f", operation.Priority))
-	if _, err := t.conn.Write([]byte(text)); err != nil {
+	if _, err := cc.conn.Write([]byte(text)); err != nil {
 		c.mu.Lock()
 		s.NeverSent = true
 		c.mu.Unlock()
@@ -232,16 +234,16 @@
 	return true
 }
 
-// awaitAnswers waits until no answer is outstanding or all are overdue, and a little longer, as an answer may come
-// twice.
-func (t *callerConn) awaitAnswers() {
-	until := time.Now().Add(t.caller.wait + 200*time.Millisecond)
+// awaitAnswers waits until no answer is outstanding or all are overdue. It waits at least one poll interval, and 200 ms
+// beyond the timeout, so that duplicate answers are received as well.
+func (cc *callerConn) awaitAnswers() {
+	until := time.Now().Add(cc.caller.timeout + 200*time.Millisecond)
 	for time.Now().Before(until) {
 		select {
-		case <-t.ended:
+		case <-cc.ended:
 			return
 		case <-time.After(5 * time.Millisecond):
-			if !t.caller.awaitsAnswers(t.open) {
+			if !cc.caller.awaitsAnswers(cc.byStream) {
 				return
 			}
 		}
--- a/internal/fakes/edge_node.go
+++ b/internal/fakes/edge_node.go
@@ -1,5 +1,6 @@
-// Package fakes holds what tests share: golden traces in testdata, and fakes of the systems around a backend, written
-// from their protocols alone: an edge node, the executor, the endpoint registry.
+// Package fakes holds test helpers of several packages: golden traces in testdata, and fakes of the systems around a
+// backend, namely edge nodes, the executor and the endpoint registry. The fakes implement the protocols independently
+// of the backend's code.
 package fakes
 
 import (
@@ -13,7 +14,7 @@
 	"time"
 )
 
-// Types of frames, and the code of a successful answer, by the protocol page.
+// Types of frames, and the code of a successful answer, as the protocol defines them.
 const (
 	frameInvocation   = 10
 	frameAnswer       = 11
@@ -27,11 +28,11 @@
 	Type   byte
 	Stream uint32
 	Code   byte
-	Fields string // name=value, in the order received
+	Fields string // name=value, separated by spaces, in the order received
 	Body   string
 }
 
-// String prints a frame as golden traces have it.
+// String formats a frame for golden traces.
 func (f Frame) String() string {
 	switch f.Type {
 	case frameAnswer, frameHealthAnswer:
@@ -59,8 +60,8 @@
 	return string(b)
 }
 
-// DefaultFields returns the fields of a request that is sent now and may wait four seconds. Edits (name=value) replace
-// fields or, with an empty value, drop them.
+// DefaultFields returns the fields of a request that is sent now with a client timeout of four seconds. Edits
+// (name=value) replace fields or, with an empty value, remove them.
 func DefaultFields(number int, edits ...string) []string {
 	pairs := []string{
 		"class=look", fmt.Sprintf("id=%016x", number), fmt.Sprint("at=", time.Now().UnixMilli()), "from=1",
@@ -81,7 +82,7 @@
 	return pairs
 }
 
-// Invocation encodes the frame of a request whose id is that number.
+// Invocation encodes the invocation frame of a request whose id is the number.
 func Invocation(stream uint32, number int, edits ...string) string {
 	return EncodeFrame(
 		frameInvocation,
@@ -90,11 +91,11 @@
 	)
 }
 
-// Attempt encodes the frame of one attempt at the operation post under an idempotency key; its body depends on the key
-// alone.
-func Attempt(stream uint32, number int, token string, edits ...string) string {
-	fields := DefaultFields(number, append(edits, "class=post", "once="+token)...)
-	return EncodeFrame(frameInvocation, stream, EncodeFields(fields...)+"work "+token)
+// Attempt encodes the invocation frame of one attempt at the operation post with an idempotency key. The body depends
+// only on the key.
+func Attempt(stream uint32, number int, idempotencyKey string, edits ...string) string {
+	fields := DefaultFields(number, append(edits, "class=post", "once="+idempotencyKey)...)
+	return EncodeFrame(frameInvocation, stream, EncodeFields(fields...)+"work "+idempotencyKey)
 }
 
 // EdgeNode is an edge node with one connection.
@@ -128,7 +129,7 @@
 	return n.Next()
 }
 
-// Send writes bytes unchanged and fails the test where it can't.
+// Send writes bytes unchanged and fails the test if the write fails.
 func (n *EdgeNode) Send(parts ...string) {
 	n.tb.Helper()
 	if _, err := io.WriteString(n.Conn, strings.Join(parts, "")); err != nil {
@@ -139,37 +140,37 @@
 // Next reads a frame. An error means that the connection has ended.
 func (n *EdgeNode) Next() (f Frame, err error) {
 	_ = n.SetReadDeadline(time.Now().Add(waitLimit))
-	var head [9]byte
-	if _, err := io.ReadFull(n.in, head[:]); err != nil {
+	var header [9]byte
+	if _, err := io.ReadFull(n.in, header[:]); err != nil {
 		return f, err
 	}
-	f.Type, f.Stream = head[4], binary.BigEndian.Uint32(head[5:])
-	p := make([]byte, binary.BigEndian.Uint32(head[:])-5)
-	if _, err := io.ReadFull(n.in, p); err != nil {
+	f.Type, f.Stream = header[4], binary.BigEndian.Uint32(header[5:])
+	payload := make([]byte, binary.BigEndian.Uint32(header[:])-5)
+	if _, err := io.ReadFull(n.in, payload); err != nil {
 		return f, err
 	}
 	if f.Type == frameAnswer || f.Type == frameHealthAnswer {
 		var fields []string
-		f.Code = p[0]
-		count := int(p[1])
-		for p = p[2:]; count > 0; count-- {
-			name := string(p[1 : 1+p[0]])
-			p = p[1+len(name):]
-			size := binary.BigEndian.Uint16(p)
-			fields = append(fields, name+"="+string(p[2:2+size]))
-			p = p[2+size:]
+		f.Code = payload[0]
+		count := int(payload[1])
+		for payload = payload[2:]; count > 0; count-- {
+			name := string(payload[1 : 1+payload[0]])
+			payload = payload[1+len(name):]
+			size := binary.BigEndian.Uint16(payload)
+			fields = append(fields, name+"="+string(payload[2:2+size]))
+			payload = payload[2+size:]
 		}
-		f.Fields, f.Body = strings.Join(fields, " "), string(p)
+		f.Fields, f.Body = strings.Join(fields, " "), string(payload)
 	}
 	return f, nil
 }
 
-// Expect reads a frame and fails the test where none comes.
+// Expect reads a frame and fails the test if the connection ends or the read times out.
 func (n *EdgeNode) Expect() Frame {
 	n.tb.Helper()
 	f, err := n.Next()
 	if err != nil {
-		n.tb.Fatalf("no further frame: %v", err)
+		n.tb.Fatalf("reading a frame: %v", err)
 	}
 	return f
 }
--- a/internal/fakes/scripted_executor.go
+++ b/internal/fakes/scripted_executor.go
@@ -14,7 +14,7 @@
 // Launch is a run that the executor was asked to start.
 type Launch struct{ ID, Operation, Body string }
 
-// ScriptedExecutor is a fake of the executor, which owns the cores. It finishes nothing by itself: the test ends runs.
+// ScriptedExecutor is a fake executor that the test controls: runs end only when the test calls End.
 type ScriptedExecutor struct {
 	Address    string
 	Launches   chan Launch
@@ -23,14 +23,14 @@
 	listener   net.Listener
 	mu         sync.Mutex
 	conn       net.Conn
-	state      string // as in the greeting; empty while the executor is not up
-	gauges     string // as in the answer to a sample; empty: samples are left unanswered
+	state      string // as in the greeting; empty while the executor is down
+	gauges     string // as in the answer to a sample; empty: samples are not answered
 	notices    []string
-	known      map[string]bool
+	launched   map[string]bool
 	samples    int
 }
 
-// NewScriptedExecutor starts an executor on loopback that is up and answers samples, until the end of the test.
+// NewScriptedExecutor starts an executor on a loopback address that answers samples, until the end of the test.
 func NewScriptedExecutor(t testing.TB) *ScriptedExecutor {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,14 +38,14 @@
 	}
 	e := &ScriptedExecutor{
 		Address: listener.Addr().String(), Launches: make(chan Launch, 10_000), Subscribes: make(chan int, 1000), tb: t,
-		listener: listener, state: "hot 3600000", gauges: "0.10 0 0.05 3", known: map[string]bool{},
+		listener: listener, state: "hot 3600000", gauges: "0.10 0 0.05 3", launched: map[string]bool{},
 	}
 	t.Cleanup(func() { _ = listener.Close(); e.Cut() })
 	go e.accept(listener)
 	return e
 }
 
-// accept serves each connection; the latest one is that to which notices are sent.
+// accept serves all connections of a listener. Notices are sent on the latest connection only.
 func (e *ScriptedExecutor) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -59,8 +59,8 @@
 	}
 }
 
-// Move gives the executor another address. The former one accepts nothing more; a connection to it goes on until the
-// test calls cut.
+// Move gives the executor another address and closes the listener of the former one. The present connection stays open
+// until the test calls cut.
 func (e *ScriptedExecutor) Move() (cut func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,8 +107,8 @@
 			size, _ := strconv.Atoi(words[3])
 			body := make([]byte, size+2)
 			_, _ = io.ReadFull(in, body)
-			if !e.known[words[1]] { // a repeated launch is ignored
-				e.known[words[1]] = true
+			if !e.launched[words[1]] { // a repeated launch is ignored
+				e.launched[words[1]] = true
 				e.Launches <- Launch{words[1], words[2], string(body[:size])}
 			}
 		}
@@ -124,7 +124,7 @@
 	}
 }
 
-// With changes the executor's state and gauges under its lock.
+// With changes the executor's state and gauges under its lock. A change from down to up sends the greeting.
 func (e *ScriptedExecutor) With(change func(state, gauges *string)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// Samples counts the samples requested so far.
+// Samples returns the number of samples requested so far.
 func (e *ScriptedExecutor) Samples() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,7 +147,7 @@
 	e.Notice(fmt.Sprintf("outcome %%d %s %s 12.5 %d\r\n%s\r\n", id, outcome, len(result), result))
 }
 
-// Notice sends a numbered notice, and stores it for later subscribers; %d stands for the number.
+// Notice sends a numbered notice and stores it for later subscribers; the first %d of format is the number.
 func (e *ScriptedExecutor) Notice(format string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,7 +155,7 @@
 	e.send(e.notices[len(e.notices)-1])
 }
 
-// Send writes text to the connection unchanged, if there is one.
+// Send writes text unchanged to the connection, if there is one.
 func (e *ScriptedExecutor) Send(text string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,18 +169,18 @@
 	}
 }
 
-// Forget removes a launch, as if the executor had never received it.
+// Forget removes a launch from the known ones, so that a repeated launch starts a run again.
 func (e *ScriptedExecutor) Forget(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.known, id)
+	delete(e.launched, id)
 }
 
-// Refuse rejects a launch. A later one of the same id is rejected or accepted anew.
+// Refuse rejects a launch and forgets it: the executor decides again on a later launch of the same id.
 func (e *ScriptedExecutor) Refuse(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.known, id)
+	delete(e.launched, id)
 	e.send("refusal launch " + id + "\r\n")
 }
 
--- a/internal/fakes/settings.go
+++ b/internal/fakes/settings.go
@@ -1,6 +1,6 @@
 package fakes
 
-// Settings is the platform's JSON for a small deployment: two operations, two tenants, two cores.
+// Settings is the platform's JSON settings of a small deployment: two operations, two tenants, two cores.
 const Settings = `{"classes":[
  {"name":"look","aim_ms":2000,"deadline_ms":5000,"repeat":"idempotent","late_value":0.1},
  {"name":"post","aim_ms":2000,"deadline_ms":5000,"repeat":"at_most_once"}],
--- a/internal/fakes/timedexecutor/executor.go
+++ b/internal/fakes/timedexecutor/executor.go
@@ -1,6 +1,6 @@
-// Package timedexecutor is a fake of the executor whose runs take time: they share its cores evenly, and with more
-// runs than the cores bear all slow down, as in the simulation. It serves load tests and demos on one machine. It
-// owns the runs and the connections that backends open to it; which run begins is the backend's decision.
+// Package timedexecutor is a fake executor whose runs take time. Runs share the cores evenly, and all slow down further
+// beyond a multiple of the cores, as in the simulation. Load tests and demos on one machine use it. It owns the runs
+// and the connections of backends; the backend decides which runs begin.
 package timedexecutor
 
 import (
@@ -19,11 +19,11 @@
 // Config describes one executor.
 type Config struct {
 	Cores            int
-	CollapseMultiple float64       // runs a core beyond which all slow down by the square of the excess; 0: no bound
-	ServiceTime      time.Duration // core time of a run whose body does not say "work=MICROSECONDS"
-	WarmUp           time.Duration // how long a new backend finds the cores slower, with linear recovery; 0: it does not
-	ColdSpeed        float64       // speed at the start of WarmUp, of 1
-	MaxRuns          int           // runs at once; a launch beyond them ends with an error
+	CollapseMultiple float64       // runs per core beyond which all slow down by the square of the excess; 0: no collapse
+	ServiceTime      time.Duration // core time of a run without "work=MICROSECONDS" in its body
+	WarmUp           time.Duration // how long the cores are slower for a new backend, with linear recovery; 0: never slower
+	ColdSpeed        float64       // share of full speed at the start of WarmUp
+	MaxRuns          int           // concurrent runs; a launch beyond them ends with an error
 }
 
 // Executor is one executor, on one address. Its methods may be called by several goroutines.
@@ -36,8 +36,8 @@
 	conns         map[net.Conn]bool
 	subscriber    net.Conn
 	launched      map[string]bool // run ids launched since the last "subscribe 0"
-	notices       [][]byte        // by number, from 1
-	progress      float64         // microseconds of full speed that a run present since the start has had
+	notices       [][]byte        // number n is at index n-1
+	progress      float64         // microseconds at full speed of a core that a run present since the start would have had
 	advancedAt    time.Time
 	slowdown      float64
 	runs          runHeap
@@ -47,19 +47,19 @@
 	sampledAt     time.Time
 	startedAt     time.Time
 	closed        bool
-	finished      int // runs that have ended
-	launchedTwice int // launches of an id that an earlier incarnation of the backend had launched
-	launchedEver  map[string]bool
+	finished      int // runs that ended
+	launchedTwice int // launches of an id that an earlier incarnation of the backend launched
+	everLaunched  map[string]bool
 }
 
-// run is one run on the cores.
+// run is one run in progress.
 type run struct {
-	endsAt    float64
+	endsAt    float64 // value of Executor.progress at which it ends
 	id        string
 	startedAt time.Time
 }
 
-// runHeap is a heap of runs, the next to finish first.
+// runHeap is a heap of runs by endsAt.
 type runHeap []*run
 
 func (h runHeap) Len() int           { return len(h) }
@@ -79,12 +79,12 @@
 
 // Bounds of one executor.
 const (
-	maxNotices    = 100_000    // stored for a backend that reconnects
+	maxNotices    = 100_000    // kept for a backend that reconnects
 	maxBody       = 1 << 20    // bytes of the body of a launch
-	maxLaunchedID = 10_000_000 // remembered to count launchedTwice
+	maxLaunchedID = 10_000_000 // ids kept to count launchedTwice
 )
 
-// Start opens an executor on an address; port 0 takes any free port.
+// Start starts an executor on an address; port 0 selects a free port.
 func Start(address string, config Config) (*Executor, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -96,7 +96,7 @@
 		listener:     listener,
 		conns:        map[net.Conn]bool{},
 		launched:     map[string]bool{},
-		launchedEver: map[string]bool{},
+		everLaunched: map[string]bool{},
 		advancedAt:   time.Now(),
 		sampledAt:    time.Now(),
 		slowdown:     1,
@@ -117,7 +117,7 @@
 	return e, nil
 }
 
-// Close ends the executor and all its connections.
+// Close stops the executor and closes all connections.
 func (e *Executor) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,15 +138,15 @@
 	e.setTimer()
 }
 
-// Counts returns how many runs have finished, how many are on the cores, and how many ids two incarnations of the
-// backend launched.
+// Counts returns the number of finished runs, of runs in progress, and of launches of an id that an earlier incarnation
+// of the backend had launched.
 func (e *Executor) Counts() (finished, running, launchedTwice int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.finished, len(e.runs), e.launchedTwice
 }
 
-// rate returns the progress of each run per microsecond.
+// rate returns the progress of each run per microsecond. The caller holds e.mu.
 func (e *Executor) rate() float64 {
 	n, cores := float64(len(e.runs)), float64(e.config.Cores)
 	r := 1 / e.slowdown
@@ -156,13 +156,13 @@
 	if n > cores {
 		r *= cores / n
 	}
-	if bears := e.config.CollapseMultiple * cores; bears > 0 && n > bears {
-		r *= bears / n * bears / n
+	if limit := e.config.CollapseMultiple * cores; limit > 0 && n > limit {
+		r *= limit / n * limit / n
 	}
 	return r
 }
 
-// advance brings the runs up to now. The caller holds e.mu.
+// advance updates the progress of the runs and the core time used to the present. The caller holds e.mu.
 func (e *Executor) advance() {
 	now := time.Now()
 	us := float64(now.Sub(e.advancedAt).Nanoseconds()) / 1000
@@ -171,8 +171,8 @@
 	e.advancedAt = now
 }
 
-// setTimer sets the timer for the next run to finish, and a short one while the executor warms up, as its speed
-// changes. The caller holds e.mu.
+// setTimer sets the timer for the next run to finish. While the executor warms up, the timer is short, as the speed
+// changes meanwhile. The caller holds e.mu.
 func (e *Executor) setTimer() {
 	if len(e.runs) == 0 || e.closed {
 		return
@@ -212,7 +212,7 @@
 // sendNotice numbers, stores and sends a notice. The caller holds e.mu.
 func (e *Executor) sendNotice(text []byte) {
 	if len(e.notices) >= maxNotices {
-		return // the backend never hears of this run; the load generator counts it as lost
+		return // the backend gets no outcome of this run, which the load generator counts as lost
 	}
 	e.notices = append(e.notices, append(fmt.Appendf(nil, "outcome %d", len(e.notices)+1), text...))
 	if e.subscriber != nil {
@@ -220,7 +220,7 @@
 	}
 }
 
-// serve reads the lines of one connection until it ends or a line can't be used.
+// serve handles the commands of one connection until it ends or a command is malformed.
 func (e *Executor) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
@@ -264,13 +264,14 @@
 	}
 }
 
-// subscribe makes a connection the subscriber, and sends the notices after a number. After 0 the backend is a new one.
+// subscribe makes a connection the subscriber and sends the notices after the given number. Number 0 means a new
+// backend.
 func (e *Executor) subscribe(conn net.Conn, after int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	state := "hot 3600000"
-	if after == 0 { // a backend that has just started: the cores are cold for it
-		if e.config.WarmUp > 0 && len(e.launchedEver) > 0 {
+	if after == 0 { // the cores are cold for a new backend
+		if e.config.WarmUp > 0 && len(e.everLaunched) > 0 {
 			e.startedAt = time.Now()
 			state = "chilly 0"
 		}
@@ -283,18 +284,18 @@
 	}
 }
 
-// sample sends the gauges: use of the cores since the last sample, and the number of runs.
+// sample sends the gauges: utilization of the cores since the last sample, and the number of runs.
 func (e *Executor) sample(conn net.Conn, token string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advance()
 	span := max(1, float64(time.Since(e.sampledAt).Microseconds()))
-	use := min(1, (e.busyMicros-e.sampledMicros)/span/float64(e.config.Cores))
+	utilization := min(1, (e.busyMicros-e.sampledMicros)/span/float64(e.config.Cores))
 	e.sampledMicros, e.sampledAt = e.busyMicros, time.Now()
-	fmt.Fprintf(conn, "sampled %s %.3f %d 0.05 3\r\n", token, use, len(e.runs))
+	fmt.Fprintf(conn, "sampled %s %.3f %d 0.05 3\r\n", token, utilization, len(e.runs))
 }
 
-// launch starts a run, unless this incarnation of the backend has launched the id before.
+// launch starts a run, unless this incarnation of the backend has launched the id already.
 func (e *Executor) launch(id string, body []byte) {
 	work := float64(e.config.ServiceTime.Microseconds())
 	if rest, ok := bytes.CutPrefix(body, []byte("work=")); ok {
@@ -307,11 +308,11 @@
 	if e.launched[id] {
 		return // a repeated launch is ignored
 	}
-	if e.launchedEver[id] {
+	if e.everLaunched[id] {
 		e.launchedTwice++
 	}
-	if len(e.launchedEver) < maxLaunchedID {
-		e.launchedEver[id] = true
+	if len(e.everLaunched) < maxLaunchedID {
+		e.everLaunched[id] = true
 	}
 	e.launched[id] = true
 	if len(e.runs) >= e.config.MaxRuns {
--- a/internal/fakes/timedexecutor/executor_test.go
+++ b/internal/fakes/timedexecutor/executor_test.go
@@ -19,7 +19,7 @@
 	in   *bufio.Reader
 }
 
-// dial connects a backend that has just started, and reads the greeting.
+// dial connects a new backend and checks the greeting.
 func dial(t *testing.T, e *Executor, greeting string) *backend {
 	t.Helper()
 	conn, err := net.Dial("tcp", e.Address)
@@ -31,7 +31,7 @@
 	b := &backend{t: t, conn: conn, in: bufio.NewReader(conn)}
 	b.send("subscribe 0\r\n")
 	if line := b.line(); line != greeting {
-		t.Fatalf("greeting %q, wanted %q", line, greeting)
+		t.Fatalf("greeting %q, want %q", line, greeting)
 	}
 	return b
 }
@@ -52,14 +52,14 @@
 	return strings.TrimSpace(line)
 }
 
-// launch asks for a run of so much work.
+// launch launches a run with the given core time.
 func (b *backend) launch(id string, work time.Duration) {
 	b.t.Helper()
 	body := fmt.Sprintf("work=%d", work.Microseconds())
 	b.send(fmt.Sprintf("launch %s look %d\r\n%s\r\n", id, len(body), body))
 }
 
-// outcome reads a notice and returns it, without the number and the duration, and the duration in milliseconds.
+// outcome reads a notice. It returns the notice without its number and duration, and the duration in milliseconds.
 func (b *backend) outcome() (text string, ms float64) {
 	b.t.Helper()
 	var number, size int
@@ -81,9 +81,9 @@
 	return e
 }
 
-// TestRunsShareTheCores: two runs on one core progress at half its speed each, and a slower core takes longer still. The
-// bounds hold on any machine, as a busy one only adds to the times.
-func TestRunsShareTheCores(t *testing.T) {
+// TestConcurrentRunsShareCoresEvenly checks that two runs on one core progress at half its speed each, and that Slow
+// reduces the speed. All bounds are lower bounds, which a busy machine does not break.
+func TestConcurrentRunsShareCoresEvenly(t *testing.T) {
 	e := start(t, Config{Cores: 1, CollapseMultiple: 8, ServiceTime: time.Second, MaxRuns: 10})
 	b := dial(t, e, "greeting hot 3600000")
 	const work = 50 * time.Millisecond
@@ -94,13 +94,13 @@
 		finished, running, _ := e.Counts()
 		return finished+running == 2
 	})
-	alone := time.Since(began) // a ran without b for this long at the most
+	alone := time.Since(began) // upper bound of the time that a ran without b
 	text, ms := b.outcome()
 	if least := float64((2*work - alone).Milliseconds()) - 1; text != "a complete: result of a" || ms < least {
-		t.Errorf("%s after %.1f ms, wanted at least %.1f", text, ms, least)
+		t.Errorf("%s after %.1f ms, want at least %.1f", text, ms, least)
 	}
 	if text, _ := b.outcome(); text != "b complete: result of b" || time.Since(began) < 2*work-time.Millisecond {
-		t.Errorf("%s, both after %v, wanted at least %v", text, time.Since(began), 2*work)
+		t.Errorf("%s, both after %v, want at least %v", text, time.Since(began), 2*work)
 	}
 	e.Slow(3)
 	b.launch("c", work)
@@ -112,8 +112,9 @@
 	}
 }
 
-// TestRepeatedLaunches: a launch is ignored where the same backend repeats it, and counted where the next one does.
-func TestRepeatedLaunches(t *testing.T) {
+// TestRepeatedLaunchIsIgnoredOrCounted checks that a repeated launch of the same backend is ignored, and that one of
+// the next backend is counted as launched twice.
+func TestRepeatedLaunchIsIgnoredOrCounted(t *testing.T) {
 	e := start(t, Config{Cores: 1, CollapseMultiple: 8, ServiceTime: time.Second, WarmUp: time.Hour, ColdSpeed: 0.5, MaxRuns: 2})
 	first := dial(t, e, "greeting hot 3600000")
 	first.launch("a", time.Hour/2)
@@ -126,19 +127,19 @@
 	if finished, running, twice := e.Counts(); finished != 0 || running != 2 || twice != 0 {
 		t.Errorf("one backend: %d finished, %d running, %d launched twice", finished, running, twice)
 	}
-	second := dial(t, e, "greeting chilly 0") // its cores are cold
+	second := dial(t, e, "greeting chilly 0") // the cores are cold for a new backend
 	second.launch("a", time.Hour/2)
 	if text, _ := second.outcome(); text != "a error: full" {
-		t.Errorf("of the next backend: %s", text)
+		t.Errorf("next backend: %s", text)
 	}
 	if _, _, twice := e.Counts(); twice != 1 {
-		t.Errorf("%d launched twice, wanted 1", twice)
+		t.Errorf("%d launched twice, want 1", twice)
 	}
 }
 
-// TestOverload: with twice the runs that the cores bear, each run progresses at an eighth of a core: half for the second
-// run, and a quarter of that by the square of the excess.
-func TestOverload(t *testing.T) {
+// TestOverloadSlowsRunsBySquareOfExcess checks that with twice as many runs as CollapseMultiple allows, each run
+// progresses at an eighth of a core's speed: half as two share it, and a quarter of that by the square of the excess.
+func TestOverloadSlowsRunsBySquareOfExcess(t *testing.T) {
 	e := start(t, Config{Cores: 1, CollapseMultiple: 1, ServiceTime: time.Second, MaxRuns: 10})
 	b := dial(t, e, "greeting hot 3600000")
 	const work = 50 * time.Millisecond
@@ -151,13 +152,13 @@
 	})
 	alone := time.Since(began)
 	if text, ms := b.outcome(); text != "a complete: result of a" || ms < float64((8*(work-alone)).Milliseconds())-1 {
-		t.Errorf("%s after %.1f ms, wanted some %v", text, ms, 8*work)
+		t.Errorf("%s after %.1f ms, want about %v", text, ms, 8*work)
 	}
 }
 
-// TestNextBackendGetsNoOutcomeOfTheOneBefore: runs go on when their backend is replaced, but their outcomes are not sent to
-// the next one.
-func TestNextBackendGetsNoOutcomeOfTheOneBefore(t *testing.T) {
+// TestNewBackendGetsNoOutcomeOfFormerRuns checks that runs continue when their backend is replaced, and that their
+// outcomes are not sent to the new backend.
+func TestNewBackendGetsNoOutcomeOfFormerRuns(t *testing.T) {
 	e := start(t, Config{Cores: 2, CollapseMultiple: 8, ServiceTime: time.Second, MaxRuns: 10})
 	dial(t, e, "greeting hot 3600000").launch("a", 50*time.Millisecond)
 	fakes.Until(t, "a was launched", func() bool {
@@ -167,9 +168,9 @@
 	next := dial(t, e, "greeting hot 3600000")
 	next.launch("b", 200*time.Millisecond)
 	if text, _ := next.outcome(); text != "b complete: result of b" {
-		t.Errorf("the first outcome is %s", text)
+		t.Errorf("first outcome: %s", text)
 	}
 	if finished, _, _ := e.Counts(); finished != 2 {
-		t.Errorf("%d runs finished, wanted 2", finished)
+		t.Errorf("%d runs finished, want 2", finished)
 	}
 }
--- a/internal/fleetclient/client_test.go
+++ b/internal/fleetclient/client_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestExecuteTellsUnreachableFromRejected checks that a report distinguishes an agent that does not answer from one
-// that rejects the command.
-func TestExecuteTellsUnreachableFromRejected(t *testing.T) {
+// TestExecuteDistinguishesUnreachableFromRejected checks that a report distinguishes an agent that does not answer from
+// one that rejects the command.
+func TestExecuteDistinguishesUnreachableFromRejected(t *testing.T) {
 	client, _ := fakeFleet(t, "b")
 	report := client.Execute(t.Context(), request("s1", fleet.KindStart, client), allInstances(t, client), true)
 	if h := report.Hosts[1]; h.Reached || h.Rejected || h.Error == "" || report.Verdict() != VerdictUnreachable {
@@ -55,7 +55,8 @@
 	}
 }
 
-// TestVerdictIsTheWorstOfAllHosts also checks that a command that waits for an operator has not timed out.
+// TestVerdictIsTheWorstOfAllHosts checks that a report has the worst verdict of its hosts, and that a command that
+// waits for an operator does not count as timed out.
 func TestVerdictIsTheWorstOfAllHosts(t *testing.T) {
 	command := func(state fleet.CommandState, outcomes ...fleet.Outcome) HostReport {
 		command := &fleet.Command{State: state, Results: map[string]fleet.Result{}}
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestReportJSON checks the JSON of a report, which the fleet commands print with --json.
-func TestReportJSON(t *testing.T) {
+// TestReportJSONHasDocumentedFields checks the JSON of a report, which the fleet commands print with --json.
+func TestReportJSONHasDocumentedFields(t *testing.T) {
 	report := Report{
 		ID:     "x",
 		Kind:   fleet.KindStart,
@@ -133,7 +134,7 @@
 	defer cancel()
 	report := client.RollingUpdate(ctx, request("u1", fleet.KindRollingUpdate, client), allInstances(t, client), 1)
 	if !slices.Equal(order, []string{"a", "b"}) {
-		t.Errorf("order %v, want a, b and no more", order)
+		t.Errorf("order %v, want a and b only", order)
 	}
 	if !strings.Contains(report.Reason, "host b") || report.Verdict() != VerdictPartial {
 		t.Errorf("reason %q, verdict %d", report.Reason, report.Verdict())
@@ -201,7 +202,8 @@
 	}
 }
 
-// TestOnlyKnownRemovesHostsWithoutTheCommand also checks that a report without hosts has a reason.
+// TestOnlyKnownRemovesHostsWithoutTheCommand checks that OnlyKnown keeps the hosts that have the command, and that a
+// report without hosts has a reason.
 func TestOnlyKnownRemovesHostsWithoutTheCommand(t *testing.T) {
 	client, agents := fakeFleet(t)
 	agents["b"].commands["x"] = &fleet.Command{
--- a/internal/fleetclient/compat_test.go
+++ b/internal/fleetclient/compat_test.go
@@ -8,8 +8,7 @@
 	"milletbarrow/internal/fleet"
 )
 
-// TestEarlierFormats checks that JSON of an earlier release, with every field set, is decoded and encoded
-// unchanged.
+// TestEarlierFormats checks that JSON of an earlier release, with every field set, is decoded and encoded unchanged.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Report](t, "Report.json")
 	compattest.RoundTrip[HostStatus](t, "HostStatus.json")
@@ -17,8 +16,8 @@
 	compattest.RoundTrip[HostMembers](t, "HostMembers.json")
 }
 
-// TestEarlierPrintedJSON checks that the --json output of the fleet commands of an earlier release, recorded
-// on three hosts with quotas, is decoded and encoded unchanged by the types that the commands print.
+// TestEarlierPrintedJSON checks that the --json output of the fleet commands of an earlier release, recorded on three
+// hosts with quotas, is decoded and encoded unchanged by the types that the commands print.
 func TestEarlierPrintedJSON(t *testing.T) {
 	for _, name := range []string{"status", "status-wave", "status-paused"} {
 		compattest.RoundTrip[[]HostStatus](t, "printed/"+name+".json")
--- a/internal/fleetclient/helpers_test.go
+++ b/internal/fleetclient/helpers_test.go
@@ -34,10 +34,10 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// commands are by their ids.
+	// commands holds the submitted commands by id.
 	commands map[string]*fleet.Command
 	history  []agentstore.Entry
-	// more is never closed: the history does not grow while it is followed.
+	// more announces further history entries. It is never closed, as the history does not grow while it is followed.
 	more chan struct{}
 	// quotaCalls describes the quota calls received.
 	quotaCalls []string
@@ -135,8 +135,8 @@
 	return dir
 }
 
-// fakeFleet serves an agent on each of the hosts a, b and c, except those in down. Each host has two instances, which
-// are called a1 and a2, b1 and b2, c1 and c2. It returns a client of the fleet and the agents by host.
+// fakeFleet serves an agent on each of the hosts a, b and c, except those in down. Each host has two instances, named
+// a1 and a2, b1 and b2, c1 and c2. It returns a client of the fleet and the agents by host.
 func fakeFleet(t *testing.T, down ...string) (*Client, map[string]*fakeAgent) {
 	t.Helper()
 	dir := socketDir(t)
@@ -208,7 +208,7 @@
 	}
 }
 
-// hostsOf returns the hosts of a report in its order.
+// hostsOf returns the names of a report's hosts in order.
 func hostsOf(report *Report) (hosts []string) {
 	for _, host := range report.Hosts {
 		hosts = append(hosts, host.Host)
--- a/internal/fleetclient/quotas.go
+++ b/internal/fleetclient/quotas.go
@@ -17,6 +17,7 @@
 	Err  error
 }
 
+// Error returns the host and the cause.
 func (e *HostError) Error() string { return e.Host + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/internal/fleetclient/report.go
+++ b/internal/fleetclient/report.go
@@ -51,7 +51,7 @@
 // Verdict returns the worst verdict of all hosts and instances.
 func (r *Report) Verdict() Verdict {
 	verdict := VerdictSucceeded
-	// A command that stopped or paused needs an operator; its open instances have not timed out.
+	// A command that stopped or paused waits for an operator; its open instances have not timed out.
 	paused := r.Reason != ""
 	for i := range r.Hosts {
 		host := &r.Hosts[i]
--- a/internal/fleetclient/rollingupdate.go
+++ b/internal/fleetclient/rollingupdate.go
@@ -15,7 +15,7 @@
 // pollIntervalTicks is the time between two polls of the hosts' progress, in units of limits.Control.TickInterval.
 const pollIntervalTicks = 10
 
-// RollingUpdate runs a rolling update on one host after the other, with at most maxConcurrentHosts in progress. The
+// RollingUpdate runs a rolling update on the hosts in order, with at most maxConcurrentHosts in progress. The
 // command has the same id on all hosts, so that a client that restarts with this id resumes the update.
 func (c *Client) RollingUpdate(
 	ctx context.Context, request agentapi.CommandRequest, instances []*fleet.InstanceSpec, maxConcurrentHosts int,
@@ -154,7 +154,8 @@
 	return aggregate
 }
 
-// hostProgress polls one host's status and its state of the command. The command covers that many of its instances.
+// hostProgress polls one host's status and its state of the command. instances is the number of the host's instances
+// that the command covers.
 func (c *Client) hostProgress(
 	ctx context.Context, host string, request agentapi.CommandRequest, instances int,
 ) (progress fleet.HostProgress, command *fleet.Command) {
@@ -181,8 +182,8 @@
 	return progress, command
 }
 
-// countDesiredUp returns the number of instances that should run, spares excluded, and the number of those, spares
-// included, that are settled.
+// countDesiredUp returns the number of instances that should run, excluding spares, and the number of those, including
+// spares, that are settled.
 func countDesiredUp(instances []agentapi.Instance) (desiredUp, ready int) {
 	for i := range instances {
 		instance := &instances[i]
--- a/internal/loadgen/attempt.go
+++ b/internal/loadgen/attempt.go
@@ -18,7 +18,7 @@
 	maxPriority      = 0.9999
 )
 
-const decimal = 10 // base of numbers in a body
+const decimal = 10 // base of the numbers in a request body
 
 // sendAttempt sends one attempt. The caller holds s.mu.
 func (s *sender) sendAttempt(req *Request) {
--- a/internal/loadgen/compat_test.go
+++ b/internal/loadgen/compat_test.go
@@ -6,7 +6,8 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats checks that a report of an earlier release, with each field set, is read and written alike.
+// TestEarlierFormats checks that a report of an earlier release, with every field set, is decoded and encoded
+// unchanged.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Report](t, "Report.json")
 }
--- a/internal/loadgen/connection.go
+++ b/internal/loadgen/connection.go
@@ -18,21 +18,21 @@
 
 // connection is one connection of one node to one backend. The sender's mutex guards it, except for reads and writes of
 // the socket. Its invariants:
-//   - at most one goroutine writes to the socket, and writing is set meanwhile (the race detector);
-//   - a connection that failed gets no further attempt (TestReportCountsWrongAnswers).
+//   - at most one goroutine writes to the socket, and writing is set meanwhile (checked by the race detector);
+//   - a connection that failed gets no further attempt (checked by TestReportCountsWrongAnswers).
 type connection struct {
 	sender     *sender
 	key        connectionKey
 	conn       net.Conn                // nil until dial succeeded
 	unanswered map[uint32]*sentAttempt // by stream
 	lastStream uint32                  // stream of the latest attempt; zero: none
-	pending    []byte                  // frames that no write has taken yet
-	writing    bool                    // a goroutine writes pending
+	pending    []byte                  // frames not yet passed to a write
+	writing    bool                    // a goroutine is writing to the socket
 	closed     bool                    // failed or closed by the sender
 	goingAway  bool                    // the backend sent a go-away frame
 }
 
-// sentAttempt is an attempt that was sent, with its id.
+// sentAttempt is an attempt that awaits its answer.
 type sentAttempt struct {
 	request *Request
 	id      string
@@ -117,8 +117,8 @@
 	}
 }
 
-// handleInput handles the complete frames of the input and returns their size. After a read error, an invalid frame or
-// the last answer of a backend that goes away, it fails the connection and reports that it ended.
+// handleInput handles the complete frames of the input and returns their total size. After a read error, an invalid
+// frame or the last answer of a backend that goes away, it fails the connection and reports that it ended.
 func (c *connection) handleInput(input []byte, readErr error) (used int, ended bool) {
 	c.sender.mu.Lock()
 	defer c.sender.mu.Unlock()
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// outcomeOf returns the outcome of an attempt that was answered with the code.
+// outcomeOf returns the outcome that an answer's code stands for.
 func outcomeOf(code frame.Code) simulation.Outcome {
 	switch code {
 	case frame.Succeeded:
--- a/internal/loadgen/errors.go
+++ b/internal/loadgen/errors.go
@@ -13,6 +13,7 @@
 	Address string // as given
 }
 
+// Error returns the address and the expected form.
 func (e *AddressError) Error() string {
 	return fmt.Sprintf("load: backend %q is not HOST:PORT with a loopback address", e.Address)
 }
--- a/internal/loadgen/errors_test.go
+++ b/internal/loadgen/errors_test.go
@@ -8,8 +8,9 @@
 	"milletbarrow/internal/simulation"
 )
 
-// TestErrorTypes checks that callers can tell apart a missing backend, a bad address and an invalid scenario.
-func TestErrorTypes(t *testing.T) {
+// TestRunReturnsDistinctErrorTypes checks that callers can distinguish a missing backend, an address that is not on
+// loopback, and an invalid scenario.
+func TestRunReturnsDistinctErrorTypes(t *testing.T) {
 	s := scenarioOf(simulation.Second)
 	runWith := func(backends ...string) error {
 		_, err := Run(context.Background(), Options{Scenario: s, Backends: backends})
--- a/internal/loadgen/helpers_test.go
+++ b/internal/loadgen/helpers_test.go
@@ -13,7 +13,7 @@
 // maxFieldsBytes bounds the fields of an invocation that a test backend reads.
 const maxFieldsBytes = 2 << 10
 
-// scenarioOf returns a scenario of the given duration with one host, two nodes and half of the capacity as load.
+// scenarioOf returns a scenario of the given duration with one host, two nodes and a load of half the capacity.
 func scenarioOf(duration monotime.Micros) *simulation.Scenario {
 	s := simulation.Default()
 	s.Duration = duration
@@ -49,7 +49,7 @@
 
 // testBackend answers the invocations of all connections one after the other.
 type testBackend struct {
-	mu     sync.Mutex // guards number, and answers are made under it
+	mu     sync.Mutex // guards number and serializes calls of answer
 	number int        // invocations so far
 	answer answerFunc
 }
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,7 +1,7 @@
-// Package loadgen sends a scenario's day over sockets to real backends on this machine, in an open loop, with the
-// retries and backoff of the simulation's edge nodes, and records the same figures as the simulation. The decisions of
-// a node are in retry.go, which does no I/O and reads no clock. sender.go keeps the schedule, attempt.go sends attempts
-// and handles their outcomes, and connection.go owns the sockets.
+// Package loadgen is an open-loop load generator. It sends the requests of a scenario over sockets to backends on this
+// machine, with the retries and backoff of the simulation's edge nodes, and records the same metrics as the simulation.
+// The decisions of a node are in retry.go, which does no I/O and reads no clock. sender.go follows the schedule,
+// attempt.go sends attempts and handles their outcomes, and connection.go owns the sockets.
 package loadgen
 
 import (
@@ -13,11 +13,11 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Options describe one load.
+// Options configures one load.
 type Options struct {
 	Scenario   *simulation.Scenario
-	Seed       uint64   // of the arrivals and of the backoff
-	Backends   []string // loopback addresses, host:port
+	Seed       uint64   // seeds the arrivals and the backoff
+	Backends   []string // host:port on loopback
 	Bounds     limits.Load
 	OnSnapshot func(Snapshot) // called every second; may be nil
 }
@@ -27,7 +27,7 @@
 	At          time.Duration // since the start of the load, in whole seconds
 	Requests    int           // since the start of the load
 	InFlight    int           // requests without an outcome
-	Value       float64       // billed share of the value offered so far
+	Value       float64       // share of the offered value that was billed so far
 	LastSecond  simulation.SecondStats
 	Connections int           // open, or being opened
 	Lag         time.Duration // largest delay of a request behind its scheduled time
@@ -43,10 +43,10 @@
 	MaxLag           time.Duration `json:"late_ns"` // largest delay of a request behind its scheduled time
 }
 
-// Run sends the scenario's day to the backends, whose addresses must be on loopback (else the error is an
+// Run sends the scenario's requests to the backends, whose addresses must be on loopback (else the error is an
 // *AddressError). Latency counts from a request's scheduled time, not from when it was sent: a stall of the sender or
-// of a backend adds to the latency of each request that waited meanwhile. An interrupted load returns its report so far
-// beside the error of ctx.
+// of a backend adds to the latency of each request that waited meanwhile. If ctx ends, Run returns the report so far
+// and the error of ctx.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	stop := make(chan struct{})
 	go s.reportProgress(stop)
 	defer close(stop)
-	err := s.sendDay(ctx)
+	err := s.sendArrivals(ctx)
 	return s.finishReport(), err
 }
 
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -11,7 +11,7 @@
 	"milletbarrow/internal/simulation"
 )
 
-// run plays the scenario with seed 1 against one backend.
+// run sends the scenario's load with seed 1 to one backend.
 func run(t *testing.T, s *simulation.Scenario, address string) *Report {
 	t.Helper()
 	report, err := Run(context.Background(), Options{
@@ -109,6 +109,8 @@
 	}
 }
 
+// TestLatencyCountsFromScheduledTime checks that a stall of the backend adds to the latency of the requests that were
+// scheduled meanwhile (no coordinated omission).
 func TestLatencyCountsFromScheduledTime(t *testing.T) {
 	const stall = 400 * time.Millisecond
 	stallEnds := make(chan struct{})
@@ -140,7 +142,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			options := Options{Scenario: scenarioOf(simulation.Second), Backends: []string{test.address}}
 			if _, err := Run(context.Background(), options); err == nil || !strings.Contains(err.Error(), "loopback") {
-				t.Errorf("address %q: error %v, want one that names loopback", test.address, err)
+				t.Errorf("address %q: error %v, want one that mentions loopback", test.address, err)
 			}
 		})
 	}
--- a/internal/loadgen/progress.go
+++ b/internal/loadgen/progress.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// snapshot returns the present state of the load; previousRequests is the Requests of the previous snapshot.
+// snapshot returns the current state of the load; previousRequests is Requests of the previous snapshot.
 func (s *sender) snapshot(previousRequests int) Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loadgen/retry.go
+++ b/internal/loadgen/retry.go
@@ -9,7 +9,7 @@
 	"milletbarrow/monotime"
 )
 
-// noBackend stands for the index of a backend where there is none.
+// noBackend is the index that stands for no backend.
 const noBackend = -1
 
 // unreachableBackoff is how long a node avoids a backend whose connection failed.
@@ -19,10 +19,10 @@
 const (
 	minBackoff          = monotime.Millisecond
 	maxBackoffDoublings = 7
-	minJitterFactor     = 0.5 // the factor is drawn from here to one above
+	minJitterFactor     = 0.5 // the factor is uniform between this and 1 more
 )
 
-// Request is the state of one request at its caller.
+// Request is the state of one request at its edge node.
 type Request struct {
 	simulation.Arrival
 	Due         monotime.Micros // end of the client timeout, on the clock of the load
@@ -37,9 +37,9 @@
 	next       int               // index of the backend of the latest choice
 }
 
-// Choose returns the index of the backend for an attempt, in round robin. It skips avoided backends and, for a retry
-// with more than one backend, the backend of the previous attempt. If that skips all of them, a first attempt gets the
-// next backend nevertheless, and a retry gets noBackend.
+// Choose returns the index of the backend for an attempt, in round robin order. It skips avoided backends and, for a
+// retry with more than one backend, the backend of the previous attempt. If all are skipped, a first attempt gets the
+// next backend in order, and a retry gets noBackend.
 func (b *BackendView) Choose(now monotime.Micros, req *Request) int {
 	n := len(b.AvoidUntil)
 	for range n {
@@ -65,7 +65,7 @@
 		}
 	case simulation.Unreachable, simulation.Reset:
 		b.AvoidUntil[backend] = now + unreachableBackoff
-	default: // other outcomes tell nothing about the backend's capacity
+	default: // other outcomes do not indicate an overloaded backend
 	}
 }
 
@@ -76,8 +76,8 @@
 	DontRetry  bool            // the backend advises against a retry
 }
 
-// Next decides after a failed attempt whether the request is retried, and after which backoff. A node that ignores
-// advice honours neither "don't retry" nor the growth of the backoff.
+// Next decides whether to retry a request after a failed attempt, and returns the backoff. A node that ignores advice
+// honours neither "don't retry" nor the exponential growth of the backoff.
 func Next(
 	scenario *simulation.Scenario,
 	now monotime.Micros,
--- a/internal/loadgen/retry_test.go
+++ b/internal/loadgen/retry_test.go
@@ -10,8 +10,9 @@
 	"milletbarrow/monotime"
 )
 
-// TestNext records the decision after each outcome, for nodes that honour advice and for those that ignore it.
-func TestNext(t *testing.T) {
+// TestNextDecidesRetryAndBackoff records the decision after each outcome, for nodes that honour advice and for those
+// that ignore it.
+func TestNextDecidesRetryAndBackoff(t *testing.T) {
 	trace := fakes.NewTrace(t)
 	s := scenarioOf(simulation.Second)
 	outcomes := []simulation.Outcome{
@@ -28,7 +29,7 @@
 							Attempts: attempts,
 						}
 						backoff, retry := Next(s, 0, req, response, ignoresAdvice, rand.New(rand.NewPCG(1, 1)))
-						trace.Say("%-9s %-11s after %d tries, don't %t, deaf %t: again %t, in %d us",
+						trace.Say("%-9s %-11s attempts %d, don't retry %t, ignores advice %t: retry %t, backoff %d us",
 							s.Operations[op].Name, simulation.Outcomes()[outcome], attempts,
 							response.DontRetry, ignoresAdvice, retry, backoff)
 					}
@@ -43,13 +44,13 @@
 	response := Response{Outcome: simulation.Throttled}
 	random := rand.New(rand.NewPCG(1, 1))
 	if _, retry := Next(scenarioOf(simulation.Second), 1000, req, response, false, random); retry {
-		t.Error("an attempt after the client timeout")
+		t.Error("retry scheduled after the client timeout")
 	}
 }
 
-// TestChoose checks the round robin, that avoided backends and the one of the previous attempt are skipped, and that a
-// first attempt is sent even if all backends are avoided.
-func TestChoose(t *testing.T) {
+// TestChooseSkipsAvoidedAndPreviousBackend checks the round robin order, that avoided backends and the one of the
+// previous attempt are skipped, and that a first attempt gets a backend even if all are avoided.
+func TestChooseSkipsAvoidedAndPreviousBackend(t *testing.T) {
 	view := BackendView{AvoidUntil: make([]monotime.Micros, 3)}
 	var chosen []int
 	choose := func(now monotime.Micros, req Request) { chosen = append(chosen, view.Choose(now, &req)) }
@@ -70,9 +71,9 @@
 	}
 }
 
-// TestRecordResponse checks that a longer Retry-After extends the present one and a shorter one does not, that a node
-// that ignores advice ignores it, and that all nodes avoid a backend whose connection failed.
-func TestRecordResponse(t *testing.T) {
+// TestRecordResponseSetsAvoidance checks that a longer Retry-After extends the present one and a shorter one does not,
+// that a node that ignores advice ignores it, and that all nodes avoid a backend whose connection failed.
+func TestRecordResponseSetsAvoidance(t *testing.T) {
 	const now = monotime.Micros(100)
 	view := BackendView{AvoidUntil: make([]monotime.Micros, 4)}
 	view.RecordResponse(now, 0, Response{Outcome: simulation.Throttled, RetryAfter: 50}, false)
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -11,29 +11,31 @@
 	"milletbarrow/monotime"
 )
 
-// backoffStream is the stream of the seed's random generator that draws the backoff.
+// backoffStream is the PCG stream of the random generator for the backoff.
 const backoffStream = 3
 
-// idSequenceBits is the part of an attempt's id that counts the attempts of one load.
+// idSequenceBits is the number of low bits of an attempt's id that hold its sequence number within the load.
 const idSequenceBits = 24
 
 // sender is the state of one load. Its invariants:
-//   - inFlight is the number of requests that are started and not Finished (TestReportCountsWrongAnswers);
-//   - a request has exactly one outcome in the report (TestReportCountsWrongAnswers);
-//   - connections holds no connection that failed or is going away (TestReportCountsWrongAnswers for the former).
+//   - inFlight is the number of requests that are started and not Finished;
+//   - a request has exactly one outcome in the report;
+//   - connections holds no connection that failed or is going away.
+//
+// TestReportCountsWrongAnswers checks them, except for connections that are going away.
 type sender struct {
 	options       Options
 	scenario      *simulation.Scenario
 	startedAt     time.Time
 	ignoresAdvice []bool                                 // by index of the node
-	idBase        uint64                                 // plus the number of an attempt is its id; differs per load
-	allDone       chan struct{}                          // closed once each request has an outcome
-	dial          func(address string) (net.Conn, error) // not cancelled by an interruption
+	idBase        uint64                                 // an attempt's id is idBase plus its sequence number; differs per load
+	allDone       chan struct{}                          // closed once every request has an outcome
+	dial          func(address string) (net.Conn, error) // not cancelled with the context of Run
 
 	mu          sync.Mutex // guards the fields below, the requests, and the connections except for their sockets
 	report      *Report
 	views       []BackendView // by index of the node
-	rand        *rand.Rand    // draws the backoff
+	rand        *rand.Rand    // generates the jitter of the backoff
 	connections map[connectionKey]*connection
 	inFlight    int    // requests without an outcome
 	sentAll     bool   // the first attempt of each request was sent
@@ -48,7 +50,7 @@
 
 func newSender(ctx context.Context, options Options) *sender {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	// An interruption does not cancel dials, as the report would count them as unreachable backends.
+	// The end of ctx does not cancel dials, as the report would count them as unreachable backends.
 	dialContext := context.WithoutCancel(ctx)
 	s := &sender{
 		options:     options,
@@ -75,8 +77,8 @@
 	return s
 }
 
-// sendDay starts each request at its scheduled time and waits until each has an outcome.
-func (s *sender) sendDay(ctx context.Context) error {
+// sendArrivals starts each request at its scheduled time and waits until every request has an outcome.
+func (s *sender) sendArrivals(ctx context.Context) error {
 	stream := simulation.NewStream(s.scenario, s.options.Seed)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -102,7 +104,7 @@
 	}
 }
 
-// finishSending records that the day has no further request.
+// finishSending records that no further request follows.
 func (s *sender) finishSending() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
