--- a/internal/upgradetest/doc.go
+++ b/internal/upgradetest/doc.go
@@ -1,5 +1,5 @@
-// Package upgradetest runs the program of an earlier release beside the one of this tree: agents and supervisors of one
-// release take over what those of the other run. It has tests only. They need the earlier program: MILLETBARROW_OLD
-// names its binary; without that it is built from the history of the repository, and where that lacks the commit the
-// tests are skipped and say so.
+// Package upgradetest tests upgrades: it runs the program of an earlier release together with that of this tree, and
+// checks that agents and supervisors of one release take over from those of the other. The package has tests only. The
+// binary of the earlier release is that named by MILLETBARROW_OLD, or is built from the repository's history. If the
+// history lacks the commit, the tests are skipped.
 package upgradetest
--- a/internal/upgradetest/fleet_test.go
+++ b/internal/upgradetest/fleet_test.go
@@ -16,10 +16,10 @@
 	"milletbarrow/internal/simulation"
 )
 
-// patience bounds each wait for a condition, on a machine that is busy with other tests.
-const patience = 40 * time.Second
+// conditionTimeout limits each wait for a condition. It allows for a machine that is busy with other tests.
+const conditionTimeout = 40 * time.Second
 
-// Quotas of the fleet's two tenants, in invocations a second.
+// Quotas of the fleet's two tenants, in invocations per second.
 const (
 	acmeQuota = 24
 	zetaQuota = 9
@@ -31,18 +31,18 @@
 	agent               *exec.Cmd
 }
 
-// testFleet is some agents on this machine, each with one instance.
+// testFleet is a fleet of agents on this machine, each with one instance.
 type testFleet struct {
 	t        *testing.T
 	site     *demo.Site
 	scenario simulation.Scenario
 	file     string
-	tool     string // the program that runs fleet commands
+	program  string // binary that runs the fleet commands
 	hosts    []*testHost
 }
 
-// newFleet writes the files of a fleet; nothing runs yet. Draw logs of the instances go to the directory drawLogs.
-func newFleet(t *testing.T, tool string, hosts int) *testFleet {
+// newFleet writes the files of a fleet and starts no process. The instances write their draw logs to drawLogs.
+func newFleet(t *testing.T, program string, hosts int) *testFleet {
 	t.Helper()
 	scenario := demo.Scenario(hosts, 15*time.Second)
 	scenario.Faults, scenario.Load.Level = nil, 0.3
@@ -51,12 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &testFleet{t: t, site: site, scenario: scenario, file: filepath.Join(site.Dir, "upgrade.sx"), tool: tool}
+	f := &testFleet{t: t, site: site, scenario: scenario, file: filepath.Join(site.Dir, "upgrade.sx"), program: program}
 	t.Cleanup(f.close)
 	if err := os.Mkdir(f.drawLogs(), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	var spec, groups, ledger strings.Builder
+	var spec, groups, quotaHosts strings.Builder
 	for i, instance := range site.Names {
 		host := &testHost{name: fmt.Sprint("h", i+1), instance: instance}
 		host.dir = filepath.Join(site.Dir, host.name)
@@ -67,21 +67,23 @@
 		}
 		fmt.Fprintf(&spec, " (host %s (agent \"unix:%s.sock\") (peer %q))\n", host.name, host.dir, peer)
 		fmt.Fprintf(&groups, " (group g-%s (host %s) (config \"%%n.json\") (instances %s) (start-within 30s) (settle 100ms))\n", host.name, host.name, instance)
-		ledger.WriteString(" " + host.name)
+		quotaHosts.WriteString(" " + host.name)
 	}
 	text := fmt.Sprintf("(fleet upgrade\n%s%s (budgets (version 1) (ledger%s)\n"+
 		"  (budget acme (rate %d) (tenant acme) (floor 1) (divide demand) (lease 2s) (margin 100ms))\n"+
 		"  (budget zeta (rate %d) (tenant zeta) (floor 1) (divide even) (lease 2s) (margin 100ms))))\n",
-		spec.String(), groups.String(), ledger.String(), acmeQuota, zetaQuota)
+		spec.String(), groups.String(), quotaHosts.String(), acmeQuota, zetaQuota)
 	if err := os.WriteFile(f.file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
+// drawLogs returns the directory of the instances' logs of quota draws.
 func (f *testFleet) drawLogs() string { return filepath.Join(f.site.Dir, "draws") }
 
-// close ends all that runs for this fleet and nothing else, by the identities in the supervisors' state files.
+// close kills the fleet's agents, and its supervisors and instances by the identities in the supervisors' state files,
+// so that it kills no other process.
 func (f *testFleet) close() {
 	for _, host := range f.hosts {
 		f.endAgent(host, syscall.SIGKILL)
@@ -94,7 +96,7 @@
 	}
 }
 
-// identities are the processes of a host, as its supervisor's state file names them; zero where there is none.
+// identities returns the processes named in the state file of a host's supervisor; zero without such a file.
 func (f *testFleet) identities(host *testHost) (supervisor, instance process.Identity) {
 	content, err := os.ReadFile(filepath.Join(host.dir, "keepers", host.instance+".json"))
 	if err != nil {
@@ -110,7 +112,7 @@
 	return state.Supervisor, state.Instance
 }
 
-// startAgent starts a host's agent with a program.
+// startAgent starts a host's agent from the given binary.
 func (f *testFleet) startAgent(host *testHost, program string) {
 	f.t.Helper()
 	log, err := os.OpenFile(host.dir+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -126,7 +128,7 @@
 	}
 }
 
-// endAgent ends a host's agent; its instance goes on.
+// endAgent ends a host's agent; its instance keeps running.
 func (f *testFleet) endAgent(host *testHost, signal syscall.Signal) {
 	if host.agent == nil {
 		return
@@ -141,44 +143,45 @@
 	f.t.Helper()
 	output, err := f.command(args...).Output()
 	if err != nil {
-		f.t.Fatalf("fleet %v: %v: %s\n%s", args, err, output, f.logs())
+		f.t.Fatalf("fleet %v: %v: %s\n%s", args, err, output, f.logTails())
 	}
 	return output
 }
 
+// command returns a fleet command that has not started.
 func (f *testFleet) command(args ...string) *exec.Cmd {
-	return exec.Command(f.tool, append([]string{"fleet", args[0], "--fleet", f.file}, args[1:]...)...)
+	return exec.Command(f.program, append([]string{"fleet", args[0], "--fleet", f.file}, args[1:]...)...)
 }
 
-// logs are the ends of the agents' logs, for messages.
-func (f *testFleet) logs() string {
-	const most = 2000
+// logTails returns the last bytes of each agent's log, for failure messages.
+func (f *testFleet) logTails() string {
+	const maxBytes = 2000
 	var all strings.Builder
 	for _, host := range f.hosts {
-		content, _ := os.ReadFile(host.dir + ".log") // an agent that never ran has none
-		fmt.Fprintf(&all, "%s:\n%s\n", host.name, content[max(0, len(content)-most):])
+		content, _ := os.ReadFile(host.dir + ".log") // an agent that was not started has no log
+		fmt.Fprintf(&all, "%s:\n%s\n", host.name, content[max(0, len(content)-maxBytes):])
 	}
 	return all.String()
 }
 
-// until waits for a condition.
-func (f *testFleet) until(what string, holds func() bool) {
+// waitUntil waits for a condition and fails the test after conditionTimeout.
+func (f *testFleet) waitUntil(condition string, met func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); !met(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("not within %v: %s\n%s", patience, what, f.logs())
+			f.t.Fatalf("condition not met within %v: %s\n%s", conditionTimeout, condition, f.logTails())
 		}
 	}
 }
 
-// instanceStatus is what fleet status --json prints of an instance, as far as the tests need it.
+// instanceStatus holds the fields of an instance in the output of fleet status --json that the tests need.
 type instanceStatus struct {
 	Phase      string `json:"phase"`
 	PID        int    `json:"pid"`
 	Supervisor int    `json:"keeper"`
 }
 
-// status is a host's instance as its agent sees it; zero while the agent does not answer.
+// status returns the status of a host's instance; zero while its agent does not answer.
 func (f *testFleet) status(host *testHost) instanceStatus {
 	output, err := f.command("status", "--json").Output()
 	if err != nil && len(output) == 0 {
@@ -201,7 +204,7 @@
 	return instanceStatus{}
 }
 
-// quotasInForce reports whether the leader has the whole of each quota divided among the instances.
+// quotasInForce reports whether there is a quota leader and the whole of each quota is leased to instances.
 func (f *testFleet) quotasInForce() bool {
 	output, err := f.command("budgets", "--json").Output()
 	var answer struct {
--- a/internal/upgradetest/printed_test.go
+++ b/internal/upgradetest/printed_test.go
@@ -9,10 +9,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestPrintedByCommands: commands under the names of the earlier release print with --json what that release printed,
-// to the byte. The files are those of the packages that read them.
-func TestPrintedByCommands(t *testing.T) {
-	program, err := newProgram()
+// TestCommandsPrintJSONOfEarlierRelease checks that commands under their former names print with --json the same bytes
+// as the earlier release. The expected output is in the testdata of the packages that read it.
+func TestCommandsPrintJSONOfEarlierRelease(t *testing.T) {
+	program, err := currentProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,8 +20,8 @@
 	policy := earlierFiles("backend/degradation", "ladder.sx")
 	experiment := earlierFiles("experiment", "experiment.sx")
 	for _, c := range []struct {
-		printed string
-		args    []string
+		goldenFile string
+		args       []string
 	}{
 		{earlierFiles("backend/degradation", "levels-check.json"), []string{"levels", "check", policy, "--json"}},
 		{earlierFiles("backend/degradation", "levels-replay.json"), []string{"levels", "replay", policy, earlierFiles("backend/degradation", "signals.txt"), "--json"}},
@@ -30,7 +30,7 @@
 		{earlierFiles("experiment", "lab-compare.json"), []string{"lab", "compare", experiment, "--dir", earlierFiles("experiment", "results"), "--json", "pool", "milletbarrow"}},
 		{earlierFiles("faultinjection/harness", "report-printed.json"), []string{"trial", "report", earlierFiles("faultinjection/harness", "verdicts.jsonl"), "--json"}},
 	} {
-		want, err := os.ReadFile(c.printed)
+		want, err := os.ReadFile(c.goldenFile)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,7 +39,7 @@
 			t.Errorf("%v: %v", c.args, err)
 		}
 		if diff := cmp.Diff(string(want), string(got)); diff != "" {
-			t.Errorf("%v: printed by the earlier release (-), and now (+):\n%s", c.args, diff)
+			t.Errorf("%v: output differs from that of the earlier release (-earlier +current):\n%s", c.args, diff)
 		}
 	}
 }
--- a/internal/upgradetest/programs_test.go
+++ b/internal/upgradetest/programs_test.go
@@ -12,11 +12,11 @@
 	"milletbarrow/internal/compattest"
 )
 
-// oldProgramVariable names a binary of the earlier release that is built already.
-const oldProgramVariable = "MILLETBARROW_OLD"
+// earlierProgramVariable is the environment variable with the path of a binary of the earlier release.
+const earlierProgramVariable = "MILLETBARROW_OLD"
 
-// builds is the directory of the programs that the tests build.
-var builds string
+// buildDir is the directory of the binaries that the tests build.
+var buildDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
@@ -24,38 +24,40 @@
 
 func run(m *testing.M) int {
 	var err error
-	if builds, err = os.MkdirTemp("", "upgradetest"); err != nil {
+	if buildDir, err = os.MkdirTemp("", "upgradetest"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(builds) }()
+	defer func() { _ = os.RemoveAll(buildDir) }()
 	return m.Run()
 }
 
-// build compiles the command of a source tree.
+// build compiles the program of a source tree.
 func build(tree, binary string) error {
 	command := exec.Command("go", "build", "-o", binary, "./cmd/milletbarrow")
 	command.Dir = tree
 	if output, err := command.CombinedOutput(); err != nil {
-		return fmt.Errorf("build of %s: %w: %s", tree, err, output)
+		return fmt.Errorf("building %s: %w: %s", tree, err, output)
 	}
 	return nil
 }
 
-var newProgram = sync.OnceValues(func() (string, error) {
-	binary := filepath.Join(builds, "new")
+// currentProgram builds the program of this tree once and returns the path of its binary.
+var currentProgram = sync.OnceValues(func() (string, error) {
+	binary := filepath.Join(buildDir, "new")
 	return binary, build("../..", binary)
 })
 
-// oldProgram is the binary of the earlier release; empty where it can't be had.
-var oldProgram = sync.OnceValues(func() (string, error) {
-	if binary := os.Getenv(oldProgramVariable); binary != "" {
+// earlierProgram returns the path of the binary of the earlier release, which it builds once unless the environment
+// names one; empty if the repository's history lacks the commit.
+var earlierProgram = sync.OnceValues(func() (string, error) {
+	if binary := os.Getenv(earlierProgramVariable); binary != "" {
 		return binary, nil
 	}
 	if exec.Command("git", "cat-file", "-e", compattest.Release+"^{commit}").Run() != nil {
 		return "", nil
 	}
-	tree := filepath.Join(builds, "tree")
+	tree := filepath.Join(buildDir, "tree")
 	if err := os.Mkdir(tree, 0o700); err != nil {
 		return "", err
 	}
@@ -70,21 +72,21 @@
 	if output, err := extract.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("tar: %w: %s", err, output)
 	}
-	binary := filepath.Join(builds, "old")
+	binary := filepath.Join(buildDir, "old")
 	return binary, build(tree, binary)
 })
 
-// programs returns both binaries, or skips the test where the earlier one can't be had.
+// programs returns the paths of both binaries, or skips the test if the earlier one is not available.
 func programs(t *testing.T) (earlier, current string) {
 	t.Helper()
-	earlier, err := oldProgram()
+	earlier, err := earlierProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if earlier == "" {
-		t.Skipf("no program of %s: the history lacks that commit, and %s names no binary", compattest.Release, oldProgramVariable)
+		t.Skipf("no binary of release %s: the repository's history lacks that commit, and %s is not set", compattest.Release, earlierProgramVariable)
 	}
-	if current, err = newProgram(); err != nil {
+	if current, err = currentProgram(); err != nil {
 		t.Fatal(err)
 	}
 	return earlier, current
