--- a/internal/fakes/auto_executor.go
+++ b/internal/fakes/auto_executor.go
@@ -22,7 +22,7 @@
 
 	mu            sync.Mutex
 	started       map[string]time.Time
-	launchedTwice int // launches of an id that an earlier backend incarnation launched, which repeat the effect
+	launchedTwice int // repeated launches of an id by another backend incarnation, which repeat the effect
 	conn          net.Conn
 	notices       []string
 	reportedQueue float64         // reported queue length; 0: the actual one
--- a/internal/fakes/timedexecutor/executor.go
+++ b/internal/fakes/timedexecutor/executor.go
@@ -19,9 +19,9 @@
 // Config describes one executor.
 type Config struct {
 	Cores            int
-	CollapseMultiple float64       // runs per core beyond which all slow down by the square of the excess; 0: no collapse
+	CollapseMultiple float64       // runs per core beyond which all slow by the square of the excess; 0: unlimited
 	ServiceTime      time.Duration // core time of a run without "work=MICROSECONDS" in its body
-	WarmUp           time.Duration // how long the cores are slower for a new backend, with linear recovery; 0: never slower
+	WarmUp           time.Duration // slow phase for a new backend, with linear recovery; 0: none
 	ColdSpeed        float64       // share of full speed at the start of WarmUp
 	MaxRuns          int           // concurrent runs; a launch beyond them ends with an error
 }
@@ -37,7 +37,7 @@
 	subscriber    net.Conn
 	launched      map[string]bool // run ids launched since the last "subscribe 0"
 	notices       [][]byte        // number n is at index n-1
-	progress      float64         // microseconds at full speed of a core that a run present since the start would have had
+	progress      float64         // core microseconds that a run present since the start would have had
 	advancedAt    time.Time
 	slowdown      float64
 	runs          runHeap
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -28,7 +28,7 @@
 	scenario      *simulation.Scenario
 	startedAt     time.Time
 	ignoresAdvice []bool                                 // by index of the node
-	idBase        uint64                                 // plus an attempt's sequence number is its id; differs per load
+	idBase        uint64                                 // plus an attempt's sequence number is its id; per load
 	allDone       chan struct{}                          // closed once every request has an outcome
 	dial          func(address string) (net.Conn, error) // not cancelled with the context of Run
 
