--- a/internal/faultinjection/harness/change_total.go
+++ b/internal/faultinjection/harness/change_total.go
@@ -9,17 +9,18 @@
 	"milletbarrow/internal/process"
 )
 
-// changeTotal gives a quota another total, in every host's file. A higher one may be granted from now on; a lower one
-// counts once no lease from before can be left.
+// changeTotal changes a quota's total in every host's fleet file. The checker allows a higher total from now on, but
+// applies a lower one only when every lease granted under the old total has expired.
 func (harness *Harness) changeTotal(ctx context.Context, name string, units int) error {
 	version, units, err := harness.writeTotal(name, units)
 	if err != nil {
 		return err
 	}
 	harness.reload()
-	harness.totalChanges.Go(func() { // once the quota store goes by it, what was granted before ends with its leases
-		if harness.waitFor(ctx, maxTotalChange, "other whole", func() bool {
-			harness.reload() // one that was started or stopped meanwhile may have the file of before
+	harness.totalChanges.Go(func() {
+		// Grants made before the quota store applied the new total end with their leases.
+		if harness.waitFor(ctx, totalChangeTimeout, "new total in the quota store", func() bool {
+			harness.reload() // an agent that was started or stopped meanwhile may still have the old file
 			state := harness.quotaState(ctx)
 			return state != nil && state.Version >= version
 		}) != nil {
@@ -28,7 +29,7 @@
 		at := int64(process.Now()) + (harness.options.Lease + harness.options.Margin + leaseEndTolerance).Microseconds()
 		harness.mu.Lock()
 		defer harness.mu.Unlock()
-		if harness.version == version { // else the total was changed again
+		if harness.version == version { // otherwise the total was changed again
 			harness.limits[name] = append(harness.limits[name], checker.Total{From: at, Units: int64(units)})
 		}
 	})
@@ -36,13 +37,14 @@
 }
 
 const (
-	// maxTotalChange is how long the quota store may take until it goes by another total.
-	maxTotalChange = 2 * time.Minute
-	// leaseEndTolerance is how long after lease and margin units may still be in force.
+	// totalChangeTimeout limits the wait until the quota store applies a new total.
+	totalChangeTimeout = 2 * time.Minute
+	// leaseEndTolerance is how long grants may remain in force after the lease and the margin.
 	leaseEndTolerance = time.Second
 )
 
-// writeTotal writes every host's file with another total, which is at least one unit more than the floors.
+// writeTotal writes every host's fleet file with a new total and returns the version of the quotas and the total. The
+// total is at least one unit more than the sum of the floors.
 func (harness *Harness) writeTotal(name string, wanted int) (version, units int, err error) {
 	harness.mu.Lock()
 	defer harness.mu.Unlock()
@@ -64,10 +66,10 @@
 	return harness.version, units, harness.writeFiles()
 }
 
-// reload has the agents that run read their files.
+// reload makes the agents reread their fleet files.
 func (harness *Harness) reload() {
 	for _, h := range harness.hosts {
-		if h.mu.TryLock() { // else a fault acts on it, after which the agent reads the file anyway
+		if h.mu.TryLock() { // otherwise a fault acts on the agent, which reads the file after it anyway
 			_ = h.cmd.Process.Signal(syscall.SIGHUP)
 			h.mu.Unlock()
 		}
--- a/internal/faultinjection/harness/cleanup.go
+++ b/internal/faultinjection/harness/cleanup.go
@@ -16,18 +16,18 @@
 	"milletbarrow/internal/process"
 )
 
-// directoryVariable names, in the environment of every process that a trial began and that those began, the trial's
-// directory. Supervisors outlive their agent by design, so that neither the tree of processes nor a group holds all
-// of them.
+// directoryVariable is an environment variable that holds the trial's directory. All processes of a trial inherit it,
+// which identifies them: supervisors outlive their agent by design, so neither the process tree nor a process group
+// contains all of them.
 const directoryVariable = "MILLETBARROW_TRIAL_DIR"
 
 const (
-	maxKilling    = 10 * time.Second // until all of a trial's processes have ended
-	killingPause  = 20 * time.Millisecond
-	environLayout = "/proc/[0-9]*/environ"
+	killTimeout    = 10 * time.Second // for all of a trial's processes to end
+	killInterval   = 20 * time.Millisecond
+	environPattern = "/proc/[0-9]*/environ"
 )
 
-// Close ends every process that the trial began, and removes its directory.
+// Close ends every process of the trial and removes the trial's directory.
 func (harness *Harness) Close() error {
 	for _, h := range harness.hosts {
 		h.mu.Lock()
@@ -51,7 +51,7 @@
 	return errors.Join(err, harness.site.Close())
 }
 
-// killSupervised ends supervisors and backends by what supervisors wrote down of them: both are known by pid and start.
+// killSupervised kills the supervisors and backends that supervisors recorded by process ID and start time.
 func (harness *Harness) killSupervised() {
 	for _, h := range harness.hosts {
 		for _, name := range h.backends {
@@ -62,18 +62,20 @@
 	}
 }
 
-// RemainingError is processes that have not ended though they were killed.
+// RemainingError reports processes that did not end after SIGKILL.
 type RemainingError struct{ Processes []process.Identity }
 
+// Error lists the processes.
 func (e *RemainingError) Error() string {
-	return fmt.Sprintf("%d processes remain: %v", len(e.Processes), e.Processes)
+	return fmt.Sprintf("%d processes still run after SIGKILL: %v", len(e.Processes), e.Processes)
 }
 
-// killRemaining kills what runs with the trial's directory in its environment, until nothing does: also a supervisor
-// or a backend that was begun as its agent was killed and is recorded nowhere. The error is a *RemainingError.
+// killRemaining kills all processes with the trial's directory in their environment until none is left. That includes
+// supervisors and backends that were started just before their agent was killed, which are recorded nowhere. The error
+// is a *RemainingError.
 func killRemaining(dir string) error {
-	for end := time.Now().Add(maxKilling); ; time.Sleep(killingPause) {
-		remaining := processesWith(directoryVariable + "=" + dir)
+	for end := time.Now().Add(killTimeout); ; time.Sleep(killInterval) {
+		remaining := processesWithEnvironment(directoryVariable + "=" + dir)
 		if len(remaining) == 0 {
 			return nil
 		}
@@ -81,14 +83,14 @@
 			return &RemainingError{remaining}
 		}
 		for _, id := range remaining {
-			_ = id.Signal(syscall.SIGKILL) // one that is gone is not found again
+			_ = id.Signal(syscall.SIGKILL) // a process that has ended is not found again
 		}
 	}
 }
 
-// processesWith are the processes of this machine whose environment has an entry.
-func processesWith(entry string) (all []process.Identity) {
-	files, _ := filepath.Glob(environLayout) // the pattern is a constant
+// processesWithEnvironment returns this machine's processes whose environment contains the entry.
+func processesWithEnvironment(entry string) (all []process.Identity) {
+	files, _ := filepath.Glob(environPattern) // the pattern is a constant
 	for _, file := range files {
 		environment, err := os.ReadFile(file)
 		if err != nil ||
@@ -96,9 +98,9 @@
 				bytes.Split(environment, []byte{0}),
 				func(e []byte) bool { return string(e) == entry },
 			) {
-			continue // it has ended, or is another user's
+			continue // the process has ended or belongs to another user
 		}
-		pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(file))) // the pattern has a number there
+		pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(file))) // the pattern matches only digits in the first place
 		if id, err := process.Of(pid); err == nil {
 			all = append(all, id)
 		}
@@ -106,8 +108,8 @@
 	return all
 }
 
-// watchdogScript waits for the end of its input and kills all processes with an entry in their environment, until
-// none is left. It is a shell's, since what it has to outlive is this process.
+// watchdogScript waits for the end of its input, then kills all processes with an entry in their environment until none
+// is left. It is a shell script because it has to outlive this process.
 const watchdogScript = `cat > /dev/null
 for round in $(seq 100); do
 	found=
@@ -122,15 +124,15 @@
 	sleep 0.1
 done`
 
-// watchdog is a process that ends the trial's processes when this one is killed, panics or exits without Close.
+// watchdog is a process that ends the trial's processes if this process is killed, panics or exits without Close.
 type watchdog struct {
 	cmd   *exec.Cmd
-	input io.Closer // open as long as this process lives
+	input io.Closer // closed by the kernel when this process ends
 }
 
 func startWatchdog(dir string) (*watchdog, error) {
 	cmd := exec.Command("sh", "-c", watchdogScript, "sh", directoryVariable+"="+dir)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt from the terminal is not for it
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // so that it survives an interrupt from the terminal
 	input, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -141,7 +143,7 @@
 	return &watchdog{cmd, input}, nil
 }
 
-// stop lets it look for the last time and waits for its end.
+// stop closes the watchdog's input, which starts its last search for processes, and waits until it ends.
 func (w *watchdog) stop() error {
 	return errors.Join(w.input.Close(), w.cmd.Wait())
 }
--- a/internal/faultinjection/harness/cold_start.go
+++ b/internal/faultinjection/harness/cold_start.go
@@ -9,8 +9,8 @@
 	"milletbarrow/internal/limits"
 )
 
-// startBackends has the endpoint registry begin its phases and starts all backends at once, or by a cold start, without
-// waiting for them: what keeps some from being ready is part of the trial.
+// startBackends begins the phases of the endpoint registry and starts all backends, at once or by a cold start. It does
+// not wait until they are ready, as the trial's faults may delay that.
 func (harness *Harness) startBackends(ctx context.Context, v *Verdict) {
 	harness.registry.Begin()
 	harness.startedAt = time.Now()
@@ -33,16 +33,17 @@
 	}
 }
 
-// endColdStart takes down what the endpoint registry observed, before all are stopped.
-func (harness *Harness) endColdStart() {
+// recordRegistryCalls stores what the endpoint registry observed before the backends are stopped.
+func (harness *Harness) recordRegistryCalls() {
 	harness.endedAt = time.Now()
 	harness.observed = harness.registry.Observed()
 }
 
-// judgeColdStart works out what the endpoint registry saw, and from the draw logs how many were starting at once.
-func (harness *Harness) judgeColdStart(v *Verdict, all []*checker.Process) {
+// checkColdStart checks the calls that the endpoint registry received against the schedule's bounds, and the draw logs
+// for the number of backends that were starting at the same time.
+func (harness *Harness) checkColdStart(v *Verdict, all []*checker.Process) {
 	c := harness.options.Schedule.ColdStart
-	reportInterval := limits.For(1, 192, 1024).ReportInterval // the bounds of the trial's backends
+	reportInterval := limits.For(1, 192, 1024).ReportInterval // limits of the trial's backends
 	f := coldstart.Measure(
 		harness.observed.Calls,
 		&c.RegistryBehavior,
@@ -53,11 +54,11 @@
 	f.Conns, f.Falls = harness.observed.MaxConnections, harness.observed.Falls
 	v.ColdStart = &f
 	for _, reason := range f.Violations(c.Bounds) {
-		v.fail("register: %s", reason)
+		v.fail("endpoint registry: %s", reason)
 	}
-	// One holds its permit from before its process begins until it has been ready for a while.
+	// A backend holds its start permit from before its process starts until it has been ready for the settle time.
 	f.Starting = checker.MaxConcurrentStarts(all, harness.options.SettleTime.Microseconds())
 	if c.MaxConcurrent > 0 && f.Starting > c.MaxConcurrent {
-		v.fail("%d backends were starting at once, %d may be", f.Starting, c.MaxConcurrent)
+		v.fail("%d backends were starting at once, the limit is %d", f.Starting, c.MaxConcurrent)
 	}
 }
--- a/internal/faultinjection/harness/compat_test.go
+++ b/internal/faultinjection/harness/compat_test.go
@@ -6,14 +6,15 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierFormats: JSON that an earlier release wrote, with each field set, is read and written the same.
+// TestEarlierFormats verifies that JSON of an earlier release, with each field set, is the same after it is read and
+// written.
 func TestEarlierFormats(t *testing.T) {
 	compattest.RoundTrip[Verdict](t, "Verdict.json")
 	compattest.RoundTrip[Measures](t, "Measures.json")
 	compattest.RoundTrip[Report](t, "Report.json")
 }
 
-// TestEarlierVerdicts: the verdicts that an earlier release added to a file are read and summed up the same.
+// TestEarlierVerdicts verifies that a file of verdicts of an earlier release is read and summarised as it was then.
 func TestEarlierVerdicts(t *testing.T) {
 	compattest.RoundTrip[Verdict](t, "verdicts.jsonl")
 	report, err := ReadReport(compattest.File("verdicts.jsonl"))
--- a/internal/faultinjection/harness/errors.go
+++ b/internal/faultinjection/harness/errors.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ErrNoLeader reports that no agent led the quota store when a fault on its leader was due.
-var ErrNoLeader = errors.New("nobody leads")
+// ErrNoLeader reports that the quota store had no leader when a fault on its leader was due.
+var ErrNoLeader = errors.New("the quota store has no leader")
 
 // ToolError reports a fleet sub-command that failed.
 type ToolError struct {
@@ -42,7 +42,7 @@
 
 // Error names the host and the failpoint.
 func (e *CrashPointError) Error() string {
-	return fmt.Sprintf("%s did not come to %q", e.Host, e.Point)
+	return fmt.Sprintf("agent of %s did not reach failpoint %q", e.Host, e.Point)
 }
 
 // UnknownQuotaError reports a fault on a quota that the trial does not have.
@@ -51,15 +51,15 @@
 }
 
 // Error names the quota.
-func (e *UnknownQuotaError) Error() string { return fmt.Sprintf("no budget %q", e.Name) }
+func (e *UnknownQuotaError) Error() string { return fmt.Sprintf("the trial has no quota %q", e.Name) }
 
-// HoldsError reports a schedule that cannot be shrunk, as no attempt at it failed.
-type HoldsError struct {
+// NoFailureError reports a schedule that cannot be shrunk because no attempt at it failed.
+type NoFailureError struct {
 	Schedule string // name
 	Attempts int
 }
 
 // Error names the schedule and the number of attempts.
-func (e *HoldsError) Error() string {
-	return fmt.Sprintf("%s holds in %d tries: there is nothing to make smaller", e.Schedule, e.Attempts)
+func (e *NoFailureError) Error() string {
+	return fmt.Sprintf("schedule %s passed in all %d attempts: no failure to shrink", e.Schedule, e.Attempts)
 }
--- a/internal/faultinjection/harness/inject.go
+++ b/internal/faultinjection/harness/inject.go
@@ -30,13 +30,13 @@
 		schedule.Slow,
 		schedule.Reset,
 		schedule.Duplicate:
-		harness.disturbLink(ctx, f)
+		harness.injectLinkFault(ctx, f)
 		return nil
 	case schedule.Minority:
-		harness.cutOffMinority(ctx, f)
+		harness.isolateMinority(ctx, f)
 		return nil
 	case schedule.StopBackend, schedule.KillBackend, schedule.KillSupervisor, schedule.BadStart:
-		return harness.disturbBackend(ctx, f)
+		return harness.injectBackendFault(ctx, f)
 	case schedule.ChangeTotal:
 		return harness.changeTotal(ctx, f.Name, f.Value)
 	case schedule.Blackout:
@@ -49,11 +49,11 @@
 		f.Target = s.Leader
 	default: // faults of one agent
 	}
-	return harness.disturbAgent(ctx, f)
+	return harness.injectAgentFault(ctx, f)
 }
 
-// disturbAgent injects a fault into one host's agent.
-func (harness *Harness) disturbAgent(ctx context.Context, f schedule.Fault) error {
+// injectAgentFault injects a fault into one host's agent.
+func (harness *Harness) injectAgentFault(ctx context.Context, f schedule.Fault) error {
 	h := harness.hosts[index(f.Target)]
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -115,7 +115,7 @@
 			return &CrashPointError{Host: h.name, Point: f.Name}
 		}
 	}
-	harness.options.Logf("%s died at %q", h.name, f.Name)
+	harness.options.Logf("agent of %s ended at failpoint %q", h.name, f.Name)
 	return harness.startAgent(h)
 }
 
--- a/internal/faultinjection/harness/inject_backend.go
+++ b/internal/faultinjection/harness/inject_backend.go
@@ -12,8 +12,8 @@
 	"milletbarrow/internal/process"
 )
 
-// disturbBackend injects a fault into one backend's processes, which its supervisor recorded.
-func (harness *Harness) disturbBackend(ctx context.Context, f schedule.Fault) error {
+// injectBackendFault injects a fault into a backend's processes, which its supervisor recorded.
+func (harness *Harness) injectBackendFault(ctx context.Context, f schedule.Fault) error {
 	h := harness.hosts[index(f.Target)%len(harness.hosts)]
 	processes := harness.processesOf(h, f.Target)
 	switch f.Kind {
@@ -30,17 +30,17 @@
 	case schedule.KillSupervisor:
 		return processes.Supervisor.Signal(syscall.SIGKILL)
 	case schedule.BadStart:
-		return harness.failStart(ctx, f, processes.Backend)
+		return harness.failBackendStart(ctx, f, processes.Backend)
 	default: // kinds that do not concern a backend
 	}
 	return nil
 }
 
-// restartLimit is the time in which a backend has to accept its restart after a failed start.
+// restartLimit is the time in which the restart of a backend must be accepted after a failed start.
 const restartLimit time.Duration = time.Minute
 
-// failStart kills a backend whose configuration file is absent for the fault's duration, and restarts it.
-func (harness *Harness) failStart(ctx context.Context, f schedule.Fault, backend process.Identity) error {
+// failBackendStart kills a backend whose configuration file is absent for the fault's duration, and restarts it.
+func (harness *Harness) failBackendStart(ctx context.Context, f schedule.Fault, backend process.Identity) error {
 	config := filepath.Join(harness.site.Dir, f.Target+".json")
 	hidden := config + ".away"
 	if err := os.Rename(config, hidden); err != nil {
--- a/internal/faultinjection/harness/inject_link.go
+++ b/internal/faultinjection/harness/inject_link.go
@@ -6,35 +6,35 @@
 	"milletbarrow/internal/faultinjection/schedule"
 )
 
-// disturbLink injects a fault between two hosts for its duration, and ends it.
-func (harness *Harness) disturbLink(ctx context.Context, f schedule.Fault) {
-	there := harness.mesh.Direction(f.Target, f.Peer)
-	back := harness.mesh.Direction(f.Peer, f.Target)
+// injectLinkFault injects a fault into the link between two hosts for its duration, and ends it.
+func (harness *Harness) injectLinkFault(ctx context.Context, f schedule.Fault) {
+	forward := harness.mesh.Direction(f.Target, f.Peer)
+	reverse := harness.mesh.Direction(f.Peer, f.Target)
 	switch f.Kind {
 	case schedule.Cut:
-		there.Hold(true)
+		forward.Hold(true)
 		pause(ctx, f.Duration)
 		harness.mesh.Reset(f.Target, f.Peer) // so that held bytes are lost
-		there.Hold(false)
+		forward.Hold(false)
 	case schedule.CutBoth:
-		there.Hold(true)
-		back.Hold(true)
+		forward.Hold(true)
+		reverse.Hold(true)
 		pause(ctx, f.Duration)
 		harness.mesh.Reset(f.Target, f.Peer)
-		there.Hold(false)
-		back.Hold(false)
+		forward.Hold(false)
+		reverse.Hold(false)
 	case schedule.Stall:
-		there.Hold(true)
+		forward.Hold(true)
 		pause(ctx, f.Duration)
-		there.Hold(false)
+		forward.Hold(false)
 	case schedule.Delay:
-		there.Delay(f.Offset)
+		forward.Delay(f.Offset)
 		pause(ctx, f.Duration)
-		there.Delay(0)
+		forward.Delay(0)
 	case schedule.Slow:
-		there.Slow(f.Value)
+		forward.Slow(f.Value)
 		pause(ctx, f.Duration)
-		there.Slow(0)
+		forward.Slow(0)
 	case schedule.Reset:
 		harness.mesh.Reset(f.Target, f.Peer)
 	case schedule.Duplicate:
@@ -46,11 +46,11 @@
 	}
 }
 
-// minHostsForPair is the number of hosts from which on a host and the next one are a minority.
+// minHostsForPair is the least number of hosts for which isolateMinority isolates two.
 const minHostsForPair int = 4
 
-// cutOffMinority isolates a host, and the next one if there are enough hosts, from all others.
-func (harness *Harness) cutOffMinority(ctx context.Context, f schedule.Fault) {
+// isolateMinority isolates a host, and the next one if there are enough hosts, from all others.
+func (harness *Harness) isolateMinority(ctx context.Context, f schedule.Fault) {
 	first := index(f.Target)
 	next := (first + 1) % len(harness.hosts)
 	isolated := map[int]bool{first: true, next: len(harness.hosts) >= minHostsForPair}
--- a/internal/faultinjection/harness/play.go
+++ b/internal/faultinjection/harness/play.go
@@ -10,14 +10,14 @@
 	"milletbarrow/internal/loadgen"
 )
 
-// Limits of what has to come to its end after the last fault.
+// Time limits after the last fault.
 const (
-	maxRecovery = 45 * time.Second // until all quotas are granted again
-	maxLoadEnd  = 15 * time.Second // until callers have their last answers; then the load is cut off
+	recoveryTimeout = 45 * time.Second // for all quotas to be granted again
+	loadEndTimeout  = 15 * time.Second // for callers to get their last answers; then the load is cancelled
 )
 
-// play injects the faults under load, and waits until all effects of them are over.
-func (harness *Harness) play(ctx context.Context, v *Verdict) {
+// runFaults injects the faults under load, and waits until their effects are over.
+func (harness *Harness) runFaults(ctx context.Context, v *Verdict) {
 	loadCtx, endLoad := context.WithCancel(ctx)
 	defer endLoad()
 	loaded := make(chan loadResult, 1)
@@ -26,7 +26,7 @@
 	start := time.Now()
 	var faults sync.WaitGroup
 	for _, fault := range harness.options.Schedule.Faults {
-		faults.Go(func() { harness.playFault(ctx, fault, start) })
+		faults.Go(func() { harness.injectAt(ctx, fault, start) })
 	}
 	if harness.options.Schedule.RollingUpdate > 0 {
 		faults.Go(func() { harness.rollingUpdate(ctx, v, start) })
@@ -37,8 +37,8 @@
 	over := time.Now()
 	if err := harness.waitFor(
 		ctx,
-		maxRecovery,
-		"whole shares after the last fault",
+		recoveryTimeout,
+		"full grant of all quotas after the last fault",
 		func() bool { return harness.fullyGranted(ctx) },
 	); err != nil {
 		v.fail("%v: %s", err, harness.describeState(ctx))
@@ -48,34 +48,37 @@
 	select {
 	case result := <-loaded:
 		result.addTo(v)
-	case <-time.After(maxLoadEnd):
+	case <-time.After(loadEndTimeout):
 		endLoad()
 		result := <-loaded
 		result.addTo(v)
 	}
 }
 
-// playFault injects one fault at its time.
-func (harness *Harness) playFault(ctx context.Context, fault schedule.Fault, start time.Time) {
+// injectAt injects one fault at its time after the start, and counts it.
+func (harness *Harness) injectAt(ctx context.Context, fault schedule.Fault, start time.Time) {
 	if pause(ctx, fault.At-time.Since(start)); ctx.Err() != nil {
 		return
 	}
 	harness.options.Logf("%7.1f s  %v", time.Since(start).Seconds(), fault)
 	if err := harness.inject(ctx, fault); err != nil {
 		harness.options.Logf("%v: %v", fault, err)
-		harness.countFault("not brought about: " + string(fault.Kind))
+		harness.countFault(notInjectedPrefix + string(fault.Kind))
 		return
 	}
 	harness.countFault(string(fault.Kind))
 }
 
-// loadResult is what the load generator counted.
+// notInjectedPrefix begins the keys of Verdict.Faults for faults that could not be injected.
+const notInjectedPrefix = "not brought about: "
+
+// loadResult is the outcome of the load generator.
 type loadResult struct {
-	result *loadgen.Report // nil: there was no load
+	result *loadgen.Report // nil: the schedule has no load
 	err    error
 }
 
-// runLoad sends the scenario's requests until it is over, or the context ends.
+// runLoad sends the scenario's requests until the scenario or the context ends.
 func (harness *Harness) runLoad(ctx context.Context) loadResult {
 	if harness.options.Schedule.Load <= 0 {
 		return loadResult{}
@@ -86,17 +89,19 @@
 		Backends: harness.site.Backends,
 		Bounds:   limits.ForLoad(),
 	})
-	if ctx.Err() != nil { // it was cut off
+	if ctx.Err() != nil { // the load was cancelled, which is not an error
 		err = nil
 	}
 	return loadResult{result, err}
 }
 
+// addTo copies the counts to a verdict. An error fails the verdict.
 func (l loadResult) addTo(v *Verdict) {
 	if l.err != nil {
 		v.fail("load: %v", l.err)
 	}
 	if l.result != nil {
-		v.Requests, v.Value, v.Duplicates = l.result.Requests, l.result.Value(), l.result.DuplicateAnswers+l.result.UnknownResults
+		v.Requests, v.Value = l.result.Requests, l.result.Value()
+		v.Duplicates = l.result.DuplicateAnswers + l.result.UnknownResults
 	}
 }
--- a/internal/faultinjection/harness/processes.go
+++ b/internal/faultinjection/harness/processes.go
@@ -17,9 +17,9 @@
 	"milletbarrow/internal/process"
 )
 
-// startAgent starts an agent that does not run.
+// startAgent starts a host's agent, which must not be running.
 func (harness *Harness) startAgent(h *host) error {
-	cmd := exec.Command(harness.options.Program, "agent", "--fleet", h.file, "--host", h.name, "--dir", h.dir)
+	cmd := exec.Command(harness.options.Program, "agent", "--fleet", h.fleetFile, "--host", h.name, "--dir", h.dir)
 	cmd.Env = harness.agentEnvironment(h)
 	log, err := os.OpenFile(filepath.Join(harness.site.Dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// agentEnvironment is the environment of a host's agent, which its supervisors and backends inherit.
+// agentEnvironment returns the environment of a host's agent, which its supervisors and backends inherit.
 func (harness *Harness) agentEnvironment(h *host) []string {
 	env := append(os.Environ(),
 		directoryVariable+"="+harness.site.Dir,
@@ -54,8 +54,8 @@
 	return env
 }
 
-// clockSkew is by how many parts per million a host's lease clocks run fast: evenly spread from the slowest to the
-// fastest.
+// clockSkew returns by how many parts per million a host's lease clocks run fast. The hosts are evenly spread from the
+// slowest to the fastest.
 func (harness *Harness) clockSkew(h *host) int {
 	last := len(harness.hosts) - 1
 	if last == 0 {
@@ -64,7 +64,7 @@
 	return -harness.options.Schedule.Skew + 2*harness.options.Schedule.Skew*slices.Index(harness.hosts, h)/last
 }
 
-// failpointAt is the fault that a host's agent is started with: NAME everywhere, NAME@HOST at one host alone.
+// failpointAt returns the failpoint to enable in a host's agent. NAME applies to all hosts, NAME@HOST to one.
 func failpointAt(fault, host string) string {
 	if name, at, one := strings.Cut(fault, "@"); !one || at == host {
 		return name
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// hasEnded reports whether the host's agent, which was started, has ended.
+// hasEnded reports whether the host's agent has ended. It must have been started.
 func (h *host) hasEnded() bool {
 	select {
 	case <-h.ended:
@@ -82,6 +82,7 @@
 	}
 }
 
+// killAgent kills the host's agent, if it was ever started, and waits for its end.
 func (h *host) killAgent() {
 	if h.cmd != nil {
 		_ = h.cmd.Process.Kill()
@@ -89,7 +90,7 @@
 	}
 }
 
-// Processes are all that run now: agents, supervisors and backends.
+// Processes returns the running agents, supervisors and backends.
 func (harness *Harness) Processes() (all []process.Identity) {
 	for _, h := range harness.hosts {
 		if h.cmd != nil {
@@ -98,8 +99,8 @@
 			}
 		}
 		for _, name := range h.backends {
-			l := harness.processesOf(h, name)
-			for _, id := range []process.Identity{l.Supervisor, l.Backend} {
+			record := harness.processesOf(h, name)
+			for _, id := range []process.Identity{record.Supervisor, record.Backend} {
 				if id.Alive() {
 					all = append(all, id)
 				}
@@ -109,7 +110,7 @@
 	return all
 }
 
-// limitFiles lets a process's files grow no more, as a full disk would.
+// limitFiles stops the growth of a process's files, as a full disk would, or allows it again.
 func limitFiles(pid int, on bool) error {
 	l := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if on {
@@ -118,18 +119,19 @@
 	return unix.Prlimit(pid, unix.RLIMIT_FSIZE, &l, nil)
 }
 
-// supervised is who a backend's processes are, by its supervisor's file.
-type supervised struct {
+// supervisorRecord identifies a backend's processes, as its supervisor recorded them in a file.
+type supervisorRecord struct {
 	Supervisor process.Identity `json:"keeper"`
 	Backend    process.Identity `json:"instance"`
 }
 
-func (harness *Harness) processesOf(h *host, name string) (l supervised) {
+// processesOf returns the processes of a backend, or the zero value if its supervisor has recorded none.
+func (harness *Harness) processesOf(h *host, name string) (record supervisorRecord) {
 	f, err := os.Open(filepath.Join(h.dir, "keepers", name+".json"))
 	if err != nil {
-		return l
+		return record
 	}
 	defer func() { _ = f.Close() }()
-	_ = json.NewDecoder(io.LimitReader(f, 1<<16)).Decode(&l) // what is not written yet names no process
-	return l
+	_ = json.NewDecoder(io.LimitReader(f, 1<<16)).Decode(&record) // a record not yet written identifies no process
+	return record
 }
--- a/internal/faultinjection/harness/report.go
+++ b/internal/faultinjection/harness/report.go
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// Append adds a verdict to a file, as a line.
+// Append appends a verdict to a file as one line of JSON.
 func Append(file string, v *Verdict) error {
 	f, err := os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return errors.Join(json.NewEncoder(f).Encode(v), f.Close())
 }
 
-// Print writes one verdict for a person.
+// Print writes a verdict as text.
 func Print(w io.Writer, v *Verdict) {
 	word := "held"
 	if !v.OK {
@@ -29,7 +29,7 @@
 	}
 	fmt.Fprintf(
 		w,
-		"%s: %s; %.0f s, whole again after %.1f s, ledger's term %d, %d asks, %.3f billed",
+		"%s: %s; %.0f s, all quotas granted again after %.1f s, quota store term %d, %d requests, value %.3f",
 		v.Name,
 		word,
 		v.Seconds,
@@ -39,13 +39,14 @@
 		v.Value,
 	)
 	if v.RollingUpdateSeconds > 0 {
-		fmt.Fprintf(w, "; wave %.1f s, at most %d out", v.RollingUpdateSeconds, v.Unavailable)
+		fmt.Fprintf(w, "; rolling update %.1f s, at most %d unavailable", v.RollingUpdateSeconds, v.Unavailable)
 	}
 	fmt.Fprintln(w)
 	for _, r := range v.Reports {
 		fmt.Fprintf(
 			w,
-			"  %s: shares in force at most %.3f of the whole, %.3f over time, %.3f at the end; %d grants, %d units drawn, at most %d over the whole at once\n",
+			"  %s: grants in force at most %.3f of the total, mean %.3f, %.3f at the end; "+
+				"%d grants, %d units drawn, at most %d over the total at once\n",
 			r.Quota,
 			r.Peak,
 			r.Mean,
@@ -58,7 +59,9 @@
 	if f := v.ColdStart; f != nil {
 		fmt.Fprintf(
 			w,
-			"  register: an ordinary second has %.0f calls; while it took nothing %.0f, at most %.0f; fullest tenth %.2f times the mean in the first second, %.2f once all were listed\n",
+			"  endpoint registry: %.0f calls per second at the usual interval; before it accepted reports mean %.0f, "+
+				"at most %.0f; busiest tenth of a second %.2f times the usual rate in the first second, "+
+				"%.2f times the mean once all were listed\n",
 			f.Ordinary,
 			f.Refusing,
 			f.Worst,
@@ -67,7 +70,8 @@
 		)
 		fmt.Fprintf(
 			w,
-			"  half listed after %.1f s, 95 in a hundred after %.1f s; %d connections, fell over %d times; %d lapses; at most %d starting at once; %d of %d listed at the end\n",
+			"  50%% listed after %.1f s, 95%% after %.1f s; %d connections, %d collapses; %d expired entries; "+
+				"at most %d starting at once; %d of %d listed at the end\n",
 			f.Half,
 			f.Most,
 			f.Conns,
@@ -83,26 +87,26 @@
 	}
 }
 
-// Report sums up many verdicts.
+// Report summarises many verdicts.
 type Report struct {
 	Trials          int
 	Failed          int
-	Faults          map[string]int // by kind, over all
+	Faults          map[string]int // by kind, over all trials
 	Grants          int
 	Drawn           int64     // units
-	Peak            float64   `json:"Most"` // the highest sum of grants in force, as a part of the total
-	Excess          int64     `json:"Over"` // units drawn at once over the total
-	Mean            float64   // grants in force over time, as a part of the total
-	RecoverySeconds []float64 `json:"Again"`   // until granted again after the last fault, sorted
-	FirstFailed     string    `json:"First"`   // the schedule of the first trial that did not hold
-	FirstFailedAt   int       `json:"FirstAt"` // its number, from 1
-	Reasons         []string  `json:"Why"`     // of the first that did not hold
+	Peak            float64   `json:"Most"` // highest sum of grants in force, as a fraction of the total
+	Excess          int64     `json:"Over"` // highest number of units drawn at once over the total
+	Mean            float64   // mean of the grants in force over time, as a fraction of the total
+	RecoverySeconds []float64 `json:"Again"`   // from the last fault until all quotas were granted again, sorted
+	FirstFailed     string    `json:"First"`   // schedule of the first failed trial
+	FirstFailedAt   int       `json:"FirstAt"` // number of the first failed trial, from 1
+	Reasons         []string  `json:"Why"`     // failed checks of the first failed trial
 }
 
 // maxVerdict is the longest line of a file of verdicts, in bytes.
-const maxVerdict = 16 << 20
+const maxVerdictBytes = 16 << 20
 
-// ReadReport reads the verdicts of a file.
+// ReadReport summarises the verdicts that Append wrote to a file.
 func ReadReport(file string) (*Report, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -111,7 +115,7 @@
 	defer func() { _ = f.Close() }()
 	r := &Report{Faults: map[string]int{}}
 	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, maxVerdict)
+	lines.Buffer(nil, maxVerdictBytes)
 	reports := 0
 	for lines.Scan() {
 		var v Verdict
@@ -127,12 +131,12 @@
 		for k, n := range v.Faults {
 			r.Faults[k] += n
 		}
-		for _, one := range v.Reports {
+		for _, report := range v.Reports {
 			reports++
-			r.Grants += one.Grants
-			r.Drawn += one.Drawn
-			r.Peak, r.Excess = max(r.Peak, one.Peak), max(r.Excess, one.Excess)
-			r.Mean += (one.Mean - r.Mean) / float64(reports)
+			r.Grants += report.Grants
+			r.Drawn += report.Drawn
+			r.Peak, r.Excess = max(r.Peak, report.Peak), max(r.Excess, report.Excess)
+			r.Mean += (report.Mean - r.Mean) / float64(reports)
 		}
 		r.RecoverySeconds = append(r.RecoverySeconds, v.RecoverySeconds)
 	}
@@ -140,15 +144,16 @@
 	return r, lines.Err()
 }
 
-// Print writes it for a person.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d trials, %d did not hold\n", r.Trials, r.Failed)
+	fmt.Fprintf(w, "%d trials, %d failed\n", r.Trials, r.Failed)
 	if r.Trials == 0 {
 		return
 	}
 	fmt.Fprintf(
 		w,
-		"shares in force: at most %.3f of the whole, %.3f over time; %d grants, %d units drawn, at most %d over the whole at once\n",
+		"grants in force: at most %.3f of the total, mean %.3f; %d grants, %d units drawn, "+
+			"at most %d over the total at once\n",
 		r.Peak,
 		r.Mean,
 		r.Grants,
@@ -157,7 +162,7 @@
 	)
 	fmt.Fprintf(
 		w,
-		"whole again after the last fault: half within %.1f s, all within %.1f s\n",
+		"all quotas granted again after the last fault: median %.1f s, maximum %.1f s\n",
 		r.RecoverySeconds[len(r.RecoverySeconds)/2],
 		r.RecoverySeconds[len(r.RecoverySeconds)-1],
 	)
@@ -169,7 +174,7 @@
 	if r.FirstFailed != "" {
 		fmt.Fprintf(
 			w,
-			"the first that did not hold was %s, number %d: %s\n",
+			"first failed trial: %s, number %d: %s\n",
 			r.FirstFailed,
 			r.FirstFailedAt,
 			strings.Join(r.Reasons, "; "),
--- a/internal/faultinjection/harness/rolling_update.go
+++ b/internal/faultinjection/harness/rolling_update.go
@@ -8,40 +8,41 @@
 	"milletbarrow/internal/process"
 )
 
-// Marks of a verdict: names of times in it.
+// Keys of Verdict.Marks.
 const (
-	markRollingUpdate     = "wave"
-	markRollingUpdateOver = "wave over"
+	rollingUpdateStartMark = "wave"
+	rollingUpdateEndMark   = "wave over"
 )
 
 const (
-	toolLifetime     = 2 * time.Second // after which the rolling update's tool is killed
-	maxRollingUpdate = 4 * time.Minute
+	toolKillDelay        = 2 * time.Second // from the start of the rolling update until its command-line tool is killed
+	rollingUpdateTimeout = 4 * time.Minute
 )
 
-// rollingUpdate takes all backends through a rolling update whose tool is killed on the way, and waits for its end.
+// rollingUpdate starts a rolling update of all backends, kills the command-line tool that started it, and waits until
+// the agents have finished the update.
 func (harness *Harness) rollingUpdate(ctx context.Context, v *Verdict, start time.Time) {
 	if pause(ctx, harness.options.Schedule.RollingUpdate-time.Since(start)); ctx.Err() != nil {
 		return
 	}
-	v.Marks[markRollingUpdate] = int64(process.Now())
+	v.Marks[rollingUpdateStartMark] = int64(process.Now())
 	began := time.Now()
-	toolCtx, kill := context.WithTimeout(ctx, toolLifetime) // its end is SIGKILL to the tool
+	toolCtx, kill := context.WithTimeout(ctx, toolKillDelay) // when it expires, the tool gets SIGKILL
 	_, _ = harness.Tool(toolCtx, "wave", "--all", "--quiet", "--id", "w", "--within", "10m")
 	kill()
 	if err := harness.waitFor(
 		ctx,
-		maxRollingUpdate,
-		"end of the wave",
+		rollingUpdateTimeout,
+		"end of the rolling update",
 		func() bool { return harness.noOpenCommands(ctx) },
 	); err != nil {
 		v.fail("%v", err)
 	}
 	v.RollingUpdateSeconds = time.Since(began).Seconds()
-	v.Marks[markRollingUpdateOver] = int64(process.Now())
+	v.Marks[rollingUpdateEndMark] = int64(process.Now())
 }
 
-// hostStatus is what fleet status prints of a host, as far as a trial needs it.
+// hostStatus holds the fields of fleet status --json that a trial needs of each host.
 type hostStatus struct {
 	Host   string
 	Status *struct {
@@ -49,7 +50,7 @@
 	}
 }
 
-// noOpenCommands reports whether every host answers and has no command to carry out.
+// noOpenCommands reports whether every host answers and has no unfinished command.
 func (harness *Harness) noOpenCommands(ctx context.Context) bool {
 	out, err := harness.Tool(ctx, "status", "--json")
 	var hosts []hostStatus
--- a/internal/faultinjection/harness/shrink.go
+++ b/internal/faultinjection/harness/shrink.go
@@ -12,15 +12,15 @@
 
 // Shrink removes faults from a failing schedule as long as the rest still fails. It runs each schedule for up to the
 // given number of attempts, as failures may be intermittent. When the context ends, it returns the smallest failing
-// schedule found by then. It returns a *HoldsError if the schedule itself holds in every attempt.
+// schedule found by then. It returns a *NoFailureError if the schedule itself passes in every attempt.
 func Shrink(
 	ctx context.Context,
 	s *schedule.Schedule,
 	attempts int,
 	options OptionsFunc,
 ) (*schedule.Schedule, error) {
-	if fails, err := failsOnce(ctx, s, attempts, options); err != nil || !fails {
-		return s, errors.Join(err, &HoldsError{Schedule: s.Name, Attempts: attempts})
+	if fails, err := failsInAttempts(ctx, s, attempts, options); err != nil || !fails {
+		return s, errors.Join(err, &NoFailureError{Schedule: s.Name, Attempts: attempts})
 	}
 	for {
 		smaller, found, err := smallerThatFails(ctx, s, attempts, options)
@@ -43,7 +43,7 @@
 		if isDone(ctx) {
 			return nil, false, nil
 		}
-		fails, err := failsOnce(ctx, smaller, attempts, options)
+		fails, err := failsInAttempts(ctx, smaller, attempts, options)
 		if err != nil {
 			return nil, false, err
 		}
@@ -54,8 +54,8 @@
 	return nil, false, nil
 }
 
-// failsOnce reports whether a schedule fails in one of the attempts.
-func failsOnce(
+// failsInAttempts reports whether a schedule fails in one of the attempts.
+func failsInAttempts(
 	ctx context.Context,
 	s *schedule.Schedule,
 	attempts int,
--- a/internal/faultinjection/harness/site.go
+++ b/internal/faultinjection/harness/site.go
@@ -15,7 +15,7 @@
 	"milletbarrow/internal/simulation"
 )
 
-// Open lays out files and links; no agent runs yet.
+// Open creates the trial's directory, files and links. It starts no agent.
 func Open(o Options) (*Harness, error) {
 	o.setDefaults()
 	harness := &Harness{
@@ -25,8 +25,8 @@
 		faults:  map[string]int{},
 		version: 1,
 	}
-	harness.scenario = harness.makeScenario()
-	if err := harness.openSite(); err != nil {
+	harness.scenario = harness.newScenario()
+	if err := harness.startSite(); err != nil {
 		return nil, err
 	}
 	if err := harness.prepare(); err != nil {
@@ -35,8 +35,8 @@
 	return harness, nil
 }
 
-// openSite starts the fakes.
-func (harness *Harness) openSite() (err error) {
+// startSite starts the fake executors and, for a cold start, the fake endpoint registry.
+func (harness *Harness) startSite() (err error) {
 	registryAddress := ""
 	if c := harness.options.Schedule.ColdStart; c != nil {
 		if harness.registry, err = registry.Start(demo.Loopback()+":0", c.RegistryBehavior); err != nil {
@@ -56,7 +56,7 @@
 	return err
 }
 
-// prepare starts what ends the trial's processes, and lays out directories, links and files.
+// prepare starts the watchdog and creates the trial's directories, links and fleet files.
 func (harness *Harness) prepare() (err error) {
 	if harness.watchdog, err = startWatchdog(harness.site.Dir); err != nil {
 		return err
@@ -66,12 +66,12 @@
 			return err
 		}
 	}
-	if err := harness.layHosts(); err != nil {
+	if err := harness.createHosts(); err != nil {
 		return err
 	}
 	var names, peers []string
 	for _, h := range harness.hosts {
-		names, peers = append(names, h.name), append(peers, h.peer)
+		names, peers = append(names, h.name), append(peers, h.peerAddress)
 	}
 	if harness.mesh, err = proxy.NewMesh(names, peers); err != nil {
 		return err
@@ -79,6 +79,7 @@
 	return harness.writeFiles()
 }
 
+// setDefaults replaces zero values by the documented defaults.
 func (o *Options) setDefaults() {
 	if o.Logf == nil {
 		o.Logf = func(string, ...any) {}
@@ -94,20 +95,18 @@
 	}
 }
 
-// makeScenario makes the load of the demo with a tenant for each quota, and notes the quotas' sizes.
-func (harness *Harness) makeScenario() simulation.Scenario {
+// newScenario returns the demo's load with a tenant for each quota, and stores the quotas' totals.
+func (harness *Harness) newScenario() simulation.Scenario {
 	s := demo.Scenario(harness.options.Schedule.Backends, harness.options.Schedule.Span)
 	s.Faults, s.Load.Level = nil, harness.options.Schedule.Load
 	sum := 0.0
-	for _, b := range harness.options.Quotas {
-		sum += float64(b.Total)
+	for _, quota := range harness.options.Quotas {
+		sum += float64(quota.Total)
 	}
-	for _, b := range harness.options.Quotas {
-		s.Tenants = append(
-			s.Tenants,
-			simulation.Tenant{Name: b.Tenant, Share: float64(b.Total) / sum, Quota: float64(b.Total)},
-		)
-		harness.totals[b.Name] = b.Total
+	for _, quota := range harness.options.Quotas {
+		total := float64(quota.Total)
+		s.Tenants = append(s.Tenants, simulation.Tenant{Name: quota.Tenant, Share: total / sum, Quota: total})
+		harness.totals[quota.Name] = quota.Total
 	}
 	if harness.options.ModifyLoad != nil {
 		harness.options.ModifyLoad(&s)
@@ -115,8 +114,8 @@
 	return s
 }
 
-// layHosts makes each host's directory and address; backends are dealt out in turn.
-func (harness *Harness) layHosts() error {
+// createHosts creates each host's directory and addresses, and assigns the backends to the hosts in turn.
+func (harness *Harness) createHosts() error {
 	for i := range harness.options.Schedule.Hosts {
 		peer, err := harness.site.FreeAddress()
 		if err != nil {
@@ -124,12 +123,12 @@
 		}
 		name := fmt.Sprint("h", i+1)
 		h := &host{
-			name: name,
-			dir:  filepath.Join(harness.site.Dir, name),
-			peer: peer,
-			file: filepath.Join(harness.site.Dir, name+".sx"),
+			name:        name,
+			dir:         filepath.Join(harness.site.Dir, name),
+			peerAddress: peer,
+			fleetFile:   filepath.Join(harness.site.Dir, name+".sx"),
 		}
-		h.agent = "unix:" + filepath.Join(harness.site.Dir, name+".sock")
+		h.agentAddress = "unix:" + filepath.Join(harness.site.Dir, name+".sock")
 		if err := os.Mkdir(h.dir, 0o700); err != nil {
 			return err
 		}
@@ -141,8 +140,8 @@
 	return nil
 }
 
-// writeFiles writes each host's file of the fleet. All describe the same fleet, but each reaches other hosts by links of
-// its own.
+// writeFiles writes each host's fleet file. All files describe the same fleet, but each has its own proxy addresses for
+// the other hosts.
 func (harness *Harness) writeFiles() error {
 	for _, h := range harness.hosts {
 		var b strings.Builder
@@ -151,24 +150,24 @@
 		harness.writeGroups(&b)
 		harness.writeQuotas(&b)
 		b.WriteString(")\n")
-		if err := os.WriteFile(h.file+".new", []byte(b.String()), 0o600); err != nil {
+		if err := os.WriteFile(h.fleetFile+".new", []byte(b.String()), 0o600); err != nil {
 			return err
 		}
-		if err := os.Rename(h.file+".new", h.file); err != nil {
+		if err := os.Rename(h.fleetFile+".new", h.fleetFile); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// writeHosts writes the hosts as one of them reaches the others.
+// writeHosts writes the hosts with the addresses at which one of them reaches the others.
 func (harness *Harness) writeHosts(b *strings.Builder, from *host) {
 	for _, h := range harness.hosts {
-		peer := h.peer
+		peer := h.peerAddress
 		if h != from {
 			peer = harness.mesh.Link(from.name, h.name).Address
 		}
-		fmt.Fprintf(b, " (host %s (agent %q) (peer %q))\n", h.name, h.agent, peer)
+		fmt.Fprintf(b, " (host %s (agent %q) (peer %q))\n", h.name, h.agentAddress, peer)
 	}
 }
 
--- a/internal/faultinjection/harness/state.go
+++ b/internal/faultinjection/harness/state.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// State is what fleet quotas prints, as far as a trial needs it.
+// State holds the fields of fleet quotas --json that a trial needs.
 type State struct {
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
 	Version int    `json:"version"`
-	Budgets []struct {
-		Budget  string `json:"budget"`
+	Quotas  []struct {
+		Name    string `json:"budget"`
 		Kind    string `json:"kind"`
-		Whole   int64  `json:"whole"`
+		Total   int64  `json:"whole"`
 		InForce int64  `json:"in_force"`
 		Holders []struct {
 			Name  string `json:"name"`
@@ -24,6 +24,7 @@
 	} `json:"budgets"`
 }
 
+// quotaState returns the state of the quota store, or nil if it does not answer or has no leader.
 func (harness *Harness) quotaState(ctx context.Context) *State {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -35,24 +36,24 @@
 	return &s
 }
 
-// fullyGranted reports whether the quota store has all of each rate in force, and nothing of the count.
+// fullyGranted reports whether every rate quota is fully granted and no unit of a count quota is in use.
 func (harness *Harness) fullyGranted(ctx context.Context) bool {
 	s := harness.quotaState(ctx)
 	if s == nil {
 		return false
 	}
-	for _, b := range s.Budgets {
-		if b.Kind == "rate" && b.InForce < b.Whole || b.Kind == "count" && b.InForce > 0 {
+	for _, quota := range s.Quotas {
+		if quota.Kind == "rate" && quota.InForce < quota.Total || quota.Kind == "count" && quota.InForce > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 100 * time.Millisecond
 
-// waitFor waits until a condition is true. The error is a *WaitError, also where the context ends first.
+// waitFor waits until a condition is true. The error is a *WaitError, even if the context ends first.
 func (harness *Harness) waitFor(ctx context.Context, limit time.Duration, condition string, ok func() bool) error {
 	for end := time.Now().Add(limit); !ok(); {
 		if time.Now().After(end) || ctx.Err() != nil {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// pause waits for a span, or until the context ends.
+// pause waits for a duration or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -71,6 +72,7 @@
 	}
 }
 
+// describeState returns the state of the quota store as JSON, truncated, for the reasons of a verdict.
 func (harness *Harness) describeState(ctx context.Context) string {
 	if s := harness.quotaState(ctx); s != nil {
 		raw, _ := json.Marshal(s)
