--- a/internal/faultinjection/schedule/cold_start.go
+++ b/internal/faultinjection/schedule/cold_start.go
@@ -17,7 +17,7 @@
 	MaxConcurrent int  // backends on all hosts that may start at the same time; 0: all
 }
 
-// Values of the field reports.
+// Values of the field reports of a cold start.
 const (
 	pacedReports string = "paced"
 	fixedReports string = "fixed"
@@ -32,6 +32,7 @@
 	maxConnections      int           = 1000 // per backend
 )
 
+// readColdStart reads the form cold.
 func readColdStart(f *sexpr.Form) *ColdStart {
 	c := &ColdStart{
 		RegistryBehavior: coldstart.RegistryBehavior{
@@ -49,6 +50,7 @@
 	return c
 }
 
+// readPhases reads the registry's phases, which must be sorted by their start.
 func readPhases(f *sexpr.Form) (phases []coldstart.Phase) {
 	previous := time.Duration(-1)
 	for _, sub := range f.All("phase") {
@@ -68,6 +70,7 @@
 	return phases
 }
 
+// readBounds reads the bounds of a cold start's figures.
 func readBounds(f *sexpr.Form) coldstart.Bounds {
 	b := coldstart.Bounds{
 		Refusing: f.Share("refusing", 0, maxRatio, 0),
--- a/internal/faultinjection/schedule/compat_test.go
+++ b/internal/faultinjection/schedule/compat_test.go
@@ -11,8 +11,8 @@
 	"milletbarrow/internal/compattest"
 )
 
-// TestEarlierSchedules verifies that schedules of an earlier release are read and written back byte for byte.
-func TestEarlierSchedules(t *testing.T) {
+// TestEarlierSchedulesRoundTrip verifies that schedules of an earlier release are read and written back byte for byte.
+func TestEarlierSchedulesRoundTrip(t *testing.T) {
 	files, err := os.ReadDir(compattest.File("."))
 	if err != nil || len(files) < 7 {
 		t.Fatalf("got %d schedules, want 7 or more; error %v", len(files), err)
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestEarlierDraws verifies that a seed draws the same schedule as in the earlier release.
-func TestEarlierDraws(t *testing.T) {
+// TestSeedsDrawSameScheduleAsEarlierRelease verifies that a seed draws the same schedule as in the earlier release.
+func TestSeedsDrawSameScheduleAsEarlierRelease(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		name := fmt.Sprintf("drawn-%d.sx", seed)
 		drawn := Random(seed, 5, 20, 24, 40*time.Second)
--- a/internal/faultinjection/schedule/fault.go
+++ b/internal/faultinjection/schedule/fault.go
@@ -99,7 +99,7 @@
 	return b.String() + ")"
 }
 
-// target is the type of a name in a fault's form, as error texts give it.
+// target is the type of a name in a fault's form, as printed in error texts.
 type target string
 
 const (
@@ -114,9 +114,10 @@
 	backendPrefix string = "n"
 )
 
+// numberedName returns the name of a host or backend.
 func numberedName(prefix string, number int) string { return fmt.Sprint(prefix, number) }
 
-// withTargets returns the fault with the given names in the fields of its kind's targets, which are equally many.
+// withTargets returns the fault with its targets set to the names, one for each target of its kind.
 func (f Fault) withTargets(names []string) Fault {
 	for i, target := range f.Kind.targets() {
 		switch {
@@ -131,7 +132,7 @@
 	return f
 }
 
-// targets returns the types of the names in the form of a fault of the kind, in that order.
+// targets returns the types of the names that a fault of the kind has, in the order of its form.
 func (k Kind) targets() []target {
 	switch k {
 	case Cut, CutBoth, Delay, Stall, Slow, Reset, Duplicate:
--- a/internal/faultinjection/schedule/random.go
+++ b/internal/faultinjection/schedule/random.go
@@ -12,15 +12,15 @@
 const randomStream uint64 = 27
 
 const (
-	// earliestFault is the time before the first fault, in milliseconds.
+	// earliestFault is the time without faults at the start, in milliseconds.
 	earliestFault int = 2000
 	// quietEnd is the time after the last fault in which its effects can end, in milliseconds.
 	quietEnd int = 4000
 )
 
 const (
-	// maxBlackouts limits the faults of kinds Blackout and StaleStore together, as no others strain the quota store
-	// more.
+	// maxBlackouts limits the faults of kinds Blackout and StaleStore together, as these are the hardest on the quota
+	// store.
 	maxBlackouts int = 3
 	// randomQuota is the quota whose total ChangeTotal changes.
 	randomQuota string = "acme"
@@ -36,8 +36,10 @@
 	maximum int
 }
 
+// draw draws an integer of the range.
 func (b bounds) draw(r *rand.Rand) int { return b.minimum + r.IntN(b.maximum-b.minimum+1) }
 
+// drawMilliseconds draws a duration from a range in milliseconds.
 func (b bounds) drawMilliseconds(r *rand.Rand) time.Duration {
 	return time.Duration(b.draw(r)) * time.Millisecond
 }
--- a/internal/faultinjection/schedule/read.go
+++ b/internal/faultinjection/schedule/read.go
@@ -41,6 +41,7 @@
 	return readTrial(forms[0]), errs.Err()
 }
 
+// readTrial reads the form trial.
 func readTrial(f *sexpr.Form) *Schedule {
 	s := &Schedule{
 		Name:          f.Arg(),
@@ -65,6 +66,7 @@
 	return s
 }
 
+// readFault reads the form of a fault. Invalid targets are left out and reported as errors of the form.
 func (s *Schedule) readFault(kind Kind, form *sexpr.Form) Fault {
 	f := Fault{
 		Kind:     kind,
--- a/internal/faultinjection/schedule/schedule.go
+++ b/internal/faultinjection/schedule/schedule.go
@@ -4,9 +4,10 @@
 //
 // Invariants:
 //   - A schedule that is written and read again is the same (TestRandomRoundTrip).
-//   - Faults are sorted by time (TestReadOrder, TestRandomBounds).
-//   - Each fault has the targets of its kind, within the trial's hosts and backends (TestTargets).
-//   - A seed draws the same schedule in every release (TestEarlierDraws).
+//   - Faults are sorted by time (TestReadSortsFaultsAndSetsDefaults,
+//     TestRandomLimitsTimesAndBlackouts).
+//   - Each fault has the targets of its kind, within the trial's hosts and backends (TestReadChecksTargets).
+//   - A seed draws the same schedule in every release (TestSeedsDrawSameScheduleAsEarlierRelease).
 package schedule
 
 import (
--- a/internal/faultinjection/schedule/schedule_test.go
+++ b/internal/faultinjection/schedule/schedule_test.go
@@ -49,8 +49,9 @@
 	}
 }
 
-// TestSmaller verifies that the first smaller schedule lacks half of the faults and the last one lacks one.
-func TestSmaller(t *testing.T) {
+// TestSmallerRemovesHalfFirst verifies that the first smaller schedule lacks half of the faults and the last one lacks
+// one.
+func TestSmallerRemovesHalfFirst(t *testing.T) {
 	drawn := Random(1, 5, 20, 24, time.Minute)
 	all := drawn.Smaller()
 	if n := len(all[0].Faults); n != 12 {
@@ -294,8 +295,8 @@
 	},
 }
 
-// TestBounds verifies the first and last valid value of each field and the values beyond them.
-func TestBounds(t *testing.T) {
+// TestReadChecksFieldBounds verifies that Read accepts the bounds of each field and rejects the values beyond them.
+func TestReadChecksFieldBounds(t *testing.T) {
 	for _, c := range fieldBounds {
 		if _, err := Read("t.sx", []byte(c.valid)); err != nil {
 			t.Errorf("%s: %v", c.valid, err)
@@ -306,16 +307,16 @@
 	}
 }
 
-// TestTargets verifies that each kind takes the hosts and backends that it acts on, in order, and no others.
-func TestTargets(t *testing.T) {
+// TestReadChecksTargets verifies that each kind takes the hosts and backends that it acts on, in order, and no others.
+func TestReadChecksTargets(t *testing.T) {
 	invalidNames := map[target][]string{
 		hostTarget:    {"h4", "h0", "n1", "h", "acme", "h-1", "hh1", "h01", "h+1", "hn1", "1", "\"\""},
 		backendTarget: {"n10", "n0", "h1", "n", "acme", "n-1", "nn1", "n01", "n+1", "hn1", "1", "\"\""},
 	}
 	for _, kind := range append(Kinds(), CrashPoint) {
 		names := make([]string, 0, 2)
-		for _, word := range kind.targets() {
-			names = append(names, map[target]string{hostTarget: "h3", backendTarget: "n9", nameTarget: "acme"}[word])
+		for _, want := range kind.targets() {
+			names = append(names, map[target]string{hostTarget: "h3", backendTarget: "n9", nameTarget: "acme"}[want])
 		}
 		if len(names) == 2 && names[1] == "h3" {
 			names[1] = "h1"
@@ -338,11 +339,11 @@
 		if _, err := readFault(append(slices.Clone(names), "h1")); err == nil {
 			t.Errorf("%s: an extra name was accepted", kind)
 		}
-		for i, word := range kind.targets() {
+		for i, want := range kind.targets() {
 			if _, err := readFault(slices.Delete(slices.Clone(names), i, i+1)); err == nil {
 				t.Errorf("%s: a missing name was accepted", kind)
 			}
-			for _, name := range invalidNames[word] {
+			for _, name := range invalidNames[want] {
 				wrong := slices.Clone(names)
 				wrong[i] = name
 				if _, err := readFault(wrong); err == nil {
@@ -353,8 +354,9 @@
 	}
 }
 
-// TestReadOrder verifies that faults are sorted by time and then by kind, and that omitted fields have their defaults.
-func TestReadOrder(t *testing.T) {
+// TestReadSortsFaultsAndSetsDefaults verifies that faults are sorted by time and then by kind, and that omitted fields
+// have their defaults.
+func TestReadSortsFaultsAndSetsDefaults(t *testing.T) {
 	s, err := Read("t.sx", []byte(`(trial a
 		(kill (at 2s) (on h1))
 		(cut (at 2s) (on h1) (on h2))
@@ -377,25 +379,25 @@
 	}
 }
 
-// TestRandomBounds verifies that drawn faults leave time before and after them, are sorted by time, and hold a limited
-// number of faults that stop the quota store.
-func TestRandomBounds(t *testing.T) {
+// TestRandomLimitsTimesAndBlackouts verifies that drawn faults leave time before and after them, are sorted by time,
+// and include a limited number of blackouts and stale stores.
+func TestRandomLimitsTimesAndBlackouts(t *testing.T) {
 	for seed := range uint64(20) {
 		s := Random(seed, 1, 1, 120, 10*time.Second)
-		hard := 0
+		blackouts := 0
 		for _, f := range s.Faults {
 			if f.At < 2*time.Second || f.At > 6*time.Second {
 				t.Errorf("seed %d: %v, want a time from 2 s after the start to 4 s before the end", seed, f)
 			}
 			if f.Kind == Blackout || f.Kind == StaleStore {
-				hard++
+				blackouts++
 			}
 		}
-		if hard > 3 || len(s.Faults) != 120 {
+		if blackouts > 3 || len(s.Faults) != 120 {
 			t.Errorf(
 				"seed %d: got %d blackouts and stale stores and %d faults, want at most 3 and 120",
 				seed,
-				hard,
+				blackouts,
 				len(s.Faults),
 			)
 		}
