--- a/internal/faultinjection/harness/report.go
+++ b/internal/faultinjection/harness/report.go
@@ -10,6 +10,8 @@
 	"os"
 	"slices"
 	"strings"
+
+	"milletbarrow/internal/faultinjection/coldstart"
 )
 
 // Append appends a verdict to a file as one line of JSON.
@@ -56,37 +58,42 @@
 			r.Excess,
 		)
 	}
-	if f := v.ColdStart; f != nil {
-		fmt.Fprintf(
-			w,
-			"  endpoint registry: %.0f calls per second at the usual interval; before it accepted reports mean %.0f, "+
-				"at most %.0f; busiest tenth of a second %.2f times the usual rate in the first second, "+
-				"%.2f times the mean once all were listed\n",
-			f.Ordinary,
-			f.Refusing,
-			f.Worst,
-			f.First,
-			f.Peak,
-		)
-		fmt.Fprintf(
-			w,
-			"  50%% listed after %.1f s, 95%% after %.1f s; %d connections, %d collapses; %d expired entries; "+
-				"at most %d starting at once; %d of %d listed at the end\n",
-			f.Half,
-			f.Most,
-			f.Conns,
-			f.Falls,
-			f.Lapsed,
-			f.Starting,
-			f.Listed,
-			f.Backends,
-		)
+	if v.ColdStart != nil {
+		printColdStart(w, v.ColdStart)
 	}
 	for _, reason := range v.Reasons {
 		fmt.Fprintln(w, "  ", reason)
 	}
 }
 
+// printColdStart writes the figures of a cold start as text.
+func printColdStart(w io.Writer, f *coldstart.Figures) {
+	fmt.Fprintf(
+		w,
+		"  endpoint registry: %.0f calls per second at the usual interval; before it accepted reports mean %.0f, "+
+			"at most %.0f; busiest tenth of a second %.2f times the usual rate in the first second, "+
+			"%.2f times the mean once all were listed\n",
+		f.Ordinary,
+		f.Refusing,
+		f.Worst,
+		f.First,
+		f.Peak,
+	)
+	fmt.Fprintf(
+		w,
+		"  50%% listed after %.1f s, 95%% after %.1f s; %d connections, %d collapses; %d expired entries; "+
+			"at most %d starting at once; %d of %d listed at the end\n",
+		f.Half,
+		f.Most,
+		f.Conns,
+		f.Falls,
+		f.Lapsed,
+		f.Starting,
+		f.Listed,
+		f.Backends,
+	)
+}
+
 // Report summarises many verdicts.
 type Report struct {
 	Trials          int
--- a/internal/faultinjection/schedule/schedule.go
+++ b/internal/faultinjection/schedule/schedule.go
@@ -4,8 +4,7 @@
 //
 // Invariants:
 //   - A schedule that is written and read again is the same (TestRandomRoundTrip).
-//   - Faults are sorted by time (TestReadSortsFaultsAndSetsDefaults,
-//     TestRandomLimitsTimesAndBlackouts).
+//   - Faults are sorted by time (TestReadSortsFaultsAndSetsDefaults, TestRandomLimitsTimesAndBlackouts).
 //   - Each fault has the targets of its kind, within the trial's hosts and backends (TestReadChecksTargets).
 //   - A seed draws the same schedule in every release (TestSeedsDrawSameScheduleAsEarlierRelease).
 package schedule
