--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -27,7 +27,7 @@
 	Program    string // path of the built program
 	Schedule   *schedule.Schedule
 	FailureDir string                     // directory for the logs of a failing trial; empty: they are removed
-	Failpoint  string                     // NAME or NAME@HOST; needs a program built with failpoints
+	Failpoint  string                     // fault to enable in a program built with failpoints: NAME or NAME@HOST
 	Logf       func(string, ...any)       // prints progress; nil: none
 	Quotas     []Quota                    // empty: StandardQuotas
 	Lease      time.Duration              // of quotas; 0: 2 s, with a margin of 100 ms
--- a/internal/faultinjection/harness/measure.go
+++ b/internal/faultinjection/harness/measure.go
@@ -194,7 +194,7 @@
 // drawLogs holds the draw logs of all holders.
 type drawLogs struct {
 	all   []*checker.Process
-	total int // units a second
+	total int // units per second
 }
 
 // drawnShare returns the fraction of a quota's total that was drawn in a span, in microseconds of the boot clock.
