--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -1,13 +1,15 @@
-// Package checker judges a fault-injection trial by the draw logs that the backend processes wrote. All processes run
+// Package checker verifies a fault-injection trial by the draw logs that the backend processes wrote. All processes run
 // on one machine and share its clock. The package computes the grants in force at every instant and the units drawn,
-// and reports each breach of a quota's total. It shares no code with the program that it judges, relies on the logs
-// alone, and does no I/O besides reading them.
+// and reports each breach of a quota's total. It shares no code with the program under test, relies on the logs alone,
+// and does no I/O besides reading them.
 //
 // All times are microseconds of the machine's boot clock (CLOCK_BOOTTIME); all durations are microseconds.
 //
-// Invariants that the package checks:
-//   - At no instant do the grants in force add up to more than the total (CheckGrants, TestBreachesOfTotal).
-//   - In no span are more units drawn than the total allows plus the burst (CheckDraws, TestDrawsWithinSpans).
+// Invariants that the package verifies:
+//   - At no instant do the grants in force add up to more than the total (CheckGrants,
+//     TestGrantsAboveTotalAreBreaches).
+//   - In no span are more units drawn than the total allows plus the burst (CheckDraws,
+//     TestDrawsAboveTotalAndBurstAreBreaches).
 package checker
 
 import "fmt"
@@ -21,7 +23,7 @@
 // made under the higher total has expired.
 type Total struct {
 	From  int64 // microseconds
-	Units int64 // units per second; 0: the quota is not judged
+	Units int64 // units per second; 0: the quota is not checked
 }
 
 // Limits maps the name of a quota to its totals, sorted by From.
@@ -48,7 +50,7 @@
 	return units
 }
 
-// Breach is a span of time in which a rule was broken.
+// Breach is a span of time in which a rule was violated.
 type Breach struct {
 	Quota    string   `json:"budget"`
 	Rule     Rule     `json:"what"`
@@ -62,7 +64,7 @@
 // Rule names the invariant that a breach violates.
 type Rule string
 
-// The rules.
+// Rules that a breach can violate.
 const (
 	RuleGrantsInForce Rule = "shares in force" // at no instant more units in force than the total
 	RuleUnitsDrawn    Rule = "units drawn"     // in no span more units drawn than the total allows
@@ -93,7 +95,7 @@
 // maxBreaches limits the breaches that a report holds; further breaches are only counted.
 const maxBreaches int = 10
 
-// Report is the judgment of one quota.
+// Report is the result of checking one quota.
 type Report struct {
 	Quota    string   `json:"budget"`
 	Breaches []Breach `json:"breaches,omitempty"` // the first maxBreaches
@@ -102,7 +104,7 @@
 	Drawn    int64    `json:"drawn"`              // units
 	Mean     float64  `json:"mean"`               // time average of grants in force, as a fraction of the total
 	Last     float64  `json:"last"`               // grants in force at the end, as a fraction of the total
-	Excess   int64    `json:"over"`               // units drawn above the total in the worst span, burst included
+	Excess   int64    `json:"over"`               // most units that a span drew above the total; burst not deducted
 	Grants   int      `json:"grants"`             // entries that report a grant
 }
 
--- a/internal/faultinjection/checker/checker_test.go
+++ b/internal/faultinjection/checker/checker_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// process reads a valid draw log.
-func process(t *testing.T, name, log string) *Process {
+// readProcess reads a valid draw log.
+func readProcess(t *testing.T, name, log string) *Process {
 	t.Helper()
 	p, err := Read(name, strings.NewReader(log))
 	if err != nil {
@@ -17,15 +17,15 @@
 	return p
 }
 
-// processes reads one valid draw log each for the backends n1, n2 and so on.
-func processes(t *testing.T, logs ...string) []*Process {
+// readProcesses reads one valid draw log each for the backends n1, n2 and so on.
+func readProcesses(t *testing.T, logs ...string) []*Process {
 	t.Helper()
 	all := make([]*Process, 0, len(logs))
 	for i, log := range logs {
-		all = append(all, process(t, "n"+strconv.Itoa(i+1), log))
+		all = append(all, readProcess(t, "n"+strconv.Itoa(i+1), log))
 	}
 	return all
 }
 
-// near reports whether two numbers are equal but for rounding.
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+// almostEqual reports whether two numbers are equal except for rounding errors.
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
--- a/internal/faultinjection/checker/compat_test.go
+++ b/internal/faultinjection/checker/compat_test.go
@@ -13,9 +13,9 @@
 	compattest.RoundTrip[Report](t, "Report.json")
 }
 
-// TestEarlierDrawLogsAreJudgedAlike verifies that draw logs of an earlier release lead to that release's reports, both
-// with the limits that were in force and with tighter ones that are breached.
-func TestEarlierDrawLogsAreJudgedAlike(t *testing.T) {
+// TestEarlierDrawLogsGiveEarlierReports verifies that draw logs of an earlier release lead to that release's reports,
+// both with the limits that were in force and with tighter ones that are breached.
+func TestEarlierDrawLogsGiveEarlierReports(t *testing.T) {
 	all, err := ReadAll(compattest.File("stamps"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faultinjection/checker/drawlog.go
+++ b/internal/faultinjection/checker/drawlog.go
@@ -15,14 +15,14 @@
 type Process struct {
 	Name  string // of the backend
 	First int64  // time of the clock entry, microseconds; 0: the log has none
-	Last  int64  // time of the last entry, microseconds; the process is taken to have ended then
-	PPM   int64  // rate of its lease clock above that of the machine's clock, parts per million; may be negative
+	Last  int64  // time of the last entry, microseconds; counts as the end of the process
+	PPM   int64  // rate error of its lease clock against the machine's clock, parts per million; may be negative
 
 	grants map[string][]grant // by quota, in order of time
 	draws  map[string][]draw  // by quota, in order of time
 }
 
-// grant is a process's part of a quota, valid from a time until its next grant or its end.
+// grant is a process's part of a quota, in force from a time until the next grant or the end of the process.
 type grant struct {
 	at    int64  // microseconds
 	epoch uint64 // of the holder, as the process wrote it
@@ -95,7 +95,8 @@
 	}
 }
 
-// ReadAll reads all draw logs of a directory. A file is named BACKEND.PID. It omits processes without a clock entry.
+// ReadAll reads all draw logs of a directory, whose files are named BACKEND.PID. It omits processes without a clock
+// entry.
 func ReadAll(dir string) (all []*Process, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -125,8 +126,8 @@
 
 // Kinds of entries: the first word of a line.
 const (
-	clockEntry = "clock" // clock TIME PPM: the process began
-	aliveEntry = "here"  // here TIME: the process runs
+	clockEntry = "clock" // clock TIME PPM: the process started
+	aliveEntry = "here"  // here TIME: the process is running
 	grantEntry = "have"  // have TIME QUOTA EPOCH FLOOR EXTRA LEASE: the process holds a grant
 	drawEntry  = "drew"  // drew FROM TIME QUOTA UNITS: the process drew units since FROM
 )
--- a/internal/faultinjection/checker/drawlog_test.go
+++ b/internal/faultinjection/checker/drawlog_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// TestInvalidLinesAreRejected verifies that Read ignores a truncated last line and rejects invalid lines.
-func TestInvalidLinesAreRejected(t *testing.T) {
-	if p := process(t, "n1", "clock 5 0\nhere 9\nhave 12 b"); p.Last != 9 {
+// TestReadIgnoresTruncatedLineAndRejectsInvalidLines verifies that Read ignores a truncated last line and rejects
+// invalid lines.
+func TestReadIgnoresTruncatedLineAndRejectsInvalidLines(t *testing.T) {
+	if p := readProcess(t, "n1", "clock 5 0\nhere 9\nhave 12 b"); p.Last != 9 {
 		t.Errorf("a truncated line was read: %+v", p)
 	}
 	for _, bad := range []string{"clock 5 0\nhere 4\n", "here x\n", "have 1 b 2\n", "went 5\n"} {
@@ -21,8 +22,8 @@
 	}
 }
 
-// TestLineErrors verifies the type and cause of each error, and that it names the line.
-func TestLineErrors(t *testing.T) {
+// TestLineErrorsNameLineAndCause verifies the type and cause of each error, and that it names the line.
+func TestLineErrorsNameLineAndCause(t *testing.T) {
 	read := func(log string) *LineError {
 		_, err := Read("n1", strings.NewReader(log))
 		var line *LineError
@@ -65,26 +66,26 @@
 	}
 }
 
-// TestEveryEntryCountsAsLast verifies that an entry of any kind sets Last.
-func TestEveryEntryCountsAsLast(t *testing.T) {
+// TestEntryOfAnyKindSetsLast verifies that an entry of any kind sets Last.
+func TestEntryOfAnyKindSetsLast(t *testing.T) {
 	for log, last := range map[string]int64{
 		"clock 5 -30\n":                 5,
 		"clock 5 0\nhere 6\n":           6,
 		"clock 5 0\nhave 7 b 1 1 1 1\n": 7,
 		"clock 5 0\ndrew 5 8 b 1\n":     8,
 	} {
-		if p := process(t, "n1", log); p.Last != last || p.First != 5 {
+		if p := readProcess(t, "n1", log); p.Last != last || p.First != 5 {
 			t.Errorf("%q: got %d to %d, want 5 to %d", log, p.First, p.Last, last)
 		}
 	}
-	if p := process(t, "n1", "clock 5 -30\n"); p.PPM != -30 {
+	if p := readProcess(t, "n1", "clock 5 -30\n"); p.PPM != -30 {
 		t.Errorf("got a clock rate of %d ppm, want -30", p.PPM)
 	}
 }
 
-// TestReadAll verifies that each file is one process of the backend in its name, that a process without an entry is
-// omitted, and that an invalid log or a missing directory is an error.
-func TestReadAll(t *testing.T) {
+// TestReadAllReadsOneProcessPerFile verifies that each file is one process of the backend in its name, that a process
+// without an entry is omitted, and that an invalid log or a missing directory is an error.
+func TestReadAllReadsOneProcessPerFile(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, log string) {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(log), 0o600); err != nil {
--- a/internal/faultinjection/checker/draws.go
+++ b/internal/faultinjection/checker/draws.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// spanSteps sets how close draws count as neighbours: within length/spanSteps of the draw before.
-	spanSteps int64 = 50
-	// sampledEvery thins out the judged spans: of neighbours, every sampledEvery-th draw begins one, as the spans of
-	// neighbours hold nearly the same draws.
-	sampledEvery int = 8
+	// neighbourDivisor sets which draws count as neighbours: those that begin within length/neighbourDivisor of the
+	// draw before.
+	neighbourDivisor int64 = 50
+	// sampleEvery limits the number of checked spans. Only every sampleEvery-th neighbour begins a span, as the spans
+	// of neighbours contain nearly the same draws.
+	sampleEvery int = 8
 )
 
 // CheckDraws adds a breach for each span of the given lengths (microseconds) in which more units were drawn than the
@@ -26,8 +27,8 @@
 	slices.SortFunc(draws, func(a, b draw) int { return cmp.Compare(a.from, b.from) })
 	for _, length := range lengths {
 		for i := range draws {
-			isNeighbour := i > 0 && draws[i].from-draws[i-1].from < length/spanSteps
-			if isNeighbour && i%sampledEvery != 0 {
+			isNeighbour := i > 0 && draws[i].from-draws[i-1].from < length/neighbourDivisor
+			if isNeighbour && i%sampleEvery != 0 {
 				continue
 			}
 			r.checkSpan(draws[i:], limits, burst, length)
@@ -35,7 +36,7 @@
 	}
 }
 
-// checkSpan judges the span that begins with the first of the draws, which are sorted by their start.
+// checkSpan checks the span that begins with the first of the draws, which are sorted by their start.
 func (r *Report) checkSpan(draws []draw, limits Limits, burst, length int64) {
 	begin := draws[0].from
 	end := begin + length
@@ -64,7 +65,7 @@
 	}
 }
 
-// divideUp returns the quotient of two positive numbers, rounded up.
+// divideUp returns the quotient of a non-negative dividend and a positive divisor, rounded up.
 func divideUp(dividend, divisor int64) int64 { return (dividend + divisor - 1) / divisor }
 
 // UnitsDrawn returns the units of a quota that were drawn between two times. A draw that lies partly in that span
--- a/internal/faultinjection/checker/draws_test.go
+++ b/internal/faultinjection/checker/draws_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestDrawsAboveTotal verifies that draws at the total are no breach and that a short burst above it is.
-func TestDrawsAboveTotal(t *testing.T) {
+// TestShortBurstAboveTotalIsBreach verifies that draws at the total are no breach and that a short burst above it is
+// one.
+func TestShortBurstAboveTotalIsBreach(t *testing.T) {
 	limits := Limits{"b": {{0, 10}}}
 	steady := "clock 1 0\n"
 	for at := 0; at < 2_000_000; at += 100_000 {
@@ -51,7 +52,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := Report{Quota: "b"}
-			r.CheckDraws(processes(t, c.logs...), limits, c.burst, c.lengths...)
+			r.CheckDraws(readProcesses(t, c.logs...), limits, c.burst, c.lengths...)
 			if (r.Count > 0) != c.breached || r.Drawn != c.drawn || r.Excess != c.excess {
 				t.Errorf("got breaches %v, %d units drawn, excess %d", r.Breaches, r.Drawn, r.Excess)
 			}
@@ -169,12 +170,13 @@
 	},
 }
 
-// TestDrawsWithinSpans verifies which draws count for a span, and that one unit above total and burst is a breach.
-func TestDrawsWithinSpans(t *testing.T) {
+// TestDrawsAboveTotalAndBurstAreBreaches verifies which draws count for a span, and that one unit above total and burst
+// is a breach.
+func TestDrawsAboveTotalAndBurstAreBreaches(t *testing.T) {
 	for _, c := range drawsWithinSpans {
 		t.Run(c.name, func(t *testing.T) {
 			r := Report{Quota: "b"}
-			r.CheckDraws(processes(t, c.log), c.totals, c.burst, 500_000)
+			r.CheckDraws(readProcesses(t, c.log), c.totals, c.burst, 500_000)
 			if r.Count != c.breaches || r.Excess != c.excess {
 				t.Errorf(
 					"%s: got %d breaches and an excess of %d units, want %d and %d: %v",
@@ -190,11 +192,12 @@
 	}
 }
 
-// TestDrawsOfSeveralProcesses verifies that a span may begin with any process's draw, whatever the order of the logs.
-func TestDrawsOfSeveralProcesses(t *testing.T) {
+// TestSpanMayBeginWithDrawOfAnyProcess verifies that a span may begin with any process's draw, whatever the order of
+// the logs.
+func TestSpanMayBeginWithDrawOfAnyProcess(t *testing.T) {
 	r := Report{Quota: "b"}
 	r.CheckDraws(
-		processes(t, "clock 1 0\ndrew 600000 700000 b 4\n", "clock 1 0\ndrew 300000 400000 b 4\n"),
+		readProcesses(t, "clock 1 0\ndrew 600000 700000 b 4\n", "clock 1 0\ndrew 300000 400000 b 4\n"),
 		Limits{"b": {{0, 10}}},
 		0,
 		500_000,
@@ -228,7 +231,7 @@
 		log.WriteString("drew " + strconv.Itoa(from) + " " + strconv.Itoa(from+5000) + " b " + units + "\n")
 	}
 	r := Report{Quota: "b"}
-	r.CheckDraws(processes(t, log.String()), Limits{"b": {{0, 100}}}, 0, 300_000)
+	r.CheckDraws(readProcesses(t, log.String()), Limits{"b": {{0, 100}}}, 0, 300_000)
 	if r.Count == 0 || r.Excess != 30 {
 		t.Errorf(
 			"draws at twice the total: got %d breaches and an excess of %d units, want 30 units",
@@ -236,19 +239,19 @@
 			r.Excess,
 		)
 	}
-	if r.Count > 100/sampledEvery+1 {
-		t.Errorf("%d breaches, although at most one draw in %d begins a span", r.Count, sampledEvery)
+	if r.Count > 100/sampleEvery+1 {
+		t.Errorf("%d breaches, although at most one draw in %d begins a span", r.Count, sampleEvery)
 	}
 }
 
-// TestUnitsDrawn verifies that a draw partly within the span counts in proportion.
-func TestUnitsDrawn(t *testing.T) {
-	all := processes(t, "clock 1 0\ndrew 100 200 b 10\n", "clock 1 0\ndrew 150 250 b 4\ndrew 250 350 c 9\n")
+// TestUnitsDrawnCountsPartialDrawsInProportion verifies that a draw partly within the span counts in proportion.
+func TestUnitsDrawnCountsPartialDrawsInProportion(t *testing.T) {
+	all := readProcesses(t, "clock 1 0\ndrew 100 200 b 10\n", "clock 1 0\ndrew 150 250 b 4\ndrew 250 350 c 9\n")
 	for _, c := range []struct {
 		from, to int64
 		units    float64
 	}{{0, 1000, 14}, {150, 200, 5 + 2}, {0, 100, 0}, {250, 900, 0}, {110, 120, 1}, {240, 400, 0.4}} {
-		if units := UnitsDrawn(all, "b", c.from, c.to); !near(units, c.units) {
+		if units := UnitsDrawn(all, "b", c.from, c.to); !almostEqual(units, c.units) {
 			t.Errorf("%d to %d: got %.3f units, want %.3f", c.from, c.to, units, c.units)
 		}
 	}
--- a/internal/faultinjection/checker/grants.go
+++ b/internal/faultinjection/checker/grants.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// change is a change of the grants in force or of the total.
+// change is a change of the grants in force, or a point in time at which the total changes.
 type change struct {
 	at      int64  // microseconds
 	floor   int64  // units per second added; negative at the end of a grant
@@ -17,7 +17,7 @@
 
 const noHolder int = -1
 
-// CheckGrants judges one quota: at no instant may the grants in force add up to more than the total. Peak and breaches
+// CheckGrants checks one quota: at no instant may the grants in force add up to more than the total. Peak and breaches
 // cover the complete logs; Mean and Last cover the span between the two times.
 func CheckGrants(all []*Process, quota string, limits Limits, from, to int64) Report {
 	r := Report{Quota: quota}
@@ -25,10 +25,10 @@
 		r.Grants += len(process.grants[quota])
 	}
 	changes := grantChanges(all, quota, limits)
-	sum := int64(0)  // units per second in force
-	area := 0.0      // integral of the fraction in force over the judged time
-	span := int64(0) // judged time, microseconds
-	inForce := map[int]*Holder{}
+	sum := int64(0)              // units per second in force
+	area := 0.0                  // integral of the fraction in force over the checked time
+	span := int64(0)             // checked time, microseconds
+	inForce := map[int]*Holder{} // by index of the process
 	for i, c := range changes {
 		sum += c.floor + c.extra
 		if c.holder != noHolder {
@@ -101,8 +101,8 @@
 	return changes
 }
 
-// leaseEnd returns the time by the machine's clock at which a grant's lease expires. The lease runs by the process's
-// lease clock, which may be set to run faster or slower.
+// leaseEnd returns the time by the machine's clock at which a grant's lease expires. The lease expires by the process's
+// lease clock, which a trial may run faster or slower than the machine's clock.
 func (p *Process) leaseEnd(g grant) int64 {
 	return g.at + g.lease*partsPerMillion/(partsPerMillion+p.PPM)
 }
@@ -132,8 +132,8 @@
 	return all
 }
 
-// heldStep is the resolution of HeldSince, in microseconds.
-const heldStep int64 = 5_000
+// heldResolution is the interval of the times that HeldSince examines, in microseconds.
+const heldResolution int64 = 5_000
 
 // HeldSince returns the first time in a span at which the grants in force, without those of the excluded backends, add
 // up to the given units per second. It returns false if they stay below until the end of the span. It ignores the skew
@@ -145,7 +145,7 @@
 	units int64,
 	from, to int64,
 ) (at int64, ok bool) {
-	for at = from; at < to; at += heldStep {
+	for at = from; at < to; at += heldResolution {
 		sum := int64(0)
 		for _, process := range all {
 			if !excluded[process.Name] {
--- a/internal/faultinjection/checker/grants_test.go
+++ b/internal/faultinjection/checker/grants_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestGrantsAboveTotal verifies that small errors in grants are found, and that the same logs without them pass.
-func TestGrantsAboveTotal(t *testing.T) {
+// TestSmallGrantErrorsAreFound verifies that grants that exceed the total by a few units or for a few milliseconds are
+// found, and that correct grants pass.
+func TestSmallGrantErrorsAreFound(t *testing.T) {
 	limits := Limits{"b": {{0, 10}, {9_000_000, 6}}}
 	for name, c := range map[string]struct {
 		logs     []string
@@ -75,7 +76,7 @@
 		t.Run(name, func(t *testing.T) {
 			all := make([]*Process, 0, len(c.logs))
 			for _, s := range c.logs {
-				all = append(all, process(t, "n1", s))
+				all = append(all, readProcess(t, "n1", s))
 			}
 			r := CheckGrants(all, "b", limits, 0, 10_000_000)
 			if r.Count != c.breaches || r.Peak < c.peak-1e-9 || r.Peak > c.peak+1e-9 {
@@ -260,13 +261,13 @@
 	},
 }
 
-// TestBreachesOfTotal verifies that grants up to the total are no breach, and that one unit more is a breach for as
-// long as it is in force.
-func TestBreachesOfTotal(t *testing.T) {
+// TestGrantsAboveTotalAreBreaches verifies that grants up to the total are no breach, and that one unit more is a
+// breach for as long as it is in force.
+func TestGrantsAboveTotalAreBreaches(t *testing.T) {
 	limits := Limits{"b": {{0, 10}}}
 	for _, c := range totalBreaches {
 		t.Run(c.name, func(t *testing.T) {
-			r := CheckGrants(processes(t, c.logs...), "b", limits, 0, 1000)
+			r := CheckGrants(readProcesses(t, c.logs...), "b", limits, 0, 1000)
 			if !reflect.DeepEqual(
 				r.Breaches,
 				c.breaches,
@@ -284,21 +285,21 @@
 	}
 }
 
-// TestFastLeaseClock verifies that a lease expires by the process's lease clock. By the machine's clock, both processes
-// would hold the units at once.
-func TestFastLeaseClock(t *testing.T) {
+// TestLeaseExpiresByLeaseClockOfProcess verifies that a lease expires by the process's lease clock. By the machine's
+// clock, both processes would hold the units at once.
+func TestLeaseExpiresByLeaseClockOfProcess(t *testing.T) {
 	logs := []string{
 		"clock 1 40000\nhave 1 b 1 0 8 520000\nhere 900000\n",
 		"clock 1 0\nhave 500001 b 1 0 8 100000\nhere 900000\n",
 	}
-	if r := CheckGrants(processes(t, logs...), "b", Limits{"b": {{0, 10}}}, 0, 900_000); r.Count != 0 {
+	if r := CheckGrants(readProcesses(t, logs...), "b", Limits{"b": {{0, 10}}}, 0, 900_000); r.Count != 0 {
 		t.Errorf("lease that expired after 500 ms of the machine's clock: %v", r.Breaches)
 	}
 }
 
-// TestTotalsByTime verifies that a quota is not judged before its first total, and that each total applies from its
-// From on.
-func TestTotalsByTime(t *testing.T) {
+// TestEachTotalAppliesFromItsTime verifies that a quota is not checked before its first total, and that each total
+// applies from its From on.
+func TestEachTotalAppliesFromItsTime(t *testing.T) {
 	log := "clock 1 0\nhave 100 b 1 7 0 0\nhere 900\n"
 	for _, c := range []struct {
 		name   string
@@ -313,12 +314,12 @@
 		{"a first total after the grant", []Total{{300, 14}}, 0, 0.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := CheckGrants(processes(t, log), "b", Limits{"b": c.totals}, 0, 1000)
+			r := CheckGrants(readProcesses(t, log), "b", Limits{"b": c.totals}, 0, 1000)
 			at := int64(0)
 			if len(r.Breaches) > 0 {
 				at = r.Breaches[0].At
 			}
-			if at != c.at || !near(r.Peak, c.peak) {
+			if at != c.at || !almostEqual(r.Peak, c.peak) {
 				t.Errorf(
 					"%s: got a breach at %d and a peak of %.3f, want %d and %.3f",
 					c.name,
@@ -332,8 +333,8 @@
 	}
 }
 
-// TestMeanAndLast verifies that Mean and Last cover the given span, including its idle time.
-func TestMeanAndLast(t *testing.T) {
+// TestMeanAndLastCoverGivenSpan verifies that Mean and Last cover the given span, including its idle time.
+func TestMeanAndLastCoverGivenSpan(t *testing.T) {
 	limits := Limits{"b": {{0, 10}}}
 	log := "clock 1 0\nhave 100 b 1 2 0 0\nhave 200 b 2 8 0 0\nhave 400 b 3 4 0 0\nhere 500\n"
 	for _, c := range []struct {
@@ -345,8 +346,8 @@
 		{300, 600, (0.8 + 0.4 + 0) / 3, 0},
 		{700, 700, 0, 0},
 	} {
-		r := CheckGrants(processes(t, log), "b", limits, c.from, c.to)
-		if !near(r.Mean, c.mean) || !near(r.Last, c.last) || r.Grants != 3 {
+		r := CheckGrants(readProcesses(t, log), "b", limits, c.from, c.to)
+		if !almostEqual(r.Mean, c.mean) || !almostEqual(r.Last, c.last) || r.Grants != 3 {
 			t.Errorf(
 				"%d to %d: got mean %.3f, last %.3f and %d grants, want %.3f, %.3f and 3",
 				c.from,
@@ -361,15 +362,15 @@
 	}
 }
 
-// TestBreachesAreBounded verifies that a report holds the first breaches and counts all.
-func TestBreachesAreBounded(t *testing.T) {
+// TestReportHoldsFirstBreachesAndCountsAll verifies that a report holds the first breaches and counts all.
+func TestReportHoldsFirstBreachesAndCountsAll(t *testing.T) {
 	var log strings.Builder
 	log.WriteString("clock 1 0\n")
 	for i := range 25 {
 		log.WriteString("have " + strconv.Itoa(100+10*i) + " b 1 " + strconv.Itoa(11+i%2) + " 0 0\n")
 	}
 	log.WriteString("here 900\n")
-	r := CheckGrants(processes(t, log.String()), "b", Limits{"b": {{0, 10}}}, 0, 1000)
+	r := CheckGrants(readProcesses(t, log.String()), "b", Limits{"b": {{0, 10}}}, 0, 1000)
 	if r.Count != 25 || len(r.Breaches) != maxBreaches || r.Breaches[0].At != 100 {
 		t.Errorf(
 			"got %d breaches, %d of them in the report, want 25 and %d: %v",
@@ -381,10 +382,10 @@
 	}
 }
 
-// TestHeldSince verifies that units count from their grant until the lease expires or the process ends, and that those
-// of excluded backends do not count.
-func TestHeldSince(t *testing.T) {
-	all := processes(
+// TestHeldSinceCountsUnitsInForce verifies that units count from their grant until the lease expires or the process
+// ends, and that those of excluded backends do not count.
+func TestHeldSinceCountsUnitsInForce(t *testing.T) {
+	all := readProcesses(
 		t,
 		"clock 1 0\nhave 100000 b 1 2 6 300000\nhere 900000\n",
 		"clock 1 0\nhave 200000 b 1 5 0 0\nhere 600000\n",
--- a/internal/faultinjection/checker/imports_test.go
+++ b/internal/faultinjection/checker/imports_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestSharesNoCode verifies that the checker imports only some packages of the standard library. Code shared with the
-// program could hide a fault from the checker.
-func TestSharesNoCode(t *testing.T) {
+// TestCheckerImportsOnlyStandardLibrary verifies that the checker imports only some packages of the standard library. A
+// fault in code that it shares with the program under test could go unnoticed.
+func TestCheckerImportsOnlyStandardLibrary(t *testing.T) {
 	allowed := map[string]bool{
 		"bufio":         true,
 		"cmp":           true,
--- a/internal/faultinjection/checker/processes_test.go
+++ b/internal/faultinjection/checker/processes_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// TestMaxUnavailable verifies that overlapping outages of several backends are counted.
-func TestMaxUnavailable(t *testing.T) {
+// TestMaxUnavailableCountsOverlappingOutages verifies that overlapping outages of several backends are counted.
+func TestMaxUnavailableCountsOverlappingOutages(t *testing.T) {
 	all := make([]*Process, 0, 6)
 	for i, s := range []string{"clock 1 0\nhere 100\n", "clock 1 0\nhere 200\n", "clock 1 0\nhere 250\n"} {
 		all = append(
 			all,
-			process(t, "n"+strconv.Itoa(i), s),
-			process(t, "n"+strconv.Itoa(i), "clock 300 0\nhere 900\n"),
+			readProcess(t, "n"+strconv.Itoa(i), s),
+			readProcess(t, "n"+strconv.Itoa(i), "clock 300 0\nhere 900\n"),
 		)
 	}
 	if n := MaxUnavailable(all, 0, 1000); n != 3 {
@@ -120,14 +120,14 @@
 	},
 }
 
-// TestUnavailableSpans verifies that a backend counts as unavailable between two of its processes, if the outage began
-// in the span.
-func TestUnavailableSpans(t *testing.T) {
+// TestMaxUnavailableCountsOutagesThatBeginInSpan verifies that a backend counts as unavailable between two of its
+// processes, if the outage began in the span.
+func TestMaxUnavailableCountsOutagesThatBeginInSpan(t *testing.T) {
 	for _, c := range unavailableSpans {
 		t.Run(c.name, func(t *testing.T) {
 			all := make([]*Process, 0, len(c.logs))
 			for i, log := range c.logs {
-				all = append(all, process(t, "n"+strconv.Itoa(1+i%2), log))
+				all = append(all, readProcess(t, "n"+strconv.Itoa(1+i%2), log))
 			}
 			if most := MaxUnavailable(all, c.from, c.to); most != c.most {
 				t.Errorf("got %d unavailable at once, want %d", most, c.most)
@@ -136,8 +136,9 @@
 	}
 }
 
-// TestConcurrentStarts verifies that a process counts as starting for the given duration or until its end.
-func TestConcurrentStarts(t *testing.T) {
+// TestProcessIsStartingForDurationOrUntilItsEnd verifies that a process counts as starting for the given duration or
+// until its end.
+func TestProcessIsStartingForDurationOrUntilItsEnd(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		logs []string
@@ -170,7 +171,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if most := MaxConcurrentStarts(processes(t, c.logs...), 300); most != c.most {
+			if most := MaxConcurrentStarts(readProcesses(t, c.logs...), 300); most != c.most {
 				t.Errorf("got %d starting at once, want %d", most, c.most)
 			}
 		})
