--- a/internal/faultinjection/proxy/direction.go
+++ b/internal/faultinjection/proxy/direction.go
@@ -1,11 +1,12 @@
 // Package proxy provides TCP proxies between the processes of a fault-injection trial. A link can hold, delay or slow
 // the bytes of each direction, reset its connections, and repeat calls. The package owns the connections that it
-// carries and does not interpret their content, except to recognize the start of a call.
+// forwards and does not interpret their content, except to recognize the start of a call.
 //
 // Invariants:
-//   - A held direction delivers no byte, and all bytes once it is released (TestHold, TestHeldDial).
-//   - A call is repeated at most once (TestDuplicate).
-//   - Close ends all connections, even held ones (TestCloseWhileHeld).
+//   - A held direction delivers no byte, and all bytes once it is released (TestHeldBytesArriveAfterRelease,
+//     TestHeldDialReachesTargetAfterRelease).
+//   - A call is repeated at most once (TestDuplicateRepeatsEachCallOnce).
+//   - Close ends all connections, even held ones (TestCloseEndsHeldConnection).
 package proxy
 
 import (
@@ -25,7 +26,7 @@
 type faults struct {
 	held  bool          // whether bytes wait until the direction is released
 	delay time.Duration // 0: none
-	rate  int           // bytes per second; 0: unlimited
+	rate  int           // bytes per second of each connection; 0: unlimited
 }
 
 // NewDirection returns a direction without faults.
@@ -35,10 +36,10 @@
 // network that retransmits lost packets.
 func (d *Direction) Hold(on bool) { d.change(func(f *faults) { f.held = on }) }
 
-// Delay delivers each byte later by the delay; 0 ends the fault.
+// Delay delays each byte; 0 ends the fault.
 func (d *Direction) Delay(delay time.Duration) { d.change(func(f *faults) { f.delay = delay }) }
 
-// Slow limits the rate in bytes per second; 0 ends the fault.
+// Slow limits the rate of each connection, in bytes per second; 0 ends the fault.
 func (d *Direction) Slow(rate int) { d.change(func(f *faults) { f.rate = rate }) }
 
 // change changes the faults and notifies the waiting connections.
--- a/internal/faultinjection/proxy/duplicate.go
+++ b/internal/faultinjection/proxy/duplicate.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	maxCall         int           = 256 << 10 // bytes recorded of a connection, after which recording stops
-	maxFirstLine    int           = 128       // bytes of a connection that are searched for callMark
-	responseTimeout time.Duration = 2 * time.Second
+	maxRecorded      int           = 256 << 10 // bytes of a connection after which recording stops
+	callMarkerWindow int           = 128       // bytes of a connection that are searched for callMarker
+	responseTimeout  time.Duration = 2 * time.Second
 )
 
-// callMark is the part of a connection's first line that identifies a call between agents.
-var callMark = []byte(" call ")
+// callMarker is the part of a connection's first line that identifies a call between agents.
+var callMarker = []byte(" call ")
 
-// isCall reports whether the bytes of a connection begin with a call.
-func isCall(carried []byte) bool {
-	return bytes.Contains(carried[:min(len(carried), maxFirstLine)], callMark)
+// isCall reports whether the recorded bytes of a connection begin with a call.
+func isCall(recorded []byte) bool {
+	return bytes.Contains(recorded[:min(len(recorded), callMarkerWindow)], callMarker)
 }
 
 // Duplicate repeats each call that begins from now on, with the given delay after the call has ended. The response to
@@ -26,7 +26,7 @@
 	l.mu.Lock()
 	l.duplicateDelay = delay
 	l.mu.Unlock()
-	l.Reset() // ends connections that are not recorded
+	l.Reset() // closes connections that were not recorded from their start
 }
 
 // repeat sends the recorded bytes of a connection again, after a delay.
--- a/internal/faultinjection/proxy/link.go
+++ b/internal/faultinjection/proxy/link.go
@@ -19,18 +19,18 @@
 	in         *Direction // from the target to the client
 	listener   net.Listener
 	closed     chan struct{}  // closed by Close
-	duplicates sync.WaitGroup // running repetitions of calls
+	duplicates sync.WaitGroup // repeated calls in progress
 
 	mu             sync.Mutex // guards the fields below
 	connections    map[*connection]bool
-	duplicateDelay time.Duration // delay of the repetition of calls that begin now; 0: calls are not repeated
+	duplicateDelay time.Duration // after which a call that begins now is repeated; 0: it is not repeated
 }
 
 const (
-	dialTimeout   time.Duration = time.Second
-	acceptBackoff time.Duration = 10 * time.Millisecond // after an error, such as too many open files
-	readSize      int           = 16 << 10              // bytes
-	maxPieces     int           = 64                    // read but not yet written, in one direction of a connection
+	dialTimeout     time.Duration = time.Second
+	acceptBackoff   time.Duration = 10 * time.Millisecond // after an error, such as too many open files
+	readSize        int           = 16 << 10              // bytes
+	maxQueuedChunks int           = 64                    // read but not yet written, in one direction of a connection
 )
 
 // Open opens a link to the target address.
@@ -74,7 +74,7 @@
 			time.Sleep(acceptBackoff)
 			continue
 		}
-		go l.carry(client)
+		go l.proxy(client)
 	}
 }
 
@@ -86,8 +86,8 @@
 	l.duplicates.Wait()
 }
 
-// Reset resets every established connection, even within a message. It does not affect connections whose target is
-// still being dialled.
+// Reset resets every established connection, even in the middle of a message. It does not affect connections whose
+// target is still being dialled.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// connection is a client's connection with its counterpart to the target.
+// connection is a client's connection and the connection to the target that it is forwarded to.
 type connection struct {
 	client net.Conn
 	target net.Conn
@@ -115,9 +115,9 @@
 	_ = conn.Close()
 }
 
-// carry dials the target for a client and copies both directions until the connection ends.
-func (l *Link) carry(client net.Conn) {
-	if faults, changed := l.out.current(); faults.held { // the client's first packet does not arrive
+// proxy dials the target for a client and forwards both directions until the connection ends.
+func (l *Link) proxy(client net.Conn) {
+	if faults, changed := l.out.current(); faults.held { // the client's SYN does not arrive
 		select {
 		case <-changed:
 		case <-l.closed:
@@ -134,10 +134,10 @@
 	if duplicateDelay > 0 {
 		recorded = &bytes.Buffer{}
 	}
-	var directions sync.WaitGroup
-	directions.Go(func() { l.pump(client, target, l.out, recorded) })
-	directions.Go(func() { l.pump(target, client, l.in, nil) })
-	directions.Wait()
+	var forwards sync.WaitGroup
+	forwards.Go(func() { l.forward(client, target, l.out, recorded) })
+	forwards.Go(func() { l.forward(target, client, l.in, nil) })
+	forwards.Wait()
 	c.reset()
 	l.remove(c)
 	if recorded != nil && isCall(recorded.Bytes()) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// add registers a connection and returns the delay of its repetition.
+// add registers a connection and returns the delay after which its call is repeated, or 0 if it is not.
 func (l *Link) add(c *connection) (duplicateDelay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,44 +159,45 @@
 	delete(l.connections, c)
 }
 
-// piece holds the bytes of one read.
-type piece struct {
+// chunk holds the bytes of one read.
+type chunk struct {
 	bytes []byte
 	at    time.Time // of the read
 }
 
-// pump copies one direction of a connection. Unless recorded is nil, it also records about the first maxCall bytes.
-func (l *Link) pump(from, to net.Conn, direction *Direction, recorded *bytes.Buffer) {
-	pieces := make(chan piece, maxPieces)
-	go l.read(from, pieces)
-	for p := range pieces {
-		if !l.await(p, direction) {
+// forward copies one direction of a connection. Unless recorded is nil, it also records about the first maxRecorded
+// bytes.
+func (l *Link) forward(from, to net.Conn, direction *Direction, recorded *bytes.Buffer) {
+	chunks := make(chan chunk, maxQueuedChunks)
+	go l.read(from, chunks)
+	for c := range chunks {
+		if !l.awaitDelivery(c, direction) {
 			_ = to.Close()
 			return
 		}
-		if recorded != nil && recorded.Len() < maxCall {
-			recorded.Write(p.bytes)
+		if recorded != nil && recorded.Len() < maxRecorded {
+			recorded.Write(c.bytes)
 		}
-		if _, err := to.Write(p.bytes); err != nil {
+		if _, err := to.Write(c.bytes); err != nil {
 			break
 		}
 	}
 	if tcp, ok := to.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	for range pieces { // unblocks the reader
+	for range chunks { // unblocks read
 	}
 }
 
 // read sends the bytes of a connection to the channel until the connection or the link ends, then closes the channel.
-func (l *Link) read(from net.Conn, pieces chan<- piece) {
-	defer close(pieces)
+func (l *Link) read(from net.Conn, chunks chan<- chunk) {
+	defer close(chunks)
 	for {
 		buffer := make([]byte, readSize)
 		size, err := from.Read(buffer)
 		if size > 0 {
 			select {
-			case pieces <- piece{bytes: buffer[:size], at: time.Now()}:
+			case chunks <- chunk{bytes: buffer[:size], at: time.Now()}:
 			case <-l.closed:
 				return
 			}
@@ -207,14 +208,15 @@
 	}
 }
 
-// await waits until the faults of the direction allow a piece to pass. It returns false if the link is closed first.
-func (l *Link) await(p piece, direction *Direction) bool {
+// awaitDelivery waits until the faults of the direction allow the delivery of a chunk. It returns false if the link is
+// closed first.
+func (l *Link) awaitDelivery(c chunk, direction *Direction) bool {
 	for {
 		faults, changed := direction.current()
-		wait := time.Until(p.at.Add(faults.delay))
+		wait := time.Until(c.at.Add(faults.delay))
 		if !faults.held && wait <= 0 {
 			if faults.rate > 0 {
-				time.Sleep(time.Duration(len(p.bytes)) * time.Second / time.Duration(faults.rate))
+				time.Sleep(time.Duration(len(c.bytes)) * time.Second / time.Duration(faults.rate))
 			}
 			return true
 		}
--- a/internal/faultinjection/proxy/mesh.go
+++ b/internal/faultinjection/proxy/mesh.go
@@ -13,7 +13,8 @@
 	to   string // name of the other host
 }
 
-// NewMesh opens the links between all hosts. The hosts' own addresses are in the order of their names.
+// NewMesh opens the links between all hosts. The addresses are those that the hosts listen at, in the order of the
+// names.
 func NewMesh(names, addresses []string) (*Mesh, error) {
 	m := &Mesh{
 		Names:      names,
--- a/internal/faultinjection/proxy/proxy_test.go
+++ b/internal/faultinjection/proxy/proxy_test.go
@@ -17,7 +17,7 @@
 	net.Listener
 
 	mu       sync.Mutex // guards received
-	received []string   // by connection, in the order of their beginning
+	received []string   // by connection, in the order in which they were accepted
 }
 
 // newServer starts a server that is closed at the end of the test.
@@ -62,8 +62,8 @@
 	}
 }
 
-// all returns the bytes of each connection.
-func (s *server) all() []string {
+// receivedTexts returns the bytes of each connection.
+func (s *server) receivedTexts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.received)
@@ -73,11 +73,11 @@
 const response = "answer"
 
 // eventually waits for a condition.
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, event string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("no %s", what)
+			t.Fatalf("no %s within 20 s", event)
 		}
 	}
 }
@@ -174,8 +174,9 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// TestHold verifies that held bytes arrive after the release, and that the other direction is not affected.
-func TestHold(t *testing.T) {
+// TestHeldBytesArriveAfterRelease verifies that held bytes arrive after the release, and that the other direction is
+// not affected.
+func TestHeldBytesArriveAfterRelease(t *testing.T) {
 	l := newTestLink(t)
 	conn := l.connect()
 	l.write(conn, "one")
@@ -184,7 +185,7 @@
 	l.in.Hold(true)
 	l.write(conn, "two")
 	eventually(t, "arrival while only responses are held", func() bool {
-		return slices.Equal(l.server.all(), []string{"onetwo"})
+		return slices.Equal(l.server.receivedTexts(), []string{"onetwo"})
 	})
 	l.expectNothing(conn)
 	l.in.Hold(false)
@@ -193,31 +194,31 @@
 	l.out.Hold(true)
 	l.write(conn, "three")
 	l.expectNothing(conn)
-	if got := l.server.all(); !slices.Equal(got, []string{"onetwo"}) {
+	if got := l.server.receivedTexts(); !slices.Equal(got, []string{"onetwo"}) {
 		t.Errorf("bytes arrived while held: %q", got)
 	}
 	l.out.Hold(false)
 	l.awaitResponse(conn)
 }
 
-// TestHeldDial verifies that a connection that is dialled while the direction is held reaches the server only after
-// the release.
-func TestHeldDial(t *testing.T) {
+// TestHeldDialReachesTargetAfterRelease verifies that a connection that is dialled while the direction is held reaches
+// the server only after the release.
+func TestHeldDialReachesTargetAfterRelease(t *testing.T) {
 	l := newTestLink(t)
 	l.out.Hold(true)
 	conn := l.connect()
 	l.write(conn, "one")
 	l.expectNothing(conn)
-	if got := l.server.all(); len(got) > 0 {
+	if got := l.server.receivedTexts(); len(got) > 0 {
 		t.Errorf("connected while held: %q", got)
 	}
 	l.out.Hold(false)
 	l.awaitResponse(conn)
 }
 
-// TestDelayAndSlow verifies the delays of both directions and the limit of the rate, and that a changed delay applies
-// to bytes in flight.
-func TestDelayAndSlow(t *testing.T) {
+// TestDelayAndRateLimitPostponeDelivery verifies the delays of both directions and the limit of the rate, and that a
+// changed delay applies to bytes in flight.
+func TestDelayAndRateLimitPostponeDelivery(t *testing.T) {
 	l := newTestLink(t)
 	conn := l.connect()
 	l.out.Delay(60 * time.Millisecond)
@@ -241,8 +242,8 @@
 	l.awaitResponse(conn)
 }
 
-// TestReset verifies that a reset breaks every connection, and that new ones work.
-func TestReset(t *testing.T) {
+// TestResetBreaksOpenConnections verifies that a reset breaks every connection, and that new ones work.
+func TestResetBreaksOpenConnections(t *testing.T) {
 	l := newTestLink(t)
 	conn := l.connect()
 	l.write(conn, "one")
@@ -258,8 +259,8 @@
 	eventually(t, "removal of the connection", l.idle)
 }
 
-// TestUnreachableTarget verifies that a connection to a target that is down is reset.
-func TestUnreachableTarget(t *testing.T) {
+// TestUnreachableTargetResetsClient verifies that a connection to a target that is down is reset.
+func TestUnreachableTargetResetsClient(t *testing.T) {
 	l := newTestLink(t)
 	l.server.Close()
 	var dialer net.Dialer
@@ -274,9 +275,9 @@
 	}
 }
 
-// TestDuplicate verifies that a call is repeated after its end, and that other connections and calls after the fault
-// are not.
-func TestDuplicate(t *testing.T) {
+// TestDuplicateRepeatsEachCallOnce verifies that a call is repeated after its end, and that other connections and calls
+// after the fault are not.
+func TestDuplicateRepeatsEachCallOnce(t *testing.T) {
 	l := newTestLink(t)
 	exchange := func(text string) {
 		conn := l.connect()
@@ -295,7 +296,7 @@
 	exchange("a call 1")
 	exchange("gossip 2")
 	eventually(t, "repeated call", func() bool {
-		return slices.Equal(l.server.all(), []string{"before call 0", "a call 1", "gossip 2", "a call 1"})
+		return slices.Equal(l.server.receivedTexts(), []string{"before call 0", "a call 1", "gossip 2", "a call 1"})
 	})
 	if took := time.Since(began); took < 20*time.Millisecond {
 		t.Errorf("the repeated call arrived after %v, want 20 ms or more", took)
@@ -303,40 +304,40 @@
 	l.Duplicate(0)
 	exchange("a call 3")
 	l.duplicates.Wait()
-	if got := l.server.all(); len(got) != 5 {
+	if got := l.server.receivedTexts(); len(got) != 5 {
 		t.Errorf("got %q, want \"a call 3\" once", got)
 	}
 }
 
-// TestDuplicateIsBounded verifies that about the first maxCall bytes of a long call are repeated, and that a call is
-// recognized by its first line.
-func TestDuplicateIsBounded(t *testing.T) {
+// TestDuplicateRepeatsBoundedBytes verifies that about the first maxRecorded bytes of a long call are repeated, and
+// that a call is recognized by its first line.
+func TestDuplicateRepeatsBoundedBytes(t *testing.T) {
 	l := newTestLink(t)
 	l.Duplicate(time.Millisecond)
 	conn := l.connect()
 	go func() { _, _ = io.Copy(io.Discard, conn) }()
-	l.write(conn, "a call "+strings.Repeat("x", 2*maxCall))
+	l.write(conn, "a call "+strings.Repeat("x", 2*maxRecorded))
 	eventually(t, "arrival of a long call", func() bool {
-		all := l.server.all()
-		return len(all) == 1 && len(all[0]) == 2*maxCall+len("a call ")
+		all := l.server.receivedTexts()
+		return len(all) == 1 && len(all[0]) == 2*maxRecorded+len("a call ")
 	})
 	conn.Close()
 	eventually(t, "repeated call", func() bool {
-		all := l.server.all()
-		return len(all) == 2 && len(all[1]) >= maxCall
+		all := l.server.receivedTexts()
+		return len(all) == 2 && len(all[1]) >= maxRecorded
 	})
 	l.duplicates.Wait()
-	if size := len(l.server.all()[1]); size > maxCall+readSize {
-		t.Errorf("%d bytes were repeated, want at most %d and one read", size, maxCall)
+	if size := len(l.server.receivedTexts()[1]); size > maxRecorded+readSize {
+		t.Errorf("%d bytes were repeated, want at most %d and one read", size, maxRecorded)
 	}
-	if isCall([]byte(strings.Repeat("x", maxFirstLine)+" call ")) || !isCall([]byte("a call 1")) {
-		t.Error("isCall does not go by the first line")
+	if isCall([]byte(strings.Repeat("x", callMarkerWindow)+" call ")) || !isCall([]byte("a call 1")) {
+		t.Error("isCall does not depend on the first line alone")
 	}
 }
 
-// TestMesh verifies that hosts reach each other by links of their own, that one can be isolated in one direction or
-// both, and that a reset affects one pair of hosts.
-func TestMesh(t *testing.T) {
+// TestMeshIsolatesAndResetsHosts verifies that hosts reach each other by links of their own, that one can be isolated
+// in one direction or both, and that a reset affects one pair of hosts.
+func TestMeshIsolatesAndResetsHosts(t *testing.T) {
 	names := []string{"h1", "h2", "h3"}
 	servers := make([]*server, 0, len(names))
 	addresses := make([]string, 0, len(names))
@@ -362,8 +363,8 @@
 	}
 	l, conn := connect(0, 2)
 	l.awaitResponse(conn)
-	if got := servers[2].all(); !slices.Equal(got, []string{"h1"}) || len(servers[1].all()) > 0 {
-		t.Errorf("h3 received %q, h2 %q", got, servers[1].all())
+	if got := servers[2].receivedTexts(); !slices.Equal(got, []string{"h1"}) || len(servers[1].receivedTexts()) > 0 {
+		t.Errorf("h3 received %q, h2 %q", got, servers[1].receivedTexts())
 	}
 	for _, c := range []struct{ sends, receives bool }{{true, false}, {false, true}, {true, true}} {
 		m.Isolate("h1", c.sends, c.receives, true)
@@ -377,28 +378,28 @@
 		outLink.awaitResponse(out)
 		inLink.awaitResponse(in)
 	}
-	thereLink, there := connect(0, 1)
-	backLink, back := connect(1, 0)
-	otherLink, other := connect(1, 2)
-	thereLink.awaitResponse(there)
-	backLink.awaitResponse(back)
-	otherLink.awaitResponse(other)
+	outLink, out := connect(0, 1)
+	inLink, in := connect(1, 0)
+	restLink, rest := connect(1, 2)
+	outLink.awaitResponse(out)
+	inLink.awaitResponse(in)
+	restLink.awaitResponse(rest)
 	m.Reset("h1", "h2")
-	for _, conn := range []net.Conn{there, back} {
+	for _, conn := range []net.Conn{out, in} {
 		var err error
-		for b := make([]byte, 16); err == nil; { // a response may have arrived before
+		for b := make([]byte, 16); err == nil; { // a response may have arrived before the reset
 			_, err = conn.Read(b)
 		}
 		if !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("connection between h1 and h2: error %v, want ECONNRESET", err)
 		}
 	}
-	otherLink.write(other, "on")
-	otherLink.awaitResponse(other)
+	restLink.write(rest, "on")
+	restLink.awaitResponse(rest)
 }
 
-// TestCloseWhileHeld verifies that Close ends a connection whose bytes are held.
-func TestCloseWhileHeld(t *testing.T) {
+// TestCloseEndsHeldConnection verifies that Close ends a connection whose bytes are held.
+func TestCloseEndsHeldConnection(t *testing.T) {
 	l := openTestLink(t)
 	conn := l.connect()
 	l.write(conn, "a call 1")
