--- a/internal/faultinjection/coldstart/figures.go
+++ b/internal/faultinjection/coldstart/figures.go
@@ -9,42 +9,41 @@
 
 // Call is one load report that reached the endpoint registry.
 type Call struct {
-	Name    string        // of the backend
-	At      time.Duration // since the registry's phases began
-	Counted bool          // whether the registry accepted the report
-	Off     bool          // whether the backend left the registry with it
+	Name        string        // of the backend
+	At          time.Duration // since the registry's phases began
+	Accepted    bool          // whether the registry accepted the report
+	Deregisters bool          // whether the backend deregistered with it
 }
 
-// Figures holds the measurements of a cold start. The registry's return is the time from which on it accepts all
-// reports.
+// Figures holds the measurements of a cold start. Times in seconds begin at the end of the outage; -1 stands for never.
 type Figures struct {
-	Backends  int     `json:"backends"`
-	Ordinary  float64 `json:"ordinary_per_s"` // calls per second if every backend reports at its usual interval
-	Refusing  float64 `json:"refusing_per_s"` // mean calls per second from the first call to the return
-	Worst     float64 `json:"refusing_worst"` // calls in the busiest second before the return
-	First     float64 `json:"peak_first"`     // busiest tenth of the first second after the return, over Ordinary
-	Peak      float64 `json:"peak"`           // busiest tenth of a second after all were listed, over the mean of these
-	Half      float64 `json:"half_listed_s"`  // seconds from the return until 50% of backends were listed; -1: never
-	Most      float64 `json:"most_listed_s"`  // seconds from the return until 95% were listed; -1: never
-	Conns     int     `json:"connections"`    // highest number of open connections
-	Falls     int     `json:"falls"`          // collapses of the registry
-	Lapsed    int     `json:"lapsed"`         // entries that expired after they were listed, although the backend ran
-	Listed    int     `json:"listed"`         // entries at the end
-	LapsedFor float64 `json:"lapsed_longest_s"`
-	Starting  int     `json:"starting"` // highest number of processes that were starting at the same time
+	Backends      int     `json:"backends"`
+	OrdinaryRate  float64 `json:"ordinary_per_s"`   // calls per second if every backend reports at its usual interval
+	RefusingRate  float64 `json:"refusing_per_s"`   // mean calls per second from the first call to the outage's end
+	RefusingPeak  float64 `json:"refusing_worst"`   // calls in the busiest second of the outage
+	FirstPeak     float64 `json:"peak_first"`       // busiest tenth of the first second, over OrdinaryRate
+	Peak          float64 `json:"peak"`             // busiest tenth of a second after 95% were listed, over the mean
+	HalfListed    float64 `json:"half_listed_s"`    // seconds until 50% of the backends were listed
+	MostListed    float64 `json:"most_listed_s"`    // seconds until 95% of the backends were listed
+	Connections   int     `json:"connections"`      // highest number of open connections
+	Collapses     int     `json:"falls"`            // collapses of the registry
+	Expired       int     `json:"lapsed"`           // expirations of entries whose backend reported again later
+	Listed        int     `json:"listed"`           // entries that had not expired at the end
+	LongestExpiry float64 `json:"lapsed_longest_s"` // most seconds from an expiration to the next accepted report
+	Starting      int     `json:"starting"`         // highest number of processes that were starting at the same time
 }
 
-// Lapse is the time after the last report at which an entry expires.
-const Lapse time.Duration = 3 * time.Second
+// EntryTTL is the time after the last accepted report at which an entry expires.
+const EntryTTL time.Duration = 3 * time.Second
 
 const (
 	tenth           time.Duration = time.Second / 10
 	tenthsPerSecond float64       = 10
-	// firstStep is the distance of the overlapping tenths that are examined in the first second.
-	firstStep time.Duration = tenth / 4
+	// windowStep is the distance of the overlapping tenths of a second that are examined in the first second.
+	windowStep time.Duration = tenth / 4
 )
 
-// Fractions of the backends of Figures.Half and Figures.Most.
+// Fractions of the backends that Figures.HalfListed and Figures.MostListed refer to.
 const (
 	halfListed float64 = 0.5
 	mostListed float64 = 0.95
@@ -54,99 +53,98 @@
 // reports; end is the end of the trial.
 func Measure(calls []Call, behavior *RegistryBehavior, backends int, reportInterval, end time.Duration) (f Figures) {
 	f.Backends = backends
-	f.Ordinary = float64(backends) / reportInterval.Seconds()
+	f.OrdinaryRate = float64(backends) / reportInterval.Seconds()
 	slices.SortFunc(calls, func(a, b Call) int { return cmp.Compare(a.At, b.At) })
-	returned, ok := behavior.Returned()
+	outageEnd, ok := behavior.OutageEnd()
 	if !ok {
-		returned = end
+		outageEnd = end
 	}
-	f.measureRefusing(calls, returned)
-	f.measureListed(calls, returned)
-	f.measureBursts(calls, returned, end)
-	f.measureLapses(calls, returned, end)
+	f.measureRefusing(calls, outageEnd)
+	f.measureListed(calls, outageEnd)
+	f.measureBursts(calls, outageEnd, end)
+	f.measureExpiries(calls, outageEnd, end)
 	return f
 }
 
-// measureRefusing measures the calls before the registry's return. It begins with the first call, as backends that have
-// not started send none.
-func (f *Figures) measureRefusing(calls []Call, returned time.Duration) {
-	if len(calls) == 0 || calls[0].At >= returned {
+// measureRefusing measures the calls during the outage. It begins with the first call, as backends that have not
+// started send none.
+func (f *Figures) measureRefusing(calls []Call, outageEnd time.Duration) {
+	if len(calls) == 0 || calls[0].At >= outageEnd {
 		return
 	}
 	from := calls[0].At
-	f.Refusing = float64(count(calls, from, returned)) / (returned - from).Seconds()
-	for at := from; at+time.Second <= returned; at += tenth {
-		f.Worst = max(f.Worst, float64(count(calls, at, at+time.Second)))
+	f.RefusingRate = float64(count(calls, from, outageEnd)) / (outageEnd - from).Seconds()
+	for at := from; at+time.Second <= outageEnd; at += tenth {
+		f.RefusingPeak = max(f.RefusingPeak, float64(count(calls, at, at+time.Second)))
 	}
 }
 
-// measureListed measures when the registry accepted the first report of each backend.
-func (f *Figures) measureListed(calls []Call, returned time.Duration) {
-	counted := map[string]bool{}
-	var listed []time.Duration
+// measureListed measures when the registry accepted the first report of each backend after the outage.
+func (f *Figures) measureListed(calls []Call, outageEnd time.Duration) {
+	listed := map[string]bool{}
+	var listedAfter []time.Duration // since the end of the outage, sorted
 	for _, c := range calls {
-		if c.Counted && !c.Off && c.At >= returned && !counted[c.Name] {
-			counted[c.Name] = true
-			listed = append(listed, c.At-returned)
+		if c.Accepted && !c.Deregisters && c.At >= outageEnd && !listed[c.Name] {
+			listed[c.Name] = true
+			listedAfter = append(listedAfter, c.At-outageEnd)
 		}
 	}
-	f.Half = timeListed(listed, f.Backends, halfListed)
-	f.Most = timeListed(listed, f.Backends, mostListed)
+	f.HalfListed = timeListed(listedAfter, f.Backends, halfListed)
+	f.MostListed = timeListed(listedAfter, f.Backends, mostListed)
 }
 
-// measureBursts measures the busiest tenths of a second after the registry's return.
-func (f *Figures) measureBursts(calls []Call, returned, end time.Duration) {
-	for at := returned; at < returned+time.Second; at += firstStep {
-		f.First = max(f.First, float64(count(calls, at, at+tenth))/(f.Ordinary/tenthsPerSecond))
+// measureBursts measures the busiest tenths of a second after the outage.
+func (f *Figures) measureBursts(calls []Call, outageEnd, end time.Duration) {
+	for at := outageEnd; at < outageEnd+time.Second; at += windowStep {
+		f.FirstPeak = max(f.FirstPeak, float64(count(calls, at, at+tenth))/(f.OrdinaryRate/tenthsPerSecond))
 	}
-	if f.Most < 0 {
+	if f.MostListed < 0 {
 		return
 	}
-	// These tenths do not overlap, so that a burst by chance counts once.
-	from := returned + time.Duration(f.Most*float64(time.Second)) + Lapse
+	// These windows do not overlap, so that a random burst counts once.
+	from := outageEnd + time.Duration(f.MostListed*float64(time.Second)) + EntryTTL
 	mean := float64(count(calls, from, end)) / ((end - from).Seconds() * tenthsPerSecond)
 	for at := from; at+tenth <= end; at += tenth {
 		f.Peak = max(f.Peak, float64(count(calls, at, at+tenth))/mean)
 	}
 }
 
-// measureLapses measures intervals between accepted reports that are longer than Lapse.
-func (f *Figures) measureLapses(calls []Call, returned, end time.Duration) {
+// measureExpiries measures the intervals between accepted reports that are longer than EntryTTL, and counts the entries
+// at the end.
+func (f *Figures) measureExpiries(calls []Call, outageEnd, end time.Duration) {
 	last := map[string]time.Duration{}
 	for _, c := range calls {
-		if !c.Counted || c.At < returned {
+		if !c.Accepted || c.At < outageEnd {
 			continue
 		}
-		if previous, ok := last[c.Name]; ok && c.At-previous > Lapse {
-			f.Lapsed++
-			f.LapsedFor = max(f.LapsedFor, (c.At - previous - Lapse).Seconds())
+		if previous, ok := last[c.Name]; ok && c.At-previous > EntryTTL {
+			f.Expired++
+			f.LongestExpiry = max(f.LongestExpiry, (c.At - previous - EntryTTL).Seconds())
 		}
 		last[c.Name] = c.At
 	}
 	for _, at := range last {
-		if end-at <= Lapse {
+		if end-at <= EntryTTL {
 			f.Listed++
 		}
 	}
 }
 
-// timeListed returns the seconds until a fraction of all backends was listed, or -1 if that never happened.
-func timeListed(listed []time.Duration, backends int, fraction float64) float64 {
+// timeListed returns the seconds until a fraction of all backends was listed, or -1 if that never happened. The times
+// are sorted.
+func timeListed(listedAfter []time.Duration, backends int, fraction float64) float64 {
 	needed := int(math.Ceil(fraction * float64(backends)))
-	if needed > len(listed) || needed < 1 {
+	if needed > len(listedAfter) || needed < 1 {
 		return -1
 	}
-	return listed[needed-1].Seconds()
+	return listedAfter[needed-1].Seconds()
 }
 
 // count returns the number of calls in a span, its end excluded. The calls are sorted by time.
 func count(calls []Call, from, to time.Duration) int {
 	before := func(end time.Duration) int {
 		index, _ := slices.BinarySearchFunc(calls, end, func(c Call, at time.Duration) int {
-			return cmp.Compare(
-				c.At,
-				at,
-			)
+			return cmp.Compare(c.At, at)
 		})
 		return index
 	}
--- a/internal/faultinjection/harness/cold_start.go
+++ b/internal/faultinjection/harness/cold_start.go
@@ -50,7 +50,7 @@
 		reportInterval,
 		harness.endedAt.Sub(harness.startedAt),
 	)
-	f.Conns, f.Falls = harness.observed.MaxConnections, harness.observed.Falls
+	f.Connections, f.Collapses = harness.observed.MaxConnections, harness.observed.Collapses
 	v.ColdStart = &f
 	for _, reason := range f.Violations(c.Bounds) {
 		v.fail("register: %s", reason)
--- a/internal/faultinjection/registry/registry.go
+++ b/internal/faultinjection/registry/registry.go
@@ -1,10 +1,10 @@
-// Package registry is a fake of the platform's endpoint registry for fault-injection trials. By its phases it accepts
-// load reports, rejects them, does not respond, or is down; it collapses when too many calls are open at once. It
-// records every call.
+// Package registry is a fake of the platform's endpoint registry for fault-injection trials. Depending on its phase it
+// accepts load reports, rejects them, does not respond, or is down; it collapses when too many calls are open at once.
+// It records every call.
 //
 // Invariants:
-//   - Every call that has ended since Begin is recorded once, up to maxCalls (TestAcceptsAndRejects).
-//   - A collapsed registry accepts no report until its recovery time has passed (TestCollapsesUnderOpenCalls).
+//   - Every call that has ended since Begin is recorded once, up to maxCalls (TestEachCallSinceBeginIsRecorded).
+//   - A collapsed registry accepts no report until its recovery time has passed (TestTooManyOpenCallsCollapseRegistry).
 package registry
 
 import (
@@ -30,20 +30,20 @@
 	closed   chan struct{} // closed by Close
 
 	mu             sync.Mutex // guards the fields below
-	began          time.Time  // start of the phases; zero: behaves as at the start of the first phase
+	phasesStart    time.Time  // zero: behaves as at the start of the first phase
 	observations   Observations
 	openCalls      int
 	openConns      int
 	collapsedUntil time.Time // zero: has not collapsed
 	server         *http.Server
-	random         *rand.Rand // decides which reports a phase of mode Half rejects
+	random         *rand.Rand // decides which reports a phase of mode RejectsHalf rejects
 }
 
 // Observations holds what the registry observed since its phases began.
 type Observations struct {
 	Calls          []coldstart.Call // the first maxCalls, in the order of their ends
 	MaxConnections int              // highest number of open connections
-	Falls          int              // number of collapses
+	Collapses      int              // number of collapses
 }
 
 const (
@@ -51,7 +51,7 @@
 	maxBody       int64         = 1 << 10   // bytes read of a report
 	readTimeout   time.Duration = 5 * time.Second
 	reopenBackoff time.Duration = 10 * time.Millisecond
-	rejectOneIn   int           = 2 // reports, in a phase of mode Half
+	rejectOneIn   int           = 2 // reports, in a phase of mode RejectsHalf
 )
 
 // Seeds of the random rejections.
@@ -60,8 +60,8 @@
 	randomStream uint64 = 2
 )
 
-// offReport is the body of the report with which a backend leaves the registry.
-const offReport string = `{"duty":"off"}`
+// deregistrationReport is the body of the report with which a backend deregisters.
+const deregistrationReport string = `{"duty":"off"}`
 
 // Start starts a registry that listens at the address and behaves as at the start of its first phase until Begin.
 func Start(address string, behavior coldstart.RegistryBehavior) (*Registry, error) {
@@ -118,26 +118,26 @@
 
 // Begin starts the phases and discards earlier observations.
 func (r *Registry) Begin() {
-	began := time.Now()
-	r.resetObservations(began)
+	phasesStart := time.Now()
+	r.resetObservations(phasesStart)
 	for _, phase := range r.behavior.Phases {
 		if phase.Mode != coldstart.Down {
 			continue
 		}
-		time.AfterFunc(time.Until(began.Add(phase.From)), r.closeServer)
-		time.AfterFunc(time.Until(began.Add(r.behavior.Until(phase.From))), r.reopen)
+		time.AfterFunc(time.Until(phasesStart.Add(phase.From)), r.closeServer)
+		time.AfterFunc(time.Until(phasesStart.Add(r.behavior.Until(phase.From))), r.reopen)
 	}
 }
 
 // resetObservations discards the observations and sets the start of the phases.
-func (r *Registry) resetObservations(began time.Time) {
+func (r *Registry) resetObservations(phasesStart time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.began = began
+	r.phasesStart = phasesStart
 	r.observations = Observations{MaxConnections: r.openConns}
 }
 
-// reopen listens again after a phase of mode Down. It retries, as the system may not release the port at once.
+// reopen listens again after a phase of mode Down. It retries, as the port may still be in use.
 func (r *Registry) reopen() {
 	for !r.isClosed() {
 		listener, err := r.listen()
@@ -175,21 +175,21 @@
 // response is how the registry responds to one call.
 type response struct {
 	phase     coldstart.Phase
-	collapsed bool // whether the connection is broken without a response
+	collapsed bool // whether the connection is closed without a response
 	rejected  bool
 }
 
-// beginCall counts a call and decides by the phase how to respond.
+// beginCall counts a call and decides how to respond, by the phase and the number of open calls.
 func (r *Registry) beginCall(name string) (coldstart.Call, response) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	began := r.began
-	if began.IsZero() {
-		began = now
+	phasesStart := r.phasesStart
+	if phasesStart.IsZero() {
+		phasesStart = now
 	}
-	sinceBegin := now.Sub(began)
-	phase := r.behavior.At(sinceBegin)
+	sinceStart := now.Sub(phasesStart)
+	phase := r.behavior.At(sinceStart)
 	reply := response{
 		phase:     phase,
 		collapsed: now.Before(r.collapsedUntil),
@@ -198,22 +198,22 @@
 	r.openCalls++
 	overloaded := r.behavior.MaxOpenCalls > 0 && r.openCalls > r.behavior.MaxOpenCalls
 	if overloaded && !reply.collapsed {
-		r.observations.Falls++
+		r.observations.Collapses++
 		r.collapsedUntil = now.Add(r.behavior.RecoveryTime)
 		reply.collapsed = true
 	}
-	return coldstart.Call{Name: name, At: sinceBegin}, reply
+	return coldstart.Call{Name: name, At: sinceStart}, reply
 }
 
-// rejects decides whether a report is rejected in a mode. The caller holds mu.
+// rejects decides whether to reject a report in a mode. The caller holds mu.
 func (r *Registry) rejects(mode coldstart.Mode) bool {
-	if mode == coldstart.Half {
+	if mode == coldstart.RejectsHalf {
 		return r.random.IntN(rejectOneIn) == 0
 	}
-	return mode == coldstart.Refuses
+	return mode == coldstart.Rejects
 }
 
-// endCall records a call.
+// endCall records a call that has ended.
 func (r *Registry) endCall(call coldstart.Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,7 +227,7 @@
 func (r *Registry) serve(w http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(io.LimitReader(request.Body, maxBody))
 	call, reply := r.beginCall(filepath.Base(request.URL.Path))
-	call.Off = string(body) == offReport
+	call.Deregisters = string(body) == deregistrationReport
 	defer func() { r.endCall(call) }()
 	if reply.collapsed {
 		panic(http.ErrAbortHandler)
@@ -251,7 +251,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	call.Counted = true
+	call.Accepted = true
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/faultinjection/registry/registry_test.go
+++ b/internal/faultinjection/registry/registry_test.go
@@ -48,24 +48,24 @@
 }
 
 // eventually waits for a condition.
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, event string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("no %s", what)
+			t.Fatalf("no %s within 20 s", event)
 		}
 	}
 }
 
-// TestAcceptsAndRejects verifies that the registry behaves as in its first phase before Begin, that a rejection has a
-// Retry-After and does not count, and that each call since Begin is recorded.
-func TestAcceptsAndRejects(t *testing.T) {
+// TestEachCallSinceBeginIsRecorded verifies that the registry behaves as in its first phase before Begin, that a
+// rejection has a Retry-After and does not count, and that each call since Begin is recorded.
+func TestEachCallSinceBeginIsRecorded(t *testing.T) {
 	r := start(
 		t,
 		coldstart.RegistryBehavior{
 			Phases: []coldstart.Phase{
-				{Mode: coldstart.Takes},
-				{From: 1, Mode: coldstart.Refuses, ResponseTime: 30 * time.Millisecond, RetryAfter: 7 * time.Second},
+				{Mode: coldstart.Accepts},
+				{From: 1, Mode: coldstart.Rejects, ResponseTime: 30 * time.Millisecond, RetryAfter: 7 * time.Second},
 			},
 		},
 	)
@@ -77,7 +77,8 @@
 	); err != nil || response.status != http.StatusNoContent {
 		t.Fatalf("before the phases: %+v, %v", response, err)
 	}
-	if calls := r.Observed().Calls; len(calls) != 1 || calls[0].Name != "n1" || !calls[0].Counted || calls[0].Off {
+	if calls := r.Observed().Calls; len(calls) != 1 || calls[0].Name != "n1" ||
+		!calls[0].Accepted || calls[0].Deregisters {
 		t.Errorf("recorded %+v", calls)
 	}
 	r.Begin()
@@ -85,21 +86,22 @@
 		t.Errorf("calls from before the phases: %+v", calls)
 	}
 	began := time.Now()
-	response, err := report(t.Context(), r, "n2", offReport)
+	response, err := report(t.Context(), r, "n2", deregistrationReport)
 	if err != nil || response.status != http.StatusServiceUnavailable || response.retryAfter != "7" {
 		t.Fatalf("rejection: %+v, %v", response, err)
 	}
 	if took := time.Since(began); took < 30*time.Millisecond {
 		t.Errorf("rejected after %v, want 30 ms or more", took)
 	}
-	if calls := r.Observed().Calls; len(calls) != 1 || calls[0].Name != "n2" || calls[0].Counted || !calls[0].Off {
+	if calls := r.Observed().Calls; len(calls) != 1 || calls[0].Name != "n2" ||
+		calls[0].Accepted || !calls[0].Deregisters {
 		t.Errorf("recorded %+v", calls)
 	}
 }
 
-// TestHalf verifies that about every second report is rejected, without a Retry-After.
-func TestHalf(t *testing.T) {
-	r := start(t, coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.Half}}})
+// TestRejectsHalfModeRejectsAboutHalf verifies that about one half of the reports is rejected, without a Retry-After.
+func TestRejectsHalfModeRejectsAboutHalf(t *testing.T) {
+	r := start(t, coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.RejectsHalf}}})
 	r.Begin()
 	accepted := 0
 	for range 100 {
@@ -116,8 +118,8 @@
 	}
 }
 
-// TestSilent verifies that a call gets no response, and ends with its caller or with the registry.
-func TestSilent(t *testing.T) {
+// TestSilentRegistryNeverResponds verifies that a call gets no response, and ends with its caller or with the registry.
+func TestSilentRegistryNeverResponds(t *testing.T) {
 	r := start(t, coldstart.RegistryBehavior{Phases: []coldstart.Phase{{Mode: coldstart.Silent}}})
 	r.Begin()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -145,13 +147,13 @@
 	}
 }
 
-// TestDown verifies that a registry that is down closes its connections and does not listen, and that it listens at
-// the same address afterwards.
-func TestDown(t *testing.T) {
+// TestDownRegistryListensAgainAfterwards verifies that a registry that is down closes its connections and does not
+// listen, and that it listens at the same address afterwards.
+func TestDownRegistryListensAgainAfterwards(t *testing.T) {
 	r := start(t, coldstart.RegistryBehavior{Phases: []coldstart.Phase{
-		{Mode: coldstart.Takes},
+		{Mode: coldstart.Accepts},
 		{From: 50 * time.Millisecond, Mode: coldstart.Down},
-		{From: 400 * time.Millisecond, Mode: coldstart.Takes},
+		{From: 400 * time.Millisecond, Mode: coldstart.Accepts},
 	}})
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(t.Context(), "tcp", r.Address)
@@ -173,11 +175,11 @@
 	})
 }
 
-// TestCollapsesUnderOpenCalls verifies that too many open calls make the registry collapse, and that it accepts no
-// report until it has recovered.
-func TestCollapsesUnderOpenCalls(t *testing.T) {
+// TestTooManyOpenCallsCollapseRegistry verifies that too many open calls make the registry collapse, and that it
+// accepts no report until it has recovered.
+func TestTooManyOpenCallsCollapseRegistry(t *testing.T) {
 	r := start(t, coldstart.RegistryBehavior{
-		Phases:       []coldstart.Phase{{Mode: coldstart.Takes, ResponseTime: 100 * time.Millisecond}},
+		Phases:       []coldstart.Phase{{Mode: coldstart.Accepts, ResponseTime: 100 * time.Millisecond}},
 		MaxOpenCalls: 3,
 		RecoveryTime: 300 * time.Millisecond,
 	})
@@ -198,13 +200,13 @@
 		all.Wait()
 		return accepted
 	}
-	if accepted := send(3); accepted != 3 || r.Observed().Falls != 0 {
-		t.Errorf("3 calls at once: %d accepted, %d collapses, want 3 and none", accepted, r.Observed().Falls)
+	if accepted := send(3); accepted != 3 || r.Observed().Collapses != 0 {
+		t.Errorf("3 calls at once: %d accepted, %d collapses, want 3 and none", accepted, r.Observed().Collapses)
 	}
-	for r.Observed().Falls == 0 { // until more than three calls were open at once
+	for r.Observed().Collapses == 0 { // whether more than three calls are open at once depends on the scheduler
 		send(12)
 	}
-	falls := r.Observed().Falls
+	collapses := r.Observed().Collapses
 	r.mu.Lock()
 	collapsedUntil := r.collapsedUntil
 	r.mu.Unlock()
@@ -212,7 +214,7 @@
 		t.Error("report accepted before the recovery")
 	}
 	eventually(t, "accepted report after the recovery", func() bool { return send(1) == 1 })
-	if observed := r.Observed(); observed.Falls < falls || observed.MaxConnections < 4 {
-		t.Errorf("got %d collapses and up to %d connections", observed.Falls, observed.MaxConnections)
+	if observed := r.Observed(); observed.Collapses < collapses || observed.MaxConnections < 4 {
+		t.Errorf("got %d collapses and up to %d connections", observed.Collapses, observed.MaxConnections)
 	}
 }
--- a/internal/faultinjection/schedule/cold_start.go
+++ b/internal/faultinjection/schedule/cold_start.go
@@ -70,11 +70,11 @@
 
 func readBounds(f *sexpr.Form) coldstart.Bounds {
 	b := coldstart.Bounds{
-		Refusing: f.Share("refusing", 0, maxRatio, 0),
-		First:    f.Share("first", 0, maxRatio, 0),
-		Peak:     f.Share("peak", 0, maxRatio, 0),
-		Conns:    f.Int("connections", 0, maxConnections, 0),
-		Most:     f.Span("listed", 0, maxSpan, 0).Seconds(),
+		RefusingRatio:         f.Share("refusing", 0, maxRatio, 0),
+		FirstPeak:             f.Share("first", 0, maxRatio, 0),
+		Peak:                  f.Share("peak", 0, maxRatio, 0),
+		ConnectionsPerBackend: f.Int("connections", 0, maxConnections, 0),
+		MostListed:            f.Span("listed", 0, maxSpan, 0).Seconds(),
 	}
 	f.Done()
 	return b
@@ -93,5 +93,5 @@
 			p.From, p.Mode, p.ResponseTime, p.RetryAfter)
 	}
 	fmt.Fprintf(b, "\n    (bounds (refusing %g) (first %g) (peak %g) (connections %d) (listed %v)))",
-		c.Refusing, c.First, c.Peak, c.Conns, time.Duration(c.Most*float64(time.Second)))
+		c.RefusingRatio, c.FirstPeak, c.Peak, c.ConnectionsPerBackend, time.Duration(c.MostListed*float64(time.Second)))
 }
--- a/internal/simulation/coldstart/coldstart_test.go
+++ b/internal/simulation/coldstart/coldstart_test.go
@@ -20,7 +20,7 @@
 	if again := run(Policy{MaxStarting: -40}); !reflect.DeepEqual(up, again) {
 		t.Error("one seed gave two results")
 	}
-	if up.Ready != n || up.DependencyCollapses > 1 || up.PeakStarting > 40 || up.Falls > 0 || up.Listed != n {
+	if up.Ready != n || up.DependencyCollapses > 1 || up.PeakStarting > 40 || up.Collapses > 0 || up.Listed != n {
 		t.Errorf("cold start: %+v", up)
 	}
 	if all := run(Policy{FixedReports: true}); all.DependencyCollapses == 0 || all.Ready == n {
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -162,7 +162,7 @@
 		time.Duration(t.Reports.Interval)*time.Microsecond,
 		t.Duration,
 	)
-	w.result.Falls, w.result.Ready = w.registryCollapses, len(w.readyTimes)
+	w.result.Collapses, w.result.Ready = w.registryCollapses, len(w.readyTimes)
 	w.result.HalfReadySeconds, w.result.MostReadySeconds = w.readyAt(0.5), w.readyAt(0.95)
 	return &w.result, nil
 }
@@ -364,8 +364,8 @@
 		w.registryDownUntil = w.now + r.RecoveryTime
 	}
 	takes := p.ResponseTime + time.Duration(w.rand.Int64N(int64(time.Millisecond)))
-	w.reports[call].Counted = p.Mode == faultinjectioncoldstart.Takes && w.now >= w.registryDownUntil ||
-		p.Mode == faultinjectioncoldstart.Half && w.rand.IntN(2) == 0
+	w.reports[call].Accepted = p.Mode == faultinjectioncoldstart.Accepts && w.now >= w.registryDownUntil ||
+		p.Mode == faultinjectioncoldstart.RejectsHalf && w.rand.IntN(2) == 0
 	w.schedule(takes, eventReportAnswered, index, call)
 }
 
@@ -374,7 +374,7 @@
 	b := &w.backends[index]
 	w.reportsInFlight--
 	c := &w.reports[call]
-	if c.Counted {
+	if c.Accepted {
 		b.pacer.Succeeded(monotime.FromDuration(w.now), monotime.FromDuration(c.At))
 	} else {
 		b.pacer.Failed(
--- a/internal/simulation/coldstart/study.go
+++ b/internal/simulation/coldstart/study.go
@@ -29,8 +29,8 @@
 		Duration:          120 * time.Second,
 		Registry: coldstart.RegistryBehavior{
 			Phases: []coldstart.Phase{
-				{Mode: coldstart.Refuses, ResponseTime: 10 * time.Millisecond},
-				{From: 10 * time.Second, Mode: coldstart.Takes, ResponseTime: 10 * time.Millisecond},
+				{Mode: coldstart.Rejects, ResponseTime: 10 * time.Millisecond},
+				{From: 10 * time.Second, Mode: coldstart.Accepts, ResponseTime: 10 * time.Millisecond},
 			},
 		},
 		Dependency: Dependency{
@@ -104,11 +104,11 @@
 }{
 	{
 		"refusing",
-		func(r *Result) float64 { return r.Refusing / r.Ordinary },
+		func(r *Result) float64 { return r.RefusingRate / r.OrdinaryRate },
 	},
-	{"first", func(r *Result) float64 { return r.First }},
+	{"first", func(r *Result) float64 { return r.FirstPeak }},
 	{"peak", func(r *Result) float64 { return r.Peak }},
-	{"listed95_s", func(r *Result) float64 { return r.Most }},
+	{"listed95_s", func(r *Result) float64 { return r.MostListed }},
 	{
 		"warm50_s",
 		func(r *Result) float64 { return r.HalfReadySeconds },
