--- a/internal/faultinjection/checker/drawlog.go
+++ b/internal/faultinjection/checker/drawlog.go
@@ -16,7 +16,7 @@
 	Name  string // of the backend
 	First int64  // time of the clock entry, microseconds; 0: the log has none
 	Last  int64  // time of the last entry, microseconds; counts as the end of the process
-	PPM   int64  // rate error of its lease clock against the machine's clock, parts per million; may be negative
+	PPM   int64  // rate of its lease clock above that of the machine's clock, parts per million; negative: slower
 
 	grants map[string][]grant // by quota, in order of time
 	draws  map[string][]draw  // by quota, in order of time
