--- a/internal/faultinjection/harness/report.go
+++ b/internal/faultinjection/harness/report.go
@@ -73,21 +73,21 @@
 		"  endpoint registry: %.0f calls per second at the usual interval; before it accepted reports mean %.0f, "+
 			"at most %.0f; busiest tenth of a second %.2f times the usual rate in the first second, "+
 			"%.2f times the mean once all were listed\n",
-		f.Ordinary,
-		f.Refusing,
-		f.Worst,
-		f.First,
+		f.OrdinaryRate,
+		f.RefusingRate,
+		f.RefusingPeak,
+		f.FirstPeak,
 		f.Peak,
 	)
 	fmt.Fprintf(
 		w,
 		"  50%% listed after %.1f s, 95%% after %.1f s; %d connections, %d collapses; %d expired entries; "+
 			"at most %d starting at once; %d of %d listed at the end\n",
-		f.Half,
-		f.Most,
-		f.Conns,
-		f.Falls,
-		f.Lapsed,
+		f.HalfListed,
+		f.MostListed,
+		f.Connections,
+		f.Collapses,
+		f.Expired,
 		f.Starting,
 		f.Listed,
 		f.Backends,
--- a/internal/simulation/coldstart/coldstart_test.go
+++ b/internal/simulation/coldstart/coldstart_test.go
@@ -21,7 +21,7 @@
 	if again := run(Policy{MaxStarting: -40}); !reflect.DeepEqual(coldStart, again) {
 		t.Error("two runs with the same seed differ")
 	}
-	if coldStart.Ready != n || coldStart.DependencyCollapses > 1 || coldStart.PeakStarting > 40 || coldStart.Falls > 0 ||
+	if coldStart.Ready != n || coldStart.DependencyCollapses > 1 || coldStart.PeakStarting > 40 || coldStart.Collapses > 0 ||
 		coldStart.Listed != n {
 		t.Errorf("cold start: %+v", coldStart)
 	}
--- a/internal/simulation/coldstart/run.go
+++ b/internal/simulation/coldstart/run.go
@@ -163,7 +163,7 @@
 		time.Duration(config.Reports.Interval)*time.Microsecond,
 		config.Duration,
 	)
-	r.result.Falls, r.result.Ready = r.registryCollapses, len(r.readyTimes)
+	r.result.Collapses, r.result.Ready = r.registryCollapses, len(r.readyTimes)
 	r.result.HalfReadySeconds, r.result.MostReadySeconds = r.readyAt(0.5), r.readyAt(0.95)
 	return &r.result, nil
 }
@@ -363,8 +363,8 @@
 		r.registryDownUntil = r.now + registry.RecoveryTime
 	}
 	duration := phase.ResponseTime + time.Duration(r.rand.Int64N(int64(time.Millisecond)))
-	r.reports[call].Counted = phase.Mode == faultinjectioncoldstart.Takes && r.now >= r.registryDownUntil ||
-		phase.Mode == faultinjectioncoldstart.Half && r.rand.IntN(2) == 0
+	r.reports[call].Accepted = phase.Mode == faultinjectioncoldstart.Accepts && r.now >= r.registryDownUntil ||
+		phase.Mode == faultinjectioncoldstart.RejectsHalf && r.rand.IntN(2) == 0
 	r.schedule(duration, eventReportAnswered, index, call)
 }
 
@@ -373,7 +373,7 @@
 	b := &r.backends[index]
 	r.reportsInFlight--
 	c := &r.reports[call]
-	if c.Counted {
+	if c.Accepted {
 		b.pacer.Succeeded(monotime.FromDuration(r.now), monotime.FromDuration(c.At))
 	} else {
 		b.pacer.Failed(
