--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -101,7 +101,7 @@
 		return err
 	}
 	slog.Info(
-		"agent",
+		"agent starting",
 		"fleet",
 		spec.Name,
 		"host",
@@ -112,7 +112,7 @@
 		len(spec.InstancesOn(host.Name)),
 	)
 	p.run(ctx, terminate, hangup, func() (*fleet.Spec, error) { return readFleet(c) })
-	slog.Info("agent_end", "why", "told to; the instances go on")
+	slog.Info("agent stopped", "why", "told to; the instances go on")
 	return nil
 }
 
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	slog.Warn("store", "set_aside", path)
+	slog.Warn("corrupted agent store set aside", "set_aside", path)
 	return agentstore.Open(dir, historyLimit)
 }
 
@@ -188,7 +188,7 @@
 	tasks.Go(func() {
 		err := agentapi.Serve(ctx, p.listener, p.agent, p.bounds)
 		if ctx.Err() == nil {
-			slog.Error("control", "error", fmt.Sprint(err))
+			slog.Error("agent API server failed; stopping the agent", "error", fmt.Sprint(err))
 		}
 		cancel()
 	})
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -163,7 +163,7 @@
 	slog.Info("start", "name", b.config.Name, "listen", b.config.Listen, "processors", b.bounds.Processors,
 		"connections", b.bounds.Connections, "invocations", b.bounds.Invocations)
 	if ignored := b.config.Settings.IgnoredFields; len(ignored) > 0 {
-		slog.Warn("unused", "settings", strings.Join(ignored, " "))
+		slog.Warn("unsupported settings ignored", "settings", strings.Join(ignored, " "))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -50,13 +50,15 @@
 	if stateErr != nil || state.Incarnation != action.Incarnation || state.Ended {
 		return // the incarnation has ended; its watcher reports the exit
 	}
-	slog.Warn("supervisor", "name", action.Name, "step", action.ID, "error", err.Error())
+	slog.Warn("supervisor request failed; sending the signal directly",
+		"name", action.Name, "step", action.ID, "error", err.Error())
 	if action.Kind == fleet.ActionKill {
 		err = state.Instance.KillGroup()
 	} else {
 		err = state.Instance.Signal(syscall.SIGTERM)
 	}
 	if err != nil && !errors.Is(err, process.ErrGone) {
-		slog.Error("signal", "name", action.Name, "step", action.ID, "error", err.Error())
+		slog.Error("cannot signal the instance without its supervisor",
+			"name", action.Name, "step", action.ID, "error", err.Error())
 	}
 }
--- a/internal/agent/history.go
+++ b/internal/agent/history.go
@@ -77,7 +77,8 @@
 		unsaved.History = unsaved.History[over:]
 	}
 	a.loop.unpublished = append(a.loop.unpublished, entry)
-	slog.Info("fleet", "what", event.Event, "name", event.Name, "command", event.CommandID, "cause", event.Cause)
+	slog.Info("event added to the agent history",
+		"what", event.Event, "name", event.Name, "command", event.CommandID, "cause", event.Cause)
 }
 
 // Entries returns the first cached entries that follow a serial, the number of entries between the serial and the first
--- a/internal/agent/restore.go
+++ b/internal/agent/restore.go
@@ -36,7 +36,7 @@
 	return fleet.New(s, a.options.Host, config, func(in *fleet.InstanceSpec) fleet.ShutdownWindow {
 		window, err := ReadShutdownWindow(in.ConfigFile)
 		if err != nil {
-			slog.Warn("config", "name", in.Name, "error", err.Error())
+			slog.Warn("cannot read the shutdown window of the instance", "name", in.Name, "error", err.Error())
 		}
 		return window
 	})
@@ -53,7 +53,8 @@
 		if !running {
 			continue
 		}
-		slog.Warn("adopt", "name", in.Name, "run", adopted.Incarnation, "why", "the instance is missing from the store")
+		slog.Warn("adopted an unrecorded running instance",
+			"name", in.Name, "run", adopted.Incarnation, "why", "the instance is missing from the store")
 		saved.Instances = append(saved.Instances, adopted)
 	}
 }
--- a/internal/agent/save.go
+++ b/internal/agent/save.go
@@ -29,9 +29,9 @@
 func (l *loopState) setStoreErr(err error) {
 	switch {
 	case err != nil && l.storeErr == nil:
-		slog.Error("store", "written", false, "error", err.Error())
+		slog.Error("cannot write the agent store", "written", false, "error", err.Error())
 	case err == nil && l.storeErr != nil:
-		slog.Info("store", "written", true)
+		slog.Info("agent store is writable again", "written", true)
 	}
 	l.storeErr = err
 }
--- a/internal/backend/dispatch/module.go
+++ b/internal/backend/dispatch/module.go
@@ -54,11 +54,11 @@
 		d.setHealth(a.Good)
 	case admission.CloseIdle:
 		d.idleTimeout = a.After
-		slog.Info("idle", "after_us", a.After)
+		slog.Info("connection idle timeout set", "after_us", a.After)
 	case admission.Wake:
 		d.nextTick, d.timerToken = a.At, a.Token
 	case admission.Log:
-		slog.Info("module", "text", a.Text)
+		slog.Info("message from the admission module", "text", a.Text)
 	default: // unreachable: the configuration rejects deployments that need other actions
 		slog.Error("internal_error", "in", fmt.Sprintf("%T", action),
 			"text", "the dispatcher does not support this action")
--- a/internal/backend/dispatch/ticker.go
+++ b/internal/backend/dispatch/ticker.go
@@ -94,7 +94,8 @@
 	overdueAfter := d.settings.Admission.AnswerSlack * overdueNumerator / overdueDenominator
 	for _, req := range d.inFlight {
 		if !req.answered && now > req.deadline+overdueAfter {
-			slog.Error("overdue", "id", req.id, "late_us", now-req.deadline, "running", req.running)
+			slog.Error("overdue request answered with an error",
+				"id", req.id, "late_us", now-req.deadline, "running", req.running)
 			d.respond(req, Response{Verdict: Errored})
 			_ = d.decide(now, admission.CallerGone{ID: req.id})
 		}
--- a/internal/backend/dispatch/ticker_test.go
+++ b/internal/backend/dispatch/ticker_test.go
@@ -115,7 +115,8 @@
 	if resp := fakes.Take(t, "the final response", lost.responses); resp.Verdict != Errored {
 		t.Errorf("the lost request: %+v, want verdict Errored", resp)
 	}
-	if n := strings.Count(logged.String(), "msg=overdue"); n != 1 || d.counts.Errored != 1 {
+	event := `msg="overdue request answered with an error"`
+	if n := strings.Count(logged.String(), event); n != 1 || d.counts.Errored != 1 {
 		t.Errorf("%d answered, %d logged; want 1, 1:\n%s", d.counts.Errored, n, logged.String())
 	}
 }
--- a/internal/cluster/quotastore/leader.go
+++ b/internal/cluster/quotastore/leader.go
@@ -106,7 +106,7 @@
 	if err != nil || result.Rejection == "" || command.Config == nil {
 		return // after an error the command is due again on the next tick
 	}
-	slog.Warn("budgets", "used", false, "why", result.Rejection)
+	slog.Warn("quota configuration from the fleet file rejected", "used", false, "why", result.Rejection)
 	l.store.discardDesiredConfig()
 }
 
--- a/internal/supervisor/launch.go
+++ b/internal/supervisor/launch.go
@@ -51,7 +51,7 @@
 	}
 
 	if _, err := releaseWriter.Write([]byte{1}); err != nil {
-		slog.Error("begin", "name", s.options.Name, "error", err.Error())
+		slog.Error("cannot tell the launcher to execute the instance", "name", s.options.Name, "error", err.Error())
 	}
 	slog.Info("launched", "name", s.options.Name, "run", s.options.Incarnation, "pid", instance.PID)
 	go func() { exited <- awaitChild(cmd) }()
@@ -84,7 +84,7 @@
 	pid := cmd.Process.Pid
 	// The group is killed before its leader is reaped, because the PID of a zombie is not reused.
 	if err := unix.Waitid(unix.P_PID, pid, nil, unix.WEXITED|unix.WNOWAIT, nil); err != nil {
-		slog.Error("wait", "pid", pid, "error", err.Error())
+		slog.Error("cannot wait for the instance; killing its process group", "pid", pid, "error", err.Error())
 	}
 	_ = syscall.Kill(-pid, syscall.SIGKILL) // fails if the group has no other process
 	_ = cmd.Wait()                          // ProcessState has the exit code
--- a/internal/supervisor/shutdown.go
+++ b/internal/supervisor/shutdown.go
@@ -53,7 +53,7 @@
 // logSignalError logs why a signal could not be sent, unless the reason is that the instance has exited.
 func (s *supervisor) logSignalError(err error) {
 	if err != nil && !errors.Is(err, process.ErrGone) {
-		slog.Error("signal", "name", s.options.Name, "error", err.Error())
+		slog.Error("cannot signal the instance", "name", s.options.Name, "error", err.Error())
 	}
 }
 
@@ -81,7 +81,7 @@
 func (s *supervisor) writeRecord() error {
 	err := s.record.write(s.paths.State)
 	if err != nil {
-		slog.Error("state", "name", s.options.Name, "error", err.Error())
+		slog.Error("cannot write the supervisor state file", "name", s.options.Name, "error", err.Error())
 	}
 	return err
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -120,7 +120,7 @@
 	var serving sync.WaitGroup
 	serving.Go(func() {
 		if err := server.Serve(limits.LimitListener(l, b.Connections)); !errors.Is(err, http.ErrServerClosed) {
-			slog.Error("serve", "name", s.options.Name, "error", err.Error())
+			slog.Error("supervisor API server failed", "name", s.options.Name, "error", err.Error())
 		}
 	})
 	return func() {
