--- a/cmd/milletbarrow/agent.go
+++ b/cmd/milletbarrow/agent.go
@@ -36,11 +36,11 @@
 	file := c.String("fleet")
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	s, err := fleet.ReadSpec(file, raw, limits.ForControl())
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	return s, nil
 }
@@ -83,19 +83,19 @@
 	logFormerNames(spec.Warnings)
 	host := spec.Host(c.String("host"))
 	if host == nil {
-		return usagef("host: %q is no host of %s", c.String("host"), c.String("fleet"))
+		return usagef("host: %q is not a host of %s", c.String("host"), c.String("fleet"))
 	}
 	dir, err := filepath.Abs(c.String("dir"))
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	runtime.GOMAXPROCS(maxAgentProcessors)
-	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error like a full disk, and no end
+	signal.Ignore(syscall.SIGXFSZ) // a write beyond the file size limit returns an error instead of ending the process
 	store, err := openAgentStore(dir, limits.ForControl().HistoryEntries, c.Bool("record-anew"))
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
-	defer func() { _ = store.Close() }() // each change is on the disk already
+	defer func() { _ = store.Close() }() // every change is already on disk
 	p, err := newAgentProcess(ctx, spec, host, dir, store, c.Bool("trust-directory"))
 	if err != nil {
 		return err
@@ -116,10 +116,10 @@
 	return nil
 }
 
-// maxAgentProcessors leaves the host's processors to its instances.
+// maxAgentProcessors limits the agent's processors, so that most of the host is left to the instances.
 const maxAgentProcessors = 2
 
-// openAgentStore opens the durable state; setAside has a damaged one moved away and a new one begun.
+// openAgentStore opens the durable state. With setAside, a corrupted store is moved away and replaced by an empty one.
 func openAgentStore(dir string, historyLimit int, setAside bool) (agentstore.Store, error) {
 	store, err := agentstore.Open(dir, historyLimit)
 	if !setAside || !errors.Is(err, agentstore.ErrCorrupt) {
@@ -133,7 +133,7 @@
 	return agentstore.Open(dir, historyLimit)
 }
 
-// agentProcess is the agent of a host with the goroutines beside its loop.
+// agentProcess is the agent of a host with its API server and its quota node.
 type agentProcess struct {
 	agent    *agent.Agent
 	node     *node.Node // nil: the fleet has no quotas
@@ -156,21 +156,21 @@
 	if spec.Quotas != nil {
 		config := node.Config{Spec: spec, Host: host.Name, Dir: dir, TrustDir: trustDir, Bounds: p.bounds}
 		if p.node, err = node.Open(config); err != nil {
-			return nil, unusable(err)
+			return nil, asUsageError(err)
 		}
 		options.Cluster = p.node
 	}
 	if p.listener, err = agentapi.Listen(ctx, host.AgentAddress); err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	if p.agent, err = agent.New(options); err != nil {
 		_ = p.listener.Close()
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	return p, nil
 }
 
-// run manages the instances until terminate or a failure of the API, and returns when all that it started has ended.
+// run manages the instances until terminate or a failure of the API, and returns when its goroutines have ended.
 func (p *agentProcess) run(
 	ctx context.Context, terminate, hangup <-chan os.Signal, readSpec func() (*fleet.Spec, error),
 ) {
@@ -180,7 +180,7 @@
 	defer cancel()
 	if p.node != nil {
 		tasks.Go(func() {
-			if err := p.node.Run(ctx); err != nil { // the instances are managed all the same
+			if err := p.node.Run(ctx); err != nil { // the agent manages its instances without it
 				slog.Error("quota_store", "stage", "ended", "error", err.Error())
 			}
 		})
@@ -213,7 +213,7 @@
 	p.agent.Run(ctx)
 }
 
-// reload uses the fleet file as it is now.
+// reload reads the fleet file again and applies it.
 func (p *agentProcess) reload(readSpec func() (*fleet.Spec, error)) error {
 	spec, err := readSpec()
 	if err != nil {
--- a/cmd/milletbarrow/degradation.go
+++ b/cmd/milletbarrow/degradation.go
@@ -40,10 +40,10 @@
 func readDegradationPolicy(file string) (*degradation.Policy, []sexpr.Warning, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, nil, unusable(err)
+		return nil, nil, asUsageError(err)
 	}
 	policy, warnings, err := degradation.ParsePolicy(file, raw)
-	return policy, warnings, unusable(err)
+	return policy, warnings, asUsageError(err)
 }
 
 func degradationCheckCommand() *cli.Command {
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkDegradation explains a policy, with --config also against a backend's operations and tenants.
+// checkDegradation explains a policy; with --config it also checks it against a backend's operations and tenants.
 func checkDegradation(_ context.Context, c *cli.Command) error {
 	policy, warnings, err := readDegradationPolicy(c.Args().First())
 	if err != nil {
@@ -68,7 +68,7 @@
 			_, err = degradation.NewShedder(policy, b.Settings.Operations, b.Settings.Tenants, 1)
 		}
 		if err != nil {
-			return unusable(err)
+			return asUsageError(err)
 		}
 	}
 	if c.Bool("json") {
@@ -124,24 +124,24 @@
 	return nil
 }
 
-// readTrace reads recorded signals; there is at least one reading.
+// readTrace reads recorded signals; a trace without readings is an error.
 func readTrace(file string) ([]degradation.Reading, error) {
 	in, err := os.Open(file)
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
-	defer func() { _ = in.Close() }() // only read from
+	defer func() { _ = in.Close() }() // opened for reading only
 	trace, err := degradation.ReadTrace(file, in)
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	if len(trace) == 0 {
-		return nil, usagef("%s: no reading", file)
+		return nil, usagef("%s: the trace has no readings", file)
 	}
 	return trace, nil
 }
 
-// plotLevels draws the level and the signals of a replay. A plot that fails leaves no file.
+// plotLevels plots the level and the signals of a replay. If plotting fails, no file is written.
 func plotLevels(file string, policy *degradation.Policy, points []degradation.ReplayPoint) error {
 	format, err := plotFormat("plot", file)
 	if err != nil {
@@ -164,7 +164,7 @@
 }
 
 func levelChanges(policy *degradation.Policy, changes []degradation.Change) []levelChange {
-	all := make([]levelChange, 0, len(changes)) // none is printed as an empty list
+	all := make([]levelChange, 0, len(changes)) // not nil: no changes are printed as []
 	for _, change := range changes {
 		all = append(all, levelChange{
 			change.At, policy.LevelName(change.From), policy.LevelName(change.To), change.Collapse, change.Cause,
@@ -186,10 +186,10 @@
 	}
 }
 
-// recordSignals prints the readings of an instance, each once, until the time is over.
+// recordSignals polls an instance for the duration of --for and prints each new reading once.
 func recordSignals(ctx context.Context, c *cli.Command) error {
-	p := admin.NewClient(c.String("socket"), limits.ForControl())
-	defer p.Close()
+	client := admin.NewClient(c.String("socket"), limits.ForControl())
+	defer client.Close()
 	every := c.Duration("every")
 	if every < time.Millisecond {
 		return usagef("every: %v is below 1ms", every)
@@ -197,13 +197,13 @@
 	last := int64(0)
 	for end := time.Now().Add(c.Duration("for")); time.Now().Before(end); time.Sleep(every) {
 		call, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
-		s, err := p.State(call)
+		s, err := client.State(call)
 		cancel()
 		if err != nil {
 			return err
 		}
 		if s.DegradationPolicy == "" {
-			return usagef("socket: this instance has no degradation policy, and measures no signals")
+			return usagef("socket: the instance has no degradation policy and measures no signals")
 		}
 		if s.SignalsAt > last { // not printed yet
 			last = s.SignalsAt
@@ -232,13 +232,13 @@
 // pinLevel overrides the level of an instance, or ends the override.
 func pinLevel(ctx context.Context, c *cli.Command) error {
 	if name := c.Args().First(); (name == "") != c.Bool("release") {
-		return usagef("wanted a level, or --release")
+		return usagef("expected either a level or --release")
 	}
-	p := admin.NewClient(c.String("socket"), limits.ForControl())
-	defer p.Close()
+	client := admin.NewClient(c.String("socket"), limits.ForControl())
+	defer client.Close()
 	ctx, cancel := context.WithTimeout(ctx, limits.ForControl().CallTimeout)
 	defer cancel()
-	return p.Override(ctx, admin.Override{
+	return client.Override(ctx, admin.Override{
 		Level:       c.Args().First(),
 		Duration:    c.Duration("for").Microseconds(),
 		By:          "command line",
--- a/cmd/milletbarrow/demo.go
+++ b/cmd/milletbarrow/demo.go
@@ -69,8 +69,8 @@
 		return err
 	}
 	s := demo.Scenario(backends, duration)
-	say := progressPrinter(c)
-	r, twice, err := runOnSockets(ctx, &s, c.Uint64("seed"), say)
+	logf := progressPrinter(c)
+	r, duplicateRuns, err := runOnSockets(ctx, &s, c.Uint64("seed"), logf)
 	if err != nil {
 		return err
 	}
@@ -87,15 +87,15 @@
 	} else {
 		printLoad(r)
 	}
-	if twice+r.DuplicateAnswers+r.UnknownResults > 0 {
+	if duplicateRuns+r.DuplicateAnswers+r.UnknownResults > 0 {
 		return outcomef(
 			outcomePartial,
 			"%d requests were run twice, %d answers were duplicates",
-			twice,
+			duplicateRuns,
 			r.DuplicateAnswers,
 		)
 	}
-	say("plot written to %s", c.String("plot"))
+	logf("plot written to %s", c.String("plot"))
 	return err
 }
 
@@ -108,56 +108,56 @@
 }
 
 // runOnSockets starts a scenario's fleet on this machine, sends its load, injects its slow hosts and rolling updates,
-// and stops the fleet again. Bursts are part of the load; other faults are not injected. twice counts the requests
-// that were run twice.
+// and stops the fleet again. Bursts are part of the load; other faults are not injected. duplicateRuns is the number of
+// requests that were run twice.
 func runOnSockets(
 	ctx context.Context,
 	s *simulation.Scenario,
 	seed uint64,
-	say func(string, ...any),
-) (r *loadgen.Report, twice int, err error) {
-	self, err := os.Executable()
+	logf func(string, ...any),
+) (r *loadgen.Report, duplicateRuns int, err error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, 0, err
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	site, err := demo.NewSite(s, self)
+	site, err := demo.NewSite(s, executable)
 	if err != nil {
 		return nil, 0, err
 	}
 	defer func() { err = errors.Join(err, site.Close()) }()
-	words := []string{"agent", "--fleet", site.FleetFile, "--host", "h1", "--dir", site.Dir}
-	agent := exec.CommandContext(context.WithoutCancel(ctx), self, words...) // ended below by SIGTERM
+	agentArgs := []string{"agent", "--fleet", site.FleetFile, "--host", "h1", "--dir", site.Dir}
+	agent := exec.CommandContext(context.WithoutCancel(ctx), executable, agentArgs...) // ended below by SIGTERM
 	if err := agent.Start(); err != nil {
 		return nil, 0, err
 	}
 	runFleet := func(ctx context.Context, args ...string) error {
-		words := append([]string{"fleet", args[0], "--fleet", site.FleetFile, "--all", "--quiet"}, args[1:]...)
-		out, err := exec.CommandContext(ctx, self, words...).CombinedOutput()
+		fleetArgs := append([]string{"fleet", args[0], "--fleet", site.FleetFile, "--all", "--quiet"}, args[1:]...)
+		out, err := exec.CommandContext(ctx, executable, fleetArgs...).CombinedOutput()
 		if err != nil && ctx.Err() == nil {
 			return fmt.Errorf("fleet %s: %w: %s", args[0], err, out)
 		}
 		return nil
 	}
-	defer func() { // not bound to ctx: the fleet stops also after an interrupt
-		say("stopping and cleaning up")
+	defer func() { // without ctx, so that the fleet is also stopped after an interrupt
+		logf("stopping and cleaning up")
 		err = errors.Join(err, runFleet(context.WithoutCancel(ctx), "stop", "--within", demoStopTimeout.String()))
 		_ = agent.Process.Signal(syscall.SIGTERM)
 		_ = agent.Wait()
 	}()
-	say("starting %d backends under an agent, in %s", len(site.Backends), site.Dir)
+	logf("starting %d backends under an agent, in %s", len(site.Backends), site.Dir)
 	if err := runFleet(ctx, "start", "--within", "20s"); err != nil {
 		return nil, 0, err
 	}
 	faults, faultsContext := errgroup.WithContext(ctx)
 	for _, fault := range s.Faults {
-		faults.Go(func() error { return site.InjectFault(faultsContext, fault, say, runFleet) })
+		faults.Go(func() error { return site.InjectFault(faultsContext, fault, logf, runFleet) })
 	}
 	r, err = loadgen.Run(ctx, loadgen.Options{
 		Scenario: s, Seed: seed, Backends: site.Backends, Bounds: limits.ForLoad(),
 		OnSnapshot: func(p loadgen.Snapshot) {
-			say("%s  %d of %d listed", progressLine(p), site.Listed(), len(site.Backends))
+			logf("%s  %d of %d listed", progressLine(p), site.Listed(), len(site.Backends))
 		},
 	})
 	if err = errors.Join(err, faults.Wait()); err != nil {
@@ -165,7 +165,7 @@
 	}
 	for _, executor := range site.Executors {
 		_, _, n := executor.Counts()
-		twice += n
+		duplicateRuns += n
 	}
-	return r, twice, nil
+	return r, duplicateRuns, nil
 }
--- a/cmd/milletbarrow/errors.go
+++ b/cmd/milletbarrow/errors.go
@@ -12,10 +12,10 @@
 
 // Exit codes; docs/fleet.md explains them.
 const (
-	exitError       = 1 // any error that has no code of its own
-	exitUnusable    = 2 // invalid file or argument; nothing was changed
-	exitSome        = 3 // some instances failed, or a check failed
-	exitLate        = 4 // timeout before all instances had a result
+	exitError       = 1 // any other error
+	exitUsage       = 2 // invalid file or argument; nothing was changed
+	exitPartial     = 3 // some instances failed, or a check failed
+	exitTimeout     = 4 // timeout before all instances had a result
 	exitUnreachable = 5 // some agents are unreachable
 )
 
@@ -33,8 +33,8 @@
 
 func (e *usageError) Unwrap() error { return e.cause }
 
-// unusable wraps an error in a usageError; nil stays nil.
-func unusable(err error) error {
+// asUsageError wraps an error in a usageError; nil stays nil.
+func asUsageError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -56,11 +56,11 @@
 
 // unknownCommandError reports an unknown sub-command.
 type unknownCommandError struct {
-	word string
+	name string
 }
 
 func (e *unknownCommandError) Error() string {
-	return fmt.Sprintf("unknown command %q; help lists the commands", e.word)
+	return fmt.Sprintf("unknown command %q; help lists the commands", e.name)
 }
 
 // outcome classifies the failure of a command that was carried out.
@@ -99,7 +99,7 @@
 		return 0
 	}
 	if _, ok := errors.AsType[*usageError](err); ok {
-		return exitUnusable
+		return exitUsage
 	}
 	if e, ok := errors.AsType[*outcomeError](err); ok {
 		return e.outcome.exitCode()
@@ -107,7 +107,7 @@
 	if errors.Is(err, supervisor.ErrLocked) {
 		return agent.ExitSupervisorRunning
 	}
-	// Of the command-line library, or of a program that this one ran.
+	// An error of the command-line library or of a child process has its own exit code.
 	if coded, ok := errors.AsType[cli.ExitCoder](err); ok {
 		return coded.ExitCode()
 	}
@@ -117,10 +117,10 @@
 func (o outcome) exitCode() int {
 	switch o {
 	case outcomeTimedOut:
-		return exitLate
+		return exitTimeout
 	case outcomeUnreachable:
 		return exitUnreachable
 	default:
-		return exitSome
+		return exitPartial
 	}
 }
--- a/cmd/milletbarrow/errors_test.go
+++ b/cmd/milletbarrow/errors_test.go
@@ -25,11 +25,11 @@
 	}{
 		"none":                       {nil, 0, ""},
 		"any":                        {errNoConfig, 1, "config: no file is given by GW_CONFIG or --config"},
-		"no such command":            {&unknownCommandError{word: "dance"}, 1, `unknown command "dance"; help lists the commands`},
-		"usage":                      {unusable(missing), 2, "open /nowhere: file does not exist"},
+		"no such command":            {&unknownCommandError{name: "dance"}, 1, `unknown command "dance"; help lists the commands`},
+		"usage":                      {asUsageError(missing), 2, "open /nowhere: file does not exist"},
 		"usage, wrapped":             {fmt.Errorf("x: %w", usagef("id: %w", missing)), 2, "x: id: open /nowhere: file does not exist"},
 		"usage, joined":              {errors.Join(usagef("a"), nil), 2, "a"},
-		"usage of a program's error": {unusable(failed), 2, "exit status 5"},
+		"usage of a program's error": {asUsageError(failed), 2, "exit status 5"},
 		"out of range":               {checkRange("most", 0, 1, 100_000), 2, "most: 0 is out of range: expected 1 to 100000"},
 		"partial":                    {&outcomeError{outcome: outcomePartial}, 3, ""},
 		"partial, with a text":       {outcomef(outcomePartial, "%d of %d", 1, 2), 3, "1 of 2"},
@@ -46,12 +46,12 @@
 			t.Errorf("%s: %q, want %q", name, test.err.Error(), test.text)
 		}
 	}
-	for _, err := range []error{unusable(missing), usagef("id: %w", missing), &outcomeError{cause: missing}} {
+	for _, err := range []error{asUsageError(missing), usagef("id: %w", missing), &outcomeError{cause: missing}} {
 		if !errors.Is(err, fs.ErrNotExist) {
 			t.Errorf("%v: its cause is out of reach", err)
 		}
 	}
-	if unusable(nil) != nil || checkRange("most", 1, 1, 2) != nil || checkRange("most", 2, 1, 2) != nil || checkRange("most", 3, 1, 2) == nil {
+	if asUsageError(nil) != nil || checkRange("most", 1, 1, 2) != nil || checkRange("most", 2, 1, 2) != nil || checkRange("most", 3, 1, 2) == nil {
 		t.Error("a usage error where nothing is wrong, or none where something is")
 	}
 }
--- a/cmd/milletbarrow/experiment.go
+++ b/cmd/milletbarrow/experiment.go
@@ -29,20 +29,20 @@
 	}
 }
 
-// readExperiment reads the file that the command line names, with what --over sweeps.
+// readExperiment reads the experiment file of the command line, with the sweep of --over if it is set.
 func readExperiment(c *cli.Command) (*experiment.Experiment, error) {
 	file := c.Args().First()
 	if file == "" {
-		return nil, usagef("no experiment is named")
+		return nil, usagef("no experiment file is given")
 	}
 	x, err := experiment.Read(file)
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	printFormerNames(x.Warnings)
 	if over := c.String("over"); over != "" { // replaces the sweep of the file
 		if err := x.Sweep(over); err != nil {
-			return nil, unusable(err)
+			return nil, asUsageError(err)
 		}
 	}
 	return x, nil
@@ -55,7 +55,7 @@
 		return nil, nil, err
 	}
 	cells, err := x.Cells()
-	return x, cells, unusable(err)
+	return x, cells, asUsageError(err)
 }
 
 func dirFlag() cli.Flag {
@@ -66,7 +66,7 @@
 	return &cli.StringFlag{Name: "over", Usage: "sweep `NAME=VALUE,VALUE...` in place of the file's sweep"}
 }
 
-// loadExperiment reads a file, and the results of it that are stored.
+// loadExperiment reads an experiment file and its stored results.
 func loadExperiment(c *cli.Command) (*experiment.Experiment, []experiment.Cell, []*simulation.Result, error) {
 	x, cells, err := readCells(c)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	results, missing, err := experiment.Load(x, c.String("dir"))
 	if err != nil {
-		return nil, nil, nil, unusable(err)
+		return nil, nil, nil, asUsageError(err)
 	}
 	if missing == len(cells) {
 		return nil, nil, nil, usagef(
--- a/cmd/milletbarrow/experiment_benchmark.go
+++ b/cmd/milletbarrow/experiment_benchmark.go
@@ -17,13 +17,13 @@
 	"milletbarrow/internal/simulation"
 )
 
-// benchmarkRun is one run's cost on this machine.
+// benchmarkRun is the cost of one simulated day on this machine.
 type benchmarkRun struct {
 	Hosts    int     `json:"hosts"`
 	Policy   string  `json:"policy"`
 	Seconds  float64 `json:"seconds"`
 	Events   uint64  `json:"events"`
-	Asks     int     `json:"asks"`
+	Requests int     `json:"asks"`
 	HeapMB   float64 `json:"heap_mb"` // heap memory taken from the system so far
 	PerEvent float64 `json:"ns_by_event"`
 }
@@ -53,7 +53,7 @@
 		err = x.Sweep("size=" + c.String("sizes"))
 	}
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	var format string
 	if to := c.String("plot"); to != "" {
@@ -64,7 +64,7 @@
 	x.Seeds, x.Scenarios = x.Seeds[:1], x.Scenarios[:1]
 	cells, err := x.Cells()
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	runtime.GOMAXPROCS(1)
 	all := make([]benchmarkRun, 0, len(cells))
@@ -93,15 +93,15 @@
 	began := time.Now()
 	r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, nil)
 	if err != nil {
-		return benchmarkRun{}, unusable(err)
+		return benchmarkRun{}, asUsageError(err)
 	}
 	run := benchmarkRun{
-		Hosts:   cell.Scenario.Hosts.Count,
-		Policy:  cell.Policy.Name,
-		Seconds: time.Since(began).Seconds(),
-		Events:  r.Events,
-		Asks:    r.Requests,
-		HeapMB:  heapMB(),
+		Hosts:    cell.Scenario.Hosts.Count,
+		Policy:   cell.Policy.Name,
+		Seconds:  time.Since(began).Seconds(),
+		Events:   r.Events,
+		Requests: r.Requests,
+		HeapMB:   heapMB(),
 	}
 	run.PerEvent = run.Seconds * float64(time.Second/time.Nanosecond) / math.Max(1, float64(run.Events))
 	return run, nil
@@ -132,7 +132,7 @@
 			run.Hosts,
 			run.Policy,
 			run.Seconds,
-			run.Asks,
+			run.Requests,
 			run.Events,
 			run.PerEvent,
 			run.HeapMB,
@@ -141,7 +141,7 @@
 	return w.Flush()
 }
 
-// plotBenchmark plots the curves of the policies, with a guide that grows as n log n from the first size on.
+// plotBenchmark plots the curves of the policies and a reference curve of n log n, scaled to the first size.
 func plotBenchmark(to, format, title string, curves []experiment.Curve) error {
 	guide := experiment.Curve{Policy: "n log n", X: curves[0].X}
 	first := curves[0].Y[0].Mean / (guide.X[0] * math.Log(guide.X[0]+1))
@@ -150,7 +150,7 @@
 	}
 	f, err := os.Create(to)
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	err = plot.Curves(f, title, "hosts", "seconds", append(curves, guide), format)
 	return errors.Join(err, f.Close())
--- a/cmd/milletbarrow/experiment_check.go
+++ b/cmd/milletbarrow/experiment_check.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// checkExperiment prints what an experiment would run.
+// checkExperiment prints the runs of an experiment without executing them.
 func checkExperiment(_ context.Context, c *cli.Command) error {
 	x, cells, err := readCells(c)
 	if err != nil {
--- a/cmd/milletbarrow/experiment_cold_start.go
+++ b/cmd/milletbarrow/experiment_cold_start.go
@@ -22,7 +22,7 @@
 func experimentColdStartCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "cold-start",
-		Usage: "simulate a cold start by each way of starting and reporting",
+		Usage: "simulate cold starts for each combination of start pacing and load reporting",
 		Description: "The simulated registry refuses reports for ten seconds, and the dependency fails under\n" +
 			"overload.\n" +
 			"Example:\n" +
@@ -36,7 +36,7 @@
 	}
 }
 
-// studyColdStart simulates cold starts, and prints a row for each way of starting and reporting.
+// studyColdStart simulates cold starts, and prints a row for each combination of start pacing and load reporting.
 func studyColdStart(_ context.Context, c *cli.Command) error {
 	for _, n := range c.IntSlice("backends") {
 		if err := checkRange("backends", n, minColdStartBackends, maxColdStartBackends); err != nil {
--- a/cmd/milletbarrow/experiment_compare.go
+++ b/cmd/milletbarrow/experiment_compare.go
@@ -36,12 +36,12 @@
 	}
 	m, err := experiment.MeasureNamed(c.String("measure"))
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	first, second := c.Args().Get(firstPolicyArg), c.Args().Get(secondPolicyArg)
 	all := experiment.Compare(cells, results, first, second, m)
 	if len(all) == 0 {
-		return usagef("no day was played by both %q and %q", first, second)
+		return usagef("no day was simulated with both %q and %q", first, second)
 	}
 	if c.Bool("json") {
 		return printJSON(all)
--- a/cmd/milletbarrow/experiment_plot.go
+++ b/cmd/milletbarrow/experiment_plot.go
@@ -57,7 +57,7 @@
 	}
 	m, err := experiment.MeasureNamed(c.String("measure"))
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	format, err := plotFormat("--to", c.String("to"))
 	if err != nil {
@@ -88,19 +88,20 @@
 	})
 }
 
-// plotFileMode lets everyone read a plot.
+// plotFileMode makes plots readable for all users.
 const plotFileMode = 0o644
 
 // plotFormat returns the format that a plot's file name asks for: svg or png. The flag is named in the error.
 func plotFormat(flag, file string) (string, error) {
 	format := strings.TrimPrefix(filepath.Ext(file), ".")
 	if format != "svg" && format != "png" {
-		return "", usagef("%s: %q ends neither in .svg nor in .png", flag, file)
+		return "", usagef("%s: found %q, expected a name that ends in .svg or .png", flag, file)
 	}
 	return format, nil
 }
 
-// selectDays selects the results of one scenario, seed and swept value, with their policies' names; no policy: all.
+// selectDays selects the results of one scenario, seed and swept value, with the names of their policies. An empty
+// policy selects all policies.
 func selectDays(
 	x *experiment.Experiment,
 	cells []experiment.Cell,
@@ -119,13 +120,13 @@
 	return names, days
 }
 
-// replaceFile replaces a file by a complete one; on an error the former one stays.
+// replaceFile writes a file through a temporary file and a rename; on an error the previous file stays unchanged.
 func replaceFile(to string, write func(io.Writer) error) error {
 	f, err := os.CreateTemp(filepath.Dir(to), ".plot-*")
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // no such file after the rename
+	defer func() { _ = os.Remove(f.Name()) }() // fails after the rename, as the file has moved
 	if err = errors.Join(write(f), f.Close()); err != nil {
 		return err
 	}
@@ -135,7 +136,7 @@
 	return os.Rename(f.Name(), to)
 }
 
-// plotDays draws one day of each policy.
+// plotDays plots one day of each policy.
 func plotDays(f io.Writer, what, title string, names []string, days []*simulation.Result, format string) error {
 	switch what {
 	case "time":
@@ -154,6 +155,6 @@
 	case "heat":
 		return plot.Heat(f, title+", "+names[0], days[0], format)
 	default:
-		return usagef("--what: %q is none of sweep, time, operations, tenants, latency, heat", what)
+		return usagef("--what: found %q, expected sweep, time, operations, tenants, latency or heat", what)
 	}
 }
--- a/cmd/milletbarrow/experiment_replay.go
+++ b/cmd/milletbarrow/experiment_replay.go
@@ -51,16 +51,16 @@
 			(math.IsNaN(c.Float("at")) || c.Float("at") == l.SweptValue)
 	})
 	if i < 0 {
-		return usagef("no such run in this experiment")
+		return usagef("the experiment has no such run")
 	}
 	if c.Uint64("invocation") == 0 && c.Int("host") < 0 {
-		return usagef("name an --invocation or a --host")
+		return usagef("expected --invocation or --host")
 	}
 	tr := &simulation.Trace{Request: c.Uint64("invocation"), Host: int32(c.Int("host")), MaxLines: c.Int("most")}
 	cell := &cells[i]
 	r, err := simulation.Play(&cell.Scenario, cell.Policy, cell.Seed, tr)
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	fmt.Printf(
 		"%s, %s, seed %d, at %g: value %.4f\n",
--- a/cmd/milletbarrow/experiment_run.go
+++ b/cmd/milletbarrow/experiment_run.go
@@ -23,7 +23,7 @@
 		Aliases:   []string{"sweep"},
 		Usage:     "run an experiment; the same call resumes one that was interrupted",
 		ArgsUsage: "FILE",
-		Description: "Each result is stored as soon as its run ends. The exit code is 3 if the module broke a rule.\n" +
+		Description: "Each result is stored as soon as its run ends. The exit code is 3 if the admission module broke a rule.\n" +
 			"Example:\n   milletbarrow experiment run docs/studies/deaf.sx --dir /tmp/deaf --over nodes.deaf=0,0.5,1",
 		Flags: []cli.Flag{
 			dirFlag(), overFlag(), jsonFlag(),
@@ -34,7 +34,7 @@
 	}
 }
 
-// runExperiment plays what is not stored yet, and prints a summary of all.
+// runExperiment simulates the days without a stored result, and prints a summary of all.
 func runExperiment(ctx context.Context, c *cli.Command) error {
 	x, err := readExperiment(c)
 	if err != nil {
@@ -42,9 +42,9 @@
 	}
 	store, err := experiment.OpenResultDir(c.String("dir"), buildID())
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
-	defer func() { _ = store.Close() }() // each result is written before the run goes on
+	defer func() { _ = store.Close() }() // each result is already written
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	began := time.Now()
@@ -77,7 +77,7 @@
 	return printSummary(experiment.Summary(cells, results))
 }
 
-// buildID names this program by its content: a build does not resume the results of another.
+// buildID identifies this program by its content, so that one build does not reuse the results of another.
 func buildID() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -90,7 +90,7 @@
 	return fmt.Sprintf("%s, %016x", version(), xxhash.Sum64(raw))
 }
 
-// printSummary prints a table, and returns an error where the decision module broke a rule.
+// printSummary prints a table, and returns an error if the admission module broke a rule.
 func printSummary(rows []experiment.Row) error {
 	w := newTabWriter()
 	fmt.Fprintln(w, "scenario\tat\tpolicy\tdays\tvalue\tinterval\ttries an ask\twasted ms an ask\trules broken")
@@ -116,7 +116,7 @@
 		return err
 	}
 	if broken {
-		return outcomef(outcomePartial, "the module broke a rule")
+		return outcomef(outcomePartial, "the admission module broke a rule")
 	}
 	return nil
 }
--- a/cmd/milletbarrow/experiment_validate.go
+++ b/cmd/milletbarrow/experiment_validate.go
@@ -11,16 +11,16 @@
 	"milletbarrow/internal/simulation"
 )
 
-// validationResult compares one day, modelled and on sockets.
+// validationResult compares one day in the simulation and on sockets.
 type validationResult struct {
 	Scenario  string     `json:"scenario"`
-	Value     [2]float64 `json:"value"` // modelled, on sockets
+	Value     [2]float64 `json:"value"` // simulated, on sockets
 	Throttled [2]float64 `json:"throttled"`
-	P99       [2]float64 `json:"p99_us"` // of all operations, the mean weighted by what succeeded
+	P99       [2]float64 `json:"p99_us"` // mean over the operations, weighted by successes
 	Within    bool       `json:"within"`
 }
 
-// How far the two may differ: in value and in the throttled share, and relative to the measured p99.
+// Tolerances: absolute for the value and the throttled share, relative to the measured p99.
 const (
 	maxShareDifference = 0.05
 	maxP99Difference   = 0.20
@@ -48,7 +48,7 @@
 func runValidation(ctx context.Context, c *cli.Command) error {
 	x, err := experiment.Read(c.Args().First())
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	p, err := simulation.PolicyNamed(simulation.Module)
 	if err != nil {
@@ -78,7 +78,7 @@
 		t,
 		"scenario\tvalue modelled\ton sockets\tthrottled modelled\ton sockets\tp99 ms modelled\ton sockets\twithin",
 	)
-	apart := 0
+	exceeded := 0
 	for _, w := range all {
 		fmt.Fprintf(
 			t,
@@ -93,19 +93,19 @@
 			w.Within,
 		)
 		if !w.Within {
-			apart++
+			exceeded++
 		}
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if apart > 0 {
-		return outcomef(outcomePartial, "%d of %d days differ by more than the tolerance", apart, len(all))
+	if exceeded > 0 {
+		return outcomef(outcomePartial, "%d of %d days differ by more than the tolerance", exceeded, len(all))
 	}
 	return nil
 }
 
-// validateScenario plays one day in the model and on sockets.
+// validateScenario runs one day in the simulation and on sockets, and compares the results.
 func validateScenario(
 	ctx context.Context,
 	c *cli.Command,
@@ -114,13 +114,13 @@
 ) (*validationResult, error) {
 	modelled, err := simulation.Play(s, p, c.Uint64("seed"), nil)
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
-	measured, twice, err := runOnSockets(ctx, s, c.Uint64("seed"), progressPrinter(c))
+	measured, duplicateRuns, err := runOnSockets(ctx, s, c.Uint64("seed"), progressPrinter(c))
 	if err != nil {
 		return nil, err
 	}
-	if n := twice + measured.DuplicateAnswers + measured.UnknownResults; n > 0 {
+	if n := duplicateRuns + measured.DuplicateAnswers + measured.UnknownResults; n > 0 {
 		return nil, outcomef(outcomePartial, "%s: %d answers or runs were duplicates", s.Name, n)
 	}
 	w := &validationResult{Scenario: s.Name}
--- a/cmd/milletbarrow/faults.go
+++ b/cmd/milletbarrow/faults.go
@@ -46,7 +46,7 @@
 func keepFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:  "keep",
-		Usage: "keep what a failing trial left, in this `DIRECTORY`",
+		Usage: "keep the files of failed schedules in this `DIRECTORY`",
 		Value: "trials",
 	}
 }
@@ -55,7 +55,7 @@
 	return &cli.StringFlag{
 		Name:    "failpoint",
 		Aliases: []string{"plant"},
-		Usage:   "a `FAULT` of the program itself, where it was built with -tags failpoint",
+		Usage:   "enable the failpoint with this `NAME`; the program must be built with -tags failpoint",
 		Hidden:  true,
 	}
 }
@@ -99,7 +99,7 @@
 func faultsShrinkCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "shrink",
-		Usage:       "reduce a failing schedule as far as it still fails",
+		Usage:       "reduce a failing schedule to a minimal one that still fails",
 		ArgsUsage:   "FILE",
 		Description: "Example:\n   milletbarrow faults shrink trials/drawn-17/trial.sx --within 30m > small.sx",
 		Flags: []cli.Flag{
@@ -174,10 +174,10 @@
 func readSchedule(file string) (*schedule.Schedule, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	t, err := schedule.Read(file, raw)
-	return t, unusable(err)
+	return t, asUsageError(err)
 }
 
 func runSchedules(ctx context.Context, c *cli.Command) error {
@@ -212,15 +212,15 @@
 }
 
 func harnessOptions(c *cli.Command, t *schedule.Schedule) (o harness.Options, err error) {
-	self, err := os.Executable()
-	o = harness.Options{Program: self, Schedule: t, FailureDir: c.String("keep"), Failpoint: c.String("failpoint")}
+	executable, err := os.Executable()
+	o = harness.Options{Program: executable, Schedule: t, FailureDir: c.String("keep"), Failpoint: c.String("failpoint")}
 	if !c.Bool("quiet") {
 		o.Logf = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	}
 	return o, err
 }
 
-// playSchedules runs one after the other, and prints or stores the verdict of each.
+// playSchedules runs the schedules one after the other, and prints and stores the verdict of each.
 func playSchedules(ctx context.Context, c *cli.Command, all []*schedule.Schedule) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -267,7 +267,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("within"))
 	defer cancel()
-	small, err := harness.Shrink(
+	reduced, err := harness.Shrink(
 		ctx,
 		t,
 		c.Int("tries"),
@@ -276,14 +276,14 @@
 	if err != nil {
 		return err
 	}
-	fmt.Print(small)
+	fmt.Print(reduced)
 	return nil
 }
 
 func reportVerdicts(_ context.Context, c *cli.Command) error {
 	r, err := harness.ReadReport(c.Args().First())
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	if c.Bool("json") {
 		return printJSON(r)
--- a/cmd/milletbarrow/fleet.go
+++ b/cmd/milletbarrow/fleet.go
@@ -50,7 +50,7 @@
 // defaultCommandTimeout is the default of --within.
 const defaultCommandTimeout = 5 * time.Minute
 
-// commandMargin is how much longer than a command's own timeout its sender waits for the report.
+// commandMargin is added to a command's timeout while its sender waits for the report.
 const commandMargin = 10 * time.Second
 
 func jsonFlag() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "print JSON"} }
@@ -75,7 +75,7 @@
 	}
 }
 
-// newFleetClient makes the client of the sub-commands, for the fleet file that the flag names.
+// newFleetClient returns the client for the fleet file that the flag names.
 func newFleetClient(c *cli.Command) (*fleetclient.Client, error) {
 	spec, err := readFleet(c)
 	if err != nil {
@@ -120,7 +120,7 @@
 		All: c.Bool("all"), Names: c.Args().Slice(), Groups: c.StringSlice("group"), Labels: c.StringSlice("label"),
 		Hosts: c.StringSlice("host"),
 	})
-	return all, unusable(err)
+	return all, asUsageError(err)
 }
 
 func printJSON(v any) error {
@@ -147,10 +147,10 @@
 		}
 		fmt.Fprintln(w)
 	}
-	_ = w.Flush() // standard output: nowhere else to say so
+	_ = w.Flush() // an error of standard output can be reported nowhere
 }
 
-// newCommandRequest makes the command that the flags ask for.
+// newCommandRequest returns the command that the flags describe.
 func newCommandRequest(
 	c *cli.Command,
 	client *fleetclient.Client,
@@ -176,7 +176,7 @@
 	return request, nil
 }
 
-// newFleetCommand reads from the flags a command of a kind, with its client and the instances that it is for.
+// newFleetCommand reads a command of a kind from the flags, with its client and its instances.
 func newFleetCommand(
 	c *cli.Command, kind fleet.CommandKind,
 ) (*fleetclient.Client, []*fleet.InstanceSpec, agentapi.CommandRequest, error) {
@@ -192,13 +192,13 @@
 	return client, instances, request, err
 }
 
-// withCommandTimeout bounds how long this process waits for a command. Agents end it by its own timeout; the margin
-// leaves them time to say so.
+// withCommandTimeout bounds how long this process waits for a command. Agents end the command at its own timeout; the
+// margin leaves them time to report the end.
 func withCommandTimeout(ctx context.Context, request agentapi.CommandRequest) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, time.Duration(request.TimeoutMicros)*time.Microsecond+commandMargin)
 }
 
-// formatCounts lists how many instances had which outcome, by the outcome's name.
+// formatCounts lists the number of instances by outcome, sorted by the outcome's name.
 func formatCounts(counts map[fleet.Outcome]int) string {
 	parts := make([]string, 0, len(counts))
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/cmd/milletbarrow/fleet_check.go
+++ b/cmd/milletbarrow/fleet_check.go
@@ -14,7 +14,7 @@
 func fleetCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "check",
-		Usage: "validate a fleet's file, with --configs also the configurations that it names",
+		Usage: "validate a fleet file, and with --configs the configurations that it names",
 		Description: "Examples:\n   milletbarrow fleet check --fleet fleet.sx\n" +
 			"   milletbarrow fleet check --fleet fleet.sx --configs --json",
 		Flags: []cli.Flag{
@@ -26,7 +26,7 @@
 	}
 }
 
-// checkFleet reads the fleet's file, with --configs also the configurations that it names.
+// checkFleet validates the fleet file, and with --configs the configurations that it names.
 func checkFleet(_ context.Context, c *cli.Command) error {
 	s, err := readFleet(c)
 	if err != nil {
@@ -39,7 +39,7 @@
 			errs = append(errs, agent.CheckConfigs(s, h.Name))
 		}
 		if err := errors.Join(errs...); err != nil {
-			return unusable(err)
+			return asUsageError(err)
 		}
 	}
 	if c.Bool("json") {
--- a/cmd/milletbarrow/fleet_cold_start.go
+++ b/cmd/milletbarrow/fleet_cold_start.go
@@ -86,23 +86,23 @@
 		}
 		fmt.Fprintf(os.Stderr, "quota store unreachable (%v): each host starts one instance at a time\n", err)
 	}
-	shown := make(chan struct{})
-	showing, stop := context.WithCancel(ctx)
+	progressDone := make(chan struct{})
+	progressContext, stop := context.WithCancel(ctx)
 	go func() {
-		defer close(shown)
-		showColdStart(showing, c, client, request.ID)
+		defer close(progressDone)
+		showColdStart(progressContext, c, client, request.ID)
 	}()
 	report := client.Execute(ctx, request, all, c.Bool("wait"))
 	stop()
-	<-shown
+	<-progressDone
 	return finishCommand(c, report, c.Bool("wait"))
 }
 
-// previewColdStart prints in which order instances would start.
+// previewColdStart prints the order in which the instances would start.
 func previewColdStart(c *cli.Command, r *quota.ColdStartCommand) error {
 	s, err := coldstart.New(r.ID, *r.Config, r.Members)
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	if c.Bool("json") {
 		return printJSON(s)
@@ -117,7 +117,7 @@
 	}
 	printTable(rows)
 	fmt.Printf(
-		"starts at once: %d at first, at most %d; running instances are not touched\nnothing was done\n",
+		"concurrent starts: %d initially, at most %d; running instances are not touched\nnothing was done\n",
 		r.Config.InitialConcurrent,
 		r.Config.MaxConcurrent,
 	)
--- a/cmd/milletbarrow/fleet_history.go
+++ b/cmd/milletbarrow/fleet_history.go
@@ -19,19 +19,19 @@
 
 func fleetHistoryCommand() *cli.Command {
 	return &cli.Command{
-		Name: "history", Usage: "print the history: what was done, by whom and why",
+		Name: "history", Usage: "print the history of instances and commands: events, operators and causes",
 		Description: "Examples:\n   milletbarrow fleet history --fleet fleet.sx --most 50\n" +
 			"   milletbarrow fleet history --fleet fleet.sx --name n3 --json\n\n" +
 			"Lines of several hosts are in the order of their wall clocks, which may differ.",
 		Flags: []cli.Flag{
 			fleetFlag(),
 			jsonFlag(),
-			&cli.IntFlag{Name: "most", Usage: "number of lines, the latest ones", Value: defaultHistoryLines},
+			&cli.IntFlag{Name: "most", Usage: "maximum number of lines; the latest are printed", Value: defaultHistoryLines},
 			&cli.StringFlag{
 				Name:  "name",
-				Usage: "of this `INSTANCE` only",
+				Usage: "only events of this `INSTANCE`",
 			},
-			&cli.StringFlag{Name: "command", Usage: "of the command with this `ID` only"},
+			&cli.StringFlag{Name: "command", Usage: "only events of the command with this `ID`"},
 		},
 		Action: showHistory,
 	}
@@ -56,8 +56,8 @@
 		for _, e := range all {
 			printEvent(os.Stdout, e.Host, e.StreamEvent)
 		}
-		for host, why := range missing {
-			fmt.Printf("host %s: history is missing: %s\n", host, why)
+		for host, cause := range missing {
+			fmt.Printf("host %s: history is missing: %s\n", host, cause)
 		}
 	}
 	if err == nil && len(missing) > 0 {
--- a/cmd/milletbarrow/fleet_members.go
+++ b/cmd/milletbarrow/fleet_members.go
@@ -12,14 +12,14 @@
 	return &cli.Command{
 		Name:  "members",
 		Usage: "show which agents each agent considers alive",
-		Description: "There is a row for each agent that was polled and a column for each agent that it judges.\n" +
+		Description: "There is a row for each agent that was polled and a column for each agent whose state it reports.\n" +
 			"Example:\n   milletbarrow fleet members --fleet fleet.sx",
 		Flags:  []cli.Flag{fleetFlag(), jsonFlag()},
 		Action: showMembers,
 	}
 }
 
-// showMembers prints how each agent sees the others.
+// showMembers prints the membership state of each agent as the others see it.
 func showMembers(ctx context.Context, c *cli.Command) error {
 	client, err := newFleetClient(c)
 	if err != nil {
--- a/cmd/milletbarrow/fleet_quotas.go
+++ b/cmd/milletbarrow/fleet_quotas.go
@@ -17,7 +17,7 @@
 func fleetQuotasCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "quotas",
-		Usage: "show who holds how much of the fleet's quotas, or write off a lost holder",
+		Usage: "show the holders of the fleet's quotas and their shares, or write off a lost holder",
 		Description: "Any agent forwards the request to the leader of the quota store. Examples:\n" +
 			"   milletbarrow fleet quotas --fleet fleet.sx\n" +
 			"   milletbarrow fleet quotas --fleet fleet.sx --write-off n3     (its host is lost for good,\n" +
@@ -30,7 +30,7 @@
 	}
 }
 
-// showQuotas prints the holders of each quota and their shares, or writes a lost holder off.
+// showQuotas prints the holders of each quota and their shares, or writes off a lost holder.
 func showQuotas(ctx context.Context, c *cli.Command) error {
 	client, err := newFleetClient(c)
 	if err != nil {
@@ -60,7 +60,7 @@
 // quotaCallError classifies the error of a quota call: rejected by an agent, or no agent reachable.
 func quotaCallError(err error) error {
 	if r, ok := errors.AsType[*agentapi.StatusError](err); ok && rejectedRequest(r) {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	return &outcomeError{outcome: outcomeUnreachable, cause: err}
 }
--- a/cmd/milletbarrow/fleet_rolling_update.go
+++ b/cmd/milletbarrow/fleet_rolling_update.go
@@ -41,7 +41,7 @@
 			&cli.DurationFlag{Name: "rejected-for", Usage: "time for which the share has to last"},
 			&cli.IntFlag{
 				Name:  "max-hosts",
-				Usage: "hosts that update at once, unless a quota limits the instances over all hosts",
+				Usage: "hosts that update at once, unless a quota limits the restarting instances over all hosts",
 				Value: 1,
 			},
 			&cli.StringFlag{
@@ -62,7 +62,7 @@
 	}
 	config := rollingUpdateConfig(c, client.Spec.RollingUpdate)
 	if err := config.Check(); err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	request.RollingUpdate, request.Budget = &config, client.Spec.RollingUpdateQuota
 	if c.IsSet("budget") {
@@ -76,7 +76,7 @@
 	if !c.Bool("wait") {
 		if hosts, _ := client.ByHost(instances); len(hosts) > 1 && request.Budget == "" {
 			return usagef(
-				"wait: this command moves a rolling update over %d hosts from host to host, and has to wait for it",
+				"wait: a rolling update over %d hosts without a quota is sequenced by this command, which has to wait",
 				len(hosts),
 			)
 		}
@@ -120,7 +120,7 @@
 	return w
 }
 
-// previewRollingUpdate prints a rolling update batch by batch, as it would go if all went well.
+// previewRollingUpdate prints the batches of a rolling update, assuming that no instance fails.
 func previewRollingUpdate(
 	c *cli.Command,
 	client *fleetclient.Client,
--- a/cmd/milletbarrow/fleet_steer.go
+++ b/cmd/milletbarrow/fleet_steer.go
@@ -14,7 +14,7 @@
 var steerUsage = map[string]string{
 	"pause":  "pause a rolling update: no further instance restarts",
 	"resume": "resume a paused rolling update and forget its failures",
-	"cancel": "cancel a command: steps in progress are completed, others are not begun",
+	"cancel": "cancel a command: steps in progress complete, no others start",
 }
 
 func steerCommand(verb string) *cli.Command {
@@ -43,7 +43,7 @@
 	return r.Error
 }
 
-// steer sends the verb to every agent. Agents that do not know the command do not count.
+// steer sends the verb to every agent. Answers of agents that do not know the command are ignored.
 func steer(ctx context.Context, c *cli.Command, verb string) error {
 	client, err := newFleetClient(c)
 	if err != nil {
@@ -51,10 +51,10 @@
 	}
 	id := c.Args().First()
 	if err := fleet.CheckName(id); err != nil {
-		return usagef("wanted the id of one command: %w", err)
+		return usagef("expected the ID of one command: %w", err)
 	}
 	if n := c.Args().Len(); n != 1 {
-		return usagef("wanted the id of one command: %d are given", n)
+		return usagef("expected the ID of one command: %d are given", n)
 	}
 	results := steerAll(ctx, client, id, verb)
 	if c.Bool("json") {
--- a/cmd/milletbarrow/fleet_steer_test.go
+++ b/cmd/milletbarrow/fleet_steer_test.go
@@ -15,13 +15,13 @@
 			ids  []string
 			want string
 		}{
-			{[]string{"a", "b"}, "milletbarrow: wanted the id of one command: 2 are given\n"},
-			{[]string{"a/b"}, "milletbarrow: wanted the id of one command: "},
+			{[]string{"a", "b"}, "milletbarrow: expected the ID of one command: 2 are given\n"},
+			{[]string{"a/b"}, "milletbarrow: expected the ID of one command: "},
 		} {
 			args := append([]string{"fleet", name, "--fleet", "../../deploy/fleet.sx"}, c.ids...)
 			out, err := exec.CommandContext(t.Context(), program, args...).CombinedOutput()
 			exit, ok := errors.AsType[*exec.ExitError](err)
-			if !ok || exit.ExitCode() != exitUnusable || !strings.HasPrefix(string(out), c.want) || strings.Contains(string(out), "%!") {
+			if !ok || exit.ExitCode() != exitUsage || !strings.HasPrefix(string(out), c.want) || strings.Contains(string(out), "%!") {
 				t.Errorf("%v: %v, %q", args, err, out)
 			}
 		}
--- a/cmd/milletbarrow/former_names.go
+++ b/cmd/milletbarrow/former_names.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// formerCommands are the sub-commands' former names, which go on working, by the path of today's names to each. Help
-// does not list them.
+// formerCommands maps the former names of sub-commands to the current ones. A key is the current path of the parent and
+// the former name. Former names are still accepted; help does not list them.
 var formerCommands = map[string]string{
 	"levels":           "degradation",
 	"lab":              "experiment",
@@ -18,8 +18,8 @@
 	"fake farm":        "executor",
 }
 
-// formerFlags are the former names of flags, by the path of the command that has them. A supervisor goes on starting
-// its instance with the former ones: that may be a program of an earlier version.
+// formerFlags maps the former names of flags to the current ones, by the current path of the command. A supervisor
+// passes the former names to its instance, whose program may be of an earlier version.
 var formerFlags = map[string]map[string]string{
 	"serve": {"inspect": "admin", "levels": "degradation", "draw": "quota"},
 	"fleet rolling-update": {
@@ -35,48 +35,48 @@
 	"fake executor":    {"takes": "service-time", "cold": "warm-up", "cold-share": "warm-up-share"},
 }
 
-// currentNames replaces former names in a command line, whose first word is the program. What follows "--" stays.
+// currentNames replaces former names in a command line, whose first word is the program. Words after "--" stay.
 func currentNames(args []string) []string {
 	if len(args) == 0 {
 		return args
 	}
 	current := []string{args[0]}
-	path, words := "", true // words: the next one may be a sub-command
+	path, mayBeCommand := "", true // whether the next word may be a sub-command
 	for i, arg := range args[1:] {
 		switch {
 		case arg == "--":
 			return append(current, args[1+i:]...)
 		case strings.HasPrefix(arg, "-"):
-			words = false
+			mayBeCommand = false
 			arg = currentFlag(path, arg)
-		case words:
+		case mayBeCommand:
 			name, group := currentCommand(path, arg)
-			path, words, arg = strings.TrimSpace(path+" "+name), group, name
+			path, mayBeCommand, arg = strings.TrimSpace(path+" "+name), group, name
 		}
 		current = append(current, arg)
 	}
 	return current
 }
 
-// currentCommand is the current name of a sub-command; group reports whether it has sub-commands itself.
+// currentCommand returns the current name of a sub-command; group reports whether it has sub-commands itself.
 func currentCommand(path, name string) (current string, group bool) {
 	full := strings.TrimSpace(path + " " + name)
-	if now, former := formerCommands[full]; former {
-		name = now
+	if replacement, former := formerCommands[full]; former {
+		name = replacement
 	}
 	return name, path == ""
 }
 
-// currentFlag is a flag, with its value where that is part of the word, under its current name.
+// currentFlag returns a flag under its current name, with the value if it is part of the argument (--name=value).
 func currentFlag(path, arg string) string {
 	dashes := arg[:len(arg)-len(strings.TrimLeft(arg, "-"))]
-	name, value, valued := strings.Cut(arg[len(dashes):], "=")
-	now, former := formerFlags[path][name]
+	name, value, hasValue := strings.Cut(arg[len(dashes):], "=")
+	current, former := formerFlags[path][name]
 	if !former {
 		return arg
 	}
-	if valued {
-		now += "=" + value
+	if hasValue {
+		current += "=" + value
 	}
-	return dashes + now
+	return dashes + current
 }
--- a/cmd/milletbarrow/limits.go
+++ b/cmd/milletbarrow/limits.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// printedBounds are the names under which bounds are printed, where those differ from the fields' names: the output
-// keeps the names of earlier releases.
+// printedBounds maps the names of fields to the names that are printed for them, where they differ: the output keeps
+// the names of earlier releases.
 var printedBounds = map[string]string{
 	"ConnectionsHighWater": "Roomy",
 	"ClosingConnections":   "Leaving",
--- a/cmd/milletbarrow/load.go
+++ b/cmd/milletbarrow/load.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// sendLoad sends the load of a scenario, and prints the report.
+// sendLoad sends the load of a scenario to the backends, and prints a report.
 func sendLoad(ctx context.Context, c *cli.Command) error {
 	s, err := readScenario(c.Args().First(), c.String("scenario"))
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	r, err := loadgen.Run(ctx, o)
 	if r == nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	if c.Bool("json") {
 		if err := printJSON(r); err != nil {
@@ -83,7 +83,7 @@
 	}
 	x, err := experiment.Read(file)
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	for i := range x.Scenarios {
 		if name == "" || x.Scenarios[i].Name == name {
@@ -161,7 +161,7 @@
 // Defaults of a fake executor.
 const (
 	defaultFakeCores        = 2
-	defaultCollapseMultiple = 8.0 // runs a core
+	defaultCollapseMultiple = 8.0 // runs per core
 	defaultFakeServiceTime  = 20 * time.Millisecond
 	defaultColdSpeed        = 0.3 // share of full speed
 )
@@ -205,7 +205,7 @@
 // runFakeExecutor serves until it is interrupted.
 func runFakeExecutor(ctx context.Context, c *cli.Command) error {
 	if c.Int("cores") < 1 || c.Float("crowd") < 1 || c.Float("warm-up-share") <= 0 {
-		return usagef("fake executor: --cores and --crowd have to be at least 1, --warm-up-share above 0")
+		return usagef("fake executor: --cores and --crowd must be at least 1, --warm-up-share above 0")
 	}
 	executor, err := timedexecutor.Start(c.String("listen"), timedexecutor.Config{
 		Cores:            c.Int("cores"),
@@ -216,7 +216,7 @@
 		MaxRuns:          maxFakeRuns,
 	})
 	if err != nil {
-		return unusable(err)
+		return asUsageError(err)
 	}
 	defer executor.Close()
 	fmt.Println(executor.Address)
--- a/cmd/milletbarrow/main.go
+++ b/cmd/milletbarrow/main.go
@@ -1,4 +1,4 @@
-// Command milletbarrow runs one backend, and manages many.
+// Command milletbarrow runs a backend, the agent of a host, and the tools that manage and test a fleet.
 package main
 
 import (
@@ -26,11 +26,11 @@
 	os.Exit(exitCode(err))
 }
 
-// newApp wires the sub-commands together.
+// newApp returns the program with its sub-commands.
 func newApp() *cli.Command {
 	return &cli.Command{
 		Name:           "milletbarrow",
-		Usage:          "admission control and scheduling for backends behind other people's load balancers",
+		Usage:          "admission control and scheduling for backends behind load balancers",
 		DefaultCommand: "serve",
 		Commands: []*cli.Command{
 			serveCommand(),
@@ -48,30 +48,30 @@
 			faultsCommand(),
 			demoCommand(),
 		},
-		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // main ends the process
+		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // main exits with the code of the error
 	}
 }
 
-// configFlag names the backend configuration.
+// configFlag is the flag for the backend configuration.
 func configFlag() cli.Flag {
 	return &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`", Sources: cli.EnvVars("GW_CONFIG")}
 }
 
-// logFlag chooses the format of the log.
+// logFlag is the flag for the format of the log.
 func logFlag() cli.Flag {
 	return &cli.StringFlag{Name: "log", Usage: "write log lines as `text` or json", Value: string(logging.Text)}
 }
 
-// startLog starts the log in the format of the flag; end writes lines that are still queued.
+// startLog starts the log in the format of the flag; end flushes queued lines.
 func startLog(c *cli.Command) (end func(), err error) {
 	format, err := logging.ParseFormat(c.String("log"))
 	if err != nil {
-		return nil, unusable(err)
+		return nil, asUsageError(err)
 	}
 	return logging.Start(os.Stderr, format), nil
 }
 
-// readConfiguration reads the backend configuration that the flag or the environment names.
+// readConfiguration reads the backend configuration from the file of the flag or the environment.
 func readConfiguration(c *cli.Command) (*config.Backend, error) {
 	file := c.String("config")
 	if file == "" {
@@ -80,12 +80,12 @@
 	return config.Read(file)
 }
 
-// boundsOf derives the bounds of a backend from the limits in its configuration.
+// boundsOf derives the resource bounds of a backend from the limits in its configuration.
 func boundsOf(b *config.Backend) limits.Bounds {
 	return limits.For(b.Limits.Cores, b.Limits.MemoryMB, b.Limits.Sockets)
 }
 
-// version is the build, as the version sub-command prints it.
+// version describes the build, as the version sub-command prints it.
 func version() string {
 	revision := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/milletbarrow/serve.go
+++ b/cmd/milletbarrow/serve.go
@@ -55,17 +55,17 @@
 	}
 }
 
-// runServe starts a backend as the command line has it, and returns when it has ended.
+// runServe starts a backend from the command line, and returns when it has ended.
 func runServe(_ context.Context, c *cli.Command) error {
-	if c.Args().Present() { // an unknown command comes here too
-		return &unknownCommandError{word: c.Args().First()}
+	if c.Args().Present() { // serve is the default command, so an unknown command is an argument of it
+		return &unknownCommandError{name: c.Args().First()}
 	}
 	endLog, err := startLog(c)
 	if err != nil {
 		return err
 	}
 	defer endLog()
-	// From here on, so that a reload asked for at any time does not end the process.
+	// Registered before the configuration is read: an early SIGHUP must not end the process.
 	hangup, notice := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	signal.Notify(notice, syscall.SIGTERM, os.Interrupt)
@@ -81,15 +81,15 @@
 	return b.run(hangup, notice)
 }
 
-// backendFiles are the paths that a backend works with; empty: none.
+// backendFiles are the paths of a backend's files; an empty path disables the feature.
 type backendFiles struct {
 	config      string
 	admin       string // the admin socket
 	degradation string // the degradation policy
 }
 
-// backendProcess is a running backend: its parts, wired together. Its goroutines end with the context of run, or with
-// the process.
+// backendProcess is a running backend with its components. Their goroutines end with the context of run, or with the
+// process.
 type backendProcess struct {
 	config    *config.Backend
 	files     backendFiles
@@ -102,10 +102,10 @@
 	server     *backendserver.Server
 	reporter   *registration.Reporter
 	shutdown   *shutdown
-	shadow     *config.Settings // in force; owned by reload
+	shadow     *config.Settings // in use; owned by reload
 }
 
-// newBackend makes the parts, bounded as the configuration has it. Nothing is open yet.
+// newBackend creates the components with the bounds of the configuration. It opens no socket and starts no goroutine.
 func newBackend(settings *config.Backend, files backendFiles, c *cli.Command) (*backendProcess, error) {
 	bounds := boundsOf(settings)
 	b := &backendProcess{
@@ -128,12 +128,12 @@
 	b.dispatcher = dispatch.New(settings.Settings, uint64(settings.Seed), bounds)
 	if policy != nil {
 		if err := b.dispatcher.SetDegradationPolicy(policy); err != nil {
-			return nil, unusable(err)
+			return nil, asUsageError(err)
 		}
 	}
 	if b.quotas != nil {
 		if err := b.dispatcher.SetQuotas(*b.quotas); err != nil {
-			return nil, unusable(err)
+			return nil, asUsageError(err)
 		}
 	}
 	protocolErrors := ratelimitlog.New(bounds.LogInterval)
@@ -144,7 +144,7 @@
 	return b, nil
 }
 
-// degradationPolicy reads the policy's file; nil where there is none.
+// degradationPolicy reads the policy file, and returns nil if none is configured.
 func (b *backendProcess) degradationPolicy() (*degradation.Policy, error) {
 	if b.files.degradation == "" {
 		return nil, nil
@@ -154,7 +154,7 @@
 	return policy, err
 }
 
-// run listens, serves until the notice, drains, and returns before the stop.
+// run listens, serves until the shutdown notice, drains, and returns before the stop deadline.
 func (b *backendProcess) run(hangup, notice <-chan os.Signal) error {
 	listening, err := b.listen(notice)
 	if err != nil || !listening {
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// listen opens the listener; an address that is taken is tried again for a while. It reports false where a notice came
-// first: nothing has been accepted.
+// listen opens the listener. While the address is in use it retries, up to the bind timeout. It returns false if a
+// shutdown notice came first; then no connection was accepted.
 func (b *backendProcess) listen(notice <-chan os.Signal) (bool, error) {
 	deadline := time.Now().Add(b.bounds.BindTimeout)
 	for attempt := 1; ; attempt++ {
@@ -205,11 +205,11 @@
 	}
 }
 
-// start starts the parts' goroutines. What the backend can't go on without is sent to failed.
+// start starts the goroutines of the components. Errors that the backend can't continue after are sent to failed.
 func (b *backendProcess) start(ctx context.Context, hangup, notice <-chan os.Signal) (failed <-chan error) {
 	const sources = 2 // the admin socket and the listener
 	failures := make(chan error, sources)
-	if b.files.admin != "" { // before the rest, so that the supervisor sees the instance come up
+	if b.files.admin != "" { // first, so that the supervisor can observe the startup
 		b.startedAt = process.Now()
 		go func() {
 			if err := admin.Serve(ctx, b.files.admin, limits.ForControl(), b.adminInstance()); err != nil {
@@ -230,14 +230,14 @@
 		failures <- errors.Join(errEventLoopEnded, b.server.Serve())
 	}()
 	go func() {
-		for range notice { // a second one changes nothing
+		for range notice { // repeated signals have no further effect
 			b.shutdown.notify(b.dispatcher, 0, "signal")
 		}
 	}()
 	return failures
 }
 
-// adminInstance connects the admin socket to this backend.
+// adminInstance returns the operations of this backend that the admin socket offers.
 func (b *backendProcess) adminInstance() admin.Instance {
 	return admin.Instance{
 		State: b.state,
--- a/cmd/milletbarrow/serve_quota.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -22,7 +22,8 @@
 // quotaLogMode lets only the owner read the log of quota use.
 const quotaLogMode = 0o600
 
-// quotaConfig reads from the command line which tenants draw from which fleet-wide quotas; nil where none does.
+// quotaConfig reads the assignment of tenants to fleet-wide quotas from the command line, and returns nil if there is
+// none.
 func quotaConfig(c *cli.Command, b *config.Backend) (*dispatch.QuotaConfig, error) {
 	assignments := c.StringSlice("quota")
 	if len(assignments) == 0 {
@@ -50,23 +51,23 @@
 		path := filepath.Join(dir, b.Name+"."+strconv.Itoa(os.Getpid()))
 		file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_EXCL, quotaLogMode)
 		if err != nil {
-			return nil, unusable(err)
+			return nil, asUsageError(err)
 		}
 		cfg.Log = quotalog.New(file, process.Now(), clockDrift)
 	}
 	return cfg, nil
 }
 
-// parseQuotas reads assignments of the form BUDGET=TENANT: the quota of each tenant, and the quotas in order.
+// parseQuotas parses assignments of the form QUOTA=TENANT, and returns the quota of each tenant and the quotas in order.
 func parseQuotas(assignments []string) (tenants map[string]string, quotas []string, err error) {
 	if len(assignments) > quota.MaxBudgets {
-		return nil, nil, usagef("--quota: %d budgets, at most %d can be drawn from", len(assignments), quota.MaxBudgets)
+		return nil, nil, usagef("--quota: found %d quotas, expected at most %d", len(assignments), quota.MaxBudgets)
 	}
 	tenants = map[string]string{}
 	for _, assignment := range assignments {
 		name, tenant, ok := strings.Cut(assignment, "=")
-		if _, twice := tenants[tenant]; !ok || name == "" || twice {
-			return nil, nil, usagef("--quota: found %q, wanted BUDGET=TENANT, each tenant once", assignment)
+		if _, duplicate := tenants[tenant]; !ok || name == "" || duplicate {
+			return nil, nil, usagef("--quota: found %q, expected QUOTA=TENANT, each tenant once", assignment)
 		}
 		tenants[tenant] = name
 		quotas = append(quotas, name)
@@ -74,7 +75,7 @@
 	return tenants, quotas, nil
 }
 
-// logQuotaUse logs the units drawn, often enough for an audit of short spans, until ctx ends.
+// logQuotaUse logs the units drawn until ctx ends. The interval is short enough to audit short spans.
 func logQuotaUse(ctx context.Context, dispatcher *dispatch.Dispatcher) {
 	const interval = 20 * time.Millisecond
 	ticker := time.NewTicker(interval)
--- a/cmd/milletbarrow/serve_reload.go
+++ b/cmd/milletbarrow/serve_reload.go
@@ -13,8 +13,8 @@
 )
 
 // reload reads the configuration again at each SIGHUP, until ctx ends, and applies the parts that can change:
-// addresses, the shadow configuration and the degradation policy. A file that can't be used changes nothing; it is
-// read again a few times, as it may be half written.
+// addresses, the shadow configuration and the degradation policy. An invalid file changes nothing; it is read again up
+// to ReloadAttempts times, as it may be partially written.
 func (b *backendProcess) reload(ctx context.Context, hangup <-chan os.Signal) {
 	var retry <-chan time.Time
 	retries := 0
@@ -28,9 +28,9 @@
 			retries++
 		}
 		retry = nil
-		later, err := config.Read(b.files.config)
+		updated, err := config.Read(b.files.config)
 		if err == nil {
-			b.apply(later)
+			b.apply(updated)
 			continue
 		}
 		if retries == 0 {
@@ -42,14 +42,14 @@
 	}
 }
 
-// apply puts those parts of a configuration in force that can change without a restart.
-func (b *backendProcess) apply(later *config.Backend) {
-	slog.Info("reload", "used", true, "executor", later.Executor, "registry", later.Registry,
-		"restart_required", strings.Join(b.config.ImmutableChanges(later), " "))
-	b.executor.SetAddress(later.Executor)
-	b.reporter.SetAddress(later.Registry)
-	if !reflect.DeepEqual(b.shadow, later.Shadow) { // else its counts go on
-		b.shadow = later.Shadow
+// apply applies those parts of a configuration that can change without a restart.
+func (b *backendProcess) apply(updated *config.Backend) {
+	slog.Info("reload", "used", true, "executor", updated.Executor, "registry", updated.Registry,
+		"restart_required", strings.Join(b.config.ImmutableChanges(updated), " "))
+	b.executor.SetAddress(updated.Executor)
+	b.reporter.SetAddress(updated.Registry)
+	if !reflect.DeepEqual(b.shadow, updated.Shadow) { // an unchanged shadow configuration keeps its counts
+		b.shadow = updated.Shadow
 		b.dispatcher.SetShadow(b.shadow)
 		slog.Info("shadow", "on", b.shadow != nil)
 	}
--- a/cmd/milletbarrow/serve_shutdown.go
+++ b/cmd/milletbarrow/serve_shutdown.go
@@ -14,17 +14,17 @@
 	"milletbarrow/monotime"
 )
 
-// shutdown is when this process ends. The notice may come more than once, by signal and on the admin socket; a later
-// one can only bring the times forward.
+// shutdown holds the deadlines of this process's shutdown. The notice may come more than once, by signal and on the
+// admin socket; a repeated notice can only bring the deadlines forward.
 type shutdown struct {
-	grace, stop time.Duration // from the notice on
-	notified    chan struct{} // gets one at the first notice
+	grace, stop time.Duration // counted from the notice
+	notified    chan struct{} // receives a value at the first notice
 
 	mu             sync.Mutex // guards the fields below
 	draining       bool
 	graceEndsAt    time.Time
 	stopAt         time.Time
-	graceEndsClock monotime.Micros // the same on the machine's clock, microseconds since its start
+	graceEndsClock monotime.Micros // the same on the host's clock, in microseconds since its boot
 	stopClock      monotime.Micros
 }
 
@@ -35,8 +35,8 @@
 	}
 }
 
-// notify takes a notice that was first given a time ago, and has the dispatcher drain. by names its source, for the
-// log.
+// notify handles a notice that was first given the duration ago before now, and starts the drain. by names the source of
+// the notice for the log.
 func (s *shutdown) notify(dispatcher *dispatch.Dispatcher, ago time.Duration, by string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,11 +56,11 @@
 	}
 }
 
-// noticeResolution is by how much a later notice has to bring the stop forward, to be another one and not the same
-// twice.
+// noticeResolution is the minimum by which a repeated notice has to bring the stop forward; one that differs less is a
+// duplicate of the same notice.
 const noticeResolution = 5 * time.Millisecond
 
-// describe adds the shutdown, where it has begun, to the state that the admin socket serves.
+// describe adds a shutdown in progress to the state that the admin socket serves.
 func (s *shutdown) describe(state *admin.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,24 +72,24 @@
 	}
 }
 
-// times are those in force now.
+// times returns the current deadlines.
 func (s *shutdown) times() (grace, stop time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.graceEndsAt, s.stopAt
 }
 
-// drain serves until the grace is over, then accepts nothing more, and returns once all is answered and the callers
-// have closed their connections, or shortly before the stop.
+// drain serves until the grace period ends, then stops accepting, and returns once every request is answered and the
+// callers have closed their connections, or shortly before the stop deadline.
 func drain(server *backendserver.Server, s *shutdown, bounds limits.Bounds) {
 	awaitGrace(s, bounds)
 	server.StopAccepting()
 	closing := func() time.Time { _, stop := s.times(); return stop.Add(-bounds.ExitMargin) }
 	last := func() time.Time { _, stop := s.times(); return stop.Add(-bounds.ExitMarginUnwritten) }
-	idleChecks := 0 // in a row
+	idleChecks := 0 // consecutive
 	for now := time.Now(); now.Before(closing()) ||
 		now.Before(last()) && (!server.AllClosed() || !server.AllAnswered()); now = time.Now() {
-		if !now.Before(closing()) { // callers still connected by now learn that nothing more comes
+		if !now.Before(closing()) { // tells the callers that are still connected that no more answers follow
 			server.CloseAnswered()
 		}
 		connections, _ := server.Counts()
@@ -105,12 +105,12 @@
 	}
 }
 
-// maxIdleChecks is how often in a row a server without connections is looked at before the process ends.
+// The process ends once more than maxIdleChecks consecutive checks found the server idle and without connections.
 const maxIdleChecks = 3
 
-// awaitGrace returns when the grace is over, and early enough before the stop.
+// awaitGrace returns at the end of the grace period, or earlier to leave enough time before the stop deadline.
 func awaitGrace(s *shutdown, bounds limits.Bounds) {
-	for { // looked at again and again, as a later notice may bring it forward
+	for { // polls, as a repeated notice may bring the end forward
 		grace, stop := s.times()
 		if latest := stop.Add(-bounds.ExitMargin - bounds.RejectBeforeStop); latest.Before(grace) {
 			grace = latest
--- a/cmd/milletbarrow/serve_state.go
+++ b/cmd/milletbarrow/serve_state.go
@@ -12,7 +12,7 @@
 
 const bytesPerKB = 1 << 10
 
-// logStates logs the counts at intervals, until ctx ends.
+// logStates logs the counters at intervals, until ctx ends.
 func (b *backendProcess) logStates(ctx context.Context) {
 	ticker := time.NewTicker(b.bounds.LogInterval)
 	defer ticker.Stop()
@@ -26,7 +26,7 @@
 	}
 }
 
-// logState logs the counts under an event's name.
+// logState logs the counters as the named event.
 func (b *backendProcess) logState(event string) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -76,7 +76,7 @@
 	}
 }
 
-// state describes this backend, for the admin socket.
+// state returns the state of this backend for the admin socket.
 func (b *backendProcess) state() admin.State {
 	connections, openStreams := b.server.Counts()
 	counts, inFlight := b.dispatcher.Counts()
--- a/cmd/milletbarrow/supervisor.go
+++ b/cmd/milletbarrow/supervisor.go
@@ -15,8 +15,8 @@
 	"milletbarrow/monotime"
 )
 
-// supervisorCommand runs a supervisor, which the agent starts beside each instance. Its name and flags, and those
-// that it passes to the instance, are spoken between versions: an agent of an earlier one starts it by them.
+// supervisorCommand runs a supervisor, which the agent starts for each instance. Its name and flags, and those that it
+// passes to the instance, are an interface between releases: the agent or the instance may be of an earlier one.
 func supervisorCommand() *cli.Command {
 	return &cli.Command{
 		Name: "keeper", Usage: "supervise one instance (started by the agent)", Hidden: true,
@@ -31,7 +31,8 @@
 	}
 }
 
-// supervisorHeapGrowth is the percentage by which the heap grows between collections: memory before speed.
+// supervisorHeapGrowth is the percentage by which the heap grows between collections. It is below Go's default of 100,
+// as there is a supervisor for each instance and memory matters more than speed.
 const supervisorHeapGrowth = 50
 
 // runSupervisor supervises one instance until it has ended.
@@ -41,26 +42,26 @@
 		return err
 	}
 	defer end()
-	runtime.GOMAXPROCS(1) // there are as many of these as instances, and nearly always they sleep
+	runtime.GOMAXPROCS(1) // there is one supervisor for each instance, and it is idle nearly always
 	debug.SetGCPercent(supervisorHeapGrowth)
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	program := c.Args().Slice()
 	if len(program) == 0 {
-		program = []string{self}
+		program = []string{executable}
 	}
 	command := slices.Concat(program, []string{"serve", "--config", c.String("config")})
 	if file := c.String("levels"); file != "" {
 		command = append(command, "--levels", file)
 	}
-	for _, word := range c.StringSlice("draw") {
-		command = append(command, "--draw", word)
+	for _, assignment := range c.StringSlice("draw") {
+		command = append(command, "--draw", assignment)
 	}
 	return supervisor.Run(ctx, supervisor.Options{
 		Dir: c.String("dir"), Name: c.String("name"), Incarnation: c.String("run"), Adopt: c.Bool("adopt"),
-		Launcher: []string{self, "begin", "--"}, Command: command,
+		Launcher: []string{executable, "begin", "--"}, Command: command,
 		Window: fleet.ShutdownWindow{
 			Grace: monotime.FromDuration(c.Duration("grace")), ExitTimeout: monotime.FromDuration(c.Duration("stop")),
 		},
