--- a/cmd/milletbarrow/backend_test.go
+++ b/cmd/milletbarrow/backend_test.go
@@ -18,15 +18,15 @@
 	"milletbarrow/internal/fakes"
 )
 
-// backend is a running program, and the fakes of the systems around it.
+// backend is a running backend program, with fakes of the executor and the registry.
 type backend struct {
 	t        testing.TB
 	executor *fakes.ScriptedExecutor
 	reports  chan string
 	address  string
 	config   string
-	args     []string      // of the program; none: it serves
-	stop     time.Duration // from the notice on: stop_ms of its configuration
+	args     []string      // command line; empty: the program serves
+	stop     time.Duration // stop_ms of its configuration, counted from the notice
 	cmd      *exec.Cmd
 	mu       sync.Mutex
 	log      bytes.Buffer
@@ -39,7 +39,7 @@
 	return b.log.Write(p)
 }
 
-// logged tells whether the log holds text.
+// logged returns a condition that holds once the log contains text.
 func (b *backend) logged(text string) func() bool {
 	return func() bool {
 		b.mu.Lock()
@@ -63,7 +63,7 @@
 
 func prepare(tb testing.TB, edit ...string) *backend {
 	tb.Helper()
-	// The address stays free after Close: no outgoing connection uses it.
+	// The address stays free after Close: it is on a loopback address that no outgoing connection uses.
 	l, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", demo.Loopback()+":0")
 	if err != nil {
 		tb.Fatal(err)
@@ -83,9 +83,9 @@
 	return b
 }
 
-// prepareWindow prepares a backend whose grace and stop come so long after the notice: where a test has more to do
-// within them than a busy machine does in the usual 300 ms and 1.5 s.
-func prepareWindow(tb testing.TB, grace, stop time.Duration, edit ...string) *backend {
+// prepareWithShutdownWindow prepares a backend with the given shutdown window, for tests that do more within it than a
+// busy machine can in the default 300 ms of grace and 1.5 s until the stop.
+func prepareWithShutdownWindow(tb testing.TB, grace, stop time.Duration, edit ...string) *backend {
 	tb.Helper()
 	b := prepare(tb, append(edit, `"drain_grace_ms":300`, fmt.Sprintf(`"drain_grace_ms":%d`, grace.Milliseconds()),
 		`"stop_ms":1500`, fmt.Sprintf(`"stop_ms":%d`, stop.Milliseconds()))...)
@@ -106,9 +106,9 @@
 	return b
 }
 
-// ready waits until a health check is answered with good.
+// ready waits until a health check succeeds.
 func (b *backend) ready() *backend {
-	fakes.Until(b.t, "it is healthy", func() bool {
+	fakes.Until(b.t, "the backend is healthy", func() bool {
 		c, err := (&net.Dialer{}).DialContext(b.t.Context(), "tcp", b.address)
 		if err != nil {
 			return false
@@ -120,15 +120,15 @@
 	return b
 }
 
-// term gives notice, and tells since when the program can have heard it.
+// term sends SIGTERM, and returns the earliest time at which the program can have received it.
 func (b *backend) term() (since time.Time) {
 	since = time.Now()
 	b.cmd.Process.Signal(syscall.SIGTERM)
 	return since
 }
 
-// watchStalls begins to measure by how much this process is held up, as it is on a busy machine; end tells the
-// longest time. What a test sees of another process it may see so much later than it was.
+// watchStalls starts to measure scheduling delays of the test process, as on a busy machine; end returns the longest.
+// The test may observe events of other processes late by that much.
 func watchStalls() (end func() time.Duration) {
 	const interval = time.Millisecond
 	done, longest := make(chan struct{}), make(chan time.Duration)
@@ -154,13 +154,14 @@
 	}
 }
 
-// exit waits for the program to end by itself. On a busy machine that may be seen some time after the stop.
+// exit waits for the program to end by itself, and records whether it did by the stop. A busy machine may show the end
+// up to a second later.
 func (b *backend) exit(tr *fakes.Trace, since time.Time) {
-	const seenLate = time.Second
-	tr.Say("exit: %v, in time %t", fakes.Take(b.t, "the exit", b.ended), time.Since(since) < b.stop+seenLate)
+	const observationDelay = time.Second
+	tr.Say("exit: %v, in time %t", fakes.Take(b.t, "the exit", b.ended), time.Since(since) < b.stop+observationDelay)
 }
 
-// configure writes the file anew and asks the program to read it.
+// configure replaces the configuration file and sends SIGHUP.
 func (b *backend) configure(text string) {
 	if err := os.WriteFile(b.config, []byte(text), 0o600); err != nil {
 		b.t.Fatal(err)
--- a/cmd/milletbarrow/degradation_test.go
+++ b/cmd/milletbarrow/degradation_test.go
@@ -15,10 +15,10 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestDegradation: a backend with a degradation policy: full cores bring the level, its operation is throttled on
-// arrival while the other is served, all of it is seen on the inspection socket, and a person can hold another level
-// for a while.
-func TestDegradation(t *testing.T) {
+// TestDegradationLevelThrottlesItsOperations runs a backend with a degradation policy. A long queue enters the level,
+// whose operation is throttled on arrival while the other is served. The admin socket shows the level and can override
+// it for a limited time.
+func TestDegradationLevelThrottlesItsOperations(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	dir, err := os.MkdirTemp("", "mb")
 	if err != nil {
@@ -36,17 +36,18 @@
 	b := prepare(t)
 	b.args = []string{"serve", "--levels", file, "--inspect", socket}
 	b.start().ready()
-	peer := admin.NewClient(socket, limits.ForControl())
-	defer peer.Close()
+	client := admin.NewClient(socket, limits.ForControl())
+	defer client.Close()
 	state := func() admin.State {
-		s, err := peer.State(t.Context())
+		s, err := client.State(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
 	tr.Say("%s %s", state().DegradationPolicy, state().Level)
-	b.executor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" }) // a queue, though the cores are not busy: the dispatcher admits
+	// A long queue on cores that are not busy, so that the dispatcher still admits.
+	b.executor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" })
 	fakes.Until(t, "the level is entered", func() bool { return state().Level == "no-look" })
 	fakes.Until(t, "the level is logged", b.logged("event=degradation_level from=full to=no-look collapse=false cause="))
 	tr.Say("logged: true")
@@ -59,9 +60,9 @@
 	l := fakes.Take(t, "a launch", b.executor.Launches)
 	b.executor.End(l.ID, "complete", "paid")
 	tr.Say("post: %v", n.Expect())
-	tr.Say("%v", peer.Override(t.Context(), admin.Override{Level: "no-such", Duration: 1_000_000}))
-	tr.Say("%v", peer.Override(t.Context(), admin.Override{Level: "full", Duration: 60_000_000, By: "test"}))
-	fakes.Until(t, "it is held", func() bool { return state().Level == "full" })
+	tr.Say("%v", client.Override(t.Context(), admin.Override{Level: "no-such", Duration: 1_000_000}))
+	tr.Say("%v", client.Override(t.Context(), admin.Override{Level: "full", Duration: 60_000_000, By: "test"}))
+	fakes.Until(t, "the override is in force", func() bool { return state().Level == "full" })
 	n.Send(fakes.Invocation(3, 3))
 	l = fakes.Take(t, "a launch", b.executor.Launches)
 	b.executor.End(l.ID, "complete", "seen")
@@ -75,7 +76,7 @@
 	fakes.Until(t, "the new policy is in force", func() bool { return state().DegradationPolicy == "other" })
 }
 
-// TestDegradationCommands: what the sub-commands print and end with.
+// TestDegradationCommands records the output and exit codes of the degradation sub-commands.
 func TestDegradationCommands(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	dir := t.TempDir()
@@ -97,20 +98,20 @@
 		fmt.Fprintf(&trace, "%d queue=%v\n", 1000+n*100_000, q)
 	}
 	signals, broken := write("signals.txt", trace.String()), write("broken.txt", "5 queue=1\n5 queue=1\n")
-	site := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
-	say := func(args ...string) {
+	config := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+	run := func(args ...string) {
 		out, err := exec.CommandContext(t.Context(), program, append([]string{"levels"}, args...)...).CombinedOutput()
 		tr.Say("%s", strings.ReplaceAll(fmt.Sprintf("$ levels %s\n%s%v", strings.Join(args, " "), out, err), dir, "DIR"))
 	}
-	say("check", good)
-	say("check", bad)
-	say("check", filepath.Join(dir, "none"))
-	say("replay", good, signals, "--plot", filepath.Join(dir, "x.svg"))
-	say("replay", good, signals, "--json")
-	say("replay", good, broken)
-	say("replay", good, signals, "--plot", filepath.Join(dir, "x.gif"))
-	say("pin", "--socket", filepath.Join(dir, "none"))
-	if out, err := exec.CommandContext(t.Context(), program, "levels", "check", good, "--config", site).CombinedOutput(); err != nil {
+	run("check", good)
+	run("check", bad)
+	run("check", filepath.Join(dir, "none"))
+	run("replay", good, signals, "--plot", filepath.Join(dir, "x.svg"))
+	run("replay", good, signals, "--json")
+	run("replay", good, broken)
+	run("replay", good, signals, "--plot", filepath.Join(dir, "x.gif"))
+	run("pin", "--socket", filepath.Join(dir, "none"))
+	if out, err := exec.CommandContext(t.Context(), program, "levels", "check", good, "--config", config).CombinedOutput(); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
 	if raw, err := os.ReadFile(filepath.Join(dir, "x.svg")); err != nil || !bytes.Contains(raw, []byte("</svg>")) {
--- a/cmd/milletbarrow/errors_test.go
+++ b/cmd/milletbarrow/errors_test.go
@@ -13,8 +13,8 @@
 	"milletbarrow/internal/supervisor"
 )
 
-// TestExitCodes: each kind of error ends the program with its code and prints its cause's text and nothing else; what
-// it wraps stays within reach.
+// TestExitCodes: each kind of error has its exit code, its text is that of its cause alone, and errors.Is finds the
+// cause.
 func TestExitCodes(t *testing.T) {
 	missing := &fs.PathError{Op: "open", Path: "/nowhere", Err: fs.ErrNotExist}
 	failed := exec.CommandContext(t.Context(), "sh", "-c", "exit 5").Run()
@@ -48,10 +48,10 @@
 	}
 	for _, err := range []error{asUsageError(missing), usagef("id: %w", missing), &outcomeError{cause: missing}} {
 		if !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("%v: its cause is out of reach", err)
+			t.Errorf("%v: errors.Is does not find its cause", err)
 		}
 	}
 	if asUsageError(nil) != nil || checkRange("most", 1, 1, 2) != nil || checkRange("most", 2, 1, 2) != nil || checkRange("most", 3, 1, 2) == nil {
-		t.Error("a usage error where nothing is wrong, or none where something is")
+		t.Error("asUsageError(nil) or checkRange returned a wrong result")
 	}
 }
--- a/cmd/milletbarrow/experiment_test.go
+++ b/cmd/milletbarrow/experiment_test.go
@@ -12,8 +12,9 @@
 	"milletbarrow/internal/loadgen"
 )
 
-// TestDemo: from nothing to a drawn day, with a burst and a release in it, and nothing is left behind.
-func TestDemo(t *testing.T) {
+// TestDemoPlotsDayAndCleansUp runs the demo with its burst and rolling update; it plots the day and leaves no other
+// file behind.
+func TestDemoPlotsDayAndCleansUp(t *testing.T) {
 	dir := t.TempDir()
 	cmd := exec.CommandContext(t.Context(), program, "demo", "--backends", "3", "--for", "6s", "--quiet", "--json", "--plot", filepath.Join(dir, "demo.svg"))
 	cmd.Env = append(os.Environ(), "TMPDIR="+dir)
@@ -26,11 +27,11 @@
 		t.Fatal(err)
 	}
 	if r.DuplicateAnswers+r.UnknownResults+r.Unsent > 0 || r.Requests == 0 || r.Value() < 0.5 {
-		t.Errorf("value %.3f of %d asks, %d answers came twice, %d of no run, %d not sent", r.Value(), r.Requests, r.DuplicateAnswers, r.UnknownResults, r.Unsent)
+		t.Errorf("value %.3f of %d requests, %d duplicate answers, %d answers of unknown runs, %d not sent", r.Value(), r.Requests, r.DuplicateAnswers, r.UnknownResults, r.Unsent)
 	}
 	for _, op := range r.Operations {
-		if ends := op.Outcomes; ends[5] > 0 && op.Name == "pay-post" {
-			t.Errorf("%s: %v: an invocation that was read has no answer in its time", op.Name, ends)
+		if outcomes := op.Outcomes; outcomes[5] > 0 && op.Name == "pay-post" {
+			t.Errorf("%s: %v: an invocation that was read was not answered in time", op.Name, outcomes)
 		}
 	}
 	left, err := os.ReadDir(dir)
@@ -39,7 +40,7 @@
 	}
 }
 
-// TestExperimentCommands: an experiment is run, run again, compared, drawn and replayed by the command line.
+// TestExperimentCommands records the output and exit codes of running, comparing, plotting and replaying an experiment.
 func TestExperimentCommands(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	dir := t.TempDir()
@@ -49,7 +50,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	say := func(args ...string) {
+	run := func(args ...string) {
 		t.Helper()
 		cmd := exec.CommandContext(t.Context(), program, append([]string{"lab"}, args...)...)
 		var errs strings.Builder
@@ -59,21 +60,21 @@
 		tr.Say("lab %s: exit %d\n%s%s", clean(strings.Join(args, " ")), cmd.ProcessState.ExitCode(), clean(string(out)), clean(errs.String()))
 	}
 	results := filepath.Join(dir, "results")
-	say("compare", file, "--dir", results, "pool", "milletbarrow")
-	say("run", file, "--dir", results, "--quiet")
-	say("run", file, "--dir", results, "--quiet", "--over", "colour=3")
-	say("compare", file, "--dir", results, "pool", "milletbarrow")
-	say("compare", file, "--dir", results, "--measure", "pay-post.throttled", "milletbarrow", "pool")
-	say("compare", file, "--dir", results, "--measure", "colour", "milletbarrow", "pool")
-	say("compare", file, "--dir", results, "milletbarrow", "nobody")
+	run("compare", file, "--dir", results, "pool", "milletbarrow")
+	run("run", file, "--dir", results, "--quiet")
+	run("run", file, "--dir", results, "--quiet", "--over", "colour=3")
+	run("compare", file, "--dir", results, "pool", "milletbarrow")
+	run("compare", file, "--dir", results, "--measure", "pay-post.throttled", "milletbarrow", "pool")
+	run("compare", file, "--dir", results, "--measure", "colour", "milletbarrow", "pool")
+	run("compare", file, "--dir", results, "milletbarrow", "nobody")
 	for _, what := range []string{"sweep", "time", "operations", "latency", "heat", "tenants", "colour"} {
 		to := filepath.Join(dir, what+".svg")
-		say("plot", file, "--dir", results, "--what", what, "--policy", "pool", "--to", to)
+		run("plot", file, "--dir", results, "--what", what, "--policy", "pool", "--to", to)
 		raw, err := os.ReadFile(to)
 		tr.Say("drawn: %t", err == nil && strings.Contains(string(raw), "</svg>"))
 	}
-	say("plot", file, "--dir", results, "--to", filepath.Join(dir, "x.txt"))
-	say("replay", file, "--policy", "pool", "--seed", "2", "--invocation", "40", "--at", "1.5")
-	say("replay", file)
-	say("check", filepath.Join(dir, "none.sx"))
+	run("plot", file, "--dir", results, "--to", filepath.Join(dir, "x.txt"))
+	run("replay", file, "--policy", "pool", "--seed", "2", "--invocation", "40", "--at", "1.5")
+	run("replay", file)
+	run("check", filepath.Join(dir, "none.sx"))
 }
--- a/cmd/milletbarrow/faults_bench_test.go
+++ b/cmd/milletbarrow/faults_bench_test.go
@@ -8,9 +8,9 @@
 	"milletbarrow/internal/faultinjection/schedule"
 )
 
-// BenchmarkSharing is what an agent of 60 backends at rest takes where it renews their shares, in a group of one and of
-// three. One round lasts for 20 s.
-func BenchmarkSharing(b *testing.B) {
+// BenchmarkQuotaRenewal measures the CPU time and memory of an agent that renews the quota leases of 60 idle backends,
+// with a quota store of one and of three members. One iteration takes 20 s.
+func BenchmarkQuotaRenewal(b *testing.B) {
 	for name, hosts := range map[string]int{"alone": 1, "three": 3} {
 		b.Run(name, func(b *testing.B) {
 			g, err := harness.Open(harness.Options{
--- a/cmd/milletbarrow/faults_test.go
+++ b/cmd/milletbarrow/faults_test.go
@@ -17,10 +17,10 @@
 	"milletbarrow/internal/process"
 )
 
-// runSchedule plays a schedule of faults with real processes of a built program.
-func runSchedule(t *testing.T, program, failpoint string, table *schedule.Schedule) *harness.Verdict {
+// runSchedule runs a schedule of faults with real processes of a built program.
+func runSchedule(t *testing.T, program, failpoint string, sched *schedule.Schedule) *harness.Verdict {
 	t.Helper()
-	return runWithOptions(t, harness.Options{Program: program, Schedule: table, Failpoint: failpoint})
+	return runWithOptions(t, harness.Options{Program: program, Schedule: sched, Failpoint: failpoint})
 }
 
 func runWithOptions(t *testing.T, o harness.Options) *harness.Verdict {
@@ -40,19 +40,19 @@
 
 func storedSchedule(t *testing.T, name string) *schedule.Schedule {
 	t.Helper()
-	table, err := readSchedule(filepath.Join("../../internal/faultinjection/testdata", name))
+	sched, err := readSchedule(filepath.Join("../../internal/faultinjection/testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return table
+	return sched
 }
 
-// TestFaultsDrawn is the bounded part of fault injection: five agents, twenty backends under load, at least one fault
-// of each kind.
-func TestFaultsDrawn(t *testing.T) {
+// TestFaultsRandomSchedulePasses runs a random schedule within the time of CI: five agents, twenty backends under load
+// and faults of all kinds.
+func TestFaultsRandomSchedulePasses(t *testing.T) {
 	v := runSchedule(t, program, "", schedule.Random(27, 5, 20, len(schedule.Kinds()), 32*time.Second))
 	if !v.OK {
-		t.Errorf("did not hold: %v", v.Reasons)
+		t.Errorf("checks failed: %v", v.Reasons)
 	}
 	missing := 0
 	for _, k := range schedule.Kinds() {
@@ -60,41 +60,42 @@
 			missing++
 		}
 	}
-	if missing > 2 { // what was to be killed may be dead already
-		t.Errorf("%d kinds of %d were not brought about: %v", missing, len(schedule.Kinds()), v.Faults)
+	if missing > 2 { // a fault is not injected if its target has already ended
+		t.Errorf("%d of %d kinds of faults were not injected: %v", missing, len(schedule.Kinds()), v.Faults)
 	}
 }
 
 // TestFaultsRollingUpdate runs a rolling update over four hosts while its client and some agents are killed.
 func TestFaultsRollingUpdate(t *testing.T) {
 	if v := runSchedule(t, program, "", storedSchedule(t, "wave.sx")); !v.OK {
-		t.Errorf("did not hold: %v", v.Reasons)
+		t.Errorf("checks failed: %v", v.Reasons)
 	}
 }
 
-// TestFaultsColdStart starts sixty backends at once beside a registry that refuses, and a site that comes up by a
-// cold start while agents die and a host is cut off.
+// TestFaultsColdStart runs two schedules: sixty backends that start at once while the registry refuses reports, and a
+// cold start of a site while agents are killed and a host is disconnected. Load reports without jitter and backoff must
+// fail the checks.
 func TestFaultsColdStart(t *testing.T) {
 	for _, name := range []string{"cold.sx", "cold-rise.sx"} {
 		if v := runSchedule(t, program, "", storedSchedule(t, name)); !v.OK {
-			t.Errorf("%s did not hold: %v", name, v.Reasons)
+			t.Errorf("%s: checks failed: %v", name, v.Reasons)
 		}
 	}
-	// Without jitter and backoff the same is caught by each of its figures. On a busy machine processes start one
-	// after the other, which spreads their reports; stopped for longer than a report's interval and continued at once
-	// all are in step.
-	table := storedSchedule(t, "cold-fixed.sx")
-	table.Span = 12 * time.Second
-	for n := range table.Backends {
-		table.Faults = append(table.Faults, schedule.Fault{Kind: schedule.StopBackend, Target: fmt.Sprint("n", n+1), At: 3 * time.Second, Duration: time.Second})
+	// Without jitter and backoff each check of the report rate must fail. On a busy machine processes start one after
+	// the other, which spreads their reports; suspending all backends for longer than the report interval and resuming
+	// them at once synchronises the reports.
+	sched := storedSchedule(t, "cold-fixed.sx")
+	sched.Span = 12 * time.Second
+	for n := range sched.Backends {
+		sched.Faults = append(sched.Faults, schedule.Fault{Kind: schedule.StopBackend, Target: fmt.Sprint("n", n+1), At: 3 * time.Second, Duration: time.Second})
 	}
-	v := runSchedule(t, program, "", table)
+	v := runSchedule(t, program, "", sched)
 	if why := strings.Join(v.Reasons, " "); v.OK || !strings.Contains(why, "while it took nothing") || !strings.Contains(why, "first second") || !strings.Contains(why, "once all were listed") {
-		t.Errorf("backends in step were not caught: %v", v.Reasons)
+		t.Errorf("synchronised load reports were not detected: %v", v.Reasons)
 	}
 }
 
-// buildWithFailpoints builds the program with the faults that a trial must find.
+// buildWithFailpoints builds the program with failpoints, which enable faults that the checks must detect.
 func buildWithFailpoints(t *testing.T) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), "milletbarrow")
@@ -105,45 +106,46 @@
 	return to
 }
 
-// TestFaultsCaught has the checker judge a program with a fault, and the same program without it.
-func TestFaultsCaught(t *testing.T) {
+// TestFaultsOfFailpointsAreDetected: the checker detects the faults that two failpoints cause, and passes agents that
+// crash between storing, replicating and answering.
+func TestFaultsOfFailpointsAreDetected(t *testing.T) {
 	bad := buildWithFailpoints(t)
-	table := &schedule.Schedule{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
-	if v := runSchedule(t, bad, "floors", table); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "shares in force") {
-		t.Errorf("floors counted twice were not found: %v", v.Reasons)
+	sched := &schedule.Schedule{Name: "floors", Seed: 1, Hosts: 3, Backends: 6, Span: 4 * time.Second, Load: 0.2}
+	if v := runSchedule(t, bad, "floors", sched); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "shares in force") {
+		t.Errorf("floors counted twice were not detected: %v", v.Reasons)
 	}
-	// One host of three starts all that it has, whatever the ledger says.
+	// One of three hosts starts all of its instances at once, ignoring the limit of the quota store.
 	ignored := storedSchedule(t, "cold-rise.sx")
 	ignored.Faults, ignored.Backends, ignored.Span, ignored.ColdStart.MaxConcurrent = nil, 36, 4*time.Second, 7
-	// The twelve of its backends start at once, however long a busy machine takes for them: each counts for a second.
+	// A settle time of a second makes the starts of its twelve backends overlap, however slowly a busy machine runs them.
 	if v := runWithOptions(t, harness.Options{Program: bad, Schedule: ignored, Failpoint: "ignore@h2", SettleTime: time.Second}); v.OK || !strings.Contains(strings.Join(v.Reasons, " "), "starting at once") {
-		t.Errorf("a host that ignores the budget of starts was not found: %v", v.Reasons)
+		t.Errorf("a host that ignores the quota of starts was not detected: %v", v.Reasons)
 	}
-	// At a point between what is written and what is replicated, and between that and the answer, an agent dies.
-	table.Name, table.Span = "points", 14*time.Second
+	// An agent crashes between storing and replicating an entry, and between replicating and answering.
+	sched.Name, sched.Span = "points", 14*time.Second
 	for i, point := range []string{"stored", "replicated", "stored"} {
-		table.Faults = append(table.Faults, schedule.Fault{
+		sched.Faults = append(sched.Faults, schedule.Fault{
 			Kind: schedule.CrashPoint, Target: fmt.Sprint("h", i+1), Name: point, At: time.Duration(1+4*i) * time.Second, Duration: 3 * time.Second,
 		})
 	}
-	v := runSchedule(t, bad, "", table)
+	v := runSchedule(t, bad, "", sched)
 	if !v.OK || v.Faults["point"] < 2 {
-		t.Errorf("with agents that die at points: %v, faults %v", v.Reasons, v.Faults)
+		t.Errorf("with agents that crash at failpoints: %v, faults %v", v.Reasons, v.Faults)
 	}
 }
 
-// TestFaultsLeaveNothing: the processes that a trial started end with it, also where it is interrupted.
-func TestFaultsLeaveNothing(t *testing.T) {
+// TestFaultsEndAllProcesses: closing the harness ends all processes that it started.
+func TestFaultsEndAllProcesses(t *testing.T) {
 	g, err := harness.Open(harness.Options{Program: program, Schedule: &schedule.Schedule{Name: "none", Hosts: 1, Backends: 2, Span: time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Start(t.Context()); err != nil { // one agent is a group of one
+	if err := g.Start(t.Context()); err != nil { // one agent: a quota store of one member
 		t.Error(err)
 	}
 	pids := g.Processes()
 	if len(pids) != 5 {
-		t.Errorf("%d processes, wanted an agent, two supervisors and two backends", len(pids))
+		t.Errorf("%d processes, want an agent, two supervisors and two backends", len(pids))
 	}
 	if err := g.Close(); err != nil {
 		t.Error(err)
@@ -159,16 +161,16 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("still there: %v", alive)
+			t.Fatalf("still running: %v", alive)
 		}
 	}
 }
 
-// trialProcesses are the processes of trials whose directory is below this one.
+// trialProcesses returns the processes of fault-injection runs whose directory is below dir.
 func trialProcesses(dir string) (all []process.Identity) {
 	files, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, file := range files {
-		environment, _ := os.ReadFile(file) // of one that has ended there is none
+		environment, _ := os.ReadFile(file) // empty if the process has ended
 		if !strings.Contains("\x00"+string(environment), "\x00MILLETBARROW_TRIAL_DIR="+dir+"/") {
 			continue
 		}
@@ -180,9 +182,9 @@
 	return all
 }
 
-// TestFaultsLeaveNothingWhenKilled: what a trial began ends also where the command that runs it is killed.
-func TestFaultsLeaveNothingWhenKilled(t *testing.T) {
-	dir, err := os.MkdirTemp("", "t") // short, as sockets lie below it
+// TestFaultsEndAllProcessesWhenKilled: the processes of a run also end when the command that runs it is killed.
+func TestFaultsEndAllProcessesWhenKilled(t *testing.T) {
+	dir, err := os.MkdirTemp("", "t") // short: the paths of Unix sockets are limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,25 +211,26 @@
 	for end := time.Now().Add(time.Minute); len(trialProcesses(dir)) < 5; time.Sleep(20 * time.Millisecond) {
 		select {
 		case <-ended:
-			t.Fatal("the trial ended by itself")
+			t.Fatal("the command ended by itself")
 		default:
 		}
 		if time.Now().After(end) {
 			command.Process.Kill()
-			t.Fatalf("%d processes, wanted an agent, two supervisors and two backends", len(trialProcesses(dir)))
+			t.Fatalf("%d processes, want an agent, two supervisors and two backends", len(trialProcesses(dir)))
 		}
 	}
 	command.Process.Kill()
 	<-ended
 	for end := time.Now().Add(30 * time.Second); len(trialProcesses(dir)) > 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("still there: %v", trialProcesses(dir))
+			t.Fatalf("still running: %v", trialProcesses(dir))
 		}
 	}
 }
 
-// TestQuotaCommands: quotas that can't be granted are refused with their place in the file, and others are accepted.
-func TestQuotaCommands(t *testing.T) {
+// TestFleetCheckRejectsInvalidQuotas: fleet check rejects invalid quotas with their place in the file, and accepts
+// valid ones.
+func TestFleetCheckRejectsInvalidQuotas(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "f.sx")
 	check := func(forms string) string {
@@ -239,7 +242,7 @@
 		out, _ := exec.Command(program, "fleet", "check", "--fleet", file).CombinedOutput()
 		return string(out)
 	}
-	for forms, wanted := range map[string]string{
+	for forms, want := range map[string]string{
 		"(quotas (quota-store h1) (quota b (rate 10) (tenant t) (floor 3)))":                                                  "f.sx:3:56: fleet.quotas.quota.floor: the floors of 4 backends sum up to 12, the total is 10",
 		"(quotas (quota-store h1) (quota b (rate 10) (tenant t) (lease 1s) (margin 2s)))":                                     "f.sx:3:56: fleet.quotas.quota.lease: 1000 ms is not longer than its margin, 2000 ms",
 		"(quotas (quota-store h1) (quota b (rate 10) (tenant t) (lease 10s) (margin 50ms)))":                                  "quota.margin: 50 ms is less than 100 ms",
@@ -251,8 +254,8 @@
 		"(quotas (quota-store h1) (quota b (count 2))) (rolling-update (quota c))":                                            `this file has no quota "c" with a count`,
 		"(quotas (quota-store h1) (quota b (rate 9) (tenant t) (floors (n1 2) (n2 1)))) (rolling-update (max-unavailable 2))": "valid",
 	} {
-		if out := check(forms); !strings.Contains(out, wanted) {
-			t.Errorf("%s\n%swanted %q", forms, out, wanted)
+		if out := check(forms); !strings.Contains(out, want) {
+			t.Errorf("%s\n%swant %q", forms, out, want)
 		}
 	}
 }
--- a/cmd/milletbarrow/fleet_bench_test.go
+++ b/cmd/milletbarrow/fleet_bench_test.go
@@ -20,7 +20,7 @@
 	"milletbarrow/internal/process"
 )
 
-// The figures of many instances, on sockets and real processes:
+// Benchmarks of a fleet of real processes:
 //
 //	go test ./cmd/milletbarrow -run xxx -bench 'Notice|Adopt' -benchtime 5x
 //	go test ./cmd/milletbarrow -run xxx -bench Idle -benchtime 1x
@@ -37,14 +37,14 @@
 
 var drainLine = regexp.MustCompile(`time=(\S+) event=drain `)
 
-// heard reads from the instances' logs when each last heard the notice.
-func (h *testFleet) heard(b *testing.B) (all []time.Time) {
+// noticeTimes returns, from the instances' logs, when each last received the shutdown notice.
+func (h *testFleet) noticeTimes(b *testing.B) (all []time.Time) {
 	b.Helper()
 	for _, n := range h.names {
 		raw, err := os.ReadFile(filepath.Join(h.dir, "keepers", n+".log"))
 		found := drainLine.FindAllStringSubmatch(string(raw), -1)
 		if err != nil || len(found) == 0 {
-			b.Fatalf("%s heard nothing: %v", n, err)
+			b.Fatalf("%s: no drain event in its log: %v", n, err)
 		}
 		at, err := time.Parse(time.RFC3339Nano, found[len(found)-1][1])
 		if err != nil {
@@ -55,11 +55,11 @@
 	return all
 }
 
-// BenchmarkFleetNotice: from the tool's command to each of sixty instances having heard SIGTERM.
+// BenchmarkFleetNotice measures the time from a drain command to SIGTERM in each of sixty instances.
 func BenchmarkFleetNotice(b *testing.B) {
 	h := newTestFleet(b, 60, "(start-within 60s) (settle 0s)", "", "")
 	c := h.up(b)
-	h1 := hdrhistogram.New(1, 60_000_000, 3)
+	latency := hdrhistogram.New(1, 60_000_000, 3)
 	for round := 0; b.Loop(); round++ {
 		began := time.Now()
 		id := "drain" + string(rune('a'+round%26)) + began.Format("150405")
@@ -69,24 +69,24 @@
 		}
 		b.StopTimer()
 		h.untilAll(fleet.PhaseExited)
-		for _, at := range h.heard(b) {
-			if err := h1.RecordValue(at.Sub(began).Microseconds()); err != nil {
+		for _, at := range h.noticeTimes(b) {
+			if err := latency.RecordValue(at.Sub(began).Microseconds()); err != nil {
 				b.Fatal(err)
 			}
 		}
 		h.must("start", "--all", "--quiet", "--within", "60s")
 		b.StartTimer()
 	}
-	b.ReportMetric(float64(h1.ValueAtQuantile(50))/1000, "ms-p50")
-	b.ReportMetric(float64(h1.ValueAtQuantile(99))/1000, "ms-p99")
-	b.ReportMetric(float64(h1.Max())/1000, "ms-max")
+	b.ReportMetric(float64(latency.ValueAtQuantile(50))/1000, "ms-p50")
+	b.ReportMetric(float64(latency.ValueAtQuantile(99))/1000, "ms-p99")
+	b.ReportMetric(float64(latency.Max())/1000, "ms-max")
 }
 
-// BenchmarkFleetAdopt: from the start of an agent to all forty instances seen ready.
+// BenchmarkFleetAdopt measures the time from the start of an agent until it reports all forty instances ready.
 func BenchmarkFleetAdopt(b *testing.B) {
 	h := newTestFleet(b, 40, "(start-within 60s) (settle 0s)", "", "")
 	c := h.up(b)
-	h1 := hdrhistogram.New(1, 60_000_000, 3)
+	latency := hdrhistogram.New(1, 60_000_000, 3)
 	for b.Loop() {
 		b.StopTimer()
 		h.killAgent()
@@ -97,15 +97,15 @@
 			s, err := c.Status(context.Background())
 			return err == nil && !slices.ContainsFunc(s.Instances, func(in agentapi.Instance) bool { return in.Phase != fleet.PhaseReady })
 		})
-		if err := h1.RecordValue(time.Since(began).Microseconds()); err != nil {
+		if err := latency.RecordValue(time.Since(began).Microseconds()); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(h1.ValueAtQuantile(50))/1000, "ms-p50")
-	b.ReportMetric(float64(h1.Max())/1000, "ms-max")
+	b.ReportMetric(float64(latency.ValueAtQuantile(50))/1000, "ms-p50")
+	b.ReportMetric(float64(latency.Max())/1000, "ms-max")
 }
 
-// BenchmarkFleetIdle: what the agent and its supervisors take while sixty instances rest.
+// BenchmarkFleetIdle measures the CPU time and memory of the agent and its supervisors with sixty idle instances.
 func BenchmarkFleetIdle(b *testing.B) {
 	h := newTestFleet(b, 60, "(start-within 60s) (settle 0s)", "", "")
 	h.up(b)
@@ -128,7 +128,7 @@
 		}
 		return of
 	}
-	// One look over the whole span: there is nothing to repeat.
+	// A single measurement over the whole span; b.N is not used.
 	agentBefore, supervisorsBefore := agent.CPU(), cpu()
 	time.Sleep(span)
 	share := func(us int64) float64 { return 100 * float64(us) / float64(span.Microseconds()) }
@@ -142,7 +142,7 @@
 	b.ReportMetric(private/1024/float64(len(supervisors)), "MB-private-a-keeper")
 }
 
-// privateKB is the memory that a process shares with no other.
+// privateKB returns the memory that a process shares with no other.
 func privateKB(pid int) (kb int64) {
 	raw, _ := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "smaps_rollup"))
 	for line := range strings.Lines(string(raw)) {
--- a/cmd/milletbarrow/fleet_rolling_update_test.go
+++ b/cmd/milletbarrow/fleet_rolling_update_test.go
@@ -18,21 +18,20 @@
 	"milletbarrow/internal/fleetclient"
 )
 
-// TestRollingUpdateThroughAgentCrashes shows the fleet at work end to end: forty instances under load, a rolling
-// update of all of them, the agent killed again and again at seeded moments, one instance that ignores the signal,
-// and one that is stopped. Every answer, every launch and every stop is checked against what callers, executors and
-// supervisors saw.
+// TestRollingUpdateThroughAgentCrashes updates forty instances under load while the agent is killed repeatedly at
+// seeded times, one instance ignores SIGTERM and one is suspended. It checks every answer, launch and stop against the
+// records of callers, executors and supervisors.
 func TestRollingUpdateThroughAgentCrashes(t *testing.T) {
-	const many, width, seed = 40, 8, 20261201
+	const count, maxUnavailable, seed = 40, 8, 20261201
 	grace, stop := 2*time.Second, 3200*time.Millisecond
 	dir := t.TempDir()
-	// n7 is started by a shell that passes no signal on; what it starts hears the notice on its socket alone.
+	// n7 is started by a shell that ignores SIGTERM; the instance receives the notice only on its admin socket.
 	wrapper := filepath.Join(dir, "start")
 	script := fmt.Sprintf("#!/bin/sh\ncase \"$*\" in */n7.json*) trap '' TERM; %[1]s \"$@\" & wait $!;; *) exec %[1]s \"$@\";; esac\n", program)
 	if err := os.WriteFile(wrapper, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	h := newTestFleet(t, many, "(start-within 30s) (settle 300ms)", fmt.Sprintf("(width %d) (least-share 0.75) (stall 30s)", width), wrapper)
+	h := newTestFleet(t, count, "(start-within 30s) (settle 300ms)", fmt.Sprintf("(width %d) (least-share 0.75) (stall 30s)", maxUnavailable), wrapper)
 	h.startAgent()
 	fakes.Until(t, "the agent answers", func() bool { return h.status().Status != nil })
 	h.must("start", "--all", "--quiet", "--within", "60s")
@@ -40,39 +39,39 @@
 
 	loads := make([]*fakes.Caller, 0, len(h.names))
 	for i, n := range h.names {
-		loads = append(loads, fakes.NewCaller(h.at[n], i+1, 50*time.Millisecond, 3*time.Second, time.Duration(i%4)*150*time.Millisecond))
+		loads = append(loads, fakes.NewCaller(h.addresses[n], i+1, 50*time.Millisecond, 3*time.Second, time.Duration(i%4)*150*time.Millisecond))
 	}
-	tool := h.command("wave", "--all", "--id", "release", "--within", "150s", "--json", "--quiet")
+	client := h.command("wave", "--all", "--id", "release", "--within", "150s", "--json", "--quiet")
 	var report bytes.Buffer
-	tool.Stdout = &report
-	if err := tool.Start(); err != nil {
+	client.Stdout = &report
+	if err := client.Start(); err != nil {
 		t.Fatal(err)
 	}
-	toolEnded := make(chan error, 1)
-	go func() { toolEnded <- tool.Wait() }()
+	clientEnded := make(chan error, 1)
+	go func() { clientEnded <- client.Wait() }()
 	unresponsive, err := h.supervisorState("n23")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stopped := time.Now()
+	suspended := time.Now()
 	if err := unresponsive.Instance.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 
-	draw := rand.New(rand.NewPCG(seed, 0))
-	deaths := 0
+	random := rand.New(rand.NewPCG(seed, 0))
+	kills := 0
 	for over := false; !over; {
 		select {
-		case err := <-toolEnded:
+		case err := <-clientEnded:
 			over = true
 			if err != nil {
-				t.Errorf("the tool: %v", err)
+				t.Errorf("the client: %v", err)
 			}
-		case <-time.After(time.Duration(100+draw.IntN(1200)) * time.Millisecond):
-			if deaths < 12 {
+		case <-time.After(time.Duration(100+random.IntN(1200)) * time.Millisecond):
+			if kills < 12 {
 				h.killAgent()
-				deaths++
-				time.Sleep(time.Duration(draw.IntN(1200)) * time.Millisecond) // it is away for a while
+				kills++
+				time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond) // the agent stays down for a while
 				h.startAgent()
 			}
 		}
@@ -84,9 +83,9 @@
 		sent = append(sent, byInstance[h.names[i]]...)
 	}
 	h.untilAll(fleet.PhaseReady)
-	t.Logf("the agent was killed %d times; %d invocations", deaths, len(sent))
-	if deaths < 5 {
-		t.Errorf("the agent was killed %d times only", deaths)
+	t.Logf("the agent was killed %d times; %d invocations", kills, len(sent))
+	if kills < 5 {
+		t.Errorf("the agent was killed %d times only", kills)
 	}
 
 	incarnations := h.incarnations()
@@ -96,19 +95,19 @@
 	}
 	checkReport(t, h, &r, incarnations)
 	checkStops(t, incarnations, stop)
-	checkAnswers(t, byInstance, incarnations, stopped)
+	checkAnswers(t, byInstance, incarnations, suspended)
 	checkLaunches(t, h, byInstance, incarnations, grace)
-	checkBudget(t, incarnations, h.readyTimes(), width)
+	checkUnavailable(t, incarnations, h.readyTimes(), maxUnavailable)
 }
 
-// checkReport: the client reports of each instance what its supervisor saw.
+// checkReport checks the result that the client reports for each instance against its supervisor's log.
 func checkReport(t *testing.T, h *testFleet, r *fleetclient.Report, incarnations map[string][]*incarnation) {
 	t.Helper()
 	results := r.Hosts[0].Command.Results
 	for _, n := range h.names {
 		all := incarnations[n]
 		if len(all) != 2 {
-			t.Errorf("%s had %d incarnations, want 2: a notice or a launch was lost or came twice", n, len(all))
+			t.Errorf("%s had %d incarnations, want 2: a notice or a launch was lost or duplicated", n, len(all))
 			continue
 		}
 		want := fleet.OutcomeSucceeded
@@ -124,54 +123,54 @@
 	}
 }
 
-// checkStops: every incarnation that got a shutdown notice ended within its window.
+// checkStops checks that every first incarnation got a shutdown notice and ended within its window.
 func checkStops(t *testing.T, incarnations map[string][]*incarnation, stop time.Duration) {
 	t.Helper()
-	const busy = 300 * time.Millisecond // by which a busy machine may see it late
+	const tolerance = 300 * time.Millisecond // a busy machine may observe the end late
 	for n, all := range incarnations {
-		if l := all[0]; l.notified.IsZero() || l.ended.IsZero() || l.ended.Sub(l.notified) > stop+busy {
+		if l := all[0]; l.notified.IsZero() || l.ended.IsZero() || l.ended.Sub(l.notified) > stop+tolerance {
 			t.Errorf("%s: notified %v, ended %v after it", n, l.notified, l.ended.Sub(l.notified))
 		}
 	}
 }
 
-// checkAnswers: each invocation has exactly one final answer in time, but for those that the stopped instance held,
-// and the few of an incarnation's last moments that, it is believed, a starved process had not read when it ended:
-// from outside the two look alike.
-func checkAnswers(t *testing.T, by map[string][]*fakes.SentRequest, incarnations map[string][]*incarnation, stopped time.Time) {
-	const busy, lastMoments = 500 * time.Millisecond, 300 * time.Millisecond
+// checkAnswers checks that each invocation has exactly one final answer in time. Exceptions are those sent to the
+// suspended instance, and a few sent shortly before the end of an incarnation: a process that got too little CPU time
+// may have ended before it read them. From outside, an unread invocation looks like one that was read and lost.
+func checkAnswers(t *testing.T, by map[string][]*fakes.SentRequest, incarnations map[string][]*incarnation, suspended time.Time) {
+	const tolerance, unreadWindow = 500 * time.Millisecond, 300 * time.Millisecond
 	killed := incarnations["n23"][0].ended
 	codes, lost, unread := map[byte]int{}, 0, 0
-	atTheEnd := func(n string, s *fakes.SentRequest) bool {
-		return slices.ContainsFunc(incarnations[n], func(l *incarnation) bool { return s.At.After(l.ended.Add(-lastMoments)) && s.At.Before(l.ended) })
+	nearEnd := func(n string, s *fakes.SentRequest) bool {
+		return slices.ContainsFunc(incarnations[n], func(l *incarnation) bool { return s.At.After(l.ended.Add(-unreadWindow)) && s.At.Before(l.ended) })
 	}
 	for n, sent := range by {
 		for _, s := range sent {
 			switch {
 			case s.NeverSent:
-			case n == "n23" && s.Answers == 0 && s.At.After(stopped.Add(-3*time.Second)) && s.At.Before(killed):
-				lost++ // nobody can answer for a process that is stopped
-			case s.Broken && s.Answers == 0 && atTheEnd(n, s):
+			case n == "n23" && s.Answers == 0 && s.At.After(suspended.Add(-3*time.Second)) && s.At.Before(killed):
+				lost++ // a suspended process does not answer
+			case s.Broken && s.Answers == 0 && nearEnd(n, s):
 				unread++
-			case s.Answers != 1 || s.WrongResult || s.Answered.After(s.Due.Add(busy)):
+			case s.Answers != 1 || s.WrongResult || s.Answered.After(s.Due.Add(tolerance)):
 				t.Errorf("%s: %+v", n, *s)
 			default:
 				codes[s.Code]++
 			}
 		}
 	}
-	t.Logf("answers by code %v; %d lost with the stopped instance, %d not read before an end", codes, lost, unread)
-	if unread > 5 { // of some 13,000: what a busy machine may cost; more is a defect
-		t.Errorf("%d were not read before an end", unread)
+	t.Logf("answers by code %v; %d lost with the suspended instance, %d unread at the end of an incarnation", codes, lost, unread)
+	if unread > 5 { // of about 13,000: the tolerance for a busy machine; more is a defect
+		t.Errorf("%d invocations were unread at the end of an incarnation", unread)
 	}
 	if codes[1] == 0 {
 		t.Error("nothing succeeded")
 	}
 }
 
-// checkLaunches: nothing that arrived after an instance's grace was ever launched, and nothing twice.
+// checkLaunches checks that nothing that arrived after an instance's grace period was launched, and nothing twice.
 func checkLaunches(t *testing.T, h *testFleet, by map[string][]*fakes.SentRequest, incarnations map[string][]*incarnation, grace time.Duration) {
-	const allowance = 50 * time.Millisecond // that the platform's rule gives
+	const allowance = 50 * time.Millisecond // granted by the platform's rule
 	late, after := 0, 0
 	for n, sent := range by {
 		started, twice := h.executors[n].Started()
@@ -184,19 +183,19 @@
 					after++
 					if at, ran := started[s.ID]; ran && at.Before(l.ended) {
 						late++
-						t.Errorf("%s: %s came %v after the notice and was launched", n, s.ID, s.At.Sub(l.notified))
+						t.Errorf("%s: %s arrived %v after the notice and was launched", n, s.ID, s.At.Sub(l.notified))
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%d came after a grace, %d of them were launched", after, late)
+	t.Logf("%d arrived after a grace period, %d of them were launched", after, late)
 	if after < 20 {
-		t.Errorf("%d came after a grace: that is not enough to show anything", after)
+		t.Errorf("only %d arrived after a grace period, want at least 20 for the check to be meaningful", after)
 	}
 }
 
-// readyTimes reads from the history when each instance was seen ready.
+// readyTimes returns, from the history, when each instance became ready.
 func (h *testFleet) readyTimes() map[string][]time.Time {
 	out := h.must("history", "--json", "--most", "20000")
 	var all struct{ Entries []fleetclient.Entry }
@@ -212,38 +211,39 @@
 	return ready
 }
 
-// checkBudget: by the supervisors' own logs never more were out at once than the rolling update may take.
-func checkBudget(t *testing.T, incarnations map[string][]*incarnation, ready map[string][]time.Time, width int) {
+// checkUnavailable checks that the rolling update never had more instances unavailable at once than it may. An instance
+// is unavailable from the notice in its supervisor's log until the history shows it ready again.
+func checkUnavailable(t *testing.T, incarnations map[string][]*incarnation, ready map[string][]time.Time, maxUnavailable int) {
 	t.Helper()
 	type edge struct {
-		at  time.Time
-		out int
+		at    time.Time
+		delta int
 	}
 	var edges []edge
 	for n, all := range incarnations {
 		if len(all) < 2 {
 			continue
 		}
-		back := time.Time{}
+		readyAgain := time.Time{}
 		for _, at := range ready[n] {
-			if at.After(all[1].launched) && back.IsZero() {
-				back = at
+			if at.After(all[1].launched) && readyAgain.IsZero() {
+				readyAgain = at
 			}
 		}
-		if back.IsZero() {
-			t.Errorf("%s was never seen ready after %v", n, all[1].launched)
+		if readyAgain.IsZero() {
+			t.Errorf("%s did not become ready after %v", n, all[1].launched)
 			continue
 		}
-		edges = append(edges, edge{all[0].notified, 1}, edge{back, -1})
+		edges = append(edges, edge{all[0].notified, 1}, edge{readyAgain, -1})
 	}
 	slices.SortFunc(edges, func(a, b edge) int { return a.at.Compare(b.at) })
-	out, most := 0, 0
+	unavailable, most := 0, 0
 	for _, e := range edges {
-		out += e.out
-		most = max(most, out)
+		unavailable += e.delta
+		most = max(most, unavailable)
 	}
-	t.Logf("at most %d were out at once, %d may be", most, width)
-	if most > width || most < 2 {
-		t.Errorf("%d were out at once, %d may be", most, width)
+	t.Logf("at most %d were unavailable at once, the limit is %d", most, maxUnavailable)
+	if most > maxUnavailable || most < 2 {
+		t.Errorf("%d were unavailable at once, the limit is %d", most, maxUnavailable)
 	}
 }
--- a/cmd/milletbarrow/fleet_steer_test.go
+++ b/cmd/milletbarrow/fleet_steer_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestSteerWantsOneCommand: the commands that act on a fleet command take one id, and name what is wrong with any
-// other.
-func TestSteerWantsOneCommand(t *testing.T) {
+// TestSteerRequiresOneCommandID: pause, resume and cancel reject several IDs and an invalid ID with a usage error that
+// names the fault.
+func TestSteerRequiresOneCommandID(t *testing.T) {
 	for _, name := range []string{"pause", "resume", "cancel"} {
 		for _, c := range []struct {
 			ids  []string
--- a/cmd/milletbarrow/fleet_test.go
+++ b/cmd/milletbarrow/fleet_test.go
@@ -14,8 +14,8 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestFleetCommands: two hosts with an agent each; what the tool prints and ends with when all is well, when an
-// argument is wrong, when an agent is away, and when a rolling update goes from host to host or stops at one.
+// TestFleetCommands records the output and exit codes of the fleet commands on two hosts: on success, with invalid
+// arguments, with an unreachable agent, and for rolling updates that pass from host to host or stop at the first.
 func TestFleetCommands(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	h := newTestFleet(t, 4, "(settle 100ms)", "", "", `"drain_grace_ms":300`, `"drain_grace_ms":301`, `"stop_ms":1500`, `"stop_ms":4001`)
@@ -27,22 +27,22 @@
 		t.Fatal(err)
 	}
 	clean := strings.NewReplacer(h.dir, "DIR")
-	say := func(args ...string) {
+	run := func(args ...string) {
 		out, code := h.fleet(args...)
 		tr.Say("$ fleet %s\n%s[%d]", strings.Join(args, " "), clean.Replace(out), code)
 	}
-	say("check", "--configs")
-	say("start", "--all", "--quiet", "--id", "early")
+	run("check", "--configs")
+	run("start", "--all", "--quiet", "--id", "early")
 	h.startAgent()
 	fakes.Until(t, "the first agent answers", func() bool { _, err := os.Stat(filepath.Join(h.dir, "agent.sock")); return err == nil })
-	two := exec.Command(program, "agent", "--fleet", h.file, "--host", "h2", "--dir", filepath.Join(h.dir, "two"))
-	say("start", "--all", "--quiet", "--id", "half", "--within", "10s")
-	if err := two.Start(); err != nil {
+	secondAgent := exec.Command(program, "agent", "--fleet", h.file, "--host", "h2", "--dir", filepath.Join(h.dir, "two"))
+	run("start", "--all", "--quiet", "--id", "half", "--within", "10s")
+	if err := secondAgent.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		two.Process.Kill()
-		two.Wait()
+		secondAgent.Process.Kill()
+		secondAgent.Wait()
 		for _, n := range []string{"n3", "n4"} {
 			if raw, err := os.ReadFile(filepath.Join(h.dir, "two", "keepers", n+".json")); err == nil {
 				var s supervisorFile
@@ -50,37 +50,38 @@
 					t.Error(err)
 					continue
 				}
-				_ = s.Instance.KillGroup() // mostly it is gone
+				_ = s.Instance.KillGroup() // fails if it has ended, which is usual
 				s.Supervisor.Signal(syscall.SIGKILL)
 			}
 		}
 	}()
 	fakes.Until(t, "the second agent answers", func() bool { _, code := h.fleet("status"); return code == 0 })
-	say("start", "--all", "--quiet", "--id", "half", "--within", "10s") // the same again: the first host has it done
-	say("wave", "--all", "--dry-run")
-	say("wave", "--all", "--dry-run", "--least-share", "1")
-	say("wave", "--all", "--quiet", "--id", "release", "--within", "30s")
-	say("drain", "n9", "--quiet")
-	say("drain", "--quiet")
-	say("drain", "--group", "a", "--dry-run")
-	say("drain", "n1", "--id", "-x")
-	say("drain", "n1", "--within", "0s")
-	say("pause", "release")
-	say("pause", "nothing")
-	say("watch", "nothing")
-	// A program that can't start stops the rolling update on the first host; the second is not begun.
+	// The same ID again: the first host has already carried it out.
+	run("start", "--all", "--quiet", "--id", "half", "--within", "10s")
+	run("wave", "--all", "--dry-run")
+	run("wave", "--all", "--dry-run", "--least-share", "1")
+	run("wave", "--all", "--quiet", "--id", "release", "--within", "30s")
+	run("drain", "n9", "--quiet")
+	run("drain", "--quiet")
+	run("drain", "--group", "a", "--dry-run")
+	run("drain", "n1", "--id", "-x")
+	run("drain", "n1", "--within", "0s")
+	run("pause", "release")
+	run("pause", "nothing")
+	run("watch", "nothing")
+	// A program that fails to start stops the rolling update on the first host; the second host is not updated.
 	bad := strings.Replace(text, "(fleet test", `(fleet test (program "/bin/false")`, 1)
 	if err := os.WriteFile(h.file, []byte(bad), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	h.agent.Process.Signal(syscall.SIGHUP)
-	fakes.Until(t, "the file is read", func() bool {
+	fakes.Until(t, "the fleet file is reloaded", func() bool {
 		out, _ := h.fleet("history")
 		return strings.Contains(out, "fleet's file read anew")
 	})
-	fakes.Until(t, "all is seen again", func() bool { out, _ := h.fleet("status"); return !strings.Contains(out, "unknown") })
-	say("wave", "--all", "--quiet", "--id", "broken", "--within", "30s")
-	say("cancel", "broken")
-	say("drain", "--all", "--quiet", "--id", "down", "--within", "10s")
-	say("start", "--fleet", "/nowhere", "n1")
+	fakes.Until(t, "the state of all instances is known again", func() bool { out, _ := h.fleet("status"); return !strings.Contains(out, "unknown") })
+	run("wave", "--all", "--quiet", "--id", "broken", "--within", "30s")
+	run("cancel", "broken")
+	run("drain", "--all", "--quiet", "--id", "down", "--within", "10s")
+	run("start", "--fleet", "/nowhere", "n1")
 }
--- a/cmd/milletbarrow/former_names_test.go
+++ b/cmd/milletbarrow/former_names_test.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// commandAt finds a sub-command by the path of its names, or nil.
+// commandAt returns the sub-command at a path of names, or nil.
 func commandAt(root *cli.Command, path string) *cli.Command {
 	for _, name := range strings.Fields(path) {
 		at := slices.IndexFunc(root.Commands, func(c *cli.Command) bool { return c.Name == name })
@@ -23,7 +23,7 @@
 	return root
 }
 
-// TestFormerNamesLeadToCommands: each former name has a command and flag of today, and is none itself.
+// TestFormerNamesLeadToCommands: each former name maps to an existing command or flag, and is not itself one.
 func TestFormerNamesLeadToCommands(t *testing.T) {
 	for former, now := range formerCommands {
 		words := strings.Fields(former)
@@ -46,14 +46,15 @@
 		}
 		for former, now := range flags {
 			if !has(now) || has(former) {
-				t.Errorf("%s: --%s is to be --%s: has today's %t, lists the former %t", path, former, now, has(now), has(former))
+				t.Errorf("%s: --%s maps to --%s: current flag exists %t, former flag exists %t", path, former, now, has(now), has(former))
 			}
 		}
 	}
 }
 
-// TestCurrentNames: names are replaced where they name a command or a flag of it, and nowhere else.
-func TestCurrentNames(t *testing.T) {
+// TestCurrentNamesReplacesOnlyFormerNames: former names are replaced only where they stand for a command or one of its
+// flags.
+func TestCurrentNamesReplacesOnlyFormerNames(t *testing.T) {
 	for given, want := range map[string]string{
 		"m": "m",
 		"m serve --inspect a.sock --levels=l.sx --draw a=b --log json": "m serve --admin a.sock --degradation=l.sx --quota a=b --log json",
@@ -76,9 +77,9 @@
 	}
 }
 
-// TestFormerNamesRun runs the program by each former name of a sub-command and of a flag: it does what today's name
-// does.
-func TestFormerNamesRun(t *testing.T) {
+// TestFormerNamesRunCurrentCommands runs the program with each former name of a sub-command or flag, and expects the
+// output and exit code of the current name.
+func TestFormerNamesRunCurrentCommands(t *testing.T) {
 	run := func(args ...string) (string, int) {
 		t.Helper()
 		var out bytes.Buffer
@@ -103,7 +104,7 @@
 	}
 	for path, flags := range formerFlags {
 		for former, now := range flags {
-			words := strings.Fields(path) // without a value each says that it needs one, under the name that it has today
+			words := strings.Fields(path) // a flag without a value fails with an error that has its current name
 			out, code := run(append(words, "--"+former)...)
 			want, wantCode := run(append(words, "--"+now)...)
 			if code != wantCode || out != want || code == 0 || strings.Contains(out, "not defined") {
--- a/cmd/milletbarrow/main_test.go
+++ b/cmd/milletbarrow/main_test.go
@@ -20,7 +20,7 @@
 
 var program string
 
-// TestMain builds the program that the tests start, with the build line of the platform.
+// TestMain builds the program that the tests start, with the build command of the deployment file.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "milletbarrow")
 	if err != nil {
@@ -38,7 +38,7 @@
 	os.Exit(code)
 }
 
-// deployed is a line of the platform's file.
+// deployed returns a value of the deployment file.
 func deployed(key string) string {
 	raw, _ := os.ReadFile("../../deploy/balancer.toml")
 	_, line, _ := strings.Cut(string(raw), key+` = "`)
@@ -46,8 +46,9 @@
 	return line
 }
 
-// TestLinkedAgainstTheCLibrary: a trial loads a library into the process, and follows that one process.
-func TestLinkedAgainstTheCLibrary(t *testing.T) {
+// TestProgramLinksCLibrary: the platform's tests preload a library into the process and follow that one process, so the
+// program has to link the C library and run without a shell around it.
+func TestProgramLinksCLibrary(t *testing.T) {
 	file, err := elf.Open(program)
 	if err != nil {
 		t.Fatal(err)
@@ -55,14 +56,14 @@
 	defer file.Close()
 	needs, err := file.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(needs, func(lib string) bool { return strings.HasPrefix(lib, "libc.so") }) {
-		t.Errorf("%s needs %v, %v: no C library", deployed("build"), needs, err)
+		t.Errorf("%s: imported libraries %v, %v: no C library", deployed("build"), needs, err)
 	}
 	if run := deployed("run"); run != "exec bin/milletbarrow" {
-		t.Errorf("run: %q: not one process that takes the shell's place", run)
+		t.Errorf("run: %q does not replace the shell by the program", run)
 	}
 }
 
-func TestCommands(t *testing.T) {
+func TestCheckAndServeReportConfigurationErrors(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, edit := range []string{
 		"", `"n3"=>""`, `"8c1f30d27a5be964"=>7`, `8c1f30d27a5be964=>xyz`, `"listen":"127.0.0.1:1"=>"listen":"here"`,
@@ -80,7 +81,7 @@
 		file := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", from, to)
 		out, err := exec.CommandContext(t.Context(), program, "check", "--config", file).CombinedOutput()
 		tr.Say("check %s: %v, %s", edit, err, strings.TrimSpace(string(out)))
-		if err != nil { // serve says the same and opens nothing
+		if err != nil { // serve must fail with the same output
 			cmd := exec.CommandContext(t.Context(), program)
 			cmd.Env = append(os.Environ(), "GW_CONFIG="+file)
 			if again, err := cmd.CombinedOutput(); err == nil || !bytes.Equal(again, out) {
@@ -96,21 +97,22 @@
 	tr.Say("no such command: %v, %s", err, out)
 }
 
-// TestLimits: the bounds are printed under the names that earlier releases printed.
-func TestLimits(t *testing.T) {
+// TestLimitsPrintsNamesOfEarlierReleases: bounds are printed under the names of earlier releases, and each such name
+// belongs to an existing field.
+func TestLimitsPrintsNamesOfEarlierReleases(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	file := configFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	out, err := exec.CommandContext(t.Context(), program, "limits", "--config", file).CombinedOutput()
 	tr.Say("%s%v", out, err)
 	for field := range printedBounds {
 		if _, ok := reflect.TypeFor[limits.Bounds]().FieldByName(field); !ok {
-			t.Errorf("%s is no field of the bounds", field)
+			t.Errorf("%s is not a field of the bounds", field)
 		}
 	}
 }
 
-// TestExamples: the files under deploy/ that people copy can be used.
-func TestExamples(t *testing.T) {
+// TestDeploymentExamplesAreValid: the example files under deploy/ are valid.
+func TestDeploymentExamplesAreValid(t *testing.T) {
 	for _, args := range [][]string{
 		{"levels", "check", "../../deploy/degradation.sx"}, {"fleet", "check", "--fleet", "../../deploy/fleet.sx"},
 	} {
@@ -120,7 +122,8 @@
 	}
 }
 
-// fleet check prints a line for each former name in a fleet's file, with its place and the name of today.
+// TestFleetCheckPrintsFormerNames: fleet check prints a line for each former name in a fleet file, with its place and
+// the current name.
 func TestFleetCheckPrintsFormerNames(t *testing.T) {
 	const file = "../../internal/fleet/testdata/6251f7b/fleet.sx"
 	out, err := exec.CommandContext(t.Context(), program, "fleet", "check", "--fleet", file).CombinedOutput()
--- a/cmd/milletbarrow/serve_quota.go
+++ b/cmd/milletbarrow/serve_quota.go
@@ -58,7 +58,8 @@
 	return cfg, nil
 }
 
-// parseQuotas parses assignments of the form QUOTA=TENANT, and returns the quota of each tenant and the quotas in order.
+// parseQuotas parses assignments of the form QUOTA=TENANT, and returns the quota of each tenant and the quotas in
+// order.
 func parseQuotas(assignments []string) (tenants map[string]string, quotas []string, err error) {
 	if len(assignments) > quota.MaxBudgets {
 		return nil, nil, usagef("--quota: found %d quotas, expected at most %d", len(assignments), quota.MaxBudgets)
--- a/cmd/milletbarrow/serve_races_test.go
+++ b/cmd/milletbarrow/serve_races_test.go
@@ -15,12 +15,12 @@
 	"milletbarrow/internal/fakes"
 )
 
-// Races of the built program: each of these tests forces one unfavourable order of events.
+// Race tests of the built program: each test forces one unfavourable order of events.
 
-// TestNoticeBeforeTheGreeting: the executor greets during the drain. What arrives after the grace is not run all the
-// same.
-func TestNoticeBeforeTheGreeting(t *testing.T) {
-	b := prepareWindow(t, 300*time.Millisecond, 4*time.Second)
+// TestGreetingAfterGraceRunsNoInvocation: an invocation that arrives after the grace period is not run, even if the
+// executor's greeting arrives only during the drain.
+func TestGreetingAfterGraceRunsNoInvocation(t *testing.T) {
+	b := prepareWithShutdownWindow(t, 300*time.Millisecond, 4*time.Second)
 	b.executor.With(func(state, _ *string) { *state = "" })
 	b.start()
 	fakes.Take(t, "a link", b.executor.Subscribes)
@@ -32,7 +32,7 @@
 		t.Fatalf("%v after %v: not the end of the grace", f, time.Since(since))
 	}
 	b.executor.With(func(state, _ *string) { *state = "hot 1" })
-	fakes.Until(t, "the executor has greeted", b.logged("event=executor_up"))
+	fakes.Until(t, "the executor's greeting is handled", b.logged("event=executor_up"))
 	n.Send(fakes.Invocation(3, 3))
 	if f := n.Expect(); f.Type != 11 || f.Code != 2 || len(b.executor.Launches) > 0 {
 		t.Errorf("%v, launched %d", f, len(b.executor.Launches))
@@ -43,8 +43,9 @@
 	}
 }
 
-// TestNoticeWhileTheAddressIsTaken: it ends at once and in order, without ever listening or reporting.
-func TestNoticeWhileTheAddressIsTaken(t *testing.T) {
+// TestTerminationWhileAddressInUseExitsAtOnce: on SIGTERM while its address is in use, the backend exits at once with
+// success, and neither listens nor reports.
+func TestTerminationWhileAddressInUseExitsAtOnce(t *testing.T) {
 	b := prepare(t)
 	taken, err := net.Listen("tcp", b.address)
 	if err != nil {
@@ -52,30 +53,30 @@
 	}
 	defer taken.Close()
 	b.start()
-	fakes.Until(t, "it finds the address taken", b.logged("event=listen_taken"))
+	fakes.Until(t, "the backend finds the address in use", b.logged("event=listen_taken"))
 	since := b.term()
 	if err := fakes.Take(t, "the exit", b.ended); err != nil || time.Since(since) > 2*time.Second {
 		t.Errorf("%v after %v", err, time.Since(since))
 	}
 	if b.logged("event=start")() || len(b.reports) > 0 {
-		t.Error("it had begun")
+		t.Error("the backend started or sent a report")
 	}
 }
 
-// TestStoppedWithinAFrame: the process is stopped for longer than a frame may take, with half of one read. The rest
-// comes when it goes on, and is answered.
-func TestStoppedWithinAFrame(t *testing.T) {
+// TestSuspensionWithinFrameKeepsConnection: the process is suspended for longer than the frame timeout after it has
+// read half of a frame. The other half arrives after it resumes, and the frame is answered.
+func TestSuspensionWithinFrameKeepsConnection(t *testing.T) {
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
 	complete := fakes.Invocation(1, 1, "wait=20000")
 	n.Send(complete[:40])
 	other := fakes.Dial(t, b.address)
 	other.Send(fakes.EncodeFrame(20, 1, "\x00"))
-	other.Expect() // what was sent before it has been read
+	other.Expect() // the half frame, sent earlier, has been read
 	b.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(2500 * time.Millisecond) // it has to last
+	time.Sleep(2500 * time.Millisecond) // longer than the frame timeout
 	b.cmd.Process.Signal(syscall.SIGCONT)
-	time.Sleep(600 * time.Millisecond) // two looks at all connections, before the rest comes
+	time.Sleep(600 * time.Millisecond) // two sweeps of the connections before the rest arrives
 	n.Send(complete[40:])
 	l := fakes.Take(t, "a launch", b.executor.Launches)
 	b.executor.End(l.ID, "complete", "r")
@@ -84,10 +85,11 @@
 	}
 }
 
-// TestShortStop: the stop comes before the grace is over. Callers send without pause until they are asked for no
-// more, and for as long after it as may cross; each gets an answer, and the connection ends without a reset. Where
-// the test itself was held up, so that its callers went on for longer than that, it is played again.
-func TestShortStop(t *testing.T) {
+// TestStopBeforeGraceEndAnswersAll: the stop deadline is before the end of the grace period. A caller sends
+// continuously until it is told to send no more, and for 20 ms after that, as frames may cross. Each invocation gets an
+// answer, and the connection ends without a reset. If the test process was delayed, so that the caller sent for longer,
+// the test runs again.
+func TestStopBeforeGraceEndAnswersAll(t *testing.T) {
 	const attempts, maxStall = 5, 50 * time.Millisecond
 	for range attempts {
 		endStalls := watchStalls()
@@ -99,12 +101,12 @@
 		if stalled <= maxStall {
 			t.Fatal(err)
 		}
-		t.Logf("held up by %v, to be played again: %v", stalled, err)
+		t.Logf("test process delayed by %v, running again: %v", stalled, err)
 	}
-	t.Errorf("held up by more than %v in each of %d attempts", maxStall, attempts)
+	t.Errorf("test process delayed by more than %v in each of %d attempts", maxStall, attempts)
 }
 
-// shortStop plays a stop before the end of the grace once.
+// shortStop runs one attempt of TestStopBeforeGraceEndAnswersAll.
 func shortStop(t *testing.T) error {
 	t.Helper()
 	b := prepare(t, `"stop_ms":1500`, `"stop_ms":280`, `"deadline_ms":5000`, `"deadline_ms":300`, `"aim_ms":2000`, `"aim_ms":150`).start().ready()
@@ -118,13 +120,13 @@
 			b.executor.End(l.ID, "complete", "r")
 		}
 	}()
-	asked, sent := make(chan struct{}), make(chan int, 1)
+	goAway, sent := make(chan struct{}), make(chan int, 1)
 	go func() {
 		number, last := 0, time.Time{}
 		for {
 			select {
-			case <-asked:
-				asked, last = nil, time.Now().Add(20*time.Millisecond)
+			case <-goAway:
+				goAway, last = nil, time.Now().Add(20*time.Millisecond)
 			default:
 			}
 			if !last.IsZero() && time.Now().After(last) {
@@ -132,13 +134,13 @@
 				return
 			}
 			number++
-			_, _ = io.WriteString(c, fakes.Invocation(uint32(number), number, "wait=300")) // the reader judges what came of it
+			_, _ = io.WriteString(c, fakes.Invocation(uint32(number), number, "wait=300")) // the reader counts the answers
 			time.Sleep(time.Millisecond)
 		}
 	}()
 	time.Sleep(50 * time.Millisecond)
 	b.term()
-	answers, noMore, head := 0, asked, make([]byte, 9)
+	answers, goAwayReceived, head := 0, goAway, make([]byte, 9)
 	for {
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err = io.ReadFull(c, head); err != nil {
@@ -152,7 +154,7 @@
 		case 11:
 			answers++
 		case 30:
-			close(noMore)
+			close(goAwayReceived)
 		}
 	}
 	n := fakes.Take(t, "the last one sent", sent)
@@ -165,8 +167,9 @@
 	return nil
 }
 
-// TestOffUntilTaken: the registry takes nothing while the backend leaves, and then does: off comes until then.
-func TestOffUntilTaken(t *testing.T) {
+// TestDeregistrationRepeatsUntilAccepted: the backend repeats its deregistration until the registry accepts it, and
+// does not register again.
+func TestDeregistrationRepeatsUntilAccepted(t *testing.T) {
 	b := prepare(t)
 	status := make(chan int, 1)
 	status <- http.StatusNoContent
@@ -175,11 +178,11 @@
 		status <- now
 		w.WriteHeader(now)
 	})
-	// Off is said three times before the stop, in pauses of up to a second.
+	// Long enough for three deregistrations, with pauses of up to a second.
 	b.config = configFile(t, b.address, b.executor.Address, registry, `"stop_ms":1500`, `"stop_ms":8000`)
 	b.start().ready()
 	fakes.Take(t, "a report", reports)
-	n := fakes.Dial(t, b.address) // so that it stays for the grace and longer
+	n := fakes.Dial(t, b.address) // an open connection keeps the backend running beyond the grace period
 	n.Send(fakes.EncodeFrame(20, 1, "\x00"))
 	n.Expect()
 	<-status
@@ -196,19 +199,19 @@
 	status <- http.StatusNoContent
 	off()
 	n.Close()
-	_ = fakes.Take(t, "the exit", b.ended) // that it ends is all that counts here
+	_ = fakes.Take(t, "the exit", b.ended) // the exit code is not checked here
 	for len(reports) > 0 {
 		if report := <-reports; strings.Contains(report, "on") {
-			t.Error(fmt.Sprint("listed again: ", report))
+			t.Error(fmt.Sprint("registered again: ", report))
 		}
 	}
 }
 
-// TestRepeatsDuringTheDrain: an operation known by its tokens. Its first caller has reset its connection, SIGTERM
-// comes, a repeat within the grace and the executor's link breaks: one run, whose result the repeat gets; a repeat
-// after the grace is errored, not throttled, and the process ends in order.
-func TestRepeatsDuringTheDrain(t *testing.T) {
-	b := prepareWindow(t, 1500*time.Millisecond, 4*time.Second,
+// TestRepeatDuringDrainGetsResultOfFirstRun: an invocation of a deduplicated operation runs while its caller resets the
+// connection, SIGTERM arrives and the executor link breaks. It runs once: a repeat within the grace period gets the
+// result, a repeat after it is errored, not throttled, and the process exits with success.
+func TestRepeatDuringDrainGetsResultOfFirstRun(t *testing.T) {
+	b := prepareWithShutdownWindow(t, 1500*time.Millisecond, 4*time.Second,
 		`"at_most_once"`, `"deduplicated","window_ms":5000`, `"run_factor"`, `"key_kb":20,"run_factor"`).start().ready()
 	first, second := fakes.Dial(t, b.address), fakes.Dial(t, b.address)
 	second.Send(fakes.EncodeFrame(20, 1, "\x00"))
@@ -240,12 +243,13 @@
 	}
 }
 
-// TestHalfAFrameAtTheShutdown: SIGTERM finds connections within a frame. Where the rest comes before the grace is
-// over it is run, where it comes after it there is one final answer, and where it never comes nothing waits for it. A
-// connection that is made during the drain is served, and asked for no more when the grace is over.
-func TestHalfAFrameAtTheShutdown(t *testing.T) {
-	// A frame may take two seconds: the grace ends in the middle of them.
-	b := prepareWindow(t, time.Second, 3500*time.Millisecond).start().ready()
+// TestPartialFrameAtShutdownIsAnswered: SIGTERM arrives while frames are partially received. If the rest arrives within
+// the grace period the invocation runs; if it arrives later it gets one final answer; if it never arrives the shutdown
+// does not wait for it. A connection made during the drain is served, and told to send no more when the grace period
+// ends.
+func TestPartialFrameAtShutdownIsAnswered(t *testing.T) {
+	// The frame timeout is two seconds, so the grace period ends within it.
+	b := prepareWithShutdownWindow(t, time.Second, 3500*time.Millisecond).start().ready()
 	half := func(number int) (n *fakes.EdgeNode, rest string) {
 		n = fakes.Dial(t, b.address)
 		complete := fakes.Invocation(1, number, "wait=10000")
@@ -257,9 +261,9 @@
 	never, _ := half(3)
 	check := fakes.Dial(t, b.address)
 	check.Send(fakes.EncodeFrame(20, 1, "\x00"))
-	check.Expect() // what was sent before it has been read
+	check.Expect() // the half frames, sent earlier, have been read
 	b.term()
-	fakes.Until(t, "the notice is heard", b.logged("event=drain"))
+	fakes.Until(t, "the drain begins", b.logged("event=drain"))
 	in.Send(restIn)
 	l := fakes.Take(t, "a launch", b.executor.Launches)
 	b.executor.End(l.ID, "complete", "r")
@@ -298,9 +302,9 @@
 	}
 }
 
-// TestRestartBeforeTheExecutor: killed and started again at once, while the executor comes up late. Health is bad and
-// work is throttled until the executor has greeted, and then the new process takes work.
-func TestRestartBeforeTheExecutor(t *testing.T) {
+// TestRestartBeforeExecutorThrottlesUntilGreeting: a backend that is killed and restarted before its executor is
+// available reports bad health and throttles work until the executor's greeting, and accepts work after it.
+func TestRestartBeforeExecutorThrottlesUntilGreeting(t *testing.T) {
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1))
@@ -310,11 +314,11 @@
 	}
 	b.executor.With(func(state, _ *string) { *state = "" })
 	b.cmd.Process.Kill()
-	_ = fakes.Take(t, "the end", b.ended) // it was killed
+	_ = fakes.Take(t, "the end", b.ended) // an error, as it was killed
 	b.executor.Cut()
 	b.start()
 	fakes.Take(t, "a link", b.executor.Subscribes)
-	fakes.Until(t, "it listens", func() bool {
+	fakes.Until(t, "the backend listens", func() bool {
 		c, err := net.Dial("tcp", b.address)
 		if err == nil {
 			c.Close()
--- a/cmd/milletbarrow/serve_reload_test.go
+++ b/cmd/milletbarrow/serve_reload_test.go
@@ -12,11 +12,12 @@
 	"milletbarrow/internal/fakes"
 )
 
-// TestReload: the new file's addresses are used from the notice on; runs, notice numbers and connections go on,
-// also in quick succession, while the link is broken, while draining, and with an executor that is not there yet.
-func TestReload(t *testing.T) {
+// TestReloadKeepsRunsAndConnections: a reload switches to the new addresses and keeps runs, subscription numbers and
+// connections. It does so in quick succession, with a broken executor link, during a drain, and with an executor that
+// does not answer yet.
+func TestReloadKeepsRunsAndConnections(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	b := prepareWindow(t, 2*time.Second, 6*time.Second)
+	b := prepareWithShutdownWindow(t, 2*time.Second, 6*time.Second)
 	b.executor.With(func(state, _ *string) { *state = "" })
 	b.start()
 	tr.Say("subscribe %d", fakes.Take(t, "a link", b.executor.Subscribes))
@@ -61,7 +62,7 @@
 	tr.Say("good all along: %t", !b.logged("event=executor_lost")())
 
 	b.configure(now + "}")
-	fakes.Until(t, "the bad file is logged", b.logged("event=reload used=false"))
+	fakes.Until(t, "the invalid file is logged", b.logged("event=reload used=false"))
 	b.configure(strings.Replace(now, `"stop_ms":6000`, `"stop_ms":900`, 1))
 	fakes.Until(t, "the field is named", b.logged(`restart_required=stop_ms`))
 	for range 5 {
@@ -73,8 +74,8 @@
 	})
 	tr.Say("%v", n.Expect())
 
-	asked := b.executor.Samples() // the second is asked for once the link is level
-	fakes.Until(t, "the link is level", func() bool { return b.executor.Samples() >= asked+2 })
+	asked := b.executor.Samples() // the second sample is requested once the link is in sync
+	fakes.Until(t, "the link is in sync", func() bool { return b.executor.Samples() >= asked+2 })
 	b.executor.With(func(state, _ *string) { *state = "" })
 	n.Send(fakes.Invocation(4, 4, "wait=20000"))
 	four := fakes.Take(t, "a launch", b.executor.Launches)
@@ -83,7 +84,7 @@
 	b.executor.With(func(state, _ *string) { *state = "hot 1" })
 	five := fakes.Take(t, "the launch that waited for the link", b.executor.Launches)
 	since := b.term()
-	fakes.Until(t, "the notice is heard", b.logged("event=drain"))
+	fakes.Until(t, "the drain begins", b.logged("event=drain"))
 	move("while draining", func() {})
 	for _, l := range []fakes.Launch{four, five} {
 		b.executor.End(l.ID, "complete", "moved")
@@ -94,8 +95,8 @@
 	tr.Say("launches left %d", len(b.executor.Launches))
 }
 
-// TestReloadHalfWritten: SIGHUP comes while the file is half written. It is read again, without another signal.
-func TestReloadHalfWritten(t *testing.T) {
+// TestReloadRetriesHalfWrittenFile: a file that is half written at SIGHUP is read again without another signal.
+func TestReloadRetriesHalfWrittenFile(t *testing.T) {
 	b := prepare(t).start().ready()
 	raw, err := os.ReadFile(b.config)
 	if err != nil {
@@ -108,7 +109,7 @@
 	b.executor.Move()
 	text := strings.Replace(string(raw), before, b.executor.Address, 1)
 	b.configure(text[:len(text)/2])
-	fakes.Until(t, "half of it is read", b.logged("event=reload used=false"))
+	fakes.Until(t, "the half-written file is rejected", b.logged("event=reload used=false"))
 	if err := os.WriteFile(b.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/milletbarrow/serve_shutdown.go
+++ b/cmd/milletbarrow/serve_shutdown.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// notify handles a notice that was first given the duration ago before now, and starts the drain. by names the source of
-// the notice for the log.
+// notify handles a notice that was first given the duration ago before now, and starts the drain. by names the source
+// of the notice for the log.
 func (s *shutdown) notify(dispatcher *dispatch.Dispatcher, ago time.Duration, by string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/milletbarrow/serve_test.go
+++ b/cmd/milletbarrow/serve_test.go
@@ -13,26 +13,28 @@
 	"milletbarrow/internal/fakes"
 )
 
-func TestServeAndDrain(t *testing.T) {
+// TestDrainAnswersRunsAndDeregisters: during the grace period new invocations run, after it they are rejected, and a
+// run in progress is answered before the process exits. The last report takes the backend off the registry.
+func TestDrainAnswersRunsAndDeregisters(t *testing.T) {
 	tr := fakes.NewTrace(t)
-	b := prepareWindow(t, time.Second, 4500*time.Millisecond).start().ready()
+	b := prepareWithShutdownWindow(t, time.Second, 4500*time.Millisecond).start().ready()
 	tr.Say("registry: %s", fakes.Take(t, "a report", b.reports))
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1), fakes.Invocation(2, 2))
-	launched := map[string]fakes.Launch{} // both at once, in either order
+	launched := map[string]fakes.Launch{} // concurrent, so in either order
 	for range 2 {
 		l := fakes.Take(t, "a launch", b.executor.Launches)
 		launched[l.ID] = l
 	}
 	first, second := fmt.Sprintf("%016x", 1), fmt.Sprintf("%016x", 2)
 	if want := (fakes.Launch{ID: first, Operation: "look", Body: "body 1"}); launched[first] != want {
-		t.Errorf("launched %+v, wanted %+v too", launched, want)
+		t.Errorf("launched %+v, want also %+v", launched, want)
 	}
 	b.executor.End(second, "complete", "the result")
 	tr.Say("%+v: %v", launched[second], n.Expect())
 	since := b.term()
 	b.term()
-	fakes.Until(t, "the notice is heard", b.logged("event=drain"))
+	fakes.Until(t, "the drain begins", b.logged("event=drain"))
 	n.Send(fakes.Invocation(3, 3))
 	grace := fakes.Take(t, "a launch within the grace", b.executor.Launches)
 	b.executor.End(grace.ID, "complete", "within the grace")
@@ -51,15 +53,16 @@
 	tr.Say("registry: %s, launches left %d", last, len(b.executor.Launches))
 }
 
-// TestDrainWithUnfinishedRuns: all is answered before the stop, though the executor is full, silent or gone.
-func TestDrainWithUnfinishedRuns(t *testing.T) {
+// TestDrainWithUnfinishedRunsAnswersBeforeStop: every invocation is answered before the stop deadline, even if the
+// executor is saturated, silent or disconnected.
+func TestDrainWithUnfinishedRunsAnswersBeforeStop(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, condition := range []string{"silent", "full", "gone"} {
 		b := prepare(t).start().ready()
 		n := fakes.Dial(t, b.address)
 		n.Send(fakes.Invocation(1, 1))
 		fakes.Take(t, "a launch", b.executor.Launches)
-		if condition == "full" { // so that the others are queued
+		if condition == "full" { // so that the other invocations are queued
 			asked := b.executor.Samples()
 			b.executor.With(func(_, gauges *string) { *gauges = "0.5 9 0.1 1" })
 			fakes.Until(t, "full cores are seen", func() bool { return b.executor.Samples() >= asked+3 })
@@ -82,14 +85,15 @@
 			}
 		}
 		took, stalled := time.Since(since), endStalls()
-		t.Logf("%s: all answered %v after the notice, this process was held up by %v", condition, took, stalled)
+		t.Logf("%s: all answered %v after the notice, test process delayed by %v", condition, took, stalled)
 		tr.Say("executor %s: %d answers before the stop %t", condition, len(codes), took < b.stop+stalled)
 		b.exit(tr, since)
 	}
 }
 
-// TestBeforeTheExecutor: nothing is good before the first greeting, and leaving then is quick.
-func TestBeforeTheExecutor(t *testing.T) {
+// TestBackendBeforeExecutorGreetingThrottles: before the executor's first greeting health is bad and work is throttled,
+// and a shutdown is quick.
+func TestBackendBeforeExecutorGreetingThrottles(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t)
 	b.executor.With(func(state, _ *string) { *state = "" })
@@ -110,23 +114,24 @@
 	b.exit(tr, b.term())
 }
 
-// TestStartAgain: killed outright, it comes up at once under its name and address.
-func TestStartAgain(t *testing.T) {
+// TestKilledBackendRestartsOnSameAddress: a backend that is killed restarts at once with the same name and address,
+// also if the address is still in use for a short time.
+func TestKilledBackendRestartsOnSameAddress(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t)
-	taken, err := net.Listen("tcp", b.address) // by the one before, for a little longer
+	taken, err := net.Listen("tcp", b.address) // as by a previous process that has not ended yet
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.start()
-	fakes.Until(t, "it finds the address taken", b.logged("event=listen_taken"))
+	fakes.Until(t, "the backend finds the address in use", b.logged("event=listen_taken"))
 	taken.Close()
 	b.ready()
 	n := fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 1))
 	fakes.Take(t, "a launch", b.executor.Launches)
 	b.cmd.Process.Kill()
-	_ = fakes.Take(t, "the end", b.ended) // it was killed
+	_ = fakes.Take(t, "the end", b.ended) // an error, as it was killed
 	b.start().ready()
 	n = fakes.Dial(t, b.address)
 	n.Send(fakes.Invocation(1, 2))
@@ -135,27 +140,27 @@
 	tr.Say("%v", n.Expect())
 }
 
-// TestDeadlineAfterSuspension: a process that was suspended for a while meets deadlines once it goes on.
-func TestDeadlineAfterSuspension(t *testing.T) {
+// TestSuspendedBackendMeetsDeadline: a process that was suspended for 120 ms still meets deadlines after it resumes.
+func TestSuspendedBackendMeetsDeadline(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t).start().ready()
 	n := fakes.Dial(t, b.address)
 	began := time.Now()
-	n.Send(fakes.Invocation(1, 1, "wait=1000")) // enough for a busy machine to launch it
+	n.Send(fakes.Invocation(1, 1, "wait=1000")) // long enough to launch it on a busy machine
 	fakes.Take(t, "a launch", b.executor.Launches)
-	b.executor.With(func(_, gauges *string) { *gauges = "" }) // and the executor is silent
+	b.executor.With(func(_, gauges *string) { *gauges = "" }) // the executor sends no more samples
 	b.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(120 * time.Millisecond) // it has to last, there is no condition to wait for
+	time.Sleep(120 * time.Millisecond) // the length of the suspension; there is no condition to wait for
 	b.cmd.Process.Signal(syscall.SIGCONT)
 	f := n.Expect()
-	// By the rule it is due within 130 ms of its wait; a busy machine may show it to us later than that.
+	// The answer is due within 130 ms after the wait; a busy machine may observe it later.
 	t.Logf("answered after %v", time.Since(began))
 	tr.Say("%v, in time %t", f, time.Since(began) < 1750*time.Millisecond)
 }
 
-// TestDescriptorsAtTheLimit: with none left what is open goes on, accepting does not spin, and there is room
-// again once some have gone.
-func TestDescriptorsAtTheLimit(t *testing.T) {
+// TestDescriptorLimitKeepsOpenConnectionsServed: with more connections than descriptors, open connections are still
+// served, the process stays within its limit, and it accepts again once connections are closed.
+func TestDescriptorLimitKeepsOpenConnectionsServed(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t, `"sockets":1024`, `"sockets":64`).start().ready()
 	n := fakes.Dial(t, b.address)
@@ -175,15 +180,16 @@
 		o.Close()
 	}
 	b.ready()
-	fakes.Until(t, "descriptors are given back", func() bool {
+	fakes.Until(t, "descriptors are released", func() bool {
 		fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", b.cmd.Process.Pid))
 		return len(fds) < 24
 	})
 }
 
-// TestPressure: as many invocations as the process holds, with the largest bodies and results, and callers that
-// read nothing until the end. What it cannot hold is throttled, nothing is dropped, and nothing is left over.
-func TestPressure(t *testing.T) {
+// TestFullBackendThrottlesWithinMemoryLimit: the process holds its maximum of invocations, with the largest bodies and
+// results and callers that read nothing until the end. Further invocations are throttled, each gets an answer, memory
+// stays within its limit, and nothing is in flight at the end.
+func TestFullBackendThrottlesWithinMemoryLimit(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	b := prepare(t, `"n_cores":2`, `"n_cores":5000`, `"mem_limit_kb":90000`, `"mem_limit_kb":90000000`).start().ready()
 	b.executor.With(func(_, gauges *string) { *gauges = "0.1 0 0.1 1" })
@@ -212,7 +218,7 @@
 	for range 3072 {
 		fakes.Take(t, "a launch", b.executor.Launches)
 	}
-	send(full, 110) // no place comes free before these are answered
+	send(full, 110) // throttled: no invocation ends before these are answered
 	answers(nodes[full:])
 	for number := range 3072 {
 		b.executor.End(fmt.Sprintf("%016x", number), "complete", strings.Repeat("r", 4096))
@@ -226,7 +232,7 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("most memory: %d kB", peak)
+	t.Logf("peak memory: %d kB", peak)
 	tr.Say("%v, memory within 192 MB %t", err, peak > 0 && peak < 192<<10)
 	b.exit(tr, b.term())
 	tr.Say("left over %t", !b.logged("event=stop connections=0 open_streams=0 in_flight=0 ")())
--- a/cmd/milletbarrow/shadow_test.go
+++ b/cmd/milletbarrow/shadow_test.go
@@ -13,9 +13,10 @@
 	"milletbarrow/internal/limits"
 )
 
-// TestMigration walks the steps of docs/migration.md and back, as an operator would: what callers and the executor
-// see is the same whatever is watched, what differs is counted, and what cannot be used changes nothing.
-func TestMigration(t *testing.T) {
+// TestShadowConfigurationLeavesAnswersUnchanged follows the steps of docs/migration.md and back. A shadow configuration
+// does not change what callers and the executor see, differing decisions are counted, and an invalid configuration
+// changes nothing.
+func TestShadowConfigurationLeavesAnswersUnchanged(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	old := fakes.Settings
 	other := strings.NewReplacer(`"over_share_worth"`, `"clients":{"marks_retry":false},"worth_by":"request","over_share_worth"`,
@@ -26,10 +27,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := func(settings, watch string) {
+	writeConfig := func(settings, shadow string) {
 		text := strings.Replace(string(raw), old, settings, 1)
-		if watch != "" {
-			text = strings.Replace(text, `"more":{}`, `"watch":`+watch, 1)
+		if shadow != "" {
+			text = strings.Replace(text, `"more":{}`, `"watch":`+shadow, 1)
 		}
 		if err := os.WriteFile(b.config, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -44,54 +45,54 @@
 	}
 	socket, number := filepath.Join(t.TempDir(), "s"), 0
 	b.args = []string{"serve", "--inspect", socket}
-	serve := func(step string) {
-		n, seen := fakes.Dial(t, b.address), ""
+	sendRequests := func(step string) {
+		n, answers := fakes.Dial(t, b.address), ""
 		defer n.Close()
 		for i, class := range []string{"look", "post", "look"} {
 			number++
 			n.Send(fakes.Invocation(uint32(i+1), number, "class="+class))
 			l := fakes.Take(t, "a launch", b.executor.Launches)
 			if i == 2 {
-				n.Send(fakes.EncodeFrame(12, 3, "")) // its caller leaves while it runs
+				n.Send(fakes.EncodeFrame(12, 3, "")) // its caller cancels it while it runs
 				b.executor.End(l.ID, "cancelled", "")
 				break
 			}
 			b.executor.End(l.ID, "complete", "done")
-			seen += " " + n.Expect().String()
+			answers += " " + n.Expect().String()
 		}
-		peer := admin.NewClient(socket, limits.ForControl())
-		defer peer.Close()
-		s, err := peer.State(t.Context())
+		client := admin.NewClient(socket, limits.ForControl())
+		defer client.Close()
+		s, err := client.State(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		tr.Say("%s:%s, otherwise %v", step, seen, s.ShadowCounts)
+		tr.Say("%s:%s, otherwise %v", step, answers, s.ShadowCounts)
 	}
 	b.start().ready()
-	serve("before")
+	sendRequests("before")
 	for _, w := range [][2]string{{"the same", old}, {"the other settings", other}, {"too little memory", tiny}} {
-		put(old, w[1])
+		writeConfig(old, w[1])
 		hangup("event=shadow on=true")
-		serve("2. watching " + w[0])
+		sendRequests("2. watching " + w[0])
 	}
-	put(old, strings.Replace(other, `"request"`, `"day"`, 1))
+	writeConfig(old, strings.Replace(other, `"request"`, `"day"`, 1))
 	hangup("event=reload used=false")
-	serve("2. a bad file, what was watched goes on")
-	put(old, "")
+	sendRequests("2. a bad file, what was watched goes on")
+	writeConfig(old, "")
 	hangup("event=shadow on=false")
-	serve("2. back")
+	sendRequests("2. back")
 	for _, to := range [][2]string{{"5. switched, the old settings watched", other}, {"5. back", old}} {
-		put(to[1], map[string]string{other: old}[to[1]])
+		writeConfig(to[1], map[string]string{other: old}[to[1]])
 		b.exit(tr, b.term())
 		tr.Say("counts logged: %t", b.logged("event=shadow_differences counts=")())
 		b.start().ready()
-		serve(to[0])
+		sendRequests(to[0])
 	}
 }
 
-// TestWatchChecked: what could not be watched, or contradicts itself, is refused before anything starts, by field; and
-// what can be watched but not done is refused as settings.
-func TestWatchChecked(t *testing.T) {
+// TestCheckRejectsInvalidShadowSettings: check rejects invalid or contradictory settings by field, both as the shadow
+// configuration and as the settings; some are valid only as a shadow configuration.
+func TestCheckRejectsInvalidShadowSettings(t *testing.T) {
 	tr := fakes.NewTrace(t)
 	for _, edit := range []string{
 		`"n_cores":2=>"n_cores":2`, `"repeat":"at_most_once"=>"repeat":"deduplicated"`,
--- a/cmd/milletbarrow/testfleet_test.go
+++ b/cmd/milletbarrow/testfleet_test.go
@@ -25,21 +25,22 @@
 	"milletbarrow/internal/process"
 )
 
-// testFleet is a fleet on this machine: one agent, so many instances, an executor for each, one registry for all.
+// testFleet is a fleet on this machine: one agent, an executor for each instance and one registry.
 type testFleet struct {
 	t         testing.TB
 	dir       string
 	file      string
 	executors map[string]*fakes.AutoExecutor
 	names     []string
-	at        map[string]string // address of each
+	addresses map[string]string // by instance
 	agent     *exec.Cmd
 }
 
-// newTestFleet writes the files of a fleet; group is what its one group has besides the instances, program starts them.
-func newTestFleet(tb testing.TB, many int, group, rollingUpdate, program string, edit ...string) *testFleet {
+// newTestFleet writes the files of a fleet of count instances. group has further fields of its only group; program, if
+// not empty, starts the instances.
+func newTestFleet(tb testing.TB, count int, group, rollingUpdate, program string, edit ...string) *testFleet {
 	tb.Helper()
-	dir, err := os.MkdirTemp("", "mb") // short: sockets are opened in it
+	dir, err := os.MkdirTemp("", "mb") // short: the paths of Unix sockets are limited
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -48,22 +49,22 @@
 		dir:       dir,
 		file:      filepath.Join(dir, "fleet.sx"),
 		executors: map[string]*fakes.AutoExecutor{},
-		at:        map[string]string{},
+		addresses: map[string]string{},
 	}
 	tb.Cleanup(h.clear)
 	registry, _ := fakes.NewRegistry(tb, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusNoContent)
 	})
-	taken := make([]net.Listener, 0, many)
-	for n := range many {
+	listeners := make([]net.Listener, 0, count)
+	for n := range count {
 		l, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", demo.Loopback()+":0")
 		if err != nil {
 			tb.Fatal(err)
 		}
-		taken = append(taken, l)
+		listeners = append(listeners, l)
 		name := fmt.Sprint("n", n+1)
 		executor := fakes.NewAutoExecutor(tb, 20*time.Millisecond, 2)
-		h.executors[name], h.at[name] = executor, l.Addr().String()
+		h.executors[name], h.addresses[name] = executor, l.Addr().String()
 		h.names = append(h.names, name)
 		changes := slices.Concat(edit, []string{
 			`"drain_grace_ms":300`, `"drain_grace_ms":2000`,
@@ -78,30 +79,30 @@
 			tb.Fatal(err)
 		}
 	}
-	for _, l := range taken {
+	for _, l := range listeners {
 		l.Close()
 	}
 	if program != "" {
 		program = `(program "` + program + `")`
 	}
 	text := fmt.Sprintf("(fleet test %s\n (host h1 (agent \"unix:%s/agent.sock\"))\n (group g (config \"%%n.json\") %s (range n 1 %d))\n (wave %s))\n",
-		program, dir, group, many, rollingUpdate)
+		program, dir, group, count, rollingUpdate)
 	if err := os.WriteFile(h.file, []byte(text), 0o600); err != nil {
 		tb.Fatal(err)
 	}
 	return h
 }
 
-// clear ends all that runs for this fleet and nothing else: by the identities in supervisors' files.
+// clear ends the processes of this fleet, by the identities in the supervisors' files, and removes its directory.
 func (h *testFleet) clear() {
 	if h.agent != nil {
 		h.agent.Process.Kill()
 		h.agent.Wait()
 	}
-	for range 2 { // a supervisor that was just starting its instance writes it down before it begins
+	for range 2 { // again for an instance that a supervisor was just starting: it is recorded before it runs
 		for _, n := range h.names {
 			if s, err := h.supervisorState(n); err == nil {
-				_ = s.Instance.KillGroup() // mostly it is gone
+				_ = s.Instance.KillGroup() // fails if it has ended, which is usual
 				s.Supervisor.Signal(syscall.SIGKILL)
 			}
 		}
@@ -124,7 +125,7 @@
 	return s, json.Unmarshal(raw, &s)
 }
 
-// startAgent starts it in the background and waits until it answers.
+// startAgent starts the agent in the background.
 func (h *testFleet) startAgent() {
 	cmd := exec.Command(program, "agent", "--fleet", h.file, "--host", "h1", "--dir", h.dir)
 	log, err := os.OpenFile(filepath.Join(h.dir, "agent.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -185,7 +186,7 @@
 	return all[0]
 }
 
-// phases tells how each instance is seen; empty while the agent is away.
+// phases returns the phase of each instance by the agent's status, and nothing while the agent is unreachable.
 func (h *testFleet) phases() map[string]fleet.Phase {
 	all := map[string]fleet.Phase{}
 	if s := h.status().Status; s != nil {
@@ -198,7 +199,7 @@
 
 func (h *testFleet) untilAll(p fleet.Phase) {
 	h.t.Helper()
-	fakes.Until(h.t, "all are "+string(p), func() bool {
+	fakes.Until(h.t, "all instances are "+string(p), func() bool {
 		all := h.phases()
 		return len(all) == len(h.names) && !slices.ContainsFunc(h.names, func(n string) bool { return all[n] != p })
 	})
