--- a/admission/calls.go
+++ b/admission/calls.go
@@ -78,7 +78,7 @@
 	return out
 }
 
-// callQuotaExhausted reports whether the calls in flight, now or in the mean, have reached the limit.
+// callQuotaExhausted reports whether the calls in flight, now or on average, have reached the limit.
 func (b *Backend) callQuotaExhausted(now monotime.Micros, calls, limit float64) bool {
 	inFlightTime := &b.calls.inFlightTime
 	return calls >= max(1, math.Floor(limit)) ||
--- a/cmd/milletbarrow/experiment_plot.go
+++ b/cmd/milletbarrow/experiment_plot.go
@@ -91,7 +91,7 @@
 // plotFileMode makes plots readable for all users.
 const plotFileMode = 0o644
 
-// plotFormat returns the format that a plot's file name asks for: svg or png. The flag is named in the error.
+// plotFormat returns the format given by the extension of a plot's file name: svg or png. The error names the flag.
 func plotFormat(flag, file string) (string, error) {
 	format := strings.TrimPrefix(filepath.Ext(file), ".")
 	if format != "svg" && format != "png" {
--- a/internal/agent/agentstore/corruption_test.go
+++ b/internal/agent/agentstore/corruption_test.go
@@ -69,7 +69,7 @@
 			if !errors.Is(err, ErrCorrupt) || strings.Contains(err.Error(), "runtime error") {
 				t.Fatalf("%v, want ErrCorrupt that is not caused by a fault", err)
 			}
-			if prefix := "agent store " + Path(dir) + ": corrupted: "; !strings.HasPrefix(err.Error(), prefix) {
+			if prefix := "agent store " + Path(dir) + ": file is corrupted: "; !strings.HasPrefix(err.Error(), prefix) {
 				t.Errorf("%q, want the prefix %q", err, prefix)
 			}
 		})
--- a/internal/agent/agentstore/format.go
+++ b/internal/agent/agentstore/format.go
@@ -73,7 +73,7 @@
 	return bucket.ForEach(func(key, raw []byte) error {
 		var value V
 		if err := json.Unmarshal(raw, &value); err != nil {
-			return fmt.Errorf("%w: %s %q: %w", ErrCorrupt, name, key, err)
+			return fmt.Errorf("%w: bucket %s, key %q: %w", ErrCorrupt, name, key, err)
 		}
 		*list = append(*list, value)
 		return nil
--- a/internal/agent/agentstore/store.go
+++ b/internal/agent/agentstore/store.go
@@ -55,7 +55,7 @@
 // Errors of the store. They are returned wrapped, with the path of the file and the cause.
 var (
 	ErrLocked      = errors.New("locked by another agent")
-	ErrCorrupt     = errors.New("corrupted")
+	ErrCorrupt     = errors.New("file is corrupted")
 	ErrNewerFormat = errors.New("written by a newer build")
-	ErrNotClosed   = errors.New("not closed")
+	ErrNotClosed   = errors.New("file is not closed")
 )
--- a/internal/agentapi/helpers_test.go
+++ b/internal/agentapi/helpers_test.go
@@ -26,16 +26,16 @@
 type fakeManager struct {
 	err error // returned by the methods that can reject a request
 
-	mu       sync.Mutex // guards the fields below
-	requests []CommandRequest
-	calls    []string // of methods other than Submit
-	commands map[string]*fleet.Command
-	entries  []agentstore.Entry
-	more     chan struct{} // closed at the next entry
+	mu         sync.Mutex // guards the fields below
+	requests   []CommandRequest
+	calls      []string // of methods other than Submit
+	commands   map[string]*fleet.Command
+	entries    []agentstore.Entry
+	entryAdded chan struct{} // closed at the next entry
 }
 
 func newFakeManager() *fakeManager {
-	return &fakeManager{commands: map[string]*fleet.Command{}, more: make(chan struct{})}
+	return &fakeManager{commands: map[string]*fleet.Command{}, entryAdded: make(chan struct{})}
 }
 
 // record records a call and returns its error.
@@ -54,8 +54,8 @@
 	if done {
 		m.commands[command] = &fleet.Command{ID: command, State: fleet.CommandDone}
 	}
-	close(m.more)
-	m.more = make(chan struct{})
+	close(m.entryAdded)
+	m.entryAdded = make(chan struct{})
 }
 
 func (m *fakeManager) Status() Status { return Status{Version: Version, Host: "h1", LastSerial: 7} }
@@ -80,14 +80,14 @@
 func (m *fakeManager) Commands() []*fleet.Command { return []*fleet.Command{{ID: "c2"}, {ID: "c1"}} }
 
 // Entries returns the entries after a serial. The first two entries are no longer cached.
-func (m *fakeManager) Entries(after uint64) (entries []agentstore.Entry, lost uint64, more <-chan struct{}) {
+func (m *fakeManager) Entries(after uint64) (entries []agentstore.Entry, lost uint64, entryAdded <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	const evicted = 2
 	if after < evicted && len(m.entries) > evicted {
 		lost = evicted - after
 	}
-	return m.entries[min(max(int(after), evicted), len(m.entries)):], lost, m.more
+	return m.entries[min(max(int(after), evicted), len(m.entries)):], lost, m.entryAdded
 }
 
 func (m *fakeManager) History(after uint64, limit int) ([]agentstore.Entry, error) {
@@ -310,8 +310,8 @@
 }
 
 func (m *pagedManager) Entries(after uint64) ([]agentstore.Entry, uint64, <-chan struct{}) {
-	entries, lost, more := m.fakeManager.Entries(after)
-	return entries[:min(len(entries), m.pageSize)], lost, more
+	entries, lost, entryAdded := m.fakeManager.Entries(after)
+	return entries[:min(len(entries), m.pageSize)], lost, entryAdded
 }
 
 // textTransport returns a transport that responds to each request with a text.
--- a/internal/agentapi/server_test.go
+++ b/internal/agentapi/server_test.go
@@ -123,7 +123,7 @@
 	return response
 }
 
-// TestHistoryAcceptsDefaultAndLargestParameters checks that a history request without parameters asks for the latest
+// TestHistoryAcceptsDefaultAndLargestParameters checks that a history request without parameters is for the latest
 // 1000 entries of the complete history, and that the largest parameters are accepted.
 func TestHistoryAcceptsDefaultAndLargestParameters(t *testing.T) {
 	m := newFakeManager()
--- a/internal/agentapi/stream.go
+++ b/internal/agentapi/stream.go
@@ -47,12 +47,12 @@
 	heartbeat := time.NewTicker(s.bounds.CallTimeout)
 	defer heartbeat.Stop()
 	for {
-		more, ok := stream.sendNew()
+		entryAdded, ok := stream.sendNew()
 		if !ok {
 			return
 		}
 		select {
-		case <-more:
+		case <-entryAdded:
 		case <-heartbeat.C:
 			if !stream.send(StreamEvent{Serial: stream.after}) {
 				return
@@ -83,7 +83,7 @@
 
 // sendNew sends the entries after the last serial sent. It returns a channel that is closed when the next entry is
 // added, and whether the stream continues.
-func (s *streamWriter) sendNew() (more <-chan struct{}, ok bool) {
+func (s *streamWriter) sendNew() (entryAdded <-chan struct{}, ok bool) {
 	for {
 		var command *fleet.Command
 		if s.commandID != "" { // read before the entries, so that its last entry is sent before the last line
@@ -92,7 +92,7 @@
 				return nil, false
 			}
 		}
-		entries, lost, more := s.manager.Entries(s.after)
+		entries, lost, entryAdded := s.manager.Entries(s.after)
 		if lost > 0 && !s.send(StreamEvent{LostEntries: lost}) {
 			return nil, false
 		}
@@ -108,7 +108,7 @@
 			return nil, false
 		}
 		if len(entries) == 0 {
-			return more, true
+			return entryAdded, true
 		}
 	}
 }
--- a/internal/backend/degradation/controller.go
+++ b/internal/backend/degradation/controller.go
@@ -10,7 +10,7 @@
 //   - A level stays in force for its MinDuration before a recovery leaves it (TestControllerInvariants,
 //     TestLevelIsInForceForMinDuration).
 //   - A recovery leaves one level at a time (TestControllerInvariants).
-//   - The depth of the level in force lies between 0 and 1 (TestControllerInvariants).
+//   - The depth of the level in force is between 0 and 1 (TestControllerInvariants).
 //   - An update whose time is not after the last one changes nothing (TestEarlierReadingsAreIgnored).
 type Controller struct {
 	policy           *Policy
--- a/internal/backend/dispatch/admit_test.go
+++ b/internal/backend/dispatch/admit_test.go
@@ -26,7 +26,7 @@
 	tr.Say("its run succeeds: answer due %t, in flight %d", d.Complete(req, RunSucceeded, nil), requestsInFlight(d))
 
 	early := newInvocation("c")
-	early.ArrivedAt -= 3_900 * monotime.Millisecond // its deadline is in 100 ms; its run goes on
+	early.ArrivedAt -= 3_900 * monotime.Millisecond // its deadline is in 100 ms; its run continues
 	_, req = d.Admit(early)
 	for len(req.FinalResponse()) == 0 {
 		d.Tick([]float64{0.5, 1, 0, 0})
--- a/internal/backend/executor/errors.go
+++ b/internal/backend/executor/errors.go
@@ -8,7 +8,10 @@
 // Protocol violations by the executor. Each ends the connection, as the position of the next line is not known.
 var (
 	errNoCRLF           = errors.New("CR LF is missing at the end")
-	errWordCount        = errors.New("too few or too many words")
+	errExtraWords       = errors.New("unexpected words after the last field")
+	errNoOutcomeID      = errors.New("outcome: run ID is missing")
+	errNoRefusalID      = errors.New("refusal: run ID is missing")
+	errNoSampleTag      = errors.New("sampled: tag is missing")
 	errControlCharacter = errors.New("line contains a control character")
 	errNoNoticeNumber   = errors.New("outcome: number is missing or not a positive integer")
 	errNoLength         = errors.New("outcome: length is missing or not a non-negative integer")
--- a/internal/backend/executor/notices.go
+++ b/internal/backend/executor/notices.go
@@ -94,7 +94,7 @@
 // handleRefusal ends the run whose launch was refused.
 func (c *Client) handleRefusal(m message) {
 	id := string(m.id)
-	c.violations.Warn("executor_refusal", fmt.Errorf("%.20q %.20q", m.command, id))
+	c.violations.Warn("executor_refusal", fmt.Errorf("executor refused command %.20q of run %.20q", m.command, id))
 	if string(m.command) == launchWord {
 		c.finish(id, Outcome{End: dispatch.Unrunnable})
 	}
--- a/internal/backend/executor/protocol.go
+++ b/internal/backend/executor/protocol.go
@@ -68,11 +68,11 @@
 	gauges  []float64        // of a sample
 }
 
-// words is the part of a line that has not been parsed.
-type words struct{ rest []byte }
+// wordScanner is the part of a line that has not been parsed.
+type wordScanner struct{ rest []byte }
 
 // next returns the next word, or an empty one if none is left.
-func (w *words) next() (word []byte) {
+func (w *wordScanner) next() (word []byte) {
 	word, w.rest, _ = bytes.Cut(w.rest, []byte{separator})
 	return word
 }
@@ -83,7 +83,7 @@
 	if bytes.ContainsAny(line, "\r\n\x00") {
 		return m, errControlCharacter
 	}
-	w := words{line}
+	w := wordScanner{line}
 	switch word := w.next(); string(word) {
 	case greetingWord:
 		err = parseGreeting(&w, &m)
@@ -101,13 +101,13 @@
 		return m, &valueError{"first word", string(word)}
 	}
 	if err == nil && len(w.rest) > 0 {
-		err = errWordCount
+		err = errExtraWords
 	}
 	return m, err
 }
 
 // parseGreeting parses the state of the executor and the time since its start.
-func parseGreeting(w *words, m *message) (err error) {
+func parseGreeting(w *wordScanner, m *message) (err error) {
 	m.kind = greeting
 	switch state := w.next(); string(state) {
 	case coldWord:
@@ -121,14 +121,14 @@
 }
 
 // parseOutcome parses how a run ended, and the length of the result that follows.
-func parseOutcome(w *words, m *message) (err error) {
+func parseOutcome(w *wordScanner, m *message) (err error) {
 	m.kind = outcome
 	if m.number, err = parseNumber(w.next()); err != nil || m.number == 0 {
 		m.number = 0
 		return errNoNoticeNumber
 	}
 	if m.id = w.next(); len(m.id) == 0 {
-		return errWordCount
+		return errNoOutcomeID
 	}
 	word := w.next()
 	end, known := outcomeOf[string(word)]
@@ -146,7 +146,7 @@
 }
 
 // parseSampled parses the tag of a sample and its gauges, which are appended to buffer.
-func parseSampled(w *words, m *message, buffer []float64) error {
+func parseSampled(w *wordScanner, m *message, buffer []float64) error {
 	m.kind = sampled
 	m.gauges = buffer
 	m.tag = w.next()
@@ -158,18 +158,18 @@
 		m.gauges = append(m.gauges, gauge)
 	}
 	if len(m.tag) == 0 {
-		return errWordCount
+		return errNoSampleTag
 	}
 	return nil
 }
 
 // parseRefusal parses the command that was refused and the ID of its run.
-func parseRefusal(w *words, m *message) error {
+func parseRefusal(w *wordScanner, m *message) error {
 	m.kind = refusal
 	m.command = w.next()
 	m.id = w.next()
 	if len(m.id) == 0 {
-		return errWordCount
+		return errNoRefusalID
 	}
 	return nil
 }
--- a/internal/backend/executor/protocol_test.go
+++ b/internal/backend/executor/protocol_test.go
@@ -67,7 +67,7 @@
 		line string
 		want error
 	}{
-		{"word too many", "greeting hot 1 2", errWordCount},
+		{"word too many", "greeting hot 1 2", errExtraWords},
 		{"control character", "greeting hot 1\r", errControlCharacter},
 		{"number of a notice", "outcome x a error 3 0", errNoNoticeNumber},
 		{"length of a result", "outcome 12 a error 3 -1", errNoLength},
--- a/internal/backend/frame/errors.go
+++ b/internal/backend/frame/errors.go
@@ -8,11 +8,11 @@
 // Decoding errors of a payload. Errors of a single field are wrapped in a *FieldError.
 var (
 	ErrTruncated      = errors.New("payload is truncated")
-	ErrMissingField   = errors.New("missing")
-	ErrDuplicateField = errors.New("given more than once")
-	ErrInvalidID      = errors.New("not 16 hex digits")
-	ErrNotNumber      = errors.New("not a number")
-	ErrOutOfRange     = errors.New("out of range")
+	ErrMissingField   = errors.New("required field is missing")
+	ErrDuplicateField = errors.New("field is given more than once")
+	ErrInvalidID      = errors.New("value is not 16 hex digits")
+	ErrNotNumber      = errors.New("value is not a valid number")
+	ErrOutOfRange     = errors.New("number is out of range")
 )
 
 // LengthError reports a frame length outside the allowed range. The start of the next frame is then unknown.
--- a/internal/backend/quota/holder.go
+++ b/internal/backend/quota/holder.go
@@ -36,7 +36,7 @@
 //   - A response is applied completely or not at all (TestResponseIsRefusedCompletely).
 //   - Request numbers only increase (TestRequestNumbersGrow).
 //   - Nothing is acquired before the first grant or after Release (TestAcquireWithinGrant,
-//     TestReleaseGivesUpGrantAtOnce).
+//     TestReleaseEndsGrantAtOnce).
 type Holder struct {
 	name        string
 	incarnation string           // identifies this run of the process
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// Release gives up all grants, including the floors, so that nothing can be acquired. The lease server may be notified
+// Release ends all grants, including the floors, so that nothing can be acquired. The lease server may be notified
 // only after this call, as it may then grant the released part to other holders.
 func (h *Holder) Release(now monotime.Micros) {
 	for i := range h.buckets {
--- a/internal/backend/quota/token_bucket.go
+++ b/internal/backend/quota/token_bucket.go
@@ -87,7 +87,7 @@
 	b.tokens = min(b.tokens, bucketSize(grant.Floor+grant.Extra))
 }
 
-// release gives up the grant, so that nothing can be acquired.
+// release ends the grant, so that nothing can be acquired.
 func (b *tokenBucket) release(now monotime.Micros) {
 	b.Floor = 0
 	b.Extra = 0
--- a/internal/backend/quota/token_bucket_test.go
+++ b/internal/backend/quota/token_bucket_test.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// TestReleaseGivesUpGrantAtOnce checks that nothing can be acquired from the time of the release on.
-func TestReleaseGivesUpGrantAtOnce(t *testing.T) {
+// TestReleaseEndsGrantAtOnce checks that nothing can be acquired from the time of the release on.
+func TestReleaseEndsGrantAtOnce(t *testing.T) {
 	h := newGrantedHolder(t, 4, 100, 100*second)
 	now := start + 10*second
 	h.Status(now)
--- a/internal/backend/registration/reporter.go
+++ b/internal/backend/registration/reporter.go
@@ -168,7 +168,7 @@
 // report sends one report, and logs when reports begin to fail or to succeed again. retryAfter is the registry's
 // Retry-After, 0 if there was none.
 func (r *Reporter) report(ctx context.Context, state availability) (retryAfter time.Duration, err error) {
-	retryAfter, err = r.put(ctx, state)
+	retryAfter, err = r.sendReport(ctx, state)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if failed := err != nil; failed != r.failing && ctx.Err() == nil {
--- a/internal/backend/registration/request.go
+++ b/internal/backend/registration/request.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// put sends one report to the registry. The error is a *StatusError if the registry rejected the report, or otherwise
-// the error of the call.
-func (r *Reporter) put(ctx context.Context, state availability) (retryAfter time.Duration, err error) {
+// sendReport sends one report to the registry. The error is a *StatusError if the registry rejected the report, or
+// otherwise the error of the call.
+func (r *Reporter) sendReport(ctx context.Context, state availability) (retryAfter time.Duration, err error) {
 	body, err := json.Marshal(loadReport{Availability: state})
 	if err != nil {
 		return 0, fmt.Errorf("encode load report: %w", err)
--- a/internal/backend/server/invocation.go
+++ b/internal/backend/server/invocation.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"errors"
+	"fmt"
 	"log/slog"
 	"runtime/debug"
 
@@ -15,8 +16,6 @@
 // Errors of an invocation that the settings do not allow.
 var (
 	errInvocationTooLong = errors.New("frame is too long for an invocation")
-	errUnknownOperation  = errors.New("unknown operation")
-	errUnknownTenant     = errors.New("unknown tenant")
 	errNoDeadline        = errors.New(`field "wait" is missing: the deployment requires a deadline`)
 	errNoIdempotencyKey  = errors.New(`field "once" is missing or too long: the operation requires an idempotency key`)
 )
@@ -74,11 +73,12 @@
 	}
 	operation, known := s.operations[string(in.Operation)]
 	if !known {
-		return inv, nil, errUnknownOperation
+		return inv, nil, fmt.Errorf(
+			`field "class": unknown operation %.20q, expected one in the settings`, in.Operation)
 	}
 	tenant, known := s.tenants[string(in.Tenant)]
 	if !known && len(s.tenants) > 0 {
-		return inv, nil, errUnknownTenant
+		return inv, nil, fmt.Errorf(`field "tenant": unknown tenant %.20q, expected one in the settings`, in.Tenant)
 	}
 	inv = dispatch.Invocation{
 		ID:            string(in.ID),
--- a/internal/backend/shadow/evaluator_test.go
+++ b/internal/backend/shadow/evaluator_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestOpenedIsNotPassedOn checks that the primary's Opened event is not passed to the shadow, which New has opened.
-func TestOpenedIsNotPassedOn(t *testing.T) {
+// TestOpenedIsNotForwarded checks that the primary's Opened event is not passed to the shadow, which New has opened.
+func TestOpenedIsNotForwarded(t *testing.T) {
 	e := newEvaluator()
 	e.actions = []admission.Action{admission.Log{Text: "before the event"}}
 	if e.Observe(testStart+monotime.Second, admission.Opened{}, nil); len(e.actions) != 1 {
--- a/internal/cluster/quorum/quorum.go
+++ b/internal/cluster/quorum/quorum.go
@@ -3,9 +3,9 @@
 // membership changes. It does no I/O and reads no clock. Replication itself is left to the consensus library.
 //
 // What one member has lost, others still have, as each entry is committed and each leader elected by a quorum. A member
-// that hears from enough others learns of a term and a log that cover what it may have lost: at least one of them was
-// in each quorum that the member took part in. Until its own log reaches that log, it does not stand for election, and
-// votes only for candidates whose log does. In that term it does not vote, as it may have voted already.
+// that receives answers from enough others learns of a term and a log that cover what it may have lost: at least one of
+// them was in each quorum that the member took part in. Until its own log reaches that log, it does not stand for
+// election, and votes only for candidates whose log does. In that term it does not vote, as it may have voted already.
 //
 // Invariants:
 //   - A member that lost a committed entry is behind, and never bootstraps a group that has committed entries
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -31,7 +31,7 @@
 type RolloutStep struct {
 	Begin      []string // hosts whose updates begin now
 	Finished   bool     // there is nothing left to begin or to wait for
-	StopReason string   // why the rollout stops before all hosts are done; empty: it goes on
+	StopReason string   // why the rollout stops before all hosts are done; empty: it continues
 }
 
 // rolloutTally sums up the progress of all hosts.
@@ -107,7 +107,7 @@
 	return tally
 }
 
-// blockedReason returns why the rollout stops if no host could begin for Config.StallTimeout; empty: it goes on.
+// blockedReason returns why the rollout stops if no host could begin for Config.StallTimeout; empty: it continues.
 func (r *RolloutCoordinator) blockedReason(
 	now monotime.Micros, name string, host HostProgress, tally rolloutTally,
 ) string {
--- a/internal/fleet/rolling_update.go
+++ b/internal/fleet/rolling_update.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// startSpares starts the spares and reports whether the update may go on: all are settled, or it was cancelled.
+// startSpares starts the spares and reports whether the update may continue: all are settled, or it was cancelled.
 func (m *Machine) startSpares(now monotime.Micros, command *Command) bool {
 	settled := true
 	for _, name := range command.Spares {
--- a/internal/fleet/rolling_update_config.go
+++ b/internal/fleet/rolling_update_config.go
@@ -21,9 +21,9 @@
 	Surge              int             `json:"surge"`        // spares of each group ready before an instance leaves
 	MaxFailures        int             `json:"failures"`     // tolerated failed instances; more pause the update
 	ReadyWithin        monotime.Micros `json:"ready_within"` // from launch to ready; 0: the group's StartWithin
-	StallTimeout       monotime.Micros `json:"stall"`        // an update that is blocked for so long pauses; above 0
+	StallTimeout       monotime.Micros `json:"stall"`        // an update blocked for this long pauses; above 0
 	MaxRejectedShare   float64         `json:"turned_away"`  // share of rejected invocations, above 0; 1: no bound
-	RejectionTolerance monotime.Micros `json:"turned_for"`   // MaxRejectedShare exceeded for so long pauses the update
+	RejectionTolerance monotime.Micros `json:"turned_for"`   // time above MaxRejectedShare that pauses the update
 }
 
 // The orders of a rolling update.
--- a/internal/fleet/rolling_update_pause.go
+++ b/internal/fleet/rolling_update_pause.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// pauseReason returns why an update has to pause; empty: it goes on. share is the current share of rejections.
+// pauseReason returns why an update has to pause; empty: it continues. share is the current share of rejections.
 func (m *Machine) pauseReason(now monotime.Micros, command *Command, share float64) string {
 	config := command.Rollout
 	if command.Failures > config.MaxFailures {
