--- a/internal/backend/frame/invocation.go
+++ b/internal/backend/frame/invocation.go
@@ -1,6 +1,8 @@
 package frame
 
 import (
+	"errors"
+	"fmt"
 	"math"
 
 	"milletbarrow/monotime"
@@ -136,8 +138,8 @@
 // parseMemoryKB parses a number of kilobytes between 0 and maxMemoryKB, both exclusive.
 func parseMemoryKB(value []byte) (float64, error) {
 	kb, err := parseNumber(value, maxMemoryKB)
-	if err == nil && (kb == 0 || kb == maxMemoryKB) {
-		err = ErrOutOfRange
+	if errors.Is(err, ErrOutOfRange) || err == nil && (kb == 0 || kb == maxMemoryKB) {
+		err = fmt.Errorf("%w: expected above 0 and below %d", ErrOutOfRange, maxMemoryKB)
 	}
 	return kb, err
 }
@@ -145,8 +147,8 @@
 // parsePriority parses a priority from 0 to below maxPriority.
 func parsePriority(value []byte) (float64, error) {
 	x, err := parseNumber(value, maxPriority)
-	if err == nil && x == maxPriority {
-		err = ErrOutOfRange
+	if errors.Is(err, ErrOutOfRange) || err == nil && x == maxPriority {
+		err = fmt.Errorf("%w: expected at least 0 and below %d", ErrOutOfRange, maxPriority)
 	}
 	return x, err
 }
