--- a/internal/backend/quotalog/log_test.go
+++ b/internal/backend/quotalog/log_test.go
@@ -101,9 +101,9 @@
 // TestWriteErrorIsReturnedByNextRecord checks that the next record returns the error of a failed write in New.
 func TestWriteErrorIsReturnedByNextRecord(t *testing.T) {
 	if err := New(fullDisk{}, 10, 0).RecordUse(20, nil); !errors.Is(err, errFull) {
-		t.Errorf("RecordDrawn: error %v", err)
+		t.Errorf("RecordUse: error %v", err)
 	}
 	if err := New(fullDisk{}, 10, 0).RecordGrants(20, 20, nil); !errors.Is(err, errFull) {
-		t.Errorf("RecordHeld: error %v", err)
+		t.Errorf("RecordGrants: error %v", err)
 	}
 }
